--- /dev/null
+++ b/cmd/silverpath/cellsgolden_test.go
@@ -0,0 +1,139 @@
+package main
+
+import (
+	"encoding/json"
+	"fmt"
+	"maps"
+	"os"
+	"path/filepath"
+	"regexp"
+	"slices"
+	"strings"
+	"testing"
+)
+
+// What an operator's script reads of the commands on a cell map was once changed by a new name of a Go field: two of the texts are
+// written from the names of struct fields. So the whole output of each command on the same files stands in testdata, as the program
+// wrote it before its names were changed, with the one line and the exit code of each map that is no good.
+func TestCellsCommandsWriteWhatTheyWrote(t *testing.T) {
+	const mapFile, nextFile = "testdata/cells/map.json", "testdata/cells/next.json"
+	dir := t.TempDir()
+	var got strings.Builder
+	command := func(args ...string) {
+		t.Helper()
+		code, out, message := run(t, "", args...)
+		fmt.Fprintf(&got, "$ %s\n[exit %d]\n%s%s", strings.Join(args, " "), code, out, message)
+	}
+	command("cells", "check", "--map", mapFile)
+	command("cells", "check", "--map", nextFile, "--after", mapFile)
+	command("cells", "show", "--map", mapFile)
+	command("cells", "show", "--json", "--map", mapFile)
+	for _, plan := range [][]string{
+		{"--tenant", "kvizmojster", "--to", "b", "--json"}, {"--tenant", "krcmarski-kviz", "--to", "a", "--shard", "1"},
+		{"--tenant", "krcmarski-kviz", "--to", "c"}, {"--tenant", "nobody", "--to", "a"}, {"--tenant", "kvizmojster", "--to", "z"},
+		{"--tenant", "kvizmojster", "--to", "a"}, {"--tenant", "kvizmojster", "--to", "b", "--shard", "9"},
+		{"--tenant", "pametna-glava", "--to", "a"},
+	} {
+		command(append([]string{"cells", "plan", "--map", mapFile}, plan...)...)
+	}
+	for _, set := range []struct {
+		file  string
+		after bool
+	}{{"testdata/cells/bad.json", false}, {"testdata/cells/unfollowing.json", true}} {
+		text, err := os.ReadFile(set.file)
+		if err != nil {
+			t.Fatal(err)
+		}
+		var texts map[string]string
+		if err := json.Unmarshal(text, &texts); err != nil {
+			t.Fatal(err)
+		}
+		for _, name := range slices.Sorted(maps.Keys(texts)) {
+			path := filepath.Join(dir, name+".json")
+			if err := os.WriteFile(path, []byte(texts[name]), 0o600); err != nil {
+				t.Fatal(err)
+			}
+			args := []string{"cells", "check", "--map", path}
+			if set.after {
+				args = append(args, "--after", mapFile)
+			}
+			command(args...)
+		}
+	}
+	same(t, "testdata/cells/commands.txt", masked(got.String(), dir))
+}
+
+// A move, its abort and a map that is published are written to a map file byte for byte as they were, but for their times.
+func TestCellsCommandsWriteTheSameFiles(t *testing.T) {
+	dir := t.TempDir()
+	text, err := os.ReadFile("testdata/cells/map.json")
+	if err != nil {
+		t.Fatal(err)
+	}
+	path, folder := filepath.Join(dir, "map.json"), filepath.Join(dir, "versions")
+	if err := os.WriteFile(path, text, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	var got strings.Builder
+	for _, args := range [][]string{
+		{"cells", "move", "--map", path, "--tenant", "kvizmojster", "--to", "b", "--shard", "2"},
+		{"cells", "abort", "--map", path, "--tenant", "kvizmojster"},
+		{"cells", "abort", "--map", path, "--tenant", "krcmarski-kviz"},
+		{"cells", "publish", "--map", path, "--to", folder},
+		{"cells", "publish", "--map", path, "--to", folder},
+	} {
+		code, out, message := run(t, "", args...)
+		fmt.Fprintf(&got, "$ %s\n[exit %d]\n%s%s", strings.Join(args, " "), code, out, message)
+	}
+	written, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	fmt.Fprintf(&got, "map file:\n%s", written)
+	list, err := os.ReadDir(folder)
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, f := range list {
+		text, err := os.ReadFile(filepath.Join(folder, f.Name()))
+		if err != nil {
+			t.Fatal(err)
+		}
+		fmt.Fprintf(&got, "%s: as the map file: %v\n", f.Name(), string(text) == string(written))
+	}
+	same(t, "testdata/cells/written.txt", masked(got.String(), dir))
+}
+
+var (
+	dayAndTime = regexp.MustCompile(`\d{4}-\d\d-\d\d \d\d:\d\d:\d\d`)
+	presentMS  = regexp.MustCompile(`\b1[78]\d{11}\b`)
+)
+
+// masked is a text without what is another one at each run: a folder and times of about the present.
+func masked(text, dir string) string {
+	text = dayAndTime.ReplaceAllString(strings.ReplaceAll(text, dir, "DIR"), "TIME")
+	return presentMS.ReplaceAllStringFunc(text, func(ms string) string {
+		if strings.HasPrefix(ms, "1700000") { // it stands in the fixture
+			return ms
+		}
+		return "MS"
+	})
+}
+
+// same fails with the first line in which a text differs from that of a file.
+func same(t *testing.T, file, got string) {
+	t.Helper()
+	want, err := os.ReadFile(file)
+	if err != nil {
+		t.Fatal(err)
+	}
+	a, b := strings.Split(string(want), "\n"), strings.Split(got, "\n")
+	for i := range a {
+		if i >= len(b) || a[i] != b[i] {
+			t.Fatalf("%s:%d: got %q, want %q", file, i+1, strings.Join(b[min(i, len(b)):min(i+1, len(b))], ""), a[i])
+		}
+	}
+	if len(b) > len(a) {
+		t.Fatalf("%s: %d lines more: %q", file, len(b)-len(a), b[len(a)])
+	}
+}
