--- /dev/null
+++ b/internal/fence/golden_test.go
@@ -0,0 +1,75 @@
+package fence
+
+import (
+	"bytes"
+	"errors"
+	"os"
+	"path/filepath"
+	"testing"
+)
+
+// A server that is upgraded must go on refusing what it refused before: if the new build read its file of orders otherwise than the
+// old one wrote it, an owner that was replaced long ago could order it out of service again. testdata/orders was written by an
+// earlier build, of a server that had done order 7 of epoch 1.2 of the conductor and learnt of the keeper.
+func TestFileOfAnEarlierBuild(t *testing.T) {
+	fixture, err := os.ReadFile("testdata/orders")
+	if err != nil {
+		t.Fatal(err)
+	}
+	path := filepath.Join(t.TempDir(), "orders")
+	if err := os.WriteFile(path, fixture, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	if _, err := Open(path, "another"); err == nil || err.Error() != path+`: of another service, "s1": set it aside` {
+		t.Error(err)
+	}
+	f, err := Open(path, "s1")
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, c := range []struct {
+		order Order
+		fresh bool
+		want  string
+	}{
+		{Order{"conductor", 1<<32 | 2, 7, "evacuate"}, false, ""},
+		{Order{"conductor", 1<<32 | 2, 8, "rejoin"}, true, ""},
+		{Order{"conductor", 1<<32 | 3, 1, "rejoin"}, true, ""},
+		{Order{"conductor", 1<<32 | 1, 9, "rejoin"}, false, "stale epoch 1.1 of conductor: 1.2 was seen"},
+		{Order{"conductor", 1<<32 | 2, 6, "rejoin"}, false, "stale step 6 of conductor in epoch 1.2: 7 was seen"},
+		{Order{"conductor", 1<<32 | 2, 7, "rejoin"}, false, "stale step 7 of conductor in epoch 1.2: 7 was seen"},
+		{Order{"keeper", 5, 3, "move"}, true, ""},
+		{Order{"keeper", 5, 2, "move"}, false, "stale step 2 of keeper in epoch 0.5: 2 was seen"},
+		{Order{"watcher", 5, 2, "judge"}, false, "no epoch is known yet of watcher"},
+	} {
+		fresh, err := f.Judge(c.order)
+		got := ""
+		if err != nil {
+			got = err.Error()
+		}
+		if fresh != c.fresh || got != c.want {
+			t.Errorf("%+v: %v, %q, want %v, %q", c.order, fresh, got, c.fresh, c.want)
+		}
+	}
+	if err := f.Keep(Order{"conductor", 1<<32 | 3, 1, "rejoin"}, "s1"); err != nil {
+		t.Fatal(err)
+	}
+	got, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	const want = "23bd6e9e\n" + `{"service":"s1","seen":{"conductor":{"duty":"conductor","epoch":4294967299,"step":1,"act":"rejoin"},"keeper":{"duty":"keeper","epoch":5,"step":2,"act":""}}}`
+	if string(got) != want {
+		t.Errorf("wrote\n%q, want\n%q", got, want)
+	}
+	damaged := bytes.Replace(fixture, []byte("evacuate"), []byte("evacuatf"), 1)
+	if err := os.WriteFile(path, damaged, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	if _, err := Open(path, "s1"); err == nil || err.Error() != path+": torn, or not a file of orders: set it aside" {
+		t.Error(err)
+	}
+	if _, err := Open(filepath.Join(t.TempDir(), "none"), "s1"); err != nil || errors.Is(err, os.ErrNotExist) {
+		t.Error(err)
+	}
+}
