--- /dev/null
+++ b/internal/quorum/member/golden_test.go
@@ -0,0 +1,561 @@
+package member
+
+import (
+	"bufio"
+	"bytes"
+	"context"
+	"encoding/binary"
+	"encoding/json"
+	"fmt"
+	"io"
+	"log"
+	"net"
+	"os"
+	"path/filepath"
+	"regexp"
+	"slices"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"github.com/rs/zerolog"
+	"go.etcd.io/bbolt"
+
+	"silverpath/internal/front"
+	"silverpath/internal/group"
+	"silverpath/internal/lease"
+	"silverpath/internal/msgpackrpc"
+	"silverpath/internal/quorum"
+	"silverpath/internal/rulebook"
+	"silverpath/internal/shares"
+	"silverpath/internal/stats"
+)
+
+// A group is upgraded member by member: what a member finds on its disk was written by an earlier build, and whoever it talks with
+// may still be one. Here are disks and messages as an earlier build wrote them.
+
+// A member whose program is replaced goes on from its disk: it is the same member of the same group, leads it again (it is the only
+// one), and answers what the earlier build would have answered: the duties and journals, the documents with the change under way,
+// and what a process that follows them is told. The disks have a snapshot and entries after it; one has documents that are whole,
+// the other a map in parts.
+func TestDiskOfAnEarlierBuild(t *testing.T) {
+	for _, kind := range []string{"whole", "parts"} {
+		t.Run(kind, func(t *testing.T) {
+			dir := t.TempDir()
+			b, err := os.ReadFile("testdata/" + kind + ".db")
+			if err != nil {
+				t.Fatal(err)
+			}
+			if err := os.WriteFile(filepath.Join(dir, "group.db"), b, 0o600); err != nil {
+				t.Fatal(err)
+			}
+			addr, stop := startMember(t, dir, "q0", "test")
+			say := dialMember(t, addr)
+			leads := false
+			for end := time.Now().Add(30 * time.Second); !leads; time.Sleep(10 * time.Millisecond) {
+				leads = strings.Contains(say("group.read", "", "g", "test", "duty", ""), `[1, 0, nil,`)
+				if time.Now().After(end) {
+					t.Fatal("it does not lead")
+				}
+			}
+			var got strings.Builder
+			for _, w := range [][]string{
+				{"group.status", ""},
+				{"group.read", "", "duty", "*"},
+				{"group.read", "", "duty", "keeper"},
+				{"rules.sync", `{"user":{"name":"r1#1","reads":{"map":2,"routing":1},"holds":{},"stopped":{}},"has":{},"acts":{"map":1},"worth":{"asked":10,"served":9}}`},
+				{"rules.sync", `{"user":{"name":"r1#1","reads":{"map":2,"routing":1},"holds":{},"stopped":{}},"has":{"map":[1],"routing":[1]},"bases":{"map":1},"acts":{"map":1,"routing":1},"worth":{"asked":10,"served":9}}`},
+				{"rules.parts", `{"doc":"map","version":1}`},
+				{"rules.parts", `{"doc":"map","version":1,"names":["head","top"]}`},
+				{"rules.parts", `{"doc":"map","version":2,"names":["top"]}`},
+				{"rules.parts", `{"doc":"map","version":9}`},
+				{"rules.parts", `{"doc":"none","version":1}`},
+				{"rules.read", ""},
+				{"group.renew", `{"ask":{"op":"renew","duty":"keeper","who":"a#1","epoch":4294967297}}`},
+				{"group.renew", `{"ask":{"op":"renew","duty":"keeper","who":"a#1","epoch":4294967296}}`},
+				{"group.renew", `{"ask":{"op":"renew","duty":"none","who":"a#1","epoch":4294967296}}`},
+				{"group.renew", `{}`},
+				{"group.do", `{"ask":{"op":"acquire","duty":"keeper","who":"b#2"}}`},
+				{"group.do", `{"ask":{"op":"release","duty":"keeper","who":"b#2","epoch":4294967297}}`},
+				{"group.do", `{"ask":{"op":"expire","duty":"keeper","epoch":4294967297}}`},
+				{"group.do", `{"ask":{"op":"hand","duty":"keeper","who":"b#2"}}`},
+				{"group.do", `{"write":{"duty":"keeper","who":"a#1","epoch":4294967297,"step":3,"item":"move-1","state":"done","note":"version 2","doc":"{\"version\":2}"}}`},
+				{"group.do", `{"wish":{"duty":"keeper","id":"move-1","wish":"abort"}}`},
+				{"group.do", `{"submit":{"duty":"conductor","id":"r","kind":"roll","args":{"cell_most":1}}}`},
+				{"group.do", `{"rule":{"op":"advance","doc":"routing","version":2}}`},
+				{"group.do", `{"rule":{"op":"put","doc":"cook","text":"{}"}}`},
+				{"group.do", `{"rule":{"op":"put","doc":"routing","version":7,"text":"{}"}}`},
+				{"group.do", `{"rule":{"op":"takeback","doc":"map","version":1}}`},
+				{"group.do", `{"rule":{"op":"hold","doc":"routing","version":2,"why":"lunch"}}`},
+				{"group.do", `{"rule":{"op":"put","doc":"map","version":1,"text":"{}"}}`},
+				{"group.do", `{`},
+				{"group.add", `{}`},
+				{"group.found", `{"group":"test","members":[],"terms":{"ttl":1,"drift":0.1}}`},
+				{"group.join", `{"id":"other"}`},
+				{"group.raft", ""},
+				{"group.cook", ""},
+			} {
+				fields := append([]string{"g", "test"}, w[2:]...)
+				fmt.Fprintf(&got, "%s %s %s\n%s\n", w[0], strings.Join(fields, " "), w[1], say(w[0], w[1], fields...))
+			}
+			fmt.Fprintf(&got, "of another group\n%s\n", say("group.status", "", "g", "other"))
+			compareFile(t, masked(got.String()), kind+".answers")
+			stop()
+
+			// What it writes now has the keys and forms that the earlier build reads.
+			db, err := bbolt.Open(filepath.Join(dir, "group.db"), 0o600, &bbolt.Options{Timeout: time.Second})
+			if err != nil {
+				t.Fatal(err)
+			}
+			defer db.Close()
+			var disk strings.Builder
+			err = db.View(func(tx *bbolt.Tx) error {
+				return tx.ForEach(func(name []byte, b *bbolt.Bucket) error {
+					fmt.Fprintf(&disk, "%s:", name)
+					keys := 0
+					err := b.ForEach(func(k, v []byte) error {
+						if keys++; string(name) == "meta" {
+							fmt.Fprintf(&disk, " %s", k)
+							if v[0] == '{' || len(v) < 3 {
+								fmt.Fprintf(&disk, "=%s", v)
+							}
+						} else if len(k) != 8 {
+							t.Errorf("key %x", k)
+						}
+						return nil
+					})
+					if string(name) == "log" && keys == 0 {
+						t.Error("an empty log")
+					}
+					disk.WriteByte('\n')
+					return err
+				})
+			})
+			if err != nil {
+				t.Fatal(err)
+			}
+			compareFile(t, disk.String(), kind+".keys")
+		})
+	}
+}
+
+// A member of another build asks and is asked: that it vouches for a disk, says how far its own is, and the library's messages, each
+// behind its length. The member here is founded with one of a later or earlier build, which is played by the test.
+func TestMessagesBetweenMembersOfAnEarlierBuild(t *testing.T) {
+	addr, _ := startMember(t, t.TempDir(), "q0", "test")
+	say := dialMember(t, addr)
+	var status quorum.Status
+	statusOf := func() {
+		t.Helper()
+		text := say("group.status", "", "g", "test")
+		text = text[strings.Index(text, "{"):]
+		if err := json.NewDecoder(strings.NewReader(text)).Decode(&status); err != nil {
+			t.Fatalf("%s: %v", text, err)
+		}
+	}
+	statusOf()
+	other := newRecorder(t, func(method string, n int) string { return "" })
+	founding := fmt.Sprintf(`{"group":"test","members":[{"id":%d,"name":"q0","addr":"%s"},{"id":7,"name":"q1","addr":"%s"}],"terms":{"ttl":60000000000,"drift":0.05}}`,
+		parseID(t, status.ID), addr, other.addr)
+	if got := say("group.found", founding, "g", "test"); got != `[1, 0, nil, [bin"", {}]]` {
+		t.Fatal(got)
+	}
+	statusOf()
+	for end := time.Now().Add(30 * time.Second); !other.has("group.vouch", "group.raft", "group.mark"); time.Sleep(10 * time.Millisecond) {
+		if time.Now().After(end) {
+			t.Fatal("not heard:\n", other.text())
+		}
+	}
+	self := parseID(t, status.ID)
+	mask := func(s string) string {
+		s = strings.ReplaceAll(s, status.GroupID, "GROUP")
+		s = strings.ReplaceAll(s, fmt.Sprint(self), "SELF")
+		return regexp.MustCompile(`"n":"\d+"`).ReplaceAllString(s, `"n":"SALT"`)
+	}
+	for _, c := range []struct{ method, want string }{
+		{"group.vouch", `[0, ID, "group.vouch", [{"c":"1","g":"test","gi":"GROUP","id":"SELF","n":"SALT","st":"1","t":"1"}, bin""]]`},
+		{"group.mark", `[0, ID, "group.mark", [{"c":"1","g":"test","gi":"GROUP","id":"SELF","n":"SALT","st":"1","t":"1"}, bin""]]`},
+	} {
+		if got := mask(other.first(c.method)); got != c.want {
+			t.Errorf("%s\n got %s\nwant %s", c.method, got, c.want)
+		}
+	}
+	// Before it stands for election it asks whether it would be elected (type 17), at term 2, with entry 1 of term 1 as its last.
+	m := other.body("group.raft")
+	want := "\x08\x11\x10\x07\x18" + string(binary.AppendUvarint(nil, self)) + "\x20\x02\x28\x01\x30\x01"
+	if len(m) < 4 || int(binary.BigEndian.Uint32(m)) != len(m)-4 && len(m) < 4+len(want) || !strings.HasPrefix(string(m[4:]), want) {
+		t.Errorf("group.raft %x, want its length and %x", m, want)
+	}
+	// And what it answers to the other's words: a mark is noted, an older disk is refused, and so are copies of a disk.
+	peer := []string{"g", "test", "gi", status.GroupID, "id", "7", "n", "5"}
+	for _, c := range []struct {
+		method, body string
+		fields       []string
+		want         string
+	}{
+		{"group.vouch", "", append(slices.Clone(peer), "st", "2", "t", "3", "c", "9"), `[1, 0, nil, [bin"", {}]]`},
+		{"group.mark", "", append(slices.Clone(peer), "st", "2", "t", "4", "c", "10"), `[1, 0, nil, [bin"", {}]]`},
+		{"group.vouch", "", append(slices.Clone(peer), "st", "2", "t", "3", "c", "9"), `[1, 0, ["Superseded", {"why":"the disk is older than its words: term 4 was said before, the disk has 3"}], nil]`},
+		{"group.vouch", "", append(slices.Clone(peer), "st", "2", "t", "4", "c", "9"), `[1, 0, ["Superseded", {"why":"the disk is older than its words: entry 10 was said to be known before, the disk knows 9"}], nil]`},
+		{"group.mark", "", append(slices.Clone(peer), "st", "1", "t", "4", "c", "10"), `[1, 0, ["Superseded", {"why":"start 1 of this disk, and start 2 of it was seen elsewhere"}], nil]`},
+		{"group.mark", "", []string{"g", "test", "gi", status.GroupID, "id", fmt.Sprint(self)}, `[1, 0, ["Superseded", {"why":"two processes run on copies of one disk"}], nil]`},
+		{"group.mark", "", []string{"g", "test", "gi", "x", "id", "7"}, `[1, 0, ["Stranger", {"why":"this is group \"GROUP\", not \"x\""}], nil]`},
+		{"group.raft", "\x00\x00\x00", append(slices.Clone(peer), "st", "2"), `[1, 0, ["No", {"why":"messages cut short"}], nil]`},
+		{"group.raft", "\x00\x00\x00\x04\x08\x08\x10\x01", append(slices.Clone(peer), "st", "2"), `[1, 0, nil, [bin"", {}]]`},
+		{"group.chunk", "abc", append(slices.Clone(peer), "st", "2", "s", "1", "o", "0", "l", "99999999"), `[1, 0, ["No", {"why":"a snapshot of 99999999 bytes, of at most 67108864"}], nil]`},
+		{"group.chunk", "abc", append(slices.Clone(peer), "st", "2", "s", "1", "o", "0", "l", "6"), `[1, 0, nil, [bin"", {}]]`},
+		{"group.chunk", "abc", append(slices.Clone(peer), "st", "2", "s", "1", "o", "5", "l", "6"), `[1, 0, ["No", {"why":"a chunk at 5 that doesn't follow"}], nil]`},
+		{"group.chunk", "abc", append(slices.Clone(peer), "st", "2", "s", "1", "o", "0", "l", "3"), `[1, 0, ["No", {"why":"a snapshot whose checksum is wrong"}], nil]`},
+		{"group.do", `{"ask":{"op":"acquire","duty":"keeper","who":"a"}}`, []string{"g", "test"}, `[1, 0, ["NotLeader", {"why":"member q0 does not lead"}], nil]`},
+		{"group.read", "", []string{"g", "test"}, `[1, 0, ["NotLeader", {"why":"member q0 does not lead"}], nil]`},
+	} {
+		if got := mask(say(c.method, c.body, c.fields...)); got != c.want {
+			t.Errorf("%s\n got %s\nwant %s", c.method, got, c.want)
+		}
+	}
+}
+
+// What routers, servers, owners and commands say to a member is read by members of earlier builds.
+func TestRequestsOfAnEarlierBuild(t *testing.T) {
+	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
+	defer cancel()
+	statuses := 0
+	m := newRecorder(t, func(method string, n int) string {
+		switch method {
+		case "group.status":
+			statuses++
+			return `{"name":"q0","id":"00000000000000ff","group":"test","group_id":"` + map[bool]string{true: "", false: "g1"}[statuses < 4] + `","state":"leader","members":[{"id":255,"name":"q0","addr":"ADDR"}]}`
+		case "group.add":
+			return []string{`"changed"`, `"catching up"`, `"voter"`}[min(n, 2)]
+		case "group.read":
+			return `{"terms":{"ttl":3000000000,"drift":0.05},"table":{"generation":1,"duties":{"keeper":{"name":"keeper","epoch":4294967297,"holder":"a#1"}}},"wall":1}`
+		}
+		return "{}"
+	})
+	c := &quorum.Client{Group: "test", Addrs: []string{m.addr}}
+	t.Cleanup(c.Close)
+	must := func(err error) {
+		t.Helper()
+		if err != nil {
+			t.Fatal(err)
+		}
+	}
+	_, err := c.Do(ctx, group.Command{Ask: &lease.Ask{Op: lease.Acquire, Duty: "keeper", Who: "a#1"}})
+	must(err)
+	_, err = c.Do(ctx, group.Command{Ask: &lease.Ask{Op: lease.Renew, Duty: "keeper", Who: "a#1", Epoch: 4294967297}})
+	must(err)
+	v, err := c.Read(ctx, "*")
+	must(err)
+	if v.Terms.TTL != 3*time.Second || v.Table.Owns("keeper", "a#1", 4294967297) != nil || v.Wall != 1 {
+		t.Errorf("%+v", v)
+	}
+	_, err = c.Sync(ctx, quorum.Sync{User: rulebook.User{Name: "r1#1", Reads: map[string]int{"map": 2}, Holds: map[string]int{"map": 3}, Stopped: map[string]int{"map": 4},
+		Refuses: map[string]rulebook.Refusal{"map": {Version: 5, Why: "w"}}}, Has: map[string][]int{"map": {1, 2}}, Bases: map[string]int{"map": 1}, Acts: map[string]int{"map": 1},
+		Worth: rulebook.Worth{Asked: 2, Served: 1}, Stops: "s", Share: &shares.Word{Most: 3, Applied: 4, Parts: []shares.Part{{Cell: "c", Tenant: "t", Rate: 1.5}}, Demand: []shares.Part{}}})
+	must(err)
+	_, err = c.Rules(ctx)
+	must(err)
+	_, err = c.Parts(ctx, rulebook.Want{Doc: "map", Version: 2, Names: []string{"top"}})
+	must(err)
+	f, err := c.Found(ctx, lease.Terms{TTL: 3 * time.Second, Drift: 0.05})
+	must(err)
+	if f.Members[0].Addr = "127.0.0.1:1"; f.ID() != "FOUNDING" {
+		t.Errorf("a group of the same first members is another one: %s", f.ID())
+	}
+	must(c.Add(ctx, m.addr))
+	must(c.Remove(ctx, "q0"))
+	compareFile(t, strings.ReplaceAll(m.text(), m.addr, "ADDR"), "requests")
+	for _, one := range []struct{ method, want string }{
+		{"rules.read", "\x94\x00\x05\xaarules.read\x92\x81\xa1g\xa4test\xc4\x00"},
+		{"group.status", "\x94\x00\x07\xacgroup.status\x92\x81\xa1g\xa4test\xc4\x00"},
+	} {
+		if got := m.raw(one.method); got != one.want {
+			t.Errorf("%s\n got %x\nwant %x", one.method, got, one.want)
+		}
+	}
+	// Refusals of a member, as the client tells them.
+	for reply, want := range map[string]string{
+		"\x92\xa2No\x81\xa3why\xa1x\xc0":        "refused: x",
+		"\x92\xa8Stranger\x81\xa3why\xa1y\xc0":  "refused: y",
+		"\x92\xa4Lost\x80\xc0":                  "the group can't be asked: Lost ",
+		"\x92\xa9NotLeader\x81\xa3why\xa1z\xc0": "the group can't be asked: NotLeader z",
+	} {
+		r := newRecorder(t, func(string, int) string { return "raw:" + reply })
+		c := &quorum.Client{Group: "test", Addrs: []string{r.addr}}
+		ctx, cancel := context.WithTimeout(t.Context(), 300*time.Millisecond)
+		if _, err := c.Read(ctx, ""); err == nil || err.Error() != want {
+			t.Errorf("%v, want %s", err, want)
+		}
+		cancel()
+		c.Close()
+	}
+}
+
+// startMember runs a member on a disk, on a port of its own.
+func startMember(t *testing.T, dir, name, groupName string) (addr string, stop func()) {
+	t.Helper()
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	addr = ln.Addr().String()
+	counters := &stats.Counters{}
+	m, err := Open(Config{Name: name, Group: groupName, Addr: addr, Dir: dir, Tick: 20 * time.Millisecond, Log: zerolog.Nop(), Stats: counters})
+	if err != nil {
+		t.Fatal(err)
+	}
+	ln.Close()
+	words := msgpackrpc.NewWords(Name, counters, m.Answer)
+	l, err := front.Listen(Name, addr, memberMost, func() time.Duration { return time.Minute }, words.Serve, log.New(io.Discard, "", 0), counters)
+	if err != nil {
+		t.Fatal(err)
+	}
+	go l.Serve()
+	ctx, cancel := context.WithCancel(context.Background())
+	var all sync.WaitGroup
+	all.Go(func() { m.Run(ctx) })
+	var once sync.Once
+	stop = func() {
+		once.Do(func() {
+			l.Close()
+			cancel()
+			all.Wait()
+		})
+	}
+	t.Cleanup(stop)
+	return addr, stop
+}
+
+// dialMember returns a function that sends one request as bytes of its own making, and returns the answer as text.
+func dialMember(t *testing.T, addr string) func(method, body string, fields ...string) string {
+	t.Helper()
+	conn, err := net.Dial("tcp", addr)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { conn.Close() })
+	r := bufio.NewReader(conn)
+	return func(method, body string, fields ...string) string {
+		t.Helper()
+		b := []byte("\x94\x00\x00")
+		b = append(append(b, 0xd9, byte(len(method))), method...)
+		b = append(b, 0x92, 0x80|byte(len(fields)/2))
+		for _, f := range fields {
+			b = append(append(b, 0xd9, byte(len(f))), f...)
+		}
+		b = append(binary.BigEndian.AppendUint32(append(b, 0xc6), uint32(len(body))), body...)
+		conn.SetDeadline(time.Now().Add(20 * time.Second))
+		if _, err := conn.Write(b); err != nil {
+			t.Fatal(err)
+		}
+		raw, err := msgpackrpc.ReadMessage(r, 4<<20)
+		if err != nil {
+			t.Fatal(err)
+		}
+		text, _ := messageText(raw)
+		return text
+	}
+}
+
+// recorder plays a member: it keeps what is said to it, and answers with a body by the method and how often it was said before.
+type recorder struct {
+	addr string
+	mu   sync.Mutex
+	raws [][]byte
+}
+
+func newRecorder(t *testing.T, answer func(method string, n int) string) *recorder {
+	t.Helper()
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	rec := &recorder{addr: ln.Addr().String()}
+	var all sync.WaitGroup
+	var mu sync.Mutex
+	var conns []net.Conn
+	said := map[string]int{}
+	all.Go(func() {
+		for {
+			conn, err := ln.Accept()
+			if err != nil {
+				return
+			}
+			mu.Lock()
+			conns = append(conns, conn)
+			mu.Unlock()
+			all.Go(func() {
+				r := bufio.NewReader(conn)
+				for {
+					raw, err := msgpackrpc.ReadMessage(r, 4<<20)
+					if err != nil {
+						return
+					}
+					id, method := idAndMethod(raw)
+					mu.Lock()
+					body := strings.ReplaceAll(answer(method, said[method]), "ADDR", rec.addr)
+					said[method]++
+					mu.Unlock()
+					rec.mu.Lock()
+					rec.raws = append(rec.raws, raw)
+					rec.mu.Unlock()
+					b := append([]byte("\x94\x01"), id...)
+					if reply, ok := strings.CutPrefix(body, "raw:"); ok {
+						b = append(b, reply...)
+					} else {
+						b = append(b, "\xc0\x92\xc6"...)
+						b = append(append(binary.BigEndian.AppendUint32(b, uint32(len(body))), body...), 0x80)
+					}
+					conn.Write(b)
+				}
+			})
+		}
+	})
+	t.Cleanup(func() {
+		ln.Close()
+		mu.Lock()
+		for _, conn := range conns {
+			conn.Close()
+		}
+		mu.Unlock()
+		all.Wait()
+	})
+	return rec
+}
+
+// idAndMethod are the bytes of a request's number, and its method.
+func idAndMethod(raw []byte) (id []byte, method string) {
+	_, rest := valueText(raw[2:])
+	id = raw[2 : len(raw)-len(rest)]
+	method, _ = valueText(rest)
+	return id, strings.Trim(method, `"`)
+}
+
+func (r *recorder) each() [][]byte {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return slices.Clone(r.raws)
+}
+
+func (r *recorder) raw(method string) string {
+	for _, raw := range r.each() {
+		if _, m := idAndMethod(raw); m == method {
+			return string(raw)
+		}
+	}
+	return ""
+}
+
+func (r *recorder) has(methods ...string) bool {
+	return !slices.ContainsFunc(methods, func(m string) bool { return r.raw(m) == "" })
+}
+
+func (r *recorder) first(method string) string {
+	text, _ := messageText([]byte(r.raw(method)))
+	return regexp.MustCompile(`^\[0, \d+,`).ReplaceAllString(text, "[0, ID,")
+}
+
+func (r *recorder) text() string {
+	var b strings.Builder
+	for _, raw := range r.each() {
+		text, _ := messageText(raw)
+		fmt.Fprintln(&b, text)
+	}
+	return b.String()
+}
+
+// body is the body of the first request of a method.
+func (r *recorder) body(method string) []byte {
+	raw := []byte(r.raw(method))
+	_, rest := valueText(raw[bytes.Index(raw, []byte(method))+len(method)+1:]) // past its fields
+	switch rest[0] {
+	case 0xc4:
+		return rest[2 : 2+int(rest[1])]
+	case 0xc5:
+		return rest[3 : 3+int(binary.BigEndian.Uint16(rest[1:]))]
+	}
+	return nil
+}
+
+// messageText writes a MessagePack value as text, the fields of a map in their order by name, as a map has none on the wire.
+func messageText(b []byte) (string, []byte) { return valueText(b) }
+
+func valueText(b []byte) (string, []byte) {
+	x, b := b[0], b[1:]
+	size := func(n int) int {
+		v := 0
+		for _, c := range b[:n] {
+			v = v<<8 | int(c)
+		}
+		b = b[n:]
+		return v
+	}
+	text := func(n int) string { s := string(b[:n]); b = b[n:]; return s }
+	switch {
+	case x < 0x80:
+		return fmt.Sprint(x), b
+	case x < 0x90:
+		var pairs []string
+		for range int(x & 0x0f) {
+			var k, v string
+			k, b = valueText(b)
+			v, b = valueText(b)
+			pairs = append(pairs, k+":"+v)
+		}
+		slices.Sort(pairs)
+		return "{" + strings.Join(pairs, ",") + "}", b
+	case x < 0xa0:
+		var list []string
+		for range int(x & 0x0f) {
+			var v string
+			v, b = valueText(b)
+			list = append(list, v)
+		}
+		return "[" + strings.Join(list, ", ") + "]", b
+	case x < 0xc0:
+		return fmt.Sprintf("%q", text(int(x&0x1f))), b
+	case x == 0xc0:
+		return "nil", b
+	case x >= 0xc4 && x <= 0xc6:
+		return `bin"` + text(size(1<<(x-0xc4))) + `"`, b
+	case x >= 0xcc && x <= 0xcf:
+		return fmt.Sprint(uint64(size(1 << (x - 0xcc)))), b
+	case x >= 0xd9 && x <= 0xdb:
+		return fmt.Sprintf("%q", text(size(1<<(x-0xd9)))), b
+	}
+	return fmt.Sprintf("?%x", x), b
+}
+
+// masked takes out what differs from run to run: the clock, and how often the disk was written.
+func masked(s string) string {
+	return regexp.MustCompile(`"(wall|ago_ms|syncs|at|since)":\d{2,}|"(syncs|ago_ms)":\d`).ReplaceAllStringFunc(s, func(m string) string {
+		return m[:strings.Index(m, ":")] + ":0"
+	})
+}
+
+func parseID(t *testing.T, hex string) uint64 {
+	t.Helper()
+	var id uint64
+	if _, err := fmt.Sscanf(hex, "%x", &id); err != nil {
+		t.Fatal(err)
+	}
+	return id
+}
+
+func compareFile(t *testing.T, got, name string) {
+	t.Helper()
+	want, err := os.ReadFile("testdata/" + name)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if got == string(want) {
+		return
+	}
+	g, w := strings.Split(got, "\n"), strings.Split(string(want), "\n")
+	for i := range max(len(g), len(w)) {
+		if i >= len(g) || i >= len(w) || g[i] != w[i] {
+			t.Fatalf("%s, from line %d\n got %s\nwant %s", name, i+1, strings.Join(g[min(i, len(g)):min(i+1, len(g))], "\n"), strings.Join(w[min(i, len(w)):min(i+1, len(w))], "\n"))
+		}
+	}
+}
