--- a/cmd/benchlink/golden_test.go
+++ b/cmd/benchlink/golden_test.go
@@ -214,6 +214,8 @@
 				}
 				list = append(list, fmt.Sprintf("CALL_ENDED\tcorr=%s\tstate_code=%s\tspent=%d", t.id, t.outcome, now-t.startedCall))
 			}
+		case "never started":
+			list = append(list, over(t, "Ignored"))
 		case "echo":
 			if now >= t.ends {
 				list = append(list, over(t, "Ok"))
@@ -309,6 +311,9 @@
 	case "EXECUTE":
 		if t.state == "held" || t.state == "paused" {
 			t.state = "running"
+			if t.size == t.left && h.rng.IntN(150) == 0 {
+				t.state = "never started"
+			}
 		}
 	case "TAKE_OFF":
 		if t.state == "running" {
