--- /dev/null
+++ b/cmd/silverpath/earlier_build_test.go
@@ -0,0 +1,355 @@
+package main
+
+import (
+	"encoding/json"
+	"fmt"
+	"hash/crc32"
+	"maps"
+	"os"
+	"path/filepath"
+	"regexp"
+	"slices"
+	"strconv"
+	"strings"
+	"testing"
+	"time"
+
+	"go.etcd.io/bbolt"
+
+	"silverpath/internal/ask"
+)
+
+// The files in testdata/durable were written by the program before its code was renamed: killed.db and life by a service that was
+// killed in the middle of a run, closed.db by one that closed its store in good order. Their times count from the start named golden
+// of golden-machine; the newest record is 500 ms past that machine's first hour, and every record matters for 13 s.
+const (
+	sameStart    = "SILVERPATH_BOOT=golden 1h2s golden-machine"
+	nextStart    = "SILVERPATH_BOOT=next 2s golden-machine"
+	muchLater    = "SILVERPATH_BOOT=next 9h golden-machine"
+	otherMachine = "SILVERPATH_BOOT=golden 1h2s other-machine"
+)
+
+// earlier copies a file of the earlier build to where the test may change it.
+func earlier(t *testing.T, name, to string) string {
+	t.Helper()
+	text, err := os.ReadFile(filepath.Join("testdata", "durable", name))
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := os.MkdirAll(filepath.Dir(to), 0o700); err != nil {
+		t.Fatal(err)
+	}
+	if err := os.WriteFile(to, text, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	return to
+}
+
+// databaseEntries is what a file of the database holds, raw, by bucket and key.
+func databaseEntries(t *testing.T, path string) map[string]string {
+	t.Helper()
+	db, err := bbolt.Open(path, 0o600, &bbolt.Options{ReadOnly: true, Timeout: time.Second})
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer db.Close()
+	all := map[string]string{}
+	err = db.View(func(tx *bbolt.Tx) error {
+		return tx.ForEach(func(name []byte, b *bbolt.Bucket) error {
+			return b.ForEach(func(k, v []byte) error {
+				all[fmt.Sprintf("%s %x", name, k)] = fmt.Sprintf("%x", v)
+				return nil
+			})
+		})
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	return all
+}
+
+// command runs a command of the program at a time of the machine's clock, in a folder whose name is shown as DIR. Numbers that differ
+// from run to run, the name of a new store and the time since the start, are shown as # .
+func command(t *testing.T, start, dir string, args ...string) string {
+	t.Helper()
+	name, value, _ := strings.Cut(start, "=")
+	t.Setenv(name, value)
+	_, out, message := run(t, "", args...)
+	text := strings.ReplaceAll(out+message, dir, "DIR")
+	text = regexp.MustCompile(`store [0-9a-f]{16}`).ReplaceAllStringFunc(text, func(s string) string {
+		if s == "store 9acbc6b3623ae8fa" {
+			return s
+		}
+		return "store #"
+	})
+	return regexp.MustCompile(`for \d+(\.\d+)?s at the least, by process`).ReplaceAllString(text, "for #s at the least, by process")
+}
+
+// An operator looks at files of the build before this one. Were a record, a head or a sign read otherwise than it was written, or a
+// state shown under another name, tools that read the output would miss it: so the output is held word for word.
+func TestCommandsOnFilesOfAnEarlierBuild(t *testing.T) {
+	dir := t.TempDir()
+	killed, closed := earlier(t, "killed.db", filepath.Join(dir, "killed", "keys.db")), earlier(t, "closed.db", filepath.Join(dir, "closed", "keys.db"))
+	life := earlier(t, "life", filepath.Join(dir, "life"))
+	other, next := filepath.Join(dir, "other"), filepath.Join(dir, "next")
+	torn := filepath.Join(dir, "torn")
+	if err := os.WriteFile(torn, []byte(`{"sign":{"Name":"lab","Machine":"golden-machine","Boot":"golden","Up":1,"Valid":400000000},"sum":4236047623}`), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	const done = `{"seq":1,"state":"done","key":"\u0000done-0","id":"599fd7f59d7b54e3","window_ms":10000,"reached_ms":3600022,"until_ms":3613022,"result_bytes":19}
+{"seq":2,"state":"done","key":"\u0000done-1","id":"130fb6013326afcb","window_ms":10000,"reached_ms":3600065,"until_ms":3613065,"result_bytes":19}
+{"seq":3,"state":"running","key":"\u0000promised-0","id":"ff75a9b0e044a794","window_ms":10000,"reached_ms":3600073,"until_ms":3613073,"result_bytes":0}
+`
+	for _, c := range []struct {
+		start string
+		args  []string
+		want  string
+	}{
+		{sameStart, []string{"store", "dump", "--dir", killed}, done},
+		{sameStart, []string{"store", "dump", "--dir", filepath.Dir(closed)}, done +
+			`{"seq":4,"state":"moved","key":"\u0000moved-0","id":"aaaaaaaaaaaaaaaa","window_ms":10000,"reached_ms":3613500,"until_ms":3613500,"result_bytes":0}
+`},
+		{sameStart, []string{"store", "check", "--dir", killed}, `DIR/killed/keys.db: store 9acbc6b3623ae8fa of lab, format 1, 32 KB
+  whole: true, closed in good order: false, from the machine's present start: true
+  3 records, 0 KB
+  done: 2
+  running: 1
+`},
+		{nextStart, []string{"store", "check", "--dir", closed}, `DIR/closed/keys.db: store 9acbc6b3623ae8fa of lab, format 1, 32 KB
+  whole: true, closed in good order: true, from the machine's present start: false
+  4 records, 0 KB
+  done: 2
+  moved: 1
+  running: 1
+`},
+		{nextStart, []string{"store", "import", "--dir", next, "--name", "lab2", "--from", killed, "--whole"},
+			"silverpath: DIR/killed/keys.db: it is a copy of a store in use, and so not whole\n"},
+		{otherMachine, []string{"store", "import", "--dir", other, "--name", "lab2", "--from", closed}, "4 records\n"},
+		{otherMachine, []string{"store", "import", "--dir", other, "--name", "lab2", "--from", closed}, "silverpath: DIR/other/keys.db: there is one already\n"},
+		{otherMachine, []string{"store", "check", "--dir", other}, `DIR/other/keys.db: store # of lab2, format 1, 32 KB
+  whole: false, closed in good order: true, from the machine's present start: true
+  4 records, 0 KB
+  done: 2
+  failed: 1
+  moved: 1
+`},
+		{nextStart, []string{"store", "import", "--dir", next, "--name", "lab2", "--from", closed, "--whole"}, "4 records\n"},
+		// The same machine was switched on since: its last record counts as if it had been written at that moment.
+		{nextStart, []string{"store", "dump", "--dir", next}, `{"seq":1,"state":"done","key":"\u0000done-0","id":"599fd7f59d7b54e3","window_ms":10000,"reached_ms":-478,"until_ms":12521,"result_bytes":19}
+{"seq":2,"state":"done","key":"\u0000done-1","id":"130fb6013326afcb","window_ms":10000,"reached_ms":-435,"until_ms":12564,"result_bytes":19}
+{"seq":3,"state":"failed","key":"\u0000promised-0","id":"ff75a9b0e044a794","window_ms":10000,"reached_ms":-427,"until_ms":12572,"result_bytes":0}
+{"seq":4,"state":"moved","key":"\u0000moved-0","id":"aaaaaaaaaaaaaaaa","window_ms":10000,"reached_ms":12999,"until_ms":12999,"result_bytes":0}
+`},
+		{sameStart, []string{"store", "compact", "--dir", filepath.Dir(killed)}, "32 KB, were 32\n"},
+		{sameStart, []string{"recover", "inspect", killed, life, torn, dir}, `DIR/killed/keys.db: runs of keyed requests of lab, trusted: trusted
+  store 9acbc6b3623ae8fa, 3 records, 0 KB
+  done: 2
+  running: 1
+  whole: true, closed in good order: false, from the machine's present start: true
+DIR/life: sign of life of lab, trusted: trusted
+  of the machine "golden-machine", 1h0m0.01s after it was switched on
+  seen from here and now: nothing was begun for #s at the least, by process
+DIR/torn: sign of life, trusted: never
+  wrong: DIR/torn: its checksum is not of what it says
+DIR: unknown, trusted: never
+  wrong: nothing that this program writes
+silverpath: some of it can't be trusted: keep it as it is
+`},
+		{otherMachine, []string{"recover", "inspect", "--json", life, closed}, `[
+  {
+    "path": "DIR/life",
+    "kind": "sign of life",
+    "of": "lab",
+    "says": [
+      "of the machine \"golden-machine\", 1h0m0.01s after it was switched on",
+      "seen from here and now: nothing was begun for 0s at the least, by nothing"
+    ],
+    "trust": "trusted"
+  },
+  {
+    "path": "DIR/closed/keys.db",
+    "kind": "runs of keyed requests",
+    "of": "lab",
+    "says": [
+      "store 9acbc6b3623ae8fa, 4 records, 0 KB",
+      "done: 2",
+      "moved: 1",
+      "running: 1",
+      "whole: true, closed in good order: true, from the machine's present start: true"
+    ],
+    "trust": "trusted"
+  }
+]
+`},
+	} {
+		if got := command(t, c.start, dir, c.args...); got != c.want {
+			t.Errorf("%s: %v prints\n%s\nwant\n%s", c.start, c.args, got, c.want)
+		}
+	}
+	// Compaction read every record and wrote it anew: the bytes are those that the earlier build wrote.
+	before := databaseEntries(t, filepath.Join("testdata", "durable", "killed.db"))
+	if after := databaseEntries(t, killed); len(before) != 4 || !maps.Equal(before, after) {
+		t.Errorf("written anew: %v, was %v", after, before)
+	}
+}
+
+// patient gives requests all the time that their class has, so that a busy machine's disk is not too slow for them.
+func patient(d *durable) {
+	d.Wait = 4 * time.Second
+	d.Edit = func(text string) string {
+		return strings.Replace(text, `"memory_span":2000000`, `"memory_span":10000000`, 1)
+	}
+}
+
+// A service is replaced by a newer build on the folder that the older one left. If the newer one took a run, an answer or a mark for
+// something else, a request would take effect twice or be lost: so each is asked for again, after every way of starting.
+func TestServiceOnStoreOfAnEarlierBuild(t *testing.T) {
+	t.Parallel()
+	for _, start := range []string{sameStart, nextStart, muchLater, otherMachine} {
+		for _, file := range []string{"killed.db", "closed.db"} {
+			t.Run(file+" "+start, func(t *testing.T) {
+				d := newDurable(t)
+				patient(d)
+				path := earlier(t, file, filepath.Join(d.dir, "keys.db"))
+				g := d.up(start)
+				type reply struct{ outcome, body string }
+				fresh := func(key string) reply { return reply{"served", "oddaja: " + key + " #1."} }
+				want := map[string]reply{"done-0": {"served", "oddaja: done-0 #1.0"}, "done-1": {"served", "oddaja: done-1 #1.1"},
+					"promised-0": {"failed", ""}, "moved-0": {"refused", ""}, "withdrawn-0": fresh("withdrawn-0"), "new": fresh("new")}
+				runs := map[string]int{"withdrawn-0": 1, "new": 1}
+				if file == "killed.db" { // nobody had asked for that key yet
+					want["moved-0"], runs["moved-0"] = fresh("moved-0"), 1
+				}
+				if start == muchLater { // every window is over
+					for key := range want {
+						want[key], runs[key] = fresh(key), 1
+					}
+				}
+				isFresh := func(key string) bool { return strings.HasSuffix(want[key].body, "#1.") }
+				keys := slices.SortedFunc(maps.Keys(want), func(a, b string) int { // first what is known: its windows go by
+					return strings.Compare(fmt.Sprint(isFresh(a), a), fmt.Sprint(isFresh(b), b))
+				})
+				for _, key := range keys {
+					w, a := want[key], d.ask(key, key)
+					same := string(a.Body) == w.body
+					if isFresh(key) { // a run of now, whose number is its turn; a busy machine's disk refuses it before it begins
+						for end := time.Now().Add(20 * time.Second); a.Outcome == "refused" && time.Now().Before(end); a = d.ask(key, key) {
+							time.Sleep(100 * time.Millisecond)
+						}
+						same = strings.HasPrefix(string(a.Body), w.body)
+					}
+					if a.Outcome != w.outcome || !same {
+						t.Errorf("%s: %s %q, want %s %q", key, a.Outcome, a.Body, w.outcome, w.body)
+					}
+				}
+				if got := d.Runs(); !maps.Equal(got, runs) {
+					t.Errorf("%v ran, want %v", got, runs)
+				}
+				var status struct{ Store map[string]any }
+				text, err := ask.Status(ask.Platform, d.Addr)
+				if err == nil {
+					err = json.Unmarshal(text, &status)
+				}
+				if err != nil {
+					t.Fatalf("%s: %v", text, err)
+				}
+				if names := slices.Sorted(maps.Keys(status.Store)); !slices.Equal(names, []string{"bytes", "expected", "known", "limit", "live", "loaded",
+					"pace_us", "phase", "reserved"}) || status.Store["phase"] != "open" || status.Store["known"] != true {
+					t.Errorf("status: %v", status.Store)
+				}
+				g.Leave(t)
+				// What it wrote the earlier build reads: the head by its names, a record by its places.
+				entries := databaseEntries(t, path)
+				var head []byte
+				fmt.Sscanf(entries["meta 6d657461"], "%x", &head)
+				machine, boot := "golden-machine", strings.Fields(strings.TrimPrefix(start, "SILVERPATH_BOOT="))[0]
+				if start == otherMachine {
+					machine = "other-machine" // its start has the same name and a later time, so nothing is shifted
+				}
+				if !regexp.MustCompile(`^\{"format":1,"id":"9acbc6b3623ae8fa","name":"lab","machine":"` + machine + `","boot":"` + boot +
+					`","since_ns":-?\d+,"whole":true,"wall_ms":\d+,"clean":true\}$`).Match(head) {
+					t.Errorf("head %s", head)
+				}
+				states := map[byte]int{}
+				for name, text := range entries {
+					if !strings.HasPrefix(name, "keys ") {
+						continue
+					}
+					var b []byte
+					fmt.Sscanf(text, "%x", &b)
+					want := crc32.Checksum(b[4:], crc32.MakeTable(crc32.Castagnoli))
+					if sum, _ := strconv.ParseUint(fmt.Sprintf("%x", b[:4]), 16, 32); uint32(sum) != want {
+						t.Errorf("%s: checksum %x, want %x", name, sum, want)
+					}
+					states[b[4]]++
+				}
+				wantStates := map[byte]int{3: 2 + len(runs)}
+				switch {
+				case start == muchLater:
+					wantStates[3] = len(runs)
+				case start == nextStart:
+					wantStates[4] = 1
+				default:
+					wantStates[2] = 1
+				}
+				if file == "closed.db" && start != muchLater {
+					wantStates[5] = 1
+				}
+				if !maps.Equal(states, wantStates) {
+					t.Errorf("records by state: %v, want %v", states, wantStates)
+				}
+			})
+		}
+	}
+}
+
+// A service starts beside the sign of life that an earlier build left. Read otherwise, it would take a short outage for a long one
+// and run again what may have run, or the other way round serve nothing for no reason.
+func TestServiceOnSignOfLifeOfAnEarlierBuild(t *testing.T) {
+	t.Parallel()
+	for start, want := range map[string]string{
+		sameStart:    `life: nothing that has an effect was begun for \d+(\.\d+)?s at the least, by process\n`,
+		muchLater:    `life: nothing that has an effect was begun for 9h0m\d\S*s at the least, by machine\n`,
+		otherMachine: `life: nothing that has an effect was begun for 0s at the least, by nothing\n`,
+	} {
+		t.Run(start, func(t *testing.T) {
+			d := newDurable(t)
+			d.alive(400*time.Millisecond, true)
+			path := earlier(t, "life", filepath.Join(filepath.Dir(d.dir), "life"))
+			g := d.up(start)
+			if !regexp.MustCompile(want).MatchString(g.Log()) {
+				t.Errorf("want %s in\n%s", want, g.Log())
+			}
+			g.Leave(t)
+			text, err := os.ReadFile(path)
+			if err != nil {
+				t.Fatal(err)
+			}
+			fields := strings.Fields(strings.TrimPrefix(start, "SILVERPATH_BOOT="))
+			m := regexp.MustCompile(`^\{"sign":(\{"Name":"lab","Machine":"` + fields[2] + `","Boot":"` + fields[0] +
+				`","Up":\d+,"Valid":400000000\}),"sum":(\d+)\}$`).FindSubmatch(text)
+			if m == nil {
+				t.Fatalf("sign %s", text)
+			}
+			if sum, _ := strconv.ParseUint(string(m[2]), 10, 32); uint32(sum) != crc32.ChecksumIEEE(m[1]) {
+				t.Errorf("checksum %d, want %d", sum, crc32.ChecksumIEEE(m[1]))
+			}
+		})
+	}
+}
+
+// The folder of a store, and a sign of life, are of one service: one of another name is told so and does not start.
+func TestFilesOfAnotherServiceOfAnEarlierBuild(t *testing.T) {
+	dir := t.TempDir()
+	earlier(t, "closed.db", filepath.Join(dir, "keys", "keys.db"))
+	earlier(t, "life", filepath.Join(dir, "life"))
+	for edge, want := range map[string]string{
+		fmt.Sprintf(`{"store":{"dir":%q,"size_mb":8}}`, filepath.Join(dir, "keys")):    `DIR/keys/keys.db: it is of the service "lab", not of "n1"`,
+		fmt.Sprintf(`{"life":{"file":%q,"valid_ms":400}}`, filepath.Join(dir, "life")): `DIR/life: it is of the service "lab", not of "n1"`,
+	} {
+		code, _, message := run(t, siteFile(t, "n1", "127.0.0.1:1"), "serve", "--edge", write(t, "edge.json", edge))
+		if code != 1 || !strings.Contains(strings.ReplaceAll(message, dir, "DIR"), want) {
+			t.Errorf("exit code %d, message %q, want %q", code, message, want)
+		}
+	}
+}
--- /dev/null
+++ b/internal/keyed/names_test.go
@@ -0,0 +1,22 @@
+package keyed
+
+import (
+	"fmt"
+	"testing"
+)
+
+// Names of states, phases and reasons stand in output that operators' tools read, in counters and in answers: they are held as they
+// were, and the numbers of states are what stands on the disk.
+func TestNames(t *testing.T) {
+	for got, want := range map[string]string{
+		fmt.Sprint(Unknown, Promised, Running, Done, Failed, Moved, Expired):               "unknown promised running done failed moved expired",
+		fmt.Sprintf("%d %d %d %d %d", Promised, Running, Done, Failed, Moved):              "1 2 3 4 5",
+		fmt.Sprint(Begin, Join, Answer, Fail, Refuse):                                      "begin join answer fail refuse",
+		fmt.Sprint(Loading, Open, Failing, Closed):                                         "loading open failing closed",
+		fmt.Sprint(WhyLoading, " ", WhyBlind, " ", WhyFull, " ", WhyFailing, " ", WhySlow): "store_loading store_blind store_full store_failing store_slow",
+	} {
+		if got != want {
+			t.Errorf("%s, want %s", got, want)
+		}
+	}
+}
