--- /dev/null
+++ b/cmd/silverpath/wire_golden_test.go
@@ -0,0 +1,834 @@
+package main
+
+import (
+	"bufio"
+	"bytes"
+	"encoding/base64"
+	"encoding/binary"
+	"encoding/json"
+	"fmt"
+	"io"
+	"net"
+	"os"
+	"path/filepath"
+	"regexp"
+	"slices"
+	"strconv"
+	"strings"
+	"sync"
+	"syscall"
+	"testing"
+	"time"
+)
+
+// The files in testdata/wire are what the program said and understood on each of its wires before its code was renamed.
+// The tests here know no package of the program: they start it, play every other party on loopback, and compare bytes.
+// With SILVERPATH_WIRE_GOLDEN=write a test writes its file anew; that is for a wire that was changed on purpose.
+
+// transcript is what went over one wire, one line a message: ">" is what the test sent, "<" what the program sent. Parts that
+// differ from run to run are replaced by rule before they are noted.
+type transcript struct {
+	mu    sync.Mutex
+	b     bytes.Buffer
+	rules []rule
+}
+
+// rule replaces what differs from run to run, in a message as it is escaped.
+type rule struct {
+	is  *regexp.Regexp
+	was string
+}
+
+func (tr *transcript) note(mark string, message []byte) {
+	tr.mu.Lock()
+	defer tr.mu.Unlock()
+	text := escaped(message)
+	for _, r := range tr.rules {
+		text = r.is.ReplaceAllString(text, r.was)
+	}
+	fmt.Fprintf(&tr.b, "%s %s\n", mark, text)
+}
+
+// escaped is a message as text: printable ASCII as it is, but for the backslash, line ends as \r and \n, all else as \xNN.
+func escaped(message []byte) string {
+	var text strings.Builder
+	for _, c := range message {
+		switch {
+		case c == '\r':
+			text.WriteString(`\r`)
+		case c == '\n':
+			text.WriteString(`\n`)
+		case c < ' ' || c > '~' || c == '\\':
+			fmt.Fprintf(&text, `\x%02x`, c)
+		default:
+			text.WriteByte(c)
+		}
+	}
+	return text.String()
+}
+
+// await waits until a text has been noted.
+func (tr *transcript) await(t *testing.T, text string) {
+	t.Helper()
+	for range 30000 {
+		tr.mu.Lock()
+		noted := strings.Contains(tr.b.String(), text)
+		tr.mu.Unlock()
+		if noted {
+			return
+		}
+		time.Sleep(time.Millisecond)
+	}
+	t.Fatalf("%s was never noted", text)
+}
+
+// compare holds the transcript against its file.
+func (tr *transcript) compare(t *testing.T, name string) {
+	t.Helper()
+	tr.mu.Lock()
+	defer tr.mu.Unlock()
+	golden(t, name, tr.b.Bytes())
+}
+
+func golden(t *testing.T, name string, got []byte) {
+	t.Helper()
+	path := filepath.Join("testdata", "wire", name)
+	if os.Getenv("SILVERPATH_WIRE_GOLDEN") == "write" {
+		if err := os.WriteFile(path, got, 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if bytes.Equal(got, want) {
+		return
+	}
+	was, is := strings.Split(string(want), "\n"), strings.Split(string(got), "\n")
+	for i := range max(len(was), len(is)) {
+		var a, b string
+		if i < len(was) {
+			a = was[i]
+		}
+		if i < len(is) {
+			b = is[i]
+		}
+		if a != b {
+			t.Errorf("%s, line %d:\n got  %s\n want %s", name, i+1, b, a)
+		}
+	}
+}
+
+// MessagePack, as the public description has it: enough to write requests and to find the end of what is read.
+
+func mpText(s string) []byte {
+	if len(s) < 32 {
+		return append([]byte{0xa0 | byte(len(s))}, s...)
+	}
+	return append([]byte{0xd9, byte(len(s))}, s...)
+}
+
+func mpFields(pairs ...string) []byte {
+	b := []byte{0x80 | byte(len(pairs)/2)}
+	for _, s := range pairs {
+		b = append(b, mpText(s)...)
+	}
+	return b
+}
+
+// mpRequest is [0, ID, METHOD, [FIELDS, BODY]].
+func mpRequest(id byte, method, body string, pairs ...string) []byte {
+	b := append([]byte{0x94, 0x00, id}, mpText(method)...)
+	b = append(append(b, 0x92), mpFields(pairs...)...)
+	return append(append(b, 0xc4, byte(len(body))), body...)
+}
+
+// mpValue reads one value whole, as it stands on the wire.
+func mpValue(r *bufio.Reader) ([]byte, error) {
+	var b []byte
+	var read func() error
+	more := func(n int) ([]byte, error) {
+		part := make([]byte, n)
+		_, err := io.ReadFull(r, part)
+		b = append(b, part...)
+		return part, err
+	}
+	sized := func(width int) (int, error) {
+		p, err := more(width)
+		if err != nil {
+			return 0, err
+		}
+		var whole [8]byte
+		copy(whole[8-width:], p)
+		return int(binary.BigEndian.Uint64(whole[:])), nil
+	}
+	each := func(n int) (err error) {
+		for i := 0; i < n && err == nil; i++ {
+			err = read()
+		}
+		return err
+	}
+	read = func() error {
+		head, err := more(1)
+		if err != nil {
+			return err
+		}
+		switch k := head[0]; {
+		case k < 0x80, k >= 0xe0, k == 0xc0, k == 0xc2, k == 0xc3:
+			return nil
+		case k < 0x90:
+			return each(2 * int(k&0x0f))
+		case k < 0xa0:
+			return each(int(k & 0x0f))
+		case k < 0xc0:
+			_, err = more(int(k & 0x1f))
+			return err
+		case k >= 0xcc && k <= 0xcf:
+			_, err = more(1 << (k - 0xcc))
+			return err
+		case k >= 0xc4 && k <= 0xc6, k >= 0xd9 && k <= 0xdb:
+			width := 1 << (k - 0xc4)
+			if k >= 0xd9 {
+				width = 1 << (k - 0xd9)
+			}
+			n, err := sized(width)
+			if err != nil {
+				return err
+			}
+			_, err = more(n)
+			return err
+		case k == 0xdc, k == 0xdd:
+			n, err := sized(2 << (k - 0xdc))
+			if err != nil {
+				return err
+			}
+			return each(n)
+		case k == 0xde, k == 0xdf:
+			n, err := sized(2 << (k - 0xde))
+			if err != nil {
+				return err
+			}
+			return each(2 * n)
+		default:
+			return fmt.Errorf("a value that begins with %#x", k)
+		}
+	}
+	err := read()
+	return b, err
+}
+
+// link is a connection that the test plays, with its transcript.
+type link struct {
+	t *testing.T
+	net.Conn
+	r *bufio.Reader
+	*transcript
+}
+
+func dialWire(t *testing.T, addr string, tr *transcript) *link {
+	t.Helper()
+	conn, err := net.Dial("tcp", addr)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { conn.Close() })
+	conn.SetDeadline(time.Now().Add(30 * time.Second))
+	return &link{t, conn, bufio.NewReader(conn), tr}
+}
+
+func (l *link) send(message []byte) {
+	l.t.Helper()
+	l.note(">", message)
+	if _, err := l.Write(message); err != nil {
+		l.t.Fatal(err)
+	}
+}
+
+// value reads one MessagePack value.
+func (l *link) value() []byte {
+	l.t.Helper()
+	b, err := mpValue(l.r)
+	if err != nil {
+		l.t.Fatalf("after %q: %v", b, err)
+	}
+	l.note("<", b)
+	return b
+}
+
+// rest reads to the end of the stream.
+func (l *link) rest() []byte {
+	l.t.Helper()
+	b, err := io.ReadAll(l.r)
+	if err != nil {
+		l.t.Fatal(err)
+	}
+	l.note("<", b)
+	return b
+}
+
+func listenWire(t *testing.T, serve func(conn net.Conn)) string {
+	t.Helper()
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { ln.Close() })
+	go func() {
+		for {
+			conn, err := ln.Accept()
+			if err != nil {
+				return
+			}
+			go func() {
+				defer conn.Close()
+				serve(conn)
+			}()
+		}
+	}()
+	return ln.Addr().String()
+}
+
+// wireInterpreter is an interpreter that notes what it is told, but for the gauges asked for again and again, and answers by
+// the body: "fail", "kill" and "noop" end so, "ask ..." calls below, "hold" ends when the next run does, all else comes back in capitals.
+func wireInterpreter(t *testing.T, tr *transcript) string {
+	var ticks sync.Once
+	var held []string
+	return listenWire(t, func(conn net.Conn) {
+		n := 0
+		write := func(format string, args ...any) {
+			line := fmt.Appendf(nil, format+"\n", args...)
+			conn.Write(line)
+			if !bytes.Contains(line, []byte(`"ref":"tick"`)) {
+				tr.note(">", line)
+			}
+		}
+		encode := func(s string) string { return base64.StdEncoding.EncodeToString([]byte(s)) }
+		end := func(job, state, data string) {
+			n++
+			write(`{"type":"VALUE","n":%d,"job":"%s","state":"%s","took":1,"data":"%s"}`, n, job, state, encode(data))
+		}
+		for in := bufio.NewReader(conn); ; {
+			line, err := in.ReadBytes('\n')
+			if err != nil {
+				return
+			}
+			var m struct{ Type, Ref, Job, Data string }
+			if err := json.Unmarshal(line, &m); err != nil {
+				tr.note("?", line)
+				return
+			}
+			if m.Ref == "tick" {
+				ticks.Do(func() { tr.note("<", line) })
+				write(`{"type":"TOPS","ref":"tick","gauges":[0.25,1,0.125,2]}`)
+				continue
+			}
+			tr.note("<", line)
+			body, _ := base64.StdEncoding.DecodeString(m.Data)
+			switch m.Type {
+			case "CONNECT":
+				write(`{"type":"BANNER","state":"LOADED","took":5}`)
+			case "TOP":
+				write(`{"type":"TOPS","ref":"%s","gauges":[0.25,1,0.125,2]}`, m.Ref)
+			case "RESOLVE":
+				end(m.Job, "PASS", "with "+string(body))
+			case "APPLY":
+				switch word, _, _ := strings.Cut(string(body), " "); word {
+				case "hold":
+					held = append(held, m.Job)
+				case "ask":
+					n++
+					write(`{"type":"AWAIT","n":%d,"job":"%s","data":"%s"}`, n, m.Job, encode("please"))
+				case "fail":
+					end(m.Job, "FAIL", "")
+				case "kill":
+					end(m.Job, "KILLED", "")
+				case "noop":
+					end(m.Job, "NOOP", "")
+				case "error":
+					write(`{"type":"ERROR","job":"%s","state":"APPLY"}`, m.Job)
+				default:
+					for _, job := range held {
+						end(job, "PASS", "held")
+					}
+					held = nil
+					end(m.Job, "PASS", strings.ToUpper(string(body)))
+				}
+			}
+		}
+	})
+}
+
+// wireVault is a vault that notes its calls and answers those of each request with its replies in turn.
+func wireVault(t *testing.T, tr *transcript, replies map[string][]string) string {
+	var mu sync.Mutex
+	return listenWire(t, func(conn net.Conn) {
+		for in := bufio.NewReader(conn); ; {
+			var call []byte
+			length, ticket := 0, ""
+			for {
+				line, err := in.ReadBytes('\n')
+				if err != nil {
+					return
+				}
+				call = append(call, line...)
+				if v, ok := strings.CutPrefix(string(line), "Content-Length: "); ok {
+					length, _ = strconv.Atoi(strings.TrimSpace(v))
+				}
+				if v, ok := strings.CutPrefix(string(line), "X-Ticket: "); ok {
+					ticket = strings.TrimSpace(v)
+				}
+				if string(line) == "\r\n" {
+					break
+				}
+			}
+			body := make([]byte, length)
+			if _, err := io.ReadFull(in, body); err != nil {
+				return
+			}
+			tr.note("<", append(call, body...))
+			mu.Lock()
+			reply := ""
+			if left := replies[ticket]; len(left) > 0 {
+				reply, replies[ticket] = left[0], left[1:]
+			}
+			mu.Unlock()
+			tr.note(">", []byte(reply))
+			io.WriteString(conn, reply)
+		}
+	})
+}
+
+// wireReports is an announce service.
+func wireReports(t *testing.T) net.PacketConn {
+	t.Helper()
+	conn, err := net.ListenPacket("udp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { conn.Close() })
+	return conn
+}
+
+// nextReport reads reports until one differs from what came before it.
+func nextReport(t *testing.T, conn net.PacketConn, before string) string {
+	t.Helper()
+	conn.SetReadDeadline(time.Now().Add(30 * time.Second))
+	for b := make([]byte, 200); ; {
+		n, _, err := conn.ReadFrom(b)
+		if err != nil {
+			t.Fatal(err)
+		}
+		if got := string(b[:n]); got != before {
+			return got
+		}
+	}
+}
+
+// wireSettings are a site's, with a class of each effect.
+const wireSettings = `"settings":{"classes":[
+ {"name":"lestvica","target":9000000,"deadline":10000000,"worth":1,"effect":"pure"},
+ {"name":"krog","target":9000000,"deadline":10000000,"worth":2,"effect":"side_effect"},
+ {"name":"oddaja","target":9000000,"deadline":10000000,"worth":3,"effect":"token","memory_span":20000000}],
+ "tenants":[{"name":"kvizmojster","allowance_per_s":1000}],
+ "family_info":{"below":"%s","callers":2,"cpus":4,"gauges":["core_use","on_cores","heap_share","links"],"key_kb":1,
+ "memory_kb":65536,"run_factor":1,"calls_by_class":[true,true,true],"worth_without":[0,0,0],"dep_share":1,"dep_window":1000000},
+ "rules":{"cold_from":1,"fall_multiple":8,"overload_for":3000000,"drain_grace":3000000},
+ "limits":{"retry_after":true,"max_retry_after":1000000},"servers":1}`
+
+// stampRule replaces times of the day in milliseconds.
+var stampRule = rule{regexp.MustCompile(`1[7-9]\d{11}`), "<ms>"}
+
+// adviceRule replaces after how many milliseconds a request that is refused may come again.
+var adviceRule = rule{regexp.MustCompile(`\\xa1w\\xa[1-4]\d+`), "<w>"}
+
+// serving starts a server with the given configuration and edge file, both with wireSettings' own part put in.
+func serving(t *testing.T, config, below, edge string) *process {
+	t.Helper()
+	path := write(t, "wire.json", fmt.Sprintf(`{"name":"n7","seed":"c0ffee","stop_ms":4000,"listen":"127.0.0.1:0",`+
+		`"limits":{"memory_mb":64,"sockets":256},%s,`+wireSettings+`}`, config, below))
+	args := []string{"serve", "--config", path}
+	if edge != "" {
+		args = append(args, "--edge", write(t, "edge.json", edge))
+	}
+	return spawn(t, args...)
+}
+
+func says(t *testing.T, p *process, text string) string {
+	t.Helper()
+	addr, err := p.Says(30*time.Second, text)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return addr
+}
+
+// stamped are the fields of a request that has just been made.
+func stamped(id string, more ...string) []string {
+	return append([]string{"i", id, "s", strconv.FormatInt(time.Now().UnixMilli(), 10), "d", "9000", "m", "1"}, more...)
+}
+
+// A server with an interpreter and a vault below, from its start to its end: what a balancer, the interpreter, the vault and
+// the announce service see of it. A name that leaked into a message would show here as another byte.
+func TestWireOfServer(t *testing.T) {
+	t.Parallel()
+	balancer := &transcript{rules: []rule{stampRule, adviceRule}}
+	interpreter, below := &transcript{}, &transcript{rules: []rule{{regexp.MustCompile(`X-Max-Ms: \d+`), "X-Max-Ms: <ms>"}}}
+	reports := wireReports(t)
+	whole, failed := "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nhere", "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n"
+	vault := wireVault(t, below, map[string][]string{
+		"b1": {whole},
+		"b2": {"HTTP/1.1 503 Service Unavailable\r\nX-Refused-Unseen: 1\r\nContent-Length: 0\r\n\r\n",
+			"HTTP/1.1 409 Conflict\r\nX-Refused-Unseen: 1\r\nContent-Length: 0\r\n\r\n", failed},
+		"b3": {failed, whole},
+		"b4": {failed},
+	})
+	p := serving(t, fmt.Sprintf(`"vm":%q,"vault":%q,"announce":%q`, wireInterpreter(t, interpreter), vault, reports.LocalAddr()),
+		"tier", `{"status":true}`)
+	said := nextReport(t, reports, "announce n7 false")
+	news := &transcript{}
+	news.note("<", []byte(said))
+
+	b := dialWire(t, p.addr, balancer)
+	b.send([]byte("\x94\x00\x01\xa5probe\x91\x80"))
+	b.value()
+	calls := byte(2)
+	call := func(class, body string, fields ...string) {
+		t.Helper()
+		b.send(mpRequest(calls, class, body, fields...))
+		b.value()
+		calls++
+	}
+	call("krog", "hello", stamped("a1")...)
+	call("lestvica", "hello", stamped("a2", "t", "kvizmojster", "f", "3", "p", "0.5")...)
+	call("oddaja", "sheet", stamped("a3", "k", "key-1")...)
+	call("oddaja", "sheet", stamped("a4", "k", "key-1")...) // the repeat has the same result and runs nothing
+	call("oddaja", "other", stamped("a5", "k", "key-1")...) // another sheet by the same key
+	call("krog", "fail", stamped("a6")...)
+	call("krog", "kill", stamped("a7")...)
+	call("krog", "noop", stamped("a8")...)
+	call("krog", "error", stamped("a9")...)
+	call("krog", "ask once", stamped("b1")...)
+	call("krog", "ask twice", stamped("b2")...)
+	call("lestvica", "ask thrice", stamped("b3")...)
+	call("oddaja", "ask more", stamped("b4", "k", "key-2")...)
+	call("nothing", "hello", stamped("b5")...)
+	call("krog", "hello", "i", "b6", "s", "soon", "d", "9000", "m", "1")
+	call("krog", "hello", "i", "b7", "s", strconv.FormatInt(time.Now().Add(-time.Minute).UnixMilli(), 10), "d", "9000", "m", "1")
+	call("krog", "hello", "s", "1", "d", "9000", "m", "1")
+	call("krog", "hello", "i", "b8", "s", "1", "d", "-1", "m", "1")
+	call("krog", "hello", "i", "b9", "s", "1", "d", "1", "m", "0")
+
+	held := mpRequest(0x7e, "krog", "hold", stamped("h1")...)
+	b.send(held)
+	interpreter.await(t, `"job":"h1"`)
+	b.send([]byte("\x93\x02\xa6giveUp\x91\x7e")) // nobody waits for it any more: no answer
+
+	bad := dialWire(t, p.addr, balancer)
+	bad.send([]byte("GET / HTTP/1.1\r\n\r\n"))
+	bad.rest()
+
+	p.Signal(syscall.SIGTERM)
+	if _, err := p.Await(30*time.Second, 0, "phase draining"); err != nil {
+		t.Fatal(err)
+	}
+	b.send([]byte("\x94\x00\x70\xa5probe\x91\x80"))
+	b.value()
+	call("krog", "late", stamped("c1")...) // peers are served as before at first
+	b.value()                              // lastCall
+	news.note("<", []byte(nextReport(t, reports, said)))
+	b.Close()
+	if _, err := p.Await(30*time.Second, 0, "exit"); err != nil {
+		t.Fatal(err)
+	}
+	balancer.compare(t, "balancer.txt")
+	interpreter.compare(t, "interpreter.txt")
+	below.compare(t, "vault.txt")
+	news.compare(t, "announce.txt")
+}
+
+// scgiMessage is a netstring of headers and a body.
+func scgiMessage(body string, pairs ...string) []byte {
+	headers := "CONTENT_LENGTH\x00" + strconv.Itoa(len(body)) + "\x00SCGI\x001\x00"
+	for _, s := range pairs {
+		headers += s + "\x00"
+	}
+	return fmt.Appendf(nil, "%d:%s,%s", len(headers), headers, body)
+}
+
+// A server behind web fronts, with an SCGI application server that does the work: each kind of answer, and what the application
+// server is told.
+func TestWireOfSCGI(t *testing.T) {
+	t.Parallel()
+	id := rule{regexp.MustCompile(`\b[0-9a-f]{16}\b`), "<id>"}
+	web, app := &transcript{rules: []rule{id}}, &transcript{rules: []rule{id}}
+	upstream := listenWire(t, func(conn net.Conn) {
+		in := bufio.NewReader(conn)
+		head, err := in.ReadString(':')
+		n, bad := strconv.Atoi(strings.TrimSuffix(head, ":"))
+		if err != nil || bad != nil {
+			return
+		}
+		headers := make([]byte, n+1)
+		io.ReadFull(in, headers)
+		length, _ := strconv.Atoi(strings.Split(string(headers), "\x00")[1])
+		body := make([]byte, length)
+		io.ReadFull(in, body)
+		app.note("<", append(append([]byte(head), headers...), body...))
+		reply := "Status: 200 OK\r\nContent-Length: 4\r\n\r\ndone"
+		switch string(body) {
+		case "plain":
+			reply = "Content-Type: text/plain\r\n\r\nto the end"
+		case "fail":
+			reply = "Status: 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n"
+		case "short":
+			reply = "Status: 200 OK\r\nContent-Length: 9\r\n\r\ndone"
+		}
+		app.note(">", []byte(reply))
+		io.WriteString(conn, reply)
+	})
+	p := serving(t, fmt.Sprintf(`"scgi":{"listen":"127.0.0.1:0","upstream":%q,"max_body":64,"half_close":true}`, upstream), "none", "")
+	addr := says(t, p, "scgi: listening on ")
+	call := func(message []byte) {
+		t.Helper()
+		l := dialWire(t, addr, web)
+		l.send(message)
+		l.rest()
+	}
+	call(scgiMessage("work", "PATH_INFO", "/krog"))
+	call(scgiMessage("plain", "REQUEST_URI", "/lestvica/x?y=1", "HTTP_X_TENANT", "kvizmojster", "HTTP_X_RANK", "0.5", "HTTP_X_CALLER", "7"))
+	call(scgiMessage("work", "HTTP_X_REQUEST_CLASS", "oddaja", "HTTP_IDEMPOTENCY_KEY", "key-1", "HTTP_X_TIMEOUT_MS", "5000"))
+	call(scgiMessage("work", "HTTP_X_REQUEST_CLASS", "oddaja", "HTTP_IDEMPOTENCY_KEY", "key-1"))
+	call(scgiMessage("else", "HTTP_X_REQUEST_CLASS", "oddaja", "HTTP_IDEMPOTENCY_KEY", "key-1"))
+	call(scgiMessage("fail", "PATH_INFO", "/krog"))
+	call(scgiMessage("short", "PATH_INFO", "/krog"))
+	call(scgiMessage("work", "PATH_INFO", "/nothing"))
+	call(scgiMessage("work", "PATH_INFO", "/status"))
+	call(scgiMessage("work", "PATH_INFO", "/krog", "HTTP_X_TIMEOUT_MS", "soon"))
+	call(scgiMessage("work", "PATH_INFO", "/krog", "HTTP_X_RANK", "1"))
+	call(scgiMessage("work", "PATH_INFO", "/krog", "HTTP_X_CALLER", "-1"))
+	call(scgiMessage("work", "PATH_INFO", "/krog", "HTTP_IDEMPOTENCY_KEY", strings.Repeat("k", 129)))
+	call(scgiMessage(strings.Repeat("x", 65), "PATH_INFO", "/krog"))
+	call([]byte("GET / HTTP/1.1\r\n\r\n"))
+	call([]byte("9000:"))
+	web.compare(t, "scgi.txt")
+	app.compare(t, "scgi-upstream.txt")
+}
+
+// operatorsCalls are made of a server in turn.
+var operatorsCalls = []string{
+	"GET /api/ready HTTP/1.1\r\nHost: edge\r\n\r\n",
+	"POST /api/evacuate HTTP/1.1\r\nContent-Length: 2\r\n\r\n{}",
+	"GET /api/ready HTTP/1.1\r\n\r\n",
+	"POST /api/rejoin HTTP/1.1\r\n\r\n",
+	"POST /api/snapshot HTTP/1.1\r\n\r\n",
+	"POST /api/rejoin?duty=moves&epoch=1&step=1 HTTP/1.1\r\n\r\n",
+	"GET /api/evacuate HTTP/1.1\r\n\r\n",
+	"GET /api/nothing HTTP/1.0\r\n\r\n",
+	"GET /api/ready HTTP/2\r\n\r\n",
+	"nonsense\r\n\r\n",
+	"GET /api/ready HTTP/1.1\r\nno colon\r\n\r\n",
+	"POST /api/rejoin HTTP/1.1\r\nContent-Length: x\r\n\r\n",
+	"POST /api/rejoin HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n",
+	"POST /api/rejoin HTTP/1.1\r\nContent-Length: 5000\r\n\r\n",
+}
+
+// A server in a cell, with pools, a store and signs of life: its operators' calls, all objects of its SNMP agent, and the state
+// that it tells, with every key in its order.
+func TestWireOfOperators(t *testing.T) {
+	t.Parallel()
+	dir := t.TempDir()
+	p := serving(t, fmt.Sprintf(`"vm":%q,"mgmt":"127.0.0.1:0","snmp":{"listen":"127.0.0.1:0","community":"kviz"}`,
+		wireInterpreter(t, &transcript{})), "none", fmt.Sprintf(`{"status":true,"cell":true,
+ "pools":[{"name":"sheets","classes":["oddaja"],"weight":100,"floor":0.25},{"name":"others","weight":1,"floor":0.05}],
+ "limit":{"least":2},"memory":{"tight":0.7,"scarce":0.8,"critical":0.88},
+ "reserve":{"connections":0.125,"cheap_per_s":4000,"cheap_each_per_s":100},
+ "store":{"dir":%q},"life":{"file":%q,"valid_ms":60000}}`, dir, filepath.Join(dir, "life")))
+	ops, agent := says(t, p, "mgmt: listening on "), says(t, p, "snmp: listening on ")
+	if _, err := p.Await(30*time.Second, 0, "recovery: reads"); err != nil {
+		t.Fatal(err)
+	}
+	balancer := &transcript{rules: []rule{stampRule, adviceRule}}
+	b := dialWire(t, p.addr, balancer)
+	b.send(mpRequest(1, "oddaja", "sheet", stamped("a1", "k", "key-1", "n", "1", "b", "12345")...)) // another boot's
+	b.value()
+	b.send(mpRequest(2, "oddaja", "sheet", stamped("a2", "k", "key-1")...)) // what ran before is not known yet: it fails
+	b.value()
+	b.send(mpRequest(3, "lestvica", "hello", stamped("a3")...))
+	b.value()
+	b.send(append([]byte("\x94\x00\x04\xa5probe\x91"), mpFields("g", "r1", "gn", "rt", "gl", "1000", "gs", "10", "gp", "100", "gw", "50", "gd", "0", "fl", "3")...))
+	b.value()
+
+	b.transcript = &transcript{}
+	b.send([]byte("\x94\x00\x05\xa6status\x91\x80"))
+	state := b.value()
+	at := bytes.IndexByte(state, '{')
+	var shape bytes.Buffer
+	shapeOf(t, &shape, json.NewDecoder(bytes.NewReader(state[at:])), "", true)
+	golden(t, "status.txt", shape.Bytes())
+
+	snmp := &transcript{}
+	walk(t, agent, snmp)
+	snmp.compare(t, "snmp.txt")
+
+	calls := &transcript{rules: []rule{{regexp.MustCompile(
+		`\d+(\\r\\nConnection: close\\r\\n\\r\\n)` + regexp.QuoteMeta(dir) + `.*`), "<n>$1<path>"}}}
+	for _, text := range operatorsCalls {
+		l := dialWire(t, ops, calls)
+		l.send([]byte(text))
+		l.rest()
+	}
+	calls.compare(t, "operators.txt")
+
+	b.transcript = balancer // told to leave, it asks its peers to go, and tells routers what it took last
+	p.Signal(syscall.SIGTERM)
+	b.value()
+	b.value()
+	balancer.compare(t, "cell.txt")
+}
+
+// shapeOf writes every key of a JSON value on a line, in order, with what kind of value it has; words and truths are kept.
+// Parts that others add to the state, and the store's members, come in no order of their own, and are sorted.
+func shapeOf(t *testing.T, out *bytes.Buffer, d *json.Decoder, path string, top bool) {
+	t.Helper()
+	token, err := d.Token()
+	if err != nil {
+		t.Fatal(err)
+	}
+	switch v := token.(type) {
+	case json.Delim:
+		var parts []string
+		for d.More() {
+			at := path + "[]"
+			if v == '{' {
+				key, err := d.Token()
+				if err != nil {
+					t.Fatal(err)
+				}
+				at = path + "." + key.(string)
+			}
+			var part bytes.Buffer
+			shapeOf(t, &part, d, at, false)
+			if v == '{' || len(parts) == 0 || parts[len(parts)-1] != part.String() { // elements of one shape are noted once
+				parts = append(parts, part.String())
+			}
+		}
+		if _, err := d.Token(); err != nil {
+			t.Fatal(err)
+		}
+		n := slices.IndexFunc(parts, func(s string) bool { return strings.HasPrefix(s, ".rules") })
+		if path == ".store" || top && n >= 0 {
+			slices.Sort(parts[n+1:])
+		}
+		fmt.Fprintf(out, "%s %v\n%s", path, v, strings.Join(parts, ""))
+	case float64:
+		fmt.Fprintf(out, "%s number\n", path)
+	default:
+		fmt.Fprintf(out, "%s %v\n", path, v)
+	}
+}
+
+// BER, as much as a walk needs.
+
+func berPart(tag byte, parts ...[]byte) []byte {
+	body := bytes.Join(parts, nil)
+	if len(body) < 0x80 {
+		return append([]byte{tag, byte(len(body))}, body...)
+	}
+	return append([]byte{tag, 0x82, byte(len(body) >> 8), byte(len(body))}, body...)
+}
+
+// berNext takes one element off the front.
+func berNext(t *testing.T, b []byte) (tag byte, body, rest []byte) {
+	t.Helper()
+	n, at := int(b[1]), 2
+	if n >= 0x80 {
+		width := n & 0x7f
+		for n = 0; at < 2+width; at++ {
+			n = n<<8 | int(b[at])
+		}
+	}
+	return b[0], b[at : at+n], b[at+n:]
+}
+
+// snmpAsk sends one request and returns what was sent, what came, and the names and values in it.
+func snmpAsk(t *testing.T, conn net.Conn, kind byte, names ...[]byte) (sent, came []byte, list [][2][]byte) {
+	t.Helper()
+	var binds [][]byte
+	for _, n := range names {
+		binds = append(binds, berPart(0x30, berPart(0x06, n), []byte{0x05, 0x00}))
+	}
+	zero := []byte{0x02, 0x01, 0x00}
+	sent = berPart(0x30, []byte{0x02, 0x01, 0x01}, berPart(0x04, []byte("kviz")),
+		berPart(kind, []byte{0x02, 0x01, 0x2a}, zero, zero, berPart(0x30, binds...)))
+	b := make([]byte, 2000)
+	for {
+		if _, err := conn.Write(sent); err != nil {
+			t.Fatal(err)
+		}
+		conn.SetReadDeadline(time.Now().Add(5 * time.Second))
+		n, err := conn.Read(b)
+		if err != nil {
+			t.Fatal(err)
+		}
+		came = b[:n]
+		break
+	}
+	_, b, _ = berNext(t, came)
+	_, _, b = berNext(t, b) // version
+	_, _, b = berNext(t, b) // community
+	_, b, _ = berNext(t, b) // the response
+	for range 3 {
+		_, _, b = berNext(t, b)
+	}
+	_, b, _ = berNext(t, b)
+	for len(b) > 0 {
+		var one []byte
+		_, one, b = berNext(t, b)
+		_, name, value := berNext(t, one)
+		list = append(list, [2][]byte{name, value})
+	}
+	return sent, came, list
+}
+
+// walk goes through all objects by GetNext and notes each name with its value, but only the type of those that differ from run
+// to run: times, gauges and counters. Then it notes one Get whole, and a Set.
+func walk(t *testing.T, addr string, tr *transcript) {
+	t.Helper()
+	conn, err := net.Dial("udp", addr)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer conn.Close()
+	root := []byte{0x2b, 6, 1, 4, 1, 0x81, 0xfd, 0x59, 1}
+	name, health := root, []byte(nil)
+	for {
+		_, _, list := snmpAsk(t, conn, 0xa1, name)
+		name = list[0][0]
+		value := list[0][1]
+		if value[0] == 0x82 { // the end of the MIB
+			tr.note("<", value)
+			break
+		}
+		text := fmt.Sprintf("% x", name)
+		if part := name[len(root):]; part[0] == 2 { // a counter, by its name
+			text = fmt.Sprintf("% x %s", name[:len(root)+3], name[len(root)+3:])
+		} else if part[0] == 1 && part[1] == 5 {
+			health = bytes.Clone(name)
+		}
+		switch value[0] {
+		case 0x02, 0x04:
+			text += fmt.Sprintf(": % x", value)
+		default:
+			text += fmt.Sprintf(": %#x", value[0])
+		}
+		tr.note("<", []byte(text))
+	}
+	object := func(n ...byte) []byte { return append(bytes.Clone(root), n...) }
+	for _, kind := range []byte{0xa0, 0xa3} {
+		sent, came, _ := snmpAsk(t, conn, kind, object(1, 1, 0), object(1, 2, 0), object(1, 4, 0), health,
+			append(object(2, 1, 2), "answered.msgpack.lestvica.served"...), append(object(2, 1, 2), "none"...), object(9))
+		tr.note(">", sent)
+		tr.note("<", came)
+	}
+}
