--- /dev/null
+++ b/internal/cells/homes_test.go
@@ -0,0 +1,69 @@
+package cells
+
+import (
+	"fmt"
+	"os"
+	"strings"
+	"testing"
+	"time"
+)
+
+// Two routers agree on the home of a key without talking, also while one is of an older build: were a score or a draw computed
+// otherwise, a sheet and its repeat would run on two servers. So the routes of 40 keys of five tenants through a move, its abort and
+// servers that come and go stand in testdata as the program gave them before its names were changed.
+func TestRoutesStayWhatTheyWere(t *testing.T) {
+	m := &Map{Version: 1, Window: 10 * time.Second, Skew: 500 * time.Millisecond, Lease: 5 * time.Second, Patient: 4 * time.Second,
+		Cells: []Cell{{"a", 40}, {"b", 40}}}
+	for i := range 9 {
+		s := Server{Name: fmt.Sprint("s", i), Addr: fmt.Sprint("127.0.0.1:", i+1), Cell: "a", Weight: 1 + float64(i%2)}
+		if i > 5 {
+			s.Cell = "b"
+		}
+		switch i {
+		case 2:
+			s.From = 1020000
+		case 4:
+			s.Until = 1025000
+		}
+		m.Servers = append(m.Servers, s)
+	}
+	m.Tenants = []Tenant{
+		{Name: "settled", Rate: 10, Homes: []Home{{Cell: "a"}}},
+		{Name: "moves", Rate: 10, Homes: []Home{{Cell: "a"}, {Cell: "b", From: 1010000}}},
+		{Name: "comes back", Rate: 10, Homes: []Home{{Cell: "a"}, {Cell: "b", From: 1010000}, {Cell: "a", From: 1030000, Abort: true}}},
+		{Name: "shard", Rate: 10, Homes: []Home{{Cell: "a", Shard: 2}}},
+		{Name: "", Homes: []Home{{Cell: "b", Shard: 2}}},
+	}
+	if err := m.Check(); err != nil {
+		t.Fatal(err)
+	}
+	m.Index()
+	var got strings.Builder
+	for _, at := range []int64{1000000, 1009999, 1010000, 1019600, 1024500, 1030000, 1041000, 1060000} {
+		now := time.UnixMilli(at)
+		for _, tenant := range []string{"settled", "moves", "comes back", "shard", "unnamed 1", "unnamed 2"} {
+			for k := range 5 {
+				r, ok := m.Route(now, tenant, fmt.Sprint("key-", k))
+				fmt.Fprintf(&got, "%d %s key-%d: %v %s home %s ask %v among %v %v\n", at, tenant, k, ok, r.Cell, r.Home, r.Ask, r.Servers, r.State)
+			}
+		}
+		next, ok := m.NextChange(now)
+		fmt.Fprintf(&got, "next change %d %v, overlap %.6f\n", next.UnixMilli(), ok, m.Overlap(now))
+	}
+	for _, name := range []string{"", "a", "kvizmojster", "s1", "s17"} {
+		fmt.Fprintf(&got, "%q: server part %s, tenant part %s\n", name, ServerPartName(ServerPart(name)), TenantPartName(TenantPart(name)))
+	}
+	want, err := os.ReadFile("testdata/routes.txt")
+	if err != nil {
+		t.Fatal(err)
+	}
+	a, b := strings.Split(string(want), "\n"), strings.Split(got.String(), "\n")
+	for i := range a {
+		if i >= len(b) || a[i] != b[i] {
+			t.Fatalf("line %d: got %q, want %q", i+1, strings.Join(b[min(i, len(b)):min(i+1, len(b))], ""), a[i])
+		}
+	}
+	if len(a) != len(b) {
+		t.Errorf("%d lines, want %d", len(b), len(a))
+	}
+}
--- /dev/null
+++ b/internal/routing/decisions_test.go
@@ -0,0 +1,112 @@
+package routing
+
+import (
+	"fmt"
+	"os"
+	"strings"
+	"testing"
+	"time"
+)
+
+// Which server gets a try follows from what was seen of all and from draws of a seeded source, in their order. Was a draw made more or
+// less, or a rule asked at another place, routers would choose otherwise with no test the wiser. So the choices of a play of 12 servers
+// with failures, a slow one, restarts, waits, budgets and hedges stand in testdata as they were before the names were changed.
+func TestChoicesStayWhatTheyWere(t *testing.T) {
+	tab := New(Config{Seed: 11, Window: 3 * time.Second, Retries: 0.2})
+	names, weights := []string{}, map[string]float64{}
+	for i := range 12 {
+		name := fmt.Sprint("s", i)
+		names, weights[name] = append(names, name), 1+float64(i%3)
+	}
+	tab.Members(0, weights)
+	var got strings.Builder
+	wall := int64(1700000000000)
+	for _, n := range names {
+		tab.Unheard(n)
+		tab.Reached(time.Hour, n, wall, 0, wall, wall+60000)
+		tab.Warm(n)
+	}
+	last := ""
+	for step := range 400 {
+		now := time.Hour + time.Duration(step)*37*time.Millisecond
+		tenant := fmt.Sprint("t", step%3)
+		tab.First(now)
+		name, ok := tab.Pick(now, tenant, names, last)
+		last = ""
+		if !ok || !tab.Take(now, name) {
+			fmt.Fprintf(&got, "%d nobody\n", step)
+			continue
+		}
+		o, took := Served, time.Duration(20+step%7*3)*time.Millisecond
+		switch {
+		case name == "s3":
+			o = Failed
+		case name == "s5":
+			took = 900 * time.Millisecond
+		case name == "s7" && step%2 == 0:
+			o = Refusing
+		case name == "s9" && step%5 == 0:
+			o = Refused
+			tab.Told(now, tenant, name, 3, 300*time.Millisecond)
+		case step%41 == 0:
+			o = TimedOut
+		case step%43 == 0:
+			o = Unwritten
+		}
+		if step%3 != 0 { // the others are out for good
+			tab.Ended(now+took, name, o, took, step%2 == 0)
+		}
+		again := tab.Retry(o, step%2 == 0, step%97 == 0)
+		if again {
+			last = name
+		}
+		after, known := tab.HedgeAfter()
+		hedge := known && step%9 == 0 && tab.Hedge()
+		switch step {
+		case 100:
+			tab.Reached(now, "s1", wall+900000, wall+890000, wall, wall+901000) // started anew
+		case 150:
+			tab.Probed(now, "s2", 2, time.Second)
+		case 200:
+			for range 4 {
+				tab.Missed(now, "s0")
+			}
+		case 300:
+			tab.Reached(now, "s0", wall, 0, wall, wall+900000)
+		}
+		fmt.Fprintf(&got, "%d %s %v again %v hedge %v %v home %v\n", step, name, o, again, after, hedge, tab.Home(now, tenant, "s1"))
+	}
+	for _, s := range tab.States(2 * time.Hour) {
+		fmt.Fprintf(&got, "%s %v %v %d %v %.6f %.6f %v %d\n", s.Name, s.Health, s.Circuit, s.Flying, s.Latency, s.Fails, s.Part, s.Lost, s.Boot)
+	}
+	c := tab.Counts()
+	fmt.Fprintf(&got, "ejected %d panicked %d retried %d spent %d hedged %d spent %d cold back %d\n",
+		c.Ejected, c.Panicked, c.Retried, c.RetriesSpent, c.Hedged, c.HedgesSpent, c.ColdBack)
+	f := NewFair()
+	for step := range 600 {
+		now := time.Duration(step) * 11 * time.Millisecond
+		tenant := []string{"small", "flood", "flood", "flood", "mid"}[step%5]
+		in := f.Admit(now, "a", tenant, map[string]float64{"small": 10, "flood": 5, "mid": 7}[tenant], 1)
+		if step%4 == 3 {
+			f.Done(now, "a", []string{"small", "flood", "mid"}[step%3], Outcome(step/4%3))
+		}
+		if step%10 == 0 || !in {
+			limit, out := f.Window("a")
+			fmt.Fprintf(&got, "%d %s %v %.6f %d\n", step, tenant, in, limit, out)
+		}
+	}
+	fmt.Fprintf(&got, "not let in %d\n", f.Refused())
+	want, err := os.ReadFile("testdata/choices.txt")
+	if err != nil {
+		t.Fatal(err)
+	}
+	a, b := strings.Split(string(want), "\n"), strings.Split(got.String(), "\n")
+	for i := range a {
+		if i >= len(b) || a[i] != b[i] {
+			t.Fatalf("line %d: got %q, want %q", i+1, strings.Join(b[min(i, len(b)):min(i+1, len(b))], ""), a[i])
+		}
+	}
+	if len(a) != len(b) {
+		t.Errorf("%d lines, want %d", len(b), len(a))
+	}
+}
--- /dev/null
+++ b/internal/rulebook/kindsgolden_test.go
@@ -0,0 +1,81 @@
+package rulebook
+
+import (
+	"encoding/json"
+	"fmt"
+	"os"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+)
+
+// By its kind a change of a field goes to all at once, waits for a window, or has everybody stop first, and the kind's name is printed
+// by rules diff. A field that lost its kind would be taken for exclusive, and stop the fleet. Each field stands in testdata with its kind.
+func TestFieldsKeepTheirKinds(t *testing.T) {
+	var list []string
+	for field, kind := range kinds {
+		list = append(list, field+" "+kind.String())
+	}
+	slices.Sort(list)
+	matchesFile(t, "testdata/kinds.txt", strings.Join(list, "\n")+"\n")
+	if got := KindOf("map", "servers[s1].addr"); got.String() != "announced" {
+		t.Errorf("a server's address is %v", got)
+	}
+	if got := KindOf("map", "servers[3].colour"); got.String() != "unknown" {
+		t.Errorf("a field that is not there is %v", got)
+	}
+}
+
+// What two documents differ in is printed as JSON by rules diff, and decides whether a change excludes.
+func TestDifferencesAreWrittenAsTheyWere(t *testing.T) {
+	list, err := Diff("map", `{"version":1,"window_ms":5,"cells":[{"name":"a","capacity":4},{"name":"b","capacity":4}],"servers":[{"name":"s1","addr":"x"}]}`,
+		`{"version":2,"window_ms":6,"cells":[{"name":"a","capacity":5}],"servers":[{"name":"s1","addr":"y"}],"colour":["red"]}`)
+	if err != nil {
+		t.Fatal(err)
+	}
+	b, err := json.Marshal(list)
+	if err != nil {
+		t.Fatal(err)
+	}
+	const want = `[{"path":"cells[a].capacity","old":"4","new":"5","kind":"shared"},{"path":"cells[b].capacity","old":"4","kind":"shared"},` +
+		`{"path":"cells[b].name","old":"\"b\"","kind":"exclusive"},{"path":"colour[0]","new":"\"red\"","kind":"unknown"},` +
+		`{"path":"servers[s1].addr","old":"\"x\"","new":"\"y\"","kind":"announced"},{"path":"version","old":"1","new":"2","kind":"free"},` +
+		`{"path":"window_ms","old":"5","new":"6","kind":"monotone"}]`
+	if string(b) != want || !Excludes(list) || Bound(list) != "cells[a].capacity" {
+		t.Errorf("excludes %v, bound %q, got %s", Excludes(list), Bound(list), b)
+	}
+}
+
+// The names of a verdict are counters and stand in the status of routers and servers; an ID's text is on the wire.
+func TestNamesOfVerdicts(t *testing.T) {
+	got := fmt.Sprintln(Good, Behind, Contradicted, Quiet, Unconfirmed, ClocksApart, StopsToTurn, Watcher, Proposed, Trial, Turning)
+	if got != "good behind contradicted quiet unconfirmed clock turning the watch proposed trial turning\n" {
+		t.Error(got)
+	}
+	id := Name(7, []byte("text"))
+	if got := id.String(); got != "7.80a69b9688ccaf52" {
+		t.Error(got)
+	}
+	terms := Terms{Lease: 5 * time.Second, Skew: time.Second, Drift: 0.05, Probe: 500 * time.Millisecond, Wait: time.Second, Dual: time.Minute}
+	if got := fmt.Sprint(terms.Found(), terms.Bound()); got != "3.157894736s 6.263157894s" {
+		t.Error(got)
+	}
+}
+
+func matchesFile(t *testing.T, file, got string) {
+	t.Helper()
+	want, err := os.ReadFile(file)
+	if err != nil {
+		t.Fatal(err)
+	}
+	a, b := strings.Split(string(want), "\n"), strings.Split(got, "\n")
+	for i := range a {
+		if i >= len(b) || a[i] != b[i] {
+			t.Fatalf("%s:%d: got %q, want %q", file, i+1, strings.Join(b[min(i, len(b)):min(i+1, len(b))], ""), a[i])
+		}
+	}
+	if len(b) > len(a) {
+		t.Fatalf("%s: %d lines more: %q", file, len(b)-len(a), b[len(a)])
+	}
+}
