--- a/cmd/silverpath/wire_golden_test.go
+++ b/cmd/silverpath/wire_golden_test.go
@@ -659,9 +659,16 @@
 	b.send(append([]byte("\x94\x00\x04\xa5probe\x91"), mpFields("g", "r1", "gn", "rt", "gl", "1000", "gs", "10", "gp", "100", "gw", "50", "gd", "0", "fl", "3")...))
 	b.value()
 
-	b.transcript = &transcript{}
-	b.send([]byte("\x94\x00\x05\xa6status\x91\x80"))
-	state := b.value()
+	asker := dialWire(t, p.addr, &transcript{})
+	var state []byte
+	for range 300 { // the pools are told of some ticks after the start
+		asker.send([]byte("\x94\x00\x05\xa6status\x91\x80"))
+		if state = asker.value(); bytes.Contains(state, []byte(`"pools":[`)) {
+			break
+		}
+		time.Sleep(100 * time.Millisecond) // as often as is cheap: more is paced, and counted
+	}
+	asker.Close()
 	at := bytes.IndexByte(state, '{')
 	var shape bytes.Buffer
 	shapeOf(t, &shape, json.NewDecoder(bytes.NewReader(state[at:])), "", true)
@@ -680,7 +687,7 @@
 	}
 	calls.compare(t, "operators.txt")
 
-	b.transcript = balancer // told to leave, it asks its peers to go, and tells routers what it took last
+	// Told to leave, it asks its peers to go, and tells routers what it took last
 	p.Signal(syscall.SIGTERM)
 	b.value()
 	b.value()
