--- /dev/null
+++ b/cmd/silverpath/groupgolden_test.go
@@ -0,0 +1,138 @@
+package main
+
+import (
+	"context"
+	"fmt"
+	"io"
+	"log"
+	"net"
+	"os"
+	"regexp"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"github.com/rs/zerolog"
+
+	"silverpath/internal/duties"
+	listener "silverpath/internal/front"
+	"silverpath/internal/group"
+	"silverpath/internal/lease"
+	"silverpath/internal/msgpackrpc"
+	"silverpath/internal/quorum"
+	"silverpath/internal/quorum/member"
+	"silverpath/internal/stats"
+)
+
+// Operators' scripts read what the commands on the group and its duties print, and their flags stand in cron files. So the help and
+// the output of each, on a group of one whose duties are in a known state, stand in testdata as the program wrote them before the
+// names of its code were changed; with the exit code and the message of those that fail.
+func TestGroupCommandsWriteWhatTheyWrote(t *testing.T) {
+	probe, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	addr := probe.Addr().String()
+	probe.Close()
+	counters := &stats.Counters{}
+	m, err := member.Open(member.Config{Name: "q0", Group: "test", Addr: addr, Dir: t.TempDir(), Tick: 20 * time.Millisecond, Log: zerolog.Nop(), Stats: counters})
+	if err != nil {
+		t.Fatal(err)
+	}
+	words := msgpackrpc.NewWords(member.Name, counters, m.Answer)
+	ln, err := listener.Listen(member.Name, addr, 64, func() time.Duration { return time.Minute }, words.Serve, log.New(io.Discard, "", 0), counters)
+	if err != nil {
+		t.Fatal(err)
+	}
+	go ln.Serve()
+	ctx, cancel := context.WithCancel(context.Background())
+	var all sync.WaitGroup
+	all.Go(func() { m.Run(ctx) })
+	client := &quorum.Client{Group: "test", Addrs: []string{addr}}
+	t.Cleanup(func() {
+		client.Close()
+		ln.Close()
+		cancel()
+		all.Wait()
+	})
+
+	var got strings.Builder
+	command := func(args ...string) {
+		t.Helper()
+		code, out, message := run(t, "", args...)
+		fmt.Fprintf(&got, "$ %s\n[exit %d]\n%s%s", strings.Join(args, " "), code, out, message)
+	}
+	at := []string{"--group", "test", "--members", addr, "--within", "20s"}
+	ask := func(args ...string) { t.Helper(); command(append(args, at...)...) }
+	do := func(c group.Command) {
+		t.Helper()
+		asking, cancel := context.WithTimeout(ctx, 20*time.Second)
+		defer cancel()
+		if r, err := client.Do(asking, c); err != nil || r.Error != "" {
+			t.Fatal(err, r.Error)
+		}
+	}
+	for _, c := range []string{"quorum", "quorum found", "quorum add", "quorum remove", "quorum status", "quorum try", "duty", "duty run", "duty list", "duty show", "duty hand",
+		"duty pause", "duty resume", "fleet", "fleet roll", "fleet status", "fleet pause", "fleet resume", "fleet abort"} {
+		command(append(strings.Fields(c), "--help")...)
+	}
+	command("duty", "list")
+	ask("quorum", "status")
+	ask("quorum", "found", "--lease", "0s")
+	ask("quorum", "found", "--drift", "0.7")
+	ask("quorum", "found", "--lease", "1m")
+	ask("quorum", "found", "--lease", "2m")
+	ask("duty", "list")
+	ask("duty", "show", "--duty", "keeper")
+	ask("duty", "show", "--duty", "cook")
+	ask("duty", "show")
+	ask("fleet", "status")
+	do(group.Command{Ask: &lease.Ask{Op: lease.Acquire, Duty: "keeper", Who: "a#1"}})
+	do(group.Command{Ask: &lease.Ask{Op: lease.Acquire, Duty: "keeper", Who: "b#2"}})
+	do(group.Command{Ask: &lease.Ask{Op: lease.Acquire, Duty: "conductor", Who: "b#2"}})
+	do(group.Command{Submit: &group.Submit{Duty: "keeper", ID: "move-1", Kind: "move", Args: []byte(`{"tenant":"t","to":"c1"}`)}})
+	do(group.Command{Write: &duties.Write{Duty: "keeper", Who: "a#1", Epoch: 1<<32 | 1, Step: 1, Item: "move-1", State: duties.Intent, Tries: 1, Plan: `{"version":2}`, Note: "n"}})
+	ask("duty", "hand", "--duty", "keeper", "--to", "b#2")
+	ask("duty", "hand", "--duty", "keeper", "--to", "c#3")
+	ask("duty", "pause", "--duty", "watcher", "--why", "a fire")
+	ask("duty", "pause", "--duty", "cook")
+	ask("duty", "list")
+	ask("duty", "list", "--json")
+	ask("duty", "show", "--duty", "keeper")
+	ask("duty", "show", "--duty", "keeper", "--json")
+	ask("duty", "resume", "--duty", "watcher")
+	ask("fleet", "roll", "--cell-most", "0")
+	ask("fleet", "roll", "--all-most", "0")
+	ask("fleet", "roll", "--back", "0s")
+	ask("fleet", "roll", "--dwell", "-1s")
+	ask("fleet", "roll", "--worth-least", "2")
+	ask("fleet", "roll", "--servers", "s0,s1", "--cell-most", "1", "--all-most", "2", "--dwell", "5s", "--back", "30s", "--worth-least", "0.9")
+	id := regexp.MustCompile(`roll-[0-9a-f]{12}`).FindString(got.String())
+	ask("fleet", "status")
+	do(group.Command{Write: &duties.Write{Duty: "conductor", Who: "b#2", Epoch: 1<<32 | 1, Step: 1, Item: id, State: duties.Intent,
+		Plan: `{"members":[{"name":"s0","cell":"a","mgmt":"m0","stage":"back"},{"name":"s1","cell":"b","mgmt":"m1","stage":"going_out"}]}`}})
+	ask("fleet", "pause")
+	ask("fleet", "status")
+	ask("fleet", "status", "--json")
+	ask("fleet", "resume")
+	ask("fleet", "abort")
+	ask("fleet", "resume")
+	do(group.Command{Write: &duties.Write{Duty: "conductor", Who: "b#2", Epoch: 1<<32 | 1, Step: 2, Item: id, State: duties.Failed, Note: "aborted by an operator"}})
+	ask("fleet", "status")
+	ask("fleet", "abort")
+	ask("quorum", "remove", "--name", "q9")
+	ask("quorum", "status")
+	ask("quorum", "status", "--json")
+
+	text := strings.ReplaceAll(got.String(), addr, "ADDR")
+	for _, mask := range [][2]string{
+		{`roll-[0-9a-f]{12}`, "ROLL"}, {`"(wall|since|syncs|applied|commit)": \d+`, `"$1": 0`}, {`"(id|group_id)": "[0-9a-f]{16}"`, `"$1": "ID"`},
+		{`"id": \d{10,}`, `"id": 0`}, {`(number|group) [0-9a-f]{16}`, "$1 ID"}, {`  \d  +\d+  +1       [0-9a-f]{16}`, "  TERM  APPLIED  1  ID"}, {`  +\d+s  +`, "  AGE  "},
+		{`(APPLIED|AGE)  +`, "$1  "},
+	} {
+		text = regexp.MustCompile(mask[0]).ReplaceAllString(text, mask[1])
+	}
+	os.WriteFile("testdata/group/commands.txt", []byte(text), 0o644)
+	same(t, "testdata/group/commands.txt", text)
+}
