--- a/cmd/silverpath/wire_golden_test.go
+++ b/cmd/silverpath/wire_golden_test.go
@@ -723,7 +723,7 @@
 		if _, err := d.Token(); err != nil {
 			t.Fatal(err)
 		}
-		n := slices.IndexFunc(parts, func(s string) bool { return strings.HasPrefix(s, ".rules") })
+		n := slices.IndexFunc(parts, func(s string) bool { return strings.HasPrefix(s, ".allocations") })
 		if path == ".store" || top && n >= 0 {
 			slices.Sort(parts[n+1:])
 		}
@@ -839,3 +839,78 @@
 		tr.note("<", came)
 	}
 }
+
+// A router between a balancer and a server: what it makes of a request on the way there, of the answer on the way back, and what
+// it tells a server with its probes. A server that does not understand it would be one of another build.
+func TestWireOfRouter(t *testing.T) {
+	t.Parallel()
+	number := rule{regexp.MustCompile(`^\\x94\\x0([01])(\\x..|\\n|\\r|.)`), `\x94\x0$1<n>`}
+	server, balancer := &transcript{rules: []rule{number, stampRule,
+		{regexp.MustCompile(`(\\xa1g\\x..)[0-9]+\.[0-9a-f]+`), "$1<rules>"},
+		{regexp.MustCompile(`(\\xa2fl\\xa\d)\d+`), "$1<n>"},
+		{regexp.MustCompile(`(\\xa1d\\xa4)\d+`), "$1<ms>"},
+	}}, &transcript{rules: []rule{stampRule, adviceRule}}
+	var once sync.Map
+	addr := listenWire(t, func(conn net.Conn) {
+		for in := bufio.NewReader(conn); ; {
+			m, err := mpValue(in)
+			if err != nil {
+				return
+			}
+			if m[1] != 0x00 {
+				server.note("<", m)
+				continue
+			}
+			answer := append([]byte{0x94, 0x01, m[2]}, "\xc0\x92\xc4\x04DONE\x81\xa1b\xad1790000000000"...)
+			switch {
+			case bytes.Contains(m, []byte("\xa5probe")):
+				answer = append([]byte{0x94, 0x01, m[2]}, "\xc0\x92\xc3\x81\xa1b\xad1790000000000"...)
+				if _, noted := once.LoadOrStore(string(m[3:9]), true); noted {
+					conn.Write(answer)
+					continue
+				}
+			case bytes.HasSuffix(m, []byte("fail")):
+				answer = append([]byte{0x94, 0x01, m[2]}, "\x92\xa5Error\x81\xa1b\xad1790000000000\xc0"...)
+			}
+			server.note("<", m)
+			server.note(">", answer)
+			conn.Write(answer)
+		}
+	})
+	site := write(t, "router.json", fmt.Sprintf(`{"name":"rt","seed":"c0ffee","stop_ms":4000,"listen":"127.0.0.1:0",`+
+		`"limits":{"memory_mb":64,"sockets":256},`+wireSettings+`}`, "none"))
+	cells := write(t, "cells.json", fmt.Sprintf(`{"version":1,"window_ms":30000,"skew_ms":100,"lease_ms":1000,"patience_ms":1000,
+ "cells":[{"name":"a","capacity":40}],"servers":[{"name":"s1","addr":%q,"cell":"a"}],
+ "tenants":[{"name":"kvizmojster","rate":60,"homes":[{"cell":"a"}]},{"name":"","rate":0,"homes":[{"cell":"a"}]}]}`, addr))
+	p := spawn(t, "route", "--config", site, "--edge", write(t, "route.json", fmt.Sprintf(
+		`{"status":true,"fleet":{"map":%q,"probe_ms":100,"retries":0,"hedges":0}}`, cells)))
+	if _, err := p.Await(30*time.Second, 0, "recovery: full"); err != nil {
+		t.Fatal(err)
+	}
+	b := dialWire(t, p.addr, balancer)
+	for i, message := range [][]byte{
+		[]byte("\x94\x00\x00\xa5probe\x91\x80"),
+		mpRequest(1, "krog", "work", stamped("a1", "t", "kvizmojster")...),
+		mpRequest(2, "lestvica", "work", stamped("a2", "t", "kvizmojster", "f", "3", "p", "0.5")...),
+		mpRequest(3, "oddaja", "work", stamped("a3", "t", "kvizmojster", "k", "key-1")...),
+		mpRequest(4, "oddaja", "work", stamped("a4", "t", "kvizmojster", "k", "key-1")...),
+		mpRequest(5, "krog", "fail", stamped("a5", "t", "kvizmojster")...),
+		mpRequest(6, "krog", "work", stamped("a6")...),
+		mpRequest(7, "nothing", "work", stamped("a7", "t", "kvizmojster")...),
+	} {
+		if i == 1 {
+			server.await(t, "probe")
+		}
+		b.send(message)
+		b.value()
+	}
+	asker := dialWire(t, p.addr, &transcript{})
+	asker.send([]byte("\x94\x00\x05\xa6status\x91\x80"))
+	state := asker.value()
+	asker.Close()
+	var shape bytes.Buffer
+	shapeOf(t, &shape, json.NewDecoder(bytes.NewReader(state[bytes.IndexByte(state, '{'):])), "", true)
+	golden(t, "router-status.txt", regexp.MustCompile(`[0-9]+\.[0-9a-f]{16}`).ReplaceAll(shape.Bytes(), []byte("<rules>")))
+	balancer.compare(t, "router-balancer.txt")
+	server.compare(t, "router-server.txt")
+}
