--- a/api.go
+++ b/api.go
@@ -15,23 +15,23 @@
 type Effect int
 
 const (
-	Safe   Effect = iota // may run any number of times
-	Keyed                // may be sent again within the class's KeyWindow, must run once
-	Unsafe               // must run at most once and is not sent again after it may have run
+	Safe          Effect = iota // may run any number of times
+	Idempotent                  // may be sent again within the class's KeyWindow, must run once
+	NonIdempotent               // must run at most once and is not sent again after it may have run
 )
 
 // Class describes one class of requests.
 type Class struct {
-	Name        string
-	Aim         time.Duration // an answer within this of the client's first try earns the full worth
-	AimStretch  float64       // the aim grows by this multiple of the request's own work, up to Deadline
-	Deadline    time.Duration // how long a client waits in all
-	Worth       float64
-	LateWorth   float64 // share of Worth earned between the aim and the deadline
-	Effect      Effect
-	KeyWindow   time.Duration // for Keyed: how long after its arrival a request may come again
-	CallsBelow  bool          // its requests may call the dependency
-	WithoutCall float64       // share of the worth earned when a call is left out; 0 forbids it
+	Name              string
+	Objective         time.Duration // an answer within this of the client's first try earns the full worth
+	ObjectiveStretch  float64       // the aim grows by this multiple of the request's own work, up to Deadline
+	Deadline          time.Duration // how long a client waits in all
+	Weight            float64
+	LateWeight        float64 // share of Worth earned between the aim and the deadline
+	Effect            Effect
+	IdempotencyWindow time.Duration // for Keyed: how long after its arrival a request may come again
+	CallsDependency   bool          // its requests may call the dependency
+	DegradedWeight    float64       // share of the worth earned when a call is left out; 0 forbids it
 }
 
 // Tenant describes one customer and the rate within its share, over the whole fleet.
@@ -41,12 +41,12 @@
 }
 
 // Halt tells how running work can be stopped.
-type Halt int
+type Preemption int
 
 const (
-	HaltNone  Halt = iota // not at all
-	HaltDrop              // its progress is lost
-	HaltPause             // it keeps its progress and memory until it is run again
+	PreemptNone  Preemption = iota // not at all
+	PreemptDrop                    // its progress is lost
+	PreemptPause                   // it keeps its progress and memory until it is run again
 )
 
 // Signal is the kind of value that callers heed, set by Host.Signal.
@@ -70,55 +70,55 @@
 
 // Settings describe the server, its site and its goal.
 type Settings struct {
-	Cores       int
-	MemoryKB    float64
-	RunFactor   float64 // memory of a running request, as a multiple of its held memory
-	KeyKB       float64 // memory of one remembered key
-	Cold        bool    // the server has only recently been started
-	ColdFrom    float64 // share of its speed that a cold server has at least
-	WarmWithin  time.Duration
-	CrowdLimit  float64       // simultaneous runs on the cores, for each core, that a warm server survives
-	CrowdWindow time.Duration // the stretch over which they are averaged
-	DrainGrace  time.Duration // what arrives later than this after Drain must not run
-
-	Classes        []Class
-	Tenants        []Tenant
-	OverShareWorth float64 // worth of traffic beyond a tenant's share, as a share of the usual
-	WorthByWork    bool    // worth is counted for each unit of work
-	ClassMix       float64 // weight of the worst-served class in the goal, from 0 to 1
-
-	Servers      int           // servers of this tier
-	Callers      int           // callers of this tier
-	Tier         int           // 0 where clients' requests enter
-	FreshFor     time.Duration // how long the answer to a read may serve others
-	Halt         Halt
-	Signal       Signal
-	Advice       bool          // advice to stay away reaches callers
-	MaxAdvice    time.Duration // the longest that is heeded
-	Dependency   Dependency
-	CallShare    float64       // Shared: mean number of calls in its hands that are this server's share
-	CallWindow   time.Duration // the stretch over which they are averaged
-	CallLinger   time.Duration // a call given up stays in the dependency's hands this long
-	Readiness    bool          // the list that callers follow reflects Host.Health
-	KeepAlive    time.Duration // callers close idle connections after this
-	MarksRetries bool
-	Seed         int64
+	Cores          int
+	MemoryKB       float64
+	RunFactor      float64 // memory of a running request, as a multiple of its held memory
+	KeyKB          float64 // memory of one remembered key
+	Cold           bool    // the server has only recently been started
+	ColdSpeed      float64 // share of its speed that a cold server has at least
+	WarmupTime     time.Duration
+	MaxRunsPerCore float64       // simultaneous runs on the cores, for each core, that a warm server survives
+	RunsWindow     time.Duration // the stretch over which they are averaged
+	DrainGrace     time.Duration // what arrives later than this after Drain must not run
+
+	Classes         []Class
+	Tenants         []Tenant
+	OverQuotaWeight float64 // worth of traffic beyond a tenant's share, as a share of the usual
+	WeightByWork    bool    // worth is counted for each unit of work
+	ClassMix        float64 // weight of the worst-served class in the goal, from 0 to 1
+
+	Servers       int           // servers of this tier
+	Callers       int           // callers of this tier
+	Tier          int           // 0 where clients' requests enter
+	FreshFor      time.Duration // how long the answer to a read may serve others
+	Preemption    Preemption
+	Signal        Signal
+	RetryAfter    bool          // advice to stay away reaches callers
+	MaxRetryAfter time.Duration // the longest that is heeded
+	Dependency    Dependency
+	CallQuota     float64       // Shared: mean number of calls in its hands that are this server's share
+	CallWindow    time.Duration // the stretch over which they are averaged
+	CallLinger    time.Duration // a call given up stays in the dependency's hands this long
+	Readiness     bool          // the list that callers follow reflects Host.Health
+	KeepAlive     time.Duration // callers close idle connections after this
+	MarksRetries  bool
+	Seed          int64
 }
 
 // Request is one try of a request, just read.
 type Request struct {
-	ID       string
-	Class    string
-	Tenant   string
-	Key      string // its subject, where told
-	Repeats  string // the remembered request that this one repeats
-	Caller   int
-	HeldKB   float64
-	Unread   time.Duration // since it reached the machine
-	Deadline time.Duration // clock time at which its caller stops waiting; 0 when not told
-	Work     time.Duration // expected work on a standard core; 0 when not told
-	Retry    bool          // marked as a further try
-	Rank     float64
+	ID           string
+	Class        string
+	Tenant       string
+	Key          string // its subject, where told
+	DuplicateOf  string // the remembered request that this one repeats
+	Caller       int
+	QueuedKB     float64
+	Unread       time.Duration // since it reached the machine
+	Deadline     time.Duration // clock time at which its caller stops waiting; 0 when not told
+	ExpectedWork time.Duration // expected work on a standard core; 0 when not told
+	Retry        bool          // marked as a further try
+	Rank         float64
 }
 
 // Outcome is how a run or a call ended.
@@ -132,11 +132,11 @@
 	Unreachable          // the dependency could not be contacted
 	Disconnected         // the call broke off and may have had its effect
 	Canceled             // the run was stopped, or its answer had been given
-	Ignored              // nothing was started: the request was over
+	NotStarted           // nothing was started: the request was over
 )
 
 // NeverRan reports whether the outcome proves that there was no effect.
-func (o Outcome) NeverRan() bool { return o == Overloaded || o == Unreachable || o == Ignored }
+func (o Outcome) NeverRan() bool { return o == Overloaded || o == Unreachable || o == NotStarted }
 
 // Gauges are readings of the server, taken when a timer fires.
 type Gauges struct {
@@ -161,22 +161,22 @@
 type Pools interface {
 	Moved(now time.Duration, id, class string, to Place) // where a request has come to be
 	Tick(now time.Duration, ceiling float64, g Gauges)   // the module's own bound on runs, and the gauges
-	Room(now time.Duration, class string) bool           // may one more run of the class start?
+	HasCapacity(now time.Duration, class string) bool    // may one more run of the class start?
 	Admits(class string) bool                            // does the memory let one more request wait?
-	Slots(class string) float64                          // runs at once that the class can count on
-	Line(class string) string                            // the line in which the class waits
+	Concurrency(class string) float64                    // runs at once that the class can count on
+	Queue(class string) string                           // the line in which the class waits
 }
 
 // Host carries out the actions of a Shedder. It must not call back into the Shedder from them.
 type Host interface {
 	Run(id string)                                     // start a held request, or take up a paused one
-	Refuse(id string, after time.Duration, final bool) // answer: turned away; stay away for after; final: don't go elsewhere
+	Reject(id string, after time.Duration, final bool) // answer: turned away; stay away for after; final: don't go elsewhere
 	Fail(id string)                                    // answer: failed
 	Join(id string)                                    // answer with the result of the request it repeats
 	Stop(id string)                                    // stop running work
 	Call(id string, patience time.Duration)            // make the call it stands at
 	SkipCall(id string)                                // go on without the call
-	KeepKey(id string, d time.Duration)                // remember the request for d
+	RememberKey(id string, d time.Duration)            // remember the request for d
 	ForgetKey(id string)                               // forget it
 	Health(good bool)                                  // what health checks are told, without real work
 	Signal(value float64)                              // the value that goes out with answers
--- a/checker_test.go
+++ b/checker_test.go
@@ -100,15 +100,15 @@
 	case c.drainAt > 0 && j.reached > c.drainAt+c.set.DrainGrace:
 		c.fault("drain: %s run, though it came after the grace", id)
 	}
-	if j.q.Repeats != "" && j.class.Effect == silverpath.Keyed {
-		c.fault("duplicate: %s run, though it repeats %s", id, j.q.Repeats)
+	if j.q.DuplicateOf != "" && j.class.Effect == silverpath.Idempotent {
+		c.fault("duplicate: %s run, though it repeats %s", id, j.q.DuplicateOf)
 	}
 	j.ran, j.phase = true, isRunning
 }
 
-func (c *checker) Refuse(id string, _ time.Duration, _ bool) {
+func (c *checker) Reject(id string, _ time.Duration, _ bool) {
 	j := c.act("refuse", id)
-	if j.class.Effect != silverpath.Safe && (j.ran || j.q.Repeats != "") {
+	if j.class.Effect != silverpath.Safe && (j.ran || j.q.DuplicateOf != "") {
 		c.fault("duplicate: %s refused after it has run", id)
 	}
 	c.final(j, "refusal")
@@ -130,7 +130,7 @@
 
 func (c *checker) Join(id string) {
 	j := c.act("join", id)
-	if j.q.Repeats == "" {
+	if j.q.DuplicateOf == "" {
 		c.fault("%s joins nothing", id)
 	}
 	j.phase, j.work = joins, 1+c.rng.IntN(100)
@@ -138,7 +138,7 @@
 
 func (c *checker) Stop(id string) {
 	j := c.act("stop", id)
-	if c.set.Halt == silverpath.HaltNone {
+	if c.set.Preemption == silverpath.PreemptNone {
 		c.fault("%s stopped, where nothing can be", id)
 	}
 	if j.phase == isRunning && !c.hung {
@@ -162,7 +162,7 @@
 
 func (c *checker) SkipCall(id string) {
 	j := c.act("skip", id)
-	if j.class.WithoutCall == 0 {
+	if j.class.DegradedWeight == 0 {
 		c.fault("call of %s left out, where it must not be", id)
 	}
 	if j.phase == standsAtCall {
@@ -170,7 +170,7 @@
 	}
 }
 
-func (c *checker) KeepKey(id string, d time.Duration) {
+func (c *checker) RememberKey(id string, d time.Duration) {
 	c.act("keep", id)
 	c.keys[id] = c.now + d
 }
@@ -198,7 +198,7 @@
 	}
 	if o == silverpath.Canceled && !j.answered && !j.gone {
 		j.phase = isPaused
-		if c.set.Halt == silverpath.HaltDrop {
+		if c.set.Preemption == silverpath.PreemptDrop {
 			j.phase = isHeld
 		}
 	} else {
@@ -213,32 +213,32 @@
 func (c *checker) arrive(n int) {
 	class := c.set.Classes[c.rng.IntN(len(c.set.Classes))]
 	j := &job{class: class, work: c.rng.IntN(60), calls: c.rng.IntN(3)}
-	if !class.CallsBelow {
+	if !class.CallsDependency {
 		j.calls = 0
 	}
 	j.q = silverpath.Request{
-		ID: fmt.Sprintf("r%d", n), Class: class.Name, HeldKB: 5 + c.rng.Float64()*20,
+		ID: fmt.Sprintf("r%d", n), Class: class.Name, QueuedKB: 5 + c.rng.Float64()*20,
 		Caller: c.rng.IntN(max(1, c.set.Callers)),
 		Unread: time.Duration(c.rng.IntN(200)) * time.Millisecond, Tenant: []string{"", "t", "nobody"}[c.rng.IntN(3)],
 	}
 	if c.rng.IntN(2) == 0 {
-		j.q.Work = time.Duration(10+c.rng.IntN(300)) * time.Millisecond
+		j.q.ExpectedWork = time.Duration(10+c.rng.IntN(300)) * time.Millisecond
 	}
 	if class.Effect == silverpath.Safe && c.set.FreshFor > 0 {
 		j.q.Key = fmt.Sprint("k", c.rng.IntN(3))
 		for _, o := range c.list {
-			if o.q.Key == j.q.Key && c.keys[o.q.ID] > c.now && o.q.Repeats == "" && !o.gone && c.rng.IntN(2) == 0 {
-				j.q.Repeats = o.q.ID
+			if o.q.Key == j.q.Key && c.keys[o.q.ID] > c.now && o.q.DuplicateOf == "" && !o.gone && c.rng.IntN(2) == 0 {
+				j.q.DuplicateOf = o.q.ID
 			}
 		}
 	}
 	if c.tellsDue {
 		j.q.Deadline = c.now + class.Deadline/2
 	}
-	if class.Effect == silverpath.Keyed && c.rng.IntN(3) == 0 {
+	if class.Effect == silverpath.Idempotent && c.rng.IntN(3) == 0 {
 		for _, o := range c.list {
-			if o.class.Name == class.Name && c.keys[o.q.ID] > c.now && (o.ran || o.phase == isHeld) && o.q.Repeats == "" {
-				j.q.Repeats = o.q.ID
+			if o.class.Name == class.Name && c.keys[o.q.ID] > c.now && (o.ran || o.phase == isHeld) && o.q.DuplicateOf == "" {
+				j.q.DuplicateOf = o.q.ID
 			}
 		}
 	}
@@ -252,7 +252,7 @@
 	c.shed.Arrive(c.now, j.q)
 	switch c.rng.IntN(40) {
 	case 0: // the odd ones
-		c.shed.Gone(c.now, "nobody")
+		c.shed.Cancelled(c.now, "nobody")
 		c.shed.NeedsCall(c.now, j.q.ID+"x")
 		c.shed.CallEnded(c.now, j.q.ID, silverpath.OK, 0)
 	case 1:
@@ -326,7 +326,7 @@
 			case standsAtCall, callOut:
 				c.later(func() { c.end(j, silverpath.Canceled) })
 			}
-			c.shed.Gone(c.now, j.q.ID)
+			c.shed.Cancelled(c.now, j.q.ID)
 		}
 	}
 	timers := c.timers
@@ -348,10 +348,10 @@
 	for _, j := range c.list {
 		switch j.phase {
 		case isHeld, joins:
-			memory += j.q.HeldKB
+			memory += j.q.QueuedKB
 		case isOver:
 		default:
-			memory += j.q.HeldKB * c.set.RunFactor
+			memory += j.q.QueuedKB * c.set.RunFactor
 		}
 		if j.phase == isRunning {
 			onCores++
@@ -377,11 +377,11 @@
 		c.fault("fall-over: %.0f of %.0f kB", memory, c.set.MemoryKB)
 	}
 	share := 1.0
-	if c.set.Cold && c.now < c.set.WarmWithin {
-		share = c.set.ColdFrom + (1-c.set.ColdFrom)*float64(c.now)/float64(c.set.WarmWithin)
+	if c.set.Cold && c.now < c.set.WarmupTime {
+		share = c.set.ColdSpeed + (1-c.set.ColdSpeed)*float64(c.now)/float64(c.set.WarmupTime)
 	}
-	c.crowd = append(c.crowd, float64(onCores)/(float64(c.set.Cores)*(1+(c.set.CrowdLimit-1)*share)))
-	if m := mean(c.crowd, int(c.set.CrowdWindow/step)); m > 1 {
+	c.crowd = append(c.crowd, float64(onCores)/(float64(c.set.Cores)*(1+(c.set.MaxRunsPerCore-1)*share)))
+	if m := mean(c.crowd, int(c.set.RunsWindow/step)); m > 1 {
 		c.fault("fall-over: crowd at %.2f of what it survives", m)
 	}
 	left := c.lingers[:0]
@@ -393,8 +393,8 @@
 	c.lingers = left
 	c.inHands = append(c.inHands, float64(calls+len(left)))
 	if c.set.Dependency == silverpath.DependencyShared {
-		if m := mean(c.inHands, int(c.set.CallWindow/step)); m > c.set.CallShare {
-			c.fault("fall-over: %.2f calls in hand, the share is %.2f", m, c.set.CallShare)
+		if m := mean(c.inHands, int(c.set.CallWindow/step)); m > c.set.CallQuota {
+			c.fault("fall-over: %.2f calls in hand, the share is %.2f", m, c.set.CallQuota)
 		}
 	}
 }
@@ -413,24 +413,24 @@
 	callShare := math.Exp(rng.Float64()*7-5) * float64(min(1, pick(10))) // from 0.007 to 7, now and then none
 	return silverpath.Settings{
 		Cores: 1 + pick(2)*pick(8), MemoryKB: 3000 + rng.Float64()*20000, RunFactor: 1 + rng.Float64()*10,
-		KeyKB: rng.Float64() * 30, Cold: pick(2) == 0, ColdFrom: 0.1 + rng.Float64()*0.5,
-		WarmWithin: time.Duration(1+pick(20)) * time.Second, CrowdLimit: 1.2 + rng.Float64()*8,
-		CrowdWindow: time.Duration(1+pick(2)) * time.Second, DrainGrace: time.Duration(pick(2000)) * time.Millisecond,
-		OverShareWorth: rng.Float64(), WorthByWork: pick(2) == 0, ClassMix: rng.Float64() / 2,
-		Servers: pick(400), Callers: pick(1200), Tier: pick(2), Halt: silverpath.Halt(pick(3)),
-		Signal: silverpath.Signal(pick(4)), Advice: pick(2) == 0, MaxAdvice: time.Second,
-		Dependency: silverpath.Dependency(pick(3)), CallShare: callShare,
+		KeyKB: rng.Float64() * 30, Cold: pick(2) == 0, ColdSpeed: 0.1 + rng.Float64()*0.5,
+		WarmupTime: time.Duration(1+pick(20)) * time.Second, MaxRunsPerCore: 1.2 + rng.Float64()*8,
+		RunsWindow: time.Duration(1+pick(2)) * time.Second, DrainGrace: time.Duration(pick(2000)) * time.Millisecond,
+		OverQuotaWeight: rng.Float64(), WeightByWork: pick(2) == 0, ClassMix: rng.Float64() / 2,
+		Servers: pick(400), Callers: pick(1200), Tier: pick(2), Preemption: silverpath.Preemption(pick(3)),
+		Signal: silverpath.Signal(pick(4)), RetryAfter: pick(2) == 0, MaxRetryAfter: time.Second,
+		Dependency: silverpath.Dependency(pick(3)), CallQuota: callShare,
 		CallWindow: 5 * time.Second, CallLinger: time.Duration(pick(300)) * time.Millisecond,
 		KeepAlive: 15 * time.Second, FreshFor: time.Duration(pick(2)*500) * time.Millisecond,
 		Readiness: pick(2) == 0, MarksRetries: pick(2) == 0, Seed: int64(pick(100)),
 		Tenants: []silverpath.Tenant{{Name: "t", Rate: rng.Float64() * 50}},
 		Classes: []silverpath.Class{
-			{Name: "read", Aim: time.Second, Deadline: 2500 * time.Millisecond, Worth: 1, LateWorth: 0.2,
-				CallsBelow: true, WithoutCall: 0.5},
-			{Name: "book", Aim: 2 * time.Second, Deadline: 5 * time.Second, Worth: 3, Effect: silverpath.Keyed,
-				KeyWindow: time.Duration(5+pick(10)) * time.Second, CallsBelow: true},
-			{Name: "pay", Aim: time.Second, Deadline: 4 * time.Second, Worth: 5, Effect: silverpath.Unsafe,
-				CallsBelow: pick(2) == 0},
+			{Name: "read", Objective: time.Second, Deadline: 2500 * time.Millisecond, Weight: 1, LateWeight: 0.2,
+				CallsDependency: true, DegradedWeight: 0.5},
+			{Name: "book", Objective: 2 * time.Second, Deadline: 5 * time.Second, Weight: 3, Effect: silverpath.Idempotent,
+				IdempotencyWindow: time.Duration(5+pick(10)) * time.Second, CallsDependency: true},
+			{Name: "pay", Objective: time.Second, Deadline: 4 * time.Second, Weight: 5, Effect: silverpath.NonIdempotent,
+				CallsDependency: pick(2) == 0},
 		},
 	}
 }
@@ -516,11 +516,11 @@
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
 				id := fmt.Sprint("r", i)
-				shed.Arrive(now, silverpath.Request{ID: id, Class: "read", HeldKB: 10, Caller: i % size,
-					Work: 100 * time.Millisecond})
+				shed.Arrive(now, silverpath.Request{ID: id, Class: "read", QueuedKB: 10, Caller: i % size,
+					ExpectedWork: 100 * time.Millisecond})
 				now += 30 * time.Millisecond
 				shed.Tick(now, silverpath.Gauges{CPU: 0.7, OnCores: 2})
-				shed.Gone(now, fmt.Sprint("r", i-1))
+				shed.Cancelled(now, fmt.Sprint("r", i-1))
 				shed.RunEnded(now, id, silverpath.OK, 30*time.Millisecond)
 			}
 		})
@@ -531,13 +531,13 @@
 type idleHost struct{}
 
 func (idleHost) Run(string)                         {}
-func (idleHost) Refuse(string, time.Duration, bool) {}
+func (idleHost) Reject(string, time.Duration, bool) {}
 func (idleHost) Fail(string)                        {}
 func (idleHost) Join(string)                        {}
 func (idleHost) Stop(string)                        {}
 func (idleHost) Call(string, time.Duration)         {}
 func (idleHost) SkipCall(string)                    {}
-func (idleHost) KeepKey(string, time.Duration)      {}
+func (idleHost) RememberKey(string, time.Duration)  {}
 func (idleHost) ForgetKey(string)                   {}
 func (idleHost) Health(bool)                        {}
 func (idleHost) Signal(float64)                     {}
--- a/golden_test.go
+++ b/golden_test.go
@@ -34,9 +34,9 @@
 }
 
 func (r *recorder) Run(id string) { r.note("run %s", id); r.checker.Run(id) }
-func (r *recorder) Refuse(id string, after time.Duration, final bool) {
+func (r *recorder) Reject(id string, after time.Duration, final bool) {
 	r.note("refuse %s %v %v", id, after, final)
-	r.checker.Refuse(id, after, final)
+	r.checker.Reject(id, after, final)
 }
 func (r *recorder) Fail(id string) { r.note("fail %s", id); r.checker.Fail(id) }
 func (r *recorder) Join(id string) { r.note("join %s", id); r.checker.Join(id) }
@@ -46,9 +46,9 @@
 	r.checker.Call(id, patience)
 }
 func (r *recorder) SkipCall(id string) { r.note("skip %s", id); r.checker.SkipCall(id) }
-func (r *recorder) KeepKey(id string, d time.Duration) {
+func (r *recorder) RememberKey(id string, d time.Duration) {
 	r.note("keep %s %v", id, d)
-	r.checker.KeepKey(id, d)
+	r.checker.RememberKey(id, d)
 }
 func (r *recorder) ForgetKey(id string)           { r.note("forget %s", id); r.checker.ForgetKey(id) }
 func (r *recorder) Health(good bool)              { r.note("health %v", good) }
@@ -87,19 +87,19 @@
 	return n
 }
 
-func (p *narrow) Room(_ time.Duration, class string) bool {
-	return p.count(silverpath.PlaceOnCores, class == "read") < p.Slots(class)
+func (p *narrow) HasCapacity(_ time.Duration, class string) bool {
+	return p.count(silverpath.PlaceOnCores, class == "read") < p.Concurrency(class)
 }
 func (p *narrow) Admits(class string) bool {
 	return class != "read" || p.count(silverpath.PlaceWaiting, true) < 8
 }
-func (p *narrow) Slots(class string) float64 {
+func (p *narrow) Concurrency(class string) float64 {
 	if class == "read" {
 		return max(1, p.runs/3)
 	}
 	return max(1, p.runs*2/3)
 }
-func (p *narrow) Line(class string) string {
+func (p *narrow) Queue(class string) string {
 	if class == "read" {
 		return "reads"
 	}
@@ -119,7 +119,7 @@
 	}
 	r.shed = shed
 	if kind == 1 {
-		shed.Use(&narrow{r: r, in: map[string]silverpath.Place{}, reads: map[string]bool{}, runs: float64(r.set.Cores)})
+		shed.UsePools(&narrow{r: r, in: map[string]silverpath.Place{}, reads: map[string]bool{}, runs: float64(r.set.Cores)})
 	}
 	rate := 0.3 + 0.7*rng.Float64()
 	for n := 0; r.stopAt == 0 || r.now < r.stopAt; r.now += step {
@@ -158,21 +158,21 @@
 		set := r.set
 		set.Cores, set.MemoryKB, set.Servers = set.Cores+1, set.MemoryKB*0.9, set.Servers/2
 		set.Tenants = append([]silverpath.Tenant{{Name: "nobody", Rate: 5}}, set.Tenants...)
-		set.Classes = append([]silverpath.Class{{Name: "newcomer", Deadline: time.Second, Worth: 2}}, set.Classes...)
-		if err := r.shed.Retune(r.now, set); err != nil {
+		set.Classes = append([]silverpath.Class{{Name: "newcomer", Deadline: time.Second, Weight: 2}}, set.Classes...)
+		if err := r.shed.Reconfigure(r.now, set); err != nil {
 			t.Fatal(err)
 		}
 	case 3 * time.Second:
 		set := r.set
 		set.Cores = 0
-		r.note("retune %v", r.shed.Retune(r.now, set))
+		r.note("retune %v", r.shed.Reconfigure(r.now, set))
 	case 5 * time.Second:
-		if err := r.shed.Retune(r.now, r.set); err != nil {
+		if err := r.shed.Reconfigure(r.now, r.set); err != nil {
 			t.Fatal(err)
 		}
 	}
 	if r.rng.IntN(50) == 0 {
-		r.shed.Shed(r.now, []string{"read", "book", "unknown"}[r.rng.IntN(3)], r.rng.IntN(30))
+		r.shed.RejectedUnread(r.now, []string{"read", "book", "unknown"}[r.rng.IntN(3)], r.rng.IntN(30))
 	}
 }
 
--- a/internal/core/backstop_test.go
+++ b/internal/core/backstop_test.go
@@ -25,8 +25,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		counters := &stats.Counters{}
 		c, err := New(Config{Name: "n1", MemoryMB: 64, Stats: counters, Log: log.New(io.Discard, "", 0),
-			Settings: silverpath.Settings{Cores: 2, MemoryKB: 10000, CrowdLimit: 8, Classes: []silverpath.Class{
-				{Name: "lestvica", Aim: 500 * time.Millisecond, Deadline: 4 * time.Second, Worth: 1}}}})
+			Settings: silverpath.Settings{Cores: 2, MemoryKB: 10000, MaxRunsPerCore: 8, Classes: []silverpath.Class{
+				{Name: "lestvica", Objective: 500 * time.Millisecond, Deadline: 4 * time.Second, Weight: 1}}}})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -207,7 +207,7 @@
 		return fmt.Errorf("starting the module: %w", err)
 	}
 	if c.guard != nil {
-		m.Use(c.guard)
+		m.UsePools(c.guard)
 	}
 	c.module = m
 	c.perform()
@@ -292,11 +292,11 @@
 		}
 		a := Answer{Outcome: Failed}
 		if !t.ran && t.repeats == nil && !(c.blind && t.sheet()) {
-			a = Answer{Outcome: Refused, Wait: c.set.Load().MaxAdvice}
+			a = Answer{Outcome: Refused, Wait: c.set.Load().MaxRetryAfter}
 		}
 		c.stats.Inc("backstop")
 		c.answer(t, a)
-		c.decide(func(m *silverpath.Shedder, now time.Duration) { m.Gone(now, t.ID) })
+		c.decide(func(m *silverpath.Shedder, now time.Duration) { m.Cancelled(now, t.ID) })
 	}
 }
 
@@ -366,7 +366,7 @@
 }
 
 // Advice is how long a caller is told to stay away where the core refuses without the module.
-func (c *Core) Advice() time.Duration { return c.set.Load().MaxAdvice }
+func (c *Core) Advice() time.Duration { return c.set.Load().MaxRetryAfter }
 
 // ---- The clock ----
 
@@ -417,7 +417,7 @@
 
 func (h *host) Run(id string) { h.later(id, (*Core).run) }
 
-func (h *host) Refuse(id string, after time.Duration, final bool) {
+func (h *host) Reject(id string, after time.Duration, final bool) {
 	h.later(id, func(c *Core, t *task) {
 		if c.blind && t.sheet() && !c.state.now().Leaving() { // it may have run, by a try that came another way: only its home can tell
 			c.answer(t, Answer{Outcome: Failed})
@@ -455,7 +455,7 @@
 
 func (h *host) SkipCall(string) {} // see New
 
-func (h *host) KeepKey(id string, d time.Duration) {
+func (h *host) RememberKey(id string, d time.Duration) {
 	h.later(id, func(c *Core, t *task) { c.keys.keep(t, d) })
 }
 
--- a/internal/core/guard.go
+++ b/internal/core/guard.go
@@ -127,7 +127,7 @@
 func (c *Core) watch() {
 	for class, d := range c.allDoors() {
 		if n := d.turned.Swap(0); n > 0 {
-			c.decide(func(m *silverpath.Shedder, now time.Duration) { m.Shed(now, class, int(n)) })
+			c.decide(func(m *silverpath.Shedder, now time.Duration) { m.RejectedUnread(now, class, int(n)) })
 		}
 	}
 	now := c.clock()
--- a/internal/core/guard_test.go
+++ b/internal/core/guard_test.go
@@ -42,13 +42,13 @@
 		var mu sync.Mutex
 		var lines strings.Builder
 		counters, sheet := &stats.Counters{}, sheets
-		sheet.Aim, sheet.Worth = 3*time.Second, 3
+		sheet.Objective, sheet.Weight = 3*time.Second, 3
 		c, err := New(Config{
 			Name: "n1", Status: true, MemoryMB: 512, Pools: &cfg, Stats: counters,
 			Log: log.New(writer{&mu, &lines}, "", 0),
-			Settings: silverpath.Settings{Cores: 2, MemoryKB: 10000, RunFactor: 4, CrowdLimit: 8, Advice: true,
-				MaxAdvice: time.Second, DrainGrace: 500 * time.Millisecond, Classes: []silverpath.Class{
-					{Name: "lestvica", Aim: 500 * time.Millisecond, Deadline: 4 * time.Second, Worth: 1}, sheet}},
+			Settings: silverpath.Settings{Cores: 2, MemoryKB: 10000, RunFactor: 4, MaxRunsPerCore: 8, RetryAfter: true,
+				MaxRetryAfter: time.Second, DrainGrace: 500 * time.Millisecond, Classes: []silverpath.Class{
+					{Name: "lestvica", Objective: 500 * time.Millisecond, Deadline: 4 * time.Second, Weight: 1}, sheet}},
 		})
 		if err != nil {
 			t.Fatal(err)
--- a/internal/core/keep.go
+++ b/internal/core/keep.go
@@ -67,7 +67,7 @@
 	if v.Do != keyed.Refuse {
 		return Answer{Outcome: Failed}
 	}
-	return Answer{Outcome: Refused, Wait: min(v.Wait, c.set.Load().MaxAdvice)}
+	return Answer{Outcome: Refused, Wait: min(v.Wait, c.set.Load().MaxRetryAfter)}
 }
 
 // record is a run as it is kept, without its result.
@@ -151,7 +151,7 @@
 	f.saving = nil
 	switch o {
 	case silverpath.OK: // kept already
-	case silverpath.Ignored:
+	case silverpath.NotStarted:
 		c.keeper.Withdraw(f.seq)
 	default:
 		c.keeper.Failed(f.seq)
@@ -164,7 +164,7 @@
 		return
 	}
 	e := c.keys.entries[keyOf(t.class, &t.Request)]
-	r := keyed.Record{Key: e.key, Window: t.class.KeyWindow}
+	r := keyed.Record{Key: e.key, Window: t.class.IdempotencyWindow}
 	lasts := make(chan error, 1)
 	if v := c.keeper.Mark(&r, e.moved, func(err error) { lasts <- err }); v.Do != keyed.Begin {
 		*a = Answer{Outcome: Failed}
@@ -198,8 +198,8 @@
 // LongestWindow is how long after a run a try of it may come, for all classes.
 func (c *Core) LongestWindow() (longest time.Duration) {
 	for _, k := range c.set.Load().Classes {
-		if k.Effect == silverpath.Keyed {
-			longest = max(longest, k.KeyWindow+k.Deadline+keyLinger+ruleSlack)
+		if k.Effect == silverpath.Idempotent {
+			longest = max(longest, k.IdempotencyWindow+k.Deadline+keyLinger+ruleSlack)
 		}
 	}
 	return longest
--- a/internal/core/keys.go
+++ b/internal/core/keys.go
@@ -64,7 +64,7 @@
 // keyOf is the key under which a keyed request is known, empty for others. Its class is no part of it: where operators
 // retune, one try may come under the class's old name and the next under the new one.
 func keyOf(k silverpath.Class, r *Request) string {
-	if k.Effect != silverpath.Keyed || r.Key == "" {
+	if k.Effect != silverpath.Idempotent || r.Key == "" {
 		return ""
 	}
 	return "\x00" + r.Key
@@ -87,7 +87,7 @@
 	e := k.entries[key]
 	if e != nil {
 		f := e.held
-		if f == nil && e.last != nil && within(t.Reached, e.last.reached, t.class.KeyWindow) {
+		if f == nil && e.last != nil && within(t.Reached, e.last.reached, t.class.IdempotencyWindow) {
 			f = e.last
 		}
 		if f != nil && !e.fresh && f.sum != sum {
@@ -128,11 +128,11 @@
 	}
 	if t.Known {
 		t.elsewhere = WhyUnknown
-		e.moved = later(e.moved, now.Add(t.class.KeyWindow+t.class.Deadline+keyLinger))
+		e.moved = later(e.moved, now.Add(t.class.IdempotencyWindow+t.class.Deadline+keyLinger))
 		e.until = later(e.until, e.moved)
 		return true
 	}
-	e.until, e.window = later(e.until, t.Due.Add(keyLinger)), max(e.window, t.class.KeyWindow)
+	e.until, e.window = later(e.until, t.Due.Add(keyLinger)), max(e.window, t.class.IdempotencyWindow)
 	t.flight = &flight{id: t.ID, sum: sum, entry: e, reached: t.Reached}
 	if !e.fresh {
 		e.held = t.flight
@@ -164,7 +164,7 @@
 
 // start notes that a request is run. It reports false where another try of it has run within the window.
 func (k *keyTable) start(t *task) bool {
-	if t.class.Effect != silverpath.Keyed || t.Key == "" {
+	if t.class.Effect != silverpath.Idempotent || t.Key == "" {
 		return true
 	}
 	f := t.flight
@@ -172,14 +172,14 @@
 		return f != nil && f.entry.last == f
 	}
 	e := f.entry
-	if e.last != nil && within(f.reached, e.last.reached, t.class.KeyWindow) {
+	if e.last != nil && within(f.reached, e.last.reached, t.class.IdempotencyWindow) {
 		return false
 	}
 	k.supersede(e)
 	f.before = e.last
 	e.held, e.last = nil, f
 	// Until the last try written inside the window is past its due time, however late it is read.
-	e.until = later(e.until, f.reached.Add(t.class.KeyWindow+t.class.Deadline+keyLinger))
+	e.until = later(e.until, f.reached.Add(t.class.IdempotencyWindow+t.class.Deadline+keyLinger))
 	return true
 }
 
@@ -189,7 +189,7 @@
 		return
 	}
 	f.done, f.ok, f.ended = true, o == silverpath.OK, now
-	if o == silverpath.Ignored && f.entry.last == f && !f.entry.fresh {
+	if o == silverpath.NotStarted && f.entry.last == f && !f.entry.fresh {
 		f.entry.last = f.before // proof that it never ran: its next try may
 		return
 	}
--- a/internal/core/keys_test.go
+++ b/internal/core/keys_test.go
@@ -11,7 +11,7 @@
 	"silverpath"
 )
 
-var sheets = silverpath.Class{Name: "oddaja", Effect: silverpath.Keyed, Deadline: 4 * time.Second, KeyWindow: 10 * time.Second}
+var sheets = silverpath.Class{Name: "oddaja", Effect: silverpath.Idempotent, Deadline: 4 * time.Second, IdempotencyWindow: 10 * time.Second}
 
 func tryAt(id string, reached time.Time) *task {
 	return &task{Request: Request{ID: id, Class: "oddaja", Key: "k", Reached: reached, Due: reached.Add(4 * time.Second)}, class: sheets}
@@ -27,15 +27,15 @@
 		t.Fatal("the first try may not run")
 	}
 	k.done(first.flight, silverpath.OK, []byte("done"), t0.Add(time.Second))
-	k.sweep(t0.Add(sheets.KeyWindow + 3900*time.Millisecond))
-	for _, reached := range []time.Duration{-time.Second, time.Second, sheets.KeyWindow} {
+	k.sweep(t0.Add(sheets.IdempotencyWindow + 3900*time.Millisecond))
+	for _, reached := range []time.Duration{-time.Second, time.Second, sheets.IdempotencyWindow} {
 		late := tryAt("b", t0.Add(reached))
 		k.enter(late, 0, t0.Add(reached+3900*time.Millisecond))
 		if late.repeats == nil || late.repeats.id != "a" {
 			t.Errorf("reached %v after: repeats %v", reached, late.repeats)
 		}
 	}
-	next := tryAt("c", t0.Add(sheets.KeyWindow+time.Second))
+	next := tryAt("c", t0.Add(sheets.IdempotencyWindow+time.Second))
 	if k.enter(next, 0, next.Reached); next.repeats != nil || !k.start(next) {
 		t.Error("a try past the window may not run")
 	}
@@ -73,7 +73,7 @@
 func TestUnknownTenant(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c, err := New(Config{MemoryMB: 64, Log: log.New(io.Discard, "", 0), Settings: silverpath.Settings{
-			Cores: 1, MemoryKB: 1e9, CrowdLimit: 8, Classes: []silverpath.Class{sheets},
+			Cores: 1, MemoryKB: 1e9, MaxRunsPerCore: 8, Classes: []silverpath.Class{sheets},
 			Tenants: []silverpath.Tenant{{Name: "acme", Rate: 10}}}})
 		if err != nil {
 			t.Fatal(err)
@@ -100,10 +100,10 @@
 	k.enter(first, 0, t0)
 	k.start(first)
 	k.done(first.flight, silverpath.OK, []byte("done"), t0)
-	next := tryAt("b", t0.Add(sheets.KeyWindow+time.Second))
+	next := tryAt("b", t0.Add(sheets.IdempotencyWindow+time.Second))
 	k.enter(next, 0, next.Reached)
 	k.drop(next.flight)
-	late := tryAt("c", t0.Add(sheets.KeyWindow-time.Second))
+	late := tryAt("c", t0.Add(sheets.IdempotencyWindow-time.Second))
 	if k.enter(late, 0, next.Reached); late.repeats != first.flight {
 		t.Fatal("the run is forgotten")
 	}
@@ -145,7 +145,7 @@
 func TestGuard(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c, err := New(Config{MemoryMB: 64, Log: log.New(io.Discard, "", 0), Settings: silverpath.Settings{
-			Cores: 4, MemoryKB: 10000, CrowdLimit: 8, Classes: []silverpath.Class{sheets}}})
+			Cores: 4, MemoryKB: 10000, MaxRunsPerCore: 8, Classes: []silverpath.Class{sheets}}})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -186,7 +186,7 @@
 func TestTooMany(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c, err := New(Config{MemoryMB: 64, Log: log.New(io.Discard, "", 0), Settings: silverpath.Settings{
-			Cores: 1, MemoryKB: 1e9, CrowdLimit: 1000, Classes: []silverpath.Class{sheets}}})
+			Cores: 1, MemoryKB: 1e9, MaxRunsPerCore: 1000, Classes: []silverpath.Class{sheets}}})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/core/life.go
+++ b/internal/core/life.go
@@ -49,7 +49,7 @@
 }
 
 // sheet reports whether further tries of the request may come that are one request with it.
-func (t *task) sheet() bool { return t.class.Effect == silverpath.Keyed && t.Key != "" }
+func (t *task) sheet() bool { return t.class.Effect == silverpath.Idempotent && t.Key != "" }
 
 // step is what a request's goroutine does next.
 type step struct {
@@ -175,7 +175,7 @@
 	defer c.claimed(&r, k)
 	now := time.Now()
 	set := c.set.Load()
-	full := Answer{Outcome: Refused, Wait: set.MaxAdvice}
+	full := Answer{Outcome: Refused, Wait: set.MaxRetryAfter}
 	why := ""
 	t := &task{Request: r, class: k, read: now, bell: make(chan struct{}, 1)}
 	if t.sheet() {
@@ -199,7 +199,7 @@
 	case t.turned.Do != keyed.Begin:
 		why, full = t.turned.Why, c.turnedAway(t.turned)
 	case t.elsewhere != "":
-		why, full = t.elsewhere, Answer{Outcome: Refused, Wait: set.MaxAdvice, Why: t.elsewhere}
+		why, full = t.elsewhere, Answer{Outcome: Refused, Wait: set.MaxRetryAfter, Why: t.elsewhere}
 		if t.elsewhere == WhyUnknown {
 			c.markMoved(t, &full)
 		}
@@ -230,11 +230,11 @@
 		}
 	})
 	q := silverpath.Request{
-		ID: r.ID, Class: r.Class, Tenant: r.Tenant, Key: r.Object, Caller: r.Caller, HeldKB: r.HeldKB,
+		ID: r.ID, Class: r.Class, Tenant: r.Tenant, Key: r.Object, Caller: r.Caller, QueuedKB: r.HeldKB,
 		Unread: max(0, now.Sub(r.Reached)), Deadline: max(1, c.clock()+r.Due.Sub(now)), Rank: r.Rank,
 	}
 	if t.repeats != nil {
-		q.Repeats = t.repeats.id
+		q.DuplicateOf = t.repeats.id
 		c.stats.Inc("repeats", r.Front, r.Class)
 	}
 	c.decide(func(m *silverpath.Shedder, now time.Duration) { m.Arrive(now, q) })
@@ -283,7 +283,7 @@
 	s := step{kind: called}
 	switch {
 	case over:
-		s.outcome = silverpath.Ignored
+		s.outcome = silverpath.NotStarted
 	case c.caller == nil:
 		s.outcome = silverpath.Unreachable
 	default:
@@ -301,7 +301,7 @@
 var outcomeNames = map[silverpath.Outcome]string{
 	silverpath.OK: "ok", silverpath.Failed: "failed", silverpath.Overloaded: "overloaded",
 	silverpath.TimedOut: "timed_out", silverpath.Unreachable: "unreachable",
-	silverpath.Disconnected: "disconnected", silverpath.Canceled: "canceled", silverpath.Ignored: "ignored",
+	silverpath.Disconnected: "disconnected", silverpath.Canceled: "canceled", silverpath.NotStarted: "ignored",
 }
 
 // ---- What runners and fronts tell ----
@@ -319,7 +319,7 @@
 // Returned is told that a request that was handed on has come back without a result, and what its caller is told. What
 // became of it is known elsewhere: a further try of it is handed on again.
 func (c *Core) Returned(id string, a Answer, spent time.Duration) {
-	c.tell(id, step{kind: ended, outcome: silverpath.Ignored, spent: spent, answer: a, given: true})
+	c.tell(id, step{kind: ended, outcome: silverpath.NotStarted, spent: spent, answer: a, given: true})
 }
 
 // Gone is told when the caller of a request has left: no answer is owed any more.
@@ -354,7 +354,7 @@
 	t.running, t.joining = false, false
 	if s.outcome == silverpath.Canceled && t.word == owed {
 		// Nothing stops a run here but its request being over: the caller has left and the notice is late.
-		c.decide(func(m *silverpath.Shedder, now time.Duration) { m.Gone(now, t.ID) })
+		c.decide(func(m *silverpath.Shedder, now time.Duration) { m.Cancelled(now, t.ID) })
 	}
 	if !wasJoin {
 		c.stats.Inc("runs", t.Class, outcomeNames[s.outcome])
@@ -389,7 +389,7 @@
 	t.stopJoining()
 	c.owed--
 	c.settled()
-	c.decide(func(m *silverpath.Shedder, now time.Duration) { m.Gone(now, t.ID) })
+	c.decide(func(m *silverpath.Shedder, now time.Duration) { m.Cancelled(now, t.ID) })
 }
 
 // expire is the backstop of rule one: whatever holds the module up, the answer goes out by the due time.
@@ -402,7 +402,7 @@
 	events.Say(c.log, "backstop", t.Class, t.ID, time.Since(t.read).Round(time.Millisecond))
 	c.stats.Inc("backstop")
 	c.answer(t, Answer{Outcome: Expired})
-	c.decide(func(m *silverpath.Shedder, now time.Duration) { m.Gone(now, t.ID) })
+	c.decide(func(m *silverpath.Shedder, now time.Duration) { m.Cancelled(now, t.ID) })
 }
 
 // answer settles a request's one answer.
@@ -448,7 +448,7 @@
 		events.Say(c.log, "guard.run", t.Class, t.ID, why)
 		c.stats.Inc("guard")
 		t.running = true // for the end that follows
-		t.post(step{kind: ended, outcome: silverpath.Ignored})
+		t.post(step{kind: ended, outcome: silverpath.NotStarted})
 		return
 	}
 	t.ran, t.running = true, true
--- a/internal/core/pair.go
+++ b/internal/core/pair.go
@@ -107,7 +107,7 @@
 func (c *Core) planned(set silverpath.Settings) silverpath.Settings {
 	if c.pair != nil && c.pair.shared {
 		set.MemoryKB *= pairMemory
-		set.CrowdLimit = max(1, set.CrowdLimit*pairCrowd)
+		set.MaxRunsPerCore = max(1, set.MaxRunsPerCore*pairCrowd)
 	}
 	return set
 }
@@ -154,7 +154,7 @@
 func (c *Core) windowEnd() int64 {
 	longest := time.Duration(0)
 	for _, k := range c.set.Load().Classes {
-		longest = max(longest, k.KeyWindow)
+		longest = max(longest, k.IdempotencyWindow)
 	}
 	return time.Now().Add(longest + ruleSlack).UnixNano()
 }
@@ -250,8 +250,8 @@
 		return a, false
 	}
 	p := c.pair
-	f := handover.Flight{Key: key, ID: r.ID, Sum: c.keys.sum(&task{Request: *r}), Reached: r.Reached.UnixNano(), Window: k.KeyWindow,
-		Until: r.Reached.Add(k.KeyWindow + k.Deadline + keyLinger).UnixNano()}
+	f := handover.Flight{Key: key, ID: r.ID, Sum: c.keys.sum(&task{Request: *r}), Reached: r.Reached.UnixNano(), Window: k.IdempotencyWindow,
+		Until: r.Reached.Add(k.IdempotencyWindow + k.Deadline + keyLinger).UnixNano()}
 	p.side.Want(key)
 	verdict := p.side.Ask(f)
 	c.settlePair()
@@ -362,7 +362,7 @@
 func (c *Core) unrun(t *task, s step) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	s.kind, s.outcome = ended, silverpath.Ignored
+	s.kind, s.outcome = ended, silverpath.NotStarted
 	t.post(s)
 }
 
--- a/internal/core/pair_test.go
+++ b/internal/core/pair_test.go
@@ -208,7 +208,7 @@
 				continue
 			}
 			f := handover.Flight{Key: keyOf(sheets, &t.Request), ID: t.ID, Sum: c.keys.sum(t), Reached: w.now.UnixNano(),
-				Until: w.now.Add(time.Hour).UnixNano(), Window: sheets.KeyWindow}
+				Until: w.now.Add(time.Hour).UnixNano(), Window: sheets.IdempotencyWindow}
 			v := c.pair.side.Ask(f)
 			c.settlePair()
 			if v == handover.Wait {
--- a/internal/core/retune.go
+++ b/internal/core/retune.go
@@ -9,10 +9,10 @@
 // bounded are the settings as this host can keep them: the interpreter's protocol stops no run and goes on without no
 // call, whatever a site would allow.
 func bounded(set silverpath.Settings) silverpath.Settings {
-	set.Halt = silverpath.HaltNone
+	set.Preemption = silverpath.PreemptNone
 	set.Classes = append([]silverpath.Class(nil), set.Classes...)
 	for i := range set.Classes {
-		set.Classes[i].WithoutCall = 0
+		set.Classes[i].DegradedWeight = 0
 	}
 	return set
 }
@@ -29,7 +29,7 @@
 		return nil
 	}
 	var err error
-	c.decide(func(m *silverpath.Shedder, now time.Duration) { err = m.Retune(now, c.planned(set)) })
+	c.decide(func(m *silverpath.Shedder, now time.Duration) { err = m.Reconfigure(now, c.planned(set)) })
 	if err != nil {
 		return err
 	}
--- a/internal/core/told_test.go
+++ b/internal/core/told_test.go
@@ -52,8 +52,8 @@
 // What a core bounds of its settings is its own: the caller may give the same classes to another one.
 func TestBoundedIsItsOwn(t *testing.T) {
 	given := silverpath.Settings{Cores: 1, MemoryKB: 1e6, Classes: []silverpath.Class{
-		{Name: "x", Aim: time.Second, Deadline: time.Second, Worth: 1, WithoutCall: 0.5}}}
-	if own := bounded(given); own.Classes[0].WithoutCall != 0 || given.Classes[0].WithoutCall != 0.5 {
+		{Name: "x", Objective: time.Second, Deadline: time.Second, Weight: 1, DegradedWeight: 0.5}}}
+	if own := bounded(given); own.Classes[0].DegradedWeight != 0 || given.Classes[0].DegradedWeight != 0.5 {
 		t.Errorf("%+v of %+v", own, given)
 	}
 }
--- a/internal/fleet/cold_test.go
+++ b/internal/fleet/cold_test.go
@@ -42,8 +42,8 @@
 	for _, cold := range []bool{true, false} {
 		t.Run(fmt.Sprint("cold ", cold), func(t *testing.T) {
 			quiet, counters := log.New(io.Discard, "", 0), &stats.Counters{}
-			set := silverpath.Settings{Cores: 2, MemoryKB: 1e6, CrowdLimit: 8, CrowdWindow: time.Second, Advice: true, MaxAdvice: time.Second,
-				ColdFrom: 0.25, WarmWithin: time.Hour, Callers: 20, Classes: classes, Cold: true}
+			set := silverpath.Settings{Cores: 2, MemoryKB: 1e6, MaxRunsPerCore: 8, RunsWindow: time.Second, RetryAfter: true, MaxRetryAfter: time.Second,
+				ColdSpeed: 0.25, WarmupTime: time.Hour, Callers: 20, Classes: classes, Cold: true}
 			whole, _ := slowstart.Whole(set, 0)
 			c, err := core.New(core.Config{MemoryMB: 256, Log: quiet, Stats: counters, Cell: true, Settings: set})
 			if err != nil {
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -352,7 +352,7 @@
 		began := time.Now()
 		class, _ := r.events.Class(q.Class)
 		a := r.lead(q, class)
-		worth := uint64(1000 * max(0, class.Worth))
+		worth := uint64(1000 * max(0, class.Weight))
 		r.asked.Add(worth)
 		if a.Outcome == core.Served {
 			r.served.Add(worth)
@@ -366,7 +366,7 @@
 // lead is one request's way through the fleet, from the map to its answer.
 func (r *Runner) lead(q core.Request, class silverpath.Class) (a core.Answer) {
 	m := r.cells.Load()
-	keyed := class.Effect == silverpath.Keyed && q.Key != ""
+	keyed := class.Effect == silverpath.Idempotent && q.Key != ""
 	key := ""
 	if keyed {
 		key = q.Key
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -23,9 +23,9 @@
 )
 
 var classes = []silverpath.Class{
-	{Name: "read", Aim: 2 * time.Second, Deadline: 4 * time.Second, Worth: 1},
-	{Name: "pay", Aim: 2 * time.Second, Deadline: 4 * time.Second, Worth: 1, Effect: silverpath.Unsafe},
-	{Name: "sheet", Aim: 2 * time.Second, Deadline: 4 * time.Second, Worth: 1, Effect: silverpath.Keyed, KeyWindow: 10 * time.Second},
+	{Name: "read", Objective: 2 * time.Second, Deadline: 4 * time.Second, Weight: 1},
+	{Name: "pay", Objective: 2 * time.Second, Deadline: 4 * time.Second, Weight: 1, Effect: silverpath.NonIdempotent},
+	{Name: "sheet", Objective: 2 * time.Second, Deadline: 4 * time.Second, Weight: 1, Effect: silverpath.Idempotent, IdempotencyWindow: 10 * time.Second},
 }
 
 // server is a server of the fleet with a stand-in for what does its work.
@@ -78,7 +78,7 @@
 func (s *server) boot(t *testing.T) {
 	quiet, counters := log.New(io.Discard, "", 0), &stats.Counters{}
 	c, err := core.New(core.Config{MemoryMB: 64, Log: quiet, Stats: counters, Cell: true, Settings: silverpath.Settings{
-		Cores: 8, MemoryKB: 1e6, CrowdLimit: 8, Advice: true, MaxAdvice: time.Second, Classes: classes}})
+		Cores: 8, MemoryKB: 1e6, MaxRunsPerCore: 8, RetryAfter: true, MaxRetryAfter: time.Second, Classes: classes}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/fleet/rest_test.go
+++ b/internal/fleet/rest_test.go
@@ -66,7 +66,7 @@
 	quiet, counters := log.New(io.Discard, "", 0), &stats.Counters{}
 	s := &server{}
 	s.core, err = core.New(core.Config{MemoryMB: 64, Log: quiet, Stats: counters, Cell: true, Settings: silverpath.Settings{
-		Cores: 8, MemoryKB: 1e6, CrowdLimit: 8, Advice: true, MaxAdvice: time.Second, Classes: classes}})
+		Cores: 8, MemoryKB: 1e6, MaxRunsPerCore: 8, RetryAfter: true, MaxRetryAfter: time.Second, Classes: classes}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/interp/interp.go
+++ b/internal/interp/interp.go
@@ -341,7 +341,7 @@
 var commands = []string{"CONNECT", "APPLY", "RESOLVE", "TOP"}
 
 var ends = map[string]silverpath.Outcome{
-	"PASS": silverpath.OK, "FAIL": silverpath.Failed, "KILLED": silverpath.Canceled, "NOOP": silverpath.Ignored,
+	"PASS": silverpath.OK, "FAIL": silverpath.Failed, "KILLED": silverpath.Canceled, "NOOP": silverpath.NotStarted,
 }
 
 // notice takes one notice. What a former link has brought already is passed over by its number.
@@ -405,7 +405,7 @@
 		if j != nil {
 			o := silverpath.Failed
 			if command == "APPLY" && !j.again {
-				o = silverpath.Ignored // its only start was refused: it never ran
+				o = silverpath.NotStarted // its only start was refused: it never ran
 			}
 			l.ended(id, o, 0, nil)
 		}
--- a/internal/msgpackrpc/close_test.go
+++ b/internal/msgpackrpc/close_test.go
@@ -33,8 +33,8 @@
 func serve(t *testing.T, ln net.Listener, most int) (worker, *front.Listener, *stats.Counters) {
 	t.Helper()
 	counters, quiet := &stats.Counters{}, log.New(io.Discard, "", 0)
-	c, err := core.New(core.Config{Settings: silverpath.Settings{Cores: 4, MemoryKB: 10000, CrowdLimit: 8, CrowdWindow: time.Second,
-		Classes: []silverpath.Class{{Name: "x", Aim: 20 * time.Second, Deadline: 30 * time.Second, Worth: 1}}}, MemoryMB: 16, Log: quiet, Stats: counters})
+	c, err := core.New(core.Config{Settings: silverpath.Settings{Cores: 4, MemoryKB: 10000, MaxRunsPerCore: 8, RunsWindow: time.Second,
+		Classes: []silverpath.Class{{Name: "x", Objective: 20 * time.Second, Deadline: 30 * time.Second, Weight: 1}}}, MemoryMB: 16, Log: quiet, Stats: counters})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/msgpackrpc/front.go
+++ b/internal/msgpackrpc/front.go
@@ -168,7 +168,7 @@
 		c.reply(m.id, c.refusal)
 		return nil
 	}
-	if k, _ := c.core.Class(m.method); !c.slot.Work() && k.Effect != silverpath.Keyed {
+	if k, _ := c.core.Class(m.method); !c.slot.Work() && k.Effect != silverpath.Idempotent {
 		// What is left of the connections is for what is cheap, and a sheet may be: the repeat of one that has run.
 		c.stats.Inc("turned_away", Name, "reserve")
 		c.reply(m.id, core.Answer{Outcome: core.Refused, Wait: c.core.Advice()})
--- a/internal/pair/pair_test.go
+++ b/internal/pair/pair_test.go
@@ -63,8 +63,8 @@
 		t.Fatal(err)
 	}
 	c, err := core.New(core.Config{Name: "n1", MemoryMB: 64, Log: l, Stats: s, Pair: p.Config(func(bool) {}),
-		Settings: silverpath.Settings{Cores: 4, MemoryKB: 1e6, CrowdLimit: 8, Classes: []silverpath.Class{{Name: "oddaja",
-			Aim: 20 * time.Second, Deadline: 30 * time.Second, Worth: 1, Effect: silverpath.Keyed, KeyWindow: 10 * time.Second}}}})
+		Settings: silverpath.Settings{Cores: 4, MemoryKB: 1e6, MaxRunsPerCore: 8, Classes: []silverpath.Class{{Name: "oddaja",
+			Objective: 20 * time.Second, Deadline: 30 * time.Second, Weight: 1, Effect: silverpath.Idempotent, IdempotencyWindow: 10 * time.Second}}}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/pools/pools.go
+++ b/internal/pools/pools.go
@@ -382,7 +382,7 @@
 // all and no pool has starved for longer; one under its claim, where the floors of those that wait stay free; any
 // other, where their claims do: what it gets is lent, and as runs can't be stopped, it is lent only while its owner has
 // nothing waiting.
-func (s *Set) Room(now time.Duration, class string) bool {
+func (s *Set) HasCapacity(now time.Duration, class string) bool {
 	p := s.of(class)
 	room := s.limit - float64(s.onCores)
 	if room < 1 {
@@ -448,7 +448,7 @@
 }
 
 // Slots is the number of runs at once that a class can count on: its claim, and what the others leave.
-func (s *Set) Slots(class string) float64 {
+func (s *Set) Concurrency(class string) float64 {
 	p := s.of(class)
 	others := 0.0
 	for _, q := range s.pools {
@@ -460,7 +460,7 @@
 }
 
 // Line names the line in which a class waits: that of its pool.
-func (s *Set) Line(class string) string { return s.of(class).Name }
+func (s *Set) Queue(class string) string { return s.of(class).Name }
 
 // Limit is the limit on runs on the cores.
 func (s *Set) Limit() float64 { return s.limit }
--- a/internal/pools/pools_test.go
+++ b/internal/pools/pools_test.go
@@ -75,7 +75,7 @@
 // start starts what there is room for, in the module's order; each run takes so long.
 func (h *hall) start(took time.Duration) {
 	for _, class := range h.order {
-		for len(h.hold[class]) > 0 && h.set.Room(h.now, class) {
+		for len(h.hold[class]) > 0 && h.set.HasCapacity(h.now, class) {
 			id := h.hold[class][0]
 			h.hold[class] = h.hold[class][1:]
 			h.set.Moved(h.now, id, class, OnCores)
@@ -210,8 +210,8 @@
 		h.order = append(h.order, "other")
 		h.arrive("other", 1)
 		h.pass(tickSpan, run, nil)
-		if h.used("other") != 1 || h.set.Line("other") != rest {
-			t.Fatalf("%d runs, line %s", h.used("other"), h.set.Line("other"))
+		if h.used("other") != 1 || h.set.Queue("other") != rest {
+			t.Fatalf("%d runs, line %s", h.used("other"), h.set.Queue("other"))
 		}
 	})
 	t.Run("all in one", func(t *testing.T) {
@@ -321,7 +321,7 @@
 			case 2, 3:
 				for _, id := range ids {
 					if places[id] == Waiting {
-						room := set.Room(now, class[id])
+						room := set.HasCapacity(now, class[id])
 						st := set.State(now)
 						p := st.Pools[strings.Index("okl", class[id][:1])]
 						if !room && float64(p.Used) < p.Floor && st.Limit-float64(st.OnCores) >= 1 && set.starving(now) == nil {
--- a/internal/rules/rules_test.go
+++ b/internal/rules/rules_test.go
@@ -200,14 +200,14 @@
 )
 
 var site = silverpath.Settings{
-	Cores: 2, MemoryKB: 20000, RunFactor: 4, KeyKB: 5, CrowdLimit: 8, CrowdWindow: 3 * time.Second,
-	DrainGrace: grace, Advice: true, MaxAdvice: time.Second, Servers: 2, Callers: 2,
+	Cores: 2, MemoryKB: 20000, RunFactor: 4, KeyKB: 5, MaxRunsPerCore: 8, RunsWindow: 3 * time.Second,
+	DrainGrace: grace, RetryAfter: true, MaxRetryAfter: time.Second, Servers: 2, Callers: 2,
 	Signal: silverpath.SignalCredit, Dependency: silverpath.DependencyTier,
 	Classes: []silverpath.Class{
-		{Name: "lestvica", Aim: 1800 * time.Millisecond, Deadline: deadline, Worth: 1, CallsBelow: true},
-		{Name: "oddaja", Aim: 1800 * time.Millisecond, Deadline: deadline, Worth: 3, Effect: silverpath.Keyed,
-			KeyWindow: window, CallsBelow: true},
-		{Name: "zapis", Aim: 1800 * time.Millisecond, Deadline: time.Minute, Worth: 1, LateWorth: 0.5, CallsBelow: true},
+		{Name: "lestvica", Objective: 1800 * time.Millisecond, Deadline: deadline, Weight: 1, CallsDependency: true},
+		{Name: "oddaja", Objective: 1800 * time.Millisecond, Deadline: deadline, Weight: 3, Effect: silverpath.Idempotent,
+			IdempotencyWindow: window, CallsDependency: true},
+		{Name: "zapis", Objective: 1800 * time.Millisecond, Deadline: time.Minute, Weight: 1, LateWeight: 0.5, CallsDependency: true},
 	},
 }
 
@@ -462,7 +462,7 @@
 	}},
 	{"an effect that never ran may run at the next try", func(e *edge) {
 		a := e.send(try{class: "oddaja", key: "k", body: "x"})
-		e.end(e.ran("x")[0], silverpath.Ignored, "")
+		e.end(e.ran("x")[0], silverpath.NotStarted, "")
 		e.one(a, core.Failed, "")
 		b := e.send(try{class: "oddaja", key: "k", body: "x"})
 		e.end(e.ran("x", "x")[1], silverpath.OK, "done")
@@ -527,7 +527,7 @@
 			e.t.Fatal("nothing of 60 requests on 2 cores was refused")
 		}
 		runs := e.engine.seen()
-		if most := site.Cores * int(site.CrowdLimit); len(runs) == 0 || len(runs) > most {
+		if most := site.Cores * int(site.MaxRunsPerCore); len(runs) == 0 || len(runs) > most {
 			e.t.Fatalf("%d runs at once, the server survives %d", len(runs), most)
 		}
 		for _, r := range runs {
--- a/internal/scgi/front.go
+++ b/internal/scgi/front.go
@@ -101,11 +101,11 @@
 	if err == nil {
 		most := f.core.MostBody(f.cfg.MaxBody)
 		if class, known := f.class(m.headers); known {
-			if class.Effect == silverpath.Keyed { // it may be the repeat of a sheet that has run, which is never refused
+			if class.Effect == silverpath.Idempotent { // it may be the repeat of a sheet that has run, which is never refused
 				most = f.cfg.MaxBody
 			}
 			a, refused := f.core.Shut(Name, class.Name)
-			if !refused && !slot.Work() && class.Effect != silverpath.Keyed {
+			if !refused && !slot.Work() && class.Effect != silverpath.Idempotent {
 				// What is left of the connections is for what is cheap, and a sheet may be: the repeat of one that has run.
 				f.stats.Inc("turned_away", Name, "reserve")
 				a, refused = core.Answer{Outcome: core.Refused, Wait: f.core.Advice()}, true
--- a/internal/scgi/scgi_test.go
+++ b/internal/scgi/scgi_test.go
@@ -126,10 +126,10 @@
 }
 
 var site = silverpath.Settings{
-	Cores: 2, MemoryKB: 20000, CrowdLimit: 8, CrowdWindow: time.Second, Advice: true, MaxAdvice: time.Second,
+	Cores: 2, MemoryKB: 20000, MaxRunsPerCore: 8, RunsWindow: time.Second, RetryAfter: true, MaxRetryAfter: time.Second,
 	Classes: []silverpath.Class{
-		{Name: "lestvica", Aim: time.Second, Deadline: 4 * time.Second, Worth: 1},
-		{Name: "oddaja", Aim: time.Second, Deadline: 4 * time.Second, Worth: 3, Effect: silverpath.Keyed, KeyWindow: 10 * time.Second},
+		{Name: "lestvica", Objective: time.Second, Deadline: 4 * time.Second, Weight: 1},
+		{Name: "oddaja", Objective: time.Second, Deadline: 4 * time.Second, Weight: 3, Effect: silverpath.Idempotent, IdempotencyWindow: 10 * time.Second},
 	},
 }
 
--- a/internal/scgi/upstream.go
+++ b/internal/scgi/upstream.go
@@ -97,7 +97,7 @@
 		u.stats.Inc("upstream", "unreachable")
 		events.Say(u.log, "upstream.unreachable", err)
 		if errors.Is(err, syscall.ECONNREFUSED) {
-			return silverpath.Ignored, nil // proof that nothing ran
+			return silverpath.NotStarted, nil // proof that nothing ran
 		}
 		return silverpath.Failed, nil
 	}
--- a/internal/service/apart_test.go
+++ b/internal/service/apart_test.go
@@ -73,12 +73,12 @@
 		return list
 	}
 	one := start(t, func(c *silverpath.Settings) {
-		c.Classes = append(c.Classes, silverpath.Class{Name: "mark", Aim: 10 * time.Second, Deadline: 30 * time.Second, Worth: 1,
-			Effect: silverpath.Keyed, KeyWindow: time.Minute})
+		c.Classes = append(c.Classes, silverpath.Class{Name: "mark", Objective: 10 * time.Second, Deadline: 30 * time.Second, Weight: 1,
+			Effect: silverpath.Idempotent, IdempotencyWindow: time.Minute})
 		c.Tenants = tenants("north", "both")
 	})
 	two := start(t, func(c *silverpath.Settings) {
-		c.Classes = append(c.Classes, silverpath.Class{Name: "mark", Aim: 10 * time.Second, Deadline: 30 * time.Second, Worth: 1})
+		c.Classes = append(c.Classes, silverpath.Class{Name: "mark", Objective: 10 * time.Second, Deadline: 30 * time.Second, Weight: 1})
 		c.Tenants = tenants("south", "both")
 	})
 	try := func(s *Service, n int) {
@@ -100,7 +100,7 @@
 	// One takes up settings in which the classes stand in another order and a tenant is gone; the other notices nothing.
 	next := one.cfg
 	next.Server.Classes = []silverpath.Class{
-		{Name: "new", Aim: 10 * time.Second, Deadline: 30 * time.Second, Worth: 5}, one.cfg.Server.Classes[1], one.cfg.Server.Classes[0]}
+		{Name: "new", Objective: 10 * time.Second, Deadline: 30 * time.Second, Weight: 5}, one.cfg.Server.Classes[1], one.cfg.Server.Classes[0]}
 	next.Server.Tenants = tenants("both", "east")
 	if err := one.Reload(next); err != nil {
 		t.Fatal(err)
--- a/internal/service/operate_test.go
+++ b/internal/service/operate_test.go
@@ -169,8 +169,8 @@
 	cfgs, errs := make(chan settings.Config, 8), make(chan error, 8)
 	load := func() (settings.Config, error) { return <-cfgs, <-errs }
 	signals, out, done := Signals{make(chan os.Signal, 1), make(chan os.Signal, 8)}, &output{}, make(chan error, 1)
-	sheet := silverpath.Class{Name: "oddaja", Aim: 10 * time.Second, Deadline: 30 * time.Second, Worth: 1,
-		Effect: silverpath.Keyed, KeyWindow: 20 * time.Second}
+	sheet := silverpath.Class{Name: "oddaja", Objective: 10 * time.Second, Deadline: 30 * time.Second, Weight: 1,
+		Effect: silverpath.Idempotent, IdempotencyWindow: 20 * time.Second}
 	cfg := config(vm)
 	cfg.Server.Classes = append(cfg.Server.Classes, sheet)
 	cfg.Stop = 3 * time.Second
@@ -202,7 +202,7 @@
 	expect("before", ask("krog", "", "a"), "", "A")
 
 	next := cfg
-	next.Server.Classes = []silverpath.Class{{Name: "krog-next", Aim: time.Second, Deadline: 5 * time.Second, Worth: 1}, sheet}
+	next.Server.Classes = []silverpath.Class{{Name: "krog-next", Objective: time.Second, Deadline: 5 * time.Second, Weight: 1}, sheet}
 	next.Server.Classes[1].Name = "oddaja-next"
 	cfgs <- next
 	errs <- nil
--- a/internal/service/rules.go
+++ b/internal/service/rules.go
@@ -76,8 +76,8 @@
 	for i, k := range now.Classes {
 		for _, old := range s.cfg.Server.Classes {
 			if old.Name == k.Name {
-				window, until := rulebook.Window(old.KeyWindow, k.KeyWindow, max(old.Deadline, k.Deadline))
-				now.Classes[i].KeyWindow, wait = window, max(wait, until)
+				window, until := rulebook.Window(old.IdempotencyWindow, k.IdempotencyWindow, max(old.Deadline, k.Deadline))
+				now.Classes[i].IdempotencyWindow, wait = window, max(wait, until)
 			}
 		}
 	}
@@ -108,8 +108,8 @@
 func (s *Service) worth() (w rulebook.Worth) {
 	for _, k := range s.core.Classes() {
 		for _, front := range []string{msgpackrpc.Name, scgi.Name} {
-			w.Asked += k.Worth * float64(s.stats.Get("read", front, k.Name))
-			w.Served += k.Worth * float64(s.stats.Get("answered", front, k.Name, core.Served.String()))
+			w.Asked += k.Weight * float64(s.stats.Get("read", front, k.Name))
+			w.Served += k.Weight * float64(s.stats.Get("answered", front, k.Name, core.Served.String()))
 		}
 	}
 	return w
--- a/internal/service/service_test.go
+++ b/internal/service/service_test.go
@@ -101,8 +101,8 @@
 		Gauges: []string{"core_use", "on_cores", "heap_share", "links"},
 		SCGI:   settings.SCGI{Listen: "127.0.0.1:0", MaxBody: 64, HeldKB: 1},
 		Server: silverpath.Settings{
-			Cores: 2, MemoryKB: 10000, CrowdLimit: 8, CrowdWindow: time.Second, DrainGrace: 15 * time.Second,
-			Classes: []silverpath.Class{{Name: "krog", Aim: 10 * time.Second, Deadline: 30 * time.Second, Worth: 1}},
+			Cores: 2, MemoryKB: 10000, MaxRunsPerCore: 8, RunsWindow: time.Second, DrainGrace: 15 * time.Second,
+			Classes: []silverpath.Class{{Name: "krog", Objective: 10 * time.Second, Deadline: 30 * time.Second, Weight: 1}},
 		},
 	}
 }
--- a/internal/settings/config.go
+++ b/internal/settings/config.go
@@ -247,13 +247,13 @@
 type silent struct{}
 
 func (silent) Run(string)                         {}
-func (silent) Refuse(string, time.Duration, bool) {}
+func (silent) Reject(string, time.Duration, bool) {}
 func (silent) Fail(string)                        {}
 func (silent) Join(string)                        {}
 func (silent) Stop(string)                        {}
 func (silent) Call(string, time.Duration)         {}
 func (silent) SkipCall(string)                    {}
-func (silent) KeepKey(string, time.Duration)      {}
+func (silent) RememberKey(string, time.Duration)  {}
 func (silent) ForgetKey(string)                   {}
 func (silent) Health(bool)                        {}
 func (silent) Signal(float64)                     {}
--- a/internal/settings/rules.go
+++ b/internal/settings/rules.go
@@ -91,7 +91,7 @@
 		class := readClass(c)
 		for _, old := range was {
 			if old.Name == class.Name {
-				class.CallsBelow, class.WithoutCall = old.CallsBelow, old.WithoutCall
+				class.CallsDependency, class.DegradedWeight = old.CallsDependency, old.DegradedWeight
 			}
 		}
 		switch {
@@ -101,7 +101,7 @@
 			c.fail("name", "%q given twice", class.Name)
 		case class.Deadline <= 0:
 			c.fail("deadline", "not above 0")
-		case class.Effect == silverpath.Keyed && class.KeyWindow <= 0:
+		case class.Effect == silverpath.Idempotent && class.IdempotencyWindow <= 0:
 			c.fail("memory_span", "not above 0")
 		}
 		site.Classes = append(site.Classes, class)
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -155,18 +155,18 @@
 	s := silverpath.Settings{
 		Cores: int(f.integer("cpus")), MemoryKB: f.number("memory_kb"),
 		RunFactor: f.number("run_factor"), KeyKB: f.number("key_kb"),
-		Cold: f.flag("cold"), ColdFrom: rules.number("cold_from"), WarmWithin: rules.micros("warm_within"),
-		CrowdLimit: rules.number("fall_multiple"), CrowdWindow: rules.micros("overload_for"),
-		DrainGrace:  rules.micros("drain_grace"),
-		WorthByWork: p.text("worth_by") == "work", OverShareWorth: 1,
+		Cold: f.flag("cold"), ColdSpeed: rules.number("cold_from"), WarmupTime: rules.micros("warm_within"),
+		MaxRunsPerCore: rules.number("fall_multiple"), RunsWindow: rules.micros("overload_for"),
+		DrainGrace:   rules.micros("drain_grace"),
+		WeightByWork: p.text("worth_by") == "work", OverQuotaWeight: 1,
 		Servers: int(p.integer("servers")), Callers: int(f.integer("callers")), Tier: int(p.integer("tier")),
-		FreshFor: f.micros("fresh_for"),
-		Advice:   limits.flag("retry_after"), MaxAdvice: limits.micros("max_retry_after"),
-		CallShare: f.number("dep_share"), CallWindow: f.micros("dep_window"), CallLinger: f.micros("linger"),
+		FreshFor:   f.micros("fresh_for"),
+		RetryAfter: limits.flag("retry_after"), MaxRetryAfter: limits.micros("max_retry_after"),
+		CallQuota: f.number("dep_share"), CallWindow: f.micros("dep_window"), CallLinger: f.micros("linger"),
 		Readiness: f.flag("readiness"), KeepAlive: f.micros("keepalive_max"),
 		MarksRetries: p.object("client_habits").flag("marks_retry"),
-		Halt: word(f, "preemption", map[string]silverpath.Halt{
-			"none": silverpath.HaltNone, "drop": silverpath.HaltDrop, "pause": silverpath.HaltPause}),
+		Preemption: word(f, "preemption", map[string]silverpath.Preemption{
+			"none": silverpath.PreemptNone, "drop": silverpath.PreemptDrop, "pause": silverpath.PreemptPause}),
 		Signal: word(f, "say", map[string]silverpath.Signal{
 			"none": silverpath.SignalNone, "level": silverpath.SignalLevel,
 			"credit": silverpath.SignalCredit, "weight": silverpath.SignalWeight}),
@@ -175,7 +175,7 @@
 			"tier": silverpath.DependencyTier}),
 	}
 	if p.get("over_share_worth", fastjson.TypeNumber) != nil {
-		s.OverShareWorth = p.number("over_share_worth")
+		s.OverQuotaWeight = p.number("over_share_worth")
 	}
 	mix, total := p.object("scoring_mix"), 0.0
 	for _, part := range []string{"whole", "worst_class", "worst_tenant", "worst_window"} {
@@ -196,10 +196,10 @@
 	p.each("classes", func(i int, c fields) {
 		class := readClass(c)
 		if len(calls) > 0 {
-			class.CallsBelow = calls[i].GetBool()
+			class.CallsDependency = calls[i].GetBool()
 		}
 		if len(without) > 0 {
-			class.WithoutCall = without[i].GetFloat64()
+			class.DegradedWeight = without[i].GetFloat64()
 		}
 		s.Classes = append(s.Classes, class)
 	})
@@ -215,11 +215,11 @@
 
 func readClass(c fields) silverpath.Class {
 	return silverpath.Class{
-		Name: c.text("name"), Aim: c.micros("target"), AimStretch: c.number("aim_stretch"),
-		Deadline: c.micros("deadline"), Worth: c.number("worth"), LateWorth: c.number("late_worth"),
+		Name: c.text("name"), Objective: c.micros("target"), ObjectiveStretch: c.number("aim_stretch"),
+		Deadline: c.micros("deadline"), Weight: c.number("worth"), LateWeight: c.number("late_worth"),
 		Effect: word(c, "effect", map[string]silverpath.Effect{
-			"pure": silverpath.Safe, "token": silverpath.Keyed, "side_effect": silverpath.Unsafe}),
-		KeyWindow: c.micros("memory_span"),
+			"pure": silverpath.Safe, "token": silverpath.Idempotent, "side_effect": silverpath.NonIdempotent}),
+		IdempotencyWindow: c.micros("memory_span"),
 	}
 }
 
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -28,9 +28,9 @@
 		t.Errorf("%+v", c)
 	}
 	s := c.Server
-	if s.Cores != 2 || s.MemoryKB != 10000.5 || !s.Cold || s.Signal != silverpath.SignalCredit || !s.Advice ||
-		s.Dependency != silverpath.DependencyTier || s.ClassMix != 0.2 || s.OverShareWorth != 1 ||
-		s.Classes[1].Effect != silverpath.Keyed || s.Classes[1].KeyWindow != 9*time.Second || !s.Classes[0].CallsBelow ||
+	if s.Cores != 2 || s.MemoryKB != 10000.5 || !s.Cold || s.Signal != silverpath.SignalCredit || !s.RetryAfter ||
+		s.Dependency != silverpath.DependencyTier || s.ClassMix != 0.2 || s.OverQuotaWeight != 1 ||
+		s.Classes[1].Effect != silverpath.Idempotent || s.Classes[1].IdempotencyWindow != 9*time.Second || !s.Classes[0].CallsDependency ||
 		s.Tenants[0].Rate != 12.5 {
 		t.Errorf("%+v", s)
 	}
--- a/internal/settings/shape.go
+++ b/internal/settings/shape.go
@@ -70,7 +70,7 @@
 		if k.Name == "" {
 			return fmt.Errorf("settings.classes[%d].name: missing", i)
 		}
-		if k.Effect == silverpath.Keyed && k.KeyWindow <= 0 {
+		if k.Effect == silverpath.Idempotent && k.IdempotencyWindow <= 0 {
 			return fmt.Errorf("settings.classes[%d].memory_span: not above 0", i)
 		}
 	}
--- a/internal/slowstart/slowstart.go
+++ b/internal/slowstart/slowstart.go
@@ -27,11 +27,11 @@
 // Whole is the number of requests that a server takes at once, so long after its start, and whether it is cold. It is what
 // the module survives on the cores then.
 func Whole(set silverpath.Settings, up time.Duration) (whole float64, cold bool) {
-	if !set.Cold || up >= set.WarmWithin {
+	if !set.Cold || up >= set.WarmupTime {
 		return 0, false
 	}
-	speed := set.ColdFrom + (1-set.ColdFrom)*max(0, up.Seconds())/set.WarmWithin.Seconds()
-	return margin * float64(set.Cores) * (1 + (set.CrowdLimit-1)*speed), true
+	speed := set.ColdSpeed + (1-set.ColdSpeed)*max(0, up.Seconds())/set.WarmupTime.Seconds()
+	return margin * float64(set.Cores) * (1 + (set.MaxRunsPerCore-1)*speed), true
 }
 
 // Server shares out what a server takes.
--- a/internal/slowstart/slowstart_test.go
+++ b/internal/slowstart/slowstart_test.go
@@ -10,7 +10,7 @@
 	"silverpath"
 )
 
-var settings = silverpath.Settings{Cores: 6, CrowdLimit: 8, Cold: true, ColdFrom: 0.25, WarmWithin: 12 * time.Second}
+var settings = silverpath.Settings{Cores: 6, MaxRunsPerCore: 8, Cold: true, ColdSpeed: 0.25, WarmupTime: 12 * time.Second}
 
 func TestWhole(t *testing.T) {
 	for up, want := range map[time.Duration]float64{-time.Second: 0.9 * 6 * 2.75, 0: 0.9 * 6 * 2.75, 6 * time.Second: 0.9 * 6 * 5.375} {
@@ -23,7 +23,7 @@
 	if _, cold := Whole(warm, 0); cold {
 		t.Error("cold though it is not")
 	}
-	if _, cold := Whole(settings, settings.WarmWithin); cold {
+	if _, cold := Whole(settings, settings.WarmupTime); cold {
 		t.Error("cold for longer than told")
 	}
 }
--- a/internal/snmp/snmp_test.go
+++ b/internal/snmp/snmp_test.go
@@ -227,7 +227,7 @@
 func TestPools(t *testing.T) {
 	set := pools.Config{Pools: []pools.Pool{{Name: "sheets", Classes: []string{"oddaja"}, Weight: 1, Floor: 0.5}}}
 	c, err := core.New(core.Config{MemoryMB: 64, Pools: &set, Log: log.New(io.Discard, "", 0), Settings: silverpath.Settings{
-		Cores: 4, MemoryKB: 1000, CrowdLimit: 8, Classes: []silverpath.Class{{Name: "oddaja", Deadline: time.Second, Worth: 1}}}})
+		Cores: 4, MemoryKB: 1000, MaxRunsPerCore: 8, Classes: []silverpath.Class{{Name: "oddaja", Deadline: time.Second, Weight: 1}}}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/vault/vault.go
+++ b/internal/vault/vault.go
@@ -125,7 +125,7 @@
 	case status == 503 && unseen:
 		return silverpath.Overloaded
 	case status == 409 && unseen:
-		return silverpath.Ignored
+		return silverpath.NotStarted
 	case status == 504:
 		return silverpath.TimedOut
 	}
--- a/internal/vault/vault_test.go
+++ b/internal/vault/vault_test.go
@@ -65,7 +65,7 @@
 		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2;x=1\r\nok\r\n0\r\n\r\n": silverpath.OK,
 		"HTTP/1.1 503 Busy\r\nX-Refused-Unseen: 1\r\nContent-Length: 0\r\n\r\n":         silverpath.Overloaded,
 		"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n":                                silverpath.Failed,
-		"HTTP/1.1 409 Conflict\r\nx-refused-unseen:1\r\nContent-Length: 0\r\n\r\n":      silverpath.Ignored,
+		"HTTP/1.1 409 Conflict\r\nx-refused-unseen:1\r\nContent-Length: 0\r\n\r\n":      silverpath.NotStarted,
 		"HTTP/1.1 500 Error\r\nContent-Length: 0\r\n\r\n":                               silverpath.Failed,
 		"HTTP/1.1 504 Timeout\r\nContent-Length: 0\r\n\r\n":                             silverpath.TimedOut,
 		"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\ncut":                               silverpath.Disconnected,
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -133,7 +133,7 @@
 var outcomes = map[string]silverpath.Outcome{
 	"Ok": silverpath.OK, "Failed": silverpath.Failed, "QueueFull": silverpath.Overloaded,
 	"TimedOut": silverpath.TimedOut, "ConnectError": silverpath.Unreachable, "ResetByPeer": silverpath.Disconnected,
-	"Canceled": silverpath.Canceled, "Ignored": silverpath.Ignored,
+	"Canceled": silverpath.Canceled, "Ignored": silverpath.NotStarted,
 }
 
 func (d *decoder) outcome() silverpath.Outcome {
@@ -147,18 +147,18 @@
 
 func (d *decoder) request() silverpath.Request {
 	return silverpath.Request{
-		ID:       d.text("corr"),
-		Class:    d.text("class"),
-		Tenant:   d.optional("account"),
-		Key:      d.optional("target_key"),
-		Repeats:  d.optional("repeats"),
-		Caller:   int(d.integer("from", false)),
-		HeldKB:   d.number("footprint", true),
-		Unread:   d.micros("unread_for", false),
-		Deadline: d.micros("drop_dead", false),
-		Work:     d.micros("expected", false),
-		Retry:    d.flag("again_by_client"),
-		Rank:     d.number("standing", false),
+		ID:           d.text("corr"),
+		Class:        d.text("class"),
+		Tenant:       d.optional("account"),
+		Key:          d.optional("target_key"),
+		DuplicateOf:  d.optional("repeats"),
+		Caller:       int(d.integer("from", false)),
+		QueuedKB:     d.number("footprint", true),
+		Unread:       d.micros("unread_for", false),
+		Deadline:     d.micros("drop_dead", false),
+		ExpectedWork: d.micros("expected", false),
+		Retry:        d.flag("again_by_client"),
+		Rank:         d.number("standing", false),
 	}
 }
 
@@ -335,7 +335,7 @@
 		return func() { shedder.Arrive(now, r) }
 	case "CANCELLED_BY_CLIENT":
 		id := d.text("corr")
-		return func() { shedder.Gone(now, id) }
+		return func() { shedder.Cancelled(now, id) }
 	case "WOUND_UP":
 		id, outcome, spent := d.text("corr"), d.outcome(), d.micros("spent", false)
 		return func() { shedder.RunEnded(now, id, outcome, spent) }
@@ -410,7 +410,7 @@
 
 func (h *host) Run(id string) { h.act("EXECUTE", id, "") }
 
-func (h *host) Refuse(id string, after time.Duration, final bool) {
+func (h *host) Reject(id string, after time.Duration, final bool) {
 	rest := ""
 	if after > 0 {
 		rest = micros("not_before_for", after)
@@ -427,9 +427,9 @@
 func (h *host) Call(id string, patience time.Duration) {
 	h.act("ASK_BELOW", id, micros("patience", patience))
 }
-func (h *host) SkipCall(id string)                 { h.act("DO_WITHOUT", id, "") }
-func (h *host) KeepKey(id string, d time.Duration) { h.act("STORE_KEY", id, micros("hold_for", d)) }
-func (h *host) ForgetKey(id string)                { h.act("DROP_KEY", id, "") }
+func (h *host) SkipCall(id string)                     { h.act("DO_WITHOUT", id, "") }
+func (h *host) RememberKey(id string, d time.Duration) { h.act("STORE_KEY", id, micros("hold_for", d)) }
+func (h *host) ForgetKey(id string)                    { h.act("DROP_KEY", id, "") }
 
 func (h *host) Health(good bool) {
 	h.server.write(h.who, "REPORT_HEALTH"+bit("shallow", true)+bit("enable", good))
--- a/pools_test.go
+++ b/pools_test.go
@@ -18,15 +18,15 @@
 
 func (o *open) Moved(time.Duration, string, string, Place) { o.moves++ }
 func (o *open) Tick(time.Duration, float64, Gauges)        {}
-func (o *open) Room(time.Duration, string) bool            { return true }
+func (o *open) HasCapacity(time.Duration, string) bool     { return true }
 func (o *open) Admits(string) bool                         { return true }
-func (o *open) Slots(string) float64                       { return o.s.runCap() }
-func (o *open) Line(string) string                         { return "" }
+func (o *open) Concurrency(string) float64                 { return o.s.runCap() }
+func (o *open) Queue(string) string                        { return "" }
 
 // evening plays recorded events, the same for a seed, and returns what the module asked for. With few in hand the
 // bound on the crowd, for which pools have a line each instead, is not met.
 func evening(t *testing.T, seed uint64, busy bool, use func(*Shedder)) []string {
-	s, h := start(t, func(set *Settings) { set.MemoryKB = 40000; set.Halt = HaltNone })
+	s, h := start(t, func(set *Settings) { set.MemoryKB = 40000; set.Preemption = PreemptNone })
 	if use != nil {
 		use(s)
 	}
@@ -45,7 +45,7 @@
 			id := fmt.Sprint("r", seq)
 			live = append(live, id)
 			s.Arrive(now, Request{
-				ID: id, Class: []string{"read", "book", "pay"}[rng.IntN(3)], HeldKB: 1 + 40*rng.Float64(),
+				ID: id, Class: []string{"read", "book", "pay"}[rng.IntN(3)], QueuedKB: 1 + 40*rng.Float64(),
 				Deadline: now + time.Duration(200+rng.IntN(4000))*time.Millisecond, Rank: rng.Float64(),
 			})
 		case k < 7 && len(live) > 0:
@@ -54,13 +54,13 @@
 				if rng.IntN(4) == 0 {
 					s.NeedsCall(now, r.ID)
 				} else {
-					s.RunEnded(now, r.ID, []Outcome{OK, OK, OK, Failed, Ignored}[rng.IntN(5)], 50*time.Millisecond)
+					s.RunEnded(now, r.ID, []Outcome{OK, OK, OK, Failed, NotStarted}[rng.IntN(5)], 50*time.Millisecond)
 				}
 			} else if r != nil && r.state == calling {
 				s.CallEnded(now, r.ID, []Outcome{OK, OK, TimedOut, Overloaded}[rng.IntN(4)], 20*time.Millisecond)
 			}
 		case k == 7 && len(live) > 0:
-			s.Gone(now, live[rng.IntN(len(live))])
+			s.Cancelled(now, live[rng.IntN(len(live))])
 		default:
 			s.Tick(now, Gauges{CPU: rng.Float64(), OnCores: float64(rng.IntN(6))})
 		}
@@ -91,7 +91,7 @@
 	for seed := range uint64(5) {
 		var o *open
 		without := evening(t, seed, false, nil)
-		with := evening(t, seed, false, func(s *Shedder) { o = &open{s: s}; s.Use(o) })
+		with := evening(t, seed, false, func(s *Shedder) { o = &open{s: s}; s.UsePools(o) })
 		if digest(without) != digest(with) {
 			t.Errorf("seed %d: the actions differ", seed)
 		}
@@ -107,27 +107,27 @@
 	class string
 }
 
-func (p *shut) Room(_ time.Duration, class string) bool { return class != p.class }
-func (p *shut) Slots(class string) float64 {
+func (p *shut) HasCapacity(_ time.Duration, class string) bool { return class != p.class }
+func (p *shut) Concurrency(class string) float64 {
 	if class == p.class {
 		return 0.3
 	}
 	return p.s.runCap()
 }
-func (p *shut) Line(class string) string { return class }
+func (p *shut) Queue(class string) string { return class }
 
 // A class whose pool has no room waits while others run past it, and what its pool can't run in time is refused at
 // once, on arrival.
 func TestPoolHoldsBack(t *testing.T) {
 	s, h := start(t, func(set *Settings) { set.MemoryKB = 100000 })
-	s.Use(&shut{open{s: s}, "book"})
-	s.Arrive(1, Request{ID: "b1", Class: "book", HeldKB: 1, Work: 100 * time.Millisecond})
-	s.Arrive(2, Request{ID: "r1", Class: "read", HeldKB: 1, Work: 100 * time.Millisecond})
+	s.UsePools(&shut{open{s: s}, "book"})
+	s.Arrive(1, Request{ID: "b1", Class: "book", QueuedKB: 1, ExpectedWork: 100 * time.Millisecond})
+	s.Arrive(2, Request{ID: "r1", Class: "read", QueuedKB: 1, ExpectedWork: 100 * time.Millisecond})
 	if h.did("run b1") || !h.did("run r1") || h.did("refuse b1") {
 		t.Fatalf("%v", h.lines)
 	}
 	for i := range 30 {
-		s.Arrive(3, Request{ID: fmt.Sprint("c", i), Class: "book", HeldKB: 1, Work: 100 * time.Millisecond})
+		s.Arrive(3, Request{ID: fmt.Sprint("c", i), Class: "book", QueuedKB: 1, ExpectedWork: 100 * time.Millisecond})
 	}
 	if n := h.count("refuse"); n < 28 || h.did("refuse b1") {
 		t.Errorf("%d of 30 that can't make their aim were refused on arrival: %v", n, h.lines)
@@ -137,13 +137,13 @@
 // What is turned away unread counts as refused: the ordinary path and what callers are told see it.
 func TestShed(t *testing.T) {
 	s, _ := start(t, func(set *Settings) { set.Signal = SignalCredit })
-	s.Shed(time.Second, "read", 100)
-	s.Shed(time.Second, "nothing", 100)
+	s.RejectedUnread(time.Second, "read", 100)
+	s.RejectedUnread(time.Second, "nothing", 100)
 	if s.read != 100 || s.shed != 100 || s.refused[byForecast] != 100 || s.byName["read"].asked <= 0 {
 		t.Errorf("read %v, shed %v, refused %v", s.read, s.shed, s.refused)
 	}
 	for range 40 {
-		s.Shed(s.now+tickEvery, "read", 100)
+		s.RejectedUnread(s.now+tickEvery, "read", 100)
 		s.Tick(s.now, Gauges{})
 	}
 	if s.pressure < 0.4 {
@@ -157,13 +157,13 @@
 	for _, n := range []int{10, 100, 1000, 4000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			set, h := settings(), &script{}
-			set.MemoryKB, set.Classes[0].Aim, set.Classes[0].Deadline, set.CrowdLimit = 1e9, time.Hour, time.Hour, 10000
+			set.MemoryKB, set.Classes[0].Objective, set.Classes[0].Deadline, set.MaxRunsPerCore = 1e9, time.Hour, time.Hour, 10000
 			s, err := New(0, set, h)
 			if err != nil {
 				b.Fatal(err)
 			}
 			for i := range n {
-				s.Arrive(1, Request{ID: fmt.Sprint(i), Class: "read", HeldKB: 1, Work: time.Millisecond})
+				s.Arrive(1, Request{ID: fmt.Sprint(i), Class: "read", QueuedKB: 1, ExpectedWork: time.Millisecond})
 			}
 			for b.Loop() {
 				s.plan()
--- a/record.go
+++ b/record.go
@@ -127,11 +127,11 @@
 func (s *Shedder) kb(r *request) float64 {
 	switch r.state {
 	case held, joining:
-		return r.HeldKB
+		return r.QueuedKB
 	case over:
 		return 0
 	}
-	return r.HeldKB * s.set.RunFactor
+	return r.QueuedKB * s.set.RunFactor
 }
 
 // had is the time on the cores that a request has had.
@@ -168,7 +168,7 @@
 	if s.pools == nil {
 		return ""
 	}
-	return s.pools.Line(r.class.Name)
+	return s.pools.Queue(r.class.Name)
 }
 
 // slots is the number of runs at once that a request's line has.
@@ -176,7 +176,7 @@
 	if s.pools == nil {
 		return s.runCap()
 	}
-	return s.pools.Slots(r.class.Name)
+	return s.pools.Concurrency(r.class.Name)
 }
 
 // onCores is the number of runs on the cores, or waiting for disk.
--- a/settings.go
+++ b/settings.go
@@ -28,13 +28,13 @@
 		}
 	}
 	numbers := []number{
-		{"MemoryKB", set.MemoryKB}, {"RunFactor", set.RunFactor}, {"KeyKB", set.KeyKB}, {"ColdFrom", set.ColdFrom},
-		{"CrowdLimit", set.CrowdLimit}, {"OverShareWorth", set.OverShareWorth}, {"ClassMix", set.ClassMix},
-		{"CallShare", set.CallShare},
+		{"MemoryKB", set.MemoryKB}, {"RunFactor", set.RunFactor}, {"KeyKB", set.KeyKB}, {"ColdFrom", set.ColdSpeed},
+		{"CrowdLimit", set.MaxRunsPerCore}, {"OverShareWorth", set.OverQuotaWeight}, {"ClassMix", set.ClassMix},
+		{"CallShare", set.CallQuota},
 	}
 	times := []duration{
-		{"WarmWithin", set.WarmWithin}, {"CrowdWindow", set.CrowdWindow}, {"DrainGrace", set.DrainGrace},
-		{"FreshFor", set.FreshFor}, {"MaxAdvice", set.MaxAdvice}, {"CallWindow", set.CallWindow},
+		{"WarmWithin", set.WarmupTime}, {"CrowdWindow", set.RunsWindow}, {"DrainGrace", set.DrainGrace},
+		{"FreshFor", set.FreshFor}, {"MaxAdvice", set.MaxRetryAfter}, {"CallWindow", set.CallWindow},
 		{"CallLinger", set.CallLinger}, {"KeepAlive", set.KeepAlive},
 	}
 	seen := map[string]bool{}
@@ -47,10 +47,10 @@
 		if c.Deadline <= 0 {
 			return fmt.Errorf("%sDeadline: none", at)
 		}
-		numbers = append(numbers, number{at + "AimStretch", c.AimStretch}, number{at + "Worth", c.Worth},
-			number{at + "LateWorth", c.LateWorth}, number{at + "WithoutCall", c.WithoutCall})
-		times = append(times, duration{at + "Aim", c.Aim}, duration{at + "Deadline", c.Deadline},
-			duration{at + "KeyWindow", c.KeyWindow})
+		numbers = append(numbers, number{at + "AimStretch", c.ObjectiveStretch}, number{at + "Worth", c.Weight},
+			number{at + "LateWorth", c.LateWeight}, number{at + "WithoutCall", c.DegradedWeight})
+		times = append(times, duration{at + "Aim", c.Objective}, duration{at + "Deadline", c.Deadline},
+			duration{at + "KeyWindow", c.IdempotencyWindow})
 	}
 	for i, t := range set.Tenants {
 		numbers = append(numbers, number{fmt.Sprintf("Tenants[%d].Rate", i), t.Rate})
@@ -65,7 +65,7 @@
 			return fmt.Errorf("%s: negative, or longer than a year: %v", d.field, d.value)
 		}
 	}
-	set.CrowdLimit = max(1, set.CrowdLimit)
+	set.MaxRunsPerCore = max(1, set.MaxRunsPerCore)
 	set.RunFactor = max(1, set.RunFactor)
 	return nil
 }
--- a/shedder.go
+++ b/shedder.go
@@ -93,7 +93,7 @@
 	classes, tenants, servers := s.byName, s.tenants, max(1, s.set.Servers)
 	s.classes, s.byName, s.tenants = nil, map[string]*class{}, map[string]*window.TokenBucket{}
 	for _, c := range set.Classes {
-		k := &class{c, &seen{weight: c.Worth, times: window.NewRolling(windowBuckets, windowSpan/windowBuckets)}}
+		k := &class{c, &seen{weight: c.Weight, times: window.NewRolling(windowBuckets, windowSpan/windowBuckets)}}
 		if old := classes[c.Name]; old != nil {
 			k.seen = old.seen
 		}
@@ -110,7 +110,7 @@
 }
 
 // Use gives the module pools as one more guard. It is called before the first request.
-func (s *Shedder) Use(p Pools) { s.pools = p }
+func (s *Shedder) UsePools(p Pools) { s.pools = p }
 
 // ---- Events ----
 
@@ -123,7 +123,7 @@
 
 // Retune takes up other settings, whole or not at all. Requests in hand keep the class they came with; one
 // that comes back under a name that was dropped starts clean. The server started when it did, as before.
-func (s *Shedder) Retune(now time.Duration, set Settings) error {
+func (s *Shedder) Reconfigure(now time.Duration, set Settings) error {
 	s.at(now)
 	if err := check(&set); err != nil {
 		return fmt.Errorf("silverpath: impossible settings: %w", err)
@@ -144,7 +144,7 @@
 	}
 	c := s.byName[q.Class]
 	if c == nil {
-		s.host.Refuse(q.ID, 0, true)
+		s.host.Reject(q.ID, 0, true)
 		return
 	}
 	if s.keys.has(q.ID) {
@@ -153,7 +153,7 @@
 	}
 	r := s.record(q, c)
 	switch {
-	case r.Repeats != "" && (c.Effect == Keyed || c.Effect == Safe && s.set.FreshFor > 0):
+	case r.DuplicateOf != "" && (c.Effect == Idempotent || c.Effect == Safe && s.set.FreshFor > 0):
 		s.join(r)
 	case s.overloaded(c):
 		s.refuse(r, byFlight)
@@ -170,7 +170,7 @@
 }
 
 // Shed reports that so many requests of a class were turned away unread, as those just before them had been.
-func (s *Shedder) Shed(now time.Duration, class string, n int) {
+func (s *Shedder) RejectedUnread(now time.Duration, class string, n int) {
 	s.at(now)
 	if c := s.byName[class]; c != nil && n > 0 {
 		s.read, s.shed = s.read+float64(n), s.shed+float64(n)
@@ -180,7 +180,7 @@
 }
 
 // Gone reports that nobody waits for the request any more.
-func (s *Shedder) Gone(now time.Duration, id string) {
+func (s *Shedder) Cancelled(now time.Duration, id string) {
 	s.at(now)
 	r := s.byID[id]
 	if r == nil || r.answered {
@@ -192,7 +192,7 @@
 	case held, paused, joining:
 		s.finish(r)
 	case running:
-		if r.class.Effect != Keyed { // a later try of a keyed request takes its result
+		if r.class.Effect != Idempotent { // a later try of a keyed request takes its result
 			s.halt(r)
 		}
 	}
@@ -255,16 +255,16 @@
 			}
 		}
 		s.finish(r)
-	case o == Ignored && !r.answered: // it never ran: neither a pass nor work that was asked for
+	case o == NotStarted && !r.answered: // it never ran: neither a pass nor work that was asked for
 		r.ran = false
 		r.class.asked = max(0, r.class.asked-r.size)
 		s.forget(r)
 		s.finish(r)
 	case r.answered:
 		s.finish(r)
-	case s.set.Halt == HaltDrop && r.class.Effect != Safe:
+	case s.set.Preemption == PreemptDrop && r.class.Effect != Safe:
 		s.fail(r) // its work is lost and it must not run again
-	case s.set.Halt == HaltPause:
+	case s.set.Preemption == PreemptPause:
 		s.move(r, paused)
 	default:
 		r.used = 0
@@ -469,16 +469,16 @@
 
 // speed is the share of its speed that the server has at least, as told.
 func (s *Shedder) speed() float64 {
-	if !s.set.Cold || s.now-s.started >= s.set.WarmWithin {
+	if !s.set.Cold || s.now-s.started >= s.set.WarmupTime {
 		return 1
 	}
-	warm := (s.now - s.started).Seconds() / s.set.WarmWithin.Seconds()
-	return max(0.01, s.set.ColdFrom+(1-s.set.ColdFrom)*warm)
+	warm := (s.now - s.started).Seconds() / s.set.WarmupTime.Seconds()
+	return max(0.01, s.set.ColdSpeed+(1-s.set.ColdSpeed)*warm)
 }
 
 // crowd is the number of runs on the cores that the server survives now, with a margin.
 func (s *Shedder) crowd() float64 {
-	return margin * float64(s.set.Cores) * (1 + (s.set.CrowdLimit-1)*s.speed())
+	return margin * float64(s.set.Cores) * (1 + (s.set.MaxRunsPerCore-1)*s.speed())
 }
 
 // admissible reports whether the guards let the request into the hold: there is memory for it
@@ -498,13 +498,13 @@
 func (s *Shedder) room(r *request) bool {
 	extra := 0.0
 	if r.state == held {
-		extra = r.HeldKB * (s.set.RunFactor - 1)
+		extra = r.QueuedKB * (s.set.RunFactor - 1)
 		if float64(s.begun()+1) > s.crowd() {
 			return false
 		}
 	}
 	return s.memory+s.keys.kb+extra <= margin*s.set.MemoryKB && float64(s.onCores()) < s.runCap() &&
-		(s.pools == nil || s.pools.Room(s.now, r.class.Name))
+		(s.pools == nil || s.pools.HasCapacity(s.now, r.class.Name))
 }
 
 // runCap is the number of runs that keeps every core busy: the cores, more where runs wait for disk, fewer
@@ -540,7 +540,7 @@
 
 // keyKB is what remembering the request takes.
 func (s *Shedder) keyKB(r *request) float64 {
-	if r.class.Effect == Keyed {
+	if r.class.Effect == Idempotent {
 		return s.set.KeyKB
 	}
 	return 0
@@ -550,13 +550,13 @@
 func (s *Shedder) keep(r *request) {
 	c := r.class
 	switch {
-	case c.Effect == Keyed:
-		s.host.KeepKey(r.ID, c.KeyWindow)
-		s.keys.add(r.ID, s.now+c.KeyWindow+tickEvery, s.set.KeyKB)
-	case c.Effect == Safe && s.set.FreshFor > 0 && r.Key != "" && r.Repeats == "" &&
+	case c.Effect == Idempotent:
+		s.host.RememberKey(r.ID, c.IdempotencyWindow)
+		s.keys.add(r.ID, s.now+c.IdempotencyWindow+tickEvery, s.set.KeyKB)
+	case c.Effect == Safe && s.set.FreshFor > 0 && r.Key != "" && r.DuplicateOf == "" &&
 		s.memory+s.keys.kb+s.set.KeyKB <= margin*margin*s.set.MemoryKB:
-		s.host.KeepKey(r.ID, c.Aim+s.set.FreshFor)
-		s.keys.add(r.ID, s.now+c.Aim+s.set.FreshFor+tickEvery, s.set.KeyKB)
+		s.host.RememberKey(r.ID, c.Objective+s.set.FreshFor)
+		s.keys.add(r.ID, s.now+c.Objective+s.set.FreshFor+tickEvery, s.set.KeyKB)
 	}
 }
 
@@ -579,15 +579,15 @@
 	if q.Deadline > 0 {
 		r.due = q.Deadline
 	}
-	r.size = q.Work.Seconds()
+	r.size = q.ExpectedWork.Seconds()
 	if r.size <= 0 {
 		r.size = max(c.meanWork, 0.001)
 	}
 	if t := s.tenants[q.Tenant]; t != nil && s.set.Tier == 0 && !t.Take(s.now) {
-		r.share = s.set.OverShareWorth
+		r.share = s.set.OverQuotaWeight
 	}
-	stretch := seconds(c.AimStretch * r.size)
-	r.aim = r.reached + min(c.Aim+stretch, c.Deadline)/time.Duration(1+s.set.Tier)
+	stretch := seconds(c.ObjectiveStretch * r.size)
+	r.aim = r.reached + min(c.Objective+stretch, c.Deadline)/time.Duration(1+s.set.Tier)
 	if q.Deadline == 0 {
 		r.aim = min(r.aim, r.reached+time.Duration(s.patience.Value()*float64(c.Deadline)))
 	}
@@ -642,7 +642,7 @@
 		return
 	}
 	r.ran = true
-	if r.class.Effect == Unsafe {
+	if r.class.Effect == NonIdempotent {
 		s.keys.add(r.ID, s.now+r.class.Deadline, 0)
 	}
 	s.move(r, running)
@@ -664,13 +664,13 @@
 	s.forget(r)
 	local := s.local()
 	after := time.Duration(0)
-	if s.set.Advice {
-		after = s.set.MaxAdvice / shortAway
+	if s.set.RetryAfter {
+		after = s.set.MaxRetryAfter / shortAway
 		if local {
-			after = s.set.MaxAdvice
+			after = s.set.MaxRetryAfter
 		}
 	}
-	s.host.Refuse(r.ID, after, !local || r.seq%goOn != 0)
+	s.host.Reject(r.ID, after, !local || r.seq%goOn != 0)
 	s.finish(r)
 }
 
@@ -694,7 +694,7 @@
 
 // halt stops running work, where the host can.
 func (s *Shedder) halt(r *request) {
-	if s.set.Halt != HaltNone {
+	if s.set.Preemption != PreemptNone {
 		s.move(r, stopping)
 		s.host.Stop(r.ID)
 	}
@@ -722,7 +722,7 @@
 	} else if !wasJoin {
 		s.doneWork += r.size
 		r.class.away += (r.away.Seconds() - r.class.away) / 10
-		if r.Work <= 0 {
+		if r.ExpectedWork <= 0 {
 			r.class.meanWork += (r.used.Seconds() - r.class.meanWork) / 10
 		} else {
 			r.class.meanWork += (r.size - r.class.meanWork) / 10
@@ -753,14 +753,14 @@
 	total, worst, near := 0.0, 1.0, 0.0
 	for _, c := range s.classes {
 		c.asked, c.served = c.asked*fairMemory, c.served*fairMemory
-		total += c.Worth * c.asked
+		total += c.Weight * c.asked
 		worst = min(worst, c.share())
 	}
 	for _, c := range s.classes {
 		near += math.Exp((worst - c.share()) / nearWorst)
 	}
 	for _, c := range s.classes {
-		c.weight = (1 - s.set.ClassMix) * c.Worth
+		c.weight = (1 - s.set.ClassMix) * c.Weight
 		if c.asked > 0 {
 			c.weight += s.set.ClassMix * total / c.asked * math.Exp((worst-c.share())/nearWorst) / near
 		}
@@ -779,9 +779,9 @@
 		list = append(list, r)
 		density[r] = r.class.weight * r.share
 		if s.now > r.aim {
-			density[r] *= r.class.LateWorth
+			density[r] *= r.class.LateWeight
 		}
-		if !s.set.WorthByWork {
+		if !s.set.WeightByWork {
 			density[r] /= r.size
 		}
 	}
@@ -795,7 +795,7 @@
 // together bring their requests back at once, and past some number throughput falls steeply.
 func (s *Shedder) thin() {
 	surplus := s.inState[running] - int(math.Ceil(crowdSlack*s.runCap()))
-	if s.set.Halt != HaltPause || surplus <= 0 {
+	if s.set.Preemption != PreemptPause || surplus <= 0 {
 		return
 	}
 	list := s.ranked(running)
@@ -862,7 +862,7 @@
 	s.callTime = s.callTime*callMemory + spent*(1-callMemory)
 	s.callBase = min(s.callTime, s.callBase+(s.callTime-s.callBase)*baseRise)
 	if s.callTime > crowded*s.callBase {
-		s.callLimit = max(leastShare*s.set.CallShare, s.callLimit*fewer)
+		s.callLimit = max(leastShare*s.set.CallQuota, s.callLimit*fewer)
 	} else {
 		s.callLimit = min(float64(s.set.Cores), s.callLimit+more)
 	}
@@ -909,7 +909,7 @@
 	if s.callTime > 0 && (s.inState[calling] >= int(math.Ceil(s.callLimit)) || s.now < s.nextCall) {
 		return 0
 	}
-	whole := time.Duration(margin * s.set.CallShare * float64(s.set.CallWindow))
+	whole := time.Duration(margin * s.set.CallQuota * float64(s.set.CallWindow))
 	return min(want, whole-s.booked()-s.set.CallLinger)
 }
 
@@ -925,9 +925,9 @@
 		return cmp.Or(cmp.Compare(b.need(), a.need()), cmp.Compare(a.aim, b.aim))
 	})
 	for _, r := range list {
-		canSkip := r.class.WithoutCall > 0
+		canSkip := r.class.DegradedWeight > 0
 		last := s.lastMoment(r)
-		if r.class.LateWorth == 0 && s.set.Dependency == DependencyTier {
+		if r.class.LateWeight == 0 && s.set.Dependency == DependencyTier {
 			last = min(last, r.aim) // from then on its call is work for nothing, here and below
 		}
 		if canSkip {
@@ -953,11 +953,11 @@
 // tooLate reports whether leaving a call out earns more than making it: it ends within the time left with the
 // chance 1-exp(-left/typical), against the share of the worth that is sure.
 func (s *Shedder) tooLate(r *request, left time.Duration) bool {
-	return left.Seconds() < -s.callTime*math.Log1p(-min(1, r.class.WithoutCall))
+	return left.Seconds() < -s.callTime*math.Log1p(-min(1, r.class.DegradedWeight))
 }
 
 // need is what a unit of the request's work loses without its call.
-func (r *request) need() float64 { return r.class.Worth * r.share * (1 - r.class.WithoutCall) }
+func (r *request) need() float64 { return r.class.Weight * r.share * (1 - r.class.DegradedWeight) }
 
 func (s *Shedder) skipOrFail(r *request, canSkip bool) {
 	if !canSkip {
--- a/shedder_test.go
+++ b/shedder_test.go
@@ -16,13 +16,13 @@
 
 func (h *script) add(a ...any)                              { h.lines = append(h.lines, fmt.Sprint(a...)) }
 func (h *script) Run(id string)                             { h.add("run ", id) }
-func (h *script) Refuse(id string, d time.Duration, f bool) { h.add("refuse ", id, " ", d, " ", f) }
+func (h *script) Reject(id string, d time.Duration, f bool) { h.add("refuse ", id, " ", d, " ", f) }
 func (h *script) Fail(id string)                            { h.add("fail ", id) }
 func (h *script) Join(id string)                            { h.add("join ", id) }
 func (h *script) Stop(id string)                            { h.add("stop ", id) }
 func (h *script) Call(id string, d time.Duration)           { h.add("call ", id, " ", d) }
 func (h *script) SkipCall(id string)                        { h.add("skip ", id) }
-func (h *script) KeepKey(id string, d time.Duration)        { h.add("keep ", id, " ", d) }
+func (h *script) RememberKey(id string, d time.Duration)    { h.add("keep ", id, " ", d) }
 func (h *script) ForgetKey(id string)                       { h.add("forget ", id) }
 func (h *script) Health(good bool)                          { h.add("health ", good) }
 func (h *script) Signal(v float64)                          { h.add("signal ", v) }
@@ -41,15 +41,15 @@
 
 func settings() Settings {
 	return Settings{
-		Cores: 2, MemoryKB: 10000, RunFactor: 4, KeyKB: 10, CrowdLimit: 8, CrowdWindow: 2 * time.Second,
-		DrainGrace: time.Second, OverShareWorth: 0.1, WorthByWork: true, Servers: 1, Callers: 1,
-		Halt: HaltPause, Advice: true, MaxAdvice: time.Second, Dependency: DependencyShared, CallShare: 4,
+		Cores: 2, MemoryKB: 10000, RunFactor: 4, KeyKB: 10, MaxRunsPerCore: 8, RunsWindow: 2 * time.Second,
+		DrainGrace: time.Second, OverQuotaWeight: 0.1, WeightByWork: true, Servers: 1, Callers: 1,
+		Preemption: PreemptPause, RetryAfter: true, MaxRetryAfter: time.Second, Dependency: DependencyShared, CallQuota: 4,
 		CallWindow: 5 * time.Second, CallLinger: 100 * time.Millisecond,
 		Classes: []Class{
-			{Name: "read", Aim: time.Second, Deadline: 3 * time.Second, Worth: 1, CallsBelow: true, WithoutCall: 0.5},
-			{Name: "book", Aim: 2 * time.Second, Deadline: 5 * time.Second, Worth: 3, Effect: Keyed,
-				KeyWindow: 10 * time.Second, CallsBelow: true},
-			{Name: "pay", Aim: 2 * time.Second, Deadline: 5 * time.Second, Worth: 5, Effect: Unsafe, CallsBelow: true},
+			{Name: "read", Objective: time.Second, Deadline: 3 * time.Second, Weight: 1, CallsDependency: true, DegradedWeight: 0.5},
+			{Name: "book", Objective: 2 * time.Second, Deadline: 5 * time.Second, Weight: 3, Effect: Idempotent,
+				IdempotencyWindow: 10 * time.Second, CallsDependency: true},
+			{Name: "pay", Objective: 2 * time.Second, Deadline: 5 * time.Second, Weight: 5, Effect: NonIdempotent, CallsDependency: true},
 		},
 	}
 }
@@ -68,7 +68,7 @@
 }
 
 func req(id, class string) Request {
-	return Request{ID: id, Class: class, HeldKB: 10, Work: 100 * time.Millisecond}
+	return Request{ID: id, Class: class, QueuedKB: 10, ExpectedWork: 100 * time.Millisecond}
 }
 
 // full puts n requests of a class in flight and sets their average to avg.
@@ -211,7 +211,7 @@
 
 // Calls that end together bring back more runs than the cores can hold.
 func TestSurplusIsPaused(t *testing.T) {
-	s, h := start(t, func(set *Settings) { set.Dependency, set.CrowdLimit = DependencyTier, 20 })
+	s, h := start(t, func(set *Settings) { set.Dependency, set.MaxRunsPerCore = DependencyTier, 20 })
 	for i := range 8 {
 		id := fmt.Sprint("r", i)
 		s.Arrive(0, req(id, "pay"))
@@ -232,7 +232,7 @@
 	s, h := start(t)
 	for i := range 2 {
 		r := req(fmt.Sprint("r", i), "pay")
-		r.Work = 1500 * time.Millisecond
+		r.ExpectedWork = 1500 * time.Millisecond
 		s.Arrive(0, r)
 	}
 	r := req("late", "read")
@@ -276,12 +276,12 @@
 	for i := range 30 {
 		id := fmt.Sprint("r", i)
 		s.Arrive(now, req(id, "read"))
-		s.Gone(now+300*time.Millisecond, id)
+		s.Cancelled(now+300*time.Millisecond, id)
 		now += time.Second
 		s.RunEnded(now, id, Canceled, 0)
 	}
 	r := req("x", "read")
-	r.Work = 800 * time.Millisecond
+	r.ExpectedWork = 800 * time.Millisecond
 	s.Arrive(now, req("a", "pay"))
 	s.Arrive(now, req("b", "pay"))
 	s.Arrive(now, r)
@@ -297,13 +297,13 @@
 	now := time.Duration(0)
 	told := func(id string, work time.Duration) {
 		r := req(id, "read")
-		r.Work, r.Deadline = work, now+3*time.Second
+		r.ExpectedWork, r.Deadline = work, now+3*time.Second
 		s.Arrive(now, r)
 	}
 	for i := range 30 {
 		id := fmt.Sprint("r", i)
 		told(id, 100*time.Millisecond)
-		s.Gone(now+10*time.Millisecond, id)
+		s.Cancelled(now+10*time.Millisecond, id)
 		now += time.Second
 		s.RunEnded(now, id, Canceled, 0)
 	}
@@ -315,7 +315,7 @@
 
 // The work may start long after the server, cold or warm: what was told at the start does not count.
 func TestStartedLate(t *testing.T) {
-	s, _ := start(t, func(set *Settings) { set.Cold, set.ColdFrom, set.WarmWithin = true, 0.25, 16*time.Second })
+	s, _ := start(t, func(set *Settings) { set.Cold, set.ColdSpeed, set.WarmupTime = true, 0.25, 16*time.Second })
 	s.Tick(20*time.Second, Gauges{})
 	warm := s.crowd()
 	s.Started(20*time.Second, time.Second, true)
@@ -332,7 +332,7 @@
 func TestIgnoredRunIsNoPass(t *testing.T) {
 	s, h := start(t)
 	s.Arrive(0, req("a", "book"))
-	s.RunEnded(time.Millisecond, "a", Ignored, 0)
+	s.RunEnded(time.Millisecond, "a", NotStarted, 0)
 	n, c := 0, s.byName["book"]
 	c.times.Each(s.now, func(b window.Bucket) { n += b.Count })
 	if n != 0 || c.asked != 0 || c.flying != 0 || s.keys.has("a") || !h.did("forget a") {
@@ -354,7 +354,7 @@
 	s, h := start(t)
 	s.Arrive(0, req("a", "book"))
 	again := req("b", "book")
-	again.Repeats = "a"
+	again.DuplicateOf = "a"
 	s.Arrive(time.Millisecond, again)
 	if !h.did("keep a") || !h.did("join b") || h.did("run b") {
 		t.Error(h.lines)
@@ -403,7 +403,7 @@
 	for range 20 {
 		s.paceCalls(1)
 	}
-	if least := leastShare * s.set.CallShare; s.callLimit >= before || s.callLimit < least {
+	if least := leastShare * s.set.CallQuota; s.callLimit >= before || s.callLimit < least {
 		t.Errorf("limit %v, then %v", before, s.callLimit)
 	}
 }
@@ -412,8 +412,8 @@
 // need, and the number grows again as calls go well. Calls that fail or time out say nothing of its room.
 func TestRefusedCallsAreThrottled(t *testing.T) {
 	s, h := start(t, func(set *Settings) {
-		set.Dependency, set.Halt, set.Cores, set.MemoryKB = DependencyTier, HaltNone, 20, 1e6
-		set.Classes[0].WithoutCall = 0
+		set.Dependency, set.Preemption, set.Cores, set.MemoryKB = DependencyTier, PreemptNone, 20, 1e6
+		set.Classes[0].DegradedWeight = 0
 	})
 	now, n := time.Duration(0), 0
 	stand := func(class string) string {
@@ -464,7 +464,7 @@
 	for o, want := range map[Outcome]int{Disconnected: 2, Overloaded: 1, Failed: 1} {
 		s, h := start(t, func(set *Settings) {
 			set.Dependency = DependencyTier
-			set.Classes[0].WithoutCall = 0
+			set.Classes[0].DegradedWeight = 0
 		})
 		s.Arrive(0, req("a", "read"))
 		s.NeedsCall(0, "a")
@@ -489,7 +489,7 @@
 	for worth, want := range map[float64]time.Duration{0: time.Second, 0.5: 2950 * time.Millisecond} {
 		s, h := start(t, func(set *Settings) {
 			set.Dependency = DependencyTier
-			set.Classes[0].WithoutCall, set.Classes[0].LateWorth = 0, worth
+			set.Classes[0].DegradedWeight, set.Classes[0].LateWeight = 0, worth
 		})
 		s.Arrive(0, req("a", "read"))
 		s.NeedsCall(0, "a")
@@ -587,7 +587,7 @@
 func TestOddInput(t *testing.T) {
 	s, h := start(t)
 	s.Arrive(0, req("odd", "no such class"))
-	s.Gone(0, "nobody")
+	s.Cancelled(0, "nobody")
 	s.NeedsCall(0, "nobody")
 	s.CallEnded(0, "nobody", OK, 0)
 	s.RunEnded(0, "nobody", OK, 0)
@@ -605,19 +605,19 @@
 		"Cores":                  func(s *Settings) { s.Cores = 0 },
 		"MemoryKB":               func(s *Settings) { s.MemoryKB = 0 },
 		"Classes":                func(s *Settings) { s.Classes = nil },
-		"Aim":                    func(s *Settings) { s.Classes[0].Aim = -1 },
+		"Aim":                    func(s *Settings) { s.Classes[0].Objective = -1 },
 		"Name":                   func(s *Settings) { s.Classes[1].Name = "read" },
-		"MaxAdvice":              func(s *Settings) { s.MaxAdvice = -1 },
-		"CallShare":              func(s *Settings) { s.CallShare = math.NaN() },
+		"MaxAdvice":              func(s *Settings) { s.MaxRetryAfter = -1 },
+		"CallShare":              func(s *Settings) { s.CallQuota = math.NaN() },
 		"KeyKB":                  func(s *Settings) { s.KeyKB = math.Inf(1) },
-		"ColdFrom":               func(s *Settings) { s.ColdFrom = -0.1 },
-		"Classes[1].Worth":       func(s *Settings) { s.Classes[1].Worth = math.NaN() },
-		"Classes[2].WithoutCall": func(s *Settings) { s.Classes[2].WithoutCall = math.Inf(1) },
+		"ColdFrom":               func(s *Settings) { s.ColdSpeed = -0.1 },
+		"Classes[1].Worth":       func(s *Settings) { s.Classes[1].Weight = math.NaN() },
+		"Classes[2].WithoutCall": func(s *Settings) { s.Classes[2].DegradedWeight = math.Inf(1) },
 		"Classes[0].Deadline":    func(s *Settings) { s.Classes[0].Deadline = 0 },
-		"Classes[0].KeyWindow":   func(s *Settings) { s.Classes[0].KeyWindow = -1 },
+		"Classes[0].KeyWindow":   func(s *Settings) { s.Classes[0].IdempotencyWindow = -1 },
 		"Tenants[0].Rate":        func(s *Settings) { s.Tenants = []Tenant{{Rate: math.Inf(1)}} },
 		"Servers":                func(s *Settings) { s.Servers = -1 },
-		"WarmWithin":             func(s *Settings) { s.WarmWithin = 1 << 62 },
+		"WarmWithin":             func(s *Settings) { s.WarmupTime = 1 << 62 },
 	} {
 		set := settings()
 		set.Classes = slices.Clone(set.Classes)
@@ -645,7 +645,7 @@
 	if h.did("refuse c") || !h.did("fail c") {
 		t.Error("a request that has run was turned away")
 	}
-	s, h = start(t, func(set *Settings) { set.Halt = HaltDrop })
+	s, h = start(t, func(set *Settings) { set.Preemption = PreemptDrop })
 	s.Arrive(0, req("a", "pay"))
 	s.RunEnded(0, "a", Canceled, 0)
 	if !h.did("fail a") || h.count("run a") != 1 {
@@ -654,7 +654,7 @@
 }
 
 func TestBegunStaysUnderTheCrowd(t *testing.T) {
-	s, _ := start(t, func(set *Settings) { set.CrowdLimit, set.CallShare = 2, 0.1 })
+	s, _ := start(t, func(set *Settings) { set.MaxRunsPerCore, set.CallQuota = 2, 0.1 })
 	for i := range 12 {
 		id := fmt.Sprint("r", i)
 		s.Arrive(0, req(id, "pay"))
@@ -679,7 +679,7 @@
 // Under one call at a time the pause follows the last call, not a mean of them: when the dependency is quick
 // again, calls are made again at once.
 func TestRecoveredDependencyIsCalledAgain(t *testing.T) {
-	s, _ := start(t, func(set *Settings) { set.CallShare = 1 })
+	s, _ := start(t, func(set *Settings) { set.CallQuota = 1 })
 	s.paceCalls(0.1)
 	for range 50 {
 		s.paceCalls(2)
@@ -761,11 +761,11 @@
 // What a server may not be told: no servers, no callers, no share of calls, no class that calls.
 func TestNothingTold(t *testing.T) {
 	s, h := start(t, func(set *Settings) {
-		set.Servers, set.Callers, set.CallShare, set.CallWindow, set.KeepAlive = 0, 0, 0, 0, 0
+		set.Servers, set.Callers, set.CallQuota, set.CallWindow, set.KeepAlive = 0, 0, 0, 0, 0
 		set.Signal, set.Tenants = SignalCredit, []Tenant{{Name: "t"}}
 		set.Classes = slices.Clone(set.Classes)
 		for i := range set.Classes {
-			set.Classes[i].CallsBelow = false
+			set.Classes[i].CallsDependency = false
 		}
 	})
 	r := req("a", "read")
@@ -839,7 +839,7 @@
 	read, book := s.byName["read"], s.byName["book"]
 	read.asked, read.served = 10, 5
 	s.weigh()
-	if !(read.weight > 0.8) || book.weight != 0.8*book.Worth {
+	if !(read.weight > 0.8) || book.weight != 0.8*book.Weight {
 		t.Errorf("weights %v and %v", read.weight, book.weight)
 	}
 }
@@ -854,7 +854,7 @@
 			t.Errorf("%v left of a call of 1 s: too late %v", left, got)
 		}
 	}
-	r.class.WithoutCall = 1
+	r.class.DegradedWeight = 1
 	if !s.tooLate(r, time.Hour) {
 		t.Error("a call that adds nothing is made")
 	}
@@ -874,15 +874,15 @@
 
 	next := settings()
 	roomy(&next)
-	next.Classes = []Class{next.Classes[0], next.Classes[2], {Name: "new", Aim: time.Second, Deadline: 2 * time.Second, Worth: 1}}
-	next.Classes[0].Aim, next.Classes[0].Worth = 500*time.Millisecond, 2
-	if err := s.Retune(time.Second, next); err != nil {
+	next.Classes = []Class{next.Classes[0], next.Classes[2], {Name: "new", Objective: time.Second, Deadline: 2 * time.Second, Weight: 1}}
+	next.Classes[0].Objective, next.Classes[0].Weight = 500*time.Millisecond, 2
+	if err := s.Reconfigure(time.Second, next); err != nil {
 		t.Fatal(err)
 	}
-	if k := s.byName["read"]; k.seen != seen || k.Aim != 500*time.Millisecond || k.flying != 2 || s.cpu.Value() != 0.7 {
+	if k := s.byName["read"]; k.seen != seen || k.Objective != 500*time.Millisecond || k.flying != 2 || s.cpu.Value() != 0.7 {
 		t.Errorf("the class that stays: %+v, %+v, CPU %v, %v", k.Class, k.seen, s.cpu.Value(), h.lines)
 	}
-	if k := s.byID["a"].class; k.Aim != time.Second || k.Worth != 1 {
+	if k := s.byID["a"].class; k.Objective != time.Second || k.Weight != 1 {
 		t.Errorf("a request in hand has class %+v", k.Class)
 	}
 	s.Arrive(time.Second, req("d", "book"))
@@ -904,7 +904,7 @@
 		t.Errorf("%d of the class fly, want c and f", n)
 	}
 	s.Arrive(1200*time.Millisecond, req("g", "new"))
-	if err := s.Retune(1200*time.Millisecond, settings()); err != nil {
+	if err := s.Reconfigure(1200*time.Millisecond, settings()); err != nil {
 		t.Fatal(err)
 	}
 	if k := s.byName["book"]; k.flying != 0 || k.meanWork != 0 || k.asked != 0 {
@@ -929,7 +929,7 @@
 	} {
 		bad := settings()
 		spoil(&bad)
-		if err := s.Retune(time.Second, bad); err == nil || strings.Contains(err.Error(), "\n") {
+		if err := s.Reconfigure(time.Second, bad); err == nil || strings.Contains(err.Error(), "\n") {
 			t.Errorf("taken: %+v", bad)
 		}
 	}
@@ -954,7 +954,7 @@
 	}
 	next := settings()
 	with(4, 8, 2)(&next)
-	if err := s.Retune(0, next); err != nil {
+	if err := s.Reconfigure(0, next); err != nil {
 		t.Fatal(err)
 	}
 	if s.tenants["t0"].Take(0) || !s.tenants["t1"].Take(0) || !s.tenants["t2"].Take(0) {
