--- a/internal/pools/decisions_test.go
+++ b/internal/pools/decisions_test.go
@@ -67,7 +67,7 @@
 			r := &run{id: fmt.Sprint(next), class: []string{"x", "y", "z", "other"}[rng.IntN(4)], calls: rng.IntN(3)}
 			next++
 			admitted := s.Admits(r.class)
-			fmt.Fprintln(w, r.id, admitted, s.Line(r.class))
+			fmt.Fprintln(w, r.id, admitted, s.Queue(r.class))
 			if !admitted {
 				continue
 			}
@@ -106,7 +106,7 @@
 			s.Moved(now, r.id, r.class, r.place)
 		}
 		for i := 0; i < len(held); i++ {
-			if r := held[i]; s.Room(now, r.class) {
+			if r := held[i]; s.HasCapacity(now, r.class) {
 				fmt.Fprintln(w, "runs", r.id)
 				r.place, r.until = OnCores, now+span()
 				s.Moved(now, r.id, r.class, OnCores)
@@ -118,7 +118,7 @@
 		if now%tickSpan == 0 {
 			memory := float64(len(held)) / 66
 			s.Tick(now, Readings{Ceiling: 24, OnCores: float64(busy) + 3*rng.Float64(), Booked: memory, Process: memory * rng.Float64()})
-			fmt.Fprintf(w, "%.6g %.6g %+.6g\n", s.Limit(), s.Slots("x"), s.State(now).Pools[1].Claim)
+			fmt.Fprintf(w, "%.6g %.6g %+.6g\n", s.Limit(), s.Concurrency("x"), s.State(now).Pools[1].Claim)
 		}
 		if now%(5*time.Second) == 0 {
 			st := s.State(now)
