--- a/cmd/benchlink/main.go
+++ b/cmd/benchlink/main.go
@@ -6,13 +6,13 @@
 	"log"
 	"os"
 
-	"silverpath/internal/wire"
+	"silverpath/internal/transport/simulator"
 )
 
 func main() {
 	log.SetFlags(0)
 	log.SetPrefix("benchlink: ")
-	if err := wire.Serve(os.Stdin, os.Stdout); err != nil {
+	if err := simulator.Serve(os.Stdin, os.Stdout); err != nil {
 		log.Fatal(err)
 	}
 }
--- a/cmd/silverpath-quorum/main.go
+++ b/cmd/silverpath-quorum/main.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"os"
 
-	"silverpath/internal/quorum/member"
+	"silverpath/internal/controlplane/quorum/member"
 )
 
 func main() {
--- a/cmd/silverpath/capacity.go
+++ b/cmd/silverpath/capacity.go
@@ -12,7 +12,7 @@
 
 	"silverpath/deploy"
 	"silverpath/docs/results"
-	"silverpath/internal/capacity"
+	"silverpath/internal/policy/capacity"
 	"silverpath/internal/settings"
 )
 
--- a/cmd/silverpath/cells.go
+++ b/cmd/silverpath/cells.go
@@ -11,10 +11,10 @@
 
 	"github.com/spf13/cobra"
 
-	"silverpath/internal/cells"
-	"silverpath/internal/duties"
-	"silverpath/internal/fleet"
-	"silverpath/internal/quorum"
+	"silverpath/internal/controlplane/quorum"
+	"silverpath/internal/policy/cells"
+	"silverpath/internal/policy/controller"
+	"silverpath/internal/proxy"
 	"silverpath/internal/settings"
 )
 
@@ -31,7 +31,7 @@
 	groupFlags(cmd, &g, &within) // given: the change is a request to the owner of the map
 	cmd.PersistentFlags().DurationVar(&wait, "wait", 5*time.Second, "how long to wait for another change that is under way")
 	load := func() (*cells.Map, error) {
-		m, err := fleet.Read(file)
+		m, err := proxy.Read(file)
 		if err != nil {
 			err = fmt.Errorf("%s: %w", file, err)
 		}
@@ -64,7 +64,7 @@
 			}
 			return err
 		}
-		next, err := fleet.Change(file, wait, plan)
+		next, err := proxy.Change(file, wait, plan)
 		if err != nil {
 			return err
 		}
@@ -76,7 +76,7 @@
 	move := func(use, short string, write bool) *cobra.Command {
 		c := &cobra.Command{Use: use, Short: short, Args: cobra.NoArgs, RunE: func(c *cobra.Command, _ []string) error {
 			if write && g.Group != "" {
-				return request(c, &g, within, duties.KindMove, duties.Move{Tenant: tenant, To: to, Shard: shard}, asJSON)
+				return request(c, &g, within, controller.KindMove, controller.Move{Tenant: tenant, To: to, Shard: shard}, asJSON)
 			}
 			return change(c, write, func(m *cells.Map, now time.Time) (*cells.Map, error) {
 				p, err := m.PlanMove(now, tenant, to, shard)
@@ -102,7 +102,7 @@
 	abort := &cobra.Command{Use: "abort", Short: "Take a move back that is prepared or in force", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			if g.Group != "" {
-				return request(c, &g, within, duties.KindAbort, duties.Move{Tenant: tenant}, asJSON)
+				return request(c, &g, within, controller.KindAbort, controller.Move{Tenant: tenant}, asJSON)
 			}
 			return change(c, true, func(m *cells.Map, now time.Time) (*cells.Map, error) { return m.PlanAbort(now, tenant) })
 		}}
@@ -151,7 +151,7 @@
 			if err != nil {
 				return err
 			}
-			series := fleet.Series{Dir: folder}
+			series := proxy.Series{Dir: folder}
 			if err := os.MkdirAll(folder, 0o755); err != nil {
 				return err
 			}
--- a/cmd/silverpath/change_test.go
+++ b/cmd/silverpath/change_test.go
@@ -10,8 +10,8 @@
 
 	"golang.org/x/sys/unix"
 
-	"silverpath/internal/cells"
-	"silverpath/internal/fleet"
+	"silverpath/internal/policy/cells"
+	"silverpath/internal/proxy"
 	"silverpath/internal/settings"
 )
 
@@ -29,7 +29,7 @@
 		m.Tenants = append(m.Tenants, cells.Tenant{Name: fmt.Sprint("t", i), Rate: 1, Homes: []cells.Home{{Cell: "a"}}})
 	}
 	file := t.TempDir() + "/cells.json"
-	if err := fleet.Write(file, m); err != nil {
+	if err := proxy.Write(file, m); err != nil {
 		t.Fatal(err)
 	}
 	var all sync.WaitGroup
--- a/cmd/silverpath/crossings_test.go
+++ b/cmd/silverpath/crossings_test.go
@@ -28,7 +28,7 @@
 		t.Fatal(err)
 	}
 	all := tests.String()
-	code, named, quoted := regexp.MustCompile("`([a-z]+/[a-z]+\\.go):([A-Za-z]+)`"), regexp.MustCompile("`(Test[A-Za-z]+)`"), regexp.MustCompile(`"([^"]+)"`)
+	code, named, quoted := regexp.MustCompile("`([a-z_]+(?:/[a-z_]+)+\\.go):([A-Za-z]+)`"), regexp.MustCompile("`(Test[A-Za-z]+)`"), regexp.MustCompile(`"([^"]+)"`)
 	rows := 0
 	for _, row := range strings.Split(string(doc), "\n") {
 		cells := strings.Split(row, " | ")
--- a/cmd/silverpath/crowd_test.go
+++ b/cmd/silverpath/crowd_test.go
@@ -12,10 +12,10 @@
 
 	"golang.org/x/sys/unix"
 
-	"silverpath/internal/lab"
-	"silverpath/internal/msgpackrpc"
-	"silverpath/internal/standin"
-	"silverpath/internal/standin/faults"
+	"silverpath/internal/testkit/benchmarks"
+	"silverpath/internal/testkit/standin"
+	"silverpath/internal/testkit/standin/faults"
+	"silverpath/internal/transport/msgpackrpc"
 )
 
 // Clients that only rest fill a process's descriptors while the announce service is down. What the service needs itself keeps its
@@ -87,7 +87,7 @@
 			}
 		}
 	}
-	if code, why := lab.Call(ops, "GET /api/ready"); code != 200 {
+	if code, why := benchmarks.Call(ops, "GET /api/ready"); code != 200 {
 		t.Errorf("an operator is told %d %q", code, why)
 	}
 	from := p.Lines()
--- a/cmd/silverpath/durable_test.go
+++ b/cmd/silverpath/durable_test.go
@@ -20,14 +20,14 @@
 	"github.com/anishathalye/porcupine"
 	"go.etcd.io/bbolt"
 
-	"silverpath/internal/ask"
 	"silverpath/internal/core"
-	"silverpath/internal/keyed"
-	"silverpath/internal/lab"
-	"silverpath/internal/life"
-	"silverpath/internal/msgpackrpc"
-	"silverpath/internal/standin"
-	"silverpath/internal/store"
+	"silverpath/internal/policy/idempotency"
+	"silverpath/internal/storage/heartbeat"
+	"silverpath/internal/storage/idempotencystore"
+	"silverpath/internal/testkit/benchmarks"
+	"silverpath/internal/testkit/standin"
+	"silverpath/internal/transport/client"
+	"silverpath/internal/transport/msgpackrpc"
 )
 
 // unpromised is a store whose promises are told as kept before they are: they are written only with the result.
@@ -39,13 +39,13 @@
 }
 
 type promise struct {
-	keyed.Record
+	idempotency.Record
 	reached, until time.Time
 }
 
-func (u *unpromised) Promise(r *keyed.Record, reached, until time.Time, left time.Duration, done func(error)) keyed.Verdict {
+func (u *unpromised) Promise(r *idempotency.Record, reached, until time.Time, left time.Duration, done func(error)) idempotency.Verdict {
 	v := u.Begins(left)
-	if v.Do != keyed.Begin {
+	if v.Do != idempotency.Begin {
 		return v
 	}
 	u.mu.Lock()
@@ -57,7 +57,7 @@
 	return v
 }
 
-func (u *unpromised) Result(r *keyed.Record, reached, until time.Time, done func(error)) {
+func (u *unpromised) Result(r *idempotency.Record, reached, until time.Time, done func(error)) {
 	u.mu.Lock()
 	p, late := u.late[r.Seq]
 	delete(u.late, r.Seq)
@@ -77,7 +77,7 @@
 			}
 			whole.Seq = kept.Seq
 			u.Keeper.Result(&whole, reached, until, done)
-		}); v.Do != keyed.Begin {
+		}); v.Do != idempotency.Begin {
 			done(errors.New(v.Why))
 		}
 	}()
@@ -99,10 +99,10 @@
 // otherFormat makes a store as a build of another format would.
 func otherFormat(t *testing.T, dir, name string, format int) {
 	t.Helper()
-	if err := store.Init(dir, name); err != nil {
+	if err := idempotencystore.Init(dir, name); err != nil {
 		t.Fatal(err)
 	}
-	db, err := bbolt.Open(filepath.Join(dir, store.FileName), 0o600, nil)
+	db, err := bbolt.Open(filepath.Join(dir, idempotencystore.FileName), 0o600, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -146,15 +146,17 @@
 		began := time.Now()
 		ago, machine, _ := strings.Cut(ago, " ")
 		up, _ := time.ParseDuration(ago)
-		store.Now = func() keyed.Clock { return keyed.Clock{Machine: machine, Boot: name, Now: up + time.Since(began)} }
+		idempotencystore.Now = func() idempotency.Clock {
+			return idempotency.Clock{Machine: machine, Boot: name, Now: up + time.Since(began)}
+		}
 	}
 	file := os.Getenv("SILVERPATH_STORE")
 	if file == "" {
 		return
 	}
 	var met atomic.Int64
-	life.Fault = func() error { return store.Fault("sign") }
-	store.Fault = func(boundary string) error {
+	heartbeat.Fault = func() error { return idempotencystore.Fault("sign") }
+	idempotencystore.Fault = func(boundary string) error {
 		text, err := os.ReadFile(file)
 		if err != nil {
 			return nil
@@ -180,7 +182,7 @@
 
 // durable is a service whose runs are kept, started again and again at one address.
 type durable struct {
-	*lab.Shared
+	*benchmarks.Shared
 	t     *testing.T
 	dir   string        // the store's
 	span  time.Duration // tries of one sheet may be so far apart
@@ -197,14 +199,14 @@
 		t.Fatal(err)
 	}
 	d := &durable{t: t, span: 10 * time.Second, dir: filepath.Join(t.TempDir(), "keys"), fault: filepath.Join(t.TempDir(), "fault")}
-	d.Shared = lab.Inherit(t, exe, append([]string{"SILVERPATH_RUN=1", "SILVERPATH_STORE=" + d.fault}, env...), false)
+	d.Shared = benchmarks.Inherit(t, exe, append([]string{"SILVERPATH_RUN=1", "SILVERPATH_STORE=" + d.fault}, env...), false)
 	d.Wait = 900 * time.Millisecond
 	d.Args = []string{"--edge", write(t, "edge.json", fmt.Sprintf(`{"store":{"dir":%q,"size_mb":8}}`, d.dir))}
 	d.Edit = func(text string) string {
 		return strings.NewReplacer(`"deadline":4400000`, `"deadline":1000000`, `"target":1800000`, `"target":900000`,
 			`"memory_span":2000000`, fmt.Sprintf(`"memory_span":%d`, d.span.Microseconds())).Replace(text)
 	}
-	if err := store.Init(d.dir, "lab"); err != nil {
+	if err := idempotencystore.Init(d.dir, "lab"); err != nil {
 		t.Fatal(err)
 	}
 	return d
@@ -226,7 +228,7 @@
 }
 
 // up starts the service and waits until it serves with all that is kept read.
-func (d *durable) up(env ...string) *lab.Generation {
+func (d *durable) up(env ...string) *benchmarks.Generation {
 	d.t.Helper()
 	d.Env = env
 	g := d.Start()
@@ -238,8 +240,8 @@
 }
 
 // ask makes one try of a sheet.
-func (d *durable) ask(key, body string) ask.Reply {
-	a, err := ask.Once(ask.Platform, d.Addr, ask.Request{Class: "oddaja", Key: key, Body: []byte(body), Wait: d.Wait})
+func (d *durable) ask(key, body string) client.Reply {
+	a, err := client.Once(client.Platform, d.Addr, client.Request{Class: "oddaja", Key: key, Body: []byte(body), Wait: d.Wait})
 	if err != nil {
 		a.Outcome = "lost"
 	}
@@ -283,7 +285,7 @@
 // differ, nothing that ran is refused. Without the promise sheets run twice.
 func TestKilledAndStartedAnew(t *testing.T) {
 	t.Parallel()
-	play := func(t *testing.T, seed uint64, times int, enough func(l *lab.Sheets) bool, env ...string) []string {
+	play := func(t *testing.T, seed uint64, times int, enough func(l *benchmarks.Sheets) bool, env ...string) []string {
 		d := newDurable(t, env...)
 		rng := rand.New(rand.NewPCG(seed, 10))
 		g := d.up()
@@ -324,7 +326,7 @@
 	}
 	t.Run("unpromised", func(t *testing.T) {
 		t.Parallel()
-		if w := play(t, 9, 40, (*lab.Sheets).Harmed, "SILVERPATH_UNPROMISED=1"); len(w) == 0 {
+		if w := play(t, 9, 40, (*benchmarks.Sheets).Harmed, "SILVERPATH_UNPROMISED=1"); len(w) == 0 {
 			t.Error("without promises nothing ran twice: this test finds no harm")
 		}
 	})
@@ -445,7 +447,7 @@
 	d.up().Kill()
 	// The promise is the second commit of a start: the first says that the store is in use.
 	g := d.up()
-	done := make(chan ask.Reply)
+	done := make(chan client.Reply)
 	d.disk("commit 60ms") // so that the promise is under way for long enough
 	go func() { done <- d.ask("k", "k") }()
 	for d.Runs()["k"] == 0 {
@@ -507,9 +509,9 @@
 	d.up()
 	var all sync.WaitGroup
 	var wrong atomic.Int64
-	var conns []*ask.Conn
+	var conns []*client.Conn
 	for range 40 {
-		conn, err := ask.Dial(d.Addr)
+		conn, err := client.Dial(d.Addr)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -518,7 +520,7 @@
 	}
 	for i := range 1000 {
 		all.Go(func() {
-			a := <-conns[i%len(conns)].Ask(ask.Request{Class: "oddaja", Key: "one-0", Body: []byte("one-0"), Wait: d.Wait, ID: fmt.Sprintf("%016x", i)})
+			a := <-conns[i%len(conns)].Ask(client.Request{Class: "oddaja", Key: "one-0", Body: []byte("one-0"), Wait: d.Wait, ID: fmt.Sprintf("%016x", i)})
 			if a.Outcome != "served" || string(a.Body) != served["one-0"] {
 				wrong.Add(1)
 			}
@@ -543,7 +545,7 @@
 	d := newDurable(t)
 	d.up()
 	other, none := t.TempDir(), write(t, "file", "x")
-	if err := store.Init(other, "somebody"); err != nil {
+	if err := idempotencystore.Init(other, "somebody"); err != nil {
 		t.Fatal(err)
 	}
 	future := t.TempDir()
@@ -637,7 +639,7 @@
 			edge := `{"cell":true}`
 			if keeps {
 				dir := t.TempDir()
-				if err := store.Init(dir, name); err != nil {
+				if err := idempotencystore.Init(dir, name); err != nil {
 					t.Fatal(err)
 				}
 				edge = fmt.Sprintf(`{"cell":true,"store":{"dir":%q,"size_mb":8}}`, dir)
@@ -696,7 +698,7 @@
 	}
 	t.Cleanup(m.Close)
 	dir := t.TempDir()
-	if err := store.Init(dir, "s1"); err != nil {
+	if err := idempotencystore.Init(dir, "s1"); err != nil {
 		t.Fatal(err)
 	}
 	args := []string{"serve", "--config", siteFile(t, "s1", m.Addr()),
@@ -744,7 +746,7 @@
 	// Eight at a time, and a repeat counts while its window is not over: on a slow machine a sheet after the other takes longer.
 	var mu sync.Mutex
 	var filling sync.WaitGroup
-	served, began, refused := map[string]string{}, map[string]time.Time{}, ask.Reply{}
+	served, began, refused := map[string]string{}, map[string]time.Time{}, client.Reply{}
 	for c := range 8 {
 		filling.Go(func() {
 			for i := c; i < 500; i += 8 {
@@ -808,7 +810,7 @@
 			t.Errorf("%s, while it is not known: %s", key, a.Outcome)
 		}
 	}
-	if a, err := ask.Once(ask.Platform, d.Addr, ask.Request{Class: "krog", Body: []byte("x"), Wait: time.Second}); err != nil || a.Outcome != "served" {
+	if a, err := client.Once(client.Platform, d.Addr, client.Request{Class: "krog", Body: []byte("x"), Wait: time.Second}); err != nil || a.Outcome != "served" {
 		t.Errorf("a read meanwhile: %s, %v", a.Outcome, err)
 	}
 	if _, err := g.Await(5*time.Second, 0, "taken up"); err != nil {
--- a/cmd/silverpath/duty.go
+++ b/cmd/silverpath/duty.go
@@ -14,10 +14,10 @@
 
 	"github.com/spf13/cobra"
 
-	"silverpath/internal/duties"
-	"silverpath/internal/group"
-	"silverpath/internal/lease"
-	"silverpath/internal/quorum"
+	"silverpath/internal/controlplane/quorum"
+	"silverpath/internal/policy/controller"
+	"silverpath/internal/policy/lease"
+	"silverpath/internal/policy/statemachine"
 )
 
 func newID() string {
@@ -27,7 +27,7 @@
 }
 
 // agreed has the group agree on a command and makes its no an error.
-func agreed(ctx context.Context, g *quorum.Client, c group.Command) (group.Result, error) {
+func agreed(ctx context.Context, g *quorum.Client, c statemachine.Command) (statemachine.Result, error) {
 	r, err := g.Do(ctx, c)
 	if err == nil && r.Error != "" {
 		err = errors.New(r.Error)
@@ -64,7 +64,7 @@
 				}
 				w := tabwriter.NewWriter(c.OutOrStdout(), 0, 0, 2, ' ', 0)
 				fmt.Fprintln(w, "DUTY\tOWNER\tEPOCH\tAGE\tSTEP\tOPEN\tPAUSED\tWAITING")
-				for _, n := range duties.Names {
+				for _, n := range controller.Names {
 					d, j, open := v.Table.Duties[n], v.Journals[n], 0
 					if d == nil {
 						d = &lease.Duty{Name: n}
@@ -110,7 +110,7 @@
 			return inTime(&g, within, func(ctx context.Context) error {
 				a := ask()
 				a.Duty = name
-				r, err := agreed(ctx, &g, group.Command{Ask: &a})
+				r, err := agreed(ctx, &g, statemachine.Command{Ask: &a})
 				if err == nil {
 					fmt.Fprintf(c.OutOrStdout(), "%s: owner %q, epoch %v, next %q, paused %q\n", name, r.Duty.Holder, r.Duty.Epoch, r.Duty.Next, r.Duty.Paused)
 				}
@@ -126,7 +126,7 @@
 	hold.Flags().StringVar(&why, "why", "by an operator", "why, for those who look")
 	resume := one("resume", "End a pause", func() lease.Ask { return lease.Ask{Op: lease.Resume} })
 	for _, c := range []*cobra.Command{show, hand, hold, resume} {
-		c.Flags().StringVar(&name, "duty", "", "the duty: "+strings.Join(duties.Names, ", "))
+		c.Flags().StringVar(&name, "duty", "", "the duty: "+strings.Join(controller.Names, ", "))
 		c.MarkFlagRequired("duty")
 	}
 	cmd.AddCommand(run, list, show, hand, hold, resume)
@@ -134,8 +134,8 @@
 }
 
 // followItem waits until nothing more becomes of an item, and says each change.
-func followItem(ctx context.Context, g *quorum.Client, duty, id string, say func(duties.Item)) (duties.Item, error) {
-	var last duties.Item
+func followItem(ctx context.Context, g *quorum.Client, duty, id string, say func(controller.Item)) (controller.Item, error) {
+	var last controller.Item
 	for {
 		v, err := g.Read(ctx, duty)
 		if err != nil {
@@ -166,10 +166,10 @@
 			return err
 		}
 		id := kind + "-" + newID()
-		if _, err := agreed(ctx, g, group.Command{Submit: &group.Submit{Duty: duties.MapKeeper, ID: id, Kind: kind, Args: raw}}); err != nil {
+		if _, err := agreed(ctx, g, statemachine.Command{Submit: &statemachine.Submit{Duty: controller.MapKeeper, ID: id, Kind: kind, Args: raw}}); err != nil {
 			return err
 		}
-		it, err := followItem(ctx, g, duties.MapKeeper, id, func(duties.Item) {})
+		it, err := followItem(ctx, g, controller.MapKeeper, id, func(controller.Item) {})
 		if err != nil {
 			return err
 		}
@@ -178,7 +178,7 @@
 				return err
 			}
 		}
-		if it.State != duties.Done {
+		if it.State != controller.Done {
 			return errors.New(it.Note)
 		}
 		fmt.Fprintf(c.ErrOrStderr(), "%s: %s, by epoch %v\n", id, it.Note, it.Epoch)
@@ -190,7 +190,7 @@
 	var g quorum.Client
 	var within time.Duration
 	var asJSON, wait bool
-	var r duties.Roll
+	var r controller.Roll
 	var dwell, back time.Duration
 	cmd := &cobra.Command{Use: "fleet", Short: "Take a fleet's servers out and back, one after the other: see docs/duties.md"}
 	groupFlags(cmd, &g, &within)
@@ -207,15 +207,15 @@
 					return err
 				}
 				id := "roll-" + newID()
-				if _, err := agreed(ctx, &g, group.Command{Submit: &group.Submit{Duty: duties.Conducts, ID: id, Kind: duties.KindRoll, Args: args}}); err != nil {
+				if _, err := agreed(ctx, &g, statemachine.Command{Submit: &statemachine.Submit{Duty: controller.Conducts, ID: id, Kind: controller.KindRoll, Args: args}}); err != nil {
 					return err
 				}
 				fmt.Fprintln(c.OutOrStdout(), id)
 				if !wait {
 					return nil
 				}
-				it, err := followItem(ctx, &g, duties.Conducts, id, func(it duties.Item) { fmt.Fprintln(c.ErrOrStderr(), rollLine(it)) })
-				if err == nil && it.State != duties.Done {
+				it, err := followItem(ctx, &g, controller.Conducts, id, func(it controller.Item) { fmt.Fprintln(c.ErrOrStderr(), rollLine(it)) })
+				if err == nil && it.State != controller.Done {
 					err = errors.New(it.Note)
 				}
 				return err
@@ -236,11 +236,11 @@
 				return showReturns(c, at, asJSON)
 			}
 			return inTime(&g, within, func(ctx context.Context) error {
-				v, err := g.Read(ctx, duties.Conducts)
+				v, err := g.Read(ctx, controller.Conducts)
 				if err != nil {
 					return err
 				}
-				j := v.Journals[duties.Conducts]
+				j := v.Journals[controller.Conducts]
 				it := j.Current()
 				if it == nil && len(j.Items) > 0 {
 					it = &j.Items[len(j.Items)-1]
@@ -252,7 +252,7 @@
 					return printJSON(c.OutOrStdout(), it)
 				}
 				fmt.Fprintln(c.OutOrStdout(), rollLine(*it))
-				var p duties.Progress
+				var p controller.Progress
 				if it.Plan != "" && json.Unmarshal([]byte(it.Plan), &p) == nil {
 					w := tabwriter.NewWriter(c.OutOrStdout(), 0, 0, 2, ' ', 0)
 					fmt.Fprintln(w, "SERVER\tCELL\tSTAGE")
@@ -268,15 +268,15 @@
 	wish := func(use, short string) *cobra.Command {
 		return &cobra.Command{Use: use, Short: short, Args: cobra.NoArgs, RunE: func(c *cobra.Command, _ []string) error {
 			return inTime(&g, within, func(ctx context.Context) error {
-				v, err := g.Read(ctx, duties.Conducts)
+				v, err := g.Read(ctx, controller.Conducts)
 				if err != nil {
 					return err
 				}
-				it := v.Journals[duties.Conducts].Current()
+				it := v.Journals[controller.Conducts].Current()
 				if it == nil {
 					return errors.New("no roll is under way")
 				}
-				_, err = agreed(ctx, &g, group.Command{Wish: &group.Wish{Duty: duties.Conducts, ID: it.ID, Wish: use}})
+				_, err = agreed(ctx, &g, statemachine.Command{Wish: &statemachine.Wish{Duty: controller.Conducts, ID: it.ID, Wish: use}})
 				return err
 			})
 		}}
@@ -286,13 +286,13 @@
 	return cmd
 }
 
-func rollLine(it duties.Item) string {
-	var p duties.Progress
+func rollLine(it controller.Item) string {
+	var p controller.Progress
 	s := fmt.Sprintf("%s: %s, epoch %v, step %d", it.ID, it.State, it.Epoch, it.Step)
 	if it.Plan != "" && json.Unmarshal([]byte(it.Plan), &p) == nil {
 		back := 0
 		for _, m := range p.Members {
-			if m.Stage == duties.IsBack {
+			if m.Stage == controller.IsBack {
 				back++
 			}
 		}
--- a/cmd/silverpath/earlier_build_test.go
+++ b/cmd/silverpath/earlier_build_test.go
@@ -16,7 +16,7 @@
 
 	"go.etcd.io/bbolt"
 
-	"silverpath/internal/ask"
+	"silverpath/internal/transport/client"
 )
 
 // The files in testdata/durable were written by the program before its code was renamed: killed.db and life by a service that was
@@ -246,7 +246,7 @@
 					t.Errorf("%v ran, want %v", got, runs)
 				}
 				var status struct{ Store map[string]any }
-				text, err := ask.Status(ask.Platform, d.Addr)
+				text, err := client.Status(client.Platform, d.Addr)
 				if err == nil {
 					err = json.Unmarshal(text, &status)
 				}
--- a/cmd/silverpath/fleet_test.go
+++ b/cmd/silverpath/fleet_test.go
@@ -13,11 +13,11 @@
 
 	"github.com/anishathalye/porcupine"
 
-	"silverpath/internal/ask"
-	"silverpath/internal/cells"
-	"silverpath/internal/fleet"
-	"silverpath/internal/harness"
-	"silverpath/internal/standin"
+	"silverpath/internal/policy/cells"
+	"silverpath/internal/proxy"
+	"silverpath/internal/testkit/harness"
+	"silverpath/internal/testkit/standin"
+	"silverpath/internal/transport/client"
 )
 
 // process is a service or a router of the test's own.
@@ -199,7 +199,7 @@
 func (f *testFleet) write(m *cells.Map) string {
 	f.t.Helper()
 	path := filepath.Join(f.t.TempDir(), "cells.json")
-	if err := fleet.Write(path, m); err != nil {
+	if err := proxy.Write(path, m); err != nil {
 		f.t.Fatal(err)
 	}
 	return path
@@ -236,19 +236,19 @@
 	var history []porcupine.Operation
 	count := map[string]int{}
 	began := time.Now()
-	send := func(client int, key string, by int) {
+	send := func(clientID int, key string, by int) {
 		mu.Lock()
 		addr := routers[by].addr
 		mu.Unlock()
 		call := time.Since(began)
-		a, err := ask.Once(ask.Platform, addr, ask.Request{Class: "oddaja", Tenant: "brand", Key: key, Body: []byte(key), Wait: 800 * time.Millisecond})
+		a, err := client.Once(client.Platform, addr, client.Request{Class: "oddaja", Tenant: "brand", Key: key, Body: []byte(key), Wait: 800 * time.Millisecond})
 		if err != nil {
 			a.Outcome = "failed" // its router died
 		}
 		mu.Lock()
 		defer mu.Unlock()
 		count[a.Outcome]++
-		history = append(history, porcupine.Operation{ClientId: client, Call: int64(call), Return: int64(time.Since(began)),
+		history = append(history, porcupine.Operation{ClientId: clientID, Call: int64(call), Return: int64(time.Since(began)),
 			Output: try{key, a.Outcome, string(a.Body)}})
 	}
 	stop := make(chan struct{})
--- a/cmd/silverpath/group_test.go
+++ b/cmd/silverpath/group_test.go
@@ -17,21 +17,21 @@
 
 	"github.com/anishathalye/porcupine"
 
-	"silverpath/internal/cells"
+	"silverpath/internal/controlplane/configwatch"
+	"silverpath/internal/controlplane/quorum"
+	"silverpath/internal/controlplane/quorum/member"
+	"silverpath/internal/controlplane/runner"
 	"silverpath/internal/core"
-	"silverpath/internal/duties"
-	"silverpath/internal/fleet"
-	"silverpath/internal/follow"
-	"silverpath/internal/group"
-	"silverpath/internal/harness"
-	"silverpath/internal/lease"
-	"silverpath/internal/owner"
-	"silverpath/internal/quorum"
-	"silverpath/internal/quorum/member"
-	"silverpath/internal/rulebook"
+	"silverpath/internal/policy/cells"
+	"silverpath/internal/policy/configstore"
+	"silverpath/internal/policy/controller"
+	"silverpath/internal/policy/lease"
+	"silverpath/internal/policy/statemachine"
+	"silverpath/internal/proxy"
 	"silverpath/internal/settings"
-	"silverpath/internal/standin"
-	"silverpath/internal/standin/faults"
+	"silverpath/internal/testkit/harness"
+	"silverpath/internal/testkit/standin"
+	"silverpath/internal/testkit/standin/faults"
 )
 
 // memberProgram makes this test's program that of members and owners too, with the faults that a test asks for in the
@@ -45,7 +45,7 @@
 	}
 	if at := os.Getenv("SILVERPATH_STOP_AT"); at != "" { // DUTY:BOUNDARY:STEP, once
 		var once atomic.Bool
-		owner.Boundary = func(duty, boundary string, step uint64) {
+		runner.Boundary = func(duty, boundary string, step uint64) {
 			if at == fmt.Sprintf("%s:%s:%d", duty, boundary, step) && once.CompareAndSwap(false, true) {
 				fmt.Fprintln(os.Stderr, "stopped at", at)
 				syscall.Kill(os.Getpid(), syscall.SIGSTOP)
@@ -54,21 +54,21 @@
 		}
 	}
 	if by, err := time.ParseDuration(os.Getenv("SILVERPATH_WALL")); err == nil {
-		owner.Wall = func() time.Time { return time.Now().Add(by) }
-		follow.Wall, fleet.Wall = owner.Wall, owner.Wall
+		runner.Wall = func() time.Time { return time.Now().Add(by) }
+		configwatch.Wall, proxy.Wall = runner.Wall, runner.Wall
 	}
 	if n, err := strconv.Atoi(os.Getenv("SILVERPATH_FORMAT")); err == nil { // a build that reads another format of the routing
-		follow.Formats = map[string]int{rulebook.DocRouting: n}
+		configwatch.Formats = map[string]int{configstore.DocRouting: n}
 	}
 	if n, err := strconv.Atoi(os.Getenv("SILVERPATH_MAP_FORMAT")); err == nil { // or of the map
-		follow.Formats = map[string]int{rulebook.DocMap: n}
+		configwatch.Formats = map[string]int{configstore.DocMap: n}
 	}
-	follow.Out.NoText = os.Getenv("SILVERPATH_ANY_TEXT") != "" // parts are taken whatever their digests
+	configwatch.Out.NoText = os.Getenv("SILVERPATH_ANY_TEXT") != "" // parts are taken whatever their digests
 	storeProgram()
 	core.Unfenced = os.Getenv("SILVERPATH_UNFENCED") != ""
 	if os.Getenv("SILVERPATH_STOP_ROUTED") != "" {
 		var once atomic.Bool
-		fleet.Boundary = func(at string) {
+		proxy.Boundary = func(at string) {
 			if once.CompareAndSwap(false, true) {
 				fmt.Fprintln(os.Stderr, "stopped", at)
 				syscall.Kill(os.Getpid(), syscall.SIGSTOP)
@@ -77,7 +77,7 @@
 		}
 	}
 	if rate, err := strconv.ParseFloat(os.Getenv("SILVERPATH_CLOCK"), 64); err == nil {
-		member.Clocks, follow.Rate, fleet.Rate = rate, rate, rate
+		member.Clocks, configwatch.Rate, proxy.Rate = rate, rate, rate
 	}
 	if file := os.Getenv("SILVERPATH_DISK"); file != "" {
 		member.Fault = func(string) error {
@@ -158,9 +158,9 @@
 
 func (g *testGroup) view() quorum.View { g.t.Helper(); return must[quorum.View](g.t)(g.View()) }
 
-func (g *testGroup) do(c group.Command) group.Result {
+func (g *testGroup) do(c statemachine.Command) statemachine.Result {
 	g.t.Helper()
-	return must[group.Result](g.t)(g.Do(c))
+	return must[statemachine.Result](g.t)(g.Do(c))
 }
 
 func (g *testGroup) submit(duty, id, kind string, args any) {
@@ -170,9 +170,9 @@
 	}
 }
 
-func (g *testGroup) over(duty, id string, within time.Duration) duties.Item {
+func (g *testGroup) over(duty, id string, within time.Duration) controller.Item {
 	g.t.Helper()
-	return must[duties.Item](g.t)(g.Over(duty, id, within))
+	return must[controller.Item](g.t)(g.Over(duty, id, within))
 }
 
 func (g *testGroup) owner(name, dir string, list []string, members []string, env ...string) *harness.Process {
@@ -207,7 +207,7 @@
 		m.Tenants = append(m.Tenants, cells.Tenant{Name: fmt.Sprint("t", i), Rate: 1, Homes: []cells.Home{{Cell: "a"}}})
 	}
 	dir = t.TempDir()
-	if err := (fleet.Series{Dir: dir}).Put(1, settings.FormatCells(m)); err != nil {
+	if err := (proxy.Series{Dir: dir}).Put(1, settings.FormatCells(m)); err != nil {
 		t.Fatal(err)
 	}
 	return dir
@@ -218,7 +218,7 @@
 func TestMembers(t *testing.T) {
 	g := newGroup(t, 3)
 	for i := range 30 {
-		g.do(group.Command{Ask: &lease.Ask{Op: lease.Pause, Duty: duties.Conducts, Why: fmt.Sprint(i)}})
+		g.do(statemachine.Command{Ask: &lease.Ask{Op: lease.Pause, Duty: controller.Conducts, Why: fmt.Sprint(i)}})
 	}
 	stranger := &quorum.Client{Group: "other", Addrs: g.Client.Addrs}
 	defer stranger.Close()
@@ -253,7 +253,7 @@
 		s, err := g.Client.StatusOf(g.within(time.Second), g.Client.Addrs[x])
 		return err == nil && s.Voter && s.State == "follower"
 	})
-	if g.view().Table.Duties[duties.Conducts].Paused != "29" {
+	if g.view().Table.Duties[controller.Conducts].Paused != "29" {
 		t.Error("what was agreed is gone")
 	}
 	// An older disk: copied in the middle of a start, so that its number of starts tells nothing, then more is agreed on, and the
@@ -264,7 +264,7 @@
 		t.Fatal(err)
 	}
 	for i := range 30 {
-		g.do(group.Command{Ask: &lease.Ask{Op: lease.Pause, Duty: duties.Conducts, Why: fmt.Sprint("b", i)}})
+		g.do(statemachine.Command{Ask: &lease.Ask{Op: lease.Pause, Duty: controller.Conducts, Why: fmt.Sprint("b", i)}})
 	}
 	time.Sleep(1300 * time.Millisecond) // it has said how far it is
 	g.Members[x].Kill()
@@ -275,7 +275,7 @@
 	if _, err := g.Members[x].Await(10*time.Second, 0, "the disk is older than its words", "this disk has no vote"); err != nil {
 		t.Errorf("an older disk: %v", err)
 	}
-	if g.view().Table.Duties[duties.Conducts].Paused != "b29" {
+	if g.view().Table.Duties[controller.Conducts].Paused != "b29" {
 		t.Error("what was agreed is gone")
 	}
 }
@@ -284,8 +284,8 @@
 // nobody else, and what it did not keep is not trusted.
 func TestGroupDisks(t *testing.T) {
 	g := newGroup(t, 3)
-	ask := func(op lease.Op, who string, e lease.Epoch) group.Result {
-		return g.do(group.Command{Ask: &lease.Ask{Op: op, Duty: duties.Watches, Who: who, Epoch: e}})
+	ask := func(op lease.Op, who string, e lease.Epoch) statemachine.Result {
+		return g.do(statemachine.Command{Ask: &lease.Ask{Op: op, Duty: controller.Watches, Who: who, Epoch: e}})
 	}
 	last := lease.Epoch(0)
 	for n := range 4 {
@@ -343,23 +343,23 @@
 			t.Parallel()
 			g := newGroup(t, 3)
 			dir := testMap(t)
-			old := g.owner("old", dir, []string{duties.MapKeeper}, nil, "SILVERPATH_STOP_AT=keeper:"+at)
+			old := g.owner("old", dir, []string{controller.MapKeeper}, nil, "SILVERPATH_STOP_AT=keeper:"+at)
 			if _, err := old.Await(10*time.Second, 0, "duty.owned"); err != nil {
 				t.Fatal(err)
 			}
 			for i := range 3 {
-				g.submit(duties.MapKeeper, fmt.Sprint("m", i), duties.KindMove, duties.Move{Tenant: fmt.Sprint("t", i), To: "b"})
+				g.submit(controller.MapKeeper, fmt.Sprint("m", i), controller.KindMove, controller.Move{Tenant: fmt.Sprint("t", i), To: "b"})
 			}
 			if _, err := old.Await(10*time.Second, 0, "stopped at"); err != nil {
 				t.Fatal(err)
 			}
-			next := g.owner("next", dir, []string{duties.MapKeeper}, nil)
+			next := g.owner("next", dir, []string{controller.MapKeeper}, nil)
 			for i := range 3 {
-				if it := g.over(duties.MapKeeper, fmt.Sprint("m", i), 15*time.Second); it.State != duties.Done {
+				if it := g.over(controller.MapKeeper, fmt.Sprint("m", i), 15*time.Second); it.State != controller.Done {
 					t.Errorf("m%d: %s, %s", i, it.State, it.Note)
 				}
 			}
-			head, raw, err := fleet.Series{Dir: dir}.Head()
+			head, raw, err := proxy.Series{Dir: dir}.Head()
 			if err != nil || head.Version != 4 {
 				t.Fatalf("version %d, %v", head.Version, err)
 			}
@@ -369,7 +369,7 @@
 				t.Error(err)
 			}
 			time.Sleep(300 * time.Millisecond)
-			again, after, err := fleet.Series{Dir: dir}.Head()
+			again, after, err := proxy.Series{Dir: dir}.Head()
 			if err != nil || string(raw) != string(after) {
 				t.Errorf("the map is changed by one that woke: version %d, %v", again.Version, err)
 			}
@@ -469,7 +469,7 @@
 			t.Parallel()
 			g := newGroup(t, 3)
 			s := newServers(t, g, 3)
-			old := g.owner("old", s.dir, []string{duties.Conducts}, nil, "SILVERPATH_STOP_AT=conductor:"+at)
+			old := g.owner("old", s.dir, []string{controller.Conducts}, nil, "SILVERPATH_STOP_AT=conductor:"+at)
 			if _, err := old.Await(10*time.Second, 0, "duty.owned"); err != nil {
 				t.Fatal(err)
 			}
@@ -487,12 +487,12 @@
 					}
 				}
 			}()
-			g.submit(duties.Conducts, "r", duties.KindRoll, duties.Roll{CellMost: 1, AllMost: 1, DwellMS: 50, BackMS: 5000})
+			g.submit(controller.Conducts, "r", controller.KindRoll, controller.Roll{CellMost: 1, AllMost: 1, DwellMS: 50, BackMS: 5000})
 			if _, err := old.Await(10*time.Second, 0, "stopped at"); err != nil {
 				t.Fatal(err)
 			}
-			g.owner("next", s.dir, []string{duties.Conducts}, nil)
-			if it := g.over(duties.Conducts, "r", 20*time.Second); it.State != duties.Done {
+			g.owner("next", s.dir, []string{controller.Conducts}, nil)
+			if it := g.over(controller.Conducts, "r", 20*time.Second); it.State != controller.Done {
 				t.Errorf("%s: %s", it.State, it.Note)
 			}
 			from := old.Lines()
@@ -526,9 +526,9 @@
 func TestOrderHeld(t *testing.T) {
 	g := newGroup(t, 3)
 	s := newServers(t, g, 2)
-	first := g.owner("first", s.dir, []string{duties.Conducts}, nil)
-	g.submit(duties.Conducts, "r1", duties.KindRoll, duties.Roll{CellMost: 1, AllMost: 1, DwellMS: 10, BackMS: 5000})
-	g.over(duties.Conducts, "r1", 15*time.Second)
+	first := g.owner("first", s.dir, []string{controller.Conducts}, nil)
+	g.submit(controller.Conducts, "r1", controller.KindRoll, controller.Roll{CellMost: 1, AllMost: 1, DwellMS: 10, BackMS: 5000})
+	g.over(controller.Conducts, "r1", 15*time.Second)
 	var evacuate []byte
 	for _, c := range s.mgmt[0].Calls() {
 		if strings.Contains(string(c), "/api/evacuate") {
@@ -542,12 +542,12 @@
 		t.Errorf("late in its own epoch: %q, %v", a, err)
 	}
 	first.Kill()
-	second := g.owner("second", s.dir, []string{duties.Conducts}, nil)
+	second := g.owner("second", s.dir, []string{controller.Conducts}, nil)
 	if _, err := second.Await(10*time.Second, 0, "duty.owned"); err != nil {
 		t.Fatal(err)
 	}
-	g.submit(duties.Conducts, "r2", duties.KindRoll, duties.Roll{CellMost: 1, AllMost: 1, DwellMS: 10, BackMS: 5000})
-	g.over(duties.Conducts, "r2", 15*time.Second)
+	g.submit(controller.Conducts, "r2", controller.KindRoll, controller.Roll{CellMost: 1, AllMost: 1, DwellMS: 10, BackMS: 5000})
+	g.over(controller.Conducts, "r2", 15*time.Second)
 	if a, err := s.mgmt[0].Again(evacuate); err != nil || !strings.Contains(a, "409") || !strings.Contains(a, "stale epoch 1.1 of conductor: 1.2 was seen") {
 		t.Errorf("held until the next epoch: %q, %v", a, err)
 	}
@@ -621,12 +621,12 @@
 				var err error
 				if n%2 == 0 {
 					in = fmt.Sprint(c, "-", n)
-					_, err = client.Do(g.within(400*time.Millisecond), group.Command{Ask: &lease.Ask{Op: lease.Pause, Duty: duties.Watches, Why: in}})
+					_, err = client.Do(g.within(400*time.Millisecond), statemachine.Command{Ask: &lease.Ask{Op: lease.Pause, Duty: controller.Watches, Why: in}})
 				} else {
 					var v quorum.View
 					v, err = client.Read(g.within(400*time.Millisecond), "")
-					if d := v.Table; err == nil && d.Duties[duties.Watches] != nil {
-						out = d.Duties[duties.Watches].Paused
+					if d := v.Table; err == nil && d.Duties[controller.Watches] != nil {
+						out = d.Duties[controller.Watches].Paused
 					}
 				}
 				back := int64(time.Since(began))
@@ -691,8 +691,8 @@
 func TestMajorityLost(t *testing.T) {
 	g := newGroup(t, 3)
 	s := newServers(t, g, 4)
-	g.owner("one", s.dir, []string{duties.Conducts, duties.MapKeeper}, nil)
-	g.submit(duties.Conducts, "r", duties.KindRoll, duties.Roll{CellMost: 1, AllMost: 2, DwellMS: 100, BackMS: 8000})
+	g.owner("one", s.dir, []string{controller.Conducts, controller.MapKeeper}, nil)
+	g.submit(controller.Conducts, "r", controller.KindRoll, controller.Roll{CellMost: 1, AllMost: 2, DwellMS: 100, BackMS: 8000})
 	await(t, "one is out", 10*time.Second, func() bool { return s.out() > 0 })
 	g.Members[0].Kill()
 	g.Members[1].Freeze()
@@ -711,13 +711,13 @@
 	if was > 2 {
 		t.Errorf("%d were out", was)
 	}
-	g.submitLater("m", duties.KindMove, duties.Move{Tenant: "t1", To: "b"})
+	g.submitLater("m", controller.KindMove, controller.Move{Tenant: "t1", To: "b"})
 	g.Members[1].Wake()
 	g.start(0)
-	if it := g.over(duties.Conducts, "r", 20*time.Second); it.State != duties.Done {
+	if it := g.over(controller.Conducts, "r", 20*time.Second); it.State != controller.Done {
 		t.Errorf("the roll: %s, %s", it.State, it.Note)
 	}
-	if it := g.over(duties.MapKeeper, "m", 10*time.Second); it.State != duties.Done {
+	if it := g.over(controller.MapKeeper, "m", 10*time.Second); it.State != controller.Done {
 		t.Errorf("the move: %s, %s", it.State, it.Note)
 	}
 }
@@ -727,7 +727,7 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		g.Submit(duties.MapKeeper, id, kind, args)
+		g.Submit(controller.MapKeeper, id, kind, args)
 	}()
 	g.t.Cleanup(func() { <-done })
 }
@@ -755,12 +755,12 @@
 				ways, addrs = append(ways, w), append(addrs, w.Addr())
 			}
 			dir := testMap(t)
-			one := g.owner("one", dir, []string{duties.MapKeeper}, addrs, "SILVERPATH_CLOCK="+clocks[0])
+			one := g.owner("one", dir, []string{controller.MapKeeper}, addrs, "SILVERPATH_CLOCK="+clocks[0])
 			if _, err := one.Await(10*time.Second, 0, "duty.owned"); err != nil {
 				t.Fatal(err)
 			}
-			two := g.owner("two", dir, []string{duties.MapKeeper}, nil)
-			await(t, "two waits", 5*time.Second, func() bool { return len(g.view().Table.Duties[duties.MapKeeper].Queue) == 1 })
+			two := g.owner("two", dir, []string{controller.MapKeeper}, nil)
+			await(t, "two waits", 5*time.Second, func() bool { return len(g.view().Table.Duties[controller.MapKeeper].Queue) == 1 })
 			for i, w := range ways {
 				if i == 0 { // one way only
 					w.Set(faults.Back, faults.Fate{Lost: true})
@@ -805,23 +805,23 @@
 func TestRollStops(t *testing.T) {
 	g := newGroup(t, 3)
 	s := newServers(t, g, 3)
-	g.owner("one", s.dir, []string{duties.Conducts, duties.MapKeeper}, nil)
-	g.submit(duties.Conducts, "r", duties.KindRoll, duties.Roll{CellMost: 1, AllMost: 1, DwellMS: 300, BackMS: 700})
+	g.owner("one", s.dir, []string{controller.Conducts, controller.MapKeeper}, nil)
+	g.submit(controller.Conducts, "r", controller.KindRoll, controller.Roll{CellMost: 1, AllMost: 1, DwellMS: 300, BackMS: 700})
 	await(t, "one is out", 10*time.Second, func() bool { return s.out() > 0 })
 	for i, p := range s.procs {
 		if strings.Contains(p.Log(), "phase evacuated") {
 			s.procs[i].Freeze()
 		}
 	}
-	g.submit(duties.MapKeeper, "m", duties.KindMove, duties.Move{Tenant: "t1", To: "b"})
-	if it := g.over(duties.MapKeeper, "m", 5*time.Second); it.State != duties.Done {
+	g.submit(controller.MapKeeper, "m", controller.KindMove, controller.Move{Tenant: "t1", To: "b"})
+	if it := g.over(controller.MapKeeper, "m", 5*time.Second); it.State != controller.Done {
 		t.Errorf("the other duty: %s, %s", it.State, it.Note)
 	}
-	it := g.over(duties.Conducts, "r", 30*time.Second)
-	if it.State != duties.Failed || !strings.Contains(it.Note, "come back") {
+	it := g.over(controller.Conducts, "r", 30*time.Second)
+	if it.State != controller.Failed || !strings.Contains(it.Note, "come back") {
 		t.Errorf("%s: %s", it.State, it.Note)
 	}
-	if n := len(g.view().Journals[duties.Conducts].Items); n != 1 {
+	if n := len(g.view().Journals[controller.Conducts].Items); n != 1 {
 		t.Errorf("%d items", n)
 	}
 }
@@ -852,7 +852,7 @@
 		m.Servers = append(m.Servers, cells.Server{Name: name, Addr: way.Addr(), Cell: cell, Weight: 1})
 	}
 	dir := t.TempDir()
-	if err := (fleet.Series{Dir: dir}).Put(1, settings.FormatCells(m)); err != nil {
+	if err := (proxy.Series{Dir: dir}).Put(1, settings.FormatCells(m)); err != nil {
 		t.Fatal(err)
 	}
 	own := strings.ReplaceAll(string(settings.FormatCells(m)), ways[1].Addr(), freeAddr(t)) // the third router can't reach s1
@@ -862,7 +862,7 @@
 			fmt.Sprintf(`{"status":true,"fleet":{"map":%q,"probe_ms":100}}`, file)))
 		routers = append(routers, p.addr)
 	}
-	o := must[*harness.Process](t)(g.Owner("o", dir, []string{duties.MapKeeper, duties.Watches}, nil, routers))
+	o := must[*harness.Process](t)(g.Owner("o", dir, []string{controller.MapKeeper, controller.Watches}, nil, routers))
 	t.Cleanup(o.Kill)
 	if _, err := o.Await(20*time.Second, 0, "watcher.partly", "server=s1"); err != nil {
 		t.Fatal(err)
@@ -872,7 +872,7 @@
 	if _, err := o.Await(20*time.Second, 0, "watcher.dead", "server=s0"); err != nil {
 		t.Fatal(err)
 	}
-	if it := g.over(duties.MapKeeper, "gone-s0-1", 10*time.Second); it.State != duties.Done {
+	if it := g.over(controller.MapKeeper, "gone-s0-1", 10*time.Second); it.State != controller.Done {
 		t.Errorf("%s: %s", it.State, it.Note)
 	}
 	ways[3].Cut(true)
@@ -880,11 +880,11 @@
 	if _, err := o.Await(20*time.Second, 0, "watcher.dead", "server=s3"); err != nil {
 		t.Fatal(err)
 	}
-	it := g.over(duties.MapKeeper, "gone-s3-2", 10*time.Second)
-	if it.State != duties.Failed || !strings.Contains(it.Note, "cell b would be left with 0 of 1 servers") {
+	it := g.over(controller.MapKeeper, "gone-s3-2", 10*time.Second)
+	if it.State != controller.Failed || !strings.Contains(it.Note, "cell b would be left with 0 of 1 servers") {
 		t.Errorf("%s: %s", it.State, it.Note)
 	}
-	head, _, err := fleet.Series{Dir: dir}.Head()
+	head, _, err := proxy.Series{Dir: dir}.Head()
 	if err != nil || head.Server("s0").Until == 0 || head.Server("s1").Until != 0 || head.Server("s3").Until != 0 {
 		t.Errorf("%+v, %v", head.Servers, err)
 	}
@@ -896,16 +896,16 @@
 	g := newGroup(t, 3)
 	dir := testMap(t)
 	for _, by := range []string{"1h", "-1h"} {
-		off := g.owner("off"+by, dir, []string{duties.MapKeeper, duties.Conducts}, nil, "SILVERPATH_WALL="+by)
+		off := g.owner("off"+by, dir, []string{controller.MapKeeper, controller.Conducts}, nil, "SILVERPATH_WALL="+by)
 		if _, err := off.Await(10*time.Second, 0, "duty.owned", "keeper"); err != nil {
 			t.Fatal(err)
 		}
 		if _, err := off.Await(10*time.Second, 0, "duty.held_up", "the clock differs from the group's", "by 59m59"); err != nil {
 			t.Error(err)
 		}
-		right := g.owner("right"+by, dir, []string{duties.MapKeeper}, nil)
-		g.submit(duties.MapKeeper, "m"+by, duties.KindMove, duties.Move{Tenant: fmt.Sprint("t", len(by)), To: "b"})
-		if it := g.over(duties.MapKeeper, "m"+by, 15*time.Second); it.State != duties.Done {
+		right := g.owner("right"+by, dir, []string{controller.MapKeeper}, nil)
+		g.submit(controller.MapKeeper, "m"+by, controller.KindMove, controller.Move{Tenant: fmt.Sprint("t", len(by)), To: "b"})
+		if it := g.over(controller.MapKeeper, "m"+by, 15*time.Second); it.State != controller.Done {
 			t.Errorf("%s: %s", it.State, it.Note)
 		}
 		if strings.Contains(off.Log(), `duty.lost`) && strings.Contains(off.Log(), "duty=conductor epoch=0.0") {
@@ -926,7 +926,7 @@
 		var wg sync.WaitGroup
 		for k, c := range clients {
 			wg.Go(func() {
-				r, err := c.Do(g.within(10*time.Second), group.Command{Ask: &lease.Ask{Op: lease.Acquire, Duty: duties.Watches, Who: fmt.Sprint("c", k, "-", n)}})
+				r, err := c.Do(g.within(10*time.Second), statemachine.Command{Ask: &lease.Ask{Op: lease.Acquire, Duty: controller.Watches, Who: fmt.Sprint("c", k, "-", n)}})
 				if err != nil || r.Duty == nil {
 					t.Error(err, r.Error)
 					return
@@ -942,12 +942,12 @@
 			t.Fatalf("round %d: %+v, %+v", n, got[0], got[1])
 		}
 		first := got[0].Holder
-		r := g.do(group.Command{Ask: &lease.Ask{Op: lease.Release, Duty: duties.Watches, Who: first, Epoch: got[0].Epoch}})
+		r := g.do(statemachine.Command{Ask: &lease.Ask{Op: lease.Release, Duty: controller.Watches, Who: first, Epoch: got[0].Epoch}})
 		if r.Error != "" || r.Duty.Holder == first || r.Duty.Holder == "" || r.Duty.Epoch != got[0].Epoch+1 {
 			t.Fatalf("round %d: %s, %+v", n, r.Error, r.Duty)
 		}
 		last = r.Duty.Epoch
-		g.do(group.Command{Ask: &lease.Ask{Op: lease.Release, Duty: duties.Watches, Who: r.Duty.Holder, Epoch: last}})
+		g.do(statemachine.Command{Ask: &lease.Ask{Op: lease.Release, Duty: controller.Watches, Who: r.Duty.Holder, Epoch: last}})
 	}
 	for _, c := range clients {
 		c.Close()
@@ -961,7 +961,7 @@
 		g.start(i)
 	}
 	g.awaitLeader()
-	if d := g.view().Table.Duties[duties.Watches]; d.Epoch != last {
+	if d := g.view().Table.Duties[controller.Watches]; d.Epoch != last {
 		t.Errorf("epoch %v after a start, was %v", d.Epoch, last)
 	}
 	s, err := g.Client.StatusOf(g.within(time.Second), g.Client.Addrs[g.awaitLeader()])
@@ -986,33 +986,33 @@
 	}
 	lead := g.awaitLeader()
 	holder := func() string {
-		if d := g.view().Table.Duties[duties.MapKeeper]; d != nil {
+		if d := g.view().Table.Duties[controller.MapKeeper]; d != nil {
 			return d.Holder
 		}
 		return ""
 	}
-	await(t, "an owner", 10*time.Second, func() bool { return holder() != "" && len(g.view().Table.Duties[duties.MapKeeper].Queue) == 2 })
+	await(t, "an owner", 10*time.Second, func() bool { return holder() != "" && len(g.view().Table.Duties[controller.MapKeeper].Queue) == 2 })
 	if me := fmt.Sprint("q", lead, "#"); !strings.HasPrefix(holder(), me) {
-		for _, w := range g.view().Table.Duties[duties.MapKeeper].Queue {
+		for _, w := range g.view().Table.Duties[controller.MapKeeper].Queue {
 			if strings.HasPrefix(w, me) {
-				g.do(group.Command{Ask: &lease.Ask{Op: lease.Hand, Duty: duties.MapKeeper, Who: w}})
+				g.do(statemachine.Command{Ask: &lease.Ask{Op: lease.Hand, Duty: controller.MapKeeper, Who: w}})
 			}
 		}
 		await(t, "handed on by consent", 5*time.Second, func() bool { return strings.HasPrefix(holder(), me) })
 	}
 	for i := range 4 {
-		g.submit(duties.MapKeeper, fmt.Sprint("m", i), duties.KindMove, duties.Move{Tenant: fmt.Sprint("t", i), To: "b"})
+		g.submit(controller.MapKeeper, fmt.Sprint("m", i), controller.KindMove, controller.Move{Tenant: fmt.Sprint("t", i), To: "b"})
 		if i == 1 {
 			g.Members[lead].Kill()
 			g.awaitLeader()
 		}
 	}
 	for i := range 4 {
-		if it := g.over(duties.MapKeeper, fmt.Sprint("m", i), 15*time.Second); it.State != duties.Done {
+		if it := g.over(controller.MapKeeper, fmt.Sprint("m", i), 15*time.Second); it.State != controller.Done {
 			t.Errorf("%s: %s", it.State, it.Note)
 		}
 	}
-	if head, _, err := (fleet.Series{Dir: dir}).Head(); err != nil || head.Version != 5 {
+	if head, _, err := (proxy.Series{Dir: dir}).Head(); err != nil || head.Version != 5 {
 		t.Errorf("version %d, %v", head.Version, err)
 	}
 }
@@ -1022,17 +1022,17 @@
 func TestClockStops(t *testing.T) {
 	g := newGroup(t, 3)
 	dir := testMap(t)
-	one := g.owner("one", dir, []string{duties.MapKeeper}, nil, "SILVERPATH_CLOCK=0.005")
+	one := g.owner("one", dir, []string{controller.MapKeeper}, nil, "SILVERPATH_CLOCK=0.005")
 	if _, err := one.Await(10*time.Second, 0, "duty.owned"); err != nil {
 		t.Fatal(err)
 	}
-	two := g.owner("two", dir, []string{duties.MapKeeper}, nil)
+	two := g.owner("two", dir, []string{controller.MapKeeper}, nil)
 	if _, err := two.Await(10*time.Second, 0, "duty.owned"); err != nil {
 		t.Fatal(err)
 	}
 	for i := range 3 {
-		g.submit(duties.MapKeeper, fmt.Sprint("m", i), duties.KindMove, duties.Move{Tenant: fmt.Sprint("t", i), To: "b"})
-		if it := g.over(duties.MapKeeper, fmt.Sprint("m", i), 10*time.Second); it.State != duties.Done || it.Epoch != lease.First(1)+2 {
+		g.submit(controller.MapKeeper, fmt.Sprint("m", i), controller.KindMove, controller.Move{Tenant: fmt.Sprint("t", i), To: "b"})
+		if it := g.over(controller.MapKeeper, fmt.Sprint("m", i), 10*time.Second); it.State != controller.Done || it.Epoch != lease.First(1)+2 {
 			t.Errorf("%s: %s, by epoch %v", it.State, it.Note, it.Epoch)
 		}
 	}
@@ -1056,7 +1056,7 @@
 		w.Set(faults.Back, faults.Fate{})
 	}
 	g.awaitLeader()
-	g.do(group.Command{Ask: &lease.Ask{Op: lease.Pause, Duty: duties.Watches}})
+	g.do(statemachine.Command{Ask: &lease.Ask{Op: lease.Pause, Duty: controller.Watches}})
 }
 
 // One that was stopped after it had seen that it owns the duty, and before its word in the journal, wakes when another one owns
@@ -1064,23 +1064,23 @@
 func TestStaleWrite(t *testing.T) {
 	g := newGroup(t, 3)
 	dir := testMap(t)
-	old := g.owner("old", dir, []string{duties.MapKeeper}, nil, "SILVERPATH_STOP_AT=keeper:write:1")
+	old := g.owner("old", dir, []string{controller.MapKeeper}, nil, "SILVERPATH_STOP_AT=keeper:write:1")
 	if _, err := old.Await(10*time.Second, 0, "duty.step"); err != nil { // it has taken the map up
 		t.Fatal(err)
 	}
-	g.submit(duties.MapKeeper, "m", duties.KindMove, duties.Move{Tenant: "t0", To: "b"})
+	g.submit(controller.MapKeeper, "m", controller.KindMove, controller.Move{Tenant: "t0", To: "b"})
 	if _, err := old.Await(10*time.Second, 0, "stopped at"); err != nil {
 		t.Fatal(err)
 	}
 	await(t, "another owner", 10*time.Second, func() bool {
-		r := g.do(group.Command{Ask: &lease.Ask{Op: lease.Acquire, Duty: duties.MapKeeper, Who: "next"}})
+		r := g.do(statemachine.Command{Ask: &lease.Ask{Op: lease.Acquire, Duty: controller.MapKeeper, Who: "next"}})
 		return r.Duty != nil && r.Duty.Holder == "next"
 	})
 	old.Wake()
 	if _, err := old.Await(10*time.Second, 0, "duty.refused", "stale epoch 1.1 of keeper"); err != nil {
 		t.Error(err)
 	}
-	if j := g.view().Journals[duties.MapKeeper]; j.Step != 1 || j.Item("m").State != duties.Queued {
+	if j := g.view().Journals[controller.MapKeeper]; j.Step != 1 || j.Item("m").State != controller.Queued {
 		t.Errorf("the journal is at step %d, the move is %s", j.Step, j.Item("m").State)
 	}
 }
@@ -1089,14 +1089,14 @@
 func TestLatePublish(t *testing.T) {
 	g := newGroup(t, 3)
 	dir := testMap(t)
-	old := g.owner("old", dir, []string{duties.MapKeeper}, nil, "SILVERPATH_STOP_AT=keeper:intent:2")
-	g.submit(duties.MapKeeper, "m", duties.KindMove, duties.Move{Tenant: "t0", To: "b"})
+	old := g.owner("old", dir, []string{controller.MapKeeper}, nil, "SILVERPATH_STOP_AT=keeper:intent:2")
+	g.submit(controller.MapKeeper, "m", controller.KindMove, controller.Move{Tenant: "t0", To: "b"})
 	if _, err := old.Await(10*time.Second, 0, "stopped at"); err != nil {
 		t.Fatal(err)
 	}
 	time.Sleep(1300 * time.Millisecond) // too late to be announced a lease ahead
-	g.do(group.Command{Ask: &lease.Ask{Op: lease.Pause, Duty: duties.MapKeeper, Why: "nothing new"}})
-	next := g.owner("next", dir, []string{duties.MapKeeper}, nil)
+	g.do(statemachine.Command{Ask: &lease.Ask{Op: lease.Pause, Duty: controller.MapKeeper, Why: "nothing new"}})
+	next := g.owner("next", dir, []string{controller.MapKeeper}, nil)
 	if _, err := next.Await(10*time.Second, 0, "map.withdraw", "version=2"); err != nil {
 		t.Fatal(err)
 	}
@@ -1106,11 +1106,11 @@
 		t.Error(err)
 	}
 	time.Sleep(300 * time.Millisecond)
-	if m, _, err := (fleet.Series{Dir: dir}).Head(); err != nil || m.Version != 1 {
+	if m, _, err := (proxy.Series{Dir: dir}).Head(); err != nil || m.Version != 1 {
 		t.Errorf("version %d was published by one that woke, %v", m.Version, err)
 	}
-	g.do(group.Command{Ask: &lease.Ask{Op: lease.Resume, Duty: duties.MapKeeper}})
-	if it := g.over(duties.MapKeeper, "m", 10*time.Second); it.State != duties.Done || it.Note != "version 3" {
+	g.do(statemachine.Command{Ask: &lease.Ask{Op: lease.Resume, Duty: controller.MapKeeper}})
+	if it := g.over(controller.MapKeeper, "m", 10*time.Second); it.State != controller.Done || it.Note != "version 3" {
 		t.Errorf("%s: %s", it.State, it.Note)
 	}
 }
@@ -1120,10 +1120,10 @@
 func TestStaleLeader(t *testing.T) {
 	g := newGroup(t, 3)
 	write := func(why string) {
-		g.do(group.Command{Ask: &lease.Ask{Op: lease.Pause, Duty: duties.Watches, Why: why}})
+		g.do(statemachine.Command{Ask: &lease.Ask{Op: lease.Pause, Duty: controller.Watches, Why: why}})
 	}
 	write("old")
-	g.do(group.Command{Ask: &lease.Ask{Op: lease.Acquire, Duty: duties.Watches, Who: "holder"}})
+	g.do(statemachine.Command{Ask: &lease.Ask{Op: lease.Acquire, Duty: controller.Watches, Who: "holder"}})
 	for range 5 {
 		lead := g.awaitLeader()
 		write("old")
@@ -1143,10 +1143,10 @@
 					default:
 					}
 					ctx, cancel := context.WithTimeout(context.Background(), 300*time.Millisecond)
-					if v, err := direct.Read(ctx, ""); err == nil && v.Table.Duties[duties.Watches].Paused != "new" {
-						t.Errorf("a leader of the past answers %q", v.Table.Duties[duties.Watches].Paused)
+					if v, err := direct.Read(ctx, ""); err == nil && v.Table.Duties[controller.Watches].Paused != "new" {
+						t.Errorf("a leader of the past answers %q", v.Table.Duties[controller.Watches].Paused)
 					}
-					r, err := direct.Do(ctx, group.Command{Ask: &lease.Ask{Op: lease.Renew, Duty: duties.Watches, Who: "holder", Epoch: lease.First(1) + 1}})
+					r, err := direct.Do(ctx, statemachine.Command{Ask: &lease.Ask{Op: lease.Renew, Duty: controller.Watches, Who: "holder", Epoch: lease.First(1) + 1}})
 					if err == nil && r.Error == "" {
 						t.Error("a leader of the past renews a lease")
 					}
@@ -1167,7 +1167,7 @@
 func TestPartlyCut(t *testing.T) {
 	g := newGroup(t, 3)
 	dir := testMap(t)
-	g.owner("o", dir, []string{duties.MapKeeper}, nil)
+	g.owner("o", dir, []string{controller.MapKeeper}, nil)
 	ids := make([]string, 3) // as members name themselves in their words
 	for i, a := range g.Client.Addrs {
 		s, err := g.Client.StatusOf(g.within(time.Second), a)
@@ -1193,13 +1193,13 @@
 		apart(x, y, true)
 		time.Sleep(700 * time.Millisecond) // over an election
 		id := fmt.Sprint("m", round)
-		g.submit(duties.MapKeeper, id, duties.KindMove, duties.Move{Tenant: fmt.Sprint("t", round), To: "b"})
-		if it := g.over(duties.MapKeeper, id, 15*time.Second); it.State != duties.Done {
+		g.submit(controller.MapKeeper, id, controller.KindMove, controller.Move{Tenant: fmt.Sprint("t", round), To: "b"})
+		if it := g.over(controller.MapKeeper, id, 15*time.Second); it.State != controller.Done {
 			t.Errorf("%s: %s", it.State, it.Note)
 		}
 		apart(x, y, false)
 	}
-	if head, _, err := (fleet.Series{Dir: dir}).Head(); err != nil || head.Version != 4 {
+	if head, _, err := (proxy.Series{Dir: dir}).Head(); err != nil || head.Version != 4 {
 		t.Errorf("version %d, %v", head.Version, err)
 	}
 }
--- a/cmd/silverpath/groupgolden_test.go
+++ b/cmd/silverpath/groupgolden_test.go
@@ -15,14 +15,14 @@
 
 	"github.com/rs/zerolog"
 
-	"silverpath/internal/duties"
-	listener "silverpath/internal/front"
-	"silverpath/internal/group"
-	"silverpath/internal/lease"
-	"silverpath/internal/msgpackrpc"
-	"silverpath/internal/quorum"
-	"silverpath/internal/quorum/member"
-	"silverpath/internal/stats"
+	"silverpath/internal/controlplane/quorum"
+	"silverpath/internal/controlplane/quorum/member"
+	"silverpath/internal/metrics"
+	"silverpath/internal/policy/controller"
+	"silverpath/internal/policy/lease"
+	"silverpath/internal/policy/statemachine"
+	listener "silverpath/internal/transport/listener"
+	"silverpath/internal/transport/msgpackrpc"
 )
 
 // Operators' scripts read what the commands on the group and its duties print, and their flags stand in cron files. So the help and
@@ -35,7 +35,7 @@
 	}
 	addr := probe.Addr().String()
 	probe.Close()
-	counters := &stats.Counters{}
+	counters := &metrics.Counters{}
 	m, err := member.Open(member.Config{Name: "q0", Group: "test", Addr: addr, Dir: t.TempDir(), Tick: 20 * time.Millisecond, Log: zerolog.Nop(), Stats: counters})
 	if err != nil {
 		t.Fatal(err)
@@ -65,7 +65,7 @@
 	}
 	at := []string{"--group", "test", "--members", addr, "--within", "20s"}
 	ask := func(args ...string) { t.Helper(); command(append(args, at...)...) }
-	do := func(c group.Command) {
+	do := func(c statemachine.Command) {
 		t.Helper()
 		asking, cancel := context.WithTimeout(ctx, 20*time.Second)
 		defer cancel()
@@ -88,11 +88,11 @@
 	ask("duty", "show", "--duty", "cook")
 	ask("duty", "show")
 	ask("fleet", "status")
-	do(group.Command{Ask: &lease.Ask{Op: lease.Acquire, Duty: "keeper", Who: "a#1"}})
-	do(group.Command{Ask: &lease.Ask{Op: lease.Acquire, Duty: "keeper", Who: "b#2"}})
-	do(group.Command{Ask: &lease.Ask{Op: lease.Acquire, Duty: "conductor", Who: "b#2"}})
-	do(group.Command{Submit: &group.Submit{Duty: "keeper", ID: "move-1", Kind: "move", Args: []byte(`{"tenant":"t","to":"c1"}`)}})
-	do(group.Command{Write: &duties.Write{Duty: "keeper", Who: "a#1", Epoch: 1<<32 | 1, Step: 1, Item: "move-1", State: duties.Intent, Tries: 1, Plan: `{"version":2}`, Note: "n"}})
+	do(statemachine.Command{Ask: &lease.Ask{Op: lease.Acquire, Duty: "keeper", Who: "a#1"}})
+	do(statemachine.Command{Ask: &lease.Ask{Op: lease.Acquire, Duty: "keeper", Who: "b#2"}})
+	do(statemachine.Command{Ask: &lease.Ask{Op: lease.Acquire, Duty: "conductor", Who: "b#2"}})
+	do(statemachine.Command{Submit: &statemachine.Submit{Duty: "keeper", ID: "move-1", Kind: "move", Args: []byte(`{"tenant":"t","to":"c1"}`)}})
+	do(statemachine.Command{Write: &controller.Write{Duty: "keeper", Who: "a#1", Epoch: 1<<32 | 1, Step: 1, Item: "move-1", State: controller.Intent, Tries: 1, Plan: `{"version":2}`, Note: "n"}})
 	ask("duty", "hand", "--duty", "keeper", "--to", "b#2")
 	ask("duty", "hand", "--duty", "keeper", "--to", "c#3")
 	ask("duty", "pause", "--duty", "watcher", "--why", "a fire")
@@ -110,7 +110,7 @@
 	ask("fleet", "roll", "--servers", "s0,s1", "--cell-most", "1", "--all-most", "2", "--dwell", "5s", "--back", "30s", "--worth-least", "0.9")
 	id := regexp.MustCompile(`roll-[0-9a-f]{12}`).FindString(got.String())
 	ask("fleet", "status")
-	do(group.Command{Write: &duties.Write{Duty: "conductor", Who: "b#2", Epoch: 1<<32 | 1, Step: 1, Item: id, State: duties.Intent,
+	do(statemachine.Command{Write: &controller.Write{Duty: "conductor", Who: "b#2", Epoch: 1<<32 | 1, Step: 1, Item: id, State: controller.Intent,
 		Plan: `{"members":[{"name":"s0","cell":"a","mgmt":"m0","stage":"back"},{"name":"s1","cell":"b","mgmt":"m1","stage":"going_out"}]}`}})
 	ask("fleet", "pause")
 	ask("fleet", "status")
@@ -118,7 +118,7 @@
 	ask("fleet", "resume")
 	ask("fleet", "abort")
 	ask("fleet", "resume")
-	do(group.Command{Write: &duties.Write{Duty: "conductor", Who: "b#2", Epoch: 1<<32 | 1, Step: 2, Item: id, State: duties.Failed, Note: "aborted by an operator"}})
+	do(statemachine.Command{Write: &controller.Write{Duty: "conductor", Who: "b#2", Epoch: 1<<32 | 1, Step: 2, Item: id, State: controller.Failed, Note: "aborted by an operator"}})
 	ask("fleet", "status")
 	ask("fleet", "abort")
 	ask("quorum", "remove", "--name", "q9")
--- a/cmd/silverpath/main.go
+++ b/cmd/silverpath/main.go
@@ -11,9 +11,9 @@
 	"github.com/spf13/cobra"
 
 	"silverpath/deploy"
-	"silverpath/internal/ask"
 	"silverpath/internal/service"
 	"silverpath/internal/settings"
+	"silverpath/internal/transport/client"
 )
 
 // parts are put round the service's own; the program has none.
@@ -128,12 +128,12 @@
 // front adds the flags that say which front to ask.
 func front(c *cobra.Command, name, addr *string) {
 	c.Args = cobra.NoArgs
-	c.Flags().StringVar(name, "front", ask.Platform, "the front to ask: "+ask.Platform+" or "+ask.SCGI)
+	c.Flags().StringVar(name, "front", client.Platform, "the front to ask: "+client.Platform+" or "+client.SCGI)
 	c.Flags().StringVar(addr, "addr", "", "its address (default: that of a start without a configuration)")
 	c.PreRunE = func(*cobra.Command, []string) error {
-		known := map[string]string{ask.Platform: "127.0.0.1:4001", ask.SCGI: "127.0.0.1:4000"}
+		known := map[string]string{client.Platform: "127.0.0.1:4001", client.SCGI: "127.0.0.1:4000"}
 		if known[*name] == "" {
-			return fmt.Errorf("--front: %q is neither %s nor %s", *name, ask.Platform, ask.SCGI)
+			return fmt.Errorf("--front: %q is neither %s nor %s", *name, client.Platform, client.SCGI)
 		}
 		if *addr == "" {
 			*addr = known[*name]
@@ -143,7 +143,7 @@
 }
 
 func askCommand() *cobra.Command {
-	var p ask.Plan
+	var p client.Plan
 	var body string
 	c := &cobra.Command{
 		Use: "ask", Short: "Send requests to a running service and show the answers; fails where none is served",
@@ -152,7 +152,7 @@
 				return fmt.Errorf("--count: not above 0: %d", p.Count)
 			}
 			p.Request.Body = []byte(body)
-			served, err := ask.Run(p, c.OutOrStdout())
+			served, err := client.Run(p, c.OutOrStdout())
 			if served == 0 && err == nil {
 				err = errors.New("nothing was served")
 			}
@@ -176,7 +176,7 @@
 	c := &cobra.Command{
 		Use: "status", Short: "Show the state of a running service as JSON",
 		RunE: func(c *cobra.Command, _ []string) error {
-			body, err := ask.Status(name, addr)
+			body, err := client.Status(name, addr)
 			if err == nil {
 				fmt.Fprintf(c.OutOrStdout(), "%s\n", body)
 			}
--- a/cmd/silverpath/overlap_test.go
+++ b/cmd/silverpath/overlap_test.go
@@ -10,13 +10,13 @@
 	"testing"
 	"time"
 
-	"silverpath/internal/ask"
-	"silverpath/internal/cells"
-	"silverpath/internal/fleet"
-	"silverpath/internal/harness"
-	"silverpath/internal/rulebook"
-	"silverpath/internal/shares"
-	"silverpath/internal/standin/faults"
+	"silverpath/internal/policy/cells"
+	"silverpath/internal/policy/configstore"
+	"silverpath/internal/policy/quota"
+	"silverpath/internal/proxy"
+	"silverpath/internal/testkit/harness"
+	"silverpath/internal/testkit/standin/faults"
+	"silverpath/internal/transport/client"
 )
 
 // ways has a process reach the group by ways of its own.
@@ -70,7 +70,7 @@
 }
 
 // classes is the version of the classes that is in force, and the stage of what is under way.
-func (f *ruledFleet) doc(name string) (force int, stage rulebook.Stage, waits string) {
+func (f *ruledFleet) doc(name string) (force int, stage configstore.Stage, waits string) {
 	f.t.Helper()
 	r, err := f.g.Client.Rules(f.g.within(10 * time.Second))
 	if err != nil {
@@ -143,7 +143,7 @@
 				f.expect(0, "", "release", "classes")
 			case "turning":
 				for {
-					if _, stage, _ := f.doc("classes"); stage != rulebook.Proposed {
+					if _, stage, _ := f.doc("classes"); stage != configstore.Proposed {
 						break
 					}
 				}
@@ -343,7 +343,7 @@
 					return
 				default:
 					key := fmt.Sprint("load", i, "-", n)
-					ask.Once(ask.Platform, r.addr, ask.Request{Class: "oddaja", Tenant: []string{"brand", "other"}[i/2%2], Key: key, Body: []byte(key), Wait: 800 * time.Millisecond})
+					client.Once(client.Platform, r.addr, client.Request{Class: "oddaja", Tenant: []string{"brand", "other"}[i/2%2], Key: key, Body: []byte(key), Wait: 800 * time.Millisecond})
 				}
 			}
 		})
@@ -357,7 +357,7 @@
 	f.expect(1, "it was taken back before", "put", "pools", bad)
 	f.expect(0, "taken back: ", "history", "pools")
 	f.expect(0, "", "put", "pools", bad, "--again", "--watch", "4s", "--part", "0.5")
-	if _, stage, _ := f.doc("pools"); stage != rulebook.Proposed && stage != rulebook.Trial {
+	if _, stage, _ := f.doc("pools"); stage != configstore.Proposed && stage != configstore.Trial {
 		t.Errorf("tried by a part: %q", stage)
 	}
 	for end := time.Now().Add(8 * time.Second); ; time.Sleep(20 * time.Millisecond) {
@@ -378,7 +378,7 @@
 	format := write(t, "format.json", `{"format":2,"probe_ms":100,"retries":0.3}`)
 	f.expect(0, "proposed", "put", "routing", format)
 	time.Sleep(2 * testLease)
-	if force, stage, waits := f.doc("routing"); force != 1 || stage != rulebook.Proposed || !strings.Contains(waits, "reads format 1, and this is 2") {
+	if force, stage, waits := f.doc("routing"); force != 1 || stage != configstore.Proposed || !strings.Contains(waits, "reads format 1, and this is 2") {
 		t.Errorf("version %d, %s, %s", force, stage, waits)
 	}
 	for _, p := range []*process{older, one, two} { // it waits for those that can't read it, until they are gone
@@ -443,7 +443,7 @@
 	routers = append(routers, joined)
 	mu.Unlock()
 	var m *cells.Map
-	src, err := fleet.OpenFile(file, "")
+	src, err := proxy.OpenFile(file, "")
 	if err == nil {
 		m, _, err = src.Load(nil)
 	}
@@ -485,9 +485,9 @@
 				return spawnIn(t, env, "route", "--config", siteFile(t, name, ""), "--edge", write(t, name+"-edge.json", fmt.Sprintf(
 					`{"status":true,"fleet":{"state":%q,"probe_ms":100},%s}`, filepath.Join(f.edge+name+".db"), sharing(members))))
 			}
-			const whole = 2 * 1000 * shares.Use // two servers of cell a
+			const whole = 2 * 1000 * quota.Use // two servers of cell a
 			part := func(p *process) float64 {
-				a, err := ask.Status(ask.Platform, p.addr)
+				a, err := client.Status(client.Platform, p.addr)
 				if err != nil {
 					t.Fatal(err)
 				}
--- a/cmd/silverpath/parts.go
+++ b/cmd/silverpath/parts.go
@@ -7,10 +7,10 @@
 	"slices"
 	"strings"
 
-	"silverpath/internal/cells"
-	"silverpath/internal/group"
-	"silverpath/internal/quorum"
-	"silverpath/internal/rulebook"
+	"silverpath/internal/controlplane/quorum"
+	"silverpath/internal/policy/cells"
+	"silverpath/internal/policy/configstore"
+	"silverpath/internal/policy/statemachine"
 	"silverpath/internal/settings"
 )
 
@@ -21,8 +21,8 @@
 const wholeUpTo = 32 << 10
 
 // inParts reports whether a text of a document goes in parts, on top of what is in force.
-func inParts(name, text string, force *rulebook.Entry) bool {
-	return name == rulebook.DocMap && (force != nil && force.Split || len(text) > wholeUpTo)
+func inParts(name, text string, force *configstore.Entry) bool {
+	return name == configstore.DocMap && (force != nil && force.Split || len(text) > wholeUpTo)
 }
 
 // split is a document in parts, with those that differ from what is in force.
@@ -32,36 +32,36 @@
 }
 
 // splitMap splits a map, and names the bound that it is beyond before anything is sent.
-func splitMap(text string, force *rulebook.Entry) (s split, err error) {
+func splitMap(text string, force *configstore.Entry) (s split, err error) {
 	m, err := settings.ParseCells([]byte(text))
 	if err != nil {
 		return s, err
 	}
 	s = split{texts: settings.SplitCells(m), changed: map[string]string{}}
-	if err := rulebook.Fits(rulebook.DocMap, s.texts); err != nil {
+	if err := configstore.Fits(configstore.DocMap, s.texts); err != nil {
 		return s, err
 	}
 	for name, text := range s.texts {
-		if force == nil || !force.Split || force.Parts[name].Digest != rulebook.DigestOf(text) {
+		if force == nil || !force.Split || force.Parts[name].Digest != configstore.DigestOf(text) {
 			s.changed[name] = text
 		}
 	}
-	s.digest = rulebook.SumOf(s.texts)
+	s.digest = configstore.SumOf(s.texts)
 	return s, nil
 }
 
 // differs are the fields in which a map in parts differs from what is in force.
-func (s split) differs(ctx context.Context, g *quorum.Client, force *rulebook.Entry) ([]rulebook.Difference, error) {
-	old := map[string]rulebook.Part{}
+func (s split) differs(ctx context.Context, g *quorum.Client, force *configstore.Entry) ([]configstore.Difference, error) {
+	old := map[string]configstore.Part{}
 	switch {
 	case force == nil:
 	case force.Split:
-		texts, err := partsOf(ctx, g, rulebook.DocMap, force.ID, force.Parts, slices.Sorted(maps.Keys(s.changed)))
+		texts, err := partsOf(ctx, g, configstore.DocMap, force.ID, force.Parts, slices.Sorted(maps.Keys(s.changed)))
 		if err != nil {
 			return nil, err
 		}
 		for name, text := range texts {
-			old[name] = rulebook.Part{Digest: rulebook.DigestOf(text), Text: text}
+			old[name] = configstore.Part{Digest: configstore.DigestOf(text), Text: text}
 		}
 	default:
 		m, err := settings.ParseCells([]byte(force.Text))
@@ -69,21 +69,21 @@
 			return nil, err
 		}
 		for name, text := range settings.SplitCells(m) {
-			old[name] = rulebook.Part{Digest: rulebook.DigestOf(text), Text: text}
+			old[name] = configstore.Part{Digest: configstore.DigestOf(text), Text: text}
 		}
 	}
-	return rulebook.DiffParts(rulebook.DocMap, old, s.changed)
+	return configstore.DiffParts(configstore.DocMap, old, s.changed)
 }
 
 // load sends the parts that changed where they are more than one change carries, and fills the change in.
-func (s split) load(ctx context.Context, g *quorum.Client, ask *rulebook.Change, force *rulebook.Entry) error {
+func (s split) load(ctx context.Context, g *quorum.Client, ask *configstore.Change, force *configstore.Entry) error {
 	ask.Text, ask.Digest = "", s.digest
 	if force == nil || !force.Split {
 		if err := membersRead(ctx, g); err != nil {
 			return err
 		}
 	}
-	batches := rulebook.Batches(s.changed)
+	batches := configstore.Batches(s.changed)
 	if len(batches) <= 1 {
 		ask.Parts = s.changed
 		if len(s.changed) == 0 { // it says so itself
@@ -93,7 +93,7 @@
 	}
 	ask.Draft = newID()
 	for _, one := range batches {
-		if _, err := agreed(ctx, g, group.Command{Rule: &rulebook.Change{Op: rulebook.Load, Doc: ask.Doc, Draft: ask.Draft, Parts: one, By: ask.By}}); err != nil {
+		if _, err := agreed(ctx, g, statemachine.Command{Rule: &configstore.Change{Op: configstore.Load, Doc: ask.Doc, Draft: ask.Draft, Parts: one, By: ask.By}}); err != nil {
 			return err
 		}
 	}
@@ -102,7 +102,7 @@
 
 // membersRead names a member that could not keep a document in parts, before the first one is put: it would lose its place in the log.
 func membersRead(ctx context.Context, g *quorum.Client) error {
-	var members []group.Peer
+	var members []statemachine.Peer
 	var err error
 	for _, addr := range g.Addrs {
 		var st quorum.Status
@@ -119,7 +119,7 @@
 		if err != nil {
 			return fmt.Errorf("member %s can't be asked whether it keeps documents in parts: the first one needs them all: %w", m.Name, err)
 		}
-		if st.Format < rulebook.FormatInParts {
+		if st.Format < configstore.FormatInParts {
 			return fmt.Errorf("member %s is of a build that keeps no documents in parts: upgrade it first", m.Name)
 		}
 	}
@@ -127,14 +127,14 @@
 }
 
 // putAlready is the version that a change has become which was asked for twice, as the first answer was lost on the way; 0: none.
-func putAlready(ctx context.Context, g *quorum.Client, ask rulebook.Change, digest uint64, top int) int {
+func putAlready(ctx context.Context, g *quorum.Client, ask configstore.Change, digest uint64, top int) int {
 	r, err := g.Rules(ctx)
 	if err != nil || r.Book.Docs[ask.Doc] == nil {
 		return 0
 	}
 	d := r.Book.Docs[ask.Doc]
-	for _, e := range []*rulebook.Entry{d.Next, d.Force} {
-		if e != nil && e.ID == (rulebook.ID{Version: top + 1, Digest: digest}) && e.By == ask.By {
+	for _, e := range []*configstore.Entry{d.Next, d.Force} {
+		if e != nil && e.ID == (configstore.ID{Version: top + 1, Digest: digest}) && e.By == ask.By {
 			return e.ID.Version
 		}
 	}
@@ -142,7 +142,7 @@
 }
 
 // partsOf reads the texts of parts by name, of those that a version has.
-func partsOf(ctx context.Context, g *quorum.Client, doc string, id rulebook.ID, manifest map[string]rulebook.Part, names []string) (map[string]string, error) {
+func partsOf(ctx context.Context, g *quorum.Client, doc string, id configstore.ID, manifest map[string]configstore.Part, names []string) (map[string]string, error) {
 	texts, missing := map[string]string{}, []string{}
 	for _, name := range names {
 		if _, ok := manifest[name]; ok {
@@ -150,13 +150,13 @@
 		}
 	}
 	for len(missing) > 0 {
-		p, err := g.Parts(ctx, rulebook.Want{Doc: doc, Version: id.Version, Names: missing})
+		p, err := g.Parts(ctx, configstore.Want{Doc: doc, Version: id.Version, Names: missing})
 		if err != nil {
 			return nil, err
 		}
 		before := len(missing)
 		for name, one := range p.Parts {
-			if rulebook.DigestOf(one.Text) != manifest[name].Digest {
+			if configstore.DigestOf(one.Text) != manifest[name].Digest {
 				return nil, fmt.Errorf("part %s of %s %v is not what it was said to be", name, doc, id)
 			}
 			texts[name] = one.Text
@@ -170,13 +170,13 @@
 }
 
 // joinedText is the whole text of a version in parts, as a file has it. Base is what is in force, where the version is under way.
-func joinedText(ctx context.Context, g *quorum.Client, doc string, e, base *rulebook.Entry) (string, error) {
+func joinedText(ctx context.Context, g *quorum.Client, doc string, e, base *configstore.Entry) (string, error) {
 	all := maps.Clone(e.Parts)
 	if base != nil && base != e {
 		all = maps.Clone(base.Parts)
 		maps.Copy(all, e.Parts)
 	}
-	if rulebook.Sum(all) != e.ID.Digest {
+	if configstore.Sum(all) != e.ID.Digest {
 		return "", fmt.Errorf("%s %v has changed as it was read: again", doc, e.ID)
 	}
 	texts, err := partsOf(ctx, g, doc, e.ID, all, slices.Sorted(maps.Keys(all)))
@@ -191,7 +191,7 @@
 }
 
 // versionText is the text of a version that is kept, in whichever form.
-func versionText(ctx context.Context, g *quorum.Client, d *rulebook.Doc, e *rulebook.Entry) (string, error) {
+func versionText(ctx context.Context, g *quorum.Client, d *configstore.Doc, e *configstore.Entry) (string, error) {
 	switch {
 	case !e.Split && e.Text != "":
 		return e.Text, nil
--- a/cmd/silverpath/parts_test.go
+++ b/cmd/silverpath/parts_test.go
@@ -7,12 +7,12 @@
 	"testing"
 	"time"
 
-	"silverpath/internal/ask"
-	"silverpath/internal/cells"
-	"silverpath/internal/group"
-	"silverpath/internal/quorum"
-	"silverpath/internal/rulebook"
+	"silverpath/internal/controlplane/quorum"
+	"silverpath/internal/policy/cells"
+	"silverpath/internal/policy/configstore"
+	"silverpath/internal/policy/statemachine"
 	"silverpath/internal/settings"
+	"silverpath/internal/transport/client"
 )
 
 // crowd fills a map up with tenants that ask for nothing.
@@ -143,7 +143,7 @@
 	f.put("classes", twoClasses(t, 0))
 	f.serves("first", cut, whole)
 	sheet := func(class, tenant, key string) string {
-		a, err := ask.Once(ask.Platform, whole.addr, ask.Request{Class: class, Tenant: tenant, Key: key, Body: []byte(key), Wait: 800 * time.Millisecond})
+		a, err := client.Once(client.Platform, whole.addr, client.Request{Class: class, Tenant: tenant, Key: key, Body: []byte(key), Wait: 800 * time.Millisecond})
 		if err != nil {
 			return "lost"
 		}
@@ -170,7 +170,7 @@
 			cut.Freeze()
 			from := whole.Lines()
 			// Not by the tool: a turn lasts for a lease, and the tool has to start first.
-			if r := f.g.do(group.Command{Rule: &rulebook.Change{Op: rulebook.Release, Doc: doc, Version: version}}); r.Error != "" {
+			if r := f.g.do(statemachine.Command{Rule: &configstore.Change{Op: configstore.Release, Doc: doc, Version: version}}); r.Error != "" {
 				t.Fatal(r.Error)
 			}
 			_, err := whole.Await(2*time.Second, from, "rules: nothing that is exclusive begins: turning")
@@ -179,7 +179,7 @@
 			cut.Wake()
 			f.wait(doc, version, 20*time.Second)
 			f.serves(fmt.Sprint("after ", doc, version), cut, whole)
-			if err != nil || stage != rulebook.Turning || counts != nil && !counts(n) {
+			if err != nil || stage != configstore.Turning || counts != nil && !counts(n) {
 				continue
 			}
 			if (got != "served") != stops {
--- a/cmd/silverpath/partsguards_test.go
+++ b/cmd/silverpath/partsguards_test.go
@@ -7,12 +7,12 @@
 	"testing"
 	"time"
 
-	"silverpath/internal/cells"
-	"silverpath/internal/fleet"
-	"silverpath/internal/quorum"
-	"silverpath/internal/rulebook"
+	"silverpath/internal/controlplane/quorum"
+	"silverpath/internal/policy/cells"
+	"silverpath/internal/policy/configstore"
+	"silverpath/internal/proxy"
 	"silverpath/internal/settings"
-	"silverpath/internal/standin/faults"
+	"silverpath/internal/testkit/standin/faults"
 )
 
 // Parts of a change are damaged on their way to two routers. One sees it by their digests: it does not say that it holds the change,
@@ -69,7 +69,7 @@
 	if holds("r0") {
 		t.Error("the other one says so too")
 	}
-	if force, stage, waits := f.doc("map"); force != 2 || stage != rulebook.Proposed {
+	if force, stage, waits := f.doc("map"); force != 2 || stage != configstore.Proposed {
 		t.Errorf("%d is in force, the next is %s and waits for %s", force, stage, waits)
 	}
 	spoil("")
@@ -84,7 +84,7 @@
 		if err := p.Leave(); err != nil {
 			t.Error(err)
 		}
-		src, err := fleet.OpenAgreed(states[i])
+		src, err := proxy.OpenAgreed(states[i])
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -94,7 +94,7 @@
 			t.Fatal(err)
 		}
 		digest, ok := src.Named(kept)
-		if damaged := rulebook.SumOf(settings.SplitCells(kept)) != digest; !ok || kept.Version != 3 || damaged != (i == 1) {
+		if damaged := configstore.SumOf(settings.SplitCells(kept)) != digest; !ok || kept.Version != 3 || damaged != (i == 1) {
 			t.Errorf("router %d has kept map %d as %016x, in parts %v, damaged %v", i, kept.Version, digest, ok, damaged)
 		}
 	}
--- a/cmd/silverpath/quorum.go
+++ b/cmd/silverpath/quorum.go
@@ -14,8 +14,8 @@
 
 	"github.com/spf13/cobra"
 
-	"silverpath/internal/lease"
-	"silverpath/internal/quorum"
+	"silverpath/internal/controlplane/quorum"
+	"silverpath/internal/policy/lease"
 )
 
 // groupFlags adds the flags that say which group is asked.
--- a/cmd/silverpath/recover.go
+++ b/cmd/silverpath/recover.go
@@ -6,7 +6,7 @@
 
 	"github.com/spf13/cobra"
 
-	"silverpath/internal/evidence"
+	"silverpath/internal/storage/inspect"
 )
 
 // recoverCommand shows what there is to go by after the dark.
@@ -16,10 +16,10 @@
 	inspect := &cobra.Command{Use: "inspect PATH…", Args: cobra.MinimumNArgs(1),
 		Short: "Say whose each file or folder is, of when, and whether it can be trusted; nothing is changed",
 		RunE: func(c *cobra.Command, args []string) error {
-			var list []evidence.Found
+			var list []inspect.Found
 			wrong := 0
 			for _, path := range args {
-				f, err := evidence.Look(path)
+				f, err := inspect.Look(path)
 				if err != nil {
 					return err
 				}
--- a/cmd/silverpath/recovery_test.go
+++ b/cmd/silverpath/recovery_test.go
@@ -10,11 +10,11 @@
 	"testing"
 	"time"
 
-	"silverpath/internal/ask"
-	"silverpath/internal/cells"
-	"silverpath/internal/lab"
-	"silverpath/internal/standin/faults"
-	"silverpath/internal/store"
+	"silverpath/internal/policy/cells"
+	"silverpath/internal/storage/idempotencystore"
+	"silverpath/internal/testkit/benchmarks"
+	"silverpath/internal/testkit/standin/faults"
+	"silverpath/internal/transport/client"
 )
 
 // alive has a service leave signs of life, valid for so long, and keep its runs if it is to.
@@ -35,7 +35,7 @@
 			Steps []struct{ State string }
 		}
 	}
-	text, err := ask.Status(ask.Platform, d.Addr)
+	text, err := client.Status(client.Platform, d.Addr)
 	if err == nil {
 		err = json.Unmarshal(text, &s)
 	}
@@ -53,7 +53,7 @@
 }
 
 // full waits until the service is whole again, and returns how long that took by its own count, from its start.
-func (d *durable) full(g *lab.Generation) time.Duration {
+func (d *durable) full(g *benchmarks.Generation) time.Duration {
 	d.t.Helper()
 	text, err := g.Says(20*time.Second, "recovery: full after ")
 	if err != nil {
@@ -67,7 +67,7 @@
 }
 
 // bare starts the service without waiting for a store.
-func (d *durable) bare(env ...string) *lab.Generation {
+func (d *durable) bare(env ...string) *benchmarks.Generation {
 	d.t.Helper()
 	d.Env = env
 	g := d.Start()
@@ -94,7 +94,7 @@
 	if a := d.ask("early", "early"); a.Outcome != "failed" {
 		t.Errorf("a sheet that may have run: %s", a.Outcome)
 	}
-	if a, err := ask.Once(ask.Platform, d.Addr, ask.Request{Class: "krog", Body: []byte("x"), Wait: time.Second}); err != nil || a.Outcome != "served" {
+	if a, err := client.Once(client.Platform, d.Addr, client.Request{Class: "krog", Body: []byte("x"), Wait: time.Second}); err != nil || a.Outcome != "served" {
 		t.Errorf("a read: %s, %v", a.Outcome, err)
 	}
 	if took := d.full(g); took < whole*9/10 {
@@ -192,7 +192,7 @@
 	for _, name := range f.names {
 		f.servers[name].Kill()
 		dirs[name] = t.TempDir()
-		if err := store.Init(filepath.Join(dirs[name], "keys"), name); err != nil {
+		if err := idempotencystore.Init(filepath.Join(dirs[name], "keys"), name); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -215,8 +215,8 @@
 	f.Map.Tenants = append(f.Map.Tenants, cells.Tenant{Name: "other", Rate: 10, Homes: []cells.Home{{Cell: "b"}}})
 	file := f.write(f.Map)
 	routers := []*process{f.route("r1", file, ""), f.route("r2", file, "")}
-	ask := func(tenant, key string) ask.Reply {
-		a, err := ask.Once(ask.Platform, routers[len(key)%2].addr, ask.Request{Class: "oddaja", Tenant: tenant, Key: key, Body: []byte(key), Wait: 800 * time.Millisecond})
+	ask := func(tenant, key string) client.Reply {
+		a, err := client.Once(client.Platform, routers[len(key)%2].addr, client.Request{Class: "oddaja", Tenant: tenant, Key: key, Body: []byte(key), Wait: 800 * time.Millisecond})
 		if err != nil {
 			a.Outcome = "lost"
 		}
@@ -398,7 +398,7 @@
 	g.Leave(t)
 	d.disk("* no space left on device")
 	g = d.bare()
-	if a, err := ask.Once(ask.Platform, d.Addr, ask.Request{Class: "krog", Body: []byte("x"), Wait: time.Second}); err != nil || a.Outcome != "served" {
+	if a, err := client.Once(client.Platform, d.Addr, client.Request{Class: "krog", Body: []byte("x"), Wait: time.Second}); err != nil || a.Outcome != "served" {
 		t.Errorf("a read: %s, %v", a.Outcome, err)
 	}
 	for end := time.Now().Add(5 * time.Second); len(d.again(served)) > 0; time.Sleep(20 * time.Millisecond) {
--- a/cmd/silverpath/returns.go
+++ b/cmd/silverpath/returns.go
@@ -10,7 +10,7 @@
 
 	"github.com/spf13/cobra"
 
-	"silverpath/internal/ask"
+	"silverpath/internal/transport/client"
 )
 
 // returnOf is how far a process is on its way back to full service, as it says itself.
@@ -38,7 +38,7 @@
 // returnAt asks one process.
 func returnAt(addr string) returnOf {
 	r := returnOf{Addr: addr, State: "away"}
-	text, err := ask.Status(ask.Platform, addr)
+	text, err := client.Status(client.Platform, addr)
 	if err != nil {
 		r.Why = err.Error()
 		return r
--- a/cmd/silverpath/rules.go
+++ b/cmd/silverpath/rules.go
@@ -16,9 +16,9 @@
 
 	"github.com/spf13/cobra"
 
-	"silverpath/internal/group"
-	"silverpath/internal/quorum"
-	"silverpath/internal/rulebook"
+	"silverpath/internal/controlplane/quorum"
+	"silverpath/internal/policy/configstore"
+	"silverpath/internal/policy/statemachine"
 	"silverpath/internal/settings"
 )
 
@@ -61,11 +61,11 @@
 		rulesDiff(&g, read, &asJSON))
 	for _, c := range []struct {
 		use, short string
-		op         rulebook.Op
+		op         configstore.Op
 	}{
-		{"hold DOC", "Have a change wait before its next stage", rulebook.Hold},
-		{"release DOC", "Have it go on", rulebook.Release},
-		{"withdraw DOC", "Withdraw a change that is not in force, or put what was in force before the latest back in force", rulebook.Withdraw},
+		{"hold DOC", "Have a change wait before its next stage", configstore.Hold},
+		{"release DOC", "Have it go on", configstore.Release},
+		{"withdraw DOC", "Withdraw a change that is not in force, or put what was in force before the latest back in force", configstore.Withdraw},
 	} {
 		var why string
 		one := &cobra.Command{Use: c.use, Short: c.short, Args: cobra.ExactArgs(1), RunE: func(cc *cobra.Command, args []string) error {
@@ -78,16 +78,16 @@
 				if err != nil {
 					return err
 				}
-				ask := rulebook.Change{Op: c.op, Doc: args[0], By: whoami(), Why: why}
+				ask := configstore.Change{Op: c.op, Doc: args[0], By: whoami(), Why: why}
 				switch {
 				case d.Next != nil:
 					ask.Version = d.Next.ID.Version
-				case c.op == rulebook.Withdraw && d.Force != nil:
-					ask.Op, ask.Version = rulebook.TakeBack, d.Force.ID.Version
+				case c.op == configstore.Withdraw && d.Force != nil:
+					ask.Op, ask.Version = configstore.TakeBack, d.Force.ID.Version
 				default:
 					return errors.New("no change is under way")
 				}
-				got, err := agreed(ctx, &g, group.Command{Rule: &ask})
+				got, err := agreed(ctx, &g, statemachine.Command{Rule: &ask})
 				if err == nil {
 					fmt.Fprintf(cc.ErrOrStderr(), "%s: version %d: %s\n", args[0], got.Version, ask.Op)
 				}
@@ -108,11 +108,11 @@
 	return "somebody"
 }
 
-func doc(r quorum.Rules, name string) (*rulebook.Doc, error) {
+func doc(r quorum.Rules, name string) (*configstore.Doc, error) {
 	if d := r.Book.Docs[name]; d != nil {
 		return d, nil
 	}
-	return nil, fmt.Errorf("no such document yet: %q, of %s", name, strings.Join(rulebook.Docs, ", "))
+	return nil, fmt.Errorf("no such document yet: %q, of %s", name, strings.Join(configstore.Docs, ", "))
 }
 
 // rulesPut puts a document from a file: also from the files of an installation that had no group.
@@ -131,7 +131,7 @@
 			if err != nil {
 				return fmt.Errorf("%s: %w", args[1], err)
 			}
-			if args[0] == rulebook.DocPools || args[0] == rulebook.DocClasses {
+			if args[0] == configstore.DocPools || args[0] == configstore.DocClasses {
 				if err := checkFor(args[0], text, config); err != nil {
 					return err
 				}
@@ -141,29 +141,29 @@
 				if err != nil {
 					return err
 				}
-				ask := rulebook.Change{Op: rulebook.Put, Doc: args[0], Text: text, Format: format, By: whoami(), Again: again, Why: why}
+				ask := configstore.Change{Op: configstore.Put, Doc: args[0], Text: text, Format: format, By: whoami(), Again: again, Why: why}
 				old, top := "", 0
-				var force *rulebook.Entry
+				var force *configstore.Entry
 				if d := r.Book.Docs[args[0]]; d != nil {
 					force, top = d.Force, d.Top
 				}
 				if force != nil {
 					ask.Version, old = force.ID.Version, force.Text
 				}
-				digest := rulebook.Name(1, []byte(text)).Digest
+				digest := configstore.Name(1, []byte(text)).Digest
 				var parts *split
 				if inParts(args[0], text, force) {
 					s, err := splitMap(text, force)
 					if err != nil {
 						return fmt.Errorf("%s: %w", args[1], err)
 					}
-					parts, digest, ask.Format = &s, s.digest, rulebook.FormatInParts
+					parts, digest, ask.Format = &s, s.digest, configstore.FormatInParts
 				}
 				if watch > 0 {
-					ask.Try = &rulebook.Try{Part: part, For: watch.Milliseconds(), Worse: worse}
+					ask.Try = &configstore.Try{Part: part, For: watch.Milliseconds(), Worse: worse}
 				}
 				if dry {
-					list, err := rulebook.Diff(args[0], old, text)
+					list, err := configstore.Diff(args[0], old, text)
 					if parts != nil {
 						list, err = parts.differs(ctx, g, force)
 					}
@@ -177,7 +177,7 @@
 						return err
 					}
 				}
-				got, err := agreed(ctx, g, group.Command{Rule: &ask})
+				got, err := agreed(ctx, g, statemachine.Command{Rule: &ask})
 				if n := 0; err != nil {
 					if n = putAlready(ctx, g, ask, digest, top); n == 0 {
 						return err
@@ -212,7 +212,7 @@
 	if err != nil {
 		return err
 	}
-	if name == rulebook.DocPools {
+	if name == configstore.DocPools {
 		_, err = settings.ParsePools(text, cfg.Server)
 	} else {
 		_, err = settings.ParseClasses(text, cfg.Server)
@@ -256,11 +256,11 @@
 }
 
 // dryRun says what a change would change, and who acts on the document.
-func dryRun(w io.Writer, r quorum.Rules, name string, format int, list []rulebook.Difference, first, asJSON bool) error {
-	stops := rulebook.Excludes(list) && !first
+func dryRun(w io.Writer, r quorum.Rules, name string, format int, list []configstore.Difference, first, asJSON bool) error {
+	stops := configstore.Excludes(list) && !first
 	var touches []string
 	if stops {
-		touches = rulebook.Touches(name, list)
+		touches = configstore.Touches(name, list)
 	}
 	type user struct {
 		Name  string `json:"name"`
@@ -295,7 +295,7 @@
 	return nil
 }
 
-func diffTable(out io.Writer, list []rulebook.Difference) error {
+func diffTable(out io.Writer, list []configstore.Difference) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "FIELD\tOLD\tNEW\tKIND")
 	for _, d := range list {
@@ -369,7 +369,7 @@
 func showHistory(out io.Writer, r quorum.Rules, name string, asJSON bool) error {
 	d := r.Book.Docs[name]
 	all := slices.Clone(d.History)
-	for _, e := range []*rulebook.Entry{d.Force, d.Next} {
+	for _, e := range []*configstore.Entry{d.Force, d.Next} {
 		if e != nil {
 			all = append(all, e)
 		}
@@ -459,7 +459,7 @@
 					return err
 				}
 				var texts [2]string
-				show := func(list []rulebook.Difference, err error) error {
+				show := func(list []configstore.Difference, err error) error {
 					if err != nil {
 						return err
 					}
@@ -500,7 +500,7 @@
 				default:
 					return errors.New("either a file or two --versions")
 				}
-				return show(rulebook.Diff(args[0], texts[0], texts[1]))
+				return show(configstore.Diff(args[0], texts[0], texts[1]))
 			})
 		}}
 	diff.Flags().IntSliceVar(&versions, "versions", nil, "two versions, the older first")
--- a/cmd/silverpath/rules_test.go
+++ b/cmd/silverpath/rules_test.go
@@ -11,9 +11,9 @@
 	"testing"
 	"time"
 
-	"silverpath/internal/ask"
-	"silverpath/internal/cells"
-	"silverpath/internal/fleet"
+	"silverpath/internal/policy/cells"
+	"silverpath/internal/proxy"
+	"silverpath/internal/transport/client"
 )
 
 // unfenced has a process run without the fence of the rules: the harm that it keeps away must then be found.
@@ -28,7 +28,7 @@
 		wg.Go(func() {
 			for _, r := range routers {
 				key := fmt.Sprintf("%s-%d", name, i)
-				a, err := ask.Once(ask.Platform, r.addr, ask.Request{Class: "oddaja", Tenant: "brand", Key: key, Body: []byte(key), Wait: 800 * time.Millisecond})
+				a, err := client.Once(client.Platform, r.addr, client.Request{Class: "oddaja", Tenant: "brand", Key: key, Body: []byte(key), Wait: 800 * time.Millisecond})
 				if err != nil {
 					a.Outcome = "lost"
 				}
@@ -59,7 +59,7 @@
 	Longest                         int `json:"longest_ms"`
 }) {
 	t.Helper()
-	a, err := ask.Status(ask.Platform, p.addr)
+	a, err := client.Status(client.Platform, p.addr)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -123,7 +123,7 @@
 			// The next version follows the first map; the other router's is set aside.
 			next := *f.Map
 			next.Version = 2
-			if err := fleet.Write(files[0], &next); err != nil {
+			if err := proxy.Write(files[0], &next); err != nil {
 				t.Fatal(err)
 			}
 			two.Kill()
@@ -221,9 +221,9 @@
 	f := newFleet(t, 500*time.Millisecond)
 	file := f.write(f.Map)
 	woken, other := f.route("woken", file, "", "SILVERPATH_STOP_ROUTED=1"), f.route("other", file, filepath.Join(t.TempDir(), "other.db"))
-	done := make(chan ask.Reply, 1)
+	done := make(chan client.Reply, 1)
 	go func() {
-		a, _ := ask.Once(ask.Platform, woken.addr, ask.Request{Class: "oddaja", Tenant: "brand", Key: "held", Body: []byte("held"), Wait: 20 * time.Second})
+		a, _ := client.Once(client.Platform, woken.addr, client.Request{Class: "oddaja", Tenant: "brand", Key: "held", Body: []byte("held"), Wait: 20 * time.Second})
 		done <- a
 	}()
 	if _, err := woken.Await(3*time.Second, 0, "stopped routed"); err != nil {
--- a/cmd/silverpath/store.go
+++ b/cmd/silverpath/store.go
@@ -11,9 +11,9 @@
 
 	"github.com/spf13/cobra"
 
-	"silverpath/internal/keyed"
-	"silverpath/internal/mgmt"
-	"silverpath/internal/store"
+	"silverpath/internal/policy/idempotency"
+	"silverpath/internal/storage/idempotencystore"
+	"silverpath/internal/transport/admin"
 )
 
 // storeCommand looks after the files in which servers keep the runs of keyed requests.
@@ -36,16 +36,16 @@
 		c.MarkFlagRequired("name")
 	}
 	add("init", "Make the store of a service that has run no sheet that could come again", named, func(c *cobra.Command) error {
-		return store.Init(dir, name)
+		return idempotencystore.Init(dir, name)
 	})
 	add("check", "Read a store that no service has open, and say what stands in it", inDir, func(c *cobra.Command) error {
-		return checkStore(c, store.FileOf(dir))
+		return checkStore(c, idempotencystore.FileOf(dir))
 	})
 	add("dump", "Print every record of a store that no service has open, a JSON object a line", inDir, func(c *cobra.Command) error {
-		return store.Dump(store.FileOf(dir), func(r keyed.Record) error { return printRecord(c, r) })
+		return idempotencystore.Dump(idempotencystore.FileOf(dir), func(r idempotency.Record) error { return printRecord(c, r) })
 	})
 	add("compact", "Write a store that no service has open anew, without room that nobody uses", inDir, func(c *cobra.Command) error {
-		before, after, err := store.Compact(dir)
+		before, after, err := idempotencystore.Compact(dir)
 		if err == nil {
 			fmt.Fprintf(c.OutOrStdout(), "%d KB, were %d\n", after>>10, before>>10)
 		}
@@ -60,11 +60,11 @@
 			return errors.New("export: give --mgmt ADDR, or --dir DIR and --to FILE")
 		}
 		if dir != "" {
-			return store.Export(dir, to)
+			return idempotencystore.Export(dir, to)
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 		defer cancel()
-		yes, why, err := mgmt.Call(ctx, addr, "POST /api/snapshot")
+		yes, why, err := admin.Call(ctx, addr, "POST /api/snapshot")
 		if err == nil && !yes {
 			err = errors.New(why)
 		}
@@ -79,7 +79,7 @@
 		c.MarkFlagRequired("from")
 		c.Flags().BoolVar(&whole, "whole", false, "its service closed it for good and has run nothing since")
 	}, func(c *cobra.Command) error {
-		n, err := store.Import(from, dir, name, whole)
+		n, err := idempotencystore.Import(from, dir, name, whole)
 		if err == nil {
 			fmt.Fprintf(c.OutOrStdout(), "%d records\n", n)
 		}
@@ -90,7 +90,7 @@
 
 // checkStore says what stands in a file, and fails where some of it can't be read.
 func checkStore(c *cobra.Command, path string) error {
-	s, err := store.Check(path)
+	s, err := idempotencystore.Check(path)
 	if err != nil {
 		return err
 	}
@@ -107,7 +107,7 @@
 	return nil
 }
 
-func printRecord(c *cobra.Command, r keyed.Record) error {
+func printRecord(c *cobra.Command, r idempotency.Record) error {
 	text, err := json.Marshal(struct {
 		Seq     uint64 `json:"seq"`
 		State   string `json:"state"`
--- a/cmd/silverpath/takeover_test.go
+++ b/cmd/silverpath/takeover_test.go
@@ -15,13 +15,13 @@
 
 	"golang.org/x/sys/unix"
 
-	"silverpath/internal/ask"
-	"silverpath/internal/lab"
-	"silverpath/internal/msgpackrpc"
+	"silverpath/internal/testkit/benchmarks"
+	"silverpath/internal/transport/client"
+	"silverpath/internal/transport/msgpackrpc"
 )
 
 // shared is a service of this very program, whose processes inherit one socket.
-func sharedService(t *testing.T) *lab.Shared {
+func sharedService(t *testing.T) *benchmarks.Shared {
 	t.Helper()
 	if testing.Short() {
 		t.Skip("real processes")
@@ -30,11 +30,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return lab.Inherit(t, exe, []string{"SILVERPATH_RUN=1"}, true)
+	return benchmarks.Inherit(t, exe, []string{"SILVERPATH_RUN=1"}, true)
 }
 
 // end ends a load and checks what must hold whatever happened.
-func end(t *testing.T, l *lab.Sheets) {
+func end(t *testing.T, l *benchmarks.Sheets) {
 	t.Helper()
 	for _, w := range l.End() {
 		t.Error(w)
@@ -49,8 +49,8 @@
 // another answer than the run's, and the service serves on.
 func TestTakeover(t *testing.T) {
 	for seed := range uint64(3) {
-		for name, play := range map[string]func(t *testing.T, s *lab.Shared, l *lab.Sheets, old *lab.Generation, rng *rand.Rand){
-			"replaced three times": func(t *testing.T, s *lab.Shared, l *lab.Sheets, old *lab.Generation, rng *rand.Rand) {
+		for name, play := range map[string]func(t *testing.T, s *benchmarks.Shared, l *benchmarks.Sheets, old *benchmarks.Generation, rng *rand.Rand){
+			"replaced three times": func(t *testing.T, s *benchmarks.Shared, l *benchmarks.Sheets, old *benchmarks.Generation, rng *rand.Rand) {
 				for range 3 {
 					next := s.Start()
 					next.Ready(t)
@@ -62,7 +62,7 @@
 					old = next
 				}
 			},
-			"the old one is killed": func(t *testing.T, s *lab.Shared, l *lab.Sheets, old *lab.Generation, rng *rand.Rand) {
+			"the old one is killed": func(t *testing.T, s *benchmarks.Shared, l *benchmarks.Sheets, old *benchmarks.Generation, rng *rand.Rand) {
 				next := s.Start()
 				if rng.IntN(2) == 0 {
 					next.Ready(t)
@@ -71,13 +71,13 @@
 				old.Kill()
 				next.Ready(t)
 			},
-			"the new one is killed before it is ready": func(t *testing.T, s *lab.Shared, l *lab.Sheets, old *lab.Generation, rng *rand.Rand) {
+			"the new one is killed before it is ready": func(t *testing.T, s *benchmarks.Shared, l *benchmarks.Sheets, old *benchmarks.Generation, rng *rand.Rand) {
 				next := s.Start()
 				time.Sleep(time.Duration(rng.IntN(20)) * time.Millisecond)
 				next.Kill()
 				old.Ready(t)
 			},
-			"the new one is killed when it is ready": func(t *testing.T, s *lab.Shared, l *lab.Sheets, old *lab.Generation, rng *rand.Rand) {
+			"the new one is killed when it is ready": func(t *testing.T, s *benchmarks.Shared, l *benchmarks.Sheets, old *benchmarks.Generation, rng *rand.Rand) {
 				next := s.Start()
 				next.Ready(t)
 				time.Sleep(time.Duration(rng.IntN(60)) * time.Millisecond)
@@ -86,17 +86,17 @@
 				third.Ready(t)
 				old.Leave(t)
 			},
-			"one stalls": func(t *testing.T, s *lab.Shared, l *lab.Sheets, old *lab.Generation, rng *rand.Rand) {
+			"one stalls": func(t *testing.T, s *benchmarks.Shared, l *benchmarks.Sheets, old *benchmarks.Generation, rng *rand.Rand) {
 				next := s.Start()
 				next.Ready(t)
-				which := []*lab.Generation{old, next}[rng.IntN(2)]
+				which := []*benchmarks.Generation{old, next}[rng.IntN(2)]
 				which.Signal(syscall.SIGSTOP)
 				time.Sleep(700 * time.Millisecond)
 				which.Signal(syscall.SIGCONT)
 				time.Sleep(100 * time.Millisecond)
 				old.Leave(t)
 			},
-			"a third starts while two live": func(t *testing.T, s *lab.Shared, l *lab.Sheets, old *lab.Generation, rng *rand.Rand) {
+			"a third starts while two live": func(t *testing.T, s *benchmarks.Shared, l *benchmarks.Sheets, old *benchmarks.Generation, rng *rand.Rand) {
 				next := s.Start()
 				next.Ready(t)
 				third := s.Start()
@@ -167,7 +167,7 @@
 	}
 	l := s.Load(4, 3, 50*time.Millisecond, 3)
 	most, heaviest := 0, 0
-	watch := func(d time.Duration, gs ...*lab.Generation) {
+	watch := func(d time.Duration, gs ...*benchmarks.Generation) {
 		for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 			descriptors, memory := 0, 0
 			for _, g := range gs {
@@ -233,7 +233,7 @@
 			old.Leave(t)
 		}
 		for range 8 {
-			if r, err := ask.Once(ask.SCGI, addrs[0], ask.Request{Class: "krog", Body: []byte("x"), Wait: 4 * time.Second}); err != nil || r.Outcome != "served" {
+			if r, err := client.Once(client.SCGI, addrs[0], client.Request{Class: "krog", Body: []byte("x"), Wait: 4 * time.Second}); err != nil || r.Outcome != "served" {
 				t.Fatalf("the older has left: %v: %+v, %v", leaves, r, err)
 			}
 		}
@@ -277,7 +277,7 @@
 		t.Fatal(err)
 	}
 	good := string(data)
-	bad := lab.Without(good)
+	bad := benchmarks.Without(good)
 	if len(bad) < 25 {
 		t.Fatalf("%d keys", len(bad))
 	}
--- a/docs/results/embed.go
+++ b/docs/results/embed.go
@@ -6,7 +6,7 @@
 	"encoding/json"
 	"fmt"
 
-	"silverpath/internal/capacity"
+	"silverpath/internal/policy/capacity"
 )
 
 //go:embed scale*.json
--- a/internal/orders/golden_test.go
+++ b/internal/controlplane/command/golden_test.go
@@ -1,4 +1,4 @@
-package orders
+package command
 
 import (
 	"io"
@@ -7,7 +7,7 @@
 	"path/filepath"
 	"testing"
 
-	"silverpath/internal/quorum"
+	"silverpath/internal/controlplane/quorum"
 )
 
 // A server is upgraded while an owner that was replaced long ago still has an order on its way. The server's file of orders was
--- a/internal/orders/orders.go
+++ b/internal/controlplane/command/orders.go
@@ -1,5 +1,5 @@
-// Package orders is the fence of a server that takes orders of the fleet: what decides is in the package fence.
-package orders
+// Package command is the fence of a server that takes orders of the fleet: what decides is in the package fence.
+package command
 
 import (
 	"context"
@@ -8,10 +8,10 @@
 	"sync"
 	"time"
 
+	"silverpath/internal/controlplane/quorum"
 	"silverpath/internal/events"
-	"silverpath/internal/fence"
-	"silverpath/internal/lease"
-	"silverpath/internal/quorum"
+	"silverpath/internal/policy/fence"
+	"silverpath/internal/policy/lease"
 )
 
 // Orders is the fence of a server: its book lasts, and where the book says nothing of a duty the group is asked before any
--- a/internal/follow/follow.go
+++ b/internal/controlplane/configwatch/follow.go
@@ -1,6 +1,6 @@
-// Package follow has a process act on the documents that a group agrees on: it asks the group, and carries out what
-// rulebook.Holder decides.
-package follow
+// Package configwatch has a process act on the documents that a group agrees on: it asks the group, and carries out what
+// configstore.Holder decides.
+package configwatch
 
 import (
 	"context"
@@ -16,12 +16,12 @@
 
 	"github.com/valyala/fastjson"
 
+	"silverpath/internal/controlplane/quorum"
 	"silverpath/internal/events"
-	"silverpath/internal/lease"
-	"silverpath/internal/quorum"
-	"silverpath/internal/rulebook"
-	"silverpath/internal/shares"
-	"silverpath/internal/stats"
+	"silverpath/internal/metrics"
+	"silverpath/internal/policy/configstore"
+	"silverpath/internal/policy/lease"
+	"silverpath/internal/policy/quota"
 )
 
 // Document is what a process does with one.
@@ -32,7 +32,7 @@
 
 	// Of one in parts the same, by the parts that differ from what was taken last. Whole: they are all that there are. nil: it is in none.
 	CheckParts func(changed map[string]string, whole bool) error
-	TakeParts  func(id rulebook.ID, changed map[string]string, whole bool) error
+	TakeParts  func(id configstore.ID, changed map[string]string, whole bool) error
 }
 
 // Config sets up a Follower.
@@ -40,25 +40,25 @@
 	Name  string
 	Group *quorum.Client
 	Docs  map[string]Document
-	Worth func() rulebook.Worth // what the process was asked for and has served; nil: it doesn't say
-	Told  func(asked time.Time) // called with when it asked, each time that the group has answered; nil: nobody
-	Skew  func() time.Duration  // by which the wall clocks of two processes may differ, where times in documents count; nil: they do not
-	Share Sharer                // what it shares with others; nil: nothing
+	Worth func() configstore.Worth // what the process was asked for and has served; nil: it doesn't say
+	Told  func(asked time.Time)    // called with when it asked, each time that the group has answered; nil: nobody
+	Skew  func() time.Duration     // by which the wall clocks of two processes may differ, where times in documents count; nil: they do not
+	Share Sharer                   // what it shares with others; nil: nothing
 	Log   *log.Logger
-	Stats *stats.Counters
+	Stats *metrics.Counters
 }
 
 // Sharer is a process's part in what a fleet shares.
 type Sharer interface {
 	// Says returns its word to the group, and what to call with the answer.
-	Says() (w shares.Word, told func(g shares.Grant, t lease.Terms))
+	Says() (w quota.Word, told func(g quota.Grant, t lease.Terms))
 }
 
 // Formats has a process take other formats for those that it reads, Out has it do without guards, Rate has its clock run fast or
 // slow, and Wall is its wall clock, in test programs only.
 var (
 	Formats map[string]int
-	Out     rulebook.Guards
+	Out     configstore.Guards
 	Rate    = 1.0
 	Wall    = time.Now
 )
@@ -75,12 +75,12 @@
 	began time.Time
 
 	// What a sheet's beginning looks at, without the lock: whoever asks holds locks that a check may wait for.
-	until   atomic.Int64                        // it is confirmed until then
-	turning atomic.Pointer[[]*rulebook.Touched] // what stops while a change turns
-	apart   atomic.Bool                         // its wall clock is further from the group's than documents allow
+	until   atomic.Int64                           // it is confirmed until then
+	turning atomic.Pointer[[]*configstore.Touched] // what stops while a change turns
+	apart   atomic.Bool                            // its wall clock is further from the group's than documents allow
 
 	mu      sync.Mutex
-	holder  *rulebook.Holder
+	holder  *configstore.Holder
 	said    string // why nothing exclusive begins, as last logged
 	saidAt  time.Duration
 	longest time.Duration // that it was unconfirmed
@@ -100,8 +100,8 @@
 			reads[name] = n
 		}
 	}
-	f := &Follower{cfg: cfg, began: time.Now(), said: rulebook.Unconfirmed, holder: rulebook.NewHolder(cfg.Name+"#"+hex.EncodeToString(b[:]), reads)}
-	f.turning.Store(&[]*rulebook.Touched{})
+	f := &Follower{cfg: cfg, began: time.Now(), said: configstore.Unconfirmed, holder: configstore.NewHolder(cfg.Name+"#"+hex.EncodeToString(b[:]), reads)}
+	f.turning.Store(&[]*configstore.Touched{})
 	f.holder.Out = Out
 	f.holder.CheckParts = func(name string, changed map[string]string, whole bool) error {
 		if d := f.cfg.Docs[name]; d.CheckParts != nil {
@@ -121,7 +121,7 @@
 	if why := f.stopsAll(); why != "" || len(*f.turning.Load()) == 0 {
 		return why
 	}
-	return rulebook.StopsToTurn
+	return configstore.StopsToTurn
 }
 
 // StopsSheet is why a sheet of a class and a tenant does not begin, empty where it may: a change that turns stops what it touches.
@@ -131,7 +131,7 @@
 	}
 	for _, t := range *f.turning.Load() {
 		if t.Stops(class, tenant) {
-			return rulebook.StopsToTurn
+			return configstore.StopsToTurn
 		}
 	}
 	return ""
@@ -141,9 +141,9 @@
 func (f *Follower) stopsAll() string {
 	switch {
 	case int64(f.clock()) >= f.until.Load():
-		return rulebook.Unconfirmed
+		return configstore.Unconfirmed
 	case f.apart.Load():
-		return rulebook.ClocksApart
+		return configstore.ClocksApart
 	}
 	return ""
 }
@@ -201,7 +201,7 @@
 	cancel()
 	f.cfg.Stats.Inc("rules", "parts_asked")
 	f.mu.Lock()
-	var take []rulebook.Took
+	var take []configstore.Took
 	if err != nil {
 		f.cfg.Stats.Inc("rules", "parts_unanswered")
 		f.holder.Vain()
@@ -221,7 +221,7 @@
 func (f *Follower) check(name, text string) error { return f.cfg.Docs[name].Check(text) }
 
 // act takes up what the process is to act on now, and reports whether it acts on all of it.
-func (f *Follower) act(take []rulebook.Took) (all bool) {
+func (f *Follower) act(take []configstore.Took) (all bool) {
 	all = true
 	for _, t := range take {
 		d, err := f.cfg.Docs[t.Doc], error(nil)
@@ -300,9 +300,9 @@
 	if f.cfg.Worth != nil {
 		s.Worth = f.cfg.Worth()
 	}
-	granted := func(shares.Grant, lease.Terms) {}
+	granted := func(quota.Grant, lease.Terms) {}
 	if f.cfg.Share != nil {
-		var w shares.Word
+		var w quota.Word
 		w, granted = f.cfg.Share.Says()
 		s.Share = &w
 	}
@@ -317,7 +317,7 @@
 	f.notice() // a confirmation that ended while this was asked
 	f.mu.Lock()
 	take := f.holder.Told(asked, a.Index, a.Terms, a.Docs, f.check)
-	f.bound = rulebook.Terms{Lease: a.Terms.TTL, Drift: a.Terms.Drift}.Bound()
+	f.bound = configstore.Terms{Lease: a.Terms.TTL, Drift: a.Terms.Drift}.Bound()
 	f.cfg.Stats.Set(uint64(f.bound.Milliseconds()), "rules", "bound_ms")
 	f.cfg.Stats.Set(uint64(f.longest.Milliseconds()), "rules", "longest_unconfirmed_ms")
 	confirmed := f.holder.Asked() == asked
@@ -360,7 +360,7 @@
 	if changed {
 		f.said, f.saidAt = why, now
 	}
-	if was == rulebook.Unconfirmed {
+	if was == configstore.Unconfirmed {
 		f.longest = max(f.longest, now-since)
 	}
 	f.mu.Unlock()
@@ -369,7 +369,7 @@
 	case why != "":
 		f.cfg.Stats.Inc("rules", "stopped", why)
 		ago := time.Duration(0)
-		if why == rulebook.Unconfirmed {
+		if why == configstore.Unconfirmed {
 			ago = now - time.Duration(f.until.Load()) // a process that was stopped sees it late
 		}
 		events.Say(f.cfg.Log, "rules.stops", why, ago)
--- a/internal/follow/follow_test.go
+++ b/internal/controlplane/configwatch/follow_test.go
@@ -1,4 +1,4 @@
-package follow
+package configwatch
 
 import (
 	"context"
@@ -9,19 +9,19 @@
 	"testing"
 	"time"
 
-	"silverpath/internal/front"
-	"silverpath/internal/lease"
-	"silverpath/internal/msgpackrpc"
-	"silverpath/internal/quorum"
-	"silverpath/internal/rulebook"
-	"silverpath/internal/stats"
+	"silverpath/internal/controlplane/quorum"
+	"silverpath/internal/metrics"
+	"silverpath/internal/policy/configstore"
+	"silverpath/internal/policy/lease"
+	"silverpath/internal/transport/listener"
+	"silverpath/internal/transport/msgpackrpc"
 )
 
 // leader is a member that answers askings with what it is told to.
-func leader(t *testing.T, docs *map[string]rulebook.View) *quorum.Client {
+func leader(t *testing.T, docs *map[string]configstore.View) *quorum.Client {
 	t.Helper()
 	index := uint64(0)
-	f := msgpackrpc.NewWords("words", &stats.Counters{}, func(context.Context, msgpackrpc.Word) func() msgpackrpc.Verdict {
+	f := msgpackrpc.NewWords("words", &metrics.Counters{}, func(context.Context, msgpackrpc.Word) func() msgpackrpc.Verdict {
 		index++
 		b, err := json.Marshal(quorum.Synced{Terms: lease.Terms{TTL: time.Hour, Drift: 0.05}, Index: index, Wall: time.Now().UnixMilli(), Docs: *docs})
 		return func() msgpackrpc.Verdict {
@@ -31,7 +31,7 @@
 			return msgpackrpc.Verdict{Body: b}
 		}
 	})
-	ln, err := front.Listen("words", "127.0.0.1:0", 8, func() time.Duration { return time.Minute }, f.Serve, log.New(io.Discard, "", 0), &stats.Counters{})
+	ln, err := listener.Listen("words", "127.0.0.1:0", 8, func() time.Duration { return time.Minute }, f.Serve, log.New(io.Discard, "", 0), &metrics.Counters{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -44,12 +44,12 @@
 // One that is unconfirmed, as one that was cut off while the others turned, begins nothing exclusive before it acts on what it is told
 // is in force, and has had its map taken up; nor does one that can't act on it. The same holds of parts.
 func TestActsBeforeItGoesOn(t *testing.T) {
-	parts := map[string]rulebook.Part{"a": {Version: 2, Digest: rulebook.DigestOf("{}"), Text: "{}"}}
-	for name, force := range map[string]*rulebook.Entry{
-		"a text": {ID: rulebook.Name(2, []byte("{}")), Format: 1, Text: "{}"},
-		"parts":  {ID: rulebook.ID{Version: 2, Digest: rulebook.Sum(parts)}, Format: 2, Split: true, Parts: parts},
+	parts := map[string]configstore.Part{"a": {Version: 2, Digest: configstore.DigestOf("{}"), Text: "{}"}}
+	for name, force := range map[string]*configstore.Entry{
+		"a text": {ID: configstore.Name(2, []byte("{}")), Format: 1, Text: "{}"},
+		"parts":  {ID: configstore.ID{Version: 2, Digest: configstore.Sum(parts)}, Format: 2, Split: true, Parts: parts},
 	} {
-		docs := map[string]rulebook.View{"d": {Force: force}}
+		docs := map[string]configstore.View{"d": {Force: force}}
 		var f *Follower
 		var at []string // why nothing began, at each step
 		var refuse error
@@ -57,13 +57,13 @@
 			at = append(at, f.StopsSheet("class", "tenant"))
 			return refuse
 		}
-		f = New(Config{Name: "p", Group: leader(t, &docs), Log: log.New(io.Discard, "", 0), Stats: &stats.Counters{},
+		f = New(Config{Name: "p", Group: leader(t, &docs), Log: log.New(io.Discard, "", 0), Stats: &metrics.Counters{},
 			Told: func(time.Time) { see() },
 			Docs: map[string]Document{"d": {Format: 2, Check: func(string) error { return nil }, Take: func(string) error { return see() },
 				CheckParts: func(map[string]string, bool) error { return nil },
-				TakeParts:  func(rulebook.ID, map[string]string, bool) error { return see() }}}})
+				TakeParts:  func(configstore.ID, map[string]string, bool) error { return see() }}}})
 		refuse = errors.New("not now")
-		if !f.once(t.Context()) || f.Stops() != rulebook.Unconfirmed {
+		if !f.once(t.Context()) || f.Stops() != configstore.Unconfirmed {
 			t.Errorf("%s: it goes on and does not act on it: %q", name, f.Stops())
 		}
 		if name == "a text" {
@@ -73,7 +73,7 @@
 		if !f.once(t.Context()) || f.Stops() != "" {
 			t.Errorf("%s: it does not go on: %q", name, f.Stops())
 		}
-		if len(at) != 2 || at[0] != rulebook.Unconfirmed || at[1] != rulebook.Unconfirmed {
+		if len(at) != 2 || at[0] != configstore.Unconfirmed || at[1] != configstore.Unconfirmed {
 			t.Errorf("%s: while it took it up it was held by %q", name, at)
 		}
 	}
@@ -82,41 +82,41 @@
 // One that has stopped as a change turns is held by that until it acts on the new; and nobody is told that what he goes by is the newest
 // by an answer of which parts are missing here.
 func TestHeldUntilItActs(t *testing.T) {
-	old := map[string]rulebook.Part{"a": {Version: 1, Digest: rulebook.DigestOf("{}"), Text: "{}"}}
-	next := map[string]rulebook.Part{"a": {Version: 2, Digest: rulebook.DigestOf(`{"b":1}`), Text: `{"b":1}`}}
-	entry := func(version int, parts map[string]rulebook.Part) *rulebook.Entry {
-		return &rulebook.Entry{ID: rulebook.ID{Version: version, Digest: rulebook.Sum(parts)}, Format: 2, Split: true, Parts: parts}
+	old := map[string]configstore.Part{"a": {Version: 1, Digest: configstore.DigestOf("{}"), Text: "{}"}}
+	next := map[string]configstore.Part{"a": {Version: 2, Digest: configstore.DigestOf(`{"b":1}`), Text: `{"b":1}`}}
+	entry := func(version int, parts map[string]configstore.Part) *configstore.Entry {
+		return &configstore.Entry{ID: configstore.ID{Version: version, Digest: configstore.Sum(parts)}, Format: 2, Split: true, Parts: parts}
 	}
-	known := func(version int, parts map[string]rulebook.Part) *rulebook.Entry { // as one is told of it that has it
+	known := func(version int, parts map[string]configstore.Part) *configstore.Entry { // as one is told of it that has it
 		e := entry(version, parts)
 		e.Parts = nil
 		return e
 	}
-	docs := map[string]rulebook.View{"d": {Force: entry(1, old)}}
+	docs := map[string]configstore.View{"d": {Force: entry(1, old)}}
 	var f *Follower
 	var held []string
 	told := 0
-	f = New(Config{Name: "p", Group: leader(t, &docs), Log: log.New(io.Discard, "", 0), Stats: &stats.Counters{}, Told: func(time.Time) { told++ },
+	f = New(Config{Name: "p", Group: leader(t, &docs), Log: log.New(io.Discard, "", 0), Stats: &metrics.Counters{}, Told: func(time.Time) { told++ },
 		Docs: map[string]Document{"d": {Format: 2, CheckParts: func(map[string]string, bool) error { return nil },
-			TakeParts: func(rulebook.ID, map[string]string, bool) error {
+			TakeParts: func(configstore.ID, map[string]string, bool) error {
 				held = append(held, f.StopsSheet("class", "tenant"))
 				return nil
 			}}}})
-	step := func(v rulebook.View, stops string) {
+	step := func(v configstore.View, stops string) {
 		t.Helper()
-		docs = map[string]rulebook.View{"d": v}
+		docs = map[string]configstore.View{"d": v}
 		if !f.once(t.Context()) || f.StopsSheet("class", "tenant") != stops {
 			t.Fatalf("held by %q, want %q", f.StopsSheet("class", "tenant"), stops)
 		}
 	}
-	step(rulebook.View{Force: entry(1, old)}, "")
-	step(rulebook.View{Force: known(1, old), Next: entry(2, next), Stage: rulebook.Turning}, rulebook.StopsToTurn)
-	step(rulebook.View{Force: known(2, next)}, "")
-	if len(held) != 2 || held[1] != rulebook.StopsToTurn || told != 3 {
+	step(configstore.View{Force: entry(1, old)}, "")
+	step(configstore.View{Force: known(1, old), Next: entry(2, next), Stage: configstore.Turning}, configstore.StopsToTurn)
+	step(configstore.View{Force: known(2, next)}, "")
+	if len(held) != 2 || held[1] != configstore.StopsToTurn || told != 3 {
 		t.Errorf("as it took it up it was held by %q; told %d times", held, told)
 	}
-	third := map[string]rulebook.Part{"a": {Version: 3, Digest: rulebook.DigestOf(`{"b":3}`)}}
-	docs = map[string]rulebook.View{"d": {Force: entry(3, third), Since: 2}}
+	third := map[string]configstore.Part{"a": {Version: 3, Digest: configstore.DigestOf(`{"b":3}`)}}
+	docs = map[string]configstore.View{"d": {Force: entry(3, third), Since: 2}}
 	if !f.once(t.Context()) || told != 3 {
 		t.Errorf("told that it goes by the newest, and it lacks a part: %d", told)
 	}
--- a/internal/quorum/client.go
+++ b/internal/controlplane/quorum/client.go
@@ -9,10 +9,10 @@
 	"sync"
 	"time"
 
-	"silverpath/internal/group"
-	"silverpath/internal/lease"
-	"silverpath/internal/msgpackrpc"
-	"silverpath/internal/rulebook"
+	"silverpath/internal/policy/configstore"
+	"silverpath/internal/policy/lease"
+	"silverpath/internal/policy/statemachine"
+	"silverpath/internal/transport/msgpackrpc"
 )
 
 // Client asks a group, by whichever member answers.
@@ -158,7 +158,7 @@
 }
 
 // Do has the group agree on a command. An error in the result is the group's own no.
-func (c *Client) Do(ctx context.Context, cmd group.Command) (r group.Result, err error) {
+func (c *Client) Do(ctx context.Context, cmd statemachine.Command) (r statemachine.Result, err error) {
 	body, err := json.Marshal(cmd)
 	if err != nil {
 		return r, err
@@ -207,7 +207,7 @@
 
 // Parts asks for parts of a version of a document, or for its manifest where none are named: once, of the member that was last
 // known to lead.
-func (c *Client) Parts(ctx context.Context, w rulebook.Want) (p Parts, err error) {
+func (c *Client) Parts(ctx context.Context, w configstore.Want) (p Parts, err error) {
 	body, err := json.Marshal(w)
 	if err != nil {
 		return p, err
@@ -257,7 +257,7 @@
 		if err != nil {
 			return f, fmt.Errorf("%s: %w", addr, err)
 		}
-		f.Members = append(f.Members, group.Peer{ID: idOf(s.ID), Name: s.Name, Addr: addr})
+		f.Members = append(f.Members, statemachine.Peer{ID: idOf(s.ID), Name: s.Name, Addr: addr})
 	}
 	id := f.ID()
 	for _, addr := range c.Addrs {
@@ -292,7 +292,7 @@
 	if err := c.must(ctx, addr, "group.join", Joining{ID: at.GroupID, Members: at.Members}); err != nil {
 		return err
 	}
-	p, _ := json.Marshal(group.Peer{ID: idOf(s.ID), Name: s.Name, Addr: addr})
+	p, _ := json.Marshal(statemachine.Peer{ID: idOf(s.ID), Name: s.Name, Addr: addr})
 	for {
 		out, err := c.ask(ctx, "group.add", nil, p)
 		if err != nil || string(out) == `"voter"` {
--- a/internal/quorum/member/commands.go
+++ b/internal/controlplane/quorum/member/commands.go
@@ -13,8 +13,8 @@
 
 	"github.com/spf13/cobra"
 
-	"silverpath/internal/lease"
-	"silverpath/internal/quorum"
+	"silverpath/internal/controlplane/quorum"
+	"silverpath/internal/policy/lease"
 	"silverpath/internal/settings"
 )
 
--- a/internal/quorum/member/golden_test.go
+++ b/internal/controlplane/quorum/member/golden_test.go
@@ -22,14 +22,14 @@
 	"github.com/rs/zerolog"
 	"go.etcd.io/bbolt"
 
-	"silverpath/internal/front"
-	"silverpath/internal/group"
-	"silverpath/internal/lease"
-	"silverpath/internal/msgpackrpc"
-	"silverpath/internal/quorum"
-	"silverpath/internal/rulebook"
-	"silverpath/internal/shares"
-	"silverpath/internal/stats"
+	"silverpath/internal/controlplane/quorum"
+	"silverpath/internal/metrics"
+	"silverpath/internal/policy/configstore"
+	"silverpath/internal/policy/lease"
+	"silverpath/internal/policy/quota"
+	"silverpath/internal/policy/statemachine"
+	"silverpath/internal/transport/listener"
+	"silverpath/internal/transport/msgpackrpc"
 )
 
 // A group is upgraded member by member: what a member finds on its disk was written by an earlier build, and whoever it talks with
@@ -241,22 +241,22 @@
 			t.Fatal(err)
 		}
 	}
-	_, err := c.Do(ctx, group.Command{Ask: &lease.Ask{Op: lease.Acquire, Duty: "keeper", Who: "a#1"}})
+	_, err := c.Do(ctx, statemachine.Command{Ask: &lease.Ask{Op: lease.Acquire, Duty: "keeper", Who: "a#1"}})
 	must(err)
-	_, err = c.Do(ctx, group.Command{Ask: &lease.Ask{Op: lease.Renew, Duty: "keeper", Who: "a#1", Epoch: 4294967297}})
+	_, err = c.Do(ctx, statemachine.Command{Ask: &lease.Ask{Op: lease.Renew, Duty: "keeper", Who: "a#1", Epoch: 4294967297}})
 	must(err)
 	v, err := c.Read(ctx, "*")
 	must(err)
 	if v.Terms.TTL != 3*time.Second || v.Table.Owns("keeper", "a#1", 4294967297) != nil || v.Wall != 1 {
 		t.Errorf("%+v", v)
 	}
-	_, err = c.Sync(ctx, quorum.Sync{User: rulebook.User{Name: "r1#1", Reads: map[string]int{"map": 2}, Holds: map[string]int{"map": 3}, Stopped: map[string]int{"map": 4},
-		Refuses: map[string]rulebook.Refusal{"map": {Version: 5, Why: "w"}}}, Has: map[string][]int{"map": {1, 2}}, Bases: map[string]int{"map": 1}, Acts: map[string]int{"map": 1},
-		Worth: rulebook.Worth{Asked: 2, Served: 1}, Stops: "s", Share: &shares.Word{Most: 3, Applied: 4, Parts: []shares.Part{{Cell: "c", Tenant: "t", Rate: 1.5}}, Demand: []shares.Part{}}})
+	_, err = c.Sync(ctx, quorum.Sync{User: configstore.User{Name: "r1#1", Reads: map[string]int{"map": 2}, Holds: map[string]int{"map": 3}, Stopped: map[string]int{"map": 4},
+		Refuses: map[string]configstore.Refusal{"map": {Version: 5, Why: "w"}}}, Has: map[string][]int{"map": {1, 2}}, Bases: map[string]int{"map": 1}, Acts: map[string]int{"map": 1},
+		Worth: configstore.Worth{Asked: 2, Served: 1}, Stops: "s", Share: &quota.Word{Most: 3, Applied: 4, Parts: []quota.Part{{Cell: "c", Tenant: "t", Rate: 1.5}}, Demand: []quota.Part{}}})
 	must(err)
 	_, err = c.Rules(ctx)
 	must(err)
-	_, err = c.Parts(ctx, rulebook.Want{Doc: "map", Version: 2, Names: []string{"top"}})
+	_, err = c.Parts(ctx, configstore.Want{Doc: "map", Version: 2, Names: []string{"top"}})
 	must(err)
 	f, err := c.Found(ctx, lease.Terms{TTL: 3 * time.Second, Drift: 0.05})
 	must(err)
@@ -307,14 +307,14 @@
 		t.Fatal(err)
 	}
 	addr = ln.Addr().String()
-	counters := &stats.Counters{}
+	counters := &metrics.Counters{}
 	m, err := Open(Config{Name: name, Group: groupName, Addr: addr, Dir: dir, Tick: 20 * time.Millisecond, Log: zerolog.Nop(), Stats: counters})
 	if err != nil {
 		t.Fatal(err)
 	}
 	ln.Close()
 	words := msgpackrpc.NewWords(Name, counters, m.Answer)
-	l, err := front.Listen(Name, addr, memberMost, func() time.Duration { return time.Minute }, words.Serve, log.New(io.Discard, "", 0), counters)
+	l, err := listener.Listen(Name, addr, memberMost, func() time.Duration { return time.Minute }, words.Serve, log.New(io.Discard, "", 0), counters)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/quorum/member/main.go
+++ b/internal/controlplane/quorum/member/main.go
@@ -14,22 +14,22 @@
 
 	"github.com/rs/zerolog"
 
+	"silverpath/internal/controlplane/quorum"
+	"silverpath/internal/controlplane/runner"
 	"silverpath/internal/core"
-	"silverpath/internal/front"
-	"silverpath/internal/msgpackrpc"
-	"silverpath/internal/owner"
-	"silverpath/internal/phase"
-	"silverpath/internal/quorum"
-	"silverpath/internal/rulebook"
+	"silverpath/internal/metrics"
+	"silverpath/internal/policy/configstore"
+	"silverpath/internal/policy/lifecycle"
 	"silverpath/internal/settings"
-	"silverpath/internal/snmp"
-	"silverpath/internal/stats"
+	"silverpath/internal/transport/listener"
+	"silverpath/internal/transport/msgpackrpc"
+	"silverpath/internal/transport/snmp"
 )
 
 const (
 	// memberMost bounds the connections of a member, of others and of those who ask: each process that follows has one, to whoever
 	// leads, and a restarted one a second for a while.
-	memberMost   = rulebook.MostUsers + 512
+	memberMost   = configstore.MostUsers + 512
 	memberMemory = 192 << 20 // bytes, at which the collector works harder
 )
 
@@ -50,7 +50,7 @@
 func Main(set settings.Quorum, signals <-chan os.Signal, out io.Writer) error {
 	debug.SetMemoryLimit(memberMemory)
 	l := Logger(out, set.JSON)
-	counters := &stats.Counters{}
+	counters := &metrics.Counters{}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	var all sync.WaitGroup
@@ -83,7 +83,7 @@
 	if set.Owner != nil {
 		group := &quorum.Client{Group: set.Group.Name, Addrs: set.Group.Members}
 		defer group.Close()
-		o := owner.New(owner.Config{Name: set.Name, Set: *set.Owner, Group: group, Log: l, Stats: counters, Rate: Clocks})
+		o := runner.New(runner.Config{Name: set.Name, Set: *set.Owner, Group: group, Log: l, Stats: counters, Rate: Clocks})
 		go func() {
 			defer close(owning)
 			o.Run(ctx)
@@ -119,16 +119,16 @@
 type shown struct{ m *Member }
 
 func (s shown) Health() bool { st := s.m.Status(); return st.Confirmed && st.Leader != "" }
-func (s shown) Phase() phase.State {
+func (s shown) Phase() lifecycle.State {
 	if s.m.Status().Confirmed {
-		return phase.Serving
+		return lifecycle.Serving
 	}
-	return phase.Starting
+	return lifecycle.Starting
 }
 func (s shown) Owed() int       { return 0 }
 func (s shown) View() core.View { return core.View{} }
 
-func openMember(set settings.Quorum, l zerolog.Logger, counters *stats.Counters) (*Member, *front.Listener, error) {
+func openMember(set settings.Quorum, l zerolog.Logger, counters *metrics.Counters) (*Member, *listener.Listener, error) {
 	if err := os.MkdirAll(set.Member.Dir, 0o700); err != nil {
 		return nil, nil, fmt.Errorf("member.dir: %w", err)
 	}
@@ -138,7 +138,7 @@
 		return nil, nil, fmt.Errorf("member.dir: %w", err)
 	}
 	words := msgpackrpc.NewWords(Name, counters, m.Answer)
-	ln, err := front.Listen(Name, set.Member.Listen, memberMost, func() time.Duration { return time.Minute }, words.Serve,
+	ln, err := listener.Listen(Name, set.Member.Listen, memberMost, func() time.Duration { return time.Minute }, words.Serve,
 		log.New(l, "", 0), counters)
 	if err != nil {
 		return nil, nil, errors.Join(fmt.Errorf("member.listen: %w", err), m.Close())
--- a/internal/quorum/member/member.go
+++ b/internal/controlplane/quorum/member/member.go
@@ -23,13 +23,13 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"silverpath/internal/group"
-	"silverpath/internal/lease"
-	"silverpath/internal/msgpackrpc"
-	"silverpath/internal/quorum"
-	"silverpath/internal/rulebook"
-	"silverpath/internal/shares"
-	"silverpath/internal/stats"
+	"silverpath/internal/controlplane/quorum"
+	"silverpath/internal/metrics"
+	"silverpath/internal/policy/configstore"
+	"silverpath/internal/policy/lease"
+	"silverpath/internal/policy/quota"
+	"silverpath/internal/policy/statemachine"
+	"silverpath/internal/transport/msgpackrpc"
 )
 
 // Name is the listener's name in counters and log lines.
@@ -42,7 +42,7 @@
 	Dir         string
 	Tick        time.Duration // a heartbeat; an election takes ten
 	Log         zerolog.Logger
-	Stats       *stats.Counters
+	Stats       *metrics.Counters
 	Rate        float64 // of its clock, for tests; 0: 1
 }
 
@@ -64,7 +64,7 @@
 type Member struct {
 	cfg   Config
 	log   zerolog.Logger
-	stats *stats.Counters
+	stats *metrics.Counters
 	who   atomic.Pointer[Identity]
 	began time.Time
 
@@ -75,18 +75,18 @@
 	// The loop's own:
 	disk      *store
 	raw       *raft.RawNode // nil while it belongs to no group
-	state     *group.State
+	state     *statemachine.State
 	conf      *pb.ConfState
 	applied   uint64
 	snapAt    uint64
 	watch     *lease.Watch
-	users     *rulebook.Watch
-	ledger    *shares.Ledger
-	lent      lent              // the map that the ledger knows
-	asking    []func(ok bool)   // what waits for the next confirming of the lead
-	pending   int               // with what waits for one that is under way
-	words     []rulebook.Change // of processes, to be put into the log together
-	worded    []func(r group.Result, ok bool)
+	users     *configstore.Watch
+	ledger    *quota.Ledger
+	lent      lent                 // the map that the ledger knows
+	asking    []func(ok bool)      // what waits for the next confirming of the lead
+	pending   int                  // with what waits for one that is under way
+	words     []configstore.Change // of processes, to be put into the log together
+	worded    []func(r statemachine.Result, ok bool)
 	logged    int     // bytes, since the last snapshot
 	coming    *coming // a snapshot in chunks
 	marks     map[uint64]mark
@@ -96,7 +96,7 @@
 	vouched   map[uint64]bool
 	confirmed bool
 	peers     map[uint64]*peer
-	waiting   map[uint64]func(group.Result, bool)
+	waiting   map[uint64]func(statemachine.Result, bool)
 	reads     map[string]read
 	seq       uint64
 	salt      uint64
@@ -157,9 +157,9 @@
 	m := &Member{
 		cfg: cfg, log: cfg.Log.With().Str("process", cfg.Name).Logger(), stats: cfg.Stats, began: time.Now(),
 		calls: make(chan func(), 256), ended: make(chan struct{}), disk: disk, marks: marks, watch: lease.NewWatch(lease.Terms{}),
-		users: rulebook.NewWatch(lease.Terms{}), ledger: shares.NewLedger(lease.Terms{}),
-		vouched: map[uint64]bool{}, peers: map[uint64]*peer{}, waiting: map[uint64]func(group.Result, bool){},
-		reads: map[string]read{}, salt: binary.BigEndian.Uint64(salt[:]), state: group.New(0), conf: &pb.ConfState{},
+		users: configstore.NewWatch(lease.Terms{}), ledger: quota.NewLedger(lease.Terms{}),
+		vouched: map[uint64]bool{}, peers: map[uint64]*peer{}, waiting: map[uint64]func(statemachine.Result, bool){},
+		reads: map[string]read{}, salt: binary.BigEndian.Uint64(salt[:]), state: statemachine.New(0), conf: &pb.ConfState{},
 	}
 	m.who.Store(&who)
 	if who.Group != "" {
@@ -192,17 +192,17 @@
 		return err
 	}
 	if raft.IsEmptySnap(snap) { // it has joined, and heard nothing yet
-		peers, err := get[[]group.Peer](m.disk, keyPeers)
+		peers, err := get[[]statemachine.Peer](m.disk, keyPeers)
 		if err != nil {
 			return fmt.Errorf("%s: who else there is: %w", m.cfg.Dir, err)
 		}
 		for _, p := range peers {
 			m.state.Members[p.ID] = p
 		}
-	} else if m.state, err = group.Restore(snap.GetData()); err != nil {
+	} else if m.state, err = statemachine.Restore(snap.GetData()); err != nil {
 		return fmt.Errorf("%s: %w", m.cfg.Dir, err)
 	}
-	m.watch, m.users, m.ledger = lease.NewWatch(m.state.Terms), rulebook.NewWatch(m.state.Terms), shares.NewLedger(m.state.Terms)
+	m.watch, m.users, m.ledger = lease.NewWatch(m.state.Terms), configstore.NewWatch(m.state.Terms), quota.NewLedger(m.state.Terms)
 	m.conf = snap.GetMetadata().GetConfState()
 	m.applied = snap.GetMetadata().GetIndex()
 	m.snapAt = m.applied
@@ -314,7 +314,7 @@
 		m.stats.Inc("group", "syncs")
 	}
 	if !raft.IsEmptySnap(rd.Snapshot) {
-		state, err := group.Restore(rd.Snapshot.GetData())
+		state, err := statemachine.Restore(rd.Snapshot.GetData())
 		if err != nil {
 			m.die(err)
 			return
@@ -322,7 +322,7 @@
 		m.state, m.conf = state, rd.Snapshot.GetMetadata().GetConfState()
 		m.applied = rd.Snapshot.GetMetadata().GetIndex()
 		m.snapAt = m.applied
-		m.watch, m.users, m.ledger = lease.NewWatch(state.Terms), rulebook.NewWatch(state.Terms), shares.NewLedger(state.Terms)
+		m.watch, m.users, m.ledger = lease.NewWatch(state.Terms), configstore.NewWatch(state.Terms), quota.NewLedger(state.Terms)
 		m.meet()
 	}
 	if rd.SoftState != nil {
@@ -387,7 +387,7 @@
 // fail answers all that waits: nobody here can say what becomes of it.
 func (m *Member) fail() {
 	for _, done := range m.worded {
-		done(group.Result{}, false)
+		done(statemachine.Result{}, false)
 	}
 	for _, done := range m.asking {
 		done(false)
@@ -396,7 +396,7 @@
 	m.words, m.worded, m.asking = nil, nil, nil
 	for id, done := range m.waiting {
 		delete(m.waiting, id)
-		done(group.Result{}, false)
+		done(statemachine.Result{}, false)
 	}
 	for ctx, r := range m.reads {
 		delete(m.reads, ctx)
@@ -405,7 +405,7 @@
 }
 
 // entry is what the log has of a command: the number of who waits for it, then the command.
-func entry(id uint64, c group.Command) ([]byte, error) {
+func entry(id uint64, c statemachine.Command) ([]byte, error) {
 	b, err := json.Marshal(c)
 	return append(binary.BigEndian.AppendUint64(nil, id), b...), err
 }
@@ -419,8 +419,8 @@
 		if len(e.GetData()) < 8 {
 			return // of a new leader
 		}
-		var c group.Command
-		r := group.Result{Error: "a command that can't be read"}
+		var c statemachine.Command
+		r := statemachine.Result{Error: "a command that can't be read"}
 		if err := json.Unmarshal(e.GetData()[8:], &c); err == nil {
 			r = m.state.Apply(c)
 		}
@@ -432,7 +432,7 @@
 			m.ruled(*c.Rule, r)
 		}
 		for _, w := range c.Words {
-			m.ruled(w, group.Result{})
+			m.ruled(w, statemachine.Result{})
 		}
 		id := binary.BigEndian.Uint64(e.GetData())
 		if done := m.waiting[id]; done != nil {
@@ -458,13 +458,13 @@
 		m.meet()
 		if done := m.waiting[of.Seq]; done != nil {
 			delete(m.waiting, of.Seq)
-			done(group.Result{}, true)
+			done(statemachine.Result{}, true)
 		}
 	}
 }
 
 // asked follows what was applied: a duty that has a new owner is watched from now on, and is told of in the log.
-func (m *Member) asked(a lease.Ask, r group.Result) {
+func (m *Member) asked(a lease.Ask, r statemachine.Result) {
 	if r.Error != "" || r.Duty == nil {
 		return
 	}
@@ -483,7 +483,7 @@
 func (m *Member) lapse() {
 	if m.leads && m.caughtUp {
 		for _, a := range m.watch.Due(m.state.Table, m.clock()) {
-			if err := m.propose(group.Command{Ask: &a}, nil); err != nil {
+			if err := m.propose(statemachine.Command{Ask: &a}, nil); err != nil {
 				m.watch.Dropped(a)
 			}
 		}
@@ -505,7 +505,7 @@
 )
 
 // propose puts a command into the log; done, which may be nil, hears what it came to.
-func (m *Member) propose(c group.Command, done func(group.Result, bool)) error {
+func (m *Member) propose(c statemachine.Command, done func(statemachine.Result, bool)) error {
 	if !m.leads || m.raw == nil {
 		return errNotLeader
 	}
@@ -678,7 +678,7 @@
 	who := m.who.Load()
 	s := &quorum.Status{Name: m.cfg.Name, ID: fmt.Sprintf("%016x", who.ID), Group: m.cfg.Group, GroupID: who.Group, State: "unfounded",
 		Starts: who.Starts, Applied: m.applied, Syncs: m.disk.syncs, TermsTTL: m.state.Terms.TTL.Milliseconds(),
-		Drift: m.state.Terms.Drift, Confirmed: m.confirmed, Format: rulebook.FormatInParts}
+		Drift: m.state.Terms.Drift, Confirmed: m.confirmed, Format: configstore.FormatInParts}
 	if m.raw != nil {
 		b := m.raw.BasicStatus()
 		s.Term, s.Commit, s.Leader = b.GetTerm(), b.GetCommit(), m.state.Members[b.Lead].Addr
@@ -686,7 +686,7 @@
 		for _, p := range m.state.Members {
 			s.Members = append(s.Members, p)
 		}
-		slices.SortFunc(s.Members, func(a, b group.Peer) int { return strings.Compare(a.Name, b.Name) })
+		slices.SortFunc(s.Members, func(a, b statemachine.Peer) int { return strings.Compare(a.Name, b.Name) })
 		switch {
 		case !m.confirmed:
 			s.State = "unconfirmed"
--- a/internal/quorum/member/parts.go
+++ b/internal/controlplane/quorum/member/parts.go
@@ -6,13 +6,13 @@
 	"slices"
 	"time"
 
-	"silverpath/internal/cells"
-	"silverpath/internal/group"
-	"silverpath/internal/msgpackrpc"
-	"silverpath/internal/quorum"
-	"silverpath/internal/rulebook"
+	"silverpath/internal/controlplane/quorum"
+	"silverpath/internal/policy/cells"
+	"silverpath/internal/policy/configstore"
+	"silverpath/internal/policy/quota"
+	"silverpath/internal/policy/statemachine"
 	"silverpath/internal/settings"
-	"silverpath/internal/shares"
+	"silverpath/internal/transport/msgpackrpc"
 )
 
 // This file is a member's part in documents in parts. docs/design/parts.md.
@@ -20,9 +20,9 @@
 // parts answers with parts of a version, or with its manifest. Who asks looks at their digests, by what he was told in an answer that
 // a majority confirmed, so that this one needs no confirming.
 func (m *Member) parts(w msgpackrpc.Word, answer func(msgpackrpc.Verdict)) {
-	var ask rulebook.Want
-	if err := json.Unmarshal(w.Body, &ask); err != nil || len(ask.Names) > rulebook.MostParts {
-		answer(no(quorum.WordNo, "at most %d parts are asked for at a time", rulebook.MostParts))
+	var ask configstore.Want
+	if err := json.Unmarshal(w.Body, &ask); err != nil || len(ask.Names) > configstore.MostParts {
+		answer(no(quorum.WordNo, "at most %d parts are asked for at a time", configstore.MostParts))
 		return
 	}
 	if !m.leads {
@@ -39,7 +39,7 @@
 		answer(no(quorum.WordNo, "version %d of %s is not in force or under way in parts", ask.Version, ask.Doc))
 		return
 	}
-	send := quorum.Parts{ID: id, Parts: rulebook.Send(all, ask.Names)}
+	send := quorum.Parts{ID: id, Parts: configstore.Send(all, ask.Names)}
 	if len(ask.Names) > 0 {
 		m.stats.Inc("rules", "parts_sent")
 	} else {
@@ -57,8 +57,8 @@
 }
 
 // unread names a document of which a version is in force that a process can't read.
-func unread(b *rulebook.Book, u rulebook.User) string {
-	for _, name := range rulebook.Docs {
+func unread(b *configstore.Book, u configstore.User) string {
+	for _, name := range configstore.Docs {
 		reads, uses := u.Reads[name]
 		if d := b.Docs[name]; uses && d != nil && d.Force != nil && d.Force.Format > reads {
 			return name
@@ -68,17 +68,17 @@
 }
 
 // differences are the fields in which a change differs from what is in force: of one in parts those of the parts that it changes.
-func (m *Member) differences(c *rulebook.Change, force *rulebook.Entry) ([]rulebook.Difference, error) {
+func (m *Member) differences(c *configstore.Change, force *configstore.Entry) ([]configstore.Difference, error) {
 	if len(c.Parts) == 0 && c.Draft == "" {
 		old := ""
 		if force != nil {
 			old = force.Text
 		}
-		return rulebook.Diff(c.Doc, old, c.Text)
+		return configstore.Diff(c.Doc, old, c.Text)
 	}
 	d := m.state.Rules.Docs[c.Doc]
 	if d == nil {
-		d = &rulebook.Doc{Name: c.Doc}
+		d = &configstore.Doc{Name: c.Doc}
 	}
 	changed, err := d.Drafted(*c)
 	if err != nil {
@@ -92,7 +92,7 @@
 		}
 		return nil, nil
 	}
-	var old map[string]rulebook.Part
+	var old map[string]configstore.Part
 	switch {
 	case force.Split:
 		old = force.Parts
@@ -101,23 +101,23 @@
 		if err != nil {
 			return nil, err
 		}
-		old = map[string]rulebook.Part{}
+		old = map[string]configstore.Part{}
 		for name, text := range settings.SplitCells(of) {
-			old[name] = rulebook.Part{Digest: rulebook.DigestOf(text), Text: text}
+			old[name] = configstore.Part{Digest: configstore.DigestOf(text), Text: text}
 		}
 	}
-	return rulebook.DiffParts(c.Doc, old, changed)
+	return configstore.DiffParts(c.Doc, old, changed)
 }
 
 // lent is the map in force, of which only what changed is read.
 type lent struct {
-	id    rulebook.ID
+	id    configstore.ID
 	cells *cells.Map
 	until time.Time // when what there is to lend changes by the time in the map; zero: the ledger was not told
 }
 
 // take reads what has changed in the map that is in force. It reports whether there is one.
-func (j *lent) take(e *rulebook.Entry) bool {
+func (j *lent) take(e *configstore.Entry) bool {
 	if j.cells != nil && j.id == e.ID {
 		return true
 	}
@@ -145,12 +145,12 @@
 }
 
 // lend tells the ledger what there is to lend, at a new map and as servers come and go and tenants move by the time in it.
-func (m *Member) lend(e *rulebook.Entry) bool {
+func (m *Member) lend(e *configstore.Entry) bool {
 	if !m.lent.take(e) {
 		return false
 	}
 	if now := time.Now(); !now.Before(m.lent.until) {
-		m.ledger.Set(shares.Of(m.lent.cells, now))
+		m.ledger.Set(quota.Of(m.lent.cells, now))
 		m.lent.until = now.Add(lentAgain)
 		if next, ok := m.lent.cells.NextChange(now); ok && next.Before(m.lent.until) {
 			m.lent.until = next
@@ -168,12 +168,12 @@
 
 // says puts what a process says of itself into the log. Where a document is in parts, and so no member is of a build that can't read
 // it, what comes while the disk is busy is one entry.
-func (m *Member) says(c rulebook.Change, done func(r group.Result, ok bool)) error {
-	if !slices.ContainsFunc(rulebook.Docs, func(name string) bool {
+func (m *Member) says(c configstore.Change, done func(r statemachine.Result, ok bool)) error {
+	if !slices.ContainsFunc(configstore.Docs, func(name string) bool {
 		d := m.state.Rules.Docs[name]
 		return d != nil && d.Force != nil && d.Force.Split
 	}) {
-		return m.propose(group.Command{Rule: &c}, done)
+		return m.propose(statemachine.Command{Rule: &c}, done)
 	}
 	if len(m.words) >= mostReads {
 		return errBusy
@@ -189,13 +189,13 @@
 		n := min(len(m.words), mostTogether)
 		words, done := slices.Clone(m.words[:n]), slices.Clone(m.worded[:n])
 		m.words, m.worded = m.words[n:], m.worded[n:]
-		all := func(r group.Result, ok bool) {
+		all := func(r statemachine.Result, ok bool) {
 			for _, one := range done {
 				one(r, ok)
 			}
 		}
-		if err := m.propose(group.Command{Words: words}, all); err != nil {
-			all(group.Result{}, false)
+		if err := m.propose(statemachine.Command{Words: words}, all); err != nil {
+			all(statemachine.Result{}, false)
 			continue
 		}
 		m.stats.Add(uint64(n), "rules", "together")
--- a/internal/quorum/member/parts_test.go
+++ b/internal/controlplane/quorum/member/parts_test.go
@@ -16,16 +16,16 @@
 
 	"github.com/rs/zerolog"
 
-	"silverpath/internal/cells"
-	"silverpath/internal/front"
-	"silverpath/internal/group"
-	"silverpath/internal/harness"
-	"silverpath/internal/lease"
-	"silverpath/internal/msgpackrpc"
-	"silverpath/internal/quorum"
-	"silverpath/internal/rulebook"
+	"silverpath/internal/controlplane/quorum"
+	"silverpath/internal/metrics"
+	"silverpath/internal/policy/cells"
+	"silverpath/internal/policy/configstore"
+	"silverpath/internal/policy/lease"
+	"silverpath/internal/policy/statemachine"
 	"silverpath/internal/settings"
-	"silverpath/internal/stats"
+	"silverpath/internal/testkit/harness"
+	"silverpath/internal/transport/listener"
+	"silverpath/internal/transport/msgpackrpc"
 )
 
 // members are members of a group in this process, with their own disks and words between them.
@@ -34,7 +34,7 @@
 	dirs  []string
 	addrs []string
 	ends  []func()
-	stats []*stats.Counters
+	stats []*metrics.Counters
 	of    []*Member
 	*quorum.Client
 }
@@ -47,7 +47,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		g.dirs, g.addrs, g.stats = append(g.dirs, t.TempDir()), append(g.addrs, addr), append(g.stats, &stats.Counters{})
+		g.dirs, g.addrs, g.stats = append(g.dirs, t.TempDir()), append(g.addrs, addr), append(g.stats, &metrics.Counters{})
 	}
 	g.Addrs = g.addrs
 	for i := range n {
@@ -78,7 +78,7 @@
 	words := msgpackrpc.NewWords(Name, g.stats[i], m.Answer)
 	var mu sync.Mutex
 	var conns []net.Conn
-	ln, err := front.Listen(Name, g.addrs[i], memberMost, func() time.Duration { return time.Minute }, func(conn net.Conn, slot *front.Slot) {
+	ln, err := listener.Listen(Name, g.addrs[i], memberMost, func() time.Duration { return time.Minute }, func(conn net.Conn, slot *listener.Slot) {
 		mu.Lock()
 		conns = append(conns, conn)
 		mu.Unlock()
@@ -111,18 +111,18 @@
 	}
 }
 
-func (g *members) do(c rulebook.Change) group.Result {
+func (g *members) do(c configstore.Change) statemachine.Result {
 	g.t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
-	r, err := g.Do(ctx, group.Command{Rule: &c})
+	r, err := g.Do(ctx, statemachine.Command{Rule: &c})
 	if err != nil {
 		g.t.Fatal(err)
 	}
 	return r
 }
 
-func (g *members) must(c rulebook.Change) group.Result {
+func (g *members) must(c configstore.Change) statemachine.Result {
 	g.t.Helper()
 	r := g.do(c)
 	if r.Error != "" {
@@ -141,7 +141,7 @@
 }
 
 // force is what is in force of the map.
-func (g *members) force() *rulebook.Entry {
+func (g *members) force() *configstore.Entry {
 	g.t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
@@ -149,7 +149,7 @@
 	if err != nil {
 		g.t.Fatal(err)
 	}
-	d := r.Book.Docs[rulebook.DocMap]
+	d := r.Book.Docs[configstore.DocMap]
 	if d == nil {
 		return nil
 	}
@@ -177,27 +177,27 @@
 // loadMap puts a whole map in parts, by a draft.
 func (g *members) loadMap(texts map[string]string, version int) {
 	g.t.Helper()
-	for _, one := range rulebook.Batches(texts) {
-		g.must(rulebook.Change{Op: rulebook.Load, Doc: rulebook.DocMap, Draft: "a", Parts: one})
+	for _, one := range configstore.Batches(texts) {
+		g.must(configstore.Change{Op: configstore.Load, Doc: configstore.DocMap, Draft: "a", Parts: one})
 	}
-	g.must(rulebook.Change{Op: rulebook.Put, Doc: rulebook.DocMap, Version: version, Draft: "a", Digest: rulebook.SumOf(texts), By: "t"})
+	g.must(configstore.Change{Op: configstore.Put, Doc: configstore.DocMap, Version: version, Draft: "a", Digest: configstore.SumOf(texts), By: "t"})
 }
 
 // follower is the side of a process that follows the map, without its clock.
 type follower struct {
-	h     *rulebook.Holder
+	h     *configstore.Holder
 	says  map[string]string
 	began time.Time
 	bytes int // of the last answer
 }
 
 func newFollower(name string, format int) *follower {
-	f := &follower{h: rulebook.NewHolder(name, map[string]int{rulebook.DocMap: format}), says: map[string]string{}, began: time.Now()}
+	f := &follower{h: configstore.NewHolder(name, map[string]int{configstore.DocMap: format}), says: map[string]string{}, began: time.Now()}
 	f.h.CheckParts = func(string, map[string]string, bool) error { return nil }
 	return f
 }
 
-func (f *follower) take(list []rulebook.Took) {
+func (f *follower) take(list []configstore.Took) {
 	for _, t := range list {
 		if t.Whole || t.Entry.Text != "" {
 			f.says = map[string]string{"": t.Entry.Text}
@@ -264,7 +264,7 @@
 		if len(changed) != 2 {
 			t.Fatalf("%d parts changed", len(changed))
 		}
-		c := rulebook.Change{Op: rulebook.Put, Doc: rulebook.DocMap, Version: 1, Parts: changed, Digest: rulebook.SumOf(after), By: "t"}
+		c := configstore.Change{Op: configstore.Put, Doc: configstore.DocMap, Version: 1, Parts: changed, Digest: configstore.SumOf(after), By: "t"}
 		wrong := c
 		wrong.Digest++
 		if r := g.do(wrong); !strings.Contains(r.Error, "they are of another version") {
@@ -275,7 +275,7 @@
 		g.await("the change", func() bool { f.once(g); most = max(most, f.bytes); return maps.Equal(f.says, after) })
 		size := 0
 		for _, text := range changed {
-			size += rulebook.Encoded(text)
+			size += configstore.Encoded(text)
 		}
 		if most > atRest[len(atRest)-1]+2*size+1000 {
 			t.Errorf("%d tenants: an answer of %d bytes for a change of %d", tenants, most, size)
@@ -292,7 +292,7 @@
 func TestTouchesOfAChange(t *testing.T) {
 	g := newMembers(t, 1, 3*time.Second)
 	m := largeMap(30)
-	g.must(rulebook.Change{Op: rulebook.Put, Doc: rulebook.DocMap, Text: string(settings.FormatCells(m))})
+	g.must(configstore.Change{Op: configstore.Put, Doc: configstore.DocMap, Text: string(settings.FormatCells(m))})
 	g.inForce(1)
 	if e := g.force(); e.Split || e.Format != 1 {
 		t.Fatalf("%+v", e)
@@ -314,7 +314,7 @@
 		m.Version++
 		c.change()
 		texts := settings.SplitCells(m)
-		r := g.must(rulebook.Change{Op: rulebook.Put, Doc: rulebook.DocMap, Version: version, Parts: texts, Digest: rulebook.SumOf(texts), Touches: []string{"cell:lie"}})
+		r := g.must(configstore.Change{Op: configstore.Put, Doc: configstore.DocMap, Version: version, Parts: texts, Digest: configstore.SumOf(texts), Touches: []string{"cell:lie"}})
 		version++
 		if r.Version != version {
 			t.Errorf("version %d, not %d", r.Version, version)
@@ -325,17 +325,17 @@
 			t.Errorf("version %d: exclusive %v, touches %q", version, e.Exclusive, e.Touches)
 		}
 	}
-	for why, c := range map[string]rulebook.Change{
-		"only a map is in parts":         {Op: rulebook.Load, Doc: rulebook.DocRouting, Draft: "x", Parts: map[string]string{"a": "{}"}},
-		"a whole text can't be put":      {Op: rulebook.Put, Doc: rulebook.DocMap, Version: version, Text: "{}"},
-		"only the group's leader may":    {Op: rulebook.Lapse, By: "r1"},
-		"not JSON":                       {Op: rulebook.Put, Doc: rulebook.DocMap, Version: version, Parts: map[string]string{"top": "{"}},
-		"part t00: 65537 bytes, of 1 to": {Op: rulebook.Put, Doc: rulebook.DocMap, Version: version, Parts: map[string]string{"t00": strings.Repeat("x", 65537)}},
-		"no draft \"gone\" of map":       {Op: rulebook.Put, Doc: rulebook.DocMap, Version: version, Draft: "gone"},
-		"bytes in one command":           {Op: rulebook.Put, Doc: rulebook.DocMap, Version: version, By: strings.Repeat("\x01", 100_000)},
+	for why, c := range map[string]configstore.Change{
+		"only a map is in parts":         {Op: configstore.Load, Doc: configstore.DocRouting, Draft: "x", Parts: map[string]string{"a": "{}"}},
+		"a whole text can't be put":      {Op: configstore.Put, Doc: configstore.DocMap, Version: version, Text: "{}"},
+		"only the group's leader may":    {Op: configstore.Lapse, By: "r1"},
+		"not JSON":                       {Op: configstore.Put, Doc: configstore.DocMap, Version: version, Parts: map[string]string{"top": "{"}},
+		"part t00: 65537 bytes, of 1 to": {Op: configstore.Put, Doc: configstore.DocMap, Version: version, Parts: map[string]string{"t00": strings.Repeat("x", 65537)}},
+		"no draft \"gone\" of map":       {Op: configstore.Put, Doc: configstore.DocMap, Version: version, Draft: "gone"},
+		"bytes in one command":           {Op: configstore.Put, Doc: configstore.DocMap, Version: version, By: strings.Repeat("\x01", 100_000)},
 	} {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
-		r, err := g.Do(ctx, group.Command{Rule: &c})
+		r, err := g.Do(ctx, statemachine.Command{Rule: &c})
 		cancel()
 		if got := fmt.Sprint(r.Error, err); !strings.Contains(got, why) || strings.Contains(got, "\n") {
 			t.Errorf("%q, not %q", got, why)
@@ -373,9 +373,9 @@
 	}
 	snapshots := sum("snapshots")
 	for n := 0; sum("snapshots") < snapshots+2 && n < 1000; n++ { // what is kept of the log is bounded in bytes too
-		one := rulebook.Batches(texts)[0]
+		one := configstore.Batches(texts)[0]
 		one["t00"] += strings.Repeat(" ", n+1)
-		g.must(rulebook.Change{Op: rulebook.Load, Doc: rulebook.DocMap, Draft: fmt.Sprint("x", n), Parts: one})
+		g.must(configstore.Change{Op: configstore.Load, Doc: configstore.DocMap, Draft: fmt.Sprint("x", n), Parts: one})
 	}
 	if sum("snapshots") < snapshots+2 {
 		t.Fatal("no snapshot was made of what was written")
@@ -409,14 +409,14 @@
 			break
 		}
 	}
-	if e := g.force(); e == nil || e.ID.Digest != rulebook.SumOf(texts) {
+	if e := g.force(); e == nil || e.ID.Digest != configstore.SumOf(texts) {
 		t.Errorf("%+v", e)
 	}
 }
 
 // A chunk that doesn't follow, is of another, or beyond the bound is told no, and what there was is dropped.
 func TestChunksThatDontFollow(t *testing.T) {
-	m := &Member{confirmed: true, stats: &stats.Counters{}, cfg: Config{Group: "test"}}
+	m := &Member{confirmed: true, stats: &metrics.Counters{}, cfg: Config{Group: "test"}}
 	say := func(from uint64, body, s, o, l string) string {
 		v := m.chunk(msgpackrpc.Word{Body: []byte(body), Fields: map[string]string{"s": s, "o": o, "l": l}}, from)
 		return v.Error
--- a/internal/quorum/member/peer.go
+++ b/internal/controlplane/quorum/member/peer.go
@@ -10,14 +10,14 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"silverpath/internal/group"
-	"silverpath/internal/msgpackrpc"
-	"silverpath/internal/quorum"
+	"silverpath/internal/controlplane/quorum"
+	"silverpath/internal/policy/statemachine"
+	"silverpath/internal/transport/msgpackrpc"
 )
 
 // peer carries words to one other member. What can't be sent is dropped: the library sends it again where it matters.
 type peer struct {
-	group.Peer
+	statemachine.Peer
 	queue chan *pb.Message
 	stop  context.CancelFunc
 }
--- a/internal/quorum/member/rules.go
+++ b/internal/controlplane/quorum/member/rules.go
@@ -5,11 +5,11 @@
 	"slices"
 	"time"
 
-	"silverpath/internal/group"
-	"silverpath/internal/msgpackrpc"
-	"silverpath/internal/quorum"
-	"silverpath/internal/rulebook"
-	"silverpath/internal/shares"
+	"silverpath/internal/controlplane/quorum"
+	"silverpath/internal/policy/configstore"
+	"silverpath/internal/policy/quota"
+	"silverpath/internal/policy/statemachine"
+	"silverpath/internal/transport/msgpackrpc"
 )
 
 // This file is a member's part in the rules: words of the processes that act on documents, and the leader's time over them.
@@ -38,8 +38,8 @@
 	tell := func(ok bool) {
 		u := m.state.Rules.Users[s.User.Name]
 		switch {
-		case ok && u == nil && len(m.state.Rules.Users) >= rulebook.MostUsers:
-			answer(no(quorum.WordNo, "%d processes are registered already", rulebook.MostUsers))
+		case ok && u == nil && len(m.state.Rules.Users) >= configstore.MostUsers:
+			answer(no(quorum.WordNo, "%d processes are registered already", configstore.MostUsers))
 			return
 		case !ok, u == nil, unread(m.state.Rules, s.User) != "":
 			answer(msgpackrpc.Verdict{Error: quorum.WordLost})
@@ -54,11 +54,11 @@
 	}
 	var err error
 	if m.state.Rules.New(s.User) {
-		c := rulebook.Change{Op: rulebook.Say, User: &s.User}
+		c := configstore.Change{Op: configstore.Say, User: &s.User}
 		if m.state.Rules.Users[s.User.Name] == nil {
-			c.Op = rulebook.Join
+			c.Op = configstore.Join
 		}
-		err = m.says(c, func(r group.Result, ok bool) {
+		err = m.says(c, func(r statemachine.Result, ok bool) {
 			if ok && r.Error != "" {
 				answer(no(quorum.WordNo, "%s", r.Error))
 				return
@@ -75,8 +75,8 @@
 
 // grant is what a router is given of the cells that it shares with others. It counts as given from here on, whether or not the answer
 // ever comes there.
-func (m *Member) grant(s quorum.Sync) *shares.Grant {
-	d := m.state.Rules.Docs[rulebook.DocMap]
+func (m *Member) grant(s quorum.Sync) *quota.Grant {
+	d := m.state.Rules.Docs[configstore.DocMap]
 	if s.Share == nil || d == nil || d.Force == nil {
 		return nil
 	}
@@ -92,8 +92,8 @@
 }
 
 // views are the documents as a process is told of them.
-func views(b *rulebook.Book, u *rulebook.User, s quorum.Sync) map[string]rulebook.View {
-	all := map[string]rulebook.View{}
+func views(b *configstore.Book, u *configstore.User, s quorum.Sync) map[string]configstore.View {
+	all := map[string]configstore.View{}
 	for name := range u.Reads {
 		if d := b.Docs[name]; d != nil {
 			all[name] = d.Tell(u, s.Has[name], s.Bases[name])
@@ -122,34 +122,34 @@
 }
 
 // mayAsk names why a change of the rules can't be asked for from outside, and completes it.
-func (m *Member) mayAsk(c *rulebook.Change) string {
+func (m *Member) mayAsk(c *configstore.Change) string {
 	switch c.Op {
-	case rulebook.Put, rulebook.Load, rulebook.Withdraw, rulebook.TakeBack, rulebook.Hold, rulebook.Release:
+	case configstore.Put, configstore.Load, configstore.Withdraw, configstore.TakeBack, configstore.Hold, configstore.Release:
 	default:
 		return "only the group's leader may"
 	}
-	if !slices.Contains(rulebook.Docs, c.Doc) {
+	if !slices.Contains(configstore.Docs, c.Doc) {
 		return "no such document: " + c.Doc
 	}
-	if c.By == rulebook.Watcher {
+	if c.By == configstore.Watcher {
 		return "only the group's leader may"
 	}
-	if c.Doc == rulebook.DocMap && (c.Op == rulebook.TakeBack || c.Try != nil) {
+	if c.Doc == configstore.DocMap && (c.Op == configstore.TakeBack || c.Try != nil) {
 		return "a map is neither watched nor taken back, as its versions follow each other in time: move the tenant again, or abort"
 	}
-	if (len(c.Parts) > 0 || c.Draft != "") && c.Doc != rulebook.DocMap {
+	if (len(c.Parts) > 0 || c.Draft != "") && c.Doc != configstore.DocMap {
 		return "only a map is in parts"
 	}
-	if c.Op != rulebook.Put {
+	if c.Op != configstore.Put {
 		return ""
 	}
-	var force *rulebook.Entry
+	var force *configstore.Entry
 	version := 0
 	if d := m.state.Rules.Docs[c.Doc]; d != nil && d.Force != nil {
 		force, version = d.Force, d.Force.ID.Version
 	}
 	if c.Version != version {
-		return rulebook.ErrBase.Error() // what it differs in would be seen against another one
+		return configstore.ErrBase.Error() // what it differs in would be seen against another one
 	}
 	if force != nil && force.Split && c.Text != "" {
 		return c.Doc + " is in parts: a whole text can't be put on it, silverpath rules put splits it"
@@ -158,12 +158,12 @@
 	if err != nil {
 		return err.Error()
 	}
-	if at := rulebook.Bound(list); c.Try != nil && c.Try.Part > 0 && force != nil && at != "" {
+	if at := configstore.Bound(list); c.Try != nil && c.Try.Part > 0 && force != nil && at != "" {
 		return "a part of the fleet can't act on it first: it differs in " + at
 	}
-	c.Exclusive, c.Touches = force != nil && rulebook.Excludes(list), nil
+	c.Exclusive, c.Touches = force != nil && configstore.Excludes(list), nil
 	if c.Exclusive {
-		c.Touches = rulebook.Touches(c.Doc, list)
+		c.Touches = configstore.Touches(c.Doc, list)
 	}
 	return ""
 }
@@ -171,18 +171,18 @@
 // overRules proposes what the leader's time has come for.
 func (m *Member) overRules() {
 	for _, c := range m.users.Due(m.state.Rules, m.clock()) {
-		if err := m.propose(group.Command{Rule: &c}, nil); err != nil && c.Op == rulebook.Lapse {
+		if err := m.propose(statemachine.Command{Rule: &c}, nil); err != nil && c.Op == configstore.Lapse {
 			m.users.Lapsed(c.By)
 		}
 	}
 }
 
 // ruled follows what was applied.
-func (m *Member) ruled(c rulebook.Change, r group.Result) {
-	if c.Op == rulebook.Lapse {
+func (m *Member) ruled(c configstore.Change, r statemachine.Result) {
+	if c.Op == configstore.Lapse {
 		m.users.Lapsed(c.By)
 	}
-	if !m.leads || c.Op == rulebook.Say {
+	if !m.leads || c.Op == configstore.Say {
 		return
 	}
 	who := c.By
--- a/internal/quorum/member/snapshot.go
+++ b/internal/controlplane/quorum/member/snapshot.go
@@ -11,8 +11,8 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"silverpath/internal/msgpackrpc"
-	"silverpath/internal/quorum"
+	"silverpath/internal/controlplane/quorum"
+	"silverpath/internal/transport/msgpackrpc"
 )
 
 // This file carries a snapshot that is longer than a word. Its chunks come in their order on a connection of their own, so that
--- a/internal/quorum/member/store.go
+++ b/internal/controlplane/quorum/member/store.go
@@ -12,7 +12,7 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"silverpath/internal/group"
+	"silverpath/internal/policy/statemachine"
 )
 
 // Identity is who a member is, by its disk. An empty disk gets a new number, and so is a member that has no vote until it
@@ -187,7 +187,7 @@
 }
 
 // found makes the member one of a group whose first members are given.
-func (s *store) found(who Identity, state *group.State) error {
+func (s *store) found(who Identity, state *statemachine.State) error {
 	data, err := state.Snapshot()
 	if err != nil {
 		return err
@@ -209,7 +209,7 @@
 }
 
 // join makes the member one that listens to a group.
-func (s *store) join(who Identity, peers []group.Peer) error {
+func (s *store) join(who Identity, peers []statemachine.Peer) error {
 	return s.write("join", func(tx *bbolt.Tx) error {
 		return errors.Join(put(tx, keyWho, who), put(tx, keyPeers, peers))
 	})
--- a/internal/quorum/member/words.go
+++ b/internal/controlplane/quorum/member/words.go
@@ -12,18 +12,18 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"silverpath/internal/duties"
-	"silverpath/internal/group"
-	"silverpath/internal/lease"
-	"silverpath/internal/msgpackrpc"
-	"silverpath/internal/quorum"
+	"silverpath/internal/controlplane/quorum"
+	"silverpath/internal/policy/controller"
+	"silverpath/internal/policy/lease"
+	"silverpath/internal/policy/statemachine"
+	"silverpath/internal/transport/msgpackrpc"
 )
 
 // change is the context of a change of members.
 type change struct {
-	Seq    uint64     `json:"seq"`
-	Peer   group.Peer `json:"peer"`
-	Remove uint64     `json:"remove,omitempty"`
+	Seq    uint64            `json:"seq"`
+	Peer   statemachine.Peer `json:"peer"`
+	Remove uint64            `json:"remove,omitempty"`
 }
 
 // Answer answers the words of a connection; it is the one that msgpackrpc.NewWords asks for.
@@ -161,13 +161,13 @@
 		return msgpackrpc.Verdict{}
 	case who.Group != "":
 		return no(quorum.WordNo, "member %s belongs to group %s already", who.Name, who.Group)
-	case f.Group != m.cfg.Group || !slices.ContainsFunc(f.Members, func(p group.Peer) bool { return p.ID == who.ID }):
+	case f.Group != m.cfg.Group || !slices.ContainsFunc(f.Members, func(p statemachine.Peer) bool { return p.ID == who.ID }):
 		return no(quorum.WordNo, "not among the first members")
 	}
 	if err := f.Terms.Check(); err != nil {
 		return no(quorum.WordNo, "%v", err)
 	}
-	state := group.New(1)
+	state := statemachine.New(1)
 	state.Terms = f.Terms
 	for _, p := range f.Members {
 		state.Members[p.ID] = p
@@ -228,7 +228,7 @@
 	return v
 }
 
-func result(r group.Result, ok bool) msgpackrpc.Verdict {
+func result(r statemachine.Result, ok bool) msgpackrpc.Verdict {
 	if !ok {
 		return msgpackrpc.Verdict{Error: quorum.WordLost}
 	}
@@ -241,7 +241,7 @@
 
 // do puts a command into the log.
 func (m *Member) do(w msgpackrpc.Word, answer func(msgpackrpc.Verdict)) {
-	var c group.Command
+	var c statemachine.Command
 	if err := json.Unmarshal(w.Body, &c); err != nil {
 		answer(no(quorum.WordNo, "%v", err))
 		return
@@ -256,7 +256,7 @@
 			return
 		}
 		if why := m.mayAsk(c.Rule); why != "" {
-			answer(result(group.Result{Error: why}, true))
+			answer(result(statemachine.Result{Error: why}, true))
 			return
 		}
 	}
@@ -268,7 +268,7 @@
 		}
 		m.watch.Waits(c.Ask.Duty, c.Ask.Who, m.clock())
 	}
-	if err := m.propose(c, func(r group.Result, ok bool) { answer(result(r, ok)) }); err == errNotLeader {
+	if err := m.propose(c, func(r statemachine.Result, ok bool) { answer(result(r, ok)) }); err == errNotLeader {
 		answer(m.elsewhere())
 	} else if err == errLong {
 		answer(no(quorum.WordNo, "%v", err))
@@ -280,7 +280,7 @@
 // renew notes that an owner goes on, or that one waits, by the leader's word alone: it answers once a majority has said
 // that it led after the word came.
 func (m *Member) renew(w msgpackrpc.Word, answer func(msgpackrpc.Verdict)) {
-	var c group.Command
+	var c statemachine.Command
 	if err := json.Unmarshal(w.Body, &c); err != nil || c.Ask == nil {
 		answer(no(quorum.WordNo, "no renewal"))
 		return
@@ -298,12 +298,12 @@
 	m.watch.Waits(a.Duty, a.Who, now)
 	m.stats.Inc("group", "renewals")
 	err := m.confirmLead(func(ok bool) {
-		r := group.Result{}
+		r := statemachine.Result{}
 		if d := m.state.Table.Duties[a.Duty]; d != nil {
 			copied := *d
 			r.Duty = &copied
 			if ending && d.Holder == a.Who || a.Op == lease.Renew && (d.Holder != a.Who || d.Epoch != a.Epoch) {
-				r.Error, r.Kind = d.Stale(a.Epoch).Error(), group.Stale
+				r.Error, r.Kind = d.Stale(a.Epoch).Error(), statemachine.Stale
 			}
 		} else {
 			r.Error = lease.ErrNobody.Error()
@@ -326,8 +326,8 @@
 			answer(msgpackrpc.Verdict{Error: quorum.WordLost})
 			return
 		}
-		v := quorum.View{Terms: m.state.Terms, Table: m.state.Table, Journals: map[string]*duties.Journal{}, Wall: time.Now().UnixMilli()}
-		for _, name := range duties.Names {
+		v := quorum.View{Terms: m.state.Terms, Table: m.state.Table, Journals: map[string]*controller.Journal{}, Wall: time.Now().UnixMilli()}
+		for _, name := range controller.Names {
 			if w.Fields["duty"] == name || w.Fields["duty"] == "*" {
 				v.Journals[name] = m.state.Journal(name)
 			}
@@ -347,7 +347,7 @@
 // change adds a member, first as one that only listens and then, asked again once it has caught up, with a vote, or removes
 // one: one at a time.
 func (m *Member) change(w msgpackrpc.Word, answer func(msgpackrpc.Verdict)) {
-	var p group.Peer
+	var p statemachine.Peer
 	if err := json.Unmarshal(w.Body, &p); err != nil || p.ID == 0 {
 		answer(no(quorum.WordNo, "no member"))
 		return
@@ -385,7 +385,7 @@
 		answer(no(quorum.WordLost, "%v", err))
 		return
 	}
-	m.waiting[of.Seq] = func(_ group.Result, ok bool) {
+	m.waiting[of.Seq] = func(_ statemachine.Result, ok bool) {
 		if !ok {
 			answer(msgpackrpc.Verdict{Error: quorum.WordLost})
 			return
--- a/internal/owner/golden_test.go
+++ b/internal/controlplane/runner/golden_test.go
@@ -1,4 +1,4 @@
-package owner_test
+package runner_test
 
 import (
 	"bufio"
@@ -17,15 +17,15 @@
 
 	"github.com/rs/zerolog"
 
-	"silverpath/internal/front"
-	"silverpath/internal/group"
-	"silverpath/internal/lease"
-	"silverpath/internal/msgpackrpc"
-	"silverpath/internal/owner"
-	"silverpath/internal/quorum"
-	"silverpath/internal/quorum/member"
+	"silverpath/internal/controlplane/quorum"
+	"silverpath/internal/controlplane/quorum/member"
+	"silverpath/internal/controlplane/runner"
+	"silverpath/internal/metrics"
+	"silverpath/internal/policy/lease"
+	"silverpath/internal/policy/statemachine"
 	"silverpath/internal/settings"
-	"silverpath/internal/stats"
+	"silverpath/internal/transport/listener"
+	"silverpath/internal/transport/msgpackrpc"
 )
 
 // An owner of one build orders servers of another, over a journal that others read. Here a roll of one server and a tenant's move
@@ -44,7 +44,7 @@
 	if err := os.WriteFile(filepath.Join(dir, "0000000001.json"), first, 0o644); err != nil {
 		t.Fatal(err)
 	}
-	o := owner.New(owner.Config{Name: "o1", Group: client, Log: zerolog.Nop(), Stats: &stats.Counters{},
+	o := runner.New(runner.Config{Name: "o1", Group: client, Log: zerolog.Nop(), Stats: &metrics.Counters{},
 		Set: settings.Owner{Duties: []string{"keeper", "conductor"}, Map: dir, Gone: time.Second}})
 	ctx, cancel := context.WithCancel(context.Background())
 	var all sync.WaitGroup
@@ -74,7 +74,7 @@
 		t.Helper()
 		asking, cancel := context.WithTimeout(ctx, 20*time.Second)
 		defer cancel()
-		if r, err := client.Do(asking, group.Command{Submit: &group.Submit{Duty: duty, ID: id, Kind: kind, Args: []byte(args)}}); err != nil || r.Error != "" {
+		if r, err := client.Do(asking, statemachine.Command{Submit: &statemachine.Submit{Duty: duty, ID: id, Kind: kind, Args: []byte(args)}}); err != nil || r.Error != "" {
 			t.Fatal(err, r.Error)
 		}
 	}
@@ -117,7 +117,7 @@
 // groupOfOne is a group of one member, in this process.
 func groupOfOne(t *testing.T) *quorum.Client {
 	t.Helper()
-	counters := &stats.Counters{}
+	counters := &metrics.Counters{}
 	probe, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -129,7 +129,7 @@
 		t.Fatal(err)
 	}
 	words := msgpackrpc.NewWords(member.Name, counters, m.Answer)
-	ln, err := front.Listen(member.Name, addr, 64, func() time.Duration { return time.Minute }, words.Serve, log.New(io.Discard, "", 0), counters)
+	ln, err := listener.Listen(member.Name, addr, 64, func() time.Duration { return time.Minute }, words.Serve, log.New(io.Discard, "", 0), counters)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/owner/owner.go
+++ b/internal/controlplane/runner/owner.go
@@ -1,6 +1,6 @@
-// Package owner owns duties of the fleet for a process: it keeps the leases, and carries out what the duties decide. Each
+// Package runner owns duties of the fleet for a process: it keeps the leases, and carries out what the duties decide. Each
 // duty has a goroutine for its lease and one for its work, so that nothing that an act waits for holds up another duty.
-package owner
+package runner
 
 import (
 	"context"
@@ -16,17 +16,17 @@
 	"github.com/rs/zerolog"
 	"github.com/valyala/fastjson"
 
-	"silverpath/internal/ask"
-	"silverpath/internal/cells"
-	"silverpath/internal/duties"
-	"silverpath/internal/fence"
-	"silverpath/internal/fleet"
-	"silverpath/internal/group"
-	"silverpath/internal/lease"
-	"silverpath/internal/mgmt"
-	"silverpath/internal/quorum"
+	"silverpath/internal/controlplane/quorum"
+	"silverpath/internal/metrics"
+	"silverpath/internal/policy/cells"
+	"silverpath/internal/policy/controller"
+	"silverpath/internal/policy/fence"
+	"silverpath/internal/policy/lease"
+	"silverpath/internal/policy/statemachine"
+	"silverpath/internal/proxy"
 	"silverpath/internal/settings"
-	"silverpath/internal/stats"
+	"silverpath/internal/transport/admin"
+	"silverpath/internal/transport/client"
 )
 
 // Config sets up an owner.
@@ -35,7 +35,7 @@
 	Set   settings.Owner
 	Group *quorum.Client
 	Log   zerolog.Logger
-	Stats *stats.Counters
+	Stats *metrics.Counters
 	Rate  float64 // of its clock, for tests; 0: 1
 }
 
@@ -68,15 +68,15 @@
 	cfg    Config
 	who    string
 	began  time.Time
-	series fleet.Series
+	series proxy.Series
 
 	mu      sync.Mutex // of what was seen
-	seen    map[string]duties.Seen
+	seen    map[string]controller.Seen
 	watched bool // a roll is under way
-	servers []duties.Member
-	reports duties.Watcher
-	worth   map[string]duties.Worth // by router, as last told
-	verdict map[string]duties.Verdict
+	servers []controller.Member
+	reports controller.Watcher
+	worth   map[string]controller.Worth // by router, as last told
+	verdict map[string]controller.Verdict
 	version int
 }
 
@@ -88,9 +88,9 @@
 		cfg.Rate = 1
 	}
 	return &Owner{
-		cfg: cfg, who: cfg.Name + "#" + hex.EncodeToString(b[:]), began: time.Now(), series: fleet.Series{Dir: cfg.Set.Map},
-		seen: map[string]duties.Seen{}, worth: map[string]duties.Worth{},
-		reports: duties.Watcher{Routers: cfg.Set.Routers, After: cfg.Set.Gone, Fresh: 3 * reportEach},
+		cfg: cfg, who: cfg.Name + "#" + hex.EncodeToString(b[:]), began: time.Now(), series: proxy.Series{Dir: cfg.Set.Map},
+		seen: map[string]controller.Seen{}, worth: map[string]controller.Worth{},
+		reports: controller.Watcher{Routers: cfg.Set.Routers, After: cfg.Set.Gone, Fresh: 3 * reportEach},
 	}
 }
 
@@ -139,11 +139,11 @@
 	mu     sync.Mutex
 	holder *lease.Holder
 	acting bool // between its check and the end of its act
-	keeper duties.Keeper
-	leads  duties.Conductor
+	keeper controller.Keeper
+	leads  controller.Conductor
 	fails  int
 	said   string
-	total  duties.Worth // of all routers, when the conductor last looked
+	total  controller.Worth // of all routers, when the conductor last looked
 	looked time.Duration
 }
 
@@ -223,7 +223,7 @@
 			go func() {
 				asking, cancel := context.WithTimeout(context.Background(), askFor)
 				defer cancel()
-				r, err := d.cfg.Group.Do(asking, group.Command{Ask: &a})
+				r, err := d.cfg.Group.Do(asking, statemachine.Command{Ask: &a})
 				if err != nil || r.Duty == nil {
 					return // its lease runs out by itself
 				}
@@ -256,7 +256,7 @@
 			}
 		} else if did {
 			wait = 0
-		} else if d.name == duties.Conducts && d.rolling() {
+		} else if d.name == controller.Conducts && d.rolling() {
 			wait = busy
 		}
 		pause(ctx, wait)
@@ -299,7 +299,7 @@
 	if err != nil {
 		return false, err
 	}
-	if act.Kind == duties.Rest {
+	if act.Kind == controller.Rest {
 		return false, nil
 	}
 	Boundary(d.name, "check", j.Step)
@@ -308,13 +308,13 @@
 	}
 	defer d.finish()
 	switch act.Kind {
-	case duties.WriteDown:
+	case controller.WriteDown:
 		Boundary(d.name, "write", j.Step)
 		return true, d.write(ctx, j, epoch, act.Write)
-	case duties.Publish, duties.Withdraw:
+	case controller.Publish, controller.Withdraw:
 		Boundary(d.name, "intent", j.Step)
 		err := d.series.Put(act.Version, act.Raw)
-		if errors.Is(err, fleet.ErrTaken) {
+		if errors.Is(err, proxy.ErrTaken) {
 			err = nil // what stands there is seen with the next look
 		}
 		if err != nil {
@@ -326,7 +326,7 @@
 		d.log.Info().Str("event", "map."+act.Kind.String()).Stringer("epoch", epoch).Uint64("step", j.Step).Int("version", act.Version).Send()
 		Boundary(d.name, "act", j.Step)
 		return true, nil
-	case duties.Send:
+	case controller.Send:
 		it := j.Current()
 		Boundary(d.name, "intent", it.Step)
 		yes := d.send(ctx, epoch, it.Step, act.Order)
@@ -337,11 +337,11 @@
 }
 
 // write puts a write into the journal, by this owner's epoch and as the next step.
-func (d *duty) write(ctx context.Context, j *duties.Journal, epoch lease.Epoch, w duties.Write) error {
+func (d *duty) write(ctx context.Context, j *controller.Journal, epoch lease.Epoch, w controller.Write) error {
 	w.Duty, w.Who, w.Epoch, w.Step = d.name, d.who, epoch, j.Step+1
 	asking, cancel := context.WithTimeout(ctx, askFor)
 	defer cancel()
-	r, err := d.cfg.Group.Do(asking, group.Command{Write: &w})
+	r, err := d.cfg.Group.Do(asking, statemachine.Command{Write: &w})
 	if err != nil {
 		return err // whether it is there is seen with the next look
 	}
@@ -356,14 +356,14 @@
 }
 
 // send gives an order.
-func (d *duty) send(ctx context.Context, epoch lease.Epoch, step uint64, o duties.Order) (yes bool) {
+func (d *duty) send(ctx context.Context, epoch lease.Epoch, step uint64, o controller.Order) (yes bool) {
 	call := "rejoin"
 	if o.Evacuate {
 		call = "evacuate"
 	}
 	asking, cancel := context.WithTimeout(ctx, orderFor)
 	defer cancel()
-	yes, why, err := mgmt.Call(asking, o.Mgmt, fmt.Sprintf("POST /api/%s?duty=%s&epoch=%d&step=%d", call, d.name, uint64(epoch), step))
+	yes, why, err := admin.Call(asking, o.Mgmt, fmt.Sprintf("POST /api/%s?duty=%s&epoch=%d&step=%d", call, d.name, uint64(epoch), step))
 	if err != nil {
 		why = err.Error()
 	}
@@ -375,88 +375,88 @@
 		var g, n uint64
 		if _, err := fmt.Sscanf(saw, "%d.%d was seen", &g, &n); err == nil {
 			// The group knows less than the server: it was set back. It rises above what was seen.
-			d.cfg.Group.Do(asking, group.Command{Ask: &lease.Ask{Op: lease.Raise, Duty: d.name, Epoch: lease.Epoch(g<<32 | n)}})
+			d.cfg.Group.Do(asking, statemachine.Command{Ask: &lease.Ask{Op: lease.Raise, Duty: d.name, Epoch: lease.Epoch(g<<32 | n)}})
 		}
 	}
 	return yes
 }
 
-var codec = duties.Codec{Format: settings.FormatCells, Parse: settings.ParseCells}
+var codec = controller.Codec{Format: settings.FormatCells, Parse: settings.ParseCells}
 
 // decide asks the duty's decisions what is next.
-func (d *duty) decide(j *duties.Journal, epoch lease.Epoch, paused bool, off time.Duration) (duties.Act, error) {
+func (d *duty) decide(j *controller.Journal, epoch lease.Epoch, paused bool, off time.Duration) (controller.Act, error) {
 	m, raw, err := d.series.Head()
 	if m == nil && err != nil {
-		return duties.Act{}, err
+		return controller.Act{}, err
 	}
 	it := j.Current()
 	if m != nil {
 		d.Owner.look(m)
 	}
 	switch d.name {
-	case duties.MapKeeper:
-		if paused && (it == nil || it.State == duties.Queued) {
-			return duties.Act{}, nil
+	case controller.MapKeeper:
+		if paused && (it == nil || it.State == controller.Queued) {
+			return controller.Act{}, nil
 		}
 		if m != nil && off > m.Skew {
-			return duties.Act{}, fmt.Errorf("%w: by %v, skew_ms allows %v", errClock, off.Round(time.Millisecond), m.Skew)
+			return controller.Act{}, fmt.Errorf("%w: by %v, skew_ms allows %v", errClock, off.Round(time.Millisecond), m.Skew)
 		}
-		h := duties.Head{Map: m, Raw: raw}
+		h := controller.Head{Map: m, Raw: raw}
 		if h.Top, err = d.series.Top(); err != nil {
-			return duties.Act{}, err
+			return controller.Act{}, err
 		}
-		if it != nil && it.State == duties.Intent {
+		if it != nil && it.State == controller.Intent {
 			if plan, err := settings.ParseCells([]byte(it.Plan)); err == nil {
 				if h.Place, err = d.series.Place(plan.Version); err != nil {
-					return duties.Act{}, err
+					return controller.Act{}, err
 				}
 			}
 		}
 		d.keeper.Codec = codec
 		act := d.keeper.Next(j, h, uint64(epoch), Wall())
-		if act.Kind == duties.Publish && d.fails >= mostFails {
-			act = duties.Act{Kind: duties.Withdraw, Version: act.Version}
+		if act.Kind == controller.Publish && d.fails >= mostFails {
+			act = controller.Act{Kind: controller.Withdraw, Version: act.Version}
 		}
 		return act, nil
-	case duties.Conducts:
+	case controller.Conducts:
 		d.Owner.mu.Lock()
 		d.Owner.watched = it != nil
-		servers, seen := d.servers, map[string]duties.Seen{}
+		servers, seen := d.servers, map[string]controller.Seen{}
 		for k, s := range d.seen {
 			seen[k] = s
 		}
 		d.Owner.mu.Unlock()
-		if it == nil || paused && it.State == duties.Queued {
-			return duties.Act{}, nil
+		if it == nil || paused && it.State == controller.Queued {
+			return controller.Act{}, nil
 		}
 		if paused && it.Wish == "" {
 			it.Wish = "pause"
 		}
 		d.worthOf(it)
 		return d.leads.Next(j, uint64(epoch), servers, seen, d.clock()), nil
-	case duties.Watches:
-		return duties.Act{}, d.judge(paused)
+	case controller.Watches:
+		return controller.Act{}, d.judge(paused)
 	}
-	return duties.Act{}, nil
+	return controller.Act{}, nil
 }
 
 // worthOf has the conductor look at what was served since it last did, once a second.
-func (d *duty) worthOf(it *duties.Item) {
+func (d *duty) worthOf(it *controller.Item) {
 	now := d.clock()
 	if now-d.looked < reportEach {
 		return
 	}
-	var r duties.Roll
+	var r controller.Roll
 	if json.Unmarshal(it.Args, &r) != nil {
 		return
 	}
-	var all duties.Worth
+	var all controller.Worth
 	d.Owner.mu.Lock()
 	for _, w := range d.worth {
 		all.Asked, all.Served = all.Asked+w.Asked, all.Served+w.Served
 	}
 	d.Owner.mu.Unlock()
-	w := duties.Worth{Asked: all.Asked - d.total.Asked, Served: all.Served - d.total.Served}
+	w := controller.Worth{Asked: all.Asked - d.total.Asked, Served: all.Served - d.total.Served}
 	if d.total.Asked > 0 && now-d.looked < 3*reportEach && w.Asked >= 0 && w.Served >= 0 { // else a router started anew, or this is the first look
 		d.leads.Look(w, r.WorthLeast)
 	}
@@ -471,7 +471,7 @@
 	now := time.Now().UnixMilli()
 	for s := range m.AllServers() {
 		if s.Until == 0 || s.Until > now {
-			o.servers = append(o.servers, duties.Member{Name: s.Name, Cell: s.Cell, Mgmt: s.Mgmt})
+			o.servers = append(o.servers, controller.Member{Name: s.Name, Cell: s.Cell, Mgmt: s.Mgmt})
 		}
 	}
 }
@@ -498,10 +498,10 @@
 			go func() {
 				at := o.clock()
 				asking, cancel := context.WithTimeout(ctx, seeFor)
-				yes, _, err := mgmt.Call(asking, s.Mgmt, "GET /api/ready")
+				yes, _, err := admin.Call(asking, s.Mgmt, "GET /api/ready")
 				cancel()
 				o.mu.Lock()
-				o.seen[s.Name] = duties.Seen{At: at, Reachable: err == nil, Ready: yes}
+				o.seen[s.Name] = controller.Seen{At: at, Reachable: err == nil, Ready: yes}
 				o.mu.Unlock()
 				mu.Lock()
 				delete(under, s.Name)
@@ -519,7 +519,7 @@
 		for _, r := range o.cfg.Set.Routers {
 			all.Go(func() {
 				at := o.clock()
-				body, err := ask.Status(ask.Platform, r)
+				body, err := client.Status(client.Platform, r)
 				if err != nil {
 					return
 				}
@@ -528,14 +528,14 @@
 					return
 				}
 				f := v.Get("fleet")
-				rep := duties.Report{Router: r, At: at, Dead: map[string]bool{}}
+				rep := controller.Report{Router: r, At: at, Dead: map[string]bool{}}
 				for _, s := range f.GetArray("servers") {
 					rep.Dead[string(s.GetStringBytes("name"))] = string(s.GetStringBytes("health")) == "dead"
 				}
 				o.mu.Lock()
 				defer o.mu.Unlock()
 				o.reports.Told(rep)
-				o.worth[r] = duties.Worth{Asked: f.GetFloat64("worth_asked"), Served: f.GetFloat64("worth_served")}
+				o.worth[r] = controller.Worth{Asked: f.GetFloat64("worth_asked"), Served: f.GetFloat64("worth_served")}
 			})
 		}
 		all.Wait()
@@ -555,12 +555,12 @@
 	said, version := o.verdict, o.version
 	o.verdict = verdicts
 	o.mu.Unlock()
-	for _, name := range duties.Sorted(verdicts) {
+	for _, name := range controller.Sorted(verdicts) {
 		v := verdicts[name]
-		if v != said[name] && (v != duties.Alive || said != nil) {
+		if v != said[name] && (v != controller.Alive || said != nil) {
 			d.log.Info().Str("event", "watcher."+string(v)).Str("server", name).Send()
 		}
-		id, g, ok := duties.Request(name, version, v, o.cfg.Set.Gone)
+		id, g, ok := controller.Request(name, version, v, o.cfg.Set.Gone)
 		if !ok || paused || said[name] == v {
 			continue
 		}
@@ -569,7 +569,7 @@
 			return err
 		}
 		asking, cancel := context.WithTimeout(context.Background(), askFor)
-		_, err = o.cfg.Group.Do(asking, group.Command{Submit: &group.Submit{Duty: duties.MapKeeper, ID: id, Kind: duties.KindGone, Args: args}})
+		_, err = o.cfg.Group.Do(asking, statemachine.Command{Submit: &statemachine.Submit{Duty: controller.MapKeeper, ID: id, Kind: controller.KindGone, Args: args}})
 		cancel()
 		if err != nil {
 			o.mu.Lock()
--- a/internal/core/backstop_test.go
+++ b/internal/core/backstop_test.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"silverpath"
-	"silverpath/internal/stats"
+	"silverpath/internal/metrics"
 )
 
 // heldUp is a runner that never ends a run, and with which the module never ticks.
@@ -23,7 +23,7 @@
 // While the module is held up, as on a machine without a core to spare, what it does not answer is answered by its due time.
 func TestDueWhileTheModuleIsHeldUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		counters := &stats.Counters{}
+		counters := &metrics.Counters{}
 		c, err := New(Config{Name: "n1", MemoryMB: 64, Stats: counters, Log: log.New(io.Discard, "", 0),
 			Settings: silverpath.Settings{Cores: 2, MemoryKB: 10000, MaxRunsPerCore: 8, Classes: []silverpath.Class{
 				{Name: "lestvica", Objective: 500 * time.Millisecond, Deadline: 4 * time.Second, Weight: 1}}}})
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -13,10 +13,10 @@
 
 	"silverpath"
 	"silverpath/internal/events"
-	"silverpath/internal/phase"
-	"silverpath/internal/pools"
-	"silverpath/internal/rulebook"
-	"silverpath/internal/stats"
+	"silverpath/internal/metrics"
+	"silverpath/internal/policy/admission"
+	"silverpath/internal/policy/configstore"
+	"silverpath/internal/policy/lifecycle"
 )
 
 // Outcome is what a request's one answer says.
@@ -106,20 +106,20 @@
 type Config struct {
 	Name     string
 	Settings silverpath.Settings
-	MemoryMB float64       // the process's own limit
-	Status   bool          // fronts answer requests for the state of the service
-	Pools    *pools.Config // nil: none
-	Cell     bool          // serves in a cell, behind routers: see Known
-	Pair     *PairConfig   // nil: no other process ever takes over from this one
+	MemoryMB float64           // the process's own limit
+	Status   bool              // fronts answer requests for the state of the service
+	Pools    *admission.Config // nil: none
+	Cell     bool              // serves in a cell, behind routers: see Known
+	Pair     *PairConfig       // nil: no other process ever takes over from this one
 	Log      *log.Logger
-	Stats    *stats.Counters
+	Stats    *metrics.Counters
 }
 
 // Core is the service's one object: its phase, the module and all requests in hand.
 type Core struct {
 	name     string
 	log      *log.Logger
-	stats    *stats.Counters
+	stats    *metrics.Counters
 	runner   Runner
 	caller   Caller
 	keeper   Keeper // nil: runs are forgotten with the process
@@ -138,8 +138,8 @@
 	blind      bool                     // hands requests on: another router may have handed on a try of the same sheet
 	extra      map[string]func() []byte // further parts of the status, JSON each
 	doors      atomic.Pointer[doors]    // of the classes that need not be read in full to be refused; nil without pools
-	locked     *stats.Timing            // waits for the lock
-	decided    *stats.Timing            // the module's decisions, under the lock
+	locked     *metrics.Timing          // waits for the lock
+	decided    *metrics.Timing          // the module's decisions, under the lock
 
 	mu        sync.Mutex
 	module    *silverpath.Shedder
@@ -153,8 +153,8 @@
 	gauges    silverpath.Gauges
 	ticking   bool // a tick waits for its gauges
 	swept     time.Time
-	guard     *guard        // nil: no pools
-	rules     rulebook.Seen // what routers have named
+	guard     *guard           // nil: no pools
+	rules     configstore.Seen // what routers have named
 	looked    time.Duration
 	saidLimit float64
 	saidAt    time.Duration
@@ -173,7 +173,7 @@
 	set := bounded(cfg.Settings)
 	c.set.Store(&set)
 	if c.stats == nil {
-		c.stats = &stats.Counters{}
+		c.stats = &metrics.Counters{}
 	}
 	if c.log == nil {
 		c.log = log.Default()
@@ -259,7 +259,7 @@
 	if c.state.now().Leaving() {
 		return
 	}
-	c.state.happens(phase.Leave)
+	c.state.happens(lifecycle.Leave)
 	c.drainedAt = time.Now()
 	if c.pair != nil {
 		c.pair.side.Ready(false)
@@ -276,7 +276,7 @@
 func (c *Core) Stop() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.state.happens(phase.End)
+	c.state.happens(lifecycle.End)
 	c.show()
 	return c.owed == 0
 }
@@ -390,7 +390,7 @@
 func (c *Core) tick() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.ticking || c.state.now() == phase.Stopped {
+	if !c.ticking || c.state.now() == lifecycle.Stopped {
 		return
 	}
 	c.ticking = false
--- a/internal/core/guard.go
+++ b/internal/core/guard.go
@@ -8,12 +8,12 @@
 
 	"silverpath"
 	"silverpath/internal/events"
-	"silverpath/internal/pools"
+	"silverpath/internal/policy/admission"
 )
 
 // guard is the pools as the module asks them.
 type guard struct {
-	*pools.Set
+	*admission.Set
 	memory float64 // bytes that the process may have
 	sample []metrics.Sample
 	at     time.Duration // of the last look at the process's own memory
@@ -22,8 +22,8 @@
 
 var _ silverpath.Pools = (*guard)(nil)
 
-func newGuard(c pools.Config, memoryMB float64) (*guard, error) {
-	set, err := pools.New(c)
+func newGuard(c admission.Config, memoryMB float64) (*guard, error) {
+	set, err := admission.New(c)
 	if err != nil {
 		return nil, err
 	}
@@ -33,7 +33,7 @@
 }
 
 func (g *guard) Moved(now time.Duration, id, class string, to silverpath.Place) {
-	g.Set.Moved(now, id, class, pools.Place(to))
+	g.Set.Moved(now, id, class, admission.Place(to))
 }
 
 func (g *guard) Tick(now time.Duration, ceiling float64, gauges silverpath.Gauges) {
@@ -42,7 +42,7 @@
 		metrics.Read(g.sample)
 		g.share = (float64(g.sample[0].Value.Uint64()) - float64(g.sample[1].Value.Uint64())) / g.memory
 	}
-	g.Set.Tick(now, pools.Readings{Ceiling: ceiling, OnCores: gauges.OnCores, Booked: gauges.Memory, Process: g.share})
+	g.Set.Tick(now, admission.Readings{Ceiling: ceiling, OnCores: gauges.OnCores, Booked: gauges.Memory, Process: g.share})
 }
 
 const (
@@ -53,7 +53,7 @@
 
 // door is one class's door, beside what who is turned away there is told.
 type door struct {
-	pools.Door
+	admission.Door
 	answer atomic.Pointer[Answer] // the module's latest refusal
 	shut   atomic.Int64           // nanoseconds of the core's clock until which it is; read without the lock
 	turned atomic.Int64           // since the module last heard
@@ -154,7 +154,7 @@
 }
 
 // ReloadPools takes up other pools, weights, floors and memory stages under load. No run is lost.
-func (c *Core) ReloadPools(cfg pools.Config) error {
+func (c *Core) ReloadPools(cfg admission.Config) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.guard == nil {
--- a/internal/core/guard_test.go
+++ b/internal/core/guard_test.go
@@ -11,8 +11,8 @@
 	"time"
 
 	"silverpath"
-	"silverpath/internal/pools"
-	"silverpath/internal/stats"
+	"silverpath/internal/metrics"
+	"silverpath/internal/policy/admission"
 )
 
 // busyRunner never ends a run, and reports full cores.
@@ -37,11 +37,11 @@
 }
 
 // pooled plays a core with pools, in simulated time.
-func pooled(t *testing.T, cfg pools.Config, test func(c *Core, r *busyRunner, s *stats.Counters, logged func() string)) {
+func pooled(t *testing.T, cfg admission.Config, test func(c *Core, r *busyRunner, s *metrics.Counters, logged func() string)) {
 	synctest.Test(t, func(t *testing.T) {
 		var mu sync.Mutex
 		var lines strings.Builder
-		counters, sheet := &stats.Counters{}, sheets
+		counters, sheet := &metrics.Counters{}, sheets
 		sheet.Objective, sheet.Weight = 3*time.Second, 3
 		c, err := New(Config{
 			Name: "n1", Status: true, MemoryMB: 512, Pools: &cfg, Stats: counters,
@@ -83,8 +83,8 @@
 	return w.Writer.Write(b)
 }
 
-func two() pools.Config {
-	return pools.Config{Limit: pools.Range{Fixed: 2}, Pools: []pools.Pool{
+func two() admission.Config {
+	return admission.Config{Limit: admission.Range{Fixed: 2}, Pools: []admission.Pool{
 		{Name: "sheets", Classes: []string{"oddaja"}, Weight: 10, Floor: 0.5}, {Name: "others", Weight: 1}}}
 }
 
@@ -96,7 +96,7 @@
 // While a flood of a class is turned away on arrival its door is shut: what comes then is refused unread, the module
 // hears of it, and a sheets class, whose requests may be repeats, is always read.
 func TestDoorShutsInAFlood(t *testing.T) {
-	pooled(t, two(), func(c *Core, r *busyRunner, s *stats.Counters, _ func() string) {
+	pooled(t, two(), func(c *Core, r *busyRunner, s *metrics.Counters, _ func() string) {
 		for round := range 10 { // so that the module knows what a run takes
 			for i := range 2 {
 				ask(c, fmt.Sprintf("w%d-%d", round, i), "lestvica", func(Answer) {})
@@ -136,7 +136,7 @@
 
 // Status tells of the pools, and the log of what changes in them.
 func TestStatusAndLog(t *testing.T) {
-	pooled(t, two(), func(c *Core, r *busyRunner, _ *stats.Counters, logged func() string) {
+	pooled(t, two(), func(c *Core, r *busyRunner, _ *metrics.Counters, logged func() string) {
 		for i := range 6 {
 			ask(c, fmt.Sprint("a", i), "lestvica", func(Answer) {})
 		}
@@ -168,7 +168,7 @@
 // With the booked memory at 95% nothing new is taken, and the repeats of a sheet that has run are answered from what is
 // kept: never refused, never run again.
 func TestRepeatsWhileMemoryIsCritical(t *testing.T) {
-	pooled(t, two(), func(c *Core, r *busyRunner, _ *stats.Counters, _ func() string) {
+	pooled(t, two(), func(c *Core, r *busyRunner, _ *metrics.Counters, _ func() string) {
 		try := func(id, key string) Answer {
 			got := make(chan Answer, 1)
 			now := time.Now()
@@ -210,7 +210,7 @@
 // A drain while the share of the sheets is lent out: a sheet that still comes inside the window gets its run as soon as one of
 // the borrowers ends, what comes after the window is not run, and nothing stays unanswered.
 func TestDrainWhileSharesAreLent(t *testing.T) {
-	pooled(t, two(), func(c *Core, r *busyRunner, _ *stats.Counters, _ func() string) {
+	pooled(t, two(), func(c *Core, r *busyRunner, _ *metrics.Counters, _ func() string) {
 		var mu sync.Mutex
 		got := map[string]Outcome{}
 		send := func(id, class string) {
--- a/internal/core/keep.go
+++ b/internal/core/keep.go
@@ -5,7 +5,7 @@
 
 	"silverpath"
 	"silverpath/internal/events"
-	"silverpath/internal/keyed"
+	"silverpath/internal/policy/idempotency"
 )
 
 // Keeper keeps the runs of keyed requests where they outlive the process: the package store. No method blocks. What was asked
@@ -14,13 +14,13 @@
 	// Since is from when on, in Unix milliseconds, every run is known.
 	Since() int64
 	// Begins is what becomes of a new sheet that has so much time.
-	Begins(left time.Duration) keyed.Verdict
+	Begins(left time.Duration) idempotency.Verdict
 	// Promise has it kept that a sheet will run, and gives the record its number.
-	Promise(r *keyed.Record, reached, until time.Time, left time.Duration, done func(error)) keyed.Verdict
+	Promise(r *idempotency.Record, reached, until time.Time, left time.Duration, done func(error)) idempotency.Verdict
 	// Mark has it kept that a key runs elsewhere.
-	Mark(r *keyed.Record, until time.Time, done func(error)) keyed.Verdict
+	Mark(r *idempotency.Record, until time.Time, done func(error)) idempotency.Verdict
 	// Result has the result of a promised run kept.
-	Result(r *keyed.Record, reached, until time.Time, done func(error))
+	Result(r *idempotency.Record, reached, until time.Time, done func(error))
 	Failed(seq uint64)   // the run has ended without a result
 	Withdraw(seq uint64) // it never began
 }
@@ -35,20 +35,20 @@
 }
 
 // Gate has one more say what becomes of a new sheet that has so much time. It is called before the first request.
-func (c *Core) Gate(begins func(left time.Duration) keyed.Verdict) {
+func (c *Core) Gate(begins func(left time.Duration) idempotency.Verdict) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.gate(begins)
 }
 
-func (c *Core) gate(begins func(left time.Duration) keyed.Verdict) {
+func (c *Core) gate(begins func(left time.Duration) idempotency.Verdict) {
 	before := c.keys.begins
-	c.keys.begins = func(t *task) keyed.Verdict {
+	c.keys.begins = func(t *task) idempotency.Verdict {
 		v := begins(time.Until(t.Due))
-		if t.Known && v.Do == keyed.Refuse { // it is not to run here: only whether it is known is asked
-			v = keyed.Verdict{}
+		if t.Known && v.Do == idempotency.Refuse { // it is not to run here: only whether it is known is asked
+			v = idempotency.Verdict{}
 		}
-		if v.Do == keyed.Begin && before != nil {
+		if v.Do == idempotency.Begin && before != nil {
 			return before(t)
 		}
 		return v
@@ -63,16 +63,16 @@
 func (c *Core) Ran() int64 { return c.ranUntil }
 
 // turnedAway is the answer to a new sheet that may not begin.
-func (c *Core) turnedAway(v keyed.Verdict) Answer {
-	if v.Do != keyed.Refuse {
+func (c *Core) turnedAway(v idempotency.Verdict) Answer {
+	if v.Do != idempotency.Refuse {
 		return Answer{Outcome: Failed}
 	}
 	return Answer{Outcome: Refused, Wait: min(v.Wait, c.set.Load().MaxRetryAfter)}
 }
 
 // record is a run as it is kept, without its result.
-func (f *flight) record() keyed.Record {
-	return keyed.Record{Seq: f.seq, Key: f.entry.key, ID: f.id, Sum: f.sum, Window: f.entry.window}
+func (f *flight) record() idempotency.Record {
+	return idempotency.Record{Seq: f.seq, Key: f.entry.key, ID: f.id, Sum: f.sum, Window: f.entry.window}
 }
 
 // promises has it kept that a sheet is about to run. It reports false where nothing is kept; else promised follows.
@@ -89,7 +89,7 @@
 	})
 	f.seq = r.Seq
 	c.mu.Unlock()
-	if v.Do != keyed.Begin {
+	if v.Do != idempotency.Begin {
 		c.stats.Inc("turned_away", t.Front, v.Why)
 		c.unrun(t, step{given: true, answer: c.turnedAway(v)})
 	}
@@ -104,8 +104,8 @@
 	c.mu.Unlock()
 	switch {
 	case s.err != nil:
-		c.stats.Inc("turned_away", t.Front, keyed.WhyFailing)
-		c.unrun(t, step{given: true, answer: c.turnedAway(keyed.Verdict{Do: keyed.Refuse, Why: keyed.WhyFailing, Wait: c.Advice()})})
+		c.stats.Inc("turned_away", t.Front, idempotency.WhyFailing)
+		c.unrun(t, step{given: true, answer: c.turnedAway(idempotency.Verdict{Do: idempotency.Refuse, Why: idempotency.WhyFailing, Wait: c.Advice()})})
 	case !owes:
 		c.unrun(t, step{})
 	default:
@@ -164,9 +164,9 @@
 		return
 	}
 	e := c.keys.entries[keyOf(t.class, &t.Request)]
-	r := keyed.Record{Key: e.key, Window: t.class.IdempotencyWindow}
+	r := idempotency.Record{Key: e.key, Window: t.class.IdempotencyWindow}
 	lasts := make(chan error, 1)
-	if v := c.keeper.Mark(&r, e.moved, func(err error) { lasts <- err }); v.Do != keyed.Begin {
+	if v := c.keeper.Mark(&r, e.moved, func(err error) { lasts <- err }); v.Do != idempotency.Begin {
 		*a = Answer{Outcome: Failed}
 		return
 	}
@@ -206,7 +206,7 @@
 }
 
 // Restore takes up runs of an earlier start of this service.
-func (c *Core) Restore(list []keyed.Record, at func(time.Duration) time.Time) {
+func (c *Core) Restore(list []idempotency.Record, at func(time.Duration) time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
@@ -216,7 +216,7 @@
 }
 
 // restore takes up one run.
-func (k *keyTable) restore(r *keyed.Record, at func(time.Duration) time.Time, now time.Time) {
+func (k *keyTable) restore(r *idempotency.Record, at func(time.Duration) time.Time, now time.Time) {
 	e := k.entries[r.Key]
 	if e == nil {
 		e = &entry{key: r.Key, size: entryBytes + len(r.Key)}
@@ -224,42 +224,42 @@
 		k.size += e.size
 	}
 	e.until, e.window = later(e.until, at(r.Until)), max(e.window, r.Window)
-	if r.State == keyed.Moved {
+	if r.State == idempotency.Moved {
 		e.moved, e.mark = later(e.moved, at(r.Until)), r.Seq
 		return
 	}
 	k.supersede(e)
-	e.last = &flight{id: r.ID, sum: r.Sum, entry: e, reached: at(r.Reached), done: true, ok: r.State == keyed.Done,
+	e.last = &flight{id: r.ID, sum: r.Sum, entry: e, reached: at(r.Reached), done: true, ok: r.State == idempotency.Done,
 		result: r.Result, ended: now, seq: r.Seq}
 	e.size += len(r.Result)
 	k.size += len(r.Result)
 }
 
 // Kept are the runs that are kept, as they stand.
-func (c *Core) Kept(since func(time.Time) time.Duration) []keyed.Record {
+func (c *Core) Kept(since func(time.Time) time.Duration) []idempotency.Record {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
-	list := make([]keyed.Record, 0, len(c.keys.entries))
+	list := make([]idempotency.Record, 0, len(c.keys.entries))
 	for _, e := range c.keys.entries {
 		if now.After(e.until) {
 			continue
 		}
 		if f := e.last; f != nil && f.seq != 0 {
 			r := f.record()
-			r.State, r.At, r.Reached, r.Until = keyed.Running, since(now), since(f.reached), since(e.until)
+			r.State, r.At, r.Reached, r.Until = idempotency.Running, since(now), since(f.reached), since(e.until)
 			switch {
 			case f.done && f.ok:
-				r.State, r.Result = keyed.Done, f.result
+				r.State, r.Result = idempotency.Done, f.result
 			case f.done:
-				r.State = keyed.Failed
+				r.State = idempotency.Failed
 			case f.saving != nil:
-				r.State, r.Result = keyed.Done, f.saving
+				r.State, r.Result = idempotency.Done, f.saving
 			}
 			list = append(list, r)
 		}
 		if e.mark != 0 && now.Before(e.moved) {
-			list = append(list, keyed.Record{Seq: e.mark, State: keyed.Moved, Key: e.key, Window: e.window, At: since(now), Until: since(e.moved)})
+			list = append(list, idempotency.Record{Seq: e.mark, State: idempotency.Moved, Key: e.key, Window: e.window, At: since(now), Until: since(e.moved)})
 		}
 	}
 	return list
--- a/internal/core/keys.go
+++ b/internal/core/keys.go
@@ -5,8 +5,8 @@
 	"time"
 
 	"silverpath"
-	"silverpath/internal/handover"
-	"silverpath/internal/keyed"
+	"silverpath/internal/policy/hotrestart"
+	"silverpath/internal/policy/idempotency"
 )
 
 // flight is the one run of a request that may come again: held, under way, or over with its result.
@@ -51,7 +51,7 @@
 	limit   int
 	sum     func(t *task) uint64 // of what every try of a request is
 	// begins is what becomes of the first try of a key, where runs are kept; nil: nothing is against it.
-	begins func(t *task) keyed.Verdict
+	begins func(t *task) idempotency.Verdict
 }
 
 func newKeyTable(limit int) keyTable {
@@ -114,7 +114,7 @@
 		return true
 	}
 	if k.begins != nil && t.sheet() {
-		if t.turned = k.begins(t); t.turned.Do != keyed.Begin {
+		if t.turned = k.begins(t); t.turned.Do != idempotency.Begin {
 			return true
 		}
 	}
@@ -241,7 +241,7 @@
 // ---- Runs of the other process of a pair ----
 
 // put notes how far a run of the other process has come, and returns it.
-func (k *keyTable) put(m handover.Flight, now time.Time) *flight {
+func (k *keyTable) put(m hotrestart.Flight, now time.Time) *flight {
 	e := k.entries[m.Key]
 	if e == nil {
 		e = &entry{key: m.Key, size: entryBytes + len(m.Key)}
@@ -263,9 +263,9 @@
 		f = &flight{entry: e, theirs: true}
 		e.last = f
 	}
-	f.id, f.sum, f.reached, f.unrun = m.ID, m.Sum, time.Unix(0, m.Reached), m.Stage == handover.Held
-	if m.Stage >= handover.Passed {
-		f.done, f.ok, f.ended = true, m.Stage == handover.Passed, now
+	f.id, f.sum, f.reached, f.unrun = m.ID, m.Sum, time.Unix(0, m.Reached), m.Stage == hotrestart.Held
+	if m.Stage >= hotrestart.Passed {
+		f.done, f.ok, f.ended = true, m.Stage == hotrestart.Passed, now
 	}
 	if f.ok {
 		f.result = m.Result
@@ -290,8 +290,8 @@
 }
 
 // own are the runs of this process that further tries may repeat.
-func (k *keyTable) own(now time.Time) []handover.Flight {
-	var list []handover.Flight
+func (k *keyTable) own(now time.Time) []hotrestart.Flight {
+	var list []hotrestart.Flight
 	for _, e := range k.entries {
 		if e.fresh || now.After(e.until) {
 			continue
--- a/internal/core/life.go
+++ b/internal/core/life.go
@@ -7,9 +7,9 @@
 
 	"silverpath"
 	"silverpath/internal/events"
-	"silverpath/internal/handover"
-	"silverpath/internal/keyed"
-	"silverpath/internal/phase"
+	"silverpath/internal/policy/hotrestart"
+	"silverpath/internal/policy/idempotency"
+	"silverpath/internal/policy/lifecycle"
 )
 
 // word is the one state word of a request's answer. It leaves owed once, under the lock, so that there is
@@ -39,9 +39,9 @@
 	stranger bool
 	// elsewhere: its key belongs to another server, and why.
 	elsewhere string
-	turned    keyed.Verdict      // what the store says of it, where runs are kept
-	barred    string             // why nothing new begins by the rules that it was sent by; empty: nothing is against it
-	cancel    context.CancelFunc // gives up the call that is out
+	turned    idempotency.Verdict // what the store says of it, where runs are kept
+	barred    string              // why nothing new begins by the rules that it was sent by; empty: nothing is against it
+	cancel    context.CancelFunc  // gives up the call that is out
 	timer     *time.Timer
 
 	mail []step
@@ -60,10 +60,10 @@
 	outcome  silverpath.Outcome
 	data     []byte
 	spent    time.Duration
-	note     handover.Note // toRun: how the other process hears of it first
-	link     int           // and on which link
-	err      error         // promised: why the promise is not known to last
-	kept     bool          // ended: the result lasts, or never will
+	note     hotrestart.Note // toRun: how the other process hears of it first
+	link     int             // and on which link
+	err      error           // promised: why the promise is not known to last
+	kept     bool            // ended: the result lasts, or never will
 }
 
 type stepKind int
@@ -184,7 +184,7 @@
 	switch {
 	case c.tasks[r.ID] != nil:
 		why, full = "same_id", Answer{Outcome: Invalid}
-	case c.state.now() == phase.Stopped || c.module == nil:
+	case c.state.now() == lifecycle.Stopped || c.module == nil:
 		why = "stopped"
 	case len(c.tasks) >= c.maxTasks:
 		why = "too_many"
@@ -196,7 +196,7 @@
 		why = "keys_full"
 	case t.stranger:
 		why, full = "key_conflict", Answer{Outcome: Invalid}
-	case t.turned.Do != keyed.Begin:
+	case t.turned.Do != idempotency.Begin:
 		why, full = t.turned.Why, c.turnedAway(t.turned)
 	case t.elsewhere != "":
 		why, full = t.elsewhere, Answer{Outcome: Refused, Wait: set.MaxRetryAfter, Why: t.elsewhere}
