--- a/internal/core/pair.go
+++ b/internal/core/pair.go
@@ -8,8 +8,8 @@
 
 	"silverpath"
 	"silverpath/internal/events"
-	"silverpath/internal/handover"
-	"silverpath/internal/phase"
+	"silverpath/internal/policy/hotrestart"
+	"silverpath/internal/policy/lifecycle"
 )
 
 // PairConfig sets up a core that another process may take over from, or that takes over from another one.
@@ -31,11 +31,11 @@
 // pair is this process's half of two that are one service. It is under the core's lock.
 type pair struct {
 	PairConfig
-	side   *handover.Side
-	out    []handover.Message // to be sent
-	link   int                // of what is in out
-	mute   bool               // nothing can be written on it any more
-	bell   chan struct{}      // closed, and replaced, at every change
+	side   *hotrestart.Side
+	out    []hotrestart.Message // to be sent
+	link   int                  // of what is in out
+	mute   bool                 // nothing can be written on it any more
+	bell   chan struct{}        // closed, and replaced, at every change
 	open   bool
 	risen  chan struct{}            // closed when this process may take requests
 	asking map[string]chan struct{} // by id, of requests that wait for their key: closed as the caller leaves
@@ -46,7 +46,7 @@
 func newPair(c *Core, cfg PairConfig) *pair {
 	p := &pair{PairConfig: cfg, bell: make(chan struct{}), risen: make(chan struct{}), asking: map[string]chan struct{}{},
 		limits: [2]int{c.keys.limit, c.maxTasks}}
-	p.side = handover.New((*pairKeys)(c))
+	p.side = hotrestart.New((*pairKeys)(c))
 	c.keys.sum = lastingSum // the same in both processes
 	return p
 }
@@ -71,9 +71,9 @@
 		}
 		if fx.Out != nil {
 			if *fx.Out {
-				c.state.happens(phase.Evacuate)
+				c.state.happens(lifecycle.Evacuate)
 			} else {
-				c.state.happens(phase.Rejoin)
+				c.state.happens(lifecycle.Rejoin)
 			}
 			c.show()
 		}
@@ -118,7 +118,7 @@
 func (c *Core) Risen() <-chan struct{} { return c.pair.risen }
 
 // PairRole is what this process is to the other.
-func (c *Core) PairRole() handover.Role {
+func (c *Core) PairRole() hotrestart.Role {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.pair.side.Role()
@@ -133,15 +133,15 @@
 
 // PairPlaced is told when this process took one of the two places.
 func (c *Core) PairPlaced(stamp int64, slot int) {
-	c.onPair(func(s *handover.Side) { s.Placed(stamp, slot) })
+	c.onPair(func(s *hotrestart.Side) { s.Placed(stamp, slot) })
 }
 
 // PairOther is told that there is another process.
-func (c *Core) PairOther() { c.onPair(func(s *handover.Side) { s.Other() }) }
+func (c *Core) PairOther() { c.onPair(func(s *hotrestart.Side) { s.Other() }) }
 
 // PairAlone is told that there is no other process, or none any more; marked as of its stamp.
 func (c *Core) PairAlone(marked func(stamp int64) bool) {
-	c.onPair(func(s *handover.Side) {
+	c.onPair(func(s *hotrestart.Side) {
 		was := s.Role()
 		s.Alone(s.Peer() != 0 && marked(s.Peer()), c.windowEnd())
 		if was != s.Role() && s.Blind() > time.Now().UnixNano() {
@@ -161,7 +161,7 @@
 
 // PairLinked is told of a new link and returns its number, for PairOut.
 func (c *Core) PairLinked() (link int) {
-	c.onPair(func(s *handover.Side) {
+	c.onPair(func(s *hotrestart.Side) {
 		c.pair.link++
 		c.pair.out, c.pair.mute, link = nil, false, c.pair.link
 		s.Linked()
@@ -171,7 +171,7 @@
 
 // PairCut is told that the link is gone, and whether what came on it may not all have been read.
 func (c *Core) PairCut(unread bool) {
-	c.onPair(func(s *handover.Side) {
+	c.onPair(func(s *hotrestart.Side) {
 		c.pair.link++
 		c.pair.out = nil
 		s.Cut(unread)
@@ -190,8 +190,8 @@
 
 // PairMessage takes a message of the other's. Where all is to be written first, clear says that the mark may then go,
 // if there were no more marks than those.
-func (c *Core) PairMessage(m handover.Message) (clear bool, marks int, err error) {
-	c.onPair(func(s *handover.Side) {
+func (c *Core) PairMessage(m hotrestart.Message) (clear bool, marks int, err error) {
+	c.onPair(func(s *hotrestart.Side) {
 		err = s.Receive(m, c.windowEnd())
 		clear, marks = s.TakeClear()
 	})
@@ -209,7 +209,7 @@
 var errOtherLink = errors.New("not a link to write on")
 
 // PairOut returns what is to be sent on a link.
-func (c *Core) PairOut(link int) ([]handover.Message, error) {
+func (c *Core) PairOut(link int) ([]hotrestart.Message, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if link != c.pair.link || c.pair.mute {
@@ -220,7 +220,7 @@
 	return out, nil
 }
 
-func (c *Core) onPair(event func(s *handover.Side)) {
+func (c *Core) onPair(event func(s *hotrestart.Side)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	event(c.pair.side)
@@ -229,7 +229,7 @@
 
 // tellOut tells the other process whether operators have evacuated the service.
 func (c *Core) tellOut() {
-	c.onPair(func(s *handover.Side) {
+	c.onPair(func(s *hotrestart.Side) {
 		now := c.state.now()
 		if !now.Leaving() {
 			s.Evacuated(!now.Healthy())
@@ -250,18 +250,18 @@
 		return a, false
 	}
 	p := c.pair
-	f := handover.Flight{Key: key, ID: r.ID, Sum: c.keys.sum(&task{Request: *r}), Reached: r.Reached.UnixNano(), Window: k.IdempotencyWindow,
+	f := hotrestart.Flight{Key: key, ID: r.ID, Sum: c.keys.sum(&task{Request: *r}), Reached: r.Reached.UnixNano(), Window: k.IdempotencyWindow,
 		Until: r.Reached.Add(k.IdempotencyWindow + k.Deadline + keyLinger).UnixNano()}
 	p.side.Want(key)
 	verdict := p.side.Ask(f)
 	c.settlePair()
-	if verdict == handover.Wait {
+	if verdict == hotrestart.Wait {
 		verdict, a = c.await(r, f)
 	}
 	switch verdict {
-	case handover.Own:
+	case hotrestart.Own:
 		return a, false
-	case handover.Never:
+	case hotrestart.Never:
 		a = Answer{Outcome: Failed}
 		c.stats.Inc("handover", "unknown_owner")
 	}
@@ -272,13 +272,13 @@
 
 // await waits for the key of a request, without the lock. It returns the verdict, or Wait and the answer where the
 // request's time is up, its caller has left, or it may not even wait.
-func (c *Core) await(r *Request, f handover.Flight) (handover.Verdict, Answer) {
+func (c *Core) await(r *Request, f hotrestart.Flight) (hotrestart.Verdict, Answer) {
 	p := c.pair
 	switch {
 	case p.asking[r.ID] != nil || c.tasks[r.ID] != nil:
-		return handover.Wait, Answer{Outcome: Invalid}
+		return hotrestart.Wait, Answer{Outcome: Invalid}
 	case len(p.asking) >= c.maxTasks:
-		return handover.Wait, Answer{Outcome: Failed}
+		return hotrestart.Wait, Answer{Outcome: Failed}
 	}
 	left := make(chan struct{})
 	p.asking[r.ID] = left
@@ -307,11 +307,11 @@
 		}
 		c.mu.Lock()
 		if over {
-			return handover.Wait, a
+			return hotrestart.Wait, a
 		}
 		verdict := p.side.Ask(f)
 		c.settlePair()
-		if verdict != handover.Wait {
+		if verdict != hotrestart.Wait {
 			return verdict, Answer{}
 		}
 	}
@@ -329,9 +329,9 @@
 }
 
 // noteStart is called as a run is about to begin.
-func (c *Core) noteStart(f *flight) (n handover.Note, link int) {
+func (c *Core) noteStart(f *flight) (n hotrestart.Note, link int) {
 	if c.pair == nil || f == nil || f.entry.fresh {
-		return handover.None, 0
+		return hotrestart.None, 0
 	}
 	n = c.pair.side.Starts(f.tell())
 	c.settlePair()
@@ -340,15 +340,15 @@
 
 // told makes sure that the other process hears of a run before it begins, as far as it has to. It writes, without the
 // lock, and reports false where it can't.
-func (c *Core) told(n handover.Note, link int) bool {
-	if n == handover.None {
+func (c *Core) told(n hotrestart.Note, link int) bool {
+	if n == hotrestart.None {
 		return true
 	}
-	if n == handover.Written {
+	if n == hotrestart.Written {
 		if c.pair.Flush(link) == nil {
 			return true
 		}
-		c.onPair(func(s *handover.Side) { s.Unwritten() })
+		c.onPair(func(s *hotrestart.Side) { s.Unwritten() })
 	}
 	if err := c.pair.Mark(); err != nil {
 		events.Say(c.log, "handover.no_mark", err)
@@ -389,40 +389,40 @@
 // ---- The table of keys, as the half sees it ----
 
 // tell is a run as the other process is told of it.
-func (f *flight) tell() handover.Flight {
-	m := handover.Flight{Key: f.entry.key, ID: f.id, Sum: f.sum, Reached: f.reached.UnixNano(), Window: f.entry.window,
+func (f *flight) tell() hotrestart.Flight {
+	m := hotrestart.Flight{Key: f.entry.key, ID: f.id, Sum: f.sum, Reached: f.reached.UnixNano(), Window: f.entry.window,
 		Until: f.entry.until.UnixNano(), Theirs: f.theirs}
 	switch {
 	case f.entry.held == f || f.theirs && f.unrun:
-		m.Stage = handover.Held
+		m.Stage = hotrestart.Held
 	case !f.done:
-		m.Stage = handover.Running
+		m.Stage = hotrestart.Running
 	case f.ok:
-		m.Stage, m.Result = handover.Passed, f.result
+		m.Stage, m.Result = hotrestart.Passed, f.result
 	default:
-		m.Stage = handover.Failed
+		m.Stage = hotrestart.Failed
 	}
 	return m
 }
 
 type pairKeys Core
 
-func (p *pairKeys) Holds(key string, reached int64) (handover.Flight, bool) {
+func (p *pairKeys) Holds(key string, reached int64) (hotrestart.Flight, bool) {
 	e := p.keys.entries[key]
 	if e == nil {
-		return handover.Flight{}, false
+		return hotrestart.Flight{}, false
 	}
 	f := e.held
 	if f == nil && e.last != nil && within(time.Unix(0, reached), e.last.reached, e.window) {
 		f = e.last
 	}
 	if f == nil {
-		return handover.Flight{}, false
+		return hotrestart.Flight{}, false
 	}
 	return f.tell(), true
 }
 
-func (p *pairKeys) Put(m handover.Flight) {
+func (p *pairKeys) Put(m hotrestart.Flight) {
 	c := (*Core)(p)
 	if f := c.keys.put(m, time.Now()); f != nil && f.done {
 		c.wakeJoined(f)
@@ -436,7 +436,7 @@
 	}
 }
 
-func (p *pairKeys) Own() []handover.Flight { return p.keys.own(time.Now()) }
+func (p *pairKeys) Own() []hotrestart.Flight { return p.keys.own(time.Now()) }
 
 func (p *pairKeys) Keep(listed func(key string) bool) {
 	c := (*Core)(p)
@@ -448,7 +448,7 @@
 	}
 }
 
-func (p *pairKeys) Lost(mayHaveRun func(handover.Flight) bool) {
+func (p *pairKeys) Lost(mayHaveRun func(hotrestart.Flight) bool) {
 	c := (*Core)(p)
 	for key, e := range c.keys.entries {
 		f := e.last
--- a/internal/core/pair_test.go
+++ b/internal/core/pair_test.go
@@ -11,9 +11,9 @@
 	"pgregory.net/rapid"
 
 	"silverpath"
-	"silverpath/internal/handover"
-	"silverpath/internal/phase"
-	"silverpath/internal/stats"
+	"silverpath/internal/metrics"
+	"silverpath/internal/policy/hotrestart"
+	"silverpath/internal/policy/lifecycle"
 )
 
 // half is one process of a pair, without sockets or goroutines: its core's table and decisions, and what it wrote.
@@ -31,8 +31,8 @@
 	procs  [2]*half
 	linked bool
 	link   [2]int
-	mute   [2]bool               // nothing can be written any more
-	wire   [2][]handover.Message // to the process in that place
+	mute   [2]bool                 // nothing can be written any more
+	wire   [2][]hotrestart.Message // to the process in that place
 	marks  map[int64]bool
 	ran    map[string]string // the result of the one run of a key
 	now    time.Time
@@ -43,7 +43,7 @@
 	if w.procs[0] == nil && w.procs[1] == nil {
 		w.ran = map[string]string{} // a service that starts from nothing knows nothing
 	}
-	c, err := New(Config{Name: "n", MemoryMB: 64, Log: log.New(io.Discard, "", 0), Stats: &stats.Counters{},
+	c, err := New(Config{Name: "n", MemoryMB: 64, Log: log.New(io.Discard, "", 0), Stats: &metrics.Counters{},
 		Settings: silverpath.Settings{Cores: 1, MemoryKB: 1e6, Classes: []silverpath.Class{sheets}},
 		Pair: &PairConfig{Ring: func() {}, Shared: func(bool) {},
 			Flush: func(int) error { return nil }, Mark: func() error { return nil }}})
@@ -115,11 +115,11 @@
 	clear, marks, err := h.c.PairMessage(m)
 	if err != nil {
 		switch err {
-		case handover.ErrOther:
+		case hotrestart.ErrOther:
 			w.gone(i)
 			w.cut(i)
 			h.c.PairOther()
-		case handover.ErrStale:
+		case hotrestart.ErrStale:
 			w.cut(i)
 		default:
 			w.t.Fatalf("a message is refused: %v", err)
@@ -145,7 +145,7 @@
 		m := rest[0]
 		w.wire[other] = rest[1:]
 		if _, _, err := w.procs[other].c.PairMessage(m); err != nil {
-			if broke = true; err == handover.ErrOther {
+			if broke = true; err == hotrestart.ErrOther {
 				w.gone(other)
 			}
 			break
@@ -153,7 +153,7 @@
 	}
 	w.linked = false
 	unread := len(w.wire[by]) > 0
-	w.wire = [2][]handover.Message{}
+	w.wire = [2][]hotrestart.Message{}
 	for i, h := range w.procs {
 		if h != nil {
 			h.c.PairCut(i == by && unread || i == other && broke)
@@ -176,7 +176,7 @@
 // try brings a try of a key to a process.
 func (w *world) try(i int, key string) {
 	h := w.procs[i]
-	if h == nil || h.c.Phase() != phase.Serving && h.c.Phase() != phase.Evacuated {
+	if h == nil || h.c.Phase() != lifecycle.Serving && h.c.Phase() != lifecycle.Evacuated {
 		return
 	}
 	w.seq++
@@ -207,15 +207,15 @@
 				waiting = append(waiting, t)
 				continue
 			}
-			f := handover.Flight{Key: keyOf(sheets, &t.Request), ID: t.ID, Sum: c.keys.sum(t), Reached: w.now.UnixNano(),
+			f := hotrestart.Flight{Key: keyOf(sheets, &t.Request), ID: t.ID, Sum: c.keys.sum(t), Reached: w.now.UnixNano(),
 				Until: w.now.Add(time.Hour).UnixNano(), Window: sheets.IdempotencyWindow}
 			v := c.pair.side.Ask(f)
 			c.settlePair()
-			if v == handover.Wait {
+			if v == hotrestart.Wait {
 				waiting = append(waiting, t)
 				continue
 			}
-			if v == handover.Own {
+			if v == hotrestart.Own {
 				if !c.keys.enter(t, 0, w.now) || t.stranger {
 					w.t.Fatalf("%s is not entered", key)
 				}
@@ -231,7 +231,7 @@
 }
 
 // find returns a process's own run of a key, where it is at a stage.
-func (w *world) find(i int, stage handover.Stage, key string) *flight {
+func (w *world) find(i int, stage hotrestart.Stage, key string) *flight {
 	if w.procs[i] == nil || w.procs[i].c.keys.entries["\x00"+key] == nil {
 		return nil
 	}
@@ -246,7 +246,7 @@
 
 // step plays one step, where it can be.
 func (w *world) step(do string, i int, key string) {
-	held, running := w.find(i, handover.Held, key), w.find(i, handover.Running, key)
+	held, running := w.find(i, hotrestart.Held, key), w.find(i, hotrestart.Running, key)
 	switch {
 	case do == "start" && w.procs[i] == nil:
 		w.start(i)
@@ -277,10 +277,10 @@
 		w.mute[i] = true
 		w.procs[i].c.PairMute(w.link[i])
 	case do == "evacuate" && w.procs[i] != nil:
-		w.procs[i].c.state.happens(phase.Evacuate)
+		w.procs[i].c.state.happens(lifecycle.Evacuate)
 		w.procs[i].c.tellOut()
 	case do == "rejoin" && w.procs[i] != nil:
-		w.procs[i].c.state.happens(phase.Rejoin)
+		w.procs[i].c.state.happens(lifecycle.Rejoin)
 		w.procs[i].c.tellOut()
 	}
 }
@@ -298,11 +298,11 @@
 	if cutBefore {
 		w.cut(1 - i)
 	}
-	if note == handover.Written && !w.flush(i, link) {
-		c.onPair(func(s *handover.Side) { s.Unwritten() })
-		note = handover.Marked
+	if note == hotrestart.Written && !w.flush(i, link) {
+		c.onPair(func(s *hotrestart.Side) { s.Unwritten() })
+		note = hotrestart.Marked
 	}
-	if note == handover.Marked {
+	if note == hotrestart.Marked {
 		w.marks[w.procs[i].stamp] = true
 	}
 	if first, twice := w.ran[t.Key]; twice {
@@ -378,10 +378,10 @@
 				continue
 			}
 			alive++
-			if r := h.c.PairRole(); r == handover.Elder || r == handover.Sole {
+			if r := h.c.PairRole(); r == hotrestart.Elder || r == hotrestart.Sole {
 				elders++
 			}
-			if p := h.c.Phase(); p != phase.Serving && p != phase.Evacuated {
+			if p := h.c.Phase(); p != lifecycle.Serving && p != lifecycle.Evacuated {
 				t.Fatalf("place %d is %v, and %v", i, p, h.c.PairRole())
 			}
 			for key, list := range h.tries {
@@ -424,7 +424,7 @@
 			for _, step := range strings.Fields(script) {
 				n := strings.IndexAny(step, "01")
 				do, i, key := step[:n], int(step[n]-'0'), step[n+1:]
-				held := w.find(i, handover.Held, key) != nil
+				held := w.find(i, hotrestart.Held, key) != nil
 				if needs := do == "run" || do == "runcut" || do == "drop" || do == "held"; needs && !held || do == "none" && held {
 					t.Fatalf("%s: held is %v", step, held)
 				}
--- a/internal/core/phases.go
+++ b/internal/core/phases.go
@@ -6,7 +6,7 @@
 	"sync/atomic"
 
 	"silverpath/internal/events"
-	"silverpath/internal/phase"
+	"silverpath/internal/policy/lifecycle"
 )
 
 // phases is the service's one state. It has a lock of its own, held for a look at a table, so that an operator's
@@ -17,10 +17,10 @@
 	state atomic.Int32
 }
 
-func (p *phases) now() phase.State { return phase.State(p.state.Load()) }
+func (p *phases) now() lifecycle.State { return lifecycle.State(p.state.Load()) }
 
 // happens takes an event and says what became of it.
-func (p *phases) happens(e phase.Event) phase.Answer {
+func (p *phases) happens(e lifecycle.Event) lifecycle.Answer {
 	p.mu.Lock()
 	was := p.now()
 	a := was.Next(e)
@@ -33,7 +33,7 @@
 }
 
 // Phase returns the current phase.
-func (c *Core) Phase() phase.State { return c.state.now() }
+func (c *Core) Phase() lifecycle.State { return c.state.now() }
 
 // Ready reports whether the service is ready to serve, and why or why not.
 func (c *Core) Ready() (bool, string) {
@@ -46,12 +46,12 @@
 
 // Evacuate begins a drain that Rejoin ends: health is bad, and all that comes is served as before. It reports whether
 // that holds now, and why.
-func (c *Core) Evacuate() (bool, string) { return c.operator(phase.Evacuate) }
+func (c *Core) Evacuate() (bool, string) { return c.operator(lifecycle.Evacuate) }
 
 // Rejoin ends such a drain.
-func (c *Core) Rejoin() (bool, string) { return c.operator(phase.Rejoin) }
+func (c *Core) Rejoin() (bool, string) { return c.operator(lifecycle.Rejoin) }
 
-func (c *Core) operator(e phase.Event) (bool, string) {
+func (c *Core) operator(e lifecycle.Event) (bool, string) {
 	a := c.state.happens(e)
 	if a.Yes && c.pair != nil {
 		go c.tellOut() // the answer waits for no lock
@@ -67,7 +67,7 @@
 	if !c.runnerUp || waits {
 		return
 	}
-	c.state.happens(phase.Up)
+	c.state.happens(lifecycle.Up)
 	if c.pair != nil && !c.pair.open {
 		c.pair.open = true
 		close(c.pair.risen)
--- a/internal/core/rules.go
+++ b/internal/core/rules.go
@@ -7,7 +7,7 @@
 	"github.com/valyala/fastjson"
 
 	"silverpath/internal/events"
-	"silverpath/internal/rulebook"
+	"silverpath/internal/policy/configstore"
 )
 
 // Unfenced leaves the fence of the rules out, in test programs only, which show the harm that it keeps away.
@@ -15,8 +15,8 @@
 
 // Heard takes what a router says of its rules as it looks after this server: which document it goes by, from which source, and
 // the terms that it names.
-func (c *Core) Heard(id, source string, terms rulebook.Terms) {
-	of, ok := rulebook.ParseID(id)
+func (c *Core) Heard(id, source string, terms configstore.Terms) {
+	of, ok := configstore.ParseID(id)
 	if !ok || !c.cell || Unfenced {
 		return
 	}
@@ -29,12 +29,12 @@
 }
 
 // heard is called under the lock.
-func (c *Core) heard(of rulebook.ID, source string) {
+func (c *Core) heard(of configstore.ID, source string) {
 	was, _ := c.rules.Top()
 	switch c.rules.Hear(c.clock(), of, source) {
-	case rulebook.Newer:
+	case configstore.Newer:
 		events.Say(c.log, "rules.newer", of, was.ID, source)
-	case rulebook.Conflict:
+	case configstore.Conflict:
 		c.stats.Inc("rules", "contradictions")
 		n, words := c.rules.Differ()
 		events.Say(c.log, "rules.contradiction", n, words)
@@ -51,13 +51,13 @@
 	if r.Rules == "" || !c.cell || Unfenced {
 		return ""
 	}
-	of, ok := rulebook.ParseID(r.Rules)
+	of, ok := configstore.ParseID(r.Rules)
 	if !ok {
 		return ""
 	}
 	c.heard(of, r.Source)
 	v := c.rules.Judge(c.clock(), of)
-	if v == rulebook.Good {
+	if v == configstore.Good {
 		return ""
 	}
 	return v.String()
@@ -93,7 +93,7 @@
 }
 
 // RulesStatus is what a process has heard of the rules, for operators.
-func RulesStatus(a *fastjson.Arena, s *rulebook.Seen, now time.Duration) *fastjson.Value {
+func RulesStatus(a *fastjson.Arena, s *configstore.Seen, now time.Duration) *fastjson.Value {
 	o := a.NewObject()
 	if top, ok := s.Top(); ok {
 		o.Set("newest", a.NewString(top.ID.String()))
--- a/internal/core/slowstart.go
+++ b/internal/core/slowstart.go
@@ -4,7 +4,7 @@
 	"sync"
 	"time"
 
-	"silverpath/internal/slowstart"
+	"silverpath/internal/policy/slowstart"
 )
 
 // slowStart is the server's own part in its slow start. It has a lock of its own, since health checks wait for no decision
--- a/internal/core/told_test.go
+++ b/internal/core/told_test.go
@@ -8,8 +8,8 @@
 	"time"
 
 	"silverpath"
-	"silverpath/internal/handover"
-	"silverpath/internal/stats"
+	"silverpath/internal/metrics"
+	"silverpath/internal/policy/hotrestart"
 )
 
 // Before a run begins the other process has heard of it as far as it has to: what is to be written is written, where that fails
@@ -17,20 +17,20 @@
 func TestToldBeforeARun(t *testing.T) {
 	no := errors.New("no")
 	for name, x := range map[string]struct {
-		note            handover.Note
+		note            hotrestart.Note
 		flush, mark     error
 		begins          bool
 		flushes, leaves int
 	}{
-		"nobody has to know":   {handover.None, no, no, true, 0, 0},
-		"it is written":        {handover.Written, nil, no, true, 1, 0},
-		"it can't be written":  {handover.Written, no, nil, true, 1, 1},
-		"nor is a mark left":   {handover.Written, no, no, false, 1, 1},
-		"a mark is left":       {handover.Marked, nil, nil, true, 0, 1},
-		"a mark can't be left": {handover.Marked, nil, no, false, 0, 1},
+		"nobody has to know":   {hotrestart.None, no, no, true, 0, 0},
+		"it is written":        {hotrestart.Written, nil, no, true, 1, 0},
+		"it can't be written":  {hotrestart.Written, no, nil, true, 1, 1},
+		"nor is a mark left":   {hotrestart.Written, no, no, false, 1, 1},
+		"a mark is left":       {hotrestart.Marked, nil, nil, true, 0, 1},
+		"a mark can't be left": {hotrestart.Marked, nil, no, false, 0, 1},
 	} {
 		flushes, leaves := 0, 0
-		c, err := New(Config{Name: "n", MemoryMB: 64, Log: log.New(io.Discard, "", 0), Stats: &stats.Counters{},
+		c, err := New(Config{Name: "n", MemoryMB: 64, Log: log.New(io.Discard, "", 0), Stats: &metrics.Counters{},
 			Settings: silverpath.Settings{Cores: 1, MemoryKB: 1e6, Classes: []silverpath.Class{sheets}},
 			Pair: &PairConfig{Ring: func() {}, Shared: func(bool) {},
 				Flush: func(link int) error {
--- a/internal/core/view.go
+++ b/internal/core/view.go
@@ -3,18 +3,18 @@
 import (
 	"time"
 
-	"silverpath/internal/phase"
-	"silverpath/internal/pools"
+	"silverpath/internal/policy/admission"
+	"silverpath/internal/policy/lifecycle"
 )
 
 // View is what can be told without asking the module: health checks, status requests and the values that go out
 // with answers read it without the core's lock, so they never wait behind a decision.
 type View struct {
-	Phase     phase.State
+	Phase     lifecycle.State
 	Health    bool
-	Owed      int          // requests without their answer
-	InHand    int          // requests of which something is left to do
-	Pools     *pools.State // nil: no pools; never changed once shown
+	Owed      int              // requests without their answer
+	InHand    int              // requests of which something is left to do
+	Pools     *admission.State // nil: no pools; never changed once shown
 	Signal    float64
 	SignalSet bool
 	IdleAfter time.Duration
--- a/internal/stats/stats.go
+++ b/internal/metrics/stats.go
@@ -1,6 +1,6 @@
-// Package stats counts what the service takes in, sends and answers. It belongs to no wire: every front, the
+// Package metrics counts what the service takes in, sends and answers. It belongs to no wire: every front, the
 // signal handler and any agent that reports figures read the same counters.
-package stats
+package metrics
 
 import (
 	"fmt"
--- a/internal/stats/stats_test.go
+++ b/internal/metrics/stats_test.go
@@ -1,4 +1,4 @@
-package stats
+package metrics
 
 import (
 	"bytes"
--- a/internal/pools/limit.go
+++ b/internal/policy/admission/limit.go
@@ -1,8 +1,8 @@
-// Package pools decides how many runs there may be and whose they are: a limit that follows the point past which a
+// Package admission decides how many runs there may be and whose they are: a limit that follows the point past which a
 // server gets less done, pools by class with a floor each that lend what they leave idle, a governor of memory and a
 // reserve for what is cheap. It has no I/O, no clock and no goroutine: events come in with their time, answers go
 // out. docs/design/pools.md weighs the ways and docs/pools.md is for operators.
-package pools
+package admission
 
 import (
 	"math"
--- a/internal/pools/plant_test.go
+++ b/internal/policy/admission/plant_test.go
@@ -1,4 +1,4 @@
-package pools
+package admission
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"silverpath/internal/standin"
+	"silverpath/internal/testkit/standin"
 )
 
 // evening is a machine under more load than it can take, in simulated time, whose runs a limiter holds back.
--- a/internal/pools/usl.go
+++ b/internal/policy/admission/usl.go
@@ -1,4 +1,4 @@
-package pools
+package admission
 
 import (
 	"math"
--- /dev/null
+++ b/internal/policy/capacity/bounds_test.go
@@ -0,0 +1,219 @@
+package capacity
+
+import (
+	"bytes"
+	"fmt"
+	"go/ast"
+	"go/constant"
+	"go/parser"
+	"go/printer"
+	"go/token"
+	"go/types"
+	"path/filepath"
+	"reflect"
+	"slices"
+	"strings"
+	"testing"
+)
+
+// Every bound of the program as it is stands in the source, by the name or the words that the table gives.
+func TestBounds(t *testing.T) {
+	table := map[string]bool{}
+	for _, s := range sources(Now) {
+		table[s.name] = true
+		fset := token.NewFileSet()
+		files := parseDir(t, fset, "../../../"+s.dir)
+		if !token.IsIdentifier(s.found) {
+			if !slices.ContainsFunc(files, func(f *ast.File) bool { return stands(t, fset, f, s.found) }) {
+				t.Errorf("%s: %s does not say %q", s.name, s.dir, s.found)
+			}
+			if v := number(t, s.found); v != s.value {
+				t.Errorf("%s is %v, and %q of %s is %v", s.name, s.value, s.found, s.dir, v)
+			}
+			continue
+		}
+		var values []ast.Expr
+		for _, f := range files {
+			if e := constantOf(f, s.found); e != nil {
+				values = append(values, e)
+			}
+		}
+		if len(values) != 1 {
+			t.Errorf("%s: %s has %d constants %s, not one", s.name, s.dir, len(values), s.found)
+			continue
+		}
+		if v := valueOf(t, values[0]); v != s.value {
+			t.Errorf("%s is %v, and %s of %s is %v", s.name, s.value, s.found, s.dir, v)
+		}
+	}
+	// A status is read up to a word's length.
+	fset := token.NewFileSet()
+	for _, text := range []string{"once(dialLong, addr, dialTimeout, (*Conn).Status)", "msgpackrpc.DialWords(ctx, addr)"} {
+		if f, err := parser.ParseFile(fset, "../../transport/client/ask.go", nil, 0); err != nil || !stands(t, fset, f, text) {
+			t.Errorf("internal/transport/client/ask.go does not say %q: %v", text, err)
+		}
+	}
+	const report = "announce %s %t"
+	if f, err := parser.ParseFile(fset, "../../transport/loadreport/announce.go", nil, 0); err != nil || !stands(t, fset, f, `"`+report+`"`) {
+		t.Errorf("internal/transport/loadreport/announce.go does not say %q: %v", report, err)
+	}
+	if n := len(fmt.Sprintf(report, "", true)); float64(n) != Now.Report {
+		t.Errorf("a report has %d bytes without a name, the table has %v", n, Now.Report)
+	}
+	// What has no line there is a size of what is written, which TestSizes holds.
+	for f := range reflect.TypeFor[Program]().Fields() {
+		sized := strings.HasSuffix(f.Name, "Text") && f.Name != "LongestText" || strings.HasSuffix(f.Name, "Word") && f.Name != "LongestWord" ||
+			strings.HasSuffix(f.Name, "Status") || f.Name == "Report"
+		if sized == table[f.Name] {
+			t.Errorf("%s: in the table of sources: %v", f.Name, table[f.Name])
+		}
+	}
+}
+
+// source says where a bound stands in the source: a constant of a package, or an expression that has to be there as it is.
+type source struct {
+	name  string
+	value float64
+	dir   string // of the package, below the root
+	found string // name of a constant, or the text of an expression
+}
+
+// sources lists where each bound of a program stands.
+func sources(p Program) []source {
+	return []source{
+		{"LongestText", p.LongestText, "internal/policy/configstore", "longestText"},
+		{"History", p.History, "internal/policy/configstore", "mostHistory"},
+		{"Users", p.Users, "internal/policy/configstore", "MostUsers"},
+		{"Docs", p.Docs, "internal/policy/configstore", "mostDocs"},
+		{"LongestWord", p.LongestWord, "internal/transport/msgpackrpc", "LongestWord"},
+		{"WordRest", p.WordRest, "internal/controlplane/quorum/member", "roomForRest"},
+		{"LongestResult", p.LongestResult, "internal/transport/msgpackrpc", "LongestWord"},
+		{"Callers", p.Callers, "internal/policy/slowstart", "mostCallers"},
+		{"OpenItems", p.OpenItems, "internal/policy/controller", "mostOpen"},
+		{"MemberConns", p.MemberConns, "internal/controlplane/quorum/member", "memberMost"},
+		{"CompactEvery", p.CompactEvery, "internal/controlplane/quorum/member", "compactEvery"},
+		{"ElectionTicks", p.ElectionTicks, "internal/controlplane/quorum/member", "electionTicks"},
+		{"IdleGrace", p.IdleGrace, "internal/transport/listener", "100 * time.Millisecond"},
+		{"Spare", p.Spare, "internal/service", "spareFDs"},
+		{"Mgmt", p.Mgmt, "internal/transport/admin", "Most"},
+		{"FrontShare", p.FrontShare, "internal/service", "n * 3 / 5"},
+		{"HomeShare", p.HomeShare, "internal/service", "n * 2 / 5"},
+		{"Announce", p.Announce, "internal/transport/loadreport", "200 * time.Millisecond"},
+		{"Unheard", p.Unheard, "internal/controlplane/configwatch", "100 * time.Millisecond"},
+		{"TurnPart", p.TurnPart, "internal/policy/configstore", "h.terms.TTL / 12"},
+		{"RestPart", p.RestPart, "internal/policy/configstore", "h.terms.TTL / 3"},
+		{"TenantParts", p.TenantParts, "internal/policy/cells", "TenantParts"},
+		{"ServerParts", p.ServerParts, "internal/policy/cells", "ServerParts"},
+		{"LongestDocument", p.LongestDocument, "internal/policy/configstore", "LongestDocument"},
+		{"LongestPart", p.LongestPart, "internal/policy/configstore", "LongestPart"},
+		{"TellBudget", p.TellBudget, "internal/policy/configstore", "TellBudget"},
+		{"SendBudget", p.SendBudget, "internal/policy/configstore", "SendBudget"},
+		{"Spread", p.Spread, "internal/policy/configstore", "2 * time.Second"},
+		{"LongestSnapshot", p.LongestSnapshot, "internal/controlplane/quorum/member", "longestSnapshot"},
+		{"LongestCommand", p.LongestCommand, "internal/controlplane/quorum/member", "longestCommand"},
+		{"Reads", p.Reads, "internal/controlplane/quorum/member", "mostReads"},
+	}
+}
+
+// parseDir reads the files of a package that are no tests.
+func parseDir(t *testing.T, fset *token.FileSet, dir string) (files []*ast.File) {
+	t.Helper()
+	names, err := filepath.Glob(dir + "/*.go")
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, name := range names {
+		if strings.HasSuffix(name, "_test.go") {
+			continue
+		}
+		f, err := parser.ParseFile(fset, name, nil, 0)
+		if err != nil {
+			t.Fatal(err)
+		}
+		files = append(files, f)
+	}
+	return files
+}
+
+// stands reports whether an expression stands in a file.
+func stands(t *testing.T, fset *token.FileSet, f *ast.File, text string) (found bool) {
+	ast.Inspect(f, func(n ast.Node) bool {
+		if e, ok := n.(ast.Expr); ok && !found {
+			var b bytes.Buffer
+			if err := printer.Fprint(&b, fset, e); err != nil {
+				t.Fatal(err)
+			}
+			found = b.String() == text
+		}
+		return !found
+	})
+	return found
+}
+
+// number is what an expression comes to: milliseconds of a time, and the part of what a name stands for.
+func number(t *testing.T, text string) float64 {
+	text, ms := strings.CutSuffix(text, " * time.Millisecond")
+	if whole, ok := strings.CutSuffix(text, " * time.Second"); ok {
+		text, ms = whole+" * 1000", true
+	}
+	if !ms {
+		if _, after, ok := strings.Cut(text, " * "); ok {
+			text = after
+		} else if _, after, ok := strings.Cut(text, " / "); ok {
+			text = after
+		}
+		text = strings.ReplaceAll(text, " / ", ".0 / ")
+	}
+	tv, err := types.Eval(token.NewFileSet(), nil, token.NoPos, text)
+	if err != nil {
+		t.Fatal(text, err)
+	}
+	v, _ := constant.Float64Val(constant.ToFloat(tv.Value))
+	return v
+}
+
+// valueOf is what a constant's expression comes to, with the constants of the program's other packages that it names.
+func valueOf(t *testing.T, e ast.Expr) float64 {
+	t.Helper()
+	text := types.ExprString(e)
+	ast.Inspect(e, func(n ast.Node) bool {
+		x, ok := n.(*ast.SelectorExpr)
+		if !ok {
+			return true
+		}
+		of := types.ExprString(x)
+		name := types.ExprString(x.X)
+		dirs, err := filepath.Glob("../../*/" + name)
+		if err != nil {
+			t.Fatal(err)
+		}
+		for _, dir := range append(dirs, "../../"+name) {
+			for _, f := range parseDir(t, token.NewFileSet(), dir) {
+				if c := constantOf(f, x.Sel.Name); c != nil {
+					text = strings.ReplaceAll(text, of, fmt.Sprint("(", types.ExprString(c), ")"))
+				}
+			}
+		}
+		return false
+	})
+	tv, err := types.Eval(token.NewFileSet(), nil, token.NoPos, text)
+	if err != nil {
+		t.Fatalf("%s: %v", text, err)
+	}
+	v, _ := constant.Float64Val(constant.ToFloat(tv.Value))
+	return v
+}
+
+func constantOf(f *ast.File, name string) (e ast.Expr) {
+	ast.Inspect(f, func(n ast.Node) bool {
+		if v, ok := n.(*ast.ValueSpec); ok {
+			for i, id := range v.Names {
+				if id.Name == name && i < len(v.Values) {
+					e = v.Values[i]
+				}
+			}
+		}
+		return e == nil
+	})
+	return e
+}
--- a/internal/capacity/breaks.go
+++ b/internal/policy/capacity/breaks.go
@@ -85,18 +85,18 @@
 	}
 	const asIfMoves = "were each change a move, as homes of the past stay and nothing takes them out"
 	if p.inParts() {
-		add("leader: the map as one document", c.partsText(1)/kb, p.LongestDocument/kb, "KB", "internal/rulebook", "the map is refused")
-		grows("leader: what a week of moves adds to the map", func(s float64) float64 { return 7 * c.t.Changes * s * p.HomePartText / kb }, p.LongestDocument/kb, "KB", "internal/cells",
+		add("leader: the map as one document", c.partsText(1)/kb, p.LongestDocument/kb, "KB", "internal/policy/configstore", "the map is refused")
+		grows("leader: what a week of moves adds to the map", func(s float64) float64 { return 7 * c.t.Changes * s * p.HomePartText / kb }, p.LongestDocument/kb, "KB", "internal/policy/cells",
 			"the map is refused, whatever its size before: "+asIfMoves)
 		part := func(s, days float64) float64 {
 			return (c.fullest(c.t.entries()*s)*p.TenantPartText + c.fullest(c.t.Changes*s*days)*p.HomePartText) / kb
 		}
-		grows("leader: the fullest part of the map", func(s float64) float64 { return part(s, 0) }, p.LongestPart/kb, "KB", "internal/rulebook", "the map is refused")
+		grows("leader: the fullest part of the map", func(s float64) float64 { return part(s, 0) }, p.LongestPart/kb, "KB", "internal/policy/configstore", "the map is refused")
 		days := 0.0
 		for c.t.Changes > 0 && part(1, days) <= p.LongestPart/kb && days < 3650 {
 			days++
 		}
-		grows("leader: the fullest part of the map after a year of moves", func(s float64) float64 { return part(s, 365) }, p.LongestPart/kb, "KB", "internal/cells",
+		grows("leader: the fullest part of the map after a year of moves", func(s float64) float64 { return part(s, 365) }, p.LongestPart/kb, "KB", "internal/policy/cells",
 			fmt.Sprintf("a move of a tenant in that part is refused, at the target after %.0f days: %s", days, asIfMoves))
 		followers := c.followers()
 		grows("leader: a snapshot while a whole map is put on another and a third is drafted",
@@ -106,8 +106,8 @@
 		add("owner: the keeper's next map in one entry of the log", c.mapWord(1)/kb, p.LongestCommand/kb, "KB", inOwner,
 			"the keeper can't write down what it means to do: no move, no server taken out")
 	} else {
-		add("leader: the map as one document", c.mapText(1)/kb, p.LongestText/kb, "KB", "internal/rulebook", "the map is refused")
-		add("leader: what a week of moves adds to the map", 7*c.t.Changes*p.HomeText/kb, p.LongestText/kb, "KB", "internal/cells",
+		add("leader: the map as one document", c.mapText(1)/kb, p.LongestText/kb, "KB", "internal/policy/configstore", "the map is refused")
+		add("leader: what a week of moves adds to the map", 7*c.t.Changes*p.HomeText/kb, p.LongestText/kb, "KB", "internal/policy/cells",
 			"the map is refused, whatever its size before: "+asIfMoves)
 		add("follower: the map in force and the next one in one answer", 2*c.mapWord(1)/kb, word/kb, "KB", inRules,
 			"a process that starts while a change is under way gets no answer: it is unconfirmed")
@@ -118,9 +118,9 @@
 	if p.inParts() {
 		moved = "once every tenant has moved: "
 	}
-	add("owner: a router's status in one answer", c.status(1)/kb, p.LongestResult/kb, "KB", "internal/msgpackrpc, internal/owner",
+	add("owner: a router's status in one answer", c.status(1)/kb, p.LongestResult/kb, "KB", "internal/transport/msgpackrpc, internal/controlplane/runner",
 		moved+"no router reports: the watcher is unsure of all servers, a roll sees no worth; silverpath status fails")
-	add("leader: documents", float64(documents), p.Docs, "", "internal/rulebook", "a further document is refused")
+	add("leader: documents", float64(documents), p.Docs, "", "internal/policy/configstore", "a further document is refused")
 	return list
 }
 
--- a/internal/capacity/lines.go
+++ b/internal/policy/capacity/lines.go
@@ -44,14 +44,14 @@
 
 // Places in the code.
 const (
-	inProbes  = "internal/msgpackrpc, internal/fleet"
-	inRules   = "internal/follow, internal/quorum"
-	inMember  = "internal/quorum/member"
-	inBook    = "internal/rulebook, internal/quorum/member"
-	inFleet   = "internal/fleet, internal/routing"
-	inBudget  = "internal/front, internal/service"
-	inOwner   = "internal/owner, internal/duties"
-	inReports = "internal/announce"
+	inProbes  = "internal/transport/msgpackrpc, internal/proxy"
+	inRules   = "internal/controlplane/configwatch, internal/controlplane/quorum"
+	inMember  = "internal/controlplane/quorum/member"
+	inBook    = "internal/policy/configstore, internal/controlplane/quorum/member"
+	inFleet   = "internal/proxy, internal/policy/loadbalancer"
+	inBudget  = "internal/transport/listener, internal/service"
+	inOwner   = "internal/controlplane/runner, internal/policy/controller"
+	inReports = "internal/transport/loadreport"
 )
 
 // lines are the figures of all roles.
@@ -111,7 +111,7 @@
 
 	// A server. Its probes come from all who pick among servers.
 	probed := paced("server.cpu.callers", asks)
-	add(line("server", "state: callers it knows", "", p.Callers, "slowstart.mostCallers", "internal/slowstart",
+	add(line("server", "state: callers it knows", "", p.Callers, "slowstart.mostCallers", "internal/policy/slowstart",
 		"who picks among servers has an entry at each; counted", "callers beyond the bound get no part of a cold server"), always(counted(asks)))
 	add(line("server", "messages", "1/s", 0, "", inProbes+", "+inRules+", "+inReports,
 		"probes and their answers each assumed.probe_ms, words to the group, reports to the announce service; apart: the group is asked again each 100 ms", ""), cells{
@@ -144,23 +144,23 @@
 		cells{Rest: probes, Apart: asAtRest(probes)})
 	add(line("router", "processor, health checks, of a whole core", "core", 1, "a core: GOMAXPROCS is 1", inFleet, "the same figure against all that a router has",
 		"a router does nothing but health checks"), cells{Rest: whole, Apart: asAtRest(whole)})
-	add(line("router", "processor, the map from a file", "core", t.Control.Core, cpu, "internal/fleet, internal/settings",
+	add(line("router", "processor, the map from a file", "core", t.Control.Core, cpu, "internal/proxy, internal/settings",
 		either("looked at each third of the map's lease, and read where it has changed", "read again each third of the map's lease"), ""),
 		always(oftener("router.cpu.tenants.file", entries)))
 	add(line("router", "processor, requests", "core", a.Utilisation, "assumed.utilisation", "internal/core, "+inFleet, "its part of the peak, a zone lost; by requests with few tenants, "+c.found(), ""),
 		cells{Rest: none, Peak: sum(series("router.cpu.requests", c.each), func(s float64) Estimate { return c.route(s).times(c.each / 1e6) }), Burst: none, ZoneBack: none, Apart: none})
 	check := sum(series("router.parse.tenants", entries), series("router.follows.tenants", entries))
-	add(line("router", "time to check a new map", "ms", 1000*t.InForce, "in_force_s", "internal/settings, internal/cells",
+	add(line("router", "time to check a new map", "ms", 1000*t.InForce, "in_force_s", "internal/settings, internal/policy/cells",
 		"read, and whether it may follow the one in force: the decision's own time, a part of each change's way"+either("; of a whole map, from a file: from the group only changed parts are read", ""), ""), always(check))
 	perCheck := func(perSecond float64) figure {
 		return func(s float64) Estimate { return check(s).times(perSecond * s / 1000) }
 	}
-	add(line("router", "processor, checking new maps", "core", t.Control.Core, cpu, "internal/settings, internal/cells", either("of a whole map, from a file, once", "once")+" for each of changes_per_day; in a burst assumed.burst_changes_per_s", ""),
+	add(line("router", "processor, checking new maps", "core", t.Control.Core, cpu, "internal/settings, internal/policy/cells", either("of a whole map, from a file, once", "once")+" for each of changes_per_day; in a burst assumed.burst_changes_per_s", ""),
 		cells{Rest: perCheck(t.Changes / 86400), Burst: perCheck(a.BurstChanges)})
 	add(line("router", "memory, by servers", "MB", t.Control.Memory, memory, inFleet, "resident", ""), always(control("router.resident.servers", t.Servers)))
-	add(line("router", "memory, by tenants", "MB", t.Control.Memory, memory, "internal/fleet, internal/cells", "resident, the map from a file", ""),
+	add(line("router", "memory, by tenants", "MB", t.Control.Memory, memory, "internal/proxy, internal/policy/cells", "resident, the map from a file", ""),
 		always(control("router.resident.tenants.file", entries)))
-	add(line("router", "memory, by tenants, the map from the group", "MB", t.Control.Memory, memory, "internal/fleet, internal/follow", "resident", ""),
+	add(line("router", "memory, by tenants, the map from the group", "MB", t.Control.Memory, memory, "internal/proxy, internal/controlplane/configwatch", "resident", ""),
 		always(control("router.resident.tenants.group", entries)))
 	add(line("router", "bytes, in and out, health checks", "KB/s", t.Control.Bytes, bytes, inFleet, "", ""),
 		always(sum(paced("router.bytes_in.servers", t.Servers), paced("router.bytes_out.servers", t.Servers))))
@@ -172,7 +172,7 @@
 		cells{Rest: perMap(t.Changes / 86400), Burst: perMap(a.BurstChanges)})
 	if inParts {
 		add(line("router", "bytes in, the map as it starts", "KB", 0, "", inRules, "all parts", ""), always(func(s float64) Estimate { return assumed(c.partsWord(s) / kb) }))
-		add(line("router", "askings for the map as it starts", "", 0, "", inRules, "for the manifest, and for parts by name, each answered with rulebook.SendBudget at most; the first at a moment drawn within two seconds", ""),
+		add(line("router", "askings for the map as it starts", "", 0, "", inRules, "for the manifest, and for parts by name, each answered with configstore.SendBudget at most; the first at a moment drawn within two seconds", ""),
 			always(func(s float64) Estimate { return assumed(1 + math.Ceil(c.partsWord(s)/p.SendBudget)) }))
 	}
 	add(line("router", "descriptors: connections to servers", "", c.places()*p.HomeShare, "2 of 5 of assumed.sockets less the spare ones", inFleet+", internal/service",
@@ -232,7 +232,7 @@
 		Rest: leads, Apart: asAtRest(leads),
 		Burst:    sum(leads, c.more("leader.cpu.changes", 3600*a.BurstChanges, 0, followers)),
 		ZoneBack: sum(leads, c.more("leader.cpu.restarts", followers/t.Zones, 0, 0))})
-	add(line("leader", "time to share the cells out, in one go", "ms", p.ElectionTicks*a.Tick, "member.electionTicks × assumed.tick_ms", "internal/shares, internal/quorum/member",
+	add(line("leader", "time to share the cells out, in one go", "ms", p.ElectionTicks*a.Tick, "member.electionTicks × assumed.tick_ms", "internal/policy/quota, internal/controlplane/quorum/member",
 		either("as a map comes, or a time in it", "each second")+", with routers that have most_routers: what there is, by the map, and who gets what; nothing else is done meanwhile",
 		"the other members hear nothing for an election's time and elect another leader, which does the same"),
 		always(sum(series("leader.wholes.tenants", entries), series("leader.targets.tenants", entries))))
@@ -259,7 +259,7 @@
 		Rest: none, Peak: none, Burst: none, ZoneBack: none, Apart: func(s float64) Estimate {
 			return assumed(t.Changes * s / 86400 * t.Day.Apart * (c.routers*s + 2))
 		}})
-	add(line("leader", "syncs of its disk", "1/s", 0, "", "internal/quorum/member, bbolt", "in a burst as many times what was measured as there are more followers", ""), cells{
+	add(line("leader", "syncs of its disk", "1/s", 0, "", "internal/controlplane/quorum/member, bbolt", "in a burst as many times what was measured as there are more followers", ""), cells{
 		Rest: series("leader.syncs.followers", followers), Burst: c.more("member.syncs.changes", 3600*a.BurstChanges, 0, followers)})
 	for _, doc := range []string{"routing", "map"} {
 		for _, q := range []string{"p50", "p99", "worst"} {
@@ -275,10 +275,10 @@
 	add(line("leader", "a change of routing in force everywhere, worst, regions far apart", "ms", 1000*t.InForce, "in_force_s", inBook,
 		"with assumed.region_delay_ms on the way of each word of a follower", ""),
 		cells{Rest: func(float64) Estimate { return c.r.At("leader.force_worst.delay.routing", a.RegionDelay) }, Burst: none, ZoneBack: none, Apart: none})
-	add(line("leader", "a map's change until it holds", "ms", 1000*t.InForce, "in_force_s", "internal/cells", "announced two of assumed.map_lease_ms and the skew ahead", ""),
+	add(line("leader", "a map's change until it holds", "ms", 1000*t.InForce, "in_force_s", "internal/policy/cells", "announced two of assumed.map_lease_ms and the skew ahead", ""),
 		always(fixed(2*a.MapLease+a.MapSkew)))
 	conns := func(s float64) float64 { return followers*s + c.members() + 1 }
-	add(costing(line("leader", "descriptors: connections", "", p.MemberConns, "member.memberMost", inMember+", internal/front", "one of each follower, members and owners", ""),
+	add(costing(line("leader", "descriptors: connections", "", p.MemberConns, "member.memberMost", inMember+", internal/transport/listener", "one of each follower, members and owners", ""),
 		"connections that idled longest give way, and words need new ones"), always(func(s float64) Estimate { return assumed(conns(s)) }))
 	made := func(times float64) figure {
 		return func(s float64) Estimate {
@@ -295,7 +295,7 @@
 		}
 		return e
 	}
-	add(line("leader", "connections made for words", "1/s", p.MemberConns/p.IdleGrace*1000, "member.memberMost over front.idleGrace", inMember+", internal/front",
+	add(line("leader", "connections made for words", "1/s", p.MemberConns/p.IdleGrace*1000, "member.memberMost over front.idleGrace", inMember+", internal/transport/listener",
 		"where it has not a place for each follower, and a place is given up once it idled for 100 ms",
 		"followers wait for a place, and begin nothing exclusive once a lease is over"), cells{Rest: opened, Burst: made(p.TurnPart)})
 
@@ -329,7 +329,7 @@
 	add(line("announce", "bytes", "KB/s", 0, "", inReports, "a datagram of 28 bytes of headers, 14 of words and a name of 11", ""), always(counted(t.Servers*1000/p.Announce*(28+p.Report+11)/kb)))
 
 	if inParts {
-		add(line("leader", "bytes of a snapshot of the group", "KB", p.LongestSnapshot/kb, "member.longestSnapshot", "internal/quorum/member, internal/group",
+		add(line("leader", "bytes of a snapshot of the group", "KB", p.LongestSnapshot/kb, "member.longestSnapshot", "internal/controlplane/quorum/member, internal/policy/statemachine",
 			"the map in force once, each process that is registered, and in a burst a change of one tenant",
 			"a member that fell behind, or a new one, can't be brought up: group.snapshot_unsent"), cells{
 			Rest: func(s float64) Estimate { return assumed((c.partsWord(s) + followers*s*p.UserWord) / kb) },
@@ -338,7 +338,7 @@
 			},
 		})
 	} else {
-		add(line("leader", "bytes of a snapshot of the group", "KB", (p.LongestWord-p.WordRest)/kb, "msgpackrpc.LongestWord less member.roomForRest", "internal/quorum/member, internal/group",
+		add(line("leader", "bytes of a snapshot of the group", "KB", (p.LongestWord-p.WordRest)/kb, "msgpackrpc.LongestWord less member.roomForRest", "internal/controlplane/quorum/member, internal/policy/statemachine",
 			fmt.Sprintf("the map in force and %.0f before it, and each process that is registered, where that was measured", p.History),
 			"a member that fell behind, or a new one, can't be brought up: group.word_too_long"), always(func(s float64) Estimate {
 			e := assumed((1 + p.History) * c.mapWord(s) / kb)
@@ -348,10 +348,10 @@
 			return e
 		}))
 	}
-	add(line("tool", "messages", "", 0, "", "cmd/silverpath, internal/quorum", "for one command: a reading of the rules, the change, and readings until it is in force", ""), always(fixed(3)))
-	add(line("tool", "descriptors", "", 0, "", "cmd/silverpath, internal/quorum", "a connection to each member that it tries", ""), always(fixed(c.members())))
+	add(line("tool", "messages", "", 0, "", "cmd/silverpath, internal/controlplane/quorum", "for one command: a reading of the rules, the change, and readings until it is in force", ""), always(fixed(3)))
+	add(line("tool", "descriptors", "", 0, "", "cmd/silverpath, internal/controlplane/quorum", "a connection to each member that it tries", ""), always(fixed(c.members())))
 	if inParts {
-		add(line("tool", "words of a first import", "", 0, "", "cmd/silverpath, internal/quorum", "parts of half of rulebook.longestText each, into a draft", ""), always(func(s float64) Estimate {
+		add(line("tool", "words of a first import", "", 0, "", "cmd/silverpath, internal/controlplane/quorum", "parts of half of rulebook.longestText each, into a draft", ""), always(func(s float64) Estimate {
 			return assumed(math.Ceil(2 * c.partsText(s) / p.LongestText))
 		}))
 		reading := func(more float64) figure {
@@ -359,11 +359,11 @@
 				return assumed((p.parts()*p.PartWord + followers*more*s*p.UserReadWord) / kb)
 			}
 		}
-		add(line("tool", "bytes of one reading of the rules", "KB", p.LongestWord/kb, "msgpackrpc.LongestWord", "cmd/silverpath, internal/quorum",
+		add(line("tool", "bytes of one reading of the rules", "KB", p.LongestWord/kb, "msgpackrpc.LongestWord", "cmd/silverpath, internal/controlplane/quorum",
 			"each part's name, version and digest, and each process that is registered, with what was heard of it; small documents and the latest texts of theirs that are over, up to 128 KB of each, are not reckoned",
 			"rules put, diff, who and history get no answer: no document can be changed by command"), cells{Rest: reading(1), ZoneBack: reading(1 + 1/t.Zones)})
 	} else {
-		add(line("tool", "bytes of one reading of the rules", "KB", p.LongestWord/kb, "msgpackrpc.LongestWord", "cmd/silverpath, internal/quorum",
+		add(line("tool", "bytes of one reading of the rules", "KB", p.LongestWord/kb, "msgpackrpc.LongestWord", "cmd/silverpath, internal/controlplane/quorum",
 			fmt.Sprintf("the map in force and %.0f before it; rules put, diff, who and history all read them", p.History),
 			"rules put, diff, who and history get no answer: no document can be changed by command"), always(func(s float64) Estimate {
 			return assumed((1 + p.History) * c.mapWord(s) / kb)
--- a/internal/capacity/page_test.go
+++ b/internal/policy/capacity/page_test.go
@@ -14,20 +14,20 @@
 
 	"silverpath/deploy"
 	"silverpath/docs/results"
-	"silverpath/internal/announce"
-	"silverpath/internal/capacity"
-	"silverpath/internal/cells"
-	"silverpath/internal/fleet"
-	"silverpath/internal/group"
-	"silverpath/internal/quorum"
-	"silverpath/internal/rulebook"
+	"silverpath/internal/controlplane/quorum"
+	"silverpath/internal/metrics"
+	"silverpath/internal/policy/capacity"
+	"silverpath/internal/policy/cells"
+	"silverpath/internal/policy/configstore"
+	"silverpath/internal/policy/statemachine"
+	"silverpath/internal/proxy"
 	"silverpath/internal/settings"
-	"silverpath/internal/stats"
+	"silverpath/internal/transport/loadreport"
 )
 
 var update = flag.Bool("update", false, "write the tables of docs/CAPACITY.md anew")
 
-const page = "../../docs/CAPACITY.md"
+const page = "../../../docs/CAPACITY.md"
 
 func target(t *testing.T, change func(*capacity.Target)) capacity.Target {
 	t.Helper()
@@ -54,7 +54,7 @@
 	return got
 }
 
-// The tables of the page are those that the computation has on the results that are kept: go test ./internal/capacity -update writes them.
+// The tables of the page are those that the computation has on the results that are kept: go test ./internal/policy/capacity -update writes them.
 func TestPage(t *testing.T) {
 	data, err := os.ReadFile(page)
 	if err != nil {
@@ -169,7 +169,7 @@
 		return len(b)
 	}
 	status := func(m *cells.Map) int {
-		r, err := fleet.New(fleet.Config{Name: "r", Cores: 1, Probe: time.Second, Sockets: 8, Source: fixed{m}}, nil, log.New(io.Discard, "", 0), &stats.Counters{})
+		r, err := proxy.New(proxy.Config{Name: "r", Cores: 1, Probe: time.Second, Sockets: 8, Source: fixed{m}}, nil, log.New(io.Discard, "", 0), &metrics.Counters{})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -209,7 +209,7 @@
 	}
 	inWords := func(m *cells.Map) (n int) {
 		for _, text := range settings.SplitCells(m) {
-			n += rulebook.Encoded(text)
+			n += configstore.Encoded(text)
 		}
 		return n
 	}
@@ -239,26 +239,26 @@
 		return len(b)
 	}
 	const version, digest = 1234567, 12345678901234567890
-	bare := map[string]rulebook.Part{"t00": {Version: version, Digest: digest, Text: `{"tenants":[]}`}}
+	bare := map[string]configstore.Part{"t00": {Version: version, Digest: digest, Text: `{"tenants":[]}`}}
 	size := wrote(bare)
 	bare["t01"] = bare["t00"]
 	if n := float64(wrote(bare) - size); n != p.PartWord {
 		t.Errorf("%v bytes of a part without entries, the table has %v", n, p.PartWord)
 	}
 	// A process that is registered: of one map under way it has said that it holds it.
-	book := func(users int) (b *rulebook.Book, heard map[string]rulebook.Heard) {
-		b, heard = rulebook.NewBook(), map[string]rulebook.Heard{}
+	book := func(users int) (b *configstore.Book, heard map[string]configstore.Heard) {
+		b, heard = configstore.NewBook(), map[string]configstore.Heard{}
 		for i := range users {
 			name := fmt.Sprintf("server-%04d#0a1b2c3d", i)
-			b.Users[name] = &rulebook.User{Name: name, Reads: map[string]int{rulebook.DocMap: 2, rulebook.DocRouting: 1, rulebook.DocClasses: 1},
-				Holds: map[string]int{rulebook.DocMap: version}, Stopped: map[string]int{}}
-			heard[name] = rulebook.Heard{Ago: 512, Acts: map[string]int{rulebook.DocMap: version, rulebook.DocRouting: 123, rulebook.DocClasses: 12},
-				Worth: rulebook.Worth{Asked: 123456.5, Served: 123455.25}}
+			b.Users[name] = &configstore.User{Name: name, Reads: map[string]int{configstore.DocMap: 2, configstore.DocRouting: 1, configstore.DocClasses: 1},
+				Holds: map[string]int{configstore.DocMap: version}, Stopped: map[string]int{}}
+			heard[name] = configstore.Heard{Ago: 512, Acts: map[string]int{configstore.DocMap: version, configstore.DocRouting: 123, configstore.DocClasses: 12},
+				Worth: configstore.Worth{Asked: 123456.5, Served: 123455.25}}
 		}
 		return b, heard
 	}
 	snapshot := func(users int) int {
-		s := group.New(1)
+		s := statemachine.New(1)
 		s.Rules, _ = book(users)
 		b, err := s.Snapshot()
 		if err != nil {
@@ -289,7 +289,7 @@
 	if n := float64(text(moved) - base); n != p.HomeText {
 		t.Errorf("document: %v bytes a further home, the table has %v", n, p.HomeText)
 	}
-	if got := float64(announce.Every.Milliseconds()); got != p.Announce {
+	if got := float64(loadreport.Every.Milliseconds()); got != p.Announce {
 		t.Errorf("reports each %v ms, the table has %v", got, p.Announce)
 	}
 }
@@ -315,25 +315,25 @@
 	for i := range int(of.Tenants) {
 		m.Tenants = append(m.Tenants, cells.Tenant{Name: fmt.Sprintf("tenant-%05d", i), Rate: 11.5, Homes: []cells.Home{{Cell: "cell-001", Shard: 8, From: 1767225600000}}})
 	}
-	s := group.New(1)
-	do := func(c rulebook.Change) {
+	s := statemachine.New(1)
+	do := func(c configstore.Change) {
 		t.Helper()
-		if r := s.Apply(group.Command{Rule: &c}); r.Error != "" {
+		if r := s.Apply(statemachine.Command{Rule: &c}); r.Error != "" {
 			t.Fatal(r.Error)
 		}
 	}
 	texts := settings.SplitCells(m)
-	batches := rulebook.Batches(texts)
+	batches := configstore.Batches(texts)
 	for _, one := range batches {
-		do(rulebook.Change{Op: rulebook.Load, Doc: rulebook.DocMap, Draft: "a", Parts: one})
+		do(configstore.Change{Op: configstore.Load, Doc: configstore.DocMap, Draft: "a", Parts: one})
 	}
-	do(rulebook.Change{Op: rulebook.Put, Doc: rulebook.DocMap, Draft: "a", Digest: rulebook.SumOf(texts)})
-	do(rulebook.Change{Op: rulebook.Advance, Doc: rulebook.DocMap, Version: 1, Stage: rulebook.Proposed})
-	heard := map[string]rulebook.Heard{}
+	do(configstore.Change{Op: configstore.Put, Doc: configstore.DocMap, Draft: "a", Digest: configstore.SumOf(texts)})
+	do(configstore.Change{Op: configstore.Advance, Doc: configstore.DocMap, Version: 1, Stage: configstore.Proposed})
+	heard := map[string]configstore.Heard{}
 	for i := range int(of.Servers + float64(p.Routers)) {
-		u := rulebook.User{Name: fmt.Sprintf("server-%04d#0a1b2c3d", i), Reads: map[string]int{rulebook.DocMap: 2, rulebook.DocRouting: 1, rulebook.DocClasses: 1}}
-		do(rulebook.Change{Op: rulebook.Join, User: &u})
-		heard[u.Name] = rulebook.Heard{Ago: 512, Acts: map[string]int{rulebook.DocMap: 1, rulebook.DocRouting: 123, rulebook.DocClasses: 12}, Worth: rulebook.Worth{Asked: 123456.5, Served: 123455.25}}
+		u := configstore.User{Name: fmt.Sprintf("server-%04d#0a1b2c3d", i), Reads: map[string]int{configstore.DocMap: 2, configstore.DocRouting: 1, configstore.DocClasses: 1}}
+		do(configstore.Change{Op: configstore.Join, User: &u})
+		heard[u.Name] = configstore.Heard{Ago: 512, Acts: map[string]int{configstore.DocMap: 1, configstore.DocRouting: 123, configstore.DocClasses: 12}, Worth: configstore.Worth{Asked: 123456.5, Served: 123455.25}}
 	}
 	within := func(what string, is int, want float64) {
 		t.Helper()
@@ -375,19 +375,19 @@
 	}
 	// Of all tenants the mean answer: a change of each part's first tenant.
 	before, sum := texts, 0
-	d, u := s.Rules.Docs[rulebook.DocMap], s.Rules.Users["server-0000#0a1b2c3d"]
-	tell := func(d *rulebook.Doc) int {
-		return wrote(quorum.Synced{Docs: map[string]rulebook.View{rulebook.DocMap: d.Tell(u, []int{1}, 1)}})
+	d, u := s.Rules.Docs[configstore.DocMap], s.Rules.Users["server-0000#0a1b2c3d"]
+	tell := func(d *configstore.Doc) int {
+		return wrote(quorum.Synced{Docs: map[string]configstore.View{configstore.DocMap: d.Tell(u, []int{1}, 1)}})
 	}
 	for i := range cells.TenantParts {
 		name := cells.TenantPartName(i)
 		changed := map[string]string{cells.TopName: `{"version":1234567,"epoch":0}`, name: strings.Replace(before[name], "11.5", "12.5", 1)}
-		over := map[string]rulebook.Part{}
+		over := map[string]configstore.Part{}
 		for name, text := range changed {
-			over[name] = rulebook.Part{Version: 2, Digest: rulebook.DigestOf(text), Text: text}
+			over[name] = configstore.Part{Version: 2, Digest: configstore.DigestOf(text), Text: text}
 		}
 		next := *d
-		next.Next, next.Stage = &rulebook.Entry{ID: rulebook.ID{Version: 2}, Format: 2, Split: true, Parts: over}, rulebook.Proposed
+		next.Next, next.Stage = &configstore.Entry{ID: configstore.ID{Version: 2}, Format: 2, Split: true, Parts: over}, configstore.Proposed
 		sum += tell(&next) - tell(d)
 	}
 	within("a tenant's change", sum/cells.TenantParts, at("router", "bytes in, the map with each change", capacity.Burst)/of.Assumed.BurstChanges)
--- a/internal/rulebook/book_test.go
+++ b/internal/policy/configstore/book_test.go
@@ -1,4 +1,4 @@
-package rulebook
+package configstore
 
 import (
 	"errors"
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"silverpath/internal/lease"
+	"silverpath/internal/policy/lease"
 )
 
 // world is a group, as one that never fails, with processes that act on one document: what is on the way may take long, come in
--- a/internal/rulebook/holder.go
+++ b/internal/policy/configstore/holder.go
@@ -1,9 +1,9 @@
-package rulebook
+package configstore
 
 import (
 	"time"
 
-	"silverpath/internal/lease"
+	"silverpath/internal/policy/lease"
 )
 
 // View is a document as a process is told of it. The texts are left out that it has said to have.
--- a/internal/rulebook/kinds.go
+++ b/internal/policy/configstore/kinds.go
@@ -1,4 +1,4 @@
-package rulebook
+package configstore
 
 import (
 	"encoding/json"
--- a/internal/rulebook/parts_test.go
+++ b/internal/policy/configstore/parts_test.go
@@ -1,4 +1,4 @@
-package rulebook
+package configstore
 
 import (
 	"encoding/json"
@@ -13,7 +13,7 @@
 
 	"pgregory.net/rapid"
 
-	"silverpath/internal/lease"
+	"silverpath/internal/policy/lease"
 )
 
 // again is what comes out of a book that was written and read.
--- a/internal/rulebook/rulebook.go
+++ b/internal/policy/configstore/rulebook.go
@@ -1,7 +1,7 @@
-// Package rulebook decides by which version of the fleet's rules a process may act. It has no I/O, no clock and no goroutine.
+// Package configstore decides by which version of the fleet's rules a process may act. It has no I/O, no clock and no goroutine.
 // Seen is the memory of a process that hears of others' rules, and holds without a group; Book is what a group agrees on.
 // docs/design/rules.md has the bound on how long two processes can act on rules that contradict each other, and its proof.
-package rulebook
+package configstore
 
 import (
 	"fmt"
--- a/internal/rulebook/stored_test.go
+++ b/internal/policy/configstore/stored_test.go
@@ -1,4 +1,4 @@
-package rulebook
+package configstore
 
 import (
 	"bufio"
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"silverpath/internal/lease"
+	"silverpath/internal/policy/lease"
 )
 
 // Members of a group are upgraded one after the other, and each applies the same log: one that read a change otherwise, or wrote
--- a/internal/rulebook/watch.go
+++ b/internal/policy/configstore/watch.go
@@ -1,4 +1,4 @@
-package rulebook
+package configstore
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"silverpath/internal/lease"
+	"silverpath/internal/policy/lease"
 )
 
 // Watch is what the group's leader has heard of the processes that use documents, on its own monotonic clock. It is its
--- a/internal/duties/conductor.go
+++ b/internal/policy/controller/conductor.go
@@ -1,4 +1,4 @@
-package duties
+package controller
 
 import (
 	"encoding/json"
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"silverpath/internal/lease"
+	"silverpath/internal/policy/lease"
 )
 
 // KindRoll is what the conductor is asked for.
--- a/internal/duties/duties_test.go
+++ b/internal/policy/controller/duties_test.go
@@ -1,4 +1,4 @@
-package duties
+package controller
 
 import (
 	"encoding/json"
@@ -8,8 +8,8 @@
 	"testing"
 	"time"
 
-	"silverpath/internal/cells"
-	"silverpath/internal/lease"
+	"silverpath/internal/policy/cells"
+	"silverpath/internal/policy/lease"
 )
 
 func owned(epoch lease.Epoch, who string) *lease.Table {
--- a/internal/duties/golden_test.go
+++ b/internal/policy/controller/golden_test.go
@@ -1,4 +1,4 @@
-package duties
+package controller
 
 import (
 	"crypto/sha256"
@@ -12,8 +12,8 @@
 	"testing"
 	"time"
 
-	"silverpath/internal/cells"
-	"silverpath/internal/lease"
+	"silverpath/internal/policy/cells"
+	"silverpath/internal/policy/lease"
 )
 
 // Owners of two builds follow each other in an upgrade, over one journal. The journals here are as an earlier build wrote them, its
--- a/internal/duties/journal.go
+++ b/internal/policy/controller/journal.go
@@ -1,8 +1,8 @@
-// Package duties decides the work that belongs to the fleet and not to one process: what the map's keeper, the conductor
+// Package controller decides the work that belongs to the fleet and not to one process: what the map's keeper, the conductor
 // of a roll and the watcher do next, over a journal that the group keeps. It has no I/O, no clock and no goroutine. Every
 // act has its intent in the journal before it and its outcome after it, each by the owner's epoch and the next step, so
 // that the next owner goes on where the last one stopped.
-package duties
+package controller
 
 import (
 	"encoding/json"
@@ -10,7 +10,7 @@
 	"fmt"
 	"slices"
 
-	"silverpath/internal/lease"
+	"silverpath/internal/policy/lease"
 )
 
 // The duties by name.
--- a/internal/duties/keeper.go
+++ b/internal/policy/controller/keeper.go
@@ -1,4 +1,4 @@
-package duties
+package controller
 
 import (
 	"encoding/json"
@@ -6,7 +6,7 @@
 	"fmt"
 	"time"
 
-	"silverpath/internal/cells"
+	"silverpath/internal/policy/cells"
 )
 
 // What the keeper is asked for.
--- a/internal/duties/watcher.go
+++ b/internal/policy/controller/watcher.go
@@ -1,4 +1,4 @@
-package duties
+package controller
 
 import (
 	"cmp"
--- a/internal/fence/fence.go
+++ b/internal/policy/fence/fence.go
@@ -9,8 +9,8 @@
 	"hash/crc32"
 	"os"
 
-	"silverpath/internal/lasting"
-	"silverpath/internal/lease"
+	"silverpath/internal/policy/lease"
+	"silverpath/internal/storage/atomicfile"
 )
 
 // Order names an order: the duty, the epoch of its owner, the step of its intent, and what is to be done.
@@ -141,7 +141,7 @@
 	if err != nil {
 		return err
 	}
-	if err := lasting.Put(f.path, append(fmt.Appendf(nil, "%08x\n", crc32.ChecksumIEEE(body)), body...), os.Rename); err != nil {
+	if err := atomicfile.Put(f.path, append(fmt.Appendf(nil, "%08x\n", crc32.ChecksumIEEE(body)), body...), os.Rename); err != nil {
 		return fmt.Errorf("noting an order: %w", err)
 	}
 	f.Book = next
--- a/internal/fence/model_test.go
+++ b/internal/policy/fence/model_test.go
@@ -8,9 +8,9 @@
 	"strings"
 	"testing"
 
-	"silverpath/internal/duties"
-	"silverpath/internal/lasting"
-	"silverpath/internal/lease"
+	"silverpath/internal/policy/controller"
+	"silverpath/internal/policy/lease"
+	"silverpath/internal/storage/atomicfile"
 )
 
 // This file searches all short interleavings of an owner, its successor, the orders under way, given late and twice, two
@@ -37,7 +37,7 @@
 	owns  bool
 	// What it is about to do: nothing, write, or send; decided at its check.
 	doing string
-	write duties.Write
+	write controller.Write
 	send  order
 	given [2]uint64 // the step of the order that a server has acknowledged
 }
@@ -45,8 +45,8 @@
 type state struct {
 	table   lease.Table
 	duty    lease.Duty
-	journal duties.Journal
-	item    duties.Item
+	journal controller.Journal
+	item    controller.Item
 	actors  [2]actor
 	books   [2]map[string]Order
 	blank   [2]bool
@@ -58,11 +58,11 @@
 }
 
 func start() state {
-	s := state{duty: lease.Duty{Name: duties.Conducts, Epoch: 1, Holder: "one", Queue: []string{"two"}}}
+	s := state{duty: lease.Duty{Name: controller.Conducts, Epoch: 1, Holder: "one", Queue: []string{"two"}}}
 	s.actors[0] = actor{who: "one", epoch: 1, owns: true}
 	s.actors[1] = actor{who: "two"}
-	p, _ := json.Marshal(duties.Progress{Members: []duties.Member{{Name: "0", Stage: duties.In}, {Name: "1", Stage: duties.In}}})
-	s.item = duties.Item{ID: "r", Kind: duties.KindRoll, State: duties.Intent, Plan: string(p)}
+	p, _ := json.Marshal(controller.Progress{Members: []controller.Member{{Name: "0", Stage: controller.In}, {Name: "1", Stage: controller.In}}})
+	s.item = controller.Item{ID: "r", Kind: controller.KindRoll, State: controller.Intent, Plan: string(p)}
 	s.books = [2]map[string]Order{{}, {}}
 	return s
 }
@@ -80,11 +80,11 @@
 	return s
 }
 
-func (s *state) real() (*lease.Table, *duties.Journal) {
+func (s *state) real() (*lease.Table, *controller.Journal) {
 	d := s.duty
 	d.Queue = append([]string(nil), d.Queue...)
 	j := s.journal
-	j.Items = []duties.Item{s.item}
+	j.Items = []controller.Item{s.item}
 	return &lease.Table{Generation: 0, Duties: map[string]*lease.Duty{d.Name: &d}}, &j
 }
 
@@ -105,24 +105,24 @@
 
 // decide is what an owner does next by the journal: what was begun before what is new.
 func (s *state) decide(a *actor, g guards) {
-	var p duties.Progress
+	var p controller.Progress
 	json.Unmarshal([]byte(s.item.Plan), &p)
-	write := func(i int, st duties.Stage) {
+	write := func(i int, st controller.Stage) {
 		p.Members[i].Stage = st
 		raw, _ := json.Marshal(p)
 		a.doing = "write"
-		a.write = duties.Write{Duty: duties.Conducts, Who: a.who, Epoch: a.epoch, Step: s.journal.Step + 1, Item: "r", State: duties.Intent, Plan: string(raw)}
+		a.write = controller.Write{Duty: controller.Conducts, Who: a.who, Epoch: a.epoch, Step: s.journal.Step + 1, Item: "r", State: controller.Intent, Plan: string(raw)}
 	}
 	send := func(i int, act string, step uint64) {
-		a.doing, a.send = "send", order{Order{duties.Conducts, a.epoch, step, act}, i, 2}
+		a.doing, a.send = "send", order{Order{controller.Conducts, a.epoch, step, act}, i, 2}
 	}
 	for i, m := range p.Members {
-		act, done := "evacuate", duties.IsOut
-		if m.Stage == duties.GoingBack {
-			act, done = "rejoin", duties.IsBack
+		act, done := "evacuate", controller.IsOut
+		if m.Stage == controller.GoingBack {
+			act, done = "rejoin", controller.IsBack
 		}
 		switch {
-		case m.Stage != duties.GoingOut && m.Stage != duties.GoingBack:
+		case m.Stage != controller.GoingOut && m.Stage != controller.GoingBack:
 		case s.item.Epoch != a.epoch:
 			write(i, m.Stage)
 			return
@@ -135,8 +135,8 @@
 		}
 	}
 	for i, m := range p.Members {
-		if m.Stage == duties.IsOut {
-			write(i, duties.GoingBack)
+		if m.Stage == controller.IsOut {
+			write(i, controller.GoingBack)
 			return
 		}
 	}
@@ -145,16 +145,16 @@
 		if a.who == "two" {
 			i = len(p.Members) - 1 - k // whom it sees ready may differ
 		}
-		if m := p.Members[i]; m.Stage == duties.In {
+		if m := p.Members[i]; m.Stage == controller.In {
 			if !g.intent {
 				if a.given[i] != s.journal.Step+1 {
 					send(i, "evacuate", s.journal.Step+1)
 				} else {
-					write(i, duties.IsOut)
+					write(i, controller.IsOut)
 				}
 				return
 			}
-			write(i, duties.GoingOut)
+			write(i, controller.GoingOut)
 			return
 		}
 	}
@@ -211,9 +211,9 @@
 			add(func(n *state) {
 				t, j := n.real()
 				if j.Write(a.write, t) == nil {
-					n.item, n.journal = j.Items[0], duties.Journal{Duty: j.Duty, Step: j.Step, Last: j.Last}
+					n.item, n.journal = j.Items[0], controller.Journal{Duty: j.Duty, Step: j.Step, Last: j.Last}
 				}
-				n.actors[i].doing, n.actors[i].write = "", duties.Write{}
+				n.actors[i].doing, n.actors[i].write = "", controller.Write{}
 			})
 		case a.doing == "send":
 			add(func(n *state) {
@@ -241,7 +241,7 @@
 	if s.duty.Holder == "one" && (!s.actors[0].owns || !g.early) {
 		add(func(n *state) {
 			t, _ := n.real()
-			d, err := t.Apply(lease.Ask{Op: lease.Expire, Duty: duties.Conducts, Epoch: 1})
+			d, err := t.Apply(lease.Ask{Op: lease.Expire, Duty: controller.Conducts, Epoch: 1})
 			if err == nil {
 				n.duty = d
 				n.actors[1].epoch, n.actors[1].owns = d.Epoch, true
@@ -329,9 +329,9 @@
 	if _, err := Open(path, "s2"); err == nil || !strings.Contains(err.Error(), `of another service, "s1"`) {
 		t.Error(err)
 	}
-	sync := lasting.Sync
-	defer func() { lasting.Sync = sync }()
-	lasting.Sync = func(*os.File) error { return errors.New("full") }
+	sync := atomicfile.Sync
+	defer func() { atomicfile.Sync = sync }()
+	atomicfile.Sync = func(*os.File) error { return errors.New("full") }
 	if err := f.Keep(Order{"d", 6, 1, "rejoin"}, "s1"); err == nil {
 		t.Error("kept without a sync")
 	}
--- a/internal/handover/decisions_test.go
+++ b/internal/policy/hotrestart/decisions_test.go
@@ -1,4 +1,4 @@
-package handover
+package hotrestart
 
 import (
 	"crypto/sha256"
--- a/internal/handover/handover.go
+++ b/internal/policy/hotrestart/handover.go
@@ -1,4 +1,4 @@
-// Package handover decides how two processes are one service while the newer takes over from the older: who owns a
+// Package hotrestart decides how two processes are one service while the newer takes over from the older: who owns a
 // key, when the newer one is ready, and what each does when the other is silent or dead. It decides only: no I/O, no
 // clock, no goroutine. Events go in, messages for the other process and effects for this one come out.
 //
@@ -6,7 +6,7 @@
 // that neither has; the younger owns what the elder has granted it. Before the elder runs a key it says so, in order,
 // on a link whose bytes outlive it, so the younger knows after the elder's death all that may have run. Where the elder
 // has to run without a link it leaves a mark first, and the younger that finds the mark fails what it does not know.
-package handover
+package hotrestart
 
 import (
 	"errors"
--- a/internal/keyed/keyed.go
+++ b/internal/policy/idempotency/keyed.go
@@ -1,10 +1,10 @@
-// Package keyed decides what may become of a keyed request whose runs are kept on a disk: the life of a key, what each
+// Package idempotency decides what may become of a keyed request whose runs are kept on a disk: the life of a key, what each
 // state of it allows before and after a restart, which new one there is room and time for, and when one is forgotten.
 // It decides only: no I/O, no clock, no goroutine. Events come in with their time, actions go out.
 //
 // One rule carries the rest: a run is promised on the disk before it begins, and its result is there before the answer
 // leaves. So what a restart finds promised and without a result may have run, and is never run again.
-package keyed
+package idempotency
 
 import "time"
 
--- a/internal/keyed/names_test.go
+++ b/internal/policy/idempotency/names_test.go
@@ -1,4 +1,4 @@
-package keyed
+package idempotency
 
 import (
 	"fmt"
--- a/internal/phase/phase.go
+++ b/internal/policy/lifecycle/phase.go
@@ -1,7 +1,7 @@
-// Package phase decides through which states a service goes from its start to its exit. There are two drains: one
+// Package lifecycle decides through which states a service goes from its start to its exit. There are two drains: one
 // that operators begin and end, during which all that comes is served, and the one that SIGTERM begins, which is final.
 // It decides only: no clock, no lock, no goroutine.
-package phase
+package lifecycle
 
 // State is a stretch of a service's life. The numbers are those of the MIB, less one.
 type State int32
--- a/internal/phase/phase_test.go
+++ b/internal/policy/lifecycle/phase_test.go
@@ -1,4 +1,4 @@
-package phase
+package lifecycle
 
 import (
 	"testing"
--- a/internal/routing/routing.go
+++ b/internal/policy/loadbalancer/routing.go
@@ -1,7 +1,7 @@
-// Package routing decides which server of a cell gets a try of a request, and whether there may be another: from what a
+// Package loadbalancer decides which server of a cell gets a try of a request, and whether there may be another: from what a
 // router can see itself, in flight, answers, refusals, failures and probes. It has no I/O, no clock and no goroutine:
 // events come in with their time, answers go out. docs/design/cells.md weighs the ways.
-package routing
+package loadbalancer
 
 import (
 	"cmp"
@@ -11,7 +11,7 @@
 	"slices"
 	"time"
 
-	"silverpath/internal/slowstart"
+	"silverpath/internal/policy/slowstart"
 )
 
 // Config sets up a Table. 0 is the default.
--- a/internal/routing/routing_test.go
+++ b/internal/policy/loadbalancer/routing_test.go
@@ -1,4 +1,4 @@
-package routing
+package loadbalancer
 
 import (
 	"flag"
--- a/internal/shares/holder.go
+++ b/internal/policy/quota/holder.go
@@ -1,11 +1,11 @@
-package shares
+package quota
 
 import (
 	"maps"
 	"math"
 	"time"
 
-	"silverpath/internal/lease"
+	"silverpath/internal/policy/lease"
 )
 
 // Holder is the side of a router: what it was given, what it is asked for, and whether one more request is within its part. Its
--- a/internal/shares/shares.go
+++ b/internal/policy/quota/shares.go
@@ -1,8 +1,8 @@
-// Package shares decides who may use how much of what a fleet has together: the requests a second that the servers of a cell can do,
+// Package quota decides who may use how much of what a fleet has together: the requests a second that the servers of a cell can do,
 // among the tenants that live there and the routers that bring them. It has no I/O, no clock and no goroutine. Ledger is the side
 // of the group's leader, Holder that of a router. docs/design/rules.md has the proof that valid parts never sum to more than the
 // whole, whoever is cut off.
-package shares
+package quota
 
 import (
 	"maps"
@@ -10,8 +10,8 @@
 	"slices"
 	"time"
 
-	"silverpath/internal/cells"
-	"silverpath/internal/lease"
+	"silverpath/internal/policy/cells"
+	"silverpath/internal/policy/lease"
 )
 
 // Key is what a part is of: a cell's requests a second, for one of its tenants.
--- a/internal/shares/shares_test.go
+++ b/internal/policy/quota/shares_test.go
@@ -1,4 +1,4 @@
-package shares
+package quota
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"silverpath/internal/lease"
+	"silverpath/internal/policy/lease"
 )
 
 var terms = lease.Terms{TTL: time.Second, Drift: 0.05}
--- a/internal/shares/wire_test.go
+++ b/internal/policy/quota/wire_test.go
@@ -1,4 +1,4 @@
-package shares
+package quota
 
 import (
 	"cmp"
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"silverpath/internal/lease"
+	"silverpath/internal/policy/lease"
 )
 
 // Routers and the group's leader are upgraded one after the other: the words and grants between them are JSON, and what a leader gives
--- a/internal/recovery/recovery_test.go
+++ b/internal/policy/recovery/recovery_test.go
@@ -126,15 +126,15 @@
 
 // Every file of the program that writes to a disk has its line in the table of trust, and every line's files do.
 func TestTableOfTrust(t *testing.T) {
-	writes := map[string]bool{"lasting.Put": true, "bbolt.Open": true, "os.Rename": true, "os.Link": true, "os.WriteFile": true,
+	writes := map[string]bool{"atomicfile.Put": true, "bbolt.Open": true, "os.Rename": true, "os.Link": true, "os.WriteFile": true,
 		"os.Create": true, "os.CreateTemp": true, "os.OpenFile": true}
-	root, found := filepath.Join("..", ".."), map[string]bool{}
+	root, found := filepath.Join("..", "..", ".."), map[string]bool{}
 	err := filepath.WalkDir(root, func(path string, d fs.DirEntry, err error) error {
 		name := filepath.ToSlash(strings.TrimPrefix(path, root+string(os.PathSeparator)))
 		if err != nil || d.IsDir() || !strings.HasSuffix(name, ".go") || strings.HasSuffix(name, "_test.go") {
 			return err
 		}
-		for _, outside := range []string{"internal/lab/", "internal/harness/", "internal/standin/"} { // of tests and of the lab
+		for _, outside := range []string{"internal/testkit/benchmarks/", "internal/testkit/harness/", "internal/testkit/standin/"} { // of tests and of the lab
 			if strings.HasPrefix(name, outside) {
 				return nil
 			}
--- a/internal/group/golden_test.go
+++ b/internal/policy/statemachine/golden_test.go
@@ -1,4 +1,4 @@
-package group
+package statemachine
 
 import (
 	"bytes"
--- a/internal/group/group.go
+++ b/internal/policy/statemachine/group.go
@@ -1,6 +1,6 @@
-// Package group is the state that a group agrees on: who owns each duty, the duties' journals, and the rules. It is the same on every
+// Package statemachine is the state that a group agrees on: who owns each duty, the duties' journals, and the rules. It is the same on every
 // member after the same log; it has no I/O, no clock and no goroutine.
-package group
+package statemachine
 
 import (
 	"encoding/json"
@@ -8,22 +8,22 @@
 	"fmt"
 	"hash/crc32"
 
-	"silverpath/internal/duties"
-	"silverpath/internal/lease"
-	"silverpath/internal/rulebook"
+	"silverpath/internal/policy/configstore"
+	"silverpath/internal/policy/controller"
+	"silverpath/internal/policy/lease"
 )
 
 // Command is one entry of the log: one of its parts is set.
 type Command struct {
-	Ask    *lease.Ask       `json:"ask,omitempty"`
-	Submit *Submit          `json:"submit,omitempty"`
-	Wish   *Wish            `json:"wish,omitempty"`
-	Write  *duties.Write    `json:"write,omitempty"`
-	Rule   *rulebook.Change `json:"rule,omitempty"`
+	Ask    *lease.Ask          `json:"ask,omitempty"`
+	Submit *Submit             `json:"submit,omitempty"`
+	Wish   *Wish               `json:"wish,omitempty"`
+	Write  *controller.Write   `json:"write,omitempty"`
+	Rule   *configstore.Change `json:"rule,omitempty"`
 
 	// Words are what processes said of themselves that came together: a thousand that say one thing each are one entry of the log. Each
 	// is taken by itself; who could not be registered finds out by not being there.
-	Words []rulebook.Change `json:"words,omitempty"`
+	Words []configstore.Change `json:"words,omitempty"`
 }
 
 // Submit queues a request to a duty.
@@ -43,12 +43,12 @@
 
 // Result is what a command came to.
 type Result struct {
-	Error   string       `json:"error,omitempty"`
-	Kind    string       `json:"kind,omitempty"` // of the error, for programs: stale, step, paused
-	Duty    *lease.Duty  `json:"duty,omitempty"`
-	Item    *duties.Item `json:"item,omitempty"`
-	Step    uint64       `json:"step,omitempty"`    // of the journal
-	Version int          `json:"version,omitempty"` // of the change of a document
+	Error   string           `json:"error,omitempty"`
+	Kind    string           `json:"kind,omitempty"` // of the error, for programs: stale, step, paused
+	Duty    *lease.Duty      `json:"duty,omitempty"`
+	Item    *controller.Item `json:"item,omitempty"`
+	Step    uint64           `json:"step,omitempty"`    // of the journal
+	Version int              `json:"version,omitempty"` // of the change of a document
 }
 
 // Kinds of errors.
@@ -67,28 +67,28 @@
 
 // State is the state.
 type State struct {
-	Terms    lease.Terms                `json:"terms"` // of all leases, from the founding on
-	Members  map[uint64]Peer            `json:"members"`
-	Table    *lease.Table               `json:"table"`
-	Journals map[string]*duties.Journal `json:"journals"`
-	Rules    *rulebook.Book             `json:"rules"`
+	Terms    lease.Terms                    `json:"terms"` // of all leases, from the founding on
+	Members  map[uint64]Peer                `json:"members"`
+	Table    *lease.Table                   `json:"table"`
+	Journals map[string]*controller.Journal `json:"journals"`
+	Rules    *configstore.Book              `json:"rules"`
 }
 
 // New returns the state of a group of a generation.
 func New(generation uint32) *State {
-	return &State{lease.Terms{}, map[uint64]Peer{}, lease.NewTable(generation), map[string]*duties.Journal{}, rulebook.NewBook()}
+	return &State{lease.Terms{}, map[uint64]Peer{}, lease.NewTable(generation), map[string]*controller.Journal{}, configstore.NewBook()}
 }
 
 // Journal returns a duty's journal, an empty one for none.
-func (s *State) Journal(duty string) *duties.Journal {
+func (s *State) Journal(duty string) *controller.Journal {
 	if j := s.Journals[duty]; j != nil {
 		return j
 	}
-	return &duties.Journal{Duty: duty}
+	return &controller.Journal{Duty: duty}
 }
 
 func known(duty string) error {
-	for _, n := range duties.Names {
+	for _, n := range controller.Names {
 		if n == duty {
 			return nil
 		}
@@ -136,7 +136,7 @@
 			return err
 		case c.Words != nil:
 			for _, w := range c.Words {
-				if w.Op == rulebook.Join || w.Op == rulebook.Say {
+				if w.Op == configstore.Join || w.Op == configstore.Say {
 					s.Rules.Apply(w)
 				}
 			}
@@ -149,18 +149,18 @@
 		switch {
 		case errors.Is(err, lease.ErrStale):
 			r.Kind = Stale
-		case errors.Is(err, duties.ErrStep):
+		case errors.Is(err, controller.ErrStep):
 			r.Kind = Step
-		case errors.Is(err, duties.ErrPaused):
+		case errors.Is(err, controller.ErrPaused):
 			r.Kind = Paused
 		}
 	}
 	return r
 }
 
-func (s *State) keep(duty string) *duties.Journal {
+func (s *State) keep(duty string) *controller.Journal {
 	if s.Journals[duty] == nil {
-		s.Journals[duty] = &duties.Journal{Duty: duty}
+		s.Journals[duty] = &controller.Journal{Duty: duty}
 	}
 	return s.Journals[duty]
 }
--- a/internal/group/group_test.go
+++ b/internal/policy/statemachine/group_test.go
@@ -1,4 +1,4 @@
-package group
+package statemachine
 
 import (
 	"bytes"
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"silverpath/internal/rulebook"
+	"silverpath/internal/policy/configstore"
 )
 
 // target is a map of the size that the group is built for, in parts: 930 servers in 32, 21,000 tenants in 256. A tenant has moved
@@ -42,7 +42,7 @@
 // and comes out as it went in.
 func TestSnapshotOfTheTarget(t *testing.T) {
 	s, parts := New(1), target()
-	do := func(c rulebook.Change) Result {
+	do := func(c configstore.Change) Result {
 		t.Helper()
 		r := s.Apply(Command{Rule: &c})
 		if r.Error != "" {
@@ -52,24 +52,24 @@
 	}
 	size := 0
 	for name, text := range parts {
-		size += len(name) + rulebook.Encoded(text)
+		size += len(name) + configstore.Encoded(text)
 	}
-	for _, one := range rulebook.Batches(parts) {
-		do(rulebook.Change{Op: rulebook.Load, Doc: rulebook.DocMap, Draft: "first", Parts: one})
+	for _, one := range configstore.Batches(parts) {
+		do(configstore.Change{Op: configstore.Load, Doc: configstore.DocMap, Draft: "first", Parts: one})
 	}
-	do(rulebook.Change{Op: rulebook.Put, Doc: rulebook.DocMap, Draft: "first", Digest: rulebook.SumOf(parts)})
-	do(rulebook.Change{Op: rulebook.Advance, Doc: rulebook.DocMap, Version: 1, Stage: rulebook.Proposed})
-	var words []rulebook.Change
+	do(configstore.Change{Op: configstore.Put, Doc: configstore.DocMap, Draft: "first", Digest: configstore.SumOf(parts)})
+	do(configstore.Change{Op: configstore.Advance, Doc: configstore.DocMap, Version: 1, Stage: configstore.Proposed})
+	var words []configstore.Change
 	for i := range 1400 {
-		words = append(words, rulebook.Change{Op: rulebook.Join, User: &rulebook.User{Name: fmt.Sprintf("router-%04d#0a1b2c3d", i),
-			Reads: map[string]int{rulebook.DocMap: 2, rulebook.DocRouting: 1, rulebook.DocClasses: 1}}})
+		words = append(words, configstore.Change{Op: configstore.Join, User: &configstore.User{Name: fmt.Sprintf("router-%04d#0a1b2c3d", i),
+			Reads: map[string]int{configstore.DocMap: 2, configstore.DocRouting: 1, configstore.DocClasses: 1}}})
 	}
 	if r := s.Apply(Command{Words: words}); r.Error != "" || len(s.Rules.Users) != 1400 {
 		t.Fatal(r.Error, len(s.Rules.Users))
 	}
 	changed := map[string]string{"tenants-007": `{"tenants":[]}`}
 	parts["tenants-007"] = changed["tenants-007"]
-	do(rulebook.Change{Op: rulebook.Put, Doc: rulebook.DocMap, Version: 1, Parts: changed, Digest: rulebook.SumOf(parts)})
+	do(configstore.Change{Op: configstore.Put, Doc: configstore.DocMap, Version: 1, Parts: changed, Digest: configstore.SumOf(parts)})
 	began := time.Now()
 	b, err := s.Snapshot()
 	wrote := time.Since(began)
@@ -89,8 +89,8 @@
 	if err != nil || !bytes.Equal(b, again) {
 		t.Error("it comes out as another one", err)
 	}
-	d := out.Rules.Docs[rulebook.DocMap]
-	if _, all, ok := d.At(2); !ok || rulebook.Sum(all) != rulebook.SumOf(parts) || len(d.Next.Parts) != 1 || d.Draft != nil {
+	d := out.Rules.Docs[configstore.DocMap]
+	if _, all, ok := d.At(2); !ok || configstore.Sum(all) != configstore.SumOf(parts) || len(d.Next.Parts) != 1 || d.Draft != nil {
 		t.Errorf("%d parts under way, draft %v", len(d.Next.Parts), d.Draft != nil)
 	}
 }
@@ -110,7 +110,7 @@
 	if d.Force.Text != `{"retries":0.1}` || d.Force.Split || len(d.Next.Canaries) != 1 || d.Next.Canaries[0] != "r1#1" || d.History[0].Text == "" {
 		t.Errorf("%+v", d)
 	}
-	r := s.Apply(Command{Rule: &rulebook.Change{Op: rulebook.Advance, Doc: "routing", Version: 3, Stage: rulebook.Trial}})
+	r := s.Apply(Command{Rule: &configstore.Change{Op: configstore.Advance, Doc: "routing", Version: 3, Stage: configstore.Trial}})
 	if r.Error != "" || d.Force.ID.Version != 3 {
 		t.Error(r.Error)
 	}
--- a/internal/fleet/agreed.go
+++ b/internal/proxy/agreed.go
@@ -1,4 +1,4 @@
-package fleet
+package proxy
 
 import (
 	"cmp"
@@ -8,8 +8,8 @@
 	"sync"
 	"time"
 
-	"silverpath/internal/cells"
-	"silverpath/internal/rulebook"
+	"silverpath/internal/policy/cells"
+	"silverpath/internal/policy/configstore"
 	"silverpath/internal/settings"
 )
 
@@ -98,7 +98,7 @@
 	if whole {
 		base = nil
 	}
-	sum := rulebook.SumOf(changed)
+	sum := configstore.SumOf(changed)
 	if last.m != nil && last.base == base && last.sum == sum && last.whole == whole {
 		return last.m, nil
 	}
@@ -113,7 +113,7 @@
 
 // TakeParts has that map, which was checked, be the one that is handed out; id is the group's name of it: its digest names the
 // document to servers and other routers, beside the map's own version. After an error the map before stands.
-func (a *Agreed) TakeParts(id rulebook.ID, changed map[string]string, whole bool) error {
+func (a *Agreed) TakeParts(id configstore.ID, changed map[string]string, whole bool) error {
 	a.taking.Lock()
 	defer a.taking.Unlock()
 	m, err := a.join(changed, whole)
@@ -219,14 +219,14 @@
 }
 
 // Newest is the group's map, where it is another one than that which was handed out.
-func (a *Agreed) Newest(old *cells.Map) (rulebook.ID, bool) {
+func (a *Agreed) Newest(old *cells.Map) (configstore.ID, bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	switch {
 	case a.m.Map == nil || a.m.Map == old || a.known.IsZero():
-		return rulebook.ID{}, false
+		return configstore.ID{}, false
 	case a.m.inParts:
-		return rulebook.ID{Version: a.m.Version, Digest: a.m.digest}, true
+		return configstore.ID{Version: a.m.Version, Digest: a.m.digest}, true
 	}
 	return identify(a.m.Map), true
 }
--- a/internal/fleet/change.go
+++ b/internal/proxy/change.go
@@ -1,4 +1,4 @@
-package fleet
+package proxy
 
 import (
 	"bytes"
@@ -11,7 +11,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"silverpath/internal/cells"
+	"silverpath/internal/policy/cells"
 	"silverpath/internal/settings"
 )
 
--- a/internal/fleet/cold_test.go
+++ b/internal/proxy/cold_test.go
@@ -1,4 +1,4 @@
-package fleet
+package proxy
 
 import (
 	"context"
@@ -12,12 +12,12 @@
 	"time"
 
 	"silverpath"
-	"silverpath/internal/cells"
 	"silverpath/internal/core"
-	"silverpath/internal/front"
-	"silverpath/internal/msgpackrpc"
-	"silverpath/internal/slowstart"
-	"silverpath/internal/stats"
+	"silverpath/internal/metrics"
+	"silverpath/internal/policy/cells"
+	"silverpath/internal/policy/slowstart"
+	"silverpath/internal/transport/listener"
+	"silverpath/internal/transport/msgpackrpc"
 )
 
 // counting is a worker whose runs take a while, and count.
@@ -41,7 +41,7 @@
 func TestTwentyRoutersAndAColdServer(t *testing.T) {
 	for _, cold := range []bool{true, false} {
 		t.Run(fmt.Sprint("cold ", cold), func(t *testing.T) {
-			quiet, counters := log.New(io.Discard, "", 0), &stats.Counters{}
+			quiet, counters := log.New(io.Discard, "", 0), &metrics.Counters{}
 			set := silverpath.Settings{Cores: 2, MemoryKB: 1e6, MaxRunsPerCore: 8, RunsWindow: time.Second, RetryAfter: true, MaxRetryAfter: time.Second,
 				ColdSpeed: 0.25, WarmupTime: time.Hour, Callers: 20, Classes: classes, Cold: true}
 			whole, _ := slowstart.Whole(set, 0)
@@ -59,7 +59,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			l := front.New("s", ln, 1000, c.IdleAfter, msgpackrpc.New(c, quiet, counters).Serve, quiet, counters)
+			l := listener.New("s", ln, 1000, c.IdleAfter, msgpackrpc.New(c, quiet, counters).Serve, quiet, counters)
 			go l.Serve()
 			ctx, cancel := context.WithCancel(t.Context())
 			var all, keeps sync.WaitGroup
@@ -69,7 +69,7 @@
 					Version: 1, Window: 10 * time.Second, Lease: time.Hour, Patient: 4 * time.Second, Cells: []cells.Cell{{Name: "a"}},
 					Servers: []cells.Server{{Name: "s", Addr: ln.Addr().String(), Cell: "a", Weight: 1, From: time.Now().UnixMilli()}},
 					Tenants: []cells.Tenant{{Homes: []cells.Home{{Cell: "a"}}}},
-				}}}, h, quiet, &stats.Counters{})
+				}}}, h, quiet, &metrics.Counters{})
 				if err != nil {
 					t.Fatal(err)
 				}
--- a/internal/fleet/fleet.go
+++ b/internal/proxy/fleet.go
@@ -1,7 +1,7 @@
-// Package fleet is the Runner of a router: it hands requests on to the servers of a fleet over the platform's balancer
+// Package proxy is the Runner of a router: it hands requests on to the servers of a fleet over the platform's balancer
 // protocol. Which server a request belongs to is decided by cells, which of several gets a try by routing; this package
 // carries it out. Once a sheet may have run, nobody but its home is asked for it again.
-package fleet
+package proxy
 
 import (
 	"context"
@@ -16,14 +16,14 @@
 	"time"
 
 	"silverpath"
-	"silverpath/internal/cells"
 	"silverpath/internal/core"
 	"silverpath/internal/events"
-	"silverpath/internal/msgpackrpc"
-	"silverpath/internal/routing"
-	"silverpath/internal/rulebook"
-	"silverpath/internal/shares"
-	"silverpath/internal/stats"
+	"silverpath/internal/metrics"
+	"silverpath/internal/policy/cells"
+	"silverpath/internal/policy/configstore"
+	"silverpath/internal/policy/loadbalancer"
+	"silverpath/internal/policy/quota"
+	"silverpath/internal/transport/msgpackrpc"
 )
 
 // Events is who hears of what came back: the core.
@@ -40,7 +40,7 @@
 type Config struct {
 	Name    string // by which others know it
 	Source  Source // of the cell map
-	Routing routing.Config
+	Routing loadbalancer.Config
 	Cores   int // runs at once that the whole fleet is taken to have room for
 	Probe   time.Duration
 	Sockets int // connections to all servers at most
@@ -60,24 +60,24 @@
 	cfg    Config
 	events Events
 	log    *log.Logger
-	stats  *stats.Counters
+	stats  *metrics.Counters
 	began  time.Time
 	cells  atomic.Pointer[view]
 	room   chan struct{}
 
 	mu     sync.Mutex // the table's
-	table  *routing.Table
-	fair   *routing.Fair
-	share  *shares.Holder // nil: it knows nothing of what other routers let in
+	table  *loadbalancer.Table
+	fair   *loadbalancer.Fair
+	share  *quota.Holder // nil: it knows nothing of what other routers let in
 	peers  map[string]*peer
 	flying atomic.Int64
 	asked  atomic.Uint64 // worth, in thousandths, of all requests that have been answered
 	served atomic.Uint64 // and of those that were served
-	said   map[string]routing.Health
-	rules  rulebook.Seen // what was heard of others' maps
-	again  chan struct{} // the map is to be read again, as a newer one was heard of
-	used   atomic.Int64  // when a sheet was last sent, by the clock
-	every  atomic.Int64  // nanoseconds between two health checks of a server
+	said   map[string]loadbalancer.Health
+	rules  configstore.Seen // what was heard of others' maps
+	again  chan struct{}    // the map is to be read again, as a newer one was heard of
+	used   atomic.Int64     // when a sheet was last sent, by the clock
+	every  atomic.Int64     // nanoseconds between two health checks of a server
 
 	shared   wholesOf      // what the share was last told of
 	reported time.Duration // when the health of all servers was last looked through
@@ -90,7 +90,7 @@
 type view struct {
 	*cells.Map
 	read  time.Time
-	id    rulebook.ID
+	id    configstore.ID
 	named string // the same, as it is said
 }
 
@@ -100,7 +100,7 @@
 )
 
 // New returns a runner with the map that its source has.
-func New(cfg Config, events Events, l *log.Logger, s *stats.Counters) (*Runner, error) {
+func New(cfg Config, events Events, l *log.Logger, s *metrics.Counters) (*Runner, error) {
 	m, fresh, err := cfg.Source.Load(nil)
 	if err != nil {
 		return nil, err
@@ -110,8 +110,8 @@
 	}
 	cfg.Routing.Window = m.Window + m.Patient + 2*m.Skew
 	r := &Runner{
-		cfg: cfg, events: events, log: l, stats: s, began: time.Now(), table: routing.New(cfg.Routing), fair: routing.NewFair(),
-		peers: map[string]*peer{}, said: map[string]routing.Health{}, again: make(chan struct{}, 1), room: make(chan struct{}, max(8, cfg.Sockets)),
+		cfg: cfg, events: events, log: l, stats: s, began: time.Now(), table: loadbalancer.New(cfg.Routing), fair: loadbalancer.NewFair(),
+		peers: map[string]*peer{}, said: map[string]loadbalancer.Health{}, again: make(chan struct{}, 1), room: make(chan struct{}, max(8, cfg.Sockets)),
 	}
 	r.every.Store(int64(cfg.Probe))
 	r.take(m, fresh)
@@ -174,7 +174,7 @@
 	old := r.cells.Load()
 	load := r.cfg.Source.Load
 	src, can := r.cfg.Source.(Behind)
-	behind := can && r.standing(old) == rulebook.Behind
+	behind := can && r.standing(old) == configstore.Behind
 	if behind {
 		load = src.LoadBehind
 	}
@@ -399,7 +399,7 @@
 		if time.Since(m.read) > m.Lease {
 			return r.failed("stale_map") // it may have been moved, and run elsewhere
 		}
-		if v := r.standing(m); v != rulebook.Good {
+		if v := r.standing(m); v != configstore.Good {
 			return r.failed(v.String())
 		}
 		q.Rules = m.named
@@ -426,7 +426,7 @@
 	name, rate := m.Agreed(tenant)
 	if r.share != nil {
 		// By its part of what all routers share in place of what was agreed for all of them.
-		k, now := shares.Key{Cell: route.Cell, Tenant: name}, r.leased()
+		k, now := quota.Key{Cell: route.Cell, Tenant: name}, r.leased()
 		if !r.share.Admit(now, k) {
 			return false
 		}
@@ -443,12 +443,12 @@
 
 // done ends what admit let in. A failure says nothing of the cell's room.
 func (r *Runner) done(m *view, tenant string, route cells.Route, a core.Answer) {
-	o := routing.Failed
+	o := loadbalancer.Failed
 	switch a.Outcome {
 	case core.Served:
-		o = routing.Served
+		o = loadbalancer.Served
 	case core.Refused:
-		o = routing.Refused
+		o = loadbalancer.Refused
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -477,15 +477,15 @@
 // may have run it, so then it fails. What is answered there is the answer; what no former home knows, the home runs.
 func (r *Runner) sheet(q core.Request, m *view, route cells.Route) core.Answer {
 	for _, former := range route.Ask {
-		if r.home(q.Tenant, former) == routing.Lost {
+		if r.home(q.Tenant, former) == loadbalancer.Lost {
 			return r.failed("former_home_lost")
 		}
 		switch e := r.try(q, former, true, q.Due); {
-		case e.outcome == routing.Served:
+		case e.outcome == loadbalancer.Served:
 			r.stats.Inc("fleet", "former_home")
 			return core.Answer{Outcome: core.Served, Body: e.body}
-		case e.outcome == routing.Refused && (e.why == core.WhyUnknown || e.why == core.WhyMoved):
-		case e.outcome == routing.Refused && e.why == core.WhyBehind:
+		case e.outcome == loadbalancer.Refused && (e.why == core.WhyUnknown || e.why == core.WhyMoved):
+		case e.outcome == loadbalancer.Refused && e.why == core.WhyBehind:
 			return r.behind("former_home_behind")
 		default:
 			return r.failed("former_home_" + e.name())
@@ -494,26 +494,26 @@
 	home := route.Home
 	for range 2 {
 		switch r.home(q.Tenant, home) {
-		case routing.Lost:
+		case loadbalancer.Lost:
 			return r.failed("home_lost")
-		case routing.Waiting:
+		case loadbalancer.Waiting:
 			return r.refuse("home_full")
 		}
 		switch e := r.try(q, home, false, q.Due); {
-		case e.outcome == routing.Served:
+		case e.outcome == loadbalancer.Served:
 			return core.Answer{Outcome: core.Served, Body: e.body}
-		case e.outcome == routing.Refused && e.why == core.WhyMoved:
+		case e.outcome == loadbalancer.Refused && e.why == core.WhyMoved:
 			// Another router, whose clock is ahead, has asked here before it ran the sheet in its new home.
 			next, ok := m.Route(Wall().Add(2*m.Skew), q.Tenant, q.Key)
 			if !ok || next.Home == home {
 				return r.failed("moved_nowhere")
 			}
 			home = next.Home
-		case e.outcome == routing.Refused && e.why == core.WhyBehind:
+		case e.outcome == loadbalancer.Refused && e.why == core.WhyBehind:
 			return r.behind("home_behind")
-		case e.outcome == routing.Refused && e.why != "":
+		case e.outcome == loadbalancer.Refused && e.why != "":
 			return r.failed("home_" + e.why) // it started anew: an earlier try may have run before
-		case e.outcome == routing.Refused:
+		case e.outcome == loadbalancer.Refused:
 			r.stats.Inc("fleet", "refused", "home")
 			return core.Answer{Outcome: core.Refused, Wait: e.away, Final: e.final}
 		default:
@@ -523,7 +523,7 @@
 	return r.failed("moved_twice")
 }
 
-func (r *Runner) home(tenant, name string) routing.Home {
+func (r *Runner) home(tenant, name string) loadbalancer.Home {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.table.Home(r.clock(), r.agreed(tenant), name)
@@ -546,9 +546,9 @@
 		}
 		e := r.hedged(q, route, name, safe)
 		switch {
-		case e.outcome == routing.Served:
+		case e.outcome == loadbalancer.Served:
 			return core.Answer{Outcome: core.Served, Body: e.body}
-		case e.outcome == routing.Refused:
+		case e.outcome == loadbalancer.Refused:
 			worst = core.Answer{Outcome: core.Refused, Wait: e.away, Final: e.final}
 		case !e.outcome.NeverRan():
 			worst = r.failed(e.name())
@@ -590,7 +590,7 @@
 	for {
 		select {
 		case e := <-ends:
-			if out--; e.outcome == routing.Served || out == 0 {
+			if out--; e.outcome == loadbalancer.Served || out == 0 {
 				return e
 			}
 		case <-hedge.C:
@@ -614,7 +614,7 @@
 
 // ending is how a try ended.
 type ending struct {
-	outcome routing.Outcome
+	outcome loadbalancer.Outcome
 	body    []byte
 	away    time.Duration
 	final   bool
@@ -637,10 +637,10 @@
 	r.mu.Unlock()
 	if !room {
 		r.stats.Inc("fleet", "refused", "slow_start")
-		return ending{outcome: routing.Refused, away: r.events.Advice()}
+		return ending{outcome: loadbalancer.Refused, away: r.events.Advice()}
 	}
 	began := time.Now()
-	e, fields := ending{outcome: routing.Refusing}, map[string]string(nil)
+	e, fields := ending{outcome: loadbalancer.Refusing}, map[string]string(nil)
 	if p != nil {
 		ctx, cancel := context.WithDeadline(ctx, due.Add(-lateAnswer))
 		defer cancel()
@@ -656,13 +656,13 @@
 		r.reached(name, fields)
 		credit, _ := strconv.ParseFloat(fields["v"], 64)
 		away := e.away
-		if e.outcome != routing.Refused || e.why != "" {
+		if e.outcome != loadbalancer.Refused || e.why != "" {
 			away = 0
 		}
 		r.table.Told(now, r.agreed(q.Tenant), name, credit, away)
 	}
-	if errors.Is(ctx.Err(), context.Canceled) && e.outcome == routing.TimedOut {
-		r.table.Ended(now, name, routing.Refused, 0, false) // given up for another copy's answer: says nothing of it
+	if errors.Is(ctx.Err(), context.Canceled) && e.outcome == loadbalancer.TimedOut {
+		r.table.Ended(now, name, loadbalancer.Refused, 0, false) // given up for another copy's answer: says nothing of it
 		return e
 	}
 	r.table.Ended(now, name, e.outcome, time.Since(began), q.Key == "")
@@ -679,7 +679,7 @@
 }
 
 // States are the servers as they are known, and what was decided, for operators.
-func (r *Runner) States() ([]routing.State, routing.Counts) {
+func (r *Runner) States() ([]loadbalancer.State, loadbalancer.Counts) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.table.States(r.clock()), r.table.Counts()
@@ -773,7 +773,7 @@
 		select {
 		case a, ok := <-reply:
 			if !ok {
-				return ending{outcome: routing.Broken}, nil
+				return ending{outcome: loadbalancer.Broken}, nil
 			}
 			if a.Untaken() { // it crossed the end of a connection that had rested: proven that it never ran
 				crossed++
@@ -782,30 +782,30 @@
 			return end(a), a.Fields
 		case <-ctx.Done():
 			c.GiveUp(id)
-			return ending{outcome: routing.TimedOut}, nil
+			return ending{outcome: loadbalancer.TimedOut}, nil
 		}
 	}
-	return ending{outcome: routing.Unwritten}, nil
+	return ending{outcome: loadbalancer.Unwritten}, nil
 }
 
 // refusing says what a connection that could not be had proves: nothing was sent, so nothing ran.
-func refusing(_ context.Context, err error) routing.Outcome {
+func refusing(_ context.Context, err error) loadbalancer.Outcome {
 	var op *net.OpError
 	if errors.Is(err, syscall.ECONNREFUSED) || errors.As(err, &op) {
-		return routing.Refusing
+		return loadbalancer.Refusing
 	}
-	return routing.Unwritten
+	return loadbalancer.Unwritten
 }
 
 func end(a msgpackrpc.Reply) ending {
 	ms, _ := strconv.ParseInt(a.Fields["w"], 10, 64)
 	switch a.Error {
 	case "":
-		return ending{outcome: routing.Served, body: a.Body}
+		return ending{outcome: loadbalancer.Served, body: a.Body}
 	case "Full":
 		return ending{
-			outcome: routing.Refused, away: time.Duration(ms) * time.Millisecond, final: a.Fields["l"] == "1", why: a.Fields["x"],
+			outcome: loadbalancer.Refused, away: time.Duration(ms) * time.Millisecond, final: a.Fields["l"] == "1", why: a.Fields["x"],
 		}
 	}
-	return ending{outcome: routing.Failed}
+	return ending{outcome: loadbalancer.Failed}
 }
--- a/internal/fleet/fleet_test.go
+++ b/internal/proxy/fleet_test.go
@@ -1,4 +1,4 @@
-package fleet
+package proxy
 
 import (
 	"context"
@@ -13,13 +13,13 @@
 	"time"
 
 	"silverpath"
-	"silverpath/internal/cells"
 	"silverpath/internal/core"
-	"silverpath/internal/front"
-	"silverpath/internal/msgpackrpc"
-	"silverpath/internal/pipes"
-	"silverpath/internal/routing"
-	"silverpath/internal/stats"
+	"silverpath/internal/metrics"
+	"silverpath/internal/policy/cells"
+	"silverpath/internal/policy/loadbalancer"
+	"silverpath/internal/testkit/pipes"
+	"silverpath/internal/transport/listener"
+	"silverpath/internal/transport/msgpackrpc"
 )
 
 var classes = []silverpath.Class{
@@ -32,7 +32,7 @@
 type server struct {
 	core *core.Core
 	pipe *pipes.Listener
-	ln   *front.Listener
+	ln   *listener.Listener
 
 	mu    sync.Mutex
 	runs  []string
@@ -76,7 +76,7 @@
 
 // boot starts the server, or starts it anew.
 func (s *server) boot(t *testing.T) {
-	quiet, counters := log.New(io.Discard, "", 0), &stats.Counters{}
+	quiet, counters := log.New(io.Discard, "", 0), &metrics.Counters{}
 	c, err := core.New(core.Config{MemoryMB: 64, Log: quiet, Stats: counters, Cell: true, Settings: silverpath.Settings{
 		Cores: 8, MemoryKB: 1e6, MaxRunsPerCore: 8, RetryAfter: true, MaxRetryAfter: time.Second, Classes: classes}})
 	if err != nil {
@@ -90,7 +90,7 @@
 		t.Fatal(err)
 	}
 	c.Up()
-	s.ln = front.New("s", pipe, 100, c.IdleAfter, msgpackrpc.New(c, quiet, counters).Serve, quiet, counters)
+	s.ln = listener.New("s", pipe, 100, c.IdleAfter, msgpackrpc.New(c, quiet, counters).Serve, quiet, counters)
 	go s.ln.Serve()
 }
 
@@ -149,7 +149,7 @@
 	servers []*server
 	runner  *Runner
 	router  *router
-	stats   *stats.Counters
+	stats   *metrics.Counters
 	seq     int
 }
 
@@ -158,7 +158,7 @@
 // probing plays with so long between two probes of a server.
 func probing(t *testing.T, n int, every time.Duration, test func(l *lab)) {
 	synctest.Test(t, func(t *testing.T) {
-		l := &lab{t: t, router: &router{ends: map[string]core.Answer{}}, stats: &stats.Counters{}}
+		l := &lab{t: t, router: &router{ends: map[string]core.Answer{}}, stats: &metrics.Counters{}}
 		m := &cells.Map{Version: 1, Window: 10 * time.Second, Lease: time.Hour, Patient: 4 * time.Second,
 			Cells: []cells.Cell{{Name: "a"}}, Tenants: []cells.Tenant{{Homes: []cells.Home{{Cell: "a"}}}}}
 		for k := range n {
@@ -169,7 +169,7 @@
 		}
 		var err error
 		l.runner, err = New(Config{
-			Source: fixedMap{m}, Cores: 100, Probe: every, Sockets: 50, Routing: routing.Config{Retries: 1, Hedges: 1, Seed: 3},
+			Source: fixedMap{m}, Cores: 100, Probe: every, Sockets: 50, Routing: loadbalancer.Config{Retries: 1, Hedges: 1, Seed: 3},
 			Dial: func(_ context.Context, addr string) (*msgpackrpc.Conn, error) {
 				s := l.servers[addr[0]-'0']
 				s.mu.Lock()
--- a/internal/fleet/parts_test.go
+++ b/internal/proxy/parts_test.go
@@ -1,4 +1,4 @@
-package fleet
+package proxy
 
 import (
 	"bytes"
@@ -21,12 +21,12 @@
 
 	"go.etcd.io/bbolt"
 
-	"silverpath/internal/cells"
-	"silverpath/internal/msgpackrpc"
-	"silverpath/internal/rulebook"
+	"silverpath/internal/metrics"
+	"silverpath/internal/policy/cells"
+	"silverpath/internal/policy/configstore"
+	"silverpath/internal/policy/quota"
 	"silverpath/internal/settings"
-	"silverpath/internal/shares"
-	"silverpath/internal/stats"
+	"silverpath/internal/transport/msgpackrpc"
 )
 
 // fleetOf is a map of so many servers and tenants.
@@ -330,7 +330,7 @@
 	if err := a.CheckParts(settings.SplitCells(m), true); err != nil {
 		t.Fatal(err)
 	}
-	if err := a.TakeParts(rulebook.ID{Version: 70, Digest: 77}, settings.SplitCells(m), true); err != nil {
+	if err := a.TakeParts(configstore.ID{Version: 70, Digest: 77}, settings.SplitCells(m), true); err != nil {
 		t.Fatal(err)
 	}
 	a.Confirm(time.Now())
@@ -374,7 +374,7 @@
 			t.Errorf("%v, want %s", err, c.want)
 		}
 	}
-	if err := a.TakeParts(rulebook.ID{Version: 71, Digest: 78}, map[string]string{"t00": `{"tenants":[{}]}`}, false); err == nil {
+	if err := a.TakeParts(configstore.ID{Version: 71, Digest: 78}, map[string]string{"t00": `{"tenants":[{}]}`}, false); err == nil {
 		t.Error("a part that is no good is taken")
 	}
 	if again, _, err := a.Load(m); err != nil || again != m {
@@ -390,7 +390,7 @@
 	third := next(second)
 	third.Tenants[0].Rate, third.Tenants[1].Rate = second.Tenants[0].Rate, 9 // another part than the second
 	for i, m := range []*cells.Map{second, third} {                          // two before the router asks
-		if err := a.TakeParts(rulebook.ID{Version: 71 + i, Digest: 78 + uint64(i)}, delta([]*cells.Map{first, second}[i], m), false); err != nil {
+		if err := a.TakeParts(configstore.ID{Version: 71 + i, Digest: 78 + uint64(i)}, delta([]*cells.Map{first, second}[i], m), false); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -415,7 +415,7 @@
 		t.Errorf("after a restart it is named %d, %v", digest, ok)
 	}
 	fourth := next(third)
-	if err := a.TakeParts(rulebook.ID{Version: 73, Digest: 80}, delta(third, fourth), false); err != nil {
+	if err := a.TakeParts(configstore.ID{Version: 73, Digest: 80}, delta(third, fourth), false); err != nil {
 		t.Fatal(err)
 	}
 	a.Confirm(time.Now())
@@ -436,7 +436,7 @@
 		t.Error("a whole map is named by a digest of parts")
 	}
 	sixth := next(fifth)
-	if err := a.TakeParts(rulebook.ID{Version: 75, Digest: 82}, delta(fifth, sixth), false); err != nil {
+	if err := a.TakeParts(configstore.ID{Version: 75, Digest: 82}, delta(fifth, sixth), false); err != nil {
 		t.Fatal(err)
 	}
 	a.Confirm(time.Now())
@@ -465,7 +465,7 @@
 		}
 		pages := func() int64 { return pagesOf(a.state) }
 		before := pages()
-		if err := a.TakeParts(rulebook.ID{Version: 71, Digest: 78}, delta(m, next(m)), false); err != nil {
+		if err := a.TakeParts(configstore.ID{Version: 71, Digest: 78}, delta(m, next(m)), false); err != nil {
 			t.Fatal(err)
 		}
 		a.Confirm(time.Now())
@@ -548,7 +548,7 @@
 						kept, since, err = a.Load(nil)
 						take := a.Take(string(settings.FormatCells(n)))
 						if kind == "the group's, in parts" {
-							take = a.TakeParts(rulebook.ID{Version: 9, Digest: 9}, delta(m, n), false)
+							take = a.TakeParts(configstore.ID{Version: 9, Digest: 9}, delta(m, n), false)
 						}
 						if take != nil {
 							t.Fatal(take)
@@ -579,7 +579,7 @@
 
 func runnerOn(t *testing.T, src Source, out io.Writer, dial func(context.Context, string) (*msgpackrpc.Conn, error)) *Runner {
 	t.Helper()
-	r, err := New(Config{Name: "r", Source: src, Cores: 1, Probe: time.Hour, Sockets: 10, Dial: dial}, &router{}, log.New(out, "", 0), &stats.Counters{})
+	r, err := New(Config{Name: "r", Source: src, Cores: 1, Probe: time.Hour, Sockets: 10, Dial: dial}, &router{}, log.New(out, "", 0), &metrics.Counters{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -592,7 +592,7 @@
 	m := fleetOf(4, 10)
 	a := agreedOn(t, "", m)
 	r := runnerOn(t, a, io.Discard, nil)
-	if id := r.cells.Load().id; id != (rulebook.ID{Version: 3, Digest: 77}) {
+	if id := r.cells.Load().id; id != (configstore.ID{Version: 3, Digest: 77}) {
 		t.Errorf("in parts: %v", id)
 	}
 	if err := a.Take(string(settings.FormatCells(next(m)))); err != nil {
@@ -600,7 +600,7 @@
 	}
 	a.Confirm(time.Now())
 	r.Reload()
-	if id := r.cells.Load().id; id != rulebook.Name(4, settings.FormatCells(next(m))) {
+	if id := r.cells.Load().id; id != configstore.Name(4, settings.FormatCells(next(m))) {
 		t.Errorf("whole: %v", id)
 	}
 }
@@ -630,7 +630,7 @@
 				a.mu.Unlock()
 				r.cells.Store(&view{Map: a.m.Map, read: time.Now(), id: r.cells.Load().id, named: r.cells.Load().named})
 			}
-			if err := a.TakeParts(rulebook.ID{Version: version, Digest: uint64(version)}, top, false); err != nil {
+			if err := a.TakeParts(configstore.ID{Version: version, Digest: uint64(version)}, top, false); err != nil {
 				t.Fatal(err)
 			}
 			a.Confirm(time.Now())
@@ -688,7 +688,7 @@
 				sum += p
 			}
 			if i < tenants { // somebody lives there
-				want = 30 * 10 * shares.Use * shares.ForGood / 470
+				want = 30 * 10 * quota.Use * quota.ForGood / 470
 			}
 			if i < tenants && tenants < 100 {
 				listed = 1
@@ -714,7 +714,7 @@
 		r.mu.Lock()
 		defer r.mu.Unlock()
 		r.wholes()
-		return r.share.Part(r.leased(), shares.Key{Cell: "a", Tenant: "tenant-0"})
+		return r.share.Part(r.leased(), quota.Key{Cell: "a", Tenant: "tenant-0"})
 	}
 	whole := part()
 	told := r.shared
@@ -731,7 +731,7 @@
 	}
 	more := next(m)
 	more.Cells = []cells.Cell{{Name: "a", Capacity: 30}, {Name: "b", Capacity: 10}}
-	if err := a.TakeParts(rulebook.ID{Version: 9, Digest: 9}, delta(m, more), false); err != nil {
+	if err := a.TakeParts(configstore.ID{Version: 9, Digest: 9}, delta(m, more), false); err != nil {
 		t.Fatal(err)
 	}
 	a.Confirm(time.Now())
@@ -809,7 +809,7 @@
 	for _, servers := range []int{10, 930} {
 		b.Run(fmt.Sprint(servers), func(b *testing.B) {
 			r, err := New(Config{Name: "r", Source: fixedMap{fleetOf(servers, 2)}, Probe: time.Second, Sockets: 10,
-				Dial: func(context.Context, string) (*msgpackrpc.Conn, error) { return nil, errors.New("refused") }}, &router{}, log.New(io.Discard, "", 0), &stats.Counters{})
+				Dial: func(context.Context, string) (*msgpackrpc.Conn, error) { return nil, errors.New("refused") }}, &router{}, log.New(io.Discard, "", 0), &metrics.Counters{})
 			if err != nil {
 				b.Fatal(err)
 			}
@@ -841,7 +841,7 @@
 	}
 	a.Confirm(time.Now())
 	r.Reload()
-	if err := a.TakeParts(rulebook.ID{Version: 71, Digest: 78}, changed, false); err != nil {
+	if err := a.TakeParts(configstore.ID{Version: 71, Digest: 78}, changed, false); err != nil {
 		t.Fatal(err)
 	}
 	began := time.Now()
@@ -856,7 +856,7 @@
 	if took := time.Since(began); took < m.Lease {
 		t.Errorf("it took it up after %v, and may have sent by the old one within its lease", took)
 	}
-	if v := r.standing(r.cells.Load()); v != rulebook.Quiet && v != rulebook.Good {
+	if v := r.standing(r.cells.Load()); v != configstore.Quiet && v != configstore.Good {
 		t.Errorf("it is %v", v)
 	}
 }
@@ -869,7 +869,7 @@
 	}
 	m := fleetOf(30, 3000)
 	texts := settings.SplitCells(m)
-	if err := a.TakeParts(rulebook.ID{Version: 1, Digest: 1}, texts, true); err != nil {
+	if err := a.TakeParts(configstore.ID{Version: 1, Digest: 1}, texts, true); err != nil {
 		t.Fatal(err)
 	}
 	changed := map[string]string{}
@@ -902,7 +902,7 @@
 		t.Error("spoilt parts pass after good ones")
 	}
 	check(changed, false)
-	if err := a.TakeParts(rulebook.ID{Version: 2, Digest: 2}, changed, false); err != nil {
+	if err := a.TakeParts(configstore.ID{Version: 2, Digest: 2}, changed, false); err != nil {
 		t.Fatal(err)
 	}
 	if a.m.Version != 4 || a.tried.m != nil {
--- a/internal/fleet/rest_test.go
+++ b/internal/proxy/rest_test.go
@@ -1,4 +1,4 @@
-package fleet
+package proxy
 
 import (
 	"context"
@@ -11,12 +11,12 @@
 	"time"
 
 	"silverpath"
-	"silverpath/internal/cells"
 	"silverpath/internal/core"
-	"silverpath/internal/front"
-	"silverpath/internal/msgpackrpc"
-	"silverpath/internal/routing"
-	"silverpath/internal/stats"
+	"silverpath/internal/metrics"
+	"silverpath/internal/policy/cells"
+	"silverpath/internal/policy/loadbalancer"
+	"silverpath/internal/transport/listener"
+	"silverpath/internal/transport/msgpackrpc"
 )
 
 // gate is a connection of which what comes is held back until the test lets it through.
@@ -63,7 +63,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	quiet, counters := log.New(io.Discard, "", 0), &stats.Counters{}
+	quiet, counters := log.New(io.Discard, "", 0), &metrics.Counters{}
 	s := &server{}
 	s.core, err = core.New(core.Config{MemoryMB: 64, Log: quiet, Stats: counters, Cell: true, Settings: silverpath.Settings{
 		Cores: 8, MemoryKB: 1e6, MaxRunsPerCore: 8, RetryAfter: true, MaxRetryAfter: time.Second, Classes: classes}})
@@ -74,7 +74,7 @@
 		t.Fatal(err)
 	}
 	s.core.Up()
-	l := front.New("s", ln, 100, s.core.IdleAfter, msgpackrpc.New(s.core, quiet, counters).Serve, quiet, counters)
+	l := listener.New("s", ln, 100, s.core.IdleAfter, msgpackrpc.New(s.core, quiet, counters).Serve, quiet, counters)
 	go l.Serve()
 	defer l.Close()
 	defer s.core.Stop()
@@ -93,7 +93,7 @@
 		e, _ := p.send(t.Context(), msgpackrpc.Try{ID: id, Class: "sheet", Key: id, Reached: time.Now(), Wait: 4 * time.Second, HeldKB: 1, Body: []byte(id)})
 		return e
 	}
-	if e := send("one"); e.outcome != routing.Served {
+	if e := send("one"); e.outcome != loadbalancer.Served {
 		t.Fatalf("%+v", e)
 	}
 	first.mu.Lock()
@@ -105,7 +105,7 @@
 	go func() { done <- send("two") }()
 	<-first.written
 	close(first.through)
-	if e := <-done; e.outcome != routing.Served || string(e.body) != "done two" {
+	if e := <-done; e.outcome != loadbalancer.Served || string(e.body) != "done two" {
 		t.Fatalf("%+v", e)
 	}
 	if n := s.ran(); n != 2 {
@@ -146,7 +146,7 @@
 	<-over
 	mu.Lock()
 	defer mu.Unlock()
-	if e.outcome != routing.Broken || tries != 1 {
+	if e.outcome != loadbalancer.Broken || tries != 1 {
 		t.Errorf("%+v after %d tries", e, tries)
 	}
 }
@@ -162,7 +162,7 @@
 			near, far := net.Pipe()
 			go io.Copy(io.Discard, far)
 			return msgpackrpc.NewConn(near), nil
-		}}, &router{ends: map[string]core.Answer{}}, log.New(io.Discard, "", 0), &stats.Counters{})
+		}}, &router{ends: map[string]core.Answer{}}, log.New(io.Discard, "", 0), &metrics.Counters{})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -174,7 +174,7 @@
 				t.Fatalf("probe %d took %v", n, d)
 			}
 		}
-		if states, _ := r.States(); len(states) != 1 || states[0].Health != routing.Dead {
+		if states, _ := r.States(); len(states) != 1 || states[0].Health != loadbalancer.Dead {
 			t.Errorf("%+v", states)
 		}
 	})
--- a/internal/fleet/rules.go
+++ b/internal/proxy/rules.go
@@ -1,4 +1,4 @@
-package fleet
+package proxy
 
 import (
 	"math"
@@ -6,14 +6,14 @@
 	"strings"
 	"time"
 
-	"silverpath/internal/cells"
 	"silverpath/internal/core"
 	"silverpath/internal/events"
-	"silverpath/internal/lease"
-	"silverpath/internal/routing"
-	"silverpath/internal/rulebook"
+	"silverpath/internal/policy/cells"
+	"silverpath/internal/policy/configstore"
+	"silverpath/internal/policy/lease"
+	"silverpath/internal/policy/loadbalancer"
+	"silverpath/internal/policy/quota"
 	"silverpath/internal/settings"
-	"silverpath/internal/shares"
 )
 
 // Boundary is called in test programs only, which stop the process there: routed (a sheet has been found its home, by the map
@@ -30,21 +30,23 @@
 func (r *Runner) leased() time.Duration { return time.Duration(float64(r.clock()) * Rate) }
 
 // identify names a map.
-func identify(m *cells.Map) rulebook.ID { return rulebook.Name(m.Version, settings.FormatCells(m)) }
+func identify(m *cells.Map) configstore.ID {
+	return configstore.Name(m.Version, settings.FormatCells(m))
+}
 
 // identify names a map as its source does, or else by its text.
-func (r *Runner) identify(m *cells.Map) rulebook.ID {
+func (r *Runner) identify(m *cells.Map) configstore.ID {
 	if src, can := r.cfg.Source.(Naming); can {
 		if digest, named := src.Named(m); named {
-			return rulebook.ID{Version: m.Version, Digest: digest}
+			return configstore.ID{Version: m.Version, Digest: digest}
 		}
 	}
 	return identify(m)
 }
 
 // terms are those of a map, as this router looks after its servers.
-func (r *Runner) terms(m *cells.Map) rulebook.Terms {
-	return rulebook.Terms{Lease: m.Lease, Skew: m.Skew, Drift: clockDrift, Probe: r.probeEvery(), Wait: probeWithin, Dual: m.Window + m.Patient + 2*m.Skew}
+func (r *Runner) terms(m *cells.Map) configstore.Terms {
+	return configstore.Terms{Lease: m.Lease, Skew: m.Skew, Drift: clockDrift, Probe: r.probeEvery(), Wait: probeWithin, Dual: m.Window + m.Patient + 2*m.Skew}
 }
 
 // clockDrift is by which the monotonic clock of a machine may run fast or slow, as a share.
@@ -55,7 +57,7 @@
 func (r *Runner) Share(most int, good bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.share, r.shared = shares.NewHolder(most, good), wholesOf{}
+	r.share, r.shared = quota.NewHolder(most, good), wholesOf{}
 	r.wholes()
 }
 
@@ -72,7 +74,7 @@
 	if at := now.UnixMilli(); r.shared.m == m && r.shared.from <= at && at < r.shared.until {
 		return
 	}
-	r.share.Set(shares.Of(m, now))
+	r.share.Set(quota.Of(m, now))
 	r.shared = wholesOf{m, now.UnixMilli(), math.MaxInt64}
 	if next, ok := m.NextChange(now); ok {
 		r.shared.until = next.UnixMilli()
@@ -80,12 +82,12 @@
 }
 
 // Says is this router's word to the group, for its part in the cells.
-func (r *Runner) Says() (w shares.Word, told func(shares.Grant, lease.Terms)) {
+func (r *Runner) Says() (w quota.Word, told func(quota.Grant, lease.Terms)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	asked := r.leased()
 	w = r.share.Says(asked)
-	return w, func(g shares.Grant, t lease.Terms) {
+	return w, func(g quota.Grant, t lease.Terms) {
 		r.mu.Lock()
 		defer r.mu.Unlock()
 		r.wholes()
@@ -104,11 +106,11 @@
 func (r *Runner) told(server string, fields map[string]string) {
 	now := r.clock()
 	if n, words, ok := strings.Cut(fields["gc"], " "); ok {
-		if n, err := strconv.Atoi(n); err == nil && r.rules.Told(now, n, words) == rulebook.Conflict {
+		if n, err := strconv.Atoi(n); err == nil && r.rules.Told(now, n, words) == configstore.Conflict {
 			r.contradicted()
 		}
 	}
-	if id, ok := rulebook.ParseID(fields["g"]); ok {
+	if id, ok := configstore.ParseID(fields["g"]); ok {
 		r.heard(now, id, fields["gn"]+" at server "+server)
 	}
 	if ms, err := strconv.ParseInt(fields["gq"], 10, 64); err == nil && ms > 0 {
@@ -117,11 +119,11 @@
 }
 
 // heard takes that there is a document, under the lock. One that is newer than its own has this router read its map again.
-func (r *Runner) heard(now time.Duration, id rulebook.ID, source string) {
+func (r *Runner) heard(now time.Duration, id configstore.ID, source string) {
 	switch r.rules.Hear(now, id, source) {
-	case rulebook.Conflict:
+	case configstore.Conflict:
 		r.contradicted()
-	case rulebook.Newer:
+	case configstore.Newer:
 		if m := r.cells.Load(); m != nil && id.Version > m.Version {
 			events.Say(r.log, "rules.newer", id, m.id, source)
 		}
@@ -152,9 +154,9 @@
 }
 
 // standing tells whether a sheet may be sent by a map.
-func (r *Runner) standing(m *view) rulebook.Verdict {
+func (r *Runner) standing(m *view) configstore.Verdict {
 	if core.Unfenced {
-		return rulebook.Good
+		return configstore.Good
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -164,7 +166,7 @@
 func (r *Runner) probeEvery() time.Duration { return time.Duration(r.every.Load()) }
 
 // Retune takes up other ways of choosing and trying.
-func (r *Runner) Retune(c routing.Config, probe time.Duration) {
+func (r *Runner) Retune(c loadbalancer.Config, probe time.Duration) {
 	r.every.Store(int64(probe))
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -172,8 +174,8 @@
 }
 
 // Worth is what was asked for and served since the start.
-func (r *Runner) Worth() rulebook.Worth {
-	return rulebook.Worth{Asked: float64(r.asked.Load()) / 1000, Served: float64(r.served.Load()) / 1000}
+func (r *Runner) Worth() configstore.Worth {
+	return configstore.Worth{Asked: float64(r.asked.Load()) / 1000, Served: float64(r.served.Load()) / 1000}
 }
 
 // Returned is how far a router has come since its start: whether its map holds, whether sheets may be sent by it, and whether it has
@@ -184,7 +186,7 @@
 		return false, false, false
 	}
 	mapped = time.Since(m.read) <= m.Lease
-	sure = mapped && r.standing(m) == rulebook.Good
+	sure = mapped && r.standing(m) == configstore.Good
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return mapped, sure, r.share == nil || r.share.Granted(r.leased())
--- a/internal/fleet/series.go
+++ b/internal/proxy/series.go
@@ -1,4 +1,4 @@
-package fleet
+package proxy
 
 import (
 	"bytes"
@@ -9,9 +9,9 @@
 	"strconv"
 	"strings"
 
-	"silverpath/internal/cells"
-	"silverpath/internal/lasting"
+	"silverpath/internal/policy/cells"
 	"silverpath/internal/settings"
+	"silverpath/internal/storage/atomicfile"
 )
 
 // Series is a folder with the versions of a map, a file each. The place of a version is written once and never again,
@@ -100,7 +100,7 @@
 	if raw == nil {
 		raw = withdrawn
 	}
-	err := lasting.Put(s.name(version), raw, os.Link)
+	err := atomicfile.Put(s.name(version), raw, os.Link)
 	if errors.Is(err, os.ErrExist) {
 		there, err := s.Place(version)
 		if err == nil && !bytes.Equal(there, raw) {
--- a/internal/fleet/source.go
+++ b/internal/proxy/source.go
@@ -1,4 +1,4 @@
-package fleet
+package proxy
 
 import (
 	"fmt"
@@ -6,10 +6,10 @@
 	"slices"
 	"time"
 
-	"silverpath/internal/cells"
-	"silverpath/internal/lasting"
-	"silverpath/internal/rulebook"
+	"silverpath/internal/policy/cells"
+	"silverpath/internal/policy/configstore"
 	"silverpath/internal/settings"
+	"silverpath/internal/storage/atomicfile"
 )
 
 // Source is where a router has its cell map from.
@@ -27,7 +27,7 @@
 
 // Newest is a source that knows of a newer map than the one that it hands out, as that one can't follow it in time.
 type Newest interface {
-	Newest(old *cells.Map) (id rulebook.ID, ok bool)
+	Newest(old *cells.Map) (id configstore.ID, ok bool)
 }
 
 // Naming is a source that knows by which digest others name a map of it. All other maps are named by their own text.
@@ -121,5 +121,5 @@
 
 // Write replaces a map's file as a whole: whoever reads it finds the old one or the new one, after a loss of power too.
 func Write(path string, m *cells.Map) error {
-	return lasting.Put(path, settings.FormatCells(m), os.Rename)
+	return atomicfile.Put(path, settings.FormatCells(m), os.Rename)
 }
--- a/internal/fleet/source_test.go
+++ b/internal/proxy/source_test.go
@@ -1,4 +1,4 @@
-package fleet
+package proxy
 
 import (
 	"os"
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"silverpath/internal/cells"
+	"silverpath/internal/policy/cells"
 	"silverpath/internal/settings"
 )
 
--- a/internal/fleet/state.go
+++ b/internal/proxy/state.go
@@ -1,4 +1,4 @@
-package fleet
+package proxy
 
 import (
 	"encoding/binary"
@@ -8,7 +8,7 @@
 
 	"go.etcd.io/bbolt"
 
-	"silverpath/internal/cells"
+	"silverpath/internal/policy/cells"
 	"silverpath/internal/settings"
 )
 
--- a/internal/fleet/status.go
+++ b/internal/proxy/status.go
@@ -1,4 +1,4 @@
-package fleet
+package proxy
 
 import (
 	"time"
--- a/internal/fleet/wire_test.go
+++ b/internal/proxy/wire_test.go
@@ -1,4 +1,4 @@
-package fleet
+package proxy
 
 import (
 	"context"
@@ -15,11 +15,11 @@
 	"testing/synctest"
 	"time"
 
-	"silverpath/internal/cells"
 	"silverpath/internal/core"
-	"silverpath/internal/msgpackrpc"
-	"silverpath/internal/routing"
-	"silverpath/internal/stats"
+	"silverpath/internal/metrics"
+	"silverpath/internal/policy/cells"
+	"silverpath/internal/policy/loadbalancer"
+	"silverpath/internal/transport/msgpackrpc"
 )
 
 // transcript is what went over connections, in the order of their opening.
@@ -79,7 +79,7 @@
 func TestBytesBetweenRouterAndServers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		tr := &transcript{}
-		quiet, counters := log.New(io.Discard, "", 0), &stats.Counters{}
+		quiet, counters := log.New(io.Discard, "", 0), &metrics.Counters{}
 		servers := map[string]*server{}
 		m := &cells.Map{Version: 3, Window: 10 * time.Second, Skew: 50 * time.Millisecond, Lease: time.Hour, Patient: 4 * time.Second,
 			Cells: []cells.Cell{{Name: "a", Capacity: 100}, {Name: "b", Capacity: 100}},
@@ -94,7 +94,7 @@
 		}
 		to := &router{ends: map[string]core.Answer{}}
 		runner, err := New(Config{
-			Name: "router-1", Source: fixedMap{m}, Cores: 100, Probe: 500 * time.Millisecond, Sockets: 50, Routing: routing.Config{Retries: 1, Hedges: 1, Seed: 3},
+			Name: "router-1", Source: fixedMap{m}, Cores: 100, Probe: 500 * time.Millisecond, Sockets: 50, Routing: loadbalancer.Config{Retries: 1, Hedges: 1, Seed: 3},
 			Dial: func(_ context.Context, addr string) (*msgpackrpc.Conn, error) {
 				return msgpackrpc.NewConn(tr.tap(addr, servers[addr].pipe.Dial())), nil
 			},
@@ -174,9 +174,9 @@
 			synctest.Test(t, func(t *testing.T) {
 				m := &cells.Map{Version: 3, Window: time.Second, Lease: time.Hour, Patient: time.Second, Cells: []cells.Cell{{Name: "a"}},
 					Servers: []cells.Server{{Name: "s", Addr: "s", Cell: "a", Weight: 1}}, Tenants: []cells.Tenant{{Homes: []cells.Home{{Cell: "a"}}}}}
-				to, counters := &router{ends: map[string]core.Answer{}}, &stats.Counters{}
+				to, counters := &router{ends: map[string]core.Answer{}}, &metrics.Counters{}
 				runner, err := New(Config{
-					Name: "r", Source: fixedMap{m}, Cores: 1, Probe: time.Hour, Sockets: 9, Routing: routing.Config{Seed: 3},
+					Name: "r", Source: fixedMap{m}, Cores: 1, Probe: time.Hour, Sockets: 9, Routing: loadbalancer.Config{Seed: 3},
 					Dial: func(context.Context, string) (*msgpackrpc.Conn, error) {
 						ours, theirs := net.Pipe()
 						go answerWith(t, theirs, probeGood, c.reply)
--- a/internal/service/apart_test.go
+++ b/internal/service/apart_test.go
@@ -12,13 +12,13 @@
 	"time"
 
 	"silverpath"
-	"silverpath/internal/msgpackrpc"
+	"silverpath/internal/transport/msgpackrpc"
 )
 
 // start starts a service in this process and returns it with what ends it.
 func start(t *testing.T, set func(c *silverpath.Settings)) *Service {
 	t.Helper()
-	vm, _, release := interpreter(t)
+	vm, _, release := startInterpreter(t)
 	cfg := config(vm)
 	cfg.Stop = time.Second
 	set(&cfg.Server)
--- a/internal/service/drain_test.go
+++ b/internal/service/drain_test.go
@@ -8,8 +8,8 @@
 	"testing"
 	"time"
 
-	"silverpath/internal/msgpackrpc"
-	"silverpath/internal/standin/faults"
+	"silverpath/internal/testkit/standin/faults"
+	"silverpath/internal/transport/msgpackrpc"
 )
 
 // leaving is a service that is told to leave by the returned function, whose peers are asked to leave soon after.
@@ -42,7 +42,7 @@
 // A request that crosses the word to bring no more is served, one that comes when nothing may be run any more is refused, and
 // a client that rests on its connection until the service ends it sees the end in good order.
 func TestRestsUntilTheEnd(t *testing.T) {
-	vm, _, release := interpreter(t)
+	vm, _, release := startInterpreter(t)
 	defer release()
 	s, leave, done := leaving(t, vm, 4*time.Second)
 	busy, rests := dial(t, s.Addrs()[0], call(1, "a")), dial(t, s.Addrs()[0], call(1, "b"))
@@ -76,7 +76,7 @@
 // The notice to leave while the link to the interpreter is down: what is in hand is answered, nobody waits for the link, and
 // the process ends in time.
 func TestLeaveWithoutInterpreter(t *testing.T) {
-	vm, _, release := interpreter(t)
+	vm, _, release := startInterpreter(t)
 	defer release()
 	way, err := faults.Listen(vm, false, 1)
 	if err != nil {
--- a/internal/service/main.go
+++ b/internal/service/main.go
@@ -11,8 +11,8 @@
 	"syscall"
 
 	"silverpath/internal/events"
-	"silverpath/internal/mgmt"
 	"silverpath/internal/settings"
+	"silverpath/internal/transport/admin"
 )
 
 // Signals are those that a process hears. The notices to leave have a channel of their own, so that none is lost behind
@@ -60,7 +60,7 @@
 		events.Say(l, "listening", "snmp", s.agent.Addr())
 	}
 	if s.mgmt != nil {
-		events.Say(l, "listening", mgmt.Name, s.mgmt.Addr())
+		events.Say(l, "listening", admin.Name, s.mgmt.Addr())
 	}
 	go func() { // likewise
 		for sig := range signals.Others {
--- a/internal/service/operate_test.go
+++ b/internal/service/operate_test.go
@@ -18,15 +18,15 @@
 	"time"
 
 	"silverpath"
-	"silverpath/internal/lab"
-	"silverpath/internal/msgpackrpc"
 	"silverpath/internal/settings"
+	"silverpath/internal/testkit/benchmarks"
+	"silverpath/internal/transport/msgpackrpc"
 )
 
 // An operator's drain: health is bad at once, all that comes is served, the end of it makes health good, and the drain
 // of SIGTERM can't be undone.
 func TestEvacuate(t *testing.T) {
-	vm, _, release := interpreter(t)
+	vm, _, release := startInterpreter(t)
 	defer release()
 	cfg := config(vm)
 	cfg.Mgmt = "127.0.0.1:0"
@@ -39,7 +39,7 @@
 	go func() { done <- s.Run(leave) }()
 	ops, platform := s.mgmt.Addr().String(), s.Addrs()[0]
 	for deadline := time.Now().Add(20 * time.Second); ; time.Sleep(time.Millisecond) {
-		if code, _ := lab.Call(ops, "GET /api/ready"); code == 200 {
+		if code, _ := benchmarks.Call(ops, "GET /api/ready"); code == 200 {
 			break
 		} else if time.Now().After(deadline) {
 			t.Fatal("not ready")
@@ -72,7 +72,7 @@
 		{"GET /api/ready", 503, false}, {"POST /api/rejoin", 200, true}, {"GET /api/ready", 200, true},
 		{"POST /api/evacuate", 200, false},
 	} {
-		if code, why := lab.Call(ops, c.call); code != c.code || why == "" || healthy() != c.healthy {
+		if code, why := benchmarks.Call(ops, c.call); code != c.code || why == "" || healthy() != c.healthy {
 			t.Errorf("%s: %d %q, healthy %v", c.call, code, why, healthy())
 		}
 		served(fmt.Sprint(i, c.call))
@@ -85,7 +85,7 @@
 		call string
 		code int
 	}{{"POST /api/rejoin", 409}, {"POST /api/evacuate", 200}, {"GET /api/ready", 503}} {
-		if code, why := lab.Call(ops, c.call); code != c.code || why == "" || healthy() {
+		if code, why := benchmarks.Call(ops, c.call); code != c.code || why == "" || healthy() {
 			t.Errorf("leaving, %s: %d %q", c.call, code, why)
 		}
 	}
@@ -96,7 +96,7 @@
 
 // Fifty operators that never finish keep one that does from nothing, while clients saturate the service.
 func TestOperatorInACrowd(t *testing.T) {
-	vm, _, release := interpreter(t)
+	vm, _, release := startInterpreter(t)
 	defer release()
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
 	cfg := config(vm)
@@ -146,7 +146,7 @@
 		time.Sleep(time.Millisecond)
 	}
 	began := time.Now()
-	code, why := lab.Call(s.mgmt.Addr().String(), "POST /api/evacuate")
+	code, why := benchmarks.Call(s.mgmt.Addr().String(), "POST /api/evacuate")
 	t.Logf("answered after %v", time.Since(began))
 	if took := time.Since(began); code != 200 || took > time.Second {
 		t.Errorf("%d %q after %v", code, why, took)
@@ -162,7 +162,7 @@
 // SIGHUP under load takes up classes that come and go; requests in hand end under the class that they came with, keys
 // included. What is no good changes nothing.
 func TestRetuneUnderLoad(t *testing.T) {
-	vm, _, release := interpreter(t)
+	vm, _, release := startInterpreter(t)
 	defer release()
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(0))
 	defer debug.SetMemoryLimit(debug.SetMemoryLimit(-1))
--- a/internal/service/recovery.go
+++ b/internal/service/recovery.go
@@ -11,10 +11,10 @@
 	"github.com/valyala/fastjson"
 
 	"silverpath/internal/events"
-	"silverpath/internal/keyed"
-	"silverpath/internal/life"
-	"silverpath/internal/phase"
-	"silverpath/internal/recovery"
+	"silverpath/internal/policy/idempotency"
+	"silverpath/internal/policy/lifecycle"
+	"silverpath/internal/policy/recovery"
+	"silverpath/internal/storage/heartbeat"
 )
 
 // lookEvery is how often it is looked at what the return of service waits for.
@@ -30,7 +30,7 @@
 	if s.pair != nil {
 		return errors.New("life: not beside another process of the service (LB_SOCKET_FD)")
 	}
-	if s.life, err = life.Open(set.File, s.cfg.Name, set.Valid, s.log, s.stats); err != nil {
+	if s.life, err = heartbeat.Open(set.File, s.cfg.Name, set.Valid, s.log, s.stats); err != nil {
 		return fmt.Errorf("life.file: %w", err)
 	}
 	dark, _ := s.life.Dark()
@@ -40,14 +40,14 @@
 	if wrap := s.parts.Signs; wrap != nil {
 		may = wrap(may)
 	}
-	s.core.Gate(func(time.Duration) keyed.Verdict {
+	s.core.Gate(func(time.Duration) idempotency.Verdict {
 		switch {
 		case s.store == nil && s.blind() > 0:
-			return keyed.Verdict{Do: keyed.Fail, Why: keyed.WhyBlind}
+			return idempotency.Verdict{Do: idempotency.Fail, Why: idempotency.WhyBlind}
 		case !may():
-			return keyed.Verdict{Do: keyed.Refuse, Why: "no_sign_of_life", Wait: set.Valid / 2}
+			return idempotency.Verdict{Do: idempotency.Refuse, Why: "no_sign_of_life", Wait: set.Valid / 2}
 		}
-		return keyed.Verdict{}
+		return idempotency.Verdict{}
 	})
 	s.keep = append(s.keep, s.life.Keep)
 	return nil
@@ -73,10 +73,10 @@
 		return
 	}
 	asks := map[recovery.Need]func() bool{
-		recovery.Worker: func() bool { return s.core.Phase() != phase.Starting },
+		recovery.Worker: func() bool { return s.core.Phase() != lifecycle.Starting },
 	}
 	if s.store != nil {
-		asks[recovery.Disk] = func() bool { v := s.store.View(); return v.Phase != keyed.Loading }
+		asks[recovery.Disk] = func() bool { v := s.store.View(); return v.Phase != idempotency.Loading }
 		asks[recovery.Window] = func() bool { return s.store.View().Known }
 	} else if s.life != nil {
 		asks[recovery.Window] = func() bool { return s.blind() <= 0 }
--- a/internal/service/reload.go
+++ b/internal/service/reload.go
@@ -8,7 +8,7 @@
 
 	"silverpath"
 	"silverpath/internal/events"
-	"silverpath/internal/rulebook"
+	"silverpath/internal/policy/configstore"
 	"silverpath/internal/settings"
 )
 
@@ -53,7 +53,7 @@
 	for _, field := range s.cfg.Differs(cfg) {
 		events.Say(s.log, "reload.differs", field)
 	}
-	if cfg.Edge.PoolsOn() && old.Edge.PoolsOn() && !cfg.Edge.Rules.Uses(rulebook.DocPools) && !reflect.DeepEqual(cfg.Edge.Pools, old.Edge.Pools) {
+	if cfg.Edge.PoolsOn() && old.Edge.PoolsOn() && !cfg.Edge.Rules.Uses(configstore.DocPools) && !reflect.DeepEqual(cfg.Edge.Pools, old.Edge.Pools) {
 		if err := s.core.ReloadPools(cfg.Edge.Pools); err != nil {
 			events.Say(s.log, "reload.pools_bad", err)
 		} else {
--- a/internal/service/router.go
+++ b/internal/service/router.go
@@ -3,7 +3,7 @@
 import (
 	"fmt"
 
-	"silverpath/internal/fleet"
+	"silverpath/internal/proxy"
 )
 
 // asRouter makes the service a router: the fleet is its runner, and it has no interpreter and nothing below.
@@ -15,7 +15,7 @@
 	set := s.cfg.Edge.Fleet
 	r := set.Routing
 	r.Seed = uint64(s.cfg.Seed)
-	s.fleet, err = fleet.New(fleet.Config{Name: s.cfg.Name, Source: src, Routing: r, Cores: s.cfg.Server.Cores, Probe: set.Probe, Sockets: b.Upstream},
+	s.fleet, err = proxy.New(proxy.Config{Name: s.cfg.Name, Source: src, Routing: r, Cores: s.cfg.Server.Cores, Probe: set.Probe, Sockets: b.Upstream},
 		s.core, s.log, s.stats)
 	if err != nil {
 		return fmt.Errorf("fleet.map: %w", err)
--- a/internal/service/rules.go
+++ b/internal/service/rules.go
@@ -6,17 +6,17 @@
 	"fmt"
 	"time"
 
+	"silverpath/internal/controlplane/configwatch"
+	"silverpath/internal/controlplane/quorum"
 	"silverpath/internal/core"
 	"silverpath/internal/events"
-	"silverpath/internal/fleet"
-	"silverpath/internal/follow"
-	"silverpath/internal/lease"
-	"silverpath/internal/msgpackrpc"
-	"silverpath/internal/quorum"
-	"silverpath/internal/rulebook"
-	"silverpath/internal/scgi"
+	"silverpath/internal/policy/configstore"
+	"silverpath/internal/policy/lease"
+	"silverpath/internal/policy/quota"
+	"silverpath/internal/proxy"
 	"silverpath/internal/settings"
-	"silverpath/internal/shares"
+	"silverpath/internal/transport/msgpackrpc"
+	"silverpath/internal/transport/scgi"
 )
 
 const (
@@ -26,23 +26,23 @@
 
 // followRules has the process act on documents of a group, where an edge file says so. Own says what it does with those that
 // only its role uses.
-func (s *Service) followRules(own map[string]follow.Document, worth func() rulebook.Worth, told func(time.Time), skew func() time.Duration, share follow.Sharer) error {
+func (s *Service) followRules(own map[string]configwatch.Document, worth func() configstore.Worth, told func(time.Time), skew func() time.Duration, share configwatch.Sharer) error {
 	set := s.cfg.Edge.Rules
 	if set == nil {
 		return nil
 	}
-	docs := map[string]follow.Document{}
+	docs := map[string]configwatch.Document{}
 	for i, name := range set.Docs {
 		d, ok := own[name]
-		if name == rulebook.DocClasses {
-			d, ok = follow.Document{Format: 1, Check: s.checkClasses, Take: s.takeClasses}, true
+		if name == configstore.DocClasses {
+			d, ok = configwatch.Document{Format: 1, Check: s.checkClasses, Take: s.takeClasses}, true
 		}
 		if !ok {
 			return fmt.Errorf("rules.documents[%d]: this process has no use for %q", i, name)
 		}
 		docs[name] = d
 	}
-	s.follow = follow.New(follow.Config{
+	s.follow = configwatch.New(configwatch.Config{
 		Name: s.cfg.Name, Group: &quorum.Client{Group: set.Group.Name, Addrs: set.Group.Members}, Docs: docs, Worth: worth, Told: told, Skew: skew, Share: share,
 		Log: s.log, Stats: s.stats,
 	})
@@ -76,7 +76,7 @@
 	for i, k := range now.Classes {
 		for _, old := range s.cfg.Server.Classes {
 			if old.Name == k.Name {
-				window, until := rulebook.Window(old.IdempotencyWindow, k.IdempotencyWindow, max(old.Deadline, k.Deadline))
+				window, until := configstore.Window(old.IdempotencyWindow, k.IdempotencyWindow, max(old.Deadline, k.Deadline))
 				now.Classes[i].IdempotencyWindow, wait = window, max(wait, until)
 			}
 		}
@@ -93,7 +93,7 @@
 				return
 			}
 			if err := s.core.Retune(next); err != nil {
-				events.Say(s.log, "rules.bad", rulebook.DocClasses, "", err)
+				events.Say(s.log, "rules.bad", configstore.DocClasses, "", err)
 				return
 			}
 			s.cfg.Server = next
@@ -105,7 +105,7 @@
 }
 
 // worth is what this server was asked for and has served since its start, by the counters of its fronts.
-func (s *Service) worth() (w rulebook.Worth) {
+func (s *Service) worth() (w configstore.Worth) {
 	for _, k := range s.core.Classes() {
 		for _, front := range []string{msgpackrpc.Name, scgi.Name} {
 			w.Asked += k.Weight * float64(s.stats.Get("read", front, k.Name))
@@ -116,7 +116,7 @@
 }
 
 // poolsDocument is what a server does with the document of its pools.
-func (s *Service) poolsDocument() follow.Document {
+func (s *Service) poolsDocument() configwatch.Document {
 	check := func(text string) error {
 		s.tuning.Lock()
 		defer s.tuning.Unlock()
@@ -126,7 +126,7 @@
 		_, err := settings.ParsePools(text, s.cfg.Server)
 		return err
 	}
-	return follow.Document{Format: 1, Check: check, Take: func(text string) error {
+	return configwatch.Document{Format: 1, Check: check, Take: func(text string) error {
 		if err := check(text); err != nil {
 			return err
 		}
@@ -144,11 +144,11 @@
 }
 
 // routerRules has a router act on the group's documents, and returns where its map is from.
-func (s *Service) routerRules() (fleet.Source, error) {
+func (s *Service) routerRules() (proxy.Source, error) {
 	set := s.cfg.Edge.Fleet
 	rules := s.cfg.Edge.Rules
-	own := map[string]follow.Document{
-		rulebook.DocRouting: {Format: 1, Check: func(text string) error {
+	own := map[string]configwatch.Document{
+		configstore.DocRouting: {Format: 1, Check: func(text string) error {
 			_, err := settings.ParseRouting(text)
 			return err
 		}, Take: func(text string) error {
@@ -165,27 +165,27 @@
 			return nil
 		}},
 	}
-	worth := func() (w rulebook.Worth) {
+	worth := func() (w configstore.Worth) {
 		if s.fleet != nil {
 			w = s.fleet.Worth()
 		}
 		return w
 	}
-	if !rules.Uses(rulebook.DocMap) {
+	if !rules.Uses(configstore.DocMap) {
 		if err := s.followRules(own, worth, nil, nil, nil); err != nil {
 			return nil, err
 		}
-		src, err := fleet.OpenFile(set.Map, set.State)
+		src, err := proxy.OpenFile(set.Map, set.State)
 		if err != nil {
 			return nil, fmt.Errorf("fleet.state: %w", err)
 		}
 		return src, nil
 	}
-	src, err := fleet.OpenAgreed(set.State)
+	src, err := proxy.OpenAgreed(set.State)
 	if err != nil {
 		return nil, fmt.Errorf("fleet.state: %w", err)
 	}
-	own[rulebook.DocMap] = follow.Document{Format: rulebook.FormatInParts, Check: src.Check, Take: src.Take, CheckParts: src.CheckParts, TakeParts: src.TakeParts}
+	own[configstore.DocMap] = configwatch.Document{Format: configstore.FormatInParts, Check: src.Check, Take: src.Take, CheckParts: src.CheckParts, TakeParts: src.TakeParts}
 	err = s.followRules(own, worth, func(asked time.Time) {
 		src.Confirm(asked)
 		if s.fleet != nil {
@@ -208,16 +208,16 @@
 // sharing is a router that shares its cells with others, once it is there.
 type sharing struct{ s *Service }
 
-func sharer(s *Service, most int) follow.Sharer {
+func sharer(s *Service, most int) configwatch.Sharer {
 	if most == 0 {
 		return nil
 	}
 	return sharing{s}
 }
 
-func (p sharing) Says() (shares.Word, func(shares.Grant, lease.Terms)) {
+func (p sharing) Says() (quota.Word, func(quota.Grant, lease.Terms)) {
 	if p.s.fleet == nil {
-		return shares.Word{}, func(shares.Grant, lease.Terms) {}
+		return quota.Word{}, func(quota.Grant, lease.Terms) {}
 	}
 	return p.s.fleet.Says()
 }
--- a/internal/service/server.go
+++ b/internal/service/server.go
@@ -5,18 +5,18 @@
 	"fmt"
 	"time"
 
+	"silverpath/internal/controlplane/command"
+	"silverpath/internal/controlplane/configwatch"
+	"silverpath/internal/controlplane/quorum"
 	"silverpath/internal/core"
 	"silverpath/internal/events"
-	"silverpath/internal/follow"
-	"silverpath/internal/interp"
-	"silverpath/internal/orders"
-	"silverpath/internal/quorum"
-	"silverpath/internal/rulebook"
-	"silverpath/internal/scgi"
+	"silverpath/internal/policy/configstore"
 	"silverpath/internal/settings"
-	"silverpath/internal/standin"
-	"silverpath/internal/store"
-	"silverpath/internal/vault"
+	"silverpath/internal/storage/idempotencystore"
+	"silverpath/internal/testkit/standin"
+	"silverpath/internal/transport/interpreter"
+	"silverpath/internal/transport/scgi"
+	"silverpath/internal/transport/vault"
 )
 
 // asServer makes the service a server: an interpreter or an SCGI application server does the work, and the vault is below.
@@ -38,7 +38,7 @@
 	if err := s.openLife(); err != nil {
 		return err
 	}
-	if err := s.followRules(map[string]follow.Document{rulebook.DocPools: s.poolsDocument()}, s.worth, nil, nil, nil); err != nil {
+	if err := s.followRules(map[string]configwatch.Document{configstore.DocPools: s.poolsDocument()}, s.worth, nil, nil, nil); err != nil {
 		return err
 	}
 	s.recover()
@@ -48,7 +48,7 @@
 		s.keep = append(s.keep, up.Keep)
 		return s.core.Attach(up, nil)
 	}
-	s.link = interp.New(cfg.VM, cfg.Gauges, s.core, s.log, s.stats)
+	s.link = interpreter.New(cfg.VM, cfg.Gauges, s.core, s.log, s.stats)
 	s.keep = append(s.keep, s.link.Keep)
 	var below core.Caller
 	if cfg.Vault != "" {
@@ -68,7 +68,7 @@
 		return errors.New("orders: there is no mgmt to take them at")
 	}
 	group := &quorum.Client{Group: set.Group.Name, Addrs: set.Group.Members}
-	if s.orders, err = orders.Open(set.State, s.cfg.Name, group, s.log); err != nil {
+	if s.orders, err = command.Open(set.State, s.cfg.Name, group, s.log); err != nil {
 		return fmt.Errorf("orders.state: %w", err)
 	}
 	return nil
@@ -93,7 +93,7 @@
 	if size > s.cfg.MemoryMB/storePart {
 		return fmt.Errorf("store.size_mb: over a quarter of limits.memory_mb: %v", size)
 	}
-	s.store, err = store.Open(store.Config{
+	s.store, err = idempotencystore.Open(idempotencystore.Config{
 		Dir: set.Dir, Name: s.cfg.Name, Bytes: int(size * (1 << 20)), Result: int(set.ResultKB * (1 << 10)), Gather: set.Gather,
 		Log: s.log, Stats: s.stats,
 	}, s.core)
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -13,26 +13,26 @@
 	"syscall"
 	"time"
 
-	"silverpath/internal/announce"
+	"silverpath/internal/controlplane/command"
+	"silverpath/internal/controlplane/configwatch"
 	"silverpath/internal/core"
 	"silverpath/internal/events"
-	"silverpath/internal/fleet"
-	"silverpath/internal/follow"
-	"silverpath/internal/front"
-	"silverpath/internal/interp"
-	"silverpath/internal/life"
-	"silverpath/internal/mgmt"
-	"silverpath/internal/msgpackrpc"
-	"silverpath/internal/orders"
-	"silverpath/internal/pair"
-	"silverpath/internal/pools"
-	"silverpath/internal/scgi"
+	"silverpath/internal/metrics"
+	"silverpath/internal/policy/admission"
+	"silverpath/internal/proxy"
 	"silverpath/internal/settings"
-	"silverpath/internal/snmp"
-	"silverpath/internal/standin"
-	"silverpath/internal/stats"
-	"silverpath/internal/store"
-	"silverpath/internal/vault"
+	"silverpath/internal/storage/heartbeat"
+	"silverpath/internal/storage/idempotencystore"
+	"silverpath/internal/testkit/standin"
+	"silverpath/internal/transport/admin"
+	"silverpath/internal/transport/interpreter"
+	"silverpath/internal/transport/listener"
+	"silverpath/internal/transport/loadreport"
+	"silverpath/internal/transport/msgpackrpc"
+	"silverpath/internal/transport/restartlink"
+	"silverpath/internal/transport/scgi"
+	"silverpath/internal/transport/snmp"
+	"silverpath/internal/transport/vault"
 )
 
 const (
@@ -70,35 +70,35 @@
 	cfg        settings.Config
 	parts      Parts
 	log        *log.Logger
-	stats      *stats.Counters
+	stats      *metrics.Counters
 	core       *core.Core
-	listeners  []*front.Listener
+	listeners  []*listener.Listener
 	keep       []func(context.Context)
 	agent      *snmp.Agent
-	mgmt       *mgmt.Server         // nil: none
-	link       *interp.Link         // nil where an application server does the work
-	below      *vault.Client        // likewise
-	fleet      *fleet.Runner        // nil but in a router
-	orders     *orders.Orders       // nil: it takes no orders of the fleet
-	follow     *follow.Follower     // nil: it acts on its own files alone
-	store      *store.Store         // nil: what ran is forgotten with the process
-	life       *life.Keeper         // nil: it leaves no signs of life
-	tuning     sync.Mutex           // of what holds at present of cfg, and of these:
-	classes    int                  // times that the group's classes were taken up
-	agreed     bool                 // the classes are the group's
-	pair       *pair.Pair           // nil: no process takes over from this one
-	shares     []share              // of the descriptors, by listener
-	worker     *standin.Interpreter // nil but in a start without a configuration
-	reporter   *announce.Reporter   // reports nowhere while its address is empty
-	exitBefore time.Duration        // see there
-	lead       time.Duration        // from the notice to leave until peers are asked to leave too
-	tries      time.Time            // until then an address that is taken is tried again
-	leave      <-chan struct{}      // the notice to leave, while the service opens; nil: none can come
+	mgmt       *admin.Server           // nil: none
+	link       *interpreter.Link       // nil where an application server does the work
+	below      *vault.Client           // likewise
+	fleet      *proxy.Runner           // nil but in a router
+	orders     *command.Orders         // nil: it takes no orders of the fleet
+	follow     *configwatch.Follower   // nil: it acts on its own files alone
+	store      *idempotencystore.Store // nil: what ran is forgotten with the process
+	life       *heartbeat.Keeper       // nil: it leaves no signs of life
+	tuning     sync.Mutex              // of what holds at present of cfg, and of these:
+	classes    int                     // times that the group's classes were taken up
+	agreed     bool                    // the classes are the group's
+	pair       *restartlink.Pair       // nil: no process takes over from this one
+	shares     []share                 // of the descriptors, by listener
+	worker     *standin.Interpreter    // nil but in a start without a configuration
+	reporter   *loadreport.Reporter    // reports nowhere while its address is empty
+	exitBefore time.Duration           // see there
+	lead       time.Duration           // from the notice to leave until peers are asked to leave too
+	tries      time.Time               // until then an address that is taken is tried again
+	leave      <-chan struct{}         // the notice to leave, while the service opens; nil: none can come
 }
 
 // share is a listener's part of the descriptors.
 type share struct {
-	ln   *front.Listener
+	ln   *listener.Listener
 	most int
 }
 
@@ -114,7 +114,7 @@
 // open is New with patience: an address that is taken, as by the process before this one, which has not ended yet, is tried
 // again for so long, or until the notice to leave.
 func open(cfg settings.Config, l *log.Logger, parts Parts, patience time.Duration, leave <-chan struct{}) (*Service, error) {
-	s := &Service{cfg: cfg, parts: parts, log: l, stats: &stats.Counters{}, lead: lead(cfg), exitBefore: exitBefore, tries: time.Now().Add(patience), leave: leave}
+	s := &Service{cfg: cfg, parts: parts, log: l, stats: &metrics.Counters{}, lead: lead(cfg), exitBefore: exitBefore, tries: time.Now().Add(patience), leave: leave}
 	build := s.asServer
 	if cfg.Edge.Fleet != nil {
 		build = s.asRouter
@@ -141,7 +141,7 @@
 	cfg := s.cfg
 	var two *core.PairConfig
 	if cfg.Socket > 0 {
-		if s.pair, err = pair.Open(os.TempDir(), cfg.Name, s.log, s.stats); err != nil {
+		if s.pair, err = restartlink.Open(os.TempDir(), cfg.Name, s.log, s.stats); err != nil {
 			return fmt.Errorf("LB_SOCKET_FD: a place beside other processes: %w", err)
 		}
 		two = s.pair.Config(s.share)
@@ -160,11 +160,11 @@
 	if cfg.Listen != "" {
 		f := msgpackrpc.New(s.core, s.log, s.stats)
 		if cfg.Socket > 0 {
-			ln, err := front.Inherited(cfg.Socket)
+			ln, err := listener.Inherited(cfg.Socket)
 			if err != nil {
 				return fmt.Errorf("LB_SOCKET_FD: %w", err)
 			}
-			held := front.New(msgpackrpc.Name, ln, b.Platform, s.core.IdleAfter, f.Serve, s.log, s.stats)
+			held := listener.New(msgpackrpc.Name, ln, b.Platform, s.core.IdleAfter, f.Serve, s.log, s.stats)
 			held.Foreign()
 			s.add(held, b.Platform)
 		} else if err := s.listen("listen", msgpackrpc.Name, cfg.Listen, b.Platform, f.Serve); err != nil {
@@ -185,7 +185,7 @@
 	}
 	var control func(network, addr string, raw syscall.RawConn) error
 	if s.pair != nil {
-		control = front.ReusePort
+		control = listener.ReusePort
 	}
 	err = s.whileTaken(func() (err error) {
 		s.agent, err = snmp.Listen(s.cfg.SNMP.Listen, s.cfg.SNMP.Community, s.cfg.Name, s.core, s.log, s.stats, control)
@@ -203,7 +203,7 @@
 		return nil
 	}
 	err = s.whileTaken(func() (err error) {
-		s.mgmt, err = mgmt.Listen(s.cfg.Mgmt, mgmt.Places(s.cfg.Sockets), s.core, s.log, s.stats)
+		s.mgmt, err = admin.Listen(s.cfg.Mgmt, admin.Places(s.cfg.Sockets), s.core, s.log, s.stats)
 		return err
 	})
 	if err != nil {
@@ -220,7 +220,7 @@
 
 // report makes the service known: to the announce service, and to another process of it.
 func (s *Service) report() error {
-	s.reporter = announce.New(s.cfg.Announce, s.cfg.Name, s.core.Health, s.log)
+	s.reporter = loadreport.New(s.cfg.Announce, s.cfg.Name, s.core.Health, s.log)
 	s.keep = append(s.keep, s.reporter.Keep)
 	if s.pair != nil {
 		if err := s.pair.Begin(s.core); err != nil {
@@ -231,16 +231,16 @@
 	return nil
 }
 
-func (s *Service) listen(field, name, addr string, most int, handle front.Handler) error {
-	var ln *front.Listener
+func (s *Service) listen(field, name, addr string, most int, handle listener.Handler) error {
+	var ln *listener.Listener
 	err := s.whileTaken(func() (err error) {
 		if s.pair == nil {
-			ln, err = front.Listen(name, addr, most, s.core.IdleAfter, handle, s.log, s.stats)
+			ln, err = listener.Listen(name, addr, most, s.core.IdleAfter, handle, s.log, s.stats)
 			return err
 		}
 		var open net.Listener
-		if open, err = front.Shared(addr); err == nil {
-			ln = front.New(name, open, most, s.core.IdleAfter, handle, s.log, s.stats)
+		if open, err = listener.Shared(addr); err == nil {
+			ln = listener.New(name, open, most, s.core.IdleAfter, handle, s.log, s.stats)
 		}
 		return err
 	})
@@ -272,7 +272,7 @@
 	}
 }
 
-func (s *Service) add(ln *front.Listener, most int) {
+func (s *Service) add(ln *listener.Listener, most int) {
 	if r := s.cfg.Edge.Reserve; r != nil {
 		ln.Reserve(*r)
 	}
@@ -298,7 +298,7 @@
 func heapLimit(cfg settings.Config) int64 { return int64(cfg.MemoryMB * heapShare * (1 << 20)) }
 
 // poolsOf are the pools that a configuration sets up, nil for none.
-func poolsOf(cfg settings.Config) *pools.Config {
+func poolsOf(cfg settings.Config) *admission.Config {
 	if !cfg.Edge.PoolsOn() {
 		return nil
 	}
@@ -337,7 +337,7 @@
 }
 
 // Stats are the service's counters.
-func (s *Service) Stats() *stats.Counters { return s.stats }
+func (s *Service) Stats() *metrics.Counters { return s.stats }
 
 // Run serves until a notice to leave comes on the channel, then drains. It returns when everything is answered
 // and no peer is left, or when the process is about to be stopped.
--- a/internal/service/service_test.go
+++ b/internal/service/service_test.go
@@ -22,17 +22,17 @@
 	"github.com/valyala/fastjson"
 
 	"silverpath"
-	"silverpath/internal/mgmt"
-	"silverpath/internal/msgpackrpc"
-	"silverpath/internal/pools"
-	"silverpath/internal/scgi"
+	"silverpath/internal/policy/admission"
 	"silverpath/internal/settings"
+	"silverpath/internal/transport/admin"
+	"silverpath/internal/transport/msgpackrpc"
+	"silverpath/internal/transport/scgi"
 )
 
-// interpreter is a stand-in that passes every run with the body turned into upper case, but holds back those
+// startInterpreter starts a stand-in that passes every run with the body turned into upper case, but holds back those
 // whose body says so until told. It has two addresses and takes one link after another at either; a run goes on
 // and is started once, whatever its link does.
-func interpreter(t *testing.T) (addr, moved string, release func()) {
+func startInterpreter(t *testing.T) (addr, moved string, release func()) {
 	t.Helper()
 	held := make(chan struct{})
 	var mu sync.Mutex
@@ -130,7 +130,7 @@
 // The whole program on loopback sockets: both fronts serve, the notice to leave is passed on to balancers, what
 // was read is answered, new connections are refused, and the process ends long before it would be stopped.
 func TestServeAndDrain(t *testing.T) {
-	vm, _, release := interpreter(t)
+	vm, _, release := startInterpreter(t)
 	defer release()
 	s, err := New(config(vm), log.New(io.Discard, "", 0))
 	if err != nil {
@@ -248,7 +248,7 @@
 // SIGHUP takes up new addresses while requests run, again and again and in a drain too, and no request is lost
 // by it; a file that is no good leaves the old configuration, and so does what holds only from a start.
 func TestReload(t *testing.T) {
-	vm, moved, release := interpreter(t)
+	vm, moved, release := startInterpreter(t)
 	defer release()
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(0))
 	defer debug.SetMemoryLimit(debug.SetMemoryLimit(-1))
@@ -362,7 +362,7 @@
 			// Two processes: one with all, before it has given up its share, and one that opens its own files.
 			c.Mgmt, c.Socket = "x", 7
 			b = budget(c)
-			if sum := b.Platform + b.SCGI + 2*(b.Vault+b.Upstream+spareFDs+mgmt.Places(sockets)); sum > sockets || b.Platform+b.SCGI < 8 {
+			if sum := b.Platform + b.SCGI + 2*(b.Vault+b.Upstream+spareFDs+admin.Places(sockets)); sum > sockets || b.Platform+b.SCGI < 8 {
 				t.Errorf("%d descriptors of two: %+v", sockets, b)
 			}
 		}
@@ -372,11 +372,11 @@
 // SIGHUP takes new shares up while runs go on, keeps the old ones where the new are no good, and says which; the rest of an
 // edge file waits for the next start.
 func TestReloadOfPools(t *testing.T) {
-	vm, _, release := interpreter(t)
+	vm, _, release := startInterpreter(t)
 	defer release()
 	cfg := config(vm)
-	cfg.Edge = settings.Edge{On: true, Status: true, Reserve: &pools.ReserveConfig{}, Pools: pools.Config{
-		Pools: []pools.Pool{{Name: "rounds", Classes: []string{"krog"}, Weight: 1, Floor: 0.5}}}}
+	cfg.Edge = settings.Edge{On: true, Status: true, Reserve: &admission.ReserveConfig{}, Pools: admission.Config{
+		Pools: []admission.Pool{{Name: "rounds", Classes: []string{"krog"}, Weight: 1, Floor: 0.5}}}}
 	var out lines
 	s, err := New(cfg, log.New(&out, "", 0))
 	if err != nil {
@@ -391,11 +391,11 @@
 		time.Sleep(time.Millisecond)
 	}
 	next := cfg
-	next.Edge.Pools.Pools = []pools.Pool{{Name: "rounds", Classes: []string{"krog"}, Weight: 5, Floor: 0.9}, {Name: "others"}}
+	next.Edge.Pools.Pools = []admission.Pool{{Name: "rounds", Classes: []string{"krog"}, Weight: 5, Floor: 0.9}, {Name: "others"}}
 	s.Reload(next)
 	bad := next
 	bad.Edge.Status = false
-	bad.Edge.Pools.Pools = []pools.Pool{{Name: "rounds", Floor: 7}}
+	bad.Edge.Pools.Pools = []admission.Pool{{Name: "rounds", Floor: 7}}
 	s.Reload(bad)
 	text := out.String()
 	for _, want := range []string{"reload: pools: taken up", "reload: the old pools hold: pools[0].floor", "reload: edge: differs"} {
--- a/internal/service/start_test.go
+++ b/internal/service/start_test.go
@@ -39,7 +39,7 @@
 
 // A process whose addresses the one before it still has waits for them, one after the other, and then serves.
 func TestStartsOnceAddressesAreFree(t *testing.T) {
-	vm, _, release := interpreter(t)
+	vm, _, release := startInterpreter(t)
 	defer release()
 	first, second, third := taken(t), taken(t), taken(t)
 	cfg := config(vm)
@@ -73,7 +73,7 @@
 // A reload that does not end, and others that wait behind it, hold no notice to leave back. A second notice changes nothing,
 // and a reload in a drain is taken up.
 func TestSignalsOneOverTheOther(t *testing.T) {
-	vm, _, release := interpreter(t)
+	vm, _, release := startInterpreter(t)
 	defer release()
 	cfg := config(vm)
 	cfg.Stop = 5 * time.Second
--- a/internal/settings/cells.go
+++ b/internal/settings/cells.go
@@ -9,7 +9,7 @@
 
 	"github.com/valyala/fastjson"
 
-	"silverpath/internal/cells"
+	"silverpath/internal/policy/cells"
 )
 
 // ParseCells reads a cell map and checks it whole.
--- a/internal/settings/edge.go
+++ b/internal/settings/edge.go
@@ -10,9 +10,9 @@
 	"github.com/valyala/fastjson"
 
 	"silverpath"
-	"silverpath/internal/pools"
-	"silverpath/internal/routing"
-	"silverpath/internal/rulebook"
+	"silverpath/internal/policy/admission"
+	"silverpath/internal/policy/configstore"
+	"silverpath/internal/policy/loadbalancer"
 )
 
 // Edge sets up what goes beyond the platform, from a file of the operator's own. The zero value is all off.
@@ -20,13 +20,13 @@
 	On      bool // an edge file was given
 	Status  bool // fronts answer status requests
 	Cell    bool // serves in a cell, behind routers: see docs/cells.md
-	Pools   pools.Config
-	Reserve *pools.ReserveConfig // nil: none
-	Fleet   *Fleet               // nil: it is no router
-	Orders  *Orders              // nil: it takes no orders of the fleet
-	Rules   *Rules               // nil: it acts on its own files alone
-	Store   *Store               // nil: what ran is forgotten with the process
-	Life    *Life                // nil: it leaves no signs of life
+	Pools   admission.Config
+	Reserve *admission.ReserveConfig // nil: none
+	Fleet   *Fleet                   // nil: it is no router
+	Orders  *Orders                  // nil: it takes no orders of the fleet
+	Rules   *Rules                   // nil: it acts on its own files alone
+	Store   *Store                   // nil: what ran is forgotten with the process
+	Life    *Life                    // nil: it leaves no signs of life
 }
 
 // Life sets up signs of life: see docs/recovery.md.
@@ -54,7 +54,7 @@
 	Map     string // the file with the cell map
 	State   string // the file that keeps the last good map over a restart; empty: none
 	Probe   time.Duration
-	Routing routing.Config
+	Routing loadbalancer.Config
 }
 
 // PoolsOn reports whether there are pools.
@@ -91,7 +91,7 @@
 	e.Pools = readPools(f, site)
 	reserve.only("connections", "cheap_per_s", "cheap_each_per_s")
 	if reserve.v != nil {
-		e.Reserve = &pools.ReserveConfig{
+		e.Reserve = &admission.ReserveConfig{
 			Connections: reserve.number("connections"), Cheap: reserve.number("cheap_per_s"),
 			Each: reserve.number("cheap_each_per_s"),
 		}
@@ -174,10 +174,10 @@
 }
 
 // readPools reads the pools of a site with their limit and memory stages.
-func readPools(f fields, site silverpath.Settings) (set pools.Config) {
+func readPools(f fields, site silverpath.Settings) (set admission.Config) {
 	f.each("pools", func(_ int, p fields) {
 		p.only("name", "classes", "weight", "floor")
-		one := pools.Pool{Name: p.text("name"), Weight: p.number("weight"), Floor: p.number("floor")}
+		one := admission.Pool{Name: p.text("name"), Weight: p.number("weight"), Floor: p.number("floor")}
 		for i, k := range p.array("classes") {
 			name, err := k.StringBytes()
 			if err != nil {
@@ -194,9 +194,9 @@
 	})
 	limit, memory := f.object("limit"), f.object("memory")
 	limit.only("least", "start", "fixed")
-	set.Limit = pools.Range{Least: limit.number("least"), Start: limit.number("start"), Fixed: limit.number("fixed")}
+	set.Limit = admission.Range{Least: limit.number("least"), Start: limit.number("start"), Fixed: limit.number("fixed")}
 	memory.only("tight", "scarce", "critical")
-	set.Memory = pools.Memory{Tight: memory.number("tight"), Scarce: memory.number("scarce"), Critical: memory.number("critical")}
+	set.Memory = admission.Memory{Tight: memory.number("tight"), Scarce: memory.number("scarce"), Critical: memory.number("critical")}
 	return set
 }
 
@@ -207,7 +207,7 @@
 	f.only("map", "state", "probe_ms", "retries", "hedges", "most_out", "panic", "slow_start_ms")
 	set := readRouting(f)
 	set.Map, set.State = f.text("map"), f.text("state")
-	switch agreed := rules.Uses(rulebook.DocMap); {
+	switch agreed := rules.Uses(configstore.DocMap); {
 	case set.Map == "" && !agreed:
 		f.fail("map", "missing")
 	case set.Map != "" && agreed:
@@ -220,7 +220,7 @@
 func readRouting(f fields) Fleet {
 	set := Fleet{
 		Probe: time.Duration(f.integer("probe_ms")) * time.Millisecond,
-		Routing: routing.Config{
+		Routing: loadbalancer.Config{
 			Retries: f.number("retries"), Hedges: f.number("hedges"), MostOut: f.number("most_out"), Panic: f.number("panic"),
 			SlowStart: time.Duration(f.integer("slow_start_ms")) * time.Millisecond,
 		},
--- a/internal/settings/kinds_test.go
+++ b/internal/settings/kinds_test.go
@@ -8,7 +8,7 @@
 	"testing"
 
 	"silverpath"
-	"silverpath/internal/rulebook"
+	"silverpath/internal/policy/configstore"
 )
 
 // Every field that any file of settings has is of a stated kind: a reader that asks for one without fails here. The files are
@@ -24,17 +24,17 @@
 	}
 	total, site := 0, sheets()
 	for doc, read := range map[string]func() error{
-		"config":            func() error { _, err := ParseConfig(file("scgi.json"), "n", "127.0.0.1:0"); return err },
-		"quorum":            func() error { _, err := ParseQuorum(file("quorum.json")); return err },
-		rulebook.DocMap:     func() error { _, err := ParseCells(file("cells.json")); return err },
-		rulebook.DocRouting: func() error { _, err := ParseRouting(`{}`); return err },
-		rulebook.DocPools: func() error {
-			text, _, _ := Document(rulebook.DocPools, file("edge.json"))
+		"config":               func() error { _, err := ParseConfig(file("scgi.json"), "n", "127.0.0.1:0"); return err },
+		"quorum":               func() error { _, err := ParseQuorum(file("quorum.json")); return err },
+		configstore.DocMap:     func() error { _, err := ParseCells(file("cells.json")); return err },
+		configstore.DocRouting: func() error { _, err := ParseRouting(`{}`); return err },
+		configstore.DocPools: func() error {
+			text, _, _ := Document(configstore.DocPools, file("edge.json"))
 			_, err := ParsePools(text, site)
 			return err
 		},
-		rulebook.DocClasses: func() error {
-			text, _, _ := Document(rulebook.DocClasses, file("scgi.json"))
+		configstore.DocClasses: func() error {
+			text, _, _ := Document(configstore.DocClasses, file("scgi.json"))
 			_, err := ParseClasses(text, site)
 			return err
 		},
@@ -59,7 +59,7 @@
 			for other := range seen {
 				leaf = leaf && !strings.HasPrefix(other, path+".") && !strings.HasPrefix(other, path+"[")
 			}
-			if k := rulebook.KindOf(doc, path); leaf && k == rulebook.Unknown {
+			if k := configstore.KindOf(doc, path); leaf && k == configstore.Unknown {
 				t.Errorf("%s: %s has no kind", doc, path)
 			}
 		}
@@ -67,7 +67,7 @@
 	if total < 150 {
 		t.Errorf("%d fields were looked for", total)
 	}
-	if rulebook.KindOf("config", "nothing") != rulebook.Unknown {
+	if configstore.KindOf("config", "nothing") != configstore.Unknown {
 		t.Error("what is not there has a kind")
 	}
 }
--- a/internal/settings/parts.go
+++ b/internal/settings/parts.go
@@ -9,7 +9,7 @@
 
 	"github.com/valyala/fastjson"
 
-	"silverpath/internal/cells"
+	"silverpath/internal/policy/cells"
 )
 
 // cellParts are the names of a map's parts, in their order, and where each stands in it.
--- a/internal/settings/parts_test.go
+++ b/internal/settings/parts_test.go
@@ -15,7 +15,7 @@
 
 	"pgregory.net/rapid"
 
-	"silverpath/internal/cells"
+	"silverpath/internal/policy/cells"
 )
 
 // Property tests take the same course every time.
--- a/internal/settings/quorum.go
+++ b/internal/settings/quorum.go
@@ -8,7 +8,7 @@
 
 	"github.com/valyala/fastjson"
 
-	"silverpath/internal/duties"
+	"silverpath/internal/policy/controller"
 )
 
 // GroupRef names a group and the addresses of its members.
@@ -105,7 +105,7 @@
 		q.Owner = &Owner{Duties: o.texts("duties"), Map: o.text("map"), Routers: o.texts("routers"),
 			Gone: ms(o, "gone_after_ms", 10*time.Second)}
 		for i, d := range q.Owner.Duties {
-			if !slices.Contains(duties.Names, d) {
+			if !slices.Contains(controller.Names, d) {
 				o.fail(fmt.Sprintf("duties[%d]", i), "no such duty: %q", d)
 			}
 		}
--- a/internal/settings/rules.go
+++ b/internal/settings/rules.go
@@ -10,8 +10,8 @@
 	"github.com/valyala/fastjson"
 
 	"silverpath"
-	"silverpath/internal/pools"
-	"silverpath/internal/rulebook"
+	"silverpath/internal/policy/admission"
+	"silverpath/internal/policy/configstore"
 )
 
 // Rules sets up a process that acts on documents of a group: see docs/rules.md.
@@ -30,11 +30,11 @@
 	}
 	f.only("group", "members", "documents", "most_routers")
 	set := &Rules{Group: f.group(), Docs: f.texts("documents"), Most: int(f.integer("most_routers"))}
-	if set.Most < 0 || set.Most > 0 && !set.Uses(rulebook.DocMap) {
+	if set.Most < 0 || set.Most > 0 && !set.Uses(configstore.DocMap) {
 		f.fail("most_routers", "negative, or there is no map among the documents")
 	}
 	for i, doc := range set.Docs {
-		if !slices.Contains(rulebook.Docs, doc) {
+		if !slices.Contains(configstore.Docs, doc) {
 			f.fail(fmt.Sprintf("documents[%d]", i), "no such document: %q", doc)
 		}
 	}
@@ -57,11 +57,11 @@
 }
 
 // ParsePools reads the document of a site's pools and checks it for the site.
-func ParsePools(text string, site silverpath.Settings) (pools.Config, error) {
+func ParsePools(text string, site silverpath.Settings) (admission.Config, error) {
 	var err error
 	f := object([]byte(text), &err)
 	if err != nil {
-		return pools.Config{}, err
+		return admission.Config{}, err
 	}
 	f.only("format", "pools", "limit", "memory")
 	set := readPools(f, site)
@@ -125,7 +125,7 @@
 	if err != nil {
 		return "", 0, err
 	}
-	if name == rulebook.DocMap {
+	if name == configstore.DocMap {
 		m, err := ParseCells(data)
 		if err != nil {
 			return "", 0, err
@@ -134,17 +134,17 @@
 	}
 	v, keys := f.v, []string{}
 	switch name {
-	case rulebook.DocRouting:
+	case configstore.DocRouting:
 		if fleet := f.v.Get("fleet"); fleet != nil {
 			v = fleet
 		}
 		keys = []string{"probe_ms", "retries", "hedges", "most_out", "panic", "slow_start_ms"}
-	case rulebook.DocClasses:
+	case configstore.DocClasses:
 		if set := f.v.Get("settings"); set != nil {
 			v = set
 		}
 		keys = []string{"classes"}
-	case rulebook.DocPools:
+	case configstore.DocPools:
 		keys = []string{"pools", "limit", "memory"}
 	default:
 		return "", 0, fmt.Errorf("no such document: %q", name)
@@ -170,9 +170,9 @@
 	}
 	text = b.String() + "\n"
 	switch name {
-	case rulebook.DocRouting:
+	case configstore.DocRouting:
 		_, err = ParseRouting(text)
-	case rulebook.DocClasses:
+	case configstore.DocClasses:
 		_, err = parseClasses(text, silverpath.Settings{}, false)
 	}
 	return text, format, err
--- a/internal/settings/shape_test.go
+++ b/internal/settings/shape_test.go
@@ -9,8 +9,8 @@
 
 	"github.com/valyala/fastjson"
 
-	"silverpath/internal/lab"
 	"silverpath/internal/settings"
+	"silverpath/internal/testkit/benchmarks"
 )
 
 // A file that leaves out any one key, is empty, or is cut at any byte, does not take the place of the one in force.
@@ -34,7 +34,7 @@
 	if err := load(text); err != nil {
 		t.Fatalf("the file itself: %v", err)
 	}
-	lacking := lab.Without(text)
+	lacking := benchmarks.Without(text)
 	if len(lacking) < 60 {
 		t.Fatalf("%d keys", len(lacking))
 	}
--- a/internal/settings/target.go
+++ b/internal/settings/target.go
@@ -6,7 +6,7 @@
 
 	"github.com/valyala/fastjson"
 
-	"silverpath/internal/capacity"
+	"silverpath/internal/policy/capacity"
 )
 
 // LoadTarget reads the target of a fleet's capacity: see docs/CAPACITY.md.
--- a/internal/lasting/lasting.go
+++ b/internal/storage/atomicfile/lasting.go
@@ -1,5 +1,5 @@
-// Package lasting puts files where they outlive a loss of power: whole, or not at all.
-package lasting
+// Package atomicfile puts files where they outlive a loss of power: whole, or not at all.
+package atomicfile
 
 import (
 	"errors"
--- a/internal/life/life.go
+++ b/internal/storage/heartbeat/life.go
@@ -1,6 +1,6 @@
-// Package life leaves signs of life of a process on a disk that lasts, and reads the last one of the process before it. What they
+// Package heartbeat leaves signs of life of a process on a disk that lasts, and reads the last one of the process before it. What they
 // prove is decided by the package recovery.
-package life
+package heartbeat
 
 import (
 	"context"
@@ -15,11 +15,11 @@
 	"time"
 
 	"silverpath/internal/events"
-	"silverpath/internal/keyed"
-	"silverpath/internal/lasting"
-	"silverpath/internal/recovery"
-	"silverpath/internal/stats"
-	"silverpath/internal/store"
+	"silverpath/internal/metrics"
+	"silverpath/internal/policy/idempotency"
+	"silverpath/internal/policy/recovery"
+	"silverpath/internal/storage/atomicfile"
+	"silverpath/internal/storage/idempotencystore"
 )
 
 const (
@@ -33,10 +33,10 @@
 	path, name string
 	valid      time.Duration
 	log        *log.Logger
-	stats      *stats.Counters
+	stats      *metrics.Counters
 	dark       time.Duration
 	by         recovery.Evidence
-	found      keyed.Clock // when it was found
+	found      idempotency.Clock // when it was found
 
 	mu   sync.Mutex
 	life *recovery.Life
@@ -55,8 +55,8 @@
 }
 
 // Open reads the sign of the process before this one. What can't be read proves nothing, and is set aside.
-func Open(path, name string, valid time.Duration, l *log.Logger, s *stats.Counters) (*Keeper, error) {
-	k := &Keeper{path: path, name: name, valid: valid, log: l, stats: s, found: store.Now(),
+func Open(path, name string, valid time.Duration, l *log.Logger, s *metrics.Counters) (*Keeper, error) {
+	k := &Keeper{path: path, name: name, valid: valid, log: l, stats: s, found: idempotencystore.Now(),
 		life: recovery.NewLife(recovery.Terms{Every: valid / part, Valid: valid})}
 	last, err := Read(path)
 	if err != nil {
@@ -99,13 +99,13 @@
 	return r.Sign, nil
 }
 
-func (k *Keeper) sign(c keyed.Clock) recovery.Sign {
+func (k *Keeper) sign(c idempotency.Clock) recovery.Sign {
 	return recovery.Sign{Name: k.name, Machine: c.Machine, Boot: c.Boot, Up: c.Now, Valid: k.valid}
 }
 
 // write writes a sign where one is due.
 func (k *Keeper) write() {
-	now := store.Now()
+	now := idempotencystore.Now()
 	k.mu.Lock()
 	due := k.life.Due(now.Now)
 	k.mu.Unlock()
@@ -117,7 +117,7 @@
 	text, err := json.Marshal(r)
 	if err == nil {
 		if err = boundary(); err == nil {
-			err = lasting.Put(k.path, text, os.Rename)
+			err = atomicfile.Put(k.path, text, os.Rename)
 		}
 	}
 	k.mu.Lock()
@@ -161,10 +161,10 @@
 func (k *Keeper) May() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.life.May(store.Now().Now)
+	return k.life.May(idempotencystore.Now().Now)
 }
 
 // Dark is for how long, by now and at the least, no earlier process of the service has begun anything, and by what that is known.
 func (k *Keeper) Dark() (time.Duration, recovery.Evidence) {
-	return k.dark + store.Now().Now - k.found.Now, k.by
+	return k.dark + idempotencystore.Now().Now - k.found.Now, k.by
 }
--- a/internal/store/clock.go
+++ b/internal/storage/idempotencystore/clock.go
@@ -1,4 +1,4 @@
-package store
+package idempotencystore
 
 import (
 	"crypto/rand"
@@ -10,17 +10,17 @@
 
 	"golang.org/x/sys/unix"
 
-	"silverpath/internal/keyed"
+	"silverpath/internal/policy/idempotency"
 )
 
 // Now is the machine's clock: how long it has been switched on, sleep included, and which time that was. Steps of the wall clock
 // move neither. Test programs put another one in its place.
-var Now = func() keyed.Clock {
+var Now = func() idempotency.Clock {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
-		return keyed.Clock{Boot: nobody(), Now: time.Since(started)}
+		return idempotency.Clock{Boot: nobody(), Now: time.Since(started)}
 	}
-	return keyed.Clock{Machine: machine(), Boot: boot(), Now: time.Duration(ts.Nano())}
+	return idempotency.Clock{Machine: machine(), Boot: boot(), Now: time.Duration(ts.Nano())}
 }
 
 var started = time.Now()
--- a/internal/store/file.go
+++ b/internal/storage/idempotencystore/file.go
@@ -1,4 +1,4 @@
-package store
+package idempotencystore
 
 import (
 	"bytes"
@@ -15,8 +15,8 @@
 
 	"go.etcd.io/bbolt"
 
-	"silverpath/internal/keyed"
-	"silverpath/internal/lasting"
+	"silverpath/internal/policy/idempotency"
+	"silverpath/internal/storage/atomicfile"
 )
 
 // FileName is the file in a store's folder.
@@ -54,8 +54,8 @@
 	Clean   bool   `json:"clean"` // closed in good order, and not opened since
 }
 
-func (h header) meta() keyed.Meta {
-	return keyed.Meta{Machine: h.Machine, Boot: h.Boot, Since: time.Duration(h.Since), Whole: h.Whole, Wall: h.Wall}
+func (h header) meta() idempotency.Meta {
+	return idempotency.Meta{Machine: h.Machine, Boot: h.Boot, Since: time.Duration(h.Since), Whole: h.Whole, Wall: h.Wall}
 }
 
 // Fault is asked at every boundary of what is written, by its name, in test programs only: it may wait, end the process, or
@@ -74,7 +74,7 @@
 var table = crc32.MakeTable(crc32.Castagnoli)
 
 // encode is a record as it is written: a checksum, then its fields.
-func encode(r *keyed.Record) []byte {
+func encode(r *idempotency.Record) []byte {
 	b := make([]byte, 4, 64+r.Size())
 	b = append(b, byte(r.State))
 	for _, n := range []uint64{uint64(r.At), uint64(r.Reached), uint64(r.Until), uint64(r.Window), r.Sum} {
@@ -92,13 +92,13 @@
 var errRecord = errors.New("a record that can't be read")
 
 // decode reads a record. What it returns shares nothing with what it read.
-func decode(seq uint64, b []byte) (r keyed.Record, err error) {
+func decode(seq uint64, b []byte) (r idempotency.Record, err error) {
 	const fixed = 4 + 1 + 5*8
 	if len(b) < fixed || len(b) > mostRecord || crc32.Checksum(b[4:], table) != binary.BigEndian.Uint32(b) {
 		return r, errRecord
 	}
-	r.Seq, r.State = seq, keyed.State(b[4])
-	if r.State == keyed.Unknown || r.State >= keyed.Expired {
+	r.Seq, r.State = seq, idempotency.State(b[4])
+	if r.State == idempotency.Unknown || r.State >= idempotency.Expired {
 		return r, errRecord
 	}
 	n := func(i int) uint64 { return binary.BigEndian.Uint64(b[5+8*i:]) }
@@ -161,7 +161,7 @@
 func OpenRead(path string) (*bbolt.DB, error) { return openDB(path, true) }
 
 // openFile opens the file of a folder, or makes one that knows nothing from before now.
-func openFile(path, name string, now keyed.Clock, wall int64) (f *file, made bool, err error) {
+func openFile(path, name string, now idempotency.Clock, wall int64) (f *file, made bool, err error) {
 	if _, err := os.Stat(path); errors.Is(err, fs.ErrNotExist) {
 		h := header{Format: format, ID: newID(), Name: name, Machine: now.Machine, Boot: now.Boot, Since: int64(now.Now), Wall: wall}
 		f, err := writeFile(path, h, nil)
@@ -281,11 +281,11 @@
 
 // each reads records in their order, some at a time, so that no reader holds pages for long. Those that can't be read come as
 // broken.
-func (f *file) each(some int, take func(list []keyed.Record, broken []uint64)) (err error) {
+func (f *file) each(some int, take func(list []idempotency.Record, broken []uint64)) (err error) {
 	defer Caught(&err)()
 	past := uint64(0) // numbers rise: where they don't, damaged pages lead back to themselves
 	for from, more := []byte{}, true; more; {
-		var list []keyed.Record
+		var list []idempotency.Record
 		var broken []uint64
 		err := f.db.View(func(tx *bbolt.Tx) error {
 			c := tx.Bucket(bucketKeys).Cursor()
@@ -359,7 +359,7 @@
 }
 
 // writeFile writes a whole file beside its place, has it last and puts it there: whoever ends meanwhile leaves the old one.
-func writeFile(path string, h header, list func(put func(keyed.Record) error) error) (f *file, err error) {
+func writeFile(path string, h header, list func(put func(idempotency.Record) error) error) (f *file, err error) {
 	next := path + ".next"
 	if err := boundary("rewrite"); err != nil {
 		return nil, err
@@ -377,7 +377,7 @@
 		}
 	}()
 	db.NoSync = true
-	var waiting []keyed.Record
+	var waiting []idempotency.Record
 	flush := func() error {
 		return db.Update(func(tx *bbolt.Tx) error {
 			m, err := tx.CreateBucketIfNotExists(bucketMeta)
@@ -399,7 +399,7 @@
 		})
 	}
 	if list != nil {
-		err = list(func(r keyed.Record) error {
+		err = list(func(r idempotency.Record) error {
 			if waiting = append(waiting, r); len(waiting) >= 4096 {
 				return flush()
 			}
@@ -432,7 +432,7 @@
 	if err != nil {
 		return err
 	}
-	return errors.Join(lasting.Sync(dir), dir.Close())
+	return errors.Join(atomicfile.Sync(dir), dir.Close())
 }
 
 // copyTo writes a copy of the file as it stands, which lasts once it is there.
@@ -454,7 +454,7 @@
 		err = boundary("snapshot.written")
 	}
 	if err == nil {
-		err = lasting.Sync(out)
+		err = atomicfile.Sync(out)
 	}
 	if err = errors.Join(err, out.Close()); err != nil {
 		return err
--- a/internal/store/offline.go
+++ b/internal/storage/idempotencystore/offline.go
@@ -1,4 +1,4 @@
-package store
+package idempotencystore
 
 import (
 	"errors"
@@ -8,7 +8,7 @@
 	"path/filepath"
 	"time"
 
-	"silverpath/internal/keyed"
+	"silverpath/internal/policy/idempotency"
 )
 
 // Summary is what stands in a file of records.
@@ -89,7 +89,7 @@
 	defer f.db.Close()
 	s = Summary{ID: f.head.ID, Name: f.head.Name, Format: f.head.Format, Whole: f.head.Whole, Clean: f.head.Clean,
 		Here: f.head.Boot == Now().Boot, ByState: map[string]int{}, File: f.size()}
-	err = f.each(chunk, func(list []keyed.Record, broken []uint64) {
+	err = f.each(chunk, func(list []idempotency.Record, broken []uint64) {
 		s.Broken += len(broken)
 		s.Records += len(list)
 		for i := range list {
@@ -104,14 +104,14 @@
 }
 
 // Dump hands over every record of a file, in the order of their promises.
-func Dump(path string, take func(keyed.Record) error) error {
+func Dump(path string, take func(idempotency.Record) error) error {
 	f, err := open(path)
 	if err != nil {
 		return err
 	}
 	defer f.db.Close()
 	var bad error
-	err = f.each(chunk, func(list []keyed.Record, broken []uint64) {
+	err = f.each(chunk, func(list []idempotency.Record, broken []uint64) {
 		for i := range list {
 			if bad == nil {
 				bad = take(list[i])
@@ -133,7 +133,7 @@
 		}
 		defer f.db.Close()
 		before = f.size()
-		next, err := f.rewrite(path, f.head, func(r keyed.Record) (keyed.Record, bool) { return r, true })
+		next, err := f.rewrite(path, f.head, func(r idempotency.Record) (idempotency.Record, bool) { return r, true })
 		if err != nil {
 			return err
 		}
@@ -144,10 +144,10 @@
 }
 
 // rewrite writes the records of a file into another one, by what change makes of each.
-func (f *file) rewrite(path string, h header, change func(keyed.Record) (keyed.Record, bool)) (*file, error) {
-	return writeFile(path, h, func(put func(keyed.Record) error) error {
+func (f *file) rewrite(path string, h header, change func(idempotency.Record) (idempotency.Record, bool)) (*file, error) {
+	return writeFile(path, h, func(put func(idempotency.Record) error) error {
 		var bad error
-		err := f.each(chunk, func(list []keyed.Record, broken []uint64) {
+		err := f.each(chunk, func(list []idempotency.Record, broken []uint64) {
 			if len(broken) > 0 {
 				bad = errors.Join(bad, fmt.Errorf("%d records can't be read: a service sets them aside as it starts", len(broken)))
 			}
@@ -197,7 +197,7 @@
 		now := Now()
 		shift := f.head.meta().Shift(last, now)
 		next, err := f.rewrite(path, header{Format: format, ID: newID(), Name: name, Machine: now.Machine, Boot: now.Boot, Since: int64(now.Now), Whole: whole,
-			Wall: time.Now().UnixMilli(), Clean: true}, func(r keyed.Record) (keyed.Record, bool) {
+			Wall: time.Now().UnixMilli(), Clean: true}, func(r idempotency.Record) (idempotency.Record, bool) {
 			r, keep := r.Recover(shift, now.Now)
 			if keep {
 				records++
--- a/internal/store/store.go
+++ b/internal/storage/idempotencystore/store.go
@@ -1,7 +1,7 @@
-// Package store keeps the runs of keyed requests on a disk, so that a restart neither runs one again nor forgets its result. The
+// Package idempotencystore keeps the runs of keyed requests on a disk, so that a restart neither runs one again nor forgets its result. The
 // records lie in a file of the library bbolt, which brings it whole through a loss of power; what may be done with them is
 // decided by the package keyed. One goroutine writes, and every commit serves all who wait for one.
-package store
+package idempotencystore
 
 import (
 	"context"
@@ -18,8 +18,8 @@
 	"golang.org/x/sys/unix"
 
 	"silverpath/internal/events"
-	"silverpath/internal/keyed"
-	"silverpath/internal/stats"
+	"silverpath/internal/metrics"
+	"silverpath/internal/policy/idempotency"
 )
 
 const (
@@ -34,9 +34,9 @@
 // Keys is who acts on what is kept: the core. Times since the machine was switched on are turned into its own, and back, by at.
 type Keys interface {
 	// Restore takes up records that were found, in the order of their promises.
-	Restore(list []keyed.Record, at func(time.Duration) time.Time)
+	Restore(list []idempotency.Record, at func(time.Duration) time.Time)
 	// Kept are all records as they stand, once nothing waits for the disk any more.
-	Kept(at func(time.Time) time.Duration) []keyed.Record
+	Kept(at func(time.Time) time.Duration) []idempotency.Record
 	// Longest is how long after a run a try of it may come, for all classes.
 	LongestWindow() time.Duration
 }
@@ -49,7 +49,7 @@
 	Result int           // set aside for each result that is to come
 	Gather time.Duration // how long a commit waits, at the most, for more that could go with it
 	Log    *log.Logger
-	Stats  *stats.Counters
+	Stats  *metrics.Counters
 }
 
 // Store is an open store.
@@ -58,14 +58,14 @@
 	keys   Keys
 	lock   *os.File
 	log    *log.Logger
-	stats  *stats.Counters
-	commit *stats.Timing
+	stats  *metrics.Counters
+	commit *metrics.Timing
 	bell   chan struct{}
 	over   chan struct{} // closed once the writer has ended
 	loaded chan struct{} // closed once all is read
 
 	mu     sync.Mutex
-	ledger *keyed.Ledger
+	ledger *idempotency.Ledger
 	queue  []op
 	wall   int64 // of the head: since when all is known
 	closed bool
@@ -100,7 +100,7 @@
 	s := &Store{
 		cfg: cfg, keys: keys, lock: lock, file: f, wall: f.head.Wall, log: cfg.Log, stats: cfg.Stats, commit: cfg.Stats.Timing("store_commit"),
 		bell: make(chan struct{}, 1), over: make(chan struct{}), loaded: make(chan struct{}),
-		ledger: keyed.NewLedger(keyed.Limits{Bytes: cfg.Bytes, Result: cfg.Result, Gather: cfg.Gather, Retry: time.Second}),
+		ledger: idempotency.NewLedger(idempotency.Limits{Bytes: cfg.Bytes, Result: cfg.Result, Gather: cfg.Gather, Retry: time.Second}),
 	}
 	if !made && f.head.Clean {
 		h := f.head
@@ -157,19 +157,19 @@
 }
 
 // Begins is what becomes of a new sheet that has so much time.
-func (s *Store) Begins(left time.Duration) keyed.Verdict {
+func (s *Store) Begins(left time.Duration) idempotency.Verdict {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.ledger.Begins(Now().Now, left)
 }
 
 // Promise has a run promised, or says why not. Done is told once the promise lasts, or that it is not known to.
-func (s *Store) Promise(r *keyed.Record, reached, until time.Time, left time.Duration, done func(error)) keyed.Verdict {
+func (s *Store) Promise(r *idempotency.Record, reached, until time.Time, left time.Duration, done func(error)) idempotency.Verdict {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	r.Reached, r.Until = since(reached), since(until)
 	v := s.ledger.Promise(r, Now().Now, left)
-	if v.Do != keyed.Begin {
+	if v.Do != idempotency.Begin {
 		return v
 	}
 	seq := r.Seq
@@ -185,30 +185,30 @@
 }
 
 // Mark has it kept that a key runs elsewhere. Done is told once that lasts.
-func (s *Store) Mark(r *keyed.Record, until time.Time, done func(error)) keyed.Verdict {
+func (s *Store) Mark(r *idempotency.Record, until time.Time, done func(error)) idempotency.Verdict {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	r.Until = since(until)
 	r.Reached = r.Until
 	v := s.ledger.Mark(r, Now().Now)
-	if v.Do == keyed.Begin {
+	if v.Do == idempotency.Begin {
 		s.put(op{seq: r.Seq, value: encode(r), done: done})
 	}
 	return v
 }
 
 // Result has a result kept. Done is told once it lasts. One that does not is as none: every repeat fails.
-func (s *Store) Result(r *keyed.Record, reached, until time.Time, done func(error)) {
+func (s *Store) Result(r *idempotency.Record, reached, until time.Time, done func(error)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	r.State, r.At, r.Reached, r.Until = keyed.Done, Now().Now, since(reached), since(until)
+	r.State, r.At, r.Reached, r.Until = idempotency.Done, Now().Now, since(reached), since(until)
 	seq, size := r.Seq, len(r.Result)
 	s.put(op{seq: seq, value: encode(r), done: func(err error) {
 		s.mu.Lock()
 		if err == nil {
-			s.ledger.Result(seq, keyed.Done, size)
+			s.ledger.Result(seq, idempotency.Done, size)
 		} else {
-			s.ledger.Result(seq, keyed.Failed, 0)
+			s.ledger.Result(seq, idempotency.Failed, 0)
 		}
 		s.mu.Unlock()
 		done(err)
@@ -219,7 +219,7 @@
 func (s *Store) Failed(seq uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.ledger.Result(seq, keyed.Failed, 0)
+	s.ledger.Result(seq, idempotency.Failed, 0)
 }
 
 // Withdraw notes that a run never began.
@@ -272,7 +272,7 @@
 	s.mu.Unlock()
 	var gone, broken []uint64
 	if err == nil {
-		err = f.each(chunk, func(list []keyed.Record, bad []uint64) {
+		err = f.each(chunk, func(list []idempotency.Record, bad []uint64) {
 			boundary("loading")
 			broken = append(broken, bad...)
 			kept := list[:0]
@@ -470,7 +470,7 @@
 func (s *Store) anew() bool {
 	old := s.file
 	list := s.keys.Kept(since)
-	f, err := writeFile(old.path, old.head, func(put func(keyed.Record) error) error {
+	f, err := writeFile(old.path, old.head, func(put func(idempotency.Record) error) error {
 		for _, r := range list {
 			if err := put(r); err != nil {
 				return err
@@ -571,7 +571,7 @@
 }
 
 // View is the store as it stands.
-func (s *Store) View() keyed.View {
+func (s *Store) View() idempotency.View {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.ledger.View(Now().Now)
--- a/internal/store/store_test.go
+++ b/internal/storage/idempotencystore/store_test.go
@@ -1,4 +1,4 @@
-package store
+package idempotencystore
 
 import (
 	"bytes"
@@ -20,19 +20,19 @@
 	"testing"
 	"time"
 
-	"silverpath/internal/keyed"
-	"silverpath/internal/stats"
+	"silverpath/internal/metrics"
+	"silverpath/internal/policy/idempotency"
 )
 
 // contents is what a file gives back: every record by number, as it would be written. An error is damage that was seen.
 func contents(path string) (map[uint64]string, error) {
-	f, _, err := openFile(path, "n", keyed.Clock{}, 0)
+	f, _, err := openFile(path, "n", idempotency.Clock{}, 0)
 	if err != nil {
 		return nil, err
 	}
 	defer f.db.Close()
 	all := map[uint64]string{}
-	err = f.each(3, func(list []keyed.Record, broken []uint64) {
+	err = f.each(3, func(list []idempotency.Record, broken []uint64) {
 		if len(broken) > 0 {
 			err = errors.New("broken records")
 		}
@@ -115,7 +115,7 @@
 func TestPowerGoes(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, FileName)
-	f, _, err := openFile(path, "n", keyed.Clock{Boot: "a"}, 0)
+	f, _, err := openFile(path, "n", idempotency.Clock{Boot: "a"}, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -132,12 +132,12 @@
 		for range 1 + rng.IntN(6) {
 			switch one := slices.Sorted(maps.Keys(live)); {
 			case rng.IntN(2) == 0 || len(one) == 0:
-				r := keyed.Record{Seq: seq, State: keyed.Running, Key: fmt.Sprint("key", seq), ID: "id", Until: 9}
+				r := idempotency.Record{Seq: seq, State: idempotency.Running, Key: fmt.Sprint("key", seq), ID: "id", Until: 9}
 				ops, live[seq] = append(ops, op{seq: seq, value: encode(&r)}), 1
 				seq++
 			default:
 				n := one[rng.IntN(len(one))]
-				r := keyed.Record{Seq: n, State: keyed.Done, Key: fmt.Sprint("key", n), ID: "id", Until: 9, Result: bytes.Repeat([]byte{byte(n)}, rng.IntN(3000))}
+				r := idempotency.Record{Seq: n, State: idempotency.Done, Key: fmt.Sprint("key", n), ID: "id", Until: 9, Result: bytes.Repeat([]byte{byte(n)}, rng.IntN(3000))}
 				if live[n]++; live[n] > 2 {
 					ops = append(ops, op{seq: n, off: true})
 					delete(live, n)
@@ -180,7 +180,7 @@
 
 func contentsOf(f *file) (map[uint64]string, error) {
 	all := map[uint64]string{}
-	err := f.each(100, func(list []keyed.Record, _ []uint64) {
+	err := f.each(100, func(list []idempotency.Record, _ []uint64) {
 		for i := range list {
 			all[list[i].Seq] = string(encode(&list[i]))
 		}
@@ -191,11 +191,11 @@
 // holder stands for who acts on what is kept.
 type holder struct {
 	mu   sync.Mutex
-	all  map[string]keyed.Record
+	all  map[string]idempotency.Record
 	wait time.Duration
 }
 
-func (k *holder) Restore(list []keyed.Record, _ func(time.Duration) time.Time) {
+func (k *holder) Restore(list []idempotency.Record, _ func(time.Duration) time.Time) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for _, r := range list {
@@ -203,7 +203,7 @@
 	}
 }
 
-func (k *holder) Kept(func(time.Time) time.Duration) (list []keyed.Record) {
+func (k *holder) Kept(func(time.Time) time.Duration) (list []idempotency.Record) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for _, r := range k.all {
@@ -216,8 +216,8 @@
 
 func start(t *testing.T, dir string) (*Store, *holder) {
 	t.Helper()
-	k := &holder{all: map[string]keyed.Record{}, wait: 300 * time.Millisecond}
-	s, err := Open(Config{Dir: dir, Name: "n", Bytes: 8 << 20, Result: 1 << 10, Log: log.New(io.Discard, "", 0), Stats: &stats.Counters{}}, k)
+	k := &holder{all: map[string]idempotency.Record{}, wait: 300 * time.Millisecond}
+	s, err := Open(Config{Dir: dir, Name: "n", Bytes: 8 << 20, Result: 1 << 10, Log: log.New(io.Discard, "", 0), Stats: &metrics.Counters{}}, k)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -230,8 +230,8 @@
 func put(t *testing.T, s *Store, key string, result []byte) {
 	t.Helper()
 	done := make(chan error, 1)
-	r, now := keyed.Record{Key: key, ID: "i", Window: time.Minute}, time.Now()
-	if v := s.Promise(&r, now, now.Add(time.Minute), time.Hour, func(err error) { done <- err }); v.Do != keyed.Begin {
+	r, now := idempotency.Record{Key: key, ID: "i", Window: time.Minute}, time.Now()
+	if v := s.Promise(&r, now, now.Add(time.Minute), time.Hour, func(err error) { done <- err }); v.Do != idempotency.Begin {
 		t.Fatalf("%s: %v", key, v)
 	}
 	if err := <-done; err != nil {
@@ -283,7 +283,7 @@
 		if n := len(k.all); kind == "a record" && n < 280 || n >= 300 {
 			t.Errorf("%s: %d of 300 records taken up", kind, n)
 		}
-		if v := s.Begins(time.Second); v.Do != keyed.Fail {
+		if v := s.Begins(time.Second); v.Do != idempotency.Fail {
 			t.Errorf("%s: a sheet that may have run: %v", kind, v)
 		}
 		s.Close()
@@ -291,11 +291,11 @@
 			t.Errorf("%s: set aside: %v", kind, left)
 		}
 		s, _ = start(t, dir)
-		if v := s.Begins(time.Second); v.Do != keyed.Fail {
+		if v := s.Begins(time.Second); v.Do != idempotency.Fail {
 			t.Errorf("%s: after a further restart: %v", kind, v)
 		}
 		time.Sleep(400 * time.Millisecond)
-		if v := s.Begins(time.Second); v.Do != keyed.Begin {
+		if v := s.Begins(time.Second); v.Do != idempotency.Begin {
 			t.Errorf("%s: once it can't matter: %v", kind, v)
 		}
 		put(t, s, "new", make([]byte, 1<<20)) // a result of the largest size
@@ -308,7 +308,7 @@
 
 // Anything that is read as a record is the record that was written, or is not read at all.
 func FuzzRecord(f *testing.F) {
-	f.Add(encode(&keyed.Record{State: keyed.Done, Key: "k", ID: "i", Result: []byte("r")}))
+	f.Add(encode(&idempotency.Record{State: idempotency.Done, Key: "k", ID: "i", Result: []byte("r")}))
 	f.Add([]byte{1, 2, 3})
 	f.Fuzz(func(t *testing.T, b []byte) {
 		r, err := decode(7, b)
--- a/internal/evidence/evidence.go
+++ b/internal/storage/inspect/evidence.go
@@ -1,6 +1,6 @@
-// Package evidence reads what processes keep on disks, without changing anything, and says whose it is, of when, and whether it can be
+// Package inspect reads what processes keep on disks, without changing anything, and says whose it is, of when, and whether it can be
 // trusted as the package recovery has it. Nothing may have the files open.
-package evidence
+package inspect
 
 import (
 	"encoding/binary"
@@ -16,11 +16,11 @@
 
 	"go.etcd.io/bbolt"
 
-	"silverpath/internal/fence"
-	"silverpath/internal/fleet"
-	"silverpath/internal/life"
-	"silverpath/internal/recovery"
-	"silverpath/internal/store"
+	"silverpath/internal/policy/fence"
+	"silverpath/internal/policy/recovery"
+	"silverpath/internal/proxy"
+	"silverpath/internal/storage/heartbeat"
+	"silverpath/internal/storage/idempotencystore"
 )
 
 // Found is what one file or folder proves.
@@ -77,9 +77,9 @@
 	if s, err := os.Stat(path); err != nil || s.IsDir() {
 		return errOther
 	}
-	defer store.Caught(&err)()
-	db, err := store.OpenRead(path)
-	if errors.Is(err, store.ErrInUse) {
+	defer idempotencystore.Caught(&err)()
+	db, err := idempotencystore.OpenRead(path)
+	if errors.Is(err, idempotencystore.ErrInUse) {
 		return err
 	}
 	if err != nil {
@@ -146,11 +146,11 @@
 }
 
 func runs(path string, f *Found) error {
-	at := inFolder(path, store.FileName)
+	at := inFolder(path, idempotencystore.FileName)
 	if err := buckets(at, "keys", func(*bbolt.Tx) error { return nil }); err != nil {
 		return err
 	}
-	s, err := store.Check(at)
+	s, err := idempotencystore.Check(at)
 	if err != nil {
 		return err
 	}
@@ -168,8 +168,8 @@
 
 func router(path string, f *Found) error {
 	return buckets(path, "cells", func(tx *bbolt.Tx) error {
-		m, read, err := fleet.Kept(tx)
-		if errors.Is(err, fleet.ErrNothing) {
+		m, read, err := proxy.Kept(tx)
+		if errors.Is(err, proxy.ErrNothing) {
 			f.say("no map yet")
 			return nil
 		}
@@ -216,11 +216,11 @@
 	if !strings.HasPrefix(headOf(path, 8), `{"sign"`) {
 		return errOther
 	}
-	s, err := life.Read(path)
+	s, err := heartbeat.Read(path)
 	if err != nil {
 		return err
 	}
-	now := store.Now()
+	now := idempotencystore.Now()
 	dark, by := s.Dark(recovery.Sign{Name: s.Name, Machine: now.Machine, Boot: now.Boot, Up: now.Now})
 	f.Of = s.Name
 	f.say("of the machine %q, %v after it was switched on", s.Machine, s.Up.Round(time.Millisecond))
