--- a/internal/lab/bench_test.go
+++ b/internal/testkit/benchmarks/bench_test.go
@@ -1,4 +1,4 @@
-package lab
+package benchmarks
 
 import (
 	"os"
@@ -12,7 +12,7 @@
 	os.Exit(m.Run())
 }
 
-// The measurements, by hand: go test -run '^$' -bench NAME -benchtime 1x -timeout 20m ./internal/lab/. docs/results has what
+// The measurements, by hand: go test -run '^$' -bench NAME -benchtime 1x -timeout 20m ./internal/testkit/benchmarks/. docs/results has what
 // they printed.
 func BenchmarkOverload(b *testing.B)       { Overload(b) }
 func BenchmarkRefusal(b *testing.B)        { Refusal(b) }
--- a/internal/lab/durable.go
+++ b/internal/testkit/benchmarks/durable.go
@@ -1,4 +1,4 @@
-package lab
+package benchmarks
 
 import (
 	"context"
@@ -16,11 +16,11 @@
 	"testing"
 	"time"
 
-	"silverpath/internal/ask"
-	"silverpath/internal/keyed"
-	"silverpath/internal/standin"
-	"silverpath/internal/stats"
-	"silverpath/internal/store"
+	"silverpath/internal/metrics"
+	"silverpath/internal/policy/idempotency"
+	"silverpath/internal/storage/idempotencystore"
+	"silverpath/internal/testkit/standin"
+	"silverpath/internal/transport/client"
 )
 
 // Durable measures a service whose runs are kept on a disk: killed and started anew under load, what it costs, and how it
@@ -48,7 +48,7 @@
 		b.Fatal(err)
 	}
 	if _, err := os.Stat(dir); err != nil {
-		if err := store.Init(dir, name); err != nil {
+		if err := idempotencystore.Init(dir, name); err != nil {
 			b.Fatal(err)
 		}
 	}
@@ -82,7 +82,7 @@
 		if kept { // a sheet that never had a result runs as a new one once its window is over
 			time.Sleep(2*time.Second + time.Second + 2500*time.Millisecond)
 			for _, key := range l.Unserved() {
-				if a, err := ask.Once(ask.Platform, s.Addr, ask.Request{Class: "oddaja", Key: key, Body: []byte(key), Wait: 900 * time.Millisecond}); err != nil || a.Outcome != "served" {
+				if a, err := client.Once(client.Platform, s.Addr, client.Request{Class: "oddaja", Key: key, Body: []byte(key), Wait: 900 * time.Millisecond}); err != nil || a.Outcome != "served" {
 					left++
 				}
 			}
@@ -154,7 +154,7 @@
 	began := time.Now()
 	for c := range clients {
 		all.Go(func() {
-			conn, err := ask.Dial(p.Platform)
+			conn, err := client.Dial(p.Platform)
 			if err != nil {
 				not.Add(1)
 				return
@@ -162,7 +162,7 @@
 			defer conn.Close()
 			for n := 0; time.Since(began) < span; n++ {
 				key, sent := fmt.Sprintf("%d-%d", c, n), time.Now()
-				a := <-conn.Ask(ask.Request{Class: "oddaja", Key: key, Body: []byte(key), Wait: 4 * time.Second})
+				a := <-conn.Ask(client.Request{Class: "oddaja", Key: key, Body: []byte(key), Wait: 4 * time.Second})
 				mu.Lock()
 				if a.Outcome == "served" {
 					times = append(times, time.Since(sent))
@@ -205,16 +205,16 @@
 // forgetful acts on nothing that is kept.
 type forgetful struct{}
 
-func (forgetful) Restore([]keyed.Record, func(time.Duration) time.Time) {}
-func (forgetful) Kept(func(time.Time) time.Duration) (l []keyed.Record) { return l }
-func (forgetful) LongestWindow() time.Duration                          { return 0 }
+func (forgetful) Restore([]idempotency.Record, func(time.Duration) time.Time) {}
+func (forgetful) Kept(func(time.Time) time.Duration) (l []idempotency.Record) { return l }
+func (forgetful) LongestWindow() time.Duration                                { return 0 }
 
 // fill writes so many runs with their results into a store.
 func fill(b *testing.B, dir string, records int) {
-	if err := store.Init(dir, "lab"); err != nil {
+	if err := idempotencystore.Init(dir, "lab"); err != nil {
 		b.Fatal(err)
 	}
-	s, err := store.Open(store.Config{Dir: dir, Name: "lab", Bytes: 1 << 31, Result: 128, Log: log.New(io.Discard, "", 0), Stats: &stats.Counters{}}, forgetful{})
+	s, err := idempotencystore.Open(idempotencystore.Config{Dir: dir, Name: "lab", Bytes: 1 << 31, Result: 128, Log: log.New(io.Discard, "", 0), Stats: &metrics.Counters{}}, forgetful{})
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -224,11 +224,11 @@
 	for from := 0; from < records; from += 1000 {
 		for i := from; i < from+1000; i++ {
 			now := time.Now()
-			r := keyed.Record{Key: fmt.Sprintf("\x00key-%d", i), ID: fmt.Sprintf("%016x", i), Window: 20 * time.Minute}
+			r := idempotency.Record{Key: fmt.Sprintf("\x00key-%d", i), ID: fmt.Sprintf("%016x", i), Window: 20 * time.Minute}
 			all.Add(1)
 			v := s.Promise(&r, now, now.Add(20*time.Minute), time.Hour, func(error) {})
 			r.Result = make([]byte, 100)
-			if v.Do != keyed.Begin {
+			if v.Do != idempotency.Begin {
 				b.Fatal(v)
 			}
 			s.Result(&r, now, now.Add(20*time.Minute), func(error) { all.Done() })
@@ -269,7 +269,7 @@
 		p.found()
 		first := func(class, key string) time.Duration {
 			for n := 0; ; n++ {
-				a, err := ask.Once(ask.Platform, p.Platform, ask.Request{Class: class, Key: key, Body: []byte(key), Wait: time.Second})
+				a, err := client.Once(client.Platform, p.Platform, client.Request{Class: class, Key: key, Body: []byte(key), Wait: time.Second})
 				if err == nil && a.Outcome == "served" || time.Since(began) > time.Minute {
 					return time.Since(began)
 				}
--- a/internal/lab/fleet.go
+++ b/internal/testkit/benchmarks/fleet.go
@@ -1,4 +1,4 @@
-package lab
+package benchmarks
 
 import (
 	"fmt"
@@ -11,10 +11,10 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"silverpath/internal/ask"
-	"silverpath/internal/cells"
-	"silverpath/internal/fleet"
-	"silverpath/internal/standin"
+	"silverpath/internal/policy/cells"
+	"silverpath/internal/proxy"
+	"silverpath/internal/testkit/standin"
+	"silverpath/internal/transport/client"
 )
 
 // Fleet is twelve servers, each with a machine of its own, behind two routers.
@@ -80,7 +80,7 @@
 	for n, p := range f.Servers {
 		f.Map.Servers = append(f.Map.Servers, cells.Server{Name: fmt.Sprint("s", n), Addr: p.Platform, Cell: cellNames[n%len(cellNames)], Weight: 1, From: entered})
 	}
-	if err := fleet.Write(f.MapFile, f.Map); err != nil {
+	if err := proxy.Write(f.MapFile, f.Map); err != nil {
 		return f, err
 	}
 	for n := range routers {
@@ -189,10 +189,10 @@
 func (f *Fleet) Run(to []*Process, loads []TenantLoad, repeats bool, seed uint64) (map[string]*TenantResult, error) {
 	results := map[string]*TenantResult{}
 	var wg sync.WaitGroup
-	var conns []*ask.Conn
+	var conns []*client.Conn
 	for _, p := range to {
 		for range peers {
-			c, err := ask.Dial(p.Platform)
+			c, err := client.Dial(p.Platform)
 			if err != nil {
 				return nil, err
 			}
@@ -205,7 +205,7 @@
 		results[l.Tenant] = res
 		wg.Go(func() {
 			arrivals(rand.New(rand.NewPCG(seed, uint64(n))), l.Rate, l.For, func(rng *rand.Rand, seq int, share Share, at time.Time) {
-				q := ask.Request{Class: share.Class, Tenant: l.Tenant, Wait: patience, HeldKB: 8, Body: fmt.Appendf(nil, "%s-%s-%d", share.Class, l.Tenant, seq)}
+				q := client.Request{Class: share.Class, Tenant: l.Tenant, Wait: patience, HeldKB: 8, Body: fmt.Appendf(nil, "%s-%s-%d", share.Class, l.Tenant, seq)}
 				if share.Class == "oddaja" {
 					q.Key = fmt.Sprintf("%s-%d", l.Tenant, seq)
 				}
@@ -219,16 +219,16 @@
 }
 
 // answer waits for a reply, in bounds.
-func answer(reply <-chan ask.Reply) (ask.Reply, bool) {
+func answer(reply <-chan client.Reply) (client.Reply, bool) {
 	select {
 	case a, ok := <-reply:
 		return a, ok
 	case <-time.After(patience + 2*time.Second):
-		return ask.Reply{}, false
+		return client.Reply{}, false
 	}
 }
 
-func (r *TenantResult) one(c, other *ask.Conn, q ask.Request, s Share, at time.Time, later time.Duration, repeats bool) {
+func (r *TenantResult) one(c, other *client.Conn, q client.Request, s Share, at time.Time, later time.Duration, repeats bool) {
 	a, ok := answer(c.Ask(q))
 	took := time.Since(at)
 	r.mu.Lock()
--- a/internal/lab/floods.go
+++ b/internal/testkit/benchmarks/floods.go
@@ -1,4 +1,4 @@
-package lab
+package benchmarks
 
 import (
 	"encoding/json"
@@ -7,9 +7,9 @@
 	"testing"
 	"time"
 
-	"silverpath/internal/ask"
-	"silverpath/internal/cells"
-	"silverpath/internal/fleet"
+	"silverpath/internal/policy/cells"
+	"silverpath/internal/proxy"
+	"silverpath/internal/transport/client"
 )
 
 var brands = []string{"t0", "t1", "t2", "t3", "t4", "t5"}
@@ -107,7 +107,7 @@
 				time.Sleep(3 * time.Second)
 				p, err := f.Map.PlanMove(time.Now(), "t0", "b", 0)
 				if err == nil {
-					err = fleet.Write(f.MapFile, p.Next)
+					err = proxy.Write(f.MapFile, p.Next)
 				}
 				if err != nil {
 					b.Error(err)
@@ -163,7 +163,7 @@
 		}
 		allocs := func() float64 {
 			var st struct{ Allocations float64 }
-			if body, err := ask.Status(ask.Platform, f.Routers[0].Platform); err != nil || json.Unmarshal(body, &st) != nil {
+			if body, err := client.Status(client.Platform, f.Routers[0].Platform); err != nil || json.Unmarshal(body, &st) != nil {
 				b.Fatal(err)
 			}
 			return st.Allocations
--- a/internal/lab/lab.go
+++ b/internal/testkit/benchmarks/lab.go
@@ -1,7 +1,7 @@
-// Package lab measures whole processes on loopback: the service as a process of its own, a stand-in interpreter whose
+// Package benchmarks measures whole processes on loopback: the service as a process of its own, a stand-in interpreter whose
 // point of collapse only the lab knows, and a load that sends by the clock whatever becomes of it. It is no part of
 // the service; its benchmarks print the tables that docs/results keeps.
-package lab
+package benchmarks
 
 import (
 	"fmt"
@@ -19,9 +19,9 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"silverpath/internal/ask"
-	"silverpath/internal/harness"
-	"silverpath/internal/standin"
+	"silverpath/internal/testkit/harness"
+	"silverpath/internal/testkit/standin"
+	"silverpath/internal/transport/client"
 )
 
 // Site is what the service is told of its place, beside the addresses.
@@ -237,9 +237,9 @@
 // Run sends a load at a service and an interpreter, with cheap calls beside it, and waits for the last answer.
 func (l Load) Run(p *Process, i *standin.Interpreter) (*Result, error) {
 	res := newResult()
-	var conns []*ask.Conn
+	var conns []*client.Conn
 	for range peers {
-		c, err := ask.Dial(p.Platform)
+		c, err := client.Dial(p.Platform)
 		if err != nil {
 			return nil, err
 		}
@@ -251,7 +251,7 @@
 	wg.Go(func() { l.cheap(p, res, stop) })
 	began := time.Now()
 	arrivals(rand.New(rand.NewPCG(l.Seed, 3)), l.Rate, l.For, func(rng *rand.Rand, seq int, share Share, at time.Time) {
-		q := ask.Request{
+		q := client.Request{
 			Class: share.Class, Wait: patience, HeldKB: l.HeldKB, ID: fmt.Sprintf("%016x", seq+1),
 			Body: fmt.Appendf(nil, "%s-%d", share.Class, seq),
 		}
@@ -278,11 +278,11 @@
 }
 
 // one sends one request and counts its answer.
-func (l Load) one(c *ask.Conn, i *standin.Interpreter, q ask.Request, s Share, at time.Time, res *Result) (served bool) {
+func (l Load) one(c *client.Conn, i *standin.Interpreter, q client.Request, s Share, at time.Time, res *Result) (served bool) {
 	i.Read(q.ID, q.HeldKB)
 	defer i.Release(q.ID)
 	sent := time.Now()
-	var a ask.Reply
+	var a client.Reply
 	answered := false
 	select {
 	case a, answered = <-c.Ask(q):
@@ -321,7 +321,7 @@
 }
 
 // repeat sends an answer sheet again. One whose first try was served is cheap: the result is kept.
-func (l Load) repeat(c *ask.Conn, q ask.Request, kept bool, res *Result) {
+func (l Load) repeat(c *client.Conn, q client.Request, kept bool, res *Result) {
 	q.ID = ""
 	first := string(q.Body)
 	intended := time.Now()
@@ -350,7 +350,7 @@
 	ways := []func() (bool, error){
 		func() (bool, error) { return probe(p.Platform) },
 		func() (bool, error) { return probe(p.Platform) },
-		func() (bool, error) { b, err := ask.Status(ask.SCGI, p.SCGI); return len(b) > 0, err },
+		func() (bool, error) { b, err := client.Status(client.SCGI, p.SCGI); return len(b) > 0, err },
 	}
 	if p.edge == "" {
 		ways = ways[:2]
@@ -382,7 +382,7 @@
 
 // probe is a health check on a connection of its own.
 func probe(addr string) (bool, error) {
-	c, err := ask.Dial(addr)
+	c, err := client.Dial(addr)
 	if err != nil {
 		return false, err
 	}
--- a/internal/lab/operators.go
+++ b/internal/testkit/benchmarks/operators.go
@@ -1,4 +1,4 @@
-package lab
+package benchmarks
 
 import (
 	"fmt"
@@ -11,8 +11,8 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"silverpath/internal/msgpackrpc"
-	"silverpath/internal/standin"
+	"silverpath/internal/testkit/standin"
+	"silverpath/internal/transport/msgpackrpc"
 )
 
 // Operators measures how long operators wait for an answer while clients keep the service's one core busy: so many
--- a/internal/lab/overload.go
+++ b/internal/testkit/benchmarks/overload.go
@@ -1,4 +1,4 @@
-package lab
+package benchmarks
 
 import (
 	"encoding/json"
@@ -10,8 +10,8 @@
 	"time"
 
 	"silverpath/deploy"
-	"silverpath/internal/ask"
-	"silverpath/internal/standin"
+	"silverpath/internal/testkit/standin"
+	"silverpath/internal/transport/client"
 )
 
 // The machine of the overload: its point of collapse lies under its cores, which is all that a service is told.
@@ -143,7 +143,7 @@
 			return
 		case <-tick.C:
 		}
-		body, err := ask.Status(ask.Platform, proc.Platform)
+		body, err := client.Status(client.Platform, proc.Platform)
 		if err != nil {
 			continue
 		}
--- a/internal/lab/owner.go
+++ b/internal/testkit/benchmarks/owner.go
@@ -1,4 +1,4 @@
-package lab
+package benchmarks
 
 import (
 	"context"
@@ -20,16 +20,16 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"silverpath/internal/cells"
-	"silverpath/internal/duties"
-	"silverpath/internal/fleet"
-	"silverpath/internal/group"
-	"silverpath/internal/harness"
-	"silverpath/internal/lease"
-	"silverpath/internal/quorum/member"
+	"silverpath/internal/controlplane/quorum/member"
+	"silverpath/internal/policy/cells"
+	"silverpath/internal/policy/controller"
+	"silverpath/internal/policy/lease"
+	"silverpath/internal/policy/statemachine"
+	"silverpath/internal/proxy"
 	"silverpath/internal/settings"
-	"silverpath/internal/standin"
-	"silverpath/internal/standin/faults"
+	"silverpath/internal/testkit/harness"
+	"silverpath/internal/testkit/standin"
+	"silverpath/internal/testkit/standin/faults"
 )
 
 // asMember makes the lab's own program that of members, with a disk that stalls while a file says so. It is for what the
@@ -184,7 +184,7 @@
 		r.ways = append(r.ways, way)
 		m.Servers = append(m.Servers, cells.Server{Name: fmt.Sprint("s", i), Addr: r.servers[i].Platform, Mgmt: way.Addr(), Cell: string(rune('a' + i%2)), Weight: 1})
 	}
-	return r, fleet.Series{Dir: r.dir}.Put(1, settings.FormatCells(m))
+	return r, proxy.Series{Dir: r.dir}.Put(1, settings.FormatCells(m))
 }
 
 func ownerMap() *cells.Map {
@@ -237,13 +237,13 @@
 		marks[i] = len(p.Log())
 	}
 	before := slices.Clone(r.servers)
-	head, _, err := fleet.Series{Dir: r.dir}.Head()
+	head, _, err := proxy.Series{Dir: r.dir}.Head()
 	if err != nil {
 		broke("%v", err)
 		return o
 	}
 	var owners []*harness.Process
-	both := []string{duties.MapKeeper, duties.Conducts}
+	both := []string{controller.MapKeeper, controller.Conducts}
 	own := func() {
 		p, err := r.g.Owner(fmt.Sprint("o", len(owners)), r.dir, both, nil, nil)
 		if err != nil {
@@ -268,7 +268,7 @@
 		}
 		return err != nil
 	}
-	if fail(r.g.Submit(duties.Conducts, roll, duties.KindRoll, duties.Roll{CellMost: 1, AllMost: 2, DwellMS: 60, BackMS: 8000})) {
+	if fail(r.g.Submit(controller.Conducts, roll, controller.KindRoll, controller.Roll{CellMost: 1, AllMost: 2, DwellMS: 60, BackMS: 8000})) {
 		return o
 	}
 	t := int(seed) % 31 * 2
@@ -278,7 +278,7 @@
 		if tenant.Homes[len(tenant.Homes)-1].Cell == "b" {
 			to = "a"
 		}
-		if fail(r.g.Submit(duties.MapKeeper, id, duties.KindMove, duties.Move{Tenant: tenant.Name, To: to})) {
+		if fail(r.g.Submit(controller.MapKeeper, id, controller.KindMove, controller.Move{Tenant: tenant.Name, To: to})) {
 			return o
 		}
 	}
@@ -346,19 +346,19 @@
 		}
 	}
 	for _, id := range moves {
-		if it, err := r.g.Over(duties.MapKeeper, id, 20*time.Second); fail(err) {
+		if it, err := r.g.Over(controller.MapKeeper, id, 20*time.Second); fail(err) {
 			return o
-		} else if it.State == duties.Done {
+		} else if it.State == controller.Done {
 			o.finished++
 		} else {
 			o.given = append(o.given, it.Note)
 		}
 	}
-	it, err := r.g.Over(duties.Conducts, roll, 60*time.Second)
+	it, err := r.g.Over(controller.Conducts, roll, 60*time.Second)
 	if fail(err) {
 		return o
 	}
-	if it.State == duties.Done {
+	if it.State == controller.Done {
 		o.finished++
 	} else {
 		o.given = append(o.given, it.Note)
@@ -369,13 +369,13 @@
 		}
 	}
 	r.judge(&o, broke, marks, before, it)
-	after, _, err := fleet.Series{Dir: r.dir}.Head()
+	after, _, err := proxy.Series{Dir: r.dir}.Head()
 	if fail(err) {
 		return o
 	}
 	for k, id := range moves {
 		mv, _ := r.g.View()
-		did := mv.Journals[duties.MapKeeper].Item(id).State == duties.Done
+		did := mv.Journals[controller.MapKeeper].Item(id).State == controller.Done
 		grown := len(after.Tenants[t+k].Homes) - len(head.Tenants[t+k].Homes)
 		if did && grown != 1 || !did && grown != 0 {
 			broke("%s: %v, and %d homes more", id, did, grown)
@@ -385,7 +385,7 @@
 }
 
 // judge reads the servers' own records: when each was out, and by whose orders.
-func (r *rig) judge(o *outcome, broke func(string, ...any), marks []int, before []*Process, it duties.Item) {
+func (r *rig) judge(o *outcome, broke func(string, ...any), marks []int, before []*Process, it controller.Item) {
 	type event struct {
 		at     string
 		server int
@@ -434,7 +434,7 @@
 			broke("%d out at %s, by cell %v", len(out), e.at, cell)
 		}
 	}
-	if it.State == duties.Done && len(out) > 0 {
+	if it.State == controller.Done && len(out) > 0 {
 		broke("after the roll %v are out", out)
 	}
 }
@@ -522,7 +522,7 @@
 		count(v.name, func(tenant string) error {
 			return exec.Command(v.bin, "cells", "move", "--map", file, "--tenant", tenant, "--to", "b").Run()
 		}, func(t int) int {
-			m, err := fleet.Read(file)
+			m, err := proxy.Read(file)
 			if err != nil {
 				b.Fatal(err)
 			}
@@ -535,10 +535,10 @@
 		b.Logf("%v", err) // a map without servers is none: the one with them follows
 	}
 	dir := b.TempDir()
-	if err := (fleet.Series{Dir: dir}).Put(1, settings.FormatCells(m)); err != nil {
+	if err := (proxy.Series{Dir: dir}).Put(1, settings.FormatCells(m)); err != nil {
 		b.Fatal(err)
 	}
-	p, err := r.g.Owner("o", dir, []string{duties.MapKeeper}, nil, nil)
+	p, err := r.g.Owner("o", dir, []string{controller.MapKeeper}, nil, nil)
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -546,7 +546,7 @@
 	count("this, by the keeper", func(tenant string) error {
 		return exec.Command(bin, "cells", "move", "--group", "test", "--members", strings.Join(r.g.Client.Addrs, ","), "--tenant", tenant, "--to", "b").Run()
 	}, func(t int) int {
-		m, _, err := fleet.Series{Dir: dir}.Head()
+		m, _, err := proxy.Series{Dir: dir}.Head()
 		if err != nil {
 			b.Fatal(err)
 		}
@@ -596,7 +596,7 @@
 
 // restCost is what the group says and writes while one owner holds all duties and nothing happens.
 func restCost(b *testing.B, r *rig, dir string) string {
-	p, err := r.g.Owner("rest", dir, duties.Names, nil, nil)
+	p, err := r.g.Owner("rest", dir, controller.Names, nil, nil)
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -649,7 +649,7 @@
 		defer w.Close()
 		ways, addrs = append(ways, w), append(addrs, w.Addr())
 	}
-	keeper := []string{duties.MapKeeper}
+	keeper := []string{controller.MapKeeper}
 	one, err := r.g.Owner(fmt.Sprint("one", n), dir, keeper, addrs, nil)
 	if err != nil {
 		return 0, false, err
@@ -664,7 +664,7 @@
 	}
 	defer next.Kill()
 	for end := time.Now().Add(10 * time.Second); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
-		if v, err := r.g.View(); err == nil && len(v.Table.Duties[duties.MapKeeper].Queue) == 1 {
+		if v, err := r.g.View(); err == nil && len(v.Table.Duties[controller.MapKeeper].Queue) == 1 {
 			break
 		}
 	}
@@ -734,7 +734,7 @@
 			wg.Go(func() {
 				for n := 0; time.Now().Before(end); n++ {
 					began := time.Now()
-					r, err := g.Do(group.Command{Ask: &lease.Ask{Op: lease.Pause, Duty: duties.Watches, Why: fmt.Sprint(k, n)}})
+					r, err := g.Do(statemachine.Command{Ask: &lease.Ask{Op: lease.Pause, Duty: controller.Watches, Why: fmt.Sprint(k, n)}})
 					if err != nil || r.Error != "" {
 						b.Error(err, r.Error)
 						return
@@ -847,15 +847,15 @@
 	for n := range m.Servers {
 		m.Servers[n].Mgmt = f.Servers[n].Mgmt
 	}
-	if err := (fleet.Series{Dir: dir}).Put(1, settings.FormatCells(&m)); err != nil {
+	if err := (proxy.Series{Dir: dir}).Put(1, settings.FormatCells(&m)); err != nil {
 		return err
 	}
-	o, err := g.Owner("o", dir, []string{duties.Conducts}, nil, nil)
+	o, err := g.Owner("o", dir, []string{controller.Conducts}, nil, nil)
 	if err != nil {
 		return err
 	}
 	defer o.Kill()
-	if err := g.Submit(duties.Conducts, "r", duties.KindRoll, duties.Roll{CellMost: 1, AllMost: 3, DwellMS: 2500, BackMS: 10000}); err != nil {
+	if err := g.Submit(controller.Conducts, "r", controller.KindRoll, controller.Roll{CellMost: 1, AllMost: 3, DwellMS: 2500, BackMS: 10000}); err != nil {
 		return err
 	}
 	stop := make(chan struct{})
@@ -879,7 +879,7 @@
 			}
 		})
 	}
-	_, err = g.Over(duties.Conducts, "r", time.Minute)
+	_, err = g.Over(controller.Conducts, "r", time.Minute)
 	close(stop)
 	wg.Wait()
 	return err
--- a/internal/lab/ownersim.go
+++ b/internal/testkit/benchmarks/ownersim.go
@@ -1,4 +1,4 @@
-package lab
+package benchmarks
 
 import (
 	"errors"
@@ -7,11 +7,11 @@
 	"slices"
 	"time"
 
-	"silverpath/internal/cells"
-	"silverpath/internal/duties"
-	"silverpath/internal/fence"
-	"silverpath/internal/group"
-	"silverpath/internal/lease"
+	"silverpath/internal/policy/cells"
+	"silverpath/internal/policy/controller"
+	"silverpath/internal/policy/fence"
+	"silverpath/internal/policy/lease"
+	"silverpath/internal/policy/statemachine"
 	"silverpath/internal/settings"
 )
 
@@ -22,7 +22,7 @@
 	rng      *rand.Rand
 	now      time.Duration
 	wall     time.Time
-	state    *group.State
+	state    *statemachine.State
 	watch    *lease.Watch
 	groupUp  bool
 	upAt     time.Duration
@@ -47,18 +47,18 @@
 	hz       float64
 	frozen   time.Duration
 	holders  map[string]*lease.Holder
-	conducts duties.Conductor
-	keeper   duties.Keeper
+	conducts controller.Conductor
+	keeper   controller.Keeper
 	pending  map[string]*simAct // decided and checked, and not done yet
-	seen     map[string]duties.Seen
+	seen     map[string]controller.Seen
 	epochs   map[string]lease.Epoch
 }
 
 type simAct struct {
 	at  time.Duration
-	act duties.Act
+	act controller.Act
 	e   lease.Epoch
-	j   duties.Journal
+	j   controller.Journal
 }
 
 type simServer struct {
@@ -86,7 +86,7 @@
 
 // NewOwnerSim returns a schedule.
 func NewOwnerSim(seed uint64) *OwnerSim {
-	s := &OwnerSim{rng: rand.New(rand.NewPCG(seed, 18)), state: group.New(1), groupUp: true, places: map[int][]byte{},
+	s := &OwnerSim{rng: rand.New(rand.NewPCG(seed, 18)), state: statemachine.New(1), groupUp: true, places: map[int][]byte{},
 		wall: time.UnixMilli(1_700_000_000_000)}
 	terms := lease.Terms{TTL: simLease, Drift: 0.05}
 	s.state.Terms = terms
@@ -105,18 +105,18 @@
 	s.places[1] = settings.FormatCells(m)
 	for i := range 3 {
 		o := &simOwner{name: fmt.Sprint("o", i), hz: 1 + 0.05*(2*s.rng.Float64()-1), holders: map[string]*lease.Holder{},
-			pending: map[string]*simAct{}, seen: map[string]duties.Seen{}, epochs: map[string]lease.Epoch{}}
-		for _, d := range []string{duties.MapKeeper, duties.Conducts} {
+			pending: map[string]*simAct{}, seen: map[string]controller.Seen{}, epochs: map[string]lease.Epoch{}}
+		for _, d := range []string{controller.MapKeeper, controller.Conducts} {
 			o.holders[d] = lease.NewHolder(d, o.name, terms)
 		}
-		o.keeper.Codec = duties.Codec{Format: settings.FormatCells, Parse: settings.ParseCells}
+		o.keeper.Codec = controller.Codec{Format: settings.FormatCells, Parse: settings.ParseCells}
 		s.owners = append(s.owners, o)
 	}
 	for i := range simMoves {
-		s.state.Apply(group.Command{Submit: &group.Submit{Duty: duties.MapKeeper, ID: fmt.Sprint("m", i), Kind: duties.KindMove,
+		s.state.Apply(statemachine.Command{Submit: &statemachine.Submit{Duty: controller.MapKeeper, ID: fmt.Sprint("m", i), Kind: controller.KindMove,
 			Args: fmt.Appendf(nil, `{"tenant":"t%d","to":"b"}`, i)}})
 	}
-	s.state.Apply(group.Command{Submit: &group.Submit{Duty: duties.Conducts, ID: "r", Kind: duties.KindRoll,
+	s.state.Apply(statemachine.Command{Submit: &statemachine.Submit{Duty: controller.Conducts, ID: "r", Kind: controller.KindRoll,
 		Args: []byte(`{"cell_most":1,"all_most":2,"dwell_ms":30,"back_ms":60000}`)}})
 	return s
 }
@@ -188,7 +188,7 @@
 		s.watch.Waits(a.Duty, a.Who, s.now)
 		return *d, ending || a.Op == lease.Renew && (d.Holder != a.Who || d.Epoch != a.Epoch)
 	}
-	r := s.state.Apply(group.Command{Ask: &a})
+	r := s.state.Apply(statemachine.Command{Ask: &a})
 	if r.Duty == nil {
 		return lease.Duty{}, true
 	}
@@ -199,7 +199,7 @@
 // own is an owner's turn: its leases, then, of each duty, what it had decided, or a new decision.
 func (s *OwnerSim) own(o *simOwner) {
 	clock := time.Duration(float64(s.now) * o.hz)
-	for _, name := range []string{duties.MapKeeper, duties.Conducts} {
+	for _, name := range []string{controller.MapKeeper, controller.Conducts} {
 		h := o.holders[name]
 		if a, ok := h.Next(clock); ok && s.groupUp && !s.chance(0.05) {
 			d, no := s.ask(a)
@@ -226,7 +226,7 @@
 		j := *s.state.Journal(name)
 		j.Items = slices.Clone(j.Items)
 		act := s.decide(o, name, &j, e, clock)
-		if act.Kind == duties.Rest {
+		if act.Kind == controller.Rest {
 			continue
 		}
 		// It has checked that it owns the duty; it may be stopped before it acts, and between an act and its outcome.
@@ -253,41 +253,41 @@
 	return m, raw
 }
 
-func (s *OwnerSim) decide(o *simOwner, name string, j *duties.Journal, e lease.Epoch, clock time.Duration) duties.Act {
+func (s *OwnerSim) decide(o *simOwner, name string, j *controller.Journal, e lease.Epoch, clock time.Duration) controller.Act {
 	m, raw := s.head()
-	if name == duties.MapKeeper {
-		h := duties.Head{Map: m, Raw: raw}
+	if name == controller.MapKeeper {
+		h := controller.Head{Map: m, Raw: raw}
 		for v := range s.places {
 			h.Top = max(h.Top, v)
 		}
-		if it := j.Current(); it != nil && it.State == duties.Intent {
+		if it := j.Current(); it != nil && it.State == controller.Intent {
 			if plan, err := settings.ParseCells([]byte(it.Plan)); err == nil {
 				h.Place = s.places[plan.Version]
 			}
 		}
 		return o.keeper.Next(j, h, uint64(e), s.wall.Add(s.now))
 	}
-	var list []duties.Member
+	var list []controller.Member
 	for _, x := range m.Servers {
-		list = append(list, duties.Member{Name: x.Name, Cell: x.Cell, Mgmt: x.Mgmt})
+		list = append(list, controller.Member{Name: x.Name, Cell: x.Cell, Mgmt: x.Mgmt})
 	}
 	for _, x := range s.servers {
-		o.seen[x.name] = duties.Seen{At: clock, Reachable: x.up <= s.now, Ready: x.up <= s.now && !x.out}
+		o.seen[x.name] = controller.Seen{At: clock, Reachable: x.up <= s.now, Ready: x.up <= s.now && !x.out}
 	}
 	return o.conducts.Next(j, uint64(e), list, o.seen, clock)
 }
 
 func (s *OwnerSim) act(o *simOwner, name string, p *simAct) {
 	switch p.act.Kind {
-	case duties.WriteDown:
+	case controller.WriteDown:
 		if s.groupUp {
 			w := p.act.Write
 			w.Duty, w.Who, w.Epoch, w.Step = name, o.name, p.e, p.j.Step+1
-			s.state.Apply(group.Command{Write: &w})
+			s.state.Apply(statemachine.Command{Write: &w})
 		}
-	case duties.Publish, duties.Withdraw:
+	case controller.Publish, controller.Withdraw:
 		raw := p.act.Raw
-		if p.act.Kind == duties.Withdraw {
+		if p.act.Kind == controller.Withdraw {
 			raw = []byte("withdrawn\n")
 		}
 		if s.places[p.act.Version] == nil || s.NoPlaces { // else the place is taken
@@ -300,7 +300,7 @@
 				s.edits = lease.Epoch(m.Epoch)
 			}
 		}
-	case duties.Send:
+	case controller.Send:
 		it := p.j.Current()
 		act := "rejoin"
 		if p.act.Order.Evacuate {
@@ -386,7 +386,7 @@
 }
 
 func (s *OwnerSim) over() bool {
-	for _, name := range []string{duties.MapKeeper, duties.Conducts} {
+	for _, name := range []string{controller.MapKeeper, controller.Conducts} {
 		if s.state.Journal(name).Current() != nil {
 			return false
 		}
@@ -401,19 +401,19 @@
 	}
 	m, _ := s.head()
 	for i := range simMoves {
-		it := s.state.Journal(duties.MapKeeper).Item(fmt.Sprint("m", i))
+		it := s.state.Journal(controller.MapKeeper).Item(fmt.Sprint("m", i))
 		homes := len(m.Tenants[i].Homes)
 		switch {
-		case it.State == duties.Done && homes == 2:
+		case it.State == controller.Done && homes == 2:
 			s.Finished++
-		case it.State == duties.Failed && homes == 1: // given up by the rule
+		case it.State == controller.Failed && homes == 1: // given up by the rule
 		default:
 			s.broke("%s is %s (%s), t%d has %d homes", it.ID, it.State, it.Note, i, homes)
 		}
 	}
-	r := s.state.Journal(duties.Conducts).Item("r")
+	r := s.state.Journal(controller.Conducts).Item("r")
 	switch r.State {
-	case duties.Done:
+	case controller.Done:
 		s.Finished++
 		for _, x := range s.servers {
 			if x.out {
@@ -423,7 +423,7 @@
 				s.broke("%s was out %d times, it started %d times anew", x.name, x.outs, x.again)
 			}
 		}
-	case duties.Failed:
+	case controller.Failed:
 	default:
 		s.broke("the roll is %s: %s", r.State, r.Note)
 	}
--- a/internal/lab/parts.go
+++ b/internal/testkit/benchmarks/parts.go
@@ -1,4 +1,4 @@
-package lab
+package benchmarks
 
 import (
 	"context"
@@ -19,15 +19,15 @@
 	"testing"
 	"time"
 
-	"silverpath/internal/capacity"
-	"silverpath/internal/cells"
-	"silverpath/internal/fleet"
-	"silverpath/internal/harness"
-	"silverpath/internal/hollow"
-	"silverpath/internal/lease"
-	"silverpath/internal/quorum"
-	"silverpath/internal/rulebook"
+	"silverpath/internal/controlplane/quorum"
+	"silverpath/internal/policy/capacity"
+	"silverpath/internal/policy/cells"
+	"silverpath/internal/policy/configstore"
+	"silverpath/internal/policy/lease"
+	"silverpath/internal/proxy"
 	"silverpath/internal/settings"
+	"silverpath/internal/testkit/harness"
+	"silverpath/internal/testkit/hollow"
 )
 
 // Parts measures a map that a group agrees on, by the tenants in it and with faults, beside the program as it was (SILVERPATH_BASELINE).
@@ -40,14 +40,14 @@
 		b.Fatal(err)
 	}
 	if p.file == "" {
-		p.file = filepath.Join("..", "..", "docs", "results", "parts.json")
+		p.file = filepath.Join("..", "..", "..", "docs", "results", "parts.json")
 	}
 	if text, err := os.ReadFile(p.file); err == nil {
 		if err := json.Unmarshal(text, &p.plays); err != nil {
 			b.Fatalf("%s: %v", p.file, err)
 		}
 	}
-	p.res = partsResults{Command: "go test -run '^$' -bench 'Parts$' -benchtime 1x -timeout 20m ./internal/lab/", Machine: scaleMachine(),
+	p.res = partsResults{Command: "go test -run '^$' -bench 'Parts$' -benchtime 1x -timeout 20m ./internal/testkit/benchmarks/", Machine: scaleMachine(),
 		Program: (&scale{bin: p.bin}).program(), Hollow: p.hollow, Real: partsRouters}
 	if p.base != "" {
 		p.res.Baseline = (&scale{bin: p.base}).program()
@@ -464,7 +464,7 @@
 			fmt.Sscan(m[2], &min)
 			fmt.Sscan(m[3], &sec)
 			at := time.Now().UTC().Truncate(24 * time.Hour).Add(time.Duration(h)*time.Hour + time.Duration(min)*time.Minute + time.Duration(sec*float64(time.Second)))
-			if id, ok := rulebook.ParseID(m[5]); ok {
+			if id, ok := configstore.ParseID(m[5]); ok {
 				r.acts[m[4]] = append(r.acts[m[4]], moment{at, id.Version})
 			}
 		}
@@ -526,11 +526,11 @@
 	defer r.mu.Unlock()
 	r.took[i] = nil
 	var f *hollow.Follower
-	f, err = hollow.NewFollower(hollow.FollowerConfig{Name: fmt.Sprint("follower", i), Group: g, Docs: []string{rulebook.DocMap}, Took: func(string) {
+	f, err = hollow.NewFollower(hollow.FollowerConfig{Name: fmt.Sprint("follower", i), Group: g, Docs: []string{configstore.DocMap}, Took: func(string) {
 		at := time.Now()
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		r.took[i] = append(r.took[i], moment{at, f.Acts(rulebook.DocMap)})
+		r.took[i] = append(r.took[i], moment{at, f.Acts(configstore.DocMap)})
 	}})
 	r.followers[i] = f
 	return err
@@ -609,10 +609,10 @@
 func (r *partsRig) insist(within time.Duration) (version, tries int, err error) {
 	for end := time.Now().Add(within); ; time.Sleep(50 * time.Millisecond) {
 		tries++
-		if version, err = r.put(rulebook.DocMap, r.file); err == nil || time.Now().After(end) {
+		if version, err = r.put(configstore.DocMap, r.file); err == nil || time.Now().After(end) {
 			return version, tries, err
 		}
-		if !strings.Contains(err.Error(), rulebook.ErrUnder.Error()) && !strings.Contains(err.Error(), rulebook.ErrBase.Error()) && !strings.Contains(err.Error(), quorum.ErrNoGroup.Error()) {
+		if !strings.Contains(err.Error(), configstore.ErrUnder.Error()) && !strings.Contains(err.Error(), configstore.ErrBase.Error()) && !strings.Contains(err.Error(), quorum.ErrNoGroup.Error()) {
 			return version, tries, err
 		}
 	}
@@ -672,7 +672,7 @@
 	var all sync.WaitGroup
 	all.Go(func() { // one after the other, as they come into force
 		for q := range queue {
-			at, err := r.everywhere(rulebook.DocMap, q.version, partsPatience)
+			at, err := r.everywhere(configstore.DocMap, q.version, partsPatience)
 			if s.Changes[q.i].InForce = at.Sub(q.due).Seconds(); err != nil {
 				s.Changes[q.i].InForce = -1
 				fail(fmt.Errorf("change %d: %w", q.i, err))
@@ -761,7 +761,7 @@
 		}
 		return s, err
 	}
-	at, err := r.everywhere(rulebook.DocMap, version, partsPatience)
+	at, err := r.everywhere(configstore.DocMap, version, partsPatience)
 	if err != nil {
 		return s, err
 	}
@@ -787,7 +787,7 @@
 	}
 	dir := r.p.dir()
 	file := filepath.Join(dir, "cells.json")
-	if err := fleet.Write(file, r.m); err != nil {
+	if err := proxy.Write(file, r.m); err != nil {
 		return s, err
 	}
 	if r.plain, err = Route(r.bin, dir, partsSite, fmt.Sprintf(`{"status":true,"fleet":{"map":%q,"state":%q%s}}`, file, filepath.Join(dir, "state.db"), r.fleet)); err != nil {
@@ -820,7 +820,7 @@
 			break
 		}
 		done++
-		at, err := r.everywhere(rulebook.DocMap, version, partsPatience)
+		at, err := r.everywhere(configstore.DocMap, version, partsPatience)
 		if err != nil {
 			s.Failures = append(s.Failures, err.Error())
 			continue
@@ -975,10 +975,10 @@
 		}
 		r.docs, r.fleet = `["map","classes"]`, ""
 		r.m = scaleMap(places(4), 1, 20)
-		if err := r.document(rulebook.DocMap); err != nil {
+		if err := r.document(configstore.DocMap); err != nil {
 			return err
 		}
-		for _, doc := range []string{rulebook.DocMap, rulebook.DocClasses} {
+		for _, doc := range []string{configstore.DocMap, configstore.DocClasses} {
 			if err := r.document(doc); err != nil {
 				return err
 			}
@@ -999,7 +999,7 @@
 	for i := range puts {
 		for k := range rigs {
 			r := rigs[(i+k)%len(rigs)] // neither is always the first
-			for _, doc := range []string{rulebook.DocClasses, rulebook.DocMap} {
+			for _, doc := range []string{configstore.DocClasses, configstore.DocMap} {
 				s := all[r.build+doc]
 				if s == nil {
 					s = &partsStretch{Build: r.build, Name: doc}
@@ -1026,7 +1026,7 @@
 			}
 		}
 	}
-	for _, doc := range []string{rulebook.DocClasses, rulebook.DocMap} {
+	for _, doc := range []string{configstore.DocClasses, configstore.DocMap} {
 		for _, r := range rigs {
 			p.res.Fleet = append(p.res.Fleet, *all[r.build+doc])
 		}
@@ -1036,7 +1036,7 @@
 
 // document writes the next version of a document.
 func (r *partsRig) document(doc string) error {
-	if doc == rulebook.DocMap {
+	if doc == configstore.DocMap {
 		return r.turn()
 	}
 	r.n++
--- a/internal/lab/partsschedules.go
+++ b/internal/testkit/benchmarks/partsschedules.go
@@ -1,4 +1,4 @@
-package lab
+package benchmarks
 
 import (
 	"context"
@@ -16,12 +16,12 @@
 	"testing"
 	"time"
 
-	"silverpath/internal/ask"
-	"silverpath/internal/cells"
-	"silverpath/internal/fleet"
-	"silverpath/internal/harness"
-	"silverpath/internal/rulebook"
+	"silverpath/internal/policy/cells"
+	"silverpath/internal/policy/configstore"
+	"silverpath/internal/proxy"
 	"silverpath/internal/settings"
+	"silverpath/internal/testkit/harness"
+	"silverpath/internal/transport/client"
 )
 
 // partsFaultRig is a rulesRig whose map is in parts. It knows each version that the group had, and looks whether routers acted on anything
@@ -29,7 +29,7 @@
 type partsFaultRig struct {
 	*rulesRig
 	unsure bool // what is in force is not known to be Map
-	had    map[string]*rulebook.Entry
+	had    map[string]*configstore.Entry
 	top    map[int]string // their names by version
 	sum    partsOutcome
 
@@ -58,7 +58,7 @@
 const small = 0.01
 
 func newPartsFaultRig(bin, dir string, servers, routers, tenants int) (*partsFaultRig, error) {
-	r := &partsFaultRig{had: map[string]*rulebook.Entry{}, top: map[int]string{}, acked: map[int]bool{}}
+	r := &partsFaultRig{had: map[string]*configstore.Entry{}, top: map[int]string{}, acked: map[int]bool{}}
 	var err error
 	r.rulesRig, err = newRulesRigBy(bin, dir, servers, routers, func(m *cells.Map) {
 		// So short that a move is over within a schedule or two, and one that is held up on its way comes too late.
@@ -74,7 +74,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
 	b, err := r.g.Client.Rules(ctx)
-	if err == nil && !b.Book.Docs[rulebook.DocMap].Force.Split {
+	if err == nil && !b.Book.Docs[configstore.DocMap].Force.Split {
 		err = fmt.Errorf("a map of %d tenants is not in parts", tenants)
 	}
 	return r, err
@@ -142,7 +142,7 @@
 		server("c")
 	}
 	file := filepath.Join(r.dir, "next.json")
-	if err := fleet.Write(file, &m); err != nil {
+	if err := proxy.Write(file, &m); err != nil {
 		return err
 	}
 	args, wait := []string{"--wait"}, n%3 > 0
@@ -186,7 +186,7 @@
 // keptBy looks at the map that a router which was killed has kept: its parts have to come to the digest of the version that it was
 // taken as.
 func (r *partsFaultRig) keptBy(router int) string {
-	src, err := fleet.OpenAgreed(filepath.Join(r.sub(fmt.Sprint("r", router)), "state.db"))
+	src, err := proxy.OpenAgreed(filepath.Join(r.sub(fmt.Sprint("r", router)), "state.db"))
 	if err != nil {
 		return err.Error()
 	}
@@ -202,7 +202,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.kept = append(r.kept, fmt.Sprintf("%016x", digest))
-	if sum := rulebook.SumOf(settings.SplitCells(m)); sum != digest {
+	if sum := configstore.SumOf(settings.SplitCells(m)); sum != digest {
 		return fmt.Sprintf("what it kept as %016x comes to %016x", digest, sum)
 	}
 	return ""
@@ -219,7 +219,7 @@
 		broke("%v", err)
 		return
 	}
-	d := b.Book.Docs[rulebook.DocMap]
+	d := b.Book.Docs[configstore.DocMap]
 	for _, e := range append(slices.Clone(d.History), d.Force) {
 		name := e.ID.String()
 		if r.had[name] == nil {
@@ -302,7 +302,7 @@
 				}
 			}
 			offs += len(mapIsOff.FindAllString(log, -1))
-			acted = append(acted, harness.ActsOf(fmt.Sprint(p.Platform, "-", k), h, rulebook.DocMap)...)
+			acted = append(acted, harness.ActsOf(fmt.Sprint(p.Platform, "-", k), h, configstore.DocMap)...)
 		}
 	}
 	o.acts, o.offs = acts-r.sum.acts, offs-r.sum.offs
@@ -334,7 +334,7 @@
 		Fleet   struct{ Rules json.RawMessage }
 		Follows json.RawMessage
 	}
-	body, err := ask.Status(ask.Platform, p.Platform)
+	body, err := client.Status(client.Platform, p.Platform)
 	if err == nil {
 		err = json.Unmarshal(body, &s)
 	}
@@ -354,7 +354,7 @@
 			ID string `json:"map_id"`
 		}
 	}
-	if body, err := ask.Status(ask.Platform, p.Platform); err == nil && json.Unmarshal(body, &s) == nil {
+	if body, err := client.Status(client.Platform, p.Platform); err == nil && json.Unmarshal(body, &s) == nil {
 		id = s.Fleet.ID
 	}
 	return acts, id
--- a/internal/lab/partssim.go
+++ b/internal/testkit/benchmarks/partssim.go
@@ -1,4 +1,4 @@
-package lab
+package benchmarks
 
 import (
 	"container/heap"
@@ -10,10 +10,10 @@
 	"testing"
 	"time"
 
-	"silverpath/internal/cells"
-	"silverpath/internal/lease"
-	"silverpath/internal/quorum"
-	"silverpath/internal/rulebook"
+	"silverpath/internal/controlplane/quorum"
+	"silverpath/internal/policy/cells"
+	"silverpath/internal/policy/configstore"
+	"silverpath/internal/policy/lease"
 	"silverpath/internal/settings"
 )
 
@@ -28,7 +28,7 @@
 	For              time.Duration
 	Silent           int // of them, always others, each for silentFor
 	Zone             int // of them, that start anew in one moment, a third into the run, and have kept nothing
-	Out              rulebook.Guards
+	Out              configstore.Guards
 }
 
 const (
@@ -75,7 +75,7 @@
 
 // follower is one process of a PartsSim.
 type follower struct {
-	h        *rulebook.Holder
+	h        *configstore.Holder
 	far      bool
 	gen      int           // starts, so that what was under way for the one before is dropped
 	silent   time.Duration // until then
@@ -115,9 +115,9 @@
 		return d
 	}
 	// The leading member.
-	book, watch, index := rulebook.NewBook(), rulebook.NewWatch(s.Terms), uint64(0)
+	book, watch, index := configstore.NewBook(), configstore.NewWatch(s.Terms), uint64(0)
 	watch.Lead(0)
-	apply := func(c rulebook.Change) error {
+	apply := func(c configstore.Change) error {
 		index++
 		_, err := book.Apply(c)
 		return err
@@ -127,18 +127,18 @@
 	for _, text := range texts {
 		o.Whole += len(text)
 	}
-	for i, one := range rulebook.Batches(texts) {
-		if err := apply(rulebook.Change{Op: rulebook.Load, Doc: rulebook.DocMap, Draft: "first", Parts: one}); err != nil {
+	for i, one := range configstore.Batches(texts) {
+		if err := apply(configstore.Change{Op: configstore.Load, Doc: configstore.DocMap, Draft: "first", Parts: one}); err != nil {
 			return o, fmt.Errorf("batch %d: %w", i, err)
 		}
 	}
-	if err := apply(rulebook.Change{Op: rulebook.Put, Doc: rulebook.DocMap, Draft: "first", Digest: rulebook.SumOf(texts)}); err != nil {
+	if err := apply(configstore.Change{Op: configstore.Put, Doc: configstore.DocMap, Draft: "first", Digest: configstore.SumOf(texts)}); err != nil {
 		return o, err
 	}
-	if err := apply(rulebook.Change{Op: rulebook.Advance, Doc: rulebook.DocMap, Version: 1, Stage: rulebook.Proposed}); err != nil {
+	if err := apply(configstore.Change{Op: configstore.Advance, Doc: configstore.DocMap, Version: 1, Stage: configstore.Proposed}); err != nil {
 		return o, err
 	}
-	d := book.Docs[rulebook.DocMap]
+	d := book.Docs[configstore.DocMap]
 	counting := false
 	free := time.Duration(0) // when the link is
 	seconds := map[int]int{}
@@ -204,7 +204,7 @@
 			}
 		}
 	}
-	took := func(p *follower, list []rulebook.Took) {
+	took := func(p *follower, list []configstore.Took) {
 		for _, t := range list {
 			p.acts = t.Entry.ID.Digest
 			arrived(p)
@@ -230,11 +230,11 @@
 			id, parts, ok := d.At(w.Version)
 			answer := quorum.Parts{ID: id}
 			if ok {
-				answer.Parts = rulebook.Send(parts, w.Names)
+				answer.Parts = configstore.Send(parts, w.Names)
 			}
 			size := framing
 			for name, one := range answer.Parts { // as JSON has it: with its version and digest
-				size += len(name) + 45 + rulebook.Encoded(one.Text)
+				size += len(name) + 45 + configstore.Encoded(one.Text)
 			}
 			send(size, p.far, func() {
 				if gen != p.gen {
@@ -263,7 +263,7 @@
 		bytes := length(quorum.Sync{User: said, Has: has, Bases: bases, Acts: acts})
 		after(way(p.far), func() {
 			hear(bytes)
-			if !watch.Heard(p.h.Who, now, acts, rulebook.Worth{}, "") {
+			if !watch.Heard(p.h.Who, now, acts, configstore.Worth{}, "") {
 				send(framing, p.far, func() { after(20*time.Millisecond, func() { step(p, gen) }) })
 				return
 			}
@@ -273,7 +273,7 @@
 					send(framing, p.far, func() { after(20*time.Millisecond, func() { step(p, gen) }) })
 					return
 				}
-				docs, at := map[string]rulebook.View{rulebook.DocMap: d.Tell(u, has[rulebook.DocMap], bases[rulebook.DocMap])}, index
+				docs, at := map[string]configstore.View{configstore.DocMap: d.Tell(u, has[configstore.DocMap], bases[configstore.DocMap])}, index
 				send(length(quorum.Synced{Terms: s.Terms, Index: at, Wall: 1, Docs: docs}), p.far, func() {
 					if gen != p.gen {
 						return
@@ -292,18 +292,18 @@
 				return
 			}
 			into(func() {
-				op := rulebook.Say
+				op := configstore.Say
 				if book.Users[p.h.Who] == nil {
-					op = rulebook.Join
+					op = configstore.Join
 				}
-				apply(rulebook.Change{Op: op, User: &said})
+				apply(configstore.Change{Op: op, User: &said})
 				tell()
 			})
 		})
 	}
 	begin := func(p *follower, name string) {
 		p.gen++
-		p.h = rulebook.NewHolder(name, map[string]int{rulebook.DocMap: rulebook.FormatInParts})
+		p.h = configstore.NewHolder(name, map[string]int{configstore.DocMap: configstore.FormatInParts})
 		p.h.Out = s.Out
 		p.h.CheckParts = func(string, map[string]string, bool) error { return nil }
 		p.fetching, p.silent, p.acts = false, 0, 0
@@ -319,7 +319,7 @@
 		for _, c := range watch.Due(book, now) {
 			into(func() {
 				apply(c)
-				if c.Op == rulebook.Lapse {
+				if c.Op == configstore.Lapse {
 					watch.Lapsed(c.By)
 				}
 			})
@@ -355,7 +355,7 @@
 		whole := maps.Clone(texts)
 		maps.Copy(whole, changed)
 		texts = whole
-		c := rulebook.Change{Op: rulebook.Put, Doc: rulebook.DocMap, Version: d.Force.ID.Version, Parts: changed, Digest: rulebook.SumOf(whole)}
+		c := configstore.Change{Op: configstore.Put, Doc: configstore.DocMap, Version: d.Force.ID.Version, Parts: changed, Digest: configstore.SumOf(whole)}
 		o.Put++
 		putAt, target, due = now, c.Digest, true
 		clear(left)
@@ -427,7 +427,7 @@
 		{"40 changes a minute", PartsSim{N: 1400, Every: rate}},
 		{"40 a minute, 1% silent", PartsSim{N: 1400, Every: rate, Silent: 14}},
 		{"a fifth comes back", PartsSim{N: 1400, Zone: 280}},
-		{"a fifth comes back, unpaced", PartsSim{N: 1400, Zone: 280, Out: rulebook.Guards{NoPace: true}}},
+		{"a fifth comes back, unpaced", PartsSim{N: 1400, Zone: 280, Out: configstore.Guards{NoPace: true}}},
 		{"a fifth comes back, 40 a minute", PartsSim{N: 1400, Every: rate, Zone: 280}},
 	} {
 		c.sim.Terms, c.sim.Servers, c.sim.Tenants, c.sim.For = rulesTerms, 930, 21000, span
--- a/internal/lab/powerloss.go
+++ b/internal/testkit/benchmarks/powerloss.go
@@ -1,4 +1,4 @@
-package lab
+package benchmarks
 
 import (
 	"fmt"
@@ -12,9 +12,9 @@
 	"testing"
 	"time"
 
-	"silverpath/internal/ask"
-	"silverpath/internal/cells"
-	"silverpath/internal/store"
+	"silverpath/internal/policy/cells"
+	"silverpath/internal/storage/idempotencystore"
+	"silverpath/internal/transport/client"
 )
 
 // PowerLoss measures a fleet of twelve servers and three routers that goes dark as a whole, again and again under load, with every
@@ -60,7 +60,7 @@
 		if keeps {
 			keys := filepath.Join(dir, "keys")
 			if _, err := os.Stat(keys); err != nil {
-				if err := store.Init(keys, "lab"); err != nil {
+				if err := idempotencystore.Init(keys, "lab"); err != nil {
 					b.Fatal(err)
 				}
 			}
@@ -151,11 +151,11 @@
 				d.mu.Lock()
 				to := d.Routers[k%len(d.Routers)].Platform
 				d.mu.Unlock()
-				q := ask.Request{Class: class, Tenant: "t", Body: fmt.Appendf(nil, "%s-first-%d-%d", class, n, k), Wait: time.Second}
+				q := client.Request{Class: class, Tenant: "t", Body: fmt.Appendf(nil, "%s-first-%d-%d", class, n, k), Wait: time.Second}
 				if class == "oddaja" {
 					q.Key = string(q.Body)
 				}
-				if a, err := ask.Once(ask.Platform, to, q); err == nil && a.Outcome == "served" {
+				if a, err := client.Once(client.Platform, to, q); err == nil && a.Outcome == "served" {
 					*out = time.Since(began)
 					return
 				}
@@ -189,7 +189,7 @@
 			d.mu.Lock()
 			to := d.Routers[rng.IntN(len(d.Routers))].Platform
 			d.mu.Unlock()
-			a, err := ask.Once(ask.Platform, to, ask.Request{Class: "oddaja", Tenant: []string{"t", "u"}[n%2], Key: sheet, Body: []byte(sheet), Wait: 2 * time.Second})
+			a, err := client.Once(client.Platform, to, client.Request{Class: "oddaja", Tenant: []string{"t", "u"}[n%2], Key: sheet, Body: []byte(sheet), Wait: 2 * time.Second})
 			if err != nil || a.Outcome != "served" {
 				continue
 			}
--- a/internal/lab/refusal.go
+++ b/internal/testkit/benchmarks/refusal.go
@@ -1,4 +1,4 @@
-package lab
+package benchmarks
 
 import (
 	"fmt"
@@ -11,8 +11,8 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 
 	"silverpath/deploy"
-	"silverpath/internal/ask"
-	"silverpath/internal/standin"
+	"silverpath/internal/testkit/standin"
+	"silverpath/internal/transport/client"
 )
 
 // baseline is the environment variable that names an earlier build of the service, to be measured beside this one.
@@ -75,13 +75,13 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		conns := make([]*ask.Conn, 4)
+		conns := make([]*client.Conn, 4)
 		for k := range conns {
-			if conns[k], err = ask.Dial(p.Platform); err != nil {
+			if conns[k], err = client.Dial(p.Platform); err != nil {
 				b.Fatal(err)
 			}
 		}
-		q := ask.Request{Class: "lestvica", Wait: patience, Body: []byte("x"), HeldKB: 1}
+		q := client.Request{Class: "lestvica", Wait: patience, Body: []byte("x"), HeldKB: 1}
 		onOpen := func(w int) string { return (<-conns[w%len(conns)].Ask(q)).Outcome }
 		warm := func() { flood(1500, 3*time.Second, 400, onOpen, "") } // the machine does 160 a second
 		warm()
@@ -94,7 +94,7 @@
 		}{
 			{"refusal, open connection", 5000, 100, onOpen, "refused"},
 			{"refusal, new SCGI connection", 5000, 100, func(int) string {
-				a, err := ask.Once(ask.SCGI, p.SCGI, q)
+				a, err := client.Once(client.SCGI, p.SCGI, q)
 				if err != nil {
 					return err.Error()
 				}
@@ -151,7 +151,7 @@
 		for range 500 {
 			wg.Go(func() {
 				for time.Now().Before(end) {
-					c, err := ask.Dial(p.Platform)
+					c, err := client.Dial(p.Platform)
 					if err != nil {
 						time.Sleep(time.Millisecond)
 						continue
--- a/internal/lab/rules.go
+++ b/internal/testkit/benchmarks/rules.go
@@ -1,4 +1,4 @@
-package lab
+package benchmarks
 
 import (
 	"context"
@@ -13,13 +13,13 @@
 	"testing"
 	"time"
 
-	"silverpath/internal/ask"
-	"silverpath/internal/cells"
-	"silverpath/internal/fleet"
-	"silverpath/internal/harness"
-	"silverpath/internal/lease"
-	"silverpath/internal/rulebook"
-	"silverpath/internal/standin/faults"
+	"silverpath/internal/policy/cells"
+	"silverpath/internal/policy/configstore"
+	"silverpath/internal/policy/lease"
+	"silverpath/internal/proxy"
+	"silverpath/internal/testkit/harness"
+	"silverpath/internal/testkit/standin/faults"
+	"silverpath/internal/transport/client"
 )
 
 // Rules measures the documents that a fleet agrees on.
@@ -64,7 +64,7 @@
 		return r, err
 	}
 	edit(r.Map)
-	if err := fleet.Write(r.MapFile, r.Map); err != nil {
+	if err := proxy.Write(r.MapFile, r.Map); err != nil {
 		return r, err
 	}
 	if err := r.put("map", r.MapFile); err != nil {
@@ -123,7 +123,7 @@
 
 // parts are those that a router says it has of a cell, by tenant; under " rest" what all that are not listed have together.
 func parts(p *Process, cell string) (map[string]float64, error) {
-	body, err := ask.Status(ask.Platform, p.Platform)
+	body, err := client.Status(client.Platform, p.Platform)
 	if err != nil {
 		return nil, err
 	}
@@ -265,7 +265,7 @@
 			}
 			allocs := func() float64 {
 				var st struct{ Allocations float64 }
-				if body, err := ask.Status(ask.Platform, f.Routers[0].Platform); err != nil || json.Unmarshal(body, &st) != nil {
+				if body, err := client.Status(client.Platform, f.Routers[0].Platform); err != nil || json.Unmarshal(body, &st) != nil {
 					b.Fatal(err)
 				}
 				return st.Allocations
@@ -391,7 +391,7 @@
 		return nil // it lives there, or moves already
 	}
 	r.Map = p.Next
-	if err := fleet.Write(r.MapFile, r.Map); err != nil {
+	if err := proxy.Write(r.MapFile, r.Map); err != nil {
 		return err
 	}
 	return r.put("map", r.MapFile)
@@ -454,7 +454,7 @@
 					to, wait := router(rng.IntN(len(r.Routers))), time.Duration(rng.IntN(300))*time.Millisecond
 					tries.Go(func() {
 						time.Sleep(wait)
-						a, err := ask.Once(ask.Platform, to.Platform, ask.Request{Class: "oddaja", Tenant: brands[n%len(brands)], Key: key, Body: []byte(key), Wait: time.Second, HeldKB: 8})
+						a, err := client.Once(client.Platform, to.Platform, client.Request{Class: "oddaja", Tenant: brands[n%len(brands)], Key: key, Body: []byte(key), Wait: time.Second, HeldKB: 8})
 						mu.Lock()
 						defer mu.Unlock()
 						switch {
@@ -762,7 +762,7 @@
 				}
 				for i, m := range []*cells.Map{f.Map, &other} {
 					file := filepath.Join(f.sub(fmt.Sprint("m", i)), "cells.json")
-					if err := fleet.Write(file, m); err != nil {
+					if err := proxy.Write(file, m); err != nil {
 						b.Fatal(err)
 					}
 					p, err := Route(program, f.sub(fmt.Sprint("r", i)), f.routerSite(), fmt.Sprintf(`{"fleet":{"map":%q,"probe_ms":200}}`, file))
@@ -775,7 +775,7 @@
 				if forgotten { // from when the move holds, and the old home is asked no more
 					p, err := f.Map.PlanMove(time.Now(), "t0", "b", 0)
 					if err == nil {
-						err = fleet.Write(filepath.Join(f.sub("m1"), "cells.json"), p.Next)
+						err = proxy.Write(filepath.Join(f.sub("m1"), "cells.json"), p.Next)
 					}
 					if err != nil {
 						b.Fatal(err)
@@ -790,7 +790,7 @@
 					wg.Go(func() {
 						for i, p := range f.Routers {
 							at := time.Now()
-							a, err := ask.Once(ask.Platform, p.Platform, ask.Request{Class: "oddaja", Tenant: "t0", Key: key, Body: []byte(key), Wait: time.Second, HeldKB: 8})
+							a, err := client.Once(client.Platform, p.Platform, client.Request{Class: "oddaja", Tenant: "t0", Key: key, Body: []byte(key), Wait: time.Second, HeldKB: 8})
 							if err == nil && a.Outcome == "served" {
 								mu.Lock()
 								if at.After(last[i]) {
@@ -816,7 +816,7 @@
 				}
 				n, _ := f.Twice()
 				twice += n
-				bound = rulebook.Terms{Lease: f.Map.Lease, Skew: f.Map.Skew, Drift: 0.05, Probe: 200 * time.Millisecond, Wait: time.Second}.Bound()
+				bound = configstore.Terms{Lease: f.Map.Lease, Skew: f.Map.Skew, Drift: 0.05, Probe: 200 * time.Millisecond, Wait: time.Second}.Bound()
 				f.Stop()
 			}
 			if both < 0 {
--- a/internal/lab/rulessim.go
+++ b/internal/testkit/benchmarks/rulessim.go
@@ -1,4 +1,4 @@
-package lab
+package benchmarks
 
 import (
 	"fmt"
@@ -7,8 +7,8 @@
 	"testing"
 	"time"
 
-	"silverpath/internal/lease"
-	"silverpath/internal/rulebook"
+	"silverpath/internal/policy/configstore"
+	"silverpath/internal/policy/lease"
 )
 
 // RulesSim is a group as one that never fails, and processes that act on one document, in simulated time: words take some
@@ -35,22 +35,22 @@
 		events = slices.Insert(events, i, e)
 	}
 	way := func() time.Duration { return time.Duration(200+rng.IntN(1800)) * time.Microsecond }
-	book, watch, index := rulebook.NewBook(), rulebook.NewWatch(s.Terms), uint64(0)
+	book, watch, index := configstore.NewBook(), configstore.NewWatch(s.Terms), uint64(0)
 	watch.Lead(0)
-	apply := func(c rulebook.Change) error {
+	apply := func(c configstore.Change) error {
 		index++
 		_, err := book.Apply(c)
 		return err
 	}
-	if err := apply(rulebook.Change{Op: rulebook.Put, Doc: "d", Text: "old"}); err != nil {
+	if err := apply(configstore.Change{Op: configstore.Put, Doc: "d", Text: "old"}); err != nil {
 		return 0, 0, err
 	}
 	acts := make([]uint64, s.N)
 	stops := make([]time.Duration, s.N)
 	silent := make([]bool, s.N)
-	want, put, done, left := rulebook.Name(1, []byte("new")).Digest, time.Duration(0), time.Duration(0), 0
+	want, put, done, left := configstore.Name(1, []byte("new")).Digest, time.Duration(0), time.Duration(0), 0
 	for i := range s.N {
-		h := rulebook.NewHolder(fmt.Sprint("p", i), map[string]int{"d": 1})
+		h := configstore.NewHolder(fmt.Sprint("p", i), map[string]int{"d": 1})
 		var step func()
 		step = func() {
 			if silent[i] {
@@ -59,21 +59,21 @@
 			asked := now
 			said := h.Says()
 			after(way(), func() { // at the leader
-				if !watch.Heard(h.Who, now, h.Acts(), rulebook.Worth{}, "") {
+				if !watch.Heard(h.Who, now, h.Acts(), configstore.Worth{}, "") {
 					after(way(), step)
 					return
 				}
 				if book.New(said) {
-					op := rulebook.Say
+					op := configstore.Say
 					if book.Users[h.Who] == nil {
-						op = rulebook.Join
+						op = configstore.Join
 					}
-					apply(rulebook.Change{Op: op, User: &said})
+					apply(configstore.Change{Op: op, User: &said})
 				}
 				d, at := book.Docs["d"], index
-				v := rulebook.View{Force: d.Force, Next: d.Next, Stage: d.Stage}
+				v := configstore.View{Force: d.Force, Next: d.Next, Stage: d.Stage}
 				after(way(), func() { // and back
-					for _, t := range h.Told(asked, at, s.Terms, map[string]rulebook.View{"d": v}, func(string, string) error { return nil }) {
+					for _, t := range h.Told(asked, at, s.Terms, map[string]configstore.View{"d": v}, func(string, string) error { return nil }) {
 						acts[i] = t.Entry.ID.Digest
 						if acts[i] == want {
 							if left--; left == 0 && !silent[i] {
@@ -97,7 +97,7 @@
 	look = func() {
 		for _, c := range watch.Due(book, now) {
 			apply(c)
-			if c.Op == rulebook.Lapse {
+			if c.Op == configstore.Lapse {
 				watch.Lapsed(c.By)
 			}
 		}
@@ -109,7 +109,7 @@
 			silent[i] = true
 		}
 		put, left = now, s.N-s.Silent
-		if e := apply(rulebook.Change{Op: rulebook.Put, Doc: "d", Version: 1, Text: "new", Exclusive: exclusive}); e != nil {
+		if e := apply(configstore.Change{Op: configstore.Put, Doc: "d", Version: 1, Text: "new", Exclusive: exclusive}); e != nil {
 			err = e
 		}
 	})
--- a/internal/lab/scale.go
+++ b/internal/testkit/benchmarks/scale.go
@@ -1,4 +1,4 @@
-package lab
+package benchmarks
 
 import (
 	"bufio"
@@ -23,17 +23,17 @@
 	"testing"
 	"time"
 
-	"silverpath/internal/ask"
-	"silverpath/internal/capacity"
-	"silverpath/internal/cells"
-	"silverpath/internal/fleet"
-	"silverpath/internal/group"
-	"silverpath/internal/harness"
-	"silverpath/internal/hollow"
-	"silverpath/internal/lease"
-	"silverpath/internal/quorum"
-	"silverpath/internal/rulebook"
+	"silverpath/internal/controlplane/quorum"
+	"silverpath/internal/policy/capacity"
+	"silverpath/internal/policy/cells"
+	"silverpath/internal/policy/configstore"
+	"silverpath/internal/policy/lease"
+	"silverpath/internal/policy/statemachine"
+	"silverpath/internal/proxy"
 	"silverpath/internal/settings"
+	"silverpath/internal/testkit/harness"
+	"silverpath/internal/testkit/hollow"
+	"silverpath/internal/transport/client"
 )
 
 // Scale measures what each role costs by what it grows with: real processes, beside hollow ones that share a process of the system, so that
@@ -117,7 +117,7 @@
 		}
 	}
 	if s.file == "" {
-		s.file = filepath.Join("..", "..", "docs", "results", "scale.json")
+		s.file = filepath.Join("..", "..", "..", "docs", "results", "scale.json")
 	}
 	if text, err := os.ReadFile(s.file); err == nil {
 		if err := json.Unmarshal(text, s.res); err != nil {
@@ -207,7 +207,7 @@
 
 // write fits what there is, and writes the data and, where there is a page beside it, its tables.
 func (s *scale) write() error {
-	s.res.Command = "go test -run '^$' -bench Scale -benchtime 1x -timeout 30m ./internal/lab/"
+	s.res.Command = "go test -run '^$' -bench Scale -benchtime 1x -timeout 30m ./internal/testkit/benchmarks/"
 	if len(s.steps) > 0 {
 		s.res.Machine, s.res.Program = scaleMachine(), s.program()
 	}
@@ -390,7 +390,7 @@
 // allocations are the objects that a process with a status has allocated. A status of over 64 KB is not to be had: NaN, which is noted nowhere.
 func allocations(p *Process) float64 {
 	var st struct{ Allocations float64 }
-	if body, err := ask.Status(ask.Platform, p.Platform); err != nil || json.Unmarshal(body, &st) != nil {
+	if body, err := client.Status(client.Platform, p.Platform); err != nil || json.Unmarshal(body, &st) != nil {
 		return math.NaN()
 	}
 	return st.Allocations
@@ -451,7 +451,7 @@
 		return hollow.NewRouter(hollow.RouterConfig{Name: name, IP: hollow.IP(1, n+1), Settings: site.Server, MemoryMB: 16, Sockets: 1024, Map: h.Map, Probe: h.Every, Group: g, Docs: h.Docs, Took: took, Within: mostJoin})
 	case "callers":
 		return hollow.NewCaller(hollow.CallerConfig{Name: name, IP: hollow.IP(2, n+1), To: h.To, Every: h.Every, First: h.Every * time.Duration(i) / time.Duration(h.N),
-			Rules: "1.0123456789abcdef", Terms: rulebook.Terms{Lease: 5 * time.Second, Skew: 500 * time.Millisecond, Dual: 10 * time.Second}}), nil
+			Rules: "1.0123456789abcdef", Terms: configstore.Terms{Lease: 5 * time.Second, Skew: 500 * time.Millisecond, Dual: 10 * time.Second}}), nil
 	case "followers":
 		return hollow.NewFollower(hollow.FollowerConfig{Name: name, Group: g, Docs: h.Docs, Site: site.Server, Took: took})
 	}
@@ -620,7 +620,7 @@
 func (s *scale) route(m *cells.Map) (*Process, time.Duration, error) {
 	dir := s.dir()
 	file := filepath.Join(dir, "cells.json")
-	if err := fleet.Write(file, m); err != nil {
+	if err := proxy.Write(file, m); err != nil {
 		return nil, 0, err
 	}
 	began := time.Now()
@@ -648,7 +648,7 @@
 		g.Close()
 		return nil, err
 	}
-	for _, doc := range rulebook.Docs {
+	for _, doc := range configstore.Docs {
 		if docs[doc] == "" {
 			continue
 		}
@@ -673,8 +673,8 @@
 	ctx, cancel := context.WithTimeout(context.Background(), mostJoin)
 	defer cancel()
 	at = time.Now()
-	c := rulebook.Change{Op: rulebook.Put, Doc: doc, Text: text, Format: format, Version: a.doc[doc], By: "scale"}
-	r, err := a.Client.Do(ctx, group.Command{Rule: &c})
+	c := configstore.Change{Op: configstore.Put, Doc: doc, Text: text, Format: format, Version: a.doc[doc], By: "scale"}
+	r, err := a.Client.Do(ctx, statemachine.Command{Rule: &c})
 	if err == nil && r.Error != "" {
 		err = errors.New(r.Error)
 	}
@@ -704,7 +704,7 @@
 // scaleDocs are the documents at first, and texts that differ from the one before by a count.
 func scaleDocs(tenants int) map[string]string {
 	return map[string]string{
-		rulebook.DocMap: string(settings.FormatCells(scaleMap(places(4), 1, tenants))), rulebook.DocRouting: routingText(0), rulebook.DocClasses: classesText(0),
+		configstore.DocMap: string(settings.FormatCells(scaleMap(places(4), 1, tenants))), configstore.DocRouting: routingText(0), configstore.DocClasses: classesText(0),
 	}
 }
 
--- a/internal/lab/scale_test.go
+++ b/internal/testkit/benchmarks/scale_test.go
@@ -1,4 +1,4 @@
-package lab
+package benchmarks
 
 import (
 	"encoding/json"
@@ -7,12 +7,12 @@
 	"strings"
 	"testing"
 
-	"silverpath/internal/capacity"
+	"silverpath/internal/policy/capacity"
 )
 
 // The tables of the page are those that the data gives, and every slope that is off says why.
 func TestScalePage(t *testing.T) {
-	dir := filepath.Join("..", "..", "docs", "results")
+	dir := filepath.Join("..", "..", "..", "docs", "results")
 	text, err := os.ReadFile(filepath.Join(dir, "scale.json"))
 	if err != nil {
 		t.Fatal(err)
@@ -30,7 +30,7 @@
 		t.Fatal(err)
 	}
 	if want != string(page) {
-		t.Error("docs/results/scale.md differs from scale.json: go test -run '^$' -bench Scale/page -benchtime 1x ./internal/lab/")
+		t.Error("docs/results/scale.md differs from scale.json: go test -run '^$' -bench Scale/page -benchtime 1x ./internal/testkit/benchmarks/")
 	}
 	if len(r.Series) == 0 {
 		t.Error("there is no series")
--- a/internal/lab/scaledecide.go
+++ b/internal/testkit/benchmarks/scaledecide.go
@@ -1,4 +1,4 @@
-package lab
+package benchmarks
 
 import (
 	"fmt"
@@ -7,14 +7,14 @@
 	"slices"
 	"time"
 
-	"silverpath/internal/cells"
-	"silverpath/internal/group"
-	"silverpath/internal/lease"
-	"silverpath/internal/routing"
-	"silverpath/internal/rulebook"
+	"silverpath/internal/policy/cells"
+	"silverpath/internal/policy/configstore"
+	"silverpath/internal/policy/lease"
+	"silverpath/internal/policy/loadbalancer"
+	"silverpath/internal/policy/quota"
+	"silverpath/internal/policy/slowstart"
+	"silverpath/internal/policy/statemachine"
 	"silverpath/internal/settings"
-	"silverpath/internal/shares"
-	"silverpath/internal/slowstart"
 )
 
 // The whole fleet, as it is to be.
@@ -83,7 +83,7 @@
 		}
 		s.add("router.follows.tenants", "ms", "simulated", fixed, at, time.Since(began).Seconds()*1000)
 		began = time.Now()
-		wholes := shares.Of(m, now)
+		wholes := quota.Of(m, now)
 		s.add("leader.wholes.tenants", "ms", "simulated", fixed, at, time.Since(began).Seconds()*1000)
 		demand := map[string]map[string]float64{}
 		for r := range 4 {
@@ -93,15 +93,15 @@
 			}
 		}
 		began = time.Now()
-		shares.Targets(wholes[m.Cells[0].Name], demand)
+		quota.Targets(wholes[m.Cells[0].Name], demand)
 		s.add("leader.targets.tenants", "ms", "simulated", map[string]float64{"servers": scaleServers, "zones": scaleZones, "routers": 4}, at, time.Since(began).Seconds()*1000)
 	}
 	return nil
 }
 
 // table is a router's knowledge of servers that are all well.
-func table(n int) (t *routing.Table, names []string) {
-	t = routing.New(routing.Config{Seed: 1, Window: 20 * time.Second})
+func table(n int) (t *loadbalancer.Table, names []string) {
+	t = loadbalancer.New(loadbalancer.Config{Seed: 1, Window: 20 * time.Second})
 	weights := map[string]float64{}
 	for i := range n {
 		names = append(names, fmt.Sprint("s", i))
@@ -188,39 +188,39 @@
 	terms := lease.Terms{TTL: scaleLease, Drift: 0.05}
 	for _, n := range s.of(60, 120, 240, 465, 1000, scaleFollowers) {
 		at := float64(n)
-		b, w := rulebook.NewBook(), rulebook.NewWatch(terms)
+		b, w := configstore.NewBook(), configstore.NewWatch(terms)
 		w.Lead(0)
-		if _, err := b.Apply(rulebook.Change{Op: rulebook.Put, Doc: rulebook.DocRouting, Text: "{}"}); err != nil {
+		if _, err := b.Apply(configstore.Change{Op: configstore.Put, Doc: configstore.DocRouting, Text: "{}"}); err != nil {
 			return err
 		}
 		refused := 0
-		var users []rulebook.User
+		var users []configstore.User
 		for i := range n {
-			u := rulebook.User{Name: fmt.Sprint("p", i), Reads: map[string]int{rulebook.DocRouting: 1}, Holds: map[string]int{rulebook.DocRouting: 1}}
+			u := configstore.User{Name: fmt.Sprint("p", i), Reads: map[string]int{configstore.DocRouting: 1}, Holds: map[string]int{configstore.DocRouting: 1}}
 			users = append(users, u)
-			if _, err := b.Apply(rulebook.Change{Op: rulebook.Join, User: &u}); err != nil {
+			if _, err := b.Apply(configstore.Change{Op: configstore.Join, User: &u}); err != nil {
 				refused++
 			}
 		}
 		s.add("leader.refused.followers", "%", "simulated", nil, at, 100*float64(refused)/at)
 		for round := range 120 { // as after two minutes
 			for _, u := range users {
-				w.Heard(u.Name, time.Duration(round)*time.Second, nil, rulebook.Worth{}, "")
+				w.Heard(u.Name, time.Duration(round)*time.Second, nil, configstore.Worth{}, "")
 			}
 		}
 		now := 120 * time.Second
 		k := 0
 		us, _ := each(func() {
-			w.Heard(users[k%n].Name, now, nil, rulebook.Worth{}, "")
+			w.Heard(users[k%n].Name, now, nil, configstore.Worth{}, "")
 			k++
 		})
 		s.add("leader.heard.followers", "us", "simulated", nil, at, us)
-		d := b.Docs[rulebook.DocRouting]
+		d := b.Docs[configstore.DocRouting]
 		us, _ = each(func() { b.Waits(d) })
 		s.add("leader.waits.followers", "us", "simulated", nil, at, us)
 		us, _ = each(func() { w.Due(b, now) })
 		s.add("leader.due.followers", "us", "simulated", nil, at, us)
-		st := group.New(1)
+		st := statemachine.New(1)
 		st.Rules = b
 		size := 0
 		us, _ = each(func() {
@@ -314,7 +314,7 @@
 				t.Reached(now, name, 1, 1, 0, 2)
 			}
 		}
-		if !slices.ContainsFunc(t.States(now+wait), func(x routing.State) bool { return is[x.Name] && x.Health != routing.Dead }) {
+		if !slices.ContainsFunc(t.States(now+wait), func(x loadbalancer.State) bool { return is[x.Name] && x.Health != loadbalancer.Dead }) {
 			return now + wait - lost
 		}
 	}
--- a/internal/lab/scalepage.go
+++ b/internal/testkit/benchmarks/scalepage.go
@@ -1,4 +1,4 @@
-package lab
+package benchmarks
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"strconv"
 	"strings"
 
-	"silverpath/internal/capacity"
+	"silverpath/internal/policy/capacity"
 )
 
 // The tables of docs/results/scale.md stand between these lines, and are rendered of docs/results/scale.json alone.
--- a/internal/lab/scaleparts.go
+++ b/internal/testkit/benchmarks/scaleparts.go
@@ -1,4 +1,4 @@
-package lab
+package benchmarks
 
 import (
 	"context"
@@ -13,14 +13,14 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"silverpath/internal/ask"
-	"silverpath/internal/cells"
-	"silverpath/internal/fleet"
-	"silverpath/internal/harness"
-	"silverpath/internal/rulebook"
+	"silverpath/internal/policy/cells"
+	"silverpath/internal/policy/configstore"
+	"silverpath/internal/proxy"
 	"silverpath/internal/settings"
-	"silverpath/internal/standin"
-	"silverpath/internal/standin/faults"
+	"silverpath/internal/testkit/harness"
+	"silverpath/internal/testkit/standin"
+	"silverpath/internal/testkit/standin/faults"
+	"silverpath/internal/transport/client"
 )
 
 // routerServers is a real router at rest, with servers that it looks after.
@@ -72,7 +72,7 @@
 	fixed := map[string]float64{"tenants": 1, "check_ms": float64(scaleCheck.Milliseconds()), "routers": routers}
 	for _, n := range sizes {
 		file := filepath.Join(s.dir(), "cells.json")
-		if err := fleet.Write(file, s.newer(scaleMap(h.Addrs[:n], 1, 1))); err != nil {
+		if err := proxy.Write(file, s.newer(scaleMap(h.Addrs[:n], 1, 1))); err != nil {
 			return err
 		}
 		r, err := startHerd(herd{Kind: "routers", N: routers, Map: file, Every: scaleCheck})
@@ -175,10 +175,10 @@
 				times[k] = hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)
 			}
 			ways := [2][]string{{p.Platform}, h.Addrs}
-			var conns [2][]*ask.Conn // opened anew for each rate: one that rests is closed
+			var conns [2][]*client.Conn // opened anew for each rate: one that rests is closed
 			for k := range ways {
 				for i := range 2 * peers {
-					c, err := ask.Dial(ways[k][i%len(ways[k])])
+					c, err := client.Dial(ways[k][i%len(ways[k])])
 					if err != nil {
 						return err
 					}
@@ -193,7 +193,7 @@
 					var out sync.WaitGroup
 					defer out.Wait()
 					arrivals(rand.New(rand.NewPCG(uint64(play), uint64(k))), float64(rate), s.stretch, func(_ *rand.Rand, seq int, share Share, at time.Time) {
-						q := ask.Request{Class: share.Class, Tenant: "tenant0", Wait: patience, HeldKB: 8, Body: body}
+						q := client.Request{Class: share.Class, Tenant: "tenant0", Wait: patience, HeldKB: 8, Body: body}
 						if share.Class == "oddaja" {
 							q.Key = fmt.Sprintf("%d-%d-%d-%d", play, rate, k, seq)
 						}
@@ -231,7 +231,7 @@
 
 // mapSizes puts maps of rising size to a group, on top of each other.
 func (s *scale) mapSizes() error {
-	g, err := s.group(map[string]string{rulebook.DocMap: string(settings.FormatCells(scaleMap(places(4), 1, 1)))})
+	g, err := s.group(map[string]string{configstore.DocMap: string(settings.FormatCells(scaleMap(places(4), 1, 1)))})
 	if err != nil {
 		return err
 	}
@@ -243,13 +243,13 @@
 		version++
 		m.Version = version
 		text := string(settings.FormatCells(m))
-		at, err := g.change(rulebook.DocMap, text)
+		at, err := g.change(configstore.DocMap, text)
 		took := time.Since(at)
 		s.add("tool.map_size.tenants", "KB", "real", fixed, float64(n), float64(len(text))/1024)
 		accepted := 0.0
 		if err == nil {
 			accepted = 1
-			if err = g.inForce(rulebook.DocMap, time.Minute); err != nil {
+			if err = g.inForce(configstore.DocMap, time.Minute); err != nil {
 				return err
 			}
 			s.add("tool.put.tenants", "ms", "real", fixed, float64(n), took.Seconds()*1000)
@@ -316,7 +316,7 @@
 
 // follow is a herd of followers of a group.
 func (s *scale) follow(g *agreedOn, n int, members []string, restarts float64) (*herded, error) {
-	return startHerd(herd{Kind: "followers", N: n, Members: members, Docs: []string{rulebook.DocMap, rulebook.DocRouting, rulebook.DocClasses}, Restarts: restarts})
+	return startHerd(herd{Kind: "followers", N: n, Members: members, Docs: []string{configstore.DocMap, configstore.DocRouting, configstore.DocClasses}, Restarts: restarts})
 }
 
 func (g *agreedOn) status() (syncs float64) {
@@ -365,9 +365,9 @@
 func (t *texts) next(doc string) string {
 	t.n++
 	switch doc {
-	case rulebook.DocRouting:
+	case configstore.DocRouting:
 		return routingText(t.n)
-	case rulebook.DocClasses:
+	case configstore.DocClasses:
 		return classesText(t.n)
 	}
 	m := scaleMap(t.servers, 1, t.tenants)
@@ -395,7 +395,7 @@
 
 func (s *scale) groupOf(n int, servers []string, fixed map[string]float64) error {
 	t := &texts{servers: servers, tenants: 20}
-	docs := map[string]string{rulebook.DocMap: t.next(rulebook.DocMap), rulebook.DocRouting: routingText(0), rulebook.DocClasses: classesText(0)}
+	docs := map[string]string{configstore.DocMap: t.next(configstore.DocMap), configstore.DocRouting: routingText(0), configstore.DocClasses: classesText(0)}
 	g, err := s.group(docs)
 	if err != nil {
 		return err
@@ -434,7 +434,7 @@
 	s.add("router.cpu.followers", "core", "real", fixed, at, cpu)
 	s.add("router.bytes_in.followers", "KB/s", "real", fixed, at, in)
 	s.add("router.bytes_out.followers", "KB/s", "real", fixed, at, out)
-	for _, doc := range []string{rulebook.DocRouting, rulebook.DocClasses, rulebook.DocMap} {
+	for _, doc := range []string{configstore.DocRouting, configstore.DocClasses, configstore.DocMap} {
 		from := real.Lines()
 		times, put, err := g.force(h, n, doc, t.next(doc))
 		if err != nil {
@@ -495,7 +495,7 @@
 	const stretch = 10 * time.Second
 	fixed := map[string]float64{"lease_ms": float64(scaleLease.Milliseconds()), "members": 3, "followers": float64(n), "tenants": 20}
 	t := &texts{servers: places(4), tenants: 20}
-	docs := map[string]string{rulebook.DocMap: t.next(rulebook.DocMap), rulebook.DocRouting: routingText(0), rulebook.DocClasses: classesText(0)}
+	docs := map[string]string{configstore.DocMap: t.next(configstore.DocMap), configstore.DocRouting: routingText(0), configstore.DocClasses: classesText(0)}
 	g, err := s.group(docs)
 	if err != nil {
 		return err
@@ -515,7 +515,7 @@
 		last := map[string]bool{}
 		for i := range k {
 			time.Sleep(time.Until(began.Add(stretch * time.Duration(i) / time.Duration(k))))
-			doc := []string{rulebook.DocRouting, rulebook.DocMap}[i%2]
+			doc := []string{configstore.DocRouting, configstore.DocMap}[i%2]
 			if last[doc] {
 				if err := g.inForce(doc, time.Minute); err != nil {
 					return err
@@ -594,7 +594,7 @@
 	n := s.of(40)[0]
 	fixed := map[string]float64{"lease_ms": float64(scaleLease.Milliseconds()), "members": 3, "followers": float64(n), "tenants": 20}
 	t := &texts{servers: places(4), tenants: 20}
-	docs := map[string]string{rulebook.DocMap: t.next(rulebook.DocMap), rulebook.DocRouting: routingText(0), rulebook.DocClasses: classesText(0)}
+	docs := map[string]string{configstore.DocMap: t.next(configstore.DocMap), configstore.DocRouting: routingText(0), configstore.DocClasses: classesText(0)}
 	g, err := s.group(docs)
 	if err != nil {
 		return err
@@ -622,7 +622,7 @@
 				w.Set(way, faults.Fate{Delay: 2 * time.Duration(ms) * time.Millisecond})
 			}
 		}
-		for _, doc := range []string{rulebook.DocRouting, rulebook.DocClasses} {
+		for _, doc := range []string{configstore.DocRouting, configstore.DocClasses} {
 			times, _, e := g.force(h, n, doc, t.next(doc))
 			if e != nil {
 				err = errors.Join(err, fmt.Errorf("%d ms: %w", ms, e))
@@ -647,7 +647,7 @@
 	fixed := map[string]float64{"lease_ms": float64(scaleLease.Milliseconds()), "members": 3, "followers": 1, "servers": 4}
 	for _, n := range s.of(100, 200, 400, 1200) {
 		t := &texts{servers: servers.Addrs, tenants: n}
-		g, err := s.group(map[string]string{rulebook.DocMap: t.next(rulebook.DocMap)})
+		g, err := s.group(map[string]string{configstore.DocMap: t.next(configstore.DocMap)})
 		if err != nil {
 			return err
 		}
@@ -684,7 +684,7 @@
 	s.add("router.cpu.tenants.group", "core", "real", fixed, at, cpu)
 	s.add("router.resident.tenants.group", "MB", "real", fixed, at, now[0].resident)
 	from := p.Lines()
-	put, err := g.change(rulebook.DocMap, t.next(rulebook.DocMap))
+	put, err := g.change(configstore.DocMap, t.next(configstore.DocMap))
 	if err != nil {
 		return err
 	}
@@ -692,5 +692,5 @@
 		return err
 	}
 	s.add("leader.force_worst.tenants.map", "ms", "real", fixed, at, time.Since(put).Seconds()*1000)
-	return g.inForce(rulebook.DocMap, time.Minute)
+	return g.inForce(configstore.DocMap, time.Minute)
 }
--- a/internal/lab/shared.go
+++ b/internal/testkit/benchmarks/shared.go
@@ -1,4 +1,4 @@
-package lab
+package benchmarks
 
 import (
 	"bufio"
@@ -18,8 +18,8 @@
 
 	"github.com/valyala/fastjson"
 
-	"silverpath/internal/msgpackrpc"
-	"silverpath/internal/standin"
+	"silverpath/internal/testkit/standin"
+	"silverpath/internal/transport/msgpackrpc"
 )
 
 // Shared is a service whose processes inherit one listening socket and share one folder.
--- a/internal/rules/rules_test.go
+++ b/internal/testkit/conformance/rules_test.go
@@ -1,7 +1,7 @@
-// Package rules holds the one suite of rule tests. It knows no wire: it runs unchanged over every front, by a
+// Package conformance holds the one suite of rule tests. It knows no wire: it runs unchanged over every front, by a
 // stand-in caller for each, and checks what the operators' four rules ask of the whole path from a connection
 // to the answer on it.
-package rules
+package conformance
 
 import (
 	"bufio"
@@ -18,21 +18,21 @@
 	"time"
 
 	"silverpath"
-	"silverpath/internal/cells"
 	"silverpath/internal/core"
-	"silverpath/internal/fleet"
-	"silverpath/internal/front"
-	"silverpath/internal/handover"
-	"silverpath/internal/keyed"
-	"silverpath/internal/lab"
-	"silverpath/internal/msgpackrpc"
-	"silverpath/internal/phase"
-	"silverpath/internal/pipes"
-	"silverpath/internal/pools"
-	"silverpath/internal/scgi"
+	"silverpath/internal/metrics"
+	"silverpath/internal/policy/admission"
+	"silverpath/internal/policy/cells"
+	"silverpath/internal/policy/hotrestart"
+	"silverpath/internal/policy/idempotency"
+	"silverpath/internal/policy/lifecycle"
+	"silverpath/internal/proxy"
 	"silverpath/internal/settings"
-	"silverpath/internal/stats"
-	"silverpath/internal/store"
+	"silverpath/internal/storage/idempotencystore"
+	"silverpath/internal/testkit/benchmarks"
+	"silverpath/internal/testkit/pipes"
+	"silverpath/internal/transport/listener"
+	"silverpath/internal/transport/msgpackrpc"
+	"silverpath/internal/transport/scgi"
 )
 
 // ---- Stand-ins ----
@@ -53,7 +53,7 @@
 // driver is a stand-in caller of one front.
 type driver struct {
 	name  string
-	serve func(e *edge) front.Handler
+	serve func(e *edge) listener.Handler
 	// write brings a try on a new connection, read takes its answer, and garble writes what is no request.
 	write  func(t try, seq int) []byte
 	read   func(r *bufio.Reader) (reply, error)
@@ -64,7 +64,7 @@
 
 var drivers = []driver{{
 	name: "msgpack",
-	serve: func(e *edge) front.Handler {
+	serve: func(e *edge) listener.Handler {
 		return msgpackrpc.New(e.core, e.log, e.stats).Serve
 	},
 	write: func(t try, seq int) []byte {
@@ -89,7 +89,7 @@
 	retryFloor: time.Millisecond,
 }, {
 	name: "scgi",
-	serve: func(e *edge) front.Handler {
+	serve: func(e *edge) listener.Handler {
 		return scgi.New(e.core, settings.SCGI{MaxBody: 2048, HeldKB: 20}, 1, e.log, e.stats).Serve
 	},
 	write: func(t try, _ int) []byte {
@@ -220,9 +220,9 @@
 	engine  *engine
 	vault   *vault
 	log     *log.Logger
-	stats   *stats.Counters
+	stats   *metrics.Counters
 	pipes   *pipes.Listener
-	ln      *front.Listener
+	ln      *listener.Listener
 	callers []*caller
 	seq     int
 }
@@ -662,8 +662,8 @@
 type role struct {
 	name   string
 	routed bool
-	pools  *pools.Config
-	pair   handover.Role
+	pools  *admission.Config
+	pair   hotrestart.Role
 	keeps  bool // its runs, on a disk
 }
 
@@ -672,10 +672,10 @@
 	{" through a router", true, nil, 0, false},
 	{" that keeps its runs", false, nil, 0, true},
 	{" that keeps its runs, through a router", true, nil, 0, true},
-	{" with pools", false, &pools.Config{Pools: []pools.Pool{
+	{" with pools", false, &admission.Config{Pools: []admission.Pool{
 		{Name: "sheets", Classes: []string{"oddaja"}, Weight: 10, Floor: 0.3}, {Name: "others", Weight: 1, Floor: 0.1}}}, 0, false},
-	{" as the elder of two", false, nil, handover.Elder, false},
-	{" as the younger of two", false, nil, handover.Younger, false},
+	{" as the elder of two", false, nil, hotrestart.Elder, false},
+	{" as the younger of two", false, nil, hotrestart.Younger, false},
 }
 
 func TestRules(t *testing.T) {
@@ -700,7 +700,7 @@
 // route puts a server of its own behind the edge's core, which becomes a router's. It returns what ends both.
 func (e *edge) route(keeps bool) func() {
 	var err error
-	e.worker, err = core.New(core.Config{Settings: site, MemoryMB: 64, Log: e.log, Stats: &stats.Counters{}, Cell: true})
+	e.worker, err = core.New(core.Config{Settings: site, MemoryMB: 64, Log: e.log, Stats: &metrics.Counters{}, Cell: true})
 	if err != nil {
 		e.t.Fatal(err)
 	}
@@ -709,9 +709,9 @@
 		unkeep = e.keep()
 	}
 	back := pipes.Listen()
-	ln := front.New("back", back, 1000, e.worker.IdleAfter, msgpackrpc.New(e.worker, e.log, e.stats).Serve, e.log, e.stats)
+	ln := listener.New("back", back, 1000, e.worker.IdleAfter, msgpackrpc.New(e.worker, e.log, e.stats).Serve, e.log, e.stats)
 	go ln.Serve()
-	r, err := fleet.New(fleet.Config{
+	r, err := proxy.New(proxy.Config{
 		Source: fixed{&cells.Map{
 			Version: 1, Window: window, Lease: time.Hour, Patient: deadline, Cells: []cells.Cell{{Name: "a"}},
 			Servers: []cells.Server{{Name: "s0", Addr: "pipe", Cell: "a", Weight: 1, From: time.Now().UnixMilli()}},
@@ -740,13 +740,13 @@
 
 // keep has the edge's runs kept on a disk. It returns what ends that.
 func (e *edge) keep() func() {
-	began, clock := time.Now(), store.Now
-	store.Now = func() keyed.Clock { return keyed.Clock{Boot: "bubble", Now: time.Hour + time.Since(began)} }
+	began, clock := time.Now(), idempotencystore.Now
+	idempotencystore.Now = func() idempotency.Clock { return idempotency.Clock{Boot: "bubble", Now: time.Hour + time.Since(began)} }
 	dir := e.t.TempDir()
-	if err := store.Init(dir, "edge"); err != nil {
+	if err := idempotencystore.Init(dir, "edge"); err != nil {
 		e.t.Fatal(err)
 	}
-	s, err := store.Open(store.Config{Dir: dir, Name: "edge", Bytes: 8 << 20, Result: 1 << 10, Log: e.log, Stats: e.stats}, e.worker)
+	s, err := idempotencystore.Open(idempotencystore.Config{Dir: dir, Name: "edge", Bytes: 8 << 20, Result: 1 << 10, Log: e.log, Stats: e.stats}, e.worker)
 	if err != nil {
 		e.t.Fatal(err)
 	}
@@ -755,7 +755,7 @@
 	<-s.Loaded()
 	return func() {
 		s.Close()
-		store.Now = clock
+		idempotencystore.Now = clock
 		if n := e.stats.Get("runs", "oddaja", "ok"); n > 0 && e.stats.Get("store", "commits") == 0 {
 			e.t.Errorf("%d sheets ran and nothing was kept", n)
 		}
@@ -763,8 +763,8 @@
 }
 
 // beside starts another process of the service, idle, beside the edge's core. It returns what ends it.
-func (e *edge) beside(w *lab.Couple, as role) func() {
-	other, err := core.New(core.Config{Settings: site, MemoryMB: 64, Log: e.log, Stats: &stats.Counters{}, Pair: w.End(1)})
+func (e *edge) beside(w *benchmarks.Couple, as role) func() {
+	other, err := core.New(core.Config{Settings: site, MemoryMB: 64, Log: e.log, Stats: &metrics.Counters{}, Pair: w.End(1)})
 	if err == nil {
 		err = other.Attach(&engine{core: other}, e.vault)
 	}
@@ -772,13 +772,13 @@
 		e.t.Fatal(err)
 	}
 	first := 0
-	if as.pair == handover.Younger {
+	if as.pair == hotrestart.Younger {
 		first = 1
 	}
 	w.Join(e.core, other, first)
 	other.Up()
 	synctest.Wait()
-	if r := e.core.PairRole(); r != as.pair || other.Phase() != phase.Serving {
+	if r := e.core.PairRole(); r != as.pair || other.Phase() != lifecycle.Serving {
 		e.t.Fatalf("%v, beside one that is %v", r, other.Phase())
 	}
 	return func() {
@@ -792,12 +792,12 @@
 func play(t *testing.T, d driver, as role, test func(*edge)) {
 	p, routed := as.pools, as.routed
 	e := &edge{
-		t: t, driver: d, log: log.New(io.Discard, "", 0), stats: &stats.Counters{}, vault: &vault{},
+		t: t, driver: d, log: log.New(io.Discard, "", 0), stats: &metrics.Counters{}, vault: &vault{},
 		pipes: pipes.Listen(),
 	}
 	var err error
 	var pair *core.PairConfig
-	couple := lab.NewCouple()
+	couple := benchmarks.NewCouple()
 	if as.pair != 0 {
 		pair = couple.End(0)
 	}
@@ -820,9 +820,9 @@
 	}
 	e.worker.Up()
 	synctest.Wait()
-	e.ln = front.New(d.name, e.pipes, 1000, e.core.IdleAfter, d.serve(e), e.log, e.stats)
+	e.ln = listener.New(d.name, e.pipes, 1000, e.core.IdleAfter, d.serve(e), e.log, e.stats)
 	if p != nil {
-		e.ln.Reserve(pools.ReserveConfig{})
+		e.ln.Reserve(admission.ReserveConfig{})
 	}
 	go e.ln.Serve()
 	defer func() {
--- a/internal/harness/group.go
+++ b/internal/testkit/harness/group.go
@@ -9,11 +9,11 @@
 	"path/filepath"
 	"time"
 
-	"silverpath/internal/duties"
-	"silverpath/internal/group"
-	"silverpath/internal/lease"
-	"silverpath/internal/quorum"
-	"silverpath/internal/standin/faults"
+	"silverpath/internal/controlplane/quorum"
+	"silverpath/internal/policy/controller"
+	"silverpath/internal/policy/lease"
+	"silverpath/internal/policy/statemachine"
+	"silverpath/internal/testkit/standin/faults"
 )
 
 // Starter starts the program with arguments, in an environment with more.
@@ -169,7 +169,7 @@
 }
 
 // Do has the group agree on a command.
-func (g *Group) Do(c group.Command) (group.Result, error) {
+func (g *Group) Do(c statemachine.Command) (statemachine.Result, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
 	return g.Client.Do(ctx, c)
@@ -181,7 +181,7 @@
 	if err != nil {
 		return err
 	}
-	r, err := g.Do(group.Command{Submit: &group.Submit{Duty: duty, ID: id, Kind: kind, Args: raw}})
+	r, err := g.Do(statemachine.Command{Submit: &statemachine.Submit{Duty: duty, ID: id, Kind: kind, Args: raw}})
 	if err == nil && r.Error != "" {
 		err = fmt.Errorf("%s", r.Error)
 	}
@@ -189,7 +189,7 @@
 }
 
 // Over waits until nothing more becomes of an item.
-func (g *Group) Over(duty, id string, within time.Duration) (it duties.Item, err error) {
+func (g *Group) Over(duty, id string, within time.Duration) (it controller.Item, err error) {
 	for end := time.Now().Add(within); ; time.Sleep(10 * time.Millisecond) {
 		v, e := g.View()
 		if e == nil && v.Journals[duty].Item(id) != nil {
--- a/internal/hollow/caller.go
+++ b/internal/testkit/hollow/caller.go
@@ -5,8 +5,8 @@
 	"strconv"
 	"time"
 
-	"silverpath/internal/msgpackrpc"
-	"silverpath/internal/rulebook"
+	"silverpath/internal/policy/configstore"
+	"silverpath/internal/transport/msgpackrpc"
 )
 
 // CallerConfig sets up a Caller.
@@ -17,7 +17,7 @@
 	Every time.Duration
 	First time.Duration // it waits so long, that many do not speak at once
 	Rules string        // the document that it says it goes by; empty: it is a balancer that says nothing of itself
-	Terms rulebook.Terms
+	Terms configstore.Terms
 }
 
 // Caller is what sends to a server, a router or a platform's balancer, of which only the health checks are there: each on a connection of
--- a/internal/hollow/hollow.go
+++ b/internal/testkit/hollow/hollow.go
@@ -13,7 +13,7 @@
 	"sync"
 	"sync/atomic"
 
-	"silverpath/internal/msgpackrpc"
+	"silverpath/internal/transport/msgpackrpc"
 )
 
 // IP is the address of the loopback range that the nth of a kind has: kinds are 0 to 31, and each has 65,536.
@@ -63,13 +63,13 @@
 	return n, err
 }
 
-// listener is one whose connections are counted.
-type listener struct {
+// countingListener is a listener whose connections are counted.
+type countingListener struct {
 	*net.TCPListener
 	t *Traffic
 }
 
-func (l listener) Accept() (net.Conn, error) {
+func (l countingListener) Accept() (net.Conn, error) {
 	c, err := l.AcceptTCP()
 	if err != nil {
 		return nil, err
@@ -78,9 +78,9 @@
 	return conn{c, l.t}, nil
 }
 
-func listen(ip string, t *Traffic) (listener, error) {
+func listen(ip string, t *Traffic) (countingListener, error) {
 	ln, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.ParseIP(ip)})
-	return listener{ln, t}, err
+	return countingListener{ln, t}, err
 }
 
 // dial opens a connection to a server's front from an address of its own.
--- a/internal/hollow/hollow_test.go
+++ b/internal/testkit/hollow/hollow_test.go
@@ -14,16 +14,16 @@
 	"time"
 
 	"silverpath"
-	"silverpath/internal/cells"
-	"silverpath/internal/fleet"
-	"silverpath/internal/front"
-	"silverpath/internal/lease"
-	"silverpath/internal/msgpackrpc"
-	"silverpath/internal/quorum"
-	"silverpath/internal/routing"
-	"silverpath/internal/rulebook"
+	"silverpath/internal/controlplane/quorum"
+	"silverpath/internal/metrics"
+	"silverpath/internal/policy/cells"
+	"silverpath/internal/policy/configstore"
+	"silverpath/internal/policy/lease"
+	"silverpath/internal/policy/loadbalancer"
+	"silverpath/internal/proxy"
 	"silverpath/internal/settings"
-	"silverpath/internal/stats"
+	"silverpath/internal/transport/listener"
+	"silverpath/internal/transport/msgpackrpc"
 )
 
 func site() silverpath.Settings {
@@ -103,7 +103,7 @@
 			own.Servers = m.Servers[:3]
 		}
 		file := filepath.Join(t.TempDir(), "cells.json")
-		if err := fleet.Write(file, &own); err != nil {
+		if err := proxy.Write(file, &own); err != nil {
 			t.Fatal(err)
 		}
 		r, err := NewRouter(RouterConfig{Name: fmt.Sprint("r", i), IP: IP(1, i+1), Settings: site(), MemoryMB: 16, Sockets: 16, Map: file, Probe: 20 * time.Millisecond})
@@ -116,7 +116,7 @@
 		until(t, "a router doesn't know its servers", func() bool {
 			n := 0
 			for _, s := range r.States() {
-				if s.Health == routing.Alive {
+				if s.Health == loadbalancer.Alive {
 					n++
 				}
 			}
@@ -183,7 +183,7 @@
 		}
 		callers = append(callers, NewCaller(CallerConfig{
 			Name: fmt.Sprint("c", i), IP: IP(2, i+1), To: s.Addr, Every: 10 * time.Millisecond, First: time.Duration(i) * time.Millisecond, Rules: rules,
-			Terms: rulebook.Terms{Lease: time.Second},
+			Terms: configstore.Terms{Lease: time.Second},
 		}))
 	}
 	for i, c := range callers {
@@ -214,16 +214,16 @@
 // book is a group of one, without a disk: it answers as the leader does.
 type book struct {
 	mu    sync.Mutex
-	b     *rulebook.Book
+	b     *configstore.Book
 	index uint64
-	ln    *front.Listener
+	ln    *listener.Listener
 	done  chan struct{}
 	heard map[string]int
 }
 
 func newBook(t *testing.T) (*book, string) {
-	g := &book{b: rulebook.NewBook(), done: make(chan struct{}), heard: map[string]int{}}
-	var c stats.Counters
+	g := &book{b: configstore.NewBook(), done: make(chan struct{}), heard: map[string]int{}}
+	var c metrics.Counters
 	words := msgpackrpc.NewWords("test", &c, func(_ context.Context, w msgpackrpc.Word) func() msgpackrpc.Verdict {
 		return func() msgpackrpc.Verdict { return g.answer(w) }
 	})
@@ -231,7 +231,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	g.ln = front.New("test", ln, 64, func() time.Duration { return 0 }, words.Serve, silent(), &c)
+	g.ln = listener.New("test", ln, 64, func() time.Duration { return 0 }, words.Serve, silent(), &c)
 	go func() {
 		defer close(g.done)
 		g.ln.Serve()
@@ -247,12 +247,12 @@
 		return msgpackrpc.Verdict{Error: quorum.WordNo}
 	}
 	g.heard[strings.SplitN(s.User.Name, "#", 2)[0]]++
-	op := rulebook.Say
+	op := configstore.Say
 	if g.b.Users[s.User.Name] == nil {
-		op = rulebook.Join
+		op = configstore.Join
 	}
-	g.apply(rulebook.Change{Op: op, User: &s.User})
-	docs := map[string]rulebook.View{}
+	g.apply(configstore.Change{Op: op, User: &s.User})
+	docs := map[string]configstore.View{}
 	for name := range s.User.Reads {
 		if d := g.b.Docs[name]; d != nil {
 			docs[name] = d.Tell(&s.User, s.Has[name], s.Bases[name])
@@ -262,7 +262,7 @@
 	return msgpackrpc.Verdict{Body: out}
 }
 
-func (g *book) apply(c rulebook.Change) error {
+func (g *book) apply(c configstore.Change) error {
 	g.index++
 	_, err := g.b.Apply(c)
 	return err
@@ -277,21 +277,21 @@
 	if d := g.b.Docs[doc]; d != nil {
 		n = d.Force.ID.Version
 	}
-	id := rulebook.Name(n+1, []byte(text))
+	id := configstore.Name(n+1, []byte(text))
 	g.index++
-	g.b.Docs[doc] = &rulebook.Doc{Name: doc, Top: n + 1, Force: &rulebook.Entry{ID: id, Format: 1, Text: text}}
+	g.b.Docs[doc] = &configstore.Doc{Name: doc, Top: n + 1, Force: &configstore.Entry{ID: id, Format: 1, Text: text}}
 }
 
 // Followers in one process each have their documents, and take what comes: routers, servers, and those that only follow.
 func TestFollowersKeepApart(t *testing.T) {
 	g, addr := newBook(t)
 	list, m := servers(t, 1, false)
-	g.put(t, rulebook.DocMap, string(settings.FormatCells(m)))
-	g.put(t, rulebook.DocRouting, `{"retries":0.1,"probe_ms":50}`)
+	g.put(t, configstore.DocMap, string(settings.FormatCells(m)))
+	g.put(t, configstore.DocRouting, `{"retries":0.1,"probe_ms":50}`)
 	client := func() *quorum.Client { return &quorum.Client{Group: "test", Addrs: []string{addr}} }
 	took := make([]atomic.Int32, 6)
 	tell := func(i int) func(string) { return func(string) { took[i].Add(1) } }
-	docs := []string{rulebook.DocMap, rulebook.DocRouting}
+	docs := []string{configstore.DocMap, configstore.DocRouting}
 	var close []func()
 	for i := range 4 {
 		f, err := NewFollower(FollowerConfig{Name: fmt.Sprint("f", i), Group: client(), Docs: docs[i%2:], Site: site(), Took: tell(i)})
@@ -304,7 +304,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s, err := NewServer(ServerConfig{Name: "s", IP: IP(0, 100), Settings: site(), MemoryMB: 16, Sockets: 16, Group: client(), Docs: []string{rulebook.DocClasses}, Took: tell(5)})
+	s, err := NewServer(ServerConfig{Name: "s", IP: IP(0, 100), Settings: site(), MemoryMB: 16, Sockets: 16, Group: client(), Docs: []string{configstore.DocClasses}, Took: tell(5)})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -313,11 +313,11 @@
 	for i, n := range want {
 		until(t, "documents that were there", func() bool { return took[i].Load() >= n })
 	}
-	g.put(t, rulebook.DocRouting, `{"retries":0.2,"probe_ms":50}`)
+	g.put(t, configstore.DocRouting, `{"retries":0.2,"probe_ms":50}`)
 	for i, n := range want[:5] {
 		until(t, "a change", func() bool { return took[i].Load() == n+1 })
 	}
-	until(t, "its map's server", func() bool { return len(r.States()) == 1 && r.States()[0].Health == routing.Alive })
+	until(t, "its map's server", func() bool { return len(r.States()) == 1 && r.States()[0].Health == loadbalancer.Alive })
 	if _, err := NewFollower(FollowerConfig{Name: "f", Group: client(), Docs: []string{"none"}}); err == nil {
 		t.Error("a document that nobody has a use for")
 	}
@@ -346,31 +346,31 @@
 	put := func(version int) {
 		g.mu.Lock()
 		defer g.mu.Unlock()
-		parts, old := map[string]rulebook.Part{}, map[string]rulebook.Part{}
-		if d := g.b.Docs[rulebook.DocMap]; d != nil {
+		parts, old := map[string]configstore.Part{}, map[string]configstore.Part{}
+		if d := g.b.Docs[configstore.DocMap]; d != nil {
 			old = d.Force.Parts
 		}
 		for name, text := range settings.SplitCells(m) {
-			p := rulebook.Part{Version: version, Digest: rulebook.DigestOf(text), Text: text}
+			p := configstore.Part{Version: version, Digest: configstore.DigestOf(text), Text: text}
 			if was, there := old[name]; there && was.Digest == p.Digest {
 				p = was
 			}
 			parts[name] = p
 		}
 		g.index++
-		g.b.Docs[rulebook.DocMap] = &rulebook.Doc{Name: rulebook.DocMap, Top: version,
-			Force: &rulebook.Entry{ID: rulebook.ID{Version: version, Digest: rulebook.Sum(parts)}, Format: rulebook.FormatInParts, Split: true, Parts: parts}}
+		g.b.Docs[configstore.DocMap] = &configstore.Doc{Name: configstore.DocMap, Top: version,
+			Force: &configstore.Entry{ID: configstore.ID{Version: version, Digest: configstore.Sum(parts)}, Format: configstore.FormatInParts, Split: true, Parts: parts}}
 	}
 	put(1)
 	var took atomic.Int32
-	f, err := NewFollower(FollowerConfig{Name: "f", Group: &quorum.Client{Group: "test", Addrs: []string{addr}}, Docs: []string{rulebook.DocMap}, Site: site(), Took: func(string) { took.Add(1) }})
+	f, err := NewFollower(FollowerConfig{Name: "f", Group: &quorum.Client{Group: "test", Addrs: []string{addr}}, Docs: []string{configstore.DocMap}, Site: site(), Took: func(string) { took.Add(1) }})
 	if err != nil {
 		t.Fatal(err)
 	}
-	until(t, "the map", func() bool { return took.Load() == 1 && f.Acts(rulebook.DocMap) == 1 })
+	until(t, "the map", func() bool { return took.Load() == 1 && f.Acts(configstore.DocMap) == 1 })
 	m.Version, m.Tenants[0].Rate = 2, 2
 	put(2)
-	until(t, "what changed of it", func() bool { return took.Load() == 2 && f.Acts(rulebook.DocMap) == 2 })
+	until(t, "what changed of it", func() bool { return took.Load() == 2 && f.Acts(configstore.DocMap) == 2 })
 	f.Close()
 	g.ln.Close()
 	g.ln.End(time.Second)
--- a/internal/hollow/router.go
+++ b/internal/testkit/hollow/router.go
@@ -9,17 +9,17 @@
 	"time"
 
 	"silverpath"
+	"silverpath/internal/controlplane/configwatch"
+	"silverpath/internal/controlplane/quorum"
 	"silverpath/internal/core"
-	"silverpath/internal/fleet"
-	"silverpath/internal/follow"
-	"silverpath/internal/lease"
-	"silverpath/internal/msgpackrpc"
-	"silverpath/internal/quorum"
-	"silverpath/internal/routing"
-	"silverpath/internal/rulebook"
+	"silverpath/internal/metrics"
+	"silverpath/internal/policy/configstore"
+	"silverpath/internal/policy/lease"
+	"silverpath/internal/policy/loadbalancer"
+	"silverpath/internal/policy/quota"
+	"silverpath/internal/proxy"
 	"silverpath/internal/settings"
-	"silverpath/internal/shares"
-	"silverpath/internal/stats"
+	"silverpath/internal/transport/msgpackrpc"
 )
 
 // FollowerConfig sets up a Follower.
@@ -33,15 +33,15 @@
 
 // Follower is a process that acts on documents of a group, and does nothing else.
 type Follower struct {
-	Stats   stats.Counters
+	Stats   metrics.Counters
 	run     *running
 	group   *quorum.Client
-	follows *follow.Follower
+	follows *configwatch.Follower
 }
 
 // NewFollower starts one.
 func NewFollower(cfg FollowerConfig) (*Follower, error) {
-	src, err := fleet.OpenAgreed("")
+	src, err := proxy.OpenAgreed("")
 	if err != nil {
 		return nil, err
 	}
@@ -74,17 +74,17 @@
 
 // agreed is what a follower of the map has besides.
 type agreed struct {
-	src   *fleet.Agreed
+	src   *proxy.Agreed
 	told  func(time.Time)
-	share follow.Sharer
+	share configwatch.Sharer
 }
 
 // newFollower has the documents checked and taken as the service has them. Retune takes classes up, and reroute how a router chooses.
-func newFollower(cfg FollowerConfig, retune func(silverpath.Settings) error, reroute func(settings.Fleet), a *agreed, s *stats.Counters) (*follow.Follower, error) {
+func newFollower(cfg FollowerConfig, retune func(silverpath.Settings) error, reroute func(settings.Fleet), a *agreed, s *metrics.Counters) (*configwatch.Follower, error) {
 	var mu sync.Mutex
 	site := cfg.Site
-	own := map[string]follow.Document{
-		rulebook.DocClasses: {
+	own := map[string]configwatch.Document{
+		configstore.DocClasses: {
 			Check: func(text string) error {
 				mu.Lock()
 				defer mu.Unlock()
@@ -103,7 +103,7 @@
 				}
 				return err
 			}},
-		rulebook.DocRouting: {
+		configstore.DocRouting: {
 			Check: func(text string) error {
 				_, err := settings.ParseRouting(text)
 				return err
@@ -116,9 +116,9 @@
 				return err
 			}},
 	}
-	set := follow.Config{Name: cfg.Name, Group: cfg.Group, Docs: map[string]follow.Document{}, Log: silent(), Stats: s}
+	set := configwatch.Config{Name: cfg.Name, Group: cfg.Group, Docs: map[string]configwatch.Document{}, Log: silent(), Stats: s}
 	if a != nil {
-		own[rulebook.DocMap] = follow.Document{Format: rulebook.FormatInParts, Check: a.src.Check, Take: a.src.Take, CheckParts: a.src.CheckParts, TakeParts: a.src.TakeParts}
+		own[configstore.DocMap] = configwatch.Document{Format: configstore.FormatInParts, Check: a.src.Check, Take: a.src.Take, CheckParts: a.src.CheckParts, TakeParts: a.src.TakeParts}
 		set.Told, set.Skew, set.Share = a.told, a.src.Skew, a.share
 	}
 	for _, name := range cfg.Docs {
@@ -136,14 +136,14 @@
 			}
 			d.Take = func(text string) error { return took(take(text)) }
 			if parts != nil {
-				d.TakeParts = func(id rulebook.ID, changed map[string]string, whole bool) error {
+				d.TakeParts = func(id configstore.ID, changed map[string]string, whole bool) error {
 					return took(parts(id, changed, whole))
 				}
 			}
 		}
 		set.Docs[name] = d
 	}
-	return follow.New(set), nil
+	return configwatch.New(set), nil
 }
 
 // RouterConfig sets up a Router.
@@ -165,9 +165,9 @@
 // Router is a router without clients: its health checks, map and documents and its part in the cells are those of the real one.
 type Router struct {
 	Traffic
-	Stats stats.Counters
+	Stats metrics.Counters
 	core  *core.Core
-	fleet *fleet.Runner
+	fleet *proxy.Runner
 	run   *running
 	group *quorum.Client
 }
@@ -183,23 +183,23 @@
 	if err != nil {
 		return nil, err
 	}
-	var src fleet.Source
+	var src proxy.Source
 	var mu sync.Mutex // of the fleet, which the follower comes before
-	runner := func() *fleet.Runner {
+	runner := func() *proxy.Runner {
 		mu.Lock()
 		defer mu.Unlock()
 		return r.fleet
 	}
-	ways := routing.Config{}
-	var follows *follow.Follower
+	ways := loadbalancer.Config{}
+	var follows *configwatch.Follower
 	if cfg.Map != "" {
-		src, err = fleet.OpenFile(cfg.Map, "")
+		src, err = proxy.OpenFile(cfg.Map, "")
 	}
 	if err != nil {
 		return nil, err
 	}
 	if cfg.Group != nil {
-		a, err := fleet.OpenAgreed("")
+		a, err := proxy.OpenAgreed("")
 		if err != nil {
 			return nil, err
 		}
@@ -216,7 +216,7 @@
 			}
 			ways, cfg.Probe = next.Routing, next.Probe
 		}
-		var share follow.Sharer
+		var share configwatch.Sharer
 		if cfg.Most > 0 {
 			share = sharing{runner}
 		}
@@ -238,7 +238,7 @@
 	if src == nil {
 		return nil, errNoMap
 	}
-	f, err := fleet.New(fleet.Config{
+	f, err := proxy.New(proxy.Config{
 		Name: cfg.Name, Source: src, Routing: ways, Cores: cfg.Settings.Cores, Probe: cfg.Probe, Sockets: cfg.Sockets,
 		Dial: func(ctx context.Context, addr string) (*msgpackrpc.Conn, error) { return r.dial(ctx, cfg.IP, addr) },
 	}, r.core, l, &r.Stats)
@@ -262,7 +262,7 @@
 }
 
 // States are the servers as it knows them.
-func (r *Router) States() []routing.State {
+func (r *Router) States() []loadbalancer.State {
 	list, _ := r.fleet.States()
 	return list
 }
@@ -279,11 +279,11 @@
 }
 
 // sharing is a router that shares its cells with others, once it is there.
-type sharing struct{ fleet func() *fleet.Runner }
+type sharing struct{ fleet func() *proxy.Runner }
 
-func (s sharing) Says() (shares.Word, func(shares.Grant, lease.Terms)) {
+func (s sharing) Says() (quota.Word, func(quota.Grant, lease.Terms)) {
 	if f := s.fleet(); f != nil {
 		return f.Says()
 	}
-	return shares.Word{}, func(shares.Grant, lease.Terms) {}
+	return quota.Word{}, func(quota.Grant, lease.Terms) {}
 }
--- a/internal/hollow/server.go
+++ b/internal/testkit/hollow/server.go
@@ -4,12 +4,12 @@
 	"time"
 
 	"silverpath"
+	"silverpath/internal/controlplane/quorum"
 	"silverpath/internal/core"
-	"silverpath/internal/front"
-	"silverpath/internal/msgpackrpc"
-	"silverpath/internal/quorum"
+	"silverpath/internal/metrics"
 	"silverpath/internal/settings"
-	"silverpath/internal/stats"
+	"silverpath/internal/transport/listener"
+	"silverpath/internal/transport/msgpackrpc"
 )
 
 // ServerConfig sets up a Server.
@@ -29,10 +29,10 @@
 // Server is a server of a cell without an interpreter: its health checks, slow start and documents are those of the real one.
 type Server struct {
 	Traffic
-	Stats stats.Counters
+	Stats metrics.Counters
 	Addr  string
 	core  *core.Core
-	front *front.Listener
+	front *listener.Listener
 	run   *running
 	group *quorum.Client
 }
@@ -55,7 +55,7 @@
 		return nil, err
 	}
 	s.Addr = ln.Addr().String()
-	s.front = front.New(msgpackrpc.Name, ln, cfg.Sockets, s.core.IdleAfter, msgpackrpc.New(s.core, l, &s.Stats).Serve, l, &s.Stats)
+	s.front = listener.New(msgpackrpc.Name, ln, cfg.Sockets, s.core.IdleAfter, msgpackrpc.New(s.core, l, &s.Stats).Serve, l, &s.Stats)
 	s.run.all.Go(s.front.Serve)
 	if cfg.Group != nil {
 		f, err := newFollower(FollowerConfig{Name: cfg.Name, Group: cfg.Group, Docs: cfg.Docs, Site: cfg.Settings, Took: cfg.Took}, s.core.Retune, nil, nil, &s.Stats)
--- a/internal/standin/faults/faults.go
+++ b/internal/testkit/standin/faults/faults.go
@@ -12,7 +12,7 @@
 	"sync"
 	"time"
 
-	"silverpath/internal/msgpackrpc"
+	"silverpath/internal/transport/msgpackrpc"
 )
 
 // Way is a direction.
--- a/internal/standin/faults/faults_test.go
+++ b/internal/testkit/standin/faults/faults_test.go
@@ -7,20 +7,20 @@
 	"testing"
 	"time"
 
-	"silverpath/internal/front"
-	"silverpath/internal/msgpackrpc"
-	"silverpath/internal/stats"
+	"silverpath/internal/metrics"
+	"silverpath/internal/transport/listener"
+	"silverpath/internal/transport/msgpackrpc"
 )
 
 // What is said goes through; lost it goes nowhere, one way only; held it comes later; twice it comes twice; spoilt it comes with
 // other digits; cut nobody gets through.
 func TestBetween(t *testing.T) {
 	got := make(chan string, 64)
-	f := msgpackrpc.NewWords("words", &stats.Counters{}, func(_ context.Context, w msgpackrpc.Word) func() msgpackrpc.Verdict {
+	f := msgpackrpc.NewWords("words", &metrics.Counters{}, func(_ context.Context, w msgpackrpc.Word) func() msgpackrpc.Verdict {
 		got <- string(w.Body)
 		return func() msgpackrpc.Verdict { return msgpackrpc.Verdict{Body: w.Body} }
 	})
-	ln, err := front.Listen("words", "127.0.0.1:0", 8, func() time.Duration { return time.Minute }, f.Serve, log.New(io.Discard, "", 0), &stats.Counters{})
+	ln, err := listener.Listen("words", "127.0.0.1:0", 8, func() time.Duration { return time.Minute }, f.Serve, log.New(io.Discard, "", 0), &metrics.Counters{})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/mgmt/mgmt.go
+++ b/internal/transport/admin/mgmt.go
@@ -1,6 +1,6 @@
-// Package mgmt is the front for operators: HTTP/1.1, one call a connection. It asks nothing of the core's lock and has
+// Package admin is the front for operators: HTTP/1.1, one call a connection. It asks nothing of the core's lock and has
 // its own few connections and buffers, so that a crowd of clients keeps no operator out.
-package mgmt
+package admin
 
 import (
 	"bufio"
@@ -20,8 +20,8 @@
 	"time"
 
 	"silverpath/internal/events"
-	"silverpath/internal/linger"
-	"silverpath/internal/stats"
+	"silverpath/internal/metrics"
+	"silverpath/internal/transport/linger"
 )
 
 // Name is the front's name in counters and log lines.
@@ -161,8 +161,8 @@
 	order Orders // nil: none are taken
 	snap  func() (string, error)
 	log   *log.Logger
-	stats *stats.Counters
-	took  *stats.Timing
+	stats *metrics.Counters
+	took  *metrics.Timing
 
 	mu     sync.Mutex
 	places []*place // in the order of their coming
@@ -178,7 +178,7 @@
 }
 
 // Listen opens the address, for so many connections at once.
-func Listen(addr string, most int, op Operator, l *log.Logger, s *stats.Counters) (*Server, error) {
+func Listen(addr string, most int, op Operator, l *log.Logger, s *metrics.Counters) (*Server, error) {
 	ln, err := (&net.ListenConfig{KeepAlive: -1}).Listen(context.Background(), "tcp", addr)
 	if err != nil {
 		return nil, err
--- a/internal/mgmt/mgmt_test.go
+++ b/internal/transport/admin/mgmt_test.go
@@ -1,4 +1,4 @@
-package mgmt
+package admin
 
 import (
 	"bufio"
@@ -12,8 +12,8 @@
 	"testing"
 	"time"
 
-	"silverpath/internal/linger"
-	"silverpath/internal/stats"
+	"silverpath/internal/metrics"
+	"silverpath/internal/transport/linger"
 )
 
 // operated notes what it is asked.
@@ -33,9 +33,9 @@
 func (o *operated) Evacuate() (bool, string) { return o.note("evacuate") }
 func (o *operated) Rejoin() (bool, string)   { return o.note("rejoin") }
 
-func serve(t *testing.T) (*Server, *operated, *stats.Counters) {
+func serve(t *testing.T) (*Server, *operated, *metrics.Counters) {
 	t.Helper()
-	op, counters := &operated{}, &stats.Counters{}
+	op, counters := &operated{}, &metrics.Counters{}
 	s, err := Listen("127.0.0.1:0", Most, op, log.New(io.Discard, "", 0), counters)
 	if err != nil {
 		t.Fatal(err)
@@ -170,7 +170,7 @@
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	s := &Server{most: 2, stats: &stats.Counters{}, freed: make(chan struct{}, 1)}
+	s := &Server{most: 2, stats: &metrics.Counters{}, freed: make(chan struct{}, 1)}
 	for _, text := range []string{whole, ""} {
 		near, err := net.Dial("tcp", ln.Addr().String())
 		if err != nil {
--- a/internal/buf/buf.go
+++ b/internal/transport/bufferpool/buf.go
@@ -1,5 +1,5 @@
-// Package buf is the pool of buffers that all connections read into and write from. They have one size.
-package buf
+// Package bufferpool is the pool of buffers that all connections read into and write from. They have one size.
+package bufferpool
 
 import (
 	"bufio"
--- a/internal/ask/ask.go
+++ b/internal/transport/client/ask.go
@@ -1,5 +1,5 @@
-// Package ask is a client of either front: it sends requests, or one status request, and says what came of them.
-package ask
+// Package client is a client of either front: it sends requests, or one status request, and says what came of them.
+package client
 
 import (
 	"bufio"
@@ -16,8 +16,8 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"silverpath/internal/msgpackrpc"
-	"silverpath/internal/scgi"
+	"silverpath/internal/transport/msgpackrpc"
+	"silverpath/internal/transport/scgi"
 )
 
 // The fronts, by their names on the command line.
--- a/internal/ask/ask_test.go
+++ b/internal/transport/client/ask_test.go
@@ -1,4 +1,4 @@
-package ask
+package client
 
 import (
 	"bufio"
@@ -7,7 +7,7 @@
 	"strings"
 	"testing"
 
-	"silverpath/internal/msgpackrpc"
+	"silverpath/internal/transport/msgpackrpc"
 )
 
 // A status as long as a word is read whole: that of a router has a line for each of hundreds of servers.
--- a/internal/interp/interp.go
+++ b/internal/transport/interpreter/interp.go
@@ -1,6 +1,6 @@
-// Package interp is the link to the interpreter, which does the work: JSON objects, one to each line. It keeps
+// Package interpreter is the link to the interpreter, which does the work: JSON objects, one to each line. It keeps
 // the link open, takes up the notices where the last link ended, and starts anew what a broken link lost.
-package interp
+package interpreter
 
 import (
 	"bufio"
@@ -18,10 +18,10 @@
 	"github.com/valyala/fastjson"
 
 	"silverpath"
-	"silverpath/internal/buf"
 	"silverpath/internal/events"
+	"silverpath/internal/metrics"
 	"silverpath/internal/settings"
-	"silverpath/internal/stats"
+	"silverpath/internal/transport/bufferpool"
 )
 
 // Events is who hears of runs: the core.
@@ -54,7 +54,7 @@
 	gauges []string
 	events Events
 	log    *log.Logger
-	stats  *stats.Counters
+	stats  *metrics.Counters
 	dial   func(ctx context.Context, network, addr string) (net.Conn, error)
 
 	mu      sync.Mutex
@@ -85,7 +85,7 @@
 }
 
 // New returns a link to the interpreter at addr; Keep holds it open.
-func New(addr string, gauges []string, events Events, l *log.Logger, s *stats.Counters) *Link {
+func New(addr string, gauges []string, events Events, l *log.Logger, s *metrics.Counters) *Link {
 	return &Link{
 		addr: addr, gauges: gauges, events: events, log: l, stats: s, jobs: map[string]*job{}, cut: func() {},
 		bell: make(chan struct{}, 1), dial: (&net.Dialer{Timeout: slowestDial}).DialContext,
@@ -265,8 +265,8 @@
 
 // write sends what is queued once the link is live, several commands at a time.
 func (l *Link) write(conn net.Conn, over <-chan struct{}) {
-	b := buf.Get()
-	defer buf.Put(b)
+	b := bufferpool.Get()
+	defer bufferpool.Put(b)
 	for {
 		select {
 		case <-over:
@@ -277,7 +277,7 @@
 			l.mu.Lock()
 			n := 0
 			*b = (*b)[:0]
-			for l.live && n < len(l.queue) && (n == 0 || len(*b)+len(l.queue[n].line) <= buf.Size) {
+			for l.live && n < len(l.queue) && (n == 0 || len(*b)+len(l.queue[n].line) <= bufferpool.Size) {
 				*b = append(*b, l.queue[n].line...)
 				l.live = !l.queue[n].last
 				n++
@@ -297,8 +297,8 @@
 
 // read reads notices until the link fails.
 func (l *Link) read(conn net.Conn) error {
-	r := buf.Reader(conn)
-	defer buf.PutReader(r)
+	r := bufferpool.Reader(conn)
+	defer bufferpool.PutReader(r)
 	var p fastjson.Parser
 	var long []byte
 	for {
--- a/internal/interp/interp_test.go
+++ b/internal/transport/interpreter/interp_test.go
@@ -1,4 +1,4 @@
-package interp
+package interpreter
 
 import (
 	"bufio"
@@ -16,7 +16,7 @@
 	"time"
 
 	"silverpath"
-	"silverpath/internal/stats"
+	"silverpath/internal/metrics"
 )
 
 // heard notes what the core would be told.
@@ -85,7 +85,7 @@
 func play(t *testing.T, test func(l *Link, h *heard, next func() *machine)) {
 	synctest.Test(t, func(t *testing.T) {
 		h := &heard{}
-		l := New("127.0.0.1:1", []string{"core_use", "on_cores"}, h, log.New(io.Discard, "", 0), &stats.Counters{})
+		l := New("127.0.0.1:1", []string{"core_use", "on_cores"}, h, log.New(io.Discard, "", 0), &metrics.Counters{})
 		conns := make(chan net.Conn, 8)
 		l.dial = func(context.Context, string, string) (net.Conn, error) {
 			near, far := net.Pipe()
@@ -429,7 +429,7 @@
 			far.Close()
 		}()
 		h := &heard{}
-		l := New("", []string{"core_use", "on_cores"}, h, log.New(io.Discard, "", 0), &stats.Counters{})
+		l := New("", []string{"core_use", "on_cores"}, h, log.New(io.Discard, "", 0), &metrics.Counters{})
 		if l.read(near) == nil {
 			t.Fatal("the end of a link is no error")
 		}
@@ -452,7 +452,7 @@
 		}
 		near, far := net.Pipe()
 		go io.Copy(io.Discard, far)
-		l := New("", []string{"core_use"}, &heard{}, log.New(io.Discard, "", 0), &stats.Counters{})
+		l := New("", []string{"core_use"}, &heard{}, log.New(io.Discard, "", 0), &metrics.Counters{})
 		go func() { far.Write(append(b, '\n')); far.Close() }()
 		if l.read(near) == nil {
 			t.Fatal("the end of a link is no error")
--- a/internal/front/close_test.go
+++ b/internal/transport/listener/close_test.go
@@ -1,4 +1,4 @@
-package front
+package listener
 
 import (
 	"errors"
@@ -13,9 +13,9 @@
 	"testing/synctest"
 	"time"
 
-	"silverpath/internal/linger"
-	"silverpath/internal/pipes"
-	"silverpath/internal/stats"
+	"silverpath/internal/metrics"
+	"silverpath/internal/testkit/pipes"
+	"silverpath/internal/transport/linger"
 )
 
 // echo serves lines of one byte over loopback: what is read is written back, once turn lets it. It notes what it has taken.
@@ -35,7 +35,7 @@
 		t.Fatal(err)
 	}
 	e := &echo{addr: ln.Addr().String(), turn: make(chan struct{}, 100)}
-	e.Listener = New("test", ln, most, func() time.Duration { return 0 }, e.handle, log.New(io.Discard, "", 0), &stats.Counters{})
+	e.Listener = New("test", ln, most, func() time.Duration { return 0 }, e.handle, log.New(io.Discard, "", 0), &metrics.Counters{})
 	go e.Serve()
 	t.Cleanup(e.Close)
 	return e
@@ -323,7 +323,7 @@
 		f := &failing{Listener: p, free: func() bool { return l.stats.Get("evicted", "test") > 0 }}
 		l = New("test", f, 100, func() time.Duration { return 0 }, func(conn net.Conn, s *Slot) {
 			io.Copy(io.Discard, conn)
-		}, log.New(&out, "", 0), &stats.Counters{})
+		}, log.New(&out, "", 0), &metrics.Counters{})
 		go l.Serve()
 		idle, busy := p.Dial(), p.Dial()
 		synctest.Wait()
--- a/internal/front/front.go
+++ b/internal/transport/listener/front.go
@@ -1,6 +1,6 @@
-// Package front accepts the connections of every front. It keeps them within a budget of descriptors, closes
+// Package listener accepts the connections of every front. It keeps them within a budget of descriptors, closes
 // those that idle, and asks the peers to leave in a drain.
-package front
+package listener
 
 import (
 	"context"
@@ -18,9 +18,9 @@
 	"golang.org/x/sys/unix"
 
 	"silverpath/internal/events"
-	"silverpath/internal/linger"
-	"silverpath/internal/pools"
-	"silverpath/internal/stats"
+	"silverpath/internal/metrics"
+	"silverpath/internal/policy/admission"
+	"silverpath/internal/transport/linger"
 )
 
 // Handler serves one connection until it is over, and closes it.
@@ -200,12 +200,12 @@
 	handle Handler
 	idle   func() time.Duration
 	log    *log.Logger
-	stats  *stats.Counters
+	stats  *metrics.Counters
 
 	began   time.Time
-	linger  time.Duration  // lingerFor, but in tests
-	last    time.Duration  // lastAccepts, but in tests
-	reserve *pools.Reserve // nil: none; under the lock
+	linger  time.Duration      // lingerFor, but in tests
+	last    time.Duration      // lastAccepts, but in tests
+	reserve *admission.Reserve // nil: none; under the lock
 
 	mu       sync.Mutex
 	seq      uint64
@@ -256,7 +256,7 @@
 
 // Listen opens a front's address for at most the given number of connections. The idle function tells how
 // long a connection may carry nothing; 0 is without end.
-func Listen(name, addr string, most int, idle func() time.Duration, handle Handler, l *log.Logger, s *stats.Counters) (*Listener, error) {
+func Listen(name, addr string, most int, idle func() time.Duration, handle Handler, l *log.Logger, s *metrics.Counters) (*Listener, error) {
 	// Who says nothing is closed by time limits of our own, so that the kernel's probes are not needed; setting them up
 	// would cost each connection three calls.
 	ln, err := (&net.ListenConfig{KeepAlive: -1}).Listen(context.Background(), "tcp", addr)
@@ -299,7 +299,7 @@
 }
 
 // New serves an open listener.
-func New(name string, ln net.Listener, most int, idle func() time.Duration, handle Handler, l *log.Logger, s *stats.Counters) *Listener {
+func New(name string, ln net.Listener, most int, idle func() time.Duration, handle Handler, l *log.Logger, s *metrics.Counters) *Listener {
 	return &Listener{
 		name: name, ln: ln, most: max(1, most), handle: handle, idle: idle, log: l, stats: s,
 		began: time.Now(), linger: lingerFor, last: lastAccepts, slots: map[*Slot]bool{}, byID: map[uint64]*Slot{}, freed: make(chan struct{}, 1),
@@ -307,14 +307,14 @@
 }
 
 // Reserve keeps a part of the connections for what is cheap. It is called before Serve.
-func (l *Listener) Reserve(c pools.ReserveConfig) { l.reserve = pools.NewReserve(c, l.most) }
+func (l *Listener) Reserve(c admission.ReserveConfig) { l.reserve = admission.NewReserve(c, l.most) }
 
 // Reserved is the state of the reserve, and whether there is one.
-func (l *Listener) Reserved() (pools.ReserveState, bool) {
+func (l *Listener) Reserved() (admission.ReserveState, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.reserve == nil {
-		return pools.ReserveState{}, false
+		return admission.ReserveState{}, false
 	}
 	return l.reserve.State(), true
 }
--- a/internal/front/front_test.go
+++ b/internal/transport/listener/front_test.go
@@ -1,4 +1,4 @@
-package front
+package listener
 
 import (
 	"io"
@@ -10,9 +10,9 @@
 	"testing/synctest"
 	"time"
 
-	"silverpath/internal/pipes"
-	"silverpath/internal/pools"
-	"silverpath/internal/stats"
+	"silverpath/internal/metrics"
+	"silverpath/internal/policy/admission"
+	"silverpath/internal/testkit/pipes"
 )
 
 // play runs a test on a listener of at most two connections. Its handler reads until the end; a byte opens
@@ -35,7 +35,7 @@
 				s.Open(int(b[0]))
 			}
 		}
-		l := New("test", p, 2, func() time.Duration { return idle }, handle, log.New(io.Discard, "", 0), &stats.Counters{})
+		l := New("test", p, 2, func() time.Duration { return idle }, handle, log.New(io.Discard, "", 0), &metrics.Counters{})
 		go l.Serve()
 		var all []net.Conn
 		test(l, func() net.Conn {
@@ -118,7 +118,7 @@
 func TestLogIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var out strings.Builder
-		l := New("test", pipes.Listen(), 2, nil, nil, log.New(&out, "", 0), &stats.Counters{})
+		l := New("test", pipes.Listen(), 2, nil, nil, log.New(&out, "", 0), &metrics.Counters{})
 		s := &Slot{owner: l}
 		for range 10 {
 			for range 100 {
@@ -186,8 +186,8 @@
 				}
 			}
 		}
-		l := New("test", p, 8, func() time.Duration { return 0 }, handle, log.New(io.Discard, "", 0), &stats.Counters{})
-		l.Reserve(pools.ReserveConfig{Cheap: 400, Each: 50})
+		l := New("test", p, 8, func() time.Duration { return 0 }, handle, log.New(io.Discard, "", 0), &metrics.Counters{})
+		l.Reserve(admission.ReserveConfig{Cheap: 400, Each: 50})
 		go l.Serve()
 		var all []net.Conn
 		test(l, func() net.Conn {
--- a/internal/announce/announce.go
+++ b/internal/transport/loadreport/announce.go
@@ -1,5 +1,5 @@
-// Package announce tells the announce service that this one is there, in one UDP datagram a report.
-package announce
+// Package loadreport tells the announce service that this one is there, in one UDP datagram a report.
+package loadreport
 
 import (
 	"context"
--- a/internal/announce/announce_test.go
+++ b/internal/transport/loadreport/announce_test.go
@@ -1,4 +1,4 @@
-package announce
+package loadreport
 
 import (
 	"context"
--- a/internal/msgpackrpc/close_test.go
+++ b/internal/transport/msgpackrpc/close_test.go
@@ -14,9 +14,9 @@
 
 	"silverpath"
 	"silverpath/internal/core"
-	"silverpath/internal/front"
-	"silverpath/internal/pipes"
-	"silverpath/internal/stats"
+	"silverpath/internal/metrics"
+	"silverpath/internal/testkit/pipes"
+	"silverpath/internal/transport/listener"
 )
 
 // worker is a stand-in runner whose runs end when the test says so.
@@ -30,9 +30,9 @@
 func (w worker) Probe()                     { w.Gauges(silverpath.Gauges{}) }
 
 // serve serves a listener with at most so many connections.
-func serve(t *testing.T, ln net.Listener, most int) (worker, *front.Listener, *stats.Counters) {
+func serve(t *testing.T, ln net.Listener, most int) (worker, *listener.Listener, *metrics.Counters) {
 	t.Helper()
-	counters, quiet := &stats.Counters{}, log.New(io.Discard, "", 0)
+	counters, quiet := &metrics.Counters{}, log.New(io.Discard, "", 0)
 	c, err := core.New(core.Config{Settings: silverpath.Settings{Cores: 4, MemoryKB: 10000, MaxRunsPerCore: 8, RunsWindow: time.Second,
 		Classes: []silverpath.Class{{Name: "x", Objective: 20 * time.Second, Deadline: 30 * time.Second, Weight: 1}}}, MemoryMB: 16, Log: quiet, Stats: counters})
 	if err != nil {
@@ -43,7 +43,7 @@
 		t.Fatal(err)
 	}
 	c.Up()
-	l := front.New(Name, ln, most, func() time.Duration { return 0 }, New(c, quiet, counters).Serve, quiet, counters)
+	l := listener.New(Name, ln, most, func() time.Duration { return 0 }, New(c, quiet, counters).Serve, quiet, counters)
 	go l.Serve()
 	return w, l, counters
 }
@@ -98,7 +98,7 @@
 			conn := p.Dial()
 			go conn.Write(append(ask(1), half...)) // and no more
 			id := <-w.runs
-			time.Sleep(2 * front.WholeWithin)
+			time.Sleep(2 * listener.WholeWithin)
 			if n := counters.Get("too_slow", Name); n != 1 {
 				t.Errorf("%d too slow", n)
 			}
--- a/internal/msgpackrpc/front.go
+++ b/internal/transport/msgpackrpc/front.go
@@ -14,11 +14,11 @@
 	"time"
 
 	"silverpath"
-	"silverpath/internal/buf"
 	"silverpath/internal/core"
-	"silverpath/internal/front"
-	"silverpath/internal/rulebook"
-	"silverpath/internal/stats"
+	"silverpath/internal/metrics"
+	"silverpath/internal/policy/configstore"
+	"silverpath/internal/transport/bufferpool"
+	"silverpath/internal/transport/listener"
 )
 
 // Name is the front's name in counters and log lines.
@@ -52,12 +52,12 @@
 type Front struct {
 	core   *core.Core
 	log    *log.Logger
-	stats  *stats.Counters
-	writes *stats.Timing
+	stats  *metrics.Counters
+	writes *metrics.Timing
 }
 
 // New returns the front of a core.
-func New(c *core.Core, l *log.Logger, s *stats.Counters) *Front {
+func New(c *core.Core, l *log.Logger, s *metrics.Counters) *Front {
 	return &Front{c, l, s, s.Timing("write", Name)}
 }
 
@@ -65,7 +65,7 @@
 type client struct {
 	*Front
 	conn net.Conn
-	slot *front.Slot
+	slot *listener.Slot
 
 	mu     sync.Mutex
 	open   map[uint64]string // request ids by message id
@@ -80,11 +80,11 @@
 }
 
 // Serve is the life of one connection.
-func (f *Front) Serve(conn net.Conn, slot *front.Slot) {
+func (f *Front) Serve(conn net.Conn, slot *listener.Slot) {
 	c := &client{Front: f, conn: conn, slot: slot, open: map[uint64]string{}}
 	slot.OnLeave(c.lastCall)
-	r := buf.Reader(conn)
-	defer buf.PutReader(r)
+	r := bufferpool.Reader(conn)
+	defer bufferpool.PutReader(r)
 	_, cell := f.core.Boot()
 	if cell {
 		slot.OnEnd(c.lastTaken)
@@ -95,15 +95,15 @@
 	}}
 	var requests sync.WaitGroup
 	var err error
-	conn.SetReadDeadline(time.Now().Add(front.WholeWithin)) // who connects and says nothing keeps no place
+	conn.SetReadDeadline(time.Now().Add(listener.WholeWithin)) // who connects and says nothing keeps no place
 	for n := 1; err == nil; n++ {
-		if n%front.InARow == 0 {
+		if n%listener.InARow == 0 {
 			runtime.Gosched()
 		}
 		if _, err = r.Peek(1); err != nil {
 			break
 		}
-		conn.SetReadDeadline(time.Now().Add(front.WholeWithin))
+		conn.SetReadDeadline(time.Now().Add(listener.WholeWithin))
 		var m message
 		if m, err = d.message(); err != nil {
 			break
@@ -218,7 +218,7 @@
 			n, _ := strconv.ParseInt(m.fields[key], 10, 64)
 			return time.Duration(max(0, min(n, mostTerm.Milliseconds()))) * time.Millisecond
 		}
-		c.core.Heard(id, m.fields["gn"], rulebook.Terms{Lease: ms("gl"), Skew: ms("gs"), Probe: ms("gp"), Wait: ms("gw"), Dual: ms("gd")})
+		c.core.Heard(id, m.fields["gn"], configstore.Terms{Lease: ms("gl"), Skew: ms("gs"), Probe: ms("gp"), Wait: ms("gw"), Dual: ms("gd")})
 		told = c.core.RulesTold()
 		flying, _ := strconv.Atoi(m.fields["fl"])
 		if part, cold := c.core.SlowStart(m.fields["gn"], flying, SlowStartTerms*max(ms("gp"), time.Millisecond)); cold {
@@ -384,8 +384,8 @@
 
 // write writes one message. A peer that takes nothing for writeTimeout loses its connection.
 func (c *client) write(message func([]byte) []byte) {
-	b := buf.Get()
-	defer buf.Put(b)
+	b := bufferpool.Get()
+	defer bufferpool.Put(b)
 	c.writing.Lock()
 	defer c.writing.Unlock()
 	c.mu.Lock()
--- a/internal/msgpackrpc/front_test.go
+++ b/internal/transport/msgpackrpc/front_test.go
@@ -11,9 +11,9 @@
 
 	"silverpath"
 	"silverpath/internal/core"
-	"silverpath/internal/front"
-	"silverpath/internal/pipes"
-	"silverpath/internal/stats"
+	"silverpath/internal/metrics"
+	"silverpath/internal/testkit/pipes"
+	"silverpath/internal/transport/listener"
 )
 
 // A number that was given up may be another request's when the first one's answer comes: that one is not written,
@@ -25,13 +25,13 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		f, p := New(c, log.New(io.Discard, "", 0), &stats.Counters{}), pipes.Listen()
-		l := front.New("test", p, 1, func() time.Duration { return 0 }, func(conn net.Conn, slot *front.Slot) {
+		f, p := New(c, log.New(io.Discard, "", 0), &metrics.Counters{}), pipes.Listen()
+		l := listener.New("test", p, 1, func() time.Duration { return 0 }, func(conn net.Conn, slot *listener.Slot) {
 			k := &client{Front: f, conn: conn, slot: slot, open: map[uint64]string{7: "second"}}
 			k.answer(7, "first", core.Answer{Outcome: core.Served, Body: []byte("first")})
 			k.answer(7, "second", core.Answer{Outcome: core.Served, Body: []byte("second")})
 			k.answer(7, "second", core.Answer{Outcome: core.Served, Body: []byte("third")})
-		}, log.New(io.Discard, "", 0), &stats.Counters{})
+		}, log.New(io.Discard, "", 0), &metrics.Counters{})
 		go l.Serve()
 		defer l.Close()
 		r := bufio.NewReader(p.Dial())
--- a/internal/msgpackrpc/words.go
+++ b/internal/transport/msgpackrpc/words.go
@@ -10,9 +10,9 @@
 	"sync"
 	"time"
 
-	"silverpath/internal/buf"
-	"silverpath/internal/front"
-	"silverpath/internal/stats"
+	"silverpath/internal/metrics"
+	"silverpath/internal/transport/bufferpool"
+	"silverpath/internal/transport/listener"
 )
 
 // This file carries words between processes of the program over the same messages as the platform's front: a request
@@ -42,33 +42,33 @@
 // Words serves connections of other processes.
 type Words struct {
 	name   string
-	stats  *stats.Counters
+	stats  *metrics.Counters
 	answer func(ctx context.Context, w Word) func() Verdict
 }
 
 // NewWords returns a front of words. Answer is called with the words of a connection in their order; what it returns is
 // called beside the words that follow. The context ends with the connection.
-func NewWords(name string, s *stats.Counters, answer func(ctx context.Context, w Word) func() Verdict) *Words {
+func NewWords(name string, s *metrics.Counters, answer func(ctx context.Context, w Word) func() Verdict) *Words {
 	return &Words{name, s, answer}
 }
 
 // Serve is the life of one connection.
-func (f *Words) Serve(conn net.Conn, slot *front.Slot) {
+func (f *Words) Serve(conn net.Conn, slot *listener.Slot) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	r := buf.Reader(conn)
-	defer buf.PutReader(r)
+	r := bufferpool.Reader(conn)
+	defer bufferpool.PutReader(r)
 	d := decoder{r: r, longest: LongestWord}
 	var mu sync.Mutex // of writing, and of open
 	var open sync.WaitGroup
 	var err error
 	n := 0
-	conn.SetReadDeadline(time.Now().Add(front.WholeWithin))
+	conn.SetReadDeadline(time.Now().Add(listener.WholeWithin))
 	for err == nil {
 		if _, err = r.Peek(1); err != nil {
 			break
 		}
-		conn.SetReadDeadline(time.Now().Add(front.WholeWithin))
+		conn.SetReadDeadline(time.Now().Add(listener.WholeWithin))
 		var m message
 		if m, err = d.message(); err != nil {
 			break
--- a/internal/msgpackrpc/words_test.go
+++ b/internal/transport/msgpackrpc/words_test.go
@@ -11,14 +11,14 @@
 	"testing"
 	"time"
 
-	"silverpath/internal/front"
-	"silverpath/internal/stats"
+	"silverpath/internal/metrics"
+	"silverpath/internal/transport/listener"
 )
 
 // Words come in their order, a slow answer holds up no later one, bodies may be long, and what is too long or no word ends
 // its connection without an answer and is counted.
 func TestWords(t *testing.T) {
-	var c stats.Counters
+	var c metrics.Counters
 	hold := make(chan struct{})
 	f := NewWords("words", &c, func(_ context.Context, w Word) func() Verdict {
 		return func() Verdict {
@@ -31,7 +31,7 @@
 			return Verdict{Body: w.Body}
 		}
 	})
-	ln, err := front.Listen("words", "127.0.0.1:0", 8, func() time.Duration { return time.Minute }, f.Serve, log.New(io.Discard, "", 0), &c)
+	ln, err := listener.Listen("words", "127.0.0.1:0", 8, func() time.Duration { return time.Minute }, f.Serve, log.New(io.Discard, "", 0), &c)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/pair/pair.go
+++ b/internal/transport/restartlink/pair.go
@@ -1,7 +1,7 @@
-// Package pair is the link between two processes that are one service while the newer takes over: the places in which
+// Package restartlink is the link between two processes that are one service while the newer takes over: the places in which
 // they live, the socket between them, and the mark that one leaves for the other. What is decided by it is decided in
 // handover, under the core's lock.
-package pair
+package restartlink
 
 import (
 	"bufio"
@@ -18,8 +18,8 @@
 
 	"silverpath/internal/core"
 	"silverpath/internal/events"
-	"silverpath/internal/handover"
-	"silverpath/internal/stats"
+	"silverpath/internal/metrics"
+	"silverpath/internal/policy/hotrestart"
 )
 
 const (
@@ -39,7 +39,7 @@
 	saw    bool
 	core   *core.Core
 	log    *log.Logger
-	stats  *stats.Counters
+	stats  *metrics.Counters
 	ln     net.Listener // of place 0, to which place 1 connects
 	bell   chan struct{}
 	links  chan net.Conn // that came in
@@ -58,7 +58,7 @@
 }
 
 // Open prepares the places in the folder.
-func Open(dir, name string, l *log.Logger, s *stats.Counters) (*Pair, error) {
+func Open(dir, name string, l *log.Logger, s *metrics.Counters) (*Pair, error) {
 	places, err := openPlaces(dir, name)
 	if err != nil {
 		return nil, err
@@ -196,13 +196,13 @@
 	p.conn, p.link = conn, p.core.PairLinked()
 	p.writing.Unlock()
 	err := p.read(conn)
-	if errors.Is(err, handover.ErrStale) {
+	if errors.Is(err, hotrestart.ErrStale) {
 		p.flush(p.present()) // the other finds out by this side's Hello, which may not have been written yet
 	}
 	p.wait = min(max(2*p.wait, lookEvery), mostWait)
 	p.next = time.Now().Add(p.wait)
 	conn.Close()
-	if errors.Is(err, handover.ErrOther) {
+	if errors.Is(err, hotrestart.ErrOther) {
 		p.gone() // first: what is not read of this link is not that one's
 	}
 	p.writing.Lock()
@@ -217,7 +217,7 @@
 		p.stats.Inc("malformed", "handover")
 	}
 	events.Say(p.log, "handover.link_down", err)
-	if errors.Is(err, handover.ErrOther) {
+	if errors.Is(err, hotrestart.ErrOther) {
 		p.core.PairOther()
 	}
 }
@@ -242,10 +242,10 @@
 			return fmt.Errorf("the other process: %w", err)
 		}
 		switch m.Kind {
-		case handover.Hello:
+		case hotrestart.Hello:
 			conn.SetReadDeadline(time.Time{})
 			p.stats.Inc("handover", "links")
-		case handover.Whole:
+		case hotrestart.Whole:
 			p.wait = 0
 			events.Say(p.log, "handover.known", p.core.PairRole())
 		}
--- a/internal/pair/pair_test.go
+++ b/internal/transport/restartlink/pair_test.go
@@ -1,4 +1,4 @@
-package pair
+package restartlink
 
 import (
 	"bufio"
@@ -19,9 +19,9 @@
 
 	"silverpath"
 	"silverpath/internal/core"
-	"silverpath/internal/handover"
-	"silverpath/internal/phase"
-	"silverpath/internal/stats"
+	"silverpath/internal/metrics"
+	"silverpath/internal/policy/hotrestart"
+	"silverpath/internal/policy/lifecycle"
 )
 
 // worker notes what is run; runs end when the test says so.
@@ -49,14 +49,14 @@
 type proc struct {
 	*worker
 	pair  *Pair
-	stats *stats.Counters
+	stats *metrics.Counters
 	die   func() // as a process does: its link and its place are gone
 	log   *bytes.Buffer
 }
 
 func start(t *testing.T, dir string) *proc {
 	t.Helper()
-	s := &stats.Counters{}
+	s := &metrics.Counters{}
 	l := log.New(io.Discard, "", 0)
 	p, err := Open(dir, "n1", l, s)
 	if err != nil {
@@ -97,7 +97,7 @@
 	}
 }
 
-func (p *proc) serves() bool { return p.core.Phase() == phase.Serving }
+func (p *proc) serves() bool { return p.core.Phase() == lifecycle.Serving }
 
 func (p *proc) try(id, key string, reached time.Time) chan core.Answer {
 	answer := make(chan core.Answer, 1)
@@ -129,7 +129,7 @@
 	await(t, "the run begins", func() bool { return len(a.ran()) == 1 })
 	b := start(t, dir)
 	await(t, "the second serves", b.serves)
-	if r, s := a.core.PairRole(), b.core.PairRole(); r != handover.Elder || s != handover.Younger || !a.core.Successor() || b.core.Successor() {
+	if r, s := a.core.PairRole(), b.core.PairRole(); r != hotrestart.Elder || s != hotrestart.Younger || !a.core.Successor() || b.core.Successor() {
 		t.Fatalf("%v and %v", r, s)
 	}
 	during := b.try("b1", "k", now)
@@ -148,7 +148,7 @@
 	want(t, "the elder's repeat", back, core.Served, "more")
 
 	a.die()
-	await(t, "the second is alone", func() bool { return b.core.PairRole() == handover.Sole })
+	await(t, "the second is alone", func() bool { return b.core.PairRole() == hotrestart.Sole })
 	want(t, "a repeat after the elder has left", b.try("b4", "k", now), core.Served, "done")
 	want(t, "and of its own", b.try("b5", "l", now), core.Served, "more")
 	if len(a.ran()) != 1 || len(b.ran()) != 1 {
@@ -230,7 +230,7 @@
 	}
 	a.die()
 	await(t, "the third has the place", c.serves)
-	if b.core.PairRole() != handover.Elder || c.core.PairRole() != handover.Younger {
+	if b.core.PairRole() != hotrestart.Elder || c.core.PairRole() != hotrestart.Younger {
 		t.Errorf("%v and %v", b.core.PairRole(), c.core.PairRole())
 	}
 }
@@ -257,7 +257,7 @@
 		}()
 		time.Sleep(time.Duration(n) * 50 * time.Microsecond)
 		a.die()
-		await(t, "the second is alone", func() bool { return b.core.PairRole() == handover.Sole })
+		await(t, "the second is alone", func() bool { return b.core.PairRole() == hotrestart.Sole })
 		<-over
 		fresh := b.try("b1", "k", time.Now())
 		select {
@@ -271,13 +271,13 @@
 	}
 }
 
-var samples = []handover.Message{
-	{Kind: handover.Hello, Stamp: 1764576000123456789, Peer: 5, OutSeq: 3, Blind: 9, Sole: true, Ready: true},
-	{Kind: handover.Status, Out: true},
-	{Kind: handover.Whole},
-	{Kind: handover.Run, Flight: handover.Flight{Key: "oddaja\x00k", ID: "9b1f", Sum: 1 << 63, Reached: -1, Until: 7,
-		Window: time.Second, Stage: handover.Passed, Result: []byte("result")}},
-	{Kind: handover.Claim, Flight: handover.Flight{Key: "k"}},
+var samples = []hotrestart.Message{
+	{Kind: hotrestart.Hello, Stamp: 1764576000123456789, Peer: 5, OutSeq: 3, Blind: 9, Sole: true, Ready: true},
+	{Kind: hotrestart.Status, Out: true},
+	{Kind: hotrestart.Whole},
+	{Kind: hotrestart.Run, Flight: hotrestart.Flight{Key: "oddaja\x00k", ID: "9b1f", Sum: 1 << 63, Reached: -1, Until: 7,
+		Window: time.Second, Stage: hotrestart.Passed, Result: []byte("result")}},
+	{Kind: hotrestart.Claim, Flight: hotrestart.Flight{Key: "k"}},
 }
 
 // Who is taken for another process says who it is before it leaves the link: the other learns it from nothing else where
@@ -303,10 +303,10 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		conn.Write(appendMessage(nil, handover.Message{Kind: handover.Hello, Stamp: 1, Peer: 7, Sole: true}))
+		conn.Write(appendMessage(nil, hotrestart.Message{Kind: hotrestart.Hello, Stamp: 1, Peer: 7, Sole: true}))
 		conn.SetReadDeadline(time.Now().Add(20 * time.Second))
 		m, _, err := readMessage(bufio.NewReader(conn), nil)
-		if err != nil || m.Kind != handover.Hello || m.Stamp == 0 {
+		if err != nil || m.Kind != hotrestart.Hello || m.Stamp == 0 {
 			t.Errorf("link %d: %+v, %v", n, m, err)
 		}
 		conn.Close()
--- a/internal/pair/places.go
+++ b/internal/transport/restartlink/places.go
@@ -1,4 +1,4 @@
-package pair
+package restartlink
 
 import (
 	"fmt"
--- a/internal/pair/wire.go
+++ b/internal/transport/restartlink/wire.go
@@ -1,4 +1,4 @@
-package pair
+package restartlink
 
 import (
 	"bufio"
@@ -8,7 +8,7 @@
 	"io"
 	"time"
 
-	"silverpath/internal/handover"
+	"silverpath/internal/policy/hotrestart"
 )
 
 // A frame is its length as four bytes, then a version, the kind, flags, and what the kind brings: numbers of eight bytes,
@@ -28,17 +28,17 @@
 
 var errFrame = errors.New("bad frame")
 
-func appendMessage(b []byte, m handover.Message) []byte {
+func appendMessage(b []byte, m hotrestart.Message) []byte {
 	start := len(b)
 	b = append(b, 0, 0, 0, 0, version, byte(m.Kind), flags(m))
 	switch m.Kind {
-	case handover.Hello:
+	case hotrestart.Hello:
 		for _, n := range []int64{m.Stamp, m.Peer, m.OutSeq, m.Blind} {
 			b = binary.BigEndian.AppendUint64(b, uint64(n))
 		}
-	case handover.Status:
+	case hotrestart.Status:
 		b = binary.BigEndian.AppendUint64(b, uint64(m.OutSeq))
-	case handover.Run, handover.Gone, handover.Claim, handover.Grant, handover.Taken:
+	case hotrestart.Run, hotrestart.Gone, hotrestart.Claim, hotrestart.Grant, hotrestart.Taken:
 		f := m.Flight
 		for _, n := range []uint64{f.Sum, uint64(f.Reached), uint64(f.Until), uint64(f.Window)} {
 			b = binary.BigEndian.AppendUint64(b, n)
@@ -53,7 +53,7 @@
 	return b
 }
 
-func flags(m handover.Message) (n byte) {
+func flags(m hotrestart.Message) (n byte) {
 	for _, f := range []struct {
 		set bool
 		bit byte
@@ -66,7 +66,7 @@
 }
 
 // readMessage reads one frame. Memory is taken as its bytes come, whatever its length promises.
-func readMessage(r *bufio.Reader, frame []byte) (m handover.Message, _ []byte, err error) {
+func readMessage(r *bufio.Reader, frame []byte) (m hotrestart.Message, _ []byte, err error) {
 	var head [4]byte
 	if _, err = io.ReadFull(r, head[:]); err != nil {
 		return m, frame, err
@@ -90,15 +90,15 @@
 	return m, frame, err
 }
 
-func parseMessage(b []byte) (m handover.Message, err error) {
+func parseMessage(b []byte) (m hotrestart.Message, err error) {
 	if len(b) < 3 || b[0] != version {
 		return m, fmt.Errorf("%w: of another version", errFrame)
 	}
-	m.Kind = handover.Kind(b[1])
+	m.Kind = hotrestart.Kind(b[1])
 	m.Sole, m.Out, m.Ready = b[2]&flagSole != 0, b[2]&flagOut != 0, b[2]&flagReady != 0
 	b = b[3:]
 	switch m.Kind {
-	case handover.Hello:
+	case hotrestart.Hello:
 		if len(b) != 4*8 {
 			return m, fmt.Errorf("%w: hello of %d bytes", errFrame, len(b))
 		}
@@ -106,18 +106,18 @@
 			*n = int64(binary.BigEndian.Uint64(b[8*i:]))
 		}
 		return m, nil
-	case handover.Status:
+	case hotrestart.Status:
 		if len(b) != 8 {
 			return m, fmt.Errorf("%w: status of %d bytes", errFrame, len(b))
 		}
 		m.OutSeq = int64(binary.BigEndian.Uint64(b))
 		return m, nil
-	case handover.Whole:
+	case hotrestart.Whole:
 		if len(b) != 0 {
 			return m, fmt.Errorf("%w: %d bytes too many", errFrame, len(b))
 		}
 		return m, nil
-	case handover.Run, handover.Gone, handover.Claim, handover.Grant, handover.Taken:
+	case hotrestart.Run, hotrestart.Gone, hotrestart.Claim, hotrestart.Grant, hotrestart.Taken:
 	default:
 		return m, fmt.Errorf("%w: kind %d", errFrame, m.Kind)
 	}
@@ -131,7 +131,7 @@
 	}
 	f := &m.Flight
 	f.Sum, f.Reached, f.Until, f.Window = uint64(number()), number(), number(), time.Duration(number())
-	f.Stage = handover.Stage(b[0])
+	f.Stage = hotrestart.Stage(b[0])
 	b = b[1:]
 	text := func() []byte {
 		if err != nil || len(b) < 4 {
@@ -151,7 +151,7 @@
 	if t := text(); len(t) > 0 {
 		f.Result = append([]byte(nil), t...)
 	}
-	if err == nil && (len(b) != 0 || f.Stage > handover.Failed || f.Key == "" || f.Window < 0) {
+	if err == nil && (len(b) != 0 || f.Stage > hotrestart.Failed || f.Key == "" || f.Window < 0) {
 		err = errFrame
 	}
 	return m, err
--- a/internal/scgi/front.go
+++ b/internal/transport/scgi/front.go
@@ -17,12 +17,12 @@
 	"time"
 
 	"silverpath"
-	"silverpath/internal/buf"
 	"silverpath/internal/core"
-	"silverpath/internal/front"
-	"silverpath/internal/linger"
+	"silverpath/internal/metrics"
 	"silverpath/internal/settings"
-	"silverpath/internal/stats"
+	"silverpath/internal/transport/bufferpool"
+	"silverpath/internal/transport/linger"
+	"silverpath/internal/transport/listener"
 )
 
 // Name is the front's name in counters and log lines.
@@ -53,14 +53,14 @@
 	core   *core.Core
 	cfg    settings.SCGI
 	log    *log.Logger
-	stats  *stats.Counters
-	writes *stats.Timing
+	stats  *metrics.Counters
+	writes *metrics.Timing
 	salt   uint64
 	seq    atomic.Uint64
 }
 
 // New returns the front of a core. The seed makes its request ids.
-func New(c *core.Core, cfg settings.SCGI, seed int64, l *log.Logger, s *stats.Counters) *Front {
+func New(c *core.Core, cfg settings.SCGI, seed int64, l *log.Logger, s *metrics.Counters) *Front {
 	return &Front{core: c, cfg: cfg, log: l, stats: s, writes: s.Timing("write", Name), salt: rand.New(rand.NewPCG(uint64(seed), 1)).Uint64()}
 }
 
@@ -85,11 +85,11 @@
 }
 
 // Serve is the life of one connection, which carries one request.
-func (f *Front) Serve(conn net.Conn, slot *front.Slot) {
+func (f *Front) Serve(conn net.Conn, slot *listener.Slot) {
 	defer conn.Close()
-	r := buf.Reader(conn)
-	defer buf.PutReader(r)
-	conn.SetReadDeadline(time.Now().Add(front.WholeWithin))
+	r := bufferpool.Reader(conn)
+	defer bufferpool.PutReader(r)
+	conn.SetReadDeadline(time.Now().Add(listener.WholeWithin))
 	m, err := readHead(r)
 	if err == nil && f.asksStatus(m.headers) {
 		f.stats.Inc("status", Name)
@@ -145,7 +145,7 @@
 	case err == io.EOF:
 		return // opened and closed again
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		p = &problem{"408 Request Timeout", fmt.Sprintf("no whole request came within %v", front.WholeWithin), "too_slow"}
+		p = &problem{"408 Request Timeout", fmt.Sprintf("no whole request came within %v", listener.WholeWithin), "too_slow"}
 	default:
 		f.stats.Inc("cut_short", Name)
 		return // it broke off: nobody is there to be answered
@@ -209,8 +209,8 @@
 
 // write writes an answer. A peer that takes nothing for writeTimeout loses it.
 func (f *Front) write(conn net.Conn, status string, body []byte, kind string, headers ...string) {
-	b := buf.Get()
-	defer buf.Put(b)
+	b := bufferpool.Get()
+	defer bufferpool.Put(b)
 	*b = appendResponse(*b, status, body, kind, headers...)
 	conn.SetWriteDeadline(time.Now().Add(writeTimeout))
 	began := time.Now()
--- a/internal/scgi/scgi_test.go
+++ b/internal/transport/scgi/scgi_test.go
@@ -18,10 +18,10 @@
 
 	"silverpath"
 	"silverpath/internal/core"
-	"silverpath/internal/front"
-	"silverpath/internal/pools"
+	"silverpath/internal/metrics"
+	"silverpath/internal/policy/admission"
 	"silverpath/internal/settings"
-	"silverpath/internal/stats"
+	"silverpath/internal/transport/listener"
 )
 
 // specimen is the example of the protocol's specification.
@@ -159,10 +159,10 @@
 }
 
 // edge is a whole service on loopback sockets: the front, the core, and an application server behind.
-func edge(t *testing.T, upstream string, timeout time.Duration) (addr string, c *core.Core, counters *stats.Counters) {
+func edge(t *testing.T, upstream string, timeout time.Duration) (addr string, c *core.Core, counters *metrics.Counters) {
 	t.Helper()
 	quiet := log.New(io.Discard, "", 0)
-	counters = &stats.Counters{}
+	counters = &metrics.Counters{}
 	c, err := core.New(core.Config{Settings: site, MemoryMB: 32, Log: quiet, Stats: counters})
 	if err != nil {
 		t.Fatal(err)
@@ -173,7 +173,7 @@
 	}
 	up.Keep(t.Context())
 	f := New(c, settings.SCGI{MaxBody: 64, HeldKB: 20}, 1, quiet, counters)
-	ln, err := front.Listen(Name, "127.0.0.1:0", 100, c.IdleAfter, f.Serve, quiet, counters)
+	ln, err := listener.Listen(Name, "127.0.0.1:0", 100, c.IdleAfter, f.Serve, quiet, counters)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -285,7 +285,7 @@
 		if err := c.Attach(runner{c, started}, nil); err != nil {
 			t.Fatal(err)
 		}
-		counters := &stats.Counters{}
+		counters := &metrics.Counters{}
 		f := New(c, settings.SCGI{MaxBody: 64, HeldKB: 20, HalfClose: half}, 1, log.New(io.Discard, "", 0), counters)
 		done := make(chan struct{})
 		q, err := f.mapRequest(message{headers: map[string]string{"PATH_INFO": "/oddaja"}}, time.Now(), nil)
@@ -321,7 +321,7 @@
 func (r runner) Probe()                     {}
 
 func TestIDsDiffer(t *testing.T) {
-	f := New(nil, settings.SCGI{}, 7, nil, &stats.Counters{})
+	f := New(nil, settings.SCGI{}, 7, nil, &metrics.Counters{})
 	seen := map[string]bool{}
 	for range 10000 {
 		id := f.newID()
@@ -336,7 +336,7 @@
 // state of the service is told where it is to be. What still comes then, and after what can't be read, is read before the close.
 func TestRefusedByItsHeaders(t *testing.T) {
 	c, err := core.New(core.Config{Settings: site, MemoryMB: 32, Log: log.New(io.Discard, "", 0), Status: true,
-		Pools: &pools.Config{Pools: []pools.Pool{{Name: "all", Weight: 1}}}})
+		Pools: &admission.Config{Pools: []admission.Pool{{Name: "all", Weight: 1}}}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -344,9 +344,9 @@
 		t.Fatal(err)
 	}
 	defer c.Stop()
-	f := New(c, settings.SCGI{MaxBody: 64, HeldKB: 20}, 1, log.New(io.Discard, "", 0), &stats.Counters{})
+	f := New(c, settings.SCGI{MaxBody: 64, HeldKB: 20}, 1, log.New(io.Discard, "", 0), &metrics.Counters{})
 	conns := listenLingering(t)
-	ln := front.New(Name, conns, 100, c.IdleAfter, f.Serve, log.New(io.Discard, "", 0), &stats.Counters{})
+	ln := listener.New(Name, conns, 100, c.IdleAfter, f.Serve, log.New(io.Discard, "", 0), &metrics.Counters{})
 	go ln.Serve()
 	defer ln.Close()
 	if a := conns.askOn(t, AppendRequest(nil, nil, "PATH_INFO", "/status")); a.Status != 200 ||
@@ -413,7 +413,7 @@
 // While memory is short large bodies are turned away, but not those of sheets: a repeat of one that has run is not refused.
 func TestLargeBodiesWhileMemoryIsShort(t *testing.T) {
 	c, err := core.New(core.Config{Settings: site, MemoryMB: 64, Log: log.New(io.Discard, "", 0),
-		Pools: &pools.Config{Pools: []pools.Pool{{Name: "all", Weight: 1}}}})
+		Pools: &admission.Config{Pools: []admission.Pool{{Name: "all", Weight: 1}}}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -422,8 +422,8 @@
 		t.Fatal(err)
 	}
 	defer c.Stop()
-	f := New(c, settings.SCGI{MaxBody: 64, HeldKB: 1}, 1, log.New(io.Discard, "", 0), &stats.Counters{})
-	ln, err := front.Listen(Name, "127.0.0.1:0", 100, c.IdleAfter, f.Serve, log.New(io.Discard, "", 0), &stats.Counters{})
+	f := New(c, settings.SCGI{MaxBody: 64, HeldKB: 1}, 1, log.New(io.Discard, "", 0), &metrics.Counters{})
+	ln, err := listener.Listen(Name, "127.0.0.1:0", 100, c.IdleAfter, f.Serve, log.New(io.Discard, "", 0), &metrics.Counters{})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/scgi/upstream.go
+++ b/internal/transport/scgi/upstream.go
@@ -11,10 +11,10 @@
 	"time"
 
 	"silverpath"
-	"silverpath/internal/buf"
 	"silverpath/internal/core"
 	"silverpath/internal/events"
-	"silverpath/internal/stats"
+	"silverpath/internal/metrics"
+	"silverpath/internal/transport/bufferpool"
 )
 
 const (
@@ -38,7 +38,7 @@
 	timeout time.Duration
 	events  Events
 	log     *log.Logger
-	stats   *stats.Counters
+	stats   *metrics.Counters
 	dial    func(ctx context.Context, network, addr string) (net.Conn, error)
 	room    chan struct{}
 
@@ -50,7 +50,7 @@
 
 // NewUpstream returns a runner on the application server at addr, with at most the given number of connections.
 // A run that has no answer after the timeout is taken to have failed.
-func NewUpstream(addr string, cores, most int, timeout time.Duration, events Events, l *log.Logger, s *stats.Counters) *Upstream {
+func NewUpstream(addr string, cores, most int, timeout time.Duration, events Events, l *log.Logger, s *metrics.Counters) *Upstream {
 	return &Upstream{
 		addr: addr, cores: max(1, cores), timeout: timeout, events: events, log: l, stats: s,
 		dial: (&net.Dialer{Timeout: dialTimeout}).DialContext, room: make(chan struct{}, max(1, most)),
@@ -118,14 +118,14 @@
 
 func (u *Upstream) exchange(conn net.Conn, id, class string, body []byte) (response, error) {
 	conn.SetDeadline(time.Now().Add(u.timeout))
-	b := buf.Get()
-	defer buf.Put(b)
+	b := bufferpool.Get()
+	defer bufferpool.Put(b)
 	*b = appendMessage(*b, body, "REQUEST_METHOD", "POST", "REQUEST_URI", "/"+class, "PATH_INFO", "/"+class,
 		"SCRIPT_NAME", "", "HTTP_X_REQUEST_CLASS", class, "HTTP_X_REQUEST_ID", id)
 	if _, err := conn.Write(*b); err != nil {
 		return response{}, fmt.Errorf("writing the request: %w", err)
 	}
-	r := buf.Reader(conn)
-	defer buf.PutReader(r)
+	r := bufferpool.Reader(conn)
+	defer bufferpool.PutReader(r)
 	return readResponse(r, longestResult)
 }
--- a/internal/wire/wire.go
+++ b/internal/transport/simulator/wire.go
@@ -1,6 +1,6 @@
-// Package wire speaks the bench's dialect: it parses batches of events, hands them to one Shedder for each
+// Package simulator speaks the bench's dialect: it parses batches of events, hands them to one Shedder for each
 // instance, and encodes their actions. It decides nothing.
-package wire
+package simulator
 
 import (
 	"bufio"
--- a/internal/wire/wire_test.go
+++ b/internal/transport/simulator/wire_test.go
@@ -1,4 +1,4 @@
-package wire
+package simulator
 
 import (
 	"bytes"
--- a/internal/snmp/agent.go
+++ b/internal/transport/snmp/agent.go
@@ -13,8 +13,8 @@
 
 	"silverpath/internal/core"
 	"silverpath/internal/events"
-	"silverpath/internal/phase"
-	"silverpath/internal/stats"
+	"silverpath/internal/metrics"
+	"silverpath/internal/policy/lifecycle"
 )
 
 // root is where the MIB hangs: below the enterprise number that RFC 5612 sets aside for documentation, until
@@ -49,7 +49,7 @@
 // Source is what an agent shows, beside counters: a service's core, or a member of the group.
 type Source interface {
 	Health() bool
-	Phase() phase.State
+	Phase() lifecycle.State
 	Owed() int
 	View() core.View
 }
@@ -60,13 +60,13 @@
 	community string
 	name      string
 	core      Source
-	stats     *stats.Counters
+	stats     *metrics.Counters
 	log       *log.Logger
 	began     time.Time
 }
 
 // Listen opens an agent's address; control, if any, is called on the socket first.
-func Listen(addr, community, name string, c Source, l *log.Logger, s *stats.Counters,
+func Listen(addr, community, name string, c Source, l *log.Logger, s *metrics.Counters,
 	control func(network, addr string, raw syscall.RawConn) error) (*Agent, error) {
 	conn, err := (&net.ListenConfig{Control: control}).ListenPacket(context.Background(), "udp", addr)
 	if err != nil {
--- a/internal/snmp/snmp_test.go
+++ b/internal/transport/snmp/snmp_test.go
@@ -11,8 +11,8 @@
 
 	"silverpath"
 	"silverpath/internal/core"
-	"silverpath/internal/pools"
-	"silverpath/internal/stats"
+	"silverpath/internal/metrics"
+	"silverpath/internal/policy/admission"
 )
 
 // ask is a request as a manager sends it, byte by byte from RFC 3416.
@@ -60,7 +60,7 @@
 
 func agent(t *testing.T) *Agent {
 	t.Helper()
-	s, quiet := &stats.Counters{}, log.New(io.Discard, "", 0)
+	s, quiet := &metrics.Counters{}, log.New(io.Discard, "", 0)
 	c, err := core.New(core.Config{Settings: silverpath.Settings{Cores: 1, MemoryKB: 1,
 		Classes: []silverpath.Class{{Name: "x", Deadline: time.Second}}}, MemoryMB: 16, Log: quiet, Stats: s})
 	if err != nil {
@@ -186,7 +186,7 @@
 	f.Add(ask(tagGet, 1, 0, 0, objectName))
 	f.Add(ask(tagGetBulk, 1, 0, 10, root))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		a := &Agent{community: "quiz", core: mustCore(t), stats: &stats.Counters{}}
+		a := &Agent{community: "quiz", core: mustCore(t), stats: &metrics.Counters{}}
 		if reply, _ := a.answer(b); len(reply) > largest {
 			t.Fatalf("a response of %d bytes", len(reply))
 		}
@@ -225,7 +225,7 @@
 
 // A service with pools has them in its MIB, in order, and one without has none.
 func TestPools(t *testing.T) {
-	set := pools.Config{Pools: []pools.Pool{{Name: "sheets", Classes: []string{"oddaja"}, Weight: 1, Floor: 0.5}}}
+	set := admission.Config{Pools: []admission.Pool{{Name: "sheets", Classes: []string{"oddaja"}, Weight: 1, Floor: 0.5}}}
 	c, err := core.New(core.Config{MemoryMB: 64, Pools: &set, Log: log.New(io.Discard, "", 0), Settings: silverpath.Settings{
 		Cores: 4, MemoryKB: 1000, MaxRunsPerCore: 8, Classes: []silverpath.Class{{Name: "oddaja", Deadline: time.Second, Weight: 1}}}})
 	if err != nil {
@@ -240,7 +240,7 @@
 			t.Fatal("no state of the pools")
 		}
 	}
-	a := &Agent{community: "quiz", name: "n3", core: c, stats: &stats.Counters{}}
+	a := &Agent{community: "quiz", name: "n3", core: c, stats: &metrics.Counters{}}
 	reply, _ := a.answer(ask(tagGetBulk, 1, 0, 50, root.with(3)))
 	_, _, list := read(t, reply, 1)
 	if len(list) != 21 || list[0].name.compare(objectLimit) != 0 || list[20].value.tag != tagEndOfMibView {
--- a/internal/vault/vault.go
+++ b/internal/transport/vault/vault.go
@@ -15,8 +15,8 @@
 	"time"
 
 	"silverpath"
-	"silverpath/internal/buf"
-	"silverpath/internal/linger"
+	"silverpath/internal/transport/bufferpool"
+	"silverpath/internal/transport/linger"
 )
 
 const (
@@ -155,7 +155,7 @@
 	// And a connection made for one call is not kept: many of those would fill the descriptors.
 	if !stop() || err != nil || !keep || k.r.Buffered() > 0 || fresh {
 		k.Close()
-		buf.PutReader(k.r)
+		bufferpool.PutReader(k.r)
 	} else {
 		c.put(k)
 	}
@@ -185,7 +185,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", errUnreachable, err)
 	}
-	return &conn{Conn: n, addr: addr, r: buf.Reader(n)}, nil
+	return &conn{Conn: n, addr: addr, r: bufferpool.Reader(n)}, nil
 }
 
 // quiet reports whether an idle connection is still open and has brought nothing.
@@ -215,7 +215,7 @@
 
 func (c *Client) close(k *conn) {
 	k.Close()
-	buf.PutReader(k.r)
+	bufferpool.PutReader(k.r)
 }
 
 // sweep closes idle connections, so that none is kept when no call comes to use it.
@@ -233,8 +233,8 @@
 
 // exchange writes a call and reads its reply. The status is 0 where nothing of a reply came.
 func (k *conn) exchange(id string, patience time.Duration, body []byte) (status int, unseen, keep bool, reply []byte, err error) {
-	b := buf.Get()
-	defer buf.Put(b)
+	b := bufferpool.Get()
+	defer bufferpool.Put(b)
 	*b = fmt.Appendf(*b, "POST /v2/read HTTP/1.1\r\nHost: vault\r\nX-Ticket: %s\r\nX-Max-Ms: %d\r\nContent-Length: %d\r\n\r\n",
 		id, max(1, patience.Milliseconds()), len(body))
 	*b = append(*b, body...)
--- a/internal/vault/vault_test.go
+++ b/internal/transport/vault/vault_test.go
@@ -16,7 +16,7 @@
 	"time"
 
 	"silverpath"
-	"silverpath/internal/linger"
+	"silverpath/internal/transport/linger"
 )
 
 // below is a stand-in for the vault: connections are pipes, and the test answers on them.
--- a/record.go
+++ b/record.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"silverpath/internal/window"
+	"silverpath/internal/policy/window"
 )
 
 // This file holds what is kept of the server, its classes, requests and keys. What is done with it, and every
--- a/shedder.go
+++ b/shedder.go
@@ -23,7 +23,7 @@
 	"slices"
 	"time"
 
-	"silverpath/internal/window"
+	"silverpath/internal/policy/window"
 )
 
 // The source's defaults.
--- a/shedder_test.go
+++ b/shedder_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"silverpath/internal/window"
+	"silverpath/internal/policy/window"
 )
 
 // script is a host that writes its actions down.
