--- a/internal/controlplane/command/orders.go
+++ b/internal/controlplane/command/orders.go
@@ -56,7 +56,7 @@
 			at = j.Step
 		}
 		o.file.Learn(duty, seen, at)
-		events.Say(o.Log, "orders.learnt", duty, seen, at)
+		events.Log(o.Log, "orders.learnt", duty, seen, at)
 	}
 	order := fence.Order{Duty: duty, Epoch: lease.Epoch(epoch), Step: step, Act: act}
 	fresh, err := o.file.Judge(order)
@@ -71,6 +71,6 @@
 		return false, err.Error()
 	}
 	yes, why := do()
-	events.Say(o.Log, "orders.taken", act, duty, order.Epoch, step, why)
+	events.Log(o.Log, "orders.taken", act, duty, order.Epoch, step, why)
 	return yes, why
 }
--- a/internal/controlplane/configwatch/follow.go
+++ b/internal/controlplane/configwatch/follow.go
@@ -233,7 +233,7 @@
 		}
 		if err != nil { // it was checked: something has changed since
 			f.cfg.Stats.Inc("rules", "bad")
-			events.Say(f.cfg.Log, "rules.bad", t.Doc, t.Entry.ID, err)
+			events.Log(f.cfg.Log, "rules.bad", t.Doc, t.Entry.ID, err)
 			all = false
 			if t.Entry.Split { // once more, by all of its parts
 				f.mu.Lock()
@@ -243,7 +243,7 @@
 			continue
 		}
 		f.cfg.Stats.Inc("rules", "taken", t.Doc)
-		events.Say(f.cfg.Log, "rules.acts", t.Doc, t.Entry.ID)
+		events.Log(f.cfg.Log, "rules.acts", t.Doc, t.Entry.ID)
 	}
 	return all
 }
@@ -255,7 +255,7 @@
 	f.mu.Unlock()
 	for _, name := range slices.Sorted(maps.Keys(list)) {
 		f.cfg.Stats.Add(uint64(list[name].Times), "rules", "parts_off")
-		events.Say(f.cfg.Log, "rules.parts_off", name, acts[name], list[name].Why)
+		events.Log(f.cfg.Log, "rules.parts_off", name, acts[name], list[name].Why)
 	}
 }
 
@@ -372,9 +372,9 @@
 		if why == configstore.Unconfirmed {
 			ago = now - time.Duration(f.until.Load()) // a process that was stopped sees it late
 		}
-		events.Say(f.cfg.Log, "rules.stops", why, ago)
+		events.Log(f.cfg.Log, "rules.stops", why, ago)
 	default:
-		events.Say(f.cfg.Log, "rules.goes_on", was, now-since)
+		events.Log(f.cfg.Log, "rules.goes_on", was, now-since)
 	}
 }
 
@@ -389,7 +389,7 @@
 	f.last = text
 	f.mu.Unlock()
 	if changed && err != nil {
-		events.Say(f.cfg.Log, "rules.unanswered", err)
+		events.Log(f.cfg.Log, "rules.unanswered", err)
 	}
 }
 
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -424,7 +424,7 @@
 			return
 		}
 		if t.ran { // a run is never refused; the module keeps to this, so the line should not be seen
-			events.Say(c.log, "guard.refusal", id)
+			events.Log(c.log, "guard.refusal", id)
 			c.answer(t, Answer{Outcome: Failed})
 			return
 		}
@@ -483,4 +483,4 @@
 	c.actions = append(c.actions, func() { time.AfterFunc(after, c.wake) })
 }
 
-func (h *host) Log(text string) { events.Say((*Core)(h).log, "module", text) }
+func (h *host) Log(text string) { events.Log((*Core)(h).log, "module", text) }
--- a/internal/core/guard.go
+++ b/internal/core/guard.go
@@ -139,17 +139,17 @@
 	st := c.guard.State(now)
 	c.view.Pools = &st
 	if old == nil || old.Memory != st.Memory {
-		events.Say(c.log, "pools.memory", st.Memory, st.Booked, st.Process)
+		events.Log(c.log, "pools.memory", st.Memory, st.Booked, st.Process)
 	}
 	for i, p := range st.Pools {
 		was := old != nil && i < len(old.Pools) && old.Pools[i].Starving
 		if p.Starving && !was {
-			events.Say(c.log, "pools.starves", p.Name, p.Waiting, p.Used, p.Floor)
+			events.Log(c.log, "pools.starves", p.Name, p.Waiting, p.Used, p.Floor)
 		}
 	}
 	if math.Abs(math.Log(st.Limit/c.saidLimit)) > moved && now-c.saidAt >= sayLimit {
 		c.saidLimit, c.saidAt = st.Limit, now
-		events.Say(c.log, "pools.limit", st.Limit, st.Ceiling, st.Belief)
+		events.Log(c.log, "pools.limit", st.Limit, st.Ceiling, st.Belief)
 	}
 }
 
--- a/internal/core/keep.go
+++ b/internal/core/keep.go
@@ -131,7 +131,7 @@
 	c.keeper.Result(&r, f.reached, f.entry.until, func(err error) {
 		s.kept = true
 		if err != nil { // what does not last is not told: after a restart nobody could tell it again
-			events.Say(c.log, "store.result_lost", t.Class, t.ID, err)
+			events.Log(c.log, "store.result_lost", t.Class, t.ID, err)
 			c.stats.Inc("store", "result_lost")
 			s.outcome, s.data = silverpath.Failed, nil
 			c.mu.Lock()
--- a/internal/core/life.go
+++ b/internal/core/life.go
@@ -399,7 +399,7 @@
 	if t.word != owed {
 		return
 	}
-	events.Say(c.log, "backstop", t.Class, t.ID, time.Since(t.read).Round(time.Millisecond))
+	events.Log(c.log, "backstop", t.Class, t.ID, time.Since(t.read).Round(time.Millisecond))
 	c.stats.Inc("backstop")
 	c.answer(t, Answer{Outcome: Expired})
 	c.decide(func(m *silverpath.Shedder, now time.Duration) { m.Cancelled(now, t.ID) })
@@ -445,7 +445,7 @@
 		why = "another try of it has run"
 	}
 	if why != "" {
-		events.Say(c.log, "guard.run", t.Class, t.ID, why)
+		events.Log(c.log, "guard.run", t.Class, t.ID, why)
 		c.stats.Inc("guard")
 		t.running = true // for the end that follows
 		t.post(step{kind: ended, outcome: silverpath.NotStarted})
--- a/internal/core/pair.go
+++ b/internal/core/pair.go
@@ -98,7 +98,7 @@
 	}
 	c.keys.limit, c.maxTasks = c.pair.limits[0]/part, max(32, c.pair.limits[1]/part)
 	if err := c.retune(*c.set.Load()); err != nil {
-		events.Say(c.log, "handover.unshared", err)
+		events.Log(c.log, "handover.unshared", err)
 	}
 	c.pair.Shared(two)
 }
@@ -145,7 +145,7 @@
 		was := s.Role()
 		s.Alone(s.Peer() != 0 && marked(s.Peer()), c.windowEnd())
 		if was != s.Role() && s.Blind() > time.Now().UnixNano() {
-			events.Say(c.log, "handover.blind", time.Until(time.Unix(0, s.Blind())).Round(time.Second))
+			events.Log(c.log, "handover.blind", time.Until(time.Unix(0, s.Blind())).Round(time.Second))
 		}
 	})
 }
@@ -351,7 +351,7 @@
 		c.onPair(func(s *hotrestart.Side) { s.Unwritten() })
 	}
 	if err := c.pair.Mark(); err != nil {
-		events.Say(c.log, "handover.no_mark", err)
+		events.Log(c.log, "handover.no_mark", err)
 		c.stats.Inc("handover", "no_mark")
 		return false
 	}
--- a/internal/core/phases.go
+++ b/internal/core/phases.go
@@ -27,7 +27,7 @@
 	p.state.Store(int32(a.To))
 	p.mu.Unlock()
 	if a.To != was {
-		events.Say(p.log, "phase", a.To)
+		events.Log(p.log, "phase", a.To)
 	}
 	return a
 }
--- a/internal/core/rules.go
+++ b/internal/core/rules.go
@@ -33,11 +33,11 @@
 	was, _ := c.rules.Top()
 	switch c.rules.Hear(c.clock(), of, source) {
 	case configstore.Newer:
-		events.Say(c.log, "rules.newer", of, was.ID, source)
+		events.Log(c.log, "rules.newer", of, was.ID, source)
 	case configstore.Conflict:
 		c.stats.Inc("rules", "contradictions")
 		n, words := c.rules.Differ()
-		events.Say(c.log, "rules.contradiction", n, words)
+		events.Log(c.log, "rules.contradiction", n, words)
 	}
 }
 
--- a/internal/events/events.go
+++ b/internal/events/events.go
@@ -1,5 +1,6 @@
-// Package events is what the service logs: every event has a name and its fields, by a table. For people it is a line of
-// text; for machines a JSON object with the same fields.
+// Package events is the structured log of every process. Each event has a name and named fields, which stand in one table,
+// Templates. On a log for people an event is a line of text; on a log for machines it is a JSON object of the same fields.
+// docs/oncall.md says of each event what it means and what to do.
 package events
 
 import (
@@ -11,8 +12,9 @@
 	"github.com/rs/zerolog"
 )
 
-// Texts has every event: its name, and its line, in which a field stands as {name} or, with a verb of fmt, {name:%.2f}.
-var Texts = map[string]string{
+// Templates has the line of every event, by the event's name. A field stands in it as {name} or, with a verb of package fmt, as
+// {name:%.2f}; a field's name is its key in the JSON object too.
+var Templates = map[string]string{
 	"announce.failed":       "not announced: {why}",
 	"backstop":              "backstop: {class} {request} is due, {after} after it was read, and had no answer from the module",
 	"cells.bad_map":         "cells: the old map holds, version {version}: {why}",
@@ -84,36 +86,37 @@
 	"worker":                "worker: no configuration: the built-in worker at {addr} does the work, which is to send back what came",
 }
 
-// part is a piece of a line: what is said as it is, then a field.
-type part struct{ before, field, verb string }
+// segment is a piece of a template: literal text, then one field, whose name is empty at the end of the template.
+type segment struct{ before, field, verb string }
 
-// lines are the texts, cut once.
-var lines = func() map[string][]part {
-	all := map[string][]part{}
-	for name, text := range Texts {
-		all[name] = cut(text)
+// templates are the Templates, parsed once at the start of the process.
+var templates = func() map[string][]segment {
+	all := map[string][]segment{}
+	for name, text := range Templates {
+		all[name] = parseTemplate(text)
 	}
 	return all
 }()
 
-func cut(text string) (parts []part) {
+// parseTemplate splits a template into its segments.
+func parseTemplate(text string) (parts []segment) {
 	for {
 		before, rest, found := strings.Cut(text, "{")
 		if !found {
-			return append(parts, part{before: before})
+			return append(parts, segment{before: before})
 		}
 		field, after, _ := strings.Cut(rest, "}")
 		name, verb, _ := strings.Cut(field, ":")
 		if verb == "" {
 			verb = "%v"
 		}
-		parts, text = append(parts, part{before, name, verb}), after
+		parts, text = append(parts, segment{before, name, verb}), after
 	}
 }
 
-// Fields are the names of an event's fields, in the order of their values.
+// Fields returns the names of an event's fields, in the order in which Log takes their values.
 func Fields(name string) (list []string) {
-	for _, p := range lines[name] {
+	for _, p := range templates[name] {
 		if p.field != "" {
 			list = append(list, p.field)
 		}
@@ -121,29 +124,30 @@
 	return list
 }
 
-// Machine is a log's output for machines.
-type Machine struct{ log zerolog.Logger }
+// JSONWriter is the output of a log for machines: a JSON object a line.
+type JSONWriter struct{ log zerolog.Logger }
 
-// NewMachine returns the output of a process for machines.
-func NewMachine(out io.Writer, process string) *Machine {
+// NewJSONWriter returns the output of the named process, with the time of each line in microseconds since 1970.
+func NewJSONWriter(out io.Writer, process string) *JSONWriter {
 	zerolog.TimeFieldFormat = zerolog.TimeFormatUnixMicro
-	return &Machine{zerolog.New(out).With().Timestamp().Str("process", process).Logger()}
+	return &JSONWriter{zerolog.New(out).With().Timestamp().Str("process", process).Logger()}
 }
 
-// Write takes what is no event of the table.
-func (m *Machine) Write(b []byte) (int, error) {
+// Write logs a line that is no event of Templates, such as a library's, as the event "text".
+func (m *JSONWriter) Write(b []byte) (int, error) {
 	m.log.Log().Str("event", "text").Str("text", strings.TrimSpace(string(b))).Send()
 	return len(b), nil
 }
 
-// Say logs an event, with the values of its fields in their order.
-func Say(l *log.Logger, name string, values ...any) {
-	parts := lines[name]
-	if m, ok := l.Writer().(*Machine); ok {
+// Log logs an event with the values of its fields, in the order of Fields. It is called by every package that logs; TestEvents
+// holds the calls against Templates and docs/oncall.md.
+func Log(l *log.Logger, name string, values ...any) {
+	parts := templates[name]
+	if m, ok := l.Writer().(*JSONWriter); ok {
 		e := m.log.Log().Str("event", name)
 		for i, p := range parts {
 			if p.field != "" && i < len(values) {
-				e = add(e, p.field, values[i])
+				e = addField(e, p.field, values[i])
 			}
 		}
 		e.Send()
@@ -159,8 +163,8 @@
 	l.Print(b.String())
 }
 
-// add adds a field: a number as one, all else as it is said to people.
-func add(e *zerolog.Event, name string, v any) *zerolog.Event {
+// addField adds a field to a JSON object: a number as a number, all else as the text that a person would read.
+func addField(e *zerolog.Event, name string, v any) *zerolog.Event {
 	switch v := v.(type) {
 	case int:
 		return e.Int(name, v)
--- a/internal/events/events_test.go
+++ b/internal/events/events_test.go
@@ -28,7 +28,7 @@
 	for _, m := range named.FindAllStringSubmatch(string(doc), -1) {
 		known[m[1]] = true
 	}
-	said := map[string]bool{}
+	logged := map[string]bool{}
 	text := func(e ast.Expr) (string, bool) { // a literal, or the beginning of one that is put together
 		whole := true
 		if b, ok := e.(*ast.BinaryExpr); ok {
@@ -59,7 +59,7 @@
 				return true
 			}
 			args := call.Args
-			if x, ok := sel.X.(*ast.Ident); ok && x.Name == "events" && sel.Sel.Name == "Say" && len(args) > 1 {
+			if x, ok := sel.X.(*ast.Ident); ok && x.Name == "events" && sel.Sel.Name == "Log" && len(args) > 1 {
 				args = args[1:]
 			} else if sel.Sel.Name == "Str" && len(args) == 2 {
 				if key, _ := text(args[0]); key != "event" {
@@ -75,15 +75,15 @@
 					t.Errorf("%s: event %q is not in docs/oncall.md", path, name)
 				}
 				return true
-			} else if sel.Sel.Name != "Say" || len(args) == 0 {
+			} else if sel.Sel.Name != "LogPeer" || len(args) == 0 {
 				return true
 			}
 			name, whole := text(args[0])
 			if !whole {
-				return true // of another Say, or passed on
+				return true // passed on by LogPeer itself
 			}
-			said[name] = true
-			if _, ok := Texts[name]; !ok {
+			logged[name] = true
+			if _, ok := Templates[name]; !ok {
 				t.Errorf("%s: event %q is not in the table", path, name)
 			} else if call.Ellipsis == 0 && len(args)-1 != len(Fields(name)) {
 				t.Errorf("%s: event %q with %d values, it has the fields %v", path, name, len(args)-1, Fields(name))
@@ -95,8 +95,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for name := range Texts {
-		if !said[name] {
+	for name := range Templates {
+		if !logged[name] {
 			t.Errorf("event %q is never logged", name)
 		}
 		if !known[name] {
@@ -106,15 +106,15 @@
 }
 
 // An event is one line for people and one object for machines, with the same fields.
-func TestSay(t *testing.T) {
+func TestLog(t *testing.T) {
 	var b bytes.Buffer
-	Say(log.New(&b, "", 0), "pools.limit", 3.25, 8.0, "steady")
+	Log(log.New(&b, "", 0), "pools.limit", 3.25, 8.0, "steady")
 	if b.String() != "pools: limit 3.2 of at most 8.0 runs, steady\n" {
 		t.Errorf("%q", b.String())
 	}
 	b.Reset()
-	l := log.New(NewMachine(&b, "s1"), "", 0)
-	Say(l, "orders.taken", "evacuate", "conductor", "1.2", uint64(7), "evacuated")
+	l := log.New(NewJSONWriter(&b, "s1"), "", 0)
+	Log(l, "orders.taken", "evacuate", "conductor", "1.2", uint64(7), "evacuated")
 	l.Print("anything")
 	lines := strings.Split(strings.TrimSpace(b.String()), "\n")
 	var e, f map[string]any
--- a/internal/proxy/fleet.go
+++ b/internal/proxy/fleet.go
@@ -183,7 +183,7 @@
 		r.stats.Inc("cells", "bad_map")
 		if time.Since(r.saidBad) > old.Lease {
 			r.saidBad = time.Now()
-			events.Say(r.log, "cells.bad_map", old.Version, err)
+			events.Log(r.log, "cells.bad_map", old.Version, err)
 		}
 		// Where it was checked in time and comes too late, perhaps at all routers, nobody else tells that there is a newer one.
 		if src, can := r.cfg.Source.(Newest); can {
@@ -200,7 +200,7 @@
 	}
 	if m.Version != old.Version {
 		r.stats.Inc("cells", "new_map")
-		events.Say(r.log, "cells.new_map", m.Version, old.Version, len(cells.Diff(old.Map, m)))
+		events.Log(r.log, "cells.new_map", m.Version, old.Version, len(cells.Diff(old.Map, m)))
 	}
 	r.take(m, read)
 }
@@ -327,7 +327,7 @@
 	for _, s := range r.table.States(r.clock()) {
 		if old, known := r.said[s.Name]; s.Health != old || !known {
 			r.said[s.Name] = s.Health
-			events.Say(r.log, "fleet.health", s.Name, s.Health)
+			events.Log(r.log, "fleet.health", s.Name, s.Health)
 		}
 	}
 }
--- a/internal/proxy/rules.go
+++ b/internal/proxy/rules.go
@@ -125,7 +125,7 @@
 		r.contradicted()
 	case configstore.Newer:
 		if m := r.cells.Load(); m != nil && id.Version > m.Version {
-			events.Say(r.log, "rules.newer", id, m.id, source)
+			events.Log(r.log, "rules.newer", id, m.id, source)
 		}
 	}
 	if m := r.cells.Load(); m != nil && id.Version > m.Version {
@@ -139,7 +139,7 @@
 func (r *Runner) contradicted() {
 	n, words := r.rules.Differ()
 	r.stats.Inc("rules", "contradictions")
-	events.Say(r.log, "rules.contradiction", n, words)
+	events.Log(r.log, "rules.contradiction", n, words)
 }
 
 // late is told that a newer map is taken up by one that has gone by an old one beyond its time. What it then sent, where the
--- a/internal/service/drain.go
+++ b/internal/service/drain.go
@@ -21,7 +21,7 @@
 	}
 	if s.core.Successor() {
 		// Whoever connects from now on is taken by the other process, and whoever is told to leave here goes there.
-		events.Say(s.log, "handover.successor")
+		events.Log(s.log, "handover.successor")
 		s.reporter.Quiet()
 		lead = 0
 		s.closeListeners()
--- a/internal/service/main.go
+++ b/internal/service/main.go
@@ -38,29 +38,29 @@
 	debug.SetMemoryLimit(heapLimit(cfg))
 	l := log.New(out, "", log.Lmicroseconds|log.LUTC)
 	if cfg.JSONLog {
-		l = log.New(events.NewMachine(out, cfg.Name), "", 0)
+		l = log.New(events.NewJSONWriter(out, cfg.Name), "", 0)
 	}
 	leave := make(chan struct{})
 	go func() { // ends with the process; a second notice changes nothing
-		events.Say(l, "leaving", <-signals.Leave)
+		events.Log(l, "leaving", <-signals.Leave)
 		close(leave)
 	}()
 	s, err := open(cfg, l, parts, mostTaken, leave)
 	if errors.Is(err, errLeft) {
-		events.Say(l, "exit")
+		events.Log(l, "exit")
 		return nil
 	}
 	if err != nil {
 		return err
 	}
 	for _, ln := range s.listeners {
-		events.Say(l, "listening", ln.Name(), ln.Addr())
+		events.Log(l, "listening", ln.Name(), ln.Addr())
 	}
 	if s.agent != nil {
-		events.Say(l, "listening", "snmp", s.agent.Addr())
+		events.Log(l, "listening", "snmp", s.agent.Addr())
 	}
 	if s.mgmt != nil {
-		events.Say(l, "listening", admin.Name, s.mgmt.Addr())
+		events.Log(l, "listening", admin.Name, s.mgmt.Addr())
 	}
 	go func() { // likewise
 		for sig := range signals.Others {
@@ -74,12 +74,12 @@
 			}
 			if err != nil {
 				s.stats.Inc("reloads", "bad")
-				events.Say(l, "reload.bad", err)
+				events.Log(l, "reload.bad", err)
 			}
 		}
 	}()
 	err = s.Run(leave)
 	s.stats.Print(out)
-	events.Say(l, "exit")
+	events.Log(l, "exit")
 	return err
 }
--- a/internal/service/recovery.go
+++ b/internal/service/recovery.go
@@ -154,7 +154,7 @@
 		waits = []string{"nothing"}
 	}
 	s.stats.Inc("recovery", "reached", v.State.String())
-	events.Say(s.log, "recovery.state", v.State, now.Round(time.Millisecond), strings.Join(waits, ", "))
+	events.Log(s.log, "recovery.state", v.State, now.Round(time.Millisecond), strings.Join(waits, ", "))
 }
 
 // status is the path as JSON.
--- a/internal/service/reload.go
+++ b/internal/service/reload.go
@@ -30,34 +30,34 @@
 			return fmt.Errorf("settings: %w", err)
 		}
 		s.cfg.Server = cfg.Server
-		events.Say(s.log, "reload.settings", classes(cfg.Server))
+		events.Log(s.log, "reload.settings", classes(cfg.Server))
 	}
 	if s.worker != nil {
 		cfg.VM = old.VM
 	}
 	if s.link != nil && cfg.VM != "" && cfg.VM != old.VM {
-		events.Say(s.log, "reload.moved", "vm", old.VM, cfg.VM)
+		events.Log(s.log, "reload.moved", "vm", old.VM, cfg.VM)
 		s.cfg.VM = cfg.VM
 		s.link.Move(cfg.VM)
 	}
 	if s.below != nil && cfg.Vault != "" && cfg.Vault != old.Vault {
-		events.Say(s.log, "reload.moved", "vault", old.Vault, cfg.Vault)
+		events.Log(s.log, "reload.moved", "vault", old.Vault, cfg.Vault)
 		s.cfg.Vault = cfg.Vault
 		s.below.Move(cfg.Vault)
 	}
 	if cfg.Announce != old.Announce {
-		events.Say(s.log, "reload.moved", "announce", strconv.Quote(old.Announce), strconv.Quote(cfg.Announce))
+		events.Log(s.log, "reload.moved", "announce", strconv.Quote(old.Announce), strconv.Quote(cfg.Announce))
 		s.cfg.Announce = cfg.Announce
 		s.reporter.Move(cfg.Announce)
 	}
 	for _, field := range s.cfg.Differs(cfg) {
-		events.Say(s.log, "reload.differs", field)
+		events.Log(s.log, "reload.differs", field)
 	}
 	if cfg.Edge.PoolsOn() && old.Edge.PoolsOn() && !cfg.Edge.Rules.Uses(configstore.DocPools) && !reflect.DeepEqual(cfg.Edge.Pools, old.Edge.Pools) {
 		if err := s.core.ReloadPools(cfg.Edge.Pools); err != nil {
-			events.Say(s.log, "reload.pools_bad", err)
+			events.Log(s.log, "reload.pools_bad", err)
 		} else {
-			events.Say(s.log, "reload.pools")
+			events.Log(s.log, "reload.pools")
 			s.cfg.Edge.Pools = cfg.Edge.Pools
 		}
 	}
@@ -65,7 +65,7 @@
 		s.fleet.Reload()
 	}
 	s.stats.Inc("reloads", "done")
-	events.Say(s.log, "reload.done")
+	events.Log(s.log, "reload.done")
 	return nil
 }
 
--- a/internal/service/rules.go
+++ b/internal/service/rules.go
@@ -93,14 +93,14 @@
 				return
 			}
 			if err := s.core.Retune(next); err != nil {
-				events.Say(s.log, "rules.bad", configstore.DocClasses, "", err)
+				events.Log(s.log, "rules.bad", configstore.DocClasses, "", err)
 				return
 			}
 			s.cfg.Server = next
-			events.Say(s.log, "reload.settings", classes(next))
+			events.Log(s.log, "reload.settings", classes(next))
 		})
 	}
-	events.Say(s.log, "reload.settings", classes(now))
+	events.Log(s.log, "reload.settings", classes(now))
 	return nil
 }
 
--- a/internal/service/server.go
+++ b/internal/service/server.go
@@ -27,7 +27,7 @@
 			return err
 		}
 		s.cfg.VM = s.worker.Addr()
-		events.Say(s.log, "worker", s.cfg.VM)
+		events.Log(s.log, "worker", s.cfg.VM)
 	}
 	if err := s.takeOrders(); err != nil {
 		return err
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -262,7 +262,7 @@
 			return err
 		}
 		if !said {
-			events.Say(s.log, "listening.taken", time.Until(s.tries).Round(time.Second), err)
+			events.Log(s.log, "listening.taken", time.Until(s.tries).Round(time.Second), err)
 		}
 		select {
 		case <-s.leave:
@@ -288,7 +288,7 @@
 		part = 2
 	}
 	debug.SetMemoryLimit(heapLimit(s.cfg) / int64(part))
-	events.Say(s.log, "handover.shared", part)
+	events.Log(s.log, "handover.shared", part)
 	for _, sh := range s.shares {
 		go sh.ln.SetMost(sh.most / part)
 	}
--- a/internal/storage/heartbeat/life.go
+++ b/internal/storage/heartbeat/life.go
@@ -60,7 +60,7 @@
 		life: recovery.NewLife(recovery.Terms{Every: valid / part, Valid: valid})}
 	last, err := Read(path)
 	if err != nil {
-		events.Say(l, "life.unreadable", err)
+		events.Log(l, "life.unreadable", err)
 		if err := os.Rename(path, fmt.Sprintf("%s.damaged-%d", path, time.Now().UnixNano())); err != nil && !errors.Is(err, fs.ErrNotExist) {
 			return nil, err
 		}
@@ -70,7 +70,7 @@
 		return nil, fmt.Errorf("%s: it is of the service %q, not of %q", path, last.Name, name)
 	}
 	k.write() // one that does not last is said: reads are served all the same
-	events.Say(l, "life.dark", k.dark.Round(time.Millisecond), k.by)
+	events.Log(l, "life.dark", k.dark.Round(time.Millisecond), k.by)
 	return k, nil
 }
 
@@ -124,7 +124,7 @@
 	defer k.mu.Unlock()
 	k.life.Written(err == nil)
 	if err != nil && !k.told {
-		events.Say(k.log, "life.failed", err)
+		events.Log(k.log, "life.failed", err)
 	}
 	if k.told = err != nil; k.told {
 		k.stats.Inc("life", "failed")
--- a/internal/storage/idempotencystore/store.go
+++ b/internal/storage/idempotencystore/store.go
@@ -88,7 +88,7 @@
 	f, made, err := openFile(path, cfg.Name, now, time.Now().UnixMilli())
 	if errors.Is(err, errDamaged) { // kept for whoever can read more of it, and begun anew as if nothing were known
 		cfg.Stats.Inc("store", "damaged")
-		events.Say(cfg.Log, "store.damaged", err)
+		events.Log(cfg.Log, "store.damaged", err)
 		if err = os.Rename(path, asideName(path)); err == nil {
 			f, made, err = openFile(path, cfg.Name, now, time.Now().UnixMilli())
 		}
@@ -107,7 +107,7 @@
 		h.Clean = false                           // before anything else is written
 		if err := f.commit(nil, &h); err != nil { // what is there can be read all the same, and is written anew once the disk is well
 			s.stale = true
-			events.Say(s.log, "store.failed", err)
+			events.Log(s.log, "store.failed", err)
 		}
 		f.head = h
 	}
@@ -301,7 +301,7 @@
 			why = err.Error()
 		}
 		s.stats.Inc("store", "damaged")
-		events.Say(s.log, "store.damaged", why)
+		events.Log(s.log, "store.damaged", why)
 		h.Whole, h.Since, h.Wall = false, int64(now.Now), time.Now().UnixMilli()
 		blind = now.Now + s.keys.LongestWindow()
 	} else if shift != 0 {
@@ -315,7 +315,7 @@
 	case err != nil:
 		s.stale = true // what could be read of it is written anew, and the file itself set aside
 		if err := os.Link(f.path, asideName(f.path)); err != nil {
-			events.Say(s.log, "store.failed", err)
+			events.Log(s.log, "store.failed", err)
 		}
 	case len(broken) > 0:
 		s.stale = f.setAside(broken) != nil
@@ -343,9 +343,9 @@
 	live := s.ledger.View(Now().Now).Live
 	s.mu.Unlock()
 	s.stats.Set(uint64(time.Since(began).Milliseconds()), "store", "load_ms")
-	events.Say(s.log, "store.loaded", live, time.Since(began).Round(time.Millisecond), shift != 0)
+	events.Log(s.log, "store.loaded", live, time.Since(began).Round(time.Millisecond), shift != 0)
 	if left := blind - Now().Now; left > 0 {
-		events.Say(s.log, "store.blind", left.Round(time.Second))
+		events.Log(s.log, "store.blind", left.Round(time.Second))
 	}
 }
 
@@ -408,7 +408,7 @@
 			s.mu.Lock()
 			s.ledger.Anew()
 			s.mu.Unlock()
-			events.Say(s.log, "store.anew")
+			events.Log(s.log, "store.anew")
 		}
 	}
 	if n == 0 && head == nil {
@@ -428,7 +428,7 @@
 			s.stale = true
 			s.stats.Inc("store", "failures")
 			if news {
-				events.Say(s.log, "store.failed", err)
+				events.Log(s.log, "store.failed", err)
 			}
 		} else {
 			s.stats.Inc("store", "commits")
@@ -534,7 +534,7 @@
 		h := s.file.head
 		h.Clean = true
 		if err := s.file.commit(nil, &h); err != nil {
-			events.Say(s.log, "store.failed", err)
+			events.Log(s.log, "store.failed", err)
 		}
 	}
 	s.file.db.Close()
--- a/internal/transport/admin/mgmt.go
+++ b/internal/transport/admin/mgmt.go
@@ -377,7 +377,7 @@
 		yes, why := s.order.Take(strings.TrimPrefix(c.path, "/api/"), q.Get("duty"), epoch, step, do)
 		s.stats.Inc("orders", map[bool]string{true: "taken", false: "refused"}[yes])
 		if !yes {
-			events.Say(s.log, "orders.refused", c.path, why)
+			events.Log(s.log, "orders.refused", c.path, why)
 		}
 		return yes, why
 	}, nil
@@ -429,7 +429,7 @@
 	}
 	s.mu.Unlock()
 	if say {
-		events.Say(s.log, "mgmt.bad_call", int(p.code), conn.RemoteAddr(), p.why)
+		events.Log(s.log, "mgmt.bad_call", int(p.code), conn.RemoteAddr(), p.why)
 	}
 	s.write(conn, p.code, p.why, headers...)
 }
--- a/internal/transport/interpreter/interp.go
+++ b/internal/transport/interpreter/interp.go
@@ -185,11 +185,11 @@
 		case ctx.Err() != nil:
 		case moved:
 			l.stats.Inc("interpreter", "moved")
-			events.Say(l.log, "interpreter.moved", addr, next)
+			events.Log(l.log, "interpreter.moved", addr, next)
 			wait = redialAfter
 		default:
 			l.stats.Inc("interpreter", "link_down")
-			events.Say(l.log, "interpreter.link_down", err)
+			events.Log(l.log, "interpreter.link_down", err)
 			if live {
 				wait = redialAfter
 			}
@@ -369,7 +369,7 @@
 	}
 	switch kind {
 	case "BANNER":
-		events.Say(l.log, "interpreter.up", string(v.GetStringBytes("state")), v.GetInt64("took"))
+		events.Log(l.log, "interpreter.up", string(v.GetStringBytes("state")), v.GetInt64("took"))
 		ago := time.Duration(min(max(0, v.GetInt64("took")), longestTook)) * time.Millisecond
 		l.restarted(ago)
 		l.events.Started(string(v.GetStringBytes("state")) == "EMPTY", ago)
@@ -398,7 +398,7 @@
 			command = "other" // counters are bounded, what comes off a wire is not
 		}
 		l.stats.Inc("interpreter", "error", command)
-		events.Say(l.log, "interpreter.refused", command, id)
+		events.Log(l.log, "interpreter.refused", command, id)
 		l.mu.Lock()
 		j := l.jobs[id]
 		l.mu.Unlock()
@@ -434,7 +434,7 @@
 	l.mu.Unlock()
 	if len(lost) > 0 {
 		l.stats.Add(uint64(len(lost)), "interpreter", "runs_lost")
-		events.Say(l.log, "interpreter.restarted", len(lost))
+		events.Log(l.log, "interpreter.restarted", len(lost))
 	}
 	for _, id := range lost {
 		l.ended(id, silverpath.Failed, 0, nil)
@@ -448,7 +448,7 @@
 	defer l.mu.Unlock()
 	l.live = true
 	if len(l.jobs) > 0 {
-		events.Say(l.log, "interpreter.link_up", len(l.jobs))
+		events.Log(l.log, "interpreter.link_up", len(l.jobs))
 	}
 	replies := l.queue
 	l.queue = nil
--- a/internal/transport/listener/front.go
+++ b/internal/transport/listener/front.go
@@ -117,9 +117,9 @@
 	linger.Close(s.conn, r, left, mostAfter)
 }
 
-// Say logs what was wrong with a peer. Whoever floods the service floods no log: of many lines a second the
+// LogPeer logs what was wrong with a peer. Whoever floods the service floods no log: of many lines a second the
 // rest is only counted.
-func (s *Slot) Say(event string, values ...any) {
+func (s *Slot) LogPeer(event string, values ...any) {
 	l := s.owner
 	l.mu.Lock()
 	now := time.Now()
@@ -130,7 +130,7 @@
 	n := l.logged
 	l.mu.Unlock()
 	if n <= mostLines {
-		events.Say(l.log, event, values...)
+		events.Log(l.log, event, values...)
 	} else {
 		l.stats.Inc("unlogged", l.name)
 	}
@@ -343,7 +343,7 @@
 			l.stats.Inc("accept_failed", l.name)
 			if now := time.Now(); now.Sub(l.said) >= sayEvery {
 				l.said = now
-				events.Say(l.log, "front.accepting", l.name, err)
+				events.Log(l.log, "front.accepting", l.name, err)
 			}
 			if errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) {
 				l.makeRoom() // no descriptor is left for who waits: the one that is missed least gives way
--- a/internal/transport/listener/front_test.go
+++ b/internal/transport/listener/front_test.go
@@ -122,7 +122,7 @@
 		s := &Slot{owner: l}
 		for range 10 {
 			for range 100 {
-				s.Say("exit")
+				s.LogPeer("exit")
 			}
 			time.Sleep(time.Second)
 		}
--- a/internal/transport/loadreport/announce.go
+++ b/internal/transport/loadreport/announce.go
@@ -80,7 +80,7 @@
 				conn = nil
 				if time.Since(said) >= sayEvery {
 					said = time.Now()
-					events.Say(r.log, "announce.failed", err)
+					events.Log(r.log, "announce.failed", err)
 				}
 			}
 		}
--- a/internal/transport/msgpackrpc/front.go
+++ b/internal/transport/msgpackrpc/front.go
@@ -125,7 +125,7 @@
 		f.stats.Inc("too_slow", Name)
 	case errors.Is(err, errMalformed) || errors.Is(err, io.ErrUnexpectedEOF):
 		f.stats.Inc("malformed", Name)
-		slot.Say("front.closed", Name, conn.RemoteAddr(), err)
+		slot.LogPeer("front.closed", Name, conn.RemoteAddr(), err)
 	default:
 		c.fail()
 	}
--- a/internal/transport/msgpackrpc/words.go
+++ b/internal/transport/msgpackrpc/words.go
@@ -114,7 +114,7 @@
 		f.stats.Inc("too_slow", f.name)
 	case errors.Is(err, errMalformed):
 		f.stats.Inc("malformed", f.name)
-		slot.Say("front.closed", f.name, conn.RemoteAddr(), err)
+		slot.LogPeer("front.closed", f.name, conn.RemoteAddr(), err)
 	}
 	open.Wait() // what was asked before is answered, as long as the other side may read
 	slot.Linger(r)
--- a/internal/transport/restartlink/pair.go
+++ b/internal/transport/restartlink/pair.go
@@ -90,7 +90,7 @@
 	place, ok := p.places.take()
 	if !ok {
 		if !p.third {
-			events.Say(p.log, "handover.full")
+			events.Log(p.log, "handover.full")
 			p.stats.Inc("handover", "third")
 		}
 		p.third = true
@@ -124,7 +124,7 @@
 	p.alone = true
 	was := p.core.PairRole()
 	p.gone()
-	events.Say(p.log, "handover.alone", was)
+	events.Log(p.log, "handover.alone", was)
 	p.places.sweep()
 	return false
 }
@@ -162,7 +162,7 @@
 		case <-tick.C:
 			if p.place < 0 {
 				if err := p.enter(); err != nil {
-					events.Say(p.log, "handover.failed", err)
+					events.Log(p.log, "handover.failed", err)
 				}
 			} else if p.look() && p.place == 1 && !time.Now().Before(p.next) {
 				if conn, err := net.DialTimeout("unix", p.places.socket(0), lookEvery); err == nil {
@@ -216,7 +216,7 @@
 	if errors.Is(err, errFrame) {
 		p.stats.Inc("malformed", "handover")
 	}
-	events.Say(p.log, "handover.link_down", err)
+	events.Log(p.log, "handover.link_down", err)
 	if errors.Is(err, hotrestart.ErrOther) {
 		p.core.PairOther()
 	}
@@ -247,7 +247,7 @@
 			p.stats.Inc("handover", "links")
 		case hotrestart.Whole:
 			p.wait = 0
-			events.Say(p.log, "handover.known", p.core.PairRole())
+			events.Log(p.log, "handover.known", p.core.PairRole())
 		}
 		if clear {
 			if p.flush(p.present()) == nil { // else what the other wrote is still to be read
@@ -327,7 +327,7 @@
 	}
 	p.marked = true
 	p.stats.Inc("handover", "marked")
-	events.Say(p.log, "handover.unlinked")
+	events.Log(p.log, "handover.unlinked")
 	return f.Close()
 }
 
--- a/internal/transport/scgi/front.go
+++ b/internal/transport/scgi/front.go
@@ -151,7 +151,7 @@
 		return // it broke off: nobody is there to be answered
 	}
 	f.stats.Inc(p.count, Name)
-	slot.Say("scgi.unread", Name, p.status, conn.RemoteAddr(), p.text)
+	slot.LogPeer("scgi.unread", Name, p.status, conn.RemoteAddr(), p.text)
 	f.write(conn, p.status, []byte(p.text+"\n"), "text/plain")
 	linger.Close(conn, r, lingerFor, mostAfter)
 }
--- a/internal/transport/scgi/upstream.go
+++ b/internal/transport/scgi/upstream.go
@@ -95,7 +95,7 @@
 	conn, err := u.dial(ctx, "tcp", u.addr)
 	if err != nil {
 		u.stats.Inc("upstream", "unreachable")
-		events.Say(u.log, "upstream.unreachable", err)
+		events.Log(u.log, "upstream.unreachable", err)
 		if errors.Is(err, syscall.ECONNREFUSED) {
 			return silverpath.NotStarted, nil // proof that nothing ran
 		}
@@ -107,7 +107,7 @@
 	case err != nil:
 		// A connection that breaks proves nothing: the effect may have taken place.
 		u.stats.Inc("upstream", "broken")
-		events.Say(u.log, "upstream.broken", id, err)
+		events.Log(u.log, "upstream.broken", id, err)
 		return silverpath.Failed, nil
 	case a.status/100 != 2:
 		u.stats.Inc("upstream", fmt.Sprintf("status_%d", a.status))
--- a/internal/transport/snmp/agent.go
+++ b/internal/transport/snmp/agent.go
@@ -89,7 +89,7 @@
 		n, peer, err := a.conn.ReadFrom(b)
 		if err != nil {
 			if !errors.Is(err, net.ErrClosed) {
-				events.Say(a.log, "snmp.reading", err)
+				events.Log(a.log, "snmp.reading", err)
 				time.Sleep(100 * time.Millisecond)
 				continue
 			}
