--- a/internal/core/status.go
+++ b/internal/core/status.go
@@ -51,9 +51,9 @@
 	}
 	times := a.NewObject()
 	for _, t := range c.stats.Timings() {
-		p50, n := t.At(50)
-		p99, _ := t.At(99)
-		longest, _ := t.At(100)
+		p50, n := t.Quantile(50)
+		p99, _ := t.Quantile(99)
+		longest, _ := t.Quantile(100)
 		times.Set(t.Name, numbers(&a, "n", float64(n), "p50_us", float64(p50.Microseconds()),
 			"p99_us", float64(p99.Microseconds()), "max_us", float64(longest.Microseconds())))
 	}
--- a/internal/metrics/stats.go
+++ b/internal/metrics/stats.go
@@ -18,14 +18,14 @@
 	timings map[string]*Timing
 }
 
-// name joins the parts of a counter's name. A part may come off the wire, so blanks in it are replaced.
-func name(parts []string) string {
+// counterName joins the parts of a counter's name. A part may come off the wire, so blanks in it are replaced.
+func counterName(parts []string) string {
 	return strings.Join(strings.Fields(strings.Join(parts, ".")), "_")
 }
 
 // Add adds to the counter with the given parts of a name, such as front, class and outcome.
 func (c *Counters) Add(n uint64, parts ...string) {
-	key := name(parts)
+	key := counterName(parts)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.n == nil {
@@ -36,7 +36,7 @@
 
 // Set sets the counter: of what is measured and not counted.
 func (c *Counters) Set(n uint64, parts ...string) {
-	key := name(parts)
+	key := counterName(parts)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.n == nil {
@@ -52,7 +52,7 @@
 func (c *Counters) Get(parts ...string) uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.n[name(parts)]
+	return c.n[counterName(parts)]
 }
 
 // Snapshot returns a copy of all counters.
@@ -64,7 +64,7 @@
 
 // Timing returns the histogram of a name, a new one at first.
 func (c *Counters) Timing(parts ...string) *Timing {
-	key := name(parts)
+	key := counterName(parts)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.timings == nil {
--- a/internal/metrics/timing.go
+++ b/internal/metrics/timing.go
@@ -27,8 +27,8 @@
 	t.mu.Unlock()
 }
 
-// At returns the time at a quantile, from 0 to 100, and the number of times recorded.
-func (t *Timing) At(quantile float64) (time.Duration, int64) {
+// Quantile returns the time at a quantile, from 0 to 100, and the number of times recorded.
+func (t *Timing) Quantile(quantile float64) (time.Duration, int64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return time.Duration(t.h.ValueAtQuantile(quantile)) * time.Microsecond, t.h.TotalCount()
@@ -36,9 +36,9 @@
 
 // Print writes the histogram as a line.
 func (t *Timing) Print(w io.Writer) {
-	p50, n := t.At(50)
-	p99, _ := t.At(99)
-	p999, _ := t.At(99.9)
-	longest, _ := t.At(100)
+	p50, n := t.Quantile(50)
+	p99, _ := t.Quantile(99)
+	p999, _ := t.Quantile(99.9)
+	longest, _ := t.Quantile(100)
 	fmt.Fprintf(w, "timing %s n=%d p50=%v p99=%v p99.9=%v max=%v\n", t.Name, n, p50, p99, p999, longest)
 }
--- a/internal/proxy/rest_test.go
+++ b/internal/proxy/rest_test.go
@@ -99,8 +99,8 @@
 	first.mu.Lock()
 	first.through = make(chan struct{})
 	first.mu.Unlock()
-	go l.End(10 * time.Second) // ends it as soon as it rests
-	<-first.came               // what the server says last is here, and the router has not seen it
+	go l.EndConnections(10 * time.Second) // ends it as soon as it rests
+	<-first.came                          // what the server says last is here, and the router has not seen it
 	done := make(chan ending)
 	go func() { done <- send("two") }()
 	<-first.written
--- a/internal/service/drain.go
+++ b/internal/service/drain.go
@@ -64,7 +64,7 @@
 			quiet, listening = 2, false
 		case <-finish.C: // what comes to rest until the end is ended then
 			for _, l := range s.listeners {
-				ending.Go(func() { l.End(endFor) })
+				ending.Go(func() { l.EndConnections(endFor) })
 			}
 		case <-tick.C:
 			quiet++
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -165,7 +165,7 @@
 				return fmt.Errorf("LB_SOCKET_FD: %w", err)
 			}
 			held := listener.New(msgpackrpc.Name, ln, b.Platform, s.core.IdleAfter, f.Serve, s.log, s.stats)
-			held.Foreign()
+			held.ShareSocket()
 			s.add(held, b.Platform)
 		} else if err := s.listen("listen", msgpackrpc.Name, cfg.Listen, b.Platform, f.Serve); err != nil {
 			return err
@@ -239,7 +239,7 @@
 			return err
 		}
 		var open net.Listener
-		if open, err = listener.Shared(addr); err == nil {
+		if open, err = listener.ListenShared(addr); err == nil {
 			ln = listener.New(name, open, most, s.core.IdleAfter, handle, s.log, s.stats)
 		}
 		return err
@@ -290,7 +290,7 @@
 	debug.SetMemoryLimit(heapLimit(s.cfg) / int64(part))
 	events.Log(s.log, "handover.shared", part)
 	for _, sh := range s.shares {
-		go sh.ln.SetMost(sh.most / part)
+		go sh.ln.SetMaxConnections(sh.most / part)
 	}
 }
 
--- a/internal/testkit/hollow/hollow_test.go
+++ b/internal/testkit/hollow/hollow_test.go
@@ -333,7 +333,7 @@
 	}
 	g.mu.Unlock()
 	g.ln.Close()
-	g.ln.End(time.Second)
+	g.ln.EndConnections(time.Second)
 	<-g.done
 	ended(t)
 }
@@ -373,7 +373,7 @@
 	until(t, "what changed of it", func() bool { return took.Load() == 2 && f.Acts(configstore.DocMap) == 2 })
 	f.Close()
 	g.ln.Close()
-	g.ln.End(time.Second)
+	g.ln.EndConnections(time.Second)
 	<-g.done
 	ended(t)
 }
--- a/internal/testkit/hollow/server.go
+++ b/internal/testkit/hollow/server.go
@@ -84,7 +84,7 @@
 func (s *Server) Close() {
 	s.end()
 	s.front.Close()
-	s.front.End(endWithin)
+	s.front.EndConnections(endWithin)
 	s.run.end()
 	if s.group != nil {
 		s.group.Close()
--- a/internal/transport/admin/mgmt.go
+++ b/internal/transport/admin/mgmt.go
@@ -265,7 +265,7 @@
 // the service for it: on a busy core its goroutine may have had no turn yet.
 func (p *place) stalled() bool {
 	age := time.Since(p.since)
-	return age >= mostGrace || age >= grace && linger.Look(p.conn) != linger.Unread
+	return age >= mostGrace || age >= grace && linger.Peek(p.conn) != linger.Unread
 }
 
 func (s *Server) free(p *place) {
--- a/internal/transport/admin/mgmt_test.go
+++ b/internal/transport/admin/mgmt_test.go
@@ -184,7 +184,7 @@
 		defer far.Close()
 		io.WriteString(near, text)
 		p := &place{conn: far, since: time.Now().Add(-grace)}
-		unread := func() bool { return linger.Look(far) == linger.Unread }
+		unread := func() bool { return linger.Peek(far) == linger.Unread }
 		for deadline := time.Now().Add(10 * time.Second); unread() != (text != ""); time.Sleep(time.Millisecond) {
 			if time.Now().After(deadline) {
 				t.Fatalf("unread is %v of %q", unread(), text)
--- a/internal/transport/bufferpool/buf.go
+++ b/internal/transport/bufferpool/buf.go
@@ -27,8 +27,8 @@
 	buffers.Put(b)
 }
 
-// Reader returns a pooled reader of r.
-func Reader(r io.Reader) *bufio.Reader {
+// GetReader returns a pooled reader of r.
+func GetReader(r io.Reader) *bufio.Reader {
 	b := readers.Get().(*bufio.Reader)
 	b.Reset(r)
 	return b
--- a/internal/transport/interpreter/interp.go
+++ b/internal/transport/interpreter/interp.go
@@ -297,7 +297,7 @@
 
 // read reads notices until the link fails.
 func (l *Link) read(conn net.Conn) error {
-	r := bufferpool.Reader(conn)
+	r := bufferpool.GetReader(conn)
 	defer bufferpool.PutReader(r)
 	var p fastjson.Parser
 	var long []byte
--- a/internal/transport/linger/linger_test.go
+++ b/internal/transport/linger/linger_test.go
@@ -153,7 +153,7 @@
 	if _, err := io.WriteString(client, "more than anybody reads"); err != nil {
 		t.Fatal(err)
 	}
-	for Look(server) != Unread {
+	for Peek(server) != Unread {
 		time.Sleep(time.Millisecond)
 	}
 	closed := make(chan struct{})
--- a/internal/transport/listener/close_test.go
+++ b/internal/transport/listener/close_test.go
@@ -42,9 +42,9 @@
 }
 
 func (e *echo) handle(conn net.Conn, s *Slot) {
-	for b := []byte{0}; ; s.Rest() {
+	for b := []byte{0}; ; s.EndMessage() {
 		<-e.turn
-		if _, err := conn.Read(b); err != nil || !s.Asked() {
+		if _, err := conn.Read(b); err != nil || !s.BeginMessage() {
 			break
 		}
 		e.mu.Lock()
@@ -52,7 +52,7 @@
 		e.mu.Unlock()
 		conn.Write(b)
 	}
-	s.Linger(nil)
+	s.CloseGracefully(nil)
 }
 
 func (e *echo) has() string {
@@ -108,7 +108,7 @@
 		e.Listener.mu.Lock()
 		defer e.Listener.mu.Unlock()
 		for s := range e.slots {
-			if s.asked == asked && !s.taken {
+			if s.messages == asked && !s.handling {
 				only = s
 			}
 		}
@@ -125,8 +125,8 @@
 	read(t, c, "a")
 	s := e.slot(t, 1)
 	io.WriteString(c, "b") // the handler has no turn to read it
-	until(t, "the byte has come", func() bool { return linger.Look(s.conn) == linger.Unread })
-	if s.giveUp(0) {
+	until(t, "the byte has come", func() bool { return linger.Peek(s.conn) == linger.Unread })
+	if s.evict(0) {
 		t.Fatal("a connection with a request that was not read gave way")
 	}
 	e.turn <- struct{}{}
@@ -136,12 +136,12 @@
 // What comes after the sending half has ended is read and not taken, and the client sees an end in good order.
 func TestRequestAfterTheEnd(t *testing.T) {
 	e := newEcho(t, 2)
-	e.linger = time.Minute // for as long as this test takes
+	e.lingerTimeout = time.Minute // for as long as this test takes
 	e.turn <- struct{}{}
 	c := e.dial(t, "a")
 	read(t, c, "a")
 	s := e.slot(t, 1)
-	if !s.giveUp(0) || s.giveUp(0) || !s.Ended() {
+	if !s.evict(0) || s.evict(0) || !s.Evicted() {
 		t.Fatal("one that rests does not give way, or twice")
 	}
 	ended(t, c)
@@ -162,7 +162,7 @@
 	close(e.turn)
 	c := e.dial(t, "a")
 	read(t, c, "a")
-	if !e.slot(t, 1).giveUp(0) {
+	if !e.slot(t, 1).evict(0) {
 		t.Fatal("one that rests does not give way")
 	}
 	until(t, "the connection is gone", func() bool { return e.Connections() == 0 })
@@ -174,9 +174,9 @@
 	e.turn <- struct{}{}
 	c := e.dial(t, "a"+strings.Repeat("x", 20000))
 	s := e.slot(t, 1)
-	until(t, "the rest has come", func() bool { return linger.Look(s.conn) == linger.Unread })
+	until(t, "the rest has come", func() bool { return linger.Peek(s.conn) == linger.Unread })
 	e.Listener.mu.Lock()
-	s.ended = true // as one that is told not to take any more
+	s.closing = true // as one that is told not to take any more
 	e.Listener.mu.Unlock()
 	e.turn <- struct{}{}
 	read(t, c, "a")
@@ -192,7 +192,7 @@
 	until(t, "the first is served", func() bool { return e.Connections() == 1 })
 	e.Listener.mu.Lock()
 	for s := range e.slots {
-		s.open = 1 // so that it does not give way
+		s.inFlight = 1 // so that it does not give way
 	}
 	e.Listener.mu.Unlock()
 	second := e.dial(t, "b") // is accepted, and waits for room
@@ -226,7 +226,7 @@
 		e.Listener.mu.Lock()
 		defer e.Listener.mu.Unlock()
 		for s := range e.slots {
-			if s.taken || s.asked != 1 {
+			if s.handling || s.messages != 1 {
 				return false
 			}
 		}
@@ -244,12 +244,12 @@
 		return nil
 	}
 	answering, open := port(busy), port(never)
-	answering.Open(1)
-	open.Open(1)
+	answering.SetInFlight(1)
+	open.SetInFlight(1)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		e.End(2 * time.Second)
+		e.EndConnections(2 * time.Second)
 	}()
 	ended(t, rests)
 	busy.SetReadDeadline(time.Now().Add(20 * time.Millisecond))
@@ -257,10 +257,10 @@
 		t.Fatalf("one with an open request was ended: %v", err)
 	}
 	busy.SetReadDeadline(time.Now().Add(20 * time.Second))
-	answering.Open(0)
+	answering.SetInFlight(0)
 	ended(t, busy)
 	<-done
-	if open.Ended() {
+	if open.Evicted() {
 		t.Error("one with an open request was ended at last")
 	}
 }
@@ -283,7 +283,7 @@
 // One newcomer has one connection give way, however often room is looked for while that one lingers.
 func TestOneGivesWayForOne(t *testing.T) {
 	e := newEcho(t, 3)
-	e.linger = 300 * time.Millisecond
+	e.lingerTimeout = 300 * time.Millisecond
 	close(e.turn)
 	for range 3 {
 		read(t, e.dial(t, "a"), "a")
@@ -293,7 +293,7 @@
 		defer e.Listener.mu.Unlock()
 		n := 0
 		for s := range e.slots {
-			if s.idle(idleGrace) {
+			if s.idle(minIdleBeforeEviction) {
 				n++
 			}
 		}
@@ -302,7 +302,7 @@
 	c := e.dial(t, "b") // the clients that rest end nothing: one of them lingers for as long as it may
 	for range 20 {
 		select {
-		case e.freed <- struct{}{}: // as of one that was over before
+		case e.released <- struct{}{}: // as of one that was over before
 		default:
 		}
 		time.Sleep(time.Millisecond)
@@ -330,11 +330,11 @@
 		l.mu.Lock()
 		for s := range l.slots {
 			if s.id == 2 {
-				s.open = 1
+				s.inFlight = 1
 			}
 		}
 		l.mu.Unlock()
-		time.Sleep(idleGrace)
+		time.Sleep(minIdleBeforeEviction)
 		f.left = 1000
 		began := time.Now()
 		wakes := p.Dial() // has the listener look again
@@ -354,7 +354,7 @@
 		p.Dial().Close()
 		before := l.stats.Get("accept_failed", "test")
 		time.Sleep(time.Second)
-		if n := l.stats.Get("accept_failed", "test") - before; n > uint64(time.Second/acceptPause)+1 {
+		if n := l.stats.Get("accept_failed", "test") - before; n > uint64(time.Second/acceptRetryDelay)+1 {
 			t.Errorf("failed %d times within 1 s: it spins", n)
 		}
 		time.Sleep(9 * time.Second)
@@ -376,14 +376,14 @@
 func TestCloseMeetsACrowd(t *testing.T) {
 	const most, crowd = 4, 24
 	e := newEcho(t, most)
-	e.last = time.Minute
+	e.acceptBacklogFor = time.Minute
 	for range most {
 		e.dial(t, "")
 	}
 	until(t, "the budget is full", func() bool { return e.Connections() == most })
 	e.Listener.mu.Lock()
 	for s := range e.slots {
-		s.open = 1 // nothing gives way until all of the crowd waits
+		s.inFlight = 1 // nothing gives way until all of the crowd waits
 	}
 	e.Listener.mu.Unlock()
 	e.dial(t, "") // is accepted, and waits for room
@@ -394,7 +394,7 @@
 	asks := e.dial(t, "q")
 	e.Listener.mu.Lock()
 	for s := range e.slots {
-		s.open = 0
+		s.inFlight = 0
 	}
 	e.Listener.mu.Unlock()
 	e.Close()
--- a/internal/transport/listener/front.go
+++ b/internal/transport/listener/front.go
@@ -28,93 +28,93 @@
 
 // Slot is a connection's place in the budget.
 type Slot struct {
-	id    uint64
-	owner *Listener
-	conn  net.Conn
-	leave func()        // asks the peer to leave
-	bye   func()        // tells it what was taken, before the end
-	cut   chan struct{} // closed as the connection gives way to another
+	id      uint64
+	owner   *Listener
+	conn    net.Conn
+	onDrain func()        // asks the peer to leave
+	onEvict func()        // tells it what was taken, before the end
+	evicted chan struct{} // closed as the connection gives way to another
 
 	// Under the owner's lock:
-	open  int       // requests whose answers are not written
-	since time.Time // of what came or went last
-	told  bool      // the peer was asked to leave
-	asked int       // whole messages that came
-	taken bool      // one of them is being seen to
-	ended bool      // its place is given up: nothing that comes is taken any more
-	until time.Time // it lingers; zero: it does not yet
+	inFlight      int       // requests whose answers are not written
+	lastActivity  time.Time // of what came or went last
+	drainNotified bool      // the peer was asked to leave
+	messages      int       // whole messages that came
+	handling      bool      // one of them is being seen to
+	closing       bool      // its place is given up: nothing that comes is taken any more
+	lingerUntil   time.Time // it lingers; zero: it does not yet
 }
 
-// Asked notes that a whole message has come. It reports false where the connection's place was given up before: then the
+// BeginMessage notes that a whole message has come. It reports false where the connection's place was given up before: then the
 // message must not be taken, since what is answered would not arrive.
-func (s *Slot) Asked() bool {
+func (s *Slot) BeginMessage() bool {
 	s.owner.mu.Lock()
 	defer s.owner.mu.Unlock()
-	if s.ended {
+	if s.closing {
 		return false
 	}
-	s.asked++
-	s.taken, s.since = true, time.Now()
+	s.messages++
+	s.handling, s.lastActivity = true, time.Now()
 	return true
 }
 
-// Rest notes that the message that came last is seen to: it is answered, or its request is open.
-func (s *Slot) Rest() {
+// EndMessage notes that the message that came last is seen to: it is answered, or its request is open.
+func (s *Slot) EndMessage() {
 	s.owner.mu.Lock()
 	defer s.owner.mu.Unlock()
-	s.taken, s.since = false, time.Now()
+	s.handling, s.lastActivity = false, time.Now()
 }
 
 // idle reports whether nobody would lose anything by the connection's end, for at least so long. Half a message is no
 // request. It is called under the owner's lock.
-func (s *Slot) idle(least time.Duration) bool {
-	return s.open == 0 && !s.taken && !s.ended && time.Since(s.since) >= least
+func (s *Slot) idle(minIdle time.Duration) bool {
+	return s.inFlight == 0 && !s.handling && !s.closing && time.Since(s.lastActivity) >= minIdle
 }
 
-// giveUp ends an idle connection, unless something has come on it that was not read yet. Who never asked has no answer on its
-// way; of others the sending half ends first, so that their last answers arrive, and they have lingerFor to end theirs.
+// evict ends an idle connection, unless something has come on it that was not read yet. Who never asked has no answer on its
+// way; of others the sending half ends first, so that their last answers arrive, and they have lingerTimeout to end theirs.
 // Whatever is read from now on is not taken: Asked says no.
-func (s *Slot) giveUp(least time.Duration) bool {
+func (s *Slot) evict(minIdle time.Duration) bool {
 	l := s.owner
 	l.mu.Lock()
-	ok := s.idle(least) && linger.Look(s.conn) != linger.Unread
-	s.ended = s.ended || ok
+	ok := s.idle(minIdle) && linger.Peek(s.conn) != linger.Unread
+	s.closing = s.closing || ok
 	if ok {
-		s.until = time.Now().Add(l.linger)
+		s.lingerUntil = time.Now().Add(l.lingerTimeout)
 	}
-	asked, until, bye := s.asked > 0, s.until, s.bye
+	spoke, deadline, onEvict := s.messages > 0, s.lingerUntil, s.onEvict
 	l.mu.Unlock()
 	if !ok {
 		return false
 	}
-	if asked && bye != nil {
-		bye()
+	if spoke && onEvict != nil {
+		onEvict()
 	}
-	if asked && linger.Half(s.conn) {
-		s.conn.SetReadDeadline(until)
+	if spoke && linger.CloseWrite(s.conn) {
+		s.conn.SetReadDeadline(deadline)
 	} else {
 		s.conn.Close()
 	}
 	return true
 }
 
-// Ended reports whether the connection's place was given up.
-func (s *Slot) Ended() bool {
+// Evicted reports whether the connection's place was given up.
+func (s *Slot) Evicted() bool {
 	s.owner.mu.Lock()
 	defer s.owner.mu.Unlock()
-	return s.ended
+	return s.closing
 }
 
-// Linger ends a connection on which all answers are written, so that they arrive; r holds what was read of it already.
-func (s *Slot) Linger(r io.Reader) {
+// CloseGracefully ends a connection on which all answers are written, so that they arrive; r holds what was read of it already.
+func (s *Slot) CloseGracefully(r io.Reader) {
 	s.owner.mu.Lock()
-	s.ended = true
-	if s.until.IsZero() {
-		s.until = time.Now().Add(s.owner.linger)
+	s.closing = true
+	if s.lingerUntil.IsZero() {
+		s.lingerUntil = time.Now().Add(s.owner.lingerTimeout)
 	}
-	left := time.Until(s.until)
+	remaining := time.Until(s.lingerUntil)
 	s.owner.mu.Unlock()
-	linger.Close(s.conn, r, left, mostAfter)
+	linger.Close(s.conn, r, remaining, maxLingerBytes)
 }
 
 // LogPeer logs what was wrong with a peer. Whoever floods the service floods no log: of many lines a second the
@@ -123,21 +123,21 @@
 	l := s.owner
 	l.mu.Lock()
 	now := time.Now()
-	if now.Sub(l.logSince) >= time.Second {
-		l.logSince, l.logged = now, 0
+	if now.Sub(l.logWindowStart) >= time.Second {
+		l.logWindowStart, l.linesInWindow = now, 0
 	}
-	l.logged++
-	n := l.logged
+	l.linesInWindow++
+	n := l.linesInWindow
 	l.mu.Unlock()
-	if n <= mostLines {
+	if n <= maxLinesPerWindow {
 		events.Log(l.log, event, values...)
 	} else {
 		l.stats.Inc("unlogged", l.name)
 	}
 }
 
-// Work asks whether the connection may carry work. Without a reserve every connection may.
-func (s *Slot) Work() bool {
+// AdmitsWork asks whether the connection may carry work. Without a reserve every connection may.
+func (s *Slot) AdmitsWork() bool {
 	l := s.owner
 	if l.reserve == nil {
 		return true
@@ -147,127 +147,127 @@
 	return l.reserve.Work(s.id)
 }
 
-// Cheap is called before the answer to a cheap call. It holds up a peer that asks more than its part, and nobody else.
-func (s *Slot) Cheap() {
+// PaceCheapCall is called before the answer to a cheap call. It holds up a peer that asks more than its part, and nobody else.
+func (s *Slot) PaceCheapCall() {
 	l := s.owner
 	if l.reserve == nil {
 		return
 	}
 	l.mu.Lock()
-	wait := l.reserve.Cheap(time.Since(l.began), s.id)
+	wait := l.reserve.Cheap(time.Since(l.startedAt), s.id)
 	l.mu.Unlock()
 	if wait > 0 {
 		l.stats.Inc("paced", l.name)
-		hold := time.NewTimer(wait)
-		defer hold.Stop()
+		timer := time.NewTimer(wait)
+		defer timer.Stop()
 		select {
-		case <-hold.C:
-		case <-s.cut: // its place is needed now, not when its turn comes
+		case <-timer.C:
+		case <-s.evicted: // its place is needed now, not when its turn comes
 		}
 	}
 }
 
-// OnLeave sets how the peer is asked to leave; where nothing is set an idle connection is just closed.
-func (s *Slot) OnLeave(ask func()) {
+// OnDrain sets how the peer is asked to leave; where nothing is set an idle connection is just closed.
+func (s *Slot) OnDrain(notice func()) {
 	s.owner.mu.Lock()
-	s.leave = ask
+	s.onDrain = notice
 	draining := s.owner.draining
 	s.owner.mu.Unlock()
 	if draining {
-		ask()
+		notice()
 	}
 }
 
-// OnEnd sets what is said last where the connection's place is given up. It must not wait for a slow peer.
-func (s *Slot) OnEnd(bye func()) {
+// OnEvict sets what is said last where the connection's place is given up. It must not wait for a slow peer.
+func (s *Slot) OnEvict(notice func()) {
 	s.owner.mu.Lock()
 	defer s.owner.mu.Unlock()
-	s.bye = bye
+	s.onEvict = notice
 }
 
-// Open notes how many requests are open on the connection.
-func (s *Slot) Open(n int) {
+// SetInFlight notes how many requests are open on the connection.
+func (s *Slot) SetInFlight(n int) {
 	s.owner.mu.Lock()
 	defer s.owner.mu.Unlock()
-	s.open, s.since = n, time.Now()
+	s.inFlight, s.lastActivity = n, time.Now()
 }
 
 // Listener accepts the connections of one front.
 type Listener struct {
-	name   string
-	ln     net.Listener
-	most   int
-	handle Handler
-	idle   func() time.Duration
-	log    *log.Logger
-	stats  *metrics.Counters
-
-	began   time.Time
-	linger  time.Duration      // lingerFor, but in tests
-	last    time.Duration      // lastAccepts, but in tests
-	reserve *admission.Reserve // nil: none; under the lock
-
-	mu       sync.Mutex
-	seq      uint64
-	slots    map[*Slot]bool
-	byID     map[uint64]*Slot // with a reserve
-	freed    chan struct{}
-	draining bool
-	closed   bool
-	closedAt time.Time
-	gaveWay  int  // connections that asked too much; the accepting goroutine's own
-	accepts  bool // Serve runs
-	serving  sync.WaitGroup
-	logSince time.Time // of the second in which logged lines are counted
-	logged   int
-	said     time.Time // that accepting fails; the accepting goroutine's own
+	name        string
+	ln          net.Listener
+	maxConns    int
+	handle      Handler
+	idleTimeout func() time.Duration
+	log         *log.Logger
+	stats       *metrics.Counters
+
+	startedAt        time.Time
+	lingerTimeout    time.Duration      // lingerTimeout, but in tests
+	acceptBacklogFor time.Duration      // acceptBacklogTimeout, but in tests
+	reserve          *admission.Reserve // nil: none; under the lock
+
+	mu                  sync.Mutex
+	lastID              uint64
+	slots               map[*Slot]bool
+	slotByID            map[uint64]*Slot // with a reserve
+	released            chan struct{}
+	draining            bool
+	closed              bool
+	closedAt            time.Time
+	paceEvictions       int  // connections that asked too much; the accepting goroutine's own
+	serving             bool // Serve runs
+	handlers            sync.WaitGroup
+	logWindowStart      time.Time // of the second in which logged lines are counted
+	linesInWindow       int
+	acceptErrorLoggedAt time.Time // that accepting fails; the accepting goroutine's own
 	// foreign: another process accepts on the same socket, so that who waits there is not this one's to take in at the end.
-	foreign bool
+	shared bool
 }
 
-// WholeWithin is how long a peer has for its first whole message from its connecting, and for each further one
+// MessageTimeout is how long a peer has for its first whole message from its connecting, and for each further one
 // from its first byte. Whoever needs longer gets no answer but a close.
-const WholeWithin = 2 * time.Second
+const MessageTimeout = 2 * time.Second
 
-// InARow is how many messages a connection has taken before the others have their turn. A peer that always has more to
+// MessagesPerTurn is how many messages a connection has taken before the others have their turn. A peer that always has more to
 // say would otherwise keep the one core for the 10 ms that the runtime leaves a goroutine: with 40 of them operators
 // waited for half a second.
-const InARow = 2
+const MessagesPerTurn = 2
 
 const (
-	sweepEvery = 250 * time.Millisecond
-	mostLines  = 1 // logged in a second about peers
-	// evictPause follows every evictBurst connections that gave way since they ask too much: who does so comes back at
+	idleCheckInterval = 250 * time.Millisecond
+	maxLinesPerWindow = 1 // logged in a second about peers
+	// evictPause follows every evictionsPerPause connections that gave way since they ask too much: who does so comes back at
 	// once, and its coming and going must not take the process's time.
-	evictPause = time.Millisecond
-	evictBurst = 8
-	// idleGrace is the least time that a connection over the budget must have idled: a request that crosses
+	evictPause        = time.Millisecond
+	evictionsPerPause = 8
+	// minIdleBeforeEviction is the least time that a connection over the budget must have idled: a request that crosses
 	// its close within 50 ms is sent again, one that was under way before would be lost.
-	idleGrace = 100 * time.Millisecond
-	// lingerFor and mostAfter bound what is read of a connection after its last answer.
-	lingerFor = 50 * time.Millisecond
-	mostAfter = 64 << 10 // bytes
-	// lastAccepts is for how long after its closing a listener still takes in who waits, however many come.
-	lastAccepts = time.Second
-	acceptPause = 10 * time.Millisecond // after a failure to accept
-	sayEvery    = time.Second           // of lines that accepting fails
-	endLook     = 2 * time.Millisecond  // between two looks at connections that are to end
+	minIdleBeforeEviction = 100 * time.Millisecond
+	// lingerTimeout and maxLingerBytes bound what is read of a connection after its last answer.
+	lingerTimeout  = 50 * time.Millisecond
+	maxLingerBytes = 64 << 10 // bytes
+	// acceptBacklogTimeout is for how long after its closing a listener still takes in who waits, however many come.
+	acceptBacklogTimeout = time.Second
+	acceptRetryDelay     = 10 * time.Millisecond // after a failure to accept
+	acceptErrorInterval  = time.Second           // of lines that accepting fails
+	endPollInterval      = 2 * time.Millisecond  // between two looks at connections that are to end
 )
 
 // Listen opens a front's address for at most the given number of connections. The idle function tells how
 // long a connection may carry nothing; 0 is without end.
-func Listen(name, addr string, most int, idle func() time.Duration, handle Handler, l *log.Logger, s *metrics.Counters) (*Listener, error) {
+func Listen(name, addr string, maxConns int, idleTimeout func() time.Duration, handle Handler, l *log.Logger, s *metrics.Counters) (*Listener, error) {
 	// Who says nothing is closed by time limits of our own, so that the kernel's probes are not needed; setting them up
 	// would cost each connection three calls.
 	ln, err := (&net.ListenConfig{KeepAlive: -1}).Listen(context.Background(), "tcp", addr)
 	if err != nil {
 		return nil, err
 	}
-	return New(name, ln, most, idle, handle, l, s), nil
+	return New(name, ln, maxConns, idleTimeout, handle, l, s), nil
 }
 
-// Shared opens an address that another process of the service may have open too.
-func Shared(addr string) (net.Listener, error) {
+// ListenShared opens an address that another process of the service may have open too.
+func ListenShared(addr string) (net.Listener, error) {
 	return (&net.ListenConfig{KeepAlive: -1, Control: ReusePort}).Listen(context.Background(), "tcp", addr)
 }
 
@@ -299,15 +299,17 @@
 }
 
 // New serves an open listener.
-func New(name string, ln net.Listener, most int, idle func() time.Duration, handle Handler, l *log.Logger, s *metrics.Counters) *Listener {
+func New(name string, ln net.Listener, maxConns int, idleTimeout func() time.Duration, handle Handler, l *log.Logger, s *metrics.Counters) *Listener {
 	return &Listener{
-		name: name, ln: ln, most: max(1, most), handle: handle, idle: idle, log: l, stats: s,
-		began: time.Now(), linger: lingerFor, last: lastAccepts, slots: map[*Slot]bool{}, byID: map[uint64]*Slot{}, freed: make(chan struct{}, 1),
+		name: name, ln: ln, maxConns: max(1, maxConns), handle: handle, idleTimeout: idleTimeout, log: l, stats: s,
+		startedAt: time.Now(), lingerTimeout: lingerTimeout, acceptBacklogFor: acceptBacklogTimeout, slots: map[*Slot]bool{}, slotByID: map[uint64]*Slot{}, released: make(chan struct{}, 1),
 	}
 }
 
 // Reserve keeps a part of the connections for what is cheap. It is called before Serve.
-func (l *Listener) Reserve(c admission.ReserveConfig) { l.reserve = admission.NewReserve(c, l.most) }
+func (l *Listener) Reserve(c admission.ReserveConfig) {
+	l.reserve = admission.NewReserve(c, l.maxConns)
+}
 
 // Reserved is the state of the reserve, and whether there is one.
 func (l *Listener) Reserved() (admission.ReserveState, bool) {
@@ -329,10 +331,10 @@
 func (l *Listener) Serve() {
 	done := make(chan struct{})
 	defer close(done)
-	go l.sweep(done)
-	waits := l.stats.Timing("room", l.name)
+	go l.notifyIdle(done)
+	admission := l.stats.Timing("room", l.name)
 	l.mu.Lock()
-	l.accepts = true
+	l.serving = true
 	l.mu.Unlock()
 	for {
 		conn, err := l.accept()
@@ -341,34 +343,34 @@
 				return
 			}
 			l.stats.Inc("accept_failed", l.name)
-			if now := time.Now(); now.Sub(l.said) >= sayEvery {
-				l.said = now
+			if now := time.Now(); now.Sub(l.acceptErrorLoggedAt) >= acceptErrorInterval {
+				l.acceptErrorLoggedAt = now
 				events.Log(l.log, "front.accepting", l.name, err)
 			}
 			if errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) {
-				l.makeRoom() // no descriptor is left for who waits: the one that is missed least gives way
+				l.evictOne() // no descriptor is left for who waits: the one that is missed least gives way
 			}
-			time.Sleep(acceptPause)
+			time.Sleep(acceptRetryDelay)
 			continue
 		}
 		l.stats.Inc("connections", l.name)
 		accepted := time.Now()
-		l.room() // only now, so that no idle connection is closed for one that may never come
-		waits.Record(time.Since(accepted))
-		s := &Slot{owner: l, conn: conn, since: time.Now(), cut: make(chan struct{})}
+		l.awaitCapacity() // only now, so that no idle connection is closed for one that may never come
+		admission.Record(time.Since(accepted))
+		s := &Slot{owner: l, conn: conn, lastActivity: time.Now(), evicted: make(chan struct{})}
 		l.mu.Lock()
-		l.seq++
-		s.id = l.seq
+		l.lastID++
+		s.id = l.lastID
 		l.slots[s] = true
 		if l.reserve != nil {
-			l.reserve.Opened(time.Since(l.began), s.id)
-			l.byID[s.id] = s
+			l.reserve.Opened(time.Since(l.startedAt), s.id)
+			l.slotByID[s.id] = s
 		}
-		l.serving.Add(1)
+		l.handlers.Add(1)
 		l.mu.Unlock()
 		go func() {
-			defer l.serving.Done()
-			defer l.free(s)
+			defer l.handlers.Done()
+			defer l.release(s)
 			l.handle(conn, s)
 		}()
 	}
@@ -382,24 +384,24 @@
 		return conn, err
 	}
 	l.mu.Lock()
-	late := time.Since(l.closedAt) > l.last
+	expired := time.Since(l.closedAt) > l.acceptBacklogFor
 	l.mu.Unlock()
-	last := l.ln.(deadliner)
-	if late || !waits(l.ln) {
+	socket := l.ln.(deadlineSetter)
+	if expired || !hasPending(l.ln) {
 		l.ln.Close()
 		return nil, net.ErrClosed
 	}
-	last.SetDeadline(time.Now().Add(l.last))
+	socket.SetDeadline(time.Now().Add(l.acceptBacklogFor))
 	conn, err = l.ln.Accept()
-	last.SetDeadline(time.Now().Add(-time.Second))
+	socket.SetDeadline(time.Now().Add(-time.Second))
 	if err == nil {
 		l.stats.Inc("accepted_last", l.name)
 	}
 	return conn, err
 }
 
-// waits reports whether somebody waits to be accepted.
-func waits(ln net.Listener) bool {
+// hasPending reports whether somebody waits to be accepted.
+func hasPending(ln net.Listener) bool {
 	s, ok := ln.(syscall.Conn)
 	if !ok {
 		return false
@@ -413,132 +415,132 @@
 	return n > 0
 }
 
-type deadliner interface{ SetDeadline(t time.Time) error }
+type deadlineSetter interface{ SetDeadline(t time.Time) error }
 
-func (l *Listener) free(s *Slot) {
+func (l *Listener) release(s *Slot) {
 	s.conn.Close()
 	l.mu.Lock()
 	delete(l.slots, s)
 	if l.reserve != nil {
 		l.reserve.Closed(s.id)
-		delete(l.byID, s.id)
+		delete(l.slotByID, s.id)
 	}
 	l.mu.Unlock()
 	select {
-	case l.freed <- struct{}{}:
+	case l.released <- struct{}{}:
 	default:
 	}
 }
 
-// before reports whether an idle connection is closed before another one: who has asked nothing goes first, then
+// evictBefore reports whether an idle connection is closed before another one: who has asked nothing goes first, then
 // who has asked once, as clients do that never come back, then who has idled longest.
-func (s *Slot) before(o *Slot) bool {
-	if a, b := min(s.asked, 2), min(o.asked, 2); a != b {
+func (s *Slot) evictBefore(other *Slot) bool {
+	if a, b := min(s.messages, 2), min(other.messages, 2); a != b {
 		return a < b
 	}
-	return s.since.Before(o.since)
+	return s.lastActivity.Before(other.lastActivity)
 }
 
-// room waits until the budget has room, closing the idle connection that is missed least where there is one. Who waits as the
+// awaitCapacity waits until the budget has room, closing the idle connection that is missed least where there is one. Who waits as the
 // listener closes is taken in within the budget too, a crowd by and by, and beyond it only where no connection can give way
 // or the last second is over: nobody would come back to take that one in.
-func (l *Listener) room() {
+func (l *Listener) awaitCapacity() {
 	for {
 		l.mu.Lock()
-		if len(l.slots) < l.most || l.closed && (time.Since(l.closedAt) > l.last || !l.mayGiveWay()) {
+		if len(l.slots) < l.maxConns || l.closed && (time.Since(l.closedAt) > l.acceptBacklogFor || !l.hasEvictable()) {
 			l.mu.Unlock()
 			return
 		}
 		if l.reserve != nil {
-			if id, some := l.reserve.Victim(time.Since(l.began)); some && l.byID[id] != nil {
-				victim := l.byID[id]
-				delete(l.byID, id) // chosen once
+			if id, found := l.reserve.Victim(time.Since(l.startedAt)); found && l.slotByID[id] != nil {
+				victim := l.slotByID[id]
+				delete(l.slotByID, id) // chosen once
 				l.mu.Unlock()
 				l.stats.Inc("evicted", l.name)
 				victim.conn.Close()
-				close(victim.cut)
-				if l.gaveWay++; l.gaveWay%evictBurst == 0 {
+				close(victim.evicted)
+				if l.paceEvictions++; l.paceEvictions%evictionsPerPause == 0 {
 					time.Sleep(evictPause)
 				}
 				select {
-				case <-l.freed:
-				case <-time.After(idleGrace / 2):
+				case <-l.released:
+				case <-time.After(minIdleBeforeEviction / 2):
 				}
 				continue
 			}
 		}
-		wants := len(l.slots)-l.lingering() >= l.most // else there is room as soon as one that gave way is over
+		atLimit := len(l.slots)-l.closingCount() >= l.maxConns // else there is room as soon as one that gave way is over
 		l.mu.Unlock()
-		if wants {
-			l.makeRoom()
+		if atLimit {
+			l.evictOne()
 		}
 		select {
-		case <-l.freed:
-		case <-time.After(idleGrace / 2):
+		case <-l.released:
+		case <-time.After(minIdleBeforeEviction / 2):
 		}
 	}
 }
 
-// lingering is how many connections have given way already. It is called under the lock.
-func (l *Listener) lingering() (n int) {
+// closingCount is how many connections have given way already. It is called under the lock.
+func (l *Listener) closingCount() (n int) {
 	for s := range l.slots {
-		if s.ended {
+		if s.closing {
 			n++
 		}
 	}
 	return n
 }
 
-// mayGiveWay reports whether any connection is ending, or will be idle unless more comes on it. It is called under the lock.
-func (l *Listener) mayGiveWay() bool {
+// hasEvictable reports whether any connection is ending, or will be idle unless more comes on it. It is called under the lock.
+func (l *Listener) hasEvictable() bool {
 	for s := range l.slots {
-		if s.ended || s.open == 0 && !s.taken {
+		if s.closing || s.inFlight == 0 && !s.handling {
 			return true
 		}
 	}
 	return false
 }
 
-// makeRoom has the idle connection that is missed least give way, where there is one.
-func (l *Listener) makeRoom() {
+// evictOne has the idle connection that is missed least give way, where there is one.
+func (l *Listener) evictOne() {
 	l.mu.Lock()
 	var idle []*Slot
 	for s := range l.slots {
-		if s.idle(idleGrace) {
+		if s.idle(minIdleBeforeEviction) {
 			idle = append(idle, s)
 		}
 	}
 	l.mu.Unlock()
-	l.giveWay(idle, 1)
+	l.evictIdle(idle, 1)
 }
 
-// giveWay has so many of the connections give way, those that are missed least first. One on which something has come stays.
-func (l *Listener) giveWay(idle []*Slot, most int) {
+// evictIdle has so many of the connections give way, those that are missed least first. One on which something has come stays.
+func (l *Listener) evictIdle(idle []*Slot, count int) {
 	l.mu.Lock() // what they are compared by changes under it
 	slices.SortFunc(idle, func(a, b *Slot) int {
 		switch {
-		case a.before(b):
+		case a.evictBefore(b):
 			return -1
-		case b.before(a):
+		case b.evictBefore(a):
 			return 1
 		}
 		return 0
 	})
 	l.mu.Unlock()
 	for _, s := range idle {
-		if most <= 0 {
+		if count <= 0 {
 			return
 		}
-		if s.giveUp(idleGrace) {
-			most--
+		if s.evict(minIdleBeforeEviction) {
+			count--
 			l.stats.Inc("evicted", l.name)
 		}
 	}
 }
 
-// sweep asks connections that idle for too long to leave.
-func (l *Listener) sweep(done <-chan struct{}) {
-	tick := time.NewTicker(sweepEvery)
+// notifyIdle asks connections that idle for too long to leave.
+func (l *Listener) notifyIdle(done <-chan struct{}) {
+	tick := time.NewTicker(idleCheckInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -546,43 +548,43 @@
 			return
 		case <-tick.C:
 		}
-		after := l.idle()
-		if after <= 0 {
+		timeout := l.idleTimeout()
+		if timeout <= 0 {
 			continue
 		}
-		l.ask(func(s *Slot) bool { return s.idle(after) })
+		l.notifyDrain(func(s *Slot) bool { return s.idle(timeout) })
 	}
 }
 
-// ask asks the peers of some connections to leave, each once.
-func (l *Listener) ask(which func(*Slot) bool) {
+// notifyDrain asks the peers of some connections to leave, each once.
+func (l *Listener) notifyDrain(selected func(*Slot) bool) {
 	l.mu.Lock()
-	var list []func()
+	var notices []func()
 	for s := range l.slots {
-		if !s.told && !s.ended && s.leave != nil && which(s) {
-			s.told = true
-			list = append(list, s.leave)
+		if !s.drainNotified && !s.closing && s.onDrain != nil && selected(s) {
+			s.drainNotified = true
+			notices = append(notices, s.onDrain)
 		}
 	}
 	l.mu.Unlock()
-	for _, leave := range list {
-		go leave() // a slow peer must not hold up the others
+	for _, notice := range notices {
+		go notice() // a slow peer must not hold up the others
 	}
 }
 
-// SetMost changes the budget. Idle connections over it give way at once, the one that is missed least first.
-func (l *Listener) SetMost(most int) {
+// SetMaxConnections changes the budget. Idle connections over it give way at once, the one that is missed least first.
+func (l *Listener) SetMaxConnections(maxConns int) {
 	l.mu.Lock()
-	l.most = max(1, most)
-	over := len(l.slots) - l.lingering() - l.most
+	l.maxConns = max(1, maxConns)
+	excess := len(l.slots) - l.closingCount() - l.maxConns
 	var idle []*Slot
 	for s := range l.slots {
-		if s.idle(idleGrace) {
+		if s.idle(minIdleBeforeEviction) {
 			idle = append(idle, s)
 		}
 	}
 	l.mu.Unlock()
-	l.giveWay(idle, over)
+	l.evictIdle(idle, excess)
 }
 
 // Drain asks every peer, and those still to come, to leave.
@@ -590,54 +592,54 @@
 	l.mu.Lock()
 	l.draining = true
 	l.mu.Unlock()
-	l.ask(func(*Slot) bool { return true })
+	l.notifyDrain(func(*Slot) bool { return true })
 }
 
-// Foreign tells that another process accepts on the same socket. It is called before Serve.
-func (l *Listener) Foreign() { l.foreign = true }
+// ShareSocket tells that another process accepts on the same socket. It is called before Serve.
+func (l *Listener) ShareSocket() { l.shared = true }
 
 // Close accepts no more connections than those that wait already; those there are go on. The socket closes at once where
 // nobody serves it, or another process takes who waits, and soon after otherwise.
 func (l *Listener) Close() {
 	l.mu.Lock()
-	was, accepts := l.closed, l.accepts
+	wasClosed, serving := l.closed, l.serving
 	l.closed = true
-	if !was {
+	if !wasClosed {
 		l.closedAt = time.Now()
 	}
 	l.mu.Unlock()
-	if last, can := l.ln.(deadliner); can && accepts && !l.foreign {
-		if !was {
-			last.SetDeadline(time.Now().Add(-time.Second))
+	if socket, ok := l.ln.(deadlineSetter); ok && serving && !l.shared {
+		if !wasClosed {
+			socket.SetDeadline(time.Now().Add(-time.Second))
 		}
 		return
 	}
 	l.ln.Close()
 }
 
-// End ends the connections there are, within the time given: each as soon as all that came on it is read and answered, and
+// EndConnections ends the connections there are, within the time given: each as soon as all that came on it is read and answered, and
 // at last what is left. What is read from then on is not taken. It returns once their goroutines have ended, or the time is
 // over.
-func (l *Listener) End(within time.Duration) {
-	until := time.Now().Add(within)
+func (l *Listener) EndConnections(timeout time.Duration) {
+	deadline := time.Now().Add(timeout)
 	for {
-		left := time.Until(until)
+		left := time.Until(deadline)
 		l.mu.Lock()
 		n := len(l.slots)
-		list := make([]*Slot, 0, n)
+		open := make([]*Slot, 0, n)
 		for s := range l.slots {
-			if !s.ended {
-				list = append(list, s)
+			if !s.closing {
+				open = append(open, s)
 			}
 		}
 		l.mu.Unlock()
 		if n == 0 || left <= 0 {
 			return
 		}
-		for _, s := range list {
-			s.giveUp(0)
+		for _, s := range open {
+			s.evict(0)
 		}
-		time.Sleep(min(left, endLook))
+		time.Sleep(min(left, endPollInterval))
 	}
 }
 
--- a/internal/transport/listener/front_test.go
+++ b/internal/transport/listener/front_test.go
@@ -23,16 +23,16 @@
 		var mu sync.Mutex
 		asked := 0
 		handle := func(conn net.Conn, s *Slot) {
-			s.OnLeave(func() {
+			s.OnDrain(func() {
 				mu.Lock()
 				defer mu.Unlock()
 				asked++
 			})
-			for b := []byte{0}; ; s.Rest() {
-				if _, err := conn.Read(b); err != nil || !s.Asked() {
+			for b := []byte{0}; ; s.EndMessage() {
+				if _, err := conn.Read(b); err != nil || !s.BeginMessage() {
 					return
 				}
-				s.Open(int(b[0]))
+				s.SetInFlight(int(b[0]))
 			}
 		}
 		l := New("test", p, 2, func() time.Duration { return idle }, handle, log.New(io.Discard, "", 0), &metrics.Counters{})
@@ -126,7 +126,7 @@
 			}
 			time.Sleep(time.Second)
 		}
-		if n := strings.Count(out.String(), "\n"); n != 10*mostLines || l.stats.Get("unlogged", "test") != 1000-10*mostLines {
+		if n := strings.Count(out.String(), "\n"); n != 10*maxLinesPerWindow || l.stats.Get("unlogged", "test") != 1000-10*maxLinesPerWindow {
 			t.Fatalf("%d lines", n)
 		}
 	})
@@ -170,16 +170,16 @@
 	synctest.Test(t, func(t *testing.T) {
 		p := pipes.Listen()
 		handle := func(conn net.Conn, s *Slot) {
-			for b := []byte{0}; ; s.Rest() {
-				if _, err := conn.Read(b); err != nil || !s.Asked() {
+			for b := []byte{0}; ; s.EndMessage() {
+				if _, err := conn.Read(b); err != nil || !s.BeginMessage() {
 					return
 				}
 				if b[0] == 1 {
-					s.Cheap()
-				} else if !s.Work() {
+					s.PaceCheapCall()
+				} else if !s.AdmitsWork() {
 					b[0] = 0
 				} else {
-					s.Open(1)
+					s.SetInFlight(1)
 				}
 				if _, err := conn.Write(b); err != nil {
 					return
@@ -278,7 +278,7 @@
 // A smaller budget holds at once for those that idle, the least missed first; what has a request open stays.
 func TestSetMost(t *testing.T) {
 	play(t, 0, func(l *Listener, dial func() net.Conn, _ func() int) {
-		l.SetMost(4)
+		l.SetMaxConnections(4)
 		var all []net.Conn
 		for range 4 {
 			all = append(all, dial())
@@ -288,15 +288,15 @@
 		}
 		all[3].Write([]byte{0}) // has asked once
 		synctest.Wait()
-		time.Sleep(2 * idleGrace)
-		l.SetMost(3)
+		time.Sleep(2 * minIdleBeforeEviction)
+		l.SetMaxConnections(3)
 		synctest.Wait()
 		for i, want := range []bool{false, false, true, false} {
 			if closed(t, all[i]) != want {
 				t.Errorf("connection %d: closed is %v", i, !want)
 			}
 		}
-		l.SetMost(1)
+		l.SetMaxConnections(1)
 		synctest.Wait()
 		if n := l.Connections(); n != 2 || !closed(t, all[3]) {
 			t.Errorf("%d connections, want the two with requests", n)
--- a/internal/transport/msgpackrpc/close_test.go
+++ b/internal/transport/msgpackrpc/close_test.go
@@ -98,7 +98,7 @@
 			conn := p.Dial()
 			go conn.Write(append(ask(1), half...)) // and no more
 			id := <-w.runs
-			time.Sleep(2 * listener.WholeWithin)
+			time.Sleep(2 * listener.MessageTimeout)
 			if n := counters.Get("too_slow", Name); n != 1 {
 				t.Errorf("%d too slow", n)
 			}
@@ -203,7 +203,7 @@
 		if a, err := ReadReply(r); err != nil || !a.Good {
 			t.Fatalf("%+v, %v", a, err)
 		}
-		l.End(100 * time.Millisecond) // ends what rests
+		l.EndConnections(100 * time.Millisecond) // ends what rests
 		go conn.Write(whole[20:])
 		synctest.Wait()
 		select {
--- a/internal/transport/msgpackrpc/front.go
+++ b/internal/transport/msgpackrpc/front.go
@@ -82,12 +82,12 @@
 // Serve is the life of one connection.
 func (f *Front) Serve(conn net.Conn, slot *listener.Slot) {
 	c := &client{Front: f, conn: conn, slot: slot, open: map[uint64]string{}}
-	slot.OnLeave(c.lastCall)
-	r := bufferpool.Reader(conn)
+	slot.OnDrain(c.lastCall)
+	r := bufferpool.GetReader(conn)
 	defer bufferpool.PutReader(r)
 	_, cell := f.core.Boot()
 	if cell {
-		slot.OnEnd(c.lastTaken)
+		slot.OnEvict(c.lastTaken)
 	}
 	d := decoder{r: r, status: f.core.TellsStatus(), cell: cell, shut: func(class string) (shut bool) {
 		c.refusal, shut = f.core.Shut(Name, class)
@@ -95,32 +95,32 @@
 	}}
 	var requests sync.WaitGroup
 	var err error
-	conn.SetReadDeadline(time.Now().Add(listener.WholeWithin)) // who connects and says nothing keeps no place
+	conn.SetReadDeadline(time.Now().Add(listener.MessageTimeout)) // who connects and says nothing keeps no place
 	for n := 1; err == nil; n++ {
-		if n%listener.InARow == 0 {
+		if n%listener.MessagesPerTurn == 0 {
 			runtime.Gosched()
 		}
 		if _, err = r.Peek(1); err != nil {
 			break
 		}
-		conn.SetReadDeadline(time.Now().Add(listener.WholeWithin))
+		conn.SetReadDeadline(time.Now().Add(listener.MessageTimeout))
 		var m message
 		if m, err = d.message(); err != nil {
 			break
 		}
 		conn.SetReadDeadline(time.Time{})
-		if !slot.Asked() {
+		if !slot.BeginMessage() {
 			break // its place was given up as this came: nothing of it ran
 		}
 		err = c.take(m, &requests)
 		if r.Buffered() == 0 {
-			slot.Rest()
+			slot.EndMessage()
 		} // else more has been read already, which nobody can see on the connection
 	}
 	// What comes to a half is no request. It costs nobody an answer: what was asked before it is answered as long as the
 	// other side may read.
 	switch {
-	case err == nil || err == io.EOF || errors.Is(err, os.ErrDeadlineExceeded) && slot.Ended():
+	case err == nil || err == io.EOF || errors.Is(err, os.ErrDeadlineExceeded) && slot.Evicted():
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		f.stats.Inc("too_slow", Name)
 	case errors.Is(err, errMalformed) || errors.Is(err, io.ErrUnexpectedEOF):
@@ -130,7 +130,7 @@
 		c.fail()
 	}
 	requests.Wait()
-	slot.Linger(r)
+	slot.CloseGracefully(r)
 }
 
 // take does what one message asks.
@@ -142,7 +142,7 @@
 			c.mu.Lock()
 			id := c.open[m.id]
 			delete(c.open, m.id)
-			c.slot.Open(len(c.open) + c.unsent)
+			c.slot.SetInFlight(len(c.open) + c.unsent)
 			c.mu.Unlock()
 			if id != "" {
 				c.core.Gone(id)
@@ -151,7 +151,7 @@
 		return nil
 	case m.method == probe:
 		c.stats.Inc("probes", Name)
-		c.slot.Cheap()
+		c.slot.PaceCheapCall()
 		c.probed(m)
 		return nil
 	}
@@ -160,7 +160,7 @@
 	c.mu.Unlock()
 	if m.status {
 		c.stats.Inc("status", Name)
-		c.slot.Cheap()
+		c.slot.PaceCheapCall()
 		c.reply(m.id, core.Answer{Outcome: core.Served, Body: c.core.Status()})
 		return nil
 	}
@@ -168,7 +168,7 @@
 		c.reply(m.id, c.refusal)
 		return nil
 	}
-	if k, _ := c.core.Class(m.method); !c.slot.Work() && k.Effect != silverpath.Idempotent {
+	if k, _ := c.core.Class(m.method); !c.slot.AdmitsWork() && k.Effect != silverpath.Idempotent {
 		// What is left of the connections is for what is cheap, and a sheet may be: the repeat of one that has run.
 		c.stats.Inc("turned_away", Name, "reserve")
 		c.reply(m.id, core.Answer{Outcome: core.Refused, Wait: c.core.Advice()})
@@ -187,7 +187,7 @@
 	many := len(c.open) >= mostOpen
 	if problem == "" && !many {
 		c.open[m.id] = r.ID
-		c.slot.Open(len(c.open) + c.unsent)
+		c.slot.SetInFlight(len(c.open) + c.unsent)
 	}
 	c.mu.Unlock()
 	switch {
@@ -234,7 +234,7 @@
 	c.mu.Lock()
 	ids := c.open
 	c.open, c.broken = map[uint64]string{}, true
-	c.slot.Open(0)
+	c.slot.SetInFlight(0)
 	c.mu.Unlock()
 	for _, id := range ids {
 		c.core.Gone(id)
@@ -321,7 +321,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.unsent--
-	c.slot.Open(len(c.open) + c.unsent)
+	c.slot.SetInFlight(len(c.open) + c.unsent)
 }
 
 func (c *client) reply(id uint64, a core.Answer) {
--- a/internal/transport/msgpackrpc/words.go
+++ b/internal/transport/msgpackrpc/words.go
@@ -56,36 +56,36 @@
 func (f *Words) Serve(conn net.Conn, slot *listener.Slot) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	r := bufferpool.Reader(conn)
+	r := bufferpool.GetReader(conn)
 	defer bufferpool.PutReader(r)
 	d := decoder{r: r, longest: LongestWord}
 	var mu sync.Mutex // of writing, and of open
 	var open sync.WaitGroup
 	var err error
 	n := 0
-	conn.SetReadDeadline(time.Now().Add(listener.WholeWithin))
+	conn.SetReadDeadline(time.Now().Add(listener.MessageTimeout))
 	for err == nil {
 		if _, err = r.Peek(1); err != nil {
 			break
 		}
-		conn.SetReadDeadline(time.Now().Add(listener.WholeWithin))
+		conn.SetReadDeadline(time.Now().Add(listener.MessageTimeout))
 		var m message
 		if m, err = d.message(); err != nil {
 			break
 		}
 		conn.SetReadDeadline(time.Time{})
-		if !slot.Asked() {
+		if !slot.BeginMessage() {
 			break // its place was given up as this came
 		}
 		if m.kind != request || m.method == probe {
-			slot.Rest()
+			slot.EndMessage()
 			continue // nobody who speaks so belongs here, and no harm is done
 		}
 		mu.Lock()
 		if n++; n > mostWords {
 			err = malformed("%d words open", n)
 		}
-		slot.Open(n)
+		slot.SetInFlight(n)
 		mu.Unlock()
 		if err != nil {
 			break
@@ -102,12 +102,12 @@
 				conn.Close() // the reader ends
 			}
 			n--
-			slot.Open(n)
+			slot.SetInFlight(n)
 		})
-		slot.Rest()
+		slot.EndMessage()
 	}
 	switch {
-	case err == nil, errors.Is(err, os.ErrDeadlineExceeded) && slot.Ended():
+	case err == nil, errors.Is(err, os.ErrDeadlineExceeded) && slot.Evicted():
 	case err == io.EOF, errors.Is(err, net.ErrClosed):
 		cancel() // whoever asked has left
 	case errors.Is(err, os.ErrDeadlineExceeded):
@@ -117,7 +117,7 @@
 		slot.LogPeer("front.closed", f.name, conn.RemoteAddr(), err)
 	}
 	open.Wait() // what was asked before is answered, as long as the other side may read
-	slot.Linger(r)
+	slot.CloseGracefully(r)
 }
 
 func appendVerdict(b []byte, id uint64, v Verdict) []byte {
--- a/internal/transport/scgi/front.go
+++ b/internal/transport/scgi/front.go
@@ -87,13 +87,13 @@
 // Serve is the life of one connection, which carries one request.
 func (f *Front) Serve(conn net.Conn, slot *listener.Slot) {
 	defer conn.Close()
-	r := bufferpool.Reader(conn)
+	r := bufferpool.GetReader(conn)
 	defer bufferpool.PutReader(r)
-	conn.SetReadDeadline(time.Now().Add(listener.WholeWithin))
+	conn.SetReadDeadline(time.Now().Add(listener.MessageTimeout))
 	m, err := readHead(r)
 	if err == nil && f.asksStatus(m.headers) {
 		f.stats.Inc("status", Name)
-		slot.Cheap()
+		slot.PaceCheapCall()
 		f.write(conn, statusOf[core.Served], f.core.Status(), "application/json", "Cache-Control", "no-store")
 		linger.Close(conn, r, lingerFor, mostAfter)
 		return
@@ -105,7 +105,7 @@
 				most = f.cfg.MaxBody
 			}
 			a, refused := f.core.Shut(Name, class.Name)
-			if !refused && !slot.Work() && class.Effect != silverpath.Idempotent {
+			if !refused && !slot.AdmitsWork() && class.Effect != silverpath.Idempotent {
 				// What is left of the connections is for what is cheap, and a sheet may be: the repeat of one that has run.
 				f.stats.Inc("turned_away", Name, "reserve")
 				a, refused = core.Answer{Outcome: core.Refused, Wait: f.core.Advice()}, true
@@ -123,14 +123,14 @@
 	if err == nil {
 		var q core.Request
 		if q, err = f.mapRequest(m, time.Now(), conn.RemoteAddr()); err == nil {
-			if !slot.Asked() {
+			if !slot.BeginMessage() {
 				return // its place was given up as it came: nothing of it ran
 			}
 			conn.SetReadDeadline(time.Time{})
-			slot.Open(1)
+			slot.SetInFlight(1)
 			f.serve(conn, r, q, func() { // its place may now go to whoever has more need of it
-				slot.Open(0)
-				slot.Rest()
+				slot.SetInFlight(0)
+				slot.EndMessage()
 			})
 			return
 		}
@@ -145,7 +145,7 @@
 	case err == io.EOF:
 		return // opened and closed again
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		p = &problem{"408 Request Timeout", fmt.Sprintf("no whole request came within %v", listener.WholeWithin), "too_slow"}
+		p = &problem{"408 Request Timeout", fmt.Sprintf("no whole request came within %v", listener.MessageTimeout), "too_slow"}
 	default:
 		f.stats.Inc("cut_short", Name)
 		return // it broke off: nobody is there to be answered
@@ -164,7 +164,7 @@
 	go f.core.Serve(q, func(a core.Answer) {
 		f.reply(conn, a, "X-Request-Id", q.ID)
 		close(replied)
-		if !linger.Half(conn) {
+		if !linger.CloseWrite(conn) {
 			conn.Close()
 		}
 		conn.SetReadDeadline(time.Now().Add(lingerFor))
--- a/internal/transport/scgi/upstream.go
+++ b/internal/transport/scgi/upstream.go
@@ -125,7 +125,7 @@
 	if _, err := conn.Write(*b); err != nil {
 		return response{}, fmt.Errorf("writing the request: %w", err)
 	}
-	r := bufferpool.Reader(conn)
+	r := bufferpool.GetReader(conn)
 	defer bufferpool.PutReader(r)
 	return readResponse(r, longestResult)
 }
--- a/internal/transport/vault/vault.go
+++ b/internal/transport/vault/vault.go
@@ -185,13 +185,13 @@
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", errUnreachable, err)
 	}
-	return &conn{Conn: n, addr: addr, r: bufferpool.Reader(n)}, nil
+	return &conn{Conn: n, addr: addr, r: bufferpool.GetReader(n)}, nil
 }
 
 // quiet reports whether an idle connection is still open and has brought nothing.
 func quiet(conn net.Conn) bool {
-	state := linger.Look(conn)
-	return state == linger.Quiet || state == linger.Unknown
+	state := linger.Peek(conn)
+	return state == linger.Idle || state == linger.Unknown
 }
 
 // put keeps a connection for the next call and closes those that have waited too long.
--- a/internal/transport/vault/vault_test.go
+++ b/internal/transport/vault/vault_test.go
@@ -149,7 +149,7 @@
 		}
 		for len(reply) > 1 { // until what was written has come
 			c.mu.Lock()
-			idle := len(c.idle) > 0 && linger.Look(c.idle[0].Conn) == linger.Quiet
+			idle := len(c.idle) > 0 && linger.Peek(c.idle[0].Conn) == linger.Idle
 			c.mu.Unlock()
 			if !idle {
 				break
