--- a/cmd/silverpath/overlap_test.go
+++ b/cmd/silverpath/overlap_test.go
@@ -485,7 +485,7 @@
 				return spawnIn(t, env, "route", "--config", siteFile(t, name, ""), "--edge", write(t, name+"-edge.json", fmt.Sprintf(
 					`{"status":true,"fleet":{"state":%q,"probe_ms":100},%s}`, filepath.Join(f.edge+name+".db"), sharing(members))))
 			}
-			const whole = 2 * 1000 * quota.Use // two servers of cell a
+			const whole = 2 * 1000 * quota.UsableRatio // two servers of cell a
 			part := func(p *process) float64 {
 				a, err := client.Status(client.Platform, p.addr)
 				if err != nil {
--- a/internal/controlplane/configwatch/follow.go
+++ b/internal/controlplane/configwatch/follow.go
@@ -51,7 +51,7 @@
 // Sharer is a process's part in what a fleet shares.
 type Sharer interface {
 	// Says returns its word to the group, and what to call with the answer.
-	Says() (w quota.Word, told func(g quota.Grant, t lease.Terms))
+	Says() (w quota.Request, told func(g quota.Grant, t lease.Terms))
 }
 
 // Formats has a process take other formats for those that it reads, Out has it do without guards, Rate has its clock run fast or
@@ -302,7 +302,7 @@
 	}
 	granted := func(quota.Grant, lease.Terms) {}
 	if f.cfg.Share != nil {
-		var w quota.Word
+		var w quota.Request
 		w, granted = f.cfg.Share.Says()
 		s.Share = &w
 	}
--- a/internal/controlplane/quorum/member/golden_test.go
+++ b/internal/controlplane/quorum/member/golden_test.go
@@ -252,7 +252,7 @@
 	}
 	_, err = c.Sync(ctx, quorum.Sync{User: configstore.User{Name: "r1#1", Reads: map[string]int{"map": 2}, Holds: map[string]int{"map": 3}, Stopped: map[string]int{"map": 4},
 		Refuses: map[string]configstore.Refusal{"map": {Version: 5, Why: "w"}}}, Has: map[string][]int{"map": {1, 2}}, Bases: map[string]int{"map": 1}, Acts: map[string]int{"map": 1},
-		Worth: configstore.Worth{Asked: 2, Served: 1}, Stops: "s", Share: &quota.Word{Most: 3, Applied: 4, Parts: []quota.Part{{Cell: "c", Tenant: "t", Rate: 1.5}}, Demand: []quota.Part{}}})
+		Worth: configstore.Worth{Asked: 2, Served: 1}, Stops: "s", Share: &quota.Request{MaxRouters: 3, Applied: 4, Rates: []quota.Allocation{{Cell: "c", Tenant: "t", Rate: 1.5}}, Demand: []quota.Allocation{}}})
 	must(err)
 	_, err = c.Rules(ctx)
 	must(err)
--- a/internal/controlplane/quorum/member/member.go
+++ b/internal/controlplane/quorum/member/member.go
@@ -372,14 +372,14 @@
 	if leads {
 		m.watch.Lead(m.clock())
 		m.users.Lead(m.clock())
-		m.ledger.Lead(m.clock(), m.raw.BasicStatus().GetTerm())
+		m.ledger.StartLeading(m.clock(), m.raw.BasicStatus().GetTerm())
 		m.log.Info().Str("event", "group.leads").Uint64("term", m.raw.BasicStatus().GetTerm()).Send()
 		m.stats.Inc("group", "led")
 		return
 	}
 	m.watch.Follow()
 	m.users.Follow()
-	m.ledger.Follow()
+	m.ledger.StopLeading()
 	m.log.Info().Str("event", "group.follows").Send()
 	m.fail()
 }
--- a/internal/controlplane/quorum/member/parts.go
+++ b/internal/controlplane/quorum/member/parts.go
@@ -150,7 +150,7 @@
 		return false
 	}
 	if now := time.Now(); !now.Before(m.lent.until) {
-		m.ledger.Set(quota.Of(m.lent.cells, now))
+		m.ledger.SetCapacity(quota.CapacityOf(m.lent.cells, now))
 		m.lent.until = now.Add(lentAgain)
 		if next, ok := m.lent.cells.NextChange(now); ok && next.Before(m.lent.until) {
 			m.lent.until = next
--- a/internal/controlplane/quorum/member/rules.go
+++ b/internal/controlplane/quorum/member/rules.go
@@ -83,7 +83,7 @@
 	if !m.lend(d.Force) {
 		return nil
 	}
-	g, ok := m.ledger.Hear(m.clock(), s.User.Name, *s.Share)
+	g, ok := m.ledger.Lend(m.clock(), s.User.Name, *s.Share)
 	if !ok {
 		m.stats.Inc("rules", "no_share")
 		return nil
@@ -109,7 +109,7 @@
 			answer(msgpackrpc.Verdict{Error: quorum.WordLost})
 			return
 		}
-		b, err := json.Marshal(quorum.Rules{Book: m.state.Rules.Listed(), Heard: m.users.List(m.clock()), Terms: m.state.Terms, Wall: time.Now().UnixMilli(), Lent: m.ledger.All(m.clock())})
+		b, err := json.Marshal(quorum.Rules{Book: m.state.Rules.Listed(), Heard: m.users.List(m.clock()), Terms: m.state.Terms, Wall: time.Now().UnixMilli(), Lent: m.ledger.LentRatios(m.clock())})
 		if err != nil {
 			answer(no(quorum.WordNo, "%v", err))
 			return
--- a/internal/controlplane/quorum/quorum.go
+++ b/internal/controlplane/quorum/quorum.go
@@ -90,7 +90,7 @@
 	Acts  map[string]int    `json:"acts"`
 	Worth configstore.Worth `json:"worth"`
 	Stops string            `json:"stops,omitempty"`
-	Share *quota.Word       `json:"share,omitempty"` // of a router that shares cells with others; nil: it does not
+	Share *quota.Request    `json:"share,omitempty"` // of a router that shares cells with others; nil: it does not
 }
 
 // Synced is what it is told.
--- a/internal/core/slowstart.go
+++ b/internal/core/slowstart.go
@@ -45,7 +45,7 @@
 	}
 	set := *c.set.Load()
 	set.Cold = true
-	whole, s.cold = slowstart.Whole(set, time.Since(s.started))
+	whole, s.cold = slowstart.Capacity(set, time.Since(s.started))
 	return whole, s.cold
 }
 
@@ -59,5 +59,5 @@
 	if !cold {
 		return 0, false
 	}
-	return s.shares.Part(time.Since(s.started), who, flying, whole, term), true
+	return s.shares.Grant(time.Since(s.started), who, flying, whole, term), true
 }
--- a/internal/policy/capacity/bounds_test.go
+++ b/internal/policy/capacity/bounds_test.go
@@ -88,7 +88,7 @@
 		{"LongestWord", p.LongestWord, "internal/transport/msgpackrpc", "LongestWord"},
 		{"WordRest", p.WordRest, "internal/controlplane/quorum/member", "roomForRest"},
 		{"LongestResult", p.LongestResult, "internal/transport/msgpackrpc", "LongestWord"},
-		{"Callers", p.Callers, "internal/policy/slowstart", "mostCallers"},
+		{"Callers", p.Callers, "internal/policy/slowstart", "maxCallers"},
 		{"OpenItems", p.OpenItems, "internal/policy/controller", "mostOpen"},
 		{"MemberConns", p.MemberConns, "internal/controlplane/quorum/member", "memberMost"},
 		{"CompactEvery", p.CompactEvery, "internal/controlplane/quorum/member", "compactEvery"},
--- a/internal/policy/loadbalancer/decisions_test.go
+++ b/internal/policy/loadbalancer/decisions_test.go
@@ -12,28 +12,28 @@
 // less, or a rule asked at another place, routers would choose otherwise with no test the wiser. So the choices of a play of 12 servers
 // with failures, a slow one, restarts, waits, budgets and hedges stand in testdata as they were before the names were changed.
 func TestChoicesStayWhatTheyWere(t *testing.T) {
-	tab := New(Config{Seed: 11, Window: 3 * time.Second, Retries: 0.2})
+	tab := New(Config{Seed: 11, KeyWindow: 3 * time.Second, RetryRatio: 0.2})
 	names, weights := []string{}, map[string]float64{}
 	for i := range 12 {
 		name := fmt.Sprint("s", i)
 		names, weights[name] = append(names, name), 1+float64(i%3)
 	}
-	tab.Members(0, weights)
+	tab.SetServers(0, weights)
 	var got strings.Builder
 	wall := int64(1700000000000)
 	for _, n := range names {
-		tab.Unheard(n)
-		tab.Reached(time.Hour, n, wall, 0, wall, wall+60000)
-		tab.Warm(n)
+		tab.AwaitHealthCheck(n)
+		tab.Answered(time.Hour, n, Incarnation{Boot: wall, Joined: wall, Now: wall + 60000})
+		tab.WarmedUp(n)
 	}
 	last := ""
 	for step := range 400 {
 		now := time.Hour + time.Duration(step)*37*time.Millisecond
 		tenant := fmt.Sprint("t", step%3)
-		tab.First(now)
+		tab.FirstAttempt(now)
 		name, ok := tab.Pick(now, tenant, names, last)
 		last = ""
-		if !ok || !tab.Take(now, name) {
+		if !ok || !tab.Acquire(now, name) {
 			fmt.Fprintf(&got, "%d nobody\n", step)
 			continue
 		}
@@ -44,45 +44,45 @@
 		case name == "s5":
 			took = 900 * time.Millisecond
 		case name == "s7" && step%2 == 0:
-			o = Refusing
+			o = ConnectFailed
 		case name == "s9" && step%5 == 0:
-			o = Refused
-			tab.Told(now, tenant, name, 3, 300*time.Millisecond)
+			o = Rejected
+			tab.Backpressure(now, tenant, name, 3, 300*time.Millisecond)
 		case step%41 == 0:
 			o = TimedOut
 		case step%43 == 0:
-			o = Unwritten
+			o = NotSent
 		}
 		if step%3 != 0 { // the others are out for good
-			tab.Ended(now+took, name, o, took, step%2 == 0)
+			tab.Done(now+took, name, o, took, step%2 == 0)
 		}
-		again := tab.Retry(o, step%2 == 0, step%97 == 0)
+		again := tab.AllowRetry(o, step%2 == 0, step%97 == 0)
 		if again {
 			last = name
 		}
-		after, known := tab.HedgeAfter()
-		hedge := known && step%9 == 0 && tab.Hedge()
+		after, known := tab.HedgeDelay()
+		hedge := known && step%9 == 0 && tab.AllowHedge()
 		switch step {
 		case 100:
-			tab.Reached(now, "s1", wall+900000, wall+890000, wall, wall+901000) // started anew
+			tab.Answered(now, "s1", Incarnation{Boot: wall + 900000, RanUntil: wall + 890000, Joined: wall, Now: wall + 901000}) // started anew
 		case 150:
-			tab.Probed(now, "s2", 2, time.Second)
+			tab.SlowStartGranted(now, "s2", 2, time.Second)
 		case 200:
 			for range 4 {
-				tab.Missed(now, "s0")
+				tab.Unreachable(now, "s0")
 			}
 		case 300:
-			tab.Reached(now, "s0", wall, 0, wall, wall+900000)
+			tab.Answered(now, "s0", Incarnation{Boot: wall, Joined: wall, Now: wall + 900000})
 		}
-		fmt.Fprintf(&got, "%d %s %v again %v hedge %v %v home %v\n", step, name, o, again, after, hedge, tab.Home(now, tenant, "s1"))
+		fmt.Fprintf(&got, "%d %s %v again %v hedge %v %v home %v\n", step, name, o, again, after, hedge, tab.CheckHome(now, tenant, "s1"))
 	}
 	for _, s := range tab.States(2 * time.Hour) {
-		fmt.Fprintf(&got, "%s %v %v %d %v %.6f %.6f %v %d\n", s.Name, s.Health, s.Circuit, s.Flying, s.Latency, s.Fails, s.Part, s.Lost, s.Boot)
+		fmt.Fprintf(&got, "%s %v %v %d %v %.6f %.6f %v %d\n", s.Name, s.Health, s.Circuit, s.InFlight, s.Latency, s.FailureRatio, s.WarmupRatio, s.LostKeys, s.Boot)
 	}
 	c := tab.Counts()
 	fmt.Fprintf(&got, "ejected %d panicked %d retried %d spent %d hedged %d spent %d cold back %d\n",
 		c.Ejected, c.Panicked, c.Retried, c.RetriesSpent, c.Hedged, c.HedgesSpent, c.ColdBack)
-	f := NewFair()
+	f := NewTenantLimiter()
 	for step := range 600 {
 		now := time.Duration(step) * 11 * time.Millisecond
 		tenant := []string{"small", "flood", "flood", "flood", "mid"}[step%5]
@@ -95,7 +95,7 @@
 			fmt.Fprintf(&got, "%d %s %v %.6f %d\n", step, tenant, in, limit, out)
 		}
 	}
-	fmt.Fprintf(&got, "not let in %d\n", f.Refused())
+	fmt.Fprintf(&got, "not let in %d\n", f.Rejected())
 	want, err := os.ReadFile("testdata/choices.txt")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/policy/loadbalancer/fair_test.go
+++ b/internal/policy/loadbalancer/fairness_test.go
@@ -9,7 +9,7 @@
 
 // flood plays a cell of four servers that holds so many requests and turns away the rest: two tenants of the same rate, one
 // of which sends ten times as much. It returns the share of each that was served.
-func flood(f *Fair, seconds int) (quiet, loud float64) {
+func flood(f *TenantLimiter, seconds int) (quiet, loud float64) {
 	const room, takes = 100, 300 * time.Millisecond
 	type out struct {
 		tenant string
@@ -47,7 +47,7 @@
 			}
 			x := out{tenant, now + takes, Served}
 			if held >= room {
-				x.end, x.o = now+time.Millisecond, Refused
+				x.end, x.o = now+time.Millisecond, Rejected
 			} else {
 				held++
 			}
@@ -59,7 +59,7 @@
 
 // Who keeps within its share hardly notices one that floods the cell, and the flood gets what is left over.
 func TestFlood(t *testing.T) {
-	quiet, loud := flood(NewFair(), 60)
+	quiet, loud := flood(NewTenantLimiter(), 60)
 	if quiet < 0.95 || loud < 0.15 {
 		t.Errorf("%.3f of the quiet tenant's is served, %.3f of the loud one's", quiet, loud)
 	}
@@ -69,7 +69,7 @@
 // the window keeps its least.
 func TestFairProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		f, now := NewFair(), time.Duration(0)
+		f, now := NewTenantLimiter(), time.Duration(0)
 		out := map[string]int{}
 		total := 0
 		names := []string{"x", "y", "z"}
@@ -87,7 +87,7 @@
 			} else if out[tenant] > 0 {
 				out[tenant]--
 				total--
-				f.Done(now, "a", tenant, Outcome(rapid.IntRange(0, int(Unwritten)).Draw(t, "outcome")))
+				f.Done(now, "a", tenant, Outcome(rapid.IntRange(0, int(NotSent)).Draw(t, "outcome")))
 			}
 			if limit, flying := f.Window("a"); flying != total || limit < 0 {
 				t.Fatalf("%d out there, counted %d; window %v", flying, total, limit)
--- a/internal/policy/loadbalancer/routing_test.go
+++ b/internal/policy/loadbalancer/loadbalancer_test.go
@@ -13,24 +13,24 @@
 // Property tests take the same course every time.
 func init() { flag.Set("rapid.seed", "7"); flag.Set("rapid.nofailfile", "true") }
 
-func table(n int, c Config) (*Table, []string) {
-	c.Window = 13 * time.Second
+func table(n int, c Config) (*Balancer, []string) {
+	c.KeyWindow = 13 * time.Second
 	t := New(c)
 	weights, names := map[string]float64{}, []string{}
 	for i := range n {
 		names = append(names, fmt.Sprint("s", i))
 		weights[names[i]] = 1
 	}
-	t.Members(time.Hour, weights)
+	t.SetServers(time.Hour, weights)
 	for _, s := range names {
-		t.Reached(time.Hour, s, 0, 0, 0, 0)
-		t.servers[s].since = 0
+		t.Answered(time.Hour, s, Incarnation{})
+		t.servers[s].upSince = 0
 	}
 	return t, names
 }
 
 // play sends tries, of which each server takes and gives what it is said to, and returns how many went to each.
-func play(t *Table, names []string, now time.Duration, n int, every time.Duration, server func(name string) (Outcome, time.Duration)) map[string]int {
+func play(t *Balancer, names []string, now time.Duration, n int, every time.Duration, server func(name string) (Outcome, time.Duration)) map[string]int {
 	got := map[string]int{}
 	type out struct {
 		name string
@@ -44,20 +44,20 @@
 		kept := flying[:0]
 		for _, f := range flying {
 			if f.end <= now {
-				t.Ended(now, f.name, f.o, f.took, true)
+				t.Done(now, f.name, f.o, f.took, true)
 			} else {
 				kept = append(kept, f)
 			}
 		}
 		flying = kept
-		t.First(now)
+		t.FirstAttempt(now)
 		name, ok := t.Pick(now, "", names, "")
 		if !ok {
 			got[""]++
 			continue
 		}
 		got[name]++
-		t.Sent(name)
+		t.started(name)
 		o, took := server(name)
 		flying = append(flying, out{name, now + took, o, took})
 	}
@@ -121,9 +121,9 @@
 	}
 	tb, names = table(5, Config{})
 	for _, n := range names[:2] {
-		tb.Missed(time.Hour, n)
+		tb.Unreachable(time.Hour, n)
 	}
-	if good := tb.withoutOutliers(tb.draw(names), tb.draw(names)); len(good) != 3 {
+	if good := tb.withoutOutliers(tb.sample(names), tb.sample(names)); len(good) != 3 {
 		t.Errorf("%d are left of five with two suspects", len(good))
 	}
 }
@@ -134,34 +134,34 @@
 	tb, _ := table(3, Config{})
 	now := time.Hour
 	health := func() Health { return tb.servers["s0"].health }
-	tb.Missed(now, "s0")
+	tb.Unreachable(now, "s0")
 	if health() != Suspect {
 		t.Fatalf("after one failure %v", health())
 	}
-	tb.Missed(now, "s0")
-	tb.Missed(now, "s0")
-	if health() != Dead || tb.Home(now, "", "s0") != Lost {
+	tb.Unreachable(now, "s0")
+	tb.Unreachable(now, "s0")
+	if health() != Dead || tb.CheckHome(now, "", "s0") != HomeLost {
 		t.Fatalf("after three %v", health())
 	}
 	now += time.Second
-	tb.Reached(now, "s0", 0, 0, 0, 0) // it says nothing of its start: it may be another one
-	if health() != Alive || tb.Home(now, "", "s0") != Lost || tb.part(now, tb.servers["s0"]) > 0.2 {
-		t.Fatalf("%v, home %v", health(), tb.Home(now, "", "s0"))
+	tb.Answered(now, "s0", Incarnation{}) // it says nothing of its start: it may be another one
+	if health() != Alive || tb.CheckHome(now, "", "s0") != HomeLost || tb.warmupRatio(now, tb.servers["s0"]) > 0.2 {
+		t.Fatalf("%v, home %v", health(), tb.CheckHome(now, "", "s0"))
 	}
-	if tb.Home(now+14*time.Second, "", "s0") != Send {
+	if tb.CheckHome(now+14*time.Second, "", "s0") != HomeReady {
 		t.Error("no sheet of before can come again, and it still gets none")
 	}
 	for range 6 {
 		now += time.Second
 		for range 3 {
-			tb.Missed(now, "s0")
+			tb.Unreachable(now, "s0")
 		}
-		tb.Reached(now, "s0", 0, 0, 0, 0)
+		tb.Answered(now, "s0", Incarnation{})
 	}
 	if health() == Alive {
 		t.Error("one that comes and goes counts as alive")
 	}
-	if tb.Reached(now+flapFor+time.Second, "s0", 0, 0, 0, 0); health() != Alive {
+	if tb.Answered(now+holdDown+time.Second, "s0", Incarnation{}); health() != Alive {
 		t.Error("it never does again")
 	}
 }
@@ -173,29 +173,29 @@
 		boots   []int64
 		ran     int64
 		entered int64
-		want    Home
+		want    HomeState
 	}{
-		"the same start":                        {[]int64{1000, 1000}, 0, 5000, Send},
-		"started anew":                          {[]int64{1000, 99000}, 0, 500, Lost},
-		"long ago":                              {[]int64{1000, 50000}, 0, 500, Send},
-		"a router that comes":                   {[]int64{95000}, 0, 500, Lost},
-		"new in the map":                        {[]int64{95000}, 0, 96000, Send},
-		"dark for longer than the window":       {[]int64{1000, 99000}, 86000, 500, Send},
-		"dark for less":                         {[]int64{1000, 99000}, 90000, 500, Lost},
-		"a router that comes, to one long dark": {[]int64{95000}, 80000, 500, Send},
-		"what ran after the start is no news":   {[]int64{1000, 50000}, 99000, 500, Send},
-		"a router that comes, before a word":    {nil, 0, 500, Lost},
+		"the same start":                        {[]int64{1000, 1000}, 0, 5000, HomeReady},
+		"started anew":                          {[]int64{1000, 99000}, 0, 500, HomeLost},
+		"long ago":                              {[]int64{1000, 50000}, 0, 500, HomeReady},
+		"a router that comes":                   {[]int64{95000}, 0, 500, HomeLost},
+		"new in the map":                        {[]int64{95000}, 0, 96000, HomeReady},
+		"dark for longer than the window":       {[]int64{1000, 99000}, 86000, 500, HomeReady},
+		"dark for less":                         {[]int64{1000, 99000}, 90000, 500, HomeLost},
+		"a router that comes, to one long dark": {[]int64{95000}, 80000, 500, HomeReady},
+		"what ran after the start is no news":   {[]int64{1000, 50000}, 99000, 500, HomeReady},
+		"a router that comes, before a word":    {nil, 0, 500, HomeLost},
 	} {
-		tb := New(Config{Window: 13 * time.Second})
-		tb.Members(time.Hour, map[string]float64{"s": 1})
+		tb := New(Config{KeyWindow: 13 * time.Second})
+		tb.SetServers(time.Hour, map[string]float64{"s": 1})
 		for _, b := range c.boots {
-			tb.Reached(time.Hour, "s", b, c.ran, c.entered, 100000)
+			tb.Answered(time.Hour, "s", Incarnation{Boot: b, RanUntil: c.ran, Joined: c.entered, Now: 100000})
 		}
-		if got := tb.Home(time.Hour, "", "s"); got == Send && len(c.boots) > 1 && c.boots[0] != c.boots[1] {
+		if got := tb.CheckHome(time.Hour, "", "s"); got == HomeReady && len(c.boots) > 1 && c.boots[0] != c.boots[1] {
 			t.Errorf("%s: a sheet goes to a start that was only heard of", name)
 		}
-		tb.Warm("s") // it says so
-		if got := tb.Home(time.Hour, "", "s"); got != c.want {
+		tb.WarmedUp("s") // it says so
+		if got := tb.CheckHome(time.Hour, "", "s"); got != c.want {
 			t.Errorf("%s: %v, want %v", name, got, c.want)
 		}
 	}
@@ -205,21 +205,21 @@
 // where so many servers are out that health is not looked at. Without news the part ends.
 func TestSlowStartIsABound(t *testing.T) {
 	tb, now := New(Config{SlowStart: 1}), time.Hour // without the weight that eases a server in
-	tb.Members(now, map[string]float64{"s": 1, "gone": 1, "too": 1})
-	tb.Reached(now-time.Second, "s", 1000, 0, 0, 100000)
-	tb.Reached(now-time.Second, "s", 90000, 0, 95000, 100000)
+	tb.SetServers(now, map[string]float64{"s": 1, "gone": 1, "too": 1})
+	tb.Answered(now-time.Second, "s", Incarnation{Boot: 1000, Now: 100000})
+	tb.Answered(now-time.Second, "s", Incarnation{Boot: 90000, Joined: 95000, Now: 100000})
 	for range deadAfter {
-		tb.Missed(now, "gone")
-		tb.Missed(now, "too")
-		tb.Sent("gone") // so that the one that is there is the better one
-		tb.Sent("too")
+		tb.Unreachable(now, "gone")
+		tb.Unreachable(now, "too")
+		tb.started("gone") // so that the one that is there is the better one
+		tb.started("too")
 	}
 	may := func(at time.Duration) (pick, home bool) {
 		for range 100 { // the others are drawn too
 			name, _ := tb.Pick(at, "", []string{"s", "gone", "too"}, "")
 			pick = pick || name == "s"
 		}
-		return pick, tb.Home(at, "", "s") != Waiting
+		return pick, tb.CheckHome(at, "", "s") != HomeBusy
 	}
 	check := func(what string, at time.Duration, want bool) {
 		t.Helper()
@@ -228,52 +228,52 @@
 		}
 	}
 	check("only heard of", now, false)
-	tb.Probed(now, "s", 2, 3*time.Second)
+	tb.SlowStartGranted(now, "s", 2, 3*time.Second)
 	check("with room", now, true)
-	tb.Sent("s")
+	tb.started("s")
 	check("with room for one", now, true)
-	tb.Sent("s")
+	tb.started("s")
 	check("full", now, false)
-	tb.Ended(now, "s", Served, time.Millisecond, true)
+	tb.Done(now, "s", Served, time.Millisecond, true)
 	check("with one back", now, true)
-	if !tb.Take(now, "s") || tb.Take(now, "s") { // two were told that there is room for one
+	if !tb.Acquire(now, "s") || tb.Acquire(now, "s") { // two were told that there is room for one
 		t.Error("not one of two goes out")
 	}
 	check("full again", now, false)
 	check("without news for a term", now+3*time.Second, false)
-	tb.Warm("s")
+	tb.WarmedUp("s")
 	check("warm", now+time.Hour, true)
 }
 
 // Further tries are a share of the first ones, whatever fails; a write is tried again only on proof.
 func TestBudgets(t *testing.T) {
-	tb, _ := table(3, Config{Retries: 0.1, Hedges: 0.05})
+	tb, _ := table(3, Config{RetryRatio: 0.1, HedgeRatio: 0.05})
 	again, hedged := 0, 0
 	for i := range 10000 {
-		tb.First(time.Hour + time.Duration(i)*time.Millisecond)
-		if tb.Retry(Refused, true, false) {
+		tb.FirstAttempt(time.Hour + time.Duration(i)*time.Millisecond)
+		if tb.AllowRetry(Rejected, true, false) {
 			again++
 		}
-		if tb.Hedge() {
+		if tb.AllowHedge() {
 			hedged++
 		}
 	}
 	if again > 1100 || again < 900 || hedged > 550 || hedged < 450 {
 		t.Errorf("%d retries and %d hedges for 10000 first tries", again, hedged)
 	}
-	tb, _ = table(3, Config{Retries: 1})
+	tb, _ = table(3, Config{RetryRatio: 1})
 	for o, want := range map[Outcome][2]bool{ // of a write, of a read
-		Served: {false, false}, Refused: {true, true}, Refusing: {true, true}, Unwritten: {true, true},
-		Failed: {false, true}, Broken: {false, true}, TimedOut: {false, false},
+		Served: {false, false}, Rejected: {true, true}, ConnectFailed: {true, true}, NotSent: {true, true},
+		Failed: {false, true}, ConnectionLost: {false, true}, TimedOut: {false, false},
 	} {
 		for range 5 {
-			tb.First(time.Hour)
+			tb.FirstAttempt(time.Hour)
 		}
-		if got := [2]bool{tb.Retry(o, false, false), tb.Retry(o, true, false)}; got != want {
+		if got := [2]bool{tb.AllowRetry(o, false, false), tb.AllowRetry(o, true, false)}; got != want {
 			t.Errorf("outcome %d: %v, want %v", o, got, want)
 		}
 	}
-	if tb.Retry(Refused, true, true) {
+	if tb.AllowRetry(Rejected, true, true) {
 		t.Error("tried elsewhere against the server's wish")
 	}
 }
@@ -282,31 +282,31 @@
 func TestTold(t *testing.T) {
 	tb, _ := table(1, Config{})
 	now := time.Hour
-	tb.Told(now, "", "s0", 2, 0)
+	tb.Backpressure(now, "", "s0", 2, 0)
 	for range 2 {
 		if _, ok := tb.Pick(now, "", []string{"s0"}, ""); !ok {
 			t.Fatal("nobody")
 		}
-		tb.Sent("s0")
+		tb.started("s0")
 	}
 	if n, ok := tb.Pick(now, "", []string{"s0"}, ""); ok {
 		t.Errorf("%s, with two out there of two", n)
 	}
-	tb.Ended(now, "s0", Served, time.Millisecond, true)
-	tb.Told(now, "", "s0", 0, time.Second)
-	if _, ok := tb.Pick(now, "", []string{"s0"}, ""); ok || tb.Home(now, "", "s0") != Waiting {
+	tb.Done(now, "s0", Served, time.Millisecond, true)
+	tb.Backpressure(now, "", "s0", 0, time.Second)
+	if _, ok := tb.Pick(now, "", []string{"s0"}, ""); ok || tb.CheckHome(now, "", "s0") != HomeBusy {
 		t.Error("it is not left alone")
 	}
-	if n, ok := tb.Pick(now, "other", []string{"s0"}, ""); !ok || tb.Home(now, "other", "s0") != Send {
+	if n, ok := tb.Pick(now, "other", []string{"s0"}, ""); !ok || tb.CheckHome(now, "other", "s0") != HomeReady {
 		t.Errorf("what one tenant was told keeps another one away from %q", n)
 	}
-	for i := range 2 * mostAway {
-		tb.Told(now, fmt.Sprint("t", i), "s0", 0, time.Second)
+	for i := range 2 * maxExcludedTenants {
+		tb.Backpressure(now, fmt.Sprint("t", i), "s0", 0, time.Second)
 	}
-	if n := len(tb.servers["s0"].away); n > mostAway {
+	if n := len(tb.servers["s0"].retryAfter); n > maxExcludedTenants {
 		t.Errorf("%d tenants are remembered", n)
 	}
-	tb.Told(now, "", "s0", 0, time.Second)
+	tb.Backpressure(now, "", "s0", 0, time.Second)
 	if _, ok := tb.Pick(now+time.Second, "", []string{"s0"}, ""); !ok {
 		t.Error("left alone for good")
 	}
@@ -315,14 +315,14 @@
 // A second copy goes out later than nearly all first ones have been answered.
 func TestHedgeAfter(t *testing.T) {
 	tb, _ := table(1, Config{})
-	if _, known := tb.HedgeAfter(); known {
+	if _, known := tb.HedgeDelay(); known {
 		t.Error("known without an answer")
 	}
 	for i := range 200 {
-		tb.Sent("s0")
-		tb.Ended(time.Hour, "s0", Served, time.Duration(i+1)*time.Millisecond, true)
+		tb.started("s0")
+		tb.Done(time.Hour, "s0", Served, time.Duration(i+1)*time.Millisecond, true)
 	}
-	if after, known := tb.HedgeAfter(); !known || after < 180*time.Millisecond || after > 195*time.Millisecond {
+	if after, known := tb.HedgeDelay(); !known || after < 180*time.Millisecond || after > 195*time.Millisecond {
 		t.Errorf("%v, %v", after, known)
 	}
 }
@@ -331,7 +331,7 @@
 // out, and budgets hold.
 func TestProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		tb, names := table(rapid.IntRange(1, 6).Draw(t, "servers"), Config{Retries: 0.1})
+		tb, names := table(rapid.IntRange(1, 6).Draw(t, "servers"), Config{RetryRatio: 0.1})
 		now := time.Hour
 		out := map[string]int{}
 		first, again := 0, 0
@@ -341,36 +341,36 @@
 			switch rapid.IntRange(0, 5).Draw(t, "event") {
 			case 0, 1:
 				first++
-				tb.First(now)
+				tb.FirstAttempt(now)
 				if got, ok := tb.Pick(now, "", names, name); ok {
 					if got == name || tb.servers[got] == nil {
 						t.Fatalf("picked %q but for %q", got, name)
 					}
-					tb.Sent(got)
+					tb.started(got)
 					out[got]++
 				}
 			case 2:
 				if out[name] > 0 {
 					out[name]--
-					o := Outcome(rapid.IntRange(0, int(Unwritten)).Draw(t, "outcome"))
-					tb.Ended(now, name, o, time.Duration(rapid.IntRange(1, 3000).Draw(t, "took"))*time.Millisecond, true)
-					if tb.Retry(o, true, false) {
+					o := Outcome(rapid.IntRange(0, int(NotSent)).Draw(t, "outcome"))
+					tb.Done(now, name, o, time.Duration(rapid.IntRange(1, 3000).Draw(t, "took"))*time.Millisecond, true)
+					if tb.AllowRetry(o, true, false) {
 						again++
 					}
 				}
 			case 3:
-				tb.Missed(now, name)
+				tb.Unreachable(now, name)
 			case 4:
-				tb.Reached(now, name, 0, 0, 0, 0)
+				tb.Answered(now, name, Incarnation{})
 			case 5:
-				tb.Told(now, "", name, float64(rapid.IntRange(0, 5).Draw(t, "credit")), time.Duration(rapid.IntRange(0, 2).Draw(t, "away"))*time.Second)
+				tb.Backpressure(now, "", name, float64(rapid.IntRange(0, 5).Draw(t, "credit")), time.Duration(rapid.IntRange(0, 2).Draw(t, "away"))*time.Second)
 			}
 			for _, n := range names {
-				if tb.servers[n].flying != out[n] {
-					t.Fatalf("%d in flight at %s, sent %d", tb.servers[n].flying, n, out[n])
+				if tb.servers[n].inFlight != out[n] {
+					t.Fatalf("%d in flight at %s, sent %d", tb.servers[n].inFlight, n, out[n])
 				}
 			}
-			if float64(again) > budgetLeast+0.1*float64(first)+1e-6 {
+			if float64(again) > budgetMinTokens+0.1*float64(first)+1e-6 {
 				t.Fatalf("%d further tries of %d first ones", again, first)
 			}
 		}
@@ -386,8 +386,8 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				s, _ := tb.Pick(time.Hour, "", names, "")
-				tb.Sent(s)
-				tb.Ended(time.Hour, s, Served, time.Duration(50+rng.IntN(50))*time.Millisecond, true)
+				tb.started(s)
+				tb.Done(time.Hour, s, Served, time.Duration(50+rng.IntN(50))*time.Millisecond, true)
 			}
 		})
 	}
--- a/internal/policy/quota/holder.go
+++ b/internal/policy/quota/holder.go
@@ -8,143 +8,151 @@
 	"silverpath/internal/policy/lease"
 )
 
-// Holder is the side of a router: what it was given, what it is asked for, and whether one more request is within its part. Its
-// times are those of the router's own monotonic clock.
+// Admission within a quota. Inputs: the grant of the group's leader and its lease, the router's reserve, and the requests of each key.
+// A key's requests are admitted by a token bucket that the key's rate fills: what the router was lent while the lease holds, and its
+// reserve. What it was asked for of late, admitted or not, is the demand that it tells the leader.
+const (
+	demandSpan    = 1.0         // seconds over which demand is averaged: about the time between two requests to the leader
+	burstSpan     = 1.0         // seconds of a rate that may be used at once
+	minBurst      = 6.0         // requests that may be used at once, so that a rate of less than one a second is of use
+	minDemand     = 0.01        // requests a second; less is not told
+	forgetAfter   = time.Minute // without a request, of a key whose demand is under minDemand
+	maxKeysListed = 256         // keys that Rates lists whatever they are; more are too long for a status
+)
+
+// Holder is the side of a router: what it was lent, what it is asked for, and whether one more request is within its quota. All times
+// are the router's own monotonic clock. It is not safe for concurrent use: the proxy calls it under its lock.
 type Holder struct {
-	most   int
-	good   bool // it has the part for good: no second one of its name can be there
-	seq    uint64
-	until  time.Duration
-	parts  map[Key]float64
-	kept   map[Key]float64    // for good
-	keeps  map[string]float64 // the same, of each cell together
-	uses   map[Key]*use
-	counts Counts
+	maxRouters   int
+	hasReserve   bool // no second router can be there under its name, so that it has its part of the reserve
+	grantSeq     uint64
+	leaseUntil   time.Duration
+	lent         map[Key]float64
+	reserved     map[Key]float64
+	reservedSums map[string]float64 // by cell
+	keys         map[Key]*keyUse
+	counts       Counts
 }
 
 // Counts are what a holder has decided since the start.
-type Counts struct{ Within, Beyond uint64 }
-
-// use is what a key is asked for, and a bucket of what it may use.
-type use struct {
-	rate   float64 // requests a second, of late
-	at     time.Duration
-	tokens float64
-	filled time.Duration
+type Counts struct {
+	Within uint64 // requests that were admitted
+	Beyond uint64 // and those that were beyond the quota
 }
 
-const (
-	lately = 1.0 // seconds over which demand is taken
-	burst  = 1.0 // seconds of a part that may be used at once
-	atOnce = 6.0 // requests, at least
-)
+// keyUse is what a key is asked for, and its token bucket.
+type keyUse struct {
+	demand   float64 // requests a second, a moving average
+	demandAt time.Duration
+	tokens   float64
+	filledAt time.Duration
+}
 
-// NewHolder returns the side of one of so many routers.
-func NewHolder(most int, good bool) *Holder {
-	return &Holder{most: most, good: good, parts: map[Key]float64{}, uses: map[Key]*use{}}
+// NewHolder returns the side of one of at most so many routers. HasReserve says that nobody else can be there under its name.
+func NewHolder(maxRouters int, hasReserve bool) *Holder {
+	return &Holder{maxRouters: maxRouters, hasReserve: hasReserve, lent: map[Key]float64{}, keys: map[Key]*keyUse{}}
 }
 
-// Set sets what there is.
-func (h *Holder) Set(cells map[string]Whole) {
-	h.kept, h.keeps = map[Key]float64{}, map[string]float64{}
-	if !h.good {
+// SetCapacity sets the capacity of cells, by their names, of which the reserve is a part. It is called with each new cell map and at
+// its changes by the time alone.
+func (h *Holder) SetCapacity(cells map[string]Capacity) {
+	h.reserved, h.reservedSums = map[Key]float64{}, map[string]float64{}
+	if !h.hasReserve {
 		return
 	}
-	for cell, w := range cells {
-		for tenant, part := range w.split(ForGood/float64(h.most), nil) {
-			h.kept[Key{cell, tenant}] = part
-			h.keeps[cell] += part
+	for cell, c := range cells {
+		for tenant, rate := range c.divide(ReservedRatio/float64(h.maxRouters), nil) {
+			h.reserved[Key{cell, tenant}] = rate
+			h.reservedSums[cell] += rate
 		}
 	}
 }
 
-// Told takes a grant that was asked for at a time, by a word that said which one was acted on then. One that was overtaken says
-// nothing: the leader counts it until a later one is acted on. Nor does one for a word from before what is acted on now: another
-// leader may have given away since what that word said was held.
-func (h *Holder) Told(asked time.Duration, said uint64, g Grant, terms lease.Terms) {
-	if g.Seq <= h.seq || said != h.seq {
+// TakeGrant takes a grant that was asked for at a time, by a request that said which grant was in use then. One that was overtaken says
+// nothing: the leader counts it until a later one is in use. Nor does one for a request from before what is in use now: another leader
+// may have lent since what that request said was in use.
+func (h *Holder) TakeGrant(asked time.Duration, applied uint64, g Grant, terms lease.Terms) {
+	if g.Seq <= h.grantSeq || applied != h.grantSeq {
 		return
 	}
-	h.seq, h.until, h.parts = g.Seq, asked+terms.Hold(), map[Key]float64{}
-	for _, p := range g.Parts {
-		h.parts[Key{p.Cell, p.Tenant}] = p.Rate
+	h.grantSeq, h.leaseUntil, h.lent = g.Seq, asked+terms.Hold(), map[Key]float64{}
+	for _, a := range g.Rates {
+		h.lent[Key{a.Cell, a.Tenant}] = a.Rate
 	}
 }
 
-// Part is what may be used of a key now, in requests a second: the part that is lent while its lease holds, and the part for good.
-func (h *Holder) Part(now time.Duration, k Key) float64 {
-	part := 0.0
-	if now < h.until {
-		part = h.parts[k]
+// Rate is what may be used of a key now, in requests a second: what is lent while the lease holds, and the reserve.
+func (h *Holder) Rate(now time.Duration, k Key) float64 {
+	rate := 0.0
+	if now < h.leaseUntil {
+		rate = h.lent[k]
 	}
-	return part + h.kept[k]
+	return rate + h.reserved[k]
 }
 
-// mostListed is how many keys Parts lists whatever they are.
-const mostListed = 256
-
-// Parts are what may be used now, by key: of many keys those that a part is lent of, or that were asked for lately. Rest is what there
-// is of all others in each cell, for good. It runs over the former alone, as a map has thousands of tenants.
-func (h *Holder) Parts(now time.Duration) (list map[Key]float64, rest map[string]float64) {
-	list, rest = map[Key]float64{}, maps.Clone(h.keeps)
+// Rates are what may be used now, in requests a second, by key: of many keys those that something is lent of, or that were asked for of
+// late. Rest is the reserve of all others in each cell. It runs over the former alone, as a map has thousands of tenants.
+func (h *Holder) Rates(now time.Duration) (list map[Key]float64, rest map[string]float64) {
+	list, rest = map[Key]float64{}, maps.Clone(h.reservedSums)
 	add := func(k Key) {
 		if _, ok := list[k]; !ok {
-			list[k] = h.Part(now, k)
-			rest[k.Cell] = max(0, rest[k.Cell]-h.kept[k])
+			list[k] = h.Rate(now, k)
+			rest[k.Cell] = max(0, rest[k.Cell]-h.reserved[k])
 		}
 	}
-	for k := range h.uses {
+	for k := range h.keys {
 		add(k)
 	}
-	if now < h.until {
-		for k := range h.parts {
+	if now < h.leaseUntil {
+		for k := range h.lent {
 			add(k)
 		}
 	}
-	if len(h.kept) <= mostListed {
-		for k := range h.kept {
+	if len(h.reserved) <= maxKeysListed {
+		for k := range h.reserved {
 			add(k)
 		}
 	}
 	return list, rest
 }
 
-// Says is the router's word to the group's leader.
-func (h *Holder) Says(now time.Duration) Word {
-	w := Word{Most: h.most, Applied: h.seq}
-	if now < h.until {
-		for k, r := range h.parts {
-			w.Parts = append(w.Parts, Part{k.Cell, k.Tenant, r})
+// Request is the router's request to the group's leader. Keys that were not asked for in forgetAfter are forgotten.
+func (h *Holder) Request(now time.Duration) Request {
+	r := Request{MaxRouters: h.maxRouters, Applied: h.grantSeq}
+	if now < h.leaseUntil {
+		for k, rate := range h.lent {
+			r.Rates = append(r.Rates, Allocation{k.Cell, k.Tenant, rate})
 		}
 	}
-	for k, u := range h.uses {
-		u.fade(now)
-		if u.rate > 0.01 {
-			w.Demand = append(w.Demand, Part{k.Cell, k.Tenant, u.rate})
-		} else if now-u.filled > time.Minute {
-			delete(h.uses, k)
+	for k, u := range h.keys {
+		u.decay(now)
+		if u.demand > minDemand {
+			r.Demand = append(r.Demand, Allocation{k.Cell, k.Tenant, u.demand})
+		} else if now-u.filledAt > forgetAfter {
+			delete(h.keys, k)
 		}
 	}
-	return w
+	return r
 }
 
-func (u *use) fade(now time.Duration) {
-	u.rate *= math.Exp(-(now - u.at).Seconds() / lately)
-	u.at = now
+// decay brings the moving average of the demand to a time.
+func (u *keyUse) decay(now time.Duration) {
+	u.demand *= math.Exp(-(now - u.demandAt).Seconds() / demandSpan)
+	u.demandAt = now
 }
 
-// Admit counts a request of a key as asked for, and tells whether it is within its part.
+// Admit counts a request of a key as asked for, and reports whether it is within the quota.
 func (h *Holder) Admit(now time.Duration, k Key) bool {
-	u := h.uses[k]
+	u := h.keys[k]
 	if u == nil {
-		u = &use{at: now, filled: now, tokens: atOnce}
-		h.uses[k] = u
+		u = &keyUse{demandAt: now, filledAt: now, tokens: minBurst}
+		h.keys[k] = u
 	}
-	u.fade(now)
-	u.rate += 1 / lately
-	part := h.Part(now, k)
-	u.tokens = min(u.tokens+part*(now-u.filled).Seconds(), max(atOnce, part*burst))
-	u.filled = now
+	u.decay(now)
+	u.demand += 1 / demandSpan
+	rate := h.Rate(now, k)
+	u.tokens = min(u.tokens+rate*(now-u.filledAt).Seconds(), max(minBurst, rate*burstSpan))
+	u.filledAt = now
 	if u.tokens < 1 {
 		h.counts.Beyond++
 		return false
@@ -157,5 +165,5 @@
 // Counts returns what was decided since the start.
 func (h *Holder) Counts() Counts { return h.counts }
 
-// Granted reports whether there are parts whose lease holds.
-func (h *Holder) Granted(now time.Duration) bool { return now < h.until }
+// HasLease reports whether there are rates whose lease holds.
+func (h *Holder) HasLease(now time.Duration) bool { return now < h.leaseUntil }
--- a/internal/policy/quota/shares_test.go
+++ b/internal/policy/quota/quota_test.go
@@ -12,12 +12,12 @@
 
 var terms = lease.Terms{TTL: time.Second, Drift: 0.05}
 
-func one(capacity float64, rates ...float64) map[string]Whole {
-	w := Whole{map[string]float64{"s": capacity}, map[string]Tenant{}}
+func one(capacity float64, rates ...float64) map[string]Capacity {
+	w := Capacity{map[string]float64{"s": capacity}, map[string]Tenant{}}
 	for i, r := range rates {
 		w.Tenants[fmt.Sprint("t", i)] = Tenant{r, []string{"s"}}
 	}
-	return map[string]Whole{"c": w}
+	return map[string]Capacity{"c": w}
 }
 
 func TestFill(t *testing.T) {
@@ -35,7 +35,7 @@
 		{[]float64{10, 10}, []Claim{{1, 100, []int{0}}, {1, 100, []int{1}}}, []float64{10, 10}},
 		{nil, []Claim{{1, 1, nil}}, []float64{0}},
 	} {
-		for i, got := range Fill(c.caps, c.claims) {
+		for i, got := range MaxMin(c.caps, c.claims) {
 			if math.Abs(got-c.want[i]) > 1e-6 {
 				t.Errorf("%v %+v: %v, want %v", c.caps, c.claims, got, c.want[i])
 			}
@@ -78,13 +78,13 @@
 			cells := one(100, 60, 20, 0)
 			l := NewLedger(terms)
 			now, term := time.Duration(0), uint64(1)
-			l.Set(cells)
-			l.Lead(now, term)
+			l.SetCapacity(cells)
+			l.StartLeading(now, term)
 			var routers []*router
 			add := func() {
 				n := len(routers)
 				r := &router{name: fmt.Sprint("r", n), h: NewHolder(8, true), rate: []float64{0.96, 1, 1.04}[n%3]}
-				r.h.Set(cells)
+				r.h.SetCapacity(cells)
 				routers = append(routers, r)
 			}
 			for range 4 {
@@ -105,19 +105,19 @@
 						break
 					}
 					asked := r.clock(now)
-					w := r.h.Says(asked)
-					g, ok := l.Hear(now, r.name, w)
+					w := r.h.Request(asked)
+					g, ok := l.Lend(now, r.name, w)
 					if c.out == noClamp && ok {
-						for i, p := range g.Parts {
-							g.Parts[i].Rate = Targets(l.cells["c"], demands(l, now))[r.name][p.Tenant]
+						for i, p := range g.Rates {
+							g.Rates[i].Rate = Targets(l.cells["c"], demands(l, now))[r.name][p.Tenant]
 						}
 					}
 					if ok {
 						r.out = append(r.out, func() {
 							if c.out == anyAnswer {
-								r.h.seq, w.Applied = 0, 0
+								r.h.grantSeq, w.Applied = 0, 0
 							}
-							r.h.Told(asked, w.Applied, g, terms)
+							r.h.TakeGrant(asked, w.Applied, g, terms)
 						})
 					}
 				case 7, 8:
@@ -136,10 +136,10 @@
 				case 11:
 					if rng.IntN(4) == 0 { // another member leads
 						term++
-						l.Follow()
-						l.Lead(now, term)
+						l.StopLeading()
+						l.StartLeading(now, term)
 						if c.out == noWait {
-							l.since -= 2 * time.Second
+							l.leadingSince -= 2 * time.Second
 						}
 					} else if len(routers) < 8 && rng.IntN(8) == 0 {
 						add()
@@ -150,9 +150,9 @@
 					for tenant := range cells["c"].Tenants {
 						k, at := Key{"c", tenant}, r.clock(now)
 						if c.out == noLease {
-							at = min(at, r.h.until-1)
+							at = min(at, r.h.leaseUntil-1)
 						}
-						sum += r.h.Part(at, k)
+						sum += r.h.Rate(at, k)
 					}
 				}
 				worst = max(worst, sum)
@@ -172,7 +172,7 @@
 
 func demands(l *Ledger, now time.Duration) map[string]map[string]float64 {
 	all := map[string]map[string]float64{}
-	for who, u := range l.users {
+	for who, u := range l.routers {
 		all[who] = map[string]float64{}
 		for tenant := range l.cells["c"].Tenants {
 			all[who][tenant] = u.demand[Key{"c", tenant}]
@@ -192,9 +192,9 @@
 				}
 			}
 			if now%(340*time.Millisecond) == 0 {
-				w := h.Says(now)
-				if g, ok := l.Hear(now, name, w); ok {
-					h.Told(now, w.Applied, g, terms)
+				w := h.Request(now)
+				if g, ok := l.Lend(now, name, w); ok {
+					h.TakeGrant(now, w.Applied, g, terms)
 				}
 			}
 		}
@@ -208,17 +208,17 @@
 func TestPartsFollow(t *testing.T) {
 	cells := one(100, 30, 10)
 	l := NewLedger(terms)
-	l.Set(cells)
-	l.Lead(0, 1)
+	l.SetCapacity(cells)
+	l.StartLeading(0, 1)
 	hs := map[string]*Holder{}
 	add := func(name string) {
 		hs[name] = NewHolder(8, true)
-		hs[name].Set(cells)
+		hs[name].SetCapacity(cells)
 	}
 	for _, n := range []string{"r0", "r1", "r2"} {
 		add(n)
 	}
-	part := func(name, tenant string, now time.Duration) float64 { return hs[name].Part(now, Key{"c", tenant}) }
+	part := func(name, tenant string, now time.Duration) float64 { return hs[name].Rate(now, Key{"c", tenant}) }
 	shift := 10 * time.Second
 	load := func(name string, now time.Duration) map[string]float64 {
 		switch {
@@ -258,7 +258,7 @@
 	if p := part("r3", "t0", shift+10*time.Second-1); p <= 0 {
 		t.Error("a router that joined has nothing")
 	}
-	if lent := l.Lent(shift+10*time.Second, "c"); lent > 1.0001 {
+	if lent := l.LentRatio(shift+10*time.Second, "c"); lent > 1.0001 {
 		t.Errorf("%.3f of what there is was lent", lent)
 	}
 	// Cut off it keeps its part for a lease and no longer; what it has for good stays.
@@ -266,10 +266,10 @@
 	if a, b := part("r1", "t0", now), part("r1", "t0", now+terms.TTL); b >= a || b <= 0 {
 		t.Errorf("cut off: %.2f, then %.2f", a, b)
 	}
-	if n := NewHolder(8, false); n.Part(0, Key{"c", "t0"}) != 0 {
+	if n := NewHolder(8, false); n.Rate(0, Key{"c", "t0"}) != 0 {
 		t.Error("one that may be there twice has a part for good")
 	}
-	if _, ok := l.Hear(now, "r9", Word{Most: 3}); ok {
+	if _, ok := l.Lend(now, "r9", Request{MaxRouters: 3}); ok {
 		t.Error("routers were told of different numbers of them")
 	}
 }
--- a/internal/policy/quota/wire_test.go
+++ b/internal/policy/quota/wire_test.go
@@ -17,26 +17,26 @@
 // by a word has to stay, or parts would sum to more than the whole while two builds lead in turn. A play of three routers, one of which
 // comes late, a leader that goes and one that comes, stands in testdata as the program wrote it before its names were changed.
 func TestWordsAndGrantsStayWhatTheyWere(t *testing.T) {
-	whole := map[string]Whole{
+	whole := map[string]Capacity{
 		"a": {Servers: map[string]float64{"s1": 34, "s2": 34}, Tenants: map[string]Tenant{"kviz": {Rate: 30, On: []string{"s1", "s2"}}, "": {Rate: 0, On: []string{"s1", "s2"}}}},
 		"b": {Servers: map[string]float64{"s3": 20}, Tenants: map[string]Tenant{"glava": {Rate: 10, On: []string{"s3"}}}},
 	}
 	terms := lease.Terms{TTL: 3 * time.Second, Drift: 0.05}
 	var got strings.Builder
 	leader := NewLedger(terms)
-	leader.Set(whole)
-	leader.Lead(0, 1)
+	leader.SetCapacity(whole)
+	leader.StartLeading(0, 1)
 	routers := map[string]*Holder{}
 	for _, name := range []string{"r1", "r2", "r3"} {
 		routers[name] = NewHolder(4, name == "r1")
-		routers[name].Set(whole)
+		routers[name].SetCapacity(whole)
 	}
 	for step := range 30 {
 		now := time.Duration(step+1) * time.Second
 		if step == 15 {
 			leader = NewLedger(terms)
-			leader.Set(whole)
-			leader.Lead(now, 2)
+			leader.SetCapacity(whole)
+			leader.StartLeading(now, 2)
 		}
 		for i, name := range []string{"r1", "r2", "r3"} {
 			if name == "r3" && step < 6 {
@@ -48,9 +48,9 @@
 				h.Admit(now+time.Duration(n)*10*time.Millisecond, k)
 			}
 			now := now + 500*time.Millisecond
-			w := h.Says(now)
-			for _, list := range [][]Part{w.Parts, w.Demand} {
-				slices.SortFunc(list, func(a, b Part) int {
+			w := h.Request(now)
+			for _, list := range [][]Allocation{w.Rates, w.Demand} {
+				slices.SortFunc(list, func(a, b Allocation) int {
 					return cmp.Or(strings.Compare(a.Cell, b.Cell), strings.Compare(a.Tenant, b.Tenant))
 				})
 			}
@@ -61,21 +61,21 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			var read Word
+			var read Request
 			if err := json.Unmarshal(word, &read); err != nil {
 				t.Fatal(err)
 			}
-			g, ok := leader.Hear(now, name, read)
-			for j := range g.Parts {
-				g.Parts[j].Rate = float64(int(g.Parts[j].Rate*1e4)) / 1e4
+			g, ok := leader.Lend(now, name, read)
+			for j := range g.Rates {
+				g.Rates[j].Rate = float64(int(g.Rates[j].Rate*1e4)) / 1e4
 			}
 			grant, err := json.Marshal(g)
 			if err != nil {
 				t.Fatal(err)
 			}
-			h.Told(now, w.Applied, g, terms)
+			h.TakeGrant(now, w.Applied, g, terms)
 			c := h.Counts()
-			fmt.Fprintf(&got, "%d %s %s\n%v %s granted %v within %d beyond %d lent %.4f\n", step, name, word, ok, grant, h.Granted(now), c.Within, c.Beyond, leader.Lent(now, "a"))
+			fmt.Fprintf(&got, "%d %s %s\n%v %s granted %v within %d beyond %d lent %.4f\n", step, name, word, ok, grant, h.HasLease(now), c.Within, c.Beyond, leader.LentRatio(now, "a"))
 		}
 	}
 	want, err := os.ReadFile("testdata/words.txt")
--- a/internal/policy/slowstart/slowstart.go
+++ b/internal/policy/slowstart/slowstart.go
@@ -1,9 +1,9 @@
-// Package slowstart decides how many requests each of several callers may have out at a server that is cold, so that all of them
-// together stay within what it can take. It decides only: no clock, no lock, no I/O. docs/design/crossings.md has the reasons.
+// Package slowstart decides how many requests each of several callers may have in flight to a server that is warming up, so that all
+// of them together stay within what it can take. It decides only: no clock, no lock, no I/O. docs/design/crossings.md has the reasons.
 //
-// The server shares out, as it alone hears of all who send to it; a caller holds what it was told for a term and nothing
-// beyond it. So the sum holds whoever joins, leaves, hears late or hears nothing; what is left to chance are requests that go
-// out between a caller's word and the answer to it.
+// The server grants, as it alone hears of all who send to it; a caller uses what it was granted for a term and nothing beyond it. So
+// the sum holds whoever joins, leaves, hears late or hears nothing; what is left to chance are requests that go out between a caller's
+// health check and the answer to it.
 package slowstart
 
 import (
@@ -17,81 +17,89 @@
 )
 
 const (
-	margin = 0.9 // share of a told limit that is used, as in the module
-	// mostCallers bounds the callers that are known at once: whoever comes beyond gets no part.
-	mostCallers = 1024
-	// turns is how many terms a caller keeps its place among those who get what does not divide by all.
-	turns = 2
+	// safetyMargin is the share of a told limit that is used, as in the module: the last tenth is where queues begin.
+	safetyMargin = 0.9
+	// maxCallers bounds the callers that are known at once, some 100 bytes each; whoever comes beyond is granted nothing.
+	maxCallers = 1024
+	// turnTerms is how many terms a caller keeps its place among those who get what does not divide by all: two, so that it has the
+	// request that it was granted for a whole term before another caller has it.
+	turnTerms = 2
 )
 
-// Whole is the number of requests that a server takes at once, so long after its start, and whether it is cold. It is what
-// the module survives on the cores then.
-func Whole(set silverpath.Settings, up time.Duration) (whole float64, cold bool) {
+// Capacity is the number of requests that a server takes at once, so long after its start, and whether it is warming up. It is what
+// the module survives on the cores then: their speed rises evenly from Settings.ColdSpeed to 1 over Settings.WarmupTime.
+func Capacity(set silverpath.Settings, up time.Duration) (requests float64, warming bool) {
 	if !set.Cold || up >= set.WarmupTime {
 		return 0, false
 	}
 	speed := set.ColdSpeed + (1-set.ColdSpeed)*max(0, up.Seconds())/set.WarmupTime.Seconds()
-	return margin * float64(set.Cores) * (1 + (set.MaxRunsPerCore-1)*speed), true
+	return safetyMargin * float64(set.Cores) * (1 + (set.MaxRunsPerCore-1)*speed), true
 }
 
-// Server shares out what a server takes.
+// Server grants what a server takes to its callers. All times are the server's monotonic clock.
 type Server struct {
-	assumed int           // callers, until all had the time to be heard
-	began   time.Duration // when it could be heard of first
-	seed    maphash.Seed
-	callers map[string]*caller
+	assumedCallers int           // until all had the time to be heard
+	listeningSince time.Duration // callers could first be heard then
+	seed           maphash.Seed
+	callers        map[string]*grant
 }
 
-type caller struct {
-	part   int
-	until  time.Duration // it may go by the part until then
-	flying int           // that it had out as it spoke last
+// grant is what a caller was granted.
+type grant struct {
+	requests int
+	until    time.Duration // it may go by them until then
+	inFlight int           // that it had as it spoke last
 }
 
-// NewServer returns the shares of a server that started at the given time. Assumed is the number of callers that it is taken
-// to have until each had a term to be heard of: nothing but the settings tells it sooner.
+// NewServer returns the grants of a server that started at the given time. Assumed is the number of callers that it is taken to have
+// until each had a term to be heard: nothing but the settings tells it sooner.
 func NewServer(now time.Duration, assumed int) *Server {
-	return &Server{assumed: max(1, assumed), began: now, seed: maphash.MakeSeed(), callers: map[string]*caller{}}
+	return &Server{assumedCallers: max(1, assumed), listeningSince: now, seed: maphash.MakeSeed(), callers: map[string]*grant{}}
 }
 
-// Part is what a caller that speaks now, and has so many requests out here, may have out for a term from its speaking on.
-func (s *Server) Part(now time.Duration, who string, flying int, whole float64, term time.Duration) int {
-	c := s.callers[who]
-	if c == nil {
-		c = &caller{}
+// Grant is how many requests a caller that speaks now, and has so many in flight here, may have in flight for a term from its speaking
+// on. Capacity is what the server takes, from the function of that name. It is called with each health check of a router.
+//
+// The others count with what they were granted or with what they have in flight, whichever is more, until their term is over: so a
+// caller whose grant shrinks and whose requests still run is not counted too low.
+func (s *Server) Grant(now time.Duration, caller string, inFlight int, capacity float64, term time.Duration) int {
+	g := s.callers[caller]
+	if g == nil {
+		g = &grant{}
 	}
-	c.flying = max(0, flying)
-	held, names := 0, []string{who}
-	for name, o := range s.callers {
-		if o == c {
+	g.inFlight = max(0, inFlight)
+	takenByOthers, names := 0, []string{caller}
+	for name, other := range s.callers {
+		if other == g {
 			continue
 		}
-		if now >= o.until {
-			delete(s.callers, name) // its part is over, and it said nothing since: what it may still have out is left to chance
+		if now >= other.until {
+			delete(s.callers, name) // it said nothing since: what it may still have in flight is left to chance
 			continue
 		}
 		names = append(names, name)
-		held += max(o.part, o.flying)
+		takenByOthers += max(other.requests, other.inFlight)
 	}
-	if len(s.callers) >= mostCallers && s.callers[who] == nil {
+	if len(s.callers) >= maxCallers && s.callers[caller] == nil {
 		return 0
 	}
-	s.callers[who] = c
-	n := len(names)
-	if now-s.began < term {
-		n = max(n, s.assumed)
+	s.callers[caller] = g
+	callers := len(names)
+	if now-s.listeningSince < term {
+		callers = max(callers, s.assumedCallers)
 	}
-	all := int(math.Floor(whole))
-	part, rest := all/n, all%n
-	if s.rank(names, who, now/(turns*term)) < rest {
-		part++
+	all := int(math.Floor(capacity))
+	share, remainder := all/callers, all%callers
+	if s.rank(names, caller, now/(turnTerms*term)) < remainder {
+		share++
 	}
-	c.part, c.until = max(0, min(part, all-held)), now+term
-	return c.part
+	g.requests, g.until = max(0, min(share, all-takenByOthers)), now+term
+	return g.requests
 }
 
 // rank is a caller's place among all, another one at each turn.
-func (s *Server) rank(names []string, who string, turn time.Duration) int {
+func (s *Server) rank(names []string, caller string, turn time.Duration) int {
+	// The multiplier is 2^64 by the golden ratio, as in Fibonacci hashing: turns that follow each other give orders that are unlike.
 	place := func(name string) uint64 { return maphash.String(s.seed, name) ^ uint64(turn)*0x9e3779b97f4a7c15 }
 	slices.SortFunc(names, func(a, b string) int {
 		switch x, y := place(a), place(b); {
@@ -102,31 +110,32 @@
 		}
 		return strings.Compare(a, b)
 	})
-	return slices.Index(names, who)
+	return slices.Index(names, caller)
 }
 
-// Caller is what a caller knows of a server's slow start. The zero value is of a server that is warm.
+// Caller is what a caller knows of a server's slow start. The zero value is of a server that is warm. All times are the caller's
+// monotonic clock.
 type Caller struct {
-	cold  bool
-	part  int
-	until time.Duration
+	warming  bool
+	requests int
+	until    time.Duration
 }
 
-// Starts is told that the server has started anew: until it says what it takes, nothing is claimed of it.
-func (c *Caller) Starts() { *c = Caller{cold: true} }
+// Restarted is told that the server has started anew: until it grants something, nothing is claimed of it.
+func (c *Caller) Restarted() { *c = Caller{warming: true} }
 
-// Told is told the part that the server gave, for a term from the asking on.
-func (c *Caller) Told(asked time.Duration, part int, term time.Duration) {
-	*c = Caller{cold: true, part: part, until: asked + term}
+// Granted is told how many requests the server granted, for a term that begins as they were asked for.
+func (c *Caller) Granted(asked time.Duration, requests int, term time.Duration) {
+	*c = Caller{warming: true, requests: requests, until: asked + term}
 }
 
-// Warm is told that the server has said nothing of a slow start.
-func (c *Caller) Warm() { *c = Caller{} }
+// WarmedUp is told that the server has said nothing of a slow start.
+func (c *Caller) WarmedUp() { *c = Caller{} }
 
-// Room reports whether one more request may go out, first tries, retries and second copies alike, beside those that are.
-func (c *Caller) Room(now time.Duration, flying int) bool {
-	return !c.cold || now < c.until && flying < c.part
+// HasCapacity reports whether one more request may go out beside those in flight: first attempts, retries and hedged requests alike.
+func (c *Caller) HasCapacity(now time.Duration, inFlight int) bool {
+	return !c.warming || now < c.until && inFlight < c.requests
 }
 
-// Cold reports whether the server is taken to be in its slow start.
-func (c *Caller) Cold() bool { return c.cold }
+// Warming reports whether the server is taken to be in its slow start.
+func (c *Caller) Warming() bool { return c.warming }
--- a/internal/policy/slowstart/slowstart_test.go
+++ b/internal/policy/slowstart/slowstart_test.go
@@ -14,16 +14,16 @@
 
 func TestWhole(t *testing.T) {
 	for up, want := range map[time.Duration]float64{-time.Second: 0.9 * 6 * 2.75, 0: 0.9 * 6 * 2.75, 6 * time.Second: 0.9 * 6 * 5.375} {
-		if got, cold := Whole(settings, up); !cold || math.Abs(got-want) > 1e-9 {
+		if got, cold := Capacity(settings, up); !cold || math.Abs(got-want) > 1e-9 {
 			t.Errorf("%v after the start: %v, %v; want %v", up, got, cold, want)
 		}
 	}
 	warm := settings
 	warm.Cold = false
-	if _, cold := Whole(warm, 0); cold {
+	if _, cold := Capacity(warm, 0); cold {
 		t.Error("cold though it is not")
 	}
-	if _, cold := Whole(settings, settings.WarmupTime); cold {
+	if _, cold := Capacity(settings, settings.WarmupTime); cold {
 		t.Error("cold for longer than told")
 	}
 }
@@ -31,25 +31,25 @@
 // A caller claims nothing of a start that it has just heard of, goes by its part for a term from its asking on, and by none after.
 func TestCaller(t *testing.T) {
 	var c Caller
-	if !c.Room(0, 1000) || c.Cold() {
+	if !c.HasCapacity(0, 1000) || c.Warming() {
 		t.Fatal("a warm server is limited")
 	}
-	c.Starts()
-	if c.Room(0, 0) || !c.Cold() {
+	c.Restarted()
+	if c.HasCapacity(0, 0) || !c.Warming() {
 		t.Fatal("a part of a start that was only heard of")
 	}
-	c.Told(time.Second, 2, 3*time.Second)
+	c.Granted(time.Second, 2, 3*time.Second)
 	for _, x := range []struct {
 		at     time.Duration
 		flying int
 		want   bool
 	}{{time.Second, 1, true}, {time.Second, 2, false}, {4*time.Second - 1, 0, true}, {4 * time.Second, 0, false}} {
-		if got := c.Room(x.at, x.flying); got != x.want {
+		if got := c.HasCapacity(x.at, x.flying); got != x.want {
 			t.Errorf("at %v with %d out: %v", x.at, x.flying, got)
 		}
 	}
-	c.Warm()
-	if !c.Room(time.Hour, 5) {
+	c.WarmedUp()
+	if !c.HasCapacity(time.Hour, 5) {
 		t.Error("warm, and limited")
 	}
 }
@@ -92,13 +92,13 @@
 		if rng.IntN(5) == 0 {
 			c.until = c.from + time.Duration(rng.Int64N(int64(6*time.Second)))
 		}
-		c.c.Starts()
+		c.c.Restarted()
 		all = append(all, c)
 	}
 	worst = math.Inf(-1)
 	steps := 0
 	for now := time.Duration(0); ; now += step {
-		whole, cold := Whole(settings, now)
+		whole, cold := Capacity(settings, now)
 		if !cold {
 			return worst, used / float64(steps)
 		}
@@ -109,7 +109,7 @@
 			}
 			if now >= c.until { // lost, with all that it had out; another takes its place a while later
 				all[i] = &sender{name: c.name + "'", from: now + 2*time.Second, until: time.Hour, next: now + 2*time.Second}
-				all[i].c.Starts()
+				all[i].c.Restarted()
 				continue
 			}
 			kept := c.out[:0]
@@ -127,10 +127,10 @@
 				}
 			}
 			for len(c.told) > 0 && c.told[0].at <= now {
-				c.c.Told(c.told[0].asked, c.told[0].part, term)
+				c.c.Granted(c.told[0].asked, c.told[0].part, term)
 				c.told = c.told[1:]
 			}
-			for c.c.Room(now, len(c.out)) {
+			for c.c.HasCapacity(now, len(c.out)) {
 				c.out = append(c.out, now+100*time.Millisecond+time.Duration(rng.Int64N(int64(2*time.Second))))
 			}
 			sum += len(c.out)
@@ -151,7 +151,7 @@
 		mean := 0.0
 		for seed := range uint64(seeds) {
 			worst, used := play(seed, n, func(s *Server, now time.Duration, who string, flying int, whole float64) int {
-				return s.Part(now, who, flying, whole, term)
+				return s.Grant(now, who, flying, whole, term)
 			})
 			if worst > 1 {
 				t.Fatalf("%d callers, seed %d: %.2f times what chance may add", n, seed, worst)
@@ -172,10 +172,10 @@
 		"rounded up, by three": func(_ *Server, _ time.Duration, _ string, _ int, whole float64) int { return int(math.Ceil(whole / 3)) },
 		"what others hold is not counted": func(s *Server, now time.Duration, who string, flying int, whole float64) int {
 			for _, c := range s.callers {
-				c.part, c.flying = 0, 0
+				c.requests, c.inFlight = 0, 0
 			}
-			s.assumed = 1
-			return s.Part(now, who, flying, whole, term)
+			s.assumedCallers = 1
+			return s.Grant(now, who, flying, whole, term)
 		},
 	} {
 		found := false
@@ -204,15 +204,15 @@
 		{"the other's part is over, and what it had out", 7, term + every, 10},
 	} {
 		s := NewServer(0, 1)
-		if p := s.Part(0, "other", 0, 10, term); p != 10 {
+		if p := s.Grant(0, "other", 0, 10, term); p != 10 {
 			t.Fatalf("%s: alone it gets %d", x.name, p)
 		}
 		if x.flying > 0 {
-			if p := s.Part(every, "other", x.flying, 4, term); p != 4 { // of less than it has out
+			if p := s.Grant(every, "other", x.flying, 4, term); p != 4 { // of less than it has out
 				t.Fatalf("%s: alone it gets %d", x.name, p)
 			}
 		}
-		if got := s.Part(x.at, "one", 0, 10, term); got != x.want {
+		if got := s.Grant(x.at, "one", 0, 10, term); got != x.want {
 			t.Errorf("%s: %d, want %d", x.name, got, x.want)
 		}
 		if _, known := s.callers["other"]; known != (x.want < 10) {
@@ -224,7 +224,7 @@
 // Whoever is first leaves the others' parts to them, until all had a term to be heard of.
 func TestFirstCallerOfSeveral(t *testing.T) {
 	for at, want := range map[time.Duration][2]int{0: {2, 3}, term - 1: {2, 3}, term: {10, 10}} {
-		if p := NewServer(0, 4).Part(at, "first", 0, 10, term); p < want[0] || p > want[1] {
+		if p := NewServer(0, 4).Grant(at, "first", 0, 10, term); p < want[0] || p > want[1] {
 			t.Errorf("after %v the first of four gets %d, want %v", at, p, want)
 		}
 	}
@@ -233,13 +233,13 @@
 // Callers without end get no part, and take no memory without end.
 func TestCallersAreBounded(t *testing.T) {
 	s := NewServer(0, 1)
-	for i := range mostCallers + 10 {
-		s.Part(time.Duration(i), fmt.Sprint(i), 0, 1e6, time.Hour)
+	for i := range maxCallers + 10 {
+		s.Grant(time.Duration(i), fmt.Sprint(i), 0, 1e6, time.Hour)
 	}
-	if len(s.callers) > mostCallers {
+	if len(s.callers) > maxCallers {
 		t.Fatalf("%d callers", len(s.callers))
 	}
-	if p := s.Part(time.Minute, "new", 0, 1e6, time.Hour); p != 0 {
+	if p := s.Grant(time.Minute, "new", 0, 1e6, time.Hour); p != 0 {
 		t.Errorf("part %d beyond the bound", p)
 	}
 }
--- a/internal/proxy/cold_test.go
+++ b/internal/proxy/cold_test.go
@@ -44,7 +44,7 @@
 			quiet, counters := log.New(io.Discard, "", 0), &metrics.Counters{}
 			set := silverpath.Settings{Cores: 2, MemoryKB: 1e6, MaxRunsPerCore: 8, RunsWindow: time.Second, RetryAfter: true, MaxRetryAfter: time.Second,
 				ColdSpeed: 0.25, WarmupTime: time.Hour, Callers: 20, Classes: classes, Cold: true}
-			whole, _ := slowstart.Whole(set, 0)
+			whole, _ := slowstart.Capacity(set, 0)
 			c, err := core.New(core.Config{MemoryMB: 256, Log: quiet, Stats: counters, Cell: true, Settings: set})
 			if err != nil {
 				t.Fatal(err)
--- a/internal/proxy/fleet.go
+++ b/internal/proxy/fleet.go
@@ -66,8 +66,8 @@
 	room   chan struct{}
 
 	mu     sync.Mutex // the table's
-	table  *loadbalancer.Table
-	fair   *loadbalancer.Fair
+	table  *loadbalancer.Balancer
+	fair   *loadbalancer.TenantLimiter
 	share  *quota.Holder // nil: it knows nothing of what other routers let in
 	peers  map[string]*peer
 	flying atomic.Int64
@@ -108,9 +108,9 @@
 	if cfg.Dial == nil {
 		cfg.Dial = msgpackrpc.Dial
 	}
-	cfg.Routing.Window = m.Window + m.Patient + 2*m.Skew
+	cfg.Routing.KeyWindow = m.Window + m.Patient + 2*m.Skew
 	r := &Runner{
-		cfg: cfg, events: events, log: l, stats: s, began: time.Now(), table: loadbalancer.New(cfg.Routing), fair: loadbalancer.NewFair(),
+		cfg: cfg, events: events, log: l, stats: s, began: time.Now(), table: loadbalancer.New(cfg.Routing), fair: loadbalancer.NewTenantLimiter(),
 		peers: map[string]*peer{}, said: map[string]loadbalancer.Health{}, again: make(chan struct{}, 1), room: make(chan struct{}, max(8, cfg.Sockets)),
 	}
 	r.every.Store(int64(cfg.Probe))
@@ -161,9 +161,9 @@
 			delete(r.peers, name)
 		}
 	}
-	r.table.Members(r.clock(), weights)
+	r.table.SetServers(r.clock(), weights)
 	for _, name := range unheard {
-		r.table.Unheard(name)
+		r.table.AwaitHealthCheck(name)
 	}
 }
 
@@ -263,7 +263,7 @@
 	ctx, cancel := context.WithTimeout(ctx, probeWithin)
 	defer cancel()
 	r.mu.Lock()
-	asked, flying := r.clock(), r.table.Flying(s.Name)
+	asked, flying := r.clock(), r.table.InFlight(s.Name)
 	r.mu.Unlock()
 	every := r.probeEvery()
 	c, err := r.cfg.Dial(ctx, s.Addr)
@@ -287,10 +287,10 @@
 	if good { // one that says that it is unwell is there all the same: it drains, and knows its sheets
 		r.reached(s.Name, a.Fields)
 		if part, err := strconv.Atoi(a.Fields["c"]); err == nil {
-			r.table.Probed(asked, s.Name, part, msgpackrpc.SlowStartTerms*every)
+			r.table.SlowStartGranted(asked, s.Name, part, msgpackrpc.SlowStartTerms*every)
 		}
 	} else {
-		r.table.Missed(r.clock(), s.Name)
+		r.table.Unreachable(r.clock(), s.Name)
 	}
 	if r.clock()-r.reported >= reportEvery {
 		r.report()
@@ -309,9 +309,9 @@
 		entered = s.From
 	}
 	ran, _ := strconv.ParseInt(fields["l"], 10, 64)
-	r.table.Reached(r.clock(), name, boot, ran, entered, time.Now().UnixMilli())
+	r.table.Answered(r.clock(), name, loadbalancer.Incarnation{Boot: boot, RanUntil: ran, Joined: entered, Now: time.Now().UnixMilli()})
 	if fields["cs"] == "" {
-		r.table.Warm(name)
+		r.table.WarmedUp(name)
 	}
 	if p := r.peers[name]; p != nil {
 		p.boot.Store(boot)
@@ -430,7 +430,7 @@
 		if !r.share.Admit(now, k) {
 			return false
 		}
-		rate = r.share.Part(now, k)
+		rate = r.share.Rate(now, k)
 	}
 	return r.fair.Admit(r.clock(), route.Cell, name, rate, len(route.Servers))
 }
@@ -448,7 +448,7 @@
 	case core.Served:
 		o = loadbalancer.Served
 	case core.Refused:
-		o = loadbalancer.Refused
+		o = loadbalancer.Rejected
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -477,15 +477,15 @@
 // may have run it, so then it fails. What is answered there is the answer; what no former home knows, the home runs.
 func (r *Runner) sheet(q core.Request, m *view, route cells.Route) core.Answer {
 	for _, former := range route.Ask {
-		if r.home(q.Tenant, former) == loadbalancer.Lost {
+		if r.home(q.Tenant, former) == loadbalancer.HomeLost {
 			return r.failed("former_home_lost")
 		}
 		switch e := r.try(q, former, true, q.Due); {
 		case e.outcome == loadbalancer.Served:
 			r.stats.Inc("fleet", "former_home")
 			return core.Answer{Outcome: core.Served, Body: e.body}
-		case e.outcome == loadbalancer.Refused && (e.why == core.WhyUnknown || e.why == core.WhyMoved):
-		case e.outcome == loadbalancer.Refused && e.why == core.WhyBehind:
+		case e.outcome == loadbalancer.Rejected && (e.why == core.WhyUnknown || e.why == core.WhyMoved):
+		case e.outcome == loadbalancer.Rejected && e.why == core.WhyBehind:
 			return r.behind("former_home_behind")
 		default:
 			return r.failed("former_home_" + e.name())
@@ -494,26 +494,26 @@
 	home := route.Home
 	for range 2 {
 		switch r.home(q.Tenant, home) {
-		case loadbalancer.Lost:
+		case loadbalancer.HomeLost:
 			return r.failed("home_lost")
-		case loadbalancer.Waiting:
+		case loadbalancer.HomeBusy:
 			return r.refuse("home_full")
 		}
 		switch e := r.try(q, home, false, q.Due); {
 		case e.outcome == loadbalancer.Served:
 			return core.Answer{Outcome: core.Served, Body: e.body}
-		case e.outcome == loadbalancer.Refused && e.why == core.WhyMoved:
+		case e.outcome == loadbalancer.Rejected && e.why == core.WhyMoved:
 			// Another router, whose clock is ahead, has asked here before it ran the sheet in its new home.
 			next, ok := m.Route(Wall().Add(2*m.Skew), q.Tenant, q.Key)
 			if !ok || next.Home == home {
 				return r.failed("moved_nowhere")
 			}
 			home = next.Home
-		case e.outcome == loadbalancer.Refused && e.why == core.WhyBehind:
+		case e.outcome == loadbalancer.Rejected && e.why == core.WhyBehind:
 			return r.behind("home_behind")
-		case e.outcome == loadbalancer.Refused && e.why != "":
+		case e.outcome == loadbalancer.Rejected && e.why != "":
 			return r.failed("home_" + e.why) // it started anew: an earlier try may have run before
-		case e.outcome == loadbalancer.Refused:
+		case e.outcome == loadbalancer.Rejected:
 			r.stats.Inc("fleet", "refused", "home")
 			return core.Answer{Outcome: core.Refused, Wait: e.away, Final: e.final}
 		default:
@@ -523,17 +523,17 @@
 	return r.failed("moved_twice")
 }
 
-func (r *Runner) home(tenant, name string) loadbalancer.Home {
+func (r *Runner) home(tenant, name string) loadbalancer.HomeState {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.table.Home(r.clock(), r.agreed(tenant), name)
+	return r.table.CheckHome(r.clock(), r.agreed(tenant), name)
 }
 
 // tries brings a request that has no home to a server. A safe one that fails is tried elsewhere, and gets a second copy where
 // the first takes longer than nearly all do; any other goes elsewhere only on proof that it never ran.
 func (r *Runner) tries(q core.Request, route cells.Route, safe bool) core.Answer {
 	r.mu.Lock()
-	r.table.First(r.clock())
+	r.table.FirstAttempt(r.clock())
 	r.mu.Unlock()
 	last, worst := "", core.Answer{Outcome: core.Refused, Wait: r.events.Advice()}
 	for range mostHops {
@@ -548,13 +548,13 @@
 		switch {
 		case e.outcome == loadbalancer.Served:
 			return core.Answer{Outcome: core.Served, Body: e.body}
-		case e.outcome == loadbalancer.Refused:
+		case e.outcome == loadbalancer.Rejected:
 			worst = core.Answer{Outcome: core.Refused, Wait: e.away, Final: e.final}
 		case !e.outcome.NeverRan():
 			worst = r.failed(e.name())
 		}
 		r.mu.Lock()
-		again := r.table.Retry(e.outcome, safe, e.final)
+		again := r.table.AllowRetry(e.outcome, safe, e.final)
 		r.mu.Unlock()
 		if !again || time.Until(q.Due) <= 2*lateAnswer {
 			return worst
@@ -575,7 +575,7 @@
 // Whichever is served first is the answer; the other is given up.
 func (r *Runner) hedged(q core.Request, route cells.Route, name string, safe bool) ending {
 	r.mu.Lock()
-	after, known := r.table.HedgeAfter()
+	after, known := r.table.HedgeDelay()
 	r.mu.Unlock()
 	if !safe || !known {
 		return r.try(q, name, false, q.Due)
@@ -599,7 +599,7 @@
 				continue
 			}
 			r.mu.Lock()
-			ok = r.table.Hedge()
+			ok = r.table.AllowHedge()
 			r.mu.Unlock()
 			if ok {
 				r.stats.Inc("fleet", "hedged")
@@ -633,14 +633,14 @@
 func (r *Runner) tryIn(ctx context.Context, q core.Request, name string, known bool, due time.Time) ending {
 	r.mu.Lock()
 	p := r.peers[name]
-	room := r.table.Take(r.clock(), name)
+	room := r.table.Acquire(r.clock(), name)
 	r.mu.Unlock()
 	if !room {
 		r.stats.Inc("fleet", "refused", "slow_start")
-		return ending{outcome: loadbalancer.Refused, away: r.events.Advice()}
+		return ending{outcome: loadbalancer.Rejected, away: r.events.Advice()}
 	}
 	began := time.Now()
-	e, fields := ending{outcome: loadbalancer.Refusing}, map[string]string(nil)
+	e, fields := ending{outcome: loadbalancer.ConnectFailed}, map[string]string(nil)
 	if p != nil {
 		ctx, cancel := context.WithDeadline(ctx, due.Add(-lateAnswer))
 		defer cancel()
@@ -656,16 +656,16 @@
 		r.reached(name, fields)
 		credit, _ := strconv.ParseFloat(fields["v"], 64)
 		away := e.away
-		if e.outcome != loadbalancer.Refused || e.why != "" {
+		if e.outcome != loadbalancer.Rejected || e.why != "" {
 			away = 0
 		}
-		r.table.Told(now, r.agreed(q.Tenant), name, credit, away)
+		r.table.Backpressure(now, r.agreed(q.Tenant), name, credit, away)
 	}
 	if errors.Is(ctx.Err(), context.Canceled) && e.outcome == loadbalancer.TimedOut {
-		r.table.Ended(now, name, loadbalancer.Refused, 0, false) // given up for another copy's answer: says nothing of it
+		r.table.Done(now, name, loadbalancer.Rejected, 0, false) // given up for another copy's answer: says nothing of it
 		return e
 	}
-	r.table.Ended(now, name, e.outcome, time.Since(began), q.Key == "")
+	r.table.Done(now, name, e.outcome, time.Since(began), q.Key == "")
 	return e
 }
 
@@ -679,7 +679,7 @@
 }
 
 // States are the servers as they are known, and what was decided, for operators.
-func (r *Runner) States() ([]loadbalancer.State, loadbalancer.Counts) {
+func (r *Runner) States() ([]loadbalancer.ServerState, loadbalancer.Counts) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.table.States(r.clock()), r.table.Counts()
@@ -773,7 +773,7 @@
 		select {
 		case a, ok := <-reply:
 			if !ok {
-				return ending{outcome: loadbalancer.Broken}, nil
+				return ending{outcome: loadbalancer.ConnectionLost}, nil
 			}
 			if a.Untaken() { // it crossed the end of a connection that had rested: proven that it never ran
 				crossed++
@@ -785,16 +785,16 @@
 			return ending{outcome: loadbalancer.TimedOut}, nil
 		}
 	}
-	return ending{outcome: loadbalancer.Unwritten}, nil
+	return ending{outcome: loadbalancer.NotSent}, nil
 }
 
 // refusing says what a connection that could not be had proves: nothing was sent, so nothing ran.
 func refusing(_ context.Context, err error) loadbalancer.Outcome {
 	var op *net.OpError
 	if errors.Is(err, syscall.ECONNREFUSED) || errors.As(err, &op) {
-		return loadbalancer.Refusing
+		return loadbalancer.ConnectFailed
 	}
-	return loadbalancer.Unwritten
+	return loadbalancer.NotSent
 }
 
 func end(a msgpackrpc.Reply) ending {
@@ -804,7 +804,7 @@
 		return ending{outcome: loadbalancer.Served, body: a.Body}
 	case "Full":
 		return ending{
-			outcome: loadbalancer.Refused, away: time.Duration(ms) * time.Millisecond, final: a.Fields["l"] == "1", why: a.Fields["x"],
+			outcome: loadbalancer.Rejected, away: time.Duration(ms) * time.Millisecond, final: a.Fields["l"] == "1", why: a.Fields["x"],
 		}
 	}
 	return ending{outcome: loadbalancer.Failed}
--- a/internal/proxy/fleet_test.go
+++ b/internal/proxy/fleet_test.go
@@ -169,7 +169,7 @@
 		}
 		var err error
 		l.runner, err = New(Config{
-			Source: fixedMap{m}, Cores: 100, Probe: every, Sockets: 50, Routing: loadbalancer.Config{Retries: 1, Hedges: 1, Seed: 3},
+			Source: fixedMap{m}, Cores: 100, Probe: every, Sockets: 50, Routing: loadbalancer.Config{RetryRatio: 1, HedgeRatio: 1, Seed: 3},
 			Dial: func(_ context.Context, addr string) (*msgpackrpc.Conn, error) {
 				s := l.servers[addr[0]-'0']
 				s.mu.Lock()
--- a/internal/proxy/parts_test.go
+++ b/internal/proxy/parts_test.go
@@ -688,7 +688,7 @@
 				sum += p
 			}
 			if i < tenants { // somebody lives there
-				want = 30 * 10 * quota.Use * quota.ForGood / 470
+				want = 30 * 10 * quota.UsableRatio * quota.ReservedRatio / 470
 			}
 			if i < tenants && tenants < 100 {
 				listed = 1
@@ -714,7 +714,7 @@
 		r.mu.Lock()
 		defer r.mu.Unlock()
 		r.wholes()
-		return r.share.Part(r.leased(), quota.Key{Cell: "a", Tenant: "tenant-0"})
+		return r.share.Rate(r.leased(), quota.Key{Cell: "a", Tenant: "tenant-0"})
 	}
 	whole := part()
 	told := r.shared
--- a/internal/proxy/rest_test.go
+++ b/internal/proxy/rest_test.go
@@ -146,7 +146,7 @@
 	<-over
 	mu.Lock()
 	defer mu.Unlock()
-	if e.outcome != loadbalancer.Broken || tries != 1 {
+	if e.outcome != loadbalancer.ConnectionLost || tries != 1 {
 		t.Errorf("%+v after %d tries", e, tries)
 	}
 }
--- a/internal/proxy/rules.go
+++ b/internal/proxy/rules.go
@@ -74,7 +74,7 @@
 	if at := now.UnixMilli(); r.shared.m == m && r.shared.from <= at && at < r.shared.until {
 		return
 	}
-	r.share.Set(quota.Of(m, now))
+	r.share.SetCapacity(quota.CapacityOf(m, now))
 	r.shared = wholesOf{m, now.UnixMilli(), math.MaxInt64}
 	if next, ok := m.NextChange(now); ok {
 		r.shared.until = next.UnixMilli()
@@ -82,16 +82,16 @@
 }
 
 // Says is this router's word to the group, for its part in the cells.
-func (r *Runner) Says() (w quota.Word, told func(quota.Grant, lease.Terms)) {
+func (r *Runner) Says() (w quota.Request, told func(quota.Grant, lease.Terms)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	asked := r.leased()
-	w = r.share.Says(asked)
+	w = r.share.Request(asked)
 	return w, func(g quota.Grant, t lease.Terms) {
 		r.mu.Lock()
 		defer r.mu.Unlock()
 		r.wholes()
-		r.share.Told(asked, w.Applied, g, t)
+		r.share.TakeGrant(asked, w.Applied, g, t)
 	}
 }
 
@@ -189,5 +189,5 @@
 	sure = mapped && r.standing(m) == configstore.Good
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return mapped, sure, r.share == nil || r.share.Granted(r.leased())
+	return mapped, sure, r.share == nil || r.share.HasLease(r.leased())
 }
--- a/internal/proxy/status.go
+++ b/internal/proxy/status.go
@@ -30,11 +30,11 @@
 		e.Set("name", a.NewString(s.Name))
 		e.Set("health", a.NewString(s.Health.String()))
 		e.Set("circuit", a.NewString(s.Circuit.String()))
-		e.Set("flying", a.NewNumberInt(s.Flying))
+		e.Set("flying", a.NewNumberInt(s.InFlight))
 		e.Set("latency_ms", a.NewNumberFloat64(s.Latency.Seconds()*1000))
-		e.Set("fails", a.NewNumberFloat64(s.Fails))
-		e.Set("part", a.NewNumberFloat64(s.Part))
-		if s.Lost {
+		e.Set("fails", a.NewNumberFloat64(s.FailureRatio))
+		e.Set("part", a.NewNumberFloat64(s.WarmupRatio))
+		if s.LostKeys {
 			e.Set("sheets_lost", a.NewTrue())
 		} else {
 			e.Set("sheets_lost", a.NewFalse())
@@ -54,12 +54,12 @@
 		w.Set("flying", a.NewNumberInt(flying))
 		windows.Set(c.Name, w)
 	}
-	o.Set("over_share", a.NewNumberInt(int(r.fair.Refused())))
+	o.Set("over_share", a.NewNumberInt(int(r.fair.Rejected())))
 	r.mu.Unlock()
 	if r.share != nil {
 		// With the lock it runs over those that it was lent parts of or asked for, not over all tenants of all cells.
 		r.mu.Lock()
-		list, rest := r.share.Parts(r.leased())
+		list, rest := r.share.Rates(r.leased())
 		beyond := r.share.Counts().Beyond
 		r.mu.Unlock()
 		each, others := map[string]*fastjson.Value{}, a.NewObject()
--- a/internal/proxy/wire_test.go
+++ b/internal/proxy/wire_test.go
@@ -94,7 +94,7 @@
 		}
 		to := &router{ends: map[string]core.Answer{}}
 		runner, err := New(Config{
-			Name: "router-1", Source: fixedMap{m}, Cores: 100, Probe: 500 * time.Millisecond, Sockets: 50, Routing: loadbalancer.Config{Retries: 1, Hedges: 1, Seed: 3},
+			Name: "router-1", Source: fixedMap{m}, Cores: 100, Probe: 500 * time.Millisecond, Sockets: 50, Routing: loadbalancer.Config{RetryRatio: 1, HedgeRatio: 1, Seed: 3},
 			Dial: func(_ context.Context, addr string) (*msgpackrpc.Conn, error) {
 				return msgpackrpc.NewConn(tr.tap(addr, servers[addr].pipe.Dial())), nil
 			},
--- a/internal/service/rules.go
+++ b/internal/service/rules.go
@@ -215,9 +215,9 @@
 	return sharing{s}
 }
 
-func (p sharing) Says() (quota.Word, func(quota.Grant, lease.Terms)) {
+func (p sharing) Says() (quota.Request, func(quota.Grant, lease.Terms)) {
 	if p.s.fleet == nil {
-		return quota.Word{}, func(quota.Grant, lease.Terms) {}
+		return quota.Request{}, func(quota.Grant, lease.Terms) {}
 	}
 	return p.s.fleet.Says()
 }
--- a/internal/settings/edge.go
+++ b/internal/settings/edge.go
@@ -221,12 +221,12 @@
 	set := Fleet{
 		Probe: time.Duration(f.integer("probe_ms")) * time.Millisecond,
 		Routing: loadbalancer.Config{
-			Retries: f.number("retries"), Hedges: f.number("hedges"), MostOut: f.number("most_out"), Panic: f.number("panic"),
+			RetryRatio: f.number("retries"), HedgeRatio: f.number("hedges"), MaxEjectedRatio: f.number("most_out"), PanicThreshold: f.number("panic"),
 			SlowStart: time.Duration(f.integer("slow_start_ms")) * time.Millisecond,
 		},
 	}
-	for key, v := range map[string]float64{"retries": set.Routing.Retries, "hedges": set.Routing.Hedges,
-		"most_out": set.Routing.MostOut, "panic": set.Routing.Panic} {
+	for key, v := range map[string]float64{"retries": set.Routing.RetryRatio, "hedges": set.Routing.HedgeRatio,
+		"most_out": set.Routing.MaxEjectedRatio, "panic": set.Routing.PanicThreshold} {
 		if !(v >= 0 && v <= 1) {
 			f.fail(key, "not from 0 to 1: %v", v)
 		}
--- a/internal/testkit/benchmarks/scaledecide.go
+++ b/internal/testkit/benchmarks/scaledecide.go
@@ -83,7 +83,7 @@
 		}
 		s.add("router.follows.tenants", "ms", "simulated", fixed, at, time.Since(began).Seconds()*1000)
 		began = time.Now()
-		wholes := quota.Of(m, now)
+		wholes := quota.CapacityOf(m, now)
 		s.add("leader.wholes.tenants", "ms", "simulated", fixed, at, time.Since(began).Seconds()*1000)
 		demand := map[string]map[string]float64{}
 		for r := range 4 {
@@ -100,16 +100,16 @@
 }
 
 // table is a router's knowledge of servers that are all well.
-func table(n int) (t *loadbalancer.Table, names []string) {
-	t = loadbalancer.New(loadbalancer.Config{Seed: 1, Window: 20 * time.Second})
+func table(n int) (t *loadbalancer.Balancer, names []string) {
+	t = loadbalancer.New(loadbalancer.Config{Seed: 1, KeyWindow: 20 * time.Second})
 	weights := map[string]float64{}
 	for i := range n {
 		names = append(names, fmt.Sprint("s", i))
 		weights[names[i]] = 1
 	}
-	t.Members(time.Hour, weights)
+	t.SetServers(time.Hour, weights)
 	for _, name := range names {
-		t.Reached(time.Hour, name, 1, 1, 0, 2)
+		t.Answered(time.Hour, name, loadbalancer.Incarnation{Boot: 1, RanUntil: 1, Now: 2})
 	}
 	return t, names
 }
@@ -144,7 +144,7 @@
 		s.add("router.states.servers", "us", "simulated", nil, at, us)
 		us, _ = each(func() { // one round of health checks: each ends with a look at all
 			for _, name := range names {
-				t.Reached(now, name, 1, 1, 0, 2)
+				t.Answered(now, name, loadbalancer.Incarnation{Boot: 1, RanUntil: 1, Now: 2})
 				t.States(now)
 			}
 		})
@@ -166,11 +166,11 @@
 		const term = 1500 * time.Millisecond
 		for i := range names {
 			names[i] = fmt.Sprint("caller", i)
-			x.Part(now, names[i], 0, 400, term)
+			x.Grant(now, names[i], 0, 400, term)
 		}
 		k := 0
 		us, _ := each(func() {
-			x.Part(now, names[k%n], 0, 400, term)
+			x.Grant(now, names[k%n], 0, 400, term)
 			k++
 		})
 		more := ""
@@ -309,12 +309,12 @@
 	for now := lost + scaleCheck; ; now += wait + scaleCheck { // the check before came just before it
 		for _, name := range names {
 			if is[name] {
-				t.Missed(now+wait, name)
+				t.Unreachable(now+wait, name)
 			} else {
-				t.Reached(now, name, 1, 1, 0, 2)
+				t.Answered(now, name, loadbalancer.Incarnation{Boot: 1, RanUntil: 1, Now: 2})
 			}
 		}
-		if !slices.ContainsFunc(t.States(now+wait), func(x loadbalancer.State) bool { return is[x.Name] && x.Health != loadbalancer.Dead }) {
+		if !slices.ContainsFunc(t.States(now+wait), func(x loadbalancer.ServerState) bool { return is[x.Name] && x.Health != loadbalancer.Dead }) {
 			return now + wait - lost
 		}
 	}
--- a/internal/testkit/hollow/router.go
+++ b/internal/testkit/hollow/router.go
@@ -262,7 +262,7 @@
 }
 
 // States are the servers as it knows them.
-func (r *Router) States() []loadbalancer.State {
+func (r *Router) States() []loadbalancer.ServerState {
 	list, _ := r.fleet.States()
 	return list
 }
@@ -281,9 +281,9 @@
 // sharing is a router that shares its cells with others, once it is there.
 type sharing struct{ fleet func() *proxy.Runner }
 
-func (s sharing) Says() (quota.Word, func(quota.Grant, lease.Terms)) {
+func (s sharing) Says() (quota.Request, func(quota.Grant, lease.Terms)) {
 	if f := s.fleet(); f != nil {
 		return f.Says()
 	}
-	return quota.Word{}, func(quota.Grant, lease.Terms) {}
+	return quota.Request{}, func(quota.Grant, lease.Terms) {}
 }
