--- a/cmd/silverpath/duty.go
+++ b/cmd/silverpath/duty.go
@@ -75,10 +75,10 @@
 						}
 					}
 					age := ""
-					if d.Holder != "" && d.Since > 0 {
-						age = time.Since(time.UnixMilli(d.Since)).Round(time.Second).String()
+					if d.Holder != "" && d.HeldSince > 0 {
+						age = time.Since(time.UnixMilli(d.HeldSince)).Round(time.Second).String()
 					}
-					fmt.Fprintf(w, "%s\t%s\t%v\t%s\t%d\t%d\t%s\t%s\n", n, d.Holder, d.Epoch, age, j.Step, open, d.Paused, strings.Join(d.Queue, " "))
+					fmt.Fprintf(w, "%s\t%s\t%v\t%s\t%d\t%d\t%s\t%s\n", n, d.Holder, d.Epoch, age, j.Step, open, d.PauseReason, strings.Join(d.Queue, " "))
 				}
 				return w.Flush()
 			})
@@ -105,26 +105,26 @@
 				return w.Flush()
 			})
 		}}
-	one := func(use, short string, ask func() lease.Ask) *cobra.Command {
+	one := func(use, short string, ask func() lease.Request) *cobra.Command {
 		c := &cobra.Command{Use: use, Short: short, Args: cobra.NoArgs, RunE: func(c *cobra.Command, _ []string) error {
 			return inTime(&g, within, func(ctx context.Context) error {
 				a := ask()
 				a.Duty = name
 				r, err := agreed(ctx, &g, statemachine.Command{Ask: &a})
 				if err == nil {
-					fmt.Fprintf(c.OutOrStdout(), "%s: owner %q, epoch %v, next %q, paused %q\n", name, r.Duty.Holder, r.Duty.Epoch, r.Duty.Next, r.Duty.Paused)
+					fmt.Fprintf(c.OutOrStdout(), "%s: owner %q, epoch %v, next %q, paused %q\n", name, r.Duty.Holder, r.Duty.Epoch, r.Duty.Successor, r.Duty.PauseReason)
 				}
 				return err
 			})
 		}}
 		return c
 	}
-	hand := one("hand", "Have the owner hand a duty to another process that waits for it", func() lease.Ask { return lease.Ask{Op: lease.Hand, Who: to} })
+	hand := one("hand", "Have the owner hand a duty to another process that waits for it", func() lease.Request { return lease.Request{Op: lease.Transfer, Process: to} })
 	hand.Flags().StringVar(&to, "to", "", "who is to have it, as 'list' names it")
 	hand.MarkFlagRequired("to")
-	hold := one("pause", "Have nothing new begun of a duty", func() lease.Ask { return lease.Ask{Op: lease.Pause, Why: why} })
+	hold := one("pause", "Have nothing new begun of a duty", func() lease.Request { return lease.Request{Op: lease.Pause, Reason: why} })
 	hold.Flags().StringVar(&why, "why", "by an operator", "why, for those who look")
-	resume := one("resume", "End a pause", func() lease.Ask { return lease.Ask{Op: lease.Resume} })
+	resume := one("resume", "End a pause", func() lease.Request { return lease.Request{Op: lease.Resume} })
 	for _, c := range []*cobra.Command{show, hand, hold, resume} {
 		c.Flags().StringVar(&name, "duty", "", "the duty: "+strings.Join(controller.Names, ", "))
 		c.MarkFlagRequired("duty")
--- a/internal/controlplane/command/orders.go
+++ b/internal/controlplane/command/orders.go
@@ -45,7 +45,7 @@
 		defer cancel()
 		v, err := o.Group.Read(ctx, duty)
 		if err != nil {
-			return false, fmt.Sprintf("%v of %s: %v", fence.ErrUnknown, duty, err)
+			return false, fmt.Sprintf("%v of %s: %v", fence.ErrUnknownEpoch, duty, err)
 		}
 		var seen lease.Epoch
 		if d := v.Table.Duties[duty]; d != nil {
@@ -55,11 +55,11 @@
 		if j := v.Journals[duty]; j != nil {
 			at = j.Step
 		}
-		o.file.Learn(duty, seen, at)
+		o.file.SetFloor(duty, seen, at)
 		events.Log(o.Log, "orders.learnt", duty, seen, at)
 	}
-	order := fence.Order{Duty: duty, Epoch: lease.Epoch(epoch), Step: step, Act: act}
-	fresh, err := o.file.Judge(order)
+	order := fence.Command{Duty: duty, Epoch: lease.Epoch(epoch), Step: step, Action: act}
+	fresh, err := o.file.Check(order)
 	if err != nil {
 		return false, err.Error()
 	}
@@ -67,7 +67,7 @@
 		// A copy, which does nothing: not after a start either, with which what it did has ended, as that may be long ago.
 		return true, "it was done before"
 	}
-	if err := o.file.Keep(order, o.Service); err != nil {
+	if err := o.file.Persist(order, o.Service); err != nil {
 		return false, err.Error()
 	}
 	yes, why := do()
--- a/internal/controlplane/quorum/member/golden_test.go
+++ b/internal/controlplane/quorum/member/golden_test.go
@@ -241,13 +241,13 @@
 			t.Fatal(err)
 		}
 	}
-	_, err := c.Do(ctx, statemachine.Command{Ask: &lease.Ask{Op: lease.Acquire, Duty: "keeper", Who: "a#1"}})
+	_, err := c.Do(ctx, statemachine.Command{Ask: &lease.Request{Op: lease.Acquire, Duty: "keeper", Process: "a#1"}})
 	must(err)
-	_, err = c.Do(ctx, statemachine.Command{Ask: &lease.Ask{Op: lease.Renew, Duty: "keeper", Who: "a#1", Epoch: 4294967297}})
+	_, err = c.Do(ctx, statemachine.Command{Ask: &lease.Request{Op: lease.Renew, Duty: "keeper", Process: "a#1", Epoch: 4294967297}})
 	must(err)
 	v, err := c.Read(ctx, "*")
 	must(err)
-	if v.Terms.TTL != 3*time.Second || v.Table.Owns("keeper", "a#1", 4294967297) != nil || v.Wall != 1 {
+	if v.Terms.TTL != 3*time.Second || v.Table.CheckHolder("keeper", "a#1", 4294967297) != nil || v.Wall != 1 {
 		t.Errorf("%+v", v)
 	}
 	_, err = c.Sync(ctx, quorum.Sync{User: configstore.User{Name: "r1#1", Reads: map[string]int{"map": 2}, Holds: map[string]int{"map": 3}, Stopped: map[string]int{"map": 4},
--- a/internal/controlplane/quorum/member/member.go
+++ b/internal/controlplane/quorum/member/member.go
@@ -79,7 +79,7 @@
 	conf      *pb.ConfState
 	applied   uint64
 	snapAt    uint64
-	watch     *lease.Watch
+	watch     *lease.Lessor
 	users     *configstore.Watch
 	ledger    *quota.Ledger
 	lent      lent                 // the map that the ledger knows
@@ -156,7 +156,7 @@
 	salt[0] &= 0x7f
 	m := &Member{
 		cfg: cfg, log: cfg.Log.With().Str("process", cfg.Name).Logger(), stats: cfg.Stats, began: time.Now(),
-		calls: make(chan func(), 256), ended: make(chan struct{}), disk: disk, marks: marks, watch: lease.NewWatch(lease.Terms{}),
+		calls: make(chan func(), 256), ended: make(chan struct{}), disk: disk, marks: marks, watch: lease.NewLessor(lease.Terms{}),
 		users: configstore.NewWatch(lease.Terms{}), ledger: quota.NewLedger(lease.Terms{}),
 		vouched: map[uint64]bool{}, peers: map[uint64]*peer{}, waiting: map[uint64]func(statemachine.Result, bool){},
 		reads: map[string]read{}, salt: binary.BigEndian.Uint64(salt[:]), state: statemachine.New(0), conf: &pb.ConfState{},
@@ -202,7 +202,7 @@
 	} else if m.state, err = statemachine.Restore(snap.GetData()); err != nil {
 		return fmt.Errorf("%s: %w", m.cfg.Dir, err)
 	}
-	m.watch, m.users, m.ledger = lease.NewWatch(m.state.Terms), configstore.NewWatch(m.state.Terms), quota.NewLedger(m.state.Terms)
+	m.watch, m.users, m.ledger = lease.NewLessor(m.state.Terms), configstore.NewWatch(m.state.Terms), quota.NewLedger(m.state.Terms)
 	m.conf = snap.GetMetadata().GetConfState()
 	m.applied = snap.GetMetadata().GetIndex()
 	m.snapAt = m.applied
@@ -322,7 +322,7 @@
 		m.state, m.conf = state, rd.Snapshot.GetMetadata().GetConfState()
 		m.applied = rd.Snapshot.GetMetadata().GetIndex()
 		m.snapAt = m.applied
-		m.watch, m.users, m.ledger = lease.NewWatch(state.Terms), configstore.NewWatch(state.Terms), quota.NewLedger(state.Terms)
+		m.watch, m.users, m.ledger = lease.NewLessor(state.Terms), configstore.NewWatch(state.Terms), quota.NewLedger(state.Terms)
 		m.meet()
 	}
 	if rd.SoftState != nil {
@@ -370,14 +370,14 @@
 	m.leads, m.caughtUp = leads, false
 	m.lent.until = time.Time{} // what the ledger was told is told again
 	if leads {
-		m.watch.Lead(m.clock())
+		m.watch.Promote(m.clock())
 		m.users.Lead(m.clock())
 		m.ledger.StartLeading(m.clock(), m.raw.BasicStatus().GetTerm())
 		m.log.Info().Str("event", "group.leads").Uint64("term", m.raw.BasicStatus().GetTerm()).Send()
 		m.stats.Inc("group", "led")
 		return
 	}
-	m.watch.Follow()
+	m.watch.Demote()
 	m.users.Follow()
 	m.ledger.StopLeading()
 	m.log.Info().Str("event", "group.follows").Send()
@@ -464,27 +464,27 @@
 }
 
 // asked follows what was applied: a duty that has a new owner is watched from now on, and is told of in the log.
-func (m *Member) asked(a lease.Ask, r statemachine.Result) {
+func (m *Member) asked(a lease.Request, r statemachine.Result) {
 	if r.Error != "" || r.Duty == nil {
 		return
 	}
-	m.watch.Granted(r.Duty.Name, r.Duty.Epoch, m.clock())
+	m.watch.RecordGrant(r.Duty.Name, r.Duty.Epoch, m.clock())
 	if m.leads {
 		m.stats.Inc("group", "asks", string(a.Op))
 		event := "group." + string(a.Op)
-		if a.Op == lease.Acquire && r.Duty.Holder != a.Who {
+		if a.Op == lease.Acquire && r.Duty.Holder != a.Process {
 			event = "group.waits"
 		}
-		m.log.Info().Str("event", event).Str("who", a.Who).Str("duty", r.Duty.Name).Stringer("epoch", r.Duty.Epoch).Str("owner", r.Duty.Holder).Send()
+		m.log.Info().Str("event", event).Str("who", a.Process).Str("duty", r.Duty.Name).Stringer("epoch", r.Duty.Epoch).Str("owner", r.Duty.Holder).Send()
 	}
 }
 
 // lapse proposes the end of what was not renewed, and gives up reads that got no word.
 func (m *Member) lapse() {
 	if m.leads && m.caughtUp {
-		for _, a := range m.watch.Due(m.state.Table, m.clock()) {
+		for _, a := range m.watch.Overdue(m.state.Table, m.clock()) {
 			if err := m.propose(statemachine.Command{Ask: &a}, nil); err != nil {
-				m.watch.Dropped(a)
+				m.watch.ProposalDropped(a)
 			}
 		}
 		m.overRules()
@@ -513,7 +513,7 @@
 		return errBusy
 	}
 	if c.Ask != nil {
-		c.Ask.At = time.Now().UnixMilli()
+		c.Ask.ProposedAt = time.Now().UnixMilli()
 	}
 	if c.Rule != nil {
 		c.Rule.At = time.Now().UnixMilli()
--- a/internal/controlplane/quorum/member/words.go
+++ b/internal/controlplane/quorum/member/words.go
@@ -246,7 +246,7 @@
 		answer(no(quorum.WordNo, "%v", err))
 		return
 	}
-	if c.Ask != nil && (c.Ask.Op == lease.Expire || c.Ask.Op == lease.Forget && c.Ask.Why == "") {
+	if c.Ask != nil && (c.Ask.Op == lease.Expire || c.Ask.Op == lease.Dequeue && c.Ask.Reason == "") {
 		answer(no(quorum.WordNo, "only the group's leader may"))
 		return
 	}
@@ -262,11 +262,11 @@
 	}
 	if c.Ask != nil && c.Ask.Op == lease.Acquire && m.leads {
 		// Who has it, or waits already, changes nothing: no word in the log.
-		if d := m.state.Table.Duties[c.Ask.Duty]; d != nil && (d.Holder == c.Ask.Who || slices.Contains(d.Queue, c.Ask.Who)) {
+		if d := m.state.Table.Duties[c.Ask.Duty]; d != nil && (d.Holder == c.Ask.Process || slices.Contains(d.Queue, c.Ask.Process)) {
 			m.renew(w, answer)
 			return
 		}
-		m.watch.Waits(c.Ask.Duty, c.Ask.Who, m.clock())
+		m.watch.RecordWaiter(c.Ask.Duty, c.Ask.Process, m.clock())
 	}
 	if err := m.propose(c, func(r statemachine.Result, ok bool) { answer(result(r, ok)) }); err == errNotLeader {
 		answer(m.elsewhere())
@@ -292,21 +292,21 @@
 		return
 	}
 	ending := false
-	if d != nil && d.Holder == a.Who {
-		ending = !m.watch.Renewed(a.Duty, d.Epoch, a.Op != lease.Renew, now)
+	if d != nil && d.Holder == a.Process {
+		ending = !m.watch.Renew(a.Duty, d.Epoch, a.Op != lease.Renew, now)
 	}
-	m.watch.Waits(a.Duty, a.Who, now)
+	m.watch.RecordWaiter(a.Duty, a.Process, now)
 	m.stats.Inc("group", "renewals")
 	err := m.confirmLead(func(ok bool) {
 		r := statemachine.Result{}
 		if d := m.state.Table.Duties[a.Duty]; d != nil {
 			copied := *d
 			r.Duty = &copied
-			if ending && d.Holder == a.Who || a.Op == lease.Renew && (d.Holder != a.Who || d.Epoch != a.Epoch) {
-				r.Error, r.Kind = d.Stale(a.Epoch).Error(), statemachine.Stale
+			if ending && d.Holder == a.Process || a.Op == lease.Renew && (d.Holder != a.Process || d.Epoch != a.Epoch) {
+				r.Error, r.Kind = d.StaleError(a.Epoch).Error(), statemachine.Stale
 			}
 		} else {
-			r.Error = lease.ErrNobody.Error()
+			r.Error = lease.ErrUnknownDuty.Error()
 		}
 		answer(result(r, ok))
 	})
--- a/internal/controlplane/runner/owner.go
+++ b/internal/controlplane/runner/owner.go
@@ -151,14 +151,14 @@
 func (d *duty) owns() (lease.Epoch, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.holder.Owns(d.clock())
+	return d.holder.Holds(d.clock())
 }
 
 // begin reports whether the duty is still owned; then it is not handed on by consent before finish.
 func (d *duty) begin() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	_, d.acting = d.holder.Owns(d.clock())
+	_, d.acting = d.holder.Holds(d.clock())
 	return d.acting
 }
 
@@ -172,7 +172,7 @@
 func (d *duty) hold(ctx context.Context) {
 	type told struct {
 		asked time.Duration
-		ask   lease.Ask
+		ask   lease.Request
 		duty  lease.Duty
 		no    bool
 	}
@@ -186,26 +186,26 @@
 		case <-leaving:
 			leaving = nil
 			d.mu.Lock()
-			d.holder.Leave(d.clock(), false)
+			d.holder.Release(d.clock(), false)
 			d.mu.Unlock()
 			end = time.After(askFor / 2)
 		case <-end:
 			return
 		case a := <-answers:
 			d.mu.Lock()
-			d.holder.Told(a.asked, a.ask, a.duty, a.no, d.clock())
+			d.holder.HandleAnswer(a.asked, a.ask, a.duty, a.no, d.clock())
 			d.mu.Unlock()
 		case <-tick.C:
 		}
 		d.mu.Lock()
 		now := d.clock()
 		st := d.holder.State(now)
-		if st == lease.Holding && d.holder.Handing() && !d.acting {
-			d.holder.Leave(now, true)
+		if st == lease.Holding && d.holder.TransferRequested() && !d.acting {
+			d.holder.Release(now, true)
 		}
-		e, has := d.holder.Owns(now)
-		a, due := d.holder.Next(now)
-		ago := now - d.holder.Ended()
+		e, has := d.holder.Holds(now)
+		a, due := d.holder.NextRequest(now)
+		ago := now - d.holder.LostAt()
 		d.mu.Unlock()
 		if has != owned {
 			event, line := "duty.owned", d.log.Info()
@@ -216,7 +216,7 @@
 			line.Str("event", event).Stringer("epoch", e).Send()
 			d.cfg.Stats.Inc(strings.ReplaceAll(event, ".", "_"), d.name)
 		}
-		if st == lease.Out && leaving == nil {
+		if st == lease.Stopped && leaving == nil {
 			return
 		}
 		if due {
@@ -250,7 +250,7 @@
 			wait = idle
 			if errors.Is(err, errClock) { // somebody else may have a better one
 				d.mu.Lock()
-				d.holder.Leave(d.clock(), true)
+				d.holder.Release(d.clock(), true)
 				d.mu.Unlock()
 				wait = askFor
 			}
@@ -287,14 +287,14 @@
 		return false, err
 	}
 	off := Wall().Sub(time.UnixMilli(v.Wall)).Abs() - time.Since(asked) - time.Millisecond
-	if err := v.Table.Owns(d.name, d.who, epoch); err != nil {
+	if err := v.Table.CheckHolder(d.name, d.who, epoch); err != nil {
 		return false, err
 	}
 	j := v.Journals[d.name]
 	if j == nil {
 		return false, errors.New("no journal")
 	}
-	paused := v.Table.Duties[d.name].Paused != ""
+	paused := v.Table.Duties[d.name].PauseReason != ""
 	act, err := d.decide(j, epoch, paused, off)
 	if err != nil {
 		return false, err
@@ -371,11 +371,11 @@
 	e := d.log.Info().Str("event", "order."+call).Stringer("epoch", epoch).Uint64("step", step).Str("server", o.Server).Bool("yes", yes)
 	e.Str("why", why).Send()
 	d.cfg.Stats.Inc("orders_sent", call, map[bool]string{true: "yes", false: "no"}[yes])
-	if _, saw, ok := strings.Cut(why, d.name+": "); ok && strings.HasPrefix(why, fence.ErrStale.Error()) {
+	if _, saw, ok := strings.Cut(why, d.name+": "); ok && strings.HasPrefix(why, fence.ErrStaleEpoch.Error()) {
 		var g, n uint64
 		if _, err := fmt.Sscanf(saw, "%d.%d was seen", &g, &n); err == nil {
 			// The group knows less than the server: it was set back. It rises above what was seen.
-			d.cfg.Group.Do(asking, statemachine.Command{Ask: &lease.Ask{Op: lease.Raise, Duty: d.name, Epoch: lease.Epoch(g<<32 | n)}})
+			d.cfg.Group.Do(asking, statemachine.Command{Ask: &lease.Request{Op: lease.RaiseEpoch, Duty: d.name, Epoch: lease.Epoch(g<<32 | n)}})
 		}
 	}
 	return yes
--- a/internal/policy/configstore/holder.go
+++ b/internal/policy/configstore/holder.go
@@ -193,7 +193,7 @@
 	// What it lacks a part of it doesn't act on, and so confirms nothing by this answer.
 	if h.Current() {
 		h.asked = max(h.asked, asked)
-		h.until = max(h.until, asked+terms.Hold())
+		h.until = max(h.until, asked+terms.HolderTTL())
 	}
 	return take
 }
--- a/internal/policy/configstore/watch.go
+++ b/internal/policy/configstore/watch.go
@@ -105,12 +105,12 @@
 		if h := w.heard[name]; h != nil {
 			at = max(at, h.At)
 		}
-		if now-at >= w.terms.Wait() && !w.lapsing[name] {
+		if now-at >= w.terms.LeaderTTL() && !w.lapsing[name] {
 			w.lapsing[name] = true
 			list = append(list, Change{Op: Lapse, By: name})
 		}
 	}
-	maps.DeleteFunc(w.heard, func(name string, h *Heard) bool { return b.Users[name] == nil && now-h.At > w.terms.Wait() })
+	maps.DeleteFunc(w.heard, func(name string, h *Heard) bool { return b.Users[name] == nil && now-h.At > w.terms.LeaderTTL() })
 	for _, name := range slices.Sorted(maps.Keys(b.Docs)) {
 		d := b.Docs[name]
 		w.stage(b, d, now)
--- a/internal/policy/controller/duties_test.go
+++ b/internal/policy/controller/duties_test.go
@@ -33,8 +33,8 @@
 		w    Write
 		want error
 	}{
-		{"an older epoch", Write{Duty: "d", Who: "o", Epoch: 6, Step: 1, Item: "a"}, lease.ErrStale},
-		{"another owner", Write{Duty: "d", Who: "x", Epoch: 7, Step: 1, Item: "a"}, lease.ErrStale},
+		{"an older epoch", Write{Duty: "d", Who: "o", Epoch: 6, Step: 1, Item: "a"}, lease.ErrStaleEpoch},
+		{"another owner", Write{Duty: "d", Who: "x", Epoch: 7, Step: 1, Item: "a"}, lease.ErrStaleEpoch},
 		{"a step ahead", Write{Duty: "d", Who: "o", Epoch: 7, Step: 2, Item: "a"}, ErrStep},
 		{"no such item", Write{Duty: "d", Who: "o", Epoch: 7, Step: 1, Item: "b"}, ErrNoItem},
 		{"the intent", w, nil},
@@ -51,11 +51,11 @@
 		t.Errorf("%+v", j)
 	}
 	j.Submit("b", "k", nil)
-	tab.Duties["d"].Paused = "by an operator"
+	tab.Duties["d"].PauseReason = "by an operator"
 	if err := j.Write(Write{Duty: "d", Who: "o", Epoch: 7, Step: 3, Item: "b", State: Intent}, tab); !errors.Is(err, ErrPaused) {
 		t.Error(err)
 	}
-	tab.Duties["d"].Paused = ""
+	tab.Duties["d"].PauseReason = ""
 	for i := range 3 * keptOver {
 		id := fmt.Sprint("x", i)
 		j.Submit(id, "k", nil)
--- a/internal/policy/controller/journal.go
+++ b/internal/policy/controller/journal.go
@@ -153,7 +153,7 @@
 // Write takes what an owner writes. Whoever does not own the duty by that epoch is refused by name; so is a step that is
 // not the next one, but for the last one said again, which changes nothing.
 func (j *Journal) Write(w Write, t *lease.Table) error {
-	if err := t.Owns(w.Duty, w.Who, w.Epoch); err != nil {
+	if err := t.CheckHolder(w.Duty, w.Who, w.Epoch); err != nil {
 		return err
 	}
 	if w.Step == j.Step && j.Last != nil && j.Last.same(w) {
@@ -169,7 +169,7 @@
 			return fmt.Errorf("%w: %q", ErrNoItem, w.Item)
 		case it.State.Over():
 			return fmt.Errorf("%w: %q is %s", ErrStep, w.Item, it.State)
-		case it.State == Queued && w.State == Intent && t.Duties[w.Duty].Paused != "":
+		case it.State == Queued && w.State == Intent && t.Duties[w.Duty].PauseReason != "":
 			return ErrPaused
 		}
 		it.State, it.Epoch, it.Step, it.Tries, it.Note = w.State, w.Epoch, w.Step, w.Tries, w.Note
--- a/internal/policy/fence/golden_test.go
+++ b/internal/policy/fence/golden_test.go
@@ -28,21 +28,21 @@
 		t.Fatal(err)
 	}
 	for _, c := range []struct {
-		order Order
+		order Command
 		fresh bool
 		want  string
 	}{
-		{Order{"conductor", 1<<32 | 2, 7, "evacuate"}, false, ""},
-		{Order{"conductor", 1<<32 | 2, 8, "rejoin"}, true, ""},
-		{Order{"conductor", 1<<32 | 3, 1, "rejoin"}, true, ""},
-		{Order{"conductor", 1<<32 | 1, 9, "rejoin"}, false, "stale epoch 1.1 of conductor: 1.2 was seen"},
-		{Order{"conductor", 1<<32 | 2, 6, "rejoin"}, false, "stale step 6 of conductor in epoch 1.2: 7 was seen"},
-		{Order{"conductor", 1<<32 | 2, 7, "rejoin"}, false, "stale step 7 of conductor in epoch 1.2: 7 was seen"},
-		{Order{"keeper", 5, 3, "move"}, true, ""},
-		{Order{"keeper", 5, 2, "move"}, false, "stale step 2 of keeper in epoch 0.5: 2 was seen"},
-		{Order{"watcher", 5, 2, "judge"}, false, "no epoch is known yet of watcher"},
+		{Command{"conductor", 1<<32 | 2, 7, "evacuate"}, false, ""},
+		{Command{"conductor", 1<<32 | 2, 8, "rejoin"}, true, ""},
+		{Command{"conductor", 1<<32 | 3, 1, "rejoin"}, true, ""},
+		{Command{"conductor", 1<<32 | 1, 9, "rejoin"}, false, "stale epoch 1.1 of conductor: 1.2 was seen"},
+		{Command{"conductor", 1<<32 | 2, 6, "rejoin"}, false, "stale step 6 of conductor in epoch 1.2: 7 was seen"},
+		{Command{"conductor", 1<<32 | 2, 7, "rejoin"}, false, "stale step 7 of conductor in epoch 1.2: 7 was seen"},
+		{Command{"keeper", 5, 3, "move"}, true, ""},
+		{Command{"keeper", 5, 2, "move"}, false, "stale step 2 of keeper in epoch 0.5: 2 was seen"},
+		{Command{"watcher", 5, 2, "judge"}, false, "no epoch is known yet of watcher"},
 	} {
-		fresh, err := f.Judge(c.order)
+		fresh, err := f.Check(c.order)
 		got := ""
 		if err != nil {
 			got = err.Error()
@@ -51,7 +51,7 @@
 			t.Errorf("%+v: %v, %q, want %v, %q", c.order, fresh, got, c.fresh, c.want)
 		}
 	}
-	if err := f.Keep(Order{"conductor", 1<<32 | 3, 1, "rejoin"}, "s1"); err != nil {
+	if err := f.Persist(Command{"conductor", 1<<32 | 3, 1, "rejoin"}, "s1"); err != nil {
 		t.Fatal(err)
 	}
 	got, err := os.ReadFile(path)
--- a/internal/policy/fence/model_test.go
+++ b/internal/policy/fence/model_test.go
@@ -13,74 +13,74 @@
 	"silverpath/internal/storage/atomicfile"
 )
 
-// This file searches all short interleavings of an owner, its successor, the orders under way, given late and twice, two
-// servers, one of which may start anew, and the end of the lease. Table, journal and book are the real ones. An owner may be
-// stopped anywhere: between its check and its act, and between intent, act and outcome. Never is an act of an old epoch done
-// after one of a newer one, never are both servers out, and nobody begins an act once another one owns the duty.
+// A holder that was stopped after its check woke up and sent its command, when its successor had sent others: two servers were out at
+// once. This file searches all short interleavings of a holder, its successor, the commands in flight, delivered late and twice, two
+// servers, one of which may start anew, and the end of the lease. Table, journal and fence are the real ones. A holder may be stopped
+// anywhere: between its check and its action, and between intent, action and outcome. Never does a command of an old epoch take
+// effect after one of a newer one, never are both servers out, and nobody begins an action once another one holds the duty.
 
 type guards struct {
-	fence   bool // servers refuse what is older than what they have seen
-	durable bool // and know it after a start
-	early   bool // a holder stops by itself before the duty is another's
-	intent  bool // what is meant is written before it is done
+	fence       bool // servers refuse commands that are older than the latest
+	persistent  bool // and know the latest after a start
+	holderStops bool // a holder stops by itself before the duty is another's
+	intentFirst bool // the intent is in the journal before the command is sent
 }
 
-type order struct {
-	Order
+type sentCommand struct {
+	Command
 	server int
 	copies int
 }
 
-type actor struct {
-	who   string
+type process struct {
+	name  string
 	epoch lease.Epoch
-	owns  bool
+	holds bool
 	// What it is about to do: nothing, write, or send; decided at its check.
-	doing string
-	write controller.Write
-	send  order
-	given [2]uint64 // the step of the order that a server has acknowledged
+	doing        string
+	write        controller.Write
+	command      sentCommand
+	acknowledged [2]uint64 // by server: the step of the command that it has acknowledged
 }
 
 type state struct {
-	table   lease.Table
-	duty    lease.Duty
-	journal controller.Journal
-	item    controller.Item
-	actors  [2]actor
-	books   [2]map[string]Order
-	blank   [2]bool
-	out     [2]bool
-	orders  []order
-	highest lease.Epoch // of what took effect
-	starts  int
-	harm    string
+	duty         lease.Duty
+	journal      controller.Journal
+	item         controller.Item
+	processes    [2]process
+	latest       [2]map[string]Command
+	incomplete   [2]bool
+	evacuated    [2]bool
+	inFlight     []sentCommand
+	highestEpoch lease.Epoch // of what took effect
+	restarts     int
+	harm         string
 }
 
-func start() state {
+func initialState() state {
 	s := state{duty: lease.Duty{Name: controller.Conducts, Epoch: 1, Holder: "one", Queue: []string{"two"}}}
-	s.actors[0] = actor{who: "one", epoch: 1, owns: true}
-	s.actors[1] = actor{who: "two"}
+	s.processes[0] = process{name: "one", epoch: 1, holds: true}
+	s.processes[1] = process{name: "two"}
 	p, _ := json.Marshal(controller.Progress{Members: []controller.Member{{Name: "0", Stage: controller.In}, {Name: "1", Stage: controller.In}}})
 	s.item = controller.Item{ID: "r", Kind: controller.KindRoll, State: controller.Intent, Plan: string(p)}
-	s.books = [2]map[string]Order{{}, {}}
+	s.latest = [2]map[string]Command{{}, {}}
 	return s
 }
 
 // clone copies what changes in place.
 func (s state) clone() state {
-	s.orders = append([]order(nil), s.orders...)
-	for i, b := range s.books {
-		n := map[string]Order{}
+	s.inFlight = append([]sentCommand(nil), s.inFlight...)
+	for i, b := range s.latest {
+		n := map[string]Command{}
 		for k, v := range b {
 			n[k] = v
 		}
-		s.books[i] = n
+		s.latest[i] = n
 	}
 	return s
 }
 
-func (s *state) real() (*lease.Table, *controller.Journal) {
+func (s *state) tableAndJournal() (*lease.Table, *controller.Journal) {
 	d := s.duty
 	d.Queue = append([]string(nil), d.Queue...)
 	j := s.journal
@@ -89,32 +89,34 @@
 }
 
 func (s *state) key() string {
-	b, _ := json.Marshal([]any{s.duty, s.journal.Step, s.item, s.books, s.blank, s.out, s.highest, s.starts})
+	b, _ := json.Marshal([]any{s.duty, s.journal.Step, s.item, s.latest, s.incomplete, s.evacuated, s.highestEpoch, s.restarts})
 	var x strings.Builder
 	x.Write(b)
-	for _, a := range s.actors {
-		c, _ := json.Marshal([]any{a.epoch, a.owns, a.doing, a.write, a.send.Order, a.send.server, a.given})
+	for _, a := range s.processes {
+		c, _ := json.Marshal([]any{a.epoch, a.holds, a.doing, a.write, a.command.Command, a.command.server, a.acknowledged})
 		x.Write(c)
 	}
-	for _, o := range s.orders {
-		c, _ := json.Marshal([]any{o.Order, o.server, o.copies})
+	for _, o := range s.inFlight {
+		c, _ := json.Marshal([]any{o.Command, o.server, o.copies})
 		x.Write(c)
 	}
 	return x.String()
 }
 
-// decide is what an owner does next by the journal: what was begun before what is new.
-func (s *state) decide(a *actor, g guards) {
+// decide is what a holder does next by the journal: what was begun before what is new.
+func (s *state) decide(a *process, g guards) {
 	var p controller.Progress
-	json.Unmarshal([]byte(s.item.Plan), &p)
+	if err := json.Unmarshal([]byte(s.item.Plan), &p); err != nil {
+		panic(err) // a plan of this file's own
+	}
 	write := func(i int, st controller.Stage) {
 		p.Members[i].Stage = st
 		raw, _ := json.Marshal(p)
 		a.doing = "write"
-		a.write = controller.Write{Duty: controller.Conducts, Who: a.who, Epoch: a.epoch, Step: s.journal.Step + 1, Item: "r", State: controller.Intent, Plan: string(raw)}
+		a.write = controller.Write{Duty: controller.Conducts, Who: a.name, Epoch: a.epoch, Step: s.journal.Step + 1, Item: "r", State: controller.Intent, Plan: string(raw)}
 	}
 	send := func(i int, act string, step uint64) {
-		a.doing, a.send = "send", order{Order{controller.Conducts, a.epoch, step, act}, i, 2}
+		a.doing, a.command = "send", sentCommand{Command{controller.Conducts, a.epoch, step, act}, i, 2}
 	}
 	for i, m := range p.Members {
 		act, done := "evacuate", controller.IsOut
@@ -126,7 +128,7 @@
 		case s.item.Epoch != a.epoch:
 			write(i, m.Stage)
 			return
-		case a.given[i] == s.item.Step:
+		case a.acknowledged[i] == s.item.Step:
 			write(i, done)
 			return
 		default:
@@ -142,12 +144,12 @@
 	}
 	for k := range p.Members {
 		i := k
-		if a.who == "two" {
+		if a.name == "two" {
 			i = len(p.Members) - 1 - k // whom it sees ready may differ
 		}
 		if m := p.Members[i]; m.Stage == controller.In {
-			if !g.intent {
-				if a.given[i] != s.journal.Step+1 {
+			if !g.intentFirst {
+				if a.acknowledged[i] != s.journal.Step+1 {
 					send(i, "evacuate", s.journal.Step+1)
 				} else {
 					write(i, controller.IsOut)
@@ -160,101 +162,101 @@
 	}
 }
 
-// take is what a server does with an order.
-func (s *state) take(o order, g guards) {
-	b := NewBook(s.books[o.server], s.blank[o.server])
-	if !b.Knows(o.Duty) {
-		b.Learn(o.Duty, s.duty.Epoch, s.journal.Step) // it asks the group
-		s.blank[o.server] = false
-	}
-	fresh, err := b.Judge(o.Order)
+// deliver is what a server does with a command.
+func (s *state) deliver(o sentCommand, g guards) {
+	f := New(s.latest[o.server], s.incomplete[o.server])
+	if !f.Knows(o.Duty) {
+		f.SetFloor(o.Duty, s.duty.Epoch, s.journal.Step) // it asks the group
+		s.incomplete[o.server] = false
+	}
+	fresh, err := f.Check(o.Command)
 	if err != nil && g.fence {
-		s.books[o.server] = b.Seen()
+		s.latest[o.server] = f.Latest()
 		return
 	}
-	b.Note(o.Order)
-	s.books[o.server] = b.Seen()
+	f.Record(o.Command)
+	s.latest[o.server] = f.Latest()
 	if err == nil && !fresh {
 		return // it was done, and is not done again
 	}
-	if o.Epoch < s.highest && s.out[o.server] != (o.Act == "evacuate") {
-		s.harm = "an act of an old epoch after one of a newer one"
+	if o.Epoch < s.highestEpoch && s.evacuated[o.server] != (o.Action == "evacuate") {
+		s.harm = "a command of an old epoch took effect after one of a newer one"
 	}
-	s.highest = max(s.highest, o.Epoch)
-	if s.out[o.server] = o.Act == "evacuate"; s.out[0] && s.out[1] {
+	s.highestEpoch = max(s.highestEpoch, o.Epoch)
+	if s.evacuated[o.server] = o.Action == "evacuate"; s.evacuated[0] && s.evacuated[1] {
 		s.harm = "both servers are out"
 	}
-	for i := range s.actors {
-		if s.actors[i].epoch == o.Epoch {
-			s.actors[i].given[o.server] = o.Step
+	for i := range s.processes {
+		if s.processes[i].epoch == o.Epoch {
+			s.processes[i].acknowledged[o.server] = o.Step
 		}
 	}
 }
 
-func (s state) nexts(g guards) (list []state) {
+func (s state) successors(g guards) (list []state) {
 	add := func(change func(n *state)) {
 		n := s.clone()
 		change(&n)
 		list = append(list, n)
 	}
-	for i := range s.actors {
-		a := s.actors[i]
+	for i := range s.processes {
+		a := s.processes[i]
 		switch {
-		case a.doing == "" && a.owns:
+		case a.doing == "" && a.holds:
 			add(func(n *state) {
-				n.decide(&n.actors[i], g)
-				if n.actors[i].doing != "" && n.duty.Holder != a.who {
-					n.harm = "one begins that does not own it"
+				n.decide(&n.processes[i], g)
+				if n.processes[i].doing != "" && n.duty.Holder != a.name {
+					n.harm = "a process begins that does not hold the duty"
 				}
 			})
 		case a.doing == "write":
 			add(func(n *state) {
-				t, j := n.real()
+				t, j := n.tableAndJournal()
 				if j.Write(a.write, t) == nil {
 					n.item, n.journal = j.Items[0], controller.Journal{Duty: j.Duty, Step: j.Step, Last: j.Last}
 				}
-				n.actors[i].doing, n.actors[i].write = "", controller.Write{}
+				n.processes[i].doing, n.processes[i].write = "", controller.Write{}
 			})
 		case a.doing == "send":
 			add(func(n *state) {
-				n.actors[i].doing, n.actors[i].send = "", order{}
-				for _, o := range n.orders {
-					if o.Order == a.send.Order && o.server == a.send.server {
+				n.processes[i].doing, n.processes[i].command = "", sentCommand{}
+				for _, o := range n.inFlight {
+					if o.Command == a.command.Command && o.server == a.command.server {
 						return // one and the same, whenever it comes
 					}
 				}
-				n.orders = append(n.orders, a.send)
+				n.inFlight = append(n.inFlight, a.command)
 			})
 		}
 	}
-	for k, o := range s.orders {
+	for k, o := range s.inFlight {
 		add(func(n *state) {
-			n.take(o, g)
-			if n.orders[k].copies--; n.orders[k].copies == 0 {
-				n.orders = append(n.orders[:k:k], n.orders[k+1:]...)
+			n.deliver(o, g)
+			if n.inFlight[k].copies--; n.inFlight[k].copies == 0 {
+				n.inFlight = append(n.inFlight[:k:k], n.inFlight[k+1:]...)
 			}
 		})
 	}
-	if s.actors[0].owns {
-		add(func(n *state) { n.actors[0].owns = false }) // its lease is over, by its own count
+	if s.processes[0].holds {
+		add(func(n *state) { n.processes[0].holds = false }) // its lease is over, by its own count
 	}
-	if s.duty.Holder == "one" && (!s.actors[0].owns || !g.early) {
+	if s.duty.Holder == "one" && (!s.processes[0].holds || !g.holderStops) {
 		add(func(n *state) {
-			t, _ := n.real()
-			d, err := t.Apply(lease.Ask{Op: lease.Expire, Duty: controller.Conducts, Epoch: 1})
+			t, _ := n.tableAndJournal()
+			d, err := t.Apply(lease.Request{Op: lease.Expire, Duty: controller.Conducts, Epoch: 1})
 			if err == nil {
 				n.duty = d
-				n.actors[1].epoch, n.actors[1].owns = d.Epoch, true
+				n.processes[1].epoch, n.processes[1].holds = d.Epoch, true
 			}
 		})
 	}
-	if s.starts < 1 {
-		for i := range s.books {
+	if s.restarts < 1 {
+		for i := range s.latest {
 			add(func(n *state) { // it starts anew, in and serving
-				n.starts++
-				n.out[i] = false
-				n.books[i] = map[string]Order{}
-				n.blank[i] = g.durable // its book is lost: it asks the group, or trusts whoever comes
+				n.restarts++
+				n.evacuated[i] = false
+				n.latest[i] = map[string]Command{}
+				n.incomplete[i] = g.persistent // its file is lost: it asks the group, or trusts any command
 			})
 		}
 	}
@@ -263,11 +265,11 @@
 
 func search(g guards, most int) (harm string, states int) {
 	seen := map[string]bool{}
-	queue := []state{start()}
+	queue := []state{initialState()}
 	for len(queue) > 0 && len(seen) < most {
 		s := queue[0]
 		queue = queue[1:]
-		for _, n := range s.nexts(g) {
+		for _, n := range s.successors(g) {
 			if n.harm != "" {
 				return n.harm, len(seen)
 			}
@@ -280,17 +282,17 @@
 	return "", len(seen)
 }
 
-func TestInterleavings(t *testing.T) {
+func TestNoStaleCommandInAnyInterleaving(t *testing.T) {
 	harm, n := search(guards{true, true, true, true}, 150000)
 	if harm != "" {
 		t.Error(harm)
 	}
 	t.Logf("%d states", n)
 	for name, g := range map[string]guards{
-		"no fence":             {false, true, true, true},
-		"the book is lost":     {true, false, true, true},
-		"the holder goes on":   {true, true, false, true},
-		"no intent before act": {true, true, true, false},
+		"no fence":                           {false, true, true, true},
+		"the file is lost":                   {true, false, true, true},
+		"the holder does not stop by itself": {true, true, false, true},
+		"no intent before the command":       {true, true, true, false},
 	} {
 		harm, n := search(g, 60000)
 		if harm == "" {
@@ -300,29 +302,30 @@
 	}
 }
 
-// A book lasts; one that is torn or another service's is refused and left as it is; what could not be kept is not done.
-func TestFile(t *testing.T) {
+// A server that restarts must still refuse what it refused before. Its file lasts; one that is torn or another service's is refused and
+// left as it is; a command that could not be stored is not recorded, so that it is not carried out.
+func TestFileLastsAndRefusesDamage(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "orders")
 	f, err := Open(path, "s1")
 	if err != nil || f.Knows("d") {
 		t.Fatal(err)
 	}
-	f.Learn("d", 4, 7)
-	o := Order{"d", 5, 1, "evacuate"}
-	if fresh, err := f.Judge(o); !fresh || err != nil {
+	f.SetFloor("d", 4, 7)
+	o := Command{"d", 5, 1, "evacuate"}
+	if fresh, err := f.Check(o); !fresh || err != nil {
 		t.Fatal(fresh, err)
 	}
-	if err := f.Keep(o, "s1"); err != nil {
+	if err := f.Persist(o, "s1"); err != nil {
 		t.Fatal(err)
 	}
 	if f, err = Open(path, "s1"); err != nil {
 		t.Fatal(err)
 	}
-	if fresh, err := f.Judge(o); fresh || err != nil {
+	if fresh, err := f.Check(o); fresh || err != nil {
 		t.Errorf("again: %v, %v", fresh, err)
 	}
-	for _, old := range []Order{{"d", 4, 9, "evacuate"}, {"d", 5, 0, "rejoin"}, {"d", 5, 1, "rejoin"}} {
-		if _, err := f.Judge(old); !errors.Is(err, ErrStale) && !errors.Is(err, ErrStep) {
+	for _, old := range []Command{{"d", 4, 9, "evacuate"}, {"d", 5, 0, "rejoin"}, {"d", 5, 1, "rejoin"}} {
+		if _, err := f.Check(old); !errors.Is(err, ErrStaleEpoch) && !errors.Is(err, ErrStaleStep) {
 			t.Errorf("%+v: %v", old, err)
 		}
 	}
@@ -332,10 +335,10 @@
 	sync := atomicfile.Sync
 	defer func() { atomicfile.Sync = sync }()
 	atomicfile.Sync = func(*os.File) error { return errors.New("full") }
-	if err := f.Keep(Order{"d", 6, 1, "rejoin"}, "s1"); err == nil {
+	if err := f.Persist(Command{"d", 6, 1, "rejoin"}, "s1"); err == nil {
 		t.Error("kept without a sync")
 	}
-	if fresh, _ := f.Judge(Order{"d", 5, 2, "rejoin"}); !fresh {
+	if fresh, _ := f.Check(Command{"d", 5, 2, "rejoin"}); !fresh {
 		t.Error("what was not kept counts as seen")
 	}
 	data, _ := os.ReadFile(path)
--- a/internal/policy/lease/holder.go
+++ b/internal/policy/lease/holder.go
@@ -2,130 +2,142 @@
 
 import "time"
 
-// State is what a process is to a duty.
-type State int
+// HolderState is what a process is to a duty.
+type HolderState int
 
+// States of a process towards a duty.
 const (
-	Waiting State = iota // it asks to own it
-	Holding              // it owns it
-	Leaving              // it asks to be let go, and begins nothing
-	Out                  // it neither owns nor asks
+	Waiting   HolderState = iota // it asks to hold the duty
+	Holding                      // it holds it, and may begin actions
+	Releasing                    // it asks to be let go, and begins nothing more
+	Stopped                      // it neither holds the duty nor asks for it
 )
 
-func (s State) String() string { return [...]string{"waiting", "holding", "leaving", "out"}[s] }
+// How often a process asks, as parts of the TTL.
+const (
+	renewalsPerTTL = 3 // two renewals in a row may be lost before a lease is
+	acquiresPerTTL = 6 // a process that waits is known to be there, and learns soon that it has come to hold
+)
 
-// Holder is the side of a process that wants to own a duty. Its times are those of the process's own monotonic clock.
+// Holder is the side of a process that wants to hold a duty. Its times are those of the process's own monotonic clock.
+//
+// Rules. The process holds the duty for HolderTTL from before the request that was granted or renewed, whatever else it knows; then it
+// stops by itself. Once it has asked to be let go, or was refused, no answer gives that epoch back to it: one may have been on its way.
 type Holder struct {
-	Duty, Who string
-	terms     Terms
-	state     State
-	epoch     Epoch
-	until     time.Duration // it owns until then
-	asked     time.Duration // when it last asked; under 0: never
-	told      time.Duration // when it was last answered
-	wish      bool          // it is to own it where it can
-	hand      bool          // it was asked to hand it on
-	ended     time.Duration // when it last ceased to own
-	over      Epoch         // it has let go of this one, or was refused by it: an answer from before says nothing
+	Duty, Process string
+
+	terms             Terms
+	state             HolderState
+	epoch             Epoch
+	expiresAt         time.Duration // it holds the duty until then
+	requestedAt       time.Duration // of its last request; under 0: it is to ask at once
+	wanted            bool          // it is to hold the duty where it can
+	transferRequested bool          // an operator has named a successor
+	lostAt            time.Duration // when it last ceased to hold
+	endedEpoch        Epoch         // answers about this epoch, or a lower one, are from before it ended
 }
 
-// NewHolder returns the side of a process that waits. Who names one start of a process: what comes back under a name is
+// NewHolder returns the side of a process that waits. Process names one start of it: what comes back under the process's name is
 // another one.
-func NewHolder(duty, who string, t Terms) *Holder {
-	return &Holder{Duty: duty, Who: who, terms: t, asked: -1, wish: true}
+func NewHolder(duty, process string, t Terms) *Holder {
+	return &Holder{Duty: duty, Process: process, terms: t, requestedAt: -1, wanted: true}
 }
 
-// State is what it is now. Who was not heard of in time owns nothing, whatever else it knows.
-func (h *Holder) State(now time.Duration) State {
-	if (h.state == Holding || h.state == Leaving) && now >= h.until {
-		h.lose(h.until)
+// State returns what the process is to the duty now, after ending a lease that is over.
+func (h *Holder) State(now time.Duration) HolderState {
+	if (h.state == Holding || h.state == Releasing) && now >= h.expiresAt {
+		h.lose(h.expiresAt)
 	}
 	return h.state
 }
 
 func (h *Holder) lose(at time.Duration) {
-	h.ended = at
-	h.epoch, h.until, h.hand = 0, 0, false
-	if h.state = Waiting; !h.wish {
-		h.state = Out
+	h.lostAt = at
+	h.epoch, h.expiresAt, h.transferRequested = 0, 0, false
+	if h.state = Waiting; !h.wanted {
+		h.state = Stopped
 	}
 }
 
-// Owns is the epoch by which it owns the duty, and whether it does and may begin an act. It says so before an act, and
-// whoever takes the act's effect asks again: a process can be stopped in between.
-func (h *Holder) Owns(now time.Duration) (Epoch, bool) {
+// Holds returns the epoch by which the process holds the duty, and whether it does and may begin an action. It is asked before each
+// action. As a process can be stopped between that and the action, whoever takes the action's effect checks the epoch again: see
+// package fence.
+func (h *Holder) Holds(now time.Duration) (Epoch, bool) {
 	return h.epoch, h.State(now) == Holding
 }
 
-// Ended is when it last ceased to own the duty, which may be seen later.
-func (h *Holder) Ended() time.Duration { return h.ended }
+// LostAt is when the process last ceased to hold the duty, which may be noticed later.
+func (h *Holder) LostAt() time.Duration { return h.lostAt }
 
-// Handing reports whether it was asked to hand the duty on, which it does between two acts by Leave.
-func (h *Holder) Handing() bool { return h.hand }
+// TransferRequested reports whether the holder is to release the duty to a successor, which it does between two actions.
+func (h *Holder) TransferRequested() bool { return h.transferRequested }
 
-// Leave ends its wish, or, with stay, hands on and waits again.
-func (h *Holder) Leave(now time.Duration, stay bool) {
-	h.wish = stay
+// Release lets the duty go, or ends waiting for it. With requeue the process waits for it again.
+func (h *Holder) Release(now time.Duration, requeue bool) {
+	h.wanted = requeue
 	switch h.State(now) {
 	case Holding:
-		h.state, h.asked, h.ended = Leaving, -1, now
+		h.state, h.requestedAt, h.lostAt = Releasing, -1, now
 	case Waiting:
-		if !stay {
-			h.state = Out
+		if !requeue {
+			h.state = Stopped
 		}
 	}
 }
 
-// Next is what to ask now, and whether anything: a third of the lease after it last asked.
-func (h *Holder) Next(now time.Duration) (Ask, bool) {
-	st := h.State(now)
-	every := h.terms.TTL / 3
-	if st == Waiting {
-		every = h.terms.TTL / 6
+// NextRequest returns what to ask of the group now, and whether there is anything to ask.
+func (h *Holder) NextRequest(now time.Duration) (Request, bool) {
+	state := h.State(now)
+	every := h.terms.TTL / renewalsPerTTL
+	if state == Waiting {
+		every = h.terms.TTL / acquiresPerTTL
 	}
-	if st == Out || h.asked >= 0 && now-h.asked < every {
-		return Ask{}, false
+	if state == Stopped || h.requestedAt >= 0 && now-h.requestedAt < every {
+		return Request{}, false
 	}
-	h.asked = now
-	switch st {
+	h.requestedAt = now
+	switch state {
 	case Holding:
-		return Ask{Op: Renew, Duty: h.Duty, Who: h.Who, Epoch: h.epoch}, true
-	case Leaving:
-		h.over = max(h.over, h.epoch) // from here on it may be somebody else's, whether or not an answer comes
-		return Ask{Op: Release, Duty: h.Duty, Who: h.Who, Epoch: h.epoch}, true
+		return Request{Op: Renew, Duty: h.Duty, Process: h.Process, Epoch: h.epoch}, true
+	case Releasing:
+		h.endedEpoch = max(h.endedEpoch, h.epoch) // from here on it may be somebody else's, whether or not an answer comes
+		return Request{Op: Release, Duty: h.Duty, Process: h.Process, Epoch: h.epoch}, true
 	}
-	return Ask{Op: Acquire, Duty: h.Duty, Who: h.Who}, true
+	return Request{Op: Acquire, Duty: h.Duty, Process: h.Process}, true
 }
 
-// Renew is asked of the group's leader, which notes it without a word in the log.
-const Renew Op = "renew"
-
-// Told takes the answer to what was asked at a time: the duty as the group has it, or that it was refused. It returns
-// whether the process has come to own the duty, or has lost it.
-func (h *Holder) Told(asked time.Duration, a Ask, d Duty, refused bool, now time.Duration) (gained, lost bool) {
-	had := h.State(now) == Holding
-	h.told = now
+// HandleAnswer takes the group's answer to a request: the duty as the group has it, or that the request was refused. RequestedAt is
+// when the request was made, as the lease counts from there. It returns whether the process has come to hold the duty, or has lost it.
+func (h *Holder) HandleAnswer(requestedAt time.Duration, r Request, d Duty, refused bool, now time.Duration) (gained, lost bool) {
+	held := h.State(now) == Holding
 	switch {
-	case a.Op == Release:
-		h.over = max(h.over, a.Epoch)
-		if h.epoch == a.Epoch {
+	case r.Op == Release:
+		h.endedEpoch = max(h.endedEpoch, r.Epoch)
+		if h.epoch == r.Epoch {
 			h.lose(now)
 		}
-	case d.Holder != h.Who || refused:
-		if d.Epoch >= h.epoch && (h.state == Holding || h.state == Leaving) {
-			h.over = max(h.over, h.epoch)
+	case d.Holder != h.Process || refused:
+		if d.Epoch >= h.epoch && (h.state == Holding || h.state == Releasing) {
+			h.endedEpoch = max(h.endedEpoch, h.epoch)
 			h.lose(now)
 		}
-	case d.Epoch < h.epoch || d.Epoch <= h.over: // an answer that was held on the way
+	case d.Epoch < h.epoch || d.Epoch <= h.endedEpoch: // delayed on its way: it says nothing of now
 	case h.state == Waiting || h.state == Holding:
-		if until := asked + h.terms.Hold(); now < until {
-			h.state, h.until = Holding, max(h.until, until)
-			if h.epoch != d.Epoch {
-				h.epoch, h.until = d.Epoch, until
-			}
-			h.hand = d.Next != "" && d.Next != h.Who
-		}
+		h.extend(requestedAt, d, now)
+	}
+	holds := h.State(now) == Holding
+	return holds && !held, held && !holds
+}
+
+// extend has the process hold the duty by the lease of an answer, unless that is over already.
+func (h *Holder) extend(requestedAt time.Duration, d Duty, now time.Duration) {
+	expiresAt := requestedAt + h.terms.HolderTTL()
+	if now >= expiresAt {
+		return
+	}
+	h.state, h.expiresAt = Holding, max(h.expiresAt, expiresAt)
+	if h.epoch != d.Epoch {
+		h.epoch, h.expiresAt = d.Epoch, expiresAt
 	}
-	has := h.State(now) == Holding
-	return has && !had, had && !has
+	h.transferRequested = d.Successor != "" && d.Successor != h.Process
 }
--- a/internal/policy/quota/holder.go
+++ b/internal/policy/quota/holder.go
@@ -75,7 +75,7 @@
 	if g.Seq <= h.grantSeq || applied != h.grantSeq {
 		return
 	}
-	h.grantSeq, h.leaseUntil, h.lent = g.Seq, asked+terms.Hold(), map[Key]float64{}
+	h.grantSeq, h.leaseUntil, h.lent = g.Seq, asked+terms.HolderTTL(), map[Key]float64{}
 	for _, a := range g.Rates {
 		h.lent[Key{a.Cell, a.Tenant}] = a.Rate
 	}
--- a/internal/policy/quota/ledger.go
+++ b/internal/policy/quota/ledger.go
@@ -98,7 +98,7 @@
 		b = &borrower{}
 		l.routers[router] = b
 	}
-	inUse, isNewLeader := ratesByKey(r.Rates), now-l.leadingSince < l.terms.Wait()
+	inUse, isNewLeader := ratesByKey(r.Rates), now-l.leadingSince < l.terms.LeaderTTL()
 	first := b.lastRequest == 0
 	l.take(now, b, r)
 	if first && isNewLeader && len(inUse) > 0 { // lent by a leader before this one, and perhaps still valid
@@ -127,14 +127,14 @@
 	for _, d := range r.Demand {
 		b.demand[Key{d.Cell, d.Tenant}] = max(0, d.Rate)
 	}
-	b.outstanding = slices.DeleteFunc(b.outstanding, func(o outstanding) bool { return o.seq < r.Applied || now-o.at >= l.terms.Wait() })
+	b.outstanding = slices.DeleteFunc(b.outstanding, func(o outstanding) bool { return o.seq < r.Applied || now-o.at >= l.terms.LeaderTTL() })
 }
 
 // demand is what all routers that were heard of within a lease are asked for of a cell, by router and tenant.
 func (l *Ledger) demand(now time.Duration, cell string, c Capacity) map[string]map[string]float64 {
 	demand := map[string]map[string]float64{}
 	for name, b := range l.routers {
-		if now-b.lastRequest < l.terms.Wait() {
+		if now-b.lastRequest < l.terms.LeaderTTL() {
 			demand[name] = map[string]float64{}
 			for tenant := range c.Tenants {
 				demand[name][tenant] = b.demand[Key{cell, tenant}]
@@ -178,7 +178,7 @@
 func (l *Ledger) maxInUse(now time.Duration, cell string, constraints []constraint, b *borrower) []float64 {
 	inUse := make([]float64, len(constraints))
 	for _, o := range b.outstanding {
-		if now-o.at >= l.terms.Wait() {
+		if now-o.at >= l.terms.LeaderTTL() {
 			continue
 		}
 		for i, one := range constraints {
@@ -194,7 +194,7 @@
 
 // forgetSilent forgets the routers that can't be using a grant any more.
 func (l *Ledger) forgetSilent(now time.Duration) {
-	maps.DeleteFunc(l.routers, func(_ string, b *borrower) bool { return now-b.lastRequest >= l.terms.Wait() })
+	maps.DeleteFunc(l.routers, func(_ string, b *borrower) bool { return now-b.lastRequest >= l.terms.LeaderTTL() })
 }
 
 // grant is the grant as it is sent, by cell and tenant.
--- a/internal/policy/statemachine/group.go
+++ b/internal/policy/statemachine/group.go
@@ -15,7 +15,7 @@
 
 // Command is one entry of the log: one of its parts is set.
 type Command struct {
-	Ask    *lease.Ask          `json:"ask,omitempty"`
+	Ask    *lease.Request          `json:"ask,omitempty"`
 	Submit *Submit             `json:"submit,omitempty"`
 	Wish   *Wish               `json:"wish,omitempty"`
 	Write  *controller.Write   `json:"write,omitempty"`
@@ -93,7 +93,7 @@
 			return nil
 		}
 	}
-	return fmt.Errorf("%w: %q", lease.ErrNobody, duty)
+	return fmt.Errorf("%w: %q", lease.ErrUnknownDuty, duty)
 }
 
 // Apply does what a command says. It never fails but by its result.
@@ -147,7 +147,7 @@
 	if err != nil {
 		r.Error = err.Error()
 		switch {
-		case errors.Is(err, lease.ErrStale):
+		case errors.Is(err, lease.ErrStaleEpoch):
 			r.Kind = Stale
 		case errors.Is(err, controller.ErrStep):
 			r.Kind = Step
--- a/internal/storage/inspect/evidence.go
+++ b/internal/storage/inspect/evidence.go
@@ -200,14 +200,14 @@
 	if len(head) < 9 || head[8] != '\n' || strings.Trim(head[:8], "0123456789abcdef") != "" {
 		return errOther
 	}
-	service, seen, err := fence.Look(path)
+	service, seen, err := fence.ReadFile(path)
 	if err != nil {
 		return err
 	}
 	f.Of = service
 	for _, duty := range slices.Sorted(maps.Keys(seen)) {
 		o := seen[duty]
-		f.say("%s: epoch %v, step %d, %s", duty, o.Epoch, o.Step, o.Act)
+		f.say("%s: epoch %v, step %d, %s", duty, o.Epoch, o.Step, o.Action)
 	}
 	return nil
 }
--- a/internal/testkit/benchmarks/ownersim.go
+++ b/internal/testkit/benchmarks/ownersim.go
@@ -23,7 +23,7 @@
 	now      time.Duration
 	wall     time.Time
 	state    *statemachine.State
-	watch    *lease.Watch
+	watch    *lease.Lessor
 	groupUp  bool
 	upAt     time.Duration
 	owners   []*simOwner
@@ -63,7 +63,7 @@
 
 type simServer struct {
 	name  string
-	book  *fence.Book
+	book  *fence.Fence
 	out   bool
 	outs  int
 	up    time.Duration // it is there from then on
@@ -72,7 +72,7 @@
 
 type simOrder struct {
 	at     time.Duration
-	order  fence.Order
+	order  fence.Command
 	server int
 	from   *simOwner
 }
@@ -90,14 +90,14 @@
 		wall: time.UnixMilli(1_700_000_000_000)}
 	terms := lease.Terms{TTL: simLease, Drift: 0.05}
 	s.state.Terms = terms
-	s.watch = lease.NewWatch(terms)
-	s.watch.Lead(0)
+	s.watch = lease.NewLessor(terms)
+	s.watch.Promote(0)
 	m := &cells.Map{Version: 1, Window: time.Second, Skew: 50 * time.Millisecond, Lease: time.Second, Patient: time.Second,
 		Cells: []cells.Cell{{Name: "a", Capacity: 1000}, {Name: "b", Capacity: 1000}}}
 	for i := range simServers {
 		name := fmt.Sprint("s", i)
 		m.Servers = append(m.Servers, cells.Server{Name: name, Addr: name, Mgmt: name, Cell: string(rune('a' + i%2)), Weight: 1})
-		s.servers = append(s.servers, &simServer{name: name, book: fence.NewBook(nil, true)})
+		s.servers = append(s.servers, &simServer{name: name, book: fence.New(nil, true)})
 	}
 	for i := range simMoves {
 		m.Tenants = append(m.Tenants, cells.Tenant{Name: fmt.Sprint("t", i), Rate: 1, Homes: []cells.Home{{Cell: "a"}}})
@@ -140,11 +140,11 @@
 		}
 		if !s.groupUp && s.now >= s.upAt { // another leader, who knows nothing of what was promised
 			s.groupUp = true
-			s.watch.Follow()
-			s.watch.Lead(s.now)
+			s.watch.Demote()
+			s.watch.Promote(s.now)
 		}
 		if s.groupUp {
-			for _, a := range s.watch.Due(s.state.Table, s.now) {
+			for _, a := range s.watch.Overdue(s.state.Table, s.now) {
 				s.ask(a)
 			}
 		}
@@ -174,25 +174,25 @@
 		x.up, x.out = s.now+s.span(time.Second), false
 		x.again++
 		if s.chance(0.3) {
-			x.book = fence.NewBook(nil, true) // its disk is lost too
+			x.book = fence.New(nil, true) // its disk is lost too
 		} else {
-			x.book = fence.NewBook(x.book.Seen(), true)
+			x.book = fence.New(x.book.Latest(), true)
 		}
 	}
 }
 
-func (s *OwnerSim) ask(a lease.Ask) (lease.Duty, bool) {
+func (s *OwnerSim) ask(a lease.Request) (lease.Duty, bool) {
 	d := s.state.Table.Duties[a.Duty]
-	if d != nil && (a.Op == lease.Renew || a.Op == lease.Acquire && (d.Holder == a.Who || slices.Contains(d.Queue, a.Who))) {
-		ending := d.Holder == a.Who && !s.watch.Renewed(a.Duty, d.Epoch, a.Op != lease.Renew, s.now)
-		s.watch.Waits(a.Duty, a.Who, s.now)
-		return *d, ending || a.Op == lease.Renew && (d.Holder != a.Who || d.Epoch != a.Epoch)
+	if d != nil && (a.Op == lease.Renew || a.Op == lease.Acquire && (d.Holder == a.Process || slices.Contains(d.Queue, a.Process))) {
+		ending := d.Holder == a.Process && !s.watch.Renew(a.Duty, d.Epoch, a.Op != lease.Renew, s.now)
+		s.watch.RecordWaiter(a.Duty, a.Process, s.now)
+		return *d, ending || a.Op == lease.Renew && (d.Holder != a.Process || d.Epoch != a.Epoch)
 	}
 	r := s.state.Apply(statemachine.Command{Ask: &a})
 	if r.Duty == nil {
 		return lease.Duty{}, true
 	}
-	s.watch.Granted(r.Duty.Name, r.Duty.Epoch, s.now)
+	s.watch.RecordGrant(r.Duty.Name, r.Duty.Epoch, s.now)
 	return *r.Duty, r.Error != ""
 }
 
@@ -201,10 +201,10 @@
 	clock := time.Duration(float64(s.now) * o.hz)
 	for _, name := range []string{controller.MapKeeper, controller.Conducts} {
 		h := o.holders[name]
-		if a, ok := h.Next(clock); ok && s.groupUp && !s.chance(0.05) {
+		if a, ok := h.NextRequest(clock); ok && s.groupUp && !s.chance(0.05) {
 			d, no := s.ask(a)
 			if !s.chance(0.05) {
-				if gained, _ := h.Told(clock, a, d, no, clock); gained {
+				if gained, _ := h.HandleAnswer(clock, a, d, no, clock); gained {
 					s.Handed++
 				}
 			}
@@ -216,11 +216,11 @@
 			}
 			continue
 		}
-		e, has := h.Owns(clock)
+		e, has := h.Holds(clock)
 		if !has || !s.groupUp {
 			continue
 		}
-		if err := s.state.Table.Owns(name, o.name, e); err != nil {
+		if err := s.state.Table.CheckHolder(name, o.name, e); err != nil {
 			continue
 		}
 		j := *s.state.Journal(name)
@@ -307,7 +307,7 @@
 			act = "evacuate"
 		}
 		server := int(p.act.Order.Server[1] - '0')
-		order := simOrder{s.now, fence.Order{Duty: name, Epoch: p.e, Step: it.Step, Act: act}, server, o}
+		order := simOrder{s.now, fence.Command{Duty: name, Epoch: p.e, Step: it.Step, Action: act}, server, o}
 		switch {
 		case s.chance(0.05): // lost
 			o.conducts.Told(p.act.Order.Server, false)
@@ -342,7 +342,7 @@
 }
 
 // take is what a server does with an order.
-func (s *OwnerSim) take(x *simServer, o fence.Order) bool {
+func (s *OwnerSim) take(x *simServer, o fence.Command) bool {
 	if x.up > s.now {
 		return false
 	}
@@ -350,20 +350,20 @@
 		if !s.groupUp {
 			return false
 		}
-		x.book.Learn(o.Duty, s.state.Table.Duties[o.Duty].Epoch, s.state.Journal(o.Duty).Step)
+		x.book.SetFloor(o.Duty, s.state.Table.Duties[o.Duty].Epoch, s.state.Journal(o.Duty).Step)
 	}
-	fresh, err := x.book.Judge(o)
+	fresh, err := x.book.Check(o)
 	if err != nil && !s.NoFence {
 		return false
 	}
-	x.book.Note(o)
+	x.book.Record(o)
 	if err == nil && !fresh {
 		return true
 	}
-	evacuate := o.Act == "evacuate"
+	evacuate := o.Action == "evacuate"
 	if x.out != evacuate {
 		if o.Epoch < s.newest {
-			s.broke("%s: %s of epoch %v after one of %v", x.name, o.Act, o.Epoch, s.newest)
+			s.broke("%s: %s of epoch %v after one of %v", x.name, o.Action, o.Epoch, s.newest)
 		}
 		if evacuate {
 			x.outs++
