--- a/cmd/benchlink/golden_test.go
+++ b/cmd/benchlink/golden_test.go
@@ -424,8 +424,8 @@
 	ended := false
 	t.Cleanup(func() {
 		if !ended {
-			cmd.Process.Kill()
-			cmd.Wait()
+			_ = cmd.Process.Kill()
+			_ = cmd.Wait()
 		}
 	})
 	said := &transcript{kinds: map[string]int{}}
--- a/cmd/silverpath/crowd_test.go
+++ b/cmd/silverpath/crowd_test.go
@@ -109,7 +109,7 @@
 		t.Fatal(err)
 	}
 	defer heard.Close()
-	heard.SetReadDeadline(time.Now().Add(20 * time.Second))
+	_ = heard.SetReadDeadline(time.Now().Add(20 * time.Second))
 	b := make([]byte, 100)
 	if n, _, err := heard.ReadFrom(b); err != nil || string(b[:n]) != "announce n1 true" {
 		t.Errorf("reported %q, %v", b[:n], err)
--- a/cmd/silverpath/durable_test.go
+++ b/cmd/silverpath/durable_test.go
@@ -110,7 +110,7 @@
 	err = db.Update(func(tx *bbolt.Tx) error {
 		return tx.ForEach(func(_ []byte, b *bbolt.Bucket) error {
 			heads := map[string][]byte{}
-			b.ForEach(func(k, v []byte) error {
+			_ = b.ForEach(func(k, v []byte) error {
 				var head map[string]any
 				if json.Unmarshal(v, &head) == nil && head["format"] != nil {
 					head["format"] = format
@@ -167,7 +167,7 @@
 		}
 		if nth, kills := strings.CutPrefix(action, "kill:"); kills {
 			if n, _ := strconv.ParseInt(nth, 10, 64); met.Add(1) == n {
-				syscall.Kill(os.Getpid(), syscall.SIGKILL)
+				_ = syscall.Kill(os.Getpid(), syscall.SIGKILL)
 				select {}
 			}
 			return nil
@@ -215,7 +215,7 @@
 // disk has the disk fail as a text says; empty: well again.
 func (d *durable) disk(text string) {
 	if text == "" {
-		os.Remove(d.fault)
+		_ = os.Remove(d.fault)
 		return
 	}
 	next := d.fault + ".next" // whole, as the program reads it at any moment
@@ -293,7 +293,7 @@
 		for range times {
 			time.Sleep(time.Duration(100+rng.IntN(200)) * time.Millisecond)
 			if rng.IntN(4) == 0 { // in the middle of a drain
-				g.Signal(syscall.SIGTERM)
+				_ = g.Signal(syscall.SIGTERM)
 				time.Sleep(time.Duration(rng.IntN(150)) * time.Millisecond)
 			}
 			g.Kill()
--- a/cmd/silverpath/earlier_build_test.go
+++ b/cmd/silverpath/earlier_build_test.go
@@ -52,7 +52,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer db.Close()
+	defer func() { _ = db.Close() }()
 	all := map[string]string{}
 	err = db.View(func(tx *bbolt.Tx) error {
 		return tx.ForEach(func(name []byte, b *bbolt.Bucket) error {
@@ -284,10 +284,10 @@
 					states[b[4]]++
 				}
 				wantStates := map[byte]int{3: 2 + len(runs)}
-				switch {
-				case start == muchLater:
+				switch start {
+				case muchLater:
 					wantStates[3] = len(runs)
-				case start == nextStart:
+				case nextStart:
 					wantStates[4] = 1
 				default:
 					wantStates[2] = 1
--- a/cmd/silverpath/group_test.go
+++ b/cmd/silverpath/group_test.go
@@ -48,7 +48,7 @@
 		runner.Boundary = func(duty, boundary string, step uint64) {
 			if at == fmt.Sprintf("%s:%s:%d", duty, boundary, step) && once.CompareAndSwap(false, true) {
 				fmt.Fprintln(os.Stderr, "stopped at", at)
-				syscall.Kill(os.Getpid(), syscall.SIGSTOP)
+				_ = syscall.Kill(os.Getpid(), syscall.SIGSTOP)
 				time.Sleep(20 * time.Millisecond) // the signal is the process's: it may come a little later
 			}
 		}
@@ -71,7 +71,7 @@
 		proxy.Boundary = func(at string) {
 			if once.CompareAndSwap(false, true) {
 				fmt.Fprintln(os.Stderr, "stopped", at)
-				syscall.Kill(os.Getpid(), syscall.SIGSTOP)
+				_ = syscall.Kill(os.Getpid(), syscall.SIGSTOP)
 				time.Sleep(20 * time.Millisecond)
 			}
 		}
@@ -727,7 +727,7 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		g.Submit(controller.MapKeeper, id, kind, args)
+		_ = g.Submit(controller.MapKeeper, id, kind, args)
 	}()
 	g.t.Cleanup(func() { <-done })
 }
--- a/cmd/silverpath/groupgolden_test.go
+++ b/cmd/silverpath/groupgolden_test.go
@@ -48,7 +48,7 @@
 	go ln.Serve()
 	ctx, cancel := context.WithCancel(context.Background())
 	var all sync.WaitGroup
-	all.Go(func() { m.Run(ctx) })
+	all.Go(func() { _ = m.Run(ctx) })
 	client := &quorum.Client{Group: "test", Addrs: []string{addr}}
 	t.Cleanup(func() {
 		client.Close()
--- a/cmd/silverpath/main_test.go
+++ b/cmd/silverpath/main_test.go
@@ -103,8 +103,8 @@
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	defer cmd.Wait()
-	defer cmd.Process.Signal(syscall.SIGTERM)
+	defer func() { _ = cmd.Wait() }()
+	defer func() { _ = cmd.Process.Signal(syscall.SIGTERM) }()
 	addrs := map[string]string{}
 	worker := false
 	lines := bufio.NewScanner(log)
@@ -116,7 +116,7 @@
 		}
 		worker = worker || strings.Contains(lines.Text(), "the built-in worker")
 	}
-	go io.Copy(io.Discard, log)
+	go func() { _, _ = io.Copy(io.Discard, log) }()
 	if len(addrs) != 2 || !worker {
 		t.Fatalf("listening on %v, worker named: %v", addrs, worker)
 	}
--- a/cmd/silverpath/overlap_test.go
+++ b/cmd/silverpath/overlap_test.go
@@ -154,7 +154,7 @@
 			from := cut.Lines()
 			away(false)
 			if _, err := cut.Await(5*time.Second, from, fmt.Sprintf("rules: acts on classes %d.", version)); err != nil {
-				if from = 0; at == "turning" { // it may have heard before it was cut off
+				if at == "turning" { // it may have heard before it was cut off
 					_, err = cut.Await(time.Second, 0, fmt.Sprintf("rules: acts on classes %d.", version))
 				}
 				if err != nil {
@@ -343,7 +343,7 @@
 					return
 				default:
 					key := fmt.Sprint("load", i, "-", n)
-					client.Once(client.Platform, r.addr, client.Request{Class: "oddaja", Tenant: []string{"brand", "other"}[i/2%2], Key: key, Body: []byte(key), Wait: 800 * time.Millisecond})
+					_, _ = client.Once(client.Platform, r.addr, client.Request{Class: "oddaja", Tenant: []string{"brand", "other"}[i/2%2], Key: key, Body: []byte(key), Wait: 800 * time.Millisecond})
 				}
 			}
 		})
--- a/cmd/silverpath/partsguards_test.go
+++ b/cmd/silverpath/partsguards_test.go
@@ -88,7 +88,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer src.Close()
+		defer func() { _ = src.Close() }()
 		kept, _, err := src.Load(nil)
 		if err != nil {
 			t.Fatal(err)
--- a/cmd/silverpath/quorum.go
+++ b/cmd/silverpath/quorum.go
@@ -137,7 +137,7 @@
 				fmt.Fprintf(w, "%s\t\t%s\n", l.Addr, l.Error)
 			}
 		}
-		w.Flush()
+		_ = w.Flush()
 	}
 	if leads == 0 {
 		return errors.New("no member leads")
--- a/cmd/silverpath/recovery_test.go
+++ b/cmd/silverpath/recovery_test.go
@@ -147,7 +147,7 @@
 			}
 			g.Kill()
 			d.disk("")
-			g = d.bare()
+			d.bare()
 			for end := time.Now().Add(6 * time.Second); d.ask("late", "late").Outcome != "served"; time.Sleep(50 * time.Millisecond) {
 				if time.Now().After(end) {
 					t.Fatal("nothing is served")
@@ -255,7 +255,7 @@
 		}()
 		time.Sleep(300 * time.Millisecond)
 		for _, p := range routers {
-			p.Signal(syscall.SIGKILL)
+			_ = p.Signal(syscall.SIGKILL)
 		}
 		for _, name := range f.names {
 			f.servers[name].Kill()
--- a/cmd/silverpath/rulebook_test.go
+++ b/cmd/silverpath/rulebook_test.go
@@ -129,7 +129,7 @@
 	}
 	f.put("map", file)
 	for end := time.Now().Add(4500 * time.Millisecond); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
-		toAll(3, fmt.Sprint("moving", end.Sub(time.Now())), one, two)
+		toAll(3, fmt.Sprint("moving", time.Until(end)), one, two)
 	}
 	if n := twice(f.ran()); n != 0 {
 		t.Errorf("%d ran twice", n)
--- a/cmd/silverpath/rules_test.go
+++ b/cmd/silverpath/rules_test.go
@@ -203,7 +203,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			old.Signal(syscall.SIGHUP)
+			_ = old.Signal(syscall.SIGHUP)
 			if _, err := old.Await(3*time.Second, 0, "cells: map version 2"); err != nil {
 				t.Fatal(err)
 			}
@@ -274,7 +274,7 @@
 			t.Fatal(err)
 		}
 		from := here.Lines()
-		here.Signal(syscall.SIGHUP)
+		_ = here.Signal(syscall.SIGHUP)
 		if _, err := here.Await(3*time.Second, from, "reload: done"); err != nil {
 			t.Error(err)
 		}
@@ -287,7 +287,7 @@
 		if err := os.WriteFile(file, []byte(newest), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		here.Signal(syscall.SIGHUP)
+		_ = here.Signal(syscall.SIGHUP)
 	}
 	away = f.route("away", file, filepath.Join(states, "away.db"))
 	if got := toAll(10, "after", away, here); got["served"] != 20 || twice(f.ran()) != 0 {
--- a/cmd/silverpath/takeover_test.go
+++ b/cmd/silverpath/takeover_test.go
@@ -90,9 +90,9 @@
 				next := s.Start()
 				next.Ready(t)
 				which := []*benchmarks.Generation{old, next}[rng.IntN(2)]
-				which.Signal(syscall.SIGSTOP)
+				_ = which.Signal(syscall.SIGSTOP)
 				time.Sleep(700 * time.Millisecond)
-				which.Signal(syscall.SIGCONT)
+				_ = which.Signal(syscall.SIGCONT)
 				time.Sleep(100 * time.Millisecond)
 				old.Leave(t)
 			},
@@ -147,7 +147,7 @@
 				if err == nil {
 					conn.Write(half[:c%len(half)])
 					conn.SetReadDeadline(time.Now().Add(2 * time.Second))
-					io.Copy(io.Discard, conn) // until it is put out
+					_, _ = io.Copy(io.Discard, conn) // until it is put out
 					conn.Close()
 				}
 				select {
@@ -183,7 +183,7 @@
 	watch(200*time.Millisecond, old, next)
 	next.Ready(t)
 	watch(500*time.Millisecond, old, next)
-	old.Signal(syscall.SIGTERM)
+	_ = old.Signal(syscall.SIGTERM)
 	watch(300*time.Millisecond, old, next)
 	old.Leave(t)
 	watch(500*time.Millisecond, next)
@@ -209,8 +209,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer unix.Close(fd)
-		unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_REUSEPORT, 1)
+		defer func() { _ = unix.Close(fd) }()
+		_ = unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_REUSEPORT, 1)
 		if err := unix.Bind(fd, &unix.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}); err != nil {
 			t.Fatal(err)
 		}
@@ -252,7 +252,7 @@
 	}
 	g := s.Start()
 	g.Ready(t)
-	g.Signal(syscall.SIGTERM)
+	_ = g.Signal(syscall.SIGTERM)
 	for !strings.Contains(g.Log(), "phase draining") {
 		time.Sleep(time.Millisecond)
 	}
@@ -296,7 +296,7 @@
 		if err := os.Rename(g.File+".next", g.File); err != nil {
 			t.Fatal(err)
 		}
-		g.Signal(syscall.SIGHUP)
+		_ = g.Signal(syscall.SIGHUP)
 		for deadline := time.Now().Add(20 * time.Second); strings.Count(g.Log(), line) < n; time.Sleep(time.Millisecond) {
 			if time.Now().After(deadline) {
 				t.Fatalf("%q is not said %d times:\n%s", line, n, g.Log())
--- a/cmd/silverpath/wire_golden_test.go
+++ b/cmd/silverpath/wire_golden_test.go
@@ -413,7 +413,7 @@
 // nextReport reads reports until one differs from what came before it.
 func nextReport(t *testing.T, conn net.PacketConn, before string) string {
 	t.Helper()
-	conn.SetReadDeadline(time.Now().Add(30 * time.Second))
+	_ = conn.SetReadDeadline(time.Now().Add(30 * time.Second))
 	for b := make([]byte, 200); ; {
 		n, _, err := conn.ReadFrom(b)
 		if err != nil {
@@ -528,7 +528,7 @@
 	bad.send([]byte("GET / HTTP/1.1\r\n\r\n"))
 	bad.rest()
 
-	p.Signal(syscall.SIGTERM)
+	_ = p.Signal(syscall.SIGTERM)
 	if _, err := p.Await(30*time.Second, 0, "phase draining"); err != nil {
 		t.Fatal(err)
 	}
@@ -570,10 +570,10 @@
 			return
 		}
 		headers := make([]byte, n+1)
-		io.ReadFull(in, headers)
+		_, _ = io.ReadFull(in, headers)
 		length, _ := strconv.Atoi(strings.Split(string(headers), "\x00")[1])
 		body := make([]byte, length)
-		io.ReadFull(in, body)
+		_, _ = io.ReadFull(in, body)
 		app.note("<", append(append([]byte(head), headers...), body...))
 		reply := "Status: 200 OK\r\nContent-Length: 4\r\n\r\ndone"
 		switch string(body) {
@@ -688,7 +688,7 @@
 	calls.compare(t, "operators.txt")
 
 	// Told to leave, it asks its peers to go, and tells routers what it took last
-	p.Signal(syscall.SIGTERM)
+	_ = p.Signal(syscall.SIGTERM)
 	b.value()
 	b.value()
 	balancer.compare(t, "cell.txt")
@@ -769,18 +769,15 @@
 	sent = berPart(0x30, []byte{0x02, 0x01, 0x01}, berPart(0x04, []byte("kviz")),
 		berPart(kind, []byte{0x02, 0x01, 0x2a}, zero, zero, berPart(0x30, binds...)))
 	b := make([]byte, 2000)
-	for {
-		if _, err := conn.Write(sent); err != nil {
-			t.Fatal(err)
-		}
-		conn.SetReadDeadline(time.Now().Add(5 * time.Second))
-		n, err := conn.Read(b)
-		if err != nil {
-			t.Fatal(err)
-		}
-		came = b[:n]
-		break
+	if _, err := conn.Write(sent); err != nil {
+		t.Fatal(err)
+	}
+	conn.SetReadDeadline(time.Now().Add(5 * time.Second))
+	n, err := conn.Read(b)
+	if err != nil {
+		t.Fatal(err)
 	}
+	came = b[:n]
 	_, b, _ = berNext(t, came)
 	_, _, b = berNext(t, b) // version
 	_, _, b = berNext(t, b) // community
--- a/internal/testkit/benchmarks/couple.go
+++ b/internal/testkit/benchmarks/couple.go
@@ -69,7 +69,7 @@
 			for {
 				select {
 				case <-w.bells[i]:
-					w.flush(i, w.links[i])
+					_ = w.flush(i, w.links[i])
 				case <-w.over:
 					return
 				}
--- a/internal/testkit/benchmarks/durable.go
+++ b/internal/testkit/benchmarks/durable.go
@@ -63,7 +63,7 @@
 	for _, kept := range []bool{false, true} {
 		s := Inherit(b, bin, env, false)
 		s.Wait = 900 * time.Millisecond
-		s.Edit = func(text string) string { return strings.Replace(text, `"deadline":4400000`, `"deadline":1000000`, -1) }
+		s.Edit = func(text string) string { return strings.ReplaceAll(text, `"deadline":4400000`, `"deadline":1000000`) }
 		if kept {
 			s.Args = []string{"--edge", keeping(b, filepath.Join(b.TempDir(), "keys"), "lab", 8, 0)}
 		}
@@ -197,7 +197,7 @@
 func (p *Process) written() (n int) {
 	text, _ := os.ReadFile(fmt.Sprintf("/proc/%d/io", p.Pid()))
 	if _, rest, ok := strings.Cut(string(text), "\nwrite_bytes: "); ok {
-		fmt.Sscan(rest, &n)
+		_, _ = fmt.Sscan(rest, &n)
 	}
 	return n
 }
--- a/internal/testkit/benchmarks/fleet.go
+++ b/internal/testkit/benchmarks/fleet.go
@@ -239,7 +239,7 @@
 		r.Lost++
 	case a.Outcome == "served":
 		r.Served++
-		r.Times.RecordValue(took.Microseconds())
+		_ = r.Times.RecordValue(took.Microseconds())
 		if took <= aim {
 			r.Worth += s.Worth
 		}
--- a/internal/testkit/benchmarks/lab.go
+++ b/internal/testkit/benchmarks/lab.go
@@ -309,7 +309,7 @@
 		res.Late++
 	case a.Outcome == "refused":
 		res.Refused++
-		res.Refusals.RecordValue(took.Microseconds())
+		_ = res.Refusals.RecordValue(took.Microseconds())
 		if took > 100*time.Millisecond {
 			res.ToldLate++
 		}
@@ -338,7 +338,7 @@
 		res.Broken = append(res.Broken, fmt.Sprintf("a repeat of %s got %q", first, a.Body))
 	case a.Outcome == "served":
 		if kept { // else it had to run first
-			res.Cheap.RecordValue(time.Since(intended).Microseconds())
+			_ = res.Cheap.RecordValue(time.Since(intended).Microseconds())
 		}
 	}
 }
@@ -374,7 +374,7 @@
 			case !good:
 				res.CheapWrong++
 			default:
-				res.Cheap.RecordValue(took.Microseconds())
+				_ = res.Cheap.RecordValue(took.Microseconds())
 			}
 		})
 	}
--- a/internal/testkit/benchmarks/operators.go
+++ b/internal/testkit/benchmarks/operators.go
@@ -60,7 +60,7 @@
 				return
 			}
 			defer conn.Close()
-			go io.Copy(io.Discard, conn)
+			go func() { _, _ = io.Copy(io.Discard, conn) }()
 			conn.SetWriteDeadline(end)
 			for time.Now().Before(end) {
 				if _, err := conn.Write(msgpackrpc.AppendRequest(nil, uint64(read[c]+1), "krog", make([]byte, 1024),
@@ -78,9 +78,9 @@
 				if err != nil {
 					continue
 				}
-				io.WriteString(conn, "POST /api/evacuate HTTP/1.1\r\nContent-Length: 9\r\n\r\n"[:i])
+				_, _ = io.WriteString(conn, "POST /api/evacuate HTTP/1.1\r\nContent-Length: 9\r\n\r\n"[:i])
 				conn.SetReadDeadline(time.Now().Add(4 * time.Second))
-				io.Copy(io.Discard, conn)
+				_, _ = io.Copy(io.Discard, conn)
 				conn.Close()
 				time.Sleep(20 * time.Millisecond) // one that was turned away comes back
 			}
@@ -96,7 +96,7 @@
 		if code != 200 || took > time.Second {
 			late++
 		}
-		h.RecordValue(took.Microseconds())
+		_ = h.RecordValue(took.Microseconds())
 		time.Sleep(20 * time.Millisecond)
 	}
 	all.Wait()
--- a/internal/testkit/benchmarks/overload.go
+++ b/internal/testkit/benchmarks/overload.go
@@ -111,7 +111,7 @@
 	if variant == "knows" {
 		for _, pt := range sc.points {
 			limit := pt.by * knee
-			time.AfterFunc(pt.at, func() { p.Reload(fixedAt(limit)) })
+			time.AfterFunc(pt.at, func() { _ = p.Reload(fixedAt(limit)) })
 		}
 	}
 	before := p.CPU()
--- a/internal/testkit/benchmarks/owner.go
+++ b/internal/testkit/benchmarks/owner.go
@@ -312,7 +312,7 @@
 				r.servers[i].Kill()
 				before[i], marks[i] = nil, 0
 				if rng.IntN(2) == 0 {
-					os.Remove(filepath.Join(r.homes[i], "orders"))
+					_ = os.Remove(filepath.Join(r.homes[i], "orders"))
 				}
 				fail(r.start(i))
 			}
@@ -342,7 +342,7 @@
 	}
 	for i, c := range copies { // what a network had kept
 		if c != nil && strings.HasPrefix(string(c), "POST") {
-			r.ways[i].Again(c)
+			_, _ = r.ways[i].Again(c)
 		}
 	}
 	for _, id := range moves {
@@ -365,7 +365,7 @@
 	}
 	for i, c := range copies {
 		if c != nil && strings.HasPrefix(string(c), "POST") {
-			r.ways[i].Again(c)
+			_, _ = r.ways[i].Again(c)
 		}
 	}
 	r.judge(&o, broke, marks, before, it)
@@ -448,7 +448,7 @@
 	for w := range workers {
 		wg.Go(func() {
 			r, err := newRig(bin, b.TempDir(), 6, ownerTerms)
-			defer r.Close()
+			defer r.Close() //nolint:staticcheck // what was begun is returned beside an error, to be closed
 			if err != nil {
 				b.Error(err)
 				return
@@ -530,7 +530,7 @@
 		})
 	}
 	r, err := newRig(bin, b.TempDir(), 0, ownerTerms)
-	defer r.Close()
+	defer r.Close() //nolint:staticcheck // what was begun is returned beside an error, to be closed
 	if err != nil {
 		b.Logf("%v", err) // a map without servers is none: the one with them follows
 	}
@@ -582,7 +582,7 @@
 					b.Error(err)
 					continue
 				}
-				h.RecordValue(gap.Microseconds())
+				_ = h.RecordValue(gap.Microseconds())
 				if two {
 					twice++
 				}
@@ -613,7 +613,7 @@
 	count := func() (messages, syncs int) {
 		for _, m := range r.g.Members {
 			from := m.Lines()
-			m.Signal(syscall.SIGUSR1)
+			_ = m.Signal(syscall.SIGUSR1)
 			line, err := m.Await(2*time.Second, from, "counter group.messages")
 			if err == nil {
 				n, _ := strconv.Atoi(line[strings.LastIndexByte(line, ' ')+1:])
@@ -695,7 +695,7 @@
 		}
 	}
 	one.Wake()
-	next.Leave()
+	_ = next.Leave()
 	return gap, two, nil
 }
 
@@ -740,7 +740,7 @@
 						return
 					}
 					mu.Lock()
-					h.RecordValue(time.Since(began).Microseconds())
+					_ = h.RecordValue(time.Since(began).Microseconds())
 					mu.Unlock()
 				}
 			})
@@ -767,7 +767,7 @@
 func oneRoll(b *testing.B, bin, how string) error {
 	home := b.TempDir()
 	g, err := harness.NewGroup(home, 3, lease.Terms{TTL: time.Second, Drift: 0.05}, 50*time.Millisecond, starter(bin))
-	defer g.Close()
+	defer g.Close() //nolint:staticcheck // what was begun is returned beside an error, to be closed
 	if err != nil {
 		return err
 	}
@@ -798,7 +798,7 @@
 		case "all at once":
 			var wg sync.WaitGroup
 			for n := range f.Servers {
-				wg.Go(func() { restart(n) })
+				wg.Go(func() { _ = restart(n) })
 			}
 			wg.Wait()
 		case "by hand, one after the other":
@@ -813,7 +813,7 @@
 			}
 		case "none":
 		default:
-			f.conduct(g, home)
+			_ = f.conduct(g, home)
 		}
 		done <- time.Since(began)
 	}()
@@ -867,7 +867,7 @@
 				if _, err := p.Await(100*time.Millisecond, 0, "phase evacuated"); err == nil {
 					f.enter(1)
 					time.Sleep(500 * time.Millisecond)
-					f.restartAt(n, time.Second)
+					_ = f.restartAt(n, time.Second)
 					f.enter(-1)
 					return
 				}
--- a/internal/testkit/benchmarks/parts.go
+++ b/internal/testkit/benchmarks/parts.go
@@ -279,7 +279,7 @@
 	if m == nil {
 		return 0, fmt.Errorf("no version in %q", c.Log())
 	}
-	fmt.Sscan(m[1], &version)
+	_, _ = fmt.Sscan(m[1], &version)
 	return version, nil
 }
 
@@ -325,7 +325,7 @@
 	defer p.drop(c, d)
 	done := make(chan struct{}, 2)
 	pass := func(to, from net.Conn, n *atomic.Int64) {
-		io.Copy(counted{to, n}, struct{ io.Reader }{from})
+		_, _ = io.Copy(counted{to, n}, struct{ io.Reader }{from})
 		done <- struct{}{}
 	}
 	go pass(d, c, p.out)
@@ -426,7 +426,7 @@
 		old.Kill()
 	}
 	state := filepath.Join(r.dir, "state.db")
-	os.Remove(state)
+	_ = os.Remove(state)
 	p, err := Route(bin, r.dir, partsSite,
 		fmt.Sprintf(`{"status":true,"fleet":{"state":%q%s},"rules":{"group":"test","members":%s,"documents":%s}}`, state, r.fleet, list, r.docs))
 	r.mu.Lock()
@@ -462,9 +462,9 @@
 			}
 			var h, min int
 			var sec float64
-			fmt.Sscan(m[1], &h)
-			fmt.Sscan(m[2], &min)
-			fmt.Sscan(m[3], &sec)
+			_, _ = fmt.Sscan(m[1], &h)
+			_, _ = fmt.Sscan(m[2], &min)
+			_, _ = fmt.Sscan(m[3], &sec)
 			at := time.Now().UTC().Truncate(24 * time.Hour).Add(time.Duration(h)*time.Hour + time.Duration(min)*time.Minute + time.Duration(sec*float64(time.Second)))
 			if id, ok := configstore.ParseID(m[5]); ok {
 				r.acts[m[4]] = append(r.acts[m[4]], moment{at, id.Version})
--- a/internal/testkit/benchmarks/parts_test.go
+++ b/internal/testkit/benchmarks/parts_test.go
@@ -22,9 +22,9 @@
 		}
 		defer c.Close()
 		b := make([]byte, 5)
-		io.ReadFull(c, b)
+		_, _ = io.ReadFull(c, b)
 		c.Write([]byte("answer, longer"))
-		io.ReadFull(c, b)
+		_, _ = io.ReadFull(c, b)
 	}()
 	var in, out atomic.Int64
 	p, err := newPipe(ln.Addr().String(), &in, &out)
--- a/internal/testkit/benchmarks/partsschedules.go
+++ b/internal/testkit/benchmarks/partsschedules.go
@@ -190,7 +190,7 @@
 	if err != nil {
 		return err.Error()
 	}
-	defer src.Close()
+	defer func() { _ = src.Close() }()
 	m, _, err := src.Load(nil)
 	if err != nil {
 		return "" // it had none yet
--- a/internal/testkit/benchmarks/partssim.go
+++ b/internal/testkit/benchmarks/partssim.go
@@ -296,7 +296,7 @@
 				if book.Users[p.h.Who] == nil {
 					op = configstore.Join
 				}
-				apply(configstore.Change{Op: op, User: &said})
+				_ = apply(configstore.Change{Op: op, User: &said})
 				tell()
 			})
 		})
@@ -318,7 +318,7 @@
 	look = func() {
 		for _, c := range watch.Due(book, now) {
 			into(func() {
-				apply(c)
+				_ = apply(c)
 				if c.Op == configstore.Lapse {
 					watch.Lapsed(c.By)
 				}
--- a/internal/testkit/benchmarks/powerloss.go
+++ b/internal/testkit/benchmarks/powerloss.go
@@ -42,18 +42,17 @@
 	mu      sync.Mutex
 	results map[string]string // of sheets, as they were first told
 	wrong   []string
-	seq     int
 }
 
 // on has processes that are started from now on find their machine switched on for the nth time.
 func on(n int) {
-	os.Setenv("SILVERPATH_RUN", "1")
-	os.Setenv("SILVERPATH_BOOT", fmt.Sprintf("boot-%d 5s machine", n))
+	_ = os.Setenv("SILVERPATH_RUN", "1")
+	_ = os.Setenv("SILVERPATH_BOOT", fmt.Sprintf("boot-%d 5s machine", n))
 }
 
 func darken(b *testing.B, bin, name string, keeps, lives bool, losses int) {
-	defer os.Unsetenv("SILVERPATH_RUN")
-	defer os.Unsetenv("SILVERPATH_BOOT")
+	defer func() { _ = os.Unsetenv("SILVERPATH_RUN") }()
+	defer func() { _ = os.Unsetenv("SILVERPATH_BOOT") }()
 	on(0)
 	edge := func(dir string) string {
 		parts := []string{`"cell":true`}
@@ -118,7 +117,7 @@
 func (d *dark) loss(n int, rng *rand.Rand) (read, sheet time.Duration, err error) {
 	all := append(slices.Clone(d.Routers), d.Servers...)
 	for _, p := range all {
-		p.Signal(9)
+		_ = p.Signal(9)
 	}
 	for _, p := range all {
 		p.Kill()
--- a/internal/testkit/benchmarks/refusal.go
+++ b/internal/testkit/benchmarks/refusal.go
@@ -40,7 +40,7 @@
 				if out == want {
 					as++
 				}
-				h.RecordValue(took.Microseconds())
+				_ = h.RecordValue(took.Microseconds())
 				mu.Unlock()
 			}
 		})
--- a/internal/testkit/benchmarks/rules.go
+++ b/internal/testkit/benchmarks/rules.go
@@ -619,11 +619,11 @@
 func (r *rulesRig) keepLogs(dir string, seed uint64) {
 	for _, p := range r.Routers {
 		for k, h := range append(slices.Clone(p.old), p.Process) {
-			os.WriteFile(filepath.Join(dir, fmt.Sprintf("seed%d-%s-%d.log", seed, p.Platform, k)), []byte(h.Log()), 0o600)
+			_ = os.WriteFile(filepath.Join(dir, fmt.Sprintf("seed%d-%s-%d.log", seed, p.Platform, k)), []byte(h.Log()), 0o600)
 		}
 	}
 	for i, m := range r.g.Members {
-		os.WriteFile(filepath.Join(dir, fmt.Sprintf("seed%d-member%d.log", seed, i)), []byte(m.Log()), 0o600)
+		_ = os.WriteFile(filepath.Join(dir, fmt.Sprintf("seed%d-member%d.log", seed, i)), []byte(m.Log()), 0o600)
 	}
 }
 
--- a/internal/testkit/benchmarks/rulessim.go
+++ b/internal/testkit/benchmarks/rulessim.go
@@ -68,7 +68,7 @@
 					if book.Users[h.Who] == nil {
 						op = configstore.Join
 					}
-					apply(configstore.Change{Op: op, User: &said})
+					_ = apply(configstore.Change{Op: op, User: &said})
 				}
 				d, at := book.Docs["d"], index
 				v := configstore.View{Force: d.Force, Next: d.Next, Stage: d.Stage}
@@ -96,7 +96,7 @@
 	var look func()
 	look = func() {
 		for _, c := range watch.Due(book, now) {
-			apply(c)
+			_ = apply(c)
 			if c.Op == configstore.Lapse {
 				watch.Lapsed(c.By)
 			}
--- a/internal/testkit/benchmarks/scale.go
+++ b/internal/testkit/benchmarks/scale.go
@@ -162,7 +162,7 @@
 	gb := 0.0
 	if text, err := os.ReadFile("/proc/meminfo"); err == nil {
 		var kb float64
-		fmt.Sscanf(string(text), "MemTotal: %f", &kb)
+		_, _ = fmt.Sscanf(string(text), "MemTotal: %f", &kb)
 		gb = kb / (1 << 20)
 	}
 	return fmt.Sprintf("%d processors (%s), %.0f GB, all on loopback", runtime.NumCPU(), model, gb)
@@ -304,11 +304,11 @@
 
 // usage is what a process has used so far.
 type usage struct {
-	cpu                  time.Duration
-	in, out              float64 // bytes by its reads and writes, of connections and files
-	writes               float64
-	resident, allocation float64 // MB; objects
-	at                   time.Time
+	cpu      time.Duration
+	in, out  float64 // bytes by its reads and writes, of connections and files
+	writes   float64
+	resident float64 // MB
+	at       time.Time
 }
 
 // usageOf reads what a process has used, in nanoseconds where the system tells them.
@@ -318,7 +318,7 @@
 	for _, file := range tasks {
 		var ns int64
 		if text, err := os.ReadFile(file); err == nil {
-			fmt.Sscan(string(text), &ns)
+			_, _ = fmt.Sscan(string(text), &ns)
 		}
 		u.cpu += time.Duration(ns)
 	}
@@ -339,7 +339,7 @@
 	if text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid)); err == nil {
 		if _, rest, ok := strings.Cut(string(text), "VmRSS:"); ok {
 			var kb float64
-			fmt.Sscan(rest, &kb)
+			_, _ = fmt.Sscan(rest, &kb)
 			u.resident = kb / 1024
 		}
 	}
@@ -559,7 +559,7 @@
 	fmt.Fprintln(x.in, x.asked)
 	if line, err := x.Await(10*time.Second, from, fmt.Sprintf("hollow traffic %d ", x.asked)); err == nil {
 		_, text, _ := strings.Cut(line, "{")
-		json.Unmarshal([]byte("{"+text), &c)
+		_ = json.Unmarshal([]byte("{"+text), &c)
 	}
 	return c
 }
@@ -665,7 +665,7 @@
 }
 
 // change puts a document as the command does, and says when that was.
-func (a *agreedOn) change(doc, text string) (at time.Time, err error) {
+func (g *agreedOn) change(doc, text string) (at time.Time, err error) {
 	text, format, err := settings.Document(doc, []byte(text))
 	if err != nil {
 		return at, err
@@ -673,8 +673,8 @@
 	ctx, cancel := context.WithTimeout(context.Background(), mostJoin)
 	defer cancel()
 	at = time.Now()
-	c := configstore.Change{Op: configstore.Put, Doc: doc, Text: text, Format: format, Version: a.doc[doc], By: "scale"}
-	r, err := a.Client.Do(ctx, statemachine.Command{Rule: &c})
+	c := configstore.Change{Op: configstore.Put, Doc: doc, Text: text, Format: format, Version: g.doc[doc], By: "scale"}
+	r, err := g.Client.Do(ctx, statemachine.Command{Rule: &c})
 	if err == nil && r.Error != "" {
 		err = errors.New(r.Error)
 	}
@@ -682,14 +682,14 @@
 }
 
 // inForce waits until no change of a document is under way.
-func (a *agreedOn) inForce(doc string, within time.Duration) error {
+func (g *agreedOn) inForce(doc string, within time.Duration) error {
 	ctx, cancel := context.WithTimeout(context.Background(), within)
 	defer cancel()
 	for {
-		r, err := a.Client.Rules(ctx)
+		r, err := g.Client.Rules(ctx)
 		if err == nil {
 			if d := r.Book.Docs[doc]; d != nil && d.Next == nil && d.Force != nil {
-				a.doc[doc] = d.Force.ID.Version
+				g.doc[doc] = d.Force.ID.Version
 				return nil
 			}
 		}
--- a/internal/testkit/benchmarks/scaledecide.go
+++ b/internal/testkit/benchmarks/scaledecide.go
@@ -69,7 +69,7 @@
 		s.add("router.route.tenants", "us", "simulated", fixed, at, us)
 		s.add("router.route_allocations.tenants", "1", "simulated", fixed, at, objects)
 		text := settings.FormatCells(m)
-		us, _ = each(func() { settings.ParseCells(text) })
+		us, _ = each(func() { _, _ = settings.ParseCells(text) })
 		s.add("router.parse.tenants", "ms", "simulated", fixed, at, us/1000)
 		next, err := settings.ParseCells(text)
 		if err != nil {
--- a/internal/testkit/benchmarks/scaleparts.go
+++ b/internal/testkit/benchmarks/scaleparts.go
@@ -207,7 +207,7 @@
 								failed++
 								return
 							}
-							times[k].RecordValue(took.Microseconds())
+							_ = times[k].RecordValue(took.Microseconds())
 						})
 					})
 				})
--- a/internal/testkit/benchmarks/shared.go
+++ b/internal/testkit/benchmarks/shared.go
@@ -133,7 +133,7 @@
 	}
 	defer conn.Close()
 	conn.SetDeadline(time.Now().Add(20 * time.Second))
-	io.WriteString(conn, text+" HTTP/1.1\r\nHost: x\r\n\r\n")
+	_, _ = io.WriteString(conn, text+" HTTP/1.1\r\nHost: x\r\n\r\n")
 	b, _ := io.ReadAll(conn)
 	if len(b) < 12 {
 		return 0, ""
@@ -171,7 +171,7 @@
 	open, _ := os.ReadDir(fmt.Sprintf("/proc/%d/fd", pid))
 	statm, _ := os.ReadFile(fmt.Sprintf("/proc/%d/statm", pid))
 	var whole, resident, shared int
-	fmt.Sscan(string(statm), &whole, &resident, &shared)
+	_, _ = fmt.Sscan(string(statm), &whole, &resident, &shared)
 	return len(open), (resident - shared) * os.Getpagesize()
 }
 
--- a/internal/testkit/harness/group.go
+++ b/internal/testkit/harness/group.go
@@ -135,9 +135,9 @@
 // for such a file.
 func (g *Group) Fault(i int, text string) {
 	if text == "" {
-		os.Remove(g.Disk(i) + ".fault")
+		_ = os.Remove(g.Disk(i) + ".fault")
 	} else {
-		os.WriteFile(g.Disk(i)+".fault", []byte(text), 0o600)
+		_ = os.WriteFile(g.Disk(i)+".fault", []byte(text), 0o600)
 	}
 }
 
@@ -198,7 +198,7 @@
 			}
 		}
 		if time.Now().After(end) {
-			return it, fmt.Errorf("%s is %s (%s) after %v: %v", id, it.State, it.Note, within, e)
+			return it, fmt.Errorf("%s is %s (%s) after %v: %v", id, it.State, it.Note, within, e) //nolint:errorlint // e may be nil, which %w does not take
 		}
 	}
 }
--- a/internal/testkit/harness/harness.go
+++ b/internal/testkit/harness/harness.go
@@ -140,7 +140,7 @@
 
 // Freeze stops the process where it is, and returns once the system says that it is stopped.
 func (p *Process) Freeze() {
-	p.Signal(syscall.SIGSTOP)
+	_ = p.Signal(syscall.SIGSTOP)
 	for range 1000 {
 		if p.Stopped() {
 			break
@@ -169,14 +169,14 @@
 	p.mu.Lock()
 	p.still = time.Time{}
 	p.mu.Unlock()
-	p.Signal(syscall.SIGCONT)
+	_ = p.Signal(syscall.SIGCONT)
 }
 
 // Kill ends the process at once.
 func (p *Process) Kill() {
-	p.cmd.Process.Kill()
+	_ = p.cmd.Process.Kill()
 	<-p.ended
-	p.cmd.Wait()
+	_ = p.cmd.Wait()
 }
 
 // Until is when it last did anything: its end, or, of one that was ended while it was stopped, when it was stopped; now where it has
@@ -201,7 +201,7 @@
 
 // Leave sends SIGTERM and waits for the end.
 func (p *Process) Leave() error {
-	p.Signal(syscall.SIGTERM)
+	_ = p.Signal(syscall.SIGTERM)
 	return p.Wait()
 }
 
--- a/internal/testkit/hollow/hollow_test.go
+++ b/internal/testkit/hollow/hollow_test.go
@@ -251,7 +251,7 @@
 	if g.b.Users[s.User.Name] == nil {
 		op = configstore.Join
 	}
-	g.apply(configstore.Change{Op: op, User: &s.User})
+	_ = g.apply(configstore.Change{Op: op, User: &s.User})
 	docs := map[string]configstore.View{}
 	for name := range s.User.Reads {
 		if d := g.b.Docs[name]; d != nil {
--- a/internal/testkit/hollow/router.go
+++ b/internal/testkit/hollow/router.go
@@ -48,7 +48,7 @@
 	f := &Follower{run: run(), group: cfg.Group}
 	loaded := func(asked time.Time) { // as a router reloads its map once the group has answered
 		src.Confirm(asked)
-		src.Load(nil)
+		_, _, _ = src.Load(nil)
 	}
 	if f.follows, err = newFollower(cfg, nil, nil, &agreed{src, loaded, nil}, &f.Stats); err != nil {
 		return nil, err
--- a/internal/testkit/standin/faults/faults.go
+++ b/internal/testkit/standin/faults/faults.go
@@ -18,6 +18,7 @@
 // Way is a direction.
 type Way int
 
+// The directions of a connection.
 const (
 	There Way = iota // from who connects to who listens
 	Back
@@ -200,7 +201,7 @@
 		m, err := b.next(r, chunk)
 		if len(m) == 0 && err != nil {
 			if behind != nil {
-				to.Write(behind)
+				_, _ = to.Write(behind)
 			}
 			return
 		}
@@ -223,10 +224,10 @@
 			return
 		}
 		if twice && b.words {
-			to.Write(m)
+			_, _ = to.Write(m)
 		}
 		if behind != nil {
-			to.Write(behind)
+			_, _ = to.Write(behind)
 			behind = nil
 		}
 	}
