--- a/checker_test.go
+++ b/checker_test.go
@@ -56,7 +56,7 @@
 	ends     []func()
 	timers   []time.Duration
 	lingers  []linger
-	crowd    []float64
+	runs     []float64
 	inHands  []float64
 	drainAt  time.Duration
 	stopAt   time.Duration
@@ -109,7 +109,7 @@
 func (c *checker) Reject(id string, _ time.Duration, _ bool) {
 	j := c.act("refuse", id)
 	if j.class.Effect != silverpath.Safe && (j.ran || j.q.DuplicateOf != "") {
-		c.fault("duplicate: %s refused after it has run", id)
+		c.fault("duplicate: %s rejected after it has run", id)
 	}
 	c.final(j, "refusal")
 	if j.phase == isHeld {
@@ -358,7 +358,7 @@
 		}
 		late := j.due + 60*time.Millisecond
 		if !j.answered && !j.gone && c.now > late {
-			c.fault("lost: %s not answered by its due time", j.q.ID)
+			c.fault("lost: %s not answered by its deadline", j.q.ID)
 			j.gone = true
 		}
 		if j.phase != isOver || c.keys[j.q.ID] > c.now {
@@ -380,9 +380,9 @@
 	if c.set.Cold && c.now < c.set.WarmupTime {
 		share = c.set.ColdSpeed + (1-c.set.ColdSpeed)*float64(c.now)/float64(c.set.WarmupTime)
 	}
-	c.crowd = append(c.crowd, float64(onCores)/(float64(c.set.Cores)*(1+(c.set.MaxRunsPerCore-1)*share)))
-	if m := mean(c.crowd, int(c.set.RunsWindow/step)); m > 1 {
-		c.fault("fall-over: crowd at %.2f of what it survives", m)
+	c.runs = append(c.runs, float64(onCores)/(float64(c.set.Cores)*(1+(c.set.MaxRunsPerCore-1)*share)))
+	if m := mean(c.runs, int(c.set.RunsWindow/step)); m > 1 {
+		c.fault("fall-over: runs at %.2f of what it survives", m)
 	}
 	left := c.lingers[:0]
 	for _, l := range c.lingers {
--- a/pools_test.go
+++ b/pools_test.go
@@ -9,24 +9,24 @@
 	"time"
 )
 
-// open are pools that hold nothing back and know no lines: with them the module decides as without any, but for what
+// open are pools that hold nothing back and know no queues: with them the module decides as without any, but for what
 // it does only where there are none.
-type open struct {
+type unlimitedPools struct {
 	s     *Shedder
 	moves int
 }
 
-func (o *open) Moved(time.Duration, string, string, Place) { o.moves++ }
-func (o *open) Tick(time.Duration, float64, Gauges)        {}
-func (o *open) HasCapacity(time.Duration, string) bool     { return true }
-func (o *open) Admits(string) bool                         { return true }
-func (o *open) Concurrency(string) float64                 { return o.s.runLimit() }
-func (o *open) Queue(string) string                        { return "" }
+func (o *unlimitedPools) Moved(time.Duration, string, string, Place) { o.moves++ }
+func (o *unlimitedPools) Tick(time.Duration, float64, Gauges)        {}
+func (o *unlimitedPools) HasCapacity(time.Duration, string) bool     { return true }
+func (o *unlimitedPools) Admits(string) bool                         { return true }
+func (o *unlimitedPools) Concurrency(string) float64                 { return o.s.runLimit() }
+func (o *unlimitedPools) Queue(string) string                        { return "" }
 
 // evening plays recorded events, the same for a seed, and returns what the module asked for. With few in hand the
-// bound on the crowd, for which pools have a line each instead, is not met.
-func evening(t *testing.T, seed uint64, busy bool, use func(*Shedder)) []string {
-	s, h := start(t, func(set *Settings) { set.MemoryKB = 40000; set.Preemption = PreemptNone })
+// bound on runs in hand, for which pools have a queue each instead, is not met.
+func playEvents(t *testing.T, seed uint64, busy bool, use func(*Shedder)) []string {
+	s, h := newTestShedder(t, func(set *Settings) { set.MemoryKB = 40000; set.Preemption = PreemptNone })
 	if use != nil {
 		use(s)
 	}
@@ -78,20 +78,20 @@
 
 // With pools off the module's actions are bit for bit those of the program before there were any: these digests were
 // taken from it.
-func TestPoolsOff(t *testing.T) {
+func TestWithoutPools(t *testing.T) {
 	for seed, want := range []uint64{0xfac48b99eca1ac9e, 0x452efc6e538db490, 0x5f93ea6e3be283bb} {
-		if got := digest(evening(t, uint64(seed), true, nil)); got != want {
+		if got := digest(playEvents(t, uint64(seed), true, nil)); got != want {
 			t.Errorf("seed %d: the actions have the digest %#x, had %#x", seed, got, want)
 		}
 	}
 }
 
 // Pools that hold nothing back change nothing either.
-func TestPoolsThatHoldNothingBack(t *testing.T) {
+func TestUnlimitedPoolsChangeNothing(t *testing.T) {
 	for seed := range uint64(5) {
-		var o *open
-		without := evening(t, seed, false, nil)
-		with := evening(t, seed, false, func(s *Shedder) { o = &open{s: s}; s.UsePools(o) })
+		var o *unlimitedPools
+		without := playEvents(t, seed, false, nil)
+		with := playEvents(t, seed, false, func(s *Shedder) { o = &unlimitedPools{s: s}; s.UsePools(o) })
 		if digest(without) != digest(with) {
 			t.Errorf("seed %d: the actions differ", seed)
 		}
@@ -101,46 +101,46 @@
 	}
 }
 
-// shut are pools with no room for one class.
-type shut struct {
-	open
+// closedPool are pools without capacity for one class.
+type closedPool struct {
+	unlimitedPools
 	class string
 }
 
-func (p *shut) HasCapacity(_ time.Duration, class string) bool { return class != p.class }
-func (p *shut) Concurrency(class string) float64 {
+func (p *closedPool) HasCapacity(_ time.Duration, class string) bool { return class != p.class }
+func (p *closedPool) Concurrency(class string) float64 {
 	if class == p.class {
 		return 0.3
 	}
 	return p.s.runLimit()
 }
-func (p *shut) Queue(class string) string { return class }
+func (p *closedPool) Queue(class string) string { return class }
 
-// A class whose pool has no room waits while others run past it, and what its pool can't run in time is refused at
+// A class whose pool has no capacity waits while others run past it, and what its pool can't run in time is rejected at
 // once, on arrival.
-func TestPoolHoldsBack(t *testing.T) {
-	s, h := start(t, func(set *Settings) { set.MemoryKB = 100000 })
-	s.UsePools(&shut{open{s: s}, "book"})
+func TestPoolLimitsItsClass(t *testing.T) {
+	s, h := newTestShedder(t, func(set *Settings) { set.MemoryKB = 100000 })
+	s.UsePools(&closedPool{unlimitedPools{s: s}, "book"})
 	s.Arrive(1, Request{ID: "b1", Class: "book", QueuedKB: 1, ExpectedWork: 100 * time.Millisecond})
 	s.Arrive(2, Request{ID: "r1", Class: "read", QueuedKB: 1, ExpectedWork: 100 * time.Millisecond})
-	if h.did("run b1") || !h.did("run r1") || h.did("refuse b1") {
+	if h.called("run b1") || !h.called("run r1") || h.called("refuse b1") {
 		t.Fatalf("%v", h.lines)
 	}
 	for i := range 30 {
 		s.Arrive(3, Request{ID: fmt.Sprint("c", i), Class: "book", QueuedKB: 1, ExpectedWork: 100 * time.Millisecond})
 	}
-	if n := h.count("refuse"); n < 28 || h.did("refuse b1") {
-		t.Errorf("%d of 30 that can't make their aim were refused on arrival: %v", n, h.lines)
+	if n := h.count("refuse"); n < 28 || h.called("refuse b1") {
+		t.Errorf("%d of 30 that can't make their objective were rejected on arrival: %v", n, h.lines)
 	}
 }
 
-// What is turned away unread counts as refused: the ordinary path and what callers are told see it.
-func TestShed(t *testing.T) {
-	s, _ := start(t, func(set *Settings) { set.Signal = SignalCredit })
+// What is rejected unread counts as rejected: the ordinary path and what callers are told see it.
+func TestRejectedUnread(t *testing.T) {
+	s, _ := newTestShedder(t, func(set *Settings) { set.Signal = SignalCredit })
 	s.RejectedUnread(time.Second, "read", 100)
 	s.RejectedUnread(time.Second, "nothing", 100)
 	if s.arrivals != 100 || s.rejections != 100 || s.rejectedBy[byForecast] != 100 || s.classByName["read"].requestedWork <= 0 {
-		t.Errorf("read %v, shed %v, refused %v", s.arrivals, s.rejections, s.rejectedBy)
+		t.Errorf("arrivals %v, rejections %v, by rule %v", s.arrivals, s.rejections, s.rejectedBy)
 	}
 	for range 40 {
 		s.RejectedUnread(s.now+tickInterval, "read", 100)
@@ -156,7 +156,7 @@
 func BenchmarkDecide(b *testing.B) {
 	for _, n := range []int{10, 100, 1000, 4000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			set, h := testSettings(), &script{}
+			set, h := testSettings(), &scriptHost{}
 			set.MemoryKB, set.Classes[0].Objective, set.Classes[0].Deadline, set.MaxRunsPerCore = 1e9, time.Hour, time.Hour, 10000
 			s, err := New(0, set, h)
 			if err != nil {
--- a/settings.go
+++ b/settings.go
@@ -7,7 +7,11 @@
 	"time"
 )
 
-// check names the field of settings that no server can have.
+// check names the field of settings that no server can have, and fills in what may be left out. The names in its
+// texts are those that operators have always read in logs and errors; some fields have better names by now:
+// Aim and AimStretch (Objective), Worth (Weight), LateWorth (LateWeight), KeyWindow (IdempotencyWindow), WithoutCall
+// (DegradedWeight), ColdFrom (ColdSpeed), WarmWithin (WarmupTime), CrowdLimit (MaxRunsPerCore), CrowdWindow
+// (RunsWindow), OverShareWorth (OverQuotaWeight), MaxAdvice (MaxRetryAfter) and CallShare (CallQuota).
 func check(set *Settings) error {
 	if set.Cores <= 0 {
 		return errors.New("Cores: none")
@@ -18,67 +22,102 @@
 	if len(set.Classes) == 0 {
 		return errors.New("Classes: none")
 	}
-	counts := []struct {
-		field string
-		n     int
-	}{{"Servers", set.Servers}, {"Callers", set.Callers}, {"Tier", set.Tier}}
-	for _, c := range counts {
-		if c.n < 0 {
-			return fmt.Errorf("%s: negative: %d", c.field, c.n)
+	for _, f := range []intField{{"Servers", set.Servers}, {"Callers", set.Callers}, {"Tier", set.Tier}} {
+		if f.value < 0 {
+			return fmt.Errorf("%s: negative: %d", f.name, f.value)
 		}
 	}
-	numbers := []numberField{
+	if err := checkClasses(set.Classes); err != nil {
+		return err
+	}
+	if err := checkNumbers(numberFields(set)); err != nil {
+		return err
+	}
+	if err := checkDurations(durationFields(set)); err != nil {
+		return err
+	}
+	set.MaxRunsPerCore = max(1, set.MaxRunsPerCore)
+	set.RunFactor = max(1, set.RunFactor)
+	return nil
+}
+
+type intField struct {
+	name  string
+	value int
+}
+
+type numberField struct {
+	name  string
+	value float64
+}
+
+type durationField struct {
+	name  string
+	value time.Duration
+}
+
+// maxDuration is the longest time that a setting may have: sums of a few stay within their type.
+const maxDuration = 366 * 24 * time.Hour
+
+func checkClasses(classes []Class) error {
+	names := map[string]bool{}
+	for i, c := range classes {
+		if names[c.Name] {
+			return fmt.Errorf("Classes[%d].Name: %q given twice", i, c.Name)
+		}
+		names[c.Name] = true
+		if c.Deadline <= 0 {
+			return fmt.Errorf("Classes[%d].Deadline: none", i)
+		}
+	}
+	return nil
+}
+
+func numberFields(set *Settings) []numberField {
+	fields := []numberField{
 		{"MemoryKB", set.MemoryKB}, {"RunFactor", set.RunFactor}, {"KeyKB", set.KeyKB}, {"ColdFrom", set.ColdSpeed},
 		{"CrowdLimit", set.MaxRunsPerCore}, {"OverShareWorth", set.OverQuotaWeight}, {"ClassMix", set.ClassMix},
 		{"CallShare", set.CallQuota},
 	}
-	times := []durationField{
-		{"WarmWithin", set.WarmupTime}, {"CrowdWindow", set.RunsWindow}, {"DrainGrace", set.DrainGrace},
-		{"FreshFor", set.FreshFor}, {"MaxAdvice", set.MaxRetryAfter}, {"CallWindow", set.CallWindow},
-		{"CallLinger", set.CallLinger}, {"KeepAlive", set.KeepAlive},
-	}
-	seen := map[string]bool{}
 	for i, c := range set.Classes {
 		at := fmt.Sprintf("Classes[%d].", i)
-		if seen[c.Name] {
-			return fmt.Errorf("%sName: %q given twice", at, c.Name)
-		}
-		seen[c.Name] = true
-		if c.Deadline <= 0 {
-			return fmt.Errorf("%sDeadline: none", at)
-		}
-		numbers = append(numbers, numberField{at + "AimStretch", c.ObjectiveStretch}, numberField{at + "Worth", c.Weight},
+		fields = append(fields, numberField{at + "AimStretch", c.ObjectiveStretch}, numberField{at + "Worth", c.Weight},
 			numberField{at + "LateWorth", c.LateWeight}, numberField{at + "WithoutCall", c.DegradedWeight})
-		times = append(times, durationField{at + "Aim", c.Objective}, durationField{at + "Deadline", c.Deadline},
-			durationField{at + "KeyWindow", c.IdempotencyWindow})
 	}
 	for i, t := range set.Tenants {
-		numbers = append(numbers, numberField{fmt.Sprintf("Tenants[%d].Rate", i), t.Rate})
-	}
-	for _, n := range numbers {
-		if !(n.value >= 0) || math.IsInf(n.value, 1) {
-			return fmt.Errorf("%s: not a number of 0 or more: %v", n.field, n.value)
-		}
+		fields = append(fields, numberField{fmt.Sprintf("Tenants[%d].Rate", i), t.Rate})
 	}
-	for _, d := range times {
-		if d.value < 0 || d.value > maxDuration {
-			return fmt.Errorf("%s: negative, or longer than a year: %v", d.field, d.value)
+	return fields
+}
+
+func checkNumbers(fields []numberField) error {
+	for _, f := range fields {
+		if !(f.value >= 0) || math.IsInf(f.value, 1) {
+			return fmt.Errorf("%s: not a number of 0 or more: %v", f.name, f.value)
 		}
 	}
-	set.MaxRunsPerCore = max(1, set.MaxRunsPerCore)
-	set.RunFactor = max(1, set.RunFactor)
 	return nil
 }
 
-type numberField struct {
-	field string
-	value float64
+func durationFields(set *Settings) []durationField {
+	fields := []durationField{
+		{"WarmWithin", set.WarmupTime}, {"CrowdWindow", set.RunsWindow}, {"DrainGrace", set.DrainGrace},
+		{"FreshFor", set.FreshFor}, {"MaxAdvice", set.MaxRetryAfter}, {"CallWindow", set.CallWindow},
+		{"CallLinger", set.CallLinger}, {"KeepAlive", set.KeepAlive},
+	}
+	for i, c := range set.Classes {
+		at := fmt.Sprintf("Classes[%d].", i)
+		fields = append(fields, durationField{at + "Aim", c.Objective}, durationField{at + "Deadline", c.Deadline},
+			durationField{at + "KeyWindow", c.IdempotencyWindow})
+	}
+	return fields
 }
 
-type durationField struct {
-	field string
-	value time.Duration
+func checkDurations(fields []durationField) error {
+	for _, f := range fields {
+		if f.value < 0 || f.value > maxDuration {
+			return fmt.Errorf("%s: negative, or longer than a year: %v", f.name, f.value)
+		}
+	}
+	return nil
 }
-
-// longestTime keeps sums of times within their type.
-const maxDuration = 366 * 24 * time.Hour
--- /dev/null
+++ b/transitions_test.go
@@ -0,0 +1,48 @@
+package silverpath
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+	"time"
+)
+
+// Who is on call hears of slow calls once they have been slow for a while, not of every few that were.
+func TestSlowCallsAreLogged(t *testing.T) {
+	s, h := newTestShedder(t)
+	s.baseCallTime = 1
+	for i := range 400 {
+		s.typicalCallTime = []float64{1, 3}[i%2]
+		s.Tick(s.now+sampleInterval, Gauges{})
+	}
+	if h.called("log calls") {
+		t.Errorf("every swing is logged: %v", h.lines)
+	}
+	s.typicalCallTime = 3
+	s.Tick(s.now+sampleInterval, Gauges{})
+	s.Tick(s.now+windowLength+sampleInterval, Gauges{})
+	if !h.called("log calls slow: true, they take 3.00 s and took 1.00 s") {
+		t.Errorf("not logged: %v", h.lines)
+	}
+}
+
+// Who is on call sees where an overload begins and ends, and what rejected; never a line for each request.
+func TestOverloadIsLoggedOnce(t *testing.T) {
+	s, h := newTestShedder(t)
+	for i := range 400 {
+		now := time.Duration(i) * tickInterval
+		if i < 100 {
+			r := testRequest(fmt.Sprint("r", i), "read")
+			r.Unread = 990 * time.Millisecond
+			s.Arrive(now, r)
+		}
+		s.Tick(now, Gauges{CPU: 1, OnCores: 2})
+	}
+	if h.count("log overload begins:") != 1 || h.count("log overload ends:") != 1 || h.count("log") != 2 {
+		for _, l := range h.lines {
+			if strings.HasPrefix(l, "log") {
+				t.Error(l)
+			}
+		}
+	}
+}
