--- a/cmd/silverpath/groupgolden_test.go
+++ b/cmd/silverpath/groupgolden_test.go
@@ -40,7 +40,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	words := msgpackrpc.NewWords(member.Name, counters, m.Answer)
+	words := msgpackrpc.NewCallServer(member.Name, counters, m.Answer)
 	ln, err := listener.Listen(member.Name, addr, 64, func() time.Duration { return time.Minute }, words.Serve, log.New(io.Discard, "", 0), counters)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/controlplane/configwatch/follow_test.go
+++ b/internal/controlplane/configwatch/follow_test.go
@@ -21,14 +21,14 @@
 func leader(t *testing.T, docs *map[string]configstore.View) *quorum.Client {
 	t.Helper()
 	index := uint64(0)
-	f := msgpackrpc.NewWords("words", &metrics.Counters{}, func(context.Context, msgpackrpc.Word) func() msgpackrpc.Verdict {
+	f := msgpackrpc.NewCallServer("words", &metrics.Counters{}, func(context.Context, msgpackrpc.Call) func() msgpackrpc.CallResult {
 		index++
 		b, err := json.Marshal(quorum.Synced{Terms: lease.Terms{TTL: time.Hour, Drift: 0.05}, Index: index, Wall: time.Now().UnixMilli(), Docs: *docs})
-		return func() msgpackrpc.Verdict {
+		return func() msgpackrpc.CallResult {
 			if err != nil {
-				return msgpackrpc.Verdict{Error: quorum.WordNo}
+				return msgpackrpc.CallResult{Error: quorum.WordNo}
 			}
-			return msgpackrpc.Verdict{Body: b}
+			return msgpackrpc.CallResult{Body: b}
 		}
 	})
 	ln, err := listener.Listen("words", "127.0.0.1:0", 8, func() time.Duration { return time.Minute }, f.Serve, log.New(io.Discard, "", 0), &metrics.Counters{})
--- a/internal/controlplane/quorum/client.go
+++ b/internal/controlplane/quorum/client.go
@@ -51,14 +51,14 @@
 	conn := c.conns[addr]
 	c.mu.Unlock()
 	if conn != nil {
-		if _, usable := conn.Room(); usable {
+		if _, usable := conn.Capacity(); usable {
 			return conn, nil
 		}
 		conn.Close()
 	}
 	dial, cancel := context.WithTimeout(ctx, DialWithin)
 	defer cancel()
-	conn, err := msgpackrpc.DialWords(dial, addr)
+	conn, err := msgpackrpc.DialCalls(dial, addr)
 	if err != nil {
 		return nil, err
 	}
@@ -84,7 +84,7 @@
 	for k, v := range fields {
 		all[k] = v
 	}
-	reply, err := conn.Say(msgpackrpc.Word{Method: method, Fields: all, Body: body})
+	reply, err := conn.Call(msgpackrpc.Call{Method: method, Fields: all, Body: body})
 	if err != nil {
 		return msgpackrpc.Reply{}, err
 	}
--- a/internal/controlplane/quorum/member/golden_test.go
+++ b/internal/controlplane/quorum/member/golden_test.go
@@ -313,7 +313,7 @@
 		t.Fatal(err)
 	}
 	ln.Close()
-	words := msgpackrpc.NewWords(Name, counters, m.Answer)
+	words := msgpackrpc.NewCallServer(Name, counters, m.Answer)
 	l, err := listener.Listen(Name, addr, memberMost, func() time.Duration { return time.Minute }, words.Serve, log.New(io.Discard, "", 0), counters)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/controlplane/quorum/member/main.go
+++ b/internal/controlplane/quorum/member/main.go
@@ -137,7 +137,7 @@
 	if err != nil {
 		return nil, nil, fmt.Errorf("member.dir: %w", err)
 	}
-	words := msgpackrpc.NewWords(Name, counters, m.Answer)
+	words := msgpackrpc.NewCallServer(Name, counters, m.Answer)
 	ln, err := listener.Listen(Name, set.Member.Listen, memberMost, func() time.Duration { return time.Minute }, words.Serve,
 		log.New(l, "", 0), counters)
 	if err != nil {
--- a/internal/controlplane/quorum/member/member.go
+++ b/internal/controlplane/quorum/member/member.go
@@ -57,7 +57,7 @@
 	compactBytes = 16 << 20
 	keepBytes    = 4 << 20
 	// longestCommand bounds a command as it is in the log: with what else a word to a member carries it stays within one.
-	longestCommand = msgpackrpc.LongestWord/2 - 64<<10
+	longestCommand = msgpackrpc.MaxCallBody/2 - 64<<10
 )
 
 // Member is one member.
--- a/internal/controlplane/quorum/member/parts.go
+++ b/internal/controlplane/quorum/member/parts.go
@@ -19,7 +19,7 @@
 
 // parts answers with parts of a version, or with its manifest. Who asks looks at their digests, by what he was told in an answer that
 // a majority confirmed, so that this one needs no confirming.
-func (m *Member) parts(w msgpackrpc.Word, answer func(msgpackrpc.Verdict)) {
+func (m *Member) parts(w msgpackrpc.Call, answer func(msgpackrpc.CallResult)) {
 	var ask configstore.Want
 	if err := json.Unmarshal(w.Body, &ask); err != nil || len(ask.Names) > configstore.MostParts {
 		answer(no(quorum.WordNo, "at most %d parts are asked for at a time", configstore.MostParts))
@@ -52,7 +52,7 @@
 			answer(no(quorum.WordNo, "%v", err))
 			return
 		}
-		answer(msgpackrpc.Verdict{Body: b})
+		answer(msgpackrpc.CallResult{Body: b})
 	}()
 }
 
--- a/internal/controlplane/quorum/member/parts_test.go
+++ b/internal/controlplane/quorum/member/parts_test.go
@@ -75,7 +75,7 @@
 		g.t.Fatal(err)
 	}
 	quiet := log.New(io.Discard, "", 0)
-	words := msgpackrpc.NewWords(Name, g.stats[i], m.Answer)
+	words := msgpackrpc.NewCallServer(Name, g.stats[i], m.Answer)
 	var mu sync.Mutex
 	var conns []net.Conn
 	ln, err := listener.Listen(Name, g.addrs[i], memberMost, func() time.Duration { return time.Minute }, func(conn net.Conn, slot *listener.Slot) {
@@ -418,7 +418,7 @@
 func TestChunksThatDontFollow(t *testing.T) {
 	m := &Member{confirmed: true, stats: &metrics.Counters{}, cfg: Config{Group: "test"}}
 	say := func(from uint64, body, s, o, l string) string {
-		v := m.chunk(msgpackrpc.Word{Body: []byte(body), Fields: map[string]string{"s": s, "o": o, "l": l}}, from)
+		v := m.chunk(msgpackrpc.Call{Body: []byte(body), Fields: map[string]string{"s": s, "o": o, "l": l}}, from)
 		return v.Error
 	}
 	for i, c := range []struct {
--- a/internal/controlplane/quorum/member/peer.go
+++ b/internal/controlplane/quorum/member/peer.go
@@ -26,7 +26,7 @@
 	queued      = 512     // messages to a member
 	roomForRest = 4 << 10 // of a word, beside its messages
 	// longestInWord bounds a snapshot that goes in one word, which members of older builds take as well; a longer one goes in chunks.
-	longestInWord = msgpackrpc.LongestWord/2 - 64<<10
+	longestInWord = msgpackrpc.MaxCallBody/2 - 64<<10
 )
 
 // pack puts messages one after the other, each behind its length.
@@ -76,7 +76,7 @@
 			m.joining.Go(func() { m.carrySnap(ctx, p, first) })
 			continue
 		}
-		for more := true; more && size < msgpackrpc.LongestWord/2; {
+		for more := true; more && size < msgpackrpc.MaxCallBody/2; {
 			select {
 			case x := <-p.queue:
 				if x.GetType() == pb.MsgSnap && proto.Size(x) > longestInWord {
@@ -95,12 +95,12 @@
 				break
 			}
 		}
-		if err == nil && len(body) > msgpackrpc.LongestWord-roomForRest {
+		if err == nil && len(body) > msgpackrpc.MaxCallBody-roomForRest {
 			err = errors.New("too long for a word")
 			m.log.Error().Str("event", "group.word_too_long").Str("member", p.Name).Int("bytes", len(body)).Send()
 		}
 		if conn != nil {
-			if _, usable := conn.Room(); !usable {
+			if _, usable := conn.Capacity(); !usable {
 				conn.Close()
 				conn = nil
 			}
@@ -110,7 +110,7 @@
 				err = errors.New("down")
 			} else {
 				dial, cancel := context.WithTimeout(ctx, quorum.DialWithin)
-				conn, err = msgpackrpc.DialWords(dial, p.Addr)
+				conn, err = msgpackrpc.DialCalls(dial, p.Addr)
 				cancel()
 				if err != nil {
 					downUntil = time.Now().Add(m.cfg.Tick)
@@ -119,7 +119,7 @@
 		}
 		var reply <-chan msgpackrpc.Reply
 		if err == nil {
-			reply, err = conn.Say(m.word("group.raft", body))
+			reply, err = conn.Call(m.word("group.raft", body))
 		}
 		if err != nil {
 			if !errors.Is(err, msgpackrpc.ErrFull) && conn != nil {
@@ -149,24 +149,24 @@
 }
 
 // word is a word with who says it.
-func (m *Member) word(method string, body []byte) msgpackrpc.Word {
+func (m *Member) word(method string, body []byte) msgpackrpc.Call {
 	who := m.who.Load()
-	return msgpackrpc.Word{Method: method, Body: body, Fields: map[string]string{
+	return msgpackrpc.Call{Method: method, Body: body, Fields: map[string]string{
 		"g": m.cfg.Group, "gi": who.Group, "id": strconv.FormatUint(who.ID, 10), "st": strconv.FormatUint(who.Starts, 10),
 		"n": strconv.FormatUint(m.salt, 10),
 	}}
 }
 
 // say says one word to an address on a connection of its own.
-func say(ctx context.Context, addr string, w msgpackrpc.Word) (msgpackrpc.Reply, error) {
+func say(ctx context.Context, addr string, w msgpackrpc.Call) (msgpackrpc.Reply, error) {
 	dial, cancel := context.WithTimeout(ctx, quorum.DialWithin)
 	defer cancel()
-	conn, err := msgpackrpc.DialWords(dial, addr)
+	conn, err := msgpackrpc.DialCalls(dial, addr)
 	if err != nil {
 		return msgpackrpc.Reply{}, err
 	}
 	defer conn.Close()
-	reply, err := conn.Say(w)
+	reply, err := conn.Call(w)
 	if err != nil {
 		return msgpackrpc.Reply{}, err
 	}
--- a/internal/controlplane/quorum/member/rules.go
+++ b/internal/controlplane/quorum/member/rules.go
@@ -16,7 +16,7 @@
 
 // sync registers a process, takes what it says of itself, and tells it what is in force. Like a renewal it is answered once a
 // majority has said that this member led after the word came; only news goes into the log.
-func (m *Member) sync(w msgpackrpc.Word, answer func(msgpackrpc.Verdict)) {
+func (m *Member) sync(w msgpackrpc.Call, answer func(msgpackrpc.CallResult)) {
 	var s quorum.Sync
 	if err := json.Unmarshal(w.Body, &s); err != nil || s.User.Name == "" {
 		answer(no(quorum.WordNo, "nobody says this"))
@@ -31,7 +31,7 @@
 		return
 	}
 	if !m.users.Heard(s.User.Name, m.clock(), s.Acts, s.Worth, s.Stops) {
-		answer(msgpackrpc.Verdict{Error: quorum.WordLost}) // its end is on its way: then it registers anew
+		answer(msgpackrpc.CallResult{Error: quorum.WordLost}) // its end is on its way: then it registers anew
 		return
 	}
 	grant := m.grant(s)
@@ -42,7 +42,7 @@
 			answer(no(quorum.WordNo, "%d processes are registered already", configstore.MostUsers))
 			return
 		case !ok, u == nil, unread(m.state.Rules, s.User) != "":
-			answer(msgpackrpc.Verdict{Error: quorum.WordLost})
+			answer(msgpackrpc.CallResult{Error: quorum.WordLost})
 			return
 		}
 		b, err := json.Marshal(quorum.Synced{Terms: m.state.Terms, Index: m.applied, Wall: time.Now().UnixMilli(), Docs: views(m.state.Rules, u, s), Grant: grant})
@@ -50,7 +50,7 @@
 			answer(no(quorum.WordNo, "%v", err))
 			return
 		}
-		answer(msgpackrpc.Verdict{Body: b})
+		answer(msgpackrpc.CallResult{Body: b})
 	}
 	var err error
 	if m.state.Rules.New(s.User) {
@@ -103,10 +103,10 @@
 }
 
 // readRules answers with the documents, and what was heard of those that use them.
-func (m *Member) readRules(answer func(msgpackrpc.Verdict)) {
+func (m *Member) readRules(answer func(msgpackrpc.CallResult)) {
 	err := m.confirmLead(func(ok bool) {
 		if !ok {
-			answer(msgpackrpc.Verdict{Error: quorum.WordLost})
+			answer(msgpackrpc.CallResult{Error: quorum.WordLost})
 			return
 		}
 		b, err := json.Marshal(quorum.Rules{Book: m.state.Rules.Listed(), Heard: m.users.List(m.clock()), Terms: m.state.Terms, Wall: time.Now().UnixMilli(), Lent: m.ledger.LentRatios(m.clock())})
@@ -114,7 +114,7 @@
 			answer(no(quorum.WordNo, "%v", err))
 			return
 		}
-		answer(msgpackrpc.Verdict{Body: b})
+		answer(msgpackrpc.CallResult{Body: b})
 	})
 	if err != nil {
 		answer(m.elsewhere())
--- a/internal/controlplane/quorum/member/snapshot.go
+++ b/internal/controlplane/quorum/member/snapshot.go
@@ -61,7 +61,7 @@
 	}
 	dial, cancel := context.WithTimeout(ctx, quorum.DialWithin)
 	defer cancel()
-	conn, err := msgpackrpc.DialWords(dial, p.Addr)
+	conn, err := msgpackrpc.DialCalls(dial, p.Addr)
 	if err != nil {
 		return err
 	}
@@ -75,7 +75,7 @@
 		if Chunk != nil && !Chunk(n) {
 			continue // lost: the next one doesn't follow
 		}
-		reply, err := conn.Say(w)
+		reply, err := conn.Call(w)
 		if err != nil {
 			return err
 		}
@@ -97,7 +97,7 @@
 }
 
 // chunk takes a piece of a snapshot, and the whole once the last has come.
-func (m *Member) chunk(w msgpackrpc.Word, from uint64) msgpackrpc.Verdict {
+func (m *Member) chunk(w msgpackrpc.Call, from uint64) msgpackrpc.CallResult {
 	if !m.confirmed {
 		return no(quorum.WordNo, "not yet one that may say anything")
 	}
@@ -117,7 +117,7 @@
 	}
 	c.b, c.at = append(c.b, w.Body...), time.Now()
 	if uint64(len(c.b)) < long {
-		return msgpackrpc.Verdict{}
+		return msgpackrpc.CallResult{}
 	}
 	m.coming = nil
 	x := &pb.Message{}
@@ -130,7 +130,7 @@
 	}
 	m.stats.Inc("group", "snapshots_put_together")
 	m.step(x, from)
-	return msgpackrpc.Verdict{}
+	return msgpackrpc.CallResult{}
 }
 
 // dropLate gives up a snapshot whose next chunk does not come.
--- a/internal/controlplane/quorum/member/words.go
+++ b/internal/controlplane/quorum/member/words.go
@@ -27,39 +27,39 @@
 }
 
 // Answer answers the words of a connection; it is the one that msgpackrpc.NewWords asks for.
-func (m *Member) Answer(ctx context.Context, w msgpackrpc.Word) func() msgpackrpc.Verdict {
+func (m *Member) Answer(ctx context.Context, w msgpackrpc.Call) func() msgpackrpc.CallResult {
 	if g := w.Fields["g"]; g != m.cfg.Group {
 		m.stats.Inc("group", "strangers")
-		return said(msgpackrpc.Verdict{Error: quorum.WordStranger, Fields: []string{"why", fmt.Sprintf("this is group %q, not %q", m.cfg.Group, g)}})
+		return said(msgpackrpc.CallResult{Error: quorum.WordStranger, Fields: []string{"why", fmt.Sprintf("this is group %q, not %q", m.cfg.Group, g)}})
 	}
 	if w.Method == "group.status" {
 		b, _ := json.Marshal(m.Status())
-		return said(msgpackrpc.Verdict{Body: b})
+		return said(msgpackrpc.CallResult{Body: b})
 	}
 	// The rest is the loop's: in the order in which it came.
-	out := make(chan msgpackrpc.Verdict, 1)
-	m.later(func() { m.take(w, func(v msgpackrpc.Verdict) { out <- v }) })
-	return func() msgpackrpc.Verdict {
+	out := make(chan msgpackrpc.CallResult, 1)
+	m.later(func() { m.take(w, func(v msgpackrpc.CallResult) { out <- v }) })
+	return func() msgpackrpc.CallResult {
 		select {
 		case v := <-out:
 			return v
 		case <-m.ended:
 		case <-ctx.Done():
 		}
-		return msgpackrpc.Verdict{Error: quorum.WordLost}
+		return msgpackrpc.CallResult{Error: quorum.WordLost}
 	}
 }
 
-func said(v msgpackrpc.Verdict) func() msgpackrpc.Verdict {
-	return func() msgpackrpc.Verdict { return v }
+func said(v msgpackrpc.CallResult) func() msgpackrpc.CallResult {
+	return func() msgpackrpc.CallResult { return v }
 }
 
-func no(kind, format string, args ...any) msgpackrpc.Verdict {
-	return msgpackrpc.Verdict{Error: kind, Fields: []string{"why", fmt.Sprintf(format, args...)}}
+func no(kind, format string, args ...any) msgpackrpc.CallResult {
+	return msgpackrpc.CallResult{Error: kind, Fields: []string{"why", fmt.Sprintf(format, args...)}}
 }
 
 // take does what a word asks. Answer is called once, now or later.
-func (m *Member) take(w msgpackrpc.Word, answer func(msgpackrpc.Verdict)) {
+func (m *Member) take(w msgpackrpc.Call, answer func(msgpackrpc.CallResult)) {
 	switch w.Method {
 	case "group.raft", "group.vouch", "group.mark", "group.chunk":
 		answer(m.fromMember(w))
@@ -87,7 +87,7 @@
 }
 
 // fromMember takes what another member says of itself, and its messages.
-func (m *Member) fromMember(w msgpackrpc.Word) msgpackrpc.Verdict {
+func (m *Member) fromMember(w msgpackrpc.Call) msgpackrpc.CallResult {
 	number := func(key string) uint64 { n, _ := strconv.ParseUint(w.Fields[key], 10, 64); return n }
 	id, who := number("id"), m.who.Load()
 	switch {
@@ -121,7 +121,7 @@
 		return m.chunk(w, id)
 	case "group.raft":
 		if !m.confirmed {
-			return msgpackrpc.Verdict{} // not yet one that may say anything
+			return msgpackrpc.CallResult{} // not yet one that may say anything
 		}
 		list, err := unpack(w.Body)
 		if err != nil {
@@ -132,7 +132,7 @@
 			m.step(x, id)
 		}
 	}
-	return msgpackrpc.Verdict{}
+	return msgpackrpc.CallResult{}
 }
 
 // step hands a message to the library, unless it shows that this disk has lost what it had said.
@@ -150,7 +150,7 @@
 }
 
 // founded makes this member one of the first of a group.
-func (m *Member) founded(w msgpackrpc.Word) msgpackrpc.Verdict {
+func (m *Member) founded(w msgpackrpc.Call) msgpackrpc.CallResult {
 	var f quorum.Founding
 	if err := json.Unmarshal(w.Body, &f); err != nil {
 		return no(quorum.WordNo, "%v", err)
@@ -158,7 +158,7 @@
 	who := *m.who.Load()
 	switch {
 	case who.Group == f.ID():
-		return msgpackrpc.Verdict{}
+		return msgpackrpc.CallResult{}
 	case who.Group != "":
 		return no(quorum.WordNo, "member %s belongs to group %s already", who.Name, who.Group)
 	case f.Group != m.cfg.Group || !slices.ContainsFunc(f.Members, func(p statemachine.Peer) bool { return p.ID == who.ID }):
@@ -180,11 +180,11 @@
 	m.who.Store(&who)
 	m.log.Info().Str("event", "group.founded").Str("group", who.Group).Int("members", len(f.Members)).Send()
 	m.begin()
-	return msgpackrpc.Verdict{}
+	return msgpackrpc.CallResult{}
 }
 
 // joined makes this member, whose disk is empty, one that listens to a group until it was added there.
-func (m *Member) joined(w msgpackrpc.Word) msgpackrpc.Verdict {
+func (m *Member) joined(w msgpackrpc.Call) msgpackrpc.CallResult {
 	var j quorum.Joining
 	if err := json.Unmarshal(w.Body, &j); err != nil || j.ID == "" {
 		return no(quorum.WordNo, "no group")
@@ -192,7 +192,7 @@
 	who := *m.who.Load()
 	switch {
 	case who.Group == j.ID:
-		return msgpackrpc.Verdict{}
+		return msgpackrpc.CallResult{}
 	case who.Group != "":
 		return no(quorum.WordNo, "member %s belongs to group %s already", who.Name, who.Group)
 	}
@@ -204,7 +204,7 @@
 	m.who.Store(&who)
 	m.log.Info().Str("event", "group.joined").Str("group", who.Group).Send()
 	m.begin()
-	return msgpackrpc.Verdict{}
+	return msgpackrpc.CallResult{}
 }
 
 // begin has a member take part that has just become one.
@@ -218,7 +218,7 @@
 }
 
 // elsewhere answers for one that does not lead.
-func (m *Member) elsewhere() msgpackrpc.Verdict {
+func (m *Member) elsewhere() msgpackrpc.CallResult {
 	v := no(quorum.WordNotLeader, "member %s does not lead", m.cfg.Name)
 	if m.raw != nil {
 		if p, ok := m.state.Members[m.raw.BasicStatus().Lead]; ok && p.ID != m.who.Load().ID {
@@ -228,19 +228,19 @@
 	return v
 }
 
-func result(r statemachine.Result, ok bool) msgpackrpc.Verdict {
+func result(r statemachine.Result, ok bool) msgpackrpc.CallResult {
 	if !ok {
-		return msgpackrpc.Verdict{Error: quorum.WordLost}
+		return msgpackrpc.CallResult{Error: quorum.WordLost}
 	}
 	b, err := json.Marshal(r)
 	if err != nil {
 		return no(quorum.WordNo, "%v", err)
 	}
-	return msgpackrpc.Verdict{Body: b}
+	return msgpackrpc.CallResult{Body: b}
 }
 
 // do puts a command into the log.
-func (m *Member) do(w msgpackrpc.Word, answer func(msgpackrpc.Verdict)) {
+func (m *Member) do(w msgpackrpc.Call, answer func(msgpackrpc.CallResult)) {
 	var c statemachine.Command
 	if err := json.Unmarshal(w.Body, &c); err != nil {
 		answer(no(quorum.WordNo, "%v", err))
@@ -279,7 +279,7 @@
 
 // renew notes that an owner goes on, or that one waits, by the leader's word alone: it answers once a majority has said
 // that it led after the word came.
-func (m *Member) renew(w msgpackrpc.Word, answer func(msgpackrpc.Verdict)) {
+func (m *Member) renew(w msgpackrpc.Call, answer func(msgpackrpc.CallResult)) {
 	var c statemachine.Command
 	if err := json.Unmarshal(w.Body, &c); err != nil || c.Ask == nil {
 		answer(no(quorum.WordNo, "no renewal"))
@@ -316,14 +316,14 @@
 }
 
 // read answers with what all have agreed on by now.
-func (m *Member) read(w msgpackrpc.Word, answer func(msgpackrpc.Verdict)) {
+func (m *Member) read(w msgpackrpc.Call, answer func(msgpackrpc.CallResult)) {
 	if !m.leads {
 		answer(m.elsewhere())
 		return
 	}
 	err := m.confirmLead(func(ok bool) {
 		if !ok {
-			answer(msgpackrpc.Verdict{Error: quorum.WordLost})
+			answer(msgpackrpc.CallResult{Error: quorum.WordLost})
 			return
 		}
 		v := quorum.View{Terms: m.state.Terms, Table: m.state.Table, Journals: map[string]*controller.Journal{}, Wall: time.Now().UnixMilli()}
@@ -337,7 +337,7 @@
 			answer(no(quorum.WordNo, "%v", err))
 			return
 		}
-		answer(msgpackrpc.Verdict{Body: b})
+		answer(msgpackrpc.CallResult{Body: b})
 	})
 	if err != nil {
 		answer(m.elsewhere())
@@ -346,7 +346,7 @@
 
 // change adds a member, first as one that only listens and then, asked again once it has caught up, with a vote, or removes
 // one: one at a time.
-func (m *Member) change(w msgpackrpc.Word, answer func(msgpackrpc.Verdict)) {
+func (m *Member) change(w msgpackrpc.Call, answer func(msgpackrpc.CallResult)) {
 	var p statemachine.Peer
 	if err := json.Unmarshal(w.Body, &p); err != nil || p.ID == 0 {
 		answer(no(quorum.WordNo, "no member"))
@@ -361,11 +361,11 @@
 	case w.Method == "group.remove":
 		kind, of = pb.ConfChangeRemoveNode, change{Remove: p.ID}
 	case slices.Contains(m.conf.GetVoters(), p.ID):
-		answer(msgpackrpc.Verdict{Body: []byte(`"voter"`)})
+		answer(msgpackrpc.CallResult{Body: []byte(`"voter"`)})
 		return
 	case known && pr.IsLearner:
 		if last, _ := m.disk.mem.LastIndex(); pr.Match+compactKeep < last || pr.Match == 0 {
-			answer(msgpackrpc.Verdict{Body: []byte(`"catching up"`)})
+			answer(msgpackrpc.CallResult{Body: []byte(`"catching up"`)})
 			return
 		}
 		kind = pb.ConfChangeAddNode
@@ -387,9 +387,9 @@
 	}
 	m.waiting[of.Seq] = func(_ statemachine.Result, ok bool) {
 		if !ok {
-			answer(msgpackrpc.Verdict{Error: quorum.WordLost})
+			answer(msgpackrpc.CallResult{Error: quorum.WordLost})
 			return
 		}
-		answer(msgpackrpc.Verdict{Body: []byte(`"changed"`)})
+		answer(msgpackrpc.CallResult{Body: []byte(`"changed"`)})
 	}
 }
--- a/internal/policy/statemachine/group.go
+++ b/internal/policy/statemachine/group.go
@@ -15,7 +15,7 @@
 
 // Command is one entry of the log: one of its parts is set.
 type Command struct {
-	Ask    *lease.Request          `json:"ask,omitempty"`
+	Ask    *lease.Request      `json:"ask,omitempty"`
 	Submit *Submit             `json:"submit,omitempty"`
 	Wish   *Wish               `json:"wish,omitempty"`
 	Write  *controller.Write   `json:"write,omitempty"`
--- a/internal/proxy/fleet.go
+++ b/internal/proxy/fleet.go
@@ -277,7 +277,7 @@
 		}); err == nil {
 			select {
 			case a, good = <-reply:
-				good = good && !a.Untaken()
+				good = good && !a.Unprocessed()
 			case <-ctx.Done():
 			}
 		}
@@ -287,7 +287,7 @@
 	if good { // one that says that it is unwell is there all the same: it drains, and knows its sheets
 		r.reached(s.Name, a.Fields)
 		if part, err := strconv.Atoi(a.Fields["c"]); err == nil {
-			r.table.SlowStartGranted(asked, s.Name, part, msgpackrpc.SlowStartTerms*every)
+			r.table.SlowStartGranted(asked, s.Name, part, msgpackrpc.SlowStartProbeIntervals*every)
 		}
 	} else {
 		r.table.Unreachable(r.clock(), s.Name)
@@ -644,9 +644,9 @@
 	if p != nil {
 		ctx, cancel := context.WithDeadline(ctx, due.Add(-lateAnswer))
 		defer cancel()
-		e, fields = p.send(ctx, msgpackrpc.Try{
-			ID: q.ID, Class: q.Class, Tenant: q.Tenant, Key: q.Key, Reached: began, Wait: due.Sub(began) - lateAnswer/2,
-			HeldKB: q.HeldKB, Rank: q.Rank, Caller: q.Caller, Body: q.Body, Known: known, Boot: p.boot.Load(), Rules: q.Rules,
+		e, fields = p.send(ctx, msgpackrpc.Attempt{
+			ID: q.ID, Class: q.Class, Tenant: q.Tenant, Key: q.Key, ReceivedAt: began, Timeout: due.Sub(began) - lateAnswer/2,
+			HeldKB: q.HeldKB, Rank: q.Rank, Caller: q.Caller, Body: q.Body, KnownOnly: known, Incarnation: p.boot.Load(), ConfigID: q.Rules,
 		})
 	}
 	r.mu.Lock()
@@ -721,7 +721,7 @@
 	kept := p.conns[:0]
 	var found *msgpackrpc.Conn
 	for _, c := range p.conns {
-		room, usable := c.Room()
+		room, usable := c.Capacity()
 		if !usable {
 			<-p.room
 			continue
@@ -756,7 +756,7 @@
 
 // send sends a try and waits for its end. Where the connection turns out to be closed as it is written to, the try goes
 // out on a new one: nothing of it was read.
-func (p *peer) send(ctx context.Context, t msgpackrpc.Try) (ending, map[string]string) {
+func (p *peer) send(ctx context.Context, t msgpackrpc.Attempt) (ending, map[string]string) {
 	for crossed := 0; crossed < 2; {
 		c, err := p.conn(ctx)
 		if err != nil {
@@ -775,13 +775,13 @@
 			if !ok {
 				return ending{outcome: loadbalancer.ConnectionLost}, nil
 			}
-			if a.Untaken() { // it crossed the end of a connection that had rested: proven that it never ran
+			if a.Unprocessed() { // it crossed the end of a connection that had rested: proven that it never ran
 				crossed++
 				continue
 			}
 			return end(a), a.Fields
 		case <-ctx.Done():
-			c.GiveUp(id)
+			c.Cancel(id)
 			return ending{outcome: loadbalancer.TimedOut}, nil
 		}
 	}
--- a/internal/proxy/parts_test.go
+++ b/internal/proxy/parts_test.go
@@ -668,7 +668,7 @@
 		r := runnerOn(t, agreedOn(t, "", m), io.Discard, nil)
 		r.Share(470, true)
 		text := r.Status()
-		if len(text) > msgpackrpc.LongestWord/2 {
+		if len(text) > msgpackrpc.MaxCallBody/2 {
 			t.Errorf("of %d tenants it has %d bytes", tenants, len(text))
 		}
 		var s struct {
--- a/internal/proxy/rest_test.go
+++ b/internal/proxy/rest_test.go
@@ -90,7 +90,7 @@
 	}}
 	defer p.close()
 	send := func(id string) ending {
-		e, _ := p.send(t.Context(), msgpackrpc.Try{ID: id, Class: "sheet", Key: id, Reached: time.Now(), Wait: 4 * time.Second, HeldKB: 1, Body: []byte(id)})
+		e, _ := p.send(t.Context(), msgpackrpc.Attempt{ID: id, Class: "sheet", Key: id, ReceivedAt: time.Now(), Timeout: 4 * time.Second, HeldKB: 1, Body: []byte(id)})
 		return e
 	}
 	if e := send("one"); e.outcome != loadbalancer.Served {
@@ -141,7 +141,7 @@
 		return msgpackrpc.NewConn(conn), err
 	}}
 	defer p.close()
-	e, _ := p.send(t.Context(), msgpackrpc.Try{ID: "one", Class: "sheet", Key: "one", Reached: time.Now(), Wait: 20 * time.Second, HeldKB: 1, Body: []byte("x")})
+	e, _ := p.send(t.Context(), msgpackrpc.Attempt{ID: "one", Class: "sheet", Key: "one", ReceivedAt: time.Now(), Timeout: 20 * time.Second, HeldKB: 1, Body: []byte("x")})
 	ln.Close()
 	<-over
 	mu.Lock()
--- a/internal/service/operate_test.go
+++ b/internal/service/operate_test.go
@@ -52,7 +52,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		return r.Good
+		return r.Healthy
 	}
 	served := func(id string) {
 		t.Helper()
--- a/internal/service/server.go
+++ b/internal/service/server.go
@@ -45,7 +45,7 @@
 	cfg := s.cfg
 	if cfg.SCGI.Upstream != "" {
 		up := scgi.NewUpstream(cfg.SCGI.Upstream, cfg.Server.Cores, b.Upstream, cfg.SCGI.Timeout, s.core, s.log, s.stats)
-		s.keep = append(s.keep, up.Keep)
+		s.keep = append(s.keep, up.ReportUp)
 		return s.core.Attach(up, nil)
 	}
 	s.link = interpreter.New(cfg.VM, cfg.Gauges, s.core, s.log, s.stats)
--- a/internal/service/service_test.go
+++ b/internal/service/service_test.go
@@ -149,7 +149,7 @@
 		return msgpackrpc.AppendRequest(nil, id, "krog", []byte(body), "i", name, "s", strconv.FormatInt(now, 10), "d", "30000", "m", "1")
 	}
 	a := dial(t, platform, append(append(msgpackrpc.AppendProbe(nil, 1), call(2, "a1", "fast")...), call(3, "a2", "hold")...))
-	if r, err := msgpackrpc.ReadReply(a.r); err != nil || !r.Good {
+	if r, err := msgpackrpc.ReadReply(a.r); err != nil || !r.Healthy {
 		t.Fatalf("probe: %+v, %v", r, err)
 	}
 	if r, err := msgpackrpc.ReadReply(a.r); err != nil || r.ID != 2 || string(r.Body) != "FAST" {
--- a/internal/testkit/hollow/hollow_test.go
+++ b/internal/testkit/hollow/hollow_test.go
@@ -224,8 +224,8 @@
 func newBook(t *testing.T) (*book, string) {
 	g := &book{b: configstore.NewBook(), done: make(chan struct{}), heard: map[string]int{}}
 	var c metrics.Counters
-	words := msgpackrpc.NewWords("test", &c, func(_ context.Context, w msgpackrpc.Word) func() msgpackrpc.Verdict {
-		return func() msgpackrpc.Verdict { return g.answer(w) }
+	words := msgpackrpc.NewCallServer("test", &c, func(_ context.Context, w msgpackrpc.Call) func() msgpackrpc.CallResult {
+		return func() msgpackrpc.CallResult { return g.answer(w) }
 	})
 	ln, err := listen("127.0.0.1", &Traffic{})
 	if err != nil {
@@ -239,12 +239,12 @@
 	return g, ln.Addr().String()
 }
 
-func (g *book) answer(w msgpackrpc.Word) msgpackrpc.Verdict {
+func (g *book) answer(w msgpackrpc.Call) msgpackrpc.CallResult {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	var s quorum.Sync
 	if err := json.Unmarshal(w.Body, &s); err != nil {
-		return msgpackrpc.Verdict{Error: quorum.WordNo}
+		return msgpackrpc.CallResult{Error: quorum.WordNo}
 	}
 	g.heard[strings.SplitN(s.User.Name, "#", 2)[0]]++
 	op := configstore.Say
@@ -259,7 +259,7 @@
 		}
 	}
 	out, _ := json.Marshal(quorum.Synced{Terms: lease.Terms{TTL: time.Second, Drift: 0.05}, Index: g.index, Wall: time.Now().UnixMilli(), Docs: docs})
-	return msgpackrpc.Verdict{Body: out}
+	return msgpackrpc.CallResult{Body: out}
 }
 
 func (g *book) apply(c configstore.Change) error {
--- a/internal/testkit/standin/faults/faults_test.go
+++ b/internal/testkit/standin/faults/faults_test.go
@@ -16,9 +16,9 @@
 // other digits; cut nobody gets through.
 func TestBetween(t *testing.T) {
 	got := make(chan string, 64)
-	f := msgpackrpc.NewWords("words", &metrics.Counters{}, func(_ context.Context, w msgpackrpc.Word) func() msgpackrpc.Verdict {
+	f := msgpackrpc.NewCallServer("words", &metrics.Counters{}, func(_ context.Context, w msgpackrpc.Call) func() msgpackrpc.CallResult {
 		got <- string(w.Body)
-		return func() msgpackrpc.Verdict { return msgpackrpc.Verdict{Body: w.Body} }
+		return func() msgpackrpc.CallResult { return msgpackrpc.CallResult{Body: w.Body} }
 	})
 	ln, err := listener.Listen("words", "127.0.0.1:0", 8, func() time.Duration { return time.Minute }, f.Serve, log.New(io.Discard, "", 0), &metrics.Counters{})
 	if err != nil {
@@ -31,12 +31,12 @@
 		t.Fatal(err)
 	}
 	defer b.Close()
-	conn, err := msgpackrpc.DialWords(t.Context(), b.Addr())
+	conn, err := msgpackrpc.DialCalls(t.Context(), b.Addr())
 	if err != nil {
 		t.Fatal(err)
 	}
 	say := func(s string) <-chan msgpackrpc.Reply {
-		r, err := conn.Say(msgpackrpc.Word{Method: "echo", Body: []byte(s)})
+		r, err := conn.Call(msgpackrpc.Call{Method: "echo", Body: []byte(s)})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -97,7 +97,7 @@
 		t.Error(s)
 	}
 	b.Cut(true)
-	if r, err := conn.Say(msgpackrpc.Word{Method: "echo"}); err == nil {
+	if r, err := conn.Call(msgpackrpc.Call{Method: "echo"}); err == nil {
 		if _, ok := <-r; ok {
 			t.Error("a reply over a cut connection")
 		}
--- a/internal/transport/client/ask.go
+++ b/internal/transport/client/ask.go
@@ -66,7 +66,7 @@
 func dialLong(addr string) (*Conn, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), dialTimeout)
 	defer cancel()
-	c, err := msgpackrpc.DialWords(ctx, addr)
+	c, err := msgpackrpc.DialCalls(ctx, addr)
 	return &Conn{c}, err
 }
 
@@ -99,7 +99,7 @@
 
 // Ask sends a request.
 func (c *Conn) Ask(q Request) <-chan Reply {
-	t := msgpackrpc.Try{ID: q.ID, Class: q.Class, Tenant: q.Tenant, Key: q.Key, Reached: time.Now(), Wait: q.Wait,
+	t := msgpackrpc.Attempt{ID: q.ID, Class: q.Class, Tenant: q.Tenant, Key: q.Key, ReceivedAt: time.Now(), Timeout: q.Wait,
 		HeldKB: q.HeldKB, Body: q.Body}
 	if t.ID == "" {
 		t.ID = newID()
--- a/internal/transport/client/ask_test.go
+++ b/internal/transport/client/ask_test.go
@@ -12,7 +12,7 @@
 
 // A status as long as a word is read whole: that of a router has a line for each of hundreds of servers.
 func TestLongStatus(t *testing.T) {
-	long := strings.Repeat("x", msgpackrpc.LongestWord)
+	long := strings.Repeat("x", msgpackrpc.MaxCallBody)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/transport/msgpackrpc/client.go
+++ b/internal/transport/msgpackrpc/client.go
@@ -4,8 +4,8 @@
 
 // This file is the other end of the wire, as a balancer has it. The stand-in callers of the tests use it.
 
-// longestResult bounds a result, in bytes.
-const longestResult = 64 << 10
+// maxResult bounds a result, in bytes.
+const maxResult = 64 << 10
 
 // Reply is what a balancer reads: an answer, the answer to a probe, or a notification.
 type Reply struct {
@@ -13,12 +13,12 @@
 	Notification string // empty: an answer
 	Error        string // empty: served, or a probe's answer
 	Body         []byte
-	Good         bool // of a probe
+	Healthy      bool // of a probe
 	Fields       map[string]string
 }
 
-// Untaken reports whether this stands for the answer to a request that was never taken, as its connection was ended before.
-func (a Reply) Untaken() bool { return a.Notification == lastTaken }
+// Unprocessed reports whether this stands for the answer to a request that was never taken, as its connection was ended before.
+func (a Reply) Unprocessed() bool { return a.Notification == methodLastTaken }
 
 // AppendRequest appends a request as a balancer sends it, with its fields given as name and value in turn.
 func AppendRequest(b []byte, id uint64, class string, body []byte, fields ...string) []byte {
@@ -30,7 +30,7 @@
 // AppendProbe appends a health check, with what its sender says with it as name and value in turn.
 func AppendProbe(b []byte, id uint64, fields ...string) []byte {
 	b = appendUint(appendUint(appendArray(b, 4), uint64(request)), id)
-	return appendFields(appendArray(appendText(b, probe), 1), fields)
+	return appendFields(appendArray(appendText(b, methodProbe), 1), fields)
 }
 
 // AppendStatus appends a request for the state of the service.
@@ -39,16 +39,16 @@
 	return appendFields(appendArray(appendText(b, StatusMethod), 1), nil)
 }
 
-// AppendGiveUp appends the notice that nobody waits for a request any more.
-func AppendGiveUp(b []byte, id uint64) []byte {
-	b = appendText(appendUint(appendArray(b, 3), uint64(notification)), giveUp)
+// AppendCancel appends the notice that nobody waits for a request any more.
+func AppendCancel(b []byte, id uint64) []byte {
+	b = appendText(appendUint(appendArray(b, 3), uint64(notification)), methodCancel)
 	return appendUint(appendArray(b, 1), id)
 }
 
 // ReadReply reads the next message of a service.
-func ReadReply(r *bufio.Reader) (Reply, error) { return readReply(r, longestResult) }
+func ReadReply(r *bufio.Reader) (Reply, error) { return readReply(r, maxResult) }
 
-func readReply(r *bufio.Reader, longest int) (Reply, error) {
+func readReply(r *bufio.Reader, maxResult int) (Reply, error) {
 	var a Reply
 	d := decoder{r: r}
 	n, err := d.array()
@@ -63,9 +63,9 @@
 		if a.Notification, err = d.text("method"); err != nil {
 			return a, err
 		}
-		if a.Notification == lastTaken {
+		if a.Notification == methodLastTaken {
 			if n, err = d.array(); err == nil && n != 1 {
-				err = malformed("%d parameters of %q", n, lastTaken)
+				err = malformed("%d parameters of %q", n, methodLastTaken)
 			}
 			if err == nil {
 				a.ID, err = d.uint()
@@ -93,11 +93,11 @@
 	return a, d.pair(func() error {
 		b, err := r.Peek(1)
 		if err == nil && b[0]&0xfe == 0xc2 {
-			a.Good = b[0] == 0xc3
+			a.Healthy = b[0] == 0xc3
 			_, err = r.Discard(1)
 			return err
 		}
-		a.Body, err = d.bytes("result", longest)
+		a.Body, err = d.bytes("result", maxResult)
 		return err
 	}, &a.Fields)
 }
--- a/internal/transport/msgpackrpc/close_test.go
+++ b/internal/transport/msgpackrpc/close_test.go
@@ -200,7 +200,7 @@
 		conn, whole := p.Dial(), ask(2)
 		go conn.Write(append(AppendProbe(nil, 1), whole[:20]...))
 		r := bufio.NewReader(conn)
-		if a, err := ReadReply(r); err != nil || !a.Good {
+		if a, err := ReadReply(r); err != nil || !a.Healthy {
 			t.Fatalf("%+v, %v", a, err)
 		}
 		l.EndConnections(100 * time.Millisecond) // ends what rests
--- a/internal/transport/msgpackrpc/conn.go
+++ b/internal/transport/msgpackrpc/conn.go
@@ -11,20 +11,20 @@
 	"time"
 )
 
-// Most is the number of requests that a balancer has open on a connection.
-const Most = 32
+// MaxInFlight is the number of requests that a balancer has open on a connection.
+const MaxInFlight = 32
 
 // Conn is a balancer's end of a connection: it carries many requests at a time, with ids that rise.
 type Conn struct {
-	conn    net.Conn
-	longest int // bytes of a result
-	writing sync.Mutex
-
-	mu     sync.Mutex
-	next   uint64
-	open   map[uint64]chan Reply
-	called bool // told to bring no more
-	broken bool
+	conn      net.Conn
+	maxResult int // bytes of a result
+	writing   sync.Mutex
+
+	mu       sync.Mutex
+	lastID   uint64
+	pending  map[uint64]chan Reply
+	draining bool // told to bring no more
+	broken   bool
 }
 
 var errBroken = errors.New("the connection is broken")
@@ -43,10 +43,10 @@
 }
 
 // NewConn serves an open connection.
-func NewConn(conn net.Conn) *Conn { return newConn(conn, longestResult) }
+func NewConn(conn net.Conn) *Conn { return newConn(conn, maxResult) }
 
-func newConn(conn net.Conn, longest int) *Conn {
-	c := &Conn{conn: conn, longest: longest, open: map[uint64]chan Reply{}}
+func newConn(conn net.Conn, maxResult int) *Conn {
+	c := &Conn{conn: conn, maxResult: maxResult, pending: map[uint64]chan Reply{}}
 	go c.read()
 	return c
 }
@@ -54,23 +54,23 @@
 // Close ends the connection; what is open on it gets no reply.
 func (c *Conn) Close() { c.conn.Close() }
 
-// Room reports whether the connection takes one more request, and whether it will ever take any.
-func (c *Conn) Room() (room, usable bool) {
+// Capacity reports whether the connection takes one more request, and whether it will ever take any.
+func (c *Conn) Capacity() (hasCapacity, usable bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	usable = !c.broken && !c.called
-	return usable && len(c.open) < Most, usable
+	usable = !c.broken && !c.draining
+	return usable && len(c.pending) < MaxInFlight, usable
 }
 
 func (c *Conn) read() {
 	r := bufio.NewReader(c.conn)
 	for {
-		a, err := readReply(r, c.longest)
+		a, err := readReply(r, c.maxResult)
 		c.mu.Lock()
 		if err != nil {
 			c.broken = true
-			for id, reply := range c.open {
-				delete(c.open, id)
+			for id, reply := range c.pending {
+				delete(c.pending, id)
 				close(reply)
 			}
 			c.mu.Unlock()
@@ -78,28 +78,28 @@
 			return
 		}
 		if a.Notification != "" {
-			c.called = c.called || a.Notification == lastCall || a.Untaken()
-			for id, reply := range c.open {
-				if a.Untaken() && id > a.ID {
-					delete(c.open, id)
-					reply <- Reply{ID: id, Notification: lastTaken} // it has room for one
+			c.draining = c.draining || a.Notification == methodDrain || a.Unprocessed()
+			for id, reply := range c.pending {
+				if a.Unprocessed() && id > a.ID {
+					delete(c.pending, id)
+					reply <- Reply{ID: id, Notification: methodLastTaken} // it has room for one
 				}
 			}
-			last := c.called && len(c.open) == 0
+			done := c.draining && len(c.pending) == 0
 			c.mu.Unlock()
-			if last {
+			if done {
 				c.conn.Close()
 			}
 			continue
 		}
-		reply := c.open[a.ID]
-		delete(c.open, a.ID)
-		last := c.called && len(c.open) == 0
+		reply := c.pending[a.ID]
+		delete(c.pending, a.ID)
+		done := c.draining && len(c.pending) == 0
 		c.mu.Unlock()
 		if reply != nil {
 			reply <- a
 		}
-		if last { // everything on it has been answered
+		if done { // everything on it has been answered
 			c.conn.Close()
 		}
 	}
@@ -116,13 +116,13 @@
 		c.mu.Unlock()
 		return 0, nil, errBroken
 	}
-	if c.called || len(c.open) >= Most {
+	if c.draining || len(c.pending) >= MaxInFlight {
 		c.mu.Unlock()
 		return 0, nil, ErrFull
 	}
-	c.next++
-	id = c.next
-	c.open[id] = ch
+	c.lastID++
+	id = c.lastID
+	c.pending[id] = ch
 	c.mu.Unlock()
 	if err = c.write(message(id)); err != nil {
 		c.conn.Close() // the reader closes what else is open
@@ -131,16 +131,16 @@
 	return id, ch, nil
 }
 
-// GiveUp tells that nobody waits for a request any more; its reply is dropped.
-func (c *Conn) GiveUp(id uint64) {
+// Cancel tells that nobody waits for a request any more; its reply is dropped.
+func (c *Conn) Cancel(id uint64) {
 	c.mu.Lock()
-	open := c.open[id] != nil && !c.broken
-	delete(c.open, id)
+	pending := c.pending[id] != nil && !c.broken
+	delete(c.pending, id)
 	c.mu.Unlock()
-	if open {
+	if pending {
 		c.writing.Lock()
 		defer c.writing.Unlock()
-		c.write(AppendGiveUp(nil, id)) // where it fails the reader ends
+		c.write(AppendCancel(nil, id)) // where it fails the reader ends
 	}
 }
 
@@ -151,23 +151,23 @@
 	return err
 }
 
-// Try is a request as a balancer sends it.
-type Try struct {
+// Attempt is a request as a balancer sends it.
+type Attempt struct {
 	ID, Class, Tenant, Key string
-	Reached                time.Time
-	Wait                   time.Duration
+	ReceivedAt             time.Time
+	Timeout                time.Duration
 	HeldKB, Rank           float64
 	Caller                 int
 	Body                   []byte
-	Known                  bool   // only where the key is known
-	Boot                   int64  // the start of the service that is meant; 0: any
-	Rules                  string // the document by which it goes there; empty: none is named
+	KnownOnly              bool   // only where the key is known
+	Incarnation            int64  // the start of the service that is meant; 0: any
+	ConfigID               string // the document by which it goes there; empty: none is named
 }
 
 // Append appends the try as a message.
-func (t Try) Append(b []byte, id uint64) []byte {
-	fields := append(make([]string, 0, 22), "i", t.ID, "s", strconv.FormatInt(t.Reached.UnixMilli(), 10),
-		"f", strconv.Itoa(t.Caller), "d", strconv.FormatInt(t.Wait.Milliseconds(), 10),
+func (t Attempt) Append(b []byte, id uint64) []byte {
+	fields := append(make([]string, 0, 22), "i", t.ID, "s", strconv.FormatInt(t.ReceivedAt.UnixMilli(), 10),
+		"f", strconv.Itoa(t.Caller), "d", strconv.FormatInt(t.Timeout.Milliseconds(), 10),
 		"m", strconv.FormatFloat(t.HeldKB, 'f', 2, 64))
 	if t.Tenant != "" {
 		fields = append(fields, "t", t.Tenant)
@@ -178,14 +178,14 @@
 	if t.Key != "" {
 		fields = append(fields, "k", t.Key)
 	}
-	if t.Known {
+	if t.KnownOnly {
 		fields = append(fields, "n", "1")
 	}
-	if t.Boot != 0 {
-		fields = append(fields, "b", strconv.FormatInt(t.Boot, 10))
+	if t.Incarnation != 0 {
+		fields = append(fields, "b", strconv.FormatInt(t.Incarnation, 10))
 	}
-	if t.Rules != "" {
-		fields = append(fields, "g", t.Rules)
+	if t.ConfigID != "" {
+		fields = append(fields, "g", t.ConfigID)
 	}
 	return AppendRequest(b, id, t.Class, t.Body, fields...)
 }
--- a/internal/transport/msgpackrpc/conn_test.go
+++ b/internal/transport/msgpackrpc/conn_test.go
@@ -33,7 +33,7 @@
 }
 
 // send sends a try and returns what the service read of it.
-func send(t *testing.T, c *Conn, s service, try Try) (message, uint64, <-chan Reply) {
+func send(t *testing.T, c *Conn, s service, try Attempt) (message, uint64, <-chan Reply) {
 	t.Helper()
 	type sent struct {
 		id    uint64
@@ -56,29 +56,29 @@
 func TestConn(t *testing.T) {
 	c, s := pair()
 	defer c.Close()
-	try := Try{ID: "a", Class: "krog", Tenant: "t", Key: "k", Reached: time.UnixMilli(7), Wait: 80 * time.Millisecond, HeldKB: 1.5,
-		Caller: 3, Rank: 0.25, Body: []byte("x"), Known: true, Boot: 9}
+	try := Attempt{ID: "a", Class: "krog", Tenant: "t", Key: "k", ReceivedAt: time.UnixMilli(7), Timeout: 80 * time.Millisecond, HeldKB: 1.5,
+		Caller: 3, Rank: 0.25, Body: []byte("x"), KnownOnly: true, Incarnation: 9}
 	first, id, reply := send(t, c, s, try)
 	f := first.fields
 	if first.id != 1 || id != 1 || f["i"] != "a" || f["s"] != "7" || f["d"] != "80" || f["m"] != "1.50" || f["n"] != "1" || f["b"] != "9" || f["k"] != "k" || f["p"] != "0.2500" {
 		t.Fatalf("%+v", first)
 	}
-	for n := uint64(2); n <= Most; n++ {
-		if room, usable := c.Room(); !room || !usable {
+	for n := uint64(2); n <= MaxInFlight; n++ {
+		if room, usable := c.Capacity(); !room || !usable {
 			t.Fatalf("no room for request %d", n)
 		}
 		if m, _, _ := send(t, c, s, try); m.id != n {
 			t.Fatalf("id %d, want %d", m.id, n)
 		}
 	}
-	if room, usable := c.Room(); room || !usable {
-		t.Errorf("room for request %d", Most+1)
+	if room, usable := c.Capacity(); room || !usable {
+		t.Errorf("room for request %d", MaxInFlight+1)
 	}
 	if _, _, err := c.Send(func(uint64) []byte { return nil }); err != ErrFull {
-		t.Errorf("request %d: %v", Most+1, err)
+		t.Errorf("request %d: %v", MaxInFlight+1, err)
 	}
-	go c.GiveUp(id)
-	if m := s.next(t); m.method != giveUp || m.id != id {
+	go c.Cancel(id)
+	if m := s.next(t); m.method != methodCancel || m.id != id {
 		t.Errorf("%+v", m)
 	}
 	s.Write(appendAnswer(nil, id, done, nil))
@@ -94,10 +94,10 @@
 // open without a reply.
 func TestLastCall(t *testing.T) {
 	c, s := pair()
-	_, _, reply := send(t, c, s, Try{ID: "a", Class: "krog", Reached: time.Now(), HeldKB: 1})
-	s.Write(appendArray(appendText(appendUint(appendArray(nil, 3), uint64(notification)), lastCall), 0))
+	_, _, reply := send(t, c, s, Attempt{ID: "a", Class: "krog", ReceivedAt: time.Now(), HeldKB: 1})
+	s.Write(appendArray(appendText(appendUint(appendArray(nil, 3), uint64(notification)), methodDrain), 0))
 	for deadline := time.Now().Add(10 * time.Second); ; time.Sleep(time.Millisecond) {
-		if _, usable := c.Room(); !usable {
+		if _, usable := c.Capacity(); !usable {
 			break
 		} else if time.Now().After(deadline) {
 			t.Fatal("it takes more after the last call")
@@ -111,7 +111,7 @@
 		t.Error("it stays open")
 	}
 	c, s = pair()
-	_, _, reply = send(t, c, s, Try{ID: "a", Class: "krog", Reached: time.Now(), HeldKB: 1})
+	_, _, reply = send(t, c, s, Attempt{ID: "a", Class: "krog", ReceivedAt: time.Now(), HeldKB: 1})
 	s.Close()
 	if a, ok := <-reply; ok {
 		t.Errorf("%+v off a broken connection", a)
--- a/internal/transport/msgpackrpc/decode.go
+++ b/internal/transport/msgpackrpc/decode.go
@@ -10,10 +10,10 @@
 
 // Bounds on what a message may hold. Anything beyond them is malformed.
 const (
-	longestBody  = 2 << 10
-	longestText  = 512
-	mostFields   = 64
-	deepestValue = 4
+	defaultMaxBody = 2 << 10
+	maxText        = 512
+	maxElements    = 64
+	maxDepth       = 4
 )
 
 var errMalformed = errors.New("malformed message")
@@ -33,24 +33,24 @@
 
 // message is one message of MessagePack-RPC with the parameters that the platform's methods take.
 type message struct {
-	kind   kind
-	id     uint64 // of a request, or the one that giveUp names
-	method string
-	status bool // asks for the state of the service
-	unread bool // passed over, as its class is shut
-	fields map[string]string
-	body   []byte
+	kind    kind
+	id      uint64 // of a request, or the one that methodCancel names
+	method  string
+	status  bool // asks for the state of the service
+	skipped bool // passed over, as its class is shut
+	fields  map[string]string
+	body    []byte
 }
 
 // decoder reads MessagePack values from a connection, with no value larger than its bound.
 type decoder struct {
-	r      *bufio.Reader
-	status bool // status requests are known
-	cell   bool // probes may say something: they come from routers
-	// longest bounds a body; 0: longestBody.
-	longest int
-	// shut reports, of a class, that its request is refused whatever else it says, and so passed over unread.
-	shut func(class string) bool
+	r             *bufio.Reader
+	statusEnabled bool // status requests are known
+	inCell        bool // probes may say something: they come from routers
+	// maxBody bounds a body; 0: defaultMaxBody.
+	maxBody int
+	// rejects reports, of a class, that its request is refused whatever else it says, and so passed over unread.
+	rejects func(class string) bool
 }
 
 // number reads a big-endian number of n bytes.
@@ -63,7 +63,7 @@
 }
 
 // length reads a length that the type byte holds, or that follows it in 1, 2 or 4 bytes.
-func (d decoder) length(what string, most int, fixed uint64, size int) (int, error) {
+func (d decoder) length(what string, maxLength int, fixed uint64, size int) (int, error) {
 	n, err := fixed, error(nil)
 	if size > 0 {
 		n, err = d.number(size)
@@ -71,17 +71,17 @@
 	if err != nil {
 		return 0, err
 	}
-	if n > uint64(most) {
+	if n > uint64(maxLength) {
 		return 0, malformed("%s of length %d", what, n)
 	}
 	return int(n), nil
 }
 
-func (d decoder) body() int {
-	if d.longest > 0 {
-		return d.longest
+func (d decoder) bodyLimit() int {
+	if d.maxBody > 0 {
+		return d.maxBody
 	}
-	return longestBody
+	return defaultMaxBody
 }
 
 func (d decoder) array() (int, error) {
@@ -93,7 +93,7 @@
 	case b&0xf0 == 0x90:
 		return int(b & 0x0f), nil
 	case b == 0xdc || b == 0xdd:
-		return d.length("array", mostFields, 0, 2<<(b-0xdc))
+		return d.length("array", maxElements, 0, 2<<(b-0xdc))
 	}
 	return 0, malformed("byte %#02x where an array belongs", b)
 }
@@ -120,7 +120,7 @@
 }
 
 // bytes reads a str or a bin.
-func (d decoder) bytes(what string, most int) ([]byte, error) {
+func (d decoder) bytes(what string, maxLength int) ([]byte, error) {
 	b, err := d.r.ReadByte()
 	if err != nil {
 		return nil, err
@@ -128,11 +128,11 @@
 	var n int
 	switch {
 	case b&0xe0 == 0xa0:
-		n, err = d.length(what, most, uint64(b&0x1f), 0)
+		n, err = d.length(what, maxLength, uint64(b&0x1f), 0)
 	case b >= 0xd9 && b <= 0xdb:
-		n, err = d.length(what, most, 0, 1<<(b-0xd9))
+		n, err = d.length(what, maxLength, 0, 1<<(b-0xd9))
 	case b >= 0xc4 && b <= 0xc6:
-		n, err = d.length(what, most, 0, 1<<(b-0xc4))
+		n, err = d.length(what, maxLength, 0, 1<<(b-0xc4))
 	default:
 		err = malformed("byte %#02x where a %s belongs", b, what)
 	}
@@ -145,7 +145,7 @@
 }
 
 func (d decoder) text(what string) (string, error) {
-	v, err := d.bytes(what, longestText)
+	v, err := d.bytes(what, maxText)
 	return string(v), err
 }
 
@@ -160,7 +160,7 @@
 	case b&0xf0 == 0x80:
 		n = int(b & 0x0f)
 	case b == 0xde || b == 0xdf:
-		n, err = d.length("map", mostFields, 0, 2<<(b-0xde))
+		n, err = d.length("map", maxElements, 0, 2<<(b-0xde))
 	default:
 		err = malformed("byte %#02x where a map belongs", b)
 	}
@@ -182,14 +182,14 @@
 
 // skip passes over one value, for parameters that no method of ours takes.
 func (d decoder) skip(depth int) error {
-	if depth > deepestValue {
+	if depth > maxDepth {
 		return malformed("values nested too deep")
 	}
 	b, err := d.r.ReadByte()
 	if err != nil {
 		return err
 	}
-	n, inner := 0, 0
+	n, elements := 0, 0
 	switch {
 	case b <= 0x7f || b >= 0xe0 || b == 0xc0 || b == 0xc2 || b == 0xc3:
 		return nil
@@ -202,27 +202,27 @@
 	case b >= 0xd4 && b <= 0xd8: // fixed ext, with its type byte
 		n = 1 + 1<<(b-0xd4)
 	case b >= 0xc7 && b <= 0xc9: // ext
-		n, err = d.length("ext", d.body(), 0, 1<<(b-0xc7))
+		n, err = d.length("ext", d.bodyLimit(), 0, 1<<(b-0xc7))
 		n++
 	case b == 0xc1:
 		err = malformed("byte 0xc1")
 	case b&0xf0 == 0x90:
-		inner = int(b & 0x0f)
+		elements = int(b & 0x0f)
 	case b == 0xdc || b == 0xdd:
-		inner, err = d.length("array", mostFields, 0, 2<<(b-0xdc))
+		elements, err = d.length("array", maxElements, 0, 2<<(b-0xdc))
 	case b&0xf0 == 0x80:
-		inner = 2 * int(b&0x0f)
+		elements = 2 * int(b&0x0f)
 	case b == 0xde || b == 0xdf:
-		inner, err = d.length("map", mostFields, 0, 2<<(b-0xde))
-		inner *= 2
+		elements, err = d.length("map", maxElements, 0, 2<<(b-0xde))
+		elements *= 2
 	case b&0xe0 == 0xa0:
 		n = int(b & 0x1f)
 	case b >= 0xd9 && b <= 0xdb:
-		n, err = d.length("value", d.body(), 0, 1<<(b-0xd9))
+		n, err = d.length("value", d.bodyLimit(), 0, 1<<(b-0xd9))
 	case b >= 0xc4 && b <= 0xc6:
-		n, err = d.length("value", d.body(), 0, 1<<(b-0xc4))
+		n, err = d.length("value", d.bodyLimit(), 0, 1<<(b-0xc4))
 	}
-	for range inner {
+	for range elements {
 		if err == nil {
 			err = d.skip(depth + 1)
 		}
@@ -239,14 +239,14 @@
 	if _, err := d.r.Peek(1); err != nil {
 		return m, err
 	}
-	err := d.whole(&m)
+	err := d.readMessage(&m)
 	if err == io.EOF {
 		err = io.ErrUnexpectedEOF
 	}
 	return m, err
 }
 
-func (d decoder) whole(m *message) error {
+func (d decoder) readMessage(m *message) error {
 	n, err := d.array()
 	if err != nil {
 		return err
@@ -272,32 +272,32 @@
 	if err != nil {
 		return err
 	}
-	taken := 0
+	read := 0
 	switch {
-	case m.kind == notification && m.method == giveUp:
+	case m.kind == notification && m.method == methodCancel:
 		if params == 0 {
 			return malformed("giveUp of nothing")
 		}
-		taken = 1
+		read = 1
 		m.id, err = d.uint()
-	case m.kind == request && m.method == probe && d.cell && params > 0:
-		taken = 1
+	case m.kind == request && m.method == methodProbe && d.inCell && params > 0:
+		read = 1
 		m.fields, err = d.fields()
-	case m.kind == request && m.method == probe:
-	case m.kind == request && m.method == StatusMethod && params <= 1 && d.status:
+	case m.kind == request && m.method == methodProbe:
+	case m.kind == request && m.method == StatusMethod && params <= 1 && d.statusEnabled:
 		m.status = true
-	case m.kind == request && params >= 2 && d.shut != nil && d.shut(m.method):
-		m.unread = true
+	case m.kind == request && params >= 2 && d.rejects != nil && d.rejects(m.method):
+		m.skipped = true
 	case m.kind == request:
 		if params < 2 {
 			return malformed("%d parameters of %q", params, m.method)
 		}
-		taken = 2
+		read = 2
 		if m.fields, err = d.fields(); err == nil {
-			m.body, err = d.bytes("body", d.body())
+			m.body, err = d.bytes("body", d.bodyLimit())
 		}
 	}
-	for ; taken < params && err == nil; taken++ {
+	for ; read < params && err == nil; read++ {
 		err = d.skip(0)
 	}
 	return err
--- a/internal/transport/msgpackrpc/decode_test.go
+++ b/internal/transport/msgpackrpc/decode_test.go
@@ -17,9 +17,9 @@
 var valid = [][]byte{
 	AppendRequest(nil, 7, "oddaja", []byte("a\x00b"), "i", "9b1f03aa5c7e2d41", "s", "1764576000123", "f", "4", "t", "acme",
 		"d", "480", "m", "24.5", "p", "0.6250", "k", "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"),
-	AppendRequest(nil, 70000, "lestvica", bytes.Repeat([]byte{0xc1}, longestBody), "i", "0", "s", "1", "d", "1", "m", "1"),
+	AppendRequest(nil, 70000, "lestvica", bytes.Repeat([]byte{0xc1}, defaultMaxBody), "i", "0", "s", "1", "d", "1", "m", "1"),
 	AppendProbe(nil, 1<<40),
-	AppendGiveUp(nil, 300),
+	AppendCancel(nil, 300),
 	{0x94, 0, 0xd0, 5, 0xd9, 1, 'x', 0xdc, 0, 3, 0xde, 0, 0, 0xc6, 0, 0, 0, 0, 0x92, 0xca, 1, 2, 3, 4, 0x81, 0xa1, 'k', 0xc0},
 }
 
@@ -62,7 +62,7 @@
 	"not an array":      {0x81, 0, 0},
 	"a response":        {0x94, 1, 1, 0xc0, 0xc0},
 	"a negative id":     {0x94, 0, 0xd0, 0xff, 0xa1, 'x', 0x90},
-	"a body too large":  AppendRequest(nil, 1, "x", make([]byte, longestBody+1)),
+	"a body too large":  AppendRequest(nil, 1, "x", make([]byte, defaultMaxBody+1)),
 	"a length of 4 GiB": {0x94, 0, 1, 0xdb, 0xff, 0xff, 0xff, 0xff},
 	"a map of 4 G":      {0x94, 0, 1, 0xa1, 'x', 0x92, 0xdf, 0xff, 0xff, 0xff, 0xff},
 	"a number as field": {0x94, 0, 1, 0xa1, 'x', 0x92, 0x81, 0xa1, 'i', 5, 0xc4, 0},
@@ -92,7 +92,7 @@
 		for range 1 + rnd.IntN(4) {
 			b[rnd.IntN(len(b))] = byte(rnd.Uint32())
 		}
-		if m, err := read(b); err == nil && len(m.body) > longestBody {
+		if m, err := read(b); err == nil && len(m.body) > defaultMaxBody {
 			t.Fatalf("body of %d bytes", len(m.body))
 		}
 	}
@@ -109,7 +109,7 @@
 	f.Add(valid[0][:len(valid[0])/2])
 	f.Fuzz(func(t *testing.T, b []byte) {
 		m, err := read(b)
-		if err == nil && (len(m.body) > longestBody || len(m.fields) > mostFields || len(m.method) > longestText) {
+		if err == nil && (len(m.body) > defaultMaxBody || len(m.fields) > maxElements || len(m.method) > maxText) {
 			t.Fatal("a message beyond its bounds")
 		}
 	})
@@ -135,8 +135,8 @@
 			}
 		}
 	}
-	got, err := ReadReply(bufio.NewReader(bytes.NewReader(appendProbe(nil, 3, true, nil))))
-	if err != nil || !got.Good || got.ID != 3 {
+	got, err := ReadReply(bufio.NewReader(bytes.NewReader(appendHealth(nil, 3, true, nil))))
+	if err != nil || !got.Healthy || got.ID != 3 {
 		t.Errorf("probe: %+v, %v", got, err)
 	}
 }
@@ -177,14 +177,14 @@
 func TestPassedOver(t *testing.T) {
 	b := AppendRequest(nil, 3, "shut", bytes.Repeat([]byte("x"), 2000), "i", "a", "d", "7")
 	b = AppendStatus(AppendProbe(AppendRequest(b, 4, "open", []byte("y"), "i", "b"), 5), 6)
-	d := decoder{r: bufio.NewReader(bytes.NewReader(b)), status: true, shut: func(class string) bool { return class == "shut" }}
-	if m, err := d.message(); err != nil || !m.unread || m.id != 3 || m.fields != nil || m.body != nil {
+	d := decoder{r: bufio.NewReader(bytes.NewReader(b)), statusEnabled: true, rejects: func(class string) bool { return class == "shut" }}
+	if m, err := d.message(); err != nil || !m.skipped || m.id != 3 || m.fields != nil || m.body != nil {
 		t.Fatalf("%+v, %v", m, err)
 	}
-	if m, err := d.message(); err != nil || m.unread || m.id != 4 || string(m.body) != "y" || m.fields["i"] != "b" {
+	if m, err := d.message(); err != nil || m.skipped || m.id != 4 || string(m.body) != "y" || m.fields["i"] != "b" {
 		t.Fatalf("%+v, %v", m, err)
 	}
-	if m, err := d.message(); err != nil || m.method != probe {
+	if m, err := d.message(); err != nil || m.method != methodProbe {
 		t.Fatalf("%+v, %v", m, err)
 	}
 	if m, err := d.message(); err != nil || !m.status || m.id != 6 {
@@ -195,7 +195,7 @@
 		t.Errorf("a status request where there are none: %v", err)
 	}
 	huge := append(appendText(appendArray(append([]byte{0x94, 0, 1}, 0), 0)[:3], "shut"), 0x92, 0x80, 0xc6, 0x7f, 0xff, 0xff, 0xff)
-	d = decoder{r: bufio.NewReader(bytes.NewReader(huge)), shut: func(string) bool { return true }}
+	d = decoder{r: bufio.NewReader(bytes.NewReader(huge)), rejects: func(string) bool { return true }}
 	if _, err := d.message(); !errors.Is(err, errMalformed) {
 		t.Errorf("a body said to hold 2 GB: %v", err)
 	}
@@ -210,11 +210,11 @@
 			b.ReportAllocs()
 			src := bytes.NewReader(raw)
 			r := bufio.NewReader(src)
-			d := decoder{r: r, cell: shut, shut: func(string) bool { return shut }}
+			d := decoder{r: r, inCell: shut, rejects: func(string) bool { return shut }}
 			for b.Loop() {
 				src.Reset(raw)
 				r.Reset(src)
-				if m, err := d.message(); err != nil || m.unread != shut {
+				if m, err := d.message(); err != nil || m.skipped != shut {
 					b.Fatal(err)
 				}
 			}
--- a/internal/transport/msgpackrpc/front.go
+++ b/internal/transport/msgpackrpc/front.go
@@ -28,24 +28,24 @@
 	// StatusMethod asks for the state of the service as JSON, where the core tells it.
 	StatusMethod = "status"
 
-	probe    = "probe"
-	giveUp   = "giveUp"
-	lastCall = "lastCall"
-	// lastTaken is said to routers before a connection at rest is ended: the number of the last message on it that was taken.
+	methodProbe  = "probe"
+	methodCancel = "giveUp"
+	methodDrain  = "lastCall"
+	// methodLastTaken is said to routers before a connection at rest is ended: the number of the last message on it that was taken.
 	// What crosses the end with a higher one was not and never will be, so that it may be sent again, sheets too.
-	lastTaken = "lastTaken"
-	full      = "Full"
-	failed    = "Error"
+	methodLastTaken = "lastTaken"
+	errorFull       = "Full"
+	errorFailed     = "Error"
 
-	// SlowStartTerms is for how many of its probes' intervals a router goes by its part of a server that is cold.
-	SlowStartTerms = 3
+	// SlowStartProbeIntervals is for how many of its probes' intervals a router goes by its part of a server that is cold.
+	SlowStartProbeIntervals = 3
 
-	mostOpen     = 64 // requests on a connection; balancers keep to half of that
-	writeTimeout = 2 * time.Second
-	byeTimeout   = 10 * time.Millisecond // of lastTaken: whoever takes nothing hears nothing
-	mostAhead    = 10 * time.Second      // by which a balancer's clock may be ahead
-	longestWait  = time.Hour
-	mostTerm     = time.Hour // of those that a router names
+	maxInFlightServed = 64 // requests on a connection; balancers keep to half of that
+	writeTimeout      = 2 * time.Second
+	lastTakenTimeout  = 10 * time.Millisecond // of notifyLastTaken: whoever takes nothing hears nothing
+	maxClockSkew      = 10 * time.Second      // by which a balancer's clock may be ahead
+	maxTimeout        = time.Hour
+	maxTerm           = time.Hour // of those that a router names
 )
 
 // Front serves balancers.
@@ -67,31 +67,31 @@
 	conn net.Conn
 	slot *listener.Slot
 
-	mu     sync.Mutex
-	open   map[uint64]string // request ids by message id
-	unsent int               // answers that are being written
-	last   uint64            // number of the last request taken
-	called bool              // lastCall was sent
-	broken bool
+	mu             sync.Mutex
+	pending        map[uint64]string // request ids by message id
+	writingAnswers int               // answers that are being written
+	lastTakenID    uint64            // number of the last request taken
+	drainNotified  bool              // notifyDrain was sent
+	broken         bool
 
 	writing sync.Mutex
 
-	refusal core.Answer // of the request passed over unread just now; the reader's own
+	skippedAnswer core.Answer // of the request passed over unread just now; the reader's own
 }
 
 // Serve is the life of one connection.
 func (f *Front) Serve(conn net.Conn, slot *listener.Slot) {
-	c := &client{Front: f, conn: conn, slot: slot, open: map[uint64]string{}}
-	slot.OnDrain(c.lastCall)
+	c := &client{Front: f, conn: conn, slot: slot, pending: map[uint64]string{}}
+	slot.OnDrain(c.notifyDrain)
 	r := bufferpool.GetReader(conn)
 	defer bufferpool.PutReader(r)
-	_, cell := f.core.Boot()
-	if cell {
-		slot.OnEvict(c.lastTaken)
+	_, inCell := f.core.Boot()
+	if inCell {
+		slot.OnEvict(c.notifyLastTaken)
 	}
-	d := decoder{r: r, status: f.core.TellsStatus(), cell: cell, shut: func(class string) (shut bool) {
-		c.refusal, shut = f.core.Shut(Name, class)
-		return shut
+	d := decoder{r: r, statusEnabled: f.core.TellsStatus(), inCell: inCell, rejects: func(class string) (rejected bool) {
+		c.skippedAnswer, rejected = f.core.Shut(Name, class)
+		return rejected
 	}}
 	var requests sync.WaitGroup
 	var err error
@@ -112,7 +112,7 @@
 		if !slot.BeginMessage() {
 			break // its place was given up as this came: nothing of it ran
 		}
-		err = c.take(m, &requests)
+		err = c.handle(m, &requests)
 		if r.Buffered() == 0 {
 			slot.EndMessage()
 		} // else more has been read already, which nobody can see on the connection
@@ -127,36 +127,36 @@
 		f.stats.Inc("malformed", Name)
 		slot.LogPeer("front.closed", Name, conn.RemoteAddr(), err)
 	default:
-		c.fail()
+		c.abort()
 	}
 	requests.Wait()
 	slot.CloseGracefully(r)
 }
 
-// take does what one message asks.
-func (c *client) take(m message, requests *sync.WaitGroup) error {
+// handle does what one message asks.
+func (c *client) handle(m message, requests *sync.WaitGroup) error {
 	switch {
 	case m.kind == notification:
-		if m.method == giveUp {
+		if m.method == methodCancel {
 			c.stats.Inc("give_up", Name)
 			c.mu.Lock()
-			id := c.open[m.id]
-			delete(c.open, m.id)
-			c.slot.SetInFlight(len(c.open) + c.unsent)
+			id := c.pending[m.id]
+			delete(c.pending, m.id)
+			c.slot.SetInFlight(len(c.pending) + c.writingAnswers)
 			c.mu.Unlock()
 			if id != "" {
 				c.core.Gone(id)
 			}
 		}
 		return nil
-	case m.method == probe:
+	case m.method == methodProbe:
 		c.stats.Inc("probes", Name)
 		c.slot.PaceCheapCall()
-		c.probed(m)
+		c.respondToProbe(m)
 		return nil
 	}
 	c.mu.Lock()
-	c.last = max(c.last, m.id)
+	c.lastTakenID = max(c.lastTakenID, m.id)
 	c.mu.Unlock()
 	if m.status {
 		c.stats.Inc("status", Name)
@@ -164,15 +164,15 @@
 		c.reply(m.id, core.Answer{Outcome: core.Served, Body: c.core.Status()})
 		return nil
 	}
-	if m.unread {
-		c.reply(m.id, c.refusal)
+	if m.skipped {
+		c.reply(m.id, c.skippedAnswer)
 		return nil
 	}
 	if k, _ := c.core.Class(m.method); !c.slot.AdmitsWork() && k.Effect != silverpath.Idempotent {
 		// What is left of the connections is for what is cheap, and a sheet may be: the repeat of one that has run.
 		c.stats.Inc("turned_away", Name, "reserve")
 		c.reply(m.id, core.Answer{Outcome: core.Refused, Wait: c.core.Advice()})
-		c.lastCall()
+		c.notifyDrain()
 		return nil
 	}
 	r, problem := mapRequest(m, time.Now(), c.core)
@@ -180,14 +180,14 @@
 		r.Source = c.conn.RemoteAddr().String()
 	}
 	c.mu.Lock()
-	if _, twice := c.open[m.id]; twice {
+	if _, duplicate := c.pending[m.id]; duplicate {
 		c.mu.Unlock()
 		return malformed("message id %d given twice", m.id)
 	}
-	many := len(c.open) >= mostOpen
-	if problem == "" && !many {
-		c.open[m.id] = r.ID
-		c.slot.SetInFlight(len(c.open) + c.unsent)
+	tooMany := len(c.pending) >= maxInFlightServed
+	if problem == "" && !tooMany {
+		c.pending[m.id] = r.ID
+		c.slot.SetInFlight(len(c.pending) + c.writingAnswers)
 	}
 	c.mu.Unlock()
 	switch {
@@ -197,46 +197,46 @@
 	case problem != "":
 		c.stats.Inc("bad_field", Name, problem)
 		c.reply(m.id, core.Answer{Outcome: core.Failed})
-	case many:
+	case tooMany:
 		c.stats.Inc("turned_away", Name, "too_many_open")
 		c.reply(m.id, core.Answer{Outcome: core.Refused, Wait: c.core.Advice()})
 	default:
 		requests.Add(1)
 		go func() {
 			defer requests.Done()
-			c.core.Serve(r, func(a core.Answer) { c.answer(m.id, r.ID, a) })
+			c.core.Serve(r, func(a core.Answer) { c.respond(m.id, r.ID, a) })
 		}()
 	}
 	return nil
 }
 
-// probed answers a health check. A router says with it by which rules it goes, and hears what else is known of them.
-func (c *client) probed(m message) {
-	var told []string
+// respondToProbe answers a health check. A router says with it by which rules it goes, and hears what else is known of them.
+func (c *client) respondToProbe(m message) {
+	var fields []string
 	if id := m.fields["g"]; id != "" {
 		ms := func(key string) time.Duration {
 			n, _ := strconv.ParseInt(m.fields[key], 10, 64)
-			return time.Duration(max(0, min(n, mostTerm.Milliseconds()))) * time.Millisecond
+			return time.Duration(max(0, min(n, maxTerm.Milliseconds()))) * time.Millisecond
 		}
 		c.core.Heard(id, m.fields["gn"], configstore.Terms{Lease: ms("gl"), Skew: ms("gs"), Probe: ms("gp"), Wait: ms("gw"), Dual: ms("gd")})
-		told = c.core.RulesTold()
-		flying, _ := strconv.Atoi(m.fields["fl"])
-		if part, cold := c.core.SlowStart(m.fields["gn"], flying, SlowStartTerms*max(ms("gp"), time.Millisecond)); cold {
-			told = append(told, "c", strconv.Itoa(part))
+		fields = c.core.RulesTold()
+		inFlight, _ := strconv.Atoi(m.fields["fl"])
+		if share, warming := c.core.SlowStart(m.fields["gn"], inFlight, SlowStartProbeIntervals*max(ms("gp"), time.Millisecond)); warming {
+			fields = append(fields, "c", strconv.Itoa(share))
 		}
 	}
-	c.write(func(b []byte) []byte { return appendProbe(b, m.id, c.core.Health(), c.signal(told)) })
+	c.write(func(b []byte) []byte { return appendHealth(b, m.id, c.core.Health(), c.withServerState(fields)) })
 }
 
-// fail gives up the connection: nobody can be answered on it any more.
-func (c *client) fail() {
+// abort gives up the connection: nobody can be answered on it any more.
+func (c *client) abort() {
 	c.conn.Close()
 	c.mu.Lock()
-	ids := c.open
-	c.open, c.broken = map[uint64]string{}, true
+	pending := c.pending
+	c.pending, c.broken = map[uint64]string{}, true
 	c.slot.SetInFlight(0)
 	c.mu.Unlock()
-	for _, id := range ids {
+	for _, id := range pending {
 		c.core.Gone(id)
 	}
 }
@@ -245,18 +245,18 @@
 func mapRequest(m message, now time.Time, c *core.Core) (r core.Request, problem string) {
 	f := m.fields
 	stamp, err := strconv.ParseInt(f["s"], 10, 64)
-	if err != nil || stamp < 0 || stamp > now.Add(mostAhead).UnixMilli() {
+	if err != nil || stamp < 0 || stamp > now.Add(maxClockSkew).UnixMilli() {
 		return r, "s"
 	}
-	wait, err := strconv.ParseInt(f["d"], 10, 64)
+	timeoutMs, err := strconv.ParseInt(f["d"], 10, 64)
 	switch k, known := c.Class(m.method); {
 	case f["d"] == "" && known:
-		wait = k.Deadline.Milliseconds()
-	case err != nil || wait < 0 || wait > longestWait.Milliseconds():
+		timeoutMs = k.Deadline.Milliseconds()
+	case err != nil || timeoutMs < 0 || timeoutMs > maxTimeout.Milliseconds():
 		return r, "d"
 	}
-	held, err := strconv.ParseFloat(f["m"], 64)
-	if err != nil || !(held > 0 && held < 2000) {
+	reservedKB, err := strconv.ParseFloat(f["m"], 64)
+	if err != nil || !(reservedKB > 0 && reservedKB < 2000) {
 		return r, "m"
 	}
 	if f["i"] == "" {
@@ -270,62 +270,62 @@
 	if f["f"] != "" && (err != nil || caller < 0) {
 		return r, "f"
 	}
-	boot, cell := c.Boot()
-	if cell && f["b"] != "" && f["b"] != strconv.FormatInt(boot, 10) {
+	incarnation, inCell := c.Boot()
+	if inCell && f["b"] != "" && f["b"] != strconv.FormatInt(incarnation, 10) {
 		return r, core.WhyBoot
 	}
-	reached := time.UnixMilli(stamp)
-	rules := ""
-	if cell && f["k"] != "" {
-		rules = f["g"]
+	receivedAt := time.UnixMilli(stamp)
+	configID := ""
+	if inCell && f["k"] != "" {
+		configID = f["g"]
 	}
 	return core.Request{
 		Front: Name, ID: f["i"], Class: m.method, Tenant: f["t"], Key: f["k"], Object: f["o"],
-		Caller: caller, HeldKB: held, Rank: rank, Body: m.body, Known: cell && f["n"] == "1" && f["k"] != "",
-		Rules:   rules,
-		Reached: reached, Due: reached.Add(time.Duration(wait) * time.Millisecond),
+		Caller: caller, HeldKB: reservedKB, Rank: rank, Body: m.body, Known: inCell && f["n"] == "1" && f["k"] != "",
+		Rules:   configID,
+		Reached: receivedAt, Due: receivedAt.Add(time.Duration(timeoutMs) * time.Millisecond),
 	}, ""
 }
 
-// signal appends the free value, where the module has set one.
-func (c *client) signal(pairs []string) []string {
+// withServerState appends the free value, where the module has set one.
+func (c *client) withServerState(pairs []string) []string {
 	if v, ok := c.core.Signal(); ok {
 		pairs = append(pairs, "v", strconv.FormatFloat(v, 'f', -1, 64))
 	}
-	if boot, cell := c.core.Boot(); cell {
-		pairs = append(pairs, "b", strconv.FormatInt(boot, 10))
+	if incarnation, inCell := c.core.Boot(); inCell {
+		pairs = append(pairs, "b", strconv.FormatInt(incarnation, 10))
 		if c.core.Cold() {
 			pairs = append(pairs, "cs", "1")
 		}
-		if ran := c.core.Ran(); ran != 0 {
-			pairs = append(pairs, "l", strconv.FormatInt(ran, 10))
+		if lastRun := c.core.Ran(); lastRun != 0 {
+			pairs = append(pairs, "l", strconv.FormatInt(lastRun, 10))
 		}
 	}
 	return pairs
 }
 
-// answer writes the answer of an open request. One that was given up is owed none, and its number may by now be
+// respond writes the answer of an open request. One that was given up is owed none, and its number may by now be
 // another request's.
-func (c *client) answer(id uint64, request string, a core.Answer) {
+func (c *client) respond(id uint64, requestID string, a core.Answer) {
 	c.mu.Lock()
-	open := c.open[id] == request
-	if open {
-		delete(c.open, id)
-		c.unsent++ // until it is written the connection is not idle
+	pending := c.pending[id] == requestID
+	if pending {
+		delete(c.pending, id)
+		c.writingAnswers++ // until it is written the connection is not idle
 	}
 	c.mu.Unlock()
-	if !open {
+	if !pending {
 		return
 	}
 	c.reply(id, a)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.unsent--
-	c.slot.SetInFlight(len(c.open) + c.unsent)
+	c.writingAnswers--
+	c.slot.SetInFlight(len(c.pending) + c.writingAnswers)
 }
 
 func (c *client) reply(id uint64, a core.Answer) {
-	c.write(func(b []byte) []byte { return appendAnswer(b, id, a, c.signal(nil)) })
+	c.write(func(b []byte) []byte { return appendAnswer(b, id, a, c.withServerState(nil)) })
 }
 
 func appendAnswer(b []byte, id uint64, a core.Answer, fields []string) []byte {
@@ -344,42 +344,42 @@
 		if a.Why != "" {
 			fields = append(fields, "x", a.Why)
 		}
-		b = appendText(appendArray(b, 2), full)
+		b = appendText(appendArray(b, 2), errorFull)
 	default:
-		b = appendText(appendArray(b, 2), failed)
+		b = appendText(appendArray(b, 2), errorFailed)
 	}
 	return appendNil(appendFields(b, fields))
 }
 
-func appendProbe(b []byte, id uint64, good bool, fields []string) []byte {
+func appendHealth(b []byte, id uint64, healthy bool, fields []string) []byte {
 	b = appendUint(appendUint(appendArray(b, 4), uint64(response)), id)
-	return appendFields(appendBool(appendArray(appendNil(b), 2), good), fields)
+	return appendFields(appendBool(appendArray(appendNil(b), 2), healthy), fields)
 }
 
-// lastCall tells the balancer to bring no more on this connection; it closes it once all is answered.
-func (c *client) lastCall() {
+// notifyDrain tells the balancer to bring no more on this connection; it closes it once all is answered.
+func (c *client) notifyDrain() {
 	c.mu.Lock()
-	called := c.called
-	c.called = true
+	notified := c.drainNotified
+	c.drainNotified = true
 	c.mu.Unlock()
-	if !called {
+	if !notified {
 		c.write(func(b []byte) []byte {
-			return appendArray(appendText(appendUint(appendArray(b, 3), uint64(notification)), lastCall), 0)
+			return appendArray(appendText(appendUint(appendArray(b, 3), uint64(notification)), methodDrain), 0)
 		})
 	}
 }
 
-// lastTaken tells a router up to which number requests on this connection were taken. None is from now on.
-func (c *client) lastTaken() {
+// notifyLastTaken tells a router up to which number requests on this connection were taken. None is from now on.
+func (c *client) notifyLastTaken() {
 	c.mu.Lock()
-	last := c.last
+	id := c.lastTakenID
 	c.mu.Unlock()
 	if !c.writing.TryLock() {
 		return // something is stuck in it
 	}
 	defer c.writing.Unlock()
-	c.conn.SetWriteDeadline(time.Now().Add(byeTimeout))
-	c.conn.Write(appendUint(appendArray(appendText(appendUint(appendArray(nil, 3), uint64(notification)), lastTaken), 1), last))
+	c.conn.SetWriteDeadline(time.Now().Add(lastTakenTimeout))
+	c.conn.Write(appendUint(appendArray(appendText(appendUint(appendArray(nil, 3), uint64(notification)), methodLastTaken), 1), id))
 }
 
 // write writes one message. A peer that takes nothing for writeTimeout loses its connection.
@@ -396,9 +396,9 @@
 	}
 	*b = message(*b)
 	c.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
-	began := time.Now()
+	startedAt := time.Now()
 	_, err := c.conn.Write(*b)
-	c.writes.Record(time.Since(began))
+	c.writes.Record(time.Since(startedAt))
 	if err != nil {
 		c.stats.Inc("write_failed", Name)
 		c.mu.Lock()
--- a/internal/transport/msgpackrpc/golden_test.go
+++ b/internal/transport/msgpackrpc/golden_test.go
@@ -26,9 +26,9 @@
 		{"long body", AppendRequest(nil, 1, "k", make([]byte, 1<<16))[:10], []byte("\x94\x00\x01\xa1k\x92\x80\xc6\x00\x01")},
 		{"probe", AppendProbe(nil, 1, "g", "7"), []byte("\x94\x00\x01\xa5probe\x91\x81\xa1g\xa17")},
 		{"status", AppendStatus(nil, 1), []byte("\x94\x00\x01\xa6status\x91\x80")},
-		{"give up", AppendGiveUp(nil, 300), []byte("\x93\x02\xa6giveUp\x91\xcd\x01\x2c")},
-		{"try", Try{ID: "a", Class: "krog", Tenant: "t", Key: "k", Reached: time.UnixMilli(7), Wait: 80 * time.Millisecond, HeldKB: 1.5,
-			Caller: 3, Rank: 0.25, Body: []byte("x"), Known: true, Boot: 9}.Append(nil, 5),
+		{"give up", AppendCancel(nil, 300), []byte("\x93\x02\xa6giveUp\x91\xcd\x01\x2c")},
+		{"try", Attempt{ID: "a", Class: "krog", Tenant: "t", Key: "k", ReceivedAt: time.UnixMilli(7), Timeout: 80 * time.Millisecond, HeldKB: 1.5,
+			Caller: 3, Rank: 0.25, Body: []byte("x"), KnownOnly: true, Incarnation: 9}.Append(nil, 5),
 			[]byte("\x94\x00\x05\xa4krog\x92\x8a\xa1i\xa1a\xa1s\xa17\xa1f\xa13\xa1d\xa280\xa1m\xa41.50\xa1t\xa1t\xa1p\xa60.2500\xa1k\xa1k\xa1n\xa11\xa1b\xa19\xc4\x01x")},
 		{"served", appendAnswer(nil, 9, core.Answer{Body: []byte("ok")}, []string{"v", "2.5"}), []byte("\x94\x01\x09\xc0\x92\xc4\x02ok\x81\xa1v\xa32.5")},
 		{"refused", appendAnswer(nil, 9, core.Answer{Outcome: core.Refused, Wait: 200 * time.Millisecond, Final: true, Why: "boot"}, nil),
@@ -37,10 +37,10 @@
 		{"failed", appendAnswer(nil, 9, core.Answer{Outcome: core.Failed, Wait: time.Second, Final: true}, nil), []byte("\x94\x01\x09\x92\xa5Error\x80\xc0")},
 		{"expired", appendAnswer(nil, 9, core.Answer{Outcome: core.Expired}, nil), []byte("\x94\x01\x09\x92\xa5Error\x80\xc0")},
 		{"invalid", appendAnswer(nil, 9, core.Answer{Outcome: core.Invalid}, nil), []byte("\x94\x01\x09\x92\xa5Error\x80\xc0")},
-		{"good health", appendProbe(nil, 3, true, nil), []byte("\x94\x01\x03\xc0\x92\xc3\x80")},
-		{"bad health", appendProbe(nil, 3, false, []string{"b", "1"}), []byte("\x94\x01\x03\xc0\x92\xc2\x81\xa1b\xa11")},
-		{"verdict", appendVerdict(nil, 4, Verdict{Body: []byte("ok"), Fields: []string{"n", "1"}}), []byte("\x94\x01\x04\xc0\x92\xc4\x02ok\x81\xa1n\xa11")},
-		{"bad verdict", appendVerdict(nil, 4, Verdict{Error: "Stale", Fields: []string{"n", "1"}}), []byte("\x94\x01\x04\x92\xa5Stale\x81\xa1n\xa11\xc0")},
+		{"good health", appendHealth(nil, 3, true, nil), []byte("\x94\x01\x03\xc0\x92\xc3\x80")},
+		{"bad health", appendHealth(nil, 3, false, []string{"b", "1"}), []byte("\x94\x01\x03\xc0\x92\xc2\x81\xa1b\xa11")},
+		{"verdict", appendCallResult(nil, 4, CallResult{Body: []byte("ok"), Fields: []string{"n", "1"}}), []byte("\x94\x01\x04\xc0\x92\xc4\x02ok\x81\xa1n\xa11")},
+		{"bad verdict", appendCallResult(nil, 4, CallResult{Error: "Stale", Fields: []string{"n", "1"}}), []byte("\x94\x01\x04\x92\xa5Stale\x81\xa1n\xa11\xc0")},
 	} {
 		if !bytes.Equal(c.got, c.want) {
 			t.Errorf("%s:\n got %s\nwant %s", c.what, fmt.Sprintf("%q", c.got), fmt.Sprintf("%q", c.want))
--- a/internal/transport/msgpackrpc/words.go
+++ b/internal/transport/msgpackrpc/words.go
@@ -20,47 +20,47 @@
 // may be.
 
 const (
-	// LongestWord bounds the body of a word, in bytes: a map of a whole fleet with room to spare.
-	LongestWord = 1 << 20
-	mostWords   = 64 // open on a connection
+	// MaxCallBody bounds the body of a word, in bytes: a map of a whole fleet with room to spare.
+	MaxCallBody      = 1 << 20
+	maxCallsInFlight = 64 // open on a connection
 )
 
-// Word is one request between processes.
-type Word struct {
+// Call is one request between processes.
+type Call struct {
 	Method string
 	Fields map[string]string
 	Body   []byte
 }
 
-// Verdict is the answer to a word: a body, or what is wrong in a word, each with fields, given as name and value in turn.
-type Verdict struct {
+// CallResult is the answer to a word: a body, or what is wrong in a word, each with fields, given as name and value in turn.
+type CallResult struct {
 	Error  string // empty: none
 	Body   []byte
 	Fields []string
 }
 
-// Words serves connections of other processes.
-type Words struct {
+// CallServer serves connections of other processes.
+type CallServer struct {
 	name   string
 	stats  *metrics.Counters
-	answer func(ctx context.Context, w Word) func() Verdict
+	handle func(ctx context.Context, w Call) func() CallResult
 }
 
-// NewWords returns a front of words. Answer is called with the words of a connection in their order; what it returns is
+// NewCallServer returns a front of words. Answer is called with the words of a connection in their order; what it returns is
 // called beside the words that follow. The context ends with the connection.
-func NewWords(name string, s *metrics.Counters, answer func(ctx context.Context, w Word) func() Verdict) *Words {
-	return &Words{name, s, answer}
+func NewCallServer(name string, s *metrics.Counters, handle func(ctx context.Context, w Call) func() CallResult) *CallServer {
+	return &CallServer{name, s, handle}
 }
 
 // Serve is the life of one connection.
-func (f *Words) Serve(conn net.Conn, slot *listener.Slot) {
+func (f *CallServer) Serve(conn net.Conn, slot *listener.Slot) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	r := bufferpool.GetReader(conn)
 	defer bufferpool.PutReader(r)
-	d := decoder{r: r, longest: LongestWord}
+	d := decoder{r: r, maxBody: MaxCallBody}
 	var mu sync.Mutex // of writing, and of open
-	var open sync.WaitGroup
+	var pending sync.WaitGroup
 	var err error
 	n := 0
 	conn.SetReadDeadline(time.Now().Add(listener.MessageTimeout))
@@ -77,12 +77,12 @@
 		if !slot.BeginMessage() {
 			break // its place was given up as this came
 		}
-		if m.kind != request || m.method == probe {
+		if m.kind != request || m.method == methodProbe {
 			slot.EndMessage()
 			continue // nobody who speaks so belongs here, and no harm is done
 		}
 		mu.Lock()
-		if n++; n > mostWords {
+		if n++; n > maxCallsInFlight {
 			err = malformed("%d words open", n)
 		}
 		slot.SetInFlight(n)
@@ -91,10 +91,10 @@
 			break
 		}
 		f.stats.Inc("words", f.name, m.method)
-		later := f.answer(ctx, Word{m.method, m.fields, m.body})
-		open.Go(func() {
-			v := later()
-			b := appendVerdict(nil, m.id, v)
+		finish := f.handle(ctx, Call{m.method, m.fields, m.body})
+		pending.Go(func() {
+			v := finish()
+			b := appendCallResult(nil, m.id, v)
 			mu.Lock()
 			defer mu.Unlock()
 			conn.SetWriteDeadline(time.Now().Add(writeTimeout))
@@ -116,11 +116,11 @@
 		f.stats.Inc("malformed", f.name)
 		slot.LogPeer("front.closed", f.name, conn.RemoteAddr(), err)
 	}
-	open.Wait() // what was asked before is answered, as long as the other side may read
+	pending.Wait() // what was asked before is answered, as long as the other side may read
 	slot.CloseGracefully(r)
 }
 
-func appendVerdict(b []byte, id uint64, v Verdict) []byte {
+func appendCallResult(b []byte, id uint64, v CallResult) []byte {
 	b = appendUint(appendUint(appendArray(b, 4), uint64(response)), id)
 	if v.Error != "" {
 		return appendNil(appendFields(appendText(appendArray(b, 2), v.Error), v.Fields))
@@ -128,18 +128,18 @@
 	return appendFields(appendBin(appendArray(appendNil(b), 2), v.Body), v.Fields)
 }
 
-// DialWords opens a connection for words.
-func DialWords(ctx context.Context, addr string) (*Conn, error) {
+// DialCalls opens a connection for words.
+func DialCalls(ctx context.Context, addr string) (*Conn, error) {
 	var d net.Dialer
 	conn, err := d.DialContext(ctx, "tcp", addr)
 	if err != nil {
 		return nil, err
 	}
-	return newConn(conn, LongestWord), nil
+	return newConn(conn, MaxCallBody), nil
 }
 
-// Say sends a word. The channel gets the reply, or is closed without one.
-func (c *Conn) Say(w Word) (<-chan Reply, error) {
+// Call sends a word. The channel gets the reply, or is closed without one.
+func (c *Conn) Call(w Call) (<-chan Reply, error) {
 	fields := make([]string, 0, 2*len(w.Fields))
 	for k, v := range w.Fields {
 		fields = append(fields, k, v)
@@ -150,35 +150,35 @@
 
 // ReadMessage reads one whole message of either direction as it stands on the wire, of at most so many bytes, for what
 // stands between two processes and understands neither.
-func ReadMessage(r *bufio.Reader, most int) ([]byte, error) {
+func ReadMessage(r *bufio.Reader, maxBytes int) ([]byte, error) {
 	if _, err := r.Peek(1); err != nil {
 		return nil, err
 	}
-	var raw copier
-	raw.r, raw.most = r, most
-	in := bufio.NewReaderSize(&raw, 16) // reads ahead no further than a value's own bytes: copier gives one at a time
-	err := decoder{r: in, longest: most}.skip(0)
+	var recorded recorder
+	recorded.r, recorded.maxBytes = r, maxBytes
+	in := bufio.NewReaderSize(&recorded, 16) // reads ahead no further than a value's own bytes: copier gives one at a time
+	err := decoder{r: in, maxBody: maxBytes}.skip(0)
 	if err == io.EOF {
 		err = io.ErrUnexpectedEOF
 	}
-	return raw.b, err
+	return recorded.bytes, err
 }
 
-// copier reads byte by byte and keeps what it read.
-type copier struct {
-	r    *bufio.Reader
-	b    []byte
-	most int
+// recorder reads byte by byte and keeps what it read.
+type recorder struct {
+	r        *bufio.Reader
+	bytes    []byte
+	maxBytes int
 }
 
-func (c *copier) Read(p []byte) (int, error) {
-	if len(c.b) >= c.most {
-		return 0, malformed("a message over %d bytes", c.most)
+func (c *recorder) Read(p []byte) (int, error) {
+	if len(c.bytes) >= c.maxBytes {
+		return 0, malformed("a message over %d bytes", c.maxBytes)
 	}
 	x, err := c.r.ReadByte()
 	if err != nil {
 		return 0, err
 	}
-	p[0], c.b = x, append(c.b, x)
+	p[0], c.bytes = x, append(c.bytes, x)
 	return 1, nil
 }
--- a/internal/transport/msgpackrpc/words_test.go
+++ b/internal/transport/msgpackrpc/words_test.go
@@ -20,15 +20,15 @@
 func TestWords(t *testing.T) {
 	var c metrics.Counters
 	hold := make(chan struct{})
-	f := NewWords("words", &c, func(_ context.Context, w Word) func() Verdict {
-		return func() Verdict {
+	f := NewCallServer("words", &c, func(_ context.Context, w Call) func() CallResult {
+		return func() CallResult {
 			switch w.Method {
 			case "slow":
 				<-hold
 			case "wrong":
-				return Verdict{Error: "Wrong", Fields: []string{"why", w.Fields["x"]}}
+				return CallResult{Error: "Wrong", Fields: []string{"why", w.Fields["x"]}}
 			}
-			return Verdict{Body: w.Body}
+			return CallResult{Body: w.Body}
 		}
 	})
 	ln, err := listener.Listen("words", "127.0.0.1:0", 8, func() time.Duration { return time.Minute }, f.Serve, log.New(io.Discard, "", 0), &c)
@@ -37,31 +37,31 @@
 	}
 	go ln.Serve()
 	defer ln.Close()
-	conn, err := DialWords(t.Context(), ln.Addr().String())
+	conn, err := DialCalls(t.Context(), ln.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	say := func(w Word) <-chan Reply {
-		r, err := conn.Say(w)
+	say := func(w Call) <-chan Reply {
+		r, err := conn.Call(w)
 		if err != nil {
 			t.Fatal(err)
 		}
 		return r
 	}
-	slow := say(Word{Method: "slow", Body: []byte("late")})
-	long := strings.Repeat("x", LongestWord)
-	if a := <-say(Word{Method: "echo", Body: []byte(long)}); string(a.Body) != long {
+	slow := say(Call{Method: "slow", Body: []byte("late")})
+	long := strings.Repeat("x", MaxCallBody)
+	if a := <-say(Call{Method: "echo", Body: []byte(long)}); string(a.Body) != long {
 		t.Errorf("%d bytes came back, %q", len(a.Body), a.Error)
 	}
-	if a := <-say(Word{Method: "wrong", Fields: map[string]string{"x": "because"}}); a.Error != "Wrong" || a.Fields["why"] != "because" {
+	if a := <-say(Call{Method: "wrong", Fields: map[string]string{"x": "because"}}); a.Error != "Wrong" || a.Fields["why"] != "because" {
 		t.Errorf("%+v", a)
 	}
 	close(hold)
 	if a := <-slow; string(a.Body) != "late" {
 		t.Errorf("%+v", a)
 	}
-	if r, err := conn.Say(Word{Method: "echo", Body: append([]byte(long), 'x')}); err == nil { // it may break while it is written
+	if r, err := conn.Call(Call{Method: "echo", Body: append([]byte(long), 'x')}); err == nil { // it may break while it is written
 		if a, ok := <-r; ok {
 			t.Errorf("a word over the bound is answered: %+v", a)
 		}
@@ -86,7 +86,7 @@
 // A message is read as it stands on the wire, whatever it says, and no further.
 func TestReadMessage(t *testing.T) {
 	one := AppendRequest(nil, 7, "krog", bytes.Repeat([]byte("b"), 300), "i", "x", "s", "1")
-	two := AppendGiveUp(nil, 7)
+	two := AppendCancel(nil, 7)
 	r := bufio.NewReader(bytes.NewReader(append(append([]byte{}, one...), two...)))
 	for _, want := range [][]byte{one, two} {
 		if got, err := ReadMessage(r, 1000); err != nil || !bytes.Equal(got, want) {
--- a/internal/transport/scgi/front.go
+++ b/internal/transport/scgi/front.go
@@ -41,11 +41,11 @@
 
 const (
 	writeTimeout = 2 * time.Second
-	// lingerFor and mostAfter bound what is read of a client after an answer that did not wait for all that it sends.
-	lingerFor   = time.Second
-	mostAfter   = 1 << 20 // bytes
-	longestWait = time.Hour
-	longestKey  = 128
+	// lingerTimeout and maxLingerBytes bound what is read of a client after an answer that did not wait for all that it sends.
+	lingerTimeout  = time.Second
+	maxLingerBytes = 1 << 20 // bytes
+	maxTimeout     = time.Hour
+	maxKeyBytes    = 128
 )
 
 // Front serves web fronts.
@@ -71,13 +71,13 @@
 	return fmt.Sprintf("%x", b)
 }
 
-// problem is an answer to a request that never reached the core.
-type problem struct {
+// rejection is an answer to a request that never reached the core.
+type rejection struct {
 	status, text string
-	count        string
+	counter      string
 }
 
-func (p *problem) Error() string { return p.text }
+func (p *rejection) Error() string { return p.text }
 
 var statusOf = map[core.Outcome]string{
 	core.Served: "200 OK", core.Refused: "503 Service Unavailable", core.Failed: "502 Bad Gateway",
@@ -95,30 +95,30 @@
 		f.stats.Inc("status", Name)
 		slot.PaceCheapCall()
 		f.write(conn, statusOf[core.Served], f.core.Status(), "application/json", "Cache-Control", "no-store")
-		linger.Close(conn, r, lingerFor, mostAfter)
+		linger.Close(conn, r, lingerTimeout, maxLingerBytes)
 		return
 	}
 	if err == nil {
-		most := f.core.MostBody(f.cfg.MaxBody)
+		maxBody := f.core.MostBody(f.cfg.MaxBody)
 		if class, known := f.class(m.headers); known {
 			if class.Effect == silverpath.Idempotent { // it may be the repeat of a sheet that has run, which is never refused
-				most = f.cfg.MaxBody
+				maxBody = f.cfg.MaxBody
 			}
-			a, refused := f.core.Shut(Name, class.Name)
-			if !refused && !slot.AdmitsWork() && class.Effect != silverpath.Idempotent {
+			a, rejected := f.core.Shut(Name, class.Name)
+			if !rejected && !slot.AdmitsWork() && class.Effect != silverpath.Idempotent {
 				// What is left of the connections is for what is cheap, and a sheet may be: the repeat of one that has run.
 				f.stats.Inc("turned_away", Name, "reserve")
-				a, refused = core.Answer{Outcome: core.Refused, Wait: f.core.Advice()}, true
+				a, rejected = core.Answer{Outcome: core.Refused, Wait: f.core.Advice()}, true
 			}
-			if refused {
-				f.reply(conn, a)
+			if rejected {
+				f.writeAnswer(conn, a)
 				if uint64(r.Buffered()) < m.size { // else all has come, and a plain close resets nothing
-					linger.Close(conn, r, lingerFor, mostAfter)
+					linger.Close(conn, r, lingerTimeout, maxLingerBytes)
 				}
 				return
 			}
 		}
-		err = m.readBody(r, most)
+		err = m.readBody(r, maxBody)
 	}
 	if err == nil {
 		var q core.Request
@@ -128,94 +128,94 @@
 			}
 			conn.SetReadDeadline(time.Time{})
 			slot.SetInFlight(1)
-			f.serve(conn, r, q, func() { // its place may now go to whoever has more need of it
+			f.awaitAnswer(conn, r, q, func() { // its place may now go to whoever has more need of it
 				slot.SetInFlight(0)
 				slot.EndMessage()
 			})
 			return
 		}
 	}
-	var p *problem
+	var p *rejection
 	switch {
 	case errors.As(err, &p):
 	case errors.Is(err, errMalformed):
-		p = &problem{"400 Bad Request", err.Error(), "malformed"}
+		p = &rejection{"400 Bad Request", err.Error(), "malformed"}
 	case errors.Is(err, errTooLarge):
-		p = &problem{"413 Content Too Large", err.Error(), "too_large"}
+		p = &rejection{"413 Content Too Large", err.Error(), "too_large"}
 	case err == io.EOF:
 		return // opened and closed again
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		p = &problem{"408 Request Timeout", fmt.Sprintf("no whole request came within %v", listener.MessageTimeout), "too_slow"}
+		p = &rejection{"408 Request Timeout", fmt.Sprintf("no whole request came within %v", listener.MessageTimeout), "too_slow"}
 	default:
 		f.stats.Inc("cut_short", Name)
 		return // it broke off: nobody is there to be answered
 	}
-	f.stats.Inc(p.count, Name)
+	f.stats.Inc(p.counter, Name)
 	slot.LogPeer("scgi.unread", Name, p.status, conn.RemoteAddr(), p.text)
 	f.write(conn, p.status, []byte(p.text+"\n"), "text/plain")
-	linger.Close(conn, r, lingerFor, mostAfter)
+	linger.Close(conn, r, lingerTimeout, maxLingerBytes)
 }
 
-// serve leads one request through the core and watches meanwhile whether its caller leaves. A caller that
+// awaitAnswer leads one request through the core and watches meanwhile whether its caller leaves. A caller that
 // closes its connection has left; the run of a keyed request goes on, and a retry takes its result. Rest is called once
 // the answer is written.
-func (f *Front) serve(conn net.Conn, r *bufio.Reader, q core.Request, rest func()) {
-	replied := make(chan struct{})
+func (f *Front) awaitAnswer(conn net.Conn, r *bufio.Reader, q core.Request, onWritten func()) {
+	answered := make(chan struct{})
 	go f.core.Serve(q, func(a core.Answer) {
-		f.reply(conn, a, "X-Request-Id", q.ID)
-		close(replied)
+		f.writeAnswer(conn, a, "X-Request-Id", q.ID)
+		close(answered)
 		if !linger.CloseWrite(conn) {
 			conn.Close()
 		}
-		conn.SetReadDeadline(time.Now().Add(lingerFor))
-		rest()
+		conn.SetReadDeadline(time.Now().Add(lingerTimeout))
+		onWritten()
 	})
 	var err error
 	for n := 0; err == nil; n++ { // what comes after a request means nothing
-		if _, err = r.Discard(1); n == mostAfter {
+		if _, err = r.Discard(1); n == maxLingerBytes {
 			f.stats.Inc("surplus", Name)
-			<-replied // its answer is still owed, and nothing more is read
+			<-answered // its answer is still owed, and nothing more is read
 			return
 		}
 	}
 	select {
-	case <-replied:
+	case <-answered:
 		return
 	default:
 	}
 	if err == io.EOF && f.cfg.HalfClose {
-		<-replied
+		<-answered
 		return
 	}
 	f.stats.Inc("dropped", Name)
 	f.core.Gone(q.ID)
 }
 
-// reply writes the answer of a request.
-func (f *Front) reply(conn net.Conn, a core.Answer, headers ...string) {
+// writeAnswer writes the answer of a request.
+func (f *Front) writeAnswer(conn net.Conn, a core.Answer, headers ...string) {
 	if a.Outcome == core.Refused {
-		wait := max(1, int64((a.Wait+time.Second-1)/time.Second))
-		headers = append(headers, "Retry-After", strconv.FormatInt(wait, 10))
+		retryAfter := max(1, int64((a.Wait+time.Second-1)/time.Second))
+		headers = append(headers, "Retry-After", strconv.FormatInt(retryAfter, 10))
 		if a.Final {
 			headers = append(headers, "X-Retry-Elsewhere", "no")
 		}
 	}
-	body, kind := a.Body, "application/octet-stream"
+	body, contentType := a.Body, "application/octet-stream"
 	if a.Outcome != core.Served {
-		body, kind = []byte(a.Outcome.String()+"\n"), "text/plain"
+		body, contentType = []byte(a.Outcome.String()+"\n"), "text/plain"
 	}
-	f.write(conn, statusOf[a.Outcome], body, kind, headers...)
+	f.write(conn, statusOf[a.Outcome], body, contentType, headers...)
 }
 
 // write writes an answer. A peer that takes nothing for writeTimeout loses it.
-func (f *Front) write(conn net.Conn, status string, body []byte, kind string, headers ...string) {
+func (f *Front) write(conn net.Conn, status string, body []byte, contentType string, headers ...string) {
 	b := bufferpool.Get()
 	defer bufferpool.Put(b)
-	*b = appendResponse(*b, status, body, kind, headers...)
+	*b = appendResponse(*b, status, body, contentType, headers...)
 	conn.SetWriteDeadline(time.Now().Add(writeTimeout))
-	began := time.Now()
+	startedAt := time.Now()
 	_, err := conn.Write(*b)
-	f.writes.Record(time.Since(began))
+	f.writes.Record(time.Since(startedAt))
 	if err != nil {
 		f.stats.Inc("write_failed", Name)
 	}
@@ -224,11 +224,11 @@
 // mapRequest makes a request of an SCGI message.
 func (f *Front) mapRequest(m message, now time.Time, from net.Addr) (core.Request, error) {
 	bad := func(header string) (core.Request, error) {
-		return core.Request{}, &problem{"400 Bad Request", fmt.Sprintf("%s is %q", header, m.headers[header]), "bad_header"}
+		return core.Request{}, &rejection{"400 Bad Request", fmt.Sprintf("%s is %q", header, m.headers[header]), "bad_header"}
 	}
 	class, known := f.class(m.headers)
 	if !known {
-		return core.Request{}, &problem{"404 Not Found", fmt.Sprintf("no class %q", class.Name), "unknown_class"}
+		return core.Request{}, &rejection{"404 Not Found", fmt.Sprintf("no class %q", class.Name), "unknown_class"}
 	}
 	q := core.Request{
 		Front: Name, ID: f.newID(), Class: class.Name, Tenant: f.cfg.Tenant, HeldKB: f.cfg.HeldKB,
@@ -237,21 +237,21 @@
 	if t := m.headers[headerTenant]; t != "" {
 		q.Tenant = t
 	}
-	if len(q.Key) > longestKey {
+	if len(q.Key) > maxKeyBytes {
 		return bad(headerKey)
 	}
-	wait := class.Deadline
+	timeout := class.Deadline
 	if f.cfg.Deadline > 0 {
-		wait = f.cfg.Deadline
+		timeout = f.cfg.Deadline
 	}
 	if v, ok := m.headers[headerDeadline]; ok {
 		ms, err := strconv.ParseInt(v, 10, 64)
-		if err != nil || ms <= 0 || ms > longestWait.Milliseconds() {
+		if err != nil || ms <= 0 || ms > maxTimeout.Milliseconds() {
 			return bad(headerDeadline)
 		}
-		wait = time.Duration(ms) * time.Millisecond
+		timeout = time.Duration(ms) * time.Millisecond
 	}
-	q.Due = now.Add(wait)
+	q.Due = now.Add(timeout)
 	var err error
 	if v, ok := m.headers[headerCaller]; ok {
 		if q.Caller, err = strconv.Atoi(v); err != nil || q.Caller < 0 {
--- a/internal/transport/scgi/scgi.go
+++ b/internal/transport/scgi/scgi.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	longestHeaders = 8 << 10 // of the netstring
-	mostHeaders    = 128
+	maxHeaderBytes = 8 << 10 // of the netstring
+	maxHeaders     = 128
 )
 
 var (
@@ -36,10 +36,10 @@
 }
 
 // readMessage reads a request whose body has at most the given size. io.EOF means that nothing was sent.
-func readMessage(r *bufio.Reader, mostBody int) (message, error) {
+func readMessage(r *bufio.Reader, maxBody int) (message, error) {
 	m, err := readHead(r)
 	if err == nil {
-		err = m.readBody(r, mostBody)
+		err = m.readBody(r, maxBody)
 	}
 	return m, err
 }
@@ -54,21 +54,21 @@
 	if err == nil {
 		m.size, err = m.parse(block)
 	}
-	return m, whole(err)
+	return m, unexpectedEOF(err)
 }
 
 // readBody reads the body that follows the headers.
-func (m *message) readBody(r *bufio.Reader, mostBody int) error {
-	if m.size > uint64(mostBody) {
+func (m *message) readBody(r *bufio.Reader, maxBody int) error {
+	if m.size > uint64(maxBody) {
 		return fmt.Errorf("%w: a body of %d bytes", errTooLarge, m.size)
 	}
 	m.body = make([]byte, m.size)
 	_, err := io.ReadFull(r, m.body)
-	return whole(err)
+	return unexpectedEOF(err)
 }
 
-// whole tells the end of a stream within a request from one before it.
-func whole(err error) error {
+// unexpectedEOF tells the end of a stream within a request from one before it.
+func unexpectedEOF(err error) error {
 	if err == io.EOF {
 		return io.ErrUnexpectedEOF
 	}
@@ -89,8 +89,8 @@
 		if b < '0' || b > '9' || i == 1 && n == 0 {
 			return nil, malformed("byte %q in the length of a netstring", b)
 		}
-		if n = n*10 + int(b-'0'); n > longestHeaders {
-			return nil, fmt.Errorf("%w: headers of over %d bytes", errTooLarge, longestHeaders)
+		if n = n*10 + int(b-'0'); n > maxHeaderBytes {
+			return nil, fmt.Errorf("%w: headers of over %d bytes", errTooLarge, maxHeaderBytes)
 		}
 	}
 	v := make([]byte, n+1)
@@ -109,16 +109,16 @@
 	rest := string(block)
 	for i := 0; rest != ""; i++ {
 		name, tail, ok := strings.Cut(rest, "\x00")
-		value, tail, whole := strings.Cut(tail, "\x00")
+		value, tail, terminated := strings.Cut(tail, "\x00")
 		switch {
-		case !ok || !whole:
+		case !ok || !terminated:
 			return 0, malformed("a header without an end")
 		case name == "":
 			return 0, malformed("a header without a name")
 		case i == 0 && name != "CONTENT_LENGTH":
 			return 0, malformed("the first header is %q, not CONTENT_LENGTH", name)
-		case i == mostHeaders:
-			return 0, fmt.Errorf("%w: over %d headers", errTooLarge, mostHeaders)
+		case i == maxHeaders:
+			return 0, fmt.Errorf("%w: over %d headers", errTooLarge, maxHeaders)
 		}
 		if _, twice := m.headers[name]; twice {
 			return 0, malformed("header %q given twice", name)
@@ -154,8 +154,8 @@
 }
 
 // appendResponse appends an answer with the headers given as name and value in turn.
-func appendResponse(b []byte, status string, body []byte, kind string, headers ...string) []byte {
-	b = fmt.Appendf(b, "Status: %s\r\nContent-Type: %s\r\nContent-Length: %d\r\n", status, kind, len(body))
+func appendResponse(b []byte, status string, body []byte, contentType string, headers ...string) []byte {
+	b = fmt.Appendf(b, "Status: %s\r\nContent-Type: %s\r\nContent-Length: %d\r\n", status, contentType, len(body))
 	for i := 0; i < len(headers); i += 2 {
 		b = fmt.Appendf(b, "%s: %s\r\n", headers[i], headers[i+1])
 	}
@@ -171,7 +171,7 @@
 
 // readResponse reads an answer as CGI gives it: headers, an empty line, and a body to the end of the stream or
 // to the length stated. Without a Status the status is 200. A body cut short is an error, never a result.
-func readResponse(r *bufio.Reader, mostBody int) (response, error) {
+func readResponse(r *bufio.Reader, maxBody int) (response, error) {
 	a := response{status: 200, headers: map[string]string{}}
 	for i := 0; ; i++ {
 		line, err := r.ReadSlice('\n')
@@ -183,7 +183,7 @@
 			break
 		}
 		name, value, ok := strings.Cut(text, ":")
-		if !ok || name == "" || i == mostHeaders {
+		if !ok || name == "" || i == maxHeaders {
 			return a, malformed("%q where a header of the answer belongs", text)
 		}
 		a.headers[strings.ToLower(name)] = strings.TrimSpace(value)
@@ -201,7 +201,7 @@
 	}
 	if s, ok := a.headers["content-length"]; ok {
 		n, err := strconv.Atoi(s)
-		if err != nil || n < 0 || n > mostBody {
+		if err != nil || n < 0 || n > maxBody {
 			return a, malformed("the answer's Content-Length is %q", s)
 		}
 		a.body = make([]byte, n)
@@ -210,12 +210,12 @@
 		}
 		return a, nil
 	}
-	body, err := io.ReadAll(io.LimitReader(r, int64(mostBody)+1))
+	body, err := io.ReadAll(io.LimitReader(r, int64(maxBody)+1))
 	if err != nil {
 		return a, fmt.Errorf("reading the body of the answer: %w", err)
 	}
-	if len(body) > mostBody {
-		return a, malformed("the answer's body has over %d bytes", mostBody)
+	if len(body) > maxBody {
+		return a, malformed("the answer's body has over %d bytes", maxBody)
 	}
 	a.body = body
 	return a, nil
--- a/internal/transport/scgi/scgi_test.go
+++ b/internal/transport/scgi/scgi_test.go
@@ -105,7 +105,7 @@
 	f.Add("GET / HTTP/1.1\r\nHost: x\r\n\r\n")
 	f.Fuzz(func(t *testing.T, in string) {
 		m, err := read(in)
-		if err == nil && (len(m.body) > 100 || len(m.headers) > mostHeaders || m.headers["SCGI"] != "1") {
+		if err == nil && (len(m.body) > 100 || len(m.headers) > maxHeaders || m.headers["SCGI"] != "1") {
 			t.Fatal("a request beyond its bounds")
 		}
 	})
@@ -171,7 +171,7 @@
 	if err := c.Attach(up, nil); err != nil {
 		t.Fatal(err)
 	}
-	up.Keep(t.Context())
+	up.ReportUp(t.Context())
 	f := New(c, settings.SCGI{MaxBody: 64, HeldKB: 20}, 1, quiet, counters)
 	ln, err := listener.Listen(Name, "127.0.0.1:0", 100, c.IdleAfter, f.Serve, quiet, counters)
 	if err != nil {
@@ -229,7 +229,7 @@
 		"bad deadline":      {AppendRequest(nil, nil, "PATH_INFO", "/lestvica", "HTTP_X_TIMEOUT_MS", "soon"), 400, ""},
 		"bad rank":          {AppendRequest(nil, nil, "PATH_INFO", "/lestvica", "HTTP_X_RANK", "1"), 400, ""},
 		"too large":         {AppendRequest(nil, bytes.Repeat([]byte("x"), 65), "PATH_INFO", "/lestvica"), 413, ""},
-		"headers too large": {AppendRequest(nil, nil, "A", strings.Repeat("x", longestHeaders)), 413, ""},
+		"headers too large": {AppendRequest(nil, nil, "A", strings.Repeat("x", maxHeaderBytes)), 413, ""},
 		"unknown class":     {AppendRequest(nil, nil, "PATH_INFO", "/nothing"), 404, ""},
 		"no class":          {AppendRequest(nil, nil), 404, ""},
 	} {
@@ -294,7 +294,7 @@
 		}
 		go func() {
 			defer close(done)
-			f.serve(far, bufio.NewReader(strings.NewReader("")), q, func() {}) // the sending half has ended
+			f.awaitAnswer(far, bufio.NewReader(strings.NewReader("")), q, func() {}) // the sending half has ended
 		}()
 		id := <-started
 		if half {
--- a/internal/transport/scgi/upstream.go
+++ b/internal/transport/scgi/upstream.go
@@ -18,8 +18,8 @@
 )
 
 const (
-	longestResult = 64 << 10
-	dialTimeout   = time.Second
+	maxResult   = 64 << 10
+	dialTimeout = time.Second
 )
 
 // Events is who hears of runs: the core.
@@ -33,14 +33,14 @@
 // connection for each run. Such a server tells nothing of its cores, so the gauges are what is seen from here:
 // runs under way, for each core that the settings give it.
 type Upstream struct {
-	addr    string
-	cores   int
-	timeout time.Duration
-	events  Events
-	log     *log.Logger
-	stats   *metrics.Counters
-	dial    func(ctx context.Context, network, addr string) (net.Conn, error)
-	room    chan struct{}
+	addr        string
+	cores       int
+	timeout     time.Duration
+	events      Events
+	log         *log.Logger
+	stats       *metrics.Counters
+	dial        func(ctx context.Context, network, addr string) (net.Conn, error)
+	connections chan struct{}
 
 	mu      sync.Mutex
 	running int
@@ -50,15 +50,15 @@
 
 // NewUpstream returns a runner on the application server at addr, with at most the given number of connections.
 // A run that has no answer after the timeout is taken to have failed.
-func NewUpstream(addr string, cores, most int, timeout time.Duration, events Events, l *log.Logger, s *metrics.Counters) *Upstream {
+func NewUpstream(addr string, cores, maxConns int, timeout time.Duration, events Events, l *log.Logger, s *metrics.Counters) *Upstream {
 	return &Upstream{
 		addr: addr, cores: max(1, cores), timeout: timeout, events: events, log: l, stats: s,
-		dial: (&net.Dialer{Timeout: dialTimeout}).DialContext, room: make(chan struct{}, max(1, most)),
+		dial: (&net.Dialer{Timeout: dialTimeout}).DialContext, connections: make(chan struct{}, max(1, maxConns)),
 	}
 }
 
-// Keep tells the core that the runner is ready: there is no link to hold.
-func (u *Upstream) Keep(context.Context) { u.events.Up() }
+// ReportUp tells the core that the runner is ready: there is no link to hold.
+func (u *Upstream) ReportUp(context.Context) { u.events.Up() }
 
 // Run starts a request.
 func (u *Upstream) Run(id, class string, body []byte) {
@@ -66,12 +66,12 @@
 	u.running++
 	u.mu.Unlock()
 	go func() {
-		began := time.Now()
+		startedAt := time.Now()
 		outcome, result := u.run(id, class, body)
 		u.mu.Lock()
 		u.running--
 		u.mu.Unlock()
-		u.events.Ended(id, outcome, time.Since(began), result)
+		u.events.Ended(id, outcome, time.Since(startedAt), result)
 	}()
 }
 
@@ -88,8 +88,8 @@
 
 // run is one request to the application server.
 func (u *Upstream) run(id, class string, body []byte) (silverpath.Outcome, []byte) {
-	u.room <- struct{}{}
-	defer func() { <-u.room }()
+	u.connections <- struct{}{}
+	defer func() { <-u.connections }()
 	ctx, cancel := context.WithTimeout(context.Background(), u.timeout)
 	defer cancel()
 	conn, err := u.dial(ctx, "tcp", u.addr)
@@ -127,5 +127,5 @@
 	}
 	r := bufferpool.GetReader(conn)
 	defer bufferpool.PutReader(r)
-	return readResponse(r, longestResult)
+	return readResponse(r, maxResult)
 }
