--- a/cmd/silverpath/duty.go
+++ b/cmd/silverpath/duty.go
@@ -64,13 +64,13 @@
 				}
 				w := tabwriter.NewWriter(c.OutOrStdout(), 0, 0, 2, ' ', 0)
 				fmt.Fprintln(w, "DUTY\tOWNER\tEPOCH\tAGE\tSTEP\tOPEN\tPAUSED\tWAITING")
-				for _, n := range controller.Names {
+				for _, n := range controller.Duties {
 					d, j, open := v.Table.Duties[n], v.Journals[n], 0
 					if d == nil {
 						d = &lease.Duty{Name: n}
 					}
 					for _, it := range j.Items {
-						if !it.State.Over() {
+						if !it.State.Finished() {
 							open++
 						}
 					}
@@ -100,7 +100,7 @@
 				w := tabwriter.NewWriter(c.OutOrStdout(), 0, 0, 2, ' ', 0)
 				fmt.Fprintln(w, "ITEM\tKIND\tSTATE\tEPOCH\tSTEP\tTRIES\tWISH\tNOTE")
 				for _, it := range j.Items {
-					fmt.Fprintf(w, "%s\t%s\t%s\t%v\t%d\t%d\t%s\t%s\n", it.ID, it.Kind, it.State, it.Epoch, it.Step, it.Tries, it.Wish, it.Note)
+					fmt.Fprintf(w, "%s\t%s\t%s\t%v\t%d\t%d\t%s\t%s\n", it.ID, it.Kind, it.State, it.Epoch, it.Step, it.Attempts, it.Directive, it.Note)
 				}
 				return w.Flush()
 			})
@@ -126,7 +126,7 @@
 	hold.Flags().StringVar(&why, "why", "by an operator", "why, for those who look")
 	resume := one("resume", "End a pause", func() lease.Request { return lease.Request{Op: lease.Resume} })
 	for _, c := range []*cobra.Command{show, hand, hold, resume} {
-		c.Flags().StringVar(&name, "duty", "", "the duty: "+strings.Join(controller.Names, ", "))
+		c.Flags().StringVar(&name, "duty", "", "the duty: "+strings.Join(controller.Duties, ", "))
 		c.MarkFlagRequired("duty")
 	}
 	cmd.AddCommand(run, list, show, hand, hold, resume)
@@ -148,7 +148,7 @@
 		if it.State != last.State || it.Note != last.Note || it.Step != last.Step {
 			say(*it)
 		}
-		if last = *it; it.State.Over() {
+		if last = *it; it.State.Finished() {
 			return last, nil
 		}
 		select {
@@ -166,10 +166,10 @@
 			return err
 		}
 		id := kind + "-" + newID()
-		if _, err := agreed(ctx, g, statemachine.Command{Submit: &statemachine.Submit{Duty: controller.MapKeeper, ID: id, Kind: kind, Args: raw}}); err != nil {
+		if _, err := agreed(ctx, g, statemachine.Command{Submit: &statemachine.Submit{Duty: controller.PlacementDuty, ID: id, Kind: kind, Args: raw}}); err != nil {
 			return err
 		}
-		it, err := followItem(ctx, g, controller.MapKeeper, id, func(controller.Item) {})
+		it, err := followItem(ctx, g, controller.PlacementDuty, id, func(controller.Item) {})
 		if err != nil {
 			return err
 		}
@@ -190,14 +190,14 @@
 	var g quorum.Client
 	var within time.Duration
 	var asJSON, wait bool
-	var r controller.Roll
+	var r controller.RolloutSpec
 	var dwell, back time.Duration
 	cmd := &cobra.Command{Use: "fleet", Short: "Take a fleet's servers out and back, one after the other: see docs/duties.md"}
 	groupFlags(cmd, &g, &within)
 	cmd.PersistentFlags().BoolVar(&asJSON, "json", false, "print JSON")
 	roll := &cobra.Command{Use: "roll", Short: "Evacuate the servers and have them return, never more than so many out", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			r.DwellMS, r.BackMS = dwell.Milliseconds(), back.Milliseconds()
+			r.DwellMS, r.ReturnMS = dwell.Milliseconds(), back.Milliseconds()
 			if err := r.Check(); err != nil {
 				return err
 			}
@@ -207,14 +207,14 @@
 					return err
 				}
 				id := "roll-" + newID()
-				if _, err := agreed(ctx, &g, statemachine.Command{Submit: &statemachine.Submit{Duty: controller.Conducts, ID: id, Kind: controller.KindRoll, Args: args}}); err != nil {
+				if _, err := agreed(ctx, &g, statemachine.Command{Submit: &statemachine.Submit{Duty: controller.RolloutDuty, ID: id, Kind: controller.KindRollout, Args: args}}); err != nil {
 					return err
 				}
 				fmt.Fprintln(c.OutOrStdout(), id)
 				if !wait {
 					return nil
 				}
-				it, err := followItem(ctx, &g, controller.Conducts, id, func(it controller.Item) { fmt.Fprintln(c.ErrOrStderr(), rollLine(it)) })
+				it, err := followItem(ctx, &g, controller.RolloutDuty, id, func(it controller.Item) { fmt.Fprintln(c.ErrOrStderr(), rollLine(it)) })
 				if err == nil && it.State != controller.Done {
 					err = errors.New(it.Note)
 				}
@@ -223,11 +223,11 @@
 		}}
 	f := roll.Flags()
 	f.StringSliceVar(&r.Servers, "servers", nil, "which (default: all of the map)")
-	f.IntVar(&r.CellMost, "cell-most", 1, "out at once in a cell")
-	f.IntVar(&r.AllMost, "all-most", 1, "out at once in all")
+	f.IntVar(&r.MaxOutPerCell, "cell-most", 1, "out at once in a cell")
+	f.IntVar(&r.MaxOut, "all-most", 1, "out at once in all")
 	f.DurationVar(&dwell, "dwell", 5*time.Second, "how long each is out, at least")
 	f.DurationVar(&back, "back", 30*time.Second, "within which it has to be ready again, or the roll stops")
-	f.Float64Var(&r.WorthLeast, "worth-least", 0, "part of the worth that has to be served, or the roll stops; 0: not looked at")
+	f.Float64Var(&r.MinServedShare, "worth-least", 0, "part of the worth that has to be served, or the roll stops; 0: not looked at")
 	f.BoolVar(&wait, "wait", false, "wait for its end, within --within")
 	var at []string
 	status := &cobra.Command{Use: "status", Short: "Show the roll under way, or the last one; with --at, how far processes are on their way back", Args: cobra.NoArgs,
@@ -236,11 +236,11 @@
 				return showReturns(c, at, asJSON)
 			}
 			return inTime(&g, within, func(ctx context.Context) error {
-				v, err := g.Read(ctx, controller.Conducts)
+				v, err := g.Read(ctx, controller.RolloutDuty)
 				if err != nil {
 					return err
 				}
-				j := v.Journals[controller.Conducts]
+				j := v.Journals[controller.RolloutDuty]
 				it := j.Current()
 				if it == nil && len(j.Items) > 0 {
 					it = &j.Items[len(j.Items)-1]
@@ -252,11 +252,11 @@
 					return printJSON(c.OutOrStdout(), it)
 				}
 				fmt.Fprintln(c.OutOrStdout(), rollLine(*it))
-				var p controller.Progress
+				var p controller.RolloutProgress
 				if it.Plan != "" && json.Unmarshal([]byte(it.Plan), &p) == nil {
 					w := tabwriter.NewWriter(c.OutOrStdout(), 0, 0, 2, ' ', 0)
 					fmt.Fprintln(w, "SERVER\tCELL\tSTAGE")
-					for _, m := range p.Members {
+					for _, m := range p.Servers {
 						fmt.Fprintf(w, "%s\t%s\t%s\n", m.Name, m.Cell, m.Stage)
 					}
 					return w.Flush()
@@ -268,15 +268,15 @@
 	wish := func(use, short string) *cobra.Command {
 		return &cobra.Command{Use: use, Short: short, Args: cobra.NoArgs, RunE: func(c *cobra.Command, _ []string) error {
 			return inTime(&g, within, func(ctx context.Context) error {
-				v, err := g.Read(ctx, controller.Conducts)
+				v, err := g.Read(ctx, controller.RolloutDuty)
 				if err != nil {
 					return err
 				}
-				it := v.Journals[controller.Conducts].Current()
+				it := v.Journals[controller.RolloutDuty].Current()
 				if it == nil {
 					return errors.New("no roll is under way")
 				}
-				_, err = agreed(ctx, &g, statemachine.Command{Wish: &statemachine.Wish{Duty: controller.Conducts, ID: it.ID, Wish: use}})
+				_, err = agreed(ctx, &g, statemachine.Command{Wish: &statemachine.Wish{Duty: controller.RolloutDuty, ID: it.ID, Wish: use}})
 				return err
 			})
 		}}
@@ -287,19 +287,19 @@
 }
 
 func rollLine(it controller.Item) string {
-	var p controller.Progress
+	var p controller.RolloutProgress
 	s := fmt.Sprintf("%s: %s, epoch %v, step %d", it.ID, it.State, it.Epoch, it.Step)
 	if it.Plan != "" && json.Unmarshal([]byte(it.Plan), &p) == nil {
 		back := 0
-		for _, m := range p.Members {
-			if m.Stage == controller.IsBack {
+		for _, m := range p.Servers {
+			if m.Stage == controller.Returned {
 				back++
 			}
 		}
-		s += fmt.Sprintf(", %d of %d back, %d out", back, len(p.Members), p.Away())
+		s += fmt.Sprintf(", %d of %d back, %d out", back, len(p.Servers), p.OutCount())
 	}
-	if it.Wish != "" {
-		s += ", " + it.Wish
+	if it.Directive != "" {
+		s += ", " + it.Directive
 	}
 	if it.Note != "" {
 		s += ": " + it.Note
--- a/cmd/silverpath/group_test.go
+++ b/cmd/silverpath/group_test.go
@@ -218,7 +218,7 @@
 func TestMembers(t *testing.T) {
 	g := newGroup(t, 3)
 	for i := range 30 {
-		g.do(statemachine.Command{Ask: &lease.Request{Op: lease.Pause, Duty: controller.Conducts, Reason: fmt.Sprint(i)}})
+		g.do(statemachine.Command{Ask: &lease.Request{Op: lease.Pause, Duty: controller.RolloutDuty, Reason: fmt.Sprint(i)}})
 	}
 	stranger := &quorum.Client{Group: "other", Addrs: g.Client.Addrs}
 	defer stranger.Close()
@@ -253,7 +253,7 @@
 		s, err := g.Client.StatusOf(g.within(time.Second), g.Client.Addrs[x])
 		return err == nil && s.Voter && s.State == "follower"
 	})
-	if g.view().Table.Duties[controller.Conducts].PauseReason != "29" {
+	if g.view().Table.Duties[controller.RolloutDuty].PauseReason != "29" {
 		t.Error("what was agreed is gone")
 	}
 	// An older disk: copied in the middle of a start, so that its number of starts tells nothing, then more is agreed on, and the
@@ -264,7 +264,7 @@
 		t.Fatal(err)
 	}
 	for i := range 30 {
-		g.do(statemachine.Command{Ask: &lease.Request{Op: lease.Pause, Duty: controller.Conducts, Reason: fmt.Sprint("b", i)}})
+		g.do(statemachine.Command{Ask: &lease.Request{Op: lease.Pause, Duty: controller.RolloutDuty, Reason: fmt.Sprint("b", i)}})
 	}
 	time.Sleep(1300 * time.Millisecond) // it has said how far it is
 	g.Members[x].Kill()
@@ -275,7 +275,7 @@
 	if _, err := g.Members[x].Await(10*time.Second, 0, "the disk is older than its words", "this disk has no vote"); err != nil {
 		t.Errorf("an older disk: %v", err)
 	}
-	if g.view().Table.Duties[controller.Conducts].PauseReason != "b29" {
+	if g.view().Table.Duties[controller.RolloutDuty].PauseReason != "b29" {
 		t.Error("what was agreed is gone")
 	}
 }
@@ -285,7 +285,7 @@
 func TestGroupDisks(t *testing.T) {
 	g := newGroup(t, 3)
 	ask := func(op lease.Op, who string, e lease.Epoch) statemachine.Result {
-		return g.do(statemachine.Command{Ask: &lease.Request{Op: op, Duty: controller.Watches, Process: who, Epoch: e}})
+		return g.do(statemachine.Command{Ask: &lease.Request{Op: op, Duty: controller.MonitorDuty, Process: who, Epoch: e}})
 	}
 	last := lease.Epoch(0)
 	for n := range 4 {
@@ -343,19 +343,19 @@
 			t.Parallel()
 			g := newGroup(t, 3)
 			dir := testMap(t)
-			old := g.owner("old", dir, []string{controller.MapKeeper}, nil, "SILVERPATH_STOP_AT=keeper:"+at)
+			old := g.owner("old", dir, []string{controller.PlacementDuty}, nil, "SILVERPATH_STOP_AT=keeper:"+at)
 			if _, err := old.Await(10*time.Second, 0, "duty.owned"); err != nil {
 				t.Fatal(err)
 			}
 			for i := range 3 {
-				g.submit(controller.MapKeeper, fmt.Sprint("m", i), controller.KindMove, controller.Move{Tenant: fmt.Sprint("t", i), To: "b"})
+				g.submit(controller.PlacementDuty, fmt.Sprint("m", i), controller.KindMove, controller.MoveRequest{Tenant: fmt.Sprint("t", i), To: "b"})
 			}
 			if _, err := old.Await(10*time.Second, 0, "stopped at"); err != nil {
 				t.Fatal(err)
 			}
-			next := g.owner("next", dir, []string{controller.MapKeeper}, nil)
+			next := g.owner("next", dir, []string{controller.PlacementDuty}, nil)
 			for i := range 3 {
-				if it := g.over(controller.MapKeeper, fmt.Sprint("m", i), 15*time.Second); it.State != controller.Done {
+				if it := g.over(controller.PlacementDuty, fmt.Sprint("m", i), 15*time.Second); it.State != controller.Done {
 					t.Errorf("m%d: %s, %s", i, it.State, it.Note)
 				}
 			}
@@ -469,7 +469,7 @@
 			t.Parallel()
 			g := newGroup(t, 3)
 			s := newServers(t, g, 3)
-			old := g.owner("old", s.dir, []string{controller.Conducts}, nil, "SILVERPATH_STOP_AT=conductor:"+at)
+			old := g.owner("old", s.dir, []string{controller.RolloutDuty}, nil, "SILVERPATH_STOP_AT=conductor:"+at)
 			if _, err := old.Await(10*time.Second, 0, "duty.owned"); err != nil {
 				t.Fatal(err)
 			}
@@ -487,12 +487,12 @@
 					}
 				}
 			}()
-			g.submit(controller.Conducts, "r", controller.KindRoll, controller.Roll{CellMost: 1, AllMost: 1, DwellMS: 50, BackMS: 5000})
+			g.submit(controller.RolloutDuty, "r", controller.KindRollout, controller.RolloutSpec{MaxOutPerCell: 1, MaxOut: 1, DwellMS: 50, ReturnMS: 5000})
 			if _, err := old.Await(10*time.Second, 0, "stopped at"); err != nil {
 				t.Fatal(err)
 			}
-			g.owner("next", s.dir, []string{controller.Conducts}, nil)
-			if it := g.over(controller.Conducts, "r", 20*time.Second); it.State != controller.Done {
+			g.owner("next", s.dir, []string{controller.RolloutDuty}, nil)
+			if it := g.over(controller.RolloutDuty, "r", 20*time.Second); it.State != controller.Done {
 				t.Errorf("%s: %s", it.State, it.Note)
 			}
 			from := old.Lines()
@@ -526,9 +526,9 @@
 func TestOrderHeld(t *testing.T) {
 	g := newGroup(t, 3)
 	s := newServers(t, g, 2)
-	first := g.owner("first", s.dir, []string{controller.Conducts}, nil)
-	g.submit(controller.Conducts, "r1", controller.KindRoll, controller.Roll{CellMost: 1, AllMost: 1, DwellMS: 10, BackMS: 5000})
-	g.over(controller.Conducts, "r1", 15*time.Second)
+	first := g.owner("first", s.dir, []string{controller.RolloutDuty}, nil)
+	g.submit(controller.RolloutDuty, "r1", controller.KindRollout, controller.RolloutSpec{MaxOutPerCell: 1, MaxOut: 1, DwellMS: 10, ReturnMS: 5000})
+	g.over(controller.RolloutDuty, "r1", 15*time.Second)
 	var evacuate []byte
 	for _, c := range s.mgmt[0].Calls() {
 		if strings.Contains(string(c), "/api/evacuate") {
@@ -542,12 +542,12 @@
 		t.Errorf("late in its own epoch: %q, %v", a, err)
 	}
 	first.Kill()
-	second := g.owner("second", s.dir, []string{controller.Conducts}, nil)
+	second := g.owner("second", s.dir, []string{controller.RolloutDuty}, nil)
 	if _, err := second.Await(10*time.Second, 0, "duty.owned"); err != nil {
 		t.Fatal(err)
 	}
-	g.submit(controller.Conducts, "r2", controller.KindRoll, controller.Roll{CellMost: 1, AllMost: 1, DwellMS: 10, BackMS: 5000})
-	g.over(controller.Conducts, "r2", 15*time.Second)
+	g.submit(controller.RolloutDuty, "r2", controller.KindRollout, controller.RolloutSpec{MaxOutPerCell: 1, MaxOut: 1, DwellMS: 10, ReturnMS: 5000})
+	g.over(controller.RolloutDuty, "r2", 15*time.Second)
 	if a, err := s.mgmt[0].Again(evacuate); err != nil || !strings.Contains(a, "409") || !strings.Contains(a, "stale epoch 1.1 of conductor: 1.2 was seen") {
 		t.Errorf("held until the next epoch: %q, %v", a, err)
 	}
@@ -621,12 +621,12 @@
 				var err error
 				if n%2 == 0 {
 					in = fmt.Sprint(c, "-", n)
-					_, err = client.Do(g.within(400*time.Millisecond), statemachine.Command{Ask: &lease.Request{Op: lease.Pause, Duty: controller.Watches, Reason: in}})
+					_, err = client.Do(g.within(400*time.Millisecond), statemachine.Command{Ask: &lease.Request{Op: lease.Pause, Duty: controller.MonitorDuty, Reason: in}})
 				} else {
 					var v quorum.View
 					v, err = client.Read(g.within(400*time.Millisecond), "")
-					if d := v.Table; err == nil && d.Duties[controller.Watches] != nil {
-						out = d.Duties[controller.Watches].PauseReason
+					if d := v.Table; err == nil && d.Duties[controller.MonitorDuty] != nil {
+						out = d.Duties[controller.MonitorDuty].PauseReason
 					}
 				}
 				back := int64(time.Since(began))
@@ -691,8 +691,8 @@
 func TestMajorityLost(t *testing.T) {
 	g := newGroup(t, 3)
 	s := newServers(t, g, 4)
-	g.owner("one", s.dir, []string{controller.Conducts, controller.MapKeeper}, nil)
-	g.submit(controller.Conducts, "r", controller.KindRoll, controller.Roll{CellMost: 1, AllMost: 2, DwellMS: 100, BackMS: 8000})
+	g.owner("one", s.dir, []string{controller.RolloutDuty, controller.PlacementDuty}, nil)
+	g.submit(controller.RolloutDuty, "r", controller.KindRollout, controller.RolloutSpec{MaxOutPerCell: 1, MaxOut: 2, DwellMS: 100, ReturnMS: 8000})
 	await(t, "one is out", 10*time.Second, func() bool { return s.out() > 0 })
 	g.Members[0].Kill()
 	g.Members[1].Freeze()
@@ -711,13 +711,13 @@
 	if was > 2 {
 		t.Errorf("%d were out", was)
 	}
-	g.submitLater("m", controller.KindMove, controller.Move{Tenant: "t1", To: "b"})
+	g.submitLater("m", controller.KindMove, controller.MoveRequest{Tenant: "t1", To: "b"})
 	g.Members[1].Wake()
 	g.start(0)
-	if it := g.over(controller.Conducts, "r", 20*time.Second); it.State != controller.Done {
+	if it := g.over(controller.RolloutDuty, "r", 20*time.Second); it.State != controller.Done {
 		t.Errorf("the roll: %s, %s", it.State, it.Note)
 	}
-	if it := g.over(controller.MapKeeper, "m", 10*time.Second); it.State != controller.Done {
+	if it := g.over(controller.PlacementDuty, "m", 10*time.Second); it.State != controller.Done {
 		t.Errorf("the move: %s, %s", it.State, it.Note)
 	}
 }
@@ -727,7 +727,7 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		_ = g.Submit(controller.MapKeeper, id, kind, args)
+		_ = g.Submit(controller.PlacementDuty, id, kind, args)
 	}()
 	g.t.Cleanup(func() { <-done })
 }
@@ -755,12 +755,12 @@
 				ways, addrs = append(ways, w), append(addrs, w.Addr())
 			}
 			dir := testMap(t)
-			one := g.owner("one", dir, []string{controller.MapKeeper}, addrs, "SILVERPATH_CLOCK="+clocks[0])
+			one := g.owner("one", dir, []string{controller.PlacementDuty}, addrs, "SILVERPATH_CLOCK="+clocks[0])
 			if _, err := one.Await(10*time.Second, 0, "duty.owned"); err != nil {
 				t.Fatal(err)
 			}
-			two := g.owner("two", dir, []string{controller.MapKeeper}, nil)
-			await(t, "two waits", 5*time.Second, func() bool { return len(g.view().Table.Duties[controller.MapKeeper].Queue) == 1 })
+			two := g.owner("two", dir, []string{controller.PlacementDuty}, nil)
+			await(t, "two waits", 5*time.Second, func() bool { return len(g.view().Table.Duties[controller.PlacementDuty].Queue) == 1 })
 			for i, w := range ways {
 				if i == 0 { // one way only
 					w.Set(faults.Back, faults.Fate{Lost: true})
@@ -805,23 +805,23 @@
 func TestRollStops(t *testing.T) {
 	g := newGroup(t, 3)
 	s := newServers(t, g, 3)
-	g.owner("one", s.dir, []string{controller.Conducts, controller.MapKeeper}, nil)
-	g.submit(controller.Conducts, "r", controller.KindRoll, controller.Roll{CellMost: 1, AllMost: 1, DwellMS: 300, BackMS: 700})
+	g.owner("one", s.dir, []string{controller.RolloutDuty, controller.PlacementDuty}, nil)
+	g.submit(controller.RolloutDuty, "r", controller.KindRollout, controller.RolloutSpec{MaxOutPerCell: 1, MaxOut: 1, DwellMS: 300, ReturnMS: 700})
 	await(t, "one is out", 10*time.Second, func() bool { return s.out() > 0 })
 	for i, p := range s.procs {
 		if strings.Contains(p.Log(), "phase evacuated") {
 			s.procs[i].Freeze()
 		}
 	}
-	g.submit(controller.MapKeeper, "m", controller.KindMove, controller.Move{Tenant: "t1", To: "b"})
-	if it := g.over(controller.MapKeeper, "m", 5*time.Second); it.State != controller.Done {
+	g.submit(controller.PlacementDuty, "m", controller.KindMove, controller.MoveRequest{Tenant: "t1", To: "b"})
+	if it := g.over(controller.PlacementDuty, "m", 5*time.Second); it.State != controller.Done {
 		t.Errorf("the other duty: %s, %s", it.State, it.Note)
 	}
-	it := g.over(controller.Conducts, "r", 30*time.Second)
+	it := g.over(controller.RolloutDuty, "r", 30*time.Second)
 	if it.State != controller.Failed || !strings.Contains(it.Note, "come back") {
 		t.Errorf("%s: %s", it.State, it.Note)
 	}
-	if n := len(g.view().Journals[controller.Conducts].Items); n != 1 {
+	if n := len(g.view().Journals[controller.RolloutDuty].Items); n != 1 {
 		t.Errorf("%d items", n)
 	}
 }
@@ -862,7 +862,7 @@
 			fmt.Sprintf(`{"status":true,"fleet":{"map":%q,"probe_ms":100}}`, file)))
 		routers = append(routers, p.addr)
 	}
-	o := must[*harness.Process](t)(g.Owner("o", dir, []string{controller.MapKeeper, controller.Watches}, nil, routers))
+	o := must[*harness.Process](t)(g.Owner("o", dir, []string{controller.PlacementDuty, controller.MonitorDuty}, nil, routers))
 	t.Cleanup(o.Kill)
 	if _, err := o.Await(20*time.Second, 0, "watcher.partly", "server=s1"); err != nil {
 		t.Fatal(err)
@@ -872,7 +872,7 @@
 	if _, err := o.Await(20*time.Second, 0, "watcher.dead", "server=s0"); err != nil {
 		t.Fatal(err)
 	}
-	if it := g.over(controller.MapKeeper, "gone-s0-1", 10*time.Second); it.State != controller.Done {
+	if it := g.over(controller.PlacementDuty, "gone-s0-1", 10*time.Second); it.State != controller.Done {
 		t.Errorf("%s: %s", it.State, it.Note)
 	}
 	ways[3].Cut(true)
@@ -880,7 +880,7 @@
 	if _, err := o.Await(20*time.Second, 0, "watcher.dead", "server=s3"); err != nil {
 		t.Fatal(err)
 	}
-	it := g.over(controller.MapKeeper, "gone-s3-2", 10*time.Second)
+	it := g.over(controller.PlacementDuty, "gone-s3-2", 10*time.Second)
 	if it.State != controller.Failed || !strings.Contains(it.Note, "cell b would be left with 0 of 1 servers") {
 		t.Errorf("%s: %s", it.State, it.Note)
 	}
@@ -896,16 +896,16 @@
 	g := newGroup(t, 3)
 	dir := testMap(t)
 	for _, by := range []string{"1h", "-1h"} {
-		off := g.owner("off"+by, dir, []string{controller.MapKeeper, controller.Conducts}, nil, "SILVERPATH_WALL="+by)
+		off := g.owner("off"+by, dir, []string{controller.PlacementDuty, controller.RolloutDuty}, nil, "SILVERPATH_WALL="+by)
 		if _, err := off.Await(10*time.Second, 0, "duty.owned", "keeper"); err != nil {
 			t.Fatal(err)
 		}
 		if _, err := off.Await(10*time.Second, 0, "duty.held_up", "the clock differs from the group's", "by 59m59"); err != nil {
 			t.Error(err)
 		}
-		right := g.owner("right"+by, dir, []string{controller.MapKeeper}, nil)
-		g.submit(controller.MapKeeper, "m"+by, controller.KindMove, controller.Move{Tenant: fmt.Sprint("t", len(by)), To: "b"})
-		if it := g.over(controller.MapKeeper, "m"+by, 15*time.Second); it.State != controller.Done {
+		right := g.owner("right"+by, dir, []string{controller.PlacementDuty}, nil)
+		g.submit(controller.PlacementDuty, "m"+by, controller.KindMove, controller.MoveRequest{Tenant: fmt.Sprint("t", len(by)), To: "b"})
+		if it := g.over(controller.PlacementDuty, "m"+by, 15*time.Second); it.State != controller.Done {
 			t.Errorf("%s: %s", it.State, it.Note)
 		}
 		if strings.Contains(off.Log(), `duty.lost`) && strings.Contains(off.Log(), "duty=conductor epoch=0.0") {
@@ -926,7 +926,7 @@
 		var wg sync.WaitGroup
 		for k, c := range clients {
 			wg.Go(func() {
-				r, err := c.Do(g.within(10*time.Second), statemachine.Command{Ask: &lease.Request{Op: lease.Acquire, Duty: controller.Watches, Process: fmt.Sprint("c", k, "-", n)}})
+				r, err := c.Do(g.within(10*time.Second), statemachine.Command{Ask: &lease.Request{Op: lease.Acquire, Duty: controller.MonitorDuty, Process: fmt.Sprint("c", k, "-", n)}})
 				if err != nil || r.Duty == nil {
 					t.Error(err, r.Error)
 					return
@@ -942,12 +942,12 @@
 			t.Fatalf("round %d: %+v, %+v", n, got[0], got[1])
 		}
 		first := got[0].Holder
-		r := g.do(statemachine.Command{Ask: &lease.Request{Op: lease.Release, Duty: controller.Watches, Process: first, Epoch: got[0].Epoch}})
+		r := g.do(statemachine.Command{Ask: &lease.Request{Op: lease.Release, Duty: controller.MonitorDuty, Process: first, Epoch: got[0].Epoch}})
 		if r.Error != "" || r.Duty.Holder == first || r.Duty.Holder == "" || r.Duty.Epoch != got[0].Epoch+1 {
 			t.Fatalf("round %d: %s, %+v", n, r.Error, r.Duty)
 		}
 		last = r.Duty.Epoch
-		g.do(statemachine.Command{Ask: &lease.Request{Op: lease.Release, Duty: controller.Watches, Process: r.Duty.Holder, Epoch: last}})
+		g.do(statemachine.Command{Ask: &lease.Request{Op: lease.Release, Duty: controller.MonitorDuty, Process: r.Duty.Holder, Epoch: last}})
 	}
 	for _, c := range clients {
 		c.Close()
@@ -961,7 +961,7 @@
 		g.start(i)
 	}
 	g.awaitLeader()
-	if d := g.view().Table.Duties[controller.Watches]; d.Epoch != last {
+	if d := g.view().Table.Duties[controller.MonitorDuty]; d.Epoch != last {
 		t.Errorf("epoch %v after a start, was %v", d.Epoch, last)
 	}
 	s, err := g.Client.StatusOf(g.within(time.Second), g.Client.Addrs[g.awaitLeader()])
@@ -986,29 +986,29 @@
 	}
 	lead := g.awaitLeader()
 	holder := func() string {
-		if d := g.view().Table.Duties[controller.MapKeeper]; d != nil {
+		if d := g.view().Table.Duties[controller.PlacementDuty]; d != nil {
 			return d.Holder
 		}
 		return ""
 	}
-	await(t, "an owner", 10*time.Second, func() bool { return holder() != "" && len(g.view().Table.Duties[controller.MapKeeper].Queue) == 2 })
+	await(t, "an owner", 10*time.Second, func() bool { return holder() != "" && len(g.view().Table.Duties[controller.PlacementDuty].Queue) == 2 })
 	if me := fmt.Sprint("q", lead, "#"); !strings.HasPrefix(holder(), me) {
-		for _, w := range g.view().Table.Duties[controller.MapKeeper].Queue {
+		for _, w := range g.view().Table.Duties[controller.PlacementDuty].Queue {
 			if strings.HasPrefix(w, me) {
-				g.do(statemachine.Command{Ask: &lease.Request{Op: lease.Transfer, Duty: controller.MapKeeper, Process: w}})
+				g.do(statemachine.Command{Ask: &lease.Request{Op: lease.Transfer, Duty: controller.PlacementDuty, Process: w}})
 			}
 		}
 		await(t, "handed on by consent", 5*time.Second, func() bool { return strings.HasPrefix(holder(), me) })
 	}
 	for i := range 4 {
-		g.submit(controller.MapKeeper, fmt.Sprint("m", i), controller.KindMove, controller.Move{Tenant: fmt.Sprint("t", i), To: "b"})
+		g.submit(controller.PlacementDuty, fmt.Sprint("m", i), controller.KindMove, controller.MoveRequest{Tenant: fmt.Sprint("t", i), To: "b"})
 		if i == 1 {
 			g.Members[lead].Kill()
 			g.awaitLeader()
 		}
 	}
 	for i := range 4 {
-		if it := g.over(controller.MapKeeper, fmt.Sprint("m", i), 15*time.Second); it.State != controller.Done {
+		if it := g.over(controller.PlacementDuty, fmt.Sprint("m", i), 15*time.Second); it.State != controller.Done {
 			t.Errorf("%s: %s", it.State, it.Note)
 		}
 	}
@@ -1022,17 +1022,17 @@
 func TestClockStops(t *testing.T) {
 	g := newGroup(t, 3)
 	dir := testMap(t)
-	one := g.owner("one", dir, []string{controller.MapKeeper}, nil, "SILVERPATH_CLOCK=0.005")
+	one := g.owner("one", dir, []string{controller.PlacementDuty}, nil, "SILVERPATH_CLOCK=0.005")
 	if _, err := one.Await(10*time.Second, 0, "duty.owned"); err != nil {
 		t.Fatal(err)
 	}
-	two := g.owner("two", dir, []string{controller.MapKeeper}, nil)
+	two := g.owner("two", dir, []string{controller.PlacementDuty}, nil)
 	if _, err := two.Await(10*time.Second, 0, "duty.owned"); err != nil {
 		t.Fatal(err)
 	}
 	for i := range 3 {
-		g.submit(controller.MapKeeper, fmt.Sprint("m", i), controller.KindMove, controller.Move{Tenant: fmt.Sprint("t", i), To: "b"})
-		if it := g.over(controller.MapKeeper, fmt.Sprint("m", i), 10*time.Second); it.State != controller.Done || it.Epoch != lease.BaseEpoch(1)+2 {
+		g.submit(controller.PlacementDuty, fmt.Sprint("m", i), controller.KindMove, controller.MoveRequest{Tenant: fmt.Sprint("t", i), To: "b"})
+		if it := g.over(controller.PlacementDuty, fmt.Sprint("m", i), 10*time.Second); it.State != controller.Done || it.Epoch != lease.BaseEpoch(1)+2 {
 			t.Errorf("%s: %s, by epoch %v", it.State, it.Note, it.Epoch)
 		}
 	}
@@ -1056,7 +1056,7 @@
 		w.Set(faults.Back, faults.Fate{})
 	}
 	g.awaitLeader()
-	g.do(statemachine.Command{Ask: &lease.Request{Op: lease.Pause, Duty: controller.Watches}})
+	g.do(statemachine.Command{Ask: &lease.Request{Op: lease.Pause, Duty: controller.MonitorDuty}})
 }
 
 // One that was stopped after it had seen that it owns the duty, and before its word in the journal, wakes when another one owns
@@ -1064,23 +1064,23 @@
 func TestStaleWrite(t *testing.T) {
 	g := newGroup(t, 3)
 	dir := testMap(t)
-	old := g.owner("old", dir, []string{controller.MapKeeper}, nil, "SILVERPATH_STOP_AT=keeper:write:1")
+	old := g.owner("old", dir, []string{controller.PlacementDuty}, nil, "SILVERPATH_STOP_AT=keeper:write:1")
 	if _, err := old.Await(10*time.Second, 0, "duty.step"); err != nil { // it has taken the map up
 		t.Fatal(err)
 	}
-	g.submit(controller.MapKeeper, "m", controller.KindMove, controller.Move{Tenant: "t0", To: "b"})
+	g.submit(controller.PlacementDuty, "m", controller.KindMove, controller.MoveRequest{Tenant: "t0", To: "b"})
 	if _, err := old.Await(10*time.Second, 0, "stopped at"); err != nil {
 		t.Fatal(err)
 	}
 	await(t, "another owner", 10*time.Second, func() bool {
-		r := g.do(statemachine.Command{Ask: &lease.Request{Op: lease.Acquire, Duty: controller.MapKeeper, Process: "next"}})
+		r := g.do(statemachine.Command{Ask: &lease.Request{Op: lease.Acquire, Duty: controller.PlacementDuty, Process: "next"}})
 		return r.Duty != nil && r.Duty.Holder == "next"
 	})
 	old.Wake()
 	if _, err := old.Await(10*time.Second, 0, "duty.refused", "stale epoch 1.1 of keeper"); err != nil {
 		t.Error(err)
 	}
-	if j := g.view().Journals[controller.MapKeeper]; j.Step != 1 || j.Item("m").State != controller.Queued {
+	if j := g.view().Journals[controller.PlacementDuty]; j.Step != 1 || j.Item("m").State != controller.Queued {
 		t.Errorf("the journal is at step %d, the move is %s", j.Step, j.Item("m").State)
 	}
 }
@@ -1089,14 +1089,14 @@
 func TestLatePublish(t *testing.T) {
 	g := newGroup(t, 3)
 	dir := testMap(t)
-	old := g.owner("old", dir, []string{controller.MapKeeper}, nil, "SILVERPATH_STOP_AT=keeper:intent:2")
-	g.submit(controller.MapKeeper, "m", controller.KindMove, controller.Move{Tenant: "t0", To: "b"})
+	old := g.owner("old", dir, []string{controller.PlacementDuty}, nil, "SILVERPATH_STOP_AT=keeper:intent:2")
+	g.submit(controller.PlacementDuty, "m", controller.KindMove, controller.MoveRequest{Tenant: "t0", To: "b"})
 	if _, err := old.Await(10*time.Second, 0, "stopped at"); err != nil {
 		t.Fatal(err)
 	}
 	time.Sleep(1300 * time.Millisecond) // too late to be announced a lease ahead
-	g.do(statemachine.Command{Ask: &lease.Request{Op: lease.Pause, Duty: controller.MapKeeper, Reason: "nothing new"}})
-	next := g.owner("next", dir, []string{controller.MapKeeper}, nil)
+	g.do(statemachine.Command{Ask: &lease.Request{Op: lease.Pause, Duty: controller.PlacementDuty, Reason: "nothing new"}})
+	next := g.owner("next", dir, []string{controller.PlacementDuty}, nil)
 	if _, err := next.Await(10*time.Second, 0, "map.withdraw", "version=2"); err != nil {
 		t.Fatal(err)
 	}
@@ -1109,8 +1109,8 @@
 	if m, _, err := (proxy.Series{Dir: dir}).Head(); err != nil || m.Version != 1 {
 		t.Errorf("version %d was published by one that woke, %v", m.Version, err)
 	}
-	g.do(statemachine.Command{Ask: &lease.Request{Op: lease.Resume, Duty: controller.MapKeeper}})
-	if it := g.over(controller.MapKeeper, "m", 10*time.Second); it.State != controller.Done || it.Note != "version 3" {
+	g.do(statemachine.Command{Ask: &lease.Request{Op: lease.Resume, Duty: controller.PlacementDuty}})
+	if it := g.over(controller.PlacementDuty, "m", 10*time.Second); it.State != controller.Done || it.Note != "version 3" {
 		t.Errorf("%s: %s", it.State, it.Note)
 	}
 }
@@ -1120,10 +1120,10 @@
 func TestStaleLeader(t *testing.T) {
 	g := newGroup(t, 3)
 	write := func(why string) {
-		g.do(statemachine.Command{Ask: &lease.Request{Op: lease.Pause, Duty: controller.Watches, Reason: why}})
+		g.do(statemachine.Command{Ask: &lease.Request{Op: lease.Pause, Duty: controller.MonitorDuty, Reason: why}})
 	}
 	write("old")
-	g.do(statemachine.Command{Ask: &lease.Request{Op: lease.Acquire, Duty: controller.Watches, Process: "holder"}})
+	g.do(statemachine.Command{Ask: &lease.Request{Op: lease.Acquire, Duty: controller.MonitorDuty, Process: "holder"}})
 	for range 5 {
 		lead := g.awaitLeader()
 		write("old")
@@ -1143,10 +1143,10 @@
 					default:
 					}
 					ctx, cancel := context.WithTimeout(context.Background(), 300*time.Millisecond)
-					if v, err := direct.Read(ctx, ""); err == nil && v.Table.Duties[controller.Watches].PauseReason != "new" {
-						t.Errorf("a leader of the past answers %q", v.Table.Duties[controller.Watches].PauseReason)
+					if v, err := direct.Read(ctx, ""); err == nil && v.Table.Duties[controller.MonitorDuty].PauseReason != "new" {
+						t.Errorf("a leader of the past answers %q", v.Table.Duties[controller.MonitorDuty].PauseReason)
 					}
-					r, err := direct.Do(ctx, statemachine.Command{Ask: &lease.Request{Op: lease.Renew, Duty: controller.Watches, Process: "holder", Epoch: lease.BaseEpoch(1) + 1}})
+					r, err := direct.Do(ctx, statemachine.Command{Ask: &lease.Request{Op: lease.Renew, Duty: controller.MonitorDuty, Process: "holder", Epoch: lease.BaseEpoch(1) + 1}})
 					if err == nil && r.Error == "" {
 						t.Error("a leader of the past renews a lease")
 					}
@@ -1167,7 +1167,7 @@
 func TestPartlyCut(t *testing.T) {
 	g := newGroup(t, 3)
 	dir := testMap(t)
-	g.owner("o", dir, []string{controller.MapKeeper}, nil)
+	g.owner("o", dir, []string{controller.PlacementDuty}, nil)
 	ids := make([]string, 3) // as members name themselves in their words
 	for i, a := range g.Client.Addrs {
 		s, err := g.Client.StatusOf(g.within(time.Second), a)
@@ -1193,8 +1193,8 @@
 		apart(x, y, true)
 		time.Sleep(700 * time.Millisecond) // over an election
 		id := fmt.Sprint("m", round)
-		g.submit(controller.MapKeeper, id, controller.KindMove, controller.Move{Tenant: fmt.Sprint("t", round), To: "b"})
-		if it := g.over(controller.MapKeeper, id, 15*time.Second); it.State != controller.Done {
+		g.submit(controller.PlacementDuty, id, controller.KindMove, controller.MoveRequest{Tenant: fmt.Sprint("t", round), To: "b"})
+		if it := g.over(controller.PlacementDuty, id, 15*time.Second); it.State != controller.Done {
 			t.Errorf("%s: %s", it.State, it.Note)
 		}
 		apart(x, y, false)
--- a/cmd/silverpath/groupgolden_test.go
+++ b/cmd/silverpath/groupgolden_test.go
@@ -92,7 +92,7 @@
 	do(statemachine.Command{Ask: &lease.Request{Op: lease.Acquire, Duty: "keeper", Process: "b#2"}})
 	do(statemachine.Command{Ask: &lease.Request{Op: lease.Acquire, Duty: "conductor", Process: "b#2"}})
 	do(statemachine.Command{Submit: &statemachine.Submit{Duty: "keeper", ID: "move-1", Kind: "move", Args: []byte(`{"tenant":"t","to":"c1"}`)}})
-	do(statemachine.Command{Write: &controller.Write{Duty: "keeper", Who: "a#1", Epoch: 1<<32 | 1, Step: 1, Item: "move-1", State: controller.Intent, Tries: 1, Plan: `{"version":2}`, Note: "n"}})
+	do(statemachine.Command{Write: &controller.JournalWrite{Duty: "keeper", Process: "a#1", Epoch: 1<<32 | 1, Step: 1, Item: "move-1", State: controller.Intended, Attempts: 1, Plan: `{"version":2}`, Note: "n"}})
 	ask("duty", "hand", "--duty", "keeper", "--to", "b#2")
 	ask("duty", "hand", "--duty", "keeper", "--to", "c#3")
 	ask("duty", "pause", "--duty", "watcher", "--why", "a fire")
@@ -110,7 +110,7 @@
 	ask("fleet", "roll", "--servers", "s0,s1", "--cell-most", "1", "--all-most", "2", "--dwell", "5s", "--back", "30s", "--worth-least", "0.9")
 	id := regexp.MustCompile(`roll-[0-9a-f]{12}`).FindString(got.String())
 	ask("fleet", "status")
-	do(statemachine.Command{Write: &controller.Write{Duty: "conductor", Who: "b#2", Epoch: 1<<32 | 1, Step: 1, Item: id, State: controller.Intent,
+	do(statemachine.Command{Write: &controller.JournalWrite{Duty: "conductor", Process: "b#2", Epoch: 1<<32 | 1, Step: 1, Item: id, State: controller.Intended,
 		Plan: `{"members":[{"name":"s0","cell":"a","mgmt":"m0","stage":"back"},{"name":"s1","cell":"b","mgmt":"m1","stage":"going_out"}]}`}})
 	ask("fleet", "pause")
 	ask("fleet", "status")
@@ -118,7 +118,7 @@
 	ask("fleet", "resume")
 	ask("fleet", "abort")
 	ask("fleet", "resume")
-	do(statemachine.Command{Write: &controller.Write{Duty: "conductor", Who: "b#2", Epoch: 1<<32 | 1, Step: 2, Item: id, State: controller.Failed, Note: "aborted by an operator"}})
+	do(statemachine.Command{Write: &controller.JournalWrite{Duty: "conductor", Process: "b#2", Epoch: 1<<32 | 1, Step: 2, Item: id, State: controller.Failed, Note: "aborted by an operator"}})
 	ask("fleet", "status")
 	ask("fleet", "abort")
 	ask("quorum", "remove", "--name", "q9")
--- a/internal/controlplane/quorum/member/words.go
+++ b/internal/controlplane/quorum/member/words.go
@@ -327,7 +327,7 @@
 			return
 		}
 		v := quorum.View{Terms: m.state.Terms, Table: m.state.Table, Journals: map[string]*controller.Journal{}, Wall: time.Now().UnixMilli()}
-		for _, name := range controller.Names {
+		for _, name := range controller.Duties {
 			if w.Fields["duty"] == name || w.Fields["duty"] == "*" {
 				v.Journals[name] = m.state.Journal(name)
 			}
--- a/internal/controlplane/runner/golden_test.go
+++ b/internal/controlplane/runner/golden_test.go
@@ -65,7 +65,7 @@
 			}
 			it := v.Journals[duty].Item(id)
 			found = fmt.Sprintf("%s %d %d %s %q", it.State, it.Epoch, it.Step, it.Plan, it.Note)
-			if it.State.Over() {
+			if it.State.Finished() {
 				return found
 			}
 		}
--- a/internal/controlplane/runner/owner.go
+++ b/internal/controlplane/runner/owner.go
@@ -71,11 +71,11 @@
 	series proxy.Series
 
 	mu      sync.Mutex // of what was seen
-	seen    map[string]controller.Seen
+	seen    map[string]controller.Readiness
 	watched bool // a roll is under way
-	servers []controller.Member
-	reports controller.Watcher
-	worth   map[string]controller.Worth // by router, as last told
+	servers []controller.RolloutServer
+	reports controller.Monitor
+	worth   map[string]controller.WeightedLoad // by router, as last told
 	verdict map[string]controller.Verdict
 	version int
 }
@@ -89,8 +89,8 @@
 	}
 	return &Owner{
 		cfg: cfg, who: cfg.Name + "#" + hex.EncodeToString(b[:]), began: time.Now(), series: proxy.Series{Dir: cfg.Set.Map},
-		seen: map[string]controller.Seen{}, worth: map[string]controller.Worth{},
-		reports: controller.Watcher{Routers: cfg.Set.Routers, After: cfg.Set.Gone, Fresh: 3 * reportEach},
+		seen: map[string]controller.Readiness{}, worth: map[string]controller.WeightedLoad{},
+		reports: controller.Monitor{Routers: cfg.Set.Routers, DeadAfter: cfg.Set.Gone, MaxReportAge: 3 * reportEach},
 	}
 }
 
@@ -139,11 +139,11 @@
 	mu     sync.Mutex
 	holder *lease.Holder
 	acting bool // between its check and the end of its act
-	keeper controller.Keeper
-	leads  controller.Conductor
+	keeper controller.Placement
+	leads  controller.Rollout
 	fails  int
 	said   string
-	total  controller.Worth // of all routers, when the conductor last looked
+	total  controller.WeightedLoad // of all routers, when the conductor last looked
 	looked time.Duration
 }
 
@@ -256,7 +256,7 @@
 			}
 		} else if did {
 			wait = 0
-		} else if d.name == controller.Conducts && d.rolling() {
+		} else if d.name == controller.RolloutDuty && d.rolling() {
 			wait = busy
 		}
 		pause(ctx, wait)
@@ -299,7 +299,7 @@
 	if err != nil {
 		return false, err
 	}
-	if act.Kind == controller.Rest {
+	if act.Kind == controller.Idle {
 		return false, nil
 	}
 	Boundary(d.name, "check", j.Step)
@@ -308,7 +308,7 @@
 	}
 	defer d.finish()
 	switch act.Kind {
-	case controller.WriteDown:
+	case controller.WriteJournal:
 		Boundary(d.name, "write", j.Step)
 		return true, d.write(ctx, j, epoch, act.Write)
 	case controller.Publish, controller.Withdraw:
@@ -326,10 +326,10 @@
 		d.log.Info().Str("event", "map."+act.Kind.String()).Stringer("epoch", epoch).Uint64("step", j.Step).Int("version", act.Version).Send()
 		Boundary(d.name, "act", j.Step)
 		return true, nil
-	case controller.Send:
+	case controller.SendCommand:
 		it := j.Current()
 		Boundary(d.name, "intent", it.Step)
-		yes := d.send(ctx, epoch, it.Step, act.Order)
+		yes := d.send(ctx, epoch, it.Step, act.Command)
 		Boundary(d.name, "act", it.Step)
 		return yes, nil
 	}
@@ -337,8 +337,8 @@
 }
 
 // write puts a write into the journal, by this owner's epoch and as the next step.
-func (d *duty) write(ctx context.Context, j *controller.Journal, epoch lease.Epoch, w controller.Write) error {
-	w.Duty, w.Who, w.Epoch, w.Step = d.name, d.who, epoch, j.Step+1
+func (d *duty) write(ctx context.Context, j *controller.Journal, epoch lease.Epoch, w controller.JournalWrite) error {
+	w.Duty, w.Process, w.Epoch, w.Step = d.name, d.who, epoch, j.Step+1
 	asking, cancel := context.WithTimeout(ctx, askFor)
 	defer cancel()
 	r, err := d.cfg.Group.Do(asking, statemachine.Command{Write: &w})
@@ -356,18 +356,18 @@
 }
 
 // send gives an order.
-func (d *duty) send(ctx context.Context, epoch lease.Epoch, step uint64, o controller.Order) (yes bool) {
+func (d *duty) send(ctx context.Context, epoch lease.Epoch, step uint64, o controller.ServerCommand) (yes bool) {
 	call := "rejoin"
 	if o.Evacuate {
 		call = "evacuate"
 	}
 	asking, cancel := context.WithTimeout(ctx, orderFor)
 	defer cancel()
-	yes, why, err := admin.Call(asking, o.Mgmt, fmt.Sprintf("POST /api/%s?duty=%s&epoch=%d&step=%d", call, d.name, uint64(epoch), step))
+	yes, why, err := admin.Call(asking, o.Admin, fmt.Sprintf("POST /api/%s?duty=%s&epoch=%d&step=%d", call, d.name, uint64(epoch), step))
 	if err != nil {
 		why = err.Error()
 	}
-	d.leads.Told(o.Server, yes)
+	d.leads.RecordCommand(o.Server, yes)
 	e := d.log.Info().Str("event", "order."+call).Stringer("epoch", epoch).Uint64("step", step).Str("server", o.Server).Bool("yes", yes)
 	e.Str("why", why).Send()
 	d.cfg.Stats.Inc("orders_sent", call, map[bool]string{true: "yes", false: "no"}[yes])
@@ -384,60 +384,60 @@
 var codec = controller.Codec{Format: settings.FormatCells, Parse: settings.ParseCells}
 
 // decide asks the duty's decisions what is next.
-func (d *duty) decide(j *controller.Journal, epoch lease.Epoch, paused bool, off time.Duration) (controller.Act, error) {
+func (d *duty) decide(j *controller.Journal, epoch lease.Epoch, paused bool, off time.Duration) (controller.Action, error) {
 	m, raw, err := d.series.Head()
 	if m == nil && err != nil {
-		return controller.Act{}, err
+		return controller.Action{}, err
 	}
 	it := j.Current()
 	if m != nil {
 		d.Owner.look(m)
 	}
 	switch d.name {
-	case controller.MapKeeper:
+	case controller.PlacementDuty:
 		if paused && (it == nil || it.State == controller.Queued) {
-			return controller.Act{}, nil
+			return controller.Action{}, nil
 		}
 		if m != nil && off > m.Skew {
-			return controller.Act{}, fmt.Errorf("%w: by %v, skew_ms allows %v", errClock, off.Round(time.Millisecond), m.Skew)
+			return controller.Action{}, fmt.Errorf("%w: by %v, skew_ms allows %v", errClock, off.Round(time.Millisecond), m.Skew)
 		}
-		h := controller.Head{Map: m, Raw: raw}
-		if h.Top, err = d.series.Top(); err != nil {
-			return controller.Act{}, err
+		h := controller.PublishedMap{Map: m, Raw: raw}
+		if h.HighestVersion, err = d.series.Top(); err != nil {
+			return controller.Action{}, err
 		}
-		if it != nil && it.State == controller.Intent {
+		if it != nil && it.State == controller.Intended {
 			if plan, err := settings.ParseCells([]byte(it.Plan)); err == nil {
-				if h.Place, err = d.series.Place(plan.Version); err != nil {
-					return controller.Act{}, err
+				if h.Occupant, err = d.series.Place(plan.Version); err != nil {
+					return controller.Action{}, err
 				}
 			}
 		}
 		d.keeper.Codec = codec
 		act := d.keeper.Next(j, h, uint64(epoch), Wall())
 		if act.Kind == controller.Publish && d.fails >= mostFails {
-			act = controller.Act{Kind: controller.Withdraw, Version: act.Version}
+			act = controller.Action{Kind: controller.Withdraw, Version: act.Version}
 		}
 		return act, nil
-	case controller.Conducts:
+	case controller.RolloutDuty:
 		d.Owner.mu.Lock()
 		d.Owner.watched = it != nil
-		servers, seen := d.servers, map[string]controller.Seen{}
+		servers, seen := d.servers, map[string]controller.Readiness{}
 		for k, s := range d.seen {
 			seen[k] = s
 		}
 		d.Owner.mu.Unlock()
 		if it == nil || paused && it.State == controller.Queued {
-			return controller.Act{}, nil
+			return controller.Action{}, nil
 		}
-		if paused && it.Wish == "" {
-			it.Wish = "pause"
+		if paused && it.Directive == "" {
+			it.Directive = "pause"
 		}
 		d.worthOf(it)
 		return d.leads.Next(j, uint64(epoch), servers, seen, d.clock()), nil
-	case controller.Watches:
-		return controller.Act{}, d.judge(paused)
+	case controller.MonitorDuty:
+		return controller.Action{}, d.judge(paused)
 	}
-	return controller.Act{}, nil
+	return controller.Action{}, nil
 }
 
 // worthOf has the conductor look at what was served since it last did, once a second.
@@ -446,19 +446,19 @@
 	if now-d.looked < reportEach {
 		return
 	}
-	var r controller.Roll
+	var r controller.RolloutSpec
 	if json.Unmarshal(it.Args, &r) != nil {
 		return
 	}
-	var all controller.Worth
+	var all controller.WeightedLoad
 	d.Owner.mu.Lock()
 	for _, w := range d.worth {
-		all.Asked, all.Served = all.Asked+w.Asked, all.Served+w.Served
+		all.Requested, all.Served = all.Requested+w.Requested, all.Served+w.Served
 	}
 	d.Owner.mu.Unlock()
-	w := controller.Worth{Asked: all.Asked - d.total.Asked, Served: all.Served - d.total.Served}
-	if d.total.Asked > 0 && now-d.looked < 3*reportEach && w.Asked >= 0 && w.Served >= 0 { // else a router started anew, or this is the first look
-		d.leads.Look(w, r.WorthLeast)
+	w := controller.WeightedLoad{Requested: all.Requested - d.total.Requested, Served: all.Served - d.total.Served}
+	if d.total.Requested > 0 && now-d.looked < 3*reportEach && w.Requested >= 0 && w.Served >= 0 { // else a router started anew, or this is the first look
+		d.leads.ObserveLoad(w, r.MinServedShare)
 	}
 	d.total, d.looked = all, now
 }
@@ -471,7 +471,7 @@
 	now := time.Now().UnixMilli()
 	for s := range m.AllServers() {
 		if s.Until == 0 || s.Until > now {
-			o.servers = append(o.servers, controller.Member{Name: s.Name, Cell: s.Cell, Mgmt: s.Mgmt})
+			o.servers = append(o.servers, controller.RolloutServer{Name: s.Name, Cell: s.Cell, Admin: s.Mgmt})
 		}
 	}
 }
@@ -489,7 +489,7 @@
 		o.mu.Unlock()
 		for _, s := range servers {
 			mu.Lock()
-			skip := under[s.Name] || s.Mgmt == ""
+			skip := under[s.Name] || s.Admin == ""
 			under[s.Name] = true
 			mu.Unlock()
 			if skip {
@@ -498,10 +498,10 @@
 			go func() {
 				at := o.clock()
 				asking, cancel := context.WithTimeout(ctx, seeFor)
-				yes, _, err := admin.Call(asking, s.Mgmt, "GET /api/ready")
+				yes, _, err := admin.Call(asking, s.Admin, "GET /api/ready")
 				cancel()
 				o.mu.Lock()
-				o.seen[s.Name] = controller.Seen{At: at, Reachable: err == nil, Ready: yes}
+				o.seen[s.Name] = controller.Readiness{ProbedAt: at, Reachable: err == nil, Ready: yes}
 				o.mu.Unlock()
 				mu.Lock()
 				delete(under, s.Name)
@@ -528,14 +528,14 @@
 					return
 				}
 				f := v.Get("fleet")
-				rep := controller.Report{Router: r, At: at, Dead: map[string]bool{}}
+				rep := controller.HealthReport{Router: r, AskedAt: at, Dead: map[string]bool{}}
 				for _, s := range f.GetArray("servers") {
 					rep.Dead[string(s.GetStringBytes("name"))] = string(s.GetStringBytes("health")) == "dead"
 				}
 				o.mu.Lock()
 				defer o.mu.Unlock()
-				o.reports.Told(rep)
-				o.worth[r] = controller.Worth{Asked: f.GetFloat64("worth_asked"), Served: f.GetFloat64("worth_served")}
+				o.reports.AddReport(rep)
+				o.worth[r] = controller.WeightedLoad{Requested: f.GetFloat64("worth_asked"), Served: f.GetFloat64("worth_served")}
 			})
 		}
 		all.Wait()
@@ -555,12 +555,12 @@
 	said, version := o.verdict, o.version
 	o.verdict = verdicts
 	o.mu.Unlock()
-	for _, name := range controller.Sorted(verdicts) {
+	for _, name := range controller.SortedServers(verdicts) {
 		v := verdicts[name]
 		if v != said[name] && (v != controller.Alive || said != nil) {
 			d.log.Info().Str("event", "watcher."+string(v)).Str("server", name).Send()
 		}
-		id, g, ok := controller.Request(name, version, v, o.cfg.Set.Gone)
+		id, g, ok := controller.GoneRequest(name, version, v, o.cfg.Set.Gone)
 		if !ok || paused || said[name] == v {
 			continue
 		}
@@ -569,7 +569,7 @@
 			return err
 		}
 		asking, cancel := context.WithTimeout(context.Background(), askFor)
-		_, err = o.cfg.Group.Do(asking, statemachine.Command{Submit: &statemachine.Submit{Duty: controller.MapKeeper, ID: id, Kind: controller.KindGone, Args: args}})
+		_, err = o.cfg.Group.Do(asking, statemachine.Command{Submit: &statemachine.Submit{Duty: controller.PlacementDuty, ID: id, Kind: controller.KindGone, Args: args}})
 		cancel()
 		if err != nil {
 			o.mu.Lock()
--- a/internal/policy/fence/model_test.go
+++ b/internal/policy/fence/model_test.go
@@ -13,8 +13,8 @@
 	"silverpath/internal/storage/atomicfile"
 )
 
-// A holder that was stopped after its check woke up and sent its command, when its successor had sent others: two servers were out at
-// once. This file searches all short interleavings of a holder, its successor, the commands in flight, delivered late and twice, two
+// A holder that is stopped after its check wakes up and sends its command when its successor has sent others: two servers would be out
+// at once. This file searches all short interleavings of a holder, its successor, the commands in flight, delivered late and twice, two
 // servers, one of which may start anew, and the end of the lease. Table, journal and fence are the real ones. A holder may be stopped
 // anywhere: between its check and its action, and between intent, action and outcome. Never does a command of an old epoch take
 // effect after one of a newer one, never are both servers out, and nobody begins an action once another one holds the duty.
@@ -38,7 +38,7 @@
 	holds bool
 	// What it is about to do: nothing, write, or send; decided at its check.
 	doing        string
-	write        controller.Write
+	write        controller.JournalWrite
 	command      sentCommand
 	acknowledged [2]uint64 // by server: the step of the command that it has acknowledged
 }
@@ -58,11 +58,11 @@
 }
 
 func initialState() state {
-	s := state{duty: lease.Duty{Name: controller.Conducts, Epoch: 1, Holder: "one", Queue: []string{"two"}}}
+	s := state{duty: lease.Duty{Name: controller.RolloutDuty, Epoch: 1, Holder: "one", Queue: []string{"two"}}}
 	s.processes[0] = process{name: "one", epoch: 1, holds: true}
 	s.processes[1] = process{name: "two"}
-	p, _ := json.Marshal(controller.Progress{Members: []controller.Member{{Name: "0", Stage: controller.In}, {Name: "1", Stage: controller.In}}})
-	s.item = controller.Item{ID: "r", Kind: controller.KindRoll, State: controller.Intent, Plan: string(p)}
+	p, _ := json.Marshal(controller.RolloutProgress{Servers: []controller.RolloutServer{{Name: "0", Stage: controller.NotStarted}, {Name: "1", Stage: controller.NotStarted}}})
+	s.item = controller.Item{ID: "r", Kind: controller.KindRollout, State: controller.Intended, Plan: string(p)}
 	s.latest = [2]map[string]Command{{}, {}}
 	return s
 }
@@ -105,26 +105,26 @@
 
 // decide is what a holder does next by the journal: what was begun before what is new.
 func (s *state) decide(a *process, g guards) {
-	var p controller.Progress
+	var p controller.RolloutProgress
 	if err := json.Unmarshal([]byte(s.item.Plan), &p); err != nil {
 		panic(err) // a plan of this file's own
 	}
 	write := func(i int, st controller.Stage) {
-		p.Members[i].Stage = st
+		p.Servers[i].Stage = st
 		raw, _ := json.Marshal(p)
 		a.doing = "write"
-		a.write = controller.Write{Duty: controller.Conducts, Who: a.name, Epoch: a.epoch, Step: s.journal.Step + 1, Item: "r", State: controller.Intent, Plan: string(raw)}
+		a.write = controller.JournalWrite{Duty: controller.RolloutDuty, Process: a.name, Epoch: a.epoch, Step: s.journal.Step + 1, Item: "r", State: controller.Intended, Plan: string(raw)}
 	}
 	send := func(i int, act string, step uint64) {
-		a.doing, a.command = "send", sentCommand{Command{controller.Conducts, a.epoch, step, act}, i, 2}
+		a.doing, a.command = "send", sentCommand{Command{controller.RolloutDuty, a.epoch, step, act}, i, 2}
 	}
-	for i, m := range p.Members {
-		act, done := "evacuate", controller.IsOut
-		if m.Stage == controller.GoingBack {
-			act, done = "rejoin", controller.IsBack
+	for i, m := range p.Servers {
+		act, done := "evacuate", controller.Evacuated
+		if m.Stage == controller.Rejoining {
+			act, done = "rejoin", controller.Returned
 		}
 		switch {
-		case m.Stage != controller.GoingOut && m.Stage != controller.GoingBack:
+		case m.Stage != controller.Evacuating && m.Stage != controller.Rejoining:
 		case s.item.Epoch != a.epoch:
 			write(i, m.Stage)
 			return
@@ -136,27 +136,27 @@
 			return
 		}
 	}
-	for i, m := range p.Members {
-		if m.Stage == controller.IsOut {
-			write(i, controller.GoingBack)
+	for i, m := range p.Servers {
+		if m.Stage == controller.Evacuated {
+			write(i, controller.Rejoining)
 			return
 		}
 	}
-	for k := range p.Members {
+	for k := range p.Servers {
 		i := k
 		if a.name == "two" {
-			i = len(p.Members) - 1 - k // whom it sees ready may differ
+			i = len(p.Servers) - 1 - k // whom it sees ready may differ
 		}
-		if m := p.Members[i]; m.Stage == controller.In {
+		if m := p.Servers[i]; m.Stage == controller.NotStarted {
 			if !g.intentFirst {
 				if a.acknowledged[i] != s.journal.Step+1 {
 					send(i, "evacuate", s.journal.Step+1)
 				} else {
-					write(i, controller.IsOut)
+					write(i, controller.Evacuated)
 				}
 				return
 			}
-			write(i, controller.GoingOut)
+			write(i, controller.Evacuating)
 			return
 		}
 	}
@@ -212,10 +212,10 @@
 		case a.doing == "write":
 			add(func(n *state) {
 				t, j := n.tableAndJournal()
-				if j.Write(a.write, t) == nil {
-					n.item, n.journal = j.Items[0], controller.Journal{Duty: j.Duty, Step: j.Step, Last: j.Last}
+				if j.Apply(a.write, t) == nil {
+					n.item, n.journal = j.Items[0], controller.Journal{Duty: j.Duty, Step: j.Step, LastWrite: j.LastWrite}
 				}
-				n.processes[i].doing, n.processes[i].write = "", controller.Write{}
+				n.processes[i].doing, n.processes[i].write = "", controller.JournalWrite{}
 			})
 		case a.doing == "send":
 			add(func(n *state) {
@@ -243,7 +243,7 @@
 	if s.duty.Holder == "one" && (!s.processes[0].holds || !g.holderStops) {
 		add(func(n *state) {
 			t, _ := n.tableAndJournal()
-			d, err := t.Apply(lease.Request{Op: lease.Expire, Duty: controller.Conducts, Epoch: 1})
+			d, err := t.Apply(lease.Request{Op: lease.Expire, Duty: controller.RolloutDuty, Epoch: 1})
 			if err == nil {
 				n.duty = d
 				n.processes[1].epoch, n.processes[1].holds = d.Epoch, true
--- a/internal/policy/lease/lease_test.go
+++ b/internal/policy/lease/lease_test.go
@@ -11,7 +11,7 @@
 	"pgregory.net/rapid"
 )
 
-// Two processes once held one duty for a moment, as one was stopped while its lease ran out and a renewal of its was still on its way.
+// A process is stopped while its lease runs out, or an answer to it is delayed until another one holds the duty: two would act at once.
 // The simulation has three processes that want one duty, a group whose leader changes, messages that are delayed, lost and delivered
 // twice, processes that are stopped for a while, and clocks that drift within the bound. By true time no two hold the duty at once,
 // and epochs only rise. A simulation without one of the guards finds two holders.
--- a/internal/policy/statemachine/group.go
+++ b/internal/policy/statemachine/group.go
@@ -18,7 +18,7 @@
 	Ask    *lease.Request      `json:"ask,omitempty"`
 	Submit *Submit             `json:"submit,omitempty"`
 	Wish   *Wish               `json:"wish,omitempty"`
-	Write  *controller.Write   `json:"write,omitempty"`
+	Write  *controller.JournalWrite   `json:"write,omitempty"`
 	Rule   *configstore.Change `json:"rule,omitempty"`
 
 	// Words are what processes said of themselves that came together: a thousand that say one thing each are one entry of the log. Each
@@ -88,7 +88,7 @@
 }
 
 func known(duty string) error {
-	for _, n := range controller.Names {
+	for _, n := range controller.Duties {
 		if n == duty {
 			return nil
 		}
@@ -115,7 +115,7 @@
 			r.Item = &it
 			return err
 		case c.Wish != nil:
-			it, err := s.Journal(c.Wish.Duty).Wish(c.Wish.ID, c.Wish.Wish)
+			it, err := s.Journal(c.Wish.Duty).Direct(c.Wish.ID, c.Wish.Wish)
 			r.Item = &it
 			return err
 		case c.Write != nil:
@@ -123,7 +123,7 @@
 				return err
 			}
 			j := s.keep(c.Write.Duty)
-			err := j.Write(*c.Write, s.Table)
+			err := j.Apply(*c.Write, s.Table)
 			r.Step = j.Step
 			return err
 		case c.Rule != nil:
@@ -149,7 +149,7 @@
 		switch {
 		case errors.Is(err, lease.ErrStaleEpoch):
 			r.Kind = Stale
-		case errors.Is(err, controller.ErrStep):
+		case errors.Is(err, controller.ErrOutOfStep):
 			r.Kind = Step
 		case errors.Is(err, controller.ErrPaused):
 			r.Kind = Paused
--- a/internal/settings/quorum.go
+++ b/internal/settings/quorum.go
@@ -105,7 +105,7 @@
 		q.Owner = &Owner{Duties: o.texts("duties"), Map: o.text("map"), Routers: o.texts("routers"),
 			Gone: ms(o, "gone_after_ms", 10*time.Second)}
 		for i, d := range q.Owner.Duties {
-			if !slices.Contains(controller.Names, d) {
+			if !slices.Contains(controller.Duties, d) {
 				o.fail(fmt.Sprintf("duties[%d]", i), "no such duty: %q", d)
 			}
 		}
--- a/internal/testkit/benchmarks/owner.go
+++ b/internal/testkit/benchmarks/owner.go
@@ -243,7 +243,7 @@
 		return o
 	}
 	var owners []*harness.Process
-	both := []string{controller.MapKeeper, controller.Conducts}
+	both := []string{controller.PlacementDuty, controller.RolloutDuty}
 	own := func() {
 		p, err := r.g.Owner(fmt.Sprint("o", len(owners)), r.dir, both, nil, nil)
 		if err != nil {
@@ -268,7 +268,7 @@
 		}
 		return err != nil
 	}
-	if fail(r.g.Submit(controller.Conducts, roll, controller.KindRoll, controller.Roll{CellMost: 1, AllMost: 2, DwellMS: 60, BackMS: 8000})) {
+	if fail(r.g.Submit(controller.RolloutDuty, roll, controller.KindRollout, controller.RolloutSpec{MaxOutPerCell: 1, MaxOut: 2, DwellMS: 60, ReturnMS: 8000})) {
 		return o
 	}
 	t := int(seed) % 31 * 2
@@ -278,7 +278,7 @@
 		if tenant.Homes[len(tenant.Homes)-1].Cell == "b" {
 			to = "a"
 		}
-		if fail(r.g.Submit(controller.MapKeeper, id, controller.KindMove, controller.Move{Tenant: tenant.Name, To: to})) {
+		if fail(r.g.Submit(controller.PlacementDuty, id, controller.KindMove, controller.MoveRequest{Tenant: tenant.Name, To: to})) {
 			return o
 		}
 	}
@@ -346,7 +346,7 @@
 		}
 	}
 	for _, id := range moves {
-		if it, err := r.g.Over(controller.MapKeeper, id, 20*time.Second); fail(err) {
+		if it, err := r.g.Over(controller.PlacementDuty, id, 20*time.Second); fail(err) {
 			return o
 		} else if it.State == controller.Done {
 			o.finished++
@@ -354,7 +354,7 @@
 			o.given = append(o.given, it.Note)
 		}
 	}
-	it, err := r.g.Over(controller.Conducts, roll, 60*time.Second)
+	it, err := r.g.Over(controller.RolloutDuty, roll, 60*time.Second)
 	if fail(err) {
 		return o
 	}
@@ -375,7 +375,7 @@
 	}
 	for k, id := range moves {
 		mv, _ := r.g.View()
-		did := mv.Journals[controller.MapKeeper].Item(id).State == controller.Done
+		did := mv.Journals[controller.PlacementDuty].Item(id).State == controller.Done
 		grown := len(after.Tenants[t+k].Homes) - len(head.Tenants[t+k].Homes)
 		if did && grown != 1 || !did && grown != 0 {
 			broke("%s: %v, and %d homes more", id, did, grown)
@@ -538,7 +538,7 @@
 	if err := (proxy.Series{Dir: dir}).Put(1, settings.FormatCells(m)); err != nil {
 		b.Fatal(err)
 	}
-	p, err := r.g.Owner("o", dir, []string{controller.MapKeeper}, nil, nil)
+	p, err := r.g.Owner("o", dir, []string{controller.PlacementDuty}, nil, nil)
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -596,7 +596,7 @@
 
 // restCost is what the group says and writes while one owner holds all duties and nothing happens.
 func restCost(b *testing.B, r *rig, dir string) string {
-	p, err := r.g.Owner("rest", dir, controller.Names, nil, nil)
+	p, err := r.g.Owner("rest", dir, controller.Duties, nil, nil)
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -649,7 +649,7 @@
 		defer w.Close()
 		ways, addrs = append(ways, w), append(addrs, w.Addr())
 	}
-	keeper := []string{controller.MapKeeper}
+	keeper := []string{controller.PlacementDuty}
 	one, err := r.g.Owner(fmt.Sprint("one", n), dir, keeper, addrs, nil)
 	if err != nil {
 		return 0, false, err
@@ -664,7 +664,7 @@
 	}
 	defer next.Kill()
 	for end := time.Now().Add(10 * time.Second); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
-		if v, err := r.g.View(); err == nil && len(v.Table.Duties[controller.MapKeeper].Queue) == 1 {
+		if v, err := r.g.View(); err == nil && len(v.Table.Duties[controller.PlacementDuty].Queue) == 1 {
 			break
 		}
 	}
@@ -734,7 +734,7 @@
 			wg.Go(func() {
 				for n := 0; time.Now().Before(end); n++ {
 					began := time.Now()
-					r, err := g.Do(statemachine.Command{Ask: &lease.Request{Op: lease.Pause, Duty: controller.Watches, Reason: fmt.Sprint(k, n)}})
+					r, err := g.Do(statemachine.Command{Ask: &lease.Request{Op: lease.Pause, Duty: controller.MonitorDuty, Reason: fmt.Sprint(k, n)}})
 					if err != nil || r.Error != "" {
 						b.Error(err, r.Error)
 						return
@@ -850,12 +850,12 @@
 	if err := (proxy.Series{Dir: dir}).Put(1, settings.FormatCells(&m)); err != nil {
 		return err
 	}
-	o, err := g.Owner("o", dir, []string{controller.Conducts}, nil, nil)
+	o, err := g.Owner("o", dir, []string{controller.RolloutDuty}, nil, nil)
 	if err != nil {
 		return err
 	}
 	defer o.Kill()
-	if err := g.Submit(controller.Conducts, "r", controller.KindRoll, controller.Roll{CellMost: 1, AllMost: 3, DwellMS: 2500, BackMS: 10000}); err != nil {
+	if err := g.Submit(controller.RolloutDuty, "r", controller.KindRollout, controller.RolloutSpec{MaxOutPerCell: 1, MaxOut: 3, DwellMS: 2500, ReturnMS: 10000}); err != nil {
 		return err
 	}
 	stop := make(chan struct{})
@@ -879,7 +879,7 @@
 			}
 		})
 	}
-	_, err = g.Over(controller.Conducts, "r", time.Minute)
+	_, err = g.Over(controller.RolloutDuty, "r", time.Minute)
 	close(stop)
 	wg.Wait()
 	return err
--- a/internal/testkit/benchmarks/ownersim.go
+++ b/internal/testkit/benchmarks/ownersim.go
@@ -47,16 +47,16 @@
 	hz       float64
 	frozen   time.Duration
 	holders  map[string]*lease.Holder
-	conducts controller.Conductor
-	keeper   controller.Keeper
+	conducts controller.Rollout
+	keeper   controller.Placement
 	pending  map[string]*simAct // decided and checked, and not done yet
-	seen     map[string]controller.Seen
+	seen     map[string]controller.Readiness
 	epochs   map[string]lease.Epoch
 }
 
 type simAct struct {
 	at  time.Duration
-	act controller.Act
+	act controller.Action
 	e   lease.Epoch
 	j   controller.Journal
 }
@@ -105,18 +105,18 @@
 	s.places[1] = settings.FormatCells(m)
 	for i := range 3 {
 		o := &simOwner{name: fmt.Sprint("o", i), hz: 1 + 0.05*(2*s.rng.Float64()-1), holders: map[string]*lease.Holder{},
-			pending: map[string]*simAct{}, seen: map[string]controller.Seen{}, epochs: map[string]lease.Epoch{}}
-		for _, d := range []string{controller.MapKeeper, controller.Conducts} {
+			pending: map[string]*simAct{}, seen: map[string]controller.Readiness{}, epochs: map[string]lease.Epoch{}}
+		for _, d := range []string{controller.PlacementDuty, controller.RolloutDuty} {
 			o.holders[d] = lease.NewHolder(d, o.name, terms)
 		}
 		o.keeper.Codec = controller.Codec{Format: settings.FormatCells, Parse: settings.ParseCells}
 		s.owners = append(s.owners, o)
 	}
 	for i := range simMoves {
-		s.state.Apply(statemachine.Command{Submit: &statemachine.Submit{Duty: controller.MapKeeper, ID: fmt.Sprint("m", i), Kind: controller.KindMove,
+		s.state.Apply(statemachine.Command{Submit: &statemachine.Submit{Duty: controller.PlacementDuty, ID: fmt.Sprint("m", i), Kind: controller.KindMove,
 			Args: fmt.Appendf(nil, `{"tenant":"t%d","to":"b"}`, i)}})
 	}
-	s.state.Apply(statemachine.Command{Submit: &statemachine.Submit{Duty: controller.Conducts, ID: "r", Kind: controller.KindRoll,
+	s.state.Apply(statemachine.Command{Submit: &statemachine.Submit{Duty: controller.RolloutDuty, ID: "r", Kind: controller.KindRollout,
 		Args: []byte(`{"cell_most":1,"all_most":2,"dwell_ms":30,"back_ms":60000}`)}})
 	return s
 }
@@ -199,7 +199,7 @@
 // own is an owner's turn: its leases, then, of each duty, what it had decided, or a new decision.
 func (s *OwnerSim) own(o *simOwner) {
 	clock := time.Duration(float64(s.now) * o.hz)
-	for _, name := range []string{controller.MapKeeper, controller.Conducts} {
+	for _, name := range []string{controller.PlacementDuty, controller.RolloutDuty} {
 		h := o.holders[name]
 		if a, ok := h.NextRequest(clock); ok && s.groupUp && !s.chance(0.05) {
 			d, no := s.ask(a)
@@ -226,7 +226,7 @@
 		j := *s.state.Journal(name)
 		j.Items = slices.Clone(j.Items)
 		act := s.decide(o, name, &j, e, clock)
-		if act.Kind == controller.Rest {
+		if act.Kind == controller.Idle {
 			continue
 		}
 		// It has checked that it owns the duty; it may be stopped before it acts, and between an act and its outcome.
@@ -253,36 +253,36 @@
 	return m, raw
 }
 
-func (s *OwnerSim) decide(o *simOwner, name string, j *controller.Journal, e lease.Epoch, clock time.Duration) controller.Act {
+func (s *OwnerSim) decide(o *simOwner, name string, j *controller.Journal, e lease.Epoch, clock time.Duration) controller.Action {
 	m, raw := s.head()
-	if name == controller.MapKeeper {
-		h := controller.Head{Map: m, Raw: raw}
+	if name == controller.PlacementDuty {
+		h := controller.PublishedMap{Map: m, Raw: raw}
 		for v := range s.places {
-			h.Top = max(h.Top, v)
+			h.HighestVersion = max(h.HighestVersion, v)
 		}
-		if it := j.Current(); it != nil && it.State == controller.Intent {
+		if it := j.Current(); it != nil && it.State == controller.Intended {
 			if plan, err := settings.ParseCells([]byte(it.Plan)); err == nil {
-				h.Place = s.places[plan.Version]
+				h.Occupant = s.places[plan.Version]
 			}
 		}
 		return o.keeper.Next(j, h, uint64(e), s.wall.Add(s.now))
 	}
-	var list []controller.Member
+	var list []controller.RolloutServer
 	for _, x := range m.Servers {
-		list = append(list, controller.Member{Name: x.Name, Cell: x.Cell, Mgmt: x.Mgmt})
+		list = append(list, controller.RolloutServer{Name: x.Name, Cell: x.Cell, Admin: x.Mgmt})
 	}
 	for _, x := range s.servers {
-		o.seen[x.name] = controller.Seen{At: clock, Reachable: x.up <= s.now, Ready: x.up <= s.now && !x.out}
+		o.seen[x.name] = controller.Readiness{ProbedAt: clock, Reachable: x.up <= s.now, Ready: x.up <= s.now && !x.out}
 	}
 	return o.conducts.Next(j, uint64(e), list, o.seen, clock)
 }
 
 func (s *OwnerSim) act(o *simOwner, name string, p *simAct) {
 	switch p.act.Kind {
-	case controller.WriteDown:
+	case controller.WriteJournal:
 		if s.groupUp {
 			w := p.act.Write
-			w.Duty, w.Who, w.Epoch, w.Step = name, o.name, p.e, p.j.Step+1
+			w.Duty, w.Process, w.Epoch, w.Step = name, o.name, p.e, p.j.Step+1
 			s.state.Apply(statemachine.Command{Write: &w})
 		}
 	case controller.Publish, controller.Withdraw:
@@ -300,20 +300,20 @@
 				s.edits = lease.Epoch(m.Epoch)
 			}
 		}
-	case controller.Send:
+	case controller.SendCommand:
 		it := p.j.Current()
 		act := "rejoin"
-		if p.act.Order.Evacuate {
+		if p.act.Command.Evacuate {
 			act = "evacuate"
 		}
-		server := int(p.act.Order.Server[1] - '0')
+		server := int(p.act.Command.Server[1] - '0')
 		order := simOrder{s.now, fence.Command{Duty: name, Epoch: p.e, Step: it.Step, Action: act}, server, o}
 		switch {
 		case s.chance(0.05): // lost
-			o.conducts.Told(p.act.Order.Server, false)
+			o.conducts.RecordCommand(p.act.Command.Server, false)
 		case s.chance(0.1): // held on the way
 			order.at += s.span(10 * simLease)
-			o.conducts.Told(p.act.Order.Server, false)
+			o.conducts.RecordCommand(p.act.Command.Server, false)
 			order.from = nil
 			s.orders = append(s.orders, order)
 		default:
@@ -335,7 +335,7 @@
 		}
 		yes := s.take(s.servers[o.server], o.order)
 		if o.from != nil {
-			o.from.conducts.Told(s.servers[o.server].name, yes)
+			o.from.conducts.RecordCommand(s.servers[o.server].name, yes)
 		}
 	}
 	s.orders = later
@@ -386,7 +386,7 @@
 }
 
 func (s *OwnerSim) over() bool {
-	for _, name := range []string{controller.MapKeeper, controller.Conducts} {
+	for _, name := range []string{controller.PlacementDuty, controller.RolloutDuty} {
 		if s.state.Journal(name).Current() != nil {
 			return false
 		}
@@ -401,7 +401,7 @@
 	}
 	m, _ := s.head()
 	for i := range simMoves {
-		it := s.state.Journal(controller.MapKeeper).Item(fmt.Sprint("m", i))
+		it := s.state.Journal(controller.PlacementDuty).Item(fmt.Sprint("m", i))
 		homes := len(m.Tenants[i].Homes)
 		switch {
 		case it.State == controller.Done && homes == 2:
@@ -411,7 +411,7 @@
 			s.broke("%s is %s (%s), t%d has %d homes", it.ID, it.State, it.Note, i, homes)
 		}
 	}
-	r := s.state.Journal(controller.Conducts).Item("r")
+	r := s.state.Journal(controller.RolloutDuty).Item("r")
 	switch r.State {
 	case controller.Done:
 		s.Finished++
--- a/internal/testkit/harness/group.go
+++ b/internal/testkit/harness/group.go
@@ -193,7 +193,7 @@
 	for end := time.Now().Add(within); ; time.Sleep(10 * time.Millisecond) {
 		v, e := g.View()
 		if e == nil && v.Journals[duty].Item(id) != nil {
-			if it = *v.Journals[duty].Item(id); it.State.Over() {
+			if it = *v.Journals[duty].Item(id); it.State.Finished() {
 				return it, nil
 			}
 		}
