--- a/cmd/silverpath/duty.go
+++ b/cmd/silverpath/duty.go
@@ -110,7 +110,7 @@
 			return inTime(&g, within, func(ctx context.Context) error {
 				a := ask()
 				a.Duty = name
-				r, err := agreed(ctx, &g, statemachine.Command{Ask: &a})
+				r, err := agreed(ctx, &g, statemachine.Command{Lease: &a})
 				if err == nil {
 					fmt.Fprintf(c.OutOrStdout(), "%s: owner %q, epoch %v, next %q, paused %q\n", name, r.Duty.Holder, r.Duty.Epoch, r.Duty.Successor, r.Duty.PauseReason)
 				}
@@ -166,7 +166,7 @@
 			return err
 		}
 		id := kind + "-" + newID()
-		if _, err := agreed(ctx, g, statemachine.Command{Submit: &statemachine.Submit{Duty: controller.PlacementDuty, ID: id, Kind: kind, Args: raw}}); err != nil {
+		if _, err := agreed(ctx, g, statemachine.Command{Submit: &statemachine.SubmitItem{Duty: controller.PlacementDuty, ID: id, Kind: kind, Args: raw}}); err != nil {
 			return err
 		}
 		it, err := followItem(ctx, g, controller.PlacementDuty, id, func(controller.Item) {})
@@ -207,7 +207,7 @@
 					return err
 				}
 				id := "roll-" + newID()
-				if _, err := agreed(ctx, &g, statemachine.Command{Submit: &statemachine.Submit{Duty: controller.RolloutDuty, ID: id, Kind: controller.KindRollout, Args: args}}); err != nil {
+				if _, err := agreed(ctx, &g, statemachine.Command{Submit: &statemachine.SubmitItem{Duty: controller.RolloutDuty, ID: id, Kind: controller.KindRollout, Args: args}}); err != nil {
 					return err
 				}
 				fmt.Fprintln(c.OutOrStdout(), id)
@@ -276,7 +276,7 @@
 				if it == nil {
 					return errors.New("no roll is under way")
 				}
-				_, err = agreed(ctx, &g, statemachine.Command{Wish: &statemachine.Wish{Duty: controller.RolloutDuty, ID: it.ID, Wish: use}})
+				_, err = agreed(ctx, &g, statemachine.Command{Directive: &statemachine.Directive{Duty: controller.RolloutDuty, ID: it.ID, Directive: use}})
 				return err
 			})
 		}}
--- a/cmd/silverpath/group_test.go
+++ b/cmd/silverpath/group_test.go
@@ -218,7 +218,7 @@
 func TestMembers(t *testing.T) {
 	g := newGroup(t, 3)
 	for i := range 30 {
-		g.do(statemachine.Command{Ask: &lease.Request{Op: lease.Pause, Duty: controller.RolloutDuty, Reason: fmt.Sprint(i)}})
+		g.do(statemachine.Command{Lease: &lease.Request{Op: lease.Pause, Duty: controller.RolloutDuty, Reason: fmt.Sprint(i)}})
 	}
 	stranger := &quorum.Client{Group: "other", Addrs: g.Client.Addrs}
 	defer stranger.Close()
@@ -264,7 +264,7 @@
 		t.Fatal(err)
 	}
 	for i := range 30 {
-		g.do(statemachine.Command{Ask: &lease.Request{Op: lease.Pause, Duty: controller.RolloutDuty, Reason: fmt.Sprint("b", i)}})
+		g.do(statemachine.Command{Lease: &lease.Request{Op: lease.Pause, Duty: controller.RolloutDuty, Reason: fmt.Sprint("b", i)}})
 	}
 	time.Sleep(1300 * time.Millisecond) // it has said how far it is
 	g.Members[x].Kill()
@@ -285,7 +285,7 @@
 func TestGroupDisks(t *testing.T) {
 	g := newGroup(t, 3)
 	ask := func(op lease.Op, who string, e lease.Epoch) statemachine.Result {
-		return g.do(statemachine.Command{Ask: &lease.Request{Op: op, Duty: controller.MonitorDuty, Process: who, Epoch: e}})
+		return g.do(statemachine.Command{Lease: &lease.Request{Op: op, Duty: controller.MonitorDuty, Process: who, Epoch: e}})
 	}
 	last := lease.Epoch(0)
 	for n := range 4 {
@@ -621,7 +621,7 @@
 				var err error
 				if n%2 == 0 {
 					in = fmt.Sprint(c, "-", n)
-					_, err = client.Do(g.within(400*time.Millisecond), statemachine.Command{Ask: &lease.Request{Op: lease.Pause, Duty: controller.MonitorDuty, Reason: in}})
+					_, err = client.Do(g.within(400*time.Millisecond), statemachine.Command{Lease: &lease.Request{Op: lease.Pause, Duty: controller.MonitorDuty, Reason: in}})
 				} else {
 					var v quorum.View
 					v, err = client.Read(g.within(400*time.Millisecond), "")
@@ -926,7 +926,7 @@
 		var wg sync.WaitGroup
 		for k, c := range clients {
 			wg.Go(func() {
-				r, err := c.Do(g.within(10*time.Second), statemachine.Command{Ask: &lease.Request{Op: lease.Acquire, Duty: controller.MonitorDuty, Process: fmt.Sprint("c", k, "-", n)}})
+				r, err := c.Do(g.within(10*time.Second), statemachine.Command{Lease: &lease.Request{Op: lease.Acquire, Duty: controller.MonitorDuty, Process: fmt.Sprint("c", k, "-", n)}})
 				if err != nil || r.Duty == nil {
 					t.Error(err, r.Error)
 					return
@@ -942,12 +942,12 @@
 			t.Fatalf("round %d: %+v, %+v", n, got[0], got[1])
 		}
 		first := got[0].Holder
-		r := g.do(statemachine.Command{Ask: &lease.Request{Op: lease.Release, Duty: controller.MonitorDuty, Process: first, Epoch: got[0].Epoch}})
+		r := g.do(statemachine.Command{Lease: &lease.Request{Op: lease.Release, Duty: controller.MonitorDuty, Process: first, Epoch: got[0].Epoch}})
 		if r.Error != "" || r.Duty.Holder == first || r.Duty.Holder == "" || r.Duty.Epoch != got[0].Epoch+1 {
 			t.Fatalf("round %d: %s, %+v", n, r.Error, r.Duty)
 		}
 		last = r.Duty.Epoch
-		g.do(statemachine.Command{Ask: &lease.Request{Op: lease.Release, Duty: controller.MonitorDuty, Process: r.Duty.Holder, Epoch: last}})
+		g.do(statemachine.Command{Lease: &lease.Request{Op: lease.Release, Duty: controller.MonitorDuty, Process: r.Duty.Holder, Epoch: last}})
 	}
 	for _, c := range clients {
 		c.Close()
@@ -995,7 +995,7 @@
 	if me := fmt.Sprint("q", lead, "#"); !strings.HasPrefix(holder(), me) {
 		for _, w := range g.view().Table.Duties[controller.PlacementDuty].Queue {
 			if strings.HasPrefix(w, me) {
-				g.do(statemachine.Command{Ask: &lease.Request{Op: lease.Transfer, Duty: controller.PlacementDuty, Process: w}})
+				g.do(statemachine.Command{Lease: &lease.Request{Op: lease.Transfer, Duty: controller.PlacementDuty, Process: w}})
 			}
 		}
 		await(t, "handed on by consent", 5*time.Second, func() bool { return strings.HasPrefix(holder(), me) })
@@ -1056,7 +1056,7 @@
 		w.Set(faults.Back, faults.Fate{})
 	}
 	g.awaitLeader()
-	g.do(statemachine.Command{Ask: &lease.Request{Op: lease.Pause, Duty: controller.MonitorDuty}})
+	g.do(statemachine.Command{Lease: &lease.Request{Op: lease.Pause, Duty: controller.MonitorDuty}})
 }
 
 // One that was stopped after it had seen that it owns the duty, and before its word in the journal, wakes when another one owns
@@ -1073,7 +1073,7 @@
 		t.Fatal(err)
 	}
 	await(t, "another owner", 10*time.Second, func() bool {
-		r := g.do(statemachine.Command{Ask: &lease.Request{Op: lease.Acquire, Duty: controller.PlacementDuty, Process: "next"}})
+		r := g.do(statemachine.Command{Lease: &lease.Request{Op: lease.Acquire, Duty: controller.PlacementDuty, Process: "next"}})
 		return r.Duty != nil && r.Duty.Holder == "next"
 	})
 	old.Wake()
@@ -1095,7 +1095,7 @@
 		t.Fatal(err)
 	}
 	time.Sleep(1300 * time.Millisecond) // too late to be announced a lease ahead
-	g.do(statemachine.Command{Ask: &lease.Request{Op: lease.Pause, Duty: controller.PlacementDuty, Reason: "nothing new"}})
+	g.do(statemachine.Command{Lease: &lease.Request{Op: lease.Pause, Duty: controller.PlacementDuty, Reason: "nothing new"}})
 	next := g.owner("next", dir, []string{controller.PlacementDuty}, nil)
 	if _, err := next.Await(10*time.Second, 0, "map.withdraw", "version=2"); err != nil {
 		t.Fatal(err)
@@ -1109,7 +1109,7 @@
 	if m, _, err := (proxy.Series{Dir: dir}).Head(); err != nil || m.Version != 1 {
 		t.Errorf("version %d was published by one that woke, %v", m.Version, err)
 	}
-	g.do(statemachine.Command{Ask: &lease.Request{Op: lease.Resume, Duty: controller.PlacementDuty}})
+	g.do(statemachine.Command{Lease: &lease.Request{Op: lease.Resume, Duty: controller.PlacementDuty}})
 	if it := g.over(controller.PlacementDuty, "m", 10*time.Second); it.State != controller.Done || it.Note != "version 3" {
 		t.Errorf("%s: %s", it.State, it.Note)
 	}
@@ -1120,10 +1120,10 @@
 func TestStaleLeader(t *testing.T) {
 	g := newGroup(t, 3)
 	write := func(why string) {
-		g.do(statemachine.Command{Ask: &lease.Request{Op: lease.Pause, Duty: controller.MonitorDuty, Reason: why}})
+		g.do(statemachine.Command{Lease: &lease.Request{Op: lease.Pause, Duty: controller.MonitorDuty, Reason: why}})
 	}
 	write("old")
-	g.do(statemachine.Command{Ask: &lease.Request{Op: lease.Acquire, Duty: controller.MonitorDuty, Process: "holder"}})
+	g.do(statemachine.Command{Lease: &lease.Request{Op: lease.Acquire, Duty: controller.MonitorDuty, Process: "holder"}})
 	for range 5 {
 		lead := g.awaitLeader()
 		write("old")
@@ -1146,7 +1146,7 @@
 					if v, err := direct.Read(ctx, ""); err == nil && v.Table.Duties[controller.MonitorDuty].PauseReason != "new" {
 						t.Errorf("a leader of the past answers %q", v.Table.Duties[controller.MonitorDuty].PauseReason)
 					}
-					r, err := direct.Do(ctx, statemachine.Command{Ask: &lease.Request{Op: lease.Renew, Duty: controller.MonitorDuty, Process: "holder", Epoch: lease.BaseEpoch(1) + 1}})
+					r, err := direct.Do(ctx, statemachine.Command{Lease: &lease.Request{Op: lease.Renew, Duty: controller.MonitorDuty, Process: "holder", Epoch: lease.BaseEpoch(1) + 1}})
 					if err == nil && r.Error == "" {
 						t.Error("a leader of the past renews a lease")
 					}
--- a/cmd/silverpath/parts.go
+++ b/cmd/silverpath/parts.go
@@ -93,7 +93,7 @@
 	}
 	ask.Draft = newID()
 	for _, one := range batches {
-		if _, err := agreed(ctx, g, statemachine.Command{Rule: &configstore.Change{Op: configstore.Load, Doc: ask.Doc, Draft: ask.Draft, Parts: one, By: ask.By}}); err != nil {
+		if _, err := agreed(ctx, g, statemachine.Command{Config: &configstore.Change{Op: configstore.Load, Doc: ask.Doc, Draft: ask.Draft, Parts: one, By: ask.By}}); err != nil {
 			return err
 		}
 	}
@@ -102,7 +102,7 @@
 
 // membersRead names a member that could not keep a document in parts, before the first one is put: it would lose its place in the log.
 func membersRead(ctx context.Context, g *quorum.Client) error {
-	var members []statemachine.Peer
+	var members []statemachine.Member
 	var err error
 	for _, addr := range g.Addrs {
 		var st quorum.Status
--- a/cmd/silverpath/parts_test.go
+++ b/cmd/silverpath/parts_test.go
@@ -170,7 +170,7 @@
 			cut.Freeze()
 			from := whole.Lines()
 			// Not by the tool: a turn lasts for a lease, and the tool has to start first.
-			if r := f.g.do(statemachine.Command{Rule: &configstore.Change{Op: configstore.Release, Doc: doc, Version: version}}); r.Error != "" {
+			if r := f.g.do(statemachine.Command{Config: &configstore.Change{Op: configstore.Release, Doc: doc, Version: version}}); r.Error != "" {
 				t.Fatal(r.Error)
 			}
 			_, err := whole.Await(2*time.Second, from, "rules: nothing that is exclusive begins: turning")
--- a/cmd/silverpath/rules.go
+++ b/cmd/silverpath/rules.go
@@ -87,7 +87,7 @@
 				default:
 					return errors.New("no change is under way")
 				}
-				got, err := agreed(ctx, &g, statemachine.Command{Rule: &ask})
+				got, err := agreed(ctx, &g, statemachine.Command{Config: &ask})
 				if err == nil {
 					fmt.Fprintf(cc.ErrOrStderr(), "%s: version %d: %s\n", args[0], got.Version, ask.Op)
 				}
@@ -177,7 +177,7 @@
 						return err
 					}
 				}
-				got, err := agreed(ctx, g, statemachine.Command{Rule: &ask})
+				got, err := agreed(ctx, g, statemachine.Command{Config: &ask})
 				if n := 0; err != nil {
 					if n = putAlready(ctx, g, ask, digest, top); n == 0 {
 						return err
--- a/internal/controlplane/quorum/client.go
+++ b/internal/controlplane/quorum/client.go
@@ -164,7 +164,7 @@
 		return r, err
 	}
 	method := "group.do"
-	if cmd.Ask != nil && cmd.Ask.Op == lease.Renew {
+	if cmd.Lease != nil && cmd.Lease.Op == lease.Renew {
 		method = "group.renew"
 	}
 	out, err := c.ask(ctx, method, nil, body)
@@ -257,7 +257,7 @@
 		if err != nil {
 			return f, fmt.Errorf("%s: %w", addr, err)
 		}
-		f.Members = append(f.Members, statemachine.Peer{ID: idOf(s.ID), Name: s.Name, Addr: addr})
+		f.Members = append(f.Members, statemachine.Member{ID: idOf(s.ID), Name: s.Name, Addr: addr})
 	}
 	id := f.ID()
 	for _, addr := range c.Addrs {
@@ -292,7 +292,7 @@
 	if err := c.must(ctx, addr, "group.join", Joining{ID: at.GroupID, Members: at.Members}); err != nil {
 		return err
 	}
-	p, _ := json.Marshal(statemachine.Peer{ID: idOf(s.ID), Name: s.Name, Addr: addr})
+	p, _ := json.Marshal(statemachine.Member{ID: idOf(s.ID), Name: s.Name, Addr: addr})
 	for {
 		out, err := c.ask(ctx, "group.add", nil, p)
 		if err != nil || string(out) == `"voter"` {
--- a/internal/controlplane/quorum/member/golden_test.go
+++ b/internal/controlplane/quorum/member/golden_test.go
@@ -241,9 +241,9 @@
 			t.Fatal(err)
 		}
 	}
-	_, err := c.Do(ctx, statemachine.Command{Ask: &lease.Request{Op: lease.Acquire, Duty: "keeper", Process: "a#1"}})
+	_, err := c.Do(ctx, statemachine.Command{Lease: &lease.Request{Op: lease.Acquire, Duty: "keeper", Process: "a#1"}})
 	must(err)
-	_, err = c.Do(ctx, statemachine.Command{Ask: &lease.Request{Op: lease.Renew, Duty: "keeper", Process: "a#1", Epoch: 4294967297}})
+	_, err = c.Do(ctx, statemachine.Command{Lease: &lease.Request{Op: lease.Renew, Duty: "keeper", Process: "a#1", Epoch: 4294967297}})
 	must(err)
 	v, err := c.Read(ctx, "*")
 	must(err)
--- a/internal/controlplane/quorum/member/member.go
+++ b/internal/controlplane/quorum/member/member.go
@@ -192,7 +192,7 @@
 		return err
 	}
 	if raft.IsEmptySnap(snap) { // it has joined, and heard nothing yet
-		peers, err := get[[]statemachine.Peer](m.disk, keyPeers)
+		peers, err := get[[]statemachine.Member](m.disk, keyPeers)
 		if err != nil {
 			return fmt.Errorf("%s: who else there is: %w", m.cfg.Dir, err)
 		}
@@ -425,13 +425,13 @@
 			r = m.state.Apply(c)
 		}
 		m.stats.Inc("group", "applied")
-		if c.Ask != nil {
-			m.asked(*c.Ask, r)
+		if c.Lease != nil {
+			m.asked(*c.Lease, r)
 		}
-		if c.Rule != nil {
-			m.ruled(*c.Rule, r)
+		if c.Config != nil {
+			m.ruled(*c.Config, r)
 		}
-		for _, w := range c.Words {
+		for _, w := range c.ConfigBatch {
 			m.ruled(w, statemachine.Result{})
 		}
 		id := binary.BigEndian.Uint64(e.GetData())
@@ -483,7 +483,7 @@
 func (m *Member) lapse() {
 	if m.leads && m.caughtUp {
 		for _, a := range m.watch.Overdue(m.state.Table, m.clock()) {
-			if err := m.propose(statemachine.Command{Ask: &a}, nil); err != nil {
+			if err := m.propose(statemachine.Command{Lease: &a}, nil); err != nil {
 				m.watch.ProposalDropped(a)
 			}
 		}
@@ -512,11 +512,11 @@
 	if len(m.waiting) >= mostReads {
 		return errBusy
 	}
-	if c.Ask != nil {
-		c.Ask.ProposedAt = time.Now().UnixMilli()
+	if c.Lease != nil {
+		c.Lease.ProposedAt = time.Now().UnixMilli()
 	}
-	if c.Rule != nil {
-		c.Rule.At = time.Now().UnixMilli()
+	if c.Config != nil {
+		c.Config.At = time.Now().UnixMilli()
 	}
 	m.seq++
 	id := m.salt + m.seq
@@ -615,7 +615,7 @@
 			continue
 		}
 		ctx, cancel := context.WithCancel(m.ctx)
-		p := &peer{Peer: q, queue: make(chan *pb.Message, queued), stop: cancel}
+		p := &peer{Member: q, queue: make(chan *pb.Message, queued), stop: cancel}
 		m.peers[id] = p
 		m.joining.Go(func() { m.carry(ctx, p) })
 	}
@@ -686,7 +686,7 @@
 		for _, p := range m.state.Members {
 			s.Members = append(s.Members, p)
 		}
-		slices.SortFunc(s.Members, func(a, b statemachine.Peer) int { return strings.Compare(a.Name, b.Name) })
+		slices.SortFunc(s.Members, func(a, b statemachine.Member) int { return strings.Compare(a.Name, b.Name) })
 		switch {
 		case !m.confirmed:
 			s.State = "unconfirmed"
--- a/internal/controlplane/quorum/member/parts.go
+++ b/internal/controlplane/quorum/member/parts.go
@@ -29,7 +29,7 @@
 		answer(m.elsewhere())
 		return
 	}
-	d := m.state.Rules.Docs[ask.Doc]
+	d := m.state.Config.Docs[ask.Doc]
 	if d == nil {
 		answer(no(quorum.WordNo, "no document %q", ask.Doc))
 		return
@@ -76,7 +76,7 @@
 		}
 		return configstore.Diff(c.Doc, old, c.Text)
 	}
-	d := m.state.Rules.Docs[c.Doc]
+	d := m.state.Config.Docs[c.Doc]
 	if d == nil {
 		d = &configstore.Doc{Name: c.Doc}
 	}
@@ -170,10 +170,10 @@
 // it, what comes while the disk is busy is one entry.
 func (m *Member) says(c configstore.Change, done func(r statemachine.Result, ok bool)) error {
 	if !slices.ContainsFunc(configstore.Docs, func(name string) bool {
-		d := m.state.Rules.Docs[name]
+		d := m.state.Config.Docs[name]
 		return d != nil && d.Force != nil && d.Force.Split
 	}) {
-		return m.propose(statemachine.Command{Rule: &c}, done)
+		return m.propose(statemachine.Command{Config: &c}, done)
 	}
 	if len(m.words) >= mostReads {
 		return errBusy
@@ -194,7 +194,7 @@
 				one(r, ok)
 			}
 		}
-		if err := m.propose(statemachine.Command{Words: words}, all); err != nil {
+		if err := m.propose(statemachine.Command{ConfigBatch: words}, all); err != nil {
 			all(statemachine.Result{}, false)
 			continue
 		}
--- a/internal/controlplane/quorum/member/parts_test.go
+++ b/internal/controlplane/quorum/member/parts_test.go
@@ -115,7 +115,7 @@
 	g.t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
-	r, err := g.Do(ctx, statemachine.Command{Rule: &c})
+	r, err := g.Do(ctx, statemachine.Command{Config: &c})
 	if err != nil {
 		g.t.Fatal(err)
 	}
@@ -335,7 +335,7 @@
 		"bytes in one command":           {Op: configstore.Put, Doc: configstore.DocMap, Version: version, By: strings.Repeat("\x01", 100_000)},
 	} {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
-		r, err := g.Do(ctx, statemachine.Command{Rule: &c})
+		r, err := g.Do(ctx, statemachine.Command{Config: &c})
 		cancel()
 		if got := fmt.Sprint(r.Error, err); !strings.Contains(got, why) || strings.Contains(got, "\n") {
 			t.Errorf("%q, not %q", got, why)
--- a/internal/controlplane/quorum/member/peer.go
+++ b/internal/controlplane/quorum/member/peer.go
@@ -17,7 +17,7 @@
 
 // peer carries words to one other member. What can't be sent is dropped: the library sends it again where it matters.
 type peer struct {
-	statemachine.Peer
+	statemachine.Member
 	queue chan *pb.Message
 	stop  context.CancelFunc
 }
--- a/internal/controlplane/quorum/member/rules.go
+++ b/internal/controlplane/quorum/member/rules.go
@@ -26,8 +26,8 @@
 		answer(m.elsewhere())
 		return
 	}
-	if name := unread(m.state.Rules, s.User); name != "" {
-		answer(no(quorum.WordNo, "what is in force of %s is of format %d: this build reads %d", name, m.state.Rules.Docs[name].Force.Format, s.User.Reads[name]))
+	if name := unread(m.state.Config, s.User); name != "" {
+		answer(no(quorum.WordNo, "what is in force of %s is of format %d: this build reads %d", name, m.state.Config.Docs[name].Force.Format, s.User.Reads[name]))
 		return
 	}
 	if !m.users.Heard(s.User.Name, m.clock(), s.Acts, s.Worth, s.Stops) {
@@ -36,16 +36,16 @@
 	}
 	grant := m.grant(s)
 	tell := func(ok bool) {
-		u := m.state.Rules.Users[s.User.Name]
+		u := m.state.Config.Users[s.User.Name]
 		switch {
-		case ok && u == nil && len(m.state.Rules.Users) >= configstore.MostUsers:
+		case ok && u == nil && len(m.state.Config.Users) >= configstore.MostUsers:
 			answer(no(quorum.WordNo, "%d processes are registered already", configstore.MostUsers))
 			return
-		case !ok, u == nil, unread(m.state.Rules, s.User) != "":
+		case !ok, u == nil, unread(m.state.Config, s.User) != "":
 			answer(msgpackrpc.CallResult{Error: quorum.WordLost})
 			return
 		}
-		b, err := json.Marshal(quorum.Synced{Terms: m.state.Terms, Index: m.applied, Wall: time.Now().UnixMilli(), Docs: views(m.state.Rules, u, s), Grant: grant})
+		b, err := json.Marshal(quorum.Synced{Terms: m.state.Terms, Index: m.applied, Wall: time.Now().UnixMilli(), Docs: views(m.state.Config, u, s), Grant: grant})
 		if err != nil {
 			answer(no(quorum.WordNo, "%v", err))
 			return
@@ -53,9 +53,9 @@
 		answer(msgpackrpc.CallResult{Body: b})
 	}
 	var err error
-	if m.state.Rules.New(s.User) {
+	if m.state.Config.New(s.User) {
 		c := configstore.Change{Op: configstore.Say, User: &s.User}
-		if m.state.Rules.Users[s.User.Name] == nil {
+		if m.state.Config.Users[s.User.Name] == nil {
 			c.Op = configstore.Join
 		}
 		err = m.says(c, func(r statemachine.Result, ok bool) {
@@ -76,7 +76,7 @@
 // grant is what a router is given of the cells that it shares with others. It counts as given from here on, whether or not the answer
 // ever comes there.
 func (m *Member) grant(s quorum.Sync) *quota.Grant {
-	d := m.state.Rules.Docs[configstore.DocMap]
+	d := m.state.Config.Docs[configstore.DocMap]
 	if s.Share == nil || d == nil || d.Force == nil {
 		return nil
 	}
@@ -109,7 +109,7 @@
 			answer(msgpackrpc.CallResult{Error: quorum.WordLost})
 			return
 		}
-		b, err := json.Marshal(quorum.Rules{Book: m.state.Rules.Listed(), Heard: m.users.List(m.clock()), Terms: m.state.Terms, Wall: time.Now().UnixMilli(), Lent: m.ledger.LentRatios(m.clock())})
+		b, err := json.Marshal(quorum.Rules{Book: m.state.Config.Listed(), Heard: m.users.List(m.clock()), Terms: m.state.Terms, Wall: time.Now().UnixMilli(), Lent: m.ledger.LentRatios(m.clock())})
 		if err != nil {
 			answer(no(quorum.WordNo, "%v", err))
 			return
@@ -145,7 +145,7 @@
 	}
 	var force *configstore.Entry
 	version := 0
-	if d := m.state.Rules.Docs[c.Doc]; d != nil && d.Force != nil {
+	if d := m.state.Config.Docs[c.Doc]; d != nil && d.Force != nil {
 		force, version = d.Force, d.Force.ID.Version
 	}
 	if c.Version != version {
@@ -170,8 +170,8 @@
 
 // overRules proposes what the leader's time has come for.
 func (m *Member) overRules() {
-	for _, c := range m.users.Due(m.state.Rules, m.clock()) {
-		if err := m.propose(statemachine.Command{Rule: &c}, nil); err != nil && c.Op == configstore.Lapse {
+	for _, c := range m.users.Due(m.state.Config, m.clock()) {
+		if err := m.propose(statemachine.Command{Config: &c}, nil); err != nil && c.Op == configstore.Lapse {
 			m.users.Lapsed(c.By)
 		}
 	}
--- a/internal/controlplane/quorum/member/store.go
+++ b/internal/controlplane/quorum/member/store.go
@@ -209,7 +209,7 @@
 }
 
 // join makes the member one that listens to a group.
-func (s *store) join(who Identity, peers []statemachine.Peer) error {
+func (s *store) join(who Identity, peers []statemachine.Member) error {
 	return s.write("join", func(tx *bbolt.Tx) error {
 		return errors.Join(put(tx, keyWho, who), put(tx, keyPeers, peers))
 	})
--- a/internal/controlplane/quorum/member/words.go
+++ b/internal/controlplane/quorum/member/words.go
@@ -22,7 +22,7 @@
 // change is the context of a change of members.
 type change struct {
 	Seq    uint64            `json:"seq"`
-	Peer   statemachine.Peer `json:"peer"`
+	Peer   statemachine.Member `json:"peer"`
 	Remove uint64            `json:"remove,omitempty"`
 }
 
@@ -161,7 +161,7 @@
 		return msgpackrpc.CallResult{}
 	case who.Group != "":
 		return no(quorum.WordNo, "member %s belongs to group %s already", who.Name, who.Group)
-	case f.Group != m.cfg.Group || !slices.ContainsFunc(f.Members, func(p statemachine.Peer) bool { return p.ID == who.ID }):
+	case f.Group != m.cfg.Group || !slices.ContainsFunc(f.Members, func(p statemachine.Member) bool { return p.ID == who.ID }):
 		return no(quorum.WordNo, "not among the first members")
 	}
 	if err := f.Terms.Check(); err != nil {
@@ -246,27 +246,27 @@
 		answer(no(quorum.WordNo, "%v", err))
 		return
 	}
-	if c.Ask != nil && (c.Ask.Op == lease.Expire || c.Ask.Op == lease.Dequeue && c.Ask.Reason == "") {
+	if c.Lease != nil && (c.Lease.Op == lease.Expire || c.Lease.Op == lease.Dequeue && c.Lease.Reason == "") {
 		answer(no(quorum.WordNo, "only the group's leader may"))
 		return
 	}
-	if c.Rule != nil {
+	if c.Config != nil {
 		if !m.leads || !m.caughtUp {
 			answer(m.elsewhere())
 			return
 		}
-		if why := m.mayAsk(c.Rule); why != "" {
+		if why := m.mayAsk(c.Config); why != "" {
 			answer(result(statemachine.Result{Error: why}, true))
 			return
 		}
 	}
-	if c.Ask != nil && c.Ask.Op == lease.Acquire && m.leads {
+	if c.Lease != nil && c.Lease.Op == lease.Acquire && m.leads {
 		// Who has it, or waits already, changes nothing: no word in the log.
-		if d := m.state.Table.Duties[c.Ask.Duty]; d != nil && (d.Holder == c.Ask.Process || slices.Contains(d.Queue, c.Ask.Process)) {
+		if d := m.state.Table.Duties[c.Lease.Duty]; d != nil && (d.Holder == c.Lease.Process || slices.Contains(d.Queue, c.Lease.Process)) {
 			m.renew(w, answer)
 			return
 		}
-		m.watch.RecordWaiter(c.Ask.Duty, c.Ask.Process, m.clock())
+		m.watch.RecordWaiter(c.Lease.Duty, c.Lease.Process, m.clock())
 	}
 	if err := m.propose(c, func(r statemachine.Result, ok bool) { answer(result(r, ok)) }); err == errNotLeader {
 		answer(m.elsewhere())
@@ -281,11 +281,11 @@
 // that it led after the word came.
 func (m *Member) renew(w msgpackrpc.Call, answer func(msgpackrpc.CallResult)) {
 	var c statemachine.Command
-	if err := json.Unmarshal(w.Body, &c); err != nil || c.Ask == nil {
+	if err := json.Unmarshal(w.Body, &c); err != nil || c.Lease == nil {
 		answer(no(quorum.WordNo, "no renewal"))
 		return
 	}
-	a, now := *c.Ask, m.clock()
+	a, now := *c.Lease, m.clock()
 	d := m.state.Table.Duties[a.Duty]
 	if !m.leads || !m.caughtUp {
 		answer(m.elsewhere())
@@ -303,7 +303,7 @@
 			copied := *d
 			r.Duty = &copied
 			if ending && d.Holder == a.Process || a.Op == lease.Renew && (d.Holder != a.Process || d.Epoch != a.Epoch) {
-				r.Error, r.Kind = d.StaleError(a.Epoch).Error(), statemachine.Stale
+				r.Error, r.ErrorKind = d.StaleError(a.Epoch).Error(), statemachine.KindStaleEpoch
 			}
 		} else {
 			r.Error = lease.ErrUnknownDuty.Error()
@@ -347,7 +347,7 @@
 // change adds a member, first as one that only listens and then, asked again once it has caught up, with a vote, or removes
 // one: one at a time.
 func (m *Member) change(w msgpackrpc.Call, answer func(msgpackrpc.CallResult)) {
-	var p statemachine.Peer
+	var p statemachine.Member
 	if err := json.Unmarshal(w.Body, &p); err != nil || p.ID == 0 {
 		answer(no(quorum.WordNo, "no member"))
 		return
--- a/internal/controlplane/quorum/quorum.go
+++ b/internal/controlplane/quorum/quorum.go
@@ -35,19 +35,19 @@
 // Founding is what the first members of a group are told.
 type Founding struct {
 	Group   string              `json:"group"`
-	Members []statemachine.Peer `json:"members"`
+	Members []statemachine.Member `json:"members"`
 	Terms   lease.Terms         `json:"terms"`
 }
 
 // Joining is what a new member is told: the group that it is to be one of, and who to listen to.
 type Joining struct {
 	ID      string              `json:"id"`
-	Members []statemachine.Peer `json:"members"`
+	Members []statemachine.Member `json:"members"`
 }
 
 // ID is the number of the group that it founds: the same first members make the same group.
 func (f Founding) ID() string {
-	slices.SortFunc(f.Members, func(a, b statemachine.Peer) int { return strings.Compare(a.Name, b.Name) })
+	slices.SortFunc(f.Members, func(a, b statemachine.Member) int { return strings.Compare(a.Name, b.Name) })
 	b, _ := json.Marshal(f)
 	sum := sha256.Sum256(b)
 	return hex.EncodeToString(sum[:8])
@@ -75,7 +75,7 @@
 	Starts    uint64              `json:"starts"`
 	Syncs     uint64              `json:"syncs"`
 	Voter     bool                `json:"voter"`
-	Members   []statemachine.Peer `json:"members"`
+	Members   []statemachine.Member `json:"members"`
 	TermsTTL  int64               `json:"lease_ms"`
 	Drift     float64             `json:"drift"`
 	Confirmed bool                `json:"confirmed"`
--- a/internal/controlplane/runner/golden_test.go
+++ b/internal/controlplane/runner/golden_test.go
@@ -74,7 +74,7 @@
 		t.Helper()
 		asking, cancel := context.WithTimeout(ctx, 20*time.Second)
 		defer cancel()
-		if r, err := client.Do(asking, statemachine.Command{Submit: &statemachine.Submit{Duty: duty, ID: id, Kind: kind, Args: []byte(args)}}); err != nil || r.Error != "" {
+		if r, err := client.Do(asking, statemachine.Command{Submit: &statemachine.SubmitItem{Duty: duty, ID: id, Kind: kind, Args: []byte(args)}}); err != nil || r.Error != "" {
 			t.Fatal(err, r.Error)
 		}
 	}
--- a/internal/controlplane/runner/owner.go
+++ b/internal/controlplane/runner/owner.go
@@ -223,7 +223,7 @@
 			go func() {
 				asking, cancel := context.WithTimeout(context.Background(), askFor)
 				defer cancel()
-				r, err := d.cfg.Group.Do(asking, statemachine.Command{Ask: &a})
+				r, err := d.cfg.Group.Do(asking, statemachine.Command{Lease: &a})
 				if err != nil || r.Duty == nil {
 					return // its lease runs out by itself
 				}
@@ -341,12 +341,12 @@
 	w.Duty, w.Process, w.Epoch, w.Step = d.name, d.who, epoch, j.Step+1
 	asking, cancel := context.WithTimeout(ctx, askFor)
 	defer cancel()
-	r, err := d.cfg.Group.Do(asking, statemachine.Command{Write: &w})
+	r, err := d.cfg.Group.Do(asking, statemachine.Command{Journal: &w})
 	if err != nil {
 		return err // whether it is there is seen with the next look
 	}
 	if r.Error != "" {
-		d.cfg.Stats.Inc("duty_refused", d.name, r.Kind)
+		d.cfg.Stats.Inc("duty_refused", d.name, r.ErrorKind)
 		d.log.Warn().Str("event", "duty.refused").Stringer("epoch", epoch).Uint64("step", w.Step).Str("why", r.Error).Send()
 		return errors.New(r.Error)
 	}
@@ -375,7 +375,7 @@
 		var g, n uint64
 		if _, err := fmt.Sscanf(saw, "%d.%d was seen", &g, &n); err == nil {
 			// The group knows less than the server: it was set back. It rises above what was seen.
-			d.cfg.Group.Do(asking, statemachine.Command{Ask: &lease.Request{Op: lease.RaiseEpoch, Duty: d.name, Epoch: lease.Epoch(g<<32 | n)}})
+			d.cfg.Group.Do(asking, statemachine.Command{Lease: &lease.Request{Op: lease.RaiseEpoch, Duty: d.name, Epoch: lease.Epoch(g<<32 | n)}})
 		}
 	}
 	return yes
@@ -569,7 +569,7 @@
 			return err
 		}
 		asking, cancel := context.WithTimeout(context.Background(), askFor)
-		_, err = o.cfg.Group.Do(asking, statemachine.Command{Submit: &statemachine.Submit{Duty: controller.PlacementDuty, ID: id, Kind: controller.KindGone, Args: args}})
+		_, err = o.cfg.Group.Do(asking, statemachine.Command{Submit: &statemachine.SubmitItem{Duty: controller.PlacementDuty, ID: id, Kind: controller.KindGone, Args: args}})
 		cancel()
 		if err != nil {
 			o.mu.Lock()
--- a/internal/policy/capacity/page_test.go
+++ b/internal/policy/capacity/page_test.go
@@ -259,7 +259,7 @@
 	}
 	snapshot := func(users int) int {
 		s := statemachine.New(1)
-		s.Rules, _ = book(users)
+		s.Config, _ = book(users)
 		b, err := s.Snapshot()
 		if err != nil {
 			t.Fatal(err)
@@ -318,7 +318,7 @@
 	s := statemachine.New(1)
 	do := func(c configstore.Change) {
 		t.Helper()
-		if r := s.Apply(statemachine.Command{Rule: &c}); r.Error != "" {
+		if r := s.Apply(statemachine.Command{Config: &c}); r.Error != "" {
 			t.Fatal(r.Error)
 		}
 	}
@@ -354,7 +354,7 @@
 		t.Fatal(err)
 	}
 	within("snapshot", len(b), at("leader", "bytes of a snapshot of the group", capacity.Rest))
-	within("reading", wrote(quorum.Rules{Book: s.Rules.Listed(), Heard: heard}), at("tool", "bytes of one reading of the rules", capacity.Rest))
+	within("reading", wrote(quorum.Rules{Book: s.Config.Listed(), Heard: heard}), at("tool", "bytes of one reading of the rules", capacity.Rest))
 	if n := at("tool", "words of a first import", capacity.Rest) / 1024; math.Abs(float64(len(batches))-n) > 1 {
 		t.Errorf("%d words of a first import, counted %v", len(batches), n)
 	}
@@ -375,7 +375,7 @@
 	}
 	// Of all tenants the mean answer: a change of each part's first tenant.
 	before, sum := texts, 0
-	d, u := s.Rules.Docs[configstore.DocMap], s.Rules.Users["server-0000#0a1b2c3d"]
+	d, u := s.Config.Docs[configstore.DocMap], s.Config.Users["server-0000#0a1b2c3d"]
 	tell := func(d *configstore.Doc) int {
 		return wrote(quorum.Synced{Docs: map[string]configstore.View{configstore.DocMap: d.Tell(u, []int{1}, 1)}})
 	}
--- a/internal/policy/statemachine/group_test.go
+++ b/internal/policy/statemachine/snapshot_test.go
@@ -11,9 +11,9 @@
 	"silverpath/internal/policy/configstore"
 )
 
-// target is a map of the size that the group is built for, in parts: 930 servers in 32, 21,000 tenants in 256. A tenant has moved
+// largeMap is a map of the size that the group is built for, in parts: 930 servers in 32, 21,000 tenants in 256. A tenant has moved
 // once, as it is after a year of changes.
-func target() map[string]string {
+func largeMap() map[string]string {
 	type m = map[string]any
 	lists := map[string][]m{}
 	for i := range 930 {
@@ -38,13 +38,14 @@
 	return parts
 }
 
-// A snapshot of the full target, with 1,400 processes that follow it, has each part once, is within what members send each other,
+// A snapshot that grew with the processes that follow the map would not get through to a member that is behind. One of the largest
+// fleet, with 1,400 processes, has each part once, is within what members send each other,
 // and comes out as it went in.
-func TestSnapshotOfTheTarget(t *testing.T) {
-	s, parts := New(1), target()
+func TestSnapshotOfALargeFleetHasEachPartOnce(t *testing.T) {
+	s, parts := New(1), largeMap()
 	do := func(c configstore.Change) Result {
 		t.Helper()
-		r := s.Apply(Command{Rule: &c})
+		r := s.Apply(Command{Config: &c})
 		if r.Error != "" {
 			t.Fatal(r.Error)
 		}
@@ -64,8 +65,8 @@
 		words = append(words, configstore.Change{Op: configstore.Join, User: &configstore.User{Name: fmt.Sprintf("router-%04d#0a1b2c3d", i),
 			Reads: map[string]int{configstore.DocMap: 2, configstore.DocRouting: 1, configstore.DocClasses: 1}}})
 	}
-	if r := s.Apply(Command{Words: words}); r.Error != "" || len(s.Rules.Users) != 1400 {
-		t.Fatal(r.Error, len(s.Rules.Users))
+	if r := s.Apply(Command{ConfigBatch: words}); r.Error != "" || len(s.Config.Users) != 1400 {
+		t.Fatal(r.Error, len(s.Config.Users))
 	}
 	changed := map[string]string{"tenants-007": `{"tenants":[]}`}
 	parts["tenants-007"] = changed["tenants-007"]
@@ -89,14 +90,14 @@
 	if err != nil || !bytes.Equal(b, again) {
 		t.Error("it comes out as another one", err)
 	}
-	d := out.Rules.Docs[configstore.DocMap]
+	d := out.Config.Docs[configstore.DocMap]
 	if _, all, ok := d.At(2); !ok || configstore.Sum(all) != configstore.SumOf(parts) || len(d.Next.Parts) != 1 || d.Draft != nil {
 		t.Errorf("%d parts under way, draft %v", len(d.Next.Parts), d.Draft != nil)
 	}
 }
 
-// A state that was written before there were parts is read on: its texts, its trial and its history are what they were.
-func TestSnapshotOfToday(t *testing.T) {
+// A member whose program is replaced has a snapshot from before there were documents in parts. It is read: its texts, its trial and its history are what they were.
+func TestSnapshotFromBeforeThereWerePartsIsRead(t *testing.T) {
 	old := `{"terms":{},"members":{},"table":{"generation":1,"duties":{}},"journals":{},"rules":{"docs":{"routing":{"name":"routing","top":3,
 		"force":{"id":{"version":2,"digest":5},"format":1,"text":"{\"retries\":0.1}","since":7},
 		"next":{"id":{"version":3,"digest":6},"format":1,"text":"{}","try":{"part":0.5,"for_ms":9,"worse":0.1},"parts":["r1#1"]},"stage":"trial",
@@ -106,11 +107,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	d := s.Rules.Docs["routing"]
+	d := s.Config.Docs["routing"]
 	if d.Force.Text != `{"retries":0.1}` || d.Force.Split || len(d.Next.Canaries) != 1 || d.Next.Canaries[0] != "r1#1" || d.History[0].Text == "" {
 		t.Errorf("%+v", d)
 	}
-	r := s.Apply(Command{Rule: &configstore.Change{Op: configstore.Advance, Doc: "routing", Version: 3, Stage: configstore.Trial}})
+	r := s.Apply(Command{Config: &configstore.Change{Op: configstore.Advance, Doc: "routing", Version: 3, Stage: configstore.Trial}})
 	if r.Error != "" || d.Force.ID.Version != 3 {
 		t.Error(r.Error)
 	}
--- a/internal/testkit/benchmarks/owner.go
+++ b/internal/testkit/benchmarks/owner.go
@@ -734,7 +734,7 @@
 			wg.Go(func() {
 				for n := 0; time.Now().Before(end); n++ {
 					began := time.Now()
-					r, err := g.Do(statemachine.Command{Ask: &lease.Request{Op: lease.Pause, Duty: controller.MonitorDuty, Reason: fmt.Sprint(k, n)}})
+					r, err := g.Do(statemachine.Command{Lease: &lease.Request{Op: lease.Pause, Duty: controller.MonitorDuty, Reason: fmt.Sprint(k, n)}})
 					if err != nil || r.Error != "" {
 						b.Error(err, r.Error)
 						return
--- a/internal/testkit/benchmarks/ownersim.go
+++ b/internal/testkit/benchmarks/ownersim.go
@@ -113,10 +113,10 @@
 		s.owners = append(s.owners, o)
 	}
 	for i := range simMoves {
-		s.state.Apply(statemachine.Command{Submit: &statemachine.Submit{Duty: controller.PlacementDuty, ID: fmt.Sprint("m", i), Kind: controller.KindMove,
+		s.state.Apply(statemachine.Command{Submit: &statemachine.SubmitItem{Duty: controller.PlacementDuty, ID: fmt.Sprint("m", i), Kind: controller.KindMove,
 			Args: fmt.Appendf(nil, `{"tenant":"t%d","to":"b"}`, i)}})
 	}
-	s.state.Apply(statemachine.Command{Submit: &statemachine.Submit{Duty: controller.RolloutDuty, ID: "r", Kind: controller.KindRollout,
+	s.state.Apply(statemachine.Command{Submit: &statemachine.SubmitItem{Duty: controller.RolloutDuty, ID: "r", Kind: controller.KindRollout,
 		Args: []byte(`{"cell_most":1,"all_most":2,"dwell_ms":30,"back_ms":60000}`)}})
 	return s
 }
@@ -188,7 +188,7 @@
 		s.watch.RecordWaiter(a.Duty, a.Process, s.now)
 		return *d, ending || a.Op == lease.Renew && (d.Holder != a.Process || d.Epoch != a.Epoch)
 	}
-	r := s.state.Apply(statemachine.Command{Ask: &a})
+	r := s.state.Apply(statemachine.Command{Lease: &a})
 	if r.Duty == nil {
 		return lease.Duty{}, true
 	}
@@ -283,7 +283,7 @@
 		if s.groupUp {
 			w := p.act.Write
 			w.Duty, w.Process, w.Epoch, w.Step = name, o.name, p.e, p.j.Step+1
-			s.state.Apply(statemachine.Command{Write: &w})
+			s.state.Apply(statemachine.Command{Journal: &w})
 		}
 	case controller.Publish, controller.Withdraw:
 		raw := p.act.Raw
--- a/internal/testkit/benchmarks/scale.go
+++ b/internal/testkit/benchmarks/scale.go
@@ -674,7 +674,7 @@
 	defer cancel()
 	at = time.Now()
 	c := configstore.Change{Op: configstore.Put, Doc: doc, Text: text, Format: format, Version: g.doc[doc], By: "scale"}
-	r, err := g.Client.Do(ctx, statemachine.Command{Rule: &c})
+	r, err := g.Client.Do(ctx, statemachine.Command{Config: &c})
 	if err == nil && r.Error != "" {
 		err = errors.New(r.Error)
 	}
--- a/internal/testkit/benchmarks/scaledecide.go
+++ b/internal/testkit/benchmarks/scaledecide.go
@@ -221,7 +221,7 @@
 		us, _ = each(func() { w.Due(b, now) })
 		s.add("leader.due.followers", "us", "simulated", nil, at, us)
 		st := statemachine.New(1)
-		st.Rules = b
+		st.Config = b
 		size := 0
 		us, _ = each(func() {
 			text, _ := st.Snapshot()
--- a/internal/testkit/harness/group.go
+++ b/internal/testkit/harness/group.go
@@ -181,7 +181,7 @@
 	if err != nil {
 		return err
 	}
-	r, err := g.Do(statemachine.Command{Submit: &statemachine.Submit{Duty: duty, ID: id, Kind: kind, Args: raw}})
+	r, err := g.Do(statemachine.Command{Submit: &statemachine.SubmitItem{Duty: duty, ID: id, Kind: kind, Args: raw}})
 	if err == nil && r.Error != "" {
 		err = fmt.Errorf("%s", r.Error)
 	}
