--- a/api.go
+++ b/api.go
@@ -17,6 +17,7 @@
 // Effect tells whether a request of a class may run more than once.
 type Effect int
 
+// Effects.
 const (
 	Safe          Effect = iota // may run any number of times
 	Idempotent                  // may be sent again with its key within IdempotencyWindow, and must run once
@@ -46,6 +47,7 @@
 // Preemption tells how running work can be stopped.
 type Preemption int
 
+// Preemptions.
 const (
 	PreemptNone  Preemption = iota // not at all
 	PreemptDrop                    // its progress is lost
@@ -55,6 +57,7 @@
 // Signal is the kind of value that callers heed, set by Host.Signal.
 type Signal int
 
+// Signals.
 const (
 	SignalNone   Signal = iota
 	SignalLevel         // callers send nothing of lower rank than the value
@@ -65,6 +68,7 @@
 // Dependency is what lies below a server.
 type Dependency int
 
+// Dependencies.
 const (
 	DependencyNone   Dependency = iota
 	DependencyShared            // one service that every server calls
@@ -128,6 +132,7 @@
 // Outcome is how a run or a call ended.
 type Outcome int
 
+// Outcomes.
 const (
 	OK           Outcome = iota
 	Failed               // it failed, and may have had its effect
@@ -153,6 +158,7 @@
 // Place is where a request is, as Pools are told.
 type Place int
 
+// Places.
 const (
 	PlaceOver    Place = iota // nowhere any more
 	PlaceWaiting              // queued
--- a/checker_test.go
+++ b/checker_test.go
@@ -34,7 +34,6 @@
 	reached, due   time.Duration
 	answered, ran  bool
 	gone           bool
-	begun          int
 	again          bool // its id came twice, so a second answer is no fault
 	uncertain      bool // a call may have had its effect
 	work           int  // steps left on the cores
--- a/overload.go
+++ b/overload.go
@@ -40,7 +40,8 @@
 // overloaded reports whether an arrival of the class is to be rejected. It isn't counted in flight itself
 // yet.
 func (s *Shedder) overloaded(c *class) bool {
-	if s.cpu.Value() < cpuThreshold && !(s.everRejected && s.now-s.lastRejection < coolOffTime) {
+	coolingOff := s.everRejected && s.now-s.lastRejection < coolOffTime
+	if s.cpu.Value() < cpuThreshold && !coolingOff {
 		return false
 	}
 	limit := s.maxInFlight(c)
--- a/settings.go
+++ b/settings.go
@@ -1,7 +1,6 @@
 package silverpath
 
 import (
-	"errors"
 	"fmt"
 	"math"
 	"time"
@@ -14,13 +13,13 @@
 // (RunsWindow), OverShareWorth (OverQuotaWeight), MaxAdvice (MaxRetryAfter) and CallShare (CallQuota).
 func check(set *Settings) error {
 	if set.Cores <= 0 {
-		return errors.New("Cores: none")
+		return missing("Cores")
 	}
 	if !(set.MemoryKB > 0) {
-		return errors.New("MemoryKB: none")
+		return missing("MemoryKB")
 	}
 	if len(set.Classes) == 0 {
-		return errors.New("Classes: none")
+		return missing("Classes")
 	}
 	for _, f := range []intField{{"Servers", set.Servers}, {"Callers", set.Callers}, {"Tier", set.Tier}} {
 		if f.value < 0 {
@@ -41,6 +40,8 @@
 	return nil
 }
 
+func missing(field string) error { return fmt.Errorf("%s: none", field) }
+
 type intField struct {
 	name  string
 	value int
@@ -67,7 +68,7 @@
 		}
 		names[c.Name] = true
 		if c.Deadline <= 0 {
-			return fmt.Errorf("Classes[%d].Deadline: none", i)
+			return missing(fmt.Sprintf("Classes[%d].Deadline", i))
 		}
 	}
 	return nil
