--- a/cmd/silverpath/durable_test.go
+++ b/cmd/silverpath/durable_test.go
@@ -241,7 +241,7 @@
 
 // ask makes one try of a sheet.
 func (d *durable) ask(key, body string) client.Reply {
-	a, err := client.Once(client.Platform, d.Addr, client.Request{Class: "oddaja", Key: key, Body: []byte(body), Wait: d.Wait})
+	a, err := client.Do(client.Platform, d.Addr, client.Request{Class: "oddaja", Key: key, Body: []byte(body), Timeout: d.Wait})
 	if err != nil {
 		a.Outcome = "lost"
 	}
@@ -520,7 +520,7 @@
 	}
 	for i := range 1000 {
 		all.Go(func() {
-			a := <-conns[i%len(conns)].Ask(client.Request{Class: "oddaja", Key: "one-0", Body: []byte("one-0"), Wait: d.Wait, ID: fmt.Sprintf("%016x", i)})
+			a := <-conns[i%len(conns)].Do(client.Request{Class: "oddaja", Key: "one-0", Body: []byte("one-0"), Timeout: d.Wait, ID: fmt.Sprintf("%016x", i)})
 			if a.Outcome != "served" || string(a.Body) != served["one-0"] {
 				wrong.Add(1)
 			}
@@ -773,7 +773,7 @@
 		})
 	}
 	filling.Wait()
-	if refused.Outcome != "refused" || refused.After <= 0 || len(served) < 20 {
+	if refused.Outcome != "refused" || refused.RetryAfter <= 0 || len(served) < 20 {
 		t.Fatalf("after %d: %+v", len(served), refused)
 	}
 	inside := 0
@@ -810,7 +810,7 @@
 			t.Errorf("%s, while it is not known: %s", key, a.Outcome)
 		}
 	}
-	if a, err := client.Once(client.Platform, d.Addr, client.Request{Class: "krog", Body: []byte("x"), Wait: time.Second}); err != nil || a.Outcome != "served" {
+	if a, err := client.Do(client.Platform, d.Addr, client.Request{Class: "krog", Body: []byte("x"), Timeout: time.Second}); err != nil || a.Outcome != "served" {
 		t.Errorf("a read meanwhile: %s, %v", a.Outcome, err)
 	}
 	if _, err := g.Await(5*time.Second, 0, "taken up"); err != nil {
--- a/cmd/silverpath/fleet_test.go
+++ b/cmd/silverpath/fleet_test.go
@@ -241,7 +241,7 @@
 		addr := routers[by].addr
 		mu.Unlock()
 		call := time.Since(began)
-		a, err := client.Once(client.Platform, addr, client.Request{Class: "oddaja", Tenant: "brand", Key: key, Body: []byte(key), Wait: 800 * time.Millisecond})
+		a, err := client.Do(client.Platform, addr, client.Request{Class: "oddaja", Tenant: "brand", Key: key, Body: []byte(key), Timeout: 800 * time.Millisecond})
 		if err != nil {
 			a.Outcome = "failed" // its router died
 		}
--- a/cmd/silverpath/main.go
+++ b/cmd/silverpath/main.go
@@ -165,9 +165,9 @@
 	f.StringVar(&p.Request.Tenant, "tenant", "", "the tenant")
 	f.StringVar(&p.Request.Key, "key", "", "the key that makes all that is sent tries of one request")
 	f.StringVar(&body, "body", "hello", "the body")
-	f.DurationVar(&p.Request.Wait, "wait", 4*time.Second, "how long to wait for an answer")
+	f.DurationVar(&p.Request.Timeout, "wait", 4*time.Second, "how long to wait for an answer")
 	f.IntVar(&p.Count, "count", 1, "how many requests")
-	f.DurationVar(&p.Every, "every", 0, "one each so often, whatever becomes of the others (default: one after the other)")
+	f.DurationVar(&p.Interval, "every", 0, "one each so often, whatever becomes of the others (default: one after the other)")
 	return c
 }
 
--- a/cmd/silverpath/overlap_test.go
+++ b/cmd/silverpath/overlap_test.go
@@ -343,7 +343,7 @@
 					return
 				default:
 					key := fmt.Sprint("load", i, "-", n)
-					_, _ = client.Once(client.Platform, r.addr, client.Request{Class: "oddaja", Tenant: []string{"brand", "other"}[i/2%2], Key: key, Body: []byte(key), Wait: 800 * time.Millisecond})
+					_, _ = client.Do(client.Platform, r.addr, client.Request{Class: "oddaja", Tenant: []string{"brand", "other"}[i/2%2], Key: key, Body: []byte(key), Timeout: 800 * time.Millisecond})
 				}
 			}
 		})
--- a/cmd/silverpath/parts_test.go
+++ b/cmd/silverpath/parts_test.go
@@ -143,7 +143,7 @@
 	f.put("classes", twoClasses(t, 0))
 	f.serves("first", cut, whole)
 	sheet := func(class, tenant, key string) string {
-		a, err := client.Once(client.Platform, whole.addr, client.Request{Class: class, Tenant: tenant, Key: key, Body: []byte(key), Wait: 800 * time.Millisecond})
+		a, err := client.Do(client.Platform, whole.addr, client.Request{Class: class, Tenant: tenant, Key: key, Body: []byte(key), Timeout: 800 * time.Millisecond})
 		if err != nil {
 			return "lost"
 		}
--- a/cmd/silverpath/recovery_test.go
+++ b/cmd/silverpath/recovery_test.go
@@ -94,7 +94,7 @@
 	if a := d.ask("early", "early"); a.Outcome != "failed" {
 		t.Errorf("a sheet that may have run: %s", a.Outcome)
 	}
-	if a, err := client.Once(client.Platform, d.Addr, client.Request{Class: "krog", Body: []byte("x"), Wait: time.Second}); err != nil || a.Outcome != "served" {
+	if a, err := client.Do(client.Platform, d.Addr, client.Request{Class: "krog", Body: []byte("x"), Timeout: time.Second}); err != nil || a.Outcome != "served" {
 		t.Errorf("a read: %s, %v", a.Outcome, err)
 	}
 	if took := d.full(g); took < whole*9/10 {
@@ -216,7 +216,7 @@
 	file := f.write(f.Map)
 	routers := []*process{f.route("r1", file, ""), f.route("r2", file, "")}
 	ask := func(tenant, key string) client.Reply {
-		a, err := client.Once(client.Platform, routers[len(key)%2].addr, client.Request{Class: "oddaja", Tenant: tenant, Key: key, Body: []byte(key), Wait: 800 * time.Millisecond})
+		a, err := client.Do(client.Platform, routers[len(key)%2].addr, client.Request{Class: "oddaja", Tenant: tenant, Key: key, Body: []byte(key), Timeout: 800 * time.Millisecond})
 		if err != nil {
 			a.Outcome = "lost"
 		}
@@ -398,7 +398,7 @@
 	g.Leave(t)
 	d.disk("* no space left on device")
 	g = d.bare()
-	if a, err := client.Once(client.Platform, d.Addr, client.Request{Class: "krog", Body: []byte("x"), Wait: time.Second}); err != nil || a.Outcome != "served" {
+	if a, err := client.Do(client.Platform, d.Addr, client.Request{Class: "krog", Body: []byte("x"), Timeout: time.Second}); err != nil || a.Outcome != "served" {
 		t.Errorf("a read: %s, %v", a.Outcome, err)
 	}
 	for end := time.Now().Add(5 * time.Second); len(d.again(served)) > 0; time.Sleep(20 * time.Millisecond) {
--- a/cmd/silverpath/rules_test.go
+++ b/cmd/silverpath/rules_test.go
@@ -28,7 +28,7 @@
 		wg.Go(func() {
 			for _, r := range routers {
 				key := fmt.Sprintf("%s-%d", name, i)
-				a, err := client.Once(client.Platform, r.addr, client.Request{Class: "oddaja", Tenant: "brand", Key: key, Body: []byte(key), Wait: 800 * time.Millisecond})
+				a, err := client.Do(client.Platform, r.addr, client.Request{Class: "oddaja", Tenant: "brand", Key: key, Body: []byte(key), Timeout: 800 * time.Millisecond})
 				if err != nil {
 					a.Outcome = "lost"
 				}
@@ -223,7 +223,7 @@
 	woken, other := f.route("woken", file, "", "SILVERPATH_STOP_ROUTED=1"), f.route("other", file, filepath.Join(t.TempDir(), "other.db"))
 	done := make(chan client.Reply, 1)
 	go func() {
-		a, _ := client.Once(client.Platform, woken.addr, client.Request{Class: "oddaja", Tenant: "brand", Key: "held", Body: []byte("held"), Wait: 20 * time.Second})
+		a, _ := client.Do(client.Platform, woken.addr, client.Request{Class: "oddaja", Tenant: "brand", Key: "held", Body: []byte("held"), Timeout: 20 * time.Second})
 		done <- a
 	}()
 	if _, err := woken.Await(3*time.Second, 0, "stopped routed"); err != nil {
--- a/cmd/silverpath/takeover_test.go
+++ b/cmd/silverpath/takeover_test.go
@@ -233,7 +233,7 @@
 			old.Leave(t)
 		}
 		for range 8 {
-			if r, err := client.Once(client.SCGI, addrs[0], client.Request{Class: "krog", Body: []byte("x"), Wait: 4 * time.Second}); err != nil || r.Outcome != "served" {
+			if r, err := client.Do(client.SCGI, addrs[0], client.Request{Class: "krog", Body: []byte("x"), Timeout: 4 * time.Second}); err != nil || r.Outcome != "served" {
 				t.Fatalf("the older has left: %v: %+v, %v", leaves, r, err)
 			}
 		}
--- a/internal/policy/capacity/page_test.go
+++ b/internal/policy/capacity/page_test.go
@@ -289,7 +289,7 @@
 	if n := float64(text(moved) - base); n != p.HomeText {
 		t.Errorf("document: %v bytes a further home, the table has %v", n, p.HomeText)
 	}
-	if got := float64(loadreport.Every.Milliseconds()); got != p.Announce {
+	if got := float64(loadreport.Interval.Milliseconds()); got != p.Announce {
 		t.Errorf("reports each %v ms, the table has %v", got, p.Announce)
 	}
 }
--- a/internal/service/budget.go
+++ b/internal/service/budget.go
@@ -12,7 +12,7 @@
 func budget(c settings.Config) Budget {
 	own := spareFDs
 	if c.Mgmt != "" {
-		own += admin.Places(c.Sockets) // its own, whatever clients do
+		own += admin.ConnectionLimit(c.Sockets) // its own, whatever clients do
 	}
 	if c.Socket > 0 {
 		own *= 2 // another process starts beside this one, before any share is given up
--- a/internal/service/describe.go
+++ b/internal/service/describe.go
@@ -20,7 +20,7 @@
 		{"MessagePack-RPC front", c.Listen, b.Platform}, {"SCGI front", c.SCGI.Listen, b.SCGI},
 		{"interpreter", c.VM, 1}, {"fleet", fleetOf(c), b.Upstream}, {"SCGI application server", c.SCGI.Upstream, b.Upstream},
 		{"vault", c.Vault, b.Vault}, {"announce service", c.Announce, 1}, {"SNMP agent", c.SNMP.Listen, 1},
-		{"management front", c.Mgmt, admin.Places(c.Sockets)},
+		{"management front", c.Mgmt, admin.ConnectionLimit(c.Sockets)},
 	} {
 		if part.addr == "" {
 			s += fmt.Sprintf("  %s: off\n", part.what)
--- a/internal/service/drain.go
+++ b/internal/service/drain.go
@@ -22,7 +22,7 @@
 	if s.core.Successor() {
 		// Whoever connects from now on is taken by the other process, and whoever is told to leave here goes there.
 		events.Log(s.log, "handover.successor")
-		s.reporter.Quiet()
+		s.reporter.Silence()
 		lead = 0
 		s.closeListeners()
 	}
--- a/internal/service/reload.go
+++ b/internal/service/reload.go
@@ -38,17 +38,17 @@
 	if s.link != nil && cfg.VM != "" && cfg.VM != old.VM {
 		events.Log(s.log, "reload.moved", "vm", old.VM, cfg.VM)
 		s.cfg.VM = cfg.VM
-		s.link.Move(cfg.VM)
+		s.link.Redirect(cfg.VM)
 	}
 	if s.below != nil && cfg.Vault != "" && cfg.Vault != old.Vault {
 		events.Log(s.log, "reload.moved", "vault", old.Vault, cfg.Vault)
 		s.cfg.Vault = cfg.Vault
-		s.below.Move(cfg.Vault)
+		s.below.Redirect(cfg.Vault)
 	}
 	if cfg.Announce != old.Announce {
 		events.Log(s.log, "reload.moved", "announce", strconv.Quote(old.Announce), strconv.Quote(cfg.Announce))
 		s.cfg.Announce = cfg.Announce
-		s.reporter.Move(cfg.Announce)
+		s.reporter.Redirect(cfg.Announce)
 	}
 	for _, field := range s.cfg.Differs(cfg) {
 		events.Log(s.log, "reload.differs", field)
--- a/internal/service/server.go
+++ b/internal/service/server.go
@@ -49,7 +49,7 @@
 		return s.core.Attach(up, nil)
 	}
 	s.link = interpreter.New(cfg.VM, cfg.Gauges, s.core, s.log, s.stats)
-	s.keep = append(s.keep, s.link.Keep)
+	s.keep = append(s.keep, s.link.Maintain)
 	var below core.Caller
 	if cfg.Vault != "" {
 		s.below = vault.New(cfg.Vault, b.Vault)
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -203,17 +203,17 @@
 		return nil
 	}
 	err = s.whileTaken(func() (err error) {
-		s.mgmt, err = admin.Listen(s.cfg.Mgmt, admin.Places(s.cfg.Sockets), s.core, s.log, s.stats)
+		s.mgmt, err = admin.Listen(s.cfg.Mgmt, admin.ConnectionLimit(s.cfg.Sockets), s.core, s.log, s.stats)
 		return err
 	})
 	if err != nil {
 		return fmt.Errorf("mgmt: %w", err)
 	}
 	if s.orders != nil {
-		s.mgmt.Orders(s.orders)
+		s.mgmt.SetCommands(s.orders)
 	}
 	if s.store != nil {
-		s.mgmt.Snapshots(s.store.Snapshot)
+		s.mgmt.SetSnapshots(s.store.Snapshot)
 	}
 	return nil
 }
@@ -221,7 +221,7 @@
 // report makes the service known: to the announce service, and to another process of it.
 func (s *Service) report() error {
 	s.reporter = loadreport.New(s.cfg.Announce, s.cfg.Name, s.core.Health, s.log)
-	s.keep = append(s.keep, s.reporter.Keep)
+	s.keep = append(s.keep, s.reporter.Run)
 	if s.pair != nil {
 		if err := s.pair.Begin(s.core); err != nil {
 			return fmt.Errorf("LB_SOCKET_FD: a place beside other processes: %w", err)
--- a/internal/service/service_test.go
+++ b/internal/service/service_test.go
@@ -362,7 +362,7 @@
 			// Two processes: one with all, before it has given up its share, and one that opens its own files.
 			c.Mgmt, c.Socket = "x", 7
 			b = budget(c)
-			if sum := b.Platform + b.SCGI + 2*(b.Vault+b.Upstream+spareFDs+admin.Places(sockets)); sum > sockets || b.Platform+b.SCGI < 8 {
+			if sum := b.Platform + b.SCGI + 2*(b.Vault+b.Upstream+spareFDs+admin.ConnectionLimit(sockets)); sum > sockets || b.Platform+b.SCGI < 8 {
 				t.Errorf("%d descriptors of two: %+v", sockets, b)
 			}
 		}
--- a/internal/testkit/benchmarks/durable.go
+++ b/internal/testkit/benchmarks/durable.go
@@ -82,7 +82,7 @@
 		if kept { // a sheet that never had a result runs as a new one once its window is over
 			time.Sleep(2*time.Second + time.Second + 2500*time.Millisecond)
 			for _, key := range l.Unserved() {
-				if a, err := client.Once(client.Platform, s.Addr, client.Request{Class: "oddaja", Key: key, Body: []byte(key), Wait: 900 * time.Millisecond}); err != nil || a.Outcome != "served" {
+				if a, err := client.Do(client.Platform, s.Addr, client.Request{Class: "oddaja", Key: key, Body: []byte(key), Timeout: 900 * time.Millisecond}); err != nil || a.Outcome != "served" {
 					left++
 				}
 			}
@@ -162,7 +162,7 @@
 			defer conn.Close()
 			for n := 0; time.Since(began) < span; n++ {
 				key, sent := fmt.Sprintf("%d-%d", c, n), time.Now()
-				a := <-conn.Ask(client.Request{Class: "oddaja", Key: key, Body: []byte(key), Wait: 4 * time.Second})
+				a := <-conn.Do(client.Request{Class: "oddaja", Key: key, Body: []byte(key), Timeout: 4 * time.Second})
 				mu.Lock()
 				if a.Outcome == "served" {
 					times = append(times, time.Since(sent))
@@ -269,7 +269,7 @@
 		p.found()
 		first := func(class, key string) time.Duration {
 			for n := 0; ; n++ {
-				a, err := client.Once(client.Platform, p.Platform, client.Request{Class: class, Key: key, Body: []byte(key), Wait: time.Second})
+				a, err := client.Do(client.Platform, p.Platform, client.Request{Class: class, Key: key, Body: []byte(key), Timeout: time.Second})
 				if err == nil && a.Outcome == "served" || time.Since(began) > time.Minute {
 					return time.Since(began)
 				}
--- a/internal/testkit/benchmarks/fleet.go
+++ b/internal/testkit/benchmarks/fleet.go
@@ -205,7 +205,7 @@
 		results[l.Tenant] = res
 		wg.Go(func() {
 			arrivals(rand.New(rand.NewPCG(seed, uint64(n))), l.Rate, l.For, func(rng *rand.Rand, seq int, share Share, at time.Time) {
-				q := client.Request{Class: share.Class, Tenant: l.Tenant, Wait: patience, HeldKB: 8, Body: fmt.Appendf(nil, "%s-%s-%d", share.Class, l.Tenant, seq)}
+				q := client.Request{Class: share.Class, Tenant: l.Tenant, Timeout: patience, HeldKB: 8, Body: fmt.Appendf(nil, "%s-%s-%d", share.Class, l.Tenant, seq)}
 				if share.Class == "oddaja" {
 					q.Key = fmt.Sprintf("%s-%d", l.Tenant, seq)
 				}
@@ -229,7 +229,7 @@
 }
 
 func (r *TenantResult) one(c, other *client.Conn, q client.Request, s Share, at time.Time, later time.Duration, repeats bool) {
-	a, ok := answer(c.Ask(q))
+	a, ok := answer(c.Do(q))
 	took := time.Since(at)
 	r.mu.Lock()
 	r.Sent++
@@ -254,7 +254,7 @@
 	}
 	time.Sleep(later)
 	q.ID = ""
-	b, ok := answer(other.Ask(q))
+	b, ok := answer(other.Do(q))
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.Repeats++
--- a/internal/testkit/benchmarks/lab.go
+++ b/internal/testkit/benchmarks/lab.go
@@ -252,7 +252,7 @@
 	began := time.Now()
 	arrivals(rand.New(rand.NewPCG(l.Seed, 3)), l.Rate, l.For, func(rng *rand.Rand, seq int, share Share, at time.Time) {
 		q := client.Request{
-			Class: share.Class, Wait: patience, HeldKB: l.HeldKB, ID: fmt.Sprintf("%016x", seq+1),
+			Class: share.Class, Timeout: patience, HeldKB: l.HeldKB, ID: fmt.Sprintf("%016x", seq+1),
 			Body: fmt.Appendf(nil, "%s-%d", share.Class, seq),
 		}
 		if share.Class == "oddaja" {
@@ -285,7 +285,7 @@
 	var a client.Reply
 	answered := false
 	select {
-	case a, answered = <-c.Ask(q):
+	case a, answered = <-c.Do(q):
 	case <-time.After(patience + 2*time.Second):
 	}
 	took := time.Since(sent)
@@ -325,7 +325,7 @@
 	q.ID = ""
 	first := string(q.Body)
 	intended := time.Now()
-	a, ok := <-c.Ask(q)
+	a, ok := <-c.Do(q)
 	res.mu.Lock()
 	defer res.mu.Unlock()
 	res.Repeats++
--- a/internal/testkit/benchmarks/powerloss.go
+++ b/internal/testkit/benchmarks/powerloss.go
@@ -150,11 +150,11 @@
 				d.mu.Lock()
 				to := d.Routers[k%len(d.Routers)].Platform
 				d.mu.Unlock()
-				q := client.Request{Class: class, Tenant: "t", Body: fmt.Appendf(nil, "%s-first-%d-%d", class, n, k), Wait: time.Second}
+				q := client.Request{Class: class, Tenant: "t", Body: fmt.Appendf(nil, "%s-first-%d-%d", class, n, k), Timeout: time.Second}
 				if class == "oddaja" {
 					q.Key = string(q.Body)
 				}
-				if a, err := client.Once(client.Platform, to, q); err == nil && a.Outcome == "served" {
+				if a, err := client.Do(client.Platform, to, q); err == nil && a.Outcome == "served" {
 					*out = time.Since(began)
 					return
 				}
@@ -188,7 +188,7 @@
 			d.mu.Lock()
 			to := d.Routers[rng.IntN(len(d.Routers))].Platform
 			d.mu.Unlock()
-			a, err := client.Once(client.Platform, to, client.Request{Class: "oddaja", Tenant: []string{"t", "u"}[n%2], Key: sheet, Body: []byte(sheet), Wait: 2 * time.Second})
+			a, err := client.Do(client.Platform, to, client.Request{Class: "oddaja", Tenant: []string{"t", "u"}[n%2], Key: sheet, Body: []byte(sheet), Timeout: 2 * time.Second})
 			if err != nil || a.Outcome != "served" {
 				continue
 			}
--- a/internal/testkit/benchmarks/refusal.go
+++ b/internal/testkit/benchmarks/refusal.go
@@ -81,8 +81,8 @@
 				b.Fatal(err)
 			}
 		}
-		q := client.Request{Class: "lestvica", Wait: patience, Body: []byte("x"), HeldKB: 1}
-		onOpen := func(w int) string { return (<-conns[w%len(conns)].Ask(q)).Outcome }
+		q := client.Request{Class: "lestvica", Timeout: patience, Body: []byte("x"), HeldKB: 1}
+		onOpen := func(w int) string { return (<-conns[w%len(conns)].Do(q)).Outcome }
 		warm := func() { flood(1500, 3*time.Second, 400, onOpen, "") } // the machine does 160 a second
 		warm()
 		for _, c := range []struct {
@@ -94,7 +94,7 @@
 		}{
 			{"refusal, open connection", 5000, 100, onOpen, "refused"},
 			{"refusal, new SCGI connection", 5000, 100, func(int) string {
-				a, err := client.Once(client.SCGI, p.SCGI, q)
+				a, err := client.Do(client.SCGI, p.SCGI, q)
 				if err != nil {
 					return err.Error()
 				}
--- a/internal/transport/admin/mgmt.go
+++ b/internal/transport/admin/mgmt.go
@@ -28,25 +28,25 @@
 const Name = "mgmt"
 
 const (
-	// Most is the greatest number of connections at once. A further one takes the place of the one that has been unfinished
+	// MaxConnections is the greatest number of connections at once. A further one takes the place of the one that has been unfinished
 	// for longest, so callers that never finish keep nobody out.
-	Most  = 24
-	least = 4
-	part  = 16 // of the descriptors, one in so many
-
-	mostHead = 4 << 10 // bytes of request line and headers
-	mostBody = 4 << 10 // what a call brings is read and not looked at
-	patience = 5 * time.Second
-	// grace is for a call to come whole before its place may be taken. Callers that never finish and come back at once can
+	MaxConnections           = 24
+	minConnections           = 4
+	descriptorsPerConnection = 16 // of the descriptors, one in so many
+
+	maxHeadBytes = 4 << 10 // bytes of request line and headers
+	maxBodyBytes = 4 << 10 // what a call brings is read and not looked at
+	callTimeout  = 5 * time.Second
+	// minCallTime is for a call to come whole before its place may be taken. Callers that never finish and come back at once can
 	// so hold up one that does, but not push it out: of fifty, for three times that.
-	grace        = 50 * time.Millisecond
-	mostGrace    = 500 * time.Millisecond // of one that always has a byte more to send
+	minCallTime  = 50 * time.Millisecond
+	maxCallTime  = 500 * time.Millisecond // of one that always has a byte more to send
 	writeTimeout = 2 * time.Second
-	// lingerFor is how long what a caller still sends is read after its answer: to close on unread bytes would reset the
+	// lingerTimeout is how long what a caller still sends is read after its answer: to close on unread bytes would reset the
 	// connection, and the answer might be lost with it.
-	lingerFor = 200 * time.Millisecond
-	mostAfter = 64 << 10
-	logEvery  = time.Second // lines about bad calls, at most
+	lingerTimeout      = 200 * time.Millisecond
+	maxLingerBytes     = 64 << 10
+	badCallLogInterval = time.Second // lines about bad calls, at most
 )
 
 // Operator is who does what is called for. No method blocks. Each says yes or no, and why in one line.
@@ -65,19 +65,19 @@
 	505: "HTTP Version Not Supported",
 }
 
-// problem is a call that is answered without being made.
-type problem struct {
-	code status
-	name string // of its counter
-	why  string
+// rejection is a call that is answered without being made.
+type rejection struct {
+	code    status
+	counter string // of its counter
+	message string
 }
 
-func (p *problem) Error() string { return p.why }
+func (p *rejection) Error() string { return p.message }
 
-// Orders is who takes orders of the fleet: calls that name a duty, the epoch of its owner and the step of its intent.
-type Orders interface {
+// Commands is who takes orders of the fleet: calls that name a duty, the epoch of its owner and the step of its intent.
+type Commands interface {
 	// Take has an order done, or says why not. It may wait for a disk, and for the group.
-	Take(act, duty string, epoch, step uint64, do func() (bool, string)) (bool, string)
+	Take(action, controller string, epoch, step uint64, do func() (bool, string)) (bool, string)
 }
 
 // call is one call as it was read.
@@ -89,12 +89,12 @@
 
 // readHead reads request line and headers, bounded.
 func readHead(r *bufio.Reader) (c call, err error) {
-	left := mostHead
+	left := maxHeadBytes
 	line := func() ([]byte, error) {
 		b, err := r.ReadSlice('\n')
 		left -= len(b)
 		if errors.Is(err, bufio.ErrBufferFull) || left < 0 {
-			return nil, &problem{431, "too_large", "request line and headers over 4 KiB"}
+			return nil, &rejection{431, "too_large", "request line and headers over 4 KiB"}
 		}
 		return bytes.TrimSuffix(bytes.TrimSuffix(b, []byte("\n")), []byte("\r")), err
 	}
@@ -104,14 +104,14 @@
 	}
 	parts := strings.Split(string(first), " ")
 	if len(parts) != 3 || parts[0] == "" || !strings.HasPrefix(parts[1], "/") || !strings.HasPrefix(parts[2], "HTTP/") {
-		return c, &problem{400, "malformed", "the first line is not METHOD /PATH HTTP/1.1"}
+		return c, &rejection{400, "malformed", "the first line is not METHOD /PATH HTTP/1.1"}
 	}
 	if parts[2] != "HTTP/1.1" && parts[2] != "HTTP/1.0" {
-		return c, &problem{505, "malformed", "not HTTP/1.1"}
+		return c, &rejection{505, "malformed", "not HTTP/1.1"}
 	}
 	c.method = parts[0]
 	c.path, c.query, _ = strings.Cut(parts[1], "?")
-	told := false
+	hasLength := false
 	for {
 		b, err := line()
 		if err != nil {
@@ -122,27 +122,27 @@
 		}
 		name, value, ok := strings.Cut(string(b), ":")
 		if !ok || name == "" || strings.TrimSpace(name) != name {
-			return c, &problem{400, "malformed", "a header line is not NAME: VALUE"}
+			return c, &rejection{400, "malformed", "a header line is not NAME: VALUE"}
 		}
 		value = strings.TrimSpace(value)
 		switch strings.ToLower(name) {
 		case "content-length":
 			n, err := strconv.ParseUint(value, 10, 31)
-			if err != nil || told && int(n) != c.body {
-				return c, &problem{400, "malformed", "Content-Length is no number"}
+			if err != nil || hasLength && int(n) != c.body {
+				return c, &rejection{400, "malformed", "Content-Length is no number"}
 			}
-			if n > mostBody {
-				return c, &problem{413, "too_large", "a body over 4 KiB"}
+			if n > maxBodyBytes {
+				return c, &rejection{413, "too_large", "a body over 4 KiB"}
 			}
-			c.body, told = int(n), true
+			c.body, hasLength = int(n), true
 		case "transfer-encoding":
-			return c, &problem{411, "malformed", "give a Content-Length"}
+			return c, &rejection{411, "malformed", "give a Content-Length"}
 		}
 	}
 }
 
-// read reads one whole call.
-func read(r *bufio.Reader) (call, error) {
+// readCall reads one whole call.
+func readCall(r *bufio.Reader) (call, error) {
 	c, err := readHead(r)
 	if err == nil && c.body > 0 {
 		_, err = io.CopyN(io.Discard, r, int64(c.body))
@@ -150,47 +150,49 @@
 	return c, err
 }
 
-// Places is the number of connections at once of a process with so many descriptors.
-func Places(descriptors int) int { return min(max(descriptors/part, least), Most) }
+// ConnectionLimit is the number of connections at once of a process with so many descriptors.
+func ConnectionLimit(descriptors int) int {
+	return min(max(descriptors/descriptorsPerConnection, minConnections), MaxConnections)
+}
 
 // Server answers operators at one address.
 type Server struct {
-	ln    net.Listener
-	most  int
-	op    Operator
-	order Orders // nil: none are taken
-	snap  func() (string, error)
-	log   *log.Logger
-	stats *metrics.Counters
-	took  *metrics.Timing
-
-	mu     sync.Mutex
-	places []*place // in the order of their coming
-	said   time.Time
-	over   bool
-	freed  chan struct{}
+	ln       net.Listener
+	maxConns int
+	op       Operator
+	commands Commands // nil: none are taken
+	snapshot func() (string, error)
+	log      *log.Logger
+	stats    *metrics.Counters
+	callTime *metrics.Timing
+
+	mu              sync.Mutex
+	conns           []*callerConn // in the order of their coming
+	badCallLoggedAt time.Time
+	closed          bool
+	released        chan struct{}
 }
 
-type place struct {
-	conn    net.Conn
-	since   time.Time
-	evicted bool
+type callerConn struct {
+	conn       net.Conn
+	acceptedAt time.Time
+	evicted    bool
 }
 
 // Listen opens the address, for so many connections at once.
-func Listen(addr string, most int, op Operator, l *log.Logger, s *metrics.Counters) (*Server, error) {
+func Listen(addr string, maxConns int, op Operator, l *log.Logger, s *metrics.Counters) (*Server, error) {
 	ln, err := (&net.ListenConfig{KeepAlive: -1}).Listen(context.Background(), "tcp", addr)
 	if err != nil {
 		return nil, err
 	}
-	return &Server{ln: ln, most: most, op: op, log: l, stats: s, took: s.Timing("call", Name), freed: make(chan struct{}, 1)}, nil
+	return &Server{ln: ln, maxConns: maxConns, op: op, log: l, stats: s, callTime: s.Timing("call", Name), released: make(chan struct{}, 1)}, nil
 }
 
-// Orders sets who takes orders. It is called before Serve.
-func (s *Server) Orders(o Orders) { s.order = o }
+// SetCommands sets who takes orders. It is called before Serve.
+func (s *Server) SetCommands(o Commands) { s.commands = o }
 
-// Snapshots sets who makes a copy of the store and says where it lies. It is called before Serve.
-func (s *Server) Snapshots(make func() (path string, err error)) { s.snap = make }
+// SetSnapshots sets who makes a copy of the store and says where it lies. It is called before Serve.
+func (s *Server) SetSnapshots(make func() (path string, err error)) { s.snapshot = make }
 
 // Addr is the address listened on.
 func (s *Server) Addr() net.Addr { return s.ln.Addr() }
@@ -200,8 +202,8 @@
 	s.ln.Close()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.over = true
-	for _, p := range s.places {
+	s.closed = true
+	for _, p := range s.conns {
 		p.conn.Close()
 	}
 }
@@ -219,12 +221,12 @@
 			continue
 		}
 		s.stats.Inc("connections", Name)
-		p := &place{conn: conn}
-		s.room()
-		p.since = time.Now()
+		p := &callerConn{conn: conn}
+		s.awaitCapacity()
+		p.acceptedAt = time.Now()
 		s.mu.Lock()
-		s.places = append(s.places, p)
-		if s.over {
+		s.conns = append(s.conns, p)
+		if s.closed {
 			conn.Close()
 		}
 		s.mu.Unlock()
@@ -232,18 +234,18 @@
 	}
 }
 
-// room waits until there is a place. The one who has been unfinished for longest gives way, once its grace is over.
-func (s *Server) room() {
+// awaitCapacity waits until there is a place. The one who has been unfinished for longest gives way, once its grace is over.
+func (s *Server) awaitCapacity() {
 	for {
 		s.mu.Lock()
-		if len(s.places) < s.most || s.over {
+		if len(s.conns) < s.maxConns || s.closed {
 			s.mu.Unlock()
 			return
 		}
-		i := slices.IndexFunc(s.places, (*place).stalled)
+		i := slices.IndexFunc(s.conns, (*callerConn).stalled)
 		if i >= 0 {
-			victim := s.places[i]
-			s.places = slices.Delete(s.places, i, i+1)
+			victim := s.conns[i]
+			s.conns = slices.Delete(s.conns, i, i+1)
 			victim.evicted = true
 			victim.conn.Close()
 		}
@@ -252,50 +254,50 @@
 			s.stats.Inc("evicted", Name)
 			continue
 		}
-		hold := time.NewTimer(grace / 10)
+		timer := time.NewTimer(minCallTime / 10)
 		select {
-		case <-hold.C:
-		case <-s.freed:
-			hold.Stop()
+		case <-timer.C:
+		case <-s.released:
+			timer.Stop()
 		}
 	}
 }
 
 // stalled reports whether a call has had its time to come whole. One of which bytes lie unread waits for the service, not
 // the service for it: on a busy core its goroutine may have had no turn yet.
-func (p *place) stalled() bool {
-	age := time.Since(p.since)
-	return age >= mostGrace || age >= grace && linger.Peek(p.conn) != linger.Unread
+func (p *callerConn) stalled() bool {
+	age := time.Since(p.acceptedAt)
+	return age >= maxCallTime || age >= minCallTime && linger.Peek(p.conn) != linger.Unread
 }
 
-func (s *Server) free(p *place) {
+func (s *Server) release(p *callerConn) {
 	p.conn.Close()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.places = slices.DeleteFunc(s.places, func(q *place) bool { return q == p })
+	s.conns = slices.DeleteFunc(s.conns, func(q *callerConn) bool { return q == p })
 	select {
-	case s.freed <- struct{}{}:
+	case s.released <- struct{}{}:
 	default:
 	}
 }
 
 // serve is the life of one call.
-func (s *Server) serve(p *place) {
-	defer s.free(p)
+func (s *Server) serve(p *callerConn) {
+	defer s.release(p)
 	conn := p.conn
-	conn.SetReadDeadline(time.Now().Add(patience))
-	r := bufio.NewReaderSize(conn, mostHead)
-	c, err := read(r)
-	began := time.Now()
-	var bad *problem
+	conn.SetReadDeadline(time.Now().Add(callTimeout))
+	r := bufio.NewReaderSize(conn, maxHeadBytes)
+	c, err := readCall(r)
+	receivedAt := time.Now()
+	var bad *rejection
 	switch {
 	case err == nil:
-		s.answer(conn, c)
-		s.took.Record(time.Since(began))
+		s.dispatch(conn, c)
+		s.callTime.Record(time.Since(receivedAt))
 	case errors.As(err, &bad):
-		s.refuse(conn, bad)
+		s.reject(conn, bad)
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		s.refuse(conn, &problem{408, "too_slow", "no whole call came within 5 s"})
+		s.reject(conn, &rejection{408, "too_slow", "no whole call came within 5 s"})
 	default: // the caller has left, or its place was taken
 		if s.mu.Lock(); !p.evicted {
 			s.stats.Inc("cut_short", Name)
@@ -306,7 +308,7 @@
 	if err == nil && r.Buffered() > 0 {
 		s.stats.Inc("pipelined", Name) // one call a connection: what follows it is not made
 	}
-	linger.Close(conn, nil, lingerFor, mostAfter)
+	linger.Close(conn, nil, lingerTimeout, maxLingerBytes)
 }
 
 // calls are what may be called for.
@@ -320,13 +322,13 @@
 	"/api/rejoin":   {"POST", Operator.Rejoin, 409},
 }
 
-// answer makes a call and says what became of it.
-func (s *Server) answer(conn net.Conn, c call) {
+// dispatch makes a call and says what became of it.
+func (s *Server) dispatch(conn net.Conn, c call) {
 	k, known := calls[c.path]
-	if c.path == "/api/snapshot" && s.snap != nil {
+	if c.path == "/api/snapshot" && s.snapshot != nil {
 		k.method, k.no, known = "POST", 503, true
 		k.do = func(Operator) (bool, string) {
-			path, err := s.snap()
+			path, err := s.snapshot()
 			if err != nil {
 				return false, err.Error()
 			}
@@ -334,34 +336,34 @@
 		}
 	}
 	if !known {
-		s.refuse(conn, &problem{404, "unknown_path", "no such call"})
+		s.reject(conn, &rejection{404, "unknown_path", "no such call"})
 		return
 	}
 	if c.method != k.method {
-		s.refuse(conn, &problem{405, "wrong_method", "call it with " + k.method}, "Allow: "+k.method)
+		s.reject(conn, &rejection{405, "wrong_method", "call it with " + k.method}, "Allow: "+k.method)
 		return
 	}
-	do := func() (bool, string) { return k.do(s.op) }
-	if s.order != nil && k.method == "POST" && c.query != "" && c.path != "/api/snapshot" {
-		var bad *problem
-		if do, bad = s.ordered(c, do); bad != nil {
-			s.refuse(conn, bad)
+	perform := func() (bool, string) { return k.do(s.op) }
+	if s.commands != nil && k.method == "POST" && c.query != "" && c.path != "/api/snapshot" {
+		var bad *rejection
+		if perform, bad = s.asCommand(c, perform); bad != nil {
+			s.reject(conn, bad)
 			return
 		}
 	}
-	yes, why := do()
-	code, word := status(200), "yes"
-	if !yes {
-		code, word = k.no, "no"
+	done, message := perform()
+	code, outcome := status(200), "yes"
+	if !done {
+		code, outcome = k.no, "no"
 	}
-	s.stats.Inc("calls", Name, strings.TrimPrefix(c.path, "/api/"), word)
-	s.write(conn, code, why)
+	s.stats.Inc("calls", Name, strings.TrimPrefix(c.path, "/api/"), outcome)
+	s.write(conn, code, message)
 }
 
-// ordered has a call that is an order taken as one.
-func (s *Server) ordered(c call, do func() (bool, string)) (func() (bool, string), *problem) {
+// asCommand has a call that is an order taken as one.
+func (s *Server) asCommand(c call, perform func() (bool, string)) (func() (bool, string), *rejection) {
 	q, err := url.ParseQuery(c.query)
-	bad := &problem{400, "malformed", "an order has duty, epoch and step"}
+	bad := &rejection{400, "malformed", "an order has duty, epoch and step"}
 	if err != nil || q.Get("duty") == "" {
 		return nil, bad
 	}
@@ -374,30 +376,30 @@
 		return nil, bad
 	}
 	return func() (bool, string) {
-		yes, why := s.order.Take(strings.TrimPrefix(c.path, "/api/"), q.Get("duty"), epoch, step, do)
-		s.stats.Inc("orders", map[bool]string{true: "taken", false: "refused"}[yes])
-		if !yes {
-			events.Log(s.log, "orders.refused", c.path, why)
+		done, message := s.commands.Take(strings.TrimPrefix(c.path, "/api/"), q.Get("duty"), epoch, step, perform)
+		s.stats.Inc("orders", map[bool]string{true: "taken", false: "refused"}[done])
+		if !done {
+			events.Log(s.log, "orders.refused", c.path, message)
 		}
-		return yes, why
+		return done, message
 	}, nil
 }
 
 // Call makes one call of another process: the form is METHOD /PATH. It reports whether the answer is a yes, and its line.
-func Call(ctx context.Context, addr, form string) (yes bool, why string, err error) {
+func Call(ctx context.Context, addr, requestLine string) (ok bool, message string, err error) {
 	var d net.Dialer
 	conn, err := d.DialContext(ctx, "tcp", addr)
 	if err != nil {
 		return false, "", err
 	}
 	defer conn.Close()
-	if until, ok := ctx.Deadline(); ok {
-		conn.SetDeadline(until)
+	if deadline, ok := ctx.Deadline(); ok {
+		conn.SetDeadline(deadline)
 	}
-	if _, err := fmt.Fprintf(conn, "%s HTTP/1.1\r\nContent-Length: 0\r\n\r\n", form); err != nil {
+	if _, err := fmt.Fprintf(conn, "%s HTTP/1.1\r\nContent-Length: 0\r\n\r\n", requestLine); err != nil {
 		return false, "", err
 	}
-	r := bufio.NewReader(io.LimitReader(conn, mostHead))
+	r := bufio.NewReader(io.LimitReader(conn, maxHeadBytes))
 	first, err := r.ReadString('\n')
 	if err != nil {
 		return false, "", err
@@ -419,19 +421,19 @@
 	return strings.HasPrefix(parts[1], "2"), strings.TrimSpace(string(body)), nil
 }
 
-// refuse answers a call that is not made. Lines about bad calls are bounded; the counters have them all.
-func (s *Server) refuse(conn net.Conn, p *problem, headers ...string) {
-	s.stats.Inc("bad_call", Name, p.name)
+// reject answers a call that is not made. Lines about bad calls are bounded; the counters have them all.
+func (s *Server) reject(conn net.Conn, p *rejection, headers ...string) {
+	s.stats.Inc("bad_call", Name, p.counter)
 	s.mu.Lock()
-	say := time.Since(s.said) >= logEvery
-	if say {
-		s.said = time.Now()
+	logIt := time.Since(s.badCallLoggedAt) >= badCallLogInterval
+	if logIt {
+		s.badCallLoggedAt = time.Now()
 	}
 	s.mu.Unlock()
-	if say {
-		events.Log(s.log, "mgmt.bad_call", int(p.code), conn.RemoteAddr(), p.why)
+	if logIt {
+		events.Log(s.log, "mgmt.bad_call", int(p.code), conn.RemoteAddr(), p.message)
 	}
-	s.write(conn, p.code, p.why, headers...)
+	s.write(conn, p.code, p.message, headers...)
 }
 
 func (s *Server) write(conn net.Conn, code status, why string, headers ...string) {
--- a/internal/transport/admin/mgmt_test.go
+++ b/internal/transport/admin/mgmt_test.go
@@ -36,7 +36,7 @@
 func serve(t *testing.T) (*Server, *operated, *metrics.Counters) {
 	t.Helper()
 	op, counters := &operated{}, &metrics.Counters{}
-	s, err := Listen("127.0.0.1:0", Most, op, log.New(io.Discard, "", 0), counters)
+	s, err := Listen("127.0.0.1:0", MaxConnections, op, log.New(io.Discard, "", 0), counters)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -157,8 +157,8 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.places) > Most || counters.Get("evicted", Name) < 50-Most {
-		t.Errorf("%d places, %d evicted", len(s.places), counters.Get("evicted", Name))
+	if len(s.conns) > MaxConnections || counters.Get("evicted", Name) < 50-MaxConnections {
+		t.Errorf("%d places, %d evicted", len(s.conns), counters.Get("evicted", Name))
 	}
 }
 
@@ -170,7 +170,7 @@
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	s := &Server{most: 2, stats: &metrics.Counters{}, freed: make(chan struct{}, 1)}
+	s := &Server{maxConns: 2, stats: &metrics.Counters{}, released: make(chan struct{}, 1)}
 	for _, text := range []string{whole, ""} {
 		near, err := net.Dial("tcp", ln.Addr().String())
 		if err != nil {
@@ -183,21 +183,21 @@
 		}
 		defer far.Close()
 		io.WriteString(near, text)
-		p := &place{conn: far, since: time.Now().Add(-grace)}
+		p := &callerConn{conn: far, acceptedAt: time.Now().Add(-minCallTime)}
 		unread := func() bool { return linger.Peek(far) == linger.Unread }
 		for deadline := time.Now().Add(10 * time.Second); unread() != (text != ""); time.Sleep(time.Millisecond) {
 			if time.Now().After(deadline) {
 				t.Fatalf("unread is %v of %q", unread(), text)
 			}
 		}
-		s.places = append(s.places, p)
+		s.conns = append(s.conns, p)
 	}
-	first := s.places[0]
-	if s.room(); len(s.places) != 1 || s.places[0] != first || first.evicted {
+	first := s.conns[0]
+	if s.awaitCapacity(); len(s.conns) != 1 || s.conns[0] != first || first.evicted {
 		t.Fatal("the call whose bytes have come gave way")
 	}
-	s.most, first.since = 1, time.Now().Add(-mostGrace)
-	if s.room(); len(s.places) != 0 || !first.evicted {
+	s.maxConns, first.acceptedAt = 1, time.Now().Add(-maxCallTime)
+	if s.awaitCapacity(); len(s.conns) != 0 || !first.evicted {
 		t.Error("a place is kept for ever")
 	}
 }
@@ -209,15 +209,15 @@
 	f.Add([]byte("POST / HTTP/1.1\r\nContent-Length: 18446744073709551616\r\n\r\n"))
 	f.Add([]byte(" / HTTP/1.1\r\n\r\n"))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		c, err := readHead(bufio.NewReaderSize(strings.NewReader(string(b)), mostHead))
-		var bad *problem
+		c, err := readHead(bufio.NewReaderSize(strings.NewReader(string(b)), maxHeadBytes))
+		var bad *rejection
 		switch {
 		case err == nil:
-			if c.method == "" || !strings.HasPrefix(c.path, "/") || c.body < 0 || c.body > mostBody || len(b) == 0 {
+			if c.method == "" || !strings.HasPrefix(c.path, "/") || c.body < 0 || c.body > maxBodyBytes || len(b) == 0 {
 				t.Fatalf("%q: %+v", b, c)
 			}
 		case errors.As(err, &bad):
-			if reasons[bad.code] == "" || bad.why == "" || strings.Contains(bad.why, "\n") {
+			if reasons[bad.code] == "" || bad.message == "" || strings.Contains(bad.message, "\n") {
 				t.Fatalf("%q: %+v", b, bad)
 			}
 		case err != io.EOF:
--- a/internal/transport/client/ask.go
+++ b/internal/transport/client/ask.go
@@ -30,16 +30,16 @@
 type Request struct {
 	Class, Tenant, Key string
 	Body               []byte
-	Wait               time.Duration // how long the caller waits
+	Timeout            time.Duration // how long the caller waits
 	ID                 string        // 16 hexadecimal digits; empty: a new one. SCGI has the service make them
 	HeldKB             float64       // memory to book; 0: 1
 }
 
 // Reply is the one answer, whichever front it came from.
 type Reply struct {
-	Outcome string // served, refused or failed
-	Body    []byte
-	After   time.Duration // refused: when to come back
+	Outcome    string // served, refused or failed
+	Body       []byte
+	RetryAfter time.Duration // refused: when to come back
 }
 
 const dialTimeout = 2 * time.Second
@@ -89,7 +89,7 @@
 			out <- Reply{Outcome: "served", Body: a.Body}
 		case "Full":
 			ms, _ := strconv.Atoi(a.Fields["w"])
-			out <- Reply{Outcome: "refused", After: time.Duration(ms) * time.Millisecond}
+			out <- Reply{Outcome: "refused", RetryAfter: time.Duration(ms) * time.Millisecond}
 		default:
 			out <- Reply{Outcome: "failed"}
 		}
@@ -97,9 +97,9 @@
 	return out
 }
 
-// Ask sends a request.
-func (c *Conn) Ask(q Request) <-chan Reply {
-	t := msgpackrpc.Attempt{ID: q.ID, Class: q.Class, Tenant: q.Tenant, Key: q.Key, ReceivedAt: time.Now(), Timeout: q.Wait,
+// Do sends a request.
+func (c *Conn) Do(q Request) <-chan Reply {
+	t := msgpackrpc.Attempt{ID: q.ID, Class: q.Class, Tenant: q.Tenant, Key: q.Key, ReceivedAt: time.Now(), Timeout: q.Timeout,
 		HeldKB: q.HeldKB, Body: q.Body}
 	if t.ID == "" {
 		t.ID = newID()
@@ -120,8 +120,8 @@
 	return c.send(func(id uint64) []byte { return msgpackrpc.AppendStatus(nil, id) })
 }
 
-// overSCGI sends one request on a connection of its own, as SCGI has it.
-func overSCGI(addr string, body []byte, wait time.Duration, headers ...string) (Reply, error) {
+// doSCGI sends one request on a connection of its own, as SCGI has it.
+func doSCGI(addr string, body []byte, wait time.Duration, headers ...string) (Reply, error) {
 	conn, err := net.DialTimeout("tcp", addr, dialTimeout)
 	if err != nil {
 		return Reply{}, fmt.Errorf("connecting: %w", err)
@@ -139,14 +139,14 @@
 	case 200:
 		return Reply{Outcome: "served", Body: a.Body}, nil
 	case 503:
-		return Reply{Outcome: "refused", After: a.RetryAfter}, nil
+		return Reply{Outcome: "refused", RetryAfter: a.RetryAfter}, nil
 	}
 	return Reply{Outcome: "failed", Body: a.Body}, nil
 }
 
 func headers(q Request) []string {
 	h := []string{"REQUEST_METHOD", "POST", "PATH_INFO", "/" + q.Class,
-		"HTTP_X_TIMEOUT_MS", strconv.FormatInt(q.Wait.Milliseconds(), 10)}
+		"HTTP_X_TIMEOUT_MS", strconv.FormatInt(q.Timeout.Milliseconds(), 10)}
 	if q.Tenant != "" {
 		h = append(h, "HTTP_X_TENANT", q.Tenant)
 	}
@@ -158,15 +158,15 @@
 
 var errNoAnswer = errors.New("the connection ended without an answer")
 
-// Once asks one thing of a front on a connection of its own.
-func Once(front, addr string, q Request) (Reply, error) {
+// Do asks one thing of a front on a connection of its own.
+func Do(front, addr string, q Request) (Reply, error) {
 	if front == SCGI {
-		return overSCGI(addr, q.Body, q.Wait, headers(q)...)
+		return doSCGI(addr, q.Body, q.Timeout, headers(q)...)
 	}
-	return once(Dial, addr, q.Wait, func(c *Conn) <-chan Reply { return c.Ask(q) })
+	return doOn(Dial, addr, q.Timeout, func(c *Conn) <-chan Reply { return c.Do(q) })
 }
 
-func once(dial func(string) (*Conn, error), addr string, wait time.Duration, ask func(*Conn) <-chan Reply) (Reply, error) {
+func doOn(dial func(string) (*Conn, error), addr string, timeout time.Duration, ask func(*Conn) <-chan Reply) (Reply, error) {
 	c, err := dial(addr)
 	if err != nil {
 		return Reply{}, err
@@ -178,8 +178,8 @@
 			return a, errNoAnswer
 		}
 		return a, nil
-	case <-time.After(wait + dialTimeout):
-		return Reply{}, fmt.Errorf("no answer within %v", wait+dialTimeout)
+	case <-time.After(timeout + dialTimeout):
+		return Reply{}, fmt.Errorf("no answer within %v", timeout+dialTimeout)
 	}
 }
 
@@ -188,9 +188,9 @@
 	var a Reply
 	var err error
 	if front == SCGI {
-		a, err = overSCGI(addr, nil, dialTimeout, "REQUEST_METHOD", "GET", "PATH_INFO", "/"+msgpackrpc.StatusMethod)
+		a, err = doSCGI(addr, nil, dialTimeout, "REQUEST_METHOD", "GET", "PATH_INFO", "/"+msgpackrpc.StatusMethod)
 	} else {
-		a, err = once(dialLong, addr, dialTimeout, (*Conn).Status)
+		a, err = doOn(dialLong, addr, dialTimeout, (*Conn).Status)
 	}
 	switch {
 	case err != nil:
@@ -206,7 +206,7 @@
 	Front, Addr string
 	Request     Request
 	Count       int
-	Every       time.Duration // 0: each after the answer of the one before
+	Interval    time.Duration // 0: each after the answer of the one before
 }
 
 // Run sends what is planned, prints every answer and a summary, and reports how many were served. The times count
@@ -219,20 +219,20 @@
 		err  error
 	}
 	results := make(chan result)
-	began := time.Now()
+	startedAt := time.Now()
 	go func() {
 		var wg sync.WaitGroup
 		for n := range p.Count {
 			due := time.Now()
-			if p.Every > 0 {
-				due = began.Add(time.Duration(n) * p.Every)
+			if p.Interval > 0 {
+				due = startedAt.Add(time.Duration(n) * p.Interval)
 				time.Sleep(time.Until(due))
 			}
 			ask := func() {
-				a, err := Once(p.Front, p.Addr, p.Request)
+				a, err := Do(p.Front, p.Addr, p.Request)
 				results <- result{n + 1, time.Since(due), a, err}
 			}
-			if p.Every <= 0 {
+			if p.Interval <= 0 {
 				ask()
 				continue
 			}
@@ -250,16 +250,16 @@
 			what, err = "no answer", r.err
 			fmt.Fprintf(out, "%d: no answer after %v: %v\n", r.n, r.took.Round(time.Microsecond), r.err)
 		case what == "refused":
-			fmt.Fprintf(out, "%d: refused after %v, come back in %v\n", r.n, r.took.Round(time.Microsecond), r.a.After)
+			fmt.Fprintf(out, "%d: refused after %v, come back in %v\n", r.n, r.took.Round(time.Microsecond), r.a.RetryAfter)
 		default:
 			fmt.Fprintf(out, "%d: %s after %v: %s\n", r.n, what, r.took.Round(time.Microsecond), r.a.Body)
 		}
 		outcomes[what]++
 		h.RecordValue(r.took.Microseconds())
 	}
-	at := func(q float64) time.Duration { return time.Duration(h.ValueAtQuantile(q)) * time.Microsecond }
+	quantile := func(q float64) time.Duration { return time.Duration(h.ValueAtQuantile(q)) * time.Microsecond }
 	fmt.Fprintf(out, "%d asked: %d served, %d refused, %d failed, %d without an answer; p50 %v, p99 %v, longest %v\n",
 		p.Count, outcomes["served"], outcomes["refused"], outcomes["failed"], outcomes["no answer"],
-		at(50), at(99), time.Duration(h.Max())*time.Microsecond)
+		quantile(50), quantile(99), time.Duration(h.Max())*time.Microsecond)
 	return outcomes["served"], err
 }
--- a/internal/transport/interpreter/interp.go
+++ b/internal/transport/interpreter/interp.go
@@ -34,19 +34,19 @@
 }
 
 const (
-	longestLine  = 1 << 20
-	longestTook  = 1 << 40 // milliseconds, so that times stay within their type
+	maxLineBytes = 1 << 20
+	maxTookMs    = 1 << 40 // milliseconds, so that times stay within their type
 	writeTimeout = 2 * time.Second
-	redialAfter  = 5 * time.Millisecond // after a live link broke; doubles with each try that fails
-	slowestDial  = time.Second
+	minBackoff   = 5 * time.Millisecond // after a live link broke; doubles with each try that fails
+	maxBackoff   = time.Second
 	syncRef      = "sync" // of the TOP whose answer shows that all earlier notices have been read
-	moveRef      = "move" // of the one whose answer shows that all earlier commands have arrived
-	// moveWithin is how long a link that is left for another address may take to bring that answer.
-	moveWithin = 500 * time.Millisecond
-	// silentFor and silentProbes are when a live link on which nothing comes is taken to be broken. Its gauges are asked for
+	redirectRef  = "move" // of the one whose answer shows that all earlier commands have arrived
+	// redirectTimeout is how long a link that is left for another address may take to bring that answer.
+	redirectTimeout = 500 * time.Millisecond
+	// silenceTimeout and minSilentProbes are when a live link on which nothing comes is taken to be broken. Its gauges are asked for
 	// forty times a second, so silence is never a want of news; and a process that stood still itself has asked only once.
-	silentFor    = 10 * time.Second
-	silentProbes = 40
+	silenceTimeout  = 10 * time.Second
+	minSilentProbes = 40
 )
 
 // Link runs requests on the interpreter. It is the core's Runner.
@@ -57,43 +57,43 @@
 	stats  *metrics.Counters
 	dial   func(ctx context.Context, network, addr string) (net.Conn, error)
 
-	mu      sync.Mutex
-	addr    string
-	cut     context.CancelFunc // ends the present link, or the wait for the next
-	jobs    map[string]*job    // runs whose end was not read
-	queue   []command          // to be written
-	bell    chan struct{}
-	live    bool // the notices missed by this link have all been read
-	leaving bool // this link is left for another address
-	last    int64
-	down    time.Time // when the last live link broke; zero where it was left
-	heard   time.Time // when something came last on the present link
-	probes  int       // since then
-	silent  bool      // this link is given up as nothing comes on it
+	mu               sync.Mutex
+	addr             string
+	cancelLink       context.CancelFunc // ends the present link, or the wait for the next
+	runs             map[string]*run    // runs whose end was not read
+	queue            []command          // to be written
+	wake             chan struct{}
+	live             bool // the notices missed by this link have all been read
+	redirecting      bool // this link is left for another address
+	lastNotice       int64
+	brokeAt          time.Time // when the last live link broke; zero where it was left
+	lastReceived     time.Time // when something came last on the present link
+	unansweredProbes int       // since then
+	silent           bool      // this link is given up as nothing comes on it
 }
 
-type job struct {
-	apply []byte
-	sent  bool
-	again bool // sent on more than one link
+type run struct {
+	applyLine  []byte
+	sent       bool
+	sentBefore bool // sent on more than one link
 }
 
 type command struct {
-	line    []byte
-	resolve bool
-	last    bool // on its link: what comes after it waits for the next
+	line       []byte
+	resolve    bool
+	lastOnLink bool // on its link: what comes after it waits for the next
 }
 
 // New returns a link to the interpreter at addr; Keep holds it open.
 func New(addr string, gauges []string, events Events, l *log.Logger, s *metrics.Counters) *Link {
 	return &Link{
-		addr: addr, gauges: gauges, events: events, log: l, stats: s, jobs: map[string]*job{}, cut: func() {},
-		bell: make(chan struct{}, 1), dial: (&net.Dialer{Timeout: slowestDial}).DialContext,
+		addr: addr, gauges: gauges, events: events, log: l, stats: s, runs: map[string]*run{}, cancelLink: func() {},
+		wake: make(chan struct{}, 1), dial: (&net.Dialer{Timeout: maxBackoff}).DialContext,
 	}
 }
 
-// object appends a JSON object, as a line, of strings by name.
-func object(pairs ...string) []byte {
+// jsonLine appends a JSON object, as a line, of strings by name.
+func jsonLine(pairs ...string) []byte {
 	var a fastjson.Arena
 	o := a.NewObject()
 	for i := 0; i < len(pairs); i += 2 {
@@ -104,22 +104,22 @@
 
 // Run starts a request. On a link that is down it is started once the next one is up.
 func (l *Link) Run(id, class string, body []byte) {
-	line := object("type", "APPLY", "job", id, "kind", class, "data", base64.StdEncoding.EncodeToString(body))
+	line := jsonLine("type", "APPLY", "job", id, "kind", class, "data", base64.StdEncoding.EncodeToString(body))
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.jobs[id] = &job{apply: line, sent: l.live}
+	l.runs[id] = &run{applyLine: line, sent: l.live}
 	if l.live {
-		l.send(command{line: line})
+		l.enqueue(command{line: line})
 	}
 }
 
 // Resume hands a run the reply to its call.
 func (l *Link) Resume(id string, reply []byte) {
-	line := object("type", "RESOLVE", "job", id, "data", base64.StdEncoding.EncodeToString(reply))
+	line := jsonLine("type", "RESOLVE", "job", id, "data", base64.StdEncoding.EncodeToString(reply))
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.jobs[id] != nil {
-		l.send(command{line: line, resolve: true})
+	if l.runs[id] != nil {
+		l.enqueue(command{line: line, resolve: true})
 	}
 }
 
@@ -130,84 +130,84 @@
 	if !l.live {
 		return
 	}
-	if l.probes++; l.probes > silentProbes && time.Since(l.heard) >= silentFor && !l.silent {
+	if l.unansweredProbes++; l.unansweredProbes > minSilentProbes && time.Since(l.lastReceived) >= silenceTimeout && !l.silent {
 		l.silent = true
 		l.stats.Inc("interpreter", "silent")
-		l.cut()
+		l.cancelLink()
 		return
 	}
-	l.send(command{line: object("type", "TOP", "ref", "tick")})
+	l.enqueue(command{line: jsonLine("type", "TOP", "ref", "tick")})
 }
 
-func (l *Link) send(c command) {
+func (l *Link) enqueue(c command) {
 	l.queue = append(l.queue, c)
 	select {
-	case l.bell <- struct{}{}:
+	case l.wake <- struct{}{}:
 	default:
 	}
 }
 
-// Move leaves the interpreter's address for a new one. The interpreter is the same: its runs go on and its
+// Redirect leaves the interpreter's address for a new one. The interpreter is the same: its runs go on and its
 // notices keep their numbers. A live link is left once all that was written to it is known to have arrived, so
 // that no command is lost with it; what comes meanwhile waits for the new one.
-func (l *Link) Move(addr string) {
+func (l *Link) Redirect(addr string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if addr == l.addr {
 		return
 	}
-	l.addr, l.down = addr, time.Time{}
+	l.addr, l.brokeAt = addr, time.Time{}
 	switch {
-	case l.leaving: // for whichever address was told last
+	case l.redirecting: // for whichever address was told last
 	case l.live:
-		l.leaving = true
-		l.send(command{line: object("type", "TOP", "ref", moveRef), last: true})
-		time.AfterFunc(moveWithin, l.cut)
+		l.redirecting = true
+		l.enqueue(command{line: jsonLine("type", "TOP", "ref", redirectRef), lastOnLink: true})
+		time.AfterFunc(redirectTimeout, l.cancelLink)
 	default:
-		l.cut() // nothing but CONNECT was written
+		l.cancelLink() // nothing but CONNECT was written
 	}
 }
 
-// Keep holds the link open until the context ends.
-func (l *Link) Keep(ctx context.Context) {
-	wait := redialAfter
+// Maintain holds the link open until the context ends.
+func (l *Link) Maintain(ctx context.Context) {
+	backoff := minBackoff
 	for ctx.Err() == nil {
-		link, cut := context.WithCancel(ctx)
+		linkCtx, cancel := context.WithCancel(ctx)
 		l.mu.Lock()
 		addr := l.addr
-		l.cut = cut
+		l.cancelLink = cancel
 		l.mu.Unlock()
-		live, left, err := l.connect(link, addr)
+		wasLive, leaving, err := l.connect(linkCtx, addr)
 		l.mu.Lock()
-		moved, next := left || addr != l.addr, l.addr
+		redirected, next := leaving || addr != l.addr, l.addr
 		l.mu.Unlock()
 		switch {
 		case ctx.Err() != nil:
-		case moved:
+		case redirected:
 			l.stats.Inc("interpreter", "moved")
 			events.Log(l.log, "interpreter.moved", addr, next)
-			wait = redialAfter
+			backoff = minBackoff
 		default:
 			l.stats.Inc("interpreter", "link_down")
 			events.Log(l.log, "interpreter.link_down", err)
-			if live {
-				wait = redialAfter
+			if wasLive {
+				backoff = minBackoff
 			}
 			select {
-			case <-link.Done(): // the end, or a new address
-			case <-time.After(wait):
+			case <-linkCtx.Done(): // the end, or a new address
+			case <-time.After(backoff):
 			}
-			wait = min(2*wait, slowestDial)
+			backoff = min(2*backoff, maxBackoff)
 		}
-		cut()
+		cancel()
 	}
 }
 
 // errSilent ends a link on which nothing comes.
-var errSilent = fmt.Errorf("nothing was heard for %v", silentFor)
+var errSilent = fmt.Errorf("nothing was heard for %v", silenceTimeout)
 
-// errMoved ends a link that is left for another address.
-var errMoved = errors.New("left for another address")
+// errRedirected ends a link that is left for another address.
+var errRedirected = errors.New("left for another address")
 
 // connect is the life of one link: CONNECT, then a writer beside the reading of notices until either fails. It
 // reports whether the link came to be live, and whether it was being left.
@@ -218,32 +218,32 @@
 	}
 	defer context.AfterFunc(ctx, func() { conn.Close() })()
 	l.mu.Lock()
-	hello := fmt.Appendf(nil, `{"type":"CONNECT","n":%d}`+"\n", l.last)
+	connectLine := fmt.Appendf(nil, `{"type":"CONNECT","n":%d}`+"\n", l.lastNotice)
 	l.mu.Unlock()
-	if err := write(conn, hello); err != nil {
+	if err := write(conn, connectLine); err != nil {
 		conn.Close()
 		return false, false, err
 	}
-	over, written := make(chan struct{}), make(chan struct{})
+	linkDone, written := make(chan struct{}), make(chan struct{})
 	go func() {
 		defer close(written)
-		l.write(conn, over)
+		l.write(conn, linkDone)
 	}()
 	err = l.read(conn)
 	conn.Close()
-	close(over)
+	close(linkDone)
 	<-written
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	live, left = l.live || l.leaving, l.leaving
+	live, left = l.live || l.redirecting, l.redirecting
 	if l.silent {
 		err = errSilent
 	}
 	l.silent = false
-	if l.live && !l.leaving {
-		l.down = time.Now()
+	if l.live && !l.redirecting {
+		l.brokeAt = time.Now()
 	}
-	l.live, l.leaving = false, false
+	l.live, l.redirecting = false, false
 	// What was not written goes out on the next link: replies as they are, runs by being started anew there.
 	kept := l.queue[:0]
 	for _, c := range l.queue {
@@ -264,14 +264,14 @@
 }
 
 // write sends what is queued once the link is live, several commands at a time.
-func (l *Link) write(conn net.Conn, over <-chan struct{}) {
+func (l *Link) write(conn net.Conn, linkDone <-chan struct{}) {
 	b := bufferpool.Get()
 	defer bufferpool.Put(b)
 	for {
 		select {
-		case <-over:
+		case <-linkDone:
 			return
-		case <-l.bell:
+		case <-l.wake:
 		}
 		for {
 			l.mu.Lock()
@@ -279,7 +279,7 @@
 			*b = (*b)[:0]
 			for l.live && n < len(l.queue) && (n == 0 || len(*b)+len(l.queue[n].line) <= bufferpool.Size) {
 				*b = append(*b, l.queue[n].line...)
-				l.live = !l.queue[n].last
+				l.live = !l.queue[n].lastOnLink
 				n++
 			}
 			l.queue = l.queue[n:]
@@ -307,13 +307,13 @@
 			return fmt.Errorf("reading: %w", err)
 		}
 		l.mu.Lock()
-		l.heard, l.probes = time.Now(), 0
+		l.lastReceived, l.unansweredProbes = time.Now(), 0
 		l.mu.Unlock()
 		v, err := p.ParseBytes(line)
 		if err != nil {
 			return fmt.Errorf("a notice that is not JSON: %w", err)
 		}
-		if err := l.notice(conn, v); err != nil {
+		if err := l.handleNotice(conn, v); err != nil {
 			return err
 		}
 	}
@@ -328,7 +328,7 @@
 	*long = (*long)[:0]
 	for {
 		*long = append(*long, line...)
-		if len(*long) > longestLine {
+		if len(*long) > maxLineBytes {
 			return nil, errors.New("a line without end")
 		}
 		if !errors.Is(err, bufio.ErrBufferFull) {
@@ -338,22 +338,22 @@
 	}
 }
 
-var commands = []string{"CONNECT", "APPLY", "RESOLVE", "TOP"}
+var commandNames = []string{"CONNECT", "APPLY", "RESOLVE", "TOP"}
 
-var ends = map[string]silverpath.Outcome{
+var outcomeOf = map[string]silverpath.Outcome{
 	"PASS": silverpath.OK, "FAIL": silverpath.Failed, "KILLED": silverpath.Canceled, "NOOP": silverpath.NotStarted,
 }
 
-// notice takes one notice. What a former link has brought already is passed over by its number.
-func (l *Link) notice(conn net.Conn, v *fastjson.Value) error {
+// handleNotice takes one notice. What a former link has brought already is passed over by its number.
+func (l *Link) handleNotice(conn net.Conn, v *fastjson.Value) error {
 	kind, id := string(v.GetStringBytes("type")), string(v.GetStringBytes("job"))
 	if v.Exists("n") && kind != "BANNER" {
 		n := v.GetInt64("n")
 		l.mu.Lock()
-		old := n <= l.last
-		l.last = max(l.last, n)
+		duplicate := n <= l.lastNotice
+		l.lastNotice = max(l.lastNotice, n)
 		l.mu.Unlock()
-		if old {
+		if duplicate {
 			return nil
 		}
 	}
@@ -370,44 +370,44 @@
 	switch kind {
 	case "BANNER":
 		events.Log(l.log, "interpreter.up", string(v.GetStringBytes("state")), v.GetInt64("took"))
-		ago := time.Duration(min(max(0, v.GetInt64("took")), longestTook)) * time.Millisecond
-		l.restarted(ago)
+		ago := time.Duration(min(max(0, v.GetInt64("took")), maxTookMs)) * time.Millisecond
+		l.detectRestart(ago)
 		l.events.Started(string(v.GetStringBytes("state")) == "EMPTY", ago)
-		return write(conn, object("type", "TOP", "ref", syncRef))
+		return write(conn, jsonLine("type", "TOP", "ref", syncRef))
 	case "TOPS":
 		switch string(v.GetStringBytes("ref")) {
 		case syncRef:
-			l.resume()
+			l.becomeLive()
 			l.events.Up()
-		case moveRef:
-			return errMoved
+		case redirectRef:
+			return errRedirected
 		}
 		l.readings(v.GetArray("gauges"))
 	case "AWAIT":
 		l.events.Awaits(id, data)
 	case "VALUE":
-		o, ok := ends[string(v.GetStringBytes("state"))]
+		outcome, ok := outcomeOf[string(v.GetStringBytes("state"))]
 		if !ok {
 			l.ended(id, silverpath.Failed, 0, nil) // likewise: nobody else will tell how the run ended
 			return fmt.Errorf("VALUE: state: unknown: %q", v.GetStringBytes("state"))
 		}
-		l.ended(id, o, time.Duration(v.GetFloat64("took")*float64(time.Millisecond)), data)
+		l.ended(id, outcome, time.Duration(v.GetFloat64("took")*float64(time.Millisecond)), data)
 	case "ERROR":
 		command := string(v.GetStringBytes("state"))
-		if !slices.Contains(commands, command) {
+		if !slices.Contains(commandNames, command) {
 			command = "other" // counters are bounded, what comes off a wire is not
 		}
 		l.stats.Inc("interpreter", "error", command)
 		events.Log(l.log, "interpreter.refused", command, id)
 		l.mu.Lock()
-		j := l.jobs[id]
+		j := l.runs[id]
 		l.mu.Unlock()
 		if j != nil {
-			o := silverpath.Failed
-			if command == "APPLY" && !j.again {
-				o = silverpath.NotStarted // its only start was refused: it never ran
+			outcome := silverpath.Failed
+			if command == "APPLY" && !j.sentBefore {
+				outcome = silverpath.NotStarted // its only start was refused: it never ran
 			}
-			l.ended(id, o, 0, nil)
+			l.ended(id, outcome, 0, nil)
 		}
 	case "TRACE":
 	default:
@@ -416,16 +416,16 @@
 	return nil
 }
 
-// restarted is told how long ago the interpreter started. One that started after the last link broke knows no run
+// detectRestart is told how long ago the interpreter started. One that started after the last link broke knows no run
 // of ours and numbers its notices anew: what was started on the old one may have had its effect and has no end
 // any more, so it fails; starting it again could run an effect twice.
-func (l *Link) restarted(ago time.Duration) {
+func (l *Link) detectRestart(ago time.Duration) {
 	l.mu.Lock()
 	var lost []string
-	if !l.down.IsZero() && ago < time.Since(l.down) {
-		l.last = 0
+	if !l.brokeAt.IsZero() && ago < time.Since(l.brokeAt) {
+		l.lastNotice = 0
 		l.queue = nil // replies to calls of runs that are gone
-		for id, j := range l.jobs {
+		for id, j := range l.runs {
 			if j.sent {
 				lost = append(lost, id)
 			}
@@ -441,29 +441,29 @@
 	}
 }
 
-// resume makes a link live: every notice of former links has been read, so a run without an end either goes on
+// becomeLive makes a link live: every notice of former links has been read, so a run without an end either goes on
 // there, and starting it again does nothing, or its start was lost.
-func (l *Link) resume() {
+func (l *Link) becomeLive() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.live = true
-	if len(l.jobs) > 0 {
-		events.Log(l.log, "interpreter.link_up", len(l.jobs))
+	if len(l.runs) > 0 {
+		events.Log(l.log, "interpreter.link_up", len(l.runs))
 	}
 	replies := l.queue
 	l.queue = nil
-	for _, j := range l.jobs {
-		j.sent, j.again = true, j.sent
-		l.queue = append(l.queue, command{line: j.apply})
+	for _, j := range l.runs {
+		j.sent, j.sentBefore = true, j.sent
+		l.queue = append(l.queue, command{line: j.applyLine})
 	}
 	l.queue = append(l.queue, replies...)
-	l.send(command{line: object("type", "TOP", "ref", "tick")})
+	l.enqueue(command{line: jsonLine("type", "TOP", "ref", "tick")})
 }
 
 func (l *Link) ended(id string, o silverpath.Outcome, spent time.Duration, result []byte) {
 	l.mu.Lock()
-	known := l.jobs[id] != nil
-	delete(l.jobs, id)
+	known := l.runs[id] != nil
+	delete(l.runs, id)
 	l.mu.Unlock()
 	if known {
 		l.events.Ended(id, o, spent, result)
--- a/internal/transport/interpreter/interp_test.go
+++ b/internal/transport/interpreter/interp_test.go
@@ -94,7 +94,7 @@
 		}
 		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan struct{})
-		go func() { defer close(done); l.Keep(ctx) }()
+		go func() { defer close(done); l.Maintain(ctx) }()
 		var machines []*machine
 		test(l, h, func() *machine {
 			m := &machine{t: t, conn: <-conns, in: make(chan string, 100)}
@@ -286,9 +286,9 @@
 			}
 		}
 		m.say(`{"type":"TRACE","n":5,"state":"x"}`)
-		ask(silentFor - time.Second)
+		ask(silenceTimeout - time.Second)
 		m.say(tops)
-		ask(silentFor - time.Second)
+		ask(silenceTimeout - time.Second)
 		m.say(tops)
 		time.Sleep(time.Hour) // nobody asks
 		ask(500 * time.Millisecond)
@@ -296,7 +296,7 @@
 			t.Fatalf("given up %d times while it answers", n)
 		}
 		m.say(tops)
-		ask(silentFor + time.Second)
+		ask(silenceTimeout + time.Second)
 		if n := l.stats.Get("interpreter", "silent"); n != 1 {
 			t.Fatalf("given up %d times while it is silent", n)
 		}
@@ -343,11 +343,11 @@
 		m.reads(`{"type":"CONNECT","n":0}`, sync0, tick, apply("a"), apply("b"))
 		l.Resume("a", []byte("re"))
 		m.conn.Write([]byte(`{"type":"VALUE","n":2,"job":`)) // a notice under way
-		l.Move("127.0.0.1:2")
+		l.Redirect("127.0.0.1:2")
 		l.Run("c", "krog", []byte("x"))
 		m.reads(`{"type":"RESOLVE","job":"a","data":"cmU="}`, move)
 		m.say(`"b","state":"PASS","took":1}`)
-		l.Move("127.0.0.1:3") // before the first move is done
+		l.Redirect("127.0.0.1:3") // before the first move is done
 		m.say(`{"type":"TOPS","ref":"move","gauges":[0,0]}`)
 		h.take()
 		m = next()
@@ -368,8 +368,8 @@
 		}
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		if l.addr != "127.0.0.1:3" || l.leaving {
-			t.Fatalf("address %s, leaving %v", l.addr, l.leaving)
+		if l.addr != "127.0.0.1:3" || l.redirecting {
+			t.Fatalf("address %s, leaving %v", l.addr, l.redirecting)
 		}
 	})
 }
@@ -381,14 +381,14 @@
 		m := next()
 		m.say(banner, tops)
 		began := time.Now()
-		l.Move("127.0.0.1:2")
+		l.Redirect("127.0.0.1:2")
 		m = next()
-		if d := time.Since(began); d != moveWithin {
+		if d := time.Since(began); d != redirectTimeout {
 			t.Fatalf("left after %v", d)
 		}
-		l.Move("127.0.0.1:3") // before its BANNER
+		l.Redirect("127.0.0.1:3") // before its BANNER
 		m = next()
-		if d := time.Since(began); d != moveWithin {
+		if d := time.Since(began); d != redirectTimeout {
 			t.Fatalf("left after %v", d)
 		}
 		m.reads(`{"type":"CONNECT","n":0}`)
@@ -399,7 +399,7 @@
 		m.conn.Close()
 		synctest.Wait()
 		began = time.Now()
-		l.Move("127.0.0.1:4")
+		l.Redirect("127.0.0.1:4")
 		m = next()
 		if d := time.Since(began); d != 0 {
 			t.Fatalf("dialed after %v", d)
--- a/internal/transport/loadreport/announce.go
+++ b/internal/transport/loadreport/announce.go
@@ -12,80 +12,80 @@
 	"silverpath/internal/events"
 )
 
-// Every is the time between reports. An entry lapses 3 s after the last report that arrived, and a good part of
+// Interval is the time between reports. An entry lapses 3 s after the last report that arrived, and a good part of
 // them may be lost on the way: with one in four lost, all of the 14 that make up such a stretch are lost about
 // once in 10^8 stretches.
-const Every = 200 * time.Millisecond
+const Interval = 200 * time.Millisecond
 
 // Reporter sends the reports.
 type Reporter struct {
-	name string
-	good func() bool
-	log  *log.Logger
-	dial func(network, addr string) (net.Conn, error)
+	name    string
+	healthy func() bool
+	log     *log.Logger
+	dial    func(network, addr string) (net.Conn, error)
 
-	mu    sync.Mutex
-	addr  string
-	quiet bool
-	moved chan struct{}
+	mu         sync.Mutex
+	addr       string
+	silenced   bool
+	redirected chan struct{}
 }
 
 // New returns a Reporter for the service of that name; good tells its health. An empty address is none.
-func New(addr, name string, good func() bool, l *log.Logger) *Reporter {
-	return &Reporter{name: name, good: good, log: l, dial: net.Dial, addr: addr, moved: make(chan struct{}, 1)}
+func New(addr, name string, healthy func() bool, l *log.Logger) *Reporter {
+	return &Reporter{name: name, healthy: healthy, log: l, dial: net.Dial, addr: addr, redirected: make(chan struct{}, 1)}
 }
 
-// Move sends the reports to another address from now on, the next one at once.
-func (r *Reporter) Move(addr string) {
+// Redirect sends the reports to another address from now on, the next one at once.
+func (r *Reporter) Redirect(addr string) {
 	r.mu.Lock()
 	r.addr = addr
 	r.mu.Unlock()
 	select {
-	case r.moved <- struct{}{}:
+	case r.redirected <- struct{}{}:
 	default:
 	}
 }
 
-// Quiet ends the reports: another process of the same name reports from now on.
-func (r *Reporter) Quiet() {
+// Silence ends the reports: another process of the same name reports from now on.
+func (r *Reporter) Silence() {
 	r.mu.Lock()
-	r.quiet = true
+	r.silenced = true
 	r.mu.Unlock()
 }
 
-// sayEvery is the least time between two lines that no report can be sent.
-const sayEvery = 10 * time.Second
+// failureLogInterval is the least time between two lines that no report can be sent.
+const failureLogInterval = 10 * time.Second
 
-// Keep reports until the context ends. A report that can't be sent is let go: the next one comes soon, and the
+// Run reports until the context ends. A report that can't be sent is let go: the next one comes soon, and the
 // announce service may be down. Where there is no socket to send by, as no descriptor or no route is left, the next
 // report tries again to have one: a service that gave up here would stay unknown for good.
-func (r *Reporter) Keep(ctx context.Context) {
-	tick := time.NewTicker(Every)
+func (r *Reporter) Run(ctx context.Context) {
+	tick := time.NewTicker(Interval)
 	defer tick.Stop()
 	var conn net.Conn
-	var said time.Time
-	at := ""
+	var failureLoggedAt time.Time
+	current := ""
 	for {
 		r.mu.Lock()
-		addr, quiet := r.addr, r.quiet
+		addr, silenced := r.addr, r.silenced
 		r.mu.Unlock()
-		if addr != at && conn != nil {
+		if addr != current && conn != nil {
 			conn.Close()
 			conn = nil
 		}
-		at = addr
+		current = addr
 		if conn == nil && addr != "" {
 			var err error
 			if conn, err = r.dial("udp", addr); err != nil {
 				conn = nil
-				if time.Since(said) >= sayEvery {
-					said = time.Now()
+				if time.Since(failureLoggedAt) >= failureLogInterval {
+					failureLoggedAt = time.Now()
 					events.Log(r.log, "announce.failed", err)
 				}
 			}
 		}
-		if conn != nil && !quiet {
-			conn.Write(report(r.name, r.good()))
+		if conn != nil && !silenced {
+			conn.Write(report(r.name, r.healthy()))
 		}
 		select {
 		case <-ctx.Done():
@@ -93,10 +93,12 @@
 				conn.Close()
 			}
 			return
-		case <-r.moved:
+		case <-r.redirected:
 		case <-tick.C:
 		}
 	}
 }
 
-func report(name string, good bool) []byte { return fmt.Appendf(nil, "announce %s %t", name, good) }
+func report(name string, healthy bool) []byte {
+	return fmt.Appendf(nil, "announce %s %t", name, healthy)
+}
--- a/internal/transport/loadreport/announce_test.go
+++ b/internal/transport/loadreport/announce_test.go
@@ -45,15 +45,15 @@
 	r := New(first.LocalAddr().String(), "n3", func() bool { return n.Add(1) == 1 }, log.New(io.Discard, "", 0))
 	go func() {
 		defer close(done)
-		r.Keep(ctx)
+		r.Run(ctx)
 	}()
 	expect(t, first, "announce n3 true")
 	expect(t, first, "announce n3 false")
-	r.Move("")
-	r.Move(second.LocalAddr().String())
+	r.Redirect("")
+	r.Redirect(second.LocalAddr().String())
 	expect(t, second, "announce n3 false")
-	r.Quiet() // another process of the name reports
-	second.SetReadDeadline(time.Now().Add(3 * Every))
+	r.Silence() // another process of the name reports
+	second.SetReadDeadline(time.Now().Add(3 * Interval))
 	late := 0
 	for b := make([]byte, 100); ; late++ {
 		if _, _, err := second.ReadFrom(b); err != nil {
@@ -95,16 +95,16 @@
 		done := make(chan struct{})
 		go func() {
 			defer close(done)
-			r.Keep(ctx)
+			r.Run(ctx)
 		}()
-		time.Sleep(20*Every + Every/2)
+		time.Sleep(20*Interval + Interval/2)
 		synctest.Wait()
 		if want := []string{"a: announce n3 true"}; !slices.Equal(got, want) || strings.Count(out.String(), "\n") != 1 {
 			t.Fatalf("reports %q, log %q", got, out.String())
 		}
 		got, fails = nil, 1
-		r.Move("b")
-		time.Sleep(Every)
+		r.Redirect("b")
+		time.Sleep(Interval)
 		synctest.Wait()
 		if want := []string{"b: announce n3 true"}; !slices.Equal(got, want) {
 			t.Fatalf("reports after the move: %q", got)
@@ -116,8 +116,8 @@
 
 // With one report in four lost, an entry that lapses after 3 s must not lapse in a month of reports.
 func TestOften(t *testing.T) {
-	lost := math.Pow(0.25, math.Floor(float64(3*time.Second-Every)/float64(Every)))
+	lost := math.Pow(0.25, math.Floor(float64(3*time.Second-Interval)/float64(Interval)))
 	if stretches := 30 * 24 * time.Hour / (3 * time.Second); lost*float64(stretches) > 0.01 {
-		t.Fatalf("a report every %v", Every)
+		t.Fatalf("a report every %v", Interval)
 	}
 }
--- a/internal/transport/snmp/agent.go
+++ b/internal/transport/snmp/agent.go
@@ -37,10 +37,10 @@
 )
 
 const (
-	version2c   = 1
-	largest     = 1400 // bytes of a response: one packet on any path
-	longestName = 100  // of a counter, as an index
-	mostRepeats = 200
+	version2c        = 1
+	maxResponseBytes = 1400 // bytes of a response: one packet on any path
+	maxCounterName   = 100  // of a counter, as an index
+	maxRepetitions   = 200
 
 	errTooBig      = 1
 	errNotWritable = 17
@@ -62,7 +62,7 @@
 	core      Source
 	stats     *metrics.Counters
 	log       *log.Logger
-	began     time.Time
+	startedAt time.Time
 }
 
 // Listen opens an agent's address; control, if any, is called on the socket first.
@@ -72,7 +72,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return &Agent{conn: conn, community: community, name: name, core: c, stats: s, log: l, began: time.Now()}, nil
+	return &Agent{conn: conn, community: community, name: name, core: c, stats: s, log: l, startedAt: time.Now()}, nil
 }
 
 // Addr is the address listened on.
@@ -95,9 +95,9 @@
 			}
 			return
 		}
-		reply, why := a.answer(b[:n])
+		reply, reason := a.respond(b[:n])
 		if reply == nil {
-			a.stats.Inc("snmp", why)
+			a.stats.Inc("snmp", reason)
 			continue
 		}
 		a.stats.Inc("snmp", "answered")
@@ -109,51 +109,51 @@
 
 // request is a message that asks for something.
 type request struct {
-	kind      byte
-	id        int32
-	first     int32 // GetBulk: the names asked for once
-	repeats   int32 // and how often the others are
-	names     []oid
-	community string
+	kind           byte
+	id             int32
+	nonRepeaters   int32 // GetBulk: the names asked for once
+	maxRepetitions int32 // and how often the others are
+	names          []oid
+	community      string
 }
 
 func parse(b []byte) (q request, version int32, err error) {
 	fail := func(err error) (request, int32, error) { return request{}, version, err }
-	b, _, err = want(b, tagSequence)
+	b, _, err = expectElement(b, tagSequence)
 	if err != nil {
 		return fail(err)
 	}
-	if version, b, err = wantInteger(b); err != nil {
+	if version, b, err = expectInteger(b); err != nil {
 		return fail(err)
 	}
-	community, b, err := want(b, tagString)
+	community, b, err := expectElement(b, tagString)
 	if err != nil {
 		return fail(err)
 	}
 	q.community = string(community)
-	pdu, _, err := next(b)
+	pdu, _, err := nextElement(b)
 	if err != nil {
 		return fail(err)
 	}
 	q.kind, b = pdu.tag, pdu.body
-	for _, n := range []*int32{&q.id, &q.first, &q.repeats} {
-		if *n, b, err = wantInteger(b); err != nil {
+	for _, n := range []*int32{&q.id, &q.nonRepeaters, &q.maxRepetitions} {
+		if *n, b, err = expectInteger(b); err != nil {
 			return fail(err)
 		}
 	}
-	if b, _, err = want(b, tagSequence); err != nil {
+	if b, _, err = expectElement(b, tagSequence); err != nil {
 		return fail(err)
 	}
 	for len(b) > 0 {
 		var bind []byte
-		if bind, b, err = want(b, tagSequence); err != nil {
+		if bind, b, err = expectElement(b, tagSequence); err != nil {
 			return fail(err)
 		}
-		name, rest, err := wantOID(bind)
+		name, rest, err := expectOID(bind)
 		if err != nil {
 			return fail(err)
 		}
-		if _, _, err := next(rest); err != nil {
+		if _, _, err := nextElement(rest); err != nil {
 			return fail(err)
 		}
 		q.names = append(q.names, name)
@@ -161,8 +161,8 @@
 	return q, version, nil
 }
 
-// answer returns the response to a message, or why there is none.
-func (a *Agent) answer(b []byte) (reply []byte, why string) {
+// respond returns the response to a message, or why there is none.
+func (a *Agent) respond(b []byte) (reply []byte, reason string) {
 	q, version, err := parse(b)
 	switch {
 	case err != nil:
@@ -181,11 +181,11 @@
 		}
 	case tagGetNext:
 		for _, name := range q.names {
-			bind, _ := following(objects, name)
+			bind, _ := successor(objects, name)
 			binds = append(binds, bind)
 		}
 	case tagGetBulk:
-		binds = bulk(objects, q)
+		binds = getBulk(objects, q)
 	case tagSet:
 		return q.response(errNotWritable, min(1, len(q.names)), q.echo()), ""
 	default:
@@ -194,7 +194,7 @@
 	for {
 		reply := q.response(0, 0, binds)
 		switch {
-		case len(reply) <= largest:
+		case len(reply) <= maxResponseBytes:
 			return reply, ""
 		case q.kind != tagGetBulk || len(binds) == 0:
 			return q.response(errTooBig, 0, nil), ""
@@ -207,7 +207,7 @@
 func (q request) echo() [][]byte {
 	var binds [][]byte
 	for _, name := range q.names {
-		binds = append(binds, bind(name, appendElement(nil, tagNull, nil)))
+		binds = append(binds, varBind(name, appendElement(nil, tagNull, nil)))
 	}
 	return binds
 }
@@ -226,7 +226,7 @@
 	value []byte
 }
 
-func bind(name oid, value []byte) []byte {
+func varBind(name oid, value []byte) []byte {
 	return appendElement(nil, tagSequence, append(appendOID(nil, name), value...))
 }
 
@@ -234,44 +234,44 @@
 
 func get(objects []object, name oid) []byte {
 	if i, found := slices.BinarySearchFunc(objects, name, compare); found {
-		return bind(name, objects[i].value)
+		return varBind(name, objects[i].value)
 	}
 	for _, o := range objects { // a name under a known object lacks only the instance
 		if parent := o.name[:len(root)+2]; len(name) >= len(parent) && name[:len(parent)].compare(parent) == 0 {
-			return bind(name, appendElement(nil, tagNoSuchInstance, nil))
+			return varBind(name, appendElement(nil, tagNoSuchInstance, nil))
 		}
 	}
-	return bind(name, appendElement(nil, tagNoSuchObject, nil))
+	return varBind(name, appendElement(nil, tagNoSuchObject, nil))
 }
 
-// following is the object after a name, and its own name.
-func following(objects []object, name oid) ([]byte, oid) {
+// successor is the object after a name, and its own name.
+func successor(objects []object, name oid) ([]byte, oid) {
 	i, found := slices.BinarySearchFunc(objects, name, compare)
 	if found {
 		i++
 	}
 	if i == len(objects) {
-		return bind(name, appendElement(nil, tagEndOfMibView, nil)), nil
+		return varBind(name, appendElement(nil, tagEndOfMibView, nil)), nil
 	}
-	return bind(objects[i].name, objects[i].value), objects[i].name
+	return varBind(objects[i].name, objects[i].value), objects[i].name
 }
 
-func bulk(objects []object, q request) [][]byte {
+func getBulk(objects []object, q request) [][]byte {
 	var binds [][]byte
-	once := min(len(q.names), int(max(0, q.first)))
+	once := min(len(q.names), int(max(0, q.nonRepeaters)))
 	for _, name := range q.names[:once] {
-		bind, _ := following(objects, name)
+		bind, _ := successor(objects, name)
 		binds = append(binds, bind)
 	}
 	names := slices.Clone(q.names[once:])
-	for range min(mostRepeats, max(0, q.repeats)) {
+	for range min(maxRepetitions, max(0, q.maxRepetitions)) {
 		more := false
 		for i, name := range names {
-			bind, at := following(objects, name)
+			bind, at := successor(objects, name)
 			if binds = append(binds, bind); at != nil {
 				names[i], more = at, true
 			}
-			if len(binds) > mostRepeats {
+			if len(binds) > maxRepetitions {
 				return binds
 			}
 		}
@@ -291,14 +291,14 @@
 	list := []object{
 		{objectName, appendElement(nil, tagString, []byte(a.name))},
 		{objectPhase, appendInteger(nil, int32(a.core.Phase())+1)},
-		{objectUpTime, appendUnsigned(nil, tagTimeTicks, uint64(time.Since(a.began)/(10*time.Millisecond))&(1<<32-1))},
+		{objectUpTime, appendUnsigned(nil, tagTimeTicks, uint64(time.Since(a.startedAt)/(10*time.Millisecond))&(1<<32-1))},
 		{objectOwed, appendUnsigned(nil, tagGauge32, uint64(max(0, a.core.Owed())))},
 		{objectHealth, appendInteger(nil, health)},
 	}
 	counters := a.stats.Snapshot()
 	for _, name := range slices.Sorted(maps.Keys(counters)) {
-		if len(name) > longestName {
-			name = name[:longestName] // an index has its bounds; no name of ours is so long
+		if len(name) > maxCounterName {
+			name = name[:maxCounterName] // an index has its bounds; no name of ours is so long
 			if _, twice := counters[name]; twice {
 				continue
 			}
--- a/internal/transport/snmp/ber.go
+++ b/internal/transport/snmp/ber.go
@@ -31,7 +31,7 @@
 	tagGetBulk  = 0xa5
 )
 
-const longestOID = 128 // sub-identifiers, as RFC 3416 has it
+const maxOIDParts = 128 // sub-identifiers, as RFC 3416 has it
 
 var errMalformed = errors.New("malformed message")
 
@@ -48,8 +48,8 @@
 	body []byte
 }
 
-// next takes the first element off b.
-func next(b []byte) (element, []byte, error) {
+// nextElement takes the first element off b.
+func nextElement(b []byte) (element, []byte, error) {
 	if len(b) < 2 || b[0]&0x1f == 0x1f {
 		return element{}, nil, fmt.Errorf("%w: an element cut short", errMalformed)
 	}
@@ -71,17 +71,17 @@
 	return element{b[0], rest[:n]}, rest[n:], nil
 }
 
-// want takes an element of a given tag.
-func want(b []byte, tag byte) ([]byte, []byte, error) {
-	e, rest, err := next(b)
+// expectElement takes an element of a given tag.
+func expectElement(b []byte, tag byte) ([]byte, []byte, error) {
+	e, rest, err := nextElement(b)
 	if err == nil && e.tag != tag {
 		err = fmt.Errorf("%w: tag %#02x where %#02x belongs", errMalformed, e.tag, tag)
 	}
 	return e.body, rest, err
 }
 
-func wantInteger(b []byte) (int32, []byte, error) {
-	v, rest, err := want(b, tagInteger)
+func expectInteger(b []byte) (int32, []byte, error) {
+	v, rest, err := expectElement(b, tagInteger)
 	if err != nil {
 		return 0, nil, err
 	}
@@ -95,8 +95,8 @@
 	return n, rest, nil
 }
 
-func wantOID(b []byte) (oid, []byte, error) {
-	v, rest, err := want(b, tagOID)
+func expectOID(b []byte) (oid, []byte, error) {
+	v, rest, err := expectElement(b, tagOID)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -104,7 +104,7 @@
 	n, open := uint64(0), false
 	for _, c := range v {
 		n, open = n<<7|uint64(c&0x7f), c&0x80 != 0
-		if n > 1<<32-1 || len(o) >= longestOID {
+		if n > 1<<32-1 || len(o) >= maxOIDParts {
 			return nil, nil, fmt.Errorf("%w: an object identifier out of bounds", errMalformed)
 		}
 		if open {
--- a/internal/transport/snmp/snmp_test.go
+++ b/internal/transport/snmp/snmp_test.go
@@ -19,7 +19,7 @@
 func ask(kind byte, id, first, repeats int32, names ...oid) []byte {
 	var binds []byte
 	for _, n := range names {
-		binds = append(binds, bind(n, []byte{tagNull, 0})...)
+		binds = append(binds, varBind(n, []byte{tagNull, 0})...)
 	}
 	pdu := appendInteger(appendInteger(appendInteger(nil, id), first), repeats)
 	pdu = appendElement(pdu, tagSequence, binds)
@@ -40,22 +40,22 @@
 	if err != nil || version != version2c || q.kind != tagResponse || q.id != id || q.community != "quiz" {
 		t.Fatalf("%+v, %v", q, err)
 	}
-	b, _, _ = want(b, tagSequence)
-	_, b, _ = wantInteger(b)
-	_, b, _ = want(b, tagString)
-	b, _, _ = want(b, tagResponse)
+	b, _, _ = expectElement(b, tagSequence)
+	_, b, _ = expectInteger(b)
+	_, b, _ = expectElement(b, tagString)
+	b, _, _ = expectElement(b, tagResponse)
 	for range 3 {
-		_, b, _ = wantInteger(b)
+		_, b, _ = expectInteger(b)
 	}
-	b, _, _ = want(b, tagSequence)
+	b, _, _ = expectElement(b, tagSequence)
 	for len(b) > 0 {
 		var one []byte
-		one, b, _ = want(b, tagSequence)
-		name, rest, _ := wantOID(one)
-		v, _, _ := next(rest)
+		one, b, _ = expectElement(b, tagSequence)
+		name, rest, _ := expectOID(one)
+		v, _, _ := nextElement(rest)
 		list = append(list, answered{name, v})
 	}
-	return q.first, q.repeats, list
+	return q.nonRepeaters, q.maxRepetitions, list
 }
 
 func agent(t *testing.T) *Agent {
@@ -86,7 +86,7 @@
 
 func TestGet(t *testing.T) {
 	a := agent(t)
-	reply, _ := a.answer(ask(tagGet, 77, 0, 0, objectName, objectPhase, counter("read.msgpack.krog"), counter("none"), root.with(9)))
+	reply, _ := a.respond(ask(tagGet, 77, 0, 0, objectName, objectPhase, counter("read.msgpack.krog"), counter("none"), root.with(9)))
 	status, _, list := read(t, reply, 77)
 	want := []element{{tagString, []byte("n3")}, {tagInteger, []byte{1}}, {tagCounter64, []byte{1, 44}},
 		{tagNoSuchInstance, nil}, {tagNoSuchObject, nil}}
@@ -105,7 +105,7 @@
 	a := agent(t)
 	at, seen := root, 0
 	for ; ; seen++ {
-		reply, _ := a.answer(ask(tagGetNext, 1, 0, 0, at))
+		reply, _ := a.respond(ask(tagGetNext, 1, 0, 0, at))
 		_, _, list := read(t, reply, 1)
 		if list[0].value.tag == tagEndOfMibView {
 			break
@@ -118,7 +118,7 @@
 	if seen != 7 || at.compare(counter("read.msgpack.oddaja")) != 0 {
 		t.Fatalf("%d objects, the last %v", seen, at)
 	}
-	reply, _ := a.answer(ask(tagGetBulk, 2, 1, 50, objectName, root))
+	reply, _ := a.respond(ask(tagGetBulk, 2, 1, 50, objectName, root))
 	_, _, list := read(t, reply, 2)
 	if len(list) != 9 || list[0].name.compare(objectPhase) != 0 || list[8].value.tag != tagEndOfMibView {
 		t.Fatalf("bulk: %d values", len(list))
@@ -136,18 +136,18 @@
 		a.stats.Inc("some.long.name.of.a.counter", string(rune('a'+i%26)), string(rune('a'+i/26)))
 		names = append(names, objectName.with(uint32(i), 1<<31, 1<<31, 1<<31))
 	}
-	reply, _ := a.answer(ask(tagGetBulk, 3, 0, 200, root))
-	if _, _, list := read(t, reply, 3); len(reply) > largest || len(list) < 10 {
+	reply, _ := a.respond(ask(tagGetBulk, 3, 0, 200, root))
+	if _, _, list := read(t, reply, 3); len(reply) > maxResponseBytes || len(list) < 10 {
 		t.Errorf("bulk: %d bytes, %d values", len(reply), len(list))
 	}
-	reply, _ = a.answer(ask(tagGet, 4, 0, 0, names...))
+	reply, _ = a.respond(ask(tagGet, 4, 0, 0, names...))
 	if status, _, _ := read(t, reply, 4); status != errTooBig {
 		t.Errorf("status %d, want tooBig", status)
 	}
 }
 
 func TestNothingCanBeSet(t *testing.T) {
-	reply, _ := agent(t).answer(ask(tagSet, 5, 0, 0, objectName))
+	reply, _ := agent(t).respond(ask(tagSet, 5, 0, 0, objectName))
 	if status, index, _ := read(t, reply, 5); status != errNotWritable || index != 1 {
 		t.Errorf("status %d, index %d", status, index)
 	}
@@ -161,7 +161,7 @@
 		"malformed": good[:20], "bad_version": version1,
 		"bad_community": bytes.Replace(good, []byte("quiz"), []byte("quid"), 1), "bad_request": ask(0xa4, 1, 0, 0),
 	} {
-		if reply, got := a.answer(b); reply != nil || got != why {
+		if reply, got := a.respond(b); reply != nil || got != why {
 			t.Errorf("%s: reply %x, why %q", why, reply, got)
 		}
 	}
@@ -171,12 +171,12 @@
 		for range 1 + rnd.IntN(4) {
 			b[rnd.IntN(len(b))] = byte(rnd.Uint32())
 		}
-		if reply, _ := a.answer(b); len(reply) > largest {
+		if reply, _ := a.respond(b); len(reply) > maxResponseBytes {
 			t.Fatalf("a response of %d bytes", len(reply))
 		}
 	}
 	for n := range len(good) {
-		if reply, why := a.answer(good[:n]); reply != nil || why != "malformed" {
+		if reply, why := a.respond(good[:n]); reply != nil || why != "malformed" {
 			t.Errorf("cut at %d: %x, %q", n, reply, why)
 		}
 	}
@@ -187,7 +187,7 @@
 	f.Add(ask(tagGetBulk, 1, 0, 10, root))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		a := &Agent{community: "quiz", core: mustCore(t), stats: &metrics.Counters{}}
-		if reply, _ := a.answer(b); len(reply) > largest {
+		if reply, _ := a.respond(b); len(reply) > maxResponseBytes {
 			t.Fatalf("a response of %d bytes", len(reply))
 		}
 	})
@@ -241,7 +241,7 @@
 		}
 	}
 	a := &Agent{community: "quiz", name: "n3", core: c, stats: &metrics.Counters{}}
-	reply, _ := a.answer(ask(tagGetBulk, 1, 0, 50, root.with(3)))
+	reply, _ := a.respond(ask(tagGetBulk, 1, 0, 50, root.with(3)))
 	_, _, list := read(t, reply, 1)
 	if len(list) != 21 || list[0].name.compare(objectLimit) != 0 || list[20].value.tag != tagEndOfMibView {
 		t.Fatalf("%d values: %v", len(list), list)
@@ -252,7 +252,7 @@
 	if v := list[5]; string(v.value.body) != "rest" {
 		t.Errorf("%v is %q", v.name, v.value.body)
 	}
-	reply, _ = agent(t).answer(ask(tagGetNext, 2, 0, 0, root.with(3)))
+	reply, _ = agent(t).respond(ask(tagGetNext, 2, 0, 0, root.with(3)))
 	if _, _, list := read(t, reply, 2); list[0].value.tag != tagEndOfMibView {
 		t.Errorf("without pools %v", list[0])
 	}
--- a/internal/transport/vault/vault.go
+++ b/internal/transport/vault/vault.go
@@ -20,18 +20,18 @@
 )
 
 const (
-	// idleFor is how long a connection is kept for the next call. The other side closes after 10 s; a call
+	// idleTimeout is how long a connection is kept for the next call. The other side closes after 10 s; a call
 	// that meets that close would break off, which proves nothing, so ours go long before.
-	idleFor     = 3 * time.Second
-	longestBody = 64 << 10
-	longestHead = 64 // lines
-	mostInterim = 8
+	idleTimeout       = 3 * time.Second
+	maxBodyBytes      = 64 << 10
+	maxHeaders        = 64 // lines
+	maxInterimReplies = 8
 )
 
 // Client makes calls. It is the core's Caller.
 type Client struct {
-	dial func(ctx context.Context, network, addr string) (net.Conn, error)
-	room chan struct{} // one token for each connection
+	dial        func(ctx context.Context, network, addr string) (net.Conn, error)
+	connections chan struct{} // one token for each connection
 
 	mu    sync.Mutex
 	addr  string
@@ -39,26 +39,26 @@
 	calls map[string]*call // by request
 }
 
-type call struct{ giveUp context.CancelFunc }
+type call struct{ cancel context.CancelFunc }
 
 type conn struct {
 	net.Conn
-	addr   string
-	r      *bufio.Reader
-	since  time.Time
-	reused bool
+	addr      string
+	r         *bufio.Reader
+	idleSince time.Time
+	reused    bool
 }
 
 // New returns a client with at most the given number of connections.
-func New(addr string, most int) *Client {
+func New(addr string, maxConns int) *Client {
 	return &Client{
-		addr: addr, dial: (&net.Dialer{}).DialContext, room: make(chan struct{}, max(1, most)),
+		addr: addr, dial: (&net.Dialer{}).DialContext, connections: make(chan struct{}, max(1, maxConns)),
 		calls: map[string]*call{},
 	}
 }
 
-// Move sends calls to another address from now on. Those under way end where they are.
-func (c *Client) Move(addr string) {
+// Redirect sends calls to another address from now on. Those under way end where they are.
+func (c *Client) Redirect(addr string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if addr == c.addr {
@@ -76,33 +76,33 @@
 // side had forgotten it, so that the call never ran, or as well that it ran and its reply was lost. On a new one
 // only the latter is possible. Calls that may be made again take an idle connection where there is one, and are
 // made again at once should it break before a reply begins.
-func (c *Client) Call(ctx context.Context, id string, patience time.Duration, body []byte, once bool) (silverpath.Outcome, []byte) {
-	ctx, cancel := context.WithTimeout(ctx, patience)
+func (c *Client) Call(ctx context.Context, id string, timeout time.Duration, body []byte, atMostOnce bool) (silverpath.Outcome, []byte) {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	this := &call{cancel}
+	current := &call{cancel}
 	c.mu.Lock()
-	if first := c.calls[id]; first != nil {
-		first.giveUp()
+	if previous := c.calls[id]; previous != nil {
+		previous.cancel()
 	}
-	c.calls[id] = this
+	c.calls[id] = current
 	c.mu.Unlock()
 	defer func() {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		if c.calls[id] == this {
+		if c.calls[id] == current {
 			delete(c.calls, id)
 		}
 	}()
 	select {
-	case c.room <- struct{}{}:
-		defer func() { <-c.room }()
+	case c.connections <- struct{}{}:
+		defer func() { <-c.connections }()
 	case <-ctx.Done():
 		return silverpath.Unreachable, nil // nothing was sent
 	}
-	began := time.Now()
-	status, unseen, reply, stale, err := c.once(ctx, id, patience, body, once)
+	startedAt := time.Now()
+	status, notReceived, reply, stale, err := c.callOnce(ctx, id, timeout, body, atMostOnce)
 	if stale && ctx.Err() == nil {
-		status, unseen, reply, _, err = c.once(ctx, id, patience-time.Since(began), body, true)
+		status, notReceived, reply, _, err = c.callOnce(ctx, id, timeout-time.Since(startedAt), body, true)
 	}
 	switch {
 	case errors.Is(err, errUnreachable):
@@ -114,17 +114,17 @@
 	case err != nil:
 		return silverpath.Disconnected, nil
 	}
-	return outcome(status, unseen), reply
+	return outcome(status, notReceived), reply
 }
 
 // outcome maps a reply's status. Only the word that the call was not seen proves that it never ran.
-func outcome(status int, unseen bool) silverpath.Outcome {
+func outcome(status int, notReceived bool) silverpath.Outcome {
 	switch {
 	case status == 200:
 		return silverpath.OK
-	case status == 503 && unseen:
+	case status == 503 && notReceived:
 		return silverpath.Overloaded
-	case status == 409 && unseen:
+	case status == 409 && notReceived:
 		return silverpath.NotStarted
 	case status == 504:
 		return silverpath.TimedOut
@@ -135,16 +135,16 @@
 // errUnreachable proves that no call ran.
 var errUnreachable = errors.New("connecting")
 
-// once makes a call on one connection, a new one where it must be. It reports as stale an idle connection that
+// callOnce makes a call on one connection, a new one where it must be. It reports as stale an idle connection that
 // broke before any of a reply came.
-func (c *Client) once(ctx context.Context, id string, patience time.Duration, body []byte, fresh bool) (
-	status int, unseen bool, reply []byte, stale bool, err error) {
+func (c *Client) callOnce(ctx context.Context, id string, timeout time.Duration, body []byte, fresh bool) (
+	status int, notReceived bool, reply []byte, stale bool, err error) {
 	k, err := c.connect(ctx, fresh)
 	if err != nil {
 		return 0, false, nil, false, err
 	}
 	stop := context.AfterFunc(ctx, func() { k.Close() })
-	status, unseen, keep, reply, err := k.exchange(id, patience, body)
+	status, notReceived, keepAlive, reply, err := k.exchange(id, timeout, body)
 	if err == nil && status == 200 && k.r.Buffered() > 0 {
 		// Its length is wrong, or there are two of it: in either case nobody knows what the reply is. A refusal stands, as
 		// nothing of it is handed on.
@@ -153,13 +153,13 @@
 	stale = k.reused && err != nil && status == 0
 	// What follows a reply belongs to no call of ours: the connection has lost its place.
 	// And a connection made for one call is not kept: many of those would fill the descriptors.
-	if !stop() || err != nil || !keep || k.r.Buffered() > 0 || fresh {
+	if !stop() || err != nil || !keepAlive || k.r.Buffered() > 0 || fresh {
 		k.Close()
 		bufferpool.PutReader(k.r)
 	} else {
-		c.put(k)
+		c.keepIdle(k)
 	}
-	return status, unseen, reply, stale, err
+	return status, notReceived, reply, stale, err
 }
 
 func (c *Client) connect(ctx context.Context, fresh bool) (*conn, error) {
@@ -168,14 +168,14 @@
 	for len(c.idle) > 0 && !fresh {
 		k := c.idle[len(c.idle)-1]
 		c.idle = c.idle[:len(c.idle)-1]
-		if now.Sub(k.since) < idleFor && quiet(k.Conn) {
+		if now.Sub(k.idleSince) < idleTimeout && isIdle(k.Conn) {
 			c.mu.Unlock()
 			k.reused = true
 			return k, nil
 		}
 		c.close(k)
 	}
-	for len(c.idle) > 0 && len(c.idle)+len(c.room) > cap(c.room) { // those in use count, and this one among them
+	for len(c.idle) > 0 && len(c.idle)+len(c.connections) > cap(c.connections) { // those in use count, and this one among them
 		c.close(c.idle[0])
 		c.idle = c.idle[1:]
 	}
@@ -188,28 +188,28 @@
 	return &conn{Conn: n, addr: addr, r: bufferpool.GetReader(n)}, nil
 }
 
-// quiet reports whether an idle connection is still open and has brought nothing.
-func quiet(conn net.Conn) bool {
+// isIdle reports whether an idle connection is still open and has brought nothing.
+func isIdle(conn net.Conn) bool {
 	state := linger.Peek(conn)
 	return state == linger.Idle || state == linger.Unknown
 }
 
-// put keeps a connection for the next call and closes those that have waited too long.
-func (c *Client) put(k *conn) {
-	k.since = time.Now()
+// keepIdle keeps a connection for the next call and closes those that have waited too long.
+func (c *Client) keepIdle(k *conn) {
+	k.idleSince = time.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if k.addr != c.addr {
 		c.close(k)
 		return
 	}
-	for len(c.idle) > 0 && k.since.Sub(c.idle[0].since) >= idleFor {
+	for len(c.idle) > 0 && k.idleSince.Sub(c.idle[0].idleSince) >= idleTimeout {
 		c.close(c.idle[0])
 		c.idle = c.idle[1:]
 	}
 	c.idle = append(c.idle, k)
 	if len(c.idle) == 1 {
-		time.AfterFunc(idleFor, c.sweep)
+		time.AfterFunc(idleTimeout, c.closeExpired)
 	}
 }
 
@@ -218,25 +218,25 @@
 	bufferpool.PutReader(k.r)
 }
 
-// sweep closes idle connections, so that none is kept when no call comes to use it.
-func (c *Client) sweep() {
+// closeExpired closes idle connections, so that none is kept when no call comes to use it.
+func (c *Client) closeExpired() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for len(c.idle) > 0 && time.Since(c.idle[0].since) >= idleFor {
+	for len(c.idle) > 0 && time.Since(c.idle[0].idleSince) >= idleTimeout {
 		c.close(c.idle[0])
 		c.idle = c.idle[1:]
 	}
 	if len(c.idle) > 0 {
-		time.AfterFunc(idleFor-time.Since(c.idle[0].since), c.sweep)
+		time.AfterFunc(idleTimeout-time.Since(c.idle[0].idleSince), c.closeExpired)
 	}
 }
 
 // exchange writes a call and reads its reply. The status is 0 where nothing of a reply came.
-func (k *conn) exchange(id string, patience time.Duration, body []byte) (status int, unseen, keep bool, reply []byte, err error) {
+func (k *conn) exchange(id string, timeout time.Duration, body []byte) (status int, notReceived, keepAlive bool, reply []byte, err error) {
 	b := bufferpool.Get()
 	defer bufferpool.Put(b)
 	*b = fmt.Appendf(*b, "POST /v2/read HTTP/1.1\r\nHost: vault\r\nX-Ticket: %s\r\nX-Max-Ms: %d\r\nContent-Length: %d\r\n\r\n",
-		id, max(1, patience.Milliseconds()), len(body))
+		id, max(1, timeout.Milliseconds()), len(body))
 	*b = append(*b, body...)
 	if _, err := k.Write(*b); err != nil {
 		return 0, false, false, nil, fmt.Errorf("writing the call: %w", err)
@@ -244,11 +244,11 @@
 	if _, err := k.r.Peek(1); err != nil {
 		return 0, false, false, nil, fmt.Errorf("reading the reply: %w", err)
 	}
-	status, unseen, keep, reply, err = readReply(k.r)
+	status, notReceived, keepAlive, reply, err = readReply(k.r)
 	if err != nil {
 		status = -1
 	}
-	return status, unseen, keep, reply, err
+	return status, notReceived, keepAlive, reply, err
 }
 
 func readLine(r *bufio.Reader) (string, error) {
@@ -261,14 +261,14 @@
 
 // head is the head of a reply.
 type head struct {
-	status       int
-	unseen, keep bool
-	length       int // -1 where it is not told
-	chunked      bool
+	status                 int
+	notReceived, keepAlive bool
+	length                 int // -1 where it is not told
+	chunked                bool
 }
 
-// number reads a number of nothing but digits.
-func number(s string) (int, error) {
+// parseDigits reads a number of nothing but digits.
+func parseDigits(s string) (int, error) {
 	if s == "" || len(s) > 9 || strings.Trim(s, "0123456789") != "" {
 		return 0, fmt.Errorf("not a number: %q", s)
 	}
@@ -284,23 +284,23 @@
 	}
 	version, rest, _ := strings.Cut(line, " ")
 	code, _, _ := strings.Cut(rest, " ")
-	h.status, err = number(code)
+	h.status, err = parseDigits(code)
 	if err != nil || version != "HTTP/1.1" && version != "HTTP/1.0" || h.status < 100 || h.status > 599 {
 		return h, fmt.Errorf("not a status line: %q", line)
 	}
-	h.keep, h.length = version == "HTTP/1.1", -1
+	h.keepAlive, h.length = version == "HTTP/1.1", -1
 	for n := 0; ; n++ {
 		if line, err = readLine(r); err != nil || line == "" {
 			return h, err
 		}
 		name, value, ok := strings.Cut(line, ":")
-		if !ok || name == "" || strings.ContainsAny(name, " \t") || n == longestHead {
+		if !ok || name == "" || strings.ContainsAny(name, " \t") || n == maxHeaders {
 			return h, fmt.Errorf("not a header: %q", line)
 		}
 		switch value = strings.TrimSpace(value); strings.ToLower(name) {
 		case "content-length":
-			length, err := number(value)
-			if err != nil || length > longestBody || h.length >= 0 && h.length != length {
+			length, err := parseDigits(value)
+			if err != nil || length > maxBodyBytes || h.length >= 0 && h.length != length {
 				return h, fmt.Errorf("Content-Length: %q", value)
 			}
 			h.length = length
@@ -310,16 +310,16 @@
 			}
 			h.chunked = true
 		case "connection":
-			h.keep = h.keep && !strings.EqualFold(value, "close")
+			h.keepAlive = h.keepAlive && !strings.EqualFold(value, "close")
 		case "x-refused-unseen":
-			h.unseen = value == "1"
+			h.notReceived = value == "1"
 		}
 	}
 }
 
 // readReply reads one reply: its status, whether it says that the call was not seen, and whether the
 // connection can take another call. Answers of the class 1xx before it are passed over.
-func readReply(r *bufio.Reader) (status int, unseen, keep bool, body []byte, err error) {
+func readReply(r *bufio.Reader) (status int, notReceived, keepAlive bool, body []byte, err error) {
 	fail := func(format string, args ...any) (int, bool, bool, []byte, error) {
 		return 0, false, false, nil, fmt.Errorf(format, args...)
 	}
@@ -328,11 +328,11 @@
 		if h, err = readHead(r); err != nil {
 			return fail("%w", err)
 		}
-		if n == mostInterim {
-			return fail("over %d answers of the class 1xx", mostInterim)
+		if n == maxInterimReplies {
+			return fail("over %d answers of the class 1xx", maxInterimReplies)
 		}
 	}
-	status, unseen, keep = h.status, h.unseen, h.keep
+	status, notReceived, keepAlive = h.status, h.notReceived, h.keepAlive
 	switch length := h.length; {
 	case h.chunked && length >= 0:
 		return fail("both a length and chunks")
@@ -350,12 +350,12 @@
 		// To read to the end would take a reply that broke off for a whole one.
 		return fail("a reply without a length")
 	default:
-		keep = false
-		if body, err = io.ReadAll(io.LimitReader(r, longestBody+1)); err != nil || len(body) > longestBody {
+		keepAlive = false
+		if body, err = io.ReadAll(io.LimitReader(r, maxBodyBytes+1)); err != nil || len(body) > maxBodyBytes {
 			return fail("a reply's body without end: %w", err)
 		}
 	}
-	return status, unseen, keep, body, nil
+	return status, notReceived, keepAlive, body, nil
 }
 
 func readChunks(r *bufio.Reader) ([]byte, error) {
@@ -367,7 +367,7 @@
 		}
 		size, _, _ := strings.Cut(line, ";")
 		n, err := strconv.ParseUint(strings.TrimSpace(size), 16, 31)
-		if err != nil || len(body)+int(n) > longestBody {
+		if err != nil || len(body)+int(n) > maxBodyBytes {
 			return nil, fmt.Errorf("a chunk of size %q", line)
 		}
 		if n == 0 {
--- a/internal/transport/vault/vault_test.go
+++ b/internal/transport/vault/vault_test.go
@@ -254,7 +254,7 @@
 			time.Sleep(time.Duration(n) * 7 * time.Millisecond)
 		}
 		time.Sleep(time.Minute)
-		if int(most.Load()) > cap(b.room) || open.Load() != 0 {
+		if int(most.Load()) > cap(b.connections) || open.Load() != 0 {
 			t.Fatalf("%d connections at once, %d left", most.Load(), open.Load())
 		}
 	})
@@ -285,11 +285,11 @@
 				t.Errorf("outcome %v", got)
 			}
 		}
-		b.Move("old")
+		b.Redirect("old")
 		call()
 		go call()
 		time.Sleep(time.Millisecond)
-		b.Move("new")
+		b.Redirect("new")
 		time.Sleep(2 * time.Second)
 		call()
 		call()
@@ -382,7 +382,7 @@
 	f.Add("HTTP/1.1 200 OK\r\nContent-Length: -2\r\nContent-Length: 2\r\n\r\nok")
 	f.Fuzz(func(t *testing.T, in string) {
 		status, _, _, body, err := readReply(bufio.NewReader(strings.NewReader(in)))
-		if err == nil && (status < 200 || status > 599 || len(body) > longestBody) {
+		if err == nil && (status < 200 || status > 599 || len(body) > maxBodyBytes) {
 			t.Fatal("a reply beyond its bounds")
 		}
 	})
