--- a/cmd/silverpath/group_test.go
+++ b/cmd/silverpath/group_test.go
@@ -156,7 +156,7 @@
 
 func (g *testGroup) awaitLeader() int { g.t.Helper(); return must[int](g.t)(g.Leader()) }
 
-func (g *testGroup) view() quorum.View { g.t.Helper(); return must[quorum.View](g.t)(g.View()) }
+func (g *testGroup) view() quorum.StateView { g.t.Helper(); return must[quorum.StateView](g.t)(g.View()) }
 
 func (g *testGroup) do(c statemachine.Command) statemachine.Result {
 	g.t.Helper()
@@ -623,7 +623,7 @@
 					in = fmt.Sprint(c, "-", n)
 					_, err = client.Do(g.within(400*time.Millisecond), statemachine.Command{Lease: &lease.Request{Op: lease.Pause, Duty: controller.MonitorDuty, Reason: in}})
 				} else {
-					var v quorum.View
+					var v quorum.StateView
 					v, err = client.Read(g.within(400*time.Millisecond), "")
 					if d := v.Table; err == nil && d.Duties[controller.MonitorDuty] != nil {
 						out = d.Duties[controller.MonitorDuty].PauseReason
--- a/cmd/silverpath/overlap_test.go
+++ b/cmd/silverpath/overlap_test.go
@@ -72,7 +72,7 @@
 // classes is the version of the classes that is in force, and the stage of what is under way.
 func (f *ruledFleet) doc(name string) (force int, stage configstore.Stage, waits string) {
 	f.t.Helper()
-	r, err := f.g.Client.Rules(f.g.within(10 * time.Second))
+	r, err := f.g.Client.Config(f.g.within(10 * time.Second))
 	if err != nil {
 		f.t.Fatal(err)
 	}
@@ -271,7 +271,7 @@
 		for { // until nothing is under way
 			force, stage, _ := f.doc("classes")
 			if stage == "" {
-				r, err := f.g.Client.Rules(f.g.within(5 * time.Second))
+				r, err := f.g.Client.Config(f.g.within(5 * time.Second))
 				if err != nil {
 					t.Fatal(err)
 				}
--- a/cmd/silverpath/parts.go
+++ b/cmd/silverpath/parts.go
@@ -128,7 +128,7 @@
 
 // putAlready is the version that a change has become which was asked for twice, as the first answer was lost on the way; 0: none.
 func putAlready(ctx context.Context, g *quorum.Client, ask configstore.Change, digest uint64, top int) int {
-	r, err := g.Rules(ctx)
+	r, err := g.Config(ctx)
 	if err != nil || r.Book.Docs[ask.Doc] == nil {
 		return 0
 	}
--- a/cmd/silverpath/parts_test.go
+++ b/cmd/silverpath/parts_test.go
@@ -150,7 +150,7 @@
 		return a.Outcome
 	}
 	holds := func(doc string, version int) bool {
-		r := must[quorum.Rules](t)(f.g.Client.Rules(f.g.within(10 * time.Second)))
+		r := must[quorum.ConfigView](t)(f.g.Client.Config(f.g.within(10 * time.Second)))
 		for name, u := range r.Book.Users {
 			if strings.HasPrefix(name, "cut#") && u.Holds[doc] == version {
 				return true
--- a/cmd/silverpath/partsguards_test.go
+++ b/cmd/silverpath/partsguards_test.go
@@ -57,7 +57,7 @@
 		t.Fatal(err)
 	}
 	holds := func(who string) bool {
-		r := must[quorum.Rules](t)(f.g.Client.Rules(f.g.within(10 * time.Second)))
+		r := must[quorum.ConfigView](t)(f.g.Client.Config(f.g.within(10 * time.Second)))
 		for name, u := range r.Book.Users {
 			if strings.HasPrefix(name, who+"#") && u.Holds["map"] == 3 {
 				return true
--- a/cmd/silverpath/rules.go
+++ b/cmd/silverpath/rules.go
@@ -30,9 +30,9 @@
 	cmd := &cobra.Command{Use: "rules", Short: "Show and change the documents that a group agrees on: see docs/rules.md"}
 	groupFlags(cmd, &g, &within)
 	cmd.PersistentFlags().BoolVar(&asJSON, "json", false, "print JSON")
-	read := func(do func(ctx context.Context, r quorum.Rules) error) error {
+	read := func(do func(ctx context.Context, r quorum.ConfigView) error) error {
 		return inTime(&g, within, func(ctx context.Context) error {
-			r, err := g.Rules(ctx)
+			r, err := g.Config(ctx)
 			if err != nil {
 				return err
 			}
@@ -40,8 +40,8 @@
 		})
 	}
 	// get shows a document as a file has it, also one that is in parts.
-	get := func(do func(ctx context.Context, r quorum.Rules) error) error {
-		return read(func(ctx context.Context, r quorum.Rules) error {
+	get := func(do func(ctx context.Context, r quorum.ConfigView) error) error {
+		return read(func(ctx context.Context, r quorum.ConfigView) error {
 			for name, d := range r.Book.Docs {
 				if d.Force == nil || !d.Force.Split || name != asked {
 					continue
@@ -70,7 +70,7 @@
 		var why string
 		one := &cobra.Command{Use: c.use, Short: c.short, Args: cobra.ExactArgs(1), RunE: func(cc *cobra.Command, args []string) error {
 			return inTime(&g, within, func(ctx context.Context) error {
-				r, err := g.Rules(ctx)
+				r, err := g.Config(ctx)
 				if err != nil {
 					return err
 				}
@@ -108,7 +108,7 @@
 	return "somebody"
 }
 
-func doc(r quorum.Rules, name string) (*configstore.Doc, error) {
+func doc(r quorum.ConfigView, name string) (*configstore.Doc, error) {
 	if d := r.Book.Docs[name]; d != nil {
 		return d, nil
 	}
@@ -137,7 +137,7 @@
 				}
 			}
 			return inTime(g, *within, func(ctx context.Context) error {
-				r, err := g.Rules(ctx)
+				r, err := g.Config(ctx)
 				if err != nil {
 					return err
 				}
@@ -224,7 +224,7 @@
 func inForce(ctx context.Context, g *quorum.Client, out io.Writer, name string, version int) error {
 	said := ""
 	for {
-		r, err := g.Rules(ctx)
+		r, err := g.Config(ctx)
 		if err != nil {
 			return fmt.Errorf("%s version %d is under way: %s: %w", name, version, said, err)
 		}
@@ -256,7 +256,7 @@
 }
 
 // dryRun says what a change would change, and who acts on the document.
-func dryRun(w io.Writer, r quorum.Rules, name string, format int, list []configstore.Difference, first, asJSON bool) error {
+func dryRun(w io.Writer, r quorum.ConfigView, name string, format int, list []configstore.Difference, first, asJSON bool) error {
 	stops := configstore.Excludes(list) && !first
 	var touches []string
 	if stops {
@@ -305,8 +305,8 @@
 }
 
 // rulesShow is a command that only shows.
-func rulesShow(use, short string, read func(func(context.Context, quorum.Rules) error) error, asJSON *bool, asked *string,
-	show func(w io.Writer, r quorum.Rules, name string, asJSON bool) error) *cobra.Command {
+func rulesShow(use, short string, read func(func(context.Context, quorum.ConfigView) error) error, asJSON *bool, asked *string,
+	show func(w io.Writer, r quorum.ConfigView, name string, asJSON bool) error) *cobra.Command {
 	args := cobra.MaximumNArgs(1)
 	if !strings.Contains(use, "[") {
 		args = cobra.ExactArgs(1)
@@ -317,7 +317,7 @@
 			name = args[0]
 		}
 		*asked = name
-		return read(func(_ context.Context, r quorum.Rules) error {
+		return read(func(_ context.Context, r quorum.ConfigView) error {
 			if name != "" {
 				if _, err := doc(r, name); err != nil {
 					return err
@@ -328,7 +328,7 @@
 	}}
 }
 
-func showDocs(out io.Writer, r quorum.Rules, name string, asJSON bool) error {
+func showDocs(out io.Writer, r quorum.ConfigView, name string, asJSON bool) error {
 	if name != "" {
 		d := r.Book.Docs[name]
 		switch {
@@ -366,7 +366,7 @@
 	return time.UnixMilli(ms).UTC().Format(time.RFC3339)
 }
 
-func showHistory(out io.Writer, r quorum.Rules, name string, asJSON bool) error {
+func showHistory(out io.Writer, r quorum.ConfigView, name string, asJSON bool) error {
 	d := r.Book.Docs[name]
 	all := slices.Clone(d.History)
 	for _, e := range []*configstore.Entry{d.Force, d.Next} {
@@ -398,7 +398,7 @@
 	return w.Flush()
 }
 
-func showWho(out io.Writer, r quorum.Rules, name string, asJSON bool) error {
+func showWho(out io.Writer, r quorum.ConfigView, name string, asJSON bool) error {
 	type row struct {
 		Process string `json:"process"`
 		Doc     string `json:"doc"`
@@ -437,8 +437,8 @@
 	if err := w.Flush(); err != nil {
 		return err
 	}
-	for _, cell := range slices.Sorted(maps.Keys(r.Lent)) {
-		fmt.Fprintf(out, "of cell %s at most %.0f%% of what there is to lend is lent\n", cell, 100*r.Lent[cell])
+	for _, cell := range slices.Sorted(maps.Keys(r.GrantedQuota)) {
+		fmt.Fprintf(out, "of cell %s at most %.0f%% of what there is to lend is lent\n", cell, 100*r.GrantedQuota[cell])
 	}
 	for _, n := range slices.Sorted(maps.Keys(r.Book.Docs)) {
 		if d := r.Book.Docs[n]; d.Next != nil && (name == "" || n == name) {
@@ -449,11 +449,11 @@
 }
 
 // rulesDiff compares a file with what is in force, or two versions.
-func rulesDiff(g *quorum.Client, read func(func(context.Context, quorum.Rules) error) error, asJSON *bool) *cobra.Command {
+func rulesDiff(g *quorum.Client, read func(func(context.Context, quorum.ConfigView) error) error, asJSON *bool) *cobra.Command {
 	var versions []int
 	diff := &cobra.Command{Use: "diff DOC [FILE]", Short: "Show in which fields a file differs from what is in force, or two versions from each other, and their kinds",
 		Args: cobra.RangeArgs(1, 2), RunE: func(c *cobra.Command, args []string) error {
-			return read(func(ctx context.Context, r quorum.Rules) error {
+			return read(func(ctx context.Context, r quorum.ConfigView) error {
 				d, err := doc(r, args[0])
 				if err != nil {
 					return err
--- a/internal/controlplane/configwatch/follow.go
+++ b/internal/controlplane/configwatch/follow.go
@@ -294,17 +294,17 @@
 // once asks the group once, and does what it has to by the answer.
 func (f *Follower) once(ctx context.Context) bool {
 	f.mu.Lock()
-	s := quorum.Sync{User: f.holder.Says(), Has: f.holder.Has(), Bases: f.holder.Bases(), Acts: f.holder.Acts(), Stops: f.Stops()}
+	s := quorum.ConfigSync{User: f.holder.Says(), HasVersions: f.holder.Has(), BaseVersions: f.holder.Bases(), ActiveVersions: f.holder.Acts(), StopReason: f.Stops()}
 	asked, wall, sent := f.clock(), Wall(), time.Now()
 	f.mu.Unlock()
 	if f.cfg.Worth != nil {
-		s.Worth = f.cfg.Worth()
+		s.Load = f.cfg.Worth()
 	}
 	granted := func(quota.Grant, lease.Terms) {}
 	if f.cfg.Share != nil {
 		var w quota.Request
 		w, granted = f.cfg.Share.Says()
-		s.Share = &w
+		s.Quota = &w
 	}
 	asking, cancel := context.WithTimeout(ctx, askWithin)
 	a, err := f.cfg.Group.Sync(asking, s)
--- a/internal/controlplane/configwatch/follow_test.go
+++ b/internal/controlplane/configwatch/follow_test.go
@@ -23,10 +23,10 @@
 	index := uint64(0)
 	f := msgpackrpc.NewCallServer("words", &metrics.Counters{}, func(context.Context, msgpackrpc.Call) func() msgpackrpc.CallResult {
 		index++
-		b, err := json.Marshal(quorum.Synced{Terms: lease.Terms{TTL: time.Hour, Drift: 0.05}, Index: index, Wall: time.Now().UnixMilli(), Docs: *docs})
+		b, err := json.Marshal(quorum.ConfigSyncReply{Terms: lease.Terms{TTL: time.Hour, Drift: 0.05}, Index: index, Wall: time.Now().UnixMilli(), Docs: *docs})
 		return func() msgpackrpc.CallResult {
 			if err != nil {
-				return msgpackrpc.CallResult{Error: quorum.WordNo}
+				return msgpackrpc.CallResult{Error: quorum.CodeRefused}
 			}
 			return msgpackrpc.CallResult{Body: b}
 		}
--- a/internal/controlplane/quorum/client.go
+++ b/internal/controlplane/quorum/client.go
@@ -1,41 +1,45 @@
+// Package quorum is the client of the group that agrees on the fleet's work, and the messages of its wire. A member of the group is in
+// package member, which brings the raft library: a process that only asks links none of it.
 package quorum
 
 import (
 	"context"
-	"encoding/json"
 	"errors"
 	"fmt"
 	"slices"
 	"sync"
 	"time"
 
-	"silverpath/internal/policy/configstore"
-	"silverpath/internal/policy/lease"
-	"silverpath/internal/policy/statemachine"
 	"silverpath/internal/transport/msgpackrpc"
 )
 
-// Client asks a group, by whichever member answers.
+// Client asks a group, by whichever member answers. Its methods may be called at the same time.
 type Client struct {
 	Group string
-	Addrs []string // of members
+	Addrs []string // of members; no others are asked, whatever a member answers
 
 	mu     sync.Mutex
 	conns  map[string]*msgpackrpc.Conn
-	leader string // who was last known to lead
-	next   int    // of Addrs, to be tried
+	leader string // the address of the member that was last known to lead; empty: none is
+	next   int    // of Addrs, to be tried where no leader is known
 }
 
+// Errors that callers decide by.
 var (
-	// ErrNoGroup says that no member answered as one that leads, in the time that there was.
-	ErrNoGroup = errors.New("the group can't be asked")
+	// ErrUnavailable says that no member answered as the leader in the time that there was. What was asked may have been done.
+	ErrUnavailable = errors.New("the group can't be asked")
 	// ErrRefused says that the group said no.
 	ErrRefused = errors.New("refused")
 )
 
-const askWithin = 700 * time.Millisecond
+// Times of a call that is repeated until the leader answers.
+const (
+	attemptTimeout = 700 * time.Millisecond // of one call to one member: a leader that lost its majority answers nothing
+	retryPause     = 20 * time.Millisecond  // between two members: one round over all of them is quick
+	roundPause     = 100 * time.Millisecond // once all were asked: an election takes a few of these
+)
 
-// Close ends its connections.
+// Close ends the client's connections.
 func (c *Client) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -45,8 +49,8 @@
 	c.conns = nil
 }
 
-// to returns the connection to a member, opened anew where it was lost.
-func (c *Client) to(ctx context.Context, addr string) (*msgpackrpc.Conn, error) {
+// connTo returns the connection to a member, opened anew where it was lost.
+func (c *Client) connTo(ctx context.Context, addr string) (*msgpackrpc.Conn, error) {
 	c.mu.Lock()
 	conn := c.conns[addr]
 	c.mu.Unlock()
@@ -56,9 +60,9 @@
 		}
 		conn.Close()
 	}
-	dial, cancel := context.WithTimeout(ctx, DialWithin)
+	dialing, cancel := context.WithTimeout(ctx, DialTimeout)
 	defer cancel()
-	conn, err := msgpackrpc.DialCalls(dial, addr)
+	conn, err := msgpackrpc.DialCalls(dialing, addr)
 	if err != nil {
 		return nil, err
 	}
@@ -74,9 +78,10 @@
 	return conn, nil
 }
 
-// Say says a word to one member.
-func (c *Client) Say(ctx context.Context, addr, method string, fields map[string]string, body []byte) (msgpackrpc.Reply, error) {
-	conn, err := c.to(ctx, addr)
+// Call makes one call to one member and returns its reply, which may carry an error code. With an error nobody knows whether the call
+// took effect.
+func (c *Client) Call(ctx context.Context, addr, method string, fields map[string]string, body []byte) (msgpackrpc.Reply, error) {
+	conn, err := c.connTo(ctx, addr)
 	if err != nil {
 		return msgpackrpc.Reply{}, err
 	}
@@ -88,24 +93,24 @@
 	if err != nil {
 		return msgpackrpc.Reply{}, err
 	}
-	wait := time.NewTimer(askWithin)
-	defer wait.Stop()
+	timeout := time.NewTimer(attemptTimeout)
+	defer timeout.Stop()
 	select {
-	case a, ok := <-reply:
+	case r, ok := <-reply:
 		if !ok {
-			return a, errors.New("the connection ended without an answer")
+			return r, errors.New("the connection ended without an answer")
 		}
-		return a, nil
-	case <-wait.C:
-		conn.Close() // what it carries may be stuck: the next word has a new one
-		return msgpackrpc.Reply{}, fmt.Errorf("no answer within %v", askWithin)
+		return r, nil
+	case <-timeout.C:
+		conn.Close() // what it carries may be stuck: the next call has a new one
+		return msgpackrpc.Reply{}, fmt.Errorf("no answer within %v", attemptTimeout)
 	case <-ctx.Done():
 		return msgpackrpc.Reply{}, ctx.Err()
 	}
 }
 
-// once asks the member that is thought to lead, else the next in turn, and notes who leads by its answer.
-func (c *Client) once(ctx context.Context, method string, fields map[string]string, body []byte) (msgpackrpc.Reply, error) {
+// callLeader calls the member that is thought to lead, else the next in turn, and notes who leads by its reply.
+func (c *Client) callLeader(ctx context.Context, method string, fields map[string]string, body []byte) (msgpackrpc.Reply, error) {
 	c.mu.Lock()
 	addr := c.leader
 	if addr == "" {
@@ -113,222 +118,46 @@
 		c.next++
 	}
 	c.mu.Unlock()
-	a, err := c.Say(ctx, addr, method, fields, body)
+	r, err := c.Call(ctx, addr, method, fields, body)
 	c.mu.Lock()
 	switch {
-	case err != nil, a.Error == WordLost:
+	case err != nil, r.Error == CodeUnknownOutcome:
 		c.leader = ""
-	case a.Error == WordNotLeader:
-		if c.leader = a.Fields["leader"]; !slices.Contains(c.Addrs, c.leader) {
-			c.leader = "" // only those are asked that it was told of
+	case r.Error == CodeNotLeader:
+		if c.leader = r.Fields["leader"]; !slices.Contains(c.Addrs, c.leader) {
+			c.leader = "" // only those are asked that the client was told of
 		}
 	default:
 		c.leader = addr
 	}
 	c.mu.Unlock()
-	return a, err
+	return r, err
 }
 
-// ask asks until a member that leads has answered, or the context ends. Whatever is asked changes nothing by being asked
-// twice.
-func (c *Client) ask(ctx context.Context, method string, fields map[string]string, body []byte) ([]byte, error) {
+// callUntilAnswered calls until the leader has answered, or the context ends: then the error wraps ErrUnavailable. It may call twice,
+// so it is for what changes nothing by being asked twice. A no of the group wraps ErrRefused.
+func (c *Client) callUntilAnswered(ctx context.Context, method string, fields map[string]string, body []byte) ([]byte, error) {
 	var last error
 	for n := 0; ; n++ {
-		a, err := c.once(ctx, method, fields, body)
+		r, err := c.callLeader(ctx, method, fields, body)
 		switch {
 		case err != nil:
 			last = err
-		case a.Error == "":
-			return a.Body, nil
-		case a.Error == WordNo, a.Error == WordStranger:
-			return nil, fmt.Errorf("%w: %s", ErrRefused, a.Fields["why"])
+		case r.Error == "":
+			return r.Body, nil
+		case r.Error == CodeRefused, r.Error == CodeWrongGroup:
+			return nil, fmt.Errorf("%w: %s", ErrRefused, r.Fields["why"])
 		default:
-			last = fmt.Errorf("%s %s", a.Error, a.Fields["why"])
+			last = fmt.Errorf("%s %s", r.Error, r.Fields["why"])
 		}
-		pause := 20 * time.Millisecond
+		pause := retryPause
 		if n > len(c.Addrs) {
-			pause = 100 * time.Millisecond
+			pause = roundPause
 		}
 		select {
 		case <-ctx.Done():
-			return nil, fmt.Errorf("%w: %w", ErrNoGroup, last)
+			return nil, fmt.Errorf("%w: %w", ErrUnavailable, last)
 		case <-time.After(pause):
 		}
 	}
 }
-
-// Do has the group agree on a command. An error in the result is the group's own no.
-func (c *Client) Do(ctx context.Context, cmd statemachine.Command) (r statemachine.Result, err error) {
-	body, err := json.Marshal(cmd)
-	if err != nil {
-		return r, err
-	}
-	method := "group.do"
-	if cmd.Lease != nil && cmd.Lease.Op == lease.Renew {
-		method = "group.renew"
-	}
-	out, err := c.ask(ctx, method, nil, body)
-	if err != nil {
-		return r, err
-	}
-	return r, json.Unmarshal(out, &r)
-}
-
-// Read reads what all have agreed on by now: the table, and the journal of a duty, or, with "*", of all.
-func (c *Client) Read(ctx context.Context, duty string) (v View, err error) {
-	out, err := c.ask(ctx, "group.read", map[string]string{"duty": duty}, nil)
-	if err != nil {
-		return v, err
-	}
-	return v, json.Unmarshal(out, &v)
-}
-
-// Sync says what a process that acts on documents has to say, and returns what is in force.
-func (c *Client) Sync(ctx context.Context, s Sync) (a Synced, err error) {
-	body, err := json.Marshal(s)
-	if err != nil {
-		return a, err
-	}
-	out, err := c.ask(ctx, "rules.sync", nil, body)
-	if err != nil {
-		return a, err
-	}
-	return a, json.Unmarshal(out, &a)
-}
-
-// Rules reads the documents, and who acts on which.
-func (c *Client) Rules(ctx context.Context) (r Rules, err error) {
-	out, err := c.ask(ctx, "rules.read", nil, nil)
-	if err != nil {
-		return r, err
-	}
-	return r, json.Unmarshal(out, &r)
-}
-
-// Parts asks for parts of a version of a document, or for its manifest where none are named: once, of the member that was last
-// known to lead.
-func (c *Client) Parts(ctx context.Context, w configstore.Want) (p Parts, err error) {
-	body, err := json.Marshal(w)
-	if err != nil {
-		return p, err
-	}
-	a, err := c.once(ctx, "rules.parts", nil, body)
-	if err == nil && a.Error != "" {
-		err = fmt.Errorf("%s %s", a.Error, a.Fields["why"])
-	}
-	if err != nil {
-		return p, err
-	}
-	return p, json.Unmarshal(a.Body, &p)
-}
-
-// StatusOf asks one member what it is.
-func (c *Client) StatusOf(ctx context.Context, addr string) (s Status, err error) {
-	a, err := c.Say(ctx, addr, "group.status", nil, nil)
-	if err == nil && a.Error != "" {
-		err = fmt.Errorf("%s: %s", a.Error, a.Fields["why"])
-	}
-	if err == nil {
-		err = json.Unmarshal(a.Body, &s)
-	}
-	return s, err
-}
-
-func (c *Client) must(ctx context.Context, addr, method string, v any) error {
-	body, err := json.Marshal(v)
-	if err != nil {
-		return err
-	}
-	a, err := c.Say(ctx, addr, method, nil, body)
-	if err == nil && a.Error != "" {
-		err = fmt.Errorf("%s: %s", a.Error, a.Fields["why"])
-	}
-	if err != nil {
-		return fmt.Errorf("%s: %w", addr, err)
-	}
-	return nil
-}
-
-// Found makes a group of members that belong to none. It can be said again where it failed half way.
-func (c *Client) Found(ctx context.Context, terms lease.Terms) (Founding, error) {
-	f := Founding{Group: c.Group, Terms: terms}
-	for _, addr := range c.Addrs {
-		s, err := c.StatusOf(ctx, addr)
-		if err != nil {
-			return f, fmt.Errorf("%s: %w", addr, err)
-		}
-		f.Members = append(f.Members, statemachine.Member{ID: idOf(s.ID), Name: s.Name, Addr: addr})
-	}
-	id := f.ID()
-	for _, addr := range c.Addrs {
-		if s, err := c.StatusOf(ctx, addr); err != nil || s.GroupID != "" && s.GroupID != id {
-			return f, fmt.Errorf("%s: belongs to group %s already: a group is founded of members whose disks are empty", addr, s.GroupID)
-		}
-	}
-	for _, addr := range c.Addrs {
-		if err := c.must(ctx, addr, "group.found", f); err != nil {
-			return f, err
-		}
-	}
-	return f, nil
-}
-
-func idOf(hex string) uint64 {
-	var id uint64
-	fmt.Sscanf(hex, "%x", &id)
-	return id
-}
-
-// Add makes a member whose disk is empty one of the group: it listens until it has caught up, then it has a vote.
-func (c *Client) Add(ctx context.Context, addr string) error {
-	s, err := c.StatusOf(ctx, addr)
-	if err != nil {
-		return fmt.Errorf("%s: %w", addr, err)
-	}
-	at, err := c.leading(ctx)
-	if err != nil {
-		return err
-	}
-	if err := c.must(ctx, addr, "group.join", Joining{ID: at.GroupID, Members: at.Members}); err != nil {
-		return err
-	}
-	p, _ := json.Marshal(statemachine.Member{ID: idOf(s.ID), Name: s.Name, Addr: addr})
-	for {
-		out, err := c.ask(ctx, "group.add", nil, p)
-		if err != nil || string(out) == `"voter"` {
-			return err
-		}
-		select {
-		case <-ctx.Done():
-			return fmt.Errorf("%s listens and has no vote yet: %w", addr, ctx.Err())
-		case <-time.After(50 * time.Millisecond):
-		}
-	}
-}
-
-// Remove takes a member out, by name.
-func (c *Client) Remove(ctx context.Context, name string) error {
-	at, err := c.leading(ctx)
-	if err != nil {
-		return err
-	}
-	for _, p := range at.Members {
-		if p.Name == name {
-			b, _ := json.Marshal(p)
-			_, err := c.ask(ctx, "group.remove", nil, b)
-			return err
-		}
-	}
-	return fmt.Errorf("no such member: %q", name)
-}
-
-// leading is the status of the member that leads.
-func (c *Client) leading(ctx context.Context) (Status, error) {
-	if _, err := c.Read(ctx, ""); err != nil {
-		return Status{}, err
-	}
-	c.mu.Lock()
-	addr := c.leader
-	c.mu.Unlock()
-	return c.StatusOf(ctx, addr)
-}
--- a/internal/controlplane/quorum/member/golden_test.go
+++ b/internal/controlplane/quorum/member/golden_test.go
@@ -250,11 +250,11 @@
 	if v.Terms.TTL != 3*time.Second || v.Table.CheckHolder("keeper", "a#1", 4294967297) != nil || v.Wall != 1 {
 		t.Errorf("%+v", v)
 	}
-	_, err = c.Sync(ctx, quorum.Sync{User: configstore.User{Name: "r1#1", Reads: map[string]int{"map": 2}, Holds: map[string]int{"map": 3}, Stopped: map[string]int{"map": 4},
-		Refuses: map[string]configstore.Refusal{"map": {Version: 5, Why: "w"}}}, Has: map[string][]int{"map": {1, 2}}, Bases: map[string]int{"map": 1}, Acts: map[string]int{"map": 1},
-		Worth: configstore.Worth{Asked: 2, Served: 1}, Stops: "s", Share: &quota.Request{MaxRouters: 3, Applied: 4, Rates: []quota.Allocation{{Cell: "c", Tenant: "t", Rate: 1.5}}, Demand: []quota.Allocation{}}})
+	_, err = c.Sync(ctx, quorum.ConfigSync{User: configstore.User{Name: "r1#1", Reads: map[string]int{"map": 2}, Holds: map[string]int{"map": 3}, Stopped: map[string]int{"map": 4},
+		Refuses: map[string]configstore.Refusal{"map": {Version: 5, Why: "w"}}}, HasVersions: map[string][]int{"map": {1, 2}}, BaseVersions: map[string]int{"map": 1}, ActiveVersions: map[string]int{"map": 1},
+		Load: configstore.Worth{Asked: 2, Served: 1}, StopReason: "s", Quota: &quota.Request{MaxRouters: 3, Applied: 4, Rates: []quota.Allocation{{Cell: "c", Tenant: "t", Rate: 1.5}}, Demand: []quota.Allocation{}}})
 	must(err)
-	_, err = c.Rules(ctx)
+	_, err = c.Config(ctx)
 	must(err)
 	_, err = c.Parts(ctx, configstore.Want{Doc: "map", Version: 2, Names: []string{"top"}})
 	must(err)
--- a/internal/controlplane/quorum/member/member.go
+++ b/internal/controlplane/quorum/member/member.go
@@ -491,7 +491,7 @@
 	}
 	m.dropLate()
 	for ctx, r := range m.reads {
-		if time.Since(r.since) > quorum.WordWithin {
+		if time.Since(r.since) > quorum.CallTimeout {
 			delete(m.reads, ctx)
 			r.done(false)
 		}
@@ -583,7 +583,7 @@
 
 // sent hears what became of a word of messages.
 func (m *Member) sent(p *peer, list []*pb.Message, ok bool, a msgpackrpc.Reply) {
-	if a.Error == quorum.WordSuperseded {
+	if a.Error == quorum.CodeSuperseded {
 		m.die(fmt.Errorf("member %s says: %s", p.Name, a.Fields["why"]))
 		return
 	}
@@ -647,7 +647,7 @@
 			m.later(func() {
 				switch {
 				case err != nil:
-				case a.Error == quorum.WordSuperseded:
+				case a.Error == quorum.CodeSuperseded:
 					m.die(fmt.Errorf("member %s says: %s; this disk has no vote: set %s aside and add the member anew", p.Name, a.Fields["why"], m.cfg.Dir))
 				case a.Error == "":
 					m.vouched[id] = true
@@ -677,7 +677,7 @@
 func (m *Member) show() {
 	who := m.who.Load()
 	s := &quorum.Status{Name: m.cfg.Name, ID: fmt.Sprintf("%016x", who.ID), Group: m.cfg.Group, GroupID: who.Group, State: "unfounded",
-		Starts: who.Starts, Applied: m.applied, Syncs: m.disk.syncs, TermsTTL: m.state.Terms.TTL.Milliseconds(),
+		Starts: who.Starts, Applied: m.applied, Syncs: m.disk.syncs, LeaseMS: m.state.Terms.TTL.Milliseconds(),
 		Drift: m.state.Terms.Drift, Confirmed: m.confirmed, Format: configstore.FormatInParts}
 	if m.raw != nil {
 		b := m.raw.BasicStatus()
--- a/internal/controlplane/quorum/member/parts.go
+++ b/internal/controlplane/quorum/member/parts.go
@@ -22,7 +22,7 @@
 func (m *Member) parts(w msgpackrpc.Call, answer func(msgpackrpc.CallResult)) {
 	var ask configstore.Want
 	if err := json.Unmarshal(w.Body, &ask); err != nil || len(ask.Names) > configstore.MostParts {
-		answer(no(quorum.WordNo, "at most %d parts are asked for at a time", configstore.MostParts))
+		answer(no(quorum.CodeRefused, "at most %d parts are asked for at a time", configstore.MostParts))
 		return
 	}
 	if !m.leads {
@@ -31,15 +31,15 @@
 	}
 	d := m.state.Config.Docs[ask.Doc]
 	if d == nil {
-		answer(no(quorum.WordNo, "no document %q", ask.Doc))
+		answer(no(quorum.CodeRefused, "no document %q", ask.Doc))
 		return
 	}
 	id, all, ok := d.At(ask.Version)
 	if !ok {
-		answer(no(quorum.WordNo, "version %d of %s is not in force or under way in parts", ask.Version, ask.Doc))
+		answer(no(quorum.CodeRefused, "version %d of %s is not in force or under way in parts", ask.Version, ask.Doc))
 		return
 	}
-	send := quorum.Parts{ID: id, Parts: configstore.Send(all, ask.Names)}
+	send := quorum.DocumentParts{ID: id, Parts: configstore.Send(all, ask.Names)}
 	if len(ask.Names) > 0 {
 		m.stats.Inc("rules", "parts_sent")
 	} else {
@@ -49,7 +49,7 @@
 	go func() {
 		b, err := json.Marshal(send)
 		if err != nil {
-			answer(no(quorum.WordNo, "%v", err))
+			answer(no(quorum.CodeRefused, "%v", err))
 			return
 		}
 		answer(msgpackrpc.CallResult{Body: b})
--- a/internal/controlplane/quorum/member/parts_test.go
+++ b/internal/controlplane/quorum/member/parts_test.go
@@ -145,7 +145,7 @@
 	g.t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
-	r, err := g.Rules(ctx)
+	r, err := g.Config(ctx)
 	if err != nil {
 		g.t.Fatal(err)
 	}
@@ -216,7 +216,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
 	asked := time.Since(f.began)
-	a, err := g.Sync(ctx, quorum.Sync{User: f.h.Says(), Has: f.h.Has(), Bases: f.h.Bases(), Acts: f.h.Acts()})
+	a, err := g.Sync(ctx, quorum.ConfigSync{User: f.h.Says(), HasVersions: f.h.Has(), BaseVersions: f.h.Bases(), ActiveVersions: f.h.Acts()})
 	if err != nil {
 		return err
 	}
@@ -491,7 +491,7 @@
 	all.Wait()
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
-	r, err := g.Rules(ctx)
+	r, err := g.Config(ctx)
 	if err != nil || len(r.Book.Users) != n {
 		t.Fatal(len(r.Book.Users), err)
 	}
--- a/internal/controlplane/quorum/member/peer.go
+++ b/internal/controlplane/quorum/member/peer.go
@@ -109,7 +109,7 @@
 			if time.Now().Before(downUntil) {
 				err = errors.New("down")
 			} else {
-				dial, cancel := context.WithTimeout(ctx, quorum.DialWithin)
+				dial, cancel := context.WithTimeout(ctx, quorum.DialTimeout)
 				conn, err = msgpackrpc.DialCalls(dial, p.Addr)
 				cancel()
 				if err != nil {
@@ -137,7 +137,7 @@
 			ok := false
 			select {
 			case a, ok = <-reply:
-			case <-time.After(quorum.WordWithin):
+			case <-time.After(quorum.CallTimeout):
 				// Something on the way is lost: what is open on it would fill it up, and nothing would go out any more.
 				used.Close()
 			case <-ctx.Done():
@@ -159,7 +159,7 @@
 
 // say says one word to an address on a connection of its own.
 func say(ctx context.Context, addr string, w msgpackrpc.Call) (msgpackrpc.Reply, error) {
-	dial, cancel := context.WithTimeout(ctx, quorum.DialWithin)
+	dial, cancel := context.WithTimeout(ctx, quorum.DialTimeout)
 	defer cancel()
 	conn, err := msgpackrpc.DialCalls(dial, addr)
 	if err != nil {
@@ -176,7 +176,7 @@
 			return a, errors.New("the connection ended without an answer")
 		}
 		return a, nil
-	case <-time.After(quorum.WordWithin):
+	case <-time.After(quorum.CallTimeout):
 		return msgpackrpc.Reply{}, errors.New("no answer")
 	case <-ctx.Done():
 		return msgpackrpc.Reply{}, ctx.Err()
--- a/internal/controlplane/quorum/member/rules.go
+++ b/internal/controlplane/quorum/member/rules.go
@@ -17,9 +17,9 @@
 // sync registers a process, takes what it says of itself, and tells it what is in force. Like a renewal it is answered once a
 // majority has said that this member led after the word came; only news goes into the log.
 func (m *Member) sync(w msgpackrpc.Call, answer func(msgpackrpc.CallResult)) {
-	var s quorum.Sync
+	var s quorum.ConfigSync
 	if err := json.Unmarshal(w.Body, &s); err != nil || s.User.Name == "" {
-		answer(no(quorum.WordNo, "nobody says this"))
+		answer(no(quorum.CodeRefused, "nobody says this"))
 		return
 	}
 	if !m.leads || !m.caughtUp {
@@ -27,11 +27,11 @@
 		return
 	}
 	if name := unread(m.state.Config, s.User); name != "" {
-		answer(no(quorum.WordNo, "what is in force of %s is of format %d: this build reads %d", name, m.state.Config.Docs[name].Force.Format, s.User.Reads[name]))
+		answer(no(quorum.CodeRefused, "what is in force of %s is of format %d: this build reads %d", name, m.state.Config.Docs[name].Force.Format, s.User.Reads[name]))
 		return
 	}
-	if !m.users.Heard(s.User.Name, m.clock(), s.Acts, s.Worth, s.Stops) {
-		answer(msgpackrpc.CallResult{Error: quorum.WordLost}) // its end is on its way: then it registers anew
+	if !m.users.Heard(s.User.Name, m.clock(), s.ActiveVersions, s.Load, s.StopReason) {
+		answer(msgpackrpc.CallResult{Error: quorum.CodeUnknownOutcome}) // its end is on its way: then it registers anew
 		return
 	}
 	grant := m.grant(s)
@@ -39,15 +39,15 @@
 		u := m.state.Config.Users[s.User.Name]
 		switch {
 		case ok && u == nil && len(m.state.Config.Users) >= configstore.MostUsers:
-			answer(no(quorum.WordNo, "%d processes are registered already", configstore.MostUsers))
+			answer(no(quorum.CodeRefused, "%d processes are registered already", configstore.MostUsers))
 			return
 		case !ok, u == nil, unread(m.state.Config, s.User) != "":
-			answer(msgpackrpc.CallResult{Error: quorum.WordLost})
+			answer(msgpackrpc.CallResult{Error: quorum.CodeUnknownOutcome})
 			return
 		}
-		b, err := json.Marshal(quorum.Synced{Terms: m.state.Terms, Index: m.applied, Wall: time.Now().UnixMilli(), Docs: views(m.state.Config, u, s), Grant: grant})
+		b, err := json.Marshal(quorum.ConfigSyncReply{Terms: m.state.Terms, Index: m.applied, Wall: time.Now().UnixMilli(), Docs: views(m.state.Config, u, s), Grant: grant})
 		if err != nil {
-			answer(no(quorum.WordNo, "%v", err))
+			answer(no(quorum.CodeRefused, "%v", err))
 			return
 		}
 		answer(msgpackrpc.CallResult{Body: b})
@@ -60,7 +60,7 @@
 		}
 		err = m.says(c, func(r statemachine.Result, ok bool) {
 			if ok && r.Error != "" {
-				answer(no(quorum.WordNo, "%s", r.Error))
+				answer(no(quorum.CodeRefused, "%s", r.Error))
 				return
 			}
 			tell(ok)
@@ -75,15 +75,15 @@
 
 // grant is what a router is given of the cells that it shares with others. It counts as given from here on, whether or not the answer
 // ever comes there.
-func (m *Member) grant(s quorum.Sync) *quota.Grant {
+func (m *Member) grant(s quorum.ConfigSync) *quota.Grant {
 	d := m.state.Config.Docs[configstore.DocMap]
-	if s.Share == nil || d == nil || d.Force == nil {
+	if s.Quota == nil || d == nil || d.Force == nil {
 		return nil
 	}
 	if !m.lend(d.Force) {
 		return nil
 	}
-	g, ok := m.ledger.Lend(m.clock(), s.User.Name, *s.Share)
+	g, ok := m.ledger.Lend(m.clock(), s.User.Name, *s.Quota)
 	if !ok {
 		m.stats.Inc("rules", "no_share")
 		return nil
@@ -92,11 +92,11 @@
 }
 
 // views are the documents as a process is told of them.
-func views(b *configstore.Book, u *configstore.User, s quorum.Sync) map[string]configstore.View {
+func views(b *configstore.Book, u *configstore.User, s quorum.ConfigSync) map[string]configstore.View {
 	all := map[string]configstore.View{}
 	for name := range u.Reads {
 		if d := b.Docs[name]; d != nil {
-			all[name] = d.Tell(u, s.Has[name], s.Bases[name])
+			all[name] = d.Tell(u, s.HasVersions[name], s.BaseVersions[name])
 		}
 	}
 	return all
@@ -106,12 +106,12 @@
 func (m *Member) readRules(answer func(msgpackrpc.CallResult)) {
 	err := m.confirmLead(func(ok bool) {
 		if !ok {
-			answer(msgpackrpc.CallResult{Error: quorum.WordLost})
+			answer(msgpackrpc.CallResult{Error: quorum.CodeUnknownOutcome})
 			return
 		}
-		b, err := json.Marshal(quorum.Rules{Book: m.state.Config.Listed(), Heard: m.users.List(m.clock()), Terms: m.state.Terms, Wall: time.Now().UnixMilli(), Lent: m.ledger.LentRatios(m.clock())})
+		b, err := json.Marshal(quorum.ConfigView{Book: m.state.Config.Listed(), Heard: m.users.List(m.clock()), Terms: m.state.Terms, Wall: time.Now().UnixMilli(), GrantedQuota: m.ledger.LentRatios(m.clock())})
 		if err != nil {
-			answer(no(quorum.WordNo, "%v", err))
+			answer(no(quorum.CodeRefused, "%v", err))
 			return
 		}
 		answer(msgpackrpc.CallResult{Body: b})
--- a/internal/controlplane/quorum/member/snapshot.go
+++ b/internal/controlplane/quorum/member/snapshot.go
@@ -59,7 +59,7 @@
 	if len(b) > longestSnapshot {
 		return fmt.Errorf("%d bytes, of at most %d", len(b), longestSnapshot)
 	}
-	dial, cancel := context.WithTimeout(ctx, quorum.DialWithin)
+	dial, cancel := context.WithTimeout(ctx, quorum.DialTimeout)
 	defer cancel()
 	conn, err := msgpackrpc.DialCalls(dial, p.Addr)
 	if err != nil {
@@ -87,7 +87,7 @@
 			if a.Error != "" {
 				return fmt.Errorf("%s %s", a.Error, a.Fields["why"])
 			}
-		case <-time.After(quorum.WordWithin):
+		case <-time.After(quorum.CallTimeout):
 			return errors.New("no answer")
 		case <-ctx.Done():
 			return ctx.Err()
@@ -99,13 +99,13 @@
 // chunk takes a piece of a snapshot, and the whole once the last has come.
 func (m *Member) chunk(w msgpackrpc.Call, from uint64) msgpackrpc.CallResult {
 	if !m.confirmed {
-		return no(quorum.WordNo, "not yet one that may say anything")
+		return no(quorum.CodeRefused, "not yet one that may say anything")
 	}
 	number := func(key string) uint64 { n, _ := strconv.ParseUint(w.Fields[key], 10, 64); return n }
 	id, at, long := number("s"), number("o"), number("l")
 	if long == 0 || long > longestSnapshot || uint64(len(w.Body)) > long {
 		m.stats.Inc("malformed", Name)
-		return no(quorum.WordNo, "a snapshot of %d bytes, of at most %d", long, longestSnapshot)
+		return no(quorum.CodeRefused, "a snapshot of %d bytes, of at most %d", long, longestSnapshot)
 	}
 	if at == 0 {
 		m.coming = &coming{from: from, id: id, at: time.Now()}
@@ -113,7 +113,7 @@
 	c := m.coming
 	if c == nil || c.from != from || c.id != id || uint64(len(c.b)) != at || at+uint64(len(w.Body)) > long {
 		m.coming = nil
-		return no(quorum.WordNo, "a chunk at %d that doesn't follow", at)
+		return no(quorum.CodeRefused, "a chunk at %d that doesn't follow", at)
 	}
 	c.b, c.at = append(c.b, w.Body...), time.Now()
 	if uint64(len(c.b)) < long {
@@ -122,11 +122,11 @@
 	m.coming = nil
 	x := &pb.Message{}
 	if xxhash.Sum64(c.b) != id {
-		return no(quorum.WordNo, "a snapshot whose checksum is wrong")
+		return no(quorum.CodeRefused, "a snapshot whose checksum is wrong")
 	}
 	if err := proto.Unmarshal(c.b, x); err != nil || x.GetType() != pb.MsgSnap {
 		m.stats.Inc("malformed", Name)
-		return no(quorum.WordNo, "no snapshot: %v", err)
+		return no(quorum.CodeRefused, "no snapshot: %v", err)
 	}
 	m.stats.Inc("group", "snapshots_put_together")
 	m.step(x, from)
--- a/internal/controlplane/quorum/member/words.go
+++ b/internal/controlplane/quorum/member/words.go
@@ -21,16 +21,16 @@
 
 // change is the context of a change of members.
 type change struct {
-	Seq    uint64            `json:"seq"`
+	Seq    uint64              `json:"seq"`
 	Peer   statemachine.Member `json:"peer"`
-	Remove uint64            `json:"remove,omitempty"`
+	Remove uint64              `json:"remove,omitempty"`
 }
 
 // Answer answers the words of a connection; it is the one that msgpackrpc.NewWords asks for.
 func (m *Member) Answer(ctx context.Context, w msgpackrpc.Call) func() msgpackrpc.CallResult {
 	if g := w.Fields["g"]; g != m.cfg.Group {
 		m.stats.Inc("group", "strangers")
-		return said(msgpackrpc.CallResult{Error: quorum.WordStranger, Fields: []string{"why", fmt.Sprintf("this is group %q, not %q", m.cfg.Group, g)}})
+		return said(msgpackrpc.CallResult{Error: quorum.CodeWrongGroup, Fields: []string{"why", fmt.Sprintf("this is group %q, not %q", m.cfg.Group, g)}})
 	}
 	if w.Method == "group.status" {
 		b, _ := json.Marshal(m.Status())
@@ -46,7 +46,7 @@
 		case <-m.ended:
 		case <-ctx.Done():
 		}
-		return msgpackrpc.CallResult{Error: quorum.WordLost}
+		return msgpackrpc.CallResult{Error: quorum.CodeUnknownOutcome}
 	}
 }
 
@@ -82,7 +82,7 @@
 	case "group.add", "group.remove":
 		m.change(w, answer)
 	default:
-		answer(no(quorum.WordNo, "no such word: %q", w.Method))
+		answer(no(quorum.CodeRefused, "no such word: %q", w.Method))
 	}
 }
 
@@ -93,25 +93,25 @@
 	switch {
 	case who.Group == "" || w.Fields["gi"] != who.Group:
 		m.stats.Inc("group", "strangers")
-		return no(quorum.WordStranger, "this is group %q, not %q", who.Group, w.Fields["gi"])
+		return no(quorum.CodeWrongGroup, "this is group %q, not %q", who.Group, w.Fields["gi"])
 	case id == who.ID:
-		return no(quorum.WordSuperseded, "two processes run on copies of one disk")
+		return no(quorum.CodeSuperseded, "two processes run on copies of one disk")
 	}
 	last, says := m.marks[id], mark{number("st"), number("n"), number("t"), number("c")}
 	if says.Starts < last.Starts || says.Starts == last.Starts && says.Nonce != last.Nonce {
-		return no(quorum.WordSuperseded, "start %d of this disk, and start %d of it was seen elsewhere", says.Starts, last.Starts)
+		return no(quorum.CodeSuperseded, "start %d of this disk, and start %d of it was seen elsewhere", says.Starts, last.Starts)
 	}
 	switch w.Method {
 	case "group.vouch":
 		if why := last.over(says); why != "" {
 			m.log.Warn().Str("event", "group.disk_older").Str("member", m.state.Members[id].Name).Str("why", why).Send()
-			return no(quorum.WordSuperseded, "the disk is older than its words: %s", why)
+			return no(quorum.CodeSuperseded, "the disk is older than its words: %s", why)
 		}
 		m.marks[id] = says
 		// It lasts before the other may vote: else a restart of this one would let an older disk in.
 		if err := m.disk.save(nil, nil, nil, m.marks); err != nil {
 			m.die(err)
-			return no(quorum.WordLost, "%v", err)
+			return no(quorum.CodeUnknownOutcome, "%v", err)
 		}
 	case "group.mark":
 		if says.Term >= last.Term && says.Commit >= last.Commit && says != last {
@@ -126,7 +126,7 @@
 		list, err := unpack(w.Body)
 		if err != nil {
 			m.stats.Inc("malformed", Name)
-			return no(quorum.WordNo, "%v", err)
+			return no(quorum.CodeRefused, "%v", err)
 		}
 		for _, x := range list {
 			m.step(x, id)
@@ -151,21 +151,21 @@
 
 // founded makes this member one of the first of a group.
 func (m *Member) founded(w msgpackrpc.Call) msgpackrpc.CallResult {
-	var f quorum.Founding
+	var f quorum.Bootstrap
 	if err := json.Unmarshal(w.Body, &f); err != nil {
-		return no(quorum.WordNo, "%v", err)
+		return no(quorum.CodeRefused, "%v", err)
 	}
 	who := *m.who.Load()
 	switch {
 	case who.Group == f.ID():
 		return msgpackrpc.CallResult{}
 	case who.Group != "":
-		return no(quorum.WordNo, "member %s belongs to group %s already", who.Name, who.Group)
+		return no(quorum.CodeRefused, "member %s belongs to group %s already", who.Name, who.Group)
 	case f.Group != m.cfg.Group || !slices.ContainsFunc(f.Members, func(p statemachine.Member) bool { return p.ID == who.ID }):
-		return no(quorum.WordNo, "not among the first members")
+		return no(quorum.CodeRefused, "not among the first members")
 	}
 	if err := f.Terms.Check(); err != nil {
-		return no(quorum.WordNo, "%v", err)
+		return no(quorum.CodeRefused, "%v", err)
 	}
 	state := statemachine.New(1)
 	state.Terms = f.Terms
@@ -175,7 +175,7 @@
 	who.Group = f.ID()
 	if err := m.disk.found(who, state); err != nil {
 		m.die(err)
-		return no(quorum.WordLost, "%v", err)
+		return no(quorum.CodeUnknownOutcome, "%v", err)
 	}
 	m.who.Store(&who)
 	m.log.Info().Str("event", "group.founded").Str("group", who.Group).Int("members", len(f.Members)).Send()
@@ -185,21 +185,21 @@
 
 // joined makes this member, whose disk is empty, one that listens to a group until it was added there.
 func (m *Member) joined(w msgpackrpc.Call) msgpackrpc.CallResult {
-	var j quorum.Joining
+	var j quorum.Join
 	if err := json.Unmarshal(w.Body, &j); err != nil || j.ID == "" {
-		return no(quorum.WordNo, "no group")
+		return no(quorum.CodeRefused, "no group")
 	}
 	who := *m.who.Load()
 	switch {
 	case who.Group == j.ID:
 		return msgpackrpc.CallResult{}
 	case who.Group != "":
-		return no(quorum.WordNo, "member %s belongs to group %s already", who.Name, who.Group)
+		return no(quorum.CodeRefused, "member %s belongs to group %s already", who.Name, who.Group)
 	}
 	who.Group = j.ID
 	if err := m.disk.join(who, j.Members); err != nil {
 		m.die(err)
-		return no(quorum.WordLost, "%v", err)
+		return no(quorum.CodeUnknownOutcome, "%v", err)
 	}
 	m.who.Store(&who)
 	m.log.Info().Str("event", "group.joined").Str("group", who.Group).Send()
@@ -219,7 +219,7 @@
 
 // elsewhere answers for one that does not lead.
 func (m *Member) elsewhere() msgpackrpc.CallResult {
-	v := no(quorum.WordNotLeader, "member %s does not lead", m.cfg.Name)
+	v := no(quorum.CodeNotLeader, "member %s does not lead", m.cfg.Name)
 	if m.raw != nil {
 		if p, ok := m.state.Members[m.raw.BasicStatus().Lead]; ok && p.ID != m.who.Load().ID {
 			v.Fields = append(v.Fields, "leader", p.Addr)
@@ -230,11 +230,11 @@
 
 func result(r statemachine.Result, ok bool) msgpackrpc.CallResult {
 	if !ok {
-		return msgpackrpc.CallResult{Error: quorum.WordLost}
+		return msgpackrpc.CallResult{Error: quorum.CodeUnknownOutcome}
 	}
 	b, err := json.Marshal(r)
 	if err != nil {
-		return no(quorum.WordNo, "%v", err)
+		return no(quorum.CodeRefused, "%v", err)
 	}
 	return msgpackrpc.CallResult{Body: b}
 }
@@ -243,11 +243,11 @@
 func (m *Member) do(w msgpackrpc.Call, answer func(msgpackrpc.CallResult)) {
 	var c statemachine.Command
 	if err := json.Unmarshal(w.Body, &c); err != nil {
-		answer(no(quorum.WordNo, "%v", err))
+		answer(no(quorum.CodeRefused, "%v", err))
 		return
 	}
 	if c.Lease != nil && (c.Lease.Op == lease.Expire || c.Lease.Op == lease.Dequeue && c.Lease.Reason == "") {
-		answer(no(quorum.WordNo, "only the group's leader may"))
+		answer(no(quorum.CodeRefused, "only the group's leader may"))
 		return
 	}
 	if c.Config != nil {
@@ -271,9 +271,9 @@
 	if err := m.propose(c, func(r statemachine.Result, ok bool) { answer(result(r, ok)) }); err == errNotLeader {
 		answer(m.elsewhere())
 	} else if err == errLong {
-		answer(no(quorum.WordNo, "%v", err))
+		answer(no(quorum.CodeRefused, "%v", err))
 	} else if err != nil {
-		answer(no(quorum.WordLost, "%v", err))
+		answer(no(quorum.CodeUnknownOutcome, "%v", err))
 	}
 }
 
@@ -282,7 +282,7 @@
 func (m *Member) renew(w msgpackrpc.Call, answer func(msgpackrpc.CallResult)) {
 	var c statemachine.Command
 	if err := json.Unmarshal(w.Body, &c); err != nil || c.Lease == nil {
-		answer(no(quorum.WordNo, "no renewal"))
+		answer(no(quorum.CodeRefused, "no renewal"))
 		return
 	}
 	a, now := *c.Lease, m.clock()
@@ -323,10 +323,10 @@
 	}
 	err := m.confirmLead(func(ok bool) {
 		if !ok {
-			answer(msgpackrpc.CallResult{Error: quorum.WordLost})
+			answer(msgpackrpc.CallResult{Error: quorum.CodeUnknownOutcome})
 			return
 		}
-		v := quorum.View{Terms: m.state.Terms, Table: m.state.Table, Journals: map[string]*controller.Journal{}, Wall: time.Now().UnixMilli()}
+		v := quorum.StateView{Terms: m.state.Terms, Table: m.state.Table, Journals: map[string]*controller.Journal{}, Wall: time.Now().UnixMilli()}
 		for _, name := range controller.Duties {
 			if w.Fields["duty"] == name || w.Fields["duty"] == "*" {
 				v.Journals[name] = m.state.Journal(name)
@@ -334,7 +334,7 @@
 		}
 		b, err := json.Marshal(v)
 		if err != nil {
-			answer(no(quorum.WordNo, "%v", err))
+			answer(no(quorum.CodeRefused, "%v", err))
 			return
 		}
 		answer(msgpackrpc.CallResult{Body: b})
@@ -349,7 +349,7 @@
 func (m *Member) change(w msgpackrpc.Call, answer func(msgpackrpc.CallResult)) {
 	var p statemachine.Member
 	if err := json.Unmarshal(w.Body, &p); err != nil || p.ID == 0 {
-		answer(no(quorum.WordNo, "no member"))
+		answer(no(quorum.CodeRefused, "no member"))
 		return
 	}
 	if !m.leads {
@@ -372,7 +372,7 @@
 	default:
 		for _, q := range m.state.Members {
 			if q.Name == p.Name {
-				answer(no(quorum.WordNo, "member %s is in the group by another disk: remove that first", p.Name))
+				answer(no(quorum.CodeRefused, "member %s is in the group by another disk: remove that first", p.Name))
 				return
 			}
 		}
@@ -382,12 +382,12 @@
 	ctx, _ := json.Marshal(of)
 	cc := &pb.ConfChangeV2{Context: ctx, Changes: []*pb.ConfChangeSingle{{Type: kind.Enum(), NodeId: proto.Uint64(p.ID)}}}
 	if err := m.raw.ProposeConfChange(cc); err != nil {
-		answer(no(quorum.WordLost, "%v", err))
+		answer(no(quorum.CodeUnknownOutcome, "%v", err))
 		return
 	}
 	m.waiting[of.Seq] = func(_ statemachine.Result, ok bool) {
 		if !ok {
-			answer(msgpackrpc.CallResult{Error: quorum.WordLost})
+			answer(msgpackrpc.CallResult{Error: quorum.CodeUnknownOutcome})
 			return
 		}
 		answer(msgpackrpc.CallResult{Body: []byte(`"changed"`)})
--- a/internal/policy/capacity/page_test.go
+++ b/internal/policy/capacity/page_test.go
@@ -268,7 +268,7 @@
 	}
 	read := func(users int) int {
 		b, heard := book(users)
-		return wrote(quorum.Rules{Book: b.Listed(), Heard: heard})
+		return wrote(quorum.ConfigView{Book: b.Listed(), Heard: heard})
 	}
 	if n := float64(snapshot(20)-snapshot(10)) / 10; n != p.UserWord {
 		t.Errorf("a snapshot: %v bytes a process, the table has %v", n, p.UserWord)
@@ -354,7 +354,7 @@
 		t.Fatal(err)
 	}
 	within("snapshot", len(b), at("leader", "bytes of a snapshot of the group", capacity.Rest))
-	within("reading", wrote(quorum.Rules{Book: s.Config.Listed(), Heard: heard}), at("tool", "bytes of one reading of the rules", capacity.Rest))
+	within("reading", wrote(quorum.ConfigView{Book: s.Config.Listed(), Heard: heard}), at("tool", "bytes of one reading of the rules", capacity.Rest))
 	if n := at("tool", "words of a first import", capacity.Rest) / 1024; math.Abs(float64(len(batches))-n) > 1 {
 		t.Errorf("%d words of a first import, counted %v", len(batches), n)
 	}
@@ -377,7 +377,7 @@
 	before, sum := texts, 0
 	d, u := s.Config.Docs[configstore.DocMap], s.Config.Users["server-0000#0a1b2c3d"]
 	tell := func(d *configstore.Doc) int {
-		return wrote(quorum.Synced{Docs: map[string]configstore.View{configstore.DocMap: d.Tell(u, []int{1}, 1)}})
+		return wrote(quorum.ConfigSyncReply{Docs: map[string]configstore.View{configstore.DocMap: d.Tell(u, []int{1}, 1)}})
 	}
 	for i := range cells.TenantParts {
 		name := cells.TenantPartName(i)
--- a/internal/testkit/benchmarks/parts.go
+++ b/internal/testkit/benchmarks/parts.go
@@ -614,7 +614,7 @@
 		if version, err = r.put(configstore.DocMap, r.file); err == nil || time.Now().After(end) {
 			return version, tries, err
 		}
-		if !strings.Contains(err.Error(), configstore.ErrUnder.Error()) && !strings.Contains(err.Error(), configstore.ErrBase.Error()) && !strings.Contains(err.Error(), quorum.ErrNoGroup.Error()) {
+		if !strings.Contains(err.Error(), configstore.ErrUnder.Error()) && !strings.Contains(err.Error(), configstore.ErrBase.Error()) && !strings.Contains(err.Error(), quorum.ErrUnavailable.Error()) {
 			return version, tries, err
 		}
 	}
--- a/internal/testkit/benchmarks/partsschedules.go
+++ b/internal/testkit/benchmarks/partsschedules.go
@@ -73,7 +73,7 @@
 	r.faults, r.change, r.killed, r.mended = 11, r.changeParts, r.keptBy, r.look
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
-	b, err := r.g.Client.Rules(ctx)
+	b, err := r.g.Client.Config(ctx)
 	if err == nil && !b.Book.Docs[configstore.DocMap].Force.Split {
 		err = fmt.Errorf("a map of %d tenants is not in parts", tenants)
 	}
@@ -214,7 +214,7 @@
 	defer func() { r.sum.add(o) }()
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
-	b, err := r.g.Client.Rules(ctx)
+	b, err := r.g.Client.Config(ctx)
 	if err != nil {
 		broke("%v", err)
 		return
--- a/internal/testkit/benchmarks/partssim.go
+++ b/internal/testkit/benchmarks/partssim.go
@@ -228,7 +228,7 @@
 		after(way(p.far), func() {
 			hear(bytes)
 			id, parts, ok := d.At(w.Version)
-			answer := quorum.Parts{ID: id}
+			answer := quorum.DocumentParts{ID: id}
 			if ok {
 				answer.Parts = configstore.Send(parts, w.Names)
 			}
@@ -260,7 +260,7 @@
 		}
 		asked, said := now, p.h.Says()
 		has, bases, acts := p.h.Has(), p.h.Bases(), p.h.Acts()
-		bytes := length(quorum.Sync{User: said, Has: has, Bases: bases, Acts: acts})
+		bytes := length(quorum.ConfigSync{User: said, HasVersions: has, BaseVersions: bases, ActiveVersions: acts})
 		after(way(p.far), func() {
 			hear(bytes)
 			if !watch.Heard(p.h.Who, now, acts, configstore.Worth{}, "") {
@@ -274,7 +274,7 @@
 					return
 				}
 				docs, at := map[string]configstore.View{configstore.DocMap: d.Tell(u, has[configstore.DocMap], bases[configstore.DocMap])}, index
-				send(length(quorum.Synced{Terms: s.Terms, Index: at, Wall: 1, Docs: docs}), p.far, func() {
+				send(length(quorum.ConfigSyncReply{Terms: s.Terms, Index: at, Wall: 1, Docs: docs}), p.far, func() {
 					if gen != p.gen {
 						return
 					}
--- a/internal/testkit/benchmarks/rules.go
+++ b/internal/testkit/benchmarks/rules.go
@@ -573,7 +573,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
 	for { // nothing stays under way
-		b, err := r.g.Client.Rules(ctx)
+		b, err := r.g.Client.Config(ctx)
 		if err != nil {
 			broke("%v", err)
 			return o
@@ -669,8 +669,8 @@
 		}
 		lent := 0.0
 		ctx, cancel := context.WithTimeout(context.Background(), 200*time.Millisecond)
-		if b, err := r.g.Client.Rules(ctx); err == nil {
-			for _, v := range b.Lent {
+		if b, err := r.g.Client.Config(ctx); err == nil {
+			for _, v := range b.GrantedQuota {
 				lent = max(lent, v)
 			}
 		}
--- a/internal/testkit/benchmarks/scale.go
+++ b/internal/testkit/benchmarks/scale.go
@@ -686,7 +686,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), within)
 	defer cancel()
 	for {
-		r, err := g.Client.Rules(ctx)
+		r, err := g.Client.Config(ctx)
 		if err == nil {
 			if d := r.Book.Docs[doc]; d != nil && d.Next == nil && d.Force != nil {
 				g.doc[doc] = d.Force.ID.Version
--- a/internal/testkit/harness/group.go
+++ b/internal/testkit/harness/group.go
@@ -162,7 +162,7 @@
 }
 
 // View reads what the group has agreed on.
-func (g *Group) View() (quorum.View, error) {
+func (g *Group) View() (quorum.StateView, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
 	return g.Client.Read(ctx, "*")
--- a/internal/testkit/hollow/hollow_test.go
+++ b/internal/testkit/hollow/hollow_test.go
@@ -242,9 +242,9 @@
 func (g *book) answer(w msgpackrpc.Call) msgpackrpc.CallResult {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	var s quorum.Sync
+	var s quorum.ConfigSync
 	if err := json.Unmarshal(w.Body, &s); err != nil {
-		return msgpackrpc.CallResult{Error: quorum.WordNo}
+		return msgpackrpc.CallResult{Error: quorum.CodeRefused}
 	}
 	g.heard[strings.SplitN(s.User.Name, "#", 2)[0]]++
 	op := configstore.Say
@@ -255,10 +255,10 @@
 	docs := map[string]configstore.View{}
 	for name := range s.User.Reads {
 		if d := g.b.Docs[name]; d != nil {
-			docs[name] = d.Tell(&s.User, s.Has[name], s.Bases[name])
+			docs[name] = d.Tell(&s.User, s.HasVersions[name], s.BaseVersions[name])
 		}
 	}
-	out, _ := json.Marshal(quorum.Synced{Terms: lease.Terms{TTL: time.Second, Drift: 0.05}, Index: g.index, Wall: time.Now().UnixMilli(), Docs: docs})
+	out, _ := json.Marshal(quorum.ConfigSyncReply{Terms: lease.Terms{TTL: time.Second, Drift: 0.05}, Index: g.index, Wall: time.Now().UnixMilli(), Docs: docs})
 	return msgpackrpc.CallResult{Body: out}
 }
 
