--- a/cmd/silverpath/group_test.go
+++ b/cmd/silverpath/group_test.go
@@ -77,10 +77,10 @@
 		}
 	}
 	if rate, err := strconv.ParseFloat(os.Getenv("SILVERPATH_CLOCK"), 64); err == nil {
-		member.Clocks, configwatch.Rate, proxy.Rate = rate, rate, rate
+		member.ClockRate, configwatch.Rate, proxy.Rate = rate, rate, rate
 	}
 	if file := os.Getenv("SILVERPATH_DISK"); file != "" {
-		member.Fault = func(string) error {
+		member.DiskFaultHook = func(string) error {
 			text, err := os.ReadFile(file)
 			if err != nil {
 				return nil
--- a/internal/controlplane/quorum/member/commands.go
+++ b/internal/controlplane/quorum/member/commands.go
@@ -39,7 +39,7 @@
 			if err != nil {
 				return err
 			}
-			return Main(set, Signals(), os.Stderr)
+			return Run(set, Signals(), os.Stderr)
 		}}
 		c.Flags().StringVar(&config, "config", "", "its settings")
 		c.MarkFlagRequired("config")
@@ -59,14 +59,14 @@
 	})
 	var dir string
 	try := &cobra.Command{Use: "try", Short: "Run a whole group of three in one process, to look at", Args: cobra.NoArgs,
-		RunE: func(c *cobra.Command, _ []string) error { return tryGroup(c, dir) }}
+		RunE: func(c *cobra.Command, _ []string) error { return runTrialGroup(c, dir) }}
 	try.Flags().StringVar(&dir, "dir", "", "a folder that lasts (default: one that does not)")
 	cmd.AddCommand(try)
 	return cmd
 }
 
-// tryGroup runs three members in this process and founds a group of them.
-func tryGroup(c *cobra.Command, dir string) error {
+// runTrialGroup runs three members in this process and founds a group of them.
+func runTrialGroup(c *cobra.Command, dir string) error {
 	if dir == "" {
 		var err error
 		if dir, err = os.MkdirTemp("", "silverpath-group"); err != nil {
@@ -89,7 +89,7 @@
 		ch := make(chan os.Signal, 1)
 		each = append(each, ch)
 		all.Go(func() {
-			if err := Main(set, ch, c.ErrOrStderr()); err != nil {
+			if err := Run(set, ch, c.ErrOrStderr()); err != nil {
 				failed <- err
 			}
 		})
--- a/internal/controlplane/quorum/member/golden_test.go
+++ b/internal/controlplane/quorum/member/golden_test.go
@@ -314,7 +314,7 @@
 	}
 	ln.Close()
 	words := msgpackrpc.NewCallServer(Name, counters, m.Answer)
-	l, err := listener.Listen(Name, addr, memberMost, func() time.Duration { return time.Minute }, words.Serve, log.New(io.Discard, "", 0), counters)
+	l, err := listener.Listen(Name, addr, maxConnections, func() time.Duration { return time.Minute }, words.Serve, log.New(io.Discard, "", 0), counters)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/controlplane/quorum/member/main.go
+++ b/internal/controlplane/quorum/member/main.go
@@ -27,14 +27,14 @@
 )
 
 const (
-	// memberMost bounds the connections of a member, of others and of those who ask: each process that follows has one, to whoever
+	// maxConnections bounds the connections of a member, of others and of those who ask: each process that follows has one, to whoever
 	// leads, and a restarted one a second for a while.
-	memberMost   = configstore.MostUsers + 512
-	memberMemory = 192 << 20 // bytes, at which the collector works harder
+	maxConnections = configstore.MostUsers + 512
+	memoryLimit    = 192 << 20 // bytes, at which the collector works harder
 )
 
-// Clocks is the rate of this process's clock for leases, in test programs only; 0: 1.
-var Clocks float64
+// ClockRate is the rate of this process's clock for leases, in test programs only; 0: 1.
+var ClockRate float64
 
 // Logger is the log of a process of the group: for people, or for machines.
 func Logger(out io.Writer, asJSON bool) zerolog.Logger {
@@ -45,10 +45,10 @@
 	return zerolog.New(out).With().Timestamp().Logger()
 }
 
-// Main runs a member of the group, an owner of duties, or both in one process, until a signal to leave. A member whose
+// Run runs a member of the group, an owner of duties, or both in one process, until a signal to leave. A member whose
 // disk can't be trusted ends with an error.
-func Main(set settings.Quorum, signals <-chan os.Signal, out io.Writer) error {
-	debug.SetMemoryLimit(memberMemory)
+func Run(set settings.Quorum, signals <-chan os.Signal, out io.Writer) error {
+	debug.SetMemoryLimit(memoryLimit)
 	l := Logger(out, set.JSON)
 	counters := &metrics.Counters{}
 	ctx, cancel := context.WithCancel(context.Background())
@@ -66,7 +66,7 @@
 		l.Info().Str("event", "group.listening").Str("process", set.Name).Stringer("addr", ln.Addr()).Send()
 		go ln.Serve()
 		if a := set.Member.SNMP; a.Listen != "" {
-			agent, err := snmp.Listen(a.Listen, a.Community, set.Name, shown{m}, log.New(l, "", 0), counters, nil)
+			agent, err := snmp.Listen(a.Listen, a.Community, set.Name, snmpView{m}, log.New(l, "", 0), counters, nil)
 			if err != nil {
 				return errors.Join(fmt.Errorf("member.snmp.listen: %w", err), m.Close())
 			}
@@ -83,7 +83,7 @@
 	if set.Owner != nil {
 		group := &quorum.Client{Group: set.Group.Name, Addrs: set.Group.Members}
 		defer group.Close()
-		o := runner.New(runner.Config{Name: set.Name, Set: *set.Owner, Group: group, Log: l, Stats: counters, Rate: Clocks})
+		o := runner.New(runner.Config{Name: set.Name, Set: *set.Owner, Group: group, Log: l, Stats: counters, Rate: ClockRate})
 		go func() {
 			defer close(owning)
 			o.Run(ctx)
@@ -115,30 +115,30 @@
 	}
 }
 
-// shown is what the SNMP agent shows of a member: healthy while it has its vote and knows a leader.
-type shown struct{ m *Member }
+// snmpView is what the SNMP agent shows of a member: healthy while it has its vote and knows a leader.
+type snmpView struct{ m *Member }
 
-func (s shown) Health() bool { st := s.m.Status(); return st.Confirmed && st.Leader != "" }
-func (s shown) Phase() lifecycle.State {
+func (s snmpView) Health() bool { st := s.m.Status(); return st.Confirmed && st.Leader != "" }
+func (s snmpView) Phase() lifecycle.State {
 	if s.m.Status().Confirmed {
 		return lifecycle.Serving
 	}
 	return lifecycle.Starting
 }
-func (s shown) Owed() int       { return 0 }
-func (s shown) View() core.View { return core.View{} }
+func (s snmpView) Owed() int       { return 0 }
+func (s snmpView) View() core.View { return core.View{} }
 
 func openMember(set settings.Quorum, l zerolog.Logger, counters *metrics.Counters) (*Member, *listener.Listener, error) {
 	if err := os.MkdirAll(set.Member.Dir, 0o700); err != nil {
 		return nil, nil, fmt.Errorf("member.dir: %w", err)
 	}
 	m, err := Open(Config{Name: set.Name, Group: set.Group.Name, Addr: set.Member.Addr, Dir: set.Member.Dir,
-		Tick: set.Member.Tick, Log: l, Stats: counters, Rate: Clocks})
+		Tick: set.Member.Tick, Log: l, Stats: counters, Rate: ClockRate})
 	if err != nil {
 		return nil, nil, fmt.Errorf("member.dir: %w", err)
 	}
 	words := msgpackrpc.NewCallServer(Name, counters, m.Answer)
-	ln, err := listener.Listen(Name, set.Member.Listen, memberMost, func() time.Duration { return time.Minute }, words.Serve,
+	ln, err := listener.Listen(Name, set.Member.Listen, maxConnections, func() time.Duration { return time.Minute }, words.Serve,
 		log.New(l, "", 0), counters)
 	if err != nil {
 		return nil, nil, errors.Join(fmt.Errorf("member.listen: %w", err), m.Close())
--- a/internal/controlplane/quorum/member/member.go
+++ b/internal/controlplane/quorum/member/member.go
@@ -47,72 +47,72 @@
 }
 
 const (
-	electionTicks = 10
-	compactEvery  = 2000 // entries
-	compactKeep   = 200
-	markEvery     = time.Second
-	mostReads     = 8192 // that wait: two of each process that there can be
-	// compactBytes has a snapshot be made of what many large changes have written, and keepBytes bounds what of them stays for members
+	electionTicks       = 10
+	compactAfterEntries = 2000 // entries
+	compactKeepEntries  = 200
+	markInterval        = time.Second
+	maxPending          = 8192 // that wait: two of each process that there can be
+	// compactAfterBytes has a snapshot be made of what many large changes have written, and keepBytes bounds what of them stays for members
 	// that are a little behind.
-	compactBytes = 16 << 20
-	keepBytes    = 4 << 20
-	// longestCommand bounds a command as it is in the log: with what else a word to a member carries it stays within one.
-	longestCommand = msgpackrpc.MaxCallBody/2 - 64<<10
+	compactAfterBytes = 16 << 20
+	compactKeepBytes  = 4 << 20
+	// maxCommandBytes bounds a command as it is in the log: with what else a word to a member carries it stays within one.
+	maxCommandBytes = msgpackrpc.MaxCallBody/2 - 64<<10
 )
 
 // Member is one member.
 type Member struct {
-	cfg   Config
-	log   zerolog.Logger
-	stats *metrics.Counters
-	who   atomic.Pointer[Identity]
-	began time.Time
+	cfg       Config
+	log       zerolog.Logger
+	stats     *metrics.Counters
+	identity  atomic.Pointer[Identity]
+	startedAt time.Time
 
-	calls  chan func()
-	ended  chan struct{}
-	status atomic.Pointer[quorum.Status]
+	calls   chan func()
+	stopped chan struct{}
+	status  atomic.Pointer[quorum.Status]
 
 	// The loop's own:
-	disk      *store
-	raw       *raft.RawNode // nil while it belongs to no group
-	state     *statemachine.State
-	conf      *pb.ConfState
-	applied   uint64
-	snapAt    uint64
-	watch     *lease.Lessor
-	users     *configstore.Watch
-	ledger    *quota.Ledger
-	lent      lent                 // the map that the ledger knows
-	asking    []func(ok bool)      // what waits for the next confirming of the lead
-	pending   int                  // with what waits for one that is under way
-	words     []configstore.Change // of processes, to be put into the log together
-	worded    []func(r statemachine.Result, ok bool)
-	logged    int     // bytes, since the last snapshot
-	coming    *coming // a snapshot in chunks
-	marks     map[uint64]mark
-	marksNew  bool
-	said      mark
-	saidAt    time.Time
-	vouched   map[uint64]bool
-	confirmed bool
-	peers     map[uint64]*peer
-	waiting   map[uint64]func(statemachine.Result, bool)
-	reads     map[string]read
-	seq       uint64
-	salt      uint64
-	changed   bool // the members
-	leads     bool
-	caughtUp  bool // an entry of its own term was applied
-	fatal     error
-	ctx       context.Context
-	joining   sync.WaitGroup
+	store              *store
+	node               *raft.RawNode // nil while it belongs to no group
+	state              *statemachine.State
+	confState          *pb.ConfState
+	applied            uint64
+	snapshotIndex      uint64
+	lessor             *lease.Lessor
+	configWatch        *configstore.Watch
+	quotaLedger        *quota.Ledger
+	grantable          grantableMap         // the map that the ledger knows
+	readWaiters        []func(ok bool)      // what waits for the next confirming of the lead
+	pendingReads       int                  // with what waits for one that is under way
+	configBatch        []configstore.Change // of processes, to be put into the log together
+	configBatchDone    []func(r statemachine.Result, ok bool)
+	bytesSinceSnapshot int               // bytes, since the last snapshot
+	incoming           *incomingSnapshot // a snapshot in chunks
+	marks              map[uint64]diskMark
+	marksDirty         bool
+	sentMark           diskMark
+	markSentAt         time.Time
+	vouchedBy          map[uint64]bool
+	confirmed          bool
+	peers              map[uint64]*peer
+	proposals          map[uint64]func(statemachine.Result, bool)
+	reads              map[string]pendingRead
+	seq                uint64
+	salt               uint64
+	membersChanged     bool // the members
+	leading            bool
+	caughtUp           bool // an entry of its own term was applied
+	fatal              error
+	ctx                context.Context
+	background         sync.WaitGroup
 }
 
-// read is one that waits for the library's word that this member still led after it came.
-type read struct {
-	index uint64 // 0: not known yet
-	since time.Time
-	done  func(ok bool)
+// pendingRead is one that waits for the library's word that this member still led after it came.
+type pendingRead struct {
+	index       uint64 // 0: not known yet
+	requestedAt time.Time
+	done        func(ok bool)
 }
 
 // Open opens a member's disk. One that is empty becomes a member of no group, with a number of its own.
@@ -121,7 +121,7 @@
 	if err != nil {
 		return nil, err
 	}
-	who, err := get[Identity](disk, keyWho)
+	who, err := getJSON[Identity](disk, keyIdentity)
 	if err != nil {
 		disk.close()
 		return nil, fmt.Errorf("%s: who it is: %w", cfg.Dir, err)
@@ -136,17 +136,17 @@
 		return nil, fmt.Errorf("dir: the disk of member %q, not of %q: set it aside", who.Name, cfg.Name)
 	}
 	who.Starts++
-	if err := disk.write("start", func(tx *bbolt.Tx) error { return put(tx, keyWho, who) }); err != nil {
+	if err := disk.update("start", func(tx *bbolt.Tx) error { return putJSON(tx, keyIdentity, who) }); err != nil {
 		disk.close()
 		return nil, err
 	}
-	marks, err := get[map[uint64]mark](disk, keyMarks)
+	marks, err := getJSON[map[uint64]diskMark](disk, keyMarks)
 	if err != nil {
 		disk.close()
 		return nil, fmt.Errorf("%s: its marks: %w", cfg.Dir, err)
 	}
 	if marks == nil {
-		marks = map[uint64]mark{}
+		marks = map[uint64]diskMark{}
 	}
 	if cfg.Rate == 0 {
 		cfg.Rate = 1
@@ -155,44 +155,44 @@
 	rand.Read(salt[:])
 	salt[0] &= 0x7f
 	m := &Member{
-		cfg: cfg, log: cfg.Log.With().Str("process", cfg.Name).Logger(), stats: cfg.Stats, began: time.Now(),
-		calls: make(chan func(), 256), ended: make(chan struct{}), disk: disk, marks: marks, watch: lease.NewLessor(lease.Terms{}),
-		users: configstore.NewWatch(lease.Terms{}), ledger: quota.NewLedger(lease.Terms{}),
-		vouched: map[uint64]bool{}, peers: map[uint64]*peer{}, waiting: map[uint64]func(statemachine.Result, bool){},
-		reads: map[string]read{}, salt: binary.BigEndian.Uint64(salt[:]), state: statemachine.New(0), conf: &pb.ConfState{},
+		cfg: cfg, log: cfg.Log.With().Str("process", cfg.Name).Logger(), stats: cfg.Stats, startedAt: time.Now(),
+		calls: make(chan func(), 256), stopped: make(chan struct{}), store: disk, marks: marks, lessor: lease.NewLessor(lease.Terms{}),
+		configWatch: configstore.NewWatch(lease.Terms{}), quotaLedger: quota.NewLedger(lease.Terms{}),
+		vouchedBy: map[uint64]bool{}, peers: map[uint64]*peer{}, proposals: map[uint64]func(statemachine.Result, bool){},
+		reads: map[string]pendingRead{}, salt: binary.BigEndian.Uint64(salt[:]), state: statemachine.New(0), confState: &pb.ConfState{},
 	}
-	m.who.Store(&who)
+	m.identity.Store(&who)
 	if who.Group != "" {
-		if err := m.rise(); err != nil {
+		if err := m.startRaft(); err != nil {
 			disk.close()
 			return nil, err
 		}
 	}
-	m.show()
+	m.publishStatus()
 	return m, nil
 }
 
 // clock is the member's monotonic clock.
 func (m *Member) clock() time.Duration {
-	return time.Duration(float64(time.Since(m.began)) * m.cfg.Rate)
+	return time.Duration(float64(time.Since(m.startedAt)) * m.cfg.Rate)
 }
 
-// later hands something to the loop.
-func (m *Member) later(do func()) {
+// enqueue hands something to the loop.
+func (m *Member) enqueue(do func()) {
 	select {
 	case m.calls <- do:
-	case <-m.ended:
+	case <-m.stopped:
 	}
 }
 
-// rise starts the library on what the disk has.
-func (m *Member) rise() error {
-	snap, err := m.disk.mem.Snapshot()
+// startRaft starts the library on what the disk has.
+func (m *Member) startRaft() error {
+	snap, err := m.store.memory.Snapshot()
 	if err != nil {
 		return err
 	}
 	if raft.IsEmptySnap(snap) { // it has joined, and heard nothing yet
-		peers, err := get[[]statemachine.Member](m.disk, keyPeers)
+		peers, err := getJSON[[]statemachine.Member](m.store, keyPeers)
 		if err != nil {
 			return fmt.Errorf("%s: who else there is: %w", m.cfg.Dir, err)
 		}
@@ -202,14 +202,14 @@
 	} else if m.state, err = statemachine.Restore(snap.GetData()); err != nil {
 		return fmt.Errorf("%s: %w", m.cfg.Dir, err)
 	}
-	m.watch, m.users, m.ledger = lease.NewLessor(m.state.Terms), configstore.NewWatch(m.state.Terms), quota.NewLedger(m.state.Terms)
-	m.conf = snap.GetMetadata().GetConfState()
+	m.lessor, m.configWatch, m.quotaLedger = lease.NewLessor(m.state.Terms), configstore.NewWatch(m.state.Terms), quota.NewLedger(m.state.Terms)
+	m.confState = snap.GetMetadata().GetConfState()
 	m.applied = snap.GetMetadata().GetIndex()
-	m.snapAt = m.applied
-	m.raw, err = raft.NewRawNode(&raft.Config{
-		ID: m.who.Load().ID, ElectionTick: electionTicks, HeartbeatTick: 1, Storage: m.disk.mem, Applied: m.applied,
+	m.snapshotIndex = m.applied
+	m.node, err = raft.NewRawNode(&raft.Config{
+		ID: m.identity.Load().ID, ElectionTick: electionTicks, HeartbeatTick: 1, Storage: m.store.memory, Applied: m.applied,
 		MaxSizePerMsg: 128 << 10, MaxInflightMsgs: 64, MaxUncommittedEntriesSize: 8 << 20, CheckQuorum: true, PreVote: true,
-		Logger: quiet{m.log},
+		Logger: raftLogger{m.log},
 	})
 	if err != nil {
 		return fmt.Errorf("%s: %w", m.cfg.Dir, err)
@@ -220,14 +220,14 @@
 
 // confirm reports whether enough others have vouched for this start, and has the member take part once they have.
 func (m *Member) confirm() bool {
-	if m.confirmed || m.raw == nil {
+	if m.confirmed || m.node == nil {
 		return m.confirmed
 	}
-	me := m.who.Load().ID
-	voters := m.conf.GetVoters()
+	me := m.identity.Load().ID
+	voters := m.confState.GetVoters()
 	n := 0
 	for _, id := range voters {
-		if id != me && m.vouched[id] {
+		if id != me && m.vouchedBy[id] {
 			n++
 		}
 	}
@@ -243,20 +243,20 @@
 }
 
 // Close gives up the disk of a member that does not come to run.
-func (m *Member) Close() error { return m.disk.close() }
+func (m *Member) Close() error { return m.store.close() }
 
 // Run is the member's life. It ends with the context, or with an error that makes the member's disk no good to trust.
 func (m *Member) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	m.ctx = ctx
-	defer m.joining.Wait()
+	defer m.background.Wait()
 	defer cancel()
-	defer m.disk.close()
-	defer close(m.ended)
-	m.meet()
+	defer m.store.close()
+	defer close(m.stopped)
+	m.updatePeers()
 	tick := time.NewTicker(time.Duration(float64(m.cfg.Tick) / m.cfg.Rate))
 	defer tick.Stop()
-	m.vouch()
+	m.requestVouches()
 	for n := 0; ; {
 		select {
 		case <-ctx.Done():
@@ -273,42 +273,42 @@
 			}
 		case <-tick.C:
 			if n++; m.confirmed {
-				m.raw.Tick()
-				m.lapse()
+				m.node.Tick()
+				m.leaderTick()
 			} else if n%electionTicks == 0 {
-				m.vouch()
+				m.requestVouches()
 			}
-			m.mark()
+			m.sendMark()
 		}
-		m.flush()
-		for m.fatal == nil && m.raw != nil && m.confirmed && m.raw.HasReady() {
-			m.ready()
+		m.flushBatches()
+		for m.fatal == nil && m.node != nil && m.confirmed && m.node.HasReady() {
+			m.handleReady()
 		}
-		m.show()
+		m.publishStatus()
 		if m.fatal != nil {
 			m.log.Error().Str("event", "group.stopped").Err(m.fatal).Send()
-			m.fail()
+			m.failPending()
 			return m.fatal
 		}
 	}
 }
 
-func (m *Member) die(err error) {
+func (m *Member) abort(err error) {
 	if m.fatal == nil {
 		m.fatal = err
 	}
 }
 
-// ready carries out what the library wants, in its order: what lasts first, then what is said, then what is applied.
-func (m *Member) ready() {
-	rd := m.raw.Ready()
+// handleReady carries out what the library wants, in its order: what lasts first, then what is said, then what is applied.
+func (m *Member) handleReady() {
+	rd := m.node.Ready()
 	if rd.HardState != nil || len(rd.Entries) > 0 || !raft.IsEmptySnap(rd.Snapshot) {
-		var marks map[uint64]mark
-		if m.marksNew {
-			marks, m.marksNew = m.marks, false
+		var marks map[uint64]diskMark
+		if m.marksDirty {
+			marks, m.marksDirty = m.marks, false
 		}
-		if err := m.disk.save(rd.HardState, rd.Entries, rd.Snapshot, marks); err != nil {
-			m.die(err)
+		if err := m.store.save(rd.HardState, rd.Entries, rd.Snapshot, marks); err != nil {
+			m.abort(err)
 			return
 		}
 		m.stats.Inc("group", "syncs")
@@ -316,17 +316,17 @@
 	if !raft.IsEmptySnap(rd.Snapshot) {
 		state, err := statemachine.Restore(rd.Snapshot.GetData())
 		if err != nil {
-			m.die(err)
+			m.abort(err)
 			return
 		}
-		m.state, m.conf = state, rd.Snapshot.GetMetadata().GetConfState()
+		m.state, m.confState = state, rd.Snapshot.GetMetadata().GetConfState()
 		m.applied = rd.Snapshot.GetMetadata().GetIndex()
-		m.snapAt = m.applied
-		m.watch, m.users, m.ledger = lease.NewLessor(state.Terms), configstore.NewWatch(state.Terms), quota.NewLedger(state.Terms)
-		m.meet()
+		m.snapshotIndex = m.applied
+		m.lessor, m.configWatch, m.quotaLedger = lease.NewLessor(state.Terms), configstore.NewWatch(state.Terms), quota.NewLedger(state.Terms)
+		m.updatePeers()
 	}
 	if rd.SoftState != nil {
-		m.turned(rd.SoftState.RaftState == raft.StateLeader)
+		m.leadershipChanged(rd.SoftState.RaftState == raft.StateLeader)
 	}
 	for _, x := range rd.Messages {
 		m.send(x)
@@ -338,64 +338,64 @@
 		}
 	}
 	for _, e := range rd.CommittedEntries {
-		m.apply(e)
+		m.applyEntry(e)
 	}
-	m.raw.Advance(rd)
+	m.node.Advance(rd)
 	for ctx, r := range m.reads {
 		if r.index > 0 && r.index <= m.applied {
 			delete(m.reads, ctx)
 			r.done(true)
 		}
 	}
-	if (m.applied-m.snapAt >= compactEvery || m.logged >= compactBytes || m.changed) && m.fatal == nil {
-		m.changed, m.logged = false, 0
+	if (m.applied-m.snapshotIndex >= compactAfterEntries || m.bytesSinceSnapshot >= compactAfterBytes || m.membersChanged) && m.fatal == nil {
+		m.membersChanged, m.bytesSinceSnapshot = false, 0
 		data, err := m.state.Snapshot()
 		if err == nil {
-			err = m.disk.compact(m.applied, m.conf, data, compactKeep, keepBytes)
+			err = m.store.compact(m.applied, m.confState, data, compactKeepEntries, compactKeepBytes)
 		}
 		if err != nil {
-			m.die(err)
+			m.abort(err)
 			return
 		}
-		m.snapAt = m.applied
+		m.snapshotIndex = m.applied
 		m.stats.Inc("group", "snapshots")
 	}
 }
 
-// turned is told whether this member leads now.
-func (m *Member) turned(leads bool) {
-	if leads == m.leads {
+// leadershipChanged is told whether this member leads now.
+func (m *Member) leadershipChanged(leads bool) {
+	if leads == m.leading {
 		return
 	}
-	m.leads, m.caughtUp = leads, false
-	m.lent.until = time.Time{} // what the ledger was told is told again
+	m.leading, m.caughtUp = leads, false
+	m.grantable.refreshAt = time.Time{} // what the ledger was told is told again
 	if leads {
-		m.watch.Promote(m.clock())
-		m.users.Lead(m.clock())
-		m.ledger.StartLeading(m.clock(), m.raw.BasicStatus().GetTerm())
-		m.log.Info().Str("event", "group.leads").Uint64("term", m.raw.BasicStatus().GetTerm()).Send()
+		m.lessor.Promote(m.clock())
+		m.configWatch.Lead(m.clock())
+		m.quotaLedger.StartLeading(m.clock(), m.node.BasicStatus().GetTerm())
+		m.log.Info().Str("event", "group.leads").Uint64("term", m.node.BasicStatus().GetTerm()).Send()
 		m.stats.Inc("group", "led")
 		return
 	}
-	m.watch.Demote()
-	m.users.Follow()
-	m.ledger.StopLeading()
+	m.lessor.Demote()
+	m.configWatch.Follow()
+	m.quotaLedger.StopLeading()
 	m.log.Info().Str("event", "group.follows").Send()
-	m.fail()
+	m.failPending()
 }
 
-// fail answers all that waits: nobody here can say what becomes of it.
-func (m *Member) fail() {
-	for _, done := range m.worded {
+// failPending answers all that waits: nobody here can say what becomes of it.
+func (m *Member) failPending() {
+	for _, done := range m.configBatchDone {
 		done(statemachine.Result{}, false)
 	}
-	for _, done := range m.asking {
+	for _, done := range m.readWaiters {
 		done(false)
 	}
-	m.pending -= len(m.asking)
-	m.words, m.worded, m.asking = nil, nil, nil
-	for id, done := range m.waiting {
-		delete(m.waiting, id)
+	m.pendingReads -= len(m.readWaiters)
+	m.configBatch, m.configBatchDone, m.readWaiters = nil, nil, nil
+	for id, done := range m.proposals {
+		delete(m.proposals, id)
 		done(statemachine.Result{}, false)
 	}
 	for ctx, r := range m.reads {
@@ -410,10 +410,10 @@
 	return append(binary.BigEndian.AppendUint64(nil, id), b...), err
 }
 
-func (m *Member) apply(e *pb.Entry) {
+func (m *Member) applyEntry(e *pb.Entry) {
 	m.applied = e.GetIndex()
-	m.logged += len(e.GetData())
-	m.caughtUp = m.caughtUp || m.leads && e.GetTerm() == m.raw.BasicStatus().GetTerm()
+	m.bytesSinceSnapshot += len(e.GetData())
+	m.caughtUp = m.caughtUp || m.leading && e.GetTerm() == m.node.BasicStatus().GetTerm()
 	switch e.GetType() {
 	case pb.EntryNormal:
 		if len(e.GetData()) < 8 {
@@ -426,50 +426,50 @@
 		}
 		m.stats.Inc("group", "applied")
 		if c.Lease != nil {
-			m.asked(*c.Lease, r)
+			m.leaseApplied(*c.Lease, r)
 		}
 		if c.Config != nil {
-			m.ruled(*c.Config, r)
+			m.configApplied(*c.Config, r)
 		}
 		for _, w := range c.ConfigBatch {
-			m.ruled(w, statemachine.Result{})
+			m.configApplied(w, statemachine.Result{})
 		}
 		id := binary.BigEndian.Uint64(e.GetData())
-		if done := m.waiting[id]; done != nil {
-			delete(m.waiting, id)
+		if done := m.proposals[id]; done != nil {
+			delete(m.proposals, id)
 			done(r, true)
 		}
 	case pb.EntryConfChangeV2, pb.EntryConfChange:
 		var c pb.ConfChangeV2
 		if err := proto.Unmarshal(e.GetData(), &c); err != nil {
-			m.die(fmt.Errorf("a change of members that can't be read: %w", err))
+			m.abort(fmt.Errorf("a change of members that can't be read: %w", err))
 			return
 		}
-		m.conf = m.raw.ApplyConfChange(&c)
-		m.changed = true // a snapshot from before it names no new member, and is refused there
-		var of change
+		m.confState = m.node.ApplyConfChange(&c)
+		m.membersChanged = true // a snapshot from before it names no new member, and is refused there
+		var of memberChange
 		json.Unmarshal(c.GetContext(), &of)
 		if of.Remove != 0 {
 			delete(m.state.Members, of.Remove)
 		} else if of.Peer.ID != 0 {
 			m.state.Members[of.Peer.ID] = of.Peer
 		}
-		m.log.Info().Str("event", "group.members").Int("voters", len(m.conf.GetVoters())).Int("learners", len(m.conf.GetLearners())).Send()
-		m.meet()
-		if done := m.waiting[of.Seq]; done != nil {
-			delete(m.waiting, of.Seq)
+		m.log.Info().Str("event", "group.members").Int("voters", len(m.confState.GetVoters())).Int("learners", len(m.confState.GetLearners())).Send()
+		m.updatePeers()
+		if done := m.proposals[of.Seq]; done != nil {
+			delete(m.proposals, of.Seq)
 			done(statemachine.Result{}, true)
 		}
 	}
 }
 
-// asked follows what was applied: a duty that has a new owner is watched from now on, and is told of in the log.
-func (m *Member) asked(a lease.Request, r statemachine.Result) {
+// leaseApplied follows what was applied: a duty that has a new owner is watched from now on, and is told of in the log.
+func (m *Member) leaseApplied(a lease.Request, r statemachine.Result) {
 	if r.Error != "" || r.Duty == nil {
 		return
 	}
-	m.watch.RecordGrant(r.Duty.Name, r.Duty.Epoch, m.clock())
-	if m.leads {
+	m.lessor.RecordGrant(r.Duty.Name, r.Duty.Epoch, m.clock())
+	if m.leading {
 		m.stats.Inc("group", "asks", string(a.Op))
 		event := "group." + string(a.Op)
 		if a.Op == lease.Acquire && r.Duty.Holder != a.Process {
@@ -479,19 +479,19 @@
 	}
 }
 
-// lapse proposes the end of what was not renewed, and gives up reads that got no word.
-func (m *Member) lapse() {
-	if m.leads && m.caughtUp {
-		for _, a := range m.watch.Overdue(m.state.Table, m.clock()) {
+// leaderTick proposes the end of what was not renewed, and gives up reads that got no word.
+func (m *Member) leaderTick() {
+	if m.leading && m.caughtUp {
+		for _, a := range m.lessor.Overdue(m.state.Table, m.clock()) {
 			if err := m.propose(statemachine.Command{Lease: &a}, nil); err != nil {
-				m.watch.ProposalDropped(a)
+				m.lessor.ProposalDropped(a)
 			}
 		}
-		m.overRules()
+		m.proposeOverdueConfig()
 	}
-	m.dropLate()
+	m.dropStalledSnapshot()
 	for ctx, r := range m.reads {
-		if time.Since(r.since) > quorum.CallTimeout {
+		if time.Since(r.requestedAt) > quorum.CallTimeout {
 			delete(m.reads, ctx)
 			r.done(false)
 		}
@@ -499,18 +499,18 @@
 }
 
 var (
-	errNotLeader = errors.New("this member does not lead")
-	errBusy      = errors.New("too much is under way")
-	errLong      = fmt.Errorf("over %d bytes in one command", longestCommand)
+	errNotLeader      = errors.New("this member does not lead")
+	errTooManyPending = errors.New("too much is under way")
+	errCommandTooLong = fmt.Errorf("over %d bytes in one command", maxCommandBytes)
 )
 
 // propose puts a command into the log; done, which may be nil, hears what it came to.
 func (m *Member) propose(c statemachine.Command, done func(statemachine.Result, bool)) error {
-	if !m.leads || m.raw == nil {
+	if !m.leading || m.node == nil {
 		return errNotLeader
 	}
-	if len(m.waiting) >= mostReads {
-		return errBusy
+	if len(m.proposals) >= maxPending {
+		return errTooManyPending
 	}
 	if c.Lease != nil {
 		c.Lease.ProposedAt = time.Now().UnixMilli()
@@ -521,29 +521,29 @@
 	m.seq++
 	id := m.salt + m.seq
 	b, err := entry(id, c)
-	if err == nil && len(b) > longestCommand {
-		err = errLong
+	if err == nil && len(b) > maxCommandBytes {
+		err = errCommandTooLong
 	}
 	if err == nil {
-		err = m.raw.Propose(b)
+		err = m.node.Propose(b)
 	}
 	if err == nil && done != nil {
-		m.waiting[id] = done
+		m.proposals[id] = done
 	}
 	return err
 }
 
-// confirmLead calls done once a majority has said that this member led after now, and all that was agreed by then is
+// confirmLeadership calls done once a majority has said that this member led after now, and all that was agreed by then is
 // applied here.
-func (m *Member) confirmLead(done func(ok bool)) error {
-	if !m.leads {
+func (m *Member) confirmLeadership(done func(ok bool)) error {
+	if !m.leading {
 		return errNotLeader
 	}
-	if m.pending >= mostReads {
-		return errBusy
+	if m.pendingReads >= maxPending {
+		return errTooManyPending
 	}
-	m.pending++
-	m.asking = append(m.asking, done)
+	m.pendingReads++
+	m.readWaiters = append(m.readWaiters, done)
 	return nil
 }
 
@@ -551,8 +551,8 @@
 func (m *Member) readIndex(done func(ok bool)) {
 	m.seq++
 	ctx := string(binary.BigEndian.AppendUint64(nil, m.salt+m.seq))
-	m.reads[ctx] = read{since: time.Now(), done: done}
-	m.raw.ReadIndex([]byte(ctx))
+	m.reads[ctx] = pendingRead{requestedAt: time.Now(), done: done}
+	m.node.ReadIndex([]byte(ctx))
 }
 
 // send hands a message to a peer's queue.
@@ -570,40 +570,40 @@
 }
 
 func (m *Member) unreachable(id uint64, list []*pb.Message) {
-	if m.raw == nil {
+	if m.node == nil {
 		return
 	}
-	m.raw.ReportUnreachable(id)
+	m.node.ReportUnreachable(id)
 	for _, x := range list {
 		if x.GetType() == pb.MsgSnap {
-			m.raw.ReportSnapshot(id, raft.SnapshotFailure)
+			m.node.ReportSnapshot(id, raft.SnapshotFailure)
 		}
 	}
 }
 
-// sent hears what became of a word of messages.
-func (m *Member) sent(p *peer, list []*pb.Message, ok bool, a msgpackrpc.Reply) {
+// messagesSent hears what became of a word of messages.
+func (m *Member) messagesSent(p *peer, list []*pb.Message, ok bool, a msgpackrpc.Reply) {
 	if a.Error == quorum.CodeSuperseded {
-		m.die(fmt.Errorf("member %s says: %s", p.Name, a.Fields["why"]))
+		m.abort(fmt.Errorf("member %s says: %s", p.Name, a.Fields["why"]))
 		return
 	}
 	for _, x := range list {
-		if x.GetType() == pb.MsgSnap && m.raw != nil {
+		if x.GetType() == pb.MsgSnap && m.node != nil {
 			st := raft.SnapshotFinish
 			if !ok {
 				st = raft.SnapshotFailure
 			}
-			m.raw.ReportSnapshot(p.ID, st)
+			m.node.ReportSnapshot(p.ID, st)
 		}
 	}
 }
 
-// meet opens and ends the ways to other members.
-func (m *Member) meet() {
+// updatePeers opens and ends the ways to other members.
+func (m *Member) updatePeers() {
 	if m.ctx == nil {
 		return // not running yet: Run meets them
 	}
-	me := m.who.Load().ID
+	me := m.identity.Load().ID
 	for id, p := range m.peers {
 		if q, ok := m.state.Members[id]; !ok || q.Addr != p.Addr {
 			p.stop()
@@ -615,42 +615,42 @@
 			continue
 		}
 		ctx, cancel := context.WithCancel(m.ctx)
-		p := &peer{Member: q, queue: make(chan *pb.Message, queued), stop: cancel}
+		p := &peer{Member: q, queue: make(chan *pb.Message, peerQueueLength), stop: cancel}
 		m.peers[id] = p
-		m.joining.Go(func() { m.carry(ctx, p) })
+		m.background.Go(func() { m.sendLoop(ctx, p) })
 	}
 }
 
-// own is what this member has to say of its disk.
-func (m *Member) own() mark {
-	st, _, _ := m.disk.mem.InitialState()
-	return mark{Starts: m.who.Load().Starts, Nonce: m.salt, Term: st.GetTerm(), Commit: st.GetCommit()}
+// ownMark is what this member has to say of its disk.
+func (m *Member) ownMark() diskMark {
+	st, _, _ := m.store.memory.InitialState()
+	return diskMark{Starts: m.identity.Load().Starts, Nonce: m.salt, Term: st.GetTerm(), Commit: st.GetCommit()}
 }
 
-// vouch asks the others whether this disk is as new as they know it.
-func (m *Member) vouch() {
-	if m.raw == nil || m.confirmed {
+// requestVouches asks the others whether this disk is as new as they know it.
+func (m *Member) requestVouches() {
+	if m.node == nil || m.confirmed {
 		return
 	}
 	if m.confirm() {
 		return
 	}
-	w := m.word("group.vouch", nil)
-	own := m.own()
+	w := m.peerRequest("group.vouch", nil)
+	own := m.ownMark()
 	w.Fields["t"], w.Fields["c"] = strconv.FormatUint(own.Term, 10), strconv.FormatUint(own.Commit, 10)
 	for id, p := range m.peers {
-		if m.vouched[id] {
+		if m.vouchedBy[id] {
 			continue
 		}
-		m.joining.Go(func() {
-			a, err := say(m.ctx, p.Addr, w)
-			m.later(func() {
+		m.background.Go(func() {
+			a, err := callPeer(m.ctx, p.Addr, w)
+			m.enqueue(func() {
 				switch {
 				case err != nil:
 				case a.Error == quorum.CodeSuperseded:
-					m.die(fmt.Errorf("member %s says: %s; this disk has no vote: set %s aside and add the member anew", p.Name, a.Fields["why"], m.cfg.Dir))
+					m.abort(fmt.Errorf("member %s says: %s; this disk has no vote: set %s aside and add the member anew", p.Name, a.Fields["why"], m.cfg.Dir))
 				case a.Error == "":
-					m.vouched[id] = true
+					m.vouchedBy[id] = true
 					m.confirm()
 				}
 			})
@@ -658,31 +658,31 @@
 	}
 }
 
-// mark tells the others once in a while how far this disk is, where that has changed, so that an older one in its place is
+// sendMark tells the others once in a while how far this disk is, where that has changed, so that an older one in its place is
 // found out.
-func (m *Member) mark() {
-	own := m.own()
-	if !m.confirmed || own == m.said || time.Since(m.saidAt) < markEvery {
+func (m *Member) sendMark() {
+	own := m.ownMark()
+	if !m.confirmed || own == m.sentMark || time.Since(m.markSentAt) < markInterval {
 		return
 	}
-	m.said, m.saidAt = own, time.Now()
-	w := m.word("group.mark", nil)
+	m.sentMark, m.markSentAt = own, time.Now()
+	w := m.peerRequest("group.mark", nil)
 	w.Fields["t"], w.Fields["c"] = strconv.FormatUint(own.Term, 10), strconv.FormatUint(own.Commit, 10)
 	for _, p := range m.peers {
-		m.joining.Go(func() { say(m.ctx, p.Addr, w) })
+		m.background.Go(func() { callPeer(m.ctx, p.Addr, w) })
 	}
 }
 
-// show publishes the status for those who ask.
-func (m *Member) show() {
-	who := m.who.Load()
+// publishStatus publishes the status for those who ask.
+func (m *Member) publishStatus() {
+	who := m.identity.Load()
 	s := &quorum.Status{Name: m.cfg.Name, ID: fmt.Sprintf("%016x", who.ID), Group: m.cfg.Group, GroupID: who.Group, State: "unfounded",
-		Starts: who.Starts, Applied: m.applied, Syncs: m.disk.syncs, LeaseMS: m.state.Terms.TTL.Milliseconds(),
+		Starts: who.Starts, Applied: m.applied, Syncs: m.store.syncs, LeaseMS: m.state.Terms.TTL.Milliseconds(),
 		Drift: m.state.Terms.Drift, Confirmed: m.confirmed, Format: configstore.FormatInParts}
-	if m.raw != nil {
-		b := m.raw.BasicStatus()
+	if m.node != nil {
+		b := m.node.BasicStatus()
 		s.Term, s.Commit, s.Leader = b.GetTerm(), b.GetCommit(), m.state.Members[b.Lead].Addr
-		s.Voter = slices.Contains(m.conf.GetVoters(), who.ID)
+		s.Voter = slices.Contains(m.confState.GetVoters(), who.ID)
 		for _, p := range m.state.Members {
 			s.Members = append(s.Members, p)
 		}
@@ -704,19 +704,19 @@
 // Status is what the member is.
 func (m *Member) Status() quorum.Status { return *m.status.Load() }
 
-// quiet passes the library's warnings on; what it says at every turn is not logged.
-type quiet struct{ log zerolog.Logger }
-
-func (q quiet) Debug(...any)              {}
-func (q quiet) Debugf(string, ...any)     {}
-func (q quiet) Info(...any)               {}
-func (q quiet) Infof(string, ...any)      {}
-func (q quiet) Warning(...any)            {}
-func (q quiet) Warningf(string, ...any)   {}
-func (q quiet) Error(v ...any)            { q.say(fmt.Sprint(v...)) }
-func (q quiet) Errorf(f string, v ...any) { q.say(fmt.Sprintf(f, v...)) }
-func (q quiet) Fatal(v ...any)            { panic(fmt.Sprint(v...)) }
-func (q quiet) Fatalf(f string, v ...any) { panic(fmt.Sprintf(f, v...)) }
-func (q quiet) Panic(v ...any)            { panic(fmt.Sprint(v...)) }
-func (q quiet) Panicf(f string, v ...any) { panic(fmt.Sprintf(f, v...)) }
-func (q quiet) say(s string)              { q.log.Warn().Str("event", "group.library").Str("text", s).Send() }
+// raftLogger passes the library's warnings on; what it says at every turn is not logged.
+type raftLogger struct{ log zerolog.Logger }
+
+func (q raftLogger) Debug(...any)              {}
+func (q raftLogger) Debugf(string, ...any)     {}
+func (q raftLogger) Info(...any)               {}
+func (q raftLogger) Infof(string, ...any)      {}
+func (q raftLogger) Warning(...any)            {}
+func (q raftLogger) Warningf(string, ...any)   {}
+func (q raftLogger) Error(v ...any)            { q.warn(fmt.Sprint(v...)) }
+func (q raftLogger) Errorf(f string, v ...any) { q.warn(fmt.Sprintf(f, v...)) }
+func (q raftLogger) Fatal(v ...any)            { panic(fmt.Sprint(v...)) }
+func (q raftLogger) Fatalf(f string, v ...any) { panic(fmt.Sprintf(f, v...)) }
+func (q raftLogger) Panic(v ...any)            { panic(fmt.Sprint(v...)) }
+func (q raftLogger) Panicf(f string, v ...any) { panic(fmt.Sprintf(f, v...)) }
+func (q raftLogger) warn(s string)             { q.log.Warn().Str("event", "group.library").Str("text", s).Send() }
--- a/internal/controlplane/quorum/member/parts.go
+++ b/internal/controlplane/quorum/member/parts.go
@@ -17,26 +17,26 @@
 
 // This file is a member's part in documents in parts. docs/design/parts.md.
 
-// parts answers with parts of a version, or with its manifest. Who asks looks at their digests, by what he was told in an answer that
+// handleConfigParts answers with parts of a version, or with its manifest. Who asks looks at their digests, by what he was told in an answer that
 // a majority confirmed, so that this one needs no confirming.
-func (m *Member) parts(w msgpackrpc.Call, answer func(msgpackrpc.CallResult)) {
+func (m *Member) handleConfigParts(w msgpackrpc.Call, answer func(msgpackrpc.CallResult)) {
 	var ask configstore.Want
 	if err := json.Unmarshal(w.Body, &ask); err != nil || len(ask.Names) > configstore.MostParts {
-		answer(no(quorum.CodeRefused, "at most %d parts are asked for at a time", configstore.MostParts))
+		answer(refuse(quorum.CodeRefused, "at most %d parts are asked for at a time", configstore.MostParts))
 		return
 	}
-	if !m.leads {
-		answer(m.elsewhere())
+	if !m.leading {
+		answer(m.notLeader())
 		return
 	}
 	d := m.state.Config.Docs[ask.Doc]
 	if d == nil {
-		answer(no(quorum.CodeRefused, "no document %q", ask.Doc))
+		answer(refuse(quorum.CodeRefused, "no document %q", ask.Doc))
 		return
 	}
 	id, all, ok := d.At(ask.Version)
 	if !ok {
-		answer(no(quorum.CodeRefused, "version %d of %s is not in force or under way in parts", ask.Version, ask.Doc))
+		answer(refuse(quorum.CodeRefused, "version %d of %s is not in force or under way in parts", ask.Version, ask.Doc))
 		return
 	}
 	send := quorum.DocumentParts{ID: id, Parts: configstore.Send(all, ask.Names)}
@@ -49,15 +49,15 @@
 	go func() {
 		b, err := json.Marshal(send)
 		if err != nil {
-			answer(no(quorum.CodeRefused, "%v", err))
+			answer(refuse(quorum.CodeRefused, "%v", err))
 			return
 		}
 		answer(msgpackrpc.CallResult{Body: b})
 	}()
 }
 
-// unread names a document of which a version is in force that a process can't read.
-func unread(b *configstore.Book, u configstore.User) string {
+// unreadableDocument names a document of which a version is in force that a process can't read.
+func unreadableDocument(b *configstore.Book, u configstore.User) string {
 	for _, name := range configstore.Docs {
 		reads, uses := u.Reads[name]
 		if d := b.Docs[name]; uses && d != nil && d.Force != nil && d.Force.Format > reads {
@@ -109,22 +109,22 @@
 	return configstore.DiffParts(c.Doc, old, changed)
 }
 
-// lent is the map in force, of which only what changed is read.
-type lent struct {
-	id    configstore.ID
-	cells *cells.Map
-	until time.Time // when what there is to lend changes by the time in the map; zero: the ledger was not told
+// grantableMap is the map in force, of which only what changed is read.
+type grantableMap struct {
+	id        configstore.ID
+	cellMap   *cells.Map
+	refreshAt time.Time // when what there is to lend changes by the time in the map; zero: the ledger was not told
 }
 
-// take reads what has changed in the map that is in force. It reports whether there is one.
-func (j *lent) take(e *configstore.Entry) bool {
-	if j.cells != nil && j.id == e.ID {
+// update reads what has changed in the map that is in force. It reports whether there is one.
+func (j *grantableMap) update(e *configstore.Entry) bool {
+	if j.cellMap != nil && j.id == e.ID {
 		return true
 	}
 	var of *cells.Map
 	var err error
 	if e.Split {
-		old, changed := j.cells, map[string]string{}
+		old, changed := j.cellMap, map[string]string{}
 		for name, p := range e.Parts {
 			if old == nil || p.Version > j.id.Version {
 				changed[name] = p.Text
@@ -140,55 +140,55 @@
 	if err != nil {
 		return false
 	}
-	*j = lent{id: e.ID, cells: of}
+	*j = grantableMap{id: e.ID, cellMap: of}
 	return true
 }
 
-// lend tells the ledger what there is to lend, at a new map and as servers come and go and tenants move by the time in it.
-func (m *Member) lend(e *configstore.Entry) bool {
-	if !m.lent.take(e) {
+// updateLedger tells the ledger what there is to lend, at a new map and as servers come and go and tenants move by the time in it.
+func (m *Member) updateLedger(e *configstore.Entry) bool {
+	if !m.grantable.update(e) {
 		return false
 	}
-	if now := time.Now(); !now.Before(m.lent.until) {
-		m.ledger.SetCapacity(quota.CapacityOf(m.lent.cells, now))
-		m.lent.until = now.Add(lentAgain)
-		if next, ok := m.lent.cells.NextChange(now); ok && next.Before(m.lent.until) {
-			m.lent.until = next
+	if now := time.Now(); !now.Before(m.grantable.refreshAt) {
+		m.quotaLedger.SetCapacity(quota.CapacityOf(m.grantable.cellMap, now))
+		m.grantable.refreshAt = now.Add(ledgerRefresh)
+		if next, ok := m.grantable.cellMap.NextChange(now); ok && next.Before(m.grantable.refreshAt) {
+			m.grantable.refreshAt = next
 		}
 		m.stats.Inc("rules", "lent_anew")
 	}
 	return true
 }
 
-// lentAgain is how long the ledger goes by what it was told at most: the wall clock may be set.
-const lentAgain = time.Minute
+// ledgerRefresh is how long the ledger goes by what it was told at most: the wall clock may be set.
+const ledgerRefresh = time.Minute
 
 // Words of processes that come together are put into the log together.
-const mostTogether = 256
+const maxBatch = 256
 
-// says puts what a process says of itself into the log. Where a document is in parts, and so no member is of a build that can't read
+// proposeConfig puts what a process says of itself into the log. Where a document is in parts, and so no member is of a build that can't read
 // it, what comes while the disk is busy is one entry.
-func (m *Member) says(c configstore.Change, done func(r statemachine.Result, ok bool)) error {
+func (m *Member) proposeConfig(c configstore.Change, done func(r statemachine.Result, ok bool)) error {
 	if !slices.ContainsFunc(configstore.Docs, func(name string) bool {
 		d := m.state.Config.Docs[name]
 		return d != nil && d.Force != nil && d.Force.Split
 	}) {
 		return m.propose(statemachine.Command{Config: &c}, done)
 	}
-	if len(m.words) >= mostReads {
-		return errBusy
+	if len(m.configBatch) >= maxPending {
+		return errTooManyPending
 	}
 	c.At = time.Now().UnixMilli()
-	m.words, m.worded = append(m.words, c), append(m.worded, done)
+	m.configBatch, m.configBatchDone = append(m.configBatch, c), append(m.configBatchDone, done)
 	return nil
 }
 
-// flush asks together what came together: one confirming of the lead for all that wait for it, and one entry for what was said.
-func (m *Member) flush() {
-	for len(m.words) > 0 {
-		n := min(len(m.words), mostTogether)
-		words, done := slices.Clone(m.words[:n]), slices.Clone(m.worded[:n])
-		m.words, m.worded = m.words[n:], m.worded[n:]
+// flushBatches asks together what came together: one confirming of the lead for all that wait for it, and one entry for what was said.
+func (m *Member) flushBatches() {
+	for len(m.configBatch) > 0 {
+		n := min(len(m.configBatch), maxBatch)
+		words, done := slices.Clone(m.configBatch[:n]), slices.Clone(m.configBatchDone[:n])
+		m.configBatch, m.configBatchDone = m.configBatch[n:], m.configBatchDone[n:]
 		all := func(r statemachine.Result, ok bool) {
 			for _, one := range done {
 				one(r, ok)
@@ -200,13 +200,13 @@
 		}
 		m.stats.Add(uint64(n), "rules", "together")
 	}
-	if len(m.asking) == 0 {
+	if len(m.readWaiters) == 0 {
 		return
 	}
-	asking := m.asking
-	m.asking = nil
+	asking := m.readWaiters
+	m.readWaiters = nil
 	m.readIndex(func(ok bool) {
-		m.pending -= len(asking)
+		m.pendingReads -= len(asking)
 		for _, done := range asking {
 			done(ok)
 		}
--- a/internal/controlplane/quorum/member/parts_test.go
+++ b/internal/controlplane/quorum/member/parts_test.go
@@ -78,7 +78,7 @@
 	words := msgpackrpc.NewCallServer(Name, g.stats[i], m.Answer)
 	var mu sync.Mutex
 	var conns []net.Conn
-	ln, err := listener.Listen(Name, g.addrs[i], memberMost, func() time.Duration { return time.Minute }, func(conn net.Conn, slot *listener.Slot) {
+	ln, err := listener.Listen(Name, g.addrs[i], maxConnections, func() time.Duration { return time.Minute }, func(conn net.Conn, slot *listener.Slot) {
 		mu.Lock()
 		conns = append(conns, conn)
 		mu.Unlock()
@@ -347,8 +347,8 @@
 // whole sent again.
 func TestSnapshotInChunks(t *testing.T) {
 	var lost atomic.Int32
-	t.Cleanup(func() { Chunk = nil }) // once the members have ended
-	Chunk = func(n int) bool { return n != 2 || lost.Add(1) != 1 }
+	t.Cleanup(func() { SnapshotPartHook = nil }) // once the members have ended
+	SnapshotPartHook = func(n int) bool { return n != 2 || lost.Add(1) != 1 }
 	g := newMembers(t, 3, 3*time.Second)
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
@@ -418,7 +418,7 @@
 func TestChunksThatDontFollow(t *testing.T) {
 	m := &Member{confirmed: true, stats: &metrics.Counters{}, cfg: Config{Group: "test"}}
 	say := func(from uint64, body, s, o, l string) string {
-		v := m.chunk(msgpackrpc.Call{Body: []byte(body), Fields: map[string]string{"s": s, "o": o, "l": l}}, from)
+		v := m.handleSnapshotPart(msgpackrpc.Call{Body: []byte(body), Fields: map[string]string{"s": s, "o": o, "l": l}}, from)
 		return v.Error
 	}
 	for i, c := range []struct {
@@ -435,7 +435,7 @@
 		{2, "abc", "7", "3", "9", false}, // by another one
 		{1, "abc", "7", "0", "9", true},
 		{1, "abcdefg", "7", "3", "9", false}, // longer than it is
-		{1, "abc", "7", "0", fmt.Sprint(longestSnapshot + 1), false},
+		{1, "abc", "7", "0", fmt.Sprint(maxSnapshotBytes + 1), false},
 		{1, "abc", "7", "0", "0", false},
 		{1, "abc", "7", "0", "3", false}, // its checksum is wrong
 	} {
@@ -443,12 +443,12 @@
 			t.Errorf("%d: %q", i, got)
 		}
 	}
-	if m.coming != nil {
+	if m.incoming != nil {
 		t.Error("something is kept")
 	}
 	say(1, "abc", "7", "0", "9")
-	m.coming.at = m.coming.at.Add(-chunkWithin - time.Second)
-	if m.dropLate(); m.coming != nil {
+	m.incoming.receivedAt = m.incoming.receivedAt.Add(-snapshotPartTimeout - time.Second)
+	if m.dropStalledSnapshot(); m.incoming != nil {
 		t.Error("kept though nothing more comes")
 	}
 }
@@ -457,8 +457,8 @@
 func TestWordsTogether(t *testing.T) {
 	var held atomic.Bool
 	free := make(chan struct{})
-	t.Cleanup(func() { Fault = nil }) // once the members have ended
-	Fault = func(string) error {
+	t.Cleanup(func() { DiskFaultHook = nil }) // once the members have ended
+	DiskFaultHook = func(string) error {
 		if held.Load() {
 			<-free
 		}
--- a/internal/controlplane/quorum/member/peer.go
+++ b/internal/controlplane/quorum/member/peer.go
@@ -23,14 +23,14 @@
 }
 
 const (
-	queued      = 512     // messages to a member
-	roomForRest = 4 << 10 // of a word, beside its messages
-	// longestInWord bounds a snapshot that goes in one word, which members of older builds take as well; a longer one goes in chunks.
-	longestInWord = msgpackrpc.MaxCallBody/2 - 64<<10
+	peerQueueLength = 512     // messages to a member
+	requestOverhead = 4 << 10 // of a word, beside its messages
+	// maxInlineSnapshot bounds a snapshot that goes in one word, which members of older builds take as well; a longer one goes in chunks.
+	maxInlineSnapshot = msgpackrpc.MaxCallBody/2 - 64<<10
 )
 
-// pack puts messages one after the other, each behind its length.
-func pack(b []byte, m *pb.Message) ([]byte, error) {
+// appendMessage puts messages one after the other, each behind its length.
+func appendMessage(b []byte, m *pb.Message) ([]byte, error) {
 	at := len(b)
 	b = append(b, 0, 0, 0, 0)
 	b, err := proto.MarshalOptions{}.MarshalAppend(b, m)
@@ -38,7 +38,7 @@
 	return b, err
 }
 
-func unpack(b []byte) ([]*pb.Message, error) {
+func parseMessages(b []byte) ([]*pb.Message, error) {
 	var list []*pb.Message
 	for len(b) > 0 {
 		if len(b) < 4 || uint64(len(b)-4) < uint64(binary.BigEndian.Uint32(b)) {
@@ -54,8 +54,8 @@
 	return list, nil
 }
 
-// carry sends what is queued to a member, as many messages a word as there are.
-func (m *Member) carry(ctx context.Context, p *peer) {
+// sendLoop sends what is queued to a member, as many messages a word as there are.
+func (m *Member) sendLoop(ctx context.Context, p *peer) {
 	var conn *msgpackrpc.Conn
 	var downUntil time.Time
 	defer func() {
@@ -72,15 +72,15 @@
 		}
 		list := []*pb.Message{first}
 		size := proto.Size(first)
-		if first.GetType() == pb.MsgSnap && size > longestInWord {
-			m.joining.Go(func() { m.carrySnap(ctx, p, first) })
+		if first.GetType() == pb.MsgSnap && size > maxInlineSnapshot {
+			m.background.Go(func() { m.sendSnapshotAsync(ctx, p, first) })
 			continue
 		}
 		for more := true; more && size < msgpackrpc.MaxCallBody/2; {
 			select {
 			case x := <-p.queue:
-				if x.GetType() == pb.MsgSnap && proto.Size(x) > longestInWord {
-					m.joining.Go(func() { m.carrySnap(ctx, p, x) })
+				if x.GetType() == pb.MsgSnap && proto.Size(x) > maxInlineSnapshot {
+					m.background.Go(func() { m.sendSnapshotAsync(ctx, p, x) })
 					continue
 				}
 				list, size = append(list, x), size+proto.Size(x)
@@ -91,11 +91,11 @@
 		var body []byte
 		var err error
 		for _, x := range list {
-			if body, err = pack(body, x); err != nil {
+			if body, err = appendMessage(body, x); err != nil {
 				break
 			}
 		}
-		if err == nil && len(body) > msgpackrpc.MaxCallBody-roomForRest {
+		if err == nil && len(body) > msgpackrpc.MaxCallBody-requestOverhead {
 			err = errors.New("too long for a word")
 			m.log.Error().Str("event", "group.word_too_long").Str("member", p.Name).Int("bytes", len(body)).Send()
 		}
@@ -119,7 +119,7 @@
 		}
 		var reply <-chan msgpackrpc.Reply
 		if err == nil {
-			reply, err = conn.Call(m.word("group.raft", body))
+			reply, err = conn.Call(m.peerRequest("group.raft", body))
 		}
 		if err != nil {
 			if !errors.Is(err, msgpackrpc.ErrFull) && conn != nil {
@@ -127,7 +127,7 @@
 				conn = nil
 			}
 			m.stats.Inc("group", "unsent")
-			m.later(func() { m.unreachable(p.ID, list) })
+			m.enqueue(func() { m.unreachable(p.ID, list) })
 			continue
 		}
 		m.stats.Add(uint64(len(list)), "group", "messages")
@@ -143,22 +143,22 @@
 			case <-ctx.Done():
 				return
 			}
-			m.later(func() { m.sent(p, list, ok && a.Error == "", a) })
+			m.enqueue(func() { m.messagesSent(p, list, ok && a.Error == "", a) })
 		}()
 	}
 }
 
-// word is a word with who says it.
-func (m *Member) word(method string, body []byte) msgpackrpc.Call {
-	who := m.who.Load()
+// peerRequest is a word with who says it.
+func (m *Member) peerRequest(method string, body []byte) msgpackrpc.Call {
+	who := m.identity.Load()
 	return msgpackrpc.Call{Method: method, Body: body, Fields: map[string]string{
 		"g": m.cfg.Group, "gi": who.Group, "id": strconv.FormatUint(who.ID, 10), "st": strconv.FormatUint(who.Starts, 10),
 		"n": strconv.FormatUint(m.salt, 10),
 	}}
 }
 
-// say says one word to an address on a connection of its own.
-func say(ctx context.Context, addr string, w msgpackrpc.Call) (msgpackrpc.Reply, error) {
+// callPeer says one word to an address on a connection of its own.
+func callPeer(ctx context.Context, addr string, w msgpackrpc.Call) (msgpackrpc.Reply, error) {
 	dial, cancel := context.WithTimeout(ctx, quorum.DialTimeout)
 	defer cancel()
 	conn, err := msgpackrpc.DialCalls(dial, addr)
--- a/internal/controlplane/quorum/member/rules.go
+++ b/internal/controlplane/quorum/member/rules.go
@@ -14,40 +14,40 @@
 
 // This file is a member's part in the rules: words of the processes that act on documents, and the leader's time over them.
 
-// sync registers a process, takes what it says of itself, and tells it what is in force. Like a renewal it is answered once a
+// handleConfigSync registers a process, takes what it says of itself, and tells it what is in force. Like a renewal it is answered once a
 // majority has said that this member led after the word came; only news goes into the log.
-func (m *Member) sync(w msgpackrpc.Call, answer func(msgpackrpc.CallResult)) {
+func (m *Member) handleConfigSync(w msgpackrpc.Call, answer func(msgpackrpc.CallResult)) {
 	var s quorum.ConfigSync
 	if err := json.Unmarshal(w.Body, &s); err != nil || s.User.Name == "" {
-		answer(no(quorum.CodeRefused, "nobody says this"))
+		answer(refuse(quorum.CodeRefused, "nobody says this"))
 		return
 	}
-	if !m.leads || !m.caughtUp {
-		answer(m.elsewhere())
+	if !m.leading || !m.caughtUp {
+		answer(m.notLeader())
 		return
 	}
-	if name := unread(m.state.Config, s.User); name != "" {
-		answer(no(quorum.CodeRefused, "what is in force of %s is of format %d: this build reads %d", name, m.state.Config.Docs[name].Force.Format, s.User.Reads[name]))
+	if name := unreadableDocument(m.state.Config, s.User); name != "" {
+		answer(refuse(quorum.CodeRefused, "what is in force of %s is of format %d: this build reads %d", name, m.state.Config.Docs[name].Force.Format, s.User.Reads[name]))
 		return
 	}
-	if !m.users.Heard(s.User.Name, m.clock(), s.ActiveVersions, s.Load, s.StopReason) {
+	if !m.configWatch.Heard(s.User.Name, m.clock(), s.ActiveVersions, s.Load, s.StopReason) {
 		answer(msgpackrpc.CallResult{Error: quorum.CodeUnknownOutcome}) // its end is on its way: then it registers anew
 		return
 	}
-	grant := m.grant(s)
+	grant := m.grantQuota(s)
 	tell := func(ok bool) {
 		u := m.state.Config.Users[s.User.Name]
 		switch {
 		case ok && u == nil && len(m.state.Config.Users) >= configstore.MostUsers:
-			answer(no(quorum.CodeRefused, "%d processes are registered already", configstore.MostUsers))
+			answer(refuse(quorum.CodeRefused, "%d processes are registered already", configstore.MostUsers))
 			return
-		case !ok, u == nil, unread(m.state.Config, s.User) != "":
+		case !ok, u == nil, unreadableDocument(m.state.Config, s.User) != "":
 			answer(msgpackrpc.CallResult{Error: quorum.CodeUnknownOutcome})
 			return
 		}
-		b, err := json.Marshal(quorum.ConfigSyncReply{Terms: m.state.Terms, Index: m.applied, Wall: time.Now().UnixMilli(), Docs: views(m.state.Config, u, s), Grant: grant})
+		b, err := json.Marshal(quorum.ConfigSyncReply{Terms: m.state.Terms, Index: m.applied, Wall: time.Now().UnixMilli(), Docs: documentViews(m.state.Config, u, s), Grant: grant})
 		if err != nil {
-			answer(no(quorum.CodeRefused, "%v", err))
+			answer(refuse(quorum.CodeRefused, "%v", err))
 			return
 		}
 		answer(msgpackrpc.CallResult{Body: b})
@@ -58,32 +58,32 @@
 		if m.state.Config.Users[s.User.Name] == nil {
 			c.Op = configstore.Join
 		}
-		err = m.says(c, func(r statemachine.Result, ok bool) {
+		err = m.proposeConfig(c, func(r statemachine.Result, ok bool) {
 			if ok && r.Error != "" {
-				answer(no(quorum.CodeRefused, "%s", r.Error))
+				answer(refuse(quorum.CodeRefused, "%s", r.Error))
 				return
 			}
 			tell(ok)
 		})
 	} else {
-		err = m.confirmLead(tell)
+		err = m.confirmLeadership(tell)
 	}
 	if err != nil {
-		answer(m.elsewhere())
+		answer(m.notLeader())
 	}
 }
 
-// grant is what a router is given of the cells that it shares with others. It counts as given from here on, whether or not the answer
+// grantQuota is what a router is given of the cells that it shares with others. It counts as given from here on, whether or not the answer
 // ever comes there.
-func (m *Member) grant(s quorum.ConfigSync) *quota.Grant {
+func (m *Member) grantQuota(s quorum.ConfigSync) *quota.Grant {
 	d := m.state.Config.Docs[configstore.DocMap]
 	if s.Quota == nil || d == nil || d.Force == nil {
 		return nil
 	}
-	if !m.lend(d.Force) {
+	if !m.updateLedger(d.Force) {
 		return nil
 	}
-	g, ok := m.ledger.Lend(m.clock(), s.User.Name, *s.Quota)
+	g, ok := m.quotaLedger.Lend(m.clock(), s.User.Name, *s.Quota)
 	if !ok {
 		m.stats.Inc("rules", "no_share")
 		return nil
@@ -91,8 +91,8 @@
 	return &g
 }
 
-// views are the documents as a process is told of them.
-func views(b *configstore.Book, u *configstore.User, s quorum.ConfigSync) map[string]configstore.View {
+// documentViews are the documents as a process is told of them.
+func documentViews(b *configstore.Book, u *configstore.User, s quorum.ConfigSync) map[string]configstore.View {
 	all := map[string]configstore.View{}
 	for name := range u.Reads {
 		if d := b.Docs[name]; d != nil {
@@ -102,27 +102,27 @@
 	return all
 }
 
-// readRules answers with the documents, and what was heard of those that use them.
-func (m *Member) readRules(answer func(msgpackrpc.CallResult)) {
-	err := m.confirmLead(func(ok bool) {
+// handleConfigRead answers with the documents, and what was heard of those that use them.
+func (m *Member) handleConfigRead(answer func(msgpackrpc.CallResult)) {
+	err := m.confirmLeadership(func(ok bool) {
 		if !ok {
 			answer(msgpackrpc.CallResult{Error: quorum.CodeUnknownOutcome})
 			return
 		}
-		b, err := json.Marshal(quorum.ConfigView{Book: m.state.Config.Listed(), Heard: m.users.List(m.clock()), Terms: m.state.Terms, Wall: time.Now().UnixMilli(), GrantedQuota: m.ledger.LentRatios(m.clock())})
+		b, err := json.Marshal(quorum.ConfigView{Book: m.state.Config.Listed(), Heard: m.configWatch.List(m.clock()), Terms: m.state.Terms, Wall: time.Now().UnixMilli(), GrantedQuota: m.quotaLedger.LentRatios(m.clock())})
 		if err != nil {
-			answer(no(quorum.CodeRefused, "%v", err))
+			answer(refuse(quorum.CodeRefused, "%v", err))
 			return
 		}
 		answer(msgpackrpc.CallResult{Body: b})
 	})
 	if err != nil {
-		answer(m.elsewhere())
+		answer(m.notLeader())
 	}
 }
 
-// mayAsk names why a change of the rules can't be asked for from outside, and completes it.
-func (m *Member) mayAsk(c *configstore.Change) string {
+// checkChange names why a change of the rules can't be asked for from outside, and completes it.
+func (m *Member) checkChange(c *configstore.Change) string {
 	switch c.Op {
 	case configstore.Put, configstore.Load, configstore.Withdraw, configstore.TakeBack, configstore.Hold, configstore.Release:
 	default:
@@ -168,21 +168,21 @@
 	return ""
 }
 
-// overRules proposes what the leader's time has come for.
-func (m *Member) overRules() {
-	for _, c := range m.users.Due(m.state.Config, m.clock()) {
+// proposeOverdueConfig proposes what the leader's time has come for.
+func (m *Member) proposeOverdueConfig() {
+	for _, c := range m.configWatch.Due(m.state.Config, m.clock()) {
 		if err := m.propose(statemachine.Command{Config: &c}, nil); err != nil && c.Op == configstore.Lapse {
-			m.users.Lapsed(c.By)
+			m.configWatch.Lapsed(c.By)
 		}
 	}
 }
 
-// ruled follows what was applied.
-func (m *Member) ruled(c configstore.Change, r statemachine.Result) {
+// configApplied follows what was applied.
+func (m *Member) configApplied(c configstore.Change, r statemachine.Result) {
 	if c.Op == configstore.Lapse {
-		m.users.Lapsed(c.By)
+		m.configWatch.Lapsed(c.By)
 	}
-	if !m.leads || c.Op == configstore.Say {
+	if !m.leading || c.Op == configstore.Say {
 		return
 	}
 	who := c.By
--- a/internal/controlplane/quorum/member/snapshot.go
+++ b/internal/controlplane/quorum/member/snapshot.go
@@ -19,27 +19,27 @@
 // heartbeats go on beside them; whatever goes wrong, the library is told that it failed, and sends it again.
 
 const (
-	chunkBytes = 256 << 10
-	// longestSnapshot bounds what a member puts together: a document, its draft and what is under way of it, at their largest, and the rest.
-	longestSnapshot = 64 << 20
-	// chunkWithin is how long the next chunk may take to come, before what there is of a snapshot is dropped.
-	chunkWithin = 10 * time.Second
+	snapshotPartBytes = 256 << 10
+	// maxSnapshotBytes bounds what a member puts together: a document, its draft and what is under way of it, at their largest, and the rest.
+	maxSnapshotBytes = 64 << 20
+	// snapshotPartTimeout is how long the next chunk may take to come, before what there is of a snapshot is dropped.
+	snapshotPartTimeout = 10 * time.Second
 )
 
-// Chunk is asked before each chunk of a snapshot goes out, in test programs only: one that it says no to is lost.
-var Chunk func(n int) bool
+// SnapshotPartHook is asked before each chunk of a snapshot goes out, in test programs only: one that it says no to is lost.
+var SnapshotPartHook func(n int) bool
 
-// coming is a snapshot that comes in chunks. There is one at a time: only who leads sends any.
-type coming struct {
-	from, id uint64
-	b        []byte
-	at       time.Time
+// incomingSnapshot is a snapshot that comes in chunks. There is one at a time: only who leads sends any.
+type incomingSnapshot struct {
+	from, id   uint64
+	received   []byte
+	receivedAt time.Time
 }
 
-// carrySnap sends a message in chunks.
-func (m *Member) carrySnap(ctx context.Context, p *peer, x *pb.Message) {
-	err := m.sendSnap(ctx, p, x)
-	m.later(func() {
+// sendSnapshotAsync sends a message in chunks.
+func (m *Member) sendSnapshotAsync(ctx context.Context, p *peer, x *pb.Message) {
+	err := m.sendSnapshot(ctx, p, x)
+	m.enqueue(func() {
 		if err != nil {
 			m.stats.Inc("group", "snapshots_unsent")
 			m.log.Warn().Str("event", "group.snapshot_unsent").Str("member", p.Name).Err(err).Send()
@@ -47,17 +47,17 @@
 			return
 		}
 		m.stats.Inc("group", "snapshots_sent")
-		m.sent(p, []*pb.Message{x}, true, msgpackrpc.Reply{})
+		m.messagesSent(p, []*pb.Message{x}, true, msgpackrpc.Reply{})
 	})
 }
 
-func (m *Member) sendSnap(ctx context.Context, p *peer, x *pb.Message) error {
+func (m *Member) sendSnapshot(ctx context.Context, p *peer, x *pb.Message) error {
 	b, err := proto.Marshal(x)
 	if err != nil {
 		return err
 	}
-	if len(b) > longestSnapshot {
-		return fmt.Errorf("%d bytes, of at most %d", len(b), longestSnapshot)
+	if len(b) > maxSnapshotBytes {
+		return fmt.Errorf("%d bytes, of at most %d", len(b), maxSnapshotBytes)
 	}
 	dial, cancel := context.WithTimeout(ctx, quorum.DialTimeout)
 	defer cancel()
@@ -67,12 +67,12 @@
 	}
 	defer conn.Close()
 	sum := xxhash.Sum64(b)
-	for at, n := 0, 0; at < len(b); at, n = at+chunkBytes, n+1 {
-		w := m.word("group.chunk", b[at:min(at+chunkBytes, len(b))])
+	for at, n := 0, 0; at < len(b); at, n = at+snapshotPartBytes, n+1 {
+		w := m.peerRequest("group.chunk", b[at:min(at+snapshotPartBytes, len(b))])
 		for key, v := range map[string]uint64{"s": sum, "o": uint64(at), "l": uint64(len(b))} {
 			w.Fields[key] = strconv.FormatUint(v, 10)
 		}
-		if Chunk != nil && !Chunk(n) {
+		if SnapshotPartHook != nil && !SnapshotPartHook(n) {
 			continue // lost: the next one doesn't follow
 		}
 		reply, err := conn.Call(w)
@@ -96,46 +96,46 @@
 	return nil
 }
 
-// chunk takes a piece of a snapshot, and the whole once the last has come.
-func (m *Member) chunk(w msgpackrpc.Call, from uint64) msgpackrpc.CallResult {
+// handleSnapshotPart takes a piece of a snapshot, and the whole once the last has come.
+func (m *Member) handleSnapshotPart(w msgpackrpc.Call, from uint64) msgpackrpc.CallResult {
 	if !m.confirmed {
-		return no(quorum.CodeRefused, "not yet one that may say anything")
+		return refuse(quorum.CodeRefused, "not yet one that may say anything")
 	}
 	number := func(key string) uint64 { n, _ := strconv.ParseUint(w.Fields[key], 10, 64); return n }
 	id, at, long := number("s"), number("o"), number("l")
-	if long == 0 || long > longestSnapshot || uint64(len(w.Body)) > long {
+	if long == 0 || long > maxSnapshotBytes || uint64(len(w.Body)) > long {
 		m.stats.Inc("malformed", Name)
-		return no(quorum.CodeRefused, "a snapshot of %d bytes, of at most %d", long, longestSnapshot)
+		return refuse(quorum.CodeRefused, "a snapshot of %d bytes, of at most %d", long, maxSnapshotBytes)
 	}
 	if at == 0 {
-		m.coming = &coming{from: from, id: id, at: time.Now()}
+		m.incoming = &incomingSnapshot{from: from, id: id, receivedAt: time.Now()}
 	}
-	c := m.coming
-	if c == nil || c.from != from || c.id != id || uint64(len(c.b)) != at || at+uint64(len(w.Body)) > long {
-		m.coming = nil
-		return no(quorum.CodeRefused, "a chunk at %d that doesn't follow", at)
+	c := m.incoming
+	if c == nil || c.from != from || c.id != id || uint64(len(c.received)) != at || at+uint64(len(w.Body)) > long {
+		m.incoming = nil
+		return refuse(quorum.CodeRefused, "a chunk at %d that doesn't follow", at)
 	}
-	c.b, c.at = append(c.b, w.Body...), time.Now()
-	if uint64(len(c.b)) < long {
+	c.received, c.receivedAt = append(c.received, w.Body...), time.Now()
+	if uint64(len(c.received)) < long {
 		return msgpackrpc.CallResult{}
 	}
-	m.coming = nil
+	m.incoming = nil
 	x := &pb.Message{}
-	if xxhash.Sum64(c.b) != id {
-		return no(quorum.CodeRefused, "a snapshot whose checksum is wrong")
+	if xxhash.Sum64(c.received) != id {
+		return refuse(quorum.CodeRefused, "a snapshot whose checksum is wrong")
 	}
-	if err := proto.Unmarshal(c.b, x); err != nil || x.GetType() != pb.MsgSnap {
+	if err := proto.Unmarshal(c.received, x); err != nil || x.GetType() != pb.MsgSnap {
 		m.stats.Inc("malformed", Name)
-		return no(quorum.CodeRefused, "no snapshot: %v", err)
+		return refuse(quorum.CodeRefused, "no snapshot: %v", err)
 	}
 	m.stats.Inc("group", "snapshots_put_together")
-	m.step(x, from)
+	m.stepRaft(x, from)
 	return msgpackrpc.CallResult{}
 }
 
-// dropLate gives up a snapshot whose next chunk does not come.
-func (m *Member) dropLate() {
-	if m.coming != nil && time.Since(m.coming.at) > chunkWithin {
-		m.coming = nil
+// dropStalledSnapshot gives up a snapshot whose next chunk does not come.
+func (m *Member) dropStalledSnapshot() {
+	if m.incoming != nil && time.Since(m.incoming.receivedAt) > snapshotPartTimeout {
+		m.incoming = nil
 	}
 }
--- a/internal/controlplane/quorum/member/store.go
+++ b/internal/controlplane/quorum/member/store.go
@@ -25,16 +25,16 @@
 	Group string `json:"group,omitempty"`
 }
 
-// mark is what a member has said of its disk: neither part falls but on a disk that is older than its words.
-type mark struct {
+// diskMark is what a member has said of its disk: neither part falls but on a disk that is older than its words.
+type diskMark struct {
 	Starts uint64 `json:"starts"`
 	Nonce  uint64 `json:"nonce"` // of that start
 	Term   uint64 `json:"term"`
 	Commit uint64 `json:"commit"`
 }
 
-// over reports what of a mark is over what another says.
-func (m mark) over(o mark) string {
+// aheadOf reports what of a mark is over what another says.
+func (m diskMark) aheadOf(o diskMark) string {
 	switch {
 	case m.Term > o.Term:
 		return fmt.Sprintf("term %d was said before, the disk has %d", m.Term, o.Term)
@@ -44,39 +44,39 @@
 	return ""
 }
 
-// Fault is asked before every write of a store, in test programs only: it may wait, as a disk that stalls, or return the
+// DiskFaultHook is asked before every write of a store, in test programs only: it may wait, as a disk that stalls, or return the
 // error of one that is full or has failed.
-var Fault func(op string) error
+var DiskFaultHook func(op string) error
 
 // store keeps a member's log on disk, with the same in memory for the library to read. Every write is one transaction,
 // synced before it returns; after an error nothing more is written, as what was not known to be durable is not trusted.
 type store struct {
 	db     *bbolt.DB
-	mem    *raft.MemoryStorage
+	memory *raft.MemoryStorage
 	failed error
 	syncs  uint64
 }
 
 var (
-	bucketMeta = []byte("meta")
-	bucketLog  = []byte("log")
-	keyWho     = []byte("who")
-	keyHard    = []byte("hard")
-	keySnap    = []byte("snapshot")
-	keyMarks   = []byte("marks")
-	keyPeers   = []byte("peers")
-	keyFormat  = []byte("format")
+	bucketMeta   = []byte("meta")
+	bucketLog    = []byte("log")
+	keyIdentity  = []byte("who")
+	keyHardState = []byte("hard")
+	keySnap      = []byte("snapshot")
+	keyMarks     = []byte("marks")
+	keyPeers     = []byte("peers")
+	keyFormat    = []byte("format")
 )
 
-// format is the version of what is on disk.
-const format = "1"
+// storeFormat is the version of what is on disk.
+const storeFormat = "1"
 
 func openStore(path string) (*store, error) {
 	db, err := bbolt.Open(path, 0o600, &bbolt.Options{Timeout: time.Second, NoFreelistSync: true})
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	s := &store{db: db, mem: raft.NewMemoryStorage()}
+	s := &store{db: db, memory: raft.NewMemoryStorage()}
 	if err := s.load(); err != nil {
 		db.Close()
 		return nil, fmt.Errorf("%s: %w", path, err)
@@ -85,18 +85,18 @@
 }
 
 func (s *store) load() error {
-	err := s.write("open", func(tx *bbolt.Tx) error {
+	err := s.update("open", func(tx *bbolt.Tx) error {
 		m, err := tx.CreateBucketIfNotExists(bucketMeta)
 		if err != nil {
 			return err
 		}
-		if f := m.Get(keyFormat); f != nil && string(f) != format {
-			return fmt.Errorf("format %q, this build knows %q", f, format)
+		if f := m.Get(keyFormat); f != nil && string(f) != storeFormat {
+			return fmt.Errorf("format %q, this build knows %q", f, storeFormat)
 		}
 		if _, err := tx.CreateBucketIfNotExists(bucketLog); err != nil {
 			return err
 		}
-		return m.Put(keyFormat, []byte(format))
+		return m.Put(keyFormat, []byte(storeFormat))
 	})
 	if err != nil {
 		return err
@@ -108,18 +108,18 @@
 			if err := proto.Unmarshal(b, snap); err != nil {
 				return fmt.Errorf("its snapshot: %w", err)
 			}
-			if err := s.mem.ApplySnapshot(snap); err != nil {
+			if err := s.memory.ApplySnapshot(snap); err != nil {
 				return err
 			}
 		}
-		if b := m.Get(keyHard); b != nil {
+		if b := m.Get(keyHardState); b != nil {
 			hard := &pb.HardState{}
 			if err := proto.Unmarshal(b, hard); err != nil {
 				return fmt.Errorf("its term: %w", err)
 			}
-			s.mem.SetHardState(hard)
+			s.memory.SetHardState(hard)
 		}
-		first, _ := s.mem.FirstIndex()
+		first, _ := s.memory.FirstIndex()
 		var list []*pb.Entry
 		err := tx.Bucket(bucketLog).ForEach(func(k, v []byte) error {
 			if binary.BigEndian.Uint64(k) < first {
@@ -135,18 +135,18 @@
 		if err != nil {
 			return err
 		}
-		return s.mem.Append(list)
+		return s.memory.Append(list)
 	})
 }
 
-// write makes one transaction. Its error is the last word of this store.
-func (s *store) write(op string, do func(tx *bbolt.Tx) error) error {
+// update makes one transaction. Its error is the last word of this store.
+func (s *store) update(op string, do func(tx *bbolt.Tx) error) error {
 	if s.failed != nil {
 		return s.failed
 	}
 	var err error
-	if Fault != nil {
-		err = Fault(op)
+	if DiskFaultHook != nil {
+		err = DiskFaultHook(op)
 	}
 	if err == nil {
 		s.syncs++
@@ -158,9 +158,9 @@
 	return s.failed
 }
 
-func key(index uint64) []byte { return binary.BigEndian.AppendUint64(nil, index) }
+func entryKey(index uint64) []byte { return binary.BigEndian.AppendUint64(nil, index) }
 
-func get[T any](s *store, key []byte) (v T, err error) {
+func getJSON[T any](s *store, key []byte) (v T, err error) {
 	err = s.db.View(func(tx *bbolt.Tx) error {
 		if b := tx.Bucket(bucketMeta).Get(key); b != nil {
 			return json.Unmarshal(b, &v)
@@ -170,7 +170,7 @@
 	return v, err
 }
 
-func put(tx *bbolt.Tx, key []byte, v any) error {
+func putJSON(tx *bbolt.Tx, key []byte, v any) error {
 	b, err := json.Marshal(v)
 	if err != nil {
 		return err
@@ -186,8 +186,8 @@
 	return tx.Bucket(bucketMeta).Put(key, b)
 }
 
-// found makes the member one of a group whose first members are given.
-func (s *store) found(who Identity, state *statemachine.State) error {
+// writeFounding makes the member one of a group whose first members are given.
+func (s *store) writeFounding(who Identity, state *statemachine.State) error {
 	data, err := state.Snapshot()
 	if err != nil {
 		return err
@@ -198,29 +198,29 @@
 	}
 	snap := &pb.Snapshot{Data: data, Metadata: &pb.SnapshotMetadata{ConfState: conf, Index: proto.Uint64(1), Term: proto.Uint64(1)}}
 	hard := &pb.HardState{Term: proto.Uint64(1), Commit: proto.Uint64(1)}
-	err = s.write("found", func(tx *bbolt.Tx) error {
-		return errors.Join(put(tx, keyWho, who), putProto(tx, keySnap, snap), putProto(tx, keyHard, hard))
+	err = s.update("found", func(tx *bbolt.Tx) error {
+		return errors.Join(putJSON(tx, keyIdentity, who), putProto(tx, keySnap, snap), putProto(tx, keyHardState, hard))
 	})
 	if err != nil {
 		return err
 	}
-	s.mem.SetHardState(hard)
-	return s.mem.ApplySnapshot(snap)
+	s.memory.SetHardState(hard)
+	return s.memory.ApplySnapshot(snap)
 }
 
-// join makes the member one that listens to a group.
-func (s *store) join(who Identity, peers []statemachine.Member) error {
-	return s.write("join", func(tx *bbolt.Tx) error {
-		return errors.Join(put(tx, keyWho, who), put(tx, keyPeers, peers))
+// writeJoin makes the member one that listens to a group.
+func (s *store) writeJoin(who Identity, peers []statemachine.Member) error {
+	return s.update("join", func(tx *bbolt.Tx) error {
+		return errors.Join(putJSON(tx, keyIdentity, who), putJSON(tx, keyPeers, peers))
 	})
 }
 
 // save keeps what has to last before anything is said of it.
-func (s *store) save(hard *pb.HardState, entries []*pb.Entry, snap *pb.Snapshot, marks map[uint64]mark) error {
+func (s *store) save(hard *pb.HardState, entries []*pb.Entry, snap *pb.Snapshot, marks map[uint64]diskMark) error {
 	whole := snap != nil && snap.GetMetadata().GetIndex() > 0
-	err := s.write("save", func(tx *bbolt.Tx) error {
+	err := s.update("save", func(tx *bbolt.Tx) error {
 		if marks != nil {
-			if err := put(tx, keyMarks, marks); err != nil {
+			if err := putJSON(tx, keyMarks, marks); err != nil {
 				return err
 			}
 		}
@@ -229,26 +229,26 @@
 			if err := putProto(tx, keySnap, snap); err != nil {
 				return err
 			}
-			if err := cut(log, 0, ^uint64(0)); err != nil {
+			if err := deleteEntries(log, 0, ^uint64(0)); err != nil {
 				return err
 			}
 		}
 		if len(entries) > 0 {
-			if err := cut(log, entries[0].GetIndex(), ^uint64(0)); err != nil {
+			if err := deleteEntries(log, entries[0].GetIndex(), ^uint64(0)); err != nil {
 				return err
 			}
 		}
 		for _, e := range entries {
 			b, err := proto.Marshal(e)
 			if err == nil {
-				err = log.Put(key(e.GetIndex()), b)
+				err = log.Put(entryKey(e.GetIndex()), b)
 			}
 			if err != nil {
 				return err
 			}
 		}
 		if hard != nil {
-			return putProto(tx, keyHard, hard)
+			return putProto(tx, keyHardState, hard)
 		}
 		return nil
 	})
@@ -256,21 +256,21 @@
 		return err
 	}
 	if whole {
-		if err := s.mem.ApplySnapshot(snap); err != nil {
+		if err := s.memory.ApplySnapshot(snap); err != nil {
 			return err
 		}
 	}
 	if hard != nil {
-		s.mem.SetHardState(hard)
+		s.memory.SetHardState(hard)
 	}
-	return s.mem.Append(entries)
+	return s.memory.Append(entries)
 }
 
-// cut deletes entries from one index up to, not with, another.
-func cut(log *bbolt.Bucket, from, to uint64) error {
+// deleteEntries deletes entries from one index up to, not with, another.
+func deleteEntries(log *bbolt.Bucket, from, to uint64) error {
 	var keys [][]byte // a cursor passes over keys where it deletes as it goes
 	c := log.Cursor()
-	for k, _ := c.Seek(key(from)); k != nil && binary.BigEndian.Uint64(k) < to; k, _ = c.Next() {
+	for k, _ := c.Seek(entryKey(from)); k != nil && binary.BigEndian.Uint64(k) < to; k, _ = c.Next() {
 		keys = append(keys, k)
 	}
 	for _, k := range keys {
@@ -283,14 +283,14 @@
 
 // compact puts the state at an index in the place of the log up to some entries before it, and no more bytes of them than given.
 func (s *store) compact(index uint64, conf *pb.ConfState, data []byte, keep uint64, keepBytes int) error {
-	snap, err := s.mem.CreateSnapshot(index, conf, data)
+	snap, err := s.memory.CreateSnapshot(index, conf, data)
 	if err != nil {
 		return err
 	}
 	upTo := index - min(index, keep)
-	first, _ := s.mem.FirstIndex()
+	first, _ := s.memory.FirstIndex()
 	for i, bytes := index, 0; i > max(upTo, first); i-- {
-		list, err := s.mem.Entries(i, i+1, keepAnySize)
+		list, err := s.memory.Entries(i, i+1, anyEntrySize)
 		if err != nil || len(list) == 0 {
 			break
 		}
@@ -299,18 +299,18 @@
 			break
 		}
 	}
-	err = s.write("compact", func(tx *bbolt.Tx) error {
+	err = s.update("compact", func(tx *bbolt.Tx) error {
 		if err := putProto(tx, keySnap, snap); err != nil {
 			return err
 		}
-		return cut(tx.Bucket(bucketLog), 0, upTo)
+		return deleteEntries(tx.Bucket(bucketLog), 0, upTo)
 	})
 	if err == nil && upTo > first {
-		err = s.mem.Compact(upTo)
+		err = s.memory.Compact(upTo)
 	}
 	return err
 }
 
-const keepAnySize = ^uint64(0) // of one entry
+const anyEntrySize = ^uint64(0) // of one entry
 
 func (s *store) close() error { return s.db.Close() }
--- a/internal/controlplane/quorum/member/words.go
+++ b/internal/controlplane/quorum/member/words.go
@@ -19,8 +19,8 @@
 	"silverpath/internal/transport/msgpackrpc"
 )
 
-// change is the context of a change of members.
-type change struct {
+// memberChange is the context of a change of members.
+type memberChange struct {
 	Seq    uint64              `json:"seq"`
 	Peer   statemachine.Member `json:"peer"`
 	Remove uint64              `json:"remove,omitempty"`
@@ -30,142 +30,142 @@
 func (m *Member) Answer(ctx context.Context, w msgpackrpc.Call) func() msgpackrpc.CallResult {
 	if g := w.Fields["g"]; g != m.cfg.Group {
 		m.stats.Inc("group", "strangers")
-		return said(msgpackrpc.CallResult{Error: quorum.CodeWrongGroup, Fields: []string{"why", fmt.Sprintf("this is group %q, not %q", m.cfg.Group, g)}})
+		return replyNow(msgpackrpc.CallResult{Error: quorum.CodeWrongGroup, Fields: []string{"why", fmt.Sprintf("this is group %q, not %q", m.cfg.Group, g)}})
 	}
 	if w.Method == "group.status" {
 		b, _ := json.Marshal(m.Status())
-		return said(msgpackrpc.CallResult{Body: b})
+		return replyNow(msgpackrpc.CallResult{Body: b})
 	}
 	// The rest is the loop's: in the order in which it came.
 	out := make(chan msgpackrpc.CallResult, 1)
-	m.later(func() { m.take(w, func(v msgpackrpc.CallResult) { out <- v }) })
+	m.enqueue(func() { m.dispatch(w, func(v msgpackrpc.CallResult) { out <- v }) })
 	return func() msgpackrpc.CallResult {
 		select {
 		case v := <-out:
 			return v
-		case <-m.ended:
+		case <-m.stopped:
 		case <-ctx.Done():
 		}
 		return msgpackrpc.CallResult{Error: quorum.CodeUnknownOutcome}
 	}
 }
 
-func said(v msgpackrpc.CallResult) func() msgpackrpc.CallResult {
+func replyNow(v msgpackrpc.CallResult) func() msgpackrpc.CallResult {
 	return func() msgpackrpc.CallResult { return v }
 }
 
-func no(kind, format string, args ...any) msgpackrpc.CallResult {
+func refuse(kind, format string, args ...any) msgpackrpc.CallResult {
 	return msgpackrpc.CallResult{Error: kind, Fields: []string{"why", fmt.Sprintf(format, args...)}}
 }
 
-// take does what a word asks. Answer is called once, now or later.
-func (m *Member) take(w msgpackrpc.Call, answer func(msgpackrpc.CallResult)) {
+// dispatch does what a word asks. Answer is called once, now or later.
+func (m *Member) dispatch(w msgpackrpc.Call, answer func(msgpackrpc.CallResult)) {
 	switch w.Method {
 	case "group.raft", "group.vouch", "group.mark", "group.chunk":
-		answer(m.fromMember(w))
+		answer(m.handlePeer(w))
 	case "group.found":
-		answer(m.founded(w))
+		answer(m.handleFound(w))
 	case "group.join":
-		answer(m.joined(w))
+		answer(m.handleJoin(w))
 	case "group.do":
-		m.do(w, answer)
+		m.handleDo(w, answer)
 	case "group.renew":
-		m.renew(w, answer)
+		m.handleRenew(w, answer)
 	case "group.read":
-		m.read(w, answer)
+		m.handleRead(w, answer)
 	case "rules.sync":
-		m.sync(w, answer)
+		m.handleConfigSync(w, answer)
 	case "rules.read":
-		m.readRules(answer)
+		m.handleConfigRead(answer)
 	case "rules.parts":
-		m.parts(w, answer)
+		m.handleConfigParts(w, answer)
 	case "group.add", "group.remove":
-		m.change(w, answer)
+		m.handleMemberChange(w, answer)
 	default:
-		answer(no(quorum.CodeRefused, "no such word: %q", w.Method))
+		answer(refuse(quorum.CodeRefused, "no such word: %q", w.Method))
 	}
 }
 
-// fromMember takes what another member says of itself, and its messages.
-func (m *Member) fromMember(w msgpackrpc.Call) msgpackrpc.CallResult {
+// handlePeer takes what another member says of itself, and its messages.
+func (m *Member) handlePeer(w msgpackrpc.Call) msgpackrpc.CallResult {
 	number := func(key string) uint64 { n, _ := strconv.ParseUint(w.Fields[key], 10, 64); return n }
-	id, who := number("id"), m.who.Load()
+	id, who := number("id"), m.identity.Load()
 	switch {
 	case who.Group == "" || w.Fields["gi"] != who.Group:
 		m.stats.Inc("group", "strangers")
-		return no(quorum.CodeWrongGroup, "this is group %q, not %q", who.Group, w.Fields["gi"])
+		return refuse(quorum.CodeWrongGroup, "this is group %q, not %q", who.Group, w.Fields["gi"])
 	case id == who.ID:
-		return no(quorum.CodeSuperseded, "two processes run on copies of one disk")
+		return refuse(quorum.CodeSuperseded, "two processes run on copies of one disk")
 	}
-	last, says := m.marks[id], mark{number("st"), number("n"), number("t"), number("c")}
+	last, says := m.marks[id], diskMark{number("st"), number("n"), number("t"), number("c")}
 	if says.Starts < last.Starts || says.Starts == last.Starts && says.Nonce != last.Nonce {
-		return no(quorum.CodeSuperseded, "start %d of this disk, and start %d of it was seen elsewhere", says.Starts, last.Starts)
+		return refuse(quorum.CodeSuperseded, "start %d of this disk, and start %d of it was seen elsewhere", says.Starts, last.Starts)
 	}
 	switch w.Method {
 	case "group.vouch":
-		if why := last.over(says); why != "" {
+		if why := last.aheadOf(says); why != "" {
 			m.log.Warn().Str("event", "group.disk_older").Str("member", m.state.Members[id].Name).Str("why", why).Send()
-			return no(quorum.CodeSuperseded, "the disk is older than its words: %s", why)
+			return refuse(quorum.CodeSuperseded, "the disk is older than its words: %s", why)
 		}
 		m.marks[id] = says
 		// It lasts before the other may vote: else a restart of this one would let an older disk in.
-		if err := m.disk.save(nil, nil, nil, m.marks); err != nil {
-			m.die(err)
-			return no(quorum.CodeUnknownOutcome, "%v", err)
+		if err := m.store.save(nil, nil, nil, m.marks); err != nil {
+			m.abort(err)
+			return refuse(quorum.CodeUnknownOutcome, "%v", err)
 		}
 	case "group.mark":
 		if says.Term >= last.Term && says.Commit >= last.Commit && says != last {
-			m.marks[id], m.marksNew = says, true // with the next write
+			m.marks[id], m.marksDirty = says, true // with the next write
 		}
 	case "group.chunk":
-		return m.chunk(w, id)
+		return m.handleSnapshotPart(w, id)
 	case "group.raft":
 		if !m.confirmed {
 			return msgpackrpc.CallResult{} // not yet one that may say anything
 		}
-		list, err := unpack(w.Body)
+		list, err := parseMessages(w.Body)
 		if err != nil {
 			m.stats.Inc("malformed", Name)
-			return no(quorum.CodeRefused, "%v", err)
+			return refuse(quorum.CodeRefused, "%v", err)
 		}
 		for _, x := range list {
-			m.step(x, id)
+			m.stepRaft(x, id)
 		}
 	}
 	return msgpackrpc.CallResult{}
 }
 
-// step hands a message to the library, unless it shows that this disk has lost what it had said.
-func (m *Member) step(x *pb.Message, from uint64) {
-	if x.GetFrom() != from || x.GetTo() != m.who.Load().ID || raft.IsLocalMsg(x.GetType()) {
+// stepRaft hands a message to the library, unless it shows that this disk has lost what it had said.
+func (m *Member) stepRaft(x *pb.Message, from uint64) {
+	if x.GetFrom() != from || x.GetTo() != m.identity.Load().ID || raft.IsLocalMsg(x.GetType()) {
 		m.stats.Inc("malformed", Name)
 		return
 	}
-	if last, _ := m.disk.mem.LastIndex(); x.GetType() == pb.MsgHeartbeat && x.GetCommit() > last {
-		m.die(fmt.Errorf("the disk is older than its words: entry %d was said to be on it, it ends at %d; set %s aside and add the member anew",
+	if last, _ := m.store.memory.LastIndex(); x.GetType() == pb.MsgHeartbeat && x.GetCommit() > last {
+		m.abort(fmt.Errorf("the disk is older than its words: entry %d was said to be on it, it ends at %d; set %s aside and add the member anew",
 			x.GetCommit(), last, m.cfg.Dir))
 		return
 	}
-	m.raw.Step(x) // its errors are of messages that came late
+	m.node.Step(x) // its errors are of messages that came late
 }
 
-// founded makes this member one of the first of a group.
-func (m *Member) founded(w msgpackrpc.Call) msgpackrpc.CallResult {
+// handleFound makes this member one of the first of a group.
+func (m *Member) handleFound(w msgpackrpc.Call) msgpackrpc.CallResult {
 	var f quorum.Bootstrap
 	if err := json.Unmarshal(w.Body, &f); err != nil {
-		return no(quorum.CodeRefused, "%v", err)
+		return refuse(quorum.CodeRefused, "%v", err)
 	}
-	who := *m.who.Load()
+	who := *m.identity.Load()
 	switch {
 	case who.Group == f.ID():
 		return msgpackrpc.CallResult{}
 	case who.Group != "":
-		return no(quorum.CodeRefused, "member %s belongs to group %s already", who.Name, who.Group)
+		return refuse(quorum.CodeRefused, "member %s belongs to group %s already", who.Name, who.Group)
 	case f.Group != m.cfg.Group || !slices.ContainsFunc(f.Members, func(p statemachine.Member) bool { return p.ID == who.ID }):
-		return no(quorum.CodeRefused, "not among the first members")
+		return refuse(quorum.CodeRefused, "not among the first members")
 	}
 	if err := f.Terms.Check(); err != nil {
-		return no(quorum.CodeRefused, "%v", err)
+		return refuse(quorum.CodeRefused, "%v", err)
 	}
 	state := statemachine.New(1)
 	state.Terms = f.Terms
@@ -173,131 +173,131 @@
 		state.Members[p.ID] = p
 	}
 	who.Group = f.ID()
-	if err := m.disk.found(who, state); err != nil {
-		m.die(err)
-		return no(quorum.CodeUnknownOutcome, "%v", err)
+	if err := m.store.writeFounding(who, state); err != nil {
+		m.abort(err)
+		return refuse(quorum.CodeUnknownOutcome, "%v", err)
 	}
-	m.who.Store(&who)
+	m.identity.Store(&who)
 	m.log.Info().Str("event", "group.founded").Str("group", who.Group).Int("members", len(f.Members)).Send()
-	m.begin()
+	m.startMember()
 	return msgpackrpc.CallResult{}
 }
 
-// joined makes this member, whose disk is empty, one that listens to a group until it was added there.
-func (m *Member) joined(w msgpackrpc.Call) msgpackrpc.CallResult {
+// handleJoin makes this member, whose disk is empty, one that listens to a group until it was added there.
+func (m *Member) handleJoin(w msgpackrpc.Call) msgpackrpc.CallResult {
 	var j quorum.Join
 	if err := json.Unmarshal(w.Body, &j); err != nil || j.ID == "" {
-		return no(quorum.CodeRefused, "no group")
+		return refuse(quorum.CodeRefused, "no group")
 	}
-	who := *m.who.Load()
+	who := *m.identity.Load()
 	switch {
 	case who.Group == j.ID:
 		return msgpackrpc.CallResult{}
 	case who.Group != "":
-		return no(quorum.CodeRefused, "member %s belongs to group %s already", who.Name, who.Group)
+		return refuse(quorum.CodeRefused, "member %s belongs to group %s already", who.Name, who.Group)
 	}
 	who.Group = j.ID
-	if err := m.disk.join(who, j.Members); err != nil {
-		m.die(err)
-		return no(quorum.CodeUnknownOutcome, "%v", err)
+	if err := m.store.writeJoin(who, j.Members); err != nil {
+		m.abort(err)
+		return refuse(quorum.CodeUnknownOutcome, "%v", err)
 	}
-	m.who.Store(&who)
+	m.identity.Store(&who)
 	m.log.Info().Str("event", "group.joined").Str("group", who.Group).Send()
-	m.begin()
+	m.startMember()
 	return msgpackrpc.CallResult{}
 }
 
-// begin has a member take part that has just become one.
-func (m *Member) begin() {
-	if err := m.rise(); err != nil {
-		m.die(err)
+// startMember has a member take part that has just become one.
+func (m *Member) startMember() {
+	if err := m.startRaft(); err != nil {
+		m.abort(err)
 		return
 	}
-	m.meet()
-	m.vouch()
+	m.updatePeers()
+	m.requestVouches()
 }
 
-// elsewhere answers for one that does not lead.
-func (m *Member) elsewhere() msgpackrpc.CallResult {
-	v := no(quorum.CodeNotLeader, "member %s does not lead", m.cfg.Name)
-	if m.raw != nil {
-		if p, ok := m.state.Members[m.raw.BasicStatus().Lead]; ok && p.ID != m.who.Load().ID {
+// notLeader answers for one that does not lead.
+func (m *Member) notLeader() msgpackrpc.CallResult {
+	v := refuse(quorum.CodeNotLeader, "member %s does not lead", m.cfg.Name)
+	if m.node != nil {
+		if p, ok := m.state.Members[m.node.BasicStatus().Lead]; ok && p.ID != m.identity.Load().ID {
 			v.Fields = append(v.Fields, "leader", p.Addr)
 		}
 	}
 	return v
 }
 
-func result(r statemachine.Result, ok bool) msgpackrpc.CallResult {
+func resultReply(r statemachine.Result, ok bool) msgpackrpc.CallResult {
 	if !ok {
 		return msgpackrpc.CallResult{Error: quorum.CodeUnknownOutcome}
 	}
 	b, err := json.Marshal(r)
 	if err != nil {
-		return no(quorum.CodeRefused, "%v", err)
+		return refuse(quorum.CodeRefused, "%v", err)
 	}
 	return msgpackrpc.CallResult{Body: b}
 }
 
-// do puts a command into the log.
-func (m *Member) do(w msgpackrpc.Call, answer func(msgpackrpc.CallResult)) {
+// handleDo puts a command into the log.
+func (m *Member) handleDo(w msgpackrpc.Call, answer func(msgpackrpc.CallResult)) {
 	var c statemachine.Command
 	if err := json.Unmarshal(w.Body, &c); err != nil {
-		answer(no(quorum.CodeRefused, "%v", err))
+		answer(refuse(quorum.CodeRefused, "%v", err))
 		return
 	}
 	if c.Lease != nil && (c.Lease.Op == lease.Expire || c.Lease.Op == lease.Dequeue && c.Lease.Reason == "") {
-		answer(no(quorum.CodeRefused, "only the group's leader may"))
+		answer(refuse(quorum.CodeRefused, "only the group's leader may"))
 		return
 	}
 	if c.Config != nil {
-		if !m.leads || !m.caughtUp {
-			answer(m.elsewhere())
+		if !m.leading || !m.caughtUp {
+			answer(m.notLeader())
 			return
 		}
-		if why := m.mayAsk(c.Config); why != "" {
-			answer(result(statemachine.Result{Error: why}, true))
+		if why := m.checkChange(c.Config); why != "" {
+			answer(resultReply(statemachine.Result{Error: why}, true))
 			return
 		}
 	}
-	if c.Lease != nil && c.Lease.Op == lease.Acquire && m.leads {
+	if c.Lease != nil && c.Lease.Op == lease.Acquire && m.leading {
 		// Who has it, or waits already, changes nothing: no word in the log.
 		if d := m.state.Table.Duties[c.Lease.Duty]; d != nil && (d.Holder == c.Lease.Process || slices.Contains(d.Queue, c.Lease.Process)) {
-			m.renew(w, answer)
+			m.handleRenew(w, answer)
 			return
 		}
-		m.watch.RecordWaiter(c.Lease.Duty, c.Lease.Process, m.clock())
+		m.lessor.RecordWaiter(c.Lease.Duty, c.Lease.Process, m.clock())
 	}
-	if err := m.propose(c, func(r statemachine.Result, ok bool) { answer(result(r, ok)) }); err == errNotLeader {
-		answer(m.elsewhere())
-	} else if err == errLong {
-		answer(no(quorum.CodeRefused, "%v", err))
+	if err := m.propose(c, func(r statemachine.Result, ok bool) { answer(resultReply(r, ok)) }); err == errNotLeader {
+		answer(m.notLeader())
+	} else if err == errCommandTooLong {
+		answer(refuse(quorum.CodeRefused, "%v", err))
 	} else if err != nil {
-		answer(no(quorum.CodeUnknownOutcome, "%v", err))
+		answer(refuse(quorum.CodeUnknownOutcome, "%v", err))
 	}
 }
 
-// renew notes that an owner goes on, or that one waits, by the leader's word alone: it answers once a majority has said
+// handleRenew notes that an owner goes on, or that one waits, by the leader's word alone: it answers once a majority has said
 // that it led after the word came.
-func (m *Member) renew(w msgpackrpc.Call, answer func(msgpackrpc.CallResult)) {
+func (m *Member) handleRenew(w msgpackrpc.Call, answer func(msgpackrpc.CallResult)) {
 	var c statemachine.Command
 	if err := json.Unmarshal(w.Body, &c); err != nil || c.Lease == nil {
-		answer(no(quorum.CodeRefused, "no renewal"))
+		answer(refuse(quorum.CodeRefused, "no renewal"))
 		return
 	}
 	a, now := *c.Lease, m.clock()
 	d := m.state.Table.Duties[a.Duty]
-	if !m.leads || !m.caughtUp {
-		answer(m.elsewhere())
+	if !m.leading || !m.caughtUp {
+		answer(m.notLeader())
 		return
 	}
 	ending := false
 	if d != nil && d.Holder == a.Process {
-		ending = !m.watch.Renew(a.Duty, d.Epoch, a.Op != lease.Renew, now)
+		ending = !m.lessor.Renew(a.Duty, d.Epoch, a.Op != lease.Renew, now)
 	}
-	m.watch.RecordWaiter(a.Duty, a.Process, now)
+	m.lessor.RecordWaiter(a.Duty, a.Process, now)
 	m.stats.Inc("group", "renewals")
-	err := m.confirmLead(func(ok bool) {
+	err := m.confirmLeadership(func(ok bool) {
 		r := statemachine.Result{}
 		if d := m.state.Table.Duties[a.Duty]; d != nil {
 			copied := *d
@@ -308,20 +308,20 @@
 		} else {
 			r.Error = lease.ErrUnknownDuty.Error()
 		}
-		answer(result(r, ok))
+		answer(resultReply(r, ok))
 	})
 	if err != nil {
-		answer(m.elsewhere())
+		answer(m.notLeader())
 	}
 }
 
-// read answers with what all have agreed on by now.
-func (m *Member) read(w msgpackrpc.Call, answer func(msgpackrpc.CallResult)) {
-	if !m.leads {
-		answer(m.elsewhere())
+// handleRead answers with what all have agreed on by now.
+func (m *Member) handleRead(w msgpackrpc.Call, answer func(msgpackrpc.CallResult)) {
+	if !m.leading {
+		answer(m.notLeader())
 		return
 	}
-	err := m.confirmLead(func(ok bool) {
+	err := m.confirmLeadership(func(ok bool) {
 		if !ok {
 			answer(msgpackrpc.CallResult{Error: quorum.CodeUnknownOutcome})
 			return
@@ -334,37 +334,37 @@
 		}
 		b, err := json.Marshal(v)
 		if err != nil {
-			answer(no(quorum.CodeRefused, "%v", err))
+			answer(refuse(quorum.CodeRefused, "%v", err))
 			return
 		}
 		answer(msgpackrpc.CallResult{Body: b})
 	})
 	if err != nil {
-		answer(m.elsewhere())
+		answer(m.notLeader())
 	}
 }
 
-// change adds a member, first as one that only listens and then, asked again once it has caught up, with a vote, or removes
+// handleMemberChange adds a member, first as one that only listens and then, asked again once it has caught up, with a vote, or removes
 // one: one at a time.
-func (m *Member) change(w msgpackrpc.Call, answer func(msgpackrpc.CallResult)) {
+func (m *Member) handleMemberChange(w msgpackrpc.Call, answer func(msgpackrpc.CallResult)) {
 	var p statemachine.Member
 	if err := json.Unmarshal(w.Body, &p); err != nil || p.ID == 0 {
-		answer(no(quorum.CodeRefused, "no member"))
+		answer(refuse(quorum.CodeRefused, "no member"))
 		return
 	}
-	if !m.leads {
-		answer(m.elsewhere())
+	if !m.leading {
+		answer(m.notLeader())
 		return
 	}
-	kind, of := pb.ConfChangeAddLearnerNode, change{Peer: p}
-	switch pr, known := m.raw.Status().Progress[p.ID]; {
+	kind, of := pb.ConfChangeAddLearnerNode, memberChange{Peer: p}
+	switch pr, known := m.node.Status().Progress[p.ID]; {
 	case w.Method == "group.remove":
-		kind, of = pb.ConfChangeRemoveNode, change{Remove: p.ID}
-	case slices.Contains(m.conf.GetVoters(), p.ID):
+		kind, of = pb.ConfChangeRemoveNode, memberChange{Remove: p.ID}
+	case slices.Contains(m.confState.GetVoters(), p.ID):
 		answer(msgpackrpc.CallResult{Body: []byte(`"voter"`)})
 		return
 	case known && pr.IsLearner:
-		if last, _ := m.disk.mem.LastIndex(); pr.Match+compactKeep < last || pr.Match == 0 {
+		if last, _ := m.store.memory.LastIndex(); pr.Match+compactKeepEntries < last || pr.Match == 0 {
 			answer(msgpackrpc.CallResult{Body: []byte(`"catching up"`)})
 			return
 		}
@@ -372,7 +372,7 @@
 	default:
 		for _, q := range m.state.Members {
 			if q.Name == p.Name {
-				answer(no(quorum.CodeRefused, "member %s is in the group by another disk: remove that first", p.Name))
+				answer(refuse(quorum.CodeRefused, "member %s is in the group by another disk: remove that first", p.Name))
 				return
 			}
 		}
@@ -381,11 +381,11 @@
 	of.Seq = m.salt + m.seq
 	ctx, _ := json.Marshal(of)
 	cc := &pb.ConfChangeV2{Context: ctx, Changes: []*pb.ConfChangeSingle{{Type: kind.Enum(), NodeId: proto.Uint64(p.ID)}}}
-	if err := m.raw.ProposeConfChange(cc); err != nil {
-		answer(no(quorum.CodeUnknownOutcome, "%v", err))
+	if err := m.node.ProposeConfChange(cc); err != nil {
+		answer(refuse(quorum.CodeUnknownOutcome, "%v", err))
 		return
 	}
-	m.waiting[of.Seq] = func(_ statemachine.Result, ok bool) {
+	m.proposals[of.Seq] = func(_ statemachine.Result, ok bool) {
 		if !ok {
 			answer(msgpackrpc.CallResult{Error: quorum.CodeUnknownOutcome})
 			return
--- a/internal/testkit/benchmarks/owner.go
+++ b/internal/testkit/benchmarks/owner.go
@@ -42,7 +42,7 @@
 		return false
 	}
 	if file := os.Getenv("SILVERPATH_DISK"); file != "" {
-		member.Fault = func(string) error {
+		member.DiskFaultHook = func(string) error {
 			if text, err := os.ReadFile(file); err == nil {
 				if d, err := time.ParseDuration(string(text)); err == nil {
 					time.Sleep(d)
