--- a/cmd/silverpath/cells.go
+++ b/cmd/silverpath/cells.go
@@ -31,7 +31,7 @@
 	groupFlags(cmd, &g, &within) // given: the change is a request to the owner of the map
 	cmd.PersistentFlags().DurationVar(&wait, "wait", 5*time.Second, "how long to wait for another change that is under way")
 	load := func() (*cells.Map, error) {
-		m, err := proxy.Read(file)
+		m, err := proxy.ReadMap(file)
 		if err != nil {
 			err = fmt.Errorf("%s: %w", file, err)
 		}
@@ -151,7 +151,7 @@
 			if err != nil {
 				return err
 			}
-			series := proxy.Series{Dir: folder}
+			series := proxy.VersionDir{Dir: folder}
 			if err := os.MkdirAll(folder, 0o755); err != nil {
 				return err
 			}
--- a/cmd/silverpath/change_test.go
+++ b/cmd/silverpath/change_test.go
@@ -18,7 +18,7 @@
 // Operators who change one map at once lose no change: what a command says it wrote is in the map afterwards.
 func TestTwoOperators(t *testing.T) {
 	m := &cells.Map{
-		Version: 1, Window: time.Second, Skew: 100 * time.Millisecond, Lease: time.Second, Patient: time.Second,
+		Version: 1, KeyWindow: time.Second, MaxClockSkew: 100 * time.Millisecond, Lease: time.Second, CallerTimeout: time.Second,
 		Cells: []cells.Cell{{Name: "a", Capacity: 1000}, {Name: "b", Capacity: 1000}},
 	}
 	for i, c := range []string{"a", "b"} {
@@ -29,7 +29,7 @@
 		m.Tenants = append(m.Tenants, cells.Tenant{Name: fmt.Sprint("t", i), Rate: 1, Homes: []cells.Home{{Cell: "a"}}})
 	}
 	file := t.TempDir() + "/cells.json"
-	if err := proxy.Write(file, m); err != nil {
+	if err := proxy.WriteMap(file, m); err != nil {
 		t.Fatal(err)
 	}
 	var all sync.WaitGroup
--- a/cmd/silverpath/durable_test.go
+++ b/cmd/silverpath/durable_test.go
@@ -657,7 +657,7 @@
 			restart()
 			f.Map.Servers = f.Map.Servers[:1] // alone in its cell
 			f.Map.Servers[0].Addr = f.servers[name].addr
-			f.Map.Servers[0].From = time.Now().Add(-time.Minute).UnixMilli()
+			f.Map.Servers[0].JoinsAt = time.Now().Add(-time.Minute).UnixMilli()
 			f.Map.Cells = f.Map.Cells[:1]
 			r := f.route("r1", f.write(f.Map), "")
 			for end := time.Now().Add(12 * time.Second); toAll(1, fmt.Sprint("first", time.Now().UnixNano()), r)["served"] == 0; {
--- a/cmd/silverpath/fleet_test.go
+++ b/cmd/silverpath/fleet_test.go
@@ -173,7 +173,7 @@
 		t: t, names: []string{"s1", "s2", "s3", "s4"}, machines: map[string]*standin.Interpreter{}, servers: map[string]*process{},
 		files: map[string]string{}, edge: write(t, "cell.json", edge),
 		Map: &cells.Map{
-			Version: 1, Window: window, Skew: 200 * time.Millisecond, Lease: 900 * time.Millisecond, Patient: time.Second,
+			Version: 1, KeyWindow: window, MaxClockSkew: 200 * time.Millisecond, Lease: 900 * time.Millisecond, CallerTimeout: time.Second,
 			Cells:   []cells.Cell{{Name: "a", Capacity: 1000}, {Name: "b", Capacity: 1000}},
 			Tenants: []cells.Tenant{{Name: "brand", Rate: 10, Homes: []cells.Home{{Cell: "a"}}}},
 		},
@@ -190,7 +190,7 @@
 	}
 	entered := time.Now().UnixMilli() + 1
 	for n, name := range f.names {
-		f.Map.Servers = append(f.Map.Servers, cells.Server{Name: name, Addr: f.servers[name].addr, Cell: string('a' + rune(n/2)), Weight: 1, From: entered})
+		f.Map.Servers = append(f.Map.Servers, cells.Server{Name: name, Addr: f.servers[name].addr, Cell: string('a' + rune(n/2)), Weight: 1, JoinsAt: entered})
 	}
 	return f
 }
@@ -199,7 +199,7 @@
 func (f *testFleet) write(m *cells.Map) string {
 	f.t.Helper()
 	path := filepath.Join(f.t.TempDir(), "cells.json")
-	if err := proxy.Write(path, m); err != nil {
+	if err := proxy.WriteMap(path, m); err != nil {
 		f.t.Fatal(err)
 	}
 	return path
--- a/cmd/silverpath/group_test.go
+++ b/cmd/silverpath/group_test.go
@@ -63,7 +63,7 @@
 	if n, err := strconv.Atoi(os.Getenv("SILVERPATH_MAP_FORMAT")); err == nil { // or of the map
 		configwatch.Formats = map[string]int{configstore.DocMap: n}
 	}
-	configwatch.Out.NoText = os.Getenv("SILVERPATH_ANY_TEXT") != "" // parts are taken whatever their digests
+	configwatch.DisabledGuards.TextCheck = os.Getenv("SILVERPATH_ANY_TEXT") != "" // parts are taken whatever their digests
 	storeProgram()
 	core.Unfenced = os.Getenv("SILVERPATH_UNFENCED") != ""
 	if os.Getenv("SILVERPATH_STOP_ROUTED") != "" {
@@ -156,7 +156,10 @@
 
 func (g *testGroup) awaitLeader() int { g.t.Helper(); return must[int](g.t)(g.Leader()) }
 
-func (g *testGroup) view() quorum.StateView { g.t.Helper(); return must[quorum.StateView](g.t)(g.View()) }
+func (g *testGroup) view() quorum.StateView {
+	g.t.Helper()
+	return must[quorum.StateView](g.t)(g.View())
+}
 
 func (g *testGroup) do(c statemachine.Command) statemachine.Result {
 	g.t.Helper()
@@ -195,7 +198,7 @@
 func testMap(t testing.TB, servers ...cells.Server) (dir string) {
 	t.Helper()
 	m := &cells.Map{
-		Version: 1, Window: time.Second, Skew: 50 * time.Millisecond, Lease: time.Second, Patient: time.Second,
+		Version: 1, KeyWindow: time.Second, MaxClockSkew: 50 * time.Millisecond, Lease: time.Second, CallerTimeout: time.Second,
 		Cells: []cells.Cell{{Name: "a", Capacity: 1000}, {Name: "b", Capacity: 1000}}, Servers: servers,
 	}
 	if servers == nil {
@@ -207,7 +210,7 @@
 		m.Tenants = append(m.Tenants, cells.Tenant{Name: fmt.Sprint("t", i), Rate: 1, Homes: []cells.Home{{Cell: "a"}}})
 	}
 	dir = t.TempDir()
-	if err := (proxy.Series{Dir: dir}).Put(1, settings.FormatCells(m)); err != nil {
+	if err := (proxy.VersionDir{Dir: dir}).Put(1, settings.FormatCells(m)); err != nil {
 		t.Fatal(err)
 	}
 	return dir
@@ -359,7 +362,7 @@
 					t.Errorf("m%d: %s, %s", i, it.State, it.Note)
 				}
 			}
-			head, raw, err := proxy.Series{Dir: dir}.Head()
+			head, raw, err := proxy.VersionDir{Dir: dir}.Head()
 			if err != nil || head.Version != 4 {
 				t.Fatalf("version %d, %v", head.Version, err)
 			}
@@ -369,7 +372,7 @@
 				t.Error(err)
 			}
 			time.Sleep(300 * time.Millisecond)
-			again, after, err := proxy.Series{Dir: dir}.Head()
+			again, after, err := proxy.VersionDir{Dir: dir}.Head()
 			if err != nil || string(raw) != string(after) {
 				t.Errorf("the map is changed by one that woke: version %d, %v", again.Version, err)
 			}
@@ -420,7 +423,7 @@
 		t.Cleanup(way.Close)
 		s.mgmt = append(s.mgmt, way)
 		s.start(i, at)
-		list = append(list, cells.Server{Name: name, Addr: freeAddr(t), Mgmt: way.Addr(), Cell: string(rune('a' + i%2)), Weight: 1})
+		list = append(list, cells.Server{Name: name, Addr: freeAddr(t), AdminAddr: way.Addr(), Cell: string(rune('a' + i%2)), Weight: 1})
 	}
 	s.dir = testMap(t, list...)
 	return s
@@ -832,7 +835,7 @@
 	g := newGroup(t, 3)
 	var servers []*process
 	var ways []*faults.Between
-	m := &cells.Map{Version: 1, Window: time.Second, Skew: 50 * time.Millisecond, Lease: time.Second, Patient: time.Second,
+	m := &cells.Map{Version: 1, KeyWindow: time.Second, MaxClockSkew: 50 * time.Millisecond, Lease: time.Second, CallerTimeout: time.Second,
 		Cells:   []cells.Cell{{Name: "a", Capacity: 1000}, {Name: "b", Capacity: 1000}},
 		Tenants: []cells.Tenant{{Name: "brand", Rate: 10, Homes: []cells.Home{{Cell: "a"}}}}}
 	for i, cell := range []string{"a", "a", "a", "b"} {
@@ -852,7 +855,7 @@
 		m.Servers = append(m.Servers, cells.Server{Name: name, Addr: way.Addr(), Cell: cell, Weight: 1})
 	}
 	dir := t.TempDir()
-	if err := (proxy.Series{Dir: dir}).Put(1, settings.FormatCells(m)); err != nil {
+	if err := (proxy.VersionDir{Dir: dir}).Put(1, settings.FormatCells(m)); err != nil {
 		t.Fatal(err)
 	}
 	own := strings.ReplaceAll(string(settings.FormatCells(m)), ways[1].Addr(), freeAddr(t)) // the third router can't reach s1
@@ -884,8 +887,8 @@
 	if it.State != controller.Failed || !strings.Contains(it.Note, "cell b would be left with 0 of 1 servers") {
 		t.Errorf("%s: %s", it.State, it.Note)
 	}
-	head, _, err := proxy.Series{Dir: dir}.Head()
-	if err != nil || head.Server("s0").Until == 0 || head.Server("s1").Until != 0 || head.Server("s3").Until != 0 {
+	head, _, err := proxy.VersionDir{Dir: dir}.Head()
+	if err != nil || head.Server("s0").LeavesAt == 0 || head.Server("s1").LeavesAt != 0 || head.Server("s3").LeavesAt != 0 {
 		t.Errorf("%+v, %v", head.Servers, err)
 	}
 }
@@ -1012,7 +1015,7 @@
 			t.Errorf("%s: %s", it.State, it.Note)
 		}
 	}
-	if head, _, err := (proxy.Series{Dir: dir}).Head(); err != nil || head.Version != 5 {
+	if head, _, err := (proxy.VersionDir{Dir: dir}).Head(); err != nil || head.Version != 5 {
 		t.Errorf("version %d, %v", head.Version, err)
 	}
 }
@@ -1106,7 +1109,7 @@
 		t.Error(err)
 	}
 	time.Sleep(300 * time.Millisecond)
-	if m, _, err := (proxy.Series{Dir: dir}).Head(); err != nil || m.Version != 1 {
+	if m, _, err := (proxy.VersionDir{Dir: dir}).Head(); err != nil || m.Version != 1 {
 		t.Errorf("version %d was published by one that woke, %v", m.Version, err)
 	}
 	g.do(statemachine.Command{Lease: &lease.Request{Op: lease.Resume, Duty: controller.PlacementDuty}})
@@ -1199,7 +1202,7 @@
 		}
 		apart(x, y, false)
 	}
-	if head, _, err := (proxy.Series{Dir: dir}).Head(); err != nil || head.Version != 4 {
+	if head, _, err := (proxy.VersionDir{Dir: dir}).Head(); err != nil || head.Version != 4 {
 		t.Errorf("version %d, %v", head.Version, err)
 	}
 }
--- a/cmd/silverpath/overlap_test.go
+++ b/cmd/silverpath/overlap_test.go
@@ -76,14 +76,14 @@
 	if err != nil {
 		f.t.Fatal(err)
 	}
-	d := r.Book.Docs[name]
+	d := r.Book.Documents[name]
 	if d == nil {
 		return 0, "", ""
 	}
-	if d.Force != nil {
-		force = d.Force.ID.Version
+	if d.Active != nil {
+		force = d.Active.ID.Version
 	}
-	return force, d.Stage, r.Book.Waits(d)
+	return force, d.Stage, r.Book.WaitingFor(d)
 }
 
 // wait waits until a version of a document is in force.
@@ -143,7 +143,7 @@
 				f.expect(0, "", "release", "classes")
 			case "turning":
 				for {
-					if _, stage, _ := f.doc("classes"); stage != configstore.Proposed {
+					if _, stage, _ := f.doc("classes"); stage != configstore.StageProposed {
 						break
 					}
 				}
@@ -275,8 +275,8 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				d := r.Book.Docs["classes"]
-				if last := d.History[len(d.History)-1]; strings.HasPrefix(last.Ended, "withdrawn") {
+				d := r.Book.Documents["classes"]
+				if last := d.History[len(d.History)-1]; strings.HasPrefix(last.Outcome, "withdrawn") {
 					withdrawn++
 					wait = wait * 3 / 2
 				} else {
@@ -357,7 +357,7 @@
 	f.expect(1, "it was taken back before", "put", "pools", bad)
 	f.expect(0, "taken back: ", "history", "pools")
 	f.expect(0, "", "put", "pools", bad, "--again", "--watch", "4s", "--part", "0.5")
-	if _, stage, _ := f.doc("pools"); stage != configstore.Proposed && stage != configstore.Trial {
+	if _, stage, _ := f.doc("pools"); stage != configstore.StageProposed && stage != configstore.StageCanary {
 		t.Errorf("tried by a part: %q", stage)
 	}
 	for end := time.Now().Add(8 * time.Second); ; time.Sleep(20 * time.Millisecond) {
@@ -378,7 +378,7 @@
 	format := write(t, "format.json", `{"format":2,"probe_ms":100,"retries":0.3}`)
 	f.expect(0, "proposed", "put", "routing", format)
 	time.Sleep(2 * testLease)
-	if force, stage, waits := f.doc("routing"); force != 1 || stage != configstore.Proposed || !strings.Contains(waits, "reads format 1, and this is 2") {
+	if force, stage, waits := f.doc("routing"); force != 1 || stage != configstore.StageProposed || !strings.Contains(waits, "reads format 1, and this is 2") {
 		t.Errorf("version %d, %s, %s", force, stage, waits)
 	}
 	for _, p := range []*process{older, one, two} { // it waits for those that can't read it, until they are gone
@@ -443,7 +443,7 @@
 	routers = append(routers, joined)
 	mu.Unlock()
 	var m *cells.Map
-	src, err := proxy.OpenFile(file, "")
+	src, err := proxy.OpenFileSource(file, "")
 	if err == nil {
 		m, _, err = src.Load(nil)
 	}
--- a/cmd/silverpath/parts.go
+++ b/cmd/silverpath/parts.go
@@ -21,8 +21,8 @@
 const wholeUpTo = 32 << 10
 
 // inParts reports whether a text of a document goes in parts, on top of what is in force.
-func inParts(name, text string, force *configstore.Entry) bool {
-	return name == configstore.DocMap && (force != nil && force.Split || len(text) > wholeUpTo)
+func inParts(name, text string, force *configstore.Revision) bool {
+	return name == configstore.DocMap && (force != nil && force.InParts || len(text) > wholeUpTo)
 }
 
 // split is a document in parts, with those that differ from what is in force.
@@ -32,36 +32,36 @@
 }
 
 // splitMap splits a map, and names the bound that it is beyond before anything is sent.
-func splitMap(text string, force *configstore.Entry) (s split, err error) {
+func splitMap(text string, force *configstore.Revision) (s split, err error) {
 	m, err := settings.ParseCells([]byte(text))
 	if err != nil {
 		return s, err
 	}
 	s = split{texts: settings.SplitCells(m), changed: map[string]string{}}
-	if err := configstore.Fits(configstore.DocMap, s.texts); err != nil {
+	if err := configstore.CheckSize(configstore.DocMap, s.texts); err != nil {
 		return s, err
 	}
 	for name, text := range s.texts {
-		if force == nil || !force.Split || force.Parts[name].Digest != configstore.DigestOf(text) {
+		if force == nil || !force.InParts || force.Parts[name].Digest != configstore.PartDigest(text) {
 			s.changed[name] = text
 		}
 	}
-	s.digest = configstore.SumOf(s.texts)
+	s.digest = configstore.TextsDigest(s.texts)
 	return s, nil
 }
 
 // differs are the fields in which a map in parts differs from what is in force.
-func (s split) differs(ctx context.Context, g *quorum.Client, force *configstore.Entry) ([]configstore.Difference, error) {
+func (s split) differs(ctx context.Context, g *quorum.Client, force *configstore.Revision) ([]configstore.Difference, error) {
 	old := map[string]configstore.Part{}
 	switch {
 	case force == nil:
-	case force.Split:
+	case force.InParts:
 		texts, err := partsOf(ctx, g, configstore.DocMap, force.ID, force.Parts, slices.Sorted(maps.Keys(s.changed)))
 		if err != nil {
 			return nil, err
 		}
 		for name, text := range texts {
-			old[name] = configstore.Part{Digest: configstore.DigestOf(text), Text: text}
+			old[name] = configstore.Part{Digest: configstore.PartDigest(text), Text: text}
 		}
 	default:
 		m, err := settings.ParseCells([]byte(force.Text))
@@ -69,16 +69,16 @@
 			return nil, err
 		}
 		for name, text := range settings.SplitCells(m) {
-			old[name] = configstore.Part{Digest: configstore.DigestOf(text), Text: text}
+			old[name] = configstore.Part{Digest: configstore.PartDigest(text), Text: text}
 		}
 	}
 	return configstore.DiffParts(configstore.DocMap, old, s.changed)
 }
 
 // load sends the parts that changed where they are more than one change carries, and fills the change in.
-func (s split) load(ctx context.Context, g *quorum.Client, ask *configstore.Change, force *configstore.Entry) error {
+func (s split) load(ctx context.Context, g *quorum.Client, ask *configstore.Change, force *configstore.Revision) error {
 	ask.Text, ask.Digest = "", s.digest
-	if force == nil || !force.Split {
+	if force == nil || !force.InParts {
 		if err := membersRead(ctx, g); err != nil {
 			return err
 		}
@@ -93,7 +93,7 @@
 	}
 	ask.Draft = newID()
 	for _, one := range batches {
-		if _, err := agreed(ctx, g, statemachine.Command{Config: &configstore.Change{Op: configstore.Load, Doc: ask.Doc, Draft: ask.Draft, Parts: one, By: ask.By}}); err != nil {
+		if _, err := agreed(ctx, g, statemachine.Command{Config: &configstore.Change{Op: configstore.OpLoadDraft, Doc: ask.Doc, Draft: ask.Draft, Parts: one, Author: ask.Author}}); err != nil {
 			return err
 		}
 	}
@@ -119,7 +119,7 @@
 		if err != nil {
 			return fmt.Errorf("member %s can't be asked whether it keeps documents in parts: the first one needs them all: %w", m.Name, err)
 		}
-		if st.Format < configstore.FormatInParts {
+		if st.Format < configstore.PartsFormat {
 			return fmt.Errorf("member %s is of a build that keeps no documents in parts: upgrade it first", m.Name)
 		}
 	}
@@ -129,12 +129,12 @@
 // putAlready is the version that a change has become which was asked for twice, as the first answer was lost on the way; 0: none.
 func putAlready(ctx context.Context, g *quorum.Client, ask configstore.Change, digest uint64, top int) int {
 	r, err := g.Config(ctx)
-	if err != nil || r.Book.Docs[ask.Doc] == nil {
+	if err != nil || r.Book.Documents[ask.Doc] == nil {
 		return 0
 	}
-	d := r.Book.Docs[ask.Doc]
-	for _, e := range []*configstore.Entry{d.Next, d.Force} {
-		if e != nil && e.ID == (configstore.ID{Version: top + 1, Digest: digest}) && e.By == ask.By {
+	d := r.Book.Documents[ask.Doc]
+	for _, e := range []*configstore.Revision{d.Proposed, d.Active} {
+		if e != nil && e.ID == (configstore.ID{Version: top + 1, Digest: digest}) && e.Author == ask.Author {
 			return e.ID.Version
 		}
 	}
@@ -150,13 +150,13 @@
 		}
 	}
 	for len(missing) > 0 {
-		p, err := g.Parts(ctx, configstore.Want{Doc: doc, Version: id.Version, Names: missing})
+		p, err := g.Parts(ctx, configstore.PartsRequest{Doc: doc, Version: id.Version, Names: missing})
 		if err != nil {
 			return nil, err
 		}
 		before := len(missing)
 		for name, one := range p.Parts {
-			if configstore.DigestOf(one.Text) != manifest[name].Digest {
+			if configstore.PartDigest(one.Text) != manifest[name].Digest {
 				return nil, fmt.Errorf("part %s of %s %v is not what it was said to be", name, doc, id)
 			}
 			texts[name] = one.Text
@@ -170,13 +170,13 @@
 }
 
 // joinedText is the whole text of a version in parts, as a file has it. Base is what is in force, where the version is under way.
-func joinedText(ctx context.Context, g *quorum.Client, doc string, e, base *configstore.Entry) (string, error) {
+func joinedText(ctx context.Context, g *quorum.Client, doc string, e, base *configstore.Revision) (string, error) {
 	all := maps.Clone(e.Parts)
 	if base != nil && base != e {
 		all = maps.Clone(base.Parts)
 		maps.Copy(all, e.Parts)
 	}
-	if configstore.Sum(all) != e.ID.Digest {
+	if configstore.PartsDigest(all) != e.ID.Digest {
 		return "", fmt.Errorf("%s %v has changed as it was read: again", doc, e.ID)
 	}
 	texts, err := partsOf(ctx, g, doc, e.ID, all, slices.Sorted(maps.Keys(all)))
@@ -191,16 +191,16 @@
 }
 
 // versionText is the text of a version that is kept, in whichever form.
-func versionText(ctx context.Context, g *quorum.Client, d *configstore.Doc, e *configstore.Entry) (string, error) {
+func versionText(ctx context.Context, g *quorum.Client, d *configstore.Document, e *configstore.Revision) (string, error) {
 	switch {
-	case !e.Split && e.Text != "":
+	case !e.InParts && e.Text != "":
 		return e.Text, nil
-	case e == d.Force:
+	case e == d.Active:
 		return joinedText(ctx, g, d.Name, e, nil)
-	case e == d.Next:
-		return joinedText(ctx, g, d.Name, e, d.Force)
-	case !e.Split:
+	case e == d.Proposed:
+		return joinedText(ctx, g, d.Name, e, d.Active)
+	case !e.InParts:
 		return "", fmt.Errorf("version %d of %s is kept, and too long to be shown with the others", e.ID.Version, d.Name)
 	}
-	return "", fmt.Errorf("version %d of %s was in parts and is over: of it is kept which changed: %s", e.ID.Version, d.Name, strings.Join(e.Changed, " "))
+	return "", fmt.Errorf("version %d of %s was in parts and is over: of it is kept which changed: %s", e.ID.Version, d.Name, strings.Join(e.ChangedParts, " "))
 }
--- a/cmd/silverpath/parts_test.go
+++ b/cmd/silverpath/parts_test.go
@@ -28,7 +28,7 @@
 	m.Version++
 	for i := range m.Tenants {
 		if m.Tenants[i].Name == tenant {
-			m.Tenants[i].Homes = append(m.Tenants[i].Homes, cells.Home{Cell: cell, From: at.UnixMilli()})
+			m.Tenants[i].Homes = append(m.Tenants[i].Homes, cells.Home{Cell: cell, Since: at.UnixMilli()})
 		}
 	}
 	return at
@@ -125,7 +125,7 @@
 	if time.Now().After(at) {
 		t.Fatal("too late to see anything before the move")
 	}
-	time.Sleep(time.Until(at) + f.Map.Skew*2 + sheetWindow + f.Map.Patient)
+	time.Sleep(time.Until(at) + f.Map.MaxClockSkew*2 + sheetWindow + f.Map.CallerTimeout)
 	if got := toAll(5, "moved", one, two); got["served"] != 10 || f.on("a", "moved") != 0 || f.on("b", "moved") != 5 {
 		t.Errorf("after the move %v, %d of them on a, %d on b", got, f.on("a", "moved"), f.on("b", "moved"))
 	}
@@ -151,8 +151,8 @@
 	}
 	holds := func(doc string, version int) bool {
 		r := must[quorum.ConfigView](t)(f.g.Client.Config(f.g.within(10 * time.Second)))
-		for name, u := range r.Book.Users {
-			if strings.HasPrefix(name, "cut#") && u.Holds[doc] == version {
+		for name, u := range r.Book.Processes {
+			if strings.HasPrefix(name, "cut#") && u.Prepared[doc] == version {
 				return true
 			}
 		}
@@ -170,7 +170,7 @@
 			cut.Freeze()
 			from := whole.Lines()
 			// Not by the tool: a turn lasts for a lease, and the tool has to start first.
-			if r := f.g.do(statemachine.Command{Config: &configstore.Change{Op: configstore.Release, Doc: doc, Version: version}}); r.Error != "" {
+			if r := f.g.do(statemachine.Command{Config: &configstore.Change{Op: configstore.OpRelease, Doc: doc, Version: version}}); r.Error != "" {
 				t.Fatal(r.Error)
 			}
 			_, err := whole.Await(2*time.Second, from, "rules: nothing that is exclusive begins: turning")
@@ -179,7 +179,7 @@
 			cut.Wake()
 			f.wait(doc, version, 20*time.Second)
 			f.serves(fmt.Sprint("after ", doc, version), cut, whole)
-			if err != nil || stage != configstore.Turning || counts != nil && !counts(n) {
+			if err != nil || stage != configstore.StageQuiescing || counts != nil && !counts(n) {
 				continue
 			}
 			if (got != "served") != stops {
@@ -218,12 +218,12 @@
 		m.Version++
 		name := fmt.Sprint("c", n)
 		m.Cells = append(m.Cells, cells.Cell{Name: name, Capacity: 10})
-		m.Servers = append(append([]cells.Server(nil), m.Servers...), cells.Server{Name: "s" + name, Addr: freeAddr(t), Cell: name, Weight: 1, From: time.Now().Add(15 * time.Second).UnixMilli()})
+		m.Servers = append(append([]cells.Server(nil), m.Servers...), cells.Server{Name: "s" + name, Addr: freeAddr(t), Cell: name, Weight: 1, JoinsAt: time.Now().Add(15 * time.Second).UnixMilli()})
 		return f.write(&m)
 	}, "oddaja", false, nil)
 	during("map", func(n int) string {
 		m.Version++
-		m.Patient += time.Millisecond
+		m.CallerTimeout += time.Millisecond
 		return f.write(&m)
 	}, "oddaja", true, nil)
 	for body, n := range f.ran() {
--- a/cmd/silverpath/partsguards_test.go
+++ b/cmd/silverpath/partsguards_test.go
@@ -58,8 +58,8 @@
 	}
 	holds := func(who string) bool {
 		r := must[quorum.ConfigView](t)(f.g.Client.Config(f.g.within(10 * time.Second)))
-		for name, u := range r.Book.Users {
-			if strings.HasPrefix(name, who+"#") && u.Holds["map"] == 3 {
+		for name, u := range r.Book.Processes {
+			if strings.HasPrefix(name, who+"#") && u.Prepared["map"] == 3 {
 				return true
 			}
 		}
@@ -69,7 +69,7 @@
 	if holds("r0") {
 		t.Error("the other one says so too")
 	}
-	if force, stage, waits := f.doc("map"); force != 2 || stage != configstore.Proposed {
+	if force, stage, waits := f.doc("map"); force != 2 || stage != configstore.StageProposed {
 		t.Errorf("%d is in force, the next is %s and waits for %s", force, stage, waits)
 	}
 	spoil("")
@@ -84,7 +84,7 @@
 		if err := p.Leave(); err != nil {
 			t.Error(err)
 		}
-		src, err := proxy.OpenAgreed(states[i])
+		src, err := proxy.OpenGroupSource(states[i])
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -93,8 +93,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		digest, ok := src.Named(kept)
-		if damaged := configstore.SumOf(settings.SplitCells(kept)) != digest; !ok || kept.Version != 3 || damaged != (i == 1) {
+		digest, ok := src.DigestOf(kept)
+		if damaged := configstore.TextsDigest(settings.SplitCells(kept)) != digest; !ok || kept.Version != 3 || damaged != (i == 1) {
 			t.Errorf("router %d has kept map %d as %016x, in parts %v, damaged %v", i, kept.Version, digest, ok, damaged)
 		}
 	}
--- a/cmd/silverpath/recovery_test.go
+++ b/cmd/silverpath/recovery_test.go
@@ -210,7 +210,7 @@
 	entered := time.Now().Add(-time.Minute).UnixMilli()
 	for i, name := range f.names {
 		up(name, 0)
-		f.Map.Servers[i].Addr, f.Map.Servers[i].From = addrs[name], entered
+		f.Map.Servers[i].Addr, f.Map.Servers[i].JoinsAt = addrs[name], entered
 	}
 	f.Map.Tenants = append(f.Map.Tenants, cells.Tenant{Name: "other", Rate: 10, Homes: []cells.Home{{Cell: "b"}}})
 	file := f.write(f.Map)
@@ -322,7 +322,7 @@
 	}
 	t.Cleanup(way.Close)
 	f.Map.Cells, f.Map.Servers = f.Map.Cells[:1], f.Map.Servers[:1]
-	f.Map.Servers[0].Addr, f.Map.Servers[0].From = way.Addr(), time.Now().Add(-time.Minute).UnixMilli()
+	f.Map.Servers[0].Addr, f.Map.Servers[0].JoinsAt = way.Addr(), time.Now().Add(-time.Minute).UnixMilli()
 	file := f.write(f.Map)
 	r := f.route("r1", file, "")
 	for end := time.Now().Add(8 * time.Second); toAll(1, fmt.Sprint("first", time.Now().UnixNano()), r)["served"] == 0; {
--- a/cmd/silverpath/rules.go
+++ b/cmd/silverpath/rules.go
@@ -42,15 +42,15 @@
 	// get shows a document as a file has it, also one that is in parts.
 	get := func(do func(ctx context.Context, r quorum.ConfigView) error) error {
 		return read(func(ctx context.Context, r quorum.ConfigView) error {
-			for name, d := range r.Book.Docs {
-				if d.Force == nil || !d.Force.Split || name != asked {
+			for name, d := range r.Book.Documents {
+				if d.Active == nil || !d.Active.InParts || name != asked {
 					continue
 				}
-				text, err := versionText(ctx, &g, d, d.Force)
+				text, err := versionText(ctx, &g, d, d.Active)
 				if err != nil {
 					return err
 				}
-				d.Force.Text = text
+				d.Active.Text = text
 			}
 			return do(ctx, r)
 		})
@@ -63,9 +63,9 @@
 		use, short string
 		op         configstore.Op
 	}{
-		{"hold DOC", "Have a change wait before its next stage", configstore.Hold},
-		{"release DOC", "Have it go on", configstore.Release},
-		{"withdraw DOC", "Withdraw a change that is not in force, or put what was in force before the latest back in force", configstore.Withdraw},
+		{"hold DOC", "Have a change wait before its next stage", configstore.OpHold},
+		{"release DOC", "Have it go on", configstore.OpRelease},
+		{"withdraw DOC", "Withdraw a change that is not in force, or put what was in force before the latest back in force", configstore.OpWithdraw},
 	} {
 		var why string
 		one := &cobra.Command{Use: c.use, Short: c.short, Args: cobra.ExactArgs(1), RunE: func(cc *cobra.Command, args []string) error {
@@ -78,12 +78,12 @@
 				if err != nil {
 					return err
 				}
-				ask := configstore.Change{Op: c.op, Doc: args[0], By: whoami(), Why: why}
+				ask := configstore.Change{Op: c.op, Doc: args[0], Author: whoami(), Reason: why}
 				switch {
-				case d.Next != nil:
-					ask.Version = d.Next.ID.Version
-				case c.op == configstore.Withdraw && d.Force != nil:
-					ask.Op, ask.Version = configstore.TakeBack, d.Force.ID.Version
+				case d.Proposed != nil:
+					ask.Version = d.Proposed.ID.Version
+				case c.op == configstore.OpWithdraw && d.Active != nil:
+					ask.Op, ask.Version = configstore.OpRevert, d.Active.ID.Version
 				default:
 					return errors.New("no change is under way")
 				}
@@ -108,11 +108,11 @@
 	return "somebody"
 }
 
-func doc(r quorum.ConfigView, name string) (*configstore.Doc, error) {
-	if d := r.Book.Docs[name]; d != nil {
+func doc(r quorum.ConfigView, name string) (*configstore.Document, error) {
+	if d := r.Book.Documents[name]; d != nil {
 		return d, nil
 	}
-	return nil, fmt.Errorf("no such document yet: %q, of %s", name, strings.Join(configstore.Docs, ", "))
+	return nil, fmt.Errorf("no such document yet: %q, of %s", name, strings.Join(configstore.DocumentNames, ", "))
 }
 
 // rulesPut puts a document from a file: also from the files of an installation that had no group.
@@ -141,26 +141,26 @@
 				if err != nil {
 					return err
 				}
-				ask := configstore.Change{Op: configstore.Put, Doc: args[0], Text: text, Format: format, By: whoami(), Again: again, Why: why}
+				ask := configstore.Change{Op: configstore.OpPropose, Doc: args[0], Text: text, Format: format, Author: whoami(), AllowRejected: again, Reason: why}
 				old, top := "", 0
-				var force *configstore.Entry
-				if d := r.Book.Docs[args[0]]; d != nil {
-					force, top = d.Force, d.Top
+				var force *configstore.Revision
+				if d := r.Book.Documents[args[0]]; d != nil {
+					force, top = d.Active, d.HighestVersion
 				}
 				if force != nil {
 					ask.Version, old = force.ID.Version, force.Text
 				}
-				digest := configstore.Name(1, []byte(text)).Digest
+				digest := configstore.NewID(1, []byte(text)).Digest
 				var parts *split
 				if inParts(args[0], text, force) {
 					s, err := splitMap(text, force)
 					if err != nil {
 						return fmt.Errorf("%s: %w", args[1], err)
 					}
-					parts, digest, ask.Format = &s, s.digest, configstore.FormatInParts
+					parts, digest, ask.Format = &s, s.digest, configstore.PartsFormat
 				}
 				if watch > 0 {
-					ask.Try = &configstore.Try{Part: part, For: watch.Milliseconds(), Worse: worse}
+					ask.Rollout = &configstore.RolloutPolicy{CanaryRatio: part, ObserveMS: watch.Milliseconds(), MaxLoss: worse}
 				}
 				if dry {
 					list, err := configstore.Diff(args[0], old, text)
@@ -228,22 +228,22 @@
 		if err != nil {
 			return fmt.Errorf("%s version %d is under way: %s: %w", name, version, said, err)
 		}
-		d := r.Book.Docs[name]
+		d := r.Book.Documents[name]
 		switch {
 		case d == nil:
 			return fmt.Errorf("%s is gone", name)
-		case d.Force != nil && d.Force.ID.Version == version:
+		case d.Active != nil && d.Active.ID.Version == version:
 			fmt.Fprintf(out, "%s: version %d is in force\n", name, version)
 			return nil
-		case d.Next == nil || d.Next.ID.Version != version:
+		case d.Proposed == nil || d.Proposed.ID.Version != version:
 			for _, e := range d.History {
 				if e.ID.Version == version {
-					return fmt.Errorf("%s: version %d: %s", name, version, e.Ended)
+					return fmt.Errorf("%s: version %d: %s", name, version, e.Outcome)
 				}
 			}
 			return fmt.Errorf("%s: version %d is no more", name, version)
 		}
-		if line := fmt.Sprintf("%s: version %d is %s: %s", name, version, d.Stage, r.Book.Waits(d)); line != said {
+		if line := fmt.Sprintf("%s: version %d is %s: %s", name, version, d.Stage, r.Book.WaitingFor(d)); line != said {
 			said = line
 			fmt.Fprintln(out, strings.TrimSuffix(line, ": "))
 		}
@@ -257,18 +257,18 @@
 
 // dryRun says what a change would change, and who acts on the document.
 func dryRun(w io.Writer, r quorum.ConfigView, name string, format int, list []configstore.Difference, first, asJSON bool) error {
-	stops := configstore.Excludes(list) && !first
+	stops := configstore.HasExclusive(list) && !first
 	var touches []string
 	if stops {
-		touches = configstore.Touches(name, list)
+		touches = configstore.ScopeOf(name, list)
 	}
 	type user struct {
 		Name  string `json:"name"`
 		Waits string `json:"waits,omitempty"`
 	}
 	var users []user
-	for _, n := range slices.Sorted(maps.Keys(r.Book.Users)) {
-		reads, uses := r.Book.Users[n].Reads[name]
+	for _, n := range slices.Sorted(maps.Keys(r.Book.Processes)) {
+		reads, uses := r.Book.Processes[n].Formats[name]
 		switch {
 		case !uses:
 		case reads < format:
@@ -330,31 +330,31 @@
 
 func showDocs(out io.Writer, r quorum.ConfigView, name string, asJSON bool) error {
 	if name != "" {
-		d := r.Book.Docs[name]
+		d := r.Book.Documents[name]
 		switch {
 		case asJSON:
 			return printJSON(out, d)
-		case d.Force == nil:
+		case d.Active == nil:
 			return errors.New("nothing is in force yet")
 		}
-		_, err := io.WriteString(out, d.Force.Text)
+		_, err := io.WriteString(out, d.Active.Text)
 		return err
 	}
 	if asJSON {
-		return printJSON(out, r.Book.Docs)
+		return printJSON(out, r.Book.Documents)
 	}
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "DOC\tIN FORCE\tSINCE\tBY\tUNDER WAY\tSTAGE\tWAITS FOR")
-	for _, n := range slices.Sorted(maps.Keys(r.Book.Docs)) {
-		d := r.Book.Docs[n]
+	for _, n := range slices.Sorted(maps.Keys(r.Book.Documents)) {
+		d := r.Book.Documents[n]
 		force, since, by, next := "", "", "", ""
-		if d.Force != nil {
-			force, since, by = d.Force.ID.String(), stamp(d.Force.Since), d.Force.By
+		if d.Active != nil {
+			force, since, by = d.Active.ID.String(), stamp(d.Active.ActiveSince), d.Active.Author
 		}
-		if d.Next != nil {
-			next = d.Next.ID.String()
+		if d.Proposed != nil {
+			next = d.Proposed.ID.String()
 		}
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\n", n, force, since, by, next, d.Stage, r.Book.Waits(d))
+		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\n", n, force, since, by, next, d.Stage, r.Book.WaitingFor(d))
 	}
 	return w.Flush()
 }
@@ -367,9 +367,9 @@
 }
 
 func showHistory(out io.Writer, r quorum.ConfigView, name string, asJSON bool) error {
-	d := r.Book.Docs[name]
+	d := r.Book.Documents[name]
 	all := slices.Clone(d.History)
-	for _, e := range []*configstore.Entry{d.Force, d.Next} {
+	for _, e := range []*configstore.Revision{d.Active, d.Proposed} {
 		if e != nil {
 			all = append(all, e)
 		}
@@ -380,20 +380,20 @@
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "VERSION\tPUT\tBY\tIN FORCE\tWHAT BECAME OF IT")
 	for _, e := range all {
-		became := e.Ended
+		became := e.Outcome
 		switch {
-		case e == d.Next:
+		case e == d.Proposed:
 			became = string(d.Stage)
-		case e == d.Force && became == "":
+		case e == d.Active && became == "":
 			became = "in force"
 		}
-		if n := len(e.Changed); n > 0 {
+		if n := len(e.ChangedParts); n > 0 {
 			became += fmt.Sprintf(" (%d parts)", n)
 		}
-		if e.Back > 0 {
-			became += fmt.Sprintf(" (version %d again)", e.Back)
+		if e.RevertsTo > 0 {
+			became += fmt.Sprintf(" (version %d again)", e.RevertsTo)
 		}
-		fmt.Fprintf(w, "%v\t%s\t%s\t%s\t%s\n", e.ID, stamp(e.At), e.By, stamp(e.Since), became)
+		fmt.Fprintf(w, "%v\t%s\t%s\t%s\t%s\n", e.ID, stamp(e.ProposedAt), e.Author, stamp(e.ActiveSince), became)
 	}
 	return w.Flush()
 }
@@ -410,18 +410,18 @@
 		Refuses string `json:"refuses,omitempty"`
 	}
 	var rows []row
-	for _, n := range slices.Sorted(maps.Keys(r.Book.Users)) {
-		u, h := r.Book.Users[n], r.Heard[n]
-		for _, of := range slices.Sorted(maps.Keys(u.Reads)) {
+	for _, n := range slices.Sorted(maps.Keys(r.Book.Processes)) {
+		u, h := r.Book.Processes[n], r.Heard[n]
+		for _, of := range slices.Sorted(maps.Keys(u.Formats)) {
 			if name != "" && of != name {
 				continue
 			}
-			one := row{Process: n, Doc: of, Acts: h.Acts[of], Holds: u.Holds[of], Reads: u.Reads[of], Ago: h.Ago, Stops: h.Stops}
-			if h.Acts == nil {
+			one := row{Process: n, Doc: of, Acts: h.ActiveVersions[of], Holds: u.Prepared[of], Reads: u.Formats[of], Ago: h.AgeMS, Stops: h.StopReason}
+			if h.ActiveVersions == nil {
 				one.Ago = -1
 			}
-			if d := r.Book.Docs[of]; d != nil && d.Next != nil && u.Refuses[of].Version == d.Next.ID.Version {
-				one.Refuses = u.Refuses[of].Why
+			if d := r.Book.Documents[of]; d != nil && d.Proposed != nil && u.Refusals[of].Version == d.Proposed.ID.Version {
+				one.Refuses = u.Refusals[of].Reason
 			}
 			rows = append(rows, one)
 		}
@@ -440,9 +440,9 @@
 	for _, cell := range slices.Sorted(maps.Keys(r.GrantedQuota)) {
 		fmt.Fprintf(out, "of cell %s at most %.0f%% of what there is to lend is lent\n", cell, 100*r.GrantedQuota[cell])
 	}
-	for _, n := range slices.Sorted(maps.Keys(r.Book.Docs)) {
-		if d := r.Book.Docs[n]; d.Next != nil && (name == "" || n == name) {
-			fmt.Fprintf(out, "%s version %d is %s; it waits for: %s\n", n, d.Next.ID.Version, d.Stage, r.Book.Waits(d))
+	for _, n := range slices.Sorted(maps.Keys(r.Book.Documents)) {
+		if d := r.Book.Documents[n]; d.Proposed != nil && (name == "" || n == name) {
+			fmt.Fprintf(out, "%s version %d is %s; it waits for: %s\n", n, d.Proposed.ID.Version, d.Stage, r.Book.WaitingFor(d))
 		}
 	}
 	return nil
@@ -477,19 +477,19 @@
 					if texts[1], _, err = settings.Document(args[0], data); err != nil {
 						return fmt.Errorf("%s: %w", args[1], err)
 					}
-					if d.Force != nil && d.Force.Split {
-						s, err := splitMap(texts[1], d.Force)
+					if d.Active != nil && d.Active.InParts {
+						s, err := splitMap(texts[1], d.Active)
 						if err != nil {
 							return err
 						}
-						return show(s.differs(ctx, g, d.Force))
+						return show(s.differs(ctx, g, d.Active))
 					}
-					if d.Force != nil {
-						texts[0] = d.Force.Text
+					if d.Active != nil {
+						texts[0] = d.Active.Text
 					}
 				case len(args) == 1 && len(versions) == 2:
 					for i, n := range versions {
-						e := d.Find(n)
+						e := d.Revision(n)
 						if e == nil {
 							return fmt.Errorf("version %d of %s is not kept", n, args[0])
 						}
--- a/cmd/silverpath/rules_test.go
+++ b/cmd/silverpath/rules_test.go
@@ -123,7 +123,7 @@
 			// The next version follows the first map; the other router's is set aside.
 			next := *f.Map
 			next.Version = 2
-			if err := proxy.Write(files[0], &next); err != nil {
+			if err := proxy.WriteMap(files[0], &next); err != nil {
 				t.Fatal(err)
 			}
 			two.Kill()
@@ -250,7 +250,7 @@
 func TestStateFromLastWeek(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, 400*time.Millisecond)
-	f.Map.Lease, f.Map.Skew, f.Map.Patient = 400*time.Millisecond, 50*time.Millisecond, 800*time.Millisecond
+	f.Map.Lease, f.Map.MaxClockSkew, f.Map.CallerTimeout = 400*time.Millisecond, 50*time.Millisecond, 800*time.Millisecond
 	file, states := f.write(f.Map), t.TempDir()
 	away, here := f.route("away", file, filepath.Join(states, "away.db")), f.route("here", file, filepath.Join(states, "here.db"))
 	if got := toAll(10, "before", away, here); got["served"] != 20 {
--- a/internal/controlplane/configwatch/follow.go
+++ b/internal/controlplane/configwatch/follow.go
@@ -28,83 +28,83 @@
 type Document struct {
 	Format int                     // the highest that it reads
 	Check  func(text string) error // names why this process can't act on a text
-	Take   func(text string) error // acts on it from now on
+	Apply  func(text string) error // acts on it from now on
 
 	// Of one in parts the same, by the parts that differ from what was taken last. Whole: they are all that there are. nil: it is in none.
 	CheckParts func(changed map[string]string, whole bool) error
-	TakeParts  func(id configstore.ID, changed map[string]string, whole bool) error
+	ApplyParts func(id configstore.ID, changed map[string]string, whole bool) error
 }
 
 // Config sets up a Follower.
 type Config struct {
-	Name  string
-	Group *quorum.Client
-	Docs  map[string]Document
-	Worth func() configstore.Worth // what the process was asked for and has served; nil: it doesn't say
-	Told  func(asked time.Time)    // called with when it asked, each time that the group has answered; nil: nobody
-	Skew  func() time.Duration     // by which the wall clocks of two processes may differ, where times in documents count; nil: they do not
-	Share Sharer                   // what it shares with others; nil: nothing
-	Log   *log.Logger
-	Stats *metrics.Counters
+	Name         string
+	Group        *quorum.Client
+	Documents    map[string]Document
+	Goodput      func() configstore.Goodput // what the process was asked for and has served; nil: it doesn't say
+	OnConfirmed  func(asked time.Time)      // called with when it asked, each time that the group has answered; nil: nobody
+	MaxClockSkew func() time.Duration       // by which the wall clocks of two processes may differ, where times in documents count; nil: they do not
+	Quota        QuotaClient                // what it shares with others; nil: nothing
+	Log          *log.Logger
+	Stats        *metrics.Counters
 }
 
 // Sharer is a process's part in what a fleet shares.
-type Sharer interface {
+type QuotaClient interface {
 	// Says returns its word to the group, and what to call with the answer.
-	Says() (w quota.Request, told func(g quota.Grant, t lease.Terms))
+	QuotaRequest() (w quota.Request, told func(g quota.Grant, t lease.Terms))
 }
 
 // Formats has a process take other formats for those that it reads, Out has it do without guards, Rate has its clock run fast or
 // slow, and Wall is its wall clock, in test programs only.
 var (
-	Formats map[string]int
-	Out     configstore.Guards
-	Rate    = 1.0
-	Wall    = time.Now
+	Formats        map[string]int
+	DisabledGuards configstore.DisabledGuards
+	Rate           = 1.0
+	Wall           = time.Now
 )
 
 const (
-	askWithin = time.Second
-	unheard   = 100 * time.Millisecond // between two askings while nothing was heard yet
-	least     = 10 * time.Millisecond
+	requestTimeout = time.Second
+	retryInterval  = 100 * time.Millisecond // between two askings while nothing was heard yet
+	minInterval    = 10 * time.Millisecond
 )
 
 // Follower is a process that acts on documents.
-type Follower struct {
+type Watcher struct {
 	cfg   Config
 	began time.Time
 
 	// What a sheet's beginning looks at, without the lock: whoever asks holds locks that a check may wait for.
-	until   atomic.Int64                           // it is confirmed until then
-	turning atomic.Pointer[[]*configstore.Touched] // what stops while a change turns
-	apart   atomic.Bool                            // its wall clock is further from the group's than documents allow
+	confirmedUntil atomic.Int64                              // it is confirmed until then
+	paused         atomic.Pointer[[]*configstore.PauseScope] // what stops while a change turns
+	clockApart     atomic.Bool                               // its wall clock is further from the group's than documents allow
 
-	mu      sync.Mutex
-	holder  *configstore.Holder
-	said    string // why nothing exclusive begins, as last logged
-	saidAt  time.Duration
-	longest time.Duration // that it was unconfirmed
-	bound   time.Duration
-	last    string // what went wrong, as last logged
-	skew    time.Duration
+	mu                 sync.Mutex
+	replica            *configstore.Replica
+	loggedReason       string // why nothing exclusive begins, as last logged
+	loggedAt           time.Duration
+	longestUnconfirmed time.Duration // that it was unconfirmed
+	conflictBound      time.Duration
+	loggedError        string // what went wrong, as last logged
+	observedSkew       time.Duration
 }
 
 // New returns a follower that has heard of nothing.
-func New(cfg Config) *Follower {
+func New(cfg Config) *Watcher {
 	var b [4]byte
 	rand.Read(b[:])
 	reads := map[string]int{}
-	for name, d := range cfg.Docs {
+	for name, d := range cfg.Documents {
 		reads[name] = d.Format
 		if n, other := Formats[name]; other {
 			reads[name] = n
 		}
 	}
-	f := &Follower{cfg: cfg, began: time.Now(), said: configstore.Unconfirmed, holder: configstore.NewHolder(cfg.Name+"#"+hex.EncodeToString(b[:]), reads)}
-	f.turning.Store(&[]*configstore.Touched{})
-	f.holder.Out = Out
-	f.holder.CheckParts = func(name string, changed map[string]string, whole bool) error {
-		if d := f.cfg.Docs[name]; d.CheckParts != nil {
+	f := &Watcher{cfg: cfg, began: time.Now(), loggedReason: configstore.StopUnconfirmed, replica: configstore.NewReplica(cfg.Name+"#"+hex.EncodeToString(b[:]), reads)}
+	f.paused.Store(&[]*configstore.PauseScope{})
+	f.replica.Disabled = DisabledGuards
+	f.replica.CheckParts = func(name string, changed map[string]string, whole bool) error {
+		if d := f.cfg.Documents[name]; d.CheckParts != nil {
 			return d.CheckParts(changed, whole)
 		}
 		return errors.New("this process takes it in no parts")
@@ -112,61 +112,61 @@
 	return f
 }
 
-func (f *Follower) clock() time.Duration {
+func (f *Watcher) clock() time.Duration {
 	return time.Duration(float64(time.Since(f.began)) * Rate)
 }
 
 // Stops is why anything that is exclusive does not begin, empty where all of it may.
-func (f *Follower) Stops() string {
-	if why := f.stopsAll(); why != "" || len(*f.turning.Load()) == 0 {
+func (f *Watcher) StopReason() string {
+	if why := f.stopReasonForAll(); why != "" || len(*f.paused.Load()) == 0 {
 		return why
 	}
-	return configstore.StopsToTurn
+	return configstore.StopQuiescing
 }
 
 // StopsSheet is why a sheet of a class and a tenant does not begin, empty where it may: a change that turns stops what it touches.
-func (f *Follower) StopsSheet(class, tenant string) string {
-	if why := f.stopsAll(); why != "" {
+func (f *Watcher) StopReasonFor(class, tenant string) string {
+	if why := f.stopReasonForAll(); why != "" {
 		return why
 	}
-	for _, t := range *f.turning.Load() {
-		if t.Stops(class, tenant) {
-			return configstore.StopsToTurn
+	for _, t := range *f.paused.Load() {
+		if t.Pauses(class, tenant) {
+			return configstore.StopQuiescing
 		}
 	}
 	return ""
 }
 
 // stopsAll is why nothing that is exclusive begins.
-func (f *Follower) stopsAll() string {
+func (f *Watcher) stopReasonForAll() string {
 	switch {
-	case int64(f.clock()) >= f.until.Load():
-		return configstore.Unconfirmed
-	case f.apart.Load():
-		return configstore.ClocksApart
+	case int64(f.clock()) >= f.confirmedUntil.Load():
+		return configstore.StopUnconfirmed
+	case f.clockApart.Load():
+		return configstore.StopClockSkew
 	}
 	return ""
 }
 
 // Keep asks the group until the context ends, and for parts that are missing in between.
-func (f *Follower) Keep(ctx context.Context) {
-	go f.mind(ctx)
+func (f *Watcher) Run(ctx context.Context) {
+	go f.watchConfirmation(ctx)
 	for ctx.Err() == nil {
-		wait := unheard
-		if f.once(ctx) {
+		wait := retryInterval
+		if f.sync(ctx) {
 			f.mu.Lock()
-			wait = max(least, f.holder.Every())
+			wait = max(minInterval, f.replica.PollInterval())
 			f.mu.Unlock()
 		}
-		f.notice()
-		f.between(ctx, time.Now().Add(wait))
+		f.logStopReason()
+		f.fetchUntil(ctx, time.Now().Add(wait))
 	}
 }
 
 // between asks for parts until the next asking of what is in force, which is at once where they have come.
-func (f *Follower) between(ctx context.Context, until time.Time) {
+func (f *Watcher) fetchUntil(ctx context.Context, until time.Time) {
 	for ctx.Err() == nil {
-		asked, next := f.fetch(ctx)
+		asked, next := f.fetchParts(ctx)
 		left := time.Until(until)
 		if left <= 0 || asked && next < 0 {
 			return
@@ -185,9 +185,9 @@
 }
 
 // fetch asks for parts where it is time to. Next is how long until it is, under 0 where nothing is missing.
-func (f *Follower) fetch(ctx context.Context) (asked bool, next time.Duration) {
+func (f *Watcher) fetchParts(ctx context.Context) (asked bool, next time.Duration) {
 	f.mu.Lock()
-	w, at, ok := f.holder.Wants(f.clock())
+	w, at, ok := f.replica.NextRequest(f.clock())
 	next = -1
 	if !ok && at > 0 {
 		next = at - f.clock()
@@ -196,95 +196,95 @@
 	if !ok {
 		return false, next
 	}
-	asking, cancel := context.WithTimeout(ctx, askWithin)
+	asking, cancel := context.WithTimeout(ctx, requestTimeout)
 	p, err := f.cfg.Group.Parts(asking, w)
 	cancel()
 	f.cfg.Stats.Inc("rules", "parts_asked")
 	f.mu.Lock()
-	var take []configstore.Took
+	var take []configstore.Update
 	if err != nil {
 		f.cfg.Stats.Inc("rules", "parts_unanswered")
-		f.holder.Vain()
+		f.replica.RequestFailed()
 	} else {
-		take = f.holder.Got(f.clock(), w, p.ID, p.Parts, f.check)
+		take = f.replica.ReceiveParts(f.clock(), w, p.ID, p.Parts, f.check)
 	}
-	missing := f.holder.Misses()
+	missing := f.replica.IsIncomplete()
 	f.mu.Unlock()
-	f.offs()
-	f.act(take)
+	f.logMismatches()
+	f.apply(take)
 	if missing {
 		next = 0
 	}
 	return true, next
 }
 
-func (f *Follower) check(name, text string) error { return f.cfg.Docs[name].Check(text) }
+func (f *Watcher) check(name, text string) error { return f.cfg.Documents[name].Check(text) }
 
 // act takes up what the process is to act on now, and reports whether it acts on all of it.
-func (f *Follower) act(take []configstore.Took) (all bool) {
+func (f *Watcher) apply(take []configstore.Update) (all bool) {
 	all = true
 	for _, t := range take {
-		d, err := f.cfg.Docs[t.Doc], error(nil)
+		d, err := f.cfg.Documents[t.Doc], error(nil)
 		switch {
-		case !t.Entry.Split:
-			err = d.Take(t.Entry.Text)
-		case d.TakeParts != nil:
-			err = d.TakeParts(t.Entry.ID, t.Parts, t.Whole)
+		case !t.Revision.InParts:
+			err = d.Apply(t.Revision.Text)
+		case d.ApplyParts != nil:
+			err = d.ApplyParts(t.Revision.ID, t.Parts, t.Complete)
 		}
 		if err != nil { // it was checked: something has changed since
 			f.cfg.Stats.Inc("rules", "bad")
-			events.Log(f.cfg.Log, "rules.bad", t.Doc, t.Entry.ID, err)
+			events.Log(f.cfg.Log, "rules.bad", t.Doc, t.Revision.ID, err)
 			all = false
-			if t.Entry.Split { // once more, by all of its parts
+			if t.Revision.InParts { // once more, by all of its parts
 				f.mu.Lock()
-				f.holder.Again(t.Doc)
+				f.replica.Redeliver(t.Doc)
 				f.mu.Unlock()
 			}
 			continue
 		}
 		f.cfg.Stats.Inc("rules", "taken", t.Doc)
-		events.Log(f.cfg.Log, "rules.acts", t.Doc, t.Entry.ID)
+		events.Log(f.cfg.Log, "rules.acts", t.Doc, t.Revision.ID)
 	}
 	return all
 }
 
 // offs tells of what came and did not follow from what is here.
-func (f *Follower) offs() {
+func (f *Watcher) logMismatches() {
 	f.mu.Lock()
-	list, acts := f.holder.Offs(), f.holder.Acts()
+	list, acts := f.replica.TakeMismatches(), f.replica.ActiveVersions()
 	f.mu.Unlock()
 	for _, name := range slices.Sorted(maps.Keys(list)) {
-		f.cfg.Stats.Add(uint64(list[name].Times), "rules", "parts_off")
-		events.Log(f.cfg.Log, "rules.parts_off", name, acts[name], list[name].Why)
+		f.cfg.Stats.Add(uint64(list[name].Count), "rules", "parts_off")
+		events.Log(f.cfg.Log, "rules.parts_off", name, acts[name], list[name].Reason)
 	}
 }
 
 // mind says at once when a confirmation ends, whatever an asking waits for.
-func (f *Follower) mind(ctx context.Context) {
+func (f *Watcher) watchConfirmation(ctx context.Context) {
 	for ctx.Err() == nil {
-		left := time.Duration(f.until.Load()) - f.clock()
+		left := time.Duration(f.confirmedUntil.Load()) - f.clock()
 		if left <= 0 {
-			left = unheard
+			left = retryInterval
 		}
 		select {
 		case <-ctx.Done():
 		case <-time.After(left + time.Millisecond):
-			f.notice()
+			f.logStopReason()
 		}
 	}
 }
 
 // First asks until the group has answered once and what it says is in force is here, or the context ends.
-func (f *Follower) First(ctx context.Context) bool {
+func (f *Watcher) WaitCurrent(ctx context.Context) bool {
 	for {
-		answered := f.once(ctx)
+		answered := f.sync(ctx)
 		f.mu.Lock()
-		here := answered && f.holder.Current()
+		here := answered && f.replica.IsCurrent()
 		f.mu.Unlock()
 		if here {
 			return true
 		}
-		f.between(ctx, time.Now().Add(unheard))
+		f.fetchUntil(ctx, time.Now().Add(retryInterval))
 		if ctx.Err() != nil {
 			return false
 		}
@@ -292,76 +292,76 @@
 }
 
 // once asks the group once, and does what it has to by the answer.
-func (f *Follower) once(ctx context.Context) bool {
+func (f *Watcher) sync(ctx context.Context) bool {
 	f.mu.Lock()
-	s := quorum.ConfigSync{User: f.holder.Says(), HasVersions: f.holder.Has(), BaseVersions: f.holder.Bases(), ActiveVersions: f.holder.Acts(), StopReason: f.Stops()}
+	s := quorum.ConfigSync{User: f.replica.Report(), HasVersions: f.replica.KnownVersions(), BaseVersions: f.replica.CompleteVersions(), ActiveVersions: f.replica.ActiveVersions(), StopReason: f.StopReason()}
 	asked, wall, sent := f.clock(), Wall(), time.Now()
 	f.mu.Unlock()
-	if f.cfg.Worth != nil {
-		s.Load = f.cfg.Worth()
+	if f.cfg.Goodput != nil {
+		s.Load = f.cfg.Goodput()
 	}
 	granted := func(quota.Grant, lease.Terms) {}
-	if f.cfg.Share != nil {
+	if f.cfg.Quota != nil {
 		var w quota.Request
-		w, granted = f.cfg.Share.Says()
+		w, granted = f.cfg.Quota.QuotaRequest()
 		s.Quota = &w
 	}
-	asking, cancel := context.WithTimeout(ctx, askWithin)
+	asking, cancel := context.WithTimeout(ctx, requestTimeout)
 	a, err := f.cfg.Group.Sync(asking, s)
 	cancel()
 	if err != nil {
 		f.cfg.Stats.Inc("rules", "unanswered")
-		f.tell(err)
+		f.logError(err)
 		return false
 	}
-	f.notice() // a confirmation that ended while this was asked
+	f.logStopReason() // a confirmation that ended while this was asked
 	f.mu.Lock()
-	take := f.holder.Told(asked, a.Index, a.Terms, a.Docs, f.check)
-	f.bound = configstore.Terms{Lease: a.Terms.TTL, Drift: a.Terms.Drift}.Bound()
-	f.cfg.Stats.Set(uint64(f.bound.Milliseconds()), "rules", "bound_ms")
-	f.cfg.Stats.Set(uint64(f.longest.Milliseconds()), "rules", "longest_unconfirmed_ms")
-	confirmed := f.holder.Asked() == asked
-	turning := f.holder.Touched()
-	both := append(slices.Clone(*f.turning.Load()), turning...)
-	f.turning.Store(&both)
-	until := f.holder.Until()
+	take := f.replica.Receive(asked, a.Index, a.Terms, a.Docs, f.check)
+	f.conflictBound = configstore.Terms{Lease: a.Terms.TTL, ClockDrift: a.Terms.Drift}.ConflictBound()
+	f.cfg.Stats.Set(uint64(f.conflictBound.Milliseconds()), "rules", "bound_ms")
+	f.cfg.Stats.Set(uint64(f.longestUnconfirmed.Milliseconds()), "rules", "longest_unconfirmed_ms")
+	confirmed := f.replica.LastAsked() == asked
+	turning := f.replica.PauseScopes()
+	both := append(slices.Clone(*f.paused.Load()), turning...)
+	f.paused.Store(&both)
+	until := f.replica.ConfirmedUntil()
 	// It answered between the asking and now, so the clocks differ by this at least.
 	off := max(0, time.UnixMilli(a.Wall).Sub(Wall()), wall.Sub(time.UnixMilli(a.Wall))-time.Millisecond)
-	f.skew = max(f.skew, off)
+	f.observedSkew = max(f.observedSkew, off)
 	f.mu.Unlock()
-	f.tell(nil)
+	f.logError(nil)
 	if a.Grant != nil {
 		granted(*a.Grant, a.Terms)
 	}
-	f.offs()
-	acts := f.act(take)
-	if f.cfg.Skew != nil {
+	f.logMismatches()
+	acts := f.apply(take)
+	if f.cfg.MaxClockSkew != nil {
 		// Two that are each within half of it of the leader's clock are within it of each other.
-		f.apart.Store(off > f.cfg.Skew()/2)
+		f.clockApart.Store(off > f.cfg.MaxClockSkew()/2)
 	}
-	if f.cfg.Told != nil && confirmed { // who lacks a part of what is in force goes by an older one
-		f.cfg.Told(sent)
+	if f.cfg.OnConfirmed != nil && confirmed { // who lacks a part of what is in force goes by an older one
+		f.cfg.OnConfirmed(sent)
 	}
 	// Nothing exclusive goes on before the new is acted on, neither at one that has stopped for it nor at one that comes back to it
 	// unconfirmed.
-	f.turning.Store(&turning)
+	f.paused.Store(&turning)
 	if acts {
-		f.until.Store(int64(until))
+		f.confirmedUntil.Store(int64(until))
 	}
 	return true
 }
 
 // notice logs when something exclusive stops, or may begin again.
-func (f *Follower) notice() {
+func (f *Watcher) logStopReason() {
 	f.mu.Lock()
 	now := f.clock()
-	why, was, since := f.Stops(), f.said, f.saidAt
+	why, was, since := f.StopReason(), f.loggedReason, f.loggedAt
 	changed := why != was
 	if changed {
-		f.said, f.saidAt = why, now
+		f.loggedReason, f.loggedAt = why, now
 	}
-	if was == configstore.Unconfirmed {
-		f.longest = max(f.longest, now-since)
+	if was == configstore.StopUnconfirmed {
+		f.longestUnconfirmed = max(f.longestUnconfirmed, now-since)
 	}
 	f.mu.Unlock()
 	switch {
@@ -369,8 +369,8 @@
 	case why != "":
 		f.cfg.Stats.Inc("rules", "stopped", why)
 		ago := time.Duration(0)
-		if why == configstore.Unconfirmed {
-			ago = now - time.Duration(f.until.Load()) // a process that was stopped sees it late
+		if why == configstore.StopUnconfirmed {
+			ago = now - time.Duration(f.confirmedUntil.Load()) // a process that was stopped sees it late
 		}
 		events.Log(f.cfg.Log, "rules.stops", why, ago)
 	default:
@@ -379,14 +379,14 @@
 }
 
 // tell logs what went wrong, once while it stays the same.
-func (f *Follower) tell(err error) {
+func (f *Watcher) logError(err error) {
 	text := ""
 	if err != nil {
 		text = "can't ask the group"
 	}
 	f.mu.Lock()
-	changed := text != f.last
-	f.last = text
+	changed := text != f.loggedError
+	f.loggedError = text
 	f.mu.Unlock()
 	if changed && err != nil {
 		events.Log(f.cfg.Log, "rules.unanswered", err)
@@ -394,24 +394,24 @@
 }
 
 // Status is what it goes by, as a JSON object.
-func (f *Follower) Status() []byte {
+func (f *Watcher) Status() []byte {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.clock()
 	var a fastjson.Arena
 	o := a.NewObject()
-	o.Set("who", a.NewString(f.holder.Who))
-	o.Set("stops", a.NewString(f.Stops()))
-	o.Set("confirmed_ms_ago", a.NewNumberInt(int((now - f.holder.Asked()).Milliseconds())))
-	o.Set("bound_ms", a.NewNumberInt(int(f.bound.Milliseconds())))
-	o.Set("longest_unconfirmed_ms", a.NewNumberInt(int(f.longest.Milliseconds())))
-	o.Set("clock_off_ms", a.NewNumberInt(int(f.skew.Milliseconds())))
-	acts, list := f.holder.Acts(), a.NewObject()
+	o.Set("who", a.NewString(f.replica.Name))
+	o.Set("stops", a.NewString(f.StopReason()))
+	o.Set("confirmed_ms_ago", a.NewNumberInt(int((now - f.replica.LastAsked()).Milliseconds())))
+	o.Set("bound_ms", a.NewNumberInt(int(f.conflictBound.Milliseconds())))
+	o.Set("longest_unconfirmed_ms", a.NewNumberInt(int(f.longestUnconfirmed.Milliseconds())))
+	o.Set("clock_off_ms", a.NewNumberInt(int(f.observedSkew.Milliseconds())))
+	acts, list := f.replica.ActiveVersions(), a.NewObject()
 	for _, name := range slices.Sorted(maps.Keys(acts)) {
 		list.Set(name, a.NewNumberInt(acts[name]))
 	}
 	o.Set("acts", list)
-	if old := f.holder.Old(); len(old) > 0 {
+	if old := f.replica.OutdatedVersions(); len(old) > 0 {
 		list := a.NewObject()
 		for _, name := range slices.Sorted(maps.Keys(old)) {
 			list.Set(name, a.NewNumberInt(old[name]))
--- a/internal/controlplane/quorum/member/main.go
+++ b/internal/controlplane/quorum/member/main.go
@@ -29,7 +29,7 @@
 const (
 	// maxConnections bounds the connections of a member, of others and of those who ask: each process that follows has one, to whoever
 	// leads, and a restarted one a second for a while.
-	maxConnections = configstore.MostUsers + 512
+	maxConnections = configstore.MaxProcesses + 512
 	memoryLimit    = 192 << 20 // bytes, at which the collector works harder
 )
 
--- a/internal/controlplane/quorum/member/member.go
+++ b/internal/controlplane/quorum/member/member.go
@@ -80,7 +80,7 @@
 	applied            uint64
 	snapshotIndex      uint64
 	lessor             *lease.Lessor
-	configWatch        *configstore.Watch
+	configWatch        *configstore.ProcessMonitor
 	quotaLedger        *quota.Ledger
 	grantable          grantableMap         // the map that the ledger knows
 	readWaiters        []func(ok bool)      // what waits for the next confirming of the lead
@@ -157,7 +157,7 @@
 	m := &Member{
 		cfg: cfg, log: cfg.Log.With().Str("process", cfg.Name).Logger(), stats: cfg.Stats, startedAt: time.Now(),
 		calls: make(chan func(), 256), stopped: make(chan struct{}), store: disk, marks: marks, lessor: lease.NewLessor(lease.Terms{}),
-		configWatch: configstore.NewWatch(lease.Terms{}), quotaLedger: quota.NewLedger(lease.Terms{}),
+		configWatch: configstore.NewProcessMonitor(lease.Terms{}), quotaLedger: quota.NewLedger(lease.Terms{}),
 		vouchedBy: map[uint64]bool{}, peers: map[uint64]*peer{}, proposals: map[uint64]func(statemachine.Result, bool){},
 		reads: map[string]pendingRead{}, salt: binary.BigEndian.Uint64(salt[:]), state: statemachine.New(0), confState: &pb.ConfState{},
 	}
@@ -202,7 +202,7 @@
 	} else if m.state, err = statemachine.Restore(snap.GetData()); err != nil {
 		return fmt.Errorf("%s: %w", m.cfg.Dir, err)
 	}
-	m.lessor, m.configWatch, m.quotaLedger = lease.NewLessor(m.state.Terms), configstore.NewWatch(m.state.Terms), quota.NewLedger(m.state.Terms)
+	m.lessor, m.configWatch, m.quotaLedger = lease.NewLessor(m.state.Terms), configstore.NewProcessMonitor(m.state.Terms), quota.NewLedger(m.state.Terms)
 	m.confState = snap.GetMetadata().GetConfState()
 	m.applied = snap.GetMetadata().GetIndex()
 	m.snapshotIndex = m.applied
@@ -322,7 +322,7 @@
 		m.state, m.confState = state, rd.Snapshot.GetMetadata().GetConfState()
 		m.applied = rd.Snapshot.GetMetadata().GetIndex()
 		m.snapshotIndex = m.applied
-		m.lessor, m.configWatch, m.quotaLedger = lease.NewLessor(state.Terms), configstore.NewWatch(state.Terms), quota.NewLedger(state.Terms)
+		m.lessor, m.configWatch, m.quotaLedger = lease.NewLessor(state.Terms), configstore.NewProcessMonitor(state.Terms), quota.NewLedger(state.Terms)
 		m.updatePeers()
 	}
 	if rd.SoftState != nil {
@@ -371,14 +371,14 @@
 	m.grantable.refreshAt = time.Time{} // what the ledger was told is told again
 	if leads {
 		m.lessor.Promote(m.clock())
-		m.configWatch.Lead(m.clock())
+		m.configWatch.StartLeading(m.clock())
 		m.quotaLedger.StartLeading(m.clock(), m.node.BasicStatus().GetTerm())
 		m.log.Info().Str("event", "group.leads").Uint64("term", m.node.BasicStatus().GetTerm()).Send()
 		m.stats.Inc("group", "led")
 		return
 	}
 	m.lessor.Demote()
-	m.configWatch.Follow()
+	m.configWatch.StopLeading()
 	m.quotaLedger.StopLeading()
 	m.log.Info().Str("event", "group.follows").Send()
 	m.failPending()
@@ -678,7 +678,7 @@
 	who := m.identity.Load()
 	s := &quorum.Status{Name: m.cfg.Name, ID: fmt.Sprintf("%016x", who.ID), Group: m.cfg.Group, GroupID: who.Group, State: "unfounded",
 		Starts: who.Starts, Applied: m.applied, Syncs: m.store.syncs, LeaseMS: m.state.Terms.TTL.Milliseconds(),
-		Drift: m.state.Terms.Drift, Confirmed: m.confirmed, Format: configstore.FormatInParts}
+		Drift: m.state.Terms.Drift, Confirmed: m.confirmed, Format: configstore.PartsFormat}
 	if m.node != nil {
 		b := m.node.BasicStatus()
 		s.Term, s.Commit, s.Leader = b.GetTerm(), b.GetCommit(), m.state.Members[b.Lead].Addr
--- a/internal/controlplane/quorum/member/parts.go
+++ b/internal/controlplane/quorum/member/parts.go
@@ -20,26 +20,26 @@
 // handleConfigParts answers with parts of a version, or with its manifest. Who asks looks at their digests, by what he was told in an answer that
 // a majority confirmed, so that this one needs no confirming.
 func (m *Member) handleConfigParts(w msgpackrpc.Call, answer func(msgpackrpc.CallResult)) {
-	var ask configstore.Want
-	if err := json.Unmarshal(w.Body, &ask); err != nil || len(ask.Names) > configstore.MostParts {
-		answer(refuse(quorum.CodeRefused, "at most %d parts are asked for at a time", configstore.MostParts))
+	var ask configstore.PartsRequest
+	if err := json.Unmarshal(w.Body, &ask); err != nil || len(ask.Names) > configstore.MaxParts {
+		answer(refuse(quorum.CodeRefused, "at most %d parts are asked for at a time", configstore.MaxParts))
 		return
 	}
 	if !m.leading {
 		answer(m.notLeader())
 		return
 	}
-	d := m.state.Config.Docs[ask.Doc]
+	d := m.state.Config.Documents[ask.Doc]
 	if d == nil {
 		answer(refuse(quorum.CodeRefused, "no document %q", ask.Doc))
 		return
 	}
-	id, all, ok := d.At(ask.Version)
+	id, all, ok := d.PartsAt(ask.Version)
 	if !ok {
 		answer(refuse(quorum.CodeRefused, "version %d of %s is not in force or under way in parts", ask.Version, ask.Doc))
 		return
 	}
-	send := quorum.DocumentParts{ID: id, Parts: configstore.Send(all, ask.Names)}
+	send := quorum.DocumentParts{ID: id, Parts: configstore.SelectParts(all, ask.Names)}
 	if len(ask.Names) > 0 {
 		m.stats.Inc("rules", "parts_sent")
 	} else {
@@ -57,10 +57,10 @@
 }
 
 // unreadableDocument names a document of which a version is in force that a process can't read.
-func unreadableDocument(b *configstore.Book, u configstore.User) string {
-	for _, name := range configstore.Docs {
-		reads, uses := u.Reads[name]
-		if d := b.Docs[name]; uses && d != nil && d.Force != nil && d.Force.Format > reads {
+func unreadableDocument(b *configstore.Store, u configstore.Process) string {
+	for _, name := range configstore.DocumentNames {
+		reads, uses := u.Formats[name]
+		if d := b.Documents[name]; uses && d != nil && d.Active != nil && d.Active.Format > reads {
 			return name
 		}
 	}
@@ -68,7 +68,7 @@
 }
 
 // differences are the fields in which a change differs from what is in force: of one in parts those of the parts that it changes.
-func (m *Member) differences(c *configstore.Change, force *configstore.Entry) ([]configstore.Difference, error) {
+func (m *Member) differences(c *configstore.Change, force *configstore.Revision) ([]configstore.Difference, error) {
 	if len(c.Parts) == 0 && c.Draft == "" {
 		old := ""
 		if force != nil {
@@ -76,11 +76,11 @@
 		}
 		return configstore.Diff(c.Doc, old, c.Text)
 	}
-	d := m.state.Config.Docs[c.Doc]
+	d := m.state.Config.Documents[c.Doc]
 	if d == nil {
-		d = &configstore.Doc{Name: c.Doc}
+		d = &configstore.Document{Name: c.Doc}
 	}
-	changed, err := d.Drafted(*c)
+	changed, err := d.DraftedParts(*c)
 	if err != nil {
 		return nil, err
 	}
@@ -94,7 +94,7 @@
 	}
 	var old map[string]configstore.Part
 	switch {
-	case force.Split:
+	case force.InParts:
 		old = force.Parts
 	default: // the first one in parts: against the text split in the same way
 		of, err := settings.ParseCells([]byte(force.Text))
@@ -103,7 +103,7 @@
 		}
 		old = map[string]configstore.Part{}
 		for name, text := range settings.SplitCells(of) {
-			old[name] = configstore.Part{Digest: configstore.DigestOf(text), Text: text}
+			old[name] = configstore.Part{Digest: configstore.PartDigest(text), Text: text}
 		}
 	}
 	return configstore.DiffParts(c.Doc, old, changed)
@@ -117,13 +117,13 @@
 }
 
 // update reads what has changed in the map that is in force. It reports whether there is one.
-func (j *grantableMap) update(e *configstore.Entry) bool {
+func (j *grantableMap) update(e *configstore.Revision) bool {
 	if j.cellMap != nil && j.id == e.ID {
 		return true
 	}
 	var of *cells.Map
 	var err error
-	if e.Split {
+	if e.InParts {
 		old, changed := j.cellMap, map[string]string{}
 		for name, p := range e.Parts {
 			if old == nil || p.Version > j.id.Version {
@@ -145,7 +145,7 @@
 }
 
 // updateLedger tells the ledger what there is to lend, at a new map and as servers come and go and tenants move by the time in it.
-func (m *Member) updateLedger(e *configstore.Entry) bool {
+func (m *Member) updateLedger(e *configstore.Revision) bool {
 	if !m.grantable.update(e) {
 		return false
 	}
@@ -169,9 +169,9 @@
 // proposeConfig puts what a process says of itself into the log. Where a document is in parts, and so no member is of a build that can't read
 // it, what comes while the disk is busy is one entry.
 func (m *Member) proposeConfig(c configstore.Change, done func(r statemachine.Result, ok bool)) error {
-	if !slices.ContainsFunc(configstore.Docs, func(name string) bool {
-		d := m.state.Config.Docs[name]
-		return d != nil && d.Force != nil && d.Force.Split
+	if !slices.ContainsFunc(configstore.DocumentNames, func(name string) bool {
+		d := m.state.Config.Documents[name]
+		return d != nil && d.Active != nil && d.Active.InParts
 	}) {
 		return m.propose(statemachine.Command{Config: &c}, done)
 	}
--- a/internal/controlplane/quorum/member/parts_test.go
+++ b/internal/controlplane/quorum/member/parts_test.go
@@ -141,7 +141,7 @@
 }
 
 // force is what is in force of the map.
-func (g *members) force() *configstore.Entry {
+func (g *members) force() *configstore.Revision {
 	g.t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
@@ -149,11 +149,11 @@
 	if err != nil {
 		g.t.Fatal(err)
 	}
-	d := r.Book.Docs[configstore.DocMap]
+	d := r.Book.Documents[configstore.DocMap]
 	if d == nil {
 		return nil
 	}
-	return d.Force
+	return d.Active
 }
 
 func (g *members) inForce(version int) {
@@ -163,7 +163,7 @@
 
 // largeMap is a map of so many tenants in three cells.
 func largeMap(tenants int) *cells.Map {
-	m := &cells.Map{Version: 1, Window: time.Second, Skew: 50 * time.Millisecond, Lease: time.Second, Patient: time.Second}
+	m := &cells.Map{Version: 1, KeyWindow: time.Second, MaxClockSkew: 50 * time.Millisecond, Lease: time.Second, CallerTimeout: time.Second}
 	for i := range 3 {
 		m.Cells = append(m.Cells, cells.Cell{Name: fmt.Sprint("c", i), Capacity: 100})
 		m.Servers = append(m.Servers, cells.Server{Name: fmt.Sprint("s", i), Addr: fmt.Sprintf("127.0.0.1:%d", i+1), Cell: fmt.Sprint("c", i), Weight: 1})
@@ -178,30 +178,30 @@
 func (g *members) loadMap(texts map[string]string, version int) {
 	g.t.Helper()
 	for _, one := range configstore.Batches(texts) {
-		g.must(configstore.Change{Op: configstore.Load, Doc: configstore.DocMap, Draft: "a", Parts: one})
+		g.must(configstore.Change{Op: configstore.OpLoadDraft, Doc: configstore.DocMap, Draft: "a", Parts: one})
 	}
-	g.must(configstore.Change{Op: configstore.Put, Doc: configstore.DocMap, Version: version, Draft: "a", Digest: configstore.SumOf(texts), By: "t"})
+	g.must(configstore.Change{Op: configstore.OpPropose, Doc: configstore.DocMap, Version: version, Draft: "a", Digest: configstore.TextsDigest(texts), Author: "t"})
 }
 
 // follower is the side of a process that follows the map, without its clock.
 type follower struct {
-	h     *configstore.Holder
+	h     *configstore.Replica
 	says  map[string]string
 	began time.Time
 	bytes int // of the last answer
 }
 
 func newFollower(name string, format int) *follower {
-	f := &follower{h: configstore.NewHolder(name, map[string]int{configstore.DocMap: format}), says: map[string]string{}, began: time.Now()}
+	f := &follower{h: configstore.NewReplica(name, map[string]int{configstore.DocMap: format}), says: map[string]string{}, began: time.Now()}
 	f.h.CheckParts = func(string, map[string]string, bool) error { return nil }
 	return f
 }
 
-func (f *follower) take(list []configstore.Took) {
+func (f *follower) take(list []configstore.Update) {
 	for _, t := range list {
-		if t.Whole || t.Entry.Text != "" {
-			f.says = map[string]string{"": t.Entry.Text}
-			if t.Entry.Text == "" {
+		if t.Complete || t.Revision.Text != "" {
+			f.says = map[string]string{"": t.Revision.Text}
+			if t.Revision.Text == "" {
 				delete(f.says, "")
 			}
 		}
@@ -216,20 +216,20 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
 	asked := time.Since(f.began)
-	a, err := g.Sync(ctx, quorum.ConfigSync{User: f.h.Says(), HasVersions: f.h.Has(), BaseVersions: f.h.Bases(), ActiveVersions: f.h.Acts()})
+	a, err := g.Sync(ctx, quorum.ConfigSync{User: f.h.Report(), HasVersions: f.h.KnownVersions(), BaseVersions: f.h.CompleteVersions(), ActiveVersions: f.h.ActiveVersions()})
 	if err != nil {
 		return err
 	}
 	b, _ := json.Marshal(a)
 	f.bytes = len(b)
-	f.take(f.h.Told(asked, a.Index, a.Terms, a.Docs, pass))
-	if w, _, ok := f.h.Wants(time.Since(f.began)); ok {
+	f.take(f.h.Receive(asked, a.Index, a.Terms, a.Docs, pass))
+	if w, _, ok := f.h.NextRequest(time.Since(f.began)); ok {
 		p, err := g.Parts(ctx, w)
 		if err != nil {
-			f.h.Vain()
+			f.h.RequestFailed()
 			return err
 		}
-		f.take(f.h.Got(time.Since(f.began), w, p.ID, p.Parts, pass))
+		f.take(f.h.ReceiveParts(time.Since(f.began), w, p.ID, p.Parts, pass))
 	}
 	return nil
 }
@@ -264,7 +264,7 @@
 		if len(changed) != 2 {
 			t.Fatalf("%d parts changed", len(changed))
 		}
-		c := configstore.Change{Op: configstore.Put, Doc: configstore.DocMap, Version: 1, Parts: changed, Digest: configstore.SumOf(after), By: "t"}
+		c := configstore.Change{Op: configstore.OpPropose, Doc: configstore.DocMap, Version: 1, Parts: changed, Digest: configstore.TextsDigest(after), Author: "t"}
 		wrong := c
 		wrong.Digest++
 		if r := g.do(wrong); !strings.Contains(r.Error, "they are of another version") {
@@ -275,7 +275,7 @@
 		g.await("the change", func() bool { f.once(g); most = max(most, f.bytes); return maps.Equal(f.says, after) })
 		size := 0
 		for _, text := range changed {
-			size += configstore.Encoded(text)
+			size += configstore.EncodedSize(text)
 		}
 		if most > atRest[len(atRest)-1]+2*size+1000 {
 			t.Errorf("%d tenants: an answer of %d bytes for a change of %d", tenants, most, size)
@@ -292,9 +292,9 @@
 func TestTouchesOfAChange(t *testing.T) {
 	g := newMembers(t, 1, 3*time.Second)
 	m := largeMap(30)
-	g.must(configstore.Change{Op: configstore.Put, Doc: configstore.DocMap, Text: string(settings.FormatCells(m))})
+	g.must(configstore.Change{Op: configstore.OpPropose, Doc: configstore.DocMap, Text: string(settings.FormatCells(m))})
 	g.inForce(1)
-	if e := g.force(); e.Split || e.Format != 1 {
+	if e := g.force(); e.InParts || e.Format != 1 {
 		t.Fatalf("%+v", e)
 	}
 	version := 1
@@ -309,30 +309,30 @@
 			m.Cells = append(m.Cells, cells.Cell{Name: "new", Capacity: 5})
 			m.Servers = append(m.Servers, cells.Server{Name: "sn", Addr: "127.0.0.1:9", Cell: "new", Weight: 1})
 		}, true, "cell:new"},
-		{func() { m.Skew *= 2 }, true, ""},
+		{func() { m.MaxClockSkew *= 2 }, true, ""},
 	} {
 		m.Version++
 		c.change()
 		texts := settings.SplitCells(m)
-		r := g.must(configstore.Change{Op: configstore.Put, Doc: configstore.DocMap, Version: version, Parts: texts, Digest: configstore.SumOf(texts), Touches: []string{"cell:lie"}})
+		r := g.must(configstore.Change{Op: configstore.OpPropose, Doc: configstore.DocMap, Version: version, Parts: texts, Digest: configstore.TextsDigest(texts), Scope: []string{"cell:lie"}})
 		version++
 		if r.Version != version {
 			t.Errorf("version %d, not %d", r.Version, version)
 		}
 		g.inForce(version)
 		e := g.force()
-		if e.Exclusive != c.exclusive || strings.Join(e.Touches, " ") != c.touches || !e.Split {
-			t.Errorf("version %d: exclusive %v, touches %q", version, e.Exclusive, e.Touches)
+		if e.Exclusive != c.exclusive || strings.Join(e.Scope, " ") != c.touches || !e.InParts {
+			t.Errorf("version %d: exclusive %v, touches %q", version, e.Exclusive, e.Scope)
 		}
 	}
 	for why, c := range map[string]configstore.Change{
-		"only a map is in parts":         {Op: configstore.Load, Doc: configstore.DocRouting, Draft: "x", Parts: map[string]string{"a": "{}"}},
-		"a whole text can't be put":      {Op: configstore.Put, Doc: configstore.DocMap, Version: version, Text: "{}"},
-		"only the group's leader may":    {Op: configstore.Lapse, By: "r1"},
-		"not JSON":                       {Op: configstore.Put, Doc: configstore.DocMap, Version: version, Parts: map[string]string{"top": "{"}},
-		"part t00: 65537 bytes, of 1 to": {Op: configstore.Put, Doc: configstore.DocMap, Version: version, Parts: map[string]string{"t00": strings.Repeat("x", 65537)}},
-		"no draft \"gone\" of map":       {Op: configstore.Put, Doc: configstore.DocMap, Version: version, Draft: "gone"},
-		"bytes in one command":           {Op: configstore.Put, Doc: configstore.DocMap, Version: version, By: strings.Repeat("\x01", 100_000)},
+		"only a map is in parts":         {Op: configstore.OpLoadDraft, Doc: configstore.DocRouting, Draft: "x", Parts: map[string]string{"a": "{}"}},
+		"a whole text can't be put":      {Op: configstore.OpPropose, Doc: configstore.DocMap, Version: version, Text: "{}"},
+		"only the group's leader may":    {Op: configstore.OpExpire, Author: "r1"},
+		"not JSON":                       {Op: configstore.OpPropose, Doc: configstore.DocMap, Version: version, Parts: map[string]string{"top": "{"}},
+		"part t00: 65537 bytes, of 1 to": {Op: configstore.OpPropose, Doc: configstore.DocMap, Version: version, Parts: map[string]string{"t00": strings.Repeat("x", 65537)}},
+		"no draft \"gone\" of map":       {Op: configstore.OpPropose, Doc: configstore.DocMap, Version: version, Draft: "gone"},
+		"bytes in one command":           {Op: configstore.OpPropose, Doc: configstore.DocMap, Version: version, Author: strings.Repeat("\x01", 100_000)},
 	} {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 		r, err := g.Do(ctx, statemachine.Command{Config: &c})
@@ -375,7 +375,7 @@
 	for n := 0; sum("snapshots") < snapshots+2 && n < 1000; n++ { // what is kept of the log is bounded in bytes too
 		one := configstore.Batches(texts)[0]
 		one["t00"] += strings.Repeat(" ", n+1)
-		g.must(configstore.Change{Op: configstore.Load, Doc: configstore.DocMap, Draft: fmt.Sprint("x", n), Parts: one})
+		g.must(configstore.Change{Op: configstore.OpLoadDraft, Doc: configstore.DocMap, Draft: fmt.Sprint("x", n), Parts: one})
 	}
 	if sum("snapshots") < snapshots+2 {
 		t.Fatal("no snapshot was made of what was written")
@@ -409,7 +409,7 @@
 			break
 		}
 	}
-	if e := g.force(); e == nil || e.ID.Digest != configstore.SumOf(texts) {
+	if e := g.force(); e == nil || e.ID.Digest != configstore.TextsDigest(texts) {
 		t.Errorf("%+v", e)
 	}
 }
@@ -492,8 +492,8 @@
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
 	r, err := g.Config(ctx)
-	if err != nil || len(r.Book.Users) != n {
-		t.Fatal(len(r.Book.Users), err)
+	if err != nil || len(r.Book.Processes) != n {
+		t.Fatal(len(r.Book.Processes), err)
 	}
 	entries := g.stats[0].Get("group", "applied") - before
 	if entries > n/10 {
--- a/internal/controlplane/quorum/messages.go
+++ b/internal/controlplane/quorum/messages.go
@@ -114,13 +114,13 @@
 
 // ConfigSync is what a process that acts on documents says of itself, to be told what is in force.
 type ConfigSync struct {
-	User           configstore.User  `json:"user"`
-	HasVersions    map[string][]int  `json:"has"`             // by document: the versions whose texts it has, or whose parts it can name
-	BaseVersions   map[string]int    `json:"bases,omitempty"` // by document in parts: the version that it has complete
-	ActiveVersions map[string]int    `json:"acts"`            // by document: the version that it acts on
-	Load           configstore.Worth `json:"worth"`
-	StopReason     string            `json:"stops,omitempty"` // why nothing exclusive begins there
-	Quota          *quota.Request    `json:"share,omitempty"` // of a router that shares cells with others; nil: it does not
+	User           configstore.Process `json:"user"`
+	HasVersions    map[string][]int    `json:"has"`             // by document: the versions whose texts it has, or whose parts it can name
+	BaseVersions   map[string]int      `json:"bases,omitempty"` // by document in parts: the version that it has complete
+	ActiveVersions map[string]int      `json:"acts"`            // by document: the version that it acts on
+	Load           configstore.Goodput `json:"worth"`
+	StopReason     string              `json:"stops,omitempty"` // why nothing exclusive begins there
+	Quota          *quota.Request      `json:"share,omitempty"` // of a router that shares cells with others; nil: it does not
 }
 
 // ConfigSyncReply is what the process is told.
@@ -134,10 +134,10 @@
 
 // ConfigView is what can be read of the documents, and what the leader has heard of the processes that use them.
 type ConfigView struct {
-	Book  *configstore.Book            `json:"book"`
-	Heard map[string]configstore.Heard `json:"heard"`
-	Terms lease.Terms                  `json:"terms"`
-	Wall  int64                        `json:"wall"` // as in StateView
+	Book  *configstore.Store                   `json:"book"`
+	Heard map[string]configstore.ProcessReport `json:"heard"`
+	Terms lease.Terms                          `json:"terms"`
+	Wall  int64                                `json:"wall"` // as in StateView
 	// GrantedQuota is by cell the most that routers may be acting on, as a share of what there is to grant.
 	GrantedQuota map[string]float64 `json:"lent,omitempty"`
 }
--- a/internal/controlplane/quorum/requests.go
+++ b/internal/controlplane/quorum/requests.go
@@ -53,7 +53,7 @@
 
 // Parts returns parts of a version of a document, or its manifest where none are named. It asks once, of the member that was last known
 // to lead: who asks for parts has a pause of its own before it asks again.
-func (c *Client) Parts(ctx context.Context, w configstore.Want) (p DocumentParts, err error) {
+func (c *Client) Parts(ctx context.Context, w configstore.PartsRequest) (p DocumentParts, err error) {
 	body, err := json.Marshal(w)
 	if err != nil {
 		return p, err
--- a/internal/controlplane/runner/owner.go
+++ b/internal/controlplane/runner/owner.go
@@ -68,7 +68,7 @@
 	cfg    Config
 	who    string
 	began  time.Time
-	series proxy.Series
+	series proxy.VersionDir
 
 	mu      sync.Mutex // of what was seen
 	seen    map[string]controller.Readiness
@@ -88,7 +88,7 @@
 		cfg.Rate = 1
 	}
 	return &Owner{
-		cfg: cfg, who: cfg.Name + "#" + hex.EncodeToString(b[:]), began: time.Now(), series: proxy.Series{Dir: cfg.Set.Map},
+		cfg: cfg, who: cfg.Name + "#" + hex.EncodeToString(b[:]), began: time.Now(), series: proxy.VersionDir{Dir: cfg.Set.Map},
 		seen: map[string]controller.Readiness{}, worth: map[string]controller.WeightedLoad{},
 		reports: controller.Monitor{Routers: cfg.Set.Routers, DeadAfter: cfg.Set.Gone, MaxReportAge: 3 * reportEach},
 	}
@@ -314,7 +314,7 @@
 	case controller.Publish, controller.Withdraw:
 		Boundary(d.name, "intent", j.Step)
 		err := d.series.Put(act.Version, act.Raw)
-		if errors.Is(err, proxy.ErrTaken) {
+		if errors.Is(err, proxy.ErrVersionTaken) {
 			err = nil // what stands there is seen with the next look
 		}
 		if err != nil {
@@ -398,16 +398,16 @@
 		if paused && (it == nil || it.State == controller.Queued) {
 			return controller.Action{}, nil
 		}
-		if m != nil && off > m.Skew {
-			return controller.Action{}, fmt.Errorf("%w: by %v, skew_ms allows %v", errClock, off.Round(time.Millisecond), m.Skew)
+		if m != nil && off > m.MaxClockSkew {
+			return controller.Action{}, fmt.Errorf("%w: by %v, skew_ms allows %v", errClock, off.Round(time.Millisecond), m.MaxClockSkew)
 		}
 		h := controller.PublishedMap{Map: m, Raw: raw}
-		if h.HighestVersion, err = d.series.Top(); err != nil {
+		if h.HighestVersion, err = d.series.HighestVersion(); err != nil {
 			return controller.Action{}, err
 		}
 		if it != nil && it.State == controller.Intended {
 			if plan, err := settings.ParseCells([]byte(it.Plan)); err == nil {
-				if h.Occupant, err = d.series.Place(plan.Version); err != nil {
+				if h.Occupant, err = d.series.Read(plan.Version); err != nil {
 					return controller.Action{}, err
 				}
 			}
@@ -470,8 +470,8 @@
 	o.servers, o.version = nil, m.Version
 	now := time.Now().UnixMilli()
 	for s := range m.AllServers() {
-		if s.Until == 0 || s.Until > now {
-			o.servers = append(o.servers, controller.RolloutServer{Name: s.Name, Cell: s.Cell, Admin: s.Mgmt})
+		if s.LeavesAt == 0 || s.LeavesAt > now {
+			o.servers = append(o.servers, controller.RolloutServer{Name: s.Name, Cell: s.Cell, Admin: s.AdminAddr})
 		}
 	}
 }
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -153,8 +153,8 @@
 	gauges    silverpath.Gauges
 	ticking   bool // a tick waits for its gauges
 	swept     time.Time
-	guard     *guard           // nil: no pools
-	rules     configstore.Seen // what routers have named
+	guard     *guard                     // nil: no pools
+	rules     configstore.VersionTracker // what routers have named
 	looked    time.Duration
 	saidLimit float64
 	saidAt    time.Duration
--- a/internal/core/rules.go
+++ b/internal/core/rules.go
@@ -22,21 +22,21 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.rules.Agree(terms)
+	c.rules.ExtendTerms(terms)
 	c.heard(of, source)
-	c.stats.Set(uint64(c.rules.Terms().Bound().Milliseconds()), "rules", "bound_ms")
-	c.stats.Set(uint64(c.rules.Longest().Milliseconds()), "rules", "longest_ms")
+	c.stats.Set(uint64(c.rules.Terms().ConflictBound().Milliseconds()), "rules", "bound_ms")
+	c.stats.Set(uint64(c.rules.LongestOutdated().Milliseconds()), "rules", "longest_ms")
 }
 
 // heard is called under the lock.
 func (c *Core) heard(of configstore.ID, source string) {
-	was, _ := c.rules.Top()
-	switch c.rules.Hear(c.clock(), of, source) {
-	case configstore.Newer:
+	was, _ := c.rules.Newest()
+	switch c.rules.Observe(c.clock(), of, source) {
+	case configstore.NewerVersion:
 		events.Log(c.log, "rules.newer", of, was.ID, source)
-	case configstore.Conflict:
+	case configstore.ConflictFound:
 		c.stats.Inc("rules", "contradictions")
-		n, words := c.rules.Differ()
+		n, words := c.rules.Conflict()
 		events.Log(c.log, "rules.contradiction", n, words)
 	}
 }
@@ -56,8 +56,8 @@
 		return ""
 	}
 	c.heard(of, r.Source)
-	v := c.rules.Judge(c.clock(), of)
-	if v == configstore.Good {
+	v := c.rules.Check(c.clock(), of)
+	if v == configstore.VerdictValid {
 		return ""
 	}
 	return v.String()
@@ -73,13 +73,13 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if top, ok := c.rules.Top(); ok {
+	if top, ok := c.rules.Newest(); ok {
 		pairs = append(pairs, "g", top.ID.String(), "gn", top.Source)
 	}
-	if n, words := c.rules.Differ(); words != "" {
+	if n, words := c.rules.Conflict(); words != "" {
 		pairs = append(pairs, "gc", strconv.Itoa(n)+" "+words)
 	}
-	if d := c.rules.Hushed(c.clock()); d > 0 {
+	if d := c.rules.SuspendedFor(c.clock()); d > 0 {
 		pairs = append(pairs, "gq", strconv.FormatInt(d.Milliseconds(), 10))
 	}
 	return pairs
@@ -93,16 +93,16 @@
 }
 
 // RulesStatus is what a process has heard of the rules, for operators.
-func RulesStatus(a *fastjson.Arena, s *configstore.Seen, now time.Duration) *fastjson.Value {
+func RulesStatus(a *fastjson.Arena, s *configstore.VersionTracker, now time.Duration) *fastjson.Value {
 	o := a.NewObject()
-	if top, ok := s.Top(); ok {
+	if top, ok := s.Newest(); ok {
 		o.Set("newest", a.NewString(top.ID.String()))
 	}
-	if _, words := s.Differ(); words != "" {
+	if _, words := s.Conflict(); words != "" {
 		o.Set("contradiction", a.NewString(words))
 	}
-	o.Set("quiet_ms", a.NewNumberInt(int(s.Hushed(now).Milliseconds())))
-	o.Set("bound_ms", a.NewNumberInt(int(s.Terms().Bound().Milliseconds())))
-	o.Set("longest_ms", a.NewNumberInt(int(s.Longest().Milliseconds())))
+	o.Set("quiet_ms", a.NewNumberInt(int(s.SuspendedFor(now).Milliseconds())))
+	o.Set("bound_ms", a.NewNumberInt(int(s.Terms().ConflictBound().Milliseconds())))
+	o.Set("longest_ms", a.NewNumberInt(int(s.LongestOutdated().Milliseconds())))
 	return o
 }
--- a/internal/policy/capacity/lines.go
+++ b/internal/policy/capacity/lines.go
@@ -111,7 +111,7 @@
 
 	// A server. Its probes come from all who pick among servers.
 	probed := paced("server.cpu.callers", asks)
-	add(line("server", "state: callers it knows", "", p.Callers, "slowstart.mostCallers", "internal/policy/slowstart",
+	add(line("server", "state: callers it knows", "", p.Callers, "slowstart.maxCallers", "internal/policy/slowstart",
 		"who picks among servers has an entry at each; counted", "callers beyond the bound get no part of a cold server"), always(counted(asks)))
 	add(line("server", "messages", "1/s", 0, "", inProbes+", "+inRules+", "+inReports,
 		"probes and their answers each assumed.probe_ms, words to the group, reports to the announce service; apart: the group is asked again each 100 ms", ""), cells{
@@ -172,7 +172,7 @@
 		cells{Rest: perMap(t.Changes / 86400), Burst: perMap(a.BurstChanges)})
 	if inParts {
 		add(line("router", "bytes in, the map as it starts", "KB", 0, "", inRules, "all parts", ""), always(func(s float64) Estimate { return assumed(c.partsWord(s) / kb) }))
-		add(line("router", "askings for the map as it starts", "", 0, "", inRules, "for the manifest, and for parts by name, each answered with configstore.SendBudget at most; the first at a moment drawn within two seconds", ""),
+		add(line("router", "askings for the map as it starts", "", 0, "", inRules, "for the manifest, and for parts by name, each answered with configstore.MaxPartsAnswerSize at most; the first at a moment drawn within two seconds", ""),
 			always(func(s float64) Estimate { return assumed(1 + math.Ceil(c.partsWord(s)/p.SendBudget)) }))
 	}
 	add(line("router", "descriptors: connections to servers", "", c.places()*p.HomeShare, "2 of 5 of assumed.sockets less the spare ones", inFleet+", internal/service",
@@ -214,7 +214,7 @@
 	add(line("follower", "bytes, in and out", "KB/s", t.Control.Bytes, bytes, inRules, "words that bring no news", ""), cells{Rest: talk, Apart: asAtRest(talk)})
 
 	// The member that leads.
-	add(line("leader", "state: processes that are registered", "", p.Users, "rulebook.MostUsers", inBook,
+	add(line("leader", "state: processes that are registered", "", p.Users, "configstore.MaxProcesses", inBook,
 		"servers and routers; a zone that was off for under a lease comes back beside its old starts, which haven't lapsed",
 		"a process beyond the bound can't register: it begins nothing exclusive"), cells{
 		Rest: counted(followers), ZoneBack: counted(followers * (1 + 1/t.Zones))})
@@ -351,7 +351,7 @@
 	add(line("tool", "messages", "", 0, "", "cmd/silverpath, internal/controlplane/quorum", "for one command: a reading of the rules, the change, and readings until it is in force", ""), always(fixed(3)))
 	add(line("tool", "descriptors", "", 0, "", "cmd/silverpath, internal/controlplane/quorum", "a connection to each member that it tries", ""), always(fixed(c.members())))
 	if inParts {
-		add(line("tool", "words of a first import", "", 0, "", "cmd/silverpath, internal/controlplane/quorum", "parts of half of rulebook.longestText each, into a draft", ""), always(func(s float64) Estimate {
+		add(line("tool", "words of a first import", "", 0, "", "cmd/silverpath, internal/controlplane/quorum", "parts of half of configstore.maxTextSize each, into a draft", ""), always(func(s float64) Estimate {
 			return assumed(math.Ceil(2 * c.partsText(s) / p.LongestText))
 		}))
 		reading := func(more float64) figure {
--- a/internal/policy/capacity/page_test.go
+++ b/internal/policy/capacity/page_test.go
@@ -149,14 +149,14 @@
 // What an entry takes of a document, a word, a status and a report is what the program writes, for names of eleven and twelve letters.
 func TestSizes(t *testing.T) {
 	of := func(servers, tenants int) *cells.Map {
-		m := &cells.Map{Version: 1, Window: time.Second, Lease: time.Second, Patient: time.Second, Cells: []cells.Cell{{Name: "cell-001", Capacity: 430}}}
+		m := &cells.Map{Version: 1, KeyWindow: time.Second, Lease: time.Second, CallerTimeout: time.Second, Cells: []cells.Cell{{Name: "cell-001", Capacity: 430}}}
 		for i := range servers {
 			m.Servers = append(m.Servers, cells.Server{Name: fmt.Sprintf("server-%04d", i), Addr: fmt.Sprintf("10.20.101.%03d:4001", i), Cell: "cell-001",
-				Weight: 1, From: 1767225600000})
+				Weight: 1, JoinsAt: 1767225600000})
 		}
 		for i := range tenants {
 			m.Tenants = append(m.Tenants, cells.Tenant{Name: fmt.Sprintf("tenant-%05d", i), Rate: 11.5,
-				Homes: []cells.Home{{Cell: "cell-001", Shard: 8, From: 1767225600000}}})
+				Homes: []cells.Home{{Cell: "cell-001", Shard: 8, Since: 1767225600000}}})
 		}
 		return m
 	}
@@ -169,7 +169,7 @@
 		return len(b)
 	}
 	status := func(m *cells.Map) int {
-		r, err := proxy.New(proxy.Config{Name: "r", Cores: 1, Probe: time.Second, Sockets: 8, Source: fixed{m}}, nil, log.New(io.Discard, "", 0), &metrics.Counters{})
+		r, err := proxy.New(proxy.Config{Name: "r", Cores: 1, HealthCheckInterval: time.Second, MaxConnections: 8, Source: fixed{m}}, nil, log.New(io.Discard, "", 0), &metrics.Counters{})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -187,7 +187,7 @@
 		{"status", status, p.ServerStatus, 0},
 		{"status of tenants that have moved", func(m *cells.Map) int {
 			for i := range m.Tenants {
-				m.Tenants[i].Homes = append(m.Tenants[i].Homes, cells.Home{Cell: "cell-001", Shard: 8, From: 1767225600001})
+				m.Tenants[i].Homes = append(m.Tenants[i].Homes, cells.Home{Cell: "cell-001", Shard: 8, Since: 1767225600001})
 			}
 			return status(m)
 		}, p.ServerStatus, p.TenantStatus},
@@ -209,7 +209,7 @@
 	}
 	inWords := func(m *cells.Map) (n int) {
 		for _, text := range settings.SplitCells(m) {
-			n += configstore.Encoded(text)
+			n += configstore.EncodedSize(text)
 		}
 		return n
 	}
@@ -246,14 +246,14 @@
 		t.Errorf("%v bytes of a part without entries, the table has %v", n, p.PartWord)
 	}
 	// A process that is registered: of one map under way it has said that it holds it.
-	book := func(users int) (b *configstore.Book, heard map[string]configstore.Heard) {
-		b, heard = configstore.NewBook(), map[string]configstore.Heard{}
+	book := func(users int) (b *configstore.Store, heard map[string]configstore.ProcessReport) {
+		b, heard = configstore.NewStore(), map[string]configstore.ProcessReport{}
 		for i := range users {
 			name := fmt.Sprintf("server-%04d#0a1b2c3d", i)
-			b.Users[name] = &configstore.User{Name: name, Reads: map[string]int{configstore.DocMap: 2, configstore.DocRouting: 1, configstore.DocClasses: 1},
-				Holds: map[string]int{configstore.DocMap: version}, Stopped: map[string]int{}}
-			heard[name] = configstore.Heard{Ago: 512, Acts: map[string]int{configstore.DocMap: version, configstore.DocRouting: 123, configstore.DocClasses: 12},
-				Worth: configstore.Worth{Asked: 123456.5, Served: 123455.25}}
+			b.Processes[name] = &configstore.Process{Name: name, Formats: map[string]int{configstore.DocMap: 2, configstore.DocRouting: 1, configstore.DocClasses: 1},
+				Prepared: map[string]int{configstore.DocMap: version}, Quiesced: map[string]int{}}
+			heard[name] = configstore.ProcessReport{AgeMS: 512, ActiveVersions: map[string]int{configstore.DocMap: version, configstore.DocRouting: 123, configstore.DocClasses: 12},
+				Goodput: configstore.Goodput{Offered: 123456.5, Served: 123455.25}}
 		}
 		return b, heard
 	}
@@ -268,7 +268,7 @@
 	}
 	read := func(users int) int {
 		b, heard := book(users)
-		return wrote(quorum.ConfigView{Book: b.Listed(), Heard: heard})
+		return wrote(quorum.ConfigView{Book: b.Summary(), Heard: heard})
 	}
 	if n := float64(snapshot(20)-snapshot(10)) / 10; n != p.UserWord {
 		t.Errorf("a snapshot: %v bytes a process, the table has %v", n, p.UserWord)
@@ -278,14 +278,14 @@
 	}
 	further := of(900, many)
 	size = plain(further)
-	further.Tenants[3].Homes = append(further.Tenants[3].Homes, cells.Home{Cell: "cell-001", Shard: 8, From: 1767225600001})
+	further.Tenants[3].Homes = append(further.Tenants[3].Homes, cells.Home{Cell: "cell-001", Shard: 8, Since: 1767225600001})
 	if n := float64(plain(further) - size); n != p.HomePartText {
 		t.Errorf("part: %v bytes a further home, the table has %v", n, p.HomePartText)
 	}
 
 	moved := of(10, 10)
 	base := text(moved)
-	moved.Tenants[3].Homes = append(moved.Tenants[3].Homes, cells.Home{Cell: "cell-001", Shard: 8, From: 1767225600001})
+	moved.Tenants[3].Homes = append(moved.Tenants[3].Homes, cells.Home{Cell: "cell-001", Shard: 8, Since: 1767225600001})
 	if n := float64(text(moved) - base); n != p.HomeText {
 		t.Errorf("document: %v bytes a further home, the table has %v", n, p.HomeText)
 	}
@@ -308,12 +308,12 @@
 		t.Fatal("no line ", figure)
 		return 0
 	}
-	m := &cells.Map{Version: 1, Window: time.Second, Lease: time.Second, Patient: time.Second, Cells: []cells.Cell{{Name: "cell-001", Capacity: 430}}}
+	m := &cells.Map{Version: 1, KeyWindow: time.Second, Lease: time.Second, CallerTimeout: time.Second, Cells: []cells.Cell{{Name: "cell-001", Capacity: 430}}}
 	for i := range int(of.Servers) {
-		m.Servers = append(m.Servers, cells.Server{Name: fmt.Sprintf("server-%04d", i), Addr: fmt.Sprintf("10.20.101.%03d:4001", i), Cell: "cell-001", Weight: 1, From: 1767225600000})
+		m.Servers = append(m.Servers, cells.Server{Name: fmt.Sprintf("server-%04d", i), Addr: fmt.Sprintf("10.20.101.%03d:4001", i), Cell: "cell-001", Weight: 1, JoinsAt: 1767225600000})
 	}
 	for i := range int(of.Tenants) {
-		m.Tenants = append(m.Tenants, cells.Tenant{Name: fmt.Sprintf("tenant-%05d", i), Rate: 11.5, Homes: []cells.Home{{Cell: "cell-001", Shard: 8, From: 1767225600000}}})
+		m.Tenants = append(m.Tenants, cells.Tenant{Name: fmt.Sprintf("tenant-%05d", i), Rate: 11.5, Homes: []cells.Home{{Cell: "cell-001", Shard: 8, Since: 1767225600000}}})
 	}
 	s := statemachine.New(1)
 	do := func(c configstore.Change) {
@@ -325,15 +325,15 @@
 	texts := settings.SplitCells(m)
 	batches := configstore.Batches(texts)
 	for _, one := range batches {
-		do(configstore.Change{Op: configstore.Load, Doc: configstore.DocMap, Draft: "a", Parts: one})
+		do(configstore.Change{Op: configstore.OpLoadDraft, Doc: configstore.DocMap, Draft: "a", Parts: one})
 	}
-	do(configstore.Change{Op: configstore.Put, Doc: configstore.DocMap, Draft: "a", Digest: configstore.SumOf(texts)})
-	do(configstore.Change{Op: configstore.Advance, Doc: configstore.DocMap, Version: 1, Stage: configstore.Proposed})
-	heard := map[string]configstore.Heard{}
+	do(configstore.Change{Op: configstore.OpPropose, Doc: configstore.DocMap, Draft: "a", Digest: configstore.TextsDigest(texts)})
+	do(configstore.Change{Op: configstore.OpAdvance, Doc: configstore.DocMap, Version: 1, Stage: configstore.StageProposed})
+	heard := map[string]configstore.ProcessReport{}
 	for i := range int(of.Servers + float64(p.Routers)) {
-		u := configstore.User{Name: fmt.Sprintf("server-%04d#0a1b2c3d", i), Reads: map[string]int{configstore.DocMap: 2, configstore.DocRouting: 1, configstore.DocClasses: 1}}
-		do(configstore.Change{Op: configstore.Join, User: &u})
-		heard[u.Name] = configstore.Heard{Ago: 512, Acts: map[string]int{configstore.DocMap: 1, configstore.DocRouting: 123, configstore.DocClasses: 12}, Worth: configstore.Worth{Asked: 123456.5, Served: 123455.25}}
+		u := configstore.Process{Name: fmt.Sprintf("server-%04d#0a1b2c3d", i), Formats: map[string]int{configstore.DocMap: 2, configstore.DocRouting: 1, configstore.DocClasses: 1}}
+		do(configstore.Change{Op: configstore.OpRegister, Process: &u})
+		heard[u.Name] = configstore.ProcessReport{AgeMS: 512, ActiveVersions: map[string]int{configstore.DocMap: 1, configstore.DocRouting: 123, configstore.DocClasses: 12}, Goodput: configstore.Goodput{Offered: 123456.5, Served: 123455.25}}
 	}
 	within := func(what string, is int, want float64) {
 		t.Helper()
@@ -354,7 +354,7 @@
 		t.Fatal(err)
 	}
 	within("snapshot", len(b), at("leader", "bytes of a snapshot of the group", capacity.Rest))
-	within("reading", wrote(quorum.ConfigView{Book: s.Config.Listed(), Heard: heard}), at("tool", "bytes of one reading of the rules", capacity.Rest))
+	within("reading", wrote(quorum.ConfigView{Book: s.Config.Summary(), Heard: heard}), at("tool", "bytes of one reading of the rules", capacity.Rest))
 	if n := at("tool", "words of a first import", capacity.Rest) / 1024; math.Abs(float64(len(batches))-n) > 1 {
 		t.Errorf("%d words of a first import, counted %v", len(batches), n)
 	}
@@ -375,19 +375,19 @@
 	}
 	// Of all tenants the mean answer: a change of each part's first tenant.
 	before, sum := texts, 0
-	d, u := s.Config.Docs[configstore.DocMap], s.Config.Users["server-0000#0a1b2c3d"]
-	tell := func(d *configstore.Doc) int {
-		return wrote(quorum.ConfigSyncReply{Docs: map[string]configstore.View{configstore.DocMap: d.Tell(u, []int{1}, 1)}})
+	d, u := s.Config.Documents[configstore.DocMap], s.Config.Processes["server-0000#0a1b2c3d"]
+	tell := func(d *configstore.Document) int {
+		return wrote(quorum.ConfigSyncReply{Docs: map[string]configstore.View{configstore.DocMap: d.ViewFor(u, []int{1}, 1)}})
 	}
 	for i := range cells.TenantParts {
 		name := cells.TenantPartName(i)
 		changed := map[string]string{cells.TopName: `{"version":1234567,"epoch":0}`, name: strings.Replace(before[name], "11.5", "12.5", 1)}
 		over := map[string]configstore.Part{}
 		for name, text := range changed {
-			over[name] = configstore.Part{Version: 2, Digest: configstore.DigestOf(text), Text: text}
+			over[name] = configstore.Part{Version: 2, Digest: configstore.PartDigest(text), Text: text}
 		}
 		next := *d
-		next.Next, next.Stage = &configstore.Entry{ID: configstore.ID{Version: 2}, Format: 2, Split: true, Parts: over}, configstore.Proposed
+		next.Proposed, next.Stage = &configstore.Revision{ID: configstore.ID{Version: 2}, Format: 2, InParts: true, Parts: over}, configstore.StageProposed
 		sum += tell(&next) - tell(d)
 	}
 	within("a tenant's change", sum/cells.TenantParts, at("router", "bytes in, the map with each change", capacity.Burst)/of.Assumed.BurstChanges)
--- a/internal/policy/cells/cells.go
+++ b/internal/policy/cells/cells.go
@@ -19,15 +19,15 @@
 // stand in lists, as in a file, or, where it was joined from parts, in these alone: AllServers and AllTenants run over either, and
 // Flat has lists of either.
 type Map struct {
-	Version int
-	Epoch   uint64        // of the keeper that made it, 0 where there is none: docs/duties.md
-	Window  time.Duration // a sheet may come again for so long after its run began
-	Skew    time.Duration // by which the clocks of two routers may differ
-	Lease   time.Duration // a router that has not read a good map for so long sends no more sheets
-	Patient time.Duration // the longest that a caller waits
-	Cells   []Cell
-	Servers []Server
-	Tenants []Tenant
+	Version       int
+	Epoch         uint64        // of the keeper that made it, 0 where there is none: docs/duties.md
+	KeyWindow     time.Duration // a sheet may come again for so long after its run began
+	MaxClockSkew  time.Duration // by which the clocks of two routers may differ
+	Lease         time.Duration // a router that has not read a good map for so long sends no more sheets
+	CallerTimeout time.Duration // the longest that a caller waits
+	Cells         []Cell
+	Servers       []Server
+	Tenants       []Tenant
 
 	index *index // nil: what is asked for is searched for in the lists
 }
@@ -40,10 +40,10 @@
 
 // Server is a member of a cell from a time to a time.
 type Server struct {
-	Name, Addr, Cell string
-	Mgmt             string // where its operators call, for a roll; empty: it takes part in none
-	Weight           float64
-	From, Until      int64 // Unix milliseconds; Until 0: for good
+	Name, Addr, Cell  string
+	AdminAddr         string // where its operators call, for a roll; empty: it takes part in none
+	Weight            float64
+	JoinsAt, LeavesAt int64 // Unix milliseconds; Until 0: for good
 }
 
 // Tenant is a customer and the cells that it has lived in, the latest last.
@@ -55,10 +55,10 @@
 
 // Home is a tenant's place from a time on.
 type Home struct {
-	Cell  string
-	Shard int   // so many servers of the cell, drawn for the tenant; 0: all
-	From  int64 // Unix milliseconds
-	Abort bool  // it takes a move back
+	Cell    string
+	Shard   int   // so many servers of the cell, drawn for the tenant; 0: all
+	Since   int64 // Unix milliseconds
+	IsAbort bool  // it takes a move back
 }
 
 // Check names the first field that no map can have.
@@ -97,7 +97,7 @@
 		name string
 		d    time.Duration
 		zero bool
-	}{{"window_ms", m.Window, false}, {"skew_ms", m.Skew, true}, {"lease_ms", m.Lease, false}, {"patience_ms", m.Patient, false}} {
+	}{{"window_ms", m.KeyWindow, false}, {"skew_ms", m.MaxClockSkew, true}, {"lease_ms", m.Lease, false}, {"patience_ms", m.CallerTimeout, false}} {
 		if f.d < 0 || f.d == 0 && !f.zero {
 			return nil, fmt.Errorf("%s: not above 0: %d", f.name, f.d.Milliseconds())
 		}
@@ -127,7 +127,7 @@
 		if err := s.check(has, names, addrs); err != nil {
 			return fmt.Errorf("servers[%d].%w", i, err)
 		}
-		full[s.Cell] = full[s.Cell] || s.Until == 0
+		full[s.Cell] = full[s.Cell] || s.LeavesAt == 0
 	}
 	for i, c := range m.Cells {
 		if !full[c.Name] {
@@ -152,8 +152,8 @@
 		return fmt.Errorf("cell: no such cell: %q", s.Cell)
 	case !(s.Weight > 0) || math.IsInf(s.Weight, 1):
 		return fmt.Errorf("weight: not above 0: %v", s.Weight)
-	case s.From < 0 || s.Until < 0 || s.Until > 0 && s.Until <= s.From:
-		return fmt.Errorf("until_ms: not after from_ms: %d", s.Until)
+	case s.JoinsAt < 0 || s.LeavesAt < 0 || s.LeavesAt > 0 && s.LeavesAt <= s.JoinsAt:
+		return fmt.Errorf("until_ms: not after from_ms: %d", s.LeavesAt)
 	}
 	names[s.Name], addrs[s.Addr] = true, true
 	return nil
@@ -177,9 +177,9 @@
 			return fmt.Errorf("homes[%d].cell: no such cell: %q", j, h.Cell)
 		case h.Shard < 0:
 			return fmt.Errorf("homes[%d].shard: negative: %d", j, h.Shard)
-		case j > 0 && h.From <= t.Homes[j-1].From:
-			return fmt.Errorf("homes[%d].from_ms: not after that of the home before: %d", j, h.From)
-		case h.Abort && (j < 2 || h.Cell != t.Homes[j-2].Cell):
+		case j > 0 && h.Since <= t.Homes[j-1].Since:
+			return fmt.Errorf("homes[%d].from_ms: not after that of the home before: %d", j, h.Since)
+		case h.IsAbort && (j < 2 || h.Cell != t.Homes[j-2].Cell):
 			return fmt.Errorf("homes[%d].abort: it takes no move back", j)
 		}
 	}
@@ -207,22 +207,22 @@
 	if m.Epoch < old.Epoch {
 		return fmt.Errorf("epoch: %d is under that of the map in force, %d", m.Epoch, old.Epoch)
 	}
-	if m.Window < old.Window {
+	if m.KeyWindow < old.KeyWindow {
 		return fmt.Errorf("window_ms: shorter than before")
 	}
-	if m.Skew != old.Skew || m.Lease != old.Lease {
+	if m.MaxClockSkew != old.MaxClockSkew || m.Lease != old.Lease {
 		return fmt.Errorf("lease_ms: neither it nor skew_ms may change under way")
 	}
-	x, before := m.lookup(), old.lookup()
+	x, before := m.anyIndex(), old.anyIndex()
 	others := before.tenant("")
-	least := known.Add(m.Lease + m.Skew).UnixMilli()
-	kept := now.Add(-m.dual()).UnixMilli() // what ended before may be left out
-	for at, t := range m.tenantsBeside(before) {
+	least := known.Add(m.Lease + m.MaxClockSkew).UnixMilli()
+	kept := now.Add(-m.overlapWindow()).UnixMilli() // what ended before may be left out
+	for at, t := range m.tenantsNotIn(before) {
 		was := before.tenant(t.Name)
 		for j, h := range t.Homes {
 			known := was != nil && slices.Contains(was.Homes, h)
-			if !known && h.From < least && !(j == 0 && was == nil && h.From == 0) {
-				return fmt.Errorf("%v.homes[%d].from_ms: not a lease ahead: %d is before %d", at, j, h.From, least)
+			if !known && h.Since < least && !(j == 0 && was == nil && h.Since == 0) {
+				return fmt.Errorf("%v.homes[%d].from_ms: not a lease ahead: %d is before %d", at, j, h.Since, least)
 			}
 		}
 		if was == nil {
@@ -232,37 +232,37 @@
 			continue
 		}
 		for j, h := range was.Homes {
-			ended := j+1 < len(was.Homes) && was.Homes[j+1].From < kept || t.Homes[0].From >= least && t.Homes[0].From < kept
-			if !slices.Contains(t.Homes, h) && !ended && h.From < least {
+			ended := j+1 < len(was.Homes) && was.Homes[j+1].Since < kept || t.Homes[0].Since >= least && t.Homes[0].Since < kept
+			if !slices.Contains(t.Homes, h) && !ended && h.Since < least {
 				return fmt.Errorf("%v.homes: %q was in %q, which can't be undone: append a home", at, t.Name, h.Cell)
 			}
 		}
 	}
-	for _, t := range old.tenantsBeside(x) {
+	for _, t := range old.tenantsNotIn(x) {
 		if x.tenant(t.Name) == nil {
 			return fmt.Errorf("tenants: %q is gone", t.Name)
 		}
 	}
-	return m.followServers(old, x, before, least, kept)
+	return m.checkServersFollow(old, x, before, least, kept)
 }
 
-func (m *Map) followServers(old *Map, x, before *index, least, kept int64) error {
-	for at, s := range m.serversBeside(before) {
+func (m *Map) checkServersFollow(old *Map, x, before *index, least, kept int64) error {
+	for at, s := range m.serversNotIn(before) {
 		was := before.server(s.Name)
 		switch {
 		case was == nil:
-			if s.From < least {
-				return fmt.Errorf("%v.from_ms: not a lease ahead: %d is before %d", at, s.From, least)
+			if s.JoinsAt < least {
+				return fmt.Errorf("%v.from_ms: not a lease ahead: %d is before %d", at, s.JoinsAt, least)
 			}
-		case s.Cell != was.Cell || s.Weight != was.Weight || s.From != was.From && was.From < least:
+		case s.Cell != was.Cell || s.Weight != was.Weight || s.JoinsAt != was.JoinsAt && was.JoinsAt < least:
 			return fmt.Errorf("%v: %q changes its cell, weight or from_ms: give it another name", at, s.Name)
-		case s.Until != was.Until && (s.Until > 0 && s.Until < least || was.Until > 0 && was.Until < least):
-			return fmt.Errorf("%v.until_ms: not a lease ahead: %d is before %d", at, s.Until, least)
+		case s.LeavesAt != was.LeavesAt && (s.LeavesAt > 0 && s.LeavesAt < least || was.LeavesAt > 0 && was.LeavesAt < least):
+			return fmt.Errorf("%v.until_ms: not a lease ahead: %d is before %d", at, s.LeavesAt, least)
 		}
 	}
-	for _, s := range old.serversBeside(x) {
+	for _, s := range old.serversNotIn(x) {
 		// One that had left before what may be left out, by a map that was never heard of, is not missed.
-		if x.server(s.Name) == nil && (s.Until == 0 && least >= kept || s.Until >= kept) {
+		if x.server(s.Name) == nil && (s.LeavesAt == 0 && least >= kept || s.LeavesAt >= kept) {
 			return fmt.Errorf("servers: %q is gone, and its keys may come again: set until_ms", s.Name)
 		}
 	}
@@ -271,7 +271,7 @@
 
 // Server returns a server by its name, nil for none.
 func (m *Map) Server(name string) *Server {
-	if x := m.indexed(); x != nil {
+	if x := m.validIndex(); x != nil {
 		return x.server(name)
 	}
 	for i := range m.Servers {
@@ -284,7 +284,7 @@
 
 // tenant returns a tenant, or, where it is not named and the exact one is not asked for, that of all others.
 func (m *Map) tenant(name string, exact bool) *Tenant {
-	if x := m.indexed(); x != nil {
+	if x := m.validIndex(); x != nil {
 		t := x.tenant(name)
 		if t == nil && !exact {
 			t = x.tenant("")
@@ -307,22 +307,22 @@
 }
 
 // Agreed is a tenant's name in the map, "" for all that are not named, and the rate agreed with it.
-func (m *Map) Agreed(tenant string) (name string, rate float64) {
+func (m *Map) AgreedRate(tenant string) (name string, rate float64) {
 	if t := m.tenant(tenant, false); t != nil {
 		return t.Name, t.Rate
 	}
 	return "", 0
 }
 
-// dual is how long after a change a key may still come again from where it ran before: its window, from the last run that
+// overlapWindow is how long after a change a key may still come again from where it ran before: its window, from the last run that
 // a router whose clock is behind may have sent there, and as long as its caller waits for it.
-func (m *Map) dual() time.Duration { return m.Window + m.Patient + 2*m.Skew }
+func (m *Map) overlapWindow() time.Duration { return m.KeyWindow + m.CallerTimeout + 2*m.MaxClockSkew }
 
 // ---- Homes ----
 
-// score is a server's rendezvous score for a key: Thaler and Ravishankar, "A Name-Based Mapping Scheme for Rendezvous"
+// rendezvousScore is a server's rendezvous score for a key: Thaler and Ravishankar, "A Name-Based Mapping Scheme for Rendezvous"
 // (1996), weighted as by Schindelhauer and Schomaker (2005).
-func score(key, server string, weight float64) float64 {
+func rendezvousScore(key, server string, weight float64) float64 {
 	var d xxhash.Digest
 	d.Reset()
 	d.WriteString(server)
@@ -333,19 +333,19 @@
 }
 
 // members are the servers of a cell at a time, of all that ever belong to it. The list is not to be changed.
-func (m *Map) members(cell string, at int64) []*Server {
+func (m *Map) activeServers(cell string, at int64) []*Server {
 	var list []*Server
-	if x := m.indexed(); x != nil {
+	if x := m.validIndex(); x != nil {
 		c := x.cells[cell]
 		if c == nil {
 			return nil
 		}
-		if !slices.ContainsFunc(c.servers, func(s *Server) bool { return !s.in(at) }) {
+		if !slices.ContainsFunc(c.servers, func(s *Server) bool { return !s.isActive(at) }) {
 			return c.servers
 		}
 		list = make([]*Server, 0, len(c.servers))
 		for _, s := range c.servers {
-			if s.in(at) {
+			if s.isActive(at) {
 				list = append(list, s)
 			}
 		}
@@ -353,7 +353,7 @@
 	}
 	for i := range m.Servers {
 		s := &m.Servers[i]
-		if s.Cell == cell && s.in(at) {
+		if s.Cell == cell && s.isActive(at) {
 			list = append(list, s)
 		}
 	}
@@ -361,30 +361,32 @@
 }
 
 // in reports whether a server belongs to its cell at a time.
-func (s *Server) in(at int64) bool { return s.From <= at && (s.Until == 0 || at < s.Until) }
+func (s *Server) isActive(at int64) bool {
+	return s.JoinsAt <= at && (s.LeavesAt == 0 || at < s.LeavesAt)
+}
 
 // home is a tenant's home at a time.
-func (t *Tenant) home(at int64) Home {
+func (t *Tenant) homeAt(at int64) Home {
 	h := t.Homes[0]
 	for _, next := range t.Homes[1:] {
-		if next.From <= at {
+		if next.Since <= at {
 			h = next
 		}
 	}
 	return h
 }
 
-// shard draws a tenant's servers from those of its cell: the first of them by the rendezvous score of its name, so that
+// drawShard draws a tenant's servers from those of its cell: the first of them by the rendezvous score of its name, so that
 // one server more or less changes at most one of them.
-func shard(tenant string, n int, list []*Server) []*Server {
+func drawShard(tenant string, n int, list []*Server) []*Server {
 	if n <= 0 || n >= len(list) {
 		return list
 	}
-	all := make([]ranked, len(list))
+	all := make([]scoredServer, len(list))
 	for i, s := range list {
-		all[i] = ranked{s, score("shard\x00"+tenant, s.Name, s.Weight)}
+		all[i] = scoredServer{s, rendezvousScore("shard\x00"+tenant, s.Name, s.Weight)}
 	}
-	slices.SortFunc(all, ranked.before)
+	slices.SortFunc(all, scoredServer.before)
 	drawn := make([]*Server, n)
 	for i := range drawn {
 		drawn[i] = all[i].Server
@@ -393,17 +395,17 @@
 }
 
 // at returns the servers of a tenant at a time.
-func (m *Map) at(t *Tenant, name string, when int64) []*Server {
-	h := t.home(when)
-	return shard(name, h.Shard, m.members(h.Cell, when))
+func (m *Map) serversOf(t *Tenant, name string, when int64) []*Server {
+	h := t.homeAt(when)
+	return drawShard(name, h.Shard, m.activeServers(h.Cell, when))
 }
 
 // pick is the server of a list whose score for a key is the highest.
-func pick(list []*Server, tenant, key string) *Server {
+func highestScore(list []*Server, tenant, key string) *Server {
 	var best *Server
 	most := 0.0
 	for _, s := range list {
-		if v := score(tenant+"\x00"+key, s.Name, s.Weight); best == nil || v > most || v == most && s.Name < best.Name {
+		if v := rendezvousScore(tenant+"\x00"+key, s.Name, s.Weight); best == nil || v > most || v == most && s.Name < best.Name {
 			best, most = s, v
 		}
 	}
@@ -412,11 +414,11 @@
 
 // Route is where a request may go.
 type Route struct {
-	Cell    string
-	Servers []string // those of its tenant, for what needs no home
-	Home    string   // of its key; empty without one
-	Ask     []string // former homes, which may know the key: to be asked, the latest first, before the home runs it
-	State   State    // of its tenant
+	Cell        string
+	Servers     []string // those of its tenant, for what needs no home
+	Home        string   // of its key; empty without one
+	FormerHomes []string // former homes, which may know the key: to be asked, the latest first, before the home runs it
+	State       State    // of its tenant
 }
 
 // Route tells where a request of a tenant with a key goes at a time. ok is false where the map has no place for it.
@@ -426,35 +428,35 @@
 		return r, false
 	}
 	at := now.UnixMilli()
-	list := m.at(t, tenant, at)
+	list := m.serversOf(t, tenant, at)
 	if len(list) == 0 {
 		return r, false
 	}
-	r.Cell, r.State = t.home(at).Cell, m.state(t, at)
+	r.Cell, r.State = t.homeAt(at).Cell, m.moveState(t, at)
 	for _, s := range list {
 		r.Servers = append(r.Servers, s.Name)
 	}
 	if key == "" {
 		return r, true
 	}
-	r.Home = pick(list, tenant, key).Name
-	for _, when := range m.changes(t, at) {
-		before := m.at(t, tenant, when-1)
+	r.Home = highestScore(list, tenant, key).Name
+	for _, when := range m.recentChanges(t, at) {
+		before := m.serversOf(t, tenant, when-1)
 		if len(before) == 0 {
 			continue
 		}
-		if former := pick(before, tenant, key).Name; former != r.Home && !slices.Contains(r.Ask, former) {
-			r.Ask = append(r.Ask, former)
+		if former := highestScore(before, tenant, key).Name; former != r.Home && !slices.Contains(r.FormerHomes, former) {
+			r.FormerHomes = append(r.FormerHomes, former)
 		}
 	}
 	return r, true
 }
 
-// changes are the times, the latest first, of the changes that a tenant's keys may come across: within the dual stretch
+// recentChanges are the times, the latest first, of the changes that a tenant's keys may come across: within the dual stretch
 // before a time, and, as another router's clock may be ahead, just after it. Of servers, those of the cells that it has lived in
 // count: others change nothing for it.
-func (m *Map) changes(t *Tenant, at int64) []int64 {
-	least, most := at-m.dual().Milliseconds(), at
+func (m *Map) recentChanges(t *Tenant, at int64) []int64 {
+	least, most := at-m.overlapWindow().Milliseconds(), at
 	var list []int64
 	add := func(when int64) {
 		if when > least && when <= most && when > 0 && !slices.Contains(list, when) {
@@ -462,21 +464,21 @@
 		}
 	}
 	for _, h := range t.Homes[1:] {
-		add(h.From)
+		add(h.Since)
 	}
-	if x := m.indexed(); x != nil {
+	if x := m.validIndex(); x != nil {
 		for _, h := range t.Homes {
 			if c := x.cells[h.Cell]; c != nil {
-				i, _ := slices.BinarySearch(c.times, least+1)
-				for ; i < len(c.times) && c.times[i] <= most; i++ {
-					add(c.times[i])
+				i, _ := slices.BinarySearch(c.changeTimes, least+1)
+				for ; i < len(c.changeTimes) && c.changeTimes[i] <= most; i++ {
+					add(c.changeTimes[i])
 				}
 			}
 		}
 	} else {
 		for i := range m.Servers {
-			add(m.Servers[i].From)
-			add(m.Servers[i].Until)
+			add(m.Servers[i].JoinsAt)
+			add(m.Servers[i].LeavesAt)
 		}
 	}
 	slices.SortFunc(list, func(a, b int64) int { return cmp.Compare(b, a) })
@@ -506,35 +508,40 @@
 	if t == nil {
 		return Settled, false
 	}
-	return m.state(t, now.UnixMilli()), true
+	return m.moveState(t, now.UnixMilli()), true
 }
 
-func (m *Map) state(t *Tenant, at int64) State {
+func (m *Map) moveState(t *Tenant, at int64) State {
 	if len(t.Homes) < 2 {
 		return Settled
 	}
 	last := t.Homes[len(t.Homes)-1]
-	switch since := at - last.From; {
-	case since < 0 && last.Abort:
+	switch since := at - last.Since; {
+	case since < 0 && last.IsAbort:
 		return Dual // the move still holds until its abort does
 	case since < 0:
 		return Prepared
-	case since < m.dual().Milliseconds() && last.Abort:
+	case since < m.overlapWindow().Milliseconds() && last.IsAbort:
 		return Aborted
-	case since < m.dual().Milliseconds():
+	case since < m.overlapWindow().Milliseconds():
 		return Dual
-	case since < (m.dual() + m.Patient).Milliseconds():
+	case since < (m.overlapWindow() + m.CallerTimeout).Milliseconds():
 		return Draining
 	}
 	return Settled
 }
 
+// fields are a server's fields as operators' scripts read them from Diff. They stay under these names, whatever the fields' own are.
+func (s *Server) fields() string {
+	return fmt.Sprintf("{Name:%s Addr:%s Cell:%s Mgmt:%s Weight:%v From:%d Until:%d}", s.Name, s.Addr, s.Cell, s.AdminAddr, s.Weight, s.JoinsAt, s.LeavesAt)
+}
+
 // Diff names what differs between two maps, a line each. Parts that they share are not looked at.
 func Diff(old, m *Map) []string {
 	if m == old {
 		return nil
 	}
-	x, before := m.lookup(), old.lookup()
+	x, before := m.anyIndex(), old.anyIndex()
 	var list []string
 	add := func(format string, args ...any) { list = append(list, fmt.Sprintf(format, args...)) }
 	for _, c := range m.Cells {
@@ -549,20 +556,20 @@
 			add("cell %s: gone", c.Name)
 		}
 	}
-	for _, s := range m.serversBeside(before) {
+	for _, s := range m.serversNotIn(before) {
 		switch was := before.server(s.Name); {
 		case was == nil:
-			add("server %s: new in cell %s from %d", s.Name, s.Cell, s.From)
+			add("server %s: new in cell %s from %d", s.Name, s.Cell, s.JoinsAt)
 		case *was != *s:
-			add("server %s: %+v, was %+v", s.Name, *s, *was)
+			add("server %s: %s, was %s", s.Name, s.fields(), was.fields())
 		}
 	}
-	for _, s := range old.serversBeside(x) {
+	for _, s := range old.serversNotIn(x) {
 		if x.server(s.Name) == nil {
 			add("server %s: gone", s.Name)
 		}
 	}
-	for _, t := range m.tenantsBeside(before) {
+	for _, t := range m.tenantsNotIn(before) {
 		was := before.tenant(t.Name)
 		if was == nil {
 			add("tenant %q: new in cell %s", t.Name, t.Homes[0].Cell)
@@ -573,22 +580,22 @@
 		}
 		for _, h := range t.Homes {
 			if !slices.Contains(was.Homes, h) {
-				add("tenant %q: to cell %s at %d", t.Name, h.Cell, h.From)
+				add("tenant %q: to cell %s at %d", t.Name, h.Cell, h.Since)
 			}
 		}
 		for _, h := range was.Homes {
 			if !slices.Contains(t.Homes, h) {
-				add("tenant %q: no longer in cell %s from %d", t.Name, h.Cell, h.From)
+				add("tenant %q: no longer in cell %s from %d", t.Name, h.Cell, h.Since)
 			}
 		}
 	}
-	for _, t := range old.tenantsBeside(x) {
+	for _, t := range old.tenantsNotIn(x) {
 		if x.tenant(t.Name) == nil {
 			add("tenant %q: gone", t.Name)
 		}
 	}
-	if old.Window != m.Window || old.Skew != m.Skew || old.Lease != m.Lease || old.Patient != m.Patient {
-		add("times: window %v, skew %v, lease %v, patience %v", m.Window, m.Skew, m.Lease, m.Patient)
+	if old.KeyWindow != m.KeyWindow || old.MaxClockSkew != m.MaxClockSkew || old.Lease != m.Lease || old.CallerTimeout != m.CallerTimeout {
+		add("times: window %v, skew %v, lease %v, patience %v", m.KeyWindow, m.MaxClockSkew, m.Lease, m.CallerTimeout)
 	}
 	return list
 }
--- a/internal/policy/cells/cells_test.go
+++ b/internal/policy/cells/cells_test.go
@@ -19,8 +19,8 @@
 // fleet is a map of n servers in three cells, and four brands.
 func fleet(n int) *Map {
 	m := &Map{
-		Version: 1, Window: 13170 * time.Millisecond, Skew: 500 * time.Millisecond, Lease: 5 * time.Second,
-		Patient: 4400 * time.Millisecond, Cells: []Cell{{"a", 100}, {"b", 100}, {"c", 100}},
+		Version: 1, KeyWindow: 13170 * time.Millisecond, MaxClockSkew: 500 * time.Millisecond, Lease: 5 * time.Second,
+		CallerTimeout: 4400 * time.Millisecond, Cells: []Cell{{"a", 100}, {"b", 100}, {"c", 100}},
 		Tenants: []Tenant{{"kvizmojster", 100, []Home{{Cell: "a"}}}, {"pametna", 50, []Home{{Cell: "b"}}},
 			{"krcmarski", 20, []Home{{Cell: "b", Shard: 2}}}, {"", 10, []Home{{Cell: "c"}}}},
 	}
@@ -37,19 +37,21 @@
 	}
 	for want, change := range map[string]func(m *Map){
 		"version: under 1: 0":                                      func(m *Map) { m.Version = 0 },
-		"window_ms: not above 0: 0":                                func(m *Map) { m.Window = 0 },
+		"window_ms: not above 0: 0":                                func(m *Map) { m.KeyWindow = 0 },
 		`cells[1].name: "a" given twice`:                           func(m *Map) { m.Cells[1].Name = "a" },
 		`servers[4].name: "s0" given twice`:                        func(m *Map) { m.Servers[4].Name = "s0" },
 		`servers[4].addr: "127.0.0.1:5000" given twice`:            func(m *Map) { m.Servers[4].Addr = "127.0.0.1:5000" },
 		`servers[2].cell: no such cell: "x"`:                       func(m *Map) { m.Servers[2].Cell = "x" },
 		"servers[2].weight: not above 0: 0":                        func(m *Map) { m.Servers[2].Weight = 0 },
-		"servers[2].until_ms: not after from_ms: 5":                func(m *Map) { m.Servers[2].From, m.Servers[2].Until = 5, 5 },
+		"servers[2].until_ms: not after from_ms: 5":                func(m *Map) { m.Servers[2].JoinsAt, m.Servers[2].LeavesAt = 5, 5 },
 		`cells[3]: "d" has no server that stays`:                   func(m *Map) { m.Cells = append(m.Cells, Cell{Name: "d"}) },
 		`tenants[1].homes: "pametna" has no cell`:                  func(m *Map) { m.Tenants[1].Homes = nil },
 		`tenants[1].homes[0].cell: no such cell: "x"`:              func(m *Map) { m.Tenants[1].Homes[0].Cell = "x" },
 		`tenants[2].name: "pametna" given twice`:                   func(m *Map) { m.Tenants[2].Name = "pametna" },
 		"tenants[0].homes[1].from_ms: not after that of the home ": func(m *Map) { m.Tenants[0].Homes = append(m.Tenants[0].Homes, Home{Cell: "b"}) },
-		"tenants[0].homes[1].abort: it takes no move back":         func(m *Map) { m.Tenants[0].Homes = append(m.Tenants[0].Homes, Home{Cell: "b", From: 9, Abort: true}) },
+		"tenants[0].homes[1].abort: it takes no move back": func(m *Map) {
+			m.Tenants[0].Homes = append(m.Tenants[0].Homes, Home{Cell: "b", Since: 9, IsAbort: true})
+		},
 	} {
 		m := fleet(12)
 		change(m)
@@ -68,21 +70,21 @@
 	}{
 		"the same":          {func(m *Map) { m.Version-- }, ""},
 		"older":             {func(m *Map) { m.Version = 0; m.Tenants[0].Rate = 7 }, "version: 0 is not above"},
-		"a move":            {func(m *Map) { m.Tenants[0].Homes = append(m.Tenants[0].Homes, Home{Cell: "b", From: ahead}) }, ""},
-		"a move at once":    {func(m *Map) { m.Tenants[0].Homes = append(m.Tenants[0].Homes, Home{Cell: "b", From: ahead - 2000}) }, "tenants[0].homes[1].from_ms: not a lease ahead"},
+		"a move":            {func(m *Map) { m.Tenants[0].Homes = append(m.Tenants[0].Homes, Home{Cell: "b", Since: ahead}) }, ""},
+		"a move at once":    {func(m *Map) { m.Tenants[0].Homes = append(m.Tenants[0].Homes, Home{Cell: "b", Since: ahead - 2000}) }, "tenants[0].homes[1].from_ms: not a lease ahead"},
 		"another past":      {func(m *Map) { m.Tenants[0].Homes = []Home{{Cell: "b"}} }, "tenants[0].homes[0].from_ms: not a lease ahead"},
 		"a tenant gone":     {func(m *Map) { m.Tenants = m.Tenants[1:] }, `tenants: "kvizmojster" is gone`},
 		"a server gone":     {func(m *Map) { m.Servers = m.Servers[1:] }, `servers: "s0" is gone`},
-		"a server ends":     {func(m *Map) { m.Servers[0].Until = ahead }, ""},
-		"a server ends now": {func(m *Map) { m.Servers[0].Until = ahead - 3000 }, "servers[0].until_ms: not a lease ahead"},
+		"a server ends":     {func(m *Map) { m.Servers[0].LeavesAt = ahead }, ""},
+		"a server ends now": {func(m *Map) { m.Servers[0].LeavesAt = ahead - 3000 }, "servers[0].until_ms: not a lease ahead"},
 		"a server moves":    {func(m *Map) { m.Servers[0].Cell = "b" }, `servers[0]: "s0" changes its cell`},
 		"a server comes": {func(m *Map) {
-			m.Servers = append(m.Servers, Server{Name: "n", Addr: "127.0.0.1:1", Cell: "a", Weight: 1, From: ahead})
+			m.Servers = append(m.Servers, Server{Name: "n", Addr: "127.0.0.1:1", Cell: "a", Weight: 1, JoinsAt: ahead})
 		}, ""},
 		"a server comes now": {func(m *Map) {
-			m.Servers = append(m.Servers, Server{Name: "n", Addr: "127.0.0.1:1", Cell: "a", Weight: 1, From: 0})
+			m.Servers = append(m.Servers, Server{Name: "n", Addr: "127.0.0.1:1", Cell: "a", Weight: 1, JoinsAt: 0})
 		}, "servers[12].from_ms: not a lease ahead"},
-		"a shorter window":    {func(m *Map) { m.Window-- }, "window_ms: shorter"},
+		"a shorter window":    {func(m *Map) { m.KeyWindow-- }, "window_ms: shorter"},
 		"another lease":       {func(m *Map) { m.Lease-- }, "lease_ms: neither"},
 		"named anew":          {func(m *Map) { m.Tenants = append(m.Tenants, Tenant{"new", 1, []Home{{Cell: "c"}}}) }, ""},
 		"named anew and away": {func(m *Map) { m.Tenants = append(m.Tenants, Tenant{"new", 1, []Home{{Cell: "a"}}}) }, "tenants[4].homes[0]: a tenant that is named anew"},
@@ -108,7 +110,7 @@
 	if err := p.Next.Follows(m, t0); err != nil {
 		t.Fatal(err)
 	}
-	dual := p.Next.dual()
+	dual := p.Next.overlapWindow()
 	for _, c := range []struct {
 		after time.Duration
 		state State
@@ -116,13 +118,13 @@
 		asks  int
 	}{
 		{-time.Millisecond, Prepared, "a", 0}, {0, Dual, "b", 1}, {dual - time.Millisecond, Dual, "b", 1},
-		{dual, Draining, "b", 0}, {dual + m.Patient, Settled, "b", 0},
+		{dual, Draining, "b", 0}, {dual + m.CallerTimeout, Settled, "b", 0},
 	} {
 		r, ok := p.Next.Route(p.At.Add(c.after), "kvizmojster", "key")
-		if !ok || r.State != c.state || r.Cell != c.cell || len(r.Ask) != c.asks {
+		if !ok || r.State != c.state || r.Cell != c.cell || len(r.FormerHomes) != c.asks {
 			t.Errorf("%v after: %+v, want %v in %s", c.after, r, c.state, c.cell)
 		}
-		if c.asks > 0 && m.Server(r.Ask[0]).Cell != "a" || m.Server(r.Home).Cell != c.cell {
+		if c.asks > 0 && m.Server(r.FormerHomes[0]).Cell != "a" || m.Server(r.Home).Cell != c.cell {
 			t.Errorf("%v after: %+v", c.after, r)
 		}
 	}
@@ -140,11 +142,11 @@
 	if err := back.Follows(p.Next, half); err != nil {
 		t.Fatal(err)
 	}
-	r, _ := back.Route(half.Add(2*m.Lease+2*m.Skew), "kvizmojster", "key")
-	if r.State != Aborted || r.Cell != "a" || len(r.Ask) != 1 || m.Server(r.Ask[0]).Cell != "b" {
+	r, _ := back.Route(half.Add(2*m.Lease+2*m.MaxClockSkew), "kvizmojster", "key")
+	if r.State != Aborted || r.Cell != "a" || len(r.FormerHomes) != 1 || m.Server(r.FormerHomes[0]).Cell != "b" {
 		t.Errorf("aborted: %+v", r)
 	}
-	if _, err := back.PlanAbort(half.Add(2*m.Lease+2*m.Skew), "kvizmojster"); err == nil {
+	if _, err := back.PlanAbort(half.Add(2*m.Lease+2*m.MaxClockSkew), "kvizmojster"); err == nil {
 		t.Error("an abort is aborted")
 	}
 	early := t0.Add(-time.Hour)
@@ -152,7 +154,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	q.Next.Tenants[0].Homes[1].From = t0.UnixMilli()
+	q.Next.Tenants[0].Homes[1].Since = t0.UnixMilli()
 	if out, err := q.Next.PlanAbort(early, "kvizmojster"); err != nil || len(out.Tenants[0].Homes) != 1 {
 		t.Errorf("one that is not in force for long is taken out: %+v, %v", out, err)
 	}
@@ -196,7 +198,7 @@
 	}
 	less := *m
 	less.Servers = slices.Clone(m.Servers)
-	less.Servers[3].Until = t0.UnixMilli()
+	less.Servers[3].LeavesAt = t0.UnixMilli()
 	moved, wrong := 0, 0
 	const keys = 20000
 	for i := range keys {
@@ -243,22 +245,22 @@
 			now = now.Add(time.Duration(rapid.IntRange(0, 60000).Draw(t, "ms")) * time.Millisecond)
 			next := *m
 			next.Version++
-			at := now.Add(m.Lease + m.Skew + time.Duration(rapid.IntRange(0, 5000).Draw(t, "ahead"))*time.Millisecond)
+			at := now.Add(m.Lease + m.MaxClockSkew + time.Duration(rapid.IntRange(0, 5000).Draw(t, "ahead"))*time.Millisecond)
 			next.Servers, next.Tenants = slices.Clone(m.Servers), slices.Clone(m.Tenants)
 			switch rapid.IntRange(0, 2).Draw(t, "kind") {
 			case 0:
 				i := rapid.IntRange(0, len(next.Servers)-1).Draw(t, "server")
-				if next.Servers[i].Until == 0 && next.Servers[i].From < at.UnixMilli() {
-					next.Servers[i].Until = at.UnixMilli()
+				if next.Servers[i].LeavesAt == 0 && next.Servers[i].JoinsAt < at.UnixMilli() {
+					next.Servers[i].LeavesAt = at.UnixMilli()
 				}
 			case 1:
 				n := len(next.Servers)
 				next.Servers = append(next.Servers, Server{Name: fmt.Sprint("n", n), Addr: fmt.Sprint("127.0.0.2:", n),
-					Cell: "a", Weight: 1, From: at.UnixMilli()})
+					Cell: "a", Weight: 1, JoinsAt: at.UnixMilli()})
 			case 2:
 				t0 := &next.Tenants[0]
-				if last := t0.Homes[len(t0.Homes)-1]; last.From < at.UnixMilli() {
-					t0.Homes = append(slices.Clone(t0.Homes), Home{Cell: rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "cell"), From: at.UnixMilli()})
+				if last := t0.Homes[len(t0.Homes)-1]; last.Since < at.UnixMilli() {
+					t0.Homes = append(slices.Clone(t0.Homes), Home{Cell: rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "cell"), Since: at.UnixMilli()})
 				}
 			}
 			if next.Check() != nil || next.Follows(m, now) != nil {
@@ -274,21 +276,21 @@
 			return
 		}
 		again, _ := m.Route(when, "kvizmojster", key)
-		if r.Home != again.Home || !slices.Contains(r.Servers, r.Home) || slices.Contains(r.Ask, r.Home) {
+		if r.Home != again.Home || !slices.Contains(r.Servers, r.Home) || slices.Contains(r.FormerHomes, r.Home) {
 			t.Fatalf("%+v and %+v", r, again)
 		}
-		for back := time.Duration(1); back < m.dual(); back += 97 * time.Millisecond {
+		for back := time.Duration(1); back < m.overlapWindow(); back += 97 * time.Millisecond {
 			former, ok := m.Route(when.Add(-back), "kvizmojster", key)
-			if ok && former.Home != r.Home && !slices.Contains(r.Ask, former.Home) {
+			if ok && former.Home != r.Home && !slices.Contains(r.FormerHomes, former.Home) {
 				t.Fatalf("%v before it lived in %s, which is not asked: %+v", back, former.Home, r)
 			}
 		}
 		quiet := true
 		for _, c := range changes {
-			quiet = quiet && (when.Before(c.at) || when.Sub(c.at) >= m.dual())
+			quiet = quiet && (when.Before(c.at) || when.Sub(c.at) >= m.overlapWindow())
 		}
-		if quiet && len(r.Ask) > 0 {
-			t.Fatalf("nothing has changed of late, and %v are asked", r.Ask)
+		if quiet && len(r.FormerHomes) > 0 {
+			t.Fatalf("nothing has changed of late, and %v are asked", r.FormerHomes)
 		}
 	})
 }
--- a/internal/policy/cells/homes_test.go
+++ b/internal/policy/cells/homes_test.go
@@ -12,7 +12,7 @@
 // otherwise, a sheet and its repeat would run on two servers. So the routes of 40 keys of five tenants through a move, its abort and
 // servers that come and go stand in testdata as the program gave them before its names were changed.
 func TestRoutesStayWhatTheyWere(t *testing.T) {
-	m := &Map{Version: 1, Window: 10 * time.Second, Skew: 500 * time.Millisecond, Lease: 5 * time.Second, Patient: 4 * time.Second,
+	m := &Map{Version: 1, KeyWindow: 10 * time.Second, MaxClockSkew: 500 * time.Millisecond, Lease: 5 * time.Second, CallerTimeout: 4 * time.Second,
 		Cells: []Cell{{"a", 40}, {"b", 40}}}
 	for i := range 9 {
 		s := Server{Name: fmt.Sprint("s", i), Addr: fmt.Sprint("127.0.0.1:", i+1), Cell: "a", Weight: 1 + float64(i%2)}
@@ -21,16 +21,16 @@
 		}
 		switch i {
 		case 2:
-			s.From = 1020000
+			s.JoinsAt = 1020000
 		case 4:
-			s.Until = 1025000
+			s.LeavesAt = 1025000
 		}
 		m.Servers = append(m.Servers, s)
 	}
 	m.Tenants = []Tenant{
 		{Name: "settled", Rate: 10, Homes: []Home{{Cell: "a"}}},
-		{Name: "moves", Rate: 10, Homes: []Home{{Cell: "a"}, {Cell: "b", From: 1010000}}},
-		{Name: "comes back", Rate: 10, Homes: []Home{{Cell: "a"}, {Cell: "b", From: 1010000}, {Cell: "a", From: 1030000, Abort: true}}},
+		{Name: "moves", Rate: 10, Homes: []Home{{Cell: "a"}, {Cell: "b", Since: 1010000}}},
+		{Name: "comes back", Rate: 10, Homes: []Home{{Cell: "a"}, {Cell: "b", Since: 1010000}, {Cell: "a", Since: 1030000, IsAbort: true}}},
 		{Name: "shard", Rate: 10, Homes: []Home{{Cell: "a", Shard: 2}}},
 		{Name: "", Homes: []Home{{Cell: "b", Shard: 2}}},
 	}
@@ -44,7 +44,7 @@
 		for _, tenant := range []string{"settled", "moves", "comes back", "shard", "unnamed 1", "unnamed 2"} {
 			for k := range 5 {
 				r, ok := m.Route(now, tenant, fmt.Sprint("key-", k))
-				fmt.Fprintf(&got, "%d %s key-%d: %v %s home %s ask %v among %v %v\n", at, tenant, k, ok, r.Cell, r.Home, r.Ask, r.Servers, r.State)
+				fmt.Fprintf(&got, "%d %s key-%d: %v %s home %s ask %v among %v %v\n", at, tenant, k, ok, r.Cell, r.Home, r.FormerHomes, r.Servers, r.State)
 			}
 		}
 		next, ok := m.NextChange(now)
--- a/internal/policy/cells/index.go
+++ b/internal/policy/cells/index.go
@@ -45,7 +45,7 @@
 type index struct {
 	servers [ServerParts]*part[Server]
 	tenants [TenantParts]*part[Tenant]
-	cells   map[string]*cell
+	cells   map[string]*cellIndex
 	joined  bool
 	// The lists that it was made of, so that a copy of the map with other ones is not taken for it.
 	firstServer *Server
@@ -54,16 +54,16 @@
 }
 
 // cell is what a route needs of one.
-type cell struct {
-	known   bool      // it stands in the map, not in a server alone
-	servers []*Server // whenever they belong to it: in the file's order, or, of a map that was joined, by name
-	times   []int64   // at which one of them comes or goes, rising, Unix milliseconds
+type cellIndex struct {
+	inMap       bool      // it stands in the map, not in a server alone
+	servers     []*Server // whenever they belong to it: in the file's order, or, of a map that was joined, by name
+	changeTimes []int64   // at which one of them comes or goes, rising, Unix milliseconds
 }
 
 // Index has the map, which is not changed from here on, find what it is asked for without running over its lists. It is called
 // before anybody else knows the map; a map without it does the same, slowly.
 func (m *Map) Index() {
-	if !m.joined() {
+	if !m.isJoined() {
 		m.index = newIndex(m)
 	}
 }
@@ -91,54 +91,54 @@
 		p.list = append(p.list, &m.Tenants[i])
 	}
 	for _, p := range x.servers {
-		slices.SortStableFunc(p.list, byServer)
+		slices.SortStableFunc(p.list, compareServers)
 	}
 	for _, p := range x.tenants {
-		slices.SortStableFunc(p.list, byTenant)
+		slices.SortStableFunc(p.list, compareTenants)
 	}
-	x.cells = cellsOf(m.Cells, m.AllServers())
+	x.cells = newCellIndex(m.Cells, m.AllServers())
 	return x
 }
 
-func byServer(a, b *Server) int { return strings.Compare(a.Name, b.Name) }
-func byTenant(a, b *Tenant) int { return strings.Compare(a.Name, b.Name) }
+func compareServers(a, b *Server) int { return strings.Compare(a.Name, b.Name) }
+func compareTenants(a, b *Tenant) int { return strings.Compare(a.Name, b.Name) }
 
 // cellsOf has every server in its cell. It grows with the servers, and is made anew where one of them or a cell has changed.
-func cellsOf(list []Cell, servers iter.Seq[*Server]) map[string]*cell {
-	all := make(map[string]*cell, len(list))
+func newCellIndex(list []Cell, servers iter.Seq[*Server]) map[string]*cellIndex {
+	all := make(map[string]*cellIndex, len(list))
 	for _, c := range list {
-		all[c.Name] = &cell{known: true}
+		all[c.Name] = &cellIndex{inMap: true}
 	}
 	for s := range servers {
 		c := all[s.Cell]
 		if c == nil {
-			c = &cell{}
+			c = &cellIndex{}
 			all[s.Cell] = c
 		}
 		c.servers = append(c.servers, s)
-		for _, at := range []int64{s.From, s.Until} {
+		for _, at := range []int64{s.JoinsAt, s.LeavesAt} {
 			if at > 0 {
-				c.times = append(c.times, at)
+				c.changeTimes = append(c.changeTimes, at)
 			}
 		}
 	}
 	for _, c := range all {
-		slices.Sort(c.times)
-		c.times = slices.Compact(c.times)
+		slices.Sort(c.changeTimes)
+		c.changeTimes = slices.Compact(c.changeTimes)
 	}
 	return all
 }
 
 // joined reports whether the map has its servers and tenants in parts alone.
-func (m *Map) joined() bool {
+func (m *Map) isJoined() bool {
 	return m.index != nil && m.index.joined && m.Servers == nil && m.Tenants == nil
 }
 
 // indexed is the map's index, nil where it has none that is of its lists.
-func (m *Map) indexed() *index {
+func (m *Map) validIndex() *index {
 	x := m.index
 	switch {
-	case x == nil || x.joined && !m.joined() || x.lengths != [2]int{len(m.Servers), len(m.Tenants)}:
+	case x == nil || x.joined && !m.isJoined() || x.lengths != [2]int{len(m.Servers), len(m.Tenants)}:
 		return nil
 	case len(m.Servers) > 0 && x.firstServer != &m.Servers[0], len(m.Tenants) > 0 && x.firstTenant != &m.Tenants[0]:
 		return nil
@@ -147,8 +147,8 @@
 }
 
 // lookup is the map's index, or, where it has none, one for a while.
-func (m *Map) lookup() *index {
-	if x := m.indexed(); x != nil {
+func (m *Map) anyIndex() *index {
+	if x := m.validIndex(); x != nil {
 		return x
 	}
 	return newIndex(m)
@@ -175,7 +175,7 @@
 // AllServers runs over the servers: in the order of their file, or by the parts of a map that was joined.
 func (m *Map) AllServers() iter.Seq[*Server] {
 	return func(yield func(*Server) bool) {
-		for _, s := range m.serversBeside(nil) {
+		for _, s := range m.serversNotIn(nil) {
 			if !yield(s) {
 				return
 			}
@@ -186,7 +186,7 @@
 // AllTenants runs over the tenants, as AllServers.
 func (m *Map) AllTenants() iter.Seq[*Tenant] {
 	return func(yield func(*Tenant) bool) {
-		for _, t := range m.tenantsBeside(nil) {
+		for _, t := range m.tenantsNotIn(nil) {
 			if !yield(t) {
 				return
 			}
@@ -196,7 +196,7 @@
 
 // Size is the number of servers and of tenants.
 func (m *Map) Size() (servers, tenants int) {
-	if !m.joined() {
+	if !m.isJoined() {
 		return len(m.Servers), len(m.Tenants)
 	}
 	for _, p := range m.index.servers {
@@ -209,26 +209,26 @@
 }
 
 // place is where an entry of a map stands: in the list of a file, or in that of a part.
-type place struct {
-	part func(int) string // nil: in a file
-	of   int
-	list string
-	i    int
+type position struct {
+	partName func(int) string // nil: in a file
+	number   int
+	list     string
+	index    int
 }
 
-func (p place) String() string {
-	if p.part == nil {
-		return fmt.Sprintf("%s[%d]", p.list, p.i)
+func (p position) String() string {
+	if p.partName == nil {
+		return fmt.Sprintf("%s[%d]", p.list, p.index)
 	}
-	return fmt.Sprintf("part %s: %s[%d]", p.part(p.of), p.list, p.i)
+	return fmt.Sprintf("part %s: %s[%d]", p.partName(p.number), p.list, p.index)
 }
 
 // serversBeside runs over the servers but for those in parts that the map shares with another one.
-func (m *Map) serversBeside(other *index) iter.Seq2[place, *Server] {
-	return func(yield func(place, *Server) bool) {
-		if !m.joined() {
+func (m *Map) serversNotIn(other *index) iter.Seq2[position, *Server] {
+	return func(yield func(position, *Server) bool) {
+		if !m.isJoined() {
 			for i := range m.Servers {
-				if !yield(place{list: "servers", i: i}, &m.Servers[i]) {
+				if !yield(position{list: "servers", index: i}, &m.Servers[i]) {
 					return
 				}
 			}
@@ -239,7 +239,7 @@
 				continue
 			}
 			for i, s := range p.list {
-				if !yield(place{ServerPartName, n, "servers", i}, s) {
+				if !yield(position{ServerPartName, n, "servers", i}, s) {
 					return
 				}
 			}
@@ -248,11 +248,11 @@
 }
 
 // tenantsBeside is serversBeside for tenants.
-func (m *Map) tenantsBeside(other *index) iter.Seq2[place, *Tenant] {
-	return func(yield func(place, *Tenant) bool) {
-		if !m.joined() {
+func (m *Map) tenantsNotIn(other *index) iter.Seq2[position, *Tenant] {
+	return func(yield func(position, *Tenant) bool) {
+		if !m.isJoined() {
 			for i := range m.Tenants {
-				if !yield(place{list: "tenants", i: i}, &m.Tenants[i]) {
+				if !yield(position{list: "tenants", index: i}, &m.Tenants[i]) {
 					return
 				}
 			}
@@ -263,7 +263,7 @@
 				continue
 			}
 			for i, t := range p.list {
-				if !yield(place{TenantPartName, n, "tenants", i}, t) {
+				if !yield(position{TenantPartName, n, "tenants", i}, t) {
 					return
 				}
 			}
@@ -273,14 +273,14 @@
 
 // SameServers reports whether the map shares all its servers with another one, without looking at any.
 func (m *Map) SameServers(other *Map) bool {
-	x, o := m.indexed(), other.indexed()
+	x, o := m.validIndex(), other.validIndex()
 	return m == other || x != nil && o != nil && x.servers == o.servers
 }
 
 // Flat is the map with its servers and tenants in lists, as it stands in a file; those of one that was joined are by name. The
 // lists are not to be changed.
 func (m *Map) Flat() *Map {
-	if !m.joined() {
+	if !m.isJoined() {
 		return m
 	}
 	flat := *m
@@ -291,13 +291,13 @@
 	for t := range m.AllTenants() {
 		flat.Tenants = append(flat.Tenants, *t)
 	}
-	slices.SortFunc(flat.Servers, func(a, b Server) int { return byServer(&a, &b) })
-	slices.SortFunc(flat.Tenants, func(a, b Tenant) int { return byTenant(&a, &b) })
+	slices.SortFunc(flat.Servers, func(a, b Server) int { return compareServers(&a, &b) })
+	slices.SortFunc(flat.Tenants, func(a, b Tenant) int { return compareTenants(&a, &b) })
 	return &flat
 }
 
 // draft is a copy of the map, of the next version, whose lists may be changed.
-func (m *Map) draft() *Map {
+func (m *Map) nextVersion() *Map {
 	next := *m.Flat()
 	next.index = nil
 	next.Version++
@@ -309,15 +309,15 @@
 // moves. ok is false where none is announced. It runs over all cells and tenants.
 func (m *Map) NextChange(after time.Time) (next time.Time, ok bool) {
 	at, first := after.UnixMilli(), int64(math.MaxInt64)
-	for _, c := range m.lookup().cells {
-		if i, _ := slices.BinarySearch(c.times, at+1); i < len(c.times) {
-			first = min(first, c.times[i])
+	for _, c := range m.anyIndex().cells {
+		if i, _ := slices.BinarySearch(c.changeTimes, at+1); i < len(c.changeTimes) {
+			first = min(first, c.changeTimes[i])
 		}
 	}
 	for t := range m.AllTenants() {
 		for _, h := range t.Homes {
-			if h.From > at {
-				first = min(first, h.From)
+			if h.Since > at {
+				first = min(first, h.Since)
 			}
 		}
 	}
@@ -340,8 +340,8 @@
 func Join(old *Map, c Parts) (*Map, error) {
 	m, x := &Map{}, &index{joined: true}
 	if old != nil {
-		was := old.lookup()
-		*m = Map{Version: old.Version, Epoch: old.Epoch, Window: old.Window, Skew: old.Skew, Lease: old.Lease, Patient: old.Patient, Cells: old.Cells}
+		was := old.anyIndex()
+		*m = Map{Version: old.Version, Epoch: old.Epoch, KeyWindow: old.KeyWindow, MaxClockSkew: old.MaxClockSkew, Lease: old.Lease, CallerTimeout: old.CallerTimeout, Cells: old.Cells}
 		x.servers, x.tenants, x.cells = was.servers, was.tenants, was.cells
 	}
 	m.index = x
@@ -361,17 +361,17 @@
 	if err := m.checkTop(); err != nil {
 		return nil, fmt.Errorf("part %s: %w", TopName, err)
 	}
-	has := x.has
+	has := x.hasCell
 	lost := false // a cell that others may refer to
 	if c.Head != nil {
-		m.Window, m.Skew, m.Lease, m.Patient, m.Cells = c.Head.Window, c.Head.Skew, c.Head.Lease, c.Head.Patient, c.Head.Cells
+		m.KeyWindow, m.MaxClockSkew, m.Lease, m.CallerTimeout, m.Cells = c.Head.KeyWindow, c.Head.MaxClockSkew, c.Head.Lease, c.Head.CallerTimeout, c.Head.Cells
 		known, err := m.checkHead()
 		if err != nil {
 			return nil, fmt.Errorf("part %s: %w", HeadName, err)
 		}
 		has = func(name string) bool { return known[name] }
 		for name, was := range x.cells {
-			lost = lost || was.known && !known[name]
+			lost = lost || was.inMap && !known[name]
 		}
 	}
 	for i := range x.servers {
@@ -389,11 +389,11 @@
 				err = fmt.Errorf("name: %q belongs in part %s", s.Name, ServerPartName(ServerPart(s.Name)))
 			}
 			if err != nil {
-				return nil, fmt.Errorf("%v.%w", place{ServerPartName, i, "servers", j}, err)
+				return nil, fmt.Errorf("%v.%w", position{ServerPartName, i, "servers", j}, err)
 			}
 		}
 		if changed {
-			slices.SortFunc(x.servers[i].list, byServer)
+			slices.SortFunc(x.servers[i].list, compareServers)
 		}
 	}
 	if c.Head != nil || len(c.Servers) > 0 || old == nil {
@@ -416,11 +416,11 @@
 				err = fmt.Errorf("name: %q belongs in part %s", t.Name, TenantPartName(TenantPart(t.Name)))
 			}
 			if err != nil {
-				return nil, fmt.Errorf("%v.%w", place{TenantPartName, i, "tenants", j}, err)
+				return nil, fmt.Errorf("%v.%w", position{TenantPartName, i, "tenants", j}, err)
 			}
 		}
 		if changed {
-			slices.SortFunc(x.tenants[i].list, byTenant)
+			slices.SortFunc(x.tenants[i].list, compareTenants)
 		}
 	}
 	return m, nil
@@ -437,27 +437,27 @@
 			}
 			for j, s := range p.list {
 				if addrs[s.Addr] {
-					return fmt.Errorf("%v.addr: %q given twice", place{ServerPartName, i, "servers", j}, s.Addr)
+					return fmt.Errorf("%v.addr: %q given twice", position{ServerPartName, i, "servers", j}, s.Addr)
 				}
 				addrs[s.Addr] = true
 			}
 		}
 	}
-	x.cells = cellsOf(m.Cells, m.AllServers())
+	x.cells = newCellIndex(m.Cells, m.AllServers())
 	for _, c := range x.cells {
-		slices.SortFunc(c.servers, byServer)
+		slices.SortFunc(c.servers, compareServers)
 	}
 	for i, c := range m.Cells {
-		if !slices.ContainsFunc(x.cells[c.Name].servers, func(s *Server) bool { return s.Until == 0 }) {
+		if !slices.ContainsFunc(x.cells[c.Name].servers, func(s *Server) bool { return s.LeavesAt == 0 }) {
 			return fmt.Errorf("part %s: cells[%d]: %q has no server that stays", HeadName, i, c.Name)
 		}
 	}
 	return nil
 }
 
-func (x *index) has(cell string) bool {
+func (x *index) hasCell(cell string) bool {
 	c := x.cells[cell]
-	return c != nil && c.known
+	return c != nil && c.inMap
 }
 
 func pointers[E any](list []E) []*E {
@@ -469,11 +469,11 @@
 }
 
 // ranked is a server with its score.
-type ranked struct {
+type scoredServer struct {
 	*Server
 	score float64
 }
 
-func (a ranked) before(b ranked) int {
+func (a scoredServer) before(b scoredServer) int {
 	return cmp.Or(cmp.Compare(b.score, a.score), strings.Compare(a.Name, b.Name))
 }
--- a/internal/policy/cells/model_test.go
+++ b/internal/policy/cells/model_test.go
@@ -88,11 +88,11 @@
 	}
 	var r routes
 	number := func(name string) uint8 { return name[1] - '0' }
-	for phase, at := range []time.Time{p.At.Add(-time.Millisecond), p.At, p.At.Add(p.Next.dual())} {
+	for phase, at := range []time.Time{p.At.Add(-time.Millisecond), p.At, p.At.Add(p.Next.overlapWindow())} {
 		x, _ := p.Next.Route(at, "kvizmojster", "sheet")
 		r.home[phase], r.former[phase] = number(x.Home), serversOf
-		if len(x.Ask) > 0 {
-			r.former[phase] = number(x.Ask[0])
+		if len(x.FormerHomes) > 0 {
+			r.former[phase] = number(x.FormerHomes[0])
 		}
 	}
 	return r
--- a/internal/policy/cells/parts_test.go
+++ b/internal/policy/cells/parts_test.go
@@ -51,20 +51,20 @@
 	if m.Epoch < old.Epoch {
 		return fmt.Errorf("epoch: %d is under that of the map in force, %d", m.Epoch, old.Epoch)
 	}
-	if m.Window < old.Window {
+	if m.KeyWindow < old.KeyWindow {
 		return fmt.Errorf("window_ms: shorter than before")
 	}
-	if m.Skew != old.Skew || m.Lease != old.Lease {
+	if m.MaxClockSkew != old.MaxClockSkew || m.Lease != old.Lease {
 		return fmt.Errorf("lease_ms: neither it nor skew_ms may change under way")
 	}
-	least := known.Add(m.Lease + m.Skew).UnixMilli()
-	kept := now.Add(-m.dual()).UnixMilli()
+	least := known.Add(m.Lease + m.MaxClockSkew).UnixMilli()
+	kept := now.Add(-m.overlapWindow()).UnixMilli()
 	for i, t := range m.Tenants {
 		was := plainTenant(old, t.Name, true)
 		for j, h := range t.Homes {
 			known := was != nil && slices.Contains(was.Homes, h)
-			if !known && h.From < least && !(j == 0 && was == nil && h.From == 0) {
-				return fmt.Errorf("tenants[%d].homes[%d].from_ms: not a lease ahead: %d is before %d", i, j, h.From, least)
+			if !known && h.Since < least && !(j == 0 && was == nil && h.Since == 0) {
+				return fmt.Errorf("tenants[%d].homes[%d].from_ms: not a lease ahead: %d is before %d", i, j, h.Since, least)
 			}
 		}
 		if was == nil {
@@ -74,8 +74,8 @@
 			continue
 		}
 		for j, h := range was.Homes {
-			ended := j+1 < len(was.Homes) && was.Homes[j+1].From < kept || t.Homes[0].From >= least && t.Homes[0].From < kept
-			if !slices.Contains(t.Homes, h) && !ended && h.From < least {
+			ended := j+1 < len(was.Homes) && was.Homes[j+1].Since < kept || t.Homes[0].Since >= least && t.Homes[0].Since < kept
+			if !slices.Contains(t.Homes, h) && !ended && h.Since < least {
 				return fmt.Errorf("tenants[%d].homes: %q was in %q, which can't be undone: append a home", i, t.Name, h.Cell)
 			}
 		}
@@ -89,17 +89,17 @@
 		was := plainServer(old, s.Name)
 		switch {
 		case was == nil:
-			if s.From < least {
-				return fmt.Errorf("servers[%d].from_ms: not a lease ahead: %d is before %d", i, s.From, least)
+			if s.JoinsAt < least {
+				return fmt.Errorf("servers[%d].from_ms: not a lease ahead: %d is before %d", i, s.JoinsAt, least)
 			}
-		case s.Cell != was.Cell || s.Weight != was.Weight || s.From != was.From && was.From < least:
+		case s.Cell != was.Cell || s.Weight != was.Weight || s.JoinsAt != was.JoinsAt && was.JoinsAt < least:
 			return fmt.Errorf("servers[%d]: %q changes its cell, weight or from_ms: give it another name", i, s.Name)
-		case s.Until != was.Until && (s.Until > 0 && s.Until < least || was.Until > 0 && was.Until < least):
-			return fmt.Errorf("servers[%d].until_ms: not a lease ahead: %d is before %d", i, s.Until, least)
+		case s.LeavesAt != was.LeavesAt && (s.LeavesAt > 0 && s.LeavesAt < least || was.LeavesAt > 0 && was.LeavesAt < least):
+			return fmt.Errorf("servers[%d].until_ms: not a lease ahead: %d is before %d", i, s.LeavesAt, least)
 		}
 	}
 	for _, s := range old.Servers {
-		if plainServer(m, s.Name) == nil && (s.Until == 0 && least >= kept || s.Until >= kept) {
+		if plainServer(m, s.Name) == nil && (s.LeavesAt == 0 && least >= kept || s.LeavesAt >= kept) {
 			return fmt.Errorf("servers: %q is gone, and its keys may come again: set until_ms", s.Name)
 		}
 	}
@@ -124,9 +124,9 @@
 	for _, s := range m.Servers {
 		switch was := plainServer(old, s.Name); {
 		case was == nil:
-			add("server %s: new in cell %s from %d", s.Name, s.Cell, s.From)
+			add("server %s: new in cell %s from %d", s.Name, s.Cell, s.JoinsAt)
 		case *was != s:
-			add("server %s: %+v, was %+v", s.Name, s, *was)
+			add("server %s: %s, was %s", s.Name, s.fields(), was.fields())
 		}
 	}
 	for _, s := range old.Servers {
@@ -145,12 +145,12 @@
 		}
 		for _, h := range t.Homes {
 			if !slices.Contains(was.Homes, h) {
-				add("tenant %q: to cell %s at %d", t.Name, h.Cell, h.From)
+				add("tenant %q: to cell %s at %d", t.Name, h.Cell, h.Since)
 			}
 		}
 		for _, h := range was.Homes {
 			if !slices.Contains(t.Homes, h) {
-				add("tenant %q: no longer in cell %s from %d", t.Name, h.Cell, h.From)
+				add("tenant %q: no longer in cell %s from %d", t.Name, h.Cell, h.Since)
 			}
 		}
 	}
@@ -159,18 +159,18 @@
 			add("tenant %q: gone", t.Name)
 		}
 	}
-	if old.Window != m.Window || old.Skew != m.Skew || old.Lease != m.Lease || old.Patient != m.Patient {
-		add("times: window %v, skew %v, lease %v, patience %v", m.Window, m.Skew, m.Lease, m.Patient)
+	if old.KeyWindow != m.KeyWindow || old.MaxClockSkew != m.MaxClockSkew || old.Lease != m.Lease || old.CallerTimeout != m.CallerTimeout {
+		add("times: window %v, skew %v, lease %v, patience %v", m.KeyWindow, m.MaxClockSkew, m.Lease, m.CallerTimeout)
 	}
 	return list
 }
 
 func plainAt(m *Map, t *Tenant, name string, when int64) []*Server {
-	h := t.home(when)
+	h := t.homeAt(when)
 	var list []*Server
 	for i := range m.Servers {
 		s := &m.Servers[i]
-		if s.Cell == h.Cell && s.From <= when && (s.Until == 0 || when < s.Until) {
+		if s.Cell == h.Cell && s.JoinsAt <= when && (s.LeavesAt == 0 || when < s.LeavesAt) {
 			list = append(list, s)
 		}
 	}
@@ -178,7 +178,7 @@
 		return list
 	}
 	slices.SortFunc(list, func(a, b *Server) int {
-		return cmp.Or(cmp.Compare(score("shard\x00"+name, b.Name, b.Weight), score("shard\x00"+name, a.Name, a.Weight)),
+		return cmp.Or(cmp.Compare(rendezvousScore("shard\x00"+name, b.Name, b.Weight), rendezvousScore("shard\x00"+name, a.Name, a.Weight)),
 			strings.Compare(a.Name, b.Name))
 	})
 	return list[:h.Shard]
@@ -194,15 +194,15 @@
 	if len(list) == 0 {
 		return r, false
 	}
-	r.Cell, r.State = t.home(at).Cell, m.state(t, at)
+	r.Cell, r.State = t.homeAt(at).Cell, m.moveState(t, at)
 	for _, s := range list {
 		r.Servers = append(r.Servers, s.Name)
 	}
 	if key == "" {
 		return r, true
 	}
-	r.Home = pick(list, tenant, key).Name
-	least := at - m.dual().Milliseconds()
+	r.Home = highestScore(list, tenant, key).Name
+	least := at - m.overlapWindow().Milliseconds()
 	var times []int64
 	add := func(when int64) {
 		if when > least && when <= at && when > 0 && !slices.Contains(times, when) {
@@ -210,11 +210,11 @@
 		}
 	}
 	for _, h := range t.Homes[1:] {
-		add(h.From)
+		add(h.Since)
 	}
 	for _, s := range m.Servers { // of all cells
-		add(s.From)
-		add(s.Until)
+		add(s.JoinsAt)
+		add(s.LeavesAt)
 	}
 	slices.SortFunc(times, func(a, b int64) int { return cmp.Compare(b, a) })
 	for _, when := range times {
@@ -222,8 +222,8 @@
 		if len(before) == 0 {
 			continue
 		}
-		if former := pick(before, tenant, key).Name; former != r.Home && !slices.Contains(r.Ask, former) {
-			r.Ask = append(r.Ask, former)
+		if former := highestScore(before, tenant, key).Name; former != r.Home && !slices.Contains(r.FormerHomes, former) {
+			r.FormerHomes = append(r.FormerHomes, former)
 		}
 	}
 	return r, true
@@ -234,7 +234,7 @@
 	for i := range m.Tenants {
 		for j := range m.Tenants {
 			a, b := &m.Tenants[i], &m.Tenants[j]
-			if i == j || a.home(at).Cell != b.home(at).Cell {
+			if i == j || a.homeAt(at).Cell != b.homeAt(at).Cell {
 				continue
 			}
 			common, mine := 0, plainAt(m, a, a.Name, at)
@@ -294,7 +294,7 @@
 	if was.Top.Version == p.Top.Version && was.Top.Epoch == p.Top.Epoch {
 		p.Top = nil
 	}
-	if h, o := p.Head, was.Head; h.Window == o.Window && h.Skew == o.Skew && h.Lease == o.Lease && h.Patient == o.Patient && slices.Equal(h.Cells, o.Cells) {
+	if h, o := p.Head, was.Head; h.KeyWindow == o.KeyWindow && h.MaxClockSkew == o.MaxClockSkew && h.Lease == o.Lease && h.CallerTimeout == o.CallerTimeout && slices.Equal(h.Cells, o.Cells) {
 		p.Head = nil
 	}
 	maps.DeleteFunc(p.Servers, func(i int, list []Server) bool { return slices.Equal(list, was.Servers[i]) })
@@ -314,7 +314,7 @@
 		at := rapid.SampledFrom([]string{"a", "b", "c"})
 		tenant := Tenant{fmt.Sprint("t", i), 1, []Home{{Cell: at.Draw(t, "cell"), Shard: rapid.IntRange(0, 3).Draw(t, "shard")}}}
 		for n := range rapid.IntRange(0, 2).Draw(t, "moves") {
-			tenant.Homes = append(tenant.Homes, Home{Cell: at.Draw(t, "cell"), From: t0.UnixMilli() + int64(n*20000+rapid.IntRange(-19000, 0).Draw(t, "from"))})
+			tenant.Homes = append(tenant.Homes, Home{Cell: at.Draw(t, "cell"), Since: t0.UnixMilli() + int64(n*20000+rapid.IntRange(-19000, 0).Draw(t, "from"))})
 		}
 		m.Tenants = append(m.Tenants, tenant)
 	}
@@ -340,13 +340,13 @@
 	case kind == 1:
 		m.Epoch++
 	case kind == 2:
-		m.Window += time.Duration(some(3)-1) * time.Second
+		m.KeyWindow += time.Duration(some(3)-1) * time.Second
 	case kind == 3:
 		m.Cells[some(len(m.Cells))].Capacity = float64(some(3) * 100)
 	case kind == 4:
 		m.Cells = append(m.Cells, Cell{fmt.Sprint("new", len(m.Cells)), 1})
 		if some(2) == 0 {
-			m.Servers = append(m.Servers, Server{Name: fmt.Sprint("in", len(m.Cells)), Addr: fmt.Sprint("x", len(m.Cells)), Cell: m.Cells[len(m.Cells)-1].Name, Weight: 1, From: when()})
+			m.Servers = append(m.Servers, Server{Name: fmt.Sprint("in", len(m.Cells)), Addr: fmt.Sprint("x", len(m.Cells)), Cell: m.Cells[len(m.Cells)-1].Name, Weight: 1, JoinsAt: when()})
 		}
 	case kind == 5 && len(m.Cells) > 1:
 		i := some(len(m.Cells))
@@ -363,9 +363,9 @@
 		m.Servers = slices.Delete(m.Servers, i, i+1)
 	case kind == 7:
 		n := rapid.IntRange(0, 200).Draw(t, "name")
-		m.Servers = append(m.Servers, Server{Name: fmt.Sprint("s", n), Addr: fmt.Sprint("127.0.0.1:", 5000+n), Cell: cell(), Weight: 1, From: when()})
+		m.Servers = append(m.Servers, Server{Name: fmt.Sprint("s", n), Addr: fmt.Sprint("127.0.0.1:", 5000+n), Cell: cell(), Weight: 1, JoinsAt: when()})
 	case kind == 8:
-		m.Servers[some(len(m.Servers))].Until = when()
+		m.Servers[some(len(m.Servers))].LeavesAt = when()
 	case kind == 9:
 		s := &m.Servers[some(len(m.Servers))]
 		switch some(5) {
@@ -374,11 +374,11 @@
 		case 1:
 			s.Weight = float64(some(3))
 		case 2:
-			s.From = when()
+			s.JoinsAt = when()
 		case 3:
 			s.Addr = fmt.Sprint("127.0.0.1:", 5000+some(20))
 		case 4:
-			s.Mgmt = "there"
+			s.AdminAddr = "there"
 		}
 	case kind == 10 && len(m.Tenants) > 0:
 		i := some(len(m.Tenants))
@@ -392,7 +392,7 @@
 		if some(4) == 0 {
 			tenant.Homes = tenant.Homes[1:]
 		} else {
-			tenant.Homes = append(tenant.Homes, Home{Cell: cell(), Shard: some(3), From: when() + 20000, Abort: some(6) == 0})
+			tenant.Homes = append(tenant.Homes, Home{Cell: cell(), Shard: some(3), Since: when() + 20000, IsAbort: some(6) == 0})
 		}
 	}
 }
@@ -463,13 +463,13 @@
 			least := 0 // of tenants that have to be looked at
 			for i := range TenantParts {
 				_, changed := delta.Tenants[i]
-				if shared := joined.index.tenants[i] == from.lookup().tenants[i]; shared == changed {
+				if shared := joined.index.tenants[i] == from.anyIndex().tenants[i]; shared == changed {
 					t.Fatalf("on %s, part %d: changed %v, shared %v", base, i, changed, shared)
 				}
 				least += len(delta.Tenants[i])
 			}
 			looked := 0
-			for range joined.tenantsBeside(from.lookup()) {
+			for range joined.tenantsNotIn(from.anyIndex()) {
 				looked++
 			}
 			if looked != least {
@@ -516,7 +516,7 @@
 		if ok != found || !reflect.DeepEqual(got, want) {
 			t.Fatalf("%q, %q at %v: %+v, %v, want %+v, %v", tenant, key, now.Sub(t0), got, found, want, ok)
 		}
-		name, rate := other.Agreed(tenant)
+		name, rate := other.AgreedRate(tenant)
 		if p := plainTenant(m, tenant, false); p != nil && (p.Name != name || p.Rate != rate) {
 			t.Fatalf("agreed with %q: %q, %v", tenant, name, rate)
 		}
@@ -549,7 +549,7 @@
 		p    Parts
 	}{
 		{"part top: version: under 1: 0", Parts{Top: &Map{}}},
-		{"part head: window_ms: not above 0: 0", head(func(m *Map) { m.Window = 0 })},
+		{"part head: window_ms: not above 0: 0", head(func(m *Map) { m.KeyWindow = 0 })},
 		{`part head: cells[3]: "d" has no server that stays`, head(func(m *Map) { m.Cells = append(m.Cells, Cell{Name: "d"}) })},
 		{`: no such cell: "a"`, head(func(m *Map) { m.Cells = m.Cells[1:] })},
 		{fmt.Sprintf("part s%02x: servers[", at), server(func(s *Server) { s.Weight = 0 })},
@@ -584,7 +584,7 @@
 	}
 	tenants.Tenants = slices.Clone(m.Tenants)
 	tenants.Tenants[0].Rate = 7
-	if _, rate := tenants.Agreed("kvizmojster"); rate != 7 {
+	if _, rate := tenants.AgreedRate("kvizmojster"); rate != 7 {
 		t.Errorf("rate %v", rate)
 	}
 	fewer.Servers, fewer.Tenants = m.Servers[:11], m.Tenants[:3]
@@ -597,8 +597,8 @@
 		}
 	}
 	for name, next := range map[string]*Map{"joined": must(Join(m, Parts{})), "a file": m} {
-		gone, err := next.PlanGone(t0, "s0")
-		if err != nil || gone.Server("s0").Until == 0 || next.Server("s0").Until != 0 || gone.Check() != nil {
+		gone, err := next.PlanRemoval(t0, "s0")
+		if err != nil || gone.Server("s0").LeavesAt == 0 || next.Server("s0").LeavesAt != 0 || gone.Check() != nil {
 			t.Errorf("%s: %v, %+v", name, err, next.Server("s0"))
 		}
 	}
@@ -614,8 +614,8 @@
 // The next change by the time alone is the first time at which some route may differ.
 func TestNextChange(t *testing.T) {
 	m := fleet(12)
-	m.Servers[3].Until = t0.UnixMilli() + 500
-	m.Tenants[1].Homes = append(m.Tenants[1].Homes, Home{Cell: "c", From: t0.UnixMilli() + 300})
+	m.Servers[3].LeavesAt = t0.UnixMilli() + 500
+	m.Tenants[1].Homes = append(m.Tenants[1].Homes, Home{Cell: "c", Since: t0.UnixMilli() + 300})
 	m.Index()
 	for name, m := range map[string]*Map{"a file": m, "joined": must(Join(nil, partsOf(m)))} {
 		var times []int64
--- a/internal/policy/cells/plan.go
+++ b/internal/policy/cells/plan.go
@@ -8,13 +8,13 @@
 
 // Load is what a cell has to carry.
 type Load struct {
-	Cell     string
-	Capacity float64 // requests a second
-	Rate     float64 // of its tenants, as agreed
+	Cell     string  `json:"Cell"`
+	Capacity float64 `json:"Capacity"` // requests a second
+	Rate     float64 `json:"Rate"`     // of its tenants, as agreed
 }
 
 // Share is how much of the capacity is taken.
-func (l Load) Share() float64 {
+func (l Load) Utilization() float64 {
 	if l.Capacity <= 0 {
 		return 0
 	}
@@ -27,11 +27,11 @@
 	var list []Load
 	for _, c := range m.Cells {
 		l := Load{Cell: c.Name}
-		for _, s := range m.members(c.Name, at) {
+		for _, s := range m.activeServers(c.Name, at) {
 			l.Capacity += s.Weight * c.Capacity
 		}
 		for t := range m.AllTenants() {
-			if t.home(at).Cell == c.Name {
+			if t.homeAt(at).Cell == c.Name {
 				l.Rate += t.Rate
 			}
 		}
@@ -53,7 +53,7 @@
 }
 
 // most is the share of a cell's capacity that a move may leave taken.
-const most = 0.8
+const maxUtilization = 0.8
 
 // PlanMove plans a tenant's move. It says no, naming why, where the target can't carry it, would have too few servers for
 // it, or where a move of it is under way.
@@ -63,10 +63,10 @@
 	if t == nil {
 		return p, fmt.Errorf("tenant %q is not in the map", tenant)
 	}
-	if st := m.state(t, now.UnixMilli()); st != Settled {
+	if st := m.moveState(t, now.UnixMilli()); st != Settled {
 		return p, fmt.Errorf("tenant %q: a move is %v", tenant, st)
 	}
-	home := t.home(now.UnixMilli())
+	home := t.homeAt(now.UnixMilli())
 	p.From = home.Cell
 	if !slices.ContainsFunc(m.Cells, func(c Cell) bool { return c.Name == to }) {
 		return p, fmt.Errorf("no such cell: %q", to)
@@ -74,12 +74,12 @@
 	if p.From == to && home.Shard == shardOf {
 		return p, fmt.Errorf("tenant %q lives in cell %s", tenant, to)
 	}
-	if n := len(m.members(to, now.UnixMilli())); shardOf > n {
+	if n := len(m.activeServers(to, now.UnixMilli())); shardOf > n {
 		return p, fmt.Errorf("cell %s has %d servers, not %d", to, n, shardOf)
 	}
-	p.At = now.Add(2*m.Lease + m.Skew) // a lease for whoever reads the map, and one for whoever can't
-	p.Settled = p.At.Add(m.dual() + m.Patient)
-	p.Next = m.with(tenant, Home{Cell: to, Shard: shardOf, From: p.At.UnixMilli()})
+	p.At = now.Add(2*m.Lease + m.MaxClockSkew) // a lease for whoever reads the map, and one for whoever can't
+	p.Settled = p.At.Add(m.overlapWindow() + m.CallerTimeout)
+	p.Next = m.withHome(tenant, Home{Cell: to, Shard: shardOf, Since: p.At.UnixMilli()})
 	pick := func(all []Load) (two []Load) {
 		for _, l := range all {
 			if l.Cell == p.From || l.Cell == to {
@@ -90,17 +90,17 @@
 	}
 	p.Before, p.After = pick(m.Loads(now)), pick(p.Next.Loads(p.At))
 	for _, l := range p.After {
-		if l.Cell == to && l.Capacity > 0 && l.Share() > most {
+		if l.Cell == to && l.Capacity > 0 && l.Utilization() > maxUtilization {
 			return p, fmt.Errorf("cell %s can't carry it: %.0f of %.0f requests a second would be taken, at most %.0f%% may be",
-				to, l.Rate, l.Capacity, 100*most)
+				to, l.Rate, l.Capacity, 100*maxUtilization)
 		}
 	}
 	return p, nil
 }
 
 // with is the next map, in which a tenant has one home more.
-func (m *Map) with(tenant string, h Home) *Map {
-	next := m.draft()
+func (m *Map) withHome(tenant string, h Home) *Map {
+	next := m.nextVersion()
 	for i := range next.Tenants {
 		if next.Tenants[i].Name == tenant {
 			next.Tenants[i].Homes = append(slices.Clone(next.Tenants[i].Homes), h)
@@ -117,15 +117,15 @@
 		return nil, fmt.Errorf("tenant %q is not in the map", tenant)
 	}
 	last := len(t.Homes) - 1
-	switch st := m.state(t, now.UnixMilli()); {
+	switch st := m.moveState(t, now.UnixMilli()); {
 	case last < 1 || st == Settled || st == Draining:
 		return nil, fmt.Errorf("tenant %q: no move to abort, it is %v", tenant, st)
-	case t.Homes[last].Abort:
+	case t.Homes[last].IsAbort:
 		return nil, fmt.Errorf("tenant %q: its move is being aborted", tenant)
 	}
-	least := now.Add(2*m.Lease + m.Skew).UnixMilli()
-	if t.Homes[last].From > least {
-		next := m.with(tenant, Home{})
+	least := now.Add(2*m.Lease + m.MaxClockSkew).UnixMilli()
+	if t.Homes[last].Since > least {
+		next := m.withHome(tenant, Home{})
 		for i := range next.Tenants {
 			if next.Tenants[i].Name == tenant {
 				next.Tenants[i].Homes = next.Tenants[i].Homes[:last]
@@ -134,24 +134,24 @@
 		return next, nil
 	}
 	back := t.Homes[last-1]
-	return m.with(tenant, Home{Cell: back.Cell, Shard: back.Shard, From: max(least, t.Homes[last].From+1), Abort: true}), nil
+	return m.withHome(tenant, Home{Cell: back.Cell, Shard: back.Shard, Since: max(least, t.Homes[last].Since+1), IsAbort: true}), nil
 }
 
-// PlanGone is the next map without a server that is gone: it belongs no more from a lease ahead on. It says no where the
+// PlanRemoval is the next map without a server that is gone: it belongs no more from a lease ahead on. It says no where the
 // server's cell would be left with under half of its servers, as then health says more of the watchers than of it.
-func (m *Map) PlanGone(now time.Time, server string) (*Map, error) {
+func (m *Map) PlanRemoval(now time.Time, server string) (*Map, error) {
 	s := m.Server(server)
 	if s == nil {
 		return nil, fmt.Errorf("no such server: %q", server)
 	}
-	if s.Until > 0 {
+	if s.LeavesAt > 0 {
 		return nil, fmt.Errorf("server %s leaves already", server)
 	}
 	all, stay := 0, 0
 	for o := range m.AllServers() {
 		if o.Cell == s.Cell {
 			all++
-			if o.Until == 0 && o.Name != server {
+			if o.LeavesAt == 0 && o.Name != server {
 				stay++
 			}
 		}
@@ -159,23 +159,23 @@
 	if stay < 1 || 2*stay < all {
 		return nil, fmt.Errorf("cell %s would be left with %d of %d servers", s.Cell, stay, all)
 	}
-	next := m.draft()
-	next.Server(server).Until = now.Add(2*m.Lease + m.Skew).UnixMilli()
+	next := m.nextVersion()
+	next.Server(server).LeavesAt = now.Add(2*m.Lease + m.MaxClockSkew).UnixMilli()
 	return next, nil
 }
 
 // Compact is the next map without the homes and servers that no repeat can come from any more.
 func (m *Map) Compact(now time.Time) *Map {
-	next := m.draft()
-	kept := now.Add(-m.dual() - m.Patient).UnixMilli()
+	next := m.nextVersion()
+	kept := now.Add(-m.overlapWindow() - m.CallerTimeout).UnixMilli()
 	for i, t := range next.Tenants {
-		for len(t.Homes) > 1 && t.Homes[1].From < kept {
+		for len(t.Homes) > 1 && t.Homes[1].Since < kept {
 			t.Homes = t.Homes[1:]
-			t.Homes = append([]Home{{Cell: t.Homes[0].Cell, Shard: t.Homes[0].Shard, From: t.Homes[0].From}}, t.Homes[1:]...)
+			t.Homes = append([]Home{{Cell: t.Homes[0].Cell, Shard: t.Homes[0].Shard, Since: t.Homes[0].Since}}, t.Homes[1:]...)
 		}
 		next.Tenants[i].Homes = t.Homes
 	}
-	next.Servers = slices.DeleteFunc(next.Servers, func(s Server) bool { return s.Until > 0 && s.Until < kept })
+	next.Servers = slices.DeleteFunc(next.Servers, func(s Server) bool { return s.LeavesAt > 0 && s.LeavesAt < kept })
 	return next
 }
 
@@ -185,8 +185,8 @@
 	at := now.UnixMilli()
 	lists := map[string][][]*Server{} // by cell, of each tenant that lives there
 	for t := range m.AllTenants() {
-		cell := t.home(at).Cell
-		lists[cell] = append(lists[cell], m.at(t, t.Name, at))
+		cell := t.homeAt(at).Cell
+		lists[cell] = append(lists[cell], m.serversOf(t, t.Name, at))
 	}
 	sum, n := 0.0, 0
 	for _, c := range m.Cells {
--- a/internal/policy/configstore/book_test.go
+++ b/internal/policy/configstore/book_test.go
@@ -15,8 +15,8 @@
 // world is a group, as one that never fails, with processes that act on one document: what is on the way may take long, come in
 // another order, or not at all, and a process may be cut off. Times are in ticks.
 type world struct {
-	book  *Book
-	watch *Watch
+	book  *Store
+	watch *ProcessMonitor
 	index uint64
 	procs []*proc
 	now   time.Duration
@@ -33,11 +33,11 @@
 }
 
 type proc struct {
-	h       *Holder
+	h       *Replica
 	rate    float64 // of its clock
 	answers []answer
 	acts    uint64 // digest of the text that it acts on
-	worth   Worth
+	worth   Goodput
 }
 
 type answer struct {
@@ -49,12 +49,12 @@
 var worldTerms = lease.Terms{TTL: 12, Drift: 0.05}
 
 func newWorld(n int, out guards) *world {
-	w := &world{book: NewBook(), watch: NewWatch(worldTerms), out: out}
-	w.watch.Lead(0)
+	w := &world{book: NewStore(), watch: NewProcessMonitor(worldTerms), out: out}
+	w.watch.StartLeading(0)
 	for i := range n {
-		w.procs = append(w.procs, &proc{h: NewHolder(fmt.Sprint("p", i), map[string]int{"d": 1}), rate: []float64{0.95, 1.05, 1}[i%3]})
+		w.procs = append(w.procs, &proc{h: NewReplica(fmt.Sprint("p", i), map[string]int{"d": 1}), rate: []float64{0.95, 1.05, 1}[i%3]})
 	}
-	w.apply(Change{Op: Put, Doc: "d", Text: "old", By: "t"})
+	w.apply(Change{Op: OpPropose, Doc: "d", Text: "old", Author: "t"})
 	for _, p := range w.procs {
 		w.ask(p)
 	}
@@ -78,17 +78,17 @@
 }
 
 func (w *world) due() {
-	for _, c := range w.watch.Due(w.book, w.now) {
+	for _, c := range w.watch.Proposals(w.book, w.now) {
 		w.apply(c)
-		if c.Op == Lapse {
-			w.watch.Lapsed(c.By)
+		if c.Op == OpExpire {
+			w.watch.Unregistered(c.Author)
 		}
 	}
 	if w.out.noWait {
-		if d := w.book.Docs["d"]; d.Next != nil {
-			for name, u := range w.book.Users {
-				if h := w.watch.heard[name]; h != nil && w.now-h.At > 2 && u.Stopped["d"] != d.Next.ID.Version {
-					w.apply(Change{Op: Lapse, By: name})
+		if d := w.book.Documents["d"]; d.Proposed != nil {
+			for name, u := range w.book.Processes {
+				if h := w.watch.reports[name]; h != nil && w.now-h.ReceivedAt > 2 && u.Quiesced["d"] != d.Proposed.ID.Version {
+					w.apply(Change{Op: OpExpire, Author: name})
 				}
 			}
 		}
@@ -101,19 +101,19 @@
 
 // ask has a process ask; the group hears it at once, and the answer is on its way.
 func (w *world) ask(p *proc) {
-	s := p.h.Says()
-	if !w.watch.Heard(p.h.Who, w.now, p.h.Acts(), p.worth, "") {
+	s := p.h.Report()
+	if !w.watch.Observe(p.h.Name, w.now, p.h.ActiveVersions(), p.worth, "") {
 		return
 	}
-	if w.book.New(s) {
-		op := Say
-		if w.book.Users[p.h.Who] == nil {
-			op = Join
+	if w.book.HasNews(s) {
+		op := OpReport
+		if w.book.Processes[p.h.Name] == nil {
+			op = OpRegister
 		}
-		w.apply(Change{Op: op, User: &s})
+		w.apply(Change{Op: op, Process: &s})
 	}
-	d := w.book.Docs["d"]
-	v := View{Force: d.Force, Next: d.Next, Stage: d.Stage}
+	d := w.book.Documents["d"]
+	v := View{Active: d.Active, Proposed: d.Proposed, Stage: d.Stage}
 	p.answers = append(p.answers, answer{p.clock(w.now), w.index, map[string]View{"d": v}})
 }
 
@@ -128,8 +128,8 @@
 	if w.out.noIndex {
 		index = 1 << 40
 	}
-	for _, t := range p.h.Told(a.asked, index, worldTerms, a.docs, func(string, string) error { return nil }) {
-		p.acts = t.Entry.ID.Digest
+	for _, t := range p.h.Receive(a.asked, index, worldTerms, a.docs, func(string, string) error { return nil }) {
+		p.acts = t.Revision.ID.Digest
 	}
 }
 
@@ -137,8 +137,8 @@
 func (w *world) check() {
 	var acts uint64
 	for _, p := range w.procs {
-		why := p.h.Stops(p.clock(w.now))
-		if why == Unconfirmed && w.out.noLease || why == StopsToTurn && w.out.noTurn {
+		why := p.h.StopReason(p.clock(w.now))
+		if why == StopUnconfirmed && w.out.noLease || why == StopQuiescing && w.out.noTurn {
 			why = ""
 		}
 		if why != "" || p.acts == 0 {
@@ -166,14 +166,14 @@
 	case 4:
 		w.due()
 	case 5:
-		if d := w.book.Docs["d"]; d.Next == nil {
+		if d := w.book.Documents["d"]; d.Proposed == nil {
 			text := "new"
-			if d.Force != nil && d.Force.Text == "new" {
+			if d.Active != nil && d.Active.Text == "new" {
 				text = "old"
 			}
-			w.apply(Change{Op: Put, Doc: "d", Version: d.Force.ID.Version, Text: text, Exclusive: true, Again: true, By: "t"})
+			w.apply(Change{Op: OpPropose, Doc: "d", Version: d.Active.ID.Version, Text: text, Exclusive: true, AllowRejected: true, Author: "t"})
 		} else if n%2 == 0 {
-			w.apply(Change{Op: Withdraw, Doc: "d", Version: d.Next.ID.Version})
+			w.apply(Change{Op: OpWithdraw, Doc: "d", Version: d.Proposed.ID.Version})
 		}
 	}
 	w.check()
@@ -202,7 +202,7 @@
 			for range 200 {
 				w.step(rng.IntN(kindsOfSteps * 3))
 			}
-			forced = max(forced, w.book.Docs["d"].Force.ID.Version)
+			forced = max(forced, w.book.Documents["d"].Active.ID.Version)
 			if w.wrong != "" {
 				found = fmt.Sprint("seed ", seed, " ", w.wrong)
 				break
@@ -232,7 +232,7 @@
 		found, walked := "", 0
 		play := func(path []int) *world {
 			w := newWorld(2, c.out)
-			w.apply(Change{Op: Put, Doc: "d", Version: 1, Text: "new", Exclusive: true, By: "t"})
+			w.apply(Change{Op: OpPropose, Doc: "d", Version: 1, Text: "new", Exclusive: true, Author: "t"})
 			for _, p := range w.procs {
 				w.ask(p)
 				w.answer(p, 0)
@@ -278,12 +278,12 @@
 }
 
 func put(version int, text string) Change {
-	return Change{Op: Put, Doc: "d", Version: version, Text: text, By: "t"}
+	return Change{Op: OpPropose, Doc: "d", Version: version, Text: text, Author: "t"}
 }
 
 // What a book says no to, and what becomes of versions.
 func TestBook(t *testing.T) {
-	b := NewBook()
+	b := NewStore()
 	must := func(c Change) {
 		t.Helper()
 		if _, err := b.Apply(c); err != nil {
@@ -297,91 +297,91 @@
 		}
 	}
 	advance := func(version int, stage Stage) Change {
-		return Change{Op: Advance, Doc: "d", Version: version, Stage: stage, At: 1}
+		return Change{Op: OpAdvance, Doc: "d", Version: version, Stage: stage, At: 1}
 	}
 	join := func(name string, format int) {
-		must(Change{Op: Join, User: &User{Name: name, Reads: map[string]int{"d": format}}})
+		must(Change{Op: OpRegister, Process: &Process{Name: name, Formats: map[string]int{"d": format}}})
 	}
 	say := func(name string, holds, stopped int) {
-		must(Change{Op: Say, User: &User{Name: name, Holds: map[string]int{"d": holds}, Stopped: map[string]int{"d": stopped}}})
+		must(Change{Op: OpReport, Process: &Process{Name: name, Prepared: map[string]int{"d": holds}, Quiesced: map[string]int{"d": stopped}}})
 	}
 	join("a", 1)
 	join("b", 1)
-	not(put(1, "one"), ErrBase, "0 of d, not 1")
+	not(put(1, "one"), ErrStaleBase, "0 of d, not 1")
 	must(put(0, "one"))
-	not(put(0, "two"), ErrUnder, "version 1 of d is proposed")
-	not(advance(1, Proposed), ErrWaits, "a does not hold it yet")
+	not(put(0, "two"), ErrChangePending, "version 1 of d is proposed")
+	not(advance(1, StageProposed), ErrNotReady, "a does not hold it yet")
 	say("a", 1, 0)
 	say("b", 1, 0)
-	not(advance(1, Turning), ErrNone, "")
-	must(advance(1, Proposed))
+	not(advance(1, StageQuiescing), ErrNoSuchChange, "")
+	must(advance(1, StageProposed))
 	not(put(1, "one"), nil, "says the same")
 	c := put(1, "two")
 	c.Exclusive = true
 	must(c)
 	say("a", 1, 2) // holds another, and says that it has stopped before it was time
 	say("b", 2, 2)
-	not(advance(2, Proposed), ErrWaits, "a does not hold it yet")
+	not(advance(2, StageProposed), ErrNotReady, "a does not hold it yet")
 	say("a", 2, 2)
-	must(advance(2, Proposed))
-	if d := b.Docs["d"]; d.Stage != Turning || d.Force.Text != "one" {
+	must(advance(2, StageProposed))
+	if d := b.Documents["d"]; d.Stage != StageQuiescing || d.Active.Text != "one" {
 		t.Fatalf("%+v", d)
 	}
-	not(advance(2, Turning), ErrWaits, "a has not stopped yet")
+	not(advance(2, StageQuiescing), ErrNotReady, "a has not stopped yet")
 	say("a", 2, 2)
 	say("b", 2, 2)
 	join("late", 1) // acts on nothing, and has to stop as well
-	not(advance(2, Turning), ErrWaits, "late has not stopped yet")
-	must(Change{Op: Lapse, By: "late"})
-	must(Change{Op: Hold, Doc: "d", Version: 2, Why: "noon"})
-	not(advance(2, Turning), ErrWaits, "held: noon")
-	must(Change{Op: Release, Doc: "d", Version: 2})
-	must(advance(2, Turning))
-	not(Change{Op: Withdraw, Doc: "d", Version: 2}, ErrNone, "not under way")
-	must(Change{Op: TakeBack, Doc: "d", Version: 2, Why: "worse"})
-	if d := b.Docs["d"]; d.Next.Text != "one" || d.Next.ID.Version != 3 || !d.Next.Exclusive || d.Next.Back != 1 {
-		t.Errorf("%+v", d.Next)
-	}
-	must(Change{Op: Withdraw, Doc: "d", Version: 3})
-	if d := b.Docs["d"]; d.Force.Ended != "" || d.Next != nil {
-		t.Errorf("%+v", d.Force)
-	}
-	must(Change{Op: TakeBack, Doc: "d", Version: 2})
+	not(advance(2, StageQuiescing), ErrNotReady, "late has not stopped yet")
+	must(Change{Op: OpExpire, Author: "late"})
+	must(Change{Op: OpHold, Doc: "d", Version: 2, Reason: "noon"})
+	not(advance(2, StageQuiescing), ErrNotReady, "held: noon")
+	must(Change{Op: OpRelease, Doc: "d", Version: 2})
+	must(advance(2, StageQuiescing))
+	not(Change{Op: OpWithdraw, Doc: "d", Version: 2}, ErrNoSuchChange, "not under way")
+	must(Change{Op: OpRevert, Doc: "d", Version: 2, Reason: "worse"})
+	if d := b.Documents["d"]; d.Proposed.Text != "one" || d.Proposed.ID.Version != 3 || !d.Proposed.Exclusive || d.Proposed.RevertsTo != 1 {
+		t.Errorf("%+v", d.Proposed)
+	}
+	must(Change{Op: OpWithdraw, Doc: "d", Version: 3})
+	if d := b.Documents["d"]; d.Active.Outcome != "" || d.Proposed != nil {
+		t.Errorf("%+v", d.Active)
+	}
+	must(Change{Op: OpRevert, Doc: "d", Version: 2})
 	say("a", 4, 0)
 	say("b", 4, 0)
-	must(advance(4, Proposed))
+	must(advance(4, StageProposed))
 	say("a", 4, 4)
 	say("b", 4, 4)
-	must(advance(4, Turning))
-	not(put(4, "two"), ErrBad, "")
+	must(advance(4, StageQuiescing))
+	not(put(4, "two"), ErrRejectedBefore, "")
 	again := put(4, "two")
-	again.Again = true
+	again.AllowRejected = true
 	must(again)
-	must(Change{Op: Withdraw, Doc: "d", Version: 5})
+	must(Change{Op: OpWithdraw, Doc: "d", Version: 5})
 	// Two builds side by side: who does not read a format is not handed it, and nothing comes into force over its head.
 	newer := put(4, "three")
 	newer.Format = 2
 	must(newer)
 	join("a", 2)
 	say("a", 6, 0)
-	not(advance(6, Proposed), ErrWaits, "b reads format 1, and this is 2")
-	if d := b.Docs["d"]; d.Handed(b.Users["b"]) || !d.Handed(b.Users["a"]) {
+	not(advance(6, StageProposed), ErrNotReady, "b reads format 1, and this is 2")
+	if d := b.Documents["d"]; d.IsOfferedTo(b.Processes["b"]) || !d.IsOfferedTo(b.Processes["a"]) {
 		t.Error("handed to one that can't read it")
 	}
 	join("b", 2)
 	say("b", 6, 0)
-	must(advance(6, Proposed))
+	must(advance(6, StageProposed))
 	for n := range 40 { // what is kept is bounded
-		d := b.Docs["d"]
-		must(put(d.Force.ID.Version, fmt.Sprint("text", n)))
-		say("a", d.Top, 0)
-		say("b", d.Top, 0)
-		must(advance(d.Top, Proposed))
+		d := b.Documents["d"]
+		must(put(d.Active.ID.Version, fmt.Sprint("text", n)))
+		say("a", d.HighestVersion, 0)
+		say("b", d.HighestVersion, 0)
+		must(advance(d.HighestVersion, StageProposed))
 	}
-	if d := b.Docs["d"]; len(d.History) != mostHistory || d.Find(d.Top) != d.Force || d.Find(1) != nil {
+	if d := b.Documents["d"]; len(d.History) != maxHistory || d.Revision(d.HighestVersion) != d.Active || d.Revision(1) != nil {
 		t.Errorf("%d versions kept", len(d.History))
 	}
-	not(put(b.Docs["d"].Force.ID.Version, strings.Repeat("x", longestText+1)), nil, "bytes")
+	not(put(b.Documents["d"].Active.ID.Version, strings.Repeat("x", maxTextSize+1)), nil, "bytes")
 }
 
 // A change that may be bad acts at a part of the processes first, and is taken back where less is served; one that turns out bad
@@ -405,13 +405,13 @@
 		for n := 0; n < 600; n++ {
 			w.now += 20 * time.Millisecond
 			for _, p := range w.procs {
-				d, share := w.book.Docs["d"], 1.0
-				if p.acts == Name(1, []byte("new")).Digest {
-					if share = c.trial; d.Force.Text == "new" {
+				d, share := w.book.Documents["d"], 1.0
+				if p.acts == NewID(1, []byte("new")).Digest {
+					if share = c.trial; d.Active.Text == "new" {
 						share = c.force
 					}
 				}
-				p.worth.Asked += 2
+				p.worth.Offered += 2
 				p.worth.Served += 2 * share
 				w.ask(p)
 				w.answer(p, 0)
@@ -419,32 +419,32 @@
 			w.due()
 			if n == 100 {
 				proposed = w.now
-				w.apply(Change{Op: Put, Doc: "d", Version: 1, Text: "new", By: "t", Try: &Try{Part: c.part, For: 2000, Worse: 0.05}})
+				w.apply(Change{Op: OpPropose, Doc: "d", Version: 1, Text: "new", Author: "t", Rollout: &RolloutPolicy{CanaryRatio: c.part, ObserveMS: 2000, MaxLoss: 0.05}})
 			}
 			if n == 110 && c.part > 0 {
-				if d := w.book.Docs["d"]; d.Stage != Trial || len(d.Next.Canaries) != 2 {
+				if d := w.book.Documents["d"]; d.Stage != StageCanary || len(d.Proposed.Canaries) != 2 {
 					t.Errorf("%s: %+v", c.name, d)
 				}
 			}
-			if d := w.book.Docs["d"]; n > 100 && over == 0 && d.Next == nil && d.Force.Text == "old" {
+			if d := w.book.Documents["d"]; n > 100 && over == 0 && d.Proposed == nil && d.Active.Text == "old" {
 				over = w.now - proposed
 			}
 		}
 		worldTerms.TTL = 12
-		d := w.book.Docs["d"]
+		d := w.book.Documents["d"]
 		ended := ""
 		for _, e := range d.History {
 			if e.Text == "new" {
-				ended = e.Ended
+				ended = e.Outcome
 			}
 		}
-		if d.Force.Text != c.text || !strings.HasPrefix(ended, c.ended) || d.Next != nil {
-			t.Errorf("%s: in force %q, %q", c.name, d.Force.Text, ended)
+		if d.Active.Text != c.text || !strings.HasPrefix(ended, c.ended) || d.Proposed != nil {
+			t.Errorf("%s: in force %q, %q", c.name, d.Active.Text, ended)
 		}
 		if c.text == "old" && over > 4*time.Second {
 			t.Errorf("%s: taken back after %v", c.name, over)
 		}
-		if _, err := w.book.Apply(put(d.Force.ID.Version, "new")); c.why != "" && !strings.Contains(fmt.Sprint(err), c.why) {
+		if _, err := w.book.Apply(put(d.Active.ID.Version, "new")); c.why != "" && !strings.Contains(fmt.Sprint(err), c.why) {
 			t.Errorf("%s: the same again: %v", c.name, err)
 		}
 	}
@@ -462,13 +462,13 @@
 	if err != nil || got != `tenants[a].homes[1].cell >"y" announced; tenants[a].homes[1].from_ms >5 announced; tenants[b].rate 2>3 shared; version 1>2 free; ` {
 		t.Errorf("%s %v", got, err)
 	}
-	if Excludes(list) || Bound(list) != "tenants[a].homes[1].cell" {
+	if HasExclusive(list) || FirstDependent(list) != "tenants[a].homes[1].cell" {
 		t.Error("a move stops everybody, or may be tried by a part")
 	}
 	for text, excludes := range map[string]bool{`{"classes":[{"name":"a","effect":"token"}]}`: true, `{"classes":[{"name":"a","worth":1}]}`: true,
 		`{"format":2}`: false, `{"new":2}`: true} {
 		list, err := Diff(DocClasses, "", text)
-		if err != nil || Excludes(list) != excludes {
+		if err != nil || HasExclusive(list) != excludes {
 			t.Errorf("%s: %+v, %v", text, list, err)
 		}
 	}
@@ -476,7 +476,7 @@
 		t.Error("half a document")
 	}
 	for _, c := range []struct{ old, next, now, until time.Duration }{{5, 7, 7, 0}, {7, 5, 7, 9}, {5, 5, 5, 0}} {
-		if now, until := Window(c.old, c.next, 2); now != c.now || until != c.until {
+		if now, until := TransitionWindow(c.old, c.next, 2); now != c.now || until != c.until {
 			t.Errorf("%+v: %v, %v", c, now, until)
 		}
 	}
