--- a/internal/policy/configstore/intake.go
+++ b/internal/policy/configstore/intake.go
@@ -12,12 +12,12 @@
 // digest over them is the version's. Until then the last good one holds.
 
 // piece is a version of a document in parts, as far as a process has it.
-type piece struct {
+type partialDocument struct {
 	id    ID
 	parts map[string]Part // nil until they are known by names and digests; a text that is not here yet is empty
 }
 
-func (p *piece) whole() bool {
+func (p *partialDocument) isComplete() bool {
 	if p == nil || p.parts == nil {
 		return false
 	}
@@ -30,7 +30,7 @@
 }
 
 // missing are the names of parts whose texts are not here.
-func (p *piece) missing() (names []string) {
+func (p *partialDocument) missing() (names []string) {
 	for _, name := range slices.Sorted(maps.Keys(p.parts)) {
 		if p.parts[name].Text == "" {
 			names = append(names, name)
@@ -40,22 +40,22 @@
 }
 
 // Guards can be left out by tests, which show the harm that each keeps away.
-type Guards struct {
-	NoSince bool // what changed since another version than the one here is put on it too
-	NoSum   bool // the digest over all parts is not looked at
-	NoText  bool // nor that of a part's text
-	NoIndex bool // what is told by an older state of the group's log is taken too
-	NoPace  bool // nobody waits before he asks
+type DisabledGuards struct {
+	SinceCheck bool // what changed since another version than the one here is put on it too
+	SumCheck   bool // the digest over all parts is not looked at
+	TextCheck  bool // nor that of a part's text
+	IndexCheck bool // what is told by an older state of the group's log is taken too
+	Pacing     bool // nobody waits before he asks
 }
 
 // Off counts what didn't follow from what was here, and why it was last.
-type Off struct {
-	Times int
-	Why   string
+type Mismatch struct {
+	Count  int
+	Reason string
 }
 
 // Want is what a process asks the group for: the manifest of a version, or texts of parts by name.
-type Want struct {
+type PartsRequest struct {
 	Doc     string   `json:"doc"`
 	Version int      `json:"version"`
 	Names   []string `json:"names,omitempty"`
@@ -64,29 +64,29 @@
 // Pauses before a process asks for parts. One that comes back has a megabyte or two to ask for, and a zone that comes back is
 // hundreds: each draws its moment by its own name, and waits longer each time that it got nothing.
 const (
-	firstSpread  = 2 * time.Second
-	mostDoubled  = 4 // times: half a minute
-	mostAskedFor = MostParts
+	initialBackoff = 2 * time.Second
+	maxDoublings   = 4 // times: half a minute
+	maxRequested   = MaxParts
 )
 
 // intake paces what a process asks for: one asking at a time.
-type intake struct {
-	asking bool
-	vain   int           // times in a row that nothing came of it
-	drawn  bool          // a pause is under way, or over
-	from   time.Duration // it asks then
+type requestPacer struct {
+	asking      bool
+	failures    int           // times in a row that nothing came of it
+	isScheduled bool          // a pause is under way, or over
+	notBefore   time.Duration // it asks then
 }
 
 // draw is the pause before the next asking of a process: a part of the spread by its name, so that a thousand have a thousand moments.
-func draw(who string, vain int) time.Duration {
-	spread := firstSpread << min(vain, mostDoubled)
-	share := float64(DigestOf(fmt.Sprint(who, "/", vain))>>11) / (1 << 53)
+func backoff(who string, vain int) time.Duration {
+	spread := initialBackoff << min(vain, maxDoublings)
+	share := float64(PartDigest(fmt.Sprint(who, "/", vain))>>11) / (1 << 53)
 	return time.Duration(share * float64(spread))
 }
 
 // text finds the text of a part that is here already, under whichever version.
-func (d *held) text(name string, digest uint64) string {
-	for _, p := range []*piece{d.given, d.now, d.then} {
+func (d *replicaDocument) text(name string, digest uint64) string {
+	for _, p := range []*partialDocument{d.delivered, d.activeParts, d.proposedParts} {
 		if p != nil && p.parts[name].Text != "" && p.parts[name].Digest == digest {
 			return p.parts[name].Text
 		}
@@ -95,28 +95,28 @@
 }
 
 // off notes that something didn't follow.
-func (d *held) off(format string, args ...any) {
-	d.offs.Times++
-	d.offs.Why = fmt.Sprintf(format, args...)
+func (d *replicaDocument) noteMismatch(format string, args ...any) {
+	d.mismatches.Count++
+	d.mismatches.Reason = fmt.Sprintf(format, args...)
 }
 
-// aim is what a process has of a version that it was told of: nothing but its ID where that doesn't follow from what is here.
+// partsTold is what a process has of a version that it was told of: nothing but its ID where that doesn't follow from what is here.
 // Base is what the parts that came differ from, nil for nothing known.
-func (d *held) aim(e *Entry, base *piece, out Guards) *piece {
-	for _, p := range []*piece{d.given, d.now, d.then} {
+func (d *replicaDocument) partsTold(e *Revision, base *partialDocument, out DisabledGuards) *partialDocument {
+	for _, p := range []*partialDocument{d.delivered, d.activeParts, d.proposedParts} {
 		if p != nil && p.id == e.ID && p.parts != nil {
 			return p
 		}
 	}
-	to := &piece{id: e.ID}
+	to := &partialDocument{id: e.ID}
 	if base == nil || base.parts == nil || e.Parts == nil {
 		return to
 	}
 	parts := make(map[string]Part, len(base.parts)+len(e.Parts))
 	maps.Copy(parts, base.parts)
 	for name, p := range e.Parts {
-		if p.Text != "" && DigestOf(p.Text) != p.Digest && !out.NoText {
-			d.off("part %s of %v: its text has another digest", name, e.ID)
+		if p.Text != "" && PartDigest(p.Text) != p.Digest && !out.TextCheck {
+			d.noteMismatch("part %s of %v: its text has another digest", name, e.ID)
 			p.Text = ""
 		}
 		if p.Text == "" {
@@ -124,8 +124,8 @@
 		}
 		parts[name] = p
 	}
-	if Sum(parts) != e.ID.Digest && !out.NoSum {
-		d.off("%v: its parts come to another digest", e.ID)
+	if PartsDigest(parts) != e.ID.Digest && !out.SumCheck {
+		d.noteMismatch("%v: its parts come to another digest", e.ID)
 		return to
 	}
 	to.parts = parts
@@ -133,42 +133,42 @@
 }
 
 // onto is the version here that parts told as changed since another one are put on, nil where there is none.
-func (d *held) onto(since int, out Guards) *piece {
+func (d *replicaDocument) base(since int, out DisabledGuards) *partialDocument {
 	if since == 0 {
-		return &piece{parts: map[string]Part{}}
+		return &partialDocument{parts: map[string]Part{}}
 	}
-	for _, p := range []*piece{d.given, d.now} {
-		if p != nil && p.parts != nil && (p.id.Version == since || out.NoSince) {
+	for _, p := range []*partialDocument{d.delivered, d.activeParts} {
+		if p != nil && p.parts != nil && (p.id.Version == since || out.SinceCheck) {
 			return p
 		}
 	}
-	d.off("what changed since version %d was told, which is not here", since)
+	d.noteMismatch("what changed since version %d was told, which is not here", since)
 	return nil
 }
 
 // Bases are the versions of documents in parts that it has whole, to be told what has changed since.
-func (h *Holder) Bases() map[string]int {
+func (h *Replica) CompleteVersions() map[string]int {
 	bases := map[string]int{}
 	for name, d := range h.docs {
-		if d.given != nil {
-			bases[name] = d.given.id.Version
+		if d.delivered != nil {
+			bases[name] = d.delivered.id.Version
 		}
 	}
 	return bases
 }
 
 // differs are the texts of the parts of a version that differ from what the process was handed last. Whole: they are all.
-func (d *held) differs(to *piece) (changed map[string]string, whole bool) {
-	changed, whole = map[string]string{}, d.given == nil
+func (d *replicaDocument) changesTo(to *partialDocument) (changed map[string]string, whole bool) {
+	changed, whole = map[string]string{}, d.delivered == nil
 	if !whole {
-		for name := range d.given.parts {
+		for name := range d.delivered.parts {
 			if _, ok := to.parts[name]; !ok {
 				whole = true // one is gone
 			}
 		}
 	}
 	for name, p := range to.parts {
-		if whole || d.given.parts[name].Digest != p.Digest {
+		if whole || d.delivered.parts[name].Digest != p.Digest {
 			changed[name] = p.Text
 		}
 	}
@@ -176,60 +176,60 @@
 }
 
 // settle checks and hands out what is here whole by now.
-func (h *Holder) settle(now time.Duration, check func(name, text string) error) (take []Took) {
+func (h *Replica) deliver(now time.Duration, check func(name, text string) error) (take []Update) {
 	for _, name := range slices.Sorted(maps.Keys(h.docs)) {
 		d := h.docs[name]
-		if d.next != nil && d.refuses.Version != d.next.ID.Version {
-			d.refuses = Refusal{}
-			if err := h.look(now, name, d, check); err != nil {
-				d.refuses = Refusal{d.next.ID.Version, err.Error()}
+		if d.proposed != nil && d.refusal.Version != d.proposed.ID.Version {
+			d.refusal = Refusal{}
+			if err := h.checkProposed(now, name, d, check); err != nil {
+				d.refusal = Refusal{d.proposed.ID.Version, err.Error()}
 			}
 		}
-		to, of := d.force, d.now
-		if d.next != nil && d.stage == Trial && slices.Contains(d.next.Canaries, h.Who) {
-			to, of = d.next, d.then
+		to, of := d.active, d.activeParts
+		if d.proposed != nil && d.stage == StageCanary && slices.Contains(d.proposed.Canaries, h.Name) {
+			to, of = d.proposed, d.proposedParts
 		}
 		switch {
-		case to == nil || d.acts == to.ID.Version && (!to.Split || d.given != nil && d.given.id == to.ID):
-		case !to.Split:
-			d.acts, d.given = to.ID.Version, nil
-			take = append(take, Took{Doc: name, Entry: to})
-		case of.whole() && of.id == to.ID:
-			t := Took{Doc: name, Entry: to}
-			t.Parts, t.Whole = d.differs(of)
-			d.acts, d.given = to.ID.Version, of
+		case to == nil || d.activeVersion == to.ID.Version && (!to.InParts || d.delivered != nil && d.delivered.id == to.ID):
+		case !to.InParts:
+			d.activeVersion, d.delivered = to.ID.Version, nil
+			take = append(take, Update{Doc: name, Revision: to})
+		case of.isComplete() && of.id == to.ID:
+			t := Update{Doc: name, Revision: to}
+			t.Parts, t.Complete = d.changesTo(of)
+			d.activeVersion, d.delivered = to.ID.Version, of
 			take = append(take, t)
 		}
 	}
 	return take
 }
 
-// look checks a version that is under way: one in parts once it is here whole, and then again once in a while, as what a process
+// checkProposed checks a version that is under way: one in parts once it is here whole, and then again once in a while, as what a process
 // can't act on may follow from the time.
-func (h *Holder) look(now time.Duration, name string, d *held, check func(name, text string) error) error {
+func (h *Replica) checkProposed(now time.Duration, name string, d *replicaDocument, check func(name, text string) error) error {
 	switch {
-	case !d.next.Split:
-		return check(name, d.next.Text)
-	case !d.then.whole() || d.then.id != d.next.ID || h.CheckParts == nil:
+	case !d.proposed.InParts:
+		return check(name, d.proposed.Text)
+	case !d.proposedParts.isComplete() || d.proposedParts.id != d.proposed.ID || h.CheckParts == nil:
 		return nil
-	case d.checked == d.next.ID && now-d.checkedAt < h.terms.TTL/3:
+	case d.checked == d.proposed.ID && now-d.checkedAt < h.terms.TTL/3:
 		return nil
 	}
-	changed, whole := d.differs(d.then)
-	d.checked, d.checkedAt = d.next.ID, now
+	changed, whole := d.changesTo(d.proposedParts)
+	d.checked, d.checkedAt = d.proposed.ID, now
 	return h.CheckParts(name, changed, whole)
 }
 
 // here reports whether a process has a version that is under way, so that it can say that it holds it.
-func (d *held) here() bool {
-	return d.next != nil && (!d.next.Split || d.then.whole() && d.then.id == d.next.ID && d.checked == d.next.ID)
+func (d *replicaDocument) isPrepared() bool {
+	return d.proposed != nil && (!d.proposed.InParts || d.proposedParts.isComplete() && d.proposedParts.id == d.proposed.ID && d.checked == d.proposed.ID)
 }
 
 // Current reports whether it acts on what it was told is in force.
-func (h *Holder) Current() bool {
+func (h *Replica) IsCurrent() bool {
 	for _, d := range h.docs {
-		if d.force != nil && d.force.Split && (d.given == nil || d.given.id != d.force.ID) &&
-			!(d.next != nil && d.given != nil && d.given.id == d.next.ID && d.stage == Trial) {
+		if d.active != nil && d.active.InParts && (d.delivered == nil || d.delivered.id != d.active.ID) &&
+			!(d.proposed != nil && d.delivered != nil && d.delivered.id == d.proposed.ID && d.stage == StageCanary) {
 			return false
 		}
 	}
@@ -237,46 +237,46 @@
 }
 
 // Old are the documents of which it acts on an older version than it was told of, and since when.
-func (h *Holder) Old() map[string]int {
+func (h *Replica) OutdatedVersions() map[string]int {
 	old := map[string]int{}
 	for name, d := range h.docs {
-		if d.force != nil && d.force.Split && d.acts != d.force.ID.Version && !d.now.whole() {
-			old[name] = d.acts
+		if d.active != nil && d.active.InParts && d.activeVersion != d.active.ID.Version && !d.activeParts.isComplete() {
+			old[name] = d.activeVersion
 		}
 	}
 	return old
 }
 
 // Again has a document that could not be acted on after all be handed whole, once.
-func (h *Holder) Again(name string) {
-	if d := h.docs[name]; d != nil && d.given != nil {
-		d.given = nil
+func (h *Replica) Redeliver(name string) {
+	if d := h.docs[name]; d != nil && d.delivered != nil {
+		d.delivered = nil
 	}
 }
 
 // Offs is what didn't follow from what was here since the last call, by document.
-func (h *Holder) Offs() map[string]Off {
-	all := map[string]Off{}
+func (h *Replica) TakeMismatches() map[string]Mismatch {
+	all := map[string]Mismatch{}
 	for name, d := range h.docs {
-		if d.offs.Times > 0 {
-			all[name], d.offs = d.offs, Off{}
+		if d.mismatches.Count > 0 {
+			all[name], d.mismatches = d.mismatches, Mismatch{}
 		}
 	}
 	return all
 }
 
 // wants is what it lacks first, in the order of documents: what is in force before what is under way.
-func (h *Holder) wants() (w Want, ok bool) {
+func (h *Replica) nextMissing() (w PartsRequest, ok bool) {
 	for _, name := range slices.Sorted(maps.Keys(h.docs)) {
 		d := h.docs[name]
-		for _, p := range []*piece{d.now, d.then} {
-			if p == nil || p.whole() {
+		for _, p := range []*partialDocument{d.activeParts, d.proposedParts} {
+			if p == nil || p.isComplete() {
 				continue
 			}
-			w = Want{Doc: name, Version: p.id.Version}
+			w = PartsRequest{Doc: name, Version: p.id.Version}
 			if p.parts != nil {
 				w.Names = p.missing()
-				w.Names = w.Names[:min(len(w.Names), mostAskedFor)]
+				w.Names = w.Names[:min(len(w.Names), maxRequested)]
 			}
 			return w, true
 		}
@@ -284,68 +284,68 @@
 	return w, false
 }
 
-// Wants is what to ask the group for now. It has one asking under way at most, whose end Got or Vain is told; ok is false where it
+// NextRequest is what to ask the group for now. It has one asking under way at most, whose end Got or Vain is told; ok is false where it
 // asks for nothing yet, and at says when to look again, 0 for when it was told something.
-func (h *Holder) Wants(now time.Duration) (w Want, at time.Duration, ok bool) {
-	if h.intake.asking {
+func (h *Replica) NextRequest(now time.Duration) (w PartsRequest, at time.Duration, ok bool) {
+	if h.pacer.asking {
 		return w, 0, false
 	}
-	if w, ok = h.wants(); !ok {
-		h.intake = intake{}
+	if w, ok = h.nextMissing(); !ok {
+		h.pacer = requestPacer{}
 		return w, 0, false
 	}
-	if !h.intake.drawn {
-		h.intake.drawn = true
-		h.intake.from = now + draw(h.Who, h.intake.vain)
+	if !h.pacer.isScheduled {
+		h.pacer.isScheduled = true
+		h.pacer.notBefore = now + backoff(h.Name, h.pacer.failures)
 	}
-	if now < h.intake.from && !h.Out.NoPace {
-		return w, h.intake.from, false
+	if now < h.pacer.notBefore && !h.Disabled.Pacing {
+		return w, h.pacer.notBefore, false
 	}
-	h.intake.asking = true
+	h.pacer.asking = true
 	return w, 0, true
 }
 
 // Misses reports whether parts are missing.
-func (h *Holder) Misses() bool {
-	_, ok := h.wants()
+func (h *Replica) IsIncomplete() bool {
+	_, ok := h.nextMissing()
 	return ok
 }
 
 // Vain is told that an asking had no answer, or a no.
-func (h *Holder) Vain() {
-	h.intake = intake{vain: h.intake.vain + 1}
+func (h *Replica) RequestFailed() {
+	h.pacer = requestPacer{failures: h.pacer.failures + 1}
 }
 
-// Got takes the answer to what it asked for: of a version by its ID, parts with their texts, or without where their names were asked
+// ReceiveParts takes the answer to what it asked for: of a version by its ID, parts with their texts, or without where their names were asked
 // for. It returns what to act on now.
-func (h *Holder) Got(now time.Duration, w Want, id ID, parts map[string]Part, check func(name, text string) error) []Took {
+func (h *Replica) ReceiveParts(now time.Duration, w PartsRequest, id ID, parts map[string]Part, check func(name, text string) error) []Update {
 	gained := false
 	d := h.docs[w.Doc]
-	for _, p := range []*piece{d.now, d.then} {
-		if p == nil || p.id != id || p.whole() {
+	for _, p := range []*partialDocument{d.activeParts, d.proposedParts} {
+		if p == nil || p.id != id || p.isComplete() {
 			continue
 		}
 		if len(w.Names) == 0 {
-			gained = d.list(p, parts, h.Out) || gained
+			gained = d.takeManifest(p, parts, h.Disabled) || gained
 		} else {
-			gained = d.fillIn(p, parts, h.Out) || gained
+			gained = d.takeTexts(p, parts, h.Disabled) || gained
 		}
 	}
 	if !gained {
-		h.Vain()
+		h.RequestFailed()
 	} else {
-		h.intake = intake{drawn: true, from: now} // it goes on at once: the others drew other moments
+		h.pacer = requestPacer{isScheduled: true, notBefore: now} // it goes on at once: the others drew other moments
 	}
-	return h.settle(now, check)
+	return h.deliver(now, check)
 }
 
 // list takes a manifest.
-func (d *held) list(p *piece, parts map[string]Part, out Guards) bool {
-	if p.parts != nil || len(parts) == 0 || len(parts) > MostParts {
+func (d *replicaDocument) takeManifest(p *partialDocument, parts map[string]Part, out DisabledGuards) bool {
+	if p.parts != nil || len(parts) == 0 || len(parts) > MaxParts {
 		return false
 	}
-	if Sum(parts) != p.id.Digest && !out.NoSum {
-		d.off("%v: the manifest has another digest", p.id)
+	if PartsDigest(parts) != p.id.Digest && !out.SumCheck {
+		d.noteMismatch("%v: the manifest has another digest", p.id)
 		return false
 	}
 	all := make(map[string]Part, len(parts))
@@ -358,14 +358,14 @@
 }
 
 // fillIn takes texts.
-func (d *held) fillIn(p *piece, parts map[string]Part, out Guards) (gained bool) {
+func (d *replicaDocument) takeTexts(p *partialDocument, parts map[string]Part, out DisabledGuards) (gained bool) {
 	for name, got := range parts {
 		one, ok := p.parts[name]
 		if !ok || one.Text != "" || got.Text == "" {
 			continue
 		}
-		if DigestOf(got.Text) != one.Digest && !out.NoText {
-			d.off("part %s of %v: its text has another digest", name, p.id)
+		if PartDigest(got.Text) != one.Digest && !out.TextCheck {
+			d.noteMismatch("part %s of %v: its text has another digest", name, p.id)
 			continue
 		}
 		one.Text = got.Text
@@ -376,18 +376,18 @@
 }
 
 // texts are those of a document's version that is in force and of the one under way, whole or in parts.
-func (d *held) texts() (list []string) {
-	for _, e := range []*Entry{d.force, d.next} {
+func (d *replicaDocument) activeAndProposedTexts() (list []string) {
+	for _, e := range []*Revision{d.active, d.proposed} {
 		if e != nil && e.Text != "" {
 			list = append(list, e.Text)
 		}
 	}
-	for _, p := range []*piece{d.given, d.then} {
+	for _, p := range []*partialDocument{d.delivered, d.proposedParts} {
 		if p == nil {
 			continue
 		}
 		for _, name := range slices.Sorted(maps.Keys(p.parts)) {
-			if p != d.given && d.given != nil && d.given.parts[name].Digest == p.parts[name].Digest {
+			if p != d.delivered && d.delivered != nil && d.delivered.parts[name].Digest == p.parts[name].Digest {
 				continue
 			}
 			list = append(list, cmp.Or(p.parts[name].Text, "not here"))
@@ -397,17 +397,17 @@
 }
 
 // Touched is what stops here for changes that turn, empty where none does.
-func (h *Holder) Touched() (list []*Touched) {
+func (h *Replica) PauseScopes() (list []*PauseScope) {
 	for _, name := range slices.Sorted(maps.Keys(h.docs)) {
 		d := h.docs[name]
-		if d.stopped == 0 {
+		if d.quiescedFor == 0 {
 			continue
 		}
-		if here := d.here(); d.touched == nil || d.touchedBy != d.next.ID || d.touchedHere != here {
-			d.touched, d.touchedBy, d.touchedHere = &Touched{}, d.next.ID, here
-			d.touched.Touch(d.next.Touches, d.texts())
+		if here := d.isPrepared(); d.scope == nil || d.scopeOf != d.proposed.ID || d.scopeComplete != here {
+			d.scope, d.scopeOf, d.scopeComplete = &PauseScope{}, d.proposed.ID, here
+			d.scope.Add(d.proposed.Scope, d.activeAndProposedTexts())
 		}
-		list = append(list, d.touched)
+		list = append(list, d.scope)
 	}
 	return list
 }
--- a/internal/policy/configstore/kinds.go
+++ b/internal/policy/configstore/kinds.go
@@ -13,13 +13,13 @@
 type Kind int
 
 const (
-	Unknown   Kind = iota // not in the table: taken for Exclusive
-	Own                   // it is the process's own: nobody else acts on it
-	Free                  // nothing: each does its work a little differently
-	Monotone              // a window: it may grow at once, and shrinks only once the longer one has run out
-	Shared                // parts of it are granted with a lease, and never sum to more than the whole
-	Announced             // exclusive, and kept apart by the times that stand in the document
-	Exclusive             // the old stops everywhere before the new begins anywhere
+	KindUnknown     Kind = iota // not in the table: taken for Exclusive
+	KindLocal                   // it is the process's own: nobody else acts on it
+	KindIndependent             // nothing: each does its work a little differently
+	KindMonotonic               // a window: it may grow at once, and shrinks only once the longer one has run out
+	KindShared                  // parts of it are granted with a lease, and never sum to more than the whole
+	KindAnnounced               // exclusive, and kept apart by the times that stand in the document
+	KindExclusive               // the old stops everywhere before the new begins anywhere
 )
 
 func (k Kind) String() string {
@@ -35,34 +35,34 @@
 )
 
 // Docs are their names.
-var Docs = []string{DocMap, DocRouting, DocClasses, DocPools}
+var DocumentNames = []string{DocMap, DocRouting, DocClasses, DocPools}
 
 // kinds are those of all fields, by document, with the indexes of arrays left out.
-var kinds = func() map[string]Kind {
+var fieldKinds = func() map[string]Kind {
 	all := map[string]Kind{}
 	add := func(k Kind, doc, fields string) {
 		for _, f := range strings.Fields(fields) {
 			all[doc+":"+f] = k
 		}
 	}
-	for _, doc := range Docs {
-		add(Free, doc, "format")
+	for _, doc := range DocumentNames {
+		add(KindIndependent, doc, "format")
 	}
-	add(Free, DocMap, "version epoch servers[].mgmt")
-	add(Monotone, DocMap, "window_ms")
-	add(Exclusive, DocMap, "skew_ms lease_ms patience_ms cells[].name")
-	add(Shared, DocMap, "cells[].capacity tenants[].rate")
-	add(Announced, DocMap, `servers[].name servers[].addr servers[].cell servers[].weight servers[].from_ms servers[].until_ms
+	add(KindIndependent, DocMap, "version epoch servers[].mgmt")
+	add(KindMonotonic, DocMap, "window_ms")
+	add(KindExclusive, DocMap, "skew_ms lease_ms patience_ms cells[].name")
+	add(KindShared, DocMap, "cells[].capacity tenants[].rate")
+	add(KindAnnounced, DocMap, `servers[].name servers[].addr servers[].cell servers[].weight servers[].from_ms servers[].until_ms
 		tenants[].name tenants[].homes[].cell tenants[].homes[].shard tenants[].homes[].from_ms tenants[].homes[].abort`)
-	add(Free, DocRouting, "probe_ms retries hedges most_out panic slow_start_ms")
-	add(Free, DocPools, `pools[].name pools[].classes pools[].weight pools[].floor limit.least limit.start limit.fixed memory.tight
+	add(KindIndependent, DocRouting, "probe_ms retries hedges most_out panic slow_start_ms")
+	add(KindIndependent, DocPools, `pools[].name pools[].classes pools[].weight pools[].floor limit.least limit.start limit.fixed memory.tight
 		memory.scarce memory.critical`)
-	add(Exclusive, DocClasses, "classes[].name classes[].effect")
-	add(Monotone, DocClasses, "classes[].memory_span")
-	add(Free, DocClasses, "classes[].target classes[].aim_stretch classes[].deadline classes[].worth classes[].late_worth")
+	add(KindExclusive, DocClasses, "classes[].name classes[].effect")
+	add(KindMonotonic, DocClasses, "classes[].memory_span")
+	add(KindIndependent, DocClasses, "classes[].target classes[].aim_stretch classes[].deadline classes[].worth classes[].late_worth")
 	// What stands in a process's own files. Of the classes there the same holds as in the document of them, for those processes
 	// that have no group: what differs is found by nobody then.
-	add(Own, "config", `name listen mgmt vm announce vault seed stop_ms limits.memory_mb limits.sockets scgi.listen scgi.upstream
+	add(KindLocal, "config", `name listen mgmt vm announce vault seed stop_ms limits.memory_mb limits.sockets scgi.listen scgi.upstream
 		scgi.max_body scgi.class scgi.tenant scgi.deadline_ms scgi.held_kb scgi.half_close scgi.upstream_timeout_ms snmp.listen
 		snmp.community settings.family_info.below settings.family_info.callers settings.family_info.calls_by_class
 		settings.family_info.cold settings.family_info.cpus settings.family_info.dep_share settings.family_info.dep_window
@@ -71,14 +71,14 @@
 		settings.family_info.run_factor settings.family_info.say settings.family_info.worth_without settings.rules.cold_from
 		settings.rules.drain_grace settings.rules.fall_multiple settings.rules.overload_for settings.rules.warm_within
 		settings.tenants[].name settings.tenants[].allowance_per_s settings.servers settings.tier`)
-	add(Free, "config", `settings.client_habits.marks_retry settings.limits.retry_after settings.limits.max_retry_after
+	add(KindIndependent, "config", `settings.client_habits.marks_retry settings.limits.retry_after settings.limits.max_retry_after
 		settings.over_share_worth settings.worth_by settings.scoring_mix.whole settings.scoring_mix.worst_class
 		settings.scoring_mix.worst_tenant settings.scoring_mix.worst_window`)
 	for _, f := range []string{"classes[].name", "classes[].effect", "classes[].memory_span", "classes[].target", "classes[].aim_stretch",
 		"classes[].deadline", "classes[].worth", "classes[].late_worth"} {
 		all["config:settings."+f] = all[DocClasses+":"+f]
 	}
-	add(Own, "edge", `status cell reserve.connections reserve.cheap_per_s reserve.cheap_each_per_s orders.state orders.group
+	add(KindLocal, "edge", `status cell reserve.connections reserve.cheap_per_s reserve.cheap_each_per_s orders.state orders.group
 		orders.members rules.group rules.members rules.documents rules.most_routers fleet.map fleet.state
 		store.dir store.size_mb store.result_kb store.gather_us life.file life.valid_ms`)
 	for _, f := range strings.Fields("probe_ms retries hedges most_out panic slow_start_ms") {
@@ -88,16 +88,16 @@
 		memory.tight memory.scarce memory.critical`) {
 		all["edge:"+f] = all[DocPools+":"+f]
 	}
-	add(Own, "quorum", `name group members log member.listen member.addr member.dir member.tick_ms member.snmp.listen
+	add(KindLocal, "quorum", `name group members log member.listen member.addr member.dir member.tick_ms member.snmp.listen
 		member.snmp.community owner.duties owner.map owner.routers owner.gone_after_ms`)
 	return all
 }()
 
 // KindOf is the kind of a field of a document, by a path whose indexes may be left out.
-func KindOf(doc, path string) Kind { return kinds[doc+":"+plain(path)] }
+func KindOf(doc, path string) Kind { return fieldKinds[doc+":"+fieldPath(path)] }
 
 // plain leaves the indexes and names out of a path.
-func plain(path string) string {
+func fieldPath(path string) string {
 	var b strings.Builder
 	in := false
 	for _, c := range path {
@@ -136,40 +136,40 @@
 			return nil, fmt.Errorf("%s: not JSON: %w", doc, err)
 		}
 	}
-	walk("", a, b, func(path string, old, new any) {
+	walkDifferences("", a, b, func(path string, old, new any) {
 		k := KindOf(doc, path)
-		list = append(list, Difference{path, show(old), show(new), k.String(), k})
+		list = append(list, Difference{path, toJSON(old), toJSON(new), k.String(), k})
 	})
 	slices.SortFunc(list, func(a, b Difference) int { return strings.Compare(a.Path, b.Path) })
 	return list, nil
 }
 
-// Excludes reports whether a change differs in what must stop everywhere before it begins anywhere. What has no kind is taken
+// HasExclusive reports whether a change differs in what must stop everywhere before it begins anywhere. What has no kind is taken
 // for that.
-func Excludes(list []Difference) bool {
-	return slices.ContainsFunc(list, func(d Difference) bool { return d.kind == Exclusive || d.kind == Unknown })
+func HasExclusive(list []Difference) bool {
+	return slices.ContainsFunc(list, func(d Difference) bool { return d.kind == KindExclusive || d.kind == KindUnknown })
 }
 
 // Bound names the first field of a change that a part of the fleet can't act on alone, empty for none.
-func Bound(list []Difference) string {
+func FirstDependent(list []Difference) string {
 	for _, d := range list {
-		if d.kind != Free {
+		if d.kind != KindIndependent {
 			return d.Path
 		}
 	}
 	return ""
 }
 
-// Window is what holds now of a window that changes from one length to another, and how long until the new one does: what ran by
+// TransitionWindow is what holds now of a window that changes from one length to another, and how long until the new one does: what ran by
 // the longer one may come again until then, and a patience beyond.
-func Window(old, next, patience time.Duration) (now, until time.Duration) {
+func TransitionWindow(old, next, patience time.Duration) (now, until time.Duration) {
 	if next >= old {
 		return next, 0
 	}
 	return old, old + patience
 }
 
-func show(v any) string {
+func toJSON(v any) string {
 	if v == nil {
 		return ""
 	}
@@ -178,29 +178,29 @@
 }
 
 // walk calls fn with every leaf that differs.
-func walk(path string, a, b any, fn func(path string, a, b any)) {
+func walkDifferences(path string, a, b any, fn func(path string, a, b any)) {
 	switch x := either(a, b).(type) {
 	case map[string]any:
 		av, _ := a.(map[string]any)
 		bv, _ := b.(map[string]any)
 		for key := range union(av, bv) {
-			walk(strings.TrimPrefix(path+"."+key, "."), av[key], bv[key], fn)
+			walkDifferences(strings.TrimPrefix(path+"."+key, "."), av[key], bv[key], fn)
 		}
 	case []any:
-		av, bv := named(a), named(b)
+		av, bv := elementsByName(a), elementsByName(b)
 		for key := range union(av, bv) {
-			walk(path+"["+key+"]", av[key], bv[key], fn)
+			walkDifferences(path+"["+key+"]", av[key], bv[key], fn)
 		}
 	default:
 		_ = x
-		if !same(a, b) {
+		if !equalLeaves(a, b) {
 			fn(path, a, b)
 		}
 	}
 }
 
 // same compares leaves, most of which are alike, without writing them.
-func same(a, b any) bool {
+func equalLeaves(a, b any) bool {
 	switch x := a.(type) {
 	case string, float64, bool:
 		switch b.(type) {
@@ -208,7 +208,7 @@
 			return x == b
 		}
 	}
-	return show(a) == show(b)
+	return toJSON(a) == toJSON(b)
 }
 
 func either(a, b any) any {
@@ -230,7 +230,7 @@
 }
 
 // named are the elements of an array by their names, or by their numbers.
-func named(v any) map[string]any {
+func elementsByName(v any) map[string]any {
 	list, _ := v.([]any)
 	all := map[string]any{}
 	for i, e := range list {
--- a/internal/policy/configstore/kindsgolden_test.go
+++ b/internal/policy/configstore/kindsgolden_test.go
@@ -14,7 +14,7 @@
 // by rules diff. A field that lost its kind would be taken for exclusive, and stop the fleet. Each field stands in testdata with its kind.
 func TestFieldsKeepTheirKinds(t *testing.T) {
 	var list []string
-	for field, kind := range kinds {
+	for field, kind := range fieldKinds {
 		list = append(list, field+" "+kind.String())
 	}
 	slices.Sort(list)
@@ -42,23 +42,23 @@
 		`{"path":"cells[b].name","old":"\"b\"","kind":"exclusive"},{"path":"colour[0]","new":"\"red\"","kind":"unknown"},` +
 		`{"path":"servers[s1].addr","old":"\"x\"","new":"\"y\"","kind":"announced"},{"path":"version","old":"1","new":"2","kind":"free"},` +
 		`{"path":"window_ms","old":"5","new":"6","kind":"monotone"}]`
-	if string(b) != want || !Excludes(list) || Bound(list) != "cells[a].capacity" {
-		t.Errorf("excludes %v, bound %q, got %s", Excludes(list), Bound(list), b)
+	if string(b) != want || !HasExclusive(list) || FirstDependent(list) != "cells[a].capacity" {
+		t.Errorf("excludes %v, bound %q, got %s", HasExclusive(list), FirstDependent(list), b)
 	}
 }
 
 // The names of a verdict are counters and stand in the status of routers and servers; an ID's text is on the wire.
 func TestNamesOfVerdicts(t *testing.T) {
-	got := fmt.Sprintln(Good, Behind, Contradicted, Quiet, Unconfirmed, ClocksApart, StopsToTurn, Watcher, Proposed, Trial, Turning)
+	got := fmt.Sprintln(VerdictValid, VerdictOutdated, VerdictConflicting, VerdictSettling, StopUnconfirmed, StopClockSkew, StopQuiescing, MonitorAuthor, StageProposed, StageCanary, StageQuiescing)
 	if got != "good behind contradicted quiet unconfirmed clock turning the watch proposed trial turning\n" {
 		t.Error(got)
 	}
-	id := Name(7, []byte("text"))
+	id := NewID(7, []byte("text"))
 	if got := id.String(); got != "7.80a69b9688ccaf52" {
 		t.Error(got)
 	}
-	terms := Terms{Lease: 5 * time.Second, Skew: time.Second, Drift: 0.05, Probe: 500 * time.Millisecond, Wait: time.Second, Dual: time.Minute}
-	if got := fmt.Sprint(terms.Found(), terms.Bound()); got != "3.157894736s 6.263157894s" {
+	terms := Terms{Lease: 5 * time.Second, ClockSkew: time.Second, ClockDrift: 0.05, ProbeInterval: 500 * time.Millisecond, ProbeTimeout: time.Second, OverlapWindow: time.Minute}
+	if got := fmt.Sprint(terms.DetectionBound(), terms.ConflictBound()); got != "3.157894736s 6.263157894s" {
 		t.Error(got)
 	}
 }
--- a/internal/policy/configstore/parts.go
+++ b/internal/policy/configstore/parts.go
@@ -29,21 +29,21 @@
 // Bounds of a document in parts.
 const (
 	// MostParts bounds what has to be named to name a document whole: a manifest of so many is about 50 KB.
-	MostParts = 1024
+	MaxParts = 1024
 	// LongestPart bounds the least that can be sent of a change: an answer carries several.
-	LongestPart = 64 << 10
-	// LongestDocument bounds what each member keeps and sends in a snapshot, and each process holds: eight times the map of 930
+	MaxPartSize = 64 << 10
+	// MaxDocumentSize bounds what each member keeps and sends in a snapshot, and each process holds: eight times the map of 930
 	// servers and 21,000 tenants.
-	LongestDocument = 16 << 20
-	longestPartName = 64
-	FormatInParts   = 2 // of a document that is not in parts it is 1: a process that reads only those is not handed this
+	MaxDocumentSize = 16 << 20
+	maxPartName     = 64
+	PartsFormat     = 2 // of a document that is not in parts it is 1: a process that reads only those is not handed this
 )
 
 // DigestOf is the digest of a part's text.
-func DigestOf(text string) uint64 { return xxhash.Sum64String(text) }
+func PartDigest(text string) uint64 { return xxhash.Sum64String(text) }
 
 // Sum is the digest of a document in parts: that of the names and digests of its parts.
-func Sum(parts map[string]Part) uint64 {
+func PartsDigest(parts map[string]Part) uint64 {
 	h := xxhash.New()
 	var b [9]byte // of a 0, which no name has, and a digest
 	for _, name := range slices.Sorted(maps.Keys(parts)) {
@@ -55,43 +55,43 @@
 }
 
 // SumOf is Sum for texts.
-func SumOf(texts map[string]string) uint64 {
+func TextsDigest(texts map[string]string) uint64 {
 	parts := map[string]Part{}
 	for name, text := range texts {
-		parts[name] = Part{Digest: DigestOf(text)}
+		parts[name] = Part{Digest: PartDigest(text)}
 	}
-	return Sum(parts)
+	return PartsDigest(parts)
 }
 
 // Fits names the bound that parts of a document are beyond.
-func Fits(doc string, texts map[string]string) error {
-	if len(texts) > MostParts {
-		return fmt.Errorf("%s: %d parts, of at most %d", doc, len(texts), MostParts)
+func CheckSize(doc string, texts map[string]string) error {
+	if len(texts) > MaxParts {
+		return fmt.Errorf("%s: %d parts, of at most %d", doc, len(texts), MaxParts)
 	}
 	size := 0
 	for _, name := range slices.Sorted(maps.Keys(texts)) {
 		n := len(texts[name])
 		size += len(name) + n
 		switch {
-		case name == "" || len(name) > longestPartName || strings.ContainsRune(name, 0):
-			return fmt.Errorf("%s: a part's name %.70q: of 1 to %d bytes, none of them 0", doc, name, longestPartName)
-		case n == 0 || n > LongestPart:
-			return fmt.Errorf("%s: part %s: %d bytes, of 1 to %d", doc, name, n, LongestPart)
+		case name == "" || len(name) > maxPartName || strings.ContainsRune(name, 0):
+			return fmt.Errorf("%s: a part's name %.70q: of 1 to %d bytes, none of them 0", doc, name, maxPartName)
+		case n == 0 || n > MaxPartSize:
+			return fmt.Errorf("%s: part %s: %d bytes, of 1 to %d", doc, name, n, MaxPartSize)
 		}
 	}
-	if size > LongestDocument {
-		return fmt.Errorf("%s: %d bytes in parts, of at most %d", doc, size, LongestDocument)
+	if size > MaxDocumentSize {
+		return fmt.Errorf("%s: %d bytes in parts, of at most %d", doc, size, MaxDocumentSize)
 	}
 	return nil
 }
 
 // FitsChange is Fits for what one change carries. What is larger goes into a draft by several.
-func FitsChange(doc string, texts map[string]string) error {
-	if err := Fits(doc, texts); err != nil {
+func CheckChangeSize(doc string, texts map[string]string) error {
+	if err := CheckSize(doc, texts); err != nil {
 		return err
 	}
-	if n := sizeOf(texts); n > longestText {
-		return fmt.Errorf("%s: %d bytes in one change, of at most %d", doc, n, longestText)
+	if n := sizeOf(texts); n > maxTextSize {
+		return fmt.Errorf("%s: %d bytes in one change, of at most %d", doc, n, maxTextSize)
 	}
 	return nil
 }
@@ -108,7 +108,7 @@
 	size := 0
 	for _, name := range slices.Sorted(maps.Keys(texts)) {
 		n := len(name) + len(texts[name])
-		if len(list) == 0 || size+n > longestText/2 { // half, as quotes in a text take two bytes on the way
+		if len(list) == 0 || size+n > maxTextSize/2 { // half, as quotes in a text take two bytes on the way
 			list, size = append(list, map[string]string{}), 0
 		}
 		list[len(list)-1][name] = texts[name]
@@ -118,18 +118,18 @@
 }
 
 // load takes parts into the document's draft.
-func (b *Book) load(c Change) (*Doc, error) {
-	d := b.Docs[c.Doc]
+func (b *Store) loadDraft(c Change) (*Document, error) {
+	d := b.Documents[c.Doc]
 	if d == nil {
-		if c.Doc == "" || len(b.Docs) >= mostDocs {
-			return nil, fmt.Errorf("%d documents are all that there can be", mostDocs)
+		if c.Doc == "" || len(b.Documents) >= maxDocuments {
+			return nil, fmt.Errorf("%d documents are all that there can be", maxDocuments)
 		}
-		d = &Doc{Name: c.Doc}
+		d = &Document{Name: c.Doc}
 	}
-	if c.Draft == "" || len(c.Draft) > longestPartName {
-		return d, fmt.Errorf("%s: a draft's name: of 1 to %d bytes", c.Doc, longestPartName)
+	if c.Draft == "" || len(c.Draft) > maxPartName {
+		return d, fmt.Errorf("%s: a draft's name: of 1 to %d bytes", c.Doc, maxPartName)
 	}
-	if err := FitsChange(c.Doc, c.Parts); err != nil {
+	if err := CheckChangeSize(c.Doc, c.Parts); err != nil {
 		return d, err
 	}
 	all := map[string]string{}
@@ -137,38 +137,38 @@
 		maps.Copy(all, d.Draft.Parts)
 	}
 	maps.Copy(all, c.Parts)
-	if err := Fits(c.Doc, all); err != nil {
+	if err := CheckSize(c.Doc, all); err != nil {
 		return d, err
 	}
 	d.Draft = &Draft{c.Draft, all}
-	b.Docs[c.Doc] = d
+	b.Documents[c.Doc] = d
 	return d, nil
 }
 
 // Drafted are the parts that a change puts: its own, or those of the draft that it names.
-func (d *Doc) Drafted(c Change) (map[string]string, error) {
+func (d *Document) DraftedParts(c Change) (map[string]string, error) {
 	if c.Draft == "" {
-		return c.Parts, FitsChange(d.Name, c.Parts)
+		return c.Parts, CheckChangeSize(d.Name, c.Parts)
 	}
 	if d.Draft == nil || d.Draft.ID != c.Draft {
-		return nil, fmt.Errorf("%w: no draft %.70q of %s: another has begun", ErrNone, c.Draft, d.Name)
+		return nil, fmt.Errorf("%w: no draft %.70q of %s: another has begun", ErrNoSuchChange, c.Draft, d.Name)
 	}
 	return d.Draft.Parts, nil
 }
 
 // overlay is what a change in parts differs in from what is in force, and the digest that the whole then has.
-func (d *Doc) overlay(c Change) (over map[string]Part, digest uint64, err error) {
-	texts, err := d.Drafted(c)
+func (d *Document) changedParts(c Change) (over map[string]Part, digest uint64, err error) {
+	texts, err := d.DraftedParts(c)
 	if err != nil {
 		return nil, 0, err
 	}
 	var force map[string]Part
-	if d.Force != nil {
-		force = d.Force.Parts
+	if d.Active != nil {
+		force = d.Active.Parts
 	}
 	over = map[string]Part{}
 	for name, text := range texts {
-		p := Part{d.Top + 1, DigestOf(text), text}
+		p := Part{d.HighestVersion + 1, PartDigest(text), text}
 		if was, ok := force[name]; !ok || was.Digest != p.Digest {
 			over[name] = p
 		}
@@ -178,10 +178,10 @@
 	for name, p := range all {
 		whole[name] = p.Text
 	}
-	if err := Fits(d.Name, whole); err != nil {
+	if err := CheckSize(d.Name, whole); err != nil {
 		return nil, 0, err
 	}
-	if digest = Sum(all); digest != c.Digest {
+	if digest = PartsDigest(all); digest != c.Digest {
 		return nil, 0, fmt.Errorf("%s: with these parts its digest is %016x, not %016x: they are of another version", d.Name, digest, c.Digest)
 	}
 	return over, digest, nil
@@ -195,9 +195,9 @@
 }
 
 // onto is an entry in parts as it comes into force on top of another one.
-func (e *Entry) onto(force *Entry) *Entry {
+func (e *Revision) activated(force *Revision) *Revision {
 	whole := *e
-	whole.Changed = slices.Sorted(maps.Keys(e.Parts))
+	whole.ChangedParts = slices.Sorted(maps.Keys(e.Parts))
 	if force != nil {
 		whole.Parts = merged(force.Parts, e.Parts)
 	}
@@ -205,39 +205,39 @@
 }
 
 // bare is an entry without what a document in parts says: a version that is over is kept so, as it is never taken back.
-func (e *Entry) bare() *Entry {
-	if !e.Split {
+func (e *Revision) withoutParts() *Revision {
+	if !e.InParts {
 		return e
 	}
 	short := *e
-	if short.Parts != nil && short.Changed == nil {
-		short.Changed = slices.Sorted(maps.Keys(e.Parts))
+	if short.Parts != nil && short.ChangedParts == nil {
+		short.ChangedParts = slices.Sorted(maps.Keys(e.Parts))
 	}
 	short.Parts = nil
 	return &short
 }
 
 // At are all parts of a version that is in force or under way, with its ID.
-func (d *Doc) At(version int) (ID, map[string]Part, bool) {
+func (d *Document) PartsAt(version int) (ID, map[string]Part, bool) {
 	switch {
-	case d.Force != nil && d.Force.ID.Version == version && d.Force.Split:
-		return d.Force.ID, d.Force.Parts, true
-	case d.Next != nil && d.Next.ID.Version == version && d.Next.Split:
+	case d.Active != nil && d.Active.ID.Version == version && d.Active.InParts:
+		return d.Active.ID, d.Active.Parts, true
+	case d.Proposed != nil && d.Proposed.ID.Version == version && d.Proposed.InParts:
 		var force map[string]Part
-		if d.Force != nil {
-			force = d.Force.Parts
+		if d.Active != nil {
+			force = d.Active.Parts
 		}
-		return d.Next.ID, merged(force, d.Next.Parts), true
+		return d.Proposed.ID, merged(force, d.Proposed.Parts), true
 	}
 	return ID{}, nil, false
 }
 
-// Listed is a document without the texts of its parts and its draft's, and of the versions that are over with as many texts, the latest
+// Summary is a document without the texts of its parts and its draft's, and of the versions that are over with as many texts, the latest
 // first, as an answer can carry.
-func (d *Doc) Listed() *Doc {
+func (d *Document) Summary() *Document {
 	short := *d
-	for _, e := range []**Entry{&short.Force, &short.Next} {
-		if *e == nil || !(*e).Split {
+	for _, e := range []**Revision{&short.Active, &short.Proposed} {
+		if *e == nil || !(*e).InParts {
 			continue
 		}
 		one := **e
@@ -249,7 +249,7 @@
 	}
 	short.History = slices.Clone(d.History)
 	for i, size := len(short.History)-1, 0; i >= 0; i-- {
-		if size += Encoded(short.History[i].Text); size > TellBudget {
+		if size += EncodedSize(short.History[i].Text); size > MaxViewSize {
 			one := *short.History[i]
 			one.Text = ""
 			short.History[i] = &one
@@ -259,10 +259,10 @@
 }
 
 // Listed is a book without the texts of documents in parts, to be looked at.
-func (b *Book) Listed() *Book {
-	short := &Book{map[string]*Doc{}, b.Users}
-	for name, d := range b.Docs {
-		short.Docs[name] = d.Listed()
+func (b *Store) Summary() *Store {
+	short := &Store{map[string]*Document{}, b.Processes}
+	for name, d := range b.Documents {
+		short.Documents[name] = d.Summary()
 	}
 	return short
 }
@@ -280,41 +280,41 @@
 // Budgets of what one answer carries, in bytes as they go over the wire: a word is at most 1 MiB.
 const (
 	// TellBudget bounds the parts in the answer to a process that asks what has changed. What is beyond is named, and asked for.
-	TellBudget = 128 << 10
+	MaxViewSize = 128 << 10
 	// SendBudget bounds the parts in the answer to a process that asks for them.
-	SendBudget = 256 << 10
+	MaxPartsAnswerSize = 256 << 10
 )
 
-// Tell is a document as a process is told of it: what it says to have is left out. Of a document in parts it has the versions named,
+// ViewFor is a document as a process is told of it: what it says to have is left out. Of a document in parts it has the versions named,
 // and acts on base, 0 for none.
-func (d *Doc) Tell(u *User, has []int, base int) View {
-	v := View{Stage: d.Stage, Force: brief(d.Force, has)}
-	if d.Force != nil && d.Force.Split && v.Force.Parts != nil {
-		if 0 < base && base < d.Force.ID.Version {
+func (d *Document) ViewFor(u *Process, has []int, base int) View {
+	v := View{Stage: d.Stage, Active: withoutKnown(d.Active, has)}
+	if d.Active != nil && d.Active.InParts && v.Active.Parts != nil {
+		if 0 < base && base < d.Active.ID.Version {
 			v.Since = base
 		}
-		if v.Force.Parts = told(d.Force.Parts, v.Since); v.Since == 0 && !carried(v.Force.Parts) {
-			v.Force.Parts = nil // as many names as there are parts: the process asks for them in its own time
+		if v.Active.Parts = changedSince(d.Active.Parts, v.Since); v.Since == 0 && !haveTexts(v.Active.Parts) {
+			v.Active.Parts = nil // as many names as there are parts: the process asks for them in its own time
 		}
 	}
-	if !d.Handed(u) {
+	if !d.IsOfferedTo(u) {
 		v.Stage = ""
 		return v
 	}
-	v.Next = brief(d.Next, has)
-	if v.Next.Split && v.Next.Parts != nil {
-		v.Next.Parts = told(d.Next.Parts, 0)
+	v.Proposed = withoutKnown(d.Proposed, has)
+	if v.Proposed.InParts && v.Proposed.Parts != nil {
+		v.Proposed.Parts = changedSince(d.Proposed.Parts, 0)
 	}
 	return v
 }
 
 // brief is an entry without the text that a process has.
-func brief(e *Entry, has []int) *Entry {
+func withoutKnown(e *Revision, has []int) *Revision {
 	if e == nil {
 		return nil
 	}
 	short := *e
-	short.Changed = nil
+	short.ChangedParts = nil
 	if slices.Contains(has, e.ID.Version) {
 		short.Text, short.Parts = "", nil
 	}
@@ -322,23 +322,23 @@
 }
 
 // told are the parts that changed after a version, without their texts where an answer can't carry them.
-func told(parts map[string]Part, since int) map[string]Part {
+func changedSince(parts map[string]Part, since int) map[string]Part {
 	list, size := map[string]Part{}, 0
 	for name, p := range parts {
 		if p.Version > since {
 			list[name] = p
-			if size <= TellBudget { // beyond it there is no need to know
-				size += Encoded(p.Text)
+			if size <= MaxViewSize { // beyond it there is no need to know
+				size += EncodedSize(p.Text)
 			}
 		}
 	}
-	if size > TellBudget {
+	if size > MaxViewSize {
 		return Manifest(list)
 	}
 	return list
 }
 
-func carried(parts map[string]Part) bool {
+func haveTexts(parts map[string]Part) bool {
 	for _, p := range parts {
 		return p.Text != ""
 	}
@@ -346,7 +346,7 @@
 }
 
 // Send are the named parts of a version, as many as an answer can carry, and one at least; without names it is the manifest of all.
-func Send(parts map[string]Part, names []string) map[string]Part {
+func SelectParts(parts map[string]Part, names []string) map[string]Part {
 	if len(names) == 0 {
 		return Manifest(parts)
 	}
@@ -356,7 +356,7 @@
 		if !ok {
 			continue
 		}
-		if size += Encoded(p.Text); size > SendBudget && len(list) > 0 {
+		if size += EncodedSize(p.Text); size > MaxPartsAnswerSize && len(list) > 0 {
 			break
 		}
 		list[name] = p
@@ -365,7 +365,7 @@
 }
 
 // Encoded is how long a text is as JSON, at most.
-func Encoded(text string) int {
+func EncodedSize(text string) int {
 	n := len(text) + 2
 	for i := range len(text) {
 		switch c := text[i]; {
@@ -380,21 +380,21 @@
 
 // What a change that excludes touches: only that stops while everybody turns.
 const (
-	TouchClass = "class:" // and the class's name
-	TouchCell  = "cell:"  // and the cell's name
+	ScopeClass = "class:" // and the class's name
+	ScopeCell  = "cell:"  // and the cell's name
 )
 
 // Touches names what the exclusive differences of a change touch, nothing where that is everything.
-func Touches(doc string, list []Difference) (touched []string) {
+func ScopeOf(doc string, list []Difference) (touched []string) {
 	for _, d := range list {
-		if d.kind != Exclusive && d.kind != Unknown {
+		if d.kind != KindExclusive && d.kind != KindUnknown {
 			continue
 		}
 		name := ""
 		for _, f := range []struct{ doc, array, field, as string }{
-			{DocClasses, "classes[", "].name", TouchClass}, {DocClasses, "classes[", "].effect", TouchClass}, {DocMap, "cells[", "].name", TouchCell},
+			{DocClasses, "classes[", "].name", ScopeClass}, {DocClasses, "classes[", "].effect", ScopeClass}, {DocMap, "cells[", "].name", ScopeCell},
 		} {
-			if rest, ok := strings.CutPrefix(d.Path, f.array); ok && doc == f.doc && d.kind == Exclusive {
+			if rest, ok := strings.CutPrefix(d.Path, f.array); ok && doc == f.doc && d.kind == KindExclusive {
 				if in, ok := strings.CutSuffix(rest, f.field); ok {
 					name = f.as + in
 				}
@@ -414,7 +414,7 @@
 // DiffParts are the fields in which parts differ from those that are there, part by part: it costs what changed.
 func DiffParts(doc string, old map[string]Part, changed map[string]string) (list []Difference, err error) {
 	for _, name := range slices.Sorted(maps.Keys(changed)) {
-		if was, ok := old[name]; ok && was.Digest == DigestOf(changed[name]) {
+		if was, ok := old[name]; ok && was.Digest == PartDigest(changed[name]) {
 			continue
 		}
 		more, err := Diff(doc, old[name].Text, changed[name])
@@ -428,18 +428,18 @@
 }
 
 // Touched is what stops at a process while a change that excludes turns.
-type Touched struct {
-	all     bool
-	classes map[string]bool
-	tenants map[string]bool // of those that a map names; "" is all the others
-	named   map[string]bool
+type PauseScope struct {
+	all          bool
+	classes      map[string]bool
+	tenants      map[string]bool // of those that a map names; "" is all the others
+	namedTenants map[string]bool
 }
 
-// Touch adds what a change touches. Texts are those of its document before and after, or of their parts, by which it is known who
+// Add adds what a change touches. Texts are those of its document before and after, or of their parts, by which it is known who
 // lives in a cell.
-func (t *Touched) Touch(touches []string, texts []string) {
+func (t *PauseScope) Add(touches []string, texts []string) {
 	if t.classes == nil {
-		t.classes, t.tenants, t.named = map[string]bool{}, map[string]bool{}, map[string]bool{}
+		t.classes, t.tenants, t.namedTenants = map[string]bool{}, map[string]bool{}, map[string]bool{}
 	}
 	if len(touches) == 0 {
 		t.all = true
@@ -447,9 +447,9 @@
 	}
 	cells := map[string]bool{}
 	for _, name := range touches {
-		if class, ok := strings.CutPrefix(name, TouchClass); ok {
+		if class, ok := strings.CutPrefix(name, ScopeClass); ok {
 			t.classes[class] = true
-		} else if cell, ok := strings.CutPrefix(name, TouchCell); ok {
+		} else if cell, ok := strings.CutPrefix(name, ScopeCell); ok {
 			cells[cell] = true
 		} else {
 			t.all = true // of a newer build
@@ -470,7 +470,7 @@
 			return
 		}
 		for _, one := range of.Tenants {
-			t.named[one.Name] = true
+			t.namedTenants[one.Name] = true
 			for _, h := range one.Homes {
 				if cells[h.Cell] {
 					t.tenants[one.Name] = true
@@ -481,6 +481,6 @@
 }
 
 // Stops reports whether a sheet of a class and a tenant is touched.
-func (t *Touched) Stops(class, tenant string) bool {
-	return t.all || t.classes[class] || t.tenants[tenant] || t.tenants[""] && !t.named[tenant]
+func (t *PauseScope) Pauses(class, tenant string) bool {
+	return t.all || t.classes[class] || t.tenants[tenant] || t.tenants[""] && !t.namedTenants[tenant]
 }
--- a/internal/policy/configstore/parts_test.go
+++ b/internal/policy/configstore/parts_test.go
@@ -17,12 +17,12 @@
 )
 
 // again is what comes out of a book that was written and read.
-func again(t interface{ Fatal(...any) }, b *Book) *Book {
+func again(t interface{ Fatal(...any) }, b *Store) *Store {
 	text, err := json.Marshal(b)
 	if err != nil {
 		t.Fatal(err)
 	}
-	out := NewBook()
+	out := NewStore()
 	if err := json.Unmarshal(text, out); err != nil {
 		t.Fatal(err)
 	}
@@ -41,7 +41,7 @@
 // whenever it is written and read between; its digest names the whole, and each part the version in which it changed.
 func TestBookInParts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b := NewBook()
+		b := NewStore()
 		var force, next map[string]string // what it has to say; next nil: nothing is under way
 		since := map[string]int{}
 		draft, drafted := "", map[string]string{}
@@ -56,23 +56,23 @@
 			maps.Copy(all, changed)
 			return all
 		}
-		doc := func() *Doc {
-			if d := b.Docs["d"]; d != nil {
+		doc := func() *Document {
+			if d := b.Documents["d"]; d != nil {
 				return d
 			}
-			return &Doc{}
+			return &Document{}
 		}
 		version := func() int {
-			if d := doc(); d.Force != nil {
-				return d.Force.ID.Version
+			if d := doc(); d.Active != nil {
+				return d.Active.ID.Version
 			}
 			return 0
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"put": func(t *rapid.T) {
-				c := Change{Op: Put, Doc: "d", Version: version(), Parts: some("changed")}
+				c := Change{Op: OpPropose, Doc: "d", Version: version(), Parts: some("changed")}
 				all := onto(c.Parts)
-				c.Digest = SumOf(all)
+				c.Digest = TextsDigest(all)
 				wrong := rapid.Bool().Draw(t, "wrong")
 				if wrong {
 					c.Digest++
@@ -87,7 +87,7 @@
 			"load": func(t *rapid.T) {
 				id := rapid.SampledFrom([]string{"x", "y"}).Draw(t, "draft")
 				parts := some("loaded")
-				if _, err := b.Apply(Change{Op: Load, Doc: "d", Draft: id, Parts: parts}); err != nil {
+				if _, err := b.Apply(Change{Op: OpLoadDraft, Doc: "d", Draft: id, Parts: parts}); err != nil {
 					t.Fatal(err)
 				}
 				if id != draft {
@@ -98,7 +98,7 @@
 			"put a draft": func(t *rapid.T) {
 				id := rapid.SampledFrom([]string{"x", "y"}).Draw(t, "draft")
 				all := onto(drafted)
-				_, err := b.Apply(Change{Op: Put, Doc: "d", Version: version(), Draft: id, Digest: SumOf(all)})
+				_, err := b.Apply(Change{Op: OpPropose, Doc: "d", Version: version(), Draft: id, Digest: TextsDigest(all)})
 				if ok := next == nil && id == draft && !maps.Equal(all, force); ok != (err == nil) {
 					t.Fatalf("%s of %s: %v", id, draft, err)
 				} else if ok {
@@ -109,7 +109,7 @@
 				if next == nil {
 					t.Skip()
 				}
-				if _, err := b.Apply(Change{Op: Withdraw, Doc: "d", Version: doc().Next.ID.Version}); err != nil {
+				if _, err := b.Apply(Change{Op: OpWithdraw, Doc: "d", Version: doc().Proposed.ID.Version}); err != nil {
 					t.Fatal(err)
 				}
 				next = nil
@@ -120,44 +120,44 @@
 				}
 				for name, text := range next {
 					if force[name] != text {
-						since[name] = doc().Next.ID.Version
+						since[name] = doc().Proposed.ID.Version
 					}
 				}
-				if _, err := b.Apply(Change{Op: Advance, Doc: "d", Version: doc().Next.ID.Version, Stage: Proposed}); err != nil {
+				if _, err := b.Apply(Change{Op: OpAdvance, Doc: "d", Version: doc().Proposed.ID.Version, Stage: StageProposed}); err != nil {
 					t.Fatal(err)
 				}
 				force, next = next, nil
 			},
 			"written and read": func(t *rapid.T) { b = again(t, b) },
 			"a whole text": func(t *rapid.T) {
-				if _, err := b.Apply(Change{Op: Put, Doc: "d", Version: version(), Text: "{}"}); err == nil && (force != nil || next != nil) {
+				if _, err := b.Apply(Change{Op: OpPropose, Doc: "d", Version: version(), Text: "{}"}); err == nil && (force != nil || next != nil) {
 					t.Fatal("put on parts")
 				} else if err == nil {
-					b = NewBook()
+					b = NewStore()
 					draft = ""
 				}
 			},
 			"": func(t *rapid.T) {
 				d := doc()
-				if (d.Force == nil) != (force == nil) || (d.Next == nil) != (next == nil) {
+				if (d.Active == nil) != (force == nil) || (d.Proposed == nil) != (next == nil) {
 					t.Fatalf("%+v", d)
 				}
 				if force != nil {
-					if got := textsOf(d.Force.Parts); !maps.Equal(got, force) || d.Force.ID.Digest != SumOf(force) || !d.Force.Split || d.Force.Format != 2 {
+					if got := textsOf(d.Active.Parts); !maps.Equal(got, force) || d.Active.ID.Digest != TextsDigest(force) || !d.Active.InParts || d.Active.Format != 2 {
 						t.Fatalf("in force %v, not %v", got, force)
 					}
-					for name, p := range d.Force.Parts {
+					for name, p := range d.Active.Parts {
 						if p.Version != since[name] {
 							t.Fatalf("%s changed in %d, not in %d", name, p.Version, since[name])
 						}
 					}
 				}
 				if next != nil {
-					_, all, ok := d.At(d.Next.ID.Version)
-					if got := textsOf(all); !ok || !maps.Equal(got, next) || d.Next.ID.Digest != SumOf(next) {
+					_, all, ok := d.PartsAt(d.Proposed.ID.Version)
+					if got := textsOf(all); !ok || !maps.Equal(got, next) || d.Proposed.ID.Digest != TextsDigest(next) {
 						t.Fatalf("under way %v, not %v", got, next)
 					}
-					for name, p := range d.Next.Parts {
+					for name, p := range d.Proposed.Parts {
 						if force[name] == p.Text {
 							t.Fatalf("%s is carried and is as in force", name)
 						}
@@ -167,7 +167,7 @@
 					t.Fatalf("draft %+v, not %s %v", d.Draft, draft, drafted)
 				}
 				for _, e := range d.History {
-					if e.Parts != nil || len(e.Changed) == 0 {
+					if e.Parts != nil || len(e.ChangedParts) == 0 {
 						t.Fatalf("kept %+v", e)
 					}
 				}
@@ -178,7 +178,7 @@
 
 // The bounds are named in one line, and hold for drafts as for changes.
 func TestPartsFit(t *testing.T) {
-	big := strings.Repeat("x", LongestPart)
+	big := strings.Repeat("x", MaxPartSize)
 	many := func(n int, text string) map[string]string {
 		all := map[string]string{}
 		for i := range n {
@@ -186,7 +186,7 @@
 		}
 		return all
 	}
-	b := NewBook()
+	b := NewStore()
 	for _, c := range []struct {
 		why   string
 		parts map[string]string
@@ -199,8 +199,8 @@
 		{"a part's name", map[string]string{"a\x00b": "x"}},
 		{"bytes in one change, of at most 262144", many(4, big)},
 	} {
-		for _, op := range []Op{Put, Load} {
-			_, err := b.Apply(Change{Op: op, Doc: "d", Draft: map[Op]string{Load: "x"}[op], Parts: c.parts, Digest: SumOf(c.parts)})
+		for _, op := range []Op{OpPropose, OpLoadDraft} {
+			_, err := b.Apply(Change{Op: op, Doc: "d", Draft: map[Op]string{OpLoadDraft: "x"}[op], Parts: c.parts, Digest: TextsDigest(c.parts)})
 			if err == nil || !strings.Contains(err.Error(), c.why) || strings.Contains(err.Error(), "\n") {
 				t.Errorf("%s: %v, not %q", op, err, c.why)
 			}
@@ -208,7 +208,7 @@
 	}
 	// A draft is bounded as a whole, and one that another one has ended can't be put.
 	load := func(id string, parts map[string]string) error {
-		_, err := b.Apply(Change{Op: Load, Doc: "d", Draft: id, Parts: parts})
+		_, err := b.Apply(Change{Op: OpLoadDraft, Doc: "d", Draft: id, Parts: parts})
 		return err
 	}
 	var err error
@@ -222,16 +222,16 @@
 	if err := load("y", map[string]string{"a": "{}"}); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := b.Apply(Change{Op: Put, Doc: "d", Draft: "x"}); !errors.Is(err, ErrNone) {
+	if _, err := b.Apply(Change{Op: OpPropose, Doc: "d", Draft: "x"}); !errors.Is(err, ErrNoSuchChange) {
 		t.Error(err)
 	}
-	put := Change{Op: Put, Doc: "d", Draft: "y", Digest: SumOf(map[string]string{"a": "{}"})}
+	put := Change{Op: OpPropose, Doc: "d", Draft: "y", Digest: TextsDigest(map[string]string{"a": "{}"})}
 	if _, err := b.Apply(put); err != nil {
 		t.Error(err)
 	}
 	// What is loaded in batches is within the bounds of one change.
 	for _, one := range Batches(many(30, big[:20000])) {
-		if err := FitsChange("d", one); err != nil || sizeOf(one) > longestText/2 {
+		if err := CheckChangeSize("d", one); err != nil || sizeOf(one) > maxTextSize/2 {
 			t.Error(sizeOf(one), err)
 		}
 	}
@@ -240,8 +240,8 @@
 // A process of an older build is not handed a document in parts, and is waited for by name; a text of today's is the base of the
 // first version in parts.
 func TestPartsAndOlderBuilds(t *testing.T) {
-	b := NewBook()
-	must := func(c Change) *Doc {
+	b := NewStore()
+	must := func(c Change) *Document {
 		t.Helper()
 		d, err := b.Apply(c)
 		if err != nil {
@@ -249,24 +249,24 @@
 		}
 		return d
 	}
-	must(Change{Op: Put, Doc: "d", Text: `{"a":1}`})
-	must(Change{Op: Advance, Doc: "d", Version: 1, Stage: Proposed})
+	must(Change{Op: OpPropose, Doc: "d", Text: `{"a":1}`})
+	must(Change{Op: OpAdvance, Doc: "d", Version: 1, Stage: StageProposed})
 	for name, format := range map[string]int{"old": 1, "new": 2} {
-		must(Change{Op: Join, User: &User{Name: name, Reads: map[string]int{"d": format}}})
+		must(Change{Op: OpRegister, Process: &Process{Name: name, Formats: map[string]int{"d": format}}})
 	}
 	parts := map[string]string{"x": `{"a":1}`, "y": `{}`}
-	d := must(Change{Op: Put, Doc: "d", Version: 1, Parts: parts, Digest: SumOf(parts)})
-	must(Change{Op: Say, User: &User{Name: "new", Holds: map[string]int{"d": 2}}})
-	if w := b.Waits(d); w != "old reads format 1, and this is 2" {
+	d := must(Change{Op: OpPropose, Doc: "d", Version: 1, Parts: parts, Digest: TextsDigest(parts)})
+	must(Change{Op: OpReport, Process: &Process{Name: "new", Prepared: map[string]int{"d": 2}}})
+	if w := b.WaitingFor(d); w != "old reads format 1, and this is 2" {
 		t.Error(w)
 	}
-	if v := d.Tell(b.Users["old"], []int{1}, 0); v.Next != nil || v.Stage != "" || v.Force.ID.Version != 1 {
+	if v := d.ViewFor(b.Processes["old"], []int{1}, 0); v.Proposed != nil || v.Stage != "" || v.Active.ID.Version != 1 {
 		t.Errorf("%+v", v)
 	}
-	if v := d.Tell(b.Users["new"], []int{1}, 0); v.Next == nil || len(v.Next.Parts) != 2 || v.Force.Text != "" {
+	if v := d.ViewFor(b.Processes["new"], []int{1}, 0); v.Proposed == nil || len(v.Proposed.Parts) != 2 || v.Active.Text != "" {
 		t.Errorf("%+v", v)
 	}
-	h := NewHolder("new", map[string]int{"d": 2})
+	h := NewReplica("new", map[string]int{"d": 2})
 	handed := map[string]string{}
 	h.CheckParts = func(_ string, changed map[string]string, whole bool) error {
 		if !whole || !maps.Equal(changed, parts) {
@@ -274,26 +274,26 @@
 		}
 		return nil
 	}
-	tell := func(index uint64, of *User) {
-		v := d.Tell(of, h.Has()["d"], h.Bases()["d"])
-		for _, took := range h.Told(time.Duration(index), index, lease.Terms{TTL: time.Second}, map[string]View{"d": v}, func(string, string) error { return nil }) {
-			if took.Entry.Text != "" {
-				handed = map[string]string{"whole": took.Entry.Text}
+	tell := func(index uint64, of *Process) {
+		v := d.ViewFor(of, h.KnownVersions()["d"], h.CompleteVersions()["d"])
+		for _, took := range h.Receive(time.Duration(index), index, lease.Terms{TTL: time.Second}, map[string]View{"d": v}, func(string, string) error { return nil }) {
+			if took.Revision.Text != "" {
+				handed = map[string]string{"whole": took.Revision.Text}
 				continue
 			}
-			if took.Whole {
+			if took.Complete {
 				handed = map[string]string{}
 			}
 			maps.Copy(handed, took.Parts)
 		}
 	}
-	tell(1, b.Users["new"])
-	if handed["whole"] != `{"a":1}` || h.Says().Holds["d"] != 2 {
-		t.Errorf("%v, %+v", handed, h.Says())
+	tell(1, b.Processes["new"])
+	if handed["whole"] != `{"a":1}` || h.Report().Prepared["d"] != 2 {
+		t.Errorf("%v, %+v", handed, h.Report())
 	}
-	must(Change{Op: Lapse, By: "old"})
-	must(Change{Op: Advance, Doc: "d", Version: 2, Stage: Proposed})
-	tell(2, b.Users["new"])
+	must(Change{Op: OpExpire, Author: "old"})
+	must(Change{Op: OpAdvance, Doc: "d", Version: 2, Stage: StageProposed})
+	tell(2, b.Processes["new"])
 	if !maps.Equal(handed, parts) {
 		t.Errorf("%v", handed)
 	}
@@ -303,7 +303,7 @@
 // that is not what it was, from an older state of the leader, or not at all.
 type fleet struct {
 	rng     *rand.Rand
-	book    *Book
+	book    *Store
 	index   uint64
 	older   []state // that a leader of before goes on with
 	truth   map[ID]map[string]string
@@ -313,12 +313,12 @@
 }
 
 type state struct {
-	book  *Book
+	book  *Store
 	index uint64
 }
 
 type holding struct {
-	h      *Holder
+	h      *Replica
 	says   map[string]string // what the process acts on, by what it was handed
 	acts   ID
 	words  []func() // answers on the way
@@ -327,19 +327,19 @@
 
 const docInParts = "d"
 
-func newFleet(seed uint64, n int, out Guards) *fleet {
-	f := &fleet{rng: rand.New(rand.NewPCG(seed, 7)), book: NewBook(), truth: map[ID]map[string]string{}}
+func newFleet(seed uint64, n int, out DisabledGuards) *fleet {
+	f := &fleet{rng: rand.New(rand.NewPCG(seed, 7)), book: NewStore(), truth: map[ID]map[string]string{}}
 	for i := range n {
-		p := &holding{h: NewHolder(fmt.Sprint("p", i), map[string]int{docInParts: 2}), says: map[string]string{}}
-		p.h.Out = out
+		p := &holding{h: NewReplica(fmt.Sprint("p", i), map[string]int{docInParts: 2}), says: map[string]string{}}
+		p.h.Disabled = out
 		p.h.CheckParts = func(_ string, changed map[string]string, whole bool) error {
 			all := p.with(changed, whole)
 			for id, texts := range f.truth {
-				if id.Digest == SumOf(all) && maps.Equal(texts, all) {
+				if id.Digest == TextsDigest(all) && maps.Equal(texts, all) {
 					return nil
 				}
 			}
-			f.say("%s checked a mix", p.h.Who)
+			f.say("%s checked a mix", p.h.Name)
 			return nil
 		}
 		f.holders = append(f.holders, p)
@@ -371,20 +371,20 @@
 
 // change puts a change, or has the one that is under way come into force or be withdrawn.
 func (f *fleet) change() {
-	d := f.book.Docs[docInParts]
-	if d != nil && d.Next != nil {
-		n := d.Next.ID.Version
+	d := f.book.Documents[docInParts]
+	if d != nil && d.Proposed != nil {
+		n := d.Proposed.ID.Version
 		switch f.rng.IntN(4) {
 		case 0:
-			f.apply(Change{Op: Withdraw, Doc: docInParts, Version: n})
+			f.apply(Change{Op: OpWithdraw, Doc: docInParts, Version: n})
 		default:
-			f.apply(Change{Op: Advance, Doc: docInParts, Version: n, Stage: Proposed})
+			f.apply(Change{Op: OpAdvance, Doc: docInParts, Version: n, Stage: StageProposed})
 		}
 		return
 	}
 	all, version := map[string]string{}, 0
-	if d != nil && d.Force != nil {
-		all, version = textsOf(d.Force.Parts), d.Force.ID.Version
+	if d != nil && d.Active != nil {
+		all, version = textsOf(d.Active.Parts), d.Active.ID.Version
 	}
 	changed := map[string]string{}
 	for range 1 + f.rng.IntN(3) {
@@ -394,12 +394,12 @@
 	if f.rng.IntN(16) == 0 { // beyond what an answer carries
 		for i := range 3 {
 			name := fmt.Sprint("large", i)
-			all[name] = fmt.Sprint(f.rng.IntN(5), strings.Repeat("z", TellBudget/3))
+			all[name] = fmt.Sprint(f.rng.IntN(5), strings.Repeat("z", MaxViewSize/3))
 			changed[name] = all[name]
 		}
 	}
-	if f.apply(Change{Op: Put, Doc: docInParts, Version: version, Parts: changed, Digest: SumOf(all)}) {
-		f.truth[f.book.Docs[docInParts].Next.ID] = all
+	if f.apply(Change{Op: OpPropose, Doc: docInParts, Version: version, Parts: changed, Digest: TextsDigest(all)}) {
+		f.truth[f.book.Documents[docInParts].Proposed.ID] = all
 	}
 }
 
@@ -443,34 +443,34 @@
 		was := f.older[f.rng.IntN(len(f.older))]
 		book, index = was.book, was.index
 	}
-	d := book.Docs[docInParts]
+	d := book.Documents[docInParts]
 	asked := f.now
-	u := &User{Reads: map[string]int{docInParts: 2}}
-	v := copied(d.Tell(u, p.h.Has()[docInParts], p.h.Bases()[docInParts]))
+	u := &Process{Formats: map[string]int{docInParts: 2}}
+	v := copied(d.ViewFor(u, p.h.KnownVersions()[docInParts], p.h.CompleteVersions()[docInParts]))
 	if !clean && f.rng.IntN(8) == 0 {
-		if v.Force != nil {
-			f.spoil(v.Force.Parts)
+		if v.Active != nil {
+			f.spoil(v.Active.Parts)
 		}
-		if v.Next != nil {
-			f.spoil(v.Next.Parts)
+		if v.Proposed != nil {
+			f.spoil(v.Proposed.Parts)
 		}
 	}
 	p.words = append(p.words, func() {
-		f.take(p, p.h.Told(asked, index, lease.Terms{TTL: time.Second}, map[string]View{docInParts: v}, func(string, string) error { return nil }))
+		f.take(p, p.h.Receive(asked, index, lease.Terms{TTL: time.Second}, map[string]View{docInParts: v}, func(string, string) error { return nil }))
 	})
 }
 
 // fetch has a process ask for parts, where it wants some.
 func (f *fleet) fetch(p *holding, clean bool) {
-	w, _, ok := p.h.Wants(f.now)
+	w, _, ok := p.h.NextRequest(f.now)
 	if !ok {
 		return
 	}
 	if p.asking++; p.asking > 1 {
-		f.say("%s asks twice at once", p.h.Who)
+		f.say("%s asks twice at once", p.h.Name)
 	}
-	id, all, ok := f.book.Docs[docInParts].At(w.Version)
-	parts := copied(Send(all, w.Names))
+	id, all, ok := f.book.Documents[docInParts].PartsAt(w.Version)
+	parts := copied(SelectParts(all, w.Names))
 	if !clean && f.rng.IntN(6) == 0 {
 		f.spoil(parts)
 	}
@@ -482,28 +482,28 @@
 		ended = true
 		p.asking--
 		if !ok {
-			p.h.Vain()
+			p.h.RequestFailed()
 			return
 		}
-		f.take(p, p.h.Got(f.now, w, id, parts, func(string, string) error { return nil }))
+		f.take(p, p.h.ReceiveParts(f.now, w, id, parts, func(string, string) error { return nil }))
 	})
 }
 
 // take has a process act on what it was handed, and looks whether that is what a version says.
-func (f *fleet) take(p *holding, list []Took) {
+func (f *fleet) take(p *holding, list []Update) {
 	for _, t := range list {
-		if t.Entry.ID.Version < p.acts.Version {
-			f.say("%s acts on %v after %v", p.h.Who, t.Entry.ID, p.acts)
+		if t.Revision.ID.Version < p.acts.Version {
+			f.say("%s acts on %v after %v", p.h.Name, t.Revision.ID, p.acts)
 		}
-		p.says, p.acts = p.with(t.Parts, t.Whole), t.Entry.ID
-		if want := f.truth[t.Entry.ID]; !maps.Equal(want, p.says) {
-			f.say("%s acts on a mix as %v", p.h.Who, t.Entry.ID)
+		p.says, p.acts = p.with(t.Parts, t.Complete), t.Revision.ID
+		if want := f.truth[t.Revision.ID]; !maps.Equal(want, p.says) {
+			f.say("%s acts on a mix as %v", p.h.Name, t.Revision.ID)
 		}
 	}
-	d := f.book.Docs[docInParts]
-	if n := p.h.Says().Holds[docInParts]; d.Next != nil && n == d.Next.ID.Version && p.h.docs[docInParts].then.id == d.Next.ID {
-		if got := textsOf(p.h.docs[docInParts].then.parts); !maps.Equal(got, f.truth[d.Next.ID]) {
-			f.say("%s says that it holds %d, and has another text", p.h.Who, n)
+	d := f.book.Documents[docInParts]
+	if n := p.h.Report().Prepared[docInParts]; d.Proposed != nil && n == d.Proposed.ID.Version && p.h.docs[docInParts].proposedParts.id == d.Proposed.ID {
+		if got := textsOf(p.h.docs[docInParts].proposedParts.parts); !maps.Equal(got, f.truth[d.Proposed.ID]) {
+			f.say("%s says that it holds %d, and has another text", p.h.Name, n)
 		}
 	}
 }
@@ -529,7 +529,7 @@
 			p.words = p.words[1:]
 		} else if p.asking > 0 && f.rng.IntN(3) == 0 {
 			p.words, p.asking = nil, 0
-			p.h.Vain()
+			p.h.RequestFailed()
 		}
 	default: // one that is on the way comes, and may come again
 		if len(p.words) == 0 {
@@ -557,8 +557,8 @@
 				p.words = p.words[1:]
 				word()
 			}
-			force := f.book.Docs[docInParts].Force
-			done = done && (force == nil || p.acts == force.ID && p.h.Until() > f.now)
+			force := f.book.Documents[docInParts].Active
+			done = done && (force == nil || p.acts == force.ID && p.h.ConfirmedUntil() > f.now)
 		}
 		if done {
 			return true
@@ -573,15 +573,15 @@
 func TestNeverAMix(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		out  Guards
+		out  DisabledGuards
 		harm bool
 	}{
-		{"all guards", Guards{}, false},
-		{"no digest of the whole", Guards{NoSum: true}, true},
-		{"no digest of a text", Guards{NoText: true}, true},
-		{"answers in any order", Guards{NoIndex: true}, true},
-		{"put on any version", Guards{NoSince: true}, false},
-		{"put on any version, no digest of the whole", Guards{NoSince: true, NoSum: true}, true},
+		{"all guards", DisabledGuards{}, false},
+		{"no digest of the whole", DisabledGuards{SumCheck: true}, true},
+		{"no digest of a text", DisabledGuards{TextCheck: true}, true},
+		{"answers in any order", DisabledGuards{IndexCheck: true}, true},
+		{"put on any version", DisabledGuards{SinceCheck: true}, false},
+		{"put on any version, no digest of the whole", DisabledGuards{SinceCheck: true, SumCheck: true}, true},
 	} {
 		found, forced, offs, took := "", 0, 0, 0
 		for seed := range uint64(150) {
@@ -590,15 +590,15 @@
 				f.step()
 			}
 			for _, p := range f.holders {
-				for _, off := range p.h.Offs() {
-					offs += off.Times
+				for _, off := range p.h.TakeMismatches() {
+					offs += off.Count
 				}
 			}
-			if force := f.book.Docs[docInParts].Force; force != nil {
+			if force := f.book.Documents[docInParts].Active; force != nil {
 				forced = max(forced, force.ID.Version)
 			}
 			if f.wrong == "" && !c.harm && !f.settle(100) {
-				f.say("they have not all what is in force: %d of %v", f.holders[0].acts.Version, f.book.Docs[docInParts].Force.ID)
+				f.say("they have not all what is in force: %d of %v", f.holders[0].acts.Version, f.book.Documents[docInParts].Active.ID)
 			}
 			if f.wrong != "" {
 				found = fmt.Sprint("seed ", seed, " ", f.wrong)
@@ -619,36 +619,36 @@
 
 // A missed Since is what makes a mix where digests can't be looked at: shown by hand, with two versions between.
 func TestSinceAnotherVersion(t *testing.T) {
-	for _, out := range []Guards{{}, {NoSince: true, NoSum: true}} {
+	for _, out := range []DisabledGuards{{}, {SinceCheck: true, SumCheck: true}} {
 		f := newFleet(1, 1, out)
 		p := f.holders[0]
 		version := func(parts, all map[string]string) {
-			if !f.apply(Change{Op: Put, Doc: docInParts, Version: f.book.Docs[docInParts].Force.ID.Version, Parts: parts, Digest: SumOf(all)}) {
+			if !f.apply(Change{Op: OpPropose, Doc: docInParts, Version: f.book.Documents[docInParts].Active.ID.Version, Parts: parts, Digest: TextsDigest(all)}) {
 				t.Fatal("not put")
 			}
-			d := f.book.Docs[docInParts]
-			f.truth[d.Next.ID] = all
-			f.apply(Change{Op: Advance, Doc: docInParts, Version: d.Next.ID.Version, Stage: Proposed})
+			d := f.book.Documents[docInParts]
+			f.truth[d.Proposed.ID] = all
+			f.apply(Change{Op: OpAdvance, Doc: docInParts, Version: d.Proposed.ID.Version, Stage: StageProposed})
 		}
-		d := f.book.Docs[docInParts]
-		f.apply(Change{Op: Advance, Doc: docInParts, Version: 1, Stage: Proposed})
+		d := f.book.Documents[docInParts]
+		f.apply(Change{Op: OpAdvance, Doc: docInParts, Version: 1, Stage: StageProposed})
 		f.settle(10)
-		all := textsOf(d.Force.Parts)
+		all := textsOf(d.Active.Parts)
 		for i := range 2 {
 			all = maps.Clone(all)
 			name := fmt.Sprint("new", i)
 			all[name] = "x"
 			version(map[string]string{name: "x"}, all)
 		}
-		v := copied(d.Tell(&User{Reads: map[string]int{docInParts: 2}}, nil, 2)) // what changed since 2, to one that has 1
-		if v.Since != 2 || len(v.Force.Parts) != 1 {
+		v := copied(d.ViewFor(&Process{Formats: map[string]int{docInParts: 2}}, nil, 2)) // what changed since 2, to one that has 1
+		if v.Since != 2 || len(v.Active.Parts) != 1 {
 			t.Fatalf("%+v", v)
 		}
-		f.take(p, p.h.Told(f.now, f.index, lease.Terms{TTL: time.Second}, map[string]View{docInParts: v}, func(string, string) error { return nil }))
-		if harm := f.wrong != ""; harm != out.NoSince {
+		f.take(p, p.h.Receive(f.now, f.index, lease.Terms{TTL: time.Second}, map[string]View{docInParts: v}, func(string, string) error { return nil }))
+		if harm := f.wrong != ""; harm != out.SinceCheck {
 			t.Errorf("%+v: %q", out, f.wrong)
 		}
-		if !out.NoSince && (p.acts.Version != 1 || p.h.Offs()[docInParts].Times == 0 || p.h.Old()[docInParts] != 1 || !f.settle(10)) {
+		if !out.SinceCheck && (p.acts.Version != 1 || p.h.TakeMismatches()[docInParts].Count == 0 || p.h.OutdatedVersions()[docInParts] != 1 || !f.settle(10)) {
 			t.Errorf("acts on %v", p.acts)
 		}
 	}
@@ -657,31 +657,31 @@
 // A thousand that come back in one moment ask for parts at a thousand moments: in no tenth of the spread a quarter more than its
 // part. One that gets nothing waits longer each time, up to half a minute and a little, and one that gets something goes on at once.
 func TestPaced(t *testing.T) {
-	for _, out := range []Guards{{}, {NoPace: true}} {
+	for _, out := range []DisabledGuards{{}, {Pacing: true}} {
 		f := newFleet(3, 1000, out)
-		f.apply(Change{Op: Advance, Doc: docInParts, Version: 1, Stage: Proposed})
+		f.apply(Change{Op: OpAdvance, Doc: docInParts, Version: 1, Stage: StageProposed})
 		big := map[string]string{}
 		for i := range 8 {
-			big[fmt.Sprint("large", i)] = strings.Repeat("z", LongestPart/3)
+			big[fmt.Sprint("large", i)] = strings.Repeat("z", MaxPartSize/3)
 		}
-		d := f.book.Docs[docInParts]
-		all := textsOf(d.Force.Parts)
+		d := f.book.Documents[docInParts]
+		all := textsOf(d.Active.Parts)
 		maps.Copy(all, big)
-		f.apply(Change{Op: Load, Doc: docInParts, Draft: "x", Parts: big})
-		if !f.apply(Change{Op: Put, Doc: docInParts, Version: 1, Draft: "x", Digest: SumOf(all)}) ||
-			!f.apply(Change{Op: Advance, Doc: docInParts, Version: 2, Stage: Proposed}) {
+		f.apply(Change{Op: OpLoadDraft, Doc: docInParts, Draft: "x", Parts: big})
+		if !f.apply(Change{Op: OpPropose, Doc: docInParts, Version: 1, Draft: "x", Digest: TextsDigest(all)}) ||
+			!f.apply(Change{Op: OpAdvance, Doc: docInParts, Version: 2, Stage: StageProposed}) {
 			t.Fatal("not put")
 		}
-		const tenth = firstSpread / 10
+		const tenth = initialBackoff / 10
 		var asked [10]int
 		for _, p := range f.holders {
 			f.ask(p, true)
 			p.words[0]()
-			if p.h.Until() != 0 || p.h.Stops(0) != Unconfirmed {
+			if p.h.ConfirmedUntil() != 0 || p.h.StopReason(0) != StopUnconfirmed {
 				t.Fatal("it is confirmed without what is in force")
 			}
 			for now := time.Duration(0); ; now += time.Millisecond {
-				if _, at, ok := p.h.Wants(now); ok {
+				if _, at, ok := p.h.NextRequest(now); ok {
 					asked[min(9, now/tenth)]++
 					break
 				} else if at == 0 {
@@ -690,19 +690,19 @@
 			}
 		}
 		most := slices.Max(asked[:])
-		if spread := most < 125; spread == out.NoPace {
+		if spread := most < 125; spread == out.Pacing {
 			t.Errorf("%+v: %v", out, asked)
 		}
-		if out.NoPace {
+		if out.Pacing {
 			continue
 		}
-		p, now := f.holders[0], firstSpread
+		p, now := f.holders[0], initialBackoff
 		var waits []time.Duration
 		for range 12 {
-			p.h.Vain()
+			p.h.RequestFailed()
 			from := now
 			for {
-				if _, at, ok := p.h.Wants(now); ok {
+				if _, at, ok := p.h.NextRequest(now); ok {
 					break
 				} else if at <= now {
 					t.Fatal("no time")
@@ -717,13 +717,13 @@
 				n += d
 			}
 			return n
-		}; sum(waits[6:]) < 2*sum(waits[:3]) || slices.Max(waits) > firstSpread<<mostDoubled {
+		}; sum(waits[6:]) < 2*sum(waits[:3]) || slices.Max(waits) > initialBackoff<<maxDoublings {
 			t.Errorf("%v", waits)
 		}
-		id, whole, _ := d.At(2)
-		w, _ := p.h.wants()
-		p.h.Got(now, w, id, Manifest(whole), nil)
-		if _, _, ok := p.h.Wants(now); !ok {
+		id, whole, _ := d.PartsAt(2)
+		w, _ := p.h.nextMissing()
+		p.h.ReceiveParts(now, w, id, Manifest(whole), nil)
+		if _, _, ok := p.h.NextRequest(now); !ok {
 			t.Error("it waits though it got something")
 		}
 	}
@@ -745,7 +745,7 @@
 		{DocMap, `{"version":1}`, `{"version":2}`, nil},
 	} {
 		list, err := Diff(c.doc, c.old, c.text)
-		if got := Touches(c.doc, list); err != nil || !slices.Equal(got, c.touches) {
+		if got := ScopeOf(c.doc, list); err != nil || !slices.Equal(got, c.touches) {
 			t.Errorf("%s: %v, not %v, %v", c.text, got, c.touches, err)
 		}
 	}
@@ -758,26 +758,26 @@
 	}
 	old := `{"tenants":[{"name":"in","homes":` + homes("x") + `},{"name":"was","homes":` + homes("x", "z") + `},{"name":"out","homes":` + homes("z") + `}]}`
 	text := `{"tenants":[{"name":"comes","homes":` + homes("z", "x") + `}]}`
-	var touched Touched
-	touched.Touch([]string{"cell:x"}, []string{old, text})
-	touched.Touch([]string{"class:k"}, nil)
+	var touched PauseScope
+	touched.Add([]string{"cell:x"}, []string{old, text})
+	touched.Add([]string{"class:k"}, nil)
 	for tenant, stops := range map[string]bool{"in": true, "was": true, "out": false, "comes": true, "nobody": false} {
-		if touched.Stops("c", tenant) != stops || !touched.Stops("k", tenant) {
-			t.Errorf("%s: %v", tenant, touched.Stops("c", tenant))
+		if touched.Pauses("c", tenant) != stops || !touched.Pauses("k", tenant) {
+			t.Errorf("%s: %v", tenant, touched.Pauses("c", tenant))
 		}
 	}
-	var rest Touched
-	rest.Touch([]string{"cell:x"}, []string{`{"tenants":[{"name":"","homes":` + homes("x") + `},{"name":"out","homes":` + homes("z") + `}]}`})
-	if !rest.Stops("c", "anybody") || rest.Stops("c", "out") {
+	var rest PauseScope
+	rest.Add([]string{"cell:x"}, []string{`{"tenants":[{"name":"","homes":` + homes("x") + `},{"name":"out","homes":` + homes("z") + `}]}`})
+	if !rest.Pauses("c", "anybody") || rest.Pauses("c", "out") {
 		t.Error("those that are not named live in the cell")
 	}
-	var blind Touched
-	blind.Touch([]string{"cell:x"}, []string{"not here"})
-	if !blind.Stops("c", "out") {
+	var blind PauseScope
+	blind.Add([]string{"cell:x"}, []string{"not here"})
+	if !blind.Pauses("c", "out") {
 		t.Error("nobody knows who lives there, and it goes on")
 	}
-	var all Touched
-	if all.Touch(nil, nil); !all.Stops("c", "out") {
+	var all PauseScope
+	if all.Add(nil, nil); !all.Pauses("c", "out") {
 		t.Error("everything is touched")
 	}
 }
@@ -785,18 +785,18 @@
 // A process stops what a change touches from when it is told that it turns until it acts on the new: those that live in a cell by
 // the parts before as by those after.
 func TestHolderTouched(t *testing.T) {
-	f := newFleet(1, 1, Guards{})
-	d := f.book.Docs[docInParts]
+	f := newFleet(1, 1, DisabledGuards{})
+	d := f.book.Documents[docInParts]
 	version := 1
-	f.apply(Change{Op: Advance, Doc: docInParts, Version: version, Stage: Proposed})
-	all := textsOf(d.Force.Parts)
+	f.apply(Change{Op: OpAdvance, Doc: docInParts, Version: version, Stage: StageProposed})
+	all := textsOf(d.Active.Parts)
 	put := func(exclusive bool, touches []string, parts map[string]string) {
 		t.Helper()
 		all = maps.Clone(all)
 		maps.Copy(all, parts)
-		c := Change{Op: Put, Doc: docInParts, Version: version, Exclusive: exclusive, Touches: touches, Parts: parts, Digest: SumOf(all)}
+		c := Change{Op: OpPropose, Doc: docInParts, Version: version, Exclusive: exclusive, Scope: touches, Parts: parts, Digest: TextsDigest(all)}
 		version++
-		if !f.apply(c) || !f.apply(Change{Op: Advance, Doc: docInParts, Version: version, Stage: Proposed}) {
+		if !f.apply(c) || !f.apply(Change{Op: OpAdvance, Doc: docInParts, Version: version, Stage: StageProposed}) {
 			t.Fatal("not put")
 		}
 		f.truth[ID{version, c.Digest}] = all
@@ -810,23 +810,23 @@
 	put(true, []string{"cell:x"}, map[string]string{"u": `{"tenants":[{"name":"in","homes":[{"cell":"x"}]}]}`})
 	f.settle(5)
 	p := f.holders[0]
-	touched := p.h.Touched()
-	if !p.h.Turning() || len(touched) != 1 || p.acts.Version != 2 {
+	touched := p.h.PauseScopes()
+	if !p.h.IsQuiesced() || len(touched) != 1 || p.acts.Version != 2 {
 		t.Fatalf("%d touched, acts on %v", len(touched), p.acts)
 	}
 	for tenant, stops := range map[string]bool{"was": true, "in": true, "out": false} {
-		if touched[0].Stops("c", tenant) != stops {
+		if touched[0].Pauses("c", tenant) != stops {
 			t.Errorf("%s stops: %v", tenant, !stops)
 		}
 	}
 	f.ask(p, true)
 	p.words[0]()
-	if p.h.Touched()[0] != touched[0] {
+	if p.h.PauseScopes()[0] != touched[0] {
 		t.Error("who lives there is worked out again at every word")
 	}
-	f.apply(Change{Op: Advance, Doc: docInParts, Version: version, Stage: Turning})
+	f.apply(Change{Op: OpAdvance, Doc: docInParts, Version: version, Stage: StageQuiescing})
 	f.settle(5)
-	if p.h.Turning() || len(p.h.Touched()) != 0 || p.acts.Version != 3 || f.wrong != "" {
+	if p.h.IsQuiesced() || len(p.h.PauseScopes()) != 0 || p.acts.Version != 3 || f.wrong != "" {
 		t.Error("it still stops, or acts on", p.acts, f.wrong)
 	}
 }
@@ -834,7 +834,7 @@
 // At rest an answer is as long whatever the document is; for a change it has what changed.
 func TestAnswersAtRest(t *testing.T) {
 	size := func(parts int, change bool) int {
-		b := NewBook()
+		b := NewStore()
 		all := map[string]string{}
 		for i := range parts {
 			all[fmt.Sprintf("p%03d", i)] = fmt.Sprintf(`{"n":%d,"x":%q}`, i, strings.Repeat("x", 60))
@@ -844,16 +844,16 @@
 				t.Fatal(err)
 			}
 		}
-		apply(Change{Op: Put, Doc: "d", Parts: all, Digest: SumOf(all)})
-		apply(Change{Op: Advance, Doc: "d", Version: 1, Stage: Proposed})
-		d := b.Docs["d"]
+		apply(Change{Op: OpPropose, Doc: "d", Parts: all, Digest: TextsDigest(all)})
+		apply(Change{Op: OpAdvance, Doc: "d", Version: 1, Stage: StageProposed})
+		d := b.Documents["d"]
 		has, base := []int{1}, 1
 		if change {
 			all["p000"] = `{"n":0}`
-			apply(Change{Op: Put, Doc: "d", Version: 1, Parts: map[string]string{"p000": all["p000"]}, Digest: SumOf(all)})
-			apply(Change{Op: Advance, Doc: "d", Version: 2, Stage: Proposed})
+			apply(Change{Op: OpPropose, Doc: "d", Version: 1, Parts: map[string]string{"p000": all["p000"]}, Digest: TextsDigest(all)})
+			apply(Change{Op: OpAdvance, Doc: "d", Version: 2, Stage: StageProposed})
 		}
-		text, err := json.Marshal(d.Tell(&User{Reads: map[string]int{"d": 2}}, has, base))
+		text, err := json.Marshal(d.ViewFor(&Process{Formats: map[string]int{"d": 2}}, has, base))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -868,40 +868,40 @@
 
 // One that has not the texts of a change that turns can't know who lives in a cell that it touches: all stops, until it has them.
 func TestTouchedUnseen(t *testing.T) {
-	f := newFleet(1, 1, Guards{})
-	f.apply(Change{Op: Advance, Doc: docInParts, Version: 1, Stage: Proposed})
+	f := newFleet(1, 1, DisabledGuards{})
+	f.apply(Change{Op: OpAdvance, Doc: docInParts, Version: 1, Stage: StageProposed})
 	f.settle(5)
-	p, d := f.holders[0], f.book.Docs[docInParts]
-	all := textsOf(d.Force.Parts)
+	p, d := f.holders[0], f.book.Documents[docInParts]
+	all := textsOf(d.Active.Parts)
 	changed := map[string]string{"t": `{"tenants":[{"name":"in","homes":[{"cell":"x"}]},{"name":"out","homes":[{"cell":"z"}]}]}`}
 	for name := range all {
 		changed[name] = `{}` // what is there is no JSON
 	}
 	maps.Copy(all, changed)
-	if !f.apply(Change{Op: Put, Doc: docInParts, Version: 1, Parts: changed, Digest: SumOf(all)}) || !f.apply(Change{Op: Advance, Doc: docInParts, Version: 2, Stage: Proposed}) {
+	if !f.apply(Change{Op: OpPropose, Doc: docInParts, Version: 1, Parts: changed, Digest: TextsDigest(all)}) || !f.apply(Change{Op: OpAdvance, Doc: docInParts, Version: 2, Stage: StageProposed}) {
 		t.Fatal("not put")
 	}
-	f.truth[d.Force.ID] = all
+	f.truth[d.Active.ID] = all
 	f.settle(5)
 	changed = map[string]string{"u": `{"tenants":[{"name":"comes","homes":[{"cell":"x"}]}]}`}
 	all = maps.Clone(all)
 	maps.Copy(all, changed)
-	if !f.apply(Change{Op: Put, Doc: docInParts, Version: 2, Exclusive: true, Touches: []string{"cell:x"}, Parts: changed, Digest: SumOf(all)}) ||
-		!f.apply(Change{Op: Advance, Doc: docInParts, Version: 3, Stage: Proposed}) {
+	if !f.apply(Change{Op: OpPropose, Doc: docInParts, Version: 2, Exclusive: true, Scope: []string{"cell:x"}, Parts: changed, Digest: TextsDigest(all)}) ||
+		!f.apply(Change{Op: OpAdvance, Doc: docInParts, Version: 3, Stage: StageProposed}) {
 		t.Fatal("not put")
 	}
-	v := copied(d.Tell(&User{Reads: map[string]int{docInParts: 2}}, p.h.Has()[docInParts], p.h.Bases()[docInParts]))
-	whole := v.Next.Parts
-	v.Next.Parts = Manifest(whole)
-	f.take(p, p.h.Told(f.now, f.index, lease.Terms{TTL: time.Second}, map[string]View{docInParts: v}, func(string, string) error { return nil }))
+	v := copied(d.ViewFor(&Process{Formats: map[string]int{docInParts: 2}}, p.h.KnownVersions()[docInParts], p.h.CompleteVersions()[docInParts]))
+	whole := v.Proposed.Parts
+	v.Proposed.Parts = Manifest(whole)
+	f.take(p, p.h.Receive(f.now, f.index, lease.Terms{TTL: time.Second}, map[string]View{docInParts: v}, func(string, string) error { return nil }))
 	for _, tenant := range []string{"in", "comes", "out"} {
-		if !p.h.Touched()[0].Stops("c", tenant) {
+		if !p.h.PauseScopes()[0].Pauses("c", tenant) {
 			t.Errorf("%s goes on, and the change's texts are not here", tenant)
 		}
 	}
-	f.take(p, p.h.Got(f.now, Want{Doc: docInParts, Version: 3, Names: []string{"u"}}, v.Next.ID, whole, func(string, string) error { return nil }))
+	f.take(p, p.h.ReceiveParts(f.now, PartsRequest{Doc: docInParts, Version: 3, Names: []string{"u"}}, v.Proposed.ID, whole, func(string, string) error { return nil }))
 	for tenant, stops := range map[string]bool{"in": true, "comes": true, "out": false} {
-		if p.h.Touched()[0].Stops("c", tenant) != stops {
+		if p.h.PauseScopes()[0].Pauses("c", tenant) != stops {
 			t.Errorf("%s stops: %v", tenant, !stops)
 		}
 	}
--- a/internal/policy/configstore/rulebook.go
+++ b/internal/policy/configstore/rulebook.go
@@ -19,7 +19,7 @@
 }
 
 // Name is the ID of a document.
-func Name(version int, text []byte) ID { return ID{version, xxhash.Sum64(text)} }
+func NewID(version int, text []byte) ID { return ID{version, xxhash.Sum64(text)} }
 
 func (id ID) String() string { return fmt.Sprintf("%d.%016x", id.Version, id.Digest) }
 
@@ -33,24 +33,28 @@
 
 // Terms are what the bound is made of.
 type Terms struct {
-	Lease time.Duration // who could not confirm his rules for so long stops what is exclusive
-	Skew  time.Duration // by which the wall clocks of two processes may differ
-	Drift float64       // by which a clock may run fast or slow, as a share
-	Probe time.Duration // between two words of a router to each server
-	Wait  time.Duration // for an answer to one
-	Dual  time.Duration // after a change a sheet may still come again from where it ran before
+	Lease         time.Duration // who could not confirm his rules for so long stops what is exclusive
+	ClockSkew     time.Duration // by which the wall clocks of two processes may differ
+	ClockDrift    float64       // by which a clock may run fast or slow, as a share
+	ProbeInterval time.Duration // between two words of a router to each server
+	ProbeTimeout  time.Duration // for an answer to one
+	OverlapWindow time.Duration // after a change a sheet may still come again from where it ran before
 }
 
-// Found is the longest until routers that reach a common server know that their documents of one version differ, from when
+// DetectionBound is the longest until routers that reach a common server know that their documents of one version differ, from when
 // both were started: each tells it at its next word, and hears at the one after that.
-func (t Terms) Found() time.Duration { return stretch(2*(t.Probe+t.Wait), t.Drift) }
+func (t Terms) DetectionBound() time.Duration {
+	return onSlowClock(2*(t.ProbeInterval+t.ProbeTimeout), t.ClockDrift)
+}
 
-// Bound is the longest in which two processes can act on rules that contradict each other: one that is cut off from its
+// ConflictBound is the longest in which two processes can act on rules that contradict each other: one that is cut off from its
 // source goes on for a lease, by a clock that may be slow, and times in the rules come to the two apart by the skew; two
 // documents of one version are found within Found.
-func (t Terms) Bound() time.Duration { return max(stretch(t.Lease, t.Drift)+t.Skew, t.Found()) }
+func (t Terms) ConflictBound() time.Duration {
+	return max(onSlowClock(t.Lease, t.ClockDrift)+t.ClockSkew, t.DetectionBound())
+}
 
 // stretch is a time as a clock that is slow by the drift may count it.
-func stretch(d time.Duration, drift float64) time.Duration {
+func onSlowClock(d time.Duration, drift float64) time.Duration {
 	return time.Duration(float64(d) / (1 - drift))
 }
--- a/internal/policy/configstore/seen.go
+++ b/internal/policy/configstore/seen.go
@@ -11,10 +11,10 @@
 type Verdict int
 
 const (
-	Good         Verdict = iota
-	Behind               // a newer one has been known for a lease: nothing that is exclusive begins by this one
-	Contradicted         // two documents of its version differ: nothing that is exclusive begins by either
-	Quiet                // two have differed not long ago, and what either began may still come again
+	VerdictValid       Verdict = iota
+	VerdictOutdated            // a newer one has been known for a lease: nothing that is exclusive begins by this one
+	VerdictConflicting         // two documents of its version differ: nothing that is exclusive begins by either
+	VerdictSettling            // two have differed not long ago, and what either began may still come again
 )
 
 func (v Verdict) String() string { return [...]string{"good", "behind", "contradicted", "quiet"}[v] }
@@ -23,9 +23,9 @@
 type News int
 
 const (
-	Nothing  News = iota
-	Newer         // a version above all that it knew
-	Conflict      // a second document of one version
+	NoNews        News = iota
+	NewerVersion       // a version above all that it knew
+	ConflictFound      // a second document of one version
 )
 
 // Sighting is a document that somebody has.
@@ -38,145 +38,151 @@
 
 // Bounds on what is remembered: what comes off a wire is not bounded by itself.
 const (
-	mostVersions = 16
-	longestName  = 64
+	maxVersions   = 16
+	maxSourceName = 64
 )
 
 // version is what is known of a version's documents.
-type version struct {
-	n      int
-	first  time.Duration // when it was first heard of
-	by     []Sighting    // one, or the first two that differ
-	differ time.Duration // since when two are known to
-	told   string        // or that two differ, as somebody else said
+type trackedVersion struct {
+	number           int
+	firstSeen        time.Duration // when it was first heard of
+	sightings        []Sighting    // one, or the first two that differ
+	conflictAt       time.Duration // since when two are known to
+	reportedConflict string        // or that two differ, as somebody else said
 }
 
-func (v *version) contradicted() bool { return len(v.by) > 1 || v.told != "" }
+func (v *trackedVersion) isConflicting() bool {
+	return len(v.sightings) > 1 || v.reportedConflict != ""
+}
 
-// Seen is what a process has heard of others' rules. The zero value has heard nothing. Its times are those of the process's
+// VersionTracker is what a process has heard of others' rules. The zero value has heard nothing. Its times are those of the process's
 // own monotonic clock.
-type Seen struct {
-	terms   Terms      // the longest lease and the rest of it that anyone named
-	list    []*version // rising
-	quiet   time.Duration
-	longest time.Duration // that somebody was seen to be behind, or that two differed
+type VersionTracker struct {
+	terms           Terms             // the longest lease and the rest of it that anyone named
+	versions        []*trackedVersion // rising
+	suspendedUntil  time.Duration
+	longestOutdated time.Duration // that somebody was seen to be behind, or that two differed
 }
 
 // Agree takes the terms that a document names. Of two, the longer ones hold: they err on the safe side.
-func (s *Seen) Agree(t Terms) {
-	s.terms = Terms{max(s.terms.Lease, t.Lease), max(s.terms.Skew, t.Skew), max(s.terms.Drift, t.Drift),
-		max(s.terms.Probe, t.Probe), max(s.terms.Wait, t.Wait), max(s.terms.Dual, t.Dual)}
+func (s *VersionTracker) ExtendTerms(t Terms) {
+	s.terms = Terms{max(s.terms.Lease, t.Lease), max(s.terms.ClockSkew, t.ClockSkew), max(s.terms.ClockDrift, t.ClockDrift),
+		max(s.terms.ProbeInterval, t.ProbeInterval), max(s.terms.ProbeTimeout, t.ProbeTimeout), max(s.terms.OverlapWindow, t.OverlapWindow)}
 }
 
 // at returns what is known of a version, new where it is not too old to matter.
-func (s *Seen) at(n int, now time.Duration) (v *version, newest bool) {
-	i, known := slices.BinarySearchFunc(s.list, n, func(v *version, n int) int { return cmp.Compare(v.n, n) })
+func (s *VersionTracker) at(n int, now time.Duration) (v *trackedVersion, newest bool) {
+	i, known := slices.BinarySearchFunc(s.versions, n, func(v *trackedVersion, n int) int { return cmp.Compare(v.number, n) })
 	if known {
-		return s.list[i], false
+		return s.versions[i], false
 	}
-	if i == 0 && len(s.list) >= mostVersions {
+	if i == 0 && len(s.versions) >= maxVersions {
 		return nil, false
 	}
-	newest = i == len(s.list)
-	v = &version{n: n, first: now}
-	s.list = slices.Insert(s.list, i, v)
-	if len(s.list) > mostVersions {
-		s.list = slices.Delete(s.list, 0, 1)
+	newest = i == len(s.versions)
+	v = &trackedVersion{number: n, firstSeen: now}
+	s.versions = slices.Insert(s.versions, i, v)
+	if len(s.versions) > maxVersions {
+		s.versions = slices.Delete(s.versions, 0, 1)
 	}
 	return v, newest
 }
 
 // Hear takes that somebody has a document.
-func (s *Seen) Hear(now time.Duration, id ID, source string) News {
+func (s *VersionTracker) Observe(now time.Duration, id ID, source string) News {
 	v, newest := s.at(id.Version, now)
 	if v == nil {
-		return Nothing
+		return NoNews
 	}
 	switch {
-	case len(v.by) == 0 || len(v.by) == 1 && v.by[0].ID != id:
-		v.by = append(v.by, Sighting{id, source[:min(len(source), longestName)]})
-		if len(v.by) == 2 && v.told == "" {
-			s.differs(now, v)
-			return Conflict
+	case len(v.sightings) == 0 || len(v.sightings) == 1 && v.sightings[0].ID != id:
+		v.sightings = append(v.sightings, Sighting{id, source[:min(len(source), maxSourceName)]})
+		if len(v.sightings) == 2 && v.reportedConflict == "" {
+			s.noteConflict(now, v)
+			return ConflictFound
 		}
 	}
-	if newest && len(s.list) > 1 {
-		return Newer
+	if newest && len(s.versions) > 1 {
+		return NewerVersion
 	}
-	return Nothing
+	return NoNews
 }
 
 // Told takes that somebody else knows of two documents of a version that differ, in his words.
-func (s *Seen) Told(now time.Duration, n int, words string) News {
+func (s *VersionTracker) ObserveConflict(now time.Duration, n int, words string) News {
 	v, _ := s.at(n, now)
-	if v == nil || v.contradicted() || words == "" {
-		return Nothing
+	if v == nil || v.isConflicting() || words == "" {
+		return NoNews
 	}
-	v.told = words[:min(len(words), 4*longestName)]
-	s.differs(now, v)
-	return Conflict
+	v.reportedConflict = words[:min(len(words), 4*maxSourceName)]
+	s.noteConflict(now, v)
+	return ConflictFound
 }
 
-// differs begins the stretch in which what either document has begun may come again. Until others know as well they go on,
+// noteConflict begins the stretch in which what either document has begun may come again. Until others know as well they go on,
 // for Found at most.
-func (s *Seen) differs(now time.Duration, v *version) {
-	v.differ = now
-	s.Hush(now, s.terms.Found()+s.terms.Dual)
+func (s *VersionTracker) noteConflict(now time.Duration, v *trackedVersion) {
+	v.conflictAt = now
+	s.Suspend(now, s.terms.DetectionBound()+s.terms.OverlapWindow)
 }
 
 // Hush has nothing exclusive begin for so long: somebody else has found two that differ.
-func (s *Seen) Hush(now, d time.Duration) { s.quiet = max(s.quiet, now+d) }
+func (s *VersionTracker) Suspend(now, d time.Duration) {
+	s.suspendedUntil = max(s.suspendedUntil, now+d)
+}
 
 // Hushed is how long nothing exclusive begins any more for what was found before.
-func (s *Seen) Hushed(now time.Duration) time.Duration { return max(0, s.quiet-now) }
+func (s *VersionTracker) SuspendedFor(now time.Duration) time.Duration {
+	return max(0, s.suspendedUntil-now)
+}
 
 // Top is the newest document that was heard of, and who said so first; ok is false where there is none.
-func (s *Seen) Top() (top Sighting, ok bool) {
-	for _, v := range slices.Backward(s.list) {
-		if len(v.by) > 0 {
-			return v.by[0], true
+func (s *VersionTracker) Newest() (top Sighting, ok bool) {
+	for _, v := range slices.Backward(s.versions) {
+		if len(v.sightings) > 0 {
+			return v.sightings[0], true
 		}
 	}
 	return Sighting{}, false
 }
 
 // Differ names the two documents of the newest version, where they differ, or is empty.
-func (s *Seen) Differ() (n int, words string) {
-	if len(s.list) == 0 {
+func (s *VersionTracker) Conflict() (n int, words string) {
+	if len(s.versions) == 0 {
 		return 0, ""
 	}
-	v := s.list[len(s.list)-1]
-	if v.told != "" || len(v.by) < 2 {
-		return v.n, v.told
+	v := s.versions[len(s.versions)-1]
+	if v.reportedConflict != "" || len(v.sightings) < 2 {
+		return v.number, v.reportedConflict
 	}
-	return v.n, v.by[0].String() + " and " + v.by[1].String()
+	return v.number, v.sightings[0].String() + " and " + v.sightings[1].String()
 }
 
-// Judge tells what may be done by a document. The newest version decides: one above two that differ ends their quarrel, but
+// Check tells what may be done by a document. The newest version decides: one above two that differ ends their quarrel, but
 // for what they may have begun.
-func (s *Seen) Judge(now time.Duration, id ID) Verdict {
-	if n := len(s.list); n > 0 && s.list[n-1].contradicted() && id.Version <= s.list[n-1].n {
-		s.longest = max(s.longest, now-s.list[n-1].differ)
-		return Contradicted
+func (s *VersionTracker) Check(now time.Duration, id ID) Verdict {
+	if n := len(s.versions); n > 0 && s.versions[n-1].isConflicting() && id.Version <= s.versions[n-1].number {
+		s.longestOutdated = max(s.longestOutdated, now-s.versions[n-1].conflictAt)
+		return VerdictConflicting
 	}
-	if now < s.quiet {
-		return Quiet
+	if now < s.suspendedUntil {
+		return VerdictSettling
 	}
-	for _, v := range s.list {
-		if v.n <= id.Version {
+	for _, v := range s.versions {
+		if v.number <= id.Version {
 			continue
 		}
-		s.longest = max(s.longest, now-v.first)
-		if now-v.first > stretch(s.terms.Lease, s.terms.Drift) {
-			return Behind
+		s.longestOutdated = max(s.longestOutdated, now-v.firstSeen)
+		if now-v.firstSeen > onSlowClock(s.terms.Lease, s.terms.ClockDrift) {
+			return VerdictOutdated
 		}
 	}
-	return Good
+	return VerdictValid
 }
 
-// Longest is the longest in which somebody was seen to act, or to want to, by a document that is not the newest, or that
+// LongestOutdated is the longest in which somebody was seen to act, or to want to, by a document that is not the newest, or that
 // another one contradicts.
-func (s *Seen) Longest() time.Duration { return s.longest }
+func (s *VersionTracker) LongestOutdated() time.Duration { return s.longestOutdated }
 
 // Terms are the terms that it goes by.
-func (s *Seen) Terms() Terms { return s.terms }
+func (s *VersionTracker) Terms() Terms { return s.terms }
--- a/internal/policy/configstore/seen_test.go
+++ b/internal/policy/configstore/seen_test.go
@@ -13,12 +13,12 @@
 // Property tests take the same course every time.
 func init() { flag.Set("rapid.seed", "19"); flag.Set("rapid.nofailfile", "true") }
 
-var terms = Terms{Lease: time.Second, Skew: 100 * time.Millisecond, Drift: 0.05, Probe: 100 * time.Millisecond,
-	Wait: 50 * time.Millisecond, Dual: 3 * time.Second}
+var terms = Terms{Lease: time.Second, ClockSkew: 100 * time.Millisecond, ClockDrift: 0.05, ProbeInterval: 100 * time.Millisecond,
+	ProbeTimeout: 50 * time.Millisecond, OverlapWindow: 3 * time.Second}
 
 func TestID(t *testing.T) {
-	id := Name(7, []byte("a"))
-	if got, ok := ParseID(id.String()); !ok || got != id || Name(7, []byte("b")) == id {
+	id := NewID(7, []byte("a"))
+	if got, ok := ParseID(id.String()); !ok || got != id || NewID(7, []byte("b")) == id {
 		t.Errorf("%v, %v, %v", id, got, ok)
 	}
 	for _, bad := range []string{"", "7", "7.", "7.12", "0.0000000000000001", "x.0000000000000001", "7.000000000000000g", "-1.0000000000000001"} {
@@ -38,8 +38,8 @@
 			id ID
 		}
 		var said []word
-		var s Seen
-		s.Agree(terms)
+		var s VersionTracker
+		s.ExtendTerms(terms)
 		now := time.Duration(0)
 		for range rapid.IntRange(1, 25).Draw(t, "words") {
 			now += time.Duration(rapid.IntRange(0, 900).Draw(t, "ms")) * time.Millisecond
@@ -48,7 +48,7 @@
 			for _, w := range said {
 				known = known || w.id == id
 			}
-			s.Hear(now, id, "r")
+			s.Observe(now, id, "r")
 			if !known {
 				said = append(said, word{now, id})
 			}
@@ -65,21 +65,21 @@
 							differ[w.id.Version] = w.at
 						}
 					}
-					want := Good
+					want := VerdictValid
 					for n, at := range first {
-						if n > v && now-at > stretch(terms.Lease, terms.Drift) {
-							want = Behind
+						if n > v && now-at > onSlowClock(terms.Lease, terms.ClockDrift) {
+							want = VerdictOutdated
 						}
 					}
 					for _, at := range differ {
-						if now < at+terms.Found()+terms.Dual {
-							want = Quiet
+						if now < at+terms.DetectionBound()+terms.OverlapWindow {
+							want = VerdictSettling
 						}
 					}
 					if _, bad := differ[top]; bad && v <= top {
-						want = Contradicted
+						want = VerdictConflicting
 					}
-					if got := s.Judge(now, of); got != want {
+					if got := s.Check(now, of); got != want {
 						t.Fatalf("%v at %v after %v: %v, want %v", of, now, said, got, want)
 					}
 				}
@@ -90,23 +90,23 @@
 
 // What comes off a wire is bounded, and the newest is what is kept.
 func TestSeenIsBounded(t *testing.T) {
-	var s Seen
+	var s VersionTracker
 	for n := 1; n <= 1000; n++ {
-		s.Hear(0, ID{n, 1}, strings.Repeat("x", 1000))
+		s.Observe(0, ID{n, 1}, strings.Repeat("x", 1000))
 	}
 	for n := 900; n > 0; n-- {
-		s.Hear(0, ID{n, 2}, "old")
+		s.Observe(0, ID{n, 2}, "old")
 	}
-	if top, ok := s.Top(); !ok || top.ID.Version != 1000 || len(s.list) > mostVersions || len(top.Source) > longestName {
-		t.Errorf("%v, %d versions", top, len(s.list))
+	if top, ok := s.Newest(); !ok || top.ID.Version != 1000 || len(s.versions) > maxVersions || len(top.Source) > maxSourceName {
+		t.Errorf("%v, %d versions", top, len(s.versions))
 	}
-	if s.Judge(0, ID{1000, 1}) != Good {
+	if s.Check(0, ID{1000, 1}) != VerdictValid {
 		t.Error("old versions that differ hold the newest back")
 	}
-	if s.Told(0, 1000, strings.Repeat("y", 1000)) != Conflict || s.Judge(0, ID{1000, 1}) != Contradicted {
+	if s.ObserveConflict(0, 1000, strings.Repeat("y", 1000)) != ConflictFound || s.Check(0, ID{1000, 1}) != VerdictConflicting {
 		t.Error("what is told does not count")
 	}
-	if n, words := s.Differ(); n != 1000 || len(words) > 4*longestName {
+	if n, words := s.Conflict(); n != 1000 || len(words) > 4*maxSourceName {
 		t.Errorf("%d, %q", n, words)
 	}
 }
@@ -150,7 +150,7 @@
 
 // runs plays an order and counts the runs of the sheet.
 func runs(path []int, serversJudge, routersJudge, look bool) (n int) {
-	var servers, routers [2]Seen
+	var servers, routers [2]VersionTracker
 	var looked [2][2]bool
 	var ran [2]bool
 	for i, do := range path {
@@ -158,23 +158,23 @@
 		id := func(r int) ID { return ID{1, uint64(r + 1)} }
 		if do < 4 {
 			r, s := do/2, do%2
-			servers[s].Hear(now, id(r), fmt.Sprint("r", r))
-			routers[r].Hear(now, id(r), "own")
-			if n, words := servers[s].Differ(); words != "" {
-				routers[r].Told(now, n, words)
+			servers[s].Observe(now, id(r), fmt.Sprint("r", r))
+			routers[r].Observe(now, id(r), "own")
+			if n, words := servers[s].Conflict(); words != "" {
+				routers[r].ObserveConflict(now, n, words)
 			}
-			if top, ok := servers[s].Top(); ok {
-				routers[r].Hear(now, top.ID, top.Source)
+			if top, ok := servers[s].Newest(); ok {
+				routers[r].Observe(now, top.ID, top.Source)
 			}
 			looked[r][s] = true
 			continue
 		}
 		r := do - 4 // whose map has the sheet's home at the server of its own number
-		if look && !(looked[r][0] && looked[r][1]) || routersJudge && routers[r].Judge(now, id(r)) != Good || ran[r] {
+		if look && !(looked[r][0] && looked[r][1]) || routersJudge && routers[r].Check(now, id(r)) != VerdictValid || ran[r] {
 			continue
 		}
-		servers[r].Hear(now, id(r), "try")
-		if serversJudge && servers[r].Judge(now, id(r)) != Good {
+		servers[r].Observe(now, id(r), "try")
+		if serversJudge && servers[r].Check(now, id(r)) != VerdictValid {
 			continue
 		}
 		ran[r] = true
--- a/internal/policy/configstore/stored_test.go
+++ b/internal/policy/configstore/stored_test.go
@@ -18,20 +18,20 @@
 // another snapshot, would hold other rules than its peers without anybody noticing. A change, what it makes of a document, the no that
 // it gets, and the whole book at the end stand in testdata as the program wrote them before its names were changed.
 func TestLogOfChangesGivesTheSameBook(t *testing.T) {
-	b := NewBook()
+	b := NewStore()
 	play(t, "testdata/book.txt", func(line string) string {
 		if line == "book" {
 			return text(t, b)
 		}
 		if name, is := strings.CutPrefix(line, "waits "); is {
-			return fmt.Sprintf("%q", b.Waits(b.Docs[name]))
+			return fmt.Sprintf("%q", b.WaitingFor(b.Documents[name]))
 		}
 		if name, is := strings.CutPrefix(line, "refused "); is {
-			who, why := b.Refused(b.Docs[name])
+			who, why := b.RefusedBy(b.Documents[name])
 			return fmt.Sprintf("%q %q", who, why)
 		}
 		if name, is := strings.CutPrefix(line, "listed "); is {
-			return text(t, b.Docs[name].Listed())
+			return text(t, b.Documents[name].Summary())
 		}
 		var c Change
 		if err := json.Unmarshal([]byte(line), &c); err != nil {
@@ -44,7 +44,7 @@
 		return text(t, d)
 	})
 	// A snapshot is read as it was written, and goes on alike.
-	var again Book
+	var again Store
 	if err := json.Unmarshal([]byte(text(t, b)), &again); err != nil {
 		t.Fatal(err)
 	}
@@ -55,9 +55,9 @@
 
 // What a process is told and what it says of itself are a wire between builds as well.
 func TestProcessReadsAndSaysTheSame(t *testing.T) {
-	h := NewHolder("router-1#00000001", map[string]int{"map": 2, "routing": 1})
+	h := NewReplica("router-1#00000001", map[string]int{"map": 2, "routing": 1})
 	h.CheckParts = func(string, map[string]string, bool) error { return nil }
-	h.Out.NoPace = true
+	h.Disabled.Pacing = true
 	check := func(_, text string) error {
 		if strings.Contains(text, "bad") {
 			return fmt.Errorf("it is bad")
@@ -66,11 +66,11 @@
 	}
 	terms := lease.Terms{TTL: 3 * time.Second, Drift: 0.05}
 	now, index := time.Second, uint64(0)
-	var want Want
-	acts := func(take []Took) string {
+	var want PartsRequest
+	acts := func(take []Update) string {
 		var b strings.Builder
 		for _, x := range take {
-			fmt.Fprintf(&b, "acts on %s %v of format %d, whole %v, parts %v; ", x.Doc, x.Entry.ID, x.Entry.Format, x.Whole, slices.Sorted(maps.Keys(x.Parts)))
+			fmt.Fprintf(&b, "acts on %s %v of format %d, whole %v, parts %v; ", x.Doc, x.Revision.ID, x.Revision.Format, x.Complete, slices.Sorted(maps.Keys(x.Parts)))
 		}
 		return b.String()
 	}
@@ -78,22 +78,22 @@
 		now += time.Second
 		switch line {
 		case "says":
-			return text(t, h.Says())
+			return text(t, h.Report())
 		case "has":
-			return text(t, h.Has()) + " " + text(t, h.Bases()) + " " + text(t, h.Acts()) + " " + text(t, h.Old())
+			return text(t, h.KnownVersions()) + " " + text(t, h.CompleteVersions()) + " " + text(t, h.ActiveVersions()) + " " + text(t, h.OutdatedVersions())
 		case "stops":
-			return fmt.Sprintf("%q, current %v, asks every %v, until %v", h.Stops(now), h.Current(), h.Every(), h.Until())
+			return fmt.Sprintf("%q, current %v, asks every %v, until %v", h.StopReason(now), h.IsCurrent(), h.PollInterval(), h.ConfirmedUntil())
 		case "wants":
-			w, at, ok := h.Wants(now)
+			w, at, ok := h.NextRequest(now)
 			want = w
 			return fmt.Sprintf("%s %v %v", text(t, w), at, ok)
 		case "vain":
-			h.Vain()
+			h.RequestFailed()
 			return ""
 		case "offs":
-			return fmt.Sprint(h.Offs())
+			return fmt.Sprint(h.TakeMismatches())
 		case "again":
-			h.Again("map")
+			h.Redeliver("map")
 			return ""
 		}
 		if got, is := strings.CutPrefix(line, "got "); is {
@@ -104,14 +104,14 @@
 			if err := json.Unmarshal([]byte(got), &a); err != nil {
 				t.Fatal(err)
 			}
-			return acts(h.Got(now, want, a.ID, a.Parts, check))
+			return acts(h.ReceiveParts(now, want, a.ID, a.Parts, check))
 		}
 		var docs map[string]View
 		if err := json.Unmarshal([]byte(line), &docs); err != nil {
 			t.Fatal(err)
 		}
 		index++
-		return acts(h.Told(now, index, terms, docs, check))
+		return acts(h.Receive(now, index, terms, docs, check))
 	})
 }
 
--- a/internal/policy/controller/golden_test.go
+++ b/internal/policy/controller/golden_test.go
@@ -59,7 +59,7 @@
 	j := journalFixture(t, "keeper")
 	table := lease.NewTable(0)
 	table.Duties["keeper"] = &lease.Duty{Name: "keeper", Epoch: 6, Holder: "b#1"}
-	current := &cells.Map{Version: 4, Window: time.Second, Lease: time.Second, Patient: time.Second,
+	current := &cells.Map{Version: 4, KeyWindow: time.Second, Lease: time.Second, CallerTimeout: time.Second,
 		Cells:   []cells.Cell{{Name: "a", Capacity: 10}, {Name: "b", Capacity: 10}},
 		Servers: []cells.Server{{Name: "s", Addr: "x", Cell: "a", Weight: 1}, {Name: "u", Addr: "y", Cell: "b", Weight: 1}},
 		Tenants: []cells.Tenant{{Name: "t", Rate: 1, Homes: []cells.Home{{Cell: "a"}}}}}
--- a/internal/policy/controller/placement.go
+++ b/internal/policy/controller/placement.go
@@ -143,7 +143,7 @@
 		if err := json.Unmarshal(it.Args, &gone); err != nil {
 			return nil, fmt.Errorf("its arguments: %w", err)
 		}
-		return m.PlanGone(now, gone.Server)
+		return m.PlanRemoval(now, gone.Server)
 	}
 	return nil, fmt.Errorf("no such request: %q", it.Kind)
 }
--- a/internal/policy/controller/placement_test.go
+++ b/internal/policy/controller/placement_test.go
@@ -17,7 +17,7 @@
 		Format: func(m *cells.Map) []byte { b, _ := json.Marshal(m); return b },
 		Parse:  func(b []byte) (m *cells.Map, err error) { return m, json.Unmarshal(b, &m) },
 	}}
-	m := &cells.Map{Version: 4, Window: time.Second, Lease: time.Second, Patient: time.Second,
+	m := &cells.Map{Version: 4, KeyWindow: time.Second, Lease: time.Second, CallerTimeout: time.Second,
 		Cells:   []cells.Cell{{Name: "a", Capacity: 10}, {Name: "b", Capacity: 10}},
 		Servers: []cells.Server{{Name: "s", Addr: "x", Cell: "a", Weight: 1}, {Name: "u", Addr: "y", Cell: "b", Weight: 1}},
 		Tenants: []cells.Tenant{{Name: "t", Rate: 1, Homes: []cells.Home{{Cell: "a"}}}}}
--- a/internal/policy/quota/quota.go
+++ b/internal/policy/quota/quota.go
@@ -51,7 +51,7 @@
 		perServer[c.Name] = c.Capacity
 	}
 	for s := range m.AllServers() {
-		if s.From > at || s.Until > 0 && s.Until <= at {
+		if s.JoinsAt > at || s.LeavesAt > 0 && s.LeavesAt <= at {
 			continue
 		}
 		if w, known := all[s.Cell]; known {
--- a/internal/policy/statemachine/snapshot_test.go
+++ b/internal/policy/statemachine/snapshot_test.go
@@ -53,24 +53,24 @@
 	}
 	size := 0
 	for name, text := range parts {
-		size += len(name) + configstore.Encoded(text)
+		size += len(name) + configstore.EncodedSize(text)
 	}
 	for _, one := range configstore.Batches(parts) {
-		do(configstore.Change{Op: configstore.Load, Doc: configstore.DocMap, Draft: "first", Parts: one})
+		do(configstore.Change{Op: configstore.OpLoadDraft, Doc: configstore.DocMap, Draft: "first", Parts: one})
 	}
-	do(configstore.Change{Op: configstore.Put, Doc: configstore.DocMap, Draft: "first", Digest: configstore.SumOf(parts)})
-	do(configstore.Change{Op: configstore.Advance, Doc: configstore.DocMap, Version: 1, Stage: configstore.Proposed})
+	do(configstore.Change{Op: configstore.OpPropose, Doc: configstore.DocMap, Draft: "first", Digest: configstore.TextsDigest(parts)})
+	do(configstore.Change{Op: configstore.OpAdvance, Doc: configstore.DocMap, Version: 1, Stage: configstore.StageProposed})
 	var words []configstore.Change
 	for i := range 1400 {
-		words = append(words, configstore.Change{Op: configstore.Join, User: &configstore.User{Name: fmt.Sprintf("router-%04d#0a1b2c3d", i),
-			Reads: map[string]int{configstore.DocMap: 2, configstore.DocRouting: 1, configstore.DocClasses: 1}}})
+		words = append(words, configstore.Change{Op: configstore.OpRegister, Process: &configstore.Process{Name: fmt.Sprintf("router-%04d#0a1b2c3d", i),
+			Formats: map[string]int{configstore.DocMap: 2, configstore.DocRouting: 1, configstore.DocClasses: 1}}})
 	}
-	if r := s.Apply(Command{ConfigBatch: words}); r.Error != "" || len(s.Config.Users) != 1400 {
-		t.Fatal(r.Error, len(s.Config.Users))
+	if r := s.Apply(Command{ConfigBatch: words}); r.Error != "" || len(s.Config.Processes) != 1400 {
+		t.Fatal(r.Error, len(s.Config.Processes))
 	}
 	changed := map[string]string{"tenants-007": `{"tenants":[]}`}
 	parts["tenants-007"] = changed["tenants-007"]
-	do(configstore.Change{Op: configstore.Put, Doc: configstore.DocMap, Version: 1, Parts: changed, Digest: configstore.SumOf(parts)})
+	do(configstore.Change{Op: configstore.OpPropose, Doc: configstore.DocMap, Version: 1, Parts: changed, Digest: configstore.TextsDigest(parts)})
 	began := time.Now()
 	b, err := s.Snapshot()
 	wrote := time.Since(began)
@@ -90,9 +90,9 @@
 	if err != nil || !bytes.Equal(b, again) {
 		t.Error("it comes out as another one", err)
 	}
-	d := out.Config.Docs[configstore.DocMap]
-	if _, all, ok := d.At(2); !ok || configstore.Sum(all) != configstore.SumOf(parts) || len(d.Next.Parts) != 1 || d.Draft != nil {
-		t.Errorf("%d parts under way, draft %v", len(d.Next.Parts), d.Draft != nil)
+	d := out.Config.Documents[configstore.DocMap]
+	if _, all, ok := d.PartsAt(2); !ok || configstore.PartsDigest(all) != configstore.TextsDigest(parts) || len(d.Proposed.Parts) != 1 || d.Draft != nil {
+		t.Errorf("%d parts under way, draft %v", len(d.Proposed.Parts), d.Draft != nil)
 	}
 }
 
@@ -107,12 +107,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	d := s.Config.Docs["routing"]
-	if d.Force.Text != `{"retries":0.1}` || d.Force.Split || len(d.Next.Canaries) != 1 || d.Next.Canaries[0] != "r1#1" || d.History[0].Text == "" {
+	d := s.Config.Documents["routing"]
+	if d.Active.Text != `{"retries":0.1}` || d.Active.InParts || len(d.Proposed.Canaries) != 1 || d.Proposed.Canaries[0] != "r1#1" || d.History[0].Text == "" {
 		t.Errorf("%+v", d)
 	}
-	r := s.Apply(Command{Config: &configstore.Change{Op: configstore.Advance, Doc: "routing", Version: 3, Stage: configstore.Trial}})
-	if r.Error != "" || d.Force.ID.Version != 3 {
+	r := s.Apply(Command{Config: &configstore.Change{Op: configstore.OpAdvance, Doc: "routing", Version: 3, Stage: configstore.StageCanary}})
+	if r.Error != "" || d.Active.ID.Version != 3 {
 		t.Error(r.Error)
 	}
 }
--- a/internal/policy/statemachine/statemachine.go
+++ b/internal/policy/statemachine/statemachine.go
@@ -73,12 +73,12 @@
 	Members  map[uint64]Member              `json:"members"`
 	Table    *lease.Table                   `json:"table"`
 	Journals map[string]*controller.Journal `json:"journals"`
-	Config   *configstore.Book              `json:"rules"`
+	Config   *configstore.Store             `json:"rules"`
 }
 
 // New returns the empty state of a group of a generation.
 func New(generation uint32) *State {
-	return &State{lease.Terms{}, map[uint64]Member{}, lease.NewTable(generation), map[string]*controller.Journal{}, configstore.NewBook()}
+	return &State{lease.Terms{}, map[uint64]Member{}, lease.NewTable(generation), map[string]*controller.Journal{}, configstore.NewStore()}
 }
 
 // Journal returns a duty's journal to read, an empty one for none.
@@ -129,7 +129,7 @@
 		return s.applyConfig(*c.Config, r)
 	case c.ConfigBatch != nil:
 		for _, change := range c.ConfigBatch {
-			if change.Op == configstore.Join || change.Op == configstore.Say {
+			if change.Op == configstore.OpRegister || change.Op == configstore.OpReport {
 				_, _ = s.Config.Apply(change) // a refusal is noticed by the process: what it is told lacks what it said
 			}
 		}
@@ -168,10 +168,10 @@
 
 func (s *State) applyConfig(change configstore.Change, r *Result) error {
 	d, err := s.Config.Apply(change)
-	if d != nil && d.Next != nil {
-		r.Version = d.Next.ID.Version
-	} else if d != nil && d.Force != nil {
-		r.Version = d.Force.ID.Version
+	if d != nil && d.Proposed != nil {
+		r.Version = d.Proposed.ID.Version
+	} else if d != nil && d.Active != nil {
+		r.Version = d.Active.ID.Version
 	}
 	return err
 }
--- a/internal/proxy/change.go
+++ b/internal/proxy/change.go
@@ -19,14 +19,14 @@
 var ErrBusy = errors.New("another change of the map is under way")
 
 // lockPoll is how often a writer that waits looks whether it may begin.
-const lockPoll = 10 * time.Millisecond
+const lockPollInterval = 10 * time.Millisecond
 
 // Change reads a map, has the next one planned, and writes it, with no other writer between: the lock of a file beside
 // the map is held from before it is read until it is replaced. Who finds another writer waits for so long, then gets
 // ErrBusy. A writer that was stopped half way holds the lock, so what it writes when it wakes follows what it read; one that
 // died has let go of it. Plan may return nil for no change.
 func Change(path string, wait time.Duration, plan func(m *cells.Map, now time.Time) (*cells.Map, error)) (*cells.Map, error) {
-	lock, err := lockBeside(path, wait)
+	lock, err := lockFileBeside(path, wait)
 	if err != nil {
 		return nil, err
 	}
@@ -54,15 +54,15 @@
 	if after, err := os.ReadFile(path); err != nil || !bytes.Equal(before, after) {
 		return nil, fmt.Errorf("%s: changed by another hand meanwhile: try again", path)
 	}
-	return next, Write(path, next)
+	return next, WriteMap(path, next)
 }
 
-func lockBeside(path string, wait time.Duration) (*os.File, error) {
+func lockFileBeside(path string, wait time.Duration) (*os.File, error) {
 	f, err := os.OpenFile(path+".lock", os.O_RDWR|os.O_CREATE, 0o644)
 	if err != nil {
 		return nil, err
 	}
-	for until := time.Now().Add(wait); ; time.Sleep(lockPoll) {
+	for until := time.Now().Add(wait); ; time.Sleep(lockPollInterval) {
 		err = unix.Flock(int(f.Fd()), unix.LOCK_EX|unix.LOCK_NB)
 		if err == nil {
 			f.Truncate(0)
--- a/internal/proxy/cold_test.go
+++ b/internal/proxy/cold_test.go
@@ -65,15 +65,15 @@
 			var all, keeps sync.WaitGroup
 			for n := range 20 {
 				h := &router{ends: map[string]core.Answer{}}
-				r, err := New(Config{Name: fmt.Sprint("r", n), Cores: 64, Probe: 50 * time.Millisecond, Sockets: 100, Source: fixedMap{&cells.Map{
-					Version: 1, Window: 10 * time.Second, Lease: time.Hour, Patient: 4 * time.Second, Cells: []cells.Cell{{Name: "a"}},
-					Servers: []cells.Server{{Name: "s", Addr: ln.Addr().String(), Cell: "a", Weight: 1, From: time.Now().UnixMilli()}},
+				r, err := New(Config{Name: fmt.Sprint("r", n), Cores: 64, HealthCheckInterval: 50 * time.Millisecond, MaxConnections: 100, Source: fixedMap{&cells.Map{
+					Version: 1, KeyWindow: 10 * time.Second, Lease: time.Hour, CallerTimeout: 4 * time.Second, Cells: []cells.Cell{{Name: "a"}},
+					Servers: []cells.Server{{Name: "s", Addr: ln.Addr().String(), Cell: "a", Weight: 1, JoinsAt: time.Now().UnixMilli()}},
 					Tenants: []cells.Tenant{{Homes: []cells.Home{{Cell: "a"}}}},
 				}}}, h, quiet, &metrics.Counters{})
 				if err != nil {
 					t.Fatal(err)
 				}
-				keeps.Go(func() { r.Keep(ctx) })
+				keeps.Go(func() { r.Maintain(ctx) })
 				for k := range 10 { // requests that each router wants out at once
 					all.Go(func() {
 						for i := 0; ctx.Err() == nil; i++ {
@@ -82,7 +82,7 @@
 								q.Class, q.Key = "sheet", q.ID
 							}
 							class, _ := h.Class(q.Class)
-							r.lead(q, class)
+							r.route(q, class)
 							time.Sleep(time.Millisecond)
 						}
 					})
--- a/internal/proxy/fleet_test.go
+++ b/internal/proxy/fleet_test.go
@@ -159,17 +159,17 @@
 func probing(t *testing.T, n int, every time.Duration, test func(l *lab)) {
 	synctest.Test(t, func(t *testing.T) {
 		l := &lab{t: t, router: &router{ends: map[string]core.Answer{}}, stats: &metrics.Counters{}}
-		m := &cells.Map{Version: 1, Window: 10 * time.Second, Lease: time.Hour, Patient: 4 * time.Second,
+		m := &cells.Map{Version: 1, KeyWindow: 10 * time.Second, Lease: time.Hour, CallerTimeout: 4 * time.Second,
 			Cells: []cells.Cell{{Name: "a"}}, Tenants: []cells.Tenant{{Homes: []cells.Home{{Cell: "a"}}}}}
 		for k := range n {
 			s := &server{takes: 20 * time.Millisecond}
 			s.boot(t)
 			l.servers = append(l.servers, s)
-			m.Servers = append(m.Servers, cells.Server{Name: fmt.Sprint("s", k), Addr: fmt.Sprint(k), Cell: "a", Weight: 1, From: time.Now().UnixMilli()})
+			m.Servers = append(m.Servers, cells.Server{Name: fmt.Sprint("s", k), Addr: fmt.Sprint(k), Cell: "a", Weight: 1, JoinsAt: time.Now().UnixMilli()})
 		}
 		var err error
 		l.runner, err = New(Config{
-			Source: fixedMap{m}, Cores: 100, Probe: every, Sockets: 50, Routing: loadbalancer.Config{RetryRatio: 1, HedgeRatio: 1, Seed: 3},
+			Source: fixedMap{m}, Cores: 100, HealthCheckInterval: every, MaxConnections: 50, LoadBalancing: loadbalancer.Config{RetryRatio: 1, HedgeRatio: 1, Seed: 3},
 			Dial: func(_ context.Context, addr string) (*msgpackrpc.Conn, error) {
 				s := l.servers[addr[0]-'0']
 				s.mu.Lock()
@@ -186,7 +186,7 @@
 			t.Fatal(err)
 		}
 		ctx, cancel := context.WithCancel(context.Background())
-		go l.runner.Keep(ctx)
+		go l.runner.Maintain(ctx)
 		time.Sleep(time.Second)
 		test(l)
 		cancel()
--- a/internal/proxy/parts_test.go
+++ b/internal/proxy/parts_test.go
@@ -31,7 +31,7 @@
 
 // fleetOf is a map of so many servers and tenants.
 func fleetOf(servers, tenants int) *cells.Map {
-	m := &cells.Map{Version: 3, Window: 2 * time.Second, Skew: 100 * time.Millisecond, Lease: time.Second, Patient: time.Second,
+	m := &cells.Map{Version: 3, KeyWindow: 2 * time.Second, MaxClockSkew: 100 * time.Millisecond, Lease: time.Second, CallerTimeout: time.Second,
 		Cells: []cells.Cell{{Name: "a", Capacity: 10}, {Name: "b", Capacity: 10}}}
 	for i := range servers {
 		m.Servers = append(m.Servers, cells.Server{Name: fmt.Sprint("s", i), Addr: fmt.Sprint("127.0.0.1:", i+1), Cell: m.Cells[i%2].Name, Weight: 1})
@@ -59,7 +59,7 @@
 		if err := os.WriteFile(probe, nil, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		l, err := lookAt(probe, 0)
+		l, err := stampOf(probe, 0)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -83,7 +83,7 @@
 }
 
 // pagesOf is how many bytes of pages were written to a state.
-func pagesOf(s *state) int64 {
+func pagesOf(s *stateFile) int64 {
 	all := s.db.Stats()
 	return all.TxStats.GetPageAlloc()
 }
@@ -95,15 +95,15 @@
 	measure := func(tenants int) (allocs, size, written float64) {
 		dir := t.TempDir()
 		path := filepath.Join(dir, "cells.json")
-		if err := Write(path, fleetOf(tenants/20, tenants)); err != nil {
+		if err := WriteMap(path, fleetOf(tenants/20, tenants)); err != nil {
 			t.Fatal(err)
 		}
-		f, err := OpenFile(path, filepath.Join(dir, "state.db"))
+		f, err := OpenFileSource(path, filepath.Join(dir, "state.db"))
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer f.Close()
-		f.settles = 0
+		f.settleTime = 0
 		m, _, err := f.Load(nil)
 		if err != nil {
 			t.Fatal(err)
@@ -148,7 +148,7 @@
 			write(t, path, n)
 		}, ""},
 		{"replaced", func(t *testing.T, path string, m *cells.Map) {
-			if err := Write(path, next(m)); err != nil {
+			if err := WriteMap(path, next(m)); err != nil {
 				t.Fatal(err)
 			}
 		}, ""},
@@ -190,11 +190,11 @@
 			dir := t.TempDir()
 			path := filepath.Join(dir, "cells.json")
 			write(t, path, fleetOf(4, 10))
-			f, err := OpenFile(path, "")
+			f, err := OpenFileSource(path, "")
 			if err != nil {
 				t.Fatal(err)
 			}
-			f.settles = 0
+			f.settleTime = 0
 			m, _, err := f.Load(nil)
 			if err != nil {
 				t.Fatal(err)
@@ -229,7 +229,7 @@
 // The same for the head of a folder: a version that comes, one that is mended above the head, and a head that goes.
 func TestChangesOfAFolderAreNoticed(t *testing.T) {
 	dir := t.TempDir()
-	s := Series{dir}
+	s := VersionDir{dir}
 	put := func(m *cells.Map) {
 		t.Helper()
 		if err := s.Put(m.Version, settings.FormatCells(m)); err != nil {
@@ -238,11 +238,11 @@
 	}
 	first := fleetOf(4, 10)
 	put(first)
-	f, err := OpenFile(dir, "")
+	f, err := OpenFileSource(dir, "")
 	if err != nil {
 		t.Fatal(err)
 	}
-	f.settles = 0
+	f.settleTime = 0
 	m, _, err := f.Load(nil)
 	if err != nil {
 		t.Fatal(err)
@@ -265,18 +265,18 @@
 	looked("the next", 4)
 	third := next(second)
 	text := settings.FormatCells(third)
-	if err := os.WriteFile(s.name(5), text[:50], 0o600); err != nil {
+	if err := os.WriteFile(s.path(5), text[:50], 0o600); err != nil {
 		t.Fatal(err)
 	}
 	looked("one that is no good", 4)
-	if n := len(f.seen); n != 3 {
+	if n := len(f.stamps); n != 3 {
 		t.Errorf("%d looks at a folder, its head, and one above it", n)
 	}
-	if err := os.WriteFile(s.name(5), text, 0o600); err != nil {
+	if err := os.WriteFile(s.path(5), text, 0o600); err != nil {
 		t.Fatal(err)
 	}
 	looked("that one mended in place", 5)
-	if n := len(f.seen); n != 2 {
+	if n := len(f.stamps); n != 2 {
 		t.Errorf("%d looks at a folder and its head", n)
 	}
 	if err := os.RemoveAll(dir); err != nil {
@@ -292,22 +292,22 @@
 func TestChangeWithinATick(t *testing.T) {
 	for _, lately := range []bool{true, false} {
 		path := filepath.Join(t.TempDir(), "cells.json")
-		if err := Write(path, fleetOf(4, 10)); err != nil {
+		if err := WriteMap(path, fleetOf(4, 10)); err != nil {
 			t.Fatal(err)
 		}
-		f, err := OpenFile(path, "")
+		f, err := OpenFileSource(path, "")
 		if err != nil {
 			t.Fatal(err)
 		}
-		f.settles = map[bool]time.Duration{true: math.MaxInt64, false: 0}[lately]
+		f.settleTime = map[bool]time.Duration{true: math.MaxInt64, false: 0}[lately]
 		m, _, err := f.Load(nil)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := Write(path, next(m)); err != nil {
+		if err := WriteMap(path, next(m)); err != nil {
 			t.Fatal(err)
 		}
-		if f.seen, err = looksOf(path, f.settles); err != nil { // as if the first had had the same time, size and place
+		if f.stamps, err = stampsOf(path, f.settleTime); err != nil { // as if the first had had the same time, size and place
 			t.Fatal(err)
 		}
 		n, _, err := f.Load(m)
@@ -320,9 +320,9 @@
 // ---- Maps in parts ----
 
 // agreedOn is a source whose group has agreed on a map, in parts.
-func agreedOn(t *testing.T, state string, m *cells.Map) *Agreed {
+func agreedOn(t *testing.T, state string, m *cells.Map) *GroupSource {
 	t.Helper()
-	a, err := OpenAgreed(state)
+	a, err := OpenGroupSource(state)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -330,7 +330,7 @@
 	if err := a.CheckParts(settings.SplitCells(m), true); err != nil {
 		t.Fatal(err)
 	}
-	if err := a.TakeParts(configstore.ID{Version: 70, Digest: 77}, settings.SplitCells(m), true); err != nil {
+	if err := a.ApplyParts(configstore.ID{Version: 70, Digest: 77}, settings.SplitCells(m), true); err != nil {
 		t.Fatal(err)
 	}
 	a.Confirm(time.Now())
@@ -354,7 +354,7 @@
 	if err != nil || len(cells.Diff(first, m))+len(cells.Diff(m, first)) > 0 {
 		t.Fatalf("%v", err)
 	}
-	if digest, ok := a.Named(m); !ok || digest != 77 {
+	if digest, ok := a.DigestOf(m); !ok || digest != 77 {
 		t.Errorf("named %d, %v", digest, ok)
 	}
 	second := next(m)
@@ -374,7 +374,7 @@
 			t.Errorf("%v, want %s", err, c.want)
 		}
 	}
-	if err := a.TakeParts(configstore.ID{Version: 71, Digest: 78}, map[string]string{"t00": `{"tenants":[{}]}`}, false); err == nil {
+	if err := a.ApplyParts(configstore.ID{Version: 71, Digest: 78}, map[string]string{"t00": `{"tenants":[{}]}`}, false); err == nil {
 		t.Error("a part that is no good is taken")
 	}
 	if again, _, err := a.Load(m); err != nil || again != m {
@@ -390,7 +390,7 @@
 	third := next(second)
 	third.Tenants[0].Rate, third.Tenants[1].Rate = second.Tenants[0].Rate, 9 // another part than the second
 	for i, m := range []*cells.Map{second, third} {                          // two before the router asks
-		if err := a.TakeParts(configstore.ID{Version: 71 + i, Digest: 78 + uint64(i)}, delta([]*cells.Map{first, second}[i], m), false); err != nil {
+		if err := a.ApplyParts(configstore.ID{Version: 71 + i, Digest: 78 + uint64(i)}, delta([]*cells.Map{first, second}[i], m), false); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -402,7 +402,7 @@
 	}
 	a.Close()
 
-	a, err = OpenAgreed(state)
+	a, err = OpenGroupSource(state)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -411,11 +411,11 @@
 	if err != nil || m.Version != third.Version || len(cells.Diff(third, m))+len(cells.Diff(m, third)) > 0 || since.UnixMilli() != asked.UnixMilli() {
 		t.Fatalf("after a restart: %v, known %v after", err, since.Sub(asked))
 	}
-	if digest, ok := a.Named(m); !ok || digest != 79 {
+	if digest, ok := a.DigestOf(m); !ok || digest != 79 {
 		t.Errorf("after a restart it is named %d, %v", digest, ok)
 	}
 	fourth := next(third)
-	if err := a.TakeParts(configstore.ID{Version: 73, Digest: 80}, delta(third, fourth), false); err != nil {
+	if err := a.ApplyParts(configstore.ID{Version: 73, Digest: 80}, delta(third, fourth), false); err != nil {
 		t.Fatal(err)
 	}
 	a.Confirm(time.Now())
@@ -424,7 +424,7 @@
 	}
 	// A group that is of an older build again sends it whole.
 	fifth := next(fourth)
-	if err := a.Take(string(settings.FormatCells(fifth))); err != nil {
+	if err := a.Apply(string(settings.FormatCells(fifth))); err != nil {
 		t.Fatal(err)
 	}
 	a.Confirm(time.Now())
@@ -432,11 +432,11 @@
 	if err != nil || n.Version != fifth.Version {
 		t.Fatal(err)
 	}
-	if _, ok := a.Named(n); ok {
+	if _, ok := a.DigestOf(n); ok {
 		t.Error("a whole map is named by a digest of parts")
 	}
 	sixth := next(fifth)
-	if err := a.TakeParts(configstore.ID{Version: 75, Digest: 82}, delta(fifth, sixth), false); err != nil {
+	if err := a.ApplyParts(configstore.ID{Version: 75, Digest: 82}, delta(fifth, sixth), false); err != nil {
 		t.Fatal(err)
 	}
 	a.Confirm(time.Now())
@@ -444,7 +444,7 @@
 		t.Fatal(err)
 	}
 	a.Close()
-	a, err = OpenAgreed(state)
+	a, err = OpenGroupSource(state)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -465,7 +465,7 @@
 		}
 		pages := func() int64 { return pagesOf(a.state) }
 		before := pages()
-		if err := a.TakeParts(configstore.ID{Version: 71, Digest: 78}, delta(m, next(m)), false); err != nil {
+		if err := a.ApplyParts(configstore.ID{Version: 71, Digest: 78}, delta(m, next(m)), false); err != nil {
 			t.Fatal(err)
 		}
 		a.Confirm(time.Now())
@@ -531,10 +531,10 @@
 				var since time.Time
 				var err error
 				if kind == "a file" {
-					var f *File
-					if f, err = OpenFile(path, state); err == nil {
+					var f *FileSource
+					if f, err = OpenFileSource(path, state); err == nil {
 						kept, since, err = f.Load(nil)
-						if bad := Write(path, n); bad != nil {
+						if bad := WriteMap(path, n); bad != nil {
 							t.Fatal(bad)
 						}
 						if m, _, bad := f.Load(kept); bad != nil || m.Version != n.Version {
@@ -543,12 +543,12 @@
 						f.Close()
 					}
 				} else {
-					var a *Agreed
-					if a, err = OpenAgreed(state); err == nil {
+					var a *GroupSource
+					if a, err = OpenGroupSource(state); err == nil {
 						kept, since, err = a.Load(nil)
-						take := a.Take(string(settings.FormatCells(n)))
+						take := a.Apply(string(settings.FormatCells(n)))
 						if kind == "the group's, in parts" {
-							take = a.TakeParts(configstore.ID{Version: 9, Digest: 9}, delta(m, n), false)
+							take = a.ApplyParts(configstore.ID{Version: 9, Digest: 9}, delta(m, n), false)
 						}
 						if take != nil {
 							t.Fatal(take)
@@ -579,7 +579,7 @@
 
 func runnerOn(t *testing.T, src Source, out io.Writer, dial func(context.Context, string) (*msgpackrpc.Conn, error)) *Runner {
 	t.Helper()
-	r, err := New(Config{Name: "r", Source: src, Cores: 1, Probe: time.Hour, Sockets: 10, Dial: dial}, &router{}, log.New(out, "", 0), &metrics.Counters{})
+	r, err := New(Config{Name: "r", Source: src, Cores: 1, HealthCheckInterval: time.Hour, MaxConnections: 10, Dial: dial}, &router{}, log.New(out, "", 0), &metrics.Counters{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -592,15 +592,15 @@
 	m := fleetOf(4, 10)
 	a := agreedOn(t, "", m)
 	r := runnerOn(t, a, io.Discard, nil)
-	if id := r.cells.Load().id; id != (configstore.ID{Version: 3, Digest: 77}) {
+	if id := r.current.Load().id; id != (configstore.ID{Version: 3, Digest: 77}) {
 		t.Errorf("in parts: %v", id)
 	}
-	if err := a.Take(string(settings.FormatCells(next(m)))); err != nil {
+	if err := a.Apply(string(settings.FormatCells(next(m)))); err != nil {
 		t.Fatal(err)
 	}
 	a.Confirm(time.Now())
 	r.Reload()
-	if id := r.cells.Load().id; id != configstore.Name(4, settings.FormatCells(next(m))) {
+	if id := r.current.Load().id; id != configstore.NewID(4, settings.FormatCells(next(m))) {
 		t.Errorf("whole: %v", id)
 	}
 }
@@ -623,19 +623,19 @@
 			if version == 4 { // whoever stands there first is moved out of the way by the test, not by the group
 				a.mu.Lock()
 				var err error
-				if a.m.Map, err = settings.JoinCells(a.m.Map, map[string]string{"t00": `{"tenants":[]}`}); err != nil {
+				if a.latest.Map, err = settings.JoinCells(a.latest.Map, map[string]string{"t00": `{"tenants":[]}`}); err != nil {
 					t.Fatal(err)
 				}
-				a.old = a.m
+				a.delivered = a.latest
 				a.mu.Unlock()
-				r.cells.Store(&view{Map: a.m.Map, read: time.Now(), id: r.cells.Load().id, named: r.cells.Load().named})
+				r.current.Store(&mapInForce{Map: a.latest.Map, confirmedAt: time.Now(), id: r.current.Load().id, name: r.current.Load().name})
 			}
-			if err := a.TakeParts(configstore.ID{Version: version, Digest: uint64(version)}, top, false); err != nil {
+			if err := a.ApplyParts(configstore.ID{Version: version, Digest: uint64(version)}, top, false); err != nil {
 				t.Fatal(err)
 			}
 			a.Confirm(time.Now())
 			r.Reload()
-			if v := r.cells.Load(); v.Version != version || v.id.Digest != uint64(version) {
+			if v := r.current.Load(); v.Version != version || v.id.Digest != uint64(version) {
 				t.Fatalf("version %d, named %v, want %d", v.Version, v.id, version)
 			}
 		})
@@ -664,9 +664,9 @@
 		for i := range m.Tenants {
 			m.Tenants[i].Homes = []cells.Home{{Cell: m.Cells[i%31].Name}}
 		}
-		m.Tenants[7].Homes = append(m.Tenants[7].Homes, cells.Home{Cell: "c0", From: time.Now().Add(time.Hour).UnixMilli()})
+		m.Tenants[7].Homes = append(m.Tenants[7].Homes, cells.Home{Cell: "c0", Since: time.Now().Add(time.Hour).UnixMilli()})
 		r := runnerOn(t, agreedOn(t, "", m), io.Discard, nil)
-		r.Share(470, true)
+		r.ShareQuota(470, true)
 		text := r.Status()
 		if len(text) > msgpackrpc.MaxCallBody/2 {
 			t.Errorf("of %d tenants it has %d bytes", tenants, len(text))
@@ -706,19 +706,19 @@
 	now := time.Now()
 	Wall = func() time.Time { return now }
 	m := fleetOf(4, 2)
-	m.Servers[0].Until = now.Add(time.Minute).UnixMilli()
+	m.Servers[0].LeavesAt = now.Add(time.Minute).UnixMilli()
 	a := agreedOn(t, "", m)
 	r := runnerOn(t, a, io.Discard, nil)
-	r.Share(1, true)
+	r.ShareQuota(1, true)
 	part := func() float64 {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		r.wholes()
-		return r.share.Rate(r.leased(), quota.Key{Cell: "a", Tenant: "tenant-0"})
+		r.updateQuotaCapacity()
+		return r.quota.Rate(r.leaseClock(), quota.Key{Cell: "a", Tenant: "tenant-0"})
 	}
 	whole := part()
-	told := r.shared
-	if whole <= 0 || testing.AllocsPerRun(10, func() { part() }) > 0 || r.shared != told {
+	told := r.quotaCapacity
+	if whole <= 0 || testing.AllocsPerRun(10, func() { part() }) > 0 || r.quotaCapacity != told {
 		t.Errorf("part %v, told again", whole)
 	}
 	now = now.Add(time.Minute) // one of the two servers of its cell is gone
@@ -731,7 +731,7 @@
 	}
 	more := next(m)
 	more.Cells = []cells.Cell{{Name: "a", Capacity: 30}, {Name: "b", Capacity: 10}}
-	if err := a.TakeParts(configstore.ID{Version: 9, Digest: 9}, delta(m, more), false); err != nil {
+	if err := a.ApplyParts(configstore.ID{Version: 9, Digest: 9}, delta(m, more), false); err != nil {
 		t.Fatal(err)
 	}
 	a.Confirm(time.Now())
@@ -748,17 +748,17 @@
 	refused := func(context.Context, string) (*msgpackrpc.Conn, error) { return nil, errors.New("refused") }
 	r := runnerOn(t, agreedOn(t, "", fleetOf(servers, 2)), &out, refused)
 	r.mu.Lock()
-	r.reported = r.clock() + time.Hour // no other occasion
+	r.lastHealthReport = r.clock() + time.Hour // no other occasion
 	r.mu.Unlock()
 	for s := range r.Map().AllServers() {
-		r.probe(t.Context(), *s)
+		r.checkHealth(t.Context(), *s)
 	}
-	if len(r.said) != 0 {
-		t.Errorf("after single answers the health of %d is told", len(r.said))
+	if len(r.loggedHealth) != 0 {
+		t.Errorf("after single answers the health of %d is told", len(r.loggedHealth))
 	}
-	r.round(t.Context())
-	if len(r.said) != servers {
-		t.Errorf("after a round the health of %d is told, of %d", len(r.said), servers)
+	r.checkAll(t.Context())
+	if len(r.loggedHealth) != servers {
+		t.Errorf("after a round the health of %d is told, of %d", len(r.loggedHealth), servers)
 	}
 }
 
@@ -780,11 +780,11 @@
 				if kept {
 					state = filepath.Join(dir, "state.db")
 				}
-				if err := Write(path, fleetOf(930, tenants)); err != nil {
+				if err := WriteMap(path, fleetOf(930, tenants)); err != nil {
 					b.Fatal(err)
 				}
 				time.Sleep(2100 * time.Millisecond) // until it has settled
-				f, err := OpenFile(path, state)
+				f, err := OpenFileSource(path, state)
 				if err != nil {
 					b.Fatal(err)
 				}
@@ -808,7 +808,7 @@
 func BenchmarkProbe(b *testing.B) {
 	for _, servers := range []int{10, 930} {
 		b.Run(fmt.Sprint(servers), func(b *testing.B) {
-			r, err := New(Config{Name: "r", Source: fixedMap{fleetOf(servers, 2)}, Probe: time.Second, Sockets: 10,
+			r, err := New(Config{Name: "r", Source: fixedMap{fleetOf(servers, 2)}, HealthCheckInterval: time.Second, MaxConnections: 10,
 				Dial: func(context.Context, string) (*msgpackrpc.Conn, error) { return nil, errors.New("refused") }}, &router{}, log.New(io.Discard, "", 0), &metrics.Counters{})
 			if err != nil {
 				b.Fatal(err)
@@ -816,7 +816,7 @@
 			s := r.Map().Servers[0]
 			b.ReportAllocs()
 			for b.Loop() {
-				r.probe(b.Context(), s)
+				r.checkHealth(b.Context(), s)
 			}
 		})
 	}
@@ -833,7 +833,7 @@
 	a.Confirm(time.Now())
 	r.Reload()
 	n := *next(m)
-	n.Tenants[1].Homes = append(slices.Clone(n.Tenants[1].Homes), cells.Home{Cell: "a", From: time.Now().Add(m.Lease+m.Skew).UnixMilli() + 1})
+	n.Tenants[1].Homes = append(slices.Clone(n.Tenants[1].Homes), cells.Home{Cell: "a", Since: time.Now().Add(m.Lease+m.MaxClockSkew).UnixMilli() + 1})
 	changed := delta(m, &n)
 	time.Sleep(20 * time.Millisecond)
 	if err := a.CheckParts(changed, false); err != nil {
@@ -841,13 +841,13 @@
 	}
 	a.Confirm(time.Now())
 	r.Reload()
-	if err := a.TakeParts(configstore.ID{Version: 71, Digest: 78}, changed, false); err != nil {
+	if err := a.ApplyParts(configstore.ID{Version: 71, Digest: 78}, changed, false); err != nil {
 		t.Fatal(err)
 	}
 	began := time.Now()
-	for r.cells.Load().Version != n.Version {
+	for r.current.Load().Version != n.Version {
 		if time.Since(began) > 20*time.Second {
-			t.Fatalf("it goes by map %d", r.cells.Load().Version)
+			t.Fatalf("it goes by map %d", r.current.Load().Version)
 		}
 		a.Confirm(time.Now())
 		r.Reload()
@@ -856,20 +856,20 @@
 	if took := time.Since(began); took < m.Lease {
 		t.Errorf("it took it up after %v, and may have sent by the old one within its lease", took)
 	}
-	if v := r.standing(r.cells.Load()); v != configstore.Quiet && v != configstore.Good {
+	if v := r.verdict(r.current.Load()); v != configstore.VerdictSettling && v != configstore.VerdictValid {
 		t.Errorf("it is %v", v)
 	}
 }
 
 // A change that waits is checked again and again, which reads its parts once; another one, and the same on another map, is read.
 func TestCheckedOnceRead(t *testing.T) {
-	a, err := OpenAgreed("")
+	a, err := OpenGroupSource("")
 	if err != nil {
 		t.Fatal(err)
 	}
 	m := fleetOf(30, 3000)
 	texts := settings.SplitCells(m)
-	if err := a.TakeParts(configstore.ID{Version: 1, Digest: 1}, texts, true); err != nil {
+	if err := a.ApplyParts(configstore.ID{Version: 1, Digest: 1}, texts, true); err != nil {
 		t.Fatal(err)
 	}
 	changed := map[string]string{}
@@ -883,13 +883,13 @@
 			t.Fatal(err)
 		}
 	}
-	first, _ := cost(func() { a.tried = tried{}; check(texts, true) })
+	first, _ := cost(func() { a.joined = joinedParts{}; check(texts, true) })
 	again, _ := cost(func() { check(texts, true) })
 	if again > first/10 {
 		t.Errorf("checked again it allocates %.0f times, of %.0f at first", again, first)
 	}
 	check(changed, false)
-	for n := range a.tried.m.AllTenants() {
+	for n := range a.joined.m.AllTenants() {
 		if n.Name == "tenant-0" && n.Rate != 4 {
 			t.Errorf("it was checked by what was read before: %+v", n)
 		}
@@ -902,10 +902,10 @@
 		t.Error("spoilt parts pass after good ones")
 	}
 	check(changed, false)
-	if err := a.TakeParts(configstore.ID{Version: 2, Digest: 2}, changed, false); err != nil {
+	if err := a.ApplyParts(configstore.ID{Version: 2, Digest: 2}, changed, false); err != nil {
 		t.Fatal(err)
 	}
-	if a.m.Version != 4 || a.tried.m != nil {
-		t.Errorf("taken %d, and still kept: %v", a.m.Version, a.tried.m != nil)
+	if a.latest.Version != 4 || a.joined.m != nil {
+		t.Errorf("taken %d, and still kept: %v", a.latest.Version, a.joined.m != nil)
 	}
 }
--- a/internal/proxy/rest_test.go
+++ b/internal/proxy/rest_test.go
@@ -79,7 +79,7 @@
 	defer l.Close()
 	defer s.core.Stop()
 	var first *gate
-	p := &peer{name: "s", addr: ln.Addr().String(), room: make(chan struct{}, 4), dial: func(ctx context.Context, addr string) (*msgpackrpc.Conn, error) {
+	p := &upstream{name: "s", addr: ln.Addr().String(), slots: make(chan struct{}, 4), dial: func(ctx context.Context, addr string) (*msgpackrpc.Conn, error) {
 		conn, err := net.Dial("tcp", addr)
 		if err != nil || first != nil {
 			return msgpackrpc.NewConn(conn), err
@@ -89,7 +89,7 @@
 		return msgpackrpc.NewConn(first), nil
 	}}
 	defer p.close()
-	send := func(id string) ending {
+	send := func(id string) attemptResult {
 		e, _ := p.send(t.Context(), msgpackrpc.Attempt{ID: id, Class: "sheet", Key: id, ReceivedAt: time.Now(), Timeout: 4 * time.Second, HeldKB: 1, Body: []byte(id)})
 		return e
 	}
@@ -101,7 +101,7 @@
 	first.mu.Unlock()
 	go l.EndConnections(10 * time.Second) // ends it as soon as it rests
 	<-first.came                          // what the server says last is here, and the router has not seen it
-	done := make(chan ending)
+	done := make(chan attemptResult)
 	go func() { done <- send("two") }()
 	<-first.written
 	close(first.through)
@@ -136,7 +136,7 @@
 			conn.Close()
 		}
 	}()
-	p := &peer{name: "s", addr: ln.Addr().String(), room: make(chan struct{}, 4), dial: func(_ context.Context, addr string) (*msgpackrpc.Conn, error) {
+	p := &upstream{name: "s", addr: ln.Addr().String(), slots: make(chan struct{}, 4), dial: func(_ context.Context, addr string) (*msgpackrpc.Conn, error) {
 		conn, err := net.Dial("tcp", addr)
 		return msgpackrpc.NewConn(conn), err
 	}}
@@ -154,9 +154,9 @@
 // A probe that nobody answers is over after its time and counts as missed.
 func TestProbeWithoutAnAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := cells.Server{Name: "s", Addr: "nowhere", Cell: "a", Weight: 1, From: time.Now().UnixMilli()}
-		r, err := New(Config{Name: "r", Cores: 1, Probe: time.Second, Sockets: 10, Source: fixedMap{&cells.Map{
-			Version: 1, Window: 10 * time.Second, Lease: time.Hour, Patient: 4 * time.Second, Cells: []cells.Cell{{Name: "a"}},
+		s := cells.Server{Name: "s", Addr: "nowhere", Cell: "a", Weight: 1, JoinsAt: time.Now().UnixMilli()}
+		r, err := New(Config{Name: "r", Cores: 1, HealthCheckInterval: time.Second, MaxConnections: 10, Source: fixedMap{&cells.Map{
+			Version: 1, KeyWindow: 10 * time.Second, Lease: time.Hour, CallerTimeout: 4 * time.Second, Cells: []cells.Cell{{Name: "a"}},
 			Servers: []cells.Server{s}, Tenants: []cells.Tenant{{Homes: []cells.Home{{Cell: "a"}}}},
 		}}, Dial: func(context.Context, string) (*msgpackrpc.Conn, error) {
 			near, far := net.Pipe()
@@ -169,8 +169,8 @@
 		defer r.Close()
 		for n := range 10 {
 			began := time.Now()
-			r.probe(t.Context(), s)
-			if d := time.Since(began); d != probeWithin {
+			r.checkHealth(t.Context(), s)
+			if d := time.Since(began); d != healthCheckTimeout {
 				t.Fatalf("probe %d took %v", n, d)
 			}
 		}
--- a/internal/proxy/series.go
+++ b/internal/proxy/series.go
@@ -14,35 +14,35 @@
 	"silverpath/internal/storage/atomicfile"
 )
 
-// Series is a folder with the versions of a map, a file each. The place of a version is written once and never again,
+// VersionDir is a folder with the versions of a map, a file each. The place of a version is written once and never again,
 // whoever comes, and however late: a link to a file whole and synced is made under the version's name, which the system
 // refuses where that name is taken. So a writer that was stopped between its check and its act can undo nothing.
-type Series struct{ Dir string }
+type VersionDir struct{ Dir string }
 
 // ErrTaken says that something else stands in the place of a version.
-var ErrTaken = errors.New("its place is taken")
+var ErrVersionTaken = errors.New("its place is taken")
 
 // withdrawn stands in the place of a version that is not to come any more.
-var withdrawn = []byte("withdrawn\n")
+var withdrawnMark = []byte("withdrawn\n")
 
 const (
-	suffix = ".json"
-	kept   = 64 // versions
+	versionSuffix = ".json"
+	keptVersions  = 64 // versions
 )
 
-func (s Series) name(version int) string {
-	return filepath.Join(s.Dir, fmt.Sprintf("%010d%s", version, suffix))
+func (s VersionDir) path(version int) string {
+	return filepath.Join(s.Dir, fmt.Sprintf("%010d%s", version, versionSuffix))
 }
 
 // versions are those that have a place, rising.
-func (s Series) versions() ([]int, error) {
+func (s VersionDir) versions() ([]int, error) {
 	files, err := os.ReadDir(s.Dir) // in the order of their names
 	if err != nil {
 		return nil, err
 	}
 	var list []int
 	for _, f := range files {
-		stem, ok := strings.CutSuffix(f.Name(), suffix)
+		stem, ok := strings.CutSuffix(f.Name(), versionSuffix)
 		if v, err := strconv.Atoi(stem); ok && err == nil {
 			list = append(list, v)
 		}
@@ -52,15 +52,15 @@
 
 // Head is the latest version that is a good map, as it stands there too; nil where there is none. One that is no good is
 // passed over, and is an error beside the head.
-func (s Series) Head() (m *cells.Map, raw []byte, err error) {
+func (s VersionDir) Head() (m *cells.Map, raw []byte, err error) {
 	list, err := s.versions()
 	if err != nil {
 		return nil, nil, err
 	}
 	var bad error
 	for i := len(list) - 1; i >= 0; i-- {
-		raw, err := os.ReadFile(s.name(list[i]))
-		if err == nil && bytes.Equal(raw, withdrawn) {
+		raw, err := os.ReadFile(s.path(list[i]))
+		if err == nil && bytes.Equal(raw, withdrawnMark) {
 			continue
 		}
 		if err == nil {
@@ -72,13 +72,13 @@
 		if err == nil {
 			return m, raw, bad
 		}
-		bad = errors.Join(bad, fmt.Errorf("%s: %w", s.name(list[i]), err))
+		bad = errors.Join(bad, fmt.Errorf("%s: %w", s.path(list[i]), err))
 	}
 	return nil, nil, bad
 }
 
 // Top is the highest version whose place is taken, 0 for none.
-func (s Series) Top() (int, error) {
+func (s VersionDir) HighestVersion() (int, error) {
 	list, err := s.versions()
 	if err != nil || len(list) == 0 {
 		return 0, err
@@ -87,8 +87,8 @@
 }
 
 // Place is what stands in the place of a version, nil for nothing.
-func (s Series) Place(version int) ([]byte, error) {
-	raw, err := os.ReadFile(s.name(version))
+func (s VersionDir) Read(version int) ([]byte, error) {
+	raw, err := os.ReadFile(s.path(version))
 	if errors.Is(err, os.ErrNotExist) {
 		return nil, nil
 	}
@@ -96,39 +96,39 @@
 }
 
 // Put writes a version, or, of nil, withdraws it. That it stands there already is no error.
-func (s Series) Put(version int, raw []byte) error {
+func (s VersionDir) Put(version int, raw []byte) error {
 	if raw == nil {
-		raw = withdrawn
+		raw = withdrawnMark
 	}
-	err := atomicfile.Put(s.name(version), raw, os.Link)
+	err := atomicfile.Put(s.path(version), raw, os.Link)
 	if errors.Is(err, os.ErrExist) {
-		there, err := s.Place(version)
+		there, err := s.Read(version)
 		if err == nil && !bytes.Equal(there, raw) {
-			err = fmt.Errorf("version %d: %w", version, ErrTaken)
+			err = fmt.Errorf("version %d: %w", version, ErrVersionTaken)
 		}
 		return err
 	}
 	if err != nil {
 		return fmt.Errorf("version %d: %w", version, err)
 	}
-	s.forget(version)
+	s.removeOld(version)
 	return nil
 }
 
 // forget takes the oldest versions away. What a late writer puts in such a place is under the head, and nobody reads it.
-func (s Series) forget(head int) {
+func (s VersionDir) removeOld(head int) {
 	list, _ := s.versions()
 	for _, v := range list {
-		if v <= head-kept {
-			os.Remove(s.name(v))
+		if v <= head-keptVersions {
+			os.Remove(s.path(v))
 		}
 	}
 }
 
 // Read reads a map from a file, or the head of a series from a folder.
-func Read(path string) (*cells.Map, error) {
+func ReadMap(path string) (*cells.Map, error) {
 	if at, err := os.Stat(path); err == nil && at.IsDir() {
-		m, _, err := Series{path}.Head()
+		m, _, err := VersionDir{path}.Head()
 		if m == nil && err == nil {
 			err = errors.New("no version yet")
 		}
--- a/internal/proxy/source.go
+++ b/internal/proxy/source.go
@@ -19,44 +19,44 @@
 	Load(old *cells.Map) (*cells.Map, time.Time, error)
 }
 
-// Behind is a source that also has maps for a router that has gone by an old one beyond its time: others have taken them up,
+// OutdatedSource is a source that also has maps for a router that has gone by an old one beyond its time: others have taken them up,
 // so that they were announced too late is not for this one to say.
-type Behind interface {
-	LoadBehind(old *cells.Map) (*cells.Map, time.Time, error)
+type OutdatedSource interface {
+	LoadOutdated(old *cells.Map) (*cells.Map, time.Time, error)
 }
 
 // Newest is a source that knows of a newer map than the one that it hands out, as that one can't follow it in time.
-type Newest interface {
+type NewestSource interface {
 	Newest(old *cells.Map) (id configstore.ID, ok bool)
 }
 
 // Naming is a source that knows by which digest others name a map of it. All other maps are named by their own text.
-type Naming interface {
-	Named(m *cells.Map) (digest uint64, ok bool)
+type DigestSource interface {
+	DigestOf(m *cells.Map) (digest uint64, ok bool)
 }
 
-// File is a map in a file, or the head of a series in a folder, beside a store that keeps the last good one over a restart of the
+// FileSource is a map in a file, or the head of a series in a folder, beside a store that keeps the last good one over a restart of the
 // router. While nothing has changed there, nothing is read: a look and a write of the time cost the same for every map.
-type File struct {
-	path    string
-	state   *state
-	settles time.Duration
-	known   time.Time  // when the map in force was last read, or found unchanged
-	last    *cells.Map // handed out last
-	seen    []look     // at what that was read from
+type FileSource struct {
+	path        string
+	state       *stateFile
+	settleTime  time.Duration
+	confirmedAt time.Time   // when the map in force was last read, or found unchanged
+	delivered   *cells.Map  // handed out last
+	stamps      []fileStamp // at what that was read from
 }
 
 // OpenFile returns the source in a file; the state's path is empty where nothing is kept.
-func OpenFile(path, state string) (*File, error) {
-	s, err := openState(state)
+func OpenFileSource(path, state string) (*FileSource, error) {
+	s, err := openStateFile(state)
 	if err != nil {
 		return nil, err
 	}
-	return &File{path: path, state: s, settles: settles}, nil
+	return &FileSource{path: path, state: s, settleTime: settleTime}, nil
 }
 
 // Close closes the store.
-func (f *File) Close() error { return f.state.close() }
+func (f *FileSource) Close() error { return f.state.close() }
 
 // Load reads the file. At a start the map that was kept stands for the old one: what is in the file must be able to follow
 // it, and where the file is no good the router goes on with what it had, known to be the newest when it was last read.
@@ -65,32 +65,34 @@
 // now, and is the same *cells.Map. Within 2 s of its last change it is read at each call, as another change within one tick of the
 // file system's clock would look the same; a file system that keeps no times, or whose clock is more than 2 s behind, may hide such a
 // second change until the file changes again.
-func (f *File) Load(old *cells.Map) (*cells.Map, time.Time, error) { return f.load(old, f.known) }
+func (f *FileSource) Load(old *cells.Map) (*cells.Map, time.Time, error) {
+	return f.load(old, f.confirmedAt)
+}
 
 // LoadBehind is Load for one that is behind.
-func (f *File) LoadBehind(old *cells.Map) (*cells.Map, time.Time, error) {
+func (f *FileSource) LoadOutdated(old *cells.Map) (*cells.Map, time.Time, error) {
 	return f.load(old, time.Time{})
 }
 
-func (f *File) load(old *cells.Map, known time.Time) (*cells.Map, time.Time, error) {
+func (f *FileSource) load(old *cells.Map, known time.Time) (*cells.Map, time.Time, error) {
 	now := time.Now()
-	if old != nil && old == f.last && same(f.seen, f.settles) {
-		if err := f.state.keepWhole(old, now); err != nil {
+	if old != nil && old == f.delivered && unchanged(f.stamps, f.settleTime) {
+		if err := f.state.storeWhole(old, now); err != nil {
 			return nil, now, err
 		}
-		f.known = now
+		f.confirmedAt = now
 		return old, now, nil
 	}
 	starting := old == nil
-	var kept keptMap
+	var kept storedMap
 	if starting {
 		kept = f.state.load()
-		old, known, f.known = kept.Map, kept.read, kept.read
+		old, known, f.confirmedAt = kept.Map, kept.confirmedAt, kept.confirmedAt
 	}
-	seen, err := looksOf(f.path, f.settles)
+	seen, err := stampsOf(f.path, f.settleTime)
 	var m *cells.Map
 	if err == nil {
-		m, err = Read(f.path)
+		m, err = ReadMap(f.path)
 	}
 	if err == nil && old != nil {
 		err = m.FollowsLate(old, known, now)
@@ -98,28 +100,28 @@
 	if err != nil {
 		err = fmt.Errorf("%s: %w", f.path, err)
 		if starting && kept.Map != nil {
-			return kept.Map, kept.read, nil
+			return kept.Map, kept.confirmedAt, nil
 		}
 		return nil, now, err
 	}
-	if err := f.state.keepWhole(m, now); err != nil {
+	if err := f.state.storeWhole(m, now); err != nil {
 		return nil, now, err
 	}
-	f.known, f.last, f.seen = now, m, f.fromHead(seen, m)
+	f.confirmedAt, f.delivered, f.stamps = now, m, f.stampsFromHead(seen, m)
 	return m, now, nil
 }
 
-// fromHead are the looks that tell whether the map is still the head: at the folder and at its file, and at those above it, which are
+// stampsFromHead are the looks that tell whether the map is still the head: at the folder and at its file, and at those above it, which are
 // no good, or withdrawn. They are more than two only where there are such.
-func (f *File) fromHead(seen []look, m *cells.Map) []look {
+func (f *FileSource) stampsFromHead(seen []fileStamp, m *cells.Map) []fileStamp {
 	if !seen[0].folder {
 		return seen
 	}
-	head := Series{f.path}.name(m.Version)
-	return slices.DeleteFunc(seen, func(l look) bool { return !l.folder && l.path < head })
+	head := VersionDir{f.path}.path(m.Version)
+	return slices.DeleteFunc(seen, func(l fileStamp) bool { return !l.folder && l.path < head })
 }
 
 // Write replaces a map's file as a whole: whoever reads it finds the old one or the new one, after a loss of power too.
-func Write(path string, m *cells.Map) error {
+func WriteMap(path string, m *cells.Map) error {
 	return atomicfile.Put(path, settings.FormatCells(m), os.Rename)
 }
--- a/internal/proxy/source_test.go
+++ b/internal/proxy/source_test.go
@@ -13,11 +13,11 @@
 
 func example() *cells.Map {
 	return &cells.Map{
-		Version: 3, Window: 2 * time.Second, Skew: 100 * time.Millisecond, Lease: time.Second, Patient: time.Second,
+		Version: 3, KeyWindow: 2 * time.Second, MaxClockSkew: 100 * time.Millisecond, Lease: time.Second, CallerTimeout: time.Second,
 		Cells:   []cells.Cell{{Name: "a", Capacity: 10}, {Name: "b", Capacity: 10}},
 		Servers: []cells.Server{{Name: "s1", Addr: "127.0.0.1:1", Cell: "a", Weight: 1}, {Name: "s2", Addr: "127.0.0.1:2", Cell: "b", Weight: 2.5}},
-		Tenants: []cells.Tenant{{Name: "x", Rate: 1.5, Homes: []cells.Home{{Cell: "a"}, {Cell: "b", Shard: 1, From: 1700000000000},
-			{Cell: "a", From: 1700000100000, Abort: true}}}},
+		Tenants: []cells.Tenant{{Name: "x", Rate: 1.5, Homes: []cells.Home{{Cell: "a"}, {Cell: "b", Shard: 1, Since: 1700000000000},
+			{Cell: "a", Since: 1700000100000, IsAbort: true}}}},
 	}
 }
 
@@ -25,10 +25,10 @@
 // whole, with the field named; what is written is read as it was.
 func TestMapFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "cells.json")
-	if err := Write(path, example()); err != nil {
+	if err := WriteMap(path, example()); err != nil {
 		t.Fatal(err)
 	}
-	f, err := OpenFile(path, "")
+	f, err := OpenFileSource(path, "")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -62,10 +62,10 @@
 func TestStateOutlivesTheRouter(t *testing.T) {
 	dir := t.TempDir()
 	path, state := filepath.Join(dir, "cells.json"), filepath.Join(dir, "state.db")
-	if err := Write(path, example()); err != nil {
+	if err := WriteMap(path, example()); err != nil {
 		t.Fatal(err)
 	}
-	f, err := OpenFile(path, state)
+	f, err := OpenFileSource(path, state)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -73,7 +73,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := OpenFile(path, state); err == nil {
+	if _, err := OpenFileSource(path, state); err == nil {
 		t.Error("two routers have one store")
 	}
 	f.Close()
@@ -82,10 +82,10 @@
 	older.Version = 2
 	for what, write := range map[string]func(){
 		"half a file":  func() { os.WriteFile(path, []byte(`{"version":`), 0o600) },
-		"an older map": func() { Write(path, older) },
+		"an older map": func() { WriteMap(path, older) },
 	} {
 		write()
-		if f, err = OpenFile(path, state); err != nil {
+		if f, err = OpenFileSource(path, state); err != nil {
 			t.Fatal(err)
 		}
 		m, at, err := f.Load(nil)
@@ -96,7 +96,7 @@
 	}
 	os.Remove(state)
 	os.WriteFile(path, []byte(`{"version":`), 0o600)
-	if f, err = OpenFile(path, state); err != nil {
+	if f, err = OpenFileSource(path, state); err != nil {
 		t.Fatal(err)
 	}
 	defer f.Close()
--- a/internal/proxy/state.go
+++ b/internal/proxy/state.go
@@ -12,20 +12,20 @@
 	"silverpath/internal/settings"
 )
 
-// state keeps a router's last map over its restart, and when it was last known to be the newest. The two stand apart, so that a
+// stateFile keeps a router's last map over its restart, and when it was last known to be the newest. The two stand apart, so that a
 // confirmation writes 8 bytes and no page of the map; a map in parts is written part by part. A nil state keeps nothing.
-type state struct {
-	db    *bbolt.DB
-	whole *cells.Map // as it stands there in one piece; nil: what stands there is none that is known
-	parts *cells.Map // as it stands there in parts
+type stateFile struct {
+	db            *bbolt.DB
+	storedWhole   *cells.Map // as it stands there in one piece; nil: what stands there is none that is known
+	storedInParts *cells.Map // as it stands there in parts
 }
 
 // keptMap is what a state had.
-type keptMap struct {
+type storedMap struct {
 	*cells.Map
-	digest  uint64 // by which a group names a map in parts
-	inParts bool
-	read    time.Time
+	digest      uint64 // by which a group names a map in parts
+	inParts     bool
+	confirmedAt time.Time
 }
 
 var (
@@ -35,7 +35,7 @@
 	// Where builds that knew no parts kept the map and the time. They are taken away from there, as an older build that comes back
 	// would else go on with an old map, or a time that is not the map's; without them it starts as one that has kept nothing.
 	// Where they stand, an older build has written last.
-	bucketOld = []byte("cells")
+	bucketLegacy = []byte("cells")
 
 	keyMap    = []byte("map")
 	keyRead   = []byte("read")
@@ -43,9 +43,9 @@
 )
 
 // ErrNothing says that a state file has no map.
-var ErrNothing = errors.New("nothing is kept")
+var ErrNoMapStored = errors.New("nothing is kept")
 
-func openState(path string) (*state, error) {
+func openStateFile(path string) (*stateFile, error) {
 	if path == "" {
 		return nil, nil
 	}
@@ -54,7 +54,7 @@
 		return nil, fmt.Errorf("state %s: %w", path, err)
 	}
 	err = db.Update(func(tx *bbolt.Tx) error {
-		for _, name := range [][]byte{bucketOld, bucketWhole, bucketParts, bucketTime} {
+		for _, name := range [][]byte{bucketLegacy, bucketWhole, bucketParts, bucketTime} {
 			if _, err := tx.CreateBucketIfNotExists(name); err != nil {
 				return err
 			}
@@ -64,10 +64,10 @@
 	if err != nil {
 		return nil, errors.Join(fmt.Errorf("state %s: %w", path, err), db.Close())
 	}
-	return &state{db: db}, nil
+	return &stateFile{db: db}, nil
 }
 
-func (s *state) close() error {
+func (s *stateFile) close() error {
 	if s == nil {
 		return nil
 	}
@@ -75,30 +75,30 @@
 }
 
 // load is the map that is kept, with a nil Map for none. One that can't be read is none.
-func (s *state) load() (k keptMap) {
+func (s *stateFile) load() (k storedMap) {
 	if s == nil {
 		return k
 	}
 	err := s.db.View(func(tx *bbolt.Tx) (err error) {
-		k, err = inState(tx)
+		k, err = readState(tx)
 		return err
 	})
 	if err != nil {
-		return keptMap{}
+		return storedMap{}
 	}
 	if k.inParts {
-		s.parts = k.Map
+		s.storedInParts = k.Map
 	}
 	return k
 }
 
 // Kept is the map in a state file and when it was last known to be the newest; ErrNothing where there is none.
-func Kept(tx *bbolt.Tx) (*cells.Map, time.Time, error) {
-	k, err := inState(tx)
-	return k.Map, k.read, err
+func StoredMap(tx *bbolt.Tx) (*cells.Map, time.Time, error) {
+	k, err := readState(tx)
+	return k.Map, k.confirmedAt, err
 }
 
-func inState(tx *bbolt.Tx) (k keptMap, err error) {
+func readState(tx *bbolt.Tx) (k storedMap, err error) {
 	get := func(bucket, key []byte) []byte {
 		if b := tx.Bucket(bucket); b != nil {
 			return b.Get(key)
@@ -106,12 +106,12 @@
 		return nil
 	}
 	at, whole, digest := get(bucketTime, keyRead), get(bucketWhole, keyMap), get(bucketParts, keyDigest)
-	if old := get(bucketOld, keyMap); old != nil {
-		at, whole, digest = get(bucketOld, keyRead), old, nil
+	if old := get(bucketLegacy, keyMap); old != nil {
+		at, whole, digest = get(bucketLegacy, keyRead), old, nil
 	}
 	switch {
 	case len(at) != 8 || whole == nil && len(digest) != 8:
-		return k, ErrNothing
+		return k, ErrNoMapStored
 	case len(digest) == 8:
 		texts := map[string]string{}
 		for _, name := range settings.CellParts() {
@@ -124,16 +124,16 @@
 	default:
 		k.Map, err = settings.ParseCells(whole)
 	}
-	k.read = time.UnixMilli(int64(binary.BigEndian.Uint64(at)))
+	k.confirmedAt = time.UnixMilli(int64(binary.BigEndian.Uint64(at)))
 	return k, err
 }
 
 // keepWhole keeps a map in one piece, or, where it stands there already, when it was known to be the newest.
-func (s *state) keepWhole(m *cells.Map, at time.Time) error {
+func (s *stateFile) storeWhole(m *cells.Map, at time.Time) error {
 	if s == nil {
 		return nil
 	}
-	err := s.update(at, s.whole == m, func(tx *bbolt.Tx) error {
+	err := s.update(at, s.storedWhole == m, func(tx *bbolt.Tx) error {
 		for _, name := range settings.CellParts() {
 			if err := tx.Bucket(bucketParts).Delete([]byte(name)); err != nil {
 				return err
@@ -142,18 +142,18 @@
 		return errors.Join(tx.Bucket(bucketParts).Delete(keyDigest), tx.Bucket(bucketWhole).Put(keyMap, settings.FormatCells(m)))
 	})
 	if err == nil {
-		s.whole, s.parts = m, nil
+		s.storedWhole, s.storedInParts = m, nil
 	}
 	return err
 }
 
 // keepParts is keepWhole for a map in parts: those that changed since from, nil for all, are written, with the digest.
-func (s *state) keepParts(m *cells.Map, digest uint64, from *cells.Map, changed map[string]string, at time.Time) error {
+func (s *stateFile) storeParts(m *cells.Map, digest uint64, from *cells.Map, changed map[string]string, at time.Time) error {
 	if s == nil {
 		return nil
 	}
-	err := s.update(at, s.parts == m, func(tx *bbolt.Tx) error {
-		if from == nil || s.parts != from {
+	err := s.update(at, s.storedInParts == m, func(tx *bbolt.Tx) error {
+		if from == nil || s.storedInParts != from {
 			changed = settings.SplitCells(m)
 		}
 		b := tx.Bucket(bucketParts)
@@ -165,16 +165,16 @@
 		return errors.Join(b.Put(keyDigest, binary.BigEndian.AppendUint64(nil, digest)), tx.Bucket(bucketWhole).Delete(keyMap))
 	})
 	if err == nil {
-		s.whole, s.parts = nil, m
+		s.storedWhole, s.storedInParts = nil, m
 	}
 	return err
 }
 
 // update writes the time, and, unless the map stands there, the map, in one transaction.
-func (s *state) update(at time.Time, stands bool, write func(tx *bbolt.Tx) error) error {
+func (s *stateFile) update(at time.Time, stands bool, write func(tx *bbolt.Tx) error) error {
 	err := s.db.Update(func(tx *bbolt.Tx) error {
 		if !stands {
-			old := tx.Bucket(bucketOld)
+			old := tx.Bucket(bucketLegacy)
 			if err := errors.Join(write(tx), old.Delete(keyMap), old.Delete(keyRead)); err != nil {
 				return err
 			}
--- a/internal/proxy/statefile_test.go
+++ b/internal/proxy/statefile_test.go
@@ -32,7 +32,7 @@
 	}{{"state-whole.db", false}, {"state-parts.db", true}, {"state-old.db", false}} {
 		t.Run(c.file, func(t *testing.T) {
 			path := copied(t, c.file)
-			src, err := OpenAgreed(path)
+			src, err := OpenGroupSource(path)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -43,7 +43,7 @@
 			if got := settings.FormatCells(m); !bytes.Equal(got, want) {
 				t.Errorf("the map is another one:\n%s", got)
 			}
-			if digest, named := src.Named(m); named != c.inParts || c.inParts && digest != 0x3069aa281632cebd {
+			if digest, named := src.DigestOf(m); named != c.inParts || c.inParts && digest != 0x3069aa281632cebd {
 				t.Errorf("named %v by %016x", named, digest)
 			}
 			if err := src.Close(); err != nil {
@@ -54,7 +54,7 @@
 			if err := os.WriteFile(bad, []byte("{"), 0o600); err != nil {
 				t.Fatal(err)
 			}
-			f, err := OpenFile(bad, copied(t, c.file))
+			f, err := OpenFileSource(bad, copied(t, c.file))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -79,13 +79,13 @@
 	at := time.UnixMilli(1700000001234)
 	for _, c := range []struct {
 		file string
-		keep func(s *state) error
+		keep func(s *stateFile) error
 	}{
-		{"state-whole.db", func(s *state) error { return s.keepWhole(m, at) }},
-		{"state-parts.db", func(s *state) error { return s.keepParts(m, 0x3069aa281632cebd, nil, nil, at) }},
+		{"state-whole.db", func(s *stateFile) error { return s.storeWhole(m, at) }},
+		{"state-parts.db", func(s *stateFile) error { return s.storeParts(m, 0x3069aa281632cebd, nil, nil, at) }},
 	} {
 		path := filepath.Join(t.TempDir(), "state.db")
-		s, err := openState(path)
+		s, err := openStateFile(path)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/proxy/status.go
+++ b/internal/proxy/status.go
@@ -10,20 +10,20 @@
 
 // Status is what a router knows of its fleet, as a JSON object: the map in force, its servers and what was decided.
 func (r *Runner) Status() []byte {
-	m := r.cells.Load()
+	m := r.current.Load()
 	states, counts := r.States()
 	var a fastjson.Arena
 	o := a.NewObject()
 	o.Set("map_version", a.NewNumberInt(m.Version))
-	o.Set("map_read_ms_ago", a.NewNumberInt(int(time.Since(m.read).Milliseconds())))
-	o.Set("map_id", a.NewString(m.named))
+	o.Set("map_read_ms_ago", a.NewNumberInt(int(time.Since(m.confirmedAt).Milliseconds())))
+	o.Set("map_id", a.NewString(m.name))
 	r.mu.Lock()
-	rules := core.RulesStatus(&a, &r.rules, r.clock())
-	rules.Set("standing", a.NewString(r.rules.Judge(r.clock(), m.id).String()))
+	rules := core.RulesStatus(&a, &r.versions, r.clock())
+	rules.Set("standing", a.NewString(r.versions.Check(r.clock(), m.id).String()))
 	r.mu.Unlock()
 	o.Set("rules", rules)
-	o.Set("worth_asked", a.NewNumberFloat64(float64(r.asked.Load())/1000))
-	o.Set("worth_served", a.NewNumberFloat64(float64(r.served.Load())/1000))
+	o.Set("worth_asked", a.NewNumberFloat64(float64(r.offeredWeight.Load())/1000))
+	o.Set("worth_served", a.NewNumberFloat64(float64(r.servedWeight.Load())/1000))
 	list := a.NewArray()
 	for i, s := range states {
 		e := a.NewObject()
@@ -48,19 +48,19 @@
 	windows := a.NewObject()
 	r.mu.Lock()
 	for _, c := range m.Cells {
-		limit, flying := r.fair.Window(c.Name)
+		limit, flying := r.tenants.Window(c.Name)
 		w := a.NewObject()
 		w.Set("window", a.NewNumberFloat64(limit))
 		w.Set("flying", a.NewNumberInt(flying))
 		windows.Set(c.Name, w)
 	}
-	o.Set("over_share", a.NewNumberInt(int(r.fair.Rejected())))
+	o.Set("over_share", a.NewNumberInt(int(r.tenants.Rejected())))
 	r.mu.Unlock()
-	if r.share != nil {
+	if r.quota != nil {
 		// With the lock it runs over those that it was lent parts of or asked for, not over all tenants of all cells.
 		r.mu.Lock()
-		list, rest := r.share.Rates(r.leased())
-		beyond := r.share.Counts().Beyond
+		list, rest := r.quota.Rates(r.leaseClock())
+		beyond := r.quota.Counts().Beyond
 		r.mu.Unlock()
 		each, others := map[string]*fastjson.Value{}, a.NewObject()
 		parts := a.NewObject()
--- a/internal/proxy/wire_test.go
+++ b/internal/proxy/wire_test.go
@@ -81,20 +81,20 @@
 		tr := &transcript{}
 		quiet, counters := log.New(io.Discard, "", 0), &metrics.Counters{}
 		servers := map[string]*server{}
-		m := &cells.Map{Version: 3, Window: 10 * time.Second, Skew: 50 * time.Millisecond, Lease: time.Hour, Patient: 4 * time.Second,
+		m := &cells.Map{Version: 3, KeyWindow: 10 * time.Second, MaxClockSkew: 50 * time.Millisecond, Lease: time.Hour, CallerTimeout: 4 * time.Second,
 			Cells: []cells.Cell{{Name: "a", Capacity: 100}, {Name: "b", Capacity: 100}},
-			Tenants: []cells.Tenant{{Name: "kviz", Rate: 20, Homes: []cells.Home{{Cell: "a"}, {Cell: "b", From: time.Now().Add(4 * time.Second).UnixMilli()}}},
+			Tenants: []cells.Tenant{{Name: "kviz", Rate: 20, Homes: []cells.Home{{Cell: "a"}, {Cell: "b", Since: time.Now().Add(4 * time.Second).UnixMilli()}}},
 				{Homes: []cells.Home{{Cell: "b"}}}}}
 		for i, cell := range []string{"a", "b"} {
 			s := &server{takes: 20 * time.Millisecond}
 			s.boot(t)
 			name := fmt.Sprint("s", i)
 			servers[name] = s
-			m.Servers = append(m.Servers, cells.Server{Name: name, Addr: name, Cell: cell, Weight: 1, From: time.Now().UnixMilli()})
+			m.Servers = append(m.Servers, cells.Server{Name: name, Addr: name, Cell: cell, Weight: 1, JoinsAt: time.Now().UnixMilli()})
 		}
 		to := &router{ends: map[string]core.Answer{}}
 		runner, err := New(Config{
-			Name: "router-1", Source: fixedMap{m}, Cores: 100, Probe: 500 * time.Millisecond, Sockets: 50, Routing: loadbalancer.Config{RetryRatio: 1, HedgeRatio: 1, Seed: 3},
+			Name: "router-1", Source: fixedMap{m}, Cores: 100, HealthCheckInterval: 500 * time.Millisecond, MaxConnections: 50, LoadBalancing: loadbalancer.Config{RetryRatio: 1, HedgeRatio: 1, Seed: 3},
 			Dial: func(_ context.Context, addr string) (*msgpackrpc.Conn, error) {
 				return msgpackrpc.NewConn(tr.tap(addr, servers[addr].pipe.Dial())), nil
 			},
@@ -103,7 +103,7 @@
 			t.Fatal(err)
 		}
 		ctx, cancel := context.WithCancel(t.Context())
-		go runner.Keep(ctx)
+		go runner.Maintain(ctx)
 		time.Sleep(750 * time.Millisecond)
 		answers := ""
 		for i, q := range []core.Request{
@@ -172,11 +172,11 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				m := &cells.Map{Version: 3, Window: time.Second, Lease: time.Hour, Patient: time.Second, Cells: []cells.Cell{{Name: "a"}},
+				m := &cells.Map{Version: 3, KeyWindow: time.Second, Lease: time.Hour, CallerTimeout: time.Second, Cells: []cells.Cell{{Name: "a"}},
 					Servers: []cells.Server{{Name: "s", Addr: "s", Cell: "a", Weight: 1}}, Tenants: []cells.Tenant{{Homes: []cells.Home{{Cell: "a"}}}}}
 				to, counters := &router{ends: map[string]core.Answer{}}, &metrics.Counters{}
 				runner, err := New(Config{
-					Name: "r", Source: fixedMap{m}, Cores: 1, Probe: time.Hour, Sockets: 9, Routing: loadbalancer.Config{Seed: 3},
+					Name: "r", Source: fixedMap{m}, Cores: 1, HealthCheckInterval: time.Hour, MaxConnections: 9, LoadBalancing: loadbalancer.Config{Seed: 3},
 					Dial: func(context.Context, string) (*msgpackrpc.Conn, error) {
 						ours, theirs := net.Pipe()
 						go answerWith(t, theirs, probeGood, c.reply)
@@ -187,7 +187,7 @@
 					t.Fatal(err)
 				}
 				ctx, cancel := context.WithCancel(t.Context())
-				go runner.Keep(ctx)
+				go runner.Maintain(ctx)
 				time.Sleep(100 * time.Millisecond)
 				now := time.Now()
 				runner.Forward(core.Request{ID: "1", Class: c.class, Key: c.key, HeldKB: 1, Reached: now, Due: now.Add(4 * time.Second)})
--- a/internal/service/recovery.go
+++ b/internal/service/recovery.go
@@ -85,7 +85,7 @@
 		asks[recovery.Signs] = s.life.May
 	}
 	if s.follow != nil {
-		asks[recovery.Rules] = func() bool { return s.follow.Stops() == "" }
+		asks[recovery.Rules] = func() bool { return s.follow.StopReason() == "" }
 	}
 	r := s.returns(recovery.Server, asks)
 	if s.life != nil && s.store == nil {
@@ -96,12 +96,12 @@
 // recoverRouter follows what a router's full service waits for.
 func (s *Service) recoverRouter() {
 	s.returns(recovery.Router, map[recovery.Need]func() bool{
-		recovery.Map: func() bool { mapped, _, _ := s.fleet.Returned(); return mapped },
+		recovery.Map: func() bool { mapped, _, _ := s.fleet.Readiness(); return mapped },
 		recovery.Rules: func() bool {
-			_, sure, _ := s.fleet.Returned()
-			return sure && (s.follow == nil || s.follow.Stops() == "")
+			_, sure, _ := s.fleet.Readiness()
+			return sure && (s.follow == nil || s.follow.StopReason() == "")
 		},
-		recovery.Shares: func() bool { _, _, shared := s.fleet.Returned(); return shared },
+		recovery.Shares: func() bool { _, _, shared := s.fleet.Readiness(); return shared },
 	})
 }
 
--- a/internal/service/rules.go
+++ b/internal/service/rules.go
@@ -26,7 +26,7 @@
 
 // followRules has the process act on documents of a group, where an edge file says so. Own says what it does with those that
 // only its role uses.
-func (s *Service) followRules(own map[string]configwatch.Document, worth func() configstore.Worth, told func(time.Time), skew func() time.Duration, share configwatch.Sharer) error {
+func (s *Service) followRules(own map[string]configwatch.Document, worth func() configstore.Goodput, told func(time.Time), skew func() time.Duration, share configwatch.QuotaClient) error {
 	set := s.cfg.Edge.Rules
 	if set == nil {
 		return nil
@@ -35,7 +35,7 @@
 	for i, name := range set.Docs {
 		d, ok := own[name]
 		if name == configstore.DocClasses {
-			d, ok = configwatch.Document{Format: 1, Check: s.checkClasses, Take: s.takeClasses}, true
+			d, ok = configwatch.Document{Format: 1, Check: s.checkClasses, Apply: s.takeClasses}, true
 		}
 		if !ok {
 			return fmt.Errorf("rules.documents[%d]: this process has no use for %q", i, name)
@@ -43,12 +43,12 @@
 		docs[name] = d
 	}
 	s.follow = configwatch.New(configwatch.Config{
-		Name: s.cfg.Name, Group: &quorum.Client{Group: set.Group.Name, Addrs: set.Group.Members}, Docs: docs, Worth: worth, Told: told, Skew: skew, Share: share,
+		Name: s.cfg.Name, Group: &quorum.Client{Group: set.Group.Name, Addrs: set.Group.Members}, Documents: docs, Goodput: worth, OnConfirmed: told, MaxClockSkew: skew, Quota: share,
 		Log: s.log, Stats: s.stats,
 	})
-	s.core.Bar(s.follow.StopsSheet)
+	s.core.Bar(s.follow.StopReasonFor)
 	s.core.Tells("follows", s.follow.Status)
-	s.keep = append(s.keep, s.follow.Keep)
+	s.keep = append(s.keep, s.follow.Run)
 	return nil
 }
 
@@ -76,7 +76,7 @@
 	for i, k := range now.Classes {
 		for _, old := range s.cfg.Server.Classes {
 			if old.Name == k.Name {
-				window, until := configstore.Window(old.IdempotencyWindow, k.IdempotencyWindow, max(old.Deadline, k.Deadline))
+				window, until := configstore.TransitionWindow(old.IdempotencyWindow, k.IdempotencyWindow, max(old.Deadline, k.Deadline))
 				now.Classes[i].IdempotencyWindow, wait = window, max(wait, until)
 			}
 		}
@@ -105,10 +105,10 @@
 }
 
 // worth is what this server was asked for and has served since its start, by the counters of its fronts.
-func (s *Service) worth() (w configstore.Worth) {
+func (s *Service) worth() (w configstore.Goodput) {
 	for _, k := range s.core.Classes() {
 		for _, front := range []string{msgpackrpc.Name, scgi.Name} {
-			w.Asked += k.Weight * float64(s.stats.Get("read", front, k.Name))
+			w.Offered += k.Weight * float64(s.stats.Get("read", front, k.Name))
 			w.Served += k.Weight * float64(s.stats.Get("answered", front, k.Name, core.Served.String()))
 		}
 	}
@@ -126,7 +126,7 @@
 		_, err := settings.ParsePools(text, s.cfg.Server)
 		return err
 	}
-	return configwatch.Document{Format: 1, Check: check, Take: func(text string) error {
+	return configwatch.Document{Format: 1, Check: check, Apply: func(text string) error {
 		if err := check(text); err != nil {
 			return err
 		}
@@ -151,7 +151,7 @@
 		configstore.DocRouting: {Format: 1, Check: func(text string) error {
 			_, err := settings.ParseRouting(text)
 			return err
-		}, Take: func(text string) error {
+		}, Apply: func(text string) error {
 			next, err := settings.ParseRouting(text)
 			if err != nil {
 				return err
@@ -165,9 +165,9 @@
 			return nil
 		}},
 	}
-	worth := func() (w configstore.Worth) {
+	worth := func() (w configstore.Goodput) {
 		if s.fleet != nil {
-			w = s.fleet.Worth()
+			w = s.fleet.Goodput()
 		}
 		return w
 	}
@@ -175,23 +175,23 @@
 		if err := s.followRules(own, worth, nil, nil, nil); err != nil {
 			return nil, err
 		}
-		src, err := proxy.OpenFile(set.Map, set.State)
+		src, err := proxy.OpenFileSource(set.Map, set.State)
 		if err != nil {
 			return nil, fmt.Errorf("fleet.state: %w", err)
 		}
 		return src, nil
 	}
-	src, err := proxy.OpenAgreed(set.State)
+	src, err := proxy.OpenGroupSource(set.State)
 	if err != nil {
 		return nil, fmt.Errorf("fleet.state: %w", err)
 	}
-	own[configstore.DocMap] = configwatch.Document{Format: configstore.FormatInParts, Check: src.Check, Take: src.Take, CheckParts: src.CheckParts, TakeParts: src.TakeParts}
+	own[configstore.DocMap] = configwatch.Document{Format: configstore.PartsFormat, Check: src.Check, Apply: src.Apply, CheckParts: src.CheckParts, ApplyParts: src.ApplyParts}
 	err = s.followRules(own, worth, func(asked time.Time) {
 		src.Confirm(asked)
 		if s.fleet != nil {
 			s.fleet.Reload()
 		}
-	}, src.Skew, sharer(s, rules.Most))
+	}, src.MaxClockSkew, sharer(s, rules.Most))
 	if err != nil {
 		return nil, err
 	}
@@ -201,23 +201,23 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), within)
 	defer cancel()
-	s.follow.First(ctx)
+	s.follow.WaitCurrent(ctx)
 	return src, nil
 }
 
 // sharing is a router that shares its cells with others, once it is there.
 type sharing struct{ s *Service }
 
-func sharer(s *Service, most int) configwatch.Sharer {
+func sharer(s *Service, most int) configwatch.QuotaClient {
 	if most == 0 {
 		return nil
 	}
 	return sharing{s}
 }
 
-func (p sharing) Says() (quota.Request, func(quota.Grant, lease.Terms)) {
+func (p sharing) QuotaRequest() (quota.Request, func(quota.Grant, lease.Terms)) {
 	if p.s.fleet == nil {
 		return quota.Request{}, func(quota.Grant, lease.Terms) {}
 	}
-	return p.s.fleet.Says()
+	return p.s.fleet.QuotaRequest()
 }
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -80,7 +80,7 @@
 	below      *vault.Client           // likewise
 	fleet      *proxy.Runner           // nil but in a router
 	orders     *command.Orders         // nil: it takes no orders of the fleet
-	follow     *configwatch.Follower   // nil: it acts on its own files alone
+	follow     *configwatch.Watcher    // nil: it acts on its own files alone
 	store      *idempotencystore.Store // nil: what ran is forgotten with the process
 	life       *heartbeat.Keeper       // nil: it leaves no signs of life
 	tuning     sync.Mutex              // of what holds at present of cfg, and of these:
--- a/internal/settings/cells.go
+++ b/internal/settings/cells.go
@@ -45,7 +45,7 @@
 
 func readHead(f fields, m *cells.Map) {
 	ms := func(key string) time.Duration { return time.Duration(f.integer(key)) * time.Millisecond }
-	m.Window, m.Skew, m.Lease, m.Patient = ms("window_ms"), ms("skew_ms"), ms("lease_ms"), ms("patience_ms")
+	m.KeyWindow, m.MaxClockSkew, m.Lease, m.CallerTimeout = ms("window_ms"), ms("skew_ms"), ms("lease_ms"), ms("patience_ms")
 	f.each("cells", func(_ int, c fields) {
 		c.only("name", "capacity")
 		m.Cells = append(m.Cells, cells.Cell{Name: c.text("name"), Capacity: c.number("capacity")})
@@ -60,8 +60,8 @@
 			weight = s.number("weight")
 		}
 		list = append(list, cells.Server{
-			Name: s.text("name"), Addr: s.text("addr"), Mgmt: s.text("mgmt"), Cell: s.text("cell"), Weight: weight,
-			From: s.integer("from_ms"), Until: s.integer("until_ms"),
+			Name: s.text("name"), Addr: s.text("addr"), AdminAddr: s.text("mgmt"), Cell: s.text("cell"), Weight: weight,
+			JoinsAt: s.integer("from_ms"), LeavesAt: s.integer("until_ms"),
 		})
 	})
 	return list
@@ -74,7 +74,7 @@
 		t.each("homes", func(_ int, h fields) {
 			h.only("cell", "shard", "from_ms", "abort")
 			set.Homes = append(set.Homes, cells.Home{
-				Cell: h.text("cell"), Shard: int(h.integer("shard")), From: h.integer("from_ms"), Abort: h.flag("abort"),
+				Cell: h.text("cell"), Shard: int(h.integer("shard")), Since: h.integer("from_ms"), IsAbort: h.flag("abort"),
 			})
 		})
 		list = append(list, set)
@@ -117,7 +117,7 @@
 	for _, t := range []struct {
 		key string
 		d   time.Duration
-	}{{"window_ms", m.Window}, {"skew_ms", m.Skew}, {"lease_ms", m.Lease}, {"patience_ms", m.Patient}} {
+	}{{"window_ms", m.KeyWindow}, {"skew_ms", m.MaxClockSkew}, {"lease_ms", m.Lease}, {"patience_ms", m.CallerTimeout}} {
 		o.Set(t.key, a.NewNumberInt(int(t.d.Milliseconds())))
 	}
 	list := a.NewArray()
@@ -134,14 +134,14 @@
 	e := a.NewObject()
 	e.Set("name", a.NewString(s.Name))
 	e.Set("addr", a.NewString(s.Addr))
-	if s.Mgmt != "" {
-		e.Set("mgmt", a.NewString(s.Mgmt))
+	if s.AdminAddr != "" {
+		e.Set("mgmt", a.NewString(s.AdminAddr))
 	}
 	e.Set("cell", a.NewString(s.Cell))
 	e.Set("weight", a.NewNumberFloat64(s.Weight))
-	e.Set("from_ms", a.NewNumberString(fmt.Sprint(s.From)))
-	if s.Until > 0 {
-		e.Set("until_ms", a.NewNumberString(fmt.Sprint(s.Until)))
+	e.Set("from_ms", a.NewNumberString(fmt.Sprint(s.JoinsAt)))
+	if s.LeavesAt > 0 {
+		e.Set("until_ms", a.NewNumberString(fmt.Sprint(s.LeavesAt)))
 	}
 	return e
 }
@@ -154,8 +154,8 @@
 		x := a.NewObject()
 		x.Set("cell", a.NewString(h.Cell))
 		x.Set("shard", a.NewNumberInt(h.Shard))
-		x.Set("from_ms", a.NewNumberString(fmt.Sprint(h.From)))
-		if h.Abort {
+		x.Set("from_ms", a.NewNumberString(fmt.Sprint(h.Since)))
+		if h.IsAbort {
 			x.Set("abort", a.NewTrue())
 		}
 		homes.SetArrayItem(j, x)
--- a/internal/settings/kinds_test.go
+++ b/internal/settings/kinds_test.go
@@ -59,7 +59,7 @@
 			for other := range seen {
 				leaf = leaf && !strings.HasPrefix(other, path+".") && !strings.HasPrefix(other, path+"[")
 			}
-			if k := configstore.KindOf(doc, path); leaf && k == configstore.Unknown {
+			if k := configstore.KindOf(doc, path); leaf && k == configstore.KindUnknown {
 				t.Errorf("%s: %s has no kind", doc, path)
 			}
 		}
@@ -67,7 +67,7 @@
 	if total < 150 {
 		t.Errorf("%d fields were looked for", total)
 	}
-	if configstore.KindOf("config", "nothing") != configstore.Unknown {
+	if configstore.KindOf("config", "nothing") != configstore.KindUnknown {
 		t.Error("what is not there has a kind")
 	}
 }
--- a/internal/settings/parts_test.go
+++ b/internal/settings/parts_test.go
@@ -26,14 +26,14 @@
 // fleetOf is a map of so many servers and tenants, of which every tenth has moved and every hundredth server leaves. Exactly four of
 // its tenants stand in the part t00, however many there are.
 func fleetOf(servers, tenants int) *cells.Map {
-	m := &cells.Map{Version: 7, Epoch: 3, Window: 13 * time.Second, Skew: 500 * time.Millisecond, Lease: 5 * time.Second, Patient: 4 * time.Second}
+	m := &cells.Map{Version: 7, Epoch: 3, KeyWindow: 13 * time.Second, MaxClockSkew: 500 * time.Millisecond, Lease: 5 * time.Second, CallerTimeout: 4 * time.Second}
 	for i := range 1 + servers/30 {
 		m.Cells = append(m.Cells, cells.Cell{Name: fmt.Sprint("c", i), Capacity: 100})
 	}
 	for i := range servers {
 		s := cells.Server{Name: fmt.Sprint("s", i), Addr: fmt.Sprintf("10.0.%d.%d:80", i/250, i%250), Cell: m.Cells[i%len(m.Cells)].Name, Weight: 1}
 		if i%100 == 99 {
-			s.Until = t0.UnixMilli() + int64(i)
+			s.LeavesAt = t0.UnixMilli() + int64(i)
 		}
 		m.Servers = append(m.Servers, s)
 	}
@@ -46,7 +46,7 @@
 			}
 		}
 		if i%10 == 0 {
-			t.Homes = append(t.Homes, cells.Home{Cell: m.Cells[(i+1)%len(m.Cells)].Name, From: t0.UnixMilli() - int64(i)})
+			t.Homes = append(t.Homes, cells.Home{Cell: m.Cells[(i+1)%len(m.Cells)].Name, Since: t0.UnixMilli() - int64(i)})
 		}
 		m.Tenants = append(m.Tenants, t)
 	}
@@ -97,7 +97,7 @@
 		for range rapid.IntRange(1, 4).Draw(t, "changes") {
 			switch rapid.IntRange(0, 3).Draw(t, "kind") {
 			case 0:
-				next.Window += time.Second
+				next.KeyWindow += time.Second
 			case 1:
 				next.Servers[rapid.IntRange(0, len(next.Servers)-1).Draw(t, "server")].Weight++
 			case 2:
--- a/internal/settings/rules.go
+++ b/internal/settings/rules.go
@@ -34,7 +34,7 @@
 		f.fail("most_routers", "negative, or there is no map among the documents")
 	}
 	for i, doc := range set.Docs {
-		if !slices.Contains(configstore.Docs, doc) {
+		if !slices.Contains(configstore.DocumentNames, doc) {
 			f.fail(fmt.Sprintf("documents[%d]", i), "no such document: %q", doc)
 		}
 	}
--- a/internal/storage/inspect/evidence.go
+++ b/internal/storage/inspect/evidence.go
@@ -168,8 +168,8 @@
 
 func router(path string, f *Found) error {
 	return buckets(path, "cells", func(tx *bbolt.Tx) error {
-		m, read, err := proxy.Kept(tx)
-		if errors.Is(err, proxy.ErrNothing) {
+		m, read, err := proxy.StoredMap(tx)
+		if errors.Is(err, proxy.ErrNoMapStored) {
 			f.say("no map yet")
 			return nil
 		}
--- a/internal/testkit/benchmarks/fleet.go
+++ b/internal/testkit/benchmarks/fleet.go
@@ -55,7 +55,7 @@
 	}
 	f.site = Site{Cores: fleetCores, MemoryKB: 65536, ProcMB: 64, Sockets: 512, Tenants: "[" + strings.Join(list, ",") + "]"}
 	f.Map = &cells.Map{
-		Version: 1, Window: 13170 * time.Millisecond, Skew: 500 * time.Millisecond, Lease: 5 * time.Second, Patient: patience,
+		Version: 1, KeyWindow: 13170 * time.Millisecond, MaxClockSkew: 500 * time.Millisecond, Lease: 5 * time.Second, CallerTimeout: patience,
 		Tenants: tenants,
 	}
 	for _, c := range cellNames {
@@ -78,9 +78,9 @@
 	}
 	entered := time.Now().UnixMilli() + 1
 	for n, p := range f.Servers {
-		f.Map.Servers = append(f.Map.Servers, cells.Server{Name: fmt.Sprint("s", n), Addr: p.Platform, Cell: cellNames[n%len(cellNames)], Weight: 1, From: entered})
+		f.Map.Servers = append(f.Map.Servers, cells.Server{Name: fmt.Sprint("s", n), Addr: p.Platform, Cell: cellNames[n%len(cellNames)], Weight: 1, JoinsAt: entered})
 	}
-	if err := proxy.Write(f.MapFile, f.Map); err != nil {
+	if err := proxy.WriteMap(f.MapFile, f.Map); err != nil {
 		return f, err
 	}
 	for n := range routers {
--- a/internal/testkit/benchmarks/floods.go
+++ b/internal/testkit/benchmarks/floods.go
@@ -107,7 +107,7 @@
 				time.Sleep(3 * time.Second)
 				p, err := f.Map.PlanMove(time.Now(), "t0", "b", 0)
 				if err == nil {
-					err = proxy.Write(f.MapFile, p.Next)
+					err = proxy.WriteMap(f.MapFile, p.Next)
 				}
 				if err != nil {
 					b.Error(err)
--- a/internal/testkit/benchmarks/owner.go
+++ b/internal/testkit/benchmarks/owner.go
@@ -182,13 +182,13 @@
 		}
 		r.close = append(r.close, way.Close, func() { r.servers[i].Kill() })
 		r.ways = append(r.ways, way)
-		m.Servers = append(m.Servers, cells.Server{Name: fmt.Sprint("s", i), Addr: r.servers[i].Platform, Mgmt: way.Addr(), Cell: string(rune('a' + i%2)), Weight: 1})
+		m.Servers = append(m.Servers, cells.Server{Name: fmt.Sprint("s", i), Addr: r.servers[i].Platform, AdminAddr: way.Addr(), Cell: string(rune('a' + i%2)), Weight: 1})
 	}
-	return r, proxy.Series{Dir: r.dir}.Put(1, settings.FormatCells(m))
+	return r, proxy.VersionDir{Dir: r.dir}.Put(1, settings.FormatCells(m))
 }
 
 func ownerMap() *cells.Map {
-	m := &cells.Map{Version: 1, Window: time.Second, Skew: 50 * time.Millisecond, Lease: time.Second, Patient: time.Second,
+	m := &cells.Map{Version: 1, KeyWindow: time.Second, MaxClockSkew: 50 * time.Millisecond, Lease: time.Second, CallerTimeout: time.Second,
 		Cells: []cells.Cell{{Name: "a", Capacity: 1e6}, {Name: "b", Capacity: 1e6}}}
 	for i := range 4096 {
 		m.Tenants = append(m.Tenants, cells.Tenant{Name: fmt.Sprint("t", i), Rate: 1, Homes: []cells.Home{{Cell: "a"}}})
@@ -237,7 +237,7 @@
 		marks[i] = len(p.Log())
 	}
 	before := slices.Clone(r.servers)
-	head, _, err := proxy.Series{Dir: r.dir}.Head()
+	head, _, err := proxy.VersionDir{Dir: r.dir}.Head()
 	if err != nil {
 		broke("%v", err)
 		return o
@@ -369,7 +369,7 @@
 		}
 	}
 	r.judge(&o, broke, marks, before, it)
-	after, _, err := proxy.Series{Dir: r.dir}.Head()
+	after, _, err := proxy.VersionDir{Dir: r.dir}.Head()
 	if fail(err) {
 		return o
 	}
@@ -522,7 +522,7 @@
 		count(v.name, func(tenant string) error {
 			return exec.Command(v.bin, "cells", "move", "--map", file, "--tenant", tenant, "--to", "b").Run()
 		}, func(t int) int {
-			m, err := proxy.Read(file)
+			m, err := proxy.ReadMap(file)
 			if err != nil {
 				b.Fatal(err)
 			}
@@ -535,7 +535,7 @@
 		b.Logf("%v", err) // a map without servers is none: the one with them follows
 	}
 	dir := b.TempDir()
-	if err := (proxy.Series{Dir: dir}).Put(1, settings.FormatCells(m)); err != nil {
+	if err := (proxy.VersionDir{Dir: dir}).Put(1, settings.FormatCells(m)); err != nil {
 		b.Fatal(err)
 	}
 	p, err := r.g.Owner("o", dir, []string{controller.PlacementDuty}, nil, nil)
@@ -546,7 +546,7 @@
 	count("this, by the keeper", func(tenant string) error {
 		return exec.Command(bin, "cells", "move", "--group", "test", "--members", strings.Join(r.g.Client.Addrs, ","), "--tenant", tenant, "--to", "b").Run()
 	}, func(t int) int {
-		m, _, err := proxy.Series{Dir: dir}.Head()
+		m, _, err := proxy.VersionDir{Dir: dir}.Head()
 		if err != nil {
 			b.Fatal(err)
 		}
@@ -845,9 +845,9 @@
 	m := *f.Map
 	m.Servers = slices.Clone(m.Servers)
 	for n := range m.Servers {
-		m.Servers[n].Mgmt = f.Servers[n].Mgmt
+		m.Servers[n].AdminAddr = f.Servers[n].Mgmt
 	}
-	if err := (proxy.Series{Dir: dir}).Put(1, settings.FormatCells(&m)); err != nil {
+	if err := (proxy.VersionDir{Dir: dir}).Put(1, settings.FormatCells(&m)); err != nil {
 		return err
 	}
 	o, err := g.Owner("o", dir, []string{controller.RolloutDuty}, nil, nil)
--- a/internal/testkit/benchmarks/ownersim.go
+++ b/internal/testkit/benchmarks/ownersim.go
@@ -92,11 +92,11 @@
 	s.state.Terms = terms
 	s.watch = lease.NewLessor(terms)
 	s.watch.Promote(0)
-	m := &cells.Map{Version: 1, Window: time.Second, Skew: 50 * time.Millisecond, Lease: time.Second, Patient: time.Second,
+	m := &cells.Map{Version: 1, KeyWindow: time.Second, MaxClockSkew: 50 * time.Millisecond, Lease: time.Second, CallerTimeout: time.Second,
 		Cells: []cells.Cell{{Name: "a", Capacity: 1000}, {Name: "b", Capacity: 1000}}}
 	for i := range simServers {
 		name := fmt.Sprint("s", i)
-		m.Servers = append(m.Servers, cells.Server{Name: name, Addr: name, Mgmt: name, Cell: string(rune('a' + i%2)), Weight: 1})
+		m.Servers = append(m.Servers, cells.Server{Name: name, Addr: name, AdminAddr: name, Cell: string(rune('a' + i%2)), Weight: 1})
 		s.servers = append(s.servers, &simServer{name: name, book: fence.New(nil, true)})
 	}
 	for i := range simMoves {
@@ -269,7 +269,7 @@
 	}
 	var list []controller.RolloutServer
 	for _, x := range m.Servers {
-		list = append(list, controller.RolloutServer{Name: x.Name, Cell: x.Cell, Admin: x.Mgmt})
+		list = append(list, controller.RolloutServer{Name: x.Name, Cell: x.Cell, Admin: x.AdminAddr})
 	}
 	for _, x := range s.servers {
 		o.seen[x.name] = controller.Readiness{ProbedAt: clock, Reachable: x.up <= s.now, Ready: x.up <= s.now && !x.out}
--- a/internal/testkit/benchmarks/parts.go
+++ b/internal/testkit/benchmarks/parts.go
@@ -614,7 +614,7 @@
 		if version, err = r.put(configstore.DocMap, r.file); err == nil || time.Now().After(end) {
 			return version, tries, err
 		}
-		if !strings.Contains(err.Error(), configstore.ErrUnder.Error()) && !strings.Contains(err.Error(), configstore.ErrBase.Error()) && !strings.Contains(err.Error(), quorum.ErrUnavailable.Error()) {
+		if !strings.Contains(err.Error(), configstore.ErrChangePending.Error()) && !strings.Contains(err.Error(), configstore.ErrStaleBase.Error()) && !strings.Contains(err.Error(), quorum.ErrUnavailable.Error()) {
 			return version, tries, err
 		}
 	}
@@ -789,7 +789,7 @@
 	}
 	dir := r.p.dir()
 	file := filepath.Join(dir, "cells.json")
-	if err := proxy.Write(file, r.m); err != nil {
+	if err := proxy.WriteMap(file, r.m); err != nil {
 		return s, err
 	}
 	if r.plain, err = Route(r.bin, dir, partsSite, fmt.Sprintf(`{"status":true,"fleet":{"map":%q,"state":%q%s}}`, file, filepath.Join(dir, "state.db"), r.fleet)); err != nil {
