--- a/internal/testkit/benchmarks/partsschedules.go
+++ b/internal/testkit/benchmarks/partsschedules.go
@@ -29,7 +29,7 @@
 type partsFaultRig struct {
 	*rulesRig
 	unsure bool // what is in force is not known to be Map
-	had    map[string]*configstore.Entry
+	had    map[string]*configstore.Revision
 	top    map[int]string // their names by version
 	sum    partsOutcome
 
@@ -58,11 +58,11 @@
 const small = 0.01
 
 func newPartsFaultRig(bin, dir string, servers, routers, tenants int) (*partsFaultRig, error) {
-	r := &partsFaultRig{had: map[string]*configstore.Entry{}, top: map[int]string{}, acked: map[int]bool{}}
+	r := &partsFaultRig{had: map[string]*configstore.Revision{}, top: map[int]string{}, acked: map[int]bool{}}
 	var err error
 	r.rulesRig, err = newRulesRigBy(bin, dir, servers, routers, func(m *cells.Map) {
 		// So short that a move is over within a schedule or two, and one that is held up on its way comes too late.
-		m.Lease, m.Skew, m.Window, m.Patient = 1200*time.Millisecond, 400*time.Millisecond, 3*time.Second, 2*time.Second
+		m.Lease, m.MaxClockSkew, m.KeyWindow, m.CallerTimeout = 1200*time.Millisecond, 400*time.Millisecond, 3*time.Second, 2*time.Second
 		for i := range tenants {
 			m.Tenants = append(m.Tenants, cells.Tenant{Name: fmt.Sprintf("tenant-%05d", i), Rate: small, Homes: []cells.Home{{Cell: string('a' + rune(i%3))}}})
 		}
@@ -74,7 +74,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
 	b, err := r.g.Client.Config(ctx)
-	if err == nil && !b.Book.Docs[configstore.DocMap].Force.Split {
+	if err == nil && !b.Book.Documents[configstore.DocMap].Active.InParts {
 		err = fmt.Errorf("a map of %d tenants is not in parts", tenants)
 	}
 	return r, err
@@ -113,7 +113,7 @@
 	}
 	server := func(cell string) { // at an address where nobody listens; it is to come after the schedules
 		m.Servers = append(m.Servers, cells.Server{Name: fmt.Sprint("later", m.Version), Addr: fmt.Sprint("127.0.0.1:", 1+m.Version%1000), Cell: cell, Weight: 1,
-			From: time.Now().Add(time.Hour).UnixMilli()})
+			JoinsAt: time.Now().Add(time.Hour).UnixMilli()})
 	}
 	switch n % 8 {
 	case 1:
@@ -134,7 +134,7 @@
 			m.Cells = append(m.Cells, cells.Cell{Name: name, Capacity: ServerRate()})
 			server(name)
 		} else {
-			m.Patient += time.Millisecond
+			m.CallerTimeout += time.Millisecond
 		}
 	case 7:
 		rates(40)
@@ -142,7 +142,7 @@
 		server("c")
 	}
 	file := filepath.Join(r.dir, "next.json")
-	if err := proxy.Write(file, &m); err != nil {
+	if err := proxy.WriteMap(file, &m); err != nil {
 		return err
 	}
 	args, wait := []string{"--wait"}, n%3 > 0
@@ -186,7 +186,7 @@
 // keptBy looks at the map that a router which was killed has kept: its parts have to come to the digest of the version that it was
 // taken as.
 func (r *partsFaultRig) keptBy(router int) string {
-	src, err := proxy.OpenAgreed(filepath.Join(r.sub(fmt.Sprint("r", router)), "state.db"))
+	src, err := proxy.OpenGroupSource(filepath.Join(r.sub(fmt.Sprint("r", router)), "state.db"))
 	if err != nil {
 		return err.Error()
 	}
@@ -195,14 +195,14 @@
 	if err != nil {
 		return "" // it had none yet
 	}
-	digest, ok := src.Named(m)
+	digest, ok := src.DigestOf(m)
 	if !ok {
 		return "" // none in parts
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.kept = append(r.kept, fmt.Sprintf("%016x", digest))
-	if sum := configstore.SumOf(settings.SplitCells(m)); sum != digest {
+	if sum := configstore.TextsDigest(settings.SplitCells(m)); sum != digest {
 		return fmt.Sprintf("what it kept as %016x comes to %016x", digest, sum)
 	}
 	return ""
@@ -219,12 +219,12 @@
 		broke("%v", err)
 		return
 	}
-	d := b.Book.Docs[configstore.DocMap]
-	for _, e := range append(slices.Clone(d.History), d.Force) {
+	d := b.Book.Documents[configstore.DocMap]
+	for _, e := range append(slices.Clone(d.History), d.Active) {
 		name := e.ID.String()
 		if r.had[name] == nil {
 			switch {
-			case e.Since == 0:
+			case e.ActiveSince == 0:
 				o.refused++
 			case e.Exclusive:
 				o.exclusive++
@@ -244,12 +244,12 @@
 	r.mu.Unlock()
 	o.acked, o.kept = len(acked), len(kept)
 	for _, version := range slices.Sorted(maps.Keys(acked)) {
-		if e := r.had[r.top[version]]; e == nil || e.Since == 0 && (acked[version] || e.Ended == "") {
+		if e := r.had[r.top[version]]; e == nil || e.ActiveSince == 0 && (acked[version] || e.Outcome == "") {
 			o.gone++
 			broke("map %d was acknowledged, in force %v, and is gone: %+v", version, acked[version], e)
-		} else if acked[version] && d.Force.ID.Version < version {
+		} else if acked[version] && d.Active.ID.Version < version {
 			o.gone++
-			broke("map %d was in force, and %v is after it", version, d.Force.ID)
+			broke("map %d was in force, and %v is after it", version, d.Active.ID)
 		}
 	}
 	if !r.unsure {
@@ -259,10 +259,10 @@
 			broke("what is in force is not what was put last: %v", diff)
 		}
 	}
-	want := d.Force.ID.String()
+	want := d.Active.ID.String()
 	for i, p := range r.Routers {
 		for acts, id := "", ""; ; time.Sleep(20 * time.Millisecond) {
-			if acts, id = lastMap(p); acts == want && strings.HasSuffix(id, fmt.Sprintf(".%016x", d.Force.ID.Digest)) {
+			if acts, id = lastMap(p); acts == want && strings.HasSuffix(id, fmt.Sprintf(".%016x", d.Active.ID.Digest)) {
 				break
 			}
 			if ctx.Err() != nil {
@@ -279,7 +279,7 @@
 	// The digests of what came into force: nothing else was ever to be acted on, or kept.
 	digests := map[string]bool{}
 	for _, e := range r.had {
-		if e.Since > 0 {
+		if e.ActiveSince > 0 {
 			digests[fmt.Sprintf("%016x", e.ID.Digest)] = true
 		}
 	}
@@ -296,7 +296,7 @@
 			log := h.Log()
 			for _, is := range actsOnMap.FindAllStringSubmatch(log, -1) {
 				acts++
-				if e := r.had[is[1]]; e == nil || e.Since == 0 {
+				if e := r.had[is[1]]; e == nil || e.ActiveSince == 0 {
 					o.mixes++
 					broke("a router acted on %s, which was never in force", is[1])
 				}
@@ -321,7 +321,7 @@
 	}
 	from, to := min(x.ID.Version, y.ID.Version), max(x.ID.Version, y.ID.Version)
 	for v := from + 1; v <= to; v++ {
-		if e := r.had[r.top[v]]; e != nil && e.Exclusive && e.Since > 0 {
+		if e := r.had[r.top[v]]; e != nil && e.Exclusive && e.ActiveSince > 0 {
 			return true
 		}
 	}
--- a/internal/testkit/benchmarks/partssim.go
+++ b/internal/testkit/benchmarks/partssim.go
@@ -28,7 +28,7 @@
 	For              time.Duration
 	Silent           int // of them, always others, each for silentFor
 	Zone             int // of them, that start anew in one moment, a third into the run, and have kept nothing
-	Out              configstore.Guards
+	Out              configstore.DisabledGuards
 }
 
 const (
@@ -75,7 +75,7 @@
 
 // follower is one process of a PartsSim.
 type follower struct {
-	h        *configstore.Holder
+	h        *configstore.Replica
 	far      bool
 	gen      int           // starts, so that what was under way for the one before is dropped
 	silent   time.Duration // until then
@@ -84,13 +84,13 @@
 }
 
 func (s PartsSim) mapOf() *cells.Map {
-	m := &cells.Map{Version: 1, Window: 10 * time.Second, Skew: 500 * time.Millisecond, Lease: 5 * time.Second, Patient: 4 * time.Second}
+	m := &cells.Map{Version: 1, KeyWindow: 10 * time.Second, MaxClockSkew: 500 * time.Millisecond, Lease: 5 * time.Second, CallerTimeout: 4 * time.Second}
 	n := max(1, s.Servers/30)
 	for i := range n {
 		m.Cells = append(m.Cells, cells.Cell{Name: fmt.Sprintf("cell-%02d", i), Capacity: 1000})
 	}
 	for i := range s.Servers {
-		m.Servers = append(m.Servers, cells.Server{Name: fmt.Sprintf("server-%04d", i), Addr: fmt.Sprintf("10.0.%d.%d:4000", i/250, i%250+1), Cell: m.Cells[i%n].Name, Weight: 1, From: 1})
+		m.Servers = append(m.Servers, cells.Server{Name: fmt.Sprintf("server-%04d", i), Addr: fmt.Sprintf("10.0.%d.%d:4000", i/250, i%250+1), Cell: m.Cells[i%n].Name, Weight: 1, JoinsAt: 1})
 	}
 	for i := range s.Tenants {
 		m.Tenants = append(m.Tenants, cells.Tenant{Name: fmt.Sprintf("tenant-%06d", i), Rate: 10, Homes: []cells.Home{{Cell: m.Cells[i%n].Name}}})
@@ -115,8 +115,8 @@
 		return d
 	}
 	// The leading member.
-	book, watch, index := configstore.NewBook(), configstore.NewWatch(s.Terms), uint64(0)
-	watch.Lead(0)
+	book, watch, index := configstore.NewStore(), configstore.NewProcessMonitor(s.Terms), uint64(0)
+	watch.StartLeading(0)
 	apply := func(c configstore.Change) error {
 		index++
 		_, err := book.Apply(c)
@@ -128,17 +128,17 @@
 		o.Whole += len(text)
 	}
 	for i, one := range configstore.Batches(texts) {
-		if err := apply(configstore.Change{Op: configstore.Load, Doc: configstore.DocMap, Draft: "first", Parts: one}); err != nil {
+		if err := apply(configstore.Change{Op: configstore.OpLoadDraft, Doc: configstore.DocMap, Draft: "first", Parts: one}); err != nil {
 			return o, fmt.Errorf("batch %d: %w", i, err)
 		}
 	}
-	if err := apply(configstore.Change{Op: configstore.Put, Doc: configstore.DocMap, Draft: "first", Digest: configstore.SumOf(texts)}); err != nil {
+	if err := apply(configstore.Change{Op: configstore.OpPropose, Doc: configstore.DocMap, Draft: "first", Digest: configstore.TextsDigest(texts)}); err != nil {
 		return o, err
 	}
-	if err := apply(configstore.Change{Op: configstore.Advance, Doc: configstore.DocMap, Version: 1, Stage: configstore.Proposed}); err != nil {
+	if err := apply(configstore.Change{Op: configstore.OpAdvance, Doc: configstore.DocMap, Version: 1, Stage: configstore.StageProposed}); err != nil {
 		return o, err
 	}
-	d := book.Docs[configstore.DocMap]
+	d := book.Documents[configstore.DocMap]
 	counting := false
 	free := time.Duration(0) // when the link is
 	seconds := map[int]int{}
@@ -198,15 +198,15 @@
 				o.Took, due = append(o.Took, now-putAt), false
 			}
 		}
-		if zone[p] && d.Force != nil && p.acts == d.Force.ID.Digest {
+		if zone[p] && d.Active != nil && p.acts == d.Active.ID.Digest {
 			if delete(zone, p); len(zone) == 0 {
 				o.Back = now - zoneAt
 			}
 		}
 	}
-	took := func(p *follower, list []configstore.Took) {
+	took := func(p *follower, list []configstore.Update) {
 		for _, t := range list {
-			p.acts = t.Entry.ID.Digest
+			p.acts = t.Revision.ID.Digest
 			arrived(p)
 		}
 	}
@@ -216,7 +216,7 @@
 		if p.fetching || gen != p.gen {
 			return
 		}
-		w, at, ok := p.h.Wants(now)
+		w, at, ok := p.h.NextRequest(now)
 		if !ok {
 			if at > now {
 				after(at-now, func() { fetch(p, gen) })
@@ -227,14 +227,14 @@
 		bytes := length(w)
 		after(way(p.far), func() {
 			hear(bytes)
-			id, parts, ok := d.At(w.Version)
+			id, parts, ok := d.PartsAt(w.Version)
 			answer := quorum.DocumentParts{ID: id}
 			if ok {
-				answer.Parts = configstore.Send(parts, w.Names)
+				answer.Parts = configstore.SelectParts(parts, w.Names)
 			}
 			size := framing
 			for name, one := range answer.Parts { // as JSON has it: with its version and digest
-				size += len(name) + 45 + configstore.Encoded(one.Text)
+				size += len(name) + 45 + configstore.EncodedSize(one.Text)
 			}
 			send(size, p.far, func() {
 				if gen != p.gen {
@@ -242,9 +242,9 @@
 				}
 				p.fetching = false
 				if !ok {
-					p.h.Vain()
+					p.h.RequestFailed()
 				} else {
-					took(p, p.h.Got(now, w, id, answer.Parts, check))
+					took(p, p.h.ReceiveParts(now, w, id, answer.Parts, check))
 				}
 				fetch(p, gen)
 			})
@@ -258,22 +258,22 @@
 			after(p.silent-now, func() { step(p, gen) })
 			return
 		}
-		asked, said := now, p.h.Says()
-		has, bases, acts := p.h.Has(), p.h.Bases(), p.h.Acts()
+		asked, said := now, p.h.Report()
+		has, bases, acts := p.h.KnownVersions(), p.h.CompleteVersions(), p.h.ActiveVersions()
 		bytes := length(quorum.ConfigSync{User: said, HasVersions: has, BaseVersions: bases, ActiveVersions: acts})
 		after(way(p.far), func() {
 			hear(bytes)
-			if !watch.Heard(p.h.Who, now, acts, configstore.Worth{}, "") {
+			if !watch.Observe(p.h.Name, now, acts, configstore.Goodput{}, "") {
 				send(framing, p.far, func() { after(20*time.Millisecond, func() { step(p, gen) }) })
 				return
 			}
 			tell := func() {
-				u := book.Users[p.h.Who]
+				u := book.Processes[p.h.Name]
 				if u == nil {
 					send(framing, p.far, func() { after(20*time.Millisecond, func() { step(p, gen) }) })
 					return
 				}
-				docs, at := map[string]configstore.View{configstore.DocMap: d.Tell(u, has[configstore.DocMap], bases[configstore.DocMap])}, index
+				docs, at := map[string]configstore.View{configstore.DocMap: d.ViewFor(u, has[configstore.DocMap], bases[configstore.DocMap])}, index
 				send(length(quorum.ConfigSyncReply{Terms: s.Terms, Index: at, Wall: 1, Docs: docs}), p.far, func() {
 					if gen != p.gen {
 						return
@@ -282,29 +282,29 @@
 						after(p.silent-now, func() { step(p, gen) })
 						return
 					}
-					took(p, p.h.Told(asked, at, s.Terms, docs, check))
+					took(p, p.h.Receive(asked, at, s.Terms, docs, check))
 					fetch(p, gen)
-					after(max(10*time.Millisecond, p.h.Every()), func() { step(p, gen) })
+					after(max(10*time.Millisecond, p.h.PollInterval()), func() { step(p, gen) })
 				})
 			}
-			if !book.New(said) {
+			if !book.HasNews(said) {
 				after(confirm, tell)
 				return
 			}
 			into(func() {
-				op := configstore.Say
-				if book.Users[p.h.Who] == nil {
-					op = configstore.Join
+				op := configstore.OpReport
+				if book.Processes[p.h.Name] == nil {
+					op = configstore.OpRegister
 				}
-				_ = apply(configstore.Change{Op: op, User: &said})
+				_ = apply(configstore.Change{Op: op, Process: &said})
 				tell()
 			})
 		})
 	}
 	begin := func(p *follower, name string) {
 		p.gen++
-		p.h = configstore.NewHolder(name, map[string]int{configstore.DocMap: configstore.FormatInParts})
-		p.h.Out = s.Out
+		p.h = configstore.NewReplica(name, map[string]int{configstore.DocMap: configstore.PartsFormat})
+		p.h.Disabled = s.Out
 		p.h.CheckParts = func(string, map[string]string, bool) error { return nil }
 		p.fetching, p.silent, p.acts = false, 0, 0
 		gen := p.gen
@@ -316,11 +316,11 @@
 	}
 	var look func()
 	look = func() {
-		for _, c := range watch.Due(book, now) {
+		for _, c := range watch.Proposals(book, now) {
 			into(func() {
 				_ = apply(c)
-				if c.Op == configstore.Lapse {
-					watch.Lapsed(c.By)
+				if c.Op == configstore.OpExpire {
+					watch.Unregistered(c.Author)
 				}
 			})
 		}
@@ -333,13 +333,13 @@
 	var change func()
 	change = func() {
 		after(s.Every, change)
-		if d.Next != nil || due {
+		if d.Proposed != nil || due {
 			o.Open++ // the one before is under way: this one has to wait
 			return
 		}
 		i := rng.IntN(s.Tenants)
 		t := &m.Tenants[i]
-		t.Homes = append(t.Homes[:1:1], cells.Home{Cell: m.Cells[rng.IntN(len(m.Cells))].Name, From: int64(1e12) + int64(now/time.Millisecond)})
+		t.Homes = append(t.Homes[:1:1], cells.Home{Cell: m.Cells[rng.IntN(len(m.Cells))].Name, Since: int64(1e12) + int64(now/time.Millisecond)})
 		m.Version++
 		part := cells.TenantPartName(cells.TenantPart(t.Name))
 		var of []cells.Tenant
@@ -355,7 +355,7 @@
 		whole := maps.Clone(texts)
 		maps.Copy(whole, changed)
 		texts = whole
-		c := configstore.Change{Op: configstore.Put, Doc: configstore.DocMap, Version: d.Force.ID.Version, Parts: changed, Digest: configstore.SumOf(whole)}
+		c := configstore.Change{Op: configstore.OpPropose, Doc: configstore.DocMap, Version: d.Active.ID.Version, Parts: changed, Digest: configstore.TextsDigest(whole)}
 		o.Put++
 		putAt, target, due = now, c.Digest, true
 		clear(left)
@@ -427,7 +427,7 @@
 		{"40 changes a minute", PartsSim{N: 1400, Every: rate}},
 		{"40 a minute, 1% silent", PartsSim{N: 1400, Every: rate, Silent: 14}},
 		{"a fifth comes back", PartsSim{N: 1400, Zone: 280}},
-		{"a fifth comes back, unpaced", PartsSim{N: 1400, Zone: 280, Out: configstore.Guards{NoPace: true}}},
+		{"a fifth comes back, unpaced", PartsSim{N: 1400, Zone: 280, Out: configstore.DisabledGuards{Pacing: true}}},
 		{"a fifth comes back, 40 a minute", PartsSim{N: 1400, Every: rate, Zone: 280}},
 	} {
 		c.sim.Terms, c.sim.Servers, c.sim.Tenants, c.sim.For = rulesTerms, 930, 21000, span
--- a/internal/testkit/benchmarks/rules.go
+++ b/internal/testkit/benchmarks/rules.go
@@ -64,7 +64,7 @@
 		return r, err
 	}
 	edit(r.Map)
-	if err := proxy.Write(r.MapFile, r.Map); err != nil {
+	if err := proxy.WriteMap(r.MapFile, r.Map); err != nil {
 		return r, err
 	}
 	if err := r.put("map", r.MapFile); err != nil {
@@ -391,7 +391,7 @@
 		return nil // it lives there, or moves already
 	}
 	r.Map = p.Next
-	if err := proxy.Write(r.MapFile, r.Map); err != nil {
+	if err := proxy.WriteMap(r.MapFile, r.Map); err != nil {
 		return err
 	}
 	return r.put("map", r.MapFile)
@@ -579,9 +579,9 @@
 			return o
 		}
 		open := ""
-		for name, d := range b.Book.Docs {
-			if d.Next != nil {
-				open = name + " " + string(d.Stage) + ": " + b.Book.Waits(d)
+		for name, d := range b.Book.Documents {
+			if d.Proposed != nil {
+				open = name + " " + string(d.Stage) + ": " + b.Book.WaitingFor(d)
 			}
 		}
 		if open == "" {
@@ -755,14 +755,14 @@
 				if err != nil {
 					b.Fatal(err)
 				}
-				f.Map.Lease, f.Map.Skew, f.Map.Window, f.Map.Patient = 900*time.Millisecond, 100*time.Millisecond, 500*time.Millisecond, time.Second
+				f.Map.Lease, f.Map.MaxClockSkew, f.Map.KeyWindow, f.Map.CallerTimeout = 900*time.Millisecond, 100*time.Millisecond, 500*time.Millisecond, time.Second
 				other := *f.Map
 				if !forgotten {
 					other.Tenants = []cells.Tenant{{Name: "t0", Rate: 50, Homes: []cells.Home{{Cell: "b"}}}}
 				}
 				for i, m := range []*cells.Map{f.Map, &other} {
 					file := filepath.Join(f.sub(fmt.Sprint("m", i)), "cells.json")
-					if err := proxy.Write(file, m); err != nil {
+					if err := proxy.WriteMap(file, m); err != nil {
 						b.Fatal(err)
 					}
 					p, err := Route(program, f.sub(fmt.Sprint("r", i)), f.routerSite(), fmt.Sprintf(`{"fleet":{"map":%q,"probe_ms":200}}`, file))
@@ -775,7 +775,7 @@
 				if forgotten { // from when the move holds, and the old home is asked no more
 					p, err := f.Map.PlanMove(time.Now(), "t0", "b", 0)
 					if err == nil {
-						err = proxy.Write(filepath.Join(f.sub("m1"), "cells.json"), p.Next)
+						err = proxy.WriteMap(filepath.Join(f.sub("m1"), "cells.json"), p.Next)
 					}
 					if err != nil {
 						b.Fatal(err)
@@ -816,7 +816,7 @@
 				}
 				n, _ := f.Twice()
 				twice += n
-				bound = configstore.Terms{Lease: f.Map.Lease, Skew: f.Map.Skew, Drift: 0.05, Probe: 200 * time.Millisecond, Wait: time.Second}.Bound()
+				bound = configstore.Terms{Lease: f.Map.Lease, ClockSkew: f.Map.MaxClockSkew, ClockDrift: 0.05, ProbeInterval: 200 * time.Millisecond, ProbeTimeout: time.Second}.ConflictBound()
 				f.Stop()
 			}
 			if both < 0 {
--- a/internal/testkit/benchmarks/rulessim.go
+++ b/internal/testkit/benchmarks/rulessim.go
@@ -35,59 +35,59 @@
 		events = slices.Insert(events, i, e)
 	}
 	way := func() time.Duration { return time.Duration(200+rng.IntN(1800)) * time.Microsecond }
-	book, watch, index := configstore.NewBook(), configstore.NewWatch(s.Terms), uint64(0)
-	watch.Lead(0)
+	book, watch, index := configstore.NewStore(), configstore.NewProcessMonitor(s.Terms), uint64(0)
+	watch.StartLeading(0)
 	apply := func(c configstore.Change) error {
 		index++
 		_, err := book.Apply(c)
 		return err
 	}
-	if err := apply(configstore.Change{Op: configstore.Put, Doc: "d", Text: "old"}); err != nil {
+	if err := apply(configstore.Change{Op: configstore.OpPropose, Doc: "d", Text: "old"}); err != nil {
 		return 0, 0, err
 	}
 	acts := make([]uint64, s.N)
 	stops := make([]time.Duration, s.N)
 	silent := make([]bool, s.N)
-	want, put, done, left := configstore.Name(1, []byte("new")).Digest, time.Duration(0), time.Duration(0), 0
+	want, put, done, left := configstore.NewID(1, []byte("new")).Digest, time.Duration(0), time.Duration(0), 0
 	for i := range s.N {
-		h := configstore.NewHolder(fmt.Sprint("p", i), map[string]int{"d": 1})
+		h := configstore.NewReplica(fmt.Sprint("p", i), map[string]int{"d": 1})
 		var step func()
 		step = func() {
 			if silent[i] {
 				return
 			}
 			asked := now
-			said := h.Says()
+			said := h.Report()
 			after(way(), func() { // at the leader
-				if !watch.Heard(h.Who, now, h.Acts(), configstore.Worth{}, "") {
+				if !watch.Observe(h.Name, now, h.ActiveVersions(), configstore.Goodput{}, "") {
 					after(way(), step)
 					return
 				}
-				if book.New(said) {
-					op := configstore.Say
-					if book.Users[h.Who] == nil {
-						op = configstore.Join
+				if book.HasNews(said) {
+					op := configstore.OpReport
+					if book.Processes[h.Name] == nil {
+						op = configstore.OpRegister
 					}
-					_ = apply(configstore.Change{Op: op, User: &said})
+					_ = apply(configstore.Change{Op: op, Process: &said})
 				}
-				d, at := book.Docs["d"], index
-				v := configstore.View{Force: d.Force, Next: d.Next, Stage: d.Stage}
+				d, at := book.Documents["d"], index
+				v := configstore.View{Active: d.Active, Proposed: d.Proposed, Stage: d.Stage}
 				after(way(), func() { // and back
-					for _, t := range h.Told(asked, at, s.Terms, map[string]configstore.View{"d": v}, func(string, string) error { return nil }) {
-						acts[i] = t.Entry.ID.Digest
+					for _, t := range h.Receive(asked, at, s.Terms, map[string]configstore.View{"d": v}, func(string, string) error { return nil }) {
+						acts[i] = t.Revision.ID.Digest
 						if acts[i] == want {
 							if left--; left == 0 && !silent[i] {
 								done = now
 							}
 						}
 					}
-					if h.Turning() && stops[i] == 0 {
+					if h.IsQuiesced() && stops[i] == 0 {
 						stops[i] = now
-					} else if !h.Turning() && stops[i] > 0 {
+					} else if !h.IsQuiesced() && stops[i] > 0 {
 						stopped = max(stopped, now-stops[i])
 						stops[i] = 0
 					}
-					after(max(10*time.Millisecond, h.Every()), step)
+					after(max(10*time.Millisecond, h.PollInterval()), step)
 				})
 			})
 		}
@@ -95,10 +95,10 @@
 	}
 	var look func()
 	look = func() {
-		for _, c := range watch.Due(book, now) {
+		for _, c := range watch.Proposals(book, now) {
 			_ = apply(c)
-			if c.Op == configstore.Lapse {
-				watch.Lapsed(c.By)
+			if c.Op == configstore.OpExpire {
+				watch.Unregistered(c.Author)
 			}
 		}
 		after(20*time.Millisecond, look)
@@ -109,7 +109,7 @@
 			silent[i] = true
 		}
 		put, left = now, s.N-s.Silent
-		if e := apply(configstore.Change{Op: configstore.Put, Doc: "d", Version: 1, Text: "new", Exclusive: exclusive}); e != nil {
+		if e := apply(configstore.Change{Op: configstore.OpPropose, Doc: "d", Version: 1, Text: "new", Exclusive: exclusive}); e != nil {
 			err = e
 		}
 	})
--- a/internal/testkit/benchmarks/scale.go
+++ b/internal/testkit/benchmarks/scale.go
@@ -451,7 +451,7 @@
 		return hollow.NewRouter(hollow.RouterConfig{Name: name, IP: hollow.IP(1, n+1), Settings: site.Server, MemoryMB: 16, Sockets: 1024, Map: h.Map, Probe: h.Every, Group: g, Docs: h.Docs, Took: took, Within: mostJoin})
 	case "callers":
 		return hollow.NewCaller(hollow.CallerConfig{Name: name, IP: hollow.IP(2, n+1), To: h.To, Every: h.Every, First: h.Every * time.Duration(i) / time.Duration(h.N),
-			Rules: "1.0123456789abcdef", Terms: configstore.Terms{Lease: 5 * time.Second, Skew: 500 * time.Millisecond, Dual: 10 * time.Second}}), nil
+			Rules: "1.0123456789abcdef", Terms: configstore.Terms{Lease: 5 * time.Second, ClockSkew: 500 * time.Millisecond, OverlapWindow: 10 * time.Second}}), nil
 	case "followers":
 		return hollow.NewFollower(hollow.FollowerConfig{Name: name, Group: g, Docs: h.Docs, Site: site.Server, Took: took})
 	}
@@ -582,7 +582,7 @@
 
 // scaleMap is a map of servers at addresses, in zones, and tenants that live in these in turn.
 func scaleMap(addrs []string, zones, tenants int) *cells.Map {
-	m := &cells.Map{Version: 1, Window: 13170 * time.Millisecond, Skew: 500 * time.Millisecond, Lease: 5 * time.Second, Patient: patience}
+	m := &cells.Map{Version: 1, KeyWindow: 13170 * time.Millisecond, MaxClockSkew: 500 * time.Millisecond, Lease: 5 * time.Second, CallerTimeout: patience}
 	for z := range zones {
 		m.Cells = append(m.Cells, cells.Cell{Name: fmt.Sprint("zone", z), Capacity: 200})
 	}
@@ -620,7 +620,7 @@
 func (s *scale) route(m *cells.Map) (*Process, time.Duration, error) {
 	dir := s.dir()
 	file := filepath.Join(dir, "cells.json")
-	if err := proxy.Write(file, m); err != nil {
+	if err := proxy.WriteMap(file, m); err != nil {
 		return nil, 0, err
 	}
 	began := time.Now()
@@ -648,7 +648,7 @@
 		g.Close()
 		return nil, err
 	}
-	for _, doc := range configstore.Docs {
+	for _, doc := range configstore.DocumentNames {
 		if docs[doc] == "" {
 			continue
 		}
@@ -673,7 +673,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), mostJoin)
 	defer cancel()
 	at = time.Now()
-	c := configstore.Change{Op: configstore.Put, Doc: doc, Text: text, Format: format, Version: g.doc[doc], By: "scale"}
+	c := configstore.Change{Op: configstore.OpPropose, Doc: doc, Text: text, Format: format, Version: g.doc[doc], Author: "scale"}
 	r, err := g.Client.Do(ctx, statemachine.Command{Config: &c})
 	if err == nil && r.Error != "" {
 		err = errors.New(r.Error)
@@ -688,8 +688,8 @@
 	for {
 		r, err := g.Client.Config(ctx)
 		if err == nil {
-			if d := r.Book.Docs[doc]; d != nil && d.Next == nil && d.Force != nil {
-				g.doc[doc] = d.Force.ID.Version
+			if d := r.Book.Documents[doc]; d != nil && d.Proposed == nil && d.Active != nil {
+				g.doc[doc] = d.Active.ID.Version
 				return nil
 			}
 		}
--- a/internal/testkit/benchmarks/scaledecide.go
+++ b/internal/testkit/benchmarks/scaledecide.go
@@ -188,37 +188,37 @@
 	terms := lease.Terms{TTL: scaleLease, Drift: 0.05}
 	for _, n := range s.of(60, 120, 240, 465, 1000, scaleFollowers) {
 		at := float64(n)
-		b, w := configstore.NewBook(), configstore.NewWatch(terms)
-		w.Lead(0)
-		if _, err := b.Apply(configstore.Change{Op: configstore.Put, Doc: configstore.DocRouting, Text: "{}"}); err != nil {
+		b, w := configstore.NewStore(), configstore.NewProcessMonitor(terms)
+		w.StartLeading(0)
+		if _, err := b.Apply(configstore.Change{Op: configstore.OpPropose, Doc: configstore.DocRouting, Text: "{}"}); err != nil {
 			return err
 		}
 		refused := 0
-		var users []configstore.User
+		var users []configstore.Process
 		for i := range n {
-			u := configstore.User{Name: fmt.Sprint("p", i), Reads: map[string]int{configstore.DocRouting: 1}, Holds: map[string]int{configstore.DocRouting: 1}}
+			u := configstore.Process{Name: fmt.Sprint("p", i), Formats: map[string]int{configstore.DocRouting: 1}, Prepared: map[string]int{configstore.DocRouting: 1}}
 			users = append(users, u)
-			if _, err := b.Apply(configstore.Change{Op: configstore.Join, User: &u}); err != nil {
+			if _, err := b.Apply(configstore.Change{Op: configstore.OpRegister, Process: &u}); err != nil {
 				refused++
 			}
 		}
 		s.add("leader.refused.followers", "%", "simulated", nil, at, 100*float64(refused)/at)
 		for round := range 120 { // as after two minutes
 			for _, u := range users {
-				w.Heard(u.Name, time.Duration(round)*time.Second, nil, configstore.Worth{}, "")
+				w.Observe(u.Name, time.Duration(round)*time.Second, nil, configstore.Goodput{}, "")
 			}
 		}
 		now := 120 * time.Second
 		k := 0
 		us, _ := each(func() {
-			w.Heard(users[k%n].Name, now, nil, configstore.Worth{}, "")
+			w.Observe(users[k%n].Name, now, nil, configstore.Goodput{}, "")
 			k++
 		})
 		s.add("leader.heard.followers", "us", "simulated", nil, at, us)
-		d := b.Docs[configstore.DocRouting]
-		us, _ = each(func() { b.Waits(d) })
+		d := b.Documents[configstore.DocRouting]
+		us, _ = each(func() { b.WaitingFor(d) })
 		s.add("leader.waits.followers", "us", "simulated", nil, at, us)
-		us, _ = each(func() { w.Due(b, now) })
+		us, _ = each(func() { w.Proposals(b, now) })
 		s.add("leader.due.followers", "us", "simulated", nil, at, us)
 		st := statemachine.New(1)
 		st.Config = b
--- a/internal/testkit/benchmarks/scaleparts.go
+++ b/internal/testkit/benchmarks/scaleparts.go
@@ -72,7 +72,7 @@
 	fixed := map[string]float64{"tenants": 1, "check_ms": float64(scaleCheck.Milliseconds()), "routers": routers}
 	for _, n := range sizes {
 		file := filepath.Join(s.dir(), "cells.json")
-		if err := proxy.Write(file, s.newer(scaleMap(h.Addrs[:n], 1, 1))); err != nil {
+		if err := proxy.WriteMap(file, s.newer(scaleMap(h.Addrs[:n], 1, 1))); err != nil {
 			return err
 		}
 		r, err := startHerd(herd{Kind: "routers", N: routers, Map: file, Every: scaleCheck})
@@ -153,7 +153,7 @@
 	m.Cells[0].Capacity = 1e5
 	m.Tenants[0].Rate = 1e5
 	for i := range m.Servers { // they have kept their sheets since they are in the map
-		m.Servers[i].From = time.Now().UnixMilli()
+		m.Servers[i].JoinsAt = time.Now().UnixMilli()
 	}
 	p, _, err := s.route(m)
 	if err != nil {
--- a/internal/testkit/conformance/rules_test.go
+++ b/internal/testkit/conformance/rules_test.go
@@ -713,11 +713,11 @@
 	go ln.Serve()
 	r, err := proxy.New(proxy.Config{
 		Source: fixed{&cells.Map{
-			Version: 1, Window: window, Lease: time.Hour, Patient: deadline, Cells: []cells.Cell{{Name: "a"}},
-			Servers: []cells.Server{{Name: "s0", Addr: "pipe", Cell: "a", Weight: 1, From: time.Now().UnixMilli()}},
+			Version: 1, KeyWindow: window, Lease: time.Hour, CallerTimeout: deadline, Cells: []cells.Cell{{Name: "a"}},
+			Servers: []cells.Server{{Name: "s0", Addr: "pipe", Cell: "a", Weight: 1, JoinsAt: time.Now().UnixMilli()}},
 			Tenants: []cells.Tenant{{Homes: []cells.Home{{Cell: "a"}}}},
 		}},
-		Cores: 64, Probe: time.Second, Sockets: 100,
+		Cores: 64, HealthCheckInterval: time.Second, MaxConnections: 100,
 		Dial: func(context.Context, string) (*msgpackrpc.Conn, error) { return msgpackrpc.NewConn(back.Dial()), nil },
 	}, e.core, e.log, e.stats)
 	if err != nil {
@@ -727,7 +727,7 @@
 		e.t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	go r.Keep(ctx)
+	go r.Maintain(ctx)
 	return func() {
 		unkeep()
 		cancel()
--- a/internal/testkit/hollow/caller.go
+++ b/internal/testkit/hollow/caller.go
@@ -36,7 +36,7 @@
 	if cfg.Rules != "" {
 		ms := func(d time.Duration) string { return strconv.FormatInt(d.Milliseconds(), 10) }
 		t := cfg.Terms
-		fields = []string{"g", cfg.Rules, "gn", cfg.Name, "gl", ms(t.Lease), "gs", ms(t.Skew), "gp", ms(cfg.Every), "gw", ms(probeWithin), "gd", ms(t.Dual), "fl", "0"}
+		fields = []string{"g", cfg.Rules, "gn", cfg.Name, "gl", ms(t.Lease), "gs", ms(t.ClockSkew), "gp", ms(cfg.Every), "gw", ms(probeWithin), "gd", ms(t.OverlapWindow), "fl", "0"}
 	}
 	c.run.keep(func(ctx context.Context) {
 		for wait := cfg.First; ; wait = cfg.Every {
--- a/internal/testkit/hollow/hollow_test.go
+++ b/internal/testkit/hollow/hollow_test.go
@@ -69,7 +69,7 @@
 }
 
 func servers(t *testing.T, n int, cold bool) (list []*Server, m *cells.Map) {
-	m = &cells.Map{Version: 1, Window: time.Second, Skew: 50 * time.Millisecond, Lease: time.Second, Patient: time.Second,
+	m = &cells.Map{Version: 1, KeyWindow: time.Second, MaxClockSkew: 50 * time.Millisecond, Lease: time.Second, CallerTimeout: time.Second,
 		Cells: []cells.Cell{{Name: "a", Capacity: 10}}, Tenants: []cells.Tenant{{Name: "t", Rate: 1, Homes: []cells.Home{{Cell: "a"}}}}}
 	for i := range n {
 		s, err := NewServer(ServerConfig{Name: fmt.Sprint("s", i), IP: IP(0, i+1), Settings: site(), MemoryMB: 16, Sockets: 64, Cold: cold, Echo: true})
@@ -103,7 +103,7 @@
 			own.Servers = m.Servers[:3]
 		}
 		file := filepath.Join(t.TempDir(), "cells.json")
-		if err := proxy.Write(file, &own); err != nil {
+		if err := proxy.WriteMap(file, &own); err != nil {
 			t.Fatal(err)
 		}
 		r, err := NewRouter(RouterConfig{Name: fmt.Sprint("r", i), IP: IP(1, i+1), Settings: site(), MemoryMB: 16, Sockets: 16, Map: file, Probe: 20 * time.Millisecond})
@@ -214,7 +214,7 @@
 // book is a group of one, without a disk: it answers as the leader does.
 type book struct {
 	mu    sync.Mutex
-	b     *configstore.Book
+	b     *configstore.Store
 	index uint64
 	ln    *listener.Listener
 	done  chan struct{}
@@ -222,7 +222,7 @@
 }
 
 func newBook(t *testing.T) (*book, string) {
-	g := &book{b: configstore.NewBook(), done: make(chan struct{}), heard: map[string]int{}}
+	g := &book{b: configstore.NewStore(), done: make(chan struct{}), heard: map[string]int{}}
 	var c metrics.Counters
 	words := msgpackrpc.NewCallServer("test", &c, func(_ context.Context, w msgpackrpc.Call) func() msgpackrpc.CallResult {
 		return func() msgpackrpc.CallResult { return g.answer(w) }
@@ -247,15 +247,15 @@
 		return msgpackrpc.CallResult{Error: quorum.CodeRefused}
 	}
 	g.heard[strings.SplitN(s.User.Name, "#", 2)[0]]++
-	op := configstore.Say
-	if g.b.Users[s.User.Name] == nil {
-		op = configstore.Join
+	op := configstore.OpReport
+	if g.b.Processes[s.User.Name] == nil {
+		op = configstore.OpRegister
 	}
-	_ = g.apply(configstore.Change{Op: op, User: &s.User})
+	_ = g.apply(configstore.Change{Op: op, Process: &s.User})
 	docs := map[string]configstore.View{}
-	for name := range s.User.Reads {
-		if d := g.b.Docs[name]; d != nil {
-			docs[name] = d.Tell(&s.User, s.HasVersions[name], s.BaseVersions[name])
+	for name := range s.User.Formats {
+		if d := g.b.Documents[name]; d != nil {
+			docs[name] = d.ViewFor(&s.User, s.HasVersions[name], s.BaseVersions[name])
 		}
 	}
 	out, _ := json.Marshal(quorum.ConfigSyncReply{Terms: lease.Terms{TTL: time.Second, Drift: 0.05}, Index: g.index, Wall: time.Now().UnixMilli(), Docs: docs})
@@ -274,12 +274,12 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	n := 0
-	if d := g.b.Docs[doc]; d != nil {
-		n = d.Force.ID.Version
+	if d := g.b.Documents[doc]; d != nil {
+		n = d.Active.ID.Version
 	}
-	id := configstore.Name(n+1, []byte(text))
+	id := configstore.NewID(n+1, []byte(text))
 	g.index++
-	g.b.Docs[doc] = &configstore.Doc{Name: doc, Top: n + 1, Force: &configstore.Entry{ID: id, Format: 1, Text: text}}
+	g.b.Documents[doc] = &configstore.Document{Name: doc, HighestVersion: n + 1, Active: &configstore.Revision{ID: id, Format: 1, Text: text}}
 }
 
 // Followers in one process each have their documents, and take what comes: routers, servers, and those that only follow.
@@ -328,7 +328,7 @@
 		f()
 	}
 	g.mu.Lock()
-	if len(g.heard) != 6 || len(g.b.Users) != 6 {
+	if len(g.heard) != 6 || len(g.b.Processes) != 6 {
 		t.Errorf("heard %v", g.heard)
 	}
 	g.mu.Unlock()
@@ -341,25 +341,25 @@
 // A follower takes a map in parts, and then what changes of it.
 func TestFollowerTakesParts(t *testing.T) {
 	g, addr := newBook(t)
-	m := &cells.Map{Version: 1, Window: time.Second, Skew: time.Second, Lease: time.Second, Patient: time.Second, Cells: []cells.Cell{{Name: "a", Capacity: 4}},
+	m := &cells.Map{Version: 1, KeyWindow: time.Second, MaxClockSkew: time.Second, Lease: time.Second, CallerTimeout: time.Second, Cells: []cells.Cell{{Name: "a", Capacity: 4}},
 		Tenants: []cells.Tenant{{Name: "t", Rate: 1, Homes: []cells.Home{{Cell: "a"}}}}, Servers: []cells.Server{{Name: "s", Addr: "127.0.0.1:1", Cell: "a", Weight: 1}}}
 	put := func(version int) {
 		g.mu.Lock()
 		defer g.mu.Unlock()
 		parts, old := map[string]configstore.Part{}, map[string]configstore.Part{}
-		if d := g.b.Docs[configstore.DocMap]; d != nil {
-			old = d.Force.Parts
+		if d := g.b.Documents[configstore.DocMap]; d != nil {
+			old = d.Active.Parts
 		}
 		for name, text := range settings.SplitCells(m) {
-			p := configstore.Part{Version: version, Digest: configstore.DigestOf(text), Text: text}
+			p := configstore.Part{Version: version, Digest: configstore.PartDigest(text), Text: text}
 			if was, there := old[name]; there && was.Digest == p.Digest {
 				p = was
 			}
 			parts[name] = p
 		}
 		g.index++
-		g.b.Docs[configstore.DocMap] = &configstore.Doc{Name: configstore.DocMap, Top: version,
-			Force: &configstore.Entry{ID: configstore.ID{Version: version, Digest: configstore.Sum(parts)}, Format: configstore.FormatInParts, Split: true, Parts: parts}}
+		g.b.Documents[configstore.DocMap] = &configstore.Document{Name: configstore.DocMap, HighestVersion: version,
+			Active: &configstore.Revision{ID: configstore.ID{Version: version, Digest: configstore.PartsDigest(parts)}, Format: configstore.PartsFormat, InParts: true, Parts: parts}}
 	}
 	put(1)
 	var took atomic.Int32
--- a/internal/testkit/hollow/router.go
+++ b/internal/testkit/hollow/router.go
@@ -36,12 +36,12 @@
 	Stats   metrics.Counters
 	run     *running
 	group   *quorum.Client
-	follows *configwatch.Follower
+	follows *configwatch.Watcher
 }
 
 // NewFollower starts one.
 func NewFollower(cfg FollowerConfig) (*Follower, error) {
-	src, err := proxy.OpenAgreed("")
+	src, err := proxy.OpenGroupSource("")
 	if err != nil {
 		return nil, err
 	}
@@ -53,7 +53,7 @@
 	if f.follows, err = newFollower(cfg, nil, nil, &agreed{src, loaded, nil}, &f.Stats); err != nil {
 		return nil, err
 	}
-	f.run.keep(f.follows.Keep)
+	f.run.keep(f.follows.Run)
 	return f, nil
 }
 
@@ -74,13 +74,13 @@
 
 // agreed is what a follower of the map has besides.
 type agreed struct {
-	src   *proxy.Agreed
+	src   *proxy.GroupSource
 	told  func(time.Time)
-	share configwatch.Sharer
+	share configwatch.QuotaClient
 }
 
 // newFollower has the documents checked and taken as the service has them. Retune takes classes up, and reroute how a router chooses.
-func newFollower(cfg FollowerConfig, retune func(silverpath.Settings) error, reroute func(settings.Fleet), a *agreed, s *metrics.Counters) (*configwatch.Follower, error) {
+func newFollower(cfg FollowerConfig, retune func(silverpath.Settings) error, reroute func(settings.Fleet), a *agreed, s *metrics.Counters) (*configwatch.Watcher, error) {
 	var mu sync.Mutex
 	site := cfg.Site
 	own := map[string]configwatch.Document{
@@ -91,7 +91,7 @@
 				_, err := settings.ParseClasses(text, site)
 				return err
 			},
-			Take: func(text string) error {
+			Apply: func(text string) error {
 				mu.Lock()
 				defer mu.Unlock()
 				next, err := settings.ParseClasses(text, site)
@@ -108,7 +108,7 @@
 				_, err := settings.ParseRouting(text)
 				return err
 			},
-			Take: func(text string) error {
+			Apply: func(text string) error {
 				next, err := settings.ParseRouting(text)
 				if err == nil && reroute != nil {
 					reroute(next)
@@ -116,10 +116,10 @@
 				return err
 			}},
 	}
-	set := configwatch.Config{Name: cfg.Name, Group: cfg.Group, Docs: map[string]configwatch.Document{}, Log: silent(), Stats: s}
+	set := configwatch.Config{Name: cfg.Name, Group: cfg.Group, Documents: map[string]configwatch.Document{}, Log: silent(), Stats: s}
 	if a != nil {
-		own[configstore.DocMap] = configwatch.Document{Format: configstore.FormatInParts, Check: a.src.Check, Take: a.src.Take, CheckParts: a.src.CheckParts, TakeParts: a.src.TakeParts}
-		set.Told, set.Skew, set.Share = a.told, a.src.Skew, a.share
+		own[configstore.DocMap] = configwatch.Document{Format: configstore.PartsFormat, Check: a.src.Check, Apply: a.src.Apply, CheckParts: a.src.CheckParts, ApplyParts: a.src.ApplyParts}
+		set.OnConfirmed, set.MaxClockSkew, set.Quota = a.told, a.src.MaxClockSkew, a.share
 	}
 	for _, name := range cfg.Docs {
 		d, ok := own[name]
@@ -127,21 +127,21 @@
 			return nil, fmt.Errorf("%s: this process has no use for %q", cfg.Name, name)
 		}
 		d.Format = max(d.Format, 1)
-		if take, parts := d.Take, d.TakeParts; cfg.Took != nil {
+		if take, parts := d.Apply, d.ApplyParts; cfg.Took != nil {
 			took := func(err error) error {
 				if err == nil {
 					cfg.Took(name)
 				}
 				return err
 			}
-			d.Take = func(text string) error { return took(take(text)) }
+			d.Apply = func(text string) error { return took(take(text)) }
 			if parts != nil {
-				d.TakeParts = func(id configstore.ID, changed map[string]string, whole bool) error {
+				d.ApplyParts = func(id configstore.ID, changed map[string]string, whole bool) error {
 					return took(parts(id, changed, whole))
 				}
 			}
 		}
-		set.Docs[name] = d
+		set.Documents[name] = d
 	}
 	return configwatch.New(set), nil
 }
@@ -191,15 +191,15 @@
 		return r.fleet
 	}
 	ways := loadbalancer.Config{}
-	var follows *configwatch.Follower
+	var follows *configwatch.Watcher
 	if cfg.Map != "" {
-		src, err = proxy.OpenFile(cfg.Map, "")
+		src, err = proxy.OpenFileSource(cfg.Map, "")
 	}
 	if err != nil {
 		return nil, err
 	}
 	if cfg.Group != nil {
-		a, err := proxy.OpenAgreed("")
+		a, err := proxy.OpenGroupSource("")
 		if err != nil {
 			return nil, err
 		}
@@ -216,7 +216,7 @@
 			}
 			ways, cfg.Probe = next.Routing, next.Probe
 		}
-		var share configwatch.Sharer
+		var share configwatch.QuotaClient
 		if cfg.Most > 0 {
 			share = sharing{runner}
 		}
@@ -230,23 +230,23 @@
 		if err != nil {
 			return nil, err
 		}
-		r.core.Bar(follows.StopsSheet)
+		r.core.Bar(follows.StopReasonFor)
 		ctx, cancel := context.WithTimeout(r.run.ctx, max(cfg.Within, time.Second))
-		follows.First(ctx)
+		follows.WaitCurrent(ctx)
 		cancel()
 	}
 	if src == nil {
 		return nil, errNoMap
 	}
 	f, err := proxy.New(proxy.Config{
-		Name: cfg.Name, Source: src, Routing: ways, Cores: cfg.Settings.Cores, Probe: cfg.Probe, Sockets: cfg.Sockets,
+		Name: cfg.Name, Source: src, LoadBalancing: ways, Cores: cfg.Settings.Cores, HealthCheckInterval: cfg.Probe, MaxConnections: cfg.Sockets,
 		Dial: func(ctx context.Context, addr string) (*msgpackrpc.Conn, error) { return r.dial(ctx, cfg.IP, addr) },
 	}, r.core, l, &r.Stats)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", cfg.Name, err)
 	}
 	if cfg.Most > 0 {
-		f.Share(cfg.Most, false)
+		f.ShareQuota(cfg.Most, false)
 	}
 	mu.Lock()
 	r.fleet = f
@@ -255,9 +255,9 @@
 		return nil, err
 	}
 	if follows != nil {
-		r.run.keep(follows.Keep)
+		r.run.keep(follows.Run)
 	}
-	r.run.keep(f.Keep)
+	r.run.keep(f.Maintain)
 	return r, nil
 }
 
@@ -281,9 +281,9 @@
 // sharing is a router that shares its cells with others, once it is there.
 type sharing struct{ fleet func() *proxy.Runner }
 
-func (s sharing) Says() (quota.Request, func(quota.Grant, lease.Terms)) {
+func (s sharing) QuotaRequest() (quota.Request, func(quota.Grant, lease.Terms)) {
 	if f := s.fleet(); f != nil {
-		return f.Says()
+		return f.QuotaRequest()
 	}
 	return quota.Request{}, func(quota.Grant, lease.Terms) {}
 }
--- a/internal/testkit/hollow/server.go
+++ b/internal/testkit/hollow/server.go
@@ -63,8 +63,8 @@
 			s.Close()
 			return nil, err
 		}
-		s.core.Bar(f.StopsSheet)
-		s.run.keep(f.Keep)
+		s.core.Bar(f.StopReasonFor)
+		s.run.keep(f.Run)
 	}
 	s.core.Started(cfg.Cold, 0)
 	s.core.Up()
--- a/internal/transport/msgpackrpc/front.go
+++ b/internal/transport/msgpackrpc/front.go
@@ -218,7 +218,7 @@
 			n, _ := strconv.ParseInt(m.fields[key], 10, 64)
 			return time.Duration(max(0, min(n, maxTerm.Milliseconds()))) * time.Millisecond
 		}
-		c.core.Heard(id, m.fields["gn"], configstore.Terms{Lease: ms("gl"), Skew: ms("gs"), Probe: ms("gp"), Wait: ms("gw"), Dual: ms("gd")})
+		c.core.Heard(id, m.fields["gn"], configstore.Terms{Lease: ms("gl"), ClockSkew: ms("gs"), ProbeInterval: ms("gp"), ProbeTimeout: ms("gw"), OverlapWindow: ms("gd")})
 		fields = c.core.RulesTold()
 		inFlight, _ := strconv.Atoi(m.fields["fl"])
 		if share, warming := c.core.SlowStart(m.fields["gn"], inFlight, SlowStartProbeIntervals*max(ms("gp"), time.Millisecond)); warming {
