--- a/cmd/silverpath/durable_test.go
+++ b/cmd/silverpath/durable_test.go
@@ -32,7 +32,7 @@
 
 // unpromised is a store whose promises are told as kept before they are: they are written only with the result.
 type unpromised struct {
-	core.Keeper
+	core.Store
 	mu   sync.Mutex
 	seq  uint64
 	late map[uint64]promise
@@ -63,28 +63,28 @@
 	delete(u.late, r.Seq)
 	u.mu.Unlock()
 	if !late {
-		u.Keeper.Result(r, reached, until, done)
+		u.Store.Result(r, reached, until, done)
 		return
 	}
 	whole := *r
 	go func() { // the core holds its lock meanwhile
 		p.Seq = 0
 		kept := p.Record
-		if v := u.Keeper.Promise(&kept, p.reached, p.until, time.Hour, func(err error) {
+		if v := u.Store.Promise(&kept, p.reached, p.until, time.Hour, func(err error) {
 			if err != nil {
 				done(err)
 				return
 			}
 			whole.Seq = kept.Seq
-			u.Keeper.Result(&whole, reached, until, done)
+			u.Store.Result(&whole, reached, until, done)
 		}); v.Do != idempotency.Begin {
 			done(errors.New(v.Why))
 		}
 	}()
 }
 
-func (u *unpromised) Failed(seq uint64)   { u.forget(seq, u.Keeper.Failed) }
-func (u *unpromised) Withdraw(seq uint64) { u.forget(seq, u.Keeper.Withdraw) }
+func (u *unpromised) Failed(seq uint64)   { u.forget(seq, u.Store.Failed) }
+func (u *unpromised) Withdraw(seq uint64) { u.forget(seq, u.Store.Withdraw) }
 
 func (u *unpromised) forget(seq uint64, instead func(uint64)) {
 	u.mu.Lock()
@@ -137,7 +137,7 @@
 // the machine be switched on when the environment says, as NAME AGO MACHINE: another time for each name.
 func storeProgram() {
 	if os.Getenv("SILVERPATH_UNPROMISED") != "" {
-		parts.Keeper = func(k core.Keeper) core.Keeper { return &unpromised{Keeper: k, late: map[uint64]promise{}} }
+		parts.Keeper = func(k core.Store) core.Store { return &unpromised{Store: k, late: map[uint64]promise{}} }
 	}
 	if os.Getenv("SILVERPATH_UNSIGNED") != "" {
 		parts.Signs = func(func() bool) func() bool { return func() bool { return true } }
@@ -728,7 +728,7 @@
 		}
 	}
 	p := spawn(t, args...)
-	if r := send(p, true); r.Fields["x"] != core.WhyUnknown {
+	if r := send(p, true); r.Fields["x"] != core.ReasonUnknown {
 		t.Fatalf("asked for: %+v", r)
 	}
 	p.Kill()
--- a/internal/controlplane/quorum/member/main.go
+++ b/internal/controlplane/quorum/member/main.go
@@ -125,8 +125,8 @@
 	}
 	return lifecycle.Starting
 }
-func (s snmpView) Owed() int       { return 0 }
-func (s snmpView) View() core.View { return core.View{} }
+func (s snmpView) PendingAnswers() int { return 0 }
+func (s snmpView) View() core.View     { return core.View{} }
 
 func openMember(set settings.Quorum, l zerolog.Logger, counters *metrics.Counters) (*Member, *listener.Listener, error) {
 	if err := os.MkdirAll(set.Member.Dir, 0o700); err != nil {
--- a/internal/core/backstop_test.go
+++ b/internal/core/deadline_test.go
@@ -17,7 +17,7 @@
 func (r *heldUp) Probe() {
 	r.core.mu.Lock()
 	defer r.core.mu.Unlock()
-	r.core.ticking = false
+	r.core.tickPending = false
 }
 
 // While the module is held up, as on a machine without a core to spare, what it does not answer is answered by its due time.
@@ -34,10 +34,10 @@
 		if err := c.Attach(r, nil); err != nil {
 			t.Fatal(err)
 		}
-		c.Up()
+		c.RunnerReady()
 		answers := make(chan Answer, 2)
 		ask(c, "a", "lestvica", func(a Answer) { answers <- a })
-		time.Sleep(4*time.Second - backstop - time.Millisecond)
+		time.Sleep(4*time.Second - answerMargin - time.Millisecond)
 		synctest.Wait()
 		if len(answers) > 0 {
 			t.Errorf("answered before: %+v", <-answers)
@@ -46,13 +46,13 @@
 		synctest.Wait()
 		select {
 		case a := <-answers:
-			if a.Outcome != Expired || counters.Get("backstop") != 1 || c.Owed() != 0 {
-				t.Errorf("%+v, %d by the backstop, %d owed", a, counters.Get("backstop"), c.Owed())
+			if a.Outcome != Expired || counters.Get("backstop") != 1 || c.PendingAnswers() != 0 {
+				t.Errorf("%+v, %d by the backstop, %d owed", a, counters.Get("backstop"), c.PendingAnswers())
 			}
 		default:
 			t.Error("no answer by the due time")
 		}
-		c.Ended("a", silverpath.Failed, 0, nil)
+		c.RunEnded("a", silverpath.Failed, 0, nil)
 		time.Sleep(time.Minute)
 		if len(answers) > 0 {
 			t.Errorf("answered twice: %+v", <-answers)
--- a/internal/core/keys_test.go
+++ b/internal/core/idempotency_test.go
@@ -14,7 +14,7 @@
 var sheets = silverpath.Class{Name: "oddaja", Effect: silverpath.Idempotent, Deadline: 4 * time.Second, IdempotencyWindow: 10 * time.Second}
 
 func tryAt(id string, reached time.Time) *task {
-	return &task{Request: Request{ID: id, Class: "oddaja", Key: "k", Reached: reached, Due: reached.Add(4 * time.Second)}, class: sheets}
+	return &task{Request: Request{ID: id, Class: "oddaja", Key: "k", ReceivedAt: reached, Deadline: reached.Add(4 * time.Second)}, class: sheets}
 }
 
 // A try is linked to the run inside whose window it reached the machine, however late it is read, and also when
@@ -22,21 +22,21 @@
 func TestLateReadTryIsLinked(t *testing.T) {
 	k, t0 := newKeyTable(1<<20), time.Unix(1000, 0)
 	first := tryAt("a", t0)
-	k.enter(first, 0, t0)
-	if !k.start(first) {
+	k.resolve(first, 0, t0)
+	if !k.begin(first) {
 		t.Fatal("the first try may not run")
 	}
-	k.done(first.flight, silverpath.OK, []byte("done"), t0.Add(time.Second))
-	k.sweep(t0.Add(sheets.IdempotencyWindow + 3900*time.Millisecond))
+	k.finish(first.execution, silverpath.OK, []byte("done"), t0.Add(time.Second))
+	k.evictExpired(t0.Add(sheets.IdempotencyWindow + 3900*time.Millisecond))
 	for _, reached := range []time.Duration{-time.Second, time.Second, sheets.IdempotencyWindow} {
 		late := tryAt("b", t0.Add(reached))
-		k.enter(late, 0, t0.Add(reached+3900*time.Millisecond))
-		if late.repeats == nil || late.repeats.id != "a" {
-			t.Errorf("reached %v after: repeats %v", reached, late.repeats)
+		k.resolve(late, 0, t0.Add(reached+3900*time.Millisecond))
+		if late.duplicateOf == nil || late.duplicateOf.requestID != "a" {
+			t.Errorf("reached %v after: repeats %v", reached, late.duplicateOf)
 		}
 	}
 	next := tryAt("c", t0.Add(sheets.IdempotencyWindow+time.Second))
-	if k.enter(next, 0, next.Reached); next.repeats != nil || !k.start(next) {
+	if k.resolve(next, 0, next.ReceivedAt); next.duplicateOf != nil || !k.begin(next) {
 		t.Error("a try past the window may not run")
 	}
 }
@@ -47,25 +47,25 @@
 	k, t0 := newKeyTable(1<<20), time.Unix(1000, 0)
 	first := tryAt("a", t0)
 	first.Body = []byte("sheet")
-	k.enter(first, 0, t0)
+	k.resolve(first, 0, t0)
 	check := func(when string) {
 		t.Helper()
 		body, tenant, same := tryAt("b", t0.Add(time.Second)), tryAt("c", t0.Add(time.Second)), tryAt("d", t0.Add(time.Second))
 		body.Body, tenant.Body, same.Body = []byte("another sheet"), []byte("sheet"), []byte("sheet")
 		tenant.Tenant = "other"
 		for _, x := range []*task{body, tenant} {
-			if !k.enter(x, 0, t0.Add(time.Second)) || !x.stranger || x.repeats != nil || x.flight != nil {
+			if !k.resolve(x, 0, t0.Add(time.Second)) || !x.keyConflict || x.duplicateOf != nil || x.execution != nil {
 				t.Errorf("%s: %s is taken for a try of a", when, x.ID)
 			}
 		}
-		if k.enter(same, 0, t0.Add(time.Second)); same.stranger || same.repeats != first.flight {
+		if k.resolve(same, 0, t0.Add(time.Second)); same.keyConflict || same.duplicateOf != first.execution {
 			t.Errorf("%s: a true try is not linked", when)
 		}
 	}
 	check("held")
-	k.start(first)
+	k.begin(first)
 	check("running")
-	k.done(first.flight, silverpath.OK, []byte("done"), t0)
+	k.finish(first.execution, silverpath.OK, []byte("done"), t0)
 	check("done")
 }
 
@@ -84,7 +84,7 @@
 		}
 		now := time.Now()
 		var got []Answer
-		c.Serve(Request{ID: "a", Class: "oddaja", Tenant: "nobody", Reached: now, Due: now.Add(time.Second), HeldKB: 1},
+		c.Serve(Request{ID: "a", Class: "oddaja", Tenant: "nobody", ReceivedAt: now, Deadline: now.Add(time.Second), MemoryKB: 1},
 			func(a Answer) { got = append(got, a) })
 		if len(got) != 1 || got[0].Outcome != Invalid || len(m.runs) != 0 {
 			t.Fatalf("answers %v, ran %v", got, m.runs)
@@ -97,14 +97,14 @@
 func TestDroppedHolderLeavesTheRun(t *testing.T) {
 	k, t0 := newKeyTable(1<<20), time.Unix(1000, 0)
 	first := tryAt("a", t0)
-	k.enter(first, 0, t0)
-	k.start(first)
-	k.done(first.flight, silverpath.OK, []byte("done"), t0)
+	k.resolve(first, 0, t0)
+	k.begin(first)
+	k.finish(first.execution, silverpath.OK, []byte("done"), t0)
 	next := tryAt("b", t0.Add(sheets.IdempotencyWindow+time.Second))
-	k.enter(next, 0, next.Reached)
-	k.drop(next.flight)
+	k.resolve(next, 0, next.ReceivedAt)
+	k.forget(next.execution)
 	late := tryAt("c", t0.Add(sheets.IdempotencyWindow-time.Second))
-	if k.enter(late, 0, next.Reached); late.repeats != first.flight {
+	if k.resolve(late, 0, next.ReceivedAt); late.duplicateOf != first.execution {
 		t.Fatal("the run is forgotten")
 	}
 }
@@ -116,18 +116,18 @@
 	for ; n < 10000; n++ {
 		r := tryAt(fmt.Sprint(n), t0)
 		r.Key = r.ID
-		if !k.enter(r, 0, t0) {
+		if !k.resolve(r, 0, t0) {
 			break
 		}
-		k.start(r)
-		k.done(r.flight, silverpath.OK, make([]byte, 4096), t0)
+		k.begin(r)
+		k.finish(r.execution, silverpath.OK, make([]byte, 4096), t0)
 	}
-	if n == 10000 || k.size > 64<<10+8192 {
-		t.Fatalf("%d keys, %d bytes", n, k.size)
+	if n == 10000 || k.bytes > 64<<10+8192 {
+		t.Fatalf("%d keys, %d bytes", n, k.bytes)
 	}
-	k.sweep(t0.Add(time.Minute))
-	if len(k.entries) != 0 || k.size != 0 {
-		t.Fatalf("%d entries and %d bytes are left", len(k.entries), k.size)
+	k.evictExpired(t0.Add(time.Minute))
+	if len(k.entries) != 0 || k.bytes != 0 {
+		t.Fatalf("%d entries and %d bytes are left", len(k.entries), k.bytes)
 	}
 }
 
@@ -156,7 +156,7 @@
 		send := func(id string) chan Answer {
 			answers := make(chan Answer, 2)
 			now := time.Now()
-			go c.Serve(Request{Front: "test", ID: id, Class: "oddaja", Key: "k", Reached: now, Due: now.Add(time.Second), HeldKB: 1},
+			go c.Serve(Request{Front: "test", ID: id, Class: "oddaja", Key: "k", ReceivedAt: now, Deadline: now.Add(time.Second), MemoryKB: 1},
 				func(a Answer) { answers <- a })
 			synctest.Wait()
 			return answers
@@ -166,14 +166,14 @@
 		for _, id := range []string{"a", "b"} {
 			c.mu.Lock()
 			(*host)(c).Run(id)
-			c.perform()
+			c.performActions()
 			c.mu.Unlock()
 			synctest.Wait()
 		}
 		if len(m.runs) != 1 || c.stats.Get("guard") != 1 {
 			t.Fatalf("ran %v, guard %d", m.runs, c.stats.Get("guard"))
 		}
-		c.Ended("a", silverpath.OK, 0, nil)
+		c.RunEnded("a", silverpath.OK, 0, nil)
 		time.Sleep(2 * time.Second)
 		if len(a) != 1 || len(b) != 1 {
 			t.Fatalf("%d and %d answers", len(a), len(b))
@@ -197,14 +197,14 @@
 		now := time.Now()
 		var got []Answer
 		for _, id := range []string{"a", "a", "b"} {
-			go c.Serve(Request{ID: id, Class: "oddaja", Reached: now, Due: now.Add(time.Second), HeldKB: 1},
+			go c.Serve(Request{ID: id, Class: "oddaja", ReceivedAt: now, Deadline: now.Add(time.Second), MemoryKB: 1},
 				func(a Answer) { got = append(got, a) })
 			synctest.Wait()
 		}
-		if len(got) != 2 || got[0].Outcome != Invalid || got[1].Outcome != Refused {
+		if len(got) != 2 || got[0].Outcome != Invalid || got[1].Outcome != Rejected {
 			t.Fatalf("answers %v", got)
 		}
-		c.Ended("a", silverpath.OK, 0, nil)
+		c.RunEnded("a", silverpath.OK, 0, nil)
 		time.Sleep(2 * time.Second)
 		c.Stop()
 	})
@@ -215,18 +215,18 @@
 func TestTryUnderAnotherClass(t *testing.T) {
 	k, t0 := newKeyTable(1<<20), time.Unix(1000, 0)
 	first := tryAt("a", t0)
-	k.enter(first, 0, t0)
+	k.resolve(first, 0, t0)
 	check := func(when string) {
 		t.Helper()
 		next := tryAt("b", t0.Add(300*time.Millisecond))
 		next.Class, next.class.Name = "oddaja-next", "oddaja-next"
-		if !k.enter(next, 0, next.Reached) || next.stranger || next.repeats == nil || next.repeats.id != "a" {
-			t.Errorf("%s: repeats %+v", when, next.repeats)
+		if !k.resolve(next, 0, next.ReceivedAt) || next.keyConflict || next.duplicateOf == nil || next.duplicateOf.requestID != "a" {
+			t.Errorf("%s: repeats %+v", when, next.duplicateOf)
 		}
 	}
 	check("held")
-	k.start(first)
+	k.begin(first)
 	check("running")
-	k.done(first.flight, silverpath.Canceled, nil, t0.Add(time.Second))
+	k.finish(first.execution, silverpath.Canceled, nil, t0.Add(time.Second))
 	check("ended, who knows how")
 }
--- a/internal/core/phases.go
+++ b/internal/core/lifecycle.go
@@ -11,18 +11,18 @@
 
 // phases is the service's one state. It has a lock of its own, held for a look at a table, so that an operator's
 // call never waits for a decision of the module.
-type phases struct {
+type lifecycleState struct {
 	log   *log.Logger
 	mu    sync.Mutex
 	state atomic.Int32
 }
 
-func (p *phases) now() lifecycle.State { return lifecycle.State(p.state.Load()) }
+func (p *lifecycleState) current() lifecycle.State { return lifecycle.State(p.state.Load()) }
 
 // happens takes an event and says what became of it.
-func (p *phases) happens(e lifecycle.Event) lifecycle.Answer {
+func (p *lifecycleState) apply(e lifecycle.Event) lifecycle.Answer {
 	p.mu.Lock()
-	was := p.now()
+	was := p.current()
 	a := was.Next(e)
 	p.state.Store(int32(a.To))
 	p.mu.Unlock()
@@ -33,12 +33,12 @@
 }
 
 // Phase returns the current phase.
-func (c *Core) Phase() lifecycle.State { return c.state.now() }
+func (c *Core) Phase() lifecycle.State { return c.lifecycle.current() }
 
 // Ready reports whether the service is ready to serve, and why or why not.
 func (c *Core) Ready() (bool, string) {
-	yes, why := c.state.now().Ready()
-	if !yes && c.waits.Load() {
+	yes, why := c.lifecycle.current().Ready()
+	if !yes && c.waitsForPeer.Load() {
 		why = "starting: what another process of this service ran is not known yet"
 	}
 	return yes, why
@@ -52,27 +52,27 @@
 func (c *Core) Rejoin() (bool, string) { return c.operator(lifecycle.Rejoin) }
 
 func (c *Core) operator(e lifecycle.Event) (bool, string) {
-	a := c.state.happens(e)
+	a := c.lifecycle.apply(e)
 	if a.Yes && c.pair != nil {
-		go c.tellOut() // the answer waits for no lock
+		go c.notifyEvacuated() // the answer waits for no lock
 	}
 	return a.Yes, a.Why
 }
 
 // rise makes the service serve once its runner is up and, of two processes, this one may take requests. It is called
 // under the lock.
-func (c *Core) rise() {
+func (c *Core) serveIfReady() {
 	waits := c.pair != nil && !c.pair.side.May()
-	c.waits.Store(c.runnerUp && waits)
+	c.waitsForPeer.Store(c.runnerUp && waits)
 	if !c.runnerUp || waits {
 		return
 	}
-	c.state.happens(lifecycle.Up)
-	if c.pair != nil && !c.pair.open {
-		c.pair.open = true
-		close(c.pair.risen)
-		c.pair.side.Ready(!c.state.now().Leaving())
-		c.settlePair()
+	c.lifecycle.apply(lifecycle.Up)
+	if c.pair != nil && !c.pair.ready {
+		c.pair.ready = true
+		close(c.pair.readyChannel)
+		c.pair.side.Ready(!c.lifecycle.current().Leaving())
+		c.applyPairEffects()
 	}
-	c.show()
+	c.publish()
 }
--- a/internal/core/told_test.go
+++ b/internal/core/notify_test.go
@@ -32,18 +32,18 @@
 		flushes, leaves := 0, 0
 		c, err := New(Config{Name: "n", MemoryMB: 64, Log: log.New(io.Discard, "", 0), Stats: &metrics.Counters{},
 			Settings: silverpath.Settings{Cores: 1, MemoryKB: 1e6, Classes: []silverpath.Class{sheets}},
-			Pair: &PairConfig{Ring: func() {}, Shared: func(bool) {},
+			Pair: &PairConfig{Wake: func() {}, Shared: func(bool) {},
 				Flush: func(link int) error {
 					if flushes++; link != 7 {
 						t.Errorf("%s: flushed on link %d", name, link)
 					}
 					return x.flush
 				},
-				Mark: func() error { leaves++; return x.mark }}})
+				MarkUnnotified: func() error { leaves++; return x.mark }}})
 		if err != nil {
 			t.Fatal(err)
 		}
-		if begins := c.told(x.note, 7); begins != x.begins || flushes != x.flushes || leaves != x.leaves {
+		if begins := c.ensureNotified(x.note, 7); begins != x.begins || flushes != x.flushes || leaves != x.leaves {
 			t.Errorf("%s: begins %v after %d writings and %d marks", name, begins, flushes, leaves)
 		}
 	}
@@ -53,7 +53,7 @@
 func TestBoundedIsItsOwn(t *testing.T) {
 	given := silverpath.Settings{Cores: 1, MemoryKB: 1e6, Classes: []silverpath.Class{
 		{Name: "x", Objective: time.Second, Deadline: time.Second, Weight: 1, DegradedWeight: 0.5}}}
-	if own := bounded(given); own.Classes[0].DegradedWeight != 0 || given.Classes[0].DegradedWeight != 0.5 {
+	if own := supportedSettings(given); own.Classes[0].DegradedWeight != 0 || given.Classes[0].DegradedWeight != 0.5 {
 		t.Errorf("%+v of %+v", own, given)
 	}
 }
--- a/internal/core/pair.go
+++ b/internal/core/peer.go
@@ -17,42 +17,42 @@
 	// Flush writes what is to be sent on the link of that number, in order, and returns once it is written.
 	Flush func(link int) error
 	// Mark leaves the mark that this process runs what the other has not heard of.
-	Mark func() error
-	Ring func() // there is something to send
+	MarkUnnotified func() error
+	Wake           func() // there is something to send
 	// Shared is told whether there are two processes, which share the limits from then on. It is called under the lock.
 	Shared func(two bool)
 }
 
 const (
-	pairMemory = 0.6 // of the interpreter's memory that each of two processes plans with: both at their bound stay within it
-	pairCrowd  = 0.5 // of the crowd on its cores
+	pairMemoryShare = 0.6 // of the interpreter's memory that each of two processes plans with: both at their bound stay within it
+	pairRunsShare   = 0.5 // of the crowd on its cores
 )
 
 // pair is this process's half of two that are one service. It is under the core's lock.
 type pair struct {
 	PairConfig
-	side   *hotrestart.Side
-	out    []hotrestart.Message // to be sent
-	link   int                  // of what is in out
-	mute   bool                 // nothing can be written on it any more
-	bell   chan struct{}        // closed, and replaced, at every change
-	open   bool
-	risen  chan struct{}            // closed when this process may take requests
-	asking map[string]chan struct{} // by id, of requests that wait for their key: closed as the caller leaves
-	shared bool
-	limits [2]int // of the table of keys and of the requests in hand, for one process
+	side          *hotrestart.Side
+	outbox        []hotrestart.Message // to be sent
+	link          int                  // of what is in out
+	writeClosed   bool                 // nothing can be written on it any more
+	changed       chan struct{}        // closed, and replaced, at every change
+	ready         bool
+	readyChannel  chan struct{}            // closed when this process may take requests
+	waitingForKey map[string]chan struct{} // by id, of requests that wait for their key: closed as the caller leaves
+	shared        bool
+	limits        [2]int // of the table of keys and of the requests in hand, for one process
 }
 
 func newPair(c *Core, cfg PairConfig) *pair {
-	p := &pair{PairConfig: cfg, bell: make(chan struct{}), risen: make(chan struct{}), asking: map[string]chan struct{}{},
-		limits: [2]int{c.keys.limit, c.maxTasks}}
+	p := &pair{PairConfig: cfg, changed: make(chan struct{}), readyChannel: make(chan struct{}), waitingForKey: map[string]chan struct{}{},
+		limits: [2]int{c.keys.maxBytes, c.maxTasks}}
 	p.side = hotrestart.New((*pairKeys)(c))
-	c.keys.sum = lastingSum // the same in both processes
+	c.keys.fingerprint = stableFingerprint // the same in both processes
 	return p
 }
 
 // lastingSum is the same in every process.
-func lastingSum(t *task) uint64 {
+func stableFingerprint(t *task) uint64 {
 	h := sha256.New()
 	h.Write(binary.BigEndian.AppendUint64(nil, uint64(len(t.Tenant))))
 	h.Write([]byte(t.Tenant))
@@ -61,53 +61,53 @@
 }
 
 // settlePair carries out what the half asks for. It is called under the lock, after every event.
-func (c *Core) settlePair() {
+func (c *Core) applyPairEffects() {
 	p := c.pair
 	for {
 		fx := p.side.Take()
-		if len(fx.Send) > 0 && !p.mute {
-			p.out = append(p.out, fx.Send...)
-			p.Ring()
+		if len(fx.Send) > 0 && !p.writeClosed {
+			p.outbox = append(p.outbox, fx.Send...)
+			p.Wake()
 		}
 		if fx.Out != nil {
 			if *fx.Out {
-				c.state.happens(lifecycle.Evacuate)
+				c.lifecycle.apply(lifecycle.Evacuate)
 			} else {
-				c.state.happens(lifecycle.Rejoin)
+				c.lifecycle.apply(lifecycle.Rejoin)
 			}
-			c.show()
+			c.publish()
 		}
 		if !fx.Changed {
 			return
 		}
-		close(p.bell)
-		p.bell = make(chan struct{})
+		close(p.changed)
+		p.changed = make(chan struct{})
 		if two := p.side.Pair(); two != p.shared {
 			p.shared = two
-			c.share(two)
+			c.splitLimits(two)
 		}
-		c.rise()
+		c.serveIfReady()
 	}
 }
 
 // share plans with a part of the limits while there are two processes.
-func (c *Core) share(two bool) {
+func (c *Core) splitLimits(two bool) {
 	part := 1
 	if two {
 		part = 2
 	}
-	c.keys.limit, c.maxTasks = c.pair.limits[0]/part, max(32, c.pair.limits[1]/part)
-	if err := c.retune(*c.set.Load()); err != nil {
+	c.keys.maxBytes, c.maxTasks = c.pair.limits[0]/part, max(32, c.pair.limits[1]/part)
+	if err := c.reconfigure(*c.settings.Load()); err != nil {
 		events.Log(c.log, "handover.unshared", err)
 	}
 	c.pair.Shared(two)
 }
 
 // planned are the settings that the module plans with.
-func (c *Core) planned(set silverpath.Settings) silverpath.Settings {
+func (c *Core) plannedSettings(set silverpath.Settings) silverpath.Settings {
 	if c.pair != nil && c.pair.shared {
-		set.MemoryKB *= pairMemory
-		set.MaxRunsPerCore = max(1, set.MaxRunsPerCore*pairCrowd)
+		set.MemoryKB *= pairMemoryShare
+		set.MaxRunsPerCore = max(1, set.MaxRunsPerCore*pairRunsShare)
 	}
 	return set
 }
@@ -115,7 +115,7 @@
 // ---- What the link tells ----
 
 // Risen is closed when this process may take requests.
-func (c *Core) Risen() <-chan struct{} { return c.pair.risen }
+func (c *Core) PairReady() <-chan struct{} { return c.pair.readyChannel }
 
 // PairRole is what this process is to the other.
 func (c *Core) PairRole() hotrestart.Role {
@@ -133,15 +133,15 @@
 
 // PairPlaced is told when this process took one of the two places.
 func (c *Core) PairPlaced(stamp int64, slot int) {
-	c.onPair(func(s *hotrestart.Side) { s.Placed(stamp, slot) })
+	c.updatePair(func(s *hotrestart.Side) { s.Placed(stamp, slot) })
 }
 
 // PairOther is told that there is another process.
-func (c *Core) PairOther() { c.onPair(func(s *hotrestart.Side) { s.Other() }) }
+func (c *Core) PairOther() { c.updatePair(func(s *hotrestart.Side) { s.Other() }) }
 
 // PairAlone is told that there is no other process, or none any more; marked as of its stamp.
 func (c *Core) PairAlone(marked func(stamp int64) bool) {
-	c.onPair(func(s *hotrestart.Side) {
+	c.updatePair(func(s *hotrestart.Side) {
 		was := s.Role()
 		s.Alone(s.Peer() != 0 && marked(s.Peer()), c.windowEnd())
 		if was != s.Role() && s.Blind() > time.Now().UnixNano() {
@@ -153,17 +153,17 @@
 // windowEnd is when the last try that may repeat a run of before now reaches the machine, in Unix nanoseconds.
 func (c *Core) windowEnd() int64 {
 	longest := time.Duration(0)
-	for _, k := range c.set.Load().Classes {
+	for _, k := range c.settings.Load().Classes {
 		longest = max(longest, k.IdempotencyWindow)
 	}
-	return time.Now().Add(longest + ruleSlack).UnixNano()
+	return time.Now().Add(longest + windowSlack).UnixNano()
 }
 
 // PairLinked is told of a new link and returns its number, for PairOut.
 func (c *Core) PairLinked() (link int) {
-	c.onPair(func(s *hotrestart.Side) {
+	c.updatePair(func(s *hotrestart.Side) {
 		c.pair.link++
-		c.pair.out, c.pair.mute, link = nil, false, c.pair.link
+		c.pair.outbox, c.pair.writeClosed, link = nil, false, c.pair.link
 		s.Linked()
 	})
 	return link
@@ -171,27 +171,27 @@
 
 // PairCut is told that the link is gone, and whether what came on it may not all have been read.
 func (c *Core) PairCut(unread bool) {
-	c.onPair(func(s *hotrestart.Side) {
+	c.updatePair(func(s *hotrestart.Side) {
 		c.pair.link++
-		c.pair.out = nil
+		c.pair.outbox = nil
 		s.Cut(unread)
 	})
 }
 
 // PairMute is told that nothing can be written on a link any more, though what comes on it is still read: what would be
 // sent is not kept for a process that may be stopped for long.
-func (c *Core) PairMute(link int) {
+func (c *Core) PairWriteClosed(link int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if link == c.pair.link {
-		c.pair.out, c.pair.mute = nil, true
+		c.pair.outbox, c.pair.writeClosed = nil, true
 	}
 }
 
 // PairMessage takes a message of the other's. Where all is to be written first, clear says that the mark may then go,
 // if there were no more marks than those.
 func (c *Core) PairMessage(m hotrestart.Message) (clear bool, marks int, err error) {
-	c.onPair(func(s *hotrestart.Side) {
+	c.updatePair(func(s *hotrestart.Side) {
 		err = s.Receive(m, c.windowEnd())
 		clear, marks = s.TakeClear()
 	})
@@ -206,31 +206,31 @@
 }
 
 // errOtherLink is of a link that is not the present one, or is written on no more.
-var errOtherLink = errors.New("not a link to write on")
+var errLinkClosed = errors.New("not a link to write on")
 
 // PairOut returns what is to be sent on a link.
 func (c *Core) PairOut(link int) ([]hotrestart.Message, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if link != c.pair.link || c.pair.mute {
-		return nil, errOtherLink
+	if link != c.pair.link || c.pair.writeClosed {
+		return nil, errLinkClosed
 	}
-	out := c.pair.out
-	c.pair.out = nil
+	out := c.pair.outbox
+	c.pair.outbox = nil
 	return out, nil
 }
 
-func (c *Core) onPair(event func(s *hotrestart.Side)) {
+func (c *Core) updatePair(event func(s *hotrestart.Side)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	event(c.pair.side)
-	c.settlePair()
+	c.applyPairEffects()
 }
 
 // tellOut tells the other process whether operators have evacuated the service.
-func (c *Core) tellOut() {
-	c.onPair(func(s *hotrestart.Side) {
-		now := c.state.now()
+func (c *Core) notifyEvacuated() {
+	c.updatePair(func(s *hotrestart.Side) {
+		now := c.lifecycle.current()
 		if !now.Leaving() {
 			s.Evacuated(!now.Healthy())
 		}
@@ -241,7 +241,7 @@
 
 // claim waits until a keyed request may go on, where another process may have its key. It is called under the lock and
 // leaves it only to wait. It reports over, with the answer, where the request may not.
-func (c *Core) claim(r *Request, k silverpath.Class) (a Answer, over bool) {
+func (c *Core) claimKey(r *Request, k silverpath.Class) (a Answer, over bool) {
 	key := ""
 	if c.pair != nil {
 		key = keyOf(k, r)
@@ -250,13 +250,13 @@
 		return a, false
 	}
 	p := c.pair
-	f := hotrestart.Flight{Key: key, ID: r.ID, Sum: c.keys.sum(&task{Request: *r}), Reached: r.Reached.UnixNano(), Window: k.IdempotencyWindow,
-		Until: r.Reached.Add(k.IdempotencyWindow + k.Deadline + keyLinger).UnixNano()}
+	f := hotrestart.Flight{Key: key, ID: r.ID, Sum: c.keys.fingerprint(&task{Request: *r}), Reached: r.ReceivedAt.UnixNano(), Window: k.IdempotencyWindow,
+		Until: r.ReceivedAt.Add(k.IdempotencyWindow + k.Deadline + readDelay).UnixNano()}
 	p.side.Want(key)
 	verdict := p.side.Ask(f)
-	c.settlePair()
+	c.applyPairEffects()
 	if verdict == hotrestart.Wait {
-		verdict, a = c.await(r, f)
+		verdict, a = c.awaitKey(r, f)
 	}
 	switch verdict {
 	case hotrestart.Own:
@@ -266,35 +266,35 @@
 		c.stats.Inc("handover", "unknown_owner")
 	}
 	p.side.Done(key, f.Reached)
-	c.settlePair()
+	c.applyPairEffects()
 	return a, true
 }
 
 // await waits for the key of a request, without the lock. It returns the verdict, or Wait and the answer where the
 // request's time is up, its caller has left, or it may not even wait.
-func (c *Core) await(r *Request, f hotrestart.Flight) (hotrestart.Verdict, Answer) {
+func (c *Core) awaitKey(r *Request, f hotrestart.Flight) (hotrestart.Verdict, Answer) {
 	p := c.pair
 	switch {
-	case p.asking[r.ID] != nil || c.tasks[r.ID] != nil:
+	case p.waitingForKey[r.ID] != nil || c.tasks[r.ID] != nil:
 		return hotrestart.Wait, Answer{Outcome: Invalid}
-	case len(p.asking) >= c.maxTasks:
+	case len(p.waitingForKey) >= c.maxTasks:
 		return hotrestart.Wait, Answer{Outcome: Failed}
 	}
 	left := make(chan struct{})
-	p.asking[r.ID] = left
-	c.owed++
-	c.show()
+	p.waitingForKey[r.ID] = left
+	c.pendingAnswers++
+	c.publish()
 	c.stats.Inc("handover", "asked")
-	due := time.NewTimer(max(0, time.Until(r.Due)-backstop))
+	due := time.NewTimer(max(0, time.Until(r.Deadline)-answerMargin))
 	defer func() {
 		due.Stop()
-		delete(p.asking, r.ID)
-		c.owed--
-		c.show()
-		c.settled()
+		delete(p.waitingForKey, r.ID)
+		c.pendingAnswers--
+		c.publish()
+		c.closeIfIdle()
 	}()
 	for {
-		bell := p.bell
+		bell := p.changed
 		c.mu.Unlock()
 		a := Answer{Outcome: Expired}
 		over := true
@@ -310,7 +310,7 @@
 			return hotrestart.Wait, a
 		}
 		verdict := p.side.Ask(f)
-		c.settlePair()
+		c.applyPairEffects()
 		if verdict != hotrestart.Wait {
 			return verdict, Answer{}
 		}
@@ -318,29 +318,29 @@
 }
 
 // claimed ends a claim that let its request go on, once the request is in the table, or was turned away.
-func (c *Core) claimed(r *Request, k silverpath.Class) {
+func (c *Core) releaseClaim(r *Request, k silverpath.Class) {
 	if c.pair == nil {
 		return
 	}
 	if key := keyOf(k, r); key != "" {
-		c.pair.side.Done(key, r.Reached.UnixNano())
-		c.settlePair()
+		c.pair.side.Done(key, r.ReceivedAt.UnixNano())
+		c.applyPairEffects()
 	}
 }
 
 // noteStart is called as a run is about to begin.
-func (c *Core) noteStart(f *flight) (n hotrestart.Note, link int) {
-	if c.pair == nil || f == nil || f.entry.fresh {
+func (c *Core) notifyStart(f *execution) (n hotrestart.Note, link int) {
+	if c.pair == nil || f == nil || f.entry.read {
 		return hotrestart.None, 0
 	}
-	n = c.pair.side.Starts(f.tell())
-	c.settlePair()
+	n = c.pair.side.Starts(f.forPeer())
+	c.applyPairEffects()
 	return n, c.pair.link
 }
 
 // told makes sure that the other process hears of a run before it begins, as far as it has to. It writes, without the
 // lock, and reports false where it can't.
-func (c *Core) told(n hotrestart.Note, link int) bool {
+func (c *Core) ensureNotified(n hotrestart.Note, link int) bool {
 	if n == hotrestart.None {
 		return true
 	}
@@ -348,9 +348,9 @@
 		if c.pair.Flush(link) == nil {
 			return true
 		}
-		c.onPair(func(s *hotrestart.Side) { s.Unwritten() })
+		c.updatePair(func(s *hotrestart.Side) { s.Unwritten() })
 	}
-	if err := c.pair.Mark(); err != nil {
+	if err := c.pair.MarkUnnotified(); err != nil {
 		events.Log(c.log, "handover.no_mark", err)
 		c.stats.Inc("handover", "no_mark")
 		return false
@@ -359,45 +359,45 @@
 }
 
 // unrun ends a run that has not begun, with the answer of the step where that gives one.
-func (c *Core) unrun(t *task, s step) {
+func (c *Core) abandonRun(t *task, s event) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	s.kind, s.outcome = ended, silverpath.NotStarted
-	t.post(s)
+	s.kind, s.outcome = runEnded, silverpath.NotStarted
+	t.enqueue(s)
 }
 
 // tellEnd tells the other process how a run ended, or that it never began.
-func (c *Core) tellEnd(f *flight) {
-	if c.pair == nil || f == nil || f.entry.fresh {
+func (c *Core) notifyEnd(f *execution) {
+	if c.pair == nil || f == nil || f.entry.read {
 		return
 	}
-	if f.entry.last == f {
-		c.pair.side.Ended(f.tell())
+	if f.entry.latest == f {
+		c.pair.side.Ended(f.forPeer())
 	} else {
 		c.pair.side.Dropped(f.entry.key)
 	}
-	c.settlePair()
+	c.applyPairEffects()
 }
 
-func (c *Core) tellDrop(f *flight) {
-	if c.pair != nil && !f.entry.fresh {
+func (c *Core) notifyDropped(f *execution) {
+	if c.pair != nil && !f.entry.read {
 		c.pair.side.Dropped(f.entry.key)
-		c.settlePair()
+		c.applyPairEffects()
 	}
 }
 
 // ---- The table of keys, as the half sees it ----
 
 // tell is a run as the other process is told of it.
-func (f *flight) tell() hotrestart.Flight {
-	m := hotrestart.Flight{Key: f.entry.key, ID: f.id, Sum: f.sum, Reached: f.reached.UnixNano(), Window: f.entry.window,
-		Until: f.entry.until.UnixNano(), Theirs: f.theirs}
+func (f *execution) forPeer() hotrestart.Flight {
+	m := hotrestart.Flight{Key: f.entry.key, ID: f.requestID, Sum: f.fingerprint, Reached: f.receivedAt.UnixNano(), Window: f.entry.window,
+		Until: f.entry.expiresAt.UnixNano(), Theirs: f.peerOwned}
 	switch {
-	case f.entry.held == f || f.theirs && f.unrun:
+	case f.entry.queued == f || f.peerOwned && f.peerQueued:
 		m.Stage = hotrestart.Held
 	case !f.done:
 		m.Stage = hotrestart.Running
-	case f.ok:
+	case f.succeeded:
 		m.Stage, m.Result = hotrestart.Passed, f.result
 	default:
 		m.Stage = hotrestart.Failed
@@ -412,38 +412,38 @@
 	if e == nil {
 		return hotrestart.Flight{}, false
 	}
-	f := e.held
-	if f == nil && e.last != nil && within(time.Unix(0, reached), e.last.reached, e.window) {
-		f = e.last
+	f := e.queued
+	if f == nil && e.latest != nil && withinWindow(time.Unix(0, reached), e.latest.receivedAt, e.window) {
+		f = e.latest
 	}
 	if f == nil {
 		return hotrestart.Flight{}, false
 	}
-	return f.tell(), true
+	return f.forPeer(), true
 }
 
 func (p *pairKeys) Put(m hotrestart.Flight) {
 	c := (*Core)(p)
-	if f := c.keys.put(m, time.Now()); f != nil && f.done {
-		c.wakeJoined(f)
+	if f := c.keys.putPeer(m, time.Now()); f != nil && f.done {
+		c.completeWaiters(f)
 	}
 }
 
 func (p *pairKeys) Drop(key string) {
 	c := (*Core)(p)
-	if f := c.keys.dropTheirs(key); f != nil {
-		c.wakeJoined(f)
+	if f := c.keys.forgetPeer(key); f != nil {
+		c.completeWaiters(f)
 	}
 }
 
-func (p *pairKeys) Own() []hotrestart.Flight { return p.keys.own(time.Now()) }
+func (p *pairKeys) Own() []hotrestart.Flight { return p.keys.ownExecutions(time.Now()) }
 
 func (p *pairKeys) Keep(listed func(key string) bool) {
 	c := (*Core)(p)
 	for key, e := range c.keys.entries {
-		if f := e.last; f != nil && f.theirs && !f.done && !listed(key) {
-			c.keys.dropTheirs(key)
-			c.wakeJoined(f)
+		if f := e.latest; f != nil && f.peerOwned && !f.done && !listed(key) {
+			c.keys.forgetPeer(key)
+			c.completeWaiters(f)
 		}
 	}
 }
@@ -451,33 +451,33 @@
 func (p *pairKeys) Lost(mayHaveRun func(hotrestart.Flight) bool) {
 	c := (*Core)(p)
 	for key, e := range c.keys.entries {
-		f := e.last
-		if f == nil || !f.theirs {
+		f := e.latest
+		if f == nil || !f.peerOwned {
 			continue
 		}
 		switch {
 		case f.done:
-		case mayHaveRun(f.tell()):
-			f.done, f.ended = true, time.Now()
+		case mayHaveRun(f.forPeer()):
+			f.done, f.endedAt = true, time.Now()
 			c.stats.Inc("handover", "lost")
-			c.wakeJoined(f)
+			c.completeWaiters(f)
 		default:
-			c.keys.dropTheirs(key)
-			c.wakeJoined(f)
+			c.keys.forgetPeer(key)
+			c.completeWaiters(f)
 			continue
 		}
-		f.theirs, f.unrun = false, false
+		f.peerOwned, f.peerQueued = false, false
 	}
 }
 
 // give notes that the caller of a request that waits for its key has left.
-func (c *Core) give(id string) {
-	if c.pair == nil || c.pair.asking[id] == nil {
+func (c *Core) cancelClaim(id string) {
+	if c.pair == nil || c.pair.waitingForKey[id] == nil {
 		return
 	}
 	select {
-	case <-c.pair.asking[id]:
+	case <-c.pair.waitingForKey[id]:
 	default:
-		close(c.pair.asking[id])
+		close(c.pair.waitingForKey[id])
 	}
 }
--- a/internal/core/pair_test.go
+++ b/internal/core/peer_test.go
@@ -45,8 +45,8 @@
 	}
 	c, err := New(Config{Name: "n", MemoryMB: 64, Log: log.New(io.Discard, "", 0), Stats: &metrics.Counters{},
 		Settings: silverpath.Settings{Cores: 1, MemoryKB: 1e6, Classes: []silverpath.Class{sheets}},
-		Pair: &PairConfig{Ring: func() {}, Shared: func(bool) {},
-			Flush: func(int) error { return nil }, Mark: func() error { return nil }}})
+		Pair: &PairConfig{Wake: func() {}, Shared: func(bool) {},
+			Flush: func(int) error { return nil }, MarkUnnotified: func() error { return nil }}})
 	if err != nil {
 		w.t.Fatal(err)
 	}
@@ -54,7 +54,7 @@
 	h := &half{c: c, stamp: int64(w.seq), tries: map[string][]*task{}}
 	w.procs[i] = h
 	c.PairPlaced(h.stamp, i)
-	c.Up()
+	c.RunnerReady()
 	w.look(i)
 }
 
@@ -180,8 +180,8 @@
 		return
 	}
 	w.seq++
-	t := &task{class: sheets, bell: make(chan struct{}, 1), Request: Request{ID: fmt.Sprint("t", w.seq), Class: "oddaja", Key: key,
-		Reached: w.now, Due: w.now.Add(4 * time.Second), Body: []byte(key)}}
+	t := &task{class: sheets, wake: make(chan struct{}, 1), Request: Request{ID: fmt.Sprint("t", w.seq), Class: "oddaja", Key: key,
+		ReceivedAt: w.now, Deadline: w.now.Add(4 * time.Second), Body: []byte(key)}}
 	h.c.mu.Lock()
 	h.c.pair.side.Want(keyOf(sheets, &t.Request))
 	h.c.mu.Unlock()
@@ -207,37 +207,37 @@
 				waiting = append(waiting, t)
 				continue
 			}
-			f := hotrestart.Flight{Key: keyOf(sheets, &t.Request), ID: t.ID, Sum: c.keys.sum(t), Reached: w.now.UnixNano(),
+			f := hotrestart.Flight{Key: keyOf(sheets, &t.Request), ID: t.ID, Sum: c.keys.fingerprint(t), Reached: w.now.UnixNano(),
 				Until: w.now.Add(time.Hour).UnixNano(), Window: sheets.IdempotencyWindow}
 			v := c.pair.side.Ask(f)
-			c.settlePair()
+			c.applyPairEffects()
 			if v == hotrestart.Wait {
 				waiting = append(waiting, t)
 				continue
 			}
 			if v == hotrestart.Own {
-				if !c.keys.enter(t, 0, w.now) || t.stranger {
+				if !c.keys.resolve(t, 0, w.now) || t.keyConflict {
 					w.t.Fatalf("%s is not entered", key)
 				}
-				if t.repeats != nil && t.repeats.done && t.repeats.ok && string(t.repeats.result) != w.ran[key] {
-					w.t.Fatalf("a repeat of %s gets %q, the run's result is %q", key, t.repeats.result, w.ran[key])
+				if t.duplicateOf != nil && t.duplicateOf.done && t.duplicateOf.succeeded && string(t.duplicateOf.result) != w.ran[key] {
+					w.t.Fatalf("a repeat of %s gets %q, the run's result is %q", key, t.duplicateOf.result, w.ran[key])
 				}
 			}
 			c.pair.side.Done(f.Key, f.Reached)
-			c.settlePair()
+			c.applyPairEffects()
 		}
 		h.tries[key] = waiting
 	}
 }
 
 // find returns a process's own run of a key, where it is at a stage.
-func (w *world) find(i int, stage hotrestart.Stage, key string) *flight {
+func (w *world) find(i int, stage hotrestart.Stage, key string) *execution {
 	if w.procs[i] == nil || w.procs[i].c.keys.entries["\x00"+key] == nil {
 		return nil
 	}
 	e := w.procs[i].c.keys.entries["\x00"+key]
-	for _, f := range []*flight{e.held, e.last} {
-		if f != nil && !f.theirs && f.tell().Stage == stage {
+	for _, f := range []*execution{e.queued, e.latest} {
+		if f != nil && !f.peerOwned && f.forPeer().Stage == stage {
 			return f
 		}
 	}
@@ -275,31 +275,31 @@
 		w.drop(i, held)
 	case do == "mute" && w.linked:
 		w.mute[i] = true
-		w.procs[i].c.PairMute(w.link[i])
+		w.procs[i].c.PairWriteClosed(w.link[i])
 	case do == "evacuate" && w.procs[i] != nil:
-		w.procs[i].c.state.happens(lifecycle.Evacuate)
-		w.procs[i].c.tellOut()
+		w.procs[i].c.lifecycle.apply(lifecycle.Evacuate)
+		w.procs[i].c.notifyEvacuated()
 	case do == "rejoin" && w.procs[i] != nil:
-		w.procs[i].c.state.happens(lifecycle.Rejoin)
-		w.procs[i].c.tellOut()
+		w.procs[i].c.lifecycle.apply(lifecycle.Rejoin)
+		w.procs[i].c.notifyEvacuated()
 	}
 }
 
 // run begins a run, as far as the other process has to hear of it first.
-func (w *world) run(i int, f *flight, cutBefore bool) {
+func (w *world) run(i int, f *execution, cutBefore bool) {
 	c := w.procs[i].c
-	t := &task{class: sheets, flight: f, Request: Request{ID: f.id, Class: "oddaja", Key: f.entry.key[1:]}}
+	t := &task{class: sheets, execution: f, Request: Request{ID: f.requestID, Class: "oddaja", Key: f.entry.key[1:]}}
 	c.mu.Lock()
-	if !c.keys.start(t) {
+	if !c.keys.begin(t) {
 		w.t.Fatalf("%s does not start", t.Key)
 	}
-	note, link := c.noteStart(f)
+	note, link := c.notifyStart(f)
 	c.mu.Unlock()
 	if cutBefore {
 		w.cut(1 - i)
 	}
 	if note == hotrestart.Written && !w.flush(i, link) {
-		c.onPair(func(s *hotrestart.Side) { s.Unwritten() })
+		c.updatePair(func(s *hotrestart.Side) { s.Unwritten() })
 		note = hotrestart.Marked
 	}
 	if note == hotrestart.Marked {
@@ -308,26 +308,26 @@
 	if first, twice := w.ran[t.Key]; twice {
 		w.t.Fatalf("%s runs twice: %q is there", t.Key, first)
 	}
-	w.ran[t.Key] = "result of " + f.id
+	w.ran[t.Key] = "result of " + f.requestID
 }
 
-func (w *world) end(i int, f *flight, ok bool) {
+func (w *world) end(i int, f *execution, ok bool) {
 	c := w.procs[i].c
 	c.mu.Lock()
 	out := silverpath.Failed
 	if ok {
 		out = silverpath.OK
 	}
-	c.keys.done(f, out, []byte("result of "+f.id), w.now)
-	c.tellEnd(f)
+	c.keys.finish(f, out, []byte("result of "+f.requestID), w.now)
+	c.notifyEnd(f)
 	c.mu.Unlock()
 	w.flush(i, w.link[i])
 }
 
-func (w *world) drop(i int, f *flight) {
+func (w *world) drop(i int, f *execution) {
 	c := w.procs[i].c
 	c.mu.Lock()
-	c.release(&task{class: sheets, flight: f})
+	c.releaseKey(&task{class: sheets, execution: f})
 	c.mu.Unlock()
 	w.flush(i, w.link[i])
 }
@@ -432,8 +432,8 @@
 					t.Fatalf("%s: it takes itself for blind", step)
 				}
 				w.step(do, i, key)
-				if h := w.procs[i]; h != nil && w.mute[i] && len(h.c.pair.out) > 0 {
-					t.Fatalf("%s: %d messages are kept for nobody", step, len(h.c.pair.out))
+				if h := w.procs[i]; h != nil && w.mute[i] && len(h.c.pair.outbox) > 0 {
+					t.Fatalf("%s: %d messages are kept for nobody", step, len(h.c.pair.outbox))
 				}
 			}
 		})
--- a/internal/core/keep.go
+++ b/internal/core/persistence.go
@@ -10,7 +10,7 @@
 
 // Keeper keeps the runs of keyed requests where they outlive the process: the package store. No method blocks. What was asked
 // for is told to done once it lasts, or with an error where that is not known, and never under the core's lock.
-type Keeper interface {
+type Store interface {
 	// Since is from when on, in Unix milliseconds, every run is known.
 	Since() int64
 	// Begins is what becomes of a new sheet that has so much time.
@@ -26,26 +26,26 @@
 }
 
 // Keep has runs kept from now on. It is called before the first request.
-func (c *Core) Keep(k Keeper) {
+func (c *Core) UseStore(k Store) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.keeper = k
-	c.keys.sum = lastingSum
-	c.gate(k.Begins)
+	c.store = k
+	c.keys.fingerprint = stableFingerprint
+	c.addGate(k.Begins)
 }
 
 // Gate has one more say what becomes of a new sheet that has so much time. It is called before the first request.
-func (c *Core) Gate(begins func(left time.Duration) idempotency.Verdict) {
+func (c *Core) AddGate(begins func(left time.Duration) idempotency.Verdict) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.gate(begins)
+	c.addGate(begins)
 }
 
-func (c *Core) gate(begins func(left time.Duration) idempotency.Verdict) {
-	before := c.keys.begins
-	c.keys.begins = func(t *task) idempotency.Verdict {
-		v := begins(time.Until(t.Due))
-		if t.Known && v.Do == idempotency.Refuse { // it is not to run here: only whether it is known is asked
+func (c *Core) addGate(begins func(left time.Duration) idempotency.Verdict) {
+	before := c.keys.admitFirst
+	c.keys.admitFirst = func(t *task) idempotency.Verdict {
+		v := begins(time.Until(t.Deadline))
+		if t.OnlyIfKnown && v.Do == idempotency.Refuse { // it is not to run here: only whether it is known is asked
 			v = idempotency.Verdict{}
 		}
 		if v.Do == idempotency.Begin && before != nil {
@@ -57,57 +57,57 @@
 
 // RanUntil has routers told until when, in Unix milliseconds and at the latest, an earlier process of this service may have run
 // sheets that are not known here. It is called before the first request.
-func (c *Core) RanUntil(wall int64) { c.ranUntil = wall }
+func (c *Core) SetUnknownRunsUntil(wall int64) { c.unknownRunsUntil = wall }
 
 // Ran is what RanUntil was told, 0 for nothing.
-func (c *Core) Ran() int64 { return c.ranUntil }
+func (c *Core) UnknownRunsUntil() int64 { return c.unknownRunsUntil }
 
 // turnedAway is the answer to a new sheet that may not begin.
-func (c *Core) turnedAway(v idempotency.Verdict) Answer {
+func (c *Core) verdictAnswer(v idempotency.Verdict) Answer {
 	if v.Do != idempotency.Refuse {
 		return Answer{Outcome: Failed}
 	}
-	return Answer{Outcome: Refused, Wait: min(v.Wait, c.set.Load().MaxRetryAfter)}
+	return Answer{Outcome: Rejected, RetryAfter: min(v.Wait, c.settings.Load().MaxRetryAfter)}
 }
 
 // record is a run as it is kept, without its result.
-func (f *flight) record() idempotency.Record {
-	return idempotency.Record{Seq: f.seq, Key: f.entry.key, ID: f.id, Sum: f.sum, Window: f.entry.window}
+func (f *execution) storeRecord() idempotency.Record {
+	return idempotency.Record{Seq: f.recordSeq, Key: f.entry.key, ID: f.requestID, Sum: f.fingerprint, Window: f.entry.window}
 }
 
 // promises has it kept that a sheet is about to run. It reports false where nothing is kept; else promised follows.
-func (c *Core) promises(t *task) bool {
-	if c.keeper == nil || !t.sheet() {
+func (c *Core) persistStart(t *task) bool {
+	if c.store == nil || !t.idempotent() {
 		return false
 	}
 	c.mu.Lock()
-	f := t.flight
-	r := f.record()
+	f := t.execution
+	r := f.storeRecord()
 	// Under the lock, so that nobody lists the runs that are kept without this one.
-	v := c.keeper.Promise(&r, f.reached, f.entry.until, time.Until(t.Due), func(err error) {
-		c.tell(t.ID, step{kind: promised, err: err})
+	v := c.store.Promise(&r, f.receivedAt, f.entry.expiresAt, time.Until(t.Deadline), func(err error) {
+		c.deliver(t.ID, event{kind: startPersisted, err: err})
 	})
-	f.seq = r.Seq
+	f.recordSeq = r.Seq
 	c.mu.Unlock()
 	if v.Do != idempotency.Begin {
 		c.stats.Inc("turned_away", t.Front, v.Why)
-		c.unrun(t, step{given: true, answer: c.turnedAway(v)})
+		c.abandonRun(t, event{hasAnswer: true, answer: c.verdictAnswer(v)})
 	}
 	return true
 }
 
 // begun reports whether a promised sheet may run. It may not where the promise is not known to last, and need not where nobody
 // waits any more.
-func (c *Core) begun(t *task, s step) bool {
+func (c *Core) mayStartPersisted(t *task, s event) bool {
 	c.mu.Lock()
-	owes := t.word == owed
+	owes := t.response == responsePending
 	c.mu.Unlock()
 	switch {
 	case s.err != nil:
 		c.stats.Inc("turned_away", t.Front, idempotency.WhyFailing)
-		c.unrun(t, step{given: true, answer: c.turnedAway(idempotency.Verdict{Do: idempotency.Refuse, Why: idempotency.WhyFailing, Wait: c.Advice()})})
+		c.abandonRun(t, event{hasAnswer: true, answer: c.verdictAnswer(idempotency.Verdict{Do: idempotency.Refuse, Why: idempotency.WhyFailing, Wait: c.RetryAfter()})})
 	case !owes:
-		c.unrun(t, step{})
+		c.abandonRun(t, event{})
 	default:
 		return true
 	}
@@ -115,75 +115,75 @@
 }
 
 // saves has the result of a sheet kept before its answer leaves. It reports false where there is none to keep, or it was.
-func (c *Core) saves(t *task, s step) bool {
-	if c.keeper == nil || s.kept || s.outcome != silverpath.OK {
+func (c *Core) persistResult(t *task, s event) bool {
+	if c.store == nil || s.persisted || s.outcome != silverpath.OK {
 		return false
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	f := t.flight
-	if !t.running || f == nil || f.seq == 0 || f.done {
+	f := t.execution
+	if !t.running || f == nil || f.recordSeq == 0 || f.done {
 		return false
 	}
-	f.saving = s.data
-	r := f.record()
+	f.persistingResult = s.data
+	r := f.storeRecord()
 	r.Result = s.data
-	c.keeper.Result(&r, f.reached, f.entry.until, func(err error) {
-		s.kept = true
+	c.store.Result(&r, f.receivedAt, f.entry.expiresAt, func(err error) {
+		s.persisted = true
 		if err != nil { // what does not last is not told: after a restart nobody could tell it again
 			events.Log(c.log, "store.result_lost", t.Class, t.ID, err)
 			c.stats.Inc("store", "result_lost")
 			s.outcome, s.data = silverpath.Failed, nil
 			c.mu.Lock()
-			f.saving = nil // before all is written anew
+			f.persistingResult = nil // before all is written anew
 			c.mu.Unlock()
 		}
-		c.tell(t.ID, s)
+		c.deliver(t.ID, s)
 	})
 	return true
 }
 
 // keptEnd notes how a run that is kept ended. It is called under the lock.
-func (c *Core) keptEnd(f *flight, o silverpath.Outcome) {
-	if c.keeper == nil || f == nil || f.seq == 0 {
+func (c *Core) recordEnd(f *execution, o silverpath.Outcome) {
+	if c.store == nil || f == nil || f.recordSeq == 0 {
 		return
 	}
-	f.saving = nil
+	f.persistingResult = nil
 	switch o {
 	case silverpath.OK: // kept already
 	case silverpath.NotStarted:
-		c.keeper.Withdraw(f.seq)
+		c.store.Withdraw(f.recordSeq)
 	default:
-		c.keeper.Failed(f.seq)
+		c.store.Failed(f.recordSeq)
 	}
 }
 
 // markMoved has it kept that a key that was asked for runs elsewhere, before whoever asked is told. It is called under the lock.
-func (c *Core) markMoved(t *task, a *Answer) {
-	if c.keeper == nil {
+func (c *Core) persistMoved(t *task, a *Answer) {
+	if c.store == nil {
 		return
 	}
 	e := c.keys.entries[keyOf(t.class, &t.Request)]
 	r := idempotency.Record{Key: e.key, Window: t.class.IdempotencyWindow}
 	lasts := make(chan error, 1)
-	if v := c.keeper.Mark(&r, e.moved, func(err error) { lasts <- err }); v.Do != idempotency.Begin {
+	if v := c.store.Mark(&r, e.movedUntil, func(err error) { lasts <- err }); v.Do != idempotency.Begin {
 		*a = Answer{Outcome: Failed}
 		return
 	}
-	e.mark, a.lasts = r.Seq, lasts
-	c.owed++
+	e.movedRecord, a.persisted = r.Seq, lasts
+	c.pendingAnswers++
 }
 
 // lasting waits until what an answer says lasts, where it has to.
-func (c *Core) lasting(r Request, a Answer) Answer {
-	if a.lasts == nil {
+func (c *Core) awaitPersisted(r Request, a Answer) Answer {
+	if a.persisted == nil {
 		return a
 	}
-	defer c.paid()
-	due := time.NewTimer(max(0, time.Until(r.Due)-backstop))
+	defer c.answerSent()
+	due := time.NewTimer(max(0, time.Until(r.Deadline)-answerMargin))
 	defer due.Stop()
 	select {
-	case err := <-a.lasts:
+	case err := <-a.persisted:
 		if err != nil {
 			return Answer{Outcome: Failed}
 		}
@@ -197,9 +197,9 @@
 
 // LongestWindow is how long after a run a try of it may come, for all classes.
 func (c *Core) LongestWindow() (longest time.Duration) {
-	for _, k := range c.set.Load().Classes {
+	for _, k := range c.settings.Load().Classes {
 		if k.Effect == silverpath.Idempotent {
-			longest = max(longest, k.IdempotencyWindow+k.Deadline+keyLinger+ruleSlack)
+			longest = max(longest, k.IdempotencyWindow+k.Deadline+readDelay+windowSlack)
 		}
 	}
 	return longest
@@ -219,20 +219,20 @@
 func (k *keyTable) restore(r *idempotency.Record, at func(time.Duration) time.Time, now time.Time) {
 	e := k.entries[r.Key]
 	if e == nil {
-		e = &entry{key: r.Key, size: entryBytes + len(r.Key)}
+		e = &keyEntry{key: r.Key, bytes: entryBytes + len(r.Key)}
 		k.entries[r.Key] = e
-		k.size += e.size
+		k.bytes += e.bytes
 	}
-	e.until, e.window = later(e.until, at(r.Until)), max(e.window, r.Window)
+	e.expiresAt, e.window = later(e.expiresAt, at(r.Until)), max(e.window, r.Window)
 	if r.State == idempotency.Moved {
-		e.moved, e.mark = later(e.moved, at(r.Until)), r.Seq
+		e.movedUntil, e.movedRecord = later(e.movedUntil, at(r.Until)), r.Seq
 		return
 	}
 	k.supersede(e)
-	e.last = &flight{id: r.ID, sum: r.Sum, entry: e, reached: at(r.Reached), done: true, ok: r.State == idempotency.Done,
-		result: r.Result, ended: now, seq: r.Seq}
-	e.size += len(r.Result)
-	k.size += len(r.Result)
+	e.latest = &execution{requestID: r.ID, fingerprint: r.Sum, entry: e, receivedAt: at(r.Reached), done: true, succeeded: r.State == idempotency.Done,
+		result: r.Result, endedAt: now, recordSeq: r.Seq}
+	e.bytes += len(r.Result)
+	k.bytes += len(r.Result)
 }
 
 // Kept are the runs that are kept, as they stand.
@@ -242,24 +242,24 @@
 	now := time.Now()
 	list := make([]idempotency.Record, 0, len(c.keys.entries))
 	for _, e := range c.keys.entries {
-		if now.After(e.until) {
+		if now.After(e.expiresAt) {
 			continue
 		}
-		if f := e.last; f != nil && f.seq != 0 {
-			r := f.record()
-			r.State, r.At, r.Reached, r.Until = idempotency.Running, since(now), since(f.reached), since(e.until)
+		if f := e.latest; f != nil && f.recordSeq != 0 {
+			r := f.storeRecord()
+			r.State, r.At, r.Reached, r.Until = idempotency.Running, since(now), since(f.receivedAt), since(e.expiresAt)
 			switch {
-			case f.done && f.ok:
+			case f.done && f.succeeded:
 				r.State, r.Result = idempotency.Done, f.result
 			case f.done:
 				r.State = idempotency.Failed
-			case f.saving != nil:
-				r.State, r.Result = idempotency.Done, f.saving
+			case f.persistingResult != nil:
+				r.State, r.Result = idempotency.Done, f.persistingResult
 			}
 			list = append(list, r)
 		}
-		if e.mark != 0 && now.Before(e.moved) {
-			list = append(list, idempotency.Record{Seq: e.mark, State: idempotency.Moved, Key: e.key, Window: e.window, At: since(now), Until: since(e.moved)})
+		if e.movedRecord != 0 && now.Before(e.movedUntil) {
+			list = append(list, idempotency.Record{Seq: e.movedRecord, State: idempotency.Moved, Key: e.key, Window: e.window, At: since(now), Until: since(e.movedUntil)})
 		}
 	}
 	return list
--- a/internal/core/guard_test.go
+++ b/internal/core/pools_test.go
@@ -57,7 +57,7 @@
 		if err := c.Attach(r, nil); err != nil {
 			t.Fatal(err)
 		}
-		c.Up()
+		c.RunnerReady()
 		test(c, r, counters, func() string {
 			mu.Lock()
 			defer mu.Unlock()
@@ -66,7 +66,7 @@
 		time.Sleep(time.Minute)
 		c.Stop()
 		for i := range 2000 {
-			c.Ended(fmt.Sprint("a", i), silverpath.Failed, 0, nil)
+			c.RunEnded(fmt.Sprint("a", i), silverpath.Failed, 0, nil)
 		}
 		time.Sleep(time.Minute)
 	})
@@ -90,7 +90,7 @@
 
 func ask(c *Core, id, class string, answer func(Answer)) {
 	now := time.Now()
-	go c.Serve(Request{Front: "test", ID: id, Class: class, HeldKB: 1, Reached: now, Due: now.Add(4 * time.Second)}, answer)
+	go c.Serve(Request{Front: "test", ID: id, Class: class, MemoryKB: 1, ReceivedAt: now, Deadline: now.Add(4 * time.Second)}, answer)
 }
 
 // While a flood of a class is turned away on arrival its door is shut: what comes then is refused unread, the module
@@ -103,7 +103,7 @@
 			}
 			time.Sleep(400 * time.Millisecond)
 			for i := range 2 {
-				c.Ended(fmt.Sprintf("w%d-%d", round, i), silverpath.OK, 400*time.Millisecond, nil)
+				c.RunEnded(fmt.Sprintf("w%d-%d", round, i), silverpath.OK, 400*time.Millisecond, nil)
 			}
 			synctest.Wait()
 		}
@@ -112,23 +112,23 @@
 			ask(c, fmt.Sprint("a", i), "lestvica", func(a Answer) { refused <- a })
 		}
 		synctest.Wait()
-		a, shut := c.Shut("test", "lestvica")
+		a, shut := c.RejectsUnread("test", "lestvica")
 		want := <-refused // who is turned away unread hears what the module said to those just before
-		if !shut || a.Outcome != Refused || a.Wait != want.Wait || a.Final != want.Final || a.Wait <= 0 {
+		if !shut || a.Outcome != Rejected || a.RetryAfter != want.RetryAfter || a.Final != want.Final || a.RetryAfter <= 0 {
 			t.Errorf("%+v, %v after %d refusals", a, shut, len(refused))
 		}
-		if _, shut := c.Shut("test", "oddaja"); shut {
+		if _, shut := c.RejectsUnread("test", "oddaja"); shut {
 			t.Error("a sheets class is shut")
 		}
 		time.Sleep(25 * time.Millisecond)
-		if _, shut := c.Shut("test", "lestvica"); shut {
+		if _, shut := c.RejectsUnread("test", "lestvica"); shut {
 			t.Error("still shut after a tick")
 		}
 		time.Sleep(50 * time.Millisecond)
 		if n := s.Get("unread", "test", "lestvica"); n != 1 {
 			t.Errorf("%d counted", n)
 		}
-		if n := c.allDoors()["lestvica"].turned.Load(); n != 0 {
+		if n := c.allGates()["lestvica"].unread.Load(); n != 0 {
 			t.Errorf("the module has not heard of %d", n)
 		}
 	})
@@ -154,8 +154,8 @@
 		if l := logged(); !strings.Contains(l, "pools: memory scarce: 0.85 booked") || !strings.Contains(l, "pools: limit 2.0") {
 			t.Errorf("logged %q", l)
 		}
-		if c.MostBody(2048) != 512 {
-			t.Errorf("bodies of up to %d are taken", c.MostBody(2048))
+		if c.MaxBody(2048) != 512 {
+			t.Errorf("bodies of up to %d are taken", c.MaxBody(2048))
 		}
 		bad := two()
 		bad.Pools[0].Floor = 3
@@ -172,7 +172,7 @@
 		try := func(id, key string) Answer {
 			got := make(chan Answer, 1)
 			now := time.Now()
-			go c.Serve(Request{Front: "test", ID: id, Class: "oddaja", Key: key, HeldKB: 1, Reached: now, Due: now.Add(4 * time.Second)},
+			go c.Serve(Request{Front: "test", ID: id, Class: "oddaja", Key: key, MemoryKB: 1, ReceivedAt: now, Deadline: now.Add(4 * time.Second)},
 				func(a Answer) { got <- a })
 			synctest.Wait()
 			select {
@@ -185,14 +185,14 @@
 		if a := try("s1", "k1"); a.Outcome != -1 {
 			t.Fatalf("%+v before the run has ended", a)
 		}
-		c.Ended("s1", silverpath.OK, time.Millisecond, []byte("scored"))
+		c.RunEnded("s1", silverpath.OK, time.Millisecond, []byte("scored"))
 		synctest.Wait()
 		r.mu.Lock()
 		r.memory = 0.95
 		r.mu.Unlock()
 		time.Sleep(200 * time.Millisecond)
 		for i := range 20 {
-			if a := try(fmt.Sprint("new", i), fmt.Sprint("other", i)); a.Outcome != Refused || a.Wait == 0 {
+			if a := try(fmt.Sprint("new", i), fmt.Sprint("other", i)); a.Outcome != Rejected || a.RetryAfter == 0 {
 				t.Fatalf("a new sheet: %+v", a)
 			}
 			if a := try(fmt.Sprint("again", i), "k1"); a.Outcome != Served || string(a.Body) != "scored" {
@@ -223,30 +223,30 @@
 		}
 		send("a0", "lestvica")
 		send("a1", "lestvica")
-		if p := c.guard.State(c.clock()).Pools; p[1].Used != 2 {
+		if p := c.pools.State(c.clock()).Pools; p[1].Used != 2 {
 			t.Fatalf("the borrower has %d of 2 runs", p[1].Used)
 		}
 		c.Drain(5 * time.Second)
 		send("s0", "oddaja")
-		c.Ended("a0", silverpath.OK, time.Millisecond, []byte("x"))
+		c.RunEnded("a0", silverpath.OK, time.Millisecond, []byte("x"))
 		synctest.Wait()
-		if p := c.guard.State(c.clock()).Pools; p[0].Used != 1 {
+		if p := c.pools.State(c.clock()).Pools; p[0].Used != 1 {
 			t.Errorf("the lender has %d runs once a borrower has ended", p[0].Used)
 		}
-		c.Ended("a1", silverpath.OK, time.Millisecond, []byte("x"))
-		c.Ended("s0", silverpath.OK, time.Millisecond, []byte("x"))
+		c.RunEnded("a1", silverpath.OK, time.Millisecond, []byte("x"))
+		c.RunEnded("s0", silverpath.OK, time.Millisecond, []byte("x"))
 		time.Sleep(time.Second) // past the window
 		send("s1", "oddaja")
 		mu.Lock()
 		defer mu.Unlock()
-		want := map[string]Outcome{"a0": Served, "a1": Served, "s0": Served, "s1": Refused}
+		want := map[string]Outcome{"a0": Served, "a1": Served, "s0": Served, "s1": Rejected}
 		for id, o := range want {
 			if got[id] != o {
 				t.Errorf("%s: %v, want %v", id, got[id], o)
 			}
 		}
-		if c.Owed() != 0 {
-			t.Errorf("%d answers are owed", c.Owed())
+		if c.PendingAnswers() != 0 {
+			t.Errorf("%d answers are owed", c.PendingAnswers())
 		}
 	})
 }
--- a/internal/core/rules.go
+++ b/internal/core/rules.go
@@ -15,48 +15,48 @@
 
 // Heard takes what a router says of its rules as it looks after this server: which document it goes by, from which source, and
 // the terms that it names.
-func (c *Core) Heard(id, source string, terms configstore.Terms) {
+func (c *Core) ObserveRules(id, source string, terms configstore.Terms) {
 	of, ok := configstore.ParseID(id)
 	if !ok || !c.cell || Unfenced {
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.rules.ExtendTerms(terms)
-	c.heard(of, source)
-	c.stats.Set(uint64(c.rules.Terms().ConflictBound().Milliseconds()), "rules", "bound_ms")
-	c.stats.Set(uint64(c.rules.LongestOutdated().Milliseconds()), "rules", "longest_ms")
+	c.observedRules.ExtendTerms(terms)
+	c.observeRules(of, source)
+	c.stats.Set(uint64(c.observedRules.Terms().ConflictBound().Milliseconds()), "rules", "bound_ms")
+	c.stats.Set(uint64(c.observedRules.LongestOutdated().Milliseconds()), "rules", "longest_ms")
 }
 
 // heard is called under the lock.
-func (c *Core) heard(of configstore.ID, source string) {
-	was, _ := c.rules.Newest()
-	switch c.rules.Observe(c.clock(), of, source) {
+func (c *Core) observeRules(of configstore.ID, source string) {
+	was, _ := c.observedRules.Newest()
+	switch c.observedRules.Observe(c.clock(), of, source) {
 	case configstore.NewerVersion:
 		events.Log(c.log, "rules.newer", of, was.ID, source)
 	case configstore.ConflictFound:
 		c.stats.Inc("rules", "contradictions")
-		n, words := c.rules.Conflict()
+		n, words := c.observedRules.Conflict()
 		events.Log(c.log, "rules.contradiction", n, words)
 	}
 }
 
 // judge tells why nothing new may begin by the rules that a sheet was sent by, empty for nothing. It is called under the lock.
-func (c *Core) judge(r *Request) string {
-	if bar := c.bar.Load(); bar != nil && !Unfenced {
+func (c *Core) blockReason(r *Request) string {
+	if bar := c.blockRule.Load(); bar != nil && !Unfenced {
 		if why := (*bar)(r.Class, r.Tenant); why != "" {
 			return why
 		}
 	}
-	if r.Rules == "" || !c.cell || Unfenced {
+	if r.RulesID == "" || !c.cell || Unfenced {
 		return ""
 	}
-	of, ok := configstore.ParseID(r.Rules)
+	of, ok := configstore.ParseID(r.RulesID)
 	if !ok {
 		return ""
 	}
-	c.heard(of, r.Source)
-	v := c.rules.Check(c.clock(), of)
+	c.observeRules(of, r.RulesSource)
+	v := c.observedRules.Check(c.clock(), of)
 	if v == configstore.VerdictValid {
 		return ""
 	}
@@ -64,22 +64,22 @@
 }
 
 // Bar sets who is asked why no sheet of a class and a tenant begins; empty where one may. It is called before the first request.
-func (c *Core) Bar(why func(class, tenant string) string) { c.bar.Store(&why) }
+func (c *Core) SetBlockRule(why func(class, tenant string) string) { c.blockRule.Store(&why) }
 
 // RulesTold is what a router is told of the rules that this server has heard of, as names and values in turn.
-func (c *Core) RulesTold() (pairs []string) {
+func (c *Core) RulesNotice() (pairs []string) {
 	if !c.cell || Unfenced {
 		return nil
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if top, ok := c.rules.Newest(); ok {
+	if top, ok := c.observedRules.Newest(); ok {
 		pairs = append(pairs, "g", top.ID.String(), "gn", top.Source)
 	}
-	if n, words := c.rules.Conflict(); words != "" {
+	if n, words := c.observedRules.Conflict(); words != "" {
 		pairs = append(pairs, "gc", strconv.Itoa(n)+" "+words)
 	}
-	if d := c.rules.SuspendedFor(c.clock()); d > 0 {
+	if d := c.observedRules.SuspendedFor(c.clock()); d > 0 {
 		pairs = append(pairs, "gq", strconv.FormatInt(d.Milliseconds(), 10))
 	}
 	return pairs
@@ -89,7 +89,7 @@
 func (c *Core) rulesStatus(a *fastjson.Arena) *fastjson.Value {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return RulesStatus(a, &c.rules, c.clock())
+	return RulesStatus(a, &c.observedRules, c.clock())
 }
 
 // RulesStatus is what a process has heard of the rules, for operators.
--- a/internal/core/retune.go
+++ b/internal/core/settings.go
@@ -8,7 +8,7 @@
 
 // bounded are the settings as this host can keep them: the interpreter's protocol stops no run and goes on without no
 // call, whatever a site would allow.
-func bounded(set silverpath.Settings) silverpath.Settings {
+func supportedSettings(set silverpath.Settings) silverpath.Settings {
 	set.Preemption = silverpath.PreemptNone
 	set.Classes = append([]silverpath.Class(nil), set.Classes...)
 	for i := range set.Classes {
@@ -18,24 +18,24 @@
 }
 
 // Retune takes up other settings, whole or not at all. Requests in hand keep the class they came with.
-func (c *Core) Retune(settings silverpath.Settings) error {
+func (c *Core) Reconfigure(settings silverpath.Settings) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.retune(bounded(settings))
+	return c.reconfigure(supportedSettings(settings))
 }
 
-func (c *Core) retune(set silverpath.Settings) error {
+func (c *Core) reconfigure(set silverpath.Settings) error {
 	if c.module == nil {
 		return nil
 	}
 	var err error
-	c.decide(func(m *silverpath.Shedder, now time.Duration) { err = m.Reconfigure(now, c.planned(set)) })
+	c.decide(func(m *silverpath.Shedder, now time.Duration) { err = m.Reconfigure(now, c.plannedSettings(set)) })
 	if err != nil {
 		return err
 	}
-	c.set.Store(&set)
-	if c.guard != nil {
-		c.hang(set)
+	c.settings.Store(&set)
+	if c.pools != nil {
+		c.setGates(set)
 	}
 	return nil
 }
--- a/internal/core/status.go
+++ b/internal/core/status.go
@@ -9,7 +9,7 @@
 )
 
 // TellsStatus reports whether fronts answer requests for the state of the service.
-func (c *Core) TellsStatus() bool { return c.tellStatus }
+func (c *Core) ServesStatus() bool { return c.servesStatus }
 
 // Status is the state of the service as a JSON object. Like everything cheap it reads the view, not the module.
 func (c *Core) Status() []byte {
@@ -25,8 +25,8 @@
 	o.Set("name", a.NewString(c.name))
 	o.Set("phase", a.NewString(v.Phase.String()))
 	o.Set("health", truth(v.Health))
-	o.Set("up_s", a.NewNumberFloat64(time.Since(c.base).Round(time.Millisecond).Seconds()))
-	o.Set("owed", a.NewNumberInt(v.Owed))
+	o.Set("up_s", a.NewNumberFloat64(time.Since(c.startedAt).Round(time.Millisecond).Seconds()))
+	o.Set("owed", a.NewNumberInt(v.PendingAnswers))
 	o.Set("in_hand", a.NewNumberInt(v.InHand))
 	g := a.NewObject()
 	for i, name := range []string{"core_use", "on_cores", "memory"} {
@@ -71,7 +71,7 @@
 	if c.cell {
 		o.Set("rules", c.rulesStatus(&a))
 	}
-	for name, part := range c.extra {
+	for name, part := range c.statusParts {
 		if p, err := fastjson.ParseBytes(part()); err == nil {
 			o.Set(name, p)
 		}
--- a/internal/core/window_test.go
+++ b/internal/core/window_test.go
@@ -9,9 +9,9 @@
 func TestWithin(t *testing.T) {
 	const window = 2 * time.Second
 	ran := time.Now()
-	for apart, want := range map[time.Duration]bool{0: true, window: true, window + ruleSlack: true, window + ruleSlack + 1: false} {
+	for apart, want := range map[time.Duration]bool{0: true, window: true, window + windowSlack: true, window + windowSlack + 1: false} {
 		for _, reached := range []time.Time{ran.Add(apart), ran.Add(-apart)} {
-			if got := within(reached, ran, window); got != want {
+			if got := withinWindow(reached, ran, window); got != want {
 				t.Errorf("%v after the run: %v", reached.Sub(ran), got)
 			}
 		}
--- a/internal/proxy/cold_test.go
+++ b/internal/proxy/cold_test.go
@@ -31,7 +31,7 @@
 	w.mu.Lock()
 	w.runs++
 	w.mu.Unlock()
-	time.AfterFunc(20*time.Millisecond, func() { w.Ended(id, silverpath.OK, 20*time.Millisecond, body) })
+	time.AfterFunc(20*time.Millisecond, func() { w.RunEnded(id, silverpath.OK, 20*time.Millisecond, body) })
 }
 func (w *counting) Resume(string, []byte) {}
 func (w *counting) Probe()                { w.Gauges(silverpath.Gauges{}) }
@@ -54,7 +54,7 @@
 				t.Fatal(err)
 			}
 			c.Started(cold, 0)
-			c.Up()
+			c.RunnerReady()
 			ln, err := net.Listen("tcp", "127.0.0.1:0")
 			if err != nil {
 				t.Fatal(err)
@@ -77,7 +77,7 @@
 				for k := range 10 { // requests that each router wants out at once
 					all.Go(func() {
 						for i := 0; ctx.Err() == nil; i++ {
-							q := core.Request{ID: fmt.Sprintf("%d-%d-%d", n, k, i), Class: "read", Reached: time.Now(), Due: time.Now().Add(4 * time.Second), HeldKB: 1}
+							q := core.Request{ID: fmt.Sprintf("%d-%d-%d", n, k, i), Class: "read", ReceivedAt: time.Now(), Deadline: time.Now().Add(4 * time.Second), MemoryKB: 1}
 							if k%2 == 0 {
 								q.Class, q.Key = "sheet", q.ID
 							}
@@ -90,7 +90,7 @@
 			}
 			most, allowed := 0, whole+2*math.Sqrt(whole)+2
 			for deadline := time.Now().Add(3 * time.Minute); ; time.Sleep(100 * time.Microsecond) {
-				most = max(most, c.Owed()) // read, and not answered
+				most = max(most, c.PendingAnswers()) // read, and not answered
 				w.mu.Lock()
 				runs := w.runs
 				w.mu.Unlock()
--- a/internal/proxy/fleet.go
+++ b/internal/proxy/fleet.go
@@ -28,12 +28,12 @@
 
 // Events is who hears of what came back: the core.
 type Events interface {
-	Up()
+	RunnerReady()
 	Class(name string) (silverpath.Class, bool)
-	Ended(id string, o silverpath.Outcome, spent time.Duration, result []byte)
-	Returned(id string, a core.Answer, spent time.Duration)
+	RunEnded(id string, o silverpath.Outcome, spent time.Duration, result []byte)
+	ForwardReturned(id string, a core.Answer, spent time.Duration)
 	Gauges(g silverpath.Gauges)
-	Advice() time.Duration
+	RetryAfter() time.Duration
 }
 
 // Config sets up a Runner.
@@ -212,7 +212,7 @@
 	for ctx.Err() == nil {
 		r.checkAll(ctx)
 		if first {
-			r.events.Up()
+			r.events.RunnerReady()
 			first = false
 		}
 		select {
@@ -356,9 +356,9 @@
 		r.offeredWeight.Add(worth)
 		if a.Outcome == core.Served {
 			r.servedWeight.Add(worth)
-			r.events.Ended(q.ID, silverpath.OK, time.Since(began), a.Body)
+			r.events.RunEnded(q.ID, silverpath.OK, time.Since(began), a.Body)
 		} else {
-			r.events.Returned(q.ID, a, time.Since(began))
+			r.events.ForwardReturned(q.ID, a, time.Since(began))
 		}
 	}()
 }
@@ -402,11 +402,11 @@
 		if v := r.verdict(m); v != configstore.VerdictValid {
 			return r.fail(v.String())
 		}
-		q.Rules = m.name
+		q.RulesID = m.name
 		r.lastKeyedSent.Store(int64(r.clock()))
 		Boundary("routed")
 		a := r.forwardKeyed(q, m, route)
-		if a.Why != core.WhyBehind || anew {
+		if a.Reason != core.ReasonBehind || anew {
 			return a
 		}
 		r.Reload()
@@ -447,7 +447,7 @@
 	switch a.Outcome {
 	case core.Served:
 		o = loadbalancer.Served
-	case core.Refused:
+	case core.Rejected:
 		o = loadbalancer.Rejected
 	}
 	r.mu.Lock()
@@ -458,7 +458,7 @@
 
 func (r *Runner) reject(why string) core.Answer {
 	r.stats.Inc("fleet", "refused", why)
-	return core.Answer{Outcome: core.Refused, Wait: r.events.Advice()}
+	return core.Answer{Outcome: core.Rejected, RetryAfter: r.events.RetryAfter()}
 }
 
 func (r *Runner) fail(why string) core.Answer {
@@ -469,7 +469,7 @@
 // behind is the answer where a server knows of newer rules, which may have the sheet run elsewhere.
 func (r *Runner) failOutdated(why string) core.Answer {
 	a := r.fail(why)
-	a.Why = core.WhyBehind
+	a.Reason = core.ReasonBehind
 	return a
 }
 
@@ -480,12 +480,12 @@
 		if r.checkHome(q.Tenant, former) == loadbalancer.HomeLost {
 			return r.fail("former_home_lost")
 		}
-		switch e := r.attempt(q, former, true, q.Due); {
+		switch e := r.attempt(q, former, true, q.Deadline); {
 		case e.outcome == loadbalancer.Served:
 			r.stats.Inc("fleet", "former_home")
 			return core.Answer{Outcome: core.Served, Body: e.body}
-		case e.outcome == loadbalancer.Rejected && (e.reason == core.WhyUnknown || e.reason == core.WhyMoved):
-		case e.outcome == loadbalancer.Rejected && e.reason == core.WhyBehind:
+		case e.outcome == loadbalancer.Rejected && (e.reason == core.ReasonUnknown || e.reason == core.ReasonMoved):
+		case e.outcome == loadbalancer.Rejected && e.reason == core.ReasonBehind:
 			return r.failOutdated("former_home_behind")
 		default:
 			return r.fail("former_home_" + e.name())
@@ -499,23 +499,23 @@
 		case loadbalancer.HomeBusy:
 			return r.reject("home_full")
 		}
-		switch e := r.attempt(q, home, false, q.Due); {
+		switch e := r.attempt(q, home, false, q.Deadline); {
 		case e.outcome == loadbalancer.Served:
 			return core.Answer{Outcome: core.Served, Body: e.body}
-		case e.outcome == loadbalancer.Rejected && e.reason == core.WhyMoved:
+		case e.outcome == loadbalancer.Rejected && e.reason == core.ReasonMoved:
 			// Another router, whose clock is ahead, has asked here before it ran the sheet in its new home.
 			next, ok := m.Route(Wall().Add(2*m.MaxClockSkew), q.Tenant, q.Key)
 			if !ok || next.Home == home {
 				return r.fail("moved_nowhere")
 			}
 			home = next.Home
-		case e.outcome == loadbalancer.Rejected && e.reason == core.WhyBehind:
+		case e.outcome == loadbalancer.Rejected && e.reason == core.ReasonBehind:
 			return r.failOutdated("home_behind")
 		case e.outcome == loadbalancer.Rejected && e.reason != "":
 			return r.fail("home_" + e.reason) // it started anew: an earlier try may have run before
 		case e.outcome == loadbalancer.Rejected:
 			r.stats.Inc("fleet", "refused", "home")
-			return core.Answer{Outcome: core.Refused, Wait: e.retryAfter, Final: e.final}
+			return core.Answer{Outcome: core.Rejected, RetryAfter: e.retryAfter, Final: e.final}
 		default:
 			return r.fail("home_" + e.name())
 		}
@@ -535,7 +535,7 @@
 	r.mu.Lock()
 	r.balancer.FirstAttempt(r.clock())
 	r.mu.Unlock()
-	last, worst := "", core.Answer{Outcome: core.Refused, Wait: r.events.Advice()}
+	last, worst := "", core.Answer{Outcome: core.Rejected, RetryAfter: r.events.RetryAfter()}
 	for range maxAttempts {
 		name, ok := r.pick(q.Tenant, route.Servers, last)
 		if !ok {
@@ -549,14 +549,14 @@
 		case e.outcome == loadbalancer.Served:
 			return core.Answer{Outcome: core.Served, Body: e.body}
 		case e.outcome == loadbalancer.Rejected:
-			worst = core.Answer{Outcome: core.Refused, Wait: e.retryAfter, Final: e.final}
+			worst = core.Answer{Outcome: core.Rejected, RetryAfter: e.retryAfter, Final: e.final}
 		case !e.outcome.NeverRan():
 			worst = r.fail(e.name())
 		}
 		r.mu.Lock()
 		again := r.balancer.AllowRetry(e.outcome, safe, e.final)
 		r.mu.Unlock()
-		if !again || time.Until(q.Due) <= 2*answerReserve {
+		if !again || time.Until(q.Deadline) <= 2*answerReserve {
 			return worst
 		}
 		r.stats.Inc("fleet", "retried")
@@ -578,12 +578,12 @@
 	after, known := r.balancer.HedgeDelay()
 	r.mu.Unlock()
 	if !safe || !known {
-		return r.attempt(q, name, false, q.Due)
+		return r.attempt(q, name, false, q.Deadline)
 	}
 	ends := make(chan attemptResult, 2)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	go func() { ends <- r.attemptIn(ctx, q, name, false, q.Due) }()
+	go func() { ends <- r.attemptIn(ctx, q, name, false, q.Deadline) }()
 	hedge := time.NewTimer(after)
 	defer hedge.Stop()
 	out := 1
@@ -606,7 +606,7 @@
 				out++
 				second := q
 				second.ID = q.ID + "h" // its own try, by its own id
-				go func() { ends <- r.attemptIn(ctx, second, other, false, q.Due) }()
+				go func() { ends <- r.attemptIn(ctx, second, other, false, q.Deadline) }()
 			}
 		}
 	}
@@ -637,7 +637,7 @@
 	r.mu.Unlock()
 	if !room {
 		r.stats.Inc("fleet", "refused", "slow_start")
-		return attemptResult{outcome: loadbalancer.Rejected, retryAfter: r.events.Advice()}
+		return attemptResult{outcome: loadbalancer.Rejected, retryAfter: r.events.RetryAfter()}
 	}
 	began := time.Now()
 	e, fields := attemptResult{outcome: loadbalancer.ConnectFailed}, map[string]string(nil)
@@ -646,7 +646,7 @@
 		defer cancel()
 		e, fields = p.send(ctx, msgpackrpc.Attempt{
 			ID: q.ID, Class: q.Class, Tenant: q.Tenant, Key: q.Key, ReceivedAt: began, Timeout: due.Sub(began) - answerReserve/2,
-			HeldKB: q.HeldKB, Rank: q.Rank, Caller: q.Caller, Body: q.Body, KnownOnly: known, Incarnation: p.boot.Load(), ConfigID: q.Rules,
+			HeldKB: q.MemoryKB, Rank: q.Rank, Caller: q.Caller, Body: q.Body, KnownOnly: known, Incarnation: p.boot.Load(), ConfigID: q.RulesID,
 		})
 	}
 	r.mu.Lock()
--- a/internal/proxy/fleet_test.go
+++ b/internal/proxy/fleet_test.go
@@ -57,11 +57,11 @@
 			}
 			s.conns = nil
 			s.mu.Unlock()
-			s.now().Ended(id, silverpath.Failed, takes, nil)
+			s.now().RunEnded(id, silverpath.Failed, takes, nil)
 		case fails:
-			s.now().Ended(id, silverpath.Failed, takes, nil)
+			s.now().RunEnded(id, silverpath.Failed, takes, nil)
 		default:
-			s.now().Ended(id, silverpath.OK, takes, append([]byte("done "), body...))
+			s.now().RunEnded(id, silverpath.OK, takes, append([]byte("done "), body...))
 		}
 	})
 }
@@ -89,7 +89,7 @@
 	if err := c.Attach(s, nil); err != nil {
 		t.Fatal(err)
 	}
-	c.Up()
+	c.RunnerReady()
 	s.ln = listener.New("s", pipe, 100, c.IdleAfter, msgpackrpc.New(c, quiet, counters).Serve, quiet, counters)
 	go s.ln.Serve()
 }
@@ -119,7 +119,7 @@
 	ends map[string]core.Answer
 }
 
-func (r *router) Up() {}
+func (r *router) RunnerReady() {}
 func (r *router) Class(name string) (silverpath.Class, bool) {
 	for _, c := range classes {
 		if c.Name == name {
@@ -128,16 +128,16 @@
 	}
 	return silverpath.Class{}, false
 }
-func (r *router) Ended(id string, _ silverpath.Outcome, _ time.Duration, result []byte) {
-	r.Returned(id, core.Answer{Outcome: core.Served, Body: result}, 0)
+func (r *router) RunEnded(id string, _ silverpath.Outcome, _ time.Duration, result []byte) {
+	r.ForwardReturned(id, core.Answer{Outcome: core.Served, Body: result}, 0)
 }
-func (r *router) Returned(id string, a core.Answer, _ time.Duration) {
+func (r *router) ForwardReturned(id string, a core.Answer, _ time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.ends[id] = a
 }
-func (r *router) Gauges(silverpath.Gauges) {}
-func (r *router) Advice() time.Duration    { return time.Second }
+func (r *router) Gauges(silverpath.Gauges)  {}
+func (r *router) RetryAfter() time.Duration { return time.Second }
 
 type fixedMap struct{ *cells.Map }
 
@@ -206,7 +206,7 @@
 	l.seq++
 	id := fmt.Sprintf("%016x", l.seq)
 	now := time.Now()
-	l.runner.Forward(core.Request{ID: id, Class: class, Key: key, HeldKB: 1, Reached: now, Due: now.Add(4 * time.Second), Body: []byte(class + key)})
+	l.runner.Forward(core.Request{ID: id, Class: class, Key: key, MemoryKB: 1, ReceivedAt: now, Deadline: now.Add(4 * time.Second), Body: []byte(class + key)})
 	time.Sleep(4 * time.Second)
 	l.router.mu.Lock()
 	defer l.router.mu.Unlock()
@@ -264,7 +264,7 @@
 			t.Errorf("%d runs", l.runs())
 		}
 		l.servers[1].kill()
-		if a := l.ask("pay", ""); a.Outcome != core.Refused || a.Wait == 0 {
+		if a := l.ask("pay", ""); a.Outcome != core.Rejected || a.RetryAfter == 0 {
 			t.Errorf("a write with all gone: %+v", a)
 		}
 	})
--- a/internal/proxy/rest_test.go
+++ b/internal/proxy/rest_test.go
@@ -73,7 +73,7 @@
 	if err := s.core.Attach(s, nil); err != nil {
 		t.Fatal(err)
 	}
-	s.core.Up()
+	s.core.RunnerReady()
 	l := listener.New("s", ln, 100, s.core.IdleAfter, msgpackrpc.New(s.core, quiet, counters).Serve, quiet, counters)
 	go l.Serve()
 	defer l.Close()
--- a/internal/proxy/wire_test.go
+++ b/internal/proxy/wire_test.go
@@ -108,21 +108,21 @@
 		answers := ""
 		for i, q := range []core.Request{
 			{Class: "read", Body: []byte("one")},
-			{Class: "read", Tenant: "kviz", Rank: 0.25, Caller: 2, HeldKB: 12.5, Body: []byte("two")},
+			{Class: "read", Tenant: "kviz", Rank: 0.25, Caller: 2, MemoryKB: 12.5, Body: []byte("two")},
 			{Class: "pay", Tenant: "other", Body: []byte{}},
-			{Class: "sheet", Tenant: "kviz", Key: "k1", HeldKB: 1, Body: []byte("sheet of k1")},
-			{Class: "sheet", Tenant: "kviz", Key: "k1", HeldKB: 1, Body: []byte("sheet of k1")},
-			{Class: "sheet", Tenant: "kviz", Key: "k1", HeldKB: 1, Body: []byte("sheet of k1")}, // it has moved by now
-			{Class: "sheet", Tenant: "kviz", Key: "k2", HeldKB: 1, Body: []byte("sheet of k2")},
+			{Class: "sheet", Tenant: "kviz", Key: "k1", MemoryKB: 1, Body: []byte("sheet of k1")},
+			{Class: "sheet", Tenant: "kviz", Key: "k1", MemoryKB: 1, Body: []byte("sheet of k1")},
+			{Class: "sheet", Tenant: "kviz", Key: "k1", MemoryKB: 1, Body: []byte("sheet of k1")}, // it has moved by now
+			{Class: "sheet", Tenant: "kviz", Key: "k2", MemoryKB: 1, Body: []byte("sheet of k2")},
 		} {
-			q.ID, q.Reached = fmt.Sprintf("%016x", i+1), time.Now()
-			q.Due = q.Reached.Add(4 * time.Second)
+			q.ID, q.ReceivedAt = fmt.Sprintf("%016x", i+1), time.Now()
+			q.Deadline = q.ReceivedAt.Add(4 * time.Second)
 			runner.Forward(q)
 			time.Sleep(740 * time.Millisecond)
 			to.mu.Lock()
 			a := to.ends[q.ID]
 			to.mu.Unlock()
-			answers += fmt.Sprintf("answer to %s: %d %q wait %v final %v\n", q.ID, a.Outcome, a.Body, a.Wait, a.Final)
+			answers += fmt.Sprintf("answer to %s: %d %q wait %v final %v\n", q.ID, a.Outcome, a.Body, a.RetryAfter, a.Final)
 		}
 		status := string(runner.Status())
 		cancel()
@@ -190,10 +190,10 @@
 				go runner.Maintain(ctx)
 				time.Sleep(100 * time.Millisecond)
 				now := time.Now()
-				runner.Forward(core.Request{ID: "1", Class: c.class, Key: c.key, HeldKB: 1, Reached: now, Due: now.Add(4 * time.Second)})
+				runner.Forward(core.Request{ID: "1", Class: c.class, Key: c.key, MemoryKB: 1, ReceivedAt: now, Deadline: now.Add(4 * time.Second)})
 				time.Sleep(4 * time.Second)
 				a := to.ends["1"]
-				got := fmt.Sprintf("%d %q wait %v final %v", a.Outcome, a.Body, a.Wait, a.Final)
+				got := fmt.Sprintf("%d %q wait %v final %v", a.Outcome, a.Body, a.RetryAfter, a.Final)
 				for why, n := range counters.Snapshot() {
 					if after, is := strings.CutPrefix(why, "fleet.failed."); is && n > 0 && strings.Contains(c.want, after) {
 						got += " " + after
--- a/internal/service/drain.go
+++ b/internal/service/drain.go
@@ -17,7 +17,7 @@
 	stop, lead := s.cfg.Stop, s.lead
 	if s.pair != nil {
 		// The platform stops a process that another one takes over from after the longest deadline.
-		stop = min(stop, min(s.core.Longest(), mostReplaced)+replacedGrace)
+		stop = min(stop, min(s.core.MaxDeadline(), mostReplaced)+replacedGrace)
 	}
 	if s.core.Successor() {
 		// Whoever connects from now on is taken by the other process, and whoever is told to leave here goes there.
@@ -51,13 +51,13 @@
 	for quiet < 2 || listening {
 		select {
 		case <-end.C:
-			if s.core.Owed() > 0 {
+			if s.core.PendingAnswers() > 0 {
 				s.core.AnswerAll()
-				for last := time.Now().Add(s.exitBefore / 2); s.core.Owed() > 0 && time.Now().Before(last); {
+				for last := time.Now().Add(s.exitBefore / 2); s.core.PendingAnswers() > 0 && time.Now().Before(last); {
 					time.Sleep(time.Millisecond)
 				}
 			}
-			if n := s.core.Owed(); n > 0 {
+			if n := s.core.PendingAnswers(); n > 0 {
 				s.core.Stop()
 				return fmt.Errorf("drain: %d requests were not answered before the end", n)
 			}
@@ -72,7 +72,7 @@
 				listening = false
 				s.closeListeners()
 			}
-			if s.core.Owed() > 0 || s.connections() > 0 {
+			if s.core.PendingAnswers() > 0 || s.connections() > 0 {
 				quiet = 0
 			}
 		}
--- a/internal/service/recovery.go
+++ b/internal/service/recovery.go
@@ -35,12 +35,12 @@
 	}
 	dark, _ := s.life.Dark()
 	s.stats.Set(uint64(dark.Milliseconds()), "life", "dark_ms")
-	s.core.RanUntil(time.Now().Add(-dark).UnixMilli())
+	s.core.SetUnknownRunsUntil(time.Now().Add(-dark).UnixMilli())
 	may := s.life.May
 	if wrap := s.parts.Signs; wrap != nil {
 		may = wrap(may)
 	}
-	s.core.Gate(func(time.Duration) idempotency.Verdict {
+	s.core.AddGate(func(time.Duration) idempotency.Verdict {
 		switch {
 		case s.store == nil && s.blind() > 0:
 			return idempotency.Verdict{Do: idempotency.Fail, Why: idempotency.WhyBlind}
@@ -113,7 +113,7 @@
 	}
 	r := &returning{began: time.Now()}
 	r.path = recovery.NewPath(0, role, uses...)
-	s.core.Tells("recovery", r.status)
+	s.core.AddStatus("recovery", r.status)
 	s.keep = append(s.keep, func(ctx context.Context) {
 		t := time.NewTicker(lookEvery)
 		defer t.Stop()
--- a/internal/service/reload.go
+++ b/internal/service/reload.go
@@ -26,7 +26,7 @@
 		cfg.Server.Classes = old.Server.Classes
 	}
 	if s.cfg.Retuned(cfg) {
-		if err := s.core.Retune(cfg.Server); err != nil {
+		if err := s.core.Reconfigure(cfg.Server); err != nil {
 			return fmt.Errorf("settings: %w", err)
 		}
 		s.cfg.Server = cfg.Server
--- a/internal/service/router.go
+++ b/internal/service/router.go
@@ -23,7 +23,7 @@
 	if most := s.cfg.Edge.Rules; most != nil && most.Most > 0 {
 		s.fleet.ShareQuota(most.Most, set.State != "") // whose lock one process has
 	}
-	s.core.Tells("fleet", s.fleet.Status)
+	s.core.AddStatus("fleet", s.fleet.Status)
 	s.keep = append(s.keep, s.fleet.Maintain)
 	s.recoverRouter()
 	return s.core.Attach(s.fleet, nil)
--- a/internal/service/rules.go
+++ b/internal/service/rules.go
@@ -46,8 +46,8 @@
 		Name: s.cfg.Name, Group: &quorum.Client{Group: set.Group.Name, Addrs: set.Group.Members}, Documents: docs, Goodput: worth, OnConfirmed: told, MaxClockSkew: skew, Quota: share,
 		Log: s.log, Stats: s.stats,
 	})
-	s.core.Bar(s.follow.StopReasonFor)
-	s.core.Tells("follows", s.follow.Status)
+	s.core.SetBlockRule(s.follow.StopReasonFor)
+	s.core.AddStatus("follows", s.follow.Status)
 	s.keep = append(s.keep, s.follow.Run)
 	return nil
 }
@@ -81,7 +81,7 @@
 			}
 		}
 	}
-	if err := s.core.Retune(now); err != nil {
+	if err := s.core.Reconfigure(now); err != nil {
 		return err
 	}
 	s.cfg.Server = now
@@ -92,7 +92,7 @@
 			if s.classes != mine { // others have come meanwhile
 				return
 			}
-			if err := s.core.Retune(next); err != nil {
+			if err := s.core.Reconfigure(next); err != nil {
 				events.Log(s.log, "rules.bad", configstore.DocClasses, "", err)
 				return
 			}
--- a/internal/service/server.go
+++ b/internal/service/server.go
@@ -101,11 +101,11 @@
 		return fmt.Errorf("store.dir: %w", err)
 	}
 	if wrap := s.parts.Keeper; wrap != nil {
-		s.core.Keep(wrap(s.store))
+		s.core.UseStore(wrap(s.store))
 	} else {
-		s.core.Keep(s.store)
+		s.core.UseStore(s.store)
 	}
-	s.core.Tells("store", s.store.Status)
+	s.core.AddStatus("store", s.store.Status)
 	s.keep = append(s.keep, s.store.Keep)
 	return nil
 }
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -61,7 +61,7 @@
 
 // Parts are put round parts of the service by whoever starts it. What is nil stays as it is.
 type Parts struct {
-	Keeper func(core.Keeper) core.Keeper     // round the store, as the core asks it
+	Keeper func(core.Store) core.Store       // round the store, as the core asks it
 	Signs  func(may func() bool) func() bool // round whether signs of life last
 }
 
@@ -354,7 +354,7 @@
 		go func() {
 			if s.pair != nil { // what is accepted has to be read: not before this process may take requests
 				select {
-				case <-s.core.Risen():
+				case <-s.core.PairReady():
 				case <-ctx.Done():
 					return
 				}
--- a/internal/testkit/benchmarks/couple.go
+++ b/internal/testkit/benchmarks/couple.go
@@ -28,8 +28,8 @@
 // End is what a core needs of its end.
 func (w *Couple) End(i int) *core.PairConfig {
 	return &core.PairConfig{
-		Flush: func(link int) error { return w.flush(i, link) }, Mark: func() error { return nil }, Shared: func(bool) {},
-		Ring: func() {
+		Flush: func(link int) error { return w.flush(i, link) }, MarkUnnotified: func() error { return nil }, Shared: func(bool) {},
+		Wake: func() {
 			select {
 			case w.bells[i] <- struct{}{}:
 			default:
--- a/internal/testkit/conformance/rules_test.go
+++ b/internal/testkit/conformance/rules_test.go
@@ -80,7 +80,7 @@
 			a, err := msgpackrpc.ReadReply(r)
 			if err != nil || a.Notification == "" {
 				ms, _ := strconv.Atoi(a.Fields["w"])
-				out := map[string]core.Outcome{"": core.Served, "Full": core.Refused, "Error": core.Failed}[a.Error]
+				out := map[string]core.Outcome{"": core.Served, "Full": core.Rejected, "Error": core.Failed}[a.Error]
 				return reply{outcome: out, body: string(a.Body), retry: time.Duration(ms) * time.Millisecond}, err
 			}
 		}
@@ -102,8 +102,8 @@
 	},
 	read: func(r *bufio.Reader) (reply, error) {
 		a, err := scgi.ReadReply(r)
-		out := map[int]core.Outcome{200: core.Served, 503: core.Refused, 502: core.Failed, 504: core.Failed,
-			404: core.Refused, 408: core.Failed, 422: core.Failed}[a.Status]
+		out := map[int]core.Outcome{200: core.Served, 503: core.Rejected, 502: core.Failed, 504: core.Failed,
+			404: core.Rejected, 408: core.Failed, 422: core.Failed}[a.Status]
 		if out == core.Served && a.Status != 200 {
 			err = fmt.Errorf("status %d", a.Status)
 		}
@@ -303,7 +303,7 @@
 }
 
 func (e *edge) end(r run, o silverpath.Outcome, result string) {
-	e.worker.Ended(r.id, o, time.Millisecond, []byte(result))
+	e.worker.RunEnded(r.id, o, time.Millisecond, []byte(result))
 	synctest.Wait()
 }
 
@@ -330,7 +330,7 @@
 		e.one(c, core.Failed, "")
 	}},
 	{"an unknown class is turned away unrun", func(e *edge) {
-		e.one(e.send(try{class: "nothing", body: "x"}), core.Refused, "")
+		e.one(e.send(try{class: "nothing", body: "x"}), core.Rejected, "")
 		e.ran()
 	}},
 	{"one answer by the due time while the run goes on", func(e *edge) {
@@ -478,7 +478,7 @@
 	{"a call goes below and its reply back, both unchanged", func(e *edge) {
 		c := e.send(try{class: "oddaja", key: "k", body: "x"})
 		r := e.ran("x")[0]
-		e.worker.Awaits(r.id, []byte("\x00ask"))
+		e.worker.RunNeedsCall(r.id, []byte("\x00ask"))
 		e.ran("x", "re:\x00ask")
 		e.end(r, silverpath.OK, "done")
 		e.one(c, core.Served, "done")
@@ -487,7 +487,7 @@
 		e.vault.ends = []silverpath.Outcome{silverpath.Overloaded, silverpath.Unreachable, silverpath.Failed}
 		c := e.send(try{class: "oddaja", key: "k", body: "x"})
 		r := e.ran("x")[0]
-		e.worker.Awaits(r.id, []byte("ask"))
+		e.worker.RunNeedsCall(r.id, []byte("ask"))
 		e.pass(time.Second)
 		if n := len(e.vault.seen()); n != 3 {
 			e.t.Fatalf("%d calls, want 3: two proved that they never ran, the third did not", n)
@@ -498,7 +498,7 @@
 	{"a call that does not end is given up in time for the answer", func(e *edge) {
 		e.vault.delay = time.Hour
 		c := e.send(try{class: "lestvica", body: "x", wait: time.Second})
-		e.worker.Awaits(e.ran("x")[0].id, []byte("ask"))
+		e.worker.RunNeedsCall(e.ran("x")[0].id, []byte("ask"))
 		e.pass(time.Second)
 		e.one(c, core.Failed, "")
 	}},
@@ -516,7 +516,7 @@
 		for _, c := range all {
 			select {
 			case a := <-c.replies:
-				if a.outcome != core.Refused || a.retry < e.driver.retryFloor {
+				if a.outcome != core.Rejected || a.retry < e.driver.retryFloor {
 					e.t.Fatalf("answer %v, come back after %v", a.outcome, a.retry)
 				}
 				refused++
@@ -534,7 +534,7 @@
 			e.end(r, silverpath.OK, "")
 		}
 		e.pass(deadline)
-		if n := e.core.Owed(); n != 0 {
+		if n := e.core.PendingAnswers(); n != 0 {
 			e.t.Fatalf("%d answers still owed", n)
 		}
 	}},
@@ -558,8 +558,8 @@
 	{"drain: nothing that comes after the window is run", func(e *edge) {
 		e.core.Drain(stopTime)
 		e.pass(grace + 50*time.Millisecond)
-		e.one(e.send(try{class: "oddaja", key: "k", body: "x"}), core.Refused, "")
-		e.one(e.send(try{class: "lestvica", body: "y"}), core.Refused, "")
+		e.one(e.send(try{class: "oddaja", key: "k", body: "x"}), core.Rejected, "")
+		e.one(e.send(try{class: "lestvica", body: "y"}), core.Rejected, "")
 		e.ran()
 	}},
 	{"drain: what was written inside the window and is read after it is not run", func(e *edge) {
@@ -571,8 +571,8 @@
 		e.seq++
 		late := e.driver.write(try{class: "oddaja", key: "k", body: "x", wait: deadline}, e.seq)
 		e.pass(100 * time.Millisecond)
-		e.one(e.raw(late), core.Refused, "")
-		e.one(e.raw(early), core.Refused, "")
+		e.one(e.raw(late), core.Rejected, "")
+		e.one(e.raw(early), core.Rejected, "")
 		e.ran()
 	}},
 	{"drain: a retry after the window still gets the result of what ran", func(e *edge) {
@@ -596,7 +596,7 @@
 	{"drain: all is answered before the stop although a call below is out", func(e *edge) {
 		e.vault.delay = time.Hour
 		a := e.send(try{class: "zapis", body: "x", wait: time.Minute})
-		e.worker.Awaits(e.ran("x")[0].id, []byte("ask"))
+		e.worker.RunNeedsCall(e.ran("x")[0].id, []byte("ask"))
 		e.pass(time.Second)
 		e.core.Drain(stopTime)
 		e.pass(stopTime - 60*time.Millisecond)
@@ -651,7 +651,7 @@
 		}
 		e.pass(time.Second)
 		e.ran()
-		if n := e.core.Owed(); n != 0 {
+		if n := e.core.PendingAnswers(); n != 0 {
 			e.t.Fatalf("%d answers owed to nobody", n)
 		}
 	}},
@@ -750,7 +750,7 @@
 	if err != nil {
 		e.t.Fatal(err)
 	}
-	e.worker.Keep(s)
+	e.worker.UseStore(s)
 	go s.Keep(context.Background())
 	<-s.Loaded()
 	return func() {
@@ -776,7 +776,7 @@
 		first = 1
 	}
 	w.Join(e.core, other, first)
-	other.Up()
+	other.RunnerReady()
 	synctest.Wait()
 	if r := e.core.PairRole(); r != as.pair || other.Phase() != lifecycle.Serving {
 		e.t.Fatalf("%v, beside one that is %v", r, other.Phase())
@@ -818,7 +818,7 @@
 	if as.pair != 0 {
 		defer e.beside(couple, as)()
 	}
-	e.worker.Up()
+	e.worker.RunnerReady()
 	synctest.Wait()
 	e.ln = listener.New(d.name, e.pipes, 1000, e.core.IdleAfter, d.serve(e), e.log, e.stats)
 	if p != nil {
@@ -830,13 +830,13 @@
 			c.drop()
 		}
 		for _, r := range e.engine.seen() { // so that every goroutine ends
-			e.worker.Ended(r.id, silverpath.Failed, 0, nil)
+			e.worker.RunEnded(r.id, silverpath.Failed, 0, nil)
 		}
 		time.Sleep(time.Minute)
 		e.core.Stop()
 		e.ln.Close()
 		for _, r := range e.engine.seen() {
-			e.worker.Ended(r.id, silverpath.Failed, 0, nil)
+			e.worker.RunEnded(r.id, silverpath.Failed, 0, nil)
 		}
 	}()
 	test(e)
--- a/internal/testkit/hollow/router.go
+++ b/internal/testkit/hollow/router.go
@@ -226,11 +226,11 @@
 		} else {
 			of = nil
 		}
-		follows, err = newFollower(FollowerConfig{Name: cfg.Name, Group: cfg.Group, Docs: cfg.Docs, Site: cfg.Settings, Took: cfg.Took}, r.core.Retune, reroute, of, &r.Stats)
+		follows, err = newFollower(FollowerConfig{Name: cfg.Name, Group: cfg.Group, Docs: cfg.Docs, Site: cfg.Settings, Took: cfg.Took}, r.core.Reconfigure, reroute, of, &r.Stats)
 		if err != nil {
 			return nil, err
 		}
-		r.core.Bar(follows.StopReasonFor)
+		r.core.SetBlockRule(follows.StopReasonFor)
 		ctx, cancel := context.WithTimeout(r.run.ctx, max(cfg.Within, time.Second))
 		follows.WaitCurrent(ctx)
 		cancel()
--- a/internal/testkit/hollow/server.go
+++ b/internal/testkit/hollow/server.go
@@ -58,16 +58,16 @@
 	s.front = listener.New(msgpackrpc.Name, ln, cfg.Sockets, s.core.IdleAfter, msgpackrpc.New(s.core, l, &s.Stats).Serve, l, &s.Stats)
 	s.run.all.Go(s.front.Serve)
 	if cfg.Group != nil {
-		f, err := newFollower(FollowerConfig{Name: cfg.Name, Group: cfg.Group, Docs: cfg.Docs, Site: cfg.Settings, Took: cfg.Took}, s.core.Retune, nil, nil, &s.Stats)
+		f, err := newFollower(FollowerConfig{Name: cfg.Name, Group: cfg.Group, Docs: cfg.Docs, Site: cfg.Settings, Took: cfg.Took}, s.core.Reconfigure, nil, nil, &s.Stats)
 		if err != nil {
 			s.Close()
 			return nil, err
 		}
-		s.core.Bar(f.StopReasonFor)
+		s.core.SetBlockRule(f.StopReasonFor)
 		s.run.keep(f.Run)
 	}
 	s.core.Started(cfg.Cold, 0)
-	s.core.Up()
+	s.core.RunnerReady()
 	return s, nil
 }
 
@@ -101,10 +101,10 @@
 
 func (n nothing) Run(id, _ string, body []byte) {
 	if n.echo {
-		go n.core.Ended(id, silverpath.OK, 0, body)
+		go n.core.RunEnded(id, silverpath.OK, 0, body)
 		return
 	}
-	go n.core.Ended(id, silverpath.Failed, 0, nil)
+	go n.core.RunEnded(id, silverpath.Failed, 0, nil)
 }
 
 func (nothing) Resume(string, []byte) {}
--- a/internal/transport/interpreter/interp.go
+++ b/internal/transport/interpreter/interp.go
@@ -27,9 +27,9 @@
 // Events is who hears of runs: the core.
 type Events interface {
 	Started(cold bool, ago time.Duration) // before Up
-	Up()
-	Awaits(id string, body []byte)
-	Ended(id string, o silverpath.Outcome, spent time.Duration, result []byte)
+	RunnerReady()
+	RunNeedsCall(id string, body []byte)
+	RunEnded(id string, o silverpath.Outcome, spent time.Duration, result []byte)
 	Gauges(g silverpath.Gauges)
 }
 
@@ -378,13 +378,13 @@
 		switch string(v.GetStringBytes("ref")) {
 		case syncRef:
 			l.becomeLive()
-			l.events.Up()
+			l.events.RunnerReady()
 		case redirectRef:
 			return errRedirected
 		}
 		l.readings(v.GetArray("gauges"))
 	case "AWAIT":
-		l.events.Awaits(id, data)
+		l.events.RunNeedsCall(id, data)
 	case "VALUE":
 		outcome, ok := outcomeOf[string(v.GetStringBytes("state"))]
 		if !ok {
@@ -466,7 +466,7 @@
 	delete(l.runs, id)
 	l.mu.Unlock()
 	if known {
-		l.events.Ended(id, o, spent, result)
+		l.events.RunEnded(id, o, spent, result)
 	}
 }
 
--- a/internal/transport/interpreter/interp_test.go
+++ b/internal/transport/interpreter/interp_test.go
@@ -31,14 +31,14 @@
 	defer h.mu.Unlock()
 	h.list = append(h.list, fmt.Sprintf(format, args...))
 }
-func (h *heard) Up() { h.note("up") }
+func (h *heard) RunnerReady() { h.note("up") }
 func (h *heard) Started(cold bool, ago time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.started = append(h.started, fmt.Sprintf("%v %v", cold, ago))
 }
-func (h *heard) Awaits(id string, body []byte) { h.note("awaits %s %q", id, body) }
-func (h *heard) Ended(id string, o silverpath.Outcome, spent time.Duration, result []byte) {
+func (h *heard) RunNeedsCall(id string, body []byte) { h.note("awaits %s %q", id, body) }
+func (h *heard) RunEnded(id string, o silverpath.Outcome, spent time.Duration, result []byte) {
 	h.note("ended %s %d %v %q", id, o, spent, result)
 }
 func (h *heard) Gauges(g silverpath.Gauges) { h.note("gauges %v %v", g.CPU, g.OnCores) }
--- a/internal/transport/msgpackrpc/close_test.go
+++ b/internal/transport/msgpackrpc/close_test.go
@@ -42,7 +42,7 @@
 	if err := c.Attach(w, nil); err != nil {
 		t.Fatal(err)
 	}
-	c.Up()
+	c.RunnerReady()
 	l := listener.New(Name, ln, most, func() time.Duration { return 0 }, New(c, quiet, counters).Serve, quiet, counters)
 	go l.Serve()
 	return w, l, counters
@@ -78,7 +78,7 @@
 			for counters.Get("malformed", Name) == 0 { // until it has been met
 				time.Sleep(time.Millisecond)
 			}
-			w.Ended(id, silverpath.OK, 0, []byte("done"))
+			w.RunEnded(id, silverpath.OK, 0, []byte("done"))
 			r := bufio.NewReader(conn)
 			if a, err := ReadReply(r); err != nil || a.ID != 1 || string(a.Body) != "done" {
 				t.Errorf("%s: %+v, %v", name, a, err)
@@ -102,7 +102,7 @@
 			if n := counters.Get("too_slow", Name); n != 1 {
 				t.Errorf("%d too slow", n)
 			}
-			go w.Ended(id, silverpath.OK, 0, []byte("done"))
+			go w.RunEnded(id, silverpath.OK, 0, []byte("done"))
 			if a, err := ReadReply(bufio.NewReader(conn)); err != nil || a.ID != 1 || string(a.Body) != "done" {
 				t.Errorf("%+v, %v", a, err)
 			}
@@ -122,7 +122,7 @@
 		conn := p.Dial()
 		go conn.Write(ask(1))
 		id := <-w.runs
-		w.Ended(id, silverpath.OK, 0, []byte("done"))
+		w.RunEnded(id, silverpath.OK, 0, []byte("done"))
 		synctest.Wait() // it is being written: a pipe takes it only as it is read
 		next := p.Dial()
 		go next.Write(ask(2))
@@ -133,7 +133,7 @@
 		if a, err := ReadReply(bufio.NewReader(conn)); err != nil || string(a.Body) != "done" {
 			t.Fatalf("the answer was cut off: %+v, %v", a, err)
 		}
-		w.Ended(<-w.runs, silverpath.OK, 0, []byte("then"))
+		w.RunEnded(<-w.runs, silverpath.OK, 0, []byte("then"))
 		if a, err := ReadReply(bufio.NewReader(next)); err != nil || string(a.Body) != "then" {
 			t.Fatalf("the newcomer: %+v, %v", a, err)
 		}
@@ -176,13 +176,13 @@
 		for n := 0; n < sent; {
 			select {
 			case id := <-w.runs:
-				w.Ended(id, silverpath.OK, 0, nil)
+				w.RunEnded(id, silverpath.OK, 0, nil)
 			case <-answers:
 				n++
 			}
 		}
 		time.Sleep(time.Second) // until the view is made anew
-		if v := w.View(); v.Owed != 0 || v.InHand != 0 {
+		if v := w.View(); v.PendingAnswers != 0 || v.InHand != 0 {
 			t.Errorf("left behind: %+v", v)
 		}
 		conn.Close()
@@ -208,7 +208,7 @@
 		synctest.Wait()
 		select {
 		case id := <-w.runs:
-			w.Ended(id, silverpath.OK, 0, []byte("done"))
+			w.RunEnded(id, silverpath.OK, 0, []byte("done"))
 		default:
 			t.Error("it is not taken")
 		}
@@ -233,7 +233,7 @@
 			conn := p.Dial()
 			conns = append(conns, conn)
 			go conn.Write(ask(uint64(id + 1)))
-			w.Ended(<-w.runs, silverpath.OK, 0, []byte(body))
+			w.RunEnded(<-w.runs, silverpath.OK, 0, []byte(body))
 			synctest.Wait() // it is being written: a pipe takes it only as it is read
 		}
 		for id, want := range []string{"first", "other", "third"} {
--- a/internal/transport/msgpackrpc/decode_test.go
+++ b/internal/transport/msgpackrpc/decode_test.go
@@ -121,7 +121,7 @@
 		want Reply
 	}{
 		"served":  {core.Answer{Body: []byte("ok")}, Reply{Body: []byte("ok"), Fields: map[string]string{"v": "2.5"}}},
-		"refused": {core.Answer{Outcome: core.Refused, Wait: 200 * time.Millisecond, Final: true}, Reply{Error: "Full", Fields: map[string]string{"v": "2.5", "w": "200", "l": "1"}}},
+		"refused": {core.Answer{Outcome: core.Rejected, RetryAfter: 200 * time.Millisecond, Final: true}, Reply{Error: "Full", Fields: map[string]string{"v": "2.5", "w": "200", "l": "1"}}},
 		"failed":  {core.Answer{Outcome: core.Failed}, Reply{Error: "Error", Fields: map[string]string{"v": "2.5"}}},
 		"expired": {core.Answer{Outcome: core.Expired}, Reply{Error: "Error", Fields: map[string]string{"v": "2.5"}}},
 	} {
@@ -163,13 +163,13 @@
 		if problem != field {
 			t.Errorf("field %s=%q: problem %q", field, value, problem)
 		}
-		if field == "" && (r.Due != time.UnixMilli(1500) || r.Reached != time.UnixMilli(1000) || r.Key != "key" || r.HeldKB != 24.5) {
+		if field == "" && (r.Deadline != time.UnixMilli(1500) || r.ReceivedAt != time.UnixMilli(1000) || r.Key != "key" || r.MemoryKB != 24.5) {
 			t.Errorf("request %+v", r)
 		}
 	}
 	delete(good, "d")
-	if r, problem := mapRequest(message{method: "x", fields: good}, time.Now(), c); problem != "" || r.Due != time.UnixMilli(2000) {
-		t.Errorf("without d: %q, due %v", problem, r.Due)
+	if r, problem := mapRequest(message{method: "x", fields: good}, time.Now(), c); problem != "" || r.Deadline != time.UnixMilli(2000) {
+		t.Errorf("without d: %q, due %v", problem, r.Deadline)
 	}
 }
 
--- a/internal/transport/msgpackrpc/front.go
+++ b/internal/transport/msgpackrpc/front.go
@@ -85,12 +85,12 @@
 	slot.OnDrain(c.notifyDrain)
 	r := bufferpool.GetReader(conn)
 	defer bufferpool.PutReader(r)
-	_, inCell := f.core.Boot()
+	_, inCell := f.core.StartStamp()
 	if inCell {
 		slot.OnEvict(c.notifyLastTaken)
 	}
-	d := decoder{r: r, statusEnabled: f.core.TellsStatus(), inCell: inCell, rejects: func(class string) (rejected bool) {
-		c.skippedAnswer, rejected = f.core.Shut(Name, class)
+	d := decoder{r: r, statusEnabled: f.core.ServesStatus(), inCell: inCell, rejects: func(class string) (rejected bool) {
+		c.skippedAnswer, rejected = f.core.RejectsUnread(Name, class)
 		return rejected
 	}}
 	var requests sync.WaitGroup
@@ -145,7 +145,7 @@
 			c.slot.SetInFlight(len(c.pending) + c.writingAnswers)
 			c.mu.Unlock()
 			if id != "" {
-				c.core.Gone(id)
+				c.core.CallerGone(id)
 			}
 		}
 		return nil
@@ -171,13 +171,13 @@
 	if k, _ := c.core.Class(m.method); !c.slot.AdmitsWork() && k.Effect != silverpath.Idempotent {
 		// What is left of the connections is for what is cheap, and a sheet may be: the repeat of one that has run.
 		c.stats.Inc("turned_away", Name, "reserve")
-		c.reply(m.id, core.Answer{Outcome: core.Refused, Wait: c.core.Advice()})
+		c.reply(m.id, core.Answer{Outcome: core.Rejected, RetryAfter: c.core.RetryAfter()})
 		c.notifyDrain()
 		return nil
 	}
 	r, problem := mapRequest(m, time.Now(), c.core)
-	if r.Rules != "" {
-		r.Source = c.conn.RemoteAddr().String()
+	if r.RulesID != "" {
+		r.RulesSource = c.conn.RemoteAddr().String()
 	}
 	c.mu.Lock()
 	if _, duplicate := c.pending[m.id]; duplicate {
@@ -191,15 +191,15 @@
 	}
 	c.mu.Unlock()
 	switch {
-	case problem == core.WhyBoot:
+	case problem == core.ReasonBoot:
 		c.stats.Inc("turned_away", Name, problem)
-		c.reply(m.id, core.Answer{Outcome: core.Refused, Wait: c.core.Advice(), Why: problem})
+		c.reply(m.id, core.Answer{Outcome: core.Rejected, RetryAfter: c.core.RetryAfter(), Reason: problem})
 	case problem != "":
 		c.stats.Inc("bad_field", Name, problem)
 		c.reply(m.id, core.Answer{Outcome: core.Failed})
 	case tooMany:
 		c.stats.Inc("turned_away", Name, "too_many_open")
-		c.reply(m.id, core.Answer{Outcome: core.Refused, Wait: c.core.Advice()})
+		c.reply(m.id, core.Answer{Outcome: core.Rejected, RetryAfter: c.core.RetryAfter()})
 	default:
 		requests.Add(1)
 		go func() {
@@ -218,8 +218,8 @@
 			n, _ := strconv.ParseInt(m.fields[key], 10, 64)
 			return time.Duration(max(0, min(n, maxTerm.Milliseconds()))) * time.Millisecond
 		}
-		c.core.Heard(id, m.fields["gn"], configstore.Terms{Lease: ms("gl"), ClockSkew: ms("gs"), ProbeInterval: ms("gp"), ProbeTimeout: ms("gw"), OverlapWindow: ms("gd")})
-		fields = c.core.RulesTold()
+		c.core.ObserveRules(id, m.fields["gn"], configstore.Terms{Lease: ms("gl"), ClockSkew: ms("gs"), ProbeInterval: ms("gp"), ProbeTimeout: ms("gw"), OverlapWindow: ms("gd")})
+		fields = c.core.RulesNotice()
 		inFlight, _ := strconv.Atoi(m.fields["fl"])
 		if share, warming := c.core.SlowStart(m.fields["gn"], inFlight, SlowStartProbeIntervals*max(ms("gp"), time.Millisecond)); warming {
 			fields = append(fields, "c", strconv.Itoa(share))
@@ -237,7 +237,7 @@
 	c.slot.SetInFlight(0)
 	c.mu.Unlock()
 	for _, id := range pending {
-		c.core.Gone(id)
+		c.core.CallerGone(id)
 	}
 }
 
@@ -270,9 +270,9 @@
 	if f["f"] != "" && (err != nil || caller < 0) {
 		return r, "f"
 	}
-	incarnation, inCell := c.Boot()
+	incarnation, inCell := c.StartStamp()
 	if inCell && f["b"] != "" && f["b"] != strconv.FormatInt(incarnation, 10) {
-		return r, core.WhyBoot
+		return r, core.ReasonBoot
 	}
 	receivedAt := time.UnixMilli(stamp)
 	configID := ""
@@ -281,9 +281,9 @@
 	}
 	return core.Request{
 		Front: Name, ID: f["i"], Class: m.method, Tenant: f["t"], Key: f["k"], Object: f["o"],
-		Caller: caller, HeldKB: reservedKB, Rank: rank, Body: m.body, Known: inCell && f["n"] == "1" && f["k"] != "",
-		Rules:   configID,
-		Reached: receivedAt, Due: receivedAt.Add(time.Duration(timeoutMs) * time.Millisecond),
+		Caller: caller, MemoryKB: reservedKB, Rank: rank, Body: m.body, OnlyIfKnown: inCell && f["n"] == "1" && f["k"] != "",
+		RulesID:    configID,
+		ReceivedAt: receivedAt, Deadline: receivedAt.Add(time.Duration(timeoutMs) * time.Millisecond),
 	}, ""
 }
 
@@ -292,12 +292,12 @@
 	if v, ok := c.core.Signal(); ok {
 		pairs = append(pairs, "v", strconv.FormatFloat(v, 'f', -1, 64))
 	}
-	if incarnation, inCell := c.core.Boot(); inCell {
+	if incarnation, inCell := c.core.StartStamp(); inCell {
 		pairs = append(pairs, "b", strconv.FormatInt(incarnation, 10))
 		if c.core.Cold() {
 			pairs = append(pairs, "cs", "1")
 		}
-		if lastRun := c.core.Ran(); lastRun != 0 {
+		if lastRun := c.core.UnknownRunsUntil(); lastRun != 0 {
 			pairs = append(pairs, "l", strconv.FormatInt(lastRun, 10))
 		}
 	}
@@ -334,15 +334,15 @@
 	case core.Served:
 		b = appendArray(appendNil(b), 2)
 		return appendFields(appendBin(b, a.Body), fields)
-	case core.Refused:
-		if a.Wait > 0 {
-			fields = append(fields, "w", strconv.FormatInt(max(1, a.Wait.Milliseconds()), 10))
+	case core.Rejected:
+		if a.RetryAfter > 0 {
+			fields = append(fields, "w", strconv.FormatInt(max(1, a.RetryAfter.Milliseconds()), 10))
 		}
 		if a.Final {
 			fields = append(fields, "l", "1")
 		}
-		if a.Why != "" {
-			fields = append(fields, "x", a.Why)
+		if a.Reason != "" {
+			fields = append(fields, "x", a.Reason)
 		}
 		b = appendText(appendArray(b, 2), errorFull)
 	default:
--- a/internal/transport/restartlink/pair.go
+++ b/internal/transport/restartlink/pair.go
@@ -69,7 +69,7 @@
 
 // Config is what the core needs of the pair.
 func (p *Pair) Config(shared func(two bool)) *core.PairConfig {
-	return &core.PairConfig{Flush: p.flush, Mark: p.mark, Ring: p.ring, Shared: shared}
+	return &core.PairConfig{Flush: p.flush, MarkUnnotified: p.mark, Wake: p.ring, Shared: shared}
 }
 
 func (p *Pair) ring() {
@@ -304,7 +304,7 @@
 				half.CloseWrite()
 			}
 			p.conn = nil
-			p.core.PairMute(p.link)
+			p.core.PairWriteClosed(p.link)
 			return fmt.Errorf("writing to the other process: %w", err)
 		}
 	}
--- a/internal/transport/restartlink/pair_test.go
+++ b/internal/transport/restartlink/pair_test.go
@@ -77,7 +77,7 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	go p.Keep(ctx)
-	c.Up()
+	c.RunnerReady()
 	q := &proc{worker: w, pair: p, stats: s}
 	q.die = sync.OnceFunc(func() {
 		c.Stop()
@@ -101,8 +101,8 @@
 
 func (p *proc) try(id, key string, reached time.Time) chan core.Answer {
 	answer := make(chan core.Answer, 1)
-	go p.core.Serve(core.Request{Front: "test", ID: id, Class: "oddaja", Key: key, HeldKB: 1, Body: []byte(key),
-		Reached: reached, Due: time.Now().Add(20 * time.Second)}, func(a core.Answer) { answer <- a })
+	go p.core.Serve(core.Request{Front: "test", ID: id, Class: "oddaja", Key: key, MemoryKB: 1, Body: []byte(key),
+		ReceivedAt: reached, Deadline: time.Now().Add(20 * time.Second)}, func(a core.Answer) { answer <- a })
 	return answer
 }
 
@@ -134,7 +134,7 @@
 	}
 	during := b.try("b1", "k", now)
 	await(t, "the repeat is linked", func() bool { return b.stats.Get("repeats", "test", "oddaja") == 1 })
-	a.core.Ended("a1", silverpath.OK, time.Millisecond, []byte("done"))
+	a.core.RunEnded("a1", silverpath.OK, time.Millisecond, []byte("done"))
 	want(t, "the first", first, core.Served, "done")
 	want(t, "a repeat meanwhile", during, core.Served, "done")
 	want(t, "a repeat afterwards", b.try("b2", "k", now), core.Served, "done")
@@ -143,7 +143,7 @@
 	await(t, "the younger runs what it was granted", func() bool { return len(b.ran()) == 1 })
 	back := a.try("a2", "l", now)
 	await(t, "the repeat is linked", func() bool { return a.stats.Get("repeats", "test", "oddaja") == 1 })
-	b.core.Ended("b3", silverpath.OK, time.Millisecond, []byte("more"))
+	b.core.RunEnded("b3", silverpath.OK, time.Millisecond, []byte("more"))
 	want(t, "the younger's", other, core.Served, "more")
 	want(t, "the elder's repeat", back, core.Served, "more")
 
@@ -156,7 +156,7 @@
 	}
 	fresh := b.try("b6", "m", now)
 	await(t, "new keys run at once", func() bool { return len(b.ran()) == 2 })
-	b.core.Ended("b6", silverpath.OK, 0, nil)
+	b.core.RunEnded("b6", silverpath.OK, 0, nil)
 	want(t, "a new key", fresh, core.Served, "")
 }
 
@@ -184,9 +184,9 @@
 			if back {
 				b.pair.writing.Unlock()
 				await(t, "the key is granted on the next link", func() bool { return len(b.ran()) == 1 })
-				b.core.Ended("b1", silverpath.OK, 0, []byte("l"))
+				b.core.RunEnded("b1", silverpath.OK, 0, []byte("l"))
 				want(t, "who waited", waits, core.Served, "l")
-				a.core.Ended("a1", silverpath.OK, 0, []byte("k"))
+				a.core.RunEnded("a1", silverpath.OK, 0, []byte("k"))
 				want(t, "the elder's", first, core.Served, "k")
 				want(t, "its repeat", b.try("b2", "k", now), core.Served, "k")
 				await(t, "the mark is gone", func() bool { _, err := os.Stat(marks[0]); return os.IsNotExist(err) })
@@ -198,7 +198,7 @@
 			want(t, "a repeat of what it can't know", b.try("b2", "k", now), core.Failed, "")
 			fresh := b.try("b3", "n", now.Add(11*time.Second)) // past the window of all that the elder may have run
 			await(t, "what comes after the window is run", func() bool { return len(b.ran()) == 1 })
-			b.core.Ended("b3", silverpath.OK, 0, nil)
+			b.core.RunEnded("b3", silverpath.OK, 0, nil)
 			want(t, "what comes after the window", fresh, core.Served, "")
 		})
 	}
@@ -265,7 +265,7 @@
 			t.Fatalf("round %d: a new key is answered %v, unrun", n, answer.Outcome)
 		case <-time.After(5 * time.Millisecond):
 		}
-		b.core.Ended("b1", silverpath.OK, 0, nil)
+		b.core.RunEnded("b1", silverpath.OK, 0, nil)
 		want(t, "a new key", fresh, core.Served, "")
 		b.die()
 	}
--- a/internal/transport/scgi/front.go
+++ b/internal/transport/scgi/front.go
@@ -80,7 +80,7 @@
 func (p *rejection) Error() string { return p.text }
 
 var statusOf = map[core.Outcome]string{
-	core.Served: "200 OK", core.Refused: "503 Service Unavailable", core.Failed: "502 Bad Gateway",
+	core.Served: "200 OK", core.Rejected: "503 Service Unavailable", core.Failed: "502 Bad Gateway",
 	core.Expired: "504 Gateway Timeout", core.Invalid: "422 Unprocessable Content",
 }
 
@@ -99,16 +99,16 @@
 		return
 	}
 	if err == nil {
-		maxBody := f.core.MostBody(f.cfg.MaxBody)
+		maxBody := f.core.MaxBody(f.cfg.MaxBody)
 		if class, known := f.class(m.headers); known {
 			if class.Effect == silverpath.Idempotent { // it may be the repeat of a sheet that has run, which is never refused
 				maxBody = f.cfg.MaxBody
 			}
-			a, rejected := f.core.Shut(Name, class.Name)
+			a, rejected := f.core.RejectsUnread(Name, class.Name)
 			if !rejected && !slot.AdmitsWork() && class.Effect != silverpath.Idempotent {
 				// What is left of the connections is for what is cheap, and a sheet may be: the repeat of one that has run.
 				f.stats.Inc("turned_away", Name, "reserve")
-				a, rejected = core.Answer{Outcome: core.Refused, Wait: f.core.Advice()}, true
+				a, rejected = core.Answer{Outcome: core.Rejected, RetryAfter: f.core.RetryAfter()}, true
 			}
 			if rejected {
 				f.writeAnswer(conn, a)
@@ -188,13 +188,13 @@
 		return
 	}
 	f.stats.Inc("dropped", Name)
-	f.core.Gone(q.ID)
+	f.core.CallerGone(q.ID)
 }
 
 // writeAnswer writes the answer of a request.
 func (f *Front) writeAnswer(conn net.Conn, a core.Answer, headers ...string) {
-	if a.Outcome == core.Refused {
-		retryAfter := max(1, int64((a.Wait+time.Second-1)/time.Second))
+	if a.Outcome == core.Rejected {
+		retryAfter := max(1, int64((a.RetryAfter+time.Second-1)/time.Second))
 		headers = append(headers, "Retry-After", strconv.FormatInt(retryAfter, 10))
 		if a.Final {
 			headers = append(headers, "X-Retry-Elsewhere", "no")
@@ -231,8 +231,8 @@
 		return core.Request{}, &rejection{"404 Not Found", fmt.Sprintf("no class %q", class.Name), "unknown_class"}
 	}
 	q := core.Request{
-		Front: Name, ID: f.newID(), Class: class.Name, Tenant: f.cfg.Tenant, HeldKB: f.cfg.HeldKB,
-		Reached: now, Body: m.body, Key: m.headers[headerKey],
+		Front: Name, ID: f.newID(), Class: class.Name, Tenant: f.cfg.Tenant, MemoryKB: f.cfg.HeldKB,
+		ReceivedAt: now, Body: m.body, Key: m.headers[headerKey],
 	}
 	if t := m.headers[headerTenant]; t != "" {
 		q.Tenant = t
@@ -251,7 +251,7 @@
 		}
 		timeout = time.Duration(ms) * time.Millisecond
 	}
-	q.Due = now.Add(timeout)
+	q.Deadline = now.Add(timeout)
 	var err error
 	if v, ok := m.headers[headerCaller]; ok {
 		if q.Caller, err = strconv.Atoi(v); err != nil || q.Caller < 0 {
@@ -272,7 +272,7 @@
 const statusPath = "/status"
 
 func (f *Front) asksStatus(h map[string]string) bool {
-	if h["PATH_INFO"] != statusPath || h[headerClass] != "" || !f.core.TellsStatus() {
+	if h["PATH_INFO"] != statusPath || h[headerClass] != "" || !f.core.ServesStatus() {
 		return false
 	}
 	_, known := f.core.Class(statusPath[1:])
--- a/internal/transport/scgi/scgi_test.go
+++ b/internal/transport/scgi/scgi_test.go
@@ -298,7 +298,7 @@
 		}()
 		id := <-started
 		if half {
-			c.Ended(id, silverpath.OK, 0, []byte("done"))
+			c.RunEnded(id, silverpath.OK, 0, []byte("done"))
 			if a, err := ReadReply(bufio.NewReader(near)); err != nil || string(a.Body) != "done" {
 				t.Fatalf("body %q, error %v", a.Body, err)
 			}
@@ -360,8 +360,8 @@
 	for deadline := time.Now().Add(20 * time.Second); ; {
 		now := time.Now() // a flood: far more than two cores can do by their due time
 		for i := range 2000 {
-			go c.Serve(core.Request{Front: "test", ID: fmt.Sprint(now.UnixNano(), i), Class: "lestvica", HeldKB: 1, Reached: now,
-				Due: now.Add(200 * time.Millisecond)}, func(core.Answer) {})
+			go c.Serve(core.Request{Front: "test", ID: fmt.Sprint(now.UnixNano(), i), Class: "lestvica", MemoryKB: 1, ReceivedAt: now,
+				Deadline: now.Add(200 * time.Millisecond)}, func(core.Answer) {})
 		}
 		a := conns.askOn(t, head)
 		if a.Status == 503 && a.RetryAfter > 0 {
@@ -430,11 +430,11 @@
 	go ln.Serve()
 	defer ln.Close()
 	sheet := AppendRequest(nil, bytes.Repeat([]byte("x"), 60), "PATH_INFO", "/oddaja", "HTTP_IDEMPOTENCY_KEY", "k")
-	go func() { c.Ended(<-started, silverpath.OK, 0, []byte("scored")) }()
+	go func() { c.RunEnded(<-started, silverpath.OK, 0, []byte("scored")) }()
 	if a, err := ask(t, ln.Addr().String(), sheet); err != nil || a.Status != 200 {
 		t.Fatalf("%+v, %v", a, err)
 	}
-	for deadline := time.Now().Add(20 * time.Second); c.MostBody(64) != 16; time.Sleep(time.Millisecond) {
+	for deadline := time.Now().Add(20 * time.Second); c.MaxBody(64) != 16; time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
 			t.Fatal("memory is not short")
 		}
--- a/internal/transport/scgi/upstream.go
+++ b/internal/transport/scgi/upstream.go
@@ -24,8 +24,8 @@
 
 // Events is who hears of runs: the core.
 type Events interface {
-	Up()
-	Ended(id string, o silverpath.Outcome, spent time.Duration, result []byte)
+	RunnerReady()
+	RunEnded(id string, o silverpath.Outcome, spent time.Duration, result []byte)
 	Gauges(g silverpath.Gauges)
 }
 
@@ -58,7 +58,7 @@
 }
 
 // ReportUp tells the core that the runner is ready: there is no link to hold.
-func (u *Upstream) ReportUp(context.Context) { u.events.Up() }
+func (u *Upstream) ReportUp(context.Context) { u.events.RunnerReady() }
 
 // Run starts a request.
 func (u *Upstream) Run(id, class string, body []byte) {
@@ -71,7 +71,7 @@
 		u.mu.Lock()
 		u.running--
 		u.mu.Unlock()
-		u.events.Ended(id, outcome, time.Since(startedAt), result)
+		u.events.RunEnded(id, outcome, time.Since(startedAt), result)
 	}()
 }
 
--- a/internal/transport/snmp/agent.go
+++ b/internal/transport/snmp/agent.go
@@ -50,7 +50,7 @@
 type Source interface {
 	Health() bool
 	Phase() lifecycle.State
-	Owed() int
+	PendingAnswers() int
 	View() core.View
 }
 
@@ -292,7 +292,7 @@
 		{objectName, appendElement(nil, tagString, []byte(a.name))},
 		{objectPhase, appendInteger(nil, int32(a.core.Phase())+1)},
 		{objectUpTime, appendUnsigned(nil, tagTimeTicks, uint64(time.Since(a.startedAt)/(10*time.Millisecond))&(1<<32-1))},
-		{objectOwed, appendUnsigned(nil, tagGauge32, uint64(max(0, a.core.Owed())))},
+		{objectOwed, appendUnsigned(nil, tagGauge32, uint64(max(0, a.core.PendingAnswers())))},
 		{objectHealth, appendInteger(nil, health)},
 	}
 	counters := a.stats.Snapshot()
