--- a/cmd/silverpath/durable_test.go
+++ b/cmd/silverpath/durable_test.go
@@ -137,10 +137,10 @@
 // the machine be switched on when the environment says, as NAME AGO MACHINE: another time for each name.
 func storeProgram() {
 	if os.Getenv("SILVERPATH_UNPROMISED") != "" {
-		parts.Keeper = func(k core.Store) core.Store { return &unpromised{Store: k, late: map[uint64]promise{}} }
+		parts.WrapStore = func(k core.Store) core.Store { return &unpromised{Store: k, late: map[uint64]promise{}} }
 	}
 	if os.Getenv("SILVERPATH_UNSIGNED") != "" {
-		parts.Signs = func(func() bool) func() bool { return func() bool { return true } }
+		parts.WrapHeartbeat = func(func() bool) func() bool { return func() bool { return true } }
 	}
 	if name, ago, ok := strings.Cut(os.Getenv("SILVERPATH_BOOT"), " "); ok {
 		began := time.Now()
--- a/cmd/silverpath/main.go
+++ b/cmd/silverpath/main.go
@@ -17,7 +17,7 @@
 )
 
 // parts are put round the service's own; the program has none.
-var parts service.Parts
+var parts service.Hooks
 
 func main() {
 	if err := root().Execute(); err != nil {
@@ -65,7 +65,7 @@
 			Use:   "serve",
 			Short: "Run the service until SIGTERM; SIGHUP reloads the configuration, SIGUSR1 prints the counters",
 			RunE: func(*cobra.Command, []string) error {
-				return service.Main(load, service.Listen(), os.Stderr, parts)
+				return service.Main(load, service.NotifySignals(), os.Stderr, parts)
 			},
 		}),
 		withConfig(&cobra.Command{
@@ -83,10 +83,10 @@
 			Use:   "route",
 			Short: "Run a router in front of a fleet, whose map the edge file names, until SIGTERM; SIGHUP reads the map again",
 			RunE: func(*cobra.Command, []string) error {
-				signals := service.Listen()
+				signals := service.NotifySignals()
 				router = true
 				cfg, err := load()
-				if err == nil && cfg.Edge.Fleet == nil {
+				if err == nil && cfg.Edge.Router == nil {
 					err = errors.New("route: no fleet: give --edge FILE with one")
 				}
 				if err != nil {
@@ -120,7 +120,7 @@
 	if err != nil {
 		return cfg, err
 	}
-	cfg.Worker = !router
+	cfg.BuiltinWorker = !router
 	cfg.Edge, err = settings.ParseEdge(deploy.Edge, cfg.Server)
 	return cfg, err
 }
--- a/cmd/silverpath/rules.go
+++ b/cmd/silverpath/rules.go
@@ -127,7 +127,7 @@
 			if err != nil {
 				return err
 			}
-			text, format, err := settings.Document(args[0], data)
+			text, format, err := settings.ExtractDocument(args[0], data)
 			if err != nil {
 				return fmt.Errorf("%s: %w", args[1], err)
 			}
@@ -474,7 +474,7 @@
 					if err != nil {
 						return err
 					}
-					if texts[1], _, err = settings.Document(args[0], data); err != nil {
+					if texts[1], _, err = settings.ExtractDocument(args[0], data); err != nil {
 						return fmt.Errorf("%s: %w", args[1], err)
 					}
 					if d.Active != nil && d.Active.InParts {
--- a/cmd/silverpath/wire_golden_test.go
+++ b/cmd/silverpath/wire_golden_test.go
@@ -669,7 +669,7 @@
 		time.Sleep(100 * time.Millisecond) // as often as is cheap: more is paced, and counted
 	}
 	asker.Close()
-	at := bytes.IndexByte(state, '{')
+	at := bytes.Index(state, []byte(`{"`))
 	var shape bytes.Buffer
 	shapeOf(t, &shape, json.NewDecoder(bytes.NewReader(state[at:])), "", true)
 	golden(t, "status.txt", shape.Bytes())
@@ -906,7 +906,7 @@
 	state := asker.value()
 	asker.Close()
 	var shape bytes.Buffer
-	shapeOf(t, &shape, json.NewDecoder(bytes.NewReader(state[bytes.IndexByte(state, '{'):])), "", true)
+	shapeOf(t, &shape, json.NewDecoder(bytes.NewReader(state[bytes.Index(state, []byte(`{"`)):])), "", true)
 	golden(t, "router-status.txt", regexp.MustCompile(`[0-9]+\.[0-9a-f]{16}`).ReplaceAll(shape.Bytes(), []byte("<rules>")))
 	balancer.compare(t, "router-balancer.txt")
 	server.compare(t, "router-server.txt")
--- a/internal/controlplane/quorum/member/commands.go
+++ b/internal/controlplane/quorum/member/commands.go
@@ -52,7 +52,7 @@
 		return nil
 	})
 	run("owner", "Own duties, and be no member", func(s *settings.Quorum) error {
-		if s.Member = nil; s.Owner == nil {
+		if s.Member = nil; s.Runner == nil {
 			return errors.New("owner: missing")
 		}
 		return nil
@@ -85,7 +85,7 @@
 	for i, a := range addrs {
 		set := settings.Quorum{Name: fmt.Sprint("q", i+1), Group: settings.GroupRef{Name: "try", Members: addrs},
 			Member: &settings.Member{Listen: a, Addr: a, Dir: filepath.Join(dir, fmt.Sprint("q", i+1)), Tick: 50 * time.Millisecond},
-			Owner:  &settings.Owner{Duties: []string{"keeper", "conductor"}, Map: filepath.Join(dir, "map"), Gone: 10 * time.Second}}
+			Runner: &settings.Runner{Controllers: []string{"keeper", "conductor"}, Map: filepath.Join(dir, "map"), DeadAfter: 10 * time.Second}}
 		ch := make(chan os.Signal, 1)
 		each = append(each, ch)
 		all.Go(func() {
--- a/internal/controlplane/quorum/member/main.go
+++ b/internal/controlplane/quorum/member/main.go
@@ -80,10 +80,10 @@
 		all.Go(func() { failed <- m.Run(member) })
 	}
 	owning := make(chan struct{})
-	if set.Owner != nil {
+	if set.Runner != nil {
 		group := &quorum.Client{Group: set.Group.Name, Addrs: set.Group.Members}
 		defer group.Close()
-		o := runner.New(runner.Config{Name: set.Name, Set: *set.Owner, Group: group, Log: l, Stats: counters, Rate: ClockRate})
+		o := runner.New(runner.Config{Name: set.Name, Set: *set.Runner, Group: group, Log: l, Stats: counters, Rate: ClockRate})
 		go func() {
 			defer close(owning)
 			o.Run(ctx)
--- a/internal/controlplane/runner/golden_test.go
+++ b/internal/controlplane/runner/golden_test.go
@@ -45,7 +45,7 @@
 		t.Fatal(err)
 	}
 	o := runner.New(runner.Config{Name: "o1", Group: client, Log: zerolog.Nop(), Stats: &metrics.Counters{},
-		Set: settings.Owner{Duties: []string{"keeper", "conductor"}, Map: dir, Gone: time.Second}})
+		Set: settings.Runner{Controllers: []string{"keeper", "conductor"}, Map: dir, DeadAfter: time.Second}})
 	ctx, cancel := context.WithCancel(context.Background())
 	var all sync.WaitGroup
 	all.Go(func() { o.Run(ctx) })
--- a/internal/controlplane/runner/owner.go
+++ b/internal/controlplane/runner/owner.go
@@ -32,7 +32,7 @@
 // Config sets up an owner.
 type Config struct {
 	Name  string
-	Set   settings.Owner
+	Set   settings.Runner
 	Group *quorum.Client
 	Log   zerolog.Logger
 	Stats *metrics.Counters
@@ -90,7 +90,7 @@
 	return &Owner{
 		cfg: cfg, who: cfg.Name + "#" + hex.EncodeToString(b[:]), began: time.Now(), series: proxy.VersionDir{Dir: cfg.Set.Map},
 		seen: map[string]controller.Readiness{}, worth: map[string]controller.WeightedLoad{},
-		reports: controller.Monitor{Routers: cfg.Set.Routers, DeadAfter: cfg.Set.Gone, MaxReportAge: 3 * reportEach},
+		reports: controller.Monitor{Routers: cfg.Set.Routers, DeadAfter: cfg.Set.DeadAfter, MaxReportAge: 3 * reportEach},
 	}
 }
 
@@ -111,7 +111,7 @@
 		}
 	}
 	var all sync.WaitGroup
-	for _, name := range o.cfg.Set.Duties {
+	for _, name := range o.cfg.Set.Controllers {
 		d := &duty{Owner: o, name: name, holder: lease.NewHolder(name, o.who, terms)}
 		d.log = o.cfg.Log.With().Str("process", o.cfg.Name).Str("duty", name).Logger()
 		all.Go(func() { d.hold(ctx) })
@@ -560,7 +560,7 @@
 		if v != said[name] && (v != controller.Alive || said != nil) {
 			d.log.Info().Str("event", "watcher."+string(v)).Str("server", name).Send()
 		}
-		id, g, ok := controller.GoneRequest(name, version, v, o.cfg.Set.Gone)
+		id, g, ok := controller.GoneRequest(name, version, v, o.cfg.Set.DeadAfter)
 		if !ok || paused || said[name] == v {
 			continue
 		}
--- a/internal/service/apart_test.go
+++ b/internal/service/apart_test.go
@@ -20,7 +20,7 @@
 	t.Helper()
 	vm, _, release := startInterpreter(t)
 	cfg := config(vm)
-	cfg.Stop = time.Second
+	cfg.StopTimeout = time.Second
 	set(&cfg.Server)
 	s, err := New(cfg, log.New(io.Discard, "", 0))
 	if err != nil {
--- a/internal/service/describe.go
+++ b/internal/service/describe.go
@@ -10,33 +10,33 @@
 
 // Describe says, for a person, what a configuration sets up.
 func Describe(c settings.Config) string {
-	b := budget(c)
+	b := descriptorBudget(c)
 	s := fmt.Sprintf("%s: ok, %d classes, %d cores, %.0f MB, %d descriptors, stops within %v\n",
-		c.Name, len(c.Server.Classes), c.Server.Cores, c.MemoryMB, c.Sockets, c.Stop)
-	for _, part := range []struct {
+		c.Name, len(c.Server.Classes), c.Server.Cores, c.MemoryMB, c.Descriptors, c.StopTimeout)
+	for _, component := range []struct {
 		what, addr string
-		most       int
+		maxConns   int
 	}{
-		{"MessagePack-RPC front", c.Listen, b.Platform}, {"SCGI front", c.SCGI.Listen, b.SCGI},
-		{"interpreter", c.VM, 1}, {"fleet", fleetOf(c), b.Upstream}, {"SCGI application server", c.SCGI.Upstream, b.Upstream},
+		{"MessagePack-RPC front", c.Listen, b.RPC}, {"SCGI front", c.SCGI.Listen, b.SCGI},
+		{"interpreter", c.Interpreter, 1}, {"fleet", mapFileOf(c), b.Upstream}, {"SCGI application server", c.SCGI.Upstream, b.Upstream},
 		{"vault", c.Vault, b.Vault}, {"announce service", c.Announce, 1}, {"SNMP agent", c.SNMP.Listen, 1},
-		{"management front", c.Mgmt, admin.ConnectionLimit(c.Sockets)},
+		{"management front", c.Admin, admin.ConnectionLimit(c.Descriptors)},
 	} {
-		if part.addr == "" {
-			s += fmt.Sprintf("  %s: off\n", part.what)
+		if component.addr == "" {
+			s += fmt.Sprintf("  %s: off\n", component.what)
 		} else {
-			s += fmt.Sprintf("  %s: %s, at most %d connections\n", part.what, part.addr, part.most)
+			s += fmt.Sprintf("  %s: %s, at most %d connections\n", component.what, component.addr, component.maxConns)
 		}
 	}
 	return s + describeEdge(c.Edge)
 }
 
-// fleetOf is the file that a router has its map from.
-func fleetOf(c settings.Config) string {
-	if c.Edge.Fleet == nil {
+// mapFileOf is the file that a router has its map from.
+func mapFileOf(c settings.Config) string {
+	if c.Edge.Router == nil {
 		return ""
 	}
-	return c.Edge.Fleet.Map
+	return c.Edge.Router.Map
 }
 
 // describeEdge says what an edge file sets up.
--- a/internal/service/drain.go
+++ b/internal/service/drain.go
@@ -13,47 +13,47 @@
 // leave, and new connections are taken only for as long as one may already be under way: a refused connection
 // proves that nothing ran, so its caller goes elsewhere without a request having cost a reading here.
 func (s *Service) drain() error {
-	began := time.Now()
-	stop, lead := s.cfg.Stop, s.lead
-	if s.pair != nil {
+	startedAt := time.Now()
+	stop, delay := s.cfg.StopTimeout, s.drainDelay
+	if s.restartLink != nil {
 		// The platform stops a process that another one takes over from after the longest deadline.
-		stop = min(stop, min(s.core.MaxDeadline(), mostReplaced)+replacedGrace)
+		stop = min(stop, min(s.core.MaxDeadline(), maxReplacedDeadline)+replacedGrace)
 	}
 	if s.core.Successor() {
 		// Whoever connects from now on is taken by the other process, and whoever is told to leave here goes there.
 		events.Log(s.log, "handover.successor")
-		s.reporter.Silence()
-		lead = 0
+		s.loadReporter.Silence()
+		delay = 0
 		s.closeListeners()
 	}
 	s.core.Drain(stop)
-	time.Sleep(min(lead, stop/2))
+	time.Sleep(min(delay, stop/2))
 	for _, l := range s.listeners {
 		l.Drain()
 	}
-	time.Sleep(min(listenOn, stop/4))
+	time.Sleep(min(acceptGrace, stop/4))
 	// A socket that the platform holds refuses nobody: who connects then waits, unread. So while no other process takes
 	// such connections they are taken here, and told to go elsewhere.
-	listening := s.pair != nil && !s.core.Successor()
-	lastTaken := began.Add(stop - s.exitBefore - 2*settle)
+	listening := s.restartLink != nil && !s.core.Successor()
+	lastAccept := startedAt.Add(stop - s.exitMargin - 2*settleInterval)
 	if !listening {
 		s.closeListeners()
 	}
-	end := time.NewTimer(stop - s.exitBefore - time.Since(began))
+	end := time.NewTimer(stop - s.exitMargin - time.Since(startedAt))
 	defer end.Stop()
-	finish := time.NewTimer(stop - s.exitBefore - endFor - time.Since(began))
-	defer finish.Stop()
-	var ending sync.WaitGroup
-	defer ending.Wait()
-	tick := time.NewTicker(settle)
+	closeIdle := time.NewTimer(stop - s.exitMargin - idleCloseLead - time.Since(startedAt))
+	defer closeIdle.Stop()
+	var closing sync.WaitGroup
+	defer closing.Wait()
+	tick := time.NewTicker(settleInterval)
 	defer tick.Stop()
-	quiet := 0
-	for quiet < 2 || listening {
+	quietTicks := 0
+	for quietTicks < 2 || listening {
 		select {
 		case <-end.C:
 			if s.core.PendingAnswers() > 0 {
 				s.core.AnswerAll()
-				for last := time.Now().Add(s.exitBefore / 2); s.core.PendingAnswers() > 0 && time.Now().Before(last); {
+				for lastAnswer := time.Now().Add(s.exitMargin / 2); s.core.PendingAnswers() > 0 && time.Now().Before(lastAnswer); {
 					time.Sleep(time.Millisecond)
 				}
 			}
@@ -61,19 +61,19 @@
 				s.core.Stop()
 				return fmt.Errorf("drain: %d requests were not answered before the end", n)
 			}
-			quiet, listening = 2, false
-		case <-finish.C: // what comes to rest until the end is ended then
+			quietTicks, listening = 2, false
+		case <-closeIdle.C: // what comes to rest until the end is ended then
 			for _, l := range s.listeners {
-				ending.Go(func() { l.EndConnections(endFor) })
+				closing.Go(func() { l.EndConnections(idleCloseLead) })
 			}
 		case <-tick.C:
-			quiet++
-			if listening && (s.core.Successor() || time.Now().After(lastTaken)) {
+			quietTicks++
+			if listening && (s.core.Successor() || time.Now().After(lastAccept)) {
 				listening = false
 				s.closeListeners()
 			}
 			if s.core.PendingAnswers() > 0 || s.connections() > 0 {
-				quiet = 0
+				quietTicks = 0
 			}
 		}
 	}
--- a/internal/service/drain_test.go
+++ b/internal/service/drain_test.go
@@ -16,12 +16,12 @@
 func leaving(t *testing.T, vm string, stop time.Duration) (s *Service, leave func(), done <-chan error) {
 	t.Helper()
 	cfg := config(vm)
-	cfg.Stop, cfg.Server.DrainGrace = stop, stop/4
+	cfg.StopTimeout, cfg.Server.DrainGrace = stop, stop/4
 	s, err := New(cfg, log.New(io.Discard, "", 0))
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.lead = 100 * time.Millisecond
+	s.drainDelay = 100 * time.Millisecond
 	notice, over := make(chan struct{}), make(chan error, 1)
 	go func() { over <- s.Run(notice) }()
 	return s, func() { close(notice) }, over
@@ -84,7 +84,7 @@
 	}
 	defer way.Close()
 	s, leave, done := leaving(t, way.Addr(), 4*time.Second)
-	s.exitBefore = 2 * time.Second // long before the module would answer: it may be held up, as on a loaded machine
+	s.exitMargin = 2 * time.Second // long before the module would answer: it may be held up, as on a loaded machine
 	p := dial(t, s.Addrs()[0], append(call(1, "a"), call(2, "hold")...))
 	p.expect(t, 1, "", "")
 	for s.stats.Get("read", "msgpack", "krog") < 2 {
--- a/internal/service/operate_test.go
+++ b/internal/service/operate_test.go
@@ -29,15 +29,15 @@
 	vm, _, release := startInterpreter(t)
 	defer release()
 	cfg := config(vm)
-	cfg.Mgmt = "127.0.0.1:0"
+	cfg.Admin = "127.0.0.1:0"
 	s, err := New(cfg, log.New(io.Discard, "", 0))
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.lead = 300 * time.Millisecond
+	s.drainDelay = 300 * time.Millisecond
 	leave, done := make(chan struct{}), make(chan error, 1)
 	go func() { done <- s.Run(leave) }()
-	ops, platform := s.mgmt.Addr().String(), s.Addrs()[0]
+	ops, platform := s.admin.Addr().String(), s.Addrs()[0]
 	for deadline := time.Now().Add(20 * time.Second); ; time.Sleep(time.Millisecond) {
 		if code, _ := benchmarks.Call(ops, "GET /api/ready"); code == 200 {
 			break
@@ -100,12 +100,12 @@
 	defer release()
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
 	cfg := config(vm)
-	cfg.Mgmt, cfg.Sockets = "127.0.0.1:0", 512
+	cfg.Admin, cfg.Descriptors = "127.0.0.1:0", 512
 	s, err := New(cfg, log.New(io.Discard, "", 0))
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.lead = 0
+	s.drainDelay = 0
 	leave, done := make(chan struct{}), make(chan error, 1)
 	go func() { done <- s.Run(leave) }()
 	over := make(chan struct{})
@@ -135,7 +135,7 @@
 		}()
 	}
 	for i := range 50 {
-		conn, err := net.Dial("tcp", s.mgmt.Addr().String())
+		conn, err := net.Dial("tcp", s.admin.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -146,7 +146,7 @@
 		time.Sleep(time.Millisecond)
 	}
 	began := time.Now()
-	code, why := benchmarks.Call(s.mgmt.Addr().String(), "POST /api/evacuate")
+	code, why := benchmarks.Call(s.admin.Addr().String(), "POST /api/evacuate")
 	t.Logf("answered after %v", time.Since(began))
 	if took := time.Since(began); code != 200 || took > time.Second {
 		t.Errorf("%d %q after %v", code, why, took)
@@ -173,10 +173,10 @@
 		Effect: silverpath.Idempotent, IdempotencyWindow: 20 * time.Second}
 	cfg := config(vm)
 	cfg.Server.Classes = append(cfg.Server.Classes, sheet)
-	cfg.Stop = 3 * time.Second
+	cfg.StopTimeout = 3 * time.Second
 	cfgs <- cfg
 	errs <- nil
-	go func() { done <- Main(load, signals, out, Parts{}) }()
+	go func() { done <- Main(load, signals, out, Hooks{}) }()
 	addr, err := net.ResolveTCPAddr("tcp", out.await(t, "msgpack: listening on "))
 	if err != nil {
 		t.Fatal(err)
@@ -228,7 +228,7 @@
 	expect("a request of the dropped class", held, "", "HOLD1")
 	expect("a sheet of the dropped class", sent, "", "HOLD2")
 	expect("its try under the new name", again, "", "HOLD2")
-	signals.Leave <- syscall.SIGTERM
+	signals.Shutdown <- syscall.SIGTERM
 	for _, p := range []peer{held, sent, again} {
 		p.Close()
 	}
--- a/internal/service/recovery.go
+++ b/internal/service/recovery.go
@@ -17,108 +17,108 @@
 	"silverpath/internal/storage/heartbeat"
 )
 
-// lookEvery is how often it is looked at what the return of service waits for.
-const lookEvery = 20 * time.Millisecond
+// recoveryPollInterval is how often it is looked at what the return of service waits for.
+const recoveryPollInterval = 20 * time.Millisecond
 
-// openLife has the service leave signs of life, where an edge file says so. Sheets begin only while they last; and where no
+// openHeartbeat has the service leave signs of life, where an edge file says so. Sheets begin only while they last; and where no
 // store keeps what ran, those that are not known fail until what an earlier process may have run can't come again.
-func (s *Service) openLife() (err error) {
-	set := s.cfg.Edge.Life
+func (s *Service) openHeartbeat() (err error) {
+	set := s.cfg.Edge.Heartbeat
 	if set == nil {
 		return nil
 	}
-	if s.pair != nil {
+	if s.restartLink != nil {
 		return errors.New("life: not beside another process of the service (LB_SOCKET_FD)")
 	}
-	if s.life, err = heartbeat.Open(set.File, s.cfg.Name, set.Valid, s.log, s.stats); err != nil {
+	if s.heartbeat, err = heartbeat.Open(set.File, s.cfg.Name, set.Valid, s.log, s.stats); err != nil {
 		return fmt.Errorf("life.file: %w", err)
 	}
-	dark, _ := s.life.Dark()
-	s.stats.Set(uint64(dark.Milliseconds()), "life", "dark_ms")
-	s.core.SetUnknownRunsUntil(time.Now().Add(-dark).UnixMilli())
-	may := s.life.May
-	if wrap := s.parts.Signs; wrap != nil {
+	downtime, _ := s.heartbeat.Dark()
+	s.stats.Set(uint64(downtime.Milliseconds()), "life", "dark_ms")
+	s.core.SetUnknownRunsUntil(time.Now().Add(-downtime).UnixMilli())
+	may := s.heartbeat.May
+	if wrap := s.hooks.WrapHeartbeat; wrap != nil {
 		may = wrap(may)
 	}
 	s.core.AddGate(func(time.Duration) idempotency.Verdict {
 		switch {
-		case s.store == nil && s.blind() > 0:
+		case s.store == nil && s.unknownRunsFor() > 0:
 			return idempotency.Verdict{Do: idempotency.Fail, Why: idempotency.WhyBlind}
 		case !may():
 			return idempotency.Verdict{Do: idempotency.Refuse, Why: "no_sign_of_life", Wait: set.Valid / 2}
 		}
 		return idempotency.Verdict{}
 	})
-	s.keep = append(s.keep, s.life.Keep)
+	s.tasks = append(s.tasks, s.heartbeat.Keep)
 	return nil
 }
 
-// blind is for how long from now on a sheet may still come that an earlier process may have run, where nothing else knows.
-func (s *Service) blind() time.Duration {
-	dark, _ := s.life.Dark()
-	return s.core.LongestWindow() - dark
+// unknownRunsFor is for how long from now on a sheet may still come that an earlier process may have run, where nothing else knows.
+func (s *Service) unknownRunsFor() time.Duration {
+	downtime, _ := s.heartbeat.Dark()
+	return s.core.LongestWindow() - downtime
 }
 
-// returning is a process's path to full service, as it is told and seen.
-type returning struct {
-	mu    sync.Mutex
-	path  *recovery.Path
-	began time.Time
-	said  recovery.State
+// recoveryTracker is a process's path to full service, as it is told and seen.
+type recoveryTracker struct {
+	mu          sync.Mutex
+	path        *recovery.Path
+	startedAt   time.Time
+	loggedState recovery.State
 }
 
-// recover follows what the return of service waits for, where the process keeps anything on a disk or acts on a group's rules.
-func (s *Service) recover() {
-	if s.store == nil && s.life == nil && s.follow == nil {
+// trackServerRecovery follows what the return of service waits for, where the process keeps anything on a disk or acts on a group's rules.
+func (s *Service) trackServerRecovery() {
+	if s.store == nil && s.heartbeat == nil && s.configWatch == nil {
 		return
 	}
-	asks := map[recovery.Need]func() bool{
+	checks := map[recovery.Need]func() bool{
 		recovery.Worker: func() bool { return s.core.Phase() != lifecycle.Starting },
 	}
 	if s.store != nil {
-		asks[recovery.Disk] = func() bool { v := s.store.View(); return v.Phase != idempotency.Loading }
-		asks[recovery.Window] = func() bool { return s.store.View().Known }
-	} else if s.life != nil {
-		asks[recovery.Window] = func() bool { return s.blind() <= 0 }
+		checks[recovery.Disk] = func() bool { v := s.store.View(); return v.Phase != idempotency.Loading }
+		checks[recovery.Window] = func() bool { return s.store.View().Known }
+	} else if s.heartbeat != nil {
+		checks[recovery.Window] = func() bool { return s.unknownRunsFor() <= 0 }
 	}
-	if s.life != nil {
-		asks[recovery.Signs] = s.life.May
+	if s.heartbeat != nil {
+		checks[recovery.Signs] = s.heartbeat.May
 	}
-	if s.follow != nil {
-		asks[recovery.Rules] = func() bool { return s.follow.StopReason() == "" }
+	if s.configWatch != nil {
+		checks[recovery.Rules] = func() bool { return s.configWatch.StopReason() == "" }
 	}
-	r := s.returns(recovery.Server, asks)
-	if s.life != nil && s.store == nil {
-		r.path.Takes(0, recovery.Window, max(0, s.blind()))
+	r := s.trackRecovery(recovery.Server, checks)
+	if s.heartbeat != nil && s.store == nil {
+		r.path.Takes(0, recovery.Window, max(0, s.unknownRunsFor()))
 	}
 }
 
-// recoverRouter follows what a router's full service waits for.
-func (s *Service) recoverRouter() {
-	s.returns(recovery.Router, map[recovery.Need]func() bool{
-		recovery.Map: func() bool { mapped, _, _ := s.fleet.Readiness(); return mapped },
+// trackRouterRecovery follows what a router's full service waits for.
+func (s *Service) trackRouterRecovery() {
+	s.trackRecovery(recovery.Router, map[recovery.Need]func() bool{
+		recovery.Map: func() bool { mapped, _, _ := s.router.Readiness(); return mapped },
 		recovery.Rules: func() bool {
-			_, sure, _ := s.fleet.Readiness()
-			return sure && (s.follow == nil || s.follow.StopReason() == "")
+			_, sure, _ := s.router.Readiness()
+			return sure && (s.configWatch == nil || s.configWatch.StopReason() == "")
 		},
-		recovery.Shares: func() bool { _, _, shared := s.fleet.Readiness(); return shared },
+		recovery.Shares: func() bool { _, _, shared := s.router.Readiness(); return shared },
 	})
 }
 
-// returns looks after a path from now on, by what tells of each need that the process has a use for.
-func (s *Service) returns(role recovery.Role, asks map[recovery.Need]func() bool) *returning {
-	var uses []recovery.Need
-	for n := range asks {
-		uses = append(uses, n)
-	}
-	r := &returning{began: time.Now()}
-	r.path = recovery.NewPath(0, role, uses...)
+// trackRecovery looks after a path from now on, by what tells of each need that the process has a use for.
+func (s *Service) trackRecovery(role recovery.Role, checks map[recovery.Need]func() bool) *recoveryTracker {
+	var needs []recovery.Need
+	for n := range checks {
+		needs = append(needs, n)
+	}
+	r := &recoveryTracker{startedAt: time.Now()}
+	r.path = recovery.NewPath(0, role, needs...)
 	s.core.AddStatus("recovery", r.status)
-	s.keep = append(s.keep, func(ctx context.Context) {
-		t := time.NewTicker(lookEvery)
+	s.tasks = append(s.tasks, func(ctx context.Context) {
+		t := time.NewTicker(recoveryPollInterval)
 		defer t.Stop()
 		for {
-			s.look(r, asks)
+			s.updateRecovery(r, checks)
 			select {
 			case <-ctx.Done():
 				return
@@ -129,23 +129,23 @@
 	return r
 }
 
-// look tells the path which needs are met, and says where that gets it.
-func (s *Service) look(r *returning, asks map[recovery.Need]func() bool) {
+// updateRecovery tells the path which needs are met, and says where that gets it.
+func (s *Service) updateRecovery(r *recoveryTracker, checks map[recovery.Need]func() bool) {
 	met := map[recovery.Need]bool{}
-	for n, ask := range asks {
-		met[n] = ask()
+	for n, check := range checks {
+		met[n] = check()
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	now := time.Since(r.began)
+	now := time.Since(r.startedAt)
 	r.path.Tell(now, met)
 	v := r.path.View(now)
 	s.stats.Set(uint64(v.State), "recovery", "state")
 	s.stats.Set(uint64(len(v.Waits)), "recovery", "waits")
-	if v.State == r.said {
+	if v.State == r.loggedState {
 		return
 	}
-	r.said = v.State
+	r.loggedState = v.State
 	var waits []string
 	for _, w := range v.Waits {
 		waits = append(waits, w.Need.String())
@@ -158,10 +158,10 @@
 }
 
 // status is the path as JSON.
-func (r *returning) status() []byte {
+func (r *recoveryTracker) status() []byte {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	v := r.path.View(time.Since(r.began))
+	v := r.path.View(time.Since(r.startedAt))
 	var a fastjson.Arena
 	o := a.NewObject()
 	ms := func(d time.Duration) *fastjson.Value { return a.NewNumberFloat64(float64(d.Milliseconds())) }
--- a/internal/service/router.go
+++ b/internal/service/router.go
@@ -6,25 +6,25 @@
 	"silverpath/internal/proxy"
 )
 
-// asRouter makes the service a router: the fleet is its runner, and it has no interpreter and nothing below.
-func (s *Service) asRouter(b Budget) error {
-	src, err := s.routerRules()
+// buildRouter makes the service a router: the fleet is its runner, and it has no interpreter and nothing below.
+func (s *Service) buildRouter(b DescriptorBudget) error {
+	src, err := s.routerConfigSource()
 	if err != nil {
 		return err
 	}
-	set := s.cfg.Edge.Fleet
+	set := s.cfg.Edge.Router
 	r := set.Routing
 	r.Seed = uint64(s.cfg.Seed)
-	s.fleet, err = proxy.New(proxy.Config{Name: s.cfg.Name, Source: src, LoadBalancing: r, Cores: s.cfg.Server.Cores, HealthCheckInterval: set.Probe, MaxConnections: b.Upstream},
+	s.router, err = proxy.New(proxy.Config{Name: s.cfg.Name, Source: src, LoadBalancing: r, Cores: s.cfg.Server.Cores, HealthCheckInterval: set.Probe, MaxConnections: b.Upstream},
 		s.core, s.log, s.stats)
 	if err != nil {
 		return fmt.Errorf("fleet.map: %w", err)
 	}
-	if most := s.cfg.Edge.Rules; most != nil && most.Most > 0 {
-		s.fleet.ShareQuota(most.Most, set.State != "") // whose lock one process has
+	if watch := s.cfg.Edge.ConfigWatch; watch != nil && watch.MaxRouters > 0 {
+		s.router.ShareQuota(watch.MaxRouters, set.State != "") // whose lock one process has
 	}
-	s.core.AddStatus("fleet", s.fleet.Status)
-	s.keep = append(s.keep, s.fleet.Maintain)
-	s.recoverRouter()
-	return s.core.Attach(s.fleet, nil)
+	s.core.AddStatus("fleet", s.router.Status)
+	s.tasks = append(s.tasks, s.router.Maintain)
+	s.trackRouterRecovery()
+	return s.core.Attach(s.router, nil)
 }
--- a/internal/service/service_test.go
+++ b/internal/service/service_test.go
@@ -97,7 +97,7 @@
 
 func config(vm string) settings.Config {
 	return settings.Config{
-		Name: "n1", Listen: "127.0.0.1:0", VM: vm, Stop: 20 * time.Second, MemoryMB: 64, Sockets: 128,
+		Name: "n1", Listen: "127.0.0.1:0", Interpreter: vm, StopTimeout: 20 * time.Second, MemoryMB: 64, Descriptors: 128,
 		Gauges: []string{"core_use", "on_cores", "heap_share", "links"},
 		SCGI:   settings.SCGI{Listen: "127.0.0.1:0", MaxBody: 64, HeldKB: 1},
 		Server: silverpath.Settings{
@@ -136,10 +136,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s.lead != 10*time.Second {
-		t.Fatalf("peers are served for %v after the notice, want half of the time to the stop", s.lead)
+	if s.drainDelay != 10*time.Second {
+		t.Fatalf("peers are served for %v after the notice, want half of the time to the stop", s.drainDelay)
 	}
-	s.lead = 500 * time.Millisecond
+	s.drainDelay = 500 * time.Millisecond
 	leave, done := make(chan struct{}), make(chan error, 1)
 	go func() { done <- s.Run(leave) }()
 	platform, second := s.Addrs()[0], s.Addrs()[1]
@@ -177,7 +177,7 @@
 	if r, err := msgpackrpc.ReadReply(a.r); err != nil || r.Notification != "lastCall" {
 		t.Fatalf("in the drain: %+v, %v", r, err)
 	}
-	if d := time.Since(told); d < s.lead {
+	if d := time.Since(told); d < s.drainDelay {
 		t.Fatalf("asked to leave %v after the notice", d)
 	}
 	if _, err := late.Write(scgi.AppendRequest(nil, []byte("late"), "PATH_INFO", "/krog")); err != nil {
@@ -267,10 +267,10 @@
 		signals.Others <- syscall.SIGHUP
 	}
 	cfg := config(vm)
-	cfg.Stop = 6 * time.Second
+	cfg.StopTimeout = 6 * time.Second
 	cfgs <- cfg
 	errs <- nil
-	go func() { done <- Main(load, signals, out, Parts{}) }()
+	go func() { done <- Main(load, signals, out, Hooks{}) }()
 	addr, err := net.ResolveTCPAddr("tcp", out.await(t, "msgpack: listening on "))
 	if err != nil {
 		t.Fatal(err)
@@ -299,7 +299,7 @@
 	reload(settings.Config{}, errors.New("vm: no good"))
 	out.await(t, "reload: the old configuration holds: vm: no good")
 	next := cfg
-	next.VM, next.Announce, next.Sockets = moved, reports.LocalAddr().String(), 64
+	next.Interpreter, next.Announce, next.Descriptors = moved, reports.LocalAddr().String(), 64
 	reload(next, nil)
 	out.await(t, "reload: limits: differs, and holds only from the next start")
 	out.await(t, "interpreter moved from "+vm+" to "+moved)
@@ -317,7 +317,7 @@
 	a.Write(call(4, "quick3"))
 	expect(4, "QUICK3")
 
-	signals.Leave <- syscall.SIGTERM
+	signals.Shutdown <- syscall.SIGTERM
 	out.await(t, "phase draining")
 	reload(cfg, nil)
 	release()
@@ -352,17 +352,17 @@
 // The shares of the descriptors never add up to more than there are.
 func TestBudget(t *testing.T) {
 	for _, sockets := range []int{64, 128, 1024} {
-		for _, c := range []settings.Config{{Listen: "x", Vault: "x", VM: "x"}, config("x"),
+		for _, c := range []settings.Config{{Listen: "x", Vault: "x", Interpreter: "x"}, config("x"),
 			{SCGI: settings.SCGI{Listen: "x", Upstream: "x"}}, {Listen: "x", Vault: "x", SCGI: settings.SCGI{Listen: "x", Upstream: "x"}}} {
-			c.Sockets = sockets
-			b := budget(c)
-			if sum := b.Platform + b.SCGI + b.Vault + b.Upstream; sum > sockets-spareFDs {
+			c.Descriptors = sockets
+			b := descriptorBudget(c)
+			if sum := b.RPC + b.SCGI + b.Vault + b.Upstream; sum > sockets-reservedDescriptors {
 				t.Errorf("%d descriptors: %+v", sockets, b)
 			}
 			// Two processes: one with all, before it has given up its share, and one that opens its own files.
-			c.Mgmt, c.Socket = "x", 7
-			b = budget(c)
-			if sum := b.Platform + b.SCGI + 2*(b.Vault+b.Upstream+spareFDs+admin.ConnectionLimit(sockets)); sum > sockets || b.Platform+b.SCGI < 8 {
+			c.Admin, c.ListenFD = "x", 7
+			b = descriptorBudget(c)
+			if sum := b.RPC + b.SCGI + 2*(b.Vault+b.Upstream+reservedDescriptors+admin.ConnectionLimit(sockets)); sum > sockets || b.RPC+b.SCGI < 8 {
 				t.Errorf("%d descriptors of two: %+v", sockets, b)
 			}
 		}
@@ -383,7 +383,7 @@
 		t.Fatal(err)
 	}
 	leave, done := make(chan struct{}), make(chan error, 1)
-	s.lead = 0
+	s.drainDelay = 0
 	go func() { done <- s.Run(leave) }()
 	now := strconv.FormatInt(time.Now().UnixMilli(), 10)
 	a := dial(t, s.Addrs()[0], msgpackrpc.AppendRequest(nil, 1, "krog", []byte("hold"), "i", "a1", "s", now, "d", "30000", "m", "1"))
--- a/internal/service/start_test.go
+++ b/internal/service/start_test.go
@@ -23,7 +23,7 @@
 		runtime.GOMAXPROCS(procs)
 	})
 	signals, out, done := Signals{make(chan os.Signal, 1), make(chan os.Signal, 8)}, &output{}, make(chan error, 1)
-	go func() { done <- Main(load, signals, out, Parts{}) }()
+	go func() { done <- Main(load, signals, out, Hooks{}) }()
 	return signals, out, done
 }
 
@@ -43,8 +43,8 @@
 	defer release()
 	first, second, third := taken(t), taken(t), taken(t)
 	cfg := config(vm)
-	cfg.Stop = time.Second
-	cfg.Listen, cfg.SCGI.Listen, cfg.Mgmt = first.Addr().String(), second.Addr().String(), third.Addr().String()
+	cfg.StopTimeout = time.Second
+	cfg.Listen, cfg.SCGI.Listen, cfg.Admin = first.Addr().String(), second.Addr().String(), third.Addr().String()
 	signals, out, done := program(t, func() (settings.Config, error) { return cfg, nil })
 	for _, ln := range []net.Listener{first, second, third} {
 		out.await(t, "an address is taken, tried again for ")
@@ -52,7 +52,7 @@
 		ln.Close()
 	}
 	out.await(t, "phase serving")
-	signals.Leave <- syscall.SIGTERM
+	signals.Shutdown <- syscall.SIGTERM
 	if err := <-done; err != nil {
 		t.Fatal(err)
 	}
@@ -64,7 +64,7 @@
 	cfg.Listen = taken(t).Addr().String()
 	signals, out, done := program(t, func() (settings.Config, error) { return cfg, nil })
 	out.await(t, "an address is taken")
-	signals.Leave <- syscall.SIGTERM
+	signals.Shutdown <- syscall.SIGTERM
 	if err := <-done; err != nil || !strings.Contains(out.said(), "told to leave: terminated") || strings.Contains(out.said(), "listening on") {
 		t.Fatalf("%v:\n%s", err, out.said())
 	}
@@ -76,7 +76,7 @@
 	vm, _, release := startInterpreter(t)
 	defer release()
 	cfg := config(vm)
-	cfg.Stop = 5 * time.Second
+	cfg.StopTimeout = 5 * time.Second
 	cfg.Server.DrainGrace = time.Second
 	loads, going := make(chan error), make(chan bool, 20)
 	begun := false
@@ -93,9 +93,9 @@
 		signals.Others <- syscall.SIGHUP
 	}
 	<-going // the first reload does not end, the others fill what there is for signals
-	signals.Leave <- syscall.SIGTERM
+	signals.Shutdown <- syscall.SIGTERM
 	out.await(t, "phase draining")
-	signals.Leave <- syscall.SIGTERM
+	signals.Shutdown <- syscall.SIGTERM
 	loads <- errors.New("too late")
 	out.await(t, "the old configuration holds: too late")
 	<-going
--- a/internal/settings/config.go
+++ b/internal/settings/config.go
@@ -18,25 +18,25 @@
 
 // Config is what one service is told of its place. The module's part of it is the module's own type.
 type Config struct {
-	Name     string
-	Listen   string        // where balancers connect; empty: no such front
-	Mgmt     string        // where operators call; empty: nowhere
-	VM       string        // the interpreter
-	Announce string        // the announce service; empty: none
-	Vault    string        // what lies below; empty in the last tier
-	Seed     int64         // for random numbers
-	Stop     time.Duration // from the notice to leave to the end of the process
-	MemoryMB float64
-	Sockets  int
-	SCGI     SCGI
-	SNMP     SNMP
-	JSONLog  bool // its log is for machines: set by the command line
-	Worker   bool // the built-in worker does the work: set by a start without a configuration
-	Edge     Edge
-	Server   silverpath.Settings
-	Gauges   []string // the order of the gauges
-	Socket   int      // descriptor of the listening socket that other processes of this service share; 0: none
-	shape    shape    // of the file
+	Name          string
+	Listen        string        // where balancers connect; empty: no such front
+	Admin         string        // where operators call; empty: nowhere
+	Interpreter   string        // the interpreter
+	Announce      string        // the announce service; empty: none
+	Vault         string        // what lies below; empty in the last tier
+	Seed          int64         // for random numbers
+	StopTimeout   time.Duration // from the notice to leave to the end of the process
+	MemoryMB      float64
+	Descriptors   int
+	SCGI          SCGI
+	SNMP          SNMP
+	JSONLog       bool // its log is for machines: set by the command line
+	BuiltinWorker bool // the built-in worker does the work: set by a start without a configuration
+	Edge          Edge
+	Server        silverpath.Settings
+	Gauges        []string // the order of the gauges
+	ListenFD      int      // descriptor of the listening socket that other processes of this service share; 0: none
+	shape         shape    // of the file
 }
 
 // SCGI sets up the second front and the second runner; both are off while their address is empty.
@@ -70,11 +70,11 @@
 		return Config{}, fmt.Errorf("LB_CONFIG: %w", err)
 	}
 	c, err := parseConfig(data, os.Getenv("LB_NAME"), os.Getenv("LB_LISTEN"), router)
-	if mgmt := os.Getenv("LB_MGMT"); err == nil && c.Mgmt == "" && mgmt != "" {
-		c.Mgmt, err = mgmt, address("LB_MGMT", mgmt)
+	if mgmt := os.Getenv("LB_MGMT"); err == nil && c.Admin == "" && mgmt != "" {
+		c.Admin, err = mgmt, address("LB_MGMT", mgmt)
 	}
 	if fd := os.Getenv("LB_SOCKET_FD"); err == nil && fd != "" && c.Listen != "" {
-		if c.Socket, err = strconv.Atoi(fd); err != nil || c.Socket < 3 {
+		if c.ListenFD, err = strconv.Atoi(fd); err != nil || c.ListenFD < 3 {
 			err = fmt.Errorf("LB_SOCKET_FD: no descriptor above 2: %q", fd)
 		}
 	}
@@ -97,9 +97,9 @@
 	}
 	limits, s, agent := f.object("limits"), f.object("scgi"), f.object("snmp")
 	c := Config{
-		Name: f.text("name"), Listen: f.text("listen"), VM: f.text("vm"), Announce: f.text("announce"),
-		Vault: f.text("vault"), Mgmt: f.text("mgmt"), shape: shapeOf(f.v), Stop: time.Duration(f.integer("stop_ms")) * time.Millisecond,
-		MemoryMB: limits.number("memory_mb"), Sockets: int(limits.integer("sockets")),
+		Name: f.text("name"), Listen: f.text("listen"), Interpreter: f.text("vm"), Announce: f.text("announce"),
+		Vault: f.text("vault"), Admin: f.text("mgmt"), shape: shapeOf(f.v), StopTimeout: time.Duration(f.integer("stop_ms")) * time.Millisecond,
+		MemoryMB: limits.number("memory_mb"), Descriptors: int(limits.integer("sockets")),
 		SCGI: SCGI{
 			Listen: s.text("listen"), Upstream: s.text("upstream"), MaxBody: int(s.integer("max_body")),
 			Class: s.text("class"), Tenant: s.text("tenant"),
@@ -137,10 +137,10 @@
 		field, addr string
 		required    bool
 	}{
-		{"listen", c.Listen, c.SCGI.Listen == ""}, {"vm", c.VM, c.SCGI.Upstream == "" && !router},
+		{"listen", c.Listen, c.SCGI.Listen == ""}, {"vm", c.Interpreter, c.SCGI.Upstream == "" && !router},
 		{"announce", c.Announce, false}, {"vault", c.Vault, false},
 		{"scgi.listen", c.SCGI.Listen, false}, {"scgi.upstream", c.SCGI.Upstream, false},
-		{"snmp.listen", c.SNMP.Listen, false}, {"mgmt", c.Mgmt, false},
+		{"snmp.listen", c.SNMP.Listen, false}, {"mgmt", c.Admin, false},
 	} {
 		if a.addr == "" && !a.required {
 			continue
@@ -163,12 +163,12 @@
 	switch {
 	case c.Name == "":
 		return errors.New("name: missing")
-	case v.Exists("stop_ms") && c.Stop <= 0:
+	case v.Exists("stop_ms") && c.StopTimeout <= 0:
 		return fmt.Errorf("stop_ms: not above 0: %v", v.Get("stop_ms"))
 	case v.Exists("limits", "memory_mb") && c.MemoryMB < 16:
 		return fmt.Errorf("limits.memory_mb: under 16: %v", c.MemoryMB)
-	case v.Exists("limits", "sockets") && c.Sockets < 64:
-		return fmt.Errorf("limits.sockets: under 64: %v", c.Sockets)
+	case v.Exists("limits", "sockets") && c.Descriptors < 64:
+		return fmt.Errorf("limits.sockets: under 64: %v", c.Descriptors)
 	case c.SNMP.Listen != "" && c.SNMP.Community == "":
 		return errors.New("snmp.community: missing")
 	case c.SCGI.MaxBody < 0:
@@ -180,14 +180,14 @@
 	case !(c.SCGI.HeldKB >= 0 && c.SCGI.HeldKB < 2000):
 		return fmt.Errorf("scgi.held_kb: not from 0 to 2000: %v", c.SCGI.HeldKB)
 	}
-	if c.Stop == 0 {
-		c.Stop = 3 * time.Second
+	if c.StopTimeout == 0 {
+		c.StopTimeout = 3 * time.Second
 	}
 	if c.MemoryMB == 0 {
 		c.MemoryMB = 192
 	}
-	if c.Sockets == 0 {
-		c.Sockets = 1024
+	if c.Descriptors == 0 {
+		c.Descriptors = 1024
 	}
 	if c.SCGI.MaxBody == 0 {
 		c.SCGI.MaxBody = 2048
@@ -219,14 +219,14 @@
 		name string
 		same bool
 	}{
-		{"name", c.Name == d.Name}, {"listen", c.Listen == d.Listen}, {"mgmt", c.Mgmt == d.Mgmt}, {"stop_ms", c.Stop == d.Stop},
-		{"vm", (c.VM == "") == (d.VM == "")}, {"vault", (c.Vault == "") == (d.Vault == "")},
-		{"limits", c.MemoryMB == d.MemoryMB && c.Sockets == d.Sockets},
+		{"name", c.Name == d.Name}, {"listen", c.Listen == d.Listen}, {"mgmt", c.Admin == d.Admin}, {"stop_ms", c.StopTimeout == d.StopTimeout},
+		{"vm", (c.Interpreter == "") == (d.Interpreter == "")}, {"vault", (c.Vault == "") == (d.Vault == "")},
+		{"limits", c.MemoryMB == d.MemoryMB && c.Descriptors == d.Descriptors},
 		{"scgi", c.SCGI == d.SCGI}, {"snmp", c.SNMP == d.SNMP},
 		{"edge", c.Edge.On == d.Edge.On && c.Edge.Status == d.Edge.Status && c.Edge.Cell == d.Edge.Cell && c.Edge.PoolsOn() == d.Edge.PoolsOn() &&
-			reflect.DeepEqual(c.Edge.Reserve, d.Edge.Reserve) && reflect.DeepEqual(c.Edge.Fleet, d.Edge.Fleet) &&
-			reflect.DeepEqual(c.Edge.Rules, d.Edge.Rules) && reflect.DeepEqual(c.Edge.Store, d.Edge.Store) &&
-			reflect.DeepEqual(c.Edge.Life, d.Edge.Life)},
+			reflect.DeepEqual(c.Edge.Reserve, d.Edge.Reserve) && reflect.DeepEqual(c.Edge.Router, d.Edge.Router) &&
+			reflect.DeepEqual(c.Edge.ConfigWatch, d.Edge.ConfigWatch) && reflect.DeepEqual(c.Edge.Store, d.Edge.Store) &&
+			reflect.DeepEqual(c.Edge.Heartbeat, d.Edge.Heartbeat)},
 		{"settings.family_info.gauges", slices.Equal(c.Gauges, d.Gauges)},
 	} {
 		if !f.same {
--- a/internal/settings/edge.go
+++ b/internal/settings/edge.go
@@ -17,40 +17,40 @@
 
 // Edge sets up what goes beyond the platform, from a file of the operator's own. The zero value is all off.
 type Edge struct {
-	On      bool // an edge file was given
-	Status  bool // fronts answer status requests
-	Cell    bool // serves in a cell, behind routers: see docs/cells.md
-	Pools   admission.Config
-	Reserve *admission.ReserveConfig // nil: none
-	Fleet   *Fleet                   // nil: it is no router
-	Orders  *Orders                  // nil: it takes no orders of the fleet
-	Rules   *Rules                   // nil: it acts on its own files alone
-	Store   *Store                   // nil: what ran is forgotten with the process
-	Life    *Life                    // nil: it leaves no signs of life
+	On          bool // an edge file was given
+	Status      bool // fronts answer status requests
+	Cell        bool // serves in a cell, behind routers: see docs/cells.md
+	Pools       admission.Config
+	Reserve     *admission.ReserveConfig // nil: none
+	Router      *Router                  // nil: it is no router
+	Commands    *Commands                // nil: it takes no orders of the fleet
+	ConfigWatch *ConfigWatch             // nil: it acts on its own files alone
+	Store       *Store                   // nil: what ran is forgotten with the process
+	Heartbeat   *Heartbeat               // nil: it leaves no signs of life
 }
 
-// Life sets up signs of life: see docs/recovery.md.
-type Life struct {
+// Heartbeat sets up signs of life: see docs/recovery.md.
+type Heartbeat struct {
 	File  string
 	Valid time.Duration // for so long after a sign that lasts, what has an effect may begin
 }
 
 // Store sets up where the runs of keyed requests outlive the process: see docs/durable.md.
 type Store struct {
-	Dir      string
-	SizeMB   float64       // of all records; 0: an eighth of the memory
-	ResultKB float64       // set aside for each result that is to come
-	Gather   time.Duration // how long a commit waits for more that could go with it, where more is to be expected
+	Dir         string
+	SizeMB      float64       // of all records; 0: an eighth of the memory
+	ResultKB    float64       // set aside for each result that is to come
+	CommitDelay time.Duration // how long a commit waits for more that could go with it, where more is to be expected
 }
 
-// Orders sets up a server that takes orders of the fleet: see docs/duties.md.
-type Orders struct {
+// Commands sets up a server that takes orders of the fleet: see docs/duties.md.
+type Commands struct {
 	State string // the file that keeps the latest over a restart
 	Group GroupRef
 }
 
-// Fleet sets up a router: see docs/cells.md.
-type Fleet struct {
+// Router sets up a router: see docs/cells.md.
+type Router struct {
 	Map     string // the file with the cell map
 	State   string // the file that keeps the last good map over a restart; empty: none
 	Probe   time.Duration
@@ -96,21 +96,21 @@
 			Each: reserve.number("cheap_each_per_s"),
 		}
 	}
-	e.Rules = readRules(f.object("rules"))
-	e.Fleet = readFleet(f.object("fleet"), e.Rules)
+	e.ConfigWatch = readRules(f.object("rules"))
+	e.Router = readFleet(f.object("fleet"), e.ConfigWatch)
 	if o := f.object("orders"); o.v != nil {
 		o.only("state", "group", "members")
-		e.Orders = &Orders{State: o.text("state"), Group: o.group()}
-		if e.Orders.State == "" {
+		e.Commands = &Commands{State: o.text("state"), Group: o.group()}
+		if e.Commands.State == "" {
 			o.fail("state", "missing")
 		}
 	}
 	e.Store = readStore(f.object("store"))
-	e.Life = readLife(f.object("life"))
-	if e.Life != nil && e.Fleet != nil {
+	e.Heartbeat = readLife(f.object("life"))
+	if e.Heartbeat != nil && e.Router != nil {
 		f.fail("life", "a router runs no sheets")
 	}
-	if e.Store != nil && e.Fleet != nil {
+	if e.Store != nil && e.Router != nil {
 		f.fail("store", "a router keeps no runs")
 	}
 	switch {
@@ -130,12 +130,12 @@
 	return e, nil
 }
 
-func readLife(f fields) *Life {
+func readLife(f fields) *Heartbeat {
 	if f.v == nil {
 		return nil
 	}
 	f.only("file", "valid_ms")
-	set := &Life{File: f.text("file"), Valid: time.Duration(f.integer("valid_ms")) * time.Millisecond}
+	set := &Heartbeat{File: f.text("file"), Valid: time.Duration(f.integer("valid_ms")) * time.Millisecond}
 	switch {
 	case set.File == "":
 		f.fail("file", "missing")
@@ -153,7 +153,7 @@
 		return nil
 	}
 	f.only("dir", "size_mb", "result_kb", "gather_us")
-	set := &Store{Dir: f.text("dir"), SizeMB: f.number("size_mb"), ResultKB: f.number("result_kb"), Gather: f.micros("gather_us")}
+	set := &Store{Dir: f.text("dir"), SizeMB: f.number("size_mb"), ResultKB: f.number("result_kb"), CommitDelay: f.micros("gather_us")}
 	switch {
 	case set.Dir == "":
 		f.fail("dir", "missing")
@@ -161,14 +161,14 @@
 		f.fail("size_mb", "not from 0 to 65536: %v", set.SizeMB)
 	case !(set.ResultKB >= 0 && set.ResultKB <= 1024):
 		f.fail("result_kb", "not from 0 to 1024: %v", set.ResultKB)
-	case set.Gather < 0 || set.Gather > 100*time.Millisecond:
-		f.fail("gather_us", "not from 0 to 100000: %v", set.Gather.Microseconds())
+	case set.CommitDelay < 0 || set.CommitDelay > 100*time.Millisecond:
+		f.fail("gather_us", "not from 0 to 100000: %v", set.CommitDelay.Microseconds())
 	}
 	if set.ResultKB == 0 {
 		set.ResultKB = 16
 	}
 	if !f.v.Exists("gather_us") {
-		set.Gather = 500 * time.Microsecond // docs/results/durable.md
+		set.CommitDelay = 500 * time.Microsecond // docs/results/durable.md
 	}
 	return set
 }
@@ -200,7 +200,7 @@
 	return set
 }
 
-func readFleet(f fields, rules *Rules) *Fleet {
+func readFleet(f fields, rules *ConfigWatch) *Router {
 	if f.v == nil {
 		return nil
 	}
@@ -217,8 +217,8 @@
 }
 
 // readRouting reads how a router chooses and tries.
-func readRouting(f fields) Fleet {
-	set := Fleet{
+func readRouting(f fields) Router {
+	set := Router{
 		Probe: time.Duration(f.integer("probe_ms")) * time.Millisecond,
 		Routing: loadbalancer.Config{
 			RetryRatio: f.number("retries"), HedgeRatio: f.number("hedges"), MaxEjectedRatio: f.number("most_out"), PanicThreshold: f.number("panic"),
--- a/internal/settings/kinds_test.go
+++ b/internal/settings/kinds_test.go
@@ -29,12 +29,12 @@
 		configstore.DocMap:     func() error { _, err := ParseCells(file("cells.json")); return err },
 		configstore.DocRouting: func() error { _, err := ParseRouting(`{}`); return err },
 		configstore.DocPools: func() error {
-			text, _, _ := Document(configstore.DocPools, file("edge.json"))
+			text, _, _ := ExtractDocument(configstore.DocPools, file("edge.json"))
 			_, err := ParsePools(text, site)
 			return err
 		},
 		configstore.DocClasses: func() error {
-			text, _, _ := Document(configstore.DocClasses, file("scgi.json"))
+			text, _, _ := ExtractDocument(configstore.DocClasses, file("scgi.json"))
 			_, err := ParseClasses(text, site)
 			return err
 		},
--- a/internal/settings/quorum.go
+++ b/internal/settings/quorum.go
@@ -22,7 +22,7 @@
 	Name   string
 	Group  GroupRef
 	Member *Member // nil: it is no member
-	Owner  *Owner  // nil: it owns no duties
+	Runner *Runner // nil: it owns no duties
 	JSON   bool    // its log is for machines
 }
 
@@ -34,12 +34,12 @@
 	SNMP         SNMP
 }
 
-// Owner sets up the ownership of duties.
-type Owner struct {
-	Duties  []string
-	Map     string // the folder with the versions of the map
-	Routers []string
-	Gone    time.Duration // all routers that report have to have said dead for so long
+// Runner sets up the ownership of duties.
+type Runner struct {
+	Controllers []string
+	Map         string // the folder with the versions of the map
+	Routers     []string
+	DeadAfter   time.Duration // all routers that report have to have said dead for so long
 }
 
 // LoadQuorum reads such a file. It is checked whole: a field that is not known is an error.
@@ -102,21 +102,21 @@
 	}
 	if o := f.object("owner"); o.v != nil {
 		o.only("duties", "map", "routers", "gone_after_ms")
-		q.Owner = &Owner{Duties: o.texts("duties"), Map: o.text("map"), Routers: o.texts("routers"),
-			Gone: ms(o, "gone_after_ms", 10*time.Second)}
-		for i, d := range q.Owner.Duties {
+		q.Runner = &Runner{Controllers: o.texts("duties"), Map: o.text("map"), Routers: o.texts("routers"),
+			DeadAfter: ms(o, "gone_after_ms", 10*time.Second)}
+		for i, d := range q.Runner.Controllers {
 			if !slices.Contains(controller.Duties, d) {
 				o.fail(fmt.Sprintf("duties[%d]", i), "no such duty: %q", d)
 			}
 		}
-		if len(q.Owner.Duties) == 0 {
+		if len(q.Runner.Controllers) == 0 {
 			o.fail("duties", "none")
 		}
-		if q.Owner.Map == "" {
+		if q.Runner.Map == "" {
 			o.fail("map", "missing")
 		}
 	}
-	if q.Member == nil && q.Owner == nil {
+	if q.Member == nil && q.Runner == nil {
 		f.fail("member", "neither it nor owner is there: nothing to do")
 	}
 	return q, err
--- a/internal/settings/quorum_test.go
+++ b/internal/settings/quorum_test.go
@@ -16,7 +16,7 @@
 		t.Fatal(err)
 	}
 	q, err := ParseQuorum(data)
-	if err != nil || q.Member.Addr != "127.0.0.1:4301" || q.Member.Tick != 50*time.Millisecond || len(q.Owner.Duties) != 3 || q.Owner.Gone != 10*time.Second {
+	if err != nil || q.Member.Addr != "127.0.0.1:4301" || q.Member.Tick != 50*time.Millisecond || len(q.Runner.Controllers) != 3 || q.Runner.DeadAfter != 10*time.Second {
 		t.Errorf("%+v, %v", q, err)
 	}
 	if q, err := LoadQuorum("../../deploy/owner.json"); err != nil || q.Member != nil {
@@ -26,8 +26,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if e, err := ParseEdge(orders, silverpath.Settings{}); err != nil || e.Orders == nil || e.Orders.Group.Name != "kviz" {
-		t.Errorf("%+v, %v", e.Orders, err)
+	if e, err := ParseEdge(orders, silverpath.Settings{}); err != nil || e.Commands == nil || e.Commands.Group.Name != "kviz" {
+		t.Errorf("%+v, %v", e.Commands, err)
 	}
 	for _, c := range []struct{ old, new, want string }{
 		{`"name": "q1"`, `"name": ""`, "name: missing"},
--- a/internal/settings/rules.go
+++ b/internal/settings/rules.go
@@ -14,42 +14,42 @@
 	"silverpath/internal/policy/configstore"
 )
 
-// Rules sets up a process that acts on documents of a group: see docs/rules.md.
-type Rules struct {
-	Group GroupRef
-	Docs  []string
-	Most  int // routers that there can be, which share the cells; 0: it knows nothing of what others let in
+// ConfigWatch sets up a process that acts on documents of a group: see docs/rules.md.
+type ConfigWatch struct {
+	Group      GroupRef
+	Documents  []string
+	MaxRouters int // routers that there can be, which share the cells; 0: it knows nothing of what others let in
 }
 
 // Uses reports whether the process acts on a document of the group.
-func (r *Rules) Uses(doc string) bool { return r != nil && slices.Contains(r.Docs, doc) }
+func (r *ConfigWatch) Uses(doc string) bool { return r != nil && slices.Contains(r.Documents, doc) }
 
-func readRules(f fields) *Rules {
+func readRules(f fields) *ConfigWatch {
 	if f.v == nil {
 		return nil
 	}
 	f.only("group", "members", "documents", "most_routers")
-	set := &Rules{Group: f.group(), Docs: f.texts("documents"), Most: int(f.integer("most_routers"))}
-	if set.Most < 0 || set.Most > 0 && !set.Uses(configstore.DocMap) {
+	set := &ConfigWatch{Group: f.group(), Documents: f.texts("documents"), MaxRouters: int(f.integer("most_routers"))}
+	if set.MaxRouters < 0 || set.MaxRouters > 0 && !set.Uses(configstore.DocMap) {
 		f.fail("most_routers", "negative, or there is no map among the documents")
 	}
-	for i, doc := range set.Docs {
+	for i, doc := range set.Documents {
 		if !slices.Contains(configstore.DocumentNames, doc) {
 			f.fail(fmt.Sprintf("documents[%d]", i), "no such document: %q", doc)
 		}
 	}
-	if len(set.Docs) == 0 {
+	if len(set.Documents) == 0 {
 		f.fail("documents", "none")
 	}
 	return set
 }
 
 // ParseRouting reads the document of how routers choose and try.
-func ParseRouting(text string) (Fleet, error) {
+func ParseRouting(text string) (Router, error) {
 	var err error
 	f := object([]byte(text), &err)
 	if err != nil {
-		return Fleet{}, err
+		return Router{}, err
 	}
 	f.only("format", "probe_ms", "retries", "hedges", "most_out", "panic", "slow_start_ms")
 	set := readRouting(f)
@@ -118,9 +118,9 @@
 	return site, err
 }
 
-// Document is a document's text from a file, with its format. The file may be the document itself, or, for installations that
+// ExtractDocument is a document's text from a file, with its format. The file may be the document itself, or, for installations that
 // had files alone, an edge file or a configuration: then the part is taken that the document is.
-func Document(name string, data []byte) (text string, format int, err error) {
+func ExtractDocument(name string, data []byte) (text string, format int, err error) {
 	f := object(data, &err)
 	if err != nil {
 		return "", 0, err
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -23,7 +23,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if c.Name != "n3" || c.Stop != 3200*time.Millisecond || c.Sockets != 1024 || c.MemoryMB != 192 || c.Seed == 0 ||
+	if c.Name != "n3" || c.StopTimeout != 3200*time.Millisecond || c.Descriptors != 1024 || c.MemoryMB != 192 || c.Seed == 0 ||
 		c.SCGI.Listen != "" || len(c.Gauges) != 2 {
 		t.Errorf("%+v", c)
 	}
--- a/internal/testkit/benchmarks/scale.go
+++ b/internal/testkit/benchmarks/scale.go
@@ -666,7 +666,7 @@
 
 // change puts a document as the command does, and says when that was.
 func (g *agreedOn) change(doc, text string) (at time.Time, err error) {
-	text, format, err := settings.Document(doc, []byte(text))
+	text, format, err := settings.ExtractDocument(doc, []byte(text))
 	if err != nil {
 		return at, err
 	}
--- a/internal/testkit/hollow/router.go
+++ b/internal/testkit/hollow/router.go
@@ -80,7 +80,7 @@
 }
 
 // newFollower has the documents checked and taken as the service has them. Retune takes classes up, and reroute how a router chooses.
-func newFollower(cfg FollowerConfig, retune func(silverpath.Settings) error, reroute func(settings.Fleet), a *agreed, s *metrics.Counters) (*configwatch.Watcher, error) {
+func newFollower(cfg FollowerConfig, retune func(silverpath.Settings) error, reroute func(settings.Router), a *agreed, s *metrics.Counters) (*configwatch.Watcher, error) {
 	var mu sync.Mutex
 	site := cfg.Site
 	own := map[string]configwatch.Document{
@@ -209,7 +209,7 @@
 				f.Reload()
 			}
 		}
-		reroute := func(next settings.Fleet) {
+		reroute := func(next settings.Router) {
 			if f := runner(); f != nil {
 				f.Retune(next.Routing, next.Probe)
 				return
