--- /dev/null
+++ b/cmd/silverpath/architecture_test.go
@@ -0,0 +1,92 @@
+package main
+
+import (
+	"io/fs"
+	"os"
+	"path/filepath"
+	"regexp"
+	"strings"
+	"testing"
+)
+
+var (
+	namedPackage  = regexp.MustCompile("`((?:internal|cmd)/[a-z/-]+)`")
+	namedFunction = regexp.MustCompile("`((?:internal|cmd)/[a-z/-]+|\\.)`: `([A-Za-z.]+)`")
+)
+
+// A page that names what is no longer there misleads whoever is on call at night. Every package that docs/ARCHITECTURE.md names
+// is in the tree and holds the functions that stand behind it, and every package of the tree is on the page.
+func TestArchitecture(t *testing.T) {
+	root := filepath.Join("..", "..")
+	page, err := os.ReadFile(filepath.Join(root, "docs", "ARCHITECTURE.md"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	named := map[string]bool{}
+	for _, m := range namedPackage.FindAllStringSubmatch(string(page), -1) {
+		named[m[1]] = true
+		if !holdsGo(t, filepath.Join(root, m[1], "*.go")) && !holdsGo(t, filepath.Join(root, m[1], "*", "*.go")) {
+			t.Errorf("docs/ARCHITECTURE.md names %s, which is no package", m[1])
+		}
+	}
+	steps := namedFunction.FindAllStringSubmatch(string(page), -1)
+	if len(steps) == 0 {
+		t.Error("docs/ARCHITECTURE.md names no function")
+	}
+	for _, m := range steps {
+		receiver, name, method := strings.Cut(m[2], ".")
+		declaration := `(?m)^func ` + receiver + `[(\[]`
+		if method {
+			declaration = `(?m)^func \([a-z]\w* \*?` + receiver + `\) ` + name + `\(`
+		}
+		if !regexp.MustCompile(declaration).MatchString(sources(t, filepath.Join(root, m[1]))) {
+			t.Errorf("docs/ARCHITECTURE.md names %s in %s, which is not there", m[2], m[1])
+		}
+	}
+	for _, top := range []string{"internal", "cmd"} {
+		err := filepath.WalkDir(filepath.Join(root, top), func(path string, d fs.DirEntry, err error) error {
+			if err != nil || !d.IsDir() {
+				return err
+			}
+			name, _ := filepath.Rel(root, path)
+			if name = filepath.ToSlash(name); !named[name] && holdsGo(t, filepath.Join(path, "*.go")) {
+				t.Errorf("docs/ARCHITECTURE.md does not name %s", name)
+			}
+			return nil
+		})
+		if err != nil {
+			t.Fatal(err)
+		}
+	}
+}
+
+// sources returns the text of a package's files that are no tests, empty where there are none.
+func sources(t *testing.T, dir string) string {
+	t.Helper()
+	files, err := filepath.Glob(filepath.Join(dir, "*.go"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	var all strings.Builder
+	for _, file := range files {
+		if strings.HasSuffix(file, "_test.go") {
+			continue
+		}
+		text, err := os.ReadFile(file)
+		if err != nil {
+			t.Fatal(err)
+		}
+		all.Write(text)
+	}
+	return all.String()
+}
+
+// holdsGo reports whether Go files, tests among them, fit a pattern.
+func holdsGo(t *testing.T, pattern string) bool {
+	t.Helper()
+	files, err := filepath.Glob(pattern)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return len(files) > 0
+}
