--- a/internal/controlplane/configwatch/follow.go
+++ b/internal/controlplane/configwatch/follow.go
@@ -48,9 +48,9 @@
 	Stats        *metrics.Counters
 }
 
-// Sharer is a process's part in what a fleet shares.
+// QuotaClient is a process's part in what a fleet shares.
 type QuotaClient interface {
-	// Says returns its word to the group, and what to call with the answer.
+	// QuotaRequest returns its word to the group, and what to call with the answer.
 	QuotaRequest() (w quota.Request, told func(g quota.Grant, t lease.Terms))
 }
 
@@ -69,7 +69,7 @@
 	minInterval    = 10 * time.Millisecond
 )
 
-// Follower is a process that acts on documents.
+// Watcher is a process that acts on documents.
 type Watcher struct {
 	cfg   Config
 	began time.Time
@@ -116,7 +116,7 @@
 	return time.Duration(float64(time.Since(f.began)) * Rate)
 }
 
-// Stops is why anything that is exclusive does not begin, empty where all of it may.
+// StopReason is why anything that is exclusive does not begin, empty where all of it may.
 func (f *Watcher) StopReason() string {
 	if why := f.stopReasonForAll(); why != "" || len(*f.paused.Load()) == 0 {
 		return why
@@ -124,7 +124,7 @@
 	return configstore.StopQuiescing
 }
 
-// StopsSheet is why a sheet of a class and a tenant does not begin, empty where it may: a change that turns stops what it touches.
+// StopReasonFor is why a sheet of a class and a tenant does not begin, empty where it may: a change that turns stops what it touches.
 func (f *Watcher) StopReasonFor(class, tenant string) string {
 	if why := f.stopReasonForAll(); why != "" {
 		return why
@@ -137,7 +137,7 @@
 	return ""
 }
 
-// stopsAll is why nothing that is exclusive begins.
+// stopReasonForAll is why nothing that is exclusive begins.
 func (f *Watcher) stopReasonForAll() string {
 	switch {
 	case int64(f.clock()) >= f.confirmedUntil.Load():
@@ -148,7 +148,7 @@
 	return ""
 }
 
-// Keep asks the group until the context ends, and for parts that are missing in between.
+// Run asks the group until the context ends, and for parts that are missing in between.
 func (f *Watcher) Run(ctx context.Context) {
 	go f.watchConfirmation(ctx)
 	for ctx.Err() == nil {
@@ -163,7 +163,7 @@
 	}
 }
 
-// between asks for parts until the next asking of what is in force, which is at once where they have come.
+// fetchUntil asks for parts until the next asking of what is in force, which is at once where they have come.
 func (f *Watcher) fetchUntil(ctx context.Context, until time.Time) {
 	for ctx.Err() == nil {
 		asked, next := f.fetchParts(ctx)
@@ -184,7 +184,7 @@
 	}
 }
 
-// fetch asks for parts where it is time to. Next is how long until it is, under 0 where nothing is missing.
+// fetchParts asks for parts where it is time to. Next is how long until it is, under 0 where nothing is missing.
 func (f *Watcher) fetchParts(ctx context.Context) (asked bool, next time.Duration) {
 	f.mu.Lock()
 	w, at, ok := f.replica.NextRequest(f.clock())
@@ -220,7 +220,7 @@
 
 func (f *Watcher) check(name, text string) error { return f.cfg.Documents[name].Check(text) }
 
-// act takes up what the process is to act on now, and reports whether it acts on all of it.
+// apply takes up what the process is to act on now, and reports whether it acts on all of it.
 func (f *Watcher) apply(take []configstore.Update) (all bool) {
 	all = true
 	for _, t := range take {
@@ -248,7 +248,7 @@
 	return all
 }
 
-// offs tells of what came and did not follow from what is here.
+// logMismatches tells of what came and did not follow from what is here.
 func (f *Watcher) logMismatches() {
 	f.mu.Lock()
 	list, acts := f.replica.TakeMismatches(), f.replica.ActiveVersions()
@@ -259,7 +259,7 @@
 	}
 }
 
-// mind says at once when a confirmation ends, whatever an asking waits for.
+// watchConfirmation says at once when a confirmation ends, whatever an asking waits for.
 func (f *Watcher) watchConfirmation(ctx context.Context) {
 	for ctx.Err() == nil {
 		left := time.Duration(f.confirmedUntil.Load()) - f.clock()
@@ -274,7 +274,7 @@
 	}
 }
 
-// First asks until the group has answered once and what it says is in force is here, or the context ends.
+// WaitCurrent asks until the group has answered once and what it says is in force is here, or the context ends.
 func (f *Watcher) WaitCurrent(ctx context.Context) bool {
 	for {
 		answered := f.sync(ctx)
@@ -291,7 +291,7 @@
 	}
 }
 
-// once asks the group once, and does what it has to by the answer.
+// sync asks the group once, and does what it has to by the answer.
 func (f *Watcher) sync(ctx context.Context) bool {
 	f.mu.Lock()
 	s := quorum.ConfigSync{User: f.replica.Report(), HasVersions: f.replica.KnownVersions(), BaseVersions: f.replica.CompleteVersions(), ActiveVersions: f.replica.ActiveVersions(), StopReason: f.StopReason()}
@@ -351,7 +351,7 @@
 	return true
 }
 
-// notice logs when something exclusive stops, or may begin again.
+// logStopReason logs when something exclusive stops, or may begin again.
 func (f *Watcher) logStopReason() {
 	f.mu.Lock()
 	now := f.clock()
@@ -378,7 +378,7 @@
 	}
 }
 
-// tell logs what went wrong, once while it stays the same.
+// logError logs what went wrong, once while it stays the same.
 func (f *Watcher) logError(err error) {
 	text := ""
 	if err != nil {
--- a/internal/policy/cells/cells_test.go
+++ b/internal/policy/cells/cells_test.go
@@ -12,7 +12,13 @@
 )
 
 // Property tests take the same course every time.
-func init() { flag.Set("rapid.seed", "7"); flag.Set("rapid.nofailfile", "true") }
+func init() {
+	for name, value := range map[string]string{"rapid.seed": "7", "rapid.nofailfile": "true"} {
+		if err := flag.Set(name, value); err != nil {
+			panic(err)
+		}
+	}
+}
 
 var t0 = time.UnixMilli(1_800_000_000_000)
 
--- /dev/null
+++ b/internal/policy/cells/check.go
@@ -0,0 +1,133 @@
+package cells
+
+import (
+	"errors"
+	"fmt"
+	"math"
+	"time"
+)
+
+// Check names the first field that no map can have.
+func (m *Map) Check() error {
+	m = m.Flat()
+	if err := m.checkTop(); err != nil {
+		return err
+	}
+	cells, err := m.checkHead()
+	if err != nil {
+		return err
+	}
+	has := func(name string) bool { return cells[name] }
+	if err := m.checkServers(has); err != nil {
+		return err
+	}
+	names := make(map[string]bool, len(m.Tenants))
+	for i := range m.Tenants {
+		if err := m.Tenants[i].check(has, names); err != nil {
+			return fmt.Errorf("tenants[%d].%w", i, err)
+		}
+	}
+	return nil
+}
+
+func (m *Map) checkTop() error {
+	if m.Version < 1 {
+		return fmt.Errorf("version: under 1: %d", m.Version)
+	}
+	return nil
+}
+
+// checkHead checks the times and the cells, and returns the names of these.
+func (m *Map) checkHead() (map[string]bool, error) {
+	for _, f := range []struct {
+		name string
+		d    time.Duration
+		zero bool
+	}{{"window_ms", m.KeyWindow, false}, {"skew_ms", m.MaxClockSkew, true}, {"lease_ms", m.Lease, false}, {"patience_ms", m.CallerTimeout, false}} {
+		if f.d < 0 || f.d == 0 && !f.zero {
+			return nil, fmt.Errorf("%s: not above 0: %d", f.name, f.d.Milliseconds())
+		}
+	}
+	cells := map[string]bool{}
+	for i, c := range m.Cells {
+		switch {
+		case c.Name == "":
+			return nil, fmt.Errorf("cells[%d].name: missing", i)
+		case cells[c.Name]:
+			return nil, fmt.Errorf("cells[%d].name: %q given twice", i, c.Name)
+		case !(c.Capacity >= 0) || math.IsInf(c.Capacity, 1):
+			return nil, fmt.Errorf("cells[%d].capacity: not a number of 0 or more: %v", i, c.Capacity)
+		}
+		cells[c.Name] = true
+	}
+	if len(cells) == 0 {
+		return nil, fmt.Errorf("cells: none")
+	}
+	return cells, nil
+}
+
+func (m *Map) checkServers(has func(cell string) bool) error {
+	names, addrs, full := map[string]bool{}, map[string]bool{}, map[string]bool{}
+	for i := range m.Servers {
+		s := &m.Servers[i]
+		if err := s.check(has, names, addrs); err != nil {
+			return fmt.Errorf("servers[%d].%w", i, err)
+		}
+		full[s.Cell] = full[s.Cell] || s.LeavesAt == 0
+	}
+	for i, c := range m.Cells {
+		if !full[c.Name] {
+			return fmt.Errorf("cells[%d]: %q has no server that stays", i, c.Name)
+		}
+	}
+	return nil
+}
+
+// check names the first field that no server can have beside those whose names and addresses are given, and adds its own.
+func (s *Server) check(has func(cell string) bool, names, addrs map[string]bool) error {
+	switch {
+	case s.Name == "":
+		return errors.New("name: missing")
+	case names[s.Name]:
+		return fmt.Errorf("name: %q given twice", s.Name)
+	case s.Addr == "":
+		return errors.New("addr: missing")
+	case addrs[s.Addr]:
+		return fmt.Errorf("addr: %q given twice", s.Addr)
+	case !has(s.Cell):
+		return fmt.Errorf("cell: no such cell: %q", s.Cell)
+	case !(s.Weight > 0) || math.IsInf(s.Weight, 1):
+		return fmt.Errorf("weight: not above 0: %v", s.Weight)
+	case s.JoinsAt < 0 || s.LeavesAt < 0 || s.LeavesAt > 0 && s.LeavesAt <= s.JoinsAt:
+		return fmt.Errorf("until_ms: not after from_ms: %d", s.LeavesAt)
+	}
+	names[s.Name], addrs[s.Addr] = true, true
+	return nil
+}
+
+// check names the first field that no tenant can have beside those whose names are given, and adds its own.
+func (t *Tenant) check(has func(cell string) bool, names map[string]bool) error {
+	if names[t.Name] {
+		return fmt.Errorf("name: %q given twice", t.Name)
+	}
+	names[t.Name] = true
+	if !(t.Rate >= 0) || math.IsInf(t.Rate, 1) {
+		return fmt.Errorf("rate: not a number of 0 or more: %v", t.Rate)
+	}
+	if len(t.Homes) == 0 {
+		return fmt.Errorf("homes: %q has no cell", t.Name)
+	}
+	for j, h := range t.Homes {
+		switch {
+		case !has(h.Cell):
+			return fmt.Errorf("homes[%d].cell: no such cell: %q", j, h.Cell)
+		case h.Shard < 0:
+			return fmt.Errorf("homes[%d].shard: negative: %d", j, h.Shard)
+		case j > 0 && h.Since <= t.Homes[j-1].Since:
+			return fmt.Errorf("homes[%d].from_ms: not after that of the home before: %d", j, h.Since)
+		case h.IsAbort && (j < 2 || h.Cell != t.Homes[j-2].Cell):
+			return fmt.Errorf("homes[%d].abort: it takes no move back", j)
+		}
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/policy/cells/iterate.go
@@ -0,0 +1,140 @@
+package cells
+
+import (
+	"fmt"
+	"iter"
+	"slices"
+)
+
+// AllServers runs over the servers: in the order of their file, or by the parts of a map that was joined.
+func (m *Map) AllServers() iter.Seq[*Server] {
+	return func(yield func(*Server) bool) {
+		for _, s := range m.serversNotIn(nil) {
+			if !yield(s) {
+				return
+			}
+		}
+	}
+}
+
+// AllTenants runs over the tenants, as AllServers.
+func (m *Map) AllTenants() iter.Seq[*Tenant] {
+	return func(yield func(*Tenant) bool) {
+		for _, t := range m.tenantsNotIn(nil) {
+			if !yield(t) {
+				return
+			}
+		}
+	}
+}
+
+// Size is the number of servers and of tenants.
+func (m *Map) Size() (servers, tenants int) {
+	if !m.isJoined() {
+		return len(m.Servers), len(m.Tenants)
+	}
+	for _, p := range m.index.servers {
+		servers += len(p.list)
+	}
+	for _, p := range m.index.tenants {
+		tenants += len(p.list)
+	}
+	return servers, tenants
+}
+
+// SameServers reports whether the map shares all its servers with another one, without looking at any.
+func (m *Map) SameServers(other *Map) bool {
+	x, o := m.validIndex(), other.validIndex()
+	return m == other || x != nil && o != nil && x.servers == o.servers
+}
+
+// Flat is the map with its servers and tenants in lists, as it stands in a file; those of one that was joined are by name. The
+// lists are not to be changed.
+func (m *Map) Flat() *Map {
+	if !m.isJoined() {
+		return m
+	}
+	flat := *m
+	flat.index = nil
+	for s := range m.AllServers() {
+		flat.Servers = append(flat.Servers, *s)
+	}
+	for t := range m.AllTenants() {
+		flat.Tenants = append(flat.Tenants, *t)
+	}
+	slices.SortFunc(flat.Servers, func(a, b Server) int { return compareServers(&a, &b) })
+	slices.SortFunc(flat.Tenants, func(a, b Tenant) int { return compareTenants(&a, &b) })
+	return &flat
+}
+
+// nextVersion is a copy of the map, of the next version, whose lists may be changed.
+func (m *Map) nextVersion() *Map {
+	next := *m.Flat()
+	next.index = nil
+	next.Version++
+	next.Servers, next.Tenants = slices.Clone(next.Servers), slices.Clone(next.Tenants)
+	return &next
+}
+
+// position is where an entry of a map stands: in the list of a file, or in that of a part.
+type position struct {
+	partName func(int) string // nil: in a file
+	number   int
+	list     string
+	index    int
+}
+
+func (p position) String() string {
+	if p.partName == nil {
+		return fmt.Sprintf("%s[%d]", p.list, p.index)
+	}
+	return fmt.Sprintf("part %s: %s[%d]", p.partName(p.number), p.list, p.index)
+}
+
+// serversNotIn runs over the servers but for those in parts that the map shares with another one.
+func (m *Map) serversNotIn(other *index) iter.Seq2[position, *Server] {
+	return func(yield func(position, *Server) bool) {
+		if !m.isJoined() {
+			for i := range m.Servers {
+				if !yield(position{list: "servers", index: i}, &m.Servers[i]) {
+					return
+				}
+			}
+			return
+		}
+		for n, p := range m.index.servers {
+			if other != nil && other.servers[n] == p {
+				continue
+			}
+			for i, s := range p.list {
+				if !yield(position{ServerPartName, n, "servers", i}, s) {
+					return
+				}
+			}
+		}
+	}
+}
+
+// tenantsNotIn is serversBeside for tenants.
+func (m *Map) tenantsNotIn(other *index) iter.Seq2[position, *Tenant] {
+	return func(yield func(position, *Tenant) bool) {
+		if !m.isJoined() {
+			for i := range m.Tenants {
+				if !yield(position{list: "tenants", index: i}, &m.Tenants[i]) {
+					return
+				}
+			}
+			return
+		}
+		for n, p := range m.index.tenants {
+			if other != nil && other.tenants[n] == p {
+				continue
+			}
+			for i, t := range p.list {
+				if !yield(position{TenantPartName, n, "tenants", i}, t) {
+					return
+				}
+			}
+		}
+	}
+}
--- a/internal/policy/cells/plan.go
+++ b/internal/policy/cells/plan.go
@@ -6,14 +6,18 @@
 	"time"
 )
 
-// Load is what a cell has to carry.
+// Plans of changes: what operators and the placement controller may do to a map. Each returns the map that would follow, or an error
+// that names why there is none. Whatever a plan changes comes into force two leases and the clocks' difference after it: a lease for
+// routers that read the map, and one for those that can't and stop.
+
+// Load is what a cell has to carry. Commands print it as JSON under these names.
 type Load struct {
 	Cell     string  `json:"Cell"`
 	Capacity float64 `json:"Capacity"` // requests a second
 	Rate     float64 `json:"Rate"`     // of its tenants, as agreed
 }
 
-// Share is how much of the capacity is taken.
+// Utilization is how much of the capacity is taken.
 func (l Load) Utilization() float64 {
 	if l.Capacity <= 0 {
 		return 0
@@ -40,7 +44,7 @@
 	return list
 }
 
-// Plan is a move that could be made.
+// Plan is a migration that could be made.
 type Plan struct {
 	Tenant   string
 	From, To string
@@ -52,11 +56,12 @@
 	Next     *Map // the map that makes it
 }
 
-// most is the share of a cell's capacity that a move may leave taken.
+// maxUtilization is the ratio of a cell's capacity that a migration may leave taken: beyond it a server that fails takes the rest of its
+// cell over what it can do.
 const maxUtilization = 0.8
 
-// PlanMove plans a tenant's move. It says no, naming why, where the target can't carry it, would have too few servers for
-// it, or where a move of it is under way.
+// PlanMove plans a tenant's migration to a cell, and to a shard of so many servers there, 0 for all. It is an error where the target
+// can't carry the tenant or has too few servers for it, or where a migration of it is under way.
 func (m *Map) PlanMove(now time.Time, tenant, to string, shardOf int) (Plan, error) {
 	p := Plan{Tenant: tenant, To: to, Shard: shardOf}
 	t := m.tenant(tenant, true)
@@ -98,7 +103,7 @@
 	return p, nil
 }
 
-// with is the next map, in which a tenant has one home more.
+// withHome is the next map, in which a tenant has one home more.
 func (m *Map) withHome(tenant string, h Home) *Map {
 	next := m.nextVersion()
 	for i := range next.Tenants {
@@ -109,8 +114,8 @@
 	return next
 }
 
-// PlanAbort plans the way back from a move that is prepared or in force. One that is prepared is taken out again where
-// there is time to tell everybody; else the way back is a move of its own, with the same care for repeats.
+// PlanAbort plans the way back from a migration that is prepared or in force. One that is prepared is taken out again where there is
+// time for all routers to hear of it; else the way back is a migration of its own, with the same care for repeats.
 func (m *Map) PlanAbort(now time.Time, tenant string) (*Map, error) {
 	t := m.tenant(tenant, true)
 	if t == nil {
@@ -123,8 +128,8 @@
 	case t.Homes[last].IsAbort:
 		return nil, fmt.Errorf("tenant %q: its move is being aborted", tenant)
 	}
-	least := now.Add(2*m.Lease + m.MaxClockSkew).UnixMilli()
-	if t.Homes[last].Since > least {
+	earliest := now.Add(2*m.Lease + m.MaxClockSkew).UnixMilli()
+	if t.Homes[last].Since > earliest {
 		next := m.withHome(tenant, Home{})
 		for i := range next.Tenants {
 			if next.Tenants[i].Name == tenant {
@@ -134,11 +139,11 @@
 		return next, nil
 	}
 	back := t.Homes[last-1]
-	return m.withHome(tenant, Home{Cell: back.Cell, Shard: back.Shard, Since: max(least, t.Homes[last].Since+1), IsAbort: true}), nil
+	return m.withHome(tenant, Home{Cell: back.Cell, Shard: back.Shard, Since: max(earliest, t.Homes[last].Since+1), IsAbort: true}), nil
 }
 
-// PlanRemoval is the next map without a server that is gone: it belongs no more from a lease ahead on. It says no where the
-// server's cell would be left with under half of its servers, as then health says more of the watchers than of it.
+// PlanRemoval is the next map without a server that is gone: it leaves its cell two leases ahead. It is an error where the cell would be
+// left with under half of its servers, as then health says more of the routers that report it than of the servers.
 func (m *Map) PlanRemoval(now time.Time, server string) (*Map, error) {
 	s := m.Server(server)
 	if s == nil {
@@ -164,18 +169,19 @@
 	return next, nil
 }
 
-// Compact is the next map without the homes and servers that no repeat can come from any more.
+// Compact is the next map without the homes and servers that no repeat can come from any more. Without it a map would grow with each
+// migration.
 func (m *Map) Compact(now time.Time) *Map {
 	next := m.nextVersion()
-	kept := now.Add(-m.overlapWindow() - m.CallerTimeout).UnixMilli()
+	keptFrom := now.Add(-m.overlapWindow() - m.CallerTimeout).UnixMilli()
 	for i, t := range next.Tenants {
-		for len(t.Homes) > 1 && t.Homes[1].Since < kept {
+		for len(t.Homes) > 1 && t.Homes[1].Since < keptFrom {
 			t.Homes = t.Homes[1:]
 			t.Homes = append([]Home{{Cell: t.Homes[0].Cell, Shard: t.Homes[0].Shard, Since: t.Homes[0].Since}}, t.Homes[1:]...)
 		}
 		next.Tenants[i].Homes = t.Homes
 	}
-	next.Servers = slices.DeleteFunc(next.Servers, func(s Server) bool { return s.LeavesAt > 0 && s.LeavesAt < kept })
+	next.Servers = slices.DeleteFunc(next.Servers, func(s Server) bool { return s.LeavesAt > 0 && s.LeavesAt < keptFrom })
 	return next
 }
 
--- a/internal/policy/configstore/book.go
+++ b/internal/policy/configstore/book.go
@@ -16,7 +16,7 @@
 	StageQuiescing Stage = "turning"  // all stop what it excludes, and nobody begins the new yet
 )
 
-// Entry is one version of a document.
+// Revision is one version of a document.
 type Revision struct {
 	ID          ID             `json:"id"`
 	Format      int            `json:"format"` // a process of a build that reads a lower one is not handed it
@@ -38,20 +38,20 @@
 	ChangedParts []string        `json:"changed,omitempty"` // the parts in which it differed from the version before
 }
 
-// Try is how a change that may be bad is watched.
+// RolloutPolicy is how a change that may be bad is watched.
 type RolloutPolicy struct {
 	CanaryRatio float64 `json:"part,omitempty"` // of the processes that act on it first; 0: all at once
 	ObserveMS   int64   `json:"for_ms"`         // so long, in milliseconds, in the trial and once it is in force
 	MaxLoss     float64 `json:"worse"`          // by so much less of the worth is served than else, and it is taken back
 }
 
-// Worth is what a process was asked for and what it served, since its start.
+// Goodput is what a process was asked for and what it served, since its start.
 type Goodput struct {
 	Offered float64 `json:"asked"`
 	Served  float64 `json:"served"`
 }
 
-// Share is the part that was served, 1 of nothing.
+// Ratio is the part that was served, 1 of nothing.
 func (w Goodput) Ratio() float64 {
 	if w.Offered <= 0 {
 		return 1
@@ -59,7 +59,7 @@
 	return w.Served / w.Offered
 }
 
-// Doc is a document with what is to become of it.
+// Document is a document with what is to become of it.
 type Document struct {
 	Name            string      `json:"name"`
 	HighestVersion  int         `json:"top"`             // the highest version that was ever given
@@ -78,7 +78,7 @@
 	Reason  string `json:"why"`
 }
 
-// Find returns a version that is kept, nil for none.
+// Revision returns a version that is kept, nil for none.
 func (d *Document) Revision(version int) *Revision {
 	for _, e := range append([]*Revision{d.Active, d.Proposed}, d.History...) {
 		if e != nil && e.ID.Version == version {
@@ -88,7 +88,7 @@
 	return nil
 }
 
-// User is a process that uses documents. It is one start of it: what comes back under a name is another one.
+// Process is a process that uses documents. It is one start of it: what comes back under a name is another one.
 type Process struct {
 	Name     string             `json:"name"`
 	Formats  map[string]int     `json:"reads"` // the highest format that it reads of each document that it uses
@@ -97,13 +97,13 @@
 	Refusals map[string]Refusal `json:"refuses,omitempty"`
 }
 
-// Book is what a group agrees on. It knows no time, and is never changed but by Apply, in the order of the group's log.
+// Store is what a group agrees on. It knows no time, and is never changed but by Apply, in the order of the group's log.
 type Store struct {
 	Documents map[string]*Document `json:"docs"`
 	Processes map[string]*Process  `json:"users"`
 }
 
-// NewBook returns a book without documents.
+// NewStore returns a book without documents.
 func NewStore() *Store { return &Store{map[string]*Document{}, map[string]*Process{}} }
 
 // Op is what is asked of a book.
@@ -217,7 +217,7 @@
 	return d, nil
 }
 
-// Watcher is who takes back what made things worse.
+// MonitorAuthor is who takes back what made things worse.
 const MonitorAuthor = "the watch"
 
 func clip(s string) string { return s[:min(len(s), maxReason)] }
@@ -287,7 +287,7 @@
 	return d, nil
 }
 
-// takeBack makes the contents from before the version in force the next one. It goes the same way as any change.
+// revert makes the contents from before the version in force the next one. It goes the same way as any change.
 func (d *Document) revert(c Change) error {
 	if d.Active == nil || d.Active.ID.Version != c.Version {
 		return fmt.Errorf("%w: version %d of %s is not in force", ErrNoSuchChange, c.Version, c.Doc)
@@ -313,7 +313,7 @@
 	return fmt.Errorf("%w: nothing was in force before", ErrNoSuchChange)
 }
 
-// said takes what a process says of itself.
+// report takes what a process says of itself.
 func (b *Store) report(c Change) error {
 	if c.Process == nil || c.Process.Name == "" {
 		return errors.New("who: missing")
@@ -353,7 +353,7 @@
 	return nil
 }
 
-// New is what a word of a process adds to what is known of it.
+// HasNews is what a word of a process adds to what is known of it.
 func (b *Store) HasNews(u Process) bool {
 	was := b.Processes[u.Name]
 	if was == nil {
@@ -372,7 +372,7 @@
 	return false
 }
 
-// Waits names what a change waits for, the first in the order of names, and is empty where that is nothing.
+// WaitingFor names what a change waits for, the first in the order of names, and is empty where that is nothing.
 func (b *Store) WaitingFor(d *Document) string {
 	if d.Proposed == nil {
 		return ""
@@ -399,7 +399,7 @@
 	return ""
 }
 
-// Refused is who can't act on a change, and why, where anybody said so.
+// RefusedBy is who can't act on a change, and why, where anybody said so.
 func (b *Store) RefusedBy(d *Document) (who, why string) {
 	if d.Proposed == nil || d.Stage != StageProposed {
 		return "", ""
@@ -412,7 +412,7 @@
 	return "", ""
 }
 
-// Handed is whether a process is handed a change: not one of a format that it does not read.
+// IsOfferedTo is whether a process is handed a change: not one of a format that it does not read.
 func (d *Document) IsOfferedTo(u *Process) bool {
 	return d.Proposed != nil && u.Formats[d.Name] >= d.Proposed.Format
 }
@@ -448,7 +448,7 @@
 	return nil
 }
 
-// part are the processes that act on a change first: the first of their names' digests, so that it is not always the same.
+// canaries are the processes that act on a change first: the first of their names' digests, so that it is not always the same.
 func (b *Store) canaries(d *Document) (names []string) {
 	for name, u := range b.Processes {
 		if _, uses := u.Formats[d.Name]; uses {
--- a/internal/policy/configstore/holder.go
+++ b/internal/policy/configstore/holder.go
@@ -14,7 +14,7 @@
 	Since    int       `json:"since,omitempty"` // of a document in parts: Force has those that changed after this version; 0: all, or none
 }
 
-// Holder is the side of a process that acts on documents. Its times are those of the process's own monotonic clock.
+// Replica is the side of a process that acts on documents. Its times are those of the process's own monotonic clock.
 type Replica struct {
 	Name string
 	// CheckParts tells why this process can't act on parts of a document that differ from what it was handed last, or on all of them.
@@ -31,7 +31,7 @@
 	pacer requestPacer
 }
 
-// held is what a process has of a document.
+// replicaDocument is what a process has of a document.
 type replicaDocument struct {
 	active, proposed *Revision
 	stage            Stage
@@ -52,7 +52,7 @@
 	scopeComplete bool
 }
 
-// Took is what a process has to do now: act on a version of a document.
+// Update is what a process has to do now: act on a version of a document.
 type Update struct {
 	Doc      string
 	Revision *Revision
@@ -70,10 +70,10 @@
 	return h
 }
 
-// Asked is when it asked for what it was last told, and so what it acts on was the newest.
+// LastAsked is when it asked for what it was last told, and so what it acts on was the newest.
 func (h *Replica) LastAsked() time.Duration { return h.lastAsked }
 
-// Every is how long it waits before it asks again: a third of the lease, and less while a change is under way.
+// PollInterval is how long it waits before it asks again: a third of the lease, and less while a change is under way.
 func (h *Replica) PollInterval() time.Duration {
 	for _, d := range h.docs {
 		if d.proposed != nil {
@@ -86,7 +86,7 @@
 	return h.terms.TTL / 3
 }
 
-// Says is what it has to say of itself.
+// Report is what it has to say of itself.
 func (h *Replica) Report() Process {
 	u := Process{Name: h.Name, Formats: h.formats, Prepared: map[string]int{}, Quiesced: map[string]int{}, Refusals: map[string]Refusal{}}
 	for name, d := range h.docs {
@@ -106,7 +106,7 @@
 	return u
 }
 
-// Has are the texts that it has, by document.
+// KnownVersions are the texts that it has, by document.
 func (h *Replica) KnownVersions() map[string][]int {
 	has := map[string][]int{}
 	for name, d := range h.docs {
@@ -119,7 +119,7 @@
 	return has
 }
 
-// named reports whether the parts of a version are known by names and digests, so that it needn't be told of them again.
+// knowsParts reports whether the parts of a version are known by names and digests, so that it needn't be told of them again.
 func (d *replicaDocument) knowsParts(id ID) bool {
 	for _, p := range []*partialDocument{d.activeParts, d.proposedParts} {
 		if p != nil && p.id == id && p.parts != nil {
@@ -129,7 +129,7 @@
 	return false
 }
 
-// Acts are the versions that it acts on.
+// ActiveVersions are the versions that it acts on.
 func (h *Replica) ActiveVersions() map[string]int {
 	acts := map[string]int{}
 	for name, d := range h.docs {
@@ -145,10 +145,10 @@
 	StopQuiescing   = "turning"     // everybody stops the old before anybody begins the new
 )
 
-// Until is when its confirmation ends.
+// ConfirmedUntil is when its confirmation ends.
 func (h *Replica) ConfirmedUntil() time.Duration { return h.confirmedUntil }
 
-// Turning reports whether it has stopped what a change excludes. It has to be so before it says so.
+// IsQuiesced reports whether it has stopped what a change excludes. It has to be so before it says so.
 func (h *Replica) IsQuiesced() bool {
 	for _, d := range h.docs {
 		if d.quiescedFor != 0 {
@@ -158,7 +158,7 @@
 	return false
 }
 
-// Stops is why nothing that is exclusive begins, empty where it may.
+// StopReason is why nothing that is exclusive begins, empty where it may.
 func (h *Replica) StopReason(now time.Duration) string {
 	switch {
 	case now >= h.confirmedUntil:
@@ -198,7 +198,7 @@
 	return take
 }
 
-// pieces are what is in force and under way of a document in parts, by what it was told.
+// partsOf are what is in force and under way of a document in parts, by what it was told.
 func (d *replicaDocument) partsOf(v View, out DisabledGuards) (now, then *partialDocument) {
 	if v.Active != nil && v.Active.InParts {
 		var base *partialDocument
@@ -217,7 +217,7 @@
 	return now, then
 }
 
-// fill puts in a text that it was known to have.
+// withText puts in a text that it was known to have.
 func (d *replicaDocument) withText(e *Revision) *Revision {
 	if e == nil || e.Text != "" || e.InParts {
 		return e
--- a/internal/policy/configstore/intake.go
+++ b/internal/policy/configstore/intake.go
@@ -11,7 +11,7 @@
 // This file is the side of a process that holds a document in parts: it acts on a version only once it has every part of it, and the
 // digest over them is the version's. Until then the last good one holds.
 
-// piece is a version of a document in parts, as far as a process has it.
+// partialDocument is a version of a document in parts, as far as a process has it.
 type partialDocument struct {
 	id    ID
 	parts map[string]Part // nil until they are known by names and digests; a text that is not here yet is empty
@@ -39,7 +39,7 @@
 	return names
 }
 
-// Guards can be left out by tests, which show the harm that each keeps away.
+// DisabledGuards can be left out by tests, which show the harm that each keeps away.
 type DisabledGuards struct {
 	SinceCheck bool // what changed since another version than the one here is put on it too
 	SumCheck   bool // the digest over all parts is not looked at
@@ -48,13 +48,13 @@
 	Pacing     bool // nobody waits before he asks
 }
 
-// Off counts what didn't follow from what was here, and why it was last.
+// Mismatch counts what didn't follow from what was here, and why it was last.
 type Mismatch struct {
 	Count  int
 	Reason string
 }
 
-// Want is what a process asks the group for: the manifest of a version, or texts of parts by name.
+// PartsRequest is what a process asks the group for: the manifest of a version, or texts of parts by name.
 type PartsRequest struct {
 	Doc     string   `json:"doc"`
 	Version int      `json:"version"`
@@ -69,7 +69,7 @@
 	maxRequested   = MaxParts
 )
 
-// intake paces what a process asks for: one asking at a time.
+// requestPacer paces what a process asks for: one asking at a time.
 type requestPacer struct {
 	asking      bool
 	failures    int           // times in a row that nothing came of it
@@ -77,7 +77,7 @@
 	notBefore   time.Duration // it asks then
 }
 
-// draw is the pause before the next asking of a process: a part of the spread by its name, so that a thousand have a thousand moments.
+// backoff is the pause before the next asking of a process: a part of the spread by its name, so that a thousand have a thousand moments.
 func backoff(who string, vain int) time.Duration {
 	spread := initialBackoff << min(vain, maxDoublings)
 	share := float64(PartDigest(fmt.Sprint(who, "/", vain))>>11) / (1 << 53)
@@ -94,7 +94,7 @@
 	return ""
 }
 
-// off notes that something didn't follow.
+// noteMismatch notes that something didn't follow.
 func (d *replicaDocument) noteMismatch(format string, args ...any) {
 	d.mismatches.Count++
 	d.mismatches.Reason = fmt.Sprintf(format, args...)
@@ -132,7 +132,7 @@
 	return to
 }
 
-// onto is the version here that parts told as changed since another one are put on, nil where there is none.
+// base is the version here that parts told as changed since another one are put on, nil where there is none.
 func (d *replicaDocument) base(since int, out DisabledGuards) *partialDocument {
 	if since == 0 {
 		return &partialDocument{parts: map[string]Part{}}
@@ -146,7 +146,7 @@
 	return nil
 }
 
-// Bases are the versions of documents in parts that it has whole, to be told what has changed since.
+// CompleteVersions are the versions of documents in parts that it has whole, to be told what has changed since.
 func (h *Replica) CompleteVersions() map[string]int {
 	bases := map[string]int{}
 	for name, d := range h.docs {
@@ -157,7 +157,7 @@
 	return bases
 }
 
-// differs are the texts of the parts of a version that differ from what the process was handed last. Whole: they are all.
+// changesTo are the texts of the parts of a version that differ from what the process was handed last. Whole: they are all.
 func (d *replicaDocument) changesTo(to *partialDocument) (changed map[string]string, whole bool) {
 	changed, whole = map[string]string{}, d.delivered == nil
 	if !whole {
@@ -175,7 +175,7 @@
 	return changed, whole
 }
 
-// settle checks and hands out what is here whole by now.
+// deliver checks and hands out what is here whole by now.
 func (h *Replica) deliver(now time.Duration, check func(name, text string) error) (take []Update) {
 	for _, name := range slices.Sorted(maps.Keys(h.docs)) {
 		d := h.docs[name]
@@ -220,12 +220,12 @@
 	return h.CheckParts(name, changed, whole)
 }
 
-// here reports whether a process has a version that is under way, so that it can say that it holds it.
+// isPrepared reports whether a process has a version that is under way, so that it can say that it holds it.
 func (d *replicaDocument) isPrepared() bool {
 	return d.proposed != nil && (!d.proposed.InParts || d.proposedParts.isComplete() && d.proposedParts.id == d.proposed.ID && d.checked == d.proposed.ID)
 }
 
-// Current reports whether it acts on what it was told is in force.
+// IsCurrent reports whether it acts on what it was told is in force.
 func (h *Replica) IsCurrent() bool {
 	for _, d := range h.docs {
 		if d.active != nil && d.active.InParts && (d.delivered == nil || d.delivered.id != d.active.ID) &&
@@ -236,7 +236,7 @@
 	return true
 }
 
-// Old are the documents of which it acts on an older version than it was told of, and since when.
+// OutdatedVersions are the documents of which it acts on an older version than it was told of, and since when.
 func (h *Replica) OutdatedVersions() map[string]int {
 	old := map[string]int{}
 	for name, d := range h.docs {
@@ -247,14 +247,14 @@
 	return old
 }
 
-// Again has a document that could not be acted on after all be handed whole, once.
+// Redeliver has a document that could not be acted on after all be handed whole, once.
 func (h *Replica) Redeliver(name string) {
 	if d := h.docs[name]; d != nil && d.delivered != nil {
 		d.delivered = nil
 	}
 }
 
-// Offs is what didn't follow from what was here since the last call, by document.
+// TakeMismatches is what didn't follow from what was here since the last call, by document.
 func (h *Replica) TakeMismatches() map[string]Mismatch {
 	all := map[string]Mismatch{}
 	for name, d := range h.docs {
@@ -265,7 +265,7 @@
 	return all
 }
 
-// wants is what it lacks first, in the order of documents: what is in force before what is under way.
+// nextMissing is what it lacks first, in the order of documents: what is in force before what is under way.
 func (h *Replica) nextMissing() (w PartsRequest, ok bool) {
 	for _, name := range slices.Sorted(maps.Keys(h.docs)) {
 		d := h.docs[name]
@@ -305,13 +305,13 @@
 	return w, 0, true
 }
 
-// Misses reports whether parts are missing.
+// IsIncomplete reports whether parts are missing.
 func (h *Replica) IsIncomplete() bool {
 	_, ok := h.nextMissing()
 	return ok
 }
 
-// Vain is told that an asking had no answer, or a no.
+// RequestFailed is told that an asking had no answer, or a no.
 func (h *Replica) RequestFailed() {
 	h.pacer = requestPacer{failures: h.pacer.failures + 1}
 }
@@ -339,7 +339,7 @@
 	return h.deliver(now, check)
 }
 
-// list takes a manifest.
+// takeManifest takes a manifest.
 func (d *replicaDocument) takeManifest(p *partialDocument, parts map[string]Part, out DisabledGuards) bool {
 	if p.parts != nil || len(parts) == 0 || len(parts) > MaxParts {
 		return false
@@ -357,7 +357,7 @@
 	return true
 }
 
-// fillIn takes texts.
+// takeTexts takes texts.
 func (d *replicaDocument) takeTexts(p *partialDocument, parts map[string]Part, out DisabledGuards) (gained bool) {
 	for name, got := range parts {
 		one, ok := p.parts[name]
@@ -375,7 +375,7 @@
 	return gained
 }
 
-// texts are those of a document's version that is in force and of the one under way, whole or in parts.
+// activeAndProposedTexts are those of a document's version that is in force and of the one under way, whole or in parts.
 func (d *replicaDocument) activeAndProposedTexts() (list []string) {
 	for _, e := range []*Revision{d.active, d.proposed} {
 		if e != nil && e.Text != "" {
@@ -396,7 +396,7 @@
 	return list
 }
 
-// Touched is what stops here for changes that turn, empty where none does.
+// PauseScopes is what stops here for changes that turn, empty where none does.
 func (h *Replica) PauseScopes() (list []*PauseScope) {
 	for _, name := range slices.Sorted(maps.Keys(h.docs)) {
 		d := h.docs[name]
--- a/internal/policy/configstore/kinds.go
+++ b/internal/policy/configstore/kinds.go
@@ -34,10 +34,10 @@
 	DocPools   = "pools"   // the pools of an edge file
 )
 
-// Docs are their names.
+// DocumentNames are their names.
 var DocumentNames = []string{DocMap, DocRouting, DocClasses, DocPools}
 
-// kinds are those of all fields, by document, with the indexes of arrays left out.
+// fieldKinds are those of all fields, by document, with the indexes of arrays left out.
 var fieldKinds = func() map[string]Kind {
 	all := map[string]Kind{}
 	add := func(k Kind, doc, fields string) {
@@ -96,7 +96,7 @@
 // KindOf is the kind of a field of a document, by a path whose indexes may be left out.
 func KindOf(doc, path string) Kind { return fieldKinds[doc+":"+fieldPath(path)] }
 
-// plain leaves the indexes and names out of a path.
+// fieldPath leaves the indexes and names out of a path.
 func fieldPath(path string) string {
 	var b strings.Builder
 	in := false
@@ -150,7 +150,7 @@
 	return slices.ContainsFunc(list, func(d Difference) bool { return d.kind == KindExclusive || d.kind == KindUnknown })
 }
 
-// Bound names the first field of a change that a part of the fleet can't act on alone, empty for none.
+// FirstDependent names the first field of a change that a part of the fleet can't act on alone, empty for none.
 func FirstDependent(list []Difference) string {
 	for _, d := range list {
 		if d.kind != KindIndependent {
@@ -177,7 +177,7 @@
 	return string(b)
 }
 
-// walk calls fn with every leaf that differs.
+// walkDifferences calls fn with every leaf that differs.
 func walkDifferences(path string, a, b any, fn func(path string, a, b any)) {
 	switch x := either(a, b).(type) {
 	case map[string]any:
@@ -199,7 +199,7 @@
 	}
 }
 
-// same compares leaves, most of which are alike, without writing them.
+// equalLeaves compares leaves, most of which are alike, without writing them.
 func equalLeaves(a, b any) bool {
 	switch x := a.(type) {
 	case string, float64, bool:
@@ -229,7 +229,7 @@
 	return all
 }
 
-// named are the elements of an array by their names, or by their numbers.
+// elementsByName are the elements of an array by their names, or by their numbers.
 func elementsByName(v any) map[string]any {
 	list, _ := v.([]any)
 	all := map[string]any{}
--- a/internal/policy/configstore/parts.go
+++ b/internal/policy/configstore/parts.go
@@ -28,9 +28,9 @@
 
 // Bounds of a document in parts.
 const (
-	// MostParts bounds what has to be named to name a document whole: a manifest of so many is about 50 KB.
+	// MaxParts bounds what has to be named to name a document whole: a manifest of so many is about 50 KB.
 	MaxParts = 1024
-	// LongestPart bounds the least that can be sent of a change: an answer carries several.
+	// MaxPartSize bounds the least that can be sent of a change: an answer carries several.
 	MaxPartSize = 64 << 10
 	// MaxDocumentSize bounds what each member keeps and sends in a snapshot, and each process holds: eight times the map of 930
 	// servers and 21,000 tenants.
@@ -39,10 +39,10 @@
 	PartsFormat     = 2 // of a document that is not in parts it is 1: a process that reads only those is not handed this
 )
 
-// DigestOf is the digest of a part's text.
+// PartDigest is the digest of a part's text.
 func PartDigest(text string) uint64 { return xxhash.Sum64String(text) }
 
-// Sum is the digest of a document in parts: that of the names and digests of its parts.
+// PartsDigest is the digest of a document in parts: that of the names and digests of its parts.
 func PartsDigest(parts map[string]Part) uint64 {
 	h := xxhash.New()
 	var b [9]byte // of a 0, which no name has, and a digest
@@ -54,7 +54,7 @@
 	return h.Sum64()
 }
 
-// SumOf is Sum for texts.
+// TextsDigest is Sum for texts.
 func TextsDigest(texts map[string]string) uint64 {
 	parts := map[string]Part{}
 	for name, text := range texts {
@@ -63,7 +63,7 @@
 	return PartsDigest(parts)
 }
 
-// Fits names the bound that parts of a document are beyond.
+// CheckSize names the bound that parts of a document are beyond.
 func CheckSize(doc string, texts map[string]string) error {
 	if len(texts) > MaxParts {
 		return fmt.Errorf("%s: %d parts, of at most %d", doc, len(texts), MaxParts)
@@ -85,7 +85,7 @@
 	return nil
 }
 
-// FitsChange is Fits for what one change carries. What is larger goes into a draft by several.
+// CheckChangeSize is Fits for what one change carries. What is larger goes into a draft by several.
 func CheckChangeSize(doc string, texts map[string]string) error {
 	if err := CheckSize(doc, texts); err != nil {
 		return err
@@ -117,7 +117,7 @@
 	return list
 }
 
-// load takes parts into the document's draft.
+// loadDraft takes parts into the document's draft.
 func (b *Store) loadDraft(c Change) (*Document, error) {
 	d := b.Documents[c.Doc]
 	if d == nil {
@@ -145,7 +145,7 @@
 	return d, nil
 }
 
-// Drafted are the parts that a change puts: its own, or those of the draft that it names.
+// DraftedParts are the parts that a change puts: its own, or those of the draft that it names.
 func (d *Document) DraftedParts(c Change) (map[string]string, error) {
 	if c.Draft == "" {
 		return c.Parts, CheckChangeSize(d.Name, c.Parts)
@@ -156,7 +156,7 @@
 	return d.Draft.Parts, nil
 }
 
-// overlay is what a change in parts differs in from what is in force, and the digest that the whole then has.
+// changedParts is what a change in parts differs in from what is in force, and the digest that the whole then has.
 func (d *Document) changedParts(c Change) (over map[string]Part, digest uint64, err error) {
 	texts, err := d.DraftedParts(c)
 	if err != nil {
@@ -194,7 +194,7 @@
 	return all
 }
 
-// onto is an entry in parts as it comes into force on top of another one.
+// activated is an entry in parts as it comes into force on top of another one.
 func (e *Revision) activated(force *Revision) *Revision {
 	whole := *e
 	whole.ChangedParts = slices.Sorted(maps.Keys(e.Parts))
@@ -204,7 +204,7 @@
 	return &whole
 }
 
-// bare is an entry without what a document in parts says: a version that is over is kept so, as it is never taken back.
+// withoutParts is an entry without what a document in parts says: a version that is over is kept so, as it is never taken back.
 func (e *Revision) withoutParts() *Revision {
 	if !e.InParts {
 		return e
@@ -217,7 +217,7 @@
 	return &short
 }
 
-// At are all parts of a version that is in force or under way, with its ID.
+// PartsAt are all parts of a version that is in force or under way, with its ID.
 func (d *Document) PartsAt(version int) (ID, map[string]Part, bool) {
 	switch {
 	case d.Active != nil && d.Active.ID.Version == version && d.Active.InParts:
@@ -258,7 +258,7 @@
 	return &short
 }
 
-// Listed is a book without the texts of documents in parts, to be looked at.
+// Summary is a book without the texts of documents in parts, to be looked at.
 func (b *Store) Summary() *Store {
 	short := &Store{map[string]*Document{}, b.Processes}
 	for name, d := range b.Documents {
@@ -279,9 +279,9 @@
 
 // Budgets of what one answer carries, in bytes as they go over the wire: a word is at most 1 MiB.
 const (
-	// TellBudget bounds the parts in the answer to a process that asks what has changed. What is beyond is named, and asked for.
+	// MaxViewSize bounds the parts in the answer to a process that asks what has changed. What is beyond is named, and asked for.
 	MaxViewSize = 128 << 10
-	// SendBudget bounds the parts in the answer to a process that asks for them.
+	// MaxPartsAnswerSize bounds the parts in the answer to a process that asks for them.
 	MaxPartsAnswerSize = 256 << 10
 )
 
@@ -308,7 +308,7 @@
 	return v
 }
 
-// brief is an entry without the text that a process has.
+// withoutKnown is an entry without the text that a process has.
 func withoutKnown(e *Revision, has []int) *Revision {
 	if e == nil {
 		return nil
@@ -321,7 +321,7 @@
 	return &short
 }
 
-// told are the parts that changed after a version, without their texts where an answer can't carry them.
+// changedSince are the parts that changed after a version, without their texts where an answer can't carry them.
 func changedSince(parts map[string]Part, since int) map[string]Part {
 	list, size := map[string]Part{}, 0
 	for name, p := range parts {
@@ -345,7 +345,7 @@
 	return true
 }
 
-// Send are the named parts of a version, as many as an answer can carry, and one at least; without names it is the manifest of all.
+// SelectParts are the named parts of a version, as many as an answer can carry, and one at least; without names it is the manifest of all.
 func SelectParts(parts map[string]Part, names []string) map[string]Part {
 	if len(names) == 0 {
 		return Manifest(parts)
@@ -364,7 +364,7 @@
 	return list
 }
 
-// Encoded is how long a text is as JSON, at most.
+// EncodedSize is how long a text is as JSON, at most.
 func EncodedSize(text string) int {
 	n := len(text) + 2
 	for i := range len(text) {
@@ -384,7 +384,7 @@
 	ScopeCell  = "cell:"  // and the cell's name
 )
 
-// Touches names what the exclusive differences of a change touch, nothing where that is everything.
+// ScopeOf names what the exclusive differences of a change touch, nothing where that is everything.
 func ScopeOf(doc string, list []Difference) (touched []string) {
 	for _, d := range list {
 		if d.kind != KindExclusive && d.kind != KindUnknown {
@@ -427,7 +427,7 @@
 	return list, nil
 }
 
-// Touched is what stops at a process while a change that excludes turns.
+// PauseScope is what stops at a process while a change that excludes turns.
 type PauseScope struct {
 	all          bool
 	classes      map[string]bool
@@ -480,7 +480,7 @@
 	}
 }
 
-// Stops reports whether a sheet of a class and a tenant is touched.
+// Pauses reports whether a sheet of a class and a tenant is touched.
 func (t *PauseScope) Pauses(class, tenant string) bool {
 	return t.all || t.classes[class] || t.tenants[tenant] || t.tenants[""] && !t.namedTenants[tenant]
 }
--- a/internal/policy/configstore/rulebook.go
+++ b/internal/policy/configstore/rulebook.go
@@ -18,7 +18,7 @@
 	Digest  uint64 `json:"digest"` // of the text as the program writes it, so that blanks don't matter
 }
 
-// Name is the ID of a document.
+// NewID is the ID of a document.
 func NewID(version int, text []byte) ID { return ID{version, xxhash.Sum64(text)} }
 
 func (id ID) String() string { return fmt.Sprintf("%d.%016x", id.Version, id.Digest) }
@@ -54,7 +54,7 @@
 	return max(onSlowClock(t.Lease, t.ClockDrift)+t.ClockSkew, t.DetectionBound())
 }
 
-// stretch is a time as a clock that is slow by the drift may count it.
+// onSlowClock is a time as a clock that is slow by the drift may count it.
 func onSlowClock(d time.Duration, drift float64) time.Duration {
 	return time.Duration(float64(d) / (1 - drift))
 }
--- a/internal/policy/configstore/seen.go
+++ b/internal/policy/configstore/seen.go
@@ -42,7 +42,7 @@
 	maxSourceName = 64
 )
 
-// version is what is known of a version's documents.
+// trackedVersion is what is known of a version's documents.
 type trackedVersion struct {
 	number           int
 	firstSeen        time.Duration // when it was first heard of
@@ -64,7 +64,7 @@
 	longestOutdated time.Duration // that somebody was seen to be behind, or that two differed
 }
 
-// Agree takes the terms that a document names. Of two, the longer ones hold: they err on the safe side.
+// ExtendTerms takes the terms that a document names. Of two, the longer ones hold: they err on the safe side.
 func (s *VersionTracker) ExtendTerms(t Terms) {
 	s.terms = Terms{max(s.terms.Lease, t.Lease), max(s.terms.ClockSkew, t.ClockSkew), max(s.terms.ClockDrift, t.ClockDrift),
 		max(s.terms.ProbeInterval, t.ProbeInterval), max(s.terms.ProbeTimeout, t.ProbeTimeout), max(s.terms.OverlapWindow, t.OverlapWindow)}
@@ -88,7 +88,7 @@
 	return v, newest
 }
 
-// Hear takes that somebody has a document.
+// Observe takes that somebody has a document.
 func (s *VersionTracker) Observe(now time.Duration, id ID, source string) News {
 	v, newest := s.at(id.Version, now)
 	if v == nil {
@@ -108,7 +108,7 @@
 	return NoNews
 }
 
-// Told takes that somebody else knows of two documents of a version that differ, in his words.
+// ObserveConflict takes that somebody else knows of two documents of a version that differ, in his words.
 func (s *VersionTracker) ObserveConflict(now time.Duration, n int, words string) News {
 	v, _ := s.at(n, now)
 	if v == nil || v.isConflicting() || words == "" {
@@ -126,17 +126,17 @@
 	s.Suspend(now, s.terms.DetectionBound()+s.terms.OverlapWindow)
 }
 
-// Hush has nothing exclusive begin for so long: somebody else has found two that differ.
+// Suspend has nothing exclusive begin for so long: somebody else has found two that differ.
 func (s *VersionTracker) Suspend(now, d time.Duration) {
 	s.suspendedUntil = max(s.suspendedUntil, now+d)
 }
 
-// Hushed is how long nothing exclusive begins any more for what was found before.
+// SuspendedFor is how long nothing exclusive begins any more for what was found before.
 func (s *VersionTracker) SuspendedFor(now time.Duration) time.Duration {
 	return max(0, s.suspendedUntil-now)
 }
 
-// Top is the newest document that was heard of, and who said so first; ok is false where there is none.
+// Newest is the newest document that was heard of, and who said so first; ok is false where there is none.
 func (s *VersionTracker) Newest() (top Sighting, ok bool) {
 	for _, v := range slices.Backward(s.versions) {
 		if len(v.sightings) > 0 {
@@ -146,7 +146,7 @@
 	return Sighting{}, false
 }
 
-// Differ names the two documents of the newest version, where they differ, or is empty.
+// Conflict names the two documents of the newest version, where they differ, or is empty.
 func (s *VersionTracker) Conflict() (n int, words string) {
 	if len(s.versions) == 0 {
 		return 0, ""
--- a/internal/policy/configstore/watch.go
+++ b/internal/policy/configstore/watch.go
@@ -20,7 +20,7 @@
 	proposedAt   map[string]time.Duration // when an advance was last proposed
 }
 
-// Heard is the last word of a process.
+// ProcessReport is the last word of a process.
 type ProcessReport struct {
 	ReceivedAt     time.Duration  `json:"-"`
 	AgeMS          int64          `json:"ago_ms"`
@@ -35,7 +35,7 @@
 	goodput Goodput
 }
 
-// staged is since when a document is as it is.
+// stageStart is since when a document is as it is.
 type stageStart struct {
 	version  int
 	stage    Stage
@@ -43,19 +43,19 @@
 	baseline map[string]Goodput // of each process, then
 }
 
-// NewWatch returns the watch of a member that does not lead.
+// NewProcessMonitor returns the watch of a member that does not lead.
 func NewProcessMonitor(t lease.Terms) *ProcessMonitor {
 	w := &ProcessMonitor{terms: t}
 	w.StopLeading()
 	return w
 }
 
-// Lead is told when the member has begun to lead.
+// StartLeading is told when the member has begun to lead.
 func (w *ProcessMonitor) StartLeading(now time.Duration) {
 	*w = ProcessMonitor{terms: w.terms, leadingSince: now, reports: map[string]*ProcessReport{}, expiring: map[string]bool{}, stages: map[string]stageStart{}, proposedAt: map[string]time.Duration{}}
 }
 
-// Follow is told when it has ceased to.
+// StopLeading is told when it has ceased to.
 func (w *ProcessMonitor) StopLeading() { *w = ProcessMonitor{terms: w.terms, leadingSince: -1} }
 
 // Observe takes the word of a process as it comes. It reports whether the process may be told what is in force: no once its end is
@@ -75,10 +75,10 @@
 	return true
 }
 
-// mostWatched bounds the time over which worth is looked at.
+// maxObserved bounds the time over which worth is looked at.
 const maxObserved = 2 * time.Minute
 
-// List is what was last heard of all.
+// Reports is what was last heard of all.
 func (w *ProcessMonitor) Reports(now time.Duration) map[string]ProcessReport {
 	all := map[string]ProcessReport{}
 	for name, h := range w.reports {
@@ -89,13 +89,13 @@
 	return all
 }
 
-// Lapsed is told that a process is registered no more, or that its end was not proposed after all.
+// Unregistered is told that a process is registered no more, or that its end was not proposed after all.
 func (w *ProcessMonitor) Unregistered(who string) {
 	delete(w.expiring, who)
 	delete(w.reports, who)
 }
 
-// Due is what is to be proposed now: the end of processes that were not heard of, and stages that nothing is waited for any more.
+// Proposals is what is to be proposed now: the end of processes that were not heard of, and stages that nothing is waited for any more.
 func (w *ProcessMonitor) Proposals(b *Store, now time.Duration) (list []Change) {
 	if w.leadingSince < 0 {
 		return nil
@@ -127,7 +127,7 @@
 	return list
 }
 
-// stage notes since when a document is as it is, and what everybody had served then.
+// noteStage notes since when a document is as it is, and what everybody had served then.
 func (w *ProcessMonitor) noteStage(b *Store, d *Document, now time.Duration) {
 	version := 0
 	if d.Proposed != nil {
@@ -146,7 +146,7 @@
 	delete(w.proposedAt, d.Name)
 }
 
-// next is what becomes of a document now.
+// nextChange is what becomes of a document now.
 func (w *ProcessMonitor) nextChange(b *Store, d *Document, now time.Duration) (Change, bool) {
 	c := Change{Doc: d.Name, Stage: d.Stage}
 	s := w.stages[d.Name]
@@ -197,15 +197,15 @@
 
 func milliseconds(n int64) time.Duration { return time.Duration(n) * time.Millisecond }
 
-// leastAsked is the worth under which nothing can be said.
+// minOffered is the worth under which nothing can be said.
 const minOffered = 20
 
-// worse reports whether less was served than before by more than a bound, and enough was asked for to say so.
+// isWorse reports whether less was served than before by more than a bound, and enough was asked for to say so.
 func isWorse(before, now Goodput, by float64) bool {
 	return before.Offered >= minOffered && now.Offered >= minOffered && now.Ratio() < before.Ratio()-by
 }
 
-// sums sums what processes were asked for and have served since a stage began.
+// goodputSince sums what processes were asked for and have served since a stage began.
 func (w *ProcessMonitor) goodputSince(s stageStart, of func(string) bool) (sum Goodput) {
 	for name, h := range w.reports {
 		mark, ok := s.baseline[name]
@@ -218,7 +218,7 @@
 	return sum
 }
 
-// over sums what was asked for and served in the latest stretch.
+// goodputOver sums what was asked for and served in the latest stretch.
 func (w *ProcessMonitor) goodputOver(d, now time.Duration, of func(string) bool) (sum Goodput) {
 	for name, h := range w.reports {
 		if !of(name) {
--- a/internal/policy/loadbalancer/loadbalancer_test.go
+++ b/internal/policy/loadbalancer/loadbalancer_test.go
@@ -11,7 +11,13 @@
 )
 
 // Property tests take the same course every time.
-func init() { flag.Set("rapid.seed", "7"); flag.Set("rapid.nofailfile", "true") }
+func init() {
+	for name, value := range map[string]string{"rapid.seed": "7", "rapid.nofailfile": "true"} {
+		if err := flag.Set(name, value); err != nil {
+			panic(err)
+		}
+	}
+}
 
 func table(n int, c Config) (*Balancer, []string) {
 	c.KeyWindow = 13 * time.Second
--- a/internal/proxy/agreed.go
+++ b/internal/proxy/agreed.go
@@ -13,7 +13,7 @@
 	"silverpath/internal/settings"
 )
 
-// Agreed is a map that a group agrees on, beside a store that keeps the last one over a restart of the router.
+// GroupSource is a map that a group agrees on, beside a store that keeps the last one over a restart of the router.
 type GroupSource struct {
 	state *stateFile
 
@@ -28,14 +28,14 @@
 	joined               joinedParts       // what was joined last: a change is checked again and again while it waits, and then taken
 }
 
-// tried is a map that was put together of parts.
+// joinedParts is a map that was put together of parts.
 type joinedParts struct {
 	base, m  *cells.Map // base is what the rest is of; nil: nothing
 	digest   uint64     // of the parts
 	complete bool
 }
 
-// version is a map, and, where it was taken in parts, the digest by which the group names it.
+// namedMap is a map, and, where it was taken in parts, the digest by which the group names it.
 type namedMap struct {
 	*cells.Map
 	digest  uint64
@@ -44,7 +44,7 @@
 
 var errNoGroupMap = errors.New("the group has no map yet: silverpath rules put map FILE")
 
-// OpenAgreed returns the source; the state's path is empty where nothing is kept.
+// OpenGroupSource returns the source; the state's path is empty where nothing is kept.
 func OpenGroupSource(state string) (*GroupSource, error) {
 	s, err := openStateFile(state)
 	if err != nil {
@@ -135,7 +135,7 @@
 	return nil
 }
 
-// Named is the digest by which the group names a map that was taken in parts.
+// DigestOf is the digest by which the group names a map that was taken in parts.
 func (a *GroupSource) DigestOf(m *cells.Map) (digest uint64, ok bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -147,7 +147,7 @@
 	return 0, false
 }
 
-// Take has a map, which was checked, be the one that is handed out.
+// Apply has a map, which was checked, be the one that is handed out.
 func (a *GroupSource) Apply(text string) error {
 	a.taking.Lock()
 	defer a.taking.Unlock()
@@ -168,7 +168,7 @@
 	a.latestConfirmedAt = asked
 }
 
-// Skew is by which the map allows the wall clocks of two routers to differ.
+// MaxClockSkew is by which the map allows the wall clocks of two routers to differ.
 func (a *GroupSource) MaxClockSkew() time.Duration {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -181,7 +181,7 @@
 // Load returns the group's map, or, until the group was heard, the one that was kept.
 func (a *GroupSource) Load(old *cells.Map) (*cells.Map, time.Time, error) { return a.load(old, false) }
 
-// LoadBehind is Load for a router that is behind.
+// LoadOutdated is Load for a router that is behind.
 func (a *GroupSource) LoadOutdated(old *cells.Map) (*cells.Map, time.Time, error) {
 	return a.load(old, true)
 }
--- a/internal/proxy/change.go
+++ b/internal/proxy/change.go
@@ -18,7 +18,7 @@
 // ErrBusy says that another writer of a map is under way, or was stopped in the middle.
 var ErrBusy = errors.New("another change of the map is under way")
 
-// lockPoll is how often a writer that waits looks whether it may begin.
+// lockPollInterval is how often a writer that waits looks whether it may begin.
 const lockPollInterval = 10 * time.Millisecond
 
 // Change reads a map, has the next one planned, and writes it, with no other writer between: the lock of a file beside
--- a/internal/proxy/fleet.go
+++ b/internal/proxy/fleet.go
@@ -86,7 +86,7 @@
 	loggedBadMapAt time.Time
 }
 
-// view is the map in force and when it was last known to be the newest.
+// mapInForce is the map in force and when it was last known to be the newest.
 type mapInForce struct {
 	*cells.Map
 	confirmedAt time.Time
@@ -141,7 +141,7 @@
 	r.observeVersion(r.clock(), v.id, r.cfg.Name)
 }
 
-// members takes up the servers of a map, under the lock.
+// setServers takes up the servers of a map, under the lock.
 func (r *Runner) setServers(m *cells.Map) {
 	weights := map[string]float64{}
 	var unheard []string
@@ -205,7 +205,7 @@
 	r.useMap(m, read)
 }
 
-// Keep probes the servers and reads the map again well within its lease, until the context ends.
+// Maintain probes the servers and reads the map again well within its lease, until the context ends.
 func (r *Runner) Maintain(ctx context.Context) {
 	go r.reloadMap(ctx)
 	first := true
@@ -222,7 +222,7 @@
 	}
 }
 
-// round probes every server once.
+// checkAll probes every server once.
 func (r *Runner) checkAll(ctx context.Context) {
 	var wg sync.WaitGroup
 	for s := range r.current.Load().AllServers() {
@@ -248,7 +248,7 @@
 	}
 }
 
-// minReload is the least time between two readings of the map because a newer one was heard of.
+// minReloadPause is the least time between two readings of the map because a newer one was heard of.
 const minReloadPause = 100 * time.Millisecond
 
 func pause(ctx context.Context, d time.Duration) {
@@ -258,7 +258,7 @@
 	}
 }
 
-// probe asks a server for its health on a connection of its own.
+// checkHealth asks a server for its health on a connection of its own.
 func (r *Runner) checkHealth(ctx context.Context, s cells.Server) {
 	ctx, cancel := context.WithTimeout(ctx, healthCheckTimeout)
 	defer cancel()
@@ -301,7 +301,7 @@
 // After each answer it would be the square of their number.
 const minHealthReportInterval = 100 * time.Millisecond
 
-// reached notes an answer of a server, under the lock.
+// noteAnswer notes an answer of a server, under the lock.
 func (r *Runner) noteAnswer(name string, fields map[string]string) {
 	boot, _ := strconv.ParseInt(fields["b"], 10, 64)
 	entered := int64(0)
@@ -321,7 +321,7 @@
 	}
 }
 
-// report logs what changed in the health of servers, under the lock.
+// logHealthChanges logs what changed in the health of servers, under the lock.
 func (r *Runner) logHealthChanges() {
 	r.lastHealthReport = r.clock()
 	for _, s := range r.balancer.States(r.clock()) {
@@ -363,7 +363,7 @@
 	}()
 }
 
-// lead is one request's way through the fleet, from the map to its answer.
+// route is one request's way through the fleet, from the map to its answer.
 func (r *Runner) route(q core.Request, class silverpath.Class) (a core.Answer) {
 	m := r.current.Load()
 	keyed := class.Effect == silverpath.Idempotent && q.Key != ""
@@ -435,7 +435,7 @@
 	return r.tenants.Admit(r.clock(), route.Cell, name, rate, len(route.Servers))
 }
 
-// agreed is a tenant's name as the map has it, which bounds how many there are.
+// tenantInMap is a tenant's name as the map has it, which bounds how many there are.
 func (r *Runner) tenantInMap(tenant string) string {
 	name, _ := r.current.Load().AgreedRate(tenant)
 	return name
@@ -466,7 +466,7 @@
 	return core.Answer{Outcome: core.Failed}
 }
 
-// behind is the answer where a server knows of newer rules, which may have the sheet run elsewhere.
+// failOutdated is the answer where a server knows of newer rules, which may have the sheet run elsewhere.
 func (r *Runner) failOutdated(why string) core.Answer {
 	a := r.fail(why)
 	a.Reason = core.ReasonBehind
@@ -612,7 +612,7 @@
 	}
 }
 
-// ending is how a try ended.
+// attemptResult is how a try ended.
 type attemptResult struct {
 	outcome    loadbalancer.Outcome
 	body       []byte
@@ -629,7 +629,7 @@
 	return r.attemptIn(context.Background(), q, name, known, due)
 }
 
-// tryIn sends a try to a server and waits for its answer until shortly before it is due.
+// attemptIn sends a try to a server and waits for its answer until shortly before it is due.
 func (r *Runner) attemptIn(ctx context.Context, q core.Request, name string, known bool, due time.Time) attemptResult {
 	r.mu.Lock()
 	p := r.upstreams[name]
@@ -690,7 +690,7 @@
 
 // ---- Connections ----
 
-// peer is a server with its connections.
+// upstream is a server with its connections.
 type upstream struct {
 	name, addr string
 	boot       atomic.Int64
@@ -788,7 +788,7 @@
 	return attemptResult{outcome: loadbalancer.NotSent}, nil
 }
 
-// refusing says what a connection that could not be had proves: nothing was sent, so nothing ran.
+// connectOutcome says what a connection that could not be had proves: nothing was sent, so nothing ran.
 func connectOutcome(_ context.Context, err error) loadbalancer.Outcome {
 	var op *net.OpError
 	if errors.Is(err, syscall.ECONNREFUSED) || errors.As(err, &op) {
--- a/internal/proxy/look.go
+++ b/internal/proxy/look.go
@@ -11,7 +11,7 @@
 // one tick of the file system's clock (nanoseconds to 10 ms on local disks, 2 s on the coarsest) look alike; a later one does not.
 const settleTime = 2 * time.Second
 
-// look is what the system says of a file without its being read.
+// fileStamp is what the system says of a file without its being read.
 type fileStamp struct {
 	path           string
 	dev, ino       uint64
--- a/internal/proxy/rules.go
+++ b/internal/proxy/rules.go
@@ -26,10 +26,10 @@
 	Rate = 1.0
 )
 
-// leased is the clock by which parts end.
+// leaseClock is the clock by which parts end.
 func (r *Runner) leaseClock() time.Duration { return time.Duration(float64(r.clock()) * Rate) }
 
-// identify names a map.
+// identifyMap names a map.
 func identifyMap(m *cells.Map) configstore.ID {
 	return configstore.NewID(m.Version, settings.FormatCells(m))
 }
@@ -44,7 +44,7 @@
 	return identifyMap(m)
 }
 
-// terms are those of a map, as this router looks after its servers.
+// conflictTerms are those of a map, as this router looks after its servers.
 func (r *Runner) conflictTerms(m *cells.Map) configstore.Terms {
 	return configstore.Terms{Lease: m.Lease, ClockSkew: m.MaxClockSkew, ClockDrift: clockDrift, ProbeInterval: r.checkInterval(), ProbeTimeout: healthCheckTimeout, OverlapWindow: m.KeyWindow + m.CallerTimeout + 2*m.MaxClockSkew}
 }
@@ -61,7 +61,7 @@
 	r.updateQuotaCapacity()
 }
 
-// wholesOf is of which map, and from when until before when, Unix milliseconds, what there is to share is as it was told.
+// capacitySpan is of which map, and from when until before when, Unix milliseconds, what there is to share is as it was told.
 type capacitySpan struct {
 	m           *cells.Map
 	from, until int64
@@ -81,7 +81,7 @@
 	}
 }
 
-// Says is this router's word to the group, for its part in the cells.
+// QuotaRequest is this router's word to the group, for its part in the cells.
 func (r *Runner) QuotaRequest() (w quota.Request, told func(quota.Grant, lease.Terms)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -95,14 +95,14 @@
 	}
 }
 
-// introduces are the fields by which this router tells a server what it goes by.
+// healthCheckFields are the fields by which this router tells a server what it goes by.
 func (r *Runner) healthCheckFields(m *mapInForce) []string {
 	ms := func(d time.Duration) string { return strconv.FormatInt(d.Milliseconds(), 10) }
 	t := r.conflictTerms(m.Map)
 	return []string{"g", m.name, "gn", r.cfg.Name, "gl", ms(t.Lease), "gs", ms(t.ClockSkew), "gp", ms(t.ProbeInterval), "gw", ms(t.ProbeTimeout), "gd", ms(t.OverlapWindow)}
 }
 
-// told takes what a server knows of the rules, under the lock.
+// noteServersRules takes what a server knows of the rules, under the lock.
 func (r *Runner) noteServersRules(server string, fields map[string]string) {
 	now := r.clock()
 	if n, words, ok := strings.Cut(fields["gc"], " "); ok {
@@ -118,7 +118,7 @@
 	}
 }
 
-// heard takes that there is a document, under the lock. One that is newer than its own has this router read its map again.
+// observeVersion takes that there is a document, under the lock. One that is newer than its own has this router read its map again.
 func (r *Runner) observeVersion(now time.Duration, id configstore.ID, source string) {
 	switch r.versions.Observe(now, id, source) {
 	case configstore.ConflictFound:
@@ -153,7 +153,7 @@
 	}
 }
 
-// standing tells whether a sheet may be sent by a map.
+// verdict tells whether a sheet may be sent by a map.
 func (r *Runner) verdict(m *mapInForce) configstore.Verdict {
 	if core.Unfenced {
 		return configstore.VerdictValid
@@ -173,7 +173,7 @@
 	r.balancer.Retune(c)
 }
 
-// Worth is what was asked for and served since the start.
+// Goodput is what was asked for and served since the start.
 func (r *Runner) Goodput() configstore.Goodput {
 	return configstore.Goodput{Offered: float64(r.offeredWeight.Load()) / 1000, Served: float64(r.servedWeight.Load()) / 1000}
 }
--- a/internal/proxy/series.go
+++ b/internal/proxy/series.go
@@ -19,10 +19,10 @@
 // refuses where that name is taken. So a writer that was stopped between its check and its act can undo nothing.
 type VersionDir struct{ Dir string }
 
-// ErrTaken says that something else stands in the place of a version.
+// ErrVersionTaken says that something else stands in the place of a version.
 var ErrVersionTaken = errors.New("its place is taken")
 
-// withdrawn stands in the place of a version that is not to come any more.
+// withdrawnMark stands in the place of a version that is not to come any more.
 var withdrawnMark = []byte("withdrawn\n")
 
 const (
@@ -77,7 +77,7 @@
 	return nil, nil, bad
 }
 
-// Top is the highest version whose place is taken, 0 for none.
+// HighestVersion is the highest version whose place is taken, 0 for none.
 func (s VersionDir) HighestVersion() (int, error) {
 	list, err := s.versions()
 	if err != nil || len(list) == 0 {
@@ -86,7 +86,7 @@
 	return list[len(list)-1], nil
 }
 
-// Place is what stands in the place of a version, nil for nothing.
+// Read is what stands in the place of a version, nil for nothing.
 func (s VersionDir) Read(version int) ([]byte, error) {
 	raw, err := os.ReadFile(s.path(version))
 	if errors.Is(err, os.ErrNotExist) {
@@ -115,7 +115,7 @@
 	return nil
 }
 
-// forget takes the oldest versions away. What a late writer puts in such a place is under the head, and nobody reads it.
+// removeOld takes the oldest versions away. What a late writer puts in such a place is under the head, and nobody reads it.
 func (s VersionDir) removeOld(head int) {
 	list, _ := s.versions()
 	for _, v := range list {
@@ -125,7 +125,7 @@
 	}
 }
 
-// Read reads a map from a file, or the head of a series from a folder.
+// ReadMap reads a map from a file, or the head of a series from a folder.
 func ReadMap(path string) (*cells.Map, error) {
 	if at, err := os.Stat(path); err == nil && at.IsDir() {
 		m, _, err := VersionDir{path}.Head()
--- a/internal/proxy/source.go
+++ b/internal/proxy/source.go
@@ -25,12 +25,12 @@
 	LoadOutdated(old *cells.Map) (*cells.Map, time.Time, error)
 }
 
-// Newest is a source that knows of a newer map than the one that it hands out, as that one can't follow it in time.
+// NewestSource is a source that knows of a newer map than the one that it hands out, as that one can't follow it in time.
 type NewestSource interface {
 	Newest(old *cells.Map) (id configstore.ID, ok bool)
 }
 
-// Naming is a source that knows by which digest others name a map of it. All other maps are named by their own text.
+// DigestSource is a source that knows by which digest others name a map of it. All other maps are named by their own text.
 type DigestSource interface {
 	DigestOf(m *cells.Map) (digest uint64, ok bool)
 }
@@ -46,7 +46,7 @@
 	stamps      []fileStamp // at what that was read from
 }
 
-// OpenFile returns the source in a file; the state's path is empty where nothing is kept.
+// OpenFileSource returns the source in a file; the state's path is empty where nothing is kept.
 func OpenFileSource(path, state string) (*FileSource, error) {
 	s, err := openStateFile(state)
 	if err != nil {
@@ -69,7 +69,7 @@
 	return f.load(old, f.confirmedAt)
 }
 
-// LoadBehind is Load for one that is behind.
+// LoadOutdated is Load for one that is behind.
 func (f *FileSource) LoadOutdated(old *cells.Map) (*cells.Map, time.Time, error) {
 	return f.load(old, time.Time{})
 }
@@ -121,7 +121,7 @@
 	return slices.DeleteFunc(seen, func(l fileStamp) bool { return !l.folder && l.path < head })
 }
 
-// Write replaces a map's file as a whole: whoever reads it finds the old one or the new one, after a loss of power too.
+// WriteMap replaces a map's file as a whole: whoever reads it finds the old one or the new one, after a loss of power too.
 func WriteMap(path string, m *cells.Map) error {
 	return atomicfile.Put(path, settings.FormatCells(m), os.Rename)
 }
--- a/internal/proxy/state.go
+++ b/internal/proxy/state.go
@@ -20,7 +20,7 @@
 	storedInParts *cells.Map // as it stands there in parts
 }
 
-// keptMap is what a state had.
+// storedMap is what a state had.
 type storedMap struct {
 	*cells.Map
 	digest      uint64 // by which a group names a map in parts
@@ -42,7 +42,7 @@
 	keyDigest = []byte("digest") // no name of a part
 )
 
-// ErrNothing says that a state file has no map.
+// ErrNoMapStored says that a state file has no map.
 var ErrNoMapStored = errors.New("nothing is kept")
 
 func openStateFile(path string) (*stateFile, error) {
@@ -92,7 +92,7 @@
 	return k
 }
 
-// Kept is the map in a state file and when it was last known to be the newest; ErrNothing where there is none.
+// StoredMap is the map in a state file and when it was last known to be the newest; ErrNothing where there is none.
 func StoredMap(tx *bbolt.Tx) (*cells.Map, time.Time, error) {
 	k, err := readState(tx)
 	return k.Map, k.confirmedAt, err
@@ -128,7 +128,7 @@
 	return k, err
 }
 
-// keepWhole keeps a map in one piece, or, where it stands there already, when it was known to be the newest.
+// storeWhole keeps a map in one piece, or, where it stands there already, when it was known to be the newest.
 func (s *stateFile) storeWhole(m *cells.Map, at time.Time) error {
 	if s == nil {
 		return nil
@@ -147,7 +147,7 @@
 	return err
 }
 
-// keepParts is keepWhole for a map in parts: those that changed since from, nil for all, are written, with the digest.
+// storeParts is keepWhole for a map in parts: those that changed since from, nil for all, are written, with the digest.
 func (s *stateFile) storeParts(m *cells.Map, digest uint64, from *cells.Map, changed map[string]string, at time.Time) error {
 	if s == nil {
 		return nil
