--- a/internal/policy/cells/parts_test.go
+++ b/internal/policy/cells/parts_test.go
@@ -63,7 +63,7 @@
 		was := plainTenant(old, t.Name, true)
 		for j, h := range t.Homes {
 			known := was != nil && slices.Contains(was.Homes, h)
-			if !known && h.Since < least && !(j == 0 && was == nil && h.Since == 0) {
+			if !known && h.Since < least && (j != 0 || was != nil || h.Since != 0) {
 				return fmt.Errorf("tenants[%d].homes[%d].from_ms: not a lease ahead: %d is before %d", i, j, h.Since, least)
 			}
 		}
--- a/internal/policy/configstore/seen_test.go
+++ b/internal/policy/configstore/seen_test.go
@@ -11,7 +11,13 @@
 )
 
 // Property tests take the same course every time.
-func init() { flag.Set("rapid.seed", "19"); flag.Set("rapid.nofailfile", "true") }
+func init() {
+	for name, value := range map[string]string{"rapid.seed": "19", "rapid.nofailfile": "true"} {
+		if err := flag.Set(name, value); err != nil {
+			panic(err)
+		}
+	}
+}
 
 var terms = Terms{Lease: time.Second, ClockSkew: 100 * time.Millisecond, ClockDrift: 0.05, ProbeInterval: 100 * time.Millisecond,
 	ProbeTimeout: 50 * time.Millisecond, OverlapWindow: 3 * time.Second}
--- a/internal/policy/loadbalancer/selection.go
+++ b/internal/policy/loadbalancer/selection.go
@@ -84,7 +84,7 @@
 	if s.circuit == CircuitOpen && now >= s.openUntil {
 		s.circuit = CircuitHalfOpen
 	}
-	return s.health != Dead && s.circuit != CircuitOpen && !(s.circuit == CircuitHalfOpen && s.trialOut) &&
+	return s.health != Dead && s.circuit != CircuitOpen && (s.circuit != CircuitHalfOpen || !s.trialOut) &&
 		!s.excludes(now, tenant) && b.hasCapacity(now, s) && !s.overCredit()
 }
 
