--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -1,10 +1,24 @@
-// Package core is the service without a wire. It owns the decision module behind one lock, is its Host, and
-// leads every request from its reading to its one answer. Fronts bring requests and carry answers away; a
-// Runner does the work and a Caller makes the calls below.
+// Package core is the service without a wire. It owns the decision module behind one lock, is its Host, and leads every request
+// from its reading to its one answer. Fronts bring requests by Core.Serve and carry answers away; a Runner does the work and a
+// Caller makes the calls below.
+//
+// Each request has a goroutine, its front's, which Serve keeps until nothing of the request is left to do. Whatever happens to
+// a request (the module's choice, the end of its run, its deadline, its caller's leaving) is an event in its queue, so that
+// network and disk are waited for without the lock.
+//
+//	request.go      one request's life, from Serve to its answer
+//	arrival.go      what is answered on arrival without the module
+//	task.go         the record of a request in hand, and its events
+//	idempotency.go  keys: attempts of one request share one execution
+//	persistence.go  where a request waits for the disk, if runs are kept over a restart
+//	peer.go         the other process of a hot restart
+//	host.go         the module's actions
+//	pools.go        pools, and the gates that turn floods away unread
+//	lifecycle.go    phases of the service
+//	rules.go        fencing by the routers' rules
 package core
 
 import (
-	"context"
 	"fmt"
 	"log"
 	"sync"
@@ -12,94 +26,33 @@
 	"time"
 
 	"silverpath"
-	"silverpath/internal/events"
 	"silverpath/internal/metrics"
 	"silverpath/internal/policy/admission"
 	"silverpath/internal/policy/configstore"
 	"silverpath/internal/policy/lifecycle"
 )
 
-// Outcome is what a request's one answer says.
-type Outcome int
-
-const (
-	Served   Outcome = iota
-	Rejected         // this try never ran
-	Failed           // no assurance
-	Expired          // failed, since its time was up
-	Invalid          // failed, since it is no request that can be: nothing of it ran
-)
-
-func (o Outcome) String() string {
-	return [...]string{"served", "refused", "failed", "expired", "invalid"}[o]
-}
-
-// Request is one try of a request as a front read it.
-type Request struct {
-	Front, ID            string // the id is new with every try
-	Class, Tenant        string
-	Key                  string // keyed classes: the same for all tries of one request
-	Object               string // what a read is about, where told
-	Caller               int
-	MemoryKB, Rank       float64
-	ReceivedAt, Deadline time.Time // when it reached the machine; until when its caller waits
-	Body                 []byte
-	// Known asks for a sheet only where it is known here: see Why.
-	OnlyIfKnown bool
-	// Rules names the document by which a router has sent a sheet here, and Source where that came from; both may be empty.
-	RulesID, RulesSource string
-}
-
-// Answer is a final answer.
-type Answer struct {
-	Outcome    Outcome
-	Body       []byte        // served: the result, unchanged
-	RetryAfter time.Duration // refused: stay away for so long
-	Final      bool          // refused: don't try elsewhere
-	Reason     string        // refused: what a router has to know of it; empty where that is nothing
-
-	persisted <-chan error // it may go once this is told; nil: at once
-}
-
-// What a router is told beside a refusal.
 const (
-	ReasonUnknown = "unknown" // a sheet that was asked for only if known is not, and will not be run here within its window
-	ReasonMoved   = "moved"   // the sheet belongs elsewhere: its key was asked for, and was not known
-	ReasonBoot    = "boot"    // meant for an earlier start of this service
-	// The router's rules can't be acted on: the names of verdicts in the package rulebook.
-	ReasonBehind       = "behind"
-	ReasonContradicted = "contradicted"
-	ReasonQuiet        = "quiet"
-)
-
-// Runner does the work of requests. Its methods never block; what becomes of a run is told by Core.Ended and,
-// when it waits for a call, by Core.Awaits.
-type Runner interface {
-	Run(id, class string, body []byte)
-	Resume(id string, reply []byte) // the reply to the call that the run waits for
-	Probe()                         // ask for the gauges; told by Core.Gauges
-}
-
-// Forwarder is a Runner that hands a request on as it is; Run is not called then.
-type Forwarder interface {
-	Forward(r Request)
-}
-
-// Caller makes one call below for the run of a request and returns how it ended. It gives the call up when
-// the patience is over or the context ends. Where the call may be made only once, Call sends it only once, and
-// the outcome tells truly whether it may have run.
-type Caller interface {
-	Call(ctx context.Context, id string, patience time.Duration, body []byte, once bool) (silverpath.Outcome, []byte)
-}
-
-const (
-	gaugeTimeout     = 15 * time.Millisecond // a tick goes on with the last gauges when none come in this time
-	answerMargin     = 20 * time.Millisecond // before the due time the core answers what the module has not
-	windowSlack      = 50 * time.Millisecond // by which time limits on sockets are extended; windows are kept that much longer
-	readDelay        = 2 * time.Second       // past the last moment at which a repeat could still be read
-	requestKB        = 24                    // what a request in hand is taken to cost the process, body and goroutine
-	entryBytes       = 512                   // what a key costs besides its result
-	keyMemoryDivisor = 8                     // keys and results take at most one part in so many of the memory
+	// gaugeTimeout is how long a tick waits for fresh gauges before it goes on with the last ones: most of a tick's interval.
+	gaugeTimeout = 15 * time.Millisecond
+	// answerMargin is how long before a request's deadline the core answers what the module has not: long enough for the
+	// answer to leave, and short enough that the module, which answers earlier, comes first unless it is held up.
+	answerMargin = 20 * time.Millisecond
+	// windowSlack is how much longer an idempotency window is kept than the settings say: time limits on sockets are extended
+	// by as much, so an attempt may arrive that much later than it was meant to.
+	windowSlack = 50 * time.Millisecond
+	// readDelay is how long after its arrival an attempt may still be read. A key is kept that long past the last moment at
+	// which an attempt of it may come.
+	readDelay = 2 * time.Second
+	// requestKB is what a request in hand costs the process, in kilobytes: body, record and goroutine.
+	requestKB = 24
+	// entryBytes is what a key costs besides its result.
+	entryBytes = 512
+	// keyMemoryDivisor: keys and results take at most one part in so many of the memory. The requests in hand take half.
+	keyMemoryDivisor = 8
+	// minTasks and minTasksShared bound the requests in hand from below, also in the smallest process: fewer would keep no
+	// interpreter busy.
+	minTasks, minTasksShared = 64, 32
 )
 
 // Config sets up a Core.
@@ -109,7 +62,7 @@
 	MemoryMB float64           // the process's own limit
 	Status   bool              // fronts answer requests for the state of the service
 	Pools    *admission.Config // nil: none
-	Cell     bool              // serves in a cell, behind routers: see Known
+	Cell     bool              // serves in a cell, behind routers
 	Pair     *PairConfig       // nil: no other process ever takes over from this one
 	Log      *log.Logger
 	Stats    *metrics.Counters
@@ -123,27 +76,27 @@
 	runner           Runner
 	caller           Caller
 	store            Store // nil: runs are forgotten with the process
-	unknownRunsUntil int64 // see RanUntil
+	unknownRunsUntil int64 // see SetUnknownRunsUntil
 	startedAt        time.Time
-	idle             chan struct{} // closed when draining and nothing is owed
+	idle             chan struct{} // closed when draining and every request is answered
 	published        atomic.Pointer[View]
 	settings         atomic.Pointer[silverpath.Settings] // in force; never changed, only replaced
 	lifecycle        lifecycleState
-	blockRule        atomic.Pointer[func(class, tenant string) string] // why no sheet of theirs begins; nil: nobody is asked
+	blockRule        atomic.Pointer[func(class, tenant string) string] // why no idempotent request of theirs begins; nil: nobody is asked
 	waitsForPeer     atomic.Bool                                       // the runner is up, and another process's runs are not known yet
 
 	slowStart    slowStart // how what it takes while cold is shared out
 	servesStatus bool
 	cell         bool
-	forwards     bool                     // hands requests on: another router may have handed on a try of the same sheet
+	forwards     bool                     // hands requests on: another router may have handed on an attempt of the same
 	statusParts  map[string]func() []byte // further parts of the status, JSON each
-	gates        atomic.Pointer[gates]    // of the classes that need not be read in full to be refused; nil without pools
+	gates        atomic.Pointer[gates]    // of the classes that need not be read in full to be rejected; nil without pools
 	lockWait     *metrics.Timing          // waits for the lock
 	decideTime   *metrics.Timing          // the module's decisions, under the lock
 
 	mu             sync.Mutex
 	module         *silverpath.Shedder
-	actions        []func() // asked by the module, taken in order once it has returned
+	actions        []func() // asked for by the module, carried out in order once it has returned
 	drainStartedAt time.Time
 	tasks          map[string]*task
 	pendingAnswers int
@@ -154,12 +107,12 @@
 	tickPending    bool // a tick waits for its gauges
 	lastSweep      time.Time
 	pools          *poolGuard                 // nil: no pools
-	observedRules  configstore.VersionTracker // what routers have named
+	observedRules  configstore.VersionTracker // that routers have named
 	poolsSeenAt    time.Duration
 	loggedLimit    float64
 	limitLoggedAt  time.Duration
 	runnerUp       bool
-	pair           *pair // nil: see Config
+	pair           *pair // nil: see Config.Pair
 }
 
 // New returns a Core in the phase Starting. Attach gives it its runner before the first request.
@@ -167,7 +120,7 @@
 	c := &Core{
 		name: cfg.Name, servesStatus: cfg.Status, cell: cfg.Cell, log: cfg.Log, stats: cfg.Stats, startedAt: time.Now(), idle: make(chan struct{}),
 		tasks: map[string]*task{}, view: View{Health: true},
-		maxTasks: max(64, int(cfg.MemoryMB*1024/2/requestKB)),
+		maxTasks: max(minTasks, int(cfg.MemoryMB*1024/2/requestKB)),
 		keys:     newKeyTable(int(cfg.MemoryMB * (1 << 20) / keyMemoryDivisor)),
 	}
 	set := supportedSettings(cfg.Settings)
@@ -217,34 +170,34 @@
 // clock is the module's time. It is monotonic: a step of the system's clock moves no timer.
 func (c *Core) clock() time.Duration { return time.Since(c.startedAt) + time.Hour }
 
-// decide calls the module and then carries out, in order, what it asked for. It is called under the lock, and
-// no action blocks or writes to a network.
-func (c *Core) decide(event func(m *silverpath.Shedder, now time.Duration)) {
+// decide reports an event to the module and then carries out, in order, what it asked for. It is called under the lock, and no
+// action blocks or writes to a network.
+func (c *Core) decide(report func(m *silverpath.Shedder, now time.Duration)) {
 	began := time.Now()
-	event(c.module, c.clock())
+	report(c.module, c.clock())
 	c.performActions()
 	c.decideTime.Record(time.Since(began))
 }
 
+// performActions carries out what the module asked for, in order. An action may ask the module again.
 func (c *Core) performActions() {
 	for len(c.actions) > 0 {
-		act := c.actions[0]
+		action := c.actions[0]
 		c.actions = c.actions[1:]
-		act()
+		action()
 	}
 	c.actions = nil
 	c.publish()
 }
 
-// ---- Phases ----
-
-// Started is told when that which does the work started, and whether it was cold then.
+// Started is called by the runner, before RunnerReady, with how long ago that which does the work started and whether it was
+// cold then.
 func (c *Core) Started(cold bool, ago time.Duration) {
 	c.slowStart.begin(cold, time.Now().Add(-ago), c.settings.Load().Callers)
 	c.notifyModule(func(m *silverpath.Shedder, now time.Duration) { m.Started(now, ago, cold) })
 }
 
-// Up is told when the runner is ready.
+// RunnerReady is called by the runner once it can take requests.
 func (c *Core) RunnerReady() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -252,7 +205,7 @@
 	c.serveIfReady()
 }
 
-// Drain is the notice to leave; the process ends after the given time.
+// Drain is the notice to leave; the process ends after the given time. A second notice changes nothing.
 func (c *Core) Drain(stop time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -269,10 +222,10 @@
 	c.closeIfIdle()
 }
 
-// Idle is closed once the service drains and owes no answer. More may still come: see Stop.
+// Idle is closed once the service drains and every request is answered. More may still come: see Stop.
 func (c *Core) Idle() <-chan struct{} { return c.idle }
 
-// Stop ends the last phase: whatever still comes is refused. It reports whether nothing was owed.
+// Stop ends the last phase: whatever still comes is rejected. It reports whether every request was answered.
 func (c *Core) Stop() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -281,8 +234,8 @@
 	return c.pendingAnswers == 0
 }
 
-// AnswerAll is the backstop at the end of the process, as expire is at a request's due time: whatever holds the module up, what
-// is still owed is answered now. What never ran is refused where that is known.
+// AnswerAll answers, at the end of the process, every request that has no answer yet, whatever holds the module up; at a
+// request's deadline answerAtDeadline does the same. What never ran is rejected where that is certain.
 func (c *Core) AnswerAll() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -291,7 +244,8 @@
 			continue
 		}
 		a := Answer{Outcome: Failed}
-		if !t.started && t.duplicateOf == nil && !(c.forwards && t.idempotent()) {
+		handedOn := c.forwards && t.idempotent() // it may have run, by an attempt that came another way
+		if !t.started && t.duplicateOf == nil && !handedOn {
 			a = Answer{Outcome: Rejected, RetryAfter: c.settings.Load().MaxRetryAfter}
 		}
 		c.stats.Inc("backstop")
@@ -300,9 +254,10 @@
 	}
 }
 
-// Owed returns the number of requests that have not had their answer.
+// PendingAnswers returns the number of requests that have not had their answer.
 func (c *Core) PendingAnswers() int { return c.published.Load().PendingAnswers }
 
+// closeIfIdle tells those that wait for the last answer. It is called under the lock.
 func (c *Core) closeIfIdle() {
 	if c.lifecycle.current().Leaving() && c.pendingAnswers == 0 {
 		select {
@@ -313,8 +268,6 @@
 	}
 }
 
-// ---- What fronts ask ----
-
 // Health is what a health check is told.
 func (c *Core) Health() bool { return c.published.Load().Health && c.lifecycle.current().Healthy() }
 
@@ -327,7 +280,7 @@
 // IdleAfter is how long a connection may carry nothing before it is closed; 0 leaves that to the callers.
 func (c *Core) IdleAfter() time.Duration { return c.published.Load().IdleAfter }
 
-// Boot is when the service started, in Unix milliseconds, where it serves in a cell, and whether it does.
+// StartStamp is when the service started, in Unix milliseconds, and whether routers are told of it: where it serves in a cell.
 // Where runs are kept over a restart, it is since when they are.
 func (c *Core) StartStamp() (int64, bool) {
 	if c.cell && c.store != nil {
@@ -336,7 +289,7 @@
 	return c.startedAt.UnixMilli(), c.cell
 }
 
-// Tells adds a part to the status; the function returns JSON. It is called before the first request.
+// AddStatus adds a part to the status; the function returns JSON. It is called before the first request.
 func (c *Core) AddStatus(name string, part func() []byte) {
 	if c.statusParts == nil {
 		c.statusParts = map[string]func() []byte{}
@@ -357,7 +310,7 @@
 // Classes are the classes in force.
 func (c *Core) Classes() []silverpath.Class { return c.settings.Load().Classes }
 
-// Longest is the longest time that a client waits, of any class.
+// MaxDeadline is the longest time that a client waits, of any class.
 func (c *Core) MaxDeadline() (longest time.Duration) {
 	for _, k := range c.settings.Load().Classes {
 		longest = max(longest, k.Deadline)
@@ -365,11 +318,9 @@
 	return longest
 }
 
-// Advice is how long a caller is told to stay away where the core refuses without the module.
+// RetryAfter is how long a caller is told to stay away where the core rejects without the module.
 func (c *Core) RetryAfter() time.Duration { return c.settings.Load().MaxRetryAfter }
 
-// ---- The clock ----
-
 // wake asks for fresh gauges, and ticks with the last ones should none come.
 func (c *Core) wake() {
 	c.mu.Lock()
@@ -379,7 +330,7 @@
 	c.runner.Probe()
 }
 
-// Gauges is told the runner's readings.
+// Gauges is called by the runner with its readings, as the answer to Runner.Probe.
 func (c *Core) Gauges(g silverpath.Gauges) {
 	c.mu.Lock()
 	c.gauges = g
@@ -387,6 +338,7 @@
 	c.tick()
 }
 
+// tick calls the module's timer, once for each time that it asked for one.
 func (c *Core) tick() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -401,86 +353,3 @@
 	c.decide(func(m *silverpath.Shedder, now time.Duration) { m.Tick(now, c.gauges) })
 	c.updatePools()
 }
-
-// ---- The module's host: every method notes an action for perform ----
-
-type host Core
-
-func (h *host) enqueueAction(id string, act func(c *Core, t *task)) {
-	c := (*Core)(h)
-	c.actions = append(c.actions, func() {
-		if t := c.tasks[id]; t != nil {
-			act(c, t)
-		}
-	})
-}
-
-func (h *host) Run(id string) { h.enqueueAction(id, (*Core).startRun) }
-
-func (h *host) Reject(id string, after time.Duration, final bool) {
-	h.enqueueAction(id, func(c *Core, t *task) {
-		if c.forwards && t.idempotent() && !c.lifecycle.current().Leaving() { // it may have run, by a try that came another way: only its home can tell
-			c.settle(t, Answer{Outcome: Failed})
-			return
-		}
-		if t.started { // a run is never refused; the module keeps to this, so the line should not be seen
-			events.Log(c.log, "guard.refusal", id)
-			c.settle(t, Answer{Outcome: Failed})
-			return
-		}
-		c.settle(t, Answer{Outcome: Rejected, RetryAfter: after, Final: final})
-	})
-}
-
-func (h *host) Fail(id string) {
-	h.enqueueAction(id, func(c *Core, t *task) {
-		out := Failed
-		if time.Until(t.Deadline) < 100*time.Millisecond {
-			out = Expired
-		}
-		c.settle(t, Answer{Outcome: out})
-	})
-}
-
-func (h *host) Join(id string) { h.enqueueAction(id, (*Core).join) }
-
-func (h *host) Stop(string) {} // see New: no site has it
-
-func (h *host) Call(id string, patience time.Duration) {
-	h.enqueueAction(id, func(_ *Core, t *task) {
-		t.calling = true
-		t.enqueue(event{kind: callChosen, patience: patience})
-	})
-}
-
-func (h *host) SkipCall(string) {} // see New
-
-func (h *host) RememberKey(id string, d time.Duration) {
-	h.enqueueAction(id, func(c *Core, t *task) { c.keys.shareRead(t, d) })
-}
-
-func (h *host) ForgetKey(id string) {
-	h.enqueueAction(id, func(c *Core, t *task) { c.releaseKey(t) })
-}
-
-func (h *host) Health(good bool) {
-	c := (*Core)(h)
-	c.actions = append(c.actions, func() { c.view.Health = good })
-}
-
-func (h *host) Signal(value float64) {
-	c := (*Core)(h)
-	c.actions = append(c.actions, func() { c.view.Signal, c.view.SignalSet = value, true })
-}
-
-func (h *host) CloseIdle(after time.Duration) {
-	c := (*Core)(h)
-	c.actions = append(c.actions, func() { c.view.IdleAfter = after })
-}
-
-func (h *host) Wake(after time.Duration) {
-	c := (*Core)(h)
-	c.actions = append(c.actions, func() { time.AfterFunc(after, c.wake) })
-}
-
-func (h *host) Log(text string) { events.Log((*Core)(h).log, "module", text) }
--- /dev/null
+++ b/internal/core/peerkeys.go
@@ -0,0 +1,174 @@
+package core
+
+import (
+	"time"
+
+	"silverpath/internal/policy/hotrestart"
+)
+
+// The table of keys during a hot restart: executions of the other process stand in it beside the own ones, so that a duplicate
+// finds them whichever process it comes to.
+
+// putPeer notes how far a run of the other process has come, and returns it; nil where the table knows better.
+func (k *keyTable) putPeer(m hotrestart.Flight, now time.Time) *execution {
+	e := k.entries[m.Key]
+	if e == nil {
+		e = k.add(m.Key)
+	}
+	e.expiresAt, e.window = later(e.expiresAt, time.Unix(0, m.Until)), max(e.window, m.Window)
+	x := k.peerExecution(e, m)
+	if x == nil {
+		return nil
+	}
+	x.requestID, x.fingerprint, x.receivedAt = m.ID, m.Sum, time.Unix(0, m.Reached)
+	x.peerQueued = m.Stage == hotrestart.Held
+	if m.Stage >= hotrestart.Passed {
+		x.done, x.succeeded, x.endedAt = true, m.Stage == hotrestart.Passed, now
+	}
+	if x.succeeded {
+		x.result = m.Result
+		e.bytes += len(m.Result)
+		k.bytes += len(m.Result)
+	}
+	return x
+}
+
+// peerExecution is the execution under a key that a message of the other process is about, made where there is none; nil where
+// the message can tell nothing new.
+func (k *keyTable) peerExecution(e *keyEntry, m hotrestart.Flight) *execution {
+	x := e.latest
+	switch {
+	case e.queued != nil || x != nil && !x.peerOwned && !x.done:
+		return nil // a run of its own: the other can't have one
+	case x != nil && x.peerOwned && !x.done:
+		return x // the same, further on
+	case x != nil && x.requestID == m.ID:
+		return nil // known, with its end
+	case x != nil && !x.peerOwned && withinWindow(time.Unix(0, m.Reached), x.receivedAt, e.window):
+		return nil
+	}
+	k.supersede(e)
+	x = &execution{entry: e, peerOwned: true}
+	e.latest = x
+	return x
+}
+
+// forgetPeer drops a run of the other process that never began, and returns it.
+func (k *keyTable) forgetPeer(key string) *execution {
+	e := k.entries[key]
+	if e == nil || e.latest == nil || !e.latest.peerOwned || e.latest.done {
+		return nil
+	}
+	x := e.latest
+	x.done, e.latest = true, nil
+	if e.queued == nil && e.movedUntil.IsZero() {
+		k.remove(e)
+	}
+	return x
+}
+
+// ownExecutions are the runs of this process that further attempts may duplicate.
+func (k *keyTable) ownExecutions(now time.Time) []hotrestart.Flight {
+	var list []hotrestart.Flight
+	for _, e := range k.entries {
+		if e.read || now.After(e.expiresAt) {
+			continue
+		}
+		if e.queued != nil {
+			list = append(list, e.queued.forPeer())
+		} else if e.latest != nil && !e.latest.peerOwned {
+			list = append(list, e.latest.forPeer())
+		}
+	}
+	return list
+}
+
+// forPeer is an execution as the other process is told of it.
+func (x *execution) forPeer() hotrestart.Flight {
+	m := hotrestart.Flight{Key: x.entry.key, ID: x.requestID, Sum: x.fingerprint, Reached: x.receivedAt.UnixNano(), Window: x.entry.window,
+		Until: x.entry.expiresAt.UnixNano(), Theirs: x.peerOwned}
+	switch {
+	case x.entry.queued == x || x.peerOwned && x.peerQueued:
+		m.Stage = hotrestart.Held
+	case !x.done:
+		m.Stage = hotrestart.Running
+	case x.succeeded:
+		m.Stage, m.Result = hotrestart.Passed, x.result
+	default:
+		m.Stage = hotrestart.Failed
+	}
+	return m
+}
+
+// pairKeys is the table of keys as the pair's decisions see it. It is called under the core's lock.
+type pairKeys Core
+
+// Holds returns the execution that an attempt duplicates which reached the machine then, in Unix nanoseconds.
+func (p *pairKeys) Holds(key string, reached int64) (hotrestart.Flight, bool) {
+	e := p.keys.entries[key]
+	if e == nil {
+		return hotrestart.Flight{}, false
+	}
+	x := e.queued
+	if x == nil && e.latest != nil && withinWindow(time.Unix(0, reached), e.latest.receivedAt, e.window) {
+		x = e.latest
+	}
+	if x == nil {
+		return hotrestart.Flight{}, false
+	}
+	return x.forPeer(), true
+}
+
+// Put takes how far a run of the other process has come. An end completes those here that wait for it.
+func (p *pairKeys) Put(m hotrestart.Flight) {
+	c := (*Core)(p)
+	if x := c.keys.putPeer(m, time.Now()); x != nil && x.done {
+		c.completeWaiters(x)
+	}
+}
+
+// Drop takes that a run of the other process never began.
+func (p *pairKeys) Drop(key string) {
+	c := (*Core)(p)
+	if x := c.keys.forgetPeer(key); x != nil {
+		c.completeWaiters(x)
+	}
+}
+
+// Own are the executions of this process, within their windows.
+func (p *pairKeys) Own() []hotrestart.Flight { return p.keys.ownExecutions(time.Now()) }
+
+// Keep drops the unfinished runs of the other process but those that it has just listed.
+func (p *pairKeys) Keep(listed func(key string) bool) {
+	c := (*Core)(p)
+	for key, e := range c.keys.entries {
+		if x := e.latest; x != nil && x.peerOwned && !x.done && !listed(key) {
+			c.keys.forgetPeer(key)
+			c.completeWaiters(x)
+		}
+	}
+}
+
+// Lost settles the unfinished runs of the other process, which is gone: those that may have run count as failed, so that no
+// attempt of them runs here; the others are free to.
+func (p *pairKeys) Lost(mayHaveRun func(hotrestart.Flight) bool) {
+	c := (*Core)(p)
+	for key, e := range c.keys.entries {
+		x := e.latest
+		if x == nil || !x.peerOwned {
+			continue
+		}
+		switch {
+		case x.done:
+		case mayHaveRun(x.forPeer()):
+			x.done, x.endedAt = true, time.Now()
+			c.stats.Inc("handover", "lost")
+			c.completeWaiters(x)
+		default:
+			c.keys.forgetPeer(key)
+			c.completeWaiters(x)
+			continue
+		}
+		x.peerOwned, x.peerQueued = false, false
+	}
+}
--- a/internal/core/persistence.go
+++ b/internal/core/persistence.go
@@ -8,24 +8,25 @@
 	"silverpath/internal/policy/idempotency"
 )
 
-// Keeper keeps the runs of keyed requests where they outlive the process: the package store. No method blocks. What was asked
-// for is told to done once it lasts, or with an error where that is not known, and never under the core's lock.
+// Store keeps the runs of idempotent requests where they outlive the process: the package idempotencystore. No method blocks.
+// What was asked for is reported to done once it lasts, or with an error where that is not known, and never under the core's
+// lock.
 type Store interface {
 	// Since is from when on, in Unix milliseconds, every run is known.
 	Since() int64
-	// Begins is what becomes of a new sheet that has so much time.
+	// Begins is what becomes of a new idempotent request that has so much time left.
 	Begins(left time.Duration) idempotency.Verdict
-	// Promise has it kept that a sheet will run, and gives the record its number.
+	// Promise writes that an idempotent request will run, and gives the record its number.
 	Promise(r *idempotency.Record, reached, until time.Time, left time.Duration, done func(error)) idempotency.Verdict
-	// Mark has it kept that a key runs elsewhere.
+	// Mark writes that a key runs elsewhere.
 	Mark(r *idempotency.Record, until time.Time, done func(error)) idempotency.Verdict
-	// Result has the result of a promised run kept.
+	// Result writes the result of a run that was promised.
 	Result(r *idempotency.Record, reached, until time.Time, done func(error))
 	Failed(seq uint64)   // the run has ended without a result
 	Withdraw(seq uint64) // it never began
 }
 
-// Keep has runs kept from now on. It is called before the first request.
+// UseStore keeps runs from now on. It is called before the first request.
 func (c *Core) UseStore(k Store) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -34,7 +35,8 @@
 	c.addGate(k.Begins)
 }
 
-// Gate has one more say what becomes of a new sheet that has so much time. It is called before the first request.
+// AddGate has one more decide what becomes of a new idempotent request that has so much time left. It is called before the
+// first request.
 func (c *Core) AddGate(begins func(left time.Duration) idempotency.Verdict) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -55,14 +57,14 @@
 	}
 }
 
-// RanUntil has routers told until when, in Unix milliseconds and at the latest, an earlier process of this service may have run
-// sheets that are not known here. It is called before the first request.
+// SetUnknownRunsUntil has routers told until when, in Unix milliseconds and at the latest, an earlier process of this service may
+// have run requests that are not known here. It is called before the first request.
 func (c *Core) SetUnknownRunsUntil(wall int64) { c.unknownRunsUntil = wall }
 
-// Ran is what RanUntil was told, 0 for nothing.
+// UnknownRunsUntil is what SetUnknownRunsUntil was told, 0 for nothing.
 func (c *Core) UnknownRunsUntil() int64 { return c.unknownRunsUntil }
 
-// turnedAway is the answer to a new sheet that may not begin.
+// verdictAnswer is the answer to a new idempotent request that may not begin.
 func (c *Core) verdictAnswer(v idempotency.Verdict) Answer {
 	if v.Do != idempotency.Refuse {
 		return Answer{Outcome: Failed}
@@ -70,24 +72,28 @@
 	return Answer{Outcome: Rejected, RetryAfter: min(v.Wait, c.settings.Load().MaxRetryAfter)}
 }
 
-// record is a run as it is kept, without its result.
-func (f *execution) storeRecord() idempotency.Record {
-	return idempotency.Record{Seq: f.recordSeq, Key: f.entry.key, ID: f.requestID, Sum: f.fingerprint, Window: f.entry.window}
+// storeRecord is an execution as it is kept, without its result.
+func (x *execution) storeRecord() idempotency.Record {
+	return idempotency.Record{Seq: x.recordSeq, Key: x.entry.key, ID: x.requestID, Sum: x.fingerprint, Window: x.entry.window}
 }
 
-// promises has it kept that a sheet is about to run. It reports false where nothing is kept; else promised follows.
+// persistStart writes that an idempotent request is about to run. It reports false where nothing is kept; else startPersisted
+// follows, or the end of a run that never began.
+//
+// It guards against a process that is killed between the start of a run and its record: the request would run again when its
+// retry comes after the restart. The guard holds since the runner hears of the run only once the record lasts.
 func (c *Core) persistStart(t *task) bool {
 	if c.store == nil || !t.idempotent() {
 		return false
 	}
 	c.mu.Lock()
-	f := t.execution
-	r := f.storeRecord()
-	// Under the lock, so that nobody lists the runs that are kept without this one.
-	v := c.store.Promise(&r, f.receivedAt, f.entry.expiresAt, time.Until(t.Deadline), func(err error) {
+	x := t.execution
+	r := x.storeRecord()
+	// Under the lock, so that nobody lists the records without this one.
+	v := c.store.Promise(&r, x.receivedAt, x.entry.expiresAt, time.Until(t.Deadline), func(err error) {
 		c.deliver(t.ID, event{kind: startPersisted, err: err})
 	})
-	f.recordSeq = r.Seq
+	x.recordSeq = r.Seq
 	c.mu.Unlock()
 	if v.Do != idempotency.Begin {
 		c.stats.Inc("turned_away", t.Front, v.Why)
@@ -96,17 +102,17 @@
 	return true
 }
 
-// begun reports whether a promised sheet may run. It may not where the promise is not known to last, and need not where nobody
-// waits any more.
-func (c *Core) mayStartPersisted(t *task, s event) bool {
+// mayStartPersisted reports whether a request whose start was to be written may run. It may not where the record is not known to
+// last, and need not where nobody waits any more.
+func (c *Core) mayStartPersisted(t *task, e event) bool {
 	c.mu.Lock()
-	owes := t.response == responsePending
+	pending := t.response == responsePending
 	c.mu.Unlock()
 	switch {
-	case s.err != nil:
+	case e.err != nil:
 		c.stats.Inc("turned_away", t.Front, idempotency.WhyFailing)
 		c.abandonRun(t, event{hasAnswer: true, answer: c.verdictAnswer(idempotency.Verdict{Do: idempotency.Refuse, Why: idempotency.WhyFailing, Wait: c.RetryAfter()})})
-	case !owes:
+	case !pending:
 		c.abandonRun(t, event{})
 	default:
 		return true
@@ -114,67 +120,68 @@
 	return false
 }
 
-// saves has the result of a sheet kept before its answer leaves. It reports false where there is none to keep, or it was.
-func (c *Core) persistResult(t *task, s event) bool {
-	if c.store == nil || s.persisted || s.outcome != silverpath.OK {
+// persistResult writes the result of an idempotent request before its answer leaves. It reports false where there is none to
+// write, or it was written; else runEnded follows once more.
+func (c *Core) persistResult(t *task, e event) bool {
+	if c.store == nil || e.persisted || e.outcome != silverpath.OK {
 		return false
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	f := t.execution
-	if !t.running || f == nil || f.recordSeq == 0 || f.done {
+	x := t.execution
+	if !t.running || x == nil || x.recordSeq == 0 || x.done {
 		return false
 	}
-	f.persistingResult = s.data
-	r := f.storeRecord()
-	r.Result = s.data
-	c.store.Result(&r, f.receivedAt, f.entry.expiresAt, func(err error) {
-		s.persisted = true
-		if err != nil { // what does not last is not told: after a restart nobody could tell it again
+	x.persistingResult = e.data
+	r := x.storeRecord()
+	r.Result = e.data
+	c.store.Result(&r, x.receivedAt, x.entry.expiresAt, func(err error) {
+		e.persisted = true
+		if err != nil { // a result that does not last is not told: after a restart nobody could tell it again
 			events.Log(c.log, "store.result_lost", t.Class, t.ID, err)
 			c.stats.Inc("store", "result_lost")
-			s.outcome, s.data = silverpath.Failed, nil
+			e.outcome, e.data = silverpath.Failed, nil
 			c.mu.Lock()
-			f.persistingResult = nil // before all is written anew
+			x.persistingResult = nil // before all is written anew
 			c.mu.Unlock()
 		}
-		c.deliver(t.ID, s)
+		c.deliver(t.ID, e)
 	})
 	return true
 }
 
-// keptEnd notes how a run that is kept ended. It is called under the lock.
-func (c *Core) recordEnd(f *execution, o silverpath.Outcome) {
-	if c.store == nil || f == nil || f.recordSeq == 0 {
+// recordEnd notes how a run that is kept ended. It is called under the lock.
+func (c *Core) recordEnd(x *execution, o silverpath.Outcome) {
+	if c.store == nil || x == nil || x.recordSeq == 0 {
 		return
 	}
-	f.persistingResult = nil
+	x.persistingResult = nil
 	switch o {
-	case silverpath.OK: // kept already
+	case silverpath.OK: // written already, by persistResult
 	case silverpath.NotStarted:
-		c.store.Withdraw(f.recordSeq)
+		c.store.Withdraw(x.recordSeq)
 	default:
-		c.store.Failed(f.recordSeq)
+		c.store.Failed(x.recordSeq)
 	}
 }
 
-// markMoved has it kept that a key that was asked for runs elsewhere, before whoever asked is told. It is called under the lock.
+// persistMoved writes that a key that was asked for runs elsewhere, before whoever asked is told. It is called under the lock.
 func (c *Core) persistMoved(t *task, a *Answer) {
 	if c.store == nil {
 		return
 	}
 	e := c.keys.entries[keyOf(t.class, &t.Request)]
 	r := idempotency.Record{Key: e.key, Window: t.class.IdempotencyWindow}
-	lasts := make(chan error, 1)
-	if v := c.store.Mark(&r, e.movedUntil, func(err error) { lasts <- err }); v.Do != idempotency.Begin {
+	persisted := make(chan error, 1)
+	if v := c.store.Mark(&r, e.movedUntil, func(err error) { persisted <- err }); v.Do != idempotency.Begin {
 		*a = Answer{Outcome: Failed}
 		return
 	}
-	e.movedRecord, a.persisted = r.Seq, lasts
+	e.movedRecord, a.persisted = r.Seq, persisted
 	c.pendingAnswers++
 }
 
-// lasting waits until what an answer says lasts, where it has to.
+// awaitPersisted waits until what an answer says is on the disk, where it has to.
 func (c *Core) awaitPersisted(r Request, a Answer) Answer {
 	if a.persisted == nil {
 		return a
@@ -193,9 +200,7 @@
 	return a
 }
 
-// ---- What the store asks ----
-
-// LongestWindow is how long after a run a try of it may come, for all classes.
+// LongestWindow is how long after a run an attempt of it may come, for all classes.
 func (c *Core) LongestWindow() (longest time.Duration) {
 	for _, k := range c.settings.Load().Classes {
 		if k.Effect == silverpath.Idempotent {
@@ -205,7 +210,7 @@
 	return longest
 }
 
-// Restore takes up runs of an earlier start of this service.
+// Restore takes up runs of an earlier start of this service, in the order in which they were promised.
 func (c *Core) Restore(list []idempotency.Record, at func(time.Duration) time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -215,13 +220,11 @@
 	}
 }
 
-// restore takes up one run.
+// restore takes up one record.
 func (k *keyTable) restore(r *idempotency.Record, at func(time.Duration) time.Time, now time.Time) {
 	e := k.entries[r.Key]
 	if e == nil {
-		e = &keyEntry{key: r.Key, bytes: entryBytes + len(r.Key)}
-		k.entries[r.Key] = e
-		k.bytes += e.bytes
+		e = k.add(r.Key)
 	}
 	e.expiresAt, e.window = later(e.expiresAt, at(r.Until)), max(e.window, r.Window)
 	if r.State == idempotency.Moved {
@@ -235,7 +238,7 @@
 	k.bytes += len(r.Result)
 }
 
-// Kept are the runs that are kept, as they stand.
+// Kept are the records of all runs that are kept, as they stand.
 func (c *Core) Kept(since func(time.Time) time.Duration) []idempotency.Record {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -245,22 +248,28 @@
 		if now.After(e.expiresAt) {
 			continue
 		}
-		if f := e.latest; f != nil && f.recordSeq != 0 {
-			r := f.storeRecord()
-			r.State, r.At, r.Reached, r.Until = idempotency.Running, since(now), since(f.receivedAt), since(e.expiresAt)
-			switch {
-			case f.done && f.succeeded:
-				r.State, r.Result = idempotency.Done, f.result
-			case f.done:
-				r.State = idempotency.Failed
-			case f.persistingResult != nil:
-				r.State, r.Result = idempotency.Done, f.persistingResult
-			}
-			list = append(list, r)
+		if x := e.latest; x != nil && x.recordSeq != 0 {
+			list = append(list, x.currentRecord(now, since))
 		}
 		if e.movedRecord != 0 && now.Before(e.movedUntil) {
-			list = append(list, idempotency.Record{Seq: e.movedRecord, State: idempotency.Moved, Key: e.key, Window: e.window, At: since(now), Until: since(e.movedUntil)})
+			list = append(list, idempotency.Record{Seq: e.movedRecord, State: idempotency.Moved, Key: e.key, Window: e.window,
+				At: since(now), Until: since(e.movedUntil)})
 		}
 	}
 	return list
 }
+
+// currentRecord is an execution as it is kept, as far as it has come.
+func (x *execution) currentRecord(now time.Time, since func(time.Time) time.Duration) idempotency.Record {
+	r := x.storeRecord()
+	r.State, r.At, r.Reached, r.Until = idempotency.Running, since(now), since(x.receivedAt), since(x.entry.expiresAt)
+	switch {
+	case x.done && x.succeeded:
+		r.State, r.Result = idempotency.Done, x.result
+	case x.done:
+		r.State = idempotency.Failed
+	case x.persistingResult != nil:
+		r.State, r.Result = idempotency.Done, x.persistingResult
+	}
+	return r
+}
