--- a/internal/controlplane/quorum/member/commands.go
+++ b/internal/controlplane/quorum/member/commands.go
@@ -72,7 +72,7 @@
 		if dir, err = os.MkdirTemp("", "silverpath-group"); err != nil {
 			return err
 		}
-		defer os.RemoveAll(dir)
+		defer func() { _ = os.RemoveAll(dir) }() // a temporary folder
 	}
 	addrs := []string{"127.0.0.1:4301", "127.0.0.1:4302", "127.0.0.1:4303"}
 	if err := os.MkdirAll(filepath.Join(dir, "map"), 0o755); err != nil {
--- a/internal/controlplane/quorum/member/golden_test.go
+++ b/internal/controlplane/quorum/member/golden_test.go
@@ -108,7 +108,11 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer db.Close()
+			defer func() {
+				if err := db.Close(); err != nil {
+					t.Error(err)
+				}
+			}()
 			var disk strings.Builder
 			err = db.View(func(tx *bbolt.Tx) error {
 				return tx.ForEach(func(name []byte, b *bbolt.Bucket) error {
@@ -321,7 +325,11 @@
 	go l.Serve()
 	ctx, cancel := context.WithCancel(context.Background())
 	var all sync.WaitGroup
-	all.Go(func() { m.Run(ctx) })
+	all.Go(func() {
+		if err := m.Run(ctx); err != nil {
+			t.Error(err)
+		}
+	})
 	var once sync.Once
 	stop = func() {
 		once.Do(func() {
--- /dev/null
+++ b/internal/controlplane/quorum/member/membership.go
@@ -0,0 +1,159 @@
+package member
+
+import (
+	"encoding/json"
+	"slices"
+
+	pb "go.etcd.io/raft/v3/raftpb"
+	"google.golang.org/protobuf/proto"
+
+	"silverpath/internal/controlplane/quorum"
+	"silverpath/internal/policy/statemachine"
+	"silverpath/internal/transport/msgpackrpc"
+)
+
+// memberChange is the context of a change of members, as it is in the log.
+type memberChange struct {
+	Seq    uint64              `json:"seq"` // of the proposal: who waits for it
+	Peer   statemachine.Member `json:"peer"`
+	Remove uint64              `json:"remove,omitempty"`
+}
+
+// handleFound makes this member one of the first of a group. Said again it changes nothing.
+func (m *Member) handleFound(call msgpackrpc.Call) msgpackrpc.CallResult {
+	var b quorum.Bootstrap
+	if err := json.Unmarshal(call.Body, &b); err != nil {
+		return refuse(quorum.CodeRefused, "%v", err)
+	}
+	identity := *m.identity.Load()
+	switch {
+	case identity.Group == b.ID():
+		return msgpackrpc.CallResult{}
+	case identity.Group != "":
+		return refuse(quorum.CodeRefused, "member %s belongs to group %s already", identity.Name, identity.Group)
+	case b.Group != m.cfg.Group || !slices.ContainsFunc(b.Members, func(p statemachine.Member) bool { return p.ID == identity.ID }):
+		return refuse(quorum.CodeRefused, "not among the first members")
+	}
+	if err := b.Terms.Check(); err != nil {
+		return refuse(quorum.CodeRefused, "%v", err)
+	}
+	state := statemachine.New(1)
+	state.Terms = b.Terms
+	for _, p := range b.Members {
+		state.Members[p.ID] = p
+	}
+	identity.Group = b.ID()
+	if err := m.store.writeFounding(identity, state); err != nil {
+		m.abort(err)
+		return refuse(quorum.CodeUnknownOutcome, "%v", err)
+	}
+	m.identity.Store(&identity)
+	m.log.Info().Str("event", "group.founded").Str("group", identity.Group).Int("members", len(b.Members)).Send()
+	m.startMember()
+	return msgpackrpc.CallResult{}
+}
+
+// handleJoin makes this member, whose disk is empty, one that listens to a group until it was added there. Said again it changes
+// nothing.
+func (m *Member) handleJoin(call msgpackrpc.Call) msgpackrpc.CallResult {
+	var j quorum.Join
+	if err := json.Unmarshal(call.Body, &j); err != nil || j.ID == "" {
+		return refuse(quorum.CodeRefused, "no group")
+	}
+	identity := *m.identity.Load()
+	switch {
+	case identity.Group == j.ID:
+		return msgpackrpc.CallResult{}
+	case identity.Group != "":
+		return refuse(quorum.CodeRefused, "member %s belongs to group %s already", identity.Name, identity.Group)
+	}
+	identity.Group = j.ID
+	if err := m.store.writeJoin(identity, j.Members); err != nil {
+		m.abort(err)
+		return refuse(quorum.CodeUnknownOutcome, "%v", err)
+	}
+	m.identity.Store(&identity)
+	m.log.Info().Str("event", "group.joined").Str("group", identity.Group).Send()
+	m.startMember()
+	return msgpackrpc.CallResult{}
+}
+
+// startMember has a member take part that has just become one of a group.
+func (m *Member) startMember() {
+	if err := m.startRaft(); err != nil {
+		m.abort(err)
+		return
+	}
+	m.updatePeers()
+	m.requestVouches()
+}
+
+// handleMemberChange adds a member or removes one, one step a call. A member is added as one that only listens; asked again once it has
+// caught up it gets a vote. So a new member that is slow, or not there, never counts for a majority that could not be reached.
+func (m *Member) handleMemberChange(call msgpackrpc.Call, reply replyFunc) {
+	var member statemachine.Member
+	if err := json.Unmarshal(call.Body, &member); err != nil || member.ID == 0 {
+		reply(refuse(quorum.CodeRefused, "no member"))
+		return
+	}
+	if !m.leading {
+		reply(m.notLeader())
+		return
+	}
+	if call.Method == quorum.MethodRemove {
+		m.proposeMemberChange(pb.ConfChangeRemoveNode, member.ID, memberChange{Remove: member.ID}, reply)
+		return
+	}
+	progress, known := m.node.Status().Progress[member.ID]
+	switch {
+	case slices.Contains(m.confState.GetVoters(), member.ID):
+		reply(msgpackrpc.CallResult{Body: []byte(quorum.AnswerVoter)})
+	case known && progress.IsLearner && !m.nearlyCaughtUp(progress.Match):
+		reply(msgpackrpc.CallResult{Body: []byte(quorum.AnswerCatchingUp)})
+	case known && progress.IsLearner:
+		m.proposeMemberChange(pb.ConfChangeAddNode, member.ID, memberChange{Peer: member}, reply)
+	case m.hasName(member.Name):
+		reply(refuse(quorum.CodeRefused, "member %s is in the group by another disk: remove that first", member.Name))
+	default:
+		m.proposeMemberChange(pb.ConfChangeAddLearnerNode, member.ID, memberChange{Peer: member}, reply)
+	}
+}
+
+// nearlyCaughtUp reports whether a member that has the log up to an index lacks so little that it needs no snapshot.
+func (m *Member) nearlyCaughtUp(match uint64) bool {
+	last, err := m.store.memory.LastIndex()
+	return err == nil && match > 0 && match+compactKeepEntries >= last
+}
+
+// hasName reports whether there is a member of a name.
+func (m *Member) hasName(name string) bool {
+	for _, member := range m.state.Members {
+		if member.Name == name {
+			return true
+		}
+	}
+	return false
+}
+
+// proposeMemberChange puts a change of members into the log, and replies once it is applied here.
+func (m *Member) proposeMemberChange(kind pb.ConfChangeType, id uint64, change memberChange, reply replyFunc) {
+	m.seq++
+	change.Seq = m.salt + m.seq
+	ctx, err := json.Marshal(change)
+	if err != nil {
+		reply(refuse(quorum.CodeRefused, "%v", err))
+		return
+	}
+	cc := &pb.ConfChangeV2{Context: ctx, Changes: []*pb.ConfChangeSingle{{Type: kind.Enum(), NodeId: proto.Uint64(id)}}}
+	if err := m.node.ProposeConfChange(cc); err != nil {
+		reply(refuse(quorum.CodeUnknownOutcome, "%v", err))
+		return
+	}
+	m.proposals[change.Seq] = func(_ statemachine.Result, ok bool) {
+		if !ok {
+			reply(msgpackrpc.CallResult{Error: quorum.CodeUnknownOutcome})
+			return
+		}
+		reply(msgpackrpc.CallResult{Body: []byte(quorum.AnswerChanged)})
+	}
+}
--- a/internal/controlplane/quorum/member/parts_test.go
+++ b/internal/controlplane/quorum/member/parts_test.go
@@ -90,7 +90,11 @@
 	go ln.Serve()
 	ctx, cancel := context.WithCancel(context.Background())
 	var all sync.WaitGroup
-	all.Go(func() { m.Run(ctx) })
+	all.Go(func() {
+		if err := m.Run(ctx); err != nil {
+			g.t.Error(err)
+		}
+	})
 	g.of[i] = m
 	g.ends[i] = func() { // as a process ends: nothing on its connections is answered any more
 		ln.Close()
@@ -245,8 +249,10 @@
 		g.loadMap(texts, 0)
 		g.inForce(1)
 		f := newFollower("r1", 2)
-		g.await("the whole map", func() bool { f.once(g); return maps.Equal(f.says, texts) })
-		f.once(g)
+		g.await("the whole map", func() bool { _ = f.once(g); return maps.Equal(f.says, texts) })
+		if err := f.once(g); err != nil {
+			t.Fatal(err)
+		}
 		atRest = append(atRest, f.bytes)
 		if err := newFollower("r0", 1).once(g); err == nil || !strings.Contains(err.Error(), "format 2: this build reads 1") {
 			t.Error(err)
@@ -272,7 +278,7 @@
 		}
 		g.must(c)
 		most := 0
-		g.await("the change", func() bool { f.once(g); most = max(most, f.bytes); return maps.Equal(f.says, after) })
+		g.await("the change", func() bool { _ = f.once(g); most = max(most, f.bytes); return maps.Equal(f.says, after) })
 		size := 0
 		for _, text := range changed {
 			size += configstore.EncodedSize(text)
--- a/internal/controlplane/quorum/member/peer.go
+++ b/internal/controlplane/quorum/member/peer.go
@@ -4,9 +4,11 @@
 	"context"
 	"encoding/binary"
 	"errors"
+	"fmt"
 	"strconv"
 	"time"
 
+	"go.etcd.io/raft/v3"
 	pb "go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
@@ -15,7 +17,7 @@
 	"silverpath/internal/transport/msgpackrpc"
 )
 
-// peer carries words to one other member. What can't be sent is dropped: the library sends it again where it matters.
+// peer is the way to one other member. What can't be sent is dropped: the library sends it again where it matters.
 type peer struct {
 	statemachine.Member
 	queue chan *pb.Message
@@ -23,46 +25,154 @@
 }
 
 const (
-	peerQueueLength = 512     // messages to a member
-	requestOverhead = 4 << 10 // of a word, beside its messages
-	// maxInlineSnapshot bounds a snapshot that goes in one word, which members of older builds take as well; a longer one goes in chunks.
+	peerQueueLength = 512     // messages that wait for a member: more than a busy leader has for one in a round trip
+	requestOverhead = 4 << 10 // bytes of a call beside its messages
+	lengthBytes     = 4       // before each message of a call
+	// maxInlineSnapshot bounds a snapshot that goes in one call, which members of older builds take as well; a longer one goes in parts.
 	maxInlineSnapshot = msgpackrpc.MaxCallBody/2 - 64<<10
 )
 
-// appendMessage puts messages one after the other, each behind its length.
+// updatePeers opens and ends the ways to other members, as the members have changed.
+func (m *Member) updatePeers() {
+	if m.ctx == nil {
+		return // not running yet: Run calls it
+	}
+	me := m.identity.Load().ID
+	for id, p := range m.peers {
+		if q, ok := m.state.Members[id]; !ok || q.Addr != p.Addr {
+			p.stop()
+			delete(m.peers, id)
+		}
+	}
+	for id, q := range m.state.Members {
+		if id == me || m.peers[id] != nil {
+			continue
+		}
+		ctx, cancel := context.WithCancel(m.ctx)
+		p := &peer{Member: q, queue: make(chan *pb.Message, peerQueueLength), stop: cancel}
+		m.peers[id] = p
+		m.background.Go(func() { m.sendLoop(ctx, p) })
+	}
+}
+
+// send queues a message to the member that it is for.
+func (m *Member) send(x *pb.Message) {
+	p := m.peers[x.GetTo()]
+	if p == nil {
+		return
+	}
+	select {
+	case p.queue <- x:
+	default:
+		m.stats.Inc("group", "dropped")
+		m.unreachable(x.GetTo(), []*pb.Message{x})
+	}
+}
+
+// unreachable tells the library that messages to a member were not sent.
+func (m *Member) unreachable(id uint64, list []*pb.Message) {
+	if m.node == nil {
+		return
+	}
+	m.node.ReportUnreachable(id)
+	for _, x := range list {
+		if x.GetType() == pb.MsgSnap {
+			m.node.ReportSnapshot(id, raft.SnapshotFailure)
+		}
+	}
+}
+
+// messagesSent is called with what became of a call with messages: whether the member took them, and its reply.
+func (m *Member) messagesSent(p *peer, list []*pb.Message, ok bool, reply msgpackrpc.Reply) {
+	if reply.Error == quorum.CodeSuperseded {
+		m.abort(fmt.Errorf("member %s says: %s", p.Name, reply.Fields["why"]))
+		return
+	}
+	for _, x := range list {
+		if x.GetType() == pb.MsgSnap && m.node != nil {
+			st := raft.SnapshotFinish
+			if !ok {
+				st = raft.SnapshotFailure
+			}
+			m.node.ReportSnapshot(p.ID, st)
+		}
+	}
+}
+
+// appendMessage appends a message behind its length, in 4 bytes.
 func appendMessage(b []byte, m *pb.Message) ([]byte, error) {
 	at := len(b)
-	b = append(b, 0, 0, 0, 0)
+	b = append(b, make([]byte, lengthBytes)...)
 	b, err := proto.MarshalOptions{}.MarshalAppend(b, m)
-	binary.BigEndian.PutUint32(b[at:], uint32(len(b)-at-4))
+	binary.BigEndian.PutUint32(b[at:], uint32(len(b)-at-lengthBytes))
 	return b, err
 }
 
+// parseMessages reads what appendMessage wrote, one message after the other.
 func parseMessages(b []byte) ([]*pb.Message, error) {
 	var list []*pb.Message
 	for len(b) > 0 {
-		if len(b) < 4 || uint64(len(b)-4) < uint64(binary.BigEndian.Uint32(b)) {
+		if len(b) < lengthBytes || uint64(len(b)-lengthBytes) < uint64(binary.BigEndian.Uint32(b)) {
 			return nil, errors.New("messages cut short")
 		}
 		n := int(binary.BigEndian.Uint32(b))
 		m := &pb.Message{}
-		if err := proto.Unmarshal(b[4:4+n], m); err != nil {
+		if err := proto.Unmarshal(b[lengthBytes:lengthBytes+n], m); err != nil {
 			return nil, err
 		}
-		list, b = append(list, m), b[4+n:]
+		list, b = append(list, m), b[lengthBytes+n:]
 	}
 	return list, nil
 }
 
-// sendLoop sends what is queued to a member, as many messages a word as there are.
+// peerLink is the connection to a member; it is its sendLoop's.
+type peerLink struct {
+	conn      *msgpackrpc.Conn // nil: none
+	downUntil time.Time        // the member could not be reached: it is not dialled before
+}
+
+func (l *peerLink) close() {
+	if l.conn != nil {
+		l.conn.Close()
+		l.conn = nil
+	}
+}
+
+var errPeerDown = errors.New("down")
+
+// open opens the connection where there is none that can be used.
+func (l *peerLink) open(ctx context.Context, addr string, pause time.Duration) error {
+	if l.conn != nil {
+		return nil
+	}
+	if time.Now().Before(l.downUntil) {
+		return errPeerDown
+	}
+	dialing, cancel := context.WithTimeout(ctx, quorum.DialTimeout)
+	defer cancel()
+	conn, err := msgpackrpc.DialCalls(dialing, addr)
+	if err != nil {
+		l.downUntil = time.Now().Add(pause)
+		return err
+	}
+	l.conn = conn
+	return nil
+}
+
+// dropUnusable closes a connection that takes no more calls.
+func (l *peerLink) dropUnusable() {
+	if l.conn == nil {
+		return
+	}
+	if _, usable := l.conn.Capacity(); !usable {
+		l.close()
+	}
+}
+
+// sendLoop sends what is queued to a member, as many messages a call as there are, until its context ends.
 func (m *Member) sendLoop(ctx context.Context, p *peer) {
-	var conn *msgpackrpc.Conn
-	var downUntil time.Time
-	defer func() {
-		if conn != nil {
-			conn.Close()
-		}
-	}()
+	var link peerLink
+	defer link.close()
 	for {
 		var first *pb.Message
 		select {
@@ -70,112 +180,117 @@
 			return
 		case first = <-p.queue:
 		}
-		list := []*pb.Message{first}
-		size := proto.Size(first)
-		if first.GetType() == pb.MsgSnap && size > maxInlineSnapshot {
-			m.background.Go(func() { m.sendSnapshotAsync(ctx, p, first) })
+		messages := m.collect(ctx, p, first)
+		if len(messages) == 0 {
 			continue
 		}
-		for more := true; more && size < msgpackrpc.MaxCallBody/2; {
-			select {
-			case x := <-p.queue:
-				if x.GetType() == pb.MsgSnap && proto.Size(x) > maxInlineSnapshot {
-					m.background.Go(func() { m.sendSnapshotAsync(ctx, p, x) })
-					continue
-				}
-				list, size = append(list, x), size+proto.Size(x)
-			default:
-				more = false
-			}
-		}
-		var body []byte
-		var err error
-		for _, x := range list {
-			if body, err = appendMessage(body, x); err != nil {
-				break
-			}
-		}
-		if err == nil && len(body) > msgpackrpc.MaxCallBody-requestOverhead {
-			err = errors.New("too long for a word")
-			m.log.Error().Str("event", "group.word_too_long").Str("member", p.Name).Int("bytes", len(body)).Send()
-		}
-		if conn != nil {
-			if _, usable := conn.Capacity(); !usable {
-				conn.Close()
-				conn = nil
-			}
-		}
-		if err == nil && conn == nil {
-			if time.Now().Before(downUntil) {
-				err = errors.New("down")
-			} else {
-				dial, cancel := context.WithTimeout(ctx, quorum.DialTimeout)
-				conn, err = msgpackrpc.DialCalls(dial, p.Addr)
-				cancel()
-				if err != nil {
-					downUntil = time.Now().Add(m.cfg.Tick)
-				}
-			}
-		}
-		var reply <-chan msgpackrpc.Reply
-		if err == nil {
-			reply, err = conn.Call(m.peerRequest("group.raft", body))
-		}
+		reply, err := m.callWith(ctx, p, &link, messages)
 		if err != nil {
-			if !errors.Is(err, msgpackrpc.ErrFull) && conn != nil {
-				conn.Close()
-				conn = nil
+			if !errors.Is(err, msgpackrpc.ErrFull) {
+				link.close()
 			}
 			m.stats.Inc("group", "unsent")
-			m.enqueue(func() { m.unreachable(p.ID, list) })
+			m.enqueue(func() { m.unreachable(p.ID, messages) })
 			continue
 		}
-		m.stats.Add(uint64(len(list)), "group", "messages")
-		used := conn
-		go func() {
-			var a msgpackrpc.Reply
-			ok := false
-			select {
-			case a, ok = <-reply:
-			case <-time.After(quorum.CallTimeout):
-				// Something on the way is lost: what is open on it would fill it up, and nothing would go out any more.
-				used.Close()
-			case <-ctx.Done():
-				return
+		m.stats.Add(uint64(len(messages)), "group", "messages")
+		used := link.conn
+		go m.awaitReply(ctx, p, used, reply, messages)
+	}
+}
+
+// collect takes what is queued, up to what fits into a call. Long snapshots go their own way beside it.
+func (m *Member) collect(ctx context.Context, p *peer, first *pb.Message) []*pb.Message {
+	if m.sendLongSnapshot(ctx, p, first) {
+		return nil
+	}
+	messages, size := []*pb.Message{first}, proto.Size(first)
+	for size < msgpackrpc.MaxCallBody/2 {
+		select {
+		case message := <-p.queue:
+			if !m.sendLongSnapshot(ctx, p, message) {
+				messages, size = append(messages, message), size+proto.Size(message)
 			}
-			m.enqueue(func() { m.messagesSent(p, list, ok && a.Error == "", a) })
-		}()
+		default:
+			return messages
+		}
+	}
+	return messages
+}
+
+// sendLongSnapshot has a message go in parts if it is a snapshot that does not go in one call.
+func (m *Member) sendLongSnapshot(ctx context.Context, p *peer, message *pb.Message) bool {
+	if message.GetType() != pb.MsgSnap || proto.Size(message) <= maxInlineSnapshot {
+		return false
+	}
+	m.background.Go(func() { m.sendSnapshotAsync(ctx, p, message) })
+	return true
+}
+
+// callWith makes a call with messages over a link.
+func (m *Member) callWith(ctx context.Context, p *peer, link *peerLink, messages []*pb.Message) (<-chan msgpackrpc.Reply, error) {
+	var body []byte
+	var err error
+	for _, message := range messages {
+		if body, err = appendMessage(body, message); err != nil {
+			return nil, err
+		}
+	}
+	if len(body) > msgpackrpc.MaxCallBody-requestOverhead {
+		m.log.Error().Str("event", "group.word_too_long").Str("member", p.Name).Int("bytes", len(body)).Send()
+		return nil, errors.New("too long for a word")
+	}
+	link.dropUnusable()
+	if err := link.open(ctx, p.Addr, m.cfg.Tick); err != nil {
+		return nil, err
+	}
+	return link.conn.Call(m.peerRequest(quorum.MethodRaft, body))
+}
+
+// awaitReply waits for the reply to a call and tells the loop. It ends with the reply, CallTimeout or its context.
+func (m *Member) awaitReply(ctx context.Context, p *peer, used *msgpackrpc.Conn, replies <-chan msgpackrpc.Reply, messages []*pb.Message) {
+	var reply msgpackrpc.Reply
+	ok := false
+	select {
+	case reply, ok = <-replies:
+	case <-time.After(quorum.CallTimeout):
+		// Something on the way is lost. Calls that are never answered would fill the connection's places, and nothing would go out any
+		// more: the next call has a new connection.
+		used.Close()
+	case <-ctx.Done():
+		return
 	}
+	m.enqueue(func() { m.messagesSent(p, messages, ok && reply.Error == "", reply) })
 }
 
-// peerRequest is a word with who says it.
+// peerRequest is a call to another member, with who makes it: the group, the disk, its start and the number of that.
 func (m *Member) peerRequest(method string, body []byte) msgpackrpc.Call {
-	who := m.identity.Load()
+	self := m.identity.Load()
 	return msgpackrpc.Call{Method: method, Body: body, Fields: map[string]string{
-		"g": m.cfg.Group, "gi": who.Group, "id": strconv.FormatUint(who.ID, 10), "st": strconv.FormatUint(who.Starts, 10),
+		"g": m.cfg.Group, "gi": self.Group, "id": strconv.FormatUint(self.ID, 10), "st": strconv.FormatUint(self.Starts, 10),
 		"n": strconv.FormatUint(m.salt, 10),
 	}}
 }
 
-// callPeer says one word to an address on a connection of its own.
-func callPeer(ctx context.Context, addr string, w msgpackrpc.Call) (msgpackrpc.Reply, error) {
-	dial, cancel := context.WithTimeout(ctx, quorum.DialTimeout)
+// callPeer makes one call to an address on a connection of its own.
+func callPeer(ctx context.Context, addr string, call msgpackrpc.Call) (msgpackrpc.Reply, error) {
+	dialing, cancel := context.WithTimeout(ctx, quorum.DialTimeout)
 	defer cancel()
-	conn, err := msgpackrpc.DialCalls(dial, addr)
+	conn, err := msgpackrpc.DialCalls(dialing, addr)
 	if err != nil {
 		return msgpackrpc.Reply{}, err
 	}
 	defer conn.Close()
-	reply, err := conn.Call(w)
+	reply, err := conn.Call(call)
 	if err != nil {
 		return msgpackrpc.Reply{}, err
 	}
 	select {
-	case a, ok := <-reply:
+	case r, ok := <-reply:
 		if !ok {
-			return a, errors.New("the connection ended without an answer")
+			return r, errors.New("the connection ended without an answer")
 		}
-		return a, nil
+		return r, nil
 	case <-time.After(quorum.CallTimeout):
 		return msgpackrpc.Reply{}, errors.New("no answer")
 	case <-ctx.Done():
--- /dev/null
+++ b/internal/controlplane/quorum/member/raft.go
@@ -0,0 +1,260 @@
+package member
+
+import (
+	"encoding/binary"
+	"encoding/json"
+	"fmt"
+	"time"
+
+	"github.com/rs/zerolog"
+	"go.etcd.io/raft/v3"
+	pb "go.etcd.io/raft/v3/raftpb"
+	"google.golang.org/protobuf/proto"
+
+	"silverpath/internal/policy/configstore"
+	"silverpath/internal/policy/lease"
+	"silverpath/internal/policy/quota"
+	"silverpath/internal/policy/statemachine"
+)
+
+// When the log is replaced by a snapshot of the state.
+const (
+	compactAfterEntries = 2000 // entries since the last one: some minutes of a busy fleet, read in a moment at a start
+	compactKeepEntries  = 200  // of them stay for members that are a little behind, which then need no snapshot
+	// compactAfterBytes has a snapshot be made of what many large changes have written, and compactKeepBytes bounds what of them stays.
+	compactAfterBytes = 16 << 20
+	compactKeepBytes  = 4 << 20
+)
+
+// startRaft starts the library on what the disk has. It is called at the start of a member of a group, and as one becomes that.
+func (m *Member) startRaft() error {
+	snap, err := m.store.memory.Snapshot()
+	if err != nil {
+		return err
+	}
+	if raft.IsEmptySnap(snap) { // it has joined, and got nothing of the group yet
+		peers, err := getJSON[[]statemachine.Member](m.store, keyPeers)
+		if err != nil {
+			return fmt.Errorf("%s: who else there is: %w", m.cfg.Dir, err)
+		}
+		for _, p := range peers {
+			m.state.Members[p.ID] = p
+		}
+	} else if m.state, err = statemachine.Restore(snap.GetData()); err != nil {
+		return fmt.Errorf("%s: %w", m.cfg.Dir, err)
+	}
+	m.adoptSnapshot(m.state, snap.GetMetadata())
+	m.node, err = raft.NewRawNode(&raft.Config{
+		ID: m.identity.Load().ID, ElectionTick: electionTicks, HeartbeatTick: 1, Storage: m.store.memory, Applied: m.applied,
+		MaxSizePerMsg: maxMessageEntries, MaxInflightMsgs: maxInflight, MaxUncommittedEntriesSize: maxUncommitted, CheckQuorum: true, PreVote: true,
+		Logger: raftLogger{m.log},
+	})
+	if err != nil {
+		return fmt.Errorf("%s: %w", m.cfg.Dir, err)
+	}
+	m.confirm()
+	return nil
+}
+
+// adoptSnapshot makes a snapshot's state the member's. What the leader's time was told of the state before it is void.
+func (m *Member) adoptSnapshot(state *statemachine.State, meta *pb.SnapshotMetadata) {
+	m.state, m.confState = state, meta.GetConfState()
+	m.applied = meta.GetIndex()
+	m.snapshotIndex = m.applied
+	m.lessor, m.configWatch, m.quotaLedger = lease.NewLessor(state.Terms), configstore.NewProcessMonitor(state.Terms), quota.NewLedger(state.Terms)
+}
+
+// handleReady carries out what the library wants, in the order that raft is correct by: what must last is on disk before a message that
+// speaks of it goes out, and what is agreed is applied after that.
+func (m *Member) handleReady() {
+	rd := m.node.Ready()
+	if err := m.saveReady(rd); err != nil {
+		m.abort(err)
+		return
+	}
+	if !raft.IsEmptySnap(rd.Snapshot) {
+		state, err := statemachine.Restore(rd.Snapshot.GetData())
+		if err != nil {
+			m.abort(err)
+			return
+		}
+		m.adoptSnapshot(state, rd.Snapshot.GetMetadata())
+		m.updatePeers()
+	}
+	if rd.SoftState != nil {
+		m.leadershipChanged(rd.RaftState == raft.StateLeader)
+	}
+	for _, x := range rd.Messages {
+		m.send(x)
+	}
+	m.noteReadStates(rd.ReadStates)
+	for _, e := range rd.CommittedEntries {
+		m.applyEntry(e)
+	}
+	m.node.Advance(rd)
+	m.answerReads()
+	m.compactIfDue()
+}
+
+// saveReady writes what has to last, if there is any, with marks of others that are not stored yet.
+func (m *Member) saveReady(rd raft.Ready) error {
+	if rd.HardState == nil && len(rd.Entries) == 0 && raft.IsEmptySnap(rd.Snapshot) {
+		return nil
+	}
+	var marks map[uint64]diskMark
+	if m.marksDirty {
+		marks, m.marksDirty = m.marks, false
+	}
+	if err := m.store.save(rd.HardState, rd.Entries, rd.Snapshot, marks); err != nil {
+		return err
+	}
+	m.stats.Inc("group", "syncs")
+	return nil
+}
+
+// compactIfDue puts a snapshot in the place of the log's beginning. A change of members always does: a snapshot from before it names
+// no new member, and is refused there.
+func (m *Member) compactIfDue() {
+	due := m.applied-m.snapshotIndex >= compactAfterEntries || m.bytesSinceSnapshot >= compactAfterBytes || m.membersChanged
+	if !due || m.fatal != nil {
+		return
+	}
+	m.membersChanged, m.bytesSinceSnapshot = false, 0
+	data, err := m.state.Snapshot()
+	if err == nil {
+		err = m.store.compact(m.applied, m.confState, data, compactKeepEntries, compactKeepBytes)
+	}
+	if err != nil {
+		m.abort(err)
+		return
+	}
+	m.snapshotIndex = m.applied
+	m.stats.Inc("group", "snapshots")
+}
+
+// leadershipChanged is called with whether this member leads now. What waits for a leader that is none any more fails: nobody here can
+// say what becomes of it.
+func (m *Member) leadershipChanged(leads bool) {
+	if leads == m.leading {
+		return
+	}
+	m.leading, m.caughtUp = leads, false
+	m.grantable.refreshAt = time.Time{} // the ledger is told anew
+	if leads {
+		m.lessor.Promote(m.clock())
+		m.configWatch.StartLeading(m.clock())
+		m.quotaLedger.StartLeading(m.clock(), m.node.BasicStatus().GetTerm())
+		m.log.Info().Str("event", "group.leads").Uint64("term", m.node.BasicStatus().GetTerm()).Send()
+		m.stats.Inc("group", "led")
+		return
+	}
+	m.lessor.Demote()
+	m.configWatch.StopLeading()
+	m.quotaLedger.StopLeading()
+	m.log.Info().Str("event", "group.follows").Send()
+	m.failPending()
+}
+
+// applyEntry applies an entry that a majority has agreed on.
+func (m *Member) applyEntry(e *pb.Entry) {
+	m.applied = e.GetIndex()
+	m.bytesSinceSnapshot += len(e.GetData())
+	m.caughtUp = m.caughtUp || m.leading && e.GetTerm() == m.node.BasicStatus().GetTerm()
+	switch e.GetType() {
+	case pb.EntryNormal:
+		m.applyCommand(e.GetData())
+	case pb.EntryConfChangeV2, pb.EntryConfChange:
+		m.applyMemberChange(e.GetData())
+	}
+}
+
+// applyCommand applies a command of the log, and answers who waits for it here.
+func (m *Member) applyCommand(data []byte) {
+	if len(data) < entryNumberBytes {
+		return // the empty entry of a new leader
+	}
+	var c statemachine.Command
+	r := statemachine.Result{Error: "a command that can't be read"}
+	if err := json.Unmarshal(data[entryNumberBytes:], &c); err == nil {
+		r = m.state.Apply(c)
+	}
+	m.stats.Inc("group", "applied")
+	if c.Lease != nil {
+		m.leaseApplied(*c.Lease, r)
+	}
+	if c.Config != nil {
+		m.configApplied(*c.Config, r)
+	}
+	for _, change := range c.ConfigBatch {
+		m.configApplied(change, statemachine.Result{})
+	}
+	m.answerProposal(binary.BigEndian.Uint64(data), r)
+}
+
+// applyMemberChange applies a change of the group's members.
+func (m *Member) applyMemberChange(data []byte) {
+	var c pb.ConfChangeV2
+	if err := proto.Unmarshal(data, &c); err != nil {
+		m.abort(fmt.Errorf("a change of members that can't be read: %w", err))
+		return
+	}
+	m.confState = m.node.ApplyConfChange(&c)
+	m.membersChanged = true
+	var change memberChange
+	_ = json.Unmarshal(c.GetContext(), &change) // one without a context is the library's own, and names no member
+	if change.Remove != 0 {
+		delete(m.state.Members, change.Remove)
+	} else if change.Peer.ID != 0 {
+		m.state.Members[change.Peer.ID] = change.Peer
+	}
+	m.log.Info().Str("event", "group.members").Int("voters", len(m.confState.GetVoters())).Int("learners", len(m.confState.GetLearners())).Send()
+	m.updatePeers()
+	m.answerProposal(change.Seq, statemachine.Result{})
+}
+
+// leaseApplied follows a lease request that was applied: the leader counts a new holding from now on, and logs it.
+func (m *Member) leaseApplied(request lease.Request, r statemachine.Result) {
+	if r.Error != "" || r.Duty == nil {
+		return
+	}
+	m.lessor.RecordGrant(r.Duty.Name, r.Duty.Epoch, m.clock())
+	if m.leading {
+		m.stats.Inc("group", "asks", string(request.Op))
+		event := "group." + string(request.Op)
+		if request.Op == lease.Acquire && r.Duty.Holder != request.Process {
+			event = "group.waits"
+		}
+		m.log.Info().Str("event", event).Str("who", request.Process).Str("duty", r.Duty.Name).Stringer("epoch", r.Duty.Epoch).Str("owner", r.Duty.Holder).Send()
+	}
+}
+
+// leaderTick is called at every tick: a leader proposes what its time has come for, and whoever waits in vain is given up.
+func (m *Member) leaderTick() {
+	if m.leading && m.caughtUp {
+		for _, request := range m.lessor.Overdue(m.state.Table, m.clock()) {
+			if err := m.propose(statemachine.Command{Lease: &request}, nil); err != nil {
+				m.lessor.ProposalDropped(request)
+			}
+		}
+		m.proposeOverdueConfig()
+	}
+	m.dropStalledSnapshot()
+	m.dropStalledReads()
+}
+
+// raftLogger passes the library's errors on to the log, as warnings; what it says at every turn is not logged.
+type raftLogger struct{ log zerolog.Logger }
+
+func (l raftLogger) Debug(...any)              {}
+func (l raftLogger) Debugf(string, ...any)     {}
+func (l raftLogger) Info(...any)               {}
+func (l raftLogger) Infof(string, ...any)      {}
+func (l raftLogger) Warning(...any)            {}
+func (l raftLogger) Warningf(string, ...any)   {}
+func (l raftLogger) Error(v ...any)            { l.warn(fmt.Sprint(v...)) }
+func (l raftLogger) Errorf(f string, v ...any) { l.warn(fmt.Sprintf(f, v...)) }
+func (l raftLogger) Fatal(v ...any)            { panic(fmt.Sprint(v...)) }
+func (l raftLogger) Fatalf(f string, v ...any) { panic(fmt.Sprintf(f, v...)) }
+func (l raftLogger) Panic(v ...any)            { panic(fmt.Sprint(v...)) }
+func (l raftLogger) Panicf(f string, v ...any) { panic(fmt.Sprintf(f, v...)) }
+func (l raftLogger) warn(s string)             { l.log.Warn().Str("event", "group.library").Str("text", s).Send() }
--- a/internal/controlplane/quorum/member/store.go
+++ b/internal/controlplane/quorum/member/store.go
@@ -15,41 +15,22 @@
 	"silverpath/internal/policy/statemachine"
 )
 
-// Identity is who a member is, by its disk. An empty disk gets a new number, and so is a member that has no vote until it
-// was added, whatever its name.
+// Identity is who a member is, by its disk. An empty disk gets a new number, and so is a member that has no vote until it was added,
+// whatever its name: it has forgotten what it acknowledged.
 type Identity struct {
 	ID     uint64 `json:"id"`
 	Name   string `json:"name"`
 	Starts uint64 `json:"starts"` // of the program on this disk
-	// Group is the number of the group that it belongs to; empty while it belongs to none.
+	// Group is the ID of the group that it belongs to; empty while it belongs to none.
 	Group string `json:"group,omitempty"`
 }
 
-// diskMark is what a member has said of its disk: neither part falls but on a disk that is older than its words.
-type diskMark struct {
-	Starts uint64 `json:"starts"`
-	Nonce  uint64 `json:"nonce"` // of that start
-	Term   uint64 `json:"term"`
-	Commit uint64 `json:"commit"`
-}
-
-// aheadOf reports what of a mark is over what another says.
-func (m diskMark) aheadOf(o diskMark) string {
-	switch {
-	case m.Term > o.Term:
-		return fmt.Sprintf("term %d was said before, the disk has %d", m.Term, o.Term)
-	case m.Commit > o.Commit:
-		return fmt.Sprintf("entry %d was said to be known before, the disk knows %d", m.Commit, o.Commit)
-	}
-	return ""
-}
-
 // DiskFaultHook is asked before every write of a store, in test programs only: it may wait, as a disk that stalls, or return the
 // error of one that is full or has failed.
 var DiskFaultHook func(op string) error
 
-// store keeps a member's log on disk, with the same in memory for the library to read. Every write is one transaction,
-// synced before it returns; after an error nothing more is written, as what was not known to be durable is not trusted.
+// store keeps a member's log on disk, with the same in memory for the library to read. Every write is one transaction, synced before it
+// returns. After an error nothing more is written: what is not known to be durable can't be acknowledged, and is not trusted.
 type store struct {
 	db     *bbolt.DB
 	memory *raft.MemoryStorage
@@ -78,8 +59,7 @@
 	}
 	s := &store{db: db, memory: raft.NewMemoryStorage()}
 	if err := s.load(); err != nil {
-		db.Close()
-		return nil, fmt.Errorf("%s: %w", path, err)
+		return nil, errors.Join(fmt.Errorf("%s: %w", path, err), db.Close())
 	}
 	return s, nil
 }
@@ -117,7 +97,9 @@
 			if err := proto.Unmarshal(b, hard); err != nil {
 				return fmt.Errorf("its term: %w", err)
 			}
-			s.memory.SetHardState(hard)
+			if err := s.memory.SetHardState(hard); err != nil {
+				return err
+			}
 		}
 		first, _ := s.memory.FirstIndex()
 		var list []*pb.Entry
@@ -139,7 +121,7 @@
 	})
 }
 
-// update makes one transaction. Its error is the last word of this store.
+// update makes one transaction. After an error every later one returns the same.
 func (s *store) update(op string, do func(tx *bbolt.Tx) error) error {
 	if s.failed != nil {
 		return s.failed
@@ -204,7 +186,9 @@
 	if err != nil {
 		return err
 	}
-	s.memory.SetHardState(hard)
+	if err := s.memory.SetHardState(hard); err != nil {
+		return err
+	}
 	return s.memory.ApplySnapshot(snap)
 }
 
@@ -215,9 +199,10 @@
 	})
 }
 
-// save keeps what has to last before anything is said of it.
+// save writes what must last before a message speaks of it: the term and vote, entries, a snapshot that was received, marks of others. Any
+// of them may be nil.
 func (s *store) save(hard *pb.HardState, entries []*pb.Entry, snap *pb.Snapshot, marks map[uint64]diskMark) error {
-	whole := snap != nil && snap.GetMetadata().GetIndex() > 0
+	hasSnapshot := snap != nil && snap.GetMetadata().GetIndex() > 0
 	err := s.update("save", func(tx *bbolt.Tx) error {
 		if marks != nil {
 			if err := putJSON(tx, keyMarks, marks); err != nil {
@@ -225,27 +210,13 @@
 			}
 		}
 		log := tx.Bucket(bucketLog)
-		if whole {
-			if err := putProto(tx, keySnap, snap); err != nil {
-				return err
-			}
-			if err := deleteEntries(log, 0, ^uint64(0)); err != nil {
-				return err
-			}
-		}
-		if len(entries) > 0 {
-			if err := deleteEntries(log, entries[0].GetIndex(), ^uint64(0)); err != nil {
+		if hasSnapshot { // it is in the place of all entries
+			if err := errors.Join(putProto(tx, keySnap, snap), deleteEntries(log, 0, ^uint64(0))); err != nil {
 				return err
 			}
 		}
-		for _, e := range entries {
-			b, err := proto.Marshal(e)
-			if err == nil {
-				err = log.Put(entryKey(e.GetIndex()), b)
-			}
-			if err != nil {
-				return err
-			}
+		if err := putEntries(log, entries); err != nil {
+			return err
 		}
 		if hard != nil {
 			return putProto(tx, keyHardState, hard)
@@ -255,17 +226,39 @@
 	if err != nil {
 		return err
 	}
-	if whole {
+	if hasSnapshot {
 		if err := s.memory.ApplySnapshot(snap); err != nil {
 			return err
 		}
 	}
 	if hard != nil {
-		s.memory.SetHardState(hard)
+		if err := s.memory.SetHardState(hard); err != nil {
+			return err
+		}
 	}
 	return s.memory.Append(entries)
 }
 
+// putEntries writes entries in the place of all from the first of them on: those were of a leader that had no majority.
+func putEntries(log *bbolt.Bucket, entries []*pb.Entry) error {
+	if len(entries) == 0 {
+		return nil
+	}
+	if err := deleteEntries(log, entries[0].GetIndex(), ^uint64(0)); err != nil {
+		return err
+	}
+	for _, e := range entries {
+		b, err := proto.Marshal(e)
+		if err == nil {
+			err = log.Put(entryKey(e.GetIndex()), b)
+		}
+		if err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
 // deleteEntries deletes entries from one index up to, not with, another.
 func deleteEntries(log *bbolt.Bucket, from, to uint64) error {
 	var keys [][]byte // a cursor passes over keys where it deletes as it goes
