--- a/internal/policy/configstore/kinds.go
+++ b/internal/policy/configstore/kinds.go
@@ -1,10 +1,6 @@
 package configstore
 
 import (
-	"encoding/json"
-	"fmt"
-	"slices"
-	"strconv"
 	"strings"
 	"time"
 )
@@ -114,52 +110,6 @@
 	return b.String()
 }
 
-// Difference is a field in which two documents differ. An element of an array that has a name is told by it.
-type Difference struct {
-	Path string `json:"path"`
-	Old  string `json:"old,omitempty"` // empty: it is new
-	New  string `json:"new,omitempty"` // empty: it is gone
-	Kind string `json:"kind"`
-	kind Kind
-}
-
-// Diff are the fields in which two texts of a document differ. Either may be empty.
-func Diff(doc, old, text string) (list []Difference, err error) {
-	var a, b any
-	for _, t := range []struct {
-		text string
-		into *any
-	}{{old, &a}, {text, &b}} {
-		if t.text == "" {
-			*t.into = map[string]any{}
-		} else if err := json.Unmarshal([]byte(t.text), t.into); err != nil {
-			return nil, fmt.Errorf("%s: not JSON: %w", doc, err)
-		}
-	}
-	walkDifferences("", a, b, func(path string, old, new any) {
-		k := KindOf(doc, path)
-		list = append(list, Difference{path, toJSON(old), toJSON(new), k.String(), k})
-	})
-	slices.SortFunc(list, func(a, b Difference) int { return strings.Compare(a.Path, b.Path) })
-	return list, nil
-}
-
-// HasExclusive reports whether a change differs in what must stop everywhere before it begins anywhere. What has no kind is taken
-// for that.
-func HasExclusive(list []Difference) bool {
-	return slices.ContainsFunc(list, func(d Difference) bool { return d.kind == KindExclusive || d.kind == KindUnknown })
-}
-
-// FirstDependent names the first field of a change that a part of the fleet can't act on alone, empty for none.
-func FirstDependent(list []Difference) string {
-	for _, d := range list {
-		if d.kind != KindIndependent {
-			return d.Path
-		}
-	}
-	return ""
-}
-
 // TransitionWindow is what holds now of a window that changes from one length to another, and how long until the new one does: what ran by
 // the longer one may come again until then, and a patience beyond.
 func TransitionWindow(old, next, patience time.Duration) (now, until time.Duration) {
@@ -168,79 +118,3 @@
 	}
 	return old, old + patience
 }
-
-func toJSON(v any) string {
-	if v == nil {
-		return ""
-	}
-	b, _ := json.Marshal(v)
-	return string(b)
-}
-
-// walkDifferences calls fn with every leaf that differs.
-func walkDifferences(path string, a, b any, fn func(path string, a, b any)) {
-	switch x := either(a, b).(type) {
-	case map[string]any:
-		av, _ := a.(map[string]any)
-		bv, _ := b.(map[string]any)
-		for key := range union(av, bv) {
-			walkDifferences(strings.TrimPrefix(path+"."+key, "."), av[key], bv[key], fn)
-		}
-	case []any:
-		av, bv := elementsByName(a), elementsByName(b)
-		for key := range union(av, bv) {
-			walkDifferences(path+"["+key+"]", av[key], bv[key], fn)
-		}
-	default:
-		_ = x
-		if !equalLeaves(a, b) {
-			fn(path, a, b)
-		}
-	}
-}
-
-// equalLeaves compares leaves, most of which are alike, without writing them.
-func equalLeaves(a, b any) bool {
-	switch x := a.(type) {
-	case string, float64, bool:
-		switch b.(type) {
-		case string, float64, bool:
-			return x == b
-		}
-	}
-	return toJSON(a) == toJSON(b)
-}
-
-func either(a, b any) any {
-	if a != nil {
-		return a
-	}
-	return b
-}
-
-func union(a, b map[string]any) map[string]bool {
-	all := map[string]bool{}
-	for key := range a {
-		all[key] = true
-	}
-	for key := range b {
-		all[key] = true
-	}
-	return all
-}
-
-// elementsByName are the elements of an array by their names, or by their numbers.
-func elementsByName(v any) map[string]any {
-	list, _ := v.([]any)
-	all := map[string]any{}
-	for i, e := range list {
-		key := strconv.Itoa(i)
-		if o, ok := e.(map[string]any); ok {
-			if name, ok := o["name"].(string); ok {
-				key = name
-			}
-		}
-		all[key] = e
-	}
-	return all
-}
--- /dev/null
+++ b/internal/policy/configstore/propose.go
@@ -0,0 +1,159 @@
+package configstore
+
+import (
+	"fmt"
+	"maps"
+	"slices"
+)
+
+func (b *Store) propose(c Change) (*Document, error) {
+	d := b.Documents[c.Doc]
+	if d == nil {
+		d = &Document{Name: c.Doc}
+	}
+	force, digest := 0, NewID(1, []byte(c.Text)).Digest
+	split := len(c.Parts) > 0 || c.Draft != ""
+	if d.Active != nil {
+		force = d.Active.ID.Version
+	}
+	switch {
+	case c.Doc == "" || len(b.Documents) >= maxDocuments && b.Documents[c.Doc] == nil:
+		return d, fmt.Errorf("%d documents are all that there can be", maxDocuments)
+	case !split && d.Active != nil && d.Active.InParts:
+		return d, fmt.Errorf("%s is in parts: a whole text can't be put on it, silverpath rules put splits it", c.Doc)
+	case split && c.Text != "":
+		return d, fmt.Errorf("%s: a text beside parts", c.Doc)
+	case !split && (len(c.Text) > maxTextSize || c.Text == ""):
+		return d, fmt.Errorf("%s: %d bytes, of 1 to %d", c.Doc, len(c.Text), maxTextSize)
+	case d.Proposed != nil:
+		return d, fmt.Errorf("%w: version %d of %s is %s", ErrChangePending, d.Proposed.ID.Version, c.Doc, d.Stage)
+	case c.Version != force:
+		return d, fmt.Errorf("%w: %d of %s, not %d", ErrStaleBase, force, c.Doc, c.Version)
+	}
+	var over map[string]Part
+	if split {
+		var err error
+		if over, digest, err = d.changedParts(c); err != nil {
+			return d, err
+		}
+	}
+	switch {
+	case d.Active != nil && d.Active.ID.Digest == digest:
+		return d, fmt.Errorf("version %d of %s says the same", force, c.Doc)
+	case slices.Contains(d.RejectedDigests, digest) && !c.AllowRejected:
+		return d, fmt.Errorf("%w: made things worse", ErrRejectedBefore)
+	}
+	d.RejectedDigests = slices.DeleteFunc(d.RejectedDigests, func(was uint64) bool { return was == digest })
+	d.HighestVersion++
+	e := &Revision{ID: ID{d.HighestVersion, digest}, Format: max(1, c.Format), Text: c.Text, Author: clip(c.Author), ProposedAt: c.At, Exclusive: c.Exclusive,
+		Scope: c.Scope, Rollout: c.Rollout, InParts: split, Parts: over}
+	if split {
+		e.Format, d.Draft = max(PartsFormat, c.Format), nil
+	}
+	d.Proposed, d.Stage, d.HoldReason = e, StageProposed, clip(c.Reason)
+	b.Documents[c.Doc] = d
+	return d, nil
+}
+
+// revert makes the contents from before the version in force the next one. It goes the same way as any change.
+func (d *Document) revert(c Change) error {
+	if d.Active == nil || d.Active.ID.Version != c.Version {
+		return fmt.Errorf("%w: version %d of %s is not in force", ErrNoSuchChange, c.Version, c.Doc)
+	}
+	if d.Proposed != nil {
+		return fmt.Errorf("%w: version %d of %s is %s", ErrChangePending, d.Proposed.ID.Version, c.Doc, d.Stage)
+	}
+	if d.Active.InParts {
+		return fmt.Errorf("%s is in parts, of which no version before is kept: put what it was", c.Doc)
+	}
+	for _, was := range slices.Backward(d.History) {
+		if was.ActiveSince == 0 || was.ID.Digest == d.Active.ID.Digest {
+			continue // it was never in force
+		}
+		d.rejectDigest(d.Active.ID.Digest)
+		d.Active.Outcome = clip("taken back: " + c.Reason)
+		d.HighestVersion++
+		d.Proposed = &Revision{ID: ID{d.HighestVersion, was.ID.Digest}, Format: was.Format, Text: was.Text, Author: clip(c.Author), ProposedAt: c.At,
+			Exclusive: d.Active.Exclusive, Scope: d.Active.Scope, RevertsTo: was.ID.Version}
+		d.Stage, d.HoldReason = StageProposed, ""
+		return nil
+	}
+	return fmt.Errorf("%w: nothing was in force before", ErrNoSuchChange)
+}
+
+// loadDraft takes parts into the document's draft.
+func (b *Store) loadDraft(c Change) (*Document, error) {
+	d := b.Documents[c.Doc]
+	if d == nil {
+		if c.Doc == "" || len(b.Documents) >= maxDocuments {
+			return nil, fmt.Errorf("%d documents are all that there can be", maxDocuments)
+		}
+		d = &Document{Name: c.Doc}
+	}
+	if c.Draft == "" || len(c.Draft) > maxPartName {
+		return d, fmt.Errorf("%s: a draft's name: of 1 to %d bytes", c.Doc, maxPartName)
+	}
+	if err := CheckChangeSize(c.Doc, c.Parts); err != nil {
+		return d, err
+	}
+	all := map[string]string{}
+	if d.Draft != nil && d.Draft.ID == c.Draft {
+		maps.Copy(all, d.Draft.Parts)
+	}
+	maps.Copy(all, c.Parts)
+	if err := CheckSize(c.Doc, all); err != nil {
+		return d, err
+	}
+	d.Draft = &Draft{c.Draft, all}
+	b.Documents[c.Doc] = d
+	return d, nil
+}
+
+// DraftedParts are the parts that a change puts: its own, or those of the draft that it names.
+func (d *Document) DraftedParts(c Change) (map[string]string, error) {
+	if c.Draft == "" {
+		return c.Parts, CheckChangeSize(d.Name, c.Parts)
+	}
+	if d.Draft == nil || d.Draft.ID != c.Draft {
+		return nil, fmt.Errorf("%w: no draft %.70q of %s: another has begun", ErrNoSuchChange, c.Draft, d.Name)
+	}
+	return d.Draft.Parts, nil
+}
+
+// changedParts is what a change in parts differs in from what is in force, and the digest that the whole then has.
+func (d *Document) changedParts(c Change) (over map[string]Part, digest uint64, err error) {
+	texts, err := d.DraftedParts(c)
+	if err != nil {
+		return nil, 0, err
+	}
+	var force map[string]Part
+	if d.Active != nil {
+		force = d.Active.Parts
+	}
+	over = map[string]Part{}
+	for name, text := range texts {
+		p := Part{d.HighestVersion + 1, PartDigest(text), text}
+		if was, ok := force[name]; !ok || was.Digest != p.Digest {
+			over[name] = p
+		}
+	}
+	all := merged(force, over)
+	whole := make(map[string]string, len(all))
+	for name, p := range all {
+		whole[name] = p.Text
+	}
+	if err := CheckSize(d.Name, whole); err != nil {
+		return nil, 0, err
+	}
+	if digest = PartsDigest(all); digest != c.Digest {
+		return nil, 0, fmt.Errorf("%s: with these parts its digest is %016x, not %016x: they are of another version", d.Name, digest, c.Digest)
+	}
+	return over, digest, nil
+}
+
+func merged(parts, over map[string]Part) map[string]Part {
+	all := make(map[string]Part, len(parts)+len(over))
+	maps.Copy(all, parts)
+	maps.Copy(all, over)
+	return all
+}
--- a/internal/policy/configstore/holder.go
+++ b/internal/policy/configstore/replica.go
@@ -1,19 +1,14 @@
 package configstore
 
 import (
+	"cmp"
+	"maps"
+	"slices"
 	"time"
 
 	"silverpath/internal/policy/lease"
 )
 
-// View is a document as a process is told of it. The texts are left out that it has said to have.
-type View struct {
-	Active   *Revision `json:"force,omitempty"`
-	Proposed *Revision `json:"next,omitempty"`
-	Stage    Stage     `json:"stage,omitempty"`
-	Since    int       `json:"since,omitempty"` // of a document in parts: Force has those that changed after this version; 0: all, or none
-}
-
 // Replica is the side of a process that acts on documents. Its times are those of the process's own monotonic clock.
 type Replica struct {
 	Name string
@@ -198,23 +193,83 @@
 	return take
 }
 
-// partsOf are what is in force and under way of a document in parts, by what it was told.
-func (d *replicaDocument) partsOf(v View, out DisabledGuards) (now, then *partialDocument) {
-	if v.Active != nil && v.Active.InParts {
-		var base *partialDocument
-		if v.Active.Parts != nil {
-			base = d.base(v.Since, out)
+// deliver checks and hands out what is here whole by now.
+func (h *Replica) deliver(now time.Duration, check func(name, text string) error) (take []Update) {
+	for _, name := range slices.Sorted(maps.Keys(h.docs)) {
+		d := h.docs[name]
+		if d.proposed != nil && d.refusal.Version != d.proposed.ID.Version {
+			d.refusal = Refusal{}
+			if err := h.checkProposed(now, name, d, check); err != nil {
+				d.refusal = Refusal{d.proposed.ID.Version, err.Error()}
+			}
+		}
+		to, of := d.active, d.activeParts
+		if d.proposed != nil && d.stage == StageCanary && slices.Contains(d.proposed.Canaries, h.Name) {
+			to, of = d.proposed, d.proposedParts
+		}
+		switch {
+		case to == nil || d.activeVersion == to.ID.Version && (!to.InParts || d.delivered != nil && d.delivered.id == to.ID):
+		case !to.InParts:
+			d.activeVersion, d.delivered = to.ID.Version, nil
+			take = append(take, Update{Doc: name, Revision: to})
+		case of.isComplete() && of.id == to.ID:
+			t := Update{Doc: name, Revision: to}
+			t.Parts, t.Complete = d.changesTo(of)
+			d.activeVersion, d.delivered = to.ID.Version, of
+			take = append(take, t)
 		}
-		now = d.partsTold(v.Active, base, out)
 	}
-	if v.Proposed != nil && v.Proposed.InParts {
-		base := now
-		if base == nil {
-			base = &partialDocument{parts: map[string]Part{}} // the first in parts
+	return take
+}
+
+// checkProposed checks a version that is under way: one in parts once it is here whole, and then again once in a while, as what a process
+// can't act on may follow from the time.
+func (h *Replica) checkProposed(now time.Duration, name string, d *replicaDocument, check func(name, text string) error) error {
+	switch {
+	case !d.proposed.InParts:
+		return check(name, d.proposed.Text)
+	case !d.proposedParts.isComplete() || d.proposedParts.id != d.proposed.ID || h.CheckParts == nil:
+		return nil
+	case d.checked == d.proposed.ID && now-d.checkedAt < h.terms.TTL/3:
+		return nil
+	}
+	changed, whole := d.changesTo(d.proposedParts)
+	d.checked, d.checkedAt = d.proposed.ID, now
+	return h.CheckParts(name, changed, whole)
+}
+
+// isPrepared reports whether a process has a version that is under way, so that it can say that it holds it.
+func (d *replicaDocument) isPrepared() bool {
+	return d.proposed != nil && (!d.proposed.InParts || d.proposedParts.isComplete() && d.proposedParts.id == d.proposed.ID && d.checked == d.proposed.ID)
+}
+
+// IsCurrent reports whether it acts on what it was told is in force.
+func (h *Replica) IsCurrent() bool {
+	for _, d := range h.docs {
+		if d.active != nil && d.active.InParts && (d.delivered == nil || d.delivered.id != d.active.ID) &&
+			!(d.proposed != nil && d.delivered != nil && d.delivered.id == d.proposed.ID && d.stage == StageCanary) {
+			return false
 		}
-		then = d.partsTold(v.Proposed, base, out)
 	}
-	return now, then
+	return true
+}
+
+// OutdatedVersions are the documents of which it acts on an older version than it was told of, and since when.
+func (h *Replica) OutdatedVersions() map[string]int {
+	old := map[string]int{}
+	for name, d := range h.docs {
+		if d.active != nil && d.active.InParts && d.activeVersion != d.active.ID.Version && !d.activeParts.isComplete() {
+			old[name] = d.activeVersion
+		}
+	}
+	return old
+}
+
+// Redeliver has a document that could not be acted on after all be handed whole, once.
+func (h *Replica) Redeliver(name string) {
+	if d := h.docs[name]; d != nil && d.delivered != nil {
+		d.delivered = nil
+	}
 }
 
 // withText puts in a text that it was known to have.
@@ -231,3 +286,40 @@
 	}
 	return e
 }
+
+// PauseScopes is what stops here for changes that turn, empty where none does.
+func (h *Replica) PauseScopes() (list []*PauseScope) {
+	for _, name := range slices.Sorted(maps.Keys(h.docs)) {
+		d := h.docs[name]
+		if d.quiescedFor == 0 {
+			continue
+		}
+		if here := d.isPrepared(); d.scope == nil || d.scopeOf != d.proposed.ID || d.scopeComplete != here {
+			d.scope, d.scopeOf, d.scopeComplete = &PauseScope{}, d.proposed.ID, here
+			d.scope.Add(d.proposed.Scope, d.activeAndProposedTexts())
+		}
+		list = append(list, d.scope)
+	}
+	return list
+}
+
+// activeAndProposedTexts are those of a document's version that is in force and of the one under way, whole or in parts.
+func (d *replicaDocument) activeAndProposedTexts() (list []string) {
+	for _, e := range []*Revision{d.active, d.proposed} {
+		if e != nil && e.Text != "" {
+			list = append(list, e.Text)
+		}
+	}
+	for _, p := range []*partialDocument{d.delivered, d.proposedParts} {
+		if p == nil {
+			continue
+		}
+		for _, name := range slices.Sorted(maps.Keys(p.parts)) {
+			if p != d.delivered && d.delivered != nil && d.delivered.parts[name].Digest == p.parts[name].Digest {
+				continue
+			}
+			list = append(list, cmp.Or(p.parts[name].Text, "not here"))
+		}
+	}
+	return list
+}
--- /dev/null
+++ b/internal/policy/configstore/rollout.go
@@ -0,0 +1,99 @@
+package configstore
+
+import (
+	"fmt"
+	"maps"
+	"slices"
+)
+
+// advance takes a change a stage on. Whoever leads the group asks for it; that nothing is waited for is seen here, in the log's
+// order, by every member alike.
+func (b *Store) advance(d *Document, c Change) error {
+	if c.Stage != d.Stage {
+		return fmt.Errorf("%w: it is %s, not %s", ErrNoSuchChange, d.Stage, c.Stage)
+	}
+	if why := b.WaitingFor(d); why != "" {
+		return fmt.Errorf("%w: %s", ErrNotReady, why)
+	}
+	switch {
+	case d.Stage == StageProposed && d.Proposed.Rollout != nil && d.Proposed.Rollout.CanaryRatio > 0 && !d.Proposed.Exclusive && d.Active != nil:
+		d.Stage = StageCanary
+		d.Proposed.Canaries = b.canaries(d)
+	case d.Stage != StageQuiescing && d.Proposed.Exclusive && d.Active != nil:
+		d.Stage = StageQuiescing
+	default:
+		if d.Active != nil {
+			if d.Active.Outcome == "" {
+				d.Active.Outcome = fmt.Sprintf("replaced by version %d", d.Proposed.ID.Version)
+			}
+			d.archive(d.Active)
+		}
+		if d.Proposed.InParts {
+			d.Proposed = d.Proposed.activated(d.Active)
+		}
+		d.Proposed.ActiveSince, d.Proposed.Baseline = max(1, c.At), c.Baseline
+		d.Active, d.Proposed, d.Stage = d.Proposed, nil, ""
+	}
+	return nil
+}
+
+// canaries are the processes that act on a change first: the first of their names' digests, so that it is not always the same.
+func (b *Store) canaries(d *Document) (names []string) {
+	for name, u := range b.Processes {
+		if _, uses := u.Formats[d.Name]; uses {
+			names = append(names, name)
+		}
+	}
+	order := func(name string) uint64 { return NewID(1, []byte(fmt.Sprint(d.Proposed.ID, name))).Digest }
+	slices.SortFunc(names, func(x, y string) int {
+		if order(x) < order(y) {
+			return -1
+		}
+		return 1
+	})
+	n := int(float64(len(names))*d.Proposed.Rollout.CanaryRatio + 0.5)
+	return names[:min(len(names), max(1, n))]
+}
+
+// WaitingFor names what a change waits for, the first in the order of names, and is empty where that is nothing.
+func (b *Store) WaitingFor(d *Document) string {
+	if d.Proposed == nil {
+		return ""
+	}
+	if d.HoldReason != "" {
+		return "held: " + d.HoldReason
+	}
+	n := d.Proposed.ID.Version
+	for _, name := range slices.Sorted(maps.Keys(b.Processes)) {
+		u := b.Processes[name]
+		format, uses := u.Formats[d.Name]
+		switch {
+		case !uses:
+		case format < d.Proposed.Format:
+			return fmt.Sprintf("%s reads format %d, and this is %d", name, format, d.Proposed.Format)
+		case d.Stage == StageProposed && u.Refusals[d.Name].Version == n:
+			return fmt.Sprintf("%s can't act on it: %s", name, u.Refusals[d.Name].Reason)
+		case d.Stage != StageQuiescing && u.Prepared[d.Name] != n:
+			return name + " does not hold it yet"
+		case d.Stage == StageQuiescing && u.Quiesced[d.Name] != n:
+			return name + " has not stopped yet"
+		}
+	}
+	return ""
+}
+
+// RefusedBy is who can't act on a change, and why, where anybody said so.
+func (b *Store) RefusedBy(d *Document) (who, why string) {
+	if d.Proposed == nil || d.Stage != StageProposed {
+		return "", ""
+	}
+	for _, name := range slices.Sorted(maps.Keys(b.Processes)) {
+		if r := b.Processes[name].Refusals[d.Name]; r.Version == d.Proposed.ID.Version {
+			return name, r.Reason
+		}
+	}
+	return "", ""
+}
+
+// MonitorAuthor is who takes back what made things worse.
+const MonitorAuthor = "the watch"
