--- a/internal/controlplane/quorum/member/config.go
+++ b/internal/controlplane/quorum/member/config.go
@@ -14,7 +14,7 @@
 // This file is a member's part in the configuration documents: what processes that act on them say of themselves, and the leader's time
 // over them. What is decided is in package configstore.
 
-// handleConfigSync registers a process, takes what it says of itself, and tells it what is in force. Like a renewal it is answered once
+// handleConfigSync registers a process, takes its report of itself, and tells it what is in force. Like a renewal it is answered once
 // a majority has confirmed that this member led after the call came; only what is new of a process goes into the log.
 func (m *Member) handleConfigSync(call msgpackrpc.Call, reply replyFunc) {
 	var s quorum.ConfigSync
@@ -79,29 +79,29 @@
 	reply(msgpackrpc.CallResult{Body: b})
 }
 
-// documentViews are the documents as a process is told of them.
-func documentViews(b *configstore.Store, u *configstore.Process, s quorum.ConfigSync) map[string]configstore.View {
+// documentViews are the documents as a process gets them.
+func documentViews(store *configstore.Store, u *configstore.Process, s quorum.ConfigSync) map[string]configstore.View {
 	all := map[string]configstore.View{}
 	for name := range u.Formats {
-		if d := b.Documents[name]; d != nil {
+		if d := store.Documents[name]; d != nil {
 			all[name] = d.ViewFor(u, s.HasVersions[name], s.BaseVersions[name])
 		}
 	}
 	return all
 }
 
-// unreadableDocument names a document of which a version is in force that a process can't read.
-func unreadableDocument(b *configstore.Store, u configstore.Process) string {
+// unreadableDocument names a document of which a version is in force that a process can't read; empty: there is none.
+func unreadableDocument(store *configstore.Store, u configstore.Process) string {
 	for _, name := range configstore.DocumentNames {
 		reads, uses := u.Formats[name]
-		if d := b.Documents[name]; uses && d != nil && d.Active != nil && d.Active.Format > reads {
+		if d := store.Documents[name]; uses && d != nil && d.Active != nil && d.Active.Format > reads {
 			return name
 		}
 	}
 	return ""
 }
 
-// handleConfigRead answers with the documents, and what was heard of those that use them.
+// handleConfigRead replies with the documents, and with what processes have reported of themselves.
 func (m *Member) handleConfigRead(reply replyFunc) {
 	err := m.confirmLeadership(func(ok bool) {
 		if !ok {
@@ -120,7 +120,8 @@
 	}
 }
 
-// proposeOverdueConfig proposes what the leader's time has come for.
+// proposeOverdueConfig proposes what is due by the leader's time: the next stage of a change, and the end of processes that have not
+// reported.
 func (m *Member) proposeOverdueConfig() {
 	for _, c := range m.configWatch.Proposals(m.state.Config, m.clock()) {
 		if err := m.propose(statemachine.Command{Config: &c}, nil); err != nil && c.Op == configstore.OpExpire {
@@ -129,7 +130,7 @@
 	}
 }
 
-// configApplied follows what was applied.
+// configApplied follows a change of a document that was applied, and logs it where this member leads.
 func (m *Member) configApplied(c configstore.Change, r statemachine.Result) {
 	if c.Op == configstore.OpExpire {
 		m.configWatch.Unregistered(c.Author)
--- a/internal/controlplane/quorum/member/config_parts.go
+++ b/internal/controlplane/quorum/member/config_parts.go
@@ -8,11 +8,11 @@
 	"silverpath/internal/transport/msgpackrpc"
 )
 
-// handleConfigParts answers with parts of a version, or with its manifest. Who asks looks at their digests, by what he was told in an answer that
-// a majority confirmed, so that this one needs no confirming.
+// handleConfigParts replies with parts of a version, or with its manifest. The process that asks checks their digests by what it was told
+// in an answer that a majority confirmed, so this reply needs no confirmation.
 func (m *Member) handleConfigParts(call msgpackrpc.Call, reply replyFunc) {
-	var ask configstore.PartsRequest
-	if err := json.Unmarshal(call.Body, &ask); err != nil || len(ask.Names) > configstore.MaxParts {
+	var request configstore.PartsRequest
+	if err := json.Unmarshal(call.Body, &request); err != nil || len(request.Names) > configstore.MaxParts {
 		reply(refuse(quorum.CodeRefused, "at most %d parts are asked for at a time", configstore.MaxParts))
 		return
 	}
@@ -20,23 +20,23 @@
 		reply(m.notLeader())
 		return
 	}
-	d := m.state.Config.Documents[ask.Doc]
+	d := m.state.Config.Documents[request.Doc]
 	if d == nil {
-		reply(refuse(quorum.CodeRefused, "no document %q", ask.Doc))
+		reply(refuse(quorum.CodeRefused, "no document %q", request.Doc))
 		return
 	}
-	id, all, ok := d.PartsAt(ask.Version)
+	id, all, ok := d.PartsAt(request.Version)
 	if !ok {
-		reply(refuse(quorum.CodeRefused, "version %d of %s is not in force or under way in parts", ask.Version, ask.Doc))
+		reply(refuse(quorum.CodeRefused, "version %d of %s is not in force or under way in parts", request.Version, request.Doc))
 		return
 	}
-	send := quorum.DocumentParts{ID: id, Parts: configstore.SelectParts(all, ask.Names)}
-	if len(ask.Names) > 0 {
+	send := quorum.DocumentParts{ID: id, Parts: configstore.SelectParts(all, request.Names)}
+	if len(request.Names) > 0 {
 		m.stats.Inc("rules", "parts_sent")
 	} else {
 		m.stats.Inc("rules", "manifests_sent")
 	}
-	// What is sent is never changed: it is written beside the loop, so that many who ask don't hold up the rest.
+	// What is sent is never changed, so it can be marshalled beside the loop: many that ask don't hold up the rest.
 	go func() {
 		b, err := json.Marshal(send)
 		if err != nil {
--- a/internal/controlplane/quorum/member/main.go
+++ b/internal/controlplane/quorum/member/main.go
@@ -30,13 +30,13 @@
 	// maxConnections bounds the connections of a member, of others and of those who ask: each process that follows has one, to whoever
 	// leads, and a restarted one a second for a while.
 	maxConnections = configstore.MaxProcesses + 512
-	memoryLimit    = 192 << 20 // bytes, at which the collector works harder
+	memoryLimit    = 192 << 20 // bytes at which the garbage collector works harder: several of the largest snapshots
 )
 
-// ClockRate is the rate of this process's clock for leases, in test programs only; 0: 1.
+// ClockRate is the rate of this process's clock for leases, set by test programs only; 0 is 1, the clock as it is.
 var ClockRate float64
 
-// Logger is the log of a process of the group: for people, or for machines.
+// Logger returns the log of a process of the group: lines for people, or JSON.
 func Logger(out io.Writer, asJSON bool) zerolog.Logger {
 	zerolog.TimeFieldFormat = time.RFC3339Nano
 	if !asJSON {
@@ -45,8 +45,8 @@
 	return zerolog.New(out).With().Timestamp().Logger()
 }
 
-// Run runs a member of the group, an owner of duties, or both in one process, until a signal to leave. A member whose
-// disk can't be trusted ends with an error.
+// Run runs a member of the group, a runner of duties, or both in one process, until a signal to leave. It returns an error of the
+// settings, or of a member whose disk can't be trusted.
 func Run(set settings.Quorum, signals <-chan os.Signal, out io.Writer) error {
 	debug.SetMemoryLimit(memoryLimit)
 	l := Logger(out, set.JSON)
@@ -79,17 +79,17 @@
 		stopMember = stop
 		all.Go(func() { failed <- m.Run(member) })
 	}
-	owning := make(chan struct{})
+	running := make(chan struct{})
 	if set.Runner != nil {
 		group := &quorum.Client{Group: set.Group.Name, Addrs: set.Group.Members}
 		defer group.Close()
 		o := runner.New(runner.Config{Name: set.Name, Set: *set.Runner, Group: group, Log: l, Stats: counters, Rate: ClockRate})
 		go func() {
-			defer close(owning)
+			defer close(running)
 			o.Run(ctx)
 		}()
 	} else {
-		close(owning)
+		close(running)
 	}
 	for {
 		select {
@@ -107,7 +107,7 @@
 			}
 			l.Info().Str("event", "group.leaving").Str("process", set.Name).Stringer("signal", sig).Send()
 			cancel()
-			<-owning // its duties are handed on first
+			<-running // its duties are released first: another process goes on at once
 			stopMember()
 			counters.Print(out)
 			return nil
@@ -128,6 +128,7 @@
 func (s snmpView) PendingAnswers() int { return 0 }
 func (s snmpView) View() core.View     { return core.View{} }
 
+// openMember opens a member's disk and its listener.
 func openMember(set settings.Quorum, l zerolog.Logger, counters *metrics.Counters) (*Member, *listener.Listener, error) {
 	if err := os.MkdirAll(set.Member.Dir, 0o700); err != nil {
 		return nil, nil, fmt.Errorf("member.dir: %w", err)
@@ -137,8 +138,8 @@
 	if err != nil {
 		return nil, nil, fmt.Errorf("member.dir: %w", err)
 	}
-	words := msgpackrpc.NewCallServer(Name, counters, m.Answer)
-	ln, err := listener.Listen(Name, set.Member.Listen, maxConnections, func() time.Duration { return time.Minute }, words.Serve,
+	calls := msgpackrpc.NewCallServer(Name, counters, m.Answer)
+	ln, err := listener.Listen(Name, set.Member.Listen, maxConnections, func() time.Duration { return time.Minute }, calls.Serve,
 		log.New(l, "", 0), counters)
 	if err != nil {
 		return nil, nil, errors.Join(fmt.Errorf("member.listen: %w", err), m.Close())
--- a/internal/controlplane/quorum/member/member.go
+++ b/internal/controlplane/quorum/member/member.go
@@ -3,7 +3,7 @@
 //
 // One goroutine, the loop of Run, owns a member's state. What comes from outside (requests, replies, ticks) is handed to it with
 // enqueue, so nothing in a Member is locked. Files: member.go the loop, raft.go what the library wants done, propose.go what waits for
-// agreement, vouch.go disks that are older than what was said of them, peer.go and snapshot.go the way to other members, requests.go,
+// agreement, vouch.go disks that were put back from a copy, peer.go and snapshot_transfer.go the way to other members, requests.go,
 // membership.go and config.go the group's requests, store.go the disk.
 package member
 
@@ -33,15 +33,15 @@
 	"silverpath/internal/policy/statemachine"
 )
 
-// Name is the listener's name in counters and log lines.
+// Name is the name of a member's listener in counters and log lines.
 const Name = "group"
 
 // Config sets up a member.
 type Config struct {
 	Name, Group string
-	Addr        string // by which others reach it
+	Addr        string // by which other members reach it
 	Dir         string
-	Tick        time.Duration // a heartbeat; an election takes ten
+	Tick        time.Duration // of a heartbeat; an election takes electionTicks of them, up to twice that
 	Log         zerolog.Logger
 	Stats       *metrics.Counters
 	Rate        float64 // of its clock, for tests; 0: 1
@@ -84,7 +84,7 @@
 	grantable          grantableMap         // the map that quotaLedger was told of
 	readWaiters        []func(ok bool)      // reads that wait for the next confirmation that this member leads
 	pendingReads       int                  // readWaiters, and those of the confirmation that is under way
-	configBatch        []configstore.Change // what processes said of themselves, to be proposed together
+	configBatch        []configstore.Change // reports of processes, to be proposed together
 	configBatchDone    []func(r statemachine.Result, ok bool)
 	bytesSinceSnapshot int                 // of entries
 	incoming           *incomingSnapshot   // a snapshot that arrives in parts; nil: none
--- a/internal/controlplane/quorum/member/commands.go
+++ b/internal/controlplane/quorum/member/program.go
@@ -18,14 +18,14 @@
 	"silverpath/internal/settings"
 )
 
-// Signals are those that a process of the group hears.
+// Signals are those that a process of the group acts on: SIGTERM and SIGINT end it, SIGUSR1 prints its counters, SIGHUP is logged.
 func Signals() <-chan os.Signal {
 	signals := make(chan os.Signal, 8)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP, syscall.SIGUSR1)
 	return signals
 }
 
-// Command is the program of members and owners, which "silverpath quorum" and "silverpath duty run" start.
+// Command is the program of members and of runners of duties, which "silverpath quorum" and "silverpath duty run" start.
 func Command() *cobra.Command {
 	cmd := &cobra.Command{Use: "silverpath-quorum", Short: "Members of the group, and owners of duties: started by silverpath",
 		SilenceUsage: true, SilenceErrors: true, CompletionOptions: cobra.CompletionOptions{DisableDefaultCmd: true}}
@@ -65,7 +65,7 @@
 	return cmd
 }
 
-// runTrialGroup runs three members in this process and founds a group of them.
+// runTrialGroup runs three members in this process, founds a group of them, and ends with a signal.
 func runTrialGroup(c *cobra.Command, dir string) error {
 	if dir == "" {
 		var err error
--- a/internal/controlplane/quorum/member/propose.go
+++ b/internal/controlplane/quorum/member/propose.go
@@ -156,8 +156,8 @@
 	}
 }
 
-// proposeConfig puts what a process says of itself into the log. Where a document is in parts, and so no member is of a build that can't read
-// it, what comes while the disk is busy is one entry.
+// proposeConfig puts a process's report of itself into the log. Where a document is in parts, no member is of a build that can't read a
+// batch: then reports that come while the disk is busy are one entry.
 func (m *Member) proposeConfig(c configstore.Change, done func(r statemachine.Result, ok bool)) error {
 	if !slices.ContainsFunc(configstore.DocumentNames, func(name string) bool {
 		d := m.state.Config.Documents[name]
@@ -173,18 +173,18 @@
 	return nil
 }
 
-// flushBatches asks together what came together: one confirming of the lead for all that wait for it, and one entry for what was said.
+// flushBatches handles together what came together in a turn of the loop: one confirmation for all reads, one entry for the reports.
 func (m *Member) flushBatches() {
 	for len(m.configBatch) > 0 {
 		n := min(len(m.configBatch), maxBatch)
-		words, done := slices.Clone(m.configBatch[:n]), slices.Clone(m.configBatchDone[:n])
+		changes, done := slices.Clone(m.configBatch[:n]), slices.Clone(m.configBatchDone[:n])
 		m.configBatch, m.configBatchDone = m.configBatch[n:], m.configBatchDone[n:]
 		all := func(r statemachine.Result, ok bool) {
 			for _, one := range done {
 				one(r, ok)
 			}
 		}
-		if err := m.propose(statemachine.Command{ConfigBatch: words}, all); err != nil {
+		if err := m.propose(statemachine.Command{ConfigBatch: changes}, all); err != nil {
 			all(statemachine.Result{}, false)
 			continue
 		}
@@ -193,11 +193,11 @@
 	if len(m.readWaiters) == 0 {
 		return
 	}
-	asking := m.readWaiters
+	waiting := m.readWaiters
 	m.readWaiters = nil
 	m.readIndex(func(ok bool) {
-		m.pendingReads -= len(asking)
-		for _, done := range asking {
+		m.pendingReads -= len(waiting)
+		for _, done := range waiting {
 			done(ok)
 		}
 	})
--- a/internal/controlplane/quorum/member/quota.go
+++ b/internal/controlplane/quorum/member/quota.go
@@ -15,24 +15,24 @@
 // ledgerRefresh is how long the ledger goes by what it was told, at most: the wall clock, by which tenants move, may be set meanwhile.
 const ledgerRefresh = time.Minute
 
-// grantableMap is the map in force, of which only what changed is read.
+// grantableMap is the map that is in force. Of a map in parts only the parts that changed are read again.
 type grantableMap struct {
 	id        configstore.ID
 	cellMap   *cells.Map
-	refreshAt time.Time // when what there is to lend changes by the time in the map; zero: the ledger was not told
+	refreshAt time.Time // when the capacity changes by the times in the map; zero: the ledger was not told of this map
 }
 
-// update reads what has changed in the map that is in force. It reports whether there is one.
-func (j *grantableMap) update(e *configstore.Revision) bool {
-	if j.cellMap != nil && j.id == e.ID {
+// update reads what has changed in the map that is in force. It reports whether there is one that can be read.
+func (g *grantableMap) update(e *configstore.Revision) bool {
+	if g.cellMap != nil && g.id == e.ID {
 		return true
 	}
 	var of *cells.Map
 	var err error
 	if e.InParts {
-		old, changed := j.cellMap, map[string]string{}
+		old, changed := g.cellMap, map[string]string{}
 		for name, p := range e.Parts {
-			if old == nil || p.Version > j.id.Version {
+			if old == nil || p.Version > g.id.Version {
 				changed[name] = p.Text
 			}
 		}
@@ -46,11 +46,12 @@
 	if err != nil {
 		return false
 	}
-	*j = grantableMap{id: e.ID, cellMap: of}
+	*g = grantableMap{id: e.ID, cellMap: of}
 	return true
 }
 
-// updateLedger tells the ledger what there is to lend, at a new map and as servers come and go and tenants move by the time in it.
+// updateLedger tells the ledger what capacity there is to grant: at a new map, and as servers come and go and tenants move by the times in
+// it. It reports whether there is a map.
 func (m *Member) updateLedger(e *configstore.Revision) bool {
 	if !m.grantable.update(e) {
 		return false
@@ -66,8 +67,8 @@
 	return true
 }
 
-// grantQuota is what a router is given of the cells that it shares with others. It counts as given from here on, whether or not the answer
-// ever comes there.
+// grantQuota is what a router is granted of the cells that it shares with others; nil: it shares none. It counts as granted from here on,
+// whether or not the reply arrives.
 func (m *Member) grantQuota(s quorum.ConfigSync) *quota.Grant {
 	d := m.state.Config.Documents[configstore.DocMap]
 	if s.Quota == nil || d == nil || d.Active == nil {
--- a/internal/controlplane/quorum/member/store.go
+++ b/internal/controlplane/quorum/member/store.go
@@ -38,6 +38,7 @@
 	syncs  uint64
 }
 
+// Buckets and keys of the database, by their names on disk.
 var (
 	bucketMeta   = []byte("meta")
 	bucketLog    = []byte("log")
@@ -49,9 +50,10 @@
 	keyFormat    = []byte("format")
 )
 
-// storeFormat is the version of what is on disk.
+// storeFormat is the version of what is on disk. A build refuses one that it does not know.
 const storeFormat = "1"
 
+// openStore opens or creates the database of a member, and reads it into memory.
 func openStore(path string) (*store, error) {
 	db, err := bbolt.Open(path, 0o600, &bbolt.Options{Timeout: time.Second, NoFreelistSync: true})
 	if err != nil {
@@ -64,6 +66,7 @@
 	return s, nil
 }
 
+// load reads what is on disk into memory: the snapshot, the term and vote, and the entries after the snapshot.
 func (s *store) load() error {
 	err := s.update("open", func(tx *bbolt.Tx) error {
 		m, err := tx.CreateBucketIfNotExists(bucketMeta)
@@ -140,8 +143,10 @@
 	return s.failed
 }
 
+// entryKey is the key of an entry: its index, so that they stand in their order.
 func entryKey(index uint64) []byte { return binary.BigEndian.AppendUint64(nil, index) }
 
+// getJSON reads a value of the member's own, the zero value where there is none.
 func getJSON[T any](s *store, key []byte) (v T, err error) {
 	err = s.db.View(func(tx *bbolt.Tx) error {
 		if b := tx.Bucket(bucketMeta).Get(key); b != nil {
@@ -152,6 +157,7 @@
 	return v, err
 }
 
+// putJSON writes a value of the member's own.
 func putJSON(tx *bbolt.Tx, key []byte, v any) error {
 	b, err := json.Marshal(v)
 	if err != nil {
@@ -160,6 +166,7 @@
 	return tx.Bucket(bucketMeta).Put(key, b)
 }
 
+// putProto writes a value of the raft library's.
 func putProto(tx *bbolt.Tx, key []byte, m proto.Message) error {
 	b, err := proto.Marshal(m)
 	if err != nil {
@@ -168,8 +175,9 @@
 	return tx.Bucket(bucketMeta).Put(key, b)
 }
 
-// writeFounding makes the member one of a group whose first members are given.
-func (s *store) writeFounding(who Identity, state *statemachine.State) error {
+// writeFounding makes the member one of a group whose first members are given: the group's state is its first snapshot, which no entry
+// led to.
+func (s *store) writeFounding(identity Identity, state *statemachine.State) error {
 	data, err := state.Snapshot()
 	if err != nil {
 		return err
@@ -181,7 +189,7 @@
 	snap := &pb.Snapshot{Data: data, Metadata: &pb.SnapshotMetadata{ConfState: conf, Index: proto.Uint64(1), Term: proto.Uint64(1)}}
 	hard := &pb.HardState{Term: proto.Uint64(1), Commit: proto.Uint64(1)}
 	err = s.update("found", func(tx *bbolt.Tx) error {
-		return errors.Join(putJSON(tx, keyIdentity, who), putProto(tx, keySnap, snap), putProto(tx, keyHardState, hard))
+		return errors.Join(putJSON(tx, keyIdentity, identity), putProto(tx, keySnap, snap), putProto(tx, keyHardState, hard))
 	})
 	if err != nil {
 		return err
@@ -193,9 +201,9 @@
 }
 
 // writeJoin makes the member one that listens to a group.
-func (s *store) writeJoin(who Identity, peers []statemachine.Member) error {
+func (s *store) writeJoin(identity Identity, peers []statemachine.Member) error {
 	return s.update("join", func(tx *bbolt.Tx) error {
-		return errors.Join(putJSON(tx, keyIdentity, who), putJSON(tx, keyPeers, peers))
+		return errors.Join(putJSON(tx, keyIdentity, identity), putJSON(tx, keyPeers, peers))
 	})
 }
 
@@ -274,7 +282,8 @@
 	return nil
 }
 
-// compact puts the state at an index in the place of the log up to some entries before it, and no more bytes of them than given.
+// compact puts the state at an index in the place of the log before it, but for the last keep entries, or fewer if they are more than
+// keepBytes: members that are a little behind get those, and need no snapshot.
 func (s *store) compact(index uint64, conf *pb.ConfState, data []byte, keep uint64, keepBytes int) error {
 	snap, err := s.memory.CreateSnapshot(index, conf, data)
 	if err != nil {
@@ -304,6 +313,6 @@
 	return err
 }
 
-const anyEntrySize = ^uint64(0) // of one entry
+const anyEntrySize = ^uint64(0) // bytes: one entry is read, however long
 
 func (s *store) close() error { return s.db.Close() }
--- a/internal/controlplane/quorum/member/vouch.go
+++ b/internal/controlplane/quorum/member/vouch.go
@@ -20,15 +20,15 @@
 // markInterval is the pause between two marks of a member. A copy of the disk that is younger than the last stored mark is not found.
 const markInterval = time.Second
 
-// diskMark is what a member has said of its disk: neither part falls but on a disk that is older than its words.
+// diskMark is how far a member's disk is. No field falls but on a disk that was put back from a copy.
 type diskMark struct {
-	Starts uint64 `json:"starts"`
-	Nonce  uint64 `json:"nonce"` // of that start
+	Starts uint64 `json:"starts"` // of the program on the disk
+	Nonce  uint64 `json:"nonce"`  // of that start
 	Term   uint64 `json:"term"`
 	Commit uint64 `json:"commit"`
 }
 
-// aheadOf reports what of a mark is over what another says.
+// aheadOf says what of a mark is ahead of another one of the same disk, by its text in refusals; empty: nothing is.
 func (m diskMark) aheadOf(o diskMark) string {
 	switch {
 	case m.Term > o.Term:
