--- a/internal/core/pools.go
+++ b/internal/core/pools.go
@@ -13,7 +13,7 @@
 
 // guard is the pools as the module asks them.
 type poolGuard struct {
-	*admission.Set
+	*admission.Controller
 	memoryBytes float64 // bytes that the process may have
 	sample      []metrics.Sample
 	sampledAt   time.Duration // of the last look at the process's own memory
@@ -27,13 +27,13 @@
 	if err != nil {
 		return nil, err
 	}
-	return &poolGuard{Set: set, memoryBytes: memoryMB * (1 << 20), sampledAt: math.MinInt64 / 2, sample: []metrics.Sample{
+	return &poolGuard{Controller: set, memoryBytes: memoryMB * (1 << 20), sampledAt: math.MinInt64 / 2, sample: []metrics.Sample{
 		{Name: "/memory/classes/total:bytes"}, {Name: "/memory/classes/heap/released:bytes"},
 	}}, nil
 }
 
 func (g *poolGuard) Moved(now time.Duration, id, class string, to silverpath.Place) {
-	g.Set.Moved(now, id, class, admission.Place(to))
+	g.Controller.Moved(now, id, class, admission.RequestState(to))
 }
 
 func (g *poolGuard) Tick(now time.Duration, ceiling float64, gauges silverpath.Gauges) {
@@ -42,7 +42,7 @@
 		metrics.Read(g.sample)
 		g.memoryShare = (float64(g.sample[0].Value.Uint64()) - float64(g.sample[1].Value.Uint64())) / g.memoryBytes
 	}
-	g.Set.Tick(now, admission.Readings{Ceiling: ceiling, OnCores: gauges.OnCores, Booked: gauges.Memory, Process: g.memoryShare})
+	g.Controller.Tick(now, admission.Readings{Ceiling: ceiling, Load: gauges.OnCores, BookedMemory: gauges.Memory, ProcessMemory: g.memoryShare})
 }
 
 const (
@@ -53,7 +53,7 @@
 
 // door is one class's door, beside what who is turned away there is told.
 type gate struct {
-	admission.Door
+	admission.ArrivalGate
 	rejection   atomic.Pointer[Answer] // the module's latest refusal
 	closedUntil atomic.Int64           // nanoseconds of the core's clock until which it is; read without the lock
 	unread      atomic.Int64           // since the module last heard
@@ -107,11 +107,11 @@
 	now := c.clock()
 	if a, refused := t.rejection(); refused {
 		d.rejection.Store(&a)
-		d.Refused(now)
+		d.Rejected(now)
 	} else {
-		d.Taken()
+		d.Accepted()
 	}
-	d.closedUntil.Store(int64(d.Until()))
+	d.closedUntil.Store(int64(d.ClosedUntil()))
 }
 
 // refusal is the answer by which a request was turned away, if it was.
@@ -136,20 +136,20 @@
 	}
 	c.poolsSeenAt = now
 	old := c.view.Pools
-	st := c.pools.State(now)
+	st := c.pools.Snapshot(now)
 	c.view.Pools = &st
 	if old == nil || old.Memory != st.Memory {
-		events.Log(c.log, "pools.memory", st.Memory, st.Booked, st.Process)
+		events.Log(c.log, "pools.memory", st.Memory, st.BookedMemory, st.ProcessMemory)
 	}
 	for i, p := range st.Pools {
 		was := old != nil && i < len(old.Pools) && old.Pools[i].Starving
 		if p.Starving && !was {
-			events.Log(c.log, "pools.starves", p.Name, p.Waiting, p.Used, p.Floor)
+			events.Log(c.log, "pools.starves", p.Name, p.Queued, p.Running, p.Floor)
 		}
 	}
-	if math.Abs(math.Log(st.Limit/c.loggedLimit)) > limitLogChange && now-c.limitLoggedAt >= limitLogInterval {
-		c.loggedLimit, c.limitLoggedAt = st.Limit, now
-		events.Log(c.log, "pools.limit", st.Limit, st.Ceiling, st.Belief)
+	if math.Abs(math.Log(st.RunLimit/c.loggedLimit)) > limitLogChange && now-c.limitLoggedAt >= limitLogInterval {
+		c.loggedLimit, c.limitLoggedAt = st.RunLimit, now
+		events.Log(c.log, "pools.limit", st.RunLimit, st.Ceiling, st.Diagnosis)
 	}
 }
 
@@ -166,7 +166,7 @@
 // MostBody is the largest body that a front takes now, of the largest that it ever takes.
 func (c *Core) MaxBody(most int) int {
 	if p := c.published.Load().Pools; p != nil {
-		return p.Memory.Body(most)
+		return p.Memory.MaxBody(most)
 	}
 	return most
 }
--- a/internal/core/pools_test.go
+++ b/internal/core/pools_test.go
@@ -84,7 +84,7 @@
 }
 
 func two() admission.Config {
-	return admission.Config{Limit: admission.Range{Fixed: 2}, Pools: []admission.Pool{
+	return admission.Config{Limit: admission.Bounds{Fixed: 2}, Pools: []admission.Pool{
 		{Name: "sheets", Classes: []string{"oddaja"}, Weight: 10, Floor: 0.5}, {Name: "others", Weight: 1}}}
 }
 
@@ -223,15 +223,15 @@
 		}
 		send("a0", "lestvica")
 		send("a1", "lestvica")
-		if p := c.pools.State(c.clock()).Pools; p[1].Used != 2 {
-			t.Fatalf("the borrower has %d of 2 runs", p[1].Used)
+		if p := c.pools.Snapshot(c.clock()).Pools; p[1].Running != 2 {
+			t.Fatalf("the borrower has %d of 2 runs", p[1].Running)
 		}
 		c.Drain(5 * time.Second)
 		send("s0", "oddaja")
 		c.RunEnded("a0", silverpath.OK, time.Millisecond, []byte("x"))
 		synctest.Wait()
-		if p := c.pools.State(c.clock()).Pools; p[0].Used != 1 {
-			t.Errorf("the lender has %d runs once a borrower has ended", p[0].Used)
+		if p := c.pools.Snapshot(c.clock()).Pools; p[0].Running != 1 {
+			t.Errorf("the lender has %d runs once a borrower has ended", p[0].Running)
 		}
 		c.RunEnded("a1", silverpath.OK, time.Millisecond, []byte("x"))
 		c.RunEnded("s0", silverpath.OK, time.Millisecond, []byte("x"))
--- a/internal/core/status.go
+++ b/internal/core/status.go
@@ -34,15 +34,15 @@
 	}
 	o.Set("gauges", g)
 	if p := v.Pools; p != nil {
-		o.Set("limit", numbers(&a, "runs", p.Limit, "all", p.Whole, "ceiling", p.Ceiling, "on_cores", float64(p.OnCores)))
-		o.Get("limit").Set("belief", a.NewString(p.Belief))
-		o.Set("memory", numbers(&a, "booked", p.Booked, "process", p.Process))
+		o.Set("limit", numbers(&a, "runs", p.RunLimit, "all", p.TotalLimit, "ceiling", p.Ceiling, "on_cores", float64(p.Running)))
+		o.Get("limit").Set("belief", a.NewString(p.Diagnosis))
+		o.Set("memory", numbers(&a, "booked", p.BookedMemory, "process", p.ProcessMemory))
 		o.Get("memory").Set("stage", a.NewString(p.Memory.String()))
 		list := a.NewArray()
 		for i, q := range p.Pools {
-			e := numbers(&a, "weight", q.Weight, "floor", q.Floor, "used", float64(q.Used), "waiting", float64(q.Waiting),
-				"want", q.Want, "claim", q.Claim, "granted", float64(q.Granted), "lent", float64(q.Lent),
-				"turned", float64(q.Turned))
+			e := numbers(&a, "weight", q.Weight, "floor", q.Floor, "used", float64(q.Running), "waiting", float64(q.Queued),
+				"want", q.Demand, "claim", q.Entitlement, "granted", float64(q.Started), "lent", float64(q.Borrowed),
+				"turned", float64(q.Rejected))
 			e.Set("name", a.NewString(q.Name))
 			e.Set("starving", truth(q.Starving))
 			list.SetArrayItem(i, e)
--- a/internal/core/view.go
+++ b/internal/core/view.go
@@ -12,9 +12,9 @@
 type View struct {
 	Phase          lifecycle.State
 	Health         bool
-	PendingAnswers int              // requests without their answer
-	InHand         int              // requests of which something is left to do
-	Pools          *admission.State // nil: no pools; never changed once shown
+	PendingAnswers int                 // requests without their answer
+	InHand         int                 // requests of which something is left to do
+	Pools          *admission.Snapshot // nil: no pools; never changed once shown
 	Signal         float64
 	SignalSet      bool
 	IdleAfter      time.Duration
--- a/internal/policy/admission/decisions_test.go
+++ b/internal/policy/admission/decisions_test.go
@@ -16,13 +16,13 @@
 		play func(w io.Writer, rng *rand.Rand)
 		want string
 	}{
-		"climb":                  {func(w io.Writer, rng *rand.Rand) { playPools(w, rng, NewClimb(Range{Least: 1, Start: 8})) }, "e7580efd0fe59918"},
-		"climb from the ceiling": {func(w io.Writer, rng *rand.Rand) { playPools(w, rng, NewClimb(Range{})) }, "d16c61654c58aeff"},
-		"gradient":               {func(w io.Writer, rng *rand.Rand) { playPools(w, rng, NewGradient(Range{Least: 2})) }, "43ebab2cb9182586"},
-		"fit":                    {func(w io.Writer, rng *rand.Rand) { playPools(w, rng, NewUSL(Range{Least: 2, Start: 10})) }, "cbb5e9b30b750cfb"},
-		"fixed":                  {func(w io.Writer, rng *rand.Rand) { playPools(w, rng, Range{Fixed: 6}.limiter()) }, "1fd913618bff7421"},
-		"reserve":                {playReserve, "54496c1f993874aa"},
-		"door":                   {playDoor, "ee5fbc8f0803090a"},
+		"hill climber":                  {func(w io.Writer, rng *rand.Rand) { playPools(w, rng, NewHillClimber(Bounds{Min: 1, Start: 8})) }, "e7580efd0fe59918"},
+		"hill climber from the ceiling": {func(w io.Writer, rng *rand.Rand) { playPools(w, rng, NewHillClimber(Bounds{})) }, "d16c61654c58aeff"},
+		"gradient":                      {func(w io.Writer, rng *rand.Rand) { playPools(w, rng, NewGradient(Bounds{Min: 2})) }, "43ebab2cb9182586"},
+		"fit":                           {func(w io.Writer, rng *rand.Rand) { playPools(w, rng, NewUSL(Bounds{Min: 2, Start: 10})) }, "cbb5e9b30b750cfb"},
+		"fixed":                         {func(w io.Writer, rng *rand.Rand) { playPools(w, rng, Bounds{Fixed: 6}.newLimiter()) }, "1fd913618bff7421"},
+		"reserve":                       {playReserve, "54496c1f993874aa"},
+		"door":                          {playDoor, "ee5fbc8f0803090a"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			h := sha256.New()
@@ -40,7 +40,7 @@
 func playPools(w io.Writer, rng *rand.Rand, l Limiter) {
 	cfg := Config{Pools: []Pool{{Name: "a", Classes: []string{"x"}, Weight: 4, Floor: 0.25}, {Name: "b", Classes: []string{"y", "z"}, Weight: 1, Floor: 0.1},
 		{Name: "c", Weight: 0, Floor: 0.05}}}
-	s, err := With(cfg, l)
+	s, err := NewWithLimiter(cfg, l)
 	if err != nil {
 		fmt.Fprintln(w, err)
 		return
@@ -49,7 +49,7 @@
 		id, class string
 		until     time.Duration
 		calls     int
-		place     Place
+		place     RequestState
 	}
 	var held, running []*run
 	point, next := 12.0, 0
@@ -71,12 +71,12 @@
 			if !admitted {
 				continue
 			}
-			s.Moved(now, r.id, r.class, Waiting)
+			s.Moved(now, r.id, r.class, Queued)
 			held = append(held, r)
 		}
 		busy := 0
 		for _, r := range running {
-			if r.place == OnCores {
+			if r.place == Running {
 				busy++
 			}
 		}
@@ -93,13 +93,13 @@
 				continue
 			}
 			switch {
-			case r.place == OnCores && r.calls > 0:
+			case r.place == Running && r.calls > 0:
 				r.calls--
-				r.place, r.until = Away, now+span()/2
-			case r.place == Away:
-				r.place, r.until = OnCores, now+span()
+				r.place, r.until = InCall, now+span()/2
+			case r.place == InCall:
+				r.place, r.until = Running, now+span()
 			default:
-				r.place = Over
+				r.place = Finished
 				running = append(running[:i], running[i+1:]...)
 				i--
 			}
@@ -108,24 +108,24 @@
 		for i := 0; i < len(held); i++ {
 			if r := held[i]; s.HasCapacity(now, r.class) {
 				fmt.Fprintln(w, "runs", r.id)
-				r.place, r.until = OnCores, now+span()
-				s.Moved(now, r.id, r.class, OnCores)
+				r.place, r.until = Running, now+span()
+				s.Moved(now, r.id, r.class, Running)
 				running = append(running, r)
 				held = append(held[:i], held[i+1:]...)
 				i--
 			}
 		}
-		if now%tickSpan == 0 {
+		if now%tickInterval == 0 {
 			memory := float64(len(held)) / 66
-			s.Tick(now, Readings{Ceiling: 24, OnCores: float64(busy) + 3*rng.Float64(), Booked: memory, Process: memory * rng.Float64()})
-			fmt.Fprintf(w, "%.6g %.6g %+.6g\n", s.Limit(), s.Concurrency("x"), s.State(now).Pools[1].Claim)
+			s.Tick(now, Readings{Ceiling: 24, Load: float64(busy) + 3*rng.Float64(), BookedMemory: memory, ProcessMemory: memory * rng.Float64()})
+			fmt.Fprintf(w, "%.6g %.6g %+.6g\n", s.Limit(), s.Concurrency("x"), s.Snapshot(now).Pools[1].Entitlement)
 		}
 		if now%(5*time.Second) == 0 {
-			st := s.State(now)
-			fmt.Fprintf(w, "%.6g %.6g %.6g %d %s %v %.6g %.6g\n", st.Whole, st.Limit, st.Ceiling, st.OnCores, st.Belief, st.Memory, st.Booked, st.Process)
+			st := s.Snapshot(now)
+			fmt.Fprintf(w, "%.6g %.6g %.6g %d %s %v %.6g %.6g\n", st.TotalLimit, st.RunLimit, st.Ceiling, st.Running, st.Diagnosis, st.Memory, st.BookedMemory, st.ProcessMemory)
 			for _, p := range st.Pools {
-				fmt.Fprintf(w, " %s %.6g %.6g %d %d %.6g %.6g %d %d %d %v\n", p.Name, p.Weight, p.Floor, p.Used, p.Waiting, p.Want, p.Claim, p.Granted,
-					p.Lent, p.Turned, p.Starving)
+				fmt.Fprintf(w, " %s %.6g %.6g %d %d %.6g %.6g %d %d %d %v\n", p.Name, p.Weight, p.Floor, p.Running, p.Queued, p.Demand, p.Entitlement, p.Started,
+					p.Borrowed, p.Rejected, p.Starving)
 			}
 		}
 	}
@@ -133,13 +133,13 @@
 
 // playReserve is a minute of a front whose connections open, ask, work and close.
 func playReserve(w io.Writer, rng *rand.Rand) {
-	r := NewReserve(ReserveConfig{Cheap: 300, Each: 40}, 40)
+	r := NewReserve(ReserveConfig{CheapRate: 300, CheapRatePerPeer: 40}, 40)
 	var open []uint64
 	next := uint64(0)
 	for now := time.Duration(0); now < time.Minute; now += time.Millisecond {
 		switch n := rng.IntN(100); {
 		case n < 2 && len(open) == 40:
-			id, yes := r.Victim(now)
+			id, yes := r.Evict(now)
 			fmt.Fprintln(w, "victim", id, yes)
 		case n < 3 && len(open) < 40:
 			next++
@@ -150,27 +150,27 @@
 			r.Closed(open[i])
 			open = append(open[:i], open[i+1:]...)
 		case n < 6 && len(open) > 0:
-			fmt.Fprintln(w, "work", r.Work(open[rng.IntN(len(open))]))
+			fmt.Fprintln(w, "work", r.AdmitWork(open[rng.IntN(len(open))]))
 		case n < 60 && len(open) > 0:
-			fmt.Fprintln(w, "cheap", r.Cheap(now, open[min(rng.IntN(len(open)), rng.IntN(len(open)))]).Round(time.Microsecond))
+			fmt.Fprintln(w, "cheap", r.CheapCall(now, open[min(rng.IntN(len(open)), rng.IntN(len(open)))]).Round(time.Microsecond))
 		}
 	}
-	st := r.State()
-	fmt.Fprintln(w, st.Connections, st.Work, st.Kept, st.Busy, st.Cheap, st.Paced, st.NoWork, st.Victims, r.Kept(), ReserveConfig{})
+	st := r.Snapshot()
+	fmt.Fprintln(w, st.Connections, st.Working, st.Reserved, st.Busy, st.Cheap, st.Delayed, st.WorkRejected, st.Evicted, r.Reserved(), ReserveConfig{})
 }
 
 // playDoor is arrivals of which most are refused.
 func playDoor(w io.Writer, rng *rand.Rand) {
-	var d Door
+	var d ArrivalGate
 	for now := time.Duration(0); now < 20*time.Second; now += time.Duration(rng.IntN(12)) * time.Millisecond {
-		shut := d.Shut(now)
-		fmt.Fprintln(w, shut, d.Until())
+		shut := d.Closed(now)
+		fmt.Fprintln(w, shut, d.ClosedUntil())
 		switch {
 		case shut:
 		case rng.IntN(30) == 0:
-			d.Taken()
+			d.Accepted()
 		default:
-			d.Refused(now)
+			d.Rejected(now)
 		}
 	}
 }
--- a/internal/policy/admission/memory.go
+++ b/internal/policy/admission/memory.go
@@ -5,52 +5,56 @@
 	"time"
 )
 
-// Memory sets up the governor: shares of a memory at which a stage begins, of the one that requests book on the
+// MemoryStages sets up the governor of memory: shares of a memory at which a stage begins, of the one that requests book on the
 // machine and of the process's own alike. 0 is the default.
-type Memory struct {
-	Tight    float64 // from here on large bodies are not taken and reads are not kept for others
+type MemoryStages struct {
+	Tight    float64 // from here on large bodies are not taken and reads are not cached for others
 	Scarce   float64 // the pools of less weight take no more in
 	Critical float64 // only what is cheap and the repeats of what has run are taken
 }
 
-// Stage is how short memory is.
-type Stage int
+// MemoryStage is how short memory is.
+type MemoryStage int
 
+// The stages, in order.
 const (
-	Plenty Stage = iota
+	Plenty MemoryStage = iota
 	Tight
 	Scarce
 	Critical
 )
 
-func (s Stage) String() string { return [...]string{"plenty", "tight", "scarce", "critical"}[s] }
+// String names a stage, in the words of the status and the log.
+func (s MemoryStage) String() string { return [...]string{"plenty", "tight", "scarce", "critical"}[s] }
 
-// The defaults. The module's own guard stands at 0.9 of the booked memory, so the stages before it are what makes
-// memory give way in an order.
+// The decision module's own guard stands at 0.9 of the booked memory, so the stages before it are what makes memory give way in an
+// order.
 const (
-	tightAt    = 0.70
-	scarceAt   = 0.80
-	criticalAt = 0.88
-	// relief is how far under a stage's begin the memory must be, and for how long, before the stage is left: a
-	// stage that turns requests away frees the memory that it needs to end.
-	relief    = 0.06
-	reliefFor = time.Second
+	defaultTight    = 0.70
+	defaultScarce   = 0.80
+	defaultCritical = 0.88
+	// stageHysteresis is how far below a stage's begin the memory must be, and stageHoldTime for how long, before the stage is left:
+	// a stage that turns requests away frees the memory that it needs to end.
+	stageHysteresis = 0.06
+	stageHoldTime   = time.Second
 )
 
-func (m Memory) complete() Memory {
-	for _, f := range []struct {
-		to *float64
-		by float64
-	}{{&m.Tight, tightAt}, {&m.Scarce, scarceAt}, {&m.Critical, criticalAt}} {
-		if *f.to == 0 {
-			*f.to = f.by
-		}
-	}
+func (m MemoryStages) withDefaults() MemoryStages {
+	setDefault(&m.Tight, defaultTight)
+	setDefault(&m.Scarce, defaultScarce)
+	setDefault(&m.Critical, defaultCritical)
 	return m
 }
 
-func (m Memory) check() error {
-	m = m.complete()
+// setDefault sets a field that is 0.
+func setDefault(field *float64, value float64) {
+	if *field == 0 {
+		*field = value
+	}
+}
+
+func (m MemoryStages) check() error {
+	m = m.withDefaults()
 	for _, f := range []struct {
 		name string
 		v    float64
@@ -68,39 +72,42 @@
 	return nil
 }
 
-// Governor decides what gives way first when memory is short.
-type Governor struct {
-	cfg             Memory
-	stage           Stage
-	calmSince       time.Duration // the memory has been under the stage's relief since; 0: it is not
-	booked, process float64
+// MemoryGovernor decides what gives way first when memory is short.
+type MemoryGovernor struct {
+	cfg             MemoryStages
+	stage           MemoryStage
+	relievedSince   time.Duration // the memory has been below the stage's begin, less the hysteresis, since; 0: it is not
+	booked, process float64       // shares in use
 }
 
-// NewGovernor returns a governor that has seen nothing yet.
-func NewGovernor(m Memory) *Governor { return &Governor{cfg: m.complete()} }
+// NewMemoryGovernor returns a governor that has seen nothing yet.
+func NewMemoryGovernor(m MemoryStages) *MemoryGovernor {
+	return &MemoryGovernor{cfg: m.withDefaults()}
+}
 
-// Tick is told how much of either memory is in use. A stage is entered at once and left one at a time.
-func (g *Governor) Tick(now time.Duration, booked, process float64) {
+// Tick is told how much of either memory is in use, as shares. A stage is entered at once and left one at a time.
+func (g *MemoryGovernor) Tick(now time.Duration, booked, process float64) {
 	g.booked, g.process = booked, process
 	used := max(booked, process)
 	for s := Critical; s > g.stage; s-- {
-		if used >= g.begin(s) {
-			g.stage, g.calmSince = s, 0
+		if used >= g.threshold(s) {
+			g.stage, g.relievedSince = s, 0
 			return
 		}
 	}
-	if g.stage == Plenty || used >= g.begin(g.stage)-relief {
-		g.calmSince = 0
+	if g.stage == Plenty || used >= g.threshold(g.stage)-stageHysteresis {
+		g.relievedSince = 0
 		return
 	}
-	if g.calmSince == 0 {
-		g.calmSince = max(1, now)
-	} else if now-g.calmSince >= reliefFor {
-		g.stage, g.calmSince = g.stage-1, 0
+	if g.relievedSince == 0 {
+		g.relievedSince = max(1, now)
+	} else if now-g.relievedSince >= stageHoldTime {
+		g.stage, g.relievedSince = g.stage-1, 0
 	}
 }
 
-func (g *Governor) begin(s Stage) float64 {
+// threshold is the share at which a stage begins.
+func (g *MemoryGovernor) threshold(s MemoryStage) float64 {
 	switch s {
 	case Tight:
 		return g.cfg.Tight
@@ -111,10 +118,10 @@
 }
 
 // Stage is how short memory is.
-func (g *Governor) Stage() Stage { return g.stage }
+func (g *MemoryGovernor) Stage() MemoryStage { return g.stage }
 
 // Admits reports whether a request of a pool may wait; the rank is its pool's among the others, from 0 to 1.
-func (g *Governor) Admits(rank float64) bool {
+func (g *MemoryGovernor) Admits(rank float64) bool {
 	switch g.stage {
 	case Scarce:
 		return rank >= 0.5
@@ -124,13 +131,13 @@
 	return true
 }
 
-// Body is the largest body that is taken in a stage, of the largest that there is.
-func (s Stage) Body(most int) int {
+// MaxBody is the largest body that is taken in a stage, in the unit of the largest that there is.
+func (s MemoryStage) MaxBody(largest int) int {
 	switch s {
 	case Plenty:
-		return most
+		return largest
 	case Tight:
-		return most / 2
+		return largest / 2
 	}
-	return most / 4
+	return largest / 4
 }
--- a/internal/policy/admission/reserve.go
+++ b/internal/policy/admission/reserve.go
@@ -6,85 +6,82 @@
 	"time"
 )
 
-// Reserve keeps a part of a front's connections and of the process's time for what is cheap: what needs no run, such
-// as health checks, status requests and refusals. It decides which connections may carry work, which one gives way
-// when there is no room for a new one, and when a peer that asks cheap things at full speed gets its next answer.
+// Reserve keeps headroom, a part of a listener's connections and of the process's time, for what is cheap: what needs no run, such as
+// health checks, status requests and rejections. It decides which connections may carry work, which one gives way when a new one finds
+// the listener full, and when a peer that asks cheap things at full speed gets its next answer. Calls of all peers together and of each
+// are paced by token buckets.
 type Reserve struct {
-	cfg   ReserveConfig
-	most  int
-	conns map[uint64]*peer
-	work  int    // connections that carry work
-	total bucket // of cheap calls of all
-	busy  int    // peers that asked something cheap of late
-	swept time.Duration
-	stats ReserveState
+	cfg            ReserveConfig
+	maxConnections int
+	conns          map[uint64]*peer
+	working        int         // connections that carry work
+	total          tokenBucket // of cheap calls of all
+	busy           int         // peers that made a cheap call of late
+	lastSweep      time.Duration
+	stats          ReserveSnapshot
 }
 
 // ReserveConfig sets up a reserve. 0 is the default.
 type ReserveConfig struct {
-	Connections float64 // share of the connections that carry no work
-	Cheap       float64 // cheap calls a second of all peers together
-	Each        float64 // and of one peer, while the others leave it so much
+	Connections      float64 // share of the connections that carry no work
+	CheapRate        float64 // cheap calls a second of all peers together
+	CheapRatePerPeer float64 // and of one peer, while the others leave it so much
 }
 
-// The defaults.
 const (
-	keptConnections = 0.125
-	cheapRate       = 4000
-	cheapEach       = 100
-	burstSpan       = 200 * time.Millisecond // worth of calls that may come at once
-	peerBusy        = time.Second            // a peer counts as one of the busy for so long after a call
-	longestDelay    = time.Second            // of a cheap answer: who is due for more is let go first
+	defaultReservedConnections = 0.125 // share: enough that health checks get through while work fills the rest
+	defaultCheapRate           = 4000  // calls a second: a part of what one core answers
+	defaultCheapRatePerPeer    = 100   // calls a second: far above what a balancer or an operator asks
+
+	burstWindow = 200 * time.Millisecond // worth of calls that may come at once
+	busyWindow  = time.Second            // a peer counts as busy for so long after a call
+	maxDelay    = time.Second            // of a cheap answer: who is due for more is the first to give way
 )
 
-func (c ReserveConfig) complete() ReserveConfig {
-	for _, f := range []struct {
-		to *float64
-		by float64
-	}{{&c.Connections, keptConnections}, {&c.Cheap, cheapRate}, {&c.Each, cheapEach}} {
-		if *f.to == 0 {
-			*f.to = f.by
-		}
-	}
+func (c ReserveConfig) withDefaults() ReserveConfig {
+	setDefault(&c.Connections, defaultReservedConnections)
+	setDefault(&c.CheapRate, defaultCheapRate)
+	setDefault(&c.CheapRatePerPeer, defaultCheapRatePerPeer)
 	return c
 }
 
 // String says what the reserve keeps.
 func (c ReserveConfig) String() string {
-	c = c.complete()
+	c = c.withDefaults()
 	return fmt.Sprintf("%.0f%% of a front's connections carry no work, %g cheap calls a second in all and %g a peer",
-		100*c.Connections, c.Cheap, c.Each)
+		100*c.Connections, c.CheapRate, c.CheapRatePerPeer)
 }
 
 // Check names the first field that no reserve can have.
 func (c ReserveConfig) Check() error {
-	c = c.complete()
+	c = c.withDefaults()
 	if !(c.Connections > 0 && c.Connections < 1) {
 		return fmt.Errorf("reserve.connections: not between 0 and 1: %v", c.Connections)
 	}
-	if !(c.Cheap >= 1) || math.IsInf(c.Cheap, 1) {
-		return fmt.Errorf("reserve.cheap_per_s: under 1: %v", c.Cheap)
+	if !(c.CheapRate >= 1) || math.IsInf(c.CheapRate, 1) {
+		return fmt.Errorf("reserve.cheap_per_s: under 1: %v", c.CheapRate)
 	}
-	if !(c.Each >= 1) || math.IsInf(c.Each, 1) {
-		return fmt.Errorf("reserve.cheap_each_per_s: under 1: %v", c.Each)
+	if !(c.CheapRatePerPeer >= 1) || math.IsInf(c.CheapRatePerPeer, 1) {
+		return fmt.Errorf("reserve.cheap_each_per_s: under 1: %v", c.CheapRatePerPeer)
 	}
 	return nil
 }
 
-// bucket is a token bucket whose rate may change: it may be overdrawn, and tells how long until it is not.
-type bucket struct {
+// tokenBucket is a token bucket whose rate may change: it may be overdrawn, and tells how long until it is not.
+type tokenBucket struct {
 	tokens float64
 	at     time.Duration
 }
 
-func (b *bucket) pass(now time.Duration, rate float64) {
-	most := max(1, rate*burstSpan.Seconds())
-	b.tokens = min(most, b.tokens+rate*(now-b.at).Seconds())
+// refill adds what has come at a rate, in tokens a second, since the last time.
+func (b *tokenBucket) refill(now time.Duration, rate float64) {
+	capacity := max(1, rate*burstWindow.Seconds())
+	b.tokens = min(capacity, b.tokens+rate*(now-b.at).Seconds())
 	b.at = now
 }
 
-// wait is how long until the bucket holds a token again.
-func (b *bucket) wait(rate float64) time.Duration {
+// delay is how long until the bucket holds a token again.
+func (b *tokenBucket) delay(rate float64) time.Duration {
 	if b.tokens >= 0 {
 		return 0
 	}
@@ -93,28 +90,28 @@
 
 // peer is a connection as the reserve knows it.
 type peer struct {
-	id      uint64
-	work    bool
-	calls   bucket
-	last    time.Duration // of its cheap calls
-	busy    bool
-	waiting time.Duration // until when its answer is held back
+	id           uint64
+	working      bool
+	bucket       tokenBucket
+	lastCall     time.Duration // of its cheap calls
+	busy         bool
+	delayedUntil time.Duration // its answer is held back
 }
 
-// NewReserve returns the reserve of a front with at most so many connections.
-func NewReserve(c ReserveConfig, most int) *Reserve {
-	return &Reserve{cfg: c.complete(), most: most, conns: map[uint64]*peer{}}
+// NewReserve returns the reserve of a listener with at most so many connections.
+func NewReserve(c ReserveConfig, maxConnections int) *Reserve {
+	return &Reserve{cfg: c.withDefaults(), maxConnections: maxConnections, conns: map[uint64]*peer{}}
 }
 
-// Kept is the number of connections that carry no work.
-func (r *Reserve) Kept() int {
-	return min(max(1, int(r.cfg.Connections*float64(r.most))), max(0, r.most-1))
+// Reserved is the number of connections that carry no work.
+func (r *Reserve) Reserved() int {
+	return min(max(1, int(r.cfg.Connections*float64(r.maxConnections))), max(0, r.maxConnections-1))
 }
 
 // Opened is told of a new connection. It carries nothing yet.
 func (r *Reserve) Opened(now time.Duration, id uint64) {
 	p := &peer{id: id}
-	p.calls = bucket{tokens: 1, at: now} // one at once: who comes anew gains nothing by it
+	p.bucket = tokenBucket{tokens: 1, at: now} // one at once: who comes anew gains nothing by it
 	r.conns[id] = p
 }
 
@@ -124,8 +121,8 @@
 	if p == nil {
 		return
 	}
-	if p.work {
-		r.work--
+	if p.working {
+		r.working--
 	}
 	if p.busy {
 		r.busy--
@@ -133,24 +130,24 @@
 	delete(r.conns, id)
 }
 
-// Work reports whether a connection may carry work: those that may leave room for those that never do.
-func (r *Reserve) Work(id uint64) bool {
+// AdmitWork reports whether a connection may carry work: those that may leave room for those that never do.
+func (r *Reserve) AdmitWork(id uint64) bool {
 	p := r.conns[id]
-	if p == nil || p.work {
+	if p == nil || p.working {
 		return p != nil
 	}
-	if r.work >= r.most-r.Kept() {
-		r.stats.NoWork++
+	if r.working >= r.maxConnections-r.Reserved() {
+		r.stats.WorkRejected++
 		return false
 	}
-	p.work = true
-	r.work++
+	p.working = true
+	r.working++
 	return true
 }
 
-// Cheap is told of a cheap call and returns how long its answer is held back: not at all for a peer that keeps within
-// its part. The part of each is what there is for all, shared out among those that ask, and no more than one may have.
-func (r *Reserve) Cheap(now time.Duration, id uint64) time.Duration {
+// CheapCall is told of a cheap call and returns how long its answer is held back: not at all for a peer that keeps within its part.
+// The part of each is what there is for all, shared out among the busy peers, and no more than one may have.
+func (r *Reserve) CheapCall(now time.Duration, id uint64) time.Duration {
 	r.sweep(now)
 	p := r.conns[id]
 	if p == nil {
@@ -160,70 +157,70 @@
 		p.busy = true
 		r.busy++
 	}
-	p.last = now
-	r.total.pass(now, r.cfg.Cheap)
-	rate := r.cfg.Each
+	p.lastCall = now
+	r.total.refill(now, r.cfg.CheapRate)
+	rate := r.cfg.CheapRatePerPeer
 	if r.total.tokens < 1 { // more is asked than there is for all: everybody gets the same
-		rate = max(1, min(rate, r.cfg.Cheap/float64(r.busy)))
+		rate = max(1, min(rate, r.cfg.CheapRate/float64(r.busy)))
 	}
-	p.calls.pass(now, rate)
-	p.calls.tokens--
-	wait := min(longestDelay, p.calls.wait(rate))
-	if wait <= 0 {
+	p.bucket.refill(now, rate)
+	p.bucket.tokens--
+	delay := min(maxDelay, p.bucket.delay(rate))
+	if delay <= 0 {
 		r.total.tokens--
 		r.stats.Cheap++
 		return 0
 	}
 	r.total.tokens = max(-1, r.total.tokens-1)
-	p.waiting = now + wait
+	p.delayedUntil = now + delay
 	r.stats.Cheap++
-	r.stats.Paced++
-	return wait
+	r.stats.Delayed++
+	return delay
 }
 
-// sweep forgets who asks no more.
+// sweep takes peers off the busy ones that have asked nothing for a while.
 func (r *Reserve) sweep(now time.Duration) {
-	if now-r.swept < peerBusy/4 {
+	if now-r.lastSweep < busyWindow/4 {
 		return
 	}
-	r.swept = now
+	r.lastSweep = now
 	for _, p := range r.conns {
-		if p.busy && now-p.last >= peerBusy {
+		if p.busy && now-p.lastCall >= busyWindow {
 			p.busy = false
 			r.busy--
 		}
 	}
 }
 
-// Victim is the connection that gives way to a new one when the front is full: the one that is furthest beyond its
-// part of the cheap calls. False where nobody is beyond it.
-func (r *Reserve) Victim(now time.Duration) (uint64, bool) {
+// Evict chooses, once, the connection that gives way to a new one when the listener is full: the one that is furthest beyond its part
+// of the cheap calls. False where none is beyond it.
+func (r *Reserve) Evict(now time.Duration) (uint64, bool) {
 	var worst *peer
 	for _, p := range r.conns {
-		if p.work || p.waiting <= now {
+		if p.working || p.delayedUntil <= now {
 			continue
 		}
-		if worst == nil || p.waiting > worst.waiting || p.waiting == worst.waiting && p.id < worst.id {
+		if worst == nil || p.delayedUntil > worst.delayedUntil || p.delayedUntil == worst.delayedUntil && p.id < worst.id {
 			worst = p
 		}
 	}
 	if worst == nil {
 		return 0, false
 	}
-	worst.waiting = 0 // chosen once
-	r.stats.Victims++
+	worst.delayedUntil = 0 // chosen once
+	r.stats.Evicted++
 	return worst.id, true
 }
 
-// ReserveState is what a reserve has done.
-type ReserveState struct {
-	Connections, Work, Kept, Busy int
-	Cheap, Paced, NoWork, Victims uint64
+// ReserveSnapshot is what a reserve has done: connections as they are now, and calls and connections since the start.
+type ReserveSnapshot struct {
+	Connections, Working, Reserved, Busy  int
+	Cheap, Delayed, WorkRejected, Evicted uint64
 }
 
-// State returns the present state.
-func (r *Reserve) State() ReserveState {
+// Snapshot returns the present one.
+func (r *Reserve) Snapshot() ReserveSnapshot {
 	s := r.stats
-	s.Connections, s.Work, s.Kept, s.Busy = len(r.conns), r.work, r.Kept(), r.busy
+	s.Connections, s.Working, s.Reserved, s.Busy = len(r.conns), r.working, r.Reserved(), r.busy
 	return s
 }
--- a/internal/policy/admission/usl.go
+++ b/internal/policy/admission/usl_test.go
@@ -7,19 +7,19 @@
 	"gonum.org/v1/gonum/mat"
 )
 
-// USL fits the Universal Scalability Law (Gunther, "Guerrilla Capacity Planning", 2007) to what was seen of the time
+// USL is a limiter to compare with. It fits the Universal Scalability Law (Gunther, "Guerrilla Capacity Planning", 2007) to what was seen of the time
 // that runs take at each number of runs: X(n) = λn / (1 + σ(n-1) + κn(n-1)), so the time of a run, n/X(n), is linear
 // in 1, n-1 and n(n-1), and the peak lies at n* = √((1-σ)/κ). The limit swings about it, or there would be nothing to
-// fit to. It is one of the ways weighed in docs/design/pools.md: a fit needs runs at many numbers, and what it saw of
+// fit to. It is one of the options weighed in docs/design/pools.md: a fit needs runs at many numbers, and what it saw of
 // a machine that has since become slow it takes for the law of the new one until that has faded.
 type USL struct {
-	Range
-	limit  float64
-	points []uslPoint
-	tally  tally
-	next   time.Duration
-	swing  bool
-	belief string
+	Bounds
+	limit     float64
+	points    []uslPoint
+	window    throughputWindow
+	next      time.Duration
+	probing   bool
+	diagnosis string
 }
 
 // uslPoint is one stretch: its mean number of runs, the mean time of a run and how much it counts.
@@ -35,34 +35,34 @@
 )
 
 // NewUSL returns a limiter that fits the law.
-func NewUSL(r Range) *USL { return &USL{Range: r, limit: r.Start} }
+func NewUSL(r Bounds) *USL { return &USL{Bounds: r, limit: r.Start} }
 
-func (u *USL) Running(now time.Duration, n int) {
-	u.tally.pass(now)
-	u.tally.running = float64(n)
+func (u *USL) RunsChanged(now time.Duration, n int) {
+	u.window.advance(now)
+	u.window.running = float64(n)
 }
 
-func (u *USL) Ended(now, spent time.Duration, unit float64) {
-	u.tally.pass(now)
-	u.tally.ends += spent.Seconds() / unit
-	u.tally.count++
+func (u *USL) BurstEnded(now, spent time.Duration, unit float64) {
+	u.window.advance(now)
+	u.window.workDone += spent.Seconds() / unit
+	u.window.ended++
 }
 
 func (u *USL) Limit(now time.Duration, ceiling float64, wanted bool) float64 {
 	if u.limit == 0 {
 		u.limit = ceiling
 	}
-	u.tally.pass(now)
+	u.window.advance(now)
 	if now >= u.next {
 		u.next = now + uslEvery
-		if wanted && u.tally.count >= 3 {
+		if wanted && u.window.ended >= 3 {
 			u.learn(ceiling)
 		}
-		u.swing = !u.swing
-		u.tally.restart(now)
+		u.probing = !u.probing
+		u.window.restart(now)
 	}
 	limit := u.limit
-	if u.swing {
+	if u.probing {
 		limit *= 1 - uslSwing
 	}
 	return u.clamp(limit, ceiling)
@@ -72,8 +72,8 @@
 	for i := range u.points {
 		u.points[i].weight *= uslFade
 	}
-	n := u.tally.mean()
-	u.points = append(u.points, uslPoint{n, u.tally.ends / float64(u.tally.count), 1})
+	n := u.window.meanRuns()
+	u.points = append(u.points, uslPoint{n, u.window.workDone / float64(u.window.ended), 1})
 	if len(u.points) > uslPoints {
 		u.points = u.points[1:]
 	}
@@ -81,11 +81,11 @@
 	switch {
 	case !ok: // no peak in sight: more runs, until there is
 		u.limit = u.clamp(u.limit*uslGrow, ceiling)
-		u.belief = rising
+		u.diagnosis = diagnosisBelowKnee
 	default:
-		u.belief = level
+		u.diagnosis = diagnosisAtKnee
 		if peak < u.limit {
-			u.belief = crowded
+			u.diagnosis = diagnosisAboveKnee
 		}
 		u.limit = u.clamp(u.limit+(peak-u.limit)*uslMove, ceiling)
 	}
@@ -119,4 +119,4 @@
 	return math.Sqrt((1 - sigma) / kappa), true
 }
 
-func (u *USL) Belief() string { return u.belief }
+func (u *USL) Diagnosis() string { return u.diagnosis }
--- a/internal/settings/edge.go
+++ b/internal/settings/edge.go
@@ -92,8 +92,8 @@
 	reserve.only("connections", "cheap_per_s", "cheap_each_per_s")
 	if reserve.v != nil {
 		e.Reserve = &admission.ReserveConfig{
-			Connections: reserve.number("connections"), Cheap: reserve.number("cheap_per_s"),
-			Each: reserve.number("cheap_each_per_s"),
+			Connections: reserve.number("connections"), CheapRate: reserve.number("cheap_per_s"),
+			CheapRatePerPeer: reserve.number("cheap_each_per_s"),
 		}
 	}
 	e.ConfigWatch = readRules(f.object("rules"))
@@ -194,9 +194,9 @@
 	})
 	limit, memory := f.object("limit"), f.object("memory")
 	limit.only("least", "start", "fixed")
-	set.Limit = admission.Range{Least: limit.number("least"), Start: limit.number("start"), Fixed: limit.number("fixed")}
+	set.Limit = admission.Bounds{Min: limit.number("least"), Start: limit.number("start"), Fixed: limit.number("fixed")}
 	memory.only("tight", "scarce", "critical")
-	set.Memory = admission.Memory{Tight: memory.number("tight"), Scarce: memory.number("scarce"), Critical: memory.number("critical")}
+	set.Memory = admission.MemoryStages{Tight: memory.number("tight"), Scarce: memory.number("scarce"), Critical: memory.number("critical")}
 	return set
 }
 
--- a/internal/transport/listener/front.go
+++ b/internal/transport/listener/front.go
@@ -144,7 +144,7 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.reserve.Work(s.id)
+	return l.reserve.AdmitWork(s.id)
 }
 
 // PaceCheapCall is called before the answer to a cheap call. It holds up a peer that asks more than its part, and nobody else.
@@ -154,7 +154,7 @@
 		return
 	}
 	l.mu.Lock()
-	wait := l.reserve.Cheap(time.Since(l.startedAt), s.id)
+	wait := l.reserve.CheapCall(time.Since(l.startedAt), s.id)
 	l.mu.Unlock()
 	if wait > 0 {
 		l.stats.Inc("paced", l.name)
@@ -312,13 +312,13 @@
 }
 
 // Reserved is the state of the reserve, and whether there is one.
-func (l *Listener) Reserved() (admission.ReserveState, bool) {
+func (l *Listener) Reserved() (admission.ReserveSnapshot, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.reserve == nil {
-		return admission.ReserveState{}, false
+		return admission.ReserveSnapshot{}, false
 	}
-	return l.reserve.State(), true
+	return l.reserve.Snapshot(), true
 }
 
 // Name is the front's name.
@@ -452,7 +452,7 @@
 			return
 		}
 		if l.reserve != nil {
-			if id, found := l.reserve.Victim(time.Since(l.startedAt)); found && l.slotByID[id] != nil {
+			if id, found := l.reserve.Evict(time.Since(l.startedAt)); found && l.slotByID[id] != nil {
 				victim := l.slotByID[id]
 				delete(l.slotByID, id) // chosen once
 				l.mu.Unlock()
--- a/internal/transport/listener/front_test.go
+++ b/internal/transport/listener/front_test.go
@@ -187,7 +187,7 @@
 			}
 		}
 		l := New("test", p, 8, func() time.Duration { return 0 }, handle, log.New(io.Discard, "", 0), &metrics.Counters{})
-		l.Reserve(admission.ReserveConfig{Cheap: 400, Each: 50})
+		l.Reserve(admission.ReserveConfig{CheapRate: 400, CheapRatePerPeer: 50})
 		go l.Serve()
 		var all []net.Conn
 		test(l, func() net.Conn {
@@ -232,7 +232,7 @@
 		if a, took := say(t, last, 1); a != 1 || took > 0 {
 			t.Errorf("a cheap call: %d after %v", a, took)
 		}
-		if st, on := l.Reserved(); !on || st.Work != 7 || st.NoWork != 1 {
+		if st, on := l.Reserved(); !on || st.Working != 7 || st.WorkRejected != 1 {
 			t.Errorf("%+v, %v", st, on)
 		}
 	})
@@ -263,8 +263,8 @@
 			}()
 		}
 		time.Sleep(3 * time.Second)
-		if st, _ := l.Reserved(); st.Cheap > 3*400*3/2 || st.Paced == 0 {
-			t.Errorf("%d cheap calls in 3 s with 400 a second for all, %d paced", st.Cheap, st.Paced)
+		if st, _ := l.Reserved(); st.Cheap > 3*400*3/2 || st.Delayed == 0 {
+			t.Errorf("%d cheap calls in 3 s with 400 a second for all, %d paced", st.Cheap, st.Delayed)
 		}
 		quiet := dial()
 		if a, took := say(t, quiet, 1); a != 1 || took > 50*time.Millisecond {
--- a/internal/transport/snmp/agent.go
+++ b/internal/transport/snmp/agent.go
@@ -323,14 +323,14 @@
 	gauge := func(v float64) []byte { return appendUnsigned(nil, tagGauge32, uint64(max(0, v))) }
 	truth := map[bool]int32{true: 1, false: 2} // TruthValue
 	list := []object{
-		{objectLimit, gauge(100 * st.Limit)}, {objectCeiling, gauge(100 * st.Ceiling)},
-		{objectOnCores, gauge(float64(st.OnCores))}, {objectMemory, appendInteger(nil, int32(st.Memory)+1)},
+		{objectLimit, gauge(100 * st.RunLimit)}, {objectCeiling, gauge(100 * st.Ceiling)},
+		{objectOnCores, gauge(float64(st.Running))}, {objectMemory, appendInteger(nil, int32(st.Memory)+1)},
 	}
 	for i, p := range st.Pools {
 		for column, value := range [][]byte{
-			appendElement(nil, tagString, []byte(p.Name)), gauge(float64(p.Used)), gauge(float64(p.Waiting)),
-			gauge(100 * p.Claim), appendUnsigned(nil, tagCounter64, p.Granted), appendUnsigned(nil, tagCounter64, p.Lent),
-			appendUnsigned(nil, tagCounter64, p.Turned), appendInteger(nil, truth[p.Starving]),
+			appendElement(nil, tagString, []byte(p.Name)), gauge(float64(p.Running)), gauge(float64(p.Queued)),
+			gauge(100 * p.Entitlement), appendUnsigned(nil, tagCounter64, p.Started), appendUnsigned(nil, tagCounter64, p.Borrowed),
+			appendUnsigned(nil, tagCounter64, p.Rejected), appendInteger(nil, truth[p.Starving]),
 		} {
 			list = append(list, object{poolEntry.with(uint32(column+2), uint32(i+1)), value})
 		}
