--- a/internal/service/drain_test.go
+++ b/internal/service/drain_test.go
@@ -1,6 +1,7 @@
 package service
 
 import (
+	"errors"
 	"io"
 	"log"
 	"net"
@@ -64,7 +65,7 @@
 		t.Errorf("%d runs, want 3", n)
 	}
 	for _, p := range []peer{busy, rests} {
-		if n, err := p.Read(make([]byte, 1)); n != 0 || err != io.EOF {
+		if n, err := p.Read(make([]byte, 1)); n != 0 || !errors.Is(err, io.EOF) {
 			t.Errorf("%d bytes and %v at the end", n, err)
 		}
 	}
--- a/internal/service/main.go
+++ b/internal/service/main.go
@@ -15,11 +15,14 @@
 	"silverpath/internal/transport/admin"
 )
 
-// Signals are those that a process hears. The notices to leave have a channel of their own, so that none is lost behind
-// whatever else comes.
-type Signals struct{ Shutdown, Others chan os.Signal }
+// Signals are the channels of a process's signals. The notices to leave have one of their own, so that none is lost behind a
+// reload that does not end.
+type Signals struct {
+	Shutdown chan os.Signal // SIGTERM, SIGINT
+	Others   chan os.Signal // SIGHUP: reload; SIGUSR1: print the counters
+}
 
-// NotifySignals has the process hear its signals, from before its start on.
+// NotifySignals has the process hear its signals. It is called before anything else, so that a signal during the start counts.
 func NotifySignals() Signals {
 	s := Signals{make(chan os.Signal, 1), make(chan os.Signal, 8)}
 	signal.Notify(s.Shutdown, syscall.SIGTERM, syscall.SIGINT)
@@ -27,9 +30,10 @@
 	return s
 }
 
-// Main runs a service in this process: its limits, its signals and its last words. Load reads the configuration
-// at the start and again at every SIGHUP. A notice to leave holds at every moment, also before the service is open.
-func Main(load func() (settings.Config, error), signals Signals, out io.Writer, parts Hooks) error {
+// Main runs a service in this process until the notice to leave, which holds at every moment, also before the service is open.
+// Load reads the configuration, at the start and again at each SIGHUP; the log goes to out. The error is one line, of load, of New
+// or of Run.
+func Main(load func() (settings.Config, error), signals Signals, out io.Writer, hooks Hooks) error {
 	cfg, err := load()
 	if err != nil {
 		return err
@@ -45,7 +49,7 @@
 		events.Log(l, "leaving", <-signals.Shutdown)
 		close(shutdown)
 	}()
-	s, err := openWithRetry(cfg, l, parts, addressRetryFor, shutdown)
+	s, err := openWithRetry(cfg, l, hooks, addressRetryFor, shutdown)
 	if errors.Is(err, errShutdownBeforeOpen) {
 		events.Log(l, "exit")
 		return nil
@@ -53,33 +57,41 @@
 	if err != nil {
 		return err
 	}
+	s.logAddrs()
+	go s.handleSignals(signals.Others, load, out) // ends with the process
+	err = s.Run(shutdown)
+	s.stats.Print(out)
+	events.Log(l, "exit")
+	return err
+}
+
+// logAddrs logs every address that is listened on.
+func (s *Service) logAddrs() {
 	for _, ln := range s.listeners {
-		events.Log(l, "listening", ln.Name(), ln.Addr())
+		events.Log(s.log, "listening", ln.Name(), ln.Addr())
 	}
 	if s.snmpAgent != nil {
-		events.Log(l, "listening", "snmp", s.snmpAgent.Addr())
+		events.Log(s.log, "listening", "snmp", s.snmpAgent.Addr())
 	}
 	if s.admin != nil {
-		events.Log(l, "listening", admin.Name, s.admin.Addr())
+		events.Log(s.log, "listening", admin.Name, s.admin.Addr())
 	}
-	go func() { // likewise
-		for sig := range signals.Others {
-			if sig == syscall.SIGUSR1 {
-				s.stats.Print(out)
-				continue
-			}
-			cfg, err := load()
-			if err == nil {
-				err = s.Reload(cfg)
-			}
-			if err != nil {
-				s.stats.Inc("reloads", "bad")
-				events.Log(l, "reload.bad", err)
-			}
+}
+
+// handleSignals reloads at SIGHUP and prints the counters at SIGUSR1. A configuration that is no good leaves the old one in force.
+func (s *Service) handleSignals(signals <-chan os.Signal, load func() (settings.Config, error), out io.Writer) {
+	for sig := range signals {
+		if sig == syscall.SIGUSR1 {
+			s.stats.Print(out)
+			continue
 		}
-	}()
-	err = s.Run(shutdown)
-	s.stats.Print(out)
-	events.Log(l, "exit")
-	return err
+		cfg, err := load()
+		if err == nil {
+			err = s.Reload(cfg)
+		}
+		if err != nil {
+			s.stats.Inc("reloads", "bad")
+			events.Log(s.log, "reload.bad", err)
+		}
+	}
 }
--- /dev/null
+++ b/internal/service/open.go
@@ -0,0 +1,185 @@
+package service
+
+import (
+	"errors"
+	"fmt"
+	"net"
+	"os"
+	"syscall"
+	"time"
+
+	"silverpath/internal/core"
+	"silverpath/internal/events"
+	"silverpath/internal/policy/admission"
+	"silverpath/internal/settings"
+	"silverpath/internal/transport/admin"
+	"silverpath/internal/transport/listener"
+	"silverpath/internal/transport/loadreport"
+	"silverpath/internal/transport/msgpackrpc"
+	"silverpath/internal/transport/restartlink"
+	"silverpath/internal/transport/scgi"
+	"silverpath/internal/transport/snmp"
+)
+
+// A start waits for addresses in use, as by the process before this one that has not ended yet, and for no longer: it has to be
+// ready within 10 s or say why it is not.
+const (
+	addressRetryFor      = 8 * time.Second
+	addressRetryInterval = 20 * time.Millisecond // short beside the time that a client waits for a connection
+)
+
+// openCore makes the core. Where the socket is inherited, the link to another process of this service comes first, since the core
+// shares its idempotency keys over it.
+func (s *Service) openCore() (err error) {
+	cfg := s.cfg
+	var pairing *core.PairConfig
+	if cfg.ListenFD > 0 {
+		if s.restartLink, err = restartlink.Open(os.TempDir(), cfg.Name, s.log, s.stats); err != nil {
+			return fmt.Errorf("LB_SOCKET_FD: a place beside other processes: %w", err)
+		}
+		pairing = s.restartLink.Config(s.splitLimits)
+	}
+	s.core, err = core.New(core.Config{
+		Pair: pairing,
+		Name: cfg.Name, Settings: cfg.Server, MemoryMB: cfg.MemoryMB, Status: cfg.Edge.Status, Log: s.log, Stats: s.stats,
+		Pools: poolsOf(cfg), Cell: cfg.Edge.Cell,
+	})
+	return err
+}
+
+// openFronts opens the fronts for clients: MessagePack-RPC, on an inherited socket or one of its own, and SCGI.
+func (s *Service) openFronts(b DescriptorBudget) error {
+	cfg := s.cfg
+	if cfg.Listen != "" {
+		f := msgpackrpc.New(s.core, s.log, s.stats)
+		if cfg.ListenFD > 0 {
+			ln, err := listener.Inherited(cfg.ListenFD)
+			if err != nil {
+				return fmt.Errorf("LB_SOCKET_FD: %w", err)
+			}
+			inherited := listener.New(msgpackrpc.Name, ln, b.RPC, s.core.IdleAfter, f.Serve, s.log, s.stats)
+			inherited.ShareSocket()
+			s.addListener(inherited, b.RPC)
+		} else if err := s.listen("listen", msgpackrpc.Name, cfg.Listen, b.RPC, f.Serve); err != nil {
+			return err
+		}
+	}
+	if cfg.SCGI.Listen == "" {
+		return nil
+	}
+	f := scgi.New(s.core, cfg.SCGI, cfg.Seed, s.log, s.stats)
+	return s.listen("scgi.listen", scgi.Name, cfg.SCGI.Listen, b.SCGI, f.Serve)
+}
+
+// openSNMP opens the SNMP agent, where an address is set for it.
+func (s *Service) openSNMP() (err error) {
+	if s.cfg.SNMP.Listen == "" {
+		return nil
+	}
+	var control func(network, addr string, raw syscall.RawConn) error
+	if s.restartLink != nil {
+		control = listener.ReusePort
+	}
+	err = s.retryAddressInUse(func() (err error) {
+		s.snmpAgent, err = snmp.Listen(s.cfg.SNMP.Listen, s.cfg.SNMP.Community, s.cfg.Name, s.core, s.log, s.stats, control)
+		return err
+	})
+	if err != nil {
+		return fmt.Errorf("snmp.listen: %w", err)
+	}
+	return nil
+}
+
+// openAdmin opens the admin API, where an address is set for it.
+func (s *Service) openAdmin() (err error) {
+	if s.cfg.Admin == "" {
+		return nil
+	}
+	err = s.retryAddressInUse(func() (err error) {
+		s.admin, err = admin.Listen(s.cfg.Admin, admin.ConnectionLimit(s.cfg.Descriptors), s.core, s.log, s.stats)
+		return err
+	})
+	if err != nil {
+		return fmt.Errorf("mgmt: %w", err)
+	}
+	if s.commands != nil {
+		s.admin.SetCommands(s.commands)
+	}
+	if s.store != nil {
+		s.admin.SetSnapshots(s.store.Snapshot)
+	}
+	return nil
+}
+
+// startReporting has the service known from its Run on: to the announce service, and to another process of it.
+func (s *Service) startReporting() error {
+	s.loadReporter = loadreport.New(s.cfg.Announce, s.cfg.Name, s.core.Health, s.log)
+	s.tasks = append(s.tasks, s.loadReporter.Run)
+	if s.restartLink != nil {
+		if err := s.restartLink.Begin(s.core); err != nil {
+			return fmt.Errorf("LB_SOCKET_FD: a place beside other processes: %w", err)
+		}
+		s.tasks = append(s.tasks, s.restartLink.Keep)
+	}
+	return nil
+}
+
+// listen opens a front at an address of its own; an error names the field that gave it.
+func (s *Service) listen(field, name, addr string, maxConns int, handle listener.Handler) error {
+	var ln *listener.Listener
+	err := s.retryAddressInUse(func() (err error) {
+		if s.restartLink == nil {
+			ln, err = listener.Listen(name, addr, maxConns, s.core.IdleAfter, handle, s.log, s.stats)
+			return err
+		}
+		var socket net.Listener
+		if socket, err = listener.ListenShared(addr); err == nil {
+			ln = listener.New(name, socket, maxConns, s.core.IdleAfter, handle, s.log, s.stats)
+		}
+		return err
+	})
+	if err != nil {
+		return fmt.Errorf("%s: %w", field, err)
+	}
+	s.addListener(ln, maxConns)
+	return nil
+}
+
+// errShutdownBeforeOpen ends a start during which the notice to leave came. Main takes it for a good end.
+var errShutdownBeforeOpen = errors.New("told to leave before the service was open")
+
+// retryAddressInUse calls open until it succeeds, fails by another error than an address in use, the time is over, or the notice
+// to leave comes, by errShutdownBeforeOpen. Without it a start would fail beside a process that is still draining.
+func (s *Service) retryAddressInUse(open func() error) error {
+	for logged := false; ; logged = true {
+		err := open()
+		if !errors.Is(err, syscall.EADDRINUSE) || !time.Now().Before(s.addressRetryUntil) {
+			return err
+		}
+		if !logged {
+			events.Log(s.log, "listening.taken", time.Until(s.addressRetryUntil).Round(time.Second), err)
+		}
+		select {
+		case <-s.shutdown:
+			return errShutdownBeforeOpen
+		case <-time.After(addressRetryInterval):
+		}
+	}
+}
+
+// addListener adds a front with its part of the descriptors, of which the reserve for cheap calls is kept where one is set up.
+func (s *Service) addListener(ln *listener.Listener, maxConns int) {
+	if r := s.cfg.Edge.Reserve; r != nil {
+		ln.Reserve(*r)
+	}
+	s.listeners = append(s.listeners, ln)
+	s.listenerBudgets = append(s.listenerBudgets, listenerBudget{ln, maxConns})
+}
+
+// poolsOf returns the admission pools that a configuration sets up, nil for none.
+func poolsOf(cfg settings.Config) *admission.Config {
+	if !cfg.Edge.PoolsOn() {
+		return nil
+	}
+	return &cfg.Edge.Pools
+}
--- a/internal/service/operate_test.go
+++ b/internal/service/operate_test.go
@@ -119,7 +119,7 @@
 				return
 			}
 			defer conn.Close()
-			go io.Copy(io.Discard, conn)
+			go func() { _, _ = io.Copy(io.Discard, conn) }()
 			for n := uint64(1); ; n++ {
 				select {
 				case <-over:
--- /dev/null
+++ b/internal/service/pools.go
@@ -0,0 +1,36 @@
+package service
+
+import (
+	"errors"
+
+	"silverpath/internal/controlplane/configwatch"
+	"silverpath/internal/settings"
+)
+
+// poolsDocument is how a server applies the document of its pools.
+func (s *Service) poolsDocument() configwatch.Document {
+	check := func(text string) error {
+		s.settingsMu.Lock()
+		defer s.settingsMu.Unlock()
+		if !s.cfg.Edge.PoolsOn() {
+			return errors.New("this server has no pools")
+		}
+		_, err := settings.ParsePools(text, s.cfg.Server)
+		return err
+	}
+	return configwatch.Document{Format: 1, Check: check, Apply: func(text string) error {
+		if err := check(text); err != nil {
+			return err
+		}
+		s.settingsMu.Lock()
+		defer s.settingsMu.Unlock()
+		set, err := settings.ParsePools(text, s.cfg.Server)
+		if err == nil {
+			err = s.core.ReloadPools(set)
+		}
+		if err == nil {
+			s.cfg.Edge.Pools = set
+		}
+		return err
+	}}
+}
--- a/internal/service/recovery.go
+++ b/internal/service/recovery.go
@@ -2,8 +2,6 @@
 
 import (
 	"context"
-	"errors"
-	"fmt"
 	"strings"
 	"sync"
 	"time"
@@ -14,52 +12,13 @@
 	"silverpath/internal/policy/idempotency"
 	"silverpath/internal/policy/lifecycle"
 	"silverpath/internal/policy/recovery"
-	"silverpath/internal/storage/heartbeat"
 )
 
-// recoveryPollInterval is how often it is looked at what the return of service waits for.
+// recoveryPollInterval is between two checks of what full service still waits for. Found by trial: longer, the log and the state
+// say later that a process is back; the checks themselves read memory only.
 const recoveryPollInterval = 20 * time.Millisecond
 
-// openHeartbeat has the service leave signs of life, where an edge file says so. Sheets begin only while they last; and where no
-// store keeps what ran, those that are not known fail until what an earlier process may have run can't come again.
-func (s *Service) openHeartbeat() (err error) {
-	set := s.cfg.Edge.Heartbeat
-	if set == nil {
-		return nil
-	}
-	if s.restartLink != nil {
-		return errors.New("life: not beside another process of the service (LB_SOCKET_FD)")
-	}
-	if s.heartbeat, err = heartbeat.Open(set.File, s.cfg.Name, set.Valid, s.log, s.stats); err != nil {
-		return fmt.Errorf("life.file: %w", err)
-	}
-	downtime, _ := s.heartbeat.Dark()
-	s.stats.Set(uint64(downtime.Milliseconds()), "life", "dark_ms")
-	s.core.SetUnknownRunsUntil(time.Now().Add(-downtime).UnixMilli())
-	may := s.heartbeat.May
-	if wrap := s.hooks.WrapHeartbeat; wrap != nil {
-		may = wrap(may)
-	}
-	s.core.AddGate(func(time.Duration) idempotency.Verdict {
-		switch {
-		case s.store == nil && s.unknownRunsFor() > 0:
-			return idempotency.Verdict{Do: idempotency.Fail, Why: idempotency.WhyBlind}
-		case !may():
-			return idempotency.Verdict{Do: idempotency.Refuse, Why: "no_sign_of_life", Wait: set.Valid / 2}
-		}
-		return idempotency.Verdict{}
-	})
-	s.tasks = append(s.tasks, s.heartbeat.Keep)
-	return nil
-}
-
-// unknownRunsFor is for how long from now on a sheet may still come that an earlier process may have run, where nothing else knows.
-func (s *Service) unknownRunsFor() time.Duration {
-	downtime, _ := s.heartbeat.Dark()
-	return s.core.LongestWindow() - downtime
-}
-
-// recoveryTracker is a process's path to full service, as it is told and seen.
+// recoveryTracker is the recovery of a process, from its start to full service, as the log and the state show it.
 type recoveryTracker struct {
 	mu          sync.Mutex
 	path        *recovery.Path
@@ -67,7 +26,8 @@
 	loggedState recovery.State
 }
 
-// trackServerRecovery follows what the return of service waits for, where the process keeps anything on a disk or acts on a group's rules.
+// trackServerRecovery tracks a server's recovery, where it keeps anything on disk or acts on a group's documents; without these
+// it has nothing to wait for but its worker.
 func (s *Service) trackServerRecovery() {
 	if s.store == nil && s.heartbeat == nil && s.configWatch == nil {
 		return
@@ -93,7 +53,7 @@
 	}
 }
 
-// trackRouterRecovery follows what a router's full service waits for.
+// trackRouterRecovery tracks a router's recovery: its map, the group's confirmation of it, and its quota of the cells.
 func (s *Service) trackRouterRecovery() {
 	s.trackRecovery(recovery.Router, map[recovery.Need]func() bool{
 		recovery.Map: func() bool { mapped, _, _ := s.router.Readiness(); return mapped },
@@ -105,7 +65,8 @@
 	})
 }
 
-// trackRecovery looks after a path from now on, by what tells of each need that the process has a use for.
+// trackRecovery tracks the recovery of a role from now on. Checks has the needs that this process has, each with whether it is
+// met; they are called every recoveryPollInterval and must not block.
 func (s *Service) trackRecovery(role recovery.Role, checks map[recovery.Need]func() bool) *recoveryTracker {
 	var needs []recovery.Need
 	for n := range checks {
@@ -129,7 +90,7 @@
 	return r
 }
 
-// updateRecovery tells the path which needs are met, and says where that gets it.
+// updateRecovery tells the path which needs are met, and logs and counts a state that it reaches by that.
 func (s *Service) updateRecovery(r *recoveryTracker, checks map[recovery.Need]func() bool) {
 	met := map[recovery.Need]bool{}
 	for n, check := range checks {
@@ -157,7 +118,7 @@
 	events.Log(s.log, "recovery.state", v.State, now.Round(time.Millisecond), strings.Join(waits, ", "))
 }
 
-// status is the path as JSON.
+// status is the recovery as JSON, for the service's state.
 func (r *recoveryTracker) status() []byte {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/service/reload.go
+++ b/internal/service/reload.go
@@ -12,9 +12,10 @@
 	"silverpath/internal/settings"
 )
 
-// Reload takes up a new configuration while the service runs, whole or not at all: the settings, and the addresses of
-// the interpreter, the vault and the announce service. What is under way goes on as it began. The rest of a
-// configuration holds from a start to the end of the process; where it differs, the log says so and the old one holds.
+// Reload applies a new configuration while the service runs: the settings of the module, the addresses of the interpreter, the
+// vault and the announce service, and the pools. What is under way goes on as it began. The rest of a configuration holds from a
+// start to the end of the process: where it differs, the log says so and the old one holds. Main calls it at each SIGHUP; on an
+// error, which names the field, nothing has changed.
 func (s *Service) Reload(cfg settings.Config) error {
 	s.settingsMu.Lock()
 	defer s.settingsMu.Unlock()
@@ -35,41 +36,55 @@
 	if s.builtinWorker != nil {
 		cfg.Interpreter = old.Interpreter
 	}
-	if s.interpreter != nil && cfg.Interpreter != "" && cfg.Interpreter != old.Interpreter {
-		events.Log(s.log, "reload.moved", "vm", old.Interpreter, cfg.Interpreter)
+	s.redirect(cfg)
+	for _, field := range s.cfg.Differs(cfg) {
+		events.Log(s.log, "reload.differs", field)
+	}
+	s.reloadPools(cfg.Edge)
+	if s.router != nil {
+		s.router.Reload()
+	}
+	s.stats.Inc("reloads", "done")
+	events.Log(s.log, "reload.done")
+	return nil
+}
+
+// redirect has the clients of the interpreter, the vault and the announce service go to new addresses. An address that is left out
+// changes nothing, but for the announce service, which may be switched off so. It is called under settingsMu.
+func (s *Service) redirect(cfg settings.Config) {
+	if old := s.cfg.Interpreter; s.interpreter != nil && cfg.Interpreter != "" && cfg.Interpreter != old {
+		events.Log(s.log, "reload.moved", "vm", old, cfg.Interpreter)
 		s.cfg.Interpreter = cfg.Interpreter
 		s.interpreter.Redirect(cfg.Interpreter)
 	}
-	if s.vault != nil && cfg.Vault != "" && cfg.Vault != old.Vault {
-		events.Log(s.log, "reload.moved", "vault", old.Vault, cfg.Vault)
+	if old := s.cfg.Vault; s.vault != nil && cfg.Vault != "" && cfg.Vault != old {
+		events.Log(s.log, "reload.moved", "vault", old, cfg.Vault)
 		s.cfg.Vault = cfg.Vault
 		s.vault.Redirect(cfg.Vault)
 	}
-	if cfg.Announce != old.Announce {
-		events.Log(s.log, "reload.moved", "announce", strconv.Quote(old.Announce), strconv.Quote(cfg.Announce))
+	if old := s.cfg.Announce; cfg.Announce != old {
+		events.Log(s.log, "reload.moved", "announce", strconv.Quote(old), strconv.Quote(cfg.Announce))
 		s.cfg.Announce = cfg.Announce
 		s.loadReporter.Redirect(cfg.Announce)
 	}
-	for _, field := range s.cfg.Differs(cfg) {
-		events.Log(s.log, "reload.differs", field)
+}
+
+// reloadPools applies the pools of a new edge file, where there are pools in both and no document of the group sets them. Pools
+// that are no good leave the old ones in force. It is called under settingsMu.
+func (s *Service) reloadPools(edge settings.Edge) {
+	old := s.cfg.Edge
+	if !edge.PoolsOn() || !old.PoolsOn() || edge.ConfigWatch.Uses(configstore.DocPools) || reflect.DeepEqual(edge.Pools, old.Pools) {
+		return
 	}
-	if cfg.Edge.PoolsOn() && old.Edge.PoolsOn() && !cfg.Edge.ConfigWatch.Uses(configstore.DocPools) && !reflect.DeepEqual(cfg.Edge.Pools, old.Edge.Pools) {
-		if err := s.core.ReloadPools(cfg.Edge.Pools); err != nil {
-			events.Log(s.log, "reload.pools_bad", err)
-		} else {
-			events.Log(s.log, "reload.pools")
-			s.cfg.Edge.Pools = cfg.Edge.Pools
-		}
+	if err := s.core.ReloadPools(edge.Pools); err != nil {
+		events.Log(s.log, "reload.pools_bad", err)
+		return
 	}
-	if s.router != nil {
-		s.router.Reload()
-	}
-	s.stats.Inc("reloads", "done")
-	events.Log(s.log, "reload.done")
-	return nil
+	events.Log(s.log, "reload.pools")
+	s.cfg.Edge.Pools = edge.Pools
 }
 
-// classes names the classes of settings.
+// classes names the classes of settings, for the log.
 func classes(set silverpath.Settings) string {
 	var names []string
 	for _, k := range set.Classes {
--- a/internal/service/router.go
+++ b/internal/service/router.go
@@ -6,7 +6,7 @@
 	"silverpath/internal/proxy"
 )
 
-// buildRouter makes the service a router: the fleet is its runner, and it has no interpreter and nothing below.
+// buildRouter makes the service a router: the proxy to the fleet does the work, and there is no interpreter and no vault.
 func (s *Service) buildRouter(b DescriptorBudget) error {
 	src, err := s.routerConfigSource()
 	if err != nil {
@@ -21,7 +21,7 @@
 		return fmt.Errorf("fleet.map: %w", err)
 	}
 	if watch := s.cfg.Edge.ConfigWatch; watch != nil && watch.MaxRouters > 0 {
-		s.router.ShareQuota(watch.MaxRouters, set.State != "") // whose lock one process has
+		s.router.ShareQuota(watch.MaxRouters, set.State != "") // one process at a time has the lock of its state
 	}
 	s.core.AddStatus("fleet", s.router.Status)
 	s.tasks = append(s.tasks, s.router.Maintain)
--- a/internal/service/server.go
+++ b/internal/service/server.go
@@ -12,14 +12,14 @@
 	"silverpath/internal/events"
 	"silverpath/internal/policy/configstore"
 	"silverpath/internal/settings"
-	"silverpath/internal/storage/idempotencystore"
 	"silverpath/internal/testkit/standin"
 	"silverpath/internal/transport/interpreter"
 	"silverpath/internal/transport/scgi"
 	"silverpath/internal/transport/vault"
 )
 
-// buildServer makes the service a server: an interpreter or an SCGI application server does the work, and the vault is below.
+// buildServer makes the service a server: the interpreter does the work, with the vault below it, or an SCGI application server.
+// The store and the heartbeat open first, since they gate what the core may run.
 func (s *Service) buildServer(b DescriptorBudget) error {
 	if s.cfg.BuiltinWorker {
 		var err error
@@ -38,7 +38,7 @@
 	if err := s.openHeartbeat(); err != nil {
 		return err
 	}
-	if err := s.watchConfig(map[string]configwatch.Document{configstore.DocPools: s.poolsDocument()}, s.worthTotals, nil, nil, nil); err != nil {
+	if err := s.watchConfig(roleConfig{documents: map[string]configwatch.Document{configstore.DocPools: s.poolsDocument()}, goodput: s.goodput}); err != nil {
 		return err
 	}
 	s.trackServerRecovery()
@@ -58,7 +58,7 @@
 	return s.core.Attach(s.interpreter, below)
 }
 
-// openCommands has the server take orders of the fleet by its management front, where an edge file says so.
+// openCommands has the server take the fleet's commands by its admin API, where the edge file sets that up (orders).
 func (s *Service) openCommands() (err error) {
 	set := s.cfg.Edge.Commands
 	if set == nil {
@@ -74,43 +74,8 @@
 	return nil
 }
 
-// maxStoreShare is the part of the memory that a store's records may take at the most: pages of its file count too.
-const maxStoreShare = 4
-
-// openStore has the runs of keyed requests outlive the process, where an edge file says so.
-func (s *Service) openStore() (err error) {
-	set := s.cfg.Edge.Store
-	if set == nil {
-		return nil
-	}
-	if s.restartLink != nil {
-		return errors.New("store: not beside another process of the service (LB_SOCKET_FD)")
-	}
-	size := set.SizeMB
-	if size == 0 {
-		size = s.cfg.MemoryMB / maxStoreShare / 2
-	}
-	if size > s.cfg.MemoryMB/maxStoreShare {
-		return fmt.Errorf("store.size_mb: over a quarter of limits.memory_mb: %v", size)
-	}
-	s.store, err = idempotencystore.Open(idempotencystore.Config{
-		Dir: set.Dir, Name: s.cfg.Name, Bytes: int(size * (1 << 20)), Result: int(set.ResultKB * (1 << 10)), Gather: set.CommitDelay,
-		Log: s.log, Stats: s.stats,
-	}, s.core)
-	if err != nil {
-		return fmt.Errorf("store.dir: %w", err)
-	}
-	if wrap := s.hooks.WrapStore; wrap != nil {
-		s.core.UseStore(wrap(s.store))
-	} else {
-		s.core.UseStore(s.store)
-	}
-	s.core.AddStatus("store", s.store.Status)
-	s.tasks = append(s.tasks, s.store.Keep)
-	return nil
-}
-
-// startBuiltinWorker starts the built-in worker: an interpreter whose work takes as long as the operators' own typically does.
+// startBuiltinWorker starts the built-in worker, for a start without a configuration: an interpreter that sends back what came,
+// after as long as the operators' own work typically takes.
 func startBuiltinWorker(cfg settings.Config) (*standin.Interpreter, error) {
 	n := cfg.Server.Cores
 	return standin.Listen(standin.Config{
--- a/internal/service/service_test.go
+++ b/internal/service/service_test.go
@@ -304,7 +304,9 @@
 	out.await(t, "reload: limits: differs, and holds only from the next start")
 	out.await(t, "interpreter moved from "+vm+" to "+moved)
 	b := make([]byte, 64)
-	reports.SetReadDeadline(time.Now().Add(30 * time.Second))
+	if err := reports.SetReadDeadline(time.Now().Add(30 * time.Second)); err != nil {
+		t.Fatal(err)
+	}
 	if n, _, err := reports.ReadFrom(b); err != nil || string(b[:n]) != "announce n1 true" {
 		t.Fatalf("report %q, %v", b[:n], err)
 	}
@@ -392,11 +394,15 @@
 	}
 	next := cfg
 	next.Edge.Pools.Pools = []admission.Pool{{Name: "rounds", Classes: []string{"krog"}, Weight: 5, Floor: 0.9}, {Name: "others"}}
-	s.Reload(next)
+	if err := s.Reload(next); err != nil {
+		t.Fatal(err)
+	}
 	bad := next
 	bad.Edge.Status = false
 	bad.Edge.Pools.Pools = []admission.Pool{{Name: "rounds", Floor: 7}}
-	s.Reload(bad)
+	if err := s.Reload(bad); err != nil {
+		t.Fatal(err)
+	}
 	text := out.String()
 	for _, want := range []string{"reload: pools: taken up", "reload: the old pools hold: pools[0].floor", "reload: edge: differs"} {
 		if !strings.Contains(text, want) {
