--- a/internal/policy/configstore/monitor.go
+++ b/internal/policy/configstore/monitor.go
@@ -58,8 +58,8 @@
 // StopLeading is told when it has ceased to.
 func (w *ProcessMonitor) StopLeading() { *w = ProcessMonitor{terms: w.terms, leadingSince: -1} }
 
-// Observe takes the word of a process as it comes. It reports whether the process may be told what is in force: no once its end is
-// on its way.
+// Observe takes the report of a process as it comes. It reports whether the process may be told what is active: no once its expiry was
+// proposed, as it would act on that after the group has ceased to wait for it.
 func (w *ProcessMonitor) Observe(who string, now time.Duration, acts map[string]int, worth Goodput, stops string) bool {
 	if w.leadingSince < 0 || w.expiring[who] {
 		return false
@@ -75,10 +75,14 @@
 	return true
 }
 
-// maxObserved bounds the time over which worth is looked at.
-const maxObserved = 2 * time.Minute
+const (
+	maxObserved      = 2 * time.Minute // over which goodput is kept; a change is observed for less
+	observeActiveFor = 2               // times RolloutPolicy.ObserveMS that an active version may still be reverted by the monitor
+	minObserved      = 4               // a quarter of RolloutPolicy.ObserveMS has to be over before the monitor says that it is worse
+	proposalRetry    = 4               // a quarter of the lease until a change is proposed again: the one before may be on its way
+)
 
-// Reports is what was last heard of all.
+// Reports are the last reports of all processes, for operators.
 func (w *ProcessMonitor) Reports(now time.Duration) map[string]ProcessReport {
 	all := map[string]ProcessReport{}
 	for name, h := range w.reports {
@@ -89,13 +93,14 @@
 	return all
 }
 
-// Unregistered is told that a process is registered no more, or that its end was not proposed after all.
+// Unregistered is told that a process is registered no more, or that its expiry was not proposed after all.
 func (w *ProcessMonitor) Unregistered(who string) {
 	delete(w.expiring, who)
 	delete(w.reports, who)
 }
 
-// Proposals is what is to be proposed now: the end of processes that were not heard of, and stages that nothing is waited for any more.
+// Proposals are the changes that the leader is to propose now: the expiry of processes that have not reported for a lease, and the next
+// stages of changes that nothing is waited for any more. The leader calls it several times a lease.
 func (w *ProcessMonitor) Proposals(b *Store, now time.Duration) (list []Change) {
 	if w.leadingSince < 0 {
 		return nil
@@ -116,7 +121,7 @@
 	for _, name := range slices.Sorted(maps.Keys(b.Documents)) {
 		d := b.Documents[name]
 		w.noteStage(b, d, now)
-		if at, ok := w.proposedAt[name]; ok && now-at < w.terms.TTL/4 {
+		if at, ok := w.proposedAt[name]; ok && now-at < w.terms.TTL/proposalRetry {
 			continue // the one before is on its way
 		}
 		if c, ok := w.nextChange(b, d, now); ok {
@@ -127,7 +132,7 @@
 	return list
 }
 
-// noteStage notes since when a document is as it is, and what everybody had served then.
+// noteStage notes since when a document is at its stage, and the goodput of all processes then.
 func (w *ProcessMonitor) noteStage(b *Store, d *Document, now time.Duration) {
 	version := 0
 	if d.Proposed != nil {
@@ -146,27 +151,12 @@
 	delete(w.proposedAt, d.Name)
 }
 
-// nextChange is what becomes of a document now.
+// nextChange is what is to be proposed of a document now, if anything.
 func (w *ProcessMonitor) nextChange(b *Store, d *Document, now time.Duration) (Change, bool) {
-	c := Change{Doc: d.Name, Stage: d.Stage}
-	s := w.stages[d.Name]
-	uses := func(name string) bool { // only those that act on it have anything to say of it
-		u := b.Processes[name]
-		return u != nil && u.Formats[d.Name] > 0
-	}
 	if d.Proposed == nil {
-		if d.Active == nil || d.Active.Rollout == nil || d.Active.Baseline == nil || d.Active.RevertsTo > 0 || d.Active.Outcome != "" || now-s.at > 2*milliseconds(d.Active.Rollout.ObserveMS) {
-			return c, false
-		}
-		got := w.goodputSince(s, uses)
-		if bad := isWorse(*d.Active.Baseline, got, d.Active.Rollout.MaxLoss); bad && now-s.at >= milliseconds(d.Active.Rollout.ObserveMS)/4 {
-			c.Op, c.Version, c.Author = OpRevert, d.Active.ID.Version, MonitorAuthor
-			c.Reason = fmt.Sprintf("%.0f%% of the worth was served, before it %.0f%%", 100*got.Ratio(), 100*d.Active.Baseline.Ratio())
-			return c, true
-		}
-		return c, false
+		return w.revertIfWorse(b, d, now)
 	}
-	c.Version = d.Proposed.ID.Version
+	c := Change{Doc: d.Name, Stage: d.Stage, Version: d.Proposed.ID.Version}
 	if who, why := b.RefusedBy(d); who != "" {
 		c.Op, c.Author, c.Reason = OpWithdraw, who, who+" can't act on it: "+why
 		return c, true
@@ -176,21 +166,58 @@
 	}
 	c.Op = OpAdvance
 	if d.Stage == StageCanary {
-		try := d.Proposed.Rollout
-		with, rest := w.goodputSince(s, func(name string) bool { return slices.Contains(d.Proposed.Canaries, name) }),
-			w.goodputSince(s, func(name string) bool { return uses(name) && !slices.Contains(d.Proposed.Canaries, name) })
-		if isWorse(rest, with, try.MaxLoss) && now-s.at >= milliseconds(try.ObserveMS)/4 {
-			c.Op, c.Author = OpWithdraw, MonitorAuthor
-			c.Reason = fmt.Sprintf("%.0f%% of the worth was served where it was tried, else %.0f%%", 100*with.Ratio(), 100*rest.Ratio())
+		switch loss, over := w.judgeCanaries(b, d, now); {
+		case loss != "":
+			c.Op, c.Author, c.Reason = OpWithdraw, MonitorAuthor, loss
 			return c, true
-		}
-		if now-s.at < milliseconds(try.ObserveMS) {
+		case !over:
 			return c, false
 		}
 	}
 	if d.Proposed.Rollout != nil {
-		base := w.goodputOver(milliseconds(d.Proposed.Rollout.ObserveMS), now, uses)
-		c.Baseline = &base
+		baseline := w.goodputOver(milliseconds(d.Proposed.Rollout.ObserveMS), now, usersOf(b, d))
+		c.Baseline = &baseline
 	}
 	return c, true
 }
+
+// usersOf tells which processes use a document: only those have anything to say of it.
+func usersOf(b *Store, d *Document) func(name string) bool {
+	return func(name string) bool {
+		p := b.Processes[name]
+		return p != nil && p.Formats[d.Name] > 0
+	}
+}
+
+// revertIfWorse reverts an active version that is still observed, where the goodput since it became active is worse than its baseline.
+func (w *ProcessMonitor) revertIfWorse(b *Store, d *Document, now time.Duration) (Change, bool) {
+	c, s, r := Change{Doc: d.Name, Stage: d.Stage}, w.stages[d.Name], d.Active
+	if r == nil || r.Rollout == nil || r.Baseline == nil || r.RevertsTo > 0 || r.Outcome != "" {
+		return c, false
+	}
+	observe := milliseconds(r.Rollout.ObserveMS)
+	if now-s.at > observeActiveFor*observe || now-s.at < observe/minObserved {
+		return c, false
+	}
+	got := w.goodputSince(s, usersOf(b, d))
+	if !isWorse(*r.Baseline, got, r.Rollout.MaxLoss) {
+		return c, false
+	}
+	c.Op, c.Version, c.Author = OpRevert, r.ID.Version, MonitorAuthor
+	c.Reason = fmt.Sprintf("%.0f%% of the worth was served, before it %.0f%%", 100*got.Ratio(), 100*r.Baseline.Ratio())
+	return c, true
+}
+
+// judgeCanaries compares the goodput of the canaries of a change with that of the others since they began. Loss says how much worse it
+// is, empty for not; over, whether they have been observed for long enough.
+func (w *ProcessMonitor) judgeCanaries(b *Store, d *Document, now time.Duration) (loss string, over bool) {
+	s, policy, uses := w.stages[d.Name], d.Proposed.Rollout, usersOf(b, d)
+	isCanary := func(name string) bool { return slices.Contains(d.Proposed.Canaries, name) }
+	canaries := w.goodputSince(s, isCanary)
+	others := w.goodputSince(s, func(name string) bool { return uses(name) && !isCanary(name) })
+	observe := milliseconds(policy.ObserveMS)
+	if isWorse(others, canaries, policy.MaxLoss) && now-s.at >= observe/minObserved {
+		return fmt.Sprintf("%.0f%% of the worth was served where it was tried, else %.0f%%", 100*canaries.Ratio(), 100*others.Ratio()), false
+	}
+	return "", now-s.at >= observe
+}
--- a/internal/policy/configstore/process.go
+++ b/internal/policy/configstore/process.go
@@ -5,47 +5,49 @@
 	"fmt"
 )
 
-// report takes what a process says of itself.
+// report takes what a process reports of itself, and registers it where the change is that.
 func (b *Store) report(c Change) error {
 	if c.Process == nil || c.Process.Name == "" {
 		return errors.New("who: missing")
 	}
-	u := b.Processes[c.Process.Name]
+	p := b.Processes[c.Process.Name]
 	if c.Op == OpRegister {
-		if u == nil && len(b.Processes) >= MaxProcesses {
+		if p == nil && len(b.Processes) >= MaxProcesses {
 			return fmt.Errorf("%d processes are registered already", MaxProcesses)
 		}
-		u = &Process{Name: c.Process.Name, Formats: c.Process.Formats, Prepared: map[string]int{}, Quiesced: map[string]int{}, Refusals: map[string]Refusal{}}
-		b.Processes[u.Name] = u
+		p = &Process{Name: c.Process.Name, Formats: c.Process.Formats, Prepared: map[string]int{}, Quiesced: map[string]int{}, Refusals: map[string]Refusal{}}
+		b.Processes[p.Name] = p
 	}
-	if u == nil {
+	if p == nil {
 		return fmt.Errorf("%w: %s", ErrNotRegistered, c.Process.Name)
 	}
-	for name := range u.Formats {
-		// Only of what is under way: what a late word says of another version is no news.
-		d := b.Documents[name]
-		if d == nil || d.Proposed == nil {
-			continue
-		}
-		n := d.Proposed.ID.Version
-		if c.Process.Prepared[name] == n {
-			u.Prepared[name] = n
-		}
-		if c.Process.Quiesced[name] == n && u.Prepared[name] == n && d.Stage == StageQuiescing {
-			u.Quiesced[name] = n
-		}
-		if r, ok := c.Process.Refusals[name]; ok && r.Version == n {
-			if u.Refusals == nil {
-				u.Refusals = map[string]Refusal{}
-			}
-			r.Reason = clip(r.Reason)
-			u.Refusals[name] = r
+	for name := range p.Formats {
+		if d := b.Documents[name]; d != nil && d.Proposed != nil {
+			p.take(d, c.Process)
 		}
 	}
 	return nil
 }
 
-// HasNews is what a word of a process adds to what is known of it.
+// take takes what a process reports of a change that is under way. What a late report says of another version is no news.
+func (p *Process) take(d *Document, reported *Process) {
+	name, version := d.Name, d.Proposed.ID.Version
+	if reported.Prepared[name] == version {
+		p.Prepared[name] = version
+	}
+	if reported.Quiesced[name] == version && p.Prepared[name] == version && d.Stage == StageQuiescing {
+		p.Quiesced[name] = version
+	}
+	if r, ok := reported.Refusals[name]; ok && r.Version == version {
+		if p.Refusals == nil {
+			p.Refusals = map[string]Refusal{}
+		}
+		r.Reason = clip(r.Reason)
+		p.Refusals[name] = r
+	}
+}
+
+// HasNews reports whether a report of a process adds to what is known of it. Where it does not, it need not go into the group's log.
 func (b *Store) HasNews(u Process) bool {
 	was := b.Processes[u.Name]
 	if was == nil {
--- a/internal/policy/configstore/propose.go
+++ b/internal/policy/configstore/propose.go
@@ -6,55 +6,69 @@
 	"slices"
 )
 
+// propose begins a change of a document, on top of its active version.
 func (b *Store) propose(c Change) (*Document, error) {
 	d := b.Documents[c.Doc]
 	if d == nil {
 		d = &Document{Name: c.Doc}
 	}
-	force, digest := 0, NewID(1, []byte(c.Text)).Digest
-	split := len(c.Parts) > 0 || c.Draft != ""
-	if d.Active != nil {
-		force = d.Active.ID.Version
-	}
-	switch {
-	case c.Doc == "" || len(b.Documents) >= maxDocuments && b.Documents[c.Doc] == nil:
-		return d, fmt.Errorf("%d documents are all that there can be", maxDocuments)
-	case !split && d.Active != nil && d.Active.InParts:
-		return d, fmt.Errorf("%s is in parts: a whole text can't be put on it, silverpath rules put splits it", c.Doc)
-	case split && c.Text != "":
-		return d, fmt.Errorf("%s: a text beside parts", c.Doc)
-	case !split && (len(c.Text) > maxTextSize || c.Text == ""):
-		return d, fmt.Errorf("%s: %d bytes, of 1 to %d", c.Doc, len(c.Text), maxTextSize)
-	case d.Proposed != nil:
-		return d, fmt.Errorf("%w: version %d of %s is %s", ErrChangePending, d.Proposed.ID.Version, c.Doc, d.Stage)
-	case c.Version != force:
-		return d, fmt.Errorf("%w: %d of %s, not %d", ErrStaleBase, force, c.Doc, c.Version)
+	inParts := len(c.Parts) > 0 || c.Draft != ""
+	if err := b.checkProposal(d, c, inParts); err != nil {
+		return d, err
 	}
-	var over map[string]Part
-	if split {
+	digest := NewID(1, []byte(c.Text)).Digest
+	var parts map[string]Part
+	if inParts {
 		var err error
-		if over, digest, err = d.changedParts(c); err != nil {
+		if parts, digest, err = d.changedParts(c); err != nil {
 			return d, err
 		}
 	}
 	switch {
 	case d.Active != nil && d.Active.ID.Digest == digest:
-		return d, fmt.Errorf("version %d of %s says the same", force, c.Doc)
+		return d, fmt.Errorf("version %d of %s says the same", d.activeVersion(), c.Doc)
 	case slices.Contains(d.RejectedDigests, digest) && !c.AllowRejected:
 		return d, fmt.Errorf("%w: made things worse", ErrRejectedBefore)
 	}
-	d.RejectedDigests = slices.DeleteFunc(d.RejectedDigests, func(was uint64) bool { return was == digest })
+	d.RejectedDigests = slices.DeleteFunc(d.RejectedDigests, func(rejected uint64) bool { return rejected == digest })
 	d.HighestVersion++
-	e := &Revision{ID: ID{d.HighestVersion, digest}, Format: max(1, c.Format), Text: c.Text, Author: clip(c.Author), ProposedAt: c.At, Exclusive: c.Exclusive,
-		Scope: c.Scope, Rollout: c.Rollout, InParts: split, Parts: over}
-	if split {
-		e.Format, d.Draft = max(PartsFormat, c.Format), nil
+	r := &Revision{ID: ID{d.HighestVersion, digest}, Format: max(1, c.Format), Text: c.Text, Author: clip(c.Author), ProposedAt: c.At,
+		Exclusive: c.Exclusive, Scope: c.Scope, Rollout: c.Rollout, InParts: inParts, Parts: parts}
+	if inParts {
+		r.Format, d.Draft = max(PartsFormat, c.Format), nil
 	}
-	d.Proposed, d.Stage, d.HoldReason = e, StageProposed, clip(c.Reason)
+	d.Proposed, d.Stage, d.HoldReason = r, StageProposed, clip(c.Reason)
 	b.Documents[c.Doc] = d
 	return d, nil
 }
 
+// checkProposal names why a change can't be proposed, before its contents are looked at.
+func (b *Store) checkProposal(d *Document, c Change, inParts bool) error {
+	switch {
+	case c.Doc == "" || len(b.Documents) >= maxDocuments && b.Documents[c.Doc] == nil:
+		return fmt.Errorf("%d documents are all that there can be", maxDocuments)
+	case !inParts && d.Active != nil && d.Active.InParts:
+		return fmt.Errorf("%s is in parts: a whole text can't be put on it, silverpath rules put splits it", c.Doc)
+	case inParts && c.Text != "":
+		return fmt.Errorf("%s: a text beside parts", c.Doc)
+	case !inParts && (len(c.Text) > maxTextSize || c.Text == ""):
+		return fmt.Errorf("%s: %d bytes, of 1 to %d", c.Doc, len(c.Text), maxTextSize)
+	case d.Proposed != nil:
+		return fmt.Errorf("%w: version %d of %s is %s", ErrChangePending, d.Proposed.ID.Version, c.Doc, d.Stage)
+	case c.Version != d.activeVersion():
+		return fmt.Errorf("%w: %d of %s, not %d", ErrStaleBase, d.activeVersion(), c.Doc, c.Version)
+	}
+	return nil
+}
+
+// activeVersion is the version that is active, 0 for none.
+func (d *Document) activeVersion() int {
+	if d.Active == nil {
+		return 0
+	}
+	return d.Active.ID.Version
+}
+
 // revert makes the contents from before the version in force the next one. It goes the same way as any change.
 func (d *Document) revert(c Change) error {
 	if d.Active == nil || d.Active.ID.Version != c.Version {
--- a/internal/policy/configstore/replica.go
+++ b/internal/policy/configstore/replica.go
@@ -193,8 +193,9 @@
 	return take
 }
 
-// deliver checks and hands out what is here whole by now.
-func (h *Replica) deliver(now time.Duration, check func(name, text string) error) (take []Update) {
+// deliver checks what is proposed and returns what the process has to act on now: the active version, or the proposed one where the
+// process is a canary of it. Of a document in parts that is once all of them are here.
+func (h *Replica) deliver(now time.Duration, check func(name, text string) error) (updates []Update) {
 	for _, name := range slices.Sorted(maps.Keys(h.docs)) {
 		d := h.docs[name]
 		if d.proposed != nil && d.refusal.Version != d.proposed.ID.Version {
@@ -203,23 +204,30 @@
 				d.refusal = Refusal{d.proposed.ID.Version, err.Error()}
 			}
 		}
-		to, of := d.active, d.activeParts
+		to, parts := d.active, d.activeParts
 		if d.proposed != nil && d.stage == StageCanary && slices.Contains(d.proposed.Canaries, h.Name) {
-			to, of = d.proposed, d.proposedParts
+			to, parts = d.proposed, d.proposedParts
+		}
+		if to == nil || d.isDelivered(to) {
+			continue
 		}
 		switch {
-		case to == nil || d.activeVersion == to.ID.Version && (!to.InParts || d.delivered != nil && d.delivered.id == to.ID):
 		case !to.InParts:
 			d.activeVersion, d.delivered = to.ID.Version, nil
-			take = append(take, Update{Doc: name, Revision: to})
-		case of.isComplete() && of.id == to.ID:
-			t := Update{Doc: name, Revision: to}
-			t.Parts, t.Complete = d.changesTo(of)
-			d.activeVersion, d.delivered = to.ID.Version, of
-			take = append(take, t)
+			updates = append(updates, Update{Doc: name, Revision: to})
+		case parts.isComplete() && parts.id == to.ID:
+			u := Update{Doc: name, Revision: to}
+			u.Parts, u.Complete = d.changesTo(parts)
+			d.activeVersion, d.delivered = to.ID.Version, parts
+			updates = append(updates, u)
 		}
 	}
-	return take
+	return updates
+}
+
+// isDelivered reports whether the process was handed a version already.
+func (d *replicaDocument) isDelivered(r *Revision) bool {
+	return d.activeVersion == r.ID.Version && (!r.InParts || d.delivered != nil && d.delivered.id == r.ID)
 }
 
 // checkProposed checks a version that is under way: one in parts once it is here whole, and then again once in a while, as what a process
--- a/internal/policy/configstore/rollout.go
+++ b/internal/policy/configstore/rollout.go
@@ -97,3 +97,16 @@
 
 // MonitorAuthor is who takes back what made things worse.
 const MonitorAuthor = "the watch"
+
+// withdraw takes back a change that is not active yet. What the monitor withdraws from its canaries is not proposed again by mistake.
+func (d *Document) withdraw(c Change) {
+	d.Proposed.Outcome = clip("withdrawn: " + c.Reason)
+	if d.Stage == StageCanary && c.Author == MonitorAuthor {
+		d.rejectDigest(d.Proposed.ID.Digest)
+	}
+	if d.Proposed.RevertsTo > 0 {
+		d.Active.Outcome = "" // it stays after all
+	}
+	d.archive(d.Proposed)
+	d.Proposed, d.Stage, d.HoldReason = nil, "", ""
+}
