--- a/cmd/silverpath/crowd_test.go
+++ b/cmd/silverpath/crowd_test.go
@@ -12,8 +12,8 @@
 
 	"golang.org/x/sys/unix"
 
+	"silverpath/internal/builtinworker"
 	"silverpath/internal/testkit/benchmarks"
-	"silverpath/internal/testkit/standin"
 	"silverpath/internal/testkit/standin/faults"
 	"silverpath/internal/transport/msgpackrpc"
 )
@@ -24,8 +24,8 @@
 func TestIdleClientsFillTheDescriptors(t *testing.T) {
 	t.Parallel()
 	const most = 96
-	work, err := standin.Listen(standin.Config{Listen: "127.0.0.1:0", Cores: 8, Shape: standin.Shape{Knee: 8, Speed: 1},
-		Other: standin.Class{Least: 5 * time.Millisecond, Most: 10 * time.Millisecond}, RunFactor: 1, Seed: 1})
+	work, err := builtinworker.Listen(builtinworker.Config{Listen: "127.0.0.1:0", Cores: 8, Shape: builtinworker.Shape{Knee: 8, Speed: 1},
+		Other: builtinworker.Class{Least: 5 * time.Millisecond, Most: 10 * time.Millisecond}, RunFactor: 1, Seed: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/silverpath/durable_test.go
+++ b/cmd/silverpath/durable_test.go
@@ -20,12 +20,12 @@
 	"github.com/anishathalye/porcupine"
 	"go.etcd.io/bbolt"
 
+	"silverpath/internal/builtinworker"
 	"silverpath/internal/core"
 	"silverpath/internal/policy/idempotency"
 	"silverpath/internal/storage/heartbeat"
 	"silverpath/internal/storage/idempotencystore"
 	"silverpath/internal/testkit/benchmarks"
-	"silverpath/internal/testkit/standin"
 	"silverpath/internal/transport/client"
 	"silverpath/internal/transport/msgpackrpc"
 )
@@ -697,8 +697,8 @@
 // it, though the sheet now comes by a router of older rules.
 func TestMovedKeyOutlivesTheProcess(t *testing.T) {
 	t.Parallel()
-	m, err := standin.Listen(standin.Config{Listen: "127.0.0.1:0", Cores: 8, Shape: standin.Shape{Knee: 8, Speed: 1}, Audit: true,
-		Other: standin.Class{Least: time.Millisecond, Most: time.Millisecond}, RunFactor: 1})
+	m, err := builtinworker.Listen(builtinworker.Config{Listen: "127.0.0.1:0", Cores: 8, Shape: builtinworker.Shape{Knee: 8, Speed: 1}, Audit: true,
+		Other: builtinworker.Class{Least: time.Millisecond, Most: time.Millisecond}, RunFactor: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/silverpath/fleet_test.go
+++ b/cmd/silverpath/fleet_test.go
@@ -13,10 +13,10 @@
 
 	"github.com/anishathalye/porcupine"
 
+	"silverpath/internal/builtinworker"
 	"silverpath/internal/policy/cells"
 	"silverpath/internal/proxy"
 	"silverpath/internal/testkit/harness"
-	"silverpath/internal/testkit/standin"
 	"silverpath/internal/transport/client"
 )
 
@@ -154,7 +154,7 @@
 type testFleet struct {
 	t        testing.TB
 	names    []string
-	machines map[string]*standin.Interpreter
+	machines map[string]*builtinworker.Interpreter
 	servers  map[string]*process
 	files    map[string]string
 	edge     string
@@ -170,7 +170,7 @@
 func newFleetWith(t testing.TB, window time.Duration, edge string, env ...string) *testFleet {
 	t.Helper()
 	f := &testFleet{
-		t: t, names: []string{"s1", "s2", "s3", "s4"}, machines: map[string]*standin.Interpreter{}, servers: map[string]*process{},
+		t: t, names: []string{"s1", "s2", "s3", "s4"}, machines: map[string]*builtinworker.Interpreter{}, servers: map[string]*process{},
 		files: map[string]string{}, edge: write(t, "cell.json", edge),
 		Map: &cells.Map{
 			Version: 1, KeyWindow: window, MaxClockSkew: 200 * time.Millisecond, Lease: 900 * time.Millisecond, CallerTimeout: time.Second,
@@ -179,8 +179,8 @@
 		},
 	}
 	for n, name := range f.names {
-		i, err := standin.Listen(standin.Config{Listen: "127.0.0.1:0", Cores: 8, Shape: standin.Shape{Knee: 8, Speed: 1}, Audit: true,
-			Other: standin.Class{Least: 2 * time.Millisecond, Most: 60 * time.Millisecond}, RunFactor: 1, Seed: uint64(n + 1)})
+		i, err := builtinworker.Listen(builtinworker.Config{Listen: "127.0.0.1:0", Cores: 8, Shape: builtinworker.Shape{Knee: 8, Speed: 1}, Audit: true,
+			Other: builtinworker.Class{Least: 2 * time.Millisecond, Most: 60 * time.Millisecond}, RunFactor: 1, Seed: uint64(n + 1)})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -296,7 +296,7 @@
 	time.Sleep(200 * time.Millisecond)
 	servers["s1"] = spawn(t, "serve", "--config", files["s1"], "--edge", f.edge, "--listen", servers["s1"].addr)
 	for _, name := range []string{"s3", "s4"} { // the target can't carry it after all
-		machines[name].Play([]standin.Trouble{{Speed: 0.2, For: 3 * time.Second}})
+		machines[name].Play([]builtinworker.Trouble{{Speed: 0.2, For: 3 * time.Second}})
 	}
 	command("abort", "--tenant", "brand")
 	time.Sleep(4 * time.Second)
--- a/cmd/silverpath/group_test.go
+++ b/cmd/silverpath/group_test.go
@@ -17,6 +17,7 @@
 
 	"github.com/anishathalye/porcupine"
 
+	"silverpath/internal/builtinworker"
 	"silverpath/internal/controlplane/configwatch"
 	"silverpath/internal/controlplane/quorum"
 	"silverpath/internal/controlplane/quorum/member"
@@ -30,7 +31,6 @@
 	"silverpath/internal/proxy"
 	"silverpath/internal/settings"
 	"silverpath/internal/testkit/harness"
-	"silverpath/internal/testkit/standin"
 	"silverpath/internal/testkit/standin/faults"
 )
 
@@ -405,8 +405,8 @@
 	var list []cells.Server
 	members, _ := json.Marshal(g.Client.Addrs)
 	for i := range n {
-		m, err := standin.Listen(standin.Config{Listen: "127.0.0.1:0", Cores: 8, Shape: standin.Shape{Knee: 8, Speed: 1},
-			Other: standin.Class{Least: time.Millisecond, Most: 2 * time.Millisecond}, RunFactor: 1, Seed: uint64(i + 1)})
+		m, err := builtinworker.Listen(builtinworker.Config{Listen: "127.0.0.1:0", Cores: 8, Shape: builtinworker.Shape{Knee: 8, Speed: 1},
+			Other: builtinworker.Class{Least: time.Millisecond, Most: 2 * time.Millisecond}, RunFactor: 1, Seed: uint64(i + 1)})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -839,7 +839,7 @@
 		Cells:   []cells.Cell{{Name: "a", Capacity: 1000}, {Name: "b", Capacity: 1000}},
 		Tenants: []cells.Tenant{{Name: "brand", Rate: 10, Homes: []cells.Home{{Cell: "a"}}}}}
 	for i, cell := range []string{"a", "a", "a", "b"} {
-		vm, err := standin.Listen(standin.Config{Listen: "127.0.0.1:0", Cores: 8, Shape: standin.Shape{Knee: 8, Speed: 1}, RunFactor: 1, Seed: 1})
+		vm, err := builtinworker.Listen(builtinworker.Config{Listen: "127.0.0.1:0", Cores: 8, Shape: builtinworker.Shape{Knee: 8, Speed: 1}, RunFactor: 1, Seed: 1})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/testkit/standin/standin_test.go
+++ b/internal/builtinworker/interpreter_test.go
@@ -1,4 +1,4 @@
-package standin
+package builtinworker
 
 import (
 	"bufio"
--- a/internal/testkit/standin/plant.go
+++ b/internal/builtinworker/machine.go
@@ -1,8 +1,9 @@
-// Package standin has the outside systems that the project's own tests, measurements and first start need,
-// written from their public descriptions: an interpreter that speaks the platform's protocol over real sockets.
+// Package builtinworker is an interpreter of the project's own, which speaks the platform's protocol over real sockets, written
+// from its public description. A start without a configuration has its work done by it: what came is sent back, after as long as
+// the operators' own work typically takes. Tests and measurements use it as the interpreter too, with troubles put into it.
 //
-// This file is its machine: no I/O, no clock, no goroutine. Time comes in with every call.
-package standin
+// This file is its machine: no I/O, no clock, no goroutine. Time comes in with every call, counted from the start.
+package builtinworker
 
 import (
 	"math"
--- a/internal/policy/admission/limiter_test.go
+++ b/internal/policy/admission/limiter_test.go
@@ -7,13 +7,13 @@
 	"testing"
 	"time"
 
-	"silverpath/internal/testkit/standin"
+	"silverpath/internal/builtinworker"
 )
 
 // simulation is a machine under more load than it can take, in simulated time, whose runs a limiter holds back.
 type simulation struct {
 	limiter     Limiter
-	plant       *standin.Plant
+	plant       *builtinworker.Plant
 	rng         *rand.Rand
 	ceiling     float64
 	calls       time.Duration // each run leaves the cores once, half way, for so long
@@ -44,9 +44,9 @@
 
 const tick = 25 * time.Millisecond
 
-func newSimulation(l Limiter, shape standin.Shape, ceiling float64, seed uint64) *simulation {
+func newSimulation(l Limiter, shape builtinworker.Shape, ceiling float64, seed uint64) *simulation {
 	return &simulation{
-		limiter: l, plant: standin.NewPlant(16, shape), rng: rand.New(rand.NewPCG(seed, 2)), ceiling: ceiling,
+		limiter: l, plant: builtinworker.NewPlant(16, shape), rng: rand.New(rand.NewPCG(seed, 2)), ceiling: ceiling,
 		started: map[string]time.Duration{}, afterCall: map[string]bool{},
 	}
 }
@@ -179,12 +179,12 @@
 	{"usl", func(r Bounds) Limiter { return NewUSL(r) }},
 }
 
-var normal = standin.Shape{Knee: 12, Thrash: 1, Speed: 1}
+var normal = builtinworker.Shape{Knee: 12, Thrash: 1, Speed: 1}
 
 // searchResult is what a limiter made of a simulation: limits against the knee.
 type searchResult struct{ steady, work, halved, doubled, slow, after, maxMeanRuns float64 }
 
-func search(newLimiter func(Bounds) Limiter, shape standin.Shape, seeds uint64) (f searchResult, diagnoses []string) {
+func search(newLimiter func(Bounds) Limiter, shape builtinworker.Shape, seeds uint64) (f searchResult, diagnoses []string) {
 	for seed := range seeds {
 		e := newSimulation(newLimiter(Bounds{Min: 2}), shape, 16, seed)
 		change := func(knee, speed float64) {
@@ -221,8 +221,8 @@
 // The table of docs/design/pools.md: what each limiter makes of a knee, of its moving, and of a machine 9.9 times slower. Run it with -v
 // to see it. The hill climber is held to what the page says of it.
 func TestLimitersFollowTheKnee(t *testing.T) {
-	steep, quick := standin.Shape{Knee: 12, Thrash: 3, Speed: 1}, standin.Shape{Knee: 6, Thrash: 0.5, Speed: 2}
-	for _, shape := range []standin.Shape{normal, steep, quick} {
+	steep, quick := builtinworker.Shape{Knee: 12, Thrash: 3, Speed: 1}, builtinworker.Shape{Knee: 6, Thrash: 0.5, Speed: 2}
+	for _, shape := range []builtinworker.Shape{normal, steep, quick} {
 		var all []searchResult
 		for _, option := range limiters {
 			f, diagnoses := search(option.make, shape, 20)
--- a/internal/service/server.go
+++ b/internal/service/server.go
@@ -5,6 +5,7 @@
 	"fmt"
 	"time"
 
+	"silverpath/internal/builtinworker"
 	"silverpath/internal/controlplane/command"
 	"silverpath/internal/controlplane/configwatch"
 	"silverpath/internal/controlplane/quorum"
@@ -12,7 +13,6 @@
 	"silverpath/internal/events"
 	"silverpath/internal/policy/configstore"
 	"silverpath/internal/settings"
-	"silverpath/internal/testkit/standin"
 	"silverpath/internal/transport/interpreter"
 	"silverpath/internal/transport/scgi"
 	"silverpath/internal/transport/vault"
@@ -76,11 +76,11 @@
 
 // startBuiltinWorker starts the built-in worker, for a start without a configuration: an interpreter that sends back what came,
 // after as long as the operators' own work typically takes.
-func startBuiltinWorker(cfg settings.Config) (*standin.Interpreter, error) {
+func startBuiltinWorker(cfg settings.Config) (*builtinworker.Interpreter, error) {
 	n := cfg.Server.Cores
-	return standin.Listen(standin.Config{
-		Listen: "127.0.0.1:0", Cores: n, Shape: standin.Shape{Knee: float64(n), Thrash: 1, Speed: 1},
-		Other:    standin.Class{Least: 60 * time.Millisecond, Most: 100 * time.Millisecond},
+	return builtinworker.Listen(builtinworker.Config{
+		Listen: "127.0.0.1:0", Cores: n, Shape: builtinworker.Shape{Knee: float64(n), Thrash: 1, Speed: 1},
+		Other:    builtinworker.Class{Least: 60 * time.Millisecond, Most: 100 * time.Millisecond},
 		MemoryKB: cfg.Server.MemoryKB, RunFactor: cfg.Server.RunFactor, Seed: uint64(cfg.Seed),
 	})
 }
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -14,6 +14,7 @@
 	"sync"
 	"time"
 
+	"silverpath/internal/builtinworker"
 	"silverpath/internal/controlplane/command"
 	"silverpath/internal/controlplane/configwatch"
 	"silverpath/internal/core"
@@ -22,7 +23,6 @@
 	"silverpath/internal/settings"
 	"silverpath/internal/storage/heartbeat"
 	"silverpath/internal/storage/idempotencystore"
-	"silverpath/internal/testkit/standin"
 	"silverpath/internal/transport/admin"
 	"silverpath/internal/transport/interpreter"
 	"silverpath/internal/transport/listener"
@@ -60,7 +60,7 @@
 	interpreter   *interpreter.Link
 	vault         *vault.Client
 	router        *proxy.Runner
-	builtinWorker *standin.Interpreter // nil but in a start without a configuration
+	builtinWorker *builtinworker.Interpreter // nil but in a start without a configuration
 
 	// Each is nil where the edge file does not set it up, the last where the process shares no socket.
 	commands    *command.Orders         // takes the fleet's commands
--- a/internal/testkit/benchmarks/durable.go
+++ b/internal/testkit/benchmarks/durable.go
@@ -16,10 +16,10 @@
 	"testing"
 	"time"
 
+	"silverpath/internal/builtinworker"
 	"silverpath/internal/metrics"
 	"silverpath/internal/policy/idempotency"
 	"silverpath/internal/storage/idempotencystore"
-	"silverpath/internal/testkit/standin"
 	"silverpath/internal/transport/client"
 )
 
@@ -114,8 +114,8 @@
 
 // durableLoad has clients send new sheets one after the other, each on a connection of its own.
 func durableLoad(b *testing.B, bin string, env []string, clients int, name string, kept bool, gather time.Duration, disk string) {
-	m, err := standin.Listen(standin.Config{Listen: "127.0.0.1:0", Cores: 128, Shape: standin.Shape{Knee: 128, Thrash: 1, Speed: 1},
-		Other: standin.Class{Least: time.Millisecond, Most: 3 * time.Millisecond}, MemoryKB: 1 << 20, RunFactor: 4, Seed: 1})
+	m, err := builtinworker.Listen(builtinworker.Config{Listen: "127.0.0.1:0", Cores: 128, Shape: builtinworker.Shape{Knee: 128, Thrash: 1, Speed: 1},
+		Other: builtinworker.Class{Least: time.Millisecond, Most: 3 * time.Millisecond}, MemoryKB: 1 << 20, RunFactor: 4, Seed: 1})
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -245,8 +245,8 @@
 	for _, records := range []int{0, 10_000, 100_000, 1_000_000} {
 		dir := filepath.Join(b.TempDir(), "keys")
 		fill(b, dir, records)
-		m, err := standin.Listen(standin.Config{Listen: "127.0.0.1:0", Cores: 8, Shape: standin.Shape{Knee: 8, Thrash: 1, Speed: 1},
-			Other: standin.Class{Least: time.Millisecond, Most: time.Millisecond}, MemoryKB: 1 << 16, RunFactor: 4, Seed: 1})
+		m, err := builtinworker.Listen(builtinworker.Config{Listen: "127.0.0.1:0", Cores: 8, Shape: builtinworker.Shape{Knee: 8, Thrash: 1, Speed: 1},
+			Other: builtinworker.Class{Least: time.Millisecond, Most: time.Millisecond}, MemoryKB: 1 << 16, RunFactor: 4, Seed: 1})
 		if err != nil {
 			b.Fatal(err)
 		}
--- a/internal/testkit/benchmarks/fleet.go
+++ b/internal/testkit/benchmarks/fleet.go
@@ -11,9 +11,9 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
+	"silverpath/internal/builtinworker"
 	"silverpath/internal/policy/cells"
 	"silverpath/internal/proxy"
-	"silverpath/internal/testkit/standin"
 	"silverpath/internal/transport/client"
 )
 
@@ -23,7 +23,7 @@
 	site     Site
 	MapFile  string
 	Map      *cells.Map
-	Machines []*standin.Interpreter
+	Machines []*builtinworker.Interpreter
 	Servers  []*Process
 	Routers  []*Process
 	edge     func(dir string) string
@@ -62,9 +62,9 @@
 		f.Map.Cells = append(f.Map.Cells, cells.Cell{Name: c, Capacity: ServerRate()})
 	}
 	for n := range servers {
-		i, err := standin.Listen(standin.Config{
-			Listen: "127.0.0.1:0", Cores: fleetCores, Shape: standin.Shape{Knee: fleetCores, Thrash: 1, Speed: 1}, Audit: true,
-			Other: standin.Class{Least: fleetWork * 11 / 15, Most: fleetWork * 19 / 15}, MemoryKB: 65536, RunFactor: 4, Seed: uint64(n + 1),
+		i, err := builtinworker.Listen(builtinworker.Config{
+			Listen: "127.0.0.1:0", Cores: fleetCores, Shape: builtinworker.Shape{Knee: fleetCores, Thrash: 1, Speed: 1}, Audit: true,
+			Other: builtinworker.Class{Least: fleetWork * 11 / 15, Most: fleetWork * 19 / 15}, MemoryKB: 65536, RunFactor: 4, Seed: uint64(n + 1),
 		})
 		if err != nil {
 			return f, err
--- a/internal/testkit/benchmarks/lab.go
+++ b/internal/testkit/benchmarks/lab.go
@@ -19,8 +19,8 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
+	"silverpath/internal/builtinworker"
 	"silverpath/internal/testkit/harness"
-	"silverpath/internal/testkit/standin"
 	"silverpath/internal/transport/client"
 )
 
@@ -235,7 +235,7 @@
 }
 
 // Run sends a load at a service and an interpreter, with cheap calls beside it, and waits for the last answer.
-func (l Load) Run(p *Process, i *standin.Interpreter) (*Result, error) {
+func (l Load) Run(p *Process, i *builtinworker.Interpreter) (*Result, error) {
 	res := newResult()
 	var conns []*client.Conn
 	for range peers {
@@ -278,7 +278,7 @@
 }
 
 // one sends one request and counts its answer.
-func (l Load) one(c *client.Conn, i *standin.Interpreter, q client.Request, s Share, at time.Time, res *Result) (served bool) {
+func (l Load) one(c *client.Conn, i *builtinworker.Interpreter, q client.Request, s Share, at time.Time, res *Result) (served bool) {
 	i.Read(q.ID, q.HeldKB)
 	defer i.Release(q.ID)
 	sent := time.Now()
--- a/internal/testkit/benchmarks/owner.go
+++ b/internal/testkit/benchmarks/owner.go
@@ -20,6 +20,7 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
+	"silverpath/internal/builtinworker"
 	"silverpath/internal/controlplane/quorum/member"
 	"silverpath/internal/policy/cells"
 	"silverpath/internal/policy/controller"
@@ -28,7 +29,6 @@
 	"silverpath/internal/proxy"
 	"silverpath/internal/settings"
 	"silverpath/internal/testkit/harness"
-	"silverpath/internal/testkit/standin"
 	"silverpath/internal/testkit/standin/faults"
 )
 
@@ -145,7 +145,7 @@
 	bin     string
 	site    Site
 	homes   []string
-	vms     []*standin.Interpreter
+	vms     []*builtinworker.Interpreter
 }
 
 func (r *rig) Close() {
@@ -166,7 +166,7 @@
 	}
 	m := ownerMap()
 	for i := range n {
-		vm, err := standin.Listen(standin.Config{Listen: "127.0.0.1:0", Cores: 8, Shape: standin.Shape{Knee: 8, Speed: 1}, RunFactor: 1, Seed: uint64(i + 1)})
+		vm, err := builtinworker.Listen(builtinworker.Config{Listen: "127.0.0.1:0", Cores: 8, Shape: builtinworker.Shape{Knee: 8, Speed: 1}, RunFactor: 1, Seed: uint64(i + 1)})
 		if err != nil {
 			return r, err
 		}
--- a/internal/testkit/benchmarks/refusal.go
+++ b/internal/testkit/benchmarks/refusal.go
@@ -11,7 +11,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 
 	"silverpath/deploy"
-	"silverpath/internal/testkit/standin"
+	"silverpath/internal/builtinworker"
 	"silverpath/internal/transport/client"
 )
 
@@ -64,9 +64,9 @@
 	fmt.Println("\n| program | call | a second | sent | as wanted | CPU each | p50 | p99 | max |")
 	fmt.Println("|---|---|---|---|---|---|---|---|---|")
 	for _, v := range variants {
-		i, err := standin.Listen(standin.Config{
-			Listen: "127.0.0.1:0", Cores: cores, Shape: standin.Shape{Knee: cores, Speed: 1},
-			Other: standin.Class{Least: 100 * time.Millisecond, Most: 100 * time.Millisecond}, MemoryKB: site.MemoryKB, RunFactor: 4,
+		i, err := builtinworker.Listen(builtinworker.Config{
+			Listen: "127.0.0.1:0", Cores: cores, Shape: builtinworker.Shape{Knee: cores, Speed: 1},
+			Other: builtinworker.Class{Least: 100 * time.Millisecond, Most: 100 * time.Millisecond}, MemoryKB: site.MemoryKB, RunFactor: 4,
 		})
 		if err != nil {
 			b.Fatal(err)
@@ -135,7 +135,7 @@
 	fmt.Println("\n| pools and reserve | flood answered a second | worth | cheap n | p50 | p99 | p99.9 | max | lost |")
 	fmt.Println("|---|---|---|---|---|---|---|---|---|")
 	for _, edge := range []string{"", string(deploy.Edge)} {
-		i, err := machine(standin.Config{ReadWork: read})
+		i, err := machine(builtinworker.Config{ReadWork: read})
 		if err != nil {
 			b.Fatal(err)
 		}
--- a/internal/testkit/benchmarks/scaleparts.go
+++ b/internal/testkit/benchmarks/scaleparts.go
@@ -13,12 +13,12 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
+	"silverpath/internal/builtinworker"
 	"silverpath/internal/policy/cells"
 	"silverpath/internal/policy/configstore"
 	"silverpath/internal/proxy"
 	"silverpath/internal/settings"
 	"silverpath/internal/testkit/harness"
-	"silverpath/internal/testkit/standin"
 	"silverpath/internal/testkit/standin/faults"
 	"silverpath/internal/transport/client"
 )
@@ -264,7 +264,7 @@
 // serverCallers is a real server of a cell, whose health is asked for by callers that each speak as a router does.
 func (s *scale) serverCallers() error {
 	const every = time.Second
-	i, err := standin.Listen(standin.Config{Listen: "127.0.0.1:0", Cores: 8, Shape: standin.Shape{Knee: 8, Thrash: 1, Speed: 1}, MemoryKB: 65536, RunFactor: 4, Seed: 1})
+	i, err := builtinworker.Listen(builtinworker.Config{Listen: "127.0.0.1:0", Cores: 8, Shape: builtinworker.Shape{Knee: 8, Thrash: 1, Speed: 1}, MemoryKB: 65536, RunFactor: 4, Seed: 1})
 	if err != nil {
 		return err
 	}
--- a/internal/testkit/benchmarks/shared.go
+++ b/internal/testkit/benchmarks/shared.go
@@ -18,7 +18,7 @@
 
 	"github.com/valyala/fastjson"
 
-	"silverpath/internal/testkit/standin"
+	"silverpath/internal/builtinworker"
 	"silverpath/internal/transport/msgpackrpc"
 )
 
@@ -39,7 +39,7 @@
 	held     bool // the socket is; else each process opens the address
 	socket   *os.File
 	mu       sync.Mutex
-	machines []*standin.Interpreter // an address of the interpreter for each process: it tells only of the runs begun there
+	machines []*builtinworker.Interpreter // an address of the interpreter for each process: it tells only of the runs begun there
 }
 
 // Inherit prepares such a service, of a program that is started with more environment. Where the socket is not held, each
@@ -61,7 +61,7 @@
 }
 
 // all are the machines by now.
-func (s *Shared) all() []*standin.Interpreter {
+func (s *Shared) all() []*builtinworker.Interpreter {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Clone(s.machines)
@@ -86,8 +86,8 @@
 
 // Start starts a further process and returns once operators can call it.
 func (s *Shared) Start() *Generation {
-	m, err := standin.Listen(standin.Config{Listen: "127.0.0.1:0", Cores: 8, Shape: standin.Shape{Knee: 8, Thrash: 1, Speed: 1},
-		Other:    standin.Class{Least: time.Millisecond, Most: 40 * time.Millisecond},
+	m, err := builtinworker.Listen(builtinworker.Config{Listen: "127.0.0.1:0", Cores: 8, Shape: builtinworker.Shape{Knee: 8, Thrash: 1, Speed: 1},
+		Other:    builtinworker.Class{Least: time.Millisecond, Most: 40 * time.Millisecond},
 		MemoryKB: 1 << 16, RunFactor: 4, Seed: uint64(len(s.all()) + 1), Audit: true})
 	if err != nil {
 		s.t.Fatal(err)
@@ -228,7 +228,7 @@
 // Ask makes one try on a new connection.
 func (l *Sheets) Ask(sheet, id string) {
 	sent := time.Now()
-	ran := slices.ContainsFunc(l.s.all(), func(m *standin.Interpreter) bool { return m.Ran(sheet) })
+	ran := slices.ContainsFunc(l.s.all(), func(m *builtinworker.Interpreter) bool { return m.Ran(sheet) })
 	conn, err := net.DialTimeout("tcp", l.s.Addr, time.Second)
 	if err == nil {
 		defer conn.Close()
