--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -351,5 +351,6 @@
 		c.keys.evictExpired(now)
 	}
 	c.decide(func(m *silverpath.Shedder, now time.Duration) { m.Tick(now, c.gauges) })
+	c.reportUnread()
 	c.updatePools()
 }
--- a/internal/core/deadline_test.go
+++ b/internal/core/deadline_test.go
@@ -20,8 +20,9 @@
 	r.core.tickPending = false
 }
 
-// While the module is held up, as on a machine without a core to spare, what it does not answer is answered by its due time.
-func TestDueWhileTheModuleIsHeldUp(t *testing.T) {
+// A machine without a core to spare held the module up, and callers stopped waiting before their answer came. While the module
+// doesn't tick, the core answers each request by its deadline, once.
+func TestAnsweredByTheDeadlineWhileTheModuleIsHeldUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		counters := &metrics.Counters{}
 		c, err := New(Config{Name: "n1", MemoryMB: 64, Stats: counters, Log: log.New(io.Discard, "", 0),
--- a/internal/core/idempotency.go
+++ b/internal/core/idempotency.go
@@ -127,7 +127,7 @@
 func (e *keyEntry) duplicates(t *task, fingerprint uint64, freshFor time.Duration, now time.Time) bool {
 	if e.read {
 		x := e.latest
-		if x == nil || x.done && !(x.succeeded && now.Sub(x.endedAt) <= freshFor) {
+		if x == nil || x.done && (!x.succeeded || now.Sub(x.endedAt) > freshFor) {
 			return false
 		}
 		t.duplicateOf = x
--- a/internal/core/idempotency_test.go
+++ b/internal/core/idempotency_test.go
@@ -17,9 +17,9 @@
 	return &task{Request: Request{ID: id, Class: "oddaja", Key: "k", ReceivedAt: reached, Deadline: reached.Add(4 * time.Second)}, class: sheets}
 }
 
-// A try is linked to the run inside whose window it reached the machine, however late it is read, and also when
-// it reached the machine before the one that ran.
-func TestLateReadTryIsLinked(t *testing.T) {
+// An attempt that was read late found its window over, and ran again. It is a duplicate of the run inside whose window it reached
+// the machine, however late it is read, and also when it reached the machine before the one that ran.
+func TestAttemptReadLateIsADuplicate(t *testing.T) {
 	k, t0 := newKeyTable(1<<20), time.Unix(1000, 0)
 	first := tryAt("a", t0)
 	k.resolve(first, 0, t0)
@@ -41,9 +41,10 @@
 	}
 }
 
-// What has the key of another request but is not the same gets no result of it: the held one's, the running
-// one's or the kept one's; it neither takes the key over nor keeps the next true try from its result.
-func TestStranger(t *testing.T) {
+// Two requests came with one key by mistake, and one had the other's result. What has the key of another request but is not the
+// same gets no result of it, whether that is queued, runs or has run; it neither takes the key over nor keeps the next true
+// attempt from its result.
+func TestKeyConflict(t *testing.T) {
 	k, t0 := newKeyTable(1<<20), time.Unix(1000, 0)
 	first := tryAt("a", t0)
 	first.Body = []byte("sheet")
@@ -69,7 +70,7 @@
 	check("done")
 }
 
-// A tenant that the site does not know is turned away before it takes a place, where the site names its tenants.
+// Where the site names its tenants, one that it does not know is turned away before it takes a place.
 func TestUnknownTenant(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c, err := New(Config{MemoryMB: 64, Log: log.New(io.Discard, "", 0), Settings: silverpath.Settings{
@@ -93,8 +94,8 @@
 	})
 }
 
-// A newer try that never runs must not make the table forget what did: else a late try would run again.
-func TestDroppedHolderLeavesTheRun(t *testing.T) {
+// A newer attempt that never runs must not make the table forget what did: else a late attempt would run again.
+func TestForgottenAttemptLeavesTheLatestRun(t *testing.T) {
 	k, t0 := newKeyTable(1<<20), time.Unix(1000, 0)
 	first := tryAt("a", t0)
 	k.resolve(first, 0, t0)
@@ -109,7 +110,7 @@
 	}
 }
 
-// Keys and results are bounded: at the bound new keys find no room, and time makes room again.
+// Keys and results are bounded: at the bound new keys are turned away, until those before them expire.
 func TestKeysAreBounded(t *testing.T) {
 	k, t0 := newKeyTable(64<<10), time.Unix(1000, 0)
 	n := 0
@@ -141,8 +142,9 @@
 func (m *misled) Resume(string, []byte)      {}
 func (m *misled) Probe()                     {}
 
-// The core's own guard keeps an effect from running twice, whatever the module asks.
-func TestGuard(t *testing.T) {
+// Whatever the module asks for, by a mistake of its own or of the host's, the core starts no second run of a request with an
+// effect, none after the drain window, and none whose answer is settled; the counter guard shows it.
+func TestNoEffectRunsTwice(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c, err := New(Config{MemoryMB: 64, Log: log.New(io.Discard, "", 0), Settings: silverpath.Settings{
 			Cores: 4, MemoryKB: 10000, MaxRunsPerCore: 8, Classes: []silverpath.Class{sheets}}})
@@ -182,8 +184,8 @@
 	})
 }
 
-// Bounds of the process itself: what is beyond them is turned away at once.
-func TestTooMany(t *testing.T) {
+// More requests in hand than the process has memory for would end it: what is beyond the bound is rejected at once.
+func TestRequestsInHandAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c, err := New(Config{MemoryMB: 64, Log: log.New(io.Discard, "", 0), Settings: silverpath.Settings{
 			Cores: 1, MemoryKB: 1e9, MaxRunsPerCore: 1000, Classes: []silverpath.Class{sheets}}})
@@ -210,9 +212,9 @@
 	})
 }
 
-// Operators give a class another name while its requests are tried again: the try under the new name is a try of the
-// same request, whether the first one is held, runs or has ended.
-func TestTryUnderAnotherClass(t *testing.T) {
+// Operators gave a class another name while its requests were retried, and the retry ran again. The attempt under the new name is
+// one of the same request, whether the first one is queued, runs or has ended.
+func TestRetryUnderARenamedClass(t *testing.T) {
 	k, t0 := newKeyTable(1<<20), time.Unix(1000, 0)
 	first := tryAt("a", t0)
 	k.resolve(first, 0, t0)
--- a/internal/core/lifecycle.go
+++ b/internal/core/lifecycle.go
@@ -9,17 +9,18 @@
 	"silverpath/internal/policy/lifecycle"
 )
 
-// phases is the service's one state. It has a lock of its own, held for a look at a table, so that an operator's
-// call never waits for a decision of the module.
+// lifecycleState is the phase of the service. It has a lock of its own, held for a look at a table, so that an operator's call
+// never waits for a decision of the module.
 type lifecycleState struct {
 	log   *log.Logger
 	mu    sync.Mutex
 	state atomic.Int32
 }
 
+// current is the present phase.
 func (p *lifecycleState) current() lifecycle.State { return lifecycle.State(p.state.Load()) }
 
-// happens takes an event and says what became of it.
+// apply takes an event and returns what became of it.
 func (p *lifecycleState) apply(e lifecycle.Event) lifecycle.Answer {
 	p.mu.Lock()
 	was := p.current()
@@ -51,6 +52,7 @@
 // Rejoin ends such a drain.
 func (c *Core) Rejoin() (bool, string) { return c.operator(lifecycle.Rejoin) }
 
+// operator applies an operator's event and tells the other process of a pair.
 func (c *Core) operator(e lifecycle.Event) (bool, string) {
 	a := c.lifecycle.apply(e)
 	if a.Yes && c.pair != nil {
@@ -59,7 +61,7 @@
 	return a.Yes, a.Why
 }
 
-// rise makes the service serve once its runner is up and, of two processes, this one may take requests. It is called
+// serveIfReady makes the service serve once its runner is up and, of two processes, this one may take requests. It is called
 // under the lock.
 func (c *Core) serveIfReady() {
 	waits := c.pair != nil && !c.pair.side.May()
--- a/internal/core/notify_test.go
+++ b/internal/core/notify_test.go
@@ -12,9 +12,10 @@
 	"silverpath/internal/policy/hotrestart"
 )
 
-// Before a run begins the other process has heard of it as far as it has to: what is to be written is written, where that fails
-// a mark is left, and where that fails too the run does not begin.
-func TestToldBeforeARun(t *testing.T) {
+// A process that dies with a run of which the other knows nothing would let a retry run again there. Before a run begins the other
+// process has been notified as far as it has to: what is to be written is written, where that fails a mark is left, and where that
+// fails too the run does not begin.
+func TestPeerIsNotifiedBeforeARun(t *testing.T) {
 	no := errors.New("no")
 	for name, x := range map[string]struct {
 		note            hotrestart.Note
@@ -49,8 +50,9 @@
 	}
 }
 
-// What a core bounds of its settings is its own: the caller may give the same classes to another one.
-func TestBoundedIsItsOwn(t *testing.T) {
+// Two services of one process had the same slice of classes, and one changed the other's. What a core changes of its settings is
+// its own.
+func TestSupportedSettingsCopyTheClasses(t *testing.T) {
 	given := silverpath.Settings{Cores: 1, MemoryKB: 1e6, Classes: []silverpath.Class{
 		{Name: "x", Objective: time.Second, Deadline: time.Second, Weight: 1, DegradedWeight: 0.5}}}
 	if own := supportedSettings(given); own.Classes[0].DegradedWeight != 0 || given.Classes[0].DegradedWeight != 0.5 {
--- a/internal/core/peer_test.go
+++ b/internal/core/peer_test.go
@@ -1,6 +1,7 @@
 package core
 
 import (
+	"errors"
 	"fmt"
 	"io"
 	"log"
@@ -22,7 +23,6 @@
 	stamp int64
 	alone bool // as its core was told
 	tries map[string][]*task
-	out   bool // evacuated, as its operators were told
 }
 
 // world is two places, what is on the wire between them, and what has run since both were last empty.
@@ -114,12 +114,12 @@
 	w.wire[i] = w.wire[i][1:]
 	clear, marks, err := h.c.PairMessage(m)
 	if err != nil {
-		switch err {
-		case hotrestart.ErrOther:
+		switch {
+		case errors.Is(err, hotrestart.ErrOther):
 			w.gone(i)
 			w.cut(i)
 			h.c.PairOther()
-		case hotrestart.ErrStale:
+		case errors.Is(err, hotrestart.ErrStale):
 			w.cut(i)
 		default:
 			w.t.Fatalf("a message is refused: %v", err)
@@ -145,7 +145,7 @@
 		m := rest[0]
 		w.wire[other] = rest[1:]
 		if _, _, err := w.procs[other].c.PairMessage(m); err != nil {
-			if broke = true; err == hotrestart.ErrOther {
+			if broke = true; errors.Is(err, hotrestart.ErrOther) {
 				w.gone(other)
 			}
 			break
@@ -357,10 +357,10 @@
 	}
 }
 
-// Whatever the order in which processes start, die, lose their link, say nothing, and tries come to either: no key runs
-// twice, no repeat gets another result than the run's, and in the end there is one elder, both are ready, and
-// both say the same of an evacuation.
-func TestPairOrders(t *testing.T) {
+// Whatever the order in which processes start, die, lose their link or go silent, and attempts come to either: no key runs twice,
+// no duplicate gets another result than the run's, and in the end there is one elder, both are ready, and both say the same of an
+// evacuation.
+func TestRandomOrdersOfAPair(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := &world{t: t, marks: map[int64]bool{}, ran: map[string]string{}, now: time.Now()}
 		w.start(0)
@@ -401,7 +401,7 @@
 
 // The orders that random ones seldom come to, each with what must not happen in it: a step, its place, and a key. After
 // "held" the key is in the hold of that process and would run there, after "none" it is not, and "sees" is not blind.
-func TestPairScripts(t *testing.T) {
+func TestRareOrdersOfAPair(t *testing.T) {
 	for name, script := range map[string]string{
 		"the elder runs without a link, dies, and the repeat goes to the younger": "start1 heal0 cut0 try0a run0a kill0 look1 try1a none1a heal1",
 		"the link breaks as the elder's note is written":                          "start1 heal0 try0a runcut0a kill0 look1 try1a none1a heal1",
--- a/internal/core/pools.go
+++ b/internal/core/pools.go
@@ -11,13 +11,13 @@
 	"silverpath/internal/policy/admission"
 )
 
-// guard is the pools as the module asks them.
+// poolGuard is the pools as the module asks them, with the process's own memory, which the module isn't told of.
 type poolGuard struct {
 	*admission.Controller
-	memoryBytes float64 // bytes that the process may have
+	memoryBytes float64 // that the process may have
 	sample      []metrics.Sample
-	sampledAt   time.Duration // of the last look at the process's own memory
-	memoryShare float64
+	sampledAt   time.Duration // when memoryShare was read
+	memoryShare float64       // of memoryBytes, in use
 }
 
 var _ silverpath.Pools = (*poolGuard)(nil)
@@ -32,10 +32,12 @@
 	}}, nil
 }
 
+// Moved takes where a request has come to be.
 func (g *poolGuard) Moved(now time.Duration, id, class string, to silverpath.Place) {
 	g.Controller.Moved(now, id, class, admission.RequestState(to))
 }
 
+// Tick takes the module's own limit of runs and the gauges.
 func (g *poolGuard) Tick(now time.Duration, ceiling float64, gauges silverpath.Gauges) {
 	if now-g.sampledAt >= poolsInterval {
 		g.sampledAt = now
@@ -46,75 +48,80 @@
 }
 
 const (
-	poolsInterval    = 100 * time.Millisecond // at the process's own memory, and for what operators see
-	limitLogChange   = 0.25                   // part by which the limit must have moved to be logged again
-	limitLogInterval = 5 * time.Second        // and the least time between two such lines
+	// poolsInterval is the time between two readings of the process's own memory, and two updates of what operators see: a
+	// reading walks over the runtime's statistics, which is too much for each tick.
+	poolsInterval = 100 * time.Millisecond
+	// limitLogChange is how far the limit must have moved since it was logged last, as the logarithm of the ratio: by a
+	// quarter. Its search moves it by less all the time.
+	limitLogChange = 0.25
+	// limitLogInterval is the least time between two such lines.
+	limitLogInterval = 5 * time.Second
 )
 
-// door is one class's door, beside what who is turned away there is told.
+// gate is one class's gate: while it is closed, requests of the class are rejected before they are read in full.
 type gate struct {
 	admission.ArrivalGate
-	rejection   atomic.Pointer[Answer] // the module's latest refusal
-	closedUntil atomic.Int64           // nanoseconds of the core's clock until which it is; read without the lock
-	unread      atomic.Int64           // since the module last heard
+	rejection   atomic.Pointer[Answer] // the module's latest, which those are given
+	closedUntil atomic.Int64           // nanoseconds of the core's clock; read without the lock
+	unread      atomic.Int64           // requests rejected so since the module was told last
 }
 
-// doors are the doors by class. A map that is in use is never changed.
+// gates are the gates by class. A map that is in use is never changed.
 type gates map[string]*gate
 
 func (c *Core) allGates() gates {
-	if d := c.gates.Load(); d != nil {
-		return *d
+	if g := c.gates.Load(); g != nil {
+		return *g
 	}
 	return nil
 }
 
 func (c *Core) gateOf(class string) *gate { return c.allGates()[class] }
 
-// hang gives every class of the settings its door; those that had one keep it.
+// setGates gives every class of the settings its gate, but for those whose requests may be duplicates of one that has run: these
+// must always be read. A class that had a gate keeps it.
 func (c *Core) setGates(set silverpath.Settings) {
-	d := gates{}
+	g := gates{}
 	for _, k := range set.Classes {
 		if k.Effect != silverpath.Safe || set.FreshFor != 0 {
 			continue
 		}
-		if d[k.Name] = c.gateOf(k.Name); d[k.Name] == nil {
-			d[k.Name] = &gate{}
+		if g[k.Name] = c.gateOf(k.Name); g[k.Name] == nil {
+			g[k.Name] = &gate{}
 		}
 	}
-	c.gates.Store(&d)
+	c.gates.Store(&g)
 }
 
-// Shut reports whether a request of a class is to be turned away before it is read in full, and with which answer. It
-// takes no lock. The module has decided so for those just before it; a class whose requests may be repeats of one that
-// has run is always read.
+// RejectsUnread reports whether a request of a class is to be rejected before it is read in full, and with which answer. Fronts
+// ask it; it takes no lock. The module has decided so for those just before it.
 func (c *Core) RejectsUnread(front, class string) (Answer, bool) {
-	d := c.gateOf(class)
-	if d == nil || int64(c.clock()) >= d.closedUntil.Load() {
+	g := c.gateOf(class)
+	if g == nil || int64(c.clock()) >= g.closedUntil.Load() {
 		return Answer{}, false
 	}
-	d.unread.Add(1)
+	g.unread.Add(1)
 	c.stats.Inc("unread", front, class)
-	return *d.rejection.Load(), true
+	return *g.rejection.Load(), true
 }
 
-// knock tells a door what the module has said to an arrival.
+// updateGate tells a gate what the module has decided on an arrival. It is called under the lock.
 func (c *Core) updateGate(t *task) {
-	d := c.gateOf(t.Class)
-	if d == nil {
+	g := c.gateOf(t.Class)
+	if g == nil {
 		return
 	}
 	now := c.clock()
 	if a, refused := t.rejection(); refused {
-		d.rejection.Store(&a)
-		d.Rejected(now)
+		g.rejection.Store(&a)
+		g.Rejected(now)
 	} else {
-		d.Accepted()
+		g.Accepted()
 	}
-	d.closedUntil.Store(int64(d.ClosedUntil()))
+	g.closedUntil.Store(int64(g.ClosedUntil()))
 }
 
-// refusal is the answer by which a request was turned away, if it was.
+// rejection is the answer by which a request that has just arrived was rejected, if it was.
 func (t *task) rejection() (Answer, bool) {
 	if n := len(t.events); n > 0 && t.events[n-1].kind == answerSettled && t.events[n-1].answer.Outcome == Rejected {
 		return t.events[n-1].answer, true
@@ -122,14 +129,17 @@
 	return Answer{}, false
 }
 
-// watch keeps what operators see of the pools, tells the module who was turned away unread, and logs what changed. It
-// is called under the lock, at every tick.
-func (c *Core) updatePools() {
-	for class, d := range c.allGates() {
-		if n := d.unread.Swap(0); n > 0 {
+// reportUnread tells the module how many were rejected unread. It is called under the lock, at every tick.
+func (c *Core) reportUnread() {
+	for class, g := range c.allGates() {
+		if n := g.unread.Swap(0); n > 0 {
 			c.decide(func(m *silverpath.Shedder, now time.Duration) { m.RejectedUnread(now, class, int(n)) })
 		}
 	}
+}
+
+// updatePools keeps what operators see of the pools, and logs what changed. It is called under the lock, at every tick.
+func (c *Core) updatePools() {
 	now := c.clock()
 	if c.pools == nil || now-c.poolsSeenAt < poolsInterval {
 		return
@@ -153,7 +163,8 @@
 	}
 }
 
-// ReloadPools takes up other pools, weights, floors and memory stages under load. No run is lost.
+// ReloadPools takes up other pools, weights, floors and memory stages under load. No run is lost. The error is that of
+// admission.Controller.Reload.
 func (c *Core) ReloadPools(cfg admission.Config) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -163,10 +174,10 @@
 	return c.pools.Reload(cfg)
 }
 
-// MostBody is the largest body that a front takes now, of the largest that it ever takes.
-func (c *Core) MaxBody(most int) int {
+// MaxBody is the largest body that a front takes now, in bytes, of the largest that it ever takes: less while memory is short.
+func (c *Core) MaxBody(limit int) int {
 	if p := c.published.Load().Pools; p != nil {
-		return p.Memory.MaxBody(most)
+		return p.Memory.MaxBody(limit)
 	}
-	return most
+	return limit
 }
--- a/internal/core/pools_test.go
+++ b/internal/core/pools_test.go
@@ -93,9 +93,10 @@
 	go c.Serve(Request{Front: "test", ID: id, Class: class, MemoryKB: 1, ReceivedAt: now, Deadline: now.Add(4 * time.Second)}, answer)
 }
 
-// While a flood of a class is turned away on arrival its door is shut: what comes then is refused unread, the module
-// hears of it, and a sheets class, whose requests may be repeats, is always read.
-func TestDoorShutsInAFlood(t *testing.T) {
+// A flood that was rejected only once it was read in full took the cores from what could be served. While a class is rejected on
+// arrival its gate is closed: what comes then is rejected unread, the module is told, and a class of idempotent requests, which may
+// be duplicates, is always read.
+func TestGateClosesInAFlood(t *testing.T) {
 	pooled(t, two(), func(c *Core, r *busyRunner, s *metrics.Counters, _ func() string) {
 		for round := range 10 { // so that the module knows what a run takes
 			for i := range 2 {
@@ -134,7 +135,7 @@
 	})
 }
 
-// Status tells of the pools, and the log of what changes in them.
+// The status shows the pools, and the log what changes in them.
 func TestStatusAndLog(t *testing.T) {
 	pooled(t, two(), func(c *Core, r *busyRunner, _ *metrics.Counters, logged func() string) {
 		for i := range 6 {
@@ -165,9 +166,9 @@
 	})
 }
 
-// With the booked memory at 95% nothing new is taken, and the repeats of a sheet that has run are answered from what is
-// kept: never refused, never run again.
-func TestRepeatsWhileMemoryIsCritical(t *testing.T) {
+// With the booked memory at 95% nothing new is taken, and duplicates of a request that has run are answered from what is kept:
+// never rejected, never run again.
+func TestDuplicatesWhileMemoryIsCritical(t *testing.T) {
 	pooled(t, two(), func(c *Core, r *busyRunner, _ *metrics.Counters, _ func() string) {
 		try := func(id, key string) Answer {
 			got := make(chan Answer, 1)
@@ -207,9 +208,9 @@
 	})
 }
 
-// A drain while the share of the sheets is lent out: a sheet that still comes inside the window gets its run as soon as one of
-// the borrowers ends, what comes after the window is not run, and nothing stays unanswered.
-func TestDrainWhileSharesAreLent(t *testing.T) {
+// A drain while the idempotent requests' part of the runs is lent out: one that still comes inside the window gets its run as soon
+// as one of the borrowers ends, what comes after the window is not run, and nothing stays unanswered.
+func TestDrainWhileConcurrencyIsLent(t *testing.T) {
 	pooled(t, two(), func(c *Core, r *busyRunner, _ *metrics.Counters, _ func() string) {
 		var mu sync.Mutex
 		got := map[string]Outcome{}
--- a/internal/core/rules.go
+++ b/internal/core/rules.go
@@ -13,8 +13,8 @@
 // Unfenced leaves the fence of the rules out, in test programs only, which show the harm that it keeps away.
 var Unfenced = false
 
-// Heard takes what a router says of its rules as it looks after this server: which document it goes by, from which source, and
-// the terms that it names.
+// ObserveRules takes what a router says of its rules in a health check of this server: which document it goes by, from which
+// source, and the terms that it names.
 func (c *Core) ObserveRules(id, source string, terms configstore.Terms) {
 	of, ok := configstore.ParseID(id)
 	if !ok || !c.cell || Unfenced {
@@ -28,7 +28,7 @@
 	c.stats.Set(uint64(c.observedRules.LongestOutdated().Milliseconds()), "rules", "longest_ms")
 }
 
-// heard is called under the lock.
+// observeRules notes a document that a router names, and logs a newer one or a contradiction. It is called under the lock.
 func (c *Core) observeRules(of configstore.ID, source string) {
 	was, _ := c.observedRules.Newest()
 	switch c.observedRules.Observe(c.clock(), of, source) {
@@ -41,7 +41,12 @@
 	}
 }
 
-// judge tells why nothing new may begin by the rules that a sheet was sent by, empty for nothing. It is called under the lock.
+// blockReason is why nothing new may begin by the rules that an idempotent request was sent by, empty for nothing. It is called
+// under the lock.
+//
+// It guards against a router that goes by older rules than others: it would send a request to a server that no longer owns the
+// key, and the request would run twice. The guard holds as each server knows the newest document that any router has named to
+// it, and rejects what an older one sent; and where nothing has been heard of the rules for long, nothing new begins at all.
 func (c *Core) blockReason(r *Request) string {
 	if bar := c.blockRule.Load(); bar != nil && !Unfenced {
 		if why := (*bar)(r.Class, r.Tenant); why != "" {
@@ -63,10 +68,11 @@
 	return v.String()
 }
 
-// Bar sets who is asked why no sheet of a class and a tenant begins; empty where one may. It is called before the first request.
+// SetBlockRule sets who is asked why no idempotent request of a class and a tenant begins; empty where one may. It is called before
+// the first request.
 func (c *Core) SetBlockRule(why func(class, tenant string) string) { c.blockRule.Store(&why) }
 
-// RulesTold is what a router is told of the rules that this server has heard of, as names and values in turn.
+// RulesNotice is what a router is told of the rules that this server has observed, as names and values in turn.
 func (c *Core) RulesNotice() (pairs []string) {
 	if !c.cell || Unfenced {
 		return nil
@@ -85,14 +91,14 @@
 	return pairs
 }
 
-// rulesStatus is what this server knows of the rules, for operators.
+// rulesStatus is what this server has observed of the rules, for operators.
 func (c *Core) rulesStatus(a *fastjson.Arena) *fastjson.Value {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return RulesStatus(a, &c.observedRules, c.clock())
 }
 
-// RulesStatus is what a process has heard of the rules, for operators.
+// RulesStatus is what a process has observed of the rules, for operators.
 func RulesStatus(a *fastjson.Arena, s *configstore.VersionTracker, now time.Duration) *fastjson.Value {
 	o := a.NewObject()
 	if top, ok := s.Newest(); ok {
--- a/internal/core/settings.go
+++ b/internal/core/settings.go
@@ -6,8 +6,9 @@
 	"silverpath"
 )
 
-// bounded are the settings as this host can keep them: the interpreter's protocol stops no run and goes on without no
-// call, whatever a site would allow.
+// supportedSettings are the settings as this host can keep them: the interpreter's protocol has no way to stop a run, nor to go
+// on without a call, whatever a site would allow. The slice of classes is copied, as another service in the process may have the
+// same.
 func supportedSettings(set silverpath.Settings) silverpath.Settings {
 	set.Preemption = silverpath.PreemptNone
 	set.Classes = append([]silverpath.Class(nil), set.Classes...)
@@ -17,7 +18,8 @@
 	return set
 }
 
-// Retune takes up other settings, whole or not at all. Requests in hand keep the class they came with.
+// Reconfigure takes up other settings, whole or not at all. Requests in hand keep the class they came with. The error names the
+// field that no server can have.
 func (c *Core) Reconfigure(settings silverpath.Settings) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/core/status.go
+++ b/internal/core/status.go
@@ -6,9 +6,11 @@
 	"time"
 
 	"github.com/valyala/fastjson"
+
+	"silverpath/internal/policy/admission"
 )
 
-// TellsStatus reports whether fronts answer requests for the state of the service.
+// ServesStatus reports whether fronts answer requests for the state of the service.
 func (c *Core) ServesStatus() bool { return c.servesStatus }
 
 // Status is the state of the service as a JSON object. Like everything cheap it reads the view, not the module.
@@ -16,15 +18,9 @@
 	v := c.View()
 	var a fastjson.Arena
 	o := a.NewObject()
-	truth := func(b bool) *fastjson.Value {
-		if b {
-			return a.NewTrue()
-		}
-		return a.NewFalse()
-	}
 	o.Set("name", a.NewString(c.name))
 	o.Set("phase", a.NewString(v.Phase.String()))
-	o.Set("health", truth(v.Health))
+	o.Set("health", boolean(&a, v.Health))
 	o.Set("up_s", a.NewNumberFloat64(time.Since(c.startedAt).Round(time.Millisecond).Seconds()))
 	o.Set("owed", a.NewNumberInt(v.PendingAnswers))
 	o.Set("in_hand", a.NewNumberInt(v.InHand))
@@ -33,37 +29,10 @@
 		g.Set(name, a.NewNumberFloat64(v.Gauges[i]))
 	}
 	o.Set("gauges", g)
-	if p := v.Pools; p != nil {
-		o.Set("limit", numbers(&a, "runs", p.RunLimit, "all", p.TotalLimit, "ceiling", p.Ceiling, "on_cores", float64(p.Running)))
-		o.Get("limit").Set("belief", a.NewString(p.Diagnosis))
-		o.Set("memory", numbers(&a, "booked", p.BookedMemory, "process", p.ProcessMemory))
-		o.Get("memory").Set("stage", a.NewString(p.Memory.String()))
-		list := a.NewArray()
-		for i, q := range p.Pools {
-			e := numbers(&a, "weight", q.Weight, "floor", q.Floor, "used", float64(q.Running), "waiting", float64(q.Queued),
-				"want", q.Demand, "claim", q.Entitlement, "granted", float64(q.Started), "lent", float64(q.Borrowed),
-				"turned", float64(q.Rejected))
-			e.Set("name", a.NewString(q.Name))
-			e.Set("starving", truth(q.Starving))
-			list.SetArrayItem(i, e)
-		}
-		o.Set("pools", list)
+	if v.Pools != nil {
+		setPools(&a, o, v.Pools)
 	}
-	times := a.NewObject()
-	for _, t := range c.stats.Timings() {
-		p50, n := t.Quantile(50)
-		p99, _ := t.Quantile(99)
-		longest, _ := t.Quantile(100)
-		times.Set(t.Name, numbers(&a, "n", float64(n), "p50_us", float64(p50.Microseconds()),
-			"p99_us", float64(p99.Microseconds()), "max_us", float64(longest.Microseconds())))
-	}
-	for _, h := range []struct{ name, metric string }{
-		{"run_queue", "/sched/latencies:seconds"}, {"collector", "/sched/pauses/total/gc:seconds"},
-	} {
-		n, p50, p99, most := quantiles(h.metric)
-		times.Set(h.name, numbers(&a, "n", float64(n), "p50_us", p50*1e6, "p99_us", p99*1e6, "max_us", most*1e6))
-	}
-	o.Set("timings", times)
+	o.Set("timings", c.timings(&a))
 	allocs := []metrics.Sample{{Name: "/gc/heap/allocs:objects"}}
 	if metrics.Read(allocs); allocs[0].Value.Kind() == metrics.KindUint64 {
 		o.Set("allocations", a.NewNumberFloat64(float64(allocs[0].Value.Uint64())))
@@ -79,8 +48,52 @@
 	return o.MarshalTo(nil)
 }
 
-// quantiles reads a histogram of the runtime's own: how long goroutines waited to run, or the collector stopped all.
-func quantiles(metric string) (n uint64, p50, p99, most float64) {
+// setPools adds the limit of runs, the memory and each pool.
+func setPools(a *fastjson.Arena, o *fastjson.Value, p *admission.Snapshot) {
+	o.Set("limit", numbers(a, "runs", p.RunLimit, "all", p.TotalLimit, "ceiling", p.Ceiling, "on_cores", float64(p.Running)))
+	o.Get("limit").Set("belief", a.NewString(p.Diagnosis))
+	o.Set("memory", numbers(a, "booked", p.BookedMemory, "process", p.ProcessMemory))
+	o.Get("memory").Set("stage", a.NewString(p.Memory.String()))
+	list := a.NewArray()
+	for i, q := range p.Pools {
+		e := numbers(a, "weight", q.Weight, "floor", q.Floor, "used", float64(q.Running), "waiting", float64(q.Queued),
+			"want", q.Demand, "claim", q.Entitlement, "granted", float64(q.Started), "lent", float64(q.Borrowed),
+			"turned", float64(q.Rejected))
+		e.Set("name", a.NewString(q.Name))
+		e.Set("starving", boolean(a, q.Starving))
+		list.SetArrayItem(i, e)
+	}
+	o.Set("pools", list)
+}
+
+// timings are the latencies that the process measures of itself: its own, and the runtime's.
+func (c *Core) timings(a *fastjson.Arena) *fastjson.Value {
+	times := a.NewObject()
+	for _, t := range c.stats.Timings() {
+		p50, n := t.Quantile(50)
+		p99, _ := t.Quantile(99)
+		longest, _ := t.Quantile(100)
+		times.Set(t.Name, numbers(a, "n", float64(n), "p50_us", float64(p50.Microseconds()),
+			"p99_us", float64(p99.Microseconds()), "max_us", float64(longest.Microseconds())))
+	}
+	for _, h := range []struct{ name, metric string }{
+		{"run_queue", "/sched/latencies:seconds"}, {"collector", "/sched/pauses/total/gc:seconds"},
+	} {
+		n, p50, p99, longest := quantiles(h.metric)
+		times.Set(h.name, numbers(a, "n", float64(n), "p50_us", p50*1e6, "p99_us", p99*1e6, "max_us", longest*1e6))
+	}
+	return times
+}
+
+func boolean(a *fastjson.Arena, b bool) *fastjson.Value {
+	if b {
+		return a.NewTrue()
+	}
+	return a.NewFalse()
+}
+
+// quantiles reads a histogram of the runtime, in seconds: how long goroutines waited to run, or the collector stopped all.
+func quantiles(metric string) (n uint64, p50, p99, longest float64) {
 	sample := []metrics.Sample{{Name: metric}}
 	metrics.Read(sample)
 	if sample[0].Value.Kind() != metrics.KindFloat64Histogram {
@@ -106,9 +119,9 @@
 		if p99 == 0 && seen*100 >= n*99 {
 			p99 = v
 		}
-		most = v
+		longest = v
 	}
-	return n, p50, p99, most
+	return n, p50, p99, longest
 }
 
 // numbers returns an object of names and numbers in turn.
--- a/internal/core/view.go
+++ b/internal/core/view.go
@@ -12,7 +12,7 @@
 type View struct {
 	Phase          lifecycle.State
 	Health         bool
-	PendingAnswers int                 // requests without their answer
+	PendingAnswers int                 // requests that have not had their answer
 	InHand         int                 // requests of which something is left to do
 	Pools          *admission.Snapshot // nil: no pools; never changed once shown
 	Signal         float64
@@ -29,7 +29,7 @@
 	return v
 }
 
-// show publishes what changed; it is called under the lock.
+// publish makes the present view the one that others see. It is called under the lock.
 func (c *Core) publish() {
 	v := c.view
 	v.Phase, v.PendingAnswers, v.InHand = c.lifecycle.current(), c.pendingAnswers, len(c.tasks)
--- a/internal/core/window_test.go
+++ b/internal/core/window_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Two tries belong together by how far apart they reached the machine, whichever was read first.
-func TestWithin(t *testing.T) {
+// Two attempts belong together by how far apart they reached the machine, whichever was read first.
+func TestWithinWindow(t *testing.T) {
 	const window = 2 * time.Second
 	ran := time.Now()
 	for apart, want := range map[time.Duration]bool{0: true, window: true, window + windowSlack: true, window + windowSlack + 1: false} {
