--- a/internal/core/idempotency_test.go
+++ b/internal/core/idempotency_test.go
@@ -184,6 +184,45 @@
 	})
 }
 
+// A request that is not idempotent has no key by which a second run would be noticed. Should its run ever be over without an
+// answer, and the module ask for another, the core starts none: that it was started is enough.
+func TestStartedRequestIsNotStartedAgain(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		c, err := New(Config{MemoryMB: 64, Log: log.New(io.Discard, "", 0), Settings: silverpath.Settings{
+			Cores: 4, MemoryKB: 10000, MaxRunsPerCore: 8, Classes: []silverpath.Class{
+				{Name: "pay", Objective: time.Second, Deadline: time.Second, Weight: 1, Effect: silverpath.NonIdempotent}}}})
+		if err != nil {
+			t.Fatal(err)
+		}
+		m := &misled{core: c}
+		if err := c.Attach(m, nil); err != nil {
+			t.Fatal(err)
+		}
+		answers := make(chan Answer, 2)
+		now := time.Now()
+		go c.Serve(Request{Front: "test", ID: "a", Class: "pay", ReceivedAt: now, Deadline: now.Add(time.Second), MemoryKB: 1},
+			func(a Answer) { answers <- a })
+		synctest.Wait()
+		c.mu.Lock()
+		c.tasks["a"].running = false // its end was lost
+		(*host)(c).Run("a")
+		c.performActions()
+		c.mu.Unlock()
+		synctest.Wait()
+		if len(m.runs) != 1 || c.stats.Get("guard") != 1 {
+			t.Errorf("ran %v, guard %d", m.runs, c.stats.Get("guard"))
+		}
+		if len(answers) != 1 {
+			t.Fatalf("%d answers", len(answers))
+		}
+		if a := <-answers; a.Outcome != Failed {
+			t.Errorf("answered %v: it may have run", a.Outcome)
+		}
+		time.Sleep(2 * time.Second)
+		c.Stop()
+	})
+}
+
 // More requests in hand than the process has memory for would end it: what is beyond the bound is rejected at once.
 func TestRequestsInHandAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
