--- a/cmd/silverpath/durable_test.go
+++ b/cmd/silverpath/durable_test.go
@@ -31,65 +31,65 @@
 )
 
 // unpromised is a store whose promises are told as kept before they are: they are written only with the result.
-type unpromised struct {
+type unlogged struct {
 	core.Store
-	mu   sync.Mutex
-	seq  uint64
-	late map[uint64]promise
+	mu       sync.Mutex
+	seq      uint64
+	deferred map[uint64]intent
 }
 
-type promise struct {
+type intent struct {
 	idempotency.Record
 	reached, until time.Time
 }
 
-func (u *unpromised) Promise(r *idempotency.Record, reached, until time.Time, left time.Duration, done func(error)) idempotency.Verdict {
-	v := u.Begins(left)
-	if v.Do != idempotency.Begin {
+func (u *unlogged) LogIntent(r *idempotency.Record, reached, until time.Time, left time.Duration, done func(error)) idempotency.Decision {
+	v := u.CanExecute(left)
+	if v.Action != idempotency.Execute {
 		return v
 	}
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.seq++
 	r.Seq = 1<<40 + u.seq
-	u.late[r.Seq] = promise{*r, reached, until}
+	u.deferred[r.Seq] = intent{*r, reached, until}
 	go done(nil)
 	return v
 }
 
-func (u *unpromised) Result(r *idempotency.Record, reached, until time.Time, done func(error)) {
+func (u *unlogged) LogResult(r *idempotency.Record, reached, until time.Time, done func(error)) {
 	u.mu.Lock()
-	p, late := u.late[r.Seq]
-	delete(u.late, r.Seq)
+	p, late := u.deferred[r.Seq]
+	delete(u.deferred, r.Seq)
 	u.mu.Unlock()
 	if !late {
-		u.Store.Result(r, reached, until, done)
+		u.Store.LogResult(r, reached, until, done)
 		return
 	}
 	whole := *r
 	go func() { // the core holds its lock meanwhile
 		p.Seq = 0
 		kept := p.Record
-		if v := u.Store.Promise(&kept, p.reached, p.until, time.Hour, func(err error) {
+		if v := u.Store.LogIntent(&kept, p.reached, p.until, time.Hour, func(err error) {
 			if err != nil {
 				done(err)
 				return
 			}
 			whole.Seq = kept.Seq
-			u.Store.Result(&whole, reached, until, done)
-		}); v.Do != idempotency.Begin {
-			done(errors.New(v.Why))
+			u.Store.LogResult(&whole, reached, until, done)
+		}); v.Action != idempotency.Execute {
+			done(errors.New(v.Reason))
 		}
 	}()
 }
 
-func (u *unpromised) Failed(seq uint64)   { u.forget(seq, u.Store.Failed) }
-func (u *unpromised) Withdraw(seq uint64) { u.forget(seq, u.Store.Withdraw) }
+func (u *unlogged) NoteFailed(seq uint64) { u.forget(seq, u.Store.NoteFailed) }
+func (u *unlogged) Withdraw(seq uint64)   { u.forget(seq, u.Store.Withdraw) }
 
-func (u *unpromised) forget(seq uint64, instead func(uint64)) {
+func (u *unlogged) forget(seq uint64, instead func(uint64)) {
 	u.mu.Lock()
-	_, late := u.late[seq]
-	delete(u.late, seq)
+	_, late := u.deferred[seq]
+	delete(u.deferred, seq)
 	u.mu.Unlock()
 	if !late && seq < 1<<40 {
 		instead(seq)
@@ -137,7 +137,7 @@
 // the machine be switched on when the environment says, as NAME AGO MACHINE: another time for each name.
 func storeProgram() {
 	if os.Getenv("SILVERPATH_UNPROMISED") != "" {
-		parts.WrapStore = func(k core.Store) core.Store { return &unpromised{Store: k, late: map[uint64]promise{}} }
+		parts.WrapStore = func(k core.Store) core.Store { return &unlogged{Store: k, deferred: map[uint64]intent{}} }
 	}
 	if os.Getenv("SILVERPATH_UNSIGNED") != "" {
 		parts.WrapHeartbeat = func(func() bool) func() bool { return func() bool { return true } }
@@ -147,7 +147,7 @@
 		ago, machine, _ := strings.Cut(ago, " ")
 		up, _ := time.ParseDuration(ago)
 		idempotencystore.Now = func() idempotency.Clock {
-			return idempotency.Clock{Machine: machine, Boot: name, Now: up + time.Since(began)}
+			return idempotency.Clock{Machine: machine, Boot: name, SinceBoot: up + time.Since(began)}
 		}
 	}
 	file := os.Getenv("SILVERPATH_STORE")
@@ -155,8 +155,8 @@
 		return
 	}
 	var met atomic.Int64
-	heartbeat.Fault = func() error { return idempotencystore.Fault("sign") }
-	idempotencystore.Fault = func(boundary string) error {
+	heartbeat.FaultHook = func() error { return idempotencystore.FaultHook("sign") }
+	idempotencystore.FaultHook = func(boundary string) error {
 		text, err := os.ReadFile(file)
 		if err != nil {
 			return nil
--- a/cmd/silverpath/recover.go
+++ b/cmd/silverpath/recover.go
@@ -16,14 +16,14 @@
 	inspect := &cobra.Command{Use: "inspect PATH…", Args: cobra.MinimumNArgs(1),
 		Short: "Say whose each file or folder is, of when, and whether it can be trusted; nothing is changed",
 		RunE: func(c *cobra.Command, args []string) error {
-			var list []inspect.Found
+			var list []inspect.Finding
 			wrong := 0
 			for _, path := range args {
-				f, err := inspect.Look(path)
+				f, err := inspect.Inspect(path)
 				if err != nil {
 					return err
 				}
-				if f.Wrong != "" {
+				if f.Problem != "" {
 					wrong++
 				}
 				list = append(list, f)
@@ -35,15 +35,15 @@
 			} else {
 				for _, f := range list {
 					fmt.Fprintf(c.OutOrStdout(), "%s: %s", f.Path, f.Kind)
-					if f.Of != "" {
-						fmt.Fprintf(c.OutOrStdout(), " of %s", f.Of)
+					if f.Owner != "" {
+						fmt.Fprintf(c.OutOrStdout(), " of %s", f.Owner)
 					}
 					fmt.Fprintf(c.OutOrStdout(), ", trusted: %s\n", f.Trust)
-					for _, s := range f.Says {
+					for _, s := range f.Facts {
 						fmt.Fprintf(c.OutOrStdout(), "  %s\n", s)
 					}
-					if f.Wrong != "" {
-						fmt.Fprintf(c.OutOrStdout(), "  wrong: %s\n", f.Wrong)
+					if f.Problem != "" {
+						fmt.Fprintf(c.OutOrStdout(), "  wrong: %s\n", f.Problem)
 					}
 				}
 			}
--- a/cmd/silverpath/store.go
+++ b/cmd/silverpath/store.go
@@ -96,13 +96,13 @@
 	}
 	out := c.OutOrStdout()
 	fmt.Fprintf(out, "%s: store %s of %s, format %d, %d KB\n", path, s.ID, s.Name, s.Format, s.File>>10)
-	fmt.Fprintf(out, "  whole: %v, closed in good order: %v, from the machine's present start: %v\n", s.Whole, s.Clean, s.Here)
+	fmt.Fprintf(out, "  whole: %v, closed in good order: %v, from the machine's present start: %v\n", s.Complete, s.ClosedCleanly, s.SameBoot)
 	fmt.Fprintf(out, "  %d records, %d KB\n", s.Records, s.Bytes>>10)
 	for _, state := range slices.Sorted(maps.Keys(s.ByState)) {
 		fmt.Fprintf(out, "  %s: %d\n", state, s.ByState[state])
 	}
-	if s.Broken > 0 || s.Damage != "" {
-		return fmt.Errorf("%s: %d records can't be read; %s", path, s.Broken, s.Damage)
+	if s.Unreadable > 0 || s.Damage != "" {
+		return fmt.Errorf("%s: %d records can't be read; %s", path, s.Unreadable, s.Damage)
 	}
 	return nil
 }
@@ -117,7 +117,7 @@
 		Reached int64  `json:"reached_ms"` // since the machine was switched on
 		Until   int64  `json:"until_ms"`
 		Result  int    `json:"result_bytes"`
-	}{r.Seq, r.State.String(), r.Key, r.ID, r.Window.Milliseconds(), r.Reached.Milliseconds(), r.Until.Milliseconds(), len(r.Result)})
+	}{r.Seq, r.State.String(), r.Key, r.ID, r.Window.Milliseconds(), r.ReceivedAt.Milliseconds(), r.ExpiresAt.Milliseconds(), len(r.Result)})
 	if err != nil {
 		return err
 	}
--- a/internal/core/arrival.go
+++ b/internal/core/arrival.go
@@ -43,7 +43,7 @@
 // mayHaveRunElsewhere reports whether another attempt of a request that is handed on may have gone another way and run: only
 // its home can tell, so it must not be rejected here, as that would promise that it never ran.
 func (c *Core) mayHaveRunElsewhere(t *task) bool {
-	return c.forwards && t.idempotent() && !c.lifecycle.current().Leaving()
+	return c.forwards && t.idempotent() && !c.lifecycle.current().ShuttingDown()
 }
 
 // admit applies the core's own limits to a request. It returns why the request can't be taken, as counters name it, and its
@@ -71,7 +71,7 @@
 		return reason, a
 	}
 	switch {
-	case c.lifecycle.current().Leaving() && t.readAt.Sub(c.drainStartedAt) > set.DrainGrace:
+	case c.lifecycle.current().ShuttingDown() && t.readAt.Sub(c.drainStartedAt) > set.DrainGrace:
 		// Read after the drain window, whenever it was written: nobody could be sure that its answer still arrives.
 		c.releaseKey(t)
 		return "drained", rejected
@@ -91,8 +91,8 @@
 		return "keys_full", rejected
 	case t.keyConflict:
 		return "key_conflict", Answer{Outcome: Invalid}
-	case t.verdict.Do != idempotency.Begin:
-		return t.verdict.Why, c.verdictAnswer(t.verdict)
+	case t.verdict.Action != idempotency.Execute:
+		return t.verdict.Reason, c.verdictAnswer(t.verdict)
 	case t.movedReason != "":
 		rejected.Reason = t.movedReason
 		if t.movedReason == ReasonUnknown {
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -209,13 +209,13 @@
 func (c *Core) Drain(stop time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.lifecycle.current().Leaving() {
+	if c.lifecycle.current().ShuttingDown() {
 		return
 	}
-	c.lifecycle.apply(lifecycle.Leave)
+	c.lifecycle.apply(lifecycle.Shutdown)
 	c.drainStartedAt = time.Now()
 	if c.pair != nil {
-		c.pair.side.Ready(false)
+		c.pair.side.SetReady(false)
 		c.applyPairEffects()
 	}
 	c.decide(func(m *silverpath.Shedder, now time.Duration) { m.Drain(now, now+stop) })
@@ -229,7 +229,7 @@
 func (c *Core) Stop() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.lifecycle.apply(lifecycle.End)
+	c.lifecycle.apply(lifecycle.Drained)
 	c.publish()
 	return c.pendingAnswers == 0
 }
@@ -259,7 +259,7 @@
 
 // closeIfIdle tells those that wait for the last answer. It is called under the lock.
 func (c *Core) closeIfIdle() {
-	if c.lifecycle.current().Leaving() && c.pendingAnswers == 0 {
+	if c.lifecycle.current().ShuttingDown() && c.pendingAnswers == 0 {
 		select {
 		case <-c.idle:
 		default:
@@ -284,7 +284,7 @@
 // Where runs are kept over a restart, it is since when they are.
 func (c *Core) StartStamp() (int64, bool) {
 	if c.cell && c.store != nil {
-		return c.store.Since(), true
+		return c.store.CompleteSince(), true
 	}
 	return c.startedAt.UnixMilli(), c.cell
 }
--- a/internal/core/idempotency.go
+++ b/internal/core/idempotency.go
@@ -58,7 +58,7 @@
 	maxBytes    int
 	fingerprint func(t *task) uint64 // of what every attempt of a request has in common
 	// admitFirst is what becomes of the first attempt of a key, where runs are kept; nil: nothing is against it.
-	admitFirst func(t *task) idempotency.Verdict
+	admitFirst func(t *task) idempotency.Decision
 }
 
 // minKeyBytes bounds the table from below, also in the smallest process: a hundred keys with their results.
@@ -158,7 +158,7 @@
 		t.movedReason = ReasonMoved
 	case k.admitFirst != nil && t.idempotent():
 		t.verdict = k.admitFirst(t)
-		return t.verdict.Do != idempotency.Begin
+		return t.verdict.Action != idempotency.Execute
 	default:
 		return false
 	}
--- a/internal/core/lifecycle.go
+++ b/internal/core/lifecycle.go
@@ -21,10 +21,10 @@
 func (p *lifecycleState) current() lifecycle.State { return lifecycle.State(p.state.Load()) }
 
 // apply takes an event and returns what became of it.
-func (p *lifecycleState) apply(e lifecycle.Event) lifecycle.Answer {
+func (p *lifecycleState) apply(e lifecycle.Event) lifecycle.Outcome {
 	p.mu.Lock()
 	was := p.current()
-	a := was.Next(e)
+	a := was.On(e)
 	p.state.Store(int32(a.To))
 	p.mu.Unlock()
 	if a.To != was {
@@ -55,25 +55,25 @@
 // operator applies an operator's event and tells the other process of a pair.
 func (c *Core) operator(e lifecycle.Event) (bool, string) {
 	a := c.lifecycle.apply(e)
-	if a.Yes && c.pair != nil {
+	if a.OK && c.pair != nil {
 		go c.notifyEvacuated() // the answer waits for no lock
 	}
-	return a.Yes, a.Why
+	return a.OK, a.Reason
 }
 
 // serveIfReady makes the service serve once its runner is up and, of two processes, this one may take requests. It is called
 // under the lock.
 func (c *Core) serveIfReady() {
-	waits := c.pair != nil && !c.pair.side.May()
+	waits := c.pair != nil && !c.pair.side.MayServe()
 	c.waitsForPeer.Store(c.runnerUp && waits)
 	if !c.runnerUp || waits {
 		return
 	}
-	c.lifecycle.apply(lifecycle.Up)
+	c.lifecycle.apply(lifecycle.WorkerUp)
 	if c.pair != nil && !c.pair.ready {
 		c.pair.ready = true
 		close(c.pair.readyChannel)
-		c.pair.side.Ready(!c.lifecycle.current().Leaving())
+		c.pair.side.SetReady(!c.lifecycle.current().ShuttingDown())
 		c.applyPairEffects()
 	}
 	c.publish()
--- a/internal/core/notify_test.go
+++ b/internal/core/notify_test.go
@@ -18,17 +18,17 @@
 func TestPeerIsNotifiedBeforeARun(t *testing.T) {
 	no := errors.New("no")
 	for name, x := range map[string]struct {
-		note            hotrestart.Note
+		note            hotrestart.Notice
 		flush, mark     error
 		begins          bool
 		flushes, leaves int
 	}{
-		"nobody has to know":   {hotrestart.None, no, no, true, 0, 0},
-		"it is written":        {hotrestart.Written, nil, no, true, 1, 0},
-		"it can't be written":  {hotrestart.Written, no, nil, true, 1, 1},
-		"nor is a mark left":   {hotrestart.Written, no, no, false, 1, 1},
-		"a mark is left":       {hotrestart.Marked, nil, nil, true, 0, 1},
-		"a mark can't be left": {hotrestart.Marked, nil, no, false, 0, 1},
+		"nobody has to know":   {hotrestart.NoNotice, no, no, true, 0, 0},
+		"it is written":        {hotrestart.NoticeByLink, nil, no, true, 1, 0},
+		"it can't be written":  {hotrestart.NoticeByLink, no, nil, true, 1, 1},
+		"nor is a mark left":   {hotrestart.NoticeByLink, no, no, false, 1, 1},
+		"a mark is left":       {hotrestart.NoticeByMark, nil, nil, true, 0, 1},
+		"a mark can't be left": {hotrestart.NoticeByMark, nil, no, false, 0, 1},
 	} {
 		flushes, leaves := 0, 0
 		c, err := New(Config{Name: "n", MemoryMB: 64, Log: log.New(io.Discard, "", 0), Stats: &metrics.Counters{},
--- a/internal/core/peer.go
+++ b/internal/core/peer.go
@@ -36,7 +36,7 @@
 // pair is this process's side of two that are one service. It is under the core's lock.
 type pair struct {
 	PairConfig
-	side          *hotrestart.Side
+	side          *hotrestart.Coordinator
 	outbox        []hotrestart.Message     // to be sent
 	link          int                      // the number of the link on which the outbox is to be sent
 	writeClosed   bool                     // nothing can be written on it any more
@@ -69,13 +69,13 @@
 func (c *Core) applyPairEffects() {
 	p := c.pair
 	for {
-		effects := p.side.Take()
+		effects := p.side.TakeEffects()
 		if len(effects.Send) > 0 && !p.writeClosed {
 			p.outbox = append(p.outbox, effects.Send...)
 			p.Wake()
 		}
-		if effects.Out != nil {
-			if *effects.Out {
+		if effects.Evacuated != nil {
+			if *effects.Evacuated {
 				c.lifecycle.apply(lifecycle.Evacuate)
 			} else {
 				c.lifecycle.apply(lifecycle.Rejoin)
@@ -87,7 +87,7 @@
 		}
 		close(p.changed)
 		p.changed = make(chan struct{})
-		if two := p.side.Pair(); two != p.shared {
+		if two := p.side.HasPeer(); two != p.shared {
 			p.shared = two
 			c.splitLimits(two)
 		}
@@ -131,25 +131,25 @@
 func (c *Core) Successor() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.pair != nil && c.pair.side.Successor()
+	return c.pair != nil && c.pair.side.SuccessorReady()
 }
 
 // PairPlaced is called by the link when this process took one of the two places.
 func (c *Core) PairPlaced(stamp int64, slot int) {
-	c.updatePair(func(s *hotrestart.Side) { s.Placed(stamp, slot) })
+	c.updatePair(func(s *hotrestart.Coordinator) { s.SlotTaken(stamp, slot) })
 }
 
 // PairOther is called by the link when there is another process.
-func (c *Core) PairOther() { c.updatePair(func(s *hotrestart.Side) { s.Other() }) }
+func (c *Core) PairOther() { c.updatePair(func(s *hotrestart.Coordinator) { s.PeerPresent() }) }
 
 // PairAlone is called by the link when there is no other process, or none any more; marked tells whether one of that stamp left
 // a mark.
 func (c *Core) PairAlone(marked func(stamp int64) bool) {
-	c.updatePair(func(s *hotrestart.Side) {
+	c.updatePair(func(s *hotrestart.Coordinator) {
 		was := s.Role()
-		s.Alone(s.Peer() != 0 && marked(s.Peer()), c.windowEnd())
-		if was != s.Role() && s.Blind() > time.Now().UnixNano() {
-			events.Log(c.log, "handover.blind", time.Until(time.Unix(0, s.Blind())).Round(time.Second))
+		s.PeerAbsent(s.PeerStartedAt() != 0 && marked(s.PeerStartedAt()), c.windowEnd())
+		if was != s.Role() && s.UnknownUntil() > time.Now().UnixNano() {
+			events.Log(c.log, "handover.blind", time.Until(time.Unix(0, s.UnknownUntil())).Round(time.Second))
 		}
 	})
 }
@@ -165,20 +165,20 @@
 
 // PairLinked is called with a new link and returns its number, for PairOut.
 func (c *Core) PairLinked() (link int) {
-	c.updatePair(func(s *hotrestart.Side) {
+	c.updatePair(func(s *hotrestart.Coordinator) {
 		c.pair.link++
 		c.pair.outbox, c.pair.writeClosed, link = nil, false, c.pair.link
-		s.Linked()
+		s.LinkUp()
 	})
 	return link
 }
 
 // PairCut is called when the link is gone, with whether what came on it may not all have been read.
 func (c *Core) PairCut(unread bool) {
-	c.updatePair(func(s *hotrestart.Side) {
+	c.updatePair(func(s *hotrestart.Coordinator) {
 		c.pair.link++
 		c.pair.outbox = nil
-		s.Cut(unread)
+		s.LinkDown(unread)
 	})
 }
 
@@ -195,9 +195,9 @@
 // PairMessage takes a message of the other process. Where all is to be written first, clear says that the mark may then go, if
 // there were no more marks than those. The error is of a message that can't be.
 func (c *Core) PairMessage(m hotrestart.Message) (clear bool, marks int, err error) {
-	c.updatePair(func(s *hotrestart.Side) {
+	c.updatePair(func(s *hotrestart.Coordinator) {
 		err = s.Receive(m, c.windowEnd())
-		clear, marks = s.TakeClear()
+		clear, marks = s.TakeClearMark()
 	})
 	return clear, marks, err
 }
@@ -225,7 +225,7 @@
 }
 
 // updatePair reports an event to the side and carries out what it asks for.
-func (c *Core) updatePair(event func(s *hotrestart.Side)) {
+func (c *Core) updatePair(event func(s *hotrestart.Coordinator)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	event(c.pair.side)
@@ -234,10 +234,10 @@
 
 // notifyEvacuated tells the other process whether operators have evacuated the service.
 func (c *Core) notifyEvacuated() {
-	c.updatePair(func(s *hotrestart.Side) {
+	c.updatePair(func(s *hotrestart.Coordinator) {
 		now := c.lifecycle.current()
-		if !now.Leaving() {
-			s.Evacuated(!now.Healthy())
+		if !now.ShuttingDown() {
+			s.SetEvacuated(!now.Healthy())
 		}
 	})
 }
--- a/internal/core/peer_test.go
+++ b/internal/core/peer_test.go
@@ -115,11 +115,11 @@
 	clear, marks, err := h.c.PairMessage(m)
 	if err != nil {
 		switch {
-		case errors.Is(err, hotrestart.ErrOther):
+		case errors.Is(err, hotrestart.ErrPeerReplaced):
 			w.gone(i)
 			w.cut(i)
 			h.c.PairOther()
-		case errors.Is(err, hotrestart.ErrStale):
+		case errors.Is(err, hotrestart.ErrStaleIdentity):
 			w.cut(i)
 		default:
 			w.t.Fatalf("a message is refused: %v", err)
@@ -145,7 +145,7 @@
 		m := rest[0]
 		w.wire[other] = rest[1:]
 		if _, _, err := w.procs[other].c.PairMessage(m); err != nil {
-			if broke = true; errors.Is(err, hotrestart.ErrOther) {
+			if broke = true; errors.Is(err, hotrestart.ErrPeerReplaced) {
 				w.gone(other)
 			}
 			break
@@ -183,7 +183,7 @@
 	t := &task{class: sheets, wake: make(chan struct{}, 1), Request: Request{ID: fmt.Sprint("t", w.seq), Class: "oddaja", Key: key,
 		ReceivedAt: w.now, Deadline: w.now.Add(4 * time.Second), Body: []byte(key)}}
 	h.c.mu.Lock()
-	h.c.pair.side.Want(keyOf(sheets, &t.Request))
+	h.c.pair.side.BeginClaim(keyOf(sheets, &t.Request))
 	h.c.mu.Unlock()
 	h.tries[key] = append(h.tries[key], t)
 	w.poll(i)
@@ -207,15 +207,15 @@
 				waiting = append(waiting, t)
 				continue
 			}
-			f := hotrestart.Flight{Key: keyOf(sheets, &t.Request), ID: t.ID, Sum: c.keys.fingerprint(t), Reached: w.now.UnixNano(),
-				Until: w.now.Add(time.Hour).UnixNano(), Window: sheets.IdempotencyWindow}
-			v := c.pair.side.Ask(f)
+			f := hotrestart.Execution{Key: keyOf(sheets, &t.Request), ID: t.ID, Fingerprint: c.keys.fingerprint(t), ReceivedAt: w.now.UnixNano(),
+				ExpiresAt: w.now.Add(time.Hour).UnixNano(), Window: sheets.IdempotencyWindow}
+			v := c.pair.side.CheckClaim(f)
 			c.applyPairEffects()
-			if v == hotrestart.Wait {
+			if v == hotrestart.Pending {
 				waiting = append(waiting, t)
 				continue
 			}
-			if v == hotrestart.Own {
+			if v == hotrestart.Granted {
 				if !c.keys.resolve(t, 0, w.now) || t.keyConflict {
 					w.t.Fatalf("%s is not entered", key)
 				}
@@ -223,7 +223,7 @@
 					w.t.Fatalf("a repeat of %s gets %q, the run's result is %q", key, t.duplicateOf.result, w.ran[key])
 				}
 			}
-			c.pair.side.Done(f.Key, f.Reached)
+			c.pair.side.EndClaim(f.Key, f.ReceivedAt)
 			c.applyPairEffects()
 		}
 		h.tries[key] = waiting
@@ -246,7 +246,7 @@
 
 // step plays one step, where it can be.
 func (w *world) step(do string, i int, key string) {
-	held, running := w.find(i, hotrestart.Held, key), w.find(i, hotrestart.Running, key)
+	held, running := w.find(i, hotrestart.Queued, key), w.find(i, hotrestart.Running, key)
 	switch {
 	case do == "start" && w.procs[i] == nil:
 		w.start(i)
@@ -298,11 +298,11 @@
 	if cutBefore {
 		w.cut(1 - i)
 	}
-	if note == hotrestart.Written && !w.flush(i, link) {
-		c.updatePair(func(s *hotrestart.Side) { s.Unwritten() })
-		note = hotrestart.Marked
+	if note == hotrestart.NoticeByLink && !w.flush(i, link) {
+		c.updatePair(func(s *hotrestart.Coordinator) { s.NoticeLost() })
+		note = hotrestart.NoticeByMark
 	}
-	if note == hotrestart.Marked {
+	if note == hotrestart.NoticeByMark {
 		w.marks[w.procs[i].stamp] = true
 	}
 	if first, twice := w.ran[t.Key]; twice {
@@ -378,7 +378,7 @@
 				continue
 			}
 			alive++
-			if r := h.c.PairRole(); r == hotrestart.Elder || r == hotrestart.Sole {
+			if r := h.c.PairRole(); r == hotrestart.Predecessor || r == hotrestart.Sole {
 				elders++
 			}
 			if p := h.c.Phase(); p != lifecycle.Serving && p != lifecycle.Evacuated {
@@ -424,11 +424,11 @@
 			for _, step := range strings.Fields(script) {
 				n := strings.IndexAny(step, "01")
 				do, i, key := step[:n], int(step[n]-'0'), step[n+1:]
-				held := w.find(i, hotrestart.Held, key) != nil
+				held := w.find(i, hotrestart.Queued, key) != nil
 				if needs := do == "run" || do == "runcut" || do == "drop" || do == "held"; needs && !held || do == "none" && held {
 					t.Fatalf("%s: held is %v", step, held)
 				}
-				if do == "sees" && w.procs[i].c.pair.side.Blind() != 0 {
+				if do == "sees" && w.procs[i].c.pair.side.UnknownUntil() != 0 {
 					t.Fatalf("%s: it takes itself for blind", step)
 				}
 				w.step(do, i, key)
--- a/internal/core/peerclaim.go
+++ b/internal/core/peerclaim.go
@@ -21,35 +21,35 @@
 		return a, false
 	}
 	p := c.pair
-	claim := hotrestart.Flight{Key: key, ID: r.ID, Sum: c.keys.fingerprint(&task{Request: *r}), Reached: r.ReceivedAt.UnixNano(), Window: class.IdempotencyWindow,
-		Until: r.ReceivedAt.Add(class.IdempotencyWindow + class.Deadline + readDelay).UnixNano()}
-	p.side.Want(key)
-	verdict := p.side.Ask(claim)
+	claim := hotrestart.Execution{Key: key, ID: r.ID, Fingerprint: c.keys.fingerprint(&task{Request: *r}), ReceivedAt: r.ReceivedAt.UnixNano(), Window: class.IdempotencyWindow,
+		ExpiresAt: r.ReceivedAt.Add(class.IdempotencyWindow + class.Deadline + readDelay).UnixNano()}
+	p.side.BeginClaim(key)
+	verdict := p.side.CheckClaim(claim)
 	c.applyPairEffects()
-	if verdict == hotrestart.Wait {
+	if verdict == hotrestart.Pending {
 		verdict, a = c.awaitKey(r, claim)
 	}
 	switch verdict {
-	case hotrestart.Own:
+	case hotrestart.Granted:
 		return a, false
-	case hotrestart.Never:
+	case hotrestart.Unknowable:
 		a = Answer{Outcome: Failed}
 		c.stats.Inc("handover", "unknown_owner")
 	}
-	p.side.Done(key, claim.Reached)
+	p.side.EndClaim(key, claim.ReceivedAt)
 	c.applyPairEffects()
 	return a, true
 }
 
 // awaitKey waits for the key of a request, without the lock. It returns the verdict, or Wait and the answer where the request's
 // time is up, its caller has left, or it may not even wait.
-func (c *Core) awaitKey(r *Request, claim hotrestart.Flight) (hotrestart.Verdict, Answer) {
+func (c *Core) awaitKey(r *Request, claim hotrestart.Execution) (hotrestart.ClaimState, Answer) {
 	p := c.pair
 	switch {
 	case p.waitingForKey[r.ID] != nil || c.tasks[r.ID] != nil:
-		return hotrestart.Wait, Answer{Outcome: Invalid}
+		return hotrestart.Pending, Answer{Outcome: Invalid}
 	case len(p.waitingForKey) >= c.maxTasks:
-		return hotrestart.Wait, Answer{Outcome: Failed}
+		return hotrestart.Pending, Answer{Outcome: Failed}
 	}
 	callerLeft := make(chan struct{})
 	p.waitingForKey[r.ID] = callerLeft
@@ -78,11 +78,11 @@
 		}
 		c.mu.Lock()
 		if over {
-			return hotrestart.Wait, a
+			return hotrestart.Pending, a
 		}
-		verdict := p.side.Ask(claim)
+		verdict := p.side.CheckClaim(claim)
 		c.applyPairEffects()
-		if verdict != hotrestart.Wait {
+		if verdict != hotrestart.Pending {
 			return verdict, Answer{}
 		}
 	}
@@ -94,7 +94,7 @@
 		return
 	}
 	if key := keyOf(class, r); key != "" {
-		c.pair.side.Done(key, r.ReceivedAt.UnixNano())
+		c.pair.side.EndClaim(key, r.ReceivedAt.UnixNano())
 		c.applyPairEffects()
 	}
 }
--- a/internal/core/peerkeys.go
+++ b/internal/core/peerkeys.go
@@ -10,20 +10,20 @@
 // finds them whichever process it comes to.
 
 // putPeer notes how far a run of the other process has come, and returns it; nil where the table knows better.
-func (k *keyTable) putPeer(m hotrestart.Flight, now time.Time) *execution {
+func (k *keyTable) putPeer(m hotrestart.Execution, now time.Time) *execution {
 	e := k.entries[m.Key]
 	if e == nil {
 		e = k.add(m.Key)
 	}
-	e.expiresAt, e.window = later(e.expiresAt, time.Unix(0, m.Until)), max(e.window, m.Window)
+	e.expiresAt, e.window = later(e.expiresAt, time.Unix(0, m.ExpiresAt)), max(e.window, m.Window)
 	x := k.peerExecution(e, m)
 	if x == nil {
 		return nil
 	}
-	x.requestID, x.fingerprint, x.receivedAt = m.ID, m.Sum, time.Unix(0, m.Reached)
-	x.peerQueued = m.Stage == hotrestart.Held
-	if m.Stage >= hotrestart.Passed {
-		x.done, x.succeeded, x.endedAt = true, m.Stage == hotrestart.Passed, now
+	x.requestID, x.fingerprint, x.receivedAt = m.ID, m.Fingerprint, time.Unix(0, m.ReceivedAt)
+	x.peerQueued = m.Stage == hotrestart.Queued
+	if m.Stage >= hotrestart.Succeeded {
+		x.done, x.succeeded, x.endedAt = true, m.Stage == hotrestart.Succeeded, now
 	}
 	if x.succeeded {
 		x.result = m.Result
@@ -35,7 +35,7 @@
 
 // peerExecution is the execution under a key that a message of the other process is about, made where there is none; nil where
 // the message can tell nothing new.
-func (k *keyTable) peerExecution(e *keyEntry, m hotrestart.Flight) *execution {
+func (k *keyTable) peerExecution(e *keyEntry, m hotrestart.Execution) *execution {
 	x := e.latest
 	switch {
 	case e.queued != nil || x != nil && !x.peerOwned && !x.done:
@@ -44,7 +44,7 @@
 		return x // the same, further on
 	case x != nil && x.requestID == m.ID:
 		return nil // known, with its end
-	case x != nil && !x.peerOwned && withinWindow(time.Unix(0, m.Reached), x.receivedAt, e.window):
+	case x != nil && !x.peerOwned && withinWindow(time.Unix(0, m.ReceivedAt), x.receivedAt, e.window):
 		return nil
 	}
 	k.supersede(e)
@@ -68,8 +68,8 @@
 }
 
 // ownExecutions are the runs of this process that further attempts may duplicate.
-func (k *keyTable) ownExecutions(now time.Time) []hotrestart.Flight {
-	var list []hotrestart.Flight
+func (k *keyTable) ownExecutions(now time.Time) []hotrestart.Execution {
+	var list []hotrestart.Execution
 	for _, e := range k.entries {
 		if e.read || now.After(e.expiresAt) {
 			continue
@@ -84,16 +84,16 @@
 }
 
 // forPeer is an execution as the other process is told of it.
-func (x *execution) forPeer() hotrestart.Flight {
-	m := hotrestart.Flight{Key: x.entry.key, ID: x.requestID, Sum: x.fingerprint, Reached: x.receivedAt.UnixNano(), Window: x.entry.window,
-		Until: x.entry.expiresAt.UnixNano(), Theirs: x.peerOwned}
+func (x *execution) forPeer() hotrestart.Execution {
+	m := hotrestart.Execution{Key: x.entry.key, ID: x.requestID, Fingerprint: x.fingerprint, ReceivedAt: x.receivedAt.UnixNano(), Window: x.entry.window,
+		ExpiresAt: x.entry.expiresAt.UnixNano(), Remote: x.peerOwned}
 	switch {
 	case x.entry.queued == x || x.peerOwned && x.peerQueued:
-		m.Stage = hotrestart.Held
+		m.Stage = hotrestart.Queued
 	case !x.done:
 		m.Stage = hotrestart.Running
 	case x.succeeded:
-		m.Stage, m.Result = hotrestart.Passed, x.result
+		m.Stage, m.Result = hotrestart.Succeeded, x.result
 	default:
 		m.Stage = hotrestart.Failed
 	}
@@ -104,23 +104,23 @@
 type pairKeys Core
 
 // Holds returns the execution that an attempt duplicates which reached the machine then, in Unix nanoseconds.
-func (p *pairKeys) Holds(key string, reached int64) (hotrestart.Flight, bool) {
+func (p *pairKeys) Find(key string, reached int64) (hotrestart.Execution, bool) {
 	e := p.keys.entries[key]
 	if e == nil {
-		return hotrestart.Flight{}, false
+		return hotrestart.Execution{}, false
 	}
 	x := e.queued
 	if x == nil && e.latest != nil && withinWindow(time.Unix(0, reached), e.latest.receivedAt, e.window) {
 		x = e.latest
 	}
 	if x == nil {
-		return hotrestart.Flight{}, false
+		return hotrestart.Execution{}, false
 	}
 	return x.forPeer(), true
 }
 
 // Put takes how far a run of the other process has come. An end completes those here that wait for it.
-func (p *pairKeys) Put(m hotrestart.Flight) {
+func (p *pairKeys) Apply(m hotrestart.Execution) {
 	c := (*Core)(p)
 	if x := c.keys.putPeer(m, time.Now()); x != nil && x.done {
 		c.completeWaiters(x)
@@ -128,7 +128,7 @@
 }
 
 // Drop takes that a run of the other process never began.
-func (p *pairKeys) Drop(key string) {
+func (p *pairKeys) Forget(key string) {
 	c := (*Core)(p)
 	if x := c.keys.forgetPeer(key); x != nil {
 		c.completeWaiters(x)
@@ -136,10 +136,10 @@
 }
 
 // Own are the executions of this process, within their windows.
-func (p *pairKeys) Own() []hotrestart.Flight { return p.keys.ownExecutions(time.Now()) }
+func (p *pairKeys) Local() []hotrestart.Execution { return p.keys.ownExecutions(time.Now()) }
 
 // Keep drops the unfinished runs of the other process but those that it has just listed.
-func (p *pairKeys) Keep(listed func(key string) bool) {
+func (p *pairKeys) Retain(listed func(key string) bool) {
 	c := (*Core)(p)
 	for key, e := range c.keys.entries {
 		if x := e.latest; x != nil && x.peerOwned && !x.done && !listed(key) {
@@ -151,7 +151,7 @@
 
 // Lost settles the unfinished runs of the other process, which is gone: those that may have run count as failed, so that no
 // attempt of them runs here; the others are free to.
-func (p *pairKeys) Lost(mayHaveRun func(hotrestart.Flight) bool) {
+func (p *pairKeys) PeerLost(mayHaveRun func(hotrestart.Execution) bool) {
 	c := (*Core)(p)
 	for key, e := range c.keys.entries {
 		x := e.latest
--- a/internal/core/peernotify.go
+++ b/internal/core/peernotify.go
@@ -8,11 +8,11 @@
 
 // notifyStart is called as a run is about to begin, under the lock. It returns how the other process has to hear of it first, and
 // on which link.
-func (c *Core) notifyStart(x *execution) (note hotrestart.Note, link int) {
+func (c *Core) notifyStart(x *execution) (note hotrestart.Notice, link int) {
 	if c.pair == nil || x == nil || x.entry.read {
-		return hotrestart.None, 0
+		return hotrestart.NoNotice, 0
 	}
-	note = c.pair.side.Starts(x.forPeer())
+	note = c.pair.side.RunStarts(x.forPeer())
 	c.applyPairEffects()
 	return note, c.pair.link
 }
@@ -23,15 +23,15 @@
 // It guards against a process that dies with a run of which the other knows nothing: a retry would run again there. The guard
 // holds since the run begins only once the message is written or a mark is on the disk, by which the other knows that it doesn't
 // know.
-func (c *Core) ensureNotified(note hotrestart.Note, link int) bool {
-	if note == hotrestart.None {
+func (c *Core) ensureNotified(note hotrestart.Notice, link int) bool {
+	if note == hotrestart.NoNotice {
 		return true
 	}
-	if note == hotrestart.Written {
+	if note == hotrestart.NoticeByLink {
 		if c.pair.Flush(link) == nil {
 			return true
 		}
-		c.updatePair(func(s *hotrestart.Side) { s.Unwritten() })
+		c.updatePair(func(s *hotrestart.Coordinator) { s.NoticeLost() })
 	}
 	if err := c.pair.MarkUnnotified(); err != nil {
 		events.Log(c.log, "handover.no_mark", err)
@@ -55,9 +55,9 @@
 		return
 	}
 	if x.entry.latest == x {
-		c.pair.side.Ended(x.forPeer())
+		c.pair.side.RunEnded(x.forPeer())
 	} else {
-		c.pair.side.Dropped(x.entry.key)
+		c.pair.side.RequestDropped(x.entry.key)
 	}
 	c.applyPairEffects()
 }
@@ -65,7 +65,7 @@
 // notifyDropped tells the other process that a run never began. It is called under the lock.
 func (c *Core) notifyDropped(x *execution) {
 	if c.pair != nil && !x.entry.read {
-		c.pair.side.Dropped(x.entry.key)
+		c.pair.side.RequestDropped(x.entry.key)
 		c.applyPairEffects()
 	}
 }
--- a/internal/core/persistence.go
+++ b/internal/core/persistence.go
@@ -13,17 +13,17 @@
 // lock.
 type Store interface {
 	// Since is from when on, in Unix milliseconds, every run is known.
-	Since() int64
+	CompleteSince() int64
 	// Begins is what becomes of a new idempotent request that has so much time left.
-	Begins(left time.Duration) idempotency.Verdict
+	CanExecute(left time.Duration) idempotency.Decision
 	// Promise writes that an idempotent request will run, and gives the record its number.
-	Promise(r *idempotency.Record, reached, until time.Time, left time.Duration, done func(error)) idempotency.Verdict
+	LogIntent(r *idempotency.Record, reached, until time.Time, left time.Duration, done func(error)) idempotency.Decision
 	// Mark writes that a key runs elsewhere.
-	Mark(r *idempotency.Record, until time.Time, done func(error)) idempotency.Verdict
+	LogMoved(r *idempotency.Record, until time.Time, done func(error)) idempotency.Decision
 	// Result writes the result of a run that was promised.
-	Result(r *idempotency.Record, reached, until time.Time, done func(error))
-	Failed(seq uint64)   // the run has ended without a result
-	Withdraw(seq uint64) // it never began
+	LogResult(r *idempotency.Record, reached, until time.Time, done func(error))
+	NoteFailed(seq uint64) // the run has ended without a result
+	Withdraw(seq uint64)   // it never began
 }
 
 // UseStore keeps runs from now on. It is called before the first request.
@@ -32,25 +32,25 @@
 	defer c.mu.Unlock()
 	c.store = k
 	c.keys.fingerprint = stableFingerprint
-	c.addGate(k.Begins)
+	c.addGate(k.CanExecute)
 }
 
 // AddGate has one more decide what becomes of a new idempotent request that has so much time left. It is called before the
 // first request.
-func (c *Core) AddGate(begins func(left time.Duration) idempotency.Verdict) {
+func (c *Core) AddGate(begins func(left time.Duration) idempotency.Decision) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.addGate(begins)
 }
 
-func (c *Core) addGate(begins func(left time.Duration) idempotency.Verdict) {
+func (c *Core) addGate(begins func(left time.Duration) idempotency.Decision) {
 	before := c.keys.admitFirst
-	c.keys.admitFirst = func(t *task) idempotency.Verdict {
+	c.keys.admitFirst = func(t *task) idempotency.Decision {
 		v := begins(time.Until(t.Deadline))
-		if t.OnlyIfKnown && v.Do == idempotency.Refuse { // it is not to run here: only whether it is known is asked
-			v = idempotency.Verdict{}
+		if t.OnlyIfKnown && v.Action == idempotency.Reject { // it is not to run here: only whether it is known is asked
+			v = idempotency.Decision{}
 		}
-		if v.Do == idempotency.Begin && before != nil {
+		if v.Action == idempotency.Execute && before != nil {
 			return before(t)
 		}
 		return v
@@ -65,16 +65,16 @@
 func (c *Core) UnknownRunsUntil() int64 { return c.unknownRunsUntil }
 
 // verdictAnswer is the answer to a new idempotent request that may not begin.
-func (c *Core) verdictAnswer(v idempotency.Verdict) Answer {
-	if v.Do != idempotency.Refuse {
+func (c *Core) verdictAnswer(v idempotency.Decision) Answer {
+	if v.Action != idempotency.Reject {
 		return Answer{Outcome: Failed}
 	}
-	return Answer{Outcome: Rejected, RetryAfter: min(v.Wait, c.settings.Load().MaxRetryAfter)}
+	return Answer{Outcome: Rejected, RetryAfter: min(v.RetryAfter, c.settings.Load().MaxRetryAfter)}
 }
 
 // storeRecord is an execution as it is kept, without its result.
 func (x *execution) storeRecord() idempotency.Record {
-	return idempotency.Record{Seq: x.recordSeq, Key: x.entry.key, ID: x.requestID, Sum: x.fingerprint, Window: x.entry.window}
+	return idempotency.Record{Seq: x.recordSeq, Key: x.entry.key, ID: x.requestID, Fingerprint: x.fingerprint, Window: x.entry.window}
 }
 
 // persistStart writes that an idempotent request is about to run. It reports false where nothing is kept; else startPersisted
@@ -90,13 +90,13 @@
 	x := t.execution
 	r := x.storeRecord()
 	// Under the lock, so that nobody lists the records without this one.
-	v := c.store.Promise(&r, x.receivedAt, x.entry.expiresAt, time.Until(t.Deadline), func(err error) {
+	v := c.store.LogIntent(&r, x.receivedAt, x.entry.expiresAt, time.Until(t.Deadline), func(err error) {
 		c.deliver(t.ID, event{kind: startPersisted, err: err})
 	})
 	x.recordSeq = r.Seq
 	c.mu.Unlock()
-	if v.Do != idempotency.Begin {
-		c.stats.Inc("turned_away", t.Front, v.Why)
+	if v.Action != idempotency.Execute {
+		c.stats.Inc("turned_away", t.Front, v.Reason)
 		c.abandonRun(t, event{hasAnswer: true, answer: c.verdictAnswer(v)})
 	}
 	return true
@@ -110,8 +110,8 @@
 	c.mu.Unlock()
 	switch {
 	case e.err != nil:
-		c.stats.Inc("turned_away", t.Front, idempotency.WhyFailing)
-		c.abandonRun(t, event{hasAnswer: true, answer: c.verdictAnswer(idempotency.Verdict{Do: idempotency.Refuse, Why: idempotency.WhyFailing, Wait: c.RetryAfter()})})
+		c.stats.Inc("turned_away", t.Front, idempotency.ReasonFailing)
+		c.abandonRun(t, event{hasAnswer: true, answer: c.verdictAnswer(idempotency.Decision{Action: idempotency.Reject, Reason: idempotency.ReasonFailing, RetryAfter: c.RetryAfter()})})
 	case !pending:
 		c.abandonRun(t, event{})
 	default:
@@ -135,7 +135,7 @@
 	x.persistingResult = e.data
 	r := x.storeRecord()
 	r.Result = e.data
-	c.store.Result(&r, x.receivedAt, x.entry.expiresAt, func(err error) {
+	c.store.LogResult(&r, x.receivedAt, x.entry.expiresAt, func(err error) {
 		e.persisted = true
 		if err != nil { // a result that does not last is not told: after a restart nobody could tell it again
 			events.Log(c.log, "store.result_lost", t.Class, t.ID, err)
@@ -161,7 +161,7 @@
 	case silverpath.NotStarted:
 		c.store.Withdraw(x.recordSeq)
 	default:
-		c.store.Failed(x.recordSeq)
+		c.store.NoteFailed(x.recordSeq)
 	}
 }
 
@@ -173,7 +173,7 @@
 	e := c.keys.entries[keyOf(t.class, &t.Request)]
 	r := idempotency.Record{Key: e.key, Window: t.class.IdempotencyWindow}
 	persisted := make(chan error, 1)
-	if v := c.store.Mark(&r, e.movedUntil, func(err error) { persisted <- err }); v.Do != idempotency.Begin {
+	if v := c.store.LogMoved(&r, e.movedUntil, func(err error) { persisted <- err }); v.Action != idempotency.Execute {
 		*a = Answer{Outcome: Failed}
 		return
 	}
@@ -226,20 +226,20 @@
 	if e == nil {
 		e = k.add(r.Key)
 	}
-	e.expiresAt, e.window = later(e.expiresAt, at(r.Until)), max(e.window, r.Window)
+	e.expiresAt, e.window = later(e.expiresAt, at(r.ExpiresAt)), max(e.window, r.Window)
 	if r.State == idempotency.Moved {
-		e.movedUntil, e.movedRecord = later(e.movedUntil, at(r.Until)), r.Seq
+		e.movedUntil, e.movedRecord = later(e.movedUntil, at(r.ExpiresAt)), r.Seq
 		return
 	}
 	k.supersede(e)
-	e.latest = &execution{requestID: r.ID, fingerprint: r.Sum, entry: e, receivedAt: at(r.Reached), done: true, succeeded: r.State == idempotency.Done,
+	e.latest = &execution{requestID: r.ID, fingerprint: r.Fingerprint, entry: e, receivedAt: at(r.ReceivedAt), done: true, succeeded: r.State == idempotency.Completed,
 		result: r.Result, endedAt: now, recordSeq: r.Seq}
 	e.bytes += len(r.Result)
 	k.bytes += len(r.Result)
 }
 
 // Kept are the records of all runs that are kept, as they stand.
-func (c *Core) Kept(since func(time.Time) time.Duration) []idempotency.Record {
+func (c *Core) Records(since func(time.Time) time.Duration) []idempotency.Record {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
@@ -253,7 +253,7 @@
 		}
 		if e.movedRecord != 0 && now.Before(e.movedUntil) {
 			list = append(list, idempotency.Record{Seq: e.movedRecord, State: idempotency.Moved, Key: e.key, Window: e.window,
-				At: since(now), Until: since(e.movedUntil)})
+				RecordedAt: since(now), ExpiresAt: since(e.movedUntil)})
 		}
 	}
 	return list
@@ -262,14 +262,14 @@
 // currentRecord is an execution as it is kept, as far as it has come.
 func (x *execution) currentRecord(now time.Time, since func(time.Time) time.Duration) idempotency.Record {
 	r := x.storeRecord()
-	r.State, r.At, r.Reached, r.Until = idempotency.Running, since(now), since(x.receivedAt), since(x.entry.expiresAt)
+	r.State, r.RecordedAt, r.ReceivedAt, r.ExpiresAt = idempotency.Running, since(now), since(x.receivedAt), since(x.entry.expiresAt)
 	switch {
 	case x.done && x.succeeded:
-		r.State, r.Result = idempotency.Done, x.result
+		r.State, r.Result = idempotency.Completed, x.result
 	case x.done:
 		r.State = idempotency.Failed
 	case x.persistingResult != nil:
-		r.State, r.Result = idempotency.Done, x.persistingResult
+		r.State, r.Result = idempotency.Completed, x.persistingResult
 	}
 	return r
 }
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -277,7 +277,7 @@
 		reason = "it is answered"
 	case t.started && t.class.Effect != silverpath.Safe:
 		reason = "it has run"
-	case c.lifecycle.current().Leaving() && t.ReceivedAt.After(c.drainStartedAt.Add(c.settings.Load().DrainGrace)):
+	case c.lifecycle.current().ShuttingDown() && t.ReceivedAt.After(c.drainStartedAt.Add(c.settings.Load().DrainGrace)):
 		reason = "it came after the drain window"
 	case !c.keys.begin(t):
 		reason = "another try of it has run"
--- a/internal/core/task.go
+++ b/internal/core/task.go
@@ -25,17 +25,17 @@
 	class       silverpath.Class
 	readAt      time.Time
 	response    responseState
-	started     bool                // handed to the runner at least once
-	running     bool                // handed to the runner, and its end not seen yet
-	joining     bool                // waits for the result of another attempt
-	calling     bool                // a call of its run is out
-	callBody    []byte              // the body of the call that the run waits for
-	execution   *execution          // the run that this attempt is, or may become; idempotent requests and shared reads
-	duplicateOf *execution          // the run of another attempt that this one duplicates
-	keyConflict bool                // it has the key of another request, which is not the same
-	movedReason string              // why its key belongs to another server; empty: it does not
-	verdict     idempotency.Verdict // what the store says of it, where runs are kept
-	blockedBy   string              // why nothing new begins by the rules that it was sent by; empty: nothing is against it
+	started     bool                 // handed to the runner at least once
+	running     bool                 // handed to the runner, and its end not seen yet
+	joining     bool                 // waits for the result of another attempt
+	calling     bool                 // a call of its run is out
+	callBody    []byte               // the body of the call that the run waits for
+	execution   *execution           // the run that this attempt is, or may become; idempotent requests and shared reads
+	duplicateOf *execution           // the run of another attempt that this one duplicates
+	keyConflict bool                 // it has the key of another request, which is not the same
+	movedReason string               // why its key belongs to another server; empty: it does not
+	verdict     idempotency.Decision // what the store says of it, where runs are kept
+	blockedBy   string               // why nothing new begins by the rules that it was sent by; empty: nothing is against it
 
 	cancelCall    context.CancelFunc // gives up the call that is out
 	deadlineTimer *time.Timer
@@ -59,9 +59,9 @@
 	hasAnswer bool   // runEnded: the answer is that one
 	persisted bool   // runEnded: the result lasts, or never will
 
-	timeout      time.Duration   // callChosen
-	notification hotrestart.Note // runChosen: how the other process hears of it first
-	link         int             // runChosen: on which link
+	timeout      time.Duration     // callChosen
+	notification hotrestart.Notice // runChosen: how the other process hears of it first
+	link         int               // runChosen: on which link
 }
 
 type eventKind int
--- a/internal/policy/fence/file.go
+++ b/internal/policy/fence/file.go
@@ -81,7 +81,7 @@
 	if err != nil {
 		return err
 	}
-	if err := atomicfile.Put(f.path, append([]byte(checksum(body)+"\n"), body...), os.Rename); err != nil {
+	if err := atomicfile.Write(f.path, append([]byte(checksum(body)+"\n"), body...), os.Rename); err != nil {
 		return fmt.Errorf("noting an order: %w", err)
 	}
 	f.Fence = next
--- a/internal/policy/hotrestart/decisions_test.go
+++ b/internal/policy/hotrestart/decisions_test.go
@@ -11,28 +11,28 @@
 )
 
 // table is the runs of one process and what it was told of the other's.
-type table map[string]Flight
+type table map[string]Execution
 
-func (k table) Holds(key string, _ int64) (Flight, bool) { f, ok := k[key]; return f, ok }
-func (k table) Put(f Flight)                             { f.Theirs = true; k[f.Key] = f }
-func (k table) Drop(key string) {
-	if k[key].Theirs {
+func (k table) Find(key string, _ int64) (Execution, bool) { f, ok := k[key]; return f, ok }
+func (k table) Apply(f Execution)                          { f.Remote = true; k[f.Key] = f }
+func (k table) Forget(key string) {
+	if k[key].Remote {
 		delete(k, key)
 	}
 }
 
-func (k table) Own() (list []Flight) {
+func (k table) Local() (list []Execution) {
 	for _, key := range slices.Sorted(maps.Keys(k)) {
-		if f := k[key]; !f.Theirs {
+		if f := k[key]; !f.Remote {
 			list = append(list, f)
 		}
 	}
 	return list
 }
 
-func (k table) Lost(mayHaveRun func(f Flight) bool) {
+func (k table) PeerLost(mayHaveRun func(f Execution) bool) {
 	for key, f := range k {
-		if f.Theirs && f.Stage < Passed {
+		if f.Remote && f.Stage < Succeeded {
 			if f.Stage = Failed; mayHaveRun(f) {
 				k[key] = f
 			} else {
@@ -42,9 +42,9 @@
 	}
 }
 
-func (k table) Keep(listed func(key string) bool) {
+func (k table) Retain(listed func(key string) bool) {
 	for key, f := range k {
-		if f.Theirs && f.Stage < Passed && !listed(key) {
+		if f.Remote && f.Stage < Succeeded && !listed(key) {
 			delete(k, key)
 		}
 	}
@@ -56,7 +56,7 @@
 	h := sha256.New()
 	for seed := range uint64(40) {
 		rng := rand.New(rand.NewPCG(seed, 30))
-		var sides [2]*Side
+		var sides [2]*Coordinator
 		var runs [2]table
 		var way [2][]Message // to each
 		linked := false
@@ -64,16 +64,16 @@
 		born := func(i int) {
 			runs[i] = table{}
 			sides[i] = New(runs[i])
-			sides[i].Placed(now+1, i)
+			sides[i].SlotTaken(now+1, i)
 		}
 		say := func(i int) {
 			s := sides[i]
-			fx := s.Take()
+			fx := s.TakeEffects()
 			out := "-"
-			if fx.Out != nil {
-				out = fmt.Sprint(*fx.Out)
+			if fx.Evacuated != nil {
+				out = fmt.Sprint(*fx.Evacuated)
 			}
-			fmt.Fprintln(h, i, s.Role(), s.May(), s.Pair(), s.Successor(), s.Blind(), s.Peer(), s.Marks(), fx.Changed, out, fx.Clear, fx.Marks)
+			fmt.Fprintln(h, i, s.Role(), s.MayServe(), s.HasPeer(), s.SuccessorReady(), s.UnknownUntil(), s.PeerStartedAt(), s.Marks(), fx.Changed, out, fx.ClearMark, fx.Marks)
 			for _, m := range fx.Send {
 				fmt.Fprintln(h, " ", m)
 				way[1-i] = append(way[1-i], m)
@@ -82,27 +82,27 @@
 		cut := func(unread bool) {
 			linked, way = false, [2][]Message{}
 			for i := range sides {
-				sides[i].Cut(unread)
+				sides[i].LinkDown(unread)
 				say(i)
 			}
 		}
 		born(0)
-		sides[0].Alone(false, now)
+		sides[0].PeerAbsent(false, now)
 		say(0)
 		born(1)
-		sides[1].Other()
+		sides[1].PeerPresent()
 		for range 400 {
 			now += int64(rng.IntN(5))
 			i := rng.IntN(2)
 			s := sides[i]
 			key := fmt.Sprint("k", rng.IntN(12))
-			f := Flight{Key: key, ID: fmt.Sprint(i, now), Sum: 7, Reached: now, Until: now + 50, Window: time.Second}
+			f := Execution{Key: key, ID: fmt.Sprint(i, now), Fingerprint: 7, ReceivedAt: now, ExpiresAt: now + 50, Window: time.Second}
 			switch rng.IntN(14) {
 			case 0:
 				if !linked {
 					linked = true
-					sides[0].Linked()
-					sides[1].Linked()
+					sides[0].LinkUp()
+					sides[1].LinkUp()
 					say(0)
 					say(1)
 				}
@@ -117,51 +117,51 @@
 				other := 1 - i
 				linked, way = false, [2][]Message{}
 				if rng.IntN(2) == 0 {
-					sides[other].Cut(rng.IntN(2) == 0)
+					sides[other].LinkDown(rng.IntN(2) == 0)
 				}
-				sides[other].Alone(rng.IntN(2) == 0, now)
+				sides[other].PeerAbsent(rng.IntN(2) == 0, now)
 				say(other)
 				born(i)
-				sides[other].Other()
+				sides[other].PeerPresent()
 				s = sides[i]
-				s.Other()
+				s.PeerPresent()
 			case 3:
-				s.Evacuated(rng.IntN(2) == 0)
+				s.SetEvacuated(rng.IntN(2) == 0)
 			case 4:
-				s.Ready(rng.IntN(2) == 0)
+				s.SetReady(rng.IntN(2) == 0)
 			case 5, 6:
-				s.Want(key)
-				v := s.Ask(f)
+				s.BeginClaim(key)
+				v := s.CheckClaim(f)
 				fmt.Fprintln(h, "ask", i, key, v)
-				if _, known := runs[i].Holds(key, now); v == Own && !known {
+				if _, known := runs[i].Find(key, now); v == Granted && !known {
 					runs[i][key] = f
 				} else if rng.IntN(3) == 0 {
-					s.Done(key, now)
+					s.EndClaim(key, now)
 				}
 			case 7, 8, 9:
-				own := runs[i].Own()
+				own := runs[i].Local()
 				if len(own) == 0 {
 					continue
 				}
 				f := own[rng.IntN(len(own))]
 				switch {
-				case f.Stage == Held && rng.IntN(4) == 0:
+				case f.Stage == Queued && rng.IntN(4) == 0:
 					delete(runs[i], f.Key)
-					s.Dropped(f.Key)
-					s.Done(f.Key, now)
-				case f.Stage == Held:
+					s.RequestDropped(f.Key)
+					s.EndClaim(f.Key, now)
+				case f.Stage == Queued:
 					f.Stage = Running
 					runs[i][f.Key] = f
-					n := s.Starts(f)
+					n := s.RunStarts(f)
 					fmt.Fprintln(h, "starts", i, f.Key, n)
-					if n == Written && rng.IntN(9) == 0 {
-						s.Unwritten()
+					if n == NoticeByLink && rng.IntN(9) == 0 {
+						s.NoticeLost()
 					}
 				case f.Stage == Running:
-					f.Stage, f.Result = Passed, []byte("result")
+					f.Stage, f.Result = Succeeded, []byte("result")
 					runs[i][f.Key] = f
-					s.Ended(f)
-					s.Done(f.Key, now)
+					s.RunEnded(f)
+					s.EndClaim(f.Key, now)
 				}
 			default:
 				if !linked || len(way[i]) == 0 {
@@ -175,7 +175,7 @@
 					continue
 				}
 				if rng.IntN(4) == 0 {
-					clear, marks := s.TakeClear()
+					clear, marks := s.TakeClearMark()
 					fmt.Fprintln(h, clear, marks)
 				}
 			}
--- a/internal/policy/idempotency/keyed_test.go
+++ b/internal/policy/idempotency/keyed_test.go
@@ -17,19 +17,19 @@
 			return time.Duration(rapid.Int64Range(0, int64(time.Hour)).Draw(t, name))
 		}
 		reached := d("reached")
-		r := Record{State: State(rapid.IntRange(int(Promised), int(Moved)).Draw(t, "state")), Reached: reached, At: reached + d("late")/1000,
-			Until: reached + window, Window: window}
-		m := Meta{Machine: rapid.SampledFrom([]string{"", "m"}).Draw(t, "of"), Boot: "a", Since: d("since")}
-		c := Clock{Machine: rapid.SampledFrom([]string{"", "m", "n"}).Draw(t, "machine"), Boot: rapid.SampledFrom([]string{"a", "b", ""}).Draw(t, "boot"), Now: d("now")}
-		last := max(r.At, m.Since)
-		shift := m.Shift(r.At, c)
-		got, kept := r.Recover(shift, c.Now)
-		age, want := c.Now-got.Reached, last-reached // as old as it was when the store was last written
+		r := Record{State: State(rapid.IntRange(int(Intended), int(Moved)).Draw(t, "state")), ReceivedAt: reached, RecordedAt: reached + d("late")/1000,
+			ExpiresAt: reached + window, Window: window}
+		m := Coverage{Machine: rapid.SampledFrom([]string{"", "m"}).Draw(t, "of"), Boot: "a", CompleteSince: d("since")}
+		c := Clock{Machine: rapid.SampledFrom([]string{"", "m", "n"}).Draw(t, "machine"), Boot: rapid.SampledFrom([]string{"a", "b", ""}).Draw(t, "boot"), SinceBoot: d("now")}
+		last := max(r.RecordedAt, m.CompleteSince)
+		shift := m.TimeShift(r.RecordedAt, c)
+		got, kept := r.Recover(shift, c.SinceBoot)
+		age, want := c.SinceBoot-got.ReceivedAt, last-reached // as old as it was when the store was last written
 		switch {
-		case c.Boot == "a" && c.Now >= last:
-			want = c.Now - reached
+		case c.Boot == "a" && c.SinceBoot >= last:
+			want = c.SinceBoot - reached
 		case c.Boot != "a" && m.Machine == "m" && c.Machine == "m": // and as the machine has been on since
-			want += c.Now
+			want += c.SinceBoot
 		}
 		if age != want {
 			t.Fatalf("reached %v ago, not %v", age, want)
@@ -37,7 +37,7 @@
 		if kept != (age <= window) {
 			t.Fatalf("kept: %v, at an age of %v", kept, age)
 		}
-		if do := got.State.Allows(); do == Begin || do == Join || (do == Answer) != (r.State == Done) {
+		if do := got.State.Action(); do == Execute || do == Join || (do == Replay) != (r.State == Completed) {
 			t.Fatalf("%v is taken up as %v, which allows to %v", r.State, got.State, do)
 		}
 	})
@@ -47,7 +47,7 @@
 // forgotten while it is under way or before its time, none twice, and the sums are right.
 func TestLedger(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		limits := Limits{Bytes: 20_000, Result: 2_000, Retry: time.Second}
+		limits := Limits{Bytes: 20_000, ResultReserve: 2_000, RetryAfter: time.Second}
 		l, now := NewLedger(limits), time.Hour
 		type run struct {
 			size  int
@@ -62,37 +62,37 @@
 			under = append(under[:i], under[i+1:]...)
 			return seq
 		}
-		if v := l.Begins(now, time.Second); v.Do != Fail {
+		if v := l.CanExecute(now, time.Second); v.Action != Fail {
 			t.Fatalf("while it loads: %v", v)
 		}
-		l.Loaded(now, now+rapid.SampledFrom([]time.Duration{0, 5 * time.Second}).Draw(t, "blind"))
-		blind := l.blind
+		l.LoadFinished(now, now+rapid.SampledFrom([]time.Duration{0, 5 * time.Second}).Draw(t, "blind"))
+		blind := l.incompleteUntil
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
 			now += time.Duration(rapid.Int64Range(0, int64(time.Second)).Draw(t, "later"))
 			switch op := rapid.IntRange(0, 7).Draw(t, "op"); {
 			case op <= 2:
-				r := Record{Key: fmt.Sprint("k", now), Until: now + time.Duration(rapid.Int64Range(0, int64(20*time.Second)).Draw(t, "window"))}
-				phase := l.phase
-				v := l.Promise(&r, now, time.Second)
-				if v.Do == Begin && (phase != Open || now < blind || l.used+l.reserved > limits.Bytes) {
-					t.Fatalf("let in: %v, %d + %d bytes, blind for %v", phase, l.used, l.reserved, blind-now)
+				r := Record{Key: fmt.Sprint("k", now), ExpiresAt: now + time.Duration(rapid.Int64Range(0, int64(20*time.Second)).Draw(t, "window"))}
+				phase := l.health
+				v := l.Admit(&r, now, time.Second)
+				if v.Action == Execute && (phase != Open || now < blind || l.usedBytes+l.reservedBytes > limits.Bytes) {
+					t.Fatalf("let in: %v, %d + %d bytes, blind for %v", phase, l.usedBytes, l.reservedBytes, blind-now)
 				}
-				if v.Do == Refuse && (v.Why == "" || v.Wait <= 0 || now < blind) || v.Do == Fail && now >= blind {
+				if v.Action == Reject && (v.Reason == "" || v.RetryAfter <= 0 || now < blind) || v.Action == Fail && now >= blind {
 					t.Fatalf("%v", v)
 				}
-				if v.Do == Begin {
-					runs[r.Seq] = &run{size: r.Size(), until: r.Until}
+				if v.Action == Execute {
+					runs[r.Seq] = &run{size: r.Size(), until: r.ExpiresAt}
 					under = append(under, r.Seq)
 				}
 			case op == 3 && len(under) > 0:
-				seq, size := pick(), rapid.IntRange(0, limits.Result).Draw(t, "result")
-				if !l.Lasts(seq) || !l.Result(seq, Done, size) || l.Result(seq, Done, size) {
+				seq, size := pick(), rapid.IntRange(0, limits.ResultReserve).Draw(t, "result")
+				if !l.IntentDurable(seq) || !l.Finish(seq, Completed, size) || l.Finish(seq, Completed, size) {
 					t.Fatalf("the result of %d is not taken, or twice", seq)
 				}
 				runs[seq].over, runs[seq].size = true, runs[seq].size+size
 			case op == 4 && len(under) > 0:
 				seq := pick()
-				if !l.Result(seq, Failed, 0) {
+				if !l.Finish(seq, Failed, 0) {
 					t.Fatal("a failure is not taken")
 				}
 				runs[seq].over = true
@@ -104,12 +104,12 @@
 				delete(runs, seq)
 			case op == 6:
 				if rapid.Bool().Draw(t, "fails") {
-					l.Failed()
+					l.WriteFailed()
 				} else {
-					l.Anew()
+					l.Rewritten()
 				}
 			case op == 7:
-				for _, seq := range l.Sweep(now, 3) {
+				for _, seq := range l.Expire(now, 3) {
 					if r := runs[seq]; r == nil || !r.over || now <= r.until {
 						t.Fatalf("forgotten: %+v at %v", r, now)
 					}
@@ -120,30 +120,30 @@
 			for _, r := range runs {
 				sum += r.size
 			}
-			if v := l.View(now); v.Bytes != sum || v.Live != len(runs) || v.Reserved != len(under)*limits.Result {
+			if v := l.Snapshot(now); v.Bytes != sum || v.Records != len(runs) || v.ReservedBytes != len(under)*limits.ResultReserve {
 				t.Fatalf("%+v, and %d records of %d bytes, %d under way", v, len(runs), sum, len(under))
 			}
 		}
 		for range 100 { // all that is over goes in the end
-			l.Sweep(now+time.Hour, 1000)
+			l.Expire(now+time.Hour, 1000)
 		}
-		if len(l.slots) != len(under) {
-			t.Fatalf("%d records are left, %d under way", len(l.slots), len(under))
+		if len(l.entries) != len(under) {
+			t.Fatalf("%d records are left, %d under way", len(l.entries), len(under))
 		}
 	})
 }
 
 // A disk that is too slow turns sheets away, and is tried again once its last commit is long ago.
 func TestPace(t *testing.T) {
-	l := NewLedger(Limits{Bytes: 1 << 20, Retry: time.Second})
-	l.Loaded(0, 0)
+	l := NewLedger(Limits{Bytes: 1 << 20, RetryAfter: time.Second})
+	l.LoadFinished(0, 0)
 	l.Committed(time.Second, 300*time.Millisecond)
-	for left, want := range map[time.Duration]Do{time.Second: Refuse, 3 * time.Second: Begin} {
-		if v := l.Begins(time.Second, left); v.Do != want {
+	for left, want := range map[time.Duration]Action{time.Second: Reject, 3 * time.Second: Execute} {
+		if v := l.CanExecute(time.Second, left); v.Action != want {
 			t.Errorf("%v left: %v", left, v)
 		}
 	}
-	if v := l.Begins(1100*time.Millisecond+paceFor, time.Second); v.Do != Begin {
+	if v := l.CanExecute(1100*time.Millisecond+commitTimeWindow, time.Second); v.Action != Execute {
 		t.Errorf("long after: %v", v)
 	}
 }
@@ -151,15 +151,15 @@
 // A commit waits for others only where others are to be expected.
 func TestGathers(t *testing.T) {
 	for every, want := range map[time.Duration]time.Duration{2 * time.Millisecond: 0, 100 * time.Microsecond: 500 * time.Microsecond} {
-		l, now := NewLedger(Limits{Gather: 500 * time.Microsecond}), time.Hour
+		l, now := NewLedger(Limits{GroupCommitDelay: 500 * time.Microsecond}), time.Hour
 		for range 1000 {
 			now += every
-			l.Asked(now)
+			l.ChangeQueued(now)
 		}
-		if got := l.Gathers(now); got != want {
+		if got := l.CommitDelay(now); got != want {
 			t.Errorf("one each %v: waits %v", every, got)
 		}
-		if got := l.Gathers(now + time.Second); got != 0 {
+		if got := l.CommitDelay(now + time.Second); got != 0 {
 			t.Errorf("a second later: waits %v", got)
 		}
 	}
@@ -191,9 +191,9 @@
 			w.up, w.mem = true, Unknown
 			switch {
 			case w.result:
-				w.mem = Done
+				w.mem = Completed
 			case w.promise && g.after:
-				w.mem = Running.After()
+				w.mem = Running.AfterRestart()
 			}
 		})
 		return list
@@ -211,28 +211,28 @@
 		})
 	}
 	switch {
-	case w.mem.Allows() == Begin: // a try comes
+	case w.mem.Action() == Execute: // a try comes
 		add(func(w *world) {
-			w.mem = Promised
-			if w.writing = Promised; !g.promise {
+			w.mem = Intended
+			if w.writing = Intended; !g.promise {
 				w.writing = Unknown
 			}
 		})
-	case w.mem == Done:
+	case w.mem == Completed:
 		add(func(w *world) { w.told = true })
 	}
 	if w.writing != Unknown {
 		add(func(w *world) { w.land() })
 	}
-	if w.mem == Promised && w.writing == Unknown && !w.begun {
+	if w.mem == Intended && w.writing == Unknown && !w.begun {
 		add(func(w *world) { w.mem, w.begun = Running, true; w.runs++ })
 	}
 	if w.mem == Running && w.begun && w.writing == Unknown { // it ends
 		add(func(w *world) {
 			if g.result {
-				w.writing = Done
+				w.writing = Completed
 			} else {
-				w.mem = Done
+				w.mem = Completed
 			}
 		})
 	}
@@ -241,12 +241,12 @@
 
 func (w *world) land() {
 	switch w.writing {
-	case Promised:
+	case Intended:
 		w.promise = true
-	case Done:
+	case Completed:
 		w.result = true
 		if w.mem == Running {
-			w.mem = Done
+			w.mem = Completed
 		}
 	}
 	w.writing = Unknown
--- a/internal/policy/idempotency/names_test.go
+++ b/internal/policy/idempotency/names_test.go
@@ -9,11 +9,11 @@
 // were, and the numbers of states are what stands on the disk.
 func TestNames(t *testing.T) {
 	for got, want := range map[string]string{
-		fmt.Sprint(Unknown, Promised, Running, Done, Failed, Moved, Expired):               "unknown promised running done failed moved expired",
-		fmt.Sprintf("%d %d %d %d %d", Promised, Running, Done, Failed, Moved):              "1 2 3 4 5",
-		fmt.Sprint(Begin, Join, Answer, Fail, Refuse):                                      "begin join answer fail refuse",
-		fmt.Sprint(Loading, Open, Failing, Closed):                                         "loading open failing closed",
-		fmt.Sprint(WhyLoading, " ", WhyBlind, " ", WhyFull, " ", WhyFailing, " ", WhySlow): "store_loading store_blind store_full store_failing store_slow",
+		fmt.Sprint(Unknown, Intended, Running, Completed, Failed, Moved, Expired):                              "unknown promised running done failed moved expired",
+		fmt.Sprintf("%d %d %d %d %d", Intended, Running, Completed, Failed, Moved):                             "1 2 3 4 5",
+		fmt.Sprint(Execute, Join, Replay, Fail, Reject):                                                        "begin join answer fail refuse",
+		fmt.Sprint(Loading, Open, Failing, Closed):                                                             "loading open failing closed",
+		fmt.Sprint(ReasonLoading, " ", ReasonIncomplete, " ", ReasonFull, " ", ReasonFailing, " ", ReasonSlow): "store_loading store_blind store_full store_failing store_slow",
 	} {
 		if got != want {
 			t.Errorf("%s, want %s", got, want)
--- a/internal/policy/recovery/names_test.go
+++ b/internal/policy/recovery/names_test.go
@@ -10,7 +10,7 @@
 // A sign of life stands on the disk in JSON, by these names and in this order, as its checksum is of that text: a build that wrote
 // it otherwise would not believe the one before it.
 func TestSignOnTheDisk(t *testing.T) {
-	text, err := json.Marshal(Sign{Name: "n1", Machine: "m1", Boot: "b1", Up: time.Hour, Valid: 400 * time.Millisecond})
+	text, err := json.Marshal(Heartbeat{Name: "n1", Machine: "m1", Boot: "b1", SinceBoot: time.Hour, Validity: 400 * time.Millisecond})
 	if want := `{"Name":"n1","Machine":"m1","Boot":"b1","Up":3600000000000,"Valid":400000000}`; err != nil || string(text) != want {
 		t.Errorf("%s, %v, want %s", text, err, want)
 	}
@@ -19,8 +19,8 @@
 // Names stand in output that operators' tools read.
 func TestNames(t *testing.T) {
 	for got, want := range map[string]string{
-		fmt.Sprint(Nothing, ByProcess, ByMachine): "nothing process machine",
-		fmt.Sprint(Trusted, Confirmed, Never):     "trusted once confirmed never",
+		fmt.Sprint(NoEvidence, SameBoot, Rebooted):        "nothing process machine",
+		fmt.Sprint(Trusted, AfterConfirmation, Discarded): "trusted once confirmed never",
 	} {
 		if got != want {
 			t.Errorf("%s, want %s", got, want)
--- a/internal/policy/recovery/path.go
+++ b/internal/policy/recovery/path.go
@@ -6,20 +6,20 @@
 )
 
 // Need is one thing on which the return of service waits.
-type Need uint8
+type Prerequisite uint8
 
 const (
-	Disk   Need = iota // what the process kept itself has been read
-	Worker             // that which does the work is up
-	Rules              // the rules that it acts on are confirmed
-	Window             // what may have run before, and is not known, can't come again
-	Signs              // signs of life last
-	Map                // a router has a map to go by
-	Shares             // a router has its parts of what all share
-	needs
+	StoreRead         Prerequisite = iota // what the process kept itself has been read
+	WorkerUp                              // that which does the work is up
+	RulesConfirmed                        // the rules that it acts on are confirmed
+	WindowOver                            // what may have run before, and is not known, can't come again
+	HeartbeatsDurable                     // signs of life last
+	MapKnown                              // a router has a map to go by
+	QuotasKnown                           // a router has its parts of what all share
+	prerequisites
 )
 
-func (n Need) String() string {
+func (n Prerequisite) String() string {
 	return [...]string{"disk", "worker", "rules", "window", "signs", "map", "shares"}[n]
 }
 
@@ -27,10 +27,10 @@
 type Work uint8
 
 const (
-	Reads   Work = iota // what has no effect
-	Repeats             // of what is known to have run
-	Sheets              // what has an effect
-	Width               // as much of it as the process ever takes
+	Reads              Work = iota // what has no effect
+	Replays                        // of what is known to have run
+	IdempotentRequests             // what has an effect
+	FullCapacity                   // as much of it as the process ever takes
 )
 
 func (w Work) String() string { return [...]string{"reads", "repeats", "sheets", "width"}[w] }
@@ -44,40 +44,40 @@
 )
 
 // opens is what each work needs. What a process has no use for (no store, no group) is met from the start.
-var opens = map[Role][]struct {
+var requirements = map[Role][]struct {
 	work Work
-	by   []Need
+	by   []Prerequisite
 }{
-	Server: {{Reads, []Need{Worker}}, {Repeats, []Need{Disk}}, {Sheets, []Need{Worker, Disk, Rules, Window, Signs}},
-		{Width, []Need{Worker, Disk, Rules, Window, Signs}}},
-	Router: {{Reads, []Need{Map}}, {Repeats, []Need{Map, Rules}}, {Sheets, []Need{Map, Rules}}, {Width, []Need{Map, Rules, Shares}}},
+	Server: {{Reads, []Prerequisite{WorkerUp}}, {Replays, []Prerequisite{StoreRead}}, {IdempotentRequests, []Prerequisite{WorkerUp, StoreRead, RulesConfirmed, WindowOver, HeartbeatsDurable}},
+		{FullCapacity, []Prerequisite{WorkerUp, StoreRead, RulesConfirmed, WindowOver, HeartbeatsDurable}}},
+	Router: {{Reads, []Prerequisite{MapKnown}}, {Replays, []Prerequisite{MapKnown, RulesConfirmed}}, {IdempotentRequests, []Prerequisite{MapKnown, RulesConfirmed}}, {FullCapacity, []Prerequisite{MapKnown, RulesConfirmed, QuotasKnown}}},
 }
 
 // mostSteps is how many steps of a path are kept, the first ones.
-const mostSteps = 32
+const maxSteps = 32
 
 // State is how far a process has come. Each has all that the ones before it have.
 type State uint8
 
 const (
-	Dark    State = iota // nothing yet but the answers that it can't
-	Reading              // reads
-	Sure                 // reads, and sheets
-	Full                 // all
+	Unavailable     State = iota // nothing yet but the answers that it can't
+	ReadsOnly                    // reads
+	ReadsAndEffects              // reads, and sheets
+	FullService                  // all
 )
 
 func (s State) String() string { return [...]string{"dark", "reads", "sheets", "full"}[s] }
 
 // Path is the way of one process from its start to full service.
-type Path struct {
-	role  Role
-	met   [needs]bool
-	since [needs]time.Duration // it is met, or waits
-	most  [needs]time.Duration // at the longest it takes; 0: as long as it takes
-	began time.Duration
-	state State
-	at    time.Duration // the state was reached
-	log   []Step
+type Progress struct {
+	role      Role
+	met       [prerequisites]bool
+	since     [prerequisites]time.Duration // it is met, or waits
+	maxWait   [prerequisites]time.Duration // at the longest it takes; 0: as long as it takes
+	startedAt time.Duration
+	state     State
+	reachedAt time.Duration // the state was reached
+	steps     []Step
 }
 
 // Step is a state with when it was reached, from the start on.
@@ -87,37 +87,37 @@
 }
 
 // NewPath returns the path of a process that starts, and of which needs it has a use.
-func NewPath(now time.Duration, role Role, uses ...Need) *Path {
-	p := &Path{role: role, began: now, at: now}
-	for n := range needs {
+func NewProgress(now time.Duration, role Role, uses ...Prerequisite) *Progress {
+	p := &Progress{role: role, startedAt: now, reachedAt: now}
+	for n := range prerequisites {
 		p.met[n], p.since[n] = !slices.Contains(uses, n), now
 	}
-	p.settle(now)
+	p.advance(now)
 	return p
 }
 
 // Tell notes which needs are met, all at once, and which are not. Those that are not named are as they were.
-func (p *Path) Tell(now time.Duration, met map[Need]bool) {
+func (p *Progress) Update(now time.Duration, met map[Prerequisite]bool) {
 	for n, is := range met {
 		if p.met[n] != is {
 			p.met[n], p.since[n] = is, now
 		}
 	}
-	p.settle(now)
+	p.advance(now)
 }
 
 // Takes notes how long from now on a need is waited for at the most.
-func (p *Path) Takes(now time.Duration, n Need, most time.Duration) {
+func (p *Progress) ExpectWait(now time.Duration, n Prerequisite, max time.Duration) {
 	if !p.met[n] {
-		p.since[n], p.most[n] = now, most
+		p.since[n], p.maxWait[n] = now, max
 	}
 }
 
 // Allows reports whether a kind of work is open.
-func (p *Path) Allows(w Work) bool { return len(p.lacks(w)) == 0 }
+func (p *Progress) Allows(w Work) bool { return len(p.missing(w)) == 0 }
 
-func (p *Path) lacks(w Work) (list []Need) {
-	for _, o := range opens[p.role] {
+func (p *Progress) missing(w Work) (list []Prerequisite) {
+	for _, o := range requirements[p.role] {
 		if o.work != w {
 			continue
 		}
@@ -130,12 +130,12 @@
 	return list
 }
 
-func (p *Path) settle(now time.Duration) {
-	next := Dark
+func (p *Progress) advance(now time.Duration) {
+	next := Unavailable
 	for _, s := range []struct {
 		state State
 		work  Work
-	}{{Reading, Reads}, {Sure, Sheets}, {Full, Width}} {
+	}{{ReadsOnly, Reads}, {ReadsAndEffects, IdempotentRequests}, {FullService, FullCapacity}} {
 		if !p.Allows(s.work) {
 			break
 		}
@@ -144,32 +144,32 @@
 	if next == p.state {
 		return
 	}
-	if p.state, p.at = next, now; len(p.log) < mostSteps {
-		p.log = append(p.log, Step{next, now - p.began})
+	if p.state, p.reachedAt = next, now; len(p.steps) < maxSteps {
+		p.steps = append(p.steps, Step{next, now - p.startedAt})
 	}
 }
 
 // Wait is one need that is not met.
 type Wait struct {
-	Need Need
-	For  time.Duration // it has waited
-	Most time.Duration // it will at the most; 0: as long as it takes
+	Prerequisite Prerequisite
+	Waited       time.Duration // it has waited
+	MaxWait      time.Duration // it will at the most; 0: as long as it takes
 }
 
 // View is a path as it is seen.
-type View struct {
+type Snapshot struct {
 	State State
-	For   time.Duration
+	Since time.Duration
 	Waits []Wait // for all that is not open yet
 	Steps []Step
 }
 
 // View returns the present one.
-func (p *Path) View(now time.Duration) View {
-	v := View{State: p.state, For: now - p.at, Steps: slices.Clone(p.log)}
-	for n := range needs {
+func (p *Progress) Snapshot(now time.Duration) Snapshot {
+	v := Snapshot{State: p.state, Since: now - p.reachedAt, Steps: slices.Clone(p.steps)}
+	for n := range prerequisites {
 		if !p.met[n] {
-			v.Waits = append(v.Waits, Wait{n, now - p.since[n], p.most[n]})
+			v.Waits = append(v.Waits, Wait{n, now - p.since[n], p.maxWait[n]})
 		}
 	}
 	return v
--- a/internal/policy/recovery/recovery_test.go
+++ b/internal/policy/recovery/recovery_test.go
@@ -23,49 +23,49 @@
 func TestDark(t *testing.T) {
 	const day = 24 * time.Hour
 	play := func(t *rapid.T, ruled bool) (late time.Duration) {
-		terms := Terms{Every: 250 * time.Millisecond, Valid: time.Second}
+		terms := LeaseTerms{Interval: 250 * time.Millisecond, Validity: time.Second}
 		// Drawn evenly: short times alone find nothing.
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
 		draw := func(most time.Duration) time.Duration { return 1 + time.Duration(rng.Int64N(int64(most))) }
 		up := draw(day) // of the machine, as the process starts; true time runs with it
-		l, now, began := NewLife(terms), up, time.Duration(-1)
-		var lasting Sign
+		l, now, began := NewHeartbeatLease(terms), up, time.Duration(-1)
+		var lasting Heartbeat
 		var ends time.Duration // of the write under way
 		writing, fails := false, false
 		for range 1 + rng.IntN(60) {
 			if writing && now >= ends {
 				if !fails {
-					lasting = Sign{"s", "m", "b", l.asked, terms.Valid}
+					lasting = Heartbeat{"s", "m", "b", l.writeStarted, terms.Validity}
 				}
-				l.Written(!fails)
+				l.HeartbeatWritten(!fails)
 				writing = false
 			}
-			if l.Due(now) {
+			if l.HeartbeatDue(now) {
 				writing, fails = true, rng.IntN(4) == 0
 				ends = now + draw(3*time.Second)
 			}
-			if l.May(now) || !ruled && l.lasts {
+			if l.MayExecute(now) || !ruled && l.durable {
 				began = now
 			}
 			now += draw(500 * time.Millisecond)
 		}
 		if writing && !fails && rng.IntN(2) == 0 { // it may have come to last though nobody heard
-			lasting = Sign{"s", "m", "b", l.asked, terms.Valid}
+			lasting = Heartbeat{"s", "m", "b", l.writeStarted, terms.Validity}
 		}
 		died := now
-		next, passed := Sign{"s", "m", "b", 0, terms.Valid}, draw(day)
+		next, passed := Heartbeat{"s", "m", "b", 0, terms.Validity}, draw(day)
 		switch rng.IntN(4) {
 		case 0:
-			next.Up = died + passed
+			next.SinceBoot = died + passed
 		case 1:
-			next.Boot, next.Up = "c", draw(passed)
+			next.Boot, next.SinceBoot = "c", draw(passed)
 		case 2: // the disk in another machine, which has been on for long
-			next.Machine, next.Boot, next.Up = "n", "d", day
+			next.Machine, next.Boot, next.SinceBoot = "n", "d", day
 		case 3:
-			next.Name, next.Up = "another", died+passed
+			next.Name, next.SinceBoot = "another", died+passed
 		}
-		least, by := lasting.Dark(next)
-		if by == Nothing && least != 0 {
+		least, by := lasting.Downtime(next)
+		if by == NoEvidence && least != 0 {
 			t.Fatalf("%v by nothing", least)
 		}
 		if began < 0 {
@@ -89,33 +89,33 @@
 // and of use is what is waited for.
 func TestPath(t *testing.T) {
 	for _, role := range []Role{Server, Router} {
-		for uses := range 1 << needs {
-			var list []Need
-			for n := range needs {
+		for uses := range 1 << prerequisites {
+			var list []Prerequisite
+			for n := range prerequisites {
 				if uses&(1<<n) != 0 {
 					list = append(list, n)
 				}
 			}
-			for met := range 1 << needs {
+			for met := range 1 << prerequisites {
 				if met&^uses != 0 {
 					continue
 				}
-				p := NewPath(0, role, list...)
+				p := NewProgress(0, role, list...)
 				for i, n := range list {
-					p.Tell(time.Duration(i+1), map[Need]bool{n: met&(1<<n) != 0})
+					p.Update(time.Duration(i+1), map[Prerequisite]bool{n: met&(1<<n) != 0})
 				}
-				lacks := func(n Need) bool { return uses&(1<<n) != 0 && met&(1<<n) == 0 }
-				v := p.View(time.Minute)
-				if p.Allows(Sheets) && (lacks(Rules) || role == Server && (lacks(Disk) || lacks(Window) || lacks(Signs)) || role == Router && lacks(Map)) ||
-					p.Allows(Width) && !p.Allows(Sheets) || p.Allows(Sheets) && !p.Allows(Reads) || p.Allows(Repeats) && role == Server && lacks(Disk) {
+				lacks := func(n Prerequisite) bool { return uses&(1<<n) != 0 && met&(1<<n) == 0 }
+				v := p.Snapshot(time.Minute)
+				if p.Allows(IdempotentRequests) && (lacks(RulesConfirmed) || role == Server && (lacks(StoreRead) || lacks(WindowOver) || lacks(HeartbeatsDurable)) || role == Router && lacks(MapKnown)) ||
+					p.Allows(FullCapacity) && !p.Allows(IdempotentRequests) || p.Allows(IdempotentRequests) && !p.Allows(Reads) || p.Allows(Replays) && role == Server && lacks(StoreRead) {
 					t.Fatalf("%v that uses %v and has %b allows too much", role, list, met)
 				}
-				if v.State != map[bool]State{true: Full}[p.Allows(Width)] && v.State != map[bool]State{true: Sure}[p.Allows(Sheets)] &&
-					v.State != map[bool]State{true: Reading}[p.Allows(Reads)] {
+				if v.State != map[bool]State{true: FullService}[p.Allows(FullCapacity)] && v.State != map[bool]State{true: ReadsAndEffects}[p.Allows(IdempotentRequests)] &&
+					v.State != map[bool]State{true: ReadsOnly}[p.Allows(Reads)] {
 					t.Fatalf("state %v", v.State)
 				}
-				for n := range needs {
-					if waits := slices.ContainsFunc(v.Waits, func(w Wait) bool { return w.Need == n }); waits != lacks(n) {
+				for n := range prerequisites {
+					if waits := slices.ContainsFunc(v.Waits, func(w Wait) bool { return w.Prerequisite == n }); waits != lacks(n) {
 						t.Fatalf("%v: waits %v, lacks %v", n, waits, lacks(n))
 					}
 				}
@@ -126,7 +126,7 @@
 
 // Every file of the program that writes to a disk has its line in the table of trust, and every line's files do.
 func TestTableOfTrust(t *testing.T) {
-	writes := map[string]bool{"atomicfile.Put": true, "bbolt.Open": true, "os.Rename": true, "os.Link": true, "os.WriteFile": true,
+	writes := map[string]bool{"atomicfile.Write": true, "bbolt.Open": true, "os.Rename": true, "os.Link": true, "os.WriteFile": true,
 		"os.Create": true, "os.CreateTemp": true, "os.OpenFile": true}
 	root, found := filepath.Join("..", "..", ".."), map[string]bool{}
 	err := filepath.WalkDir(root, func(path string, d fs.DirEntry, err error) error {
@@ -159,13 +159,13 @@
 		t.Fatal(err)
 	}
 	has := map[string]bool{}
-	for _, l := range Table {
+	for _, l := range StateTable {
 		for _, w := range l.Where {
 			if has[w] = true; !found[w] {
 				t.Errorf("%s writes to no disk, and has the line %q", w, l.What)
 			}
 		}
-		if l.What == "" || l.Why == "" {
+		if l.What == "" || l.Reason == "" {
 			t.Errorf("a line that says nothing: %+v", l)
 		}
 	}
--- a/internal/policy/recovery/trust.go
+++ b/internal/policy/recovery/trust.go
@@ -4,37 +4,37 @@
 type Trust uint8
 
 const (
-	Trusted   Trust = iota // as it stands: checksummed, synced, and of this identity, which is checked as it is read
-	Confirmed              // only once others, or a newer source, have confirmed it
-	Never                  // it is thrown away
+	Trusted           Trust = iota // as it stands: checksummed, synced, and of this identity, which is checked as it is read
+	AfterConfirmation              // only once others, or a newer source, have confirmed it
+	Discarded                      // it is thrown away
 )
 
 func (t Trust) String() string { return [...]string{"trusted", "once confirmed", "never"}[t] }
 
 // Line is one kind of state.
-type Line struct {
-	What  string
-	Where []string // the files of this program that write it to disks; none: it is in memory alone
-	Trust Trust
-	Why   string // and how it is made sure, or confirmed
+type StateKind struct {
+	What   string
+	Where  []string // the files of this program that write it to disks; none: it is in memory alone
+	Trust  Trust
+	Reason string // and how it is made sure, or confirmed
 }
 
 // Table has all state that a process could go by after the dark.
-var Table = []Line{
+var StateTable = []StateKind{
 	{"the group's log, terms and votes", []string{"internal/controlplane/quorum/member/store.go"}, Trusted,
 		"one synced transaction each; a disk older than its words is found by marks that others keep"},
-	{"epochs and steps of orders that a server took", []string{"internal/policy/fence/fence.go"}, Trusted, "a checksum; a torn file is none, and the group is asked"},
+	{"epochs and steps of orders that a server took", []string{"internal/policy/fence/file.go"}, Trusted, "a checksum; a torn file is none, and the group is asked"},
 	{"runs of keyed requests", []string{"internal/storage/idempotencystore/store.go", "internal/storage/idempotencystore/file.go"}, Trusted,
 		"a checksum each, and the service's name; what can't be read is set aside, and then not all is known"},
 	{"the last sign of life", []string{"internal/storage/heartbeat/life.go"}, Trusted, "a checksum, and the names of service, machine and switching-on"},
-	{"a router's last map", []string{"internal/proxy/source.go", "internal/proxy/state.go"}, Confirmed, "reads go by it; sheets once the group, or the file within its lease, confirms it"},
-	{"the folder of maps", []string{"internal/proxy/series.go"}, Confirmed, "places are written once; versions and digests are compared with what routers and servers say"},
-	{"the lock of a map's file", []string{"internal/proxy/change.go"}, Never, "the system's lock ends with its process"},
-	{"marks and places of two processes of a service", []string{"internal/transport/restartlink/pair.go", "internal/transport/restartlink/places.go"}, Never,
+	{"a router's last map", []string{"internal/proxy/source.go", "internal/proxy/state.go"}, AfterConfirmation, "reads go by it; sheets once the group, or the file within its lease, confirms it"},
+	{"the folder of maps", []string{"internal/proxy/series.go"}, AfterConfirmation, "places are written once; versions and digests are compared with what routers and servers say"},
+	{"the lock of a map's file", []string{"internal/proxy/change.go"}, Discarded, "the system's lock ends with its process"},
+	{"marks and places of two processes of a service", []string{"internal/transport/restartlink/pair.go", "internal/transport/restartlink/places.go"}, Discarded,
 		"they stand in a folder that a loss of power empties, and speak of processes that are gone"},
 	{"files that are put whole", []string{"internal/storage/atomicfile/lasting.go"}, Trusted, "whole or not at all; what stands in them has its own line"},
-	{"leases and grants held", nil, Never, "they count by a clock of a process that is gone"},
-	{"health, latency and limits that were found", nil, Never, "of others as they were, and of a machine that was warm"},
-	{"requests in flight", nil, Never, "a promise on the disk says what of them may have run"},
-	{"who was evacuated", nil, Never, "an order that stands is in the duty's journal, and is given again"},
+	{"leases and grants held", nil, Discarded, "they count by a clock of a process that is gone"},
+	{"health, latency and limits that were found", nil, Discarded, "of others as they were, and of a machine that was warm"},
+	{"requests in flight", nil, Discarded, "a promise on the disk says what of them may have run"},
+	{"who was evacuated", nil, Discarded, "an order that stands is in the duty's journal, and is given again"},
 }
--- a/internal/proxy/series.go
+++ b/internal/proxy/series.go
@@ -100,7 +100,7 @@
 	if raw == nil {
 		raw = withdrawnMark
 	}
-	err := atomicfile.Put(s.path(version), raw, os.Link)
+	err := atomicfile.Write(s.path(version), raw, os.Link)
 	if errors.Is(err, os.ErrExist) {
 		there, err := s.Read(version)
 		if err == nil && !bytes.Equal(there, raw) {
--- a/internal/proxy/source.go
+++ b/internal/proxy/source.go
@@ -123,5 +123,5 @@
 
 // WriteMap replaces a map's file as a whole: whoever reads it finds the old one or the new one, after a loss of power too.
 func WriteMap(path string, m *cells.Map) error {
-	return atomicfile.Put(path, settings.FormatCells(m), os.Rename)
+	return atomicfile.Write(path, settings.FormatCells(m), os.Rename)
 }
--- a/internal/service/drain_test.go
+++ b/internal/service/drain_test.go
@@ -50,7 +50,7 @@
 	busy.expect(t, 1, "", "")
 	rests.expect(t, 1, "", "")
 	leave()
-	for !s.core.Phase().Leaving() {
+	for !s.core.Phase().ShuttingDown() {
 		time.Sleep(time.Millisecond)
 	}
 	told := time.Now()
--- a/internal/service/heartbeat.go
+++ b/internal/service/heartbeat.go
@@ -24,29 +24,29 @@
 	if s.heartbeat, err = heartbeat.Open(set.File, s.cfg.Name, set.Valid, s.log, s.stats); err != nil {
 		return fmt.Errorf("life.file: %w", err)
 	}
-	downtime, _ := s.heartbeat.Dark()
+	downtime, _ := s.heartbeat.Downtime()
 	s.stats.Set(uint64(downtime.Milliseconds()), "life", "dark_ms")
 	s.core.SetUnknownRunsUntil(time.Now().Add(-downtime).UnixMilli())
-	lasts := s.heartbeat.May
+	lasts := s.heartbeat.MayExecute
 	if wrap := s.hooks.WrapHeartbeat; wrap != nil {
 		lasts = wrap(lasts)
 	}
-	s.core.AddGate(func(time.Duration) idempotency.Verdict {
+	s.core.AddGate(func(time.Duration) idempotency.Decision {
 		switch {
 		case s.store == nil && s.unknownRunsFor() > 0:
-			return idempotency.Verdict{Do: idempotency.Fail, Why: idempotency.WhyBlind}
+			return idempotency.Decision{Action: idempotency.Fail, Reason: idempotency.ReasonIncomplete}
 		case !lasts():
-			return idempotency.Verdict{Do: idempotency.Refuse, Why: "no_sign_of_life", Wait: set.Valid / 2}
+			return idempotency.Decision{Action: idempotency.Reject, Reason: "no_sign_of_life", RetryAfter: set.Valid / 2}
 		}
-		return idempotency.Verdict{}
+		return idempotency.Decision{}
 	})
-	s.tasks = append(s.tasks, s.heartbeat.Keep)
+	s.tasks = append(s.tasks, s.heartbeat.Run)
 	return nil
 }
 
 // unknownRunsFor is for how long from now on an idempotent request may be repeated that an earlier process may have run, where
 // no store knows of it: the longest idempotency window, less the downtime before this start.
 func (s *Service) unknownRunsFor() time.Duration {
-	downtime, _ := s.heartbeat.Dark()
+	downtime, _ := s.heartbeat.Downtime()
 	return s.core.LongestWindow() - downtime
 }
--- a/internal/service/open.go
+++ b/internal/service/open.go
@@ -37,7 +37,7 @@
 		if s.restartLink, err = restartlink.Open(os.TempDir(), cfg.Name, s.log, s.stats); err != nil {
 			return fmt.Errorf("LB_SOCKET_FD: a place beside other processes: %w", err)
 		}
-		pairing = s.restartLink.Config(s.splitLimits)
+		pairing = s.restartLink.CoreConfig(s.splitLimits)
 	}
 	s.core, err = core.New(core.Config{
 		Pair: pairing,
@@ -116,10 +116,10 @@
 	s.loadReporter = loadreport.New(s.cfg.Announce, s.cfg.Name, s.core.Health, s.log)
 	s.tasks = append(s.tasks, s.loadReporter.Run)
 	if s.restartLink != nil {
-		if err := s.restartLink.Begin(s.core); err != nil {
+		if err := s.restartLink.Start(s.core); err != nil {
 			return fmt.Errorf("LB_SOCKET_FD: a place beside other processes: %w", err)
 		}
-		s.tasks = append(s.tasks, s.restartLink.Keep)
+		s.tasks = append(s.tasks, s.restartLink.Run)
 	}
 	return nil
 }
--- a/internal/service/recovery.go
+++ b/internal/service/recovery.go
@@ -21,7 +21,7 @@
 // recoveryTracker is the recovery of a process, from its start to full service, as the log and the state show it.
 type recoveryTracker struct {
 	mu          sync.Mutex
-	path        *recovery.Path
+	path        *recovery.Progress
 	startedAt   time.Time
 	loggedState recovery.State
 }
@@ -32,48 +32,48 @@
 	if s.store == nil && s.heartbeat == nil && s.configWatch == nil {
 		return
 	}
-	checks := map[recovery.Need]func() bool{
-		recovery.Worker: func() bool { return s.core.Phase() != lifecycle.Starting },
+	checks := map[recovery.Prerequisite]func() bool{
+		recovery.WorkerUp: func() bool { return s.core.Phase() != lifecycle.Starting },
 	}
 	if s.store != nil {
-		checks[recovery.Disk] = func() bool { v := s.store.View(); return v.Phase != idempotency.Loading }
-		checks[recovery.Window] = func() bool { return s.store.View().Known }
+		checks[recovery.StoreRead] = func() bool { v := s.store.View(); return v.Health != idempotency.Loading }
+		checks[recovery.WindowOver] = func() bool { return s.store.View().Complete }
 	} else if s.heartbeat != nil {
-		checks[recovery.Window] = func() bool { return s.unknownRunsFor() <= 0 }
+		checks[recovery.WindowOver] = func() bool { return s.unknownRunsFor() <= 0 }
 	}
 	if s.heartbeat != nil {
-		checks[recovery.Signs] = s.heartbeat.May
+		checks[recovery.HeartbeatsDurable] = s.heartbeat.MayExecute
 	}
 	if s.configWatch != nil {
-		checks[recovery.Rules] = func() bool { return s.configWatch.StopReason() == "" }
+		checks[recovery.RulesConfirmed] = func() bool { return s.configWatch.StopReason() == "" }
 	}
 	r := s.trackRecovery(recovery.Server, checks)
 	if s.heartbeat != nil && s.store == nil {
-		r.path.Takes(0, recovery.Window, max(0, s.unknownRunsFor()))
+		r.path.ExpectWait(0, recovery.WindowOver, max(0, s.unknownRunsFor()))
 	}
 }
 
 // trackRouterRecovery tracks a router's recovery: its map, the group's confirmation of it, and its quota of the cells.
 func (s *Service) trackRouterRecovery() {
-	s.trackRecovery(recovery.Router, map[recovery.Need]func() bool{
-		recovery.Map: func() bool { mapped, _, _ := s.router.Readiness(); return mapped },
-		recovery.Rules: func() bool {
+	s.trackRecovery(recovery.Router, map[recovery.Prerequisite]func() bool{
+		recovery.MapKnown: func() bool { mapped, _, _ := s.router.Readiness(); return mapped },
+		recovery.RulesConfirmed: func() bool {
 			_, sure, _ := s.router.Readiness()
 			return sure && (s.configWatch == nil || s.configWatch.StopReason() == "")
 		},
-		recovery.Shares: func() bool { _, _, shared := s.router.Readiness(); return shared },
+		recovery.QuotasKnown: func() bool { _, _, shared := s.router.Readiness(); return shared },
 	})
 }
 
 // trackRecovery tracks the recovery of a role from now on. Checks has the needs that this process has, each with whether it is
 // met; they are called every recoveryPollInterval and must not block.
-func (s *Service) trackRecovery(role recovery.Role, checks map[recovery.Need]func() bool) *recoveryTracker {
-	var needs []recovery.Need
+func (s *Service) trackRecovery(role recovery.Role, checks map[recovery.Prerequisite]func() bool) *recoveryTracker {
+	var needs []recovery.Prerequisite
 	for n := range checks {
 		needs = append(needs, n)
 	}
 	r := &recoveryTracker{startedAt: time.Now()}
-	r.path = recovery.NewPath(0, role, needs...)
+	r.path = recovery.NewProgress(0, role, needs...)
 	s.core.AddStatus("recovery", r.status)
 	s.tasks = append(s.tasks, func(ctx context.Context) {
 		t := time.NewTicker(recoveryPollInterval)
@@ -91,16 +91,16 @@
 }
 
 // updateRecovery tells the path which needs are met, and logs and counts a state that it reaches by that.
-func (s *Service) updateRecovery(r *recoveryTracker, checks map[recovery.Need]func() bool) {
-	met := map[recovery.Need]bool{}
+func (s *Service) updateRecovery(r *recoveryTracker, checks map[recovery.Prerequisite]func() bool) {
+	met := map[recovery.Prerequisite]bool{}
 	for n, check := range checks {
 		met[n] = check()
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := time.Since(r.startedAt)
-	r.path.Tell(now, met)
-	v := r.path.View(now)
+	r.path.Update(now, met)
+	v := r.path.Snapshot(now)
 	s.stats.Set(uint64(v.State), "recovery", "state")
 	s.stats.Set(uint64(len(v.Waits)), "recovery", "waits")
 	if v.State == r.loggedState {
@@ -109,7 +109,7 @@
 	r.loggedState = v.State
 	var waits []string
 	for _, w := range v.Waits {
-		waits = append(waits, w.Need.String())
+		waits = append(waits, w.Prerequisite.String())
 	}
 	if len(waits) == 0 {
 		waits = []string{"nothing"}
@@ -122,19 +122,19 @@
 func (r *recoveryTracker) status() []byte {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	v := r.path.View(time.Since(r.startedAt))
+	v := r.path.Snapshot(time.Since(r.startedAt))
 	var a fastjson.Arena
 	o := a.NewObject()
 	ms := func(d time.Duration) *fastjson.Value { return a.NewNumberFloat64(float64(d.Milliseconds())) }
 	o.Set("state", a.NewString(v.State.String()))
-	o.Set("for_ms", ms(v.For))
+	o.Set("for_ms", ms(v.Since))
 	waits, steps := a.NewArray(), a.NewArray()
 	for i, w := range v.Waits {
 		e := a.NewObject()
-		e.Set("for", a.NewString(w.Need.String()))
-		e.Set("since_ms", ms(w.For))
-		if w.Most > 0 {
-			e.Set("at_most_ms", ms(w.Most))
+		e.Set("for", a.NewString(w.Prerequisite.String()))
+		e.Set("since_ms", ms(w.Waited))
+		if w.MaxWait > 0 {
+			e.Set("at_most_ms", ms(w.MaxWait))
 		}
 		waits.SetArrayItem(i, e)
 	}
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -66,8 +66,8 @@
 	commands    *command.Orders         // takes the fleet's commands
 	configWatch *configwatch.Watcher    // acts on a group's documents
 	store       *idempotencystore.Store // keeps idempotency keys over a restart
-	heartbeat   *heartbeat.Keeper       // leaves a heartbeat on disk
-	restartLink *restartlink.Pair       // to the process that this one replaces, or that replaces it
+	heartbeat   *heartbeat.Heartbeats   // leaves a heartbeat on disk
+	restartLink *restartlink.Link       // to the process that this one replaces, or that replaces it
 
 	loadReporter *loadreport.Reporter // reports nowhere while its address is empty
 
@@ -179,7 +179,7 @@
 		s.store.Close()
 	}
 	if s.restartLink != nil {
-		<-s.restartLink.Left() // before the last log lines: the process that replaces this one waits for nothing else
+		<-s.restartLink.Released() // before the last log lines: the process that replaces this one waits for nothing else
 	}
 	return err
 }
--- a/internal/service/store.go
+++ b/internal/service/store.go
@@ -28,7 +28,7 @@
 		return fmt.Errorf("store.size_mb: over a quarter of limits.memory_mb: %v", size)
 	}
 	s.store, err = idempotencystore.Open(idempotencystore.Config{
-		Dir: set.Dir, Name: s.cfg.Name, Bytes: int(size * (1 << 20)), Result: int(set.ResultKB * (1 << 10)), Gather: set.CommitDelay,
+		Dir: set.Dir, Name: s.cfg.Name, MaxBytes: int(size * (1 << 20)), ResultReserve: int(set.ResultKB * (1 << 10)), GroupCommitDelay: set.CommitDelay,
 		Log: s.log, Stats: s.stats,
 	}, s.core)
 	if err != nil {
@@ -40,6 +40,6 @@
 		s.core.UseStore(s.store)
 	}
 	s.core.AddStatus("store", s.store.Status)
-	s.tasks = append(s.tasks, s.store.Keep)
+	s.tasks = append(s.tasks, s.store.Run)
 	return nil
 }
--- a/internal/storage/atomicfile/lasting.go
+++ b/internal/storage/atomicfile/lasting.go
@@ -13,7 +13,7 @@
 // Put writes a file beside its place, has it last, puts it there by os.Rename, which takes the place of what stands there, or
 // by os.Link, which fails where something does, and has the folder last. After an error nobody knows which of the two stands
 // there after a loss of power.
-func Put(path string, data []byte, place func(from, to string) error) error {
+func Write(path string, data []byte, place func(from, to string) error) error {
 	f, err := os.CreateTemp(filepath.Dir(path), ".next-"+filepath.Base(path))
 	if err != nil {
 		return err
--- a/internal/storage/heartbeat/life.go
+++ b/internal/storage/heartbeat/life.go
@@ -24,40 +24,40 @@
 
 const (
 	// part is how many signs are due while the latest is valid.
-	part = 4
-	most = 4 << 10 // bytes of a sign's file
+	heartbeatsPerValidity = 4
+	maxFile               = 4 << 10 // bytes of a sign's file
 )
 
 // Keeper leaves the signs of one process.
-type Keeper struct {
+type Heartbeats struct {
 	path, name string
-	valid      time.Duration
+	validity   time.Duration
 	log        *log.Logger
 	stats      *metrics.Counters
-	dark       time.Duration
-	by         recovery.Evidence
-	found      idempotency.Clock // when it was found
+	downtime   time.Duration
+	evidence   recovery.Evidence
+	foundAt    idempotency.Clock // when it was found
 
-	mu   sync.Mutex
-	life *recovery.Life
-	told bool // that signs don't last
+	mu            sync.Mutex
+	lease         *recovery.HeartbeatLease
+	failureLogged bool // that signs don't last
 }
 
 // record is a sign as it is written.
-type record struct {
-	Sign recovery.Sign `json:"sign"`
-	Sum  uint32        `json:"sum"`
+type fileRecord struct {
+	Heartbeat recovery.Heartbeat `json:"sign"`
+	Checksum  uint32             `json:"sum"`
 }
 
-func (r record) sum() uint32 {
-	text, _ := json.Marshal(r.Sign)
+func (r fileRecord) checksum() uint32 {
+	text, _ := json.Marshal(r.Heartbeat)
 	return crc32.ChecksumIEEE(text)
 }
 
 // Open reads the sign of the process before this one. What can't be read proves nothing, and is set aside.
-func Open(path, name string, valid time.Duration, l *log.Logger, s *metrics.Counters) (*Keeper, error) {
-	k := &Keeper{path: path, name: name, valid: valid, log: l, stats: s, found: idempotencystore.Now(),
-		life: recovery.NewLife(recovery.Terms{Every: valid / part, Valid: valid})}
+func Open(path, name string, validity time.Duration, l *log.Logger, s *metrics.Counters) (*Heartbeats, error) {
+	k := &Heartbeats{path: path, name: name, validity: validity, log: l, stats: s, foundAt: idempotencystore.Now(),
+		lease: recovery.NewHeartbeatLease(recovery.LeaseTerms{Interval: validity / heartbeatsPerValidity, Validity: validity})}
 	last, err := Read(path)
 	if err != nil {
 		events.Log(l, "life.unreadable", err)
@@ -65,17 +65,17 @@
 			return nil, err
 		}
 	}
-	k.dark, k.by = last.Dark(k.sign(k.found))
+	k.downtime, k.evidence = last.Downtime(k.heartbeat(k.foundAt))
 	if last.Name != "" && last.Name != name {
 		return nil, fmt.Errorf("%s: it is of the service %q, not of %q", path, last.Name, name)
 	}
-	k.write() // one that does not last is said: reads are served all the same
-	events.Log(l, "life.dark", k.dark.Round(time.Millisecond), k.by)
+	k.writeIfDue() // one that does not last is said: reads are served all the same
+	events.Log(l, "life.dark", k.downtime.Round(time.Millisecond), k.evidence)
 	return k, nil
 }
 
 // Read reads a sign. One that is not there is of nobody, and no error.
-func Read(path string) (s recovery.Sign, err error) {
+func Read(path string) (s recovery.Heartbeat, err error) {
 	f, err := os.Open(path)
 	if errors.Is(err, fs.ErrNotExist) {
 		return s, nil
@@ -84,49 +84,49 @@
 		return s, err
 	}
 	defer f.Close()
-	b := make([]byte, most)
+	b := make([]byte, maxFile)
 	n, err := f.Read(b)
 	if err != nil {
 		return s, fmt.Errorf("%s: %w", path, err)
 	}
-	var r record
+	var r fileRecord
 	if err := json.Unmarshal(b[:n], &r); err != nil {
 		return s, fmt.Errorf("%s: %w", path, err)
 	}
-	if r.Sum != r.sum() {
+	if r.Checksum != r.checksum() {
 		return s, fmt.Errorf("%s: its checksum is not of what it says", path)
 	}
-	return r.Sign, nil
+	return r.Heartbeat, nil
 }
 
-func (k *Keeper) sign(c idempotency.Clock) recovery.Sign {
-	return recovery.Sign{Name: k.name, Machine: c.Machine, Boot: c.Boot, Up: c.Now, Valid: k.valid}
+func (k *Heartbeats) heartbeat(c idempotency.Clock) recovery.Heartbeat {
+	return recovery.Heartbeat{Name: k.name, Machine: c.Machine, Boot: c.Boot, SinceBoot: c.SinceBoot, Validity: k.validity}
 }
 
 // write writes a sign where one is due.
-func (k *Keeper) write() {
+func (k *Heartbeats) writeIfDue() {
 	now := idempotencystore.Now()
 	k.mu.Lock()
-	due := k.life.Due(now.Now)
+	due := k.lease.HeartbeatDue(now.SinceBoot)
 	k.mu.Unlock()
 	if !due {
 		return
 	}
-	r := record{Sign: k.sign(now)}
-	r.Sum = r.sum()
+	r := fileRecord{Heartbeat: k.heartbeat(now)}
+	r.Checksum = r.checksum()
 	text, err := json.Marshal(r)
 	if err == nil {
-		if err = boundary(); err == nil {
-			err = atomicfile.Put(k.path, text, os.Rename)
+		if err = fault(); err == nil {
+			err = atomicfile.Write(k.path, text, os.Rename)
 		}
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.life.Written(err == nil)
-	if err != nil && !k.told {
+	k.lease.HeartbeatWritten(err == nil)
+	if err != nil && !k.failureLogged {
 		events.Log(k.log, "life.failed", err)
 	}
-	if k.told = err != nil; k.told {
+	if k.failureLogged = err != nil; k.failureLogged {
 		k.stats.Inc("life", "failed")
 	} else {
 		k.stats.Inc("life", "signs")
@@ -134,37 +134,37 @@
 }
 
 // Fault is asked before a sign is written, in test programs only.
-var Fault func() error
+var FaultHook func() error
 
-func boundary() error {
-	if Fault == nil {
+func fault() error {
+	if FaultHook == nil {
 		return nil
 	}
-	return Fault()
+	return FaultHook()
 }
 
 // Keep leaves signs until the context ends.
-func (k *Keeper) Keep(ctx context.Context) {
-	t := time.NewTicker(max(k.valid/part/2, time.Millisecond))
+func (k *Heartbeats) Run(ctx context.Context) {
+	t := time.NewTicker(max(k.validity/heartbeatsPerValidity/2, time.Millisecond))
 	defer t.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-t.C:
-			k.write()
+			k.writeIfDue()
 		}
 	}
 }
 
 // May reports whether what has an effect may begin.
-func (k *Keeper) May() bool {
+func (k *Heartbeats) MayExecute() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.life.May(idempotencystore.Now().Now)
+	return k.lease.MayExecute(idempotencystore.Now().SinceBoot)
 }
 
 // Dark is for how long, by now and at the least, no earlier process of the service has begun anything, and by what that is known.
-func (k *Keeper) Dark() (time.Duration, recovery.Evidence) {
-	return k.dark + idempotencystore.Now().Now - k.found.Now, k.by
+func (k *Heartbeats) Downtime() (time.Duration, recovery.Evidence) {
+	return k.downtime + idempotencystore.Now().SinceBoot - k.foundAt.SinceBoot, k.evidence
 }
--- a/internal/storage/idempotencystore/clock.go
+++ b/internal/storage/idempotencystore/clock.go
@@ -18,18 +18,18 @@
 var Now = func() idempotency.Clock {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
-		return idempotency.Clock{Boot: nobody(), Now: time.Since(started)}
+		return idempotency.Clock{Boot: unknownBoot(), SinceBoot: time.Since(processStart)}
 	}
-	return idempotency.Clock{Machine: machine(), Boot: boot(), Now: time.Duration(ts.Nano())}
+	return idempotency.Clock{Machine: machine(), Boot: boot(), SinceBoot: time.Duration(ts.Nano())}
 }
 
-var started = time.Now()
+var processStart = time.Now()
 
 // boot is the kernel's name for this time of being switched on. Where it has none, each process takes itself for the first.
 var boot = sync.OnceValue(func() string {
 	b, err := os.ReadFile("/proc/sys/kernel/random/boot_id")
 	if err != nil || len(b) == 0 {
-		return nobody()
+		return unknownBoot()
 	}
 	return strings.TrimSpace(string(b))
 })
@@ -43,7 +43,7 @@
 	return strings.TrimSpace(string(b))
 })
 
-var nobody = sync.OnceValue(newID)
+var unknownBoot = sync.OnceValue(newID)
 
 func newID() string {
 	var b [8]byte
--- a/internal/storage/idempotencystore/offline.go
+++ b/internal/storage/idempotencystore/offline.go
@@ -13,28 +13,28 @@
 
 // Summary is what stands in a file of records.
 type Summary struct {
-	ID, Name string
-	Format   int
-	Whole    bool // every run that matters is in it
-	Clean    bool // its service closed it in good order
-	Here     bool // its times count from the machine's present start
-	Records  int
-	ByState  map[string]int
-	Bytes    int    // of records
-	File     int64  // of the file
-	Broken   int    // records that can't be read
-	Damage   string // what keeps the rest from being read; empty: nothing
+	ID, Name      string
+	Format        int
+	Complete      bool // every run that matters is in it
+	ClosedCleanly bool // its service closed it in good order
+	SameBoot      bool // its times count from the machine's present start
+	Records       int
+	ByState       map[string]int
+	Bytes         int    // of records
+	File          int64  // of the file
+	Unreadable    int    // records that can't be read
+	Damage        string // what keeps the rest from being read; empty: nothing
 }
 
 // Init makes the store of a service that has run no sheet that could come again.
 func Init(dir, name string) error {
-	return locked(dir, func(path string) error {
+	return withLock(dir, func(path string) error {
 		if _, err := os.Stat(path); !errors.Is(err, fs.ErrNotExist) {
 			return fmt.Errorf("%s: there is one already", path)
 		}
 		now := Now()
-		f, err := writeFile(path, header{Format: format, ID: newID(), Name: name, Machine: now.Machine, Boot: now.Boot, Since: int64(now.Now), Whole: true,
-			Wall: time.Now().UnixMilli(), Clean: true}, nil)
+		f, err := writeFile(path, header{Format: formatVersion, ID: newID(), Name: name, Machine: now.Machine, Boot: now.Boot, CompleteSince: int64(now.SinceBoot), Complete: true,
+			CompleteSinceWall: time.Now().UnixMilli(), ClosedCleanly: true}, nil)
 		if err != nil {
 			return err
 		}
@@ -43,7 +43,7 @@
 }
 
 // locked has a folder as one's own for a time.
-func locked(dir string, do func(path string) error) error {
+func withLock(dir string, do func(path string) error) error {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return err
 	}
@@ -64,16 +64,16 @@
 }
 
 // open opens a file that no service has open, to be read.
-func open(path string) (*file, error) {
+func openReadOnly(path string) (*file, error) {
 	if _, err := os.Stat(path); err != nil {
 		return nil, err
 	}
-	db, err := openDB(path, true)
+	db, err := openDatabase(path, true)
 	if err != nil {
 		return nil, err
 	}
 	f := &file{db: db, path: path}
-	if err := f.readHead(); err != nil {
+	if err := f.readHeader(); err != nil {
 		db.Close()
 		return nil, err
 	}
@@ -82,15 +82,15 @@
 
 // Check reads a file whole.
 func Check(path string) (s Summary, err error) {
-	f, err := open(path)
+	f, err := openReadOnly(path)
 	if err != nil {
 		return s, err
 	}
 	defer f.db.Close()
-	s = Summary{ID: f.head.ID, Name: f.head.Name, Format: f.head.Format, Whole: f.head.Whole, Clean: f.head.Clean,
-		Here: f.head.Boot == Now().Boot, ByState: map[string]int{}, File: f.size()}
-	err = f.each(chunk, func(list []idempotency.Record, broken []uint64) {
-		s.Broken += len(broken)
+	s = Summary{ID: f.header.ID, Name: f.header.Name, Format: f.header.Format, Complete: f.header.Complete, ClosedCleanly: f.header.ClosedCleanly,
+		SameBoot: f.header.Boot == Now().Boot, ByState: map[string]int{}, File: f.size()}
+	err = f.scan(scanChunk, func(list []idempotency.Record, broken []uint64) {
+		s.Unreadable += len(broken)
 		s.Records += len(list)
 		for i := range list {
 			s.ByState[list[i].State.String()]++
@@ -105,13 +105,13 @@
 
 // Dump hands over every record of a file, in the order of their promises.
 func Dump(path string, take func(idempotency.Record) error) error {
-	f, err := open(path)
+	f, err := openReadOnly(path)
 	if err != nil {
 		return err
 	}
 	defer f.db.Close()
 	var bad error
-	err = f.each(chunk, func(list []idempotency.Record, broken []uint64) {
+	err = f.scan(scanChunk, func(list []idempotency.Record, broken []uint64) {
 		for i := range list {
 			if bad == nil {
 				bad = take(list[i])
@@ -126,14 +126,14 @@
 
 // Compact writes the file of a folder anew, without the room that nobody uses.
 func Compact(dir string) (before, after int64, err error) {
-	err = locked(dir, func(path string) error {
-		f, err := open(path)
+	err = withLock(dir, func(path string) error {
+		f, err := openReadOnly(path)
 		if err != nil {
 			return err
 		}
 		defer f.db.Close()
 		before = f.size()
-		next, err := f.rewrite(path, f.head, func(r idempotency.Record) (idempotency.Record, bool) { return r, true })
+		next, err := f.rewrite(path, f.header, func(r idempotency.Record) (idempotency.Record, bool) { return r, true })
 		if err != nil {
 			return err
 		}
@@ -147,7 +147,7 @@
 func (f *file) rewrite(path string, h header, change func(idempotency.Record) (idempotency.Record, bool)) (*file, error) {
 	return writeFile(path, h, func(put func(idempotency.Record) error) error {
 		var bad error
-		err := f.each(chunk, func(list []idempotency.Record, broken []uint64) {
+		err := f.scan(scanChunk, func(list []idempotency.Record, broken []uint64) {
 			if len(broken) > 0 {
 				bad = errors.Join(bad, fmt.Errorf("%d records can't be read: a service sets them aside as it starts", len(broken)))
 			}
@@ -166,7 +166,7 @@
 	if _, err := os.Stat(to); err == nil {
 		return fmt.Errorf("%s: there is something already", to)
 	}
-	f, err := open(FileOf(dir))
+	f, err := openReadOnly(FileOf(dir))
 	if err != nil {
 		return err
 	}
@@ -178,27 +178,27 @@
 // that are not known fail until that can't matter any more. Whole says that there is nothing such: the copy was made of a store
 // that its service had closed for good.
 func Import(from, dir, name string, whole bool) (records int, err error) {
-	f, err := open(FileOf(from))
+	f, err := openReadOnly(FileOf(from))
 	if err != nil {
 		return 0, err
 	}
 	defer f.db.Close()
-	if whole && !(f.head.Clean && f.head.Whole) {
+	if whole && !(f.header.ClosedCleanly && f.header.Complete) {
 		return 0, fmt.Errorf("%s: it is a copy of a store in use, and so not whole", from)
 	}
-	last, err := f.last()
+	last, err := f.newestTime()
 	if err != nil {
 		return 0, err
 	}
-	err = locked(dir, func(path string) error {
+	err = withLock(dir, func(path string) error {
 		if _, err := os.Stat(path); !errors.Is(err, fs.ErrNotExist) {
 			return fmt.Errorf("%s: there is one already", path)
 		}
 		now := Now()
-		shift := f.head.meta().Shift(last, now)
-		next, err := f.rewrite(path, header{Format: format, ID: newID(), Name: name, Machine: now.Machine, Boot: now.Boot, Since: int64(now.Now), Whole: whole,
-			Wall: time.Now().UnixMilli(), Clean: true}, func(r idempotency.Record) (idempotency.Record, bool) {
-			r, keep := r.Recover(shift, now.Now)
+		shift := f.header.coverage().TimeShift(last, now)
+		next, err := f.rewrite(path, header{Format: formatVersion, ID: newID(), Name: name, Machine: now.Machine, Boot: now.Boot, CompleteSince: int64(now.SinceBoot), Complete: whole,
+			CompleteSinceWall: time.Now().UnixMilli(), ClosedCleanly: true}, func(r idempotency.Record) (idempotency.Record, bool) {
+			r, keep := r.Recover(shift, now.SinceBoot)
 			if keep {
 				records++
 			}
--- a/internal/storage/idempotencystore/store.go
+++ b/internal/storage/idempotencystore/store.go
@@ -23,60 +23,60 @@
 )
 
 const (
-	chunk      = 1024 // records that are read at once
-	mostBatch  = 1024 // changes in one commit
-	sweepEvery = time.Second
-	sweepMost  = 8192
+	scanChunk      = 1024 // records that are read at once
+	maxBatch       = 1024 // changes in one commit
+	expireInterval = time.Second
+	maxExpired     = 8192
 	// anewEvery is how often it is tried to write all anew after a failure.
-	anewEvery = time.Second
+	rewriteInterval = time.Second
 )
 
 // Keys is who acts on what is kept: the core. Times since the machine was switched on are turned into its own, and back, by at.
-type Keys interface {
+type RecordOwner interface {
 	// Restore takes up records that were found, in the order of their promises.
 	Restore(list []idempotency.Record, at func(time.Duration) time.Time)
 	// Kept are all records as they stand, once nothing waits for the disk any more.
-	Kept(at func(time.Time) time.Duration) []idempotency.Record
+	Records(at func(time.Time) time.Duration) []idempotency.Record
 	// Longest is how long after a run a try of it may come, for all classes.
 	LongestWindow() time.Duration
 }
 
 // Config sets up a store.
 type Config struct {
-	Dir    string
-	Name   string        // of the service: the folder of another one is not taken
-	Bytes  int           // of all records
-	Result int           // set aside for each result that is to come
-	Gather time.Duration // how long a commit waits, at the most, for more that could go with it
-	Log    *log.Logger
-	Stats  *metrics.Counters
+	Dir              string
+	Name             string        // of the service: the folder of another one is not taken
+	MaxBytes         int           // of all records
+	ResultReserve    int           // set aside for each result that is to come
+	GroupCommitDelay time.Duration // how long a commit waits, at the most, for more that could go with it
+	Log              *log.Logger
+	Stats            *metrics.Counters
 }
 
 // Store is an open store.
 type Store struct {
-	cfg    Config
-	keys   Keys
-	lock   *os.File
-	log    *log.Logger
-	stats  *metrics.Counters
-	commit *metrics.Timing
-	bell   chan struct{}
-	over   chan struct{} // closed once the writer has ended
-	loaded chan struct{} // closed once all is read
-
-	mu     sync.Mutex
-	ledger *idempotency.Ledger
-	queue  []op
-	wall   int64 // of the head: since when all is known
-	closed bool
-
-	file  *file // the writer's, and the loader's before there is one
-	stale bool  // the file is not what was meant to be written
+	cfg          Config
+	owner        RecordOwner
+	lock         *os.File
+	log          *log.Logger
+	stats        *metrics.Counters
+	commitTiming *metrics.Timing
+	wake         chan struct{}
+	stopped      chan struct{} // closed once the writer has ended
+	loadedAll    chan struct{} // closed once all is read
+
+	mu            sync.Mutex
+	ledger        *idempotency.Ledger
+	queue         []change
+	completeSince int64 // of the head: since when all is known
+	closed        bool
+
+	file         *file // the writer's, and the loader's before there is one
+	needsRewrite bool  // the file is not what was meant to be written
 }
 
 // Open opens the store of a folder, which is made where it is not there. Another process that has it, a file of another service
 // or build, and a folder that can't be written are errors that say so.
-func Open(cfg Config, keys Keys) (*Store, error) {
+func Open(cfg Config, owner RecordOwner) (*Store, error) {
 	if err := os.MkdirAll(cfg.Dir, 0o700); err != nil {
 		return nil, err
 	}
@@ -85,12 +85,12 @@
 		return nil, err
 	}
 	now, path := Now(), filepath.Join(cfg.Dir, FileName)
-	f, made, err := openFile(path, cfg.Name, now, time.Now().UnixMilli())
+	f, created, err := openFile(path, cfg.Name, now, time.Now().UnixMilli())
 	if errors.Is(err, errDamaged) { // kept for whoever can read more of it, and begun anew as if nothing were known
 		cfg.Stats.Inc("store", "damaged")
 		events.Log(cfg.Log, "store.damaged", err)
-		if err = os.Rename(path, asideName(path)); err == nil {
-			f, made, err = openFile(path, cfg.Name, now, time.Now().UnixMilli())
+		if err = os.Rename(path, quarantineName(path)); err == nil {
+			f, created, err = openFile(path, cfg.Name, now, time.Now().UnixMilli())
 		}
 	}
 	if err != nil {
@@ -98,24 +98,26 @@
 		return nil, err
 	}
 	s := &Store{
-		cfg: cfg, keys: keys, lock: lock, file: f, wall: f.head.Wall, log: cfg.Log, stats: cfg.Stats, commit: cfg.Stats.Timing("store_commit"),
-		bell: make(chan struct{}, 1), over: make(chan struct{}), loaded: make(chan struct{}),
-		ledger: idempotency.NewLedger(idempotency.Limits{Bytes: cfg.Bytes, Result: cfg.Result, Gather: cfg.Gather, Retry: time.Second}),
+		cfg: cfg, owner: owner, lock: lock, file: f, completeSince: f.header.CompleteSinceWall, log: cfg.Log, stats: cfg.Stats, commitTiming: cfg.Stats.Timing("store_commit"),
+		wake: make(chan struct{}, 1), stopped: make(chan struct{}), loadedAll: make(chan struct{}),
+		ledger: idempotency.NewLedger(idempotency.Limits{Bytes: cfg.MaxBytes, ResultReserve: cfg.ResultReserve, GroupCommitDelay: cfg.GroupCommitDelay, RetryAfter: time.Second}),
 	}
-	if !made && f.head.Clean {
-		h := f.head
-		h.Clean = false                           // before anything else is written
+	if !created && f.header.ClosedCleanly {
+		h := f.header
+		h.ClosedCleanly = false                   // before anything else is written
 		if err := f.commit(nil, &h); err != nil { // what is there can be read all the same, and is written anew once the disk is well
-			s.stale = true
+			s.needsRewrite = true
 			events.Log(s.log, "store.failed", err)
 		}
-		f.head = h
+		f.header = h
 	}
 	return s, nil
 }
 
 // asideName is where a damaged file is kept.
-func asideName(path string) string { return fmt.Sprintf("%s.damaged-%d", path, time.Now().UnixNano()) }
+func quarantineName(path string) string {
+	return fmt.Sprintf("%s.damaged-%d", path, time.Now().UnixNano())
+}
 
 // lockDir makes a folder one process's own.
 func lockDir(dir string) (*os.File, error) {
@@ -139,10 +141,10 @@
 }
 
 // since is a time as the machine's clock has it.
-func since(t time.Time) time.Duration { return Now().Now - time.Since(t) }
+func sinceBoot(t time.Time) time.Duration { return Now().SinceBoot - time.Since(t) }
 
 // at is the time of the wall clock, and of this process, at a time of the machine's clock.
-func at(now time.Duration) func(time.Duration) time.Time {
+func wallTime(now time.Duration) func(time.Duration) time.Time {
 	wall := time.Now()
 	return func(d time.Duration) time.Time { return wall.Add(d - now) }
 }
@@ -150,33 +152,33 @@
 // ---- What the core asks ----
 
 // Since tells, in Unix milliseconds, from when on every run is known here: a restart that forgets nothing does not change it.
-func (s *Store) Since() int64 {
+func (s *Store) CompleteSince() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.wall
+	return s.completeSince
 }
 
 // Begins is what becomes of a new sheet that has so much time.
-func (s *Store) Begins(left time.Duration) idempotency.Verdict {
+func (s *Store) CanExecute(left time.Duration) idempotency.Decision {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.ledger.Begins(Now().Now, left)
+	return s.ledger.CanExecute(Now().SinceBoot, left)
 }
 
 // Promise has a run promised, or says why not. Done is told once the promise lasts, or that it is not known to.
-func (s *Store) Promise(r *idempotency.Record, reached, until time.Time, left time.Duration, done func(error)) idempotency.Verdict {
+func (s *Store) LogIntent(r *idempotency.Record, receivedAt, expiresAt time.Time, left time.Duration, done func(error)) idempotency.Decision {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	r.Reached, r.Until = since(reached), since(until)
-	v := s.ledger.Promise(r, Now().Now, left)
-	if v.Do != idempotency.Begin {
+	r.ReceivedAt, r.ExpiresAt = sinceBoot(receivedAt), sinceBoot(expiresAt)
+	v := s.ledger.Admit(r, Now().SinceBoot, left)
+	if v.Action != idempotency.Execute {
 		return v
 	}
 	seq := r.Seq
-	s.put(op{seq: seq, value: encode(r), done: func(err error) {
+	s.enqueue(change{seq: seq, value: encodeRecord(r), done: func(err error) {
 		if err == nil {
 			s.mu.Lock()
-			s.ledger.Lasts(seq)
+			s.ledger.IntentDurable(seq)
 			s.mu.Unlock()
 		}
 		done(err)
@@ -185,30 +187,30 @@
 }
 
 // Mark has it kept that a key runs elsewhere. Done is told once that lasts.
-func (s *Store) Mark(r *idempotency.Record, until time.Time, done func(error)) idempotency.Verdict {
+func (s *Store) LogMoved(r *idempotency.Record, expiresAt time.Time, done func(error)) idempotency.Decision {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	r.Until = since(until)
-	r.Reached = r.Until
-	v := s.ledger.Mark(r, Now().Now)
-	if v.Do == idempotency.Begin {
-		s.put(op{seq: r.Seq, value: encode(r), done: done})
+	r.ExpiresAt = sinceBoot(expiresAt)
+	r.ReceivedAt = r.ExpiresAt
+	v := s.ledger.AdmitMoved(r, Now().SinceBoot)
+	if v.Action == idempotency.Execute {
+		s.enqueue(change{seq: r.Seq, value: encodeRecord(r), done: done})
 	}
 	return v
 }
 
 // Result has a result kept. Done is told once it lasts. One that does not is as none: every repeat fails.
-func (s *Store) Result(r *idempotency.Record, reached, until time.Time, done func(error)) {
+func (s *Store) LogResult(r *idempotency.Record, receivedAt, expiresAt time.Time, done func(error)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	r.State, r.At, r.Reached, r.Until = idempotency.Done, Now().Now, since(reached), since(until)
+	r.State, r.RecordedAt, r.ReceivedAt, r.ExpiresAt = idempotency.Completed, Now().SinceBoot, sinceBoot(receivedAt), sinceBoot(expiresAt)
 	seq, size := r.Seq, len(r.Result)
-	s.put(op{seq: seq, value: encode(r), done: func(err error) {
+	s.enqueue(change{seq: seq, value: encodeRecord(r), done: func(err error) {
 		s.mu.Lock()
 		if err == nil {
-			s.ledger.Result(seq, idempotency.Done, size)
+			s.ledger.Finish(seq, idempotency.Completed, size)
 		} else {
-			s.ledger.Result(seq, idempotency.Failed, 0)
+			s.ledger.Finish(seq, idempotency.Failed, 0)
 		}
 		s.mu.Unlock()
 		done(err)
@@ -216,10 +218,10 @@
 }
 
 // Failed notes that a run has ended without a result. On the disk that is what a promise alone says.
-func (s *Store) Failed(seq uint64) {
+func (s *Store) NoteFailed(seq uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.ledger.Result(seq, idempotency.Failed, 0)
+	s.ledger.Finish(seq, idempotency.Failed, 0)
 }
 
 // Withdraw notes that a run never began.
@@ -227,21 +229,21 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.ledger.Withdraw(seq) {
-		s.put(op{seq: seq, off: true})
+		s.enqueue(change{seq: seq, remove: true})
 	}
 }
 
 // put queues a change, under the lock.
-func (s *Store) put(o op) {
+func (s *Store) enqueue(o change) {
 	s.queue = append(s.queue, o)
-	s.ledger.Asked(Now().Now)
-	s.ring()
+	s.ledger.ChangeQueued(Now().SinceBoot)
+	s.wakeWriter()
 }
 
 // ring has the writer look.
-func (s *Store) ring() {
+func (s *Store) wakeWriter() {
 	select {
-	case s.bell <- struct{}{}:
+	case s.wake <- struct{}{}:
 	default:
 	}
 }
@@ -249,11 +251,11 @@
 // ---- Reading all ----
 
 // Keep reads what is there and then writes, until Close.
-func (s *Store) Keep(context.Context) {
-	defer close(s.over)
+func (s *Store) Run(context.Context) {
+	defer close(s.stopped)
 	s.load()
-	close(s.loaded)
-	s.write()
+	close(s.loadedAll)
+	s.writeLoop()
 }
 
 // load reads all records, and hands them over as it goes.
@@ -263,23 +265,23 @@
 	n, err := f.count()
 	last := time.Duration(0)
 	if err == nil {
-		last, err = f.last()
+		last, err = f.newestTime()
 	}
 	now := Now()
-	shift := f.head.meta().Shift(last, now)
+	shift := f.header.coverage().TimeShift(last, now)
 	s.mu.Lock()
-	s.ledger.Expect(n)
+	s.ledger.ExpectRecords(n)
 	s.mu.Unlock()
 	var gone, broken []uint64
 	if err == nil {
-		err = f.each(chunk, func(list []idempotency.Record, bad []uint64) {
-			boundary("loading")
+		err = f.scan(scanChunk, func(list []idempotency.Record, bad []uint64) {
+			faultPoint("loading")
 			broken = append(broken, bad...)
 			kept := list[:0]
 			s.mu.Lock()
 			for _, r := range list {
-				r, matters := r.Recover(shift, now.Now)
-				if !matters {
+				r, relevant := r.Recover(shift, now.SinceBoot)
+				if !relevant {
 					gone = append(gone, r.Seq)
 					continue
 				}
@@ -287,13 +289,13 @@
 				kept = append(kept, r)
 			}
 			s.mu.Unlock()
-			s.keys.Restore(kept, at(Now().Now))
+			s.owner.Restore(kept, wallTime(Now().SinceBoot))
 		})
 	}
-	h := f.head
+	h := f.header
 	blind := time.Duration(0)
-	if !h.Whole {
-		blind = time.Duration(h.Since) + shift + s.keys.LongestWindow()
+	if !h.Complete {
+		blind = time.Duration(h.CompleteSince) + shift + s.owner.LongestWindow()
 	}
 	if err != nil || len(broken) > 0 {
 		why := fmt.Sprintf("%d records can't be read", len(broken))
@@ -302,49 +304,49 @@
 		}
 		s.stats.Inc("store", "damaged")
 		events.Log(s.log, "store.damaged", why)
-		h.Whole, h.Since, h.Wall = false, int64(now.Now), time.Now().UnixMilli()
-		blind = now.Now + s.keys.LongestWindow()
+		h.Complete, h.CompleteSince, h.CompleteSinceWall = false, int64(now.SinceBoot), time.Now().UnixMilli()
+		blind = now.SinceBoot + s.owner.LongestWindow()
 	} else if shift != 0 {
-		h.Since += int64(shift)
+		h.CompleteSince += int64(shift)
 	}
 	h.Machine, h.Boot = now.Machine, now.Boot
 	s.mu.Lock()
-	s.wall = h.Wall
+	s.completeSince = h.CompleteSinceWall
 	s.mu.Unlock()
 	switch {
 	case err != nil:
-		s.stale = true // what could be read of it is written anew, and the file itself set aside
-		if err := os.Link(f.path, asideName(f.path)); err != nil {
+		s.needsRewrite = true // what could be read of it is written anew, and the file itself set aside
+		if err := os.Link(f.path, quarantineName(f.path)); err != nil {
 			events.Log(s.log, "store.failed", err)
 		}
 	case len(broken) > 0:
-		s.stale = f.setAside(broken) != nil
+		s.needsRewrite = f.quarantine(broken) != nil
 	}
-	f.head = h
+	f.header = h
 	// Times that count from another switching on are written as they count now before any new one joins them; so is a head that
 	// has changed.
-	for s.stale || shift != 0 {
-		if s.anew() {
+	for s.needsRewrite || shift != 0 {
+		if s.rewrite() {
 			break
 		}
-		if s.pause(anewEvery) {
+		if s.pause(rewriteInterval) {
 			return
 		}
-		s.stale = true
+		s.needsRewrite = true
 	}
 	s.mu.Lock()
-	s.ledger.Loaded(Now().Now, blind)
+	s.ledger.LoadFinished(Now().SinceBoot, blind)
 	if s.closed {
 		s.ledger.Close()
 	}
 	for _, seq := range gone {
-		s.queue = append(s.queue, op{seq: seq, off: true})
+		s.queue = append(s.queue, change{seq: seq, remove: true})
 	}
-	live := s.ledger.View(Now().Now).Live
+	live := s.ledger.Snapshot(Now().SinceBoot).Records
 	s.mu.Unlock()
 	s.stats.Set(uint64(time.Since(began).Milliseconds()), "store", "load_ms")
 	events.Log(s.log, "store.loaded", live, time.Since(began).Round(time.Millisecond), shift != 0)
-	if left := blind - Now().Now; left > 0 {
+	if left := blind - Now().SinceBoot; left > 0 {
 		events.Log(s.log, "store.blind", left.Round(time.Second))
 	}
 }
@@ -358,55 +360,55 @@
 }
 
 // Loaded is closed once all is read.
-func (s *Store) Loaded() <-chan struct{} { return s.loaded }
+func (s *Store) Loaded() <-chan struct{} { return s.loadedAll }
 
 // ---- Writing ----
 
 // write commits what is queued, and what is past its time, until Close.
-func (s *Store) write() {
-	tick := time.NewTicker(sweepEvery)
+func (s *Store) writeLoop() {
+	tick := time.NewTicker(expireInterval)
 	defer tick.Stop()
 	tried := time.Time{}
 	for {
 		select {
-		case <-s.bell:
+		case <-s.wake:
 		case <-tick.C:
-			s.sweep()
+			s.expire()
 		}
 		s.mu.Lock()
-		wait := s.ledger.Gathers(Now().Now)
-		if len(s.queue) >= mostBatch || s.closed {
+		wait := s.ledger.CommitDelay(Now().SinceBoot)
+		if len(s.queue) >= maxBatch || s.closed {
 			wait = 0
 		}
 		s.mu.Unlock()
 		if wait > 0 {
 			time.Sleep(wait)
 		}
-		s.one(&tried)
+		s.commitBatch(&tried)
 		s.mu.Lock()
 		done := s.closed && len(s.queue) == 0
 		s.mu.Unlock()
 		if done {
-			s.last()
+			s.closeFile()
 			return
 		}
 	}
 }
 
 // one commits one batch.
-func (s *Store) one(tried *time.Time) {
+func (s *Store) commitBatch(tried *time.Time) {
 	s.mu.Lock()
-	n := min(len(s.queue), mostBatch)
+	n := min(len(s.queue), maxBatch)
 	batch := s.queue[:n:n]
 	s.queue = s.queue[n:]
-	head := s.headNow()
+	head := s.headerToWrite()
 	closed := s.closed
 	s.mu.Unlock()
-	if s.stale && (closed || time.Since(*tried) >= anewEvery) {
+	if s.needsRewrite && (closed || time.Since(*tried) >= rewriteInterval) {
 		*tried = time.Now()
-		if s.anew() {
+		if s.rewrite() {
 			s.mu.Lock()
-			s.ledger.Anew()
+			s.ledger.Rewritten()
 			s.mu.Unlock()
 			events.Log(s.log, "store.anew")
 		}
@@ -414,18 +416,18 @@
 	if n == 0 && head == nil {
 		return
 	}
-	err := errStale
-	if !s.stale {
+	err := errNeedsRewrite
+	if !s.needsRewrite {
 		began := time.Now()
 		err = s.file.commit(batch, head)
 		took := time.Since(began)
-		s.commit.Record(took)
+		s.commitTiming.Record(took)
 		s.mu.Lock()
-		s.ledger.Committed(Now().Now, took)
-		news := err != nil && s.ledger.Failed()
+		s.ledger.Committed(Now().SinceBoot, took)
+		news := err != nil && s.ledger.WriteFailed()
 		s.mu.Unlock()
 		if err != nil {
-			s.stale = true
+			s.needsRewrite = true
 			s.stats.Inc("store", "failures")
 			if news {
 				events.Log(s.log, "store.failed", err)
@@ -434,7 +436,7 @@
 			s.stats.Inc("store", "commits")
 			s.stats.Add(uint64(n), "store", "changes")
 			if head != nil {
-				s.file.head = *head
+				s.file.header = *head
 			}
 		}
 	}
@@ -444,33 +446,33 @@
 		}
 	}
 	if err == nil {
-		s.crowded()
+		s.compactIfSparse()
 	}
 	s.mu.Lock()
 	if len(s.queue) > 0 { // what came meanwhile goes next
-		s.ring()
+		s.wakeWriter()
 	}
 	s.mu.Unlock()
 }
 
 // errStale is what who waits is told while what was written last is not known to last.
-var errStale = errors.New("the store failed, and is written anew")
+var errNeedsRewrite = errors.New("the store failed, and is written anew")
 
 // headNow is the head that is to be written with the next batch, nil for the one that there is. It is called under the lock.
-func (s *Store) headNow() *header {
-	if !s.ledger.Whole(Now().Now) {
+func (s *Store) headerToWrite() *header {
+	if !s.ledger.BecameComplete(Now().SinceBoot) {
 		return nil
 	}
-	h := s.file.head
-	h.Whole = true
+	h := s.file.header
+	h.Complete = true
 	return &h
 }
 
 // anew writes all that is known into a new file, which takes the place of the one of which nobody knows what lasts.
-func (s *Store) anew() bool {
+func (s *Store) rewrite() bool {
 	old := s.file
-	list := s.keys.Kept(since)
-	f, err := writeFile(old.path, old.head, func(put func(idempotency.Record) error) error {
+	list := s.owner.Records(sinceBoot)
+	f, err := writeFile(old.path, old.header, func(put func(idempotency.Record) error) error {
 		for _, r := range list {
 			if err := put(r); err != nil {
 				return err
@@ -483,33 +485,33 @@
 		return false
 	}
 	old.db.Close()
-	s.file, s.stale = f, false
+	s.file, s.needsRewrite = f, false
 	s.stats.Inc("store", "anew")
 	return true
 }
 
 // crowded writes the file anew where most of it is room that nobody uses.
-func (s *Store) crowded() {
+func (s *Store) compactIfSparse() {
 	s.mu.Lock()
-	crowded := s.ledger.Crowded(s.file.size())
+	crowded := s.ledger.ShouldCompact(s.file.size())
 	s.mu.Unlock()
-	if crowded && !s.anew() {
-		s.stale = true
+	if crowded && !s.rewrite() {
+		s.needsRewrite = true
 		s.mu.Lock()
-		s.ledger.Failed()
+		s.ledger.WriteFailed()
 		s.mu.Unlock()
 	}
 }
 
 // sweep forgets what is past its time.
-func (s *Store) sweep() {
+func (s *Store) expire() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, seq := range s.ledger.Sweep(Now().Now, sweepMost) {
-		s.queue = append(s.queue, op{seq: seq, off: true})
+	for _, seq := range s.ledger.Expire(Now().SinceBoot, maxExpired) {
+		s.queue = append(s.queue, change{seq: seq, remove: true})
 	}
-	v := s.ledger.View(Now().Now)
-	s.stats.Set(uint64(v.Live), "store", "live")
+	v := s.ledger.Snapshot(Now().SinceBoot)
+	s.stats.Set(uint64(v.Records), "store", "live")
 	s.stats.Set(uint64(v.Bytes), "store", "bytes")
 }
 
@@ -519,8 +521,8 @@
 	s.closed = true
 	s.ledger.Close()
 	s.mu.Unlock()
-	s.ring()
-	<-s.over
+	s.wakeWriter()
+	<-s.stopped
 }
 
 // Abandon gives up a store that nobody keeps: the service did not come to run.
@@ -529,10 +531,10 @@
 	s.lock.Close()
 }
 
-func (s *Store) last() {
-	if !s.stale {
-		h := s.file.head
-		h.Clean = true
+func (s *Store) closeFile() {
+	if !s.needsRewrite {
+		h := s.file.header
+		h.ClosedCleanly = true
 		if err := s.file.commit(nil, &h); err != nil {
 			events.Log(s.log, "store.failed", err)
 		}
@@ -561,7 +563,7 @@
 		s.mu.Unlock()
 		return "", errors.New("the store is closed")
 	}
-	s.put(op{off: true, done: func(err error) { turns <- turn{s.file, err} }})
+	s.enqueue(change{remove: true, done: func(err error) { turns <- turn{s.file, err} }})
 	s.mu.Unlock()
 	t := <-turns
 	if t.err != nil {
@@ -571,10 +573,10 @@
 }
 
 // View is the store as it stands.
-func (s *Store) View() idempotency.View {
+func (s *Store) View() idempotency.Snapshot {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.ledger.View(Now().Now)
+	return s.ledger.Snapshot(Now().SinceBoot)
 }
 
 // Status is the view as JSON.
@@ -582,14 +584,14 @@
 	v := s.View()
 	var a fastjson.Arena
 	o := a.NewObject()
-	o.Set("phase", a.NewString(v.Phase.String()))
+	o.Set("phase", a.NewString(v.Health.String()))
 	known := a.NewFalse()
-	if v.Known {
+	if v.Complete {
 		known = a.NewTrue()
 	}
 	o.Set("known", known)
-	for name, n := range map[string]int{"live": v.Live, "bytes": v.Bytes, "reserved": v.Reserved, "limit": v.Limit, "loaded": v.Loaded,
-		"expected": v.Expected, "pace_us": int(v.Pace.Microseconds())} {
+	for name, n := range map[string]int{"live": v.Records, "bytes": v.Bytes, "reserved": v.ReservedBytes, "limit": v.MaxBytes, "loaded": v.Loaded,
+		"expected": v.Expected, "pace_us": int(v.CommitTime.Microseconds())} {
 		o.Set(name, a.NewNumberString(strconv.Itoa(n)))
 	}
 	return o.MarshalTo(nil)
--- a/internal/storage/idempotencystore/store_test.go
+++ b/internal/storage/idempotencystore/store_test.go
@@ -32,12 +32,12 @@
 	}
 	defer f.db.Close()
 	all := map[uint64]string{}
-	err = f.each(3, func(list []idempotency.Record, broken []uint64) {
+	err = f.scan(3, func(list []idempotency.Record, broken []uint64) {
 		if len(broken) > 0 {
 			err = errors.New("broken records")
 		}
 		for i := range list {
-			all[list[i].Seq] = string(encode(&list[i]))
+			all[list[i].Seq] = string(encodeRecord(&list[i]))
 		}
 	})
 	return all, err
@@ -128,25 +128,25 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		var ops []op
+		var ops []change
 		for range 1 + rng.IntN(6) {
 			switch one := slices.Sorted(maps.Keys(live)); {
 			case rng.IntN(2) == 0 || len(one) == 0:
-				r := idempotency.Record{Seq: seq, State: idempotency.Running, Key: fmt.Sprint("key", seq), ID: "id", Until: 9}
-				ops, live[seq] = append(ops, op{seq: seq, value: encode(&r)}), 1
+				r := idempotency.Record{Seq: seq, State: idempotency.Running, Key: fmt.Sprint("key", seq), ID: "id", ExpiresAt: 9}
+				ops, live[seq] = append(ops, change{seq: seq, value: encodeRecord(&r)}), 1
 				seq++
 			default:
 				n := one[rng.IntN(len(one))]
-				r := idempotency.Record{Seq: n, State: idempotency.Done, Key: fmt.Sprint("key", n), ID: "id", Until: 9, Result: bytes.Repeat([]byte{byte(n)}, rng.IntN(3000))}
+				r := idempotency.Record{Seq: n, State: idempotency.Completed, Key: fmt.Sprint("key", n), ID: "id", ExpiresAt: 9, Result: bytes.Repeat([]byte{byte(n)}, rng.IntN(3000))}
 				if live[n]++; live[n] > 2 {
-					ops = append(ops, op{seq: n, off: true})
+					ops = append(ops, change{seq: n, remove: true})
 					delete(live, n)
 				} else {
-					ops = append(ops, op{seq: n, value: encode(&r)})
+					ops = append(ops, change{seq: n, value: encodeRecord(&r)})
 				}
 			}
 		}
-		if err := f.commit(ops, &header{Format: format, Name: "n", Since: int64(seq)}); err != nil {
+		if err := f.commit(ops, &header{Format: formatVersion, Name: "n", CompleteSince: int64(seq)}); err != nil {
 			t.Fatal(err)
 		}
 		after, _ := os.ReadFile(path)
@@ -180,9 +180,9 @@
 
 func contentsOf(f *file) (map[uint64]string, error) {
 	all := map[uint64]string{}
-	err := f.each(100, func(list []idempotency.Record, _ []uint64) {
+	err := f.scan(100, func(list []idempotency.Record, _ []uint64) {
 		for i := range list {
-			all[list[i].Seq] = string(encode(&list[i]))
+			all[list[i].Seq] = string(encodeRecord(&list[i]))
 		}
 	})
 	return all, err
@@ -203,7 +203,7 @@
 	}
 }
 
-func (k *holder) Kept(func(time.Time) time.Duration) (list []idempotency.Record) {
+func (k *holder) Records(func(time.Time) time.Duration) (list []idempotency.Record) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for _, r := range k.all {
@@ -217,11 +217,11 @@
 func start(t *testing.T, dir string) (*Store, *holder) {
 	t.Helper()
 	k := &holder{all: map[string]idempotency.Record{}, wait: 300 * time.Millisecond}
-	s, err := Open(Config{Dir: dir, Name: "n", Bytes: 8 << 20, Result: 1 << 10, Log: log.New(io.Discard, "", 0), Stats: &metrics.Counters{}}, k)
+	s, err := Open(Config{Dir: dir, Name: "n", MaxBytes: 8 << 20, ResultReserve: 1 << 10, Log: log.New(io.Discard, "", 0), Stats: &metrics.Counters{}}, k)
 	if err != nil {
 		t.Fatal(err)
 	}
-	go s.Keep(t.Context())
+	go s.Run(t.Context())
 	<-s.Loaded()
 	return s, k
 }
@@ -231,14 +231,14 @@
 	t.Helper()
 	done := make(chan error, 1)
 	r, now := idempotency.Record{Key: key, ID: "i", Window: time.Minute}, time.Now()
-	if v := s.Promise(&r, now, now.Add(time.Minute), time.Hour, func(err error) { done <- err }); v.Do != idempotency.Begin {
+	if v := s.LogIntent(&r, now, now.Add(time.Minute), time.Hour, func(err error) { done <- err }); v.Action != idempotency.Execute {
 		t.Fatalf("%s: %v", key, v)
 	}
 	if err := <-done; err != nil {
 		t.Fatal(err)
 	}
 	if r.Result = result; result != nil {
-		s.Result(&r, now, now.Add(time.Minute), func(err error) { done <- err })
+		s.LogResult(&r, now, now.Add(time.Minute), func(err error) { done <- err })
 		if err := <-done; err != nil {
 			t.Fatal(err)
 		}
@@ -257,7 +257,7 @@
 		for i := range 300 {
 			put(t, s, fmt.Sprint("key-", i), []byte(strings.Repeat("result", 50)))
 		}
-		since := s.Since()
+		since := s.CompleteSince()
 		s.Close()
 		path := filepath.Join(dir, FileName)
 		text, _ := os.ReadFile(path)
@@ -277,13 +277,13 @@
 		}
 		time.Sleep(2 * time.Millisecond)
 		s, k := start(t, dir)
-		if s.Since() == since {
+		if s.CompleteSince() == since {
 			t.Errorf("%s: it says that nothing was forgotten", kind)
 		}
 		if n := len(k.all); kind == "a record" && n < 280 || n >= 300 {
 			t.Errorf("%s: %d of 300 records taken up", kind, n)
 		}
-		if v := s.Begins(time.Second); v.Do != idempotency.Fail {
+		if v := s.CanExecute(time.Second); v.Action != idempotency.Fail {
 			t.Errorf("%s: a sheet that may have run: %v", kind, v)
 		}
 		s.Close()
@@ -291,11 +291,11 @@
 			t.Errorf("%s: set aside: %v", kind, left)
 		}
 		s, _ = start(t, dir)
-		if v := s.Begins(time.Second); v.Do != idempotency.Fail {
+		if v := s.CanExecute(time.Second); v.Action != idempotency.Fail {
 			t.Errorf("%s: after a further restart: %v", kind, v)
 		}
 		time.Sleep(400 * time.Millisecond)
-		if v := s.Begins(time.Second); v.Do != idempotency.Begin {
+		if v := s.CanExecute(time.Second); v.Action != idempotency.Execute {
 			t.Errorf("%s: once it can't matter: %v", kind, v)
 		}
 		put(t, s, "new", make([]byte, 1<<20)) // a result of the largest size
@@ -308,11 +308,11 @@
 
 // Anything that is read as a record is the record that was written, or is not read at all.
 func FuzzRecord(f *testing.F) {
-	f.Add(encode(&idempotency.Record{State: idempotency.Done, Key: "k", ID: "i", Result: []byte("r")}))
+	f.Add(encodeRecord(&idempotency.Record{State: idempotency.Completed, Key: "k", ID: "i", Result: []byte("r")}))
 	f.Add([]byte{1, 2, 3})
 	f.Fuzz(func(t *testing.T, b []byte) {
-		r, err := decode(7, b)
-		if err == nil && !bytes.Equal(encode(&r), b) {
+		r, err := decodeRecord(7, b)
+		if err == nil && !bytes.Equal(encodeRecord(&r), b) {
 			t.Fatalf("%q is read as %+v", b, r)
 		}
 	})
--- a/internal/storage/inspect/evidence.go
+++ b/internal/storage/inspect/evidence.go
@@ -24,98 +24,98 @@
 )
 
 // Found is what one file or folder proves.
-type Found struct {
-	Path  string   `json:"path"`
-	Kind  string   `json:"kind"`
-	Of    string   `json:"of,omitempty"` // the name of whose it is
-	Says  []string `json:"says,omitempty"`
-	Trust string   `json:"trust"` // as recovery.Trust has it
-	Wrong string   `json:"wrong,omitempty"`
+type Finding struct {
+	Path    string   `json:"path"`
+	Kind    string   `json:"kind"`
+	Owner   string   `json:"of,omitempty"` // the name of whose it is
+	Facts   []string `json:"says,omitempty"`
+	Trust   string   `json:"trust"` // as recovery.Trust has it
+	Problem string   `json:"wrong,omitempty"`
 }
 
 // kinds are the readers by what they read, in the order in which a path is tried.
-var kinds = []struct {
+var readers = []struct {
 	name  string
 	trust recovery.Trust
-	read  func(path string, f *Found) error
+	read  func(path string, f *Finding) error
 }{
-	{"member of a group", recovery.Trusted, member},
-	{"runs of keyed requests", recovery.Trusted, runs},
-	{"map of a router", recovery.Confirmed, router},
-	{"orders that a server took", recovery.Trusted, taken},
-	{"sign of life", recovery.Trusted, sign},
+	{"member of a group", recovery.Trusted, readMember},
+	{"runs of keyed requests", recovery.Trusted, readStore},
+	{"map of a router", recovery.AfterConfirmation, readRouter},
+	{"orders that a server took", recovery.Trusted, readFence},
+	{"sign of life", recovery.Trusted, readHeartbeat},
 }
 
 // errOther is of a file that is something else.
-var errOther = errors.New("something else")
+var errOtherKind = errors.New("something else")
 
 // Look reads a path. What is there and can't be read says so in what is found.
-func Look(path string) (Found, error) {
+func Inspect(path string) (Finding, error) {
 	if _, err := os.Stat(path); err != nil {
-		return Found{}, err
+		return Finding{}, err
 	}
-	for _, k := range kinds {
-		f := Found{Path: path, Kind: k.name, Trust: k.trust.String()}
+	for _, k := range readers {
+		f := Finding{Path: path, Kind: k.name, Trust: k.trust.String()}
 		err := k.read(path, &f)
-		if errors.Is(err, errOther) {
+		if errors.Is(err, errOtherKind) {
 			continue
 		}
 		if err != nil {
-			f.Wrong, f.Trust = err.Error(), recovery.Never.String()
+			f.Problem, f.Trust = err.Error(), recovery.Discarded.String()
 		}
 		return f, nil
 	}
-	return Found{Path: path, Kind: "unknown", Trust: recovery.Never.String(), Wrong: "nothing that this program writes"}, nil
+	return Finding{Path: path, Kind: "unknown", Trust: recovery.Discarded.String(), Problem: "nothing that this program writes"}, nil
 }
 
-func (f *Found) say(format string, args ...any) {
-	f.Says = append(f.Says, fmt.Sprintf(format, args...))
+func (f *Finding) addFact(format string, args ...any) {
+	f.Facts = append(f.Facts, fmt.Sprintf(format, args...))
 }
 
 // buckets reads a file of the library's, where it has a bucket of the given name.
-func buckets(path, name string, do func(tx *bbolt.Tx) error) (err error) {
+func viewDatabase(path, name string, do func(tx *bbolt.Tx) error) (err error) {
 	if s, err := os.Stat(path); err != nil || s.IsDir() {
-		return errOther
+		return errOtherKind
 	}
-	defer idempotencystore.Caught(&err)()
+	defer idempotencystore.RecoverPanic(&err)()
 	db, err := idempotencystore.OpenRead(path)
 	if errors.Is(err, idempotencystore.ErrInUse) {
 		return err
 	}
 	if err != nil {
-		return errOther
+		return errOtherKind
 	}
 	defer db.Close()
 	return db.View(func(tx *bbolt.Tx) error {
 		if tx.Bucket([]byte(name)) == nil {
-			return errOther
+			return errOtherKind
 		}
 		return do(tx)
 	})
 }
 
 // inFolder is the file of a folder, or the path itself.
-func inFolder(path string, names ...string) string {
+func fileIn(path string, names ...string) string {
 	for _, n := range names {
-		if at := filepath.Join(path, n); fileAt(at) {
+		if at := filepath.Join(path, n); isFile(at) {
 			return at
 		}
 	}
 	return path
 }
 
-func fileAt(path string) bool {
+func isFile(path string) bool {
 	s, err := os.Stat(path)
 	return err == nil && !s.IsDir()
 }
 
-func member(path string, f *Found) error {
+func readMember(path string, f *Finding) error {
 	list, _ := filepath.Glob(filepath.Join(path, "*.db"))
 	for _, one := range append(list, path) {
-		err := buckets(one, "log", func(tx *bbolt.Tx) error {
+		err := viewDatabase(one, "log", func(tx *bbolt.Tx) error {
 			meta := tx.Bucket([]byte("meta"))
 			if meta == nil {
-				return errOther
+				return errOtherKind
 			}
 			var who struct {
 				ID     uint64 `json:"id"`
@@ -126,65 +126,65 @@
 			if err := json.Unmarshal(meta.Get([]byte("who")), &who); err != nil {
 				return fmt.Errorf("its identity: %w", err)
 			}
-			f.Of = who.Name
-			f.say("number %x, started %d times", who.ID, who.Starts)
+			f.Owner = who.Name
+			f.addFact("number %x, started %d times", who.ID, who.Starts)
 			if who.Group == "" {
-				f.say("of no group")
+				f.addFact("of no group")
 			} else {
-				f.say("of the group %s", who.Group)
+				f.addFact("of the group %s", who.Group)
 			}
 			if k, _ := tx.Bucket([]byte("log")).Cursor().Last(); len(k) == 8 {
-				f.say("log up to entry %d, as it was written; what of it was agreed its group knows", binary.BigEndian.Uint64(k))
+				f.addFact("log up to entry %d, as it was written; what of it was agreed its group knows", binary.BigEndian.Uint64(k))
 			}
 			return nil
 		})
-		if !errors.Is(err, errOther) {
+		if !errors.Is(err, errOtherKind) {
 			return err
 		}
 	}
-	return errOther
+	return errOtherKind
 }
 
-func runs(path string, f *Found) error {
-	at := inFolder(path, idempotencystore.FileName)
-	if err := buckets(at, "keys", func(*bbolt.Tx) error { return nil }); err != nil {
+func readStore(path string, f *Finding) error {
+	at := fileIn(path, idempotencystore.FileName)
+	if err := viewDatabase(at, "keys", func(*bbolt.Tx) error { return nil }); err != nil {
 		return err
 	}
 	s, err := idempotencystore.Check(at)
 	if err != nil {
 		return err
 	}
-	f.Of = s.Name
-	f.say("store %s, %d records, %d KB", s.ID, s.Records, s.Bytes>>10)
+	f.Owner = s.Name
+	f.addFact("store %s, %d records, %d KB", s.ID, s.Records, s.Bytes>>10)
 	for _, state := range slices.Sorted(maps.Keys(s.ByState)) {
-		f.say("%s: %d", state, s.ByState[state])
+		f.addFact("%s: %d", state, s.ByState[state])
 	}
-	f.say("whole: %v, closed in good order: %v, from the machine's present start: %v", s.Whole, s.Clean, s.Here)
-	if s.Broken > 0 || s.Damage != "" {
-		return fmt.Errorf("%d records can't be read %s", s.Broken, s.Damage)
+	f.addFact("whole: %v, closed in good order: %v, from the machine's present start: %v", s.Complete, s.ClosedCleanly, s.SameBoot)
+	if s.Unreadable > 0 || s.Damage != "" {
+		return fmt.Errorf("%d records can't be read %s", s.Unreadable, s.Damage)
 	}
 	return nil
 }
 
-func router(path string, f *Found) error {
-	return buckets(path, "cells", func(tx *bbolt.Tx) error {
+func readRouter(path string, f *Finding) error {
+	return viewDatabase(path, "cells", func(tx *bbolt.Tx) error {
 		m, read, err := proxy.StoredMap(tx)
 		if errors.Is(err, proxy.ErrNoMapStored) {
-			f.say("no map yet")
+			f.addFact("no map yet")
 			return nil
 		}
 		if err != nil {
 			return err
 		}
 		servers, tenants := m.Size()
-		f.say("map version %d, %d servers, %d tenants", m.Version, servers, tenants)
-		f.say("read last at %s by the wall clock", read.UTC().Format(time.RFC3339))
+		f.addFact("map version %d, %d servers, %d tenants", m.Version, servers, tenants)
+		f.addFact("read last at %s by the wall clock", read.UTC().Format(time.RFC3339))
 		return nil
 	})
 }
 
 // headOf is the beginning of a file, by which it is told what it is; empty where it can't be read.
-func headOf(path string, size int) string {
+func prefixOf(path string, size int) string {
 	file, err := os.Open(path)
 	if err != nil {
 		return ""
@@ -195,35 +195,35 @@
 	return string(head[:n])
 }
 
-func taken(path string, f *Found) error {
-	head := headOf(path, 9)
+func readFence(path string, f *Finding) error {
+	head := prefixOf(path, 9)
 	if len(head) < 9 || head[8] != '\n' || strings.Trim(head[:8], "0123456789abcdef") != "" {
-		return errOther
+		return errOtherKind
 	}
 	service, seen, err := fence.ReadFile(path)
 	if err != nil {
 		return err
 	}
-	f.Of = service
+	f.Owner = service
 	for _, duty := range slices.Sorted(maps.Keys(seen)) {
 		o := seen[duty]
-		f.say("%s: epoch %v, step %d, %s", duty, o.Epoch, o.Step, o.Action)
+		f.addFact("%s: epoch %v, step %d, %s", duty, o.Epoch, o.Step, o.Action)
 	}
 	return nil
 }
 
-func sign(path string, f *Found) error {
-	if !strings.HasPrefix(headOf(path, 8), `{"sign"`) {
-		return errOther
+func readHeartbeat(path string, f *Finding) error {
+	if !strings.HasPrefix(prefixOf(path, 8), `{"sign"`) {
+		return errOtherKind
 	}
 	s, err := heartbeat.Read(path)
 	if err != nil {
 		return err
 	}
 	now := idempotencystore.Now()
-	dark, by := s.Dark(recovery.Sign{Name: s.Name, Machine: now.Machine, Boot: now.Boot, Up: now.Now})
-	f.Of = s.Name
-	f.say("of the machine %q, %v after it was switched on", s.Machine, s.Up.Round(time.Millisecond))
-	f.say("seen from here and now: nothing was begun for %v at the least, by %v", dark.Round(time.Millisecond), by)
+	dark, by := s.Downtime(recovery.Heartbeat{Name: s.Name, Machine: now.Machine, Boot: now.Boot, SinceBoot: now.SinceBoot})
+	f.Owner = s.Name
+	f.addFact("of the machine %q, %v after it was switched on", s.Machine, s.SinceBoot.Round(time.Millisecond))
+	f.addFact("seen from here and now: nothing was begun for %v at the least, by %v", dark.Round(time.Millisecond), by)
 	return nil
 }
--- a/internal/testkit/benchmarks/durable.go
+++ b/internal/testkit/benchmarks/durable.go
@@ -205,20 +205,20 @@
 // forgetful acts on nothing that is kept.
 type forgetful struct{}
 
-func (forgetful) Restore([]idempotency.Record, func(time.Duration) time.Time) {}
-func (forgetful) Kept(func(time.Time) time.Duration) (l []idempotency.Record) { return l }
-func (forgetful) LongestWindow() time.Duration                                { return 0 }
+func (forgetful) Restore([]idempotency.Record, func(time.Duration) time.Time)    {}
+func (forgetful) Records(func(time.Time) time.Duration) (l []idempotency.Record) { return l }
+func (forgetful) LongestWindow() time.Duration                                   { return 0 }
 
 // fill writes so many runs with their results into a store.
 func fill(b *testing.B, dir string, records int) {
 	if err := idempotencystore.Init(dir, "lab"); err != nil {
 		b.Fatal(err)
 	}
-	s, err := idempotencystore.Open(idempotencystore.Config{Dir: dir, Name: "lab", Bytes: 1 << 31, Result: 128, Log: log.New(io.Discard, "", 0), Stats: &metrics.Counters{}}, forgetful{})
+	s, err := idempotencystore.Open(idempotencystore.Config{Dir: dir, Name: "lab", MaxBytes: 1 << 31, ResultReserve: 128, Log: log.New(io.Discard, "", 0), Stats: &metrics.Counters{}}, forgetful{})
 	if err != nil {
 		b.Fatal(err)
 	}
-	go s.Keep(context.Background())
+	go s.Run(context.Background())
 	<-s.Loaded()
 	var all sync.WaitGroup
 	for from := 0; from < records; from += 1000 {
@@ -226,12 +226,12 @@
 			now := time.Now()
 			r := idempotency.Record{Key: fmt.Sprintf("\x00key-%d", i), ID: fmt.Sprintf("%016x", i), Window: 20 * time.Minute}
 			all.Add(1)
-			v := s.Promise(&r, now, now.Add(20*time.Minute), time.Hour, func(error) {})
+			v := s.LogIntent(&r, now, now.Add(20*time.Minute), time.Hour, func(error) {})
 			r.Result = make([]byte, 100)
-			if v.Do != idempotency.Begin {
+			if v.Action != idempotency.Execute {
 				b.Fatal(v)
 			}
-			s.Result(&r, now, now.Add(20*time.Minute), func(error) { all.Done() })
+			s.LogResult(&r, now, now.Add(20*time.Minute), func(error) { all.Done() })
 		}
 		all.Wait()
 	}
--- a/internal/testkit/conformance/rules_test.go
+++ b/internal/testkit/conformance/rules_test.go
@@ -674,8 +674,8 @@
 	{" that keeps its runs, through a router", true, nil, 0, true},
 	{" with pools", false, &admission.Config{Pools: []admission.Pool{
 		{Name: "sheets", Classes: []string{"oddaja"}, Weight: 10, Floor: 0.3}, {Name: "others", Weight: 1, Floor: 0.1}}}, 0, false},
-	{" as the elder of two", false, nil, hotrestart.Elder, false},
-	{" as the younger of two", false, nil, hotrestart.Younger, false},
+	{" as the elder of two", false, nil, hotrestart.Predecessor, false},
+	{" as the younger of two", false, nil, hotrestart.Successor, false},
 }
 
 func TestRules(t *testing.T) {
@@ -741,17 +741,19 @@
 // keep has the edge's runs kept on a disk. It returns what ends that.
 func (e *edge) keep() func() {
 	began, clock := time.Now(), idempotencystore.Now
-	idempotencystore.Now = func() idempotency.Clock { return idempotency.Clock{Boot: "bubble", Now: time.Hour + time.Since(began)} }
+	idempotencystore.Now = func() idempotency.Clock {
+		return idempotency.Clock{Boot: "bubble", SinceBoot: time.Hour + time.Since(began)}
+	}
 	dir := e.t.TempDir()
 	if err := idempotencystore.Init(dir, "edge"); err != nil {
 		e.t.Fatal(err)
 	}
-	s, err := idempotencystore.Open(idempotencystore.Config{Dir: dir, Name: "edge", Bytes: 8 << 20, Result: 1 << 10, Log: e.log, Stats: e.stats}, e.worker)
+	s, err := idempotencystore.Open(idempotencystore.Config{Dir: dir, Name: "edge", MaxBytes: 8 << 20, ResultReserve: 1 << 10, Log: e.log, Stats: e.stats}, e.worker)
 	if err != nil {
 		e.t.Fatal(err)
 	}
 	e.worker.UseStore(s)
-	go s.Keep(context.Background())
+	go s.Run(context.Background())
 	<-s.Loaded()
 	return func() {
 		s.Close()
@@ -772,7 +774,7 @@
 		e.t.Fatal(err)
 	}
 	first := 0
-	if as.pair == hotrestart.Younger {
+	if as.pair == hotrestart.Successor {
 		first = 1
 	}
 	w.Join(e.core, other, first)
--- a/internal/transport/restartlink/earlier_build_test.go
+++ b/internal/transport/restartlink/earlier_build_test.go
@@ -156,7 +156,7 @@
 	old.send(elder[0], elder[1], moved(elder[2], now), moved(elder[3], now), elder[4])
 	old.reads("as the link begins", younger[:4]...)
 	await(t, "the new one serves", p.serves)
-	if p.core.PairRole() != hotrestart.Younger {
+	if p.core.PairRole() != hotrestart.Successor {
 		t.Errorf("it is %v", p.core.PairRole())
 	}
 	want(t, "a repeat of what the old one ran", p.try("n1", "elder-done", now), core.Served, "elder's result")
@@ -222,7 +222,7 @@
 	}
 	old.reads("all runs", elder[4])
 	await(t, "the old one is ready", p.core.Successor)
-	if p.core.PairRole() != hotrestart.Elder {
+	if p.core.PairRole() != hotrestart.Predecessor {
 		t.Errorf("it is %v", p.core.PairRole())
 	}
 	old.send(moved(younger[4], now))
@@ -287,29 +287,29 @@
 
 // Every kind of message stands on the link in these bytes and no others; the numbers of kinds and stages are the protocol's.
 func TestBytesOfMessages(t *testing.T) {
-	flight := hotrestart.Flight{Key: "\x00k", ID: "9b1f", Sum: 0x0102030405060708, Reached: 0x1112131415161718, Until: 0x2122232425262728,
-		Window: time.Second, Stage: hotrestart.Passed, Result: []byte("result"), Theirs: true}
+	flight := hotrestart.Execution{Key: "\x00k", ID: "9b1f", Fingerprint: 0x0102030405060708, ReceivedAt: 0x1112131415161718, ExpiresAt: 0x2122232425262728,
+		Window: time.Second, Stage: hotrestart.Succeeded, Result: []byte("result"), Remote: true}
 	const run = " 0102030405060708 1112131415161718 2122232425262728 000000003b9aca00 02 00000002 006b 00000004 39623166 00000006 726573756c74"
 	held, running, failed := flight, flight, flight
-	held.Stage, running.Stage, failed.Stage = hotrestart.Held, hotrestart.Running, hotrestart.Failed
+	held.Stage, running.Stage, failed.Stage = hotrestart.Queued, hotrestart.Running, hotrestart.Failed
 	for _, c := range []struct {
 		message hotrestart.Message
 		want    string
 	}{
-		{hotrestart.Message{Kind: hotrestart.Hello, Stamp: 1, Peer: 2, OutSeq: 3, Blind: 4, Sole: true, Out: true, Ready: true, Flight: flight},
+		{hotrestart.Message{Kind: hotrestart.Hello, StartedAt: 1, PeerStartedAt: 2, EvacuationSeq: 3, UnknownUntil: 4, Sole: true, Evacuated: true, Ready: true, Execution: flight},
 			"00000023 01 01 07 0000000000000001 0000000000000002 0000000000000003 0000000000000004"},
 		{hotrestart.Message{Kind: hotrestart.Hello, Sole: true}, "00000023 01 01 01" + strings.Repeat("00", 32)},
-		{hotrestart.Message{Kind: hotrestart.Status, OutSeq: 3, Stamp: 9, Out: true}, "0000000b 01 02 02 0000000000000003"},
+		{hotrestart.Message{Kind: hotrestart.Status, EvacuationSeq: 3, StartedAt: 9, Evacuated: true}, "0000000b 01 02 02 0000000000000003"},
 		{hotrestart.Message{Kind: hotrestart.Status, Ready: true}, "0000000b 01 02 04 0000000000000000"},
-		{hotrestart.Message{Kind: hotrestart.Run, Flight: flight}, "0000003c 01 03 00" + run},
-		{hotrestart.Message{Kind: hotrestart.Run, Flight: held}, "0000003c 01 03 00" + strings.Replace(run, " 02 ", " 00 ", 1)},
-		{hotrestart.Message{Kind: hotrestart.Run, Flight: running}, "0000003c 01 03 00" + strings.Replace(run, " 02 ", " 01 ", 1)},
-		{hotrestart.Message{Kind: hotrestart.Run, Flight: failed}, "0000003c 01 03 00" + strings.Replace(run, " 02 ", " 03 ", 1)},
-		{hotrestart.Message{Kind: hotrestart.Gone, Flight: flight}, "0000003c 01 04 00" + run},
-		{hotrestart.Message{Kind: hotrestart.Whole, Flight: flight}, "00000003 01 05 00"},
-		{hotrestart.Message{Kind: hotrestart.Claim, Flight: flight}, "0000003c 01 06 00" + run},
-		{hotrestart.Message{Kind: hotrestart.Grant, Flight: flight}, "0000003c 01 07 00" + run},
-		{hotrestart.Message{Kind: hotrestart.Taken, Flight: flight}, "0000003c 01 08 00" + run},
+		{hotrestart.Message{Kind: hotrestart.Run, Execution: flight}, "0000003c 01 03 00" + run},
+		{hotrestart.Message{Kind: hotrestart.Run, Execution: held}, "0000003c 01 03 00" + strings.Replace(run, " 02 ", " 00 ", 1)},
+		{hotrestart.Message{Kind: hotrestart.Run, Execution: running}, "0000003c 01 03 00" + strings.Replace(run, " 02 ", " 01 ", 1)},
+		{hotrestart.Message{Kind: hotrestart.Run, Execution: failed}, "0000003c 01 03 00" + strings.Replace(run, " 02 ", " 03 ", 1)},
+		{hotrestart.Message{Kind: hotrestart.Released, Execution: flight}, "0000003c 01 04 00" + run},
+		{hotrestart.Message{Kind: hotrestart.SyncComplete, Execution: flight}, "00000003 01 05 00"},
+		{hotrestart.Message{Kind: hotrestart.Claim, Execution: flight}, "0000003c 01 06 00" + run},
+		{hotrestart.Message{Kind: hotrestart.Grant, Execution: flight}, "0000003c 01 07 00" + run},
+		{hotrestart.Message{Kind: hotrestart.Denied, Execution: flight}, "0000003c 01 08 00" + run},
 	} {
 		if got, want := hex.EncodeToString(appendMessage(nil, c.message)), strings.ReplaceAll(c.want, " ", ""); got != want {
 			t.Errorf("%+v:\n%s, want\n%s", c.message, got, want)
@@ -327,7 +327,7 @@
 			t.Error(err)
 		}
 	}
-	if got := p.pair.places.mark(1764576000123456789); got != filepath.Join(dir, "silverpath-08b37b07b558d4c0.mark.1764576000123456789") {
+	if got := p.pair.slots.markPath(1764576000123456789); got != filepath.Join(dir, "silverpath-08b37b07b558d4c0.mark.1764576000123456789") {
 		t.Error(got)
 	}
 }
--- a/internal/transport/restartlink/pair.go
+++ b/internal/transport/restartlink/pair.go
@@ -23,129 +23,129 @@
 )
 
 const (
-	lookEvery    = 20 * time.Millisecond  // whether the other place is taken, and for another try to connect
-	writeTimeout = 500 * time.Millisecond // of one that is there and does not read: the link is given up
-	helloWithin  = time.Second            // so is one that says nothing at first
-	mostWait     = time.Second            // before another try to connect
+	peerCheckInterval = 20 * time.Millisecond  // whether the other place is taken, and for another try to connect
+	writeTimeout      = 500 * time.Millisecond // of one that is there and does not read: the link is given up
+	helloTimeout      = time.Second            // so is one that says nothing at first
+	maxBackoff        = time.Second            // before another try to connect
 )
 
 // Pair is this process's place and its link.
-type Pair struct {
-	places *places
-	place  int // -1: none yet
-	stamp  int64
-	third  bool // it was said that there are two already
-	alone  bool // as the core was told last
-	saw    bool
-	core   *core.Core
-	log    *log.Logger
-	stats  *metrics.Counters
-	ln     net.Listener // of place 0, to which place 1 connects
-	bell   chan struct{}
-	links  chan net.Conn // that came in
-	over   chan struct{} // closed at the end
+type Link struct {
+	slots      *slots
+	slot       int // -1: none yet
+	startedAt  int64
+	fullLogged bool // it was said that there are two already
+	peerAbsent bool // as the core was told last
+	peerSeen   bool
+	core       *core.Core
+	log        *log.Logger
+	stats      *metrics.Counters
+	ln         net.Listener // of place 0, to which place 1 connects
+	wake       chan struct{}
+	incoming   chan net.Conn // that came in
+	done       chan struct{} // closed at the end
 
-	writing sync.Mutex // and what follows
+	writeMu sync.Mutex // and what follows
 	conn    net.Conn   // nil: no link
-	link    int        // its number, for the core
+	linkID  int        // its number, for the core
 	buf     []byte
 
-	wait time.Duration // before the next try to connect: longer each time that a link ends before all was told
-	next time.Time
+	backoff  time.Duration // before the next try to connect: longer each time that a link ends before all was told
+	nextDial time.Time
 
-	marking sync.Mutex
-	marked  bool
+	markMu sync.Mutex
+	marked bool
 }
 
 // Open prepares the places in the folder.
-func Open(dir, name string, l *log.Logger, s *metrics.Counters) (*Pair, error) {
-	places, err := openPlaces(dir, name)
+func Open(dir, name string, l *log.Logger, s *metrics.Counters) (*Link, error) {
+	slots, err := openSlots(dir, name)
 	if err != nil {
 		return nil, err
 	}
-	return &Pair{places: places, place: -1, log: l, stats: s, bell: make(chan struct{}, 1),
-		links: make(chan net.Conn), over: make(chan struct{})}, nil
+	return &Link{slots: slots, slot: -1, log: l, stats: s, wake: make(chan struct{}, 1),
+		incoming: make(chan net.Conn), done: make(chan struct{})}, nil
 }
 
 // Config is what the core needs of the pair.
-func (p *Pair) Config(shared func(two bool)) *core.PairConfig {
-	return &core.PairConfig{Flush: p.flush, MarkUnnotified: p.mark, Wake: p.ring, Shared: shared}
+func (p *Link) CoreConfig(shared func(two bool)) *core.PairConfig {
+	return &core.PairConfig{Flush: p.flush, MarkUnnotified: p.leaveMark, Wake: p.wakeWriter, Shared: shared}
 }
 
-func (p *Pair) ring() {
+func (p *Link) wakeWriter() {
 	select {
-	case p.bell <- struct{}{}:
+	case p.wake <- struct{}{}:
 	default:
 	}
 }
 
 // Begin takes a place and looks for the other process, before anything else is told to the core. A third process has
 // no place, and is not ready until one of the two is gone.
-func (p *Pair) Begin(c *core.Core) error {
+func (p *Link) Start(c *core.Core) error {
 	p.core = c
-	return p.enter()
+	return p.takeSlot()
 }
 
-func (p *Pair) enter() error {
-	place, ok := p.places.take()
+func (p *Link) takeSlot() error {
+	slot, ok := p.slots.take()
 	if !ok {
-		if !p.third {
+		if !p.fullLogged {
 			events.Log(p.log, "handover.full")
 			p.stats.Inc("handover", "third")
 		}
-		p.third = true
+		p.fullLogged = true
 		return nil
 	}
-	p.place, p.stamp = place, time.Now().UnixNano()
-	if place == 0 {
-		os.Remove(p.places.socket(0)) // of one that is dead, as the place was empty
+	p.slot, p.startedAt = slot, time.Now().UnixNano()
+	if slot == 0 {
+		os.Remove(p.slots.socketPath(0)) // of one that is dead, as the place was empty
 		var err error
-		if p.ln, err = net.Listen("unix", p.places.socket(0)); err != nil {
+		if p.ln, err = net.Listen("unix", p.slots.socketPath(0)); err != nil {
 			return err
 		}
 	}
-	p.core.PairPlaced(p.stamp, place)
-	p.look()
+	p.core.PairPlaced(p.startedAt, slot)
+	p.checkPeer()
 	return nil
 }
 
 // look tells the core whether there is another process.
-func (p *Pair) look() (there bool) {
-	if p.places.taken(1 - p.place) {
-		if p.alone || !p.saw {
+func (p *Link) checkPeer() (there bool) {
+	if p.slots.taken(1 - p.slot) {
+		if p.peerAbsent || !p.peerSeen {
 			p.core.PairOther()
 		}
-		p.alone, p.saw = false, true
+		p.peerAbsent, p.peerSeen = false, true
 		return true
 	}
-	if p.alone {
+	if p.peerAbsent {
 		return false
 	}
-	p.alone = true
+	p.peerAbsent = true
 	was := p.core.PairRole()
-	p.gone()
+	p.reportPeerGone()
 	events.Log(p.log, "handover.alone", was)
-	p.places.sweep()
+	p.slots.removeMarks()
 	return false
 }
 
 // gone tells the core that the other process is dead.
-func (p *Pair) gone() {
+func (p *Link) reportPeerGone() {
 	p.core.PairAlone(func(stamp int64) bool {
-		_, err := os.Stat(p.places.mark(stamp))
+		_, err := os.Stat(p.slots.markPath(stamp))
 		return err == nil
 	})
 }
 
 // Left is closed once the place is free again, after the end of Keep's context.
-func (p *Pair) Left() <-chan struct{} { return p.over }
+func (p *Link) Released() <-chan struct{} { return p.done }
 
 // Keep holds the link as long as there is another process, until the context ends. By then the core has stopped.
-func (p *Pair) Keep(ctx context.Context) {
-	defer close(p.over)
-	defer p.places.close() // and so the place: this process runs nothing any more, however long its exit takes
-	go p.write(ctx)
-	tick := time.NewTicker(lookEvery)
+func (p *Link) Run(ctx context.Context) {
+	defer close(p.done)
+	defer p.slots.close() // and so the place: this process runs nothing any more, however long its exit takes
+	go p.writeLoop(ctx)
+	tick := time.NewTicker(peerCheckInterval)
 	defer tick.Stop()
 	accepting := false
 	for {
@@ -157,30 +157,30 @@
 		select {
 		case <-ctx.Done():
 			return
-		case conn := <-p.links:
-			p.serve(ctx, conn)
+		case conn := <-p.incoming:
+			p.serveLink(ctx, conn)
 		case <-tick.C:
-			if p.place < 0 {
-				if err := p.enter(); err != nil {
+			if p.slot < 0 {
+				if err := p.takeSlot(); err != nil {
 					events.Log(p.log, "handover.failed", err)
 				}
-			} else if p.look() && p.place == 1 && !time.Now().Before(p.next) {
-				if conn, err := net.DialTimeout("unix", p.places.socket(0), lookEvery); err == nil {
-					p.serve(ctx, conn)
+			} else if p.checkPeer() && p.slot == 1 && !time.Now().Before(p.nextDial) {
+				if conn, err := net.DialTimeout("unix", p.slots.socketPath(0), peerCheckInterval); err == nil {
+					p.serveLink(ctx, conn)
 				}
 			}
 		}
 	}
 }
 
-func (p *Pair) accept(ctx context.Context) {
+func (p *Link) accept(ctx context.Context) {
 	for {
 		conn, err := p.ln.Accept()
 		if err != nil {
 			return
 		}
 		select {
-		case p.links <- conn:
+		case p.incoming <- conn:
 		case <-ctx.Done():
 			conn.Close()
 			return
@@ -189,26 +189,26 @@
 }
 
 // serve is the life of one link.
-func (p *Pair) serve(ctx context.Context, conn net.Conn) {
+func (p *Link) serveLink(ctx context.Context, conn net.Conn) {
 	defer context.AfterFunc(ctx, func() { conn.Close() })()
-	p.alone, p.saw = false, true // whoever spoke may be dead before its place was looked at
-	p.writing.Lock()
-	p.conn, p.link = conn, p.core.PairLinked()
-	p.writing.Unlock()
-	err := p.read(conn)
-	if errors.Is(err, hotrestart.ErrStale) {
-		p.flush(p.present()) // the other finds out by this side's Hello, which may not have been written yet
+	p.peerAbsent, p.peerSeen = false, true // whoever spoke may be dead before its place was looked at
+	p.writeMu.Lock()
+	p.conn, p.linkID = conn, p.core.PairLinked()
+	p.writeMu.Unlock()
+	err := p.readMessages(conn)
+	if errors.Is(err, hotrestart.ErrStaleIdentity) {
+		p.flush(p.currentLink()) // the other finds out by this side's Hello, which may not have been written yet
 	}
-	p.wait = min(max(2*p.wait, lookEvery), mostWait)
-	p.next = time.Now().Add(p.wait)
+	p.backoff = min(max(2*p.backoff, peerCheckInterval), maxBackoff)
+	p.nextDial = time.Now().Add(p.backoff)
 	conn.Close()
-	if errors.Is(err, hotrestart.ErrOther) {
-		p.gone() // first: what is not read of this link is not that one's
+	if errors.Is(err, hotrestart.ErrPeerReplaced) {
+		p.reportPeerGone() // first: what is not read of this link is not that one's
 	}
-	p.writing.Lock()
+	p.writeMu.Lock()
 	p.conn = nil
-	p.core.PairCut(!wholly(err))
-	p.writing.Unlock()
+	p.core.PairCut(!endedByPeer(err))
+	p.writeMu.Unlock()
 	if ctx.Err() != nil {
 		return
 	}
@@ -217,21 +217,21 @@
 		p.stats.Inc("malformed", "handover")
 	}
 	events.Log(p.log, "handover.link_down", err)
-	if errors.Is(err, hotrestart.ErrOther) {
+	if errors.Is(err, hotrestart.ErrPeerReplaced) {
 		p.core.PairOther()
 	}
 }
 
 // wholly reports whether a link ended at the other side, so that all that was written there has been read.
-func wholly(err error) bool {
+func endedByPeer(err error) bool {
 	return errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, syscall.ECONNRESET)
 }
 
 // read takes messages until the link fails.
-func (p *Pair) read(conn net.Conn) error {
+func (p *Link) readMessages(conn net.Conn) error {
 	r := bufio.NewReader(conn)
 	var frame []byte
-	conn.SetReadDeadline(time.Now().Add(helloWithin))
+	conn.SetReadDeadline(time.Now().Add(helloTimeout))
 	for {
 		m, f, err := readMessage(r, frame)
 		if frame = f; err != nil {
@@ -245,48 +245,48 @@
 		case hotrestart.Hello:
 			conn.SetReadDeadline(time.Time{})
 			p.stats.Inc("handover", "links")
-		case hotrestart.Whole:
-			p.wait = 0
+		case hotrestart.SyncComplete:
+			p.backoff = 0
 			events.Log(p.log, "handover.known", p.core.PairRole())
 		}
 		if clear {
-			if p.flush(p.present()) == nil { // else what the other wrote is still to be read
-				p.unmark(marks)
+			if p.flush(p.currentLink()) == nil { // else what the other wrote is still to be read
+				p.clearMark(marks)
 			}
 		}
 	}
 }
 
 // write sends what nobody waits for.
-func (p *Pair) write(ctx context.Context) {
+func (p *Link) writeLoop(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-p.bell:
-			p.flush(p.present())
+		case <-p.wake:
+			p.flush(p.currentLink())
 		}
 	}
 }
 
 // present is the number of the present link.
-func (p *Pair) present() int {
-	p.writing.Lock()
-	defer p.writing.Unlock()
-	return p.link
+func (p *Link) currentLink() int {
+	p.writeMu.Lock()
+	defer p.writeMu.Unlock()
+	return p.linkID
 }
 
 var errNoLink = errors.New("no link")
 
 // flush writes all that is to be sent on a link, and returns once it is written: from then on the other process reads
 // it, whatever becomes of this one.
-func (p *Pair) flush(link int) error {
-	p.writing.Lock()
-	defer p.writing.Unlock()
-	if p.conn == nil || link != p.link {
+func (p *Link) flush(link int) error {
+	p.writeMu.Lock()
+	defer p.writeMu.Unlock()
+	if p.conn == nil || link != p.linkID {
 		return errNoLink
 	}
-	out, err := p.core.PairOut(p.link)
+	out, err := p.core.PairOut(p.linkID)
 	if err != nil {
 		return err
 	}
@@ -304,7 +304,7 @@
 				half.CloseWrite()
 			}
 			p.conn = nil
-			p.core.PairWriteClosed(p.link)
+			p.core.PairWriteClosed(p.linkID)
 			return fmt.Errorf("writing to the other process: %w", err)
 		}
 	}
@@ -315,13 +315,13 @@
 }
 
 // mark leaves the mark that this process runs what the other has not heard of.
-func (p *Pair) mark() error {
-	p.marking.Lock()
-	defer p.marking.Unlock()
+func (p *Link) leaveMark() error {
+	p.markMu.Lock()
+	defer p.markMu.Unlock()
 	if p.marked {
 		return nil
 	}
-	f, err := os.OpenFile(p.places.mark(p.stamp), os.O_WRONLY|os.O_CREATE, 0o600)
+	f, err := os.OpenFile(p.slots.markPath(p.startedAt), os.O_WRONLY|os.O_CREATE, 0o600)
 	if err != nil {
 		return err
 	}
@@ -332,11 +332,11 @@
 }
 
 // unmark takes the mark away, unless more was run since that the other has not heard of.
-func (p *Pair) unmark(marks int) {
-	p.marking.Lock()
-	defer p.marking.Unlock()
+func (p *Link) clearMark(marks int) {
+	p.markMu.Lock()
+	defer p.markMu.Unlock()
 	if p.marked && p.core.PairMarks() == marks {
-		os.Remove(p.places.mark(p.stamp))
+		os.Remove(p.slots.markPath(p.startedAt))
 		p.marked = false
 	}
 }
--- a/internal/transport/restartlink/pair_test.go
+++ b/internal/transport/restartlink/pair_test.go
@@ -48,7 +48,7 @@
 // proc is a process of the service, in this one.
 type proc struct {
 	*worker
-	pair  *Pair
+	pair  *Link
 	stats *metrics.Counters
 	die   func() // as a process does: its link and its place are gone
 	log   *bytes.Buffer
@@ -62,7 +62,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c, err := core.New(core.Config{Name: "n1", MemoryMB: 64, Log: l, Stats: s, Pair: p.Config(func(bool) {}),
+	c, err := core.New(core.Config{Name: "n1", MemoryMB: 64, Log: l, Stats: s, Pair: p.CoreConfig(func(bool) {}),
 		Settings: silverpath.Settings{Cores: 4, MemoryKB: 1e6, MaxRunsPerCore: 8, Classes: []silverpath.Class{{Name: "oddaja",
 			Objective: 20 * time.Second, Deadline: 30 * time.Second, Weight: 1, Effect: silverpath.Idempotent, IdempotencyWindow: 10 * time.Second}}}})
 	if err != nil {
@@ -72,17 +72,17 @@
 	if err := c.Attach(w, nil); err != nil {
 		t.Fatal(err)
 	}
-	if err := p.Begin(c); err != nil {
+	if err := p.Start(c); err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	go p.Keep(ctx)
+	go p.Run(ctx)
 	c.RunnerReady()
 	q := &proc{worker: w, pair: p, stats: s}
 	q.die = sync.OnceFunc(func() {
 		c.Stop()
 		cancel()
-		<-p.Left()
+		<-p.Released()
 	})
 	t.Cleanup(q.die)
 	return q
@@ -129,7 +129,7 @@
 	await(t, "the run begins", func() bool { return len(a.ran()) == 1 })
 	b := start(t, dir)
 	await(t, "the second serves", b.serves)
-	if r, s := a.core.PairRole(), b.core.PairRole(); r != hotrestart.Elder || s != hotrestart.Younger || !a.core.Successor() || b.core.Successor() {
+	if r, s := a.core.PairRole(), b.core.PairRole(); r != hotrestart.Predecessor || s != hotrestart.Successor || !a.core.Successor() || b.core.Successor() {
 		t.Fatalf("%v and %v", r, s)
 	}
 	during := b.try("b1", "k", now)
@@ -169,10 +169,10 @@
 			a := start(t, dir)
 			b := start(t, dir)
 			await(t, "both serve", func() bool { return a.serves() && b.serves() })
-			b.pair.writing.Lock() // the younger does not come to speak on the next link
-			a.pair.writing.Lock()
+			b.pair.writeMu.Lock() // the younger does not come to speak on the next link
+			a.pair.writeMu.Lock()
 			a.pair.conn.Close()
-			a.pair.writing.Unlock()
+			a.pair.writeMu.Unlock()
 			now := time.Now()
 			first := a.try("a1", "k", now)
 			await(t, "the elder runs on", func() bool { return len(a.ran()) == 1 })
@@ -182,7 +182,7 @@
 			}
 			waits := b.try("b1", "l", now)
 			if back {
-				b.pair.writing.Unlock()
+				b.pair.writeMu.Unlock()
 				await(t, "the key is granted on the next link", func() bool { return len(b.ran()) == 1 })
 				b.core.RunEnded("b1", silverpath.OK, 0, []byte("l"))
 				want(t, "who waited", waits, core.Served, "l")
@@ -193,7 +193,7 @@
 				return
 			}
 			a.die()
-			b.pair.writing.Unlock()
+			b.pair.writeMu.Unlock()
 			want(t, "who waited", waits, core.Failed, "")
 			want(t, "a repeat of what it can't know", b.try("b2", "k", now), core.Failed, "")
 			fresh := b.try("b3", "n", now.Add(11*time.Second)) // past the window of all that the elder may have run
@@ -208,12 +208,12 @@
 func TestThird(t *testing.T) {
 	dir := t.TempDir()
 	stale := start(t, dir)
-	stale.pair.places.mark(1)
-	if err := os.WriteFile(stale.pair.places.mark(1), nil, 0o600); err != nil {
+	stale.pair.slots.markPath(1)
+	if err := os.WriteFile(stale.pair.slots.markPath(1), nil, 0o600); err != nil {
 		t.Fatal(err)
 	}
 	stale.die()
-	if ln, err := net.Listen("unix", filepath.Join(dir, stale.pair.places.stem+".0.sock")); err != nil {
+	if ln, err := net.Listen("unix", filepath.Join(dir, stale.pair.slots.stem+".0.sock")); err != nil {
 		t.Fatal(err)
 	} else {
 		ln.(*net.UnixListener).SetUnlinkOnClose(false)
@@ -224,13 +224,13 @@
 	b := start(t, dir)
 	await(t, "the second serves", b.serves)
 	c := start(t, dir)
-	time.Sleep(5 * lookEvery)
+	time.Sleep(5 * peerCheckInterval)
 	if ready, why := c.core.Ready(); ready || !strings.Contains(why, "another process") || c.stats.Get("handover", "third") != 1 {
 		t.Fatalf("the third is ready: %q", why)
 	}
 	a.die()
 	await(t, "the third has the place", c.serves)
-	if b.core.PairRole() != hotrestart.Elder || c.core.PairRole() != hotrestart.Younger {
+	if b.core.PairRole() != hotrestart.Predecessor || c.core.PairRole() != hotrestart.Successor {
 		t.Errorf("%v and %v", b.core.PairRole(), c.core.PairRole())
 	}
 }
@@ -272,19 +272,19 @@
 }
 
 var samples = []hotrestart.Message{
-	{Kind: hotrestart.Hello, Stamp: 1764576000123456789, Peer: 5, OutSeq: 3, Blind: 9, Sole: true, Ready: true},
-	{Kind: hotrestart.Status, Out: true},
-	{Kind: hotrestart.Whole},
-	{Kind: hotrestart.Run, Flight: hotrestart.Flight{Key: "oddaja\x00k", ID: "9b1f", Sum: 1 << 63, Reached: -1, Until: 7,
-		Window: time.Second, Stage: hotrestart.Passed, Result: []byte("result")}},
-	{Kind: hotrestart.Claim, Flight: hotrestart.Flight{Key: "k"}},
+	{Kind: hotrestart.Hello, StartedAt: 1764576000123456789, PeerStartedAt: 5, EvacuationSeq: 3, UnknownUntil: 9, Sole: true, Ready: true},
+	{Kind: hotrestart.Status, Evacuated: true},
+	{Kind: hotrestart.SyncComplete},
+	{Kind: hotrestart.Run, Execution: hotrestart.Execution{Key: "oddaja\x00k", ID: "9b1f", Fingerprint: 1 << 63, ReceivedAt: -1, ExpiresAt: 7,
+		Window: time.Second, Stage: hotrestart.Succeeded, Result: []byte("result")}},
+	{Kind: hotrestart.Claim, Execution: hotrestart.Execution{Key: "k"}},
 }
 
 // Who is taken for another process says who it is before it leaves the link: the other learns it from nothing else where
 // a third one took the dead one's place before anybody saw it empty.
 func TestTakenForAnother(t *testing.T) {
 	dir := t.TempDir()
-	other, err := openPlaces(dir, "n1")
+	other, err := openSlots(dir, "n1")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -292,7 +292,7 @@
 	if place, ok := other.take(); !ok || place != 0 {
 		t.Fatal(place, ok)
 	}
-	ln, err := net.Listen("unix", other.socket(0))
+	ln, err := net.Listen("unix", other.socketPath(0))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -303,10 +303,10 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		conn.Write(appendMessage(nil, hotrestart.Message{Kind: hotrestart.Hello, Stamp: 1, Peer: 7, Sole: true}))
+		conn.Write(appendMessage(nil, hotrestart.Message{Kind: hotrestart.Hello, StartedAt: 1, PeerStartedAt: 7, Sole: true}))
 		conn.SetReadDeadline(time.Now().Add(20 * time.Second))
 		m, _, err := readMessage(bufio.NewReader(conn), nil)
-		if err != nil || m.Kind != hotrestart.Hello || m.Stamp == 0 {
+		if err != nil || m.Kind != hotrestart.Hello || m.StartedAt == 0 {
 			t.Errorf("link %d: %+v, %v", n, m, err)
 		}
 		conn.Close()
--- a/internal/transport/restartlink/places.go
+++ b/internal/transport/restartlink/places.go
@@ -15,22 +15,22 @@
 // places are the two places in which processes of one service live: a file each, in a folder that they share. Whoever
 // lives in a place holds the lock on its file, which the system lets go of with the process. So a file that a dead
 // process left behind says nothing, and there are never more than two.
-type places struct {
+type slots struct {
 	dir   *os.File
 	stem  string
-	files [2]*os.File
+	locks [2]*os.File
 }
 
-func openPlaces(dir, name string) (*places, error) {
+func openSlots(dir, name string) (*slots, error) {
 	d, err := os.Open(dir)
 	if err != nil {
 		return nil, err
 	}
 	h := fnv.New64a()
 	io.WriteString(h, name)
-	p := &places{dir: d, stem: fmt.Sprintf("silverpath-%016x", h.Sum64())}
-	for i := range p.files {
-		if p.files[i], err = os.OpenFile(filepath.Join(dir, fmt.Sprintf("%s.%d", p.stem, i)), os.O_RDWR|os.O_CREATE, 0o600); err != nil {
+	p := &slots{dir: d, stem: fmt.Sprintf("silverpath-%016x", h.Sum64())}
+	for i := range p.locks {
+		if p.locks[i], err = os.OpenFile(filepath.Join(dir, fmt.Sprintf("%s.%d", p.stem, i)), os.O_RDWR|os.O_CREATE, 0o600); err != nil {
 			p.close()
 			return nil, err
 		}
@@ -38,9 +38,9 @@
 	return p, nil
 }
 
-func (p *places) close() {
+func (p *slots) close() {
 	p.dir.Close()
-	for _, f := range p.files {
+	for _, f := range p.locks {
 		if f != nil {
 			f.Close()
 		}
@@ -48,8 +48,8 @@
 }
 
 // take takes a place that is empty, if there is one.
-func (p *places) take() (place int, ok bool) {
-	for i, f := range p.files {
+func (p *slots) take() (slot int, ok bool) {
+	for i, f := range p.locks {
 		l := unix.Flock_t{Type: unix.F_WRLCK, Whence: io.SeekStart}
 		if unix.FcntlFlock(f.Fd(), unix.F_OFD_SETLK, &l) == nil {
 			return i, true
@@ -59,25 +59,25 @@
 }
 
 // taken reports whether somebody else lives in a place.
-func (p *places) taken(place int) bool {
+func (p *slots) taken(slot int) bool {
 	l := unix.Flock_t{Type: unix.F_WRLCK, Whence: io.SeekStart}
-	err := unix.FcntlFlock(p.files[place].Fd(), unix.F_OFD_GETLK, &l)
+	err := unix.FcntlFlock(p.locks[slot].Fd(), unix.F_OFD_GETLK, &l)
 	return err != nil || l.Type != unix.F_UNLCK // when in doubt, somebody does
 }
 
 // socket is where the process in a place listens for the other. By way of the folder's descriptor its path is short
 // enough for a socket's name, however long the folder's own is.
-func (p *places) socket(place int) string {
-	return fmt.Sprintf("/proc/self/fd/%d/%s.%d.sock", p.dir.Fd(), p.stem, place)
+func (p *slots) socketPath(slot int) string {
+	return fmt.Sprintf("/proc/self/fd/%d/%s.%d.sock", p.dir.Fd(), p.stem, slot)
 }
 
 // mark is the file by which a process tells that it ran what the other has not heard of.
-func (p *places) mark(stamp int64) string {
+func (p *slots) markPath(stamp int64) string {
 	return filepath.Join(p.dir.Name(), p.stem+".mark."+strconv.FormatInt(stamp, 10))
 }
 
 // sweep takes the marks of processes away that nobody looks for any more.
-func (p *places) sweep() {
+func (p *slots) removeMarks() {
 	names, _ := os.ReadDir(p.dir.Name())
 	for _, n := range names {
 		if strings.HasPrefix(n.Name(), p.stem+".mark.") {
--- a/internal/transport/restartlink/wire.go
+++ b/internal/transport/restartlink/wire.go
@@ -14,15 +14,15 @@
 // A frame is its length as four bytes, then a version, the kind, flags, and what the kind brings: numbers of eight bytes,
 // and of a run texts with their length before them. All numbers are big-endian.
 const (
-	version   = 1
-	mostFrame = 1 << 20 // of a result there are 4 KiB on the platform; an application server's may be larger
-	leastRun  = 4*8 + 1 + 3*4
-	inChunks  = 4 << 10 // what a length promises is allocated as it comes
+	version      = 1
+	maxFrame     = 1 << 20 // of a result there are 4 KiB on the platform; an application server's may be larger
+	minRunLength = 4*8 + 1 + 3*4
+	readChunk    = 4 << 10 // what a length promises is allocated as it comes
 )
 
 const (
 	flagSole = 1 << iota
-	flagOut
+	flagEvacuated
 	flagReady
 )
 
@@ -33,14 +33,14 @@
 	b = append(b, 0, 0, 0, 0, version, byte(m.Kind), flags(m))
 	switch m.Kind {
 	case hotrestart.Hello:
-		for _, n := range []int64{m.Stamp, m.Peer, m.OutSeq, m.Blind} {
+		for _, n := range []int64{m.StartedAt, m.PeerStartedAt, m.EvacuationSeq, m.UnknownUntil} {
 			b = binary.BigEndian.AppendUint64(b, uint64(n))
 		}
 	case hotrestart.Status:
-		b = binary.BigEndian.AppendUint64(b, uint64(m.OutSeq))
-	case hotrestart.Run, hotrestart.Gone, hotrestart.Claim, hotrestart.Grant, hotrestart.Taken:
-		f := m.Flight
-		for _, n := range []uint64{f.Sum, uint64(f.Reached), uint64(f.Until), uint64(f.Window)} {
+		b = binary.BigEndian.AppendUint64(b, uint64(m.EvacuationSeq))
+	case hotrestart.Run, hotrestart.Released, hotrestart.Claim, hotrestart.Grant, hotrestart.Denied:
+		f := m.Execution
+		for _, n := range []uint64{f.Fingerprint, uint64(f.ReceivedAt), uint64(f.ExpiresAt), uint64(f.Window)} {
 			b = binary.BigEndian.AppendUint64(b, n)
 		}
 		b = append(b, byte(f.Stage))
@@ -57,7 +57,7 @@
 	for _, f := range []struct {
 		set bool
 		bit byte
-	}{{m.Sole, flagSole}, {m.Out, flagOut}, {m.Ready, flagReady}} {
+	}{{m.Sole, flagSole}, {m.Evacuated, flagEvacuated}, {m.Ready, flagReady}} {
 		if f.set {
 			n |= f.bit
 		}
@@ -72,13 +72,13 @@
 		return m, frame, err
 	}
 	n := int(binary.BigEndian.Uint32(head[:]))
-	if n > mostFrame || n < 3 {
+	if n > maxFrame || n < 3 {
 		return m, frame, fmt.Errorf("%w: %d bytes", errFrame, n)
 	}
 	frame = frame[:0]
 	for len(frame) < n {
 		have := len(frame)
-		frame = append(frame, make([]byte, min(inChunks, n-have))...)
+		frame = append(frame, make([]byte, min(readChunk, n-have))...)
 		if _, err = io.ReadFull(r, frame[have:]); err != nil {
 			if err == io.EOF {
 				err = io.ErrUnexpectedEOF
@@ -95,14 +95,14 @@
 		return m, fmt.Errorf("%w: of another version", errFrame)
 	}
 	m.Kind = hotrestart.Kind(b[1])
-	m.Sole, m.Out, m.Ready = b[2]&flagSole != 0, b[2]&flagOut != 0, b[2]&flagReady != 0
+	m.Sole, m.Evacuated, m.Ready = b[2]&flagSole != 0, b[2]&flagEvacuated != 0, b[2]&flagReady != 0
 	b = b[3:]
 	switch m.Kind {
 	case hotrestart.Hello:
 		if len(b) != 4*8 {
 			return m, fmt.Errorf("%w: hello of %d bytes", errFrame, len(b))
 		}
-		for i, n := range []*int64{&m.Stamp, &m.Peer, &m.OutSeq, &m.Blind} {
+		for i, n := range []*int64{&m.StartedAt, &m.PeerStartedAt, &m.EvacuationSeq, &m.UnknownUntil} {
 			*n = int64(binary.BigEndian.Uint64(b[8*i:]))
 		}
 		return m, nil
@@ -110,18 +110,18 @@
 		if len(b) != 8 {
 			return m, fmt.Errorf("%w: status of %d bytes", errFrame, len(b))
 		}
-		m.OutSeq = int64(binary.BigEndian.Uint64(b))
+		m.EvacuationSeq = int64(binary.BigEndian.Uint64(b))
 		return m, nil
-	case hotrestart.Whole:
+	case hotrestart.SyncComplete:
 		if len(b) != 0 {
 			return m, fmt.Errorf("%w: %d bytes too many", errFrame, len(b))
 		}
 		return m, nil
-	case hotrestart.Run, hotrestart.Gone, hotrestart.Claim, hotrestart.Grant, hotrestart.Taken:
+	case hotrestart.Run, hotrestart.Released, hotrestart.Claim, hotrestart.Grant, hotrestart.Denied:
 	default:
 		return m, fmt.Errorf("%w: kind %d", errFrame, m.Kind)
 	}
-	if len(b) < leastRun {
+	if len(b) < minRunLength {
 		return m, fmt.Errorf("%w: a run of %d bytes", errFrame, len(b))
 	}
 	number := func() int64 {
@@ -129,8 +129,8 @@
 		b = b[8:]
 		return n
 	}
-	f := &m.Flight
-	f.Sum, f.Reached, f.Until, f.Window = uint64(number()), number(), number(), time.Duration(number())
+	f := &m.Execution
+	f.Fingerprint, f.ReceivedAt, f.ExpiresAt, f.Window = uint64(number()), number(), number(), time.Duration(number())
 	f.Stage = hotrestart.Stage(b[0])
 	b = b[1:]
 	text := func() []byte {
