--- a/internal/controlplane/quorum/member/main.go
+++ b/internal/controlplane/quorum/member/main.go
@@ -83,10 +83,10 @@
 	if set.Runner != nil {
 		group := &quorum.Client{Group: set.Group.Name, Addrs: set.Group.Members}
 		defer group.Close()
-		o := runner.New(runner.Config{Name: set.Name, Set: *set.Runner, Group: group, Log: l, Stats: counters, Rate: ClockRate})
+		r := runner.New(runner.Config{Name: set.Name, Set: *set.Runner, Group: group, Log: l, Stats: counters, Rate: ClockRate})
 		go func() {
 			defer close(running)
-			o.Run(ctx)
+			r.Run(ctx)
 		}()
 	} else {
 		close(running)
--- a/internal/controlplane/runner/golden_test.go
+++ b/internal/controlplane/runner/golden_test.go
@@ -136,7 +136,11 @@
 	go ln.Serve()
 	ctx, cancel := context.WithCancel(context.Background())
 	var all sync.WaitGroup
-	all.Go(func() { m.Run(ctx) })
+	all.Go(func() {
+		if err := m.Run(ctx); err != nil {
+			t.Error(err)
+		}
+	})
 	client := &quorum.Client{Group: "test", Addrs: []string{addr}}
 	t.Cleanup(func() {
 		client.Close()
