--- a/internal/controlplane/configwatch/follow.go
+++ b/internal/controlplane/configwatch/follow.go
@@ -320,7 +320,7 @@
 	f.conflictBound = configstore.Terms{Lease: a.Terms.TTL, ClockDrift: a.Terms.Drift}.ConflictBound()
 	f.cfg.Stats.Set(uint64(f.conflictBound.Milliseconds()), "rules", "bound_ms")
 	f.cfg.Stats.Set(uint64(f.longestUnconfirmed.Milliseconds()), "rules", "longest_unconfirmed_ms")
-	confirmed := f.replica.LastAsked() == asked
+	confirmed := f.replica.LastConfirmed() == asked
 	turning := f.replica.PauseScopes()
 	both := append(slices.Clone(*f.paused.Load()), turning...)
 	f.paused.Store(&both)
@@ -402,7 +402,7 @@
 	o := a.NewObject()
 	o.Set("who", a.NewString(f.replica.Name))
 	o.Set("stops", a.NewString(f.StopReason()))
-	o.Set("confirmed_ms_ago", a.NewNumberInt(int((now - f.replica.LastAsked()).Milliseconds())))
+	o.Set("confirmed_ms_ago", a.NewNumberInt(int((now - f.replica.LastConfirmed()).Milliseconds())))
 	o.Set("bound_ms", a.NewNumberInt(int(f.conflictBound.Milliseconds())))
 	o.Set("longest_unconfirmed_ms", a.NewNumberInt(int(f.longestUnconfirmed.Milliseconds())))
 	o.Set("clock_off_ms", a.NewNumberInt(int(f.observedSkew.Milliseconds())))
--- a/internal/policy/configstore/configstore.go
+++ b/internal/policy/configstore/configstore.go
@@ -1,6 +1,13 @@
-// Package configstore decides by which version of the fleet's rules a process may act. It has no I/O, no clock and no goroutine.
-// Seen is the memory of a process that hears of others' rules, and holds without a group; Book is what a group agrees on.
-// docs/design/rules.md has the bound on how long two processes can act on rules that contradict each other, and its proof.
+// Package configstore decides by which version of the fleet's replicated, versioned configuration a process may act. It has no I/O, no
+// clock and no goroutine.
+//
+// Store is what a group agrees on: documents, each with an active revision and a proposed one, and the processes that use them.
+// ProcessMonitor is the leader's side, which expires processes and judges a rollout. Replica is the side of a process that acts on
+// documents. VersionTracker is the memory of a process that hears of others' versions, and holds without a group.
+//
+// What may not overlap, where an old and a new value would harm each other, is exclusive (kinds.go): all processes stop the old before
+// any begins the new, and one that can't confirm its version within a lease stops too. docs/design/rules.md has the bound on how long
+// two processes can act on versions that contradict each other, and its proof; docs/design/parts.md has documents in parts.
 package configstore
 
 import (
@@ -18,12 +25,13 @@
 	Digest  uint64 `json:"digest"` // of the text as the program writes it, so that blanks don't matter
 }
 
-// NewID is the ID of a document.
+// NewID is the ID of a document by its version and text.
 func NewID(version int, text []byte) ID { return ID{version, xxhash.Sum64(text)} }
 
+// String is the ID on the wire and in the log: the version, and the digest in hexadecimal.
 func (id ID) String() string { return fmt.Sprintf("%d.%016x", id.Version, id.Digest) }
 
-// ParseID reads what String wrote.
+// ParseID reads what String wrote, and reports false for anything else.
 func ParseID(s string) (ID, bool) {
 	version, digest, ok := strings.Cut(s, ".")
 	n, err := strconv.Atoi(version)
@@ -31,25 +39,25 @@
 	return ID{n, d}, ok && err == nil && bad == nil && n > 0 && len(digest) == 16
 }
 
-// Terms are what the bound is made of.
+// Terms are what the bounds are made of.
 type Terms struct {
-	Lease         time.Duration // who could not confirm his rules for so long stops what is exclusive
+	Lease         time.Duration // a process that could not confirm its version for so long stops what is exclusive
 	ClockSkew     time.Duration // by which the wall clocks of two processes may differ
-	ClockDrift    float64       // by which a clock may run fast or slow, as a share
-	ProbeInterval time.Duration // between two words of a router to each server
-	ProbeTimeout  time.Duration // for an answer to one
-	OverlapWindow time.Duration // after a change a sheet may still come again from where it ran before
+	ClockDrift    float64       // by which a clock may run fast or slow, as a ratio
+	ProbeInterval time.Duration // between two health checks of a server by a router
+	ProbeTimeout  time.Duration // of a health check
+	OverlapWindow time.Duration // after a change a key may still be repeated for so long that ran at its former home
 }
 
 // DetectionBound is the longest until routers that reach a common server know that their documents of one version differ, from when
-// both were started: each tells it at its next word, and hears at the one after that.
+// both were started: each tells its own at its next health check, and hears of the other at the one after that.
 func (t Terms) DetectionBound() time.Duration {
 	return onSlowClock(2*(t.ProbeInterval+t.ProbeTimeout), t.ClockDrift)
 }
 
-// ConflictBound is the longest in which two processes can act on rules that contradict each other: one that is cut off from its
-// source goes on for a lease, by a clock that may be slow, and times in the rules come to the two apart by the skew; two
-// documents of one version are found within Found.
+// ConflictBound is the longest in which two processes can act on versions that contradict each other: one that is cut off from its
+// source goes on for a lease, by a clock that may be slow, and times in a document come to the two apart by ClockSkew; two
+// documents of one version are found within DetectionBound.
 func (t Terms) ConflictBound() time.Duration {
 	return max(onSlowClock(t.Lease, t.ClockDrift)+t.ClockSkew, t.DetectionBound())
 }
--- a/internal/policy/configstore/document.go
+++ b/internal/policy/configstore/document.go
@@ -5,64 +5,65 @@
 	"slices"
 )
 
-// Document is a document with what is to become of it.
+// Document is a document with what is to become of it. The JSON names are those of snapshots and of the wire.
 type Document struct {
 	Name            string      `json:"name"`
-	HighestVersion  int         `json:"top"`             // the highest version that was ever given
+	HighestVersion  int         `json:"top"`             // that was ever given
 	Active          *Revision   `json:"force,omitempty"` // nil: none yet
 	Proposed        *Revision   `json:"next,omitempty"`  // nil: no change is under way
-	Stage           Stage       `json:"stage,omitempty"` // of Next
-	HoldReason      string      `json:"held,omitempty"`  // why an operator has Next wait; empty: it does not
+	Stage           Stage       `json:"stage,omitempty"` // of Proposed
+	HoldReason      string      `json:"held,omitempty"`  // why an operator has Proposed wait; empty: it does not
 	History         []*Revision `json:"history,omitempty"`
-	RejectedDigests []uint64    `json:"bad,omitempty"` // digests that were taken back
+	RejectedDigests []uint64    `json:"bad,omitempty"` // digests that were reverted, or withdrawn from canaries: they made things worse
 	Draft           *Draft      `json:"draft,omitempty"`
 }
 
 // Revision is one version of a document.
 type Revision struct {
 	ID          ID             `json:"id"`
-	Format      int            `json:"format"` // a process of a build that reads a lower one is not handed it
+	Format      int            `json:"format"` // a process that reads lower ones only is not offered it
 	Text        string         `json:"text,omitempty"`
 	Author      string         `json:"by,omitempty"`
 	ProposedAt  int64          `json:"at,omitempty"`        // Unix milliseconds, by the clock of the group's leader then: for people
 	Exclusive   bool           `json:"exclusive,omitempty"` // it differs from the one before in what may not overlap
-	Rollout     *RolloutPolicy `json:"try,omitempty"`       // how it is watched; nil: not
+	Rollout     *RolloutPolicy `json:"try,omitempty"`       // how it is observed; nil: not
 	RevertsTo   int            `json:"back,omitempty"`      // it has the contents of this version again
-	Baseline    *Goodput       `json:"base,omitempty"`      // what was served before it came into force
-	ActiveSince int64          `json:"since,omitempty"`     // when it came into force, as At
+	Baseline    *Goodput       `json:"base,omitempty"`      // before it became active
+	ActiveSince int64          `json:"since,omitempty"`     // when it became active, as ProposedAt; 0: never
 	Outcome     string         `json:"ended,omitempty"`     // what became of it: replaced, withdrawn, taken back; empty: nothing yet
-	Canaries    []string       `json:"parts,omitempty"`     // who acted on it in its trial; by its name of before there were parts
-	Scope       []string       `json:"touches,omitempty"`   // of one that is exclusive, what stops while all turn; empty: everything
+	Canaries    []string       `json:"parts,omitempty"`     // processes that act on it first; "parts" is from before documents had parts
+	Scope       []string       `json:"touches,omitempty"`   // of one that is exclusive, what pauses while all quiesce; empty: everything
 
 	// Of a document in parts, which has no text:
 	InParts      bool            `json:"split,omitempty"`
-	Parts        map[string]Part `json:"by_part,omitempty"` // in force: all; under way: those that differ from what is in force
+	Parts        map[string]Part `json:"by_part,omitempty"` // of the active one: all; of the proposed one: those that differ from the active ones
 	ChangedParts []string        `json:"changed,omitempty"` // the parts in which it differed from the version before
 }
 
+// The stages of a change, in their order. One that is not exclusive may have canaries; one that is exclusive has all quiesce.
 const (
-	StageProposed  Stage = "proposed" // all who use the document are to check it and to hold it
-	StageCanary    Stage = "trial"    // some of them act on it
-	StageQuiescing Stage = "turning"  // all stop what it excludes, and nobody begins the new yet
+	StageProposed  Stage = "proposed" // all processes that use the document check it and keep it: they prepare
+	StageCanary    Stage = "trial"    // some of them act on it, and their goodput is compared with that of the others
+	StageQuiescing Stage = "turning"  // all stop what it excludes, and none begins the new yet
 )
 
 // Stage is how far a change has come.
 type Stage string
 
-// RolloutPolicy is how a change that may be bad is watched.
+// RolloutPolicy is how a change that may be bad is observed.
 type RolloutPolicy struct {
-	CanaryRatio float64 `json:"part,omitempty"` // of the processes that act on it first; 0: all at once
-	ObserveMS   int64   `json:"for_ms"`         // so long, in milliseconds, in the trial and once it is in force
-	MaxLoss     float64 `json:"worse"`          // by so much less of the worth is served than else, and it is taken back
+	CanaryRatio float64 `json:"part,omitempty"` // of the processes, that are canaries; 0: all at once
+	ObserveMS   int64   `json:"for_ms"`         // milliseconds that it is observed at its canaries, and once it is active
+	MaxLoss     float64 `json:"worse"`          // by which the goodput ratio may be lower than the baseline; beyond it the change is reverted
 }
 
-// Goodput is what a process was asked for and what it served, since its start.
+// Goodput is what a process was asked for and what it served since its start, each request counted by its priority weight.
 type Goodput struct {
 	Offered float64 `json:"asked"`
 	Served  float64 `json:"served"`
 }
 
-// Ratio is the part that was served, 1 of nothing.
+// Ratio is the ratio that was served, 1 of nothing.
 func (w Goodput) Ratio() float64 {
 	if w.Offered <= 0 {
 		return 1
@@ -76,16 +77,16 @@
 	Reason  string `json:"why"`
 }
 
-// Process is a process that uses documents. It is one start of it: what comes back under a name is another one.
+// Process is a process that uses documents: one start of it, so that what comes back after a restart is another one.
 type Process struct {
 	Name     string             `json:"name"`
-	Formats  map[string]int     `json:"reads"` // the highest format that it reads of each document that it uses
-	Prepared map[string]int     `json:"holds"` // the version that it has checked and kept
-	Quiesced map[string]int     `json:"stopped"`
+	Formats  map[string]int     `json:"reads"`   // the highest format that it reads of each document that it uses
+	Prepared map[string]int     `json:"holds"`   // the proposed version that it has checked and kept
+	Quiesced map[string]int     `json:"stopped"` // the proposed version for which it has stopped what that excludes
 	Refusals map[string]Refusal `json:"refuses,omitempty"`
 }
 
-// Revision returns a version that is kept, nil for none.
+// Revision returns a version that is kept: the active one, the proposed one, or one of the history. It is nil for none.
 func (d *Document) Revision(version int) *Revision {
 	for _, e := range append([]*Revision{d.Active, d.Proposed}, d.History...) {
 		if e != nil && e.ID.Version == version {
@@ -95,6 +96,7 @@
 	return nil
 }
 
+// archive puts a revision into the history, without the texts of parts.
 func (d *Document) archive(e *Revision) {
 	d.History = append(d.History, e.withoutParts())
 	if n := len(d.History) - maxHistory; n > 0 {
@@ -102,6 +104,7 @@
 	}
 }
 
+// rejectDigest notes that a digest made things worse.
 func (d *Document) rejectDigest(digest uint64) {
 	if !slices.Contains(d.RejectedDigests, digest) {
 		d.RejectedDigests = append(d.RejectedDigests, digest)
@@ -149,7 +152,7 @@
 	return ID{}, nil, false
 }
 
-// IsOfferedTo is whether a process is handed a change: not one of a format that it does not read.
+// IsOfferedTo reports whether a process is told of the proposed revision: not of one in a format that it does not read.
 func (d *Document) IsOfferedTo(u *Process) bool {
 	return d.Proposed != nil && u.Formats[d.Name] >= d.Proposed.Format
 }
--- a/internal/policy/configstore/fetch.go
+++ b/internal/policy/configstore/fetch.go
@@ -7,6 +7,10 @@
 	"time"
 )
 
+// Fetching missing parts. Inputs: what the process was told of and has not, and how its requests ended. It has one request in flight at
+// most, and waits before the first one: a process that comes back has a megabyte or two to ask for, and a zone that comes back is
+// hundreds of them. Each draws its moment by its name, and waits longer after each failure.
+
 // PartsRequest is what a process asks the group for: the manifest of a version, or texts of parts by name.
 type PartsRequest struct {
 	Doc     string   `json:"doc"`
@@ -14,30 +18,29 @@
 	Names   []string `json:"names,omitempty"`
 }
 
-// Pauses before a process asks for parts. One that comes back has a megabyte or two to ask for, and a zone that comes back is
-// hundreds: each draws its moment by its own name, and waits longer each time that it got nothing.
 const (
-	initialBackoff = 2 * time.Second
-	maxDoublings   = 4 // times: half a minute
-	maxRequested   = MaxParts
+	initialBackoff = 2 * time.Second // in which a zone's first requests are spread: a few a millisecond
+	maxDoublings   = 4               // of initialBackoff, to half a minute
+	maxRequested   = MaxParts        // names in a request; the answer carries as many as fit
 )
 
-// requestPacer paces what a process asks for: one asking at a time.
+// requestPacer paces the requests of a process.
 type requestPacer struct {
-	asking      bool
-	failures    int           // times in a row that nothing came of it
-	isScheduled bool          // a pause is under way, or over
-	notBefore   time.Duration // it asks then
+	asking      bool          // a request is in flight
+	failures    int           // in a row
+	isScheduled bool          // a pause is drawn
+	notBefore   time.Duration // the pause ends then
 }
 
-// backoff is the pause before the next asking of a process: a part of the spread by its name, so that a thousand have a thousand moments.
-func backoff(who string, vain int) time.Duration {
-	spread := initialBackoff << min(vain, maxDoublings)
-	share := float64(PartDigest(fmt.Sprint(who, "/", vain))>>11) / (1 << 53)
-	return time.Duration(share * float64(spread))
+// backoff is the pause before the next request of a process after so many failures: a ratio of the whole by its name, so that a thousand
+// processes have a thousand moments.
+func backoff(name string, failures int) time.Duration {
+	spread := initialBackoff << min(failures, maxDoublings)
+	ratio := float64(PartDigest(fmt.Sprint(name, "/", failures))>>11) / (1 << 53)
+	return time.Duration(ratio * float64(spread))
 }
 
-// nextMissing is what it lacks first, in the order of documents: what is in force before what is under way.
+// nextMissing is what is missing first, in the order of documents: of the active one before the proposed one.
 func (h *Replica) nextMissing() (w PartsRequest, ok bool) {
 	for _, name := range slices.Sorted(maps.Keys(h.docs)) {
 		d := h.docs[name]
@@ -56,8 +59,8 @@
 	return w, false
 }
 
-// NextRequest is what to ask the group for now. It has one asking under way at most, whose end Got or Vain is told; ok is false where it
-// asks for nothing yet, and at says when to look again, 0 for when it was told something.
+// NextRequest is what to ask the group for now; ReceiveParts or RequestFailed is told of its end. Ok is false where nothing is to be asked
+// for yet; at says when to call again, 0 for when something was received.
 func (h *Replica) NextRequest(now time.Duration) (w PartsRequest, at time.Duration, ok bool) {
 	if h.pacer.asking {
 		return w, 0, false
@@ -83,7 +86,7 @@
 	return ok
 }
 
-// RequestFailed is told that an asking had no answer, or a no.
+// RequestFailed is told that a request had no answer, or was refused.
 func (h *Replica) RequestFailed() {
 	h.pacer = requestPacer{failures: h.pacer.failures + 1}
 }
--- a/internal/policy/configstore/goodput.go
+++ b/internal/policy/configstore/goodput.go
@@ -1,18 +1,19 @@
 package configstore
 
-import (
-	"time"
-)
+import "time"
 
-// minOffered is the worth under which nothing can be said.
+// Judging goodput. Inputs: what each process was asked for and has served since its start, as it reports it. A change is worse where
+// the ratio that was served is lower by more than its policy allows, and enough was asked for on both sides to say so.
+
+// minOffered is the weight of requests under which nothing can be said: of 20 one that fails is 5 %.
 const minOffered = 20
 
-// isWorse reports whether less was served than before by more than a bound, and enough was asked for to say so.
+// isWorse reports whether the goodput ratio is lower than before by more than a bound.
 func isWorse(before, now Goodput, by float64) bool {
 	return before.Offered >= minOffered && now.Offered >= minOffered && now.Ratio() < before.Ratio()-by
 }
 
-// goodputSince sums what processes were asked for and have served since a stage began.
+// goodputSince is the goodput of some processes since a stage began. One that came later counts for nothing.
 func (w *ProcessMonitor) goodputSince(s stageStart, of func(string) bool) (sum Goodput) {
 	for name, h := range w.reports {
 		mark, ok := s.baseline[name]
@@ -25,7 +26,7 @@
 	return sum
 }
 
-// goodputOver sums what was asked for and served in the latest stretch.
+// goodputOver is the goodput of some processes over the latest stretch of so long.
 func (w *ProcessMonitor) goodputOver(d, now time.Duration, of func(string) bool) (sum Goodput) {
 	for name, h := range w.reports {
 		if !of(name) {
--- a/internal/policy/configstore/kinds.go
+++ b/internal/policy/configstore/kinds.go
@@ -5,11 +5,12 @@
 	"time"
 )
 
-// Kind is what two processes that act on different values of a field do to each other.
+// Kind is what two processes that act on different values of a field do to each other, and so how a change of it may spread.
 type Kind int
 
+// The kinds of fields.
 const (
-	KindUnknown     Kind = iota // not in the table: taken for Exclusive
+	KindUnknown     Kind = iota // not in the table: taken for KindExclusive
 	KindLocal                   // it is the process's own: nobody else acts on it
 	KindIndependent             // nothing: each does its work a little differently
 	KindMonotonic               // a window: it may grow at once, and shrinks only once the longer one has run out
@@ -18,6 +19,7 @@
 	KindExclusive               // the old stops everywhere before the new begins anywhere
 )
 
+// String is the kind's name in what commands print.
 func (k Kind) String() string {
 	return [...]string{"unknown", "own", "free", "monotone", "shared", "announced", "exclusive"}[k]
 }
@@ -33,7 +35,7 @@
 // DocumentNames are their names.
 var DocumentNames = []string{DocMap, DocRouting, DocClasses, DocPools}
 
-// fieldKinds are those of all fields, by document, with the indexes of arrays left out.
+// fieldKinds are the kinds of all fields, by document and path, with the indexes of arrays left out.
 var fieldKinds = func() map[string]Kind {
 	all := map[string]Kind{}
 	add := func(k Kind, doc, fields string) {
@@ -110,11 +112,11 @@
 	return b.String()
 }
 
-// TransitionWindow is what holds now of a window that changes from one length to another, and how long until the new one does: what ran by
-// the longer one may come again until then, and a patience beyond.
-func TransitionWindow(old, next, patience time.Duration) (now, until time.Duration) {
+// TransitionWindow is what holds now of a window that changes from one length to another, and how long until the new one does: what ran
+// by the longer one may be repeated until then, and as long as a caller waits beyond.
+func TransitionWindow(old, next, callerTimeout time.Duration) (now, until time.Duration) {
 	if next >= old {
 		return next, 0
 	}
-	return old, old + patience
+	return old, old + callerTimeout
 }
--- a/internal/policy/configstore/monitor.go
+++ b/internal/policy/configstore/monitor.go
@@ -9,18 +9,19 @@
 	"silverpath/internal/policy/lease"
 )
 
-// ProcessMonitor is what the group's leader has heard of the processes that use documents, on its own monotonic clock. It is its
-// lease.Watch for them: a new leader has heard everybody just now, as it can't know what the one before it answered.
+// ProcessMonitor is what the group's leader knows of the processes that use documents. It proposes what follows from their reports: the
+// expiry of those that are silent, the next stage of a change, its withdrawal, or the reversal of one that made things worse. All times
+// are the leader's own monotonic clock. A new leader takes all to have reported just now, as it can't know what the one before answered.
 type ProcessMonitor struct {
 	terms        lease.Terms
-	leadingSince time.Duration // it has led since; under 0: it does not lead
+	leadingSince time.Duration // under 0: it does not lead
 	reports      map[string]*ProcessReport
-	expiring     map[string]bool
+	expiring     map[string]bool // their expiry was proposed
 	stages       map[string]stageStart
-	proposedAt   map[string]time.Duration // when an advance was last proposed
+	proposedAt   map[string]time.Duration // when a change was last proposed, by document
 }
 
-// ProcessReport is the last word of a process.
+// ProcessReport is the last report of a process.
 type ProcessReport struct {
 	ReceivedAt     time.Duration  `json:"-"`
 	AgeMS          int64          `json:"ago_ms"`
@@ -35,7 +36,7 @@
 	goodput Goodput
 }
 
-// stageStart is since when a document is as it is.
+// stageStart is since when a document is at its stage.
 type stageStart struct {
 	version  int
 	stage    Stage
@@ -60,17 +61,17 @@
 
 // Observe takes the report of a process as it comes. It reports whether the process may be told what is active: no once its expiry was
 // proposed, as it would act on that after the group has ceased to wait for it.
-func (w *ProcessMonitor) Observe(who string, now time.Duration, acts map[string]int, worth Goodput, stops string) bool {
-	if w.leadingSince < 0 || w.expiring[who] {
+func (w *ProcessMonitor) Observe(name string, now time.Duration, versions map[string]int, goodput Goodput, stopReason string) bool {
+	if w.leadingSince < 0 || w.expiring[name] {
 		return false
 	}
-	h := w.reports[who]
+	h := w.reports[name]
 	if h == nil {
 		h = &ProcessReport{}
-		w.reports[who] = h
+		w.reports[name] = h
 	}
-	h.ReceivedAt, h.ActiveVersions, h.Goodput, h.StopReason = now, acts, worth, stops
-	h.past = append(h.past, goodputSample{now, worth})
+	h.ReceivedAt, h.ActiveVersions, h.Goodput, h.StopReason = now, versions, goodput, stopReason
+	h.past = append(h.past, goodputSample{now, goodput})
 	h.past = slices.DeleteFunc(h.past, func(s goodputSample) bool { return now-s.at > maxObserved })
 	return true
 }
--- a/internal/policy/configstore/parts.go
+++ b/internal/policy/configstore/parts.go
@@ -10,6 +10,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
+// Documents in parts: a change of a large document costs what it changes. docs/design/parts.md.
+
 // Part is a piece of a document.
 type Part struct {
 	Version int    `json:"v"` // of the document, in which it last changed
@@ -25,15 +27,15 @@
 
 // Bounds of a document in parts.
 const (
-	// MaxParts bounds what has to be named to name a document whole: a manifest of so many is about 50 KB.
+	// MaxParts bounds the names of a manifest: one of so many is about 50 KB.
 	MaxParts = 1024
-	// MaxPartSize bounds the least that can be sent of a change: an answer carries several.
+	// MaxPartSize is bytes of a part, the least that can be sent of a change: an answer carries several.
 	MaxPartSize = 64 << 10
-	// MaxDocumentSize bounds what each member keeps and sends in a snapshot, and each process holds: eight times the map of 930
+	// MaxDocumentSize is bytes that each member keeps and sends in a snapshot, and each process holds: eight times the map of 930
 	// servers and 21,000 tenants.
 	MaxDocumentSize = 16 << 20
 	maxPartName     = 64
-	PartsFormat     = 2 // of a document that is not in parts it is 1: a process that reads only those is not handed this
+	PartsFormat     = 2 // the format of a document in parts; of others it is 1, and a process that reads only those is not offered this one
 )
 
 // PartDigest is the digest of a part's text.
@@ -44,14 +46,14 @@
 	h := xxhash.New()
 	var b [9]byte // of a 0, which no name has, and a digest
 	for _, name := range slices.Sorted(maps.Keys(parts)) {
-		h.WriteString(name)
+		_, _ = h.WriteString(name) // it never fails
 		binary.BigEndian.PutUint64(b[1:], parts[name].Digest)
-		h.Write(b[:])
+		_, _ = h.Write(b[:])
 	}
 	return h.Sum64()
 }
 
-// TextsDigest is Sum for texts.
+// TextsDigest is PartsDigest of parts that are given by their texts.
 func TextsDigest(texts map[string]string) uint64 {
 	parts := map[string]Part{}
 	for name, text := range texts {
@@ -60,7 +62,7 @@
 	return PartsDigest(parts)
 }
 
-// CheckSize names the bound that parts of a document are beyond.
+// CheckSize is an error that names the bound that parts of a document are beyond.
 func CheckSize(doc string, texts map[string]string) error {
 	if len(texts) > MaxParts {
 		return fmt.Errorf("%s: %d parts, of at most %d", doc, len(texts), MaxParts)
@@ -82,7 +84,7 @@
 	return nil
 }
 
-// CheckChangeSize is Fits for what one change carries. What is larger goes into a draft by several.
+// CheckChangeSize is CheckSize for what one change carries. What is larger goes into a draft by several changes.
 func CheckChangeSize(doc string, texts map[string]string) error {
 	if err := CheckSize(doc, texts); err != nil {
 		return err
--- a/internal/policy/configstore/process.go
+++ b/internal/policy/configstore/process.go
@@ -49,17 +49,17 @@
 
 // HasNews reports whether a report of a process adds to what is known of it. Where it does not, it need not go into the group's log.
 func (b *Store) HasNews(u Process) bool {
-	was := b.Processes[u.Name]
-	if was == nil {
+	known := b.Processes[u.Name]
+	if known == nil {
 		return true
 	}
 	for name, d := range b.Documents {
-		if _, uses := was.Formats[name]; !uses || d.Proposed == nil {
+		if _, uses := known.Formats[name]; !uses || d.Proposed == nil {
 			continue
 		}
 		n := d.Proposed.ID.Version
-		if u.Prepared[name] == n && was.Prepared[name] != n || u.Quiesced[name] == n && was.Quiesced[name] != n && d.Stage == StageQuiescing ||
-			u.Refusals[name].Version == n && was.Refusals[name].Version != n {
+		if u.Prepared[name] == n && known.Prepared[name] != n || u.Quiesced[name] == n && known.Quiesced[name] != n && d.Stage == StageQuiescing ||
+			u.Refusals[name].Version == n && known.Refusals[name].Version != n {
 			return true
 		}
 	}
--- a/internal/policy/configstore/propose.go
+++ b/internal/policy/configstore/propose.go
@@ -69,7 +69,7 @@
 	return d.Active.ID.Version
 }
 
-// revert makes the contents from before the version in force the next one. It goes the same way as any change.
+// revert proposes the contents from before the active version, as a new one. It goes through the same stages as any change.
 func (d *Document) revert(c Change) error {
 	if d.Active == nil || d.Active.ID.Version != c.Version {
 		return fmt.Errorf("%w: version %d of %s is not in force", ErrNoSuchChange, c.Version, c.Doc)
@@ -95,7 +95,7 @@
 	return fmt.Errorf("%w: nothing was in force before", ErrNoSuchChange)
 }
 
-// loadDraft takes parts into the document's draft.
+// loadDraft takes parts into the document's draft, which a later proposal names: a change that is too large for one log entry.
 func (b *Store) loadDraft(c Change) (*Document, error) {
 	d := b.Documents[c.Doc]
 	if d == nil {
@@ -123,7 +123,7 @@
 	return d, nil
 }
 
-// DraftedParts are the parts that a change puts: its own, or those of the draft that it names.
+// DraftedParts are the parts that a change proposes: its own, or those of the draft that it names.
 func (d *Document) DraftedParts(c Change) (map[string]string, error) {
 	if c.Draft == "" {
 		return c.Parts, CheckChangeSize(d.Name, c.Parts)
@@ -134,8 +134,9 @@
 	return d.Draft.Parts, nil
 }
 
-// changedParts is what a change in parts differs in from what is in force, and the digest that the whole then has.
-func (d *Document) changedParts(c Change) (over map[string]Part, digest uint64, err error) {
+// changedParts are the parts in which a change differs from the active version, and the digest that the whole then has. It is an error
+// where that is not the digest that the change names: it was made on top of other parts.
+func (d *Document) changedParts(c Change) (changed map[string]Part, digest uint64, err error) {
 	texts, err := d.DraftedParts(c)
 	if err != nil {
 		return nil, 0, err
@@ -144,14 +145,14 @@
 	if d.Active != nil {
 		force = d.Active.Parts
 	}
-	over = map[string]Part{}
+	changed = map[string]Part{}
 	for name, text := range texts {
 		p := Part{d.HighestVersion + 1, PartDigest(text), text}
 		if was, ok := force[name]; !ok || was.Digest != p.Digest {
-			over[name] = p
+			changed[name] = p
 		}
 	}
-	all := merged(force, over)
+	all := merged(force, changed)
 	whole := make(map[string]string, len(all))
 	for name, p := range all {
 		whole[name] = p.Text
@@ -162,7 +163,7 @@
 	if digest = PartsDigest(all); digest != c.Digest {
 		return nil, 0, fmt.Errorf("%s: with these parts its digest is %016x, not %016x: they are of another version", d.Name, digest, c.Digest)
 	}
-	return over, digest, nil
+	return changed, digest, nil
 }
 
 func merged(parts, over map[string]Part) map[string]Part {
--- a/internal/policy/configstore/replica.go
+++ b/internal/policy/configstore/replica.go
@@ -9,18 +9,22 @@
 	"silverpath/internal/policy/lease"
 )
 
-// Replica is the side of a process that acts on documents. Its times are those of the process's own monotonic clock.
+// The side of a process. It asks the group every PollInterval, reports what it has prepared and quiesced for, and acts on what Receive
+// returns. What is exclusive it begins only while it is confirmed: it was told within a lease what is active, and has that whole.
+
+// Replica is the side of a process that acts on documents. All times are the process's own monotonic clock. It is not safe for
+// concurrent use: controlplane/configwatch calls it under its lock.
 type Replica struct {
-	Name string
-	// CheckParts tells why this process can't act on parts of a document that differ from what it was handed last, or on all of them.
+	Name string // of one start of the process
+	// CheckParts is an error that tells why this process can't act on parts that differ from what it was handed last, or on all of them.
 	CheckParts func(name string, changed map[string]string, whole bool) error
-	Disabled   DisabledGuards
+	Disabled   DisabledGuards // for tests
 
 	formats        map[string]int
 	terms          lease.Terms
-	confirmedUntil time.Duration // it is confirmed until then
-	lastAsked      time.Duration // the latest asking that was answered
-	logIndex       uint64        // how far the group's log had come in what it was last told
+	confirmedUntil time.Duration
+	lastConfirmed      time.Duration // the latest request that was answered
+	logIndex       uint64        // of the group's log, in what it was last told
 	docs           map[string]*replicaDocument
 
 	pacer requestPacer
@@ -32,43 +36,44 @@
 	stage            Stage
 	refusal          Refusal
 	activeVersion    int // the version that it acts on
-	quiescedFor      int // the version for which it has stopped; 0: none
+	quiescedFor      int // the version for which it has stopped what that excludes; 0: none
 
 	// Of a document in parts:
-	delivered                  *partialDocument // what the process was handed last, whole; nil: nothing
-	activeParts, proposedParts *partialDocument // what is in force, and under way, as far as it is here
-	checked                    ID               // of the one under way
+	delivered                  *partialDocument // what the process acts on; nil: nothing
+	activeParts, proposedParts *partialDocument // as far as they are here
+	checked                    ID               // of the proposed one
 	checkedAt                  time.Duration
 	mismatches                 Mismatch
 
-	// What stops while it turns, as it was last worked out: who lives in a cell is a matter of the whole map.
+	// What pauses while it quiesces, as it was last computed: which tenants live in a cell is a matter of the whole map.
 	scope         *PauseScope
 	scopeOf       ID
 	scopeComplete bool
 }
 
-// Update is what a process has to do now: act on a version of a document.
+// Update is a revision of a document that the process has to act on from now on.
 type Update struct {
 	Doc      string
 	Revision *Revision
-	Parts    map[string]string // of one in parts: those that differ from what was handed last
-	Complete bool              // they are all that there are
+	Parts    map[string]string // of one in parts: those that differ from the update before
+	Complete bool              // Parts are all that there are
 }
 
-// NewReplica returns the side of a process that has confirmed nothing. Who names one start of it, and reads has the highest format
+// NewReplica returns the side of a process that is not confirmed. Name is that of one start of it, and formats has the highest format
 // that it reads of each document that it uses.
-func NewReplica(who string, reads map[string]int) *Replica {
-	h := &Replica{Name: who, formats: reads, docs: map[string]*replicaDocument{}}
-	for name := range reads {
+func NewReplica(name string, formats map[string]int) *Replica {
+	h := &Replica{Name: name, formats: formats, docs: map[string]*replicaDocument{}}
+	for name := range formats {
 		h.docs[name] = &replicaDocument{}
 	}
 	return h
 }
 
-// LastAsked is when it asked for what it was last told, and so what it acts on was the newest.
-func (h *Replica) LastAsked() time.Duration { return h.lastAsked }
+// LastConfirmed is when it asked for what confirmed it last: what it acts on was the newest then.
+func (h *Replica) LastConfirmed() time.Duration { return h.lastConfirmed }
 
-// PollInterval is how long it waits before it asks again: a third of the lease, and less while a change is under way.
+// PollInterval is how long it waits before it asks the group again: a third of the lease, so that two answers may be lost, and a twelfth
+// while a change is proposed or parts are missing.
 func (h *Replica) PollInterval() time.Duration {
 	for _, d := range h.docs {
 		if d.proposed != nil {
@@ -76,12 +81,12 @@
 		}
 	}
 	if !h.IsCurrent() {
-		return h.terms.TTL / 12 // it confirms nothing until it has what is in force
+		return h.terms.TTL / 12 // it is not confirmed until it has what is active
 	}
 	return h.terms.TTL / 3
 }
 
-// Report is what it has to say of itself.
+// Report is what it tells the group of itself.
 func (h *Replica) Report() Process {
 	u := Process{Name: h.Name, Formats: h.formats, Prepared: map[string]int{}, Quiesced: map[string]int{}, Refusals: map[string]Refusal{}}
 	for name, d := range h.docs {
@@ -101,7 +106,7 @@
 	return u
 }
 
-// KnownVersions are the texts that it has, by document.
+// KnownVersions are the versions whose texts it has, or whose parts it can name, by document: it need not be told of them again.
 func (h *Replica) KnownVersions() map[string][]int {
 	has := map[string][]int{}
 	for name, d := range h.docs {
@@ -114,7 +119,7 @@
 	return has
 }
 
-// knowsParts reports whether the parts of a version are known by names and digests, so that it needn't be told of them again.
+// knowsParts reports whether the parts of a version are known by names and digests.
 func (d *replicaDocument) knowsParts(id ID) bool {
 	for _, p := range []*partialDocument{d.activeParts, d.proposedParts} {
 		if p != nil && p.id == id && p.parts != nil {
@@ -124,7 +129,7 @@
 	return false
 }
 
-// ActiveVersions are the versions that it acts on.
+// ActiveVersions are the versions that it acts on, by document.
 func (h *Replica) ActiveVersions() map[string]int {
 	acts := map[string]int{}
 	for name, d := range h.docs {
@@ -133,17 +138,17 @@
 	return acts
 }
 
-// Why nothing that is exclusive begins.
+// Why nothing exclusive begins. The texts stand in the status, in the log and on the wire.
 const (
-	StopUnconfirmed = "unconfirmed" // it could not be told within the lease what is in force
-	StopClockSkew   = "clock"       // its wall clock is not within the skew, so times in documents come to it at another moment
-	StopQuiescing   = "turning"     // everybody stops the old before anybody begins the new
+	StopUnconfirmed = "unconfirmed" // it was not told within a lease what is active
+	StopClockSkew   = "clock"       // its wall clock is too far from the leader's, so that times in documents come at another moment
+	StopQuiescing   = "turning"     // all processes stop the old before any begins the new
 )
 
-// ConfirmedUntil is when its confirmation ends.
+// ConfirmedUntil is when its confirmation ends, unless an answer comes before.
 func (h *Replica) ConfirmedUntil() time.Duration { return h.confirmedUntil }
 
-// IsQuiesced reports whether it has stopped what a change excludes. It has to be so before it says so.
+// IsQuiesced reports whether it has stopped what a change excludes. It has to have done so before Report says so.
 func (h *Replica) IsQuiesced() bool {
 	for _, d := range h.docs {
 		if d.quiescedFor != 0 {
@@ -153,7 +158,7 @@
 	return false
 }
 
-// StopReason is why nothing that is exclusive begins, empty where it may.
+// StopReason is why nothing exclusive begins, empty where it may.
 func (h *Replica) StopReason(now time.Duration) string {
 	switch {
 	case now >= h.confirmedUntil:
@@ -164,11 +169,12 @@
 	return ""
 }
 
-// Receive takes what the group has answered to what was asked at a time, by its terms, as its log had it up to an index. Check tells why this process can't act on
-// a document's text; it is asked once of each. It returns what to act on now.
-func (h *Replica) Receive(asked time.Duration, index uint64, terms lease.Terms, docs map[string]View, check func(name, text string) error) (take []Update) {
-	// An answer that was held on the way: more was heard since. It may have been asked for later and yet know less, and what was
-	// stopped by the other must not begin again.
+// Receive takes what the group has answered to a request that was made at a time: its terms, and its documents as its log had them up to
+// an index. Check is an error that tells why this process can't act on a document's text; it is called once of each. Receive returns what
+// to act on now.
+func (h *Replica) Receive(asked time.Duration, index uint64, terms lease.Terms, docs map[string]View, check func(name, text string) error) (updates []Update) {
+	// An answer that was delayed, after a newer one. It may have been asked for later and yet know less, as it came from a member that
+	// lagged: what was stopped by the newer one would begin again while others act on its successor. The index of the log tells.
 	if index < h.logIndex && !h.Disabled.IndexCheck {
 		return nil
 	}
@@ -180,17 +186,17 @@
 		switch {
 		case d.proposed != nil && d.stage == StageQuiescing:
 			d.quiescedFor = d.proposed.ID.Version
-		default: // it has come into force, or was withdrawn
+		default: // it has become active, or was withdrawn
 			d.quiescedFor = 0
 		}
 	}
-	take = h.deliver(asked, check)
-	// What it lacks a part of it doesn't act on, and so confirms nothing by this answer.
+	updates = h.deliver(asked, check)
+	// What it lacks a part of it doesn't act on, and so this answer does not confirm it.
 	if h.IsCurrent() {
-		h.lastAsked = max(h.lastAsked, asked)
+		h.lastConfirmed = max(h.lastConfirmed, asked)
 		h.confirmedUntil = max(h.confirmedUntil, asked+terms.HolderTTL())
 	}
-	return take
+	return updates
 }
 
 // deliver checks what is proposed and returns what the process has to act on now: the active version, or the proposed one where the
@@ -230,8 +236,8 @@
 	return d.activeVersion == r.ID.Version && (!r.InParts || d.delivered != nil && d.delivered.id == r.ID)
 }
 
-// checkProposed checks a version that is under way: one in parts once it is here whole, and then again once in a while, as what a process
-// can't act on may follow from the time.
+// checkProposed checks the proposed revision: one in parts once it is complete, and then again each third of the lease, as whether the
+// process can act on it may depend on the time.
 func (h *Replica) checkProposed(now time.Duration, name string, d *replicaDocument, check func(name, text string) error) error {
 	switch {
 	case !d.proposed.InParts:
@@ -241,28 +247,32 @@
 	case d.checked == d.proposed.ID && now-d.checkedAt < h.terms.TTL/3:
 		return nil
 	}
-	changed, whole := d.changesTo(d.proposedParts)
+	changed, complete := d.changesTo(d.proposedParts)
 	d.checked, d.checkedAt = d.proposed.ID, now
-	return h.CheckParts(name, changed, whole)
+	return h.CheckParts(name, changed, complete)
 }
 
-// isPrepared reports whether a process has a version that is under way, so that it can say that it holds it.
+// isPrepared reports whether the proposed revision is here and was checked.
 func (d *replicaDocument) isPrepared() bool {
 	return d.proposed != nil && (!d.proposed.InParts || d.proposedParts.isComplete() && d.proposedParts.id == d.proposed.ID && d.checked == d.proposed.ID)
 }
 
-// IsCurrent reports whether it acts on what it was told is in force.
+// IsCurrent reports whether it acts on what it was told is active, or on what it is a canary of. Only parts can be missing.
 func (h *Replica) IsCurrent() bool {
 	for _, d := range h.docs {
-		if d.active != nil && d.active.InParts && (d.delivered == nil || d.delivered.id != d.active.ID) &&
-			!(d.proposed != nil && d.delivered != nil && d.delivered.id == d.proposed.ID && d.stage == StageCanary) {
+		if d.active != nil && d.active.InParts && !d.acts(d.active) && (d.stage != StageCanary || !d.acts(d.proposed)) {
 			return false
 		}
 	}
 	return true
 }
 
-// OutdatedVersions are the documents of which it acts on an older version than it was told of, and since when.
+// acts reports whether the process acts on a revision of a document in parts.
+func (d *replicaDocument) acts(r *Revision) bool {
+	return r != nil && d.delivered != nil && d.delivered.id == r.ID
+}
+
+// OutdatedVersions are the versions that it acts on of documents of which parts of the active one are missing, by document.
 func (h *Replica) OutdatedVersions() map[string]int {
 	old := map[string]int{}
 	for name, d := range h.docs {
@@ -273,14 +283,14 @@
 	return old
 }
 
-// Redeliver has a document that could not be acted on after all be handed whole, once.
+// Redeliver has a document that the process could not act on after all be delivered again, whole.
 func (h *Replica) Redeliver(name string) {
 	if d := h.docs[name]; d != nil && d.delivered != nil {
 		d.delivered = nil
 	}
 }
 
-// withText puts in a text that it was known to have.
+// withText puts in the text of a revision that is here already.
 func (d *replicaDocument) withText(e *Revision) *Revision {
 	if e == nil || e.Text != "" || e.InParts {
 		return e
@@ -295,7 +305,7 @@
 	return e
 }
 
-// PauseScopes is what stops here for changes that turn, empty where none does.
+// PauseScopes is what pauses here for changes that quiesce, empty where none does.
 func (h *Replica) PauseScopes() (list []*PauseScope) {
 	for _, name := range slices.Sorted(maps.Keys(h.docs)) {
 		d := h.docs[name]
@@ -311,7 +321,7 @@
 	return list
 }
 
-// activeAndProposedTexts are those of a document's version that is in force and of the one under way, whole or in parts.
+// activeAndProposedTexts are the texts of the active and the proposed revision, or of their parts.
 func (d *replicaDocument) activeAndProposedTexts() (list []string) {
 	for _, e := range []*Revision{d.active, d.proposed} {
 		if e != nil && e.Text != "" {
--- a/internal/policy/configstore/replicaparts.go
+++ b/internal/policy/configstore/replicaparts.go
@@ -7,12 +7,16 @@
 	"time"
 )
 
+// Documents in parts at a process: it acts on a version only once it has every part of it, and the digest over them is the version's.
+// Until then the last good one stays active here.
+
 // partialDocument is a version of a document in parts, as far as a process has it.
 type partialDocument struct {
 	id    ID
 	parts map[string]Part // nil until they are known by names and digests; a text that is not here yet is empty
 }
 
+// isComplete reports whether all parts are here.
 func (p *partialDocument) isComplete() bool {
 	if p == nil || p.parts == nil {
 		return false
@@ -35,43 +39,43 @@
 	return names
 }
 
-// DisabledGuards can be left out by tests, which show the harm that each keeps away.
+// DisabledGuards are the guards that tests leave out, to show the harm that each keeps away.
 type DisabledGuards struct {
-	SinceCheck bool // what changed since another version than the one here is put on it too
+	SinceCheck bool // parts that changed since another version than the one here are put on it too
 	SumCheck   bool // the digest over all parts is not looked at
 	TextCheck  bool // nor that of a part's text
-	IndexCheck bool // what is told by an older state of the group's log is taken too
-	Pacing     bool // nobody waits before he asks
+	IndexCheck bool // an answer by an older index of the group's log is taken too
+	Pacing     bool // requests for parts don't wait
 }
 
-// Mismatch counts what didn't follow from what was here, and why it was last.
+// Mismatch counts answers that did not follow from what was here, and tells why of the last one.
 type Mismatch struct {
 	Count  int
 	Reason string
 }
 
-// partsOf are what is in force and under way of a document in parts, by what it was told.
-func (d *replicaDocument) partsOf(v View, out DisabledGuards) (now, then *partialDocument) {
+// partsOf are the parts of the active and the proposed revision, by what the process was told.
+func (d *replicaDocument) partsOf(v View, out DisabledGuards) (active, proposed *partialDocument) {
 	if v.Active != nil && v.Active.InParts {
 		var base *partialDocument
 		if v.Active.Parts != nil {
 			base = d.base(v.Since, out)
 		}
-		now = d.partsTold(v.Active, base, out)
+		active = d.partsInView(v.Active, base, out)
 	}
 	if v.Proposed != nil && v.Proposed.InParts {
-		base := now
+		base := active
 		if base == nil {
 			base = &partialDocument{parts: map[string]Part{}} // the first in parts
 		}
-		then = d.partsTold(v.Proposed, base, out)
+		proposed = d.partsInView(v.Proposed, base, out)
 	}
-	return now, then
+	return active, proposed
 }
 
-// partsTold is what a process has of a version that it was told of: nothing but its ID where that doesn't follow from what is here.
-// Base is what the parts that came differ from, nil for nothing known.
-func (d *replicaDocument) partsTold(e *Revision, base *partialDocument, out DisabledGuards) *partialDocument {
+// partsInView is what the process has of a revision that it was told of: nothing but its ID where that doesn't follow from what is here.
+// Base is what the parts that came differ from, nil for unknown.
+func (d *replicaDocument) partsInView(e *Revision, base *partialDocument, out DisabledGuards) *partialDocument {
 	for _, p := range []*partialDocument{d.delivered, d.activeParts, d.proposedParts} {
 		if p != nil && p.id == e.ID && p.parts != nil {
 			return p
@@ -101,7 +105,7 @@
 	return to
 }
 
-// base is the version here that parts told as changed since another one are put on, nil where there is none.
+// base is the version here that parts which changed since another one are put on, nil where there is none.
 func (d *replicaDocument) base(since int, out DisabledGuards) *partialDocument {
 	if since == 0 {
 		return &partialDocument{parts: map[string]Part{}}
@@ -125,13 +129,13 @@
 	return ""
 }
 
-// noteMismatch notes that something didn't follow.
+// noteMismatch counts an answer that did not follow.
 func (d *replicaDocument) noteMismatch(format string, args ...any) {
 	d.mismatches.Count++
 	d.mismatches.Reason = fmt.Sprintf(format, args...)
 }
 
-// TakeMismatches is what didn't follow from what was here since the last call, by document.
+// TakeMismatches are the answers that did not follow from what was here since the last call, by document.
 func (h *Replica) TakeMismatches() map[string]Mismatch {
 	all := map[string]Mismatch{}
 	for name, d := range h.docs {
@@ -142,7 +146,7 @@
 	return all
 }
 
-// CompleteVersions are the versions of documents in parts that it has whole, to be told what has changed since.
+// CompleteVersions are the versions of documents in parts that it acts on: it is told what has changed since.
 func (h *Replica) CompleteVersions() map[string]int {
 	bases := map[string]int{}
 	for name, d := range h.docs {
@@ -153,26 +157,26 @@
 	return bases
 }
 
-// changesTo are the texts of the parts of a version that differ from what the process was handed last. Whole: they are all.
-func (d *replicaDocument) changesTo(to *partialDocument) (changed map[string]string, whole bool) {
-	changed, whole = map[string]string{}, d.delivered == nil
-	if !whole {
+// changesTo are the texts of the parts of a version that differ from what the process acts on. Whole says that they are all.
+func (d *replicaDocument) changesTo(to *partialDocument) (changed map[string]string, complete bool) {
+	changed, complete = map[string]string{}, d.delivered == nil
+	if !complete {
 		for name := range d.delivered.parts {
 			if _, ok := to.parts[name]; !ok {
-				whole = true // one is gone
+				complete = true // one is gone
 			}
 		}
 	}
 	for name, p := range to.parts {
-		if whole || d.delivered.parts[name].Digest != p.Digest {
+		if complete || d.delivered.parts[name].Digest != p.Digest {
 			changed[name] = p.Text
 		}
 	}
-	return changed, whole
+	return changed, complete
 }
 
-// ReceiveParts takes the answer to what it asked for: of a version by its ID, parts with their texts, or without where their names were asked
-// for. It returns what to act on now.
+// ReceiveParts takes the answer to a request: of a version by its ID, parts with their texts, or without where the request named none.
+// It returns what to act on now.
 func (h *Replica) ReceiveParts(now time.Duration, w PartsRequest, id ID, parts map[string]Part, check func(name, text string) error) []Update {
 	gained := false
 	d := h.docs[w.Doc]
@@ -189,12 +193,12 @@
 	if !gained {
 		h.RequestFailed()
 	} else {
-		h.pacer = requestPacer{isScheduled: true, notBefore: now} // it goes on at once: the others drew other moments
+		h.pacer = requestPacer{isScheduled: true, notBefore: now} // the next request goes out at once: other processes drew other moments
 	}
 	return h.deliver(now, check)
 }
 
-// takeManifest takes a manifest.
+// takeManifest takes the names and digests of all parts, and reports whether that was of use.
 func (d *replicaDocument) takeManifest(p *partialDocument, parts map[string]Part, out DisabledGuards) bool {
 	if p.parts != nil || len(parts) == 0 || len(parts) > MaxParts {
 		return false
@@ -212,7 +216,7 @@
 	return true
 }
 
-// takeTexts takes texts.
+// takeTexts takes texts of parts, and reports whether one was of use.
 func (d *replicaDocument) takeTexts(p *partialDocument, parts map[string]Part, out DisabledGuards) (gained bool) {
 	for name, got := range parts {
 		one, ok := p.parts[name]
--- a/internal/policy/configstore/rollout.go
+++ b/internal/policy/configstore/rollout.go
@@ -6,8 +6,13 @@
 	"slices"
 )
 
-// advance takes a change a stage on. Whoever leads the group asks for it; that nothing is waited for is seen here, in the log's
-// order, by every member alike.
+// The stages of a change. Inputs: the change, and what each registered process that uses the document has reported of it. A change goes
+// on only once no process is waited for: each has to read its format, and to have prepared it; before what is exclusive becomes active,
+// each has to have quiesced. A process that reports nothing for a lease is expired, as it has stopped what is exclusive by itself then.
+// One that can't act on a proposed change has it withdrawn.
+
+// advance takes a change to its next stage. The group's leader proposes it; that nothing is waited for is checked here, in the log's
+// order, by every member alike, as the leader may have been deposed meanwhile.
 func (b *Store) advance(d *Document, c Change) error {
 	if c.Stage != d.Stage {
 		return fmt.Errorf("%w: it is %s, not %s", ErrNoSuchChange, d.Stage, c.Stage)
@@ -37,7 +42,8 @@
 	return nil
 }
 
-// canaries are the processes that act on a change first: the first of their names' digests, so that it is not always the same.
+// canaries are the processes that act on a change first: the first by the digests of their names with the change's ID, so that it is
+// not always the same ones. One at least.
 func (b *Store) canaries(d *Document) (names []string) {
 	for name, u := range b.Processes {
 		if _, uses := u.Formats[d.Name]; uses {
@@ -55,7 +61,7 @@
 	return names[:min(len(names), max(1, n))]
 }
 
-// WaitingFor names what a change waits for, the first in the order of names, and is empty where that is nothing.
+// WaitingFor names what the proposed revision of a document waits for, the first in the order of processes' names, empty for nothing.
 func (b *Store) WaitingFor(d *Document) string {
 	if d.Proposed == nil {
 		return ""
@@ -82,7 +88,7 @@
 	return ""
 }
 
-// RefusedBy is who can't act on a change, and why, where anybody said so.
+// RefusedBy is the first process that can't act on the proposed revision, and why; empty for none.
 func (b *Store) RefusedBy(d *Document) (who, why string) {
 	if d.Proposed == nil || d.Stage != StageProposed {
 		return "", ""
@@ -95,7 +101,7 @@
 	return "", ""
 }
 
-// MonitorAuthor is who takes back what made things worse.
+// MonitorAuthor is the author of changes that ProcessMonitor proposes as something made things worse. It stands in logs and snapshots.
 const MonitorAuthor = "the watch"
 
 // withdraw takes back a change that is not active yet. What the monitor withdraws from its canaries is not proposed again by mistake.
--- a/internal/policy/configstore/scope.go
+++ b/internal/policy/configstore/scope.go
@@ -6,13 +6,13 @@
 	"strings"
 )
 
-// What a change that excludes touches: only that stops while everybody turns.
+// What an exclusive change pauses: only requests that it touches stop while all processes quiesce. A scope names classes and cells.
 const (
 	ScopeClass = "class:" // and the class's name
 	ScopeCell  = "cell:"  // and the cell's name
 )
 
-// ScopeOf names what the exclusive differences of a change touch, nothing where that is everything.
+// ScopeOf names what the exclusive differences of a change touch, in order; nil where that is everything.
 func ScopeOf(doc string, list []Difference) (touched []string) {
 	for _, d := range list {
 		if d.kind != KindExclusive && d.kind != KindUnknown {
@@ -39,7 +39,7 @@
 	return touched
 }
 
-// PauseScope is what stops at a process while a change that excludes turns.
+// PauseScope is what pauses at a process while an exclusive change quiesces.
 type PauseScope struct {
 	all          bool
 	classes      map[string]bool
@@ -47,8 +47,8 @@
 	namedTenants map[string]bool
 }
 
-// Add adds what a change touches. Texts are those of its document before and after, or of their parts, by which it is known who
-// lives in a cell.
+// Add adds what a change touches. Texts are those of its document before and after, or of their parts, by which it is known which
+// tenants live in a cell: where one can't be read, everything pauses.
 func (t *PauseScope) Add(touches []string, texts []string) {
 	if t.classes == nil {
 		t.classes, t.tenants, t.namedTenants = map[string]bool{}, map[string]bool{}, map[string]bool{}
@@ -78,7 +78,7 @@
 			}
 		}
 		if json.Unmarshal([]byte(text), &of) != nil {
-			t.all = true // nobody can say who lives there
+			t.all = true // it can't be known who lives there
 			return
 		}
 		for _, one := range of.Tenants {
@@ -92,7 +92,7 @@
 	}
 }
 
-// Pauses reports whether a sheet of a class and a tenant is touched.
+// Pauses reports whether requests with an idempotency key of a class and a tenant pause.
 func (t *PauseScope) Pauses(class, tenant string) bool {
 	return t.all || t.classes[class] || t.tenants[tenant] || t.tenants[""] && !t.namedTenants[tenant]
 }
--- a/internal/policy/configstore/book_test.go
+++ b/internal/policy/configstore/store_test.go
@@ -15,8 +15,8 @@
 // world is a group, as one that never fails, with processes that act on one document: what is on the way may take long, come in
 // another order, or not at all, and a process may be cut off. Times are in ticks.
 type world struct {
-	book  *Store
-	watch *ProcessMonitor
+	store  *Store
+	monitor *ProcessMonitor
 	index uint64
 	procs []*proc
 	now   time.Duration
@@ -49,12 +49,12 @@
 var worldTerms = lease.Terms{TTL: 12, Drift: 0.05}
 
 func newWorld(n int, out guards) *world {
-	w := &world{book: NewStore(), watch: NewProcessMonitor(worldTerms), out: out}
-	w.watch.StartLeading(0)
+	w := &world{store: NewStore(), monitor: NewProcessMonitor(worldTerms), out: out}
+	w.monitor.StartLeading(0)
 	for i := range n {
 		w.procs = append(w.procs, &proc{h: NewReplica(fmt.Sprint("p", i), map[string]int{"d": 1}), rate: []float64{0.95, 1.05, 1}[i%3]})
 	}
-	w.apply(Change{Op: OpPropose, Doc: "d", Text: "old", Author: "t"})
+	_ = w.apply(Change{Op: OpPropose, Doc: "d", Text: "old", Author: "t"})
 	for _, p := range w.procs {
 		w.ask(p)
 	}
@@ -71,24 +71,25 @@
 	return w
 }
 
+// apply is refused as often as not: a play says what becomes of the store, and asserts that.
 func (w *world) apply(c Change) error {
 	w.index++
-	_, err := w.book.Apply(c)
+	_, err := w.store.Apply(c)
 	return err
 }
 
 func (w *world) due() {
-	for _, c := range w.watch.Proposals(w.book, w.now) {
-		w.apply(c)
+	for _, c := range w.monitor.Proposals(w.store, w.now) {
+		_ = w.apply(c)
 		if c.Op == OpExpire {
-			w.watch.Unregistered(c.Author)
+			w.monitor.Unregistered(c.Author)
 		}
 	}
 	if w.out.noWait {
-		if d := w.book.Documents["d"]; d.Proposed != nil {
-			for name, u := range w.book.Processes {
-				if h := w.watch.reports[name]; h != nil && w.now-h.ReceivedAt > 2 && u.Quiesced["d"] != d.Proposed.ID.Version {
-					w.apply(Change{Op: OpExpire, Author: name})
+		if d := w.store.Documents["d"]; d.Proposed != nil {
+			for name, u := range w.store.Processes {
+				if h := w.monitor.reports[name]; h != nil && w.now-h.ReceivedAt > 2 && u.Quiesced["d"] != d.Proposed.ID.Version {
+					_ = w.apply(Change{Op: OpExpire, Author: name})
 				}
 			}
 		}
@@ -102,17 +103,17 @@
 // ask has a process ask; the group hears it at once, and the answer is on its way.
 func (w *world) ask(p *proc) {
 	s := p.h.Report()
-	if !w.watch.Observe(p.h.Name, w.now, p.h.ActiveVersions(), p.worth, "") {
+	if !w.monitor.Observe(p.h.Name, w.now, p.h.ActiveVersions(), p.worth, "") {
 		return
 	}
-	if w.book.HasNews(s) {
+	if w.store.HasNews(s) {
 		op := OpReport
-		if w.book.Processes[p.h.Name] == nil {
+		if w.store.Processes[p.h.Name] == nil {
 			op = OpRegister
 		}
-		w.apply(Change{Op: op, Process: &s})
+		_ = w.apply(Change{Op: op, Process: &s})
 	}
-	d := w.book.Documents["d"]
+	d := w.store.Documents["d"]
 	v := View{Active: d.Active, Proposed: d.Proposed, Stage: d.Stage}
 	p.answers = append(p.answers, answer{p.clock(w.now), w.index, map[string]View{"d": v}})
 }
@@ -166,14 +167,14 @@
 	case 4:
 		w.due()
 	case 5:
-		if d := w.book.Documents["d"]; d.Proposed == nil {
+		if d := w.store.Documents["d"]; d.Proposed == nil {
 			text := "new"
 			if d.Active != nil && d.Active.Text == "new" {
 				text = "old"
 			}
-			w.apply(Change{Op: OpPropose, Doc: "d", Version: d.Active.ID.Version, Text: text, Exclusive: true, AllowRejected: true, Author: "t"})
+			_ = w.apply(Change{Op: OpPropose, Doc: "d", Version: d.Active.ID.Version, Text: text, Exclusive: true, AllowRejected: true, Author: "t"})
 		} else if n%2 == 0 {
-			w.apply(Change{Op: OpWithdraw, Doc: "d", Version: d.Proposed.ID.Version})
+			_ = w.apply(Change{Op: OpWithdraw, Doc: "d", Version: d.Proposed.ID.Version})
 		}
 	}
 	w.check()
@@ -202,7 +203,7 @@
 			for range 200 {
 				w.step(rng.IntN(kindsOfSteps * 3))
 			}
-			forced = max(forced, w.book.Documents["d"].Active.ID.Version)
+			forced = max(forced, w.store.Documents["d"].Active.ID.Version)
 			if w.wrong != "" {
 				found = fmt.Sprint("seed ", seed, " ", w.wrong)
 				break
@@ -232,7 +233,7 @@
 		found, walked := "", 0
 		play := func(path []int) *world {
 			w := newWorld(2, c.out)
-			w.apply(Change{Op: OpPropose, Doc: "d", Version: 1, Text: "new", Exclusive: true, Author: "t"})
+			_ = w.apply(Change{Op: OpPropose, Doc: "d", Version: 1, Text: "new", Exclusive: true, Author: "t"})
 			for _, p := range w.procs {
 				w.ask(p)
 				w.answer(p, 0)
@@ -400,12 +401,12 @@
 		{"a little worse", 0.25, 0.98, 0.98, "new", "", ""},
 	} {
 		w := newWorld(8, guards{})
-		w.watch.terms, worldTerms.TTL = lease.Terms{TTL: 300 * time.Millisecond}, 300*time.Millisecond
+		w.monitor.terms, worldTerms.TTL = lease.Terms{TTL: 300 * time.Millisecond}, 300*time.Millisecond
 		var proposed, over time.Duration
 		for n := 0; n < 600; n++ {
 			w.now += 20 * time.Millisecond
 			for _, p := range w.procs {
-				d, share := w.book.Documents["d"], 1.0
+				d, share := w.store.Documents["d"], 1.0
 				if p.acts == NewID(1, []byte("new")).Digest {
 					if share = c.trial; d.Active.Text == "new" {
 						share = c.force
@@ -419,19 +420,19 @@
 			w.due()
 			if n == 100 {
 				proposed = w.now
-				w.apply(Change{Op: OpPropose, Doc: "d", Version: 1, Text: "new", Author: "t", Rollout: &RolloutPolicy{CanaryRatio: c.part, ObserveMS: 2000, MaxLoss: 0.05}})
+				_ = w.apply(Change{Op: OpPropose, Doc: "d", Version: 1, Text: "new", Author: "t", Rollout: &RolloutPolicy{CanaryRatio: c.part, ObserveMS: 2000, MaxLoss: 0.05}})
 			}
 			if n == 110 && c.part > 0 {
-				if d := w.book.Documents["d"]; d.Stage != StageCanary || len(d.Proposed.Canaries) != 2 {
+				if d := w.store.Documents["d"]; d.Stage != StageCanary || len(d.Proposed.Canaries) != 2 {
 					t.Errorf("%s: %+v", c.name, d)
 				}
 			}
-			if d := w.book.Documents["d"]; n > 100 && over == 0 && d.Proposed == nil && d.Active.Text == "old" {
+			if d := w.store.Documents["d"]; n > 100 && over == 0 && d.Proposed == nil && d.Active.Text == "old" {
 				over = w.now - proposed
 			}
 		}
 		worldTerms.TTL = 12
-		d := w.book.Documents["d"]
+		d := w.store.Documents["d"]
 		ended := ""
 		for _, e := range d.History {
 			if e.Text == "new" {
@@ -444,7 +445,7 @@
 		if c.text == "old" && over > 4*time.Second {
 			t.Errorf("%s: taken back after %v", c.name, over)
 		}
-		if _, err := w.book.Apply(put(d.Active.ID.Version, "new")); c.why != "" && !strings.Contains(fmt.Sprint(err), c.why) {
+		if _, err := w.store.Apply(put(d.Active.ID.Version, "new")); c.why != "" && !strings.Contains(fmt.Sprint(err), c.why) {
 			t.Errorf("%s: the same again: %v", c.name, err)
 		}
 	}
--- a/internal/policy/configstore/tracker.go
+++ b/internal/policy/configstore/tracker.go
@@ -7,33 +7,41 @@
 	"time"
 )
 
-// Verdict is what may be done by a document.
+// Versions that a process hears of without a group. Inputs: the IDs of documents that routers and servers tell each other with health
+// checks and requests. A newer version that has been known for a lease has the process stop what is exclusive; two documents of one
+// version that differ have all stop it that hear of them, until what either has begun can't be repeated any more.
+
+// Verdict says what a process may do by its document.
 type Verdict int
 
+// The verdicts.
 const (
 	VerdictValid       Verdict = iota
-	VerdictOutdated            // a newer one has been known for a lease: nothing that is exclusive begins by this one
-	VerdictConflicting         // two documents of its version differ: nothing that is exclusive begins by either
-	VerdictSettling            // two have differed not long ago, and what either began may still come again
+	VerdictOutdated            // a newer version has been known for a lease: nothing exclusive begins by this one
+	VerdictConflicting         // two documents of its version differ: nothing exclusive begins by either
+	VerdictSettling            // two have differed not long ago, and what either began may still be repeated
 )
 
+// String is the verdict's name in the status, and in counters of requests that failed by it.
 func (v Verdict) String() string { return [...]string{"good", "behind", "contradicted", "quiet"}[v] }
 
-// News is what a process has learned just now.
+// News is what a process has learned by an observation.
 type News int
 
+// The kinds of news.
 const (
 	NoNews        News = iota
 	NewerVersion       // a version above all that it knew
 	ConflictFound      // a second document of one version
 )
 
-// Sighting is a document that somebody has.
+// Sighting is a document that a process has.
 type Sighting struct {
 	ID     ID
-	Source string // who said so
+	Source string // which process told of it, and where it was heard
 }
 
+// String is the sighting as the log and other processes are told of it.
 func (s Sighting) String() string { return fmt.Sprintf("%v by %s", s.ID, s.Source) }
 
 // Bounds on what is remembered: what comes off a wire is not bounded by itself.
@@ -45,7 +53,7 @@
 // trackedVersion is what is known of a version's documents.
 type trackedVersion struct {
 	number           int
-	firstSeen        time.Duration // when it was first heard of
+	firstObserved        time.Duration // when it was first heard of
 	sightings        []Sighting    // one, or the first two that differ
 	conflictAt       time.Duration // since when two are known to
 	reportedConflict string        // or that two differ, as somebody else said
@@ -55,16 +63,16 @@
 	return len(v.sightings) > 1 || v.reportedConflict != ""
 }
 
-// VersionTracker is what a process has heard of others' rules. The zero value has heard nothing. Its times are those of the process's
-// own monotonic clock.
+// VersionTracker is what a process has heard of the versions of others. The zero value has heard nothing. All times are the process's
+// own monotonic clock. It is not safe for concurrent use.
 type VersionTracker struct {
 	terms           Terms             // the longest lease and the rest of it that anyone named
 	versions        []*trackedVersion // rising
 	suspendedUntil  time.Duration
-	longestOutdated time.Duration // that somebody was seen to be behind, or that two differed
+	longestOutdated time.Duration // that a process was seen to be outdated, or that two differed
 }
 
-// ExtendTerms takes the terms that a document names. Of two, the longer ones hold: they err on the safe side.
+// ExtendTerms takes the terms that a document, or another process, names. Of two, the longer ones hold: they err on the safe side.
 func (s *VersionTracker) ExtendTerms(t Terms) {
 	s.terms = Terms{max(s.terms.Lease, t.Lease), max(s.terms.ClockSkew, t.ClockSkew), max(s.terms.ClockDrift, t.ClockDrift),
 		max(s.terms.ProbeInterval, t.ProbeInterval), max(s.terms.ProbeTimeout, t.ProbeTimeout), max(s.terms.OverlapWindow, t.OverlapWindow)}
@@ -80,7 +88,7 @@
 		return nil, false
 	}
 	newest = i == len(s.versions)
-	v = &trackedVersion{number: n, firstSeen: now}
+	v = &trackedVersion{number: n, firstObserved: now}
 	s.versions = slices.Insert(s.versions, i, v)
 	if len(s.versions) > maxVersions {
 		s.versions = slices.Delete(s.versions, 0, 1)
@@ -88,7 +96,7 @@
 	return v, newest
 }
 
-// Observe takes that somebody has a document.
+// Observe takes that a process has a document.
 func (s *VersionTracker) Observe(now time.Duration, id ID, source string) News {
 	v, newest := s.at(id.Version, now)
 	if v == nil {
@@ -108,35 +116,35 @@
 	return NoNews
 }
 
-// ObserveConflict takes that somebody else knows of two documents of a version that differ, in his words.
-func (s *VersionTracker) ObserveConflict(now time.Duration, n int, words string) News {
+// ObserveConflict takes that another process knows of two documents of a version that differ, with its description of them.
+func (s *VersionTracker) ObserveConflict(now time.Duration, n int, description string) News {
 	v, _ := s.at(n, now)
-	if v == nil || v.isConflicting() || words == "" {
+	if v == nil || v.isConflicting() || description == "" {
 		return NoNews
 	}
-	v.reportedConflict = words[:min(len(words), 4*maxSourceName)]
+	v.reportedConflict = description[:min(len(description), 4*maxSourceName)]
 	s.noteConflict(now, v)
 	return ConflictFound
 }
 
-// noteConflict begins the stretch in which what either document has begun may come again. Until others know as well they go on,
-// for Found at most.
+// noteConflict begins the time in which what either document has begun may be repeated. Until others know as well they go on, for
+// DetectionBound at most.
 func (s *VersionTracker) noteConflict(now time.Duration, v *trackedVersion) {
 	v.conflictAt = now
 	s.Suspend(now, s.terms.DetectionBound()+s.terms.OverlapWindow)
 }
 
-// Suspend has nothing exclusive begin for so long: somebody else has found two that differ.
+// Suspend has nothing exclusive begin for so long: another process has found two documents that differ.
 func (s *VersionTracker) Suspend(now, d time.Duration) {
 	s.suspendedUntil = max(s.suspendedUntil, now+d)
 }
 
-// SuspendedFor is how long nothing exclusive begins any more for what was found before.
+// SuspendedFor is how much longer nothing exclusive begins.
 func (s *VersionTracker) SuspendedFor(now time.Duration) time.Duration {
 	return max(0, s.suspendedUntil-now)
 }
 
-// Newest is the newest document that was heard of, and who said so first; ok is false where there is none.
+// Newest is the newest document that was heard of, and its first sighting; ok is false where there is none.
 func (s *VersionTracker) Newest() (top Sighting, ok bool) {
 	for _, v := range slices.Backward(s.versions) {
 		if len(v.sightings) > 0 {
@@ -146,8 +154,8 @@
 	return Sighting{}, false
 }
 
-// Conflict names the two documents of the newest version, where they differ, or is empty.
-func (s *VersionTracker) Conflict() (n int, words string) {
+// Conflict is the newest version and the description of its two documents that differ, empty where they don't.
+func (s *VersionTracker) Conflict() (n int, description string) {
 	if len(s.versions) == 0 {
 		return 0, ""
 	}
@@ -158,8 +166,8 @@
 	return v.number, v.sightings[0].String() + " and " + v.sightings[1].String()
 }
 
-// Check tells what may be done by a document. The newest version decides: one above two that differ ends their quarrel, but
-// for what they may have begun.
+// Check tells what may be done by a document. The newest version decides: one above two that differ ends their conflict, but for what
+// they may have begun. It is called with each request that has an idempotency key.
 func (s *VersionTracker) Check(now time.Duration, id ID) Verdict {
 	if n := len(s.versions); n > 0 && s.versions[n-1].isConflicting() && id.Version <= s.versions[n-1].number {
 		s.longestOutdated = max(s.longestOutdated, now-s.versions[n-1].conflictAt)
@@ -172,15 +180,15 @@
 		if v.number <= id.Version {
 			continue
 		}
-		s.longestOutdated = max(s.longestOutdated, now-v.firstSeen)
-		if now-v.firstSeen > onSlowClock(s.terms.Lease, s.terms.ClockDrift) {
+		s.longestOutdated = max(s.longestOutdated, now-v.firstObserved)
+		if now-v.firstObserved > onSlowClock(s.terms.Lease, s.terms.ClockDrift) {
 			return VerdictOutdated
 		}
 	}
 	return VerdictValid
 }
 
-// LongestOutdated is the longest in which somebody was seen to act, or to want to, by a document that is not the newest, or that
+// LongestOutdated is the longest in which a process was seen to act, or to want to, by a document that is not the newest, or that
 // another one contradicts.
 func (s *VersionTracker) LongestOutdated() time.Duration { return s.longestOutdated }
 
--- a/internal/policy/configstore/seen_test.go
+++ b/internal/policy/configstore/tracker_test.go
@@ -176,7 +176,7 @@
 			continue
 		}
 		r := do - 4 // whose map has the sheet's home at the server of its own number
-		if look && !(looked[r][0] && looked[r][1]) || routersJudge && routers[r].Check(now, id(r)) != VerdictValid || ran[r] {
+		if look && (!looked[r][0] || !looked[r][1]) || routersJudge && routers[r].Check(now, id(r)) != VerdictValid || ran[r] {
 			continue
 		}
 		servers[r].Observe(now, id(r), "try")
--- a/internal/policy/configstore/view.go
+++ b/internal/policy/configstore/view.go
@@ -4,15 +4,15 @@
 	"slices"
 )
 
-// View is a document as a process is told of it. The texts are left out that it has said to have.
+// View is a document as a process is told of it, without the texts that it has. The JSON names are those of the wire.
 type View struct {
 	Active   *Revision `json:"force,omitempty"`
 	Proposed *Revision `json:"next,omitempty"`
 	Stage    Stage     `json:"stage,omitempty"`
-	Since    int       `json:"since,omitempty"` // of a document in parts: Force has those that changed after this version; 0: all, or none
+	Since    int       `json:"since,omitempty"` // of a document in parts: Active has those that changed after this version; 0: all, or none
 }
 
-// Budgets of what one answer carries, in bytes as they go over the wire: a word is at most 1 MiB.
+// Budgets of what one answer carries, in bytes as they go over the wire: a message of the group's protocol is at most 1 MiB.
 const (
 	// MaxViewSize bounds the parts in the answer to a process that asks what has changed. What is beyond is named, and asked for.
 	MaxViewSize = 128 << 10
@@ -20,8 +20,8 @@
 	MaxPartsAnswerSize = 256 << 10
 )
 
-// ViewFor is a document as a process is told of it: what it says to have is left out. Of a document in parts it has the versions named,
-// and acts on base, 0 for none.
+// ViewFor is the document as a process is told of it. Has are the versions whose texts it has, or whose parts it can name; base is the
+// version in parts that it has whole, 0 for none.
 func (d *Document) ViewFor(u *Process, has []int, base int) View {
 	v := View{Stage: d.Stage, Active: withoutKnown(d.Active, has)}
 	if d.Active != nil && d.Active.InParts && v.Active.Parts != nil {
@@ -43,7 +43,7 @@
 	return v
 }
 
-// withoutKnown is an entry without the text that a process has.
+// withoutKnown is a revision without the text that a process has.
 func withoutKnown(e *Revision, has []int) *Revision {
 	if e == nil {
 		return nil
@@ -80,7 +80,8 @@
 	return true
 }
 
-// SelectParts are the named parts of a version, as many as an answer can carry, and one at least; without names it is the manifest of all.
+// SelectParts are the named parts of a version, as many as MaxPartsAnswerSize allows, and one at least; without names it is the manifest
+// of all.
 func SelectParts(parts map[string]Part, names []string) map[string]Part {
 	if len(names) == 0 {
 		return Manifest(parts)
@@ -99,7 +100,7 @@
 	return list
 }
 
-// EncodedSize is how long a text is as JSON, at most.
+// EncodedSize is how many bytes a text is as JSON, at most.
 func EncodedSize(text string) int {
 	n := len(text) + 2
 	for i := range len(text) {
@@ -113,8 +114,8 @@
 	return n
 }
 
-// Summary is a document without the texts of its parts and its draft's, and of the versions that are over with as many texts, the latest
-// first, as an answer can carry.
+// Summary is the document for operators: without the texts of its parts and its draft's, and of its history with as many texts, the
+// latest first, as an answer can carry.
 func (d *Document) Summary() *Document {
 	short := *d
 	for _, e := range []**Revision{&short.Active, &short.Proposed} {
@@ -139,7 +140,7 @@
 	return &short
 }
 
-// Summary is a book without the texts of documents in parts, to be looked at.
+// Summary is the store with the summaries of its documents.
 func (b *Store) Summary() *Store {
 	short := &Store{map[string]*Document{}, b.Processes}
 	for name, d := range b.Documents {
