--- a/internal/policy/capacity/bounds_test.go
+++ b/internal/policy/capacity/bounds_test.go
@@ -48,7 +48,7 @@
 	}
 	// A status is read up to a word's length.
 	fset := token.NewFileSet()
-	for _, text := range []string{"once(dialLong, addr, dialTimeout, (*Conn).Status)", "msgpackrpc.DialWords(ctx, addr)"} {
+	for _, text := range []string{"doOn(dialLong, addr, dialTimeout, (*Conn).Status)", "msgpackrpc.DialCalls(ctx, addr)"} {
 		if f, err := parser.ParseFile(fset, "../../transport/client/ask.go", nil, 0); err != nil || !stands(t, fset, f, text) {
 			t.Errorf("internal/transport/client/ask.go does not say %q: %v", text, err)
 		}
@@ -85,17 +85,17 @@
 		{"History", p.History, "internal/policy/configstore", "maxHistory"},
 		{"Users", p.Users, "internal/policy/configstore", "MaxProcesses"},
 		{"Docs", p.Docs, "internal/policy/configstore", "maxDocuments"},
-		{"LongestWord", p.LongestWord, "internal/transport/msgpackrpc", "LongestWord"},
-		{"WordRest", p.WordRest, "internal/controlplane/quorum/member", "roomForRest"},
-		{"LongestResult", p.LongestResult, "internal/transport/msgpackrpc", "LongestWord"},
+		{"LongestWord", p.LongestWord, "internal/transport/msgpackrpc", "MaxCallBody"},
+		{"WordRest", p.WordRest, "internal/controlplane/quorum/member", "requestOverhead"},
+		{"LongestResult", p.LongestResult, "internal/transport/msgpackrpc", "MaxCallBody"},
 		{"Callers", p.Callers, "internal/policy/slowstart", "maxCallers"},
-		{"OpenItems", p.OpenItems, "internal/policy/controller", "mostOpen"},
-		{"MemberConns", p.MemberConns, "internal/controlplane/quorum/member", "memberMost"},
-		{"CompactEvery", p.CompactEvery, "internal/controlplane/quorum/member", "compactEvery"},
+		{"OpenItems", p.OpenItems, "internal/policy/controller", "maxOpenItems"},
+		{"MemberConns", p.MemberConns, "internal/controlplane/quorum/member", "maxConnections"},
+		{"CompactEvery", p.CompactEvery, "internal/controlplane/quorum/member", "compactAfterEntries"},
 		{"ElectionTicks", p.ElectionTicks, "internal/controlplane/quorum/member", "electionTicks"},
 		{"IdleGrace", p.IdleGrace, "internal/transport/listener", "100 * time.Millisecond"},
-		{"Spare", p.Spare, "internal/service", "spareFDs"},
-		{"Mgmt", p.Mgmt, "internal/transport/admin", "Most"},
+		{"Spare", p.Spare, "internal/service", "reservedDescriptors"},
+		{"Mgmt", p.Mgmt, "internal/transport/admin", "MaxConnections"},
 		{"FrontShare", p.FrontShare, "internal/service", "n * 3 / 5"},
 		{"HomeShare", p.HomeShare, "internal/service", "n * 2 / 5"},
 		{"Announce", p.Announce, "internal/transport/loadreport", "200 * time.Millisecond"},
@@ -109,9 +109,9 @@
 		{"TellBudget", p.TellBudget, "internal/policy/configstore", "MaxViewSize"},
 		{"SendBudget", p.SendBudget, "internal/policy/configstore", "MaxPartsAnswerSize"},
 		{"Spread", p.Spread, "internal/policy/configstore", "2 * time.Second"},
-		{"LongestSnapshot", p.LongestSnapshot, "internal/controlplane/quorum/member", "longestSnapshot"},
-		{"LongestCommand", p.LongestCommand, "internal/controlplane/quorum/member", "longestCommand"},
-		{"Reads", p.Reads, "internal/controlplane/quorum/member", "mostReads"},
+		{"LongestSnapshot", p.LongestSnapshot, "internal/controlplane/quorum/member", "maxSnapshotBytes"},
+		{"LongestCommand", p.LongestCommand, "internal/controlplane/quorum/member", "maxCommandBytes"},
+		{"Reads", p.Reads, "internal/controlplane/quorum/member", "maxPending"},
 	}
 }
 
