--- a/internal/policy/idempotency/decisions_test.go
+++ b/internal/policy/idempotency/decisions_test.go
@@ -10,7 +10,7 @@
 
 // Every answer of the ledger for random hours is held by a digest that was taken before its code was renamed: what begins, what is
 // refused and for how long, what is swept, how long a commit waits for others.
-func TestDecisionsAreAsBefore(t *testing.T) {
+func TestLedgerDecidesAsBefore(t *testing.T) {
 	h := sha256.New()
 	for seed := range uint64(5) {
 		rng := rand.New(rand.NewPCG(seed, 30))
--- a/internal/policy/idempotency/ledger.go
+++ b/internal/policy/idempotency/ledger.go
@@ -6,44 +6,50 @@
 	"time"
 )
 
-// Phase is what a store is good for as a whole.
+// Health is what a store is good for as a whole.
 type Health uint8
 
+// The states of health.
 const (
 	Loading Health = iota // what it holds is being read: known keys are answered, the others may have run and fail
-	Open
-	Failing // a write failed: what was not known to last is not trusted, and nothing begins until all is written anew
-	Closed
+	Open                  // it serves
+	Failing               // a write failed: what was not known to be durable is not trusted, and nothing runs until all is rewritten
+	Closed                // nothing runs any more
 )
 
-func (p Health) String() string { return [...]string{"loading", "open", "failing", "closed"}[p] }
+// String names a state of health, in the words of the status.
+func (h Health) String() string { return [...]string{"loading", "open", "failing", "closed"}[h] }
 
 // Limits bound a store.
 type Limits struct {
 	Bytes            int           // of all records, results to come included
 	ResultReserve    int           // set aside for a result that is to come; a larger one is kept all the same
 	GroupCommitDelay time.Duration // how long a commit waits, at the most, for more that could go with it
-	RetryAfter       time.Duration // how long who is refused stays away, where nothing tells better
+	RetryAfter       time.Duration // how long a rejected caller stays away, where nothing tells better
 }
 
+// Group commit: a commit waits where another change is to be expected meanwhile.
+const changeRateWindow = 100 * time.Millisecond // over which changes are counted: some commits of a slow disk long
+
+// The commit time of the disk, by which requests are rejected whose result would be durable too late.
 const (
-	changeRateWindow = 100 * time.Millisecond // over which changes are counted
-	recentCommits    = 8                      // commits by which the next is judged
-	// paceFor is how long a commit says anything of the next. A disk that was too slow for any sheet is so tried again.
+	recentCommits = 8 // commits by which the next is judged
+	// commitTimeWindow is how long a commit says anything of the next. A disk that was too slow for any request is so tried again.
 	commitTimeWindow = 2 * time.Second
-	// legs is how many commits lie between a request and its answer: the promise's and the result's, and each may have to
-	// wait for one that is under way.
+	// commitsPerRequest is how many commits lie between a request and its answer: the intent's and the result's, and each may have
+	// to wait for one that is under way.
 	commitsPerRequest = 4
-	// patienceShare is the part of a request's time that its commits may take.
+	// commitTimeShare is the part of a request's time that its commits may take: the rest is the run's.
 	commitTimeShare = 0.5
 )
 
-// Ledger is all keys of a store: their states, their room and their end.
+// Ledger is all keys of a store: their states, sizes and expiry. It is single-threaded; the store calls it under its lock. Times are
+// of the machine's clock, sizes are bytes.
 type Ledger struct {
 	limits          Limits
 	health          Health
 	complete        bool          // every run that matters is known
-	incompleteUntil time.Duration // until then the others' keys are not
+	incompleteUntil time.Duration // until then keys may have run that are not here
 	nextSeq         uint64
 	entries         map[uint64]*entry
 	byExpiry        expiryHeap
@@ -57,10 +63,10 @@
 	expectedCount   int // records to load, as far as that is known
 }
 
-// commit is how long one took, and when it was over.
+// commitTime is how long a commit took, and when it was over.
 type commitTime struct{ took, at time.Duration }
 
-// slot is what the ledger knows of a record.
+// entry is what the ledger knows of a record.
 type entry struct {
 	seq       uint64
 	state     State
@@ -76,7 +82,7 @@
 
 // ---- Recovery ----
 
-// Expect is told how many records are to be loaded.
+// ExpectRecords is told how many records are to be loaded.
 func (l *Ledger) ExpectRecords(n int) { l.expectedCount = n }
 
 // Load takes up a record that was found and has been recovered.
@@ -88,13 +94,13 @@
 	}
 }
 
-// Loaded is told that all has been read, and until when runs may matter that are not among it; a time that has passed where
-// all is known.
-func (l *Ledger) LoadFinished(now, blind time.Duration) {
-	l.health, l.incompleteUntil, l.complete = Open, blind, now >= blind
+// LoadFinished is told that all has been read, and until when runs may matter that are not among it; a time that has passed where all
+// is known.
+func (l *Ledger) LoadFinished(now, incompleteUntil time.Duration) {
+	l.health, l.incompleteUntil, l.complete = Open, incompleteUntil, now >= incompleteUntil
 }
 
-// Whole reports, once, that every run that matters is known from now on.
+// BecameComplete reports, once, that every run that matters is known from now on.
 func (l *Ledger) BecameComplete(now time.Duration) bool {
 	if l.complete || l.health == Loading || now < l.incompleteUntil {
 		return false
@@ -105,13 +111,14 @@
 
 // ---- Admission ----
 
-// Begins is what becomes of a new sheet that has so much time.
+// CanExecute is what becomes of a new request that has so much time left.
 func (l *Ledger) CanExecute(now, left time.Duration) Decision {
 	return l.admission(now, left, recordOverhead)
 }
 
+// admission decides on a record of so many bytes, without its result. What may have run fails and is never rejected: that would tell
+// its caller that it has not run.
 func (l *Ledger) admission(now, left time.Duration, size int) Decision {
-	// What may have run is never refused: that would tell its caller that it has not.
 	switch {
 	case l.health == Loading:
 		return Decision{Fail, ReasonLoading, 0}
@@ -123,13 +130,13 @@
 	if l.usedBytes+l.reservedBytes+size+l.limits.ResultReserve > l.limits.Bytes {
 		return Decision{Reject, ReasonFull, l.nextExpiry(now)}
 	}
-	if pace := l.CommitTime(now); time.Duration(commitsPerRequest)*pace > time.Duration(commitTimeShare*float64(left)) {
-		return Decision{Reject, ReasonSlow, l.retryAfter(pace)}
+	if t := l.CommitTime(now); time.Duration(commitsPerRequest)*t > time.Duration(commitTimeShare*float64(left)) {
+		return Decision{Reject, ReasonSlow, l.retryAfter(t)}
 	}
 	return Decision{Action: Execute}
 }
 
-// Pace is how long a commit is taken to last: the longest of the last few.
+// CommitTime is how long the next commit is taken to last: the longest of the last few.
 func (l *Ledger) CommitTime(now time.Duration) (longest time.Duration) {
 	for _, c := range l.commitTimes {
 		if now-c.at <= commitTimeWindow {
@@ -139,7 +146,7 @@
 	return longest
 }
 
-// space is when a record ends next, so that there may be room.
+// nextExpiry is in how long the next record expires, so that there may be capacity.
 func (l *Ledger) nextExpiry(now time.Duration) time.Duration {
 	if len(l.byExpiry) == 0 {
 		return l.retryAfter(0)
@@ -147,24 +154,24 @@
 	return max(l.byExpiry[0].expiresAt-now, l.retryAfter(0)/10)
 }
 
-func (l *Ledger) retryAfter(least time.Duration) time.Duration {
-	return max(l.limits.RetryAfter, least)
+func (l *Ledger) retryAfter(atLeast time.Duration) time.Duration {
+	return max(l.limits.RetryAfter, atLeast)
 }
 
-// Promise takes a new sheet in, or says why not. Its number is the record's.
+// Admit takes a new request in and gives its record a number, or says why not.
 func (l *Ledger) Admit(r *Record, now, left time.Duration) Decision {
-	v := l.admission(now, left, r.Size())
-	if v.Action != Execute {
-		return v
+	d := l.admission(now, left, r.Size())
+	if d.Action != Execute {
+		return d
 	}
 	r.Seq, r.State, r.RecordedAt = l.nextSeq, Running, now
 	l.nextSeq++
 	l.add(&entry{seq: r.Seq, state: Intended, size: r.Size(), expiresAt: r.ExpiresAt})
 	l.reservedBytes += l.limits.ResultReserve
-	return v
+	return d
 }
 
-// Mark takes in that a key runs elsewhere, or says why not: then whoever asked must not be told that it is unknown here.
+// AdmitMoved takes in that a key runs elsewhere, or says why not: then whoever asked must not be told that it is unknown here.
 func (l *Ledger) AdmitMoved(r *Record, now time.Duration) Decision {
 	switch {
 	case l.health != Open:
@@ -178,12 +185,12 @@
 	return Decision{Action: Execute}
 }
 
-// ---- The life of a record ----
+// ---- The states of a record ----
 
-// Lasts is told that a promise lasts. It reports whether the run may begin.
+// IntentDurable is told that an intent is durable. It reports whether the run may begin.
 func (l *Ledger) IntentDurable(seq uint64) bool { return l.transition(seq, Running) }
 
-// Result is told that a run has ended with a result of so many bytes, or without one.
+// Finish is told that a run has ended with a result of so many bytes, or without one. It reports whether there was such a run.
 func (l *Ledger) Finish(seq uint64, state State, bytes int) bool {
 	s := l.entries[seq]
 	if s == nil || s.state != Intended && s.state != Running || !l.transition(seq, state) {
@@ -217,10 +224,10 @@
 	return true
 }
 
-// Sweep forgets what is past its time and not under way, at most so many, and returns their numbers.
-func (l *Ledger) Expire(now time.Duration, max int) (expired []uint64) {
+// Expire forgets what is past its time and not under way, at most so many, and returns their numbers.
+func (l *Ledger) Expire(now time.Duration, limit int) (expired []uint64) {
 	var executing []*entry
-	for len(l.byExpiry) > 0 && len(expired) < max && now > l.byExpiry[0].expiresAt {
+	for len(l.byExpiry) > 0 && len(expired) < limit && now > l.byExpiry[0].expiresAt {
 		s := heap.Pop(&l.byExpiry).(*entry)
 		if s.state == Intended || s.state == Running {
 			executing = append(executing, s)
@@ -237,16 +244,17 @@
 
 // ---- The disk ----
 
-// Asked is told of a change that is to be written.
+// ChangeQueued is told of a change that is to be written.
 func (l *Ledger) ChangeQueued(now time.Duration) {
 	l.recentChanges, l.recentChangesAt = l.recentChangeCount(now)+1, now
 }
 
+// recentChangeCount is the changes of late, each the less the longer ago it was.
 func (l *Ledger) recentChangeCount(now time.Duration) float64 {
 	return l.recentChanges * math.Exp(-(now-l.recentChangesAt).Seconds()/changeRateWindow.Seconds())
 }
 
-// Gathers is how long the next commit should wait: where another change is to be expected meanwhile, by how many came of late, it
+// CommitDelay is how long the next commit should wait: where another change is to be expected meanwhile, by how many came of late, it
 // saves that one a commit; where none is, it would only be late.
 func (l *Ledger) CommitDelay(now time.Duration) time.Duration {
 	if l.recentChangeCount(now)/changeRateWindow.Seconds()*l.limits.GroupCommitDelay.Seconds() < 1 {
@@ -261,7 +269,7 @@
 	l.commitCount++
 }
 
-// Failed is told that a write failed. It reports whether that is news.
+// WriteFailed is told that a write failed. It reports whether that is news.
 func (l *Ledger) WriteFailed() bool {
 	if l.health != Open {
 		return false
@@ -270,37 +278,38 @@
 	return true
 }
 
-// Anew is told that all was written anew and lasts.
+// Rewritten is told that all was rewritten and is durable.
 func (l *Ledger) Rewritten() {
 	if l.health == Failing {
 		l.health, l.commitTimes = Open, [recentCommits]commitTime{}
 	}
 }
 
-// Close ends it: nothing begins any more.
+// Close ends it: nothing runs any more.
 func (l *Ledger) Close() { l.health = Closed }
 
-// Crowded reports whether a file of so many bytes should be written anew: most of it is room that nobody uses.
+// ShouldCompact reports whether a file of so many bytes should be rewritten: most of it is unused.
 func (l *Ledger) ShouldCompact(file int64) bool {
 	return file > int64(l.limits.Bytes) && int64(l.usedBytes)*2 < file
 }
 
-// View is what is seen of a ledger.
+// Snapshot is what is seen of a ledger.
 type Snapshot struct {
-	Health                  Health
-	Complete                bool
-	Records, Bytes          int
-	ReservedBytes, MaxBytes int
-	Loaded, Expected        int
-	CommitTime              time.Duration
+	Health           Health
+	Complete         bool // every run that matters is known
+	Records, Bytes   int
+	ReservedBytes    int // for results that are to come
+	MaxBytes         int
+	Loaded, Expected int // records
+	CommitTime       time.Duration
 }
 
-// View returns the present one.
+// Snapshot returns the present one.
 func (l *Ledger) Snapshot(now time.Duration) Snapshot {
 	return Snapshot{l.health, l.complete, len(l.entries), l.usedBytes, l.reservedBytes, l.limits.Bytes, l.loadedCount, l.expectedCount, l.CommitTime(now)}
 }
 
-// ---- Records by their end ----
+// ---- Records by their expiry ----
 
 func (l *Ledger) add(s *entry) {
 	l.entries[s.seq] = s
@@ -318,25 +327,3 @@
 	delete(l.entries, s.seq)
 	l.usedBytes -= s.size
 }
-
-// ends is a heap of records, the one that ends first on top.
-type expiryHeap []*entry
-
-func (e expiryHeap) Len() int           { return len(e) }
-func (e expiryHeap) Less(i, j int) bool { return e[i].expiresAt < e[j].expiresAt }
-func (e expiryHeap) Swap(i, j int) {
-	e[i], e[j] = e[j], e[i]
-	e[i].heapIndex, e[j].heapIndex = i, j
-}
-func (e *expiryHeap) Push(x any) {
-	s := x.(*entry)
-	s.heapIndex = len(*e)
-	*e = append(*e, s)
-}
-func (e *expiryHeap) Pop() any {
-	old := *e
-	s := old[len(old)-1]
-	*e = old[:len(old)-1]
-	s.heapIndex = -1
-	return s
-}
--- a/internal/policy/idempotency/keyed_test.go
+++ b/internal/policy/idempotency/ledger_test.go
@@ -8,9 +8,10 @@
 	"pgregory.net/rapid"
 )
 
-// What a restart finds is taken up on the safe side, whatever the clocks did: no window is shorter than it was, nothing that may
-// have run begins again, and what is past its time on a clock that went on is let go.
-func TestRecover(t *testing.T) {
+// A machine restarts, or a disk comes to another machine, and clocks count from elsewhere. A window that got shorter would let a request
+// run twice: so what is found is taken up on the safe side. No window is shorter than it was, nothing that may have run begins again, and
+// what is past its time on a clock that went on is let go.
+func TestRestartNeverShortensAWindow(t *testing.T) {
 	const window = 10 * time.Second
 	rapid.Check(t, func(t *rapid.T) {
 		d := func(name string) time.Duration {
@@ -43,9 +44,9 @@
 	})
 }
 
-// Whatever happens in whatever order, the room that was promised is there: what was let in has its result kept, no record is
-// forgotten while it is under way or before its time, none twice, and the sums are right.
-func TestLedger(t *testing.T) {
+// Whatever happens in whatever order, reserved capacity is there: what was admitted has its result kept, no record is forgotten while
+// it is under way or before its time, none twice, and the sums are right.
+func TestLedgerKeepsItsReservations(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limits := Limits{Bytes: 20_000, ResultReserve: 2_000, RetryAfter: time.Second}
 		l, now := NewLedger(limits), time.Hour
@@ -75,7 +76,7 @@
 				phase := l.health
 				v := l.Admit(&r, now, time.Second)
 				if v.Action == Execute && (phase != Open || now < blind || l.usedBytes+l.reservedBytes > limits.Bytes) {
-					t.Fatalf("let in: %v, %d + %d bytes, blind for %v", phase, l.usedBytes, l.reservedBytes, blind-now)
+					t.Fatalf("admitted: %v, %d + %d bytes, incomplete for %v", phase, l.usedBytes, l.reservedBytes, blind-now)
 				}
 				if v.Action == Reject && (v.Reason == "" || v.RetryAfter <= 0 || now < blind) || v.Action == Fail && now >= blind {
 					t.Fatalf("%v", v)
@@ -133,8 +134,9 @@
 	})
 }
 
-// A disk that is too slow turns sheets away, and is tried again once its last commit is long ago.
-func TestPace(t *testing.T) {
+// A disk grows so slow that no result would be durable in time: requests are rejected before they run. It is tried again once its last
+// commit is long ago, or nobody would find out that it is fast again.
+func TestSlowDiskRejectsUntilItsCommitsAreOld(t *testing.T) {
 	l := NewLedger(Limits{Bytes: 1 << 20, RetryAfter: time.Second})
 	l.LoadFinished(0, 0)
 	l.Committed(time.Second, 300*time.Millisecond)
@@ -148,8 +150,8 @@
 	}
 }
 
-// A commit waits for others only where others are to be expected.
-func TestGathers(t *testing.T) {
+// A commit waits for other changes only where others are to be expected: else it would only be late.
+func TestCommitWaitsOnlyWhereChangesAreExpected(t *testing.T) {
 	for every, want := range map[time.Duration]time.Duration{2 * time.Millisecond: 0, 100 * time.Microsecond: 500 * time.Microsecond} {
 		l, now := NewLedger(Limits{GroupCommitDelay: 500 * time.Microsecond}), time.Hour
 		for range 1000 {
@@ -165,99 +167,99 @@
 	}
 }
 
-// world is one key, the disk, and the process that serves it, in all orders: tries come, writes last or are lost, power goes.
-type world struct {
-	up      bool
-	mem     State // as the process knows it
-	promise bool  // on the disk
-	result  bool  // on the disk
-	writing State // under way to the disk: Promised or Done
-	begun   bool  // the run was handed over by this process
-	runs    int
-	told    bool // a result
+// keyState is one key, the disk, and the process that serves it, in all orders: attempts come, writes land or are lost, power goes.
+type keyState struct {
+	up           bool
+	state        State // as the process knows it
+	intentOnDisk bool  // on the disk
+	resultOnDisk bool  // on the disk
+	writing      State // under way to the disk: Intended or Completed
+	dispatched   bool  // the run was handed over by this process
+	runs         int
+	answered     bool // a result
 }
 
 // guards are what a search may leave out.
-type guards struct{ promise, after, result bool }
+type guards struct{ intent, afterRestart, result bool }
 
-func (w world) next(g guards) (list []world) {
-	add := func(change func(w *world)) {
+func (w keyState) next(g guards) (list []keyState) {
+	add := func(change func(w *keyState)) {
 		n := w
 		change(&n)
 		list = append(list, n)
 	}
 	if !w.up {
-		add(func(w *world) {
-			w.up, w.mem = true, Unknown
+		add(func(w *keyState) {
+			w.up, w.state = true, Unknown
 			switch {
-			case w.result:
-				w.mem = Completed
-			case w.promise && g.after:
-				w.mem = Running.AfterRestart()
+			case w.resultOnDisk:
+				w.state = Completed
+			case w.intentOnDisk && g.afterRestart:
+				w.state = Running.AfterRestart()
 			}
 		})
 		return list
 	}
-	// The power goes: what is being written lasts or does not.
+	// The power goes: what is being written is durable or lost.
 	for _, lasts := range []bool{false, true} {
 		if lasts && w.writing == Unknown {
 			continue
 		}
-		add(func(w *world) {
+		add(func(w *keyState) {
 			if lasts {
-				w.land()
+				w.writeLands()
 			}
-			w.up, w.writing, w.begun = false, Unknown, false
+			w.up, w.writing, w.dispatched = false, Unknown, false
 		})
 	}
 	switch {
-	case w.mem.Action() == Execute: // a try comes
-		add(func(w *world) {
-			w.mem = Intended
-			if w.writing = Intended; !g.promise {
+	case w.state.Action() == Execute: // an attempt comes
+		add(func(w *keyState) {
+			w.state = Intended
+			if w.writing = Intended; !g.intent {
 				w.writing = Unknown
 			}
 		})
-	case w.mem == Completed:
-		add(func(w *world) { w.told = true })
+	case w.state == Completed:
+		add(func(w *keyState) { w.answered = true })
 	}
 	if w.writing != Unknown {
-		add(func(w *world) { w.land() })
+		add(func(w *keyState) { w.writeLands() })
 	}
-	if w.mem == Intended && w.writing == Unknown && !w.begun {
-		add(func(w *world) { w.mem, w.begun = Running, true; w.runs++ })
+	if w.state == Intended && w.writing == Unknown && !w.dispatched {
+		add(func(w *keyState) { w.state, w.dispatched = Running, true; w.runs++ })
 	}
-	if w.mem == Running && w.begun && w.writing == Unknown { // it ends
-		add(func(w *world) {
+	if w.state == Running && w.dispatched && w.writing == Unknown { // it ends
+		add(func(w *keyState) {
 			if g.result {
 				w.writing = Completed
 			} else {
-				w.mem = Completed
+				w.state = Completed
 			}
 		})
 	}
 	return list
 }
 
-func (w *world) land() {
+func (w *keyState) writeLands() {
 	switch w.writing {
 	case Intended:
-		w.promise = true
+		w.intentOnDisk = true
 	case Completed:
-		w.result = true
-		if w.mem == Running {
-			w.mem = Completed
+		w.resultOnDisk = true
+		if w.state == Running {
+			w.state = Completed
 		}
 	}
 	w.writing = Unknown
 }
 
-// All orders of a key's tries, writes, runs and losses of power: it never runs twice, and what was told once can be told again.
-// The search finds the harm when any guard is left out.
-func TestAllOrders(t *testing.T) {
-	search := func(g guards) (seen map[world]bool, harm string) {
-		seen = map[world]bool{}
-		for todo := []world{{}}; len(todo) > 0; {
+// A search through all orders of a key's attempts, writes, runs and losses of power: it never runs twice, and a result that was answered
+// once can be answered again. The search finds the harm when any guard is left out.
+func TestNoOrderOfEventsRunsAKeyTwice(t *testing.T) {
+	search := func(g guards) (seen map[keyState]bool, harm string) {
+		seen = map[keyState]bool{}
+		for todo := []keyState{{}}; len(todo) > 0; {
 			w := todo[0]
 			todo = todo[1:]
 			if seen[w] {
@@ -267,8 +269,8 @@
 			switch {
 			case w.runs > 1:
 				return seen, "it ran twice"
-			case w.told && !w.result:
-				return seen, "a result was told that a restart can't tell again"
+			case w.answered && !w.resultOnDisk:
+				return seen, "a result was answered that a restart can't answer again"
 			}
 			todo = append(todo, w.next(g)...)
 		}
@@ -278,7 +280,7 @@
 	if seen, harm := search(whole); harm != "" || len(seen) < 15 {
 		t.Errorf("%d states: %s", len(seen), harm)
 	}
-	for name, g := range map[string]guards{"the promise": {false, true, true}, "what a promise says after a restart": {true, false, true},
+	for name, g := range map[string]guards{"the intent": {false, true, true}, "what an intent says after a restart": {true, false, true},
 		"the result before the answer": {true, true, false}} {
 		if _, harm := search(g); harm == "" {
 			t.Errorf("without %s no harm is found", name)
--- a/internal/policy/idempotency/names_test.go
+++ b/internal/policy/idempotency/names_test.go
@@ -7,7 +7,7 @@
 
 // Names of states, phases and reasons stand in output that operators' tools read, in counters and in answers: they are held as they
 // were, and the numbers of states are what stands on the disk.
-func TestNames(t *testing.T) {
+func TestNamesOfStatesAndReasons(t *testing.T) {
 	for got, want := range map[string]string{
 		fmt.Sprint(Unknown, Intended, Running, Completed, Failed, Moved, Expired):                              "unknown promised running done failed moved expired",
 		fmt.Sprintf("%d %d %d %d %d", Intended, Running, Completed, Failed, Moved):                             "1 2 3 4 5",
