--- a/internal/controlplane/command/golden_test.go
+++ b/internal/controlplane/command/golden_test.go
@@ -42,7 +42,7 @@
 		{"evacuate", "conductor", 1<<32 | 2, 7, false, false, "stale step 7 of conductor in epoch 1.2: 8 was seen"},
 	} {
 		done := false
-		yes, why := o.Take(c.act, c.duty, c.epoch, c.step, func() (bool, string) { done = true; return true, "ok" })
+		yes, why := o.Execute(c.act, c.duty, c.epoch, c.step, func() (bool, string) { done = true; return true, "ok" })
 		if done != c.done || yes != c.yes || why != c.why {
 			t.Errorf("%+v: done %v, %v, %q", c, done, yes, why)
 		}
--- a/internal/transport/admin/mgmt.go
+++ b/internal/transport/admin/mgmt.go
@@ -76,8 +76,8 @@
 
 // Commands is who takes orders of the fleet: calls that name a duty, the epoch of its owner and the step of its intent.
 type Commands interface {
-	// Take has an order done, or says why not. It may wait for a disk, and for the group.
-	Take(action, controller string, epoch, step uint64, do func() (bool, string)) (bool, string)
+	// Execute carries out a command by perform, or returns why not. It may wait for a disk, and for the group.
+	Execute(action, controller string, epoch, step uint64, perform func() (bool, string)) (accepted bool, reason string)
 }
 
 // call is one call as it was read.
@@ -376,7 +376,7 @@
 		return nil, bad
 	}
 	return func() (bool, string) {
-		done, message := s.commands.Take(strings.TrimPrefix(c.path, "/api/"), q.Get("duty"), epoch, step, perform)
+		done, message := s.commands.Execute(strings.TrimPrefix(c.path, "/api/"), q.Get("duty"), epoch, step, perform)
 		s.stats.Inc("orders", map[bool]string{true: "taken", false: "refused"}[done])
 		if !done {
 			events.Log(s.log, "orders.refused", c.path, message)
