--- a/internal/core/arrival.go
+++ b/internal/core/arrival.go
@@ -18,10 +18,10 @@
 		name = "unknown" // counters are bounded, what comes off a wire is not
 	}
 	c.stats.Inc("read", r.Front, name)
-	began := time.Now()
+	startedAt := time.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.lockWait.Record(time.Since(began))
+	c.lockWait.Record(time.Since(startedAt))
 	if a, over := c.claimKey(&r, class); over { // waits, without the lock, where another process may have its key
 		c.stats.Inc("answered", r.Front, name, a.Outcome.String())
 		return nil, a
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -108,7 +108,7 @@
 	lastSweep      time.Time
 	pools          *poolGuard                 // nil: no pools
 	observedRules  configstore.VersionTracker // that routers have named
-	poolsSeenAt    time.Duration
+	poolsReadAt    time.Duration
 	loggedLimit    float64
 	limitLoggedAt  time.Duration
 	runnerUp       bool
@@ -173,10 +173,10 @@
 // decide reports an event to the module and then carries out, in order, what it asked for. It is called under the lock, and no
 // action blocks or writes to a network.
 func (c *Core) decide(report func(m *silverpath.Shedder, now time.Duration)) {
-	began := time.Now()
+	startedAt := time.Now()
 	report(c.module, c.clock())
 	c.performActions()
-	c.decideTime.Record(time.Since(began))
+	c.decideTime.Record(time.Since(startedAt))
 }
 
 // performActions carries out what the module asked for, in order. An action may ask the module again.
--- a/internal/core/host.go
+++ b/internal/core/host.go
@@ -23,8 +23,10 @@
 	})
 }
 
+// Run starts the request.
 func (h *host) Run(id string) { h.enqueueAction(id, (*Core).startRun) }
 
+// Reject answers a request that has never run.
 func (h *host) Reject(id string, after time.Duration, final bool) {
 	h.enqueueAction(id, func(c *Core, t *task) {
 		if c.mayHaveRunElsewhere(t) {
@@ -40,6 +42,7 @@
 	})
 }
 
+// Fail answers a request without assurance.
 func (h *host) Fail(id string) {
 	h.enqueueAction(id, func(c *Core, t *task) {
 		out := Failed
@@ -50,11 +53,13 @@
 	})
 }
 
+// Join answers a request with the result of the run that it duplicates.
 func (h *host) Join(id string) { h.enqueueAction(id, (*Core).join) }
 
 // Stop is never asked for: see supportedSettings.
 func (h *host) Stop(string) {}
 
+// Call has the request's goroutine make the call that its run waits for.
 func (h *host) Call(id string, timeout time.Duration) {
 	h.enqueueAction(id, func(_ *Core, t *task) {
 		t.calling = true
@@ -65,32 +70,40 @@
 // SkipCall is never asked for: see supportedSettings.
 func (h *host) SkipCall(string) {}
 
+// RememberKey lets a read serve others for d; the keys of idempotent requests are kept from their arrival on, whatever the module
+// asks for.
 func (h *host) RememberKey(id string, d time.Duration) {
 	h.enqueueAction(id, func(c *Core, t *task) { c.keys.shareRead(t, d) })
 }
 
+// ForgetKey frees the key of a request that has not run.
 func (h *host) ForgetKey(id string) {
 	h.enqueueAction(id, func(c *Core, t *task) { c.releaseKey(t) })
 }
 
+// Health sets what health checks are told.
 func (h *host) Health(good bool) {
 	c := (*Core)(h)
 	c.actions = append(c.actions, func() { c.view.Health = good })
 }
 
+// Signal sets the value that goes out with answers.
 func (h *host) Signal(value float64) {
 	c := (*Core)(h)
 	c.actions = append(c.actions, func() { c.view.Signal, c.view.SignalSet = value, true })
 }
 
+// CloseIdle sets how long connections may carry nothing.
 func (h *host) CloseIdle(after time.Duration) {
 	c := (*Core)(h)
 	c.actions = append(c.actions, func() { c.view.IdleAfter = after })
 }
 
+// Wake has the module's timer called after this long.
 func (h *host) Wake(after time.Duration) {
 	c := (*Core)(h)
 	c.actions = append(c.actions, func() { time.AfterFunc(after, c.wake) })
 }
 
+// Log writes a line of the module's to the log at once.
 func (h *host) Log(text string) { events.Log((*Core)(h).log, "module", text) }
--- a/internal/core/lifecycle.go
+++ b/internal/core/lifecycle.go
@@ -23,11 +23,11 @@
 // apply takes an event and returns what became of it.
 func (p *lifecycleState) apply(e lifecycle.Event) lifecycle.Outcome {
 	p.mu.Lock()
-	was := p.current()
-	a := was.On(e)
+	previous := p.current()
+	a := previous.On(e)
 	p.state.Store(int32(a.To))
 	p.mu.Unlock()
-	if a.To != was {
+	if a.To != previous {
 		events.Log(p.log, "phase", a.To)
 	}
 	return a
--- a/internal/core/peer.go
+++ b/internal/core/peer.go
@@ -146,9 +146,9 @@
 // a mark.
 func (c *Core) PairAlone(marked func(stamp int64) bool) {
 	c.updatePair(func(s *hotrestart.Coordinator) {
-		was := s.Role()
+		previous := s.Role()
 		s.PeerAbsent(s.PeerStartedAt() != 0 && marked(s.PeerStartedAt()), c.windowEnd())
-		if was != s.Role() && s.UnknownUntil() > time.Now().UnixNano() {
+		if previous != s.Role() && s.UnknownUntil() > time.Now().UnixNano() {
 			events.Log(c.log, "handover.blind", time.Until(time.Unix(0, s.UnknownUntil())).Round(time.Second))
 		}
 	})
--- a/internal/core/pools.go
+++ b/internal/core/pools.go
@@ -112,7 +112,7 @@
 		return
 	}
 	now := c.clock()
-	if a, refused := t.rejection(); refused {
+	if a, rejected := t.rejection(); rejected {
 		g.rejection.Store(&a)
 		g.Rejected(now)
 	} else {
@@ -141,10 +141,10 @@
 // updatePools keeps what operators see of the pools, and logs what changed. It is called under the lock, at every tick.
 func (c *Core) updatePools() {
 	now := c.clock()
-	if c.pools == nil || now-c.poolsSeenAt < poolsInterval {
+	if c.pools == nil || now-c.poolsReadAt < poolsInterval {
 		return
 	}
-	c.poolsSeenAt = now
+	c.poolsReadAt = now
 	old := c.view.Pools
 	st := c.pools.Snapshot(now)
 	c.view.Pools = &st
@@ -152,8 +152,8 @@
 		events.Log(c.log, "pools.memory", st.Memory, st.BookedMemory, st.ProcessMemory)
 	}
 	for i, p := range st.Pools {
-		was := old != nil && i < len(old.Pools) && old.Pools[i].Starving
-		if p.Starving && !was {
+		starvedBefore := old != nil && i < len(old.Pools) && old.Pools[i].Starving
+		if p.Starving && !starvedBefore {
 			events.Log(c.log, "pools.starves", p.Name, p.Queued, p.Running, p.Floor)
 		}
 	}
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -125,9 +125,9 @@
 	case c.caller == nil:
 		e.outcome = silverpath.Unreachable
 	default:
-		began := time.Now()
+		startedAt := time.Now()
 		e.outcome, e.data = c.caller.Call(ctx, t.ID, timeout, t.callBody, t.class.Effect != silverpath.Safe)
-		e.spent = time.Since(began)
+		e.spent = time.Since(startedAt)
 		c.stats.Inc("calls", outcomeNames[e.outcome])
 	}
 	c.mu.Lock()
--- a/internal/core/rules.go
+++ b/internal/core/rules.go
@@ -30,14 +30,14 @@
 
 // observeRules notes a document that a router names, and logs a newer one or a contradiction. It is called under the lock.
 func (c *Core) observeRules(of configstore.ID, source string) {
-	was, _ := c.observedRules.Newest()
+	previous, _ := c.observedRules.Newest()
 	switch c.observedRules.Observe(c.clock(), of, source) {
 	case configstore.NewerVersion:
-		events.Log(c.log, "rules.newer", of, was.ID, source)
+		events.Log(c.log, "rules.newer", of, previous.ID, source)
 	case configstore.ConflictFound:
 		c.stats.Inc("rules", "contradictions")
-		n, words := c.observedRules.Conflict()
-		events.Log(c.log, "rules.contradiction", n, words)
+		n, text := c.observedRules.Conflict()
+		events.Log(c.log, "rules.contradiction", n, text)
 	}
 }
 
@@ -82,8 +82,8 @@
 	if top, ok := c.observedRules.Newest(); ok {
 		pairs = append(pairs, "g", top.ID.String(), "gn", top.Source)
 	}
-	if n, words := c.observedRules.Conflict(); words != "" {
-		pairs = append(pairs, "gc", strconv.Itoa(n)+" "+words)
+	if n, text := c.observedRules.Conflict(); text != "" {
+		pairs = append(pairs, "gc", strconv.Itoa(n)+" "+text)
 	}
 	if d := c.observedRules.SuspendedFor(c.clock()); d > 0 {
 		pairs = append(pairs, "gq", strconv.FormatInt(d.Milliseconds(), 10))
@@ -104,8 +104,8 @@
 	if top, ok := s.Newest(); ok {
 		o.Set("newest", a.NewString(top.ID.String()))
 	}
-	if _, words := s.Conflict(); words != "" {
-		o.Set("contradiction", a.NewString(words))
+	if _, text := s.Conflict(); text != "" {
+		o.Set("contradiction", a.NewString(text))
 	}
 	o.Set("quiet_ms", a.NewNumberInt(int(s.SuspendedFor(now).Milliseconds())))
 	o.Set("bound_ms", a.NewNumberInt(int(s.Terms().ConflictBound().Milliseconds())))
--- a/internal/core/status.go
+++ b/internal/core/status.go
@@ -103,20 +103,20 @@
 	for _, c := range h.Counts {
 		n += c
 	}
-	seen := uint64(0)
+	counted := uint64(0)
 	for i, c := range h.Counts {
 		if c == 0 {
 			continue
 		}
-		seen += c
+		counted += c
 		v := h.Buckets[i+1]
 		if math.IsInf(v, 1) {
 			v = h.Buckets[i]
 		}
-		if p50 == 0 && seen*2 >= n {
+		if p50 == 0 && counted*2 >= n {
 			p50 = v
 		}
-		if p99 == 0 && seen*100 >= n*99 {
+		if p99 == 0 && counted*100 >= n*99 {
 			p99 = v
 		}
 		longest = v
--- a/internal/policy/window/window.go
+++ b/internal/policy/window/window.go
@@ -1,20 +1,21 @@
-// Package window holds the running statistics that the decisions are built on: a rolling window of buckets, an
-// exponential moving average and a token bucket. Every parameter is passed in.
+// Package window holds the running statistics that the module's decisions are built on: a rolling window of buckets, an
+// exponential moving average and a token bucket. Every parameter is passed in, and so is the time, as the module's clock tells
+// it: it never goes backwards. None of them is safe for concurrent use.
 package window
 
 import "time"
 
-// A Bucket sums what was added during one stretch of a Rolling window.
+// Bucket is what was added to a Rolling window during one of its equal parts.
 type Bucket struct {
 	Sum   float64
 	Count int
 }
 
-// Rolling is a window of equal buckets over the most recent past. It is not safe for concurrent use.
+// Rolling is a window of equal buckets over the most recent past.
 type Rolling struct {
 	buckets []Bucket
 	width   time.Duration
-	current int64 // number of the bucket being written, counted from the clock's zero
+	current int64 // number of the bucket that is written to, counted from the clock's zero
 }
 
 // NewRolling returns a window of n buckets, each of the given width.
@@ -25,22 +26,23 @@
 // Add records v in the bucket that now falls into.
 func (w *Rolling) Add(now time.Duration, v float64) {
 	w.advance(now)
-	b := w.at(w.current)
+	b := w.bucket(w.current)
 	b.Sum += v
 	b.Count++
 }
 
-// Each calls f with every complete bucket of the window, the oldest first. The bucket still being written
-// is left out, since an incomplete stretch says nothing about a rate.
+// Each calls f with every complete bucket of the window, the oldest first. The one that is still written to is left out, since a
+// part of its time says nothing of a rate.
 func (w *Rolling) Each(now time.Duration, f func(Bucket)) {
 	w.advance(now)
 	n := int64(len(w.buckets))
 	for i := w.current - n + 1; i < w.current; i++ {
-		f(*w.at(i))
+		f(*w.bucket(i))
 	}
 }
 
-func (w *Rolling) at(number int64) *Bucket {
+// bucket returns the place of the bucket of that number.
+func (w *Rolling) bucket(number int64) *Bucket {
 	n := int64(len(w.buckets))
 	return &w.buckets[((number%n)+n)%n]
 }
@@ -53,7 +55,7 @@
 	}
 	first := max(w.current+1, number-int64(len(w.buckets))+1)
 	for i := first; i <= number; i++ {
-		*w.at(i) = Bucket{}
+		*w.bucket(i) = Bucket{}
 	}
 	w.current = number
 }
@@ -67,7 +69,7 @@
 // Value returns the average.
 func (a *Average) Value() float64 { return a.value }
 
-// TokenBucket holds tokens that come at a steady rate, up to a burst.
+// TokenBucket holds tokens that come at a steady rate, in tokens a second, up to a burst.
 type TokenBucket struct {
 	rate, burst, tokens float64
 	refilled            time.Duration
--- a/internal/transport/simulator/wire_test.go
+++ b/internal/transport/simulator/server_test.go
@@ -42,7 +42,7 @@
 	}
 }
 
-func TestBadInput(t *testing.T) {
+func TestMalformedInputNamesItsField(t *testing.T) {
 	at := "CLOCK\tsim_time=2000\nSELECT\twho=3\n"
 	for name, c := range map[string]struct{ in, want string }{
 		"unknown message":       {launch + at + "NONSENSE\tcorr=a\nGO\n", "line 7: NONSENSE: unknown message"},
@@ -89,7 +89,7 @@
 func TestPanicBecomesFault(t *testing.T) {
 	s := newServer(strings.NewReader(""))
 	s.instances[1] = &instance{} // no shedder: any event panics
-	s.event(1, &decoder{message: message{name: "BLOCKED", fields: map[string]string{"corr": "a"}}})
+	s.handleEvent(1, &decoder{message: message{name: "BLOCKED", fields: map[string]string{"corr": "a"}}})
 	if got := s.out.String(); !strings.Contains(got, "FAULT\ttext=") || strings.Count(got, "\n") != 2 {
 		t.Fatalf("got %q", got)
 	}
@@ -114,7 +114,7 @@
 }
 
 // A full fleet in one batch, and input that stops within it: one message, and nothing but whole replies.
-func TestHundredsOfInstances(t *testing.T) {
+func TestManyInstances(t *testing.T) {
 	var in strings.Builder
 	in.WriteString("CLOCK\tsim_time=1000\n")
 	for i := range 1500 {
