--- /dev/null
+++ b/internal/transport/msgpackrpc/answer.go
@@ -0,0 +1,104 @@
+package msgpackrpc
+
+import (
+	"strconv"
+	"time"
+
+	"silverpath/internal/core"
+	"silverpath/internal/policy/configstore"
+)
+
+// respondToProbe answers a health check. A router says with it by which document it goes and with which times, and is told what
+// this server has heard of that document from others, and its share while this server warms up.
+func (c *client) respondToProbe(m message) {
+	var fields []string
+	if id := m.fields[fieldConfigID]; id != "" {
+		ms := func(key string) time.Duration {
+			n, _ := strconv.ParseInt(m.fields[key], 10, 64)
+			return time.Duration(max(0, min(n, maxTerm.Milliseconds()))) * time.Millisecond
+		}
+		c.core.ObserveRules(id, m.fields[fieldRouter], configstore.Terms{
+			Lease: ms(fieldLease), ClockSkew: ms(fieldClockSkew), ProbeInterval: ms(fieldProbeInterval),
+			ProbeTimeout: ms(fieldProbeTimeout), OverlapWindow: ms(fieldOverlap),
+		})
+		fields = c.core.RulesNotice()
+		inFlight, _ := strconv.Atoi(m.fields[fieldInFlight])
+		if share, warming := c.core.SlowStart(m.fields[fieldRouter], inFlight, SlowStartProbeIntervals*max(ms(fieldProbeInterval), time.Millisecond)); warming {
+			fields = append(fields, fieldSlowStartShare, strconv.Itoa(share))
+		}
+	}
+	c.write(func(b []byte) []byte { return appendHealth(b, m.id, c.core.Health(), c.withServerState(fields)) })
+}
+
+// withServerState appends what every answer tells of this server: the module's signal, where it has set one, and in a cell its
+// incarnation and how recent that is.
+func (c *client) withServerState(pairs []string) []string {
+	if v, ok := c.core.Signal(); ok {
+		pairs = append(pairs, fieldSignal, strconv.FormatFloat(v, 'f', -1, 64))
+	}
+	if incarnation, inCell := c.core.StartStamp(); inCell {
+		pairs = append(pairs, fieldIncarnation, strconv.FormatInt(incarnation, 10))
+		if c.core.Cold() {
+			pairs = append(pairs, fieldWarmingUp, flagSet)
+		}
+		if lastRun := c.core.UnknownRunsUntil(); lastRun != 0 {
+			pairs = append(pairs, fieldUnknownRuns, strconv.FormatInt(lastRun, 10))
+		}
+	}
+	return pairs
+}
+
+// respond writes the answer of a request in flight. One that was cancelled gets none: its message id may be another request's by
+// now, which would take the answer for its own.
+func (c *client) respond(id uint64, requestID string, a core.Answer) {
+	c.mu.Lock()
+	pending := c.pending[id] == requestID
+	if pending {
+		delete(c.pending, id)
+		c.writingAnswers++ // until it is written the connection is not idle
+	}
+	c.mu.Unlock()
+	if !pending {
+		return
+	}
+	c.reply(id, a)
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.writingAnswers--
+	c.slot.SetInFlight(len(c.pending) + c.writingAnswers)
+}
+
+// reply writes an answer.
+func (c *client) reply(id uint64, a core.Answer) {
+	c.write(func(b []byte) []byte { return appendAnswer(b, id, a, c.withServerState(nil)) })
+}
+
+// appendAnswer appends an answer with its fields, given as name and value in turn.
+func appendAnswer(b []byte, id uint64, a core.Answer, fields []string) []byte {
+	b = appendUint(appendUint(appendArray(b, 4), uint64(response)), id)
+	switch a.Outcome {
+	case core.Served:
+		b = appendArray(appendNil(b), 2)
+		return appendFields(appendBin(b, a.Body), fields)
+	case core.Rejected:
+		if a.RetryAfter > 0 {
+			fields = append(fields, fieldRetryAfter, strconv.FormatInt(max(1, a.RetryAfter.Milliseconds()), 10))
+		}
+		if a.Final {
+			fields = append(fields, fieldFinal, flagSet)
+		}
+		if a.Reason != "" {
+			fields = append(fields, fieldReason, a.Reason)
+		}
+		b = appendText(appendArray(b, 2), errorFull)
+	default:
+		b = appendText(appendArray(b, 2), errorFailed)
+	}
+	return appendNil(appendFields(b, fields))
+}
+
+// appendHealth appends the answer to a probe.
+func appendHealth(b []byte, id uint64, healthy bool, fields []string) []byte {
+	b = appendUint(appendUint(appendArray(b, 4), uint64(response)), id)
+	return appendFields(appendBool(appendArray(appendNil(b), 2), healthy), fields)
+}
--- a/internal/transport/msgpackrpc/words_test.go
+++ b/internal/transport/msgpackrpc/calls_test.go
@@ -4,6 +4,7 @@
 	"bufio"
 	"bytes"
 	"context"
+	"errors"
 	"io"
 	"log"
 	"net"
@@ -15,23 +16,23 @@
 	"silverpath/internal/transport/listener"
 )
 
-// Words come in their order, a slow answer holds up no later one, bodies may be long, and what is too long or no word ends
-// its connection without an answer and is counted.
-func TestWords(t *testing.T) {
+// Calls are handled in their order, a slow result holds up no later one, bodies may be long, and what is too long or no call ends its
+// connection without a result and is counted.
+func TestCalls(t *testing.T) {
 	var c metrics.Counters
 	hold := make(chan struct{})
-	f := NewCallServer("words", &c, func(_ context.Context, w Call) func() CallResult {
+	f := NewCallServer("calls", &c, func(_ context.Context, call Call) func() CallResult {
 		return func() CallResult {
-			switch w.Method {
+			switch call.Method {
 			case "slow":
 				<-hold
 			case "wrong":
-				return CallResult{Error: "Wrong", Fields: []string{"why", w.Fields["x"]}}
+				return CallResult{Error: "Wrong", Fields: []string{"why", call.Fields["x"]}}
 			}
-			return CallResult{Body: w.Body}
+			return CallResult{Body: call.Body}
 		}
 	})
-	ln, err := listener.Listen("words", "127.0.0.1:0", 8, func() time.Duration { return time.Minute }, f.Serve, log.New(io.Discard, "", 0), &c)
+	ln, err := listener.Listen("calls", "127.0.0.1:0", 8, func() time.Duration { return time.Minute }, f.Serve, log.New(io.Discard, "", 0), &c)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -42,19 +43,19 @@
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	say := func(w Call) <-chan Reply {
-		r, err := conn.Call(w)
+	begin := func(call Call) <-chan Reply {
+		r, err := conn.Call(call)
 		if err != nil {
 			t.Fatal(err)
 		}
 		return r
 	}
-	slow := say(Call{Method: "slow", Body: []byte("late")})
+	slow := begin(Call{Method: "slow", Body: []byte("late")})
 	long := strings.Repeat("x", MaxCallBody)
-	if a := <-say(Call{Method: "echo", Body: []byte(long)}); string(a.Body) != long {
+	if a := <-begin(Call{Method: "echo", Body: []byte(long)}); string(a.Body) != long {
 		t.Errorf("%d bytes came back, %q", len(a.Body), a.Error)
 	}
-	if a := <-say(Call{Method: "wrong", Fields: map[string]string{"x": "because"}}); a.Error != "Wrong" || a.Fields["why"] != "because" {
+	if a := <-begin(Call{Method: "wrong", Fields: map[string]string{"x": "because"}}); a.Error != "Wrong" || a.Fields["why"] != "because" {
 		t.Errorf("%+v", a)
 	}
 	close(hold)
@@ -63,7 +64,7 @@
 	}
 	if r, err := conn.Call(Call{Method: "echo", Body: append([]byte(long), 'x')}); err == nil { // it may break while it is written
 		if a, ok := <-r; ok {
-			t.Errorf("a word over the bound is answered: %+v", a)
+			t.Errorf("a call over the bound is answered: %+v", a)
 		}
 	}
 	raw, err := net.Dial("tcp", ln.Addr().String())
@@ -76,9 +77,9 @@
 	if b, err := io.ReadAll(raw); len(b) > 0 || err != nil && !strings.Contains(err.Error(), "reset") {
 		t.Errorf("%q, %v", b, err)
 	}
-	for until := time.Now().Add(5 * time.Second); c.Get("malformed", "words") < 2; time.Sleep(time.Millisecond) {
+	for until := time.Now().Add(5 * time.Second); c.Get("malformed", "calls") < 2; time.Sleep(time.Millisecond) {
 		if time.Now().After(until) {
-			t.Fatalf("%d counted", c.Get("malformed", "words"))
+			t.Fatalf("%d counted", c.Get("malformed", "calls"))
 		}
 	}
 }
@@ -93,7 +94,7 @@
 			t.Fatalf("%q, %v", got, err)
 		}
 	}
-	if _, err := ReadMessage(r, 1000); err != io.EOF {
+	if _, err := ReadMessage(r, 1000); !errors.Is(err, io.EOF) {
 		t.Error(err)
 	}
 	if _, err := ReadMessage(bufio.NewReader(bytes.NewReader(one)), 100); err == nil {
--- a/internal/transport/msgpackrpc/close_test.go
+++ b/internal/transport/msgpackrpc/close_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bufio"
+	"errors"
 	"fmt"
 	"io"
 	"log"
@@ -83,7 +84,7 @@
 			if a, err := ReadReply(r); err != nil || a.ID != 1 || string(a.Body) != "done" {
 				t.Errorf("%s: %+v, %v", name, a, err)
 			}
-			if _, err := ReadReply(r); err != io.EOF {
+			if _, err := ReadReply(r); !errors.Is(err, io.EOF) {
 				t.Errorf("%s: the connection ends by %v", name, err)
 			}
 			conn.Close()
--- a/internal/transport/msgpackrpc/conn.go
+++ b/internal/transport/msgpackrpc/conn.go
@@ -11,9 +11,6 @@
 	"time"
 )
 
-// MaxInFlight is the number of requests that a balancer has open on a connection.
-const MaxInFlight = 32
-
 // Conn is a balancer's end of a connection: it carries many requests at a time, with ids that rise.
 type Conn struct {
 	conn      net.Conn
@@ -21,18 +18,20 @@
 	writing   sync.Mutex
 
 	mu       sync.Mutex
-	lastID   uint64
-	pending  map[uint64]chan Reply
-	draining bool // told to bring no more
+	lastID   uint64                // of the last request sent
+	pending  map[uint64]chan Reply // of requests in flight, by id; each has room for its one reply
+	draining bool                  // the server asked for no more requests
 	broken   bool
 }
 
+// errBroken says that nothing can be sent on a connection any more.
 var errBroken = errors.New("the connection is broken")
 
-// ErrFull says that a connection has as many requests open as it may, or was told to bring no more.
+// ErrFull says that a connection has MaxInFlight requests in flight, or that its server asked for no more: another connection may
+// take the request.
 var ErrFull = errors.New("the connection takes no more")
 
-// Dial opens a connection to a service's front.
+// Dial opens a connection to a service's front. Its owner closes it.
 func Dial(ctx context.Context, addr string) (*Conn, error) {
 	var d net.Dialer
 	conn, err := d.DialContext(ctx, "tcp", addr)
@@ -42,19 +41,20 @@
 	return NewConn(conn), nil
 }
 
-// NewConn serves an open connection.
+// NewConn returns a Conn on an open connection, and reads it until it ends.
 func NewConn(conn net.Conn) *Conn { return newConn(conn, maxResult) }
 
+// newConn is NewConn for results of at most maxResult bytes.
 func newConn(conn net.Conn, maxResult int) *Conn {
 	c := &Conn{conn: conn, maxResult: maxResult, pending: map[uint64]chan Reply{}}
 	go c.read()
 	return c
 }
 
-// Close ends the connection; what is open on it gets no reply.
+// Close ends the connection; requests in flight get no reply.
 func (c *Conn) Close() { c.conn.Close() }
 
-// Capacity reports whether the connection takes one more request, and whether it will ever take any.
+// Capacity reports whether the connection takes one more request now, and whether it will take any more at all.
 func (c *Conn) Capacity() (hasCapacity, usable bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -62,36 +62,20 @@
 	return usable && len(c.pending) < MaxInFlight, usable
 }
 
+// read hands out replies until the connection ends; then every request in flight has its channel closed without one.
 func (c *Conn) read() {
 	r := bufio.NewReader(c.conn)
 	for {
 		a, err := readReply(r, c.maxResult)
-		c.mu.Lock()
 		if err != nil {
-			c.broken = true
-			for id, reply := range c.pending {
-				delete(c.pending, id)
-				close(reply)
-			}
-			c.mu.Unlock()
-			c.conn.Close()
+			c.fail()
 			return
 		}
 		if a.Notification != "" {
-			c.draining = c.draining || a.Notification == methodDrain || a.Unprocessed()
-			for id, reply := range c.pending {
-				if a.Unprocessed() && id > a.ID {
-					delete(c.pending, id)
-					reply <- Reply{ID: id, Notification: methodLastTaken} // it has room for one
-				}
-			}
-			done := c.draining && len(c.pending) == 0
-			c.mu.Unlock()
-			if done {
-				c.conn.Close()
-			}
+			c.notified(a)
 			continue
 		}
+		c.mu.Lock()
 		reply := c.pending[a.ID]
 		delete(c.pending, a.ID)
 		done := c.draining && len(c.pending) == 0
@@ -105,8 +89,38 @@
 	}
 }
 
-// Send writes one message made for the next id. The channel gets the reply, or is closed without one. An error says that
-// the message was not written whole, so that nothing of it ran.
+// fail closes the connection and the channel of every request in flight.
+func (c *Conn) fail() {
+	c.mu.Lock()
+	c.broken = true
+	for id, reply := range c.pending {
+		delete(c.pending, id)
+		close(reply)
+	}
+	c.mu.Unlock()
+	c.conn.Close()
+}
+
+// notified takes a notification: no more is sent after methodDrain and methodLastTaken, and by the latter requests with a higher id
+// are replied to as unprocessed.
+func (c *Conn) notified(a Reply) {
+	c.mu.Lock()
+	c.draining = c.draining || a.Notification == methodDrain || a.Unprocessed()
+	for id, reply := range c.pending {
+		if a.Unprocessed() && id > a.ID {
+			delete(c.pending, id)
+			reply <- Reply{ID: id, Notification: methodLastTaken}
+		}
+	}
+	done := c.draining && len(c.pending) == 0
+	c.mu.Unlock()
+	if done {
+		c.conn.Close()
+	}
+}
+
+// Send writes one message, which message makes for the next id. The channel gets the reply, or is closed without one: then the
+// request may have run. An error, ErrFull among them, says that the message was not written whole, so that nothing of it ran.
 func (c *Conn) Send(message func(id uint64) []byte) (id uint64, reply <-chan Reply, err error) {
 	ch := make(chan Reply, 1)
 	c.writing.Lock() // so that ids rise on the wire
@@ -131,7 +145,7 @@
 	return id, ch, nil
 }
 
-// Cancel tells that nobody waits for a request any more; its reply is dropped.
+// Cancel tells the server that nobody waits for a request any more; its reply is dropped.
 func (c *Conn) Cancel(id uint64) {
 	c.mu.Lock()
 	pending := c.pending[id] != nil && !c.broken
@@ -140,7 +154,7 @@
 	if pending {
 		c.writing.Lock()
 		defer c.writing.Unlock()
-		c.write(AppendCancel(nil, id)) // where it fails the reader ends
+		_ = c.write(AppendCancel(nil, id)) // where it fails, the connection breaks, and the reading goroutine meets that
 	}
 }
 
@@ -151,41 +165,46 @@
 	return err
 }
 
-// Attempt is a request as a balancer sends it.
+// Attempt is one attempt of a request, as a balancer or router sends it.
 type Attempt struct {
-	ID, Class, Tenant, Key string
-	ReceivedAt             time.Time
-	Timeout                time.Duration
-	HeldKB, Rank           float64
-	Caller                 int
-	Body                   []byte
-	KnownOnly              bool   // only where the key is known
-	Incarnation            int64  // the start of the service that is meant; 0: any
-	ConfigID               string // the document by which it goes there; empty: none is named
+	ID, Class, Tenant string
+	Key               string        // idempotency key; empty: none
+	ReceivedAt        time.Time     // by the balancer, from its caller
+	Timeout           time.Duration // from then until the caller waits no longer
+	HeldKB            float64       // memory that the server books for it
+	Rank              float64       // from 0 to under 1
+	Caller            int
+	Body              []byte
+	KnownOnly         bool   // answered only from a result on record; nothing runs
+	Incarnation       int64  // of the server that is meant, see fieldIncarnation; 0: any
+	ConfigID          string // the document by which it goes there; empty: none is named
 }
 
-// Append appends the try as a message.
+// maxAttemptFields is the number of names and values of an attempt that has all fields.
+const maxAttemptFields = 22
+
+// Append appends the attempt as a message with an id.
 func (t Attempt) Append(b []byte, id uint64) []byte {
-	fields := append(make([]string, 0, 22), "i", t.ID, "s", strconv.FormatInt(t.ReceivedAt.UnixMilli(), 10),
-		"f", strconv.Itoa(t.Caller), "d", strconv.FormatInt(t.Timeout.Milliseconds(), 10),
-		"m", strconv.FormatFloat(t.HeldKB, 'f', 2, 64))
+	fields := append(make([]string, 0, maxAttemptFields), fieldID, t.ID, fieldReceivedAt, strconv.FormatInt(t.ReceivedAt.UnixMilli(), 10),
+		fieldCaller, strconv.Itoa(t.Caller), fieldTimeout, strconv.FormatInt(t.Timeout.Milliseconds(), 10),
+		fieldMemory, strconv.FormatFloat(t.HeldKB, 'f', 2, 64))
 	if t.Tenant != "" {
-		fields = append(fields, "t", t.Tenant)
+		fields = append(fields, fieldTenant, t.Tenant)
 	}
 	if t.Rank > 0 {
-		fields = append(fields, "p", strconv.FormatFloat(t.Rank, 'f', 4, 64))
+		fields = append(fields, fieldRank, strconv.FormatFloat(t.Rank, 'f', 4, 64))
 	}
 	if t.Key != "" {
-		fields = append(fields, "k", t.Key)
+		fields = append(fields, fieldKey, t.Key)
 	}
 	if t.KnownOnly {
-		fields = append(fields, "n", "1")
+		fields = append(fields, fieldKnownOnly, flagSet)
 	}
 	if t.Incarnation != 0 {
-		fields = append(fields, "b", strconv.FormatInt(t.Incarnation, 10))
+		fields = append(fields, fieldIncarnation, strconv.FormatInt(t.Incarnation, 10))
 	}
 	if t.ConfigID != "" {
-		fields = append(fields, "g", t.ConfigID)
+		fields = append(fields, fieldConfigID, t.ConfigID)
 	}
 	return AppendRequest(b, id, t.Class, t.Body, fields...)
 }
--- a/internal/transport/msgpackrpc/conn_test.go
+++ b/internal/transport/msgpackrpc/conn_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bufio"
+	"errors"
 	"net"
 	"testing"
 	"time"
@@ -74,7 +75,7 @@
 	if room, usable := c.Capacity(); room || !usable {
 		t.Errorf("room for request %d", MaxInFlight+1)
 	}
-	if _, _, err := c.Send(func(uint64) []byte { return nil }); err != ErrFull {
+	if _, _, err := c.Send(func(uint64) []byte { return nil }); !errors.Is(err, ErrFull) {
 		t.Errorf("request %d: %v", MaxInFlight+1, err)
 	}
 	go c.Cancel(id)
--- a/internal/transport/msgpackrpc/decode.go
+++ b/internal/transport/msgpackrpc/decode.go
@@ -8,36 +8,21 @@
 	"io"
 )
 
-// Bounds on what a message may hold. Anything beyond them is malformed.
-const (
-	defaultMaxBody = 2 << 10
-	maxText        = 512
-	maxElements    = 64
-	maxDepth       = 4
-)
-
+// errMalformed is of a peer that speaks something else, or beyond the bounds. It closes its connection.
 var errMalformed = errors.New("malformed message")
 
+// malformed returns an errMalformed that says what is wrong.
 func malformed(format string, args ...any) error {
 	return fmt.Errorf("%w: %s", errMalformed, fmt.Sprintf(format, args...))
 }
 
-// kind is the first element of a message.
-type kind uint64
-
-const (
-	request kind = iota
-	response
-	notification
-)
-
-// message is one message of MessagePack-RPC with the parameters that the platform's methods take.
+// message is one message of a balancer, with the parameters that the methods take.
 type message struct {
 	kind    kind
 	id      uint64 // of a request, or the one that methodCancel names
 	method  string
 	status  bool // asks for the state of the service
-	skipped bool // passed over, as its class is shut
+	skipped bool // its class is rejected whatever it says: fields and body were not read
 	fields  map[string]string
 	body    []byte
 }
@@ -45,11 +30,10 @@
 // decoder reads MessagePack values from a connection, with no value larger than its bound.
 type decoder struct {
 	r             *bufio.Reader
-	statusEnabled bool // status requests are known
-	inCell        bool // probes may say something: they come from routers
-	// maxBody bounds a body; 0: defaultMaxBody.
-	maxBody int
-	// rejects reports, of a class, that its request is refused whatever else it says, and so passed over unread.
+	statusEnabled bool // StatusMethod is a method, not a class
+	inCell        bool // a probe may have fields: it comes from a router
+	maxBody       int  // bytes of a body; 0: defaultMaxBody
+	// rejects reports whether a request of a class is rejected whatever it says, so that reading it can be saved; nil: none is.
 	rejects func(class string) bool
 }
 
@@ -77,6 +61,7 @@
 	return int(n), nil
 }
 
+// bodyLimit is the most bytes of a body.
 func (d decoder) bodyLimit() int {
 	if d.maxBody > 0 {
 		return d.maxBody
@@ -84,6 +69,7 @@
 	return defaultMaxBody
 }
 
+// array reads the head of an array and returns its length.
 func (d decoder) array() (int, error) {
 	b, err := d.r.ReadByte()
 	if err != nil {
@@ -98,6 +84,7 @@
 	return 0, malformed("byte %#02x where an array belongs", b)
 }
 
+// uint reads a number that is not negative.
 func (d decoder) uint() (uint64, error) {
 	b, err := d.r.ReadByte()
 	if err != nil {
@@ -144,6 +131,7 @@
 	return v, err
 }
 
+// text reads a text; what it is stands in the error.
 func (d decoder) text(what string) (string, error) {
 	v, err := d.bytes(what, maxText)
 	return string(v), err
@@ -180,7 +168,40 @@
 	return m, nil
 }
 
-// skip passes over one value, for parameters that no method of ours takes.
+// layout is how a value goes on after its first byte.
+type layout struct {
+	size       int    // bytes that follow, beside those that a length counts
+	elements   int    // values that follow
+	lengthSize int    // bytes of a length that follows; 0: there is none
+	perLength  int    // values for each of the length; 0: it counts bytes
+	what       string // that has the length, for errors
+	invalid    bool   // no value begins so
+}
+
+// layouts has the layout of a value by its first byte, as MessagePack's specification has it.
+var layouts = func() (all [256]layout) {
+	set := func(first, last int, at func(i int) layout) {
+		for b := first; b <= last; b++ {
+			all[b] = at(b - first)
+		}
+	}
+	set(0x80, 0x8f, func(i int) layout { return layout{elements: 2 * i} }) // short maps
+	set(0x90, 0x9f, func(i int) layout { return layout{elements: i} })     // short arrays
+	set(0xa0, 0xbf, func(i int) layout { return layout{size: i} })         // short texts
+	set(0xc1, 0xc1, func(int) layout { return layout{invalid: true} })
+	set(0xc4, 0xc6, func(i int) layout { return layout{lengthSize: 1 << i, what: "value"} })        // bytes
+	set(0xc7, 0xc9, func(i int) layout { return layout{size: 1, lengthSize: 1 << i, what: "ext"} }) // with a type byte
+	set(0xca, 0xcb, func(i int) layout { return layout{size: 4 << i} })                             // floats
+	set(0xcc, 0xcf, func(i int) layout { return layout{size: 1 << i} })                             // unsigned numbers
+	set(0xd0, 0xd3, func(i int) layout { return layout{size: 1 << i} })                             // signed numbers
+	set(0xd4, 0xd8, func(i int) layout { return layout{size: 1 + 1<<i} })                           // short ext
+	set(0xd9, 0xdb, func(i int) layout { return layout{lengthSize: 1 << i, what: "value"} })        // texts
+	set(0xdc, 0xdd, func(i int) layout { return layout{lengthSize: 2 << i, perLength: 1, what: "array"} })
+	set(0xde, 0xdf, func(i int) layout { return layout{lengthSize: 2 << i, perLength: 2, what: "map"} })
+	return all // the rest are small numbers, nil, false and true, after which nothing follows
+}()
+
+// skip reads past one value, for parameters that no method takes and for requests that are rejected unread.
 func (d decoder) skip(depth int) error {
 	if depth > maxDepth {
 		return malformed("values nested too deep")
@@ -189,47 +210,33 @@
 	if err != nil {
 		return err
 	}
-	n, elements := 0, 0
+	at := &layouts[b]
+	size, elements := at.size, at.elements
 	switch {
-	case b <= 0x7f || b >= 0xe0 || b == 0xc0 || b == 0xc2 || b == 0xc3:
-		return nil
-	case b >= 0xca && b <= 0xcb: // floats
-		n = 4 << (b - 0xca)
-	case b >= 0xcc && b <= 0xcf:
-		n = 1 << (b - 0xcc)
-	case b >= 0xd0 && b <= 0xd3:
-		n = 1 << (b - 0xd0)
-	case b >= 0xd4 && b <= 0xd8: // fixed ext, with its type byte
-		n = 1 + 1<<(b-0xd4)
-	case b >= 0xc7 && b <= 0xc9: // ext
-		n, err = d.length("ext", d.bodyLimit(), 0, 1<<(b-0xc7))
-		n++
-	case b == 0xc1:
-		err = malformed("byte 0xc1")
-	case b&0xf0 == 0x90:
-		elements = int(b & 0x0f)
-	case b == 0xdc || b == 0xdd:
-		elements, err = d.length("array", maxElements, 0, 2<<(b-0xdc))
-	case b&0xf0 == 0x80:
-		elements = 2 * int(b&0x0f)
-	case b == 0xde || b == 0xdf:
-		elements, err = d.length("map", maxElements, 0, 2<<(b-0xde))
-		elements *= 2
-	case b&0xe0 == 0xa0:
-		n = int(b & 0x1f)
-	case b >= 0xd9 && b <= 0xdb:
-		n, err = d.length("value", d.bodyLimit(), 0, 1<<(b-0xd9))
-	case b >= 0xc4 && b <= 0xc6:
-		n, err = d.length("value", d.bodyLimit(), 0, 1<<(b-0xc4))
+	case at.invalid:
+		return malformed("byte %#02x", b)
+	case at.perLength > 0:
+		n, err := d.length(at.what, maxElements, 0, at.lengthSize)
+		if err != nil {
+			return err
+		}
+		elements = n * at.perLength
+	case at.lengthSize > 0:
+		n, err := d.length(at.what, d.bodyLimit(), 0, at.lengthSize)
+		if err != nil {
+			return err
+		}
+		size += n
 	}
 	for range elements {
-		if err == nil {
-			err = d.skip(depth + 1)
+		if err := d.skip(depth + 1); err != nil {
+			return err
 		}
 	}
-	if err == nil && n > 0 {
-		_, err = d.r.Discard(n)
+	if size == 0 {
+		return nil
 	}
+	_, err = d.r.Discard(size)
 	return err
 }
 
@@ -240,12 +247,13 @@
 		return m, err
 	}
 	err := d.readMessage(&m)
-	if err == io.EOF {
+	if errors.Is(err, io.EOF) {
 		err = io.ErrUnexpectedEOF
 	}
 	return m, err
 }
 
+// readMessage reads a message: its kind, id and method, then its parameters.
 func (d decoder) readMessage(m *message) error {
 	n, err := d.array()
 	if err != nil {
@@ -272,33 +280,48 @@
 	if err != nil {
 		return err
 	}
-	read := 0
+	read, err := d.readParams(m, params)
+	for ; read < params && err == nil; read++ {
+		err = d.skip(0)
+	}
+	return err
+}
+
+// readParams reads the parameters that the message's method takes, and returns how many of them it has read.
+func (d decoder) readParams(m *message, params int) (read int, err error) {
+	if m.kind == notification {
+		return d.readNotification(m, params)
+	}
 	switch {
-	case m.kind == notification && m.method == methodCancel:
-		if params == 0 {
-			return malformed("giveUp of nothing")
+	case m.method == methodProbe:
+		if d.inCell && params > 0 {
+			m.fields, err = d.fields()
+			return 1, err
 		}
-		read = 1
-		m.id, err = d.uint()
-	case m.kind == request && m.method == methodProbe && d.inCell && params > 0:
-		read = 1
-		m.fields, err = d.fields()
-	case m.kind == request && m.method == methodProbe:
-	case m.kind == request && m.method == StatusMethod && params <= 1 && d.statusEnabled:
+		return 0, nil
+	case m.method == StatusMethod && params <= 1 && d.statusEnabled:
 		m.status = true
-	case m.kind == request && params >= 2 && d.rejects != nil && d.rejects(m.method):
+		return 0, nil
+	case params < 2:
+		return 0, malformed("%d parameters of %q", params, m.method)
+	case d.rejects != nil && d.rejects(m.method):
 		m.skipped = true
-	case m.kind == request:
-		if params < 2 {
-			return malformed("%d parameters of %q", params, m.method)
-		}
-		read = 2
-		if m.fields, err = d.fields(); err == nil {
-			m.body, err = d.bytes("body", d.bodyLimit())
-		}
+		return 0, nil
 	}
-	for ; read < params && err == nil; read++ {
-		err = d.skip(0)
+	if m.fields, err = d.fields(); err == nil {
+		m.body, err = d.bytes("body", d.bodyLimit())
 	}
-	return err
+	return 2, err
+}
+
+// readNotification reads the one parameter of methodCancel, the id of a request; other notifications mean nothing here.
+func (d decoder) readNotification(m *message, params int) (read int, err error) {
+	if m.method != methodCancel {
+		return 0, nil
+	}
+	if params == 0 {
+		return 0, malformed("%s of nothing", methodCancel)
+	}
+	m.id, err = d.uint()
+	return 1, err
 }
--- a/internal/transport/msgpackrpc/decode_test.go
+++ b/internal/transport/msgpackrpc/decode_test.go
@@ -41,7 +41,7 @@
 			t.Fatalf("message %d of a stream: %v", i, err)
 		}
 	}
-	if _, err := (decoder{r: r}).message(); err != io.EOF {
+	if _, err := (decoder{r: r}).message(); !errors.Is(err, io.EOF) {
 		t.Fatalf("at the end of the stream: %v", err)
 	}
 }
@@ -50,7 +50,7 @@
 func TestCuts(t *testing.T) {
 	for i, b := range valid {
 		for n := 1; n < len(b); n++ {
-			if _, err := read(b[:n]); err != io.ErrUnexpectedEOF {
+			if _, err := read(b[:n]); !errors.Is(err, io.ErrUnexpectedEOF) {
 				t.Fatalf("message %d cut at %d of %d: %v", i, n, len(b), err)
 			}
 		}
--- a/internal/transport/msgpackrpc/front.go
+++ b/internal/transport/msgpackrpc/front.go
@@ -1,53 +1,22 @@
-// Package msgpackrpc is the platform's front: MessagePack-RPC over TCP. It parses, maps and writes; what
-// becomes of a request is the core's and the module's.
 package msgpackrpc
 
 import (
+	"bufio"
 	"errors"
 	"io"
 	"log"
 	"net"
 	"os"
 	"runtime"
-	"strconv"
 	"sync"
 	"time"
 
-	"silverpath"
 	"silverpath/internal/core"
 	"silverpath/internal/metrics"
-	"silverpath/internal/policy/configstore"
 	"silverpath/internal/transport/bufferpool"
 	"silverpath/internal/transport/listener"
 )
 
-// Name is the front's name in counters and log lines.
-const Name = "msgpack"
-
-const (
-	// StatusMethod asks for the state of the service as JSON, where the core tells it.
-	StatusMethod = "status"
-
-	methodProbe  = "probe"
-	methodCancel = "giveUp"
-	methodDrain  = "lastCall"
-	// methodLastTaken is said to routers before a connection at rest is ended: the number of the last message on it that was taken.
-	// What crosses the end with a higher one was not and never will be, so that it may be sent again, sheets too.
-	methodLastTaken = "lastTaken"
-	errorFull       = "Full"
-	errorFailed     = "Error"
-
-	// SlowStartProbeIntervals is for how many of its probes' intervals a router goes by its part of a server that is cold.
-	SlowStartProbeIntervals = 3
-
-	maxInFlightServed = 64 // requests on a connection; balancers keep to half of that
-	writeTimeout      = 2 * time.Second
-	lastTakenTimeout  = 10 * time.Millisecond // of notifyLastTaken: whoever takes nothing hears nothing
-	maxClockSkew      = 10 * time.Second      // by which a balancer's clock may be ahead
-	maxTimeout        = time.Hour
-	maxTerm           = time.Hour // of those that a router names
-)
-
 // Front serves balancers.
 type Front struct {
 	core   *core.Core
@@ -56,7 +25,7 @@
 	writes *metrics.Timing
 }
 
-// New returns the front of a core.
+// New returns the front of a core. Its Serve is given to a listener.
 func New(c *core.Core, l *log.Logger, s *metrics.Counters) *Front {
 	return &Front{c, l, s, s.Timing("write", Name)}
 }
@@ -68,18 +37,18 @@
 	slot *listener.Slot
 
 	mu             sync.Mutex
-	pending        map[uint64]string // request ids by message id
+	pending        map[uint64]string // ids of requests in flight, by message id
 	writingAnswers int               // answers that are being written
-	lastTakenID    uint64            // number of the last request taken
-	drainNotified  bool              // notifyDrain was sent
-	broken         bool
+	lastTakenID    uint64            // message id of the last request taken
+	drainNotified  bool              // methodDrain was sent
+	broken         bool              // a write failed: nothing more is written
 
-	writing sync.Mutex
+	writing sync.Mutex // one message at a time
 
-	skippedAnswer core.Answer // of the request passed over unread just now; the reader's own
+	skippedAnswer core.Answer // to the request that the decoder skipped just now; only the reading goroutine uses it
 }
 
-// Serve is the life of one connection.
+// Serve reads the messages of one connection until it ends, and answers them. It returns once every answer is written, or can't be.
 func (f *Front) Serve(conn net.Conn, slot *listener.Slot) {
 	c := &client{Front: f, conn: conn, slot: slot, pending: map[uint64]string{}}
 	slot.OnDrain(c.notifyDrain)
@@ -94,33 +63,10 @@
 		return rejected
 	}}
 	var requests sync.WaitGroup
-	var err error
-	conn.SetReadDeadline(time.Now().Add(listener.MessageTimeout)) // who connects and says nothing keeps no place
-	for n := 1; err == nil; n++ {
-		if n%listener.MessagesPerTurn == 0 {
-			runtime.Gosched()
-		}
-		if _, err = r.Peek(1); err != nil {
-			break
-		}
-		conn.SetReadDeadline(time.Now().Add(listener.MessageTimeout))
-		var m message
-		if m, err = d.message(); err != nil {
-			break
-		}
-		conn.SetReadDeadline(time.Time{})
-		if !slot.BeginMessage() {
-			break // its place was given up as this came: nothing of it ran
-		}
-		err = c.handle(m, &requests)
-		if r.Buffered() == 0 {
-			slot.EndMessage()
-		} // else more has been read already, which nobody can see on the connection
-	}
-	// What comes to a half is no request. It costs nobody an answer: what was asked before it is answered as long as the
-	// other side may read.
+	err := c.readMessages(r, d, &requests)
+	// Half a message is no request, and costs nobody an answer: what came before it is answered as long as the other side reads.
 	switch {
-	case err == nil || err == io.EOF || errors.Is(err, os.ErrDeadlineExceeded) && slot.Evicted():
+	case err == nil || errors.Is(err, io.EOF) || errors.Is(err, os.ErrDeadlineExceeded) && slot.Evicted():
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		f.stats.Inc("too_slow", Name)
 	case errors.Is(err, errMalformed) || errors.Is(err, io.ErrUnexpectedEOF):
@@ -133,102 +79,37 @@
 	slot.CloseGracefully(r)
 }
 
-// handle does what one message asks.
-func (c *client) handle(m message, requests *sync.WaitGroup) error {
-	switch {
-	case m.kind == notification:
-		if m.method == methodCancel {
-			c.stats.Inc("give_up", Name)
-			c.mu.Lock()
-			id := c.pending[m.id]
-			delete(c.pending, m.id)
-			c.slot.SetInFlight(len(c.pending) + c.writingAnswers)
-			c.mu.Unlock()
-			if id != "" {
-				c.core.CallerGone(id)
-			}
+// readMessages handles one message after another. It returns nil where the slot was evicted as a message came, of which then
+// nothing runs; io.EOF at a clean end.
+func (c *client) readMessages(r *bufio.Reader, d decoder, requests *sync.WaitGroup) error {
+	c.conn.SetReadDeadline(time.Now().Add(listener.MessageTimeout)) // who connects and sends nothing keeps no place
+	for n := 1; ; n++ {
+		if n%listener.MessagesPerTurn == 0 {
+			runtime.Gosched()
 		}
-		return nil
-	case m.method == methodProbe:
-		c.stats.Inc("probes", Name)
-		c.slot.PaceCheapCall()
-		c.respondToProbe(m)
-		return nil
-	}
-	c.mu.Lock()
-	c.lastTakenID = max(c.lastTakenID, m.id)
-	c.mu.Unlock()
-	if m.status {
-		c.stats.Inc("status", Name)
-		c.slot.PaceCheapCall()
-		c.reply(m.id, core.Answer{Outcome: core.Served, Body: c.core.Status()})
-		return nil
-	}
-	if m.skipped {
-		c.reply(m.id, c.skippedAnswer)
-		return nil
-	}
-	if k, _ := c.core.Class(m.method); !c.slot.AdmitsWork() && k.Effect != silverpath.Idempotent {
-		// What is left of the connections is for what is cheap, and a sheet may be: the repeat of one that has run.
-		c.stats.Inc("turned_away", Name, "reserve")
-		c.reply(m.id, core.Answer{Outcome: core.Rejected, RetryAfter: c.core.RetryAfter()})
-		c.notifyDrain()
-		return nil
-	}
-	r, problem := mapRequest(m, time.Now(), c.core)
-	if r.RulesID != "" {
-		r.RulesSource = c.conn.RemoteAddr().String()
-	}
-	c.mu.Lock()
-	if _, duplicate := c.pending[m.id]; duplicate {
-		c.mu.Unlock()
-		return malformed("message id %d given twice", m.id)
-	}
-	tooMany := len(c.pending) >= maxInFlightServed
-	if problem == "" && !tooMany {
-		c.pending[m.id] = r.ID
-		c.slot.SetInFlight(len(c.pending) + c.writingAnswers)
-	}
-	c.mu.Unlock()
-	switch {
-	case problem == core.ReasonBoot:
-		c.stats.Inc("turned_away", Name, problem)
-		c.reply(m.id, core.Answer{Outcome: core.Rejected, RetryAfter: c.core.RetryAfter(), Reason: problem})
-	case problem != "":
-		c.stats.Inc("bad_field", Name, problem)
-		c.reply(m.id, core.Answer{Outcome: core.Failed})
-	case tooMany:
-		c.stats.Inc("turned_away", Name, "too_many_open")
-		c.reply(m.id, core.Answer{Outcome: core.Rejected, RetryAfter: c.core.RetryAfter()})
-	default:
-		requests.Add(1)
-		go func() {
-			defer requests.Done()
-			c.core.Serve(r, func(a core.Answer) { c.respond(m.id, r.ID, a) })
-		}()
-	}
-	return nil
-}
-
-// respondToProbe answers a health check. A router says with it by which rules it goes, and hears what else is known of them.
-func (c *client) respondToProbe(m message) {
-	var fields []string
-	if id := m.fields["g"]; id != "" {
-		ms := func(key string) time.Duration {
-			n, _ := strconv.ParseInt(m.fields[key], 10, 64)
-			return time.Duration(max(0, min(n, maxTerm.Milliseconds()))) * time.Millisecond
+		if _, err := r.Peek(1); err != nil {
+			return err
+		}
+		c.conn.SetReadDeadline(time.Now().Add(listener.MessageTimeout))
+		m, err := d.message()
+		if err != nil {
+			return err
+		}
+		c.conn.SetReadDeadline(time.Time{})
+		if !c.slot.BeginMessage() {
+			return nil
+		}
+		err = c.handle(m, requests)
+		if r.Buffered() == 0 { // else more has been read already, which a look at the socket does not show
+			c.slot.EndMessage()
 		}
-		c.core.ObserveRules(id, m.fields["gn"], configstore.Terms{Lease: ms("gl"), ClockSkew: ms("gs"), ProbeInterval: ms("gp"), ProbeTimeout: ms("gw"), OverlapWindow: ms("gd")})
-		fields = c.core.RulesNotice()
-		inFlight, _ := strconv.Atoi(m.fields["fl"])
-		if share, warming := c.core.SlowStart(m.fields["gn"], inFlight, SlowStartProbeIntervals*max(ms("gp"), time.Millisecond)); warming {
-			fields = append(fields, "c", strconv.Itoa(share))
+		if err != nil {
+			return err
 		}
 	}
-	c.write(func(b []byte) []byte { return appendHealth(b, m.id, c.core.Health(), c.withServerState(fields)) })
 }
 
-// abort gives up the connection: nobody can be answered on it any more.
+// abort closes a connection on which nobody can be answered any more, and lets the core know of each request in flight.
 func (c *client) abort() {
 	c.conn.Close()
 	c.mu.Lock()
@@ -241,122 +122,8 @@
 	}
 }
 
-// mapRequest reads the fields of a request. The problem names the first field that is no good.
-func mapRequest(m message, now time.Time, c *core.Core) (r core.Request, problem string) {
-	f := m.fields
-	stamp, err := strconv.ParseInt(f["s"], 10, 64)
-	if err != nil || stamp < 0 || stamp > now.Add(maxClockSkew).UnixMilli() {
-		return r, "s"
-	}
-	timeoutMs, err := strconv.ParseInt(f["d"], 10, 64)
-	switch k, known := c.Class(m.method); {
-	case f["d"] == "" && known:
-		timeoutMs = k.Deadline.Milliseconds()
-	case err != nil || timeoutMs < 0 || timeoutMs > maxTimeout.Milliseconds():
-		return r, "d"
-	}
-	reservedKB, err := strconv.ParseFloat(f["m"], 64)
-	if err != nil || !(reservedKB > 0 && reservedKB < 2000) {
-		return r, "m"
-	}
-	if f["i"] == "" {
-		return r, "i"
-	}
-	rank, err := strconv.ParseFloat(f["p"], 64)
-	if f["p"] != "" && (err != nil || !(rank >= 0 && rank < 1)) {
-		return r, "p"
-	}
-	caller, err := strconv.Atoi(f["f"])
-	if f["f"] != "" && (err != nil || caller < 0) {
-		return r, "f"
-	}
-	incarnation, inCell := c.StartStamp()
-	if inCell && f["b"] != "" && f["b"] != strconv.FormatInt(incarnation, 10) {
-		return r, core.ReasonBoot
-	}
-	receivedAt := time.UnixMilli(stamp)
-	configID := ""
-	if inCell && f["k"] != "" {
-		configID = f["g"]
-	}
-	return core.Request{
-		Front: Name, ID: f["i"], Class: m.method, Tenant: f["t"], Key: f["k"], Object: f["o"],
-		Caller: caller, MemoryKB: reservedKB, Rank: rank, Body: m.body, OnlyIfKnown: inCell && f["n"] == "1" && f["k"] != "",
-		RulesID:    configID,
-		ReceivedAt: receivedAt, Deadline: receivedAt.Add(time.Duration(timeoutMs) * time.Millisecond),
-	}, ""
-}
-
-// withServerState appends the free value, where the module has set one.
-func (c *client) withServerState(pairs []string) []string {
-	if v, ok := c.core.Signal(); ok {
-		pairs = append(pairs, "v", strconv.FormatFloat(v, 'f', -1, 64))
-	}
-	if incarnation, inCell := c.core.StartStamp(); inCell {
-		pairs = append(pairs, "b", strconv.FormatInt(incarnation, 10))
-		if c.core.Cold() {
-			pairs = append(pairs, "cs", "1")
-		}
-		if lastRun := c.core.UnknownRunsUntil(); lastRun != 0 {
-			pairs = append(pairs, "l", strconv.FormatInt(lastRun, 10))
-		}
-	}
-	return pairs
-}
-
-// respond writes the answer of an open request. One that was given up is owed none, and its number may by now be
-// another request's.
-func (c *client) respond(id uint64, requestID string, a core.Answer) {
-	c.mu.Lock()
-	pending := c.pending[id] == requestID
-	if pending {
-		delete(c.pending, id)
-		c.writingAnswers++ // until it is written the connection is not idle
-	}
-	c.mu.Unlock()
-	if !pending {
-		return
-	}
-	c.reply(id, a)
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.writingAnswers--
-	c.slot.SetInFlight(len(c.pending) + c.writingAnswers)
-}
-
-func (c *client) reply(id uint64, a core.Answer) {
-	c.write(func(b []byte) []byte { return appendAnswer(b, id, a, c.withServerState(nil)) })
-}
-
-func appendAnswer(b []byte, id uint64, a core.Answer, fields []string) []byte {
-	b = appendUint(appendUint(appendArray(b, 4), uint64(response)), id)
-	switch a.Outcome {
-	case core.Served:
-		b = appendArray(appendNil(b), 2)
-		return appendFields(appendBin(b, a.Body), fields)
-	case core.Rejected:
-		if a.RetryAfter > 0 {
-			fields = append(fields, "w", strconv.FormatInt(max(1, a.RetryAfter.Milliseconds()), 10))
-		}
-		if a.Final {
-			fields = append(fields, "l", "1")
-		}
-		if a.Reason != "" {
-			fields = append(fields, "x", a.Reason)
-		}
-		b = appendText(appendArray(b, 2), errorFull)
-	default:
-		b = appendText(appendArray(b, 2), errorFailed)
-	}
-	return appendNil(appendFields(b, fields))
-}
-
-func appendHealth(b []byte, id uint64, healthy bool, fields []string) []byte {
-	b = appendUint(appendUint(appendArray(b, 4), uint64(response)), id)
-	return appendFields(appendBool(appendArray(appendNil(b), 2), healthy), fields)
-}
-
-// notifyDrain tells the balancer to bring no more on this connection; it closes it once all is answered.
+// notifyDrain asks the balancer, once, to send no more on this connection; it closes it when all is answered. The listener calls it
+// in a drain and where a connection idles.
 func (c *client) notifyDrain() {
 	c.mu.Lock()
 	notified := c.drainNotified
@@ -369,20 +136,22 @@
 	}
 }
 
-// notifyLastTaken tells a router up to which number requests on this connection were taken. None is from now on.
+// notifyLastTaken tells a router up to which message id requests on this connection were taken; none is from now on. Without it a
+// request that crosses the close would fail, as it might have run. The listener calls it before it closes the connection.
 func (c *client) notifyLastTaken() {
 	c.mu.Lock()
 	id := c.lastTakenID
 	c.mu.Unlock()
 	if !c.writing.TryLock() {
-		return // something is stuck in it
+		return // an answer is stuck in it: the peer reads nothing
 	}
 	defer c.writing.Unlock()
 	c.conn.SetWriteDeadline(time.Now().Add(lastTakenTimeout))
-	c.conn.Write(appendUint(appendArray(appendText(appendUint(appendArray(nil, 3), uint64(notification)), methodLastTaken), 1), id))
+	_, _ = c.conn.Write(appendUint(appendArray(appendText(appendUint(appendArray(nil, 3), uint64(notification)), methodLastTaken), 1), id))
 }
 
-// write writes one message. A peer that takes nothing for writeTimeout loses its connection.
+// write writes one message, which message appends to a pooled buffer. After an error nothing more is written: the reading
+// goroutine meets the closed connection and aborts.
 func (c *client) write(message func([]byte) []byte) {
 	b := bufferpool.Get()
 	defer bufferpool.Put(b)
@@ -404,6 +173,6 @@
 		c.mu.Lock()
 		c.broken = true
 		c.mu.Unlock()
-		c.conn.Close() // the reader gives up what is open
+		c.conn.Close()
 	}
 }
--- a/internal/transport/msgpackrpc/front_test.go
+++ b/internal/transport/msgpackrpc/front_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bufio"
+	"errors"
 	"io"
 	"log"
 	"net"
@@ -38,7 +39,7 @@
 		if a, err := ReadReply(r); err != nil || a.ID != 7 || string(a.Body) != "second" {
 			t.Fatalf("answer %+v, %v", a, err)
 		}
-		if _, err := ReadReply(r); err != io.EOF {
+		if _, err := ReadReply(r); !errors.Is(err, io.EOF) {
 			t.Fatalf("a second answer: %v", err)
 		}
 	})
--- /dev/null
+++ b/internal/transport/msgpackrpc/request.go
@@ -0,0 +1,182 @@
+package msgpackrpc
+
+import (
+	"strconv"
+	"sync"
+	"time"
+
+	"silverpath"
+	"silverpath/internal/core"
+)
+
+// handle does what one message asks. An error is of a malformed message, and ends the connection.
+func (c *client) handle(m message, requests *sync.WaitGroup) error {
+	switch {
+	case m.kind == notification:
+		if m.method == methodCancel {
+			c.cancel(m.id)
+		}
+		return nil
+	case m.method == methodProbe:
+		c.stats.Inc("probes", Name)
+		c.slot.PaceCheapCall()
+		c.respondToProbe(m)
+		return nil
+	}
+	c.mu.Lock()
+	c.lastTakenID = max(c.lastTakenID, m.id)
+	c.mu.Unlock()
+	switch {
+	case m.status:
+		c.stats.Inc("status", Name)
+		c.slot.PaceCheapCall()
+		c.reply(m.id, core.Answer{Outcome: core.Served, Body: c.core.Status()})
+		return nil
+	case m.skipped:
+		c.reply(m.id, c.skippedAnswer)
+		return nil
+	}
+	if k, _ := c.core.Class(m.method); !c.slot.AdmitsWork() && k.Effect != silverpath.Idempotent {
+		// The rest of the connections is for cheap calls. An idempotent request may be one: the repeat of one that has run.
+		c.stats.Inc("turned_away", Name, "reserve")
+		c.reply(m.id, core.Answer{Outcome: core.Rejected, RetryAfter: c.core.RetryAfter()})
+		c.notifyDrain()
+		return nil
+	}
+	return c.serve(m, requests)
+}
+
+// cancel drops a request in flight: its caller has given it up. What came before it on the connection may have answered it already.
+func (c *client) cancel(id uint64) {
+	c.stats.Inc("give_up", Name)
+	c.mu.Lock()
+	requestID := c.pending[id]
+	delete(c.pending, id)
+	c.slot.SetInFlight(len(c.pending) + c.writingAnswers)
+	c.mu.Unlock()
+	if requestID != "" {
+		c.core.CallerGone(requestID)
+	}
+}
+
+// serve has the core serve a request for work, or answers one that it can't be given: with a bad field, for another incarnation of
+// this server, or one too many on the connection.
+func (c *client) serve(m message, requests *sync.WaitGroup) error {
+	r, badField := mapRequest(m, time.Now(), c.core)
+	if r.RulesID != "" {
+		r.RulesSource = c.conn.RemoteAddr().String()
+	}
+	c.mu.Lock()
+	if _, duplicate := c.pending[m.id]; duplicate {
+		c.mu.Unlock()
+		return malformed("message id %d given twice", m.id)
+	}
+	tooMany := len(c.pending) >= maxInFlightServed
+	if badField == "" && !tooMany {
+		c.pending[m.id] = r.ID
+		c.slot.SetInFlight(len(c.pending) + c.writingAnswers)
+	}
+	c.mu.Unlock()
+	switch {
+	case badField == core.ReasonBoot:
+		c.stats.Inc("turned_away", Name, badField)
+		c.reply(m.id, core.Answer{Outcome: core.Rejected, RetryAfter: c.core.RetryAfter(), Reason: badField})
+	case badField != "":
+		c.stats.Inc("bad_field", Name, badField)
+		c.reply(m.id, core.Answer{Outcome: core.Failed})
+	case tooMany:
+		c.stats.Inc("turned_away", Name, "too_many_open")
+		c.reply(m.id, core.Answer{Outcome: core.Rejected, RetryAfter: c.core.RetryAfter()})
+	default:
+		requests.Add(1)
+		go func() {
+			defer requests.Done()
+			c.core.Serve(r, func(a core.Answer) { c.respond(m.id, r.ID, a) })
+		}()
+	}
+	return nil
+}
+
+// mapRequest maps a message's fields to a request of the core. BadField is the first field that is missing or out of its bounds, or
+// core.ReasonBoot for a request that is meant for another incarnation of this server; empty: none.
+func mapRequest(m message, now time.Time, c *core.Core) (r core.Request, badField string) {
+	f := m.fields
+	receivedAt, ok := parseReceivedAt(f[fieldReceivedAt], now)
+	if !ok {
+		return r, fieldReceivedAt
+	}
+	timeout, ok := requestTimeout(f[fieldTimeout], m.method, c)
+	if !ok {
+		return r, fieldTimeout
+	}
+	memoryKB, ok := parseMemory(f[fieldMemory])
+	if !ok {
+		return r, fieldMemory
+	}
+	if f[fieldID] == "" {
+		return r, fieldID
+	}
+	rank, ok := parseRank(f[fieldRank])
+	if !ok {
+		return r, fieldRank
+	}
+	caller, ok := parseCaller(f[fieldCaller])
+	if !ok {
+		return r, fieldCaller
+	}
+	incarnation, inCell := c.StartStamp()
+	if inCell && f[fieldIncarnation] != "" && f[fieldIncarnation] != strconv.FormatInt(incarnation, 10) {
+		return r, core.ReasonBoot
+	}
+	r = core.Request{
+		Front: Name, ID: f[fieldID], Class: m.method, Tenant: f[fieldTenant], Key: f[fieldKey], Object: f[fieldObject],
+		Caller: caller, MemoryKB: memoryKB, Rank: rank, Body: m.body, ReceivedAt: receivedAt, Deadline: receivedAt.Add(timeout),
+	}
+	if inCell && r.Key != "" {
+		r.OnlyIfKnown, r.RulesID = f[fieldKnownOnly] == flagSet, f[fieldConfigID]
+	}
+	return r, ""
+}
+
+// requestTimeout reads how long the caller waits, from the balancer's receipt of the request. Where the field is missing, it is the
+// deadline of the class.
+func requestTimeout(text, class string, c *core.Core) (timeout time.Duration, ok bool) {
+	if k, known := c.Class(class); text == "" && known {
+		return k.Deadline.Truncate(time.Millisecond), true
+	}
+	ms, err := strconv.ParseInt(text, 10, 64)
+	if err != nil || ms < 0 || ms > maxTimeout.Milliseconds() {
+		return 0, false
+	}
+	return time.Duration(ms) * time.Millisecond, true
+}
+
+// parseReceivedAt reads when the balancer received a request. A balancer's clock may be ahead by maxClockSkew.
+func parseReceivedAt(text string, now time.Time) (time.Time, bool) {
+	ms, err := strconv.ParseInt(text, 10, 64)
+	return time.UnixMilli(ms), err == nil && ms >= 0 && ms <= now.Add(maxClockSkew).UnixMilli()
+}
+
+// parseMemory reads the kilobytes that a request books.
+func parseMemory(text string) (kb float64, ok bool) {
+	kb, err := strconv.ParseFloat(text, 64)
+	return kb, err == nil && kb > 0 && kb < maxMemoryKB
+}
+
+// parseRank reads a rank, 0 where it is missing.
+func parseRank(text string) (rank float64, ok bool) {
+	if text == "" {
+		return 0, true
+	}
+	rank, err := strconv.ParseFloat(text, 64)
+	return rank, err == nil && rank >= 0 && rank < 1
+}
+
+// parseCaller reads a caller's number, 0 where it is missing.
+func parseCaller(text string) (caller int, ok bool) {
+	if text == "" {
+		return 0, true
+	}
+	caller, err := strconv.Atoi(text)
+	return caller, err == nil && caller >= 0
+}
