--- a/cmd/silverpath/cells.go
+++ b/cmd/silverpath/cells.go
@@ -76,7 +76,7 @@
 	move := func(use, short string, write bool) *cobra.Command {
 		c := &cobra.Command{Use: use, Short: short, Args: cobra.NoArgs, RunE: func(c *cobra.Command, _ []string) error {
 			if write && g.Group != "" {
-				return request(c, &g, within, controller.KindMove, controller.MoveRequest{Tenant: tenant, To: to, Shard: shard}, asJSON)
+				return requestPlacement(c, &g, within, controller.KindMove, controller.MoveRequest{Tenant: tenant, To: to, Shard: shard}, asJSON)
 			}
 			return change(c, write, func(m *cells.Map, now time.Time) (*cells.Map, error) {
 				p, err := m.PlanMove(now, tenant, to, shard)
@@ -102,7 +102,7 @@
 	abort := &cobra.Command{Use: "abort", Short: "Take a move back that is prepared or in force", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			if g.Group != "" {
-				return request(c, &g, within, controller.KindAbort, controller.MoveRequest{Tenant: tenant}, asJSON)
+				return requestPlacement(c, &g, within, controller.KindAbort, controller.MoveRequest{Tenant: tenant}, asJSON)
 			}
 			return change(c, true, func(m *cells.Map, now time.Time) (*cells.Map, error) { return m.PlanAbort(now, tenant) })
 		}}
--- /dev/null
+++ b/cmd/silverpath/fleet.go
@@ -0,0 +1,161 @@
+package main
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"text/tabwriter"
+	"time"
+
+	"github.com/spf13/cobra"
+
+	"silverpath/internal/policy/controller"
+	"silverpath/internal/policy/statemachine"
+)
+
+// fleetCommand begins rollouts, shows them, and directs the one under way.
+func fleetCommand() *cobra.Command {
+	var g groupAccess
+	cmd := &cobra.Command{Use: "fleet", Short: "Take a fleet's servers out and back, one after the other: see docs/duties.md"}
+	g.addFlags(cmd)
+	cmd.AddCommand(fleetRoll(&g), fleetStatus(&g),
+		fleetDirect(&g, controller.DirectPause, "Send nobody else out; who is out returns"),
+		fleetDirect(&g, controller.DirectResume, "Go on"),
+		fleetDirect(&g, controller.DirectAbort, "Send nobody else out, have those return who are, and end"))
+	return cmd
+}
+
+func fleetRoll(g *groupAccess) *cobra.Command {
+	var spec controller.RolloutSpec
+	var dwell, back time.Duration
+	var wait bool
+	cmd := &cobra.Command{Use: "roll", Short: "Evacuate the servers and have them return, never more than so many out", Args: cobra.NoArgs,
+		RunE: func(c *cobra.Command, _ []string) error {
+			spec.DwellMS, spec.ReturnMS = dwell.Milliseconds(), back.Milliseconds()
+			if err := spec.Check(); err != nil {
+				return err
+			}
+			return g.inTime(func(ctx context.Context) error {
+				id, err := submit(ctx, &g.client, controller.RolloutDuty, controller.KindRollout, spec)
+				if err != nil {
+					return err
+				}
+				fmt.Fprintln(c.OutOrStdout(), id)
+				if !wait {
+					return nil
+				}
+				it, err := followItem(ctx, &g.client, controller.RolloutDuty, id, func(it controller.Item) { fmt.Fprintln(c.ErrOrStderr(), rolloutLine(it)) })
+				if err == nil && it.State != controller.Done {
+					err = errors.New(it.Note)
+				}
+				return err
+			})
+		}}
+	f := cmd.Flags()
+	f.StringSliceVar(&spec.Servers, "servers", nil, "which (default: all of the map)")
+	f.IntVar(&spec.MaxOutPerCell, "cell-most", 1, "out at once in a cell")
+	f.IntVar(&spec.MaxOut, "all-most", 1, "out at once in all")
+	f.DurationVar(&dwell, "dwell", 5*time.Second, "how long each is out, at least")
+	f.DurationVar(&back, "back", 30*time.Second, "within which it has to be ready again, or the roll stops")
+	f.Float64Var(&spec.MinServedShare, "worth-least", 0, "part of the worth that has to be served, or the roll stops; 0: not looked at")
+	f.BoolVar(&wait, "wait", false, "wait for its end, within --within")
+	return cmd
+}
+
+func fleetStatus(g *groupAccess) *cobra.Command {
+	var at []string
+	cmd := &cobra.Command{Use: "status", Short: "Show the roll under way, or the last one; with --at, how far processes are on their way back", Args: cobra.NoArgs,
+		RunE: func(c *cobra.Command, _ []string) error {
+			if len(at) > 0 {
+				return showReturns(c, at, g.asJSON)
+			}
+			return g.inTime(func(ctx context.Context) error {
+				v, err := g.client.Read(ctx, controller.RolloutDuty)
+				if err != nil {
+					return err
+				}
+				it := latestRollout(v.Journals[controller.RolloutDuty])
+				if it == nil {
+					return errors.New("no roll yet")
+				}
+				if g.asJSON {
+					return printJSON(c.OutOrStdout(), it)
+				}
+				return printRollout(c.OutOrStdout(), *it)
+			})
+		}}
+	cmd.Flags().StringSliceVar(&at, "at", nil, "addresses of routers and servers that are asked how far they have come: see docs/recovery.md")
+	return cmd
+}
+
+// latestRollout is the rollout under way, else the last one; nil: there was none.
+func latestRollout(j *controller.Journal) *controller.Item {
+	if it := j.Current(); it != nil {
+		return it
+	}
+	if len(j.Items) > 0 {
+		return &j.Items[len(j.Items)-1]
+	}
+	return nil
+}
+
+func printRollout(out io.Writer, it controller.Item) error {
+	fmt.Fprintln(out, rolloutLine(it))
+	p, ok := rolloutProgress(it)
+	if !ok {
+		return nil
+	}
+	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
+	fmt.Fprintln(w, "SERVER\tCELL\tSTAGE")
+	for _, s := range p.Servers {
+		fmt.Fprintf(w, "%s\t%s\t%s\n", s.Name, s.Cell, s.Stage)
+	}
+	return w.Flush()
+}
+
+// fleetDirect is a command that gives a directive for the rollout under way.
+func fleetDirect(g *groupAccess, directive, short string) *cobra.Command {
+	return &cobra.Command{Use: directive, Short: short, Args: cobra.NoArgs, RunE: func(*cobra.Command, []string) error {
+		return g.inTime(func(ctx context.Context) error {
+			v, err := g.client.Read(ctx, controller.RolloutDuty)
+			if err != nil {
+				return err
+			}
+			it := v.Journals[controller.RolloutDuty].Current()
+			if it == nil {
+				return errors.New("no roll is under way")
+			}
+			_, err = agreed(ctx, &g.client, statemachine.Command{Directive: &statemachine.Directive{Duty: controller.RolloutDuty, ID: it.ID, Directive: directive}})
+			return err
+		})
+	}}
+}
+
+// rolloutProgress reads how far a rollout is; ok is false for one that has not begun.
+func rolloutProgress(it controller.Item) (p controller.RolloutProgress, ok bool) {
+	ok = it.Plan != "" && json.Unmarshal([]byte(it.Plan), &p) == nil
+	return p, ok
+}
+
+// rolloutLine is a rollout in one line.
+func rolloutLine(it controller.Item) string {
+	s := fmt.Sprintf("%s: %s, epoch %v, step %d", it.ID, it.State, it.Epoch, it.Step)
+	if p, ok := rolloutProgress(it); ok {
+		returned := 0
+		for _, server := range p.Servers {
+			if server.Stage == controller.Returned {
+				returned++
+			}
+		}
+		s += fmt.Sprintf(", %d of %d back, %d out", returned, len(p.Servers), p.OutCount())
+	}
+	if it.Directive != "" {
+		s += ", " + it.Directive
+	}
+	if it.Note != "" {
+		s += ": " + it.Note
+	}
+	return s
+}
--- a/cmd/silverpath/quorum.go
+++ b/cmd/silverpath/quorum.go
@@ -2,12 +2,14 @@
 
 import (
 	"context"
+	"crypto/rand"
+	"encoding/hex"
 	"encoding/json"
 	"errors"
 	"fmt"
+	"io"
 	"os"
 	"path/filepath"
-	"slices"
 	"syscall"
 	"text/tabwriter"
 	"time"
@@ -16,8 +18,27 @@
 
 	"silverpath/internal/controlplane/quorum"
 	"silverpath/internal/policy/lease"
+	"silverpath/internal/policy/statemachine"
 )
 
+// groupAccess is a command's way to the group: its flags, and the time that it has.
+type groupAccess struct {
+	client quorum.Client
+	within time.Duration
+	asJSON bool
+}
+
+// addFlags adds the flags that say which group is asked, and in which form the answer is printed.
+func (g *groupAccess) addFlags(c *cobra.Command) {
+	groupFlags(c, &g.client, &g.within)
+	c.PersistentFlags().BoolVar(&g.asJSON, "json", false, "print JSON")
+}
+
+// inTime calls with the time that the command has.
+func (g *groupAccess) inTime(do func(ctx context.Context) error) error {
+	return inTime(&g.client, g.within, do)
+}
+
 // groupFlags adds the flags that say which group is asked.
 func groupFlags(c *cobra.Command, g *quorum.Client, within *time.Duration) {
 	c.PersistentFlags().StringVar(&g.Group, "group", "", "the group's name")
@@ -36,6 +57,39 @@
 	return do(ctx)
 }
 
+// agreed has the group agree on a command, and makes its refusal an error.
+func agreed(ctx context.Context, g *quorum.Client, c statemachine.Command) (statemachine.Result, error) {
+	r, err := g.Do(ctx, c)
+	if err == nil && r.Error != "" {
+		err = errors.New(r.Error)
+	}
+	return r, err
+}
+
+// submit queues a request to a duty, and returns the ID that it has there.
+func submit(ctx context.Context, g *quorum.Client, duty, kind string, args any) (id string, err error) {
+	raw, err := json.Marshal(args)
+	if err != nil {
+		return "", err
+	}
+	id = kind + "-" + newID()
+	_, err = agreed(ctx, g, statemachine.Command{Submit: &statemachine.SubmitItem{Duty: duty, ID: id, Kind: kind, Args: raw}})
+	return id, err
+}
+
+// newID is a number that no other request has.
+func newID() string {
+	var b [6]byte
+	rand.Read(b[:]) // it never fails: it ends the program instead
+	return hex.EncodeToString(b[:])
+}
+
+func printJSON(w io.Writer, v any) error {
+	e := json.NewEncoder(w)
+	e.SetIndent("", "  ")
+	return e.Encode(v)
+}
+
 // runMember runs the program of members in this one's place. It is a program of its own beside this one, so that servers and
 // routers carry nothing of it. Tests, whose program has both, run it as it is.
 var runMember = func(args ...string) error {
@@ -101,46 +155,48 @@
 	return cmd
 }
 
+// memberLine is what is shown of one member.
+type memberLine struct {
+	Addr   string         `json:"addr"`
+	Error  string         `json:"error,omitempty"` // it could not be asked
+	Status *quorum.Status `json:"status,omitempty"`
+}
+
+// groupStatus shows what each member is. It returns an error where none leads.
 func groupStatus(ctx context.Context, c *cobra.Command, g *quorum.Client, asJSON bool) error {
-	addrs := slices.Clone(g.Addrs)
-	type line struct {
-		Addr   string         `json:"addr"`
-		Error  string         `json:"error,omitempty"`
-		Status *quorum.Status `json:"status,omitempty"`
-	}
-	var list []line
-	leads := 0
-	for _, a := range addrs {
-		s, err := g.StatusOf(ctx, a)
+	var list []memberLine
+	leads := false
+	for _, addr := range g.Addrs {
+		s, err := g.StatusOf(ctx, addr)
 		if err != nil {
-			list = append(list, line{a, err.Error(), nil})
+			list = append(list, memberLine{addr, err.Error(), nil})
 			continue
 		}
-		if s.State == "leader" {
-			leads++
-		}
-		list = append(list, line{a, "", &s})
+		leads = leads || s.State == quorum.StateLeader
+		list = append(list, memberLine{addr, "", &s})
 	}
+	show := printMembers
 	if asJSON {
-		e := json.NewEncoder(c.OutOrStdout())
-		e.SetIndent("", "  ")
-		if err := e.Encode(list); err != nil {
-			return err
-		}
-	} else {
-		w := tabwriter.NewWriter(c.OutOrStdout(), 0, 0, 2, ' ', 0)
-		fmt.Fprintln(w, "ADDR\tNAME\tSTATE\tVOTE\tTERM\tAPPLIED\tSTARTS\tGROUP")
-		for _, l := range list {
-			if s := l.Status; s != nil {
-				fmt.Fprintf(w, "%s\t%s\t%s\t%v\t%d\t%d\t%d\t%s\n", l.Addr, s.Name, s.State, s.Voter, s.Term, s.Applied, s.Starts, s.GroupID)
-			} else {
-				fmt.Fprintf(w, "%s\t\t%s\n", l.Addr, l.Error)
-			}
-		}
-		_ = w.Flush()
+		show = func(w io.Writer, list []memberLine) error { return printJSON(w, list) }
+	}
+	if err := show(c.OutOrStdout(), list); err != nil {
+		return err
 	}
-	if leads == 0 {
+	if !leads {
 		return errors.New("no member leads")
 	}
 	return nil
 }
+
+func printMembers(out io.Writer, list []memberLine) error {
+	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
+	fmt.Fprintln(w, "ADDR\tNAME\tSTATE\tVOTE\tTERM\tAPPLIED\tSTARTS\tGROUP")
+	for _, l := range list {
+		if s := l.Status; s != nil {
+			fmt.Fprintf(w, "%s\t%s\t%s\t%v\t%d\t%d\t%d\t%s\n", l.Addr, s.Name, s.State, s.Voter, s.Term, s.Applied, s.Starts, s.GroupID)
+		} else {
+			fmt.Fprintf(w, "%s\t\t%s\n", l.Addr, l.Error)
+		}
+	}
+	return w.Flush()
+}
