--- a/internal/storage/idempotencystore/clock.go
+++ b/internal/storage/idempotencystore/clock.go
@@ -13,8 +13,8 @@
 	"silverpath/internal/policy/idempotency"
 )
 
-// Now is the machine's clock: how long it has been switched on, sleep included, and which time that was. Steps of the wall clock
-// move neither. Test programs put another one in its place.
+// Now is the machine's clock: how long it has been switched on, sleep included, and which boot that is. Steps of the wall clock move
+// neither. Test programs put another one in its place.
 var Now = func() idempotency.Clock {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
--- a/internal/storage/idempotencystore/offline.go
+++ b/internal/storage/idempotencystore/offline.go
@@ -26,15 +26,16 @@
 	Damage        string // what keeps the rest from being read; empty: nothing
 }
 
-// Init makes the store of a service that has run no sheet that could come again.
+// Init makes the store of a service that has run no request that could come again. One that is there is an error.
 func Init(dir, name string) error {
 	return withLock(dir, func(path string) error {
 		if _, err := os.Stat(path); !errors.Is(err, fs.ErrNotExist) {
 			return fmt.Errorf("%s: there is one already", path)
 		}
 		now := Now()
-		f, err := writeFile(path, header{Format: formatVersion, ID: newID(), Name: name, Machine: now.Machine, Boot: now.Boot, CompleteSince: int64(now.SinceBoot), Complete: true,
-			CompleteSinceWall: time.Now().UnixMilli(), ClosedCleanly: true}, nil)
+		h := newHeader(name, now, time.Now().UnixMilli())
+		h.Complete, h.ClosedCleanly = true, true
+		f, err := writeFile(path, h, nil)
 		if err != nil {
 			return err
 		}
@@ -42,7 +43,7 @@
 	})
 }
 
-// locked has a folder as one's own for a time.
+// withLock calls do while no other process may open the folder's store.
 func withLock(dir string, do func(path string) error) error {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return err
@@ -55,7 +56,7 @@
 	return do(filepath.Join(dir, FileName))
 }
 
-// FileOf is the file of a store, by its folder; a file is its own.
+// FileOf is the file of a store, by its folder or itself.
 func FileOf(path string) string {
 	if s, err := os.Stat(path); err == nil && s.IsDir() {
 		return filepath.Join(path, FileName)
@@ -63,7 +64,7 @@
 	return path
 }
 
-// open opens a file that no service has open, to be read.
+// openReadOnly opens a file that no service has open, to be read.
 func openReadOnly(path string) (*file, error) {
 	if _, err := os.Stat(path); err != nil {
 		return nil, err
@@ -74,23 +75,23 @@
 	}
 	f := &file{db: db, path: path}
 	if err := f.readHeader(); err != nil {
-		db.Close()
+		f.close()
 		return nil, err
 	}
 	return f, nil
 }
 
-// Check reads a file whole.
+// Check reads a whole file. What can't be read of it is in the summary; an error is of a file that can't be opened.
 func Check(path string) (s Summary, err error) {
 	f, err := openReadOnly(path)
 	if err != nil {
 		return s, err
 	}
-	defer f.db.Close()
+	defer f.close()
 	s = Summary{ID: f.header.ID, Name: f.header.Name, Format: f.header.Format, Complete: f.header.Complete, ClosedCleanly: f.header.ClosedCleanly,
 		SameBoot: f.header.Boot == Now().Boot, ByState: map[string]int{}, File: f.size()}
-	err = f.scan(scanChunk, func(list []idempotency.Record, broken []uint64) {
-		s.Unreadable += len(broken)
+	err = f.scan(scanChunk, func(list []idempotency.Record, unreadable []uint64) {
+		s.Unreadable += len(unreadable)
 		s.Records += len(list)
 		for i := range list {
 			s.ByState[list[i].State.String()]++
@@ -103,35 +104,36 @@
 	return s, nil
 }
 
-// Dump hands over every record of a file, in the order of their promises.
+// Dump hands over every record of a file, in the order of their intents. The first error ends it after
+// the records that were read with it; one that can't be read is an error.
 func Dump(path string, take func(idempotency.Record) error) error {
 	f, err := openReadOnly(path)
 	if err != nil {
 		return err
 	}
-	defer f.db.Close()
+	defer f.close()
 	var bad error
-	err = f.scan(scanChunk, func(list []idempotency.Record, broken []uint64) {
+	err = f.scan(scanChunk, func(list []idempotency.Record, unreadable []uint64) {
 		for i := range list {
 			if bad == nil {
 				bad = take(list[i])
 			}
 		}
-		for _, seq := range broken {
+		for _, seq := range unreadable {
 			bad = errors.Join(bad, fmt.Errorf("record %d can't be read", seq))
 		}
 	})
 	return errors.Join(err, bad)
 }
 
-// Compact writes the file of a folder anew, without the room that nobody uses.
+// Compact rewrites the file of a folder without what is unused, and returns its bytes before and after.
 func Compact(dir string) (before, after int64, err error) {
 	err = withLock(dir, func(path string) error {
 		f, err := openReadOnly(path)
 		if err != nil {
 			return err
 		}
-		defer f.db.Close()
+		defer f.close()
 		before = f.size()
 		next, err := f.rewrite(path, f.header, func(r idempotency.Record) (idempotency.Record, bool) { return r, true })
 		if err != nil {
@@ -147,9 +149,9 @@
 func (f *file) rewrite(path string, h header, change func(idempotency.Record) (idempotency.Record, bool)) (*file, error) {
 	return writeFile(path, h, func(put func(idempotency.Record) error) error {
 		var bad error
-		err := f.scan(scanChunk, func(list []idempotency.Record, broken []uint64) {
-			if len(broken) > 0 {
-				bad = errors.Join(bad, fmt.Errorf("%d records can't be read: a service sets them aside as it starts", len(broken)))
+		err := f.scan(scanChunk, func(list []idempotency.Record, unreadable []uint64) {
+			if len(unreadable) > 0 {
+				bad = errors.Join(bad, fmt.Errorf("%d records can't be read: a service sets them aside as it starts", len(unreadable)))
 			}
 			for _, r := range list {
 				if r, keep := change(r); keep && bad == nil {
@@ -161,7 +163,7 @@
 	})
 }
 
-// Export copies the file of a store that no service has open.
+// Export copies the file of a store that no service has open. Something that stands at the place of the copy is an error.
 func Export(dir, to string) error {
 	if _, err := os.Stat(to); err == nil {
 		return fmt.Errorf("%s: there is something already", to)
@@ -170,20 +172,20 @@
 	if err != nil {
 		return err
 	}
-	defer f.db.Close()
+	defer f.close()
 	return f.copyTo(to)
 }
 
-// Import makes the store of a folder from a copy of another one. What the other ran since the copy was made is not in it: sheets
-// that are not known fail until that can't matter any more. Whole says that there is nothing such: the copy was made of a store
-// that its service had closed for good.
+// Import makes the store of a folder from a copy of another one, and returns how many records were taken over. What the other ran since
+// the copy was made is not in it: requests that are not known fail until that can't matter any more. Whole says that there is nothing
+// such: the copy was made of a store that its service had closed for good, and a copy of one in use is an error.
 func Import(from, dir, name string, whole bool) (records int, err error) {
 	f, err := openReadOnly(FileOf(from))
 	if err != nil {
 		return 0, err
 	}
-	defer f.db.Close()
-	if whole && !(f.header.ClosedCleanly && f.header.Complete) {
+	defer f.close()
+	if whole && (!f.header.ClosedCleanly || !f.header.Complete) {
 		return 0, fmt.Errorf("%s: it is a copy of a store in use, and so not whole", from)
 	}
 	last, err := f.newestTime()
@@ -196,8 +198,9 @@
 		}
 		now := Now()
 		shift := f.header.coverage().TimeShift(last, now)
-		next, err := f.rewrite(path, header{Format: formatVersion, ID: newID(), Name: name, Machine: now.Machine, Boot: now.Boot, CompleteSince: int64(now.SinceBoot), Complete: whole,
-			CompleteSinceWall: time.Now().UnixMilli(), ClosedCleanly: true}, func(r idempotency.Record) (idempotency.Record, bool) {
+		h := newHeader(name, now, time.Now().UnixMilli())
+		h.Complete, h.ClosedCleanly = whole, true
+		next, err := f.rewrite(path, h, func(r idempotency.Record) (idempotency.Record, bool) {
 			r, keep := r.Recover(shift, now.SinceBoot)
 			if keep {
 				records++
--- a/internal/storage/idempotencystore/store_test.go
+++ b/internal/storage/idempotencystore/store_test.go
@@ -24,13 +24,13 @@
 	"silverpath/internal/policy/idempotency"
 )
 
-// contents is what a file gives back: every record by number, as it would be written. An error is damage that was seen.
-func contents(path string) (map[uint64]string, error) {
+// readFile is what a file gives back: every record by number, as it would be written. An error is damage that was seen.
+func readFile(path string) (map[uint64]string, error) {
 	f, _, err := openFile(path, "n", idempotency.Clock{}, 0)
 	if err != nil {
 		return nil, err
 	}
-	defer f.db.Close()
+	defer f.close()
 	all := map[uint64]string{}
 	err = f.scan(3, func(list []idempotency.Record, broken []uint64) {
 		if len(broken) > 0 {
@@ -43,9 +43,9 @@
 	return all, err
 }
 
-// lose is a file as a loss of power may leave it half way from one state to the next: of the pages that differ some are there,
+// powerLoss is a file as a loss of power may leave it half way from one state to the next: of the pages that differ some are there,
 // some not, some in part. The pages of the head come only once all others last, unless nothing is synced.
-func lose(rng *rand.Rand, before, after []byte, synced bool) []byte {
+func powerLoss(rng *rand.Rand, before, after []byte, synced bool) []byte {
 	const page, sector, heads = 4096, 512, 2
 	out := slices.Clone(after)
 	was := func(at int) []byte {
@@ -74,7 +74,7 @@
 func harmful(t *testing.T, image string, either ...map[uint64]string) bool {
 	ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 	defer cancel()
-	cmd := exec.CommandContext(ctx, os.Args[0], "-test.run", "^TestReadImage$")
+	cmd := exec.CommandContext(ctx, os.Args[0], "-test.run", "^TestReadImageInAProcessOfItsOwn$")
 	cmd.Env = append(os.Environ(), "SILVERPATH_IMAGE="+image)
 	out, err := cmd.Output()
 	if err != nil {
@@ -96,23 +96,24 @@
 	return h.Sum(nil)
 }
 
-// TestReadImage is the process of its own of the test above; by itself it has nothing to read.
-func TestReadImage(t *testing.T) {
+// TestReadImageInAProcessOfItsOwn is the process of its own of the test below; by itself it has nothing to read.
+func TestReadImageInAProcessOfItsOwn(t *testing.T) {
 	image := os.Getenv("SILVERPATH_IMAGE")
 	if image == "" {
 		t.Skip("no image")
 	}
 	debug.SetMaxStack(8 << 20)
-	all, err := contents(image)
+	all, err := readFile(image)
 	if err != nil {
 		t.Fatal(err)
 	}
 	fmt.Printf("IMAGE %x\n", digest(all))
 }
 
-// The power goes in the middle of a commit, of a promise, a result or a sweep: what is found is what stood before it or what it
-// made, whole. Where the disk is not waited for, the same check finds that it is neither.
-func TestPowerGoes(t *testing.T) {
+// The power goes in the middle of a commit of an intent, a result or an expiry. Half of it would be a run that is forgotten, or an answer
+// that nobody gave: so what is found is the state before the commit or after it, complete. Where the disk is not waited for, the same
+// check finds that it is neither.
+func TestPowerLossDuringACommitLeavesAWholeState(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, FileName)
 	f, _, err := openFile(path, "n", idempotency.Clock{Boot: "a"}, 0)
@@ -124,7 +125,7 @@
 	live := map[uint64]int{}
 	for seq := uint64(1); seq < 120; {
 		before, _ := os.ReadFile(path)
-		was, err := contentsOf(f)
+		was, err := recordsOf(f)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -150,14 +151,14 @@
 			t.Fatal(err)
 		}
 		after, _ := os.ReadFile(path)
-		is, err := contentsOf(f)
+		is, err := recordsOf(f)
 		if err != nil {
 			t.Fatal(err)
 		}
 		for i := range 7 {
 			synced := i < 6
 			image := filepath.Join(t.TempDir(), FileName)
-			if err := os.WriteFile(image, lose(rng, before, after, synced), 0o600); err != nil {
+			if err := os.WriteFile(image, powerLoss(rng, before, after, synced), 0o600); err != nil {
 				t.Fatal(err)
 			}
 			images++
@@ -167,18 +168,18 @@
 				}
 				continue
 			}
-			if got, err := contents(image); err != nil || !maps.Equal(got, was) && !maps.Equal(got, is) {
+			if got, err := readFile(image); err != nil || !maps.Equal(got, was) && !maps.Equal(got, is) {
 				t.Fatalf("commit to %d, image %d: %v, %d records, were %d and became %d", seq, i, err, len(got), len(was), len(is))
 			}
 		}
 	}
-	f.db.Close()
+	f.close()
 	if harm == 0 {
 		t.Errorf("%d images, none of those without syncs does harm: this test finds nothing", images)
 	}
 }
 
-func contentsOf(f *file) (map[uint64]string, error) {
+func recordsOf(f *file) (map[uint64]string, error) {
 	all := map[uint64]string{}
 	err := f.scan(100, func(list []idempotency.Record, _ []uint64) {
 		for i := range list {
@@ -188,14 +189,14 @@
 	return all, err
 }
 
-// holder stands for who acts on what is kept.
-type holder struct {
+// recordHolder stands for the core, which acts on what is stored.
+type recordHolder struct {
 	mu   sync.Mutex
 	all  map[string]idempotency.Record
 	wait time.Duration
 }
 
-func (k *holder) Restore(list []idempotency.Record, _ func(time.Duration) time.Time) {
+func (k *recordHolder) Restore(list []idempotency.Record, _ func(time.Duration) time.Time) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for _, r := range list {
@@ -203,7 +204,7 @@
 	}
 }
 
-func (k *holder) Records(func(time.Time) time.Duration) (list []idempotency.Record) {
+func (k *recordHolder) Records(func(time.Time) time.Duration) (list []idempotency.Record) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for _, r := range k.all {
@@ -212,11 +213,11 @@
 	return list
 }
 
-func (k *holder) LongestWindow() time.Duration { return k.wait }
+func (k *recordHolder) LongestWindow() time.Duration { return k.wait }
 
-func start(t *testing.T, dir string) (*Store, *holder) {
+func start(t *testing.T, dir string) (*Store, *recordHolder) {
 	t.Helper()
-	k := &holder{all: map[string]idempotency.Record{}, wait: 300 * time.Millisecond}
+	k := &recordHolder{all: map[string]idempotency.Record{}, wait: 300 * time.Millisecond}
 	s, err := Open(Config{Dir: dir, Name: "n", MaxBytes: 8 << 20, ResultReserve: 1 << 10, Log: log.New(io.Discard, "", 0), Stats: &metrics.Counters{}}, k)
 	if err != nil {
 		t.Fatal(err)
@@ -226,8 +227,8 @@
 	return s, k
 }
 
-// put has one run kept, with its result.
-func put(t *testing.T, s *Store, key string, result []byte) {
+// storeRun has one run stored, with its result.
+func storeRun(t *testing.T, s *Store, key string, result []byte) {
 	t.Helper()
 	done := make(chan error, 1)
 	r, now := idempotency.Record{Key: key, ID: "i", Window: time.Minute}, time.Now()
@@ -245,9 +246,9 @@
 	}
 }
 
-// A record that can't be read, and a file that can't, are set aside and kept; what else there is is taken up; and what is not
-// known fails until it can't matter, also over a further restart.
-func TestDamage(t *testing.T) {
+// A disk gives back a damaged record, or damaged pages. A request whose record is gone could run twice: so what can't be read is set
+// aside and kept, what else there is is taken up, and what is not known fails until it can't matter, also over a further restart.
+func TestDamagedStoreFailsUnknownKeysUntilTheirWindowIsOver(t *testing.T) {
 	for _, kind := range []string{"a record", "the pages"} {
 		dir := t.TempDir()
 		if err := Init(dir, "n"); err != nil {
@@ -255,7 +256,7 @@
 		}
 		s, _ := start(t, dir)
 		for i := range 300 {
-			put(t, s, fmt.Sprint("key-", i), []byte(strings.Repeat("result", 50)))
+			storeRun(t, s, fmt.Sprint("key-", i), []byte(strings.Repeat("result", 50)))
 		}
 		since := s.CompleteSince()
 		s.Close()
@@ -284,7 +285,7 @@
 			t.Errorf("%s: %d of 300 records taken up", kind, n)
 		}
 		if v := s.CanExecute(time.Second); v.Action != idempotency.Fail {
-			t.Errorf("%s: a sheet that may have run: %v", kind, v)
+			t.Errorf("%s: a request that may have run: %v", kind, v)
 		}
 		s.Close()
 		if left, _ := filepath.Glob(path + ".damaged-*"); kind != "a record" && len(left) != 1 {
@@ -298,7 +299,7 @@
 		if v := s.CanExecute(time.Second); v.Action != idempotency.Execute {
 			t.Errorf("%s: once it can't matter: %v", kind, v)
 		}
-		put(t, s, "new", make([]byte, 1<<20)) // a result of the largest size
+		storeRun(t, s, "new", make([]byte, 1<<20)) // a result of the largest size
 		s.Close()
 		if _, k = start(t, dir); len(k.all["new"].Result) != 1<<20 {
 			t.Errorf("%s: %d bytes of the largest result", kind, len(k.all["new"].Result))
