--- a/internal/policy/configstore/replica.go
+++ b/internal/policy/configstore/replica.go
@@ -23,7 +23,7 @@
 	formats        map[string]int
 	terms          lease.Terms
 	confirmedUntil time.Duration
-	lastConfirmed      time.Duration // the latest request that was answered
+	lastConfirmed  time.Duration // the latest request that was answered
 	logIndex       uint64        // of the group's log, in what it was last told
 	docs           map[string]*replicaDocument
 
--- a/internal/policy/configstore/store_test.go
+++ b/internal/policy/configstore/store_test.go
@@ -15,13 +15,13 @@
 // world is a group, as one that never fails, with processes that act on one document: what is on the way may take long, come in
 // another order, or not at all, and a process may be cut off. Times are in ticks.
 type world struct {
-	store  *Store
+	store   *Store
 	monitor *ProcessMonitor
-	index uint64
-	procs []*proc
-	now   time.Duration
-	wrong string
-	out   guards
+	index   uint64
+	procs   []*proc
+	now     time.Duration
+	wrong   string
+	out     guards
 }
 
 // guards that can be left out.
--- a/internal/policy/configstore/tracker.go
+++ b/internal/policy/configstore/tracker.go
@@ -53,7 +53,7 @@
 // trackedVersion is what is known of a version's documents.
 type trackedVersion struct {
 	number           int
-	firstObserved        time.Duration // when it was first heard of
+	firstObserved    time.Duration // when it was first heard of
 	sightings        []Sighting    // one, or the first two that differ
 	conflictAt       time.Duration // since when two are known to
 	reportedConflict string        // or that two differ, as somebody else said
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -63,7 +63,7 @@
 	builtinWorker *builtinworker.Interpreter // nil but in a start without a configuration
 
 	// Each is nil where the edge file does not set it up, the last where the process shares no socket.
-	commands    *command.Executor         // takes the fleet's commands
+	commands    *command.Executor       // takes the fleet's commands
 	configWatch *configwatch.Watcher    // acts on a group's documents
 	store       *idempotencystore.Store // keeps idempotency keys over a restart
 	heartbeat   *heartbeat.Heartbeats   // leaves a heartbeat on disk
