--- a/internal/policy/cells/cells_test.go
+++ b/internal/policy/cells/cells_test.go
@@ -116,7 +116,7 @@
 	if err := p.Next.Follows(m, t0); err != nil {
 		t.Fatal(err)
 	}
-	dual := p.Next.overlapWindow()
+	dual := p.Next.OverlapWindow()
 	for _, c := range []struct {
 		after time.Duration
 		state State
@@ -285,7 +285,7 @@
 		if r.Home != again.Home || !slices.Contains(r.Servers, r.Home) || slices.Contains(r.FormerHomes, r.Home) {
 			t.Fatalf("%+v and %+v", r, again)
 		}
-		for back := time.Duration(1); back < m.overlapWindow(); back += 97 * time.Millisecond {
+		for back := time.Duration(1); back < m.OverlapWindow(); back += 97 * time.Millisecond {
 			former, ok := m.Route(when.Add(-back), "kvizmojster", key)
 			if ok && former.Home != r.Home && !slices.Contains(r.FormerHomes, former.Home) {
 				t.Fatalf("%v before it lived in %s, which is not asked: %+v", back, former.Home, r)
@@ -293,7 +293,7 @@
 		}
 		quiet := true
 		for _, c := range changes {
-			quiet = quiet && (when.Before(c.at) || when.Sub(c.at) >= m.overlapWindow())
+			quiet = quiet && (when.Before(c.at) || when.Sub(c.at) >= m.OverlapWindow())
 		}
 		if quiet && len(r.FormerHomes) > 0 {
 			t.Fatalf("nothing has changed of late, and %v are asked", r.FormerHomes)
--- a/internal/policy/cells/follow.go
+++ b/internal/policy/cells/follow.go
@@ -31,7 +31,7 @@
 	t := transition{
 		from: old, to: m, before: old.anyIndex(), after: m.anyIndex(),
 		earliest: known.Add(m.Lease + m.MaxClockSkew).UnixMilli(),
-		keptFrom: now.Add(-m.overlapWindow()).UnixMilli(),
+		keptFrom: now.Add(-m.OverlapWindow()).UnixMilli(),
 	}
 	if err := t.checkTenants(); err != nil {
 		return err
--- a/internal/policy/cells/model_test.go
+++ b/internal/policy/cells/model_test.go
@@ -88,7 +88,7 @@
 	}
 	var r routes
 	number := func(name string) uint8 { return name[1] - '0' }
-	for phase, at := range []time.Time{p.At.Add(-time.Millisecond), p.At, p.At.Add(p.Next.overlapWindow())} {
+	for phase, at := range []time.Time{p.At.Add(-time.Millisecond), p.At, p.At.Add(p.Next.OverlapWindow())} {
 		x, _ := p.Next.Route(at, "kvizmojster", "sheet")
 		r.home[phase], r.former[phase] = number(x.Home), serversOf
 		if len(x.FormerHomes) > 0 {
--- a/internal/policy/cells/move.go
+++ b/internal/policy/cells/move.go
@@ -12,7 +12,7 @@
 const (
 	Settled  State = iota // it lives in one cell, and no repeat can come from another
 	Prepared              // announced, not yet in force: left when its time comes, Lease and MaxClockSkew after the announcement at least
-	Dual                  // in force: former homes are asked first; left after overlapWindow
+	Dual                  // in force: former homes are asked first; left after OverlapWindow
 	Draining              // nobody is asked any more; former homes may still have answers to give: left after CallerTimeout
 	Aborted               // taken back: Dual in the other direction
 )
@@ -41,11 +41,11 @@
 		return Dual // the move still holds until its abort does
 	case since < 0:
 		return Prepared
-	case since < m.overlapWindow().Milliseconds() && last.IsAbort:
+	case since < m.OverlapWindow().Milliseconds() && last.IsAbort:
 		return Aborted
-	case since < m.overlapWindow().Milliseconds():
+	case since < m.OverlapWindow().Milliseconds():
 		return Dual
-	case since < (m.overlapWindow() + m.CallerTimeout).Milliseconds():
+	case since < (m.OverlapWindow() + m.CallerTimeout).Milliseconds():
 		return Draining
 	}
 	return Settled
--- a/internal/policy/cells/parts_test.go
+++ b/internal/policy/cells/parts_test.go
@@ -58,7 +58,7 @@
 		return fmt.Errorf("lease_ms: neither it nor skew_ms may change under way")
 	}
 	least := known.Add(m.Lease + m.MaxClockSkew).UnixMilli()
-	kept := now.Add(-m.overlapWindow()).UnixMilli()
+	kept := now.Add(-m.OverlapWindow()).UnixMilli()
 	for i, t := range m.Tenants {
 		was := plainTenant(old, t.Name, true)
 		for j, h := range t.Homes {
@@ -202,7 +202,7 @@
 		return r, true
 	}
 	r.Home = highestScore(list, tenant, key).Name
-	least := at - m.overlapWindow().Milliseconds()
+	least := at - m.OverlapWindow().Milliseconds()
 	var times []int64
 	add := func(when int64) {
 		if when > least && when <= at && when > 0 && !slices.Contains(times, when) {
--- a/internal/policy/cells/plan.go
+++ b/internal/policy/cells/plan.go
@@ -83,7 +83,7 @@
 		return p, fmt.Errorf("cell %s has %d servers, not %d", to, n, shardOf)
 	}
 	p.At = now.Add(2*m.Lease + m.MaxClockSkew) // a lease for whoever reads the map, and one for whoever can't
-	p.Settled = p.At.Add(m.overlapWindow() + m.CallerTimeout)
+	p.Settled = p.At.Add(m.OverlapWindow() + m.CallerTimeout)
 	p.Next = m.withHome(tenant, Home{Cell: to, Shard: shardOf, Since: p.At.UnixMilli()})
 	pick := func(all []Load) (two []Load) {
 		for _, l := range all {
@@ -173,7 +173,7 @@
 // migration.
 func (m *Map) Compact(now time.Time) *Map {
 	next := m.nextVersion()
-	keptFrom := now.Add(-m.overlapWindow() - m.CallerTimeout).UnixMilli()
+	keptFrom := now.Add(-m.OverlapWindow() - m.CallerTimeout).UnixMilli()
 	for i, t := range next.Tenants {
 		for len(t.Homes) > 1 && t.Homes[1].Since < keptFrom {
 			t.Homes = t.Homes[1:]
--- a/internal/policy/cells/route.go
+++ b/internal/policy/cells/route.go
@@ -12,7 +12,7 @@
 
 // Homes and routes. Inputs: the map, the time by the router's wall clock, a tenant and an idempotency key. A key's home is the server
 // with the highest rendezvous score for it among the servers of its tenant; these are a shard of the tenant's cell, drawn by scores of
-// the tenant's name. A change of a tenant's cell or servers moves homes: for overlapWindow after it a key may still be repeated that
+// the tenant's name. A change of a tenant's cell or servers moves homes: for OverlapWindow after it a key may still be repeated that
 // ran at its former home, so that one is asked before the new home runs it.
 
 // Route is where a request may go.
@@ -56,15 +56,15 @@
 	return r, true
 }
 
-// overlapWindow is how long after a change a key may still be repeated that ran at its former home: its window, from the last run that
+// OverlapWindow is how long after a change a key may still be repeated that ran at its former home: its window, from the last run that
 // a router whose clock is behind may have sent there, and as long as its caller waits for it.
-func (m *Map) overlapWindow() time.Duration { return m.KeyWindow + m.CallerTimeout + 2*m.MaxClockSkew }
+func (m *Map) OverlapWindow() time.Duration { return m.KeyWindow + m.CallerTimeout + 2*m.MaxClockSkew }
 
-// recentChanges are the times, the latest first, of the changes that a tenant's keys may come across: within overlapWindow before a
+// recentChanges are the times, the latest first, of the changes that a tenant's keys may come across: within OverlapWindow before a
 // time. Of servers, those of the cells that it has lived in
 // count: others change nothing for it.
 func (m *Map) recentChanges(t *Tenant, at int64) []int64 {
-	after := at - m.overlapWindow().Milliseconds()
+	after := at - m.OverlapWindow().Milliseconds()
 	var list []int64
 	add := func(when int64) {
 		if when > after && when <= at && when > 0 && !slices.Contains(list, when) {
--- a/internal/proxy/healthchecks.go
+++ b/internal/proxy/healthchecks.go
@@ -12,7 +12,11 @@
 	"silverpath/internal/transport/msgpackrpc"
 )
 
-// Maintain probes the servers and reads the map again well within its lease, until the context ends.
+// Health checks. Each server is checked every Config.HealthCheckInterval, all at the same time. The answers tell more than health: when
+// the server started, what it grants in its slow start, and which map it knows of.
+
+// Maintain checks the servers' health and reads the map again well within its lease, until the context ends. It runs in a goroutine of
+// the service's; the first round that is over makes the router ready.
 func (r *Runner) Maintain(ctx context.Context) {
 	go r.reloadMap(ctx)
 	first := true
@@ -29,7 +33,7 @@
 	}
 }
 
-// checkAll probes every server once.
+// checkAll checks every server once.
 func (r *Runner) checkAll(ctx context.Context) {
 	var wg sync.WaitGroup
 	for s := range r.current.Load().AllServers() {
@@ -41,36 +45,22 @@
 	r.logHealthChanges()
 }
 
-// checkHealth asks a server for its health on a connection of its own.
+// checkHealth checks a server's health on a connection of its own. A server that answers is alive, also where it says that it is unwell:
+// it drains, and knows its keys.
 func (r *Runner) checkHealth(ctx context.Context, s cells.Server) {
 	ctx, cancel := context.WithTimeout(ctx, healthCheckTimeout)
 	defer cancel()
 	r.mu.Lock()
-	asked, flying := r.clock(), r.balancer.InFlight(s.Name)
+	sent, inFlight := r.clock(), r.balancer.InFlight(s.Name)
 	r.mu.Unlock()
-	every := r.checkInterval()
-	c, err := r.cfg.Dial(ctx, s.Addr)
-	good := false
-	var a msgpackrpc.Reply
-	if err == nil {
-		defer c.Close()
-		var reply <-chan msgpackrpc.Reply
-		if _, reply, err = c.Send(func(id uint64) []byte {
-			return msgpackrpc.AppendProbe(nil, id, append(r.healthCheckFields(r.current.Load()), "fl", strconv.Itoa(flying))...)
-		}); err == nil {
-			select {
-			case a, good = <-reply:
-				good = good && !a.Unprocessed()
-			case <-ctx.Done():
-			}
-		}
-	}
+	interval := r.checkInterval()
+	a, ok := r.askHealth(ctx, s.Addr, inFlight)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if good { // one that says that it is unwell is there all the same: it drains, and knows its sheets
+	if ok {
 		r.noteAnswer(s.Name, a.Fields)
-		if part, err := strconv.Atoi(a.Fields["c"]); err == nil {
-			r.balancer.SlowStartGranted(asked, s.Name, part, msgpackrpc.SlowStartProbeIntervals*every)
+		if requests, err := strconv.Atoi(a.Fields[fieldGranted]); err == nil {
+			r.balancer.SlowStartGranted(sent, s.Name, requests, msgpackrpc.SlowStartProbeIntervals*interval)
 		}
 	} else {
 		r.balancer.Unreachable(r.clock(), s.Name)
@@ -80,27 +70,48 @@
 	}
 }
 
-// minHealthReportInterval is how often at most the health of all servers is looked through while answers of a round come in; so is it at its end.
-// After each answer it would be the square of their number.
+// askHealth sends a health check, and reports false where no answer came in time.
+func (r *Runner) askHealth(ctx context.Context, addr string, inFlight int) (a msgpackrpc.Reply, ok bool) {
+	c, err := r.cfg.Dial(ctx, addr)
+	if err != nil {
+		return a, false
+	}
+	defer c.Close()
+	_, reply, err := c.Send(func(id uint64) []byte {
+		return msgpackrpc.AppendProbe(nil, id, append(r.healthCheckFields(r.current.Load()), fieldInFlight, strconv.Itoa(inFlight))...)
+	})
+	if err != nil {
+		return a, false
+	}
+	select {
+	case a, ok = <-reply:
+		return a, ok && !a.Unprocessed()
+	case <-ctx.Done():
+		return a, false
+	}
+}
+
+// minHealthReportInterval is how often at most the health of all servers is compared with what was logged while answers of a round come
+// in; it is at the round's end too. After each answer it would cost the square of the number of servers.
 const minHealthReportInterval = 100 * time.Millisecond
 
-// noteAnswer notes an answer of a server, under the lock.
+// noteAnswer notes what an answer of a server tells of the server, under the lock.
 func (r *Runner) noteAnswer(name string, fields map[string]string) {
-	boot, _ := strconv.ParseInt(fields["b"], 10, 64)
-	entered := int64(0)
+	boot, _ := strconv.ParseInt(fields[fieldBoot], 10, 64)
+	ranUntil, _ := strconv.ParseInt(fields[fieldRanUntil], 10, 64)
+	joined := int64(0)
 	if s := r.current.Load().Server(name); s != nil {
-		entered = s.JoinsAt
+		joined = s.JoinsAt
 	}
-	ran, _ := strconv.ParseInt(fields["l"], 10, 64)
-	r.balancer.Answered(r.clock(), name, loadbalancer.Incarnation{Boot: boot, RanUntil: ran, Joined: entered, Now: time.Now().UnixMilli()})
-	if fields["cs"] == "" {
+	r.balancer.Answered(r.clock(), name, loadbalancer.Incarnation{Boot: boot, RanUntil: ranUntil, Joined: joined, Now: time.Now().UnixMilli()})
+	if fields[fieldWarming] == "" {
 		r.balancer.WarmedUp(name)
 	}
-	if p := r.upstreams[name]; p != nil {
-		p.boot.Store(boot)
+	if u := r.upstreams[name]; u != nil {
+		u.boot.Store(boot)
 	}
-	if fields["g"] != "" {
-		r.noteServersRules(name, fields)
+	if fields[fieldMapID] != "" {
+		r.noteServersMap(name, fields)
 	}
 }
 
@@ -115,11 +126,15 @@
 	}
 }
 
+// checkInterval is the time between two checks of a server.
 func (r *Runner) checkInterval() time.Duration { return time.Duration(r.healthCheckInterval.Load()) }
 
-// healthCheckFields are the fields by which this router tells a server what it goes by.
+// healthCheckFields are the fields by which this router tells a server which map it goes by, as names and values in turn.
 func (r *Runner) healthCheckFields(m *mapInForce) []string {
 	ms := func(d time.Duration) string { return strconv.FormatInt(d.Milliseconds(), 10) }
 	t := r.conflictTerms(m.Map)
-	return []string{"g", m.name, "gn", r.cfg.Name, "gl", ms(t.Lease), "gs", ms(t.ClockSkew), "gp", ms(t.ProbeInterval), "gw", ms(t.ProbeTimeout), "gd", ms(t.OverlapWindow)}
+	return []string{
+		fieldMapID, m.name, fieldMapFrom, r.cfg.Name, fieldLease, ms(t.Lease), fieldClockSkew, ms(t.ClockSkew),
+		fieldProbeInterval, ms(t.ProbeInterval), fieldProbeTimeout, ms(t.ProbeTimeout), fieldOverlapWindow, ms(t.OverlapWindow),
+	}
 }
--- a/internal/proxy/maps.go
+++ b/internal/proxy/maps.go
@@ -10,26 +10,29 @@
 	"silverpath/internal/settings"
 )
 
+// The map in force. It is read again at a third of its lease, and at once where a newer one was heard of; where it could not be confirmed
+// for a lease, requests with a key fail.
+
 // mapInForce is the map in force and when it was last known to be the newest.
 type mapInForce struct {
 	*cells.Map
 	confirmedAt time.Time
 	id          configstore.ID
-	name        string // the same, as it is said
+	name        string // id as it is on the wire
 }
 
-// useMap puts a map in force. Its servers are gone through where one of them has changed, and its text is made to name it where its
-// source knows no name; a map that is in force already costs nothing that grows with it.
-func (r *Runner) useMap(m *cells.Map, read time.Time) {
+// useMap puts a map in force that was confirmed at a time. Its servers are gone through where one of them has changed, and its text is
+// made to name it where its source knows no digest; a map that is in force already costs nothing that grows with it.
+func (r *Runner) useMap(m *cells.Map, confirmedAt time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	was := r.current.Load()
-	if was == nil || !m.SameServers(was.Map) {
+	before := r.current.Load()
+	if before == nil || !m.SameServers(before.Map) {
 		r.setServers(m)
 	}
-	v := &mapInForce{Map: m, confirmedAt: read}
-	if was != nil && was.Map == m {
-		v.id, v.name = was.id, was.name
+	v := &mapInForce{Map: m, confirmedAt: confirmedAt}
+	if before != nil && before.Map == m {
+		v.id, v.name = before.id, before.name
 	} else {
 		v.id = r.identify(m)
 		v.name = v.id.String()
@@ -42,67 +45,74 @@
 // setServers takes up the servers of a map, under the lock.
 func (r *Runner) setServers(m *cells.Map) {
 	weights := map[string]float64{}
-	var unheard []string
+	var unchecked []string
 	for s := range m.AllServers() {
 		weights[s.Name] = s.Weight
 		if r.upstreams[s.Name] == nil {
-			unheard = append(unheard, s.Name)
+			unchecked = append(unchecked, s.Name)
 		}
-		if p := r.upstreams[s.Name]; p == nil || p.addr != s.Addr {
-			p.close()
+		if u := r.upstreams[s.Name]; u == nil || u.addr != s.Addr {
+			u.close()
 			r.upstreams[s.Name] = &upstream{name: s.Name, addr: s.Addr, slots: r.connectionSlots, dial: r.cfg.Dial}
 		}
 	}
-	for name, p := range r.upstreams {
+	for name, u := range r.upstreams {
 		if m.Server(name) == nil {
-			p.close()
+			u.close()
 			delete(r.upstreams, name)
 		}
 	}
 	r.balancer.SetServers(r.clock(), weights)
-	for _, name := range unheard {
+	for _, name := range unchecked {
 		r.balancer.AwaitHealthCheck(name)
 	}
 }
 
-// Reload reads the map again. One that is no good, or can't follow the one in force, is logged, and the old one holds.
+// Reload reads the map again. One that is no good, or can't follow the one in force, is logged, and the old one stays in force. It is
+// called at SIGHUP, by reloadMap, and where a server knows of a newer map.
 func (r *Runner) Reload() {
 	r.reading.Lock()
 	defer r.reading.Unlock()
 	old := r.current.Load()
 	load := r.cfg.Source.Load
 	src, can := r.cfg.Source.(OutdatedSource)
-	behind := can && r.verdict(old) == configstore.VerdictOutdated
-	if behind {
+	outdated := can && r.verdict(old) == configstore.VerdictOutdated
+	if outdated {
 		load = src.LoadOutdated
 	}
-	m, read, err := load(old.Map)
+	m, confirmedAt, err := load(old.Map)
 	if err != nil {
-		r.stats.Inc("cells", "bad_map")
-		if time.Since(r.loggedBadMapAt) > old.Lease {
-			r.loggedBadMapAt = time.Now()
-			events.Log(r.log, "cells.bad_map", old.Version, err)
-		}
-		// Where it was checked in time and comes too late, perhaps at all routers, nobody else tells that there is a newer one.
-		if src, can := r.cfg.Source.(NewestSource); can {
-			if id, ok := src.Newest(old.Map); ok {
-				r.mu.Lock()
-				r.observeVersion(r.clock(), id, "the group")
-				r.mu.Unlock()
-			}
-		}
+		r.noteBadMap(old, err)
 		return
 	}
-	if behind && m.Version != old.Version {
-		r.catchUp(m)
-	}
 	if m.Version != old.Version {
+		if outdated {
+			r.catchUp(m)
+		}
 		r.stats.Inc("cells", "new_map")
 		events.Log(r.log, "cells.new_map", m.Version, old.Version, len(cells.Diff(old.Map, m)))
 	}
-	r.useMap(m, read)
+	r.useMap(m, confirmedAt)
+}
+
+// noteBadMap counts and logs that no map can follow the one in force, once a lease.
+func (r *Runner) noteBadMap(old *mapInForce, err error) {
+	r.stats.Inc("cells", "bad_map")
+	if time.Since(r.loggedBadMapAt) > old.Lease {
+		r.loggedBadMapAt = time.Now()
+		events.Log(r.log, "cells.bad_map", old.Version, err)
+	}
+	// Where it was checked in time and comes too late, perhaps at all routers, nobody else tells that there is a newer one.
+	if src, can := r.cfg.Source.(NewestSource); can {
+		if id, ok := src.Newest(old.Map); ok {
+			r.mu.Lock()
+			defer r.mu.Unlock()
+			r.observeVersion(r.clock(), id, "the group")
+		}
+	}
 }
 
+// reloadMap reads the map again at a third of its lease, and where a newer one was heard of, until the context ends.
 func (r *Runner) reloadMap(ctx context.Context) {
 	for {
 		select {
@@ -117,9 +127,11 @@
 	}
 }
 
-// minReloadPause is the least time between two readings of the map because a newer one was heard of.
+// minReloadPause is the least time between two readings of the map because a newer one was heard of: one that never comes, as its file
+// was forgotten, must not have the map read with each health check.
 const minReloadPause = 100 * time.Millisecond
 
+// pause waits for so long, or until the context ends.
 func pause(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
@@ -127,12 +139,12 @@
 	}
 }
 
-// identifyMap names a map.
+// identifyMap names a map by its text.
 func identifyMap(m *cells.Map) configstore.ID {
 	return configstore.NewID(m.Version, settings.FormatCells(m))
 }
 
-// identify names a map as its source does, or else by its text.
+// identify names a map by the digest that its source knows, or else by its text.
 func (r *Runner) identify(m *cells.Map) configstore.ID {
 	if src, can := r.cfg.Source.(DigestSource); can {
 		if digest, named := src.DigestOf(m); named {
@@ -142,8 +154,8 @@
 	return identifyMap(m)
 }
 
-// catchUp is told that a newer map is taken up by one that has gone by an old one beyond its time. What it then sent, where the
-// newer one says otherwise, may come again.
+// catchUp is told that a newer map is taken up by a router that has gone by an old one beyond its lease. What it sent then, where the newer
+// one has another home for it, may be repeated: nothing exclusive begins until it can't be any more.
 func (r *Runner) catchUp(m *cells.Map) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -1,6 +1,10 @@
-// Package proxy is the Runner of a router: it hands requests on to the servers of a fleet over the platform's balancer
-// protocol. Which server a request belongs to is decided by cells, which of several gets a try by routing; this package
-// carries it out. Once a sheet may have run, nobody but its home is asked for it again.
+// Package proxy is the Runner of a router: it forwards requests to the servers of a fleet over the platform's balancer protocol. Which
+// server a request belongs to is decided by policy/cells, which of several gets an attempt by policy/loadbalancer; this package carries
+// it out. Once a request with an idempotency key may have run, nobody but its home is asked for it again.
+//
+// forward.go is the way of a request, keyed.go and retries.go its attempts with and without a key, attempt.go and upstream.go one attempt
+// at one server. maps.go has the map in force, which comes from a file (filesource.go) or from the group (groupsource.go) and is kept over
+// a restart (statefile.go); healthchecks.go and versions.go what servers tell.
 package proxy
 
 import (
@@ -20,7 +24,7 @@
 	"silverpath/internal/transport/msgpackrpc"
 )
 
-// Events is who hears of what came back: the core.
+// Events is who is told what became of requests: the core.
 type Events interface {
 	RunnerReady()
 	Class(name string) (silverpath.Class, bool)
@@ -32,10 +36,10 @@
 
 // Config sets up a Runner.
 type Config struct {
-	Name                string // by which others know it
+	Name                string // by which servers and the group know it
 	Source              Source // of the cell map
 	LoadBalancing       loadbalancer.Config
-	Cores               int // runs at once that the whole fleet is taken to have room for
+	Cores               int // requests in flight that the whole fleet is taken to have capacity for
 	HealthCheckInterval time.Duration
 	MaxConnections      int // connections to all servers at most
 	// Dial opens a connection to a server; nil: over TCP.
@@ -43,13 +47,14 @@
 }
 
 const (
-	dialTimeout        = 500 * time.Millisecond
-	healthCheckTimeout = time.Second
-	answerReserve      = 50 * time.Millisecond // before its due time a try is given up, so that its caller still gets an answer
-	maxAttempts        = 4                     // servers that one request is sent to, retries and hedges and homes together
+	dialTimeout        = 500 * time.Millisecond // several round trips on a poor link within the fleet; a server that takes longer is no use
+	healthCheckTimeout = time.Second            // longer than a pause of a loaded server
+	answerReserve      = 50 * time.Millisecond  // before its deadline an attempt is given up, so that its caller still gets an answer
+	minConnections     = 8                      // to all servers, whatever few descriptors there are
+	maxAttempts        = 4                      // of a request without a key, one after the other
 )
 
-// Runner hands requests on.
+// Runner forwards requests. Its methods may be called by several goroutines.
 type Runner struct {
 	cfg             Config
 	events          Events
@@ -59,24 +64,24 @@
 	current         atomic.Pointer[mapInForce]
 	connectionSlots chan struct{}
 
-	mu                  sync.Mutex // the table's
+	mu                  sync.Mutex // of what follows, but for the atomics
 	balancer            *loadbalancer.Balancer
 	tenants             *loadbalancer.TenantLimiter
-	quota               *quota.Holder // nil: it knows nothing of what other routers let in
+	quota               *quota.Holder // nil: it shares its cells with no other routers
 	upstreams           map[string]*upstream
 	inFlight            atomic.Int64
-	offeredWeight       atomic.Uint64 // worth, in thousandths, of all requests that have been answered
+	offeredWeight       atomic.Uint64 // priority weight, in thousandths, of all requests that have been answered
 	servedWeight        atomic.Uint64 // and of those that were served
 	loggedHealth        map[string]loadbalancer.Health
-	versions            configstore.VersionTracker // what was heard of others' maps
+	versions            configstore.VersionTracker // of the maps of others
 	reloadSoon          chan struct{}              // the map is to be read again, as a newer one was heard of
-	lastKeyedSent       atomic.Int64               // when a sheet was last sent, by the clock
+	lastKeyedSent       atomic.Int64               // when a request with a key was last sent, by the clock
 	healthCheckInterval atomic.Int64               // nanoseconds between two health checks of a server
 
-	quotaCapacity    capacitySpan  // what the share was last told of
-	lastHealthReport time.Duration // when the health of all servers was last looked through
+	quotaCapacity    capacitySpan  // of which the quota was told the capacity
+	lastHealthReport time.Duration // when the health of all servers was last compared with what was logged
 
-	reading        sync.Mutex // of the map
+	reading        sync.Mutex // held while the map is read
 	loggedBadMapAt time.Time
 }
 
@@ -85,28 +90,32 @@
 	_ core.Forwarder = (*Runner)(nil)
 )
 
-// New returns a runner with the map that its source has.
+// New returns a runner with the map that its source has. It is an error where the source has none. Nothing is checked or read again until
+// Maintain runs.
 func New(cfg Config, events Events, l *log.Logger, s *metrics.Counters) (*Runner, error) {
-	m, fresh, err := cfg.Source.Load(nil)
+	m, confirmedAt, err := cfg.Source.Load(nil)
 	if err != nil {
 		return nil, err
 	}
 	if cfg.Dial == nil {
 		cfg.Dial = msgpackrpc.Dial
 	}
-	cfg.LoadBalancing.KeyWindow = m.KeyWindow + m.CallerTimeout + 2*m.MaxClockSkew
+	cfg.LoadBalancing.KeyWindow = m.OverlapWindow()
 	r := &Runner{
-		cfg: cfg, events: events, log: l, stats: s, began: time.Now(), balancer: loadbalancer.New(cfg.LoadBalancing), tenants: loadbalancer.NewTenantLimiter(),
-		upstreams: map[string]*upstream{}, loggedHealth: map[string]loadbalancer.Health{}, reloadSoon: make(chan struct{}, 1), connectionSlots: make(chan struct{}, max(8, cfg.MaxConnections)),
+		cfg: cfg, events: events, log: l, stats: s, began: time.Now(),
+		balancer: loadbalancer.New(cfg.LoadBalancing), tenants: loadbalancer.NewTenantLimiter(),
+		upstreams: map[string]*upstream{}, loggedHealth: map[string]loadbalancer.Health{},
+		reloadSoon: make(chan struct{}, 1), connectionSlots: make(chan struct{}, max(minConnections, cfg.MaxConnections)),
 	}
 	r.healthCheckInterval.Store(int64(cfg.HealthCheckInterval))
-	r.useMap(m, fresh)
+	r.useMap(m, confirmedAt)
 	return r, nil
 }
 
+// clock is the router's monotonic clock. It begins at an hour, so that 0 is long ago.
 func (r *Runner) clock() time.Duration { return time.Since(r.began) + time.Hour }
 
-// Forward hands a request on. It does not block.
+// Forward forwards a request, and tells Events of its end. It does not block.
 func (r *Runner) Forward(q core.Request) {
 	r.inFlight.Add(1)
 	go func() {
@@ -114,10 +123,10 @@
 		began := time.Now()
 		class, _ := r.events.Class(q.Class)
 		a := r.route(q, class)
-		worth := uint64(1000 * max(0, class.Weight))
-		r.offeredWeight.Add(worth)
+		weight := uint64(1000 * max(0, class.Weight))
+		r.offeredWeight.Add(weight)
 		if a.Outcome == core.Served {
-			r.servedWeight.Add(worth)
+			r.servedWeight.Add(weight)
 			r.events.RunEnded(q.ID, silverpath.OK, time.Since(began), a.Body)
 		} else {
 			r.events.ForwardReturned(q.ID, a, time.Since(began))
@@ -128,10 +137,10 @@
 // Run is not called: see Forward.
 func (r *Runner) Run(string, string, []byte) {}
 
-// Resume is never asked: runs of the fleet wait for no call of ours.
+// Resume is never called: runs of the fleet wait for no call of ours.
 func (r *Runner) Resume(string, []byte) {}
 
-// Probe reports the gauges: what is out there, for each core that the fleet is taken to have.
+// Probe reports the gauges: requests in flight, for each core that the fleet is taken to have.
 func (r *Runner) Probe() {
 	n := float64(r.inFlight.Load())
 	r.events.Gauges(silverpath.Gauges{CPU: min(1, n/float64(max(1, r.cfg.Cores))), OnCores: n, Connections: n})
@@ -156,29 +165,29 @@
 // Map is the map in force.
 func (r *Runner) Map() *cells.Map { return r.current.Load().Map }
 
-// Retune takes up other ways of choosing and trying.
-func (r *Runner) Retune(c loadbalancer.Config, probe time.Duration) {
-	r.healthCheckInterval.Store(int64(probe))
+// Retune takes up another load balancing configuration and interval of health checks, after a change of the routing document.
+func (r *Runner) Retune(c loadbalancer.Config, healthCheckInterval time.Duration) {
+	r.healthCheckInterval.Store(int64(healthCheckInterval))
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.balancer.Retune(c)
 }
 
-// Goodput is what was asked for and served since the start.
+// Goodput is what was asked for and served since the start, by priority weight.
 func (r *Runner) Goodput() configstore.Goodput {
 	return configstore.Goodput{Offered: float64(r.offeredWeight.Load()) / 1000, Served: float64(r.servedWeight.Load()) / 1000}
 }
 
-// Readiness is how far a router has come since its start: whether its map holds, whether sheets may be sent by it, and whether it has
-// its parts of what routers share.
-func (r *Runner) Readiness() (mapped, sure, shared bool) {
+// Readiness is how far a router has come since its start: whether its map is within its lease, whether requests with a key may be sent by
+// it, and whether it has its quota where routers share cells.
+func (r *Runner) Readiness() (hasMap, keyedAllowed, hasQuota bool) {
 	m := r.current.Load()
 	if m == nil {
 		return false, false, false
 	}
-	mapped = time.Since(m.confirmedAt) <= m.Lease
-	sure = mapped && r.verdict(m) == configstore.VerdictValid
+	hasMap = time.Since(m.confirmedAt) <= m.Lease
+	keyedAllowed = hasMap && r.verdict(m) == configstore.VerdictValid
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return mapped, sure, r.quota == nil || r.quota.HasLease(r.leaseClock())
+	return hasMap, keyedAllowed, r.quota == nil || r.quota.HasLease(r.leaseClock())
 }
--- a/internal/proxy/quota.go
+++ b/internal/proxy/quota.go
@@ -9,23 +9,23 @@
 	"silverpath/internal/policy/quota"
 )
 
-// ShareQuota has this router share its cells with others: it is one of so many, and has a part for good where nobody else can be there
-// under its name. It is called before the first request.
-func (r *Runner) ShareQuota(most int, good bool) {
+// ShareQuota has this router share its cells with others: it is one of so many, and has a reserve where nobody else can be there under its
+// name. It is called before the first request.
+func (r *Runner) ShareQuota(maxRouters int, hasReserve bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.quota, r.quotaCapacity = quota.NewHolder(most, good), capacitySpan{}
+	r.quota, r.quotaCapacity = quota.NewHolder(maxRouters, hasReserve), capacitySpan{}
 	r.updateQuotaCapacity()
 }
 
-// capacitySpan is of which map, and from when until before when, Unix milliseconds, what there is to share is as it was told.
+// capacitySpan is the map and the time for which the capacity of cells was computed last.
 type capacitySpan struct {
 	m           *cells.Map
-	from, until int64
+	from, until int64 // Unix milliseconds; until is the first one that is not in it
 }
 
-// updateQuotaCapacity tells the share what there is, under the lock. It runs over all servers and tenants, and only where the map is another one or
-// the time has come at which one of them comes, goes or moves.
+// updateQuotaCapacity sets the capacity of cells, under the lock. It runs over all servers and tenants, and only where the map is another
+// one or the time has come at which one of them comes, goes or moves.
 func (r *Runner) updateQuotaCapacity() {
 	m, now := r.current.Load().Map, Wall()
 	if at := now.UnixMilli(); r.quotaCapacity.m == m && r.quotaCapacity.from <= at && at < r.quotaCapacity.until {
@@ -38,19 +38,19 @@
 	}
 }
 
-// QuotaRequest is this router's word to the group, for its part in the cells.
-func (r *Runner) QuotaRequest() (w quota.Request, told func(quota.Grant, lease.Terms)) {
+// QuotaRequest is this router's request to the group's leader, and what to call with the grant that answers it.
+func (r *Runner) QuotaRequest() (request quota.Request, granted func(quota.Grant, lease.Terms)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	asked := r.leaseClock()
-	w = r.quota.Request(asked)
-	return w, func(g quota.Grant, t lease.Terms) {
+	request = r.quota.Request(asked)
+	return request, func(g quota.Grant, t lease.Terms) {
 		r.mu.Lock()
 		defer r.mu.Unlock()
 		r.updateQuotaCapacity()
-		r.quota.TakeGrant(asked, w.Applied, g, t)
+		r.quota.TakeGrant(asked, request.Applied, g, t)
 	}
 }
 
-// leaseClock is the clock by which parts end.
+// leaseClock is the clock by which the leases of grants end.
 func (r *Runner) leaseClock() time.Duration { return time.Duration(float64(r.clock()) * Rate) }
--- a/internal/proxy/retries.go
+++ b/internal/proxy/retries.go
@@ -9,8 +9,12 @@
 	"silverpath/internal/policy/loadbalancer"
 )
 
-// forwardAnywhere brings a request that has no home to a server. A safe one that fails is tried elsewhere, and gets a second copy where
-// the first takes longer than nearly all do; any other goes elsewhere only on proof that it never ran.
+// Requests without an idempotency key. Inputs: the servers of the request's tenant, whether it is safe to run more than once, and what
+// the load balancer knows. A safe request that fails is retried elsewhere, and hedged where its answer takes longer than nearly all do;
+// any other is retried only on proof that it never ran. Both are within budgets, and end answerReserve before the deadline.
+
+// forwardAnywhere brings a request that has no home to one server after the other, until it is served or there is no further attempt.
+// What it returns then is the worst that happened: a request that may have run is not told as rejected.
 func (r *Runner) forwardAnywhere(q core.Request, route cells.Route, safe bool) core.Answer {
 	r.mu.Lock()
 	r.balancer.FirstAttempt(r.clock())
@@ -45,32 +49,33 @@
 	return worst
 }
 
-func (r *Runner) pick(tenant string, among []string, not string) (string, bool) {
+// pick chooses a server among some, but for the one of the attempt before.
+func (r *Runner) pick(tenant string, among []string, exclude string) (string, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.balancer.Pick(r.clock(), r.tenantInMap(tenant), among, not)
+	return r.balancer.Pick(r.clock(), r.tenantInMap(tenant), among, exclude)
 }
 
-// hedgedAttempt makes a try, and a second copy of it elsewhere where it is a read that takes long and the budget has one left.
-// Whichever is served first is the answer; the other is given up.
+// hedgedAttempt makes an attempt, and a hedged one elsewhere where the request is safe, takes longer than the hedge delay, and the budget
+// has one left. Whichever is served first is the answer; the other is cancelled.
 func (r *Runner) hedgedAttempt(q core.Request, route cells.Route, name string, safe bool) attemptResult {
 	r.mu.Lock()
-	after, known := r.balancer.HedgeDelay()
+	delay, known := r.balancer.HedgeDelay()
 	r.mu.Unlock()
 	if !safe || !known {
-		return r.attempt(q, name, false, q.Deadline)
+		return r.attempt(q, name, mayRun)
 	}
 	ends := make(chan attemptResult, 2)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	go func() { ends <- r.attemptIn(ctx, q, name, false, q.Deadline) }()
-	hedge := time.NewTimer(after)
+	go func() { ends <- r.attemptIn(ctx, q, name, mayRun) }()
+	hedge := time.NewTimer(delay)
 	defer hedge.Stop()
-	out := 1
+	inFlight := 1
 	for {
 		select {
 		case e := <-ends:
-			if out--; e.outcome == loadbalancer.Served || out == 0 {
+			if inFlight--; e.outcome == loadbalancer.Served || inFlight == 0 {
 				return e
 			}
 		case <-hedge.C:
@@ -83,10 +88,10 @@
 			r.mu.Unlock()
 			if ok {
 				r.stats.Inc("fleet", "hedged")
-				out++
+				inFlight++
 				second := q
-				second.ID = q.ID + "h" // its own try, by its own id
-				go func() { ends <- r.attemptIn(ctx, second, other, false, q.Deadline) }()
+				second.ID = q.ID + "h" // an attempt of its own, by its own id
+				go func() { ends <- r.attemptIn(ctx, second, other, mayRun) }()
 			}
 		}
 	}
--- a/internal/proxy/versions.go
+++ b/internal/proxy/versions.go
@@ -11,31 +11,40 @@
 	"silverpath/internal/policy/configstore"
 )
 
-// clockDrift is by which the monotonic clock of a machine may run fast or slow, as a share.
+// Versions of maps that servers tell of. Routers that can't reach each other meet at servers: each tells its map with a health check and
+// hears of the newest one, and of two that differ. By what it heard a router stops sending requests with a key: policy/configstore.
+
+// clockDrift is the ratio by which the monotonic clock of a machine may run fast or slow; quartz stays within a thousandth of that.
 const clockDrift = 0.05
 
-// conflictTerms are those of a map, as this router looks after its servers.
+// conflictTerms are the terms of a map, with this router's health checks.
 func (r *Runner) conflictTerms(m *cells.Map) configstore.Terms {
-	return configstore.Terms{Lease: m.Lease, ClockSkew: m.MaxClockSkew, ClockDrift: clockDrift, ProbeInterval: r.checkInterval(), ProbeTimeout: healthCheckTimeout, OverlapWindow: m.KeyWindow + m.CallerTimeout + 2*m.MaxClockSkew}
+	return configstore.Terms{
+		Lease: m.Lease, ClockSkew: m.MaxClockSkew, ClockDrift: clockDrift, ProbeInterval: r.checkInterval(), ProbeTimeout: healthCheckTimeout,
+		OverlapWindow: m.OverlapWindow(),
+	}
 }
 
-// noteServersRules takes what a server knows of the rules, under the lock.
-func (r *Runner) noteServersRules(server string, fields map[string]string) {
+// maxSuspend bounds what a server may have this router stop for by its word.
+const maxSuspend = time.Hour
+
+// noteServersMap takes what a server knows of maps, under the lock.
+func (r *Runner) noteServersMap(server string, fields map[string]string) {
 	now := r.clock()
-	if n, words, ok := strings.Cut(fields["gc"], " "); ok {
-		if n, err := strconv.Atoi(n); err == nil && r.versions.ObserveConflict(now, n, words) == configstore.ConflictFound {
+	if n, description, ok := strings.Cut(fields[fieldConflict], " "); ok {
+		if version, err := strconv.Atoi(n); err == nil && r.versions.ObserveConflict(now, version, description) == configstore.ConflictFound {
 			r.reportConflict()
 		}
 	}
-	if id, ok := configstore.ParseID(fields["g"]); ok {
-		r.observeVersion(now, id, fields["gn"]+" at server "+server)
+	if id, ok := configstore.ParseID(fields[fieldMapID]); ok {
+		r.observeVersion(now, id, fields[fieldMapFrom]+" at server "+server)
 	}
-	if ms, err := strconv.ParseInt(fields["gq"], 10, 64); err == nil && ms > 0 {
-		r.versions.Suspend(now, min(time.Duration(ms)*time.Millisecond, time.Hour))
+	if ms, err := strconv.ParseInt(fields[fieldSuspend], 10, 64); err == nil && ms > 0 {
+		r.versions.Suspend(now, min(time.Duration(ms)*time.Millisecond, maxSuspend))
 	}
 }
 
-// observeVersion takes that there is a document, under the lock. One that is newer than its own has this router read its map again.
+// observeVersion takes that there is a map, under the lock. One that is newer than its own has this router read its map again.
 func (r *Runner) observeVersion(now time.Duration, id configstore.ID, source string) {
 	switch r.versions.Observe(now, id, source) {
 	case configstore.ConflictFound:
@@ -48,18 +57,19 @@
 	if m := r.current.Load(); m != nil && id.Version > m.Version {
 		select {
 		case r.reloadSoon <- struct{}{}:
-		default: // it is about to
+		default: // it is to be read already
 		}
 	}
 }
 
+// reportConflict logs and counts two maps of one version that differ, under the lock.
 func (r *Runner) reportConflict() {
-	n, words := r.versions.Conflict()
+	version, description := r.versions.Conflict()
 	r.stats.Inc("rules", "contradictions")
-	events.Log(r.log, "rules.contradiction", n, words)
+	events.Log(r.log, "rules.contradiction", version, description)
 }
 
-// verdict tells whether a sheet may be sent by a map.
+// verdict tells whether a request with a key may be sent by a map.
 func (r *Runner) verdict(m *mapInForce) configstore.Verdict {
 	if core.Unfenced {
 		return configstore.VerdictValid
