--- a/transitions.go
+++ b/transitions.go
@@ -4,9 +4,10 @@
 // never a line for each request. An overload lasts until nothing was rejected for windowLength; calls count
 // as slow, or as quick again, once they have been so for windowLength, since single calls swing far.
 //
-// The line at the end of an overload says which rule rejected how many: "the flight limit" is the concurrency
-// limit of overload.go, "guards" are those of admission.go with the bound on requests in hand of queue.go, and
-// "the forecast" is the one of queue.go with the expired requests of deadline.go and those rejected unread.
+// The line at the end of an overload says which rule rejected how many: "the flight limit" is the
+// concurrency limit of overload.go, "guards" are those of admission.go with the bound on requests in hand of
+// queue.go, and "the forecast" is the one of queue.go with the expired requests of deadline.go and those
+// rejected unread.
 
 import "fmt"
 
