--- a/internal/metrics/stats.go
+++ b/internal/metrics/counters.go
@@ -1,5 +1,5 @@
-// Package metrics counts what the service takes in, sends and answers. It belongs to no wire: every front, the
-// signal handler and any agent that reports figures read the same counters.
+// Package metrics has the counters and timings of a process. Fronts, clients and controllers count by it; the state as JSON, SNMP, the
+// admin API and SIGUSR1 show them. Their names are a wire: operators' tools read them.
 package metrics
 
 import (
@@ -18,12 +18,13 @@
 	timings map[string]*Timing
 }
 
-// counterName joins the parts of a counter's name. A part may come off the wire, so blanks in it are replaced.
+// counterName joins the parts of a name by dots. A part may come off the wire, so that blanks in it are replaced: it must not forge a
+// line of its own.
 func counterName(parts []string) string {
 	return strings.Join(strings.Fields(strings.Join(parts, ".")), "_")
 }
 
-// Add adds to the counter with the given parts of a name, such as front, class and outcome.
+// Add adds n to the counter with the given parts of a name, such as event, front and class.
 func (c *Counters) Add(n uint64, parts ...string) {
 	key := counterName(parts)
 	c.mu.Lock()
@@ -34,7 +35,7 @@
 	c.n[key] += n
 }
 
-// Set sets the counter: of what is measured and not counted.
+// Set sets the counter to n: for what is measured and not counted, such as a size or a state.
 func (c *Counters) Set(n uint64, parts ...string) {
 	key := counterName(parts)
 	c.mu.Lock()
@@ -45,10 +46,10 @@
 	c.n[key] = n
 }
 
-// Inc adds 1.
+// Inc adds 1 to the counter.
 func (c *Counters) Inc(parts ...string) { c.Add(1, parts...) }
 
-// Get returns a counter's value, 0 for one never added to.
+// Get returns the counter's value, 0 for one that was never added to.
 func (c *Counters) Get(parts ...string) uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -62,7 +63,7 @@
 	return maps.Clone(c.n)
 }
 
-// Timing returns the histogram of a name, a new one at first.
+// Timing returns the timing of a name, a new one at the first call. Callers that record often keep it.
 func (c *Counters) Timing(parts ...string) *Timing {
 	key := counterName(parts)
 	c.mu.Lock()
@@ -76,7 +77,7 @@
 	return c.timings[key]
 }
 
-// Timings returns all histograms in the order of their names.
+// Timings returns all timings in the order of their names.
 func (c *Counters) Timings() []*Timing {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -87,7 +88,8 @@
 	return list
 }
 
-// Print writes every counter and every timing, a line each, in the order of their names.
+// Print writes every counter and every timing, a line each, in the order of their names. Write errors are dropped: it writes to the
+// process's log.
 func (c *Counters) Print(w io.Writer) {
 	all := c.Snapshot()
 	for _, key := range slices.Sorted(maps.Keys(all)) {
--- a/internal/transport/linger/linger.go
+++ b/internal/transport/linger/linger.go
@@ -1,6 +1,6 @@
-// Package linger ends TCP connections so that what was written on them arrives. A plain close over bytes that were not read
-// resets the connection, and the reset may overtake an answer on its way or take it out of the other side's buffer. A
-// lingering close ends the sending half first, reads what still comes for a bounded time, and only then closes.
+// Package linger closes TCP connections so that what was written on them arrives. A close over bytes that nobody has read makes the
+// kernel reset the connection, and the other side may lose an answer that is on its way: so the sending half ends first, what still
+// comes is read for a bounded time, and only then the connection closes.
 package linger
 
 import (
@@ -12,14 +12,15 @@
 	"golang.org/x/sys/unix"
 )
 
-// CloseWrite ends the sending half of a connection. It reports whether the connection has halves: a pipe in memory has none.
+// CloseWrite closes the sending half of a connection. It reports whether that succeeded: a pipe in memory has no halves.
 func CloseWrite(conn net.Conn) bool {
 	half, ok := conn.(interface{ CloseWrite() error })
 	return ok && half.CloseWrite() == nil
 }
 
-// Close ends a connection on which all that was to be written is written. What still comes is read, by r where that holds a
-// buffer of the connection, and thrown away until the other side ends it too, the time is over or as many bytes have come.
+// Close closes a connection on which all that was to be written is written. What still comes is read, by r where that holds a buffer
+// of the connection, and thrown away, until the other side closes it too, the timeout is over or maxBytes have come. It is called
+// by a connection's handler as its last step.
 func Close(conn net.Conn, r io.Reader, timeout time.Duration, maxBytes int64) {
 	defer conn.Close()
 	if !CloseWrite(conn) {
@@ -29,20 +30,21 @@
 	if r == nil {
 		r = conn
 	}
-	io.CopyN(io.Discard, r, maxBytes)
+	_, _ = io.CopyN(io.Discard, r, maxBytes)
 }
 
-// State is what a look at a connection shows, without taking anything from it.
+// State is what Peek finds on a connection.
 type State int
 
+// What Peek finds.
 const (
-	Unknown State = iota // it can't be looked at
-	Idle                 // open, and nothing has come
+	Unknown State = iota // it has no socket to look at
+	Idle                 // open, and nothing has come that was not read
 	Unread               // bytes have come and were not read
-	Closed               // the other side has ended it, or it is broken
+	Closed               // the other side has closed it, or it is broken
 )
 
-// Peek looks at a connection without waiting.
+// Peek looks at a connection without waiting and without reading from it.
 func Peek(conn net.Conn) State {
 	s, ok := conn.(syscall.Conn)
 	if !ok {
--- a/internal/transport/linger/linger_test.go
+++ b/internal/transport/linger/linger_test.go
@@ -89,7 +89,7 @@
 func TestReadsThroughTheBuffer(t *testing.T) {
 	w := &watched{comes: strings.NewReader(strings.Repeat("x", 3000))}
 	r := bufio.NewReaderSize(w, 1000)
-	r.Peek(1)
+	_, _ = r.Peek(1)
 	Close(w, r, time.Hour, 1000)
 	if w.took != 1000 {
 		t.Errorf("%d bytes were read of the connection, 1000 of them through its buffer", w.took)
@@ -101,7 +101,7 @@
 	here, there := net.Pipe()
 	defer there.Close()
 	Close(here, nil, time.Hour, 1000)
-	if _, err := there.Read(make([]byte, 1)); err != io.EOF {
+	if _, err := there.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
 		t.Errorf("%v", err)
 	}
 }
@@ -138,7 +138,7 @@
 	}
 	defer dialed.Close()
 	client := dialed.(*net.TCPConn)
-	client.SetReadBuffer(32 << 10)
+	_ = client.SetReadBuffer(32 << 10)
 	accepted, err := ln.Accept()
 	if err != nil {
 		t.Fatal(err)
@@ -162,7 +162,7 @@
 		Close(server, nil, time.Minute, 64<<10)
 	}()
 	<-server.turn // it lingers, or has closed
-	client.SetReadDeadline(time.Now().Add(20 * time.Second))
+	_ = client.SetReadDeadline(time.Now().Add(20 * time.Second))
 	got, err := io.ReadAll(client)
 	if err != nil || !bytes.Equal(got, answer) {
 		t.Fatalf("%d bytes of %d, %v", len(got), len(answer), err)
@@ -172,7 +172,7 @@
 		t.Error("closed before the client has ended its side")
 	default:
 	}
-	client.Close()
+	_ = client.Close()
 	<-closed
 	if _, err := accepted.Read(make([]byte, 1)); !errors.Is(err, net.ErrClosed) {
 		t.Errorf("%v", err)
--- a/internal/transport/listener/close_test.go
+++ b/internal/transport/listener/close_test.go
@@ -86,7 +86,7 @@
 // ended reads the end of a connection: in good order, and not by a reset.
 func ended(t *testing.T, c net.Conn) {
 	t.Helper()
-	if n, err := c.Read(make([]byte, 1)); n != 0 || err != io.EOF {
+	if n, err := c.Read(make([]byte, 1)); n != 0 || !errors.Is(err, io.EOF) {
 		t.Fatalf("%d bytes and %v where the connection ends", n, err)
 	}
 }
@@ -118,7 +118,7 @@
 }
 
 // What has come on a connection that rests, and was not read yet, keeps its place: it is answered.
-func TestGiveUpMeetsARequest(t *testing.T) {
+func TestEvictionMeetsARequest(t *testing.T) {
 	e := newEcho(t, 2)
 	e.turn <- struct{}{}
 	c := e.dial(t, "a")
@@ -157,7 +157,7 @@
 }
 
 // A connection that was given up is closed soon, though its client ends nothing.
-func TestGivenUpEndsByItself(t *testing.T) {
+func TestEvictedConnectionIsClosed(t *testing.T) {
 	e := newEcho(t, 2)
 	close(e.turn)
 	c := e.dial(t, "a")
@@ -186,7 +186,7 @@
 }
 
 // A listener that closes takes in who waits already: their bytes may lie on this machine.
-func TestCloseMeetsWhoWaits(t *testing.T) {
+func TestCloseAcceptsPending(t *testing.T) {
 	e := newEcho(t, 1)
 	first := e.dial(t, "")
 	until(t, "the first is served", func() bool { return e.Connections() == 1 })
@@ -215,7 +215,7 @@
 
 // At the end of the process connections that rest are ended in good order, those with a request once it is answered, and one
 // that never is takes no longer than it may.
-func TestEnd(t *testing.T) {
+func TestEndConnections(t *testing.T) {
 	e := newEcho(t, 4)
 	close(e.turn)
 	rests, busy, never := e.dial(t, "a"), e.dial(t, "b"), e.dial(t, "c")
@@ -281,7 +281,7 @@
 }
 
 // One newcomer has one connection give way, however often room is looked for while that one lingers.
-func TestOneGivesWayForOne(t *testing.T) {
+func TestOneEvictionForOneNewcomer(t *testing.T) {
 	e := newEcho(t, 3)
 	e.lingerTimeout = 300 * time.Millisecond
 	close(e.turn)
@@ -322,7 +322,7 @@
 		var l *Listener
 		f := &failing{Listener: p, free: func() bool { return l.stats.Get("evicted", "test") > 0 }}
 		l = New("test", f, 100, func() time.Duration { return 0 }, func(conn net.Conn, s *Slot) {
-			io.Copy(io.Discard, conn)
+			_, _ = io.Copy(io.Discard, conn)
 		}, log.New(&out, "", 0), &metrics.Counters{})
 		go l.Serve()
 		idle, busy := p.Dial(), p.Dial()
@@ -373,7 +373,7 @@
 
 // A crowd that waits as the listener closes is taken in within the budget: what never asked gives way to who comes after it, and
 // a request among the crowd is answered.
-func TestCloseMeetsACrowd(t *testing.T) {
+func TestCloseAcceptsACrowd(t *testing.T) {
 	const most, crowd = 4, 24
 	e := newEcho(t, most)
 	e.acceptBacklogFor = time.Minute
--- a/internal/transport/listener/front_test.go
+++ b/internal/transport/listener/listener_test.go
@@ -1,6 +1,7 @@
 package listener
 
 import (
+	"errors"
 	"io"
 	"log"
 	"net"
@@ -61,7 +62,7 @@
 	synctest.Wait()
 	c.SetReadDeadline(time.Now().Add(time.Millisecond))
 	_, err := c.Read(make([]byte, 1))
-	return err == io.EOF
+	return errors.Is(err, io.EOF)
 }
 
 // Over the budget the connection that has idled longest makes room, never one with a request open.
@@ -90,7 +91,7 @@
 
 // Who has asked nothing goes before one that has, however long that idles, and who asked once before one that
 // comes again: those that connect and say nothing must not push out the balancers.
-func TestWhoGoesFirst(t *testing.T) {
+func TestEvictionOrder(t *testing.T) {
 	play(t, 0, func(l *Listener, dial func() net.Conn, _ func() int) {
 		usual := dial()
 		for range 3 {
@@ -276,7 +277,7 @@
 }
 
 // A smaller budget holds at once for those that idle, the least missed first; what has a request open stays.
-func TestSetMost(t *testing.T) {
+func TestSetMaxConnections(t *testing.T) {
 	play(t, 0, func(l *Listener, dial func() net.Conn, _ func() int) {
 		l.SetMaxConnections(4)
 		var all []net.Conn
