--- a/shedder.go
+++ b/shedder.go
@@ -36,8 +36,8 @@
 
 // The clock of the module.
 const (
-	// tickInterval is the time between two calls of Tick: deadlines are met to within one, at the price of a look
-	// at all requests in hand. Ten make a sample.
+	// tickInterval is the time between two calls of Tick: deadlines are met to within one, at the price of a
+	// look at all requests in hand. Ten make a sample.
 	tickInterval = 25 * time.Millisecond
 	// sampleInterval is the time between two samples of the gauges: the go-zero shedder's own.
 	sampleInterval = 250 * time.Millisecond
