--- a/internal/policy/recovery/path.go
+++ b/internal/policy/recovery/progress.go
@@ -5,20 +5,22 @@
 	"time"
 )
 
-// Need is one thing on which the return of service waits.
+// Prerequisite is one thing on which the return of service waits.
 type Prerequisite uint8
 
+// The prerequisites.
 const (
-	StoreRead         Prerequisite = iota // what the process kept itself has been read
+	StoreRead         Prerequisite = iota // what the process stored itself has been read
 	WorkerUp                              // that which does the work is up
 	RulesConfirmed                        // the rules that it acts on are confirmed
 	WindowOver                            // what may have run before, and is not known, can't come again
-	HeartbeatsDurable                     // signs of life last
+	HeartbeatsDurable                     // heartbeats are durable
 	MapKnown                              // a router has a map to go by
-	QuotasKnown                           // a router has its parts of what all share
+	QuotasKnown                           // a router has its quotas of what all routers share
 	prerequisites
 )
 
+// String names a prerequisite, in the words of the state and the log.
 func (n Prerequisite) String() string {
 	return [...]string{"disk", "worker", "rules", "window", "signs", "map", "shares"}[n]
 }
@@ -26,24 +28,27 @@
 // Work is a kind of what a process does for others.
 type Work uint8
 
+// The kinds of work.
 const (
 	Reads              Work = iota // what has no effect
 	Replays                        // of what is known to have run
-	IdempotentRequests             // what has an effect
-	FullCapacity                   // as much of it as the process ever takes
+	IdempotentRequests             // requests with an effect
+	FullCapacity                   // all of it, as much as the process ever takes
 )
 
+// String names a kind of work.
 func (w Work) String() string { return [...]string{"reads", "repeats", "sheets", "width"}[w] }
 
 // Role is what a process is.
 type Role uint8
 
+// The roles.
 const (
 	Server Role = iota
 	Router
 )
 
-// opens is what each work needs. What a process has no use for (no store, no group) is met from the start.
+// requirements is what each kind of work needs. What a process has no use for (no store, no group) is met from the start.
 var requirements = map[Role][]struct {
 	work Work
 	by   []Prerequisite
@@ -53,27 +58,29 @@
 	Router: {{Reads, []Prerequisite{MapKnown}}, {Replays, []Prerequisite{MapKnown, RulesConfirmed}}, {IdempotentRequests, []Prerequisite{MapKnown, RulesConfirmed}}, {FullCapacity, []Prerequisite{MapKnown, RulesConfirmed, QuotasKnown}}},
 }
 
-// mostSteps is how many steps of a path are kept, the first ones.
+// maxSteps is how many steps of a recovery are kept, the first ones: a process that goes back and forth fills no memory.
 const maxSteps = 32
 
 // State is how far a process has come. Each has all that the ones before it have.
 type State uint8
 
+// The states of a recovery.
 const (
-	Unavailable     State = iota // nothing yet but the answers that it can't
+	Unavailable     State = iota // it answers only that it can't
 	ReadsOnly                    // reads
 	ReadsAndEffects              // reads, and sheets
 	FullService                  // all
 )
 
+// String names a state, in the words of the state and the log.
 func (s State) String() string { return [...]string{"dark", "reads", "sheets", "full"}[s] }
 
-// Path is the way of one process from its start to full service.
+// Progress is the recovery of one process, from its start to full service. It is single-threaded; times are since the start.
 type Progress struct {
 	role      Role
 	met       [prerequisites]bool
-	since     [prerequisites]time.Duration // it is met, or waits
-	maxWait   [prerequisites]time.Duration // at the longest it takes; 0: as long as it takes
+	since     [prerequisites]time.Duration // it is met, or waited for
+	maxWait   [prerequisites]time.Duration // 0: as long as it takes
 	startedAt time.Duration
 	state     State
 	reachedAt time.Duration // the state was reached
@@ -86,7 +93,7 @@
 	After time.Duration
 }
 
-// NewPath returns the path of a process that starts, and of which needs it has a use.
+// NewProgress returns the recovery of a process that starts; uses are the prerequisites that it has.
 func NewProgress(now time.Duration, role Role, uses ...Prerequisite) *Progress {
 	p := &Progress{role: role, startedAt: now, reachedAt: now}
 	for n := range prerequisites {
@@ -96,7 +103,7 @@
 	return p
 }
 
-// Tell notes which needs are met, all at once, and which are not. Those that are not named are as they were.
+// Update notes which prerequisites are met, all at once, and which are not. Those that are not named are as they were.
 func (p *Progress) Update(now time.Duration, met map[Prerequisite]bool) {
 	for n, is := range met {
 		if p.met[n] != is {
@@ -106,7 +113,7 @@
 	p.advance(now)
 }
 
-// Takes notes how long from now on a need is waited for at the most.
+// ExpectWait notes how long from now on a prerequisite is waited for at the most.
 func (p *Progress) ExpectWait(now time.Duration, n Prerequisite, max time.Duration) {
 	if !p.met[n] {
 		p.since[n], p.maxWait[n] = now, max
@@ -149,14 +156,14 @@
 	}
 }
 
-// Wait is one need that is not met.
+// Wait is one prerequisite that is not met.
 type Wait struct {
 	Prerequisite Prerequisite
-	Waited       time.Duration // it has waited
-	MaxWait      time.Duration // it will at the most; 0: as long as it takes
+	Waited       time.Duration // for so long
+	MaxWait      time.Duration // 0: as long as it takes
 }
 
-// View is a path as it is seen.
+// Snapshot is a recovery as it is seen.
 type Snapshot struct {
 	State State
 	Since time.Duration
@@ -164,7 +171,7 @@
 	Steps []Step
 }
 
-// View returns the present one.
+// Snapshot returns the present one.
 func (p *Progress) Snapshot(now time.Duration) Snapshot {
 	v := Snapshot{State: p.state, Since: now - p.reachedAt, Steps: slices.Clone(p.steps)}
 	for n := range prerequisites {
--- a/internal/policy/recovery/recovery_test.go
+++ b/internal/policy/recovery/recovery_test.go
@@ -17,10 +17,10 @@
 	"pgregory.net/rapid"
 )
 
-// A process leaves signs on a disk that stalls and fails, begins work where it may, and dies; the machine stays on, or is dark for
-// a time, or the disk comes to another one; and however that was, no work was begun later than the next process takes it to have
-// been. Without the rule that signs have to last, work was.
-func TestDark(t *testing.T) {
+// A process writes heartbeats to a disk that stalls and fails, begins work where it may, and dies; the machine stays on, or is off for a
+// time, or the disk comes to another one. If work had begun later than the next process takes it to have, a request would run twice: so
+// however that was, none has. Without the rule that heartbeats have to be durable, some has.
+func TestNothingRunsLaterThanARestartAssumes(t *testing.T) {
 	const day = 24 * time.Hour
 	play := func(t *rapid.T, ruled bool) (late time.Duration) {
 		terms := LeaseTerms{Interval: 250 * time.Millisecond, Validity: time.Second}
@@ -85,9 +85,9 @@
 	}
 }
 
-// All sets of what is met: what is open has all that it needs, each state has what the ones before it have, and what is not met
-// and of use is what is waited for.
-func TestPath(t *testing.T) {
+// All sets of prerequisites that are met: what is open has all that it needs, each state has what the ones before it have, and what is
+// not met and of use is what is waited for.
+func TestWorkOpensOnlyWithItsPrerequisites(t *testing.T) {
 	for _, role := range []Role{Server, Router} {
 		for uses := range 1 << prerequisites {
 			var list []Prerequisite
@@ -124,8 +124,9 @@
 	}
 }
 
-// Every file of the program that writes to a disk has its line in the table of trust, and every line's files do.
-func TestTableOfTrust(t *testing.T) {
+// A new file writes state to a disk, and nobody has said whether a restart may trust it: every file of the program that writes has its
+// line in the table of state, and every line's files write.
+func TestEveryFileThatWritesHasItsTrust(t *testing.T) {
 	writes := map[string]bool{"atomicfile.Write": true, "bbolt.Open": true, "os.Rename": true, "os.Link": true, "os.WriteFile": true,
 		"os.Create": true, "os.CreateTemp": true, "os.OpenFile": true}
 	root, found := filepath.Join("..", "..", ".."), map[string]bool{}
--- a/internal/storage/atomicfile/lasting.go
+++ b/internal/storage/atomicfile/atomicfile.go
@@ -1,4 +1,4 @@
-// Package atomicfile puts files where they outlive a loss of power: whole, or not at all.
+// Package atomicfile replaces files atomically and durably: after a loss of power the old or the new one is there, complete.
 package atomicfile
 
 import (
@@ -7,18 +7,18 @@
 	"path/filepath"
 )
 
-// Sync is how a file, or a folder, is made to last; tests put one in its place that fails.
+// Sync is how a file, or a folder, is made durable; tests put one in its place that fails.
 var Sync = (*os.File).Sync
 
-// Put writes a file beside its place, has it last, puts it there by os.Rename, which takes the place of what stands there, or
-// by os.Link, which fails where something does, and has the folder last. After an error nobody knows which of the two stands
-// there after a loss of power.
+// Write writes a file beside its place, makes it durable, puts it there by place, and makes the folder durable. Place is os.Rename, which
+// replaces what stands there, or os.Link, which fails where something does. After an error nobody knows which of the two stands there
+// after a loss of power.
 func Write(path string, data []byte, place func(from, to string) error) error {
 	f, err := os.CreateTemp(filepath.Dir(path), ".next-"+filepath.Base(path))
 	if err != nil {
 		return err
 	}
-	defer os.Remove(f.Name()) // what was linked has another name too
+	defer func() { _ = os.Remove(f.Name()) }() // a renamed one is not there any more, a linked one has another name too
 	_, err = f.Write(data)
 	if err == nil {
 		err = f.Chmod(0o644)
--- a/internal/storage/heartbeat/life.go
+++ b/internal/storage/heartbeat/heartbeat.go
@@ -1,5 +1,5 @@
-// Package heartbeat leaves signs of life of a process on a disk that lasts, and reads the last one of the process before it. What they
-// prove is decided by the package recovery.
+// Package heartbeat writes the heartbeats of a process to a disk, and reads the last one of the process before it. What they prove is
+// decided by the package recovery.
 package heartbeat
 
 import (
@@ -23,12 +23,12 @@
 )
 
 const (
-	// part is how many signs are due while the latest is valid.
+	// heartbeatsPerValidity is how many heartbeats are due while the latest is valid: one or two may be late without a pause.
 	heartbeatsPerValidity = 4
-	maxFile               = 4 << 10 // bytes of a sign's file
+	maxFile               = 4 << 10 // bytes of a heartbeat's file: far more than its names take
 )
 
-// Keeper leaves the signs of one process.
+// Heartbeats writes those of one process.
 type Heartbeats struct {
 	path, name string
 	validity   time.Duration
@@ -36,25 +36,26 @@
 	stats      *metrics.Counters
 	downtime   time.Duration
 	evidence   recovery.Evidence
-	foundAt    idempotency.Clock // when it was found
+	foundAt    idempotency.Clock // when the last one was read
 
 	mu            sync.Mutex
 	lease         *recovery.HeartbeatLease
-	failureLogged bool // that signs don't last
+	failureLogged bool // that heartbeats can't be written
 }
 
-// record is a sign as it is written.
+// fileRecord is a heartbeat as it is written; the checksum is of the heartbeat's JSON.
 type fileRecord struct {
 	Heartbeat recovery.Heartbeat `json:"sign"`
 	Checksum  uint32             `json:"sum"`
 }
 
 func (r fileRecord) checksum() uint32 {
-	text, _ := json.Marshal(r.Heartbeat)
+	text, _ := json.Marshal(r.Heartbeat) // texts and numbers alone: it can't fail
 	return crc32.ChecksumIEEE(text)
 }
 
-// Open reads the sign of the process before this one. What can't be read proves nothing, and is set aside.
+// Open reads the heartbeat of the process before this one, and writes the first of this one. A file that can't be read proves nothing,
+// and is set aside; one of another service is an error. Interval and validity of heartbeats follow from validity.
 func Open(path, name string, validity time.Duration, l *log.Logger, s *metrics.Counters) (*Heartbeats, error) {
 	k := &Heartbeats{path: path, name: name, validity: validity, log: l, stats: s, foundAt: idempotencystore.Now(),
 		lease: recovery.NewHeartbeatLease(recovery.LeaseTerms{Interval: validity / heartbeatsPerValidity, Validity: validity})}
@@ -69,12 +70,12 @@
 	if last.Name != "" && last.Name != name {
 		return nil, fmt.Errorf("%s: it is of the service %q, not of %q", path, last.Name, name)
 	}
-	k.writeIfDue() // one that does not last is said: reads are served all the same
+	k.writeIfDue() // a failure is logged: reads are served all the same
 	events.Log(l, "life.dark", k.downtime.Round(time.Millisecond), k.evidence)
 	return k, nil
 }
 
-// Read reads a sign. One that is not there is of nobody, and no error.
+// Read reads a heartbeat. One that is not there is of nobody, and no error.
 func Read(path string) (s recovery.Heartbeat, err error) {
 	f, err := os.Open(path)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -103,7 +104,7 @@
 	return recovery.Heartbeat{Name: k.name, Machine: c.Machine, Boot: c.Boot, SinceBoot: c.SinceBoot, Validity: k.validity}
 }
 
-// write writes a sign where one is due.
+// writeIfDue writes a heartbeat where one is due.
 func (k *Heartbeats) writeIfDue() {
 	now := idempotencystore.Now()
 	k.mu.Lock()
@@ -133,7 +134,7 @@
 	}
 }
 
-// Fault is asked before a sign is written, in test programs only.
+// FaultHook is asked before a heartbeat is written, in test programs only.
 var FaultHook func() error
 
 func fault() error {
@@ -143,7 +144,7 @@
 	return FaultHook()
 }
 
-// Keep leaves signs until the context ends.
+// Run writes heartbeats until the context ends.
 func (k *Heartbeats) Run(ctx context.Context) {
 	t := time.NewTicker(max(k.validity/heartbeatsPerValidity/2, time.Millisecond))
 	defer t.Stop()
@@ -157,14 +158,14 @@
 	}
 }
 
-// May reports whether what has an effect may begin.
+// MayExecute reports whether requests with an effect may run: see [recovery.HeartbeatLease].
 func (k *Heartbeats) MayExecute() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.lease.MayExecute(idempotencystore.Now().SinceBoot)
 }
 
-// Dark is for how long, by now and at the least, no earlier process of the service has begun anything, and by what that is known.
+// Downtime is for how long, by now and at the least, no earlier process of the service has run anything, and by what that is known.
 func (k *Heartbeats) Downtime() (time.Duration, recovery.Evidence) {
 	return k.downtime + idempotencystore.Now().SinceBoot - k.foundAt.SinceBoot, k.evidence
 }
--- a/internal/storage/inspect/evidence.go
+++ b/internal/storage/inspect/inspect.go
@@ -1,5 +1,5 @@
-// Package inspect reads what processes keep on disks, without changing anything, and says whose it is, of when, and whether it can be
-// trusted as the package recovery has it. Nothing may have the files open.
+// Package inspect reads what processes store on disks, without changing anything, and says whose it is, of when, and whether it can be
+// trusted as the package recovery has it. No process may have the files open.
 package inspect
 
 import (
@@ -23,17 +23,17 @@
 	"silverpath/internal/storage/idempotencystore"
 )
 
-// Found is what one file or folder proves.
+// Finding is what one file or folder proves. Its names in JSON are those of the command recover inspect.
 type Finding struct {
 	Path    string   `json:"path"`
 	Kind    string   `json:"kind"`
-	Owner   string   `json:"of,omitempty"` // the name of whose it is
+	Owner   string   `json:"of,omitempty"` // the name of the service, member or router
 	Facts   []string `json:"says,omitempty"`
 	Trust   string   `json:"trust"` // as recovery.Trust has it
 	Problem string   `json:"wrong,omitempty"`
 }
 
-// kinds are the readers by what they read, in the order in which a path is tried.
+// readers are the readers of kinds of state by what they read, in the order in which a path is tried.
 var readers = []struct {
 	name  string
 	trust recovery.Trust
@@ -46,10 +46,10 @@
 	{"sign of life", recovery.Trusted, readHeartbeat},
 }
 
-// errOther is of a file that is something else.
+// errOtherKind is of a file that is something else: the next reader is tried.
 var errOtherKind = errors.New("something else")
 
-// Look reads a path. What is there and can't be read says so in what is found.
+// Inspect reads a path. What is there and can't be read says so in the finding; an error is of a path that is not there.
 func Inspect(path string) (Finding, error) {
 	if _, err := os.Stat(path); err != nil {
 		return Finding{}, err
@@ -72,7 +72,7 @@
 	f.Facts = append(f.Facts, fmt.Sprintf(format, args...))
 }
 
-// buckets reads a file of the library's, where it has a bucket of the given name.
+// viewDatabase reads a file of the library bbolt, where it has a bucket of the given name. ErrInUse is of one that a process has open.
 func viewDatabase(path, name string, do func(tx *bbolt.Tx) error) (err error) {
 	if s, err := os.Stat(path); err != nil || s.IsDir() {
 		return errOtherKind
@@ -85,7 +85,7 @@
 	if err != nil {
 		return errOtherKind
 	}
-	defer db.Close()
+	defer func() { _ = db.Close() }() // nothing was written
 	return db.View(func(tx *bbolt.Tx) error {
 		if tx.Bucket([]byte(name)) == nil {
 			return errOtherKind
@@ -94,7 +94,7 @@
 	})
 }
 
-// inFolder is the file of a folder, or the path itself.
+// fileIn is the first of some files of a folder that is there, or the path itself.
 func fileIn(path string, names ...string) string {
 	for _, n := range names {
 		if at := filepath.Join(path, n); isFile(at) {
@@ -183,7 +183,7 @@
 	})
 }
 
-// headOf is the beginning of a file, by which it is told what it is; empty where it can't be read.
+// prefixOf is the beginning of a file, by which it is told what it is; empty where it can't be read.
 func prefixOf(path string, size int) string {
 	file, err := os.Open(path)
 	if err != nil {
