--- a/internal/proxy/change.go
+++ b/internal/proxy/change.go
@@ -65,8 +65,7 @@
 	for until := time.Now().Add(wait); ; time.Sleep(lockPollInterval) {
 		err = unix.Flock(int(f.Fd()), unix.LOCK_EX|unix.LOCK_NB)
 		if err == nil {
-			f.Truncate(0)
-			f.WriteAt([]byte(strconv.Itoa(os.Getpid())), 0) // for the one who finds it held
+			writeHolder(f)
 			return f, nil
 		}
 		if !errors.Is(err, unix.EWOULDBLOCK) && !errors.Is(err, unix.EINTR) {
@@ -81,3 +80,9 @@
 		}
 	}
 }
+
+// writeHolder writes this process's number into a lock file, for whoever finds it locked. Without it the message has no number.
+func writeHolder(f *os.File) {
+	_ = f.Truncate(0)
+	_, _ = f.WriteAt([]byte(strconv.Itoa(os.Getpid())), 0)
+}
--- a/internal/proxy/filesource.go
+++ b/internal/proxy/filesource.go
@@ -11,15 +11,15 @@
 	"silverpath/internal/storage/atomicfile"
 )
 
-// FileSource is a map in a file, or the head of a series in a folder, beside a store that keeps the last good one over a restart of the
-// router. While nothing has changed there, nothing is read: a look and a write of the time cost the same for every map.
+// FileSource is a map in a file, or the head of a VersionDir, beside a state file that keeps the last good one over a restart of the router.
+// While nothing has changed there, nothing is read: a call of the system and a write of the time cost the same for every map.
 type FileSource struct {
 	path        string
 	state       *stateFile
 	settleTime  time.Duration
 	confirmedAt time.Time   // when the map in force was last read, or found unchanged
-	delivered   *cells.Map  // handed out last
-	stamps      []fileStamp // at what that was read from
+	delivered   *cells.Map  // last
+	stamps      []fileStamp // of what that was read from
 }
 
 // OpenFileSource returns the source in a file; the state's path is empty where nothing is kept.
@@ -31,11 +31,11 @@
 	return &FileSource{path: path, state: s, settleTime: settleTime}, nil
 }
 
-// Close closes the store.
+// Close closes the state file.
 func (f *FileSource) Close() error { return f.state.close() }
 
-// Load reads the file. At a start the map that was kept stands for the old one: what is in the file must be able to follow
-// it, and where the file is no good the router goes on with what it had, known to be the newest when it was last read.
+// Load reads the file. At a start the map of the state file stands for the old one: what is in the file must be able to follow it, and
+// where the file is no good the router goes on with what it had, known to be the newest when it was last read.
 //
 // A file that is there and is the same, in the same place with the same size and times, is not read again: its map is the newest by
 // now, and is the same *cells.Map. Within 2 s of its last change it is read at each call, as another change within one tick of the
@@ -45,7 +45,7 @@
 	return f.load(old, f.confirmedAt)
 }
 
-// LoadOutdated is Load for one that is behind.
+// LoadOutdated is Load for a router that has gone by an old map beyond its lease.
 func (f *FileSource) LoadOutdated(old *cells.Map) (*cells.Map, time.Time, error) {
 	return f.load(old, time.Time{})
 }
@@ -87,14 +87,14 @@
 	return m, now, nil
 }
 
-// stampsFromHead are the looks that tell whether the map is still the head: at the folder and at its file, and at those above it, which are
-// no good, or withdrawn. They are more than two only where there are such.
-func (f *FileSource) stampsFromHead(seen []fileStamp, m *cells.Map) []fileStamp {
-	if !seen[0].folder {
-		return seen
+// stampsFromHead are the stamps that tell whether a map is still the head: of the folder, of the map's file, and of those above it, which
+// are no good, or withdrawn. They are more than two only where there are such.
+func (f *FileSource) stampsFromHead(stamps []fileStamp, m *cells.Map) []fileStamp {
+	if !stamps[0].folder {
+		return stamps
 	}
 	head := VersionDir{f.path}.path(m.Version)
-	return slices.DeleteFunc(seen, func(l fileStamp) bool { return !l.folder && l.path < head })
+	return slices.DeleteFunc(stamps, func(l fileStamp) bool { return !l.folder && l.path < head })
 }
 
 // WriteMap replaces a map's file as a whole: whoever reads it finds the old one or the new one, after a loss of power too.
--- a/internal/proxy/groupsource.go
+++ b/internal/proxy/groupsource.go
@@ -13,29 +13,30 @@
 	"silverpath/internal/settings"
 )
 
-// GroupSource is a map that a group agrees on, beside a store that keeps the last one over a restart of the router.
+// GroupSource is the map that a group agrees on, beside a state file that keeps the last one over a restart of the router. Its methods may
+// be called by several goroutines: configwatch applies maps while the runner loads them.
 type GroupSource struct {
 	state *stateFile
 
-	taking               sync.Mutex // one map at a time is read and taken
+	taking               sync.Mutex // held while a map is read and applied
 	mu                   sync.Mutex
-	latest               namedMap          // taken last, without a Map where none was heard of
-	latestConfirmedAt    time.Time         // when it was asked for what was then the newest
-	delivered            namedMap          // handed out last
+	latest               namedMap          // applied last; without a Map where the group has told of none
+	latestConfirmedAt    time.Time         // when the group was asked that then said that it is the newest
+	delivered            namedMap          // by Load
 	deliveredConfirmedAt time.Time         // when that was last known to be the newest
-	deliveredInParts     *cells.Map        // the map in parts that was handed out last; nil: none, or another kind came since
-	delta                map[string]string // the parts by which m differs from that
-	joined               joinedParts       // what was joined last: a change is checked again and again while it waits, and then taken
+	deliveredInParts     *cells.Map        // the map in parts that Load delivered last; nil: none, or one in one piece came since
+	delta                map[string]string // the parts by which latest differs from that
+	joined               joinedParts       // last: a change is checked again and again while it waits, and then applied
 }
 
-// joinedParts is a map that was put together of parts.
+// joinedParts is a map that was joined from parts.
 type joinedParts struct {
-	base, m  *cells.Map // base is what the rest is of; nil: nothing
+	base, m  *cells.Map // base is the map that the rest is of; nil: there is none
 	digest   uint64     // of the parts
 	complete bool
 }
 
-// namedMap is a map, and, where it was taken in parts, the digest by which the group names it.
+// namedMap is a map, and, where it was applied in parts, the digest by which the group names it.
 type namedMap struct {
 	*cells.Map
 	digest  uint64
@@ -58,10 +59,10 @@
 	return a, nil
 }
 
-// Close closes the store.
+// Close closes the state file.
 func (a *GroupSource) Close() error { return a.state.close() }
 
-// Check names why a map can't follow the one that is in force here.
+// Check is an error that names why a map can't follow the one that is in force here.
 func (a *GroupSource) Check(text string) error {
 	m, err := settings.ParseCells([]byte(text))
 	if err != nil {
@@ -80,8 +81,8 @@
 	return m.FollowsLate(old, since, time.Now())
 }
 
-// CheckParts names why the map that has these parts in place of those of the one handed out can't follow it. That is the one that was
-// taken last, or, before any was, the one that was kept. whole: the parts are all there are.
+// CheckParts is an error that names why the map that has these parts in place of those of the one before can't follow it. That is the one
+// that was applied last, or, before any was, the one of the state file. Whole says that the parts are all that there are.
 func (a *GroupSource) CheckParts(changed map[string]string, whole bool) error {
 	m, err := a.join(changed, whole)
 	if err != nil {
@@ -90,7 +91,7 @@
 	return a.follows(m)
 }
 
-// join reads the parts and what they can break once for as long as neither they nor the map below them change.
+// join reads the parts, and what they can break, once for as long as neither they nor the map below them change.
 func (a *GroupSource) join(changed map[string]string, whole bool) (*cells.Map, error) {
 	a.mu.Lock()
 	base, last := cmp.Or(a.latest.Map, a.delivered.Map), a.joined
@@ -111,8 +112,8 @@
 	return m, err
 }
 
-// ApplyParts has that map, which was checked, be the one that is handed out; id is the group's name of it: its digest names the
-// document to servers and other routers, beside the map's own version. After an error the map before stands.
+// ApplyParts has the map of these parts, which was checked, be the one that Load delivers. The digest of id, by which the group names it,
+// names the map to servers and other routers, beside the map's own version. After an error the map before stays.
 func (a *GroupSource) ApplyParts(id configstore.ID, changed map[string]string, whole bool) error {
 	a.taking.Lock()
 	defer a.taking.Unlock()
@@ -135,7 +136,7 @@
 	return nil
 }
 
-// DigestOf is the digest by which the group names a map that was taken in parts.
+// DigestOf is the digest by which the group names a map that was applied in parts.
 func (a *GroupSource) DigestOf(m *cells.Map) (digest uint64, ok bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -147,7 +148,7 @@
 	return 0, false
 }
 
-// Apply has a map, which was checked, be the one that is handed out.
+// Apply has a map, which was checked, be the one that Load delivers.
 func (a *GroupSource) Apply(text string) error {
 	a.taking.Lock()
 	defer a.taking.Unlock()
@@ -161,14 +162,14 @@
 	return nil
 }
 
-// Confirm is told when the group was asked that then said what is in force.
+// Confirm is told when the group was asked for what is in force, once it has answered and the process acts on it.
 func (a *GroupSource) Confirm(asked time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.latestConfirmedAt = asked
 }
 
-// MaxClockSkew is by which the map allows the wall clocks of two routers to differ.
+// MaxClockSkew is by how much the map allows the wall clocks of two routers to differ.
 func (a *GroupSource) MaxClockSkew() time.Duration {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -178,10 +179,10 @@
 	return a.latest.MaxClockSkew
 }
 
-// Load returns the group's map, or, until the group was heard, the one that was kept.
+// Load returns the group's map, or, until the group has answered, the one of the state file.
 func (a *GroupSource) Load(old *cells.Map) (*cells.Map, time.Time, error) { return a.load(old, false) }
 
-// LoadOutdated is Load for a router that is behind.
+// LoadOutdated is Load for a router that has gone by an old map beyond its lease.
 func (a *GroupSource) LoadOutdated(old *cells.Map) (*cells.Map, time.Time, error) {
 	return a.load(old, true)
 }
@@ -198,7 +199,7 @@
 		return nil, time.Time{}, errNoGroupMap
 	case m == nil || a.latestConfirmedAt.IsZero():
 		if old == nil {
-			old = m // the first one, and the word that confirms it comes with it
+			old = m // the first one: what confirms it comes with it
 		}
 		return old, a.deliveredConfirmedAt, nil
 	}
@@ -220,7 +221,7 @@
 	return m, a.latestConfirmedAt, nil
 }
 
-// Newest is the group's map, where it is another one than that which was handed out.
+// Newest is the ID of the group's map, where it is another one than that which Load delivered.
 func (a *GroupSource) Newest(old *cells.Map) (configstore.ID, bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -233,8 +234,8 @@
 	return identifyMap(a.latest.Map), true
 }
 
-// store keeps the map that is handed out, under the lock: all of it where it is another kind than the one before, else what changed,
-// or, where it is the same, the time alone.
+// store writes the latest map to the state file, under the lock: all of it where it is another kind than the one before, else what
+// changed, or, where it is the same, the time alone.
 func (a *GroupSource) store() error {
 	if !a.latest.inParts {
 		return a.state.storeWhole(a.latest.Map, a.latestConfirmedAt)
--- a/internal/proxy/parts_test.go
+++ b/internal/proxy/parts_test.go
@@ -102,7 +102,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer f.Close()
+		defer closeNow(t, f)
 		f.settleTime = 0
 		m, _, err := f.Load(nil)
 		if err != nil {
@@ -326,7 +326,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { a.Close() })
+	closeLater(t, a)
 	if err := a.CheckParts(settings.SplitCells(m), true); err != nil {
 		t.Fatal(err)
 	}
@@ -400,13 +400,13 @@
 	if err != nil || !known.Equal(asked) || len(cells.Diff(third, n)) > 0 || n.Version != third.Version || !n.SameServers(m) {
 		t.Fatalf("%v: %q", err, cells.Diff(third, n))
 	}
-	a.Close()
+	closeNow(t, a)
 
 	a, err = OpenGroupSource(state)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer a.Close()
+	defer closeNow(t, a)
 	m, since, err := a.Load(nil)
 	if err != nil || m.Version != third.Version || len(cells.Diff(third, m))+len(cells.Diff(m, third)) > 0 || since.UnixMilli() != asked.UnixMilli() {
 		t.Fatalf("after a restart: %v, known %v after", err, since.Sub(asked))
@@ -443,12 +443,12 @@
 	if n, _, err := a.Load(n); err != nil || len(cells.Diff(sixth, n)) > 0 {
 		t.Fatal(err)
 	}
-	a.Close()
+	closeNow(t, a)
 	a, err = OpenGroupSource(state)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer a.Close()
+	defer closeNow(t, a)
 	if m, _, err := a.Load(nil); err != nil || m.Version != sixth.Version || len(cells.Diff(sixth, m))+len(cells.Diff(m, sixth)) > 0 {
 		t.Errorf("after another restart: %v", err)
 	}
@@ -503,7 +503,7 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				defer db.Close()
+				defer closeNow(t, db)
 				err = db.Update(func(tx *bbolt.Tx) error {
 					b, err := tx.CreateBucketIfNotExists([]byte("cells"))
 					return errors.Join(err, do(b))
@@ -540,7 +540,7 @@
 						if m, _, bad := f.Load(kept); bad != nil || m.Version != n.Version {
 							t.Fatal(bad)
 						}
-						f.Close()
+						closeNow(t, f)
 					}
 				} else {
 					var a *GroupSource
@@ -557,7 +557,7 @@
 						if m, _, bad := a.Load(kept); bad != nil || m.Version != n.Version {
 							t.Fatal(bad)
 						}
-						a.Close()
+						closeNow(t, a)
 					}
 				}
 				if err != nil || kept.Version != m.Version || since.UnixMilli() != at.UnixMilli() {
@@ -788,7 +788,7 @@
 				if err != nil {
 					b.Fatal(err)
 				}
-				defer f.Close()
+				defer closeNow(b, f)
 				m, _, err := f.Load(nil)
 				if err != nil {
 					b.Fatal(err)
--- a/internal/proxy/rest_test.go
+++ b/internal/proxy/rest_test.go
@@ -160,7 +160,7 @@
 			Servers: []cells.Server{s}, Tenants: []cells.Tenant{{Homes: []cells.Home{{Cell: "a"}}}},
 		}}, Dial: func(context.Context, string) (*msgpackrpc.Conn, error) {
 			near, far := net.Pipe()
-			go io.Copy(io.Discard, far)
+			go func() { _, _ = io.Copy(io.Discard, far) }() // until the other end closes
 			return msgpackrpc.NewConn(near), nil
 		}}, &router{ends: map[string]core.Answer{}}, log.New(io.Discard, "", 0), &metrics.Counters{})
 		if err != nil {
--- a/internal/proxy/source.go
+++ b/internal/proxy/source.go
@@ -14,13 +14,13 @@
 	Load(old *cells.Map) (*cells.Map, time.Time, error)
 }
 
-// OutdatedSource is a source that also has maps for a router that has gone by an old one beyond its time: others have taken them up,
-// so that they were announced too late is not for this one to say.
+// OutdatedSource is a source that also has maps for a router that has gone by an old one beyond its lease: others act on them already, so
+// that they were announced too late for this router is no reason to refuse them.
 type OutdatedSource interface {
 	LoadOutdated(old *cells.Map) (*cells.Map, time.Time, error)
 }
 
-// NewestSource is a source that knows of a newer map than the one that it hands out, as that one can't follow it in time.
+// NewestSource is a source that may know of a newer map than the one that it delivers, where that one can't follow it in time.
 type NewestSource interface {
 	Newest(old *cells.Map) (id configstore.ID, ok bool)
 }
--- a/internal/proxy/source_test.go
+++ b/internal/proxy/source_test.go
@@ -1,6 +1,7 @@
 package proxy
 
 import (
+	"errors"
 	"os"
 	"path/filepath"
 	"strings"
@@ -76,15 +77,17 @@
 	if _, err := OpenFileSource(path, state); err == nil {
 		t.Error("two routers have one store")
 	}
-	f.Close()
+	closeNow(t, f)
 	time.Sleep(20 * time.Millisecond)
 	older := example()
 	older.Version = 2
-	for what, write := range map[string]func(){
-		"half a file":  func() { os.WriteFile(path, []byte(`{"version":`), 0o600) },
-		"an older map": func() { WriteMap(path, older) },
+	for what, write := range map[string]func() error{
+		"half a file":  func() error { return os.WriteFile(path, []byte(`{"version":`), 0o600) },
+		"an older map": func() error { return WriteMap(path, older) },
 	} {
-		write()
+		if err := write(); err != nil {
+			t.Fatal(err)
+		}
 		if f, err = OpenFileSource(path, state); err != nil {
 			t.Fatal(err)
 		}
@@ -92,14 +95,15 @@
 		if err != nil || m.Version != 3 || at.Sub(read).Abs() > 5*time.Millisecond {
 			t.Errorf("%s: version %d read %v after, %v", what, m.Version, at.Sub(read), err)
 		}
-		f.Close()
+		closeNow(t, f)
+	}
+	if err := errors.Join(os.Remove(state), os.WriteFile(path, []byte(`{"version":`), 0o600)); err != nil {
+		t.Fatal(err)
 	}
-	os.Remove(state)
-	os.WriteFile(path, []byte(`{"version":`), 0o600)
 	if f, err = OpenFileSource(path, state); err != nil {
 		t.Fatal(err)
 	}
-	defer f.Close()
+	closeLater(t, f)
 	if _, _, err := f.Load(nil); err == nil {
 		t.Error("a router starts without any map")
 	}
--- a/internal/proxy/statefile.go
+++ b/internal/proxy/statefile.go
@@ -12,15 +12,16 @@
 	"silverpath/internal/settings"
 )
 
-// stateFile keeps a router's last map over its restart, and when it was last known to be the newest. The two stand apart, so that a
-// confirmation writes 8 bytes and no page of the map; a map in parts is written part by part. A nil state keeps nothing.
+// stateFile keeps a router's last map over its restart, and when it was last known to be the newest: a bbolt database. The two stand
+// apart, so that a confirmation writes 8 bytes and no page of the map; a map in parts is written part by part. A nil stateFile keeps
+// nothing.
 type stateFile struct {
 	db            *bbolt.DB
-	storedWhole   *cells.Map // as it stands there in one piece; nil: what stands there is none that is known
-	storedInParts *cells.Map // as it stands there in parts
+	storedWhole   *cells.Map // as it stands there in one piece; nil: unknown
+	storedInParts *cells.Map // as it stands there in parts; nil: unknown
 }
 
-// storedMap is what a state had.
+// storedMap is what a state file has.
 type storedMap struct {
 	*cells.Map
 	digest      uint64 // by which a group names a map in parts
@@ -32,19 +33,20 @@
 	bucketWhole = []byte("whole")
 	bucketParts = []byte("parts")
 	bucketTime  = []byte("time")
-	// Where builds that knew no parts kept the map and the time. They are taken away from there, as an older build that comes back
-	// would else go on with an old map, or a time that is not the map's; without them it starts as one that has kept nothing.
-	// Where they stand, an older build has written last.
+	// Where builds that knew no parts kept the map and the time. They are deleted there, as an older build that comes back would else
+	// go on with an old map, or a time that is not the map's; without them it starts as one that has kept nothing. Where they stand, an
+	// older build has written last.
 	bucketLegacy = []byte("cells")
 
 	keyMap    = []byte("map")
 	keyRead   = []byte("read")
-	keyDigest = []byte("digest") // no name of a part
+	keyDigest = []byte("digest") // which is no name of a part
 )
 
 // ErrNoMapStored says that a state file has no map.
 var ErrNoMapStored = errors.New("nothing is kept")
 
+// openStateFile opens a state file, or makes it. An empty path gives nil.
 func openStateFile(path string) (*stateFile, error) {
 	if path == "" {
 		return nil, nil
@@ -74,7 +76,7 @@
 	return s.db.Close()
 }
 
-// load is the map that is kept, with a nil Map for none. One that can't be read is none.
+// load is the stored map, with a nil Map for none. One that can't be read is none: the router starts without it.
 func (s *stateFile) load() (k storedMap) {
 	if s == nil {
 		return k
@@ -92,12 +94,14 @@
 	return k
 }
 
-// StoredMap is the map in a state file and when it was last known to be the newest; ErrNothing where there is none.
+// StoredMap is the map in a state file and when it was last known to be the newest; ErrNoMapStored where there is none. It serves
+// recovery, which inspects what a machine has.
 func StoredMap(tx *bbolt.Tx) (*cells.Map, time.Time, error) {
 	k, err := readState(tx)
 	return k.Map, k.confirmedAt, err
 }
 
+// readState reads the map in whichever form it stands there.
 func readState(tx *bbolt.Tx) (k storedMap, err error) {
 	get := func(bucket, key []byte) []byte {
 		if b := tx.Bucket(bucket); b != nil {
@@ -128,7 +132,7 @@
 	return k, err
 }
 
-// storeWhole keeps a map in one piece, or, where it stands there already, when it was known to be the newest.
+// storeWhole stores a map in one piece, or, where it stands there already, when it was known to be the newest.
 func (s *stateFile) storeWhole(m *cells.Map, at time.Time) error {
 	if s == nil {
 		return nil
@@ -147,7 +151,7 @@
 	return err
 }
 
-// storeParts is keepWhole for a map in parts: those that changed since from, nil for all, are written, with the digest.
+// storeParts is storeWhole for a map in parts: those that changed since from, nil for all, are written, with the digest.
 func (s *stateFile) storeParts(m *cells.Map, digest uint64, from *cells.Map, changed map[string]string, at time.Time) error {
 	if s == nil {
 		return nil
--- a/internal/proxy/statefile_test.go
+++ b/internal/proxy/statefile_test.go
@@ -3,8 +3,8 @@
 import (
 	"bytes"
 	"encoding/hex"
-	"errors"
 	"fmt"
+	"io"
 	"maps"
 	"os"
 	"path/filepath"
@@ -58,7 +58,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			t.Cleanup(func() { f.Close() })
+			closeLater(t, f)
 			if m, read, err = f.Load(nil); err != nil || !read.Equal(readAt) || !bytes.Equal(settings.FormatCells(m), want) {
 				t.Errorf("read %v, error %v", read, err)
 			}
@@ -129,7 +129,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer db.Close()
+	defer closeNow(t, db)
 	all := map[string]string{}
 	if err := db.View(func(tx *bbolt.Tx) error {
 		return tx.ForEach(func(bucket []byte, b *bbolt.Bucket) error {
@@ -138,7 +138,7 @@
 				return nil
 			})
 		})
-	}); err != nil && !errors.Is(err, bbolt.ErrBucketNotFound) {
+	}); err != nil {
 		t.Fatal(err)
 	}
 	return all
@@ -152,3 +152,17 @@
 	}
 	return "none is missing"
 }
+
+// closeNow closes something of which it matters that it closes well.
+func closeNow(t testing.TB, c io.Closer) {
+	t.Helper()
+	if err := c.Close(); err != nil {
+		t.Error(err)
+	}
+}
+
+// closeLater closes it at the end of the test.
+func closeLater(t testing.TB, c io.Closer) {
+	t.Helper()
+	t.Cleanup(func() { closeNow(t, c) })
+}
--- a/internal/proxy/versiondir.go
+++ b/internal/proxy/versiondir.go
@@ -14,27 +14,28 @@
 	"silverpath/internal/storage/atomicfile"
 )
 
-// VersionDir is a folder with the versions of a map, a file each. The place of a version is written once and never again,
-// whoever comes, and however late: a link to a file whole and synced is made under the version's name, which the system
-// refuses where that name is taken. So a writer that was stopped between its check and its act can undo nothing.
+// VersionDir is a folder with the versions of a map, a file each. The file of a version is written once and never again, whoever comes,
+// and however late: a link to a file that is complete and synced is made under the version's name, which the system refuses where that
+// name is taken. So a placement controller that was stopped between its check and its write, and goes on when another one leads, can
+// undo nothing.
 type VersionDir struct{ Dir string }
 
-// ErrVersionTaken says that something else stands in the place of a version.
+// ErrVersionTaken says that a version was written already, with other contents.
 var ErrVersionTaken = errors.New("its place is taken")
 
-// withdrawnMark stands in the place of a version that is not to come any more.
+// withdrawnMark is what the file of a version has that is not to come any more.
 var withdrawnMark = []byte("withdrawn\n")
 
 const (
 	versionSuffix = ".json"
-	keptVersions  = 64 // versions
+	keptVersions  = 64 // below the head, for operators to look at
 )
 
 func (s VersionDir) path(version int) string {
 	return filepath.Join(s.Dir, fmt.Sprintf("%010d%s", version, versionSuffix))
 }
 
-// versions are those that have a place, rising.
+// versions are those that have a file, rising.
 func (s VersionDir) versions() ([]int, error) {
 	files, err := os.ReadDir(s.Dir) // in the order of their names
 	if err != nil {
@@ -50,8 +51,8 @@
 	return list, nil
 }
 
-// Head is the latest version that is a good map, as it stands there too; nil where there is none. One that is no good is
-// passed over, and is an error beside the head.
+// Head is the latest version that is a good map, with its text; nil where there is none. One that is no good is passed over, and is an
+// error beside the head.
 func (s VersionDir) Head() (m *cells.Map, raw []byte, err error) {
 	list, err := s.versions()
 	if err != nil {
@@ -77,7 +78,7 @@
 	return nil, nil, bad
 }
 
-// HighestVersion is the highest version whose place is taken, 0 for none.
+// HighestVersion is the highest version that has a file, 0 for none.
 func (s VersionDir) HighestVersion() (int, error) {
 	list, err := s.versions()
 	if err != nil || len(list) == 0 {
@@ -86,7 +87,7 @@
 	return list[len(list)-1], nil
 }
 
-// Read is what stands in the place of a version, nil for nothing.
+// Read is the contents of a version's file, nil where there is none.
 func (s VersionDir) Read(version int) ([]byte, error) {
 	raw, err := os.ReadFile(s.path(version))
 	if errors.Is(err, os.ErrNotExist) {
@@ -95,7 +96,8 @@
 	return raw, err
 }
 
-// Put writes a version, or, of nil, withdraws it. That it stands there already is no error.
+// Put writes a version, or, with nil, withdraws it. That it was written already with the same contents is no error; with others it is
+// ErrVersionTaken.
 func (s VersionDir) Put(version int, raw []byte) error {
 	if raw == nil {
 		raw = withdrawnMark
@@ -115,17 +117,18 @@
 	return nil
 }
 
-// removeOld takes the oldest versions away. What a late writer puts in such a place is under the head, and nobody reads it.
+// removeOld removes the oldest versions. What a late writer puts in their place is below the head, and nobody reads it. A file that
+// can't be removed is tried again at the next version.
 func (s VersionDir) removeOld(head int) {
 	list, _ := s.versions()
 	for _, v := range list {
 		if v <= head-keptVersions {
-			os.Remove(s.path(v))
+			_ = os.Remove(s.path(v))
 		}
 	}
 }
 
-// ReadMap reads a map from a file, or the head of a series from a folder.
+// ReadMap reads a map from a file, or the head of a VersionDir.
 func ReadMap(path string) (*cells.Map, error) {
 	if at, err := os.Stat(path); err == nil && at.IsDir() {
 		m, _, err := VersionDir{path}.Head()
@@ -133,7 +136,7 @@
 			err = errors.New("no version yet")
 		}
 		if m != nil {
-			err = nil // the head is good; what is no good above it is nobody's order
+			err = nil // the head is good; what is no good above it is in force nowhere
 		}
 		return m, err
 	}
