--- a/internal/transport/scgi/client.go
+++ b/internal/transport/scgi/client.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// This file is the other end of the wire, as a web front has it. The stand-in callers of the tests use it.
+// This file is the other end of the wire, as a web front has it: the client on the command line and the tests use it.
 
 // Reply is what a web front reads.
 type Reply struct {
 	Status     int
-	RetryAfter time.Duration
+	RetryAfter time.Duration     // whole seconds; 0: none is told
 	Headers    map[string]string // names in lower case
 	Body       []byte
 }
--- a/internal/transport/scgi/close_test.go
+++ b/internal/transport/scgi/close_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bufio"
+	"errors"
 	"io"
 	"net"
 	"sync"
@@ -34,7 +35,7 @@
 }
 
 func (l *lingering) Accept() (net.Conn, error) {
-	conn, err := l.TCPListener.AcceptTCP()
+	conn, err := l.AcceptTCP()
 	if err != nil {
 		return nil, err
 	}
@@ -47,7 +48,7 @@
 	c.mu.Lock()
 	c.half = true
 	c.mu.Unlock()
-	c.TCPConn.SetReadDeadline(time.Time{})
+	_ = c.TCPConn.SetReadDeadline(time.Time{})
 	return c.TCPConn.CloseWrite()
 }
 
@@ -64,7 +65,7 @@
 	n, err := c.TCPConn.Read(b)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.ended = c.ended || err == io.EOF
+	c.ended = c.ended || errors.Is(err, io.EOF)
 	return n, err
 }
 
--- a/internal/transport/scgi/front.go
+++ b/internal/transport/scgi/front.go
@@ -5,14 +5,12 @@
 	"encoding/binary"
 	"errors"
 	"fmt"
-	"hash/fnv"
 	"io"
 	"log"
 	"math/rand/v2"
 	"net"
 	"os"
 	"strconv"
-	"strings"
 	"sync/atomic"
 	"time"
 
@@ -28,8 +26,8 @@
 // Name is the front's name in counters and log lines.
 const Name = "scgi"
 
-// The headers that a request is mapped from; a web front makes them of the HTTP headers X-Request-Class and so
-// on, or sets them itself.
+// The headers that a request is mapped from; a web front makes them of the HTTP headers X-Request-Class and so on, or sets them
+// itself. docs/scgi.md says what each means.
 const (
 	headerClass    = "HTTP_X_REQUEST_CLASS"
 	headerTenant   = "HTTP_X_TENANT"
@@ -40,15 +38,19 @@
 )
 
 const (
+	// writeTimeout is how long a web front may take nothing of its answer before it loses it.
 	writeTimeout = 2 * time.Second
-	// lingerTimeout and maxLingerBytes bound what is read of a client after an answer that did not wait for all that it sends.
+	// lingerTimeout and maxLingerBytes bound what is read of a client after an answer that did not wait for all that it sends: as much
+	// as a web front has buffered by then.
 	lingerTimeout  = time.Second
-	maxLingerBytes = 1 << 20 // bytes
-	maxTimeout     = time.Hour
-	maxKeyBytes    = 128
+	maxLingerBytes = 1 << 20
+	// maxTimeout bounds HTTP_X_TIMEOUT_MS; the platform's deadlines are seconds.
+	maxTimeout = time.Hour
+	// maxKeyBytes bounds an idempotency key, which is kept for the whole window.
+	maxKeyBytes = 128
 )
 
-// Front serves web fronts.
+// Front serves web fronts on a core.
 type Front struct {
 	core   *core.Core
 	cfg    settings.SCGI
@@ -59,32 +61,34 @@
 	seq    atomic.Uint64
 }
 
-// New returns the front of a core. The seed makes its request ids.
+// New returns the front of a core. Request ids are made from the seed. Its Serve is given to a listener.
 func New(c *core.Core, cfg settings.SCGI, seed int64, l *log.Logger, s *metrics.Counters) *Front {
 	return &Front{core: c, cfg: cfg, log: l, stats: s, writes: s.Timing("write", Name), salt: rand.New(rand.NewPCG(uint64(seed), 1)).Uint64()}
 }
 
-// newID returns an id of 16 hexadecimal digits that no other request of this process has.
+// newID returns a request id of 16 hexadecimal digits that no other request of this process has.
 func (f *Front) newID() string {
 	var b [8]byte
 	binary.BigEndian.PutUint64(b[:], f.salt^f.seq.Add(1)*0x9e3779b97f4a7c15) // odd factor: never twice
 	return fmt.Sprintf("%x", b)
 }
 
-// rejection is an answer to a request that never reached the core.
+// rejection is the answer to a request that never reaches the core.
 type rejection struct {
-	status, text string
-	counter      string
+	status, text string // of the answer
+	counter      string // of its kind
 }
 
-func (p *rejection) Error() string { return p.text }
+// Error returns the text of the answer.
+func (r *rejection) Error() string { return r.text }
 
+// statusOf has the status of each outcome of the core.
 var statusOf = map[core.Outcome]string{
 	core.Served: "200 OK", core.Rejected: "503 Service Unavailable", core.Failed: "502 Bad Gateway",
 	core.Expired: "504 Gateway Timeout", core.Invalid: "422 Unprocessable Content",
 }
 
-// Serve is the life of one connection, which carries one request.
+// Serve reads the one request of a connection, answers it and closes the connection.
 func (f *Front) Serve(conn net.Conn, slot *listener.Slot) {
 	defer conn.Close()
 	r := bufferpool.GetReader(conn)
@@ -98,43 +102,54 @@
 		linger.Close(conn, r, lingerTimeout, maxLingerBytes)
 		return
 	}
-	if err == nil {
-		maxBody := f.core.MaxBody(f.cfg.MaxBody)
-		if class, known := f.class(m.headers); known {
-			if class.Effect == silverpath.Idempotent { // it may be the repeat of a sheet that has run, which is never refused
-				maxBody = f.cfg.MaxBody
-			}
-			a, rejected := f.core.RejectsUnread(Name, class.Name)
-			if !rejected && !slot.AdmitsWork() && class.Effect != silverpath.Idempotent {
-				// What is left of the connections is for what is cheap, and a sheet may be: the repeat of one that has run.
-				f.stats.Inc("turned_away", Name, "reserve")
-				a, rejected = core.Answer{Outcome: core.Rejected, RetryAfter: f.core.RetryAfter()}, true
-			}
-			if rejected {
-				f.writeAnswer(conn, a)
-				if uint64(r.Buffered()) < m.size { // else all has come, and a plain close resets nothing
-					linger.Close(conn, r, lingerTimeout, maxLingerBytes)
-				}
-				return
+	maxBody := f.core.MaxBody(f.cfg.MaxBody)
+	if class, known := f.class(m.headers); err == nil && known {
+		if class.Effect == silverpath.Idempotent { // it may be the repeat of one that has run, which is never rejected
+			maxBody = f.cfg.MaxBody
+		}
+		if a, rejected := f.rejectUnread(class, slot); rejected {
+			f.writeAnswer(conn, a)
+			if uint64(r.Buffered()) < m.size { // else all has come, and a plain close resets nothing
+				linger.Close(conn, r, lingerTimeout, maxLingerBytes)
 			}
+			return
 		}
+	}
+	if err == nil {
 		err = m.readBody(r, maxBody)
 	}
+	var q core.Request
 	if err == nil {
-		var q core.Request
-		if q, err = f.mapRequest(m, time.Now(), conn.RemoteAddr()); err == nil {
-			if !slot.BeginMessage() {
-				return // its place was given up as it came: nothing of it ran
-			}
-			conn.SetReadDeadline(time.Time{})
-			slot.SetInFlight(1)
-			f.awaitAnswer(conn, r, q, func() { // its place may now go to whoever has more need of it
-				slot.SetInFlight(0)
-				slot.EndMessage()
-			})
-			return
-		}
+		q, err = f.mapRequest(m, time.Now(), conn.RemoteAddr())
+	}
+	if err != nil {
+		f.reject(conn, r, slot, err)
+		return
 	}
+	if !slot.BeginMessage() {
+		return // evicted as it came: nothing of it ran
+	}
+	conn.SetReadDeadline(time.Time{})
+	slot.SetInFlight(1)
+	f.awaitAnswer(conn, r, q, func() { // the slot may go to whoever has more need of it
+		slot.SetInFlight(0)
+		slot.EndMessage()
+	})
+}
+
+// rejectUnread reports whether a request is rejected by its headers alone, so that its body need not be read: the core takes none of
+// its class now, or the connection is one of the reserve's and the request no repeat.
+func (f *Front) rejectUnread(class silverpath.Class, slot *listener.Slot) (core.Answer, bool) {
+	a, rejected := f.core.RejectsUnread(Name, class.Name)
+	if !rejected && !slot.AdmitsWork() && class.Effect != silverpath.Idempotent {
+		f.stats.Inc("turned_away", Name, "reserve")
+		return core.Answer{Outcome: core.Rejected, RetryAfter: f.core.RetryAfter()}, true
+	}
+	return a, rejected
+}
+
+// reject answers what could not be read as a request. Who has closed the connection, or broken off, gets no answer.
+func (f *Front) reject(conn net.Conn, r *bufio.Reader, slot *listener.Slot, err error) {
 	var p *rejection
 	switch {
 	case errors.As(err, &p):
@@ -142,13 +157,13 @@
 		p = &rejection{"400 Bad Request", err.Error(), "malformed"}
 	case errors.Is(err, errTooLarge):
 		p = &rejection{"413 Content Too Large", err.Error(), "too_large"}
-	case err == io.EOF:
-		return // opened and closed again
+	case errors.Is(err, io.EOF): // opened and closed again
+		return
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		p = &rejection{"408 Request Timeout", fmt.Sprintf("no whole request came within %v", listener.MessageTimeout), "too_slow"}
 	default:
 		f.stats.Inc("cut_short", Name)
-		return // it broke off: nobody is there to be answered
+		return
 	}
 	f.stats.Inc(p.counter, Name)
 	slot.LogPeer("scgi.unread", Name, p.status, conn.RemoteAddr(), p.text)
@@ -156,9 +171,9 @@
 	linger.Close(conn, r, lingerTimeout, maxLingerBytes)
 }
 
-// awaitAnswer leads one request through the core and watches meanwhile whether its caller leaves. A caller that
-// closes its connection has left; the run of a keyed request goes on, and a retry takes its result. Rest is called once
-// the answer is written.
+// awaitAnswer leads one request through the core and watches meanwhile whether its caller leaves, which it does by closing its
+// connection; the run of an idempotent request goes on then, and a retry gets its result. OnWritten is called once the answer is
+// written.
 func (f *Front) awaitAnswer(conn net.Conn, r *bufio.Reader, q core.Request, onWritten func()) {
 	answered := make(chan struct{})
 	go f.core.Serve(q, func(a core.Answer) {
@@ -174,7 +189,7 @@
 	for n := 0; err == nil; n++ { // what comes after a request means nothing
 		if _, err = r.Discard(1); n == maxLingerBytes {
 			f.stats.Inc("surplus", Name)
-			<-answered // its answer is still owed, and nothing more is read
+			<-answered // its answer is still to come, and nothing more is read
 			return
 		}
 	}
@@ -183,7 +198,7 @@
 		return
 	default:
 	}
-	if err == io.EOF && f.cfg.HalfClose {
+	if errors.Is(err, io.EOF) && f.cfg.HalfClose {
 		<-answered
 		return
 	}
@@ -191,7 +206,7 @@
 	f.core.CallerGone(q.ID)
 }
 
-// writeAnswer writes the answer of a request.
+// writeAnswer writes the answer of the core.
 func (f *Front) writeAnswer(conn net.Conn, a core.Answer, headers ...string) {
 	if a.Outcome == core.Rejected {
 		retryAfter := max(1, int64((a.RetryAfter+time.Second-1)/time.Second))
@@ -207,7 +222,7 @@
 	f.write(conn, statusOf[a.Outcome], body, contentType, headers...)
 }
 
-// write writes an answer. A peer that takes nothing for writeTimeout loses it.
+// write writes an answer, with headers given as name and value in turn.
 func (f *Front) write(conn net.Conn, status string, body []byte, contentType string, headers ...string) {
 	b := bufferpool.Get()
 	defer bufferpool.Put(b)
@@ -220,91 +235,3 @@
 		f.stats.Inc("write_failed", Name)
 	}
 }
-
-// mapRequest makes a request of an SCGI message.
-func (f *Front) mapRequest(m message, now time.Time, from net.Addr) (core.Request, error) {
-	bad := func(header string) (core.Request, error) {
-		return core.Request{}, &rejection{"400 Bad Request", fmt.Sprintf("%s is %q", header, m.headers[header]), "bad_header"}
-	}
-	class, known := f.class(m.headers)
-	if !known {
-		return core.Request{}, &rejection{"404 Not Found", fmt.Sprintf("no class %q", class.Name), "unknown_class"}
-	}
-	q := core.Request{
-		Front: Name, ID: f.newID(), Class: class.Name, Tenant: f.cfg.Tenant, MemoryKB: f.cfg.HeldKB,
-		ReceivedAt: now, Body: m.body, Key: m.headers[headerKey],
-	}
-	if t := m.headers[headerTenant]; t != "" {
-		q.Tenant = t
-	}
-	if len(q.Key) > maxKeyBytes {
-		return bad(headerKey)
-	}
-	timeout := class.Deadline
-	if f.cfg.Deadline > 0 {
-		timeout = f.cfg.Deadline
-	}
-	if v, ok := m.headers[headerDeadline]; ok {
-		ms, err := strconv.ParseInt(v, 10, 64)
-		if err != nil || ms <= 0 || ms > maxTimeout.Milliseconds() {
-			return bad(headerDeadline)
-		}
-		timeout = time.Duration(ms) * time.Millisecond
-	}
-	q.Deadline = now.Add(timeout)
-	var err error
-	if v, ok := m.headers[headerCaller]; ok {
-		if q.Caller, err = strconv.Atoi(v); err != nil || q.Caller < 0 {
-			return bad(headerCaller)
-		}
-	} else {
-		q.Caller = callerOf(m.headers["REMOTE_ADDR"], from)
-	}
-	if v, ok := m.headers[headerRank]; ok {
-		if q.Rank, err = strconv.ParseFloat(v, 64); err != nil || !(q.Rank >= 0 && q.Rank < 1) {
-			return bad(headerRank)
-		}
-	}
-	return q, nil
-}
-
-// statusPath asks for the state of the service, where the core tells it and no class has that name.
-const statusPath = "/status"
-
-func (f *Front) asksStatus(h map[string]string) bool {
-	if h["PATH_INFO"] != statusPath || h[headerClass] != "" || !f.core.ServesStatus() {
-		return false
-	}
-	_, known := f.core.Class(statusPath[1:])
-	return !known
-}
-
-// class finds the class: the header, else the path's first part, else the configured one.
-func (f *Front) class(h map[string]string) (silverpath.Class, bool) {
-	name := h[headerClass]
-	if name == "" {
-		path := h["PATH_INFO"]
-		if path == "" {
-			path, _, _ = strings.Cut(h["REQUEST_URI"], "?")
-		}
-		name, _, _ = strings.Cut(strings.TrimPrefix(path, "/"), "/")
-	}
-	if name == "" {
-		name = f.cfg.Class
-	}
-	class, known := f.core.Class(name)
-	if !known {
-		class.Name = name
-	}
-	return class, known
-}
-
-// callerOf numbers a caller by its address, the web front's own where it names none.
-func callerOf(remote string, from net.Addr) int {
-	if remote == "" && from != nil {
-		remote, _, _ = net.SplitHostPort(from.String())
-	}
-	h := fnv.New32a()
-	io.WriteString(h, remote)
-	return int(h.Sum32() >> 1)
-}
--- a/internal/transport/scgi/scgi.go
+++ b/internal/transport/scgi/message.go
@@ -1,6 +1,6 @@
-// Package scgi is the second front: it serves web fronts that speak SCGI, and calls application servers that
-// do. The protocol is that of "SCGI: A Simple Common Gateway Interface alternative" (Neil Schemenauer): a
-// netstring of headers, then a body; one request on a connection, and an answer as CGI gives it.
+// Package scgi is the second front: it serves web fronts that speak SCGI, and calls application servers that do (Upstream). The
+// protocol is that of "SCGI: A Simple Common Gateway Interface alternative" (Neil Schemenauer): a netstring of headers, then a
+// body; one request on a connection, and an answer as CGI gives it.
 //
 // docs/scgi.md has the mapping between SCGI's headers and a request.
 package scgi
@@ -15,15 +15,17 @@
 )
 
 const (
-	maxHeaderBytes = 8 << 10 // of the netstring
-	maxHeaders     = 128
+	maxHeaderBytes = 8 << 10 // of the netstring: a web front's own bound on HTTP headers
+	maxHeaders     = 128     // of a request, or of an answer
 )
 
+// Errors of a peer that speaks something else, or beyond the bounds: a client gets a status for each, an application server's run fails.
 var (
 	errMalformed = errors.New("malformed request")
 	errTooLarge  = errors.New("request too large")
 )
 
+// malformed returns an errMalformed that says what is wrong.
 func malformed(format string, args ...any) error {
 	return fmt.Errorf("%w: %s", errMalformed, fmt.Sprintf(format, args...))
 }
@@ -67,9 +69,9 @@
 	return unexpectedEOF(err)
 }
 
-// unexpectedEOF tells the end of a stream within a request from one before it.
+// unexpectedEOF makes the end of a stream within a request an io.ErrUnexpectedEOF, to tell it from one before it.
 func unexpectedEOF(err error) error {
-	if err == io.EOF {
+	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
 	}
 	return err
@@ -169,37 +171,21 @@
 	body    []byte
 }
 
-// readResponse reads an answer as CGI gives it: headers, an empty line, and a body to the end of the stream or
-// to the length stated. Without a Status the status is 200. A body cut short is an error, never a result.
+// readResponse reads an answer as CGI gives it: headers, an empty line, and a body to the end of the stream or to the length stated.
+// Without a Status the status is 200. A body cut short is an error, never a result.
 func readResponse(r *bufio.Reader, maxBody int) (response, error) {
-	a := response{status: 200, headers: map[string]string{}}
-	for i := 0; ; i++ {
-		line, err := r.ReadSlice('\n')
-		if err != nil {
-			return a, fmt.Errorf("reading the headers of the answer: %w", err)
-		}
-		text := strings.TrimRight(string(line), "\r\n")
-		if text == "" {
-			break
-		}
-		name, value, ok := strings.Cut(text, ":")
-		if !ok || name == "" || i == maxHeaders {
-			return a, malformed("%q where a header of the answer belongs", text)
-		}
-		a.headers[strings.ToLower(name)] = strings.TrimSpace(value)
-	}
-	if len(a.headers) == 0 {
-		return a, malformed("an answer without headers")
+	headers, err := readResponseHeaders(r)
+	if err != nil {
+		return response{}, err
 	}
-	if s, ok := a.headers["status"]; ok {
+	a := response{status: 200, headers: headers}
+	if s, ok := headers["status"]; ok {
 		code, _, _ := strings.Cut(s, " ")
-		n, err := strconv.Atoi(code)
-		if err != nil || n < 100 || n > 599 {
+		if a.status, err = strconv.Atoi(code); err != nil || a.status < 100 || a.status > 599 {
 			return a, malformed("the answer's Status is %q", s)
 		}
-		a.status = n
 	}
-	if s, ok := a.headers["content-length"]; ok {
+	if s, ok := headers["content-length"]; ok {
 		n, err := strconv.Atoi(s)
 		if err != nil || n < 0 || n > maxBody {
 			return a, malformed("the answer's Content-Length is %q", s)
@@ -220,3 +206,27 @@
 	a.body = body
 	return a, nil
 }
+
+// readResponseHeaders reads the headers of an answer, up to the empty line, with names in lower case. There is at least one.
+func readResponseHeaders(r *bufio.Reader) (map[string]string, error) {
+	headers := map[string]string{}
+	for i := 0; ; i++ {
+		line, err := r.ReadSlice('\n')
+		if err != nil {
+			return nil, fmt.Errorf("reading the headers of the answer: %w", err)
+		}
+		text := strings.TrimRight(string(line), "\r\n")
+		if text == "" {
+			break
+		}
+		name, value, ok := strings.Cut(text, ":")
+		if !ok || name == "" || i == maxHeaders {
+			return nil, malformed("%q where a header of the answer belongs", text)
+		}
+		headers[strings.ToLower(name)] = strings.TrimSpace(value)
+	}
+	if len(headers) == 0 {
+		return nil, malformed("an answer without headers")
+	}
+	return headers, nil
+}
--- a/internal/transport/scgi/scgi_test.go
+++ b/internal/transport/scgi/message_test.go
@@ -44,7 +44,7 @@
 // A request cut anywhere is never taken for a whole one.
 func TestCuts(t *testing.T) {
 	for n := 1; n < len(specimen); n++ {
-		if _, err := read(specimen[:n]); err != io.ErrUnexpectedEOF {
+		if _, err := read(specimen[:n]); !errors.Is(err, io.ErrUnexpectedEOF) {
 			t.Fatalf("cut at %d: %v", n, err)
 		}
 	}
@@ -209,7 +209,7 @@
 		case "cut":
 			conn.Write([]byte("Status: 200 OK\r\nContent-Length: 50\r\n\r\nshort"))
 		case "slow":
-			io.Copy(io.Discard, conn)
+			_, _ = io.Copy(io.Discard, conn)
 		}
 	})
 	addr, _, _ := edge(t, upstream, 30*time.Second)
--- /dev/null
+++ b/internal/transport/scgi/request.go
@@ -0,0 +1,111 @@
+package scgi
+
+import (
+	"fmt"
+	"hash/fnv"
+	"io"
+	"net"
+	"strconv"
+	"strings"
+	"time"
+
+	"silverpath"
+	"silverpath/internal/core"
+)
+
+// mapRequest maps the headers to a request of the core. An error is the rejection of the first header that is no good.
+func (f *Front) mapRequest(m message, now time.Time, from net.Addr) (core.Request, error) {
+	class, known := f.class(m.headers)
+	if !known {
+		return core.Request{}, &rejection{"404 Not Found", fmt.Sprintf("no class %q", class.Name), "unknown_class"}
+	}
+	q := core.Request{
+		Front: Name, ID: f.newID(), Class: class.Name, Tenant: f.cfg.Tenant, MemoryKB: f.cfg.HeldKB,
+		ReceivedAt: now, Body: m.body, Key: m.headers[headerKey],
+	}
+	if t := m.headers[headerTenant]; t != "" {
+		q.Tenant = t
+	}
+	if len(q.Key) > maxKeyBytes {
+		return core.Request{}, badHeader(m.headers, headerKey)
+	}
+	timeout, err := f.timeout(m.headers, class)
+	if err != nil {
+		return core.Request{}, err
+	}
+	q.Deadline = now.Add(timeout)
+	if v, ok := m.headers[headerCaller]; !ok {
+		q.Caller = callerOf(m.headers["REMOTE_ADDR"], from)
+	} else if q.Caller, err = strconv.Atoi(v); err != nil || q.Caller < 0 {
+		return core.Request{}, badHeader(m.headers, headerCaller)
+	}
+	if v, ok := m.headers[headerRank]; ok {
+		if q.Rank, err = strconv.ParseFloat(v, 64); err != nil || !(q.Rank >= 0 && q.Rank < 1) {
+			return core.Request{}, badHeader(m.headers, headerRank)
+		}
+	}
+	return q, nil
+}
+
+// timeout is how long the caller waits from the reading of its request: by its header, else by scgi.deadline_ms, else by its class.
+func (f *Front) timeout(headers map[string]string, class silverpath.Class) (time.Duration, error) {
+	v, ok := headers[headerDeadline]
+	switch {
+	case ok:
+		ms, err := strconv.ParseInt(v, 10, 64)
+		if err != nil || ms <= 0 || ms > maxTimeout.Milliseconds() {
+			return 0, badHeader(headers, headerDeadline)
+		}
+		return time.Duration(ms) * time.Millisecond, nil
+	case f.cfg.Deadline > 0:
+		return f.cfg.Deadline, nil
+	}
+	return class.Deadline, nil
+}
+
+// badHeader is the rejection of a header that can't be read or is out of its bounds.
+func badHeader(headers map[string]string, name string) error {
+	return &rejection{"400 Bad Request", fmt.Sprintf("%s is %q", name, headers[name]), "bad_header"}
+}
+
+// statusPath asks for the state of the service, where the edge file switches that on and no class has that name.
+const statusPath = "/status"
+
+// asksStatus reports whether a request is for the state of the service.
+func (f *Front) asksStatus(h map[string]string) bool {
+	if h["PATH_INFO"] != statusPath || h[headerClass] != "" || !f.core.ServesStatus() {
+		return false
+	}
+	_, known := f.core.Class(statusPath[1:])
+	return !known
+}
+
+// class finds the class: the header, else the path's first part, else the configured one.
+func (f *Front) class(h map[string]string) (silverpath.Class, bool) {
+	name := h[headerClass]
+	if name == "" {
+		path := h["PATH_INFO"]
+		if path == "" {
+			path, _, _ = strings.Cut(h["REQUEST_URI"], "?")
+		}
+		name, _, _ = strings.Cut(strings.TrimPrefix(path, "/"), "/")
+	}
+	if name == "" {
+		name = f.cfg.Class
+	}
+	class, known := f.core.Class(name)
+	if !known {
+		class.Name = name
+	}
+	return class, known
+}
+
+// callerOf numbers a caller by its address, the web front's own where it names none.
+func callerOf(remote string, from net.Addr) int {
+	if remote == "" && from != nil {
+		remote, _, _ = net.SplitHostPort(from.String())
+	}
+	h := fnv.New32a()
+	_, _ = io.WriteString(h, remote)
+	return int(h.Sum32() >> 1)
+}
--- a/internal/transport/scgi/upstream.go
+++ b/internal/transport/scgi/upstream.go
@@ -18,20 +18,22 @@
 )
 
 const (
-	maxResult   = 64 << 10
+	// maxResult bounds a result, in bytes, as on the MessagePack-RPC front.
+	maxResult = 64 << 10
+	// dialTimeout is how long an application server may take for a connection: it is next door, and a refused one proves more.
 	dialTimeout = time.Second
 )
 
-// Events is who hears of runs: the core.
+// Events is what an Upstream reports runs to: the core.
 type Events interface {
 	RunnerReady()
 	RunEnded(id string, o silverpath.Outcome, spent time.Duration, result []byte)
+	// Gauges tells the readings that Probe asked for.
 	Gauges(g silverpath.Gauges)
 }
 
-// Upstream is a Runner for sites whose work is done by an SCGI application server. It is a client: one
-// connection for each run. Such a server tells nothing of its cores, so the gauges are what is seen from here:
-// runs under way, for each core that the settings give it.
+// Upstream is a core.Runner for sites whose work is done by an SCGI application server: one connection for each run. Such a server
+// tells nothing of its cores, so that the gauges are what is seen from here: the runs under way, for each core of the settings.
 type Upstream struct {
 	addr        string
 	cores       int
@@ -40,7 +42,7 @@
 	log         *log.Logger
 	stats       *metrics.Counters
 	dial        func(ctx context.Context, network, addr string) (net.Conn, error)
-	connections chan struct{}
+	connections chan struct{} // has a token for each connection in use
 
 	mu      sync.Mutex
 	running int
@@ -57,10 +59,10 @@
 	}
 }
 
-// ReportUp tells the core that the runner is ready: there is no link to hold.
+// ReportUp tells the core that runs can be started: there is no link to wait for. It returns at once.
 func (u *Upstream) ReportUp(context.Context) { u.events.RunnerReady() }
 
-// Run starts a request.
+// Run starts a run of a request; Ended tells its end.
 func (u *Upstream) Run(id, class string, body []byte) {
 	u.mu.Lock()
 	u.running++
@@ -75,7 +77,7 @@
 	}()
 }
 
-// Resume is never asked: an application server's runs wait for no call of ours.
+// Resume is never called: an application server's runs wait for no call below.
 func (u *Upstream) Resume(string, []byte) {}
 
 // Probe reports the gauges.
@@ -86,7 +88,8 @@
 	u.events.Gauges(silverpath.Gauges{CPU: min(1, n/float64(u.cores)), OnCores: n, Connections: n})
 }
 
-// run is one request to the application server.
+// run makes one request of the application server. Ignored says that nothing ran for certain, so that a later attempt may run; after
+// any other failure the effect may have taken place.
 func (u *Upstream) run(id, class string, body []byte) (silverpath.Outcome, []byte) {
 	u.connections <- struct{}{}
 	defer func() { <-u.connections }()
@@ -116,6 +119,7 @@
 	return silverpath.OK, a.body
 }
 
+// exchange writes the request of a run and reads the answer, within the timeout.
 func (u *Upstream) exchange(conn net.Conn, id, class string, body []byte) (response, error) {
 	conn.SetDeadline(time.Now().Add(u.timeout))
 	b := bufferpool.Get()
