--- a/internal/controlplane/configwatch/follow_test.go
+++ b/internal/controlplane/configwatch/configwatch_test.go
@@ -58,7 +58,7 @@
 			return refuse
 		}
 		f = New(Config{Name: "p", Group: leader(t, &docs), Log: log.New(io.Discard, "", 0), Stats: &metrics.Counters{},
-			OnConfirmed: func(time.Time) { see() },
+			OnConfirmed: func(time.Time) { _ = see() },
 			Documents: map[string]Document{"d": {Format: 2, Check: func(string) error { return nil }, Apply: func(string) error { return see() },
 				CheckParts: func(map[string]string, bool) error { return nil },
 				ApplyParts: func(configstore.ID, map[string]string, bool) error { return see() }}}})
