--- a/calls.go
+++ b/calls.go
@@ -29,9 +29,9 @@
 	// slowCallRatio is how many times their base calls take on average when the dependency counts as overloaded.
 	// Found by trial; lowering it makes calls fewer over their ordinary spread.
 	slowCallRatio = 2
-	// minCallShare is the part of the quota that maxSharedCalls keeps: where calls are slow for another reason
-	// than their number, fewer calls don't make them quicker.
-	minCallShare = 0.25
+	// minCallQuotaRatio is the part of the quota that maxSharedCalls keeps: where calls are slow for another
+	// reason than their number, fewer calls don't make them quicker.
+	minCallQuotaRatio = 0.25
 	// callLimitDecrease and callLimitIncrease move the limits of calls: a factor at a sign of overload, a number
 	// of calls at each success. Multiplicative decrease and additive increase, so that servers that share a
 	// dependency converge.
@@ -60,7 +60,7 @@
 	s.typicalCallTime = s.typicalCallTime*callTimeBeta + spent*(1-callTimeBeta)
 	s.baseCallTime = min(s.typicalCallTime, s.baseCallTime+(s.typicalCallTime-s.baseCallTime)*baseCallTimeRise)
 	if s.callsAreSlow() {
-		s.maxSharedCalls = max(minCallShare*s.settings.CallQuota, s.maxSharedCalls*callLimitDecrease)
+		s.maxSharedCalls = max(minCallQuotaRatio*s.settings.CallQuota, s.maxSharedCalls*callLimitDecrease)
 	} else {
 		s.maxSharedCalls = min(float64(s.settings.Cores), s.maxSharedCalls+callLimitIncrease)
 	}
@@ -163,7 +163,7 @@
 		last = min(last, r.objective)
 	}
 	if r.canSkipCall() {
-		tail := seconds(r.expectedWork * s.pace() / 2)
+		tail := seconds(r.expectedWork * s.slowdown() / 2)
 		last = min(last, r.objective-tail)
 	}
 	return last
--- a/calls_test.go
+++ b/calls_test.go
@@ -43,7 +43,7 @@
 	for range 20 {
 		s.adaptSharedCalls(1)
 	}
-	if least := minCallShare * s.settings.CallQuota; s.maxSharedCalls >= before || s.maxSharedCalls < least {
+	if least := minCallQuotaRatio * s.settings.CallQuota; s.maxSharedCalls >= before || s.maxSharedCalls < least {
 		t.Errorf("limit %v, then %v", before, s.maxSharedCalls)
 	}
 }
--- a/capacity.go
+++ b/capacity.go
@@ -4,7 +4,7 @@
 //
 //   - how many runs it survives (maxRuns): told by the settings, less while it warms up after a cold start;
 //   - how many keep its cores busy (runLimit): the cores, divided by the part of a core that a run uses;
-//   - its pace: time on the cores for each second of expected work. A pace well over its own baseline is a
+//   - its slowdown: time on the cores for each second of expected work. One well over its own baseline is a
 //     fault of this server, so that others may do better.
 //
 // Inputs: the gauges OnCores (tasks that want a core) and CPU at each tick, the core clock, the expected work
@@ -20,12 +20,12 @@
 	// at least. Found by trial; lowering it lets reading take more cores from runs before the number of runs
 	// stops to follow.
 	minRunsPerCore = 0.25
-	// paceRetention is the part of the pace's sums kept for each sampleInterval of fully used cores: they span
-	// about 2.5 s of work. A slow server shows within that time, and idle cores forget nothing.
-	paceRetention = 0.9
-	// slowPaceRatio is how many times the baseline the pace must be for the fault to be this server's own. Found
-	// by trial; lowering it sends callers elsewhere over the ordinary spread of requests.
-	slowPaceRatio = 1.5
+	// slowdownRetention is the part of the slowdown's sums kept for each sampleInterval of fully used cores:
+	// they span about 2.5 s of work. A slow server shows within that time, and idle cores forget nothing.
+	slowdownRetention = 0.9
+	// localFaultRatio is how many times the baseline the slowdown must be for the fault to be this server's own.
+	// Found by trial; lowering it sends callers elsewhere over the ordinary spread of requests.
+	localFaultRatio = 1.5
 	// minWarmupSpeed keeps capacity above zero, whatever the settings tell of a cold start.
 	minWarmupSpeed = 0.01
 	// minRemainingDivisor: a request is taken to need one in so many parts of its expected work still, however
@@ -77,41 +77,42 @@
 	return min(1, float64(s.settings.Cores)/wanted)
 }
 
-// pace is the time on the cores, in seconds, that a second of expected work takes. Time counts as it passes
-// and work as it completes, so a server that became slow or hangs shows before anything completes.
-func (s *Shedder) pace() float64 { return s.completedCoreTime / s.completedWork }
+// slowdown is the time on the cores, in seconds, that a second of expected work takes. Time counts as it
+// passes and work as it completes, so a server that became slow or hangs shows before anything completes.
+func (s *Shedder) slowdown() float64 { return s.completedCoreTime / s.completedWork }
 
-// fadePace lets older time and work count less, by how much of the cores was used since the last sample.
-func (s *Shedder) fadePace() {
+// fadeSlowdown lets older time and work count less, by how much of the cores was used since the last sample.
+func (s *Shedder) fadeSlowdown() {
 	use := s.sampleCoreTime / (sampleInterval.Seconds() * float64(s.settings.Cores))
 	s.sampleCoreTime = 0
-	s.completedCoreTime *= math.Pow(paceRetention, use)
-	s.completedWork = max(s.completedWork*math.Pow(paceRetention, use), leastWork)
+	s.completedCoreTime *= math.Pow(slowdownRetention, use)
+	s.completedWork = max(s.completedWork*math.Pow(slowdownRetention, use), minWork)
 }
 
-// updateBaselinePace moves the baseline towards the pace: at once during the first windowLength, then down
-// with paceRetention, and up with fairnessRetention, so slowly that a fault of some seconds stays visible.
-func (s *Shedder) updateBaselinePace() {
-	switch p := s.pace(); {
+// updateBaselineSlowdown moves the baseline towards the slowdown: at once during the first windowLength, then
+// down with slowdownRetention, and up with fairnessRetention, so slowly that a fault of some seconds stays
+// visible.
+func (s *Shedder) updateBaselineSlowdown() {
+	switch p := s.slowdown(); {
 	case s.now-s.baselineFrom < windowLength:
-		s.baselinePace = p
-	case p < s.baselinePace:
-		s.baselinePace += (p - s.baselinePace) * (1 - paceRetention)
+		s.baselineSlowdown = p
+	case p < s.baselineSlowdown:
+		s.baselineSlowdown += (p - s.baselineSlowdown) * (1 - slowdownRetention)
 	default:
-		s.baselinePace += (p - s.baselinePace) * (1 - fairnessRetention)
+		s.baselineSlowdown += (p - s.baselineSlowdown) * (1 - fairnessRetention)
 	}
 }
 
 // faultIsLocal reports whether the server itself is at fault, so that others may do better: it drains, warms
 // up, or is slow by its own baseline.
 func (s *Shedder) faultIsLocal() bool {
-	return s.stopAt != 0 || s.warmupSpeed() < 1 || s.pace() > slowPaceRatio*s.baselinePace
+	return s.stopAt != 0 || s.warmupSpeed() < 1 || s.slowdown() > localFaultRatio*s.baselineSlowdown
 }
 
 // remainingWork is the time on the cores, in seconds, that a request is expected to need still.
-func (s *Shedder) remainingWork(r *request, pace float64) float64 {
-	whole := r.expectedWork * pace
-	return max(whole-s.coreTimeSoFar(r).Seconds(), whole/minRemainingDivisor)
+func (s *Shedder) remainingWork(r *request, slowdown float64) float64 {
+	total := r.expectedWork * slowdown
+	return max(total-s.coreTimeSoFar(r).Seconds(), total/minRemainingDivisor)
 }
 
 // coreTimeSoFar is the time on the cores that a request has had.
--- a/capacity_test.go
+++ b/capacity_test.go
@@ -48,7 +48,7 @@
 }
 
 // Crowded cores once looked like a slow server, and its callers were sent on to the next. The core clock goes slower the less of
-// a core each run has, so that only a slow server has a high pace.
+// a core each run has, so that only a slow server has a high slowdown.
 func TestCrowdedCoresAreNoLocalFault(t *testing.T) {
 	for _, c := range []struct {
 		onCores float64
@@ -69,19 +69,19 @@
 		work(100, 100*time.Millisecond, 1)
 		work(40, 300*time.Millisecond, c.onCores)
 		if got := s.faultIsLocal(); got != c.want {
-			t.Errorf("%v on the cores: pace %v, usually %v: local %v", c.onCores, s.pace(), s.baselinePace, got)
+			t.Errorf("%v on the cores: slowdown %v, usually %v: local %v", c.onCores, s.slowdown(), s.baselineSlowdown, got)
 		}
 	}
 }
 
-// The pace of a busy minute must not be forgotten, nor turn to nothing, while the server idles: it fades by the use of the cores.
-func TestIdlingKeepsThePace(t *testing.T) {
+// The slowdown of a busy minute must not be forgotten, nor turn to nothing, while the server idles: it fades by the use of the cores.
+func TestIdlingKeepsTheSlowdown(t *testing.T) {
 	s, _ := newTestShedder(t)
 	s.completedCoreTime, s.completedWork = 6, 2
 	for i := range 4000 {
 		s.Tick(time.Duration(i)*tickInterval, Gauges{})
 	}
-	if s.completedWork < 2 || s.pace() < 2.99 || s.pace() > 3.01 {
-		t.Errorf("pace %v from %v s of work after idling", s.pace(), s.completedWork)
+	if s.completedWork < 2 || s.slowdown() < 2.99 || s.slowdown() > 3.01 {
+		t.Errorf("slowdown %v from %v s of work after idling", s.slowdown(), s.completedWork)
 	}
 }
--- a/queue.go
+++ b/queue.go
@@ -6,7 +6,8 @@
 // and a request that would end after its objective is rejected at once: nobody would use its answer, and its
 // caller can still go elsewhere. One that has started is never rejected.
 //
-// Inputs: goal weights, expected work, objectives, deadlines, pace, the limit of runs, typical time of calls.
+// Inputs: goal weights, expected work, objectives, deadlines, slowdown, the limit of runs, typical time of
+// calls.
 
 import (
 	"cmp"
@@ -51,7 +52,7 @@
 // schedule starts what there is capacity for and rejects what can't make its objective. It is called after
 // every event that may have changed either.
 func (s *Shedder) schedule() {
-	pace := s.pace()
+	slowdown := s.slowdown()
 	ahead := map[string]float64{}    // seconds of work before the next request, by queue
 	requests := map[string]float64{} // requests in hand, by queue
 	last := map[string]int{}         // place of the least ranked request, by queue
@@ -59,7 +60,7 @@
 		requests[s.queueOf(r)]++
 		switch r.state {
 		case running, preempting, awaitingCall, calling:
-			ahead[s.queueOf(r)] += s.remainingWork(r, pace)
+			ahead[s.queueOf(r)] += s.remainingWork(r, slowdown)
 		}
 	}
 	s.pauseSurplus()
@@ -72,11 +73,11 @@
 		if s.hasCapacity(r) {
 			s.startRun(r)
 			if r.state == running {
-				ahead[queue] += s.remainingWork(r, pace)
+				ahead[queue] += s.remainingWork(r, slowdown)
 				continue
 			}
 		}
-		work := s.remainingWork(r, pace)
+		work := s.remainingWork(r, slowdown)
 		finish := s.forecast(r, ahead[queue], work, concurrency)
 		tooMany := i == last[queue] && requests[queue] > s.maxRuns()*min(1, concurrency/s.runLimit())
 		if r.state == queued && !r.started && (tooMany || finish > s.latestFinish(r, queue)) {
--- a/record.go
+++ b/record.go
@@ -41,9 +41,9 @@
 	coreClock         time.Duration  // time that a run alone on its core would have had
 	coresPerRun       window.Average // tasks that want a core, for each run
 	sampleCoreTime    float64        // seconds on the cores of all runs since the last sample
-	completedCoreTime float64        // seconds on the cores of all runs, faded: the pace is this ...
+	completedCoreTime float64        // seconds on the cores of all runs, faded: the slowdown is this ...
 	completedWork     float64        // ... divided by this, the expected work of the completed, in seconds
-	baselinePace      float64
+	baselineSlowdown  float64
 	baselineFrom      time.Duration // when the baseline began to be learned
 
 	// Calls to the dependency.
@@ -166,7 +166,7 @@
 		r.deadline = q.Deadline
 	}
 	if r.expectedWork <= 0 {
-		r.expectedWork = max(c.meanWork, leastWork)
+		r.expectedWork = max(c.meanWork, minWork)
 	}
 	r.objective = s.latencyObjective(r)
 	c.requestedWork += r.expectedWork
@@ -224,12 +224,12 @@
 	s.learnWork(r, wasJoined)
 }
 
-// learnWork counts the work of a request that is over towards the pace and, where its own run came to its
+// learnWork counts the work of a request that is over towards the slowdown and, where its own run came to its
 // end, towards the mean of its class.
 func (s *Shedder) learnWork(r *request, wasJoined bool) {
 	switch {
 	case !r.completed:
-		s.completedWork += min(r.expectedWork, r.coreTime.Seconds()/s.baselinePace)
+		s.completedWork += min(r.expectedWork, r.coreTime.Seconds()/s.baselineSlowdown)
 	case !wasJoined:
 		s.completedWork += r.expectedWork
 		r.class.typicalCallWait += (r.callWait.Seconds() - r.class.typicalCallWait) / learningDivisor
--- a/shedder.go
+++ b/shedder.go
@@ -5,7 +5,7 @@
 //
 //	overload.go      the ordinary path: concurrency limit from throughput and response time, behind a CPU gate
 //	admission.go     the guards on memory, started runs and the drain, and the one place that starts a run
-//	capacity.go      estimates: runs that the cores take, warm-up, pace, whether a fault is this server's own
+//	capacity.go      estimates: runs that the cores take, warm-up, slowdown, whether a fault is the server's own
 //	queue.go         order of the queue, forecast of the end of each request, preemption of surplus runs
 //	fairness.go      goal weights of the classes, tenants' quotas
 //	calls.go         calls to the dependency: how many, how long, and when one is left out
@@ -42,7 +42,7 @@
 	// sampleInterval is the time between two samples of the gauges: the go-zero shedder's own.
 	sampleInterval = 250 * time.Millisecond
 	// leastWork bounds sums and estimates of work away from zero, in seconds: they are divided by.
-	leastWork = 0.001
+	minWork = 0.001
 )
 
 // New returns a Shedder for the given settings. Its first actions are asked of the host at once. The error
@@ -59,7 +59,7 @@
 		requestByID: map[string]*request{}, remembered: newKeyTable(),
 	}
 	s.setClassesAndTenants(now, set)
-	s.baselinePace = 1
+	s.baselineSlowdown = 1
 	s.maxTierCalls = maxTierCallsPerCore * float64(set.Cores)
 	s.completedWork = float64(set.Cores)
 	s.completedCoreTime = s.completedWork / math.Sqrt(s.warmupSpeed())
@@ -154,7 +154,7 @@
 	if c := s.classByName[class]; c != nil && n > 0 {
 		s.arrivals, s.rejections = s.arrivals+float64(n), s.rejections+float64(n)
 		s.rejectedBy[byForecast] += n
-		c.requestedWork += float64(n) * max(c.meanWork, leastWork)
+		c.requestedWork += float64(n) * max(c.meanWork, minWork)
 	}
 }
 
@@ -272,9 +272,9 @@
 // sample takes what is read once a sampleInterval and lets the statistics fade.
 func (s *Shedder) sample(g Gauges) {
 	s.cpu.Add(g.CPU, cpuBeta)
-	s.fadePace()
+	s.fadeSlowdown()
 	s.updatePressure()
 	s.updateGoalWeights()
 	s.logTransitions()
-	s.updateBaselinePace()
+	s.updateBaselineSlowdown()
 }
