--- a/shedder.go
+++ b/shedder.go
@@ -5,7 +5,7 @@
 //
 //	overload.go      the ordinary path: concurrency limit from throughput and response time, behind a CPU gate
 //	admission.go     the guards on memory, started runs and the drain, and the one place that starts a run
-//	capacity.go      estimates: runs that the cores take, warm-up, slowdown, whether a fault is the server's own
+//	capacity.go      estimates: runs that the cores take, warm-up, slowdown, whether a fault is local
 //	queue.go         order of the queue, forecast of the end of each request, preemption of surplus runs
 //	fairness.go      goal weights of the classes, tenants' quotas
 //	calls.go         calls to the dependency: how many, how long, and when one is left out
