--- a/internal/policy/hotrestart/decisions_test.go
+++ b/internal/policy/hotrestart/decisions_test.go
@@ -11,17 +11,17 @@
 )
 
 // table is the runs of one process and what it was told of the other's.
-type table map[string]Execution
+type executionTable map[string]Execution
 
-func (k table) Find(key string, _ int64) (Execution, bool) { f, ok := k[key]; return f, ok }
-func (k table) Apply(f Execution)                          { f.Remote = true; k[f.Key] = f }
-func (k table) Forget(key string) {
+func (k executionTable) Find(key string, _ int64) (Execution, bool) { f, ok := k[key]; return f, ok }
+func (k executionTable) Apply(f Execution)                          { f.Remote = true; k[f.Key] = f }
+func (k executionTable) Forget(key string) {
 	if k[key].Remote {
 		delete(k, key)
 	}
 }
 
-func (k table) Local() (list []Execution) {
+func (k executionTable) Local() (list []Execution) {
 	for _, key := range slices.Sorted(maps.Keys(k)) {
 		if f := k[key]; !f.Remote {
 			list = append(list, f)
@@ -30,7 +30,7 @@
 	return list
 }
 
-func (k table) PeerLost(mayHaveRun func(f Execution) bool) {
+func (k executionTable) PeerLost(mayHaveRun func(f Execution) bool) {
 	for key, f := range k {
 		if f.Remote && f.Stage < Succeeded {
 			if f.Stage = Failed; mayHaveRun(f) {
@@ -42,7 +42,7 @@
 	}
 }
 
-func (k table) Retain(listed func(key string) bool) {
+func (k executionTable) Retain(listed func(key string) bool) {
 	for key, f := range k {
 		if f.Remote && f.Stage < Succeeded && !listed(key) {
 			delete(k, key)
@@ -52,17 +52,17 @@
 
 // Every message and answer of two processes in random takeovers, with links that break and processes that die, is held by a digest
 // that was taken before the code was renamed.
-func TestDecisionsAreAsBefore(t *testing.T) {
+func TestCoordinatorsDecideAsBefore(t *testing.T) {
 	h := sha256.New()
 	for seed := range uint64(40) {
 		rng := rand.New(rand.NewPCG(seed, 30))
 		var sides [2]*Coordinator
-		var runs [2]table
+		var runs [2]executionTable
 		var way [2][]Message // to each
 		linked := false
 		now := int64(0)
 		born := func(i int) {
-			runs[i] = table{}
+			runs[i] = executionTable{}
 			sides[i] = New(runs[i])
 			sides[i].SlotTaken(now+1, i)
 		}
--- a/internal/policy/lifecycle/phase.go
+++ b/internal/policy/lifecycle/lifecycle.go
@@ -1,11 +1,12 @@
-// Package lifecycle decides through which states a service goes from its start to its exit. There are two drains: one
-// that operators begin and end, during which all that comes is served, and the one that SIGTERM begins, which is final.
-// It decides only: no clock, no lock, no goroutine.
+// Package lifecycle decides through which states a service goes from its start to its exit. There are two drains: one that operators begin
+// and end, called an evacuation, during which all that comes is served, and the shutdown that SIGTERM begins, which is final. It decides
+// only: no clock, no lock, no goroutine.
 package lifecycle
 
-// State is a stretch of a service's life. The numbers are those of the MIB, less one.
+// State is how far a service has come. The numbers are those of the MIB, less one.
 type State int32
 
+// The states of a service.
 const (
 	Starting          State = iota // the interpreter is not up yet
 	Serving                        // ready
@@ -16,6 +17,7 @@
 	states
 )
 
+// String names a state, in the words of the log and the status.
 func (s State) String() string {
 	return [...]string{"starting", "serving", "draining", "stopped", "held", "evacuated"}[s]
 }
@@ -23,6 +25,7 @@
 // Event is what moves a service on.
 type Event int
 
+// The events.
 const (
 	WorkerUp Event = iota // that which does the work is there
 	Evacuate              // an operator begins a drain
@@ -32,17 +35,18 @@
 	events
 )
 
+// String names an event.
 func (e Event) String() string { return [...]string{"up", "evacuate", "rejoin", "leave", "end"}[e] }
 
-// Answer is what becomes of an event.
+// Outcome is what becomes of an event.
 type Outcome struct {
 	To     State
-	OK     bool   // what was asked for holds now
+	OK     bool   // what was requested holds now
 	Reason string // one line for the operator
 }
 
-// table has what every event does in every state. An operator who asks for what holds already is told yes, so that a
-// call whose answer was lost can be made again.
+// transitions has what every event does in every state. An operator who requests what holds already is told yes, so that a call whose answer
+// was lost can be made again.
 var transitions = [states][events]Outcome{
 	Starting: {
 		WorkerUp: {Serving, true, "serving"},
@@ -88,13 +92,13 @@
 	},
 }
 
-// Next is what an event does in a state.
+// On is what an event does in a state.
 func (s State) On(e Event) Outcome { return transitions[s][e] }
 
 // Healthy reports whether health checks may be answered as good.
 func (s State) Healthy() bool { return s == Starting || s == Serving }
 
-// Leaving reports whether the service was told to leave, for good.
+// ShuttingDown reports whether the service was told to leave, for good.
 func (s State) ShuttingDown() bool { return s == Draining || s == Stopped }
 
 // Ready reports whether operators are told that the process is ready to serve, and why not.
--- a/internal/policy/lifecycle/phase_test.go
+++ b/internal/policy/lifecycle/lifecycle_test.go
@@ -7,7 +7,7 @@
 )
 
 // Every pair of state and event, whole: where it leads and what the operator is told.
-func TestTable(t *testing.T) {
+func TestEveryEventInEveryState(t *testing.T) {
 	no := func(s State) Outcome { return Outcome{To: s} }
 	yes := func(s State) Outcome { return Outcome{To: s, OK: true} }
 	want := [states][events]Outcome{ //  Up, Evacuate, Rejoin, Leave, End
--- a/internal/policy/recovery/trust.go
+++ b/internal/policy/recovery/trust.go
@@ -33,7 +33,7 @@
 	{"a router's last map", []string{"internal/proxy/filesource.go", "internal/proxy/statefile.go"}, AfterConfirmation, "reads go by it; idempotent requests once the group, or the file within its lease, confirms it"},
 	{"the folder of maps", []string{"internal/proxy/versiondir.go"}, AfterConfirmation, "places are written once; versions and digests are compared with what routers and servers say"},
 	{"the lock of a map's file", []string{"internal/proxy/change.go"}, Discarded, "the system's lock ends with its process"},
-	{"marks and slots of two processes of a service", []string{"internal/transport/restartlink/pair.go", "internal/transport/restartlink/places.go"}, Discarded,
+	{"marks and slots of two processes of a service", []string{"internal/transport/restartlink/link.go", "internal/transport/restartlink/slots.go"}, Discarded,
 		"they stand in a folder that a loss of power empties, and speak of processes that are gone"},
 	{"files that are replaced atomically", []string{"internal/storage/atomicfile/atomicfile.go"}, Trusted, "complete or not at all; what stands in them has its own line"},
 	{"leases and grants held", nil, Discarded, "they count by a clock of a process that is gone"},
--- a/internal/transport/restartlink/earlier_build_test.go
+++ b/internal/transport/restartlink/earlier_build_test.go
@@ -76,7 +76,7 @@
 }
 
 // oldPlace takes a place as that build did: a lock on its file, by the name of the service.
-func oldPlace(t *testing.T, dir string, place int) (socket func(place int) string) {
+func oldSlot(t *testing.T, dir string, place int) (socket func(place int) string) {
 	t.Helper()
 	h := fnv.New64a()
 	io.WriteString(h, "n1")
@@ -136,9 +136,9 @@
 
 // A new build takes over from the old one. If it read the old one's frames otherwise, it would run again what the old one ran, or
 // wait for ever; so the old one's recorded bytes are spoken to it, and what it answers is held byte for byte.
-func TestNewProcessTakesOverFromAnEarlierBuild(t *testing.T) {
+func TestProcessTakesOverFromAnEarlierBuild(t *testing.T) {
 	dir := t.TempDir()
-	socket := oldPlace(t, dir, 0)
+	socket := oldSlot(t, dir, 0)
 	ln, err := net.Listen("unix", socket(0))
 	if err != nil {
 		t.Fatal(err)
@@ -159,9 +159,9 @@
 	if p.core.PairRole() != hotrestart.Successor {
 		t.Errorf("it is %v", p.core.PairRole())
 	}
-	want(t, "a repeat of what the old one ran", p.try("n1", "elder-done", now), core.Served, "elder's result")
-	repeat := p.try("n2", "elder-runs", now)
-	fresh := p.try("b1", "younger-run", now)
+	want(t, "a repeat of what the old one ran", p.attempt("n1", "elder-done", now), core.Served, "elder's result")
+	repeat := p.attempt("n2", "elder-runs", now)
+	fresh := p.attempt("b1", "younger-run", now)
 	old.reads("a claim", younger[4])
 	old.send(elder[5])
 	await(t, "the granted key runs", func() bool { return len(p.ran()) == 1 })
@@ -173,7 +173,7 @@
 	old.send(moved(elder[8], now))
 	await(t, "the failed run is known", func() bool {
 		select {
-		case a := <-p.try("n3", "elder-fails", now):
+		case a := <-p.attempt("n3", "elder-fails", now):
 			return a.Outcome == core.Failed
 		case <-time.After(5 * time.Second):
 			return false
@@ -190,20 +190,20 @@
 
 // The other way round: an old build is started beside a new one, as when an operator goes back. The new one tells it what it ran,
 // grants it keys, and takes its results, in the recorded bytes.
-func TestEarlierBuildTakesOverFromANewProcess(t *testing.T) {
+func TestEarlierBuildTakesOverFromAProcess(t *testing.T) {
 	dir := t.TempDir()
 	elder, younger := recorded(t, "elder"), recorded(t, "younger")
 	p := start(t, dir)
 	await(t, "the new one serves", p.serves)
 	now := time.Now()
-	first := p.try("a1", "elder-done", now)
+	first := p.attempt("a1", "elder-done", now)
 	await(t, "the run begins", func() bool { return len(p.ran()) == 1 })
 	p.core.RunEnded("a1", silverpath.OK, time.Millisecond, []byte("elder's result"))
 	want(t, "the first", first, core.Served, "elder's result")
-	second := p.try("a2", "elder-runs", now)
+	second := p.attempt("a2", "elder-runs", now)
 	await(t, "the run begins", func() bool { return len(p.ran()) == 2 })
 
-	conn, err := net.Dial("unix", oldPlace(t, dir, 1)(0))
+	conn, err := net.Dial("unix", oldSlot(t, dir, 1)(0))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -229,13 +229,13 @@
 	old.reads("the grant", elder[5])
 	old.send(moved(younger[5], now))
 	await(t, "a repeat of what the old one ran gets its result", func() bool {
-		a := <-p.try("n1", "younger-run", now)
+		a := <-p.attempt("n1", "younger-run", now)
 		return a.Outcome == core.Served && string(a.Body) == "younger's result"
 	})
 	p.core.RunEnded("a2", silverpath.OK, time.Millisecond, []byte("second result"))
 	want(t, "the second", second, core.Served, "second result")
 	old.reads("how the second ended", elder[6])
-	third := p.try("a3", "elder-fails", now)
+	third := p.attempt("a3", "elder-fails", now)
 	old.reads("that the third begins", elder[7])
 	await(t, "the run begins", func() bool { return len(p.ran()) == 3 })
 	p.core.RunEnded("a3", silverpath.Failed, time.Millisecond, nil)
@@ -318,7 +318,7 @@
 }
 
 // Files of places and marks keep their names: two builds find each other by them.
-func TestNamesOfPlaces(t *testing.T) {
+func TestNamesOfSlotsAndMarks(t *testing.T) {
 	dir := t.TempDir()
 	p := start(t, dir)
 	await(t, "it serves", p.serves)
@@ -327,7 +327,7 @@
 			t.Error(err)
 		}
 	}
-	if got := p.pair.slots.markPath(1764576000123456789); got != filepath.Join(dir, "silverpath-08b37b07b558d4c0.mark.1764576000123456789") {
+	if got := p.link.slots.markPath(1764576000123456789); got != filepath.Join(dir, "silverpath-08b37b07b558d4c0.mark.1764576000123456789") {
 		t.Error(got)
 	}
 }
--- a/internal/transport/restartlink/pair_test.go
+++ b/internal/transport/restartlink/link_test.go
@@ -24,37 +24,36 @@
 	"silverpath/internal/policy/lifecycle"
 )
 
-// worker notes what is run; runs end when the test says so.
-type worker struct {
+// runRecorder notes what is run; runs end when the test says so.
+type runRecorder struct {
 	core *core.Core
 	mu   sync.Mutex
 	runs []string
 }
 
-func (w *worker) Run(id, _ string, _ []byte) {
+func (w *runRecorder) Run(id, _ string, _ []byte) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.runs = append(w.runs, id)
 }
-func (w *worker) Resume(string, []byte) {}
-func (w *worker) Probe()                { w.core.Gauges(silverpath.Gauges{}) }
+func (w *runRecorder) Resume(string, []byte) {}
+func (w *runRecorder) Probe()                { w.core.Gauges(silverpath.Gauges{}) }
 
-func (w *worker) ran() []string {
+func (w *runRecorder) ran() []string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return append([]string(nil), w.runs...)
 }
 
-// proc is a process of the service, in this one.
-type proc struct {
-	*worker
-	pair  *Link
+// process is a process of the service, in this one.
+type process struct {
+	*runRecorder
+	link  *Link
 	stats *metrics.Counters
-	die   func() // as a process does: its link and its place are gone
-	log   *bytes.Buffer
+	die   func() // as a process does: its link and its slot are gone
 }
 
-func start(t *testing.T, dir string) *proc {
+func start(t *testing.T, dir string) *process {
 	t.Helper()
 	s := &metrics.Counters{}
 	l := log.New(io.Discard, "", 0)
@@ -68,7 +67,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w := &worker{core: c}
+	w := &runRecorder{core: c}
 	if err := c.Attach(w, nil); err != nil {
 		t.Fatal(err)
 	}
@@ -78,7 +77,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	go p.Run(ctx)
 	c.RunnerReady()
-	q := &proc{worker: w, pair: p, stats: s}
+	q := &process{runRecorder: w, link: p, stats: s}
 	q.die = sync.OnceFunc(func() {
 		c.Stop()
 		cancel()
@@ -97,9 +96,9 @@
 	}
 }
 
-func (p *proc) serves() bool { return p.core.Phase() == lifecycle.Serving }
+func (p *process) serves() bool { return p.core.Phase() == lifecycle.Serving }
 
-func (p *proc) try(id, key string, reached time.Time) chan core.Answer {
+func (p *process) attempt(id, key string, reached time.Time) chan core.Answer {
 	answer := make(chan core.Answer, 1)
 	go p.core.Serve(core.Request{Front: "test", ID: id, Class: "oddaja", Key: key, MemoryKB: 1, Body: []byte(key),
 		ReceivedAt: reached, Deadline: time.Now().Add(20 * time.Second)}, func(a core.Answer) { answer <- a })
@@ -118,30 +117,30 @@
 	}
 }
 
-// A repeat that reaches the newer process while its first try runs in the older one, after it ended there, and after the
-// older one has left, gets that run's result, and so does one the other way round.
-func TestRepeats(t *testing.T) {
+// A retry reaches the newer process while its first attempt runs in the older one, after it ended there, or after the older one has left.
+// Run again it would take effect twice: it gets the first run's result, and so does one the other way round.
+func TestRetryAtEitherProcessGetsTheRunsResult(t *testing.T) {
 	dir := t.TempDir()
 	a := start(t, dir)
 	await(t, "the first serves", a.serves)
 	now := time.Now()
-	first := a.try("a1", "k", now)
+	first := a.attempt("a1", "k", now)
 	await(t, "the run begins", func() bool { return len(a.ran()) == 1 })
 	b := start(t, dir)
 	await(t, "the second serves", b.serves)
 	if r, s := a.core.PairRole(), b.core.PairRole(); r != hotrestart.Predecessor || s != hotrestart.Successor || !a.core.Successor() || b.core.Successor() {
 		t.Fatalf("%v and %v", r, s)
 	}
-	during := b.try("b1", "k", now)
+	during := b.attempt("b1", "k", now)
 	await(t, "the repeat is linked", func() bool { return b.stats.Get("repeats", "test", "oddaja") == 1 })
 	a.core.RunEnded("a1", silverpath.OK, time.Millisecond, []byte("done"))
 	want(t, "the first", first, core.Served, "done")
 	want(t, "a repeat meanwhile", during, core.Served, "done")
-	want(t, "a repeat afterwards", b.try("b2", "k", now), core.Served, "done")
+	want(t, "a repeat afterwards", b.attempt("b2", "k", now), core.Served, "done")
 
-	other := b.try("b3", "l", now)
+	other := b.attempt("b3", "l", now)
 	await(t, "the younger runs what it was granted", func() bool { return len(b.ran()) == 1 })
-	back := a.try("a2", "l", now)
+	back := a.attempt("a2", "l", now)
 	await(t, "the repeat is linked", func() bool { return a.stats.Get("repeats", "test", "oddaja") == 1 })
 	b.core.RunEnded("b3", silverpath.OK, time.Millisecond, []byte("more"))
 	want(t, "the younger's", other, core.Served, "more")
@@ -149,54 +148,54 @@
 
 	a.die()
 	await(t, "the second is alone", func() bool { return b.core.PairRole() == hotrestart.Sole })
-	want(t, "a repeat after the elder has left", b.try("b4", "k", now), core.Served, "done")
-	want(t, "and of its own", b.try("b5", "l", now), core.Served, "more")
+	want(t, "a repeat after the elder has left", b.attempt("b4", "k", now), core.Served, "done")
+	want(t, "and of its own", b.attempt("b5", "l", now), core.Served, "more")
 	if len(a.ran()) != 1 || len(b.ran()) != 1 {
 		t.Errorf("%v and %v ran", a.ran(), b.ran())
 	}
-	fresh := b.try("b6", "m", now)
+	fresh := b.attempt("b6", "m", now)
 	await(t, "new keys run at once", func() bool { return len(b.ran()) == 2 })
 	b.core.RunEnded("b6", silverpath.OK, 0, nil)
 	want(t, "a new key", fresh, core.Served, "")
 }
 
-// The link is cut: the elder runs on and leaves a mark, the younger waits for a key that it does not know. Then the
-// link is back and all is known. If the elder dies before, the younger fails what it can't know.
-func TestCut(t *testing.T) {
+// The link is cut while both serve. The predecessor runs on and leaves a mark, the successor waits for a key that it does not know. Then
+// the link is back and all is known. If the predecessor dies before, the successor fails what it can't know, rather than run it twice.
+func TestRunsWithoutALinkLeaveAMark(t *testing.T) {
 	for _, back := range []bool{true, false} {
 		t.Run(fmt.Sprint("back ", back), func(t *testing.T) {
 			dir := t.TempDir()
 			a := start(t, dir)
 			b := start(t, dir)
 			await(t, "both serve", func() bool { return a.serves() && b.serves() })
-			b.pair.writeMu.Lock() // the younger does not come to speak on the next link
-			a.pair.writeMu.Lock()
-			a.pair.conn.Close()
-			a.pair.writeMu.Unlock()
+			b.link.writeMu.Lock() // the younger does not come to speak on the next link
+			a.link.writeMu.Lock()
+			a.link.conn.Close()
+			a.link.writeMu.Unlock()
 			now := time.Now()
-			first := a.try("a1", "k", now)
+			first := a.attempt("a1", "k", now)
 			await(t, "the elder runs on", func() bool { return len(a.ran()) == 1 })
 			marks, _ := filepath.Glob(filepath.Join(dir, "*.mark.*"))
 			if len(marks) != 1 {
 				t.Errorf("marks: %v", marks)
 			}
-			waits := b.try("b1", "l", now)
+			waits := b.attempt("b1", "l", now)
 			if back {
-				b.pair.writeMu.Unlock()
+				b.link.writeMu.Unlock()
 				await(t, "the key is granted on the next link", func() bool { return len(b.ran()) == 1 })
 				b.core.RunEnded("b1", silverpath.OK, 0, []byte("l"))
 				want(t, "who waited", waits, core.Served, "l")
 				a.core.RunEnded("a1", silverpath.OK, 0, []byte("k"))
 				want(t, "the elder's", first, core.Served, "k")
-				want(t, "its repeat", b.try("b2", "k", now), core.Served, "k")
+				want(t, "its repeat", b.attempt("b2", "k", now), core.Served, "k")
 				await(t, "the mark is gone", func() bool { _, err := os.Stat(marks[0]); return os.IsNotExist(err) })
 				return
 			}
 			a.die()
-			b.pair.writeMu.Unlock()
+			b.link.writeMu.Unlock()
 			want(t, "who waited", waits, core.Failed, "")
-			want(t, "a repeat of what it can't know", b.try("b2", "k", now), core.Failed, "")
-			fresh := b.try("b3", "n", now.Add(11*time.Second)) // past the window of all that the elder may have run
+			want(t, "a repeat of what it can't know", b.attempt("b2", "k", now), core.Failed, "")
+			fresh := b.attempt("b3", "n", now.Add(11*time.Second)) // past the window of all that the elder may have run
 			await(t, "what comes after the window is run", func() bool { return len(b.ran()) == 1 })
 			b.core.RunEnded("b3", silverpath.OK, 0, nil)
 			want(t, "what comes after the window", fresh, core.Served, "")
@@ -204,16 +203,17 @@
 	}
 }
 
-// A third process has no place and is not ready until one of two is gone; what dead ones left behind is in nobody's way.
-func TestThird(t *testing.T) {
+// A third process starts while two live. It has no slot and is not ready until one of the two is gone; files of dead processes are in
+// nobody's way.
+func TestThirdProcessWaitsForASlot(t *testing.T) {
 	dir := t.TempDir()
 	stale := start(t, dir)
-	stale.pair.slots.markPath(1)
-	if err := os.WriteFile(stale.pair.slots.markPath(1), nil, 0o600); err != nil {
+	stale.link.slots.markPath(1)
+	if err := os.WriteFile(stale.link.slots.markPath(1), nil, 0o600); err != nil {
 		t.Fatal(err)
 	}
 	stale.die()
-	if ln, err := net.Listen("unix", filepath.Join(dir, stale.pair.slots.stem+".0.sock")); err != nil {
+	if ln, err := net.Listen("unix", filepath.Join(dir, stale.link.slots.stem+".0.sock")); err != nil {
 		t.Fatal(err)
 	} else {
 		ln.(*net.UnixListener).SetUnlinkOnClose(false)
@@ -235,9 +235,9 @@
 	}
 }
 
-// The elder leaves just as the younger writes to it: what the elder had written is read all the same, so that the
-// younger knows all and goes on with new keys.
-func TestElderLeavesAsTheYoungerWrites(t *testing.T) {
+// The predecessor leaves just as the successor writes to it. Were what it had written lost with the link, the successor would not know
+// what ran, and fail new keys: it is read all the same.
+func TestPredecessorLeavesAsTheSuccessorWrites(t *testing.T) {
 	for n := range 15 {
 		dir := t.TempDir()
 		a := start(t, dir)
@@ -259,7 +259,7 @@
 		a.die()
 		await(t, "the second is alone", func() bool { return b.core.PairRole() == hotrestart.Sole })
 		<-over
-		fresh := b.try("b1", "k", time.Now())
+		fresh := b.attempt("b1", "k", time.Now())
 		select {
 		case answer := <-fresh:
 			t.Fatalf("round %d: a new key is answered %v, unrun", n, answer.Outcome)
@@ -280,9 +280,9 @@
 	{Kind: hotrestart.Claim, Execution: hotrestart.Execution{Key: "k"}},
 }
 
-// Who is taken for another process says who it is before it leaves the link: the other learns it from nothing else where
-// a third one took the dead one's place before anybody saw it empty.
-func TestTakenForAnother(t *testing.T) {
+// A third process takes a dead one's slot before anybody saw it free, and the other one takes it for the dead one. It says who it is before
+// it leaves the link: the other learns it from nothing else.
+func TestProcessTakenForAnotherSaysWhoItIs(t *testing.T) {
 	dir := t.TempDir()
 	other, err := openSlots(dir, "n1")
 	if err != nil {
@@ -313,8 +313,8 @@
 	}
 }
 
-// Frames come whole from whatever pieces they come in, and a cut one is an error.
-func TestFrames(t *testing.T) {
+// Frames are read from whatever pieces they come in, and a cut one is an error.
+func TestFramesInPiecesAndCut(t *testing.T) {
 	var all []byte
 	for _, m := range samples {
 		all = appendMessage(all, m)
--- a/internal/transport/restartlink/places.go
+++ b/internal/transport/restartlink/slots.go
@@ -12,9 +12,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// places are the two places in which processes of one service live: a file each, in a folder that they share. Whoever
-// lives in a place holds the lock on its file, which the system lets go of with the process. So a file that a dead
-// process left behind says nothing, and there are never more than two.
+// slots are the two slots for processes of one service: a file each, in a folder that they share. The process in a slot holds the lock on
+// its file, which the system releases with the process. So a file that a dead process left behind says nothing, and there are never more
+// than two.
 type slots struct {
 	dir   *os.File
 	stem  string
@@ -27,7 +27,7 @@
 		return nil, err
 	}
 	h := fnv.New64a()
-	io.WriteString(h, name)
+	h.Write([]byte(name))
 	p := &slots{dir: d, stem: fmt.Sprintf("silverpath-%016x", h.Sum64())}
 	for i := range p.locks {
 		if p.locks[i], err = os.OpenFile(filepath.Join(dir, fmt.Sprintf("%s.%d", p.stem, i)), os.O_RDWR|os.O_CREATE, 0o600); err != nil {
@@ -47,7 +47,7 @@
 	}
 }
 
-// take takes a place that is empty, if there is one.
+// take takes a slot that is free, if there is one.
 func (p *slots) take() (slot int, ok bool) {
 	for i, f := range p.locks {
 		l := unix.Flock_t{Type: unix.F_WRLCK, Whence: io.SeekStart}
@@ -58,30 +58,30 @@
 	return 0, false
 }
 
-// taken reports whether somebody else lives in a place.
+// taken reports whether another process is in a slot.
 func (p *slots) taken(slot int) bool {
 	l := unix.Flock_t{Type: unix.F_WRLCK, Whence: io.SeekStart}
 	err := unix.FcntlFlock(p.locks[slot].Fd(), unix.F_OFD_GETLK, &l)
-	return err != nil || l.Type != unix.F_UNLCK // when in doubt, somebody does
+	return err != nil || l.Type != unix.F_UNLCK // when in doubt, one is
 }
 
-// socket is where the process in a place listens for the other. By way of the folder's descriptor its path is short
-// enough for a socket's name, however long the folder's own is.
+// socketPath is where the process in a slot listens for the other. By way of the folder's descriptor its path is short enough for a
+// socket's name, however long the folder's own is.
 func (p *slots) socketPath(slot int) string {
 	return fmt.Sprintf("/proc/self/fd/%d/%s.%d.sock", p.dir.Fd(), p.stem, slot)
 }
 
-// mark is the file by which a process tells that it ran what the other has not heard of.
-func (p *slots) markPath(stamp int64) string {
-	return filepath.Join(p.dir.Name(), p.stem+".mark."+strconv.FormatInt(stamp, 10))
+// markPath is the file by which a process, named by its start, says that it ran what the other was not notified of.
+func (p *slots) markPath(startedAt int64) string {
+	return filepath.Join(p.dir.Name(), p.stem+".mark."+strconv.FormatInt(startedAt, 10))
 }
 
-// sweep takes the marks of processes away that nobody looks for any more.
+// removeMarks removes the marks of processes that nobody looks for any more.
 func (p *slots) removeMarks() {
 	names, _ := os.ReadDir(p.dir.Name())
 	for _, n := range names {
 		if strings.HasPrefix(n.Name(), p.stem+".mark.") {
-			os.Remove(filepath.Join(p.dir.Name(), n.Name()))
+			_ = os.Remove(filepath.Join(p.dir.Name(), n.Name())) // one that stays is in nobody's way
 		}
 	}
 }
