--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -55,7 +55,7 @@
 	minTasks, minTasksShared = 64, 32
 )
 
-// Config sets up a Core.
+// Config sets up a Core. Log and Stats may be nil: the log is the standard one then, and nobody reads the counters.
 type Config struct {
 	Name     string
 	Settings silverpath.Settings
@@ -68,58 +68,66 @@
 	Stats    *metrics.Counters
 }
 
-// Core is the service's one object: its phase, the module and all requests in hand.
+// Core is the service's one object: its phase, the module and all requests in hand. Its methods may be called by any goroutine.
 type Core struct {
+	// Set before the first request and never changed.
 	name             string
 	log              *log.Logger
 	stats            *metrics.Counters
-	runner           Runner
-	caller           Caller
-	store            Store // nil: runs are forgotten with the process
-	unknownRunsUntil int64 // see SetUnknownRunsUntil
+	lockWait         *metrics.Timing // waits for the lock
+	decideTime       *metrics.Timing // the module's decisions, under the lock
 	startedAt        time.Time
-	idle             chan struct{} // closed when draining and every request is answered
-	published        atomic.Pointer[View]
-	settings         atomic.Pointer[silverpath.Settings] // in force; never changed, only replaced
-	lifecycle        lifecycleState
-	blockRule        atomic.Pointer[func(class, tenant string) string] // why no idempotent request of theirs begins; nil: nobody is asked
-	waitsForPeer     atomic.Bool                                       // the runner is up, and another process's runs are not known yet
-
-	slowStart    slowStart // how what it takes while cold is shared out
-	servesStatus bool
-	cell         bool
-	forwards     bool                     // hands requests on: another router may have handed on an attempt of the same
-	statusParts  map[string]func() []byte // further parts of the status, JSON each
-	gates        atomic.Pointer[gates]    // of the classes that need not be read in full to be rejected; nil without pools
-	lockWait     *metrics.Timing          // waits for the lock
-	decideTime   *metrics.Timing          // the module's decisions, under the lock
-
-	mu             sync.Mutex
-	module         *silverpath.Shedder
-	actions        []func() // asked for by the module, carried out in order once it has returned
-	drainStartedAt time.Time
-	tasks          map[string]*task
-	pendingAnswers int
+	runner           Runner
+	caller           Caller                   // nil: nothing lies below
+	store            Store                    // nil: runs are forgotten with the process
+	forwards         bool                     // hands requests on: another router may have handed on an attempt of the same
+	cell             bool                     // serves in a cell, behind routers
+	servesStatus     bool                     // fronts answer requests for the state of the service
+	statusParts      map[string]func() []byte // further parts of the status, JSON each
+	unknownRunsUntil int64                    // see SetUnknownRunsUntil
+
+	// Read without the lock, so that fronts and health checks never wait behind a decision.
+	published    atomic.Pointer[View]
+	settings     atomic.Pointer[silverpath.Settings]               // in force; never changed, only replaced
+	gates        atomic.Pointer[gates]                             // of the classes that may be rejected unread; nil without pools
+	blockRule    atomic.Pointer[func(class, tenant string) string] // see SetBlockRule; nil: nobody is asked
+	waitsForPeer atomic.Bool                                       // the runner is up, and another process's runs are not known yet
+	lifecycle    lifecycleState                                    // has a lock of its own
+	slowStart    slowStart                                         // likewise
+	idle         chan struct{}                                     // closed when draining and every request is answered
+
+	mu sync.Mutex // holds all below
+
+	module      *silverpath.Shedder
+	actions     []func() // asked for by the module, carried out in order once it has returned
+	gauges      silverpath.Gauges
+	tickPending bool // a tick waits for its gauges
+	runnerUp    bool
+
+	tasks          map[string]*task // the requests in hand, by id
 	maxTasks       int
-	keys           keyTable
-	view           View
-	gauges         silverpath.Gauges
-	tickPending    bool // a tick waits for its gauges
-	lastSweep      time.Time
-	pools          *poolGuard                 // nil: no pools
-	observedRules  configstore.VersionTracker // that routers have named
-	poolsReadAt    time.Duration
-	loggedLimit    float64
-	limitLoggedAt  time.Duration
-	runnerUp       bool
-	pair           *pair // nil: see Config.Pair
+	pendingAnswers int
+	drainStartedAt time.Time
+
+	keys          keyTable
+	lastSweep     time.Time                  // of the keys that expired
+	observedRules configstore.VersionTracker // that routers have named
+	pair          *pair                      // nil: see Config.Pair
+
+	view          View       // what publish makes others see
+	pools         *poolGuard // nil: no pools
+	poolsReadAt   time.Duration
+	loggedLimit   float64 // of runs, as the pools have it
+	limitLoggedAt time.Duration
 }
 
-// New returns a Core in the phase Starting. Attach gives it its runner before the first request.
+// New returns a Core in the phase Starting. Attach gives it its runner before the first request. The error is of pools that can't
+// be.
 func New(cfg Config) (*Core, error) {
 	c := &Core{
-		name: cfg.Name, servesStatus: cfg.Status, cell: cfg.Cell, log: cfg.Log, stats: cfg.Stats, startedAt: time.Now(), idle: make(chan struct{}),
-		tasks: map[string]*task{}, view: View{Health: true},
+		name: cfg.Name, log: cfg.Log, stats: cfg.Stats, startedAt: time.Now(),
+		cell: cfg.Cell, servesStatus: cfg.Status,
+		idle: make(chan struct{}), tasks: map[string]*task{}, view: View{Health: true},
 		maxTasks: max(minTasks, int(cfg.MemoryMB*1024/2/requestKB)),
 		keys:     newKeyTable(int(cfg.MemoryMB * (1 << 20) / keyMemoryDivisor)),
 	}
@@ -148,8 +156,8 @@
 	return c, nil
 }
 
-// Attach gives the core those who do the work and make the calls, and starts the module. The caller is nil
-// where nothing lies below.
+// Attach gives the core those who do the work and make the calls, and starts the module. The caller is nil where nothing lies
+// below. The error names the field of settings that no server can have.
 func (c *Core) Attach(r Runner, below Caller) error {
 	c.runner, c.caller = r, below
 	_, c.forwards = r.(Forwarder)
--- a/internal/core/peer.go
+++ b/internal/core/peer.go
@@ -40,17 +40,25 @@
 	outbox        []hotrestart.Message     // to be sent
 	link          int                      // the number of the link on which the outbox is to be sent
 	writeClosed   bool                     // nothing can be written on it any more
-	changed       chan struct{}            // closed, and replaced, at every change of the side
+	changed       chan struct{}            // closed, and replaced, at every change of the coordinator
 	ready         bool                     // this process may take requests
 	readyChannel  chan struct{}            // closed once it is ready
 	waitingForKey map[string]chan struct{} // by id, of requests that wait for their key: closed as the caller leaves
 	shared        bool
-	limits        [2]int // of the table of keys and of the requests in hand, for one process
+	alone         pairLimits // of a process that is alone
+}
+
+// pairLimits are the limits that two processes share.
+type pairLimits struct {
+	keyBytes int // of the table of keys
+	tasks    int // requests in hand
 }
 
 func newPair(c *Core, cfg PairConfig) *pair {
-	p := &pair{PairConfig: cfg, changed: make(chan struct{}), readyChannel: make(chan struct{}), waitingForKey: map[string]chan struct{}{},
-		limits: [2]int{c.keys.maxBytes, c.maxTasks}}
+	p := &pair{
+		PairConfig: cfg, changed: make(chan struct{}), readyChannel: make(chan struct{}),
+		waitingForKey: map[string]chan struct{}{}, alone: pairLimits{keyBytes: c.keys.maxBytes, tasks: c.maxTasks},
+	}
 	p.side = hotrestart.New((*pairKeys)(c))
 	c.keys.fingerprint = stableFingerprint // the same in both processes
 	return p
@@ -65,7 +73,7 @@
 	return binary.BigEndian.Uint64(h.Sum(nil))
 }
 
-// applyPairEffects carries out what the side asks for. It is called under the lock, after every event of the side.
+// applyPairEffects carries out what the coordinator asks for. It is called under the lock, after every event of the coordinator's.
 func (c *Core) applyPairEffects() {
 	p := c.pair
 	for {
@@ -101,7 +109,7 @@
 	if two {
 		part = 2
 	}
-	c.keys.maxBytes, c.maxTasks = c.pair.limits[0]/part, max(minTasksShared, c.pair.limits[1]/part)
+	c.keys.maxBytes, c.maxTasks = c.pair.alone.keyBytes/part, max(minTasksShared, c.pair.alone.tasks/part)
 	if err := c.reconfigure(*c.settings.Load()); err != nil {
 		events.Log(c.log, "handover.unshared", err)
 	}
@@ -224,7 +232,7 @@
 	return out, nil
 }
 
-// updatePair reports an event to the side and carries out what it asks for.
+// updatePair reports an event to the coordinator and carries out what it asks for.
 func (c *Core) updatePair(event func(s *hotrestart.Coordinator)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/core/peerclaim.go
+++ b/internal/core/peerclaim.go
@@ -21,8 +21,11 @@
 		return a, false
 	}
 	p := c.pair
-	claim := hotrestart.Execution{Key: key, ID: r.ID, Fingerprint: c.keys.fingerprint(&task{Request: *r}), ReceivedAt: r.ReceivedAt.UnixNano(), Window: class.IdempotencyWindow,
-		ExpiresAt: r.ReceivedAt.Add(class.IdempotencyWindow + class.Deadline + readDelay).UnixNano()}
+	claim := hotrestart.Execution{
+		Key: key, ID: r.ID, Fingerprint: c.keys.fingerprint(&task{Request: *r}),
+		ReceivedAt: r.ReceivedAt.UnixNano(), Window: class.IdempotencyWindow,
+		ExpiresAt: r.ReceivedAt.Add(class.IdempotencyWindow + class.Deadline + readDelay).UnixNano(),
+	}
 	p.side.BeginClaim(key)
 	verdict := p.side.CheckClaim(claim)
 	c.applyPairEffects()
@@ -41,7 +44,7 @@
 	return a, true
 }
 
-// awaitKey waits for the key of a request, without the lock. It returns the verdict, or Wait and the answer where the request's
+// awaitKey waits for the key of a request, without the lock. It returns the verdict, or Pending and the answer where the request's
 // time is up, its caller has left, or it may not even wait.
 func (c *Core) awaitKey(r *Request, claim hotrestart.Execution) (hotrestart.ClaimState, Answer) {
 	p := c.pair
--- a/internal/core/peerkeys.go
+++ b/internal/core/peerkeys.go
@@ -103,7 +103,7 @@
 // pairKeys is the table of keys as the pair's decisions see it. It is called under the core's lock.
 type pairKeys Core
 
-// Holds returns the execution that an attempt duplicates which reached the machine then, in Unix nanoseconds.
+// Find returns the execution that an attempt duplicates which reached the machine then, in Unix nanoseconds.
 func (p *pairKeys) Find(key string, reached int64) (hotrestart.Execution, bool) {
 	e := p.keys.entries[key]
 	if e == nil {
@@ -119,7 +119,7 @@
 	return x.forPeer(), true
 }
 
-// Put takes how far a run of the other process has come. An end completes those here that wait for it.
+// Apply takes how far a run of the other process has come. An end completes those here that wait for it.
 func (p *pairKeys) Apply(m hotrestart.Execution) {
 	c := (*Core)(p)
 	if x := c.keys.putPeer(m, time.Now()); x != nil && x.done {
@@ -127,7 +127,7 @@
 	}
 }
 
-// Drop takes that a run of the other process never began.
+// Forget takes that a run of the other process never began.
 func (p *pairKeys) Forget(key string) {
 	c := (*Core)(p)
 	if x := c.keys.forgetPeer(key); x != nil {
@@ -135,10 +135,10 @@
 	}
 }
 
-// Own are the executions of this process, within their windows.
+// Local are the executions of this process, within their windows.
 func (p *pairKeys) Local() []hotrestart.Execution { return p.keys.ownExecutions(time.Now()) }
 
-// Keep drops the unfinished runs of the other process but those that it has just listed.
+// Retain drops the unfinished runs of the other process but those that it has just listed.
 func (p *pairKeys) Retain(listed func(key string) bool) {
 	c := (*Core)(p)
 	for key, e := range c.keys.entries {
@@ -149,7 +149,7 @@
 	}
 }
 
-// Lost settles the unfinished runs of the other process, which is gone: those that may have run count as failed, so that no
+// PeerLost settles the unfinished runs of the other process, which is gone: those that may have run count as failed, so that no
 // attempt of them runs here; the others are free to.
 func (p *pairKeys) PeerLost(mayHaveRun func(hotrestart.Execution) bool) {
 	c := (*Core)(p)
