--- a/cmd/silverpath/cells.go
+++ b/cmd/silverpath/cells.go
@@ -19,159 +19,210 @@
 )
 
 // cellsCommand has the operator's commands on a cell map. They exit with 0 where they did what they say, and with 1 and one
-// line where not: a map that is no good, a move that the planner refuses.
+// line where not: a map that is no good, a migration that the planner refuses.
 func cellsCommand() *cobra.Command {
-	var file string
-	var asJSON bool
-	var wait, within time.Duration
-	var g quorum.Client
+	var o mapCommand
 	cmd := &cobra.Command{Use: "cells", Short: "Show and change a cell map: see docs/cells.md"}
-	cmd.PersistentFlags().StringVar(&file, "map", "deploy/cells.json", "the cell map")
-	cmd.PersistentFlags().BoolVar(&asJSON, "json", false, "print JSON")
-	groupFlags(cmd, &g, &within) // given: the change is a request to the owner of the map
-	cmd.PersistentFlags().DurationVar(&wait, "wait", 5*time.Second, "how long to wait for another change that is under way")
-	load := func() (*cells.Map, error) {
-		m, err := proxy.ReadMap(file)
-		if err != nil {
-			err = fmt.Errorf("%s: %w", file, err)
-		}
-		return m, err
+	cmd.PersistentFlags().StringVar(&o.file, "map", "deploy/cells.json", "the cell map")
+	cmd.PersistentFlags().BoolVar(&o.asJSON, "json", false, "print JSON")
+	groupFlags(cmd, &o.group, &o.within) // given: the change is a request to the placement controller
+	cmd.PersistentFlags().DurationVar(&o.wait, "wait", 5*time.Second, "how long to wait for another change that is under way")
+	cmd.AddCommand(o.show(), o.check(), o.abort(), o.publish(), o.move("plan", "Say what a move would do, or why it can't be made", false),
+		o.move("move", "Move a tenant to another cell", true))
+	cmd.RunE = func(*cobra.Command, []string) error {
+		return errors.New("cells: one of show, plan, move, abort, check, publish")
+	}
+	return cmd
+}
+
+// mapCommand is what all commands on a cell map have in common.
+type mapCommand struct {
+	file         string
+	asJSON       bool
+	wait, within time.Duration // for another writer of the file, and for the group
+	group        quorum.Client // without a name where none is given
+}
+
+// load reads the map.
+func (o *mapCommand) load() (*cells.Map, error) {
+	m, err := proxy.ReadMap(o.file)
+	if err != nil {
+		err = fmt.Errorf("%s: %w", o.file, err)
+	}
+	return m, err
+}
+
+// print prints a value as JSON, or as a table.
+func (o *mapCommand) print(w io.Writer, v any, table func(w *tabwriter.Writer)) error {
+	if o.asJSON {
+		e := json.NewEncoder(w)
+		e.SetIndent("", "  ")
+		return e.Encode(v)
+	}
+	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
+	table(t)
+	return t.Flush()
+}
+
+// planner makes the next map, or says why there is none.
+type planner func(m *cells.Map, now time.Time) (*cells.Map, error)
+
+// dryRun plans with the map and checks what was planned.
+func (o *mapCommand) dryRun(plan planner) error {
+	m, err := o.load()
+	if err != nil {
+		return err
+	}
+	now := time.Now()
+	next, err := plan(m, now)
+	if err == nil {
+		err = next.Check()
+	}
+	if err == nil {
+		err = next.Follows(m, now)
 	}
-	print := func(w io.Writer, v any, table func(w *tabwriter.Writer)) error {
-		if asJSON {
-			e := json.NewEncoder(w)
-			e.SetIndent("", "  ")
-			return e.Encode(v)
+	return err
+}
+
+// change plans with the map, and writes what was planned. Of two at once the second one waits.
+func (o *mapCommand) change(c *cobra.Command, plan planner) error {
+	next, err := proxy.Change(o.file, o.wait, plan)
+	if err != nil {
+		return err
+	}
+	fmt.Fprintf(c.ErrOrStderr(), "%s: version %d written; routers read it within a third of the lease\n", o.file, next.Version)
+	return nil
+}
+
+// move plans a migration of a tenant, and makes it where write says so: by the group's placement controller, where one is given.
+func (o *mapCommand) move(use, short string, write bool) *cobra.Command {
+	var tenant, to string
+	var shard int
+	c := &cobra.Command{Use: use, Short: short, Args: cobra.NoArgs, RunE: func(c *cobra.Command, _ []string) error {
+		if write && o.group.Group != "" {
+			return requestPlacement(c, &o.group, o.within, controller.KindMove, controller.MoveRequest{Tenant: tenant, To: to, Shard: shard}, o.asJSON)
 		}
-		t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
-		table(t)
-		return t.Flush()
-	}
-	// change plans with the map, and writes what was planned where that is asked for. Of two at once the second one waits.
-	change := func(c *cobra.Command, write bool, plan func(m *cells.Map, now time.Time) (*cells.Map, error)) error {
-		if !write {
-			m, err := load()
+		plan := func(m *cells.Map, now time.Time) (*cells.Map, error) {
+			p, err := m.PlanMove(now, tenant, to, shard)
 			if err != nil {
-				return err
+				return nil, err
 			}
-			now := time.Now()
-			next, err := plan(m, now)
-			if err == nil {
-				err = next.Check()
-			}
-			if err == nil {
-				err = next.Follows(m, now)
-			}
-			return err
+			return p.Next, o.print(c.OutOrStdout(), planView(p), func(w *tabwriter.Writer) { planTable(w, p) })
 		}
-		next, err := proxy.Change(file, wait, plan)
-		if err != nil {
-			return err
+		if write {
+			return o.change(c, plan)
 		}
-		fmt.Fprintf(c.ErrOrStderr(), "%s: version %d written; routers read it within a third of the lease\n", file, next.Version)
-		return nil
+		return o.dryRun(plan)
+	}}
+	c.Flags().StringVar(&tenant, "tenant", "", "the tenant")
+	c.Flags().StringVar(&to, "to", "", "the cell to move to")
+	c.Flags().IntVar(&shard, "shard", 0, "so many of its servers, drawn for the tenant; 0: all")
+	c.MarkFlagRequired("tenant")
+	c.MarkFlagRequired("to")
+	return c
+}
+
+func planTable(w *tabwriter.Writer, p cells.Plan) {
+	fmt.Fprintf(w, "tenant\t%s\nfrom\t%s\nto\t%s\nin force\t%s\nsettled\t%s\n", p.Tenant, p.From, p.To,
+		p.At.Format(time.DateTime), p.Settled.Format(time.DateTime))
+	for i, l := range p.After {
+		fmt.Fprintf(w, "load of %s\t%.0f of %.0f a second, was %.0f\n", l.Cell, l.Rate, l.Capacity, p.Before[i].Rate)
 	}
-	var tenant, to string
-	var shard int
-	move := func(use, short string, write bool) *cobra.Command {
-		c := &cobra.Command{Use: use, Short: short, Args: cobra.NoArgs, RunE: func(c *cobra.Command, _ []string) error {
-			if write && g.Group != "" {
-				return requestPlacement(c, &g, within, controller.KindMove, controller.MoveRequest{Tenant: tenant, To: to, Shard: shard}, asJSON)
-			}
-			return change(c, write, func(m *cells.Map, now time.Time) (*cells.Map, error) {
-				p, err := m.PlanMove(now, tenant, to, shard)
-				if err != nil {
-					return nil, err
-				}
-				return p.Next, print(c.OutOrStdout(), planView(p), func(w *tabwriter.Writer) {
-					fmt.Fprintf(w, "tenant\t%s\nfrom\t%s\nto\t%s\nin force\t%s\nsettled\t%s\n", p.Tenant, p.From, p.To,
-						p.At.Format(time.DateTime), p.Settled.Format(time.DateTime))
-					for i, l := range p.After {
-						fmt.Fprintf(w, "load of %s\t%.0f of %.0f a second, was %.0f\n", l.Cell, l.Rate, l.Capacity, p.Before[i].Rate)
-					}
-				})
-			})
-		}}
-		c.Flags().StringVar(&tenant, "tenant", "", "the tenant")
-		c.Flags().StringVar(&to, "to", "", "the cell to move to")
-		c.Flags().IntVar(&shard, "shard", 0, "so many of its servers, drawn for the tenant; 0: all")
-		c.MarkFlagRequired("tenant")
-		c.MarkFlagRequired("to")
-		return c
-	}
-	abort := &cobra.Command{Use: "abort", Short: "Take a move back that is prepared or in force", Args: cobra.NoArgs,
+}
+
+// abort takes a migration back.
+func (o *mapCommand) abort() *cobra.Command {
+	var tenant string
+	c := &cobra.Command{Use: "abort", Short: "Take a move back that is prepared or in force", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			if g.Group != "" {
-				return requestPlacement(c, &g, within, controller.KindAbort, controller.MoveRequest{Tenant: tenant}, asJSON)
+			if o.group.Group != "" {
+				return requestPlacement(c, &o.group, o.within, controller.KindAbort, controller.MoveRequest{Tenant: tenant}, o.asJSON)
 			}
-			return change(c, true, func(m *cells.Map, now time.Time) (*cells.Map, error) { return m.PlanAbort(now, tenant) })
+			return o.change(c, func(m *cells.Map, now time.Time) (*cells.Map, error) { return m.PlanAbort(now, tenant) })
 		}}
-	abort.Flags().StringVar(&tenant, "tenant", "", "the tenant")
-	abort.MarkFlagRequired("tenant")
-	var against string
-	check := &cobra.Command{Use: "check", Short: "Say whether a map is good, and could follow another one", Args: cobra.NoArgs,
+	c.Flags().StringVar(&tenant, "tenant", "", "the tenant")
+	c.MarkFlagRequired("tenant")
+	return c
+}
+
+// check checks a map, and whether it may follow another one.
+func (o *mapCommand) check() *cobra.Command {
+	var before string
+	c := &cobra.Command{Use: "check", Short: "Say whether a map is good, and could follow another one", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			m, err := load()
+			m, err := o.load()
 			if err != nil {
 				return err
 			}
-			if against != "" {
-				data, err := os.ReadFile(against)
-				if err != nil {
+			if before != "" {
+				if err := o.checkFollows(c.OutOrStdout(), m, before); err != nil {
 					return err
 				}
-				old, err := settings.ParseCells(data)
-				if err != nil {
-					return fmt.Errorf("%s: %w", against, err)
-				}
-				if err := m.Follows(old, time.Now()); err != nil {
-					return fmt.Errorf("%s: %w", file, err)
-				}
-				for _, line := range cells.Diff(old, m) {
-					fmt.Fprintln(c.OutOrStdout(), line)
-				}
 			}
 			servers, tenants := m.Size()
-			fmt.Fprintf(c.OutOrStdout(), "%s: ok, version %d, %d cells, %d servers, %d tenants\n", file, m.Version, len(m.Cells),
+			fmt.Fprintf(c.OutOrStdout(), "%s: ok, version %d, %d cells, %d servers, %d tenants\n", o.file, m.Version, len(m.Cells),
 				servers, tenants)
 			return nil
 		}}
-	check.Flags().StringVar(&against, "after", "", "the map that it is to follow")
-	show := &cobra.Command{Use: "show", Short: "Show who lives where", Args: cobra.NoArgs, RunE: func(c *cobra.Command, _ []string) error {
-		m, err := load()
+	c.Flags().StringVar(&before, "after", "", "the map that it is to follow")
+	return c
+}
+
+// checkFollows checks that a map may follow that of a file, and prints in what they differ.
+func (o *mapCommand) checkFollows(w io.Writer, m *cells.Map, before string) error {
+	data, err := os.ReadFile(before)
+	if err != nil {
+		return err
+	}
+	old, err := settings.ParseCells(data)
+	if err != nil {
+		return fmt.Errorf("%s: %w", before, err)
+	}
+	if err := m.Follows(old, time.Now()); err != nil {
+		return fmt.Errorf("%s: %w", o.file, err)
+	}
+	for _, line := range cells.Diff(old, m) {
+		fmt.Fprintln(w, line)
+	}
+	return nil
+}
+
+// show shows who lives where.
+func (o *mapCommand) show() *cobra.Command {
+	return &cobra.Command{Use: "show", Short: "Show who lives where", Args: cobra.NoArgs, RunE: func(c *cobra.Command, _ []string) error {
+		m, err := o.load()
 		if err != nil {
 			return err
 		}
-		return print(c.OutOrStdout(), showView(m), func(w *tabwriter.Writer) { showTable(w, m) })
+		return o.print(c.OutOrStdout(), showView(m), func(w *tabwriter.Writer) { showTable(w, m) })
 	}}
+}
+
+// publish puts a map into a folder of versions.
+func (o *mapCommand) publish() *cobra.Command {
 	var folder string
-	publish := &cobra.Command{Use: "publish", Short: "Put a map's file into a folder of versions, as the first that the keeper goes on from", Args: cobra.NoArgs,
-		RunE: func(c *cobra.Command, _ []string) error {
-			m, err := load()
+	c := &cobra.Command{Use: "publish", Short: "Put a map's file into a folder of versions, as the first that the keeper goes on from", Args: cobra.NoArgs,
+		RunE: func(*cobra.Command, []string) error {
+			m, err := o.load()
 			if err != nil {
 				return err
 			}
-			series := proxy.VersionDir{Dir: folder}
+			dir := proxy.VersionDir{Dir: folder}
 			if err := os.MkdirAll(folder, 0o755); err != nil {
 				return err
 			}
-			head, _, err := series.Head()
+			head, _, err := dir.Head()
 			if head != nil {
 				return fmt.Errorf("%s: has version %d: from here on the keeper changes it", folder, head.Version)
 			}
 			if err != nil {
 				return err
 			}
-			return series.Put(m.Version, settings.FormatCells(m))
+			return dir.Put(m.Version, settings.FormatCells(m))
 		}}
-	publish.Flags().StringVar(&folder, "to", "", "the folder")
-	publish.MarkFlagRequired("to")
-	cmd.AddCommand(show, check, abort, publish, move("plan", "Say what a move would do, or why it can't be made", false),
-		move("move", "Move a tenant to another cell", true))
-	cmd.RunE = func(*cobra.Command, []string) error {
-		return errors.New("cells: one of show, plan, move, abort, check, publish")
-	}
-	return cmd
+	c.Flags().StringVar(&folder, "to", "", "the folder")
+	c.MarkFlagRequired("to")
+	return c
 }
 
 type cellView struct {
--- a/cmd/silverpath/parts.go
+++ b/cmd/silverpath/parts.go
@@ -14,35 +14,35 @@
 	"silverpath/internal/settings"
 )
 
-// This file puts and reads documents in parts: what is sent is what differs.
+// Documents in parts, as commands write and read them: what is sent is what differs.
 
-// wholeUpTo is the longest map, in bytes, that goes as one text while what is in force does too: a small fleet pays for nothing new,
-// and its older builds read it.
-const wholeUpTo = 32 << 10
+// maxWholeMap is the longest map, in bytes, that goes as one text while what is active does too: a small fleet pays for nothing new, and
+// its older builds read it.
+const maxWholeMap = 32 << 10
 
-// inParts reports whether a text of a document goes in parts, on top of what is in force.
-func inParts(name, text string, force *configstore.Revision) bool {
-	return name == configstore.DocMap && (force != nil && force.InParts || len(text) > wholeUpTo)
+// goesInParts reports whether a text of a document goes in parts, on top of what is active.
+func goesInParts(name, text string, active *configstore.Revision) bool {
+	return name == configstore.DocMap && (active != nil && active.InParts || len(text) > maxWholeMap)
 }
 
-// split is a document in parts, with those that differ from what is in force.
-type split struct {
+// mapParts is a map in parts, with those that differ from what is active.
+type mapParts struct {
 	texts, changed map[string]string
 	digest         uint64
 }
 
-// splitMap splits a map, and names the bound that it is beyond before anything is sent.
-func splitMap(text string, force *configstore.Revision) (s split, err error) {
+// splitMap splits a map. It is an error that names the bound that the map is beyond, before anything is sent.
+func splitMap(text string, active *configstore.Revision) (s mapParts, err error) {
 	m, err := settings.ParseCells([]byte(text))
 	if err != nil {
 		return s, err
 	}
-	s = split{texts: settings.SplitCells(m), changed: map[string]string{}}
+	s = mapParts{texts: settings.SplitCells(m), changed: map[string]string{}}
 	if err := configstore.CheckSize(configstore.DocMap, s.texts); err != nil {
 		return s, err
 	}
 	for name, text := range s.texts {
-		if force == nil || !force.InParts || force.Parts[name].Digest != configstore.PartDigest(text) {
+		if active == nil || !active.InParts || active.Parts[name].Digest != configstore.PartDigest(text) {
 			s.changed[name] = text
 		}
 	}
@@ -50,13 +50,13 @@
 	return s, nil
 }
 
-// differs are the fields in which a map in parts differs from what is in force.
-func (s split) differs(ctx context.Context, g *quorum.Client, force *configstore.Revision) ([]configstore.Difference, error) {
+// differences are the fields in which a map in parts differs from what is active.
+func (s mapParts) differences(ctx context.Context, g *quorum.Client, active *configstore.Revision) ([]configstore.Difference, error) {
 	old := map[string]configstore.Part{}
 	switch {
-	case force == nil:
-	case force.InParts:
-		texts, err := partsOf(ctx, g, configstore.DocMap, force.ID, force.Parts, slices.Sorted(maps.Keys(s.changed)))
+	case active == nil:
+	case active.InParts:
+		texts, err := partsOf(ctx, g, configstore.DocMap, active.ID, active.Parts, slices.Sorted(maps.Keys(s.changed)))
 		if err != nil {
 			return nil, err
 		}
@@ -64,7 +64,7 @@
 			old[name] = configstore.Part{Digest: configstore.PartDigest(text), Text: text}
 		}
 	default:
-		m, err := settings.ParseCells([]byte(force.Text))
+		m, err := settings.ParseCells([]byte(active.Text))
 		if err != nil {
 			return nil, err
 		}
@@ -75,25 +75,25 @@
 	return configstore.DiffParts(configstore.DocMap, old, s.changed)
 }
 
-// load sends the parts that changed where they are more than one change carries, and fills the change in.
-func (s split) load(ctx context.Context, g *quorum.Client, ask *configstore.Change, force *configstore.Revision) error {
-	ask.Text, ask.Digest = "", s.digest
-	if force == nil || !force.InParts {
+// upload sends the parts that changed into a draft where they are more than one change carries, and fills the change in.
+func (s mapParts) upload(ctx context.Context, g *quorum.Client, change *configstore.Change, active *configstore.Revision) error {
+	change.Text, change.Digest = "", s.digest
+	if active == nil || !active.InParts {
 		if err := membersRead(ctx, g); err != nil {
 			return err
 		}
 	}
 	batches := configstore.Batches(s.changed)
 	if len(batches) <= 1 {
-		ask.Parts = s.changed
+		change.Parts = s.changed
 		if len(s.changed) == 0 { // it says so itself
-			ask.Parts = map[string]string{settings.CellParts()[0]: s.texts[settings.CellParts()[0]]}
+			change.Parts = map[string]string{settings.CellParts()[0]: s.texts[settings.CellParts()[0]]}
 		}
 		return nil
 	}
-	ask.Draft = newID()
+	change.Draft = newID()
 	for _, one := range batches {
-		if _, err := agreed(ctx, g, statemachine.Command{Config: &configstore.Change{Op: configstore.OpLoadDraft, Doc: ask.Doc, Draft: ask.Draft, Parts: one, Author: ask.Author}}); err != nil {
+		if _, err := agreed(ctx, g, statemachine.Command{Config: &configstore.Change{Op: configstore.OpLoadDraft, Doc: change.Doc, Draft: change.Draft, Parts: one, Author: change.Author}}); err != nil {
 			return err
 		}
 	}
@@ -126,15 +126,15 @@
 	return nil
 }
 
-// putAlready is the version that a change has become which was asked for twice, as the first answer was lost on the way; 0: none.
-func putAlready(ctx context.Context, g *quorum.Client, ask configstore.Change, digest uint64, top int) int {
+// proposedAlready is the version that a change has become which was proposed twice, as the first answer was lost on the way; 0: none.
+func proposedAlready(ctx context.Context, g *quorum.Client, change configstore.Change, digest uint64, top int) int {
 	r, err := g.Config(ctx)
-	if err != nil || r.Book.Documents[ask.Doc] == nil {
+	if err != nil || r.Book.Documents[change.Doc] == nil {
 		return 0
 	}
-	d := r.Book.Documents[ask.Doc]
+	d := r.Book.Documents[change.Doc]
 	for _, e := range []*configstore.Revision{d.Proposed, d.Active} {
-		if e != nil && e.ID == (configstore.ID{Version: top + 1, Digest: digest}) && e.Author == ask.Author {
+		if e != nil && e.ID == (configstore.ID{Version: top + 1, Digest: digest}) && e.Author == change.Author {
 			return e.ID.Version
 		}
 	}
@@ -169,7 +169,7 @@
 	return texts, nil
 }
 
-// joinedText is the whole text of a version in parts, as a file has it. Base is what is in force, where the version is under way.
+// joinedText is the whole text of a version in parts, as a file has it. Base is what is in active, where the version is under way.
 func joinedText(ctx context.Context, g *quorum.Client, doc string, e, base *configstore.Revision) (string, error) {
 	all := maps.Clone(e.Parts)
 	if base != nil && base != e {
--- /dev/null
+++ b/cmd/silverpath/rulesput.go
@@ -0,0 +1,248 @@
+package main
+
+import (
+	"context"
+	"fmt"
+	"io"
+	"maps"
+	"os"
+	"slices"
+	"strings"
+	"time"
+
+	"github.com/spf13/cobra"
+
+	"silverpath/internal/controlplane/quorum"
+	"silverpath/internal/policy/configstore"
+	"silverpath/internal/policy/statemachine"
+	"silverpath/internal/settings"
+)
+
+// rulesPut proposes a document from a file: also from the files of an installation that had no group.
+func rulesPut(g *quorum.Client, within *time.Duration, asJSON *bool) *cobra.Command {
+	p := proposal{group: g}
+	var dry, wait bool
+	var config string
+	put := &cobra.Command{Use: "put DOC FILE", Short: "Change a document; of an edge file or a configuration the part is taken that is it", Args: cobra.ExactArgs(2),
+		RunE: func(c *cobra.Command, args []string) error {
+			if err := p.read(args[0], args[1], config); err != nil {
+				return err
+			}
+			return inTime(g, *within, func(ctx context.Context) error {
+				if err := p.prepare(ctx); err != nil {
+					return err
+				}
+				if dry {
+					return p.dryRun(ctx, c.OutOrStdout(), *asJSON)
+				}
+				version, err := p.propose(ctx)
+				if err != nil {
+					return err
+				}
+				if !wait {
+					fmt.Fprintf(c.ErrOrStderr(), "%s: version %d proposed\n", p.doc, version)
+					return nil
+				}
+				return waitActive(ctx, g, c.ErrOrStderr(), p.doc, version)
+			})
+		}}
+	f := put.Flags()
+	f.BoolVar(&dry, "dry-run", false, "say what would change and for whom, and change nothing")
+	f.BoolVar(&wait, "wait", false, "wait until it is in force, within --within, and say what it waits for")
+	f.BoolVar(&p.allowRejected, "again", false, "put what was taken back before")
+	f.StringVar(&p.holdReason, "hold", "", "have it wait at once, and why")
+	f.DurationVar(&p.observe, "watch", 0, "watch it for so long and take it back if less worth is served; 0: not")
+	f.Float64Var(&p.canaryRatio, "part", 0, "the part of the processes that act on it first, for as long as it is watched; 0: all at once")
+	f.Float64Var(&p.maxLoss, "worse", 0.05, "by so much less of the worth it counts as bad")
+	f.StringVar(&config, "config", "", "for classes and pools: the configuration of a site that they have to fit")
+	return put
+}
+
+// proposal is a change of a document that is put together from a file and flags.
+type proposal struct {
+	group *quorum.Client
+
+	allowRejected        bool
+	holdReason           string
+	observe              time.Duration
+	canaryRatio, maxLoss float64
+
+	doc, file, text string
+	format          int
+	config          quorum.ConfigView
+	active          *configstore.Revision // nil: the document is new
+	highest         int                   // version of the document
+	parts           *mapParts             // nil: it goes as one text
+}
+
+// read reads the document from a file, and checks it against a site where one is given.
+func (p *proposal) read(doc, file, site string) error {
+	data, err := os.ReadFile(file)
+	if err != nil {
+		return err
+	}
+	p.doc, p.file = doc, file
+	if p.text, p.format, err = settings.ExtractDocument(doc, data); err != nil {
+		return fmt.Errorf("%s: %w", file, err)
+	}
+	if doc == configstore.DocPools || doc == configstore.DocClasses {
+		return checkFor(doc, p.text, site)
+	}
+	return nil
+}
+
+// prepare reads what is active, and splits the document where it goes in parts.
+func (p *proposal) prepare(ctx context.Context) (err error) {
+	if p.config, err = p.group.Config(ctx); err != nil {
+		return err
+	}
+	if d := p.config.Book.Documents[p.doc]; d != nil {
+		p.active, p.highest = d.Active, d.HighestVersion
+	}
+	if goesInParts(p.doc, p.text, p.active) {
+		s, err := splitMap(p.text, p.active)
+		if err != nil {
+			return fmt.Errorf("%s: %w", p.file, err)
+		}
+		p.parts, p.format = &s, configstore.PartsFormat
+	}
+	return nil
+}
+
+// dryRun prints what would change and for whom.
+func (p *proposal) dryRun(ctx context.Context, w io.Writer, asJSON bool) error {
+	old := ""
+	if p.active != nil {
+		old = p.active.Text
+	}
+	list, err := configstore.Diff(p.doc, old, p.text)
+	if p.parts != nil {
+		list, err = p.parts.differences(ctx, p.group, p.active)
+	}
+	if err != nil {
+		return err
+	}
+	return printDryRun(w, p.config, p.doc, p.format, list, p.active == nil, asJSON)
+}
+
+// propose proposes the change, and returns the version that it has become.
+func (p *proposal) propose(ctx context.Context) (version int, err error) {
+	change := configstore.Change{Op: configstore.OpPropose, Doc: p.doc, Text: p.text, Format: p.format, Author: whoami(),
+		AllowRejected: p.allowRejected, Reason: p.holdReason}
+	if p.active != nil {
+		change.Version = p.active.ID.Version
+	}
+	if p.observe > 0 {
+		change.Rollout = &configstore.RolloutPolicy{CanaryRatio: p.canaryRatio, ObserveMS: p.observe.Milliseconds(), MaxLoss: p.maxLoss}
+	}
+	digest := configstore.NewID(1, []byte(p.text)).Digest
+	if p.parts != nil {
+		digest = p.parts.digest
+		if err := p.parts.upload(ctx, p.group, &change, p.active); err != nil {
+			return 0, err
+		}
+	}
+	got, err := agreed(ctx, p.group, statemachine.Command{Config: &change})
+	if err != nil {
+		if version = proposedAlready(ctx, p.group, change, digest, p.highest); version == 0 {
+			return 0, err
+		}
+		return version, nil
+	}
+	return got.Version, nil
+}
+
+// checkFor checks a document whole against a site, where one is given. Every process does so against its own.
+func checkFor(name, text, config string) error {
+	if config == "" {
+		return nil
+	}
+	cfg, err := settings.Load(config)
+	if err != nil {
+		return err
+	}
+	if name == configstore.DocPools {
+		_, err = settings.ParsePools(text, cfg.Server)
+	} else {
+		_, err = settings.ParseClasses(text, cfg.Server)
+	}
+	return err
+}
+
+// activePollInterval is how often the group is asked while a change is waited for.
+const activePollInterval = 20 * time.Millisecond
+
+// waitActive waits until a change is active, or will not be.
+func waitActive(ctx context.Context, g *quorum.Client, out io.Writer, name string, version int) error {
+	printed := ""
+	for {
+		r, err := g.Config(ctx)
+		if err != nil {
+			return fmt.Errorf("%s version %d is under way: %s: %w", name, version, printed, err)
+		}
+		d := r.Book.Documents[name]
+		switch {
+		case d == nil:
+			return fmt.Errorf("%s is gone", name)
+		case d.Active != nil && d.Active.ID.Version == version:
+			fmt.Fprintf(out, "%s: version %d is in force\n", name, version)
+			return nil
+		case d.Proposed == nil || d.Proposed.ID.Version != version:
+			for _, e := range d.History {
+				if e.ID.Version == version {
+					return fmt.Errorf("%s: version %d: %s", name, version, e.Outcome)
+				}
+			}
+			return fmt.Errorf("%s: version %d is no more", name, version)
+		}
+		if line := fmt.Sprintf("%s: version %d is %s: %s", name, version, d.Stage, r.Book.WaitingFor(d)); line != printed {
+			printed = line
+			fmt.Fprintln(out, strings.TrimSuffix(line, ": "))
+		}
+		select {
+		case <-ctx.Done():
+			return fmt.Errorf("still under way: %s", printed)
+		case <-time.After(activePollInterval):
+		}
+	}
+}
+
+// printDryRun prints what a change would change, and which processes act on the document.
+func printDryRun(w io.Writer, r quorum.ConfigView, name string, format int, list []configstore.Difference, first, asJSON bool) error {
+	stops := configstore.HasExclusive(list) && !first
+	var touches []string
+	if stops {
+		touches = configstore.ScopeOf(name, list)
+	}
+	type user struct {
+		Name  string `json:"name"`
+		Waits string `json:"waits,omitempty"`
+	}
+	var users []user
+	for _, n := range slices.Sorted(maps.Keys(r.Book.Processes)) {
+		reads, uses := r.Book.Processes[n].Formats[name]
+		switch {
+		case !uses:
+		case reads < format:
+			users = append(users, user{n, fmt.Sprintf("reads format %d, and this is %d", reads, format)})
+		default:
+			users = append(users, user{Name: n})
+		}
+	}
+	if asJSON {
+		return printJSON(w, map[string]any{"differences": list, "for": users, "stops_sheets": stops, "touches": touches})
+	}
+	if err := diffTable(w, list); err != nil {
+		return err
+	}
+	for _, u := range users {
+		fmt.Fprintf(w, "for %s %s\n", u.Name, u.Waits)
+	}
+	switch {
+	case stops && len(touches) > 0:
+		fmt.Fprintf(w, "all stop what is exclusive of %s before anybody begins the new\n", strings.Join(touches, ", "))
+	case stops:
+		fmt.Fprintln(w, "all stop what is exclusive before anybody begins the new")
+	}
+	return nil
+}
--- /dev/null
+++ b/cmd/silverpath/rulesshow.go
@@ -0,0 +1,173 @@
+package main
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"maps"
+	"slices"
+	"strings"
+	"text/tabwriter"
+	"time"
+
+	"github.com/spf13/cobra"
+
+	"silverpath/internal/controlplane/quorum"
+	"silverpath/internal/policy/configstore"
+)
+
+// rulesShow is a command that only shows.
+func rulesShow(use, short string, read func(func(context.Context, quorum.ConfigView) error) error, asJSON *bool, asked *string,
+	show func(w io.Writer, r quorum.ConfigView, name string, asJSON bool) error) *cobra.Command {
+	args := cobra.MaximumNArgs(1)
+	if !strings.Contains(use, "[") {
+		args = cobra.ExactArgs(1)
+	}
+	return &cobra.Command{Use: use, Short: short, Args: args, RunE: func(c *cobra.Command, args []string) error {
+		name := ""
+		if len(args) > 0 {
+			name = args[0]
+		}
+		*asked = name
+		return read(func(_ context.Context, r quorum.ConfigView) error {
+			if name != "" {
+				if _, err := doc(r, name); err != nil {
+					return err
+				}
+			}
+			return show(c.OutOrStdout(), r, name, *asJSON)
+		})
+	}}
+}
+
+// showDocs shows all documents, or the text of one.
+func showDocs(out io.Writer, r quorum.ConfigView, name string, asJSON bool) error {
+	if name != "" {
+		d := r.Book.Documents[name]
+		switch {
+		case asJSON:
+			return printJSON(out, d)
+		case d.Active == nil:
+			return errors.New("nothing is in force yet")
+		}
+		_, err := io.WriteString(out, d.Active.Text)
+		return err
+	}
+	if asJSON {
+		return printJSON(out, r.Book.Documents)
+	}
+	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
+	fmt.Fprintln(w, "DOC\tIN FORCE\tSINCE\tBY\tUNDER WAY\tSTAGE\tWAITS FOR")
+	for _, n := range slices.Sorted(maps.Keys(r.Book.Documents)) {
+		d := r.Book.Documents[n]
+		active, since, by, proposed := "", "", "", ""
+		if d.Active != nil {
+			active, since, by = d.Active.ID.String(), stamp(d.Active.ActiveSince), d.Active.Author
+		}
+		if d.Proposed != nil {
+			proposed = d.Proposed.ID.String()
+		}
+		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\n", n, active, since, by, proposed, d.Stage, r.Book.WaitingFor(d))
+	}
+	return w.Flush()
+}
+
+// stamp is a time in Unix milliseconds for people, empty for none.
+func stamp(ms int64) string {
+	if ms == 0 {
+		return ""
+	}
+	return time.UnixMilli(ms).UTC().Format(time.RFC3339)
+}
+
+// showHistory shows the versions of a document.
+func showHistory(out io.Writer, r quorum.ConfigView, name string, asJSON bool) error {
+	d := r.Book.Documents[name]
+	all := slices.Clone(d.History)
+	for _, e := range []*configstore.Revision{d.Active, d.Proposed} {
+		if e != nil {
+			all = append(all, e)
+		}
+	}
+	if asJSON {
+		return printJSON(out, all)
+	}
+	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
+	fmt.Fprintln(w, "VERSION\tPUT\tBY\tIN FORCE\tWHAT BECAME OF IT")
+	for _, e := range all {
+		outcome := e.Outcome
+		switch {
+		case e == d.Proposed:
+			outcome = string(d.Stage)
+		case e == d.Active && outcome == "":
+			outcome = "in force"
+		}
+		if n := len(e.ChangedParts); n > 0 {
+			outcome += fmt.Sprintf(" (%d parts)", n)
+		}
+		if e.RevertsTo > 0 {
+			outcome += fmt.Sprintf(" (version %d again)", e.RevertsTo)
+		}
+		fmt.Fprintf(w, "%v\t%s\t%s\t%s\t%s\n", e.ID, stamp(e.ProposedAt), e.Author, stamp(e.ActiveSince), outcome)
+	}
+	return w.Flush()
+}
+
+// processRow is what a process says of a document.
+type processRow struct {
+	Process string `json:"process"`
+	Doc     string `json:"doc"`
+	Acts    int    `json:"acts"`
+	Holds   int    `json:"holds,omitempty"`
+	Reads   int    `json:"reads"`
+	Ago     int64  `json:"heard_ms_ago"` // under 0: not by this leader
+	Stops   string `json:"stops,omitempty"`
+	Refuses string `json:"refuses,omitempty"`
+}
+
+// processRows are those of all processes, or of those that use a document.
+func processRows(r quorum.ConfigView, doc string) (rows []processRow) {
+	for _, n := range slices.Sorted(maps.Keys(r.Book.Processes)) {
+		p, report := r.Book.Processes[n], r.Heard[n]
+		for _, of := range slices.Sorted(maps.Keys(p.Formats)) {
+			if doc != "" && of != doc {
+				continue
+			}
+			row := processRow{Process: n, Doc: of, Acts: report.ActiveVersions[of], Holds: p.Prepared[of], Reads: p.Formats[of], Ago: report.AgeMS, Stops: report.StopReason}
+			if report.ActiveVersions == nil {
+				row.Ago = -1
+			}
+			if d := r.Book.Documents[of]; d != nil && d.Proposed != nil && p.Refusals[of].Version == d.Proposed.ID.Version {
+				row.Refuses = p.Refusals[of].Reason
+			}
+			rows = append(rows, row)
+		}
+	}
+	return rows
+}
+
+// showWho shows which process acts on which version, and what changes wait for.
+func showWho(out io.Writer, r quorum.ConfigView, name string, asJSON bool) error {
+	rows := processRows(r, name)
+	if asJSON {
+		return printJSON(out, rows)
+	}
+	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
+	fmt.Fprintln(w, "PROCESS\tDOC\tACTS ON\tHOLDS\tREADS\tHEARD AGO\tSTOPS\tREFUSES")
+	for _, x := range rows {
+		fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%d\t%v\t%s\t%s\n", x.Process, x.Doc, x.Acts, x.Holds, x.Reads, time.Duration(x.Ago)*time.Millisecond, x.Stops, x.Refuses)
+	}
+	if err := w.Flush(); err != nil {
+		return err
+	}
+	for _, cell := range slices.Sorted(maps.Keys(r.GrantedQuota)) {
+		fmt.Fprintf(out, "of cell %s at most %.0f%% of what there is to lend is lent\n", cell, 100*r.GrantedQuota[cell])
+	}
+	for _, n := range slices.Sorted(maps.Keys(r.Book.Documents)) {
+		if d := r.Book.Documents[n]; d.Proposed != nil && (name == "" || n == name) {
+			fmt.Fprintf(out, "%s version %d is %s; it waits for: %s\n", n, d.Proposed.ID.Version, d.Stage, r.Book.WaitingFor(d))
+		}
+	}
+	return nil
+}
