--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -223,7 +223,7 @@
 	c.lifecycle.apply(lifecycle.Shutdown)
 	c.drainStartedAt = time.Now()
 	if c.pair != nil {
-		c.pair.side.SetReady(false)
+		c.pair.coordinator.SetReady(false)
 		c.applyPairEffects()
 	}
 	c.decide(func(m *silverpath.Shedder, now time.Duration) { m.Drain(now, now+stop) })
--- a/internal/core/lifecycle.go
+++ b/internal/core/lifecycle.go
@@ -64,7 +64,7 @@
 // serveIfReady makes the service serve once its runner is up and, of two processes, this one may take requests. It is called
 // under the lock.
 func (c *Core) serveIfReady() {
-	waits := c.pair != nil && !c.pair.side.MayServe()
+	waits := c.pair != nil && !c.pair.coordinator.MayServe()
 	c.waitsForPeer.Store(c.runnerUp && waits)
 	if !c.runnerUp || waits {
 		return
@@ -73,7 +73,7 @@
 	if c.pair != nil && !c.pair.ready {
 		c.pair.ready = true
 		close(c.pair.readyChannel)
-		c.pair.side.SetReady(!c.lifecycle.current().ShuttingDown())
+		c.pair.coordinator.SetReady(!c.lifecycle.current().ShuttingDown())
 		c.applyPairEffects()
 	}
 	c.publish()
--- a/internal/core/peer.go
+++ b/internal/core/peer.go
@@ -36,7 +36,7 @@
 // pair is this process's side of two that are one service. It is under the core's lock.
 type pair struct {
 	PairConfig
-	side          *hotrestart.Coordinator
+	coordinator   *hotrestart.Coordinator
 	outbox        []hotrestart.Message     // to be sent
 	link          int                      // the number of the link on which the outbox is to be sent
 	writeClosed   bool                     // nothing can be written on it any more
@@ -59,7 +59,7 @@
 		PairConfig: cfg, changed: make(chan struct{}), readyChannel: make(chan struct{}),
 		waitingForKey: map[string]chan struct{}{}, alone: pairLimits{keyBytes: c.keys.maxBytes, tasks: c.maxTasks},
 	}
-	p.side = hotrestart.New((*pairKeys)(c))
+	p.coordinator = hotrestart.New((*pairKeys)(c))
 	c.keys.fingerprint = stableFingerprint // the same in both processes
 	return p
 }
@@ -77,7 +77,7 @@
 func (c *Core) applyPairEffects() {
 	p := c.pair
 	for {
-		effects := p.side.TakeEffects()
+		effects := p.coordinator.TakeEffects()
 		if len(effects.Send) > 0 && !p.writeClosed {
 			p.outbox = append(p.outbox, effects.Send...)
 			p.Wake()
@@ -95,7 +95,7 @@
 		}
 		close(p.changed)
 		p.changed = make(chan struct{})
-		if two := p.side.HasPeer(); two != p.shared {
+		if two := p.coordinator.HasPeer(); two != p.shared {
 			p.shared = two
 			c.splitLimits(two)
 		}
@@ -132,14 +132,14 @@
 func (c *Core) PairRole() hotrestart.Role {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.pair.side.Role()
+	return c.pair.coordinator.Role()
 }
 
 // Successor reports whether a younger process is ready to serve.
 func (c *Core) Successor() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.pair != nil && c.pair.side.SuccessorReady()
+	return c.pair != nil && c.pair.coordinator.SuccessorReady()
 }
 
 // PairPlaced is called by the link when this process took one of the two places.
@@ -214,7 +214,7 @@
 func (c *Core) PairMarks() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.pair.side.Marks()
+	return c.pair.coordinator.Marks()
 }
 
 // errLinkClosed is of a link that is not the present one, or is written on no more.
@@ -236,7 +236,7 @@
 func (c *Core) updatePair(event func(s *hotrestart.Coordinator)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	event(c.pair.side)
+	event(c.pair.coordinator)
 	c.applyPairEffects()
 }
 
--- a/internal/core/peer_test.go
+++ b/internal/core/peer_test.go
@@ -183,7 +183,7 @@
 	t := &task{class: sheets, wake: make(chan struct{}, 1), Request: Request{ID: fmt.Sprint("t", w.seq), Class: "oddaja", Key: key,
 		ReceivedAt: w.now, Deadline: w.now.Add(4 * time.Second), Body: []byte(key)}}
 	h.c.mu.Lock()
-	h.c.pair.side.BeginClaim(keyOf(sheets, &t.Request))
+	h.c.pair.coordinator.BeginClaim(keyOf(sheets, &t.Request))
 	h.c.mu.Unlock()
 	h.tries[key] = append(h.tries[key], t)
 	w.poll(i)
@@ -209,7 +209,7 @@
 			}
 			f := hotrestart.Execution{Key: keyOf(sheets, &t.Request), ID: t.ID, Fingerprint: c.keys.fingerprint(t), ReceivedAt: w.now.UnixNano(),
 				ExpiresAt: w.now.Add(time.Hour).UnixNano(), Window: sheets.IdempotencyWindow}
-			v := c.pair.side.CheckClaim(f)
+			v := c.pair.coordinator.CheckClaim(f)
 			c.applyPairEffects()
 			if v == hotrestart.Pending {
 				waiting = append(waiting, t)
@@ -223,7 +223,7 @@
 					w.t.Fatalf("a repeat of %s gets %q, the run's result is %q", key, t.duplicateOf.result, w.ran[key])
 				}
 			}
-			c.pair.side.EndClaim(f.Key, f.ReceivedAt)
+			c.pair.coordinator.EndClaim(f.Key, f.ReceivedAt)
 			c.applyPairEffects()
 		}
 		h.tries[key] = waiting
@@ -428,7 +428,7 @@
 				if needs := do == "run" || do == "runcut" || do == "drop" || do == "held"; needs && !held || do == "none" && held {
 					t.Fatalf("%s: held is %v", step, held)
 				}
-				if do == "sees" && w.procs[i].c.pair.side.UnknownUntil() != 0 {
+				if do == "sees" && w.procs[i].c.pair.coordinator.UnknownUntil() != 0 {
 					t.Fatalf("%s: it takes itself for blind", step)
 				}
 				w.step(do, i, key)
--- a/internal/core/peerclaim.go
+++ b/internal/core/peerclaim.go
@@ -26,8 +26,8 @@
 		ReceivedAt: r.ReceivedAt.UnixNano(), Window: class.IdempotencyWindow,
 		ExpiresAt: r.ReceivedAt.Add(class.IdempotencyWindow + class.Deadline + readDelay).UnixNano(),
 	}
-	p.side.BeginClaim(key)
-	verdict := p.side.CheckClaim(claim)
+	p.coordinator.BeginClaim(key)
+	verdict := p.coordinator.CheckClaim(claim)
 	c.applyPairEffects()
 	if verdict == hotrestart.Pending {
 		verdict, a = c.awaitKey(r, claim)
@@ -39,7 +39,7 @@
 		a = Answer{Outcome: Failed}
 		c.stats.Inc("handover", "unknown_owner")
 	}
-	p.side.EndClaim(key, claim.ReceivedAt)
+	p.coordinator.EndClaim(key, claim.ReceivedAt)
 	c.applyPairEffects()
 	return a, true
 }
@@ -83,7 +83,7 @@
 		if over {
 			return hotrestart.Pending, a
 		}
-		verdict := p.side.CheckClaim(claim)
+		verdict := p.coordinator.CheckClaim(claim)
 		c.applyPairEffects()
 		if verdict != hotrestart.Pending {
 			return verdict, Answer{}
@@ -97,7 +97,7 @@
 		return
 	}
 	if key := keyOf(class, r); key != "" {
-		c.pair.side.EndClaim(key, r.ReceivedAt.UnixNano())
+		c.pair.coordinator.EndClaim(key, r.ReceivedAt.UnixNano())
 		c.applyPairEffects()
 	}
 }
--- a/internal/core/peernotify.go
+++ b/internal/core/peernotify.go
@@ -12,7 +12,7 @@
 	if c.pair == nil || x == nil || x.entry.read {
 		return hotrestart.NoNotice, 0
 	}
-	note = c.pair.side.RunStarts(x.forPeer())
+	note = c.pair.coordinator.RunStarts(x.forPeer())
 	c.applyPairEffects()
 	return note, c.pair.link
 }
@@ -55,9 +55,9 @@
 		return
 	}
 	if x.entry.latest == x {
-		c.pair.side.RunEnded(x.forPeer())
+		c.pair.coordinator.RunEnded(x.forPeer())
 	} else {
-		c.pair.side.RequestDropped(x.entry.key)
+		c.pair.coordinator.RequestDropped(x.entry.key)
 	}
 	c.applyPairEffects()
 }
@@ -65,7 +65,7 @@
 // notifyDropped tells the other process that a run never began. It is called under the lock.
 func (c *Core) notifyDropped(x *execution) {
 	if c.pair != nil && !x.entry.read {
-		c.pair.side.RequestDropped(x.entry.key)
+		c.pair.coordinator.RequestDropped(x.entry.key)
 		c.applyPairEffects()
 	}
 }
--- a/internal/core/persistence.go
+++ b/internal/core/persistence.go
@@ -238,7 +238,7 @@
 	k.bytes += len(r.Result)
 }
 
-// Kept are the records of all runs that are kept, as they stand.
+// Records are the records of all runs that are kept, as they stand.
 func (c *Core) Records(since func(time.Time) time.Duration) []idempotency.Record {
 	c.mu.Lock()
 	defer c.mu.Unlock()
