--- a/internal/settings/cells.go
+++ b/internal/settings/cells.go
@@ -12,7 +12,7 @@
 	"silverpath/internal/policy/cells"
 )
 
-// ParseCells reads a cell map and checks it whole.
+// ParseCells reads a cell map and checks it whole. A map that can be read and is no good comes with the error.
 func ParseCells(data []byte) (*cells.Map, error) {
 	var err error
 	f := object(data, &err)
@@ -34,15 +34,18 @@
 	return m, nil
 }
 
+// The members of a map beside its servers and tenants, by the part that they stand in.
 var (
 	topKeys  = []string{"version", "epoch"}
 	headKeys = []string{"window_ms", "skew_ms", "lease_ms", "patience_ms", "cells"}
 )
 
+// readTop reads the version of a map.
 func readTop(f fields, m *cells.Map) {
 	m.Version, m.Epoch = int(f.integer("version")), uint64(f.integer("epoch"))
 }
 
+// readHead reads the times and the cells of a map.
 func readHead(f fields, m *cells.Map) {
 	ms := func(key string) time.Duration { return time.Duration(f.integer(key)) * time.Millisecond }
 	m.KeyWindow, m.MaxClockSkew, m.Lease, m.CallerTimeout = ms("window_ms"), ms("skew_ms"), ms("lease_ms"), ms("patience_ms")
@@ -52,6 +55,7 @@
 	})
 }
 
+// readServers reads the servers of a map, or of a part of it.
 func readServers(f fields) (list []cells.Server) {
 	f.each("servers", func(_ int, s fields) {
 		s.only("name", "addr", "mgmt", "cell", "weight", "from_ms", "until_ms")
@@ -67,6 +71,7 @@
 	return list
 }
 
+// readTenants reads the tenants of a map, or of a part of it.
 func readTenants(f fields) (list []cells.Tenant) {
 	f.each("tenants", func(_ int, t fields) {
 		t.only("name", "rate", "homes")
@@ -106,6 +111,7 @@
 	return append(b.Bytes(), '\n')
 }
 
+// writeTop writes the version of a map.
 func writeTop(a *fastjson.Arena, o *fastjson.Value, m *cells.Map) {
 	o.Set("version", a.NewNumberInt(m.Version))
 	if m.Epoch > 0 {
@@ -113,6 +119,7 @@
 	}
 }
 
+// writeHead writes the times of a map, with its cells in the order given.
 func writeHead(a *fastjson.Arena, o *fastjson.Value, m *cells.Map, all []cells.Cell) {
 	for _, t := range []struct {
 		key string
@@ -130,6 +137,7 @@
 	o.Set("cells", list)
 }
 
+// serverValue is a server as JSON.
 func serverValue(a *fastjson.Arena, s *cells.Server) *fastjson.Value {
 	e := a.NewObject()
 	e.Set("name", a.NewString(s.Name))
@@ -146,6 +154,7 @@
 	return e
 }
 
+// tenantValue is a tenant as JSON.
 func tenantValue(a *fastjson.Arena, t *cells.Tenant) *fastjson.Value {
 	e, homes := a.NewObject(), a.NewArray()
 	e.Set("name", a.NewString(t.Name))
--- a/internal/settings/config.go
+++ b/internal/settings/config.go
@@ -16,7 +16,7 @@
 	"silverpath"
 )
 
-// Config is what one service is told of its place. The module's part of it is the module's own type.
+// Config is the configuration of one process: its place on the platform, and the module's settings, which are the module's own type.
 type Config struct {
 	Name          string
 	Listen        string        // where balancers connect; empty: no such front
@@ -58,12 +58,14 @@
 	Community string // the one that is answered
 }
 
-// Load reads the configuration file and lets LB_NAME and LB_LISTEN stand in for what it leaves out.
+// Load reads a server's configuration file. LB_NAME, LB_LISTEN and LB_MGMT stand in for what it leaves out; LB_SOCKET_FD is the
+// descriptor of an inherited listening socket. An error names the file and the field.
 func Load(path string) (Config, error) { return load(path, false) }
 
-// LoadRouter reads the configuration file of a router, which has no interpreter.
+// LoadRouter is Load for a router, which has no interpreter.
 func LoadRouter(path string) (Config, error) { return load(path, true) }
 
+// load is Load for either role.
 func load(path string, router bool) (Config, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -84,11 +86,12 @@
 	return c, nil
 }
 
-// ParseConfig reads a configuration; name and listen stand in for what it leaves out.
+// ParseConfig reads the text of a server's configuration; name and listen stand in for what it leaves out.
 func ParseConfig(data []byte, name, listen string) (Config, error) {
 	return parseConfig(data, name, listen, false)
 }
 
+// parseConfig is ParseConfig for either role.
 func parseConfig(data []byte, name, listen string, router bool) (Config, error) {
 	var err error
 	f := object(data, &err)
@@ -131,8 +134,53 @@
 	return c, c.complete(f.v, router)
 }
 
-// complete sets defaults and names the first field that no service can do with.
+// Bounds and defaults of a configuration.
+const (
+	minMemoryMB     = 16 // what the runtime and one busy front take
+	minDescriptors  = 64 // below, no front has a connection to give
+	defaultStop     = 3 * time.Second
+	defaultMemoryMB = 192
+	defaultSockets  = 1024
+	defaultMaxBody  = 2048 // bytes: the platform's
+	defaultTimeout  = 30 * time.Second
+	defaultHeldKB   = 32   // a request's buffers on the way through the SCGI front
+	maxHeldKB       = 2000 // as on the MessagePack-RPC front
+)
+
+// complete sets defaults and returns an error of the first field that no service can do with.
 func (c *Config) complete(v *fastjson.Value, router bool) error {
+	for _, check := range []func() error{
+		func() error { return c.checkAddresses(router) },
+		func() error { return c.checkSettings(v) },
+		func() error { return c.checkBounds(v) },
+		c.checkSCGI,
+	} {
+		if err := check(); err != nil {
+			return err
+		}
+	}
+	setDefault(&c.StopTimeout, defaultStop)
+	setDefault(&c.MemoryMB, defaultMemoryMB)
+	setDefault(&c.Descriptors, defaultSockets)
+	setDefault(&c.SCGI.MaxBody, defaultMaxBody)
+	setDefault(&c.SCGI.Timeout, defaultTimeout)
+	setDefault(&c.SCGI.HeldKB, defaultHeldKB)
+	if _, err := silverpath.New(0, c.Server, silent{}); err != nil {
+		return fmt.Errorf("settings: %w", err)
+	}
+	return nil
+}
+
+// setDefault sets what is zero.
+func setDefault[T comparable](v *T, value T) {
+	var zero T
+	if *v == zero {
+		*v = value
+	}
+}
+
+// checkAddresses checks every address that is given or needed. A server needs a front, and somebody who does the work.
+func (c *Config) checkAddresses(router bool) error {
 	for _, a := range []struct {
 		field, addr string
 		required    bool
@@ -149,6 +197,11 @@
 			return err
 		}
 	}
+	return nil
+}
+
+// checkSettings checks that the module's settings have what has no default.
+func (c *Config) checkSettings(v *fastjson.Value) error {
 	for _, need := range [][]string{{"settings"}, {"settings", "classes"}, {"settings", "family_info"},
 		{"settings", "family_info", "cpus"}, {"settings", "family_info", "memory_kb"}} {
 		if !v.Exists(need...) {
@@ -160,50 +213,42 @@
 			return fmt.Errorf("settings.classes[%d].deadline: not a number above 0", i)
 		}
 	}
+	return nil
+}
+
+// checkBounds checks name, limits and SNMP.
+func (c *Config) checkBounds(v *fastjson.Value) error {
 	switch {
 	case c.Name == "":
 		return errors.New("name: missing")
 	case v.Exists("stop_ms") && c.StopTimeout <= 0:
 		return fmt.Errorf("stop_ms: not above 0: %v", v.Get("stop_ms"))
-	case v.Exists("limits", "memory_mb") && c.MemoryMB < 16:
-		return fmt.Errorf("limits.memory_mb: under 16: %v", c.MemoryMB)
-	case v.Exists("limits", "sockets") && c.Descriptors < 64:
-		return fmt.Errorf("limits.sockets: under 64: %v", c.Descriptors)
+	case v.Exists("limits", "memory_mb") && c.MemoryMB < minMemoryMB:
+		return fmt.Errorf("limits.memory_mb: under %d: %v", minMemoryMB, c.MemoryMB)
+	case v.Exists("limits", "sockets") && c.Descriptors < minDescriptors:
+		return fmt.Errorf("limits.sockets: under %d: %v", minDescriptors, c.Descriptors)
 	case c.SNMP.Listen != "" && c.SNMP.Community == "":
 		return errors.New("snmp.community: missing")
-	case c.SCGI.MaxBody < 0:
-		return fmt.Errorf("scgi.max_body: negative: %v", c.SCGI.MaxBody)
-	case c.SCGI.Deadline < 0:
-		return fmt.Errorf("scgi.deadline_ms: negative: %v", c.SCGI.Deadline.Milliseconds())
-	case c.SCGI.Timeout < 0:
-		return fmt.Errorf("scgi.upstream_timeout_ms: negative: %v", c.SCGI.Timeout.Milliseconds())
-	case !(c.SCGI.HeldKB >= 0 && c.SCGI.HeldKB < 2000):
-		return fmt.Errorf("scgi.held_kb: not from 0 to 2000: %v", c.SCGI.HeldKB)
-	}
-	if c.StopTimeout == 0 {
-		c.StopTimeout = 3 * time.Second
-	}
-	if c.MemoryMB == 0 {
-		c.MemoryMB = 192
-	}
-	if c.Descriptors == 0 {
-		c.Descriptors = 1024
-	}
-	if c.SCGI.MaxBody == 0 {
-		c.SCGI.MaxBody = 2048
-	}
-	if c.SCGI.Timeout == 0 {
-		c.SCGI.Timeout = 30 * time.Second
 	}
-	if c.SCGI.HeldKB == 0 {
-		c.SCGI.HeldKB = 32
-	}
-	if _, err := silverpath.New(0, c.Server, silent{}); err != nil {
-		return fmt.Errorf("settings: %w", err)
+	return nil
+}
+
+// checkSCGI checks the bounds of the SCGI front and its application server.
+func (c *Config) checkSCGI() error {
+	switch set := c.SCGI; {
+	case set.MaxBody < 0:
+		return fmt.Errorf("scgi.max_body: negative: %v", set.MaxBody)
+	case set.Deadline < 0:
+		return fmt.Errorf("scgi.deadline_ms: negative: %v", set.Deadline.Milliseconds())
+	case set.Timeout < 0:
+		return fmt.Errorf("scgi.upstream_timeout_ms: negative: %v", set.Timeout.Milliseconds())
+	case !(set.HeldKB >= 0 && set.HeldKB < maxHeldKB):
+		return fmt.Errorf("scgi.held_kb: not from 0 to %d: %v", maxHeldKB, set.HeldKB)
 	}
 	return nil
 }
 
+// address checks that a field is an address and port.
 func address(field, addr string) error {
 	if _, err := netip.ParseAddrPort(addr); err != nil {
 		return fmt.Errorf("%s: not an address and port: %q", field, addr)
@@ -211,8 +256,9 @@
 	return nil
 }
 
-// Differs names the fields, but for the addresses of the platform's other parties, in which another
-// configuration differs from this one.
+// Differs returns the names of the fields in which another configuration differs from this one and which hold from a start to the
+// end of a process: all but the module's settings, the pools and the addresses of the interpreter, the vault and the announce
+// service. Service.Reload logs each.
 func (c Config) Differs(d Config) []string {
 	var list []string
 	for _, f := range []struct {
@@ -223,10 +269,7 @@
 		{"vm", (c.Interpreter == "") == (d.Interpreter == "")}, {"vault", (c.Vault == "") == (d.Vault == "")},
 		{"limits", c.MemoryMB == d.MemoryMB && c.Descriptors == d.Descriptors},
 		{"scgi", c.SCGI == d.SCGI}, {"snmp", c.SNMP == d.SNMP},
-		{"edge", c.Edge.On == d.Edge.On && c.Edge.Status == d.Edge.Status && c.Edge.Cell == d.Edge.Cell && c.Edge.PoolsOn() == d.Edge.PoolsOn() &&
-			reflect.DeepEqual(c.Edge.Reserve, d.Edge.Reserve) && reflect.DeepEqual(c.Edge.Router, d.Edge.Router) &&
-			reflect.DeepEqual(c.Edge.ConfigWatch, d.Edge.ConfigWatch) && reflect.DeepEqual(c.Edge.Store, d.Edge.Store) &&
-			reflect.DeepEqual(c.Edge.Heartbeat, d.Edge.Heartbeat)},
+		{"edge", c.Edge.sameExceptPools(d.Edge)},
 		{"settings.family_info.gauges", slices.Equal(c.Gauges, d.Gauges)},
 	} {
 		if !f.same {
@@ -236,27 +279,9 @@
 	return list
 }
 
-// Retuned reports whether another configuration has other settings, but for the seed, which a file that is written
+// Retuned reports whether another configuration has other settings of the module, but for the seed, which a file that is written
 // anew may give anew.
 func (c Config) Retuned(d Config) bool {
 	c.Server.Seed = d.Server.Seed
 	return !reflect.DeepEqual(c.Server, d.Server)
 }
-
-// silent is a host for a module that is only asked whether it takes its settings.
-type silent struct{}
-
-func (silent) Run(string)                         {}
-func (silent) Reject(string, time.Duration, bool) {}
-func (silent) Fail(string)                        {}
-func (silent) Join(string)                        {}
-func (silent) Stop(string)                        {}
-func (silent) Call(string, time.Duration)         {}
-func (silent) SkipCall(string)                    {}
-func (silent) RememberKey(string, time.Duration)  {}
-func (silent) ForgetKey(string)                   {}
-func (silent) Health(bool)                        {}
-func (silent) Signal(float64)                     {}
-func (silent) CloseIdle(time.Duration)            {}
-func (silent) Wake(time.Duration)                 {}
-func (silent) Log(string)                         {}
--- a/internal/settings/rules.go
+++ b/internal/settings/documents.go
@@ -14,17 +14,18 @@
 	"silverpath/internal/policy/configstore"
 )
 
-// ConfigWatch sets up a process that acts on documents of a group: see docs/rules.md.
+// ConfigWatch sets up a process that acts on documents of a group ("rules"): see docs/rules.md.
 type ConfigWatch struct {
 	Group      GroupRef
 	Documents  []string
-	MaxRouters int // routers that there can be, which share the cells; 0: it knows nothing of what others let in
+	MaxRouters int // routers that there can be at once, which share the quotas of the cells; 0: quotas are not shared
 }
 
 // Uses reports whether the process acts on a document of the group.
 func (r *ConfigWatch) Uses(doc string) bool { return r != nil && slices.Contains(r.Documents, doc) }
 
-func readRules(f fields) *ConfigWatch {
+// readConfigWatch reads the documents of a group that the process acts on; nil: none.
+func readConfigWatch(f fields) *ConfigWatch {
 	if f.v == nil {
 		return nil
 	}
@@ -44,7 +45,7 @@
 	return set
 }
 
-// ParseRouting reads the document of how routers choose and try.
+// ParseRouting reads the document of how routers balance load and retry; map and state are empty.
 func ParseRouting(text string) (Router, error) {
 	var err error
 	f := object([]byte(text), &err)
@@ -77,21 +78,22 @@
 	return parseClasses(text, site, true)
 }
 
-func parseClasses(text string, site silverpath.Settings, whole bool) (silverpath.Settings, error) {
+// parseClasses is ParseClasses; with check the module is asked whether it takes the settings.
+func parseClasses(text string, site silverpath.Settings, check bool) (silverpath.Settings, error) {
 	var err error
 	f := object([]byte(text), &err)
 	if err != nil {
 		return site, err
 	}
 	f.only("format", "classes")
-	was := site.Classes
+	old := site.Classes
 	site.Classes = nil
 	f.each("classes", func(_ int, c fields) {
 		c.only("name", "target", "aim_stretch", "deadline", "worth", "late_worth", "effect", "memory_span")
 		class := readClass(c)
-		for _, old := range was {
-			if old.Name == class.Name {
-				class.CallsDependency, class.DegradedWeight = old.CallsDependency, old.DegradedWeight
+		for _, o := range old {
+			if o.Name == class.Name {
+				class.CallsDependency, class.DegradedWeight = o.CallsDependency, o.DegradedWeight
 			}
 		}
 		switch {
@@ -112,14 +114,25 @@
 	if len(site.Classes) == 0 {
 		return site, errors.New("classes: none")
 	}
-	if whole {
+	if check {
 		_, err = silverpath.New(0, site, silent{})
 	}
 	return site, err
 }
 
-// ExtractDocument is a document's text from a file, with its format. The file may be the document itself, or, for installations that
-// had files alone, an edge file or a configuration: then the part is taken that the document is.
+// documentKeys are the members of each document but the map, and in which object of a file they stand, at its top where that is empty.
+var documentKeys = map[string]struct {
+	object string
+	keys   []string
+}{
+	configstore.DocRouting: {"fleet", []string{"probe_ms", "retries", "hedges", "most_out", "panic", "slow_start_ms"}},
+	configstore.DocClasses: {"settings", []string{"classes"}},
+	configstore.DocPools:   {"", []string{"pools", "limit", "memory"}},
+}
+
+// ExtractDocument returns the text of a document from a file, with its format. The file may be the document itself, or, for
+// installations that had files alone, an edge file or a configuration: then the part is taken that the document is. It is called by
+// the operators' commands; an error says what is wrong with the file.
 func ExtractDocument(name string, data []byte) (text string, format int, err error) {
 	f := object(data, &err)
 	if err != nil {
@@ -132,31 +145,38 @@
 		}
 		return string(FormatCells(m)), 1, nil
 	}
-	v, keys := f.v, []string{}
-	switch name {
-	case configstore.DocRouting:
-		if fleet := f.v.Get("fleet"); fleet != nil {
-			v = fleet
-		}
-		keys = []string{"probe_ms", "retries", "hedges", "most_out", "panic", "slow_start_ms"}
-	case configstore.DocClasses:
-		if set := f.v.Get("settings"); set != nil {
-			v = set
-		}
-		keys = []string{"classes"}
-	case configstore.DocPools:
-		keys = []string{"pools", "limit", "memory"}
-	default:
+	doc, known := documentKeys[name]
+	if !known {
 		return "", 0, fmt.Errorf("no such document: %q", name)
 	}
+	v, keys := f.v, doc.keys
+	if doc.object != "" {
+		if part := f.v.Get(doc.object); part != nil {
+			v = part
+		}
+	}
 	format = 1
 	if n := f.integer("format"); n > 0 {
 		format = int(n)
-		keys = append(keys, "format")
+		keys = append(slices.Clone(keys), "format")
 	}
-	if format > 1 { // of a build that knows more: who reads it says what is wrong with it
+	if format > 1 { // of a build that knows more: the process that reads it says what is wrong with it
 		return string(v.MarshalTo(nil)), format, err
 	}
+	if text, err = subset(v, keys); err != nil {
+		return "", 0, err
+	}
+	switch name {
+	case configstore.DocRouting:
+		_, err = ParseRouting(text)
+	case configstore.DocClasses:
+		_, err = parseClasses(text, silverpath.Settings{}, false)
+	}
+	return text, format, err
+}
+
+// subset is the text of an object with some members of another one, for people to read.
+func subset(v *fastjson.Value, keys []string) (string, error) {
 	var a fastjson.Arena
 	o := a.NewObject()
 	for _, key := range keys {
@@ -166,14 +186,7 @@
 	}
 	var b bytes.Buffer
 	if err := json.Indent(&b, o.MarshalTo(nil), "", "  "); err != nil {
-		return "", 0, err
+		return "", err
 	}
-	text = b.String() + "\n"
-	switch name {
-	case configstore.DocRouting:
-		_, err = ParseRouting(text)
-	case configstore.DocClasses:
-		_, err = parseClasses(text, silverpath.Settings{}, false)
-	}
-	return text, format, err
+	return b.String() + "\n", nil
 }
--- a/internal/settings/edge.go
+++ b/internal/settings/edge.go
@@ -4,6 +4,7 @@
 	"errors"
 	"fmt"
 	"os"
+	"reflect"
 	"slices"
 	"time"
 
@@ -15,7 +16,7 @@
 	"silverpath/internal/policy/loadbalancer"
 )
 
-// Edge sets up what goes beyond the platform, from a file of the operator's own. The zero value is all off.
+// Edge is an edge file: what goes beyond the platform, set up by the operator. The zero value is all off.
 type Edge struct {
 	On          bool // an edge file was given
 	Status      bool // fronts answer status requests
@@ -23,19 +24,19 @@
 	Pools       admission.Config
 	Reserve     *admission.ReserveConfig // nil: none
 	Router      *Router                  // nil: it is no router
-	Commands    *Commands                // nil: it takes no orders of the fleet
+	Commands    *Commands                // nil: it takes no commands of the fleet
 	ConfigWatch *ConfigWatch             // nil: it acts on its own files alone
 	Store       *Store                   // nil: what ran is forgotten with the process
-	Heartbeat   *Heartbeat               // nil: it leaves no signs of life
+	Heartbeat   *Heartbeat               // nil: it leaves no heartbeat
 }
 
-// Heartbeat sets up signs of life: see docs/recovery.md.
+// Heartbeat sets up a heartbeat on disk ("life"): see docs/recovery.md.
 type Heartbeat struct {
 	File  string
-	Valid time.Duration // for so long after a sign that lasts, what has an effect may begin
+	Valid time.Duration // how long after one that is on disk idempotent requests may start
 }
 
-// Store sets up where the runs of keyed requests outlive the process: see docs/durable.md.
+// Store sets up where the runs of idempotent requests outlive the process ("store"): see docs/durable.md.
 type Store struct {
 	Dir         string
 	SizeMB      float64       // of all records; 0: an eighth of the memory
@@ -43,13 +44,13 @@
 	CommitDelay time.Duration // how long a commit waits for more that could go with it, where more is to be expected
 }
 
-// Commands sets up a server that takes orders of the fleet: see docs/duties.md.
+// Commands sets up a server that takes commands of the fleet's controllers ("orders"): see docs/duties.md.
 type Commands struct {
 	State string // the file that keeps the latest over a restart
 	Group GroupRef
 }
 
-// Router sets up a router: see docs/cells.md.
+// Router sets up a router ("fleet"): see docs/cells.md.
 type Router struct {
 	Map     string // the file with the cell map
 	State   string // the file that keeps the last good map over a restart; empty: none
@@ -57,10 +58,19 @@
 	Routing loadbalancer.Config
 }
 
+// sameExceptPools reports whether another edge file sets up the same, but for the shares of its pools, which may change at a reload,
+// and for who commands the fleet.
+func (e Edge) sameExceptPools(other Edge) bool {
+	return e.On == other.On && e.Status == other.Status && e.Cell == other.Cell && e.PoolsOn() == other.PoolsOn() &&
+		reflect.DeepEqual(e.Reserve, other.Reserve) && reflect.DeepEqual(e.Router, other.Router) &&
+		reflect.DeepEqual(e.ConfigWatch, other.ConfigWatch) && reflect.DeepEqual(e.Store, other.Store) &&
+		reflect.DeepEqual(e.Heartbeat, other.Heartbeat)
+}
+
 // PoolsOn reports whether there are pools.
 func (e Edge) PoolsOn() bool { return len(e.Pools.Pools) > 0 }
 
-// LoadEdge reads an edge file for a site with the given settings.
+// LoadEdge reads an edge file for a site with the given settings. An error names the file and the field.
 func LoadEdge(path string, site silverpath.Settings) (Edge, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -73,8 +83,7 @@
 	return e, nil
 }
 
-// ParseEdge reads an edge file. It is checked whole: a field that is not known is an error, as the file is nobody
-// else's.
+// ParseEdge reads the text of an edge file for a site with the given settings.
 func ParseEdge(data []byte, site silverpath.Settings) (Edge, error) {
 	var err error
 	f := object(data, &err)
@@ -89,24 +98,12 @@
 	e.Cell = f.flag("cell")
 	limit, memory, reserve := f.object("limit"), f.object("memory"), f.object("reserve")
 	e.Pools = readPools(f, site)
-	reserve.only("connections", "cheap_per_s", "cheap_each_per_s")
-	if reserve.v != nil {
-		e.Reserve = &admission.ReserveConfig{
-			Connections: reserve.number("connections"), CheapRate: reserve.number("cheap_per_s"),
-			CheapRatePerPeer: reserve.number("cheap_each_per_s"),
-		}
-	}
-	e.ConfigWatch = readRules(f.object("rules"))
-	e.Router = readFleet(f.object("fleet"), e.ConfigWatch)
-	if o := f.object("orders"); o.v != nil {
-		o.only("state", "group", "members")
-		e.Commands = &Commands{State: o.text("state"), Group: o.group()}
-		if e.Commands.State == "" {
-			o.fail("state", "missing")
-		}
-	}
+	e.Reserve = readReserve(reserve)
+	e.ConfigWatch = readConfigWatch(f.object("rules"))
+	e.Router = readRouter(f.object("fleet"), e.ConfigWatch)
+	e.Commands = readCommands(f.object("orders"))
 	e.Store = readStore(f.object("store"))
-	e.Heartbeat = readLife(f.object("life"))
+	e.Heartbeat = readHeartbeat(f.object("life"))
 	if e.Heartbeat != nil && e.Router != nil {
 		f.fail("life", "a router runs no sheets")
 	}
@@ -130,7 +127,40 @@
 	return e, nil
 }
 
-func readLife(f fields) *Heartbeat {
+// readCommands reads how a server takes the fleet's commands; nil: not at all.
+func readCommands(f fields) *Commands {
+	if f.v == nil {
+		return nil
+	}
+	f.only("state", "group", "members")
+	set := &Commands{State: f.text("state"), Group: f.group()}
+	if set.State == "" {
+		f.fail("state", "missing")
+	}
+	return set
+}
+
+// readReserve reads the part of the connections that is set aside for cheap calls; nil: none is.
+func readReserve(f fields) *admission.ReserveConfig {
+	if f.v == nil {
+		return nil
+	}
+	f.only("connections", "cheap_per_s", "cheap_each_per_s")
+	return &admission.ReserveConfig{
+		Connections: f.number("connections"), CheapRate: f.number("cheap_per_s"),
+		CheapRatePerPeer: f.number("cheap_each_per_s"),
+	}
+}
+
+// Bounds of a heartbeat's validity: shorter ones would lapse at a slow write, longer ones keep a restarted process waiting.
+const (
+	minHeartbeatValid     = 200 * time.Millisecond
+	maxHeartbeatValid     = time.Minute
+	defaultHeartbeatValid = 2 * time.Second
+)
+
+// readHeartbeat reads the heartbeat on disk; nil: none.
+func readHeartbeat(f fields) *Heartbeat {
 	if f.v == nil {
 		return nil
 	}
@@ -139,15 +169,25 @@
 	switch {
 	case set.File == "":
 		f.fail("file", "missing")
-	case f.v.Exists("valid_ms") && (set.Valid < 200*time.Millisecond || set.Valid > time.Minute):
+	case f.v.Exists("valid_ms") && (set.Valid < minHeartbeatValid || set.Valid > maxHeartbeatValid):
 		f.fail("valid_ms", "not from 200 to 60000: %v", set.Valid.Milliseconds())
 	}
 	if set.Valid == 0 {
-		set.Valid = 2 * time.Second
+		set.Valid = defaultHeartbeatValid
 	}
 	return set
 }
 
+// Bounds and defaults of a store.
+const (
+	maxStoreMB         = 1 << 16
+	maxResultKB        = 1024
+	defaultResultKB    = 16 // several of the platform's results
+	maxCommitDelay     = 100 * time.Millisecond
+	defaultCommitDelay = 500 * time.Microsecond // docs/results/durable.md has what it gains and costs
+)
+
+// readStore reads the store of idempotent requests; nil: none.
 func readStore(f fields) *Store {
 	if f.v == nil {
 		return nil
@@ -157,18 +197,18 @@
 	switch {
 	case set.Dir == "":
 		f.fail("dir", "missing")
-	case !(set.SizeMB >= 0 && set.SizeMB <= 1<<16):
+	case !(set.SizeMB >= 0 && set.SizeMB <= maxStoreMB):
 		f.fail("size_mb", "not from 0 to 65536: %v", set.SizeMB)
-	case !(set.ResultKB >= 0 && set.ResultKB <= 1024):
+	case !(set.ResultKB >= 0 && set.ResultKB <= maxResultKB):
 		f.fail("result_kb", "not from 0 to 1024: %v", set.ResultKB)
-	case set.CommitDelay < 0 || set.CommitDelay > 100*time.Millisecond:
+	case set.CommitDelay < 0 || set.CommitDelay > maxCommitDelay:
 		f.fail("gather_us", "not from 0 to 100000: %v", set.CommitDelay.Microseconds())
 	}
 	if set.ResultKB == 0 {
-		set.ResultKB = 16
+		set.ResultKB = defaultResultKB
 	}
 	if !f.v.Exists("gather_us") {
-		set.CommitDelay = 500 * time.Microsecond // docs/results/durable.md
+		set.CommitDelay = defaultCommitDelay
 	}
 	return set
 }
@@ -200,23 +240,25 @@
 	return set
 }
 
-func readFleet(f fields, rules *ConfigWatch) *Router {
+// readRouter reads how a router finds and treats its servers; nil: the process is no router. The map comes from a file or from the
+// group, never from both.
+func readRouter(f fields, watch *ConfigWatch) *Router {
 	if f.v == nil {
 		return nil
 	}
 	f.only("map", "state", "probe_ms", "retries", "hedges", "most_out", "panic", "slow_start_ms")
 	set := readRouting(f)
 	set.Map, set.State = f.text("map"), f.text("state")
-	switch agreed := rules.Uses(configstore.DocMap); {
-	case set.Map == "" && !agreed:
+	switch fromGroup := watch.Uses(configstore.DocMap); {
+	case set.Map == "" && !fromGroup:
 		f.fail("map", "missing")
-	case set.Map != "" && agreed:
+	case set.Map != "" && fromGroup:
 		f.fail("map", "the group has it: rules.documents names it too")
 	}
 	return &set
 }
 
-// readRouting reads how a router chooses and tries.
+// readRouting reads how a router balances load and retries.
 func readRouting(f fields) Router {
 	set := Router{
 		Probe: time.Duration(f.integer("probe_ms")) * time.Millisecond,
@@ -240,7 +282,7 @@
 	return set
 }
 
-// only names the first member of an object that is not one of those given.
+// only fails for the first member of the object that is not one of those known.
 func (f fields) only(known ...string) {
 	if f.v == nil {
 		return
--- a/internal/settings/kinds_test.go
+++ b/internal/settings/kinds_test.go
@@ -14,7 +14,7 @@
 // Every field that any file of settings has is of a stated kind: a reader that asks for one without fails here. The files are
 // those under deploy, and documents with all there is.
 func TestEveryFieldHasAKind(t *testing.T) {
-	defer func() { asked = nil }()
+	defer func() { lookedUp = nil }()
 	file := func(name string) []byte {
 		data, err := os.ReadFile("../../deploy/" + name)
 		if err != nil {
@@ -46,11 +46,11 @@
 		"edge of such a one": func() error { _, err := ParseEdge(file("route-rules.json"), site); return err },
 	} {
 		seen := map[string]bool{}
-		asked = func(path string) { seen[path] = true }
+		lookedUp = func(path string) { seen[path] = true }
 		if err := read(); err != nil {
 			t.Errorf("%s: %v", doc, err)
 		}
-		asked = nil
+		lookedUp = nil
 		doc, _, _ := strings.Cut(doc, " ")
 		for _, path := range slices.Sorted(maps.Keys(seen)) {
 			total++
--- a/internal/settings/parts.go
+++ b/internal/settings/parts.go
@@ -103,13 +103,14 @@
 	return cells.Join(old, p)
 }
 
-// need has a list that is not there be an error: it would else be taken for an empty one.
+// need fails where a list is absent: it would else be taken for an empty one.
 func (f fields) need(key string) {
 	if f.get(key, fastjson.TypeArray) == nil {
 		f.fail(key, "missing")
 	}
 }
 
+// readPart reads the text of one part of a map into p.
 func readPart(p *cells.Parts, name, text string) (err error) {
 	f := object([]byte(text), &err)
 	if err != nil {
--- a/internal/settings/parts_test.go
+++ b/internal/settings/parts_test.go
@@ -19,7 +19,7 @@
 )
 
 // Property tests take the same course every time.
-func init() { flag.Set("rapid.seed", "7"); flag.Set("rapid.nofailfile", "true") }
+func init() { _ = flag.Set("rapid.seed", "7"); _ = flag.Set("rapid.nofailfile", "true") }
 
 var t0 = time.UnixMilli(1_800_000_000_000)
 
--- a/internal/settings/quorum.go
+++ b/internal/settings/quorum.go
@@ -17,12 +17,12 @@
 	Members []string
 }
 
-// Quorum sets up a process of the group, or one that only owns duties: see docs/quorum.md and docs/duties.md.
+// Quorum sets up a process of the group, or one that only runs controllers: see docs/quorum.md and docs/duties.md.
 type Quorum struct {
 	Name   string
 	Group  GroupRef
 	Member *Member // nil: it is no member
-	Runner *Runner // nil: it owns no duties
+	Runner *Runner // nil: it runs no controllers
 	JSON   bool    // its log is for machines
 }
 
@@ -34,15 +34,15 @@
 	SNMP         SNMP
 }
 
-// Runner sets up the ownership of duties.
+// Runner sets up the controllers that a process runs while it holds their leases ("owner", "duties").
 type Runner struct {
 	Controllers []string
 	Map         string // the folder with the versions of the map
 	Routers     []string
-	DeadAfter   time.Duration // all routers that report have to have said dead for so long
+	DeadAfter   time.Duration // a server is dead once all routers that report have said so for this long
 }
 
-// LoadQuorum reads such a file. It is checked whole: a field that is not known is an error.
+// LoadQuorum reads the file of such a process. An error names the file, but for one of reading it, and the field.
 func LoadQuorum(path string) (Quorum, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -55,7 +55,7 @@
 	return q, nil
 }
 
-// ParseQuorum reads the text of such a file.
+// ParseQuorum reads the text of such a file. An unknown field is an error.
 func ParseQuorum(data []byte) (Quorum, error) {
 	var err error
 	f := object(data, &err)
@@ -63,63 +63,89 @@
 		return Quorum{}, err
 	}
 	f.only("name", "group", "members", "member", "owner", "log")
-	ms := func(f fields, key string, def time.Duration) time.Duration {
-		if f.get(key, fastjson.TypeNumber) == nil {
-			return def
-		}
-		d := time.Duration(f.integer(key)) * time.Millisecond
-		if d <= 0 {
-			f.fail(key, "not above 0: %d", d.Milliseconds())
-		}
-		return d
-	}
-	q := Quorum{Name: f.text("name"), Group: f.group(), JSON: word(f, "log", map[string]bool{"text": false, "json": true})}
+	q := Quorum{Name: f.text("name"), Group: f.group(), JSON: enum(f, "log", map[string]bool{"text": false, "json": true})}
 	if q.Name == "" {
 		f.fail("name", "missing")
 	}
-	if m := f.object("member"); m.v != nil {
-		m.only("listen", "addr", "dir", "tick_ms", "snmp")
-		q.Member = &Member{Listen: m.text("listen"), Addr: m.text("addr"), Dir: m.text("dir"), Tick: ms(m, "tick_ms", 50*time.Millisecond)}
-		if agent := m.object("snmp"); agent.v != nil {
-			agent.only("listen", "community")
-			q.Member.SNMP = SNMP{Listen: agent.text("listen"), Community: agent.text("community")}
-			if err := address("listen", q.Member.SNMP.Listen); err != nil && *f.err == nil {
-				*f.err = fmt.Errorf("member.snmp.%w", err)
-			}
-			if q.Member.SNMP.Community == "" {
-				agent.fail("community", "missing")
-			}
-		}
-		if err := address("listen", q.Member.Listen); err != nil && *f.err == nil {
-			*f.err = fmt.Errorf("member.%w", err)
-		}
-		if q.Member.Addr == "" {
-			q.Member.Addr = q.Member.Listen
-		}
-		if q.Member.Dir == "" {
-			m.fail("dir", "missing")
-		}
+	q.Member = readMember(f.object("member"))
+	q.Runner = readRunner(f.object("owner"))
+	if q.Member == nil && q.Runner == nil {
+		f.fail("member", "neither it nor owner is there: nothing to do")
 	}
-	if o := f.object("owner"); o.v != nil {
-		o.only("duties", "map", "routers", "gone_after_ms")
-		q.Runner = &Runner{Controllers: o.texts("duties"), Map: o.text("map"), Routers: o.texts("routers"),
-			DeadAfter: ms(o, "gone_after_ms", 10*time.Second)}
-		for i, d := range q.Runner.Controllers {
-			if !slices.Contains(controller.Duties, d) {
-				o.fail(fmt.Sprintf("duties[%d]", i), "no such duty: %q", d)
-			}
-		}
-		if len(q.Runner.Controllers) == 0 {
-			o.fail("duties", "none")
+	return q, err
+}
+
+const (
+	defaultTick      = 50 * time.Millisecond // of raft: an election within half a second
+	defaultDeadAfter = 10 * time.Second      // longer than a server's warm restart takes
+)
+
+// readMember reads how a member of the group is set up; nil: the process is none.
+func readMember(f fields) *Member {
+	if f.v == nil {
+		return nil
+	}
+	f.only("listen", "addr", "dir", "tick_ms", "snmp")
+	m := &Member{Listen: f.text("listen"), Addr: f.text("addr"), Dir: f.text("dir"), Tick: f.millisOr("tick_ms", defaultTick)}
+	if agent := f.object("snmp"); agent.v != nil {
+		agent.only("listen", "community")
+		m.SNMP = SNMP{Listen: agent.text("listen"), Community: agent.text("community")}
+		agent.address("listen", m.SNMP.Listen)
+		if m.SNMP.Community == "" {
+			agent.fail("community", "missing")
 		}
-		if q.Runner.Map == "" {
-			o.fail("map", "missing")
+	}
+	f.address("listen", m.Listen)
+	if m.Addr == "" {
+		m.Addr = m.Listen
+	}
+	if m.Dir == "" {
+		f.fail("dir", "missing")
+	}
+	return m
+}
+
+// readRunner reads which controllers the process runs while it leads them; nil: none.
+func readRunner(f fields) *Runner {
+	if f.v == nil {
+		return nil
+	}
+	f.only("duties", "map", "routers", "gone_after_ms")
+	r := &Runner{
+		Controllers: f.texts("duties"), Map: f.text("map"), Routers: f.texts("routers"),
+		DeadAfter: f.millisOr("gone_after_ms", defaultDeadAfter),
+	}
+	for i, name := range r.Controllers {
+		if !slices.Contains(controller.Duties, name) {
+			f.fail(fmt.Sprintf("duties[%d]", i), "no such duty: %q", name)
 		}
 	}
-	if q.Member == nil && q.Runner == nil {
-		f.fail("member", "neither it nor owner is there: nothing to do")
+	if len(r.Controllers) == 0 {
+		f.fail("duties", "none")
+	}
+	if r.Map == "" {
+		f.fail("map", "missing")
+	}
+	return r
+}
+
+// millisOr returns a member that is a number of milliseconds above 0, or a default where it is absent.
+func (f fields) millisOr(key string, absent time.Duration) time.Duration {
+	if f.get(key, fastjson.TypeNumber) == nil {
+		return absent
+	}
+	d := time.Duration(f.integer(key)) * time.Millisecond
+	if d <= 0 {
+		f.fail(key, "not above 0: %d", d.Milliseconds())
+	}
+	return d
+}
+
+// address fails where the value of a member is no address and port.
+func (f fields) address(key, value string) {
+	if err := address(key, value); err != nil && *f.err == nil {
+		*f.err = fmt.Errorf("%s%w", f.path, err)
 	}
-	return q, err
 }
 
 // group reads the group and the addresses of its members.
@@ -135,9 +161,7 @@
 		f.fail("members", "none")
 	}
 	for i, a := range g.Members {
-		if err := address(fmt.Sprintf("members[%d]", i), a); err != nil && *f.err == nil {
-			*f.err = fmt.Errorf("%s%w", f.path, err)
-		}
+		f.address(fmt.Sprintf("members[%d]", i), a)
 	}
 	return g
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,9 @@
-// Package settings is the one reader of JSON settings: it fills the module's Settings for the simulator's
-// adapter and for the service alike, and reads the service's own configuration around them.
+// Package settings is the one reader of settings: configurations, edge files, the group's files, cell maps, documents of the group and
+// the capacity target, all JSON. The keys are those of the pages; the types and fields have the terms of the code. Whatever is no good
+// is one error of one line that names the field by its path.
+//
+// A configuration and the module's settings are read leniently, since sites differ and add keys; files of the operator's own are
+// checked whole, and an unknown key in them is an error.
 package settings
 
 import (
@@ -13,15 +17,15 @@
 	"silverpath"
 )
 
-// fields reads the members of one object and keeps the first error, which names the field. Absent and null
-// members are the zero value and unknown ones are never looked at, since sites differ and add keys.
+// fields reads the members of one object and keeps the first error, which names the member by its path. Absent and null members are
+// the zero value; unknown ones are never looked at, unless only is called.
 type fields struct {
-	path string
-	v    *fastjson.Value
-	err  *error
+	path string          // of the object, with a dot at its end; empty: the whole file
+	v    *fastjson.Value // nil: the object is absent
+	err  *error          // the first, shared by all objects of a file
 }
 
-// object parses the text of a JSON object. Err gets the first error, now or as its members are read.
+// object parses the text of a JSON object. Err gets the first error, now or as members are read.
 func object(data []byte, err *error) fields {
 	v, bad := fastjson.ParseBytes(data)
 	switch {
@@ -33,19 +37,20 @@
 	return fields{"", v, err}
 }
 
+// fail notes what is wrong with a member, unless something was wrong before.
 func (f fields) fail(key, format string, args ...any) {
 	if *f.err == nil {
 		*f.err = fmt.Errorf("%s%s: %s", f.path, key, fmt.Sprintf(format, args...))
 	}
 }
 
-// asked hears of every member that is looked for, in tests only.
-var asked func(path string)
+// lookedUp is told the path of every member that is looked for, in tests only: they hold the pages against it.
+var lookedUp func(path string)
 
 // get returns a member, nil where it is absent or null. A value of another type is an error.
 func (f fields) get(key string, want fastjson.Type) *fastjson.Value {
-	if asked != nil {
-		asked(f.path + key)
+	if lookedUp != nil {
+		lookedUp(f.path + key)
 	}
 	if f.v == nil {
 		return nil
@@ -61,10 +66,12 @@
 	return v
 }
 
+// object returns a member that is an object; reading an absent one gives zero values.
 func (f fields) object(key string) fields {
 	return fields{f.path + key + ".", f.get(key, fastjson.TypeObject), f.err}
 }
 
+// array returns the elements of a member that is an array.
 func (f fields) array(key string) []*fastjson.Value {
 	return f.get(key, fastjson.TypeArray).GetArray()
 }
@@ -80,10 +87,12 @@
 	}
 }
 
+// text returns a member that is a string.
 func (f fields) text(key string) string {
 	return string(f.get(key, fastjson.TypeString).GetStringBytes())
 }
 
+// number returns a member that is a number.
 func (f fields) number(key string) float64 {
 	if v := f.get(key, fastjson.TypeNumber); v != nil {
 		return v.GetFloat64()
@@ -91,6 +100,7 @@
 	return 0
 }
 
+// integer returns a member that is a whole number.
 func (f fields) integer(key string) int64 {
 	v := f.get(key, fastjson.TypeNumber)
 	if v == nil {
@@ -104,13 +114,15 @@
 	return int64(n)
 }
 
+// micros returns a member that is a whole number of microseconds.
 func (f fields) micros(key string) time.Duration {
 	return time.Duration(min(f.integer(key), math.MaxInt64/1000)) * time.Microsecond
 }
 
+// flag returns a member that is true or false.
 func (f fields) flag(key string) bool {
-	if asked != nil {
-		asked(f.path + key)
+	if lookedUp != nil {
+		lookedUp(f.path + key)
 	}
 	if f.v == nil {
 		return false
@@ -126,17 +138,18 @@
 	}
 }
 
-// word looks a word up; an absent one is the first meaning.
-func word[T any](f fields, key string, meanings map[string]T) T {
-	w := f.text(key)
-	v, ok := meanings[w]
-	if !ok && w != "" {
-		f.fail(key, "unknown: %q", w)
+// enum returns the meaning of a member that is one of some words; an absent one means the zero value.
+func enum[T any](f fields, key string, meanings map[string]T) T {
+	text := f.text(key)
+	v, ok := meanings[text]
+	if !ok && text != "" {
+		f.fail(key, "unknown: %q", text)
 	}
 	return v
 }
 
-// Parse reads the start-up settings and the names of the gauges.
+// Parse reads the module's settings, as the simulator and the platform give them at a start, and the names of the gauges, in the order
+// in which readings come.
 func Parse(text string) (silverpath.Settings, []string, error) {
 	v, err := fastjson.Parse(text)
 	if err != nil {
@@ -149,8 +162,24 @@
 	return s, gauges, err
 }
 
-// read fills the module's Settings from the simulator's object.
+// read fills the module's Settings from the object that the simulator and the platform give, and returns the names of the gauges.
 func read(p fields) (silverpath.Settings, []string) {
+	s := readSite(p)
+	s.ClassMix = classMix(p.object("scoring_mix"))
+	family := p.object("family_info")
+	s.Classes = readClasses(p, family)
+	p.each("tenants", func(_ int, t fields) {
+		s.Tenants = append(s.Tenants, silverpath.Tenant{Name: t.text("name"), Rate: t.number("allowance_per_s")})
+	})
+	var gauges []string
+	for _, g := range family.array("gauges") {
+		gauges = append(gauges, string(g.GetStringBytes()))
+	}
+	return s, gauges
+}
+
+// readSite reads what the settings say of the machine, the callers and the lower tier.
+func readSite(p fields) silverpath.Settings {
 	f, rules, limits := p.object("family_info"), p.object("rules"), p.object("limits")
 	s := silverpath.Settings{
 		Cores: int(f.integer("cpus")), MemoryKB: f.number("memory_kb"),
@@ -165,34 +194,46 @@
 		CallQuota: f.number("dep_share"), CallWindow: f.micros("dep_window"), CallLinger: f.micros("linger"),
 		Readiness: f.flag("readiness"), KeepAlive: f.micros("keepalive_max"),
 		MarksRetries: p.object("client_habits").flag("marks_retry"),
-		Preemption: word(f, "preemption", map[string]silverpath.Preemption{
+		Preemption: enum(f, "preemption", map[string]silverpath.Preemption{
 			"none": silverpath.PreemptNone, "drop": silverpath.PreemptDrop, "pause": silverpath.PreemptPause}),
-		Signal: word(f, "say", map[string]silverpath.Signal{
+		Signal: enum(f, "say", map[string]silverpath.Signal{
 			"none": silverpath.SignalNone, "level": silverpath.SignalLevel,
 			"credit": silverpath.SignalCredit, "weight": silverpath.SignalWeight}),
-		Dependency: word(f, "below", map[string]silverpath.Dependency{
+		Dependency: enum(f, "below", map[string]silverpath.Dependency{
 			"none": silverpath.DependencyNone, "shared": silverpath.DependencyShared,
 			"tier": silverpath.DependencyTier}),
 	}
 	if p.get("over_share_worth", fastjson.TypeNumber) != nil {
 		s.OverQuotaWeight = p.number("over_share_worth")
 	}
-	mix, total := p.object("scoring_mix"), 0.0
+	return s
+}
+
+// classMix is the part of the worst class in the score, from 0 to 1; 0 where the settings name no parts.
+func classMix(mix fields) float64 {
+	total := 0.0
 	for _, part := range []string{"whole", "worst_class", "worst_tenant", "worst_window"} {
 		total += mix.number(part)
 	}
-	if total > 0 {
-		s.ClassMix = mix.number("worst_class") / total
-	}
-	calls, without, classes := f.array("calls_by_class"), f.array("worth_without"), p.array("classes")
-	if n := len(calls); n != 0 && n != len(classes) {
-		f.fail("calls_by_class", "%d values for %d classes", n, len(classes))
-		calls = nil
+	if total <= 0 {
+		return 0
 	}
-	if n := len(without); n != 0 && n != len(classes) {
-		f.fail("worth_without", "%d values for %d classes", n, len(classes))
-		without = nil
+	return mix.number("worst_class") / total
+}
+
+// readClasses reads the classes, with what the family says of each by its place in the list: whether its runs call below, and what
+// they are worth without.
+func readClasses(p, family fields) (list []silverpath.Class) {
+	n := len(p.array("classes"))
+	perClass := func(key string) []*fastjson.Value {
+		values := family.array(key)
+		if len(values) != 0 && len(values) != n {
+			family.fail(key, "%d values for %d classes", len(values), n)
+			return nil
+		}
+		return values
 	}
+	calls, without := perClass("calls_by_class"), perClass("worth_without")
 	p.each("classes", func(i int, c fields) {
 		class := readClass(c)
 		if len(calls) > 0 {
@@ -201,29 +242,24 @@
 		if len(without) > 0 {
 			class.DegradedWeight = without[i].GetFloat64()
 		}
-		s.Classes = append(s.Classes, class)
+		list = append(list, class)
 	})
-	p.each("tenants", func(_ int, t fields) {
-		s.Tenants = append(s.Tenants, silverpath.Tenant{Name: t.text("name"), Rate: t.number("allowance_per_s")})
-	})
-	var gauges []string
-	for _, g := range f.array("gauges") {
-		gauges = append(gauges, string(g.GetStringBytes()))
-	}
-	return s, gauges
+	return list
 }
 
+// readClass reads one class.
 func readClass(c fields) silverpath.Class {
 	return silverpath.Class{
 		Name: c.text("name"), Objective: c.micros("target"), ObjectiveStretch: c.number("aim_stretch"),
 		Deadline: c.micros("deadline"), Weight: c.number("worth"), LateWeight: c.number("late_worth"),
-		Effect: word(c, "effect", map[string]silverpath.Effect{
+		Effect: enum(c, "effect", map[string]silverpath.Effect{
 			"pure": silverpath.Safe, "token": silverpath.Idempotent, "side_effect": silverpath.NonIdempotent}),
 		IdempotencyWindow: c.micros("memory_span"),
 	}
 }
 
-// Gauges puts readings, in the order of the names that the settings gave, where the module looks for them.
+// Gauges puts readings, in the order of the names that the settings gave, where the module looks for them. It is called with every
+// set of readings; there are as many values as names.
 func Gauges(names []string, values []float64) silverpath.Gauges {
 	var g silverpath.Gauges
 	for i, name := range names {
--- a/internal/settings/shape.go
+++ b/internal/settings/shape.go
@@ -14,12 +14,14 @@
 // shape is the set of keys that a file gives, by path. Of an array of objects it has the keys that all of them give.
 type shape map[string]bool
 
+// shapeOf returns the shape of a file.
 func shapeOf(v *fastjson.Value) shape {
 	s := shape{}
 	s.add("", v)
 	return s
 }
 
+// add adds the keys of a value at a path.
 func (s shape) add(path string, v *fastjson.Value) {
 	switch v.Type() {
 	case fastjson.TypeObject:
@@ -53,7 +55,8 @@
 func (s shape) lacks(t shape) string {
 	for _, key := range slices.Sorted(maps.Keys(s)) {
 		list, _, inside := strings.Cut(key, "[]")
-		if !t[key] && !(inside && t[list] && !t[list+"[]"]) {
+		emptyList := inside && t[list] && !t[list+"[]"]
+		if !t[key] && !emptyList {
 			return key
 		}
 	}
--- a/internal/settings/target.go
+++ b/internal/settings/target.go
@@ -58,6 +58,7 @@
 	return t, t.Check()
 }
 
+// readReadings reads how the target's words are to be understood.
 func readReadings(f fields) capacity.Readings {
 	f.only("callers_pick_servers", "routes_beside_tenants", "control_is_what_is_added")
 	return capacity.Readings{CallersPick: f.flag("callers_pick_servers"), RoutesBeside: f.flag("routes_beside_tenants"),
@@ -73,6 +74,7 @@
 	return o
 }
 
+// size is one number of the target, by its key.
 type size struct {
 	key string
 	v   *float64
--- a/internal/settings/target_test.go
+++ b/internal/settings/target_test.go
@@ -34,7 +34,7 @@
 	var walk func(path string, o map[string]any)
 	walk = func(path string, o map[string]any) {
 		for key, was := range o {
-			bad := map[string]any{"unknown": nil}
+			var bad map[string]any
 			switch v := was.(type) {
 			case map[string]any:
 				walk(path+key+".", v)
