--- a/cmd/silverpath/overlap_test.go
+++ b/cmd/silverpath/overlap_test.go
@@ -76,14 +76,14 @@
 	if err != nil {
 		f.t.Fatal(err)
 	}
-	d := r.Book.Documents[name]
+	d := r.Store.Documents[name]
 	if d == nil {
 		return 0, "", ""
 	}
 	if d.Active != nil {
 		force = d.Active.ID.Version
 	}
-	return force, d.Stage, r.Book.WaitingFor(d)
+	return force, d.Stage, r.Store.WaitingFor(d)
 }
 
 // wait waits until a version of a document is in force.
@@ -275,7 +275,7 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				d := r.Book.Documents["classes"]
+				d := r.Store.Documents["classes"]
 				if last := d.History[len(d.History)-1]; strings.HasPrefix(last.Outcome, "withdrawn") {
 					withdrawn++
 					wait = wait * 3 / 2
--- a/cmd/silverpath/parts.go
+++ b/cmd/silverpath/parts.go
@@ -129,10 +129,10 @@
 // proposedAlready is the version that a change has become which was proposed twice, as the first answer was lost on the way; 0: none.
 func proposedAlready(ctx context.Context, g *quorum.Client, change configstore.Change, digest uint64, top int) int {
 	r, err := g.Config(ctx)
-	if err != nil || r.Book.Documents[change.Doc] == nil {
+	if err != nil || r.Store.Documents[change.Doc] == nil {
 		return 0
 	}
-	d := r.Book.Documents[change.Doc]
+	d := r.Store.Documents[change.Doc]
 	for _, e := range []*configstore.Revision{d.Proposed, d.Active} {
 		if e != nil && e.ID == (configstore.ID{Version: top + 1, Digest: digest}) && e.Author == change.Author {
 			return e.ID.Version
--- a/cmd/silverpath/parts_test.go
+++ b/cmd/silverpath/parts_test.go
@@ -151,7 +151,7 @@
 	}
 	holds := func(doc string, version int) bool {
 		r := must[quorum.ConfigView](t)(f.g.Client.Config(f.g.within(10 * time.Second)))
-		for name, u := range r.Book.Processes {
+		for name, u := range r.Store.Processes {
 			if strings.HasPrefix(name, "cut#") && u.Prepared[doc] == version {
 				return true
 			}
--- a/cmd/silverpath/partsguards_test.go
+++ b/cmd/silverpath/partsguards_test.go
@@ -58,7 +58,7 @@
 	}
 	holds := func(who string) bool {
 		r := must[quorum.ConfigView](t)(f.g.Client.Config(f.g.within(10 * time.Second)))
-		for name, u := range r.Book.Processes {
+		for name, u := range r.Store.Processes {
 			if strings.HasPrefix(name, who+"#") && u.Prepared["map"] == 3 {
 				return true
 			}
--- a/cmd/silverpath/rules.go
+++ b/cmd/silverpath/rules.go
@@ -36,7 +36,7 @@
 	// get shows a document as a file has it, also one that is in parts.
 	get := func(do func(ctx context.Context, r quorum.ConfigView) error) error {
 		return read(func(ctx context.Context, r quorum.ConfigView) error {
-			for name, d := range r.Book.Documents {
+			for name, d := range r.Store.Documents {
 				if d.Active == nil || !d.Active.InParts || name != asked {
 					continue
 				}
@@ -104,7 +104,7 @@
 
 // doc is a document by its name; an error names those that there can be.
 func doc(r quorum.ConfigView, name string) (*configstore.Document, error) {
-	if d := r.Book.Documents[name]; d != nil {
+	if d := r.Store.Documents[name]; d != nil {
 		return d, nil
 	}
 	return nil, fmt.Errorf("no such document yet: %q, of %s", name, strings.Join(configstore.DocumentNames, ", "))
--- a/cmd/silverpath/rulesput.go
+++ b/cmd/silverpath/rulesput.go
@@ -96,7 +96,7 @@
 	if p.config, err = p.group.Config(ctx); err != nil {
 		return err
 	}
-	if d := p.config.Book.Documents[p.doc]; d != nil {
+	if d := p.config.Store.Documents[p.doc]; d != nil {
 		p.active, p.highest = d.Active, d.HighestVersion
 	}
 	if goesInParts(p.doc, p.text, p.active) {
@@ -180,7 +180,7 @@
 		if err != nil {
 			return fmt.Errorf("%s version %d is under way: %s: %w", name, version, printed, err)
 		}
-		d := r.Book.Documents[name]
+		d := r.Store.Documents[name]
 		switch {
 		case d == nil:
 			return fmt.Errorf("%s is gone", name)
@@ -195,7 +195,7 @@
 			}
 			return fmt.Errorf("%s: version %d is no more", name, version)
 		}
-		if line := fmt.Sprintf("%s: version %d is %s: %s", name, version, d.Stage, r.Book.WaitingFor(d)); line != printed {
+		if line := fmt.Sprintf("%s: version %d is %s: %s", name, version, d.Stage, r.Store.WaitingFor(d)); line != printed {
 			printed = line
 			fmt.Fprintln(out, strings.TrimSuffix(line, ": "))
 		}
@@ -219,8 +219,8 @@
 		Waits string `json:"waits,omitempty"`
 	}
 	var users []user
-	for _, n := range slices.Sorted(maps.Keys(r.Book.Processes)) {
-		reads, uses := r.Book.Processes[n].Formats[name]
+	for _, n := range slices.Sorted(maps.Keys(r.Store.Processes)) {
+		reads, uses := r.Store.Processes[n].Formats[name]
 		switch {
 		case !uses:
 		case reads < format:
--- a/cmd/silverpath/rulesshow.go
+++ b/cmd/silverpath/rulesshow.go
@@ -44,7 +44,7 @@
 // showDocs shows all documents, or the text of one.
 func showDocs(out io.Writer, r quorum.ConfigView, name string, asJSON bool) error {
 	if name != "" {
-		d := r.Book.Documents[name]
+		d := r.Store.Documents[name]
 		switch {
 		case asJSON:
 			return printJSON(out, d)
@@ -55,12 +55,12 @@
 		return err
 	}
 	if asJSON {
-		return printJSON(out, r.Book.Documents)
+		return printJSON(out, r.Store.Documents)
 	}
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "DOC\tIN FORCE\tSINCE\tBY\tUNDER WAY\tSTAGE\tWAITS FOR")
-	for _, n := range slices.Sorted(maps.Keys(r.Book.Documents)) {
-		d := r.Book.Documents[n]
+	for _, n := range slices.Sorted(maps.Keys(r.Store.Documents)) {
+		d := r.Store.Documents[n]
 		active, since, by, proposed := "", "", "", ""
 		if d.Active != nil {
 			active, since, by = d.Active.ID.String(), stamp(d.Active.ActiveSince), d.Active.Author
@@ -68,7 +68,7 @@
 		if d.Proposed != nil {
 			proposed = d.Proposed.ID.String()
 		}
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\n", n, active, since, by, proposed, d.Stage, r.Book.WaitingFor(d))
+		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\n", n, active, since, by, proposed, d.Stage, r.Store.WaitingFor(d))
 	}
 	return w.Flush()
 }
@@ -83,7 +83,7 @@
 
 // showHistory shows the versions of a document.
 func showHistory(out io.Writer, r quorum.ConfigView, name string, asJSON bool) error {
-	d := r.Book.Documents[name]
+	d := r.Store.Documents[name]
 	all := slices.Clone(d.History)
 	for _, e := range []*configstore.Revision{d.Active, d.Proposed} {
 		if e != nil {
@@ -128,8 +128,8 @@
 
 // processRows are those of all processes, or of those that use a document.
 func processRows(r quorum.ConfigView, doc string) (rows []processRow) {
-	for _, n := range slices.Sorted(maps.Keys(r.Book.Processes)) {
-		p, report := r.Book.Processes[n], r.Heard[n]
+	for _, n := range slices.Sorted(maps.Keys(r.Store.Processes)) {
+		p, report := r.Store.Processes[n], r.Reports[n]
 		for _, of := range slices.Sorted(maps.Keys(p.Formats)) {
 			if doc != "" && of != doc {
 				continue
@@ -138,7 +138,7 @@
 			if report.ActiveVersions == nil {
 				row.Ago = -1
 			}
-			if d := r.Book.Documents[of]; d != nil && d.Proposed != nil && p.Refusals[of].Version == d.Proposed.ID.Version {
+			if d := r.Store.Documents[of]; d != nil && d.Proposed != nil && p.Refusals[of].Version == d.Proposed.ID.Version {
 				row.Refuses = p.Refusals[of].Reason
 			}
 			rows = append(rows, row)
@@ -164,9 +164,9 @@
 	for _, cell := range slices.Sorted(maps.Keys(r.GrantedQuota)) {
 		fmt.Fprintf(out, "of cell %s at most %.0f%% of what there is to lend is lent\n", cell, 100*r.GrantedQuota[cell])
 	}
-	for _, n := range slices.Sorted(maps.Keys(r.Book.Documents)) {
-		if d := r.Book.Documents[n]; d.Proposed != nil && (name == "" || n == name) {
-			fmt.Fprintf(out, "%s version %d is %s; it waits for: %s\n", n, d.Proposed.ID.Version, d.Stage, r.Book.WaitingFor(d))
+	for _, n := range slices.Sorted(maps.Keys(r.Store.Documents)) {
+		if d := r.Store.Documents[n]; d.Proposed != nil && (name == "" || n == name) {
+			fmt.Fprintf(out, "%s version %d is %s; it waits for: %s\n", n, d.Proposed.ID.Version, d.Stage, r.Store.WaitingFor(d))
 		}
 	}
 	return nil
--- a/internal/controlplane/configwatch/sync.go
+++ b/internal/controlplane/configwatch/sync.go
@@ -16,7 +16,7 @@
 func (w *Watcher) sync(ctx context.Context) bool {
 	w.mu.Lock()
 	s := quorum.ConfigSync{
-		User: w.replica.Report(), HasVersions: w.replica.KnownVersions(), BaseVersions: w.replica.CompleteVersions(),
+		Process: w.replica.Report(), HasVersions: w.replica.KnownVersions(), BaseVersions: w.replica.CompleteVersions(),
 		ActiveVersions: w.replica.ActiveVersions(), StopReason: w.StopReason(),
 	}
 	asked := request{clock: w.clock(), wall: Wall(), at: time.Now()}
--- a/internal/controlplane/quorum/member/config.go
+++ b/internal/controlplane/quorum/member/config.go
@@ -18,7 +18,7 @@
 // a majority has confirmed that this member led after the call came; only what is new of a process goes into the log.
 func (m *Member) handleConfigSync(call msgpackrpc.Call, reply replyFunc) {
 	var s quorum.ConfigSync
-	if err := json.Unmarshal(call.Body, &s); err != nil || s.User.Name == "" {
+	if err := json.Unmarshal(call.Body, &s); err != nil || s.Process.Name == "" {
 		reply(refuse(quorum.CodeRefused, "nobody says this"))
 		return
 	}
@@ -26,17 +26,17 @@
 		reply(m.notLeader())
 		return
 	}
-	if name := unreadableDocument(m.state.Config, s.User); name != "" {
-		reply(refuse(quorum.CodeRefused, "what is in force of %s is of format %d: this build reads %d", name, m.state.Config.Documents[name].Active.Format, s.User.Formats[name]))
+	if name := unreadableDocument(m.state.Config, s.Process); name != "" {
+		reply(refuse(quorum.CodeRefused, "what is in force of %s is of format %d: this build reads %d", name, m.state.Config.Documents[name].Active.Format, s.Process.Formats[name]))
 		return
 	}
-	if !m.configWatch.Observe(s.User.Name, m.clock(), s.ActiveVersions, s.Load, s.StopReason) {
+	if !m.configWatch.Observe(s.Process.Name, m.clock(), s.ActiveVersions, s.Load, s.StopReason) {
 		reply(msgpackrpc.CallResult{Error: quorum.CodeUnknownOutcome}) // its end was proposed: after it, it registers anew
 		return
 	}
 	grant := m.grantQuota(s)
 	tell := func(ok bool) { m.replyConfigSync(s, grant, ok, reply) }
-	err := m.recordUser(s.User, tell, reply)
+	err := m.recordUser(s.Process, tell, reply)
 	if err != nil {
 		reply(m.notLeader())
 	}
@@ -62,12 +62,12 @@
 
 // replyConfigSync tells a process what is in force, as it is once the process is registered; ok is false where nobody here can say.
 func (m *Member) replyConfigSync(s quorum.ConfigSync, grant *quota.Grant, ok bool, reply replyFunc) {
-	u := m.state.Config.Processes[s.User.Name]
+	u := m.state.Config.Processes[s.Process.Name]
 	switch {
 	case ok && u == nil && len(m.state.Config.Processes) >= configstore.MaxProcesses:
 		reply(refuse(quorum.CodeRefused, "%d processes are registered already", configstore.MaxProcesses))
 		return
-	case !ok, u == nil, unreadableDocument(m.state.Config, s.User) != "":
+	case !ok, u == nil, unreadableDocument(m.state.Config, s.Process) != "":
 		reply(msgpackrpc.CallResult{Error: quorum.CodeUnknownOutcome})
 		return
 	}
@@ -108,7 +108,7 @@
 			reply(msgpackrpc.CallResult{Error: quorum.CodeUnknownOutcome})
 			return
 		}
-		b, err := json.Marshal(quorum.ConfigView{Book: m.state.Config.Summary(), Heard: m.configWatch.Reports(m.clock()), Terms: m.state.Terms, Wall: time.Now().UnixMilli(), GrantedQuota: m.quotaLedger.LentRatios(m.clock())})
+		b, err := json.Marshal(quorum.ConfigView{Store: m.state.Config.Summary(), Reports: m.configWatch.Reports(m.clock()), Terms: m.state.Terms, Wall: time.Now().UnixMilli(), GrantedQuota: m.quotaLedger.LentRatios(m.clock())})
 		if err != nil {
 			reply(refuse(quorum.CodeRefused, "%v", err))
 			return
--- a/internal/controlplane/quorum/member/config_parts_test.go
+++ b/internal/controlplane/quorum/member/config_parts_test.go
@@ -153,7 +153,7 @@
 	if err != nil {
 		g.t.Fatal(err)
 	}
-	d := r.Book.Documents[configstore.DocMap]
+	d := r.Store.Documents[configstore.DocMap]
 	if d == nil {
 		return nil
 	}
@@ -220,7 +220,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
 	asked := time.Since(f.began)
-	a, err := g.Sync(ctx, quorum.ConfigSync{User: f.h.Report(), HasVersions: f.h.KnownVersions(), BaseVersions: f.h.CompleteVersions(), ActiveVersions: f.h.ActiveVersions()})
+	a, err := g.Sync(ctx, quorum.ConfigSync{Process: f.h.Report(), HasVersions: f.h.KnownVersions(), BaseVersions: f.h.CompleteVersions(), ActiveVersions: f.h.ActiveVersions()})
 	if err != nil {
 		return err
 	}
@@ -238,9 +238,10 @@
 	return nil
 }
 
-// A process follows a large map by what changed: whole at first, then a tenant's part and the top; at rest its answer does not grow
-// with the map. One of an older build is told that it can't read what is in force, and a change in parts waits for one that is there.
-func TestFollowInParts(t *testing.T) {
+// A thousand processes that got the complete map with every change, or with every question, would fill the leader's link. A process gets
+// it once, then the parts that changed; at rest the reply does not grow with the map. One of an older build is told that it can't read
+// the active version, and a change in parts waits for one that is there.
+func TestProcessFollowsALargeMapByWhatChanged(t *testing.T) {
 	var atRest []int
 	for _, tenants := range []int{1000, 21000} {
 		g := newMembers(t, 1, 3*time.Second)
@@ -293,9 +294,9 @@
 	}
 }
 
-// What a change touches is written with it by the member that leads; a cell's name stops the cell alone, the skew everything. A
-// map of today is the base of the first one in parts.
-func TestTouchesOfAChange(t *testing.T) {
+// A client of another build might write less than a change touches, and what must stop would go on. So the leader writes it: a new
+// cell stops that cell alone, the clock skew everything. A map that is not in parts is the base of the first one that is.
+func TestLeaderWritesWhatAChangeTouches(t *testing.T) {
 	g := newMembers(t, 1, 3*time.Second)
 	m := largeMap(30)
 	g.must(configstore.Change{Op: configstore.OpPropose, Doc: configstore.DocMap, Text: string(settings.FormatCells(m))})
@@ -349,9 +350,9 @@
 	}
 }
 
-// A member that was away while the log went on gets a snapshot longer than a word, in chunks. One that is lost on the way has the
-// whole sent again.
-func TestSnapshotInChunks(t *testing.T) {
+// A member that was away while the log went on needs a snapshot that is longer than a call. It goes in parts; one that is lost on the way
+// has the whole snapshot sent again.
+func TestLongSnapshotGoesInPartsAndIsSentAgain(t *testing.T) {
 	var lost atomic.Int32
 	t.Cleanup(func() { SnapshotPartHook = nil }) // once the members have ended
 	SnapshotPartHook = func(n int) bool { return n != 2 || lost.Add(1) != 1 }
@@ -420,8 +421,9 @@
 	}
 }
 
-// A chunk that doesn't follow, is of another, or beyond the bound is told no, and what there was is dropped.
-func TestChunksThatDontFollow(t *testing.T) {
+// Parts of two snapshots, or with one missing between, would make a state that no member has. A part that does not follow, is of another
+// snapshot, or beyond the bound is refused, and what there was is dropped.
+func TestPartsThatDoNotFollowDropTheSnapshot(t *testing.T) {
 	m := &Member{confirmed: true, stats: &metrics.Counters{}, cfg: Config{Group: "test"}}
 	say := func(from uint64, body, s, o, l string) string {
 		v := m.handleSnapshotPart(msgpackrpc.Call{Body: []byte(body), Fields: map[string]string{"s": s, "o": o, "l": l}}, from)
@@ -459,8 +461,9 @@
 	}
 }
 
-// What a hundred processes say while the disk is busy is put into the log together, and each has its answer.
-func TestWordsTogether(t *testing.T) {
+// A hundred processes that come back at once would cost a hundred writes to the disk. What they report while the disk is busy is one
+// entry of the log, and each has its reply.
+func TestReportsThatComeTogetherAreOneEntry(t *testing.T) {
 	var held atomic.Bool
 	free := make(chan struct{})
 	t.Cleanup(func() { DiskFaultHook = nil }) // once the members have ended
@@ -498,8 +501,8 @@
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
 	r, err := g.Config(ctx)
-	if err != nil || len(r.Book.Processes) != n {
-		t.Fatal(len(r.Book.Processes), err)
+	if err != nil || len(r.Store.Processes) != n {
+		t.Fatal(len(r.Store.Processes), err)
 	}
 	entries := g.stats[0].Get("group", "applied") - before
 	if entries > n/10 {
--- a/internal/controlplane/quorum/member/golden_test.go
+++ b/internal/controlplane/quorum/member/golden_test.go
@@ -254,7 +254,7 @@
 	if v.Terms.TTL != 3*time.Second || v.Table.CheckHolder("keeper", "a#1", 4294967297) != nil || v.Wall != 1 {
 		t.Errorf("%+v", v)
 	}
-	_, err = c.Sync(ctx, quorum.ConfigSync{User: configstore.Process{Name: "r1#1", Formats: map[string]int{"map": 2}, Prepared: map[string]int{"map": 3}, Quiesced: map[string]int{"map": 4},
+	_, err = c.Sync(ctx, quorum.ConfigSync{Process: configstore.Process{Name: "r1#1", Formats: map[string]int{"map": 2}, Prepared: map[string]int{"map": 3}, Quiesced: map[string]int{"map": 4},
 		Refusals: map[string]configstore.Refusal{"map": {Version: 5, Reason: "w"}}}, HasVersions: map[string][]int{"map": {1, 2}}, BaseVersions: map[string]int{"map": 1}, ActiveVersions: map[string]int{"map": 1},
 		Load: configstore.Goodput{Offered: 2, Served: 1}, StopReason: "s", Quota: &quota.Request{MaxRouters: 3, Applied: 4, Rates: []quota.Allocation{{Cell: "c", Tenant: "t", Rate: 1.5}}, Demand: []quota.Allocation{}}})
 	must(err)
--- a/internal/controlplane/quorum/member/peer_test.go
+++ b/internal/controlplane/quorum/member/peer_test.go
@@ -8,8 +8,9 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// What is packed comes out again; what is cut short anywhere is an error and no panic.
-func FuzzUnpack(f *testing.F) {
+// Bytes of a damaged or hostile member must not end this one. What is appended is read again; what is cut short anywhere is an error and
+// no panic.
+func FuzzParseMessages(f *testing.F) {
 	var b []byte
 	for i := range uint64(3) {
 		b, _ = appendMessage(b, &pb.Message{Type: pb.MsgApp.Enum(), To: proto.Uint64(i), Entries: []*pb.Entry{{Data: bytes.Repeat([]byte("x"), int(40*i))}}})
--- a/internal/controlplane/quorum/member/quota.go
+++ b/internal/controlplane/quorum/member/quota.go
@@ -77,7 +77,7 @@
 	if !m.updateLedger(d.Active) {
 		return nil
 	}
-	g, ok := m.quotaLedger.Lend(m.clock(), s.User.Name, *s.Quota)
+	g, ok := m.quotaLedger.Lend(m.clock(), s.Process.Name, *s.Quota)
 	if !ok {
 		m.stats.Inc("rules", "no_share")
 		return nil
--- a/internal/controlplane/quorum/membership.go
+++ b/internal/controlplane/quorum/membership.go
@@ -39,8 +39,8 @@
 	return r.Body, err
 }
 
-// tellMember tells one member a value.
-func (c *Client) tellMember(ctx context.Context, addr, method string, value any) error {
+// callMemberWith tells one member a value.
+func (c *Client) callMemberWith(ctx context.Context, addr, method string, value any) error {
 	body, err := json.Marshal(value)
 	if err != nil {
 		return err
@@ -68,7 +68,7 @@
 		}
 	}
 	for _, addr := range c.Addrs {
-		if err := c.tellMember(ctx, addr, MethodFound, b); err != nil {
+		if err := c.callMemberWith(ctx, addr, MethodFound, b); err != nil {
 			return b, err
 		}
 	}
@@ -95,7 +95,7 @@
 	if err != nil {
 		return err
 	}
-	if err := c.tellMember(ctx, addr, MethodJoin, Join{ID: leader.GroupID, Members: leader.Members}); err != nil {
+	if err := c.callMemberWith(ctx, addr, MethodJoin, Join{ID: leader.GroupID, Members: leader.Members}); err != nil {
 		return err
 	}
 	member, err := json.Marshal(statemachine.Member{ID: parseMemberID(s.ID), Name: s.Name, Addr: addr})
--- a/internal/controlplane/quorum/messages.go
+++ b/internal/controlplane/quorum/messages.go
@@ -114,7 +114,7 @@
 
 // ConfigSync is what a process that acts on documents says of itself, to be told what is in force.
 type ConfigSync struct {
-	User           configstore.Process `json:"user"`
+	Process        configstore.Process `json:"user"`
 	HasVersions    map[string][]int    `json:"has"`             // by document: the versions whose texts it has, or whose parts it can name
 	BaseVersions   map[string]int      `json:"bases,omitempty"` // by document in parts: the version that it has complete
 	ActiveVersions map[string]int      `json:"acts"`            // by document: the version that it acts on
@@ -134,10 +134,10 @@
 
 // ConfigView is what can be read of the documents, and what the leader has heard of the processes that use them.
 type ConfigView struct {
-	Book  *configstore.Store                   `json:"book"`
-	Heard map[string]configstore.ProcessReport `json:"heard"`
-	Terms lease.Terms                          `json:"terms"`
-	Wall  int64                                `json:"wall"` // as in StateView
+	Store   *configstore.Store                   `json:"book"`
+	Reports map[string]configstore.ProcessReport `json:"heard"`
+	Terms   lease.Terms                          `json:"terms"`
+	Wall    int64                                `json:"wall"` // as in StateView
 	// GrantedQuota is by cell the most that routers may be acting on, as a share of what there is to grant.
 	GrantedQuota map[string]float64 `json:"lent,omitempty"`
 }
--- a/internal/controlplane/runner/leases.go
+++ b/internal/controlplane/runner/leases.go
@@ -85,12 +85,12 @@
 	answers := make(chan leaseAnswer, answerQueueLength)
 	tick := time.NewTicker(leaseInterval)
 	defer tick.Stop()
-	held, leaving := false, ctx.Done()
+	wasHeld, ending := false, ctx.Done()
 	graceOver := make(<-chan time.Time)
 	for {
 		select {
-		case <-leaving:
-			leaving = nil
+		case <-ending:
+			ending = nil
 			d.release(false)
 			graceOver = time.After(releaseGrace)
 		case <-graceOver:
@@ -102,15 +102,15 @@
 		case <-tick.C:
 		}
 		s := d.lookAtLease()
-		if s.holds != held {
-			held = s.holds
+		if s.holds != wasHeld {
+			wasHeld = s.holds
 			d.logHolding(s)
 		}
-		if s.state == lease.Stopped && leaving == nil {
+		if s.state == lease.Stopped && ending == nil {
 			return
 		}
 		if s.due {
-			go d.askGroup(s.now, s.request, answers)
+			go d.requestLease(s.now, s.request, answers)
 		}
 	}
 }
@@ -125,9 +125,9 @@
 	d.cfg.Stats.Inc(strings.ReplaceAll(event, ".", "_"), d.name)
 }
 
-// askGroup makes a request about the lease. It ends with the answer, or requestTimeout: then the lease runs out by itself. It does not
+// requestLease makes a request about the lease. It ends with the answer, or requestTimeout: then the lease runs out by itself. It does not
 // end with the runner's context, as the release is asked for after that.
-func (d *duty) askGroup(now time.Duration, request lease.Request, answers chan<- leaseAnswer) {
+func (d *duty) requestLease(now time.Duration, request lease.Request, answers chan<- leaseAnswer) {
 	asking, cancel := context.WithTimeout(context.Background(), requestTimeout)
 	defer cancel()
 	r, err := d.cfg.Group.Do(asking, statemachine.Command{Lease: &request})
--- a/internal/controlplane/runner/monitor.go
+++ b/internal/controlplane/runner/monitor.go
@@ -18,21 +18,21 @@
 	maxReportAge   = 3 * reportInterval // two reports in a row may be lost
 )
 
-// askRouters asks the routers for what they know of the servers and for the weight that they were asked for and served, until the
+// pollRouters asks the routers for what they know of the servers and for the weight that they were asked for and served, until the
 // context ends.
-func (r *Runner) askRouters(ctx context.Context) {
+func (r *Runner) pollRouters(ctx context.Context) {
 	for ctx.Err() == nil {
 		var all sync.WaitGroup
 		for _, router := range r.cfg.Set.Routers {
-			all.Go(func() { r.askRouter(router) })
+			all.Go(func() { r.pollRouter(router) })
 		}
 		all.Wait()
 		pause(ctx, reportInterval)
 	}
 }
 
-// askRouter asks one router, and notes its answer; one that does not answer has reported nothing.
-func (r *Runner) askRouter(router string) {
+// pollRouter asks one router, and notes its answer; one that does not answer has reported nothing.
+func (r *Runner) pollRouter(router string) {
 	at := r.clock()
 	body, err := client.Status(client.Platform, router)
 	if err != nil {
@@ -43,7 +43,7 @@
 		return
 	}
 	fleet := v.Get("fleet")
-	report := controller.HealthReport{Router: router, AskedAt: at, Dead: map[string]bool{}}
+	report := controller.HealthReport{Router: router, RequestedAt: at, Dead: map[string]bool{}}
 	for _, s := range fleet.GetArray("servers") {
 		report.Dead[string(s.GetStringBytes("name"))] = string(s.GetStringBytes("health")) == "dead"
 	}
--- a/internal/controlplane/runner/rollout.go
+++ b/internal/controlplane/runner/rollout.go
@@ -96,12 +96,12 @@
 
 // refusedEpoch reads the epoch that a server's fence has seen out of its refusal of a stale one; the text is the fence's.
 func refusedEpoch(reason, duty string) (lease.Epoch, bool) {
-	_, seen, ok := strings.Cut(reason, duty+": ")
+	_, observed, ok := strings.Cut(reason, duty+": ")
 	if !ok || !strings.HasPrefix(reason, fence.ErrStaleEpoch.Error()) {
 		return 0, false
 	}
 	var generation, number uint64
-	if _, err := fmt.Sscanf(seen, "%d.%d was seen", &generation, &number); err != nil {
+	if _, err := fmt.Sscanf(observed, "%d.%d was seen", &generation, &number); err != nil {
 		return 0, false
 	}
 	return lease.Epoch(generation<<32 | number), true
--- a/internal/controlplane/runner/runner.go
+++ b/internal/controlplane/runner/runner.go
@@ -96,7 +96,7 @@
 		all.Go(func() { d.work(ctx) })
 	}
 	if len(r.cfg.Set.Routers) > 0 {
-		all.Go(func() { r.askRouters(ctx) })
+		all.Go(func() { r.pollRouters(ctx) })
 	}
 	all.Go(func() { r.probeServers(ctx) })
 	all.Wait()
--- a/internal/controlplane/runner/work.go
+++ b/internal/controlplane/runner/work.go
@@ -60,13 +60,13 @@
 // actOnce reads the duty's journal, asks its controller for the next action and carries it out. It reports whether there was one.
 func (d *duty) actOnce(ctx context.Context, epoch lease.Epoch) (acted bool, err error) {
 	asking, cancel := context.WithTimeout(ctx, requestTimeout)
-	askedAt := time.Now()
+	requestedAt := time.Now()
 	view, err := d.cfg.Group.Read(asking, d.name)
 	cancel()
 	if err != nil {
 		return false, err
 	}
-	clockOffset := Wall().Sub(time.UnixMilli(view.Wall)).Abs() - time.Since(askedAt) - clockTolerance
+	clockOffset := Wall().Sub(time.UnixMilli(view.Wall)).Abs() - time.Since(requestedAt) - clockTolerance
 	if err := view.Table.CheckHolder(d.name, d.process, epoch); err != nil {
 		return false, err
 	}
--- a/internal/policy/capacity/page_test.go
+++ b/internal/policy/capacity/page_test.go
@@ -268,7 +268,7 @@
 	}
 	read := func(users int) int {
 		b, heard := book(users)
-		return wrote(quorum.ConfigView{Book: b.Summary(), Heard: heard})
+		return wrote(quorum.ConfigView{Store: b.Summary(), Reports: heard})
 	}
 	if n := float64(snapshot(20)-snapshot(10)) / 10; n != p.UserWord {
 		t.Errorf("a snapshot: %v bytes a process, the table has %v", n, p.UserWord)
@@ -354,7 +354,7 @@
 		t.Fatal(err)
 	}
 	within("snapshot", len(b), at("leader", "bytes of a snapshot of the group", capacity.Rest))
-	within("reading", wrote(quorum.ConfigView{Book: s.Config.Summary(), Heard: heard}), at("tool", "bytes of one reading of the rules", capacity.Rest))
+	within("reading", wrote(quorum.ConfigView{Store: s.Config.Summary(), Reports: heard}), at("tool", "bytes of one reading of the rules", capacity.Rest))
 	if n := at("tool", "words of a first import", capacity.Rest) / 1024; math.Abs(float64(len(batches))-n) > 1 {
 		t.Errorf("%d words of a first import, counted %v", len(batches), n)
 	}
--- a/internal/policy/controller/monitor.go
+++ b/internal/policy/controller/monitor.go
@@ -9,9 +9,9 @@
 
 // HealthReport is what one router says of the servers.
 type HealthReport struct {
-	Router  string
-	AskedAt time.Duration   // when it was asked, by the holder's clock
-	Dead    map[string]bool // by server: dead; else alive, or not known to be dead
+	Router      string
+	RequestedAt time.Duration   // when it was asked, by the holder's clock
+	Dead        map[string]bool // by server: dead; else alive, or not known to be dead
 }
 
 // Verdict is what the monitor takes a server to be. Its text is part of log events, as in "watcher.partly".
@@ -55,7 +55,7 @@
 func (w *Monitor) Verdicts(servers []string, now time.Duration) map[string]Verdict {
 	var fresh []HealthReport
 	for _, router := range w.Routers {
-		if r, ok := w.latest[router]; ok && now-r.AskedAt <= w.MaxReportAge {
+		if r, ok := w.latest[router]; ok && now-r.RequestedAt <= w.MaxReportAge {
 			fresh = append(fresh, r)
 		}
 	}
--- a/internal/policy/controller/monitor_test.go
+++ b/internal/policy/controller/monitor_test.go
@@ -11,7 +11,7 @@
 	w := &Monitor{Routers: []string{"r1", "r2", "r3"}, DeadAfter: 4 * time.Second, MaxReportAge: 3 * time.Second}
 	at := time.Duration(0)
 	say := func(who string, dead ...string) {
-		r := HealthReport{Router: who, AskedAt: at, Dead: map[string]bool{}}
+		r := HealthReport{Router: who, RequestedAt: at, Dead: map[string]bool{}}
 		for _, d := range dead {
 			r.Dead[d] = true
 		}
--- a/internal/testkit/benchmarks/partsschedules.go
+++ b/internal/testkit/benchmarks/partsschedules.go
@@ -74,7 +74,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
 	b, err := r.g.Client.Config(ctx)
-	if err == nil && !b.Book.Documents[configstore.DocMap].Active.InParts {
+	if err == nil && !b.Store.Documents[configstore.DocMap].Active.InParts {
 		err = fmt.Errorf("a map of %d tenants is not in parts", tenants)
 	}
 	return r, err
@@ -219,7 +219,7 @@
 		broke("%v", err)
 		return
 	}
-	d := b.Book.Documents[configstore.DocMap]
+	d := b.Store.Documents[configstore.DocMap]
 	for _, e := range append(slices.Clone(d.History), d.Active) {
 		name := e.ID.String()
 		if r.had[name] == nil {
--- a/internal/testkit/benchmarks/partssim.go
+++ b/internal/testkit/benchmarks/partssim.go
@@ -260,7 +260,7 @@
 		}
 		asked, said := now, p.h.Report()
 		has, bases, acts := p.h.KnownVersions(), p.h.CompleteVersions(), p.h.ActiveVersions()
-		bytes := length(quorum.ConfigSync{User: said, HasVersions: has, BaseVersions: bases, ActiveVersions: acts})
+		bytes := length(quorum.ConfigSync{Process: said, HasVersions: has, BaseVersions: bases, ActiveVersions: acts})
 		after(way(p.far), func() {
 			hear(bytes)
 			if !watch.Observe(p.h.Name, now, acts, configstore.Goodput{}, "") {
--- a/internal/testkit/benchmarks/rules.go
+++ b/internal/testkit/benchmarks/rules.go
@@ -579,9 +579,9 @@
 			return o
 		}
 		open := ""
-		for name, d := range b.Book.Documents {
+		for name, d := range b.Store.Documents {
 			if d.Proposed != nil {
-				open = name + " " + string(d.Stage) + ": " + b.Book.WaitingFor(d)
+				open = name + " " + string(d.Stage) + ": " + b.Store.WaitingFor(d)
 			}
 		}
 		if open == "" {
--- a/internal/testkit/benchmarks/scale.go
+++ b/internal/testkit/benchmarks/scale.go
@@ -688,7 +688,7 @@
 	for {
 		r, err := g.Client.Config(ctx)
 		if err == nil {
-			if d := r.Book.Documents[doc]; d != nil && d.Proposed == nil && d.Active != nil {
+			if d := r.Store.Documents[doc]; d != nil && d.Proposed == nil && d.Active != nil {
 				g.doc[doc] = d.Active.ID.Version
 				return nil
 			}
--- a/internal/testkit/hollow/hollow_test.go
+++ b/internal/testkit/hollow/hollow_test.go
@@ -246,16 +246,16 @@
 	if err := json.Unmarshal(w.Body, &s); err != nil {
 		return msgpackrpc.CallResult{Error: quorum.CodeRefused}
 	}
-	g.heard[strings.SplitN(s.User.Name, "#", 2)[0]]++
+	g.heard[strings.SplitN(s.Process.Name, "#", 2)[0]]++
 	op := configstore.OpReport
-	if g.b.Processes[s.User.Name] == nil {
+	if g.b.Processes[s.Process.Name] == nil {
 		op = configstore.OpRegister
 	}
-	_ = g.apply(configstore.Change{Op: op, Process: &s.User})
+	_ = g.apply(configstore.Change{Op: op, Process: &s.Process})
 	docs := map[string]configstore.View{}
-	for name := range s.User.Formats {
+	for name := range s.Process.Formats {
 		if d := g.b.Documents[name]; d != nil {
-			docs[name] = d.ViewFor(&s.User, s.HasVersions[name], s.BaseVersions[name])
+			docs[name] = d.ViewFor(&s.Process, s.HasVersions[name], s.BaseVersions[name])
 		}
 	}
 	out, _ := json.Marshal(quorum.ConfigSyncReply{Terms: lease.Terms{TTL: time.Second, Drift: 0.05}, Index: g.index, Wall: time.Now().UnixMilli(), Docs: docs})
