--- a/internal/transport/admin/mgmt_test.go
+++ b/internal/transport/admin/admin_test.go
@@ -220,7 +220,7 @@
 			if reasons[bad.code] == "" || bad.message == "" || strings.Contains(bad.message, "\n") {
 				t.Fatalf("%q: %+v", b, bad)
 			}
-		case err != io.EOF:
+		case !errors.Is(err, io.EOF):
 			t.Fatalf("%q: %v", b, err)
 		}
 	})
