--- a/internal/transport/interpreter/interp_test.go
+++ b/internal/transport/interpreter/link_test.go
@@ -382,7 +382,7 @@
 		m.say(banner, tops)
 		began := time.Now()
 		l.Redirect("127.0.0.1:2")
-		m = next()
+		next()
 		if d := time.Since(began); d != redirectTimeout {
 			t.Fatalf("left after %v", d)
 		}
@@ -423,7 +423,7 @@
 	f.Add(`{"type":"ERROR","state":"no such","job":"a"}` + "\n[]\n")
 	f.Fuzz(func(t *testing.T, in string) {
 		near, far := net.Pipe()
-		go io.Copy(io.Discard, far)
+		go func() { _, _ = io.Copy(io.Discard, far) }()
 		go func() {
 			io.WriteString(far, in)
 			far.Close()
@@ -451,7 +451,7 @@
 			b[rnd.IntN(len(b))] = byte(rnd.Uint32())
 		}
 		near, far := net.Pipe()
-		go io.Copy(io.Discard, far)
+		go func() { _, _ = io.Copy(io.Discard, far) }()
 		l := New("", []string{"core_use"}, &heard{}, log.New(io.Discard, "", 0), &metrics.Counters{})
 		go func() { far.Write(append(b, '\n')); far.Close() }()
 		if l.read(near) == nil {
