--- a/internal/policy/quota/quota_test.go
+++ b/internal/policy/quota/quota_test.go
@@ -273,3 +273,27 @@
 		t.Error("routers were told of different numbers of them")
 	}
 }
+
+// A request that was delayed was answered after a newer one. Its grant has a higher number, and was made by what the router used when it
+// asked: another leader may have lent that since. Did the router take it, two could use what there is once. So it takes a grant only for
+// a request that told what it uses now.
+func TestGrantForAnEarlierRequestIsNotTaken(t *testing.T) {
+	h, k := NewHolder(8, false), Key{"c", "t0"}
+	grant := func(seq uint64, rate float64) Grant { return Grant{Seq: seq, Rates: []Allocation{{"c", "t0", rate}}} }
+	h.TakeGrant(0, 0, grant(5, 10), terms)
+	if got := h.Rate(0, k); got != 10 {
+		t.Fatalf("of the first grant %v may be used", got)
+	}
+	h.TakeGrant(0, 0, grant(7, 90), terms) // asked for before the first was in use
+	if got := h.Rate(0, k); got != 10 {
+		t.Errorf("of a grant for an earlier request %v may be used", got)
+	}
+	h.TakeGrant(0, 5, grant(4, 90), terms) // overtaken
+	if got := h.Rate(0, k); got != 10 {
+		t.Errorf("of a grant that was overtaken %v may be used", got)
+	}
+	h.TakeGrant(0, 5, grant(8, 20), terms)
+	if got := h.Rate(0, k); got != 20 {
+		t.Errorf("of the next grant %v may be used", got)
+	}
+}
