--- a/internal/controlplane/configwatch/configwatch_test.go
+++ b/internal/controlplane/configwatch/configwatch_test.go
@@ -81,7 +81,7 @@
 
 // One that has stopped as a change turns is held by that until it acts on the new; and nobody is told that what he goes by is the newest
 // by an answer of which parts are missing here.
-func TestHeldUntilItActs(t *testing.T) {
+func TestPausedUntilItActs(t *testing.T) {
 	old := map[string]configstore.Part{"a": {Version: 1, Digest: configstore.PartDigest("{}"), Text: "{}"}}
 	next := map[string]configstore.Part{"a": {Version: 2, Digest: configstore.PartDigest(`{"b":1}`), Text: `{"b":1}`}}
 	entry := func(version int, parts map[string]configstore.Part) *configstore.Revision {
--- a/internal/policy/cells/cells_test.go
+++ b/internal/policy/cells/cells_test.go
@@ -107,7 +107,7 @@
 
 // A move goes through its states by the time alone, its keys are asked for where they were as long as they may come
 // again, and an abort half way does the same the other way round.
-func TestMove(t *testing.T) {
+func TestMigration(t *testing.T) {
 	m := fleet(12)
 	p, err := m.PlanMove(t0, "kvizmojster", "b", 0)
 	if err != nil {
@@ -175,7 +175,7 @@
 }
 
 // The planner says no to what the target can't carry, and shows both loads.
-func TestPlannerSaysNo(t *testing.T) {
+func TestPlannerRefuses(t *testing.T) {
 	m := fleet(12) // four servers of 100 a cell
 	m.Tenants[0].Rate = 300
 	if _, err := m.PlanMove(t0, "kvizmojster", "b", 0); err == nil || !strings.Contains(err.Error(), "cell b can't carry it: 370 of 400") {
--- a/internal/policy/configstore/parts_test.go
+++ b/internal/policy/configstore/parts_test.go
@@ -39,7 +39,7 @@
 
 // A book with a document in parts says what a plain list of texts says, whatever is put, drafted, withdrawn and advanced, and
 // whenever it is written and read between; its digest names the whole, and each part the version in which it changed.
-func TestBookInParts(t *testing.T) {
+func TestStoreInParts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := NewStore()
 		var force, next map[string]string // what it has to say; next nil: nothing is under way
@@ -656,7 +656,7 @@
 
 // A thousand that come back in one moment ask for parts at a thousand moments: in no tenth of the spread a quarter more than its
 // part. One that gets nothing waits longer each time, up to half a minute and a little, and one that gets something goes on at once.
-func TestPaced(t *testing.T) {
+func TestRequestsArePaced(t *testing.T) {
 	for _, out := range []DisabledGuards{{}, {Pacing: true}} {
 		f := newFleet(3, 1000, out)
 		f.apply(Change{Op: OpAdvance, Doc: docInParts, Version: 1, Stage: StageProposed})
@@ -731,7 +731,7 @@
 
 // What stops at a change that excludes is what it touches: a class whose effect changes, tenants that live in a cell that comes or
 // goes, all for whatever else.
-func TestTouches(t *testing.T) {
+func TestScopeOf(t *testing.T) {
 	for _, c := range []struct {
 		doc, old, text string
 		touches        []string
@@ -784,7 +784,7 @@
 
 // A process stops what a change touches from when it is told that it turns until it acts on the new: those that live in a cell by
 // the parts before as by those after.
-func TestHolderTouched(t *testing.T) {
+func TestReplicaPauseScopes(t *testing.T) {
 	f := newFleet(1, 1, DisabledGuards{})
 	d := f.book.Documents[docInParts]
 	version := 1
@@ -867,7 +867,7 @@
 }
 
 // One that has not the texts of a change that turns can't know who lives in a cell that it touches: all stops, until it has them.
-func TestTouchedUnseen(t *testing.T) {
+func TestScopeOfMissingParts(t *testing.T) {
 	f := newFleet(1, 1, DisabledGuards{})
 	f.apply(Change{Op: OpAdvance, Doc: docInParts, Version: 1, Stage: StageProposed})
 	f.settle(5)
--- a/internal/policy/configstore/store_test.go
+++ b/internal/policy/configstore/store_test.go
@@ -220,7 +220,7 @@
 
 // All orders up to a length from the moment at which one process of two has stopped for a change; the other is about to hear of
 // it, or to be cut off.
-func TestAllOrdersOfATurn(t *testing.T) {
+func TestAllOrdersOfQuiescing(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		out  guards
@@ -283,7 +283,7 @@
 }
 
 // What a book says no to, and what becomes of versions.
-func TestBook(t *testing.T) {
+func TestStore(t *testing.T) {
 	b := NewStore()
 	must := func(c Change) {
 		t.Helper()
@@ -387,7 +387,7 @@
 
 // A change that may be bad acts at a part of the processes first, and is taken back where less is served; one that turns out bad
 // once it is in force is taken back within its time; a good one stays. The same again is not taken without a word.
-func TestWatched(t *testing.T) {
+func TestRolloutIsObserved(t *testing.T) {
 	for _, c := range []struct {
 		name             string
 		part             float64
--- a/internal/policy/configstore/stored_test.go
+++ b/internal/policy/configstore/stored_test.go
@@ -54,7 +54,7 @@
 }
 
 // What a process is told and what it says of itself are a wire between builds as well.
-func TestProcessReadsAndSaysTheSame(t *testing.T) {
+func TestProcessReadsAndReportsTheSame(t *testing.T) {
 	h := NewReplica("router-1#00000001", map[string]int{"map": 2, "routing": 1})
 	h.CheckParts = func(string, map[string]string, bool) error { return nil }
 	h.Disabled.Pacing = true
--- a/internal/policy/configstore/tracker_test.go
+++ b/internal/policy/configstore/tracker_test.go
@@ -37,7 +37,7 @@
 // What a process hears in any order: nothing is held back within a lease; a newer version ends an older one after it; two that
 // differ end both, and the version after them waits until what they began can't come again. It is compared with all that was
 // said, kept whole.
-func TestSeen(t *testing.T) {
+func TestVersionTracker(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		type word struct {
 			at time.Duration
@@ -95,7 +95,7 @@
 }
 
 // What comes off a wire is bounded, and the newest is what is kept.
-func TestSeenIsBounded(t *testing.T) {
+func TestVersionTrackerIsBounded(t *testing.T) {
 	var s VersionTracker
 	for n := 1; n <= 1000; n++ {
 		s.Observe(0, ID{n, 1}, strings.Repeat("x", 1000))
--- a/internal/policy/loadbalancer/fairness_test.go
+++ b/internal/policy/loadbalancer/fairness_test.go
@@ -7,9 +7,9 @@
 	"pgregory.net/rapid"
 )
 
-// flood plays a cell of four servers that holds so many requests and turns away the rest: two tenants of the same rate, one
+// floodCell plays a cell of four servers that holds so many requests and turns away the rest: two tenants of the same rate, one
 // of which sends ten times as much. It returns the share of each that was served.
-func flood(f *TenantLimiter, seconds int) (quiet, loud float64) {
+func floodCell(f *TenantLimiter, seconds int) (quiet, loud float64) {
 	const room, takes = 100, 300 * time.Millisecond
 	type out struct {
 		tenant string
@@ -58,8 +58,8 @@
 }
 
 // Who keeps within its share hardly notices one that floods the cell, and the flood gets what is left over.
-func TestFlood(t *testing.T) {
-	quiet, loud := flood(NewTenantLimiter(), 60)
+func TestFloodLeavesOthersTheirShare(t *testing.T) {
+	quiet, loud := floodCell(NewTenantLimiter(), 60)
 	if quiet < 0.95 || loud < 0.15 {
 		t.Errorf("%.3f of the quiet tenant's is served, %.3f of the loud one's", quiet, loud)
 	}
@@ -67,7 +67,7 @@
 
 // Over random events a tenant within its part is let in unless the cell is far over its window, nothing goes negative, and
 // the window keeps its least.
-func TestFairProperties(t *testing.T) {
+func TestTenantLimiterProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f, now := NewTenantLimiter(), time.Duration(0)
 		out := map[string]int{}
--- a/internal/policy/loadbalancer/loadbalancer_test.go
+++ b/internal/policy/loadbalancer/loadbalancer_test.go
@@ -19,7 +19,7 @@
 	}
 }
 
-func table(n int, c Config) (*Balancer, []string) {
+func newBalancer(n int, c Config) (*Balancer, []string) {
 	c.KeyWindow = 13 * time.Second
 	t := New(c)
 	weights, names := map[string]float64{}, []string{}
@@ -44,18 +44,18 @@
 		o    Outcome
 		took time.Duration
 	}
-	var flying []out
+	var inFlight []out
 	for range n {
 		now += every
-		kept := flying[:0]
-		for _, f := range flying {
+		open := inFlight[:0]
+		for _, f := range inFlight {
 			if f.end <= now {
 				t.Done(now, f.name, f.o, f.took, true)
 			} else {
-				kept = append(kept, f)
+				open = append(open, f)
 			}
 		}
-		flying = kept
+		inFlight = open
 		t.FirstAttempt(now)
 		name, ok := t.Pick(now, "", names, "")
 		if !ok {
@@ -65,7 +65,7 @@
 		got[name]++
 		t.started(name)
 		o, took := server(name)
-		flying = append(flying, out{name, now + took, o, took})
+		inFlight = append(inFlight, out{name, now + took, o, took})
 	}
 	return got
 }
@@ -73,7 +73,7 @@
 // A server that fails at once is the quickest and has nothing in flight: it must not attract what there is. It is
 // ejected, tried again one at a time, and taken back when it is well.
 func TestFastFailuresAttractNothing(t *testing.T) {
-	tb, names := table(4, Config{})
+	tb, names := newBalancer(4, Config{})
 	now := time.Hour
 	got := play(tb, names, now, 2000, 5*time.Millisecond, func(name string) (Outcome, time.Duration) {
 		if name == "s0" {
@@ -92,8 +92,8 @@
 }
 
 // A server ten times slower than the others of its cell gets next to nothing; a cell that is slow as a whole is used.
-func TestSlowServers(t *testing.T) {
-	tb, names := table(4, Config{})
+func TestSlowOutliers(t *testing.T) {
+	tb, names := newBalancer(4, Config{})
 	slowOnes := func(slow ...string) func(string) (Outcome, time.Duration) {
 		return func(name string) (Outcome, time.Duration) {
 			for _, s := range slow {
@@ -114,8 +114,8 @@
 
 // When more than half of a cell is out, health says more of the router than of the servers: all are tried, and no more
 // than the cap is out otherwise.
-func TestPanic(t *testing.T) {
-	tb, names := table(4, Config{})
+func TestPanicThreshold(t *testing.T) {
+	tb, names := newBalancer(4, Config{})
 	got := play(tb, names, time.Hour, 400, 10*time.Millisecond, func(string) (Outcome, time.Duration) { return Failed, time.Millisecond })
 	if got[""] > 0 || tb.Counts().Panicked == 0 {
 		t.Errorf("%v, %+v", got, tb.Counts())
@@ -125,7 +125,7 @@
 			t.Errorf("%v went to each", got)
 		}
 	}
-	tb, names = table(5, Config{})
+	tb, names = newBalancer(5, Config{})
 	for _, n := range names[:2] {
 		tb.Unreachable(time.Hour, n)
 	}
@@ -136,8 +136,8 @@
 
 // Suspicion comes before death, one that came back cold is eased in and has forgotten its sheets, and who flaps must be
 // well for a while.
-func TestMembership(t *testing.T) {
-	tb, _ := table(3, Config{})
+func TestFailureDetection(t *testing.T) {
+	tb, _ := newBalancer(3, Config{})
 	now := time.Hour
 	health := func() Health { return tb.servers["s0"].health }
 	tb.Unreachable(now, "s0")
@@ -174,7 +174,7 @@
 
 // What a server says of its start tells a restart from a broken link, and a router that starts itself learns of what it
 // missed; one that entered the map after it had started has nothing to forget.
-func TestBoots(t *testing.T) {
+func TestRestartsAreNoticed(t *testing.T) {
 	for name, c := range map[string]struct {
 		boots   []int64
 		ran     int64
@@ -252,8 +252,8 @@
 }
 
 // Further tries are a share of the first ones, whatever fails; a write is tried again only on proof.
-func TestBudgets(t *testing.T) {
-	tb, _ := table(3, Config{RetryRatio: 0.1, HedgeRatio: 0.05})
+func TestRetryBudgets(t *testing.T) {
+	tb, _ := newBalancer(3, Config{RetryRatio: 0.1, HedgeRatio: 0.05})
 	again, hedged := 0, 0
 	for i := range 10000 {
 		tb.FirstAttempt(time.Hour + time.Duration(i)*time.Millisecond)
@@ -267,7 +267,7 @@
 	if again > 1100 || again < 900 || hedged > 550 || hedged < 450 {
 		t.Errorf("%d retries and %d hedges for 10000 first tries", again, hedged)
 	}
-	tb, _ = table(3, Config{RetryRatio: 1})
+	tb, _ = newBalancer(3, Config{RetryRatio: 1})
 	for o, want := range map[Outcome][2]bool{ // of a write, of a read
 		Served: {false, false}, Rejected: {true, true}, ConnectFailed: {true, true}, NotSent: {true, true},
 		Failed: {false, true}, ConnectionLost: {false, true}, TimedOut: {false, false},
@@ -285,8 +285,8 @@
 }
 
 // Who asked to be left alone is, and a told credit is kept.
-func TestTold(t *testing.T) {
-	tb, _ := table(1, Config{})
+func TestBackpressure(t *testing.T) {
+	tb, _ := newBalancer(1, Config{})
 	now := time.Hour
 	tb.Backpressure(now, "", "s0", 2, 0)
 	for range 2 {
@@ -319,8 +319,8 @@
 }
 
 // A second copy goes out later than nearly all first ones have been answered.
-func TestHedgeAfter(t *testing.T) {
-	tb, _ := table(1, Config{})
+func TestHedgeDelay(t *testing.T) {
+	tb, _ := newBalancer(1, Config{})
 	if _, known := tb.HedgeDelay(); known {
 		t.Error("known without an answer")
 	}
@@ -337,7 +337,7 @@
 // out, and budgets hold.
 func TestProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		tb, names := table(rapid.IntRange(1, 6).Draw(t, "servers"), Config{RetryRatio: 0.1})
+		tb, names := newBalancer(rapid.IntRange(1, 6).Draw(t, "servers"), Config{RetryRatio: 0.1})
 		now := time.Hour
 		out := map[string]int{}
 		first, again := 0, 0
@@ -387,7 +387,7 @@
 func BenchmarkPick(b *testing.B) {
 	for _, n := range []int{12, 120, 1200} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			tb, names := table(n, Config{})
+			tb, names := newBalancer(n, Config{})
 			rng := rand.New(rand.NewPCG(1, 1))
 			b.ReportAllocs()
 			for b.Loop() {
--- a/internal/policy/quota/quota_test.go
+++ b/internal/policy/quota/quota_test.go
@@ -20,7 +20,7 @@
 	return map[string]Capacity{"c": w}
 }
 
-func TestFill(t *testing.T) {
+func TestMaxMin(t *testing.T) {
 	on := []int{0}
 	for _, c := range []struct {
 		caps   []float64
@@ -205,7 +205,7 @@
 // Parts follow demand: who floods gets what is left, who is within his rate loses nothing, the load's shift to another router is
 // followed within two and a half leases, and with a steady load the parts stand still. A router that joins, and one whose tenant was
 // silent, get theirs as soon.
-func TestPartsFollow(t *testing.T) {
+func TestRatesFollowDemand(t *testing.T) {
 	cells := one(100, 30, 10)
 	l := NewLedger(terms)
 	l.SetCapacity(cells)
--- a/internal/policy/quota/wire_test.go
+++ b/internal/policy/quota/wire_test.go
@@ -16,7 +16,7 @@
 // Routers and the group's leader are upgraded one after the other: the words and grants between them are JSON, and what a leader gives
 // by a word has to stay, or parts would sum to more than the whole while two builds lead in turn. A play of three routers, one of which
 // comes late, a leader that goes and one that comes, stands in testdata as the program wrote it before its names were changed.
-func TestWordsAndGrantsStayWhatTheyWere(t *testing.T) {
+func TestRequestsAndGrantsStayWhatTheyWere(t *testing.T) {
 	whole := map[string]Capacity{
 		"a": {Servers: map[string]float64{"s1": 34, "s2": 34}, Tenants: map[string]Tenant{"kviz": {Rate: 30, On: []string{"s1", "s2"}}, "": {Rate: 0, On: []string{"s1", "s2"}}}},
 		"b": {Servers: map[string]float64{"s3": 20}, Tenants: map[string]Tenant{"glava": {Rate: 10, On: []string{"s3"}}}},
--- a/internal/policy/slowstart/slowstart_test.go
+++ b/internal/policy/slowstart/slowstart_test.go
@@ -12,7 +12,7 @@
 
 var settings = silverpath.Settings{Cores: 6, MaxRunsPerCore: 8, Cold: true, ColdSpeed: 0.25, WarmupTime: 12 * time.Second}
 
-func TestWhole(t *testing.T) {
+func TestCapacity(t *testing.T) {
 	for up, want := range map[time.Duration]float64{-time.Second: 0.9 * 6 * 2.75, 0: 0.9 * 6 * 2.75, 6 * time.Second: 0.9 * 6 * 5.375} {
 		if got, cold := Capacity(settings, up); !cold || math.Abs(got-want) > 1e-9 {
 			t.Errorf("%v after the start: %v, %v; want %v", up, got, cold, want)
@@ -79,7 +79,7 @@
 // play has so many callers send all that they may to a server that is cold, with callers that join, are lost and come back, and
 // news that come late or not at all. It returns the most by which what was out passed the whole, in the chance that is allowed,
 // and how much of the whole was used on average once all could be known.
-func play(seed uint64, n int, part func(s *Server, now time.Duration, who string, flying int, whole float64) int) (worst, used float64) {
+func play(seed uint64, n int, grant func(s *Server, now time.Duration, who string, flying int, capacity float64) int) (worst, used float64) {
 	rng := rand.New(rand.NewPCG(seed, uint64(n)))
 	s := NewServer(0, n)
 	var all []*sender
@@ -98,7 +98,7 @@
 	worst = math.Inf(-1)
 	steps := 0
 	for now := time.Duration(0); ; now += step {
-		whole, cold := Capacity(settings, now)
+		capacity, cold := Capacity(settings, now)
 		if !cold {
 			return worst, used / float64(steps)
 		}
@@ -112,16 +112,16 @@
 				all[i].c.Restarted()
 				continue
 			}
-			kept := c.out[:0]
+			open := c.out[:0]
 			for _, end := range c.out {
 				if end > now {
-					kept = append(kept, end)
+					open = append(open, end)
 				}
 			}
-			c.out = kept
+			c.out = open
 			if now >= c.next {
 				c.next = now + every
-				p := part(s, now, c.name, len(c.out), whole)
+				p := grant(s, now, c.name, len(c.out), capacity)
 				if rng.IntN(5) > 0 { // else the answer is lost
 					c.told = append(c.told, news{now + time.Duration(rng.Int64N(int64(800*time.Millisecond))), now, p})
 				}
@@ -135,9 +135,9 @@
 			}
 			sum += len(c.out)
 		}
-		worst = max(worst, (float64(sum)-whole)/(2*math.Sqrt(whole)+2))
+		worst = max(worst, (float64(sum)-capacity)/(2*math.Sqrt(capacity)+2))
 		if now > 4*time.Second {
-			used += float64(sum) / whole
+			used += float64(sum) / capacity
 			steps++
 		}
 	}
@@ -191,7 +191,7 @@
 
 // What another holds counts for as long as its part lasts, by the part or by what it had out, whichever is more; from its end on
 // the other is forgotten.
-func TestWhatOthersHold(t *testing.T) {
+func TestWhatOthersWereGranted(t *testing.T) {
 	for _, x := range []struct {
 		name   string
 		flying int
--- a/internal/proxy/cold_test.go
+++ b/internal/proxy/cold_test.go
@@ -38,7 +38,7 @@
 
 // Twenty routers that each have far more to send than a cold server takes, sheets and reads, by sockets: what is out there of all of
 // them stays within what the server takes while it is cold, and they do send. With each router by itself, as before, it does not.
-func TestTwentyRoutersAndAColdServer(t *testing.T) {
+func TestTwentyRoutersAndAWarmingServer(t *testing.T) {
 	for _, cold := range []bool{true, false} {
 		t.Run(fmt.Sprint("cold ", cold), func(t *testing.T) {
 			quiet, counters := log.New(io.Discard, "", 0), &metrics.Counters{}
--- a/internal/proxy/parts_test.go
+++ b/internal/proxy/parts_test.go
@@ -346,7 +346,7 @@
 
 // A router takes the parts that changed, on top of those that it has; one that is no good, or can't follow, leaves all as it was. What
 // it has outlives it, with the digest by which the group names it.
-func TestAgreedInParts(t *testing.T) {
+func TestGroupSourceInParts(t *testing.T) {
 	state := filepath.Join(t.TempDir(), "state.db")
 	first := fleetOf(10, 200)
 	a := agreedOn(t, state, first)
@@ -701,7 +701,7 @@
 }
 
 // What there is to share is told anew where the map, or a server by the time in it, has changed, and else not at all.
-func TestSharesAreToldOnce(t *testing.T) {
+func TestQuotaCapacityIsSetOnce(t *testing.T) {
 	defer func(was func() time.Time) { Wall = was }(Wall)
 	now := time.Now()
 	Wall = func() time.Time { return now }
@@ -742,7 +742,7 @@
 }
 
 // The health of all servers is looked through at the end of a round of probes, and not after each answer: none is missing then.
-func TestHealthIsToldAtTheEndOfARound(t *testing.T) {
+func TestHealthIsLoggedAtTheEndOfARound(t *testing.T) {
 	const servers = 60
 	var out bytes.Buffer
 	refused := func(context.Context, string) (*msgpackrpc.Conn, error) { return nil, errors.New("refused") }
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -234,7 +234,7 @@
 
 // A read that fails, or whose connection breaks, is tried elsewhere; a write is not, as it may have run; both are where
 // nothing could be connected to.
-func TestTries(t *testing.T) {
+func TestRetries(t *testing.T) {
 	play(t, 2, func(l *lab) {
 		l.servers[0].fails = true
 		for range 6 {
@@ -271,7 +271,7 @@
 }
 
 // A read that takes longer than nearly all others gets a second copy elsewhere, and its answer.
-func TestHedge(t *testing.T) {
+func TestHedgedRequest(t *testing.T) {
 	play(t, 2, func(l *lab) {
 		for range 80 {
 			l.ask("read", "")
--- a/internal/proxy/rest_test.go
+++ b/internal/proxy/rest_test.go
@@ -58,7 +58,7 @@
 
 // A connection to a server that rested, and that the server gives up in the very moment in which a sheet goes out on it, costs
 // nothing: the server says what it took last, so the sheet is known not to have run, goes out on a new one and runs once.
-func TestSheetCrossesTheEndOfRest(t *testing.T) {
+func TestKeyedRequestCrossesTheEndOfAnIdleConnection(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -114,7 +114,7 @@
 }
 
 // A sheet whose connection ends without an answer and without a word of what was taken may have run: it is not sent again.
-func TestSheetOnABrokenConnection(t *testing.T) {
+func TestKeyedRequestOnABrokenConnection(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -152,7 +152,7 @@
 }
 
 // A probe that nobody answers is over after its time and counts as missed.
-func TestProbeWithoutAnAnswer(t *testing.T) {
+func TestHealthCheckWithoutAnAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := cells.Server{Name: "s", Addr: "nowhere", Cell: "a", Weight: 1, JoinsAt: time.Now().UnixMilli()}
 		r, err := New(Config{Name: "r", Cores: 1, HealthCheckInterval: time.Second, MaxConnections: 10, Source: fixedMap{&cells.Map{
