--- a/cmd/silverpath/earlier_build_test.go
+++ b/cmd/silverpath/earlier_build_test.go
@@ -1,11 +1,13 @@
 package main
 
 import (
+	"context"
 	"encoding/json"
 	"fmt"
 	"hash/crc32"
 	"maps"
 	"os"
+	"os/exec"
 	"path/filepath"
 	"regexp"
 	"slices"
@@ -347,9 +349,17 @@
 		fmt.Sprintf(`{"store":{"dir":%q,"size_mb":8}}`, filepath.Join(dir, "keys")):    `DIR/keys/keys.db: it is of the service "lab", not of "n1"`,
 		fmt.Sprintf(`{"life":{"file":%q,"valid_ms":400}}`, filepath.Join(dir, "life")): `DIR/life: it is of the service "lab", not of "n1"`,
 	} {
-		code, _, message := run(t, siteFile(t, "n1", "127.0.0.1:1"), "serve", "--edge", write(t, "edge.json", edge))
-		if code != 1 || !strings.Contains(strings.ReplaceAll(message, dir, "DIR"), want) {
-			t.Errorf("exit code %d, message %q, want %q", code, message, want)
+		exe, err := os.Executable()
+		if err != nil {
+			t.Fatal(err)
+		}
+		ctx, cancel := context.WithTimeout(t.Context(), 30*time.Second) // a service that starts after all does not end
+		defer cancel()
+		cmd := exec.CommandContext(ctx, exe, "serve", "--edge", write(t, "edge.json", edge))
+		cmd.Env = append(os.Environ(), "SILVERPATH_RUN=1", "LB_CONFIG="+siteFile(t, "n1", "127.0.0.1:1"))
+		out, _ := cmd.CombinedOutput()
+		if code := cmd.ProcessState.ExitCode(); code != 1 || !strings.Contains(strings.ReplaceAll(string(out), dir, "DIR"), want) {
+			t.Errorf("exit code %d, message %q, want %q", code, out, want)
 		}
 	}
 }
--- a/internal/transport/restartlink/link_test.go
+++ b/internal/transport/restartlink/link_test.go
@@ -203,6 +203,35 @@
 	}
 }
 
+// The link comes back and all is listed, but before the mark is removed another run begins without a link. Removed all the same, the mark
+// would be missing for that run, and a successor would run it again: so it is removed only if nothing needed it since.
+func TestMarkStaysForARunThatBeganSince(t *testing.T) {
+	dir := t.TempDir()
+	a := start(t, dir)
+	b := start(t, dir)
+	await(t, "both serve", func() bool { return a.serves() && b.serves() })
+	b.link.writeMu.Lock() // the successor does not come to speak on the next link
+	defer b.link.writeMu.Unlock()
+	a.link.writeMu.Lock()
+	a.link.conn.Close()
+	a.link.writeMu.Unlock()
+	a.attempt("a1", "k", time.Now())
+	await(t, "the predecessor runs on", func() bool { return len(a.ran()) == 1 })
+	mark, listed := a.link.slots.markPath(a.link.startedAt), a.core.PairMarks()
+	a.attempt("a2", "l", time.Now())
+	await(t, "and runs another one", func() bool { return len(a.ran()) == 2 })
+	a.link.clearMark(listed)
+	if _, err := os.Stat(mark); err != nil {
+		t.Errorf("the mark of the second run: %v", err)
+	}
+	a.link.clearMark(a.core.PairMarks())
+	if _, err := os.Stat(mark); !os.IsNotExist(err) {
+		t.Errorf("a mark that nothing needs: %v", err)
+	}
+	a.core.RunEnded("a1", silverpath.OK, 0, nil)
+	a.core.RunEnded("a2", silverpath.OK, 0, nil)
+}
+
 // A third process starts while two live. It has no slot and is not ready until one of the two is gone; files of dead processes are in
 // nobody's way.
 func TestThirdProcessWaitsForASlot(t *testing.T) {
