--- a/internal/transport/vault/vault_test.go
+++ b/internal/transport/vault/client_test.go
@@ -55,7 +55,7 @@
 		}
 	}
 	body := make([]byte, n)
-	io.ReadFull(r, body)
+	_, _ = io.ReadFull(r, body)
 	return all.String() + string(body)
 }
 
@@ -367,7 +367,7 @@
 		if idle != 0 {
 			t.Fatal("a connection idles for 9 s")
 		}
-		if _, err := conn.Read(make([]byte, 1)); err != io.EOF {
+		if _, err := conn.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
 			t.Fatalf("the other side reads %v", err)
 		}
 	})
@@ -381,8 +381,8 @@
 	f.Add("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n\x00\xff")
 	f.Add("HTTP/1.1 200 OK\r\nContent-Length: -2\r\nContent-Length: 2\r\n\r\nok")
 	f.Fuzz(func(t *testing.T, in string) {
-		status, _, _, body, err := readReply(bufio.NewReader(strings.NewReader(in)))
-		if err == nil && (status < 200 || status > 599 || len(body) > maxBodyBytes) {
+		r, err := readReply(bufio.NewReader(strings.NewReader(in)))
+		if err == nil && (r.status < 200 || r.status > 599 || len(r.body) > maxBodyBytes) {
 			t.Fatal("a reply beyond its bounds")
 		}
 	})
