--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -20,8 +20,8 @@
 	reason     string // of a rejection of a request with a key; core has the reasons
 }
 
-// name is the outcome's name in counters: docs/cells.md.
-func (e attemptResult) name() string {
+// counterName is the outcome's name in counters: docs/cells.md.
+func (e attemptResult) counterName() string {
 	return [...]string{"served", "refused", "failed", "broken", "unreachable", "timed_out", "unwritten"}[e.outcome]
 }
 
@@ -46,13 +46,13 @@
 		r.stats.Inc("fleet", "refused", "slow_start")
 		return attemptResult{outcome: loadbalancer.Rejected, retryAfter: r.events.RetryAfter()}
 	}
-	began := time.Now()
+	sentAt := time.Now()
 	e, fields := attemptResult{outcome: loadbalancer.ConnectFailed}, map[string]string(nil)
 	if u != nil {
 		ctx, cancel := context.WithDeadline(ctx, q.Deadline.Add(-answerReserve))
 		defer cancel()
 		e, fields = u.send(ctx, msgpackrpc.Attempt{
-			ID: q.ID, Class: q.Class, Tenant: q.Tenant, Key: q.Key, ReceivedAt: began, Timeout: q.Deadline.Sub(began) - answerReserve/2,
+			ID: q.ID, Class: q.Class, Tenant: q.Tenant, Key: q.Key, ReceivedAt: sentAt, Timeout: q.Deadline.Sub(sentAt) - answerReserve/2,
 			HeldKB: q.MemoryKB, Rank: q.Rank, Caller: q.Caller, Body: q.Body, KnownOnly: knownOnly, Incarnation: u.boot.Load(), ConfigID: q.RulesID,
 		})
 	}
@@ -67,7 +67,7 @@
 		r.balancer.Done(now, name, loadbalancer.Rejected, 0, false) // given up for another attempt's answer: it says nothing of the server
 		return e
 	}
-	r.balancer.Done(now, name, e.outcome, time.Since(began), q.Key == "")
+	r.balancer.Done(now, name, e.outcome, time.Since(sentAt), q.Key == "")
 	return e
 }
 
--- a/internal/proxy/filesource.go
+++ b/internal/proxy/filesource.go
@@ -60,12 +60,12 @@
 		return old, now, nil
 	}
 	starting := old == nil
-	var kept storedMap
+	var stored storedMap
 	if starting {
-		kept = f.state.load()
-		old, known, f.confirmedAt = kept.Map, kept.confirmedAt, kept.confirmedAt
+		stored = f.state.load()
+		old, known, f.confirmedAt = stored.Map, stored.confirmedAt, stored.confirmedAt
 	}
-	seen, err := stampsOf(f.path, f.settleTime)
+	stamps, err := stampsOf(f.path, f.settleTime)
 	var m *cells.Map
 	if err == nil {
 		m, err = ReadMap(f.path)
@@ -75,15 +75,15 @@
 	}
 	if err != nil {
 		err = fmt.Errorf("%s: %w", f.path, err)
-		if starting && kept.Map != nil {
-			return kept.Map, kept.confirmedAt, nil
+		if starting && stored.Map != nil {
+			return stored.Map, stored.confirmedAt, nil
 		}
 		return nil, now, err
 	}
 	if err := f.state.storeWhole(m, now); err != nil {
 		return nil, now, err
 	}
-	f.confirmedAt, f.delivered, f.stamps = now, m, f.stampsFromHead(seen, m)
+	f.confirmedAt, f.delivered, f.stamps = now, m, f.stampsFromHead(stamps, m)
 	return m, now, nil
 }
 
--- a/internal/proxy/groupsource.go
+++ b/internal/proxy/groupsource.go
@@ -83,8 +83,8 @@
 
 // CheckParts is an error that names why the map that has these parts in place of those of the one before can't follow it. That is the one
 // that was applied last, or, before any was, the one of the state file. Whole says that the parts are all that there are.
-func (a *GroupSource) CheckParts(changed map[string]string, whole bool) error {
-	m, err := a.join(changed, whole)
+func (a *GroupSource) CheckParts(changed map[string]string, complete bool) error {
+	m, err := a.join(changed, complete)
 	if err != nil {
 		return err
 	}
@@ -92,21 +92,21 @@
 }
 
 // join reads the parts, and what they can break, once for as long as neither they nor the map below them change.
-func (a *GroupSource) join(changed map[string]string, whole bool) (*cells.Map, error) {
+func (a *GroupSource) join(changed map[string]string, complete bool) (*cells.Map, error) {
 	a.mu.Lock()
 	base, last := cmp.Or(a.latest.Map, a.delivered.Map), a.joined
 	a.mu.Unlock()
-	if whole {
+	if complete {
 		base = nil
 	}
 	sum := configstore.TextsDigest(changed)
-	if last.m != nil && last.base == base && last.digest == sum && last.complete == whole {
+	if last.m != nil && last.base == base && last.digest == sum && last.complete == complete {
 		return last.m, nil
 	}
 	m, err := settings.JoinCells(base, changed)
 	if err == nil {
 		a.mu.Lock()
-		a.joined = joinedParts{base, m, sum, whole}
+		a.joined = joinedParts{base, m, sum, complete}
 		a.mu.Unlock()
 	}
 	return m, err
@@ -114,17 +114,17 @@
 
 // ApplyParts has the map of these parts, which was checked, be the one that Load delivers. The digest of id, by which the group names it,
 // names the map to servers and other routers, beside the map's own version. After an error the map before stays.
-func (a *GroupSource) ApplyParts(id configstore.ID, changed map[string]string, whole bool) error {
+func (a *GroupSource) ApplyParts(id configstore.ID, changed map[string]string, complete bool) error {
 	a.taking.Lock()
 	defer a.taking.Unlock()
-	m, err := a.join(changed, whole)
+	m, err := a.join(changed, complete)
 	if err != nil {
 		return err
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	switch {
-	case whole:
+	case complete:
 		a.deliveredInParts, a.delta = nil, nil
 	case a.deliveredInParts != nil:
 		if a.delta == nil {
--- a/internal/proxy/keyed.go
+++ b/internal/proxy/keyed.go
@@ -79,13 +79,13 @@
 		r.stats.Inc("fleet", "former_home")
 		return core.Answer{Outcome: core.Served, Body: e.body}, true
 	case e.outcome != loadbalancer.Rejected:
-		return r.fail("former_home_" + e.name()), true
+		return r.fail("former_home_" + e.counterName()), true
 	case e.reason == core.ReasonUnknown || e.reason == core.ReasonMoved:
 		return core.Answer{}, false
 	case e.reason == core.ReasonBehind:
 		return r.failOutdated("former_home_behind"), true
 	default:
-		return r.fail("former_home_" + e.name()), true
+		return r.fail("former_home_" + e.counterName()), true
 	}
 }
 
@@ -102,7 +102,7 @@
 		return core.Answer{Outcome: core.Served, Body: e.body}, false
 	}
 	if e.outcome != loadbalancer.Rejected {
-		return r.fail("home_" + e.name()), false
+		return r.fail("home_" + e.counterName()), false
 	}
 	switch e.reason {
 	case core.ReasonMoved:
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -60,7 +60,7 @@
 	events          Events
 	log             *log.Logger
 	stats           *metrics.Counters
-	began           time.Time
+	startedAt       time.Time
 	current         atomic.Pointer[mapInForce]
 	connectionSlots chan struct{}
 
@@ -102,7 +102,7 @@
 	}
 	cfg.LoadBalancing.KeyWindow = m.OverlapWindow()
 	r := &Runner{
-		cfg: cfg, events: events, log: l, stats: s, began: time.Now(),
+		cfg: cfg, events: events, log: l, stats: s, startedAt: time.Now(),
 		balancer: loadbalancer.New(cfg.LoadBalancing), tenants: loadbalancer.NewTenantLimiter(),
 		upstreams: map[string]*upstream{}, loggedHealth: map[string]loadbalancer.Health{},
 		reloadSoon: make(chan struct{}, 1), connectionSlots: make(chan struct{}, max(minConnections, cfg.MaxConnections)),
@@ -113,23 +113,23 @@
 }
 
 // clock is the router's monotonic clock. It begins at an hour, so that 0 is long ago.
-func (r *Runner) clock() time.Duration { return time.Since(r.began) + time.Hour }
+func (r *Runner) clock() time.Duration { return time.Since(r.startedAt) + time.Hour }
 
 // Forward forwards a request, and tells Events of its end. It does not block.
 func (r *Runner) Forward(q core.Request) {
 	r.inFlight.Add(1)
 	go func() {
 		defer r.inFlight.Add(-1)
-		began := time.Now()
+		startedAt := time.Now()
 		class, _ := r.events.Class(q.Class)
 		a := r.route(q, class)
 		weight := uint64(1000 * max(0, class.Weight))
 		r.offeredWeight.Add(weight)
 		if a.Outcome == core.Served {
 			r.servedWeight.Add(weight)
-			r.events.RunEnded(q.ID, silverpath.OK, time.Since(began), a.Body)
+			r.events.RunEnded(q.ID, silverpath.OK, time.Since(startedAt), a.Body)
 		} else {
-			r.events.ForwardReturned(q.ID, a, time.Since(began))
+			r.events.ForwardReturned(q.ID, a, time.Since(startedAt))
 		}
 	}()
 }
--- a/internal/proxy/quota.go
+++ b/internal/proxy/quota.go
@@ -42,13 +42,13 @@
 func (r *Runner) QuotaRequest() (request quota.Request, granted func(quota.Grant, lease.Terms)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	asked := r.leaseClock()
-	request = r.quota.Request(asked)
+	requestedAt := r.leaseClock()
+	request = r.quota.Request(requestedAt)
 	return request, func(g quota.Grant, t lease.Terms) {
 		r.mu.Lock()
 		defer r.mu.Unlock()
 		r.updateQuotaCapacity()
-		r.quota.TakeGrant(asked, request.Applied, g, t)
+		r.quota.TakeGrant(requestedAt, request.Applied, g, t)
 	}
 }
 
--- a/internal/proxy/retries.go
+++ b/internal/proxy/retries.go
@@ -35,7 +35,7 @@
 		case e.outcome == loadbalancer.Rejected:
 			worst = core.Answer{Outcome: core.Rejected, RetryAfter: e.retryAfter, Final: e.final}
 		case !e.outcome.NeverRan():
-			worst = r.fail(e.name())
+			worst = r.fail(e.counterName())
 		}
 		r.mu.Lock()
 		again := r.balancer.AllowRetry(e.outcome, safe, e.final)
--- a/internal/proxy/status.go
+++ b/internal/proxy/status.go
@@ -6,9 +6,11 @@
 	"github.com/valyala/fastjson"
 
 	"silverpath/internal/core"
+	"silverpath/internal/policy/loadbalancer"
 )
 
-// Status is what a router knows of its fleet, as a JSON object: the map in force, its servers and what was decided.
+// Status is what a router knows of its fleet, as a JSON object for operators: the map in force, its servers and what was decided. The
+// names in it stay: docs/cells.md.
 func (r *Runner) Status() []byte {
 	m := r.current.Load()
 	states, counts := r.States()
@@ -17,13 +19,41 @@
 	o.Set("map_version", a.NewNumberInt(m.Version))
 	o.Set("map_read_ms_ago", a.NewNumberInt(int(time.Since(m.confirmedAt).Milliseconds())))
 	o.Set("map_id", a.NewString(m.name))
-	r.mu.Lock()
-	rules := core.RulesStatus(&a, &r.versions, r.clock())
-	rules.Set("standing", a.NewString(r.versions.Check(r.clock(), m.id).String()))
-	r.mu.Unlock()
-	o.Set("rules", rules)
+	o.Set("rules", r.versionsStatus(&a, m))
 	o.Set("worth_asked", a.NewNumberFloat64(float64(r.offeredWeight.Load())/1000))
 	o.Set("worth_served", a.NewNumberFloat64(float64(r.servedWeight.Load())/1000))
+	o.Set("servers", serversStatus(&a, m, states))
+	windows, overShare := r.windowsStatus(&a, m)
+	o.Set("over_share", overShare)
+	if r.quota != nil {
+		r.quotaStatus(&a, o, m)
+	}
+	o.Set("cells", windows)
+	o.Set("tenants", movesStatus(&a, m))
+	for _, c := range []struct {
+		name string
+		n    uint64
+	}{
+		{"ejected", counts.Ejected}, {"panicked", counts.Panicked}, {"retried", counts.Retried},
+		{"retries_spent", counts.RetriesSpent}, {"hedged", counts.Hedged}, {"hedges_spent", counts.HedgesSpent},
+		{"cold_back", counts.ColdBack},
+	} {
+		o.Set(c.name, a.NewNumberInt(int(c.n)))
+	}
+	return o.MarshalTo(nil)
+}
+
+// versionsStatus is what was heard of other maps, and whether keyed requests may be sent by this one.
+func (r *Runner) versionsStatus(a *fastjson.Arena, m *mapInForce) *fastjson.Value {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	rules := core.RulesStatus(a, &r.versions, r.clock())
+	rules.Set("standing", a.NewString(r.versions.Check(r.clock(), m.id).String()))
+	return rules
+}
+
+// serversStatus is what is known of each server.
+func serversStatus(a *fastjson.Arena, m *mapInForce, states []loadbalancer.ServerState) *fastjson.Value {
 	list := a.NewArray()
 	for i, s := range states {
 		e := a.NewObject()
@@ -44,60 +74,59 @@
 		}
 		list.SetArrayItem(i, e)
 	}
-	o.Set("servers", list)
-	windows := a.NewObject()
+	return list
+}
+
+// windowsStatus is the window of each cell, and how many requests were not admitted to any.
+func (r *Runner) windowsStatus(a *fastjson.Arena, m *mapInForce) (windows, rejected *fastjson.Value) {
+	windows = a.NewObject()
 	r.mu.Lock()
+	defer r.mu.Unlock()
 	for _, c := range m.Cells {
-		limit, flying := r.tenants.Window(c.Name)
+		limit, inFlight := r.tenants.Window(c.Name)
 		w := a.NewObject()
 		w.Set("window", a.NewNumberFloat64(limit))
-		w.Set("flying", a.NewNumberInt(flying))
+		w.Set("flying", a.NewNumberInt(inFlight))
 		windows.Set(c.Name, w)
 	}
-	o.Set("over_share", a.NewNumberInt(int(r.tenants.Rejected())))
+	return windows, a.NewNumberInt(int(r.tenants.Rejected()))
+}
+
+// quotaStatus sets the rates that this router may use, by cell and tenant. With the lock it runs over those that it was lent or asked
+// for, not over all tenants of all cells.
+func (r *Runner) quotaStatus(a *fastjson.Arena, o *fastjson.Value, m *mapInForce) {
+	r.mu.Lock()
+	rates, rest := r.quota.Rates(r.leaseClock())
+	beyond := r.quota.Counts().Beyond
 	r.mu.Unlock()
-	if r.quota != nil {
-		// With the lock it runs over those that it was lent parts of or asked for, not over all tenants of all cells.
-		r.mu.Lock()
-		list, rest := r.quota.Rates(r.leaseClock())
-		beyond := r.quota.Counts().Beyond
-		r.mu.Unlock()
-		each, others := map[string]*fastjson.Value{}, a.NewObject()
-		parts := a.NewObject()
-		for _, c := range m.Cells {
-			each[c.Name] = a.NewObject()
-			parts.Set(c.Name, each[c.Name])
-			others.Set(c.Name, a.NewNumberFloat64(rest[c.Name]))
-		}
-		for k, p := range list {
-			if e := each[k.Cell]; e != nil && p > 0 {
-				e.Set(k.Tenant, a.NewNumberFloat64(p))
-			}
+	each, others := map[string]*fastjson.Value{}, a.NewObject()
+	parts := a.NewObject()
+	for _, c := range m.Cells {
+		each[c.Name] = a.NewObject()
+		parts.Set(c.Name, each[c.Name])
+		others.Set(c.Name, a.NewNumberFloat64(rest[c.Name]))
+	}
+	for k, rate := range rates {
+		if e := each[k.Cell]; e != nil && rate > 0 {
+			e.Set(k.Tenant, a.NewNumberFloat64(rate))
 		}
-		o.Set("parts", parts)
-		o.Set("parts_rest", others)
-		o.Set("beyond_part", a.NewNumberInt(int(beyond)))
 	}
-	o.Set("cells", windows)
+	o.Set("parts", parts)
+	o.Set("parts_rest", others)
+	o.Set("beyond_part", a.NewNumberInt(int(beyond)))
+}
+
+// movesStatus is the state of each tenant's latest migration. Those that have never moved are left out: of a large map that is nearly
+// everybody.
+func movesStatus(a *fastjson.Arena, m *mapInForce) *fastjson.Value {
 	tenants := a.NewObject()
 	for t := range m.AllTenants() {
-		if len(t.Homes) < 2 { // it has never moved: of a large map that is nearly everybody
+		if len(t.Homes) < 2 {
 			continue
 		}
 		if st, ok := m.MoveState(t.Name, time.Now()); ok {
 			tenants.Set(t.Name, a.NewString(st.String()))
 		}
 	}
-	o.Set("tenants", tenants)
-	for _, c := range []struct {
-		name string
-		n    uint64
-	}{
-		{"ejected", counts.Ejected}, {"panicked", counts.Panicked}, {"retried", counts.Retried},
-		{"retries_spent", counts.RetriesSpent}, {"hedged", counts.Hedged}, {"hedges_spent", counts.HedgesSpent},
-		{"cold_back", counts.ColdBack},
-	} {
-		o.Set(c.name, a.NewNumberInt(int(c.n)))
-	}
-	return o.MarshalTo(nil)
+	return tenants
 }
