--- a/internal/transport/client/ask.go
+++ b/internal/transport/client/client.go
@@ -1,4 +1,5 @@
-// Package client is a client of either front: it sends requests, or one status request, and says what came of them.
+// Package client is a client of either front, for the command line: it sends requests, or one status request, and says what came of
+// them.
 package client
 
 import (
@@ -20,13 +21,13 @@
 	"silverpath/internal/transport/scgi"
 )
 
-// The fronts, by their names on the command line.
+// The fronts, by their names on the command line (--front).
 const (
 	Platform = msgpackrpc.Name
 	SCGI     = scgi.Name
 )
 
-// Request is what is asked. A key makes all tries that carry it one request.
+// Request is what is sent. All attempts with the same idempotency key are one request.
 type Request struct {
 	Class, Tenant, Key string
 	Body               []byte
@@ -35,13 +36,14 @@
 	HeldKB             float64       // memory to book; 0: 1
 }
 
-// Reply is the one answer, whichever front it came from.
+// Reply is the answer, whichever front it came from.
 type Reply struct {
 	Outcome    string // served, refused or failed
 	Body       []byte
 	RetryAfter time.Duration // refused: when to come back
 }
 
+// dialTimeout is how long a connection may take, and how much longer than its request an answer is waited for.
 const dialTimeout = 2 * time.Second
 
 // newID returns 16 random hexadecimal digits.
@@ -51,10 +53,10 @@
 	return hex.EncodeToString(b[:])
 }
 
-// Conn is a connection to the platform's front that carries many requests at a time.
+// Conn is a connection to the MessagePack-RPC front that carries many requests at a time.
 type Conn struct{ *msgpackrpc.Conn }
 
-// Dial opens a connection to the platform's front.
+// Dial opens a connection to the MessagePack-RPC front. Its owner closes it.
 func Dial(addr string) (*Conn, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), dialTimeout)
 	defer cancel()
@@ -62,7 +64,7 @@
 	return &Conn{c}, err
 }
 
-// dialLong is Dial for answers as long as a word: the status of a router has a line for each server.
+// dialLong is Dial for answers as long as a call's: the status of a router has a line for each server.
 func dialLong(addr string) (*Conn, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), dialTimeout)
 	defer cancel()
@@ -97,7 +99,7 @@
 	return out
 }
 
-// Do sends a request.
+// Do sends a request. The channel gets the reply, or is closed without one.
 func (c *Conn) Do(q Request) <-chan Reply {
 	t := msgpackrpc.Attempt{ID: q.ID, Class: q.Class, Tenant: q.Tenant, Key: q.Key, ReceivedAt: time.Now(), Timeout: q.Timeout,
 		HeldKB: q.HeldKB, Body: q.Body}
@@ -110,12 +112,12 @@
 	return c.send(func(id uint64) []byte { return t.Append(nil, id) })
 }
 
-// Probe sends a health check; a good one is served.
+// Probe sends a health check; a healthy service's reply is served. Measurements call it.
 func (c *Conn) Probe() <-chan Reply {
 	return c.send(func(id uint64) []byte { return msgpackrpc.AppendProbe(nil, id) })
 }
 
-// Status asks for the state of the service; the body is JSON.
+// Status asks for the state of the service, as JSON in the body.
 func (c *Conn) Status() <-chan Reply {
 	return c.send(func(id uint64) []byte { return msgpackrpc.AppendStatus(nil, id) })
 }
@@ -144,6 +146,7 @@
 	return Reply{Outcome: "failed", Body: a.Body}, nil
 }
 
+// headers are the SCGI headers of a request.
 func headers(q Request) []string {
 	h := []string{"REQUEST_METHOD", "POST", "PATH_INFO", "/" + q.Class,
 		"HTTP_X_TIMEOUT_MS", strconv.FormatInt(q.Timeout.Milliseconds(), 10)}
@@ -156,9 +159,10 @@
 	return h
 }
 
+// errNoAnswer is of a request that may have run.
 var errNoAnswer = errors.New("the connection ended without an answer")
 
-// Do asks one thing of a front on a connection of its own.
+// Do sends one request to a front on a connection of its own, and waits for the reply. An error says that none came.
 func Do(front, addr string, q Request) (Reply, error) {
 	if front == SCGI {
 		return doSCGI(addr, q.Body, q.Timeout, headers(q)...)
@@ -166,14 +170,15 @@
 	return doOn(Dial, addr, q.Timeout, func(c *Conn) <-chan Reply { return c.Do(q) })
 }
 
-func doOn(dial func(string) (*Conn, error), addr string, timeout time.Duration, ask func(*Conn) <-chan Reply) (Reply, error) {
+// doOn does so by way of send, on a connection that dial opens.
+func doOn(dial func(string) (*Conn, error), addr string, timeout time.Duration, send func(*Conn) <-chan Reply) (Reply, error) {
 	c, err := dial(addr)
 	if err != nil {
 		return Reply{}, err
 	}
 	defer c.Close()
 	select {
-	case a, ok := <-ask(c):
+	case a, ok := <-send(c):
 		if !ok {
 			return a, errNoAnswer
 		}
@@ -183,7 +188,7 @@
 	}
 }
 
-// Status asks a front for the state of the service, as JSON.
+// Status asks a front for the state of the service, as JSON. An error says also that the service gives none.
 func Status(front, addr string) ([]byte, error) {
 	var a Reply
 	var err error
@@ -201,7 +206,7 @@
 	return a.Body, nil
 }
 
-// Plan is what Run sends: Count requests, one every Every by the clock, whatever becomes of those before.
+// Plan is what Run sends: Count requests, one every Interval by the clock, whatever becomes of those before.
 type Plan struct {
 	Front, Addr string
 	Request     Request
@@ -228,15 +233,15 @@
 				due = startedAt.Add(time.Duration(n) * p.Interval)
 				time.Sleep(time.Until(due))
 			}
-			ask := func() {
+			send := func() {
 				a, err := Do(p.Front, p.Addr, p.Request)
 				results <- result{n + 1, time.Since(due), a, err}
 			}
 			if p.Interval <= 0 {
-				ask()
+				send()
 				continue
 			}
-			wg.Go(ask)
+			wg.Go(send)
 		}
 		wg.Wait()
 		close(results)
@@ -255,7 +260,7 @@
 			fmt.Fprintf(out, "%d: %s after %v: %s\n", r.n, what, r.took.Round(time.Microsecond), r.a.Body)
 		}
 		outcomes[what]++
-		h.RecordValue(r.took.Microseconds())
+		_ = h.RecordValue(r.took.Microseconds())
 	}
 	quantile := func(q float64) time.Duration { return time.Duration(h.ValueAtQuantile(q)) * time.Microsecond }
 	fmt.Fprintf(out, "%d asked: %d served, %d refused, %d failed, %d without an answer; p50 %v, p99 %v, longest %v\n",
--- a/internal/transport/loadreport/announce_test.go
+++ b/internal/transport/loadreport/reporter_test.go
@@ -22,7 +22,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { conn.Close() })
-	conn.SetReadDeadline(time.Now().Add(30 * time.Second))
+	_ = conn.SetReadDeadline(time.Now().Add(30 * time.Second))
 	return conn
 }
 
@@ -53,7 +53,7 @@
 	r.Redirect(second.LocalAddr().String())
 	expect(t, second, "announce n3 false")
 	r.Silence() // another process of the name reports
-	second.SetReadDeadline(time.Now().Add(3 * Interval))
+	_ = second.SetReadDeadline(time.Now().Add(3 * Interval))
 	late := 0
 	for b := make([]byte, 100); ; late++ {
 		if _, _, err := second.ReadFrom(b); err != nil {
--- a/internal/transport/snmp/agent.go
+++ b/internal/transport/snmp/agent.go
@@ -38,7 +38,7 @@
 
 const (
 	version2c        = 1
-	maxResponseBytes = 1400 // bytes of a response: one packet on any path
+	maxResponseBytes = 1400 // one packet on any path
 	maxCounterName   = 100  // of a counter, as an index
 	maxRepetitions   = 200
 
@@ -46,7 +46,7 @@
 	errNotWritable = 17
 )
 
-// Source is what an agent shows, beside counters: a service's core, or a member of the group.
+// Source is what an agent shows beside counters: the core of a service, or a member of the group. Its methods must not block.
 type Source interface {
 	Health() bool
 	Phase() lifecycle.State
@@ -54,7 +54,7 @@
 	View() core.View
 }
 
-// Agent answers SNMP requests.
+// Agent answers SNMPv2c requests at one address.
 type Agent struct {
 	conn      net.PacketConn
 	community string
@@ -65,7 +65,7 @@
 	startedAt time.Time
 }
 
-// Listen opens an agent's address; control, if any, is called on the socket first.
+// Listen opens an agent's address; control, where it is not nil, is called on the socket first. Serve must follow, or Close.
 func Listen(addr, community, name string, c Source, l *log.Logger, s *metrics.Counters,
 	control func(network, addr string, raw syscall.RawConn) error) (*Agent, error) {
 	conn, err := (&net.ListenConfig{Control: control}).ListenPacket(context.Background(), "udp", addr)
@@ -75,7 +75,7 @@
 	return &Agent{conn: conn, community: community, name: name, core: c, stats: s, log: l, startedAt: time.Now()}, nil
 }
 
-// Addr is the address listened on.
+// Addr returns the address listened on.
 func (a *Agent) Addr() net.Addr { return a.conn.LocalAddr() }
 
 // Close ends Serve.
@@ -117,6 +117,7 @@
 	community      string
 }
 
+// parse takes a message apart; version is 0-based, as the protocol has it.
 func parse(b []byte) (q request, version int32, err error) {
 	fail := func(err error) (request, int32, error) { return request{}, version, err }
 	b, _, err = expectElement(b, tagSequence)
@@ -161,7 +162,7 @@
 	return q, version, nil
 }
 
-// respond returns the response to a message, or why there is none.
+// respond returns the response to a message, or for what reason, by its counter, there is none.
 func (a *Agent) respond(b []byte) (reply []byte, reason string) {
 	q, version, err := parse(b)
 	switch {
@@ -212,6 +213,7 @@
 	return binds
 }
 
+// response is a response to the request, with an error status and the index of the binding that it is of.
 func (q request) response(status, index int, binds [][]byte) []byte {
 	pdu := appendInteger(nil, q.id)
 	pdu = appendInteger(appendInteger(pdu, int32(status)), int32(index))
@@ -226,12 +228,15 @@
 	value []byte
 }
 
+// varBind is one binding of a name to a value, encoded.
 func varBind(name oid, value []byte) []byte {
 	return appendElement(nil, tagSequence, append(appendOID(nil, name), value...))
 }
 
+// compare orders objects by name.
 func compare(o object, name oid) int { return o.name.compare(name) }
 
+// get is the binding of a name to the value of its object, or to what is missing.
 func get(objects []object, name oid) []byte {
 	if i, found := slices.BinarySearchFunc(objects, name, compare); found {
 		return varBind(name, objects[i].value)
@@ -244,7 +249,7 @@
 	return varBind(name, appendElement(nil, tagNoSuchObject, nil))
 }
 
-// successor is the object after a name, and its own name.
+// successor is the binding of the object after a name, and that object's name; nil at the end of the MIB.
 func successor(objects []object, name oid) ([]byte, oid) {
 	i, found := slices.BinarySearchFunc(objects, name, compare)
 	if found {
@@ -256,6 +261,7 @@
 	return varBind(objects[i].name, objects[i].value), objects[i].name
 }
 
+// getBulk has the successors of the first names once, and of the others again and again.
 func getBulk(objects []object, q request) [][]byte {
 	var binds [][]byte
 	once := min(len(q.names), int(max(0, q.nonRepeaters)))
