--- a/internal/controlplane/quorum/member/main.go
+++ b/internal/controlplane/quorum/member/main.go
@@ -65,15 +65,11 @@
 		defer ln.Close()
 		l.Info().Str("event", "group.listening").Str("process", set.Name).Stringer("addr", ln.Addr()).Send()
 		go ln.Serve()
-		if a := set.Member.SNMP; a.Listen != "" {
-			agent, err := snmp.Listen(a.Listen, a.Community, set.Name, snmpView{m}, log.New(l, "", 0), counters, nil)
-			if err != nil {
-				return errors.Join(fmt.Errorf("member.snmp.listen: %w", err), m.Close())
-			}
-			defer agent.Close()
-			l.Info().Str("event", "group.snmp").Str("process", set.Name).Stringer("addr", agent.Addr()).Send()
-			go agent.Serve()
+		stopAgent, err := serveSNMP(set, m, l, counters)
+		if err != nil {
+			return errors.Join(err, m.Close())
 		}
+		defer stopAgent()
 		member, stop := context.WithCancel(context.Background())
 		defer stop()
 		stopMember = stop
@@ -115,18 +111,40 @@
 	}
 }
 
+// serveSNMP starts the member's SNMP agent, if its settings have one, and returns what ends it.
+func serveSNMP(set settings.Quorum, m *Member, l zerolog.Logger, counters *metrics.Counters) (stop func(), err error) {
+	a := set.Member.SNMP
+	if a.Listen == "" {
+		return func() {}, nil
+	}
+	agent, err := snmp.Listen(a.Listen, a.Community, set.Name, snmpView{m}, log.New(l, "", 0), counters, nil)
+	if err != nil {
+		return nil, fmt.Errorf("member.snmp.listen: %w", err)
+	}
+	l.Info().Str("event", "group.snmp").Str("process", set.Name).Stringer("addr", agent.Addr()).Send()
+	go agent.Serve()
+	return func() { agent.Close() }, nil
+}
+
 // snmpView is what the SNMP agent shows of a member: healthy while it has its vote and knows a leader.
 type snmpView struct{ m *Member }
 
+// Health reports whether the member has its vote and knows a leader.
 func (s snmpView) Health() bool { st := s.m.Status(); return st.Confirmed && st.Leader != "" }
+
+// Phase is starting until the member has its vote, then serving.
 func (s snmpView) Phase() lifecycle.State {
 	if s.m.Status().Confirmed {
 		return lifecycle.Serving
 	}
 	return lifecycle.Starting
 }
+
+// PendingAnswers is 0: a member has no requests of clients.
 func (s snmpView) PendingAnswers() int { return 0 }
-func (s snmpView) View() core.View     { return core.View{} }
+
+// View is empty: a member has no module.
+func (s snmpView) View() core.View { return core.View{} }
 
 // openMember opens a member's disk and its listener.
 func openMember(set settings.Quorum, l zerolog.Logger, counters *metrics.Counters) (*Member, *listener.Listener, error) {
--- a/internal/controlplane/quorum/member/program.go
+++ b/internal/controlplane/quorum/member/program.go
@@ -100,32 +100,42 @@
 		}
 		all.Wait()
 	}
-	g := quorum.Client{Group: "try", Addrs: addrs}
+	if err := foundTrialGroup(addrs, failed); err != nil {
+		leave()
+		return err
+	}
+	fmt.Fprintf(c.OutOrStdout(), "a group of three; look with: silverpath duty list --group try --members %s\n", addrs[0])
 	var err error
-	for range 50 { // until all listen
+	select {
+	case err = <-failed:
+	case <-signals:
+	}
+	leave()
+	return err
+}
+
+// foundTrialGroup founds a group of members once all of them listen, or returns the error of one that failed meanwhile.
+func foundTrialGroup(addrs []string, failed <-chan error) (err error) {
+	g := quorum.Client{Group: "try", Addrs: addrs}
+	defer g.Close()
+	for range trialFoundings {
 		ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 		_, err = g.Found(ctx, lease.Terms{TTL: 3 * time.Second, Drift: 0.05})
 		cancel()
 		if err == nil {
-			break
+			return nil
 		}
 		select {
 		case e := <-failed:
-			leave()
 			return e
-		case <-time.After(100 * time.Millisecond):
+		case <-time.After(trialPause):
 		}
 	}
-	g.Close()
-	if err != nil {
-		leave()
-		return err
-	}
-	fmt.Fprintf(c.OutOrStdout(), "a group of three; look with: silverpath duty list --group try --members %s\n", addrs[0])
-	select {
-	case err = <-failed:
-	case <-signals:
-	}
-	leave()
 	return err
 }
+
+// A trial group is founded as soon as its members listen, which takes a moment.
+const (
+	trialFoundings = 50
+	trialPause     = 100 * time.Millisecond
+)
