--- a/internal/service/main.go
+++ b/internal/service/main.go
@@ -46,7 +46,7 @@
 	}
 	shutdown := make(chan struct{})
 	go func() { // ends with the process; a second notice changes nothing
-		events.Log(l, "leaving", <-signals.Shutdown)
+		events.Log(l, "shutdown", <-signals.Shutdown)
 		close(shutdown)
 	}()
 	s, err := openWithRetry(cfg, l, hooks, addressRetryFor, shutdown)
--- a/internal/storage/idempotencystore/load.go
+++ b/internal/storage/idempotencystore/load.go
@@ -74,7 +74,7 @@
 	s.stats.Set(uint64(took.Milliseconds()), "store", "load_ms")
 	events.Log(s.log, "store.loaded", records, took.Round(time.Millisecond), r.shift != 0)
 	if left := incompleteUntil - Now().SinceBoot; left > 0 {
-		events.Log(s.log, "store.blind", left.Round(time.Second))
+		events.Log(s.log, "store.incomplete", left.Round(time.Second))
 	}
 }
 
