--- a/internal/policy/cells/homes_test.go
+++ b/internal/policy/cells/homes_test.go
@@ -9,7 +9,7 @@
 )
 
 // Two routers agree on the home of a key without talking, also while one is of an older build: were a score or a draw computed
-// otherwise, a sheet and its repeat would run on two servers. So the routes of 40 keys of five tenants through a move, its abort and
+// otherwise, a keyed request and its repeat would run on two servers. So the routes of 40 keys of five tenants through a move, its abort and
 // servers that come and go stand in testdata as the program gave them before its names were changed.
 func TestRoutesStayWhatTheyWere(t *testing.T) {
 	m := &Map{Version: 1, KeyWindow: 10 * time.Second, MaxClockSkew: 500 * time.Millisecond, Lease: 5 * time.Second, CallerTimeout: 4 * time.Second,
--- a/internal/policy/cells/model_test.go
+++ b/internal/policy/cells/model_test.go
@@ -6,16 +6,16 @@
 	"time"
 )
 
-// This file is a model of a sheet that is tried again and again while its tenant moves, checked over all interleavings:
+// This file is a model of a keyed request that is tried again and again while its tenant moves, checked over all interleavings:
 // two routers whose clocks differ, three servers, crashes and cold restarts of servers, restarts of routers, answers that
 // get lost. The routes are those of the real Route at three times: before the move, while it is dual, and after.
 
-// rules are those that keep a sheet from running twice; a test leaves each out on purpose.
+// rules are those that keep a keyed request from running twice; a test leaves each out on purpose.
 type rules struct {
 	ask  bool // former homes are asked first
 	mark bool // one that is asked for what it does not know remembers that, and runs it no more
-	boot bool // a try is meant for one start of a server
-	lost bool // a server that came back without its sheets gets none that it may have run
+	boot bool // an attempt is meant for one start of a server
+	lost bool // a server that came back without its keyed requests gets none that it may have run
 }
 
 const (
@@ -44,7 +44,7 @@
 	home   uint8
 	hops   uint8
 	begun  uint8 // phase of its router then
-	after  bool  // begun once the sheet had run and been answered
+	after  bool  // begun once the keyed request had run and been answered
 	result uint8
 }
 
@@ -63,10 +63,10 @@
 	crashes  uint8
 	restarts uint8
 	answered bool
-	early    bool // a try began before the move
+	early    bool // an attempt began before the move
 }
 
-// open reports whether a try that began before the move is under way.
+// open reports whether an attempt that began before the move is under way.
 func (m model) open() bool {
 	for _, t := range m.tries {
 		if (t.state == 1 || t.state == 2) && t.begun == 0 {
@@ -113,7 +113,7 @@
 		if x.phase == 0 || x.phase == 1 && m.routers[1-i].phase >= 1 && !m.open() {
 			add(func(n *model) { n.routers[i].phase++ })
 		}
-		if m.restarts < restarts { // a router that starts anew learns starts by probes, and what was lost from them
+		if m.restarts < restarts { // a router that starts anew learns starts by health checks, and what was lost from them
 			add(func(n *model) {
 				n.restarts++
 				for s := range n.servers {
@@ -126,7 +126,7 @@
 				}
 			})
 		}
-		for s := range m.servers { // a probe
+		for s := range m.servers { // a health check
 			if m.servers[s].up && x.knows[s] != m.servers[s].start {
 				add(func(n *model) { n.routers[i].knows[s], n.routers[i].lost[s] = n.servers[s].start, true })
 			}
@@ -173,7 +173,7 @@
 	return list
 }
 
-// step is a try's arrival at the server that it stands before, and what its router makes of the answer: Runner.sheet.
+// step is an attempt's arrival at the server that it stands before, and what its router makes of the answer: Runner.forwardKeyed.
 func (m *model) step(k int, rs rules, r routes) {
 	t := &m.tries[k]
 	x, s := &m.routers[t.router], &m.servers[t.to]
@@ -242,7 +242,7 @@
 
 var allRules = rules{ask: true, mark: true, boot: true, lost: true}
 
-// Over all interleavings a sheet never runs twice, and where nothing crashes no repeat of one that was answered is lost.
+// Over all interleavings a keyed request never runs twice, and where nothing crashes no repeat of one that was answered is lost.
 func TestModel(t *testing.T) {
 	r := routesOf(t)
 	if r.home[0] == r.home[1] || r.former[1] != r.home[0] || r.former[0] != serversOf || r.former[2] != serversOf {
--- a/internal/policy/configstore/tracker.go
+++ b/internal/policy/configstore/tracker.go
@@ -56,7 +56,7 @@
 	firstObserved    time.Duration // when it was first heard of
 	sightings        []Sighting    // one, or the first two that differ
 	conflictAt       time.Duration // since when two are known to
-	reportedConflict string        // or that two differ, as somebody else said
+	reportedConflict string        // or that two differ, as another process said
 }
 
 func (v *trackedVersion) isConflicting() bool {
--- a/internal/policy/configstore/tracker_test.go
+++ b/internal/policy/configstore/tracker_test.go
@@ -117,7 +117,7 @@
 	}
 }
 
-// All orders, up to a length, in which two routers whose maps of one version differ look after two servers and send one sheet,
+// All orders, up to a length, in which two routers whose maps of one version differ look after two servers and send one keyed request,
 // each to the home that its map names: it never runs twice. A router sends once it has looked after all its servers. Left out,
 // each of the guards lets it run twice: the servers' judgement alone, the routers' alone, or that a router looks first.
 func TestAllOrdersOfTwoMaps(t *testing.T) {
@@ -132,7 +132,7 @@
 	} {
 		const length = 7
 		found := ""
-		// What to do, in a number: 0..3 router r looks after server s, 4 and 5 router r sends the sheet.
+		// What to do, in a number: 0..3 router r looks after server s, 4 and 5 router r sends the keyed request.
 		var walk func(done []int)
 		walk = func(done []int) {
 			if found != "" || len(done) == length {
@@ -154,7 +154,7 @@
 	}
 }
 
-// runs plays an order and counts the runs of the sheet.
+// runs plays an order and counts the runs of the keyed request.
 func runs(path []int, serversJudge, routersJudge, look bool) (n int) {
 	var servers, routers [2]VersionTracker
 	var looked [2][2]bool
@@ -175,7 +175,7 @@
 			looked[r][s] = true
 			continue
 		}
-		r := do - 4 // whose map has the sheet's home at the server of its own number
+		r := do - 4 // whose map has the keyed request's home at the server of its own number
 		if look && (!looked[r][0] || !looked[r][1]) || routersJudge && routers[r].Check(now, id(r)) != VerdictValid || ran[r] {
 			continue
 		}
--- a/internal/policy/loadbalancer/decisions_test.go
+++ b/internal/policy/loadbalancer/decisions_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Which server gets a try follows from what was seen of all and from draws of a seeded source, in their order. Was a draw made more or
+// Which server gets an attempt follows from what was seen of all and from draws of a seeded source, in their order. Was a draw made more or
 // less, or a rule asked at another place, routers would choose otherwise with no test the wiser. So the choices of a play of 12 servers
 // with failures, a slow one, restarts, waits, budgets and hedges stand in testdata as they were before the names were changed.
 func TestChoicesStayWhatTheyWere(t *testing.T) {
--- a/internal/policy/loadbalancer/fairness_test.go
+++ b/internal/policy/loadbalancer/fairness_test.go
@@ -7,7 +7,7 @@
 	"pgregory.net/rapid"
 )
 
-// floodCell plays a cell of four servers that holds so many requests and turns away the rest: two tenants of the same rate, one
+// floodCell plays a cell of four servers that holds so many requests and rejects the rest: two tenants of the same rate, one
 // of which sends ten times as much. It returns the share of each that was served.
 func floodCell(f *TenantLimiter, seconds int) (quiet, loud float64) {
 	const room, takes = 100, 300 * time.Millisecond
@@ -57,7 +57,7 @@
 	return served["quiet"] / sent["quiet"], served["loud"] / sent["loud"]
 }
 
-// Who keeps within its share hardly notices one that floods the cell, and the flood gets what is left over.
+// A tenant that keeps within its share hardly notices one that floods the cell, and the flood gets what is left over.
 func TestFloodLeavesOthersTheirShare(t *testing.T) {
 	quiet, loud := floodCell(NewTenantLimiter(), 60)
 	if quiet < 0.95 || loud < 0.15 {
@@ -65,7 +65,7 @@
 	}
 }
 
-// Over random events a tenant within its part is let in unless the cell is far over its window, nothing goes negative, and
+// Over random events a tenant within its share is admitted unless the cell is far over its window, nothing goes negative, and
 // the window keeps its least.
 func TestTenantLimiterProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/policy/loadbalancer/health.go
+++ b/internal/policy/loadbalancer/health.go
@@ -10,7 +10,7 @@
 // it gets none, and requests that are sticky to it fail. One answer makes it alive again, unless it flaps: a server whose health
 // changed more than maxFlaps times within flapWindow is held down, and has to answer after holdDown once more.
 const (
-	suspectAfter = 1 // failures in a row; one is no proof, but there is mostly somebody better
+	suspectAfter = 1 // failures in a row; one is no proof, but there is mostly a better server
 	deadAfter    = 3 // failures in a row; one or two are lost to a restart or a busy network
 
 	flapWindow = time.Minute      // in which changes of health are counted; several restarts fit in
--- a/internal/policy/loadbalancer/loadbalancer_test.go
+++ b/internal/policy/loadbalancer/loadbalancer_test.go
@@ -134,7 +134,7 @@
 	}
 }
 
-// Suspicion comes before death, one that came back cold is eased in and has forgotten its sheets, and who flaps must be
+// Suspicion comes before death, one that restarted is eased in and has forgotten its keyed requests, and one that flaps must be
 // well for a while.
 func TestFailureDetection(t *testing.T) {
 	tb, _ := newBalancer(3, Config{})
@@ -207,7 +207,7 @@
 	}
 }
 
-// A server that is cold gets no more than the part that it gave: first tries, retries and second copies alike, sheets too, also
+// A server that is warming up gets no more than it granted: first attempts, retries and hedged requests alike, keyed requests too, also
 // where so many servers are out that health is not looked at. Without news the part ends.
 func TestSlowStartIsABound(t *testing.T) {
 	tb, now := New(Config{SlowStart: 1}), time.Hour // without the weight that eases a server in
@@ -251,7 +251,7 @@
 	check("warm", now+time.Hour, true)
 }
 
-// Further tries are a share of the first ones, whatever fails; a write is tried again only on proof.
+// Retries are a ratio of first attempts, whatever fails; a write is tried again only on proof.
 func TestRetryBudgets(t *testing.T) {
 	tb, _ := newBalancer(3, Config{RetryRatio: 0.1, HedgeRatio: 0.05})
 	again, hedged := 0, 0
@@ -318,7 +318,7 @@
 	}
 }
 
-// A second copy goes out later than nearly all first ones have been answered.
+// A hedged request goes out later than nearly all first ones have been answered.
 func TestHedgeDelay(t *testing.T) {
 	tb, _ := newBalancer(1, Config{})
 	if _, known := tb.HedgeDelay(); known {
--- a/internal/policy/quota/quota_test.go
+++ b/internal/policy/quota/quota_test.go
@@ -202,7 +202,7 @@
 	}
 }
 
-// Parts follow demand: who floods gets what is left, who is within his rate loses nothing, the load's shift to another router is
+// Rates follow demand: a tenant that floods gets what is left, one that is within its rate loses nothing, the load's shift to another router is
 // followed within two and a half leases, and with a steady load the parts stand still. A router that joins, and one whose tenant was
 // silent, get theirs as soon.
 func TestRatesFollowDemand(t *testing.T) {
--- a/internal/proxy/cold_test.go
+++ b/internal/proxy/cold_test.go
@@ -36,7 +36,7 @@
 func (w *counting) Resume(string, []byte) {}
 func (w *counting) Probe()                { w.Gauges(silverpath.Gauges{}) }
 
-// Twenty routers that each have far more to send than a cold server takes, sheets and reads, by sockets: what is out there of all of
+// Twenty routers that each have far more to send than a cold server takes, keyed requests and reads, by sockets: what is in flight of all of
 // them stays within what the server takes while it is cold, and they do send. With each router by itself, as before, it does not.
 func TestTwentyRoutersAndAWarmingServer(t *testing.T) {
 	for _, cold := range []bool{true, false} {
--- a/internal/proxy/parts_test.go
+++ b/internal/proxy/parts_test.go
@@ -687,7 +687,7 @@
 			for _, p := range s.Parts[cell.Name] {
 				sum += p
 			}
-			if i < tenants { // somebody lives there
+			if i < tenants { // a tenant lives there
 				want = 30 * 10 * quota.UsableRatio * quota.ReservedRatio / 470
 			}
 			if i < tenants && tenants < 100 {
@@ -741,7 +741,7 @@
 	}
 }
 
-// The health of all servers is looked through at the end of a round of probes, and not after each answer: none is missing then.
+// The health of all servers is looked through at the end of a round of health checks, and not after each answer: none is missing then.
 func TestHealthIsLoggedAtTheEndOfARound(t *testing.T) {
 	const servers = 60
 	var out bytes.Buffer
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -155,7 +155,7 @@
 
 func play(t *testing.T, n int, test func(l *lab)) { probing(t, n, 500*time.Millisecond, test) }
 
-// probing plays with so long between two probes of a server.
+// probing plays with so long between two health checks of a server.
 func probing(t *testing.T, n int, every time.Duration, test func(l *lab)) {
 	synctest.Test(t, func(t *testing.T) {
 		l := &lab{t: t, router: &router{ends: map[string]core.Answer{}}, stats: &metrics.Counters{}}
@@ -246,7 +246,7 @@
 	play(t, 2, func(l *lab) {
 		l.each(func(s *server) { s.cuts = true })
 		before := l.runs()
-		for _, class := range []string{"pay", "sheet"} { // a sheet without a key is a write like any other
+		for _, class := range []string{"pay", "sheet"} { // a request of a keyed class that has no key is a write like any other
 			if a := l.ask(class, ""); a.Outcome != core.Failed || l.runs() != before+1 {
 				t.Errorf("%s whose connection broke: %+v, %d runs", class, a, l.runs()-before)
 			}
@@ -270,7 +270,7 @@
 	})
 }
 
-// A read that takes longer than nearly all others gets a second copy elsewhere, and its answer.
+// A read that takes longer than nearly all others gets a hedged request elsewhere, and its answer.
 func TestHedgedRequest(t *testing.T) {
 	play(t, 2, func(l *lab) {
 		for range 80 {
@@ -290,8 +290,8 @@
 	})
 }
 
-// A sheet whose server died after it ran is run nowhere else: it fails while the server is gone, when it is back and knows
-// nothing of it, and until its window is over; a sheet of another home is not touched. Repeats before get the first result.
+// A keyed request whose server died after it ran is run nowhere else: it fails while the server is gone, when it is back and knows
+// nothing of it, and until its window is over; a keyed request of another home is not touched. Repeats before get the first result.
 func TestHomeDies(t *testing.T) {
 	play(t, 3, func(l *lab) {
 		var key string
--- a/internal/proxy/rest_test.go
+++ b/internal/proxy/rest_test.go
@@ -56,8 +56,8 @@
 	return n, err
 }
 
-// A connection to a server that rested, and that the server gives up in the very moment in which a sheet goes out on it, costs
-// nothing: the server says what it took last, so the sheet is known not to have run, goes out on a new one and runs once.
+// A connection to a server that rested, and that the server gives up in the very moment in which a keyed request goes out on it, costs
+// nothing: the server says what it took last, so the keyed request is known not to have run, goes out on a new one and runs once.
 func TestKeyedRequestCrossesTheEndOfAnIdleConnection(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -113,7 +113,7 @@
 	}
 }
 
-// A sheet whose connection ends without an answer and without a word of what was taken may have run: it is not sent again.
+// A keyed request whose connection ends without an answer and without a word of what was taken may have run: it is not sent again.
 func TestKeyedRequestOnABrokenConnection(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/proxy/wire_test.go
+++ b/internal/proxy/wire_test.go
@@ -73,9 +73,9 @@
 }
 
 // A fleet is upgraded one process after the other, so a router of one build talks with servers of another. Did a field get another
-// name, or a text another form, the other side would pass over it without a word: a sheet would go by no rules, a restart would not be
-// noticed. So every byte between a router and its servers, both ways, in a play of health checks, reads, a sheet, its repeat, and a
-// sheet that has moved, stands in testdata as the program wrote it before its names were changed.
+// name, or a text another form, the other side would pass over it without a word: a keyed request would go by no rules, a restart would not be
+// noticed. So every byte between a router and its servers, both ways, in a play of health checks, reads, a keyed request, its repeat, and a
+// keyed request that has moved, stands in testdata as the program wrote it before its names were changed.
 func TestBytesBetweenRouterAndServers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		tr := &transcript{}
