--- a/internal/policy/cells/cells.go
+++ b/internal/policy/cells/cells.go
@@ -11,7 +11,7 @@
 
 // Map is who serves whom. It is never changed once it is checked; a change is a new map of a higher version. Its servers and tenants
 // stand in lists, as in a file, or, where it was joined from parts, in these alone: AllServers and AllTenants run over either, and
-// Flat has lists of either. Internal/settings reads and writes it as JSON.
+// Flat has lists of either. settings.ParseCells reads it from JSON.
 type Map struct {
 	Version       int
 	Epoch         uint64        // of the placement controller that made it, 0 where there is none: docs/duties.md
--- a/internal/policy/configstore/fetch.go
+++ b/internal/policy/configstore/fetch.go
@@ -19,7 +19,7 @@
 }
 
 const (
-	initialBackoff = 2 * time.Second // in which a zone's first requests are spread: a few a millisecond
+	initialBackoff = 2 * time.Second // over which the first requests of a zone's hundreds of processes are spread
 	maxDoublings   = 4               // of initialBackoff, to half a minute
 	maxRequested   = MaxParts        // names in a request; the answer carries as many as fit
 )
@@ -86,7 +86,7 @@
 	return ok
 }
 
-// RequestFailed is told that a request had no answer, or was refused.
+// RequestFailed records that a request had no answer, or was refused.
 func (h *Replica) RequestFailed() {
 	h.pacer = requestPacer{failures: h.pacer.failures + 1}
 }
--- a/internal/policy/configstore/monitor.go
+++ b/internal/policy/configstore/monitor.go
@@ -51,12 +51,12 @@
 	return w
 }
 
-// StartLeading is told when the member has begun to lead.
+// StartLeading records that the member has begun to lead.
 func (w *ProcessMonitor) StartLeading(now time.Duration) {
 	*w = ProcessMonitor{terms: w.terms, leadingSince: now, reports: map[string]*ProcessReport{}, expiring: map[string]bool{}, stages: map[string]stageStart{}, proposedAt: map[string]time.Duration{}}
 }
 
-// StopLeading is told when it has ceased to.
+// StopLeading records that it has ceased to.
 func (w *ProcessMonitor) StopLeading() { *w = ProcessMonitor{terms: w.terms, leadingSince: -1} }
 
 // Observe takes the report of a process as it comes. It reports whether the process may be told what is active: no once its expiry was
@@ -94,7 +94,7 @@
 	return all
 }
 
-// Unregistered is told that a process is registered no more, or that its expiry was not proposed after all.
+// Unregistered records that a process is registered no more, or that its expiry was not proposed after all.
 func (w *ProcessMonitor) Unregistered(who string) {
 	delete(w.expiring, who)
 	delete(w.reports, who)
--- a/internal/policy/configstore/tracker.go
+++ b/internal/policy/configstore/tracker.go
@@ -46,8 +46,8 @@
 
 // Bounds on what is remembered: what comes off a wire is not bounded by itself.
 const (
-	maxVersions   = 16
-	maxSourceName = 64
+	maxVersions   = 16 // versions that are remembered; a fleet has two or three at a time
+	maxSourceName = 64 // bytes of a process's name
 )
 
 // trackedVersion is what is known of a version's documents.
--- a/internal/policy/loadbalancer/backpressure.go
+++ b/internal/policy/loadbalancer/backpressure.go
@@ -13,7 +13,7 @@
 // where that is not enough. Each costs a map entry, and a cell serves some dozens of tenants at a time.
 const maxExcludedTenants = 256
 
-// Backpressure is told what an answer to a tenant's request said beside its outcome: a credit, the requests that the server wants in
+// Backpressure records what an answer to a tenant's request said beside its outcome: a credit, the requests that the server wants in
 // flight at most, 0 for none told, and a Retry-After, 0 for none. The Retry-After is for the tenant alone: a server rejects first who
 // has more than its share, and what a tenant that floods is told says nothing to the others in its cell.
 func (b *Balancer) Backpressure(now time.Duration, tenant, name string, credit float64, retryAfter time.Duration) {
@@ -47,7 +47,7 @@
 	return s.inFlight < b.cfg.MaxInFlight && s.warmup.HasCapacity(now, s.inFlight)
 }
 
-// SlowStartGranted is told what a server's answer to a health check said of its slow start: how many requests this router may have in
+// SlowStartGranted records what a server's answer to a health check said of its slow start: how many requests this router may have in
 // flight there, for a term that begins as the check was sent.
 func (b *Balancer) SlowStartGranted(sent time.Duration, name string, requests int, term time.Duration) {
 	if s := b.servers[name]; s != nil {
@@ -55,14 +55,14 @@
 	}
 }
 
-// WarmedUp is told that a server has answered and said nothing of a slow start.
+// WarmedUp records that a server has answered and said nothing of a slow start.
 func (b *Balancer) WarmedUp(name string) {
 	if s := b.servers[name]; s != nil {
 		s.warmup.WarmedUp()
 	}
 }
 
-// AwaitHealthCheck is told that a server is new to this router: it gets nothing until it has answered a health check, as it may be in
+// AwaitHealthCheck records that a server is new to this router: it gets nothing until it has answered a health check, as it may be in
 // its slow start.
 func (b *Balancer) AwaitHealthCheck(name string) {
 	if s := b.servers[name]; s != nil {
--- a/internal/policy/loadbalancer/ejection.go
+++ b/internal/policy/loadbalancer/ejection.go
@@ -54,7 +54,7 @@
 	}
 }
 
-// Done is told how an attempt ended and how long it took. Read says that it had no idempotency key: its latency counts towards the
+// Done records how an attempt ended and how long it took. Read says that it had no idempotency key: its latency counts towards the
 // hedge delay.
 func (b *Balancer) Done(now time.Duration, name string, o Outcome, took time.Duration, read bool) {
 	s := b.servers[name]
--- a/internal/policy/loadbalancer/fairness.go
+++ b/internal/policy/loadbalancer/fairness.go
@@ -113,7 +113,7 @@
 	return reserved
 }
 
-// Done is told how a request that was admitted has ended: served ones widen the window, rejected ones narrow it.
+// Done records how a request that was admitted has ended: served ones widen the window, rejected ones narrow it.
 func (l *TenantLimiter) Done(now time.Duration, cell, tenant string, o Outcome) {
 	w := l.cells[cell]
 	if w == nil {
--- a/internal/policy/loadbalancer/health.go
+++ b/internal/policy/loadbalancer/health.go
@@ -40,7 +40,7 @@
 	Now      int64 // the present, by the router's wall clock
 }
 
-// Answered is told that a server answered a health check or a request. It makes the server alive, unless it flaps, and notices a
+// Answered records that a server answered a health check or a request. It makes the server alive, unless it flaps, and notices a
 // restart: homes.go.
 func (b *Balancer) Answered(now time.Duration, name string, in Incarnation) {
 	s := b.servers[name]
@@ -54,7 +54,7 @@
 	}
 }
 
-// Unreachable is told that a health check failed, or that no connection was to be had.
+// Unreachable records that a health check failed, or that no connection was to be had.
 func (b *Balancer) Unreachable(now time.Duration, name string) {
 	s := b.servers[name]
 	if s == nil {
--- a/internal/policy/loadbalancer/retrybudget.go
+++ b/internal/policy/loadbalancer/retrybudget.go
@@ -44,7 +44,7 @@
 	return true
 }
 
-// FirstAttempt is told that a request makes its first attempt, which both budgets are ratios of.
+// FirstAttempt records that a request makes its first attempt, which both budgets are ratios of.
 func (b *Balancer) FirstAttempt(now time.Duration) {
 	b.retries.deposit(now)
 	b.hedges.deposit(now)
--- a/internal/policy/quota/holder.go
+++ b/internal/policy/quota/holder.go
@@ -12,7 +12,7 @@
 // A key's requests are admitted by a token bucket that the key's rate fills: what the router was lent while the lease holds, and its
 // reserve. What it was asked for of late, admitted or not, is the demand that it tells the leader.
 const (
-	demandSpan    = 1.0         // seconds over which demand is averaged: about the time between two requests to the leader
+	demandSpan    = 1.0         // seconds over which demand is averaged; longer follows a shift of load later, shorter is moved by chance
 	burstSpan     = 1.0         // seconds of a rate that may be used at once
 	minBurst      = 6.0         // requests that may be used at once, so that a rate of less than one a second is of use
 	minDemand     = 0.01        // requests a second; less is not told
--- a/internal/policy/quota/ledger.go
+++ b/internal/policy/quota/ledger.go
@@ -70,12 +70,12 @@
 // NewLedger returns the ledger of a member that does not lead.
 func NewLedger(t lease.Terms) *Ledger { return &Ledger{terms: t, leadingSince: -1} }
 
-// StartLeading is told when the member has begun to lead, in a term of the group.
+// StartLeading records that the member has begun to lead, in a term of the group.
 func (l *Ledger) StartLeading(now time.Duration, term uint64) {
 	*l = Ledger{terms: l.terms, leadingSince: now, term: term, cells: l.cells, routers: map[string]*borrower{}}
 }
 
-// StopLeading is told when the member has ceased to lead.
+// StopLeading records that the member has ceased to lead.
 func (l *Ledger) StopLeading() { *l = Ledger{terms: l.terms, leadingSince: -1, cells: l.cells} }
 
 // SetCapacity sets the capacity of cells, by their names. It is called with each new cell map and at its changes by the time alone.
--- a/internal/policy/slowstart/slowstart.go
+++ b/internal/policy/slowstart/slowstart.go
@@ -121,15 +121,15 @@
 	until    time.Duration
 }
 
-// Restarted is told that the server has started anew: until it grants something, nothing is claimed of it.
+// Restarted records that the server has started anew: until it grants something, nothing is claimed of it.
 func (c *Caller) Restarted() { *c = Caller{warming: true} }
 
-// Granted is told how many requests the server granted, for a term that begins as they were asked for.
+// Granted records how many requests the server granted, for a term that begins as they were asked for.
 func (c *Caller) Granted(asked time.Duration, requests int, term time.Duration) {
 	*c = Caller{warming: true, requests: requests, until: asked + term}
 }
 
-// WarmedUp is told that the server has said nothing of a slow start.
+// WarmedUp records that the server has said nothing of a slow start.
 func (c *Caller) WarmedUp() { *c = Caller{} }
 
 // HasCapacity reports whether one more request may go out beside those in flight: first attempts, retries and hedged requests alike.
--- a/internal/proxy/groupsource.go
+++ b/internal/proxy/groupsource.go
@@ -162,7 +162,7 @@
 	return nil
 }
 
-// Confirm is told when the group was asked for what is in force, once it has answered and the process acts on it.
+// Confirm records when the group was asked for what is in force, once it has answered and the process acts on it.
 func (a *GroupSource) Confirm(asked time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/proxy/maps.go
+++ b/internal/proxy/maps.go
@@ -154,7 +154,7 @@
 	return identifyMap(m)
 }
 
-// catchUp is told that a newer map is taken up by a router that has gone by an old one beyond its lease. What it sent then, where the newer
+// catchUp records that a newer map is taken up by a router that has gone by an old one beyond its lease. What it sent then, where the newer
 // one has another home for it, may be repeated: nothing exclusive begins until it can't be any more.
 func (r *Runner) catchUp(m *cells.Map) {
 	r.mu.Lock()
