--- a/internal/proxy/wire_test.go
+++ b/internal/proxy/wire_test.go
@@ -192,7 +192,9 @@
 				now := time.Now()
 				runner.Forward(core.Request{ID: "1", Class: c.class, Key: c.key, MemoryKB: 1, ReceivedAt: now, Deadline: now.Add(4 * time.Second)})
 				time.Sleep(4 * time.Second)
+				to.mu.Lock()
 				a := to.ends["1"]
+				to.mu.Unlock()
 				got := fmt.Sprintf("%d %q wait %v final %v", a.Outcome, a.Body, a.RetryAfter, a.Final)
 				for why, n := range counters.Snapshot() {
 					if after, is := strings.CutPrefix(why, "fleet.failed."); is && n > 0 && strings.Contains(c.want, after) {
