--- a/internal/controlplane/quorum/member/member.go
+++ b/internal/controlplane/quorum/member/member.go
@@ -51,12 +51,12 @@
 const (
 	electionTicks     = 10   // an election takes ten to twenty: a heartbeat may be lost, or late, a few times in a row
 	maxPending        = 8192 // requests that wait for agreement: two of each process that there can be
-	callQueueLength   = 256  // calls that wait for the loop, before their connections do
+	callQueueLength   = 256  // calls that wait for the loop; beyond it their connections wait
 	diskIDBytes       = 8    // of chance in a member's number, and in the number of a start
 	databaseFile      = "group.db"
-	maxUncommitted    = 8 << 20   // bytes of proposals that wait for a majority
+	maxUncommitted    = 8 << 20   // bytes of proposals that wait for a majority: without one they must not fill the leader's memory
 	maxMessageEntries = 128 << 10 // bytes of entries in one message: several go in a call
-	maxInflight       = 64        // messages to a member that are not acknowledged
+	maxInflight       = 64        // messages to a member that are not acknowledged: a slow one costs no more
 )
 
 // Member is one member of the group.
--- a/internal/controlplane/quorum/member/peer.go
+++ b/internal/controlplane/quorum/member/peer.go
@@ -25,7 +25,7 @@
 }
 
 const (
-	peerQueueLength = 512     // messages that wait for a member: more than a busy leader has for one in a round trip
+	peerQueueLength = 512     // messages that wait for a member. Found by trial; raising it keeps more memory for one that is not there
 	requestOverhead = 4 << 10 // bytes of a call beside its messages
 	lengthBytes     = 4       // before each message of a call
 	// maxInlineSnapshot bounds a snapshot that goes in one call, which members of older builds take as well; a longer one goes in parts.
--- a/internal/controlplane/quorum/member/raft.go
+++ b/internal/controlplane/quorum/member/raft.go
@@ -19,8 +19,8 @@
 
 // When the log is replaced by a snapshot of the state.
 const (
-	compactAfterEntries = 2000 // entries since the last one: some minutes of a busy fleet, read in a moment at a start
-	compactKeepEntries  = 200  // of them stay for members that are a little behind, which then need no snapshot
+	compactAfterEntries = 2000 // entries since the last one. Found by trial; raising it has a start read and apply more of the log
+	compactKeepEntries  = 200  // of them stay: a member that is no further behind needs no snapshot
 	// compactAfterBytes has a snapshot be made of what many large changes have written, and compactKeepBytes bounds what of them stays.
 	compactAfterBytes = 16 << 20
 	compactKeepBytes  = 4 << 20
--- a/internal/controlplane/runner/runner.go
+++ b/internal/controlplane/runner/runner.go
@@ -40,7 +40,7 @@
 // Wall is the wall clock by which maps are made; test programs set another one.
 var Wall = time.Now
 
-// requestTimeout is how long the group is asked: several elections of a healthy group.
+// requestTimeout is how long the group is asked: longer than an election takes, so that a request outlasts a change of the leader.
 const requestTimeout = 2 * time.Second
 
 // noGroupPause is the pause between two questions to a group that is not there, or not founded, at the start.
--- a/internal/policy/controller/journal.go
+++ b/internal/policy/controller/journal.go
@@ -69,8 +69,8 @@
 
 // Bounds of a journal, which is in every snapshot of the group and in every answer about its duty.
 const (
-	maxOpenItems     = 256 // items that are queued or under way: a day of moves by hand; more come from a script in a loop
-	maxFinishedItems = 64  // items that are kept for people to look at: about what a screen shows
+	maxOpenItems     = 256 // items that are queued or under way. Found by trial; raising it lets a script in a loop queue more
+	maxFinishedItems = 64  // items that are kept for people to look at: a screen or two
 )
 
 // Errors of a journal that callers decide by.
