--- a/cmd/silverpath/crowd_test.go
+++ b/cmd/silverpath/crowd_test.go
@@ -25,7 +25,7 @@
 	t.Parallel()
 	const most = 96
 	work, err := builtinworker.Listen(builtinworker.Config{Listen: "127.0.0.1:0", Cores: 8, Shape: builtinworker.Shape{Knee: 8, Speed: 1},
-		Other: builtinworker.Class{Least: 5 * time.Millisecond, Most: 10 * time.Millisecond}, RunFactor: 1, Seed: 1})
+		Other: builtinworker.Class{MinWork: 5 * time.Millisecond, MaxWork: 10 * time.Millisecond}, RunFactor: 1, Seed: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/silverpath/durable_test.go
+++ b/cmd/silverpath/durable_test.go
@@ -698,7 +698,7 @@
 func TestMovedKeyOutlivesTheProcess(t *testing.T) {
 	t.Parallel()
 	m, err := builtinworker.Listen(builtinworker.Config{Listen: "127.0.0.1:0", Cores: 8, Shape: builtinworker.Shape{Knee: 8, Speed: 1}, Audit: true,
-		Other: builtinworker.Class{Least: time.Millisecond, Most: time.Millisecond}, RunFactor: 1})
+		Other: builtinworker.Class{MinWork: time.Millisecond, MaxWork: time.Millisecond}, RunFactor: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/silverpath/fleet_test.go
+++ b/cmd/silverpath/fleet_test.go
@@ -180,7 +180,7 @@
 	}
 	for n, name := range f.names {
 		i, err := builtinworker.Listen(builtinworker.Config{Listen: "127.0.0.1:0", Cores: 8, Shape: builtinworker.Shape{Knee: 8, Speed: 1}, Audit: true,
-			Other: builtinworker.Class{Least: 2 * time.Millisecond, Most: 60 * time.Millisecond}, RunFactor: 1, Seed: uint64(n + 1)})
+			Other: builtinworker.Class{MinWork: 2 * time.Millisecond, MaxWork: 60 * time.Millisecond}, RunFactor: 1, Seed: uint64(n + 1)})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -296,7 +296,7 @@
 	time.Sleep(200 * time.Millisecond)
 	servers["s1"] = spawn(t, "serve", "--config", files["s1"], "--edge", f.edge, "--listen", servers["s1"].addr)
 	for _, name := range []string{"s3", "s4"} { // the target can't carry it after all
-		machines[name].Play([]builtinworker.Trouble{{Speed: 0.2, For: 3 * time.Second}})
+		machines[name].Play([]builtinworker.Fault{{Speed: 0.2, For: 3 * time.Second}})
 	}
 	command("abort", "--tenant", "brand")
 	time.Sleep(4 * time.Second)
--- a/cmd/silverpath/group_test.go
+++ b/cmd/silverpath/group_test.go
@@ -232,7 +232,7 @@
 	members, _ := json.Marshal(g.Client.Addrs)
 	for i := range n {
 		m, err := builtinworker.Listen(builtinworker.Config{Listen: "127.0.0.1:0", Cores: 8, Shape: builtinworker.Shape{Knee: 8, Speed: 1},
-			Other: builtinworker.Class{Least: time.Millisecond, Most: 2 * time.Millisecond}, RunFactor: 1, Seed: uint64(i + 1)})
+			Other: builtinworker.Class{MinWork: time.Millisecond, MaxWork: 2 * time.Millisecond}, RunFactor: 1, Seed: uint64(i + 1)})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/builtinworker/interpreter.go
+++ b/internal/builtinworker/interpreter.go
@@ -13,13 +13,13 @@
 	"github.com/valyala/fastjson"
 )
 
-// Class is the work of one class of requests.
+// Class is the work of the requests of one class.
 type Class struct {
-	Least, Most time.Duration // on a core of its own at speed 1, drawn evenly between the two
+	MinWork, MaxWork time.Duration // of a run on a core of its own at speed 1, drawn evenly between the two
 }
 
-// Trouble changes the machine for a time. What is 0 stays as it is.
-type Trouble struct {
+// Fault changes the machine for a time. What is 0 stays as it is.
+type Fault struct {
 	At, For time.Duration // from the start of the script; For 0: for good
 	Speed   float64       // factor on the speed
 	Knee    float64       // factor on the point of collapse
@@ -29,59 +29,59 @@
 
 // Config sets up an interpreter.
 type Config struct {
-	Listen    string // an address on loopback
-	Cores     int
-	Shape     Shape
-	Classes   map[string]Class
-	Other     Class         // for the classes that are not named
-	ReadWork  time.Duration // reading one request takes so much of the cores: see Read
-	MemoryKB  float64
-	RunFactor float64 // memory of a run as a multiple of its held memory
-	Fall      float64 // the machine falls with more than so many runs a core in the mean of 3 s; 0: it never does
-	Seed      uint64
-	Audit     bool // keep count of runs by body: see Runs
+	Listen         string // an address on loopback
+	Cores          int
+	Shape          Shape
+	Classes        map[string]Class
+	Other          Class         // for the classes that are not named
+	ReadWork       time.Duration // reading one request takes so much of the cores: see Read
+	MemoryKB       float64
+	RunFactor      float64 // memory of a run as a multiple of its held memory
+	MaxRunsPerCore float64 // the machine dies with more runs a core than this, in the mean of failureWindow; 0: it never does
+	Seed           uint64
+	Audit          bool // keep count of runs by body: see Runs
 }
 
 const (
-	keptNotices = 4000
-	keptJobs    = 100_000 // ended ones, of which it is known that they ran
-	longestLine = 64 << 10
-	fallWindow  = 3 * time.Second
-	gaugeSpan   = 100 * time.Millisecond // over which cores count as busy
+	maxNotices    = 4000
+	maxEndedJobs  = 100_000 // ended ones, of which it is known that they ran
+	maxLineBytes  = 64 << 10
+	failureWindow = 3 * time.Second
+	gaugeInterval = 100 * time.Millisecond // over which cores count as busy
 )
 
-// Interpreter is a stand-in for the platform's interpreter: it owns the cores and does the work of requests.
+// Interpreter plays the platform's interpreter: it owns the cores and does the work of requests. It is safe for concurrent use.
 type Interpreter struct {
-	cfg   Config
-	ln    net.Listener
-	began time.Time
-
-	mu       sync.Mutex
-	plant    *Plant
-	rng      *rand.Rand
-	timer    *time.Timer
-	link     net.Conn
-	out      chan []byte
-	n        int64
-	notices  []notice
-	jobs     map[string]*job
-	over     []string           // ended runs, the oldest first
-	held     map[string]float64 // kilobytes booked, by request
-	booked   float64
-	filled   float64 // share of the memory
-	reading  int
-	unread   []*read
-	runs     map[string]int // by body
-	fell     string         // why the machine fell
-	crowd    []point
-	lastBusy float64
-	lastAt   time.Duration
-	coreUse  float64
-	most     float64 // share of the memory, at the most
-	closed   bool
+	cfg       Config
+	ln        net.Listener
+	startedAt time.Time
+
+	mu           sync.Mutex
+	machine      *Machine
+	rng          *rand.Rand
+	timer        *time.Timer
+	link         net.Conn
+	out          chan []byte
+	lastNotice   int64
+	notices      []notice
+	jobs         map[string]*job
+	endedJobs    []string           // ended runs, the oldest first
+	reservedKB   map[string]float64 // kilobytes booked, by request
+	bookedKB     float64
+	extraMemory  float64 // part of the memory that faults fill
+	readsRunning int
+	unread       []*read
+	runs         map[string]int // by body
+	failure      string         // why the machine died
+	runSamples   []runSample
+	lastBusy     float64
+	lastAt       time.Duration
+	coreUse      float64
+	peakMemory   float64 // the largest part of the memory in use so far
+	closed       bool
 }
 
-type point struct {
+type runSample struct {
 	at   time.Duration
 	runs float64
 }
@@ -104,16 +104,16 @@
 	done chan struct{}
 }
 
-// Listen starts an interpreter.
+// Listen starts an interpreter. Its owner closes it.
 func Listen(cfg Config) (*Interpreter, error) {
 	ln, err := net.Listen("tcp", cfg.Listen)
 	if err != nil {
 		return nil, fmt.Errorf("stand-in interpreter: %w", err)
 	}
 	i := &Interpreter{
-		cfg: cfg, ln: ln, began: time.Now(), plant: NewPlant(cfg.Cores, cfg.Shape),
+		cfg: cfg, ln: ln, startedAt: time.Now(), machine: NewMachine(cfg.Cores, cfg.Shape),
 		rng:  rand.New(rand.NewPCG(cfg.Seed, 1)),
-		jobs: map[string]*job{}, held: map[string]float64{}, runs: map[string]int{},
+		jobs: map[string]*job{}, reservedKB: map[string]float64{}, runs: map[string]int{},
 	}
 	go i.accept()
 	return i, nil
@@ -136,22 +136,22 @@
 	}
 }
 
-func (i *Interpreter) clock() time.Duration { return time.Since(i.began) }
+func (i *Interpreter) clock() time.Duration { return time.Since(i.startedAt) }
 
-// Play runs a script of troubles from now on.
-func (i *Interpreter) Play(script []Trouble) {
+// Play runs a script of faults from now on.
+func (i *Interpreter) Play(script []Fault) {
 	for _, t := range script {
-		time.AfterFunc(t.At, func() { i.trouble(t, true) })
+		time.AfterFunc(t.At, func() { i.applyFault(t, true) })
 		if t.For > 0 {
-			time.AfterFunc(t.At+t.For, func() { i.trouble(t, false) })
+			time.AfterFunc(t.At+t.For, func() { i.applyFault(t, false) })
 		}
 	}
 }
 
-func (i *Interpreter) trouble(t Trouble, begins bool) {
+func (i *Interpreter) applyFault(t Fault, begins bool) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	shape := i.plant.Shape()
+	shape := i.machine.Shape()
 	for _, f := range []struct {
 		by float64
 		to *float64
@@ -164,37 +164,37 @@
 		}
 	}
 	if begins {
-		i.filled += t.Memory
+		i.extraMemory += t.Memory
 		if t.Cut && i.link != nil {
 			i.link.Close()
 		}
 	} else {
-		i.filled -= t.Memory
+		i.extraMemory -= t.Memory
 	}
-	i.step()
-	i.plant.Reshape(i.clock(), shape)
-	i.arm()
+	i.advance()
+	i.machine.Reshape(i.clock(), shape)
+	i.setTimer()
 }
 
 // Knee is the point of collapse, which services are not told.
 func (i *Interpreter) Knee() float64 {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	return i.plant.Shape().Knee
+	return i.machine.Shape().Knee
 }
 
 // Running is the number of runs and readings on the cores.
 func (i *Interpreter) Running() int {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	return i.plant.Running()
+	return i.machine.Running()
 }
 
-// Fell says why the machine fell, empty while it has not, and the largest share of the memory in use so far.
-func (i *Interpreter) Fell() (why string, memory float64) {
+// Failure returns why the machine died, empty while it has not, and the largest part of the memory that was in use so far.
+func (i *Interpreter) Failure() (why string, memory float64) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	return i.fell, i.most
+	return i.failure, i.peakMemory
 }
 
 // Runs returns how often each body was run, where runs are audited.
@@ -217,101 +217,101 @@
 
 // Read takes a request in as the platform's network does: it costs the cores work, one request a core at a
 // time, and then its memory is booked. It returns when the request has been read and is to be written to the service.
-func (i *Interpreter) Read(id string, heldKB float64) {
+func (i *Interpreter) Read(id string, kb float64) {
 	r := &read{id: id, done: make(chan struct{})}
 	i.mu.Lock()
 	if i.cfg.ReadWork <= 0 {
-		i.book(id, heldKB)
+		i.reserve(id, kb)
 		i.mu.Unlock()
 		return
 	}
 	i.unread = append(i.unread, r)
-	i.step()
-	i.nextRead()
-	i.arm()
+	i.advance()
+	i.startReads()
+	i.setTimer()
 	i.mu.Unlock()
 	<-r.done
 	i.mu.Lock()
-	i.book(id, heldKB)
+	i.reserve(id, kb)
 	i.mu.Unlock()
 }
 
-func (i *Interpreter) book(id string, kb float64) {
-	i.held[id] = kb
-	i.booked += kb
+func (i *Interpreter) reserve(id string, kb float64) {
+	i.reservedKB[id] = kb
+	i.bookedKB += kb
 }
 
 // Release ends the booking of a request: it is answered.
 func (i *Interpreter) Release(id string) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	i.booked -= i.held[id]
-	delete(i.held, id)
+	i.bookedKB -= i.reservedKB[id]
+	delete(i.reservedKB, id)
 }
 
-func (i *Interpreter) nextRead() {
-	for i.reading < i.cfg.Cores && len(i.unread) > 0 {
+func (i *Interpreter) startReads() {
+	for i.readsRunning < i.cfg.Cores && len(i.unread) > 0 {
 		r := i.unread[0]
 		i.unread = i.unread[1:]
-		i.reading++
+		i.readsRunning++
 		name := "read " + r.id
 		i.jobs[name] = &job{read: r}
-		i.plant.Add(i.clock(), name, i.cfg.ReadWork)
+		i.machine.Add(i.clock(), name, i.cfg.ReadWork)
 	}
 }
 
-// step brings the machine up to now, under the lock.
-func (i *Interpreter) step() {
+// advance brings the machine up to now and notifies of the runs that ended. It is called under the lock.
+func (i *Interpreter) advance() {
 	now := i.clock()
-	for _, id := range i.plant.Advance(now) {
+	for _, id := range i.machine.Advance(now) {
 		j := i.jobs[id]
 		if j.read != nil {
 			delete(i.jobs, id)
-			i.reading--
+			i.readsRunning--
 			close(j.read.done)
-			i.nextRead()
+			i.startReads()
 			continue
 		}
-		i.booked -= j.kb
+		i.bookedKB -= j.kb
 		body := append([]byte(j.class+": "), j.body...)
 		if i.cfg.Audit { // so that the results of two runs of one body differ
-			body = fmt.Appendf(body, " #%d.%d", i.cfg.Seed, i.n)
+			body = fmt.Appendf(body, " #%d.%d", i.cfg.Seed, i.lastNotice)
 		}
-		i.say(`"type":"VALUE"`, fmt.Sprintf(`"job":%q,"state":"PASS","took":%.3f,"data":"%s"`, id,
+		i.notify(`"type":"VALUE"`, fmt.Sprintf(`"job":%q,"state":"PASS","took":%.3f,"data":"%s"`, id,
 			(now-j.started).Seconds()*1000, base64.StdEncoding.EncodeToString(body)))
 		j.body = nil // that it ran is kept for long, what it was asked is not
-		if i.over = append(i.over, id); len(i.over) > keptJobs {
-			delete(i.jobs, i.over[0])
-			i.over = i.over[1:]
+		if i.endedJobs = append(i.endedJobs, id); len(i.endedJobs) > maxEndedJobs {
+			delete(i.jobs, i.endedJobs[0])
+			i.endedJobs = i.endedJobs[1:]
 		}
 	}
-	i.watch(now)
+	i.sampleGauges(now)
 }
 
-// watch keeps the gauges, and notes whether the machine has fallen.
-func (i *Interpreter) watch(now time.Duration) {
-	runs, busy := i.plant.Integrals()
-	if d := now - i.lastAt; d >= gaugeSpan {
+// sampleGauges keeps the gauges, and notes whether the machine has died.
+func (i *Interpreter) sampleGauges(now time.Duration) {
+	runs, busy := i.machine.Integrals()
+	if d := now - i.lastAt; d >= gaugeInterval {
 		i.coreUse = (busy - i.lastBusy) / d.Seconds() / float64(i.cfg.Cores)
 		i.lastBusy, i.lastAt = busy, now
-		i.crowd = append(i.crowd, point{now, runs})
+		i.runSamples = append(i.runSamples, runSample{now, runs})
 	}
-	for len(i.crowd) > 1 && now-i.crowd[1].at >= fallWindow {
-		i.crowd = i.crowd[1:]
+	for len(i.runSamples) > 1 && now-i.runSamples[1].at >= failureWindow {
+		i.runSamples = i.runSamples[1:]
 	}
-	share := i.memory()
-	i.most = max(i.most, share)
-	if i.fell != "" {
+	memory := i.memory()
+	i.peakMemory = max(i.peakMemory, memory)
+	if i.failure != "" {
 		return
 	}
-	if share > 1 {
-		i.fell = fmt.Sprintf("memory: %.2f", share)
+	if memory > 1 {
+		i.failure = fmt.Sprintf("memory: %.2f", memory)
 	}
-	if len(i.crowd) > 0 && i.cfg.Fall > 0 {
-		if first := i.crowd[0]; now-first.at >= fallWindow {
+	if len(i.runSamples) > 0 && i.cfg.MaxRunsPerCore > 0 {
+		if first := i.runSamples[0]; now-first.at >= failureWindow {
 			mean := (runs - first.runs) / (now - first.at).Seconds() / float64(i.cfg.Cores)
-			if mean > i.cfg.Fall {
-				i.fell = fmt.Sprintf("crowd: %.1f runs a core", mean)
+			if mean > i.cfg.MaxRunsPerCore {
+				i.failure = fmt.Sprintf("crowd: %.1f runs a core", mean)
 			}
 		}
 	}
@@ -319,15 +319,15 @@
 
 func (i *Interpreter) memory() float64 {
 	if i.cfg.MemoryKB <= 0 {
-		return i.filled
+		return i.extraMemory
 	}
-	return i.filled + i.booked/i.cfg.MemoryKB
+	return i.extraMemory + i.bookedKB/i.cfg.MemoryKB
 }
 
-// arm sets the timer to the next end.
-func (i *Interpreter) arm() {
-	at, some := i.plant.Next()
-	if !some || i.closed {
+// setTimer sets the timer to the end of the next run.
+func (i *Interpreter) setTimer() {
+	at, found := i.machine.NextEnd()
+	if !found || i.closed {
 		return
 	}
 	wait := max(0, at-i.clock())
@@ -335,8 +335,8 @@
 		i.timer = time.AfterFunc(wait, func() {
 			i.mu.Lock()
 			defer i.mu.Unlock()
-			i.step()
-			i.arm()
+			i.advance()
+			i.setTimer()
 		})
 		return
 	}
@@ -345,12 +345,12 @@
 
 // ---- The protocol ----
 
-// say gives a notice its number, keeps it and sends it where there is a link.
-func (i *Interpreter) say(kind, rest string) {
-	i.n++
-	line := fmt.Appendf(nil, `{%s,"n":%d,%s}`+"\n", kind, i.n, rest)
-	i.notices = append(i.notices, notice{i.n, line})
-	if over := len(i.notices) - keptNotices; over > 0 {
+// notify gives a notice its number, keeps it and sends it where there is a link.
+func (i *Interpreter) notify(kind, rest string) {
+	i.lastNotice++
+	line := fmt.Appendf(nil, `{%s,"n":%d,%s}`+"\n", kind, i.lastNotice, rest)
+	i.notices = append(i.notices, notice{i.lastNotice, line})
+	if over := len(i.notices) - maxNotices; over > 0 {
 		i.notices = slices.Delete(i.notices, 0, over)
 	}
 	i.send(line)
@@ -381,7 +381,7 @@
 // serve is the life of one link.
 func (i *Interpreter) serve(conn net.Conn) {
 	defer conn.Close()
-	out := make(chan []byte, 2*keptNotices)
+	out := make(chan []byte, 2*maxNotices)
 	over := make(chan struct{})
 	defer close(over)
 	go func() {
@@ -398,23 +398,23 @@
 		}
 	}()
 	lines := bufio.NewScanner(conn)
-	lines.Buffer(nil, longestLine)
+	lines.Buffer(nil, maxLineBytes)
 	var p fastjson.Parser
 	for lines.Scan() {
 		v, err := p.ParseBytes(lines.Bytes())
-		if err != nil || !i.command(conn, out, v) {
+		if err != nil || !i.execute(conn, out, v) {
 			return
 		}
 	}
 }
 
-// command carries one command out; false for what is none.
-func (i *Interpreter) command(conn net.Conn, out chan []byte, v *fastjson.Value) bool {
+// execute carries out one command; false for what is none.
+func (i *Interpreter) execute(conn net.Conn, out chan []byte, v *fastjson.Value) bool {
 	id := string(v.GetStringBytes("job"))
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	i.step()
-	defer i.arm()
+	i.advance()
+	defer i.setTimer()
 	switch string(v.GetStringBytes("type")) {
 	case "CONNECT":
 		if i.link != nil && i.link != conn {
@@ -430,7 +430,7 @@
 		}
 	case "TOP":
 		i.send(fmt.Appendf(nil, `{"type":"TOPS","ref":%q,"gauges":[%.4f,%d,%.4f,0]}`+"\n",
-			v.GetStringBytes("ref"), i.coreUse, i.plant.Running(), i.memory()))
+			v.GetStringBytes("ref"), i.coreUse, i.machine.Running(), i.memory()))
 	case "APPLY":
 		body, err := base64.StdEncoding.DecodeString(string(v.GetStringBytes("data")))
 		if err != nil {
@@ -453,15 +453,15 @@
 	if !known {
 		c = i.cfg.Other
 	}
-	work := c.Least
-	if c.Most > c.Least {
-		work += time.Duration(i.rng.Int64N(int64(c.Most - c.Least)))
+	work := c.MinWork
+	if c.MaxWork > c.MinWork {
+		work += time.Duration(i.rng.Int64N(int64(c.MaxWork - c.MinWork)))
 	}
-	j := &job{body: body, class: class, started: i.clock(), kb: i.held[id] * max(0, i.cfg.RunFactor-1)}
+	j := &job{body: body, class: class, started: i.clock(), kb: i.reservedKB[id] * max(0, i.cfg.RunFactor-1)}
 	i.jobs[id] = j
-	i.booked += j.kb
+	i.bookedKB += j.kb
 	if i.cfg.Audit {
 		i.runs[string(body)]++
 	}
-	i.plant.Add(i.clock(), id, work)
+	i.machine.Add(i.clock(), id, work)
 }
--- a/internal/builtinworker/interpreter_test.go
+++ b/internal/builtinworker/interpreter_test.go
@@ -14,21 +14,21 @@
 
 // A machine does what its shape says: up to the point of collapse runs don't hold each other up, past it each takes from
 // all, and a change of shape holds from its time on.
-func TestPlant(t *testing.T) {
-	p := NewPlant(4, Shape{Knee: 2, Thrash: 1, Speed: 1})
+func TestMachine(t *testing.T) {
+	p := NewMachine(4, Shape{Knee: 2, Thrash: 1, Speed: 1})
 	p.Add(0, "a", time.Second)
 	p.Add(0, "b", 2*time.Second)
-	if at, some := p.Next(); !some || at != time.Second {
+	if at, some := p.NextEnd(); !some || at != time.Second {
 		t.Fatalf("the first end at %v, %v", at, some)
 	}
 	if ends := p.Advance(1500 * time.Millisecond); len(ends) != 1 || ends[0] != "a" {
 		t.Fatalf("ends %v", ends)
 	}
 	p.Reshape(1500*time.Millisecond, Shape{Knee: 2, Thrash: 1, Speed: 0.1})
-	if at, _ := p.Next(); at.Round(time.Millisecond) != 6500*time.Millisecond {
+	if at, _ := p.NextEnd(); at.Round(time.Millisecond) != 6500*time.Millisecond {
 		t.Fatalf("half a second of work ends at %v on a machine ten times slower", at)
 	}
-	p = NewPlant(4, Shape{Knee: 2, Thrash: 1, Speed: 1})
+	p = NewMachine(4, Shape{Knee: 2, Thrash: 1, Speed: 1})
 	for i := range 4 { // twice the point: half the throughput, of 2 it is 1
 		p.Add(0, fmt.Sprint(i), time.Second)
 	}
@@ -70,7 +70,7 @@
 // new link brings all notices after the last one read.
 func TestInterpreter(t *testing.T) {
 	i, err := Listen(Config{Listen: "127.0.0.1:0", Cores: 2, Shape: Shape{Knee: 2, Speed: 1}, RunFactor: 4, MemoryKB: 100,
-		Other: Class{Least: time.Millisecond, Most: time.Millisecond}, Audit: true})
+		Other: Class{MinWork: time.Millisecond, MaxWork: time.Millisecond}, Audit: true})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -100,12 +100,12 @@
 		t.Errorf("on a new link %v", v)
 	}
 	i.Release("a")
-	if why, most := i.Fell(); why != "" || most > 0.41 || most < 0.09 {
+	if why, most := i.Failure(); why != "" || most > 0.41 || most < 0.09 {
 		t.Errorf("fell: %q, memory %v", why, most)
 	}
-	i.Play([]Trouble{{Memory: 2, Knee: 0.5}})
+	i.Play([]Fault{{Memory: 2, Knee: 0.5}})
 	for deadline := time.Now().Add(10 * time.Second); ; time.Sleep(time.Millisecond) {
-		if why, _ := i.Fell(); strings.HasPrefix(why, "memory") && i.Knee() == 1 {
+		if why, _ := i.Failure(); strings.HasPrefix(why, "memory") && i.Knee() == 1 {
 			break
 		}
 		if time.Now().After(deadline) {
--- a/internal/builtinworker/machine.go
+++ b/internal/builtinworker/machine.go
@@ -26,53 +26,53 @@
 	return s.Speed * s.Knee / (1 + s.Thrash*(n/s.Knee-1))
 }
 
-// Plant is a machine whose cores are shared evenly by all that runs on them.
-type Plant struct {
-	shape Shape
-	now   time.Duration
-	left  map[string]float64 // work-seconds
-	order []string           // of starting, so that ends at one time come in a fixed order
-	area  float64            // runs × seconds so far
-	busy  float64            // busy cores × seconds so far, of the cores told
-	cores float64
+// Machine is a machine whose cores are shared evenly by all that runs on them.
+type Machine struct {
+	shape       Shape
+	now         time.Duration
+	left        map[string]float64 // work-seconds
+	order       []string           // of starting, so that ends at one time come in a fixed order
+	runSeconds  float64            // runs × seconds so far
+	busySeconds float64            // busy cores × seconds so far, of the cores told
+	cores       float64
 }
 
-// NewPlant returns an idle machine that says that it has the given cores.
-func NewPlant(cores int, shape Shape) *Plant {
-	return &Plant{shape: shape, left: map[string]float64{}, cores: float64(cores)}
+// NewMachine returns an idle machine that says that it has the given cores.
+func NewMachine(cores int, shape Shape) *Machine {
+	return &Machine{shape: shape, left: map[string]float64{}, cores: float64(cores)}
 }
 
 // Reshape changes the machine from a time on.
-func (p *Plant) Reshape(now time.Duration, shape Shape) {
-	p.pass(now)
+func (p *Machine) Reshape(now time.Duration, shape Shape) {
+	p.elapse(now)
 	p.shape = shape
 }
 
 // Shape returns how the machine is.
-func (p *Plant) Shape() Shape { return p.shape }
+func (p *Machine) Shape() Shape { return p.shape }
 
 // Running is the number of runs on the cores.
-func (p *Plant) Running() int { return len(p.order) }
+func (p *Machine) Running() int { return len(p.order) }
 
 // Add starts a run of the given work.
-func (p *Plant) Add(now time.Duration, id string, work time.Duration) {
-	p.pass(now)
+func (p *Machine) Add(now time.Duration, id string, work time.Duration) {
+	p.elapse(now)
 	if _, runs := p.left[id]; !runs {
 		p.left[id] = work.Seconds()
 		p.order = append(p.order, id)
 	}
 }
 
-// pass lets the time pass in which nothing ends.
-func (p *Plant) pass(now time.Duration) {
+// elapse lets the time pass in which nothing ends.
+func (p *Machine) elapse(now time.Duration) {
 	n := float64(len(p.order))
 	if now <= p.now {
 		return
 	}
 	dt := (now - p.now).Seconds()
 	p.now = now
-	p.area += n * dt
-	p.busy += min(n, p.cores) * dt
+	p.runSeconds += n * dt
+	p.busySeconds += min(n, p.cores) * dt
 	if n == 0 {
 		return
 	}
@@ -82,46 +82,46 @@
 	}
 }
 
-const settled = 1e-9 // work-seconds below which a run has ended
+const minWork = 1e-9 // work-seconds below which a run has ended
 
-// Next is when the next run ends if nothing changes; false where none will.
-func (p *Plant) Next() (time.Duration, bool) {
-	least := math.Inf(1)
+// NextEnd is when the next run ends if nothing changes; false where none will.
+func (p *Machine) NextEnd() (time.Duration, bool) {
+	next := math.Inf(1)
 	for _, w := range p.left {
-		least = min(least, w)
+		next = min(next, w)
 	}
 	each := 0.0
 	if n := float64(len(p.order)); n > 0 {
 		each = p.shape.Throughput(n) / n
 	}
-	if math.IsInf(least, 1) || each <= 0 {
+	if math.IsInf(next, 1) || each <= 0 {
 		return 0, false
 	}
-	return p.now + time.Duration(math.Ceil(max(0, least)/each*1e9)), true
+	return p.now + time.Duration(math.Ceil(max(0, next)/each*1e9)), true
 }
 
 // Advance lets time pass and returns the runs that ended, in the order in which they did.
-func (p *Plant) Advance(now time.Duration) []string {
+func (p *Machine) Advance(now time.Duration) []string {
 	var ended []string
 	for {
-		at, some := p.Next()
-		if !some || at > now {
-			p.pass(now)
+		at, found := p.NextEnd()
+		if !found || at > now {
+			p.elapse(now)
 			return ended
 		}
-		p.pass(at)
-		kept := p.order[:0]
+		p.elapse(at)
+		running := p.order[:0]
 		for _, id := range p.order {
-			if p.left[id] <= settled {
+			if p.left[id] <= minWork {
 				delete(p.left, id)
 				ended = append(ended, id)
 			} else {
-				kept = append(kept, id)
+				running = append(running, id)
 			}
 		}
-		p.order = kept
+		p.order = running
 	}
 }
 
 // Integrals returns runs × seconds and busy cores × seconds since the start.
-func (p *Plant) Integrals() (runs, busy float64) { return p.area, p.busy }
+func (p *Machine) Integrals() (runs, busy float64) { return p.runSeconds, p.busySeconds }
--- a/internal/policy/admission/limiter_test.go
+++ b/internal/policy/admission/limiter_test.go
@@ -13,7 +13,7 @@
 // simulation is a machine under more load than it can take, in simulated time, whose runs a limiter holds back.
 type simulation struct {
 	limiter     Limiter
-	plant       *builtinworker.Plant
+	plant       *builtinworker.Machine
 	rng         *rand.Rand
 	ceiling     float64
 	calls       time.Duration // each run leaves the cores once, half way, for so long
@@ -46,7 +46,7 @@
 
 func newSimulation(l Limiter, shape builtinworker.Shape, ceiling float64, seed uint64) *simulation {
 	return &simulation{
-		limiter: l, plant: builtinworker.NewPlant(16, shape), rng: rand.New(rand.NewPCG(seed, 2)), ceiling: ceiling,
+		limiter: l, plant: builtinworker.NewMachine(16, shape), rng: rand.New(rand.NewPCG(seed, 2)), ceiling: ceiling,
 		started: map[string]time.Duration{}, afterCall: map[string]bool{},
 	}
 }
@@ -60,7 +60,7 @@
 	for end := e.now + d; e.now < end; {
 		next := e.now + tick
 		for {
-			at, some := e.plant.Next()
+			at, some := e.plant.NextEnd()
 			if !some || at > next {
 				break
 			}
--- a/internal/service/server.go
+++ b/internal/service/server.go
@@ -80,7 +80,7 @@
 	n := cfg.Server.Cores
 	return builtinworker.Listen(builtinworker.Config{
 		Listen: "127.0.0.1:0", Cores: n, Shape: builtinworker.Shape{Knee: float64(n), Thrash: 1, Speed: 1},
-		Other:    builtinworker.Class{Least: 60 * time.Millisecond, Most: 100 * time.Millisecond},
+		Other:    builtinworker.Class{MinWork: 60 * time.Millisecond, MaxWork: 100 * time.Millisecond},
 		MemoryKB: cfg.Server.MemoryKB, RunFactor: cfg.Server.RunFactor, Seed: uint64(cfg.Seed),
 	})
 }
--- a/internal/testkit/benchmarks/durable.go
+++ b/internal/testkit/benchmarks/durable.go
@@ -115,7 +115,7 @@
 // durableLoad has clients send new sheets one after the other, each on a connection of its own.
 func durableLoad(b *testing.B, bin string, env []string, clients int, name string, kept bool, gather time.Duration, disk string) {
 	m, err := builtinworker.Listen(builtinworker.Config{Listen: "127.0.0.1:0", Cores: 128, Shape: builtinworker.Shape{Knee: 128, Thrash: 1, Speed: 1},
-		Other: builtinworker.Class{Least: time.Millisecond, Most: 3 * time.Millisecond}, MemoryKB: 1 << 20, RunFactor: 4, Seed: 1})
+		Other: builtinworker.Class{MinWork: time.Millisecond, MaxWork: 3 * time.Millisecond}, MemoryKB: 1 << 20, RunFactor: 4, Seed: 1})
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -246,7 +246,7 @@
 		dir := filepath.Join(b.TempDir(), "keys")
 		fill(b, dir, records)
 		m, err := builtinworker.Listen(builtinworker.Config{Listen: "127.0.0.1:0", Cores: 8, Shape: builtinworker.Shape{Knee: 8, Thrash: 1, Speed: 1},
-			Other: builtinworker.Class{Least: time.Millisecond, Most: time.Millisecond}, MemoryKB: 1 << 16, RunFactor: 4, Seed: 1})
+			Other: builtinworker.Class{MinWork: time.Millisecond, MaxWork: time.Millisecond}, MemoryKB: 1 << 16, RunFactor: 4, Seed: 1})
 		if err != nil {
 			b.Fatal(err)
 		}
--- a/internal/testkit/benchmarks/fleet.go
+++ b/internal/testkit/benchmarks/fleet.go
@@ -64,7 +64,7 @@
 	for n := range servers {
 		i, err := builtinworker.Listen(builtinworker.Config{
 			Listen: "127.0.0.1:0", Cores: fleetCores, Shape: builtinworker.Shape{Knee: fleetCores, Thrash: 1, Speed: 1}, Audit: true,
-			Other: builtinworker.Class{Least: fleetWork * 11 / 15, Most: fleetWork * 19 / 15}, MemoryKB: 65536, RunFactor: 4, Seed: uint64(n + 1),
+			Other: builtinworker.Class{MinWork: fleetWork * 11 / 15, MaxWork: fleetWork * 19 / 15}, MemoryKB: 65536, RunFactor: 4, Seed: uint64(n + 1),
 		})
 		if err != nil {
 			return f, err
--- a/internal/testkit/benchmarks/operators.go
+++ b/internal/testkit/benchmarks/operators.go
@@ -40,7 +40,7 @@
 func operators(b *testing.B, name, bin string, crowd int) {
 	const lasts = 12 * time.Second
 	machine, err := builtinworker.Listen(builtinworker.Config{Listen: "127.0.0.1:0", Cores: 6, Shape: builtinworker.Shape{Knee: 6, Thrash: 1, Speed: 1},
-		Other: builtinworker.Class{Least: 60 * time.Millisecond, Most: 100 * time.Millisecond}, MemoryKB: 1 << 18, RunFactor: 4, Seed: 1})
+		Other: builtinworker.Class{MinWork: 60 * time.Millisecond, MaxWork: 100 * time.Millisecond}, MemoryKB: 1 << 18, RunFactor: 4, Seed: 1})
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/testkit/benchmarks/overload.go
+++ b/internal/testkit/benchmarks/overload.go
@@ -27,7 +27,7 @@
 // scenario is one evening.
 type scenario struct {
 	name   string
-	script []builtinworker.Trouble
+	script []builtinworker.Fault
 	points []point       // when the point of collapse moves, and how
 	read   time.Duration // work of reading a request; 0: the usual
 }
@@ -41,21 +41,21 @@
 
 var scenarios = []scenario{
 	{name: "150%"},
-	{name: "150%, 9.9 times slower from 10 s to 20 s", script: []builtinworker.Trouble{{At: 10 * time.Second, For: 10 * time.Second, Speed: 1 / 9.9}}},
-	{name: "150%, memory filled from 5 s on", script: []builtinworker.Trouble{{At: 5 * time.Second, Memory: 0.75}}},
+	{name: "150%, 9.9 times slower from 10 s to 20 s", script: []builtinworker.Fault{{At: 10 * time.Second, For: 10 * time.Second, Speed: 1 / 9.9}}},
+	{name: "150%, memory filled from 5 s on", script: []builtinworker.Fault{{At: 5 * time.Second, Memory: 0.75}}},
 	{name: "150%, point halved at 10 s, doubled at 20 s",
-		script: []builtinworker.Trouble{{At: 10 * time.Second, For: 10 * time.Second, Knee: 0.5}},
+		script: []builtinworker.Fault{{At: 10 * time.Second, For: 10 * time.Second, Knee: 0.5}},
 		points: []point{{10 * time.Second, 0.5}, {20 * time.Second, 1}},
 		// Where reading takes its usual part, what is read alone is past half the point, and no limit on runs helps.
 		read: 3 * time.Millisecond},
 }
 
 func machine(cfg builtinworker.Config) (*builtinworker.Interpreter, error) {
-	cfg.Listen, cfg.Cores, cfg.Audit, cfg.Fall = "127.0.0.1:0", cores, true, 8
+	cfg.Listen, cfg.Cores, cfg.Audit, cfg.MaxRunsPerCore = "127.0.0.1:0", cores, true, 8
 	if cfg.Shape.Knee == 0 {
 		cfg.Shape = builtinworker.Shape{Knee: knee, Thrash: 1, Speed: 1}
 	}
-	cfg.Other = builtinworker.Class{Least: work * 11 / 15, Most: work * 19 / 15}
+	cfg.Other = builtinworker.Class{MinWork: work * 11 / 15, MaxWork: work * 19 / 15}
 	cfg.MemoryKB, cfg.RunFactor, cfg.Seed = site.MemoryKB, 4, 5
 	return builtinworker.Listen(cfg)
 }
@@ -119,7 +119,7 @@
 	out.cpu = p.CPU() - before
 	close(stop)
 	watch.Wait()
-	out.fell, out.most = i.Fell()
+	out.fell, out.most = i.Failure()
 	counters, err := p.Stop()
 	if err != nil && out.err == nil {
 		out.err = fmt.Errorf("%w\n%s", err, p.Log())
--- a/internal/testkit/benchmarks/refusal.go
+++ b/internal/testkit/benchmarks/refusal.go
@@ -66,7 +66,7 @@
 	for _, v := range variants {
 		i, err := builtinworker.Listen(builtinworker.Config{
 			Listen: "127.0.0.1:0", Cores: cores, Shape: builtinworker.Shape{Knee: cores, Speed: 1},
-			Other: builtinworker.Class{Least: 100 * time.Millisecond, Most: 100 * time.Millisecond}, MemoryKB: site.MemoryKB, RunFactor: 4,
+			Other: builtinworker.Class{MinWork: 100 * time.Millisecond, MaxWork: 100 * time.Millisecond}, MemoryKB: site.MemoryKB, RunFactor: 4,
 		})
 		if err != nil {
 			b.Fatal(err)
--- a/internal/testkit/benchmarks/shared.go
+++ b/internal/testkit/benchmarks/shared.go
@@ -87,7 +87,7 @@
 // Start starts a further process and returns once operators can call it.
 func (s *Shared) Start() *Generation {
 	m, err := builtinworker.Listen(builtinworker.Config{Listen: "127.0.0.1:0", Cores: 8, Shape: builtinworker.Shape{Knee: 8, Thrash: 1, Speed: 1},
-		Other:    builtinworker.Class{Least: time.Millisecond, Most: 40 * time.Millisecond},
+		Other:    builtinworker.Class{MinWork: time.Millisecond, MaxWork: 40 * time.Millisecond},
 		MemoryKB: 1 << 16, RunFactor: 4, Seed: uint64(len(s.all()) + 1), Audit: true})
 	if err != nil {
 		s.t.Fatal(err)
