--- a/cmd/silverpath/capacity.go
+++ b/cmd/silverpath/capacity.go
@@ -40,7 +40,7 @@
 			if err != nil {
 				return err
 			}
-			plan, err := capacity.Compute(t, r, capacity.Now)
+			plan, err := capacity.Compute(t, r, capacity.Current)
 			if err != nil {
 				return err
 			}
--- a/internal/policy/capacity/bounds_test.go
+++ b/internal/policy/capacity/bounds_test.go
@@ -19,7 +19,7 @@
 // Every bound of the program as it is stands in the source, by the name or the words that the table gives.
 func TestBounds(t *testing.T) {
 	table := map[string]bool{}
-	for _, s := range sources(Now) {
+	for _, s := range sources(Current) {
 		table[s.name] = true
 		fset := token.NewFileSet()
 		files := parseDir(t, fset, "../../../"+s.dir)
@@ -46,24 +46,24 @@
 			t.Errorf("%s is %v, and %s of %s is %v", s.name, s.value, s.found, s.dir, v)
 		}
 	}
-	// A status is read up to a word's length.
+	// A status is read up to a message's length.
 	fset := token.NewFileSet()
 	for _, text := range []string{"doOn(dialLong, addr, dialTimeout, (*Conn).Status)", "msgpackrpc.DialCalls(ctx, addr)"} {
-		if f, err := parser.ParseFile(fset, "../../transport/client/ask.go", nil, 0); err != nil || !stands(t, fset, f, text) {
-			t.Errorf("internal/transport/client/ask.go does not say %q: %v", text, err)
+		if f, err := parser.ParseFile(fset, "../../transport/client/client.go", nil, 0); err != nil || !stands(t, fset, f, text) {
+			t.Errorf("internal/transport/client/client.go does not say %q: %v", text, err)
 		}
 	}
 	const report = "announce %s %t"
-	if f, err := parser.ParseFile(fset, "../../transport/loadreport/announce.go", nil, 0); err != nil || !stands(t, fset, f, `"`+report+`"`) {
-		t.Errorf("internal/transport/loadreport/announce.go does not say %q: %v", report, err)
+	if f, err := parser.ParseFile(fset, "../../transport/loadreport/reporter.go", nil, 0); err != nil || !stands(t, fset, f, `"`+report+`"`) {
+		t.Errorf("internal/transport/loadreport/reporter.go does not say %q: %v", report, err)
 	}
-	if n := len(fmt.Sprintf(report, "", true)); float64(n) != Now.Report {
-		t.Errorf("a report has %d bytes without a name, the table has %v", n, Now.Report)
+	if n := len(fmt.Sprintf(report, "", true)); float64(n) != Current.ReportSize {
+		t.Errorf("a report has %d bytes without a name, the table has %v", n, Current.ReportSize)
 	}
 	// What has no line there is a size of what is written, which TestSizes holds.
 	for f := range reflect.TypeFor[Program]().Fields() {
-		sized := strings.HasSuffix(f.Name, "Text") && f.Name != "LongestText" || strings.HasSuffix(f.Name, "Word") && f.Name != "LongestWord" ||
-			strings.HasSuffix(f.Name, "Status") || f.Name == "Report"
+		sized := strings.HasSuffix(f.Name, "TextSize") && f.Name != "MaxTextSize" || strings.HasSuffix(f.Name, "MessageSize") ||
+			strings.HasSuffix(f.Name, "StatusSize") || f.Name == "ReportSize"
 		if sized == table[f.Name] {
 			t.Errorf("%s: in the table of sources: %v", f.Name, table[f.Name])
 		}
@@ -81,37 +81,37 @@
 // sources lists where each bound of a program stands.
 func sources(p Program) []source {
 	return []source{
-		{"LongestText", p.LongestText, "internal/policy/configstore", "maxTextSize"},
-		{"History", p.History, "internal/policy/configstore", "maxHistory"},
-		{"Users", p.Users, "internal/policy/configstore", "MaxProcesses"},
-		{"Docs", p.Docs, "internal/policy/configstore", "maxDocuments"},
-		{"LongestWord", p.LongestWord, "internal/transport/msgpackrpc", "MaxCallBody"},
-		{"WordRest", p.WordRest, "internal/controlplane/quorum/member", "requestOverhead"},
-		{"LongestResult", p.LongestResult, "internal/transport/msgpackrpc", "MaxCallBody"},
-		{"Callers", p.Callers, "internal/policy/slowstart", "maxCallers"},
-		{"OpenItems", p.OpenItems, "internal/policy/controller", "maxOpenItems"},
-		{"MemberConns", p.MemberConns, "internal/controlplane/quorum/member", "maxConnections"},
-		{"CompactEvery", p.CompactEvery, "internal/controlplane/quorum/member", "compactAfterEntries"},
+		{"MaxTextSize", p.MaxTextSize, "internal/policy/configstore", "maxTextSize"},
+		{"MaxHistory", p.MaxHistory, "internal/policy/configstore", "maxHistory"},
+		{"MaxProcesses", p.MaxProcesses, "internal/policy/configstore", "MaxProcesses"},
+		{"MaxDocuments", p.MaxDocuments, "internal/policy/configstore", "maxDocuments"},
+		{"MaxCallBody", p.MaxCallBody, "internal/transport/msgpackrpc", "MaxCallBody"},
+		{"RequestOverhead", p.RequestOverhead, "internal/controlplane/quorum/member", "requestOverhead"},
+		{"MaxStatusBody", p.MaxStatusBody, "internal/transport/msgpackrpc", "MaxCallBody"},
+		{"MaxCallers", p.MaxCallers, "internal/policy/slowstart", "maxCallers"},
+		{"MaxOpenItems", p.MaxOpenItems, "internal/policy/controller", "maxOpenItems"},
+		{"MaxMemberConnections", p.MaxMemberConnections, "internal/controlplane/quorum/member", "maxConnections"},
+		{"CompactAfterEntries", p.CompactAfterEntries, "internal/controlplane/quorum/member", "compactAfterEntries"},
 		{"ElectionTicks", p.ElectionTicks, "internal/controlplane/quorum/member", "electionTicks"},
 		{"IdleGrace", p.IdleGrace, "internal/transport/listener", "100 * time.Millisecond"},
-		{"Spare", p.Spare, "internal/service", "reservedDescriptors"},
-		{"Mgmt", p.Mgmt, "internal/transport/admin", "MaxConnections"},
-		{"FrontShare", p.FrontShare, "internal/service", "n * 3 / 5"},
-		{"HomeShare", p.HomeShare, "internal/service", "n * 2 / 5"},
-		{"Announce", p.Announce, "internal/transport/loadreport", "200 * time.Millisecond"},
-		{"Unheard", p.Unheard, "internal/controlplane/configwatch", "100 * time.Millisecond"},
-		{"TurnPart", p.TurnPart, "internal/policy/configstore", "h.terms.TTL / 12"},
-		{"RestPart", p.RestPart, "internal/policy/configstore", "h.terms.TTL / 3"},
+		{"ReservedDescriptors", p.ReservedDescriptors, "internal/service", "reservedDescriptors"},
+		{"MaxAdminConnections", p.MaxAdminConnections, "internal/transport/admin", "MaxConnections"},
+		{"CallerShare", p.CallerShare, "internal/service", "n * 3 / 5"},
+		{"UpstreamShare", p.UpstreamShare, "internal/service", "n * 2 / 5"},
+		{"ReportInterval", p.ReportInterval, "internal/transport/loadreport", "200 * time.Millisecond"},
+		{"GroupRetryInterval", p.GroupRetryInterval, "internal/controlplane/configwatch", "100 * time.Millisecond"},
+		{"PollsWhileChanging", p.PollsWhileChanging, "internal/policy/configstore", "h.terms.TTL / 12"},
+		{"PollsAtRest", p.PollsAtRest, "internal/policy/configstore", "h.terms.TTL / 3"},
 		{"TenantParts", p.TenantParts, "internal/policy/cells", "TenantParts"},
 		{"ServerParts", p.ServerParts, "internal/policy/cells", "ServerParts"},
-		{"LongestDocument", p.LongestDocument, "internal/policy/configstore", "MaxDocumentSize"},
-		{"LongestPart", p.LongestPart, "internal/policy/configstore", "MaxPartSize"},
-		{"TellBudget", p.TellBudget, "internal/policy/configstore", "MaxViewSize"},
-		{"SendBudget", p.SendBudget, "internal/policy/configstore", "MaxPartsAnswerSize"},
-		{"Spread", p.Spread, "internal/policy/configstore", "2 * time.Second"},
-		{"LongestSnapshot", p.LongestSnapshot, "internal/controlplane/quorum/member", "maxSnapshotBytes"},
-		{"LongestCommand", p.LongestCommand, "internal/controlplane/quorum/member", "maxCommandBytes"},
-		{"Reads", p.Reads, "internal/controlplane/quorum/member", "maxPending"},
+		{"MaxDocumentSize", p.MaxDocumentSize, "internal/policy/configstore", "MaxDocumentSize"},
+		{"MaxPartSize", p.MaxPartSize, "internal/policy/configstore", "MaxPartSize"},
+		{"MaxViewSize", p.MaxViewSize, "internal/policy/configstore", "MaxViewSize"},
+		{"MaxPartsAnswerSize", p.MaxPartsAnswerSize, "internal/policy/configstore", "MaxPartsAnswerSize"},
+		{"RequestSpread", p.RequestSpread, "internal/policy/configstore", "2 * time.Second"},
+		{"MaxSnapshotSize", p.MaxSnapshotSize, "internal/controlplane/quorum/member", "maxSnapshotBytes"},
+		{"MaxCommandSize", p.MaxCommandSize, "internal/controlplane/quorum/member", "maxCommandBytes"},
+		{"MaxPendingReads", p.MaxPendingReads, "internal/controlplane/quorum/member", "maxPending"},
 	}
 }
 
--- a/internal/policy/capacity/breaks.go
+++ b/internal/policy/capacity/breaks.go
@@ -21,7 +21,7 @@
 			if slices.ContainsFunc(Conditions[:i], func(other Condition) bool { return l.At[other] == l.At[k] }) {
 				continue // as in one before
 			}
-			share, by := passes(float64(l.Budget), l.of[k])
+			share, by := firstShareOver(float64(l.Budget), l.of[k])
 			if math.IsNaN(share) {
 				continue
 			}
@@ -41,7 +41,7 @@
 		}
 		list = append(list, least)
 	}
-	list = append(list, c.hard()...)
+	list = append(list, c.fixedBounds()...)
 	slices.SortStableFunc(list, func(a, b Break) int {
 		if a.Stops != b.Stops {
 			if a.Stops {
@@ -66,14 +66,14 @@
 	return text
 }
 
-// hard are bounds that no line has, from the sizes of what is written.
-func (c *planner) hard() (list []Break) {
-	p, word := c.p, c.p.LongestWord
+// fixedBounds are bounds that no line has, from the sizes of what is written.
+func (c *planner) fixedBounds() (list []Break) {
+	p, word := c.p, c.p.MaxCallBody
 	grows := func(what string, needed func(share float64) float64, bound float64, unit, in, says string) {
 		if bound <= 0 {
 			return // there is none
 		}
-		share, by := passes(bound, func(s float64) Estimate { return assumed(needed(s)) })
+		share, by := firstShareOver(bound, func(s float64) Estimate { return assumed(needed(s)) })
 		list = append(list, Break{What: what, Stops: true, Share: Number(share), Any: share == 0, Needed: assumed(needed(1)), Bound: Number(bound), Unit: unit, By: by, Says: says, In: in})
 	}
 	add := func(what string, needed, bound float64, unit, in, says string) {
@@ -85,42 +85,42 @@
 	}
 	const asIfMoves = "were each change a move, as homes of the past stay and nothing takes them out"
 	if p.inParts() {
-		add("leader: the map as one document", c.partsText(1)/kb, p.LongestDocument/kb, "KB", "internal/policy/configstore", "the map is refused")
-		grows("leader: what a week of moves adds to the map", func(s float64) float64 { return 7 * c.t.Changes * s * p.HomePartText / kb }, p.LongestDocument/kb, "KB", "internal/policy/cells",
+		add("leader: the map as one document", c.partsTextSize(1)/kb, p.MaxDocumentSize/kb, "KB", "internal/policy/configstore", "the map is refused")
+		grows("leader: what a week of moves adds to the map", func(s float64) float64 { return 7 * c.t.Changes * s * p.HomePartTextSize / kb }, p.MaxDocumentSize/kb, "KB", "internal/policy/cells",
 			"the map is refused, whatever its size before: "+asIfMoves)
 		part := func(s, days float64) float64 {
-			return (c.fullest(c.t.entries()*s)*p.TenantPartText + c.fullest(c.t.Changes*s*days)*p.HomePartText) / kb
+			return (c.fullest(c.t.entries()*s)*p.TenantPartTextSize + c.fullest(c.t.Changes*s*days)*p.HomePartTextSize) / kb
 		}
-		grows("leader: the fullest part of the map", func(s float64) float64 { return part(s, 0) }, p.LongestPart/kb, "KB", "internal/policy/configstore", "the map is refused")
+		grows("leader: the fullest part of the map", func(s float64) float64 { return part(s, 0) }, p.MaxPartSize/kb, "KB", "internal/policy/configstore", "the map is refused")
 		days := 0.0
-		for c.t.Changes > 0 && part(1, days) <= p.LongestPart/kb && days < 3650 {
+		for c.t.Changes > 0 && part(1, days) <= p.MaxPartSize/kb && days < 3650 {
 			days++
 		}
-		grows("leader: the fullest part of the map after a year of moves", func(s float64) float64 { return part(s, 365) }, p.LongestPart/kb, "KB", "internal/policy/cells",
+		grows("leader: the fullest part of the map after a year of moves", func(s float64) float64 { return part(s, 365) }, p.MaxPartSize/kb, "KB", "internal/policy/cells",
 			fmt.Sprintf("a move of a tenant in that part is refused, at the target after %.0f days: %s", days, asIfMoves))
 		followers := c.followers()
 		grows("leader: a snapshot while a whole map is put on another and a third is drafted",
-			func(s float64) float64 { return (3*c.partsWord(s) + followers*s*p.UserWord) / kb }, p.LongestSnapshot/kb, "KB", inMember,
+			func(s float64) float64 { return (3*c.partsMessageSize(s) + followers*s*p.ProcessMessageSize) / kb }, p.MaxSnapshotSize/kb, "KB", inMember,
 			"a member that fell behind, or a new one, can't be brought up until then: group.snapshot_unsent")
-		add("leader: askings that wait at one time", followers*(1+1/c.t.Zones), p.Reads, "", inMember, "a process beyond the bound is told to ask elsewhere")
-		add("owner: the keeper's next map in one entry of the log", c.mapWord(1)/kb, p.LongestCommand/kb, "KB", inOwner,
+		add("leader: askings that wait at one time", followers*(1+1/c.t.Zones), p.MaxPendingReads, "", inMember, "a process beyond the bound is told to ask elsewhere")
+		add("owner: the keeper's next map in one entry of the log", c.mapMessageSize(1)/kb, p.MaxCommandSize/kb, "KB", inOwner,
 			"the keeper can't write down what it means to do: no move, no server taken out")
 	} else {
-		add("leader: the map as one document", c.mapText(1)/kb, p.LongestText/kb, "KB", "internal/policy/configstore", "the map is refused")
-		add("leader: what a week of moves adds to the map", 7*c.t.Changes*p.HomeText/kb, p.LongestText/kb, "KB", "internal/policy/cells",
+		add("leader: the map as one document", c.mapTextSize(1)/kb, p.MaxTextSize/kb, "KB", "internal/policy/configstore", "the map is refused")
+		add("leader: what a week of moves adds to the map", 7*c.t.Changes*p.HomeTextSize/kb, p.MaxTextSize/kb, "KB", "internal/policy/cells",
 			"the map is refused, whatever its size before: "+asIfMoves)
-		add("follower: the map in force and the next one in one answer", 2*c.mapWord(1)/kb, word/kb, "KB", inRules,
+		add("follower: the map in force and the next one in one answer", 2*c.mapMessageSize(1)/kb, word/kb, "KB", inRules,
 			"a process that starts while a change is under way gets no answer: it is unconfirmed")
 	}
-	add("owner: the keeper's journal in one answer", 3*c.mapWord(1)/kb, word/kb, "KB", inOwner,
+	add("owner: the keeper's journal in one answer", 3*c.mapMessageSize(1)/kb, word/kb, "KB", inOwner,
 		"the keeper reads its journal no more: no move, no server taken out (the map in force, the plan, the last write)")
 	moved := ""
 	if p.inParts() {
 		moved = "once every tenant has moved: "
 	}
-	add("owner: a router's status in one answer", c.status(1)/kb, p.LongestResult/kb, "KB", "internal/transport/msgpackrpc, internal/controlplane/runner",
+	add("owner: a router's status in one answer", c.statusSize(1)/kb, p.MaxStatusBody/kb, "KB", "internal/transport/msgpackrpc, internal/controlplane/runner",
 		moved+"no router reports: the watcher is unsure of all servers, a roll sees no worth; silverpath status fails")
-	add("leader: documents", float64(documents), p.Docs, "", "internal/policy/configstore", "a further document is refused")
+	add("leader: documents", float64(documents), p.MaxDocuments, "", "internal/policy/configstore", "a further document is refused")
 	return list
 }
 
@@ -163,8 +163,8 @@
 	return int(math.Floor(float64(zone-1)*c.t.Regions/c.t.Zones)) + 1
 }
 
-// day is what failures and restarts cost.
-func (c *planner) day() (list []Cost) {
+// dailyCosts is what failures and restarts cost.
+func (c *planner) dailyCosts() (list []Cost) {
 	t, a := c.t, c.t.Assumed
 	rate := t.Requests / t.Servers
 	add := func(what string, day, servers, commits, versions float64, dead bool) {
--- a/internal/policy/capacity/estimate.go
+++ b/internal/policy/capacity/estimate.go
@@ -18,7 +18,7 @@
 	NotMeasured Basis = "not measured" // nothing was, and nothing is made up
 )
 
-var worse = map[Basis]int{Measured: 0, Foretold: 1, Assumed: 2, NotMeasured: 3}
+var basisRank = map[Basis]int{Measured: 0, Foretold: 1, Assumed: 2, NotMeasured: 3}
 
 // Number is a figure; what is not a number stands as null in JSON.
 type Number float64
@@ -66,7 +66,7 @@
 // plus is a sum, which rests on the worse of its parts.
 func (e Estimate) plus(o Estimate) Estimate {
 	sum := e
-	if worse[o.Basis] > worse[e.Basis] {
+	if basisRank[o.Basis] > basisRank[e.Basis] {
 		sum = o
 	}
 	sum.Value, sum.Factor = e.Value+o.Value, max(e.Factor, o.Factor)
@@ -154,22 +154,22 @@
 
 // Shares of the target between which a budget's passing is looked for.
 const (
-	leastShare = 1e-4
-	mostShare  = 20
-	steps      = 400 // of the search, each by 3%
+	minShare    = 1e-4
+	maxShare    = 20
+	searchSteps = 400 // of the search, each by 3%
 )
 
-// passes is the least share of the target at which a figure is over a budget: 0 where it is over it at any size that is looked at, NaN where
+// firstShareOver is the least share of the target at which a figure is over a budget: 0 where it is over it at any size that is looked at, NaN where
 // nothing can be said, and infinite where it is not over it at 20 times the target.
-func passes(budget float64, figure func(share float64) Estimate) (share float64, e Estimate) {
+func firstShareOver(budget float64, figure func(share float64) Estimate) (share float64, e Estimate) {
 	over := func(s float64) bool { return float64(figure(s).Value) > budget }
-	if over(leastShare) {
-		return 0, figure(leastShare)
+	if over(minShare) {
+		return 0, figure(minShare)
 	}
-	step := math.Pow(mostShare/leastShare, 1.0/steps)
-	low, high := leastShare, 0.0
-	for i := 1; i <= steps; i++ {
-		s := leastShare * math.Pow(step, float64(i))
+	step := math.Pow(maxShare/minShare, 1.0/searchSteps)
+	low, high := minShare, 0.0
+	for i := 1; i <= searchSteps; i++ {
+		s := minShare * math.Pow(step, float64(i))
 		if over(s) {
 			high = s
 			break
--- a/internal/policy/capacity/lines.go
+++ b/internal/policy/capacity/lines.go
@@ -2,11 +2,11 @@
 
 type figure = func(share float64) Estimate
 
-// cells are a figure in each condition; what is left out is as at rest.
-type cells map[Condition]figure
+// figures are a figure in each condition; what is left out is as at rest.
+type figures map[Condition]figure
 
 // always is a figure that is the same in all conditions.
-func always(f figure) cells { return cells{Rest: f} }
+func always(f figure) figures { return figures{Rest: f} }
 
 func counted(v float64) figure { return func(share float64) Estimate { return assumed(v * share) } }
 
@@ -62,7 +62,7 @@
 // lines are the figures of all roles.
 func (c *planner) lines() []Line {
 	a := c.t.Assumed
-	b := &lineBuilder{planner: c, probers: c.asks(), followerCount: c.followers(), probesPerSecond: 1000 / a.Probe, lease: a.Lease / 1000,
+	b := &lineBuilder{planner: c, probers: c.probersPerServer(), followerCount: c.followers(), probesPerSecond: 1000 / a.Probe, lease: a.Lease / 1000,
 		entries: c.t.entries()}
 	probes := b.paced("router.cpu.servers", c.t.Servers)
 	b.server()
@@ -90,15 +90,15 @@
 	return func(share float64) Estimate { return b.controlled(name, at*share) }
 }
 
-// paced is a figure of control that grows with how often it is done: see pace.
+// paced is a figure of control that grows with how often it is done: see rateFactor.
 func (b *lineBuilder) paced(name string, at float64) figure {
-	return b.control(name, at*b.pace(name))
+	return b.control(name, at*b.rateFactor(name))
 }
 
-// oftener is a figure of control whose cost, and not its size, counts so many times. What a map costs does not grow evenly by its tenants.
-func (b *lineBuilder) oftener(name string, at float64) figure {
+// repeated is a figure of control whose cost, and not its size, counts so many times. What a map costs does not grow evenly by its tenants.
+func (b *lineBuilder) repeated(name string, at float64) figure {
 	return func(share float64) Estimate {
-		e, n := b.r.At(name, at*share), b.pace(name)
+		e, n := b.r.At(name, at*share), b.rateFactor(name)
 		if base := b.r.base(name); n != 1 && e.Basis != NotMeasured {
 			e.Value = Number(base + (float64(e.Value)-base)*n)
 			e.Basis, e.Factor = Foretold, max(e.Factor, n)
@@ -110,8 +110,8 @@
 	}
 }
 
-// words are the messages a second between a process and the group, each with its answer, at so many in a lease.
-func (b *lineBuilder) words(times float64) float64 { return 2 * times / b.lease }
+// groupMessages are the messages a second between a process and the group, each with its answer, at so many in a lease.
+func (b *lineBuilder) groupMessages(times float64) float64 { return 2 * times / b.lease }
 
 // either is one of two texts, by whether a map goes in parts.
 func (b *lineBuilder) either(parts, whole string) string {
@@ -122,7 +122,7 @@
 }
 
 // add takes a line up, with its figure in each condition.
-func (b *lineBuilder) add(l Line, of cells) {
+func (b *lineBuilder) add(l Line, of figures) {
 	l.At, l.of = map[Condition]Estimate{}, map[Condition]figure{}
 	for _, k := range Conditions {
 		f := of[k]
@@ -155,8 +155,8 @@
 	budgetBytes  = "control.kb_per_s"
 )
 
-// known is how many a caller picks among.
-func (c *planner) known() float64 {
+// callerTargets is how many a caller picks among.
+func (c *planner) callerTargets() float64 {
 	if c.t.Readings.CallersPick {
 		return c.t.Servers
 	}
@@ -170,8 +170,8 @@
 	return fixed(c.t.Assumed.CallerConnections)
 }
 
-// smaller is how many zones lie in the regions but the first, which has the most: the side without a majority.
-func (c *planner) smaller() float64 {
+// smallerSideZones is how many zones lie in the regions but the first, which has the most: the side without a majority.
+func (c *planner) smallerSideZones() float64 {
 	n := 0.0
 	for z := 1; z <= int(c.t.Zones); z++ {
 		if c.region(z) != 1 {
@@ -181,9 +181,9 @@
 	return n
 }
 
-// pace is how many times as often something is done at the target as it was where a series was measured: a health check twice as often
+// rateFactor is how many times as often something is done at the target as it was where a series was measured: a health check twice as often
 // counts as twice as many servers or callers.
-func (c *planner) pace(name string) float64 {
+func (c *planner) rateFactor(name string) float64 {
 	s, ok := c.r.find(name)
 	if !ok {
 		return 1
@@ -200,9 +200,9 @@
 	return n
 }
 
-// more is by how much a series at a size is above what it has at another one, for as many followers as are given; 0: those that it was
+// increase is by how much a series at a size is above what it has at another one, for as many followers as are given; 0: those that it was
 // measured with.
-func (c *planner) more(name string, at, from, followers float64) figure {
+func (c *planner) increase(name string, at, from, followers float64) figure {
 	return func(share float64) Estimate {
 		e, base := c.r.At(name, at*share), c.r.At(name, from)
 		if s, _ := c.r.find(name); e.Basis != NotMeasured && base.Basis != NotMeasured {
@@ -226,8 +226,8 @@
 	return e
 }
 
-// found says whether it is counted.
-func (c *planner) found() string {
+// routeNote says whether that time is counted.
+func (c *planner) routeNote() string {
 	if _, ok := c.r.find("router.route.tenants"); !ok {
 		return "without the time to find a route among all tenants, which was not measured"
 	}
--- a/internal/policy/capacity/page_test.go
+++ b/internal/policy/capacity/page_test.go
@@ -60,8 +60,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	tables := plan(t, target(t, nil), results.Scale, capacity.Now).Tables()
-	tables = append(tables, plan(t, target(t, nil), results.Was, capacity.AsItWas).Breaking("was"))
+	tables := plan(t, target(t, nil), results.Scale, capacity.Current).Tables()
+	tables = append(tables, plan(t, target(t, nil), results.Was, capacity.BeforeParts).Breaking("was"))
 	for _, other := range []struct {
 		name   string
 		change func(*capacity.Target)
@@ -70,7 +70,7 @@
 		{"routes", func(x *capacity.Target) { x.Readings.RoutesBeside = true }},
 		{"added", func(x *capacity.Target) { x.Readings.ControlAdded = true }},
 	} {
-		tables = append(tables, capacity.Compare(other.name, plan(t, target(t, nil), results.Scale, capacity.Now), plan(t, target(t, other.change), results.Scale, capacity.Now)))
+		tables = append(tables, capacity.Compare(other.name, plan(t, target(t, nil), results.Scale, capacity.Current), plan(t, target(t, other.change), results.Scale, capacity.Current)))
 	}
 	want, err := capacity.Fill(string(data), tables)
 	if err != nil {
@@ -176,21 +176,21 @@
 		defer r.Close()
 		return len(r.Status())
 	}
-	p := capacity.Now
+	p := capacity.Current
 	for _, c := range []struct {
 		name           string
 		size           func(*cells.Map) int
 		server, tenant float64
 	}{
-		{"document", text, p.ServerText, p.TenantText},
-		{"word", word, p.ServerWord, p.TenantWord},
-		{"status", status, p.ServerStatus, 0},
+		{"document", text, p.ServerTextSize, p.TenantTextSize},
+		{"word", word, p.ServerMessageSize, p.TenantMessageSize},
+		{"status", status, p.ServerStatusSize, 0},
 		{"status of tenants that have moved", func(m *cells.Map) int {
 			for i := range m.Tenants {
 				m.Tenants[i].Homes = append(m.Tenants[i].Homes, cells.Home{Cell: "cell-001", Shard: 8, Since: 1767225600001})
 			}
 			return status(m)
-		}, p.ServerStatus, p.TenantStatus},
+		}, p.ServerStatusSize, p.TenantStatusSize},
 	} {
 		base := c.size(of(10, 10))
 		if n := float64(c.size(of(20, 10))-base) / 10; n != c.server {
@@ -220,8 +220,8 @@
 		size           func(*cells.Map) int
 		server, tenant float64
 	}{
-		{"part", plain, p.ServerPartText, p.TenantPartText},
-		{"part within a word", inWords, p.ServerPartWord, p.TenantPartWord},
+		{"part", plain, p.ServerPartTextSize, p.TenantPartTextSize},
+		{"part within a word", inWords, p.ServerPartMessageSize, p.TenantPartMessageSize},
 	} {
 		base := c.size(of(900, many))
 		if n := float64(c.size(of(990, many))-base) / 90; n != c.server {
@@ -242,8 +242,8 @@
 	bare := map[string]configstore.Part{"t00": {Version: version, Digest: digest, Text: `{"tenants":[]}`}}
 	size := wrote(bare)
 	bare["t01"] = bare["t00"]
-	if n := float64(wrote(bare) - size); n != p.PartWord {
-		t.Errorf("%v bytes of a part without entries, the table has %v", n, p.PartWord)
+	if n := float64(wrote(bare) - size); n != p.PartMessageSize {
+		t.Errorf("%v bytes of a part without entries, the table has %v", n, p.PartMessageSize)
 	}
 	// A process that is registered: of one map under way it has said that it holds it.
 	book := func(users int) (b *configstore.Store, heard map[string]configstore.ProcessReport) {
@@ -270,27 +270,27 @@
 		b, heard := book(users)
 		return wrote(quorum.ConfigView{Store: b.Summary(), Reports: heard})
 	}
-	if n := float64(snapshot(20)-snapshot(10)) / 10; n != p.UserWord {
-		t.Errorf("a snapshot: %v bytes a process, the table has %v", n, p.UserWord)
+	if n := float64(snapshot(20)-snapshot(10)) / 10; n != p.ProcessMessageSize {
+		t.Errorf("a snapshot: %v bytes a process, the table has %v", n, p.ProcessMessageSize)
 	}
-	if n := float64(read(20)-read(10)) / 10; n != p.UserReadWord {
-		t.Errorf("a reading of the rules: %v bytes a process, the table has %v", n, p.UserReadWord)
+	if n := float64(read(20)-read(10)) / 10; n != p.ProcessReadMessageSize {
+		t.Errorf("a reading of the rules: %v bytes a process, the table has %v", n, p.ProcessReadMessageSize)
 	}
 	further := of(900, many)
 	size = plain(further)
 	further.Tenants[3].Homes = append(further.Tenants[3].Homes, cells.Home{Cell: "cell-001", Shard: 8, Since: 1767225600001})
-	if n := float64(plain(further) - size); n != p.HomePartText {
-		t.Errorf("part: %v bytes a further home, the table has %v", n, p.HomePartText)
+	if n := float64(plain(further) - size); n != p.HomePartTextSize {
+		t.Errorf("part: %v bytes a further home, the table has %v", n, p.HomePartTextSize)
 	}
 
 	moved := of(10, 10)
 	base := text(moved)
 	moved.Tenants[3].Homes = append(moved.Tenants[3].Homes, cells.Home{Cell: "cell-001", Shard: 8, Since: 1767225600001})
-	if n := float64(text(moved) - base); n != p.HomeText {
-		t.Errorf("document: %v bytes a further home, the table has %v", n, p.HomeText)
+	if n := float64(text(moved) - base); n != p.HomeTextSize {
+		t.Errorf("document: %v bytes a further home, the table has %v", n, p.HomeTextSize)
 	}
-	if got := float64(loadreport.Interval.Milliseconds()); got != p.Announce {
-		t.Errorf("reports each %v ms, the table has %v", got, p.Announce)
+	if got := float64(loadreport.Interval.Milliseconds()); got != p.ReportInterval {
+		t.Errorf("reports each %v ms, the table has %v", got, p.ReportInterval)
 	}
 }
 
@@ -298,7 +298,7 @@
 // of a tenant's change (less one that tells of none), and the fullest part.
 func TestCountedInParts(t *testing.T) {
 	of := target(t, nil)
-	p := plan(t, of, results.Scale, capacity.Now)
+	p := plan(t, of, results.Scale, capacity.Current)
 	at := func(role, figure string, k capacity.Condition) float64 {
 		for _, l := range p.Lines {
 			if l.Role == role && l.Figure == figure {
--- a/internal/policy/capacity/plan.go
+++ b/internal/policy/capacity/plan.go
@@ -108,7 +108,7 @@
 	if err := t.Check(); err != nil {
 		return Plan{}, err
 	}
-	r, left := r.of(p)
+	r, left := r.applicableTo(p)
 	c := &planner{t: t, r: r, p: p}
 	out := Plan{Target: t, Sizing: c.sizing()}
 	out.Routers = Number(c.routers)
@@ -120,7 +120,7 @@
 	}
 	out.Lines = c.lines()
 	out.Machines = c.machines(out.Lines)
-	out.Day = c.day()
+	out.Day = c.dailyCosts()
 	out.Breaks, out.Unknown = c.breaks(out.Lines)
 	return out, nil
 }
@@ -148,15 +148,15 @@
 		assumed(min(1, t.Servers*left*a.ServerRequests*a.Utilisation/t.Requests)), "the same, of the servers that the target has")
 
 	// What a router can take: by its core, with and without what its control leaves of it, by the time that it adds, by its connections.
-	control := c.r.At("router.cpu.servers", t.Servers*c.pace("router.cpu.servers"))
+	control := c.r.At("router.cpu.servers", t.Servers*c.rateFactor("router.cpu.servers"))
 	free, byCore := c.perCore(a.Utilisation), notMeasured()
 	if control.Basis != NotMeasured {
 		byCore = c.perCore(a.Utilisation - float64(control.Value)).plus(control.times(0))
 	}
-	add("requests a second of a router, by its core, were control free", "1/s", free, "up to assumed.utilisation of a core, "+c.found())
+	add("requests a second of a router, by its core, were control free", "1/s", free, "up to assumed.utilisation of a core, "+c.routeNote())
 	add("requests a second of a router, by its core, beside its health checks", "1/s", byCore, "less what router.cpu.servers says of all servers; 0: nothing is left")
-	byTime := c.upTo("router.added_p99.requests", t.Added-float64(c.route(1).Value)/1000)
-	add("requests a second of a router, by the time that it adds", "1/s", byTime, "the largest that was measured at which it is within added_p99_ms, "+c.found())
+	byTime := c.largestWithin("router.added_p99.requests", t.Added-float64(c.route(1).Value)/1000)
+	add("requests a second of a router, by the time that it adds", "1/s", byTime, "the largest that was measured at which it is within added_p99_ms, "+c.routeNote())
 	takes := free
 	for _, e := range []Estimate{byCore, byTime} {
 		if e.Basis != NotMeasured && e.Value > 0 && e.Value < takes.Value {
@@ -166,7 +166,7 @@
 	need := takes
 	need.Value = Number(zoned(t.Requests / float64(takes.Value)))
 	add("routers for the peak, a zone lost", "", need, "the least of these that is above 0; as many in each zone")
-	conns := assumed(zoned(t.Callers * a.CallerConnections / (c.places() * c.p.FrontShare)))
+	conns := assumed(zoned(t.Callers * a.CallerConnections / (c.descriptorsForConnections() * c.p.CallerShare)))
 	says := "callers × assumed.caller_connections over a router's places for callers, by assumed.sockets"
 	if t.Readings.CallersPick {
 		conns, says = assumed(0), "callers pick among servers: none comes to a router"
@@ -190,7 +190,7 @@
 		return assumed(part / (c.t.Assumed.RouterRequest/1e6 + route))
 	}
 	last := s.Points[len(s.Points)-1].At
-	share, e := passes(part, func(share float64) Estimate {
+	share, e := firstShareOver(part, func(share float64) Estimate {
 		e := c.r.At(s.Name, share*last)
 		e.Value += Number(route * share * last)
 		return e
@@ -205,9 +205,9 @@
 	return e
 }
 
-// upTo is the largest size that was measured at which a series is within a budget. What lies between is not looked at, as the difference of
+// largestWithin is the largest size that was measured at which a series is within a budget. What lies between is not looked at, as the difference of
 // two quantiles goes up and down, nor what lies beyond.
-func (c *planner) upTo(name string, budget float64) Estimate {
+func (c *planner) largestWithin(name string, budget float64) Estimate {
 	s, _ := c.r.find(name)
 	for _, p := range slices.Backward(s.Points) {
 		if p.Median() <= budget {
@@ -217,36 +217,36 @@
 	return notMeasured()
 }
 
-// places is how many descriptors a process has for connections.
-func (c *planner) places() float64 {
+// descriptorsForConnections is how many descriptors a process has for connections.
+func (c *planner) descriptorsForConnections() float64 {
 	s := c.t.Assumed.Sockets
-	return max(8, s-c.p.Spare-min(max(math.Floor(s/16), 4), c.p.Mgmt))
+	return max(8, s-c.p.ReservedDescriptors-min(max(math.Floor(s/16), 4), c.p.MaxAdminConnections))
 }
 
-// mapText and mapWord are the bytes of a map at a share of the target, as a document and as it stands within a word.
-func (c *planner) mapText(share float64) float64 {
-	return share * (c.t.entries()*c.p.TenantText + c.t.Servers*c.p.ServerText)
+// mapTextSize and mapMessageSize are the bytes of a map at a share of the target, as a document and as it stands within a message.
+func (c *planner) mapTextSize(share float64) float64 {
+	return share * (c.t.entries()*c.p.TenantTextSize + c.t.Servers*c.p.ServerTextSize)
 }
 
-func (c *planner) mapWord(share float64) float64 {
-	return share * (c.t.entries()*c.p.TenantWord + c.t.Servers*c.p.ServerWord)
+func (c *planner) mapMessageSize(share float64) float64 {
+	return share * (c.t.entries()*c.p.TenantMessageSize + c.t.Servers*c.p.ServerMessageSize)
 }
 
-// partsText and partsWord are the same of a map in parts.
-func (c *planner) partsText(share float64) float64 {
-	return share * (c.t.entries()*c.p.TenantPartText + c.t.Servers*c.p.ServerPartText)
+// partsTextSize and partsMessageSize are the same of a map in parts.
+func (c *planner) partsTextSize(share float64) float64 {
+	return share * (c.t.entries()*c.p.TenantPartTextSize + c.t.Servers*c.p.ServerPartTextSize)
 }
 
-func (c *planner) partsWord(share float64) float64 {
-	return share*(c.t.entries()*c.p.TenantPartWord+c.t.Servers*c.p.ServerPartWord) + c.p.parts()*c.p.PartWord
+func (c *planner) partsMessageSize(share float64) float64 {
+	return share*(c.t.entries()*c.p.TenantPartMessageSize+c.t.Servers*c.p.ServerPartMessageSize) + c.p.parts()*c.p.PartMessageSize
 }
 
-// changeWord is what a tenant's change is within a word: the whole map, or in parts the tenant's part and the one with the version.
-func (c *planner) changeWord(share float64) float64 {
+// changeMessageSize is what a tenant's change is within a message: the whole map, or in parts the tenant's part and the one with the version.
+func (c *planner) changeMessageSize(share float64) float64 {
 	if !c.p.inParts() {
-		return c.mapWord(share)
+		return c.mapMessageSize(share)
 	}
-	return 2*c.p.PartWord + share*c.t.entries()*c.p.TenantPartWord/c.p.TenantParts
+	return 2*c.p.PartMessageSize + share*c.t.entries()*c.p.TenantPartMessageSize/c.p.TenantParts
 }
 
 // fullest is how many of something the fullest part has, where so many fall evenly by chance into as many parts as a map has for tenants:
@@ -256,12 +256,13 @@
 	return mean + 4*math.Sqrt(mean)
 }
 
-func (c *planner) status(share float64) float64 {
-	return share * (c.t.entries()*c.p.TenantStatus + c.t.Servers*c.p.ServerStatus)
+// statusSize is the bytes of a router's status at a share of the target.
+func (c *planner) statusSize(share float64) float64 {
+	return share * (c.t.entries()*c.p.TenantStatusSize + c.t.Servers*c.p.ServerStatusSize)
 }
 
-// asks is how many callers of any kind have a server for themselves.
-func (c *planner) asks() float64 {
+// probersPerServer is how many callers of any kind have a server for themselves.
+func (c *planner) probersPerServer() float64 {
 	if c.t.Readings.CallersPick {
 		return c.t.Callers + c.routers
 	}
--- a/internal/policy/capacity/plan_test.go
+++ b/internal/policy/capacity/plan_test.go
@@ -34,7 +34,7 @@
 
 func compute(t *testing.T, of Target, r Results) Plan {
 	t.Helper()
-	p, err := Compute(of, r, AsItWas)
+	p, err := Compute(of, r, BeforeParts)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -79,7 +79,7 @@
 		if err := bad.Check(); err == nil || err.Error() != c.want {
 			t.Errorf("%v, want %s", err, c.want)
 		}
-		if _, err := Compute(bad, Results{}, AsItWas); err == nil {
+		if _, err := Compute(bad, Results{}, BeforeParts); err == nil {
 			t.Errorf("computed: %s", c.want)
 		}
 	}
@@ -142,17 +142,17 @@
 		{1000, 40, math.Inf(1), ""},  // beyond 20 times
 		{1.2, 200, 0.01, "foretold"}, // 1 + 0.1 × 2, below what was measured
 	} {
-		share, e := passes(c.budget, at(c.x))
+		share, e := firstShareOver(c.budget, at(c.x))
 		if math.Abs(share-c.share) > 1e-6 && share != c.share || c.budget != 0.5 && !strings.HasPrefix(e.String(), c.basis) {
 			t.Errorf("%v of %v: %v, %s", c.budget, c.x, share, e)
 		}
 	}
-	if share, _ := passes(1, func(float64) Estimate { return notMeasured() }); !math.IsNaN(share) {
+	if share, _ := firstShareOver(1, func(float64) Estimate { return notMeasured() }); !math.IsNaN(share) {
 		t.Errorf("nothing was measured: %v", share)
 	}
 	// Over the budget within what was measured, and nothing known beyond.
 	bare := Results{Series: []Series{{Name: "a", Points: []Point{{10, []float64{1}}, {20, []float64{3}}}}}}
-	if share, e := passes(2, func(s float64) Estimate { return bare.At("a", 100*s) }); math.Abs(share-0.15) > 1e-6 || e.Basis != Measured {
+	if share, e := firstShareOver(2, func(s float64) Estimate { return bare.At("a", 100*s) }); math.Abs(share-0.15) > 1e-6 || e.Basis != Measured {
 		t.Errorf("%v, %v", share, e)
 	}
 }
@@ -272,8 +272,8 @@
 	if p.Routers != 10 { // 8,000 over 0.5 / 500 µs = 1,000: eight, two in each of four zones, and in the fifth
 		t.Errorf("%v routers", p.Routers)
 	}
-	none := AsItWas
-	none.LongestText, none.History = 0, 0
+	none := BeforeParts
+	none.MaxTextSize, none.MaxHistory = 0, 0
 	q, err := Compute(small(), Results{}, none)
 	if err != nil {
 		t.Fatal(err)
@@ -436,7 +436,7 @@
 
 // The same of a map in parts: 100 bytes a tenant and 104 a server, as words 116 and 120, in 290 parts of 68 bytes.
 func TestInPartsByHand(t *testing.T) {
-	p, err := Compute(small(), Results{}, Now)
+	p, err := Compute(small(), Results{}, Current)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -497,7 +497,7 @@
 		}
 	}
 	// Where the leader's words were measured, a zone's two routers that start have the map within two seconds.
-	p, err = Compute(small(), Results{Series: []Series{line("leader.bytes_out.followers", 0, 0.5, 50, 100, 200, 400)}}, Now)
+	p, err = Compute(small(), Results{Series: []Series{line("leader.bytes_out.followers", 0, 0.5, 50, 100, 200, 400)}}, Current)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -509,7 +509,7 @@
 
 // What was measured before documents went in parts counts for the program as it was; of today's what it does otherwise since is left out.
 func TestSince(t *testing.T) {
-	r := Results{Program: asItWas[0], Machine: "m", Series: []Series{
+	r := Results{Program: commitsBeforeParts[0], Machine: "m", Series: []Series{
 		line("server.cpu.callers", 0.005, 0.001, 2, 4, 8, 16), line("leader.cpu.followers", 0, 0.001, 10, 20, 40, 80), line("router.cpu.servers", 0, 0.001, 10, 20, 40, 80),
 		line("router.cpu.requests", 0.1, 0.0001, 500, 1000, 2000, 4000), line("router.opened.servers", 0, 2, 30, 60, 120, 240, 930),
 	}}
@@ -521,7 +521,7 @@
 		program Program
 		by      string
 		known   bool // what the leader spends
-	}{{AsItWas, asItWas[0], true}, {Now, asItWas[0], false}, {Now, "later", true}} {
+	}{{BeforeParts, commitsBeforeParts[0], true}, {Current, commitsBeforeParts[0], false}, {Current, "later", true}} {
 		r.Program = c.by
 		p, err := Compute(small(), r, c.program)
 		if err != nil {
@@ -549,7 +549,7 @@
 	if len(r.Series) != 5 || len(r.Series[4].Points) != 5 {
 		t.Error("the results were changed")
 	}
-	for _, x := range since {
+	for _, x := range changedSeries {
 		if x.series == "" || x.why == "" {
 			t.Errorf("%+v", x)
 		}
--- a/internal/policy/capacity/render.go
+++ b/internal/policy/capacity/render.go
@@ -65,7 +65,7 @@
 func percent(share Number) string {
 	switch v := float64(share); {
 	case math.IsInf(v, 0):
-		return fmt.Sprintf("over %d%%", 100*mostShare)
+		return fmt.Sprintf("over %d%%", 100*maxShare)
 	case v == 0:
 		return "at any size"
 	case v < 0.1:
--- a/internal/policy/capacity/results.go
+++ b/internal/policy/capacity/results.go
@@ -60,23 +60,23 @@
 	Cause    string  `json:"cause,omitempty"`
 }
 
-// tolerated is the part by which what was foretold may be off before a slope is marked.
-const tolerated = 0.25
+// maxSlopeError is the part by which what was foretold may be off before a slope is marked.
+const maxSlopeError = 0.25
 
 // Believed reports whether the slope foretold a size that it was not fitted to.
-func (f Fit) Believed() bool { return f.At >= 2*f.To && math.Abs(f.Off) <= tolerated }
+func (f Fit) Believed() bool { return f.At >= 2*f.To && math.Abs(f.Off) <= maxSlopeError }
 
 // Value is what the slope says of a size.
 func (f Fit) Value(at float64) float64 { return f.Base + f.Per*math.Pow(at, f.Power) }
 
-// errFew says that a slope can't be fitted.
-var errFew = errors.New("a slope needs three sizes, and one of at least twice the largest of them to be held against")
+// errTooFewSizes says that a slope can't be fitted.
+var errTooFewSizes = errors.New("a slope needs three sizes, and one of at least twice the largest of them to be held against")
 
 // Draw fits a line of a power through all points but those of at least twice the size of one before; the last of these is what it is held
 // against. The fit is by least squares of the medians.
 func Draw(points []Point, power float64) (*Fit, error) {
 	if len(points) < 4 {
-		return nil, errFew
+		return nil, errTooFewSizes
 	}
 	last := points[len(points)-1]
 	var x, y []float64
@@ -88,7 +88,7 @@
 		}
 	}
 	if len(x) < 3 {
-		return nil, errFew
+		return nil, errTooFewSizes
 	}
 	f.From = points[0].At
 	f.Base, f.Per = stat.LinearRegression(x, y, nil, false)
--- a/internal/policy/capacity/since.go
+++ b/internal/policy/capacity/since.go
@@ -5,11 +5,11 @@
 	"strings"
 )
 
-// asItWas are the programs, by commit, that figures were measured on before documents went in parts.
-var asItWas = []string{"d8bae39"}
+// commitsBeforeParts are the programs, by commit, that figures were measured on before documents went in parts.
+var commitsBeforeParts = []string{"d8bae39"}
 
-// since is what the program does otherwise than these did, by how its series begin, and why. What was measured of it says nothing of the program as it is.
-var since = []struct{ series, why string }{
+// changedSeries is what the program does otherwise than these did, by how its series begin, and why. What was measured of it says nothing of the program as it is.
+var changedSeries = []struct{ series, why string }{
 	{"router.cpu.servers", "servers are no longer sorted at each answer to a health check"},
 	{"router.allocations.", "as above, and a map is read where it has changed"},
 	{"router.resident.", "a map has an index, and its parts are shared with the one before"},
@@ -39,26 +39,26 @@
 	{"tool.", "a map goes in parts"},
 }
 
-// late are series that say nothing of larger sizes: there a router of before came late with its health checks, as it sorted all servers
+// truncatedSeries are series that say nothing of larger sizes: there a router of before came late with its health checks, as it sorted all servers
 // at each answer, so that it sent fewer than it was set to.
-var late = []struct {
+var truncatedSeries = []struct {
 	series string
 	to     float64
 }{
 	{"router.bytes_in.servers", 240}, {"router.bytes_out.servers", 240}, {"router.opened.servers", 240}, {"router.messages.servers", 240},
 }
 
-// of are the results as far as they say something of a program, and how many series do not.
-func (r Results) of(p Program) (Results, int) {
-	if !p.inParts() || !slices.Contains(asItWas, r.Program) {
+// applicableTo are the results as far as they say something of a program, and how many series do not.
+func (r Results) applicableTo(p Program) (Results, int) {
+	if !p.inParts() || !slices.Contains(commitsBeforeParts, r.Program) {
 		return r, 0
 	}
 	all := r.Series
 	r.Series = slices.DeleteFunc(slices.Clone(all), func(s Series) bool {
-		return slices.ContainsFunc(since, func(x struct{ series, why string }) bool { return strings.HasPrefix(s.Name, x.series) })
+		return slices.ContainsFunc(changedSeries, func(x struct{ series, why string }) bool { return strings.HasPrefix(s.Name, x.series) })
 	})
 	for i, s := range r.Series {
-		for _, x := range late {
+		for _, x := range truncatedSeries {
 			if s.Name == x.series {
 				s.Points = slices.DeleteFunc(slices.Clone(s.Points), func(p Point) bool { return p.At > x.to })
 				s.Fit, _ = Draw(s.Points, 1) // none of too few sizes
--- a/internal/policy/capacity/target.go
+++ b/internal/policy/capacity/target.go
@@ -72,13 +72,13 @@
 		switch {
 		case math.IsNaN(f.v) || math.IsInf(f.v, 0):
 			return fmt.Errorf("%s: not a number", f.name)
-		case f.v < f.least || f.least == 0 && f.v == 0 && !f.zero:
-			if f.least == 0 {
+		case f.v < f.min || f.min == 0 && f.v == 0 && !f.zeroAllowed:
+			if f.min == 0 {
 				return fmt.Errorf("%s: not above 0: %v", f.name, f.v)
 			}
-			return fmt.Errorf("%s: under %v: %v", f.name, f.least, f.v)
-		case f.most > 0 && f.v > f.most:
-			return fmt.Errorf("%s: over %v: %v", f.name, f.most, f.v)
+			return fmt.Errorf("%s: under %v: %v", f.name, f.min, f.v)
+		case f.max > 0 && f.v > f.max:
+			return fmt.Errorf("%s: over %v: %v", f.name, f.max, f.v)
 		}
 	}
 	if t.Regions > t.Zones {
@@ -96,8 +96,8 @@
 type field struct {
 	name        string
 	v           float64
-	least, most float64
-	zero        bool // 0 can be, where the least is 0
+	min, max    float64
+	zeroAllowed bool // 0 can be, where the least is 0
 }
 
 func (t Target) fields() []field {
