--- a/cmd/silverpath/recover.go
+++ b/cmd/silverpath/recover.go
@@ -3,56 +3,65 @@
 import (
 	"errors"
 	"fmt"
+	"io"
 
 	"github.com/spf13/cobra"
 
 	"silverpath/internal/storage/inspect"
 )
 
-// recoverCommand shows what there is to go by after the dark.
+// recoverCommand shows what there is to go by after an outage.
 func recoverCommand() *cobra.Command {
 	cmd := &cobra.Command{Use: "recover", Short: "See what is left on disks after the dark: see docs/recovery.md"}
 	var asJSON bool
-	inspect := &cobra.Command{Use: "inspect PATH…", Args: cobra.MinimumNArgs(1),
+	c := &cobra.Command{Use: "inspect PATH…", Args: cobra.MinimumNArgs(1),
 		Short: "Say whose each file or folder is, of when, and whether it can be trusted; nothing is changed",
-		RunE: func(c *cobra.Command, args []string) error {
-			var list []inspect.Finding
-			wrong := 0
-			for _, path := range args {
-				f, err := inspect.Inspect(path)
-				if err != nil {
-					return err
-				}
-				if f.Problem != "" {
-					wrong++
-				}
-				list = append(list, f)
-			}
-			if asJSON {
-				if err := printJSON(c.OutOrStdout(), list); err != nil {
-					return err
-				}
-			} else {
-				for _, f := range list {
-					fmt.Fprintf(c.OutOrStdout(), "%s: %s", f.Path, f.Kind)
-					if f.Owner != "" {
-						fmt.Fprintf(c.OutOrStdout(), " of %s", f.Owner)
-					}
-					fmt.Fprintf(c.OutOrStdout(), ", trusted: %s\n", f.Trust)
-					for _, s := range f.Facts {
-						fmt.Fprintf(c.OutOrStdout(), "  %s\n", s)
-					}
-					if f.Problem != "" {
-						fmt.Fprintf(c.OutOrStdout(), "  wrong: %s\n", f.Problem)
-					}
-				}
-			}
-			if wrong > 0 {
-				return errors.New("some of it can't be trusted: keep it as it is")
-			}
-			return nil
-		}}
-	inspect.Flags().BoolVar(&asJSON, "json", false, "print JSON")
-	cmd.AddCommand(inspect)
+		RunE:  func(c *cobra.Command, paths []string) error { return inspectPaths(c.OutOrStdout(), paths, asJSON) }}
+	c.Flags().BoolVar(&asJSON, "json", false, "print JSON")
+	cmd.AddCommand(c)
 	return cmd
 }
+
+// inspectPaths prints what each path holds, and fails where some of it can't be trusted.
+func inspectPaths(out io.Writer, paths []string, asJSON bool) error {
+	var findings []inspect.Finding
+	problems := 0
+	for _, path := range paths {
+		f, err := inspect.Inspect(path)
+		if err != nil {
+			return err
+		}
+		if f.Problem != "" {
+			problems++
+		}
+		findings = append(findings, f)
+	}
+	if asJSON {
+		if err := printJSON(out, findings); err != nil {
+			return err
+		}
+	} else {
+		for _, f := range findings {
+			printFinding(out, f)
+		}
+	}
+	if problems > 0 {
+		return errors.New("some of it can't be trusted: keep it as it is")
+	}
+	return nil
+}
+
+// printFinding prints what one path holds, for people.
+func printFinding(out io.Writer, f inspect.Finding) {
+	fmt.Fprintf(out, "%s: %s", f.Path, f.Kind)
+	if f.Owner != "" {
+		fmt.Fprintf(out, " of %s", f.Owner)
+	}
+	fmt.Fprintf(out, ", trusted: %s\n", f.Trust)
+	for _, fact := range f.Facts {
+		fmt.Fprintf(out, "  %s\n", fact)
+	}
+	if f.Problem != "" {
+		fmt.Fprintf(out, "  wrong: %s\n", f.Problem)
+	}
+}
--- a/cmd/silverpath/store.go
+++ b/cmd/silverpath/store.go
@@ -16,79 +16,113 @@
 	"silverpath/internal/transport/admin"
 )
 
-// storeCommand looks after the files in which servers keep the runs of keyed requests.
+// storeCommand looks after the files in which servers keep the runs of idempotent requests.
 func storeCommand() *cobra.Command {
 	cmd := &cobra.Command{Use: "store", Short: "Look after the runs of keyed requests that are kept on a disk: see docs/durable.md"}
-	var dir, name, from, to, addr string
-	var whole bool
-	add := func(use, short string, flags func(c *cobra.Command), do func(c *cobra.Command) error) {
-		c := &cobra.Command{Use: use, Short: short, Args: cobra.NoArgs, RunE: func(c *cobra.Command, _ []string) error { return do(c) }}
-		flags(c)
-		cmd.AddCommand(c)
-	}
-	inDir := func(c *cobra.Command) {
-		c.Flags().StringVar(&dir, "dir", "", "the store's folder, or the file of one")
-		c.MarkFlagRequired("dir")
-	}
-	named := func(c *cobra.Command) {
-		inDir(c)
-		c.Flags().StringVar(&name, "name", "", "the name of the service that it is for")
-		c.MarkFlagRequired("name")
-	}
-	add("init", "Make the store of a service that has run no sheet that could come again", named, func(c *cobra.Command) error {
+	cmd.AddCommand(storeInitCommand(), storeCheckCommand(), storeDumpCommand(), storeCompactCommand(), storeExportCommand(), storeImportCommand())
+	return cmd
+}
+
+// storeSubcommand is a command on the store of a folder, which --dir names.
+func storeSubcommand(use, short string, run func(c *cobra.Command, dir string) error) *cobra.Command {
+	var dir string
+	c := &cobra.Command{Use: use, Short: short, Args: cobra.NoArgs, RunE: func(c *cobra.Command, _ []string) error { return run(c, dir) }}
+	c.Flags().StringVar(&dir, "dir", "", "the store's folder, or the file of one")
+	c.MarkFlagRequired("dir")
+	return c
+}
+
+// nameFlag adds the name of the service that a store is for.
+func nameFlag(c *cobra.Command, name *string) {
+	c.Flags().StringVar(name, "name", "", "the name of the service that it is for")
+	c.MarkFlagRequired("name")
+}
+
+func storeInitCommand() *cobra.Command {
+	var name string
+	c := storeSubcommand("init", "Make the store of a service that has run no sheet that could come again", func(_ *cobra.Command, dir string) error {
 		return idempotencystore.Init(dir, name)
 	})
-	add("check", "Read a store that no service has open, and say what stands in it", inDir, func(c *cobra.Command) error {
+	nameFlag(c, &name)
+	return c
+}
+
+func storeCheckCommand() *cobra.Command {
+	return storeSubcommand("check", "Read a store that no service has open, and say what stands in it", func(c *cobra.Command, dir string) error {
 		return checkStore(c, idempotencystore.FileOf(dir))
 	})
-	add("dump", "Print every record of a store that no service has open, a JSON object a line", inDir, func(c *cobra.Command) error {
+}
+
+func storeDumpCommand() *cobra.Command {
+	return storeSubcommand("dump", "Print every record of a store that no service has open, a JSON object a line", func(c *cobra.Command, dir string) error {
 		return idempotencystore.Dump(idempotencystore.FileOf(dir), func(r idempotency.Record) error { return printRecord(c, r) })
 	})
-	add("compact", "Write a store that no service has open anew, without room that nobody uses", inDir, func(c *cobra.Command) error {
+}
+
+func storeCompactCommand() *cobra.Command {
+	return storeSubcommand("compact", "Write a store that no service has open anew, without room that nobody uses", func(c *cobra.Command, dir string) error {
 		before, after, err := idempotencystore.Compact(dir)
 		if err == nil {
 			fmt.Fprintf(c.OutOrStdout(), "%d KB, were %d\n", after>>10, before>>10)
 		}
 		return err
 	})
-	add("export", "Copy a store: of a service that runs by its management front, else from its folder", func(c *cobra.Command) {
-		c.Flags().StringVar(&addr, "mgmt", "", "the management front of the service that has it open; the copy lies in the store's folder")
-		c.Flags().StringVar(&dir, "dir", "", "the folder of a store that no service has open")
-		c.Flags().StringVar(&to, "to", "", "with --dir: the file to write")
-	}, func(c *cobra.Command) error {
-		if (addr == "") == (dir == "") || (dir == "") != (to == "") {
-			return errors.New("export: give --mgmt ADDR, or --dir DIR and --to FILE")
-		}
-		if dir != "" {
-			return idempotencystore.Export(dir, to)
-		}
-		ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
-		defer cancel()
-		yes, why, err := admin.Call(ctx, addr, "POST /api/snapshot")
-		if err == nil && !yes {
-			err = errors.New(why)
-		}
-		if err == nil {
-			fmt.Fprintln(c.OutOrStdout(), why)
-		}
-		return err
-	})
-	add("import", "Make a store from a copy of another one", func(c *cobra.Command) {
-		named(c)
-		c.Flags().StringVar(&from, "from", "", "the copy")
-		c.MarkFlagRequired("from")
-		c.Flags().BoolVar(&whole, "whole", false, "its service closed it for good and has run nothing since")
-	}, func(c *cobra.Command) error {
+}
+
+func storeImportCommand() *cobra.Command {
+	var name, from string
+	var whole bool
+	c := storeSubcommand("import", "Make a store from a copy of another one", func(c *cobra.Command, dir string) error {
 		n, err := idempotencystore.Import(from, dir, name, whole)
 		if err == nil {
 			fmt.Fprintf(c.OutOrStdout(), "%d records\n", n)
 		}
 		return err
 	})
-	return cmd
+	nameFlag(c, &name)
+	c.Flags().StringVar(&from, "from", "", "the copy")
+	c.MarkFlagRequired("from")
+	c.Flags().BoolVar(&whole, "whole", false, "its service closed it for good and has run nothing since")
+	return c
+}
+
+// snapshotTimeout is how long a service may take to copy a store in use: it writes as much as limits.memory_mb allows.
+const snapshotTimeout = time.Minute
+
+func storeExportCommand() *cobra.Command {
+	var addr, dir, to string
+	c := &cobra.Command{Use: "export", Short: "Copy a store: of a service that runs by its management front, else from its folder", Args: cobra.NoArgs,
+		RunE: func(c *cobra.Command, _ []string) error {
+			if (addr == "") == (dir == "") || (dir == "") != (to == "") {
+				return errors.New("export: give --mgmt ADDR, or --dir DIR and --to FILE")
+			}
+			if dir != "" {
+				return idempotencystore.Export(dir, to)
+			}
+			return exportInUse(c, addr)
+		}}
+	c.Flags().StringVar(&addr, "mgmt", "", "the management front of the service that has it open; the copy lies in the store's folder")
+	c.Flags().StringVar(&dir, "dir", "", "the folder of a store that no service has open")
+	c.Flags().StringVar(&to, "to", "", "with --dir: the file to write")
+	return c
+}
+
+// exportInUse has the service that has a store open copy it, and prints the copy's path.
+func exportInUse(c *cobra.Command, addr string) error {
+	ctx, cancel := context.WithTimeout(context.Background(), snapshotTimeout)
+	defer cancel()
+	yes, why, err := admin.Call(ctx, addr, "POST /api/snapshot")
+	if err != nil {
+		return err
+	}
+	if !yes {
+		return errors.New(why)
+	}
+	fmt.Fprintln(c.OutOrStdout(), why)
+	return nil
 }
 
-// checkStore says what stands in a file, and fails where some of it can't be read.
+// checkStore prints what stands in a file, and fails where some of it can't be read.
 func checkStore(c *cobra.Command, path string) error {
 	s, err := idempotencystore.Check(path)
 	if err != nil {
@@ -107,6 +141,7 @@
 	return nil
 }
 
+// printRecord prints a record as a JSON object on a line of its own; of the result its size alone.
 func printRecord(c *cobra.Command, r idempotency.Record) error {
 	text, err := json.Marshal(struct {
 		Seq     uint64 `json:"seq"`
