--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -74,7 +74,7 @@
 // noteBackpressure notes what an answer says of the server's capacity, under the lock. A rejection that has a reason is of the request's
 // key, and says nothing of it.
 func (r *Runner) noteBackpressure(now time.Duration, tenant, name string, e attemptResult, fields map[string]string) {
-	credit, _ := strconv.ParseFloat(fields[fieldCredit], 64)
+	credit, _ := strconv.ParseFloat(fields[msgpackrpc.FieldSignal], 64)
 	retryAfter := e.retryAfter
 	if e.outcome != loadbalancer.Rejected || e.reason != "" {
 		retryAfter = 0
@@ -84,13 +84,13 @@
 
 // resultOf is what a server's answer says of an attempt.
 func resultOf(a msgpackrpc.Reply) attemptResult {
-	ms, _ := strconv.ParseInt(a.Fields[fieldRetryAfter], 10, 64)
+	ms, _ := strconv.ParseInt(a.Fields[msgpackrpc.FieldRetryAfter], 10, 64)
 	switch a.Error {
 	case "":
 		return attemptResult{outcome: loadbalancer.Served, body: a.Body}
-	case errorFull:
+	case msgpackrpc.ErrorFull:
 		return attemptResult{
-			outcome: loadbalancer.Rejected, retryAfter: time.Duration(ms) * time.Millisecond, final: a.Fields[fieldFinal] == "1", reason: a.Fields[fieldReason],
+			outcome: loadbalancer.Rejected, retryAfter: time.Duration(ms) * time.Millisecond, final: a.Fields[msgpackrpc.FieldFinal] == msgpackrpc.FlagSet, reason: a.Fields[msgpackrpc.FieldReason],
 		}
 	}
 	return attemptResult{outcome: loadbalancer.Failed}
--- a/internal/proxy/healthchecks.go
+++ b/internal/proxy/healthchecks.go
@@ -59,7 +59,7 @@
 	defer r.mu.Unlock()
 	if ok {
 		r.noteAnswer(s.Name, a.Fields)
-		if requests, err := strconv.Atoi(a.Fields[fieldGranted]); err == nil {
+		if requests, err := strconv.Atoi(a.Fields[msgpackrpc.FieldSlowStartShare]); err == nil {
 			r.balancer.SlowStartGranted(sent, s.Name, requests, msgpackrpc.SlowStartProbeIntervals*interval)
 		}
 	} else {
@@ -78,7 +78,7 @@
 	}
 	defer c.Close()
 	_, reply, err := c.Send(func(id uint64) []byte {
-		return msgpackrpc.AppendProbe(nil, id, append(r.healthCheckFields(r.current.Load()), fieldInFlight, strconv.Itoa(inFlight))...)
+		return msgpackrpc.AppendProbe(nil, id, append(r.healthCheckFields(r.current.Load()), msgpackrpc.FieldInFlight, strconv.Itoa(inFlight))...)
 	})
 	if err != nil {
 		return a, false
@@ -97,20 +97,20 @@
 
 // noteAnswer notes what an answer of a server tells of the server, under the lock.
 func (r *Runner) noteAnswer(name string, fields map[string]string) {
-	boot, _ := strconv.ParseInt(fields[fieldBoot], 10, 64)
-	ranUntil, _ := strconv.ParseInt(fields[fieldRanUntil], 10, 64)
+	boot, _ := strconv.ParseInt(fields[msgpackrpc.FieldIncarnation], 10, 64)
+	ranUntil, _ := strconv.ParseInt(fields[msgpackrpc.FieldUnknownRuns], 10, 64)
 	joined := int64(0)
 	if s := r.current.Load().Server(name); s != nil {
 		joined = s.JoinsAt
 	}
 	r.balancer.Answered(r.clock(), name, loadbalancer.Incarnation{Boot: boot, RanUntil: ranUntil, Joined: joined, Now: time.Now().UnixMilli()})
-	if fields[fieldWarming] == "" {
+	if fields[msgpackrpc.FieldWarmingUp] == "" {
 		r.balancer.WarmedUp(name)
 	}
 	if u := r.upstreams[name]; u != nil {
 		u.boot.Store(boot)
 	}
-	if fields[fieldMapID] != "" {
+	if fields[msgpackrpc.FieldConfigID] != "" {
 		r.noteServersMap(name, fields)
 	}
 }
@@ -134,7 +134,7 @@
 	ms := func(d time.Duration) string { return strconv.FormatInt(d.Milliseconds(), 10) }
 	t := r.conflictTerms(m.Map)
 	return []string{
-		fieldMapID, m.name, fieldMapFrom, r.cfg.Name, fieldLease, ms(t.Lease), fieldClockSkew, ms(t.ClockSkew),
-		fieldProbeInterval, ms(t.ProbeInterval), fieldProbeTimeout, ms(t.ProbeTimeout), fieldOverlapWindow, ms(t.OverlapWindow),
+		msgpackrpc.FieldConfigID, m.name, msgpackrpc.FieldConfigSource, r.cfg.Name, msgpackrpc.FieldLease, ms(t.Lease), msgpackrpc.FieldClockSkew, ms(t.ClockSkew),
+		msgpackrpc.FieldProbeInterval, ms(t.ProbeInterval), msgpackrpc.FieldProbeTimeout, ms(t.ProbeTimeout), msgpackrpc.FieldOverlapWindow, ms(t.OverlapWindow),
 	}
 }
--- a/internal/proxy/versions.go
+++ b/internal/proxy/versions.go
@@ -9,6 +9,7 @@
 	"silverpath/internal/events"
 	"silverpath/internal/policy/cells"
 	"silverpath/internal/policy/configstore"
+	"silverpath/internal/transport/msgpackrpc"
 )
 
 // Versions of maps that servers tell of. Routers that can't reach each other meet at servers: each tells its map with a health check and
@@ -31,15 +32,15 @@
 // noteServersMap takes what a server knows of maps, under the lock.
 func (r *Runner) noteServersMap(server string, fields map[string]string) {
 	now := r.clock()
-	if n, description, ok := strings.Cut(fields[fieldConflict], " "); ok {
+	if n, description, ok := strings.Cut(fields[msgpackrpc.FieldConflict], " "); ok {
 		if version, err := strconv.Atoi(n); err == nil && r.versions.ObserveConflict(now, version, description) == configstore.ConflictFound {
 			r.reportConflict()
 		}
 	}
-	if id, ok := configstore.ParseID(fields[fieldMapID]); ok {
-		r.observeVersion(now, id, fields[fieldMapFrom]+" at server "+server)
+	if id, ok := configstore.ParseID(fields[msgpackrpc.FieldConfigID]); ok {
+		r.observeVersion(now, id, fields[msgpackrpc.FieldConfigSource]+" at server "+server)
 	}
-	if ms, err := strconv.ParseInt(fields[fieldSuspend], 10, 64); err == nil && ms > 0 {
+	if ms, err := strconv.ParseInt(fields[msgpackrpc.FieldSuspended], 10, 64); err == nil && ms > 0 {
 		r.versions.Suspend(now, min(time.Duration(ms)*time.Millisecond, maxSuspend))
 	}
 }
--- a/internal/testkit/benchmarks/shared.go
+++ b/internal/testkit/benchmarks/shared.go
@@ -244,7 +244,7 @@
 	defer l.mu.Unlock()
 	l.Times = append(l.Times, time.Since(sent))
 	l.asked[sheet] = true
-	outcome := map[bool]string{true: "refused", false: "failed"}[r.Error == "Full"]
+	outcome := map[bool]string{true: "refused", false: "failed"}[r.Error == msgpackrpc.ErrorFull]
 	if err == nil && r.Error == "" {
 		outcome = "served"
 	}
@@ -254,7 +254,7 @@
 		l.Unheard++
 	case r.Error != "":
 		l.Refused++
-		if r.Error == "Full" && ran {
+		if r.Error == msgpackrpc.ErrorFull && ran {
 			l.Wrong = append(l.Wrong, sheet+" had run and was refused")
 		}
 	default:
--- a/internal/transport/client/client.go
+++ b/internal/transport/client/client.go
@@ -89,8 +89,8 @@
 		switch a.Error {
 		case "":
 			out <- Reply{Outcome: "served", Body: a.Body}
-		case "Full":
-			ms, _ := strconv.Atoi(a.Fields["w"])
+		case msgpackrpc.ErrorFull:
+			ms, _ := strconv.Atoi(a.Fields[msgpackrpc.FieldRetryAfter])
 			out <- Reply{Outcome: "refused", RetryAfter: time.Duration(ms) * time.Millisecond}
 		default:
 			out <- Reply{Outcome: "failed"}
--- a/internal/transport/msgpackrpc/answer.go
+++ b/internal/transport/msgpackrpc/answer.go
@@ -12,19 +12,19 @@
 // this server has heard of that document from others, and its share while this server warms up.
 func (c *client) respondToProbe(m message) {
 	var fields []string
-	if id := m.fields[fieldConfigID]; id != "" {
+	if id := m.fields[FieldConfigID]; id != "" {
 		ms := func(key string) time.Duration {
 			n, _ := strconv.ParseInt(m.fields[key], 10, 64)
 			return time.Duration(max(0, min(n, maxTerm.Milliseconds()))) * time.Millisecond
 		}
-		c.core.ObserveRules(id, m.fields[fieldRouter], configstore.Terms{
-			Lease: ms(fieldLease), ClockSkew: ms(fieldClockSkew), ProbeInterval: ms(fieldProbeInterval),
-			ProbeTimeout: ms(fieldProbeTimeout), OverlapWindow: ms(fieldOverlap),
+		c.core.ObserveRules(id, m.fields[FieldConfigSource], configstore.Terms{
+			Lease: ms(FieldLease), ClockSkew: ms(FieldClockSkew), ProbeInterval: ms(FieldProbeInterval),
+			ProbeTimeout: ms(FieldProbeTimeout), OverlapWindow: ms(FieldOverlapWindow),
 		})
 		fields = c.core.RulesNotice()
-		inFlight, _ := strconv.Atoi(m.fields[fieldInFlight])
-		if share, warming := c.core.SlowStart(m.fields[fieldRouter], inFlight, SlowStartProbeIntervals*max(ms(fieldProbeInterval), time.Millisecond)); warming {
-			fields = append(fields, fieldSlowStartShare, strconv.Itoa(share))
+		inFlight, _ := strconv.Atoi(m.fields[FieldInFlight])
+		if share, warming := c.core.SlowStart(m.fields[FieldConfigSource], inFlight, SlowStartProbeIntervals*max(ms(FieldProbeInterval), time.Millisecond)); warming {
+			fields = append(fields, FieldSlowStartShare, strconv.Itoa(share))
 		}
 	}
 	c.write(func(b []byte) []byte { return appendHealth(b, m.id, c.core.Health(), c.withServerState(fields)) })
@@ -34,15 +34,15 @@
 // incarnation and how recent that is.
 func (c *client) withServerState(pairs []string) []string {
 	if v, ok := c.core.Signal(); ok {
-		pairs = append(pairs, fieldSignal, strconv.FormatFloat(v, 'f', -1, 64))
+		pairs = append(pairs, FieldSignal, strconv.FormatFloat(v, 'f', -1, 64))
 	}
 	if incarnation, inCell := c.core.StartStamp(); inCell {
-		pairs = append(pairs, fieldIncarnation, strconv.FormatInt(incarnation, 10))
+		pairs = append(pairs, FieldIncarnation, strconv.FormatInt(incarnation, 10))
 		if c.core.Cold() {
-			pairs = append(pairs, fieldWarmingUp, flagSet)
+			pairs = append(pairs, FieldWarmingUp, FlagSet)
 		}
 		if lastRun := c.core.UnknownRunsUntil(); lastRun != 0 {
-			pairs = append(pairs, fieldUnknownRuns, strconv.FormatInt(lastRun, 10))
+			pairs = append(pairs, FieldUnknownRuns, strconv.FormatInt(lastRun, 10))
 		}
 	}
 	return pairs
@@ -82,15 +82,15 @@
 		return appendFields(appendBin(b, a.Body), fields)
 	case core.Rejected:
 		if a.RetryAfter > 0 {
-			fields = append(fields, fieldRetryAfter, strconv.FormatInt(max(1, a.RetryAfter.Milliseconds()), 10))
+			fields = append(fields, FieldRetryAfter, strconv.FormatInt(max(1, a.RetryAfter.Milliseconds()), 10))
 		}
 		if a.Final {
-			fields = append(fields, fieldFinal, flagSet)
+			fields = append(fields, FieldFinal, FlagSet)
 		}
 		if a.Reason != "" {
-			fields = append(fields, fieldReason, a.Reason)
+			fields = append(fields, FieldReason, a.Reason)
 		}
-		b = appendText(appendArray(b, 2), errorFull)
+		b = appendText(appendArray(b, 2), ErrorFull)
 	default:
 		b = appendText(appendArray(b, 2), errorFailed)
 	}
--- a/internal/transport/msgpackrpc/client.go
+++ b/internal/transport/msgpackrpc/client.go
@@ -8,7 +8,7 @@
 type Reply struct {
 	ID           uint64            // of the request; of methodLastTaken: of the last request that was taken
 	Notification string            // its method; empty: an answer
-	Error        string            // errorFull or errorFailed, or a call's error; empty: served, or a probe's answer
+	Error        string            // ErrorFull or errorFailed, or a call's error; empty: served, or a probe's answer
 	Body         []byte            // the result
 	Healthy      bool              // a probe's result
 	Fields       map[string]string // see the fields of an answer
--- a/internal/transport/msgpackrpc/conn.go
+++ b/internal/transport/msgpackrpc/conn.go
@@ -176,7 +176,7 @@
 	Caller            int
 	Body              []byte
 	KnownOnly         bool   // answered only from a result on record; nothing runs
-	Incarnation       int64  // of the server that is meant, see fieldIncarnation; 0: any
+	Incarnation       int64  // of the server that is meant, see FieldIncarnation; 0: any
 	ConfigID          string // the document by which it goes there; empty: none is named
 }
 
@@ -198,13 +198,13 @@
 		fields = append(fields, fieldKey, t.Key)
 	}
 	if t.KnownOnly {
-		fields = append(fields, fieldKnownOnly, flagSet)
+		fields = append(fields, fieldKnownOnly, FlagSet)
 	}
 	if t.Incarnation != 0 {
-		fields = append(fields, fieldIncarnation, strconv.FormatInt(t.Incarnation, 10))
+		fields = append(fields, FieldIncarnation, strconv.FormatInt(t.Incarnation, 10))
 	}
 	if t.ConfigID != "" {
-		fields = append(fields, fieldConfigID, t.ConfigID)
+		fields = append(fields, FieldConfigID, t.ConfigID)
 	}
 	return AppendRequest(b, id, t.Class, t.Body, fields...)
 }
--- a/internal/transport/msgpackrpc/request.go
+++ b/internal/transport/msgpackrpc/request.go
@@ -125,7 +125,7 @@
 		return r, fieldCaller
 	}
 	incarnation, inCell := c.StartStamp()
-	if inCell && f[fieldIncarnation] != "" && f[fieldIncarnation] != strconv.FormatInt(incarnation, 10) {
+	if inCell && f[FieldIncarnation] != "" && f[FieldIncarnation] != strconv.FormatInt(incarnation, 10) {
 		return r, core.ReasonBoot
 	}
 	r = core.Request{
@@ -133,7 +133,7 @@
 		Caller: caller, MemoryKB: memoryKB, Rank: rank, Body: m.body, ReceivedAt: receivedAt, Deadline: receivedAt.Add(timeout),
 	}
 	if inCell && r.Key != "" {
-		r.OnlyIfKnown, r.RulesID = f[fieldKnownOnly] == flagSet, f[fieldConfigID]
+		r.OnlyIfKnown, r.RulesID = f[fieldKnownOnly] == FlagSet, f[FieldConfigID]
 	}
 	return r, ""
 }
--- a/internal/transport/msgpackrpc/wire.go
+++ b/internal/transport/msgpackrpc/wire.go
@@ -34,13 +34,14 @@
 	methodLastTaken = "lastTaken"
 )
 
-// Errors of an answer.
+// Errors of an answer: see Reply.Error.
 const (
-	errorFull   = "Full"  // rejected: nothing ran, another server or a later attempt may serve it
+	// ErrorFull is of a rejection: nothing ran, and another server or a later attempt may serve the request.
+	ErrorFull   = "Full"
 	errorFailed = "Error" // failed: it may have run
 )
 
-// Fields of a request.
+// Fields of a request. Those that start with a capital are read or written by package proxy too.
 const (
 	fieldID          = "i" // of the attempt, 16 hexadecimal digits
 	fieldReceivedAt  = "s" // when the balancer received it: milliseconds since 1970
@@ -52,34 +53,37 @@
 	fieldRank        = "p" // among requests of its class, from 0 to under 1
 	fieldCaller      = "f" // number of the caller
 	fieldKnownOnly   = "n" // "1": answer only from a result on record, run nothing
-	fieldIncarnation = "b" // of the server that is meant: start of its process, milliseconds since 1970
-	fieldConfigID    = "g" // the document by which a router sends it here: VERSION.DIGEST
+	FieldIncarnation = "b" // of the server that is meant: start of its process, milliseconds since 1970
+	FieldConfigID    = "g" // the document by which a router sends it here: VERSION.DIGEST
 )
 
-// Further fields of a router's probe, beside fieldConfigID.
+// Further fields of a router's probe. FieldConfigID and FieldConfigSource are in the answer too, of the newest document that the server
+// has heard of.
 const (
-	fieldRouter        = "gn" // its name
-	fieldLease         = "gl" // times of its document, in milliseconds
-	fieldClockSkew     = "gs"
-	fieldProbeInterval = "gp"
-	fieldProbeTimeout  = "gw"
-	fieldOverlap       = "gd"
-	fieldInFlight      = "fl" // its requests in flight at this server
+	FieldConfigSource  = "gn" // who told of the document: in a probe the router's own name
+	FieldLease         = "gl" // times of its document, in milliseconds
+	FieldClockSkew     = "gs"
+	FieldProbeInterval = "gp"
+	FieldProbeTimeout  = "gw"
+	FieldOverlapWindow = "gd"
+	FieldInFlight      = "fl" // the router's requests in flight at this server
 )
 
-// Fields of an answer, beside fieldIncarnation.
+// Fields of an answer, beside FieldIncarnation.
 const (
-	fieldSignal         = "v"  // the module's free value: a load level, a credit or a weight
-	fieldWarmingUp      = "cs" // "1": the server's process started a short time ago
-	fieldUnknownRuns    = "l"  // of a served answer or a probe's: until when an earlier process may have run what is unknown here
-	fieldRetryAfter     = "w"  // of a rejected one: milliseconds
-	fieldFinal          = "l"  // "1": of a rejected one: no other server should be tried
-	fieldReason         = "x"  // of a rejected one
-	fieldSlowStartShare = "c"  // of a probe's: how many requests the router may have in flight at a server that warms up
+	FieldSignal         = "v"  // the module's free value: a load level, a credit of requests in flight, or a weight
+	FieldWarmingUp      = "cs" // FlagSet: the server is in its slow start
+	FieldUnknownRuns    = "l"  // of a served answer or a probe's: until when an earlier process may have run what is unknown here
+	FieldRetryAfter     = "w"  // of a rejected one: milliseconds
+	FieldFinal          = "l"  // FlagSet: of a rejected one: no other server should be tried
+	FieldReason         = "x"  // of a rejected one: why, where it has an idempotency key
+	FieldSlowStartShare = "c"  // of a probe's: how many requests the router may have in flight at a server that warms up
+	FieldConflict       = "gc" // of a probe's: a version of which two documents differ, a blank, and the description of both
+	FieldSuspended      = "gq" // of a probe's: milliseconds for which nothing exclusive begins
 )
 
-// flagSet is the value of a field that is either there or not.
-const flagSet = "1"
+// FlagSet is the value of a field that is either there or not.
+const FlagSet = "1"
 
 // Bounds on what a message may hold. Anything beyond them is malformed and closes its connection: a length is checked before memory
 // is taken for it.
