--- a/cmd/silverpath/fleet_test.go
+++ b/cmd/silverpath/fleet_test.go
@@ -63,7 +63,7 @@
 		t.Fatalf("%v: %v", args, err)
 	}
 	var err error
-	if p.addr, err = p.Says(0, "msgpack: listening on "); err != nil {
+	if p.addr, err = p.TextAfter(0, "msgpack: listening on "); err != nil {
 		t.Fatal(err)
 	}
 	return p
--- a/cmd/silverpath/recovery_test.go
+++ b/cmd/silverpath/recovery_test.go
@@ -55,7 +55,7 @@
 // full waits until the service is whole again, and returns how long that took by its own count, from its start.
 func (d *durable) full(g *benchmarks.Generation) time.Duration {
 	d.t.Helper()
-	text, err := g.Says(20*time.Second, "recovery: full after ")
+	text, err := g.TextAfter(20*time.Second, "recovery: full after ")
 	if err != nil {
 		d.t.Fatal(err)
 	}
--- a/cmd/silverpath/wire_golden_test.go
+++ b/cmd/silverpath/wire_golden_test.go
@@ -456,7 +456,7 @@
 
 func says(t *testing.T, p *process, text string) string {
 	t.Helper()
-	addr, err := p.Says(30*time.Second, text)
+	addr, err := p.TextAfter(30*time.Second, text)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/testkit/benchmarks/parts.go
+++ b/internal/testkit/benchmarks/parts.go
@@ -528,7 +528,7 @@
 	defer r.mu.Unlock()
 	r.took[i] = nil
 	var f *hollow.Follower
-	f, err = hollow.NewFollower(hollow.FollowerConfig{Name: fmt.Sprint("follower", i), Group: g, Docs: []string{configstore.DocMap}, Took: func(string) {
+	f, err = hollow.NewFollower(hollow.FollowerConfig{Name: fmt.Sprint("follower", i), Group: g, Docs: []string{configstore.DocMap}, OnApplied: func(string) {
 		at := time.Now()
 		r.mu.Lock()
 		defer r.mu.Unlock()
--- a/internal/testkit/benchmarks/scale.go
+++ b/internal/testkit/benchmarks/scale.go
@@ -448,12 +448,12 @@
 	case "servers":
 		return hollow.NewServer(hollow.ServerConfig{Name: name, IP: hollow.IP(0, n+1), Settings: site.Server, MemoryMB: 16, Sockets: 1024, Cold: h.Cold, Echo: true, Group: g, Docs: h.Docs, Took: took})
 	case "routers":
-		return hollow.NewRouter(hollow.RouterConfig{Name: name, IP: hollow.IP(1, n+1), Settings: site.Server, MemoryMB: 16, Sockets: 1024, Map: h.Map, Probe: h.Every, Group: g, Docs: h.Docs, Took: took, Within: mostJoin})
+		return hollow.NewRouter(hollow.RouterConfig{Name: name, IP: hollow.IP(1, n+1), Settings: site.Server, MemoryMB: 16, Sockets: 1024, Map: h.Map, HealthCheckInterval: h.Every, Group: g, Docs: h.Docs, OnApplied: took, StartTimeout: mostJoin})
 	case "callers":
 		return hollow.NewCaller(hollow.CallerConfig{Name: name, IP: hollow.IP(2, n+1), To: h.To, Every: h.Every, First: h.Every * time.Duration(i) / time.Duration(h.N),
 			Rules: "1.0123456789abcdef", Terms: configstore.Terms{Lease: 5 * time.Second, ClockSkew: 500 * time.Millisecond, OverlapWindow: 10 * time.Second}}), nil
 	case "followers":
-		return hollow.NewFollower(hollow.FollowerConfig{Name: name, Group: g, Docs: h.Docs, Site: site.Server, Took: took})
+		return hollow.NewFollower(hollow.FollowerConfig{Name: name, Group: g, Docs: h.Docs, Site: site.Server, OnApplied: took})
 	}
 	return nil, fmt.Errorf("no such kind: %q", h.Kind)
 }
--- a/internal/testkit/harness/harness.go
+++ b/internal/testkit/harness/harness.go
@@ -18,19 +18,19 @@
 
 // Process is a running process of the program.
 type Process struct {
-	cmd   *exec.Cmd
-	mu    sync.Mutex
-	log   bytes.Buffer
-	lines []string
-	news  chan struct{} // closed and made anew with every line
-	ended chan struct{} // closed at the log's end
-	over  time.Time     // when that was
-	still time.Time     // since when it is stopped; zero: it is not
+	cmd       *exec.Cmd
+	mu        sync.Mutex
+	log       bytes.Buffer
+	lines     []string
+	lineAdded chan struct{} // closed, and made anew, with every line
+	ended     chan struct{} // closed at the log's end
+	endedAt   time.Time     // when the log ended, or the process was stopped before
+	stoppedAt time.Time     // since when it is stopped; zero: it is not
 }
 
 // Start starts a process and follows its standard error. It does not outlive the one that started it.
 func Start(cmd *exec.Cmd) (*Process, error) {
-	p := &Process{cmd: cmd, news: make(chan struct{}), ended: make(chan struct{})}
+	p := &Process{cmd: cmd, lineAdded: make(chan struct{}), ended: make(chan struct{})}
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	errs, err := cmd.StderrPipe()
 	if err != nil {
@@ -46,8 +46,8 @@
 func (p *Process) follow(r io.Reader) {
 	defer func() {
 		p.mu.Lock()
-		if p.over = time.Now(); !p.still.IsZero() {
-			p.over = p.still
+		if p.endedAt = time.Now(); !p.stoppedAt.IsZero() {
+			p.endedAt = p.stoppedAt
 		}
 		p.mu.Unlock()
 		close(p.ended)
@@ -59,8 +59,8 @@
 			p.mu.Lock()
 			p.log.WriteString(line)
 			p.lines = append(p.lines, strings.TrimSuffix(line, "\n"))
-			close(p.news)
-			p.news = make(chan struct{})
+			close(p.lineAdded)
+			p.lineAdded = make(chan struct{})
 			p.mu.Unlock()
 		}
 		if err != nil {
@@ -75,7 +75,7 @@
 	defer end.Stop()
 	for {
 		p.mu.Lock()
-		news := p.news
+		lineAdded := p.lineAdded
 		for ; from < len(p.lines); from++ {
 			if line := p.lines[from]; hasAll(line, texts) {
 				p.mu.Unlock()
@@ -84,7 +84,7 @@
 		}
 		p.mu.Unlock()
 		select {
-		case <-news:
+		case <-lineAdded:
 		case <-p.ended:
 			p.mu.Lock()
 			more := from < len(p.lines)
@@ -114,8 +114,8 @@
 	return len(p.lines)
 }
 
-// Says waits for what follows a text in the log, up to the next space.
-func (p *Process) Says(within time.Duration, text string) (string, error) {
+// TextAfter waits for what follows a text in the log, up to the next space.
+func (p *Process) TextAfter(within time.Duration, text string) (string, error) {
 	line, err := p.Await(within, 0, text)
 	if err != nil {
 		return "", err
@@ -149,8 +149,8 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.still.IsZero() {
-		p.still = time.Now()
+	if p.stoppedAt.IsZero() {
+		p.stoppedAt = time.Now()
 	}
 }
 
@@ -167,7 +167,7 @@
 // Wake has it go on.
 func (p *Process) Wake() {
 	p.mu.Lock()
-	p.still = time.Time{}
+	p.stoppedAt = time.Time{}
 	p.mu.Unlock()
 	_ = p.Signal(syscall.SIGCONT)
 }
@@ -184,7 +184,7 @@
 func (p *Process) Until() time.Time {
 	select {
 	case <-p.ended:
-		return p.over
+		return p.endedAt
 	default:
 		return time.Now()
 	}
--- a/internal/testkit/hollow/hollow_test.go
+++ b/internal/testkit/hollow/hollow_test.go
@@ -106,7 +106,7 @@
 		if err := proxy.WriteMap(file, &own); err != nil {
 			t.Fatal(err)
 		}
-		r, err := NewRouter(RouterConfig{Name: fmt.Sprint("r", i), IP: IP(1, i+1), Settings: site(), MemoryMB: 16, Sockets: 16, Map: file, Probe: 20 * time.Millisecond})
+		r, err := NewRouter(RouterConfig{Name: fmt.Sprint("r", i), IP: IP(1, i+1), Settings: site(), MemoryMB: 16, Sockets: 16, Map: file, HealthCheckInterval: 20 * time.Millisecond})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -294,13 +294,13 @@
 	docs := []string{configstore.DocMap, configstore.DocRouting}
 	var close []func()
 	for i := range 4 {
-		f, err := NewFollower(FollowerConfig{Name: fmt.Sprint("f", i), Group: client(), Docs: docs[i%2:], Site: site(), Took: tell(i)})
+		f, err := NewFollower(FollowerConfig{Name: fmt.Sprint("f", i), Group: client(), Docs: docs[i%2:], Site: site(), OnApplied: tell(i)})
 		if err != nil {
 			t.Fatal(err)
 		}
 		close = append(close, f.Close)
 	}
-	r, err := NewRouter(RouterConfig{Name: "r", IP: IP(1, 1), Settings: site(), MemoryMB: 16, Sockets: 16, Group: client(), Docs: docs, Took: tell(4), Within: 20 * time.Second})
+	r, err := NewRouter(RouterConfig{Name: "r", IP: IP(1, 1), Settings: site(), MemoryMB: 16, Sockets: 16, Group: client(), Docs: docs, OnApplied: tell(4), StartTimeout: 20 * time.Second})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -363,7 +363,7 @@
 	}
 	put(1)
 	var took atomic.Int32
-	f, err := NewFollower(FollowerConfig{Name: "f", Group: &quorum.Client{Group: "test", Addrs: []string{addr}}, Docs: []string{configstore.DocMap}, Site: site(), Took: func(string) { took.Add(1) }})
+	f, err := NewFollower(FollowerConfig{Name: "f", Group: &quorum.Client{Group: "test", Addrs: []string{addr}}, Docs: []string{configstore.DocMap}, Site: site(), OnApplied: func(string) { took.Add(1) }})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/testkit/hollow/router.go
+++ b/internal/testkit/hollow/router.go
@@ -24,11 +24,11 @@
 
 // FollowerConfig sets up a Follower.
 type FollowerConfig struct {
-	Name  string
-	Group *quorum.Client // its own
-	Docs  []string
-	Site  silverpath.Settings // whose classes the group's are checked against
-	Took  func(doc string)    // called once it acts on a new version; nil: nobody is told
+	Name      string
+	Group     *quorum.Client // its own
+	Docs      []string
+	Site      silverpath.Settings // whose classes the group's are checked against
+	OnApplied func(doc string)    // called once it acts on a new version; nil: nobody is told
 }
 
 // Follower is a process that acts on documents of a group, and does nothing else.
@@ -50,7 +50,7 @@
 		src.Confirm(asked)
 		_, _, _ = src.Load(nil)
 	}
-	if f.follows, err = newFollower(cfg, nil, nil, &agreed{src, loaded, nil}, &f.Stats); err != nil {
+	if f.follows, err = newFollower(cfg, nil, nil, &groupMap{src, loaded, nil}, &f.Stats); err != nil {
 		return nil, err
 	}
 	f.run.keep(f.follows.Run)
@@ -73,14 +73,14 @@
 }
 
 // agreed is what a follower of the map has besides.
-type agreed struct {
-	src   *proxy.GroupSource
-	told  func(time.Time)
-	share configwatch.QuotaClient
+type groupMap struct {
+	source    *proxy.GroupSource
+	confirmed func(time.Time)
+	quota     configwatch.QuotaClient
 }
 
 // newFollower has the documents checked and taken as the service has them. Retune takes classes up, and reroute how a router chooses.
-func newFollower(cfg FollowerConfig, retune func(silverpath.Settings) error, reroute func(settings.Router), a *agreed, s *metrics.Counters) (*configwatch.Watcher, error) {
+func newFollower(cfg FollowerConfig, retune func(silverpath.Settings) error, reroute func(settings.Router), a *groupMap, s *metrics.Counters) (*configwatch.Watcher, error) {
 	var mu sync.Mutex
 	site := cfg.Site
 	own := map[string]configwatch.Document{
@@ -118,8 +118,8 @@
 	}
 	set := configwatch.Config{Name: cfg.Name, Group: cfg.Group, Documents: map[string]configwatch.Document{}, Log: silent(), Stats: s}
 	if a != nil {
-		own[configstore.DocMap] = configwatch.Document{Format: configstore.PartsFormat, Check: a.src.Check, Apply: a.src.Apply, CheckParts: a.src.CheckParts, ApplyParts: a.src.ApplyParts}
-		set.OnConfirmed, set.MaxClockSkew, set.Quota = a.told, a.src.MaxClockSkew, a.share
+		own[configstore.DocMap] = configwatch.Document{Format: configstore.PartsFormat, Check: a.source.Check, Apply: a.source.Apply, CheckParts: a.source.CheckParts, ApplyParts: a.source.ApplyParts}
+		set.OnConfirmed, set.MaxClockSkew, set.Quota = a.confirmed, a.source.MaxClockSkew, a.quota
 	}
 	for _, name := range cfg.Docs {
 		d, ok := own[name]
@@ -127,10 +127,10 @@
 			return nil, fmt.Errorf("%s: this process has no use for %q", cfg.Name, name)
 		}
 		d.Format = max(d.Format, 1)
-		if take, parts := d.Apply, d.ApplyParts; cfg.Took != nil {
+		if take, parts := d.Apply, d.ApplyParts; cfg.OnApplied != nil {
 			took := func(err error) error {
 				if err == nil {
-					cfg.Took(name)
+					cfg.OnApplied(name)
 				}
 				return err
 			}
@@ -148,18 +148,18 @@
 
 // RouterConfig sets up a Router.
 type RouterConfig struct {
-	Name     string
-	IP       string // of the loopback range: its connections to servers come from there
-	Settings silverpath.Settings
-	MemoryMB float64
-	Sockets  int
-	Map      string // its file; empty: the group's
-	Probe    time.Duration
-	Group    *quorum.Client
-	Docs     []string // of the group
-	Most     int      // routers that share the cells; 0: it knows nothing of others
-	Within   time.Duration
-	Took     func(doc string)
+	Name                string
+	IP                  string // of the loopback range: its connections to servers come from there
+	Settings            silverpath.Settings
+	MemoryMB            float64
+	Sockets             int
+	Map                 string // its file; empty: the group's
+	HealthCheckInterval time.Duration
+	Group               *quorum.Client
+	Docs                []string // of the group
+	MaxRouters          int      // routers that share the cells; 0: it knows nothing of others
+	StartTimeout        time.Duration
+	OnApplied           func(doc string)
 }
 
 // Router is a router without clients: its health checks, map and documents and its part in the cells are those of the real one.
@@ -167,14 +167,14 @@
 	Traffic
 	Stats metrics.Counters
 	core  *core.Core
-	fleet *proxy.Runner
+	proxy *proxy.Runner
 	run   *running
 	group *quorum.Client
 }
 
 var errNoMap = errors.New("neither a file nor the group has a map for it")
 
-// NewRouter starts one.
+// NewRouter starts one. An error says why it can't: its settings, its map's file, or that it has no source of a map.
 func NewRouter(cfg RouterConfig) (*Router, error) {
 	r := &Router{run: run(), group: cfg.Group}
 	l := silent()
@@ -183,87 +183,114 @@
 	if err != nil {
 		return nil, err
 	}
-	var src proxy.Source
-	var mu sync.Mutex // of the fleet, which the follower comes before
-	runner := func() *proxy.Runner {
-		mu.Lock()
-		defer mu.Unlock()
-		return r.fleet
-	}
-	ways := loadbalancer.Config{}
-	var follows *configwatch.Watcher
-	if cfg.Map != "" {
-		src, err = proxy.OpenFileSource(cfg.Map, "")
-	}
-	if err != nil {
+	start := &routerStart{router: r, cfg: cfg}
+	if err := start.openSources(); err != nil {
 		return nil, err
 	}
-	if cfg.Group != nil {
-		a, err := proxy.OpenGroupSource("")
-		if err != nil {
-			return nil, err
-		}
-		told := func(asked time.Time) {
-			a.Confirm(asked)
-			if f := runner(); f != nil {
-				f.Reload()
-			}
-		}
-		reroute := func(next settings.Router) {
-			if f := runner(); f != nil {
-				f.Retune(next.Routing, next.Probe)
-				return
-			}
-			ways, cfg.Probe = next.Routing, next.Probe
-		}
-		var share configwatch.QuotaClient
-		if cfg.Most > 0 {
-			share = sharing{runner}
-		}
-		of := &agreed{a, told, share}
-		if src == nil {
-			src = a
-		} else {
-			of = nil
-		}
-		follows, err = newFollower(FollowerConfig{Name: cfg.Name, Group: cfg.Group, Docs: cfg.Docs, Site: cfg.Settings, Took: cfg.Took}, r.core.Reconfigure, reroute, of, &r.Stats)
-		if err != nil {
-			return nil, err
-		}
-		r.core.SetBlockRule(follows.StopReasonFor)
-		ctx, cancel := context.WithTimeout(r.run.ctx, max(cfg.Within, time.Second))
-		follows.WaitCurrent(ctx)
-		cancel()
-	}
-	if src == nil {
-		return nil, errNoMap
-	}
 	f, err := proxy.New(proxy.Config{
-		Name: cfg.Name, Source: src, LoadBalancing: ways, Cores: cfg.Settings.Cores, HealthCheckInterval: cfg.Probe, MaxConnections: cfg.Sockets,
+		Name: cfg.Name, Source: start.source, LoadBalancing: start.loadBalancing, Cores: cfg.Settings.Cores,
+		HealthCheckInterval: start.cfg.HealthCheckInterval, MaxConnections: cfg.Sockets,
 		Dial: func(ctx context.Context, addr string) (*msgpackrpc.Conn, error) { return r.dial(ctx, cfg.IP, addr) },
 	}, r.core, l, &r.Stats)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", cfg.Name, err)
 	}
-	if cfg.Most > 0 {
-		f.ShareQuota(cfg.Most, false)
+	if cfg.MaxRouters > 0 {
+		f.ShareQuota(cfg.MaxRouters, false)
 	}
-	mu.Lock()
-	r.fleet = f
-	mu.Unlock()
+	start.mu.Lock()
+	r.proxy = f
+	start.mu.Unlock()
 	if err := r.core.Attach(f, nil); err != nil {
 		return nil, err
 	}
-	if follows != nil {
-		r.run.keep(follows.Run)
+	if start.follower != nil {
+		r.run.keep(start.follower.Run)
 	}
 	r.run.keep(f.Maintain)
 	return r, nil
 }
 
+// routerStart is a router that is being started: its documents come before its proxy, and may set that up.
+type routerStart struct {
+	router        *Router
+	cfg           RouterConfig
+	mu            sync.Mutex // guards the router's proxy, which the follower comes before
+	source        proxy.Source
+	loadBalancing loadbalancer.Config
+	follower      *configwatch.Watcher // nil: it acts on no documents
+}
+
+// proxy is the router's, nil before there is one.
+func (s *routerStart) proxy() *proxy.Runner {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.router.proxy
+}
+
+// openSources opens the source of the map, a file or the group, and follows the group's documents where it has a group.
+func (s *routerStart) openSources() (err error) {
+	if s.cfg.Map != "" {
+		if s.source, err = proxy.OpenFileSource(s.cfg.Map, ""); err != nil {
+			return err
+		}
+	}
+	if s.cfg.Group != nil {
+		if err := s.follow(); err != nil {
+			return err
+		}
+	}
+	if s.source == nil {
+		return errNoMap
+	}
+	return nil
+}
+
+// follow acts on the group's documents from now on, and waits until it has the present ones, or for StartTimeout.
+func (s *routerStart) follow() error {
+	source, err := proxy.OpenGroupSource("")
+	if err != nil {
+		return err
+	}
+	of := &groupMap{source: source, confirmed: func(asked time.Time) {
+		source.Confirm(asked)
+		if f := s.proxy(); f != nil {
+			f.Reload()
+		}
+	}}
+	if s.cfg.MaxRouters > 0 {
+		of.quota = deferredQuota{s.proxy}
+	}
+	if s.source == nil {
+		s.source = source
+	} else {
+		of = nil
+	}
+	r := s.router
+	s.follower, err = newFollower(FollowerConfig{Name: s.cfg.Name, Group: s.cfg.Group, Docs: s.cfg.Docs, Site: s.cfg.Settings, OnApplied: s.cfg.OnApplied},
+		r.core.Reconfigure, s.reroute, of, &r.Stats)
+	if err != nil {
+		return err
+	}
+	r.core.SetBlockRule(s.follower.StopReasonFor)
+	ctx, cancel := context.WithTimeout(r.run.ctx, max(s.cfg.StartTimeout, time.Second))
+	defer cancel()
+	s.follower.WaitCurrent(ctx)
+	return nil
+}
+
+// reroute takes up how a router chooses, in the proxy or for it.
+func (s *routerStart) reroute(next settings.Router) {
+	if f := s.proxy(); f != nil {
+		f.Retune(next.Routing, next.Probe)
+		return
+	}
+	s.loadBalancing, s.cfg.HealthCheckInterval = next.Routing, next.Probe
+}
+
 // States are the servers as it knows them.
 func (r *Router) States() []loadbalancer.ServerState {
-	list, _ := r.fleet.States()
+	list, _ := r.proxy.States()
 	return list
 }
 
@@ -272,17 +299,17 @@
 	r.core.Drain(0)
 	r.core.Stop()
 	r.run.end()
-	r.fleet.Close()
+	r.proxy.Close()
 	if r.group != nil {
 		r.group.Close()
 	}
 }
 
 // sharing is a router that shares its cells with others, once it is there.
-type sharing struct{ fleet func() *proxy.Runner }
+type deferredQuota struct{ router func() *proxy.Runner }
 
-func (s sharing) QuotaRequest() (quota.Request, func(quota.Grant, lease.Terms)) {
-	if f := s.fleet(); f != nil {
+func (s deferredQuota) QuotaRequest() (quota.Request, func(quota.Grant, lease.Terms)) {
+	if f := s.router(); f != nil {
 		return f.QuotaRequest()
 	}
 	return quota.Request{}, func(quota.Grant, lease.Terms) {}
--- a/internal/testkit/hollow/server.go
+++ b/internal/testkit/hollow/server.go
@@ -58,7 +58,7 @@
 	s.front = listener.New(msgpackrpc.Name, ln, cfg.Sockets, s.core.IdleAfter, msgpackrpc.New(s.core, l, &s.Stats).Serve, l, &s.Stats)
 	s.run.all.Go(s.front.Serve)
 	if cfg.Group != nil {
-		f, err := newFollower(FollowerConfig{Name: cfg.Name, Group: cfg.Group, Docs: cfg.Docs, Site: cfg.Settings, Took: cfg.Took}, s.core.Reconfigure, nil, nil, &s.Stats)
+		f, err := newFollower(FollowerConfig{Name: cfg.Name, Group: cfg.Group, Docs: cfg.Docs, Site: cfg.Settings, OnApplied: cfg.Took}, s.core.Reconfigure, nil, nil, &s.Stats)
 		if err != nil {
 			s.Close()
 			return nil, err
--- a/internal/testkit/standin/faults/faults.go
+++ b/internal/testkit/standin/faults/faults.go
@@ -187,6 +187,7 @@
 	return slices.Clone(chunk[:n]), err
 }
 
+// carry passes on what comes one way, message by message where it carries messages, until its end.
 func (b *Between) carry(from, to net.Conn, w Way) {
 	defer func() {
 		if half, ok := to.(*net.TCPConn); ok {
@@ -196,12 +197,12 @@
 	}()
 	r := bufio.NewReader(from)
 	chunk := make([]byte, 4<<10)
-	var behind []byte // a message that the next one passes
+	var overtaken []byte // a message that the next one passes
 	for n := 0; ; n++ {
 		m, err := b.next(r, chunk)
 		if len(m) == 0 && err != nil {
-			if behind != nil {
-				_, _ = to.Write(behind)
+			if overtaken != nil {
+				_, _ = to.Write(overtaken)
 			}
 			return
 		}
@@ -215,22 +216,30 @@
 		switch {
 		case lost:
 			continue
-		case swap && behind == nil && b.words:
-			behind = m
+		case swap && overtaken == nil && b.words:
+			overtaken = m
 			continue
 		}
-		if _, err := to.Write(m); err != nil {
+		if err := deliver(to, m, twice && b.words, overtaken); err != nil {
 			from.Close()
 			return
 		}
-		if twice && b.words {
-			_, _ = to.Write(m)
-		}
-		if behind != nil {
-			_, _ = to.Write(behind)
-			behind = nil
-		}
+		overtaken = nil
+	}
+}
+
+// deliver writes a message, a second time where it is to come twice, and then the one that it has passed; nil: none.
+func deliver(to net.Conn, m []byte, twice bool, overtaken []byte) error {
+	if _, err := to.Write(m); err != nil {
+		return err
+	}
+	if twice {
+		_, _ = to.Write(m) // a connection that ends here shows at the next message
+	}
+	if overtaken != nil {
+		_, _ = to.Write(overtaken)
 	}
+	return nil
 }
 
 // fateOf waits as long as what is said is held, or delayed, and draws what becomes of it.
