--- a/internal/service/apart_test.go
+++ b/internal/service/apart_test.go
@@ -65,7 +65,7 @@
 
 // Two services in one process, of two customers that name a class alike and mean something else by it, and of whom only one knows
 // a tenant: each goes by its own settings, also after one of them has taken up others.
-func TestCustomersStayApart(t *testing.T) {
+func TestServicesShareNoState(t *testing.T) {
 	tenants := func(names ...string) (list []silverpath.Tenant) {
 		for _, n := range names {
 			list = append(list, silverpath.Tenant{Name: n, Rate: 1000})
@@ -122,7 +122,7 @@
 }
 
 // Buffers are pooled by all services of a process: what one of them writes is never another one's, however many at once.
-func TestBuffersStayApart(t *testing.T) {
+func TestServicesShareNoBuffer(t *testing.T) {
 	services := []*Service{start(t, func(*silverpath.Settings) {}), start(t, func(*silverpath.Settings) {})}
 	var all sync.WaitGroup
 	for c := range 16 {
--- a/internal/service/drain_test.go
+++ b/internal/service/drain_test.go
@@ -76,7 +76,7 @@
 
 // The notice to leave while the link to the interpreter is down: what is in hand is answered, nobody waits for the link, and
 // the process ends in time.
-func TestLeaveWithoutInterpreter(t *testing.T) {
+func TestShutdownWithoutInterpreter(t *testing.T) {
 	vm, _, release := startInterpreter(t)
 	defer release()
 	way, err := faults.Listen(vm, false, 1)
--- a/internal/service/operate_test.go
+++ b/internal/service/operate_test.go
@@ -95,7 +95,7 @@
 }
 
 // Fifty operators that never finish keep one that does from nothing, while clients saturate the service.
-func TestOperatorInACrowd(t *testing.T) {
+func TestAdminUnderClientFlood(t *testing.T) {
 	vm, _, release := startInterpreter(t)
 	defer release()
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
@@ -161,7 +161,7 @@
 
 // SIGHUP under load takes up classes that come and go; requests in hand end under the class that they came with, keys
 // included. What is no good changes nothing.
-func TestRetuneUnderLoad(t *testing.T) {
+func TestReconfigureUnderLoad(t *testing.T) {
 	vm, _, release := startInterpreter(t)
 	defer release()
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(0))
--- a/internal/service/start_test.go
+++ b/internal/service/start_test.go
@@ -59,7 +59,7 @@
 }
 
 // The notice to leave holds while a start waits for its addresses.
-func TestLeaveDuringTheStart(t *testing.T) {
+func TestShutdownDuringStart(t *testing.T) {
 	cfg := config("127.0.0.1:1")
 	cfg.Listen = taken(t).Addr().String()
 	signals, out, done := program(t, func() (settings.Config, error) { return cfg, nil })
@@ -72,7 +72,7 @@
 
 // A reload that does not end, and others that wait behind it, hold no notice to leave back. A second notice changes nothing,
 // and a reload in a drain is taken up.
-func TestSignalsOneOverTheOther(t *testing.T) {
+func TestShutdownDuringReload(t *testing.T) {
 	vm, _, release := startInterpreter(t)
 	defer release()
 	cfg := config(vm)
--- a/internal/transport/admin/admin_test.go
+++ b/internal/transport/admin/admin_test.go
@@ -138,7 +138,7 @@
 }
 
 // Callers that never finish keep nobody out, and hold no more than their few places.
-func TestStalled(t *testing.T) {
+func TestStalledCallersAreEvicted(t *testing.T) {
 	s, _, counters := serve(t)
 	for i := range 50 {
 		conn, err := net.Dial("tcp", s.Addr().String())
@@ -164,7 +164,7 @@
 
 // A call whose bytes have come keeps its place, though it is the oldest and its goroutine has had no turn yet; one that
 // sends a byte now and then does not keep it for ever.
-func TestUnreadKeepsItsPlace(t *testing.T) {
+func TestUnreadCallIsNotEvicted(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/transport/interpreter/link_test.go
+++ b/internal/transport/interpreter/link_test.go
@@ -150,7 +150,7 @@
 }
 
 // ERROR and NOOP end a run, which never ran if its only start was refused, and so does KILLED; what ends a run that is over already is passed over.
-func TestEnds(t *testing.T) {
+func TestRunOutcomes(t *testing.T) {
 	play(t, func(l *Link, h *heard, next func() *machine) {
 		m := next()
 		m.say(banner, tops)
@@ -250,7 +250,7 @@
 
 // An end that can't be read is a failure at once, never a result, and the run's waiters wait no longer; the next link goes on
 // after it.
-func TestSpoiltEnds(t *testing.T) {
+func TestMalformedEnds(t *testing.T) {
 	for _, bad := range []string{
 		`{"type":"VALUE","n":1,"job":"a","state":"ODD","data":"eA=="}`, `{"type":"VALUE","n":1,"job":"a","data":"eA=="}`,
 		`{"type":"VALUE","n":1,"job":"a","state":"PASS","data":"*"}`, `{"type":"AWAIT","n":1,"job":"a","data":"eA"}`,
@@ -333,7 +333,7 @@
 // A moved interpreter is the same one: the old link is left once all commands on it have arrived, a notice that
 // was under way is read whole, what comes meanwhile goes out on the new link, and runs and numbers carry on,
 // whatever the new link says of its age.
-func TestMove(t *testing.T) {
+func TestRedirect(t *testing.T) {
 	play(t, func(l *Link, h *heard, next func() *machine) {
 		m := next()
 		m.say(banner, tops)
@@ -376,7 +376,7 @@
 
 // A link that is left and brings no answer is cut after a while; one that is not live yet is cut at once, and so
 // is a wait for the next try.
-func TestMoveFromDeadLink(t *testing.T) {
+func TestRedirectFromDeadLink(t *testing.T) {
 	play(t, func(l *Link, h *heard, next func() *machine) {
 		m := next()
 		m.say(banner, tops)
--- a/internal/transport/loadreport/reporter_test.go
+++ b/internal/transport/loadreport/reporter_test.go
@@ -37,7 +37,7 @@
 
 // Reports come in one datagram each, again and again, and say what the health is then. After a move they come
 // at the new address.
-func TestKeep(t *testing.T) {
+func TestRun(t *testing.T) {
 	first, second := listen(t), listen(t)
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
@@ -115,7 +115,7 @@
 }
 
 // With one report in four lost, an entry that lapses after 3 s must not lapse in a month of reports.
-func TestOften(t *testing.T) {
+func TestIntervalOutlivesLoss(t *testing.T) {
 	lost := math.Pow(0.25, math.Floor(float64(3*time.Second-Interval)/float64(Interval)))
 	if stretches := 30 * 24 * time.Hour / (3 * time.Second); lost*float64(stretches) > 0.01 {
 		t.Fatalf("a report every %v", Interval)
--- a/internal/transport/msgpackrpc/close_test.go
+++ b/internal/transport/msgpackrpc/close_test.go
@@ -194,7 +194,7 @@
 }
 
 // What was read together with the message before it is not seen on the connection any more: it keeps its place all the same.
-func TestReadAheadKeepsItsPlace(t *testing.T) {
+func TestReadAheadIsNotEvicted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := pipes.Listen()
 		w, l, _ := serve(t, p, 10)
--- a/internal/transport/msgpackrpc/conn_test.go
+++ b/internal/transport/msgpackrpc/conn_test.go
@@ -93,7 +93,7 @@
 
 // Told to bring no more, a connection takes none, and closes once all on it is answered. One that breaks closes what is
 // open without a reply.
-func TestLastCall(t *testing.T) {
+func TestDrainNotification(t *testing.T) {
 	c, s := pair()
 	_, _, reply := send(t, c, s, Attempt{ID: "a", Class: "krog", ReceivedAt: time.Now(), HeldKB: 1})
 	s.Write(appendArray(appendText(appendUint(appendArray(nil, 3), uint64(notification)), methodDrain), 0))
--- a/internal/transport/msgpackrpc/decode_test.go
+++ b/internal/transport/msgpackrpc/decode_test.go
@@ -174,7 +174,7 @@
 }
 
 // A request of a shut class is passed over whole, without its body being kept, and what follows it is read.
-func TestPassedOver(t *testing.T) {
+func TestSkippedRequest(t *testing.T) {
 	b := AppendRequest(nil, 3, "shut", bytes.Repeat([]byte("x"), 2000), "i", "a", "d", "7")
 	b = AppendStatus(AppendProbe(AppendRequest(b, 4, "open", []byte("y"), "i", "b"), 5), 6)
 	d := decoder{r: bufio.NewReader(bytes.NewReader(b)), statusEnabled: true, rejects: func(class string) bool { return class == "shut" }}
--- a/internal/transport/vault/client_test.go
+++ b/internal/transport/vault/client_test.go
@@ -228,7 +228,7 @@
 }
 
 // Connections in use and idle ones together stay within the bound.
-func TestBound(t *testing.T) {
+func TestConnectionLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newBelow()
 		var open, most atomic.Int32
@@ -261,7 +261,7 @@
 }
 
 // After a move calls go to the new address, on no connection of the old one; a call under way ends where it is.
-func TestMove(t *testing.T) {
+func TestRedirect(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newBelow()
 		var dialed []string
@@ -310,7 +310,7 @@
 }
 
 // Patience ends a call, and so does a second call for the same request; both close the connection.
-func TestGivenUp(t *testing.T) {
+func TestCancelledCall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newBelow()
 		began := time.Now()
