--- a/cmd/silverpath/documents_test.go
+++ b/cmd/silverpath/documents_test.go
@@ -93,12 +93,12 @@
 	f.expect(0, "held: not before noon", "who", "routing")
 	f.expect(0, "", "release", "routing")
 	for _, p := range []*process{one, two} {
-		if _, err := p.Await(5*time.Second, 0, "rules: acts on routing 2."); err != nil {
+		if _, err := p.Await(5*time.Second, 0, "config: active: routing 2."); err != nil {
 			t.Error(err)
 		}
 	}
 	f.expect(0, "version 3: takeback", "withdraw", "routing", "--why", "too many tries")
-	if _, err := one.Await(5*time.Second, 0, "rules: acts on routing 3."); err != nil {
+	if _, err := one.Await(5*time.Second, 0, "config: active: routing 3."); err != nil {
 		t.Error(err)
 	}
 	f.expect(0, "taken back: too many tries", "history", "routing")
--- a/cmd/silverpath/earlier_build_test.go
+++ b/cmd/silverpath/earlier_build_test.go
@@ -310,9 +310,9 @@
 func TestServiceOnSignOfLifeOfAnEarlierBuild(t *testing.T) {
 	t.Parallel()
 	for start, want := range map[string]string{
-		sameStart:    `life: nothing that has an effect was begun for \d+(\.\d+)?s at the least, by process\n`,
-		muchLater:    `life: nothing that has an effect was begun for 9h0m\d\S*s at the least, by machine\n`,
-		otherMachine: `life: nothing that has an effect was begun for 0s at the least, by nothing\n`,
+		sameStart:    `heartbeat: nothing that has an effect was begun for \d+(\.\d+)?s at the least, by process\n`,
+		muchLater:    `heartbeat: nothing that has an effect was begun for 9h0m\d\S*s at the least, by machine\n`,
+		otherMachine: `heartbeat: nothing that has an effect was begun for 0s at the least, by nothing\n`,
 	} {
 		t.Run(start, func(t *testing.T) {
 			d := newDurable(t)
--- a/cmd/silverpath/group_holders_test.go
+++ b/cmd/silverpath/group_holders_test.go
@@ -328,12 +328,12 @@
 	}
 	o := must[*harness.Process](t)(g.Owner("o", dir, []string{controller.PlacementDuty, controller.MonitorDuty}, nil, routers))
 	t.Cleanup(o.Kill)
-	if _, err := o.Await(20*time.Second, 0, "watcher.partly", "server=s1"); err != nil {
+	if _, err := o.Await(20*time.Second, 0, "monitor.partly", "server=s1"); err != nil {
 		t.Fatal(err)
 	}
 	ways[0].Cut(true)
 	servers[0].Kill()
-	if _, err := o.Await(20*time.Second, 0, "watcher.dead", "server=s0"); err != nil {
+	if _, err := o.Await(20*time.Second, 0, "monitor.dead", "server=s0"); err != nil {
 		t.Fatal(err)
 	}
 	if it := g.over(controller.PlacementDuty, "gone-s0-1", 10*time.Second); it.State != controller.Done {
@@ -341,7 +341,7 @@
 	}
 	ways[3].Cut(true)
 	servers[3].Kill()
-	if _, err := o.Await(20*time.Second, 0, "watcher.dead", "server=s3"); err != nil {
+	if _, err := o.Await(20*time.Second, 0, "monitor.dead", "server=s3"); err != nil {
 		t.Fatal(err)
 	}
 	it := g.over(controller.PlacementDuty, "gone-s3-2", 10*time.Second)
@@ -492,7 +492,7 @@
 	time.Sleep(1300 * time.Millisecond) // too late to be announced a lease ahead
 	g.do(statemachine.Command{Lease: &lease.Request{Op: lease.Pause, Duty: controller.PlacementDuty, Reason: "nothing new"}})
 	next := g.owner("next", dir, []string{controller.PlacementDuty}, nil)
-	if _, err := next.Await(10*time.Second, 0, "map.withdraw", "version=2"); err != nil {
+	if _, err := next.Await(10*time.Second, 0, "placement.withdraw", "version=2"); err != nil {
 		t.Fatal(err)
 	}
 	from := old.Lines()
--- a/cmd/silverpath/overlap_test.go
+++ b/cmd/silverpath/overlap_test.go
@@ -153,9 +153,9 @@
 			f.serves(fmt.Sprint("cut", version), whole)
 			from := cut.Lines()
 			away(false)
-			if _, err := cut.Await(5*time.Second, from, fmt.Sprintf("rules: acts on classes %d.", version)); err != nil {
+			if _, err := cut.Await(5*time.Second, from, fmt.Sprintf("config: active: classes %d.", version)); err != nil {
 				if at == "turning" { // it may have heard before it was cut off
-					_, err = cut.Await(time.Second, 0, fmt.Sprintf("rules: acts on classes %d.", version))
+					_, err = cut.Await(time.Second, 0, fmt.Sprintf("config: active: classes %d.", version))
 				}
 				if err != nil {
 					t.Fatal(at, err)
@@ -284,7 +284,7 @@
 					wait = wait * 2 / 3
 				}
 				for name, p := range f.processes(map[string]*process{"r1": one}) {
-					if _, err := p.Await(3*time.Second, 0, fmt.Sprintf("rules: acts on classes %d.", force)); err != nil {
+					if _, err := p.Await(3*time.Second, 0, fmt.Sprintf("config: active: classes %d.", force)); err != nil {
 						t.Fatal(name, err)
 					}
 				}
@@ -315,7 +315,7 @@
 	wg.Wait()
 	took := time.Since(began)
 	force, _, _ := f.doc("routing")
-	if _, err := one.Await(3*time.Second, 0, fmt.Sprintf("rules: acts on routing %d.", force)); err != nil || force != 100 || took > time.Minute {
+	if _, err := one.Await(3*time.Second, 0, fmt.Sprintf("config: active: routing %d.", force)); err != nil || force != 100 || took > time.Minute {
 		t.Errorf("%d changes in %v: %v", force, took, err)
 	}
 }
@@ -385,7 +385,7 @@
 		p.Kill()
 	}
 	f.wait("routing", 2, 10*time.Second)
-	if _, err := newer.Await(3*time.Second, 0, "rules: acts on routing 2."); err != nil {
+	if _, err := newer.Await(3*time.Second, 0, "config: active: routing 2."); err != nil {
 		t.Error(err)
 	}
 }
@@ -405,7 +405,7 @@
 	t.Parallel()
 	f := newRuledFleet(t, 500*time.Millisecond)
 	near, far := f.router("near", nil, "SILVERPATH_WALL=60ms"), f.router("far", nil, "SILVERPATH_WALL=250ms")
-	if _, err := far.Await(3*time.Second, 0, "rules: nothing that is exclusive begins: clock"); err != nil {
+	if _, err := far.Await(3*time.Second, 0, "config: nothing that is exclusive begins: clock"); err != nil {
 		t.Error(err)
 	}
 	if got := toAll(10, "clocks", near); got["served"] != 10 {
--- a/cmd/silverpath/parts_test.go
+++ b/cmd/silverpath/parts_test.go
@@ -76,7 +76,7 @@
 	}
 	f.wait("map", 2, 20*time.Second)
 	for _, p := range []*process{one, two} {
-		if _, err := p.Await(10*time.Second, 0, "rules: acts on map 2."); err != nil {
+		if _, err := p.Await(10*time.Second, 0, "config: active: map 2."); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -111,7 +111,7 @@
 	f.wait("map", 3, 20*time.Second)
 	f.g.start(leader)
 	for _, p := range []*process{one, two} {
-		if _, err := p.Await(10*time.Second, 0, "rules: acts on map 3."); err != nil {
+		if _, err := p.Await(10*time.Second, 0, "config: active: map 3."); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -173,7 +173,7 @@
 			if r := f.g.do(statemachine.Command{Config: &configstore.Change{Op: configstore.OpRelease, Doc: doc, Version: version}}); r.Error != "" {
 				t.Fatal(r.Error)
 			}
-			_, err := whole.Await(2*time.Second, from, "rules: nothing that is exclusive begins: turning")
+			_, err := whole.Await(2*time.Second, from, "config: nothing that is exclusive begins: turning")
 			got := sheet(class, "brand", fmt.Sprint(doc, "-", version, class))
 			_, stage, _ := f.doc(doc)
 			cut.Wake()
--- a/cmd/silverpath/partsguards_test.go
+++ b/cmd/silverpath/partsguards_test.go
@@ -34,7 +34,7 @@
 		name := fmt.Sprint("r", i)
 		routers[i] = spawnIn(t, env, "route", "--config", siteFile(t, name, ""), "--edge", write(t, name+"-edge.json", fmt.Sprintf(
 			`{"status":true,"fleet":{"state":%q,"probe_ms":100},%s}`, states[i], f.rulesPart(addrs, "map"))))
-		if _, err := routers[i].Await(10*time.Second, 0, "rules: acts on map 2."); err != nil {
+		if _, err := routers[i].Await(10*time.Second, 0, "config: active: map 2."); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -53,7 +53,7 @@
 		next.Tenants[100+i].Rate = 3
 	}
 	f.expect(0, "version 3 proposed", "put", "map", f.write(&next))
-	if _, err := routers[0].Await(10*time.Second, 0, "rules: map: what came does not follow"); err != nil {
+	if _, err := routers[0].Await(10*time.Second, 0, "config: map: what came does not follow"); err != nil {
 		t.Fatal(err)
 	}
 	holds := func(who string) bool {
@@ -75,7 +75,7 @@
 	spoil("")
 	f.wait("map", 3, 60*time.Second)
 	for i, p := range routers {
-		if _, err := p.Await(20*time.Second, 0, "rules: acts on map 3."); err != nil {
+		if _, err := p.Await(20*time.Second, 0, "config: active: map 3."); err != nil {
 			t.Fatal(err)
 		}
 		if _, err := p.Await(20*time.Second, 0, "cells: map version 3"); err != nil {
--- a/cmd/silverpath/rules_test.go
+++ b/cmd/silverpath/rules_test.go
@@ -112,8 +112,8 @@
 				t.Errorf("repeats by a map that is contradicted: %v", got)
 			}
 			for _, p := range []*process{one, two, f.servers["s1"], f.servers["s4"]} {
-				line, err := p.Await(time.Second, 0, "rules: version 1: ", " by r1", " by r2", "nothing that is exclusive begins")
-				if err != nil || strings.Count(line[strings.Index(line, "rules:"):], " 1.") != 2 {
+				line, err := p.Await(time.Second, 0, "config: version 1: ", " by r1", " by r2", "nothing that is exclusive begins")
+				if err != nil || strings.Count(line[strings.Index(line, "config:"):], " 1.") != 2 {
 					t.Errorf("%q, %v", line, err)
 				}
 			}
@@ -171,7 +171,7 @@
 				t.Fatal(err)
 			}
 			if c.env == nil {
-				if _, err := old.Await(2*time.Second, 0, "rules: 2.", " is newer than 1."); err != nil {
+				if _, err := old.Await(2*time.Second, 0, "config: 2.", " is newer than 1."); err != nil {
 					t.Error(err)
 				}
 				if got := toAll(5, "within", old); got["served"] != 5 {
--- a/internal/controlplane/command/executor.go
+++ b/internal/controlplane/command/executor.go
@@ -60,7 +60,7 @@
 		return false, err.Error()
 	}
 	accepted, reason = perform()
-	events.Log(x.Log, "orders.taken", action, duty, c.Epoch, step, reason)
+	events.Log(x.Log, "command.executed", action, duty, c.Epoch, step, reason)
 	return accepted, reason
 }
 
--- a/internal/controlplane/configwatch/parts.go
+++ b/internal/controlplane/configwatch/parts.go
@@ -73,6 +73,6 @@
 	w.mu.Unlock()
 	for _, name := range slices.Sorted(maps.Keys(mismatches)) {
 		w.cfg.Stats.Add(uint64(mismatches[name].Count), "rules", "parts_off")
-		events.Log(w.cfg.Log, "rules.parts_off", name, active[name], mismatches[name].Reason)
+		events.Log(w.cfg.Log, "config.parts_stale", name, active[name], mismatches[name].Reason)
 	}
 }
--- a/internal/controlplane/configwatch/sync.go
+++ b/internal/controlplane/configwatch/sync.go
@@ -102,7 +102,7 @@
 		}
 		if err != nil { // it was checked: something has changed since
 			w.cfg.Stats.Inc("rules", "bad")
-			events.Log(w.cfg.Log, "rules.bad", u.Doc, u.Revision.ID, err)
+			events.Log(w.cfg.Log, "config.rejected", u.Doc, u.Revision.ID, err)
 			all = false
 			if u.Revision.InParts {
 				w.mu.Lock()
@@ -131,6 +131,6 @@
 	w.loggedError = text
 	w.mu.Unlock()
 	if changed && err != nil {
-		events.Log(w.cfg.Log, "rules.unanswered", err)
+		events.Log(w.cfg.Log, "config.poll_failed", err)
 	}
 }
--- a/internal/controlplane/quorum/member/config.go
+++ b/internal/controlplane/quorum/member/config.go
@@ -143,7 +143,7 @@
 		who = c.Process.Name
 	}
 	m.stats.Inc("rules", string(c.Op))
-	line := m.log.Info().Str("event", "rules.changed").Str("op", string(c.Op)).Str("who", who)
+	line := m.log.Info().Str("event", "config.changed").Str("op", string(c.Op)).Str("who", who)
 	if c.Doc != "" {
 		line = line.Str("doc", c.Doc).Int("version", r.Version)
 	}
--- a/internal/controlplane/quorum/member/peer.go
+++ b/internal/controlplane/quorum/member/peer.go
@@ -237,7 +237,7 @@
 		}
 	}
 	if len(body) > msgpackrpc.MaxCallBody-requestOverhead {
-		m.log.Error().Str("event", "group.word_too_long").Str("member", p.Name).Int("bytes", len(body)).Send()
+		m.log.Error().Str("event", "group.call_too_long").Str("member", p.Name).Int("bytes", len(body)).Send()
 		return nil, errors.New("too long for a word")
 	}
 	link.dropUnusable()
--- a/internal/controlplane/quorum/member/raft.go
+++ b/internal/controlplane/quorum/member/raft.go
@@ -257,4 +257,6 @@
 func (l raftLogger) Fatalf(f string, v ...any) { panic(fmt.Sprintf(f, v...)) }
 func (l raftLogger) Panic(v ...any)            { panic(fmt.Sprint(v...)) }
 func (l raftLogger) Panicf(f string, v ...any) { panic(fmt.Sprintf(f, v...)) }
-func (l raftLogger) warn(s string)             { l.log.Warn().Str("event", "group.library").Str("text", s).Send() }
+func (l raftLogger) warn(s string) {
+	l.log.Warn().Str("event", "group.raft_library").Str("text", s).Send()
+}
--- a/internal/controlplane/runner/rollout.go
+++ b/internal/controlplane/runner/rollout.go
@@ -84,7 +84,7 @@
 		reason = err.Error()
 	}
 	d.rollout.RecordCommand(c.Server, accepted)
-	d.log.Info().Str("event", "order."+call).Stringer("epoch", epoch).Uint64("step", step).Str("server", c.Server).Bool("yes", accepted).Str("why", reason).Send()
+	d.log.Info().Str("event", "command."+call).Stringer("epoch", epoch).Uint64("step", step).Str("server", c.Server).Bool("yes", accepted).Str("why", reason).Send()
 	d.cfg.Stats.Inc("orders_sent", call, map[bool]string{true: "yes", false: "no"}[accepted])
 	if higher, ok := refusedEpoch(reason, d.name); ok {
 		// The group knows less than the server, as after its snapshot was put back from a copy: it rises above the server's epoch, and
--- a/internal/controlplane/runner/work.go
+++ b/internal/controlplane/runner/work.go
@@ -156,6 +156,6 @@
 		return fmt.Errorf("%v: %w", action.Kind, err)
 	}
 	d.putFailures = 0
-	d.log.Info().Str("event", "map."+action.Kind.String()).Stringer("epoch", epoch).Uint64("step", j.Step).Int("version", action.Version).Send()
+	d.log.Info().Str("event", "placement."+action.Kind.String()).Stringer("epoch", epoch).Uint64("step", j.Step).Int("version", action.Version).Send()
 	return nil
 }
--- a/internal/core/host.go
+++ b/internal/core/host.go
@@ -34,7 +34,7 @@
 			return
 		}
 		if t.started { // a run is never rejected; the module keeps to this, so the line should not be seen
-			events.Log(c.log, "guard.refusal", id)
+			events.Log(c.log, "guard.rejection", id)
 			c.settle(t, Answer{Outcome: Failed})
 			return
 		}
--- a/internal/core/peer.go
+++ b/internal/core/peer.go
@@ -111,7 +111,7 @@
 	}
 	c.keys.maxBytes, c.maxTasks = c.pair.alone.keyBytes/part, max(minTasksShared, c.pair.alone.tasks/part)
 	if err := c.reconfigure(*c.settings.Load()); err != nil {
-		events.Log(c.log, "handover.unshared", err)
+		events.Log(c.log, "hotrestart.limits_unshared", err)
 	}
 	c.pair.Shared(two)
 }
--- a/internal/core/peernotify.go
+++ b/internal/core/peernotify.go
@@ -34,7 +34,7 @@
 		c.updatePair(func(s *hotrestart.Coordinator) { s.NoticeLost() })
 	}
 	if err := c.pair.MarkUnnotified(); err != nil {
-		events.Log(c.log, "handover.no_mark", err)
+		events.Log(c.log, "hotrestart.no_mark", err)
 		c.stats.Inc("handover", "no_mark")
 		return false
 	}
--- a/internal/core/pools.go
+++ b/internal/core/pools.go
@@ -149,17 +149,17 @@
 	st := c.pools.Snapshot(now)
 	c.view.Pools = &st
 	if old == nil || old.Memory != st.Memory {
-		events.Log(c.log, "pools.memory", st.Memory, st.BookedMemory, st.ProcessMemory)
+		events.Log(c.log, "admission.memory", st.Memory, st.BookedMemory, st.ProcessMemory)
 	}
 	for i, p := range st.Pools {
 		starvedBefore := old != nil && i < len(old.Pools) && old.Pools[i].Starving
 		if p.Starving && !starvedBefore {
-			events.Log(c.log, "pools.starves", p.Name, p.Queued, p.Running, p.Floor)
+			events.Log(c.log, "admission.pool_starved", p.Name, p.Queued, p.Running, p.Floor)
 		}
 	}
 	if math.Abs(math.Log(st.RunLimit/c.loggedLimit)) > limitLogChange && now-c.limitLoggedAt >= limitLogInterval {
 		c.loggedLimit, c.limitLoggedAt = st.RunLimit, now
-		events.Log(c.log, "pools.limit", st.RunLimit, st.Ceiling, st.Diagnosis)
+		events.Log(c.log, "admission.limit", st.RunLimit, st.Ceiling, st.Diagnosis)
 	}
 }
 
--- a/internal/core/pools_test.go
+++ b/internal/core/pools_test.go
@@ -152,7 +152,7 @@
 				t.Errorf("%s is not in %s", want, st)
 			}
 		}
-		if l := logged(); !strings.Contains(l, "pools: memory scarce: 0.85 booked") || !strings.Contains(l, "pools: limit 2.0") {
+		if l := logged(); !strings.Contains(l, "admission: memory scarce: 0.85 booked") || !strings.Contains(l, "admission: limit 2.0") {
 			t.Errorf("logged %q", l)
 		}
 		if c.MaxBody(2048) != 512 {
--- a/internal/core/rules.go
+++ b/internal/core/rules.go
@@ -33,11 +33,11 @@
 	previous, _ := c.observedRules.Newest()
 	switch c.observedRules.Observe(c.clock(), of, source) {
 	case configstore.NewerVersion:
-		events.Log(c.log, "rules.newer", of, previous.ID, source)
+		events.Log(c.log, "config.newer_seen", of, previous.ID, source)
 	case configstore.ConflictFound:
 		c.stats.Inc("rules", "contradictions")
 		n, text := c.observedRules.Conflict()
-		events.Log(c.log, "rules.contradiction", n, text)
+		events.Log(c.log, "config.contradiction", n, text)
 	}
 }
 
--- a/internal/events/events_test.go
+++ b/internal/events/events_test.go
@@ -108,20 +108,20 @@
 // An event is one line for people and one object for machines, with the same fields.
 func TestLog(t *testing.T) {
 	var b bytes.Buffer
-	Log(log.New(&b, "", 0), "pools.limit", 3.25, 8.0, "steady")
-	if b.String() != "pools: limit 3.2 of at most 8.0 runs, steady\n" {
+	Log(log.New(&b, "", 0), "admission.limit", 3.25, 8.0, "steady")
+	if b.String() != "admission: limit 3.2 of at most 8.0 runs, steady\n" {
 		t.Errorf("%q", b.String())
 	}
 	b.Reset()
 	l := log.New(NewJSONWriter(&b, "s1"), "", 0)
-	Log(l, "orders.taken", "evacuate", "conductor", "1.2", uint64(7), "evacuated")
+	Log(l, "command.executed", "evacuate", "conductor", "1.2", uint64(7), "evacuated")
 	l.Print("anything")
 	lines := strings.Split(strings.TrimSpace(b.String()), "\n")
 	var e, f map[string]any
 	if err := json.Unmarshal([]byte(lines[0]), &e); err != nil {
 		t.Fatal(err)
 	}
-	if e["event"] != "orders.taken" || e["process"] != "s1" || e["duty"] != "conductor" || e["epoch"] != "1.2" || e["step"] != 7.0 {
+	if e["event"] != "command.executed" || e["process"] != "s1" || e["duty"] != "conductor" || e["epoch"] != "1.2" || e["step"] != 7.0 {
 		t.Errorf("%v", e)
 	}
 	if err := json.Unmarshal([]byte(lines[1]), &f); err != nil || f["text"] != "anything" {
--- a/internal/policy/controller/controller.go
+++ b/internal/policy/controller/controller.go
@@ -38,7 +38,7 @@
 	SendCommand                    // send a command to a server
 )
 
-// String is the kind's name in log events, as in "map.publish".
+// String is the kind's name in log events, as in "placement.publish".
 func (k ActionKind) String() string {
 	return [...]string{"rest", "write", "publish", "withdraw", "send"}[k]
 }
--- a/internal/policy/controller/monitor.go
+++ b/internal/policy/controller/monitor.go
@@ -14,7 +14,7 @@
 	Dead        map[string]bool // by server: dead; else alive, or not known to be dead
 }
 
-// Verdict is what the monitor takes a server to be. Its text is part of log events, as in "watcher.partly".
+// Verdict is what the monitor takes a server to be. Its text is part of log events, as in "monitor.partly".
 type Verdict string
 
 // Verdicts on a server.
--- a/internal/proxy/healthchecks.go
+++ b/internal/proxy/healthchecks.go
@@ -121,7 +121,7 @@
 	for _, s := range r.balancer.States(r.clock()) {
 		if old, known := r.loggedHealth[s.Name]; s.Health != old || !known {
 			r.loggedHealth[s.Name] = s.Health
-			events.Log(r.log, "fleet.health", s.Name, s.Health)
+			events.Log(r.log, "proxy.server_health", s.Name, s.Health)
 		}
 	}
 }
--- a/internal/proxy/maps.go
+++ b/internal/proxy/maps.go
@@ -90,7 +90,7 @@
 			r.catchUp(m)
 		}
 		r.stats.Inc("cells", "new_map")
-		events.Log(r.log, "cells.new_map", m.Version, old.Version, len(cells.Diff(old.Map, m)))
+		events.Log(r.log, "cells.map_active", m.Version, old.Version, len(cells.Diff(old.Map, m)))
 	}
 	r.useMap(m, confirmedAt)
 }
@@ -100,7 +100,7 @@
 	r.stats.Inc("cells", "bad_map")
 	if time.Since(r.loggedBadMapAt) > old.Lease {
 		r.loggedBadMapAt = time.Now()
-		events.Log(r.log, "cells.bad_map", old.Version, err)
+		events.Log(r.log, "cells.map_rejected", old.Version, err)
 	}
 	// Where it was checked in time and comes too late, perhaps at all routers, nobody else tells that there is a newer one.
 	if src, can := r.cfg.Source.(NewestSource); can {
--- a/internal/proxy/versions.go
+++ b/internal/proxy/versions.go
@@ -52,7 +52,7 @@
 		r.reportConflict()
 	case configstore.NewerVersion:
 		if m := r.current.Load(); m != nil && id.Version > m.Version {
-			events.Log(r.log, "rules.newer", id, m.id, source)
+			events.Log(r.log, "config.newer_seen", id, m.id, source)
 		}
 	}
 	if m := r.current.Load(); m != nil && id.Version > m.Version {
@@ -67,7 +67,7 @@
 func (r *Runner) reportConflict() {
 	version, description := r.versions.Conflict()
 	r.stats.Inc("rules", "contradictions")
-	events.Log(r.log, "rules.contradiction", version, description)
+	events.Log(r.log, "config.contradiction", version, description)
 }
 
 // verdict tells whether a request with a key may be sent by a map.
--- a/internal/service/budget.go
+++ b/internal/service/budget.go
@@ -74,7 +74,7 @@
 		processes = 2
 	}
 	debug.SetMemoryLimit(softMemoryLimit(s.cfg) / int64(processes))
-	events.Log(s.log, "handover.shared", processes)
+	events.Log(s.log, "hotrestart.limits_shared", processes)
 	for _, budget := range s.listenerBudgets {
 		go budget.ln.SetMaxConnections(budget.maxConns / processes)
 	}
--- a/internal/service/classes.go
+++ b/internal/service/classes.go
@@ -65,7 +65,7 @@
 		return
 	}
 	if err := s.core.Reconfigure(next); err != nil {
-		events.Log(s.log, "rules.bad", configstore.DocClasses, "", err)
+		events.Log(s.log, "config.rejected", configstore.DocClasses, "", err)
 		return
 	}
 	s.cfg.Server = next
--- a/internal/service/drain.go
+++ b/internal/service/drain.go
@@ -49,7 +49,7 @@
 	stop, delay := s.stopTimeout(), s.drainDelay
 	if s.core.Successor() {
 		// Who connects from now on is accepted by the process that replaces this one, and who is asked to leave goes there.
-		events.Log(s.log, "handover.successor")
+		events.Log(s.log, "hotrestart.successor")
 		s.loadReporter.Silence()
 		delay = 0
 		s.closeListeners()
--- a/internal/service/open.go
+++ b/internal/service/open.go
@@ -157,7 +157,7 @@
 			return err
 		}
 		if !logged {
-			events.Log(s.log, "listening.taken", time.Until(s.addressRetryUntil).Round(time.Second), err)
+			events.Log(s.log, "listener.address_in_use", time.Until(s.addressRetryUntil).Round(time.Second), err)
 		}
 		select {
 		case <-s.shutdown:
--- a/internal/storage/heartbeat/heartbeat.go
+++ b/internal/storage/heartbeat/heartbeat.go
@@ -61,7 +61,7 @@
 		lease: recovery.NewHeartbeatLease(recovery.LeaseTerms{Interval: validity / heartbeatsPerValidity, Validity: validity})}
 	last, err := Read(path)
 	if err != nil {
-		events.Log(l, "life.unreadable", err)
+		events.Log(l, "heartbeat.unreadable", err)
 		if err := os.Rename(path, fmt.Sprintf("%s.damaged-%d", path, time.Now().UnixNano())); err != nil && !errors.Is(err, fs.ErrNotExist) {
 			return nil, err
 		}
@@ -125,7 +125,7 @@
 	defer k.mu.Unlock()
 	k.lease.HeartbeatWritten(err == nil)
 	if err != nil && !k.failureLogged {
-		events.Log(k.log, "life.failed", err)
+		events.Log(k.log, "heartbeat.failed", err)
 	}
 	if k.failureLogged = err != nil; k.failureLogged {
 		k.stats.Inc("life", "failed")
--- a/internal/storage/idempotencystore/writer.go
+++ b/internal/storage/idempotencystore/writer.go
@@ -128,7 +128,7 @@
 	s.mu.Lock()
 	s.ledger.Rewritten()
 	s.mu.Unlock()
-	events.Log(s.log, "store.anew")
+	events.Log(s.log, "store.rewritten")
 }
 
 // rewrite writes all that is known into a new file, which takes the place of the one of which nobody knows what is durable.
--- a/internal/testkit/benchmarks/parts.go
+++ b/internal/testkit/benchmarks/parts.go
@@ -444,7 +444,7 @@
 	}
 }
 
-var actsOn = regexp.MustCompile(`^(\d\d):(\d\d):(\d\d\.\d+) rules: acts on (\w+) (\S+)`)
+var actsOn = regexp.MustCompile(`^(\d\d):(\d\d):(\d\d\.\d+) config: active: (\w+) (\S+)`)
 
 // moments are when it came to act on versions of a document, as its log says.
 func (r *partsRouter) moments(doc string) []moment {
--- a/internal/testkit/benchmarks/partsschedules.go
+++ b/internal/testkit/benchmarks/partsschedules.go
@@ -167,9 +167,9 @@
 
 var (
 	versionSaid = regexp.MustCompile(`map: version (\d+) (?:is in force|proposed)`)
-	actsOnMap   = regexp.MustCompile(`(?m) rules: acts on map (\S+)$`)
+	actsOnMap   = regexp.MustCompile(`(?m) config: active: map (\S+)$`)
 	mapHolds    = regexp.MustCompile(`(?m)^.* cells: the old map holds.*$`)
-	mapIsOff    = regexp.MustCompile(`(?m) rules: map: what came does not follow`)
+	mapIsOff    = regexp.MustCompile(`(?m) config: map: what came does not follow`)
 )
 
 // inForce is the map in force, as operators read it.
--- a/internal/testkit/benchmarks/rules.go
+++ b/internal/testkit/benchmarks/rules.go
@@ -805,7 +805,7 @@
 				}
 				wg.Wait()
 				for _, p := range f.Routers {
-					if strings.Contains(p.Log(), "rules: version") || strings.Contains(p.Log(), "is newer than") {
+					if strings.Contains(p.Log(), "config: version") || strings.Contains(p.Log(), "is newer than") {
 						said++
 					}
 				}
--- a/internal/testkit/benchmarks/scaleparts.go
+++ b/internal/testkit/benchmarks/scaleparts.go
@@ -440,7 +440,7 @@
 		if err != nil {
 			return err
 		}
-		line, err := real.Await(2*scaleLease, from, "rules: acts on "+doc)
+		line, err := real.Await(2*scaleLease, from, "config: active: "+doc)
 		if err != nil {
 			return fmt.Errorf("the real router: %w", err)
 		}
@@ -688,7 +688,7 @@
 	if err != nil {
 		return err
 	}
-	if _, err := p.Await(4*scaleLease, from, "rules: acts on map"); err != nil {
+	if _, err := p.Await(4*scaleLease, from, "config: active: map"); err != nil {
 		return err
 	}
 	s.add("leader.force_worst.tenants.map", "ms", "real", fixed, at, time.Since(put).Seconds()*1000)
--- a/internal/testkit/harness/rules.go
+++ b/internal/testkit/harness/rules.go
@@ -17,9 +17,9 @@
 }
 
 var (
-	acts   = regexp.MustCompile(`^(\d\d):(\d\d):(\d\d\.\d+) rules: acts on (\w+) (\S+)`)
-	stops  = regexp.MustCompile(`^(\d\d):(\d\d):(\d\d\.\d+) rules: nothing that is exclusive begins: \w+, since (\S+) ago`)
-	goesOn = regexp.MustCompile(`^(\d\d):(\d\d):(\d\d\.\d+) rules: exclusive work goes on`)
+	acts   = regexp.MustCompile(`^(\d\d):(\d\d):(\d\d\.\d+) config: active: (\w+) (\S+)`)
+	stops  = regexp.MustCompile(`^(\d\d):(\d\d):(\d\d\.\d+) config: nothing that is exclusive begins: \w+, since (\S+) ago`)
+	goesOn = regexp.MustCompile(`^(\d\d):(\d\d):(\d\d\.\d+) config: exclusive work goes on`)
 )
 
 // timeOf is the time of day of a line, past midnight a day later where the log began before.
--- a/internal/transport/admin/dispatch.go
+++ b/internal/transport/admin/dispatch.go
@@ -79,7 +79,7 @@
 		done, message := s.commands.Execute(strings.TrimPrefix(c.path, "/api/"), q.Get("duty"), epoch, step, perform)
 		s.stats.Inc("orders", map[bool]string{true: "taken", false: "refused"}[done])
 		if !done {
-			events.Log(s.log, "orders.refused", c.path, message)
+			events.Log(s.log, "command.rejected", c.path, message)
 		}
 		return done, message
 	}, nil
@@ -95,7 +95,7 @@
 	}
 	s.mu.Unlock()
 	if logIt {
-		events.Log(s.log, "mgmt.bad_call", int(p.code), conn.RemoteAddr(), p.message)
+		events.Log(s.log, "admin.bad_request", int(p.code), conn.RemoteAddr(), p.message)
 	}
 	s.write(conn, p.code, p.message, headers...)
 }
--- a/internal/transport/listener/accept.go
+++ b/internal/transport/listener/accept.go
@@ -53,7 +53,7 @@
 	l.stats.Inc("accept_failed", l.name)
 	if now := time.Now(); now.Sub(l.acceptErrorLoggedAt) >= acceptErrorInterval {
 		l.acceptErrorLoggedAt = now
-		events.Log(l.log, "front.accepting", l.name, err)
+		events.Log(l.log, "listener.accept_failed", l.name, err)
 	}
 	if errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) {
 		l.evictOne()
--- a/internal/transport/loadreport/reporter.go
+++ b/internal/transport/loadreport/reporter.go
@@ -80,7 +80,7 @@
 				conn = nil
 				if time.Since(failureLoggedAt) >= failureLogInterval {
 					failureLoggedAt = time.Now()
-					events.Log(r.log, "announce.failed", err)
+					events.Log(r.log, "loadreport.failed", err)
 				}
 			}
 		}
--- a/internal/transport/msgpackrpc/calls.go
+++ b/internal/transport/msgpackrpc/calls.go
@@ -83,7 +83,7 @@
 		f.stats.Inc("too_slow", f.name)
 	case errors.Is(err, errMalformed):
 		f.stats.Inc("malformed", f.name)
-		slot.LogPeer("front.closed", f.name, conn.RemoteAddr(), err)
+		slot.LogPeer("listener.connection_closed", f.name, conn.RemoteAddr(), err)
 	}
 	c.pending.Wait() // what was called before is answered, as long as the other side reads
 	slot.CloseGracefully(r)
--- a/internal/transport/msgpackrpc/front.go
+++ b/internal/transport/msgpackrpc/front.go
@@ -71,7 +71,7 @@
 		f.stats.Inc("too_slow", Name)
 	case errors.Is(err, errMalformed) || errors.Is(err, io.ErrUnexpectedEOF):
 		f.stats.Inc("malformed", Name)
-		slot.LogPeer("front.closed", Name, conn.RemoteAddr(), err)
+		slot.LogPeer("listener.connection_closed", Name, conn.RemoteAddr(), err)
 	default:
 		c.abort()
 	}
--- a/internal/transport/restartlink/link.go
+++ b/internal/transport/restartlink/link.go
@@ -94,7 +94,7 @@
 	slot, ok := l.slots.take()
 	if !ok {
 		if !l.fullLogged {
-			events.Log(l.log, "handover.full")
+			events.Log(l.log, "hotrestart.full")
 			l.stats.Inc("handover", "third")
 		}
 		l.fullLogged = true
@@ -128,7 +128,7 @@
 	l.peerAbsent = true
 	previous := l.core.PairRole()
 	l.reportPeerGone()
-	events.Log(l.log, "handover.alone", previous)
+	events.Log(l.log, "hotrestart.alone", previous)
 	l.slots.removeMarks()
 	return false
 }
@@ -166,7 +166,7 @@
 		case <-tick.C:
 			if l.slot < 0 {
 				if err := l.takeSlot(); err != nil {
-					events.Log(l.log, "handover.failed", err)
+					events.Log(l.log, "hotrestart.failed", err)
 				}
 			} else if l.checkPeer() && l.slot == 1 && !time.Now().Before(l.nextDial) {
 				if conn, err := net.DialTimeout("unix", l.slots.socketPath(0), peerCheckInterval); err == nil {
@@ -220,7 +220,7 @@
 	if errors.Is(err, errFrame) {
 		l.stats.Inc("malformed", "handover")
 	}
-	events.Log(l.log, "handover.link_down", err)
+	events.Log(l.log, "hotrestart.link_down", err)
 	if errors.Is(err, hotrestart.ErrPeerReplaced) {
 		l.core.PairOther()
 	}
@@ -251,7 +251,7 @@
 			l.stats.Inc("handover", "links")
 		case hotrestart.SyncComplete:
 			l.backoff = 0
-			events.Log(l.log, "handover.known", l.core.PairRole())
+			events.Log(l.log, "hotrestart.complete", l.core.PairRole())
 		}
 		if clear {
 			if l.flush(l.currentLink()) == nil { // else what the other wrote is still to be read
@@ -332,7 +332,7 @@
 	}
 	l.marked = true
 	l.stats.Inc("handover", "marked")
-	events.Log(l.log, "handover.unlinked")
+	events.Log(l.log, "hotrestart.unlinked")
 	return f.Close()
 }
 
