--- a/internal/core/rules.go
+++ b/internal/core/rules.go
@@ -1,7 +1,6 @@
 package core
 
 import (
-	"strconv"
 	"time"
 
 	"github.com/valyala/fastjson"
@@ -72,23 +71,28 @@
 // the first request.
 func (c *Core) SetBlockRule(why func(class, tenant string) string) { c.blockRule.Store(&why) }
 
-// RulesNotice is what a router is told of the rules that this server has observed, as names and values in turn.
-func (c *Core) RulesNotice() (pairs []string) {
+// RulesNotice is what this server has observed of the rules, for a router that probes it. The zero value is nothing.
+type RulesNotice struct {
+	Newest          string        // id of the newest document that was heard of; empty: of none
+	Source          string        // who told of it
+	ConflictVersion int           // of which two documents differ
+	Conflict        string        // what differs; empty: nothing does
+	SuspendedFor    time.Duration // for which nothing exclusive begins; 0: it may
+}
+
+// RulesNotice returns what this server has observed of the rules. A front calls it for each probe of a router.
+func (c *Core) RulesNotice() (notice RulesNotice) {
 	if !c.cell || Unfenced {
-		return nil
+		return notice
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if top, ok := c.observedRules.Newest(); ok {
-		pairs = append(pairs, "g", top.ID.String(), "gn", top.Source)
-	}
-	if n, text := c.observedRules.Conflict(); text != "" {
-		pairs = append(pairs, "gc", strconv.Itoa(n)+" "+text)
-	}
-	if d := c.observedRules.SuspendedFor(c.clock()); d > 0 {
-		pairs = append(pairs, "gq", strconv.FormatInt(d.Milliseconds(), 10))
+		notice.Newest, notice.Source = top.ID.String(), top.Source
 	}
-	return pairs
+	notice.ConflictVersion, notice.Conflict = c.observedRules.Conflict()
+	notice.SuspendedFor = max(0, c.observedRules.SuspendedFor(c.clock()))
+	return notice
 }
 
 // rulesStatus is what this server has observed of the rules, for operators.
--- a/internal/transport/msgpackrpc/answer.go
+++ b/internal/transport/msgpackrpc/answer.go
@@ -21,7 +21,7 @@
 			Lease: ms(FieldLease), ClockSkew: ms(FieldClockSkew), ProbeInterval: ms(FieldProbeInterval),
 			ProbeTimeout: ms(FieldProbeTimeout), OverlapWindow: ms(FieldOverlapWindow),
 		})
-		fields = c.core.RulesNotice()
+		fields = rulesFields(c.core.RulesNotice())
 		inFlight, _ := strconv.Atoi(m.fields[FieldInFlight])
 		if share, warming := c.core.SlowStart(m.fields[FieldConfigSource], inFlight, SlowStartProbeIntervals*max(ms(FieldProbeInterval), time.Millisecond)); warming {
 			fields = append(fields, FieldSlowStartShare, strconv.Itoa(share))
@@ -30,6 +30,20 @@
 	c.write(func(b []byte) []byte { return appendHealth(b, m.id, c.core.Health(), c.withServerState(fields)) })
 }
 
+// rulesFields are the fields of an answer to a router's probe that tell what this server has observed of the rules.
+func rulesFields(notice core.RulesNotice) (pairs []string) {
+	if notice.Newest != "" {
+		pairs = append(pairs, FieldConfigID, notice.Newest, FieldConfigSource, notice.Source)
+	}
+	if notice.Conflict != "" {
+		pairs = append(pairs, FieldConflict, strconv.Itoa(notice.ConflictVersion)+" "+notice.Conflict)
+	}
+	if notice.SuspendedFor > 0 {
+		pairs = append(pairs, FieldSuspended, strconv.FormatInt(notice.SuspendedFor.Milliseconds(), 10))
+	}
+	return pairs
+}
+
 // withServerState appends what every answer tells of this server: the module's signal, where it has set one, and in a cell its
 // incarnation and how recent that is.
 func (c *client) withServerState(pairs []string) []string {
