--- a/internal/controlplane/command/executor.go
+++ b/internal/controlplane/command/executor.go
@@ -84,6 +84,6 @@
 		step = j.Step
 	}
 	x.file.SetFloor(duty, epoch, step)
-	events.Log(x.Log, "orders.learned", duty, epoch, step)
+	events.Log(x.Log, "command.epoch_learned", duty, epoch, step)
 	return nil
 }
--- a/internal/controlplane/configwatch/stop.go
+++ b/internal/controlplane/configwatch/stop.go
@@ -80,8 +80,8 @@
 		if reason == configstore.StopUnconfirmed {
 			ago = now - time.Duration(w.confirmedUntil.Load()) // a process that was suspended sees it late
 		}
-		events.Log(w.cfg.Log, "rules.stopped", reason, ago)
+		events.Log(w.cfg.Log, "config.exclusive_stopped", reason, ago)
 	default:
-		events.Log(w.cfg.Log, "rules.resumed", logged, now-since)
+		events.Log(w.cfg.Log, "config.exclusive_resumed", logged, now-since)
 	}
 }
--- a/internal/controlplane/configwatch/sync.go
+++ b/internal/controlplane/configwatch/sync.go
@@ -112,7 +112,7 @@
 			continue
 		}
 		w.cfg.Stats.Inc("rules", "taken", u.Doc)
-		events.Log(w.cfg.Log, "rules.applied", u.Doc, u.Revision.ID)
+		events.Log(w.cfg.Log, "config.active", u.Doc, u.Revision.ID)
 	}
 	return all
 }
--- a/internal/core/peer.go
+++ b/internal/core/peer.go
@@ -157,7 +157,7 @@
 		previous := s.Role()
 		s.PeerAbsent(s.PeerStartedAt() != 0 && marked(s.PeerStartedAt()), c.windowEnd())
 		if previous != s.Role() && s.UnknownUntil() > time.Now().UnixNano() {
-			events.Log(c.log, "handover.incomplete", time.Until(time.Unix(0, s.UnknownUntil())).Round(time.Second))
+			events.Log(c.log, "hotrestart.incomplete", time.Until(time.Unix(0, s.UnknownUntil())).Round(time.Second))
 		}
 	})
 }
--- a/internal/storage/heartbeat/heartbeat.go
+++ b/internal/storage/heartbeat/heartbeat.go
@@ -71,7 +71,7 @@
 		return nil, fmt.Errorf("%s: it is of the service %q, not of %q", path, last.Name, name)
 	}
 	k.writeIfDue() // a failure is logged: reads are served all the same
-	events.Log(l, "life.downtime", k.downtime.Round(time.Millisecond), k.evidence)
+	events.Log(l, "heartbeat.downtime", k.downtime.Round(time.Millisecond), k.evidence)
 	return k, nil
 }
 
