--- a/internal/service/service_test.go
+++ b/internal/service/service_test.go
@@ -99,7 +99,7 @@
 	return settings.Config{
 		Name: "n1", Listen: "127.0.0.1:0", Interpreter: vm, StopTimeout: 20 * time.Second, MemoryMB: 64, Descriptors: 128,
 		Gauges: []string{"core_use", "on_cores", "heap_share", "links"},
-		SCGI:   settings.SCGI{Listen: "127.0.0.1:0", MaxBody: 64, HeldKB: 1},
+		SCGI:   settings.SCGI{Listen: "127.0.0.1:0", MaxBody: 64, RequestKB: 1},
 		Server: silverpath.Settings{
 			Cores: 2, MemoryKB: 10000, MaxRunsPerCore: 8, RunsWindow: time.Second, DrainGrace: 15 * time.Second,
 			Classes: []silverpath.Class{{Name: "krog", Objective: 10 * time.Second, Deadline: 30 * time.Second, Weight: 1}},
--- a/internal/settings/config.go
+++ b/internal/settings/config.go
@@ -47,7 +47,7 @@
 	Class     string        // for requests that name none; empty: the path's first part names it
 	Tenant    string        // likewise
 	Deadline  time.Duration // likewise; 0: the class's own
-	HeldKB    float64       // memory booked for a held request
+	RequestKB float64       // memory booked for a held request
 	HalfClose bool          // a caller that closes its sending half still waits for its answer
 	Timeout   time.Duration // after which a run upstream is taken to have failed
 }
@@ -106,7 +106,7 @@
 		SCGI: SCGI{
 			Listen: s.text("listen"), Upstream: s.text("upstream"), MaxBody: int(s.integer("max_body")),
 			Class: s.text("class"), Tenant: s.text("tenant"),
-			Deadline: time.Duration(s.integer("deadline_ms")) * time.Millisecond, HeldKB: s.number("held_kb"),
+			Deadline: time.Duration(s.integer("deadline_ms")) * time.Millisecond, RequestKB: s.number("held_kb"),
 			HalfClose: s.flag("half_close"),
 			Timeout:   time.Duration(s.integer("upstream_timeout_ms")) * time.Millisecond,
 		},
@@ -136,15 +136,15 @@
 
 // Bounds and defaults of a configuration.
 const (
-	minMemoryMB     = 16 // what the runtime and one busy front take
-	minDescriptors  = 64 // below, no front has a connection to give
-	defaultStop     = 3 * time.Second
-	defaultMemoryMB = 192
-	defaultSockets  = 1024
-	defaultMaxBody  = 2048 // bytes: the platform's
-	defaultTimeout  = 30 * time.Second
-	defaultHeldKB   = 32   // a request's buffers on the way through the SCGI front
-	maxHeldKB       = 2000 // as on the MessagePack-RPC front
+	minMemoryMB      = 16 // what the runtime and one busy front take
+	minDescriptors   = 64 // below, no front has a connection to give
+	defaultStop      = 3 * time.Second
+	defaultMemoryMB  = 192
+	defaultSockets   = 1024
+	defaultMaxBody   = 2048 // bytes: the platform's
+	defaultTimeout   = 30 * time.Second
+	defaultRequestKB = 32   // a request's buffers on the way through the SCGI front
+	maxRequestKB     = 2000 // as on the MessagePack-RPC front
 )
 
 // complete sets defaults and returns an error of the first field that no service can do with.
@@ -164,7 +164,7 @@
 	setDefault(&c.Descriptors, defaultSockets)
 	setDefault(&c.SCGI.MaxBody, defaultMaxBody)
 	setDefault(&c.SCGI.Timeout, defaultTimeout)
-	setDefault(&c.SCGI.HeldKB, defaultHeldKB)
+	setDefault(&c.SCGI.RequestKB, defaultRequestKB)
 	if _, err := silverpath.New(0, c.Server, silent{}); err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
@@ -242,8 +242,8 @@
 		return fmt.Errorf("scgi.deadline_ms: negative: %v", set.Deadline.Milliseconds())
 	case set.Timeout < 0:
 		return fmt.Errorf("scgi.upstream_timeout_ms: negative: %v", set.Timeout.Milliseconds())
-	case !(set.HeldKB >= 0 && set.HeldKB < maxHeldKB):
-		return fmt.Errorf("scgi.held_kb: not from 0 to %d: %v", maxHeldKB, set.HeldKB)
+	case !(set.RequestKB >= 0 && set.RequestKB < maxRequestKB):
+		return fmt.Errorf("scgi.held_kb: not from 0 to %d: %v", maxRequestKB, set.RequestKB)
 	}
 	return nil
 }
--- a/internal/testkit/conformance/rules_test.go
+++ b/internal/testkit/conformance/rules_test.go
@@ -90,7 +90,7 @@
 }, {
 	name: "scgi",
 	serve: func(e *edge) listener.Handler {
-		return scgi.New(e.core, settings.SCGI{MaxBody: 2048, HeldKB: 20}, 1, e.log, e.stats).Serve
+		return scgi.New(e.core, settings.SCGI{MaxBody: 2048, RequestKB: 20}, 1, e.log, e.stats).Serve
 	},
 	write: func(t try, _ int) []byte {
 		headers := []string{"REQUEST_METHOD", "POST", "PATH_INFO", "/" + t.class, "HTTP_X_TENANT", "acme",
--- a/internal/transport/scgi/message_test.go
+++ b/internal/transport/scgi/message_test.go
@@ -172,7 +172,7 @@
 		t.Fatal(err)
 	}
 	up.ReportUp(t.Context())
-	f := New(c, settings.SCGI{MaxBody: 64, HeldKB: 20}, 1, quiet, counters)
+	f := New(c, settings.SCGI{MaxBody: 64, RequestKB: 20}, 1, quiet, counters)
 	ln, err := listener.Listen(Name, "127.0.0.1:0", 100, c.IdleAfter, f.Serve, quiet, counters)
 	if err != nil {
 		t.Fatal(err)
@@ -286,7 +286,7 @@
 			t.Fatal(err)
 		}
 		counters := &metrics.Counters{}
-		f := New(c, settings.SCGI{MaxBody: 64, HeldKB: 20, HalfClose: half}, 1, log.New(io.Discard, "", 0), counters)
+		f := New(c, settings.SCGI{MaxBody: 64, RequestKB: 20, HalfClose: half}, 1, log.New(io.Discard, "", 0), counters)
 		done := make(chan struct{})
 		q, err := f.mapRequest(message{headers: map[string]string{"PATH_INFO": "/oddaja"}}, time.Now(), nil)
 		if err != nil {
@@ -344,7 +344,7 @@
 		t.Fatal(err)
 	}
 	defer c.Stop()
-	f := New(c, settings.SCGI{MaxBody: 64, HeldKB: 20}, 1, log.New(io.Discard, "", 0), &metrics.Counters{})
+	f := New(c, settings.SCGI{MaxBody: 64, RequestKB: 20}, 1, log.New(io.Discard, "", 0), &metrics.Counters{})
 	conns := listenLingering(t)
 	ln := listener.New(Name, conns, 100, c.IdleAfter, f.Serve, log.New(io.Discard, "", 0), &metrics.Counters{})
 	go ln.Serve()
@@ -422,7 +422,7 @@
 		t.Fatal(err)
 	}
 	defer c.Stop()
-	f := New(c, settings.SCGI{MaxBody: 64, HeldKB: 1}, 1, log.New(io.Discard, "", 0), &metrics.Counters{})
+	f := New(c, settings.SCGI{MaxBody: 64, RequestKB: 1}, 1, log.New(io.Discard, "", 0), &metrics.Counters{})
 	ln, err := listener.Listen(Name, "127.0.0.1:0", 100, c.IdleAfter, f.Serve, log.New(io.Discard, "", 0), &metrics.Counters{})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/transport/scgi/request.go
+++ b/internal/transport/scgi/request.go
@@ -20,7 +20,7 @@
 		return core.Request{}, &rejection{"404 Not Found", fmt.Sprintf("no class %q", class.Name), "unknown_class"}
 	}
 	q := core.Request{
-		Front: Name, ID: f.newID(), Class: class.Name, Tenant: f.cfg.Tenant, MemoryKB: f.cfg.HeldKB,
+		Front: Name, ID: f.newID(), Class: class.Name, Tenant: f.cfg.Tenant, MemoryKB: f.cfg.RequestKB,
 		ReceivedAt: now, Body: m.body, Key: m.headers[headerKey],
 	}
 	if t := m.headers[headerTenant]; t != "" {
