--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -53,7 +53,7 @@
 		defer cancel()
 		e, fields = u.send(ctx, msgpackrpc.Attempt{
 			ID: q.ID, Class: q.Class, Tenant: q.Tenant, Key: q.Key, ReceivedAt: sentAt, Timeout: q.Deadline.Sub(sentAt) - answerReserve/2,
-			HeldKB: q.MemoryKB, Rank: q.Rank, Caller: q.Caller, Body: q.Body, KnownOnly: knownOnly, Incarnation: u.boot.Load(), ConfigID: q.RulesID,
+			MemoryKB: q.MemoryKB, Rank: q.Rank, Caller: q.Caller, Body: q.Body, KnownOnly: knownOnly, Incarnation: u.boot.Load(), ConfigID: q.RulesID,
 		})
 	}
 	r.mu.Lock()
--- a/internal/proxy/rest_test.go
+++ b/internal/proxy/rest_test.go
@@ -90,7 +90,7 @@
 	}}
 	defer p.close()
 	send := func(id string) attemptResult {
-		e, _ := p.send(t.Context(), msgpackrpc.Attempt{ID: id, Class: "sheet", Key: id, ReceivedAt: time.Now(), Timeout: 4 * time.Second, HeldKB: 1, Body: []byte(id)})
+		e, _ := p.send(t.Context(), msgpackrpc.Attempt{ID: id, Class: "sheet", Key: id, ReceivedAt: time.Now(), Timeout: 4 * time.Second, MemoryKB: 1, Body: []byte(id)})
 		return e
 	}
 	if e := send("one"); e.outcome != loadbalancer.Served {
@@ -141,7 +141,7 @@
 		return msgpackrpc.NewConn(conn), err
 	}}
 	defer p.close()
-	e, _ := p.send(t.Context(), msgpackrpc.Attempt{ID: "one", Class: "sheet", Key: "one", ReceivedAt: time.Now(), Timeout: 20 * time.Second, HeldKB: 1, Body: []byte("x")})
+	e, _ := p.send(t.Context(), msgpackrpc.Attempt{ID: "one", Class: "sheet", Key: "one", ReceivedAt: time.Now(), Timeout: 20 * time.Second, MemoryKB: 1, Body: []byte("x")})
 	ln.Close()
 	<-over
 	mu.Lock()
--- a/internal/testkit/benchmarks/fleet.go
+++ b/internal/testkit/benchmarks/fleet.go
@@ -205,7 +205,7 @@
 		results[l.Tenant] = res
 		wg.Go(func() {
 			arrivals(rand.New(rand.NewPCG(seed, uint64(n))), l.Rate, l.For, func(rng *rand.Rand, seq int, share Share, at time.Time) {
-				q := client.Request{Class: share.Class, Tenant: l.Tenant, Timeout: patience, HeldKB: 8, Body: fmt.Appendf(nil, "%s-%s-%d", share.Class, l.Tenant, seq)}
+				q := client.Request{Class: share.Class, Tenant: l.Tenant, Timeout: patience, MemoryKB: 8, Body: fmt.Appendf(nil, "%s-%s-%d", share.Class, l.Tenant, seq)}
 				if share.Class == "oddaja" {
 					q.Key = fmt.Sprintf("%s-%d", l.Tenant, seq)
 				}
--- a/internal/testkit/benchmarks/lab.go
+++ b/internal/testkit/benchmarks/lab.go
@@ -252,7 +252,7 @@
 	began := time.Now()
 	arrivals(rand.New(rand.NewPCG(l.Seed, 3)), l.Rate, l.For, func(rng *rand.Rand, seq int, share Share, at time.Time) {
 		q := client.Request{
-			Class: share.Class, Timeout: patience, HeldKB: l.HeldKB, ID: fmt.Sprintf("%016x", seq+1),
+			Class: share.Class, Timeout: patience, MemoryKB: l.HeldKB, ID: fmt.Sprintf("%016x", seq+1),
 			Body: fmt.Appendf(nil, "%s-%d", share.Class, seq),
 		}
 		if share.Class == "oddaja" {
@@ -279,7 +279,7 @@
 
 // one sends one request and counts its answer.
 func (l Load) one(c *client.Conn, i *builtinworker.Interpreter, q client.Request, s Share, at time.Time, res *Result) (served bool) {
-	i.Read(q.ID, q.HeldKB)
+	i.Read(q.ID, q.MemoryKB)
 	defer i.Release(q.ID)
 	sent := time.Now()
 	var a client.Reply
--- a/internal/testkit/benchmarks/refusal.go
+++ b/internal/testkit/benchmarks/refusal.go
@@ -81,7 +81,7 @@
 				b.Fatal(err)
 			}
 		}
-		q := client.Request{Class: "lestvica", Timeout: patience, Body: []byte("x"), HeldKB: 1}
+		q := client.Request{Class: "lestvica", Timeout: patience, Body: []byte("x"), MemoryKB: 1}
 		onOpen := func(w int) string { return (<-conns[w%len(conns)].Do(q)).Outcome }
 		warm := func() { flood(1500, 3*time.Second, 400, onOpen, "") } // the machine does 160 a second
 		warm()
--- a/internal/testkit/benchmarks/rules.go
+++ b/internal/testkit/benchmarks/rules.go
@@ -454,7 +454,7 @@
 					to, wait := router(rng.IntN(len(r.Routers))), time.Duration(rng.IntN(300))*time.Millisecond
 					tries.Go(func() {
 						time.Sleep(wait)
-						a, err := client.Do(client.Platform, to.Platform, client.Request{Class: "oddaja", Tenant: brands[n%len(brands)], Key: key, Body: []byte(key), Timeout: time.Second, HeldKB: 8})
+						a, err := client.Do(client.Platform, to.Platform, client.Request{Class: "oddaja", Tenant: brands[n%len(brands)], Key: key, Body: []byte(key), Timeout: time.Second, MemoryKB: 8})
 						mu.Lock()
 						defer mu.Unlock()
 						switch {
@@ -790,7 +790,7 @@
 					wg.Go(func() {
 						for i, p := range f.Routers {
 							at := time.Now()
-							a, err := client.Do(client.Platform, p.Platform, client.Request{Class: "oddaja", Tenant: "t0", Key: key, Body: []byte(key), Timeout: time.Second, HeldKB: 8})
+							a, err := client.Do(client.Platform, p.Platform, client.Request{Class: "oddaja", Tenant: "t0", Key: key, Body: []byte(key), Timeout: time.Second, MemoryKB: 8})
 							if err == nil && a.Outcome == "served" {
 								mu.Lock()
 								if at.After(last[i]) {
--- a/internal/testkit/benchmarks/scaleparts.go
+++ b/internal/testkit/benchmarks/scaleparts.go
@@ -193,7 +193,7 @@
 					var out sync.WaitGroup
 					defer out.Wait()
 					arrivals(rand.New(rand.NewPCG(uint64(play), uint64(k))), float64(rate), s.stretch, func(_ *rand.Rand, seq int, share Share, at time.Time) {
-						q := client.Request{Class: share.Class, Tenant: "tenant0", Timeout: patience, HeldKB: 8, Body: body}
+						q := client.Request{Class: share.Class, Tenant: "tenant0", Timeout: patience, MemoryKB: 8, Body: body}
 						if share.Class == "oddaja" {
 							q.Key = fmt.Sprintf("%d-%d-%d-%d", play, rate, k, seq)
 						}
--- a/internal/transport/client/client.go
+++ b/internal/transport/client/client.go
@@ -33,7 +33,7 @@
 	Body               []byte
 	Timeout            time.Duration // how long the caller waits
 	ID                 string        // 16 hexadecimal digits; empty: a new one. SCGI has the service make them
-	HeldKB             float64       // memory to book; 0: 1
+	MemoryKB           float64       // memory to book; 0: 1
 }
 
 // Reply is the answer, whichever front it came from.
@@ -102,12 +102,12 @@
 // Do sends a request. The channel gets the reply, or is closed without one.
 func (c *Conn) Do(q Request) <-chan Reply {
 	t := msgpackrpc.Attempt{ID: q.ID, Class: q.Class, Tenant: q.Tenant, Key: q.Key, ReceivedAt: time.Now(), Timeout: q.Timeout,
-		HeldKB: q.HeldKB, Body: q.Body}
+		MemoryKB: q.MemoryKB, Body: q.Body}
 	if t.ID == "" {
 		t.ID = newID()
 	}
-	if t.HeldKB == 0 {
-		t.HeldKB = 1
+	if t.MemoryKB == 0 {
+		t.MemoryKB = 1
 	}
 	return c.send(func(id uint64) []byte { return t.Append(nil, id) })
 }
--- a/internal/transport/interpreter/link.go
+++ b/internal/transport/interpreter/link.go
@@ -23,7 +23,7 @@
 // Events is what a Link reports runs to: the core. Its calls come one at a time, and must not block.
 type Events interface {
 	// Started says how long ago the interpreter started, and whether it did so without what it had cached. It comes before RunnerReady.
-	Started(cold bool, ago time.Duration)
+	Started(withoutCache bool, ago time.Duration)
 	// RunnerReady says that the link is live: runs can be started.
 	RunnerReady()
 	// RunNeedsCall says that a run waits for a call below with this body; Resume hands it the reply.
@@ -268,12 +268,12 @@
 	}
 	l.live, l.redirecting = false, false
 	// What was not written goes out on the next link: replies as they are, runs by being started anew there.
-	kept := l.queue[:0]
+	unwritten := l.queue[:0]
 	for _, c := range l.queue {
 		if c.resolve {
-			kept = append(kept, c)
+			unwritten = append(unwritten, c)
 		}
 	}
-	l.queue = kept
+	l.queue = unwritten
 	return live, left, err
 }
--- a/internal/transport/listener/drain.go
+++ b/internal/transport/listener/drain.go
@@ -78,14 +78,14 @@
 // run, or another process accepts who waits, and soon after otherwise.
 func (l *Listener) Close() {
 	l.mu.Lock()
-	wasClosed, serving := l.closed, l.serving
+	again, serving := l.closed, l.serving
 	l.closed = true
-	if !wasClosed {
+	if !again {
 		l.closedAt = time.Now()
 	}
 	l.mu.Unlock()
 	if socket, ok := l.ln.(deadlineSetter); ok && serving && !l.shared {
-		if !wasClosed {
+		if !again {
 			_ = socket.SetDeadline(time.Now().Add(-time.Second))
 		}
 		return
--- a/internal/transport/msgpackrpc/conn.go
+++ b/internal/transport/msgpackrpc/conn.go
@@ -171,7 +171,7 @@
 	Key               string        // idempotency key; empty: none
 	ReceivedAt        time.Time     // by the balancer, from its caller
 	Timeout           time.Duration // from then until the caller waits no longer
-	HeldKB            float64       // memory that the server books for it
+	MemoryKB          float64       // memory that the server books for it
 	Rank              float64       // from 0 to under 1
 	Caller            int
 	Body              []byte
@@ -187,7 +187,7 @@
 func (t Attempt) Append(b []byte, id uint64) []byte {
 	fields := append(make([]string, 0, maxAttemptFields), fieldID, t.ID, fieldReceivedAt, strconv.FormatInt(t.ReceivedAt.UnixMilli(), 10),
 		fieldCaller, strconv.Itoa(t.Caller), fieldTimeout, strconv.FormatInt(t.Timeout.Milliseconds(), 10),
-		fieldMemory, strconv.FormatFloat(t.HeldKB, 'f', 2, 64))
+		fieldMemory, strconv.FormatFloat(t.MemoryKB, 'f', 2, 64))
 	if t.Tenant != "" {
 		fields = append(fields, fieldTenant, t.Tenant)
 	}
--- a/internal/transport/msgpackrpc/conn_test.go
+++ b/internal/transport/msgpackrpc/conn_test.go
@@ -57,7 +57,7 @@
 func TestConn(t *testing.T) {
 	c, s := pair()
 	defer c.Close()
-	try := Attempt{ID: "a", Class: "krog", Tenant: "t", Key: "k", ReceivedAt: time.UnixMilli(7), Timeout: 80 * time.Millisecond, HeldKB: 1.5,
+	try := Attempt{ID: "a", Class: "krog", Tenant: "t", Key: "k", ReceivedAt: time.UnixMilli(7), Timeout: 80 * time.Millisecond, MemoryKB: 1.5,
 		Caller: 3, Rank: 0.25, Body: []byte("x"), KnownOnly: true, Incarnation: 9}
 	first, id, reply := send(t, c, s, try)
 	f := first.fields
@@ -95,7 +95,7 @@
 // open without a reply.
 func TestDrainNotification(t *testing.T) {
 	c, s := pair()
-	_, _, reply := send(t, c, s, Attempt{ID: "a", Class: "krog", ReceivedAt: time.Now(), HeldKB: 1})
+	_, _, reply := send(t, c, s, Attempt{ID: "a", Class: "krog", ReceivedAt: time.Now(), MemoryKB: 1})
 	s.Write(appendArray(appendText(appendUint(appendArray(nil, 3), uint64(notification)), methodDrain), 0))
 	for deadline := time.Now().Add(10 * time.Second); ; time.Sleep(time.Millisecond) {
 		if _, usable := c.Capacity(); !usable {
@@ -112,7 +112,7 @@
 		t.Error("it stays open")
 	}
 	c, s = pair()
-	_, _, reply = send(t, c, s, Attempt{ID: "a", Class: "krog", ReceivedAt: time.Now(), HeldKB: 1})
+	_, _, reply = send(t, c, s, Attempt{ID: "a", Class: "krog", ReceivedAt: time.Now(), MemoryKB: 1})
 	s.Close()
 	if a, ok := <-reply; ok {
 		t.Errorf("%+v off a broken connection", a)
--- a/internal/transport/msgpackrpc/golden_test.go
+++ b/internal/transport/msgpackrpc/golden_test.go
@@ -27,7 +27,7 @@
 		{"probe", AppendProbe(nil, 1, "g", "7"), []byte("\x94\x00\x01\xa5probe\x91\x81\xa1g\xa17")},
 		{"status", AppendStatus(nil, 1), []byte("\x94\x00\x01\xa6status\x91\x80")},
 		{"give up", AppendCancel(nil, 300), []byte("\x93\x02\xa6giveUp\x91\xcd\x01\x2c")},
-		{"try", Attempt{ID: "a", Class: "krog", Tenant: "t", Key: "k", ReceivedAt: time.UnixMilli(7), Timeout: 80 * time.Millisecond, HeldKB: 1.5,
+		{"try", Attempt{ID: "a", Class: "krog", Tenant: "t", Key: "k", ReceivedAt: time.UnixMilli(7), Timeout: 80 * time.Millisecond, MemoryKB: 1.5,
 			Caller: 3, Rank: 0.25, Body: []byte("x"), KnownOnly: true, Incarnation: 9}.Append(nil, 5),
 			[]byte("\x94\x00\x05\xa4krog\x92\x8a\xa1i\xa1a\xa1s\xa17\xa1f\xa13\xa1d\xa280\xa1m\xa41.50\xa1t\xa1t\xa1p\xa60.2500\xa1k\xa1k\xa1n\xa11\xa1b\xa19\xc4\x01x")},
 		{"served", appendAnswer(nil, 9, core.Answer{Body: []byte("ok")}, []string{"v", "2.5"}), []byte("\x94\x01\x09\xc0\x92\xc4\x02ok\x81\xa1v\xa32.5")},
