--- a/cmd/silverpath/durable_test.go
+++ b/cmd/silverpath/durable_test.go
@@ -30,7 +30,7 @@
 	"silverpath/internal/transport/msgpackrpc"
 )
 
-// unpromised is a store whose promises are told as kept before they are: they are written only with the result.
+// unlogged is a store whose intents are said to be durable before they are: they are written only with the result.
 type unlogged struct {
 	core.Store
 	mu       sync.Mutex
@@ -239,7 +239,7 @@
 	return g
 }
 
-// ask makes one try of a sheet.
+// ask makes one attempt of a request.
 func (d *durable) ask(key, body string) client.Reply {
 	a, err := client.Do(client.Platform, d.Addr, client.Request{Class: "oddaja", Key: key, Body: []byte(body), Timeout: d.Wait})
 	if err != nil {
@@ -248,7 +248,7 @@
 	return a
 }
 
-// again has sheets that were served asked for once more, all at once, and says what must not be.
+// again has requests that were served asked for once more, all at once, and says what must not be.
 func (d *durable) again(served map[string]string) (wrong []string) {
 	var mu sync.Mutex
 	var all sync.WaitGroup
@@ -266,7 +266,7 @@
 	return wrong
 }
 
-// serve has sheets served and returns their results.
+// serve has requests served and returns their results.
 func (d *durable) serve(name string, n int) map[string]string {
 	d.t.Helper()
 	served := map[string]string{}
@@ -287,9 +287,9 @@
 	return served
 }
 
-// A server is killed again and again under load, at any moment, with every sheet sent again: none runs twice, no two answers
-// differ, nothing that ran is refused. Without the promise sheets run twice.
-func TestKilledAndStartedAnew(t *testing.T) {
+// A server is killed again and again under load, at any moment, with every request sent again: none runs twice, no two answers
+// differ, nothing that ran is rejected. Without the intent requests run twice.
+func TestNothingRunsTwiceAcrossKills(t *testing.T) {
 	t.Parallel()
 	play := func(t *testing.T, seed uint64, times int, enough func(l *benchmarks.Sheets) bool, env ...string) []string {
 		d := newDurable(t, env...)
@@ -340,7 +340,7 @@
 
 // Killed at each of the first boundaries of what is written, and by boundary of what happens seldom, and twice over in the
 // recovery: what was served before is answered the same, and nothing runs twice.
-func TestKilledAtEveryBoundary(t *testing.T) {
+func TestNothingRunsTwiceWhenKilledAtAnyWrite(t *testing.T) {
 	t.Parallel()
 	for _, at := range []string{"commit kill:1", "commit kill:2", "commit kill:3", "commit kill:4", "committed kill:1", "committed kill:2",
 		"committed kill:3", "committed kill:4", "loading kill:1", "rewrite kill:1", "rewrite.written kill:1", "rewrite.synced kill:1",
@@ -397,9 +397,9 @@
 	}
 }
 
-// A disk that is full or fails: a new sheet is refused before it runs, what is known is answered, and the service goes on by
-// itself once the disk is well. A sheet whose result was not known to last fails, then and after a restart.
-func TestDiskFails(t *testing.T) {
+// A disk that is full or fails: a new request is rejected before it runs, what is known is answered, and the service goes on by
+// itself once the disk is well. A request whose result was not known to last fails, then and after a restart.
+func TestFailingDiskRejectsBeforeARun(t *testing.T) {
 	t.Parallel()
 	for _, at := range []string{"commit no space left on device", "committed input/output error", "* input/output error"} {
 		t.Run(at, func(t *testing.T) {
@@ -446,8 +446,8 @@
 	}
 }
 
-// The disk fails between a run and its answer: the sheet has run, so it is not refused; it fails, and fails after a restart too.
-func TestResultIsLost(t *testing.T) {
+// The disk fails between a run and its answer: the request has run, so it is not rejected; it fails, and fails after a restart too.
+func TestResultThatIsNotDurableFails(t *testing.T) {
 	t.Parallel()
 	d := newDurable(t)
 	d.up().Kill()
@@ -474,8 +474,8 @@
 	}
 }
 
-// A slow disk: sheets are served as long as their results last in time, and refused before they run where they would not.
-func TestDiskIsSlow(t *testing.T) {
+// A slow disk: requests are served as long as their results last in time, and rejected before they run where they would not.
+func TestSlowDiskRejectsBeforeARun(t *testing.T) {
 	t.Parallel()
 	d := newDurable(t)
 	d.up()
@@ -499,9 +499,9 @@
 	d.serve("well", 5)
 }
 
-// A thousand repeats of one key at once after a restart get the one result; the same key with another body gets none; a result
+// A thousand retries of one key at once after a restart get the one result; the same key with another body gets none; a result
 // of the largest size is kept.
-func TestRepeatsAfterARestart(t *testing.T) {
+func TestRetriesAfterARestartGetTheirResults(t *testing.T) {
 	t.Parallel()
 	d := newDurable(t)
 	g := d.up()
@@ -546,7 +546,7 @@
 
 // What a start can't do with is one line and a non-zero exit: a folder that another process has, a store of another service, one
 // of a build to come, and a place that is no folder.
-func TestStoresThatAreTurnedDown(t *testing.T) {
+func TestUnusableStoresStopTheStart(t *testing.T) {
 	t.Parallel()
 	d := newDurable(t)
 	d.up()
@@ -633,9 +633,9 @@
 	}
 }
 
-// A cell whose servers keep their runs: one is killed and comes back, and its router has sheets begin there at once, as it knows
+// A cell whose servers keep their runs: one is killed and comes back, and its router has requests begin there at once, as it knows
 // all that it ran. Without a store they fail for their window.
-func TestHomeThatKeepsItsRuns(t *testing.T) {
+func TestHomeWithAStoreServesAtOnceAfterARestart(t *testing.T) {
 	t.Parallel()
 	for _, keeps := range []bool{true, false} {
 		t.Run(fmt.Sprint(keeps), func(t *testing.T) {
@@ -693,8 +693,8 @@
 	}
 }
 
-// A router asked a former home for a sheet and ran it elsewhere. The former home is killed and comes back: it still does not run
-// it, though the sheet now comes by a router of older rules.
+// A router asked a former home for a request and ran it elsewhere. The former home is killed and comes back: it still does not run
+// it, though the request now comes by a router of older rules.
 func TestMovedKeyOutlivesTheProcess(t *testing.T) {
 	t.Parallel()
 	m, err := builtinworker.Listen(builtinworker.Config{Listen: "127.0.0.1:0", Cores: 8, Shape: builtinworker.Shape{Knee: 8, Speed: 1}, Audit: true,
@@ -741,9 +741,9 @@
 	}
 }
 
-// The store is full: the next new sheet is refused before it runs, and told when to come back; repeats are answered; and room
+// The store is full: the next new request is rejected before it runs, and told when to come back; retries are answered; and room
 // comes back as windows end.
-func TestStoreIsFull(t *testing.T) {
+func TestFullStoreRejectsBeforeARun(t *testing.T) {
 	t.Parallel()
 	d := newDurable(t)
 	d.span = 4 * time.Second
@@ -800,9 +800,9 @@
 	}
 }
 
-// A repeat that comes while the store is still being read is answered if it is known by then, and else fails: it has run, so it is
-// not refused, and does not run again. Reads are served meanwhile.
-func TestRepeatWhileTheStoreIsRead(t *testing.T) {
+// A retry that comes while the store is still being read is answered if it is known by then, and else fails: it has run, so it is
+// not rejected, and does not run again. Reads are served meanwhile.
+func TestRetryWhileTheStoreLoads(t *testing.T) {
 	t.Parallel()
 	d := newDurable(t)
 	g := d.up()
--- a/cmd/silverpath/earlier_build_test.go
+++ b/cmd/silverpath/earlier_build_test.go
@@ -305,7 +305,7 @@
 	}
 }
 
-// A service starts beside the sign of life that an earlier build left. Read otherwise, it would take a short outage for a long one
+// A service starts beside the heartbeat that an earlier build left. Read otherwise, it would take a short outage for a long one
 // and run again what may have run, or the other way round serve nothing for no reason.
 func TestServiceOnSignOfLifeOfAnEarlierBuild(t *testing.T) {
 	t.Parallel()
@@ -340,7 +340,7 @@
 	}
 }
 
-// The folder of a store, and a sign of life, are of one service: one of another name is told so and does not start.
+// The folder of a store, and a heartbeat, are of one service: one of another name is told so and does not start.
 func TestFilesOfAnotherServiceOfAnEarlierBuild(t *testing.T) {
 	dir := t.TempDir()
 	earlier(t, "closed.db", filepath.Join(dir, "keys", "keys.db"))
--- a/cmd/silverpath/recovery_test.go
+++ b/cmd/silverpath/recovery_test.go
@@ -17,7 +17,7 @@
 	"silverpath/internal/transport/client"
 )
 
-// alive has a service leave signs of life, valid for so long, and keep its runs if it is to.
+// alive has a service leave heartbeats, valid for so long, and keep its runs if it is to.
 func (d *durable) alive(valid time.Duration, keeps bool) {
 	parts := []string{fmt.Sprintf(`"life":{"file":%q,"valid_ms":%d}`, filepath.Join(filepath.Dir(d.dir), "life"), valid.Milliseconds())}
 	if keeps {
@@ -75,9 +75,9 @@
 	return g
 }
 
-// Without a store: the window of what may have run counts from the last sign of life and not from the start, and where the machine
+// Without a store: the window of what may have run counts from the last heartbeat and not from the start, and where the machine
 // was switched on since, from that at the latest. A first start, a disk from another machine, and a sign that is torn count from the start.
-func TestWindowCountsFromTheLoss(t *testing.T) {
+func TestWindowCountsFromTheLastHeartbeat(t *testing.T) {
 	t.Parallel()
 	d := newDurable(t)
 	d.span = 500 * time.Millisecond // so that what may have run can come again for 3.55 s
@@ -123,9 +123,9 @@
 	}
 }
 
-// A sheet begins only while signs of life last. The disk stops taking them, the window of the last one ends, and the process goes on;
+// A request begins only while heartbeats last. The disk stops taking them, the window of the last one ends, and the process goes on;
 // then it is killed: what it ran meanwhile is not run again. Where the rule is left out it is.
-func TestNoSignNoSheet(t *testing.T) {
+func TestNothingRunsWithoutADurableHeartbeat(t *testing.T) {
 	t.Parallel()
 	for _, unruled := range []bool{false, true} {
 		t.Run(fmt.Sprint(unruled), func(t *testing.T) {
@@ -160,7 +160,7 @@
 	}
 }
 
-// Power is lost with everything on: what a store knows is answered at once, and new sheets run at once, on a machine that was dark for
+// Power is lost with everything on: what a store knows is answered at once, and new requests run at once, on a machine that was dark for
 // no time that anybody knows.
 func TestPowerComesBackToAStore(t *testing.T) {
 	t.Parallel()
@@ -182,7 +182,7 @@
 	}
 }
 
-// A fleet of servers that keep their runs and leave signs of life is killed as a whole under load, and comes back in every order of
+// A fleet of servers that keep their runs and leave heartbeats is killed as a whole under load, and comes back in every order of
 // its roles, with its cells one after the other: what was served is answered the same by whatever router, nothing runs twice, a
 // cell whose servers are back serves though the other is dark, and the processes say how far they are.
 func TestWholeFleetComesBack(t *testing.T) {
@@ -311,8 +311,8 @@
 	}
 }
 
-// A server without a store and its router are both new: a repeat of what ran before is not sent there before the router has heard
-// when the server started. Its probes are lost on the way, as a sheet that overtakes them would find it.
+// A server without a store and its router are both new: a retry of what ran before is not sent there before the router has heard
+// when the server started. Its probes are lost on the way, as a request that overtakes them would find it.
 func TestRouterAndServerAreNew(t *testing.T) {
 	t.Parallel()
 	f := newFleetWith(t, sheetWindow, `{"cell":true}`)
@@ -387,7 +387,7 @@
 	}
 }
 
-// The disk is full as a service starts: it serves reads and answers repeats of what it kept; sheets begin once the disk is well.
+// The disk is full as a service starts: it serves reads and answers retries of what it kept; requests begin once the disk is well.
 func TestDiskIsFullAtTheStart(t *testing.T) {
 	t.Parallel()
 	d := newDurable(t)
--- a/cmd/silverpath/takeover_test.go
+++ b/cmd/silverpath/takeover_test.go
@@ -45,7 +45,7 @@
 }
 
 // Two real processes on one socket under keyed load. Replaced as the platform replaces them, again and again, no
-// connection is turned back unheard; whoever is killed or stalls at whatever moment, no sheet runs twice, no try gets
+// connection is turned back unheard; whoever is killed or stalls at whatever moment, no request runs twice, no attempt gets
 // another answer than the run's, and the service serves on.
 func TestTakeover(t *testing.T) {
 	for seed := range uint64(3) {
--- a/internal/policy/hotrestart/claims.go
+++ b/internal/policy/hotrestart/claims.go
@@ -56,7 +56,7 @@
 		return // its reply is on the way
 	}
 	delete(c.claims, key)
-	if _, held := c.executions.Find(key, receivedAt); k.granted && !held {
+	if _, known := c.executions.Find(key, receivedAt); k.granted && !known {
 		c.send(Message{Kind: Released, Execution: Execution{Key: key}})
 	}
 }
@@ -68,8 +68,8 @@
 		return errors.New("a claim to one that is not the elder")
 	}
 	key := Execution{Key: m.Execution.Key, ID: m.Execution.ID}
-	e, held := c.executions.Find(m.Execution.Key, m.Execution.ReceivedAt)
-	if held && (!e.Remote || e.Stage > Running) {
+	e, known := c.executions.Find(m.Execution.Key, m.Execution.ReceivedAt)
+	if known && (!e.Remote || e.Stage > Running) {
 		c.send(Message{Kind: Run, Execution: e})
 		c.send(Message{Kind: Denied, Execution: key})
 		return nil
--- a/internal/storage/idempotencystore/load.go
+++ b/internal/storage/idempotencystore/load.go
@@ -46,7 +46,7 @@
 
 // load reads all records, hands them over as it goes, and settles what of the runs before is known.
 func (s *Store) load() {
-	began := time.Now()
+	startedAt := time.Now()
 	r := s.readRecords()
 	incompleteUntil := s.updateCoverage(&r)
 	s.keepUnreadable(&r)
@@ -70,7 +70,7 @@
 	}
 	records := s.ledger.Snapshot(Now().SinceBoot).Records
 	s.mu.Unlock()
-	took := time.Since(began)
+	took := time.Since(startedAt)
 	s.stats.Set(uint64(took.Milliseconds()), "store", "load_ms")
 	events.Log(s.log, "store.loaded", records, took.Round(time.Millisecond), r.shift != 0)
 	if left := incompleteUntil - Now().SinceBoot; left > 0 {
--- a/internal/storage/idempotencystore/offline.go
+++ b/internal/storage/idempotencystore/offline.go
@@ -179,13 +179,13 @@
 // Import makes the store of a folder from a copy of another one, and returns how many records were taken over. What the other ran since
 // the copy was made is not in it: requests that are not known fail until that can't matter any more. Whole says that there is nothing
 // such: the copy was made of a store that its service had closed for good, and a copy of one in use is an error.
-func Import(from, dir, name string, whole bool) (records int, err error) {
+func Import(from, dir, name string, complete bool) (records int, err error) {
 	f, err := openReadOnly(FileOf(from))
 	if err != nil {
 		return 0, err
 	}
 	defer f.close()
-	if whole && (!f.header.ClosedCleanly || !f.header.Complete) {
+	if complete && (!f.header.ClosedCleanly || !f.header.Complete) {
 		return 0, fmt.Errorf("%s: it is a copy of a store in use, and so not whole", from)
 	}
 	last, err := f.newestTime()
@@ -199,7 +199,7 @@
 		now := Now()
 		shift := f.header.coverage().TimeShift(last, now)
 		h := newHeader(name, now, time.Now().UnixMilli())
-		h.Complete, h.ClosedCleanly = whole, true
+		h.Complete, h.ClosedCleanly = complete, true
 		next, err := f.rewrite(path, h, func(r idempotency.Record) (idempotency.Record, bool) {
 			r, keep := r.Recover(shift, now.SinceBoot)
 			if keep {
--- a/internal/storage/idempotencystore/writer.go
+++ b/internal/storage/idempotencystore/writer.go
@@ -86,9 +86,9 @@
 
 // commit writes a batch, with a new header where that is not nil, and notes how that went.
 func (s *Store) commit(batch []change, head *header) error {
-	began := time.Now()
+	startedAt := time.Now()
 	err := s.file.commit(batch, head)
-	took := time.Since(began)
+	took := time.Since(startedAt)
 	s.commitTiming.Record(took)
 	s.mu.Lock()
 	s.ledger.Committed(Now().SinceBoot, took)
--- a/internal/storage/inspect/inspect.go
+++ b/internal/storage/inspect/inspect.go
@@ -200,13 +200,13 @@
 	if len(head) < 9 || head[8] != '\n' || strings.Trim(head[:8], "0123456789abcdef") != "" {
 		return errOtherKind
 	}
-	service, seen, err := fence.ReadFile(path)
+	service, commands, err := fence.ReadFile(path)
 	if err != nil {
 		return err
 	}
 	f.Owner = service
-	for _, duty := range slices.Sorted(maps.Keys(seen)) {
-		o := seen[duty]
+	for _, duty := range slices.Sorted(maps.Keys(commands)) {
+		o := commands[duty]
 		f.addFact("%s: epoch %v, step %d, %s", duty, o.Epoch, o.Step, o.Action)
 	}
 	return nil
@@ -221,9 +221,9 @@
 		return err
 	}
 	now := idempotencystore.Now()
-	dark, by := s.Downtime(recovery.Heartbeat{Name: s.Name, Machine: now.Machine, Boot: now.Boot, SinceBoot: now.SinceBoot})
+	downtime, by := s.Downtime(recovery.Heartbeat{Name: s.Name, Machine: now.Machine, Boot: now.Boot, SinceBoot: now.SinceBoot})
 	f.Owner = s.Name
 	f.addFact("of the machine %q, %v after it was switched on", s.Machine, s.SinceBoot.Round(time.Millisecond))
-	f.addFact("seen from here and now: nothing was begun for %v at the least, by %v", dark.Round(time.Millisecond), by)
+	f.addFact("seen from here and now: nothing was begun for %v at the least, by %v", downtime.Round(time.Millisecond), by)
 	return nil
 }
