--- a/internal/builtinworker/machine.go
+++ b/internal/builtinworker/machine.go
@@ -1,6 +1,6 @@
 // Package builtinworker is an interpreter of the project's own, which speaks the platform's protocol over real sockets, written
 // from its public description. A start without a configuration has its work done by it: what came is sent back, after as long as
-// the operators' own work typically takes. Tests and measurements use it as the interpreter too, with troubles put into it.
+// the operators' own work typically takes. Tests and measurements use it as the interpreter too, with faults put into it.
 //
 // This file is its machine: no I/O, no clock, no goroutine. Time comes in with every call, counted from the start.
 package builtinworker
