--- a/cmd/silverpath/recovery_test.go
+++ b/cmd/silverpath/recovery_test.go
@@ -182,6 +182,21 @@
 	}
 }
 
+// awaitAlive waits until the latest that a router logged of a server is that it is alive.
+func awaitAlive(t *testing.T, router *process, server string) {
+	t.Helper()
+	health := fmt.Sprintf("proxy: server %s is ", server)
+	for end := time.Now().Add(5 * time.Second); ; time.Sleep(10 * time.Millisecond) {
+		log := router.Log()
+		if i := strings.LastIndex(log, health); i >= 0 && strings.HasPrefix(log[i+len(health):], "alive") {
+			return
+		}
+		if time.Now().After(end) {
+			t.Fatalf("%s is not alive to a router within 5 s: %s", server, log)
+		}
+	}
+}
+
 // A fleet of servers that keep their runs and leave heartbeats is killed as a whole under load, and comes back in every order of
 // its roles, with its cells one after the other: what was served is answered the same by whatever router, nothing runs twice, a
 // cell whose servers are back serves though the other is dark, and the processes say how far they are.
@@ -285,6 +300,12 @@
 		}
 		served("brand", fmt.Sprint("after-", n, "-"), 3*time.Second)
 		served("other", fmt.Sprint("after-other-", n, "-"), 3*time.Second)
+		// One server of a cell serves what is new. What the other one ran is answered once its router has seen it return.
+		for _, router := range routers {
+			for _, name := range f.names {
+				awaitAlive(t, router, name)
+			}
+		}
 		if len(results) < 3 {
 			t.Errorf("%s: only %d sheets before the dark", order, len(results))
 		}
