--- a/cmd/silverpath/group_holders_test.go
+++ b/cmd/silverpath/group_holders_test.go
@@ -269,9 +269,13 @@
 func TestRolloutStopsAtAServerThatDoesNotReturn(t *testing.T) {
 	g := newGroup(t, 3)
 	s := newServers(t, g, 3)
-	g.owner("one", s.dir, []string{controller.RolloutDuty, controller.PlacementDuty}, nil)
-	g.submit(controller.RolloutDuty, "r", controller.KindRollout, controller.RolloutSpec{MaxOutPerCell: 1, MaxOut: 1, DwellMS: 300, ReturnMS: 700})
+	holder := g.owner("one", s.dir, []string{controller.RolloutDuty, controller.PlacementDuty}, nil)
+	g.submit(controller.RolloutDuty, "r", controller.KindRollout, controller.RolloutSpec{MaxOutPerCell: 1, MaxOut: 1, DwellMS: 2000, ReturnMS: 700})
 	await(t, "one is out", 10*time.Second, func() bool { return s.out() > 0 })
+	// It is stopped once its answer has arrived, and long before it is to return: else it could not be told, or were back.
+	if _, err := holder.Await(10*time.Second, 0, "command.evacuate", "yes=true"); err != nil {
+		t.Fatal(err)
+	}
 	for i, p := range s.procs {
 		if strings.Contains(p.Log(), "phase evacuated") {
 			s.procs[i].Freeze()
