--- a/calls.go
+++ b/calls.go
@@ -52,7 +52,7 @@
 
 // adaptSharedCalls moves the number of calls out at once by what one took, in seconds. Below one, calls keep
 // a distance. Whatever makes calls slow is met the same way; where their number isn't the reason, it falls to
-// minCallShare.
+// minCallQuotaRatio of the quota.
 func (s *Shedder) adaptSharedCalls(spent float64) {
 	if s.typicalCallTime == 0 {
 		s.typicalCallTime, s.baseCallTime, s.maxSharedCalls = spent, spent, float64(s.settings.Cores)
--- a/drain.go
+++ b/drain.go
@@ -22,8 +22,9 @@
 	s.schedule()
 }
 
-// drainAllows reports whether a request may start: always, unless the server drains and it came after the
-// grace.
+// drainAllows reports whether a request may start: always, unless the server drains and it came after
+// limitMargin of the grace. What the core checks at the whole grace, on reading and before a run, are
+// backstops of this.
 func (s *Shedder) drainAllows(r *request) bool {
 	grace := time.Duration(limitMargin * float64(s.settings.DrainGrace))
 	return s.stopAt == 0 || r.receivedAt <= s.drainStartedAt+grace
--- a/internal/controlplane/configwatch/stop.go
+++ b/internal/controlplane/configwatch/stop.go
@@ -8,7 +8,8 @@
 	"silverpath/internal/policy/configstore"
 )
 
-// When nothing exclusive begins. Inputs: until when the process is confirmed, whether its wall clock is too far from the leader's, and what
+// When nothing exclusive begins. Exclusive is the start of a request with an idempotency key that is not known here yet; what is known is
+// answered, and requests without a key run on. Inputs: until when the process is confirmed, whether its wall clock is too far from the leader's, and what
 // pauses for a change that quiesces. The reads take no lock: a request that begins may hold locks that a check of a document waits for.
 
 // StopReason is why some or all that is exclusive does not begin, empty where all of it may.
--- a/internal/controlplane/quorum/messages.go
+++ b/internal/controlplane/quorum/messages.go
@@ -27,7 +27,7 @@
 	MethodRemove       = "group.remove" // from an operator: a statemachine.Member
 	MethodConfigSync   = "rules.sync"   // from processes that act on documents: a ConfigSync
 	MethodConfigRead   = "rules.read"   // from clients: all documents
-	MethodConfigParts  = "rules.parts"  // from processes that act on documents in parts: a configstore.Want
+	MethodConfigParts  = "rules.parts"  // from processes that act on documents in parts: a configstore.PartsRequest
 	MethodRaft         = "group.raft"   // between members: messages of the raft library
 	MethodVouch        = "group.vouch"  // between members: is my disk as new as you know it?
 	MethodMark         = "group.mark"   // between members: how far my disk is
--- a/internal/controlplane/runner/monitor.go
+++ b/internal/controlplane/runner/monitor.go
@@ -59,6 +59,7 @@
 	for _, name := range controller.SortedServers(verdicts) {
 		verdict := verdicts[name]
 		if verdict != before[name] && (verdict != controller.Alive || before != nil) {
+			// monitor.alive, monitor.partly, monitor.unsure, monitor.dying or monitor.dead
 			d.log.Info().Str("event", "monitor."+string(verdict)).Str("server", name).Send()
 		}
 		id, gone, ok := controller.GoneRequest(name, mapVersion, verdict, d.cfg.Set.DeadAfter)
--- a/internal/controlplane/runner/placement.go
+++ b/internal/controlplane/runner/placement.go
@@ -10,7 +10,7 @@
 	"silverpath/internal/settings"
 )
 
-// maxPutFailures of publishing a version in a row, and its place is withdrawn: the change is planned anew for a later time. Found by
+// After maxPutFailures failures in a row to publish a version its place is withdrawn, and the change is planned anew for a later time. Found by
 // trial; raising it has a folder that can't be written hold up the duty for longer.
 const maxPutFailures = 20
 
--- a/internal/controlplane/runner/rollout.go
+++ b/internal/controlplane/runner/rollout.go
@@ -64,7 +64,7 @@
 	}
 	d.Runner.mu.Unlock()
 	since := controller.WeightedLoad{Requested: total.Requested - d.totalLoad.Requested, Served: total.Served - d.totalLoad.Served}
-	// At the first look, and after a router has started anew, the difference says nothing.
+	// At the first look, after a router has started anew, and where looks were missed (three intervals), the difference says nothing.
 	if d.totalLoad.Requested > 0 && elapsed < 3*loadInterval && since.Requested >= 0 && since.Served >= 0 {
 		d.rollout.ObserveLoad(since, spec.MinServedShare)
 	}
@@ -84,6 +84,7 @@
 		reason = err.Error()
 	}
 	d.rollout.RecordCommand(c.Server, accepted)
+	// command.evacuate or command.rejoin
 	d.log.Info().Str("event", "command."+call).Stringer("epoch", epoch).Uint64("step", step).Str("server", c.Server).Bool("yes", accepted).Str("why", reason).Send()
 	d.cfg.Stats.Inc("orders_sent", call, map[bool]string{true: "yes", false: "no"}[accepted])
 	if higher, ok := refusedEpoch(reason, d.name); ok {
@@ -104,7 +105,7 @@
 	if _, err := fmt.Sscanf(observed, "%d.%d was seen", &generation, &number); err != nil {
 		return 0, false
 	}
-	return lease.Epoch(generation<<32 | number), true
+	return lease.BaseEpoch(uint32(generation)) | lease.Epoch(number), true
 }
 
 // probeServers asks the servers whether they are ready, while a rollout is under way, until the context ends. Probes end with the
--- a/internal/controlplane/runner/work.go
+++ b/internal/controlplane/runner/work.go
@@ -49,7 +49,8 @@
 	}
 }
 
-// logError logs what holds the duty's work up, once while it stays the same.
+// logError logs what holds the duty's work up, once until it is held up by something else: a success between is not logged, and the same
+// error after it is not logged again.
 func (d *duty) logError(err error) {
 	if text := err.Error(); text != d.lastError {
 		d.lastError = text
@@ -156,6 +157,7 @@
 		return fmt.Errorf("%v: %w", action.Kind, err)
 	}
 	d.putFailures = 0
+	// placement.publish or placement.withdraw
 	d.log.Info().Str("event", "placement."+action.Kind.String()).Stringer("epoch", epoch).Uint64("step", j.Step).Int("version", action.Version).Send()
 	return nil
 }
--- a/internal/core/arrival.go
+++ b/internal/core/arrival.go
@@ -72,7 +72,8 @@
 	}
 	switch {
 	case c.lifecycle.current().ShuttingDown() && t.readAt.Sub(c.drainStartedAt) > set.DrainGrace:
-		// Read after the drain window, whenever it was written: nobody could be sure that its answer still arrives.
+		// Read after the drain window, whenever it was written: nobody could be sure that its answer still arrives. The module
+		// stops at a part of the window already, counted from when a request reached the machine.
 		c.releaseKey(t)
 		return "drained", rejected
 	case t.Deadline.Sub(t.readAt) <= answerMargin:
--- a/internal/core/peer.go
+++ b/internal/core/peer.go
@@ -162,7 +162,8 @@
 	})
 }
 
-// windowEnd is when the last attempt that may duplicate a run of before now reaches the machine, in Unix nanoseconds.
+// windowEnd is when the last attempt that may duplicate a run of before now reaches the machine, in Unix nanoseconds. When it is read
+// may be later: LongestWindow.
 func (c *Core) windowEnd() int64 {
 	longest := time.Duration(0)
 	for _, k := range c.settings.Load().Classes {
--- a/internal/core/persistence.go
+++ b/internal/core/persistence.go
@@ -12,16 +12,16 @@
 // What was asked for is reported to done once it lasts, or with an error where that is not known, and never under the core's
 // lock.
 type Store interface {
-	// Since is from when on, in Unix milliseconds, every run is known.
+	// CompleteSince is from when on, in Unix milliseconds, every run is known.
 	CompleteSince() int64
-	// Begins is what becomes of a new idempotent request that has so much time left.
+	// CanExecute is what becomes of a new idempotent request that has so much time left.
 	CanExecute(left time.Duration) idempotency.Decision
-	// Promise writes that an idempotent request will run, and gives the record its number.
-	LogIntent(r *idempotency.Record, reached, until time.Time, left time.Duration, done func(error)) idempotency.Decision
-	// Mark writes that a key runs elsewhere.
-	LogMoved(r *idempotency.Record, until time.Time, done func(error)) idempotency.Decision
-	// Result writes the result of a run that was promised.
-	LogResult(r *idempotency.Record, reached, until time.Time, done func(error))
+	// LogIntent writes that an idempotent request will run, and gives the record its number.
+	LogIntent(r *idempotency.Record, receivedAt, expiresAt time.Time, left time.Duration, done func(error)) idempotency.Decision
+	// LogMoved writes that a key runs elsewhere.
+	LogMoved(r *idempotency.Record, expiresAt time.Time, done func(error)) idempotency.Decision
+	// LogResult writes the result of a run whose intent was written.
+	LogResult(r *idempotency.Record, receivedAt, expiresAt time.Time, done func(error))
 	NoteFailed(seq uint64) // the run has ended without a result
 	Withdraw(seq uint64)   // it never began
 }
@@ -200,7 +200,8 @@
 	return a
 }
 
-// LongestWindow is how long after a run an attempt of it may come, for all classes.
+// LongestWindow is how long after a run an attempt of it may be read, for all classes: the window in which one reaches the machine, its
+// longest wait there, and what reading may take.
 func (c *Core) LongestWindow() (longest time.Duration) {
 	for _, k := range c.settings.Load().Classes {
 		if k.Effect == silverpath.Idempotent {
@@ -210,7 +211,7 @@
 	return longest
 }
 
-// Restore takes up runs of an earlier start of this service, in the order in which they were promised.
+// Restore takes up runs of an earlier start of this service, in the order of their intents.
 func (c *Core) Restore(list []idempotency.Record, at func(time.Duration) time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/core/task.go
+++ b/internal/core/task.go
@@ -33,7 +33,7 @@
 	execution   *execution           // the run that this attempt is, or may become; idempotent requests and shared reads
 	duplicateOf *execution           // the run of another attempt that this one duplicates
 	keyConflict bool                 // it has the key of another request, which is not the same
-	movedReason string               // why its key belongs to another server; empty: it does not
+	movedReason string               // why its key may not begin here, a Reason or blockedBy, for the router; empty: it may
 	verdict     idempotency.Decision // what the store says of it, where runs are kept
 	blockedBy   string               // why nothing new begins by the rules that it was sent by; empty: nothing is against it
 
--- a/internal/core/types.go
+++ b/internal/core/types.go
@@ -19,7 +19,8 @@
 	Invalid          // failed, since it is no request that can be: nothing of it ran
 )
 
-// String is the outcome's name in counters.
+// String is the outcome's name in counters, where refused stands for Rejected; turned_away counts what the core or a front rejects without
+// asking the module.
 func (o Outcome) String() string {
 	return [...]string{"served", "refused", "failed", "expired", "invalid"}[o]
 }
@@ -55,7 +56,8 @@
 	persisted <-chan error // it may go once this is told; nil: at once
 }
 
-// Reasons that a router is given beside a rejection.
+// Reasons that a router is given beside a rejection. What the function of SetBlockRule returns is one too: configstore.StopUnconfirmed,
+// StopClockSkew or StopQuiescing.
 const (
 	ReasonUnknown = "unknown" // it was asked for only if known, is not, and will not be run here within its window
 	ReasonMoved   = "moved"   // it belongs elsewhere: its key was asked for, and was not known
--- a/internal/events/events.go
+++ b/internal/events/events.go
@@ -1,5 +1,6 @@
-// Package events is the structured log of every process. Each event has a name and named fields, which stand in one table,
-// Templates. On a log for people an event is a line of text; on a log for machines it is a JSON object of the same fields.
+// Package events is the structured log of servers and routers. Each event has a name and named fields, which stand in one table,
+// Templates. Members of the group and processes that run controllers log by zerolog instead, with the same kind of names (duty.*,
+// group.*, placement.*, monitor.*, command.*): internal/controlplane/quorum/member and internal/controlplane/runner. On a log for people an event is a line of text; on a log for machines it is a JSON object of the same fields.
 // docs/oncall.md says of each event what it means and what to do.
 package events
 
@@ -139,7 +140,7 @@
 	return len(b), nil
 }
 
-// Log logs an event with the values of its fields, in the order of Fields. It is called by every package that logs; TestEvents
+// Log logs an event with the values of its fields, in the order of Fields. It is called by every package that logs to a log.Logger; TestEvents
 // holds the calls against Templates and docs/oncall.md.
 func Log(l *log.Logger, name string, values ...any) {
 	parts := templates[name]
--- a/internal/policy/cells/route.go
+++ b/internal/policy/cells/route.go
@@ -61,8 +61,7 @@
 func (m *Map) OverlapWindow() time.Duration { return m.KeyWindow + m.CallerTimeout + 2*m.MaxClockSkew }
 
 // recentChanges are the times, the latest first, of the changes that a tenant's keys may come across: within OverlapWindow before a
-// time. Of servers, those of the cells that it has lived in
-// count: others change nothing for it.
+// time. Of servers, those of the cells that it has lived in count: others change nothing for it.
 func (m *Map) recentChanges(t *Tenant, at int64) []int64 {
 	after := at - m.OverlapWindow().Milliseconds()
 	var list []int64
--- a/internal/policy/configstore/configstore.go
+++ b/internal/policy/configstore/configstore.go
@@ -41,7 +41,9 @@
 
 // Terms are what the bounds are made of.
 type Terms struct {
-	Lease         time.Duration // a process that could not confirm its version for so long stops what is exclusive
+	// Lease: a process that could not confirm its version for so long stops what is exclusive. It is the TTL of the group, or, at routers and
+	// servers that act on a map, the lease_ms of the map.
+	Lease         time.Duration
 	ClockSkew     time.Duration // by which the wall clocks of two processes may differ
 	ClockDrift    float64       // by which a clock may run fast or slow, as a ratio
 	ProbeInterval time.Duration // between two health checks of a server by a router
--- a/internal/policy/configstore/document.go
+++ b/internal/policy/configstore/document.go
@@ -52,7 +52,7 @@
 
 // RolloutPolicy is how a change that may be bad is observed.
 type RolloutPolicy struct {
-	CanaryRatio float64 `json:"part,omitempty"` // of the processes, that are canaries; 0: all at once
+	CanaryRatio float64 `json:"part,omitempty"` // of the processes, that are canaries; 0: all at once. No part of a document
 	ObserveMS   int64   `json:"for_ms"`         // milliseconds that it is observed at its canaries, and once it is active
 	MaxLoss     float64 `json:"worse"`          // by which the goodput ratio may be lower than the baseline; beyond it the change is reverted
 }
--- a/internal/policy/configstore/monitor.go
+++ b/internal/policy/configstore/monitor.go
@@ -44,7 +44,7 @@
 	baseline map[string]Goodput // of each process, then
 }
 
-// NewProcessMonitor returns the watch of a member that does not lead.
+// NewProcessMonitor returns the process monitor of a member that does not lead.
 func NewProcessMonitor(t lease.Terms) *ProcessMonitor {
 	w := &ProcessMonitor{terms: t}
 	w.StopLeading()
--- a/internal/policy/configstore/replica.go
+++ b/internal/policy/configstore/replica.go
@@ -23,7 +23,7 @@
 	formats        map[string]int
 	terms          lease.Terms
 	confirmedUntil time.Duration
-	lastConfirmed  time.Duration // the latest request that was answered
+	lastConfirmed  time.Duration // the latest request whose answer confirmed it
 	logIndex       uint64        // of the group's log, in what it was last told
 	docs           map[string]*replicaDocument
 
@@ -140,7 +140,7 @@
 
 // Why nothing exclusive begins. The texts stand in the status, in the log and on the wire.
 const (
-	StopUnconfirmed = "unconfirmed" // it was not told within a lease what is active
+	StopUnconfirmed = "unconfirmed" // no answer of the group within a lease: is the group reachable?
 	StopClockSkew   = "clock"       // its wall clock is too far from the leader's, so that times in documents come at another moment
 	StopQuiescing   = "turning"     // all processes stop the old before any begins the new
 )
--- a/internal/policy/configstore/store.go
+++ b/internal/policy/configstore/store.go
@@ -73,7 +73,7 @@
 
 // Bounds of what the group keeps, and sends in each snapshot.
 const (
-	maxDocuments = 32        // there are four kinds, and a few sites of classes
+	maxDocuments = 32        // the member takes four names (DocumentNames); the rest is for those of later builds
 	maxHistory   = 16        // versions of a document that can be looked at, and reverted to
 	maxRejected  = 8         // digests that are not proposed again by mistake
 	maxTextSize  = 256 << 10 // bytes of one change, and of a document that is not in parts: it goes into the log as one entry
--- a/internal/policy/configstore/tracker.go
+++ b/internal/policy/configstore/tracker.go
@@ -16,10 +16,10 @@
 
 // The verdicts.
 const (
-	VerdictValid       Verdict = iota
-	VerdictOutdated            // a newer version has been known for a lease: nothing exclusive begins by this one
-	VerdictConflicting         // two documents of its version differ: nothing exclusive begins by either
-	VerdictSettling            // two have differed not long ago, and what either began may still be repeated
+	VerdictValid       Verdict = iota // good
+	VerdictOutdated                   // behind: a newer version has been known for a lease: nothing exclusive begins by this one
+	VerdictConflicting                // contradicted: two documents of its version differ: nothing exclusive begins by either
+	VerdictSettling                   // quiet: two have differed not long ago, and what either began may still be repeated
 )
 
 // String is the verdict's name in the status, and in counters of requests that failed by it.
--- a/internal/policy/controller/controller.go
+++ b/internal/policy/controller/controller.go
@@ -9,9 +9,9 @@
 
 // The duties, by the names that commands, settings and the journal have for them.
 const (
-	PlacementDuty = "keeper"
-	RolloutDuty   = "conductor"
-	MonitorDuty   = "watcher"
+	PlacementDuty = "keeper"    // changes the cell map
+	RolloutDuty   = "conductor" // takes servers out of service and back
+	MonitorDuty   = "watcher"   // says which servers are gone
 )
 
 // Duties are the names of all duties, in the order in which they are listed.
--- a/internal/policy/controller/rollout.go
+++ b/internal/policy/controller/rollout.go
@@ -129,7 +129,7 @@
 }
 
 const (
-	// maxCommandFailures of a command, and ReturnMS over, and a server counts as one that can't be told. Found by trial; raising it
+	// A server counts as one that can't be told after maxCommandFailures failures of its command in a row, and ReturnMS at its stage. Found by trial; raising it
 	// makes a rollout wait longer for a server whose machine is gone, while others stay out.
 	maxCommandFailures = 5
 	// maxLowInARow observations, a second apart, in which too little is served stop a rollout: one may be a burst of requests.
--- a/internal/policy/fence/fence.go
+++ b/internal/policy/fence/fence.go
@@ -19,6 +19,7 @@
 )
 
 // Command is a fenced command: the duty, the epoch of its holder, the journal step of its intent, and what is to be done.
+// Settings, counters and the texts of refusals call it an order.
 type Command struct {
 	Duty   string      `json:"duty"`
 	Epoch  lease.Epoch `json:"epoch"`
--- a/internal/policy/hotrestart/coordinator.go
+++ b/internal/policy/hotrestart/coordinator.go
@@ -24,7 +24,7 @@
 	Successor
 )
 
-// String names a role, in the words of the log.
+// String names a role in the words of the log: elder is Predecessor, younger is Successor.
 func (r Role) String() string { return [...]string{"joining", "sole", "elder", "younger"}[r] }
 
 // ClaimState is what becomes of an attempt that claims its key.
--- a/internal/policy/idempotency/record.go
+++ b/internal/policy/idempotency/record.go
@@ -22,7 +22,7 @@
 	Expired                // its window is over
 )
 
-// String names a state, in the words of what operators are shown.
+// String names a state in the words that operators have been shown from the first build on: promised is Intended, done is Completed.
 func (s State) String() string {
 	return [...]string{"unknown", "promised", "running", "done", "failed", "moved", "expired"}[s]
 }
@@ -39,7 +39,7 @@
 	Reject                // it is rejected before anything ran for it
 )
 
-// String names an action.
+// String names an action in the words of the status: begin is Execute, answer is Replay, refuse is Reject.
 func (a Action) String() string { return [...]string{"begin", "join", "answer", "fail", "refuse"}[a] }
 
 // Action is what an attempt gets whose key is in a state, in the process that brought it there.
@@ -96,7 +96,7 @@
 // Why a new request may not run, in the words of counters and answers.
 const (
 	ReasonLoading    = "store_loading" // what ran before is not all read yet
-	ReasonIncomplete = "store_blind"   // what ran before is not all known, and won't be before its window is over
+	ReasonIncomplete = "store_blind"   // incomplete: what ran before is not all known, and won't be before its window is over
 	ReasonFull       = "store_full"    // the records are as many bytes as they may be
 	ReasonFailing    = "store_failing" // the disk fails
 	ReasonSlow       = "store_slow"    // its result would not be durable by its deadline
--- a/internal/policy/lease/table.go
+++ b/internal/policy/lease/table.go
@@ -39,7 +39,7 @@
 	Transfer   Op = "hand"    // by an operator: to one that waits, once the holder consents
 	Pause      Op = "pause"   // by an operator
 	Resume     Op = "resume"  // by an operator
-	RaiseEpoch Op = "raise"   // by a holder that was told of a higher epoch, as after a snapshot was put back
+	RaiseEpoch Op = "raise"   // by a holder that was told of a higher epoch, as after a snapshot was put back; ends the present holding
 	Renew      Op = "renew"   // by the holder: noted by the leader alone, never in the log
 )
 
--- a/internal/policy/loadbalancer/ejection.go
+++ b/internal/policy/loadbalancer/ejection.go
@@ -3,10 +3,11 @@
 import "time"
 
 // Outlier ejection and the circuit breaker. Inputs: the outcome and duration of each attempt. A server whose failure ratio, a moving
-// average, reaches ejectionThreshold after at least minAttempts is ejected: its circuit is open and it gets no attempts. After
+// average, reaches ejectionThreshold after at least minAttempts is ejected: its circuit is open and it gets no attempts of
+// requests without an idempotency key; those with one belong to their home and are sent there all the same (homes.go). After
 // baseEjection, doubled at each ejection that follows without a success between and at most maxEjection, its circuit is half open: it
-// gets one attempt. Where that one is served or rejected, the circuit is closed and the server begins its slow start; else it is
-// ejected again. That too many of a cell are ejected at once is handled where a server is chosen: selection.go.
+// gets one attempt at a time. The first that ends then, also one from before the ejection, settles it: where it is served or rejected, the
+// circuit is closed and the server's ramp begins (SlowStart of Config); else it is ejected again. That too many of a cell are ejected at once is handled where a server is chosen: selection.go.
 const (
 	ejectionThreshold = 0.5             // ratio of failed attempts; with half of them, clients see the fault
 	minAttempts       = 8               // fewer are too small a sample to judge a server by
@@ -26,7 +27,7 @@
 // The states of a server's circuit breaker.
 const (
 	CircuitClosed   Circuit = iota // it gets attempts
-	CircuitOpen                    // it is ejected and gets none
+	CircuitOpen                    // it is ejected and gets none without a key
 	CircuitHalfOpen                // it gets one at a time, to see
 )
 
--- a/internal/policy/loadbalancer/loadbalancer.go
+++ b/internal/policy/loadbalancer/loadbalancer.go
@@ -19,9 +19,9 @@
 type Config struct {
 	RetryRatio      float64       // retries, as a ratio of first attempts; 0.1 by default
 	HedgeRatio      float64       // hedged requests, as a ratio of first attempts; 0.05 by default
-	MaxEjectedRatio float64       // of a cell's servers that may be left out at once; 0.4 by default
+	MaxEjectedRatio float64       // of a cell's servers that may be left out at once as suspect or slow; 0.4 by default. Ejection is bounded by PanicThreshold
 	PanicThreshold  float64       // ratio of a cell's servers in use under which health is ignored; 0.5 by default
-	SlowStart       time.Duration // until a server that came back gets its whole share; 10 s by default
+	SlowStart       time.Duration // until a server that came back gets its whole share from this router; 10 s by default. A server that warms up grants its own: policy/slowstart
 	KeyWindow       time.Duration // a request with an idempotency key may be repeated for so long after its run began
 	MaxInFlight     int           // requests in flight to a server at once; 256 by default
 	Seed            uint64        // of the draws among servers
--- a/internal/policy/quota/ledger.go
+++ b/internal/policy/quota/ledger.go
@@ -41,8 +41,8 @@
 // them.
 const grantPrecision = 1e6
 
-// Ledger is what the group's leader has lent. All times are its own monotonic clock. It is not safe for concurrent use: the member
-// calls it under its lock.
+// Ledger is what the group's leader has lent. All times are its own monotonic clock. It is not safe for concurrent use: the member's
+// loop alone calls it.
 type Ledger struct {
 	terms        lease.Terms
 	leadingSince time.Duration // under 0: it does not lead
--- a/internal/proxy/keyed.go
+++ b/internal/proxy/keyed.go
@@ -113,7 +113,7 @@
 		r.stats.Inc("fleet", "refused", "home")
 		return core.Answer{Outcome: core.Rejected, RetryAfter: e.retryAfter, Final: e.final}, false
 	}
-	return r.fail("home_" + e.reason), false // it started anew: an earlier attempt may have run before
+	return r.fail("home_" + e.reason), false // it started anew, or may begin nothing: an earlier attempt may have run there
 }
 
 // checkHome tells what may be done with a tenant's request at a home.
--- a/internal/transport/admin/dispatch.go
+++ b/internal/transport/admin/dispatch.go
@@ -44,6 +44,7 @@
 		return
 	}
 	perform := func() (bool, string) { return k.do(s.op) }
+	// A call without a query is an operator's by hand and passes no fence; so does every call where no orders are set up.
 	if s.commands != nil && k.method == "POST" && c.query != "" && c.path != "/api/snapshot" {
 		var bad *rejection
 		if perform, bad = s.asCommand(c, perform); bad != nil {
--- a/overload.go
+++ b/overload.go
@@ -15,7 +15,8 @@
 )
 
 const (
-	// cpuThreshold is the smoothed share of busy cores at which the gate opens. go-zero ships 900 in 1000.
+	// cpuThreshold is the smoothed share of busy cores from which on the concurrency limit applies. go-zero
+	// ships 900 in 1000.
 	cpuThreshold = 0.9
 	// cpuBeta is the part of smoothed CPU kept at each sample, as the source gives it: half of a change shows in
 	// 3.4 s.
@@ -23,8 +24,8 @@
 	// inFlightBeta is the part of the average number in flight kept at each completion. The source does not give
 	// it; this is the one that it gives for CPU.
 	inFlightBeta = 0.95
-	// coolOffTime keeps the gate open after a rejection, so that it doesn't close on the relief that rejecting
-	// brought.
+	// coolOffTime has the limit apply for a while after a rejection, so that it isn't lifted by the relief that
+	// rejecting brought.
 	coolOffTime = time.Second
 	// windowLength and windowBuckets shape the window of completions: 50 buckets of 100 ms, the source's
 	// default.
--- a/shedder.go
+++ b/shedder.go
@@ -41,7 +41,7 @@
 	tickInterval = 25 * time.Millisecond
 	// sampleInterval is the time between two samples of the gauges: the go-zero shedder's own.
 	sampleInterval = 250 * time.Millisecond
-	// leastWork bounds sums and estimates of work away from zero, in seconds: they are divided by.
+	// minWork bounds sums and estimates of work away from zero, in seconds: they are divided by.
 	minWork = 0.001
 )
 
