--- a/internal/controlplane/quorum/member/raft.go
+++ b/internal/controlplane/quorum/member/raft.go
@@ -220,7 +220,7 @@
 	m.lessor.RecordGrant(r.Duty.Name, r.Duty.Epoch, m.clock())
 	if m.leading {
 		m.stats.Inc("group", "asks", string(request.Op))
-		event := "group." + string(request.Op)
+		event := "group." + string(request.Op) // group.acquire, release, forget, expire, hand, pause, resume or raise
 		if request.Op == lease.Acquire && r.Duty.Holder != request.Process {
 			event = "group.waits"
 		}
