--- a/cmd/silverpath/group_test.go
+++ b/cmd/silverpath/group_test.go
@@ -122,11 +122,12 @@
 
 func freeAddr(t testing.TB) string {
 	t.Helper()
-	addr, err := harness.FreeAddr()
+	reserved, err := harness.Reserve()
 	if err != nil {
 		t.Fatal(err)
 	}
-	return addr
+	t.Cleanup(reserved.Release)
+	return reserved.Addr
 }
 
 func (g *testGroup) within(d time.Duration) context.Context {
--- a/internal/controlplane/quorum/member/config_parts_test.go
+++ b/internal/controlplane/quorum/member/config_parts_test.go
@@ -43,10 +43,12 @@
 	t.Helper()
 	g := &members{t: t, ends: make([]func(), n), of: make([]*Member, n), Client: &quorum.Client{Group: "test"}}
 	for range n {
-		addr, err := harness.FreeAddr()
+		reserved, err := harness.Reserve()
 		if err != nil {
 			t.Fatal(err)
 		}
+		t.Cleanup(reserved.Release)
+		addr := reserved.Addr
 		g.dirs, g.addrs, g.stats = append(g.dirs, t.TempDir()), append(g.addrs, addr), append(g.stats, &metrics.Counters{})
 	}
 	g.Addrs = g.addrs
--- a/internal/testkit/benchmarks/parts.go
+++ b/internal/testkit/benchmarks/parts.go
@@ -188,22 +188,23 @@
 // ---- A group whose members are asked at their own addresses ----
 
 type partsGroup struct {
-	bin     string
-	dir     string
-	addrs   []string
-	files   []string
-	members []*harness.Process
-	client  *quorum.Client
+	bin      string
+	dir      string
+	addrs    []string
+	reserved []*harness.Reservation // of addrs, until close
+	files    []string
+	members  []*harness.Process
+	client   *quorum.Client
 }
 
 func newPartsGroup(bin, dir string) (*partsGroup, error) {
 	g := &partsGroup{bin: bin, dir: dir, members: make([]*harness.Process, 3)}
 	for range g.members {
-		addr, err := harness.FreeAddr()
+		reserved, err := harness.Reserve()
 		if err != nil {
 			return g, err
 		}
-		g.addrs = append(g.addrs, addr)
+		g.addrs, g.reserved = append(g.addrs, reserved.Addr), append(g.reserved, reserved)
 	}
 	g.client = &quorum.Client{Group: "test", Addrs: g.addrs}
 	list, _ := json.Marshal(g.addrs)
@@ -244,6 +245,9 @@
 	if g.client != nil {
 		g.client.Close()
 	}
+	for _, r := range g.reserved {
+		r.Release()
+	}
 }
 
 // leader waits for a member that leads, and says which.
--- a/internal/testkit/harness/group.go
+++ b/internal/testkit/harness/group.go
@@ -4,7 +4,6 @@
 	"context"
 	"encoding/json"
 	"fmt"
-	"net"
 	"os"
 	"path/filepath"
 	"time"
@@ -29,42 +28,28 @@
 	begin   Starter
 	tick    time.Duration
 	files   int
-}
 
-// FreeAddr is a loopback address that nobody listens at.
-func FreeAddr() (string, error) {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		return "", err
-	}
-	defer ln.Close()
-	return ln.Addr().String(), nil
+	reserved []*Reservation // of Addrs, until Close
 }
 
 // NewGroup starts and founds a group of n members in a folder.
 func NewGroup(dir string, n int, terms lease.Terms, tick time.Duration, begin Starter) (*Group, error) {
 	g := &Group{Dir: dir, Client: &quorum.Client{Group: "test"}, Members: make([]*Process, n), begin: begin, tick: tick}
 	for i := range n {
-		addr, err := FreeAddr()
+		reserved, err := Reserve()
 		if err != nil {
 			return g, err
 		}
-		way, err := faults.Listen(addr, true, uint64(i))
+		g.reserved = append(g.reserved, reserved)
+		way, err := faults.Listen(reserved.Addr, true, uint64(i))
 		if err != nil {
 			return g, err
 		}
-		g.Addrs, g.Ways = append(g.Addrs, addr), append(g.Ways, way)
+		g.Addrs, g.Ways = append(g.Addrs, reserved.Addr), append(g.Ways, way)
 		g.Client.Addrs = append(g.Client.Addrs, way.Addr())
 	}
 	for i := range n {
-		err := g.Start(i)
-		for try := 0; err != nil && try < 4; try++ { // somebody else has come to the address meanwhile
-			if g.Addrs[i], err = FreeAddr(); err == nil {
-				g.Ways[i].To(g.Addrs[i])
-				err = g.Start(i)
-			}
-		}
-		if err != nil {
+		if err := g.Start(i); err != nil {
 			return g, err
 		}
 	}
@@ -88,6 +73,9 @@
 		}
 	}
 	g.Client.Close()
+	for _, r := range g.reserved {
+		r.Release()
+	}
 }
 
 // Disk is a member's folder.
