--- a/internal/controlplane/quorum/member/program.go
+++ b/internal/controlplane/quorum/member/program.go
@@ -14,6 +14,7 @@
 	"github.com/spf13/cobra"
 
 	"silverpath/internal/controlplane/quorum"
+	"silverpath/internal/policy/controller"
 	"silverpath/internal/policy/lease"
 	"silverpath/internal/settings"
 )
@@ -85,7 +86,7 @@
 	for i, a := range addrs {
 		set := settings.Quorum{Name: fmt.Sprint("q", i+1), Group: settings.GroupRef{Name: "try", Members: addrs},
 			Member: &settings.Member{Listen: a, Addr: a, Dir: filepath.Join(dir, fmt.Sprint("q", i+1)), Tick: 50 * time.Millisecond},
-			Runner: &settings.Runner{Controllers: []string{"keeper", "conductor"}, Map: filepath.Join(dir, "map"), DeadAfter: 10 * time.Second}}
+			Runner: &settings.Runner{Controllers: []string{controller.PlacementDuty, controller.RolloutDuty}, Map: filepath.Join(dir, "map"), DeadAfter: 10 * time.Second}}
 		ch := make(chan os.Signal, 1)
 		each = append(each, ch)
 		all.Go(func() {
