--- a/cmd/silverpath/durable_test.go
+++ b/cmd/silverpath/durable_test.go
@@ -133,8 +133,9 @@
 }
 
 // storeProgram gives this test's program a disk that fails as a file says, for as long as the file is there: BOUNDARY ACTION, where
-// the boundary may be * and the action is a time to wait, kill:N for the end at the Nth time, or the text of an error. And it has
-// the machine be switched on when the environment says, as NAME AGO MACHINE: another time for each name.
+// the boundary may be * and the action is a time to wait, kill:N for the end at the Nth time, fail:N ERROR for an error from the Nth
+// time on, or the text of an error. And it has the machine be switched on when the environment says, as NAME AGO MACHINE: another time
+// for each name.
 func storeProgram() {
 	if os.Getenv("SILVERPATH_UNPROMISED") != "" {
 		parts.WrapStore = func(k core.Store) core.Store { return &unlogged{Store: k, deferred: map[uint64]intent{}} }
@@ -172,6 +173,13 @@
 			}
 			return nil
 		}
+		if counted, fails := strings.CutPrefix(action, "fail:"); fails {
+			nth, reason, _ := strings.Cut(counted, " ")
+			if n, _ := strconv.ParseInt(nth, 10, 64); met.Add(1) < n {
+				return nil
+			}
+			return errors.New(reason)
+		}
 		if d, err := time.ParseDuration(action); err == nil {
 			time.Sleep(d)
 			return nil
@@ -451,17 +459,13 @@
 	t.Parallel()
 	d := newDurable(t)
 	d.up().Kill()
-	// The promise is the second commit of a start: the first says that the store is in use.
 	g := d.up()
-	done := make(chan client.Reply)
-	d.disk("commit 60ms") // so that the promise is under way for long enough
-	go func() { done <- d.ask("k", "k") }()
-	for d.Runs()["k"] == 0 {
-		time.Sleep(100 * time.Microsecond)
-	}
-	d.disk("commit input/output error")
-	if a := <-done; a.Outcome == "served" || a.Outcome == "refused" {
-		t.Errorf("its result does not last: %s", a.Outcome)
+	d.disk("commit fail:2 input/output error") // the intent is committed, the result is not
+	if a := d.ask("k", "k"); a.Outcome == "served" || a.Outcome == "refused" {
+		t.Errorf("its result is not durable: %s", a.Outcome)
+	}
+	if runs := d.Runs()["k"]; runs != 1 {
+		t.Fatalf("it ran %d times before its result was lost, want 1", runs)
 	}
 	if a := d.ask("k", "k"); a.Outcome == "served" || a.Outcome == "refused" {
 		t.Errorf("its repeat: %s", a.Outcome)
