--- a/answer.go
+++ b/answer.go
@@ -6,14 +6,14 @@
 
 // reject answers a request that has never run. One that was started fails instead, whatever led here: a
 // caller that is told that it never ran would send it again, and its effect would come twice.
-func (s *Shedder) reject(r *request, by rejectionReason) {
+func (s *Shedder) reject(r *request, reason rejectionReason) {
 	if r.started || r.answered {
 		s.fail(r)
 		return
 	}
 	s.lastRejection, s.everRejected = s.now, true
 	s.rejections++
-	s.rejectedBy[by]++
+	s.rejectedBy[reason]++
 	r.answered = true
 	s.forgetKey(r)
 	after, final := s.retryAdvice(r)
--- a/answer_test.go
+++ b/answer_test.go
@@ -18,7 +18,7 @@
 	if h.called("run c") {
 		t.Error("a request that is not idempotent was started a second time")
 	}
-	s.reject(c, byGuard)
+	s.reject(c, reasonGuard)
 	if h.called("refuse c") || !h.called("fail c") {
 		t.Error("a request that has run was rejected")
 	}
--- a/api.go
+++ b/api.go
@@ -173,7 +173,7 @@
 	// Moved tells where a request has come to be.
 	Moved(now time.Duration, id, class string, to Place)
 	// Tick gives, at each Shedder.Tick, the module's own limit of runs and the gauges.
-	Tick(now time.Duration, ceiling float64, g Gauges)
+	Tick(now time.Duration, runLimit float64, g Gauges)
 	// HasCapacity reports whether one more run of the class may start.
 	HasCapacity(now time.Duration, class string) bool
 	// Admits reports whether memory lets one more request of the class wait.
--- a/backpressure.go
+++ b/backpressure.go
@@ -23,20 +23,20 @@
 // updatePressure sets, at each sample, the value that callers heed. A level rejects requests wherever they
 // go, so a fault of this server's own doesn't raise it; credit and weight send them elsewhere.
 func (s *Shedder) updatePressure() {
-	rejected := s.rejections / max(1, s.arrivals)
+	rejectedShare := s.rejections / max(1, s.arrivals)
 	s.arrivalRate.Add(s.arrivals/sampleInterval.Seconds(), cpuBeta)
 	s.arrivals, s.rejections = 0, 0
 	if s.settings.Signal == SignalLevel && s.faultIsLocal() {
-		rejected = 0
+		rejectedShare = 0
 	}
 	s.updateIdleTimeout()
-	s.pressure = min(max(0, s.pressure+pressureGain*(rejected-targetRejectionRatio)), 1)
+	s.pressure = min(max(0, s.pressure+pressureGain*(rejectedShare-targetRejectionRatio)), 1)
 	switch s.settings.Signal {
 	case SignalLevel: // never the class of the highest weight
 		s.host.Signal(s.pressure * (1 - 1/float64(len(s.classes))))
 	case SignalCredit: // from all that may be in hand down to what keeps the cores busy
-		inHand := max(s.maxRuns()*(1-s.pressure), float64(s.settings.Cores))
-		s.host.Signal(inHand / float64(max(1, s.settings.Callers)))
+		maxRequests := max(s.maxRuns()*(1-s.pressure), float64(s.settings.Cores))
+		s.host.Signal(maxRequests / float64(max(1, s.settings.Callers)))
 	case SignalWeight:
 		s.host.Signal(max(1-s.pressure, minAdvertisedWeight))
 	}
@@ -47,12 +47,12 @@
 // caller is back before it would close its own, else closed at once. This guards against a table that many
 // callers fill, each with little traffic; it could hurt where a few callers of very many send nearly all.
 func (s *Shedder) updateIdleTimeout() {
-	after := time.Duration(0)
+	timeout := time.Duration(0)
 	if float64(s.settings.Callers) > s.arrivalRate.Value()*s.settings.KeepAlive.Seconds() {
-		after = min(sampleInterval, s.settings.KeepAlive)
+		timeout = min(sampleInterval, s.settings.KeepAlive)
 	}
-	if after != s.idleTimeout {
-		s.idleTimeout = after
-		s.host.CloseIdle(after)
+	if timeout != s.idleTimeout {
+		s.idleTimeout = timeout
+		s.host.CloseIdle(timeout)
 	}
 }
--- a/calls.go
+++ b/calls.go
@@ -44,27 +44,27 @@
 	firstCallBackoff = 50 * time.Millisecond
 )
 
-// noCall is when a call may be made again that must not be.
-const noCall = time.Duration(math.MaxInt64)
+// neverRetry is when a call may be made again that must not be.
+const neverRetry = time.Duration(math.MaxInt64)
 
 // finishedCall is the time, with what may linger, that a finished call was in the dependency's hands.
-type finishedCall struct{ endedAt, spent time.Duration }
+type finishedCall struct{ endedAt, duration time.Duration }
 
 // adaptSharedCalls moves the number of calls out at once by what one took, in seconds. Below one, calls keep
 // a distance. Whatever makes calls slow is met the same way; where their number isn't the reason, it falls to
 // minCallQuotaRatio of the quota.
-func (s *Shedder) adaptSharedCalls(spent float64) {
+func (s *Shedder) adaptSharedCalls(callSeconds float64) {
 	if s.typicalCallTime == 0 {
-		s.typicalCallTime, s.baseCallTime, s.maxSharedCalls = spent, spent, float64(s.settings.Cores)
+		s.typicalCallTime, s.baseCallTime, s.maxSharedCalls = callSeconds, callSeconds, float64(s.settings.Cores)
 	}
-	s.typicalCallTime = s.typicalCallTime*callTimeBeta + spent*(1-callTimeBeta)
+	s.typicalCallTime = s.typicalCallTime*callTimeBeta + callSeconds*(1-callTimeBeta)
 	s.baseCallTime = min(s.typicalCallTime, s.baseCallTime+(s.typicalCallTime-s.baseCallTime)*baseCallTimeRise)
 	if s.callsAreSlow() {
 		s.maxSharedCalls = max(minCallQuotaRatio*s.settings.CallQuota, s.maxSharedCalls*callLimitDecrease)
 	} else {
 		s.maxSharedCalls = min(float64(s.settings.Cores), s.maxSharedCalls+callLimitIncrease)
 	}
-	s.nextCallAt = s.now + seconds(spent*max(0, 1/s.maxSharedCalls-1))
+	s.nextCallAt = s.now + seconds(callSeconds*max(0, 1/s.maxSharedCalls-1))
 }
 
 // callsAreSlow reports whether calls take so much longer than their base that the dependency must be
@@ -73,11 +73,11 @@
 
 // adaptTierCalls moves the number of calls to a tier below: down as it rejects them, at most once for each
 // time that a call typically takes, so that one round of rejections counts once, and up as they succeed.
-func (s *Shedder) adaptTierCalls(o Outcome) {
+func (s *Shedder) adaptTierCalls(outcome Outcome) {
 	switch {
-	case o == OK:
+	case outcome == OK:
 		s.maxTierCalls = min(maxTierCallsPerCore*float64(s.settings.Cores), s.maxTierCalls+callLimitIncrease)
-	case o == Overloaded && s.now >= s.nextTierDecrease:
+	case outcome == Overloaded && s.now >= s.nextTierDecrease:
 		s.maxTierCalls = max(1, s.maxTierCalls*callLimitDecrease)
 		s.nextTierDecrease = s.now + seconds(s.typicalCallTime)
 	}
@@ -89,43 +89,43 @@
 	s.finishedCalls = slices.DeleteFunc(s.finishedCalls, func(c finishedCall) bool {
 		return c.endedAt+s.settings.CallWindow < s.now
 	})
-	sum := time.Duration(0)
+	total := time.Duration(0)
 	for _, c := range s.finishedCalls {
-		sum += c.spent
+		total += c.duration
 	}
 	for _, r := range s.requests {
 		if r.state == calling {
-			sum += r.callDeadline - r.stateSince + s.settings.CallLinger
+			total += r.callDeadline - r.stateSince + s.settings.CallLinger
 		}
 	}
-	return sum
+	return total
 }
 
 // callTimeout is how much of the wanted time a call made now may take: 0 or less if none may be made.
-func (s *Shedder) callTimeout(want time.Duration) time.Duration {
+func (s *Shedder) callTimeout(wanted time.Duration) time.Duration {
 	if s.settings.Dependency != DependencyShared {
 		if float64(s.stateCount[calling]+1) > s.maxTierCalls {
 			return 0
 		}
-		return want
+		return wanted
 	}
 	if s.typicalCallTime > 0 &&
 		(s.stateCount[calling] >= int(math.Ceil(s.maxSharedCalls)) || s.now < s.nextCallAt) {
 		return 0
 	}
 	quota := time.Duration(limitMargin * s.settings.CallQuota * float64(s.settings.CallWindow))
-	return min(want, quota-s.reservedCallTime()-s.settings.CallLinger)
+	return min(wanted, quota-s.reservedCallTime()-s.settings.CallLinger)
 }
 
 // scheduleCallRetry decides when a call that failed may be made again: never, if it may have had an effect
 // that must not come twice; at once, if a reply broke off for the first time, as that says nothing of what
 // lies below; else after the backoff.
-func (s *Shedder) scheduleCallRetry(now time.Duration, r *request, o Outcome) {
+func (s *Shedder) scheduleCallRetry(now time.Duration, r *request, outcome Outcome) {
 	r.nextCallAt = now + r.backoff
 	switch {
-	case r.class.Effect != Safe && !o.NeverRan():
-		r.nextCallAt = noCall
-	case o == Disconnected && r.backoff == firstCallBackoff:
+	case r.class.Effect != Safe && !outcome.NeverRan():
+		r.nextCallAt = neverRetry
+	case outcome == Disconnected && r.backoff == firstCallBackoff:
 		r.nextCallAt = now
 	}
 	r.backoff *= 2
@@ -144,12 +144,12 @@
 		return cmp.Or(cmp.Compare(b.lossWithoutCall(), a.lossWithoutCall()), cmp.Compare(a.objective, b.objective))
 	})
 	for _, r := range list {
-		left := s.callBy(r) - s.now
+		remaining := s.callBy(r) - s.now
 		switch {
-		case s.callIsOver(r, left):
+		case s.shouldAbandonCall(r, remaining):
 			s.skipCallOrFail(r)
 		case s.now >= r.nextCallAt:
-			s.callIfAllowed(r, left)
+			s.makeCallIfAllowed(r, remaining)
 		}
 	}
 }
@@ -158,29 +158,29 @@
 // that is its objective: from then on the call is work for nobody, here and below. Where the call can be left
 // out, there must be time to finish without it.
 func (s *Shedder) callBy(r *request) time.Duration {
-	last := s.answerBy(r)
+	latest := s.answerBy(r)
 	if r.class.LateWeight == 0 && s.settings.Dependency == DependencyTier {
-		last = min(last, r.objective)
+		latest = min(latest, r.objective)
 	}
 	if r.canSkipCall() {
-		tail := seconds(r.expectedWork * s.slowdown() / 2)
-		last = min(last, r.objective-tail)
+		workAfterCall := seconds(r.expectedWork * s.slowdown() / 2)
+		latest = min(latest, r.objective-workAfterCall)
 	}
-	return last
+	return latest
 }
 
-// callIsOver reports whether a request stands at its call in vain.
-func (s *Shedder) callIsOver(r *request, left time.Duration) bool {
-	if r.nextCallAt == noCall || left <= 0 || s.settings.Dependency == DependencyNone {
+// shouldAbandonCall reports whether a request stands at its call in vain.
+func (s *Shedder) shouldAbandonCall(r *request, remaining time.Duration) bool {
+	if r.nextCallAt == neverRetry || remaining <= 0 || s.settings.Dependency == DependencyNone {
 		return true
 	}
-	return r.canSkipCall() && (s.callNotWorthwhile(r, left) || r.backoff > firstCallBackoff)
+	return r.canSkipCall() && (s.skippingEarnsMore(r, remaining) || r.backoff > firstCallBackoff)
 }
 
-// callIfAllowed makes a call if it may take as long as calls typically do.
-func (s *Shedder) callIfAllowed(r *request, left time.Duration) {
-	timeout := s.callTimeout(left)
-	if timeout < min(seconds(s.typicalCallTime), left) || timeout <= 0 {
+// makeCallIfAllowed makes a call if it may take as long as calls typically do.
+func (s *Shedder) makeCallIfAllowed(r *request, remaining time.Duration) {
+	timeout := s.callTimeout(remaining)
+	if timeout < min(seconds(s.typicalCallTime), remaining) || timeout <= 0 {
 		return
 	}
 	r.callDeadline = s.now + timeout
@@ -188,10 +188,10 @@
 	s.host.Call(r.ID, timeout)
 }
 
-// callNotWorthwhile reports whether leaving a call out earns more than making it: it ends within the time
+// skippingEarnsMore reports whether leaving a call out earns more than making it: it ends within the time
 // left with probability 1-exp(-left/typical), against DegradedWeight, which is certain.
-func (s *Shedder) callNotWorthwhile(r *request, left time.Duration) bool {
-	return left.Seconds() < -s.typicalCallTime*math.Log1p(-min(1, r.class.DegradedWeight))
+func (s *Shedder) skippingEarnsMore(r *request, remaining time.Duration) bool {
+	return remaining.Seconds() < -s.typicalCallTime*math.Log1p(-min(1, r.class.DegradedWeight))
 }
 
 // canSkipCall reports whether the request's class can be answered without its call.
--- a/calls_test.go
+++ b/calls_test.go
@@ -179,12 +179,12 @@
 	s.typicalCallTime = 1
 	r := &request{class: s.classByName["read"]} // half of the weight without the call: the median of its time, ln 2
 	for left, want := range map[time.Duration]bool{690 * time.Millisecond: true, 700 * time.Millisecond: false} {
-		if got := s.callNotWorthwhile(r, left); got != want {
+		if got := s.skippingEarnsMore(r, left); got != want {
 			t.Errorf("%v left of a call of 1 s: too late %v", left, got)
 		}
 	}
 	r.class.DegradedWeight = 1
-	if !s.callNotWorthwhile(r, time.Hour) {
+	if !s.skippingEarnsMore(r, time.Hour) {
 		t.Error("a call that adds nothing is made")
 	}
 }
--- a/capacity.go
+++ b/capacity.go
@@ -39,8 +39,8 @@
 	if !s.settings.Cold || s.now-s.startedAt >= s.settings.WarmupTime {
 		return 1
 	}
-	warm := (s.now - s.startedAt).Seconds() / s.settings.WarmupTime.Seconds()
-	return max(minWarmupSpeed, s.settings.ColdSpeed+(1-s.settings.ColdSpeed)*warm)
+	progress := (s.now - s.startedAt).Seconds() / s.settings.WarmupTime.Seconds()
+	return max(minWarmupSpeed, s.settings.ColdSpeed+(1-s.settings.ColdSpeed)*progress)
 }
 
 // maxRuns is the number of runs on the cores that the server survives now, with a margin.
@@ -57,18 +57,18 @@
 
 // estimateCoresPerRun takes, at each tick, how many tasks want a core for each run.
 func (s *Shedder) estimateCoresPerRun(g Gauges) {
-	n := s.stateCount[running]
-	if n == 0 {
+	runs := s.stateCount[running]
+	if runs == 0 {
 		return
 	}
-	cores := g.OnCores / float64(n)
+	perRun := g.OnCores / float64(runs)
 	if g.OnCores <= float64(s.settings.Cores) {
-		cores = min(1, cores) // a core is free for whatever is read
+		perRun = min(1, perRun) // a core is free for whatever is read
 	}
 	if s.stateCount[queued] > 0 {
-		cores *= g.CPU // cores that idle while requests wait want more runs
+		perRun *= g.CPU // cores that idle while requests wait want more runs
 	}
-	s.coresPerRun.Add(min(cores, 1/minRunsPerCore), cpuBeta)
+	s.coresPerRun.Add(min(perRun, 1/minRunsPerCore), cpuBeta)
 }
 
 // coreShare is the part of a core that each run has.
@@ -83,23 +83,23 @@
 
 // fadeSlowdown lets older time and work count less, by how much of the cores was used since the last sample.
 func (s *Shedder) fadeSlowdown() {
-	use := s.sampleCoreTime / (sampleInterval.Seconds() * float64(s.settings.Cores))
+	utilization := s.sampleCoreTime / (sampleInterval.Seconds() * float64(s.settings.Cores))
 	s.sampleCoreTime = 0
-	s.completedCoreTime *= math.Pow(slowdownRetention, use)
-	s.completedWork = max(s.completedWork*math.Pow(slowdownRetention, use), minWork)
+	s.completedCoreTime *= math.Pow(slowdownRetention, utilization)
+	s.completedWork = max(s.completedWork*math.Pow(slowdownRetention, utilization), minWork)
 }
 
 // updateBaselineSlowdown moves the baseline towards the slowdown: at once during the first windowLength, then
 // down with slowdownRetention, and up with fairnessRetention, so slowly that a fault of some seconds stays
 // visible.
 func (s *Shedder) updateBaselineSlowdown() {
-	switch p := s.slowdown(); {
-	case s.now-s.baselineFrom < windowLength:
-		s.baselineSlowdown = p
-	case p < s.baselineSlowdown:
-		s.baselineSlowdown += (p - s.baselineSlowdown) * (1 - slowdownRetention)
+	switch slowdown := s.slowdown(); {
+	case s.now-s.baselineStart < windowLength:
+		s.baselineSlowdown = slowdown
+	case slowdown < s.baselineSlowdown:
+		s.baselineSlowdown += (slowdown - s.baselineSlowdown) * (1 - slowdownRetention)
 	default:
-		s.baselineSlowdown += (p - s.baselineSlowdown) * (1 - fairnessRetention)
+		s.baselineSlowdown += (slowdown - s.baselineSlowdown) * (1 - fairnessRetention)
 	}
 }
 
@@ -118,10 +118,10 @@
 // coreTimeSoFar is the time on the cores that a request has had.
 func (s *Shedder) coreTimeSoFar(r *request) time.Duration {
 	if r.state == running || r.state == preempting {
-		return r.coreTime + s.coreClock - r.coreClockAt
+		return r.coreTime + s.coreClock - r.coreClockAtState
 	}
 	return r.coreTime
 }
 
 // seconds turns a number of seconds into a Duration.
-func seconds(n float64) time.Duration { return time.Duration(n * float64(time.Second)) }
+func seconds(value float64) time.Duration { return time.Duration(value * float64(time.Second)) }
--- a/deadline.go
+++ b/deadline.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	// patienceBeta is the part of the callers' patience kept at each cancelled request: five show a change.
-	patienceBeta = 0.8
+	// callerTimeoutBeta is the part of the callers' patience kept at each cancelled request: five show a change.
+	callerTimeoutBeta = 0.8
 	// deadlineMargin is how long before its deadline a request is answered: a tick to notice, and one for the
 	// answer's way.
 	deadlineMargin = 2 * tickInterval
@@ -31,29 +31,29 @@
 	stretch := seconds(c.ObjectiveStretch * r.expectedWork)
 	objective := r.receivedAt + min(c.Objective+stretch, c.Deadline)/time.Duration(1+s.settings.Tier)
 	if r.Deadline == 0 {
-		patience := time.Duration(s.callerPatience.Value() * float64(c.Deadline))
-		objective = min(objective, r.receivedAt+patience)
+		callerTimeout := time.Duration(s.callerTimeoutRatio.Value() * float64(c.Deadline))
+		objective = min(objective, r.receivedAt+callerTimeout)
 	}
 	return objective
 }
 
-// learnPatience notes how long a caller waited for an attempt that it cancelled. Callers may cancel long
+// updateCallerTimeout notes how long a caller waited for an attempt that it cancelled. Callers may cancel long
 // before the client stops waiting and then try elsewhere; what can't be answered by then is work for nobody.
 // There is one figure for all: of hundreds of callers each is seen too seldom. It may be too long, since
 // notices come late, or too short for retries. It is used only where a request doesn't tell its deadline:
 // broken connections and cancelled hedges would teach a patience that nobody has.
-func (s *Shedder) learnPatience(r *request) {
+func (s *Shedder) updateCallerTimeout(r *request) {
 	waited := float64(s.now-r.receivedAt) / float64(r.class.Deadline)
-	s.callerPatience.Add(min(1, waited), patienceBeta)
+	s.callerTimeoutRatio.Add(min(1, waited), callerTimeoutBeta)
 }
 
 // answerBy is when a request must have been answered.
 func (s *Shedder) answerBy(r *request) time.Duration {
-	last := r.deadline - deadlineMargin
+	latest := r.deadline - deadlineMargin
 	if s.stopAt != 0 {
-		last = min(last, s.stopAt-stopMargin)
+		latest = min(latest, s.stopAt-stopMargin)
 	}
-	return last
+	return latest
 }
 
 // answerExpired answers, at each tick, the requests that must be answered now: with a rejection if they never
@@ -65,7 +65,7 @@
 		}
 		r.expired = true
 		if r.state == queued && !r.started {
-			s.reject(r, byForecast)
+			s.reject(r, reasonForecast)
 		} else {
 			s.fail(r)
 		}
--- a/fairness.go
+++ b/fairness.go
@@ -30,26 +30,26 @@
 // updateGoalWeights finds what a unit of work of each class adds to the goal: its own weight, and for the
 // worst-served classes the weight that the goal gives to these. Requested and served work fades.
 func (s *Shedder) updateGoalWeights() {
-	total, worst, near := 0.0, 1.0, 0.0
+	total, worstShare, proximity := 0.0, 1.0, 0.0
 	for _, c := range s.classes {
 		c.requestedWork, c.servedWork = c.requestedWork*fairnessRetention, c.servedWork*fairnessRetention
 		total += c.Weight * c.requestedWork
-		worst = min(worst, c.servedShare())
+		worstShare = min(worstShare, c.servedShare())
 	}
 	for _, c := range s.classes {
-		near += c.nearness(worst)
+		proximity += c.proximityToWorst(worstShare)
 	}
 	for _, c := range s.classes {
 		c.goalWeight = (1 - s.settings.ClassMix) * c.Weight
 		if c.requestedWork > 0 {
-			c.goalWeight += s.settings.ClassMix * total / c.requestedWork * c.nearness(worst) / near
+			c.goalWeight += s.settings.ClassMix * total / c.requestedWork * c.proximityToWorst(worstShare) / proximity
 		}
 	}
 }
 
 // nearness is 1 for the worst-served class and falls as a class is served better than it.
-func (c *class) nearness(worst float64) float64 {
-	return math.Exp((worst - c.servedShare()) / worstClassSpread)
+func (c *class) proximityToWorst(worstShare float64) float64 {
+	return math.Exp((worstShare - c.servedShare()) / worstClassSpread)
 }
 
 // servedShare is the share of its requested work that was served in time: 1 for a class of which nothing was
@@ -64,12 +64,12 @@
 // setTenants gives each tenant its part of the quota on this server. A tenant that stays as it was keeps what
 // is left of its quota.
 func (s *Shedder) setTenants(now time.Duration, set Settings) {
-	old, servers := s.tenantBuckets, max(1, s.settings.Servers)
+	oldBuckets, oldServers := s.tenantBuckets, max(1, s.settings.Servers)
 	s.tenantBuckets = map[string]*window.TokenBucket{}
 	for _, t := range set.Tenants {
 		rate := t.Rate / float64(max(1, set.Servers))
-		same := slices.Contains(s.settings.Tenants, t) && servers == max(1, set.Servers)
-		if s.tenantBuckets[t.Name] = old[t.Name]; s.tenantBuckets[t.Name] == nil || !same {
+		unchanged := slices.Contains(s.settings.Tenants, t) && oldServers == max(1, set.Servers)
+		if s.tenantBuckets[t.Name] = oldBuckets[t.Name]; s.tenantBuckets[t.Name] == nil || !unchanged {
 			s.tenantBuckets[t.Name] = window.NewTokenBucket(now, rate, burstSize(rate))
 		}
 	}
@@ -81,7 +81,7 @@
 // tenantWeight is the part of its class's weight that a new request has. Quotas are counted where clients'
 // requests enter.
 func (s *Shedder) tenantWeight(tenant string) float64 {
-	if b := s.tenantBuckets[tenant]; b != nil && s.settings.Tier == 0 && !b.Take(s.now) {
+	if bucket := s.tenantBuckets[tenant]; bucket != nil && s.settings.Tier == 0 && !bucket.Take(s.now) {
 		return s.settings.OverQuotaWeight
 	}
 	return 1
--- a/idempotency.go
+++ b/idempotency.go
@@ -15,8 +15,8 @@
 // that keys of reads never take the place of requests.
 const freshMemoryRatio = limitMargin * limitMargin
 
-// joinsDuplicate reports whether a request is a duplicate that takes the result of the one it names.
-func (s *Shedder) joinsDuplicate(r *request) bool {
+// isJoinableDuplicate reports whether a request is a duplicate that takes the result of the one it names.
+func (s *Shedder) isJoinableDuplicate(r *request) bool {
 	return r.DuplicateOf != "" &&
 		(r.class.Effect == Idempotent || r.class.Effect == Safe && s.settings.FreshFor > 0)
 }
@@ -55,7 +55,7 @@
 
 // forgetKey forgets a request that has not run, so that a retry of it may.
 func (s *Shedder) forgetKey(r *request) {
-	if s.remembered.has(r.ID) {
+	if s.remembered.contains(r.ID) {
 		s.remembered.remove(r.ID)
 		s.host.ForgetKey(r.ID)
 	}
@@ -69,36 +69,36 @@
 }
 
 type keyEntry struct {
-	id       string
-	until    time.Duration
-	memoryKB float64
+	id        string
+	expiresAt time.Duration
+	memoryKB  float64
 }
 
 func newKeyTable() keyTable { return keyTable{ids: map[string]bool{}} }
 
-func (t *keyTable) has(id string) bool { return t.ids[id] }
+func (t *keyTable) contains(id string) bool { return t.ids[id] }
 
 // add remembers an id, unless it is remembered already.
-func (t *keyTable) add(id string, until time.Duration, memoryKB float64) {
+func (t *keyTable) add(id string, expiresAt time.Duration, memoryKB float64) {
 	if !t.ids[id] {
 		t.ids[id] = true
-		t.entries = append(t.entries, keyEntry{id, until, memoryKB})
+		t.entries = append(t.entries, keyEntry{id, expiresAt, memoryKB})
 		t.memoryKB += memoryKB
 	}
 }
 
 func (t *keyTable) remove(id string) {
-	t.drop(func(e keyEntry) bool { return e.id == id })
+	t.removeIf(func(e keyEntry) bool { return e.id == id })
 }
 
 func (t *keyTable) expire(now time.Duration) {
-	t.drop(func(e keyEntry) bool { return e.until < now })
+	t.removeIf(func(e keyEntry) bool { return e.expiresAt < now })
 }
 
-func (t *keyTable) drop(out func(keyEntry) bool) {
+func (t *keyTable) removeIf(matches func(keyEntry) bool) {
 	kept := t.entries[:0]
 	for _, e := range t.entries {
-		if out(e) {
+		if matches(e) {
 			delete(t.ids, e.id)
 			t.memoryKB -= e.memoryKB
 		} else {
--- a/internal/policy/window/window.go
+++ b/internal/policy/window/window.go
@@ -35,29 +35,29 @@
 // part of its time says nothing of a rate.
 func (w *Rolling) Each(now time.Duration, f func(Bucket)) {
 	w.advance(now)
-	n := int64(len(w.buckets))
-	for i := w.current - n + 1; i < w.current; i++ {
+	count := int64(len(w.buckets))
+	for i := w.current - count + 1; i < w.current; i++ {
 		f(*w.bucket(i))
 	}
 }
 
 // bucket returns the place of the bucket of that number.
 func (w *Rolling) bucket(number int64) *Bucket {
-	n := int64(len(w.buckets))
-	return &w.buckets[((number%n)+n)%n]
+	count := int64(len(w.buckets))
+	return &w.buckets[((number%count)+count)%count]
 }
 
 // advance empties the buckets that have left the window since the last call.
 func (w *Rolling) advance(now time.Duration) {
-	number := int64(now / w.width)
-	if number <= w.current {
+	newest := int64(now / w.width)
+	if newest <= w.current {
 		return
 	}
-	first := max(w.current+1, number-int64(len(w.buckets))+1)
-	for i := first; i <= number; i++ {
+	first := max(w.current+1, newest-int64(len(w.buckets))+1)
+	for i := first; i <= newest; i++ {
 		*w.bucket(i) = Bucket{}
 	}
-	w.current = number
+	w.current = newest
 }
 
 // Average is an exponential moving average; its zero value starts at 0.
@@ -72,18 +72,18 @@
 // TokenBucket holds tokens that come at a steady rate, in tokens a second, up to a burst.
 type TokenBucket struct {
 	rate, burst, tokens float64
-	refilled            time.Duration
+	refilledAt          time.Duration
 }
 
 // NewTokenBucket returns a full bucket with a rate in tokens a second.
 func NewTokenBucket(now time.Duration, rate, burst float64) *TokenBucket {
-	return &TokenBucket{rate: rate, burst: burst, tokens: burst, refilled: now}
+	return &TokenBucket{rate: rate, burst: burst, tokens: burst, refilledAt: now}
 }
 
 // Take takes a token and reports whether there was one.
 func (b *TokenBucket) Take(now time.Duration) bool {
-	b.tokens = min(b.burst, b.tokens+b.rate*(now-b.refilled).Seconds())
-	b.refilled = now
+	b.tokens = min(b.burst, b.tokens+b.rate*(now-b.refilledAt).Seconds())
+	b.refilledAt = now
 	if b.tokens < 1 {
 		return false
 	}
--- a/overload.go
+++ b/overload.go
@@ -54,25 +54,25 @@
 // are taken for one that they hold minCompletions on average. At high rates this is the source's own figure;
 // with hardly a completion in the window it is the source's default.
 func (s *Shedder) maxInFlight(c *class) float64 {
-	total := 0
-	c.completions.Each(s.now, func(b window.Bucket) { total += b.Count })
-	merged := min(windowBuckets-1, max(1, (minCompletions*windowBuckets+total-1)/max(1, total)))
+	count := 0
+	c.completions.Each(s.now, func(b window.Bucket) { count += b.Count })
+	bucketsPerGroup := min(windowBuckets-1, max(1, (minCompletions*windowBuckets+count-1)/max(1, count)))
 	rate, minResponse := windowBuckets/windowLength.Seconds(), maxMinResponseTime.Seconds()
-	if total >= minCompletions {
+	if count >= minCompletions {
 		rate = 0
 	}
-	var sum window.Bucket
-	n := 0
+	var group window.Bucket
+	groupBuckets := 0
 	c.completions.Each(s.now, func(b window.Bucket) {
-		sum.Sum, sum.Count, n = sum.Sum+b.Sum, sum.Count+b.Count, n+1
-		if n < merged {
+		group.Sum, group.Count, groupBuckets = group.Sum+b.Sum, group.Count+b.Count, groupBuckets+1
+		if groupBuckets < bucketsPerGroup {
 			return
 		}
-		rate = max(rate, float64(sum.Count)/float64(n)*windowBuckets/windowLength.Seconds())
-		if sum.Count >= minCompletions {
-			minResponse = min(minResponse, sum.Sum/float64(sum.Count))
+		rate = max(rate, float64(group.Count)/float64(groupBuckets)*windowBuckets/windowLength.Seconds())
+		if group.Count >= minCompletions {
+			minResponse = min(minResponse, group.Sum/float64(group.Count))
 		}
-		sum, n = window.Bucket{}, 0
+		group, groupBuckets = window.Bucket{}, 0
 	})
 	return min(max(rate*minResponse, float64(s.settings.Cores)), s.maxRuns())
 }
--- a/overload_test.go
+++ b/overload_test.go
@@ -128,7 +128,7 @@
 	s.RunEnded(time.Millisecond, "a", NotStarted, 0)
 	n, c := 0, s.classByName["book"]
 	c.completions.Each(s.now, func(b window.Bucket) { n += b.Count })
-	if n != 0 || c.requestedWork != 0 || c.inFlight != 0 || s.remembered.has("a") || !h.called("forget a") {
+	if n != 0 || c.requestedWork != 0 || c.inFlight != 0 || s.remembered.contains("a") || !h.called("forget a") {
 		t.Errorf("%d passes, work asked for %v, %d in flight: %v", n, c.requestedWork, c.inFlight, h.lines)
 	}
 }
--- a/pools_test.go
+++ b/pools_test.go
@@ -139,7 +139,7 @@
 	s, _ := newTestShedder(t, func(set *Settings) { set.Signal = SignalCredit })
 	s.RejectedUnread(time.Second, "read", 100)
 	s.RejectedUnread(time.Second, "nothing", 100)
-	if s.arrivals != 100 || s.rejections != 100 || s.rejectedBy[byForecast] != 100 || s.classByName["read"].requestedWork <= 0 {
+	if s.arrivals != 100 || s.rejections != 100 || s.rejectedBy[reasonForecast] != 100 || s.classByName["read"].requestedWork <= 0 {
 		t.Errorf("arrivals %v, rejections %v, by rule %v", s.arrivals, s.rejections, s.rejectedBy)
 	}
 	for range 40 {
--- a/queue.go
+++ b/queue.go
@@ -20,10 +20,10 @@
 	// pauseRatio is how many times the runLimit runs on the cores before any is paused. Found by trial; lowering
 	// it pauses runs over the ordinary swing of calls that end together.
 	pauseRatio = 1.5
-	// newcomerSlack is the part of a newcomer's time that the forecast must leave free where pools have queues
+	// arrivalSlack is the part of a newcomer's time that the forecast must leave free where pools have queues
 	// of their own. Such a queue moves on unevenly, and a caller is better told on arrival than after waiting in
 	// vain.
-	newcomerSlack = 0.2
+	arrivalSlack = 0.2
 )
 
 // ranked returns the unanswered requests in one of the states, the best first.
@@ -53,63 +53,63 @@
 // every event that may have changed either.
 func (s *Shedder) schedule() {
 	slowdown := s.slowdown()
-	ahead := map[string]float64{}    // seconds of work before the next request, by queue
-	requests := map[string]float64{} // requests in hand, by queue
-	last := map[string]int{}         // place of the least ranked request, by queue
+	workAhead := map[string]float64{}    // seconds of work before the next request, by queue
+	requestCount := map[string]float64{} // requests in hand, by queue
+	lastIndex := map[string]int{}        // place of the least ranked request, by queue
 	for _, r := range s.requests {
-		requests[s.queueOf(r)]++
+		requestCount[s.queueOf(r)]++
 		switch r.state {
 		case running, preempting, awaitingCall, calling:
-			ahead[s.queueOf(r)] += s.remainingWork(r, slowdown)
+			workAhead[s.queueOf(r)] += s.remainingWork(r, slowdown)
 		}
 	}
 	s.pauseSurplus()
 	list := s.ranked(queued, paused)
 	for i, r := range list {
-		last[s.queueOf(r)] = i
+		lastIndex[s.queueOf(r)] = i
 	}
 	for i, r := range list {
 		queue, concurrency := s.queueOf(r), s.concurrencyOf(r)
 		if s.hasCapacity(r) {
 			s.startRun(r)
 			if r.state == running {
-				ahead[queue] += s.remainingWork(r, slowdown)
+				workAhead[queue] += s.remainingWork(r, slowdown)
 				continue
 			}
 		}
 		work := s.remainingWork(r, slowdown)
-		finish := s.forecast(r, ahead[queue], work, concurrency)
-		tooMany := i == last[queue] && requests[queue] > s.maxRuns()*min(1, concurrency/s.runLimit())
-		if r.state == queued && !r.started && (tooMany || finish > s.latestFinish(r, queue)) {
-			requests[queue]--
-			s.reject(r, rejectionFor(tooMany))
+		finish := s.forecast(r, workAhead[queue], work, concurrency)
+		overMaxRuns := i == lastIndex[queue] && requestCount[queue] > s.maxRuns()*min(1, concurrency/s.runLimit())
+		if r.state == queued && !r.started && (overMaxRuns || finish > s.latestFinish(r, queue)) {
+			requestCount[queue]--
+			s.reject(r, queueRejectionReason(overMaxRuns))
 			continue
 		}
-		ahead[queue] += work
+		workAhead[queue] += work
 	}
 }
 
-// rejectionFor names what rejected a queued request: there are more than the server survives, or its
+// queueRejectionReason names what rejected a queued request: there are more than the server survives, or its
 // forecast.
-func rejectionFor(tooMany bool) rejectionReason {
-	if tooMany {
-		return byGuard
+func queueRejectionReason(overMaxRuns bool) rejectionReason {
+	if overMaxRuns {
+		return reasonGuard
 	}
-	return byForecast
+	return reasonForecast
 }
 
 // forecast is when a request is expected to finish that has so many seconds of work before it and of its own,
 // with so many runs of its queue at once.
 func (s *Shedder) forecast(r *request, ahead, work, concurrency float64) time.Duration {
-	stay := ahead/concurrency + work/min(1, concurrency) + max(0, r.class.typicalCallWait-r.callWait.Seconds())
-	return s.now + seconds(stay)
+	delay := ahead/concurrency + work/min(1, concurrency) + max(0, r.class.typicalCallWait-r.callWait.Seconds())
+	return s.now + seconds(delay)
 }
 
 // latestFinish is the forecast up to which a request stays queued.
 func (s *Shedder) latestFinish(r *request, queue string) time.Duration {
 	end := min(r.objective, s.answerBy(r))
 	if queue != "" && r.arrivedAt == s.now {
-		end -= time.Duration(newcomerSlack * float64(end-s.now))
+		end -= time.Duration(arrivalSlack * float64(end-s.now))
 	}
 	return end
 }
--- a/record.go
+++ b/record.go
@@ -44,7 +44,7 @@
 	completedCoreTime float64        // seconds on the cores of all runs, faded: the slowdown is this ...
 	completedWork     float64        // ... divided by this, the expected work of the completed, in seconds
 	baselineSlowdown  float64
-	baselineFrom      time.Duration // when the baseline began to be learned
+	baselineStart     time.Duration // when the baseline began to be learned
 
 	// Calls to the dependency.
 	typicalCallTime  float64       // seconds, of late
@@ -60,27 +60,27 @@
 	arrivalRate          window.Average // requests a second
 	pressure             float64        // from 0 to 1
 	idleTimeout          time.Duration  // connections idle for longer are closed; 0: the longest
-	callerPatience       window.Average // share of the deadline after which callers cancel
+	callerTimeoutRatio   window.Average // share of the deadline after which callers cancel
 
 	// Graceful shutdown.
 	drainStartedAt time.Duration
 	stopAt         time.Duration // 0 until the notice to leave
 
 	// What was logged last.
-	loggedOverload    bool
-	rejectedBy        [rejectionReasons]int // since the overload began
-	loggedSlowCalls   bool
-	slowCallsLoggedAt time.Duration // when calls were last as logged
+	loggedOverload       bool
+	rejectedBy           [rejectionReasonCount]int // since the overload began
+	loggedSlowCalls      bool
+	slowCallsConfirmedAt time.Duration // when calls were last as logged
 }
 
 // rejectionReason is the rule that rejected a request.
 type rejectionReason int
 
 const (
-	byConcurrencyLimit rejectionReason = iota // the ordinary path
-	byGuard                                   // memory, keys, drain, more in hand than the server survives
-	byForecast                                // it can't make its objective
-	rejectionReasons                          // how many there are
+	reasonConcurrencyLimit rejectionReason = iota // the ordinary path
+	reasonGuard                                   // memory, keys, drain, more in hand than the server survives
+	reasonForecast                                // it can't make its objective
+	rejectionReasonCount                          // how many there are
 )
 
 // requestState is where a request stands on its way. It begins queued and ends finished.
@@ -98,7 +98,7 @@
 )
 
 // places are the states as pools are told of them.
-var places = [finished + 1]Place{
+var placeOfState = [finished + 1]Place{
 	queued: PlaceWaiting, running: PlaceOnCores, preempting: PlaceOnCores, paused: PlaceAway,
 	awaitingCall: PlaceAway, calling: PlaceAway, joined: PlaceAway, finished: PlaceOver,
 }
@@ -119,9 +119,9 @@
 	typicalCallWait           float64 // seconds that calls of its requests are out
 }
 
-// learningDivisor: the mean work and call wait of a class move by one in so many parts of the distance to
+// classMeanDivisor: the mean work and call wait of a class move by one in so many parts of the distance to
 // each completed request's own, so that ten requests show a change.
-const learningDivisor = 10
+const classMeanDivisor = 10
 
 // request is the record of one request.
 type request struct {
@@ -143,27 +143,27 @@
 	tenantWeight float64       // part of its class's weight: less beyond the tenant's quota
 	expectedWork float64       // seconds on a standard core
 
-	stateSince   time.Duration
-	coreClockAt  time.Duration // core clock when the state began
-	coreTime     time.Duration // on the cores, before this state
-	callWait     time.Duration // time that its calls were out
-	callDeadline time.Duration // when an outstanding call is given up
-	nextCallAt   time.Duration // when its next call may be made
-	backoff      time.Duration // before the call is made again
+	stateSince       time.Duration
+	coreClockAtState time.Duration // core clock when the state began
+	coreTime         time.Duration // on the cores, before this state
+	callWait         time.Duration // time that its calls were out
+	callDeadline     time.Duration // when an outstanding call is given up
+	nextCallAt       time.Duration // when its next call may be made
+	backoff          time.Duration // before the call is made again
 }
 
 // register makes the record of a request that arrived. It is queued, though not yet admitted.
-func (s *Shedder) register(q Request, c *class) *request {
+func (s *Shedder) register(incoming Request, c *class) *request {
 	s.lastSeq++
 	s.arrivals++
 	r := &request{
-		Request: q, seq: s.lastSeq, class: c, arrivedAt: s.now, stateSince: s.now, backoff: firstCallBackoff,
-		receivedAt: s.now - q.Unread, expectedWork: q.ExpectedWork.Seconds(),
-		tenantWeight: s.tenantWeight(q.Tenant),
+		Request: incoming, seq: s.lastSeq, class: c, arrivedAt: s.now, stateSince: s.now, backoff: firstCallBackoff,
+		receivedAt: s.now - incoming.Unread, expectedWork: incoming.ExpectedWork.Seconds(),
+		tenantWeight: s.tenantWeight(incoming.Tenant),
 	}
 	r.deadline = r.receivedAt + c.Deadline
-	if q.Deadline > 0 {
-		r.deadline = q.Deadline
+	if incoming.Deadline > 0 {
+		r.deadline = incoming.Deadline
 	}
 	if r.expectedWork <= 0 {
 		r.expectedWork = max(c.meanWork, minWork)
@@ -184,27 +184,27 @@
 		r.coreTime = s.coreTimeSoFar(r)
 	}
 	if r.state == calling {
-		spent := s.now - r.stateSince
-		r.callWait += spent
+		callTime := s.now - r.stateSince
+		r.callWait += callTime
 		if to != running { // it may have been given up, and linger
-			spent += s.settings.CallLinger
+			callTime += s.settings.CallLinger
 		}
-		s.finishedCalls = append(s.finishedCalls, finishedCall{s.now, spent})
+		s.finishedCalls = append(s.finishedCalls, finishedCall{s.now, callTime})
 	}
 	s.memoryKB -= s.requestMemoryKB(r)
 	s.stateCount[r.state]--
-	r.state, r.stateSince, r.coreClockAt = to, s.now, s.coreClock
+	r.state, r.stateSince, r.coreClockAtState = to, s.now, s.coreClock
 	s.stateCount[r.state]++
 	s.memoryKB += s.requestMemoryKB(r)
 	s.notifyPools(r)
 }
 
 // complete notes that a request's run, or the one it joined, came to its end, which answers it.
-func (s *Shedder) complete(now time.Duration, r *request, o Outcome) {
+func (s *Shedder) complete(now time.Duration, r *request, outcome Outcome) {
 	r.completed = true
 	if !r.answered {
 		r.answered = true
-		if o == OK && now <= r.objective {
+		if outcome == OK && now <= r.objective {
 			r.class.servedWork += r.expectedWork
 		}
 	}
@@ -219,25 +219,25 @@
 	wasJoined := r.state == joined
 	s.setState(r, finished)
 	delete(s.requestByID, r.ID)
-	s.requests = slices.DeleteFunc(s.requests, func(x *request) bool { return x == r })
+	s.requests = slices.DeleteFunc(s.requests, func(other *request) bool { return other == r })
 	s.recordCompletion(r)
-	s.learnWork(r, wasJoined)
+	s.recordWork(r, wasJoined)
 }
 
-// learnWork counts the work of a request that is over towards the slowdown and, where its own run came to its
+// recordWork counts the work of a request that is over towards the slowdown and, where its own run came to its
 // end, towards the mean of its class.
-func (s *Shedder) learnWork(r *request, wasJoined bool) {
+func (s *Shedder) recordWork(r *request, wasJoined bool) {
 	switch {
 	case !r.completed:
 		s.completedWork += min(r.expectedWork, r.coreTime.Seconds()/s.baselineSlowdown)
 	case !wasJoined:
 		s.completedWork += r.expectedWork
-		r.class.typicalCallWait += (r.callWait.Seconds() - r.class.typicalCallWait) / learningDivisor
+		r.class.typicalCallWait += (r.callWait.Seconds() - r.class.typicalCallWait) / classMeanDivisor
 		work := r.expectedWork
 		if r.ExpectedWork <= 0 { // not told: what it took
 			work = r.coreTime.Seconds()
 		}
-		r.class.meanWork += (work - r.class.meanWork) / learningDivisor
+		r.class.meanWork += (work - r.class.meanWork) / classMeanDivisor
 	}
 }
 
@@ -255,7 +255,7 @@
 // notifyPools tells the pools where a request is.
 func (s *Shedder) notifyPools(r *request) {
 	if s.pools != nil {
-		s.pools.Moved(s.now, r.ID, r.class.Name, places[r.state])
+		s.pools.Moved(s.now, r.ID, r.class.Name, placeOfState[r.state])
 	}
 }
 
--- a/settings.go
+++ b/settings.go
@@ -11,28 +11,28 @@
 // Aim and AimStretch (Objective), Worth (Weight), LateWorth (LateWeight), KeyWindow (IdempotencyWindow), WithoutCall
 // (DegradedWeight), ColdFrom (ColdSpeed), WarmWithin (WarmupTime), CrowdLimit (MaxRunsPerCore), CrowdWindow
 // (RunsWindow), OverShareWorth (OverQuotaWeight), MaxAdvice (MaxRetryAfter) and CallShare (CallQuota).
-func check(set *Settings) error {
+func validate(set *Settings) error {
 	if set.Cores <= 0 {
-		return missing("Cores")
+		return errMissing("Cores")
 	}
 	if !(set.MemoryKB > 0) {
-		return missing("MemoryKB")
+		return errMissing("MemoryKB")
 	}
 	if len(set.Classes) == 0 {
-		return missing("Classes")
+		return errMissing("Classes")
 	}
 	for _, f := range []intField{{"Servers", set.Servers}, {"Callers", set.Callers}, {"Tier", set.Tier}} {
 		if f.value < 0 {
 			return fmt.Errorf("%s: negative: %d", f.name, f.value)
 		}
 	}
-	if err := checkClasses(set.Classes); err != nil {
+	if err := validateClasses(set.Classes); err != nil {
 		return err
 	}
-	if err := checkNumbers(numberFields(set)); err != nil {
+	if err := validateNumbers(numberFields(set)); err != nil {
 		return err
 	}
-	if err := checkDurations(durationFields(set)); err != nil {
+	if err := validateDurations(durationFields(set)); err != nil {
 		return err
 	}
 	set.MaxRunsPerCore = max(1, set.MaxRunsPerCore)
@@ -40,7 +40,7 @@
 	return nil
 }
 
-func missing(field string) error { return fmt.Errorf("%s: none", field) }
+func errMissing(field string) error { return fmt.Errorf("%s: none", field) }
 
 type intField struct {
 	name  string
@@ -60,7 +60,7 @@
 // maxDuration is the longest time that a setting may have: sums of a few stay within their type.
 const maxDuration = 366 * 24 * time.Hour
 
-func checkClasses(classes []Class) error {
+func validateClasses(classes []Class) error {
 	names := map[string]bool{}
 	for i, c := range classes {
 		if names[c.Name] {
@@ -68,7 +68,7 @@
 		}
 		names[c.Name] = true
 		if c.Deadline <= 0 {
-			return missing(fmt.Sprintf("Classes[%d].Deadline", i))
+			return errMissing(fmt.Sprintf("Classes[%d].Deadline", i))
 		}
 	}
 	return nil
@@ -91,7 +91,7 @@
 	return fields
 }
 
-func checkNumbers(fields []numberField) error {
+func validateNumbers(fields []numberField) error {
 	for _, f := range fields {
 		if !(f.value >= 0) || math.IsInf(f.value, 1) {
 			return fmt.Errorf("%s: not a number of 0 or more: %v", f.name, f.value)
@@ -114,7 +114,7 @@
 	return fields
 }
 
-func checkDurations(fields []durationField) error {
+func validateDurations(fields []durationField) error {
 	for _, f := range fields {
 		if f.value < 0 || f.value > maxDuration {
 			return fmt.Errorf("%s: negative, or longer than a year: %v", f.name, f.value)
--- a/shedder.go
+++ b/shedder.go
@@ -51,11 +51,11 @@
 	if host == nil {
 		return nil, errors.New("silverpath: no host")
 	}
-	if err := check(&set); err != nil {
+	if err := validate(&set); err != nil {
 		return nil, fmt.Errorf("silverpath: impossible settings: %w", err)
 	}
 	s := &Shedder{
-		settings: set, host: host, now: now, startedAt: now, baselineFrom: now, nextSample: now + sampleInterval,
+		settings: set, host: host, now: now, startedAt: now, baselineStart: now, nextSample: now + sampleInterval,
 		requestByID: map[string]*request{}, remembered: newKeyTable(),
 	}
 	s.setClassesAndTenants(now, set)
@@ -64,7 +64,7 @@
 	s.completedWork = float64(set.Cores)
 	s.completedCoreTime = s.completedWork / math.Sqrt(s.warmupSpeed())
 	s.coresPerRun.Add(1, 0)
-	s.callerPatience.Add(1, 0)
+	s.callerTimeoutRatio.Add(1, 0)
 	host.Health(true)
 	host.Wake(tickInterval)
 	return s, nil
@@ -78,7 +78,7 @@
 func (s *Shedder) Started(now, ago time.Duration, cold bool) {
 	s.advanceClock(now)
 	s.settings.Cold, s.startedAt = cold, now-ago
-	s.baselineFrom = max(s.baselineFrom, s.startedAt)
+	s.baselineStart = max(s.baselineStart, s.startedAt)
 }
 
 // Reconfigure takes up other settings, whole or not at all. Requests in hand keep the class they came with; a
@@ -86,7 +86,7 @@
 // did, as before. The error names the field of settings that no server can have.
 func (s *Shedder) Reconfigure(now time.Duration, set Settings) error {
 	s.advanceClock(now)
-	if err := check(&set); err != nil {
+	if err := validate(&set); err != nil {
 		return fmt.Errorf("silverpath: impossible settings: %w", err)
 	}
 	set.Cold = s.settings.Cold
@@ -99,44 +99,44 @@
 
 // setClassesAndTenants replaces classes and tenants. Those that stay keep their statistics and quota.
 func (s *Shedder) setClassesAndTenants(now time.Duration, set Settings) {
-	classes := s.classByName
+	oldClasses := s.classByName
 	s.classes, s.classByName = nil, map[string]*class{}
 	for _, c := range set.Classes {
-		k := &class{c, &classStats{
+		added := &class{c, &classStats{
 			goalWeight: c.Weight, completions: window.NewRolling(windowBuckets, windowLength/windowBuckets),
 		}}
-		if old := classes[c.Name]; old != nil {
-			k.classStats = old.classStats
+		if old := oldClasses[c.Name]; old != nil {
+			added.classStats = old.classStats
 		}
-		s.classes = append(s.classes, k)
-		s.classByName[c.Name] = k
+		s.classes = append(s.classes, added)
+		s.classByName[c.Name] = added
 	}
 	s.setTenants(now, set)
 }
 
 // Arrive takes a request that was just read. It is answered sooner or later, once.
-func (s *Shedder) Arrive(now time.Duration, q Request) {
+func (s *Shedder) Arrive(now time.Duration, incoming Request) {
 	s.advanceClock(now)
-	if s.requestByID[q.ID] != nil {
+	if s.requestByID[incoming.ID] != nil {
 		return // the same id again: the first still waits for its answer
 	}
-	c := s.classByName[q.Class]
+	c := s.classByName[incoming.Class]
 	if c == nil {
-		s.host.Reject(q.ID, 0, true)
+		s.host.Reject(incoming.ID, 0, true)
 		return
 	}
-	if s.remembered.has(q.ID) {
-		s.host.Fail(q.ID) // this very request has been run
+	if s.remembered.contains(incoming.ID) {
+		s.host.Fail(incoming.ID) // this very request has been run
 		return
 	}
-	r := s.register(q, c)
+	r := s.register(incoming, c)
 	switch {
-	case s.joinsDuplicate(r):
+	case s.isJoinableDuplicate(r):
 		s.join(r)
 	case s.overloaded(c):
-		s.reject(r, byConcurrencyLimit)
+		s.reject(r, reasonConcurrencyLimit)
 	case !s.admissible(r):
-		s.reject(r, byGuard)
+		s.reject(r, reasonGuard)
 	default:
 		s.rememberKey(r)
 		s.schedule()
@@ -153,7 +153,7 @@
 	s.advanceClock(now)
 	if c := s.classByName[class]; c != nil && n > 0 {
 		s.arrivals, s.rejections = s.arrivals+float64(n), s.rejections+float64(n)
-		s.rejectedBy[byForecast] += n
+		s.rejectedBy[reasonForecast] += n
 		c.requestedWork += float64(n) * max(c.meanWork, minWork)
 	}
 }
@@ -166,7 +166,7 @@
 		return
 	}
 	r.answered = true
-	s.learnPatience(r)
+	s.updateCallerTimeout(r)
 	switch r.state {
 	case queued, paused, joined:
 		s.release(r)
@@ -190,37 +190,37 @@
 }
 
 // CallEnded reports how a call ended, and how long it took.
-func (s *Shedder) CallEnded(now time.Duration, id string, o Outcome, spent time.Duration) {
+func (s *Shedder) CallEnded(now time.Duration, id string, outcome Outcome, duration time.Duration) {
 	s.advanceClock(now)
 	r := s.requestByID[id]
 	if r == nil || r.state != calling {
 		return
 	}
-	if o == OK || o == TimedOut {
-		s.adaptSharedCalls(spent.Seconds())
+	if outcome == OK || outcome == TimedOut {
+		s.adaptSharedCalls(duration.Seconds())
 	}
-	s.adaptTierCalls(o)
-	if o == OK {
+	s.adaptTierCalls(outcome)
+	if outcome == OK {
 		s.setState(r, running)
 	} else {
 		s.setState(r, awaitingCall)
-		s.scheduleCallRetry(now, r, o)
+		s.scheduleCallRetry(now, r, outcome)
 	}
 	s.decideCalls()
 	s.schedule()
 }
 
 // RunEnded reports that a run, or a join, has ended.
-func (s *Shedder) RunEnded(now time.Duration, id string, o Outcome, spent time.Duration) {
+func (s *Shedder) RunEnded(now time.Duration, id string, outcome Outcome, duration time.Duration) {
 	s.advanceClock(now)
 	r := s.requestByID[id]
 	if r == nil || r.state == queued || r.state == paused {
 		return
 	}
 	switch {
-	case o == OK || o == Failed:
-		s.complete(now, r, o)
-	case o == NotStarted && !r.answered: // neither a completion nor work that was asked for
+	case outcome == OK || outcome == Failed:
+		s.complete(now, r, outcome)
+	case outcome == NotStarted && !r.answered: // neither a completion nor work that was asked for
 		r.started = false
 		r.class.requestedWork = max(0, r.class.requestedWork-r.expectedWork)
 		s.forgetKey(r)
@@ -262,10 +262,10 @@
 // each run has: what runs take from each other is no sign that the server itself is slow.
 func (s *Shedder) advanceClock(now time.Duration) {
 	now = max(s.now, now)
-	passed := time.Duration(float64(now-s.now) * s.coreShare())
-	s.coreClock += passed
-	s.sampleCoreTime += float64(s.runsOnCores()) * passed.Seconds()
-	s.completedCoreTime += float64(s.runsOnCores()) * passed.Seconds()
+	coreTime := time.Duration(float64(now-s.now) * s.coreShare())
+	s.coreClock += coreTime
+	s.sampleCoreTime += float64(s.runsOnCores()) * coreTime.Seconds()
+	s.completedCoreTime += float64(s.runsOnCores()) * coreTime.Seconds()
 	s.now = now
 }
 
--- a/transitions.go
+++ b/transitions.go
@@ -26,8 +26,8 @@
 		s.host.Log(fmt.Sprintf("overload begins: CPU %.2f, %d in hand", s.cpu.Value(), len(s.requests)))
 	default:
 		s.host.Log(fmt.Sprintf("overload ends: refused %d by the flight limit, %d by guards, %d by the forecast",
-			s.rejectedBy[byConcurrencyLimit], s.rejectedBy[byGuard], s.rejectedBy[byForecast]))
-		s.rejectedBy = [rejectionReasons]int{}
+			s.rejectedBy[reasonConcurrencyLimit], s.rejectedBy[reasonGuard], s.rejectedBy[reasonForecast]))
+		s.rejectedBy = [rejectionReasonCount]int{}
 	}
 	s.loggedOverload = overloaded
 }
@@ -35,8 +35,8 @@
 func (s *Shedder) logSlowCalls() {
 	slow := s.callsAreSlow()
 	if slow == s.loggedSlowCalls {
-		s.slowCallsLoggedAt = s.now
-	} else if s.now-s.slowCallsLoggedAt >= windowLength {
+		s.slowCallsConfirmedAt = s.now
+	} else if s.now-s.slowCallsConfirmedAt >= windowLength {
 		s.loggedSlowCalls = slow
 		s.host.Log(fmt.Sprintf("calls slow: %v, they take %.2f s and took %.2f s", slow,
 			s.typicalCallTime, s.baseCallTime))
