--- a/admission.go
+++ b/admission.go
@@ -1,27 +1,27 @@
 package silverpath
 
-// Admission: the guards. They keep what the settings tell of the server (memory, runs that it survives, grace
-// after the notice to leave) at limitMargin of each, whatever the ordinary path lets through. A request
-// passes them twice: when it is queued, for the memory that it takes there, and when it starts, for the
-// memory and the place of a run.
+// Admission guards keep the server within the hard limits of its settings: memory, the number of runs that
+// it survives, and the grace period after a drain notice. Each limit is applied at limitMargin of its
+// value, whatever the adaptive concurrency limit admits. A request is checked twice: when it is queued, for
+// the memory that it takes in the queue, and when it starts, for the memory and the slot of a run.
 //
-// Inputs: memory of the requests in hand and of the remembered keys (kilobytes), the number of started runs,
-// the state of the drain, and the pools, where there are any.
+// Inputs: memory of all open requests and of the remembered keys (kilobytes), the number of started runs,
+// the drain state, and the pools, if there are any.
 
-// limitMargin is the part of a limit from the settings that is used. The rest is for what the module doesn't
-// see: the host's own memory, and actions that are still on their way.
+// limitMargin is the usable fraction of a limit from the settings. The rest covers what the module does not
+// see: the memory of the host itself, and actions that the host has not carried out yet.
 const limitMargin = 0.9
 
-// admissible reports whether a request may be queued: there is memory for it and its key, the drain lets it
-// run, and its pool takes one more.
+// admissible reports whether a request may be queued: memory is free for the request and its key, the drain
+// allows it to run, and its pool admits it.
 func (s *Shedder) admissible(r *request) bool {
 	return s.memoryKB+s.remembered.memoryKB+s.keyMemoryKB(r) <= limitMargin*s.settings.MemoryKB &&
 		s.drainAllows(r) && (s.pools == nil || s.pools.Admits(r.class.Name))
 }
 
-// hasCapacity reports whether one more run stays within the limits of memory, of the cores and of its pool.
-// All started runs count against what the server survives, since those that wait for disk or a call come back
-// by themselves.
+// hasCapacity reports whether one more run stays within the limits on memory, on cores and of its pool.
+// Every started run counts towards maxRuns, also one that waits for disk or for a call, because it returns
+// to the cores without passing this check again.
 func (s *Shedder) hasCapacity(r *request) bool {
 	extraKB := 0.0
 	if r.state == queued {
@@ -35,9 +35,9 @@
 		(s.pools == nil || s.pools.HasCapacity(s.now, r.class.Name))
 }
 
-// startRun starts a queued request or resumes a paused one, if it may run and there is capacity. It is the
-// only place that asks the host for a run. A request whose class has an effect starts once: that it was
-// started is noted first, so that a run which comes back unfinished is not started again.
+// startRun starts a queued request or resumes a paused one if it is allowed to run and there is capacity.
+// It is the only caller of Host.Run. A request of a class with an effect starts at most once: r.started is
+// set before the host is called, so a run that comes back unfinished is not started again.
 func (s *Shedder) startRun(r *request) {
 	if r.state == queued && (r.started && r.class.Effect != Safe || !s.drainAllows(r)) || !s.hasCapacity(r) {
 		return
--- a/answer.go
+++ b/answer.go
@@ -1,11 +1,11 @@
 package silverpath
 
-// Answers that the module gives itself. A rejection promises that the request never ran, so that it may be
-// sent again anywhere; a failure promises nothing. Each request is answered once: the flag answered is set
-// before the host is asked, and all that would answer looks at it.
+// Answers that the module gives itself. A rejection guarantees that the request never ran, so the caller
+// may send it again to any server; a failure guarantees nothing. Each request is answered once: the flag
+// answered is set before the host is called, and every path that answers checks it.
 
-// reject answers a request that has never run. One that was started fails instead, whatever led here: a
-// caller that is told that it never ran would send it again, and its effect would come twice.
+// reject rejects a request that has never run. A request that was started fails instead: after a rejection
+// the caller would send it again, and its effect could occur twice.
 func (s *Shedder) reject(r *request, reason rejectionReason) {
 	if r.started || r.answered {
 		s.fail(r)
@@ -21,7 +21,7 @@
 	s.release(r)
 }
 
-// fail answers a request without assurance and stops its work where that can be done.
+// fail answers a request with a failure and stops its work if the host can stop it.
 func (s *Shedder) fail(r *request) {
 	if r.answered {
 		return
@@ -39,7 +39,8 @@
 	}
 }
 
-// preempt stops running work, where the host can. The run ends with RunEnded.
+// preempt asks the host to stop a running request, if the settings allow preemption. The host reports the
+// end of the run through RunEnded.
 func (s *Shedder) preempt(r *request) {
 	if s.settings.Preemption != PreemptNone {
 		s.setState(r, preempting)
--- a/api.go
+++ b/api.go
@@ -1,217 +1,223 @@
-// Package silverpath is an overload controller for one server of a fleet. It decides which requests the server
-// admits, runs and rejects, how long an outgoing call may take, and what callers are told.
+// Package silverpath implements an overload controller for one server of a fleet. The controller decides
+// which requests the server admits, runs and rejects, sets the timeout of outgoing calls, and sets the
+// signals that callers receive.
 //
-// A server creates one [Shedder] with [New], reports events to it by calling its methods, and carries out the
-// actions that the Shedder asks of its [Host], in the order asked. Every event carries the time, so a Shedder
-// reads no clock and has no goroutines. An instance is single-threaded: a host that has several goroutines
-// must call it under one lock. Instances share nothing.
+// A server creates a [Shedder] with [New], reports events by calling its methods, and carries out the
+// actions that the Shedder requests from its [Host], in the order requested. Each event carries its time,
+// so a Shedder reads no clock and starts no goroutines. An instance is not safe for concurrent use: a host
+// with several goroutines must serialize all calls with one lock. Instances share no state.
 //
-// Times are durations since an instant of the host's choice; they never go backwards. Work is time on a core of
-// standard speed. Memory is in kilobytes.
+// Times are durations since an instant chosen by the host, and never decrease. Work is measured in time on
+// a core of standard speed. Memory is in kilobytes.
 //
-// This file is the whole interface. shedder.go has the events and says which file has which rule.
+// This file declares the types of the public interface. shedder.go has the methods for events and lists the
+// file of each rule.
 package silverpath
 
 import "time"
 
-// Effect tells whether a request of a class may run more than once.
+// Effect defines how often a request of a class may run.
 type Effect int
 
-// Effects.
+// Values of Effect.
 const (
 	Safe          Effect = iota // may run any number of times
-	Idempotent                  // may be sent again with its key within IdempotencyWindow, and must run once
-	NonIdempotent               // must run at most once and is not sent again after it may have run
+	Idempotent                  // may be sent again with its key within IdempotencyWindow; must run only once
+	NonIdempotent               // must run at most once; must not be sent again after it may have run
 )
 
-// Class describes one class of requests. Weights are priority weights: what an answer is worth to the goal.
+// Class describes a class of requests. Its weights are priority weights: the value of an answer to the
+// goal.
 type Class struct {
 	Name              string
-	Objective         time.Duration // latency objective: an answer within this of the first attempt earns the full Weight
-	ObjectiveStretch  float64       // Objective grows by this multiple of the request's own work, up to Deadline
-	Deadline          time.Duration // how long a client waits in all
+	Objective         time.Duration // latency objective: answered this soon after the first attempt, full Weight
+	ObjectiveStretch  float64       // Objective grows by this multiple of the expected work, up to Deadline
+	Deadline          time.Duration // total time that a client waits
 	Weight            float64
 	LateWeight        float64 // share of Weight earned between Objective and Deadline
 	Effect            Effect
-	IdempotencyWindow time.Duration // for Idempotent: how long after its arrival a request may come again
-	CallsDependency   bool          // its requests may call the dependency
-	DegradedWeight    float64       // share of Weight earned when a call is left out; 0 forbids it
+	IdempotencyWindow time.Duration // for Idempotent: how long after arrival it may be resent
+	CallsDependency   bool          // requests of the class may call the dependency
+	DegradedWeight    float64       // share of Weight earned without the call; 0: never skip it
 }
 
-// Tenant describes one customer and the rate within its quota, over the whole fleet.
+// Tenant describes a customer and its quota over the whole fleet.
 type Tenant struct {
 	Name string
-	Rate float64 // requests a second
+	Rate float64 // quota, in requests per second
 }
 
-// Preemption tells how running work can be stopped.
+// Preemption defines how the host can stop a running request.
 type Preemption int
 
-// Preemptions.
+// Values of Preemption.
 const (
-	PreemptNone  Preemption = iota // not at all
-	PreemptDrop                    // its progress is lost
-	PreemptPause                   // it keeps its progress and memory until it is run again
+	PreemptNone  Preemption = iota // running requests cannot be stopped
+	PreemptDrop                    // a stopped request loses its progress
+	PreemptPause                   // a stopped request keeps its progress and memory until it is resumed
 )
 
-// Signal is the kind of value that callers heed, set by Host.Signal.
+// Signal is the kind of backpressure value that callers follow. Host.Signal sets the value.
 type Signal int
 
-// Signals.
+// Values of Signal.
 const (
 	SignalNone   Signal = iota
-	SignalLevel         // callers send nothing of lower rank than the value
-	SignalCredit        // callers keep no more than this number of requests outstanding here
-	SignalWeight        // probability that a caller does not pass this server over
+	SignalLevel         // callers send no request with a Rank below the value
+	SignalCredit        // each caller keeps at most this number of requests outstanding at this server
+	SignalWeight        // probability that a caller does not skip this server
 )
 
-// Dependency is what lies below a server.
+// Dependency is the kind of service that a server calls.
 type Dependency int
 
-// Dependencies.
+// Values of Dependency.
 const (
 	DependencyNone   Dependency = iota
-	DependencyShared            // one service that every server calls
-	DependencyTier              // another tier of servers, which run this code
+	DependencyShared            // one service that all servers call
+	DependencyTier              // another tier of servers that run this module
 )
 
-// Settings describe the server, its site and its goal. [New] and [Shedder.Reconfigure] name the field that no
-// server can have, some by an older name (settings.go).
+// Settings describe the server, its deployment and its goal. [New] and [Shedder.Reconfigure] return an
+// error that names an invalid field; for some fields the error uses an older name (settings.go).
 type Settings struct {
 	Cores          int
 	MemoryKB       float64
 	RunFactor      float64       // memory of a running request, as a multiple of its memory while queued
 	KeyKB          float64       // memory of one remembered request
-	Cold           bool          // the server has only recently been started
-	ColdSpeed      float64       // share of its full speed that a cold server has at least
-	WarmupTime     time.Duration // from a cold start to full speed, evenly
-	MaxRunsPerCore float64       // simultaneous runs on the cores, for each core, that a warm server survives
-	RunsWindow     time.Duration // the time over which they are averaged
-	DrainGrace     time.Duration // what arrives later than this after Drain must not run
+	Cold           bool          // the last start of the server was cold
+	ColdSpeed      float64       // minimum speed after a cold start, as a share of full speed
+	WarmupTime     time.Duration // time from a cold start to full speed; the speed rises linearly
+	MaxRunsPerCore float64       // concurrent runs per core that a warm server survives
+	RunsWindow     time.Duration // window over which concurrent runs are averaged
+	DrainGrace     time.Duration // requests that arrive later than this after Drain must not run
 
 	Classes         []Class
 	Tenants         []Tenant
-	OverQuotaWeight float64 // weight of traffic beyond a tenant's quota, as a share of the usual
-	WeightByWork    bool    // weight is counted for each unit of work, not for each request
-	ClassMix        float64 // part of the goal that the worst-served class has, from 0 to 1
-
-	Servers       int           // servers of this tier
-	Callers       int           // callers of this tier
-	Tier          int           // 0 where clients' requests enter
-	FreshFor      time.Duration // how long the answer to a read may serve others
+	OverQuotaWeight float64 // weight of requests over a tenant's quota, as a share of their class's weight
+	WeightByWork    bool    // weight counts per unit of work instead of per request
+	ClassMix        float64 // share of the goal that depends on the worst-served class, from 0 to 1
+
+	Servers       int           // number of servers in this tier
+	Callers       int           // number of callers of this tier
+	Tier          int           // 0 for the tier that receives client requests
+	FreshFor      time.Duration // how long the answer to a read may be used for other requests
 	Preemption    Preemption
 	Signal        Signal
-	RetryAfter    bool          // the advice to stay away reaches callers
-	MaxRetryAfter time.Duration // the longest that is heeded
+	RetryAfter    bool          // Retry-After advice reaches callers
+	MaxRetryAfter time.Duration // longest Retry-After that callers follow
 	Dependency    Dependency
-	CallQuota     float64       // for DependencyShared: mean number of calls in its hands that this server may have
-	CallWindow    time.Duration // the time over which they are averaged
-	CallLinger    time.Duration // a call given up stays in the dependency's hands this long
-	Readiness     bool          // the list that callers follow reflects Host.Health
-	KeepAlive     time.Duration // callers close idle connections after this
+	CallQuota     float64       // for DependencyShared: mean concurrent calls allowed to this server
+	CallWindow    time.Duration // window over which the number of calls is averaged
+	CallLinger    time.Duration // an abandoned call stays at the dependency for this long
+	Readiness     bool          // the server list that callers use reflects Host.Health
+	KeepAlive     time.Duration // callers close connections idle for this long
 	MarksRetries  bool          // callers mark retries
 	Seed          int64
 }
 
-// Request is one attempt of a request, just read.
+// Request describes one attempt of a request that has just been read.
 type Request struct {
 	ID           string
 	Class        string
 	Tenant       string
-	Key          string // its subject, where told
-	DuplicateOf  string // the remembered request that this one duplicates
+	Key          string // object of the request, if known
+	DuplicateOf  string // ID of the remembered request that this one duplicates
 	Caller       int
-	QueuedKB     float64       // memory while it is queued
-	Unread       time.Duration // since it reached the machine
-	Deadline     time.Duration // time at which its caller stops waiting; 0 when not told
-	ExpectedWork time.Duration // 0 when not told
+	QueuedKB     float64       // memory while the request is queued
+	Unread       time.Duration // time between receipt by the machine and reading
+	Deadline     time.Duration // time at which the caller stops waiting; 0 if unknown
+	ExpectedWork time.Duration // 0 if unknown
 	Retry        bool          // marked as a retry or a hedge
-	Rank         float64       // its priority among all, from 0 to under 1
+	Rank         float64       // priority among all requests, from 0 to below 1
 }
 
-// Outcome is how a run or a call ended.
+// Outcome is the result of a run or of a call.
 type Outcome int
 
-// Outcomes.
+// Values of Outcome.
 const (
 	OK           Outcome = iota
-	Failed               // it failed, and may have had its effect
-	Overloaded           // the call was rejected unseen
-	TimedOut             // the call was given up and may have had its effect
-	Unreachable          // the dependency could not be contacted
-	Disconnected         // the call broke off and may have had its effect
-	Canceled             // the run was preempted, or its answer had been given
-	NotStarted           // nothing was started: the request was over
+	Failed               // the run or call failed and may have had its effect
+	Overloaded           // the dependency rejected the call without processing it
+	TimedOut             // the call was abandoned at its timeout and may have had its effect
+	Unreachable          // no connection to the dependency could be made
+	Disconnected         // the connection broke during the call, which may have had its effect
+	Canceled             // the run was preempted, or its request was already answered
+	NotStarted           // the run never started because its request was already over
 )
 
-// NeverRan reports whether the outcome proves that there was no effect.
+// NeverRan reports whether the outcome proves that no effect occurred.
 func (o Outcome) NeverRan() bool { return o == Overloaded || o == Unreachable || o == NotStarted }
 
-// Gauges are readings of the server, taken when a timer fires.
+// Gauges are readings of the server's load, taken when a timer fires.
 type Gauges struct {
-	CPU         float64 // share of the cores busy of late
-	OnCores     float64 // all tasks that want a core now
-	Memory      float64 // share of the memory in use
+	CPU         float64 // recent share of busy cores
+	OnCores     float64 // runnable tasks: those on a core and those waiting for one
+	Memory      float64 // share of memory in use
 	Connections float64
 }
 
-// Place is where a request is, as Pools are told.
+// Place is the location of a request as reported to Pools.
 type Place int
 
-// Places.
+// Values of Place.
 const (
-	PlaceOver    Place = iota // nowhere any more
+	PlaceOver    Place = iota // finished
 	PlaceWaiting              // queued
-	PlaceOnCores              // on the cores, or waiting for disk
-	PlaceAway                 // its run waits for a call, or is paused
+	PlaceOnCores              // running on the cores, or waiting for disk
+	PlaceAway                 // waiting for a call or for the request that it duplicates, or paused
 )
 
-// Pools are one more guard beside the module's own, bulkheads between classes: they know how many runs there may
-// be on the cores and whose they are, and what gives way where memory is short. See [Shedder.UsePools]. They are
-// called from within the events of a Shedder and must not call back into it.
+// Pools are an optional guard in addition to the module's own: bulkheads that limit the runs of each class
+// on the cores and decide which class yields when memory is short. See [Shedder.UsePools]. A Shedder calls
+// the methods while it handles an event, so they must not call back into it.
 type Pools interface {
-	// Moved tells where a request has come to be.
+	// Moved reports the new place of a request.
 	Moved(now time.Duration, id, class string, to Place)
-	// Tick gives, at each Shedder.Tick, the module's own limit of runs and the gauges.
+	// Tick is called at each Shedder.Tick, with the module's own limit of runs and the gauges.
 	Tick(now time.Duration, runLimit float64, g Gauges)
 	// HasCapacity reports whether one more run of the class may start.
 	HasCapacity(now time.Duration, class string) bool
-	// Admits reports whether memory lets one more request of the class wait.
+	// Admits reports whether memory allows one more request of the class to be queued.
 	Admits(class string) bool
-	// Concurrency is the number of runs at once that the class can count on.
+	// Concurrency returns the number of concurrent runs available to the class.
 	Concurrency(class string) float64
-	// Queue names the queue in which the class waits.
+	// Queue returns the name of the queue in which requests of the class wait.
 	Queue(class string) string
 }
 
-// Host carries out the actions of a Shedder. It must not call back into the Shedder from them.
+// Host carries out the actions of a Shedder. Its methods must not call back into the Shedder.
 type Host interface {
-	// Run starts a queued request, or resumes a paused one. It ends with Shedder.RunEnded.
+	// Run starts a queued request or resumes a paused one. The host reports the end with Shedder.RunEnded.
 	Run(id string)
-	// Reject answers that the request never ran, with advice to stay away for after (0: none). Final asks the caller
-	// not to try elsewhere.
+	// Reject answers that the request never ran and advises the caller to wait for after before a retry (0: no
+	// advice). If final is set, the caller is asked not to try another server.
 	Reject(id string, after time.Duration, final bool)
-	// Fail answers with a failure, which promises nothing.
+	// Fail answers with a failure, which does not state whether the request ran.
 	Fail(id string)
-	// Join answers with the result of the request that this one duplicates. It ends with Shedder.RunEnded.
+	// Join answers with the result of the request that this one duplicates. The host reports the end with
+	// Shedder.RunEnded.
 	Join(id string)
-	// Stop stops running work. It ends with Shedder.RunEnded and Canceled.
+	// Stop stops a running request. The host reports the end with Shedder.RunEnded and Canceled.
 	Stop(id string)
-	// Call makes the call that a request stands at and gives it up after the timeout. It ends with Shedder.CallEnded.
+	// Call makes the call that a request needs and abandons it after timeout. The host reports the end with
+	// Shedder.CallEnded.
 	Call(id string, timeout time.Duration)
-	// SkipCall lets a request go on without its call.
+	// SkipCall lets a request continue without its call.
 	SkipCall(id string)
-	// RememberKey remembers a request for d, so that duplicates of it name it; ForgetKey forgets it.
+	// RememberKey remembers a request for d, so that its duplicates name it in DuplicateOf; ForgetKey forgets
+	// it.
 	RememberKey(id string, d time.Duration)
 	ForgetKey(id string)
-	// Health sets what health checks are told, without real work.
+	// Health sets the result that health checks get without running a request.
 	Health(good bool)
-	// Signal sets the value that goes out with answers.
+	// Signal sets the backpressure value that is sent with answers.
 	Signal(value float64)
-	// CloseIdle closes connections idle for this long; 0 leaves that to the callers.
+	// CloseIdle closes connections that are idle for this long; 0 leaves closing to the callers.
 	CloseIdle(after time.Duration)
-	// Wake asks for one Shedder.Tick after this long.
+	// Wake requests one call of Shedder.Tick after this delay.
 	Wake(after time.Duration)
-	// Log writes a line for who is on call.
+	// Log writes a line to the log for operators.
 	Log(text string)
 }
--- a/backpressure.go
+++ b/backpressure.go
@@ -1,27 +1,28 @@
 package silverpath
 
-// Backpressure: what callers are told so that they don't send what would be rejected, and how long their
-// connections stay open. The pressure, from 0 to 1, is the integral of the share of arrivals that is rejected
-// over targetRejectionRatio. It reaches callers as a level, a credit or a weight (Signal).
+// Backpressure: signals that keep callers from sending requests that would be rejected, and the idle
+// timeout of their connections. The pressure, from 0 to 1, integrates the difference between the share of
+// rejected arrivals and targetRejectionRatio. Callers receive it as a level, a credit or a weight (Signal).
 //
-// Inputs: arrivals and rejections of each sampleInterval, the number of callers, their keep-alive time.
+// Inputs: arrivals and rejections in each sampleInterval, the number of callers, their keep-alive time.
 
 import "time"
 
 const (
-	// targetRejectionRatio is the share of rejected arrivals at which the pressure stands still. Some are
-	// rejected on purpose: with none, the module couldn't tell that more could be served.
+	// targetRejectionRatio is the share of rejected arrivals at which the pressure stays constant. It is above
+	// zero because without rejections the module cannot detect spare capacity.
 	targetRejectionRatio = 0.25
-	// pressureGain is how far the pressure moves in a sampleInterval for a share of 1 over the target. Found by
-	// trial; raising it makes callers come and go in waves, since what they are told takes a second or more to
-	// act.
+	// pressureGain is the change of the pressure per sampleInterval for a rejected share of 1 above the
+	// target. A higher gain makes callers oscillate, because a signal takes a second or more to act.
 	pressureGain = 0.15
-	// minAdvertisedWeight is the least probability that callers are given, so that a server is still tried.
+	// minAdvertisedWeight is the lowest probability that is sent to callers, so that they keep trying the
+	// server.
 	minAdvertisedWeight = 0.1
 )
 
-// updatePressure sets, at each sample, the value that callers heed. A level rejects requests wherever they
-// go, so a fault of this server's own doesn't raise it; credit and weight send them elsewhere.
+// updatePressure updates, at each sample, the pressure and the signal that callers follow. A level holds
+// requests back from all servers, so a local fault does not raise it; credit and weight redirect requests
+// to other servers.
 func (s *Shedder) updatePressure() {
 	rejectedShare := s.rejections / max(1, s.arrivals)
 	s.arrivalRate.Add(s.arrivals/sampleInterval.Seconds(), cpuBeta)
@@ -32,9 +33,9 @@
 	s.updateIdleTimeout()
 	s.pressure = min(max(0, s.pressure+pressureGain*(rejectedShare-targetRejectionRatio)), 1)
 	switch s.settings.Signal {
-	case SignalLevel: // never the class of the highest weight
+	case SignalLevel: // never holds back the class of the highest weight
 		s.host.Signal(s.pressure * (1 - 1/float64(len(s.classes))))
-	case SignalCredit: // from all that may be in hand down to what keeps the cores busy
+	case SignalCredit: // from maxRuns down to the number of cores
 		maxRequests := max(s.maxRuns()*(1-s.pressure), float64(s.settings.Cores))
 		s.host.Signal(maxRequests / float64(max(1, s.settings.Callers)))
 	case SignalWeight:
@@ -42,10 +43,11 @@
 	}
 }
 
-// updateIdleTimeout decides how long a connection may stay idle. An open one takes a part of the cores and of
-// a limited table, a new one costs work, and neither price is known: connections are kept where the mean
-// caller is back before it would close its own, else closed at once. This guards against a table that many
-// callers fill, each with little traffic; it could hurt where a few callers of very many send nearly all.
+// updateIdleTimeout sets how long a connection may stay idle. An open connection takes core time and a slot
+// in a limited table, a new one takes work to set up, and neither cost is known. Connections are therefore
+// kept if the mean caller returns within its own keep-alive time, and are closed after at most a
+// sampleInterval otherwise. This prevents many callers with little traffic each from filling the table; it
+// is a disadvantage if a few callers out of very many send nearly all requests.
 func (s *Shedder) updateIdleTimeout() {
 	timeout := time.Duration(0)
 	if float64(s.settings.Callers) > s.arrivalRate.Value()*s.settings.KeepAlive.Seconds() {
--- a/calls.go
+++ b/calls.go
@@ -1,17 +1,18 @@
 package silverpath
 
-// Calls to the dependency. A request that stands at a call makes it, waits, or goes on without it. What lies
-// below is either one service that all servers share, in which each has a quota of calls in its hands, or
-// another tier of servers that run this module.
+// Calls to the dependency. A request that needs a call makes it, waits, or continues without it. The
+// dependency is either one service that all servers share, with a quota of concurrent calls for each
+// server, or another tier of servers that run this module.
 //
-//   - Shared: a slow dependency does less in all, so the number of calls out at once (maxSharedCalls) falls
-//     as calls take longer than their base, as TCP does with its window; and the time that calls may take,
-//     all together, is reserved in the quota before they are made (reservedCallTime), so that it holds even
-//     if each takes its whole time.
-//   - Tier: the number out at once (maxTierCalls) falls when the tier rejects calls, and grows as they
-//     succeed. The calls most needed go first, which the tier below doesn't know.
+//   - Shared: the throughput of a slow dependency falls, so the limit of concurrent calls (maxSharedCalls)
+//     falls as calls take longer than their base time, as TCP does with its window. The time that all calls
+//     may take is reserved in the quota before they are made (reservedCallTime), so the quota holds even if
+//     each call takes its whole timeout.
+//   - Tier: the limit of concurrent calls (maxTierCalls) falls when the tier rejects calls, and grows as
+//     calls succeed. The calls that save most weight go first; the tier below does not know this order.
 //
-// Inputs: outcome and duration of each call, quota and its window, weight of a degraded answer, time left.
+// Inputs: outcome and duration of each call, quota and its window, weight of a degraded answer, remaining
+// time.
 
 import (
 	"cmp"
@@ -21,38 +22,38 @@
 )
 
 const (
-	// callTimeBeta is the part of the typical call time kept at each call: five calls show a change.
+	// callTimeBeta is the weight of the old average in typicalCallTime at each call: five calls show a change.
 	callTimeBeta = 0.8
-	// baseCallTimeRise is the part of its distance to the typical time that the base rises by at each call. A
-	// dependency that is slow for good is taken for granted only after thousands of calls.
+	// baseCallTimeRise is the fraction of its distance to the typical time by which the base time rises at
+	// each call. The time of a permanently slow dependency becomes the base only after thousands of calls.
 	baseCallTimeRise = 0.0005
-	// slowCallRatio is how many times their base calls take on average when the dependency counts as overloaded.
-	// Found by trial; lowering it makes calls fewer over their ordinary spread.
+	// slowCallRatio is the ratio of typical to base call time above which the dependency counts as overloaded.
+	// A lower ratio would reduce the calls on their normal variation.
 	slowCallRatio = 2
-	// minCallQuotaRatio is the part of the quota that maxSharedCalls keeps: where calls are slow for another
-	// reason than their number, fewer calls don't make them quicker.
+	// minCallQuotaRatio is the fraction of the quota below which maxSharedCalls does not fall: if calls are
+	// slow for another reason than their number, fewer calls do not make them faster.
 	minCallQuotaRatio = 0.25
-	// callLimitDecrease and callLimitIncrease move the limits of calls: a factor at a sign of overload, a number
-	// of calls at each success. Multiplicative decrease and additive increase, so that servers that share a
-	// dependency converge.
+	// callLimitDecrease is the factor applied to a limit of calls at a sign of overload; callLimitIncrease is
+	// the number of calls added at each success. Multiplicative decrease and additive increase let servers
+	// that share a dependency converge.
 	callLimitDecrease, callLimitIncrease = 0.8, 0.1
-	// maxTierCallsPerCore bounds the calls out to a tier below. Found by trial; raising it lets a server that
-	// has its requests wait below take in more than it can finish.
+	// maxTierCallsPerCore bounds the concurrent calls to a tier below. With a higher bound, a server whose
+	// requests wait for the tier below admits more than it can finish.
 	maxTierCallsPerCore = 4
-	// firstCallBackoff is the wait before a failed call is made again; it doubles each time. Found by trial;
-	// lowering it calls an overloaded dependency again before it has worked anything off.
+	// firstCallBackoff is the delay before a failed call is made again; it doubles each time. A shorter delay
+	// calls an overloaded dependency again before its backlog has shrunk.
 	firstCallBackoff = 50 * time.Millisecond
 )
 
-// neverRetry is when a call may be made again that must not be.
+// neverRetry is the nextCallAt of a request whose call must not be made again.
 const neverRetry = time.Duration(math.MaxInt64)
 
-// finishedCall is the time, with what may linger, that a finished call was in the dependency's hands.
+// finishedCall records when a call ended and how long it occupied the dependency, CallLinger included.
 type finishedCall struct{ endedAt, duration time.Duration }
 
-// adaptSharedCalls moves the number of calls out at once by what one took, in seconds. Below one, calls keep
-// a distance. Whatever makes calls slow is met the same way; where their number isn't the reason, it falls to
-// minCallQuotaRatio of the quota.
+// adaptSharedCalls adapts maxSharedCalls to the duration of a call, in seconds. Below a limit of 1, calls
+// are spaced out in time. Any cause of slow calls lowers the limit; if their number is not the cause, the
+// limit falls to minCallQuotaRatio of the quota.
 func (s *Shedder) adaptSharedCalls(callSeconds float64) {
 	if s.typicalCallTime == 0 {
 		s.typicalCallTime, s.baseCallTime, s.maxSharedCalls = callSeconds, callSeconds, float64(s.settings.Cores)
@@ -67,12 +68,12 @@
 	s.nextCallAt = s.now + seconds(callSeconds*max(0, 1/s.maxSharedCalls-1))
 }
 
-// callsAreSlow reports whether calls take so much longer than their base that the dependency must be
+// callsAreSlow reports whether calls take so much longer than their base time that the dependency counts as
 // overloaded.
 func (s *Shedder) callsAreSlow() bool { return s.typicalCallTime > slowCallRatio*s.baseCallTime }
 
-// adaptTierCalls moves the number of calls to a tier below: down as it rejects them, at most once for each
-// time that a call typically takes, so that one round of rejections counts once, and up as they succeed.
+// adaptTierCalls adapts maxTierCalls to the outcome of a call. A rejection lowers it, at most once per
+// typical call time, so that one round of rejections counts once; a success raises it.
 func (s *Shedder) adaptTierCalls(outcome Outcome) {
 	switch {
 	case outcome == OK:
@@ -83,8 +84,9 @@
 	}
 }
 
-// reservedCallTime is the time that calls have had in the dependency's hands within its window, with those
-// that are out counted to their timeout. A call given up lingers there for CallLinger.
+// reservedCallTime returns the time that calls occupy the dependency within CallWindow. Calls in progress
+// count up to their timeout plus CallLinger, because an abandoned call occupies the dependency for that
+// long.
 func (s *Shedder) reservedCallTime() time.Duration {
 	s.finishedCalls = slices.DeleteFunc(s.finishedCalls, func(c finishedCall) bool {
 		return c.endedAt+s.settings.CallWindow < s.now
@@ -101,7 +103,8 @@
 	return total
 }
 
-// callTimeout is how much of the wanted time a call made now may take: 0 or less if none may be made.
+// callTimeout returns the timeout, at most wanted, of a call made now; it is 0 or less if no call is
+// allowed.
 func (s *Shedder) callTimeout(wanted time.Duration) time.Duration {
 	if s.settings.Dependency != DependencyShared {
 		if float64(s.stateCount[calling]+1) > s.maxTierCalls {
@@ -117,9 +120,9 @@
 	return min(wanted, quota-s.reservedCallTime()-s.settings.CallLinger)
 }
 
-// scheduleCallRetry decides when a call that failed may be made again: never, if it may have had an effect
-// that must not come twice; at once, if a reply broke off for the first time, as that says nothing of what
-// lies below; else after the backoff.
+// scheduleCallRetry sets when a failed call may be made again: never, if it may have had an effect that
+// must not be repeated; at once, if the connection broke for the first time, because that does not indicate
+// an overloaded dependency; otherwise after the backoff.
 func (s *Shedder) scheduleCallRetry(now time.Duration, r *request, outcome Outcome) {
 	r.nextCallAt = now + r.backoff
 	switch {
@@ -131,8 +134,8 @@
 	r.backoff *= 2
 }
 
-// decideCalls decides for every request that stands at a call, the one that loses most without it first: make
-// it, go without, or wait.
+// decideCalls decides for every request that waits for a call whether it makes the call, continues without
+// it, or keeps waiting. Requests that lose most weight without their call come first.
 func (s *Shedder) decideCalls() {
 	var list []*request
 	for _, r := range s.requests {
@@ -154,9 +157,9 @@
 	}
 }
 
-// callBy is when the call of a request must have ended. To a tier below, where a late answer earns nothing,
-// that is its objective: from then on the call is work for nobody, here and below. Where the call can be left
-// out, there must be time to finish without it.
+// callBy returns the time by which the call of a request must have ended. For a tier below, if a late
+// answer earns nothing, this is at the latest the latency objective: after it the call is wasted work on
+// both tiers. If the call can be skipped, callBy leaves time to finish the request without it.
 func (s *Shedder) callBy(r *request) time.Duration {
 	latest := s.answerBy(r)
 	if r.class.LateWeight == 0 && s.settings.Dependency == DependencyTier {
@@ -169,7 +172,7 @@
 	return latest
 }
 
-// shouldAbandonCall reports whether a request stands at its call in vain.
+// shouldAbandonCall reports whether a request should stop waiting for its call.
 func (s *Shedder) shouldAbandonCall(r *request, remaining time.Duration) bool {
 	if r.nextCallAt == neverRetry || remaining <= 0 || s.settings.Dependency == DependencyNone {
 		return true
@@ -177,7 +180,8 @@
 	return r.canSkipCall() && (s.skippingEarnsMore(r, remaining) || r.backoff > firstCallBackoff)
 }
 
-// makeCallIfAllowed makes a call if it may take as long as calls typically do.
+// makeCallIfAllowed makes a call if the limits allow it the typical call time, or all of the remaining
+// time.
 func (s *Shedder) makeCallIfAllowed(r *request, remaining time.Duration) {
 	timeout := s.callTimeout(remaining)
 	if timeout < min(seconds(s.typicalCallTime), remaining) || timeout <= 0 {
@@ -188,20 +192,22 @@
 	s.host.Call(r.ID, timeout)
 }
 
-// skippingEarnsMore reports whether leaving a call out earns more than making it: it ends within the time
-// left with probability 1-exp(-left/typical), against DegradedWeight, which is certain.
+// skippingEarnsMore reports whether skipping a call earns more weight than making it. A call ends within
+// the remaining time with probability 1-exp(-remaining/typical); skipping it earns DegradedWeight with
+// certainty.
 func (s *Shedder) skippingEarnsMore(r *request, remaining time.Duration) bool {
 	return remaining.Seconds() < -s.typicalCallTime*math.Log1p(-min(1, r.class.DegradedWeight))
 }
 
-// canSkipCall reports whether the request's class can be answered without its call.
+// canSkipCall reports whether the class of the request allows an answer without the call.
 func (r *request) canSkipCall() bool { return r.class.DegradedWeight > 0 }
 
-// lossWithoutCall is the weight that a unit of the request's work loses without its call.
+// lossWithoutCall returns the weight per unit of work that the request loses without its call.
 func (r *request) lossWithoutCall() float64 {
 	return r.class.Weight * r.tenantWeight * (1 - r.class.DegradedWeight)
 }
 
+// skipCallOrFail continues a request without its call, or fails it if the call must not be skipped.
 func (s *Shedder) skipCallOrFail(r *request) {
 	if !r.canSkipCall() {
 		s.fail(r)
