--- a/capacity.go
+++ b/capacity.go
@@ -1,14 +1,16 @@
 package silverpath
 
-// Capacity: estimates of what the server can do now. Three are kept:
+// Capacity: estimates of what the server can process at present.
 //
-//   - how many runs it survives (maxRuns): told by the settings, less while it warms up after a cold start;
-//   - how many keep its cores busy (runLimit): the cores, divided by the part of a core that a run uses;
-//   - its slowdown: time on the cores for each second of expected work. One well over its own baseline is a
-//     fault of this server, so that others may do better.
+//   - maxRuns is the number of runs that the server survives: given by the settings, lower while the server
+//     warms up after a cold start.
+//   - runLimit is the number of runs that keep the cores busy: the number of cores, divided by the share of a
+//     core that a run uses.
+//   - slowdown is the core time per second of expected work. If it is well above its own baseline, the fault
+//     is local to this server, and other servers may do better.
 //
-// Inputs: the gauges OnCores (tasks that want a core) and CPU at each tick, the core clock, the expected work
-// of requests.
+// Inputs: the gauges OnCores (runnable tasks) and CPU at each tick, the core clock, the expected work of
+// requests.
 
 import (
 	"math"
@@ -16,25 +18,27 @@
 )
 
 const (
-	// minRunsPerCore bounds coresPerRun on both sides: a core has this many runs at least, a run this many cores
-	// at least. Found by trial; lowering it lets reading take more cores from runs before the number of runs
-	// stops to follow.
+	// minRunsPerCore bounds coresPerRun on both sides: a core has at least this many runs, and a run counts as
+	// at least this many cores. With a lower bound, reading requests takes more cores from the runs before the
+	// run limit stops falling.
 	minRunsPerCore = 0.25
-	// slowdownRetention is the part of the slowdown's sums kept for each sampleInterval of fully used cores:
-	// they span about 2.5 s of work. A slow server shows within that time, and idle cores forget nothing.
+	// slowdownRetention is the part of the sums of the slowdown that is kept per sampleInterval of fully used
+	// cores. The sums span about 2.5 s of work: a slow server shows within that time, and idle cores forget
+	// nothing.
 	slowdownRetention = 0.9
-	// localFaultRatio is how many times the baseline the slowdown must be for the fault to be this server's own.
-	// Found by trial; lowering it sends callers elsewhere over the ordinary spread of requests.
+	// localFaultRatio is the ratio of the slowdown to its baseline above which the fault counts as local to
+	// this server. A lower ratio sends callers to other servers on normal variation between requests.
 	localFaultRatio = 1.5
-	// minWarmupSpeed keeps capacity above zero, whatever the settings tell of a cold start.
+	// minWarmupSpeed keeps the capacity above zero for any ColdSpeed in the settings.
 	minWarmupSpeed = 0.01
-	// minRemainingDivisor: a request is taken to need one in so many parts of its expected work still, however
-	// long it ran. Found by trial; raising it makes the forecast believe that overdue runs end at once.
+	// minRemainingDivisor is the inverse of the share of its expected work that a request is assumed to need
+	// still, however long it has run. A larger divisor makes the forecast assume that overdue runs end at
+	// once.
 	minRemainingDivisor = 4
 )
 
-// warmupSpeed is the share of its full speed that the server has at least: 1 when warm, and from ColdSpeed up
-// to 1 evenly over WarmupTime after a cold start.
+// warmupSpeed returns the minimum speed of the server as a share of its full speed: 1 when warm; after a
+// cold start it rises linearly from ColdSpeed to 1 over WarmupTime.
 func (s *Shedder) warmupSpeed() float64 {
 	if !s.settings.Cold || s.now-s.startedAt >= s.settings.WarmupTime {
 		return 1
@@ -43,19 +47,20 @@
 	return max(minWarmupSpeed, s.settings.ColdSpeed+(1-s.settings.ColdSpeed)*progress)
 }
 
-// maxRuns is the number of runs on the cores that the server survives now, with a margin.
+// maxRuns returns the number of runs on the cores that the server survives at present, reduced by
+// limitMargin.
 func (s *Shedder) maxRuns() float64 {
 	return limitMargin * float64(s.settings.Cores) * (1 + (s.settings.MaxRunsPerCore-1)*s.warmupSpeed())
 }
 
-// runLimit is the number of runs that keeps every core busy: the cores, more where runs wait for disk, fewer
-// while reading takes cores from the runs. What lies unread can't be chosen from and grows old, and all that
-// is on the cores slows all of it down.
+// runLimit returns the number of runs that keep every core busy: the number of cores, more if runs wait for
+// disk, fewer if reading requests takes cores from the runs. Unread requests cannot be prioritized and grow
+// old, and every task on the cores slows down all others.
 func (s *Shedder) runLimit() float64 {
 	return min(float64(s.settings.Cores)/max(minRunsPerCore, s.coresPerRun.Value()), s.maxRuns())
 }
 
-// estimateCoresPerRun takes, at each tick, how many tasks want a core for each run.
+// estimateCoresPerRun updates coresPerRun, at each tick, with the number of runnable tasks per run.
 func (s *Shedder) estimateCoresPerRun(g Gauges) {
 	runs := s.stateCount[running]
 	if runs == 0 {
@@ -63,25 +68,26 @@
 	}
 	perRun := g.OnCores / float64(runs)
 	if g.OnCores <= float64(s.settings.Cores) {
-		perRun = min(1, perRun) // a core is free for whatever is read
+		perRun = min(1, perRun) // a core is free to read requests
 	}
 	if s.stateCount[queued] > 0 {
-		perRun *= g.CPU // cores that idle while requests wait want more runs
+		perRun *= g.CPU // requests wait: idle cores allow more runs
 	}
 	s.coresPerRun.Add(min(perRun, 1/minRunsPerCore), cpuBeta)
 }
 
-// coreShare is the part of a core that each run has.
+// coreShare returns the share of a core that each run gets.
 func (s *Shedder) coreShare() float64 {
 	wanted := max(1, float64(s.runsOnCores())) * max(minRunsPerCore, s.coresPerRun.Value())
 	return min(1, float64(s.settings.Cores)/wanted)
 }
 
-// slowdown is the time on the cores, in seconds, that a second of expected work takes. Time counts as it
-// passes and work as it completes, so a server that became slow or hangs shows before anything completes.
+// slowdown returns the core time, in seconds, per second of expected work. Core time counts as it passes
+// and work when it completes, so a server that slows down or hangs is detected before a run completes.
 func (s *Shedder) slowdown() float64 { return s.completedCoreTime / s.completedWork }
 
-// fadeSlowdown lets older time and work count less, by how much of the cores was used since the last sample.
+// fadeSlowdown reduces the influence of older core time and work, in proportion to the utilization of the
+// cores since the last sample.
 func (s *Shedder) fadeSlowdown() {
 	utilization := s.sampleCoreTime / (sampleInterval.Seconds() * float64(s.settings.Cores))
 	s.sampleCoreTime = 0
@@ -89,9 +95,9 @@
 	s.completedWork = max(s.completedWork*math.Pow(slowdownRetention, utilization), minWork)
 }
 
-// updateBaselineSlowdown moves the baseline towards the slowdown: at once during the first windowLength, then
-// down with slowdownRetention, and up with fairnessRetention, so slowly that a fault of some seconds stays
-// visible.
+// updateBaselineSlowdown moves the baseline towards the slowdown: at once during the first windowLength,
+// then down at the rate of slowdownRetention and up at the rate of fairnessRetention, which is slow enough
+// for a fault of some seconds to stay visible.
 func (s *Shedder) updateBaselineSlowdown() {
 	switch slowdown := s.slowdown(); {
 	case s.now-s.baselineStart < windowLength:
@@ -103,19 +109,19 @@
 	}
 }
 
-// faultIsLocal reports whether the server itself is at fault, so that others may do better: it drains, warms
-// up, or is slow by its own baseline.
+// faultIsLocal reports whether this server itself is at fault, so that other servers may do better: it
+// drains, warms up, or is slow compared with its own baseline.
 func (s *Shedder) faultIsLocal() bool {
 	return s.stopAt != 0 || s.warmupSpeed() < 1 || s.slowdown() > localFaultRatio*s.baselineSlowdown
 }
 
-// remainingWork is the time on the cores, in seconds, that a request is expected to need still.
+// remainingWork returns the core time, in seconds, that a request is expected to need still.
 func (s *Shedder) remainingWork(r *request, slowdown float64) float64 {
 	total := r.expectedWork * slowdown
 	return max(total-s.coreTimeSoFar(r).Seconds(), total/minRemainingDivisor)
 }
 
-// coreTimeSoFar is the time on the cores that a request has had.
+// coreTimeSoFar returns the core time that a request has used.
 func (s *Shedder) coreTimeSoFar(r *request) time.Duration {
 	if r.state == running || r.state == preempting {
 		return r.coreTime + s.coreClock - r.coreClockAtState
@@ -123,5 +129,5 @@
 	return r.coreTime
 }
 
-// seconds turns a number of seconds into a Duration.
+// seconds converts a number of seconds to a Duration.
 func seconds(value float64) time.Duration { return time.Duration(value * float64(time.Second)) }
--- a/deadline.go
+++ b/deadline.go
@@ -1,9 +1,9 @@
 package silverpath
 
-// Deadlines. A request has three times: its latency objective, up to which an answer earns its full weight;
-// its deadline, at which its client stops waiting; and, where it doesn't tell how long its caller waits, the
-// patience that callers have shown. Every request is answered before its deadline and before the process is
-// stopped, if only with a failure.
+// Deadlines. A request has up to three time limits: its latency objective, until which an answer earns the
+// full weight; its deadline, at which its client stops waiting; and, if it carries no deadline, the
+// observed time after which callers cancel. Every request is answered before its deadline and before the
+// process is stopped, at least with a failure.
 //
 // Inputs: objective and deadline of the class, the request's own deadline and expected work, cancelled
 // requests.
@@ -14,18 +14,20 @@
 )
 
 const (
-	// callerTimeoutBeta is the part of the callers' patience kept at each cancelled request: five show a change.
+	// callerTimeoutBeta is the weight of the old average in callerTimeoutRatio at each cancelled request: five
+	// show a change.
 	callerTimeoutBeta = 0.8
-	// deadlineMargin is how long before its deadline a request is answered: a tick to notice, and one for the
-	// answer's way.
+	// deadlineMargin is how long before its deadline a request is answered: one tick to notice the deadline
+	// and one to deliver the answer.
 	deadlineMargin = 2 * tickInterval
-	// stopMargin is how long before the stop of the process all requests are answered: what comes in the
-	// meantime has its own deadlineMargin still.
+	// stopMargin is how long before the process is stopped all requests are answered. A request that arrives
+	// in the meantime still has its own deadlineMargin.
 	stopMargin = 4 * tickInterval
 )
 
-// latencyObjective is the time up to which an answer to a new request earns its full weight. Each tier below
-// the first has a smaller part of the objective, since the tiers above work within it too.
+// latencyObjective returns the time until which an answer to a new request earns its full weight. Each tier
+// below the first gets a smaller part of the objective, because the tiers above it work within the same
+// objective.
 func (s *Shedder) latencyObjective(r *request) time.Duration {
 	c := r.class
 	stretch := seconds(c.ObjectiveStretch * r.expectedWork)
@@ -37,17 +39,18 @@
 	return objective
 }
 
-// updateCallerTimeout notes how long a caller waited for an attempt that it cancelled. Callers may cancel long
-// before the client stops waiting and then try elsewhere; what can't be answered by then is work for nobody.
-// There is one figure for all: of hundreds of callers each is seen too seldom. It may be too long, since
-// notices come late, or too short for retries. It is used only where a request doesn't tell its deadline:
-// broken connections and cancelled hedges would teach a patience that nobody has.
+// updateCallerTimeout records how long a caller waited for an attempt that it cancelled. Callers may cancel
+// long before the client stops waiting and then try another server; an answer after that is wasted work.
+// One average covers all callers, because each of hundreds of callers is seen too rarely. The average may
+// be too long, since cancellations are noticed late, or too short for retries. It applies only to requests
+// that carry no deadline, because broken connections and cancelled hedges suggest a timeout that no caller
+// has.
 func (s *Shedder) updateCallerTimeout(r *request) {
 	waited := float64(s.now-r.receivedAt) / float64(r.class.Deadline)
 	s.callerTimeoutRatio.Add(min(1, waited), callerTimeoutBeta)
 }
 
-// answerBy is when a request must have been answered.
+// answerBy returns the time by which a request must be answered.
 func (s *Shedder) answerBy(r *request) time.Duration {
 	latest := r.deadline - deadlineMargin
 	if s.stopAt != 0 {
@@ -56,8 +59,8 @@
 	return latest
 }
 
-// answerExpired answers, at each tick, the requests that must be answered now: with a rejection if they never
-// ran.
+// answerExpired answers, at each tick, the requests whose answer is due: with a rejection if they never
+// ran, otherwise with a failure.
 func (s *Shedder) answerExpired() {
 	for _, r := range slices.Clone(s.requests) {
 		if r.answered || s.now < s.answerBy(r) {
--- a/fairness.go
+++ b/fairness.go
@@ -1,11 +1,12 @@
 package silverpath
 
-// Fairness between classes and between tenants. The goal counts the weight that is served and, with the part
-// ClassMix, how well the worst-served class is served; so a unit of work of that class earns more than its
-// own weight (goalWeight). A tenant that sends more than its quota is not cut off: what it sends beyond
-// counts OverQuotaWeight of its class's weight.
+// Fairness between classes and between tenants. The goal counts the weight that is served and, in the
+// proportion ClassMix, how well the worst-served class is served; a unit of work of that class therefore
+// earns more than its own weight (goalWeight). A tenant over its quota is not cut off: its requests over
+// the quota count OverQuotaWeight of the weight of their class.
 //
-// Inputs: work requested and served in time by class, in seconds; tenants' rates, in requests a second.
+// Inputs: work requested and served in time by class, in seconds; rates of the tenants, in requests per
+// second.
 
 import (
 	"math"
@@ -16,19 +17,21 @@
 )
 
 const (
-	// fairnessRetention is the part of requested and served work kept at each sample: they span about 50 s.
-	// Shorter, and a class with a request now and then would be the worst-served one or not by a single request.
+	// fairnessRetention is the part of requested and served work that is kept at each sample; the sums span
+	// about 50 s. With a shorter span, a single request would decide whether a class with few requests is the
+	// worst served.
 	fairnessRetention = 0.995
-	// worstClassSpread is the difference in served share within which classes count as the worst served
-	// together, so that the weight doesn't jump between two that are served alike.
+	// worstClassSpread is the difference in served share within which classes count together as the worst
+	// served, so that the weight does not jump between two classes with similar shares.
 	worstClassSpread = 0.05
-	// minBurst is the number of requests that any tenant may send at once. A bucket that held less than one
-	// request would admit none.
+	// minBurst is the number of requests that any tenant may send at once. A bucket that holds less than one
+	// token would admit none.
 	minBurst = 2
 )
 
-// updateGoalWeights finds what a unit of work of each class adds to the goal: its own weight, and for the
-// worst-served classes the weight that the goal gives to these. Requested and served work fades.
+// updateGoalWeights computes what a unit of work of each class adds to the goal: its own weight and, for
+// the worst-served classes, the weight that the goal gives to them. It also reduces the influence of older
+// requested and served work.
 func (s *Shedder) updateGoalWeights() {
 	total, worstShare, proximity := 0.0, 1.0, 0.0
 	for _, c := range s.classes {
@@ -47,13 +50,14 @@
 	}
 }
 
-// nearness is 1 for the worst-served class and falls as a class is served better than it.
+// proximityToWorst returns 1 for the worst-served class, and less the better a class is served compared
+// with it.
 func (c *class) proximityToWorst(worstShare float64) float64 {
 	return math.Exp((worstShare - c.servedShare()) / worstClassSpread)
 }
 
-// servedShare is the share of its requested work that was served in time: 1 for a class of which nothing was
-// requested.
+// servedShare returns the share of the requested work of a class that was served in time, or 1 if no work
+// was requested.
 func (c *class) servedShare() float64 {
 	if c.requestedWork == 0 {
 		return 1
@@ -61,8 +65,8 @@
 	return c.servedWork / c.requestedWork
 }
 
-// setTenants gives each tenant its part of the quota on this server. A tenant that stays as it was keeps what
-// is left of its quota.
+// setTenants sets the token bucket of each tenant to its part of the quota on this server. A tenant whose
+// part is unchanged keeps its remaining tokens.
 func (s *Shedder) setTenants(now time.Duration, set Settings) {
 	oldBuckets, oldServers := s.tenantBuckets, max(1, s.settings.Servers)
 	s.tenantBuckets = map[string]*window.TokenBucket{}
@@ -75,11 +79,12 @@
 	}
 }
 
-// burstSize is the number of requests that a tenant may send at once within its quota: a second's worth.
+// burstSize returns the number of requests that a tenant may send at once within its quota: one second of
+// its rate, at least minBurst.
 func burstSize(rate float64) float64 { return max(minBurst, rate) }
 
-// tenantWeight is the part of its class's weight that a new request has. Quotas are counted where clients'
-// requests enter.
+// tenantWeight returns the share of its class's weight that a new request has, and takes the request from
+// the tenant's quota. Quotas are counted only in the tier that receives client requests.
 func (s *Shedder) tenantWeight(tenant string) float64 {
 	if bucket := s.tenantBuckets[tenant]; bucket != nil && s.settings.Tier == 0 && !bucket.Take(s.now) {
 		return s.settings.OverQuotaWeight
--- a/idempotency.go
+++ b/idempotency.go
@@ -1,28 +1,29 @@
 package silverpath
 
-// Idempotency keys. A request of an Idempotent class is remembered from its arrival for the IdempotencyWindow
-// of its class: a duplicate names it, joins its run or result, and so nothing with an effect runs twice. A
-// Safe read with a key is remembered while its answer is fresh, if memory allows, so that others take its
-// answer instead of running. The id of a NonIdempotent request is remembered for its deadline, so that it
-// can't be given again.
+// Idempotency keys. A request of an Idempotent class is remembered from its arrival for the
+// IdempotencyWindow of its class. A duplicate names it and joins its run or its result, so a request with
+// an effect runs only once. A Safe read with a key is remembered while its answer is fresh, if memory
+// allows, so that other reads use its answer instead of running. The ID of a NonIdempotent request is
+// remembered for the deadline of its class, so that it cannot be used again.
 //
-// The host keeps the keys and links duplicates to them; the module decides which are kept and counts their
-// memory. Inputs: Effect, window and freshness from the settings, KeyKB for each key.
+// The host stores the keys and links duplicates to them; the module decides which keys are kept and
+// accounts for their memory. Inputs: Effect, window and freshness from the settings, KeyKB for each key.
 
 import "time"
 
-// freshMemoryRatio is the part of memory up to which reads are remembered: a margin below the guards' own, so
-// that keys of reads never take the place of requests.
+// freshMemoryRatio is the share of memory up to which reads are remembered. It is below the limitMargin of
+// the guards, so that keys of reads never displace requests.
 const freshMemoryRatio = limitMargin * limitMargin
 
-// isJoinableDuplicate reports whether a request is a duplicate that takes the result of the one it names.
+// isJoinableDuplicate reports whether a request is a duplicate that takes the result of the request that it
+// names.
 func (s *Shedder) isJoinableDuplicate(r *request) bool {
 	return r.DuplicateOf != "" &&
 		(r.class.Effect == Idempotent || r.class.Effect == Safe && s.settings.FreshFor > 0)
 }
 
-// join answers a request with the result of the one it duplicates, which is in hand or has been run. It
-// counts as started from then on, so that it is never rejected: a rejection would promise that the request
+// join answers a request with the result of the request that it duplicates, which is open or has ended. The
+// request counts as started from then on and is never rejected, because a rejection would guarantee that it
 // never ran.
 func (s *Shedder) join(r *request) {
 	r.started = true
@@ -30,7 +31,7 @@
 	s.host.Join(r.ID)
 }
 
-// keyMemoryKB is the memory that must be free for a request's key before it is queued.
+// keyMemoryKB returns the memory that must be free for the key of a request before it is queued.
 func (s *Shedder) keyMemoryKB(r *request) float64 {
 	if r.class.Effect == Idempotent {
 		return s.settings.KeyKB
@@ -38,8 +39,8 @@
 	return 0
 }
 
-// rememberKey remembers a request that is queued now. A key is counted for a tick longer than the host keeps
-// it.
+// rememberKey remembers a request when it is queued. The memory of a key is counted for one tick longer
+// than the host keeps the key.
 func (s *Shedder) rememberKey(r *request) {
 	c := r.class
 	switch {
@@ -53,7 +54,7 @@
 	}
 }
 
-// forgetKey forgets a request that has not run, so that a retry of it may.
+// forgetKey forgets a request that has not run, so that a retry of it can run.
 func (s *Shedder) forgetKey(r *request) {
 	if s.remembered.contains(r.ID) {
 		s.remembered.remove(r.ID)
@@ -61,13 +62,14 @@
 	}
 }
 
-// keyTable is the set of remembered requests, each until a time.
+// keyTable is the set of remembered requests, each with its expiry time.
 type keyTable struct {
-	entries  []keyEntry // in the order in which they were added
+	entries  []keyEntry // in the order of addition
 	ids      map[string]bool
 	memoryKB float64 // of all entries
 }
 
+// keyEntry is one remembered request.
 type keyEntry struct {
 	id        string
 	expiresAt time.Duration
@@ -78,7 +80,7 @@
 
 func (t *keyTable) contains(id string) bool { return t.ids[id] }
 
-// add remembers an id, unless it is remembered already.
+// add remembers an ID, unless it is remembered already.
 func (t *keyTable) add(id string, expiresAt time.Duration, memoryKB float64) {
 	if !t.ids[id] {
 		t.ids[id] = true
@@ -91,10 +93,12 @@
 	t.removeIf(func(e keyEntry) bool { return e.id == id })
 }
 
+// expire removes the entries that expired before now.
 func (t *keyTable) expire(now time.Duration) {
 	t.removeIf(func(e keyEntry) bool { return e.expiresAt < now })
 }
 
+// removeIf removes the entries for which matches returns true.
 func (t *keyTable) removeIf(matches func(keyEntry) bool) {
 	kept := t.entries[:0]
 	for _, e := range t.entries {
--- a/overload.go
+++ b/overload.go
@@ -1,12 +1,12 @@
 package silverpath
 
-// Overload: the ordinary path. This is the adaptive shedder of go-zero, from "Adaptive load shedding for
-// microservice governance" (access9, 21 November 2021). While smoothed CPU is at cpuThreshold or over, and
-// for coolOffTime after each rejection, an arrival is rejected if both the current and the average number of
-// requests of its class in flight exceed the highest completion rate times the lowest response time of the
-// last windowLength.
+// Overload: the adaptive concurrency limit, which rejects arrivals in ordinary operation. It is the
+// adaptive shedder of go-zero, from "Adaptive load shedding for microservice governance" (access9, 21
+// November 2021). While smoothed CPU is at least cpuThreshold, and for coolOffTime after each rejection, an
+// arrival is rejected if both the current and the average number of requests of its class in flight exceed
+// the highest completion rate times the lowest response time of the last windowLength.
 //
-// Inputs: the CPU gauge (share of the cores busy, once a sampleInterval) and the completions of each class.
+// Inputs: the CPU gauge (share of busy cores, once per sampleInterval) and the completions of each class.
 
 import (
 	"time"
@@ -15,31 +15,32 @@
 )
 
 const (
-	// cpuThreshold is the smoothed share of busy cores from which on the concurrency limit applies. go-zero
-	// ships 900 in 1000.
+	// cpuThreshold is the smoothed share of busy cores from which the concurrency limit applies. The default
+	// of go-zero is 900 in 1000.
 	cpuThreshold = 0.9
-	// cpuBeta is the part of smoothed CPU kept at each sample, as the source gives it: half of a change shows in
-	// 3.4 s.
+	// cpuBeta is the weight of the old average in smoothed CPU at each sample, as in the source: half of a
+	// change shows after 3.4 s.
 	cpuBeta = 0.95
-	// inFlightBeta is the part of the average number in flight kept at each completion. The source does not give
-	// it; this is the one that it gives for CPU.
+	// inFlightBeta is the weight of the old average in the number in flight at each completion. The source
+	// does not give it; this is the value that the source gives for CPU.
 	inFlightBeta = 0.95
-	// coolOffTime has the limit apply for a while after a rejection, so that it isn't lifted by the relief that
-	// rejecting brought.
+	// coolOffTime is how long the limit applies after a rejection, so that the relief from rejecting does not
+	// lift it.
 	coolOffTime = time.Second
-	// windowLength and windowBuckets shape the window of completions: 50 buckets of 100 ms, the source's
-	// default.
+	// windowLength and windowBuckets define the window of completions: 50 buckets of 100 ms, the default of
+	// the source.
 	windowLength  = 5 * time.Second
 	windowBuckets = 50
-	// maxMinResponseTime is the response time assumed while nothing has completed, the source's default.
+	// maxMinResponseTime is the response time assumed while nothing has completed, the default of the source.
 	maxMinResponseTime = time.Second
-	// minCompletions is the number of completions that a rate or a response time is taken from. One in a bucket
-	// of 100 ms would read as ten a second, and the quickest request as what the server can do.
+	// minCompletions is the number of completions from which a rate or a response time is computed. With one,
+	// a single completion in a bucket of 100 ms would count as ten per second, and the fastest request as the
+	// speed of the server.
 	minCompletions = 3
 )
 
-// overloaded reports whether an arrival of the class is to be rejected. It isn't counted in flight itself
-// yet.
+// overloaded reports whether an arrival of the class is to be rejected. The arrival itself is not yet
+// counted in flight.
 func (s *Shedder) overloaded(c *class) bool {
 	coolingOff := s.everRejected && s.now-s.lastRejection < coolOffTime
 	if s.cpu.Value() < cpuThreshold && !coolingOff {
@@ -49,10 +50,10 @@
 	return float64(c.inFlight) > limit && c.avgInFlight.Value() > limit
 }
 
-// maxInFlight is the highest completion rate times the lowest mean response time of a class, not under the
-// number of cores and not over the runs that the server survives. Where completions are few, so many buckets
-// are taken for one that they hold minCompletions on average. At high rates this is the source's own figure;
-// with hardly a completion in the window it is the source's default.
+// maxInFlight returns the highest completion rate times the lowest mean response time of a class, at least
+// the number of cores and at most maxRuns. If completions are few, adjacent buckets are grouped so that a
+// group has minCompletions on average. At high rates the result is that of the source; with almost no
+// completions in the window it is the default of the source.
 func (s *Shedder) maxInFlight(c *class) float64 {
 	count := 0
 	c.completions.Each(s.now, func(b window.Bucket) { count += b.Count })
@@ -77,8 +78,9 @@
 	return min(max(rate*minResponse, float64(s.settings.Cores)), s.maxRuns())
 }
 
-// recordCompletion takes a released request out of those in flight. It counts as a completion with its
-// response time, unless it expired or never ran. A request that was rejected on arrival was never in flight.
+// recordCompletion removes a released request from those in flight. The request counts as a completion with
+// its response time, unless it expired or never ran. A request that was rejected on arrival was never in
+// flight.
 func (s *Shedder) recordCompletion(r *request) {
 	if !r.inFlight {
 		return
--- a/queue.go
+++ b/queue.go
@@ -1,13 +1,13 @@
 package silverpath
 
-// Queue: who runs next, who can't make it, and who gives way. Queued and paused requests stand in the order
-// of the weight that they still earn for the work; ties go by the nearer latency objective. Going down that
-// order, each is started if there is capacity. Otherwise its end is forecast behind what stands before it,
-// and a request that would end after its objective is rejected at once: nobody would use its answer, and its
-// caller can still go elsewhere. One that has started is never rejected.
+// Queue: which request runs next, which is rejected and which is paused. Queued and paused requests are
+// ordered by the weight that they can still earn per unit of work, and ties by the earlier latency
+// objective. In this order, each request starts if there is capacity. Otherwise its finish time is forecast
+// from the work ahead of it, and a request that would finish after its objective is rejected at once: its
+// answer would not be used, and its caller can still try another server. A request that was started is
+// never rejected.
 //
-// Inputs: goal weights, expected work, objectives, deadlines, slowdown, the limit of runs, typical time of
-// calls.
+// Inputs: goal weights, expected work, objectives, deadlines, slowdown, runLimit, typical time of calls.
 
 import (
 	"cmp"
@@ -17,19 +17,20 @@
 )
 
 const (
-	// pauseRatio is how many times the runLimit runs on the cores before any is paused. Found by trial; lowering
-	// it pauses runs over the ordinary swing of calls that end together.
+	// pauseRatio is the multiple of runLimit above which runs on the cores are paused. A lower ratio pauses
+	// runs on the normal variation of calls that end at the same time.
 	pauseRatio = 1.5
-	// arrivalSlack is the part of a newcomer's time that the forecast must leave free where pools have queues
-	// of their own. Such a queue moves on unevenly, and a caller is better told on arrival than after waiting in
-	// vain.
+	// arrivalSlack is the share of its remaining time that the forecast for a new request must leave free if
+	// pools have separate queues. Such a queue advances unevenly, and a rejection on arrival serves the caller
+	// better than one after a wait.
 	arrivalSlack = 0.2
 )
 
-// ranked returns the unanswered requests in one of the states, the best first.
+// ranked returns the unanswered requests that are in one of the states, in descending order of earned
+// weight.
 func (s *Shedder) ranked(states ...requestState) []*request {
 	var list []*request
-	density := map[*request]float64{} // weight still to be earned, for each second of work where that counts
+	density := map[*request]float64{} // weight that can still be earned per second of work
 	for _, r := range s.requests {
 		if r.answered || !slices.Contains(states, r.state) {
 			continue
@@ -49,13 +50,13 @@
 	return list
 }
 
-// schedule starts what there is capacity for and rejects what can't make its objective. It is called after
-// every event that may have changed either.
+// schedule starts the requests for which there is capacity and rejects those that cannot meet their
+// objective. It is called after every event that may change either.
 func (s *Shedder) schedule() {
 	slowdown := s.slowdown()
-	workAhead := map[string]float64{}    // seconds of work before the next request, by queue
-	requestCount := map[string]float64{} // requests in hand, by queue
-	lastIndex := map[string]int{}        // place of the least ranked request, by queue
+	workAhead := map[string]float64{}    // seconds of work ahead of the next request, by queue
+	requestCount := map[string]float64{} // open requests, by queue
+	lastIndex := map[string]int{}        // index of the lowest-ranked request, by queue
 	for _, r := range s.requests {
 		requestCount[s.queueOf(r)]++
 		switch r.state {
@@ -89,8 +90,8 @@
 	}
 }
 
-// queueRejectionReason names what rejected a queued request: there are more than the server survives, or its
-// forecast.
+// queueRejectionReason returns the rule that rejects a queued request: the bound on open requests, which is
+// what the server survives, or the forecast.
 func queueRejectionReason(overMaxRuns bool) rejectionReason {
 	if overMaxRuns {
 		return reasonGuard
@@ -98,14 +99,14 @@
 	return reasonForecast
 }
 
-// forecast is when a request is expected to finish that has so many seconds of work before it and of its own,
-// with so many runs of its queue at once.
+// forecast returns the expected finish time of a request, from the seconds of work ahead of it, the seconds
+// of its own work, and the number of concurrent runs of its queue.
 func (s *Shedder) forecast(r *request, ahead, work, concurrency float64) time.Duration {
 	delay := ahead/concurrency + work/min(1, concurrency) + max(0, r.class.typicalCallWait-r.callWait.Seconds())
 	return s.now + seconds(delay)
 }
 
-// latestFinish is the forecast up to which a request stays queued.
+// latestFinish returns the latest forecast with which a request stays queued.
 func (s *Shedder) latestFinish(r *request, queue string) time.Duration {
 	end := min(r.objective, s.answerBy(r))
 	if queue != "" && r.arrivedAt == s.now {
@@ -114,8 +115,9 @@
 	return end
 }
 
-// pauseSurplus pauses the runs that earn least while there are more on the cores than keep them busy: calls
-// that end together bring their requests back at once, and past some number throughput falls steeply.
+// pauseSurplus pauses the runs that earn least while more runs are on the cores than pauseRatio allows.
+// Calls that end at the same time return their requests to the cores at once, and beyond some number of
+// runs throughput falls steeply.
 func (s *Shedder) pauseSurplus() {
 	surplus := s.stateCount[running] - int(math.Ceil(pauseRatio*s.runLimit()))
 	if s.settings.Preemption != PreemptPause || surplus <= 0 {
@@ -127,7 +129,8 @@
 	}
 }
 
-// queueOf names the queue in which a request waits: with pools each has its own.
+// queueOf returns the name of the queue in which a request waits. Without pools all requests share one
+// queue.
 func (s *Shedder) queueOf(r *request) string {
 	if s.pools == nil {
 		return ""
@@ -135,7 +138,7 @@
 	return s.pools.Queue(r.class.Name)
 }
 
-// concurrencyOf is the number of runs at once that a request's queue has.
+// concurrencyOf returns the number of concurrent runs available to the queue of a request.
 func (s *Shedder) concurrencyOf(r *request) float64 {
 	if s.pools == nil {
 		return s.runLimit()
--- a/record.go
+++ b/record.go
@@ -1,7 +1,7 @@
 package silverpath
 
-// This file has what is kept of the server, its classes and requests, and the one place where a request
-// changes its state.
+// This file has the state of a Shedder and of its classes and requests, and setState, the only function
+// that moves a request to another state.
 
 import (
 	"slices"
@@ -10,25 +10,25 @@
 	"silverpath/internal/policy/window"
 )
 
-// Shedder decides for one server. It is single-threaded: a host must not call it from two goroutines at once,
-// nor from within an action.
+// Shedder makes the decisions for one server. It is not safe for concurrent use, and a host must not call
+// it from within an action.
 type Shedder struct {
 	settings Settings
 	host     Host
-	pools    Pools         // nil: none
+	pools    Pools         // nil if there are none
 	now      time.Duration // time of the last event
 
 	classes       []*class // in the order of the settings
 	classByName   map[string]*class
-	tenantBuckets map[string]*window.TokenBucket // what is left of each tenant's quota
+	tenantBuckets map[string]*window.TokenBucket // remaining quota of each tenant
 	remembered    keyTable
 
-	// Requests in hand.
+	// Open requests.
 	requests    []*request // in the order of arrival
 	requestByID map[string]*request
 	lastSeq     int
 	stateCount  [finished + 1]int // requests in each state
-	memoryKB    float64           // of all requests, in their states
+	memoryKB    float64           // of all requests, according to their states
 
 	// Overload.
 	cpu           window.Average // share of the cores busy
@@ -37,122 +37,125 @@
 	everRejected  bool
 
 	// Capacity.
-	startedAt         time.Duration  // of the runner; where it was cold, it warms up from then on
-	coreClock         time.Duration  // time that a run alone on its core would have had
-	coresPerRun       window.Average // tasks that want a core, for each run
-	sampleCoreTime    float64        // seconds on the cores of all runs since the last sample
-	completedCoreTime float64        // seconds on the cores of all runs, faded: the slowdown is this ...
-	completedWork     float64        // ... divided by this, the expected work of the completed, in seconds
+	startedAt         time.Duration  // start time of the runner; if it was cold, warm-up counts from then
+	coreClock         time.Duration  // core time of a run that was on the cores throughout
+	coresPerRun       window.Average // runnable tasks per run
+	sampleCoreTime    float64        // core time of all runs since the last sample, in seconds
+	completedCoreTime float64        // core time of all runs, in seconds, decayed: the slowdown is this ...
+	completedWork     float64        // ... divided by this, the expected work of ended requests, in seconds
 	baselineSlowdown  float64
-	baselineStart     time.Duration // when the baseline began to be learned
+	baselineStart     time.Duration // when the learning of the baseline began
 
 	// Calls to the dependency.
-	typicalCallTime  float64       // seconds, of late
-	baseCallTime     float64       // seconds, the lowest that it has been, rising slowly
-	maxSharedCalls   float64       // calls out at once to a shared dependency; under 1, calls keep a distance
-	nextCallAt       time.Duration // no call to a shared dependency before then
-	maxTierCalls     float64       // calls out at once to a tier below
-	nextTierDecrease time.Duration // maxTierCalls falls no further before then
+	typicalCallTime  float64       // recent mean, in seconds
+	baseCallTime     float64       // lowest typicalCallTime, in seconds, rising slowly
+	maxSharedCalls   float64       // limit of concurrent calls to a shared service; under 1, calls are spaced
+	nextCallAt       time.Duration // earliest next call to a shared service
+	maxTierCalls     float64       // limit of concurrent calls to a tier below
+	nextTierDecrease time.Duration // earliest next decrease of maxTierCalls
 	finishedCalls    []finishedCall
 
 	// Backpressure.
 	arrivals, rejections float64        // requests read and rejected since the last sample
-	arrivalRate          window.Average // requests a second
+	arrivalRate          window.Average // requests per second
 	pressure             float64        // from 0 to 1
-	idleTimeout          time.Duration  // connections idle for longer are closed; 0: the longest
+	idleTimeout          time.Duration  // idle connections are closed after this; 0: by their callers
 	callerTimeoutRatio   window.Average // share of the deadline after which callers cancel
 
 	// Graceful shutdown.
 	drainStartedAt time.Duration
-	stopAt         time.Duration // 0 until the notice to leave
+	stopAt         time.Duration // 0 until the drain notice
 
-	// What was logged last.
+	// State of the log lines.
 	loggedOverload       bool
 	rejectedBy           [rejectionReasonCount]int // since the overload began
 	loggedSlowCalls      bool
-	slowCallsConfirmedAt time.Duration // when calls were last as logged
+	slowCallsConfirmedAt time.Duration // when callsAreSlow last equalled loggedSlowCalls
 }
 
 // rejectionReason is the rule that rejected a request.
 type rejectionReason int
 
 const (
-	reasonConcurrencyLimit rejectionReason = iota // the ordinary path
-	reasonGuard                                   // memory, keys, drain, more in hand than the server survives
-	reasonForecast                                // it can't make its objective
-	rejectionReasonCount                          // how many there are
+	reasonConcurrencyLimit rejectionReason = iota // the adaptive concurrency limit
+	reasonGuard                                   // memory, keys, drain, or more open requests than maxRuns
+	reasonForecast                                // the request cannot meet its objective
+	rejectionReasonCount                          // number of reasons
 )
 
-// requestState is where a request stands on its way. It begins queued and ends finished.
+// requestState is the state of a request, from queued to finished.
 type requestState uint8
 
 const (
 	queued       requestState = iota
 	running                   // on the cores, or waiting for disk
-	preempting                // running, asked to stop
-	paused                    // stopped, with its progress and memory
-	awaitingCall              // stands at a call that has not been made
-	calling                   // its call is out
-	joined                    // waits for the request it duplicates
+	preempting                // running, and the host was asked to stop it
+	paused                    // stopped; keeps its progress and memory
+	awaitingCall              // needs a call that is not made yet
+	calling                   // its call is in progress
+	joined                    // waits for the result of the request that it duplicates
 	finished
 )
 
-// places are the states as pools are told of them.
+// placeOfState maps the states to the places that are reported to pools.
 var placeOfState = [finished + 1]Place{
 	queued: PlaceWaiting, running: PlaceOnCores, preempting: PlaceOnCores, paused: PlaceAway,
 	awaitingCall: PlaceAway, calling: PlaceAway, joined: PlaceAway, finished: PlaceOver,
 }
 
-// class is a class with its statistics, which a class of other settings under the same name shares.
+// class is a class of the settings with its statistics. A class of the same name in later settings shares
+// them.
 type class struct {
 	Class
 	*classStats
 }
 
+// classStats holds the statistics of a class.
 type classStats struct {
 	completions               *window.Rolling // response times, in seconds
 	inFlight                  int
 	avgInFlight               window.Average
-	meanWork                  float64 // seconds, of its requests so far
-	requestedWork, servedWork float64 // seconds, all and that served in time, faded
+	meanWork                  float64 // mean work of its requests, in seconds
+	requestedWork, servedWork float64 // in seconds: all work, and work served in time, decayed
 	goalWeight                float64 // what a unit of its work adds to the goal
-	typicalCallWait           float64 // seconds that calls of its requests are out
+	typicalCallWait           float64 // seconds that its requests wait for calls
 }
 
-// classMeanDivisor: the mean work and call wait of a class move by one in so many parts of the distance to
-// each completed request's own, so that ten requests show a change.
+// classMeanDivisor is the inverse of the weight of a completed request in the mean work and call wait of
+// its class: ten requests show a change.
 const classMeanDivisor = 10
 
-// request is the record of one request.
+// request is the state of one attempt of a request.
 type request struct {
 	Request
 	seq      int // in the order of arrival
 	class    *class
 	state    requestState
 	answered bool
-	started  bool // it may have run
-	inFlight bool // counted in flight for the ordinary path
-	expired  bool // its time ran out
-	// completed: its run, or the one it joined, came to its end.
+	started  bool // may have run
+	inFlight bool // counted in the number in flight of its class
+	expired  bool // answered because its time ran out
+	// completed: its own run, or the run that it joined, has ended with an answer.
 	completed bool
 
 	arrivedAt    time.Duration // when it was read
 	receivedAt   time.Duration // when it reached the machine
-	objective    time.Duration // answered by then, it earns its full weight
+	objective    time.Duration // an answer until then earns the full weight
 	deadline     time.Duration // when its client stops waiting
-	tenantWeight float64       // part of its class's weight: less beyond the tenant's quota
+	tenantWeight float64       // factor on its class's weight: less over the tenant's quota
 	expectedWork float64       // seconds on a standard core
 
 	stateSince       time.Duration
 	coreClockAtState time.Duration // core clock when the state began
-	coreTime         time.Duration // on the cores, before this state
-	callWait         time.Duration // time that its calls were out
-	callDeadline     time.Duration // when an outstanding call is given up
-	nextCallAt       time.Duration // when its next call may be made
-	backoff          time.Duration // before the call is made again
+	coreTime         time.Duration // core time that it used before this state
+	callWait         time.Duration // total time of its calls
+	callDeadline     time.Duration // when a call in progress is abandoned
+	nextCallAt       time.Duration // earliest time of its next call
+	backoff          time.Duration // delay before its call is made again
 }
 
-// register makes the record of a request that arrived. It is queued, though not yet admitted.
+// register adds an arrived request to the open requests. The state of the request is queued, although it is
+// not admitted yet.
 func (s *Shedder) register(incoming Request, c *class) *request {
 	s.lastSeq++
 	s.arrivals++
@@ -178,7 +181,8 @@
 	return r
 }
 
-// setState changes the state of a request: the one place that accounts memory, runs and calls.
+// setState changes the state of a request and accounts for its memory, runs and calls. No other function
+// changes the state.
 func (s *Shedder) setState(r *request, to requestState) {
 	if r.state == running || r.state == preempting {
 		r.coreTime = s.coreTimeSoFar(r)
@@ -186,7 +190,7 @@
 	if r.state == calling {
 		callTime := s.now - r.stateSince
 		r.callWait += callTime
-		if to != running { // it may have been given up, and linger
+		if to != running { // the call may have been abandoned, and linger
 			callTime += s.settings.CallLinger
 		}
 		s.finishedCalls = append(s.finishedCalls, finishedCall{s.now, callTime})
@@ -199,7 +203,8 @@
 	s.notifyPools(r)
 }
 
-// complete notes that a request's run, or the one it joined, came to its end, which answers it.
+// complete records that the run of a request, or the run that it joined, has ended, which answers the
+// request.
 func (s *Shedder) complete(now time.Duration, r *request, outcome Outcome) {
 	r.completed = true
 	if !r.answered {
@@ -211,10 +216,10 @@
 	s.release(r)
 }
 
-// release forgets a request that is over.
+// release removes a request that is over.
 func (s *Shedder) release(r *request) {
 	if r.state == queued && !r.started {
-		s.forgetKey(r) // it was cancelled and never ran
+		s.forgetKey(r) // cancelled before it ran
 	}
 	wasJoined := r.state == joined
 	s.setState(r, finished)
@@ -224,8 +229,8 @@
 	s.recordWork(r, wasJoined)
 }
 
-// recordWork counts the work of a request that is over towards the slowdown and, where its own run came to its
-// end, towards the mean of its class.
+// recordWork adds the work of a request that is over to completedWork and, if its own run completed,
+// updates the means of its class.
 func (s *Shedder) recordWork(r *request, wasJoined bool) {
 	switch {
 	case !r.completed:
@@ -234,14 +239,14 @@
 		s.completedWork += r.expectedWork
 		r.class.typicalCallWait += (r.callWait.Seconds() - r.class.typicalCallWait) / classMeanDivisor
 		work := r.expectedWork
-		if r.ExpectedWork <= 0 { // not told: what it took
+		if r.ExpectedWork <= 0 { // unknown: the work that it took
 			work = r.coreTime.Seconds()
 		}
 		r.class.meanWork += (work - r.class.meanWork) / classMeanDivisor
 	}
 }
 
-// requestMemoryKB is the memory that a request takes in its state.
+// requestMemoryKB returns the memory that a request takes in its state.
 func (s *Shedder) requestMemoryKB(r *request) float64 {
 	switch r.state {
 	case queued, joined:
@@ -252,17 +257,17 @@
 	return r.QueuedKB * s.settings.RunFactor
 }
 
-// notifyPools tells the pools where a request is.
+// notifyPools reports the place of a request to the pools.
 func (s *Shedder) notifyPools(r *request) {
 	if s.pools != nil {
 		s.pools.Moved(s.now, r.ID, r.class.Name, placeOfState[r.state])
 	}
 }
 
-// runsOnCores is the number of runs on the cores, or waiting for disk.
+// runsOnCores returns the number of runs on the cores or waiting for disk.
 func (s *Shedder) runsOnCores() int { return s.stateCount[running] + s.stateCount[preempting] }
 
-// startedRuns is the number of all runs that have not ended.
+// startedRuns returns the number of runs that have started and not ended.
 func (s *Shedder) startedRuns() int {
 	return s.runsOnCores() + s.stateCount[paused] + s.stateCount[awaitingCall] + s.stateCount[calling]
 }
--- a/settings.go
+++ b/settings.go
@@ -6,20 +6,21 @@
 	"time"
 )
 
-// check names the field of settings that no server can have, and fills in what may be left out. The names in its
-// texts are those that operators have always read in logs and errors; some fields have better names by now:
-// Aim and AimStretch (Objective), Worth (Weight), LateWorth (LateWeight), KeyWindow (IdempotencyWindow), WithoutCall
-// (DegradedWeight), ColdFrom (ColdSpeed), WarmWithin (WarmupTime), CrowdLimit (MaxRunsPerCore), CrowdWindow
-// (RunsWindow), OverShareWorth (OverQuotaWeight), MaxAdvice (MaxRetryAfter) and CallShare (CallQuota).
+// validate returns an error that names the first invalid field, and raises MaxRunsPerCore and RunFactor to
+// at least 1. Errors use the field names that operators know from logs and earlier errors. These differ
+// from the Go names for Aim and AimStretch (Objective, ObjectiveStretch), Worth (Weight), LateWorth
+// (LateWeight), KeyWindow (IdempotencyWindow), WithoutCall (DegradedWeight), ColdFrom (ColdSpeed),
+// WarmWithin (WarmupTime), CrowdLimit (MaxRunsPerCore), CrowdWindow (RunsWindow), OverShareWorth
+// (OverQuotaWeight), MaxAdvice (MaxRetryAfter) and CallShare (CallQuota).
 func validate(set *Settings) error {
 	if set.Cores <= 0 {
-		return errMissing("Cores")
+		return missingFieldError("Cores")
 	}
 	if !(set.MemoryKB > 0) {
-		return errMissing("MemoryKB")
+		return missingFieldError("MemoryKB")
 	}
 	if len(set.Classes) == 0 {
-		return errMissing("Classes")
+		return missingFieldError("Classes")
 	}
 	for _, f := range []intField{{"Servers", set.Servers}, {"Callers", set.Callers}, {"Tier", set.Tier}} {
 		if f.value < 0 {
@@ -40,7 +41,8 @@
 	return nil
 }
 
-func errMissing(field string) error { return fmt.Errorf("%s: none", field) }
+// missingFieldError returns the error for a required field that is missing.
+func missingFieldError(field string) error { return fmt.Errorf("%s: none", field) }
 
 type intField struct {
 	name  string
@@ -57,9 +59,11 @@
 	value time.Duration
 }
 
-// maxDuration is the longest time that a setting may have: sums of a few stay within their type.
+// maxDuration is the longest duration that a setting may have; sums of a few such durations do not
+// overflow.
 const maxDuration = 366 * 24 * time.Hour
 
+// validateClasses returns an error if a class has no deadline or two classes have the same name.
 func validateClasses(classes []Class) error {
 	names := map[string]bool{}
 	for i, c := range classes {
@@ -68,12 +72,13 @@
 		}
 		names[c.Name] = true
 		if c.Deadline <= 0 {
-			return errMissing(fmt.Sprintf("Classes[%d].Deadline", i))
+			return missingFieldError(fmt.Sprintf("Classes[%d].Deadline", i))
 		}
 	}
 	return nil
 }
 
+// numberFields returns the numbers of the settings with the names that errors use.
 func numberFields(set *Settings) []numberField {
 	fields := []numberField{
 		{"MemoryKB", set.MemoryKB}, {"RunFactor", set.RunFactor}, {"KeyKB", set.KeyKB}, {"ColdFrom", set.ColdSpeed},
@@ -91,6 +96,7 @@
 	return fields
 }
 
+// validateNumbers returns an error for the first number that is negative, infinite or NaN.
 func validateNumbers(fields []numberField) error {
 	for _, f := range fields {
 		if !(f.value >= 0) || math.IsInf(f.value, 1) {
@@ -100,6 +106,7 @@
 	return nil
 }
 
+// durationFields returns the durations of the settings with the names that errors use.
 func durationFields(set *Settings) []durationField {
 	fields := []durationField{
 		{"WarmWithin", set.WarmupTime}, {"CrowdWindow", set.RunsWindow}, {"DrainGrace", set.DrainGrace},
@@ -114,6 +121,7 @@
 	return fields
 }
 
+// validateDurations returns an error for the first duration that is negative or exceeds maxDuration.
 func validateDurations(fields []durationField) error {
 	for _, f := range fields {
 		if f.value < 0 || f.value > maxDuration {
--- a/shedder.go
+++ b/shedder.go
@@ -1,29 +1,29 @@
 package silverpath
 
-// This file has the events of a Shedder, in the order in which a request meets them, and its clock. Each rule
-// that they apply has a file of its own, with its constants, inputs and reason at its head:
+// This file has the events of a Shedder, in the order in which a request passes them, and its clock. Each
+// rule has a file of its own, which begins with the rule's inputs, reasons and constants:
 //
-//	overload.go      the ordinary path: concurrency limit from throughput and response time, behind a CPU gate
-//	admission.go     the guards on memory, started runs and the drain, and the one place that starts a run
-//	capacity.go      estimates: runs that the cores take, warm-up, slowdown, whether a fault is local
-//	queue.go         order of the queue, forecast of the end of each request, preemption of surplus runs
-//	fairness.go      goal weights of the classes, tenants' quotas
-//	calls.go         calls to the dependency: how many, how long, and when one is left out
-//	idempotency.go   remembered requests: duplicates join the first, nothing with an effect runs twice
-//	deadline.go      latency objective, deadline and patience of callers
+//	overload.go      adaptive concurrency limit from throughput and response time, applied at high CPU
+//	admission.go     guards on memory, started runs and the drain; the only place that starts a run
+//	capacity.go      estimates: runs that the cores can take, warm-up, slowdown, whether a fault is local
+//	queue.go         order of the queue, forecast of finish times, preemption of surplus runs
+//	fairness.go      goal weights of the classes, quotas of the tenants
+//	calls.go         calls to the dependency: how many, how long, and when a call is skipped
+//	idempotency.go   remembered requests: duplicates join the first, effects occur only once
+//	deadline.go      latency objective, deadline and observed timeout of callers
 //	drain.go         graceful shutdown
 //	answer.go        rejecting, failing and preempting a request
-//	retryadvice.go   Retry-After and whether a caller may go elsewhere
-//	backpressure.go  the signal to callers, and how long connections stay open
-//	transitions.go   log lines where an overload or a slow dependency begins and ends
+//	retryadvice.go   Retry-After and whether a caller may try another server
+//	backpressure.go  the signal to callers, and the idle timeout of connections
+//	transitions.go   log lines at the start and end of an overload or of slow calls
 //
-// An arrival is decided by the first of these that applies:
+// The first of these rules that applies decides about an arrival:
 //
-//  1. a duplicate of a remembered request joins it (idempotency.go);
-//  2. its class is over its concurrency limit while the server is overloaded: rejected (overload.go);
-//  3. a guard has no place for it: rejected (admission.go);
-//  4. it is queued; it starts if there is capacity, and is rejected if the forecast of its end is too late
-//     (queue.go).
+//   1. it duplicates a remembered request: it joins that request (idempotency.go);
+//   2. the server is overloaded and the class is over its concurrency limit: it is rejected (overload.go);
+//   3. a guard does not admit it: it is rejected (admission.go);
+//   4. it is queued; it starts if there is capacity, and is rejected if its forecast finish is too late
+//      (queue.go).
 
 import (
 	"errors"
@@ -34,19 +34,19 @@
 	"silverpath/internal/policy/window"
 )
 
-// The clock of the module.
+// Time constants.
 const (
-	// tickInterval is the time between two calls of Tick: deadlines are met to within one, at the price of a
-	// look at all requests in hand. Ten make a sample.
+	// tickInterval is the time between two calls of Tick. Deadlines are met to within one tick; each tick
+	// scans all open requests. Ten ticks make one sample.
 	tickInterval = 25 * time.Millisecond
-	// sampleInterval is the time between two samples of the gauges: the go-zero shedder's own.
+	// sampleInterval is the time between two samples of the gauges, as in the go-zero shedder.
 	sampleInterval = 250 * time.Millisecond
-	// minWork bounds sums and estimates of work away from zero, in seconds: they are divided by.
+	// minWork is the lower bound, in seconds, of sums and estimates of work that are used as divisors.
 	minWork = 0.001
 )
 
-// New returns a Shedder for the given settings. Its first actions are asked of the host at once. The error
-// names the field of settings that no server can have.
+// New returns a Shedder with the given settings. It calls the host before it returns. The error reports a
+// missing host or names an invalid field of the settings.
 func New(now time.Duration, set Settings, host Host) (*Shedder, error) {
 	if host == nil {
 		return nil, errors.New("silverpath: no host")
@@ -70,20 +70,20 @@
 	return s, nil
 }
 
-// UsePools gives the module pools as one more guard. It is called before the first request.
+// UsePools adds pools as a further guard. It must be called before the first request.
 func (s *Shedder) UsePools(p Pools) { s.pools = p }
 
-// Started reports that the runner, which does the work, started that long ago, and whether it was cold then.
-// It may come long after New.
+// Started reports that the runner, which executes the requests, was started ago before now, and whether
+// that start was cold. It may be called long after New.
 func (s *Shedder) Started(now, ago time.Duration, cold bool) {
 	s.advanceClock(now)
 	s.settings.Cold, s.startedAt = cold, now-ago
 	s.baselineStart = max(s.baselineStart, s.startedAt)
 }
 
-// Reconfigure takes up other settings, whole or not at all. Requests in hand keep the class they came with; a
-// class that comes back under a name that was dropped starts with no statistics. The server started when it
-// did, as before. The error names the field of settings that no server can have.
+// Reconfigure replaces the settings, entirely or not at all. Open requests keep the class that they arrived
+// with. A class that was dropped and is added again starts without statistics. The start time of the server
+// and Cold are kept. The error names an invalid field of the settings.
 func (s *Shedder) Reconfigure(now time.Duration, set Settings) error {
 	s.advanceClock(now)
 	if err := validate(&set); err != nil {
@@ -97,7 +97,7 @@
 	return nil
 }
 
-// setClassesAndTenants replaces classes and tenants. Those that stay keep their statistics and quota.
+// setClassesAndTenants replaces classes and tenants. Those that remain keep their statistics and quota.
 func (s *Shedder) setClassesAndTenants(now time.Duration, set Settings) {
 	oldClasses := s.classByName
 	s.classes, s.classByName = nil, map[string]*class{}
@@ -114,11 +114,11 @@
 	s.setTenants(now, set)
 }
 
-// Arrive takes a request that was just read. It is answered sooner or later, once.
+// Arrive handles a request that was just read. The request is answered once, now or later.
 func (s *Shedder) Arrive(now time.Duration, incoming Request) {
 	s.advanceClock(now)
 	if s.requestByID[incoming.ID] != nil {
-		return // the same id again: the first still waits for its answer
+		return // duplicate ID: the first request with it is still open
 	}
 	c := s.classByName[incoming.Class]
 	if c == nil {
@@ -126,7 +126,7 @@
 		return
 	}
 	if s.remembered.contains(incoming.ID) {
-		s.host.Fail(incoming.ID) // this very request has been run
+		s.host.Fail(incoming.ID) // this request has run already
 		return
 	}
 	r := s.register(incoming, c)
@@ -147,8 +147,8 @@
 	}
 }
 
-// RejectedUnread reports that n requests of a class were turned away unread, since those just before them had
-// been rejected.
+// RejectedUnread reports that n requests of a class were rejected unread, because the requests just before
+// them had been rejected.
 func (s *Shedder) RejectedUnread(now time.Duration, class string, n int) {
 	s.advanceClock(now)
 	if c := s.classByName[class]; c != nil && n > 0 {
@@ -158,7 +158,7 @@
 	}
 }
 
-// Cancelled reports that nobody waits for the request any more.
+// Cancelled reports that no caller waits for the request any more.
 func (s *Shedder) Cancelled(now time.Duration, id string) {
 	s.advanceClock(now)
 	r := s.requestByID[id]
@@ -171,14 +171,14 @@
 	case queued, paused, joined:
 		s.release(r)
 	case running:
-		if r.class.Effect != Idempotent { // a retry of an idempotent request takes its result
+		if r.class.Effect != Idempotent { // a retry of an idempotent request reuses its result
 			s.preempt(r)
 		}
 	}
 	s.schedule()
 }
 
-// NeedsCall reports that a running request can't go on without a call to the dependency.
+// NeedsCall reports that a running request needs a call to the dependency before it can continue.
 func (s *Shedder) NeedsCall(now time.Duration, id string) {
 	s.advanceClock(now)
 	if r := s.requestByID[id]; r != nil && (r.state == running || r.state == preempting) {
@@ -189,7 +189,7 @@
 	}
 }
 
-// CallEnded reports how a call ended, and how long it took.
+// CallEnded reports the outcome and the duration of a call.
 func (s *Shedder) CallEnded(now time.Duration, id string, outcome Outcome, duration time.Duration) {
 	s.advanceClock(now)
 	r := s.requestByID[id]
@@ -210,7 +210,7 @@
 	s.schedule()
 }
 
-// RunEnded reports that a run, or a join, has ended.
+// RunEnded reports the end of a run or of a join.
 func (s *Shedder) RunEnded(now time.Duration, id string, outcome Outcome, duration time.Duration) {
 	s.advanceClock(now)
 	r := s.requestByID[id]
@@ -220,7 +220,7 @@
 	switch {
 	case outcome == OK || outcome == Failed:
 		s.complete(now, r, outcome)
-	case outcome == NotStarted && !r.answered: // neither a completion nor work that was asked for
+	case outcome == NotStarted && !r.answered: // counts neither as a completion nor as requested work
 		r.started = false
 		r.class.requestedWork = max(0, r.class.requestedWork-r.expectedWork)
 		s.forgetKey(r)
@@ -228,7 +228,7 @@
 	case r.answered:
 		s.release(r)
 	case s.settings.Preemption == PreemptDrop && r.class.Effect != Safe:
-		s.fail(r) // its work is lost and it must not run again
+		s.fail(r) // its progress is lost and it must not run again
 	case s.settings.Preemption == PreemptPause:
 		s.setState(r, paused)
 	default:
@@ -239,12 +239,12 @@
 	s.schedule()
 }
 
-// Tick is the answer to Host.Wake, with the gauges as they are then.
+// Tick handles the timer that Host.Wake requested, with the current gauges.
 func (s *Shedder) Tick(now time.Duration, g Gauges) {
 	s.advanceClock(now)
 	s.host.Wake(tickInterval)
 	s.estimateCoresPerRun(g)
-	s.nextSample = max(s.nextSample, now-windowLength) // a long pause is not made up for
+	s.nextSample = max(s.nextSample, now-windowLength) // skip samples that were missed in a long pause
 	for s.nextSample <= now {
 		s.nextSample += sampleInterval
 		s.sample(g)
@@ -258,8 +258,8 @@
 	s.schedule()
 }
 
-// advanceClock sets the clock, which never moves backwards. The core clock goes slower the less of a core
-// each run has: what runs take from each other is no sign that the server itself is slow.
+// advanceClock sets the clock, which never moves backwards. The core clock advances more slowly the smaller
+// the share of a core that each run has, because contention between runs does not indicate a slow server.
 func (s *Shedder) advanceClock(now time.Duration) {
 	now = max(s.now, now)
 	coreTime := time.Duration(float64(now-s.now) * s.coreShare())
@@ -269,7 +269,7 @@
 	s.now = now
 }
 
-// sample takes what is read once a sampleInterval and lets the statistics fade.
+// sample processes the gauges once per sampleInterval and reduces the influence of older statistics.
 func (s *Shedder) sample(g Gauges) {
 	s.cpu.Add(g.CPU, cpuBeta)
 	s.fadeSlowdown()
--- a/transitions.go
+++ b/transitions.go
@@ -1,22 +1,24 @@
 package silverpath
 
-// Log lines where an overload, or a slow dependency, begins and ends, so that who is on call sees both, and
-// never a line for each request. An overload lasts until nothing was rejected for windowLength; calls count
-// as slow, or as quick again, once they have been so for windowLength, since single calls swing far.
+// Log lines at the start and end of an overload or of slow calls, so that operators see both without a line
+// for each request. An overload ends when nothing was rejected for windowLength. Calls are logged as slow,
+// or as fast again, after they have been so for windowLength, because single call times vary widely.
 //
-// The line at the end of an overload says which rule rejected how many: "the flight limit" is the
-// concurrency limit of overload.go, "guards" are those of admission.go with the bound on requests in hand of
-// queue.go, and "the forecast" is the one of queue.go with the expired requests of deadline.go and those
-// rejected unread.
+// The line at the end of an overload has the number of rejections by rule. "the flight limit" is the
+// concurrency limit of overload.go. "guards" are the guards of admission.go and the bound on open requests
+// in queue.go. "the forecast" is the forecast of queue.go, with the expired requests of deadline.go and the
+// requests that were rejected unread.
 
 import "fmt"
 
-// logTransitions logs, at each sample, what has begun or ended since the last one.
+// logTransitions logs, at each sample, the overloads and slow calls that began or ended since the last
+// sample.
 func (s *Shedder) logTransitions() {
 	s.logOverload()
 	s.logSlowCalls()
 }
 
+// logOverload logs the start of an overload, and its end with the number of rejections by rule.
 func (s *Shedder) logOverload() {
 	overloaded := s.everRejected && s.now-s.lastRejection < windowLength
 	switch {
@@ -32,6 +34,7 @@
 	s.loggedOverload = overloaded
 }
 
+// logSlowCalls logs a change of callsAreSlow that has lasted for windowLength.
 func (s *Shedder) logSlowCalls() {
 	slow := s.callsAreSlow()
 	if slow == s.loggedSlowCalls {
