--- a/backpressure_test.go
+++ b/backpressure_test.go
@@ -11,13 +11,13 @@
 	s.arrivals, s.rejections = 10, 8
 	s.updatePressure()
 	if s.pressure <= 0 {
-		t.Error("eight in ten rejected, and no level")
+		t.Error("the pressure is 0 with 80% of the arrivals rejected")
 	}
 	for range 100 {
 		s.updatePressure()
 	}
 	if s.pressure != 0 {
-		t.Error("the level stays up with nothing rejected")
+		t.Error("the pressure stays above 0 without rejections")
 	}
 	for _, signal := range []Signal{SignalCredit, SignalWeight} {
 		s, h := newTestShedder(t, func(set *Settings) { set.Signal = signal })
@@ -29,13 +29,13 @@
 		fmt.Sscanf(h.lines[1], "signal %g", &first)
 		fmt.Sscanf(h.lines[len(h.lines)-1], "signal %g", &last)
 		if last <= 0 || last > first/2 {
-			t.Errorf("eight in ten rejected: from %v to %v", first, last)
+			t.Errorf("80%% of the arrivals rejected: signal went from %v to %v, want less than half", first, last)
 		}
 	}
 }
 
-// A table that a thousand callers fill, each with a request now and then, left most requests without a
-// connection.
+// Guards against a full connection table: a thousand callers with little traffic each left most requests
+// without a connection, so idle connections must be closed early when there are many callers.
 func TestIdleTimeout(t *testing.T) {
 	for _, c := range []struct {
 		callers int
@@ -43,11 +43,11 @@
 	}{{1000, sampleInterval}, {10, 0}} {
 		s, _ := newTestShedder(t, func(set *Settings) { set.Callers, set.KeepAlive = c.callers, 30*time.Second })
 		for range 100 {
-			s.arrivals = 1 // four a second
+			s.arrivals = 1 // four per second
 			s.updatePressure()
 		}
 		if s.idleTimeout != c.want {
-			t.Errorf("%d callers: connections closed after %v, want %v", c.callers, s.idleTimeout, c.want)
+			t.Errorf("%d callers: idle timeout %v, want %v", c.callers, s.idleTimeout, c.want)
 		}
 	}
 }
--- a/capacity_test.go
+++ b/capacity_test.go
@@ -13,12 +13,12 @@
 		s.Arrive(0, testRequest(fmt.Sprint("r", i), "read"))
 	}
 	if n := len(s.requests); n != 5 || s.stateCount[running] != 2 {
-		t.Errorf("%d in hand, %d running: %v", n, s.stateCount[running], h.lines)
+		t.Errorf("%d open requests, %d running, want 5 and 2: %v", n, s.stateCount[running], h.lines)
 	}
 }
 
-// Reading shares the cores with the runs: it fell behind while every core had a run. The limit of runs falls as reading takes
-// cores from them.
+// Reading requests shares the cores with the runs, and it fell behind while every core had a run. The run
+// limit must fall as reading takes cores from the runs.
 func TestReadingLowersTheRunLimit(t *testing.T) {
 	s, _ := newTestShedder(t)
 	s.Arrive(0, testRequest("a", "pay"))
@@ -28,35 +28,37 @@
 		s.Tick(s.now, Gauges{OnCores: 4})
 	}
 	if after := s.runLimit(); after > before*0.7 {
-		t.Errorf("limit %v before, %v with as much reading as runs", before, after)
+		t.Errorf("run limit %v without reading, %v with as much reading as runs", before, after)
 	}
 }
 
-// The runner may start long after the server, cold or warm: what the settings told at the start does not count.
+// The runner may start long after the server, cold or warm. Its own report must replace the Cold setting
+// that New received.
 func TestWarmupCountsFromTheRunnersStart(t *testing.T) {
 	s, _ := newTestShedder(t, func(set *Settings) { set.Cold, set.ColdSpeed, set.WarmupTime = true, 0.25, 16*time.Second })
 	s.Tick(20*time.Second, Gauges{})
 	warm := s.maxRuns()
 	s.Started(20*time.Second, time.Second, true)
 	if got, want := s.warmupSpeed(), 0.25+0.75/16; math.Abs(got-want) > 1e-9 || s.maxRuns() >= warm || !s.faultIsLocal() {
-		t.Errorf("speed %v a second after a cold start, want %v; it survives %v runs, warm %v", got, want, s.maxRuns(), warm)
+		t.Errorf("speed %v one second after a cold start, want %v; maxRuns is %v, warm %v", got, want, s.maxRuns(), warm)
 	}
 	s.Started(21*time.Second, time.Hour, false)
 	if s.warmupSpeed() != 1 || s.maxRuns() != warm {
-		t.Errorf("speed %v after a warm start", s.warmupSpeed())
+		t.Errorf("speed %v after a warm start, want 1", s.warmupSpeed())
 	}
 }
 
-// Crowded cores once looked like a slow server, and its callers were sent on to the next. The core clock goes slower the less of
-// a core each run has, so that only a slow server has a high slowdown.
+// Guards against taking contention for a slow server, which sent callers on to the next server. The core
+// clock slows down with the share of a core that each run has, so only a slow server may show a high
+// slowdown.
 func TestCrowdedCoresAreNoLocalFault(t *testing.T) {
 	for _, c := range []struct {
 		onCores float64
 		want    bool
-	}{{6, false}, {1, true}} { // the run takes three times as long: with a third of a core, or with a whole one
+	}{{6, false}, {1, true}} { // each run takes three times as long: on a third of a core, or on a whole core
 		s, _ := newTestShedder(t, func(set *Settings) { set.Dependency = DependencyNone })
 		now := time.Duration(0)
-		work := func(n int, took time.Duration, onCores float64) {
+		runRequests := func(n int, took time.Duration, onCores float64) {
 			for range n {
 				id := fmt.Sprint("a", now)
 				s.Arrive(now, testRequest(id, "pay"))
@@ -66,15 +68,16 @@
 				s.RunEnded(now, id, OK, took)
 			}
 		}
-		work(100, 100*time.Millisecond, 1)
-		work(40, 300*time.Millisecond, c.onCores)
+		runRequests(100, 100*time.Millisecond, 1)
+		runRequests(40, 300*time.Millisecond, c.onCores)
 		if got := s.faultIsLocal(); got != c.want {
-			t.Errorf("%v on the cores: slowdown %v, usually %v: local %v", c.onCores, s.slowdown(), s.baselineSlowdown, got)
+			t.Errorf("%v runnable tasks: slowdown %v, baseline %v: faultIsLocal is %v", c.onCores, s.slowdown(), s.baselineSlowdown, got)
 		}
 	}
 }
 
-// The slowdown of a busy minute must not be forgotten, nor turn to nothing, while the server idles: it fades by the use of the cores.
+// Idle time must neither erase nor distort the slowdown of a busy period: the slowdown decays with the
+// utilization of the cores.
 func TestIdlingKeepsTheSlowdown(t *testing.T) {
 	s, _ := newTestShedder(t)
 	s.completedCoreTime, s.completedWork = 6, 2
@@ -82,6 +85,6 @@
 		s.Tick(time.Duration(i)*tickInterval, Gauges{})
 	}
 	if s.completedWork < 2 || s.slowdown() < 2.99 || s.slowdown() > 3.01 {
-		t.Errorf("slowdown %v from %v s of work after idling", s.slowdown(), s.completedWork)
+		t.Errorf("slowdown %v from %v s of work after an idle period, want 3 from at least 2 s", s.slowdown(), s.completedWork)
 	}
 }
--- a/checker_test.go
+++ b/checker_test.go
@@ -10,171 +10,178 @@
 	"silverpath"
 )
 
-// The checker hosts a Shedder, plays random legal events to it and asserts the four rules on its actions. It
-// keeps books of its own and knows nothing of the module's insides.
+// The checker is the host of a Shedder. It reports random legal events and checks the actions of the
+// Shedder against four rules: no request is lost, no effect occurs twice, the limits of the server hold,
+// and a drain ends in time. It keeps its own records and does not use the internal state of the module.
 
-const step = 5 * time.Millisecond
+const stepInterval = 5 * time.Millisecond
 
-type phase int
+// requestPhase is the state of a request as the checker sees it.
+type requestPhase int
 
 const (
-	isHeld phase = iota
-	isRunning
-	isPaused
-	standsAtCall
-	callOut
-	joins
-	isOver
+	phaseQueued requestPhase = iota
+	phaseRunning
+	phasePaused
+	phaseAwaitingCall
+	phaseCalling
+	phaseJoined
+	phaseFinished
 )
 
-type job struct {
-	q              silverpath.Request
-	class          silverpath.Class
-	phase          phase
-	reached, due   time.Duration
-	answered, ran  bool
-	gone           bool
-	again          bool // its id came twice, so a second answer is no fault
-	uncertain      bool // a call may have had its effect
-	work           int  // steps left on the cores
-	calls          int
-	callAt, callBy time.Duration
-	stopping       bool
+// trackedRequest is the checker's record of one request.
+type trackedRequest struct {
+	req                         silverpath.Request
+	class                       silverpath.Class
+	phase                       requestPhase
+	receivedAt, deadline        time.Duration
+	answered, started           bool
+	cancelled                   bool
+	idReused                    bool // its ID arrived twice, so a second answer is allowed
+	maybeTookEffect             bool // an unsuccessful call may have had its effect
+	stepsLeft                   int  // remaining steps on the cores
+	callsLeft                   int
+	callStartedAt, callDeadline time.Duration
+	stopRequested               bool
 }
 
-type linger struct{ until time.Duration }
+// lingeringCall is an abandoned call that occupies the dependency until endsAt.
+type lingeringCall struct{ endsAt time.Duration }
 
+// checker is a silverpath.Host that records actions and violations of the four rules.
 type checker struct {
-	set      silverpath.Settings
-	rng      *rand.Rand
-	shed     *silverpath.Shedder
-	now      time.Duration
-	jobs     map[string]*job
-	list     []*job
-	keys     map[string]time.Duration
-	ends     []func()
-	timers   []time.Duration
-	lingers  []linger
-	runs     []float64
-	inHands  []float64
-	drainAt  time.Duration
-	stopAt   time.Duration
-	hung     bool
-	tellsDue bool // requests tell how long their caller waits
-	faults   []string
-	actions  []string
-	answered int
+	set            silverpath.Settings
+	rng            *rand.Rand
+	shedder        *silverpath.Shedder
+	now            time.Duration
+	byID           map[string]*trackedRequest
+	requests       []*trackedRequest
+	expiry         map[string]time.Duration
+	pendingEnds    []func()
+	timers         []time.Duration
+	lingeringCalls []lingeringCall
+	runLoads       []float64
+	callCounts     []float64
+	drainStartedAt time.Duration
+	stopAt         time.Duration
+	hung           bool
+	sendsDeadline  bool // requests carry the time at which their caller stops waiting
+	violations     []string
+	actions        []string
+	answered       int
 }
 
-func (c *checker) fault(format string, a ...any) {
-	c.faults = append(c.faults, fmt.Sprintf("at %v: ", c.now)+fmt.Sprintf(format, a...))
+func (c *checker) violation(format string, a ...any) {
+	c.violations = append(c.violations, fmt.Sprintf("at %v: ", c.now)+fmt.Sprintf(format, a...))
 }
 
-func (c *checker) act(name, id string) *job {
+// recordAction records an action and returns the request that it names.
+func (c *checker) recordAction(name, id string) *trackedRequest {
 	c.actions = append(c.actions, fmt.Sprint(c.now, " ", name, " ", id))
-	j := c.jobs[id]
-	if j == nil {
-		c.fault("%s names the unknown request %s", name, id)
-		return &job{phase: isOver}
+	r := c.byID[id]
+	if r == nil {
+		c.violation("action %s for the unknown request %s", name, id)
+		return &trackedRequest{phase: phaseFinished}
 	}
-	return j
+	return r
 }
 
-func (c *checker) final(j *job, how string) {
-	if j.answered && !j.gone && !j.again {
-		c.fault("lost: %s answered twice, by %s", j.q.ID, how)
+// recordAnswer marks a request as answered and reports a second answer to it.
+func (c *checker) recordAnswer(r *trackedRequest, how string) {
+	if r.answered && !r.cancelled && !r.idReused {
+		c.violation("lost: %s answered twice, the second time by %s", r.req.ID, how)
 	}
-	j.answered = true
+	r.answered = true
 	c.answered++
 }
 
 func (c *checker) Run(id string) {
-	j := c.act("run", id)
+	r := c.recordAction("run", id)
 	switch {
-	case j.phase == isPaused:
-	case j.phase != isHeld:
+	case r.phase == phasePaused:
+	case r.phase != phaseQueued:
 		return
-	case j.ran && j.class.Effect != silverpath.Safe:
-		c.fault("duplicate: %s run again", id)
-	case c.drainAt > 0 && j.reached > c.drainAt+c.set.DrainGrace:
-		c.fault("drain: %s run, though it came after the grace", id)
+	case r.started && r.class.Effect != silverpath.Safe:
+		c.violation("duplicate: %s started twice", id)
+	case c.drainStartedAt > 0 && r.receivedAt > c.drainStartedAt+c.set.DrainGrace:
+		c.violation("drain: %s started, though it arrived after the grace period", id)
 	}
-	if j.q.DuplicateOf != "" && j.class.Effect == silverpath.Idempotent {
-		c.fault("duplicate: %s run, though it repeats %s", id, j.q.DuplicateOf)
+	if r.req.DuplicateOf != "" && r.class.Effect == silverpath.Idempotent {
+		c.violation("duplicate: %s started, though it duplicates %s", id, r.req.DuplicateOf)
 	}
-	j.ran, j.phase = true, isRunning
+	r.started, r.phase = true, phaseRunning
 }
 
 func (c *checker) Reject(id string, _ time.Duration, _ bool) {
-	j := c.act("refuse", id)
-	if j.class.Effect != silverpath.Safe && (j.ran || j.q.DuplicateOf != "") {
-		c.fault("duplicate: %s rejected after it has run", id)
+	r := c.recordAction("reject", id)
+	if r.class.Effect != silverpath.Safe && (r.started || r.req.DuplicateOf != "") {
+		c.violation("duplicate: %s rejected after it was started", id)
 	}
-	c.final(j, "refusal")
-	if j.phase == isHeld {
-		j.phase = isOver
+	c.recordAnswer(r, "a rejection")
+	if r.phase == phaseQueued {
+		r.phase = phaseFinished
 	}
 }
 
 func (c *checker) Fail(id string) {
-	j := c.act("fail", id)
-	c.final(j, "failure")
-	switch j.phase {
-	case isHeld, isPaused, joins:
-		j.phase = isOver
-	case standsAtCall, callOut:
-		c.later(func() { c.end(j, silverpath.Canceled) })
+	r := c.recordAction("fail", id)
+	c.recordAnswer(r, "a failure")
+	switch r.phase {
+	case phaseQueued, phasePaused, phaseJoined:
+		r.phase = phaseFinished
+	case phaseAwaitingCall, phaseCalling:
+		c.runAtNextStep(func() { c.endRun(r, silverpath.Canceled) })
 	}
 }
 
 func (c *checker) Join(id string) {
-	j := c.act("join", id)
-	if j.q.DuplicateOf == "" {
-		c.fault("%s joins nothing", id)
+	r := c.recordAction("join", id)
+	if r.req.DuplicateOf == "" {
+		c.violation("%s joins a request, but duplicates none", id)
 	}
-	j.phase, j.work = joins, 1+c.rng.IntN(100)
+	r.phase, r.stepsLeft = phaseJoined, 1+c.rng.IntN(100)
 }
 
 func (c *checker) Stop(id string) {
-	j := c.act("stop", id)
+	r := c.recordAction("stop", id)
 	if c.set.Preemption == silverpath.PreemptNone {
-		c.fault("%s stopped, where nothing can be", id)
+		c.violation("%s stopped, though the settings allow no preemption", id)
 	}
-	if j.phase == isRunning && !c.hung {
-		j.stopping = true
+	if r.phase == phaseRunning && !c.hung {
+		r.stopRequested = true
 	}
 }
 
-func (c *checker) Call(id string, patience time.Duration) {
-	j := c.act("call", id)
-	if j.phase != standsAtCall {
+func (c *checker) Call(id string, timeout time.Duration) {
+	r := c.recordAction("call", id)
+	if r.phase != phaseAwaitingCall {
 		return
 	}
-	if j.uncertain && j.class.Effect != silverpath.Safe {
-		c.fault("duplicate: call of %s repeated after it may have had its effect", id)
+	if r.maybeTookEffect && r.class.Effect != silverpath.Safe {
+		c.violation("duplicate: call of %s made again after it may have had its effect", id)
 	}
-	if patience <= 0 {
-		patience = j.class.Deadline
+	if timeout <= 0 {
+		timeout = r.class.Deadline
 	}
-	j.phase, j.callAt, j.callBy = callOut, c.now, c.now+patience
+	r.phase, r.callStartedAt, r.callDeadline = phaseCalling, c.now, c.now+timeout
 }
 
 func (c *checker) SkipCall(id string) {
-	j := c.act("skip", id)
-	if j.class.DegradedWeight == 0 {
-		c.fault("call of %s left out, where it must not be", id)
+	r := c.recordAction("skip", id)
+	if r.class.DegradedWeight == 0 {
+		c.violation("call of %s skipped, though its class forbids that", id)
 	}
-	if j.phase == standsAtCall {
-		j.phase = isRunning
+	if r.phase == phaseAwaitingCall {
+		r.phase = phaseRunning
 	}
 }
 
 func (c *checker) RememberKey(id string, d time.Duration) {
-	c.act("keep", id)
-	c.keys[id] = c.now + d
+	c.recordAction("remember", id)
+	c.expiry[id] = c.now + d
 }
 
-func (c *checker) ForgetKey(id string)     { c.act("forget", id); delete(c.keys, id) }
+func (c *checker) ForgetKey(id string)     { c.recordAction("forget", id); delete(c.expiry, id) }
 func (c *checker) Health(bool)             {}
 func (c *checker) CloseIdle(time.Duration) {}
 func (c *checker) Log(string)              {}
@@ -182,150 +189,154 @@
 func (c *checker) Signal(v float64) {
 	c.actions = append(c.actions, fmt.Sprint(c.now, " signal ", v))
 	if v < 0 || c.set.Signal == silverpath.SignalNone {
-		c.fault("signal %v", v)
+		c.violation("invalid signal %v", v)
 	}
 }
 
-func (c *checker) later(f func()) { c.ends = append(c.ends, f) }
+// runAtNextStep defers f, because a host must not call back into the Shedder from an action.
+func (c *checker) runAtNextStep(f func()) { c.pendingEnds = append(c.pendingEnds, f) }
 
-func (c *checker) end(j *job, o silverpath.Outcome) {
-	if j.phase == isOver {
+// endRun ends or pauses a run and reports this to the Shedder.
+func (c *checker) endRun(r *trackedRequest, o silverpath.Outcome) {
+	if r.phase == phaseFinished {
 		return
 	}
-	if j.phase == callOut {
-		c.lingers = append(c.lingers, linger{c.now + c.set.CallLinger})
+	if r.phase == phaseCalling {
+		c.lingeringCalls = append(c.lingeringCalls, lingeringCall{c.now + c.set.CallLinger})
 	}
-	if o == silverpath.Canceled && !j.answered && !j.gone {
-		j.phase = isPaused
+	if o == silverpath.Canceled && !r.answered && !r.cancelled {
+		r.phase = phasePaused
 		if c.set.Preemption == silverpath.PreemptDrop {
-			j.phase = isHeld
+			r.phase = phaseQueued
 		}
 	} else {
-		j.phase = isOver
-		if !j.answered && (o == silverpath.OK || o == silverpath.Failed) {
-			c.final(j, "its run")
+		r.phase = phaseFinished
+		if !r.answered && (o == silverpath.OK || o == silverpath.Failed) {
+			c.recordAnswer(r, "its run")
 		}
 	}
-	c.shed.RunEnded(c.now, j.q.ID, o, 0)
+	c.shedder.RunEnded(c.now, r.req.ID, o, 0)
 }
 
+// arrive creates the n-th request and reports its arrival.
 func (c *checker) arrive(n int) {
 	class := c.set.Classes[c.rng.IntN(len(c.set.Classes))]
-	j := &job{class: class, work: c.rng.IntN(60), calls: c.rng.IntN(3)}
+	r := &trackedRequest{class: class, stepsLeft: c.rng.IntN(60), callsLeft: c.rng.IntN(3)}
 	if !class.CallsDependency {
-		j.calls = 0
+		r.callsLeft = 0
 	}
-	j.q = silverpath.Request{
+	r.req = silverpath.Request{
 		ID: fmt.Sprintf("r%d", n), Class: class.Name, QueuedKB: 5 + c.rng.Float64()*20,
 		Caller: c.rng.IntN(max(1, c.set.Callers)),
 		Unread: time.Duration(c.rng.IntN(200)) * time.Millisecond, Tenant: []string{"", "t", "nobody"}[c.rng.IntN(3)],
 	}
 	if c.rng.IntN(2) == 0 {
-		j.q.ExpectedWork = time.Duration(10+c.rng.IntN(300)) * time.Millisecond
+		r.req.ExpectedWork = time.Duration(10+c.rng.IntN(300)) * time.Millisecond
 	}
 	if class.Effect == silverpath.Safe && c.set.FreshFor > 0 {
-		j.q.Key = fmt.Sprint("k", c.rng.IntN(3))
-		for _, o := range c.list {
-			if o.q.Key == j.q.Key && c.keys[o.q.ID] > c.now && o.q.DuplicateOf == "" && !o.gone && c.rng.IntN(2) == 0 {
-				j.q.DuplicateOf = o.q.ID
+		r.req.Key = fmt.Sprint("k", c.rng.IntN(3))
+		for _, o := range c.requests {
+			if o.req.Key == r.req.Key && c.expiry[o.req.ID] > c.now && o.req.DuplicateOf == "" && !o.cancelled && c.rng.IntN(2) == 0 {
+				r.req.DuplicateOf = o.req.ID
 			}
 		}
 	}
-	if c.tellsDue {
-		j.q.Deadline = c.now + class.Deadline/2
+	if c.sendsDeadline {
+		r.req.Deadline = c.now + class.Deadline/2
 	}
 	if class.Effect == silverpath.Idempotent && c.rng.IntN(3) == 0 {
-		for _, o := range c.list {
-			if o.class.Name == class.Name && c.keys[o.q.ID] > c.now && (o.ran || o.phase == isHeld) && o.q.DuplicateOf == "" {
-				j.q.DuplicateOf = o.q.ID
+		for _, o := range c.requests {
+			if o.class.Name == class.Name && c.expiry[o.req.ID] > c.now && (o.started || o.phase == phaseQueued) && o.req.DuplicateOf == "" {
+				r.req.DuplicateOf = o.req.ID
 			}
 		}
 	}
-	j.reached = c.now - j.q.Unread
-	j.due = max(c.now, j.reached+class.Deadline)
-	if j.q.Deadline > 0 {
-		j.due = max(c.now, j.q.Deadline)
+	r.receivedAt = c.now - r.req.Unread
+	r.deadline = max(c.now, r.receivedAt+class.Deadline)
+	if r.req.Deadline > 0 {
+		r.deadline = max(c.now, r.req.Deadline)
 	}
-	c.jobs[j.q.ID] = j
-	c.list = append(c.list, j)
-	c.shed.Arrive(c.now, j.q)
+	c.byID[r.req.ID] = r
+	c.requests = append(c.requests, r)
+	c.shedder.Arrive(c.now, r.req)
 	switch c.rng.IntN(40) {
-	case 0: // the odd ones
-		c.shed.Cancelled(c.now, "nobody")
-		c.shed.NeedsCall(c.now, j.q.ID+"x")
-		c.shed.CallEnded(c.now, j.q.ID, silverpath.OK, 0)
+	case 0: // unknown IDs and an unexpected event
+		c.shedder.Cancelled(c.now, "nobody")
+		c.shedder.NeedsCall(c.now, r.req.ID+"x")
+		c.shedder.CallEnded(c.now, r.req.ID, silverpath.OK, 0)
 	case 1:
-		j.again = true
-		c.shed.Arrive(c.now, j.q)
+		r.idReused = true
+		c.shedder.Arrive(c.now, r.req)
 	}
 }
 
+// advance plays one step: progress of runs and calls, cancellations, and timers.
 func (c *checker) advance() {
-	ends := c.ends
-	c.ends = nil
-	for _, f := range ends {
+	pending := c.pendingEnds
+	c.pendingEnds = nil
+	for _, f := range pending {
 		f()
 	}
-	calls := 0
-	for _, j := range c.list {
-		switch j.phase {
-		case isRunning:
+	callsInProgress := 0
+	for _, r := range c.requests {
+		switch r.phase {
+		case phaseRunning:
 			if c.hung {
 				break
 			}
-			j.work--
+			r.stepsLeft--
 			switch {
-			case j.stopping:
-				j.stopping = false
-				c.end(j, silverpath.Canceled)
-			case j.work <= 0 && j.calls > 0:
-				j.calls--
-				j.work = c.rng.IntN(40)
-				if j.answered || j.gone {
-					c.end(j, silverpath.Canceled)
+			case r.stopRequested:
+				r.stopRequested = false
+				c.endRun(r, silverpath.Canceled)
+			case r.stepsLeft <= 0 && r.callsLeft > 0:
+				r.callsLeft--
+				r.stepsLeft = c.rng.IntN(40)
+				if r.answered || r.cancelled {
+					c.endRun(r, silverpath.Canceled)
 					break
 				}
-				j.phase = standsAtCall
-				c.shed.NeedsCall(c.now, j.q.ID)
-			case j.work <= 0:
-				c.end(j, []silverpath.Outcome{silverpath.OK, silverpath.OK, silverpath.Failed}[c.rng.IntN(3)])
+				r.phase = phaseAwaitingCall
+				c.shedder.NeedsCall(c.now, r.req.ID)
+			case r.stepsLeft <= 0:
+				c.endRun(r, []silverpath.Outcome{silverpath.OK, silverpath.OK, silverpath.Failed}[c.rng.IntN(3)])
 			}
-		case callOut:
-			calls++
-			o, over := silverpath.TimedOut, c.now >= j.callBy
-			if !over && c.rng.IntN(30) == 0 {
-				over = true
+		case phaseCalling:
+			callsInProgress++
+			o, ended := silverpath.TimedOut, c.now >= r.callDeadline
+			if !ended && c.rng.IntN(30) == 0 {
+				ended = true
 				o = []silverpath.Outcome{silverpath.OK, silverpath.OK, silverpath.Failed, silverpath.Overloaded,
 					silverpath.Unreachable, silverpath.Disconnected}[c.rng.IntN(6)]
 			}
-			if over {
-				j.phase = standsAtCall
+			if ended {
+				r.phase = phaseAwaitingCall
 				if o == silverpath.OK {
-					j.phase = isRunning
+					r.phase = phaseRunning
 				} else if !o.NeverRan() {
-					c.lingers = append(c.lingers, linger{c.now + c.set.CallLinger})
+					c.lingeringCalls = append(c.lingeringCalls, lingeringCall{c.now + c.set.CallLinger})
 				}
-				j.uncertain = j.uncertain || o != silverpath.OK && !o.NeverRan()
+				r.maybeTookEffect = r.maybeTookEffect || o != silverpath.OK && !o.NeverRan()
 				if o == silverpath.OK {
-					j.uncertain = false
+					r.maybeTookEffect = false
 				}
-				c.shed.CallEnded(c.now, j.q.ID, o, c.now-j.callAt)
+				c.shedder.CallEnded(c.now, r.req.ID, o, c.now-r.callStartedAt)
 			}
-		case joins:
-			j.work--
-			if j.work <= 0 {
-				c.end(j, silverpath.OK)
+		case phaseJoined:
+			r.stepsLeft--
+			if r.stepsLeft <= 0 {
+				c.endRun(r, silverpath.OK)
 			}
 		}
-		if !j.answered && !j.gone && c.rng.IntN(3000) == 0 {
-			j.gone = true
-			switch j.phase {
-			case isHeld, isPaused, joins:
-				j.phase = isOver
-			case standsAtCall, callOut:
-				c.later(func() { c.end(j, silverpath.Canceled) })
+		if !r.answered && !r.cancelled && c.rng.IntN(3000) == 0 {
+			r.cancelled = true
+			switch r.phase {
+			case phaseQueued, phasePaused, phaseJoined:
+				r.phase = phaseFinished
+			case phaseAwaitingCall, phaseCalling:
+				c.runAtNextStep(func() { c.endRun(r, silverpath.Canceled) })
 			}
-			c.shed.Cancelled(c.now, j.q.ID)
+			c.shedder.Cancelled(c.now, r.req.ID)
 		}
 	}
 	timers := c.timers
@@ -335,121 +346,123 @@
 			c.timers = append(c.timers, t)
 			continue
 		}
-		c.shed.Tick(c.now, silverpath.Gauges{CPU: c.rng.Float64() * 1.2, OnCores: c.rng.Float64() * 20})
+		c.shedder.Tick(c.now, silverpath.Gauges{CPU: c.rng.Float64() * 1.2, OnCores: c.rng.Float64() * 20})
 	}
-	c.assert(calls)
+	c.checkLimits(callsInProgress)
 }
 
-// assert checks what holds after every batch.
-func (c *checker) assert(calls int) {
+// checkLimits checks the limits that must hold after every step.
+func (c *checker) checkLimits(callsInProgress int) {
 	memory, onCores := 0.0, 0
-	live := c.list[:0]
-	for _, j := range c.list {
-		switch j.phase {
-		case isHeld, joins:
-			memory += j.q.QueuedKB
-		case isOver:
+	remaining := c.requests[:0]
+	for _, r := range c.requests {
+		switch r.phase {
+		case phaseQueued, phaseJoined:
+			memory += r.req.QueuedKB
+		case phaseFinished:
 		default:
-			memory += j.q.QueuedKB * c.set.RunFactor
+			memory += r.req.QueuedKB * c.set.RunFactor
 		}
-		if j.phase == isRunning {
+		if r.phase == phaseRunning {
 			onCores++
 		}
-		late := j.due + 60*time.Millisecond
-		if !j.answered && !j.gone && c.now > late {
-			c.fault("lost: %s not answered by its deadline", j.q.ID)
-			j.gone = true
+		latest := r.deadline + 60*time.Millisecond
+		if !r.answered && !r.cancelled && c.now > latest {
+			c.violation("lost: %s not answered by its deadline", r.req.ID)
+			r.cancelled = true
 		}
-		if j.phase != isOver || c.keys[j.q.ID] > c.now {
-			live = append(live, j)
+		if r.phase != phaseFinished || c.expiry[r.req.ID] > c.now {
+			remaining = append(remaining, r)
 		}
 	}
-	c.list = live
-	for id, until := range c.keys {
+	c.requests = remaining
+	for id, until := range c.expiry {
 		if until < c.now {
-			delete(c.keys, id)
+			delete(c.expiry, id)
 		} else {
 			memory += c.set.KeyKB
 		}
 	}
 	if memory > c.set.MemoryKB {
-		c.fault("fall-over: %.0f of %.0f kB", memory, c.set.MemoryKB)
+		c.violation("overload: %.0f kB in use, limit %.0f kB", memory, c.set.MemoryKB)
 	}
-	share := 1.0
+	speed := 1.0
 	if c.set.Cold && c.now < c.set.WarmupTime {
-		share = c.set.ColdSpeed + (1-c.set.ColdSpeed)*float64(c.now)/float64(c.set.WarmupTime)
+		speed = c.set.ColdSpeed + (1-c.set.ColdSpeed)*float64(c.now)/float64(c.set.WarmupTime)
 	}
-	c.runs = append(c.runs, float64(onCores)/(float64(c.set.Cores)*(1+(c.set.MaxRunsPerCore-1)*share)))
-	if m := mean(c.runs, int(c.set.RunsWindow/step)); m > 1 {
-		c.fault("fall-over: runs at %.2f of what it survives", m)
+	c.runLoads = append(c.runLoads, float64(onCores)/(float64(c.set.Cores)*(1+(c.set.MaxRunsPerCore-1)*speed)))
+	if m := mean(c.runLoads, int(c.set.RunsWindow/stepInterval)); m > 1 {
+		c.violation("overload: runs at %.2f of the number that the server survives", m)
 	}
-	left := c.lingers[:0]
-	for _, l := range c.lingers {
-		if l.until > c.now {
-			left = append(left, l)
+	lingering := c.lingeringCalls[:0]
+	for _, l := range c.lingeringCalls {
+		if l.endsAt > c.now {
+			lingering = append(lingering, l)
 		}
 	}
-	c.lingers = left
-	c.inHands = append(c.inHands, float64(calls+len(left)))
+	c.lingeringCalls = lingering
+	c.callCounts = append(c.callCounts, float64(callsInProgress+len(lingering)))
 	if c.set.Dependency == silverpath.DependencyShared {
-		if m := mean(c.inHands, int(c.set.CallWindow/step)); m > c.set.CallQuota {
-			c.fault("fall-over: %.2f calls in hand, the share is %.2f", m, c.set.CallQuota)
+		if m := mean(c.callCounts, int(c.set.CallWindow/stepInterval)); m > c.set.CallQuota {
+			c.violation("overload: %.2f concurrent calls, quota %.2f", m, c.set.CallQuota)
 		}
 	}
 }
 
-// mean is the mean of the last n values; what came before the first counts as 0.
-func mean(v []float64, n int) float64 {
+// mean returns the mean of the last n values; missing values count as 0.
+func mean(values []float64, n int) float64 {
 	sum := 0.0
-	for _, x := range v[max(0, len(v)-n):] {
+	for _, x := range values[max(0, len(values)-n):] {
 		sum += x
 	}
 	return sum / float64(n)
 }
 
+// randomSettings returns valid settings with three classes, one for each Effect.
 func randomSettings(rng *rand.Rand) silverpath.Settings {
-	pick := func(n int) int { return rng.IntN(n) }
-	callShare := math.Exp(rng.Float64()*7-5) * float64(min(1, pick(10))) // from 0.007 to 7, now and then none
+	intN := func(n int) int { return rng.IntN(n) }
+	callQuota := math.Exp(rng.Float64()*7-5) * float64(min(1, intN(10))) // from 0.007 to 7, in one of ten cases 0
 	return silverpath.Settings{
-		Cores: 1 + pick(2)*pick(8), MemoryKB: 3000 + rng.Float64()*20000, RunFactor: 1 + rng.Float64()*10,
-		KeyKB: rng.Float64() * 30, Cold: pick(2) == 0, ColdSpeed: 0.1 + rng.Float64()*0.5,
-		WarmupTime: time.Duration(1+pick(20)) * time.Second, MaxRunsPerCore: 1.2 + rng.Float64()*8,
-		RunsWindow: time.Duration(1+pick(2)) * time.Second, DrainGrace: time.Duration(pick(2000)) * time.Millisecond,
-		OverQuotaWeight: rng.Float64(), WeightByWork: pick(2) == 0, ClassMix: rng.Float64() / 2,
-		Servers: pick(400), Callers: pick(1200), Tier: pick(2), Preemption: silverpath.Preemption(pick(3)),
-		Signal: silverpath.Signal(pick(4)), RetryAfter: pick(2) == 0, MaxRetryAfter: time.Second,
-		Dependency: silverpath.Dependency(pick(3)), CallQuota: callShare,
-		CallWindow: 5 * time.Second, CallLinger: time.Duration(pick(300)) * time.Millisecond,
-		KeepAlive: 15 * time.Second, FreshFor: time.Duration(pick(2)*500) * time.Millisecond,
-		Readiness: pick(2) == 0, MarksRetries: pick(2) == 0, Seed: int64(pick(100)),
+		Cores: 1 + intN(2)*intN(8), MemoryKB: 3000 + rng.Float64()*20000, RunFactor: 1 + rng.Float64()*10,
+		KeyKB: rng.Float64() * 30, Cold: intN(2) == 0, ColdSpeed: 0.1 + rng.Float64()*0.5,
+		WarmupTime: time.Duration(1+intN(20)) * time.Second, MaxRunsPerCore: 1.2 + rng.Float64()*8,
+		RunsWindow: time.Duration(1+intN(2)) * time.Second, DrainGrace: time.Duration(intN(2000)) * time.Millisecond,
+		OverQuotaWeight: rng.Float64(), WeightByWork: intN(2) == 0, ClassMix: rng.Float64() / 2,
+		Servers: intN(400), Callers: intN(1200), Tier: intN(2), Preemption: silverpath.Preemption(intN(3)),
+		Signal: silverpath.Signal(intN(4)), RetryAfter: intN(2) == 0, MaxRetryAfter: time.Second,
+		Dependency: silverpath.Dependency(intN(3)), CallQuota: callQuota,
+		CallWindow: 5 * time.Second, CallLinger: time.Duration(intN(300)) * time.Millisecond,
+		KeepAlive: 15 * time.Second, FreshFor: time.Duration(intN(2)*500) * time.Millisecond,
+		Readiness: intN(2) == 0, MarksRetries: intN(2) == 0, Seed: int64(intN(100)),
 		Tenants: []silverpath.Tenant{{Name: "t", Rate: rng.Float64() * 50}},
 		Classes: []silverpath.Class{
 			{Name: "read", Objective: time.Second, Deadline: 2500 * time.Millisecond, Weight: 1, LateWeight: 0.2,
 				CallsDependency: true, DegradedWeight: 0.5},
 			{Name: "book", Objective: 2 * time.Second, Deadline: 5 * time.Second, Weight: 3, Effect: silverpath.Idempotent,
-				IdempotencyWindow: time.Duration(5+pick(10)) * time.Second, CallsDependency: true},
+				IdempotencyWindow: time.Duration(5+intN(10)) * time.Second, CallsDependency: true},
 			{Name: "pay", Objective: time.Second, Deadline: 4 * time.Second, Weight: 5, Effect: silverpath.NonIdempotent,
-				CallsDependency: pick(2) == 0},
+				CallsDependency: intN(2) == 0},
 		},
 	}
 }
 
-// play runs one random day and returns the checker with what it found.
-func play(t *testing.T, seed uint64) *checker {
+// playRandomDay plays random events until the process is stopped, and returns the checker with the
+// violations found.
+func playRandomDay(t *testing.T, seed uint64) *checker {
 	t.Helper()
 	rng := rand.New(rand.NewPCG(seed, 2))
-	c := &checker{tellsDue: seed%3 == 0, set: randomSettings(rng), rng: rng, jobs: map[string]*job{}, keys: map[string]time.Duration{}}
+	c := &checker{sendsDeadline: seed%3 == 0, set: randomSettings(rng), rng: rng, byID: map[string]*trackedRequest{}, expiry: map[string]time.Duration{}}
 	shed, err := silverpath.New(0, c.set, c)
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.shed = shed
-	drain := 8*time.Second + time.Duration(rng.IntN(4000))*time.Millisecond
+	c.shedder = shed
+	drainTime := 8*time.Second + time.Duration(rng.IntN(4000))*time.Millisecond
 	rate := rng.Float64()
-	for n := 0; c.stopAt == 0 || c.now < c.stopAt; c.now += step {
-		if c.drainAt == 0 && c.now >= drain {
-			c.drainAt, c.stopAt = c.now, c.now+time.Duration(500+rng.IntN(6000))*time.Millisecond
-			c.shed.Drain(c.now, c.stopAt)
+	for n := 0; c.stopAt == 0 || c.now < c.stopAt; c.now += stepInterval {
+		if c.drainStartedAt == 0 && c.now >= drainTime {
+			c.drainStartedAt, c.stopAt = c.now, c.now+time.Duration(500+rng.IntN(6000))*time.Millisecond
+			c.shedder.Drain(c.now, c.stopAt)
 		}
 		if rng.IntN(400) == 0 {
 			c.hung = !c.hung
@@ -462,46 +475,48 @@
 		}
 		c.advance()
 	}
-	for _, j := range c.list {
-		if !j.answered && !j.gone {
-			c.fault("drain: %s not answered when the process is stopped", j.q.ID)
+	for _, r := range c.requests {
+		if !r.answered && !r.cancelled {
+			c.violation("drain: %s not answered when the process is stopped", r.req.ID)
 		}
 	}
 	return c
 }
 
+// The four rules must hold for random settings and events.
 func TestRulesOnRandomDays(t *testing.T) {
 	total := 0
 	for seed := range uint64(300) {
-		c := play(t, seed)
+		c := playRandomDay(t, seed)
 		total += c.answered
-		for i, f := range c.faults {
+		for i, f := range c.violations {
 			if i < 3 {
 				t.Errorf("seed %d: %s", seed, f)
 			}
 		}
 	}
 	if total < 10000 {
-		t.Errorf("only %d answers: the days test nothing", total)
+		t.Errorf("%d answers in all days, want at least 10000", total)
 	}
 }
 
+// The actions must depend on the settings and events only.
 func TestSameEventsSameActions(t *testing.T) {
 	for seed := range uint64(8) {
-		a, b := play(t, seed).actions, play(t, seed).actions
+		a, b := playRandomDay(t, seed).actions, playRandomDay(t, seed).actions
 		if len(a) != len(b) {
-			t.Fatalf("seed %d: %d actions, then %d", seed, len(a), len(b))
+			t.Fatalf("seed %d: %d actions in the first run, %d in the second", seed, len(a), len(b))
 		}
 		for i := range a {
 			if a[i] != b[i] {
-				t.Fatalf("seed %d: action %d: %s, then %s", seed, i, a[i], b[i])
+				t.Fatalf("seed %d: action %d is %s in the first run, %s in the second", seed, i, a[i], b[i])
 			}
 		}
 	}
 }
 
-// BenchmarkEvents shows the shape of the cost of a request with its events: it must not grow with the number
-// of servers or of callers.
+// BenchmarkEvents measures the cost of a request with its events, which must not grow with the number of
+// servers or callers.
 func BenchmarkEvents(b *testing.B) {
 	for _, size := range []int{10, 100, 1000, 10000} {
 		b.Run(fmt.Sprintf("servers=callers=%d", size), func(b *testing.B) {
@@ -526,7 +541,7 @@
 	}
 }
 
-// idleHost does nothing.
+// idleHost is a host that ignores all actions.
 type idleHost struct{}
 
 func (idleHost) Run(string)                         {}
--- a/deadline_test.go
+++ b/deadline_test.go
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// Callers that cancel an attempt before its objective made the rest of its run work for nobody: such runs were started, and took
-// the cores from those whose callers still waited. The patience that callers show bounds the objective.
+// Guards against running requests that no caller waits for: callers that cancel an attempt before its
+// objective left runs that took the cores from requests whose callers still waited. The observed caller
+// timeout must bound the objective.
 func TestCallerPatienceIsLearned(t *testing.T) {
 	s, h := newTestShedder(t)
 	now := time.Duration(0)
@@ -24,30 +25,30 @@
 	s.Arrive(now, testRequest("b", "pay"))
 	s.Arrive(now, r)
 	if !h.called("refuse x") {
-		t.Errorf("queued, though its caller waits 0.3 s: %v", h.lines[len(h.lines)-4:])
+		t.Errorf("request queued, though callers cancel after 0.3 s: %v", h.lines[len(h.lines)-4:])
 	}
 }
 
-// Where a request tells how long its caller waits, cancelled attempts teach nothing: connections that broke and hedges that
-// were cancelled would make everything that takes longer look hopeless.
+// For a request that carries a deadline, cancelled attempts must not shorten the objective: broken
+// connections and cancelled hedges would make every longer request look hopeless.
 func TestKnownDeadlineOverridesPatience(t *testing.T) {
 	s, h := newTestShedder(t)
 	now := time.Duration(0)
-	told := func(id string, work time.Duration) {
+	arriveWithDeadline := func(id string, work time.Duration) {
 		r := testRequest(id, "read")
 		r.ExpectedWork, r.Deadline = work, now+3*time.Second
 		s.Arrive(now, r)
 	}
 	for i := range 30 {
 		id := fmt.Sprint("r", i)
-		told(id, 100*time.Millisecond)
+		arriveWithDeadline(id, 100*time.Millisecond)
 		s.Cancelled(now+10*time.Millisecond, id)
 		now += time.Second
 		s.RunEnded(now, id, Canceled, 0)
 	}
-	told("x", 800*time.Millisecond)
+	arriveWithDeadline("x", 800*time.Millisecond)
 	if !h.called("run x") {
-		t.Errorf("not run, though its caller waits 3 s: %v", h.lines[len(h.lines)-2:])
+		t.Errorf("request not run, though its caller waits for 3 s: %v", h.lines[len(h.lines)-2:])
 	}
 }
 
@@ -57,6 +58,6 @@
 	s.NeedsCall(0, "a")
 	s.Tick(4990*time.Millisecond, Gauges{})
 	if !h.called("fail a") {
-		t.Errorf("not answered by its deadline: %v", h.lines)
+		t.Errorf("request not answered by its deadline: %v", h.lines)
 	}
 }
--- a/drain_test.go
+++ b/drain_test.go
@@ -15,6 +15,6 @@
 	}
 	s.Tick(3950*time.Millisecond, Gauges{})
 	if !h.called("fail before") {
-		t.Errorf("not answered before the stop: %v", h.lines)
+		t.Errorf("request not answered before the stop: %v", h.lines)
 	}
 }
--- a/fairness_test.go
+++ b/fairness_test.go
@@ -8,7 +8,7 @@
 
 func TestOverQuotaRunsLast(t *testing.T) {
 	s, h := newTestShedder(t, func(set *Settings) { set.Cores = 1; set.Tenants = []Tenant{{Name: "t", Rate: 2}} })
-	for i := range 4 { // two within the share, and the first of them starts at once
+	for i := range 4 { // two are within the quota; the first of them starts at once
 		r := testRequest(fmt.Sprint("t", i), "read")
 		r.Tenant = "t"
 		s.Arrive(0, r)
@@ -21,37 +21,38 @@
 	}
 }
 
-// A class of which nothing was requested yet is not the worst served: its goal weight stays its own.
+// A class without requested work must not count as the worst served; its goal weight must not be raised.
 func TestIdleClassKeepsItsWeight(t *testing.T) {
 	s, _ := newTestShedder(t, func(set *Settings) { set.ClassMix = 0.2 })
 	read, book := s.classByName["read"], s.classByName["book"]
 	read.requestedWork, read.servedWork = 10, 5
 	s.updateGoalWeights()
 	if !(read.goalWeight > 0.8) || book.goalWeight != 0.8*book.Weight {
-		t.Errorf("weights %v and %v", read.goalWeight, book.goalWeight)
+		t.Errorf("goal weights %v and %v, want a raised one and an unchanged one", read.goalWeight, book.goalWeight)
 	}
 }
 
-// A tenant that stays keeps what is left of its share; one of another rate starts with a full one.
+// A tenant with an unchanged rate must keep its remaining quota; a tenant with another rate must start with
+// a full quota.
 func TestReconfigureKeepsQuotas(t *testing.T) {
-	with := func(rates ...float64) func(*Settings) {
+	addTenants := func(rates ...float64) func(*Settings) {
 		return func(set *Settings) {
 			for i, r := range rates {
 				set.Tenants = append(set.Tenants, Tenant{Name: fmt.Sprint("t", i), Rate: r})
 			}
 		}
 	}
-	s, _ := newTestShedder(t, with(4, 4))
+	s, _ := newTestShedder(t, addTenants(4, 4))
 	for range 4 {
 		s.tenantBuckets["t0"].Take(0)
 		s.tenantBuckets["t1"].Take(0)
 	}
 	next := testSettings()
-	with(4, 8, 2)(&next)
+	addTenants(4, 8, 2)(&next)
 	if err := s.Reconfigure(0, next); err != nil {
 		t.Fatal(err)
 	}
 	if s.tenantBuckets["t0"].Take(0) || !s.tenantBuckets["t1"].Take(0) || !s.tenantBuckets["t2"].Take(0) {
-		t.Error("shares are not as they should be")
+		t.Error("t0 got new tokens, or t1 or t2 did not start with a full bucket")
 	}
 }
--- a/pools_test.go
+++ b/pools_test.go
@@ -9,48 +9,49 @@
 	"time"
 )
 
-// open are pools that hold nothing back and know no queues: with them the module decides as without any, but for what
-// it does only where there are none.
+// unlimitedPools are pools without limits or separate queues. With them the module must decide as without
+// pools, except for what it does only without pools.
 type unlimitedPools struct {
 	s     *Shedder
 	moves int
 }
 
-func (o *unlimitedPools) Moved(time.Duration, string, string, Place) { o.moves++ }
-func (o *unlimitedPools) Tick(time.Duration, float64, Gauges)        {}
-func (o *unlimitedPools) HasCapacity(time.Duration, string) bool     { return true }
-func (o *unlimitedPools) Admits(string) bool                         { return true }
-func (o *unlimitedPools) Concurrency(string) float64                 { return o.s.runLimit() }
-func (o *unlimitedPools) Queue(string) string                        { return "" }
+func (p *unlimitedPools) Moved(time.Duration, string, string, Place) { p.moves++ }
+func (p *unlimitedPools) Tick(time.Duration, float64, Gauges)        {}
+func (p *unlimitedPools) HasCapacity(time.Duration, string) bool     { return true }
+func (p *unlimitedPools) Admits(string) bool                         { return true }
+func (p *unlimitedPools) Concurrency(string) float64                 { return p.s.runLimit() }
+func (p *unlimitedPools) Queue(string) string                        { return "" }
 
-// evening plays recorded events, the same for a seed, and returns what the module asked for. With few in hand the
-// bound on runs in hand, for which pools have a queue each instead, is not met.
-func playEvents(t *testing.T, seed uint64, busy bool, use func(*Shedder)) []string {
+// playEvents plays random events, the same for a seed, and returns the actions of the module. If busy is
+// not set, few requests are open, so the bound on open requests is not reached; with pools that bound
+// applies to each queue.
+func playEvents(t *testing.T, seed uint64, busy bool, setup func(*Shedder)) []string {
 	s, h := newTestShedder(t, func(set *Settings) { set.MemoryKB = 40000; set.Preemption = PreemptNone })
-	if use != nil {
-		use(s)
+	if setup != nil {
+		setup(s)
 	}
 	rng := rand.New(rand.NewPCG(seed, 4))
 	now, seq := time.Duration(0), 0
-	most := 6
+	maxOpen := 6
 	if busy {
-		most = 60
+		maxOpen = 60
 	}
-	var live []string
+	var ids []string
 	for range 4000 {
 		now += time.Duration(rng.IntN(12)) * time.Millisecond
 		switch k := rng.IntN(10); {
-		case k < 4 && len(s.requests) < most:
+		case k < 4 && len(s.requests) < maxOpen:
 			seq++
 			id := fmt.Sprint("r", seq)
-			live = append(live, id)
+			ids = append(ids, id)
 			s.Arrive(now, Request{
 				ID: id, Class: []string{"read", "book", "pay"}[rng.IntN(3)], QueuedKB: 1 + 40*rng.Float64(),
 				Deadline: now + time.Duration(200+rng.IntN(4000))*time.Millisecond, Rank: rng.Float64(),
 			})
-		case k < 7 && len(live) > 0:
-			i := rng.IntN(len(live))
-			if r := s.requestByID[live[i]]; r != nil && r.state == running {
+		case k < 7 && len(ids) > 0:
+			i := rng.IntN(len(ids))
+			if r := s.requestByID[ids[i]]; r != nil && r.state == running {
 				if rng.IntN(4) == 0 {
 					s.NeedsCall(now, r.ID)
 				} else {
@@ -59,8 +60,8 @@
 			} else if r != nil && r.state == calling {
 				s.CallEnded(now, r.ID, []Outcome{OK, OK, TimedOut, Overloaded}[rng.IntN(4)], 20*time.Millisecond)
 			}
-		case k == 7 && len(live) > 0:
-			s.Cancelled(now, live[rng.IntN(len(live))])
+		case k == 7 && len(ids) > 0:
+			s.Cancelled(now, ids[rng.IntN(len(ids))])
 		default:
 			s.Tick(now, Gauges{CPU: rng.Float64(), OnCores: float64(rng.IntN(6))})
 		}
@@ -70,38 +71,39 @@
 	return h.lines
 }
 
+// digest returns a hash of the actions.
 func digest(lines []string) uint64 {
 	sum := fnv.New64a()
 	sum.Write([]byte(strings.Join(lines, "\n")))
 	return sum.Sum64()
 }
 
-// With pools off the module's actions are bit for bit those of the program before there were any: these digests were
-// taken from it.
+// Without pools the actions must be the same as before pools were introduced: the digests were taken from
+// that version.
 func TestWithoutPools(t *testing.T) {
 	for seed, want := range []uint64{0xfac48b99eca1ac9e, 0x452efc6e538db490, 0x5f93ea6e3be283bb} {
 		if got := digest(playEvents(t, uint64(seed), true, nil)); got != want {
-			t.Errorf("seed %d: the actions have the digest %#x, had %#x", seed, got, want)
+			t.Errorf("seed %d: the digest of the actions is %#x, want %#x", seed, got, want)
 		}
 	}
 }
 
-// Pools that hold nothing back change nothing either.
+// Pools without limits must not change any action.
 func TestUnlimitedPoolsChangeNothing(t *testing.T) {
 	for seed := range uint64(5) {
-		var o *unlimitedPools
+		var pools *unlimitedPools
 		without := playEvents(t, seed, false, nil)
-		with := playEvents(t, seed, false, func(s *Shedder) { o = &unlimitedPools{s: s}; s.UsePools(o) })
+		with := playEvents(t, seed, false, func(s *Shedder) { pools = &unlimitedPools{s: s}; s.UsePools(pools) })
 		if digest(without) != digest(with) {
-			t.Errorf("seed %d: the actions differ", seed)
+			t.Errorf("seed %d: the actions differ with and without pools", seed)
 		}
-		if o.moves < 100 {
-			t.Errorf("seed %d: the pools were told of %d moves", seed, o.moves)
+		if pools.moves < 100 {
+			t.Errorf("seed %d: %d moves reported to the pools, want at least 100", seed, pools.moves)
 		}
 	}
 }
 
-// closedPool are pools without capacity for one class.
+// closedPool are pools that have no capacity for one class.
 type closedPool struct {
 	unlimitedPools
 	class string
@@ -116,43 +118,43 @@
 }
 func (p *closedPool) Queue(class string) string { return class }
 
-// A class whose pool has no capacity waits while others run past it, and what its pool can't run in time is rejected at
-// once, on arrival.
+// A class whose pool has no capacity must wait while other classes run, and requests that its pool cannot
+// run in time must be rejected on arrival.
 func TestPoolLimitsItsClass(t *testing.T) {
 	s, h := newTestShedder(t, func(set *Settings) { set.MemoryKB = 100000 })
 	s.UsePools(&closedPool{unlimitedPools{s: s}, "book"})
 	s.Arrive(1, Request{ID: "b1", Class: "book", QueuedKB: 1, ExpectedWork: 100 * time.Millisecond})
 	s.Arrive(2, Request{ID: "r1", Class: "read", QueuedKB: 1, ExpectedWork: 100 * time.Millisecond})
 	if h.called("run b1") || !h.called("run r1") || h.called("refuse b1") {
-		t.Fatalf("%v", h.lines)
+		t.Fatalf("a class with a full pool did not wait, or another class did: %v", h.lines)
 	}
 	for i := range 30 {
 		s.Arrive(3, Request{ID: fmt.Sprint("c", i), Class: "book", QueuedKB: 1, ExpectedWork: 100 * time.Millisecond})
 	}
 	if n := h.count("refuse"); n < 28 || h.called("refuse b1") {
-		t.Errorf("%d of 30 that can't make their objective were rejected on arrival: %v", n, h.lines)
+		t.Errorf("%d of 30 requests that cannot meet their objective were rejected on arrival: %v", n, h.lines)
 	}
 }
 
-// What is rejected unread counts as rejected: the ordinary path and what callers are told see it.
+// Requests rejected unread must count as rejected for the statistics and for the signal to callers.
 func TestRejectedUnread(t *testing.T) {
 	s, _ := newTestShedder(t, func(set *Settings) { set.Signal = SignalCredit })
 	s.RejectedUnread(time.Second, "read", 100)
 	s.RejectedUnread(time.Second, "nothing", 100)
 	if s.arrivals != 100 || s.rejections != 100 || s.rejectedBy[reasonForecast] != 100 || s.classByName["read"].requestedWork <= 0 {
-		t.Errorf("arrivals %v, rejections %v, by rule %v", s.arrivals, s.rejections, s.rejectedBy)
+		t.Errorf("arrivals %v, rejections %v, rejections by rule %v", s.arrivals, s.rejections, s.rejectedBy)
 	}
 	for range 40 {
 		s.RejectedUnread(s.now+tickInterval, "read", 100)
 		s.Tick(s.now, Gauges{})
 	}
 	if s.pressure < 0.4 {
-		t.Errorf("the pressure that callers are told of is %v", s.pressure)
+		t.Errorf("the pressure is %v, want at least 0.4", s.pressure)
 	}
 }
 
-// How long the module takes for one decision with so many in the hold: what everybody waits for who needs the core's
-// lock.
+// BenchmarkDecide measures one decision with n queued requests. Every caller that needs the lock of the
+// core waits for this time.
 func BenchmarkDecide(b *testing.B) {
 	for _, n := range []int{10, 100, 1000, 4000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/queue_test.go
+++ b/queue_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// Calls that end together bring back more runs than the cores can hold.
+// Guards against too many runs on the cores: calls that end at the same time return more runs than the
+// cores can take.
 func TestSurplusRunsArePaused(t *testing.T) {
 	s, h := newTestShedder(t, func(set *Settings) { set.Dependency, set.MaxRunsPerCore = DependencyTier, 20 })
 	for i := range 8 {
@@ -15,13 +16,13 @@
 		s.NeedsCall(0, id)
 	}
 	if n := h.count("call"); n != 0 && s.stateCount[calling] != 8 {
-		t.Fatalf("%d calls out: %v", s.stateCount[calling], h.lines)
+		t.Fatalf("%d calls in progress: %v", s.stateCount[calling], h.lines)
 	}
 	for i := range 8 {
 		s.CallEnded(10*time.Millisecond, fmt.Sprint("r", i), OK, 0)
 	}
 	if s.stateCount[running] > int(pauseRatio*s.runLimit())+1 {
-		t.Errorf("%d running: %v", s.stateCount[running], h.lines)
+		t.Errorf("%d running, more than pauseRatio allows: %v", s.stateCount[running], h.lines)
 	}
 }
 
@@ -36,7 +37,7 @@
 	r.Unread = 900 * time.Millisecond
 	s.Arrive(0, r)
 	if !h.called("refuse late") {
-		t.Errorf("queued though it can't make its objective: %v", h.lines)
+		t.Errorf("request queued, though it cannot meet its objective: %v", h.lines)
 	}
 }
 
--- a/retryadvice_test.go
+++ b/retryadvice_test.go
@@ -7,8 +7,9 @@
 	"time"
 )
 
-// Rejected by slow servers, a request went down a list of hundreds and cost each a reading. Every second rejection for a fault of
-// this server's own is final, so that such chains end.
+// Guards against long failover chains: a request rejected by slow servers was sent to hundreds of servers
+// one after another and cost each the work of reading it. Every second rejection for a local fault must be
+// final.
 func TestEverySecondRejectionIsFinal(t *testing.T) {
 	s, h := newTestShedder(t)
 	s.Drain(0, time.Hour)
@@ -24,6 +25,6 @@
 		}
 	}
 	if final != 10 {
-		t.Errorf("%d of 20 end here while leaving, want every second: %v", final, h.lines)
+		t.Errorf("%d of 20 rejections are final during a drain, want 10: %v", final, h.lines)
 	}
 }
--- a/settings_golden_test.go
+++ b/settings_golden_test.go
@@ -8,7 +8,7 @@
 	"silverpath"
 )
 
-// What operators read of settings that no server can have, word for word: the texts stand in reload errors and in the log.
+// The texts of settings errors must not change: operators read them in reload errors and in the log.
 func TestImpossibleSettingsTexts(t *testing.T) {
 	for _, c := range []struct {
 		change func(*silverpath.Settings)
@@ -53,10 +53,10 @@
 		c.change(&set)
 		_, err := silverpath.New(0, set, idleHost{})
 		if want := "silverpath: impossible settings: " + c.want; err == nil || err.Error() != want {
-			t.Errorf("error %v, want %s", err, want)
+			t.Errorf("New returned error %v, want %s", err, want)
 		}
 	}
 	if _, err := silverpath.New(0, silverpath.Settings{}, nil); err == nil || err.Error() != "silverpath: no host" {
-		t.Errorf("error %v without a host", err)
+		t.Errorf("New returned error %v without a host", err)
 	}
 }
--- a/settings_test.go
+++ b/settings_test.go
@@ -30,7 +30,7 @@
 		set.Classes = slices.Clone(set.Classes)
 		f(&set)
 		if _, err := New(0, set, &scriptHost{}); err == nil || !strings.Contains(err.Error(), field) {
-			t.Errorf("%s: error %v", field, err)
+			t.Errorf("%s: New returned error %v", field, err)
 		}
 	}
 }
--- a/shedder_test.go
+++ b/shedder_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// script is a host that writes its actions down.
+// scriptHost is a host that records its actions.
 type scriptHost struct{ lines []string }
 
 func (h *scriptHost) add(a ...any)                              { h.lines = append(h.lines, fmt.Sprint(a...)) }
@@ -37,6 +37,7 @@
 	return n
 }
 
+// testSettings returns the settings of a small server with three classes, one for each Effect.
 func testSettings() Settings {
 	return Settings{
 		Cores: 2, MemoryKB: 10000, RunFactor: 4, KeyKB: 10, MaxRunsPerCore: 8, RunsWindow: 2 * time.Second,
@@ -52,6 +53,7 @@
 	}
 }
 
+// newTestShedder returns a Shedder with testSettings, changed by change, and its host.
 func newTestShedder(t *testing.T, change ...func(*Settings)) (*Shedder, *scriptHost) {
 	t.Helper()
 	set, h := testSettings(), &scriptHost{}
@@ -69,15 +71,16 @@
 	return Request{ID: id, Class: class, QueuedKB: 10, ExpectedWork: 100 * time.Millisecond}
 }
 
-// After a long pause the samples missed are not made up for one by one.
+// Samples missed in a long pause must be skipped, and not processed one by one.
 func TestMissedSamplesAreSkipped(t *testing.T) {
 	s, _ := newTestShedder(t)
 	s.Tick(200*365*24*time.Hour, Gauges{CPU: 1})
 	if s.cpu.Value() >= cpuThreshold {
-		t.Errorf("CPU %v from one reading", s.cpu.Value())
+		t.Errorf("smoothed CPU is %v after one reading", s.cpu.Value())
 	}
 }
 
+// Events for unknown IDs and classes must be ignored or rejected, and a known ID must not run twice.
 func TestUnknownIDsAndClasses(t *testing.T) {
 	s, h := newTestShedder(t)
 	s.Arrive(0, testRequest("odd", "no such class"))
@@ -94,7 +97,8 @@
 	}
 }
 
-// What a server may not be told: no servers, no callers, no share of calls, no class that calls.
+// Settings without servers, callers, a call quota or a class that calls must not lead to invalid numbers or
+// to calls.
 func TestMissingSettings(t *testing.T) {
 	s, h := newTestShedder(t, func(set *Settings) {
 		set.Servers, set.Callers, set.CallQuota, set.CallWindow, set.KeepAlive = 0, 0, 0, 0, 0
@@ -112,7 +116,7 @@
 		s.Tick(time.Duration(i)*tickInterval, Gauges{})
 	}
 	if !h.called("skip a") || h.called("call a") {
-		t.Error("no call is in the share, and it was not left out:", h.lines)
+		t.Error("the call was not skipped with a call quota of 0:", h.lines)
 	}
 	for _, l := range h.lines {
 		if strings.Contains(l, "NaN") || strings.Contains(l, "Inf") {
@@ -121,66 +125,66 @@
 	}
 }
 
-// Retuning: classes come and go, requests in hand keep the class they came with, what was seen of the classes that stay
-// is kept, and one that comes back under its name starts clean.
+// Reconfigure must keep the class of open requests and the statistics of classes that remain. A class that
+// is dropped and added again must start without statistics.
 func TestReconfigure(t *testing.T) {
-	roomy := func(set *Settings) { set.Cores = 16 }
-	s, h := newTestShedder(t, roomy)
+	sixteenCores := func(set *Settings) { set.Cores = 16 }
+	s, h := newTestShedder(t, sixteenCores)
 	s.Arrive(0, testRequest("a", "read"))
 	s.Arrive(0, testRequest("b", "book"))
 	s.Arrive(0, testRequest("c", "read"))
-	seen := s.classByName["read"].classStats
-	seen.meanWork, seen.requestedWork = 0.5, 7
+	stats := s.classByName["read"].classStats
+	stats.meanWork, stats.requestedWork = 0.5, 7
 	s.cpu.Add(0.7, 0)
 
 	next := testSettings()
-	roomy(&next)
+	sixteenCores(&next)
 	next.Classes = []Class{next.Classes[0], next.Classes[2], {Name: "new", Objective: time.Second, Deadline: 2 * time.Second, Weight: 1}}
 	next.Classes[0].Objective, next.Classes[0].Weight = 500*time.Millisecond, 2
 	if err := s.Reconfigure(time.Second, next); err != nil {
 		t.Fatal(err)
 	}
-	if k := s.classByName["read"]; k.classStats != seen || k.Objective != 500*time.Millisecond || k.inFlight != 2 || s.cpu.Value() != 0.7 {
-		t.Errorf("the class that stays: %+v, %+v, CPU %v, %v", k.Class, k.classStats, s.cpu.Value(), h.lines)
+	if c := s.classByName["read"]; c.classStats != stats || c.Objective != 500*time.Millisecond || c.inFlight != 2 || s.cpu.Value() != 0.7 {
+		t.Errorf("the remaining class is %+v with %+v, CPU %v, %v", c.Class, c.classStats, s.cpu.Value(), h.lines)
 	}
-	if k := s.requestByID["a"].class; k.Objective != time.Second || k.Weight != 1 {
-		t.Errorf("a request in hand has class %+v", k.Class)
+	if c := s.requestByID["a"].class; c.Objective != time.Second || c.Weight != 1 {
+		t.Errorf("an open request has class %+v, want the one that it arrived with", c.Class)
 	}
 	s.Arrive(time.Second, testRequest("d", "book"))
 	if !h.called("refuse d") {
-		t.Error("a dropped class is taken")
+		t.Error("a request of a dropped class was not rejected")
 	}
 	s.Arrive(time.Second, testRequest("e", "new"))
 	s.Arrive(time.Second, testRequest("f", "read"))
 	if h.called("refuse e") || s.requestByID["f"].objective != time.Second+500*time.Millisecond {
-		t.Error("the new classes do not hold")
+		t.Error("a request of a new class was rejected, or the new objective does not apply")
 	}
-	// The dropped class ends its runs, and its counts touch no other's.
+	// The dropped class ends its runs without changing the counts of other classes.
 	s.RunEnded(1100*time.Millisecond, "b", OK, time.Second)
 	if s.requestByID["b"] != nil || len(s.classes) != 3 {
-		t.Error("a run of a dropped class does not end")
+		t.Error("a run of a dropped class did not end")
 	}
 	s.RunEnded(1100*time.Millisecond, "a", OK, time.Second)
 	if n := s.classByName["read"].inFlight; n != 2 {
-		t.Errorf("%d of the class in flight, want c and f", n)
+		t.Errorf("%d requests of the class in flight, want c and f", n)
 	}
 	s.Arrive(1200*time.Millisecond, testRequest("g", "new"))
 	if err := s.Reconfigure(1200*time.Millisecond, testSettings()); err != nil {
 		t.Fatal(err)
 	}
-	if k := s.classByName["book"]; k.inFlight != 0 || k.meanWork != 0 || k.requestedWork != 0 {
-		t.Errorf("a class that comes back: %+v", k.classStats)
+	if c := s.classByName["book"]; c.inFlight != 0 || c.meanWork != 0 || c.requestedWork != 0 {
+		t.Errorf("a class that was added again has statistics %+v, want none", c.classStats)
 	}
 	s.RunEnded(1300*time.Millisecond, "g", OK, 0)
 	if s.classByName["new"] != nil || s.requestByID["g"] != nil {
-		t.Error("a class that went again")
+		t.Error("a class dropped again is still known, or its run did not end")
 	}
 }
 
-// Settings that no server can have change nothing.
+// Reconfigure must reject invalid settings and change nothing.
 func TestReconfigureRejectsImpossibleSettings(t *testing.T) {
 	s, _ := newTestShedder(t)
-	for _, spoil := range []func(*Settings){
+	for _, invalidate := range []func(*Settings){
 		func(set *Settings) { set.Classes = nil },
 		func(set *Settings) { set.Classes[1].Deadline = 0 },
 		func(set *Settings) { set.Classes[1].Deadline = -time.Second },
@@ -188,13 +192,13 @@
 		func(set *Settings) { set.Cores = 0 },
 		func(set *Settings) { set.MemoryKB = math.NaN() },
 	} {
-		bad := testSettings()
-		spoil(&bad)
-		if err := s.Reconfigure(time.Second, bad); err == nil || strings.Contains(err.Error(), "\n") {
-			t.Errorf("taken: %+v", bad)
+		invalid := testSettings()
+		invalidate(&invalid)
+		if err := s.Reconfigure(time.Second, invalid); err == nil || strings.Contains(err.Error(), "\n") {
+			t.Errorf("Reconfigure accepted invalid settings: %+v", invalid)
 		}
 	}
 	if len(s.classes) != 3 || s.settings.Cores != 2 || s.classByName["book"].Deadline != 5*time.Second {
-		t.Errorf("%+v", s.settings)
+		t.Errorf("invalid settings changed the settings in force: %+v", s.settings)
 	}
 }
--- a/transitions_test.go
+++ b/transitions_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Who is on call hears of slow calls once they have been slow for a while, not of every few that were.
+// Slow calls must be logged once they have been slow for windowLength, and not at every variation.
 func TestSlowCallsAreLogged(t *testing.T) {
 	s, h := newTestShedder(t)
 	s.baseCallTime = 1
@@ -16,17 +16,18 @@
 		s.Tick(s.now+sampleInterval, Gauges{})
 	}
 	if h.called("log calls") {
-		t.Errorf("every swing is logged: %v", h.lines)
+		t.Errorf("short variations of the call time are logged: %v", h.lines)
 	}
 	s.typicalCallTime = 3
 	s.Tick(s.now+sampleInterval, Gauges{})
 	s.Tick(s.now+windowLength+sampleInterval, Gauges{})
 	if !h.called("log calls slow: true, they take 3.00 s and took 1.00 s") {
-		t.Errorf("not logged: %v", h.lines)
+		t.Errorf("slow calls are not logged: %v", h.lines)
 	}
 }
 
-// Who is on call sees where an overload begins and ends, and what rejected; never a line for each request.
+// An overload must be logged once when it begins and once when it ends, with the number of rejections by
+// rule, and never for each request.
 func TestOverloadIsLoggedOnce(t *testing.T) {
 	s, h := newTestShedder(t)
 	for i := range 400 {
