--- a/calls.go
+++ b/calls.go
@@ -22,13 +22,14 @@
 )
 
 const (
-	// callTimeBeta is the weight of the old average in typicalCallTime at each call: five calls show a change.
+	// callTimeBeta is the weight of the old average in typicalCallTime at each call. With it, five calls
+	// change the average noticeably.
 	callTimeBeta = 0.8
 	// baseCallTimeRise is the fraction of its distance to the typical time by which the base time rises at
 	// each call. The time of a permanently slow dependency becomes the base only after thousands of calls.
 	baseCallTimeRise = 0.0005
 	// slowCallRatio is the ratio of typical to base call time above which the dependency counts as overloaded.
-	// A lower ratio would reduce the calls on their normal variation.
+	// A lower ratio would reduce the number of calls on normal variation of their duration.
 	slowCallRatio = 2
 	// minCallQuotaRatio is the fraction of the quota below which maxSharedCalls does not fall: if calls are
 	// slow for another reason than their number, fewer calls do not make them faster.
@@ -180,8 +181,8 @@
 	return r.canSkipCall() && (s.skippingEarnsMore(r, remaining) || r.backoff > firstCallBackoff)
 }
 
-// makeCallIfAllowed makes a call if the limits allow it the typical call time, or all of the remaining
-// time.
+// makeCallIfAllowed makes a call if the limits allow a timeout of at least the typical call time, or of all
+// the remaining time if that is shorter.
 func (s *Shedder) makeCallIfAllowed(r *request, remaining time.Duration) {
 	timeout := s.callTimeout(remaining)
 	if timeout < min(seconds(s.typicalCallTime), remaining) || timeout <= 0 {
--- a/calls_test.go
+++ b/calls_test.go
@@ -7,18 +7,18 @@
 )
 
 func TestCallWithPossibleEffectIsNotRetried(t *testing.T) {
-	for o, want := range map[Outcome]string{Failed: "fail", TimedOut: "fail", Disconnected: "fail",
+	for outcome, want := range map[Outcome]string{Failed: "fail", TimedOut: "fail", Disconnected: "fail",
 		Overloaded: "call", Unreachable: "call"} {
 		s, h := newTestShedder(t)
 		s.Arrive(0, testRequest("a", "pay"))
 		s.NeedsCall(0, "a")
 		h.lines = nil
-		s.CallEnded(10*time.Millisecond, "a", o, 10*time.Millisecond)
+		s.CallEnded(10*time.Millisecond, "a", outcome, 10*time.Millisecond)
 		for i := range 10 {
 			s.Tick(time.Duration(i)*50*time.Millisecond, Gauges{})
 		}
 		if !h.called(want+" a") || len(h.lines) != 1 && want == "fail" && h.called("call a") {
-			t.Errorf("outcome %v: actions %v", o, h.lines)
+			t.Errorf("outcome %v: actions %v", outcome, h.lines)
 		}
 	}
 }
@@ -69,8 +69,8 @@
 	id := arriveAndCall("read")
 	s.CallEnded(now, id, OK, 100*time.Millisecond)
 	initial := s.maxTierCalls
-	for _, o := range []Outcome{Failed, TimedOut, Unreachable} {
-		s.CallEnded(now, arriveAndCall("read"), o, 0)
+	for _, outcome := range []Outcome{Failed, TimedOut, Unreachable} {
+		s.CallEnded(now, arriveAndCall("read"), outcome, 0)
 	}
 	if s.maxTierCalls != initial {
 		t.Fatalf("maxTierCalls is %v after failed calls, want %v", s.maxTierCalls, initial)
@@ -105,24 +105,24 @@
 // A safe call whose connection broke must be made again at once, but only the first time; a rejected or
 // failed call must wait for the backoff.
 func TestBrokenReplyIsRetriedAtOnce(t *testing.T) {
-	for o, want := range map[Outcome]int{Disconnected: 2, Overloaded: 1, Failed: 1} {
+	for outcome, want := range map[Outcome]int{Disconnected: 2, Overloaded: 1, Failed: 1} {
 		s, h := newTestShedder(t, func(set *Settings) {
 			set.Dependency = DependencyTier
 			set.Classes[0].DegradedWeight = 0
 		})
 		s.Arrive(0, testRequest("a", "read"))
 		s.NeedsCall(0, "a")
-		s.CallEnded(time.Millisecond, "a", o, time.Millisecond)
+		s.CallEnded(time.Millisecond, "a", outcome, time.Millisecond)
 		if n := h.count("call a"); n != want {
-			t.Errorf("outcome %v: %d calls before the backoff, want %d", o, n, want)
+			t.Errorf("outcome %v: %d calls before the backoff, want %d", outcome, n, want)
 		}
-		s.CallEnded(2*time.Millisecond, "a", o, time.Millisecond)
+		s.CallEnded(2*time.Millisecond, "a", outcome, time.Millisecond)
 		if n := h.count("call a"); n != want {
-			t.Errorf("outcome %v twice: %d calls before the backoff, want %d", o, n, want)
+			t.Errorf("outcome %v twice: %d calls before the backoff, want %d", outcome, n, want)
 		}
 		s.Tick(200*time.Millisecond, Gauges{})
 		if n := h.count("call a"); n != want+1 {
-			t.Errorf("outcome %v: %d calls after the backoff, want %d", o, n, want+1)
+			t.Errorf("outcome %v: %d calls after the backoff, want %d", outcome, n, want+1)
 		}
 	}
 }
@@ -184,9 +184,9 @@
 	s, _ := newTestShedder(t)
 	s.typicalCallTime = 1
 	r := &request{class: s.classByName["read"]} // DegradedWeight 0.5: skip below the median call time, ln 2 of the mean
-	for left, want := range map[time.Duration]bool{690 * time.Millisecond: true, 700 * time.Millisecond: false} {
-		if got := s.skippingEarnsMore(r, left); got != want {
-			t.Errorf("%v remaining for a call of 1 s: skippingEarnsMore is %v", left, got)
+	for remaining, want := range map[time.Duration]bool{690 * time.Millisecond: true, 700 * time.Millisecond: false} {
+		if got := s.skippingEarnsMore(r, remaining); got != want {
+			t.Errorf("%v remaining for a call of 1 s: skippingEarnsMore is %v", remaining, got)
 		}
 	}
 	r.class.DegradedWeight = 1
--- a/capacity_test.go
+++ b/capacity_test.go
@@ -58,14 +58,14 @@
 	}{{6, false}, {1, true}} { // each run takes three times as long: on a third of a core, or on a whole core
 		s, _ := newTestShedder(t, func(set *Settings) { set.Dependency = DependencyNone })
 		now := time.Duration(0)
-		runRequests := func(n int, took time.Duration, onCores float64) {
+		runRequests := func(n int, duration time.Duration, onCores float64) {
 			for range n {
 				id := fmt.Sprint("a", now)
 				s.Arrive(now, testRequest(id, "pay"))
-				for end := now + took; now < end; now += tickInterval {
+				for end := now + duration; now < end; now += tickInterval {
 					s.Tick(now, Gauges{CPU: 1, OnCores: onCores})
 				}
-				s.RunEnded(now, id, OK, took)
+				s.RunEnded(now, id, OK, duration)
 			}
 		}
 		runRequests(100, 100*time.Millisecond, 1)
--- a/deadline.go
+++ b/deadline.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	// callerTimeoutBeta is the weight of the old average in callerTimeoutRatio at each cancelled request: five
-	// show a change.
+	// callerTimeoutBeta is the weight of the old average in callerTimeoutRatio at each cancelled request. With
+	// it, five cancellations change the average noticeably.
 	callerTimeoutBeta = 0.8
 	// deadlineMargin is how long before its deadline a request is answered: one tick to notice the deadline
 	// and one to deliver the answer.
@@ -41,10 +41,10 @@
 
 // updateCallerTimeout records how long a caller waited for an attempt that it cancelled. Callers may cancel
 // long before the client stops waiting and then try another server; an answer after that is wasted work.
-// One average covers all callers, because each of hundreds of callers is seen too rarely. The average may
-// be too long, since cancellations are noticed late, or too short for retries. It applies only to requests
-// that carry no deadline, because broken connections and cancelled hedges suggest a timeout that no caller
-// has.
+// One average covers all callers, because each of hundreds of callers is observed too rarely. The average
+// may be too long, since cancellations are noticed late, or too short for retries. It applies only to
+// requests that carry no deadline, because broken connections and cancelled hedges suggest a timeout that
+// no caller has.
 func (s *Shedder) updateCallerTimeout(r *request) {
 	waited := float64(s.now-r.receivedAt) / float64(r.class.Deadline)
 	s.callerTimeoutRatio.Add(min(1, waited), callerTimeoutBeta)
--- a/fairness_test.go
+++ b/fairness_test.go
@@ -47,9 +47,9 @@
 		s.tenantBuckets["t0"].Take(0)
 		s.tenantBuckets["t1"].Take(0)
 	}
-	next := testSettings()
-	addTenants(4, 8, 2)(&next)
-	if err := s.Reconfigure(0, next); err != nil {
+	newSettings := testSettings()
+	addTenants(4, 8, 2)(&newSettings)
+	if err := s.Reconfigure(0, newSettings); err != nil {
 		t.Fatal(err)
 	}
 	if s.tenantBuckets["t0"].Take(0) || !s.tenantBuckets["t1"].Take(0) || !s.tenantBuckets["t2"].Take(0) {
--- a/golden_test.go
+++ b/golden_test.go
@@ -111,8 +111,8 @@
 	return "others"
 }
 
-// recordDay plays one day and returns the recorded actions. By its seed a day is plain (kind 0), has pools
-// (1), or has reconfigurations, late starts and requests rejected unread (2).
+// recordDay plays one day and returns the recorded actions. The seed selects the kind of the day: plain
+// (0), with pools (1), or with reconfigurations, late starts and requests rejected unread (2).
 func recordDay(t *testing.T, seed uint64) []string {
 	t.Helper()
 	rng := rand.New(rand.NewPCG(seed, 30))
--- a/idempotency.go
+++ b/idempotency.go
@@ -100,14 +100,14 @@
 
 // removeIf removes the entries for which matches returns true.
 func (t *keyTable) removeIf(matches func(keyEntry) bool) {
-	kept := t.entries[:0]
+	remaining := t.entries[:0]
 	for _, e := range t.entries {
 		if matches(e) {
 			delete(t.ids, e.id)
 			t.memoryKB -= e.memoryKB
 		} else {
-			kept = append(kept, e)
+			remaining = append(remaining, e)
 		}
 	}
-	t.entries = kept
+	t.entries = remaining
 }
--- a/idempotency_test.go
+++ b/idempotency_test.go
@@ -8,9 +8,9 @@
 func TestDuplicateJoinsRememberedRequest(t *testing.T) {
 	s, h := newTestShedder(t)
 	s.Arrive(0, testRequest("a", "book"))
-	again := testRequest("b", "book")
-	again.DuplicateOf = "a"
-	s.Arrive(time.Millisecond, again)
+	duplicate := testRequest("b", "book")
+	duplicate.DuplicateOf = "a"
+	s.Arrive(time.Millisecond, duplicate)
 	if !h.called("keep a") || !h.called("join b") || h.called("run b") {
 		t.Error(h.lines)
 	}
--- a/overload.go
+++ b/overload.go
@@ -2,9 +2,10 @@
 
 // Overload: the adaptive concurrency limit, which rejects arrivals in ordinary operation. It is the
 // adaptive shedder of go-zero, from "Adaptive load shedding for microservice governance" (access9, 21
-// November 2021). While smoothed CPU is at least cpuThreshold, and for coolOffTime after each rejection, an
-// arrival is rejected if both the current and the average number of requests of its class in flight exceed
-// the highest completion rate times the lowest response time of the last windowLength.
+// November 2021). The limit applies while smoothed CPU is at least cpuThreshold, and for coolOffTime after
+// each rejection. It is the highest completion rate times the lowest response time of the last
+// windowLength. An arrival is rejected if both the current and the average number of requests of its class
+// in flight exceed it.
 //
 // Inputs: the CPU gauge (share of busy cores, once per sampleInterval) and the completions of each class.
 
--- a/record.go
+++ b/record.go
@@ -122,7 +122,7 @@
 }
 
 // classMeanDivisor is the inverse of the weight of a completed request in the mean work and call wait of
-// its class: ten requests show a change.
+// its class. With it, ten requests change the means noticeably.
 const classMeanDivisor = 10
 
 // request is the state of one attempt of a request.
@@ -221,21 +221,21 @@
 	if r.state == queued && !r.started {
 		s.forgetKey(r) // cancelled before it ran
 	}
-	wasJoined := r.state == joined
+	joinedAnother := r.state == joined
 	s.setState(r, finished)
 	delete(s.requestByID, r.ID)
 	s.requests = slices.DeleteFunc(s.requests, func(other *request) bool { return other == r })
 	s.recordCompletion(r)
-	s.recordWork(r, wasJoined)
+	s.recordWork(r, joinedAnother)
 }
 
 // recordWork adds the work of a request that is over to completedWork and, if its own run completed,
 // updates the means of its class.
-func (s *Shedder) recordWork(r *request, wasJoined bool) {
+func (s *Shedder) recordWork(r *request, joinedAnother bool) {
 	switch {
 	case !r.completed:
 		s.completedWork += min(r.expectedWork, r.coreTime.Seconds()/s.baselineSlowdown)
-	case !wasJoined:
+	case !joinedAnother:
 		s.completedWork += r.expectedWork
 		r.class.typicalCallWait += (r.callWait.Seconds() - r.class.typicalCallWait) / classMeanDivisor
 		work := r.expectedWork
