--- a/queue.go
+++ b/queue.go
@@ -1,13 +1,13 @@
 package silverpath
 
-// Queue: who runs next, who can't make it, and who gives way. Queued and paused requests stand in the order
-// of the weight that they still earn for the work; ties go by the nearer latency objective. Going down that
-// order, each is started if there is capacity. Otherwise its end is forecast behind what stands before it,
-// and a request that would end after its objective is rejected at once: nobody would use its answer, and its
-// caller can still go elsewhere. One that has started is never rejected.
+// Queue: which request runs next, which is rejected and which is paused. Queued and paused requests are
+// ordered by the weight that they can still earn per unit of work, and ties by the earlier latency
+// objective. In this order, each request starts if there is capacity. Otherwise its finish time is forecast
+// from the work ahead of it, and a request that would finish after its objective is rejected at once: its
+// answer would not be used, and its caller can still try another server. A request that was started is
+// never rejected.
 //
-// Inputs: goal weights, expected work, objectives, deadlines, slowdown, the limit of runs, typical time of
-// calls.
+// Inputs: goal weights, expected work, objectives, deadlines, slowdown, runLimit, typical time of calls.
 
 import (
 	"cmp"
@@ -17,19 +17,20 @@
 )
 
 const (
-	// pauseRatio is how many times the runLimit runs on the cores before any is paused. Found by trial; lowering
-	// it pauses runs over the ordinary swing of calls that end together.
+	// pauseRatio is the multiple of runLimit above which runs on the cores are paused. A lower ratio pauses
+	// runs on the normal variation of calls that end at the same time.
 	pauseRatio = 1.5
-	// newcomerSlack is the part of a newcomer's time that the forecast must leave free where pools have queues
-	// of their own. Such a queue moves on unevenly, and a caller is better told on arrival than after waiting in
-	// vain.
-	newcomerSlack = 0.2
+	// arrivalSlack is the share of its remaining time that the forecast for a new request must leave free if
+	// pools have separate queues. Such a queue advances unevenly, and a rejection on arrival serves the caller
+	// better than one after a wait.
+	arrivalSlack = 0.2
 )
 
-// ranked returns the unanswered requests in one of the states, the best first.
+// ranked returns the unanswered requests that are in one of the states, in descending order of earned
+// weight.
 func (s *Shedder) ranked(states ...requestState) []*request {
 	var list []*request
-	density := map[*request]float64{} // weight still to be earned, for each second of work where that counts
+	density := map[*request]float64{} // weight that can still be earned per second of work
 	for _, r := range s.requests {
 		if r.answered || !slices.Contains(states, r.state) {
 			continue
@@ -49,73 +50,74 @@
 	return list
 }
 
-// schedule starts what there is capacity for and rejects what can't make its objective. It is called after
-// every event that may have changed either.
+// schedule starts the requests for which there is capacity and rejects those that cannot meet their
+// objective. It is called after every event that may change either.
 func (s *Shedder) schedule() {
 	slowdown := s.slowdown()
-	ahead := map[string]float64{}    // seconds of work before the next request, by queue
-	requests := map[string]float64{} // requests in hand, by queue
-	last := map[string]int{}         // place of the least ranked request, by queue
+	workAhead := map[string]float64{}    // seconds of work ahead of the next request, by queue
+	requestCount := map[string]float64{} // open requests, by queue
+	lastIndex := map[string]int{}        // index of the lowest-ranked request, by queue
 	for _, r := range s.requests {
-		requests[s.queueOf(r)]++
+		requestCount[s.queueOf(r)]++
 		switch r.state {
 		case running, preempting, awaitingCall, calling:
-			ahead[s.queueOf(r)] += s.remainingWork(r, slowdown)
+			workAhead[s.queueOf(r)] += s.remainingWork(r, slowdown)
 		}
 	}
 	s.pauseSurplus()
 	list := s.ranked(queued, paused)
 	for i, r := range list {
-		last[s.queueOf(r)] = i
+		lastIndex[s.queueOf(r)] = i
 	}
 	for i, r := range list {
 		queue, concurrency := s.queueOf(r), s.concurrencyOf(r)
 		if s.hasCapacity(r) {
 			s.startRun(r)
 			if r.state == running {
-				ahead[queue] += s.remainingWork(r, slowdown)
+				workAhead[queue] += s.remainingWork(r, slowdown)
 				continue
 			}
 		}
 		work := s.remainingWork(r, slowdown)
-		finish := s.forecast(r, ahead[queue], work, concurrency)
-		tooMany := i == last[queue] && requests[queue] > s.maxRuns()*min(1, concurrency/s.runLimit())
-		if r.state == queued && !r.started && (tooMany || finish > s.latestFinish(r, queue)) {
-			requests[queue]--
-			s.reject(r, rejectionFor(tooMany))
+		finish := s.forecast(r, workAhead[queue], work, concurrency)
+		overMaxRuns := i == lastIndex[queue] && requestCount[queue] > s.maxRuns()*min(1, concurrency/s.runLimit())
+		if r.state == queued && !r.started && (overMaxRuns || finish > s.latestFinish(r, queue)) {
+			requestCount[queue]--
+			s.reject(r, queueRejectionReason(overMaxRuns))
 			continue
 		}
-		ahead[queue] += work
+		workAhead[queue] += work
 	}
 }
 
-// rejectionFor names what rejected a queued request: there are more than the server survives, or its
-// forecast.
-func rejectionFor(tooMany bool) rejectionReason {
-	if tooMany {
-		return byGuard
+// queueRejectionReason returns the rule that rejects a queued request: the bound on open requests, which is
+// what the server survives, or the forecast.
+func queueRejectionReason(overMaxRuns bool) rejectionReason {
+	if overMaxRuns {
+		return reasonGuard
 	}
-	return byForecast
+	return reasonForecast
 }
 
-// forecast is when a request is expected to finish that has so many seconds of work before it and of its own,
-// with so many runs of its queue at once.
+// forecast returns the expected finish time of a request, from the seconds of work ahead of it, the seconds
+// of its own work, and the number of concurrent runs of its queue.
 func (s *Shedder) forecast(r *request, ahead, work, concurrency float64) time.Duration {
-	stay := ahead/concurrency + work/min(1, concurrency) + max(0, r.class.typicalCallWait-r.callWait.Seconds())
-	return s.now + seconds(stay)
+	delay := ahead/concurrency + work/min(1, concurrency) + max(0, r.class.typicalCallWait-r.callWait.Seconds())
+	return s.now + seconds(delay)
 }
 
-// latestFinish is the forecast up to which a request stays queued.
+// latestFinish returns the latest forecast with which a request stays queued.
 func (s *Shedder) latestFinish(r *request, queue string) time.Duration {
 	end := min(r.objective, s.answerBy(r))
 	if queue != "" && r.arrivedAt == s.now {
-		end -= time.Duration(newcomerSlack * float64(end-s.now))
+		end -= time.Duration(arrivalSlack * float64(end-s.now))
 	}
 	return end
 }
 
-// pauseSurplus pauses the runs that earn least while there are more on the cores than keep them busy: calls
-// that end together bring their requests back at once, and past some number throughput falls steeply.
+// pauseSurplus pauses the runs that earn least while more runs are on the cores than pauseRatio allows.
+// Calls that end at the same time return their requests to the cores at once, and beyond some number of
+// runs throughput falls steeply.
 func (s *Shedder) pauseSurplus() {
 	surplus := s.stateCount[running] - int(math.Ceil(pauseRatio*s.runLimit()))
 	if s.settings.Preemption != PreemptPause || surplus <= 0 {
@@ -127,7 +129,8 @@
 	}
 }
 
-// queueOf names the queue in which a request waits: with pools each has its own.
+// queueOf returns the name of the queue in which a request waits. Without pools all requests share one
+// queue.
 func (s *Shedder) queueOf(r *request) string {
 	if s.pools == nil {
 		return ""
@@ -135,7 +138,7 @@
 	return s.pools.Queue(r.class.Name)
 }
 
-// concurrencyOf is the number of runs at once that a request's queue has.
+// concurrencyOf returns the number of concurrent runs available to the queue of a request.
 func (s *Shedder) concurrencyOf(r *request) float64 {
 	if s.pools == nil {
 		return s.runLimit()
--- a/settings.go
+++ b/settings.go
@@ -6,33 +6,34 @@
 	"time"
 )
 
-// check names the field of settings that no server can have, and fills in what may be left out. The names in its
-// texts are those that operators have always read in logs and errors; some fields have better names by now:
-// Aim and AimStretch (Objective), Worth (Weight), LateWorth (LateWeight), KeyWindow (IdempotencyWindow), WithoutCall
-// (DegradedWeight), ColdFrom (ColdSpeed), WarmWithin (WarmupTime), CrowdLimit (MaxRunsPerCore), CrowdWindow
-// (RunsWindow), OverShareWorth (OverQuotaWeight), MaxAdvice (MaxRetryAfter) and CallShare (CallQuota).
-func check(set *Settings) error {
+// validate returns an error that names the first invalid field, and raises MaxRunsPerCore and RunFactor to
+// at least 1. Errors use the field names that operators know from logs and earlier errors. These differ
+// from the Go names for Aim and AimStretch (Objective, ObjectiveStretch), Worth (Weight), LateWorth
+// (LateWeight), KeyWindow (IdempotencyWindow), WithoutCall (DegradedWeight), ColdFrom (ColdSpeed),
+// WarmWithin (WarmupTime), CrowdLimit (MaxRunsPerCore), CrowdWindow (RunsWindow), OverShareWorth
+// (OverQuotaWeight), MaxAdvice (MaxRetryAfter) and CallShare (CallQuota).
+func validate(set *Settings) error {
 	if set.Cores <= 0 {
-		return missing("Cores")
+		return missingFieldError("Cores")
 	}
 	if !(set.MemoryKB > 0) {
-		return missing("MemoryKB")
+		return missingFieldError("MemoryKB")
 	}
 	if len(set.Classes) == 0 {
-		return missing("Classes")
+		return missingFieldError("Classes")
 	}
 	for _, f := range []intField{{"Servers", set.Servers}, {"Callers", set.Callers}, {"Tier", set.Tier}} {
 		if f.value < 0 {
 			return fmt.Errorf("%s: negative: %d", f.name, f.value)
 		}
 	}
-	if err := checkClasses(set.Classes); err != nil {
+	if err := validateClasses(set.Classes); err != nil {
 		return err
 	}
-	if err := checkNumbers(numberFields(set)); err != nil {
+	if err := validateNumbers(numberFields(set)); err != nil {
 		return err
 	}
-	if err := checkDurations(durationFields(set)); err != nil {
+	if err := validateDurations(durationFields(set)); err != nil {
 		return err
 	}
 	set.MaxRunsPerCore = max(1, set.MaxRunsPerCore)
@@ -40,7 +41,8 @@
 	return nil
 }
 
-func missing(field string) error { return fmt.Errorf("%s: none", field) }
+// missingFieldError returns the error for a required field that is missing.
+func missingFieldError(field string) error { return fmt.Errorf("%s: none", field) }
 
 type intField struct {
 	name  string
@@ -57,10 +59,12 @@
 	value time.Duration
 }
 
-// maxDuration is the longest time that a setting may have: sums of a few stay within their type.
+// maxDuration is the longest duration that a setting may have; sums of a few such durations do not
+// overflow.
 const maxDuration = 366 * 24 * time.Hour
 
-func checkClasses(classes []Class) error {
+// validateClasses returns an error if a class has no deadline or two classes have the same name.
+func validateClasses(classes []Class) error {
 	names := map[string]bool{}
 	for i, c := range classes {
 		if names[c.Name] {
@@ -68,12 +72,13 @@
 		}
 		names[c.Name] = true
 		if c.Deadline <= 0 {
-			return missing(fmt.Sprintf("Classes[%d].Deadline", i))
+			return missingFieldError(fmt.Sprintf("Classes[%d].Deadline", i))
 		}
 	}
 	return nil
 }
 
+// numberFields returns the numbers of the settings with the names that errors use.
 func numberFields(set *Settings) []numberField {
 	fields := []numberField{
 		{"MemoryKB", set.MemoryKB}, {"RunFactor", set.RunFactor}, {"KeyKB", set.KeyKB}, {"ColdFrom", set.ColdSpeed},
@@ -91,7 +96,8 @@
 	return fields
 }
 
-func checkNumbers(fields []numberField) error {
+// validateNumbers returns an error for the first number that is negative, infinite or NaN.
+func validateNumbers(fields []numberField) error {
 	for _, f := range fields {
 		if !(f.value >= 0) || math.IsInf(f.value, 1) {
 			return fmt.Errorf("%s: not a number of 0 or more: %v", f.name, f.value)
@@ -100,6 +106,7 @@
 	return nil
 }
 
+// durationFields returns the durations of the settings with the names that errors use.
 func durationFields(set *Settings) []durationField {
 	fields := []durationField{
 		{"WarmWithin", set.WarmupTime}, {"CrowdWindow", set.RunsWindow}, {"DrainGrace", set.DrainGrace},
@@ -114,7 +121,8 @@
 	return fields
 }
 
-func checkDurations(fields []durationField) error {
+// validateDurations returns an error for the first duration that is negative or exceeds maxDuration.
+func validateDurations(fields []durationField) error {
 	for _, f := range fields {
 		if f.value < 0 || f.value > maxDuration {
 			return fmt.Errorf("%s: negative, or longer than a year: %v", f.name, f.value)
