--- a/internal/core/arrival.go
+++ b/internal/core/arrival.go
@@ -9,20 +9,20 @@
 	"silverpath/internal/policy/lifecycle"
 )
 
-// arrive takes a request in and tells the module. It returns nil, and the answer, for what the core itself can't take: those
-// limits keep the process alive and are far from what the module allows.
+// arrive registers a request and reports it to the module. If one of the core's own limits rejects the request, it returns a nil
+// task and the answer. These limits protect the process and are far above what the module admits.
 func (c *Core) arrive(r Request) (*task, Answer) {
 	class, known := c.Class(r.Class)
 	name := r.Class
 	if !known {
-		name = "unknown" // counters are bounded, what comes off a wire is not
+		name = "unknown" // the set of counters must stay bounded, and class names on the wire are not
 	}
 	c.stats.Inc("read", r.Front, name)
 	startedAt := time.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.lockWait.Record(time.Since(startedAt))
-	if a, over := c.claimKey(&r, class); over { // waits, without the lock, where another process may have its key
+	if a, over := c.claimKey(&r, class); over { // releases the lock while it waits for a key that another process may own
 		c.stats.Inc("answered", r.Front, name, a.Outcome.String())
 		return nil, a
 	}
@@ -40,15 +40,16 @@
 	return t, Answer{}
 }
 
-// mayHaveRunElsewhere reports whether another attempt of a request that is handed on may have gone another way and run: only
-// its home can tell, so it must not be rejected here, as that would promise that it never ran.
+// mayHaveRunElsewhere reports whether another attempt of a forwarded request may have reached its home through another router and
+// run there. Only the home can rule that out. Rejecting the request here would guarantee that it never ran, so it must fail
+// instead.
 func (c *Core) mayHaveRunElsewhere(t *task) bool {
 	return c.forwards && t.idempotent() && !c.lifecycle.current().ShuttingDown()
 }
 
-// admit applies the core's own limits to a request. It returns why the request can't be taken, as counters name it, and its
-// answer; an empty reason lets it go on. The order matters: what is known of a key is answered before the drain and the
-// deadline are looked at, as a duplicate starts nothing.
+// admit applies the core's own limits to a request. It returns an empty reason if the request may continue, else the counter name
+// of the reason and the answer. The key is looked up before the drain and the deadline are checked: a duplicate starts no run, so
+// neither check applies to it.
 func (c *Core) admit(t *task, known bool) (reason string, a Answer) {
 	if t.idempotent() {
 		t.blockedBy = c.blockReason(&t.Request)
@@ -72,19 +73,20 @@
 	}
 	switch {
 	case c.lifecycle.current().ShuttingDown() && t.readAt.Sub(c.drainStartedAt) > set.DrainGrace:
-		// Read after the drain window, whenever it was written: nobody could be sure that its answer still arrives. The module
-		// stops at a part of the window already, counted from when a request reached the machine.
+		// The request was read after the drain window, so its answer might not arrive, whenever it was sent. The module itself
+		// stops earlier, at a fraction of the window that it counts from when a request reached the machine.
 		c.releaseKey(t)
 		return "drained", rejected
 	case t.Deadline.Sub(t.readAt) <= answerMargin:
-		// Due as it is read: the module has no tick left to answer it in, and would start it where there is capacity.
+		// The deadline is too close. The module has no tick left to answer the request in, and would start it if there were
+		// capacity.
 		c.releaseKey(t)
 		return "due", Answer{Outcome: Expired}
 	}
 	return "", Answer{}
 }
 
-// admitKey looks the request's key up and returns why it can't be taken by what is known of that.
+// admitKey looks up the key of a request. It returns why the state of the key forbids the request, or an empty reason.
 func (c *Core) admitKey(t *task, set *silverpath.Settings) (reason string, a Answer) {
 	rejected := Answer{Outcome: Rejected, RetryAfter: set.MaxRetryAfter}
 	switch {
@@ -104,7 +106,7 @@
 	return "", Answer{}
 }
 
-// register takes a request in hand, sets the timer that answers it if nobody else does, and tells the module.
+// register adds a request to the tasks, starts its deadline timer and reports it to the module.
 func (c *Core) register(t *task) {
 	c.tasks[t.ID] = t
 	c.pendingAnswers++
@@ -127,7 +129,7 @@
 	c.updateGate(t)
 }
 
-// unknownTenant reports whether a site that names its tenants does not know this one.
+// unknownTenant reports whether the settings list tenants and the given tenant is not among them.
 func (c *Core) unknownTenant(tenant string) bool {
 	tenants := c.settings.Load().Tenants
 	return tenant != "" && len(tenants) > 0 &&
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -1,21 +1,28 @@
-// Package core is the service without a wire. It owns the decision module behind one lock, is its Host, and leads every request
-// from its reading to its one answer. Fronts bring requests by Core.Serve and carry answers away; a Runner does the work and a
-// Caller makes the calls below.
+// Package core is the transport-independent part of the service. It guards the decision module with one lock, implements its Host,
+// and takes every request from arrival to its one answer. Fronts pass requests to Core.Serve and send the answers. A Runner
+// executes requests, and a Caller makes their dependency calls.
 //
-// Each request has a goroutine, its front's, which Serve keeps until nothing of the request is left to do. Whatever happens to
-// a request (the module's choice, the end of its run, its deadline, its caller's leaving) is an event in its queue, so that
-// network and disk are waited for without the lock.
+// Each request runs on the goroutine of its front that called Serve, until the request has no work left. Everything that happens
+// to a request (a decision of the module, the end of its run, its deadline, a disconnecting caller) is an event in the request's
+// queue, so that waiting for the network or the disk never happens under the lock.
 //
-//	request.go      one request's life, from Serve to its answer
-//	arrival.go      what is answered on arrival without the module
-//	task.go         the record of a request in hand, and its events
-//	idempotency.go  keys: attempts of one request share one execution
-//	persistence.go  where a request waits for the disk, if runs are kept over a restart
-//	peer.go         the other process of a hot restart
-//	host.go         the module's actions
-//	pools.go        pools, and the gates that turn floods away unread
-//	lifecycle.go    phases of the service
-//	rules.go        fencing by the routers' rules
+//	request.go      the life of one request, from Serve to its answer
+//	arrival.go      limits that apply on arrival, before the module is asked
+//	task.go         the record of a request in progress, and its events
+//	idempotency.go  the key table: attempts of one request share one execution
+//	persistence.go  waiting for the disk, if runs are persisted
+//	peer.go         the other process during a hot restart
+//	peerkeys.go     the other process's runs in the key table
+//	peerclaim.go    claims: which of the two processes owns a key
+//	peernotify.go   notices of runs to the other process
+//	host.go         the actions of the module
+//	pools.go        pools, and the gates that reject floods unread
+//	lifecycle.go    the phases of the service
+//	rules.go        fencing against outdated routing documents
+//	slowstart.go    quotas of routers while the interpreter is cold
+//	settings.go     settings and their reload
+//	status.go       the status document
+//	view.go         the state that is readable without the lock
 package core
 
 import (
@@ -33,96 +40,96 @@
 )
 
 const (
-	// gaugeTimeout is how long a tick waits for fresh gauges before it goes on with the last ones: most of a tick's interval.
+	// gaugeTimeout is how long a tick waits for fresh gauges before it uses the previous ones: most of the interval between ticks.
 	gaugeTimeout = 15 * time.Millisecond
-	// answerMargin is how long before a request's deadline the core answers what the module has not: long enough for the
-	// answer to leave, and short enough that the module, which answers earlier, comes first unless it is held up.
+	// answerMargin is how long before its deadline the core answers a request that the module has not answered. It leaves time for
+	// the answer to reach the caller. It is short enough that the module, which answers earlier, comes first unless it is delayed.
 	answerMargin = 20 * time.Millisecond
-	// windowSlack is how much longer an idempotency window is kept than the settings say: time limits on sockets are extended
-	// by as much, so an attempt may arrive that much later than it was meant to.
+	// windowSlack extends every idempotency window. The time limits on sockets are extended by as much, so an attempt may arrive
+	// that much later than its sender intended.
 	windowSlack = 50 * time.Millisecond
-	// readDelay is how long after its arrival an attempt may still be read. A key is kept that long past the last moment at
-	// which an attempt of it may come.
+	// readDelay is how long after its arrival an attempt may still be read. A key is kept that long after the last moment at which
+	// an attempt with it can arrive.
 	readDelay = 2 * time.Second
-	// requestKB is what a request in hand costs the process, in kilobytes: body, record and goroutine.
+	// requestKB is the memory of a request in progress, in kilobytes: body, record and goroutine.
 	requestKB = 24
-	// entryBytes is what a key costs besides its result.
+	// entryBytes is the memory of a key table entry without its result.
 	entryBytes = 512
-	// keyMemoryDivisor: keys and results take at most one part in so many of the memory. The requests in hand take half.
+	// keyMemoryDivisor limits keys and results to 1/keyMemoryDivisor of the process's memory. Requests in progress may use half.
 	keyMemoryDivisor = 8
-	// minTasks and minTasksShared bound the requests in hand from below, also in the smallest process: fewer would keep no
-	// interpreter busy.
+	// minTasks and minTasksShared are lower bounds of the limit on requests in progress. Fewer could not keep an interpreter busy,
+	// however small the process's memory is.
 	minTasks, minTasksShared = 64, 32
 )
 
-// Config sets up a Core. Log and Stats may be nil: the log is the standard one then, and nobody reads the counters.
+// Config configures a Core. If Log is nil, the standard logger is used. If Stats is nil, the counters are not exported.
 type Config struct {
 	Name     string
 	Settings silverpath.Settings
-	MemoryMB float64           // the process's own limit
-	Status   bool              // fronts answer requests for the state of the service
-	Pools    *admission.Config // nil: none
-	Cell     bool              // serves in a cell, behind routers
-	Pair     *PairConfig       // nil: no other process ever takes over from this one
+	MemoryMB float64           // the memory limit of this process
+	Status   bool              // fronts answer status requests
+	Pools    *admission.Config // nil disables pools
+	Cell     bool              // the service is part of a cell, behind routers
+	Pair     *PairConfig       // nil: the service never hands over to another process
 	Log      *log.Logger
 	Stats    *metrics.Counters
 }
 
-// Core is the service's one object: its phase, the module and all requests in hand. Its methods may be called by any goroutine.
+// Core coordinates the lifecycle, the module and all requests in progress. Its methods are safe for concurrent use.
 type Core struct {
-	// Set before the first request and never changed.
+	// Set before the first request and never modified afterwards.
 	name             string
 	log              *log.Logger
 	stats            *metrics.Counters
-	lockWait         *metrics.Timing // waits for the lock
-	decideTime       *metrics.Timing // the module's decisions, under the lock
+	lockWait         *metrics.Timing // time spent waiting for the lock
+	decideTime       *metrics.Timing // time of the module's decisions, under the lock
 	startedAt        time.Time
 	runner           Runner
-	caller           Caller                   // nil: nothing lies below
-	store            Store                    // nil: runs are forgotten with the process
-	forwards         bool                     // hands requests on: another router may have handed on an attempt of the same
-	cell             bool                     // serves in a cell, behind routers
-	servesStatus     bool                     // fronts answer requests for the state of the service
-	statusParts      map[string]func() []byte // further parts of the status, JSON each
+	caller           Caller                   // nil if the service has no dependencies
+	store            Store                    // nil: runs are not persisted
+	forwards         bool                     // the runner forwards requests; another router may have forwarded an attempt of the same request
+	cell             bool                     // the service is part of a cell, behind routers
+	servesStatus     bool                     // fronts answer status requests
+	statusParts      map[string]func() []byte // further parts of the status, by name; each returns JSON
 	unknownRunsUntil int64                    // see SetUnknownRunsUntil
 
-	// Read without the lock, so that fronts and health checks never wait behind a decision.
+	// Read without the lock, so that fronts and health checks never wait for a decision of the module.
 	published    atomic.Pointer[View]
-	settings     atomic.Pointer[silverpath.Settings]               // in force; never changed, only replaced
+	settings     atomic.Pointer[silverpath.Settings]               // current settings; replaced as a whole, never modified
 	gates        atomic.Pointer[gates]                             // of the classes that may be rejected unread; nil without pools
-	blockRule    atomic.Pointer[func(class, tenant string) string] // see SetBlockRule; nil: nobody is asked
-	waitsForPeer atomic.Bool                                       // the runner is up, and another process's runs are not known yet
-	lifecycle    lifecycleState                                    // has a lock of its own
-	slowStart    slowStart                                         // likewise
-	idle         chan struct{}                                     // closed when draining and every request is answered
+	blockRule    atomic.Pointer[func(class, tenant string) string] // see SetBlockRule; nil: no block rule
+	waitsForPeer atomic.Bool                                       // the runner is up, but the other process's runs are not known yet
+	lifecycle    lifecycleState                                    // has its own lock
+	slowStart    slowStart                                         // has its own lock
+	idle         chan struct{}                                     // closed when the service drains and every request is answered
 
-	mu sync.Mutex // holds all below
+	mu sync.Mutex // guards the fields below
 
 	module      *silverpath.Shedder
-	actions     []func() // asked for by the module, carried out in order once it has returned
+	actions     []func() // requested by the module, executed in order once it has returned
 	gauges      silverpath.Gauges
 	tickPending bool // a tick waits for its gauges
 	runnerUp    bool
 
-	tasks          map[string]*task // the requests in hand, by id
+	tasks          map[string]*task // requests in progress, by id
 	maxTasks       int
 	pendingAnswers int
 	drainStartedAt time.Time
 
 	keys          keyTable
-	lastSweep     time.Time                  // of the keys that expired
-	observedRules configstore.VersionTracker // that routers have named
-	pair          *pair                      // nil: see Config.Pair
+	lastSweep     time.Time                  // when expired keys were evicted last
+	observedRules configstore.VersionTracker // tracks the routing documents that routers have named
+	pair          *pair                      // nil without Config.Pair
 
-	view          View       // what publish makes others see
-	pools         *poolGuard // nil: no pools
+	view          View       // published by publish
+	pools         *poolGuard // nil without pools
 	poolsReadAt   time.Duration
-	loggedLimit   float64 // of runs, as the pools have it
+	loggedLimit   float64 // the run limit of the pools that was logged last
 	limitLoggedAt time.Duration
 }
 
-// New returns a Core in the phase Starting. Attach gives it its runner before the first request. The error is of pools that can't
-// be.
+// New returns a Core in the phase Starting. Attach must be called before the first request. New returns an error if the pools are
+// invalid.
 func New(cfg Config) (*Core, error) {
 	c := &Core{
 		name: cfg.Name, log: cfg.Log, stats: cfg.Stats, startedAt: time.Now(),
@@ -156,8 +163,8 @@
 	return c, nil
 }
 
-// Attach gives the core those who do the work and make the calls, and starts the module. The caller is nil where nothing lies
-// below. The error names the field of settings that no server can have.
+// Attach sets the runner and the caller and starts the module. The caller is nil if the service has no dependencies. The error
+// names the invalid field of the settings.
 func (c *Core) Attach(r Runner, below Caller) error {
 	c.runner, c.caller = r, below
 	_, c.forwards = r.(Forwarder)
@@ -175,11 +182,11 @@
 	return nil
 }
 
-// clock is the module's time. It is monotonic: a step of the system's clock moves no timer.
+// clock returns the module's time. It is monotonic, so steps of the wall clock do not affect timers.
 func (c *Core) clock() time.Duration { return time.Since(c.startedAt) + time.Hour }
 
-// decide reports an event to the module and then carries out, in order, what it asked for. It is called under the lock, and no
-// action blocks or writes to a network.
+// decide reports an event to the module and then executes the actions that it requested. It is called under the lock. No action
+// blocks or writes to the network.
 func (c *Core) decide(report func(m *silverpath.Shedder, now time.Duration)) {
 	startedAt := time.Now()
 	report(c.module, c.clock())
@@ -187,7 +194,7 @@
 	c.decideTime.Record(time.Since(startedAt))
 }
 
-// performActions carries out what the module asked for, in order. An action may ask the module again.
+// performActions executes the module's requested actions in order. An action may call the module and thereby add actions.
 func (c *Core) performActions() {
 	for len(c.actions) > 0 {
 		action := c.actions[0]
@@ -198,8 +205,8 @@
 	c.publish()
 }
 
-// Started is called by the runner, before RunnerReady, with how long ago that which does the work started and whether it was
-// cold then.
+// Started is called by the runner before RunnerReady. It reports how long ago the interpreter started and whether it was cold
+// then.
 func (c *Core) Started(cold bool, ago time.Duration) {
 	c.slowStart.begin(cold, time.Now().Add(-ago), c.settings.Load().Callers)
 	c.notifyModule(func(m *silverpath.Shedder, now time.Duration) { m.Started(now, ago, cold) })
@@ -213,7 +220,7 @@
 	c.serveIfReady()
 }
 
-// Drain is the notice to leave; the process ends after the given time. A second notice changes nothing.
+// Drain starts the graceful shutdown of a process that ends after stop. Further calls have no effect.
 func (c *Core) Drain(stop time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -230,10 +237,11 @@
 	c.closeIfIdle()
 }
 
-// Idle is closed once the service drains and every request is answered. More may still come: see Stop.
+// Idle returns a channel that is closed once the service drains and every request is answered. Requests may still arrive until
+// Stop.
 func (c *Core) Idle() <-chan struct{} { return c.idle }
 
-// Stop ends the last phase: whatever still comes is rejected. It reports whether every request was answered.
+// Stop ends the draining phase; requests that arrive later are rejected. It reports whether every request was answered.
 func (c *Core) Stop() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -242,8 +250,8 @@
 	return c.pendingAnswers == 0
 }
 
-// AnswerAll answers, at the end of the process, every request that has no answer yet, whatever holds the module up; at a
-// request's deadline answerAtDeadline does the same. What never ran is rejected where that is certain.
+// AnswerAll answers all requests that have no answer at the end of the process, even if the module is delayed. Likewise,
+// answerAtDeadline answers one request at its deadline. A request is rejected only if it certainly never ran, else it fails.
 func (c *Core) AnswerAll() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -252,7 +260,7 @@
 			continue
 		}
 		a := Answer{Outcome: Failed}
-		handedOn := c.forwards && t.idempotent() // it may have run, by an attempt that came another way
+		handedOn := c.forwards && t.idempotent() // it may have run for an attempt that came through another router
 		if !t.started && t.duplicateOf == nil && !handedOn {
 			a = Answer{Outcome: Rejected, RetryAfter: c.settings.Load().MaxRetryAfter}
 		}
@@ -262,10 +270,10 @@
 	}
 }
 
-// PendingAnswers returns the number of requests that have not had their answer.
+// PendingAnswers returns the number of requests without an answer.
 func (c *Core) PendingAnswers() int { return c.published.Load().PendingAnswers }
 
-// closeIfIdle tells those that wait for the last answer. It is called under the lock.
+// closeIfIdle closes idle once the service drains and the last request is answered. It is called under the lock.
 func (c *Core) closeIfIdle() {
 	if c.lifecycle.current().ShuttingDown() && c.pendingAnswers == 0 {
 		select {
@@ -276,20 +284,20 @@
 	}
 }
 
-// Health is what a health check is told.
+// Health returns the health that health checks report.
 func (c *Core) Health() bool { return c.published.Load().Health && c.lifecycle.current().Healthy() }
 
-// Signal is the value that goes out with answers from now on, and whether there is one.
+// Signal returns the load signal that is sent with answers, and whether the module has set one.
 func (c *Core) Signal() (float64, bool) {
 	v := c.published.Load()
 	return v.Signal, v.SignalSet
 }
 
-// IdleAfter is how long a connection may carry nothing before it is closed; 0 leaves that to the callers.
+// IdleAfter returns how long a connection may be idle before it is closed; 0 means that callers close idle connections.
 func (c *Core) IdleAfter() time.Duration { return c.published.Load().IdleAfter }
 
-// StartStamp is when the service started, in Unix milliseconds, and whether routers are told of it: where it serves in a cell.
-// Where runs are kept over a restart, it is since when they are.
+// StartStamp returns when the service started, in Unix milliseconds, and whether routers receive it, which is the case in a cell.
+// If runs are persisted, it returns the time since which all runs are known.
 func (c *Core) StartStamp() (int64, bool) {
 	if c.cell && c.store != nil {
 		return c.store.CompleteSince(), true
@@ -297,7 +305,7 @@
 	return c.startedAt.UnixMilli(), c.cell
 }
 
-// AddStatus adds a part to the status; the function returns JSON. It is called before the first request.
+// AddStatus adds a named part to the status. The function returns JSON. AddStatus is called before the first request.
 func (c *Core) AddStatus(name string, part func() []byte) {
 	if c.statusParts == nil {
 		c.statusParts = map[string]func() []byte{}
@@ -305,7 +313,7 @@
 	c.statusParts[name] = part
 }
 
-// Class returns the settings of a class.
+// Class returns the settings of a class, and whether the class exists.
 func (c *Core) Class(name string) (silverpath.Class, bool) {
 	for _, k := range c.settings.Load().Classes {
 		if k.Name == name {
@@ -315,10 +323,10 @@
 	return silverpath.Class{}, false
 }
 
-// Classes are the classes in force.
+// Classes returns the current classes.
 func (c *Core) Classes() []silverpath.Class { return c.settings.Load().Classes }
 
-// MaxDeadline is the longest time that a client waits, of any class.
+// MaxDeadline returns the longest deadline of any class.
 func (c *Core) MaxDeadline() (longest time.Duration) {
 	for _, k := range c.settings.Load().Classes {
 		longest = max(longest, k.Deadline)
@@ -326,10 +334,10 @@
 	return longest
 }
 
-// RetryAfter is how long a caller is told to stay away where the core rejects without the module.
+// RetryAfter returns the Retry-After of requests that the core rejects without asking the module.
 func (c *Core) RetryAfter() time.Duration { return c.settings.Load().MaxRetryAfter }
 
-// wake asks for fresh gauges, and ticks with the last ones should none come.
+// wake asks the runner for fresh gauges. If none arrive within gaugeTimeout, the module ticks with the previous ones.
 func (c *Core) wake() {
 	c.mu.Lock()
 	c.tickPending = true
@@ -338,7 +346,7 @@
 	c.runner.Probe()
 }
 
-// Gauges is called by the runner with its readings, as the answer to Runner.Probe.
+// Gauges is called by the runner with its readings, in response to Runner.Probe.
 func (c *Core) Gauges(g silverpath.Gauges) {
 	c.mu.Lock()
 	c.gauges = g
@@ -346,7 +354,7 @@
 	c.tick()
 }
 
-// tick calls the module's timer, once for each time that it asked for one.
+// tick ticks the module, once for each Wake that it requested.
 func (c *Core) tick() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/core/host.go
+++ b/internal/core/host.go
@@ -6,14 +6,14 @@
 	"silverpath/internal/events"
 )
 
-// expiredWithin: a failure this short before the deadline is told as an expired request, since its time ran out.
+// expiredWithin is how long before the deadline a failure is already reported as Expired.
 const expiredWithin = 100 * time.Millisecond
 
-// host is the module's host. The module calls it under the core's lock; every method notes an action, which
-// performActions carries out once the module has returned.
+// host implements silverpath.Host. The module calls it under the core's lock. Every method records an action, and performActions
+// executes the actions after the module has returned.
 type host Core
 
-// enqueueAction notes an action on a request that is still in hand when its turn comes.
+// enqueueAction records an action on a request. The action is skipped if the request is over when its turn comes.
 func (h *host) enqueueAction(id string, act func(c *Core, t *task)) {
 	c := (*Core)(h)
 	c.actions = append(c.actions, func() {
@@ -23,7 +23,7 @@
 	})
 }
 
-// Run starts the request.
+// Run starts a run of the request.
 func (h *host) Run(id string) { h.enqueueAction(id, (*Core).startRun) }
 
 // Reject answers a request that has never run.
@@ -33,7 +33,7 @@
 			c.settle(t, Answer{Outcome: Failed})
 			return
 		}
-		if t.started { // a run is never rejected; the module keeps to this, so the line should not be seen
+		if t.started { // a started request may have run, so it fails; the module should never ask for this
 			events.Log(c.log, "guard.rejection", id)
 			c.settle(t, Answer{Outcome: Failed})
 			return
@@ -42,7 +42,7 @@
 	})
 }
 
-// Fail answers a request without assurance.
+// Fail answers a request as failed, or as expired shortly before its deadline. The request may have run.
 func (h *host) Fail(id string) {
 	h.enqueueAction(id, func(c *Core, t *task) {
 		out := Failed
@@ -56,10 +56,10 @@
 // Join answers a request with the result of the run that it duplicates.
 func (h *host) Join(id string) { h.enqueueAction(id, (*Core).join) }
 
-// Stop is never asked for: see supportedSettings.
+// Stop does nothing: supportedSettings disables preemption, so the module never calls it.
 func (h *host) Stop(string) {}
 
-// Call has the request's goroutine make the call that its run waits for.
+// Call makes the dependency call that the request's run waits for, on a separate goroutine.
 func (h *host) Call(id string, timeout time.Duration) {
 	h.enqueueAction(id, func(_ *Core, t *task) {
 		t.calling = true
@@ -67,43 +67,43 @@
 	})
 }
 
-// SkipCall is never asked for: see supportedSettings.
+// SkipCall does nothing: supportedSettings disables degraded runs, so the module never calls it.
 func (h *host) SkipCall(string) {}
 
-// RememberKey lets a read serve others for d; the keys of idempotent requests are kept from their arrival on, whatever the module
-// asks for.
+// RememberKey shares the result of a read with later reads for d. It does not affect idempotent requests, whose keys are kept from
+// their arrival on.
 func (h *host) RememberKey(id string, d time.Duration) {
 	h.enqueueAction(id, func(c *Core, t *task) { c.keys.shareRead(t, d) })
 }
 
-// ForgetKey frees the key of a request that has not run.
+// ForgetKey releases the key of a request that has not run.
 func (h *host) ForgetKey(id string) {
 	h.enqueueAction(id, func(c *Core, t *task) { c.releaseKey(t) })
 }
 
-// Health sets what health checks are told.
+// Health sets the health that health checks report.
 func (h *host) Health(good bool) {
 	c := (*Core)(h)
 	c.actions = append(c.actions, func() { c.view.Health = good })
 }
 
-// Signal sets the value that goes out with answers.
+// Signal sets the load signal that is sent with answers.
 func (h *host) Signal(value float64) {
 	c := (*Core)(h)
 	c.actions = append(c.actions, func() { c.view.Signal, c.view.SignalSet = value, true })
 }
 
-// CloseIdle sets how long connections may carry nothing.
+// CloseIdle sets how long a connection may be idle before it is closed.
 func (h *host) CloseIdle(after time.Duration) {
 	c := (*Core)(h)
 	c.actions = append(c.actions, func() { c.view.IdleAfter = after })
 }
 
-// Wake has the module's timer called after this long.
+// Wake schedules the next tick of the module.
 func (h *host) Wake(after time.Duration) {
 	c := (*Core)(h)
 	c.actions = append(c.actions, func() { time.AfterFunc(after, c.wake) })
 }
 
-// Log writes a line of the module's to the log at once.
+// Log writes a log line of the module immediately.
 func (h *host) Log(text string) { events.Log((*Core)(h).log, "module", text) }
--- a/internal/core/idempotency.go
+++ b/internal/core/idempotency.go
@@ -8,60 +8,60 @@
 	"silverpath/internal/policy/idempotency"
 )
 
-// Idempotency: attempts of one request share one execution. A request of an idempotent class has a key, the same for all its
-// attempts; the first attempt's run is the one that counts, and the others take its result. An attempt belongs to an execution
-// if it reached the machine within the class's window of it (withinWindow). A read may be shared likewise, under its class and
-// subject, while it is under way and as long as its answer is fresh.
+// Attempts of one idempotent request share one execution. A request of an idempotent class has a key that all its attempts carry.
+// The first attempt runs, and the others get its result. An attempt belongs to an execution if the two reached the machine within
+// the class's window of each other (withinWindow). Reads of the same class and object may share an execution too, while it runs
+// and as long as its result is fresh.
 //
-// Inputs: key, body and tenant of the request, when it reached the machine, window and deadline of its class; whether the store,
-// the routers' rules and the other servers of a cell let a new key begin here.
+// The decision depends on the request's key, body, tenant and time of arrival, on the window and the deadline of its class, and on
+// whether the store, the routing rules and the other servers of a cell allow a new key to start here.
 
-// execution is the one run of a request that may come again: queued, under way, or over with its result.
+// execution is the one run that attempts of a request share: queued, running, or ended with its result.
 type execution struct {
-	requestID   string // of the attempt that runs
-	fingerprint uint64 // of the request, which every attempt of it must have
+	requestID   string // id of the attempt that runs
+	fingerprint uint64 // of the request; all its attempts have the same
 	entry       *keyEntry
 	receivedAt  time.Time  // when the attempt that runs reached the machine
-	previous    *execution // what had run under the key before this one
+	previous    *execution // the run before this one under the same key
 	done        bool
 	succeeded   bool
 	result      []byte
 	endedAt     time.Time
-	waiters     []*task // attempts that wait for its result
+	waiters     []*task // attempts that wait for the result
 
-	peerOwned  bool // of the other process of a pair
-	peerQueued bool // peerOwned, and not begun there
+	peerOwned  bool // the run belongs to the other process of a pair
+	peerQueued bool // peerOwned, and not started there
 
-	recordSeq        uint64 // of its record, where runs are kept; 0: it has none
-	persistingResult []byte // its result, while that is on its way to the disk
+	recordSeq        uint64 // number of its stored record; 0 if it has none
+	persistingResult []byte // the result, while it is being written to the disk
 }
 
-// keyEntry is what is known under one key.
+// keyEntry holds the executions of one key.
 type keyEntry struct {
 	key         string
-	queued      *execution // not run yet
-	latest      *execution // the latest that was run
+	queued      *execution // not started yet
+	latest      *execution // the latest that was started
 	expiresAt   time.Time
-	window      time.Duration // how far apart attempts of one request may be
+	window      time.Duration // maximum distance between attempts of one request
 	movedUntil  time.Time     // until then the key runs elsewhere: a router asked for it when it was not known here
-	movedRecord uint64        // of the record that says so, where that is kept
-	read        bool          // of a read
-	bytes       int           // of memory
+	movedRecord uint64        // number of the stored record of the move; 0 if there is none
+	read        bool          // the key is of a shared read
+	bytes       int           // memory of the entry, results included
 }
 
-// keyTable links the attempts of a request. Keys are kept from an attempt's arrival; what has run stays for its whole window,
-// whatever is forgotten meanwhile. Its memory is bounded: at the bound new keys are turned away, since to drop one would let its
-// request run twice. It is under the core's lock.
+// keyTable links the attempts of requests. A key is kept from its first attempt's arrival on, and for its whole window once it has
+// run. The table's memory is limited. When it is full, requests with new keys are rejected: evicting a key could let its request
+// run twice. The table is guarded by the core's lock.
 type keyTable struct {
 	entries     map[string]*keyEntry
 	bytes       int
 	maxBytes    int
-	fingerprint func(t *task) uint64 // of what every attempt of a request has in common
-	// admitFirst is what becomes of the first attempt of a key, where runs are kept; nil: nothing is against it.
+	fingerprint func(t *task) uint64 // hash of what all attempts of a request have in common
+	// admitFirst decides on the first attempt of a key, if runs are persisted. If it is nil, all first attempts may run.
 	admitFirst func(t *task) idempotency.Decision
 }
 
-// minKeyBytes bounds the table from below, also in the smallest process: a hundred keys with their results.
+// minKeyBytes is the minimum memory limit of the table, about a hundred keys with their results.
 const minKeyBytes = 64 << 10
 
 func newKeyTable(maxBytes int) keyTable {
@@ -71,8 +71,8 @@
 	}}
 }
 
-// keyOf is the key under which an idempotent request is known, empty for others. Its class is no part of it: where operators
-// change the settings, one attempt may come under the class's old name and the next under the new one.
+// keyOf returns the table key of an idempotent request, or an empty string for other requests. It does not contain the class:
+// while operators rename a class, attempts of one request may arrive under the old and the new name.
 func keyOf(class silverpath.Class, r *Request) string {
 	if class.Effect != silverpath.Idempotent || r.Key == "" {
 		return ""
@@ -80,7 +80,8 @@
 	return "\x00" + r.Key
 }
 
-// sharingKey is the key under which attempts of the request, or reads like it, share one execution; empty: under none.
+// sharingKey returns the table key under which the request shares an execution with its attempts or with equal reads, or an empty
+// string.
 func (t *task) sharingKey(freshFor time.Duration) string {
 	switch {
 	case t.idempotent():
@@ -91,9 +92,10 @@
 	return ""
 }
 
-// resolve finds which execution a request duplicates, and enters it where it is the first of its key. It reports whether there
-// was memory for that. What stands against the request it notes there: keyConflict, movedReason or verdict. What is known of a
-// key comes before all that keeps a new one from beginning, so that a duplicate has its result whatever changed meanwhile.
+// resolve finds the execution that a request duplicates, or adds the request's own execution if it is the first attempt of its
+// key. It returns false if the table is full. If the request may not run, resolve sets its keyConflict, movedReason or verdict.
+// Known executions are looked up before the rules for new keys, so a duplicate gets its result whatever has changed in the
+// meantime.
 func (k *keyTable) resolve(t *task, freshFor time.Duration, now time.Time) bool {
 	key := t.sharingKey(freshFor)
 	if key == "" {
@@ -122,8 +124,8 @@
 	return true
 }
 
-// duplicates reports whether the request is a duplicate of an execution under its key, which it notes, or has the key of
-// another request. To hand it the other's result would answer a question that it did not ask.
+// duplicates reports whether a known execution settles the request. It sets duplicateOf, or keyConflict if the key belongs to
+// another request: returning that request's result would be a wrong answer.
 func (e *keyEntry) duplicates(t *task, fingerprint uint64, freshFor time.Duration, now time.Time) bool {
 	if e.read {
 		x := e.latest
@@ -148,8 +150,8 @@
 	return true
 }
 
-// mayNotBegin reports whether something is against a first attempt here: the routers' rules, that its key runs elsewhere, or the
-// store. It notes which.
+// mayNotBegin reports whether a first attempt may not run here because of the routing rules, because its key runs elsewhere, or
+// because of the store. It sets the movedReason or the verdict of the task.
 func (k *keyTable) mayNotBegin(t *task, e *keyEntry, now time.Time) bool {
 	switch {
 	case t.blockedBy != "":
@@ -165,7 +167,7 @@
 	return true
 }
 
-// add makes the entry of a key.
+// add adds an empty entry for a key.
 func (k *keyTable) add(key string) *keyEntry {
 	e := &keyEntry{key: key, bytes: entryBytes + len(key)}
 	k.entries[key] = e
@@ -173,14 +175,14 @@
 	return e
 }
 
-// moveAway notes that a router asked for a key that is not known, and runs it elsewhere from then on.
+// moveAway records that a router has asked for a key that is not known here. The router runs it elsewhere from then on.
 func (e *keyEntry) moveAway(t *task, now time.Time) {
 	t.movedReason = ReasonUnknown
 	e.movedUntil = later(e.movedUntil, now.Add(t.class.IdempotencyWindow+t.class.Deadline+readDelay))
 	e.expiresAt = later(e.expiresAt, e.movedUntil)
 }
 
-// enter makes the execution that the first attempt of a key may become.
+// enter adds the execution of the first attempt of a key.
 func (e *keyEntry) enter(t *task, fingerprint uint64) {
 	e.expiresAt, e.window = later(e.expiresAt, t.Deadline.Add(readDelay)), max(e.window, t.class.IdempotencyWindow)
 	t.execution = &execution{requestID: t.ID, fingerprint: fingerprint, entry: e, receivedAt: t.ReceivedAt}
@@ -189,8 +191,8 @@
 	}
 }
 
-// withinWindow reports whether an attempt that reached the machine at one time falls into the window of one that ran. It looks
-// both ways, as an attempt may be read before one that reached the machine earlier.
+// withinWindow reports whether an attempt and a run reached the machine within a window of each other. The order does not matter,
+// because an attempt may be read before one that reached the machine earlier.
 func withinWindow(receivedAt, ranAt time.Time, window time.Duration) bool {
 	return receivedAt.Sub(ranAt).Abs() <= window+windowSlack
 }
@@ -202,7 +204,8 @@
 	return b
 }
 
-// shareRead lets a read serve others from now on, for d. Idempotent requests are kept from their arrival.
+// shareRead shares a read with later reads for d. Idempotent requests are unaffected, as their keys are kept from their arrival
+// on.
 func (k *keyTable) shareRead(t *task, d time.Duration) {
 	if x := t.execution; x != nil && x.entry.read && x.entry.queued == nil {
 		k.supersede(x.entry)
@@ -211,7 +214,7 @@
 	}
 }
 
-// begin notes that a request is run. It reports false where another attempt of it has run within the window.
+// begin records that a request starts to run. It returns false if another attempt of the request has run within the window.
 func (k *keyTable) begin(t *task) bool {
 	if !t.idempotent() {
 		return true
@@ -227,12 +230,13 @@
 	k.supersede(e)
 	x.previous = e.latest
 	e.queued, e.latest = nil, x
-	// Until the last attempt written inside the window is past its deadline, however late it is read.
+	// Until the last attempt inside the window is past its deadline, even if it is read late.
 	e.expiresAt = later(e.expiresAt, x.receivedAt.Add(t.class.IdempotencyWindow+t.class.Deadline+readDelay))
 	return true
 }
 
-// finish notes how a run ended. The result is kept for duplicates. Proof that it never ran lets a retry run.
+// finish records the end of a run. The result is kept for duplicates. If the outcome proves that the request never ran, a retry
+// may run.
 func (k *keyTable) finish(x *execution, o silverpath.Outcome, result []byte, now time.Time) {
 	if x == nil || x.done {
 		return
@@ -249,7 +253,7 @@
 	}
 }
 
-// supersede lets go of the result of what ran before.
+// supersede drops the result of the previous run.
 func (k *keyTable) supersede(e *keyEntry) {
 	if e.latest == nil {
 		return
@@ -259,7 +263,7 @@
 	e.latest.result, e.latest.succeeded, e.latest.previous = nil, false, nil
 }
 
-// forget drops an execution that never ran; what has run under its key stays.
+// forget removes an execution that never ran. An earlier run under the key is kept.
 func (k *keyTable) forget(x *execution) {
 	e := x.entry
 	if e.queued == x {
@@ -278,7 +282,7 @@
 	k.bytes -= e.bytes
 }
 
-// evictExpired drops what is past its time and not in use.
+// evictExpired removes entries that have expired and are not in use.
 func (k *keyTable) evictExpired(now time.Time) {
 	for _, e := range k.entries {
 		inUse := e.queued != nil || e.latest != nil && !e.latest.done && !e.latest.peerOwned
--- a/internal/core/lifecycle.go
+++ b/internal/core/lifecycle.go
@@ -9,18 +9,18 @@
 	"silverpath/internal/policy/lifecycle"
 )
 
-// lifecycleState is the phase of the service. It has a lock of its own, held for a look at a table, so that an operator's call
-// never waits for a decision of the module.
+// lifecycleState holds the lifecycle phase of the service. It has its own lock, held only for one state transition, so that an
+// operator's command never waits for a decision of the module.
 type lifecycleState struct {
 	log   *log.Logger
 	mu    sync.Mutex
 	state atomic.Int32
 }
 
-// current is the present phase.
+// current returns the current phase.
 func (p *lifecycleState) current() lifecycle.State { return lifecycle.State(p.state.Load()) }
 
-// apply takes an event and returns what became of it.
+// apply applies an event to the phase and returns the outcome of the transition.
 func (p *lifecycleState) apply(e lifecycle.Event) lifecycle.Outcome {
 	p.mu.Lock()
 	previous := p.current()
@@ -36,7 +36,7 @@
 // Phase returns the current phase.
 func (c *Core) Phase() lifecycle.State { return c.lifecycle.current() }
 
-// Ready reports whether the service is ready to serve, and why or why not.
+// Ready reports whether the service is ready to serve, and the reason.
 func (c *Core) Ready() (bool, string) {
 	yes, why := c.lifecycle.current().Ready()
 	if !yes && c.waitsForPeer.Load() {
@@ -45,23 +45,23 @@
 	return yes, why
 }
 
-// Evacuate begins a drain that Rejoin ends: health is bad, and all that comes is served as before. It reports whether
-// that holds now, and why.
+// Evacuate starts a drain that Rejoin can undo: health checks fail, but requests are still served. It reports whether the service
+// is evacuated now, and the reason.
 func (c *Core) Evacuate() (bool, string) { return c.operator(lifecycle.Evacuate) }
 
-// Rejoin ends such a drain.
+// Rejoin ends an evacuation. It reports whether the service is back in rotation, and the reason.
 func (c *Core) Rejoin() (bool, string) { return c.operator(lifecycle.Rejoin) }
 
-// operator applies an operator's event and tells the other process of a pair.
+// operator applies an operator's event and notifies the other process of a pair.
 func (c *Core) operator(e lifecycle.Event) (bool, string) {
 	a := c.lifecycle.apply(e)
 	if a.OK && c.pair != nil {
-		go c.notifyEvacuated() // the answer waits for no lock
+		go c.notifyEvacuated() // on its own goroutine, since it takes the core's lock and the operator must not wait for that
 	}
 	return a.OK, a.Reason
 }
 
-// serveIfReady makes the service serve once its runner is up and, of two processes, this one may take requests. It is called
+// serveIfReady moves the service to serving once its runner is up and, in a pair, this process may take requests. It is called
 // under the lock.
 func (c *Core) serveIfReady() {
 	waits := c.pair != nil && !c.pair.coordinator.MayServe()
--- a/internal/core/peer.go
+++ b/internal/core/peer.go
@@ -12,46 +12,47 @@
 	"silverpath/internal/policy/lifecycle"
 )
 
-// PairConfig sets up a core that another process may take over from, or that takes over from another one: a hot restart under
-// one listening socket. The package hotrestart decides; the package restartlink has the link between the two.
+// PairConfig configures a hot restart, in which two processes share one listening socket while one takes over from the other.
+// Package hotrestart makes the decisions, and package restartlink implements the link between the processes.
 type PairConfig struct {
-	// Flush writes what is to be sent on the link of that number, in order, and returns once it is written.
+	// Flush writes the outbox of the given link in order and returns once it is written.
 	Flush func(link int) error
-	// MarkUnnotified leaves a mark on the disk that this process runs what the other has not heard of.
+	// MarkUnnotified leaves a mark on the disk: this process runs requests that the other was not notified of.
 	MarkUnnotified func() error
-	// Wake is called when there is something to send. It must not block.
+	// Wake is called when the outbox has messages. It must not block.
 	Wake func()
-	// Shared is told whether there are two processes, which share the limits from then on. It is called under the lock.
+	// Shared is called when a second process appears or disappears. Two processes share the limits. It is called under the lock.
 	Shared func(two bool)
 }
 
 const (
-	// pairMemoryShare is the part of the interpreter's memory that each of two processes plans with. Two at their bound, which is
-	// below what the settings tell, stay within it; with half each, the one that takes over would reject at its start.
+	// pairMemoryShare is the share of the interpreter's memory that each of two processes plans with. The module's bound lies
+	// below the memory in the settings, so two processes at this share stay within that memory. With half each, the successor
+	// would reject requests right after its start.
 	pairMemoryShare = 0.6
-	// pairRunsShare is the part of the runs that the cores survive which each of two processes plans with.
+	// pairRunsShare is the share of the runs per core that each of two processes plans with.
 	pairRunsShare = 0.5
 )
 
-// pair is this process's side of two that are one service. It is under the core's lock.
+// pair is this process's state of a hot restart. It is guarded by the core's lock.
 type pair struct {
 	PairConfig
 	coordinator   *hotrestart.Coordinator
-	outbox        []hotrestart.Message     // to be sent
-	link          int                      // the number of the link on which the outbox is to be sent
-	writeClosed   bool                     // nothing can be written on it any more
-	changed       chan struct{}            // closed, and replaced, at every change of the coordinator
+	outbox        []hotrestart.Message     // messages to be sent
+	link          int                      // number of the link on which the outbox is to be sent
+	writeClosed   bool                     // the link cannot be written to any more
+	changed       chan struct{}            // closed and replaced at every change of the coordinator
 	ready         bool                     // this process may take requests
-	readyChannel  chan struct{}            // closed once it is ready
-	waitingForKey map[string]chan struct{} // by id, of requests that wait for their key: closed as the caller leaves
+	readyChannel  chan struct{}            // closed once ready is set
+	waitingForKey map[string]chan struct{} // closed when the caller disconnects; by the id of a request that waits for its key
 	shared        bool
-	alone         pairLimits // of a process that is alone
+	alone         pairLimits // the limits without a second process
 }
 
 // pairLimits are the limits that two processes share.
 type pairLimits struct {
-	keyBytes int // of the table of keys
-	tasks    int // requests in hand
+	keyBytes int // memory of the key table
+	tasks    int // requests in progress
 }
 
 func newPair(c *Core, cfg PairConfig) *pair {
@@ -64,7 +65,7 @@
 	return p
 }
 
-// stableFingerprint is the same in every process, unlike the table's own, which is quicker.
+// stableFingerprint returns a hash that is the same in every process. The table's default hash is faster, but seeded per process.
 func stableFingerprint(t *task) uint64 {
 	h := sha256.New()
 	h.Write(binary.BigEndian.AppendUint64(nil, uint64(len(t.Tenant))))
@@ -73,7 +74,8 @@
 	return binary.BigEndian.Uint64(h.Sum(nil))
 }
 
-// applyPairEffects carries out what the coordinator asks for. It is called under the lock, after every event of the coordinator's.
+// applyPairEffects executes the effects that the coordinator requests. It is called under the lock, after every event of the
+// coordinator.
 func (c *Core) applyPairEffects() {
 	p := c.pair
 	for {
@@ -103,7 +105,7 @@
 	}
 }
 
-// splitLimits plans with a part of the limits while there are two processes. It is called under the lock.
+// splitLimits adjusts the limits to the number of processes. It is called under the lock.
 func (c *Core) splitLimits(two bool) {
 	part := 1
 	if two {
@@ -116,7 +118,7 @@
 	c.pair.Shared(two)
 }
 
-// plannedSettings are the settings that the module plans with.
+// plannedSettings returns the settings for the module, reduced while two processes share them.
 func (c *Core) plannedSettings(set silverpath.Settings) silverpath.Settings {
 	if c.pair != nil && c.pair.shared {
 		set.MemoryKB *= pairMemoryShare
@@ -125,33 +127,33 @@
 	return set
 }
 
-// PairReady is closed when this process may take requests.
+// PairReady returns a channel that is closed once this process may take requests.
 func (c *Core) PairReady() <-chan struct{} { return c.pair.readyChannel }
 
-// PairRole is what this process is to the other.
+// PairRole returns this process's role in the pair.
 func (c *Core) PairRole() hotrestart.Role {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.pair.coordinator.Role()
 }
 
-// Successor reports whether a younger process is ready to serve.
+// Successor reports whether a successor is ready to serve.
 func (c *Core) Successor() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.pair != nil && c.pair.coordinator.SuccessorReady()
 }
 
-// PairPlaced is called by the link when this process took one of the two places.
+// PairPlaced is called by the link when this process has taken one of the two slots.
 func (c *Core) PairPlaced(stamp int64, slot int) {
 	c.updatePair(func(s *hotrestart.Coordinator) { s.SlotTaken(stamp, slot) })
 }
 
-// PairOther is called by the link when there is another process.
+// PairOther is called by the link when the other slot is taken.
 func (c *Core) PairOther() { c.updatePair(func(s *hotrestart.Coordinator) { s.PeerPresent() }) }
 
-// PairAlone is called by the link when there is no other process, or none any more; marked tells whether one of that stamp left
-// a mark.
+// PairAlone is called by the link when there is no other process, or when the other process has died. Marked reports whether the
+// process with the given start stamp has left a mark.
 func (c *Core) PairAlone(marked func(stamp int64) bool) {
 	c.updatePair(func(s *hotrestart.Coordinator) {
 		previous := s.Role()
@@ -162,8 +164,8 @@
 	})
 }
 
-// windowEnd is when the last attempt that may duplicate a run of before now reaches the machine, in Unix nanoseconds. When it is read
-// may be later: LongestWindow.
+// windowEnd returns the latest time, in Unix nanoseconds, at which an attempt that duplicates a run of before now can reach the
+// machine. The attempt may be read later than that; see LongestWindow.
 func (c *Core) windowEnd() int64 {
 	longest := time.Duration(0)
 	for _, k := range c.settings.Load().Classes {
@@ -172,7 +174,7 @@
 	return time.Now().Add(longest + windowSlack).UnixNano()
 }
 
-// PairLinked is called with a new link and returns its number, for PairOut.
+// PairLinked is called with a new link. It returns the link's number for PairOut.
 func (c *Core) PairLinked() (link int) {
 	c.updatePair(func(s *hotrestart.Coordinator) {
 		c.pair.link++
@@ -182,7 +184,7 @@
 	return link
 }
 
-// PairCut is called when the link is gone, with whether what came on it may not all have been read.
+// PairCut is called when the link is closed. Unread reports whether some of the other process's messages may not have been read.
 func (c *Core) PairCut(unread bool) {
 	c.updatePair(func(s *hotrestart.Coordinator) {
 		c.pair.link++
@@ -191,8 +193,8 @@
 	})
 }
 
-// PairWriteClosed is called when nothing can be written on a link any more, though what comes on it is still read: what would be
-// sent is not kept for a process that may be stopped for long.
+// PairWriteClosed is called when a link cannot be written to any more, although it is still read. Messages are then discarded,
+// because the other process may be stopped for long and they would pile up.
 func (c *Core) PairWriteClosed(link int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -201,8 +203,8 @@
 	}
 }
 
-// PairMessage takes a message of the other process. Where all is to be written first, clear says that the mark may then go, if
-// there were no more marks than those. The error is of a message that can't be.
+// PairMessage handles a message of the other process. If clear is set, this process's mark may be removed once the outbox is
+// written, provided that PairMarks still returns marks. The error reports an invalid message.
 func (c *Core) PairMessage(m hotrestart.Message) (clear bool, marks int, err error) {
 	c.updatePair(func(s *hotrestart.Coordinator) {
 		err = s.Receive(m, c.windowEnd())
@@ -211,17 +213,17 @@
 	return clear, marks, err
 }
 
-// PairMarks is the number of runs that needed the mark.
+// PairMarks returns the number of runs that required the mark.
 func (c *Core) PairMarks() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.pair.coordinator.Marks()
 }
 
-// errLinkClosed is of a link that is not the present one, or is written on no more.
+// errLinkClosed reports a link that was replaced or cannot be written to any more.
 var errLinkClosed = errors.New("not a link to write on")
 
-// PairOut returns what is to be sent on a link, or errLinkClosed.
+// PairOut returns the messages to be sent on a link. It returns errLinkClosed if the link was replaced or cannot be written to.
 func (c *Core) PairOut(link int) ([]hotrestart.Message, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -233,7 +235,7 @@
 	return out, nil
 }
 
-// updatePair reports an event to the coordinator and carries out what it asks for.
+// updatePair reports an event to the coordinator and executes the effects that it requests.
 func (c *Core) updatePair(event func(s *hotrestart.Coordinator)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -241,7 +243,7 @@
 	c.applyPairEffects()
 }
 
-// notifyEvacuated tells the other process whether operators have evacuated the service.
+// notifyEvacuated notifies the other process whether operators have evacuated the service.
 func (c *Core) notifyEvacuated() {
 	c.updatePair(func(s *hotrestart.Coordinator) {
 		now := c.lifecycle.current()
--- a/internal/core/peerclaim.go
+++ b/internal/core/peerclaim.go
@@ -7,11 +7,11 @@
 	"silverpath/internal/policy/hotrestart"
 )
 
-// claimKey waits until an idempotent request may go on, where another process may have its key. It is called under the lock and
-// leaves it only to wait. It reports over, with the answer, where the request may not go on.
+// claimKey waits until this process may handle an idempotent request whose key the other process may own. If the request may not
+// continue, it returns over and the answer. It is called under the lock and releases it only while it waits.
 //
-// It guards against two processes that run one request, each for an attempt that came to it: one of them owns a key at any
-// time, and where that can't be known the request fails.
+// It guards against two processes that each run an attempt of one request. One process owns a key at any time. If the owner cannot
+// be determined, the request fails.
 func (c *Core) claimKey(r *Request, class silverpath.Class) (a Answer, over bool) {
 	key := ""
 	if c.pair != nil {
@@ -44,8 +44,8 @@
 	return a, true
 }
 
-// awaitKey waits for the key of a request, without the lock. It returns the verdict, or Pending and the answer where the request's
-// time is up, its caller has left, or it may not even wait.
+// awaitKey waits without the lock for a verdict on the key of a request. It returns the verdict. If the deadline passes, the
+// caller disconnects or too many requests wait, it returns Pending and the answer.
 func (c *Core) awaitKey(r *Request, claim hotrestart.Execution) (hotrestart.ClaimState, Answer) {
 	p := c.pair
 	switch {
@@ -77,7 +77,7 @@
 			over = false
 		case <-deadline.C:
 		case <-callerLeft:
-			a.Outcome = Failed // which nobody waits for
+			a.Outcome = Failed // the caller is gone, so the answer is not delivered
 		}
 		c.mu.Lock()
 		if over {
@@ -91,7 +91,7 @@
 	}
 }
 
-// releaseClaim ends a claim that let its request go on, once the request is in the table of keys, or was turned away.
+// releaseClaim ends the claim of a request that could continue, once the request is in the key table or rejected.
 func (c *Core) releaseClaim(r *Request, class silverpath.Class) {
 	if c.pair == nil {
 		return
@@ -102,7 +102,7 @@
 	}
 }
 
-// cancelClaim notes that the caller of a request that waits for its key has left. It is called under the lock.
+// cancelClaim handles a disconnected caller whose request waits for its key. It is called under the lock.
 func (c *Core) cancelClaim(id string) {
 	if c.pair == nil || c.pair.waitingForKey[id] == nil {
 		return
--- a/internal/core/peerkeys.go
+++ b/internal/core/peerkeys.go
@@ -6,10 +6,11 @@
 	"silverpath/internal/policy/hotrestart"
 )
 
-// The table of keys during a hot restart: executions of the other process stand in it beside the own ones, so that a duplicate
-// finds them whichever process it comes to.
+// During a hot restart the key table also holds executions of the other process, so that a duplicate finds its execution in either
+// process.
 
-// putPeer notes how far a run of the other process has come, and returns it; nil where the table knows better.
+// putPeer records the progress of a run of the other process and returns its execution. It returns nil if the table has newer
+// information.
 func (k *keyTable) putPeer(m hotrestart.Execution, now time.Time) *execution {
 	e := k.entries[m.Key]
 	if e == nil {
@@ -33,17 +34,17 @@
 	return x
 }
 
-// peerExecution is the execution under a key that a message of the other process is about, made where there is none; nil where
-// the message can tell nothing new.
+// peerExecution returns the execution that a message of the other process is about, and adds it if there is none. It returns nil
+// if the message adds nothing to what the table has.
 func (k *keyTable) peerExecution(e *keyEntry, m hotrestart.Execution) *execution {
 	x := e.latest
 	switch {
 	case e.queued != nil || x != nil && !x.peerOwned && !x.done:
-		return nil // a run of its own: the other can't have one
+		return nil // this process runs the key, so the other cannot
 	case x != nil && x.peerOwned && !x.done:
-		return x // the same, further on
+		return x // a later stage of the same run
 	case x != nil && x.requestID == m.ID:
-		return nil // known, with its end
+		return nil // its end is already recorded
 	case x != nil && !x.peerOwned && withinWindow(time.Unix(0, m.ReceivedAt), x.receivedAt, e.window):
 		return nil
 	}
@@ -53,7 +54,7 @@
 	return x
 }
 
-// forgetPeer drops a run of the other process that never began, and returns it.
+// forgetPeer removes a run of the other process that never started, and returns it.
 func (k *keyTable) forgetPeer(key string) *execution {
 	e := k.entries[key]
 	if e == nil || e.latest == nil || !e.latest.peerOwned || e.latest.done {
@@ -67,7 +68,7 @@
 	return x
 }
 
-// ownExecutions are the runs of this process that further attempts may duplicate.
+// ownExecutions returns the runs of this process that later attempts may duplicate.
 func (k *keyTable) ownExecutions(now time.Time) []hotrestart.Execution {
 	var list []hotrestart.Execution
 	for _, e := range k.entries {
@@ -83,7 +84,7 @@
 	return list
 }
 
-// forPeer is an execution as the other process is told of it.
+// forPeer returns the form of an execution that is sent to the other process.
 func (x *execution) forPeer() hotrestart.Execution {
 	m := hotrestart.Execution{Key: x.entry.key, ID: x.requestID, Fingerprint: x.fingerprint, ReceivedAt: x.receivedAt.UnixNano(), Window: x.entry.window,
 		ExpiresAt: x.entry.expiresAt.UnixNano(), Remote: x.peerOwned}
@@ -100,10 +101,10 @@
 	return m
 }
 
-// pairKeys is the table of keys as the pair's decisions see it. It is called under the core's lock.
+// pairKeys implements hotrestart.Executions on the key table. Its methods are called under the core's lock.
 type pairKeys Core
 
-// Find returns the execution that an attempt duplicates which reached the machine then, in Unix nanoseconds.
+// Find returns the execution that an attempt duplicates. Reached is when the attempt reached the machine, in Unix nanoseconds.
 func (p *pairKeys) Find(key string, reached int64) (hotrestart.Execution, bool) {
 	e := p.keys.entries[key]
 	if e == nil {
@@ -119,7 +120,7 @@
 	return x.forPeer(), true
 }
 
-// Apply takes how far a run of the other process has come. An end completes those here that wait for it.
+// Apply records the progress of a run of the other process. If the run has ended, its waiters here get the result.
 func (p *pairKeys) Apply(m hotrestart.Execution) {
 	c := (*Core)(p)
 	if x := c.keys.putPeer(m, time.Now()); x != nil && x.done {
@@ -127,7 +128,7 @@
 	}
 }
 
-// Forget takes that a run of the other process never began.
+// Forget removes a run of the other process that never started.
 func (p *pairKeys) Forget(key string) {
 	c := (*Core)(p)
 	if x := c.keys.forgetPeer(key); x != nil {
@@ -135,10 +136,10 @@
 	}
 }
 
-// Local are the executions of this process, within their windows.
+// Local returns the executions of this process that are within their windows.
 func (p *pairKeys) Local() []hotrestart.Execution { return p.keys.ownExecutions(time.Now()) }
 
-// Retain drops the unfinished runs of the other process but those that it has just listed.
+// Retain removes the unfinished runs of the other process that are missing from the list it has just sent.
 func (p *pairKeys) Retain(listed func(key string) bool) {
 	c := (*Core)(p)
 	for key, e := range c.keys.entries {
@@ -149,8 +150,8 @@
 	}
 }
 
-// PeerLost settles the unfinished runs of the other process, which is gone: those that may have run count as failed, so that no
-// attempt of them runs here; the others are free to.
+// PeerLost settles the unfinished runs of the other process after its death. Runs that may have started are recorded as failed, so
+// that no attempt of them runs here. The others are removed, so that an attempt may run.
 func (p *pairKeys) PeerLost(mayHaveRun func(hotrestart.Execution) bool) {
 	c := (*Core)(p)
 	for key, e := range c.keys.entries {
--- a/internal/core/peernotify.go
+++ b/internal/core/peernotify.go
@@ -6,8 +6,8 @@
 	"silverpath/internal/policy/hotrestart"
 )
 
-// notifyStart is called as a run is about to begin, under the lock. It returns how the other process has to hear of it first, and
-// on which link.
+// notifyStart is called under the lock when a run is about to start. It returns how the other process must be notified before the
+// start, and on which link.
 func (c *Core) notifyStart(x *execution) (note hotrestart.Notice, link int) {
 	if c.pair == nil || x == nil || x.entry.read {
 		return hotrestart.NoNotice, 0
@@ -17,12 +17,12 @@
 	return note, c.pair.link
 }
 
-// ensureNotified makes sure that the other process hears of a run before it begins, as far as it has to. It writes, without the
-// lock, and reports false where it can't.
+// ensureNotified makes sure that the other process is notified of a run before the run starts, as far as the notice requires it.
+// It writes without the lock. It returns false if neither the notice nor the mark can be written.
 //
-// It guards against a process that dies with a run of which the other knows nothing: a retry would run again there. The guard
-// holds since the run begins only once the message is written or a mark is on the disk, by which the other knows that it doesn't
-// know.
+// It guards against a process that dies during a run that the other was not notified of: a retry would run again there. The run
+// starts only once the notice is written, or once a mark is on the disk. The mark tells the other process that there may be runs
+// it does not know.
 func (c *Core) ensureNotified(note hotrestart.Notice, link int) bool {
 	if note == hotrestart.NoNotice {
 		return true
@@ -41,7 +41,7 @@
 	return true
 }
 
-// abandonRun ends a run that has not begun, with the answer of the event where that has one.
+// abandonRun ends a run that has not started. If the event has an answer, the request gets that answer.
 func (c *Core) abandonRun(t *task, e event) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -49,7 +49,7 @@
 	t.enqueue(e)
 }
 
-// notifyEnd tells the other process how a run ended, or that it never began. It is called under the lock.
+// notifyEnd notifies the other process how a run ended, or that it never started. It is called under the lock.
 func (c *Core) notifyEnd(x *execution) {
 	if c.pair == nil || x == nil || x.entry.read {
 		return
@@ -62,7 +62,7 @@
 	c.applyPairEffects()
 }
 
-// notifyDropped tells the other process that a run never began. It is called under the lock.
+// notifyDropped notifies the other process that a run never started. It is called under the lock.
 func (c *Core) notifyDropped(x *execution) {
 	if c.pair != nil && !x.entry.read {
 		c.pair.coordinator.RequestDropped(x.entry.key)
--- a/internal/core/persistence.go
+++ b/internal/core/persistence.go
@@ -8,25 +8,25 @@
 	"silverpath/internal/policy/idempotency"
 )
 
-// Store keeps the runs of idempotent requests where they outlive the process: the package idempotencystore. No method blocks.
-// What was asked for is reported to done once it lasts, or with an error where that is not known, and never under the core's
-// lock.
+// Store persists the runs of idempotent requests, so that they survive the process. Package idempotencystore implements it. No
+// method blocks. Methods with a done callback call it once the record is durable, or with an error if that is not certain, and
+// never under the core's lock.
 type Store interface {
-	// CompleteSince is from when on, in Unix milliseconds, every run is known.
+	// CompleteSince returns the time, in Unix milliseconds, since which all runs are known.
 	CompleteSince() int64
-	// CanExecute is what becomes of a new idempotent request that has so much time left.
+	// CanExecute decides on a new idempotent request that has the given time left until its deadline.
 	CanExecute(left time.Duration) idempotency.Decision
-	// LogIntent writes that an idempotent request will run, and gives the record its number.
+	// LogIntent writes that an idempotent request will run, and sets the record's number.
 	LogIntent(r *idempotency.Record, receivedAt, expiresAt time.Time, left time.Duration, done func(error)) idempotency.Decision
-	// LogMoved writes that a key runs elsewhere.
+	// LogMoved writes that a key runs elsewhere, and sets the record's number.
 	LogMoved(r *idempotency.Record, expiresAt time.Time, done func(error)) idempotency.Decision
-	// LogResult writes the result of a run whose intent was written.
+	// LogResult writes the result of a run whose intent is durable.
 	LogResult(r *idempotency.Record, receivedAt, expiresAt time.Time, done func(error))
 	NoteFailed(seq uint64) // the run has ended without a result
-	Withdraw(seq uint64)   // it never began
+	Withdraw(seq uint64)   // the run never started
 }
 
-// UseStore keeps runs from now on. It is called before the first request.
+// UseStore enables persistence of runs. It is called before the first request.
 func (c *Core) UseStore(k Store) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -35,8 +35,8 @@
 	c.addGate(k.CanExecute)
 }
 
-// AddGate has one more decide what becomes of a new idempotent request that has so much time left. It is called before the
-// first request.
+// AddGate adds a function that decides on new idempotent requests by the time that is left until their deadline. The request runs
+// only if all added functions allow it. AddGate is called before the first request.
 func (c *Core) AddGate(begins func(left time.Duration) idempotency.Decision) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -47,7 +47,7 @@
 	before := c.keys.admitFirst
 	c.keys.admitFirst = func(t *task) idempotency.Decision {
 		v := begins(time.Until(t.Deadline))
-		if t.OnlyIfKnown && v.Action == idempotency.Reject { // it is not to run here: only whether it is known is asked
+		if t.OnlyIfKnown && v.Action == idempotency.Reject { // the request only asks whether its key is known; it will not run here
 			v = idempotency.Decision{}
 		}
 		if v.Action == idempotency.Execute && before != nil {
@@ -57,14 +57,14 @@
 	}
 }
 
-// SetUnknownRunsUntil has routers told until when, in Unix milliseconds and at the latest, an earlier process of this service may
-// have run requests that are not known here. It is called before the first request.
+// SetUnknownRunsUntil sets the time, in Unix milliseconds, until which requests may repeat a run of an earlier process of this
+// service that is not known here. Routers receive it. SetUnknownRunsUntil is called before the first request.
 func (c *Core) SetUnknownRunsUntil(wall int64) { c.unknownRunsUntil = wall }
 
-// UnknownRunsUntil is what SetUnknownRunsUntil was told, 0 for nothing.
+// UnknownRunsUntil returns the time set by SetUnknownRunsUntil, or 0.
 func (c *Core) UnknownRunsUntil() int64 { return c.unknownRunsUntil }
 
-// verdictAnswer is the answer to a new idempotent request that may not begin.
+// verdictAnswer returns the answer to a new idempotent request that may not run.
 func (c *Core) verdictAnswer(v idempotency.Decision) Answer {
 	if v.Action != idempotency.Reject {
 		return Answer{Outcome: Failed}
@@ -72,16 +72,16 @@
 	return Answer{Outcome: Rejected, RetryAfter: min(v.RetryAfter, c.settings.Load().MaxRetryAfter)}
 }
 
-// storeRecord is an execution as it is kept, without its result.
+// storeRecord returns the stored form of an execution, without its result.
 func (x *execution) storeRecord() idempotency.Record {
 	return idempotency.Record{Seq: x.recordSeq, Key: x.entry.key, ID: x.requestID, Fingerprint: x.fingerprint, Window: x.entry.window}
 }
 
-// persistStart writes that an idempotent request is about to run. It reports false where nothing is kept; else startPersisted
-// follows, or the end of a run that never began.
+// persistStart writes the intent to run an idempotent request. It returns false if runs are not persisted. Otherwise
+// startPersisted follows, or runEnded if the run cannot start.
 //
-// It guards against a process that is killed between the start of a run and its record: the request would run again when its
-// retry comes after the restart. The guard holds since the runner hears of the run only once the record lasts.
+// It guards against a process that is killed after a run has started and before its record is written: the request would run again
+// when its retry arrives after the restart. The runner gets the run only once the record is durable, so this cannot happen.
 func (c *Core) persistStart(t *task) bool {
 	if c.store == nil || !t.idempotent() {
 		return false
@@ -89,7 +89,7 @@
 	c.mu.Lock()
 	x := t.execution
 	r := x.storeRecord()
-	// Under the lock, so that nobody lists the records without this one.
+	// Under the lock, so that Records cannot miss this record.
 	v := c.store.LogIntent(&r, x.receivedAt, x.entry.expiresAt, time.Until(t.Deadline), func(err error) {
 		c.deliver(t.ID, event{kind: startPersisted, err: err})
 	})
@@ -102,8 +102,8 @@
 	return true
 }
 
-// mayStartPersisted reports whether a request whose start was to be written may run. It may not where the record is not known to
-// last, and need not where nobody waits any more.
+// mayStartPersisted reports whether a request may run after its intent was written. It may not if the record may not be durable,
+// or if the request no longer waits for an answer.
 func (c *Core) mayStartPersisted(t *task, e event) bool {
 	c.mu.Lock()
 	pending := t.response == responsePending
@@ -120,8 +120,8 @@
 	return false
 }
 
-// persistResult writes the result of an idempotent request before its answer leaves. It reports false where there is none to
-// write, or it was written; else runEnded follows once more.
+// persistResult writes the result of an idempotent request before its answer is sent, and runEnded follows again. It returns false
+// if there is no result to write, or if it is written already.
 func (c *Core) persistResult(t *task, e event) bool {
 	if c.store == nil || e.persisted || e.outcome != silverpath.OK {
 		return false
@@ -137,12 +137,12 @@
 	r.Result = e.data
 	c.store.LogResult(&r, x.receivedAt, x.entry.expiresAt, func(err error) {
 		e.persisted = true
-		if err != nil { // a result that does not last is not told: after a restart nobody could tell it again
+		if err != nil { // without a durable result the request fails: after a restart, a retry could not get this result
 			events.Log(c.log, "store.result_lost", t.Class, t.ID, err)
 			c.stats.Inc("store", "result_lost")
 			e.outcome, e.data = silverpath.Failed, nil
 			c.mu.Lock()
-			x.persistingResult = nil // before all is written anew
+			x.persistingResult = nil // before the next rewrite of the store could include it
 			c.mu.Unlock()
 		}
 		c.deliver(t.ID, e)
@@ -150,14 +150,14 @@
 	return true
 }
 
-// recordEnd notes how a run that is kept ended. It is called under the lock.
+// recordEnd records the end of a persisted run. It is called under the lock.
 func (c *Core) recordEnd(x *execution, o silverpath.Outcome) {
 	if c.store == nil || x == nil || x.recordSeq == 0 {
 		return
 	}
 	x.persistingResult = nil
 	switch o {
-	case silverpath.OK: // written already, by persistResult
+	case silverpath.OK: // already written by persistResult
 	case silverpath.NotStarted:
 		c.store.Withdraw(x.recordSeq)
 	default:
@@ -165,7 +165,7 @@
 	}
 }
 
-// persistMoved writes that a key that was asked for runs elsewhere, before whoever asked is told. It is called under the lock.
+// persistMoved writes that a requested key runs elsewhere, before the router that asked is answered. It is called under the lock.
 func (c *Core) persistMoved(t *task, a *Answer) {
 	if c.store == nil {
 		return
@@ -181,7 +181,7 @@
 	c.pendingAnswers++
 }
 
-// awaitPersisted waits until what an answer says is on the disk, where it has to.
+// awaitPersisted waits until the record behind an answer is durable, if the answer depends on one.
 func (c *Core) awaitPersisted(r Request, a Answer) Answer {
 	if a.persisted == nil {
 		return a
@@ -200,8 +200,8 @@
 	return a
 }
 
-// LongestWindow is how long after a run an attempt of it may be read, for all classes: the window in which one reaches the machine, its
-// longest wait there, and what reading may take.
+// LongestWindow returns how long after a run a further attempt may be read, over all idempotent classes: the window in which the
+// attempt reaches the machine, its deadline, and the delay of reading.
 func (c *Core) LongestWindow() (longest time.Duration) {
 	for _, k := range c.settings.Load().Classes {
 		if k.Effect == silverpath.Idempotent {
@@ -211,7 +211,7 @@
 	return longest
 }
 
-// Restore takes up runs of an earlier start of this service, in the order of their intents.
+// Restore adds the runs of an earlier start of this service to the key table. The records must be in the order of their intents.
 func (c *Core) Restore(list []idempotency.Record, at func(time.Duration) time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -221,7 +221,7 @@
 	}
 }
 
-// restore takes up one record.
+// restore adds one record to the table.
 func (k *keyTable) restore(r *idempotency.Record, at func(time.Duration) time.Time, now time.Time) {
 	e := k.entries[r.Key]
 	if e == nil {
@@ -239,7 +239,7 @@
 	k.bytes += len(r.Result)
 }
 
-// Records are the records of all runs that are kept, as they stand.
+// Records returns the current records of all persisted runs.
 func (c *Core) Records(since func(time.Time) time.Duration) []idempotency.Record {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -260,7 +260,7 @@
 	return list
 }
 
-// currentRecord is an execution as it is kept, as far as it has come.
+// currentRecord returns the record of an execution in its current state.
 func (x *execution) currentRecord(now time.Time, since func(time.Time) time.Duration) idempotency.Record {
 	r := x.storeRecord()
 	r.State, r.RecordedAt, r.ReceivedAt, r.ExpiresAt = idempotency.Running, since(now), since(x.receivedAt), since(x.entry.expiresAt)
--- a/internal/core/pools.go
+++ b/internal/core/pools.go
@@ -11,13 +11,13 @@
 	"silverpath/internal/policy/admission"
 )
 
-// poolGuard is the pools as the module asks them, with the process's own memory, which the module isn't told of.
+// poolGuard implements silverpath.Pools. It adds the memory use of this process, which the module does not measure.
 type poolGuard struct {
 	*admission.Controller
-	memoryBytes float64 // that the process may have
+	memoryBytes float64 // the memory limit of this process
 	sample      []metrics.Sample
-	sampledAt   time.Duration // when memoryShare was read
-	memoryShare float64       // of memoryBytes, in use
+	sampledAt   time.Duration // when memoryShare was sampled
+	memoryShare float64       // the share of memoryBytes in use
 }
 
 var _ silverpath.Pools = (*poolGuard)(nil)
@@ -32,12 +32,12 @@
 	}}, nil
 }
 
-// Moved takes where a request has come to be.
+// Moved records the new state of a request.
 func (g *poolGuard) Moved(now time.Duration, id, class string, to silverpath.Place) {
 	g.Controller.Moved(now, id, class, admission.RequestState(to))
 }
 
-// Tick takes the module's own limit of runs and the gauges.
+// Tick passes the module's own run limit and the gauges to the pools, together with the process's memory use.
 func (g *poolGuard) Tick(now time.Duration, ceiling float64, gauges silverpath.Gauges) {
 	if now-g.sampledAt >= poolsInterval {
 		g.sampledAt = now
@@ -48,25 +48,25 @@
 }
 
 const (
-	// poolsInterval is the time between two readings of the process's own memory, and two updates of what operators see: a
-	// reading walks over the runtime's statistics, which is too much for each tick.
+	// poolsInterval is the time between two samples of the process's memory, and between two updates of the pools in the status.
+	// Sampling walks the runtime's statistics, which is too expensive for each tick.
 	poolsInterval = 100 * time.Millisecond
-	// limitLogChange is how far the limit must have moved since it was logged last, as the logarithm of the ratio: by a
-	// quarter. Its search moves it by less all the time.
+	// limitLogChange is the change of the run limit, as the natural logarithm of the ratio to the last logged value, above which
+	// the limit is logged again: about a quarter. The search for the limit constantly causes smaller changes.
 	limitLogChange = 0.25
-	// limitLogInterval is the least time between two such lines.
+	// limitLogInterval is the minimum time between two such log lines.
 	limitLogInterval = 5 * time.Second
 )
 
-// gate is one class's gate: while it is closed, requests of the class are rejected before they are read in full.
+// gate is the gate of one class. While it is closed, requests of the class are rejected before they are read in full.
 type gate struct {
 	admission.ArrivalGate
-	rejection   atomic.Pointer[Answer] // the module's latest, which those are given
-	closedUntil atomic.Int64           // nanoseconds of the core's clock; read without the lock
-	unread      atomic.Int64           // requests rejected so since the module was told last
+	rejection   atomic.Pointer[Answer] // the module's latest rejection, returned to requests that are rejected unread
+	closedUntil atomic.Int64           // on the core's clock, in nanoseconds; read without the lock
+	unread      atomic.Int64           // requests rejected unread since the last report to the module
 }
 
-// gates are the gates by class. A map that is in use is never changed.
+// gates holds the gates by class. A published map is never modified.
 type gates map[string]*gate
 
 func (c *Core) allGates() gates {
@@ -78,8 +78,8 @@
 
 func (c *Core) gateOf(class string) *gate { return c.allGates()[class] }
 
-// setGates gives every class of the settings its gate, but for those whose requests may be duplicates of one that has run: these
-// must always be read. A class that had a gate keeps it.
+// setGates creates the gate of each class of the settings and keeps existing gates. Classes whose requests may be duplicates of an
+// earlier run have no gate, because their requests must always be read.
 func (c *Core) setGates(set silverpath.Settings) {
 	g := gates{}
 	for _, k := range set.Classes {
@@ -93,8 +93,8 @@
 	c.gates.Store(&g)
 }
 
-// RejectsUnread reports whether a request of a class is to be rejected before it is read in full, and with which answer. Fronts
-// ask it; it takes no lock. The module has decided so for those just before it.
+// RejectsUnread reports whether a request of a class must be rejected before it is read in full, and with which answer: the one
+// that the module gave to the requests just before. Fronts call it. It takes no lock.
 func (c *Core) RejectsUnread(front, class string) (Answer, bool) {
 	g := c.gateOf(class)
 	if g == nil || int64(c.clock()) >= g.closedUntil.Load() {
@@ -105,7 +105,7 @@
 	return *g.rejection.Load(), true
 }
 
-// updateGate tells a gate what the module has decided on an arrival. It is called under the lock.
+// updateGate passes the module's decision on an arrival to the gate of its class. It is called under the lock.
 func (c *Core) updateGate(t *task) {
 	g := c.gateOf(t.Class)
 	if g == nil {
@@ -121,7 +121,7 @@
 	g.closedUntil.Store(int64(g.ClosedUntil()))
 }
 
-// rejection is the answer by which a request that has just arrived was rejected, if it was.
+// rejection returns the answer if a request that has just arrived was rejected.
 func (t *task) rejection() (Answer, bool) {
 	if n := len(t.events); n > 0 && t.events[n-1].kind == answerSettled && t.events[n-1].answer.Outcome == Rejected {
 		return t.events[n-1].answer, true
@@ -129,7 +129,7 @@
 	return Answer{}, false
 }
 
-// reportUnread tells the module how many were rejected unread. It is called under the lock, at every tick.
+// reportUnread reports to the module how many requests were rejected unread. It is called under the lock, at every tick.
 func (c *Core) reportUnread() {
 	for class, g := range c.allGates() {
 		if n := g.unread.Swap(0); n > 0 {
@@ -138,7 +138,7 @@
 	}
 }
 
-// updatePools keeps what operators see of the pools, and logs what changed. It is called under the lock, at every tick.
+// updatePools updates the pools in the view and logs changes. It is called under the lock, at every tick.
 func (c *Core) updatePools() {
 	now := c.clock()
 	if c.pools == nil || now-c.poolsReadAt < poolsInterval {
@@ -163,7 +163,7 @@
 	}
 }
 
-// ReloadPools takes up other pools, weights, floors and memory stages under load. No run is lost. The error is that of
+// ReloadPools applies other pools, weights, floors and memory stages while requests run. No run is lost. It returns the error of
 // admission.Controller.Reload.
 func (c *Core) ReloadPools(cfg admission.Config) error {
 	c.mu.Lock()
@@ -174,7 +174,7 @@
 	return c.pools.Reload(cfg)
 }
 
-// MaxBody is the largest body that a front takes now, in bytes, of the largest that it ever takes: less while memory is short.
+// MaxBody returns the largest body that a front accepts now, in bytes. It is at most limit, and less while memory is short.
 func (c *Core) MaxBody(limit int) int {
 	if p := c.published.Load().Pools; p != nil {
 		return p.Memory.MaxBody(limit)
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -8,17 +8,17 @@
 	"silverpath/internal/events"
 )
 
-// Serve is the life of one request, from its reading to its end. It asks the module at every point of choice and does what
-// the module chose. It returns when the request is answered and nothing of it runs; reply is called at most once.
+// Serve handles one request from arrival to its end. It reports each event to the module and executes the module's decisions. It
+// returns when the request is answered and has no work left. It calls reply at most once.
 func (c *Core) Serve(r Request, reply func(Answer)) {
-	t, rejection := c.arrive(r) // the module's choice: queue, run, join or reject
+	t, rejection := c.arrive(r) // the module decides: queue, run, join or reject
 	if t == nil {
 		reply(c.awaitPersisted(r, rejection))
 		return
 	}
 	for {
 		switch e := c.nextEvent(t); e.kind {
-		case runChosen: // dispatched at once, or once the other process and the disk know of it
+		case runChosen: // dispatched after the other process and the disk have it, if they must
 			c.prepareRun(t, e)
 		case startPersisted:
 			if c.mayStartPersisted(t, e) {
@@ -27,12 +27,12 @@
 		case callNeeded:
 			t.callBody = e.data
 			c.notifyModule(func(m *silverpath.Shedder, now time.Duration) { m.NeedsCall(now, t.ID) })
-		case callChosen: // an answer that is settled meanwhile does not wait for it: callEnded comes once it has ended
+		case callChosen: // runs on its own goroutine, so that the answer need not wait; callEnded follows
 			go c.call(t, e.timeout)
 		case callEnded:
 			c.endCall(t, e)
 		case runEnded:
-			if !c.persistResult(t, e) { // a result lasts before it is told: runEnded comes again once it does
+			if !c.persistResult(t, e) { // the result must be durable before the answer; runEnded is delivered again then
 				c.finishRun(t, e)
 			}
 		case callerGone:
@@ -49,19 +49,19 @@
 	}
 }
 
-// prepareRun makes sure that the other process of a pair and, where runs are kept, the disk know of a run before it begins:
-// after a crash in between, a further attempt must not run it a second time.
+// prepareRun makes a run known to the other process of a pair and, if runs are persisted, to the disk before the run starts.
+// Otherwise a crash after the start would let a retry run a second time.
 func (c *Core) prepareRun(t *task, e event) {
 	switch {
 	case !c.ensureNotified(e.notification, e.link):
 		c.abandonRun(t, event{})
-	case c.persistStart(t): // startPersisted comes once it is on the disk
+	case c.persistStart(t): // startPersisted follows once the intent is on the disk
 	default:
 		c.dispatch(t)
 	}
 }
 
-// dispatch gives a request to the runner.
+// dispatch passes a request to the runner.
 func (c *Core) dispatch(t *task) {
 	if f, forwards := c.runner.(Forwarder); forwards {
 		f.Forward(t.Request)
@@ -70,7 +70,7 @@
 	}
 }
 
-// endCall gives the reply to the run that waits for it and tells the module how the call ended.
+// endCall resumes the run with the call's reply, if there is one, and reports the outcome to the module.
 func (c *Core) endCall(t *task, e event) {
 	if e.outcome == silverpath.OK {
 		c.runner.Resume(t.ID, e.data)
@@ -78,14 +78,14 @@
 	c.notifyModule(func(m *silverpath.Shedder, now time.Duration) { m.CallEnded(now, t.ID, e.outcome, e.spent) })
 }
 
-// notifyModule tells the module of an event and does what it then asks for.
+// notifyModule reports an event to the module under the lock and executes the actions that it requests.
 func (c *Core) notifyModule(report func(m *silverpath.Shedder, now time.Duration)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.decide(report)
 }
 
-// nextEvent waits for the request's next event. Once nothing of the request is left to do it takes the request out of hand.
+// nextEvent blocks until the request's next event. It deletes the task once the request has no work left.
 func (c *Core) nextEvent(t *task) event {
 	for {
 		c.mu.Lock()
@@ -109,8 +109,8 @@
 	}
 }
 
-// call makes the call that the module chose, on a goroutine of its own, and tells the request how it ended. The end of the run
-// gives it up, so that it ends with its request.
+// call makes a dependency call and delivers its outcome to the request. It runs on its own goroutine. The end of the run cancels
+// the call, so that it does not outlive its request.
 func (c *Core) call(t *task, timeout time.Duration) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -136,33 +136,34 @@
 	t.enqueue(e)
 }
 
-// outcomeNames are the outcomes as counters name them.
+// outcomeNames maps outcomes to their names in counters.
 var outcomeNames = map[silverpath.Outcome]string{
 	silverpath.OK: "ok", silverpath.Failed: "failed", silverpath.Overloaded: "overloaded",
 	silverpath.TimedOut: "timed_out", silverpath.Unreachable: "unreachable",
 	silverpath.Disconnected: "disconnected", silverpath.Canceled: "canceled", silverpath.NotStarted: "ignored",
 }
 
-// RunNeedsCall is called by the runner when a run waits for a call with the given body.
+// RunNeedsCall is called by the runner when a run waits for a dependency call with the given body.
 func (c *Core) RunNeedsCall(id string, body []byte) {
 	c.deliver(id, event{kind: callNeeded, data: body})
 }
 
-// RunEnded is called by the runner with how a run ended, and its result.
+// RunEnded is called by the runner when a run has ended, with its outcome, duration and result.
 func (c *Core) RunEnded(id string, o silverpath.Outcome, spent time.Duration, result []byte) {
 	c.deliver(id, event{kind: runEnded, outcome: o, spent: spent, data: result})
 }
 
-// ForwardReturned is called by a Forwarder when a request that was handed on has come back without a result, with what its
-// caller is told. What became of it is known elsewhere: a retry of it is handed on again.
+// ForwardReturned is called by a Forwarder when a forwarded request has come back without a result, with the answer for its
+// caller. The outcome is NotStarted, because only the server that it was forwarded to knows whether it ran: a retry is forwarded
+// again.
 func (c *Core) ForwardReturned(id string, a Answer, spent time.Duration) {
 	c.deliver(id, event{kind: runEnded, outcome: silverpath.NotStarted, spent: spent, answer: a, hasAnswer: true})
 }
 
-// CallerGone is called by a front when the caller of a request has left, so that nobody waits for its answer any more.
+// CallerGone is called by a front when the caller of a request has disconnected.
 func (c *Core) CallerGone(id string) { c.deliver(id, event{kind: callerGone}) }
 
-// deliver leaves an event for a request, if it is still in hand.
+// deliver enqueues an event for a request, if the request is still in progress.
 func (c *Core) deliver(id string, e event) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -179,8 +180,8 @@
 	t.enqueue(e)
 }
 
-// finishRun takes the end of a run, or of a join. The result is the answer, unless the run brought one, and is kept for
-// duplicates.
+// finishRun handles the end of a run or of a join. The request is answered with the result, unless the event carries an answer.
+// The result is kept for duplicates.
 func (c *Core) finishRun(t *task, e event) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -190,7 +191,7 @@
 	wasJoining := t.joining
 	t.running, t.joining = false, false
 	if e.outcome == silverpath.Canceled && t.response == responsePending {
-		// Nothing stops a run here but its request being over: the caller has left and the notice is late.
+		// Only the end of its request cancels a run here: the caller has disconnected, and that notice has not arrived yet.
 		c.decide(func(m *silverpath.Shedder, now time.Duration) { m.Cancelled(now, t.ID) })
 	}
 	if !wasJoining {
@@ -211,7 +212,7 @@
 	c.decide(func(m *silverpath.Shedder, now time.Duration) { m.RunEnded(now, t.ID, e.outcome, e.spent) })
 }
 
-// callerLeft notes that nobody waits for the answer any more. The run of an idempotent request goes on: a retry takes its result.
+// callerLeft handles a disconnected caller. The run of an idempotent request continues, and a retry can take its result.
 func (c *Core) callerLeft(t *task) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -229,8 +230,8 @@
 	c.decide(func(m *silverpath.Shedder, now time.Duration) { m.Cancelled(now, t.ID) })
 }
 
-// answerAtDeadline answers a request that the module has not, by its deadline, whatever holds the module up: a machine without a
-// core to spare, or a lock that is waited for. It shows in the log and as the counter backstop.
+// answerAtDeadline answers a request that the module has not answered by its deadline, for example because no CPU core is free or
+// the lock is contended. It logs the event backstop and increments the counter of that name.
 func (c *Core) answerAtDeadline(t *task) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -243,7 +244,7 @@
 	c.decide(func(m *silverpath.Shedder, now time.Duration) { m.Cancelled(now, t.ID) })
 }
 
-// settle settles a request's one answer, which its goroutine sends. It is called under the lock.
+// settle sets a request's one answer, which the request's goroutine sends. It is called under the lock.
 func (c *Core) settle(t *task, a Answer) {
 	if t.response != responsePending {
 		return
@@ -256,7 +257,7 @@
 	t.enqueue(event{kind: answerSettled, answer: a})
 }
 
-// answerSent counts an answer that has been handed to its front's connection.
+// answerSent counts an answer that was written to its front's connection.
 func (c *Core) answerSent() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -265,9 +266,9 @@
 	c.closeIfIdle()
 }
 
-// startRun starts a request, once for those with an effect and never what the drain rule forbids. The module keeps these rules;
-// here they are kept once more from what the sockets alone tell, so that no mistake between the two can run an effect twice. A
-// run that is held back so shows as the log event guard.run and the counter guard. It is called under the lock.
+// startRun starts a run. It never starts a request with effects twice, and never starts what the drain rule forbids. The module
+// enforces the same rules; checking them here again, from the core's own records, ensures that no fault in either runs an effect
+// twice. A refused run appears as the log event guard.run and in the counter guard. It is called under the lock.
 func (c *Core) startRun(t *task) {
 	reason := ""
 	switch {
@@ -285,7 +286,7 @@
 	if reason != "" {
 		events.Log(c.log, "guard.run", t.Class, t.ID, reason)
 		c.stats.Inc("guard")
-		t.running = true // for the end that follows
+		t.running = true // so that the runEnded event below is processed
 		t.enqueue(event{kind: runEnded, outcome: silverpath.NotStarted})
 		return
 	}
@@ -294,7 +295,7 @@
 	t.enqueue(event{kind: runChosen, notification: notification, link: link})
 }
 
-// join makes a request wait for the result of the run that it duplicates, or takes it where it is there.
+// join makes a request wait for the run that it duplicates, or takes the result of that run if it has ended.
 func (c *Core) join(t *task) {
 	x := t.duplicateOf
 	t.joining = true
@@ -308,10 +309,10 @@
 	}
 }
 
-// stopWaiting ends a wait for another attempt: the answer is settled or the caller gone.
+// stopWaiting ends a join: the answer is settled or the caller has disconnected.
 func (t *task) stopWaiting() { t.joining = false }
 
-// completeWaiters gives those that joined a run its result.
+// completeWaiters delivers the result of a run to the attempts that joined it.
 func (c *Core) completeWaiters(x *execution) {
 	if x == nil {
 		return
@@ -326,7 +327,7 @@
 	x.waiters = nil
 }
 
-// releaseKey frees the key of a request that has not run; whoever joined it fails with it.
+// releaseKey releases the key of a request that has not run. The attempts that joined it fail.
 func (c *Core) releaseKey(t *task) {
 	if t.started || t.execution == nil {
 		return
--- a/internal/core/rules.go
+++ b/internal/core/rules.go
@@ -9,11 +9,11 @@
 	"silverpath/internal/policy/configstore"
 )
 
-// Unfenced leaves the fence of the rules out, in test programs only, which show the harm that it keeps away.
+// Unfenced disables fencing. Only test programs set it, to show the failures that fencing prevents.
 var Unfenced = false
 
-// ObserveRules takes what a router says of its rules in a health check of this server: which document it goes by, from which
-// source, and the terms that it names.
+// ObserveRules records which routing document a router uses, where the router got it, and the terms in that document. It is called
+// for each health check by a router.
 func (c *Core) ObserveRules(id, source string, terms configstore.Terms) {
 	of, ok := configstore.ParseID(id)
 	if !ok || !c.cell || Unfenced {
@@ -27,7 +27,7 @@
 	c.stats.Set(uint64(c.observedRules.LongestOutdated().Milliseconds()), "rules", "longest_ms")
 }
 
-// observeRules notes a document that a router names, and logs a newer one or a contradiction. It is called under the lock.
+// observeRules records a document that a router names. It logs newer versions and contradictions. It is called under the lock.
 func (c *Core) observeRules(of configstore.ID, source string) {
 	previous, _ := c.observedRules.Newest()
 	switch c.observedRules.Observe(c.clock(), of, source) {
@@ -40,12 +40,13 @@
 	}
 }
 
-// blockReason is why nothing new may begin by the rules that an idempotent request was sent by, empty for nothing. It is called
-// under the lock.
+// blockReason returns why the routing rules forbid a new run of an idempotent request, or an empty string. It is called under the
+// lock.
 //
-// It guards against a router that goes by older rules than others: it would send a request to a server that no longer owns the
-// key, and the request would run twice. The guard holds as each server knows the newest document that any router has named to
-// it, and rejects what an older one sent; and where nothing has been heard of the rules for long, nothing new begins at all.
+// It guards against a router that uses an older document than the others. That router could send a request to a server that no
+// longer owns the key, and the request would run twice. Each server tracks the newest document that any router has named to it and
+// rejects requests sent by an older one. If the server has had no confirmation of its own rules for too long, the block rule stops
+// all new runs.
 func (c *Core) blockReason(r *Request) string {
 	if bar := c.blockRule.Load(); bar != nil && !Unfenced {
 		if why := (*bar)(r.Class, r.Tenant); why != "" {
@@ -67,20 +68,21 @@
 	return v.String()
 }
 
-// SetBlockRule sets who is asked why no idempotent request of a class and a tenant begins; empty where one may. It is called before
-// the first request.
+// SetBlockRule sets the function that returns why no new idempotent request of a class and a tenant may run, or an empty string.
+// It is called before the first request.
 func (c *Core) SetBlockRule(why func(class, tenant string) string) { c.blockRule.Store(&why) }
 
-// RulesNotice is what this server has observed of the rules, for a router that probes it. The zero value is nothing.
+// RulesNotice is the part of a health check's reply that tells a router what this server has observed of the routing documents.
+// The zero value means that nothing was observed.
 type RulesNotice struct {
-	Newest          string        // id of the newest document that was heard of; empty: of none
-	Source          string        // who told of it
-	ConflictVersion int           // of which two documents differ
-	Conflict        string        // what differs; empty: nothing does
-	SuspendedFor    time.Duration // for which nothing exclusive begins; 0: it may
+	Newest          string        // id of the newest document that any router has named; empty if there is none
+	Source          string        // the router's source of that document
+	ConflictVersion int           // the version of which two documents differ
+	Conflict        string        // how the two documents differ; empty without a conflict
+	SuspendedFor    time.Duration // how long no exclusive run may start; 0 if runs may start
 }
 
-// RulesNotice returns what this server has observed of the rules. A front calls it for each probe of a router.
+// RulesNotice returns what this server has observed of the routing documents. A front calls it for each health check by a router.
 func (c *Core) RulesNotice() (notice RulesNotice) {
 	if !c.cell || Unfenced {
 		return notice
@@ -95,14 +97,14 @@
 	return notice
 }
 
-// rulesStatus is what this server has observed of the rules, for operators.
+// rulesStatus returns the status of this server's version tracker.
 func (c *Core) rulesStatus(a *fastjson.Arena) *fastjson.Value {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return RulesStatus(a, &c.observedRules, c.clock())
 }
 
-// RulesStatus is what a process has observed of the rules, for operators.
+// RulesStatus returns the status of a version tracker as a JSON object, for operators.
 func RulesStatus(a *fastjson.Arena, s *configstore.VersionTracker, now time.Duration) *fastjson.Value {
 	o := a.NewObject()
 	if top, ok := s.Newest(); ok {
--- a/internal/core/settings.go
+++ b/internal/core/settings.go
@@ -6,9 +6,8 @@
 	"silverpath"
 )
 
-// supportedSettings are the settings as this host can keep them: the interpreter's protocol has no way to stop a run, nor to go
-// on without a call, whatever a site would allow. The slice of classes is copied, as another service in the process may have the
-// same.
+// supportedSettings returns the settings without the features that this host lacks: the interpreter's protocol can neither stop a
+// run nor continue it without its call. It copies the slice of classes, which another service in the same process may share.
 func supportedSettings(set silverpath.Settings) silverpath.Settings {
 	set.Preemption = silverpath.PreemptNone
 	set.Classes = append([]silverpath.Class(nil), set.Classes...)
@@ -18,8 +17,8 @@
 	return set
 }
 
-// Reconfigure takes up other settings, whole or not at all. Requests in hand keep the class they came with. The error names the
-// field that no server can have.
+// Reconfigure applies new settings completely or not at all. Requests in progress keep the class that they arrived with. The error
+// names the invalid field.
 func (c *Core) Reconfigure(settings silverpath.Settings) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/core/slowstart.go
+++ b/internal/core/slowstart.go
@@ -7,8 +7,8 @@
 	"silverpath/internal/policy/slowstart"
 )
 
-// slowStart is the server's own part in its slow start: it shares out among the routers that ask what it takes while it is cold.
-// It has a lock of its own, since health checks wait for no decision of the module.
+// slowStart divides the server's reduced capacity among the routers while its interpreter is cold. It has its own lock, so that
+// health checks do not wait for a decision of the module.
 type slowStart struct {
 	mu      sync.Mutex
 	cold    bool
@@ -16,21 +16,22 @@
 	server  *slowstart.Server
 }
 
-// sameStart is by how much two links may tell the start of one interpreter differently: it rounds, and messages take a while.
+// sameStart is the tolerance for start times of one interpreter that arrive over different links: they are rounded and delayed in
+// transit.
 const sameStart = time.Second
 
-// begin takes when the interpreter started, and whether it was cold then.
+// begin records when the interpreter started, and whether it was cold then.
 func (s *slowStart) begin(cold bool, started time.Time, callers int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.server != nil && started.Sub(s.started).Abs() < sameStart {
-		return // a further link to the same interpreter: what was shared out holds
+		return // another link to the same interpreter: the grants stay valid
 	}
 	s.cold, s.started, s.server = cold, started, slowstart.NewServer(time.Since(started), callers)
 }
 
-// Cold reports whether the server is in its slow start, as routers are told with every answer: one that hears of the start so
-// claims nothing until it has asked for its part.
+// Cold reports whether the server is in slow start. Routers receive it with every answer. A router that learns of the slow start
+// this way sends nothing until it has asked for its quota.
 func (c *Core) Cold() bool {
 	s := &c.slowStart
 	s.mu.Lock()
@@ -39,7 +40,7 @@
 	return cold
 }
 
-// totalAllowed is how many requests the server takes at once, and whether it is cold. It is called under the lock of s.
+// totalAllowed returns how many concurrent requests the server takes, and whether it is cold. It is called under the lock of s.
 func (s *slowStart) totalAllowed(c *Core) (total float64, cold bool) {
 	if !s.cold || !c.cell {
 		return 0, false
@@ -50,8 +51,8 @@
 	return total, s.cold
 }
 
-// SlowStart is how many requests a router that asks may have out here for a term from its asking, and whether there is such a
-// bound. InFlight are those that it has out.
+// SlowStart returns how many requests the router named who may have in flight here during the given term, and whether there is
+// such a limit. InFlight is how many it has in flight now.
 func (c *Core) SlowStart(who string, inFlight int, term time.Duration) (part int, cold bool) {
 	s := &c.slowStart
 	s.mu.Lock()
--- a/internal/core/status.go
+++ b/internal/core/status.go
@@ -10,10 +10,10 @@
 	"silverpath/internal/policy/admission"
 )
 
-// ServesStatus reports whether fronts answer requests for the state of the service.
+// ServesStatus reports whether fronts answer status requests.
 func (c *Core) ServesStatus() bool { return c.servesStatus }
 
-// Status is the state of the service as a JSON object. Like everything cheap it reads the view, not the module.
+// Status returns the state of the service as a JSON object. It reads the view and never waits for a decision of the module.
 func (c *Core) Status() []byte {
 	v := c.View()
 	var a fastjson.Arena
@@ -48,7 +48,7 @@
 	return o.MarshalTo(nil)
 }
 
-// setPools adds the limit of runs, the memory and each pool.
+// setPools adds the run limit, the memory and each pool to the status.
 func setPools(a *fastjson.Arena, o *fastjson.Value, p *admission.Snapshot) {
 	o.Set("limit", numbers(a, "runs", p.RunLimit, "all", p.TotalLimit, "ceiling", p.Ceiling, "on_cores", float64(p.Running)))
 	o.Get("limit").Set("belief", a.NewString(p.Diagnosis))
@@ -66,7 +66,7 @@
 	o.Set("pools", list)
 }
 
-// timings are the latencies that the process measures of itself: its own, and the runtime's.
+// timings returns the latency quantiles that the process measures itself, followed by those of the Go runtime.
 func (c *Core) timings(a *fastjson.Arena) *fastjson.Value {
 	times := a.NewObject()
 	for _, t := range c.stats.Timings() {
@@ -92,7 +92,7 @@
 	return a.NewFalse()
 }
 
-// quantiles reads a histogram of the runtime, in seconds: how long goroutines waited to run, or the collector stopped all.
+// quantiles reads a runtime histogram of scheduling latency or GC pauses and returns its count and its quantiles in seconds.
 func quantiles(metric string) (n uint64, p50, p99, longest float64) {
 	sample := []metrics.Sample{{Name: metric}}
 	metrics.Read(sample)
@@ -124,7 +124,7 @@
 	return n, p50, p99, longest
 }
 
-// numbers returns an object of names and numbers in turn.
+// numbers returns a JSON object built from alternating names and float64 values.
 func numbers(a *fastjson.Arena, pairs ...any) *fastjson.Value {
 	o := a.NewObject()
 	for i := 0; i < len(pairs); i += 2 {
--- a/internal/core/task.go
+++ b/internal/core/task.go
@@ -9,77 +9,77 @@
 	"silverpath/internal/policy/idempotency"
 )
 
-// responseState is the state of a request's answer. It leaves responsePending once, under the lock, so that there is exactly
-// one answer whoever comes first: the module, the run, the deadline or the caller's leaving.
+// responseState is the state of a request's answer. It leaves responsePending exactly once, under the lock. This guarantees one
+// answer even if the module, the end of the run, the deadline and a disconnecting caller race.
 type responseState int
 
 const (
 	responsePending responseState = iota
 	responseSettled
-	responseCancelled // its caller left
+	responseCancelled // the caller disconnected
 )
 
-// task is a request in hand.
+// task is the record of a request that still has work to do.
 type task struct {
 	Request
 	class       silverpath.Class
 	readAt      time.Time
 	response    responseState
-	started     bool                 // handed to the runner at least once
-	running     bool                 // handed to the runner, and its end not seen yet
+	started     bool                 // dispatched to the runner at least once
+	running     bool                 // dispatched to the runner, and its end not processed yet
 	joining     bool                 // waits for the result of another attempt
-	calling     bool                 // a call of its run is out
+	calling     bool                 // a dependency call of its run is in flight
 	callBody    []byte               // the body of the call that the run waits for
-	execution   *execution           // the run that this attempt is, or may become; idempotent requests and shared reads
+	execution   *execution           // the run of this attempt, queued or started; nil unless the request is idempotent or a shared read
 	duplicateOf *execution           // the run of another attempt that this one duplicates
-	keyConflict bool                 // it has the key of another request, which is not the same
-	movedReason string               // why its key may not begin here, a Reason or blockedBy, for the router; empty: it may
-	verdict     idempotency.Decision // what the store says of it, where runs are kept
-	blockedBy   string               // why nothing new begins by the rules that it was sent by; empty: nothing is against it
+	keyConflict bool                 // another request with a different body or tenant has the same key
+	movedReason string               // why its key may not start a run here, a Reason or blockedBy, for the router; empty if it may
+	verdict     idempotency.Decision // the store's decision, if runs are persisted
+	blockedBy   string               // why the routing rules forbid a new run, empty if they do not
 
-	cancelCall    context.CancelFunc // gives up the call that is out
+	cancelCall    context.CancelFunc // cancels the call in flight
 	deadlineTimer *time.Timer
 
-	events []event       // what its goroutine has to do, in order
+	events []event       // what its goroutine has to process, in order
 	wake   chan struct{} // holds one signal while there may be events
 }
 
-// idempotent reports whether further attempts of the request may come that are one request with it.
+// idempotent reports whether the request has an idempotency key, so that it may have further attempts.
 func (t *task) idempotent() bool { return t.class.Effect == silverpath.Idempotent && t.Key != "" }
 
-// event is what a request's goroutine does next.
+// event is one step for a request's goroutine to process.
 type event struct {
 	kind    eventKind
-	outcome silverpath.Outcome // runEnded, callEnded
-	data    []byte             // callNeeded: the call's body; callEnded, runEnded: the result
-	spent   time.Duration      // callEnded, runEnded
-	err     error              // startPersisted: why the record is not known to last
+	outcome silverpath.Outcome // of runEnded and callEnded
+	data    []byte             // of callNeeded: the body of the call; of callEnded and runEnded: the result
+	spent   time.Duration      // of callEnded and runEnded: the duration
+	err     error              // of startPersisted: why the record may not be durable
 
-	answer    Answer // answerSettled, and runEnded where the run brought one
-	hasAnswer bool   // runEnded: the answer is that one
-	persisted bool   // runEnded: the result lasts, or never will
+	answer    Answer // of answerSettled, and of runEnded if hasAnswer is set
+	hasAnswer bool   // of runEnded: answer replaces the one derived from the outcome
+	persisted bool   // of runEnded: the result is durable, or its write has failed
 
-	timeout      time.Duration     // callChosen
-	notification hotrestart.Notice // runChosen: how the other process hears of it first
-	link         int               // runChosen: on which link
+	timeout      time.Duration     // of callChosen
+	notification hotrestart.Notice // of runChosen: how the other process must be notified first
+	link         int               // of runChosen: the link for the notification
 }
 
 type eventKind int
 
 const (
-	runChosen       eventKind = iota // by the module
-	callChosen                       // by the module
-	answerSettled                    // its one answer is settled
-	callNeeded                       // its run waits for a call
-	callEnded                        // that call has ended
-	startPersisted                   // that it runs is on the disk, where runs are kept
-	runEnded                         // its run, or its join, has ended
-	callerGone                       // its caller has left
-	deadlineReached                  // its answer is due now
-	requestOver                      // nothing of it is left to do
+	runChosen       eventKind = iota // the module asked to run the request
+	callChosen                       // the module asked to make the call
+	answerSettled                    // the request's one answer is settled
+	callNeeded                       // the run waits for a call
+	callEnded                        // the call has ended
+	startPersisted                   // the write of the run's intent has ended
+	runEnded                         // the run, or the wait for another attempt's run, has ended
+	callerGone                       // the caller disconnected
+	deadlineReached                  // the deadline, less answerMargin, has passed
+	requestOver                      // the request has no work left
 )
 
-// enqueue leaves an event for the request's goroutine. It is called under the core's lock.
+// enqueue appends an event for the request's goroutine. It is called under the core's lock.
 func (t *task) enqueue(e event) {
 	t.events = append(t.events, e)
 	select {
@@ -88,7 +88,7 @@
 	}
 }
 
-// over reports whether nothing of the request is left to do.
+// over reports whether the request has no work left, except for queued events.
 func (t *task) over() bool {
 	return t.response != responsePending && !t.running && !t.joining && !t.calling
 }
--- a/internal/core/types.go
+++ b/internal/core/types.go
@@ -7,83 +7,85 @@
 	"silverpath"
 )
 
-// Outcome is what a request's one answer says.
+// Outcome is the kind of a request's one answer.
 type Outcome int
 
-// Outcomes.
+// The outcomes.
 const (
 	Served   Outcome = iota
 	Rejected         // this attempt never ran
-	Failed           // no assurance
-	Expired          // failed, since its time was up
-	Invalid          // failed, since it is no request that can be: nothing of it ran
+	Failed           // the request may or may not have run
+	Expired          // failed because its deadline passed
+	Invalid          // failed because it is invalid: no part of it ran
 )
 
-// String is the outcome's name in counters, where refused stands for Rejected; turned_away counts what the core or a front rejects without
-// asking the module.
+// String returns the outcome's name in counters. Rejected is written "refused"; the counter turned_away is separate and counts the
+// requests that the core or a front rejects without asking the module.
 func (o Outcome) String() string {
 	return [...]string{"served", "refused", "failed", "expired", "invalid"}[o]
 }
 
 // Request is one attempt of a request as a front read it.
 type Request struct {
-	Front, ID  string // the id is new with every attempt
+	Front, ID  string // the id differs between attempts
 	Class      string
 	Tenant     string
-	Key        string // of idempotent classes: the same for all attempts of one request
-	Object     string // what a read is about, where told
+	Key        string // idempotency key, the same for all attempts of a request of an idempotent class
+	Object     string // the object that a read asks for, if the caller names it
 	Caller     int
-	MemoryKB   float64   // booked for it while it is queued
-	Rank       float64   // its priority among all, from 0 to under 1
+	MemoryKB   float64   // the memory that is reserved for it while it is queued
+	Rank       float64   // its priority among all requests, from 0 to under 1
 	ReceivedAt time.Time // when it reached the machine
-	Deadline   time.Time // until when its caller waits
+	Deadline   time.Time // when its caller stops waiting
 	Body       []byte
-	// OnlyIfKnown asks for an idempotent request only where its key is known here: see Answer.Reason.
+	// OnlyIfKnown asks for an idempotent request only if its key is known here. If it is not, the request is rejected with
+	// ReasonUnknown.
 	OnlyIfKnown bool
-	// RulesID names the document by which a router has sent an idempotent request here, and RulesSource where the router has
-	// it from. Both may be empty.
+	// RulesID names the routing document by which a router sent an idempotent request here, and RulesSource names where the router
+	// got that document. Both may be empty.
 	RulesID, RulesSource string
 }
 
-// Answer is a final answer.
+// Answer is the final answer to a request.
 type Answer struct {
 	Outcome    Outcome
-	Body       []byte        // served: the result, unchanged
-	RetryAfter time.Duration // rejected: stay away for so long
-	Final      bool          // rejected: don't try elsewhere
-	Reason     string        // rejected: what a router has to know of it; empty where that is nothing
+	Body       []byte        // of Served: the result, unchanged
+	RetryAfter time.Duration // of Rejected: how long the caller must wait before it retries
+	Final      bool          // of Rejected: the caller must not retry at another server
+	Reason     string        // of Rejected: one of the Reason constants, for a router; empty if there is none
 
-	persisted <-chan error // it may go once this is told; nil: at once
+	persisted <-chan error // if not nil, the answer leaves only after this channel delivers
 }
 
-// Reasons that a router is given beside a rejection. What the function of SetBlockRule returns is one too: configstore.StopUnconfirmed,
-// StopClockSkew or StopQuiescing.
+// Reasons that accompany a rejection on its way to a router. The function given to SetBlockRule returns reasons too:
+// configstore.StopUnconfirmed, StopClockSkew or StopQuiescing.
 const (
-	ReasonUnknown = "unknown" // it was asked for only if known, is not, and will not be run here within its window
-	ReasonMoved   = "moved"   // it belongs elsewhere: its key was asked for, and was not known
-	ReasonBoot    = "boot"    // it is meant for an earlier start of this service
-	// The router's rules can't be acted on: the names of verdicts in the package configstore.
+	ReasonUnknown = "unknown" // OnlyIfKnown was set and the key is not known here; it will not run here within its window
+	ReasonMoved   = "moved"   // the key runs elsewhere: a router asked for it earlier, when it was not known here
+	ReasonBoot    = "boot"    // the request is addressed to an earlier start of this service
+	// No new run may start by the routing document that the request names. The texts are the names of the verdicts in package
+	// configstore.
 	ReasonBehind       = "behind"
 	ReasonContradicted = "contradicted"
 	ReasonQuiet        = "quiet"
 )
 
-// Runner does the work of requests. Its methods never block. What becomes of a run it reports by Core.RunEnded and, when
-// the run waits for a call, by Core.RunNeedsCall.
+// Runner executes requests. Its methods never block. It reports the end of a run through Core.RunEnded and a run that waits for a
+// dependency call through Core.RunNeedsCall.
 type Runner interface {
 	Run(id, class string, body []byte)
-	Resume(id string, reply []byte) // the reply to the call that the run waits for
-	Probe()                         // asks for the gauges, which it reports by Core.Gauges
+	Resume(id string, reply []byte) // delivers the reply to the call that the run waits for
+	Probe()                         // asks for the gauges, which the runner reports through Core.Gauges
 }
 
-// Forwarder is a Runner that hands a request on as it is; Run is not called then.
+// Forwarder is a Runner that forwards requests unchanged. The core calls Forward instead of Run.
 type Forwarder interface {
 	Forward(r Request)
 }
 
-// Caller makes one call below for the run of a request and returns how it ended. It gives the call up when the timeout is
-// over or the context ends. Where the call may be made only once, Call sends it only once, and the outcome tells truly
-// whether it may have run.
+// Caller makes one dependency call for the run of a request and returns its outcome and the reply. It cancels the call when the
+// timeout expires or the context ends. If once is set, Call sends the call at most once, and the outcome is exact about whether
+// the call may have run.
 type Caller interface {
 	Call(ctx context.Context, id string, timeout time.Duration, body []byte, once bool) (silverpath.Outcome, []byte)
 }
--- a/internal/core/view.go
+++ b/internal/core/view.go
@@ -7,29 +7,29 @@
 	"silverpath/internal/policy/lifecycle"
 )
 
-// View is what can be told without asking the module: health checks, status requests and the values that go out
-// with answers read it without the core's lock, so they never wait behind a decision.
+// View is the state that can be read without the core's lock: health checks, status requests and the values that are sent with
+// answers use it, so that they never wait for a decision of the module.
 type View struct {
 	Phase          lifecycle.State
 	Health         bool
-	PendingAnswers int                 // requests that have not had their answer
-	InHand         int                 // requests of which something is left to do
-	Pools          *admission.Snapshot // nil: no pools; never changed once shown
+	PendingAnswers int                 // requests without an answer
+	InHand         int                 // requests that still have work to do, answered or not
+	Pools          *admission.Snapshot // nil without pools; never modified after it is published
 	Signal         float64
 	SignalSet      bool
 	IdleAfter      time.Duration
-	Gauges         [3]float64 // cores busy, work on the cores, share of the memory
+	Gauges         [3]float64 // CPU use, load on the cores, share of the memory in use
 }
 
-// View returns the latest.
+// View returns the latest view.
 func (c *Core) View() View {
 	v := *c.published.Load()
-	v.Phase = c.lifecycle.current() // an evacuation takes no lock, so it may be newer than the view
+	v.Phase = c.lifecycle.current() // evacuation does not take the core's lock, so the phase may be newer than the published view
 	v.Health = v.Health && v.Phase.Healthy()
 	return v
 }
 
-// publish makes the present view the one that others see. It is called under the lock.
+// publish replaces the published view by the current state. It is called under the lock.
 func (c *Core) publish() {
 	v := c.view
 	v.Phase, v.PendingAnswers, v.InHand = c.lifecycle.current(), c.pendingAnswers, len(c.tasks)
