--- a/internal/core/arrival.go
+++ b/internal/core/arrival.go
@@ -13,17 +13,17 @@
 // task and the answer. These limits protect the process and are far above what the module admits.
 func (c *Core) arrive(r Request) (*task, Answer) {
 	class, known := c.Class(r.Class)
-	name := r.Class
+	classLabel := r.Class
 	if !known {
-		name = "unknown" // the set of counters must stay bounded, and class names on the wire are not
+		classLabel = "unknown" // the set of counters must stay bounded, and class names on the wire are not
 	}
-	c.stats.Inc("read", r.Front, name)
+	c.stats.Inc("read", r.Front, classLabel)
 	startedAt := time.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.lockWait.Record(time.Since(startedAt))
-	if a, over := c.claimKey(&r, class); over { // releases the lock while it waits for a key that another process may own
-		c.stats.Inc("answered", r.Front, name, a.Outcome.String())
+	if a, answered := c.claimKey(&r, class); answered { // releases the lock while it waits for a key that another process may own
+		c.stats.Inc("answered", r.Front, classLabel, a.Outcome.String())
 		return nil, a
 	}
 	defer c.releaseClaim(&r, class)
@@ -33,7 +33,7 @@
 			a = Answer{Outcome: Failed}
 		}
 		c.stats.Inc("turned_away", r.Front, reason)
-		c.stats.Inc("answered", r.Front, name, a.Outcome.String())
+		c.stats.Inc("answered", r.Front, classLabel, a.Outcome.String())
 		return nil, a
 	}
 	c.register(t)
@@ -54,8 +54,8 @@
 	if t.idempotent() {
 		t.blockedBy = c.blockReason(&t.Request)
 	}
-	set := c.settings.Load()
-	rejected := Answer{Outcome: Rejected, RetryAfter: set.MaxRetryAfter}
+	settings := c.settings.Load()
+	rejected := Answer{Outcome: Rejected, RetryAfter: settings.MaxRetryAfter}
 	switch {
 	case c.tasks[t.ID] != nil:
 		return "same_id", Answer{Outcome: Invalid}
@@ -68,11 +68,11 @@
 	case c.unknownTenant(t.Tenant):
 		return "unknown_tenant", Answer{Outcome: Invalid}
 	}
-	if reason, a = c.admitKey(t, set); reason != "" || t.duplicateOf != nil {
+	if reason, a = c.admitKey(t, settings); reason != "" || t.duplicateOf != nil {
 		return reason, a
 	}
 	switch {
-	case c.lifecycle.current().ShuttingDown() && t.readAt.Sub(c.drainStartedAt) > set.DrainGrace:
+	case c.lifecycle.current().ShuttingDown() && t.readAt.Sub(c.drainStartedAt) > settings.DrainGrace:
 		// The request was read after the drain window, so its answer might not arrive, whenever it was sent. The module itself
 		// stops earlier, at a fraction of the window that it counts from when a request reached the machine.
 		c.releaseKey(t)
@@ -87,15 +87,15 @@
 }
 
 // admitKey looks up the key of a request. It returns why the state of the key forbids the request, or an empty reason.
-func (c *Core) admitKey(t *task, set *silverpath.Settings) (reason string, a Answer) {
-	rejected := Answer{Outcome: Rejected, RetryAfter: set.MaxRetryAfter}
+func (c *Core) admitKey(t *task, settings *silverpath.Settings) (reason string, a Answer) {
+	rejected := Answer{Outcome: Rejected, RetryAfter: settings.MaxRetryAfter}
 	switch {
-	case !c.keys.resolve(t, set.FreshFor, t.readAt):
+	case !c.keys.resolve(t, settings.FreshFor, t.readAt):
 		return "keys_full", rejected
 	case t.keyConflict:
 		return "key_conflict", Answer{Outcome: Invalid}
-	case t.verdict.Action != idempotency.Execute:
-		return t.verdict.Reason, c.verdictAnswer(t.verdict)
+	case t.decision.Action != idempotency.Execute:
+		return t.decision.Reason, c.decisionAnswer(t.decision)
 	case t.movedReason != "":
 		rejected.Reason = t.movedReason
 		if t.movedReason == ReasonUnknown {
@@ -117,15 +117,15 @@
 			t.enqueue(event{kind: deadlineReached})
 		}
 	})
-	q := silverpath.Request{
+	arrival := silverpath.Request{
 		ID: t.ID, Class: t.Class, Tenant: t.Tenant, Key: t.Object, Caller: t.Caller, QueuedKB: t.MemoryKB,
 		Unread: max(0, t.readAt.Sub(t.ReceivedAt)), Deadline: max(1, c.clock()+t.Deadline.Sub(t.readAt)), Rank: t.Rank,
 	}
 	if t.duplicateOf != nil {
-		q.DuplicateOf = t.duplicateOf.requestID
+		arrival.DuplicateOf = t.duplicateOf.requestID
 		c.stats.Inc("repeats", t.Front, t.Class)
 	}
-	c.decide(func(m *silverpath.Shedder, now time.Duration) { m.Arrive(now, q) })
+	c.decide(func(m *silverpath.Shedder, now time.Duration) { m.Arrive(now, arrival) })
 	c.updateGate(t)
 }
 
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -96,7 +96,7 @@
 	// Read without the lock, so that fronts and health checks never wait for a decision of the module.
 	published    atomic.Pointer[View]
 	settings     atomic.Pointer[silverpath.Settings]               // current settings; replaced as a whole, never modified
-	gates        atomic.Pointer[gates]                             // of the classes that may be rejected unread; nil without pools
+	gates        atomic.Pointer[arrivalGates]                      // of the classes that may be rejected unread; nil without pools
 	blockRule    atomic.Pointer[func(class, tenant string) string] // see SetBlockRule; nil: no block rule
 	waitsForPeer atomic.Bool                                       // the runner is up, but the other process's runs are not known yet
 	lifecycle    lifecycleState                                    // has its own lock
@@ -117,15 +117,15 @@
 	drainStartedAt time.Time
 
 	keys          keyTable
-	lastSweep     time.Time                  // when expired keys were evicted last
+	lastEviction  time.Time                  // when expired keys were evicted last
 	observedRules configstore.VersionTracker // tracks the routing documents that routers have named
 	pair          *pair                      // nil without Config.Pair
 
-	view          View       // published by publish
-	pools         *poolGuard // nil without pools
-	poolsReadAt   time.Duration
-	loggedLimit   float64 // the run limit of the pools that was logged last
-	limitLoggedAt time.Duration
+	view           View       // published by publish
+	pools          *poolGuard // nil without pools
+	poolsUpdatedAt time.Duration
+	loggedLimit    float64 // the run limit of the pools that was logged last
+	limitLoggedAt  time.Duration
 }
 
 // New returns a Core in the phase Starting. Attach must be called before the first request. New returns an error if the pools are
@@ -138,8 +138,8 @@
 		maxTasks: max(minTasks, int(cfg.MemoryMB*1024/2/requestKB)),
 		keys:     newKeyTable(int(cfg.MemoryMB * (1 << 20) / keyMemoryDivisor)),
 	}
-	set := supportedSettings(cfg.Settings)
-	c.settings.Store(&set)
+	settings := supportedSettings(cfg.Settings)
+	c.settings.Store(&settings)
 	if c.stats == nil {
 		c.stats = &metrics.Counters{}
 	}
@@ -154,7 +154,7 @@
 			return nil, err
 		}
 		c.loggedLimit = 1
-		c.setGates(set)
+		c.setGates(settings)
 	}
 	if cfg.Pair != nil {
 		c.pair = newPair(c, *cfg.Pair)
@@ -165,8 +165,8 @@
 
 // Attach sets the runner and the caller and starts the module. The caller is nil if the service has no dependencies. The error
 // names the invalid field of the settings.
-func (c *Core) Attach(r Runner, below Caller) error {
-	c.runner, c.caller = r, below
+func (c *Core) Attach(r Runner, caller Caller) error {
+	c.runner, c.caller = r, caller
 	_, c.forwards = r.(Forwarder)
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -207,9 +207,9 @@
 
 // Started is called by the runner before RunnerReady. It reports how long ago the interpreter started and whether it was cold
 // then.
-func (c *Core) Started(cold bool, ago time.Duration) {
-	c.slowStart.begin(cold, time.Now().Add(-ago), c.settings.Load().Callers)
-	c.notifyModule(func(m *silverpath.Shedder, now time.Duration) { m.Started(now, ago, cold) })
+func (c *Core) Started(cold bool, uptime time.Duration) {
+	c.slowStart.begin(cold, time.Now().Add(-uptime), c.settings.Load().Callers)
+	c.notifyModule(func(m *silverpath.Shedder, now time.Duration) { m.Started(now, uptime, cold) })
 }
 
 // RunnerReady is called by the runner once it can take requests.
@@ -220,8 +220,8 @@
 	c.serveIfReady()
 }
 
-// Drain starts the graceful shutdown of a process that ends after stop. Further calls have no effect.
-func (c *Core) Drain(stop time.Duration) {
+// Drain starts the graceful shutdown of a process that ends after stopAfter. Further calls have no effect.
+func (c *Core) Drain(stopAfter time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.lifecycle.current().ShuttingDown() {
@@ -233,7 +233,7 @@
 		c.pair.coordinator.SetReady(false)
 		c.applyPairEffects()
 	}
-	c.decide(func(m *silverpath.Shedder, now time.Duration) { m.Drain(now, now+stop) })
+	c.decide(func(m *silverpath.Shedder, now time.Duration) { m.Drain(now, now+stopAfter) })
 	c.closeIfIdle()
 }
 
@@ -260,8 +260,8 @@
 			continue
 		}
 		a := Answer{Outcome: Failed}
-		handedOn := c.forwards && t.idempotent() // it may have run for an attempt that came through another router
-		if !t.started && t.duplicateOf == nil && !handedOn {
+		forwarded := c.forwards && t.idempotent() // it may have run for an attempt that came through another router
+		if !t.started && t.duplicateOf == nil && !forwarded {
 			a = Answer{Outcome: Rejected, RetryAfter: c.settings.Load().MaxRetryAfter}
 		}
 		c.stats.Inc("backstop")
@@ -337,8 +337,8 @@
 // RetryAfter returns the Retry-After of requests that the core rejects without asking the module.
 func (c *Core) RetryAfter() time.Duration { return c.settings.Load().MaxRetryAfter }
 
-// wake asks the runner for fresh gauges. If none arrive within gaugeTimeout, the module ticks with the previous ones.
-func (c *Core) wake() {
+// probeGauges asks the runner for fresh gauges. If none arrive within gaugeTimeout, the module ticks with the previous ones.
+func (c *Core) probeGauges() {
 	c.mu.Lock()
 	c.tickPending = true
 	c.mu.Unlock()
@@ -362,8 +362,8 @@
 		return
 	}
 	c.tickPending = false
-	if now := time.Now(); now.Sub(c.lastSweep) >= time.Second {
-		c.lastSweep = now
+	if now := time.Now(); now.Sub(c.lastEviction) >= time.Second {
+		c.lastEviction = now
 		c.keys.evictExpired(now)
 	}
 	c.decide(func(m *silverpath.Shedder, now time.Duration) { m.Tick(now, c.gauges) })
--- a/internal/core/host.go
+++ b/internal/core/host.go
@@ -14,11 +14,11 @@
 type host Core
 
 // enqueueAction records an action on a request. The action is skipped if the request is over when its turn comes.
-func (h *host) enqueueAction(id string, act func(c *Core, t *task)) {
+func (h *host) enqueueAction(id string, action func(c *Core, t *task)) {
 	c := (*Core)(h)
 	c.actions = append(c.actions, func() {
 		if t := c.tasks[id]; t != nil {
-			act(c, t)
+			action(c, t)
 		}
 	})
 }
@@ -63,7 +63,7 @@
 func (h *host) Call(id string, timeout time.Duration) {
 	h.enqueueAction(id, func(_ *Core, t *task) {
 		t.calling = true
-		t.enqueue(event{kind: callChosen, timeout: timeout})
+		t.enqueue(event{kind: callRequested, timeout: timeout})
 	})
 }
 
@@ -82,9 +82,9 @@
 }
 
 // Health sets the health that health checks report.
-func (h *host) Health(good bool) {
+func (h *host) Health(healthy bool) {
 	c := (*Core)(h)
-	c.actions = append(c.actions, func() { c.view.Health = good })
+	c.actions = append(c.actions, func() { c.view.Health = healthy })
 }
 
 // Signal sets the load signal that is sent with answers.
@@ -102,7 +102,7 @@
 // Wake schedules the next tick of the module.
 func (h *host) Wake(after time.Duration) {
 	c := (*Core)(h)
-	c.actions = append(c.actions, func() { time.AfterFunc(after, c.wake) })
+	c.actions = append(c.actions, func() { time.AfterFunc(after, c.probeGauges) })
 }
 
 // Log writes a log line of the module immediately.
--- a/internal/core/idempotency.go
+++ b/internal/core/idempotency.go
@@ -45,7 +45,7 @@
 	window      time.Duration // maximum distance between attempts of one request
 	movedUntil  time.Time     // until then the key runs elsewhere: a router asked for it when it was not known here
 	movedRecord uint64        // number of the stored record of the move; 0 if there is none
-	read        bool          // the key is of a shared read
+	isRead      bool          // the key is of a shared read
 	bytes       int           // memory of the entry, results included
 }
 
@@ -57,7 +57,8 @@
 	bytes       int
 	maxBytes    int
 	fingerprint func(t *task) uint64 // hash of what all attempts of a request have in common
-	// admitFirst decides on the first attempt of a key, if runs are persisted. If it is nil, all first attempts may run.
+	// admitFirst decides on the first attempt of a key by the checks that UseStore and AddGate have added. If it is nil, all first
+	// attempts may run.
 	admitFirst func(t *task) idempotency.Decision
 }
 
@@ -93,7 +94,7 @@
 }
 
 // resolve finds the execution that a request duplicates, or adds the request's own execution if it is the first attempt of its
-// key. It returns false if the table is full. If the request may not run, resolve sets its keyConflict, movedReason or verdict.
+// key. It returns false if the table is full. If the request may not run, resolve sets its keyConflict, movedReason or decision.
 // Known executions are looked up before the rules for new keys, so a duplicate gets its result whatever has changed in the
 // meantime.
 func (k *keyTable) resolve(t *task, freshFor time.Duration, now time.Time) bool {
@@ -106,7 +107,7 @@
 	if e != nil && e.duplicates(t, fingerprint, freshFor, now) {
 		return true
 	}
-	if k.mayNotBegin(t, e, now) {
+	if k.blocksFirstAttempt(t, e, now) {
 		return true
 	}
 	if k.bytes >= k.maxBytes {
@@ -114,12 +115,12 @@
 	}
 	if e == nil {
 		e = k.add(key)
-		e.read = t.class.Effect == silverpath.Safe
+		e.isRead = t.class.Effect == silverpath.Safe
 	}
 	if t.OnlyIfKnown {
-		e.moveAway(t, now)
+		e.markMoved(t, now)
 	} else {
-		e.enter(t, fingerprint)
+		e.addExecution(t, fingerprint)
 	}
 	return true
 }
@@ -127,7 +128,7 @@
 // duplicates reports whether a known execution settles the request. It sets duplicateOf, or keyConflict if the key belongs to
 // another request: returning that request's result would be a wrong answer.
 func (e *keyEntry) duplicates(t *task, fingerprint uint64, freshFor time.Duration, now time.Time) bool {
-	if e.read {
+	if e.isRead {
 		x := e.latest
 		if x == nil || x.done && (!x.succeeded || now.Sub(x.endedAt) > freshFor) {
 			return false
@@ -150,17 +151,17 @@
 	return true
 }
 
-// mayNotBegin reports whether a first attempt may not run here because of the routing rules, because its key runs elsewhere, or
-// because of the store. It sets the movedReason or the verdict of the task.
-func (k *keyTable) mayNotBegin(t *task, e *keyEntry, now time.Time) bool {
+// blocksFirstAttempt reports whether a first attempt may not run here because of the routing rules, because its key runs elsewhere, or
+// because of the store. It sets the movedReason or the decision of the task.
+func (k *keyTable) blocksFirstAttempt(t *task, e *keyEntry, now time.Time) bool {
 	switch {
 	case t.blockedBy != "":
 		t.movedReason = t.blockedBy
 	case e != nil && now.Before(e.movedUntil) && !t.OnlyIfKnown:
 		t.movedReason = ReasonMoved
 	case k.admitFirst != nil && t.idempotent():
-		t.verdict = k.admitFirst(t)
-		return t.verdict.Action != idempotency.Execute
+		t.decision = k.admitFirst(t)
+		return t.decision.Action != idempotency.Execute
 	default:
 		return false
 	}
@@ -175,18 +176,18 @@
 	return e
 }
 
-// moveAway records that a router has asked for a key that is not known here. The router runs it elsewhere from then on.
-func (e *keyEntry) moveAway(t *task, now time.Time) {
+// markMoved records that a router has asked for a key that is not known here. The router runs it elsewhere from then on.
+func (e *keyEntry) markMoved(t *task, now time.Time) {
 	t.movedReason = ReasonUnknown
-	e.movedUntil = later(e.movedUntil, now.Add(t.class.IdempotencyWindow+t.class.Deadline+readDelay))
-	e.expiresAt = later(e.expiresAt, e.movedUntil)
+	e.movedUntil = maxTime(e.movedUntil, now.Add(t.class.IdempotencyWindow+t.class.Deadline+readDelay))
+	e.expiresAt = maxTime(e.expiresAt, e.movedUntil)
 }
 
-// enter adds the execution of the first attempt of a key.
-func (e *keyEntry) enter(t *task, fingerprint uint64) {
-	e.expiresAt, e.window = later(e.expiresAt, t.Deadline.Add(readDelay)), max(e.window, t.class.IdempotencyWindow)
+// addExecution adds the execution of the first attempt of a key.
+func (e *keyEntry) addExecution(t *task, fingerprint uint64) {
+	e.expiresAt, e.window = maxTime(e.expiresAt, t.Deadline.Add(readDelay)), max(e.window, t.class.IdempotencyWindow)
 	t.execution = &execution{requestID: t.ID, fingerprint: fingerprint, entry: e, receivedAt: t.ReceivedAt}
-	if !e.read {
+	if !e.isRead {
 		e.queued = t.execution
 	}
 }
@@ -197,7 +198,7 @@
 	return receivedAt.Sub(ranAt).Abs() <= window+windowSlack
 }
 
-func later(a, b time.Time) time.Time {
+func maxTime(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
 	}
@@ -207,15 +208,15 @@
 // shareRead shares a read with later reads for d. Idempotent requests are unaffected, as their keys are kept from their arrival
 // on.
 func (k *keyTable) shareRead(t *task, d time.Duration) {
-	if x := t.execution; x != nil && x.entry.read && x.entry.queued == nil {
-		k.supersede(x.entry)
+	if x := t.execution; x != nil && x.entry.isRead && x.entry.queued == nil {
+		k.dropResult(x.entry)
 		x.entry.latest = x
-		x.entry.expiresAt = later(x.entry.expiresAt, time.Now().Add(d))
+		x.entry.expiresAt = maxTime(x.entry.expiresAt, time.Now().Add(d))
 	}
 }
 
-// begin records that a request starts to run. It returns false if another attempt of the request has run within the window.
-func (k *keyTable) begin(t *task) bool {
+// markStarted records that a request starts to run. It returns false if another attempt of the request has run within the window.
+func (k *keyTable) markStarted(t *task) bool {
 	if !t.idempotent() {
 		return true
 	}
@@ -227,22 +228,22 @@
 	if e.latest != nil && withinWindow(x.receivedAt, e.latest.receivedAt, t.class.IdempotencyWindow) {
 		return false
 	}
-	k.supersede(e)
+	k.dropResult(e)
 	x.previous = e.latest
 	e.queued, e.latest = nil, x
 	// Until the last attempt inside the window is past its deadline, even if it is read late.
-	e.expiresAt = later(e.expiresAt, x.receivedAt.Add(t.class.IdempotencyWindow+t.class.Deadline+readDelay))
+	e.expiresAt = maxTime(e.expiresAt, x.receivedAt.Add(t.class.IdempotencyWindow+t.class.Deadline+readDelay))
 	return true
 }
 
-// finish records the end of a run. The result is kept for duplicates. If the outcome proves that the request never ran, a retry
+// markEnded records the end of a run. The result is kept for duplicates. If the outcome proves that the request never ran, a retry
 // may run.
-func (k *keyTable) finish(x *execution, o silverpath.Outcome, result []byte, now time.Time) {
+func (k *keyTable) markEnded(x *execution, o silverpath.Outcome, result []byte, now time.Time) {
 	if x == nil || x.done {
 		return
 	}
 	x.done, x.succeeded, x.endedAt = true, o == silverpath.OK, now
-	if o == silverpath.NotStarted && x.entry.latest == x && !x.entry.read {
+	if o == silverpath.NotStarted && x.entry.latest == x && !x.entry.isRead {
 		x.entry.latest = x.previous
 		return
 	}
@@ -253,8 +254,8 @@
 	}
 }
 
-// supersede drops the result of the previous run.
-func (k *keyTable) supersede(e *keyEntry) {
+// dropResult drops the result of the previous run.
+func (k *keyTable) dropResult(e *keyEntry) {
 	if e.latest == nil {
 		return
 	}
@@ -263,13 +264,13 @@
 	e.latest.result, e.latest.succeeded, e.latest.previous = nil, false, nil
 }
 
-// forget removes an execution that never ran. An earlier run under the key is kept.
-func (k *keyTable) forget(x *execution) {
+// removeUnstarted removes an execution that never ran. An earlier run under the key is kept.
+func (k *keyTable) removeUnstarted(x *execution) {
 	e := x.entry
 	if e.queued == x {
 		e.queued = nil
 	}
-	if e.read && e.latest == x {
+	if e.isRead && e.latest == x {
 		e.latest = nil
 	}
 	if e.queued == nil && e.latest == nil && e.movedUntil.IsZero() && k.entries[e.key] == e {
--- a/internal/core/idempotency_test.go
+++ b/internal/core/idempotency_test.go
@@ -23,10 +23,10 @@
 	k, t0 := newKeyTable(1<<20), time.Unix(1000, 0)
 	first := tryAt("a", t0)
 	k.resolve(first, 0, t0)
-	if !k.begin(first) {
+	if !k.markStarted(first) {
 		t.Fatal("the first try may not run")
 	}
-	k.finish(first.execution, silverpath.OK, []byte("done"), t0.Add(time.Second))
+	k.markEnded(first.execution, silverpath.OK, []byte("done"), t0.Add(time.Second))
 	k.evictExpired(t0.Add(sheets.IdempotencyWindow + 3900*time.Millisecond))
 	for _, reached := range []time.Duration{-time.Second, time.Second, sheets.IdempotencyWindow} {
 		late := tryAt("b", t0.Add(reached))
@@ -36,7 +36,7 @@
 		}
 	}
 	next := tryAt("c", t0.Add(sheets.IdempotencyWindow+time.Second))
-	if k.resolve(next, 0, next.ReceivedAt); next.duplicateOf != nil || !k.begin(next) {
+	if k.resolve(next, 0, next.ReceivedAt); next.duplicateOf != nil || !k.markStarted(next) {
 		t.Error("a try past the window may not run")
 	}
 }
@@ -64,9 +64,9 @@
 		}
 	}
 	check("held")
-	k.begin(first)
+	k.markStarted(first)
 	check("running")
-	k.finish(first.execution, silverpath.OK, []byte("done"), t0)
+	k.markEnded(first.execution, silverpath.OK, []byte("done"), t0)
 	check("done")
 }
 
@@ -99,11 +99,11 @@
 	k, t0 := newKeyTable(1<<20), time.Unix(1000, 0)
 	first := tryAt("a", t0)
 	k.resolve(first, 0, t0)
-	k.begin(first)
-	k.finish(first.execution, silverpath.OK, []byte("done"), t0)
+	k.markStarted(first)
+	k.markEnded(first.execution, silverpath.OK, []byte("done"), t0)
 	next := tryAt("b", t0.Add(sheets.IdempotencyWindow+time.Second))
 	k.resolve(next, 0, next.ReceivedAt)
-	k.forget(next.execution)
+	k.removeUnstarted(next.execution)
 	late := tryAt("c", t0.Add(sheets.IdempotencyWindow-time.Second))
 	if k.resolve(late, 0, next.ReceivedAt); late.duplicateOf != first.execution {
 		t.Fatal("the run is forgotten")
@@ -120,8 +120,8 @@
 		if !k.resolve(r, 0, t0) {
 			break
 		}
-		k.begin(r)
-		k.finish(r.execution, silverpath.OK, make([]byte, 4096), t0)
+		k.markStarted(r)
+		k.markEnded(r.execution, silverpath.OK, make([]byte, 4096), t0)
 	}
 	if n == 10000 || k.bytes > 64<<10+8192 {
 		t.Fatalf("%d keys, %d bytes", n, k.bytes)
@@ -266,8 +266,8 @@
 		}
 	}
 	check("held")
-	k.begin(first)
+	k.markStarted(first)
 	check("running")
-	k.finish(first.execution, silverpath.Canceled, nil, t0.Add(time.Second))
+	k.markEnded(first.execution, silverpath.Canceled, nil, t0.Add(time.Second))
 	check("ended, who knows how")
 }
--- a/internal/core/lifecycle.go
+++ b/internal/core/lifecycle.go
@@ -24,13 +24,13 @@
 func (p *lifecycleState) apply(e lifecycle.Event) lifecycle.Outcome {
 	p.mu.Lock()
 	previous := p.current()
-	a := previous.On(e)
-	p.state.Store(int32(a.To))
+	outcome := previous.On(e)
+	p.state.Store(int32(outcome.To))
 	p.mu.Unlock()
-	if a.To != previous {
-		events.Log(p.log, "phase", a.To)
+	if outcome.To != previous {
+		events.Log(p.log, "phase", outcome.To)
 	}
-	return a
+	return outcome
 }
 
 // Phase returns the current phase.
@@ -38,27 +38,27 @@
 
 // Ready reports whether the service is ready to serve, and the reason.
 func (c *Core) Ready() (bool, string) {
-	yes, why := c.lifecycle.current().Ready()
-	if !yes && c.waitsForPeer.Load() {
-		why = "starting: what another process of this service ran is not known yet"
+	ready, reason := c.lifecycle.current().Ready()
+	if !ready && c.waitsForPeer.Load() {
+		reason = "starting: what another process of this service ran is not known yet"
 	}
-	return yes, why
+	return ready, reason
 }
 
 // Evacuate starts a drain that Rejoin can undo: health checks fail, but requests are still served. It reports whether the service
 // is evacuated now, and the reason.
-func (c *Core) Evacuate() (bool, string) { return c.operator(lifecycle.Evacuate) }
+func (c *Core) Evacuate() (bool, string) { return c.applyOperatorEvent(lifecycle.Evacuate) }
 
 // Rejoin ends an evacuation. It reports whether the service is back in rotation, and the reason.
-func (c *Core) Rejoin() (bool, string) { return c.operator(lifecycle.Rejoin) }
+func (c *Core) Rejoin() (bool, string) { return c.applyOperatorEvent(lifecycle.Rejoin) }
 
-// operator applies an operator's event and notifies the other process of a pair.
-func (c *Core) operator(e lifecycle.Event) (bool, string) {
-	a := c.lifecycle.apply(e)
-	if a.OK && c.pair != nil {
+// applyOperatorEvent applies an operator's event and notifies the other process of a pair.
+func (c *Core) applyOperatorEvent(e lifecycle.Event) (bool, string) {
+	outcome := c.lifecycle.apply(e)
+	if outcome.OK && c.pair != nil {
 		go c.notifyEvacuated() // on its own goroutine, since it takes the core's lock and the operator must not wait for that
 	}
-	return a.OK, a.Reason
+	return outcome.OK, outcome.Reason
 }
 
 // serveIfReady moves the service to serving once its runner is up and, in a pair, this process may take requests. It is called
--- a/internal/core/peer.go
+++ b/internal/core/peer.go
@@ -39,14 +39,14 @@
 	PairConfig
 	coordinator   *hotrestart.Coordinator
 	outbox        []hotrestart.Message     // messages to be sent
-	link          int                      // number of the link on which the outbox is to be sent
+	linkID        int                      // number of the link on which the outbox is to be sent
 	writeClosed   bool                     // the link cannot be written to any more
 	changed       chan struct{}            // closed and replaced at every change of the coordinator
 	ready         bool                     // this process may take requests
 	readyChannel  chan struct{}            // closed once ready is set
 	waitingForKey map[string]chan struct{} // closed when the caller disconnects; by the id of a request that waits for its key
-	shared        bool
-	alone         pairLimits // the limits without a second process
+	limitsShared  bool
+	soleLimits    pairLimits // the limits without a second process
 }
 
 // pairLimits are the limits that two processes share.
@@ -58,7 +58,7 @@
 func newPair(c *Core, cfg PairConfig) *pair {
 	p := &pair{
 		PairConfig: cfg, changed: make(chan struct{}), readyChannel: make(chan struct{}),
-		waitingForKey: map[string]chan struct{}{}, alone: pairLimits{keyBytes: c.keys.maxBytes, tasks: c.maxTasks},
+		waitingForKey: map[string]chan struct{}{}, soleLimits: pairLimits{keyBytes: c.keys.maxBytes, tasks: c.maxTasks},
 	}
 	p.coordinator = hotrestart.New((*pairKeys)(c))
 	c.keys.fingerprint = stableFingerprint // the same in both processes
@@ -97,34 +97,34 @@
 		}
 		close(p.changed)
 		p.changed = make(chan struct{})
-		if two := p.coordinator.HasPeer(); two != p.shared {
-			p.shared = two
-			c.splitLimits(two)
+		if hasPeer := p.coordinator.HasPeer(); hasPeer != p.limitsShared {
+			p.limitsShared = hasPeer
+			c.splitLimits(hasPeer)
 		}
 		c.serveIfReady()
 	}
 }
 
 // splitLimits adjusts the limits to the number of processes. It is called under the lock.
-func (c *Core) splitLimits(two bool) {
-	part := 1
-	if two {
-		part = 2
+func (c *Core) splitLimits(hasPeer bool) {
+	divisor := 1
+	if hasPeer {
+		divisor = 2
 	}
-	c.keys.maxBytes, c.maxTasks = c.pair.alone.keyBytes/part, max(minTasksShared, c.pair.alone.tasks/part)
+	c.keys.maxBytes, c.maxTasks = c.pair.soleLimits.keyBytes/divisor, max(minTasksShared, c.pair.soleLimits.tasks/divisor)
 	if err := c.reconfigure(*c.settings.Load()); err != nil {
 		events.Log(c.log, "hotrestart.limits_unshared", err)
 	}
-	c.pair.Shared(two)
+	c.pair.Shared(hasPeer)
 }
 
 // plannedSettings returns the settings for the module, reduced while two processes share them.
-func (c *Core) plannedSettings(set silverpath.Settings) silverpath.Settings {
-	if c.pair != nil && c.pair.shared {
-		set.MemoryKB *= pairMemoryShare
-		set.MaxRunsPerCore = max(1, set.MaxRunsPerCore*pairRunsShare)
+func (c *Core) plannedSettings(settings silverpath.Settings) silverpath.Settings {
+	if c.pair != nil && c.pair.limitsShared {
+		settings.MemoryKB *= pairMemoryShare
+		settings.MaxRunsPerCore = max(1, settings.MaxRunsPerCore*pairRunsShare)
 	}
-	return set
+	return settings
 }
 
 // PairReady returns a channel that is closed once this process may take requests.
@@ -145,16 +145,16 @@
 }
 
 // PairPlaced is called by the link when this process has taken one of the two slots.
-func (c *Core) PairPlaced(stamp int64, slot int) {
-	c.updatePair(func(s *hotrestart.Coordinator) { s.SlotTaken(stamp, slot) })
+func (c *Core) PairPlaced(startedAt int64, slot int) {
+	c.updatePair(func(s *hotrestart.Coordinator) { s.SlotTaken(startedAt, slot) })
 }
 
 // PairOther is called by the link when the other slot is taken.
 func (c *Core) PairOther() { c.updatePair(func(s *hotrestart.Coordinator) { s.PeerPresent() }) }
 
 // PairAlone is called by the link when there is no other process, or when the other process has died. Marked reports whether the
-// process with the given start stamp has left a mark.
-func (c *Core) PairAlone(marked func(stamp int64) bool) {
+// process that started at startedAt has left a mark.
+func (c *Core) PairAlone(marked func(startedAt int64) bool) {
 	c.updatePair(func(s *hotrestart.Coordinator) {
 		previous := s.Role()
 		s.PeerAbsent(s.PeerStartedAt() != 0 && marked(s.PeerStartedAt()), c.windowEnd())
@@ -175,19 +175,19 @@
 }
 
 // PairLinked is called with a new link. It returns the link's number for PairOut.
-func (c *Core) PairLinked() (link int) {
+func (c *Core) PairLinked() (linkID int) {
 	c.updatePair(func(s *hotrestart.Coordinator) {
-		c.pair.link++
-		c.pair.outbox, c.pair.writeClosed, link = nil, false, c.pair.link
+		c.pair.linkID++
+		c.pair.outbox, c.pair.writeClosed, linkID = nil, false, c.pair.linkID
 		s.LinkUp()
 	})
-	return link
+	return linkID
 }
 
 // PairCut is called when the link is closed. Unread reports whether some of the other process's messages may not have been read.
 func (c *Core) PairCut(unread bool) {
 	c.updatePair(func(s *hotrestart.Coordinator) {
-		c.pair.link++
+		c.pair.linkID++
 		c.pair.outbox = nil
 		s.LinkDown(unread)
 	})
@@ -195,22 +195,22 @@
 
 // PairWriteClosed is called when a link cannot be written to any more, although it is still read. Messages are then discarded,
 // because the other process may be stopped for long and they would pile up.
-func (c *Core) PairWriteClosed(link int) {
+func (c *Core) PairWriteClosed(linkID int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if link == c.pair.link {
+	if linkID == c.pair.linkID {
 		c.pair.outbox, c.pair.writeClosed = nil, true
 	}
 }
 
-// PairMessage handles a message of the other process. If clear is set, this process's mark may be removed once the outbox is
+// PairMessage handles a message of the other process. If clearMark is set, this process's mark may be removed once the outbox is
 // written, provided that PairMarks still returns marks. The error reports an invalid message.
-func (c *Core) PairMessage(m hotrestart.Message) (clear bool, marks int, err error) {
+func (c *Core) PairMessage(m hotrestart.Message) (clearMark bool, marks int, err error) {
 	c.updatePair(func(s *hotrestart.Coordinator) {
 		err = s.Receive(m, c.windowEnd())
-		clear, marks = s.TakeClearMark()
+		clearMark, marks = s.TakeClearMark()
 	})
-	return clear, marks, err
+	return clearMark, marks, err
 }
 
 // PairMarks returns the number of runs that required the mark.
@@ -224,10 +224,10 @@
 var errLinkClosed = errors.New("not a link to write on")
 
 // PairOut returns the messages to be sent on a link. It returns errLinkClosed if the link was replaced or cannot be written to.
-func (c *Core) PairOut(link int) ([]hotrestart.Message, error) {
+func (c *Core) PairOut(linkID int) ([]hotrestart.Message, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if link != c.pair.link || c.pair.writeClosed {
+	if linkID != c.pair.linkID || c.pair.writeClosed {
 		return nil, errLinkClosed
 	}
 	out := c.pair.outbox
@@ -236,10 +236,10 @@
 }
 
 // updatePair reports an event to the coordinator and executes the effects that it requests.
-func (c *Core) updatePair(event func(s *hotrestart.Coordinator)) {
+func (c *Core) updatePair(report func(s *hotrestart.Coordinator)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	event(c.pair.coordinator)
+	report(c.pair.coordinator)
 	c.applyPairEffects()
 }
 
--- a/internal/core/peer_test.go
+++ b/internal/core/peer_test.go
@@ -290,7 +290,7 @@
 	c := w.procs[i].c
 	t := &task{class: sheets, execution: f, Request: Request{ID: f.requestID, Class: "oddaja", Key: f.entry.key[1:]}}
 	c.mu.Lock()
-	if !c.keys.begin(t) {
+	if !c.keys.markStarted(t) {
 		w.t.Fatalf("%s does not start", t.Key)
 	}
 	note, link := c.notifyStart(f)
@@ -318,7 +318,7 @@
 	if ok {
 		out = silverpath.OK
 	}
-	c.keys.finish(f, out, []byte("result of "+f.requestID), w.now)
+	c.keys.markEnded(f, out, []byte("result of "+f.requestID), w.now)
 	c.notifyEnd(f)
 	c.mu.Unlock()
 	w.flush(i, w.link[i])
--- a/internal/core/peerclaim.go
+++ b/internal/core/peerclaim.go
@@ -8,11 +8,11 @@
 )
 
 // claimKey waits until this process may handle an idempotent request whose key the other process may own. If the request may not
-// continue, it returns over and the answer. It is called under the lock and releases it only while it waits.
+// continue, it returns the answer and true. It is called under the lock and releases it only while it waits.
 //
 // It guards against two processes that each run an attempt of one request. One process owns a key at any time. If the owner cannot
 // be determined, the request fails.
-func (c *Core) claimKey(r *Request, class silverpath.Class) (a Answer, over bool) {
+func (c *Core) claimKey(r *Request, class silverpath.Class) (a Answer, answered bool) {
 	key := ""
 	if c.pair != nil {
 		key = keyOf(class, r)
@@ -71,16 +71,16 @@
 		changed := p.changed
 		c.mu.Unlock()
 		a := Answer{Outcome: Expired}
-		over := true
+		gaveUp := true
 		select {
 		case <-changed:
-			over = false
+			gaveUp = false
 		case <-deadline.C:
 		case <-callerLeft:
 			a.Outcome = Failed // the caller is gone, so the answer is not delivered
 		}
 		c.mu.Lock()
-		if over {
+		if gaveUp {
 			return hotrestart.Pending, a
 		}
 		verdict := p.coordinator.CheckClaim(claim)
--- a/internal/core/peerkeys.go
+++ b/internal/core/peerkeys.go
@@ -9,14 +9,14 @@
 // During a hot restart the key table also holds executions of the other process, so that a duplicate finds its execution in either
 // process.
 
-// putPeer records the progress of a run of the other process and returns its execution. It returns nil if the table has newer
+// updatePeer records the progress of a run of the other process and returns its execution. It returns nil if the table has newer
 // information.
-func (k *keyTable) putPeer(m hotrestart.Execution, now time.Time) *execution {
+func (k *keyTable) updatePeer(m hotrestart.Execution, now time.Time) *execution {
 	e := k.entries[m.Key]
 	if e == nil {
 		e = k.add(m.Key)
 	}
-	e.expiresAt, e.window = later(e.expiresAt, time.Unix(0, m.ExpiresAt)), max(e.window, m.Window)
+	e.expiresAt, e.window = maxTime(e.expiresAt, time.Unix(0, m.ExpiresAt)), max(e.window, m.Window)
 	x := k.peerExecution(e, m)
 	if x == nil {
 		return nil
@@ -48,14 +48,14 @@
 	case x != nil && !x.peerOwned && withinWindow(time.Unix(0, m.ReceivedAt), x.receivedAt, e.window):
 		return nil
 	}
-	k.supersede(e)
+	k.dropResult(e)
 	x = &execution{entry: e, peerOwned: true}
 	e.latest = x
 	return x
 }
 
-// forgetPeer removes a run of the other process that never started, and returns it.
-func (k *keyTable) forgetPeer(key string) *execution {
+// removePeer removes a run of the other process that never started, and returns it.
+func (k *keyTable) removePeer(key string) *execution {
 	e := k.entries[key]
 	if e == nil || e.latest == nil || !e.latest.peerOwned || e.latest.done {
 		return nil
@@ -72,7 +72,7 @@
 func (k *keyTable) ownExecutions(now time.Time) []hotrestart.Execution {
 	var list []hotrestart.Execution
 	for _, e := range k.entries {
-		if e.read || now.After(e.expiresAt) {
+		if e.isRead || now.After(e.expiresAt) {
 			continue
 		}
 		if e.queued != nil {
@@ -105,13 +105,13 @@
 type pairKeys Core
 
 // Find returns the execution that an attempt duplicates. Reached is when the attempt reached the machine, in Unix nanoseconds.
-func (p *pairKeys) Find(key string, reached int64) (hotrestart.Execution, bool) {
+func (p *pairKeys) Find(key string, receivedAt int64) (hotrestart.Execution, bool) {
 	e := p.keys.entries[key]
 	if e == nil {
 		return hotrestart.Execution{}, false
 	}
 	x := e.queued
-	if x == nil && e.latest != nil && withinWindow(time.Unix(0, reached), e.latest.receivedAt, e.window) {
+	if x == nil && e.latest != nil && withinWindow(time.Unix(0, receivedAt), e.latest.receivedAt, e.window) {
 		x = e.latest
 	}
 	if x == nil {
@@ -123,7 +123,7 @@
 // Apply records the progress of a run of the other process. If the run has ended, its waiters here get the result.
 func (p *pairKeys) Apply(m hotrestart.Execution) {
 	c := (*Core)(p)
-	if x := c.keys.putPeer(m, time.Now()); x != nil && x.done {
+	if x := c.keys.updatePeer(m, time.Now()); x != nil && x.done {
 		c.completeWaiters(x)
 	}
 }
@@ -131,7 +131,7 @@
 // Forget removes a run of the other process that never started.
 func (p *pairKeys) Forget(key string) {
 	c := (*Core)(p)
-	if x := c.keys.forgetPeer(key); x != nil {
+	if x := c.keys.removePeer(key); x != nil {
 		c.completeWaiters(x)
 	}
 }
@@ -144,7 +144,7 @@
 	c := (*Core)(p)
 	for key, e := range c.keys.entries {
 		if x := e.latest; x != nil && x.peerOwned && !x.done && !listed(key) {
-			c.keys.forgetPeer(key)
+			c.keys.removePeer(key)
 			c.completeWaiters(x)
 		}
 	}
@@ -166,7 +166,7 @@
 			c.stats.Inc("handover", "lost")
 			c.completeWaiters(x)
 		default:
-			c.keys.forgetPeer(key)
+			c.keys.removePeer(key)
 			c.completeWaiters(x)
 			continue
 		}
--- a/internal/core/peernotify.go
+++ b/internal/core/peernotify.go
@@ -8,13 +8,13 @@
 
 // notifyStart is called under the lock when a run is about to start. It returns how the other process must be notified before the
 // start, and on which link.
-func (c *Core) notifyStart(x *execution) (note hotrestart.Notice, link int) {
-	if c.pair == nil || x == nil || x.entry.read {
+func (c *Core) notifyStart(x *execution) (notice hotrestart.Notice, linkID int) {
+	if c.pair == nil || x == nil || x.entry.isRead {
 		return hotrestart.NoNotice, 0
 	}
-	note = c.pair.coordinator.RunStarts(x.forPeer())
+	notice = c.pair.coordinator.RunStarts(x.forPeer())
 	c.applyPairEffects()
-	return note, c.pair.link
+	return notice, c.pair.linkID
 }
 
 // ensureNotified makes sure that the other process is notified of a run before the run starts, as far as the notice requires it.
@@ -23,12 +23,12 @@
 // It guards against a process that dies during a run that the other was not notified of: a retry would run again there. The run
 // starts only once the notice is written, or once a mark is on the disk. The mark tells the other process that there may be runs
 // it does not know.
-func (c *Core) ensureNotified(note hotrestart.Notice, link int) bool {
-	if note == hotrestart.NoNotice {
+func (c *Core) ensureNotified(notice hotrestart.Notice, linkID int) bool {
+	if notice == hotrestart.NoNotice {
 		return true
 	}
-	if note == hotrestart.NoticeByLink {
-		if c.pair.Flush(link) == nil {
+	if notice == hotrestart.NoticeByLink {
+		if c.pair.Flush(linkID) == nil {
 			return true
 		}
 		c.updatePair(func(s *hotrestart.Coordinator) { s.NoticeLost() })
@@ -51,7 +51,7 @@
 
 // notifyEnd notifies the other process how a run ended, or that it never started. It is called under the lock.
 func (c *Core) notifyEnd(x *execution) {
-	if c.pair == nil || x == nil || x.entry.read {
+	if c.pair == nil || x == nil || x.entry.isRead {
 		return
 	}
 	if x.entry.latest == x {
@@ -64,7 +64,7 @@
 
 // notifyDropped notifies the other process that a run never started. It is called under the lock.
 func (c *Core) notifyDropped(x *execution) {
-	if c.pair != nil && !x.entry.read {
+	if c.pair != nil && !x.entry.isRead {
 		c.pair.coordinator.RequestDropped(x.entry.key)
 		c.applyPairEffects()
 	}
--- a/internal/core/persistence.go
+++ b/internal/core/persistence.go
@@ -32,26 +32,26 @@
 	defer c.mu.Unlock()
 	c.store = k
 	c.keys.fingerprint = stableFingerprint
-	c.addGate(k.CanExecute)
+	c.addAdmissionCheck(k.CanExecute)
 }
 
 // AddGate adds a function that decides on new idempotent requests by the time that is left until their deadline. The request runs
 // only if all added functions allow it. AddGate is called before the first request.
-func (c *Core) AddGate(begins func(left time.Duration) idempotency.Decision) {
+func (c *Core) AddGate(check func(left time.Duration) idempotency.Decision) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.addGate(begins)
+	c.addAdmissionCheck(check)
 }
 
-func (c *Core) addGate(begins func(left time.Duration) idempotency.Decision) {
-	before := c.keys.admitFirst
+func (c *Core) addAdmissionCheck(check func(left time.Duration) idempotency.Decision) {
+	previous := c.keys.admitFirst
 	c.keys.admitFirst = func(t *task) idempotency.Decision {
-		v := begins(time.Until(t.Deadline))
+		v := check(time.Until(t.Deadline))
 		if t.OnlyIfKnown && v.Action == idempotency.Reject { // the request only asks whether its key is known; it will not run here
 			v = idempotency.Decision{}
 		}
-		if v.Action == idempotency.Execute && before != nil {
-			return before(t)
+		if v.Action == idempotency.Execute && previous != nil {
+			return previous(t)
 		}
 		return v
 	}
@@ -64,8 +64,8 @@
 // UnknownRunsUntil returns the time set by SetUnknownRunsUntil, or 0.
 func (c *Core) UnknownRunsUntil() int64 { return c.unknownRunsUntil }
 
-// verdictAnswer returns the answer to a new idempotent request that may not run.
-func (c *Core) verdictAnswer(v idempotency.Decision) Answer {
+// decisionAnswer returns the answer to a new idempotent request that may not run.
+func (c *Core) decisionAnswer(v idempotency.Decision) Answer {
 	if v.Action != idempotency.Reject {
 		return Answer{Outcome: Failed}
 	}
@@ -97,7 +97,7 @@
 	c.mu.Unlock()
 	if v.Action != idempotency.Execute {
 		c.stats.Inc("turned_away", t.Front, v.Reason)
-		c.abandonRun(t, event{hasAnswer: true, answer: c.verdictAnswer(v)})
+		c.abandonRun(t, event{hasAnswer: true, answer: c.decisionAnswer(v)})
 	}
 	return true
 }
@@ -111,7 +111,7 @@
 	switch {
 	case e.err != nil:
 		c.stats.Inc("turned_away", t.Front, idempotency.ReasonFailing)
-		c.abandonRun(t, event{hasAnswer: true, answer: c.verdictAnswer(idempotency.Decision{Action: idempotency.Reject, Reason: idempotency.ReasonFailing, RetryAfter: c.RetryAfter()})})
+		c.abandonRun(t, event{hasAnswer: true, answer: c.decisionAnswer(idempotency.Decision{Action: idempotency.Reject, Reason: idempotency.ReasonFailing, RetryAfter: c.RetryAfter()})})
 	case !pending:
 		c.abandonRun(t, event{})
 	default:
@@ -187,14 +187,14 @@
 		return a
 	}
 	defer c.answerSent()
-	due := time.NewTimer(max(0, time.Until(r.Deadline)-answerMargin))
-	defer due.Stop()
+	deadline := time.NewTimer(max(0, time.Until(r.Deadline)-answerMargin))
+	defer deadline.Stop()
 	select {
 	case err := <-a.persisted:
 		if err != nil {
 			return Answer{Outcome: Failed}
 		}
-	case <-due.C:
+	case <-deadline.C:
 		return Answer{Outcome: Expired}
 	}
 	return a
@@ -212,28 +212,28 @@
 }
 
 // Restore adds the runs of an earlier start of this service to the key table. The records must be in the order of their intents.
-func (c *Core) Restore(list []idempotency.Record, at func(time.Duration) time.Time) {
+func (c *Core) Restore(list []idempotency.Record, timeAt func(time.Duration) time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
 	for i := range list {
-		c.keys.restore(&list[i], at, now)
+		c.keys.restore(&list[i], timeAt, now)
 	}
 }
 
 // restore adds one record to the table.
-func (k *keyTable) restore(r *idempotency.Record, at func(time.Duration) time.Time, now time.Time) {
+func (k *keyTable) restore(r *idempotency.Record, timeAt func(time.Duration) time.Time, now time.Time) {
 	e := k.entries[r.Key]
 	if e == nil {
 		e = k.add(r.Key)
 	}
-	e.expiresAt, e.window = later(e.expiresAt, at(r.ExpiresAt)), max(e.window, r.Window)
+	e.expiresAt, e.window = maxTime(e.expiresAt, timeAt(r.ExpiresAt)), max(e.window, r.Window)
 	if r.State == idempotency.Moved {
-		e.movedUntil, e.movedRecord = later(e.movedUntil, at(r.ExpiresAt)), r.Seq
+		e.movedUntil, e.movedRecord = maxTime(e.movedUntil, timeAt(r.ExpiresAt)), r.Seq
 		return
 	}
-	k.supersede(e)
-	e.latest = &execution{requestID: r.ID, fingerprint: r.Fingerprint, entry: e, receivedAt: at(r.ReceivedAt), done: true, succeeded: r.State == idempotency.Completed,
+	k.dropResult(e)
+	e.latest = &execution{requestID: r.ID, fingerprint: r.Fingerprint, entry: e, receivedAt: timeAt(r.ReceivedAt), done: true, succeeded: r.State == idempotency.Completed,
 		result: r.Result, endedAt: now, recordSeq: r.Seq}
 	e.bytes += len(r.Result)
 	k.bytes += len(r.Result)
--- a/internal/core/pools.go
+++ b/internal/core/pools.go
@@ -22,12 +22,12 @@
 
 var _ silverpath.Pools = (*poolGuard)(nil)
 
-func newPoolGuard(c admission.Config, memoryMB float64) (*poolGuard, error) {
-	set, err := admission.New(c)
+func newPoolGuard(cfg admission.Config, memoryMB float64) (*poolGuard, error) {
+	controller, err := admission.New(cfg)
 	if err != nil {
 		return nil, err
 	}
-	return &poolGuard{Controller: set, memoryBytes: memoryMB * (1 << 20), sampledAt: math.MinInt64 / 2, sample: []metrics.Sample{
+	return &poolGuard{Controller: controller, memoryBytes: memoryMB * (1 << 20), sampledAt: math.MinInt64 / 2, sample: []metrics.Sample{
 		{Name: "/memory/classes/total:bytes"}, {Name: "/memory/classes/heap/released:bytes"},
 	}}, nil
 }
@@ -58,36 +58,36 @@
 	limitLogInterval = 5 * time.Second
 )
 
-// gate is the gate of one class. While it is closed, requests of the class are rejected before they are read in full.
-type gate struct {
+// arrivalGate is the gate of one class. While it is closed, requests of the class are rejected before they are read in full.
+type arrivalGate struct {
 	admission.ArrivalGate
 	rejection   atomic.Pointer[Answer] // the module's latest rejection, returned to requests that are rejected unread
 	closedUntil atomic.Int64           // on the core's clock, in nanoseconds; read without the lock
 	unread      atomic.Int64           // requests rejected unread since the last report to the module
 }
 
-// gates holds the gates by class. A published map is never modified.
-type gates map[string]*gate
+// arrivalGates holds the gates by class. A published map is never modified.
+type arrivalGates map[string]*arrivalGate
 
-func (c *Core) allGates() gates {
+func (c *Core) currentGates() arrivalGates {
 	if g := c.gates.Load(); g != nil {
 		return *g
 	}
 	return nil
 }
 
-func (c *Core) gateOf(class string) *gate { return c.allGates()[class] }
+func (c *Core) gateOf(class string) *arrivalGate { return c.currentGates()[class] }
 
 // setGates creates the gate of each class of the settings and keeps existing gates. Classes whose requests may be duplicates of an
 // earlier run have no gate, because their requests must always be read.
-func (c *Core) setGates(set silverpath.Settings) {
-	g := gates{}
-	for _, k := range set.Classes {
-		if k.Effect != silverpath.Safe || set.FreshFor != 0 {
+func (c *Core) setGates(settings silverpath.Settings) {
+	g := arrivalGates{}
+	for _, k := range settings.Classes {
+		if k.Effect != silverpath.Safe || settings.FreshFor != 0 {
 			continue
 		}
 		if g[k.Name] = c.gateOf(k.Name); g[k.Name] == nil {
-			g[k.Name] = &gate{}
+			g[k.Name] = &arrivalGate{}
 		}
 	}
 	c.gates.Store(&g)
@@ -131,7 +131,7 @@
 
 // reportUnread reports to the module how many requests were rejected unread. It is called under the lock, at every tick.
 func (c *Core) reportUnread() {
-	for class, g := range c.allGates() {
+	for class, g := range c.currentGates() {
 		if n := g.unread.Swap(0); n > 0 {
 			c.decide(func(m *silverpath.Shedder, now time.Duration) { m.RejectedUnread(now, class, int(n)) })
 		}
@@ -141,10 +141,10 @@
 // updatePools updates the pools in the view and logs changes. It is called under the lock, at every tick.
 func (c *Core) updatePools() {
 	now := c.clock()
-	if c.pools == nil || now-c.poolsReadAt < poolsInterval {
+	if c.pools == nil || now-c.poolsUpdatedAt < poolsInterval {
 		return
 	}
-	c.poolsReadAt = now
+	c.poolsUpdatedAt = now
 	old := c.view.Pools
 	st := c.pools.Snapshot(now)
 	c.view.Pools = &st
--- a/internal/core/pools_test.go
+++ b/internal/core/pools_test.go
@@ -129,7 +129,7 @@
 		if n := s.Get("unread", "test", "lestvica"); n != 1 {
 			t.Errorf("%d counted", n)
 		}
-		if n := c.allGates()["lestvica"].unread.Load(); n != 0 {
+		if n := c.currentGates()["lestvica"].unread.Load(); n != 0 {
 			t.Errorf("the module has not heard of %d", n)
 		}
 	})
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -18,7 +18,7 @@
 	}
 	for {
 		switch e := c.nextEvent(t); e.kind {
-		case runChosen: // dispatched after the other process and the disk have it, if they must
+		case runRequested: // dispatched after the other process and the disk have it, if they must
 			c.prepareRun(t, e)
 		case startPersisted:
 			if c.mayStartPersisted(t, e) {
@@ -27,7 +27,7 @@
 		case callNeeded:
 			t.callBody = e.data
 			c.notifyModule(func(m *silverpath.Shedder, now time.Duration) { m.NeedsCall(now, t.ID) })
-		case callChosen: // runs on its own goroutine, so that the answer need not wait; callEnded follows
+		case callRequested: // runs on its own goroutine, so that the answer need not wait; callEnded follows
 			go c.call(t, e.timeout)
 		case callEnded:
 			c.endCall(t, e)
@@ -35,7 +35,7 @@
 			if !c.persistResult(t, e) { // the result must be durable before the answer; runEnded is delivered again then
 				c.finishRun(t, e)
 			}
-		case callerGone:
+		case callerDisconnected:
 			c.callerLeft(t)
 		case deadlineReached:
 			c.answerAtDeadline(t)
@@ -53,7 +53,7 @@
 // Otherwise a crash after the start would let a retry run a second time.
 func (c *Core) prepareRun(t *task, e event) {
 	switch {
-	case !c.ensureNotified(e.notification, e.link):
+	case !c.ensureNotified(e.notice, e.link):
 		c.abandonRun(t, event{})
 	case c.persistStart(t): // startPersisted follows once the intent is on the disk
 	default:
@@ -75,7 +75,7 @@
 	if e.outcome == silverpath.OK {
 		c.runner.Resume(t.ID, e.data)
 	}
-	c.notifyModule(func(m *silverpath.Shedder, now time.Duration) { m.CallEnded(now, t.ID, e.outcome, e.spent) })
+	c.notifyModule(func(m *silverpath.Shedder, now time.Duration) { m.CallEnded(now, t.ID, e.outcome, e.duration) })
 }
 
 // notifyModule reports an event to the module under the lock and executes the actions that it requests.
@@ -95,14 +95,14 @@
 			c.mu.Unlock()
 			return e
 		}
-		over := t.over()
-		if over {
+		finished := t.finished()
+		if finished {
 			t.deadlineTimer.Stop()
 			c.releaseKey(t)
 			delete(c.tasks, t.ID)
 		}
 		c.mu.Unlock()
-		if over {
+		if finished {
 			return event{kind: requestOver}
 		}
 		<-t.wake
@@ -115,19 +115,19 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	c.mu.Lock()
-	over := !t.running
+	ended := !t.running
 	t.cancelCall = cancel
 	c.mu.Unlock()
 	e := event{kind: callEnded}
 	switch {
-	case over:
+	case ended:
 		e.outcome = silverpath.NotStarted
 	case c.caller == nil:
 		e.outcome = silverpath.Unreachable
 	default:
 		startedAt := time.Now()
 		e.outcome, e.data = c.caller.Call(ctx, t.ID, timeout, t.callBody, t.class.Effect != silverpath.Safe)
-		e.spent = time.Since(startedAt)
+		e.duration = time.Since(startedAt)
 		c.stats.Inc("calls", outcomeNames[e.outcome])
 	}
 	c.mu.Lock()
@@ -149,19 +149,19 @@
 }
 
 // RunEnded is called by the runner when a run has ended, with its outcome, duration and result.
-func (c *Core) RunEnded(id string, o silverpath.Outcome, spent time.Duration, result []byte) {
-	c.deliver(id, event{kind: runEnded, outcome: o, spent: spent, data: result})
+func (c *Core) RunEnded(id string, o silverpath.Outcome, duration time.Duration, result []byte) {
+	c.deliver(id, event{kind: runEnded, outcome: o, duration: duration, data: result})
 }
 
 // ForwardReturned is called by a Forwarder when a forwarded request has come back without a result, with the answer for its
 // caller. The outcome is NotStarted, because only the server that it was forwarded to knows whether it ran: a retry is forwarded
 // again.
-func (c *Core) ForwardReturned(id string, a Answer, spent time.Duration) {
-	c.deliver(id, event{kind: runEnded, outcome: silverpath.NotStarted, spent: spent, answer: a, hasAnswer: true})
+func (c *Core) ForwardReturned(id string, a Answer, duration time.Duration) {
+	c.deliver(id, event{kind: runEnded, outcome: silverpath.NotStarted, duration: duration, answer: a, hasAnswer: true})
 }
 
 // CallerGone is called by a front when the caller of a request has disconnected.
-func (c *Core) CallerGone(id string) { c.deliver(id, event{kind: callerGone}) }
+func (c *Core) CallerGone(id string) { c.deliver(id, event{kind: callerDisconnected}) }
 
 // deliver enqueues an event for a request, if the request is still in progress.
 func (c *Core) deliver(id string, e event) {
@@ -169,7 +169,7 @@
 	defer c.mu.Unlock()
 	t := c.tasks[id]
 	if t == nil {
-		if e.kind == callerGone {
+		if e.kind == callerDisconnected {
 			c.cancelClaim(id)
 		}
 		return
@@ -196,7 +196,7 @@
 	}
 	if !wasJoining {
 		c.stats.Inc("runs", t.Class, outcomeNames[e.outcome])
-		c.keys.finish(t.execution, e.outcome, e.data, time.Now())
+		c.keys.markEnded(t.execution, e.outcome, e.data, time.Now())
 		c.recordEnd(t.execution, e.outcome)
 		c.notifyEnd(t.execution)
 		c.completeWaiters(t.execution)
@@ -209,7 +209,7 @@
 	default:
 		c.settle(t, Answer{Outcome: Failed})
 	}
-	c.decide(func(m *silverpath.Shedder, now time.Duration) { m.RunEnded(now, t.ID, e.outcome, e.spent) })
+	c.decide(func(m *silverpath.Shedder, now time.Duration) { m.RunEnded(now, t.ID, e.outcome, e.duration) })
 }
 
 // callerLeft handles a disconnected caller. The run of an idempotent request continues, and a retry can take its result.
@@ -280,7 +280,7 @@
 		reason = "it has run"
 	case c.lifecycle.current().ShuttingDown() && t.ReceivedAt.After(c.drainStartedAt.Add(c.settings.Load().DrainGrace)):
 		reason = "it came after the drain window"
-	case !c.keys.begin(t):
+	case !c.keys.markStarted(t):
 		reason = "another try of it has run"
 	}
 	if reason != "" {
@@ -291,8 +291,8 @@
 		return
 	}
 	t.started, t.running = true, true
-	notification, link := c.notifyStart(t.execution)
-	t.enqueue(event{kind: runChosen, notification: notification, link: link})
+	notice, link := c.notifyStart(t.execution)
+	t.enqueue(event{kind: runRequested, notice: notice, link: link})
 }
 
 // join makes a request wait for the run that it duplicates, or takes the result of that run if it has ended.
@@ -334,7 +334,7 @@
 	}
 	x := t.execution
 	t.execution = nil
-	c.keys.forget(x)
+	c.keys.removeUnstarted(x)
 	c.notifyDropped(x)
 	x.done = true
 	c.completeWaiters(x)
--- a/internal/core/rules.go
+++ b/internal/core/rules.go
@@ -15,24 +15,24 @@
 // ObserveRules records which routing document a router uses, where the router got it, and the terms in that document. It is called
 // for each health check by a router.
 func (c *Core) ObserveRules(id, source string, terms configstore.Terms) {
-	of, ok := configstore.ParseID(id)
+	document, ok := configstore.ParseID(id)
 	if !ok || !c.cell || Unfenced {
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.observedRules.ExtendTerms(terms)
-	c.observeRules(of, source)
+	c.observeRules(document, source)
 	c.stats.Set(uint64(c.observedRules.Terms().ConflictBound().Milliseconds()), "rules", "bound_ms")
 	c.stats.Set(uint64(c.observedRules.LongestOutdated().Milliseconds()), "rules", "longest_ms")
 }
 
 // observeRules records a document that a router names. It logs newer versions and contradictions. It is called under the lock.
-func (c *Core) observeRules(of configstore.ID, source string) {
+func (c *Core) observeRules(document configstore.ID, source string) {
 	previous, _ := c.observedRules.Newest()
-	switch c.observedRules.Observe(c.clock(), of, source) {
+	switch c.observedRules.Observe(c.clock(), document, source) {
 	case configstore.NewerVersion:
-		events.Log(c.log, "config.newer_seen", of, previous.ID, source)
+		events.Log(c.log, "config.newer_seen", document, previous.ID, source)
 	case configstore.ConflictFound:
 		c.stats.Inc("rules", "contradictions")
 		n, text := c.observedRules.Conflict()
@@ -48,20 +48,20 @@
 // rejects requests sent by an older one. If the server has had no confirmation of its own rules for too long, the block rule stops
 // all new runs.
 func (c *Core) blockReason(r *Request) string {
-	if bar := c.blockRule.Load(); bar != nil && !Unfenced {
-		if why := (*bar)(r.Class, r.Tenant); why != "" {
-			return why
+	if rule := c.blockRule.Load(); rule != nil && !Unfenced {
+		if reason := (*rule)(r.Class, r.Tenant); reason != "" {
+			return reason
 		}
 	}
 	if r.RulesID == "" || !c.cell || Unfenced {
 		return ""
 	}
-	of, ok := configstore.ParseID(r.RulesID)
+	document, ok := configstore.ParseID(r.RulesID)
 	if !ok {
 		return ""
 	}
-	c.observeRules(of, r.RulesSource)
-	v := c.observedRules.Check(c.clock(), of)
+	c.observeRules(document, r.RulesSource)
+	v := c.observedRules.Check(c.clock(), document)
 	if v == configstore.VerdictValid {
 		return ""
 	}
@@ -70,7 +70,7 @@
 
 // SetBlockRule sets the function that returns why no new idempotent request of a class and a tenant may run, or an empty string.
 // It is called before the first request.
-func (c *Core) SetBlockRule(why func(class, tenant string) string) { c.blockRule.Store(&why) }
+func (c *Core) SetBlockRule(rule func(class, tenant string) string) { c.blockRule.Store(&rule) }
 
 // RulesNotice is the part of a health check's reply that tells a router what this server has observed of the routing documents.
 // The zero value means that nothing was observed.
@@ -89,8 +89,8 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if top, ok := c.observedRules.Newest(); ok {
-		notice.Newest, notice.Source = top.ID.String(), top.Source
+	if newest, ok := c.observedRules.Newest(); ok {
+		notice.Newest, notice.Source = newest.ID.String(), newest.Source
 	}
 	notice.ConflictVersion, notice.Conflict = c.observedRules.Conflict()
 	notice.SuspendedFor = max(0, c.observedRules.SuspendedFor(c.clock()))
@@ -105,16 +105,16 @@
 }
 
 // RulesStatus returns the status of a version tracker as a JSON object, for operators.
-func RulesStatus(a *fastjson.Arena, s *configstore.VersionTracker, now time.Duration) *fastjson.Value {
+func RulesStatus(a *fastjson.Arena, tracker *configstore.VersionTracker, now time.Duration) *fastjson.Value {
 	o := a.NewObject()
-	if top, ok := s.Newest(); ok {
-		o.Set("newest", a.NewString(top.ID.String()))
+	if newest, ok := tracker.Newest(); ok {
+		o.Set("newest", a.NewString(newest.ID.String()))
 	}
-	if _, text := s.Conflict(); text != "" {
+	if _, text := tracker.Conflict(); text != "" {
 		o.Set("contradiction", a.NewString(text))
 	}
-	o.Set("quiet_ms", a.NewNumberInt(int(s.SuspendedFor(now).Milliseconds())))
-	o.Set("bound_ms", a.NewNumberInt(int(s.Terms().ConflictBound().Milliseconds())))
-	o.Set("longest_ms", a.NewNumberInt(int(s.LongestOutdated().Milliseconds())))
+	o.Set("quiet_ms", a.NewNumberInt(int(tracker.SuspendedFor(now).Milliseconds())))
+	o.Set("bound_ms", a.NewNumberInt(int(tracker.Terms().ConflictBound().Milliseconds())))
+	o.Set("longest_ms", a.NewNumberInt(int(tracker.LongestOutdated().Milliseconds())))
 	return o
 }
--- a/internal/core/slowstart.go
+++ b/internal/core/slowstart.go
@@ -10,24 +10,24 @@
 // slowStart divides the server's reduced capacity among the routers while its interpreter is cold. It has its own lock, so that
 // health checks do not wait for a decision of the module.
 type slowStart struct {
-	mu      sync.Mutex
-	cold    bool
-	started time.Time
-	server  *slowstart.Server
+	mu        sync.Mutex
+	cold      bool
+	startedAt time.Time
+	server    *slowstart.Server
 }
 
-// sameStart is the tolerance for start times of one interpreter that arrive over different links: they are rounded and delayed in
+// startTolerance is the tolerance for start times of one interpreter that arrive over different links: they are rounded and delayed in
 // transit.
-const sameStart = time.Second
+const startTolerance = time.Second
 
 // begin records when the interpreter started, and whether it was cold then.
-func (s *slowStart) begin(cold bool, started time.Time, callers int) {
+func (s *slowStart) begin(cold bool, startedAt time.Time, callers int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.server != nil && started.Sub(s.started).Abs() < sameStart {
+	if s.server != nil && startedAt.Sub(s.startedAt).Abs() < startTolerance {
 		return // another link to the same interpreter: the grants stay valid
 	}
-	s.cold, s.started, s.server = cold, started, slowstart.NewServer(time.Since(started), callers)
+	s.cold, s.startedAt, s.server = cold, startedAt, slowstart.NewServer(time.Since(startedAt), callers)
 }
 
 // Cold reports whether the server is in slow start. Routers receive it with every answer. A router that learns of the slow start
@@ -36,30 +36,30 @@
 	s := &c.slowStart
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	_, cold := s.totalAllowed(c)
+	_, cold := s.capacity(c)
 	return cold
 }
 
-// totalAllowed returns how many concurrent requests the server takes, and whether it is cold. It is called under the lock of s.
-func (s *slowStart) totalAllowed(c *Core) (total float64, cold bool) {
+// capacity returns how many concurrent requests the server takes, and whether it is cold. It is called under the lock of s.
+func (s *slowStart) capacity(c *Core) (total float64, cold bool) {
 	if !s.cold || !c.cell {
 		return 0, false
 	}
-	set := *c.settings.Load()
-	set.Cold = true
-	total, s.cold = slowstart.Capacity(set, time.Since(s.started))
+	settings := *c.settings.Load()
+	settings.Cold = true
+	total, s.cold = slowstart.Capacity(settings, time.Since(s.startedAt))
 	return total, s.cold
 }
 
-// SlowStart returns how many requests the router named who may have in flight here during the given term, and whether there is
+// SlowStart returns how many requests a router may have in flight here during the given term, and whether there is
 // such a limit. InFlight is how many it has in flight now.
-func (c *Core) SlowStart(who string, inFlight int, term time.Duration) (part int, cold bool) {
+func (c *Core) SlowStart(router string, inFlight int, term time.Duration) (quota int, cold bool) {
 	s := &c.slowStart
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	total, cold := s.totalAllowed(c)
+	total, cold := s.capacity(c)
 	if !cold {
 		return 0, false
 	}
-	return s.server.Grant(time.Since(s.started), who, inFlight, total, term), true
+	return s.server.Grant(time.Since(s.startedAt), router, inFlight, total, term), true
 }
--- a/internal/core/status.go
+++ b/internal/core/status.go
@@ -50,13 +50,13 @@
 
 // setPools adds the run limit, the memory and each pool to the status.
 func setPools(a *fastjson.Arena, o *fastjson.Value, p *admission.Snapshot) {
-	o.Set("limit", numbers(a, "runs", p.RunLimit, "all", p.TotalLimit, "ceiling", p.Ceiling, "on_cores", float64(p.Running)))
+	o.Set("limit", numberObject(a, "runs", p.RunLimit, "all", p.TotalLimit, "ceiling", p.Ceiling, "on_cores", float64(p.Running)))
 	o.Get("limit").Set("belief", a.NewString(p.Diagnosis))
-	o.Set("memory", numbers(a, "booked", p.BookedMemory, "process", p.ProcessMemory))
+	o.Set("memory", numberObject(a, "booked", p.BookedMemory, "process", p.ProcessMemory))
 	o.Get("memory").Set("stage", a.NewString(p.Memory.String()))
 	list := a.NewArray()
 	for i, q := range p.Pools {
-		e := numbers(a, "weight", q.Weight, "floor", q.Floor, "used", float64(q.Running), "waiting", float64(q.Queued),
+		e := numberObject(a, "weight", q.Weight, "floor", q.Floor, "used", float64(q.Running), "waiting", float64(q.Queued),
 			"want", q.Demand, "claim", q.Entitlement, "granted", float64(q.Started), "lent", float64(q.Borrowed),
 			"turned", float64(q.Rejected))
 		e.Set("name", a.NewString(q.Name))
@@ -73,14 +73,14 @@
 		p50, n := t.Quantile(50)
 		p99, _ := t.Quantile(99)
 		longest, _ := t.Quantile(100)
-		times.Set(t.Name, numbers(a, "n", float64(n), "p50_us", float64(p50.Microseconds()),
+		times.Set(t.Name, numberObject(a, "n", float64(n), "p50_us", float64(p50.Microseconds()),
 			"p99_us", float64(p99.Microseconds()), "max_us", float64(longest.Microseconds())))
 	}
 	for _, h := range []struct{ name, metric string }{
 		{"run_queue", "/sched/latencies:seconds"}, {"collector", "/sched/pauses/total/gc:seconds"},
 	} {
 		n, p50, p99, longest := quantiles(h.metric)
-		times.Set(h.name, numbers(a, "n", float64(n), "p50_us", p50*1e6, "p99_us", p99*1e6, "max_us", longest*1e6))
+		times.Set(h.name, numberObject(a, "n", float64(n), "p50_us", p50*1e6, "p99_us", p99*1e6, "max_us", longest*1e6))
 	}
 	return times
 }
@@ -100,32 +100,32 @@
 		return 0, 0, 0, 0
 	}
 	h := sample[0].Value.Float64Histogram()
-	for _, c := range h.Counts {
-		n += c
+	for _, count := range h.Counts {
+		n += count
 	}
-	counted := uint64(0)
-	for i, c := range h.Counts {
-		if c == 0 {
+	cumulative := uint64(0)
+	for i, count := range h.Counts {
+		if count == 0 {
 			continue
 		}
-		counted += c
-		v := h.Buckets[i+1]
-		if math.IsInf(v, 1) {
-			v = h.Buckets[i]
+		cumulative += count
+		upper := h.Buckets[i+1]
+		if math.IsInf(upper, 1) {
+			upper = h.Buckets[i]
 		}
-		if p50 == 0 && counted*2 >= n {
-			p50 = v
+		if p50 == 0 && cumulative*2 >= n {
+			p50 = upper
 		}
-		if p99 == 0 && counted*100 >= n*99 {
-			p99 = v
+		if p99 == 0 && cumulative*100 >= n*99 {
+			p99 = upper
 		}
-		longest = v
+		longest = upper
 	}
 	return n, p50, p99, longest
 }
 
-// numbers returns a JSON object built from alternating names and float64 values.
-func numbers(a *fastjson.Arena, pairs ...any) *fastjson.Value {
+// numberObject returns a JSON object built from alternating names and float64 values.
+func numberObject(a *fastjson.Arena, pairs ...any) *fastjson.Value {
 	o := a.NewObject()
 	for i := 0; i < len(pairs); i += 2 {
 		o.Set(pairs[i].(string), a.NewNumberFloat64(pairs[i+1].(float64)))
--- a/internal/core/task.go
+++ b/internal/core/task.go
@@ -34,7 +34,7 @@
 	duplicateOf *execution           // the run of another attempt that this one duplicates
 	keyConflict bool                 // another request with a different body or tenant has the same key
 	movedReason string               // why its key may not start a run here, a Reason or blockedBy, for the router; empty if it may
-	verdict     idempotency.Decision // the store's decision, if runs are persisted
+	decision    idempotency.Decision // the decision of keyTable.admitFirst
 	blockedBy   string               // why the routing rules forbid a new run, empty if they do not
 
 	cancelCall    context.CancelFunc // cancels the call in flight
@@ -49,34 +49,34 @@
 
 // event is one step for a request's goroutine to process.
 type event struct {
-	kind    eventKind
-	outcome silverpath.Outcome // of runEnded and callEnded
-	data    []byte             // of callNeeded: the body of the call; of callEnded and runEnded: the result
-	spent   time.Duration      // of callEnded and runEnded: the duration
-	err     error              // of startPersisted: why the record may not be durable
+	kind     eventKind
+	outcome  silverpath.Outcome // of runEnded and callEnded
+	data     []byte             // of callNeeded: the body of the call; of callEnded and runEnded: the result
+	duration time.Duration      // of callEnded and runEnded
+	err      error              // of startPersisted: why the record may not be durable
 
 	answer    Answer // of answerSettled, and of runEnded if hasAnswer is set
 	hasAnswer bool   // of runEnded: answer replaces the one derived from the outcome
 	persisted bool   // of runEnded: the result is durable, or its write has failed
 
-	timeout      time.Duration     // of callChosen
-	notification hotrestart.Notice // of runChosen: how the other process must be notified first
-	link         int               // of runChosen: the link for the notification
+	timeout time.Duration     // of callRequested
+	notice  hotrestart.Notice // of runRequested: how the other process must be notified first
+	link    int               // of runRequested: the link for the notification
 }
 
 type eventKind int
 
 const (
-	runChosen       eventKind = iota // the module asked to run the request
-	callChosen                       // the module asked to make the call
-	answerSettled                    // the request's one answer is settled
-	callNeeded                       // the run waits for a call
-	callEnded                        // the call has ended
-	startPersisted                   // the write of the run's intent has ended
-	runEnded                         // the run, or the wait for another attempt's run, has ended
-	callerGone                       // the caller disconnected
-	deadlineReached                  // the deadline, less answerMargin, has passed
-	requestOver                      // the request has no work left
+	runRequested       eventKind = iota // the module asked to run the request
+	callRequested                       // the module asked to make the call
+	answerSettled                       // the request's one answer is settled
+	callNeeded                          // the run waits for a call
+	callEnded                           // the call has ended
+	startPersisted                      // the write of the run's intent has ended
+	runEnded                            // the run, or the wait for another attempt's run, has ended
+	callerDisconnected                  // the caller disconnected
+	deadlineReached                     // the deadline, less answerMargin, has passed
+	requestOver                         // the request has no work left
 )
 
 // enqueue appends an event for the request's goroutine. It is called under the core's lock.
@@ -88,7 +88,7 @@
 	}
 }
 
-// over reports whether the request has no work left, except for queued events.
-func (t *task) over() bool {
+// finished reports whether the request has no work left, except for queued events.
+func (t *task) finished() bool {
 	return t.response != responsePending && !t.running && !t.joining && !t.calling
 }
