--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -172,7 +172,7 @@
 	defer c.mu.Unlock()
 	m, err := silverpath.New(c.clock(), c.plannedSettings(*c.settings.Load()), (*host)(c))
 	if err != nil {
-		return fmt.Errorf("starting the module: %w", err)
+		return fmt.Errorf("failed to start the decision module: %w", err)
 	}
 	if c.pools != nil {
 		m.UsePools(c.pools)
--- a/internal/core/peer.go
+++ b/internal/core/peer.go
@@ -221,7 +221,7 @@
 }
 
 // errLinkClosed reports a link that was replaced or cannot be written to any more.
-var errLinkClosed = errors.New("not a link to write on")
+var errLinkClosed = errors.New("restart link is replaced or closed for writing")
 
 // PairOut returns the messages to be sent on a link. It returns errLinkClosed if the link was replaced or cannot be written to.
 func (c *Core) PairOut(linkID int) ([]hotrestart.Message, error) {
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -275,13 +275,13 @@
 	case t.running:
 		return
 	case t.response != responsePending:
-		reason = "it is answered"
+		reason = "already answered"
 	case t.started && t.class.Effect != silverpath.Safe:
-		reason = "it has run"
+		reason = "already started"
 	case c.lifecycle.current().ShuttingDown() && t.ReceivedAt.After(c.drainStartedAt.Add(c.settings.Load().DrainGrace)):
-		reason = "it came after the drain window"
+		reason = "received after the drain window"
 	case !c.keys.markStarted(t):
-		reason = "another try of it has run"
+		reason = "another attempt has already run"
 	}
 	if reason != "" {
 		events.Log(c.log, "guard.run", t.Class, t.ID, reason)
