--- a/internal/core/bench_test.go
+++ b/internal/core/bench_test.go
@@ -49,7 +49,7 @@
 				})
 			}
 			if served != b.N {
-				b.Errorf("%d of %d served", served, b.N)
+				b.Errorf("%d of %d requests served", served, b.N)
 			}
 			c.Stop()
 		})
--- a/internal/core/deadline_test.go
+++ b/internal/core/deadline_test.go
@@ -41,17 +41,17 @@
 		time.Sleep(4*time.Second - answerMargin - time.Millisecond)
 		synctest.Wait()
 		if len(answers) > 0 {
-			t.Errorf("answered before: %+v", <-answers)
+			t.Errorf("answered before the deadline: %+v", <-answers)
 		}
 		time.Sleep(time.Millisecond)
 		synctest.Wait()
 		select {
 		case a := <-answers:
 			if a.Outcome != Expired || counters.Get("backstop") != 1 || c.PendingAnswers() != 0 {
-				t.Errorf("%+v, %d by the backstop, %d owed", a, counters.Get("backstop"), c.PendingAnswers())
+				t.Errorf("answer %+v, backstop counter %d, %d pending answers", a, counters.Get("backstop"), c.PendingAnswers())
 			}
 		default:
-			t.Error("no answer by the due time")
+			t.Error("no answer at the deadline")
 		}
 		c.RunEnded("a", silverpath.Failed, 0, nil)
 		time.Sleep(time.Minute)
--- a/internal/core/idempotency_test.go
+++ b/internal/core/idempotency_test.go
@@ -11,10 +11,12 @@
 	"silverpath"
 )
 
-var idempotentClass = silverpath.Class{Name: "oddaja", Effect: silverpath.Idempotent, Deadline: 4 * time.Second, IdempotencyWindow: 10 * time.Second}
+var idempotentClass = silverpath.Class{Name: "oddaja", Effect: silverpath.Idempotent, Deadline: 4 * time.Second,
+	IdempotencyWindow: 10 * time.Second}
 
 func attemptAt(id string, receivedAt time.Time) *task {
-	return &task{Request: Request{ID: id, Class: "oddaja", Key: "k", ReceivedAt: receivedAt, Deadline: receivedAt.Add(4 * time.Second)}, class: idempotentClass}
+	return &task{Request: Request{ID: id, Class: "oddaja", Key: "k", ReceivedAt: receivedAt,
+		Deadline: receivedAt.Add(4 * time.Second)}, class: idempotentClass}
 }
 
 // Guards against a second run of a request whose attempt was read late, when its window seemed over. The attempt is a duplicate if
@@ -24,7 +26,7 @@
 	first := attemptAt("a", t0)
 	k.resolve(first, 0, t0)
 	if !k.markStarted(first) {
-		t.Fatal("the first try may not run")
+		t.Fatal("the first attempt may not run")
 	}
 	k.markEnded(first.execution, silverpath.OK, []byte("done"), t0.Add(time.Second))
 	k.evictExpired(t0.Add(idempotentClass.IdempotencyWindow + 3900*time.Millisecond))
@@ -32,12 +34,12 @@
 		late := attemptAt("b", t0.Add(offset))
 		k.resolve(late, 0, t0.Add(offset+3900*time.Millisecond))
 		if late.duplicateOf == nil || late.duplicateOf.requestID != "a" {
-			t.Errorf("reached %v after: repeats %v", offset, late.duplicateOf)
+			t.Errorf("received %v after the run: duplicate of %v, want a", offset, late.duplicateOf)
 		}
 	}
 	next := attemptAt("c", t0.Add(idempotentClass.IdempotencyWindow+time.Second))
 	if k.resolve(next, 0, next.ReceivedAt); next.duplicateOf != nil || !k.markStarted(next) {
-		t.Error("a try past the window may not run")
+		t.Error("an attempt after the window may not run")
 	}
 }
 
@@ -55,18 +57,18 @@
 		otherTenant.Tenant = "other"
 		for _, x := range []*task{otherBody, otherTenant} {
 			if !k.resolve(x, 0, t0.Add(time.Second)) || !x.keyConflict || x.duplicateOf != nil || x.execution != nil {
-				t.Errorf("%s: %s is taken for a try of a", state, x.ID)
+				t.Errorf("%s: %s is not a key conflict", state, x.ID)
 			}
 		}
 		if k.resolve(duplicate, 0, t0.Add(time.Second)); duplicate.keyConflict || duplicate.duplicateOf != first.execution {
-			t.Errorf("%s: a true try is not linked", state)
+			t.Errorf("%s: a duplicate is not linked to the execution of a", state)
 		}
 	}
-	check("held")
+	check("queued")
 	k.markStarted(first)
 	check("running")
 	k.markEnded(first.execution, silverpath.OK, []byte("done"), t0)
-	check("done")
+	check("ended")
 }
 
 // A request of a tenant that the settings do not list is rejected before it takes capacity.
@@ -87,7 +89,7 @@
 		c.Serve(Request{ID: "a", Class: "oddaja", Tenant: "nobody", ReceivedAt: now, Deadline: now.Add(time.Second), MemoryKB: 1},
 			func(a Answer) { got = append(got, a) })
 		if len(got) != 1 || got[0].Outcome != Invalid || len(r.runs) != 0 {
-			t.Fatalf("answers %v, ran %v", got, r.runs)
+			t.Fatalf("answers %v, want one Invalid; runs %v, want none", got, r.runs)
 		}
 		c.Stop()
 	})
@@ -106,7 +108,7 @@
 	k.removeUnstarted(next.execution)
 	late := attemptAt("c", t0.Add(idempotentClass.IdempotencyWindow-time.Second))
 	if k.resolve(late, 0, next.ReceivedAt); late.duplicateOf != first.execution {
-		t.Fatal("the run is forgotten")
+		t.Fatal("the record of the run is lost")
 	}
 }
 
@@ -124,11 +126,11 @@
 		k.markEnded(r.execution, silverpath.OK, make([]byte, 4096), t0)
 	}
 	if n == 10000 || k.bytes > 64<<10+8192 {
-		t.Fatalf("%d keys, %d bytes", n, k.bytes)
+		t.Fatalf("%d keys accepted, %d bytes used", n, k.bytes)
 	}
 	k.evictExpired(t0.Add(time.Minute))
 	if len(k.entries) != 0 || k.bytes != 0 {
-		t.Fatalf("%d entries and %d bytes are left", len(k.entries), k.bytes)
+		t.Fatalf("%d entries and %d bytes remain, want none", len(k.entries), k.bytes)
 	}
 }
 
@@ -173,12 +175,12 @@
 			synctest.Wait()
 		}
 		if len(m.runs) != 1 || c.stats.Get("guard") != 1 {
-			t.Fatalf("ran %v, guard %d", m.runs, c.stats.Get("guard"))
+			t.Fatalf("runs %v, want 1; guard counter %d, want 1", m.runs, c.stats.Get("guard"))
 		}
 		c.RunEnded("a", silverpath.OK, 0, nil)
 		time.Sleep(2 * time.Second)
 		if len(answersA) != 1 || len(answersB) != 1 {
-			t.Fatalf("%d and %d answers", len(answersA), len(answersB))
+			t.Fatalf("%d and %d answers, want 1 each", len(answersA), len(answersB))
 		}
 		c.Stop()
 	})
@@ -210,13 +212,13 @@
 		c.mu.Unlock()
 		synctest.Wait()
 		if len(m.runs) != 1 || c.stats.Get("guard") != 1 {
-			t.Errorf("ran %v, guard %d", m.runs, c.stats.Get("guard"))
+			t.Errorf("runs %v, want 1; guard counter %d, want 1", m.runs, c.stats.Get("guard"))
 		}
 		if len(answers) != 1 {
-			t.Fatalf("%d answers", len(answers))
+			t.Fatalf("%d answers, want 1", len(answers))
 		}
 		if a := <-answers; a.Outcome != Failed {
-			t.Errorf("answered %v: it may have run", a.Outcome)
+			t.Errorf("answer %v, want Failed: the request may have run", a.Outcome)
 		}
 		time.Sleep(2 * time.Second)
 		c.Stop()
@@ -243,7 +245,7 @@
 			synctest.Wait()
 		}
 		if len(got) != 2 || got[0].Outcome != Invalid || got[1].Outcome != Rejected {
-			t.Fatalf("answers %v", got)
+			t.Fatalf("answers %v, want Invalid and Rejected", got)
 		}
 		c.RunEnded("a", silverpath.OK, 0, nil)
 		time.Sleep(2 * time.Second)
@@ -262,12 +264,12 @@
 		next := attemptAt("b", t0.Add(300*time.Millisecond))
 		next.Class, next.class.Name = "oddaja-next", "oddaja-next"
 		if !k.resolve(next, 0, next.ReceivedAt) || next.keyConflict || next.duplicateOf == nil || next.duplicateOf.requestID != "a" {
-			t.Errorf("%s: repeats %+v", state, next.duplicateOf)
+			t.Errorf("%s: duplicate of %+v, want a", state, next.duplicateOf)
 		}
 	}
-	check("held")
+	check("queued")
 	k.markStarted(first)
 	check("running")
 	k.markEnded(first.execution, silverpath.Canceled, nil, t0.Add(time.Second))
-	check("ended, who knows how")
+	check("ended with unknown outcome")
 }
--- a/internal/core/peer_test.go
+++ b/internal/core/peer_test.go
@@ -122,7 +122,7 @@
 		case errors.Is(err, hotrestart.ErrStaleIdentity):
 			w.cutLink(i)
 		default:
-			w.t.Fatalf("a message is refused: %v", err)
+			w.t.Fatalf("message rejected: %v", err)
 		}
 		return
 	}
@@ -191,7 +191,7 @@
 }
 
 // pollClaims checks the claims of attempts that wait for their key, as Core.awaitKey does: the first attempt of each key, or all.
-// The order of the keys is random, as is the order in which goroutines wake.
+// With the first attempt only, the others stay as goroutines that have not woken yet.
 func (w *pairSim) pollClaims(i int, all ...bool) {
 	h := w.procs[i]
 	if h == nil {
@@ -207,8 +207,9 @@
 				waiting = append(waiting, t)
 				continue
 			}
-			claim := hotrestart.Execution{Key: keyOf(idempotentClass, &t.Request), ID: t.ID, Fingerprint: c.keys.fingerprint(t), ReceivedAt: w.now.UnixNano(),
-				ExpiresAt: w.now.Add(time.Hour).UnixNano(), Window: idempotentClass.IdempotencyWindow}
+			claim := hotrestart.Execution{Key: keyOf(idempotentClass, &t.Request), ID: t.ID, Fingerprint: c.keys.fingerprint(t),
+				ReceivedAt: w.now.UnixNano(),
+				ExpiresAt:  w.now.Add(time.Hour).UnixNano(), Window: idempotentClass.IdempotencyWindow}
 			v := c.pair.coordinator.CheckClaim(claim)
 			c.applyPairEffects()
 			if v == hotrestart.Pending {
@@ -217,10 +218,10 @@
 			}
 			if v == hotrestart.Granted {
 				if !c.keys.resolve(t, 0, w.now) || t.keyConflict {
-					w.t.Fatalf("%s is not entered", key)
+					w.t.Fatalf("key %s is granted but cannot be added", key)
 				}
 				if t.duplicateOf != nil && t.duplicateOf.done && t.duplicateOf.succeeded && string(t.duplicateOf.result) != w.results[key] {
-					w.t.Fatalf("a repeat of %s gets %q, the run's result is %q", key, t.duplicateOf.result, w.results[key])
+					w.t.Fatalf("a duplicate of key %s gets result %q, want %q", key, t.duplicateOf.result, w.results[key])
 				}
 			}
 			c.pair.coordinator.EndClaim(claim.Key, claim.ReceivedAt)
@@ -258,14 +259,14 @@
 		w.cutLink(i)
 	case action == "deliver":
 		w.deliver(i)
-	case action == "look":
+	case action == "check":
 		w.checkPeerSlot(i)
-	case action == "heal":
+	case action == "settle":
 		w.settle()
 	case action == "poll":
 		w.pollClaims(i)
 		w.flush(i, w.linkID[i])
-	case action == "try":
+	case action == "send":
 		w.addAttempt(i, key)
 	case (action == "run" || action == "runcut") && queued != nil:
 		w.startRun(i, queued, action == "runcut")
@@ -273,7 +274,7 @@
 		w.endRun(i, running, action == "end")
 	case action == "drop" && queued != nil:
 		w.dropRequest(i, queued)
-	case action == "mute" && w.linked:
+	case action == "failwrites" && w.linked:
 		w.writeClosed[i] = true
 		w.procs[i].c.PairWriteClosed(w.linkID[i])
 	case action == "evacuate" && w.procs[i] != nil:
@@ -292,7 +293,7 @@
 	t := &task{class: idempotentClass, execution: x, Request: Request{ID: x.requestID, Class: "oddaja", Key: x.entry.key[1:]}}
 	c.mu.Lock()
 	if !c.keys.markStarted(t) {
-		w.t.Fatalf("%s does not start", t.Key)
+		w.t.Fatalf("key %s does not start", t.Key)
 	}
 	notice, linkID := c.notifyStart(x)
 	c.mu.Unlock()
@@ -307,7 +308,7 @@
 		w.marks[w.procs[i].startedAt] = true
 	}
 	if first, twice := w.results[t.Key]; twice {
-		w.t.Fatalf("%s runs twice: %q is there", t.Key, first)
+		w.t.Fatalf("key %s runs twice: the first run has result %q", t.Key, first)
 	}
 	w.results[t.Key] = "result of " + x.requestID
 }
@@ -333,8 +334,8 @@
 	w.flush(i, w.linkID[i])
 }
 
-// settle lets both processes, or the only one, check their slots, connect, and deliver all messages and claims until nothing
-// changes.
+// settle runs 20 rounds in which both processes, or the only one, check their slots, connect, deliver all messages and poll all
+// claims: enough to reach a stable state.
 func (w *pairSim) settle() {
 	for range 20 {
 		if w.writeClosed != [2]bool{} { // the peer reads to the end of the stream and closes the link
@@ -369,7 +370,7 @@
 		for range rapid.IntRange(10, 80).Draw(t, "steps") {
 			i := rapid.IntRange(0, 1).Draw(t, "place")
 			action := rapid.SampledFrom([]string{"start", "kill", "connect", "connect", "cut", "deliver", "deliver", "deliver", "deliver",
-				"try", "try", "run", "run", "runcut", "end", "fail", "drop", "look", "look", "evacuate", "rejoin", "heal", "mute", "poll",
+				"send", "send", "run", "run", "runcut", "end", "fail", "drop", "check", "check", "evacuate", "rejoin", "settle", "failwrites", "poll",
 				"poll"}).Draw(t, "step")
 			w.step(action, i, rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "key"))
 		}
@@ -384,41 +385,41 @@
 				predecessors++
 			}
 			if p := h.c.Phase(); p != lifecycle.Serving && p != lifecycle.Evacuated {
-				t.Fatalf("place %d is %v, and %v", i, p, h.c.PairRole())
+				t.Fatalf("slot %d is in phase %v with role %v", i, p, h.c.PairRole())
 			}
 			for key, list := range h.attempts {
 				if len(list) > 0 {
-					t.Fatalf("place %d: a try of %s still waits", i, key)
+					t.Fatalf("slot %d: an attempt of key %s still waits", i, key)
 				}
 			}
 		}
 		if alive > 0 && predecessors != 1 {
-			t.Fatalf("%d elders of %d", predecessors, alive)
+			t.Fatalf("%d predecessors among %d processes, want 1", predecessors, alive)
 		}
 		if alive == 2 && w.procs[0].c.Health() != w.procs[1].c.Health() {
-			t.Fatal("one is evacuated and the other is not")
+			t.Fatal("one process is evacuated and the other is not")
 		}
 	})
 }
 
 // Orders that random ones rarely reach. A step is an action, a slot and a key. Step "queued" requires that the key is queued in
-// that process and would run there, "unqueued" that it is not, and "complete" that the process knows all runs.
+// that process and would run there, "absent" that it is not, and "complete" that the process knows all runs.
 func TestRareOrdersOfAPair(t *testing.T) {
 	for name, script := range map[string]string{
-		"the elder runs without a link, dies, and the repeat goes to the younger": "start1 heal0 cut0 try0a run0a kill0 look1 try1a none1a heal1",
-		"the link breaks as the elder's note is written":                          "start1 heal0 try0a runcut0a kill0 look1 try1a none1a heal1",
-		"what was marked is told on the next link":                                "start1 heal0 cut0 try0a run0a heal0 kill0 look1 try1b held1b try1a none1a",
-		"two tries have a grant, the first is turned away, and the elder runs the key": "start1 heal0 try1a try1a deliver0 deliver1 drop1a " +
-			"deliver0 try0a run0a poll1 none1a heal0",
-		"a grant is lost with the link":                                         "start1 heal0 try1a deliver0 cut1 heal0 held1a",
-		"a process starts beside one that knows nothing of a dead one":          "try0a run0a start1 kill0 start0 kill1 start1 heal0 try0a try1a heal0 none0a none1a",
-		"the younger runs what it was said to hold, and dies":                   "start1 heal0 try1a deliver0 deliver1 cut0 heal0 run1a kill1 look0 try0a none0a",
-		"the younger gives the link up with a note unread, and the elder dies":  "start1 heal0 try0a run0a cut1 kill0 look1 try1a none1a",
-		"the elder leaves in good order, and a third is in its place at once":   "start1 heal0 try0a run0a end0a heal0 kill0 start0 connect0 deliver1 sees1 heal0 sees0 sees1",
-		"blindness is passed on":                                                "start1 heal0 cut0 try0a run0a kill0 look1 start0 heal0 kill1 look0 try0a none0a",
-		"the elder's writes fail, the link stays, and it dies":                  "start1 heal0 mute0 try0a run0a try0b run0b end0b kill0 look1 try1a none1a",
-		"the elder dies with a run under way, and what it never ran is run":     "start1 heal0 try0a run0a try0b heal0 kill0 look1 try1a none1a try1b held1b",
-		"the younger dies with a run that it was granted, and a third knows it": "start1 heal0 try1a heal0 run1a kill1 look0 try0a none0a start1 heal0 try1a none1a",
+		"predecessor runs without a link and dies, successor gets the retry": "start1 settle0 cut0 send0a run0a kill0 check1 send1a absent1a settle1",
+		"link breaks while the predecessor writes its notice":                "start1 settle0 send0a runcut0a kill0 check1 send1a absent1a settle1",
+		"marked runs are listed on the next link":                            "start1 settle0 cut0 send0a run0a settle0 kill0 check1 send1b queued1b send1a absent1a",
+		"first of two granted attempts is rejected, predecessor runs the key": "start1 settle0 send1a send1a deliver0 deliver1 drop1a " +
+			"deliver0 send0a run0a poll1 absent1a settle0",
+		"grant is lost with the link":                                         "start1 settle0 send1a deliver0 cut1 settle0 queued1a",
+		"process starts beside one that does not know the runs of a dead one": "send0a run0a start1 kill0 start0 kill1 start1 settle0 send0a send1a settle0 absent0a absent1a",
+		"successor runs a key that is listed as queued there, and dies":       "start1 settle0 send1a deliver0 deliver1 cut0 settle0 run1a kill1 check0 send0a absent0a",
+		"successor closes the link with an unread notice, predecessor dies":   "start1 settle0 send0a run0a cut1 kill0 check1 send1a absent1a",
+		"predecessor shuts down, a third process takes its slot at once":      "start1 settle0 send0a run0a end0a settle0 kill0 start0 connect0 deliver1 complete1 settle0 complete0 complete1",
+		"unknown runs are passed on to the next process":                      "start1 settle0 cut0 send0a run0a kill0 check1 start0 settle0 kill1 check0 send0a absent0a",
+		"predecessor's writes fail, the link stays, and it dies":              "start1 settle0 failwrites0 send0a run0a send0b run0b end0b kill0 check1 send1a absent1a",
+		"predecessor dies during a run, its queued request may run":           "start1 settle0 send0a run0a send0b settle0 kill0 check1 send1a absent1a send1b queued1b",
+		"successor dies during a granted run, a third process learns of it":   "start1 settle0 send1a settle0 run1a kill1 check0 send0a absent0a start1 settle0 send1a absent1a",
 	} {
 		t.Run(name, func(t *testing.T) {
 			w := &pairSim{t: t, marks: map[int64]bool{}, results: map[string]string{}, now: time.Now()}
@@ -427,15 +428,15 @@
 				n := strings.IndexAny(step, "01")
 				action, i, key := step[:n], int(step[n]-'0'), step[n+1:]
 				queued := w.ownExecution(i, hotrestart.Queued, key) != nil
-				if needsQueued := action == "run" || action == "runcut" || action == "drop" || action == "held"; needsQueued && !queued || action == "none" && queued {
-					t.Fatalf("%s: held is %v", step, queued)
+				if needsQueued := action == "run" || action == "runcut" || action == "drop" || action == "queued"; needsQueued && !queued || action == "absent" && queued {
+					t.Fatalf("step %s: the key is queued: %v", step, queued)
 				}
-				if action == "sees" && w.procs[i].c.pair.coordinator.UnknownUntil() != 0 {
-					t.Fatalf("%s: it takes itself for blind", step)
+				if action == "complete" && w.procs[i].c.pair.coordinator.UnknownUntil() != 0 {
+					t.Fatalf("step %s: the process does not know all runs", step)
 				}
 				w.step(action, i, key)
 				if h := w.procs[i]; h != nil && w.writeClosed[i] && len(h.c.pair.outbox) > 0 {
-					t.Fatalf("%s: %d messages are kept for nobody", step, len(h.c.pair.outbox))
+					t.Fatalf("step %s: %d messages are kept for a closed link", step, len(h.c.pair.outbox))
 				}
 			}
 		})
@@ -464,6 +465,6 @@
 			t.Error(got)
 		}
 	case <-time.After(10 * time.Second):
-		t.Fatal("an operator waits for the core's lock")
+		t.Fatal("an operator's command waits for the core's lock")
 	}
 }
--- a/internal/core/pools_test.go
+++ b/internal/core/pools_test.go
@@ -116,21 +116,21 @@
 		a, closed := c.RejectsUnread("test", "lestvica")
 		want := <-rejections // unread requests get the module's latest rejection
 		if !closed || a.Outcome != Rejected || a.RetryAfter != want.RetryAfter || a.Final != want.Final || a.RetryAfter <= 0 {
-			t.Errorf("%+v, %v after %d refusals", a, closed, len(rejections))
+			t.Errorf("answer %+v, gate closed: %v, after %d rejections", a, closed, len(rejections))
 		}
 		if _, closed := c.RejectsUnread("test", "oddaja"); closed {
-			t.Error("a sheets class is shut")
+			t.Error("the gate of an idempotent class is closed")
 		}
 		time.Sleep(25 * time.Millisecond)
 		if _, closed := c.RejectsUnread("test", "lestvica"); closed {
-			t.Error("still shut after a tick")
+			t.Error("the gate is still closed after a tick")
 		}
 		time.Sleep(50 * time.Millisecond)
 		if n := s.Get("unread", "test", "lestvica"); n != 1 {
-			t.Errorf("%d counted", n)
+			t.Errorf("counter unread is %d, want 1", n)
 		}
 		if n := c.currentGates()["lestvica"].unread.Load(); n != 0 {
-			t.Errorf("the module has not heard of %d", n)
+			t.Errorf("%d unread rejections are not reported to the module", n)
 		}
 	})
 }
@@ -149,19 +149,19 @@
 		for _, want := range []string{`"name":"n1"`, `"phase":"serving"`, `"stage":"scarce"`, `"belief":"fixed"`,
 			`"name":"sheets"`, `"name":"others"`, `"runs":2`, `"lock_wait"`, `"decide"`} {
 			if !strings.Contains(status, want) {
-				t.Errorf("%s is not in %s", want, status)
+				t.Errorf("%s is missing from the status %s", want, status)
 			}
 		}
 		if l := logged(); !strings.Contains(l, "admission: memory scarce: 0.85 booked") || !strings.Contains(l, "admission: limit 2.0") {
-			t.Errorf("logged %q", l)
+			t.Errorf("log is %q", l)
 		}
 		if c.MaxBody(2048) != 512 {
-			t.Errorf("bodies of up to %d are taken", c.MaxBody(2048))
+			t.Errorf("the largest body is %d bytes, want 512", c.MaxBody(2048))
 		}
 		invalid := twoPools()
 		invalid.Pools[0].Floor = 3
 		if err := c.ReloadPools(invalid); err == nil || c.ReloadPools(twoPools()) != nil {
-			t.Errorf("reload: %v", err)
+			t.Errorf("reload of invalid pools returned %v, or reload of valid pools failed", err)
 		}
 	})
 }
@@ -184,7 +184,7 @@
 			}
 		}
 		if a := serve("s1", "k1"); a.Outcome != -1 {
-			t.Fatalf("%+v before the run has ended", a)
+			t.Fatalf("answer %+v before the run has ended", a)
 		}
 		c.RunEnded("s1", silverpath.OK, time.Millisecond, []byte("scored"))
 		synctest.Wait()
@@ -194,16 +194,16 @@
 		time.Sleep(200 * time.Millisecond)
 		for i := range 20 {
 			if a := serve(fmt.Sprint("new", i), fmt.Sprint("other", i)); a.Outcome != Rejected || a.RetryAfter == 0 {
-				t.Fatalf("a new sheet: %+v", a)
+				t.Fatalf("a new request: answer %+v, want Rejected", a)
 			}
 			if a := serve(fmt.Sprint("again", i), "k1"); a.Outcome != Served || string(a.Body) != "scored" {
-				t.Fatalf("a repeat: %+v", a)
+				t.Fatalf("a duplicate: answer %+v, want the stored result", a)
 			}
 		}
 		r.mu.Lock()
 		defer r.mu.Unlock()
 		if r.runs != 1 {
-			t.Errorf("%d runs", r.runs)
+			t.Errorf("%d runs, want 1", r.runs)
 		}
 	})
 }
@@ -225,14 +225,14 @@
 		send("a0", "lestvica")
 		send("a1", "lestvica")
 		if p := c.pools.Snapshot(c.clock()).Pools; p[1].Running != 2 {
-			t.Fatalf("the borrower has %d of 2 runs", p[1].Running)
+			t.Fatalf("the borrowing pool has %d of 2 runs", p[1].Running)
 		}
 		c.Drain(5 * time.Second)
 		send("s0", "oddaja")
 		c.RunEnded("a0", silverpath.OK, time.Millisecond, []byte("x"))
 		synctest.Wait()
 		if p := c.pools.Snapshot(c.clock()).Pools; p[0].Running != 1 {
-			t.Errorf("the lender has %d runs once a borrower has ended", p[0].Running)
+			t.Errorf("the lending pool has %d runs after a borrower has ended, want 1", p[0].Running)
 		}
 		c.RunEnded("a1", silverpath.OK, time.Millisecond, []byte("x"))
 		c.RunEnded("s0", silverpath.OK, time.Millisecond, []byte("x"))
@@ -247,7 +247,7 @@
 			}
 		}
 		if c.PendingAnswers() != 0 {
-			t.Errorf("%d answers are owed", c.PendingAnswers())
+			t.Errorf("%d pending answers, want 0", c.PendingAnswers())
 		}
 	})
 }
--- a/internal/core/window_test.go
+++ b/internal/core/window_test.go
@@ -12,7 +12,7 @@
 	for distance, want := range map[time.Duration]bool{0: true, window: true, window + windowSlack: true, window + windowSlack + 1: false} {
 		for _, receivedAt := range []time.Time{ranAt.Add(distance), ranAt.Add(-distance)} {
 			if got := withinWindow(receivedAt, ranAt, window); got != want {
-				t.Errorf("%v after the run: %v", receivedAt.Sub(ranAt), got)
+				t.Errorf("received %v after the run: within the window is %v", receivedAt.Sub(ranAt), got)
 			}
 		}
 	}
