--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -2,9 +2,9 @@
 // and takes every request from arrival to its one answer. Fronts pass requests to Core.Serve and send the answers. A Runner
 // executes requests, and a Caller makes their dependency calls.
 //
-// Each request runs on the goroutine of its front that called Serve, until the request has no work left. Everything that happens
-// to a request (a decision of the module, the end of its run, its deadline, a disconnecting caller) is an event in the request's
-// queue, so that waiting for the network or the disk never happens under the lock.
+// Each request is handled on the front's goroutine that called Serve, until the request has no work left. Whatever happens to a
+// request is an event in its queue: a decision of the module, the end of its run, its deadline, a disconnecting caller. The
+// goroutine processes the events in order and waits for the network and the disk without holding the lock.
 //
 //	request.go      the life of one request, from Serve to its answer
 //	arrival.go      limits that apply on arrival, before the module is asked
--- a/internal/core/idempotency.go
+++ b/internal/core/idempotency.go
@@ -13,8 +13,8 @@
 // the class's window of each other (withinWindow). Reads of the same class and object may share an execution too, while it runs
 // and as long as its result is fresh.
 //
-// The decision depends on the request's key, body, tenant and time of arrival, on the window and the deadline of its class, and on
-// whether the store, the routing rules and the other servers of a cell allow a new key to start here.
+// The inputs are the request's key, body, tenant and time of arrival, and the window and the deadline of its class. The store, the
+// routing rules and the other servers of a cell may forbid a new key to start here.
 
 // execution is the one run that attempts of a request share: queued, running, or ended with its result.
 type execution struct {
--- a/internal/core/idempotency_test.go
+++ b/internal/core/idempotency_test.go
@@ -141,8 +141,8 @@
 }
 
 func (r *recordingRunner) Run(id, _ string, _ []byte) { r.runs = append(r.runs, id) }
-func (m *recordingRunner) Resume(string, []byte)      {}
-func (m *recordingRunner) Probe()                     {}
+func (r *recordingRunner) Resume(string, []byte)      {}
+func (r *recordingRunner) Probe()                     {}
 
 // Even if the module or its host asks for it by mistake, the core starts no second run of a request with effects, no run after the
 // drain window and no run of an answered request. The counter guard counts these cases.
--- a/internal/core/peer_test.go
+++ b/internal/core/peer_test.go
@@ -51,24 +51,24 @@
 		w.t.Fatal(err)
 	}
 	w.lastID++
-	h := &process{c: c, startedAt: int64(w.lastID), attempts: map[string][]*task{}}
-	w.procs[i] = h
-	c.PairPlaced(h.startedAt, i)
+	proc := &process{c: c, startedAt: int64(w.lastID), attempts: map[string][]*task{}}
+	w.procs[i] = proc
+	c.PairPlaced(proc.startedAt, i)
 	c.RunnerReady()
 	w.checkPeerSlot(i)
 }
 
 // checkPeerSlot simulates the check of the other slot by a process without a link.
 func (w *pairSim) checkPeerSlot(i int) {
-	h := w.procs[i]
-	if h == nil || w.linked {
+	proc := w.procs[i]
+	if proc == nil || w.linked {
 		return
 	}
 	if w.procs[1-i] != nil {
-		h.toldAlone = false
-		h.c.PairOther()
-	} else if !h.toldAlone {
-		h.toldAlone = true
+		proc.toldAlone = false
+		proc.c.PairOther()
+	} else if !proc.toldAlone {
+		proc.toldAlone = true
 		w.reportPeerGone(i)
 	}
 }
@@ -80,11 +80,11 @@
 
 // flush moves the outbox of a process to the link. It returns false if the link is closed or was replaced.
 func (w *pairSim) flush(i, linkID int) bool {
-	h := w.procs[i]
-	if h == nil || !w.linked || linkID != w.linkID[i] || w.writeClosed[i] {
+	proc := w.procs[i]
+	if proc == nil || !w.linked || linkID != w.linkID[i] || w.writeClosed[i] {
 		return false
 	}
-	out, err := h.c.PairOut(linkID)
+	out, err := proc.c.PairOut(linkID)
 	if err != nil {
 		w.t.Fatal(err)
 	}
@@ -97,9 +97,9 @@
 		return
 	}
 	w.linked, w.writeClosed = true, [2]bool{}
-	for i, h := range w.procs {
+	for i, proc := range w.procs {
 		w.inFlight[i] = nil
-		w.linkID[i] = h.c.PairLinked()
+		w.linkID[i] = proc.c.PairLinked()
 	}
 	w.flush(0, w.linkID[0])
 	w.flush(1, w.linkID[1])
@@ -110,15 +110,15 @@
 	if w.procs[i] == nil || len(w.inFlight[i]) == 0 {
 		return
 	}
-	h, m := w.procs[i], w.inFlight[i][0]
+	proc, m := w.procs[i], w.inFlight[i][0]
 	w.inFlight[i] = w.inFlight[i][1:]
-	clearMark, marks, err := h.c.PairMessage(m)
+	clearMark, marks, err := proc.c.PairMessage(m)
 	if err != nil {
 		switch {
 		case errors.Is(err, hotrestart.ErrPeerReplaced):
 			w.reportPeerGone(i)
 			w.cutLink(i)
-			h.c.PairOther()
+			proc.c.PairOther()
 		case errors.Is(err, hotrestart.ErrStaleIdentity):
 			w.cutLink(i)
 		default:
@@ -126,8 +126,8 @@
 		}
 		return
 	}
-	if clearMark && w.flush(i, w.linkID[i]) && h.c.PairMarks() == marks {
-		delete(w.marks, h.startedAt)
+	if clearMark && w.flush(i, w.linkID[i]) && proc.c.PairMarks() == marks {
+		delete(w.marks, proc.startedAt)
 	}
 	w.pollClaims(i)
 	w.flush(i, w.linkID[i])
@@ -154,9 +154,9 @@
 	w.linked = false
 	unreadAtCutter := len(w.inFlight[by]) > 0
 	w.inFlight = [2][]hotrestart.Message{}
-	for i, h := range w.procs {
-		if h != nil {
-			h.c.PairCut(i == by && unreadAtCutter || i == other && failed)
+	for i, proc := range w.procs {
+		if proc != nil {
+			proc.c.PairCut(i == by && unreadAtCutter || i == other && failed)
 			w.pollClaims(i)
 		}
 	}
@@ -175,17 +175,17 @@
 
 // addAttempt passes an attempt with the given key to a process.
 func (w *pairSim) addAttempt(i int, key string) {
-	h := w.procs[i]
-	if h == nil || h.c.Phase() != lifecycle.Serving && h.c.Phase() != lifecycle.Evacuated {
+	proc := w.procs[i]
+	if proc == nil || proc.c.Phase() != lifecycle.Serving && proc.c.Phase() != lifecycle.Evacuated {
 		return
 	}
 	w.lastID++
 	t := &task{class: idempotentClass, wake: make(chan struct{}, 1), Request: Request{ID: fmt.Sprint("t", w.lastID), Class: "oddaja", Key: key,
 		ReceivedAt: w.now, Deadline: w.now.Add(4 * time.Second), Body: []byte(key)}}
-	h.c.mu.Lock()
-	h.c.pair.coordinator.BeginClaim(keyOf(idempotentClass, &t.Request))
-	h.c.mu.Unlock()
-	h.attempts[key] = append(h.attempts[key], t)
+	proc.c.mu.Lock()
+	proc.c.pair.coordinator.BeginClaim(keyOf(idempotentClass, &t.Request))
+	proc.c.mu.Unlock()
+	proc.attempts[key] = append(proc.attempts[key], t)
 	w.pollClaims(i)
 	w.flush(i, w.linkID[i])
 }
@@ -193,14 +193,14 @@
 // pollClaims checks the claims of attempts that wait for their key, as Core.awaitKey does: the first attempt of each key, or all.
 // With the first attempt only, the others stay as goroutines that have not woken yet.
 func (w *pairSim) pollClaims(i int, all ...bool) {
-	h := w.procs[i]
-	if h == nil {
+	proc := w.procs[i]
+	if proc == nil {
 		return
 	}
-	c := h.c
+	c := proc.c
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for key, list := range h.attempts {
+	for key, list := range proc.attempts {
 		var waiting []*task
 		for n, t := range list {
 			if n > 0 && len(all) == 0 {
@@ -227,7 +227,7 @@
 			c.pair.coordinator.EndClaim(claim.Key, claim.ReceivedAt)
 			c.applyPairEffects()
 		}
-		h.attempts[key] = waiting
+		proc.attempts[key] = waiting
 	}
 }
 
@@ -376,18 +376,18 @@
 		}
 		w.settle()
 		predecessors, alive := 0, 0
-		for i, h := range w.procs {
-			if h == nil {
+		for i, proc := range w.procs {
+			if proc == nil {
 				continue
 			}
 			alive++
-			if r := h.c.PairRole(); r == hotrestart.Predecessor || r == hotrestart.Sole {
+			if r := proc.c.PairRole(); r == hotrestart.Predecessor || r == hotrestart.Sole {
 				predecessors++
 			}
-			if p := h.c.Phase(); p != lifecycle.Serving && p != lifecycle.Evacuated {
-				t.Fatalf("slot %d is in phase %v with role %v", i, p, h.c.PairRole())
+			if p := proc.c.Phase(); p != lifecycle.Serving && p != lifecycle.Evacuated {
+				t.Fatalf("slot %d is in phase %v with role %v", i, p, proc.c.PairRole())
 			}
-			for key, list := range h.attempts {
+			for key, list := range proc.attempts {
 				if len(list) > 0 {
 					t.Fatalf("slot %d: an attempt of key %s still waits", i, key)
 				}
@@ -435,8 +435,8 @@
 					t.Fatalf("step %s: the process does not know all runs", step)
 				}
 				w.step(action, i, key)
-				if h := w.procs[i]; h != nil && w.writeClosed[i] && len(h.c.pair.outbox) > 0 {
-					t.Fatalf("step %s: %d messages are kept for a closed link", step, len(h.c.pair.outbox))
+				if proc := w.procs[i]; proc != nil && w.writeClosed[i] && len(proc.c.pair.outbox) > 0 {
+					t.Fatalf("step %s: %d messages are kept for a closed link", step, len(proc.c.pair.outbox))
 				}
 			}
 		})
--- a/internal/core/peerclaim.go
+++ b/internal/core/peerclaim.go
@@ -45,7 +45,7 @@
 }
 
 // awaitKey waits without the lock for a verdict on the key of a request. It returns the verdict. If the deadline passes, the
-// caller disconnects or too many requests wait, it returns Pending and the answer.
+// caller disconnects, the id is in use or too many requests wait, it returns Pending and the answer.
 func (c *Core) awaitKey(r *Request, claim hotrestart.Execution) (hotrestart.ClaimState, Answer) {
 	p := c.pair
 	switch {
--- a/internal/core/peerkeys.go
+++ b/internal/core/peerkeys.go
@@ -104,7 +104,7 @@
 // pairKeys implements hotrestart.Executions on the key table. Its methods are called under the core's lock.
 type pairKeys Core
 
-// Find returns the execution that an attempt duplicates. Reached is when the attempt reached the machine, in Unix nanoseconds.
+// Find returns the execution that an attempt duplicates. ReceivedAt is when the attempt reached the machine, in Unix nanoseconds.
 func (p *pairKeys) Find(key string, receivedAt int64) (hotrestart.Execution, bool) {
 	e := p.keys.entries[key]
 	if e == nil {
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -53,7 +53,7 @@
 // Otherwise a crash after the start would let a retry run a second time.
 func (c *Core) prepareRun(t *task, e event) {
 	switch {
-	case !c.ensureNotified(e.notice, e.link):
+	case !c.ensureNotified(e.notice, e.linkID):
 		c.abandonRun(t, event{})
 	case c.persistStart(t): // startPersisted follows once the intent is on the disk
 	default:
@@ -188,13 +188,13 @@
 	if !t.running && !t.joining {
 		return
 	}
-	wasJoining := t.joining
+	joined := t.joining
 	t.running, t.joining = false, false
 	if e.outcome == silverpath.Canceled && t.response == responsePending {
 		// Only the end of its request cancels a run here: the caller has disconnected, and that notice has not arrived yet.
 		c.decide(func(m *silverpath.Shedder, now time.Duration) { m.Cancelled(now, t.ID) })
 	}
-	if !wasJoining {
+	if !joined {
 		c.stats.Inc("runs", t.Class, outcomeNames[e.outcome])
 		c.keys.markEnded(t.execution, e.outcome, e.data, time.Now())
 		c.recordEnd(t.execution, e.outcome)
@@ -291,8 +291,8 @@
 		return
 	}
 	t.started, t.running = true, true
-	notice, link := c.notifyStart(t.execution)
-	t.enqueue(event{kind: runRequested, notice: notice, link: link})
+	notice, linkID := c.notifyStart(t.execution)
+	t.enqueue(event{kind: runRequested, notice: notice, linkID: linkID})
 }
 
 // join makes a request wait for the run that it duplicates, or takes the result of that run if it has ended.
--- a/internal/core/task.go
+++ b/internal/core/task.go
@@ -61,7 +61,7 @@
 
 	timeout time.Duration     // of callRequested
 	notice  hotrestart.Notice // of runRequested: how the other process must be notified first
-	link    int               // of runRequested: the link for the notification
+	linkID  int               // of runRequested: the link for the notification
 }
 
 type eventKind int
