--- a/internal/core/arrival.go
+++ b/internal/core/arrival.go
@@ -9,21 +9,21 @@
 	"silverpath/internal/policy/lifecycle"
 )
 
-// arrive takes a request in and tells the module. It returns nil, and the answer, for what the core itself can't take: those
-// limits keep the process alive and are far from what the module allows.
+// arrive registers a request and reports it to the module. If one of the core's own limits rejects the request, it returns a nil
+// task and the answer. These limits protect the process and are far above what the module admits.
 func (c *Core) arrive(r Request) (*task, Answer) {
 	class, known := c.Class(r.Class)
-	name := r.Class
+	classLabel := r.Class
 	if !known {
-		name = "unknown" // counters are bounded, what comes off a wire is not
+		classLabel = "unknown" // the set of counters must stay bounded, and class names on the wire are not
 	}
-	c.stats.Inc("read", r.Front, name)
+	c.stats.Inc("read", r.Front, classLabel)
 	startedAt := time.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.lockWait.Record(time.Since(startedAt))
-	if a, over := c.claimKey(&r, class); over { // waits, without the lock, where another process may have its key
-		c.stats.Inc("answered", r.Front, name, a.Outcome.String())
+	if a, answered := c.claimKey(&r, class); answered { // releases the lock while it waits for a key that another process may own
+		c.stats.Inc("answered", r.Front, classLabel, a.Outcome.String())
 		return nil, a
 	}
 	defer c.releaseClaim(&r, class)
@@ -33,28 +33,29 @@
 			a = Answer{Outcome: Failed}
 		}
 		c.stats.Inc("turned_away", r.Front, reason)
-		c.stats.Inc("answered", r.Front, name, a.Outcome.String())
+		c.stats.Inc("answered", r.Front, classLabel, a.Outcome.String())
 		return nil, a
 	}
 	c.register(t)
 	return t, Answer{}
 }
 
-// mayHaveRunElsewhere reports whether another attempt of a request that is handed on may have gone another way and run: only
-// its home can tell, so it must not be rejected here, as that would promise that it never ran.
+// mayHaveRunElsewhere reports whether another attempt of a forwarded request may have reached its home through another router and
+// run there. Only the home can rule that out. Rejecting the request here would guarantee that it never ran, so it must fail
+// instead.
 func (c *Core) mayHaveRunElsewhere(t *task) bool {
 	return c.forwards && t.idempotent() && !c.lifecycle.current().ShuttingDown()
 }
 
-// admit applies the core's own limits to a request. It returns why the request can't be taken, as counters name it, and its
-// answer; an empty reason lets it go on. The order matters: what is known of a key is answered before the drain and the
-// deadline are looked at, as a duplicate starts nothing.
+// admit applies the core's own limits to a request. It returns an empty reason if the request may continue, else the counter name
+// of the reason and the answer. The key is looked up before the drain and the deadline are checked: a duplicate starts no run, so
+// neither check applies to it.
 func (c *Core) admit(t *task, known bool) (reason string, a Answer) {
 	if t.idempotent() {
 		t.blockedBy = c.blockReason(&t.Request)
 	}
-	set := c.settings.Load()
-	rejected := Answer{Outcome: Rejected, RetryAfter: set.MaxRetryAfter}
+	settings := c.settings.Load()
+	rejected := Answer{Outcome: Rejected, RetryAfter: settings.MaxRetryAfter}
 	switch {
 	case c.tasks[t.ID] != nil:
 		return "same_id", Answer{Outcome: Invalid}
@@ -67,33 +68,34 @@
 	case c.unknownTenant(t.Tenant):
 		return "unknown_tenant", Answer{Outcome: Invalid}
 	}
-	if reason, a = c.admitKey(t, set); reason != "" || t.duplicateOf != nil {
+	if reason, a = c.admitKey(t, settings); reason != "" || t.duplicateOf != nil {
 		return reason, a
 	}
 	switch {
-	case c.lifecycle.current().ShuttingDown() && t.readAt.Sub(c.drainStartedAt) > set.DrainGrace:
-		// Read after the drain window, whenever it was written: nobody could be sure that its answer still arrives. The module
-		// stops at a part of the window already, counted from when a request reached the machine.
+	case c.lifecycle.current().ShuttingDown() && t.readAt.Sub(c.drainStartedAt) > settings.DrainGrace:
+		// The request was read after the drain window, so its answer might not arrive, whenever it was sent. The module itself
+		// stops earlier, at a fraction of the window that it counts from when a request reached the machine.
 		c.releaseKey(t)
 		return "drained", rejected
 	case t.Deadline.Sub(t.readAt) <= answerMargin:
-		// Due as it is read: the module has no tick left to answer it in, and would start it where there is capacity.
+		// The deadline is too close. The module has no tick left to answer the request in, and would start it if there were
+		// capacity.
 		c.releaseKey(t)
 		return "due", Answer{Outcome: Expired}
 	}
 	return "", Answer{}
 }
 
-// admitKey looks the request's key up and returns why it can't be taken by what is known of that.
-func (c *Core) admitKey(t *task, set *silverpath.Settings) (reason string, a Answer) {
-	rejected := Answer{Outcome: Rejected, RetryAfter: set.MaxRetryAfter}
+// admitKey looks up the key of a request. It returns why the state of the key forbids the request, or an empty reason.
+func (c *Core) admitKey(t *task, settings *silverpath.Settings) (reason string, a Answer) {
+	rejected := Answer{Outcome: Rejected, RetryAfter: settings.MaxRetryAfter}
 	switch {
-	case !c.keys.resolve(t, set.FreshFor, t.readAt):
+	case !c.keys.resolve(t, settings.FreshFor, t.readAt):
 		return "keys_full", rejected
 	case t.keyConflict:
 		return "key_conflict", Answer{Outcome: Invalid}
-	case t.verdict.Action != idempotency.Execute:
-		return t.verdict.Reason, c.verdictAnswer(t.verdict)
+	case t.decision.Action != idempotency.Execute:
+		return t.decision.Reason, c.decisionAnswer(t.decision)
 	case t.movedReason != "":
 		rejected.Reason = t.movedReason
 		if t.movedReason == ReasonUnknown {
@@ -104,7 +106,7 @@
 	return "", Answer{}
 }
 
-// register takes a request in hand, sets the timer that answers it if nobody else does, and tells the module.
+// register adds a request to the tasks, starts its deadline timer and reports it to the module.
 func (c *Core) register(t *task) {
 	c.tasks[t.ID] = t
 	c.pendingAnswers++
@@ -115,19 +117,19 @@
 			t.enqueue(event{kind: deadlineReached})
 		}
 	})
-	q := silverpath.Request{
+	arrival := silverpath.Request{
 		ID: t.ID, Class: t.Class, Tenant: t.Tenant, Key: t.Object, Caller: t.Caller, QueuedKB: t.MemoryKB,
 		Unread: max(0, t.readAt.Sub(t.ReceivedAt)), Deadline: max(1, c.clock()+t.Deadline.Sub(t.readAt)), Rank: t.Rank,
 	}
 	if t.duplicateOf != nil {
-		q.DuplicateOf = t.duplicateOf.requestID
+		arrival.DuplicateOf = t.duplicateOf.requestID
 		c.stats.Inc("repeats", t.Front, t.Class)
 	}
-	c.decide(func(m *silverpath.Shedder, now time.Duration) { m.Arrive(now, q) })
+	c.decide(func(m *silverpath.Shedder, now time.Duration) { m.Arrive(now, arrival) })
 	c.updateGate(t)
 }
 
-// unknownTenant reports whether a site that names its tenants does not know this one.
+// unknownTenant reports whether the settings list tenants and the given tenant is not among them.
 func (c *Core) unknownTenant(tenant string) bool {
 	tenants := c.settings.Load().Tenants
 	return tenant != "" && len(tenants) > 0 &&
--- a/internal/core/status.go
+++ b/internal/core/status.go
@@ -10,10 +10,10 @@
 	"silverpath/internal/policy/admission"
 )
 
-// ServesStatus reports whether fronts answer requests for the state of the service.
+// ServesStatus reports whether fronts answer status requests.
 func (c *Core) ServesStatus() bool { return c.servesStatus }
 
-// Status is the state of the service as a JSON object. Like everything cheap it reads the view, not the module.
+// Status returns the state of the service as a JSON object. It reads the view and never waits for a decision of the module.
 func (c *Core) Status() []byte {
 	v := c.View()
 	var a fastjson.Arena
@@ -48,15 +48,15 @@
 	return o.MarshalTo(nil)
 }
 
-// setPools adds the limit of runs, the memory and each pool.
+// setPools adds the run limit, the memory and each pool to the status.
 func setPools(a *fastjson.Arena, o *fastjson.Value, p *admission.Snapshot) {
-	o.Set("limit", numbers(a, "runs", p.RunLimit, "all", p.TotalLimit, "ceiling", p.Ceiling, "on_cores", float64(p.Running)))
+	o.Set("limit", numberObject(a, "runs", p.RunLimit, "all", p.TotalLimit, "ceiling", p.Ceiling, "on_cores", float64(p.Running)))
 	o.Get("limit").Set("belief", a.NewString(p.Diagnosis))
-	o.Set("memory", numbers(a, "booked", p.BookedMemory, "process", p.ProcessMemory))
+	o.Set("memory", numberObject(a, "booked", p.BookedMemory, "process", p.ProcessMemory))
 	o.Get("memory").Set("stage", a.NewString(p.Memory.String()))
 	list := a.NewArray()
 	for i, q := range p.Pools {
-		e := numbers(a, "weight", q.Weight, "floor", q.Floor, "used", float64(q.Running), "waiting", float64(q.Queued),
+		e := numberObject(a, "weight", q.Weight, "floor", q.Floor, "used", float64(q.Running), "waiting", float64(q.Queued),
 			"want", q.Demand, "claim", q.Entitlement, "granted", float64(q.Started), "lent", float64(q.Borrowed),
 			"turned", float64(q.Rejected))
 		e.Set("name", a.NewString(q.Name))
@@ -66,21 +66,21 @@
 	o.Set("pools", list)
 }
 
-// timings are the latencies that the process measures of itself: its own, and the runtime's.
+// timings returns the latency quantiles that the process measures itself, followed by those of the Go runtime.
 func (c *Core) timings(a *fastjson.Arena) *fastjson.Value {
 	times := a.NewObject()
 	for _, t := range c.stats.Timings() {
 		p50, n := t.Quantile(50)
 		p99, _ := t.Quantile(99)
 		longest, _ := t.Quantile(100)
-		times.Set(t.Name, numbers(a, "n", float64(n), "p50_us", float64(p50.Microseconds()),
+		times.Set(t.Name, numberObject(a, "n", float64(n), "p50_us", float64(p50.Microseconds()),
 			"p99_us", float64(p99.Microseconds()), "max_us", float64(longest.Microseconds())))
 	}
 	for _, h := range []struct{ name, metric string }{
 		{"run_queue", "/sched/latencies:seconds"}, {"collector", "/sched/pauses/total/gc:seconds"},
 	} {
 		n, p50, p99, longest := quantiles(h.metric)
-		times.Set(h.name, numbers(a, "n", float64(n), "p50_us", p50*1e6, "p99_us", p99*1e6, "max_us", longest*1e6))
+		times.Set(h.name, numberObject(a, "n", float64(n), "p50_us", p50*1e6, "p99_us", p99*1e6, "max_us", longest*1e6))
 	}
 	return times
 }
@@ -92,7 +92,7 @@
 	return a.NewFalse()
 }
 
-// quantiles reads a histogram of the runtime, in seconds: how long goroutines waited to run, or the collector stopped all.
+// quantiles reads a runtime histogram of scheduling latency or GC pauses and returns its count and its quantiles in seconds.
 func quantiles(metric string) (n uint64, p50, p99, longest float64) {
 	sample := []metrics.Sample{{Name: metric}}
 	metrics.Read(sample)
@@ -100,32 +100,32 @@
 		return 0, 0, 0, 0
 	}
 	h := sample[0].Value.Float64Histogram()
-	for _, c := range h.Counts {
-		n += c
+	for _, count := range h.Counts {
+		n += count
 	}
-	counted := uint64(0)
-	for i, c := range h.Counts {
-		if c == 0 {
+	cumulative := uint64(0)
+	for i, count := range h.Counts {
+		if count == 0 {
 			continue
 		}
-		counted += c
-		v := h.Buckets[i+1]
-		if math.IsInf(v, 1) {
-			v = h.Buckets[i]
+		cumulative += count
+		upper := h.Buckets[i+1]
+		if math.IsInf(upper, 1) {
+			upper = h.Buckets[i]
 		}
-		if p50 == 0 && counted*2 >= n {
-			p50 = v
+		if p50 == 0 && cumulative*2 >= n {
+			p50 = upper
 		}
-		if p99 == 0 && counted*100 >= n*99 {
-			p99 = v
+		if p99 == 0 && cumulative*100 >= n*99 {
+			p99 = upper
 		}
-		longest = v
+		longest = upper
 	}
 	return n, p50, p99, longest
 }
 
-// numbers returns an object of names and numbers in turn.
-func numbers(a *fastjson.Arena, pairs ...any) *fastjson.Value {
+// numberObject returns a JSON object built from alternating names and float64 values.
+func numberObject(a *fastjson.Arena, pairs ...any) *fastjson.Value {
 	o := a.NewObject()
 	for i := 0; i < len(pairs); i += 2 {
 		o.Set(pairs[i].(string), a.NewNumberFloat64(pairs[i+1].(float64)))
