--- a/internal/policy/configstore/configstore.go
+++ b/internal/policy/configstore/configstore.go
@@ -34,9 +34,9 @@
 // ParseID reads what String wrote, and reports false for anything else.
 func ParseID(s string) (ID, bool) {
 	version, digest, ok := strings.Cut(s, ".")
-	n, err := strconv.Atoi(version)
-	d, bad := strconv.ParseUint(digest, 16, 64)
-	return ID{n, d}, ok && err == nil && bad == nil && n > 0 && len(digest) == 16
+	number, versionErr := strconv.Atoi(version)
+	sum, digestErr := strconv.ParseUint(digest, 16, 64)
+	return ID{number, sum}, ok && versionErr == nil && digestErr == nil && number > 0 && len(digest) == 16
 }
 
 // Terms are what the bounds are made of.
--- a/internal/policy/configstore/diff.go
+++ b/internal/policy/configstore/diff.go
@@ -21,13 +21,13 @@
 // Diff are the fields in which two texts of a document differ. Either may be empty.
 func Diff(doc, old, text string) (list []Difference, err error) {
 	var a, b any
-	for _, t := range []struct {
-		text string
-		into *any
+	for _, input := range []struct {
+		text  string
+		value *any
 	}{{old, &a}, {text, &b}} {
-		if t.text == "" {
-			*t.into = map[string]any{}
-		} else if err := json.Unmarshal([]byte(t.text), t.into); err != nil {
+		if input.text == "" {
+			*input.value = map[string]any{}
+		} else if err := json.Unmarshal([]byte(input.text), input.value); err != nil {
 			return nil, fmt.Errorf("%s: not JSON: %w", doc, err)
 		}
 	}
@@ -42,14 +42,14 @@
 // DiffParts are the fields in which parts differ from those that are there, part by part: it costs what changed.
 func DiffParts(doc string, old map[string]Part, changed map[string]string) (list []Difference, err error) {
 	for _, name := range slices.Sorted(maps.Keys(changed)) {
-		if was, ok := old[name]; ok && was.Digest == PartDigest(changed[name]) {
+		if previous, ok := old[name]; ok && previous.Digest == PartDigest(changed[name]) {
 			continue
 		}
-		more, err := Diff(doc, old[name].Text, changed[name])
+		differences, err := Diff(doc, old[name].Text, changed[name])
 		if err != nil {
 			return nil, fmt.Errorf("part %s: %w", name, err)
 		}
-		list = append(list, more...)
+		list = append(list, differences...)
 	}
 	slices.SortStableFunc(list, func(a, b Difference) int { return strings.Compare(a.Path, b.Path) })
 	return list, nil
@@ -81,17 +81,17 @@
 
 // walkDifferences calls fn with every leaf that differs.
 func walkDifferences(path string, a, b any, fn func(path string, a, b any)) {
-	switch x := either(a, b).(type) {
+	switch x := firstNonNil(a, b).(type) {
 	case map[string]any:
-		av, _ := a.(map[string]any)
-		bv, _ := b.(map[string]any)
-		for key := range union(av, bv) {
-			walkDifferences(strings.TrimPrefix(path+"."+key, "."), av[key], bv[key], fn)
+		aFields, _ := a.(map[string]any)
+		bFields, _ := b.(map[string]any)
+		for key := range unionKeys(aFields, bFields) {
+			walkDifferences(strings.TrimPrefix(path+"."+key, "."), aFields[key], bFields[key], fn)
 		}
 	case []any:
-		av, bv := elementsByName(a), elementsByName(b)
-		for key := range union(av, bv) {
-			walkDifferences(path+"["+key+"]", av[key], bv[key], fn)
+		aElements, bElements := elementsByName(a), elementsByName(b)
+		for key := range unionKeys(aElements, bElements) {
+			walkDifferences(path+"["+key+"]", aElements[key], bElements[key], fn)
 		}
 	default:
 		_ = x
@@ -113,36 +113,36 @@
 	return toJSON(a) == toJSON(b)
 }
 
-func either(a, b any) any {
+func firstNonNil(a, b any) any {
 	if a != nil {
 		return a
 	}
 	return b
 }
 
-func union(a, b map[string]any) map[string]bool {
-	all := map[string]bool{}
+func unionKeys(a, b map[string]any) map[string]bool {
+	keys := map[string]bool{}
 	for key := range a {
-		all[key] = true
+		keys[key] = true
 	}
 	for key := range b {
-		all[key] = true
+		keys[key] = true
 	}
-	return all
+	return keys
 }
 
 // elementsByName are the elements of an array by their names, or by their numbers.
 func elementsByName(v any) map[string]any {
 	list, _ := v.([]any)
-	all := map[string]any{}
-	for i, e := range list {
+	elements := map[string]any{}
+	for i, element := range list {
 		key := strconv.Itoa(i)
-		if o, ok := e.(map[string]any); ok {
-			if name, ok := o["name"].(string); ok {
+		if object, ok := element.(map[string]any); ok {
+			if name, ok := object["name"].(string); ok {
 				key = name
 			}
 		}
-		all[key] = e
+		elements[key] = element
 	}
-	return all
+	return elements
 }
--- a/internal/policy/configstore/document.go
+++ b/internal/policy/configstore/document.go
@@ -64,11 +64,11 @@
 }
 
 // Ratio is the ratio that was served, 1 of nothing.
-func (w Goodput) Ratio() float64 {
-	if w.Offered <= 0 {
+func (g Goodput) Ratio() float64 {
+	if g.Offered <= 0 {
 		return 1
 	}
-	return w.Served / w.Offered
+	return g.Served / g.Offered
 }
 
 // Refusal is why a process can't act on a version.
@@ -88,17 +88,17 @@
 
 // Revision returns a version that is kept: the active one, the proposed one, or one of the history. It is nil for none.
 func (d *Document) Revision(version int) *Revision {
-	for _, e := range append([]*Revision{d.Active, d.Proposed}, d.History...) {
-		if e != nil && e.ID.Version == version {
-			return e
+	for _, revision := range append([]*Revision{d.Active, d.Proposed}, d.History...) {
+		if revision != nil && revision.ID.Version == version {
+			return revision
 		}
 	}
 	return nil
 }
 
 // archive puts a revision into the history, without the texts of parts.
-func (d *Document) archive(e *Revision) {
-	d.History = append(d.History, e.withoutParts())
+func (d *Document) archive(revision *Revision) {
+	d.History = append(d.History, revision.withoutParts())
 	if n := len(d.History) - maxHistory; n > 0 {
 		d.History = slices.Delete(d.History, 0, n)
 	}
@@ -115,26 +115,26 @@
 }
 
 // activated is an entry in parts as it comes into force on top of another one.
-func (e *Revision) activated(force *Revision) *Revision {
-	whole := *e
-	whole.ChangedParts = slices.Sorted(maps.Keys(e.Parts))
-	if force != nil {
-		whole.Parts = merged(force.Parts, e.Parts)
+func (r *Revision) activated(active *Revision) *Revision {
+	activated := *r
+	activated.ChangedParts = slices.Sorted(maps.Keys(r.Parts))
+	if active != nil {
+		activated.Parts = mergeParts(active.Parts, r.Parts)
 	}
-	return &whole
+	return &activated
 }
 
 // withoutParts is an entry without what a document in parts says: a version that is over is kept so, as it is never taken back.
-func (e *Revision) withoutParts() *Revision {
-	if !e.InParts {
-		return e
+func (r *Revision) withoutParts() *Revision {
+	if !r.InParts {
+		return r
 	}
-	short := *e
-	if short.Parts != nil && short.ChangedParts == nil {
-		short.ChangedParts = slices.Sorted(maps.Keys(e.Parts))
+	stripped := *r
+	if stripped.Parts != nil && stripped.ChangedParts == nil {
+		stripped.ChangedParts = slices.Sorted(maps.Keys(r.Parts))
 	}
-	short.Parts = nil
-	return &short
+	stripped.Parts = nil
+	return &stripped
 }
 
 // PartsAt are all parts of a version that is in force or under way, with its ID.
@@ -143,16 +143,16 @@
 	case d.Active != nil && d.Active.ID.Version == version && d.Active.InParts:
 		return d.Active.ID, d.Active.Parts, true
 	case d.Proposed != nil && d.Proposed.ID.Version == version && d.Proposed.InParts:
-		var force map[string]Part
+		var active map[string]Part
 		if d.Active != nil {
-			force = d.Active.Parts
+			active = d.Active.Parts
 		}
-		return d.Proposed.ID, merged(force, d.Proposed.Parts), true
+		return d.Proposed.ID, mergeParts(active, d.Proposed.Parts), true
 	}
 	return ID{}, nil, false
 }
 
 // IsOfferedTo reports whether a process is told of the proposed revision: not of one in a format that it does not read.
-func (d *Document) IsOfferedTo(u *Process) bool {
-	return d.Proposed != nil && u.Formats[d.Name] >= d.Proposed.Format
+func (d *Document) IsOfferedTo(process *Process) bool {
+	return d.Proposed != nil && process.Formats[d.Name] >= d.Proposed.Format
 }
--- a/internal/policy/configstore/fetch.go
+++ b/internal/policy/configstore/fetch.go
@@ -26,7 +26,7 @@
 
 // requestPacer paces the requests of a process.
 type requestPacer struct {
-	asking      bool          // a request is in flight
+	inFlight    bool          // a request is in flight
 	failures    int           // in a row
 	isScheduled bool          // a pause is drawn
 	notBefore   time.Duration // the pause ends then
@@ -35,58 +35,58 @@
 // backoff is the pause before the next request of a process after so many failures: a ratio of the whole by its name, so that a thousand
 // processes have a thousand moments.
 func backoff(name string, failures int) time.Duration {
-	spread := initialBackoff << min(failures, maxDoublings)
+	maxPause := initialBackoff << min(failures, maxDoublings)
 	ratio := float64(PartDigest(fmt.Sprint(name, "/", failures))>>11) / (1 << 53)
-	return time.Duration(ratio * float64(spread))
+	return time.Duration(ratio * float64(maxPause))
 }
 
 // nextMissing is what is missing first, in the order of documents: of the active one before the proposed one.
-func (h *Replica) nextMissing() (w PartsRequest, ok bool) {
-	for _, name := range slices.Sorted(maps.Keys(h.docs)) {
-		d := h.docs[name]
-		for _, p := range []*partialDocument{d.activeParts, d.proposedParts} {
-			if p == nil || p.isComplete() {
+func (r *Replica) nextMissing() (request PartsRequest, ok bool) {
+	for _, name := range slices.Sorted(maps.Keys(r.docs)) {
+		doc := r.docs[name]
+		for _, partial := range []*partialDocument{doc.activeParts, doc.proposedParts} {
+			if partial == nil || partial.isComplete() {
 				continue
 			}
-			w = PartsRequest{Doc: name, Version: p.id.Version}
-			if p.parts != nil {
-				w.Names = p.missing()
-				w.Names = w.Names[:min(len(w.Names), maxRequested)]
+			request = PartsRequest{Doc: name, Version: partial.id.Version}
+			if partial.parts != nil {
+				request.Names = partial.missing()
+				request.Names = request.Names[:min(len(request.Names), maxRequested)]
 			}
-			return w, true
+			return request, true
 		}
 	}
-	return w, false
+	return request, false
 }
 
 // NextRequest is what to ask the group for now; ReceiveParts or RequestFailed is told of its end. Ok is false where nothing is to be asked
 // for yet; at says when to call again, 0 for when something was received.
-func (h *Replica) NextRequest(now time.Duration) (w PartsRequest, at time.Duration, ok bool) {
-	if h.pacer.asking {
-		return w, 0, false
+func (r *Replica) NextRequest(now time.Duration) (request PartsRequest, retryAt time.Duration, ok bool) {
+	if r.pacer.inFlight {
+		return request, 0, false
 	}
-	if w, ok = h.nextMissing(); !ok {
-		h.pacer = requestPacer{}
-		return w, 0, false
+	if request, ok = r.nextMissing(); !ok {
+		r.pacer = requestPacer{}
+		return request, 0, false
 	}
-	if !h.pacer.isScheduled {
-		h.pacer.isScheduled = true
-		h.pacer.notBefore = now + backoff(h.Name, h.pacer.failures)
+	if !r.pacer.isScheduled {
+		r.pacer.isScheduled = true
+		r.pacer.notBefore = now + backoff(r.Name, r.pacer.failures)
 	}
-	if now < h.pacer.notBefore && !h.Disabled.Pacing {
-		return w, h.pacer.notBefore, false
+	if now < r.pacer.notBefore && !r.Disabled.Pacing {
+		return request, r.pacer.notBefore, false
 	}
-	h.pacer.asking = true
-	return w, 0, true
+	r.pacer.inFlight = true
+	return request, 0, true
 }
 
 // IsIncomplete reports whether parts are missing.
-func (h *Replica) IsIncomplete() bool {
-	_, ok := h.nextMissing()
+func (r *Replica) IsIncomplete() bool {
+	_, ok := r.nextMissing()
 	return ok
 }
 
 // RequestFailed records that a request had no answer, or was refused.
-func (h *Replica) RequestFailed() {
-	h.pacer = requestPacer{failures: h.pacer.failures + 1}
+func (r *Replica) RequestFailed() {
+	r.pacer = requestPacer{failures: r.pacer.failures + 1}
 }
--- a/internal/policy/configstore/goodput.go
+++ b/internal/policy/configstore/goodput.go
@@ -9,38 +9,38 @@
 const minOffered = 20
 
 // isWorse reports whether the goodput ratio is lower than before by more than a bound.
-func isWorse(before, now Goodput, by float64) bool {
-	return before.Offered >= minOffered && now.Offered >= minOffered && now.Ratio() < before.Ratio()-by
+func isWorse(before, now Goodput, maxLoss float64) bool {
+	return before.Offered >= minOffered && now.Offered >= minOffered && now.Ratio() < before.Ratio()-maxLoss
 }
 
 // goodputSince is the goodput of some processes since a stage began. One that came later counts for nothing.
-func (w *ProcessMonitor) goodputSince(s stageStart, of func(string) bool) (sum Goodput) {
-	for name, h := range w.reports {
-		mark, ok := s.baseline[name]
-		if !ok || !of(name) || h.Goodput.Offered < mark.Offered {
+func (m *ProcessMonitor) goodputSince(start stageStart, include func(string) bool) (total Goodput) {
+	for name, report := range m.reports {
+		baseline, ok := start.baseline[name]
+		if !ok || !include(name) || report.Goodput.Offered < baseline.Offered {
 			continue // it came later
 		}
-		sum.Offered += h.Goodput.Offered - mark.Offered
-		sum.Served += h.Goodput.Served - mark.Served
+		total.Offered += report.Goodput.Offered - baseline.Offered
+		total.Served += report.Goodput.Served - baseline.Served
 	}
-	return sum
+	return total
 }
 
 // goodputOver is the goodput of some processes over the latest stretch of so long.
-func (w *ProcessMonitor) goodputOver(d, now time.Duration, of func(string) bool) (sum Goodput) {
-	for name, h := range w.reports {
-		if !of(name) {
+func (m *ProcessMonitor) goodputOver(span, now time.Duration, include func(string) bool) (total Goodput) {
+	for name, report := range m.reports {
+		if !include(name) {
 			continue
 		}
-		for _, s := range h.past {
-			if now-s.at <= d {
-				sum.Offered += h.Goodput.Offered - s.goodput.Offered
-				sum.Served += h.Goodput.Served - s.goodput.Served
+		for _, sample := range report.past {
+			if now-sample.at <= span {
+				total.Offered += report.Goodput.Offered - sample.goodput.Offered
+				total.Served += report.Goodput.Served - sample.goodput.Served
 				break
 			}
 		}
 	}
-	return sum
+	return total
 }
 
 func milliseconds(n int64) time.Duration { return time.Duration(n) * time.Millisecond }
--- a/internal/policy/configstore/kinds.go
+++ b/internal/policy/configstore/kinds.go
@@ -37,10 +37,10 @@
 
 // fieldKinds are the kinds of all fields, by document and path, with the indexes of arrays left out.
 var fieldKinds = func() map[string]Kind {
-	all := map[string]Kind{}
+	kinds := map[string]Kind{}
 	add := func(k Kind, doc, fields string) {
-		for _, f := range strings.Fields(fields) {
-			all[doc+":"+f] = k
+		for _, field := range strings.Fields(fields) {
+			kinds[doc+":"+field] = k
 		}
 	}
 	for _, doc := range DocumentNames {
@@ -72,23 +72,23 @@
 	add(KindIndependent, "config", `settings.client_habits.marks_retry settings.limits.retry_after settings.limits.max_retry_after
 		settings.over_share_worth settings.worth_by settings.scoring_mix.whole settings.scoring_mix.worst_class
 		settings.scoring_mix.worst_tenant settings.scoring_mix.worst_window`)
-	for _, f := range []string{"classes[].name", "classes[].effect", "classes[].memory_span", "classes[].target", "classes[].aim_stretch",
+	for _, field := range []string{"classes[].name", "classes[].effect", "classes[].memory_span", "classes[].target", "classes[].aim_stretch",
 		"classes[].deadline", "classes[].worth", "classes[].late_worth"} {
-		all["config:settings."+f] = all[DocClasses+":"+f]
+		kinds["config:settings."+field] = kinds[DocClasses+":"+field]
 	}
 	add(KindLocal, "edge", `status cell reserve.connections reserve.cheap_per_s reserve.cheap_each_per_s orders.state orders.group
 		orders.members rules.group rules.members rules.documents rules.most_routers fleet.map fleet.state
 		store.dir store.size_mb store.result_kb store.gather_us life.file life.valid_ms`)
-	for _, f := range strings.Fields("probe_ms retries hedges most_out panic slow_start_ms") {
-		all["edge:fleet."+f] = all[DocRouting+":"+f]
+	for _, field := range strings.Fields("probe_ms retries hedges most_out panic slow_start_ms") {
+		kinds["edge:fleet."+field] = kinds[DocRouting+":"+field]
 	}
-	for _, f := range strings.Fields(`pools[].name pools[].classes pools[].weight pools[].floor limit.least limit.start limit.fixed
+	for _, field := range strings.Fields(`pools[].name pools[].classes pools[].weight pools[].floor limit.least limit.start limit.fixed
 		memory.tight memory.scarce memory.critical`) {
-		all["edge:"+f] = all[DocPools+":"+f]
+		kinds["edge:"+field] = kinds[DocPools+":"+field]
 	}
 	add(KindLocal, "quorum", `name group members log member.listen member.addr member.dir member.tick_ms member.snmp.listen
 		member.snmp.community owner.duties owner.map owner.routers owner.gone_after_ms`)
-	return all
+	return kinds
 }()
 
 // KindOf is the kind of a field of a document, by a path whose indexes may be left out.
@@ -97,16 +97,16 @@
 // fieldPath leaves the indexes and names out of a path.
 func fieldPath(path string) string {
 	var b strings.Builder
-	in := false
+	inBrackets := false
 	for _, c := range path {
 		if c == ']' {
-			in = false
+			inBrackets = false
 		}
-		if !in {
+		if !inBrackets {
 			b.WriteRune(c)
 		}
 		if c == '[' {
-			in = true
+			inBrackets = true
 		}
 	}
 	return b.String()
--- a/internal/policy/configstore/monitor.go
+++ b/internal/policy/configstore/monitor.go
@@ -46,33 +46,33 @@
 
 // NewProcessMonitor returns the process monitor of a member that does not lead.
 func NewProcessMonitor(t lease.Terms) *ProcessMonitor {
-	w := &ProcessMonitor{terms: t}
-	w.StopLeading()
-	return w
+	m := &ProcessMonitor{terms: t}
+	m.StopLeading()
+	return m
 }
 
 // StartLeading records that the member has begun to lead.
-func (w *ProcessMonitor) StartLeading(now time.Duration) {
-	*w = ProcessMonitor{terms: w.terms, leadingSince: now, reports: map[string]*ProcessReport{}, expiring: map[string]bool{}, stages: map[string]stageStart{}, proposedAt: map[string]time.Duration{}}
+func (m *ProcessMonitor) StartLeading(now time.Duration) {
+	*m = ProcessMonitor{terms: m.terms, leadingSince: now, reports: map[string]*ProcessReport{}, expiring: map[string]bool{}, stages: map[string]stageStart{}, proposedAt: map[string]time.Duration{}}
 }
 
 // StopLeading records that it has ceased to.
-func (w *ProcessMonitor) StopLeading() { *w = ProcessMonitor{terms: w.terms, leadingSince: -1} }
+func (m *ProcessMonitor) StopLeading() { *m = ProcessMonitor{terms: m.terms, leadingSince: -1} }
 
 // Observe takes the report of a process as it comes. It reports whether the process may be told what is active: no once its expiry was
 // proposed, as it would act on that after the group has ceased to wait for it.
-func (w *ProcessMonitor) Observe(name string, now time.Duration, versions map[string]int, goodput Goodput, stopReason string) bool {
-	if w.leadingSince < 0 || w.expiring[name] {
+func (m *ProcessMonitor) Observe(name string, now time.Duration, versions map[string]int, goodput Goodput, stopReason string) bool {
+	if m.leadingSince < 0 || m.expiring[name] {
 		return false
 	}
-	h := w.reports[name]
-	if h == nil {
-		h = &ProcessReport{}
-		w.reports[name] = h
+	report := m.reports[name]
+	if report == nil {
+		report = &ProcessReport{}
+		m.reports[name] = report
 	}
-	h.ReceivedAt, h.ActiveVersions, h.Goodput, h.StopReason = now, versions, goodput, stopReason
-	h.past = append(h.past, goodputSample{now, goodput})
-	h.past = slices.DeleteFunc(h.past, func(s goodputSample) bool { return now-s.at > maxObserved })
+	report.ReceivedAt, report.ActiveVersions, report.Goodput, report.StopReason = now, versions, goodput, stopReason
+	report.past = append(report.past, goodputSample{now, goodput})
+	report.past = slices.DeleteFunc(report.past, func(sample goodputSample) bool { return now-sample.at > maxObserved })
 	return true
 }
 
@@ -84,49 +84,49 @@
 )
 
 // Reports are the last reports of all processes, for operators.
-func (w *ProcessMonitor) Reports(now time.Duration) map[string]ProcessReport {
-	all := map[string]ProcessReport{}
-	for name, h := range w.reports {
-		one := *h
-		one.AgeMS, one.past = (now - h.ReceivedAt).Milliseconds(), nil
-		all[name] = one
-	}
-	return all
+func (m *ProcessMonitor) Reports(now time.Duration) map[string]ProcessReport {
+	reports := map[string]ProcessReport{}
+	for name, report := range m.reports {
+		copied := *report
+		copied.AgeMS, copied.past = (now - report.ReceivedAt).Milliseconds(), nil
+		reports[name] = copied
+	}
+	return reports
 }
 
 // Unregistered records that a process is registered no more, or that its expiry was not proposed after all.
-func (w *ProcessMonitor) Unregistered(who string) {
-	delete(w.expiring, who)
-	delete(w.reports, who)
+func (m *ProcessMonitor) Unregistered(name string) {
+	delete(m.expiring, name)
+	delete(m.reports, name)
 }
 
 // Proposals are the changes that the leader is to propose now: the expiry of processes that have not reported for a lease, and the next
 // stages of changes that nothing is waited for any more. The leader calls it several times a lease.
-func (w *ProcessMonitor) Proposals(b *Store, now time.Duration) (list []Change) {
-	if w.leadingSince < 0 {
+func (m *ProcessMonitor) Proposals(store *Store, now time.Duration) (list []Change) {
+	if m.leadingSince < 0 {
 		return nil
 	}
-	for _, name := range slices.Sorted(maps.Keys(b.Processes)) {
-		at := w.leadingSince
-		if h := w.reports[name]; h != nil {
-			at = max(at, h.ReceivedAt)
+	for _, name := range slices.Sorted(maps.Keys(store.Processes)) {
+		lastReport := m.leadingSince
+		if report := m.reports[name]; report != nil {
+			lastReport = max(lastReport, report.ReceivedAt)
 		}
-		if now-at >= w.terms.LeaderTTL() && !w.expiring[name] {
-			w.expiring[name] = true
+		if now-lastReport >= m.terms.LeaderTTL() && !m.expiring[name] {
+			m.expiring[name] = true
 			list = append(list, Change{Op: OpExpire, Author: name})
 		}
 	}
-	maps.DeleteFunc(w.reports, func(name string, h *ProcessReport) bool {
-		return b.Processes[name] == nil && now-h.ReceivedAt > w.terms.LeaderTTL()
+	maps.DeleteFunc(m.reports, func(name string, report *ProcessReport) bool {
+		return store.Processes[name] == nil && now-report.ReceivedAt > m.terms.LeaderTTL()
 	})
-	for _, name := range slices.Sorted(maps.Keys(b.Documents)) {
-		d := b.Documents[name]
-		w.noteStage(b, d, now)
-		if at, ok := w.proposedAt[name]; ok && now-at < w.terms.TTL/proposalRetry {
+	for _, name := range slices.Sorted(maps.Keys(store.Documents)) {
+		d := store.Documents[name]
+		m.noteStage(store, d, now)
+		if proposedAt, ok := m.proposedAt[name]; ok && now-proposedAt < m.terms.TTL/proposalRetry {
 			continue // the one before is on its way
 		}
-		if c, ok := w.nextChange(b, d, now); ok {
-			w.proposedAt[name] = now
+		if c, ok := m.nextChange(store, d, now); ok {
+			m.proposedAt[name] = now
 			list = append(list, c)
 		}
 	}
@@ -134,91 +134,91 @@
 }
 
 // noteStage notes since when a document is at its stage, and the goodput of all processes then.
-func (w *ProcessMonitor) noteStage(b *Store, d *Document, now time.Duration) {
+func (m *ProcessMonitor) noteStage(store *Store, d *Document, now time.Duration) {
 	version := 0
 	if d.Proposed != nil {
 		version = d.Proposed.ID.Version
 	} else if d.Active != nil {
 		version = d.Active.ID.Version
 	}
-	if s := w.stages[d.Name]; s.baseline != nil && s.version == version && s.stage == d.Stage {
+	if start := m.stages[d.Name]; start.baseline != nil && start.version == version && start.stage == d.Stage {
 		return
 	}
-	s := stageStart{version, d.Stage, now, map[string]Goodput{}}
-	for name, h := range w.reports {
-		s.baseline[name] = h.Goodput
+	start := stageStart{version, d.Stage, now, map[string]Goodput{}}
+	for name, report := range m.reports {
+		start.baseline[name] = report.Goodput
 	}
-	w.stages[d.Name] = s
-	delete(w.proposedAt, d.Name)
+	m.stages[d.Name] = start
+	delete(m.proposedAt, d.Name)
 }
 
 // nextChange is what is to be proposed of a document now, if anything.
-func (w *ProcessMonitor) nextChange(b *Store, d *Document, now time.Duration) (Change, bool) {
+func (m *ProcessMonitor) nextChange(store *Store, d *Document, now time.Duration) (Change, bool) {
 	if d.Proposed == nil {
-		return w.revertIfWorse(b, d, now)
+		return m.revertIfWorse(store, d, now)
 	}
 	c := Change{Doc: d.Name, Stage: d.Stage, Version: d.Proposed.ID.Version}
-	if who, why := b.RefusedBy(d); who != "" {
-		c.Op, c.Author, c.Reason = OpWithdraw, who, who+" can't act on it: "+why
+	if process, reason := store.RefusedBy(d); process != "" {
+		c.Op, c.Author, c.Reason = OpWithdraw, process, process+" can't act on it: "+reason
 		return c, true
 	}
-	if b.WaitingFor(d) != "" {
+	if store.WaitingFor(d) != "" {
 		return c, false
 	}
 	c.Op = OpAdvance
 	if d.Stage == StageCanary {
-		switch loss, over := w.judgeCanaries(b, d, now); {
+		switch loss, observed := m.judgeCanaries(store, d, now); {
 		case loss != "":
 			c.Op, c.Author, c.Reason = OpWithdraw, MonitorAuthor, loss
 			return c, true
-		case !over:
+		case !observed:
 			return c, false
 		}
 	}
 	if d.Proposed.Rollout != nil {
-		baseline := w.goodputOver(milliseconds(d.Proposed.Rollout.ObserveMS), now, usersOf(b, d))
+		baseline := m.goodputOver(milliseconds(d.Proposed.Rollout.ObserveMS), now, usersOf(store, d))
 		c.Baseline = &baseline
 	}
 	return c, true
 }
 
 // usersOf tells which processes use a document: only those have anything to say of it.
-func usersOf(b *Store, d *Document) func(name string) bool {
+func usersOf(store *Store, d *Document) func(name string) bool {
 	return func(name string) bool {
-		p := b.Processes[name]
-		return p != nil && p.Formats[d.Name] > 0
+		process := store.Processes[name]
+		return process != nil && process.Formats[d.Name] > 0
 	}
 }
 
 // revertIfWorse reverts an active version that is still observed, where the goodput since it became active is worse than its baseline.
-func (w *ProcessMonitor) revertIfWorse(b *Store, d *Document, now time.Duration) (Change, bool) {
-	c, s, r := Change{Doc: d.Name, Stage: d.Stage}, w.stages[d.Name], d.Active
-	if r == nil || r.Rollout == nil || r.Baseline == nil || r.RevertsTo > 0 || r.Outcome != "" {
+func (m *ProcessMonitor) revertIfWorse(store *Store, d *Document, now time.Duration) (Change, bool) {
+	c, start, active := Change{Doc: d.Name, Stage: d.Stage}, m.stages[d.Name], d.Active
+	if active == nil || active.Rollout == nil || active.Baseline == nil || active.RevertsTo > 0 || active.Outcome != "" {
 		return c, false
 	}
-	observe := milliseconds(r.Rollout.ObserveMS)
-	if now-s.at > observeActiveFor*observe || now-s.at < observe/minObserved {
+	observe := milliseconds(active.Rollout.ObserveMS)
+	if now-start.at > observeActiveFor*observe || now-start.at < observe/minObserved {
 		return c, false
 	}
-	got := w.goodputSince(s, usersOf(b, d))
-	if !isWorse(*r.Baseline, got, r.Rollout.MaxLoss) {
+	goodput := m.goodputSince(start, usersOf(store, d))
+	if !isWorse(*active.Baseline, goodput, active.Rollout.MaxLoss) {
 		return c, false
 	}
-	c.Op, c.Version, c.Author = OpRevert, r.ID.Version, MonitorAuthor
-	c.Reason = fmt.Sprintf("%.0f%% of the worth was served, before it %.0f%%", 100*got.Ratio(), 100*r.Baseline.Ratio())
+	c.Op, c.Version, c.Author = OpRevert, active.ID.Version, MonitorAuthor
+	c.Reason = fmt.Sprintf("%.0f%% of the worth was served, before it %.0f%%", 100*goodput.Ratio(), 100*active.Baseline.Ratio())
 	return c, true
 }
 
 // judgeCanaries compares the goodput of the canaries of a change with that of the others since they began. Loss says how much worse it
 // is, empty for not; over, whether they have been observed for long enough.
-func (w *ProcessMonitor) judgeCanaries(b *Store, d *Document, now time.Duration) (loss string, over bool) {
-	s, policy, uses := w.stages[d.Name], d.Proposed.Rollout, usersOf(b, d)
+func (m *ProcessMonitor) judgeCanaries(store *Store, d *Document, now time.Duration) (loss string, observed bool) {
+	start, policy, uses := m.stages[d.Name], d.Proposed.Rollout, usersOf(store, d)
 	isCanary := func(name string) bool { return slices.Contains(d.Proposed.Canaries, name) }
-	canaries := w.goodputSince(s, isCanary)
-	others := w.goodputSince(s, func(name string) bool { return uses(name) && !isCanary(name) })
+	canaries := m.goodputSince(start, isCanary)
+	others := m.goodputSince(start, func(name string) bool { return uses(name) && !isCanary(name) })
 	observe := milliseconds(policy.ObserveMS)
-	if isWorse(others, canaries, policy.MaxLoss) && now-s.at >= observe/minObserved {
+	if isWorse(others, canaries, policy.MaxLoss) && now-start.at >= observe/minObserved {
 		return fmt.Sprintf("%.0f%% of the worth was served where it was tried, else %.0f%%", 100*canaries.Ratio(), 100*others.Ratio()), false
 	}
-	return "", now-s.at >= observe
+	return "", now-start.at >= observe
 }
--- a/internal/policy/configstore/parts.go
+++ b/internal/policy/configstore/parts.go
@@ -34,7 +34,7 @@
 	// MaxDocumentSize is bytes that each member keeps and sends in a snapshot, and each process holds: eight times the map of 930
 	// servers and 21,000 tenants.
 	MaxDocumentSize = 16 << 20
-	maxPartName     = 64
+	maxPartNameSize = 64
 	PartsFormat     = 2 // the format of a document in parts; of others it is 1, and a process that reads only those is not offered this one
 )
 
@@ -72,8 +72,8 @@
 		n := len(texts[name])
 		size += len(name) + n
 		switch {
-		case name == "" || len(name) > maxPartName || strings.ContainsRune(name, 0):
-			return fmt.Errorf("%s: a part's name %.70q: of 1 to %d bytes, none of them 0", doc, name, maxPartName)
+		case name == "" || len(name) > maxPartNameSize || strings.ContainsRune(name, 0):
+			return fmt.Errorf("%s: a part's name %.70q: of 1 to %d bytes, none of them 0", doc, name, maxPartNameSize)
 		case n == 0 || n > MaxPartSize:
 			return fmt.Errorf("%s: part %s: %d bytes, of 1 to %d", doc, name, n, MaxPartSize)
 		}
@@ -89,13 +89,13 @@
 	if err := CheckSize(doc, texts); err != nil {
 		return err
 	}
-	if n := sizeOf(texts); n > maxTextSize {
+	if n := textsSize(texts); n > maxTextSize {
 		return fmt.Errorf("%s: %d bytes in one change, of at most %d", doc, n, maxTextSize)
 	}
 	return nil
 }
 
-func sizeOf(texts map[string]string) (n int) {
+func textsSize(texts map[string]string) (n int) {
 	for name, text := range texts {
 		n += len(name) + len(text)
 	}
--- a/internal/policy/configstore/parts_test.go
+++ b/internal/policy/configstore/parts_test.go
@@ -231,8 +231,8 @@
 	}
 	// What is loaded in batches is within the bounds of one change.
 	for _, one := range Batches(many(30, big[:20000])) {
-		if err := CheckChangeSize("d", one); err != nil || sizeOf(one) > maxTextSize/2 {
-			t.Error(sizeOf(one), err)
+		if err := CheckChangeSize("d", one); err != nil || textsSize(one) > maxTextSize/2 {
+			t.Error(textsSize(one), err)
 		}
 	}
 }
--- a/internal/policy/configstore/process.go
+++ b/internal/policy/configstore/process.go
@@ -5,32 +5,32 @@
 	"fmt"
 )
 
-// report takes what a process reports of itself, and registers it where the change is that.
-func (b *Store) report(c Change) error {
+// recordReport takes what a process reports of itself, and registers it where the change is that.
+func (s *Store) recordReport(c Change) error {
 	if c.Process == nil || c.Process.Name == "" {
 		return errors.New("who: missing")
 	}
-	p := b.Processes[c.Process.Name]
+	process := s.Processes[c.Process.Name]
 	if c.Op == OpRegister {
-		if p == nil && len(b.Processes) >= MaxProcesses {
+		if process == nil && len(s.Processes) >= MaxProcesses {
 			return fmt.Errorf("%d processes are registered already", MaxProcesses)
 		}
-		p = &Process{Name: c.Process.Name, Formats: c.Process.Formats, Prepared: map[string]int{}, Quiesced: map[string]int{}, Refusals: map[string]Refusal{}}
-		b.Processes[p.Name] = p
+		process = &Process{Name: c.Process.Name, Formats: c.Process.Formats, Prepared: map[string]int{}, Quiesced: map[string]int{}, Refusals: map[string]Refusal{}}
+		s.Processes[process.Name] = process
 	}
-	if p == nil {
+	if process == nil {
 		return fmt.Errorf("%w: %s", ErrNotRegistered, c.Process.Name)
 	}
-	for name := range p.Formats {
-		if d := b.Documents[name]; d != nil && d.Proposed != nil {
-			p.take(d, c.Process)
+	for name := range process.Formats {
+		if doc := s.Documents[name]; doc != nil && doc.Proposed != nil {
+			process.applyReport(doc, c.Process)
 		}
 	}
 	return nil
 }
 
-// take takes what a process reports of a change that is under way. What a late report says of another version is no news.
-func (p *Process) take(d *Document, reported *Process) {
+// applyReport takes what a process reports of a change that is under way. What a late report says of another version is no news.
+func (p *Process) applyReport(d *Document, reported *Process) {
 	name, version := d.Name, d.Proposed.ID.Version
 	if reported.Prepared[name] == version {
 		p.Prepared[name] = version
@@ -38,28 +38,28 @@
 	if reported.Quiesced[name] == version && p.Prepared[name] == version && d.Stage == StageQuiescing {
 		p.Quiesced[name] = version
 	}
-	if r, ok := reported.Refusals[name]; ok && r.Version == version {
+	if refusal, ok := reported.Refusals[name]; ok && refusal.Version == version {
 		if p.Refusals == nil {
 			p.Refusals = map[string]Refusal{}
 		}
-		r.Reason = clip(r.Reason)
-		p.Refusals[name] = r
+		refusal.Reason = clip(refusal.Reason)
+		p.Refusals[name] = refusal
 	}
 }
 
 // HasNews reports whether a report of a process adds to what is known of it. Where it does not, it need not go into the group's log.
-func (b *Store) HasNews(u Process) bool {
-	known := b.Processes[u.Name]
+func (s *Store) HasNews(reported Process) bool {
+	known := s.Processes[reported.Name]
 	if known == nil {
 		return true
 	}
-	for name, d := range b.Documents {
+	for name, d := range s.Documents {
 		if _, uses := known.Formats[name]; !uses || d.Proposed == nil {
 			continue
 		}
-		n := d.Proposed.ID.Version
-		if u.Prepared[name] == n && known.Prepared[name] != n || u.Quiesced[name] == n && known.Quiesced[name] != n && d.Stage == StageQuiescing ||
-			u.Refusals[name].Version == n && known.Refusals[name].Version != n {
+		version := d.Proposed.ID.Version
+		if reported.Prepared[name] == version && known.Prepared[name] != version || reported.Quiesced[name] == version && known.Quiesced[name] != version && d.Stage == StageQuiescing ||
+			reported.Refusals[name].Version == version && known.Refusals[name].Version != version {
 			return true
 		}
 	}
--- a/internal/policy/configstore/propose.go
+++ b/internal/policy/configstore/propose.go
@@ -7,13 +7,13 @@
 )
 
 // propose begins a change of a document, on top of its active version.
-func (b *Store) propose(c Change) (*Document, error) {
-	d := b.Documents[c.Doc]
+func (s *Store) propose(c Change) (*Document, error) {
+	d := s.Documents[c.Doc]
 	if d == nil {
 		d = &Document{Name: c.Doc}
 	}
 	inParts := len(c.Parts) > 0 || c.Draft != ""
-	if err := b.checkProposal(d, c, inParts); err != nil {
+	if err := s.checkProposal(d, c, inParts); err != nil {
 		return d, err
 	}
 	digest := NewID(1, []byte(c.Text)).Digest
@@ -38,14 +38,14 @@
 		r.Format, d.Draft = max(PartsFormat, c.Format), nil
 	}
 	d.Proposed, d.Stage, d.HoldReason = r, StageProposed, clip(c.Reason)
-	b.Documents[c.Doc] = d
+	s.Documents[c.Doc] = d
 	return d, nil
 }
 
 // checkProposal names why a change can't be proposed, before its contents are looked at.
-func (b *Store) checkProposal(d *Document, c Change, inParts bool) error {
+func (s *Store) checkProposal(d *Document, c Change, inParts bool) error {
 	switch {
-	case c.Doc == "" || len(b.Documents) >= maxDocuments && b.Documents[c.Doc] == nil:
+	case c.Doc == "" || len(s.Documents) >= maxDocuments && s.Documents[c.Doc] == nil:
 		return fmt.Errorf("%d documents are all that there can be", maxDocuments)
 	case !inParts && d.Active != nil && d.Active.InParts:
 		return fmt.Errorf("%s is in parts: a whole text can't be put on it, silverpath rules put splits it", c.Doc)
@@ -80,15 +80,15 @@
 	if d.Active.InParts {
 		return fmt.Errorf("%s is in parts, of which no version before is kept: put what it was", c.Doc)
 	}
-	for _, was := range slices.Backward(d.History) {
-		if was.ActiveSince == 0 || was.ID.Digest == d.Active.ID.Digest {
+	for _, previous := range slices.Backward(d.History) {
+		if previous.ActiveSince == 0 || previous.ID.Digest == d.Active.ID.Digest {
 			continue // it was never in force
 		}
 		d.rejectDigest(d.Active.ID.Digest)
 		d.Active.Outcome = clip("taken back: " + c.Reason)
 		d.HighestVersion++
-		d.Proposed = &Revision{ID: ID{d.HighestVersion, was.ID.Digest}, Format: was.Format, Text: was.Text, Author: clip(c.Author), ProposedAt: c.At,
-			Exclusive: d.Active.Exclusive, Scope: d.Active.Scope, RevertsTo: was.ID.Version}
+		d.Proposed = &Revision{ID: ID{d.HighestVersion, previous.ID.Digest}, Format: previous.Format, Text: previous.Text, Author: clip(c.Author), ProposedAt: c.At,
+			Exclusive: d.Active.Exclusive, Scope: d.Active.Scope, RevertsTo: previous.ID.Version}
 		d.Stage, d.HoldReason = StageProposed, ""
 		return nil
 	}
@@ -96,30 +96,30 @@
 }
 
 // loadDraft takes parts into the document's draft, which a later proposal names: a change that is too large for one log entry.
-func (b *Store) loadDraft(c Change) (*Document, error) {
-	d := b.Documents[c.Doc]
+func (s *Store) loadDraft(c Change) (*Document, error) {
+	d := s.Documents[c.Doc]
 	if d == nil {
-		if c.Doc == "" || len(b.Documents) >= maxDocuments {
+		if c.Doc == "" || len(s.Documents) >= maxDocuments {
 			return nil, fmt.Errorf("%d documents are all that there can be", maxDocuments)
 		}
 		d = &Document{Name: c.Doc}
 	}
-	if c.Draft == "" || len(c.Draft) > maxPartName {
-		return d, fmt.Errorf("%s: a draft's name: of 1 to %d bytes", c.Doc, maxPartName)
+	if c.Draft == "" || len(c.Draft) > maxPartNameSize {
+		return d, fmt.Errorf("%s: a draft's name: of 1 to %d bytes", c.Doc, maxPartNameSize)
 	}
 	if err := CheckChangeSize(c.Doc, c.Parts); err != nil {
 		return d, err
 	}
-	all := map[string]string{}
+	drafted := map[string]string{}
 	if d.Draft != nil && d.Draft.ID == c.Draft {
-		maps.Copy(all, d.Draft.Parts)
+		maps.Copy(drafted, d.Draft.Parts)
 	}
-	maps.Copy(all, c.Parts)
-	if err := CheckSize(c.Doc, all); err != nil {
+	maps.Copy(drafted, c.Parts)
+	if err := CheckSize(c.Doc, drafted); err != nil {
 		return d, err
 	}
-	d.Draft = &Draft{c.Draft, all}
-	b.Documents[c.Doc] = d
+	d.Draft = &Draft{c.Draft, drafted}
+	s.Documents[c.Doc] = d
 	return d, nil
 }
 
@@ -141,34 +141,34 @@
 	if err != nil {
 		return nil, 0, err
 	}
-	var force map[string]Part
+	var active map[string]Part
 	if d.Active != nil {
-		force = d.Active.Parts
+		active = d.Active.Parts
 	}
 	changed = map[string]Part{}
 	for name, text := range texts {
 		p := Part{d.HighestVersion + 1, PartDigest(text), text}
-		if was, ok := force[name]; !ok || was.Digest != p.Digest {
+		if previous, ok := active[name]; !ok || previous.Digest != p.Digest {
 			changed[name] = p
 		}
 	}
-	all := merged(force, changed)
-	whole := make(map[string]string, len(all))
-	for name, p := range all {
-		whole[name] = p.Text
+	merged := mergeParts(active, changed)
+	allTexts := make(map[string]string, len(merged))
+	for name, p := range merged {
+		allTexts[name] = p.Text
 	}
-	if err := CheckSize(d.Name, whole); err != nil {
+	if err := CheckSize(d.Name, allTexts); err != nil {
 		return nil, 0, err
 	}
-	if digest = PartsDigest(all); digest != c.Digest {
+	if digest = PartsDigest(merged); digest != c.Digest {
 		return nil, 0, fmt.Errorf("%s: with these parts its digest is %016x, not %016x: they are of another version", d.Name, digest, c.Digest)
 	}
 	return changed, digest, nil
 }
 
-func merged(parts, over map[string]Part) map[string]Part {
-	all := make(map[string]Part, len(parts)+len(over))
-	maps.Copy(all, parts)
-	maps.Copy(all, over)
-	return all
+func mergeParts(parts, changed map[string]Part) map[string]Part {
+	merged := make(map[string]Part, len(parts)+len(changed))
+	maps.Copy(merged, parts)
+	maps.Copy(merged, changed)
+	return merged
 }
--- a/internal/policy/configstore/replica.go
+++ b/internal/policy/configstore/replica.go
@@ -62,67 +62,67 @@
 // NewReplica returns the side of a process that is not confirmed. Name is that of one start of it, and formats has the highest format
 // that it reads of each document that it uses.
 func NewReplica(name string, formats map[string]int) *Replica {
-	h := &Replica{Name: name, formats: formats, docs: map[string]*replicaDocument{}}
-	for name := range formats {
-		h.docs[name] = &replicaDocument{}
+	r := &Replica{Name: name, formats: formats, docs: map[string]*replicaDocument{}}
+	for doc := range formats {
+		r.docs[doc] = &replicaDocument{}
 	}
-	return h
+	return r
 }
 
 // LastConfirmed is when it asked for what confirmed it last: what it acts on was the newest then.
-func (h *Replica) LastConfirmed() time.Duration { return h.lastConfirmed }
+func (r *Replica) LastConfirmed() time.Duration { return r.lastConfirmed }
 
 // PollInterval is how long it waits before it asks the group again: a third of the lease, so that two answers may be lost, and a twelfth
 // while a change is proposed or parts are missing.
-func (h *Replica) PollInterval() time.Duration {
-	for _, d := range h.docs {
-		if d.proposed != nil {
-			return h.terms.TTL / 12
+func (r *Replica) PollInterval() time.Duration {
+	for _, doc := range r.docs {
+		if doc.proposed != nil {
+			return r.terms.TTL / 12
 		}
 	}
-	if !h.IsCurrent() {
-		return h.terms.TTL / 12 // it is not confirmed until it has what is active
+	if !r.IsCurrent() {
+		return r.terms.TTL / 12 // it is not confirmed until it has what is active
 	}
-	return h.terms.TTL / 3
+	return r.terms.TTL / 3
 }
 
 // Report is what it tells the group of itself.
-func (h *Replica) Report() Process {
-	u := Process{Name: h.Name, Formats: h.formats, Prepared: map[string]int{}, Quiesced: map[string]int{}, Refusals: map[string]Refusal{}}
-	for name, d := range h.docs {
+func (r *Replica) Report() Process {
+	report := Process{Name: r.Name, Formats: r.formats, Prepared: map[string]int{}, Quiesced: map[string]int{}, Refusals: map[string]Refusal{}}
+	for name, d := range r.docs {
 		if d.proposed == nil {
 			continue
 		}
-		n := d.proposed.ID.Version
-		if d.refusal.Version == n {
-			u.Refusals[name] = d.refusal
+		version := d.proposed.ID.Version
+		if d.refusal.Version == version {
+			report.Refusals[name] = d.refusal
 		} else if d.isPrepared() {
-			u.Prepared[name] = n
+			report.Prepared[name] = version
 		}
-		if d.quiescedFor == n {
-			u.Quiesced[name] = n
+		if d.quiescedFor == version {
+			report.Quiesced[name] = version
 		}
 	}
-	return u
+	return report
 }
 
 // KnownVersions are the versions whose texts it has, or whose parts it can name, by document: it need not be told of them again.
-func (h *Replica) KnownVersions() map[string][]int {
-	has := map[string][]int{}
-	for name, d := range h.docs {
-		for _, e := range []*Revision{d.active, d.proposed} {
-			if e != nil && (!e.InParts || d.knowsParts(e.ID)) {
-				has[name] = append(has[name], e.ID.Version)
+func (r *Replica) KnownVersions() map[string][]int {
+	known := map[string][]int{}
+	for name, d := range r.docs {
+		for _, revision := range []*Revision{d.active, d.proposed} {
+			if revision != nil && (!revision.InParts || d.hasManifest(revision.ID)) {
+				known[name] = append(known[name], revision.ID.Version)
 			}
 		}
 	}
-	return has
+	return known
 }
 
-// knowsParts reports whether the parts of a version are known by names and digests.
-func (d *replicaDocument) knowsParts(id ID) bool {
-	for _, p := range []*partialDocument{d.activeParts, d.proposedParts} {
-		if p != nil && p.id == id && p.parts != nil {
+// hasManifest reports whether the parts of a version are known by names and digests.
+func (d *replicaDocument) hasManifest(id ID) bool {
+	for _, partial := range []*partialDocument{d.activeParts, d.proposedParts} {
+		if partial != nil && partial.id == id && partial.parts != nil {
 			return true
 		}
 	}
@@ -130,12 +130,12 @@
 }
 
 // ActiveVersions are the versions that it acts on, by document.
-func (h *Replica) ActiveVersions() map[string]int {
-	acts := map[string]int{}
-	for name, d := range h.docs {
-		acts[name] = d.activeVersion
+func (r *Replica) ActiveVersions() map[string]int {
+	versions := map[string]int{}
+	for name, d := range r.docs {
+		versions[name] = d.activeVersion
 	}
-	return acts
+	return versions
 }
 
 // Why nothing exclusive begins. The texts stand in the status, in the log and on the wire.
@@ -146,11 +146,11 @@
 )
 
 // ConfirmedUntil is when its confirmation ends, unless an answer comes before.
-func (h *Replica) ConfirmedUntil() time.Duration { return h.confirmedUntil }
+func (r *Replica) ConfirmedUntil() time.Duration { return r.confirmedUntil }
 
 // IsQuiesced reports whether it has stopped what a change excludes. It has to have done so before Report says so.
-func (h *Replica) IsQuiesced() bool {
-	for _, d := range h.docs {
+func (r *Replica) IsQuiesced() bool {
+	for _, d := range r.docs {
 		if d.quiescedFor != 0 {
 			return true
 		}
@@ -159,11 +159,11 @@
 }
 
 // StopReason is why nothing exclusive begins, empty where it may.
-func (h *Replica) StopReason(now time.Duration) string {
+func (r *Replica) StopReason(now time.Duration) string {
 	switch {
-	case now >= h.confirmedUntil:
+	case now >= r.confirmedUntil:
 		return StopUnconfirmed
-	case h.IsQuiesced():
+	case r.IsQuiesced():
 		return StopQuiescing
 	}
 	return ""
@@ -172,17 +172,17 @@
 // Receive takes what the group has answered to a request that was made at a time: its terms, and its documents as its log had them up to
 // an index. Check is an error that tells why this process can't act on a document's text; it is called once of each. Receive returns what
 // to act on now.
-func (h *Replica) Receive(asked time.Duration, index uint64, terms lease.Terms, docs map[string]View, check func(name, text string) error) (updates []Update) {
+func (r *Replica) Receive(requestedAt time.Duration, index uint64, terms lease.Terms, docs map[string]View, check func(name, text string) error) (updates []Update) {
 	// An answer that was delayed, after a newer one. It may have been asked for later and yet know less, as it came from a member that
 	// lagged: what was stopped by the newer one would begin again while others act on its successor. The index of the log tells.
-	if index < h.logIndex && !h.Disabled.IndexCheck {
+	if index < r.logIndex && !r.Disabled.IndexCheck {
 		return nil
 	}
-	h.logIndex, h.terms = index, terms
-	for name, d := range h.docs {
-		v := docs[name]
-		d.active, d.proposed, d.stage = d.withText(v.Active), d.withText(v.Proposed), v.Stage
-		d.activeParts, d.proposedParts = d.partsOf(v, h.Disabled)
+	r.logIndex, r.terms = index, terms
+	for name, d := range r.docs {
+		view := docs[name]
+		d.active, d.proposed, d.stage = d.withText(view.Active), d.withText(view.Proposed), view.Stage
+		d.activeParts, d.proposedParts = d.partsOf(view, r.Disabled)
 		switch {
 		case d.proposed != nil && d.stage == StageQuiescing:
 			d.quiescedFor = d.proposed.ID.Version
@@ -190,42 +190,42 @@
 			d.quiescedFor = 0
 		}
 	}
-	updates = h.deliver(asked, check)
+	updates = r.deliver(requestedAt, check)
 	// What it lacks a part of it doesn't act on, and so this answer does not confirm it.
-	if h.IsCurrent() {
-		h.lastConfirmed = max(h.lastConfirmed, asked)
-		h.confirmedUntil = max(h.confirmedUntil, asked+terms.HolderTTL())
+	if r.IsCurrent() {
+		r.lastConfirmed = max(r.lastConfirmed, requestedAt)
+		r.confirmedUntil = max(r.confirmedUntil, requestedAt+terms.HolderTTL())
 	}
 	return updates
 }
 
 // deliver checks what is proposed and returns what the process has to act on now: the active version, or the proposed one where the
 // process is a canary of it. Of a document in parts that is once all of them are here.
-func (h *Replica) deliver(now time.Duration, check func(name, text string) error) (updates []Update) {
-	for _, name := range slices.Sorted(maps.Keys(h.docs)) {
-		d := h.docs[name]
+func (r *Replica) deliver(now time.Duration, check func(name, text string) error) (updates []Update) {
+	for _, name := range slices.Sorted(maps.Keys(r.docs)) {
+		d := r.docs[name]
 		if d.proposed != nil && d.refusal.Version != d.proposed.ID.Version {
 			d.refusal = Refusal{}
-			if err := h.checkProposed(now, name, d, check); err != nil {
+			if err := r.checkProposed(now, name, d, check); err != nil {
 				d.refusal = Refusal{d.proposed.ID.Version, err.Error()}
 			}
 		}
-		to, parts := d.active, d.activeParts
-		if d.proposed != nil && d.stage == StageCanary && slices.Contains(d.proposed.Canaries, h.Name) {
-			to, parts = d.proposed, d.proposedParts
+		target, parts := d.active, d.activeParts
+		if d.proposed != nil && d.stage == StageCanary && slices.Contains(d.proposed.Canaries, r.Name) {
+			target, parts = d.proposed, d.proposedParts
 		}
-		if to == nil || d.isDelivered(to) {
+		if target == nil || d.isDelivered(target) {
 			continue
 		}
 		switch {
-		case !to.InParts:
-			d.activeVersion, d.delivered = to.ID.Version, nil
-			updates = append(updates, Update{Doc: name, Revision: to})
-		case parts.isComplete() && parts.id == to.ID:
-			u := Update{Doc: name, Revision: to}
-			u.Parts, u.Complete = d.changesTo(parts)
-			d.activeVersion, d.delivered = to.ID.Version, parts
-			updates = append(updates, u)
+		case !target.InParts:
+			d.activeVersion, d.delivered = target.ID.Version, nil
+			updates = append(updates, Update{Doc: name, Revision: target})
+		case parts.isComplete() && parts.id == target.ID:
+			update := Update{Doc: name, Revision: target}
+			update.Parts, update.Complete = d.changesTo(parts)
+			d.activeVersion, d.delivered = target.ID.Version, parts
+			updates = append(updates, update)
 		}
 	}
 	return updates
@@ -238,18 +238,18 @@
 
 // checkProposed checks the proposed revision: one in parts once it is complete, and then again each third of the lease, as whether the
 // process can act on it may depend on the time.
-func (h *Replica) checkProposed(now time.Duration, name string, d *replicaDocument, check func(name, text string) error) error {
+func (r *Replica) checkProposed(now time.Duration, name string, d *replicaDocument, check func(name, text string) error) error {
 	switch {
 	case !d.proposed.InParts:
 		return check(name, d.proposed.Text)
-	case !d.proposedParts.isComplete() || d.proposedParts.id != d.proposed.ID || h.CheckParts == nil:
+	case !d.proposedParts.isComplete() || d.proposedParts.id != d.proposed.ID || r.CheckParts == nil:
 		return nil
-	case d.checked == d.proposed.ID && now-d.checkedAt < h.terms.TTL/3:
+	case d.checked == d.proposed.ID && now-d.checkedAt < r.terms.TTL/3:
 		return nil
 	}
 	changed, complete := d.changesTo(d.proposedParts)
 	d.checked, d.checkedAt = d.proposed.ID, now
-	return h.CheckParts(name, changed, complete)
+	return r.CheckParts(name, changed, complete)
 }
 
 // isPrepared reports whether the proposed revision is here and was checked.
@@ -258,9 +258,9 @@
 }
 
 // IsCurrent reports whether it acts on what it was told is active, or on what it is a canary of. Only parts can be missing.
-func (h *Replica) IsCurrent() bool {
-	for _, d := range h.docs {
-		if d.active != nil && d.active.InParts && !d.acts(d.active) && (d.stage != StageCanary || !d.acts(d.proposed)) {
+func (r *Replica) IsCurrent() bool {
+	for _, d := range r.docs {
+		if d.active != nil && d.active.InParts && !d.actsOn(d.active) && (d.stage != StageCanary || !d.actsOn(d.proposed)) {
 			return false
 		}
 	}
@@ -268,76 +268,76 @@
 }
 
 // acts reports whether the process acts on a revision of a document in parts.
-func (d *replicaDocument) acts(r *Revision) bool {
+func (d *replicaDocument) actsOn(r *Revision) bool {
 	return r != nil && d.delivered != nil && d.delivered.id == r.ID
 }
 
 // OutdatedVersions are the versions that it acts on of documents of which parts of the active one are missing, by document.
-func (h *Replica) OutdatedVersions() map[string]int {
-	old := map[string]int{}
-	for name, d := range h.docs {
+func (r *Replica) OutdatedVersions() map[string]int {
+	versions := map[string]int{}
+	for name, d := range r.docs {
 		if d.active != nil && d.active.InParts && d.activeVersion != d.active.ID.Version && !d.activeParts.isComplete() {
-			old[name] = d.activeVersion
+			versions[name] = d.activeVersion
 		}
 	}
-	return old
+	return versions
 }
 
 // Redeliver has a document that the process could not act on after all be delivered again, whole.
-func (h *Replica) Redeliver(name string) {
-	if d := h.docs[name]; d != nil && d.delivered != nil {
+func (r *Replica) Redeliver(name string) {
+	if d := r.docs[name]; d != nil && d.delivered != nil {
 		d.delivered = nil
 	}
 }
 
 // withText puts in the text of a revision that is here already.
-func (d *replicaDocument) withText(e *Revision) *Revision {
-	if e == nil || e.Text != "" || e.InParts {
-		return e
+func (d *replicaDocument) withText(revision *Revision) *Revision {
+	if revision == nil || revision.Text != "" || revision.InParts {
+		return revision
 	}
-	for _, was := range []*Revision{d.active, d.proposed} {
-		if was != nil && was.ID == e.ID {
-			full := *e
-			full.Text = was.Text
-			return &full
+	for _, previous := range []*Revision{d.active, d.proposed} {
+		if previous != nil && previous.ID == revision.ID {
+			complete := *revision
+			complete.Text = previous.Text
+			return &complete
 		}
 	}
-	return e
+	return revision
 }
 
 // PauseScopes is what pauses here for changes that quiesce, empty where none does.
-func (h *Replica) PauseScopes() (list []*PauseScope) {
-	for _, name := range slices.Sorted(maps.Keys(h.docs)) {
-		d := h.docs[name]
+func (r *Replica) PauseScopes() (scopes []*PauseScope) {
+	for _, name := range slices.Sorted(maps.Keys(r.docs)) {
+		d := r.docs[name]
 		if d.quiescedFor == 0 {
 			continue
 		}
-		if here := d.isPrepared(); d.scope == nil || d.scopeOf != d.proposed.ID || d.scopeComplete != here {
-			d.scope, d.scopeOf, d.scopeComplete = &PauseScope{}, d.proposed.ID, here
+		if prepared := d.isPrepared(); d.scope == nil || d.scopeOf != d.proposed.ID || d.scopeComplete != prepared {
+			d.scope, d.scopeOf, d.scopeComplete = &PauseScope{}, d.proposed.ID, prepared
 			d.scope.Add(d.proposed.Scope, d.activeAndProposedTexts())
 		}
-		list = append(list, d.scope)
+		scopes = append(scopes, d.scope)
 	}
-	return list
+	return scopes
 }
 
 // activeAndProposedTexts are the texts of the active and the proposed revision, or of their parts.
-func (d *replicaDocument) activeAndProposedTexts() (list []string) {
-	for _, e := range []*Revision{d.active, d.proposed} {
-		if e != nil && e.Text != "" {
-			list = append(list, e.Text)
+func (d *replicaDocument) activeAndProposedTexts() (texts []string) {
+	for _, revision := range []*Revision{d.active, d.proposed} {
+		if revision != nil && revision.Text != "" {
+			texts = append(texts, revision.Text)
 		}
 	}
-	for _, p := range []*partialDocument{d.delivered, d.proposedParts} {
-		if p == nil {
+	for _, partial := range []*partialDocument{d.delivered, d.proposedParts} {
+		if partial == nil {
 			continue
 		}
-		for _, name := range slices.Sorted(maps.Keys(p.parts)) {
-			if p != d.delivered && d.delivered != nil && d.delivered.parts[name].Digest == p.parts[name].Digest {
+		for _, name := range slices.Sorted(maps.Keys(partial.parts)) {
+			if partial != d.delivered && d.delivered != nil && d.delivered.parts[name].Digest == partial.parts[name].Digest {
 				continue
 			}
-			list = append(list, cmp.Or(p.parts[name].Text, "not here"))
+			texts = append(texts, cmp.Or(partial.parts[name].Text, "not here"))
 		}
 	}
-	return list
+	return texts
 }
--- a/internal/policy/configstore/replicaparts.go
+++ b/internal/policy/configstore/replicaparts.go
@@ -21,8 +21,8 @@
 	if p == nil || p.parts == nil {
 		return false
 	}
-	for _, one := range p.parts {
-		if one.Text == "" {
+	for _, part := range p.parts {
+		if part.Text == "" {
 			return false
 		}
 	}
@@ -55,64 +55,64 @@
 }
 
 // partsOf are the parts of the active and the proposed revision, by what the process was told.
-func (d *replicaDocument) partsOf(v View, out DisabledGuards) (active, proposed *partialDocument) {
-	if v.Active != nil && v.Active.InParts {
-		var base *partialDocument
-		if v.Active.Parts != nil {
-			base = d.base(v.Since, out)
+func (d *replicaDocument) partsOf(view View, disabled DisabledGuards) (active, proposed *partialDocument) {
+	if view.Active != nil && view.Active.InParts {
+		var basis *partialDocument
+		if view.Active.Parts != nil {
+			basis = d.basisFor(view.Since, disabled)
 		}
-		active = d.partsInView(v.Active, base, out)
+		active = d.partsInView(view.Active, basis, disabled)
 	}
-	if v.Proposed != nil && v.Proposed.InParts {
-		base := active
-		if base == nil {
-			base = &partialDocument{parts: map[string]Part{}} // the first in parts
+	if view.Proposed != nil && view.Proposed.InParts {
+		basis := active
+		if basis == nil {
+			basis = &partialDocument{parts: map[string]Part{}} // the first in parts
 		}
-		proposed = d.partsInView(v.Proposed, base, out)
+		proposed = d.partsInView(view.Proposed, basis, disabled)
 	}
 	return active, proposed
 }
 
 // partsInView is what the process has of a revision that it was told of: nothing but its ID where that doesn't follow from what is here.
 // Base is what the parts that came differ from, nil for unknown.
-func (d *replicaDocument) partsInView(e *Revision, base *partialDocument, out DisabledGuards) *partialDocument {
-	for _, p := range []*partialDocument{d.delivered, d.activeParts, d.proposedParts} {
-		if p != nil && p.id == e.ID && p.parts != nil {
-			return p
+func (d *replicaDocument) partsInView(revision *Revision, basis *partialDocument, disabled DisabledGuards) *partialDocument {
+	for _, known := range []*partialDocument{d.delivered, d.activeParts, d.proposedParts} {
+		if known != nil && known.id == revision.ID && known.parts != nil {
+			return known
 		}
 	}
-	to := &partialDocument{id: e.ID}
-	if base == nil || base.parts == nil || e.Parts == nil {
-		return to
+	partial := &partialDocument{id: revision.ID}
+	if basis == nil || basis.parts == nil || revision.Parts == nil {
+		return partial
 	}
-	parts := make(map[string]Part, len(base.parts)+len(e.Parts))
-	maps.Copy(parts, base.parts)
-	for name, p := range e.Parts {
-		if p.Text != "" && PartDigest(p.Text) != p.Digest && !out.TextCheck {
-			d.noteMismatch("part %s of %v: its text has another digest", name, e.ID)
-			p.Text = ""
+	parts := make(map[string]Part, len(basis.parts)+len(revision.Parts))
+	maps.Copy(parts, basis.parts)
+	for name, part := range revision.Parts {
+		if part.Text != "" && PartDigest(part.Text) != part.Digest && !disabled.TextCheck {
+			d.noteMismatch("part %s of %v: its text has another digest", name, revision.ID)
+			part.Text = ""
 		}
-		if p.Text == "" {
-			p.Text = d.text(name, p.Digest)
+		if part.Text == "" {
+			part.Text = d.findText(name, part.Digest)
 		}
-		parts[name] = p
+		parts[name] = part
 	}
-	if PartsDigest(parts) != e.ID.Digest && !out.SumCheck {
-		d.noteMismatch("%v: its parts come to another digest", e.ID)
-		return to
+	if PartsDigest(parts) != revision.ID.Digest && !disabled.SumCheck {
+		d.noteMismatch("%v: its parts come to another digest", revision.ID)
+		return partial
 	}
-	to.parts = parts
-	return to
+	partial.parts = parts
+	return partial
 }
 
 // base is the version here that parts which changed since another one are put on, nil where there is none.
-func (d *replicaDocument) base(since int, out DisabledGuards) *partialDocument {
+func (d *replicaDocument) basisFor(since int, disabled DisabledGuards) *partialDocument {
 	if since == 0 {
 		return &partialDocument{parts: map[string]Part{}}
 	}
-	for _, p := range []*partialDocument{d.delivered, d.activeParts} {
-		if p != nil && p.parts != nil && (p.id.Version == since || out.SinceCheck) {
-			return p
+	for _, known := range []*partialDocument{d.delivered, d.activeParts} {
+		if known != nil && known.parts != nil && (known.id.Version == since || disabled.SinceCheck) {
+			return known
 		}
 	}
 	d.noteMismatch("what changed since version %d was told, which is not here", since)
@@ -120,10 +120,10 @@
 }
 
 // text finds the text of a part that is here already, under whichever version.
-func (d *replicaDocument) text(name string, digest uint64) string {
-	for _, p := range []*partialDocument{d.delivered, d.activeParts, d.proposedParts} {
-		if p != nil && p.parts[name].Text != "" && p.parts[name].Digest == digest {
-			return p.parts[name].Text
+func (d *replicaDocument) findText(name string, digest uint64) string {
+	for _, known := range []*partialDocument{d.delivered, d.activeParts, d.proposedParts} {
+		if known != nil && known.parts[name].Text != "" && known.parts[name].Digest == digest {
+			return known.parts[name].Text
 		}
 	}
 	return ""
@@ -136,38 +136,38 @@
 }
 
 // TakeMismatches are the answers that did not follow from what was here since the last call, by document.
-func (h *Replica) TakeMismatches() map[string]Mismatch {
-	all := map[string]Mismatch{}
-	for name, d := range h.docs {
+func (r *Replica) TakeMismatches() map[string]Mismatch {
+	mismatches := map[string]Mismatch{}
+	for name, d := range r.docs {
 		if d.mismatches.Count > 0 {
-			all[name], d.mismatches = d.mismatches, Mismatch{}
+			mismatches[name], d.mismatches = d.mismatches, Mismatch{}
 		}
 	}
-	return all
+	return mismatches
 }
 
 // CompleteVersions are the versions of documents in parts that it acts on: it is told what has changed since.
-func (h *Replica) CompleteVersions() map[string]int {
-	bases := map[string]int{}
-	for name, d := range h.docs {
+func (r *Replica) CompleteVersions() map[string]int {
+	versions := map[string]int{}
+	for name, d := range r.docs {
 		if d.delivered != nil {
-			bases[name] = d.delivered.id.Version
+			versions[name] = d.delivered.id.Version
 		}
 	}
-	return bases
+	return versions
 }
 
 // changesTo are the texts of the parts of a version that differ from what the process acts on. Whole says that they are all.
-func (d *replicaDocument) changesTo(to *partialDocument) (changed map[string]string, complete bool) {
+func (d *replicaDocument) changesTo(target *partialDocument) (changed map[string]string, complete bool) {
 	changed, complete = map[string]string{}, d.delivered == nil
 	if !complete {
 		for name := range d.delivered.parts {
-			if _, ok := to.parts[name]; !ok {
+			if _, ok := target.parts[name]; !ok {
 				complete = true // one is gone
 			}
 		}
 	}
-	for name, p := range to.parts {
+	for name, p := range target.parts {
 		if complete || d.delivered.parts[name].Digest != p.Digest {
 			changed[name] = p.Text
 		}
@@ -177,59 +177,59 @@
 
 // ReceiveParts takes the answer to a request: of a version by its ID, parts with their texts, or without where the request named none.
 // It returns what to act on now.
-func (h *Replica) ReceiveParts(now time.Duration, w PartsRequest, id ID, parts map[string]Part, check func(name, text string) error) []Update {
-	gained := false
-	d := h.docs[w.Doc]
-	for _, p := range []*partialDocument{d.activeParts, d.proposedParts} {
-		if p == nil || p.id != id || p.isComplete() {
+func (r *Replica) ReceiveParts(now time.Duration, request PartsRequest, id ID, parts map[string]Part, check func(name, text string) error) []Update {
+	progressed := false
+	d := r.docs[request.Doc]
+	for _, partial := range []*partialDocument{d.activeParts, d.proposedParts} {
+		if partial == nil || partial.id != id || partial.isComplete() {
 			continue
 		}
-		if len(w.Names) == 0 {
-			gained = d.takeManifest(p, parts, h.Disabled) || gained
+		if len(request.Names) == 0 {
+			progressed = d.acceptManifest(partial, parts, r.Disabled) || progressed
 		} else {
-			gained = d.takeTexts(p, parts, h.Disabled) || gained
+			progressed = d.acceptTexts(partial, parts, r.Disabled) || progressed
 		}
 	}
-	if !gained {
-		h.RequestFailed()
+	if !progressed {
+		r.RequestFailed()
 	} else {
-		h.pacer = requestPacer{isScheduled: true, notBefore: now} // the next request goes out at once: other processes drew other moments
+		r.pacer = requestPacer{isScheduled: true, notBefore: now} // the next request goes out at once: other processes drew other moments
 	}
-	return h.deliver(now, check)
+	return r.deliver(now, check)
 }
 
-// takeManifest takes the names and digests of all parts, and reports whether that was of use.
-func (d *replicaDocument) takeManifest(p *partialDocument, parts map[string]Part, out DisabledGuards) bool {
-	if p.parts != nil || len(parts) == 0 || len(parts) > MaxParts {
+// acceptManifest takes the names and digests of all parts, and reports whether that was of use.
+func (d *replicaDocument) acceptManifest(partial *partialDocument, parts map[string]Part, disabled DisabledGuards) bool {
+	if partial.parts != nil || len(parts) == 0 || len(parts) > MaxParts {
 		return false
 	}
-	if PartsDigest(parts) != p.id.Digest && !out.SumCheck {
-		d.noteMismatch("%v: the manifest has another digest", p.id)
+	if PartsDigest(parts) != partial.id.Digest && !disabled.SumCheck {
+		d.noteMismatch("%v: the manifest has another digest", partial.id)
 		return false
 	}
-	all := make(map[string]Part, len(parts))
-	for name, one := range parts {
-		one.Text = d.text(name, one.Digest)
-		all[name] = one
+	manifest := make(map[string]Part, len(parts))
+	for name, part := range parts {
+		part.Text = d.findText(name, part.Digest)
+		manifest[name] = part
 	}
-	p.parts = all
+	partial.parts = manifest
 	return true
 }
 
-// takeTexts takes texts of parts, and reports whether one was of use.
-func (d *replicaDocument) takeTexts(p *partialDocument, parts map[string]Part, out DisabledGuards) (gained bool) {
-	for name, got := range parts {
-		one, ok := p.parts[name]
-		if !ok || one.Text != "" || got.Text == "" {
+// acceptTexts takes texts of parts, and reports whether one was of use.
+func (d *replicaDocument) acceptTexts(partial *partialDocument, parts map[string]Part, disabled DisabledGuards) (progressed bool) {
+	for name, received := range parts {
+		part, ok := partial.parts[name]
+		if !ok || part.Text != "" || received.Text == "" {
 			continue
 		}
-		if PartDigest(got.Text) != one.Digest && !out.TextCheck {
-			d.noteMismatch("part %s of %v: its text has another digest", name, p.id)
+		if PartDigest(received.Text) != part.Digest && !disabled.TextCheck {
+			d.noteMismatch("part %s of %v: its text has another digest", name, partial.id)
 			continue
 		}
-		one.Text = got.Text
-		p.parts[name] = one
-		gained = true
+		part.Text = received.Text
+		partial.parts[name] = part
+		progressed = true
 	}
-	return gained
+	return progressed
 }
--- a/internal/policy/configstore/rollout.go
+++ b/internal/policy/configstore/rollout.go
@@ -13,17 +13,17 @@
 
 // advance takes a change to its next stage. The group's leader proposes it; that nothing is waited for is checked here, in the log's
 // order, by every member alike, as the leader may have been deposed meanwhile.
-func (b *Store) advance(d *Document, c Change) error {
+func (s *Store) advance(d *Document, c Change) error {
 	if c.Stage != d.Stage {
 		return fmt.Errorf("%w: it is %s, not %s", ErrNoSuchChange, d.Stage, c.Stage)
 	}
-	if why := b.WaitingFor(d); why != "" {
-		return fmt.Errorf("%w: %s", ErrNotReady, why)
+	if reason := s.WaitingFor(d); reason != "" {
+		return fmt.Errorf("%w: %s", ErrNotReady, reason)
 	}
 	switch {
 	case d.Stage == StageProposed && d.Proposed.Rollout != nil && d.Proposed.Rollout.CanaryRatio > 0 && !d.Proposed.Exclusive && d.Active != nil:
 		d.Stage = StageCanary
-		d.Proposed.Canaries = b.canaries(d)
+		d.Proposed.Canaries = s.canaries(d)
 	case d.Stage != StageQuiescing && d.Proposed.Exclusive && d.Active != nil:
 		d.Stage = StageQuiescing
 	default:
@@ -44,44 +44,44 @@
 
 // canaries are the processes that act on a change first: the first by the digests of their names with the change's ID, so that it is
 // not always the same ones. One at least.
-func (b *Store) canaries(d *Document) (names []string) {
-	for name, u := range b.Processes {
-		if _, uses := u.Formats[d.Name]; uses {
+func (s *Store) canaries(d *Document) (names []string) {
+	for name, process := range s.Processes {
+		if _, uses := process.Formats[d.Name]; uses {
 			names = append(names, name)
 		}
 	}
-	order := func(name string) uint64 { return NewID(1, []byte(fmt.Sprint(d.Proposed.ID, name))).Digest }
+	hash := func(name string) uint64 { return NewID(1, []byte(fmt.Sprint(d.Proposed.ID, name))).Digest }
 	slices.SortFunc(names, func(x, y string) int {
-		if order(x) < order(y) {
+		if hash(x) < hash(y) {
 			return -1
 		}
 		return 1
 	})
-	n := int(float64(len(names))*d.Proposed.Rollout.CanaryRatio + 0.5)
-	return names[:min(len(names), max(1, n))]
+	count := int(float64(len(names))*d.Proposed.Rollout.CanaryRatio + 0.5)
+	return names[:min(len(names), max(1, count))]
 }
 
 // WaitingFor names what the proposed revision of a document waits for, the first in the order of processes' names, empty for nothing.
-func (b *Store) WaitingFor(d *Document) string {
+func (s *Store) WaitingFor(d *Document) string {
 	if d.Proposed == nil {
 		return ""
 	}
 	if d.HoldReason != "" {
 		return "held: " + d.HoldReason
 	}
-	n := d.Proposed.ID.Version
-	for _, name := range slices.Sorted(maps.Keys(b.Processes)) {
-		u := b.Processes[name]
-		format, uses := u.Formats[d.Name]
+	version := d.Proposed.ID.Version
+	for _, name := range slices.Sorted(maps.Keys(s.Processes)) {
+		process := s.Processes[name]
+		format, uses := process.Formats[d.Name]
 		switch {
 		case !uses:
 		case format < d.Proposed.Format:
 			return fmt.Sprintf("%s reads format %d, and this is %d", name, format, d.Proposed.Format)
-		case d.Stage == StageProposed && u.Refusals[d.Name].Version == n:
-			return fmt.Sprintf("%s can't act on it: %s", name, u.Refusals[d.Name].Reason)
-		case d.Stage != StageQuiescing && u.Prepared[d.Name] != n:
+		case d.Stage == StageProposed && process.Refusals[d.Name].Version == version:
+			return fmt.Sprintf("%s can't act on it: %s", name, process.Refusals[d.Name].Reason)
+		case d.Stage != StageQuiescing && process.Prepared[d.Name] != version:
 			return name + " does not hold it yet"
-		case d.Stage == StageQuiescing && u.Quiesced[d.Name] != n:
+		case d.Stage == StageQuiescing && process.Quiesced[d.Name] != version:
 			return name + " has not stopped yet"
 		}
 	}
@@ -89,13 +89,13 @@
 }
 
 // RefusedBy is the first process that can't act on the proposed revision, and why; empty for none.
-func (b *Store) RefusedBy(d *Document) (who, why string) {
+func (s *Store) RefusedBy(d *Document) (process, reason string) {
 	if d.Proposed == nil || d.Stage != StageProposed {
 		return "", ""
 	}
-	for _, name := range slices.Sorted(maps.Keys(b.Processes)) {
-		if r := b.Processes[name].Refusals[d.Name]; r.Version == d.Proposed.ID.Version {
-			return name, r.Reason
+	for _, name := range slices.Sorted(maps.Keys(s.Processes)) {
+		if refusal := s.Processes[name].Refusals[d.Name]; refusal.Version == d.Proposed.ID.Version {
+			return name, refusal.Reason
 		}
 	}
 	return "", ""
--- a/internal/policy/configstore/scope.go
+++ b/internal/policy/configstore/scope.go
@@ -13,30 +13,30 @@
 )
 
 // ScopeOf names what the exclusive differences of a change touch, in order; nil where that is everything.
-func ScopeOf(doc string, list []Difference) (touched []string) {
+func ScopeOf(doc string, list []Difference) (scope []string) {
 	for _, d := range list {
 		if d.kind != KindExclusive && d.kind != KindUnknown {
 			continue
 		}
 		name := ""
-		for _, f := range []struct{ doc, array, field, as string }{
+		for _, rule := range []struct{ doc, array, field, prefix string }{
 			{DocClasses, "classes[", "].name", ScopeClass}, {DocClasses, "classes[", "].effect", ScopeClass}, {DocMap, "cells[", "].name", ScopeCell},
 		} {
-			if rest, ok := strings.CutPrefix(d.Path, f.array); ok && doc == f.doc && d.kind == KindExclusive {
-				if in, ok := strings.CutSuffix(rest, f.field); ok {
-					name = f.as + in
+			if rest, ok := strings.CutPrefix(d.Path, rule.array); ok && doc == rule.doc && d.kind == KindExclusive {
+				if element, ok := strings.CutSuffix(rest, rule.field); ok {
+					name = rule.prefix + element
 				}
 			}
 		}
 		if name == "" {
 			return nil
 		}
-		if !slices.Contains(touched, name) {
-			touched = append(touched, name)
+		if !slices.Contains(scope, name) {
+			scope = append(scope, name)
 		}
 	}
-	slices.Sort(touched)
-	return touched
+	slices.Sort(scope)
+	return scope
 }
 
 // PauseScope is what pauses at a process while an exclusive change quiesces.
@@ -49,43 +49,43 @@
 
 // Add adds what a change touches. Texts are those of its document before and after, or of their parts, by which it is known which
 // tenants live in a cell: where one can't be read, everything pauses.
-func (t *PauseScope) Add(touches []string, texts []string) {
-	if t.classes == nil {
-		t.classes, t.tenants, t.namedTenants = map[string]bool{}, map[string]bool{}, map[string]bool{}
+func (s *PauseScope) Add(scope []string, texts []string) {
+	if s.classes == nil {
+		s.classes, s.tenants, s.namedTenants = map[string]bool{}, map[string]bool{}, map[string]bool{}
 	}
-	if len(touches) == 0 {
-		t.all = true
+	if len(scope) == 0 {
+		s.all = true
 		return
 	}
 	cells := map[string]bool{}
-	for _, name := range touches {
+	for _, name := range scope {
 		if class, ok := strings.CutPrefix(name, ScopeClass); ok {
-			t.classes[class] = true
+			s.classes[class] = true
 		} else if cell, ok := strings.CutPrefix(name, ScopeCell); ok {
 			cells[cell] = true
 		} else {
-			t.all = true // of a newer build
+			s.all = true // of a newer build
 		}
 	}
-	if len(cells) == 0 || t.all {
+	if len(cells) == 0 || s.all {
 		return
 	}
 	for _, text := range texts {
-		var of struct {
+		var doc struct {
 			Tenants []struct {
 				Name  string
 				Homes []struct{ Cell string }
 			}
 		}
-		if json.Unmarshal([]byte(text), &of) != nil {
-			t.all = true // it can't be known who lives there
+		if json.Unmarshal([]byte(text), &doc) != nil {
+			s.all = true // it can't be known who lives there
 			return
 		}
-		for _, one := range of.Tenants {
-			t.namedTenants[one.Name] = true
-			for _, h := range one.Homes {
-				if cells[h.Cell] {
-					t.tenants[one.Name] = true
+		for _, tenant := range doc.Tenants {
+			s.namedTenants[tenant.Name] = true
+			for _, home := range tenant.Homes {
+				if cells[home.Cell] {
+					s.tenants[tenant.Name] = true
 				}
 			}
 		}
@@ -93,6 +93,6 @@
 }
 
 // Pauses reports whether requests with an idempotency key of a class and a tenant pause.
-func (t *PauseScope) Pauses(class, tenant string) bool {
-	return t.all || t.classes[class] || t.tenants[tenant] || t.tenants[""] && !t.namedTenants[tenant]
+func (s *PauseScope) Pauses(class, tenant string) bool {
+	return s.all || s.classes[class] || s.tenants[tenant] || s.tenants[""] && !s.namedTenants[tenant]
 }
--- a/internal/policy/configstore/store.go
+++ b/internal/policy/configstore/store.go
@@ -82,19 +82,19 @@
 
 // Apply does what a change asks, in the order of the group's log. It returns the document that the change is of, nil where it is of a
 // process. An error changes nothing; errors.Is tells the ones above, and the text goes to whoever asked.
-func (b *Store) Apply(c Change) (*Document, error) {
+func (s *Store) Apply(c Change) (*Document, error) {
 	switch c.Op {
 	case OpRegister, OpReport:
-		return nil, b.report(c)
+		return nil, s.recordReport(c)
 	case OpExpire:
-		delete(b.Processes, c.Author)
+		delete(s.Processes, c.Author)
 		return nil, nil
 	case OpPropose:
-		return b.propose(c)
+		return s.propose(c)
 	case OpLoadDraft:
-		return b.loadDraft(c)
+		return s.loadDraft(c)
 	}
-	d := b.Documents[c.Doc]
+	d := s.Documents[c.Doc]
 	if d == nil {
 		return nil, fmt.Errorf("%w: no document %q", ErrNoSuchChange, c.Doc)
 	}
@@ -112,7 +112,7 @@
 	case OpWithdraw:
 		d.withdraw(c)
 	case OpAdvance:
-		return d, b.advance(d, c)
+		return d, s.advance(d, c)
 	default:
 		return d, fmt.Errorf("no such op: %q", c.Op)
 	}
--- a/internal/policy/configstore/tracker.go
+++ b/internal/policy/configstore/tracker.go
@@ -73,32 +73,32 @@
 }
 
 // ExtendTerms takes the terms that a document, or another process, names. Of two, the longer ones hold: they err on the safe side.
-func (s *VersionTracker) ExtendTerms(t Terms) {
-	s.terms = Terms{max(s.terms.Lease, t.Lease), max(s.terms.ClockSkew, t.ClockSkew), max(s.terms.ClockDrift, t.ClockDrift),
-		max(s.terms.ProbeInterval, t.ProbeInterval), max(s.terms.ProbeTimeout, t.ProbeTimeout), max(s.terms.OverlapWindow, t.OverlapWindow)}
+func (t *VersionTracker) ExtendTerms(terms Terms) {
+	t.terms = Terms{max(t.terms.Lease, terms.Lease), max(t.terms.ClockSkew, terms.ClockSkew), max(t.terms.ClockDrift, terms.ClockDrift),
+		max(t.terms.ProbeInterval, terms.ProbeInterval), max(t.terms.ProbeTimeout, terms.ProbeTimeout), max(t.terms.OverlapWindow, terms.OverlapWindow)}
 }
 
 // at returns what is known of a version, new where it is not too old to matter.
-func (s *VersionTracker) at(n int, now time.Duration) (v *trackedVersion, newest bool) {
-	i, known := slices.BinarySearchFunc(s.versions, n, func(v *trackedVersion, n int) int { return cmp.Compare(v.number, n) })
-	if known {
-		return s.versions[i], false
+func (t *VersionTracker) findOrAdd(number int, now time.Duration) (v *trackedVersion, newest bool) {
+	index, found := slices.BinarySearchFunc(t.versions, number, func(v *trackedVersion, n int) int { return cmp.Compare(v.number, n) })
+	if found {
+		return t.versions[index], false
 	}
-	if i == 0 && len(s.versions) >= maxVersions {
+	if index == 0 && len(t.versions) >= maxVersions {
 		return nil, false
 	}
-	newest = i == len(s.versions)
-	v = &trackedVersion{number: n, firstObserved: now}
-	s.versions = slices.Insert(s.versions, i, v)
-	if len(s.versions) > maxVersions {
-		s.versions = slices.Delete(s.versions, 0, 1)
+	newest = index == len(t.versions)
+	v = &trackedVersion{number: number, firstObserved: now}
+	t.versions = slices.Insert(t.versions, index, v)
+	if len(t.versions) > maxVersions {
+		t.versions = slices.Delete(t.versions, 0, 1)
 	}
 	return v, newest
 }
 
 // Observe takes that a process has a document.
-func (s *VersionTracker) Observe(now time.Duration, id ID, source string) News {
-	v, newest := s.at(id.Version, now)
+func (t *VersionTracker) Observe(now time.Duration, id ID, source string) News {
+	v, newest := t.findOrAdd(id.Version, now)
 	if v == nil {
 		return NoNews
 	}
@@ -106,47 +106,47 @@
 	case len(v.sightings) == 0 || len(v.sightings) == 1 && v.sightings[0].ID != id:
 		v.sightings = append(v.sightings, Sighting{id, source[:min(len(source), maxSourceName)]})
 		if len(v.sightings) == 2 && v.reportedConflict == "" {
-			s.noteConflict(now, v)
+			t.noteConflict(now, v)
 			return ConflictFound
 		}
 	}
-	if newest && len(s.versions) > 1 {
+	if newest && len(t.versions) > 1 {
 		return NewerVersion
 	}
 	return NoNews
 }
 
 // ObserveConflict takes that another process knows of two documents of a version that differ, with its description of them.
-func (s *VersionTracker) ObserveConflict(now time.Duration, n int, description string) News {
-	v, _ := s.at(n, now)
+func (t *VersionTracker) ObserveConflict(now time.Duration, number int, description string) News {
+	v, _ := t.findOrAdd(number, now)
 	if v == nil || v.isConflicting() || description == "" {
 		return NoNews
 	}
 	v.reportedConflict = description[:min(len(description), 4*maxSourceName)]
-	s.noteConflict(now, v)
+	t.noteConflict(now, v)
 	return ConflictFound
 }
 
 // noteConflict begins the time in which what either document has begun may be repeated. Until others know as well they go on, for
 // DetectionBound at most.
-func (s *VersionTracker) noteConflict(now time.Duration, v *trackedVersion) {
+func (t *VersionTracker) noteConflict(now time.Duration, v *trackedVersion) {
 	v.conflictAt = now
-	s.Suspend(now, s.terms.DetectionBound()+s.terms.OverlapWindow)
+	t.Suspend(now, t.terms.DetectionBound()+t.terms.OverlapWindow)
 }
 
 // Suspend has nothing exclusive begin for so long: another process has found two documents that differ.
-func (s *VersionTracker) Suspend(now, d time.Duration) {
-	s.suspendedUntil = max(s.suspendedUntil, now+d)
+func (t *VersionTracker) Suspend(now, d time.Duration) {
+	t.suspendedUntil = max(t.suspendedUntil, now+d)
 }
 
 // SuspendedFor is how much longer nothing exclusive begins.
-func (s *VersionTracker) SuspendedFor(now time.Duration) time.Duration {
-	return max(0, s.suspendedUntil-now)
+func (t *VersionTracker) SuspendedFor(now time.Duration) time.Duration {
+	return max(0, t.suspendedUntil-now)
 }
 
 // Newest is the newest document that was heard of, and its first sighting; ok is false where there is none.
-func (s *VersionTracker) Newest() (top Sighting, ok bool) {
-	for _, v := range slices.Backward(s.versions) {
+func (t *VersionTracker) Newest() (newest Sighting, ok bool) {
+	for _, v := range slices.Backward(t.versions) {
 		if len(v.sightings) > 0 {
 			return v.sightings[0], true
 		}
@@ -155,11 +155,11 @@
 }
 
 // Conflict is the newest version and the description of its two documents that differ, empty where they don't.
-func (s *VersionTracker) Conflict() (n int, description string) {
-	if len(s.versions) == 0 {
+func (t *VersionTracker) Conflict() (number int, description string) {
+	if len(t.versions) == 0 {
 		return 0, ""
 	}
-	v := s.versions[len(s.versions)-1]
+	v := t.versions[len(t.versions)-1]
 	if v.reportedConflict != "" || len(v.sightings) < 2 {
 		return v.number, v.reportedConflict
 	}
@@ -168,20 +168,20 @@
 
 // Check tells what may be done by a document. The newest version decides: one above two that differ ends their conflict, but for what
 // they may have begun. It is called with each request that has an idempotency key.
-func (s *VersionTracker) Check(now time.Duration, id ID) Verdict {
-	if n := len(s.versions); n > 0 && s.versions[n-1].isConflicting() && id.Version <= s.versions[n-1].number {
-		s.longestOutdated = max(s.longestOutdated, now-s.versions[n-1].conflictAt)
+func (t *VersionTracker) Check(now time.Duration, id ID) Verdict {
+	if count := len(t.versions); count > 0 && t.versions[count-1].isConflicting() && id.Version <= t.versions[count-1].number {
+		t.longestOutdated = max(t.longestOutdated, now-t.versions[count-1].conflictAt)
 		return VerdictConflicting
 	}
-	if now < s.suspendedUntil {
+	if now < t.suspendedUntil {
 		return VerdictSettling
 	}
-	for _, v := range s.versions {
+	for _, v := range t.versions {
 		if v.number <= id.Version {
 			continue
 		}
-		s.longestOutdated = max(s.longestOutdated, now-v.firstObserved)
-		if now-v.firstObserved > onSlowClock(s.terms.Lease, s.terms.ClockDrift) {
+		t.longestOutdated = max(t.longestOutdated, now-v.firstObserved)
+		if now-v.firstObserved > onSlowClock(t.terms.Lease, t.terms.ClockDrift) {
 			return VerdictOutdated
 		}
 	}
@@ -190,7 +190,7 @@
 
 // LongestOutdated is the longest in which a process was seen to act, or to want to, by a document that is not the newest, or that
 // another one contradicts.
-func (s *VersionTracker) LongestOutdated() time.Duration { return s.longestOutdated }
+func (t *VersionTracker) LongestOutdated() time.Duration { return t.longestOutdated }
 
 // Terms are the terms that it goes by.
-func (s *VersionTracker) Terms() Terms { return s.terms }
+func (t *VersionTracker) Terms() Terms { return t.terms }
--- a/internal/policy/configstore/view.go
+++ b/internal/policy/configstore/view.go
@@ -22,55 +22,55 @@
 
 // ViewFor is the document as a process is told of it. Has are the versions whose texts it has, or whose parts it can name; base is the
 // version in parts that it has whole, 0 for none.
-func (d *Document) ViewFor(u *Process, has []int, base int) View {
-	v := View{Stage: d.Stage, Active: withoutKnown(d.Active, has)}
-	if d.Active != nil && d.Active.InParts && v.Active.Parts != nil {
+func (d *Document) ViewFor(process *Process, known []int, base int) View {
+	view := View{Stage: d.Stage, Active: withoutKnown(d.Active, known)}
+	if d.Active != nil && d.Active.InParts && view.Active.Parts != nil {
 		if 0 < base && base < d.Active.ID.Version {
-			v.Since = base
+			view.Since = base
 		}
-		if v.Active.Parts = changedSince(d.Active.Parts, v.Since); v.Since == 0 && !haveTexts(v.Active.Parts) {
-			v.Active.Parts = nil // as many names as there are parts: the process asks for them in its own time
+		if view.Active.Parts = changedSince(d.Active.Parts, view.Since); view.Since == 0 && !haveTexts(view.Active.Parts) {
+			view.Active.Parts = nil // as many names as there are parts: the process asks for them in its own time
 		}
 	}
-	if !d.IsOfferedTo(u) {
-		v.Stage = ""
-		return v
+	if !d.IsOfferedTo(process) {
+		view.Stage = ""
+		return view
 	}
-	v.Proposed = withoutKnown(d.Proposed, has)
-	if v.Proposed.InParts && v.Proposed.Parts != nil {
-		v.Proposed.Parts = changedSince(d.Proposed.Parts, 0)
+	view.Proposed = withoutKnown(d.Proposed, known)
+	if view.Proposed.InParts && view.Proposed.Parts != nil {
+		view.Proposed.Parts = changedSince(d.Proposed.Parts, 0)
 	}
-	return v
+	return view
 }
 
 // withoutKnown is a revision without the text that a process has.
-func withoutKnown(e *Revision, has []int) *Revision {
-	if e == nil {
+func withoutKnown(revision *Revision, known []int) *Revision {
+	if revision == nil {
 		return nil
 	}
-	short := *e
-	short.ChangedParts = nil
-	if slices.Contains(has, e.ID.Version) {
-		short.Text, short.Parts = "", nil
+	stripped := *revision
+	stripped.ChangedParts = nil
+	if slices.Contains(known, revision.ID.Version) {
+		stripped.Text, stripped.Parts = "", nil
 	}
-	return &short
+	return &stripped
 }
 
 // changedSince are the parts that changed after a version, without their texts where an answer can't carry them.
 func changedSince(parts map[string]Part, since int) map[string]Part {
-	list, size := map[string]Part{}, 0
+	changed, size := map[string]Part{}, 0
 	for name, p := range parts {
 		if p.Version > since {
-			list[name] = p
+			changed[name] = p
 			if size <= MaxViewSize { // beyond it there is no need to know
 				size += EncodedSize(p.Text)
 			}
 		}
 	}
 	if size > MaxViewSize {
-		return Manifest(list)
+		return Manifest(changed)
 	}
-	return list
+	return changed
 }
 
 func haveTexts(parts map[string]Part) bool {
@@ -86,65 +86,65 @@
 	if len(names) == 0 {
 		return Manifest(parts)
 	}
-	list, size := map[string]Part{}, 0
+	selected, size := map[string]Part{}, 0
 	for _, name := range names {
 		p, ok := parts[name]
 		if !ok {
 			continue
 		}
-		if size += EncodedSize(p.Text); size > MaxPartsAnswerSize && len(list) > 0 {
+		if size += EncodedSize(p.Text); size > MaxPartsAnswerSize && len(selected) > 0 {
 			break
 		}
-		list[name] = p
+		selected[name] = p
 	}
-	return list
+	return selected
 }
 
 // EncodedSize is how many bytes a text is as JSON, at most.
 func EncodedSize(text string) int {
-	n := len(text) + 2
+	size := len(text) + 2
 	for i := range len(text) {
-		switch c := text[i]; {
-		case c == '"' || c == '\\' || c == '\n' || c == '\t' || c == '\r':
-			n++
-		case c < 0x20 || c == '<' || c == '>' || c == '&' || c >= 0x80:
-			n += 5
+		switch char := text[i]; {
+		case char == '"' || char == '\\' || char == '\n' || char == '\t' || char == '\r':
+			size++
+		case char < 0x20 || char == '<' || char == '>' || char == '&' || char >= 0x80:
+			size += 5
 		}
 	}
-	return n
+	return size
 }
 
 // Summary is the document for operators: without the texts of its parts and its draft's, and of its history with as many texts, the
 // latest first, as an answer can carry.
 func (d *Document) Summary() *Document {
-	short := *d
-	for _, e := range []**Revision{&short.Active, &short.Proposed} {
-		if *e == nil || !(*e).InParts {
+	summary := *d
+	for _, revision := range []**Revision{&summary.Active, &summary.Proposed} {
+		if *revision == nil || !(*revision).InParts {
 			continue
 		}
-		one := **e
-		one.Parts = Manifest(one.Parts)
-		*e = &one
+		copied := **revision
+		copied.Parts = Manifest(copied.Parts)
+		*revision = &copied
 	}
-	if short.Draft != nil {
-		short.Draft = &Draft{ID: d.Draft.ID}
+	if summary.Draft != nil {
+		summary.Draft = &Draft{ID: d.Draft.ID}
 	}
-	short.History = slices.Clone(d.History)
-	for i, size := len(short.History)-1, 0; i >= 0; i-- {
-		if size += EncodedSize(short.History[i].Text); size > MaxViewSize {
-			one := *short.History[i]
-			one.Text = ""
-			short.History[i] = &one
+	summary.History = slices.Clone(d.History)
+	for i, size := len(summary.History)-1, 0; i >= 0; i-- {
+		if size += EncodedSize(summary.History[i].Text); size > MaxViewSize {
+			copied := *summary.History[i]
+			copied.Text = ""
+			summary.History[i] = &copied
 		}
 	}
-	return &short
+	return &summary
 }
 
 // Summary is the store with the summaries of its documents.
-func (b *Store) Summary() *Store {
-	short := &Store{map[string]*Document{}, b.Processes}
-	for name, d := range b.Documents {
-		short.Documents[name] = d.Summary()
+func (s *Store) Summary() *Store {
+	summary := &Store{map[string]*Document{}, s.Processes}
+	for name, d := range s.Documents {
+		summary.Documents[name] = d.Summary()
 	}
-	return short
+	return summary
 }
