--- a/internal/policy/configstore/diff.go
+++ b/internal/policy/configstore/diff.go
@@ -9,16 +9,16 @@
 	"strings"
 )
 
-// Difference is a field in which two documents differ. An element of an array that has a name is told by it.
+// Difference is a field in which two documents differ. In its path, an array element that has a name is identified by the name.
 type Difference struct {
 	Path string `json:"path"`
-	Old  string `json:"old,omitempty"` // empty: it is new
-	New  string `json:"new,omitempty"` // empty: it is gone
+	Old  string `json:"old,omitempty"` // empty: the field is new
+	New  string `json:"new,omitempty"` // empty: the field was removed
 	Kind string `json:"kind"`
 	kind Kind
 }
 
-// Diff are the fields in which two texts of a document differ. Either may be empty.
+// Diff returns the fields in which two texts of a document differ. Either text may be empty. Any other text must be JSON.
 func Diff(doc, old, text string) (list []Difference, err error) {
 	var a, b any
 	for _, input := range []struct {
@@ -39,7 +39,7 @@
 	return list, nil
 }
 
-// DiffParts are the fields in which parts differ from those that are there, part by part: it costs what changed.
+// DiffParts returns the fields in which changed parts differ from the old ones. It compares only parts whose digests differ.
 func DiffParts(doc string, old map[string]Part, changed map[string]string) (list []Difference, err error) {
 	for _, name := range slices.Sorted(maps.Keys(changed)) {
 		if previous, ok := old[name]; ok && previous.Digest == PartDigest(changed[name]) {
@@ -55,13 +55,13 @@
 	return list, nil
 }
 
-// HasExclusive reports whether a change differs in what must stop everywhere before it begins anywhere. What has no kind is taken
-// for that.
+// HasExclusive reports whether a change includes an exclusive field, which must stop everywhere before it begins anywhere. A field of
+// unknown kind counts as exclusive.
 func HasExclusive(list []Difference) bool {
 	return slices.ContainsFunc(list, func(d Difference) bool { return d.kind == KindExclusive || d.kind == KindUnknown })
 }
 
-// FirstDependent names the first field of a change that a part of the fleet can't act on alone, empty for none.
+// FirstDependent returns the first field of a change that canaries can't act on alone, or "" if there is none.
 func FirstDependent(list []Difference) string {
 	for _, d := range list {
 		if d.kind != KindIndependent {
@@ -79,7 +79,7 @@
 	return string(b)
 }
 
-// walkDifferences calls fn with every leaf that differs.
+// walkDifferences calls fn for every leaf that differs.
 func walkDifferences(path string, a, b any, fn func(path string, a, b any)) {
 	switch x := firstNonNil(a, b).(type) {
 	case map[string]any:
@@ -101,7 +101,7 @@
 	}
 }
 
-// equalLeaves compares leaves, most of which are alike, without writing them.
+// equalLeaves compares two leaves. Scalars, most of which are equal, are compared without encoding them.
 func equalLeaves(a, b any) bool {
 	switch x := a.(type) {
 	case string, float64, bool:
@@ -131,7 +131,7 @@
 	return keys
 }
 
-// elementsByName are the elements of an array by their names, or by their numbers.
+// elementsByName returns the elements of an array by their names, or by their indexes if they have none.
 func elementsByName(v any) map[string]any {
 	list, _ := v.([]any)
 	elements := map[string]any{}
--- a/internal/policy/configstore/document.go
+++ b/internal/policy/configstore/document.go
@@ -5,65 +5,65 @@
 	"slices"
 )
 
-// Document is a document with what is to become of it. The JSON names are those of snapshots and of the wire.
+// Document is a document with its active and its proposed revision. The JSON names are those of snapshots and of the wire.
 type Document struct {
 	Name            string      `json:"name"`
-	HighestVersion  int         `json:"top"`             // that was ever given
+	HighestVersion  int         `json:"top"`             // the highest version that was ever assigned
 	Active          *Revision   `json:"force,omitempty"` // nil: none yet
-	Proposed        *Revision   `json:"next,omitempty"`  // nil: no change is under way
+	Proposed        *Revision   `json:"next,omitempty"`  // nil: no change is pending
 	Stage           Stage       `json:"stage,omitempty"` // of Proposed
-	HoldReason      string      `json:"held,omitempty"`  // why an operator has Proposed wait; empty: it does not
+	HoldReason      string      `json:"held,omitempty"`  // why an operator holds Proposed; empty: it is not held
 	History         []*Revision `json:"history,omitempty"`
-	RejectedDigests []uint64    `json:"bad,omitempty"` // digests that were reverted, or withdrawn from canaries: they made things worse
+	RejectedDigests []uint64    `json:"bad,omitempty"` // digests that were reverted, or withdrawn from canaries, because goodput fell
 	Draft           *Draft      `json:"draft,omitempty"`
 }
 
 // Revision is one version of a document.
 type Revision struct {
 	ID          ID             `json:"id"`
-	Format      int            `json:"format"` // a process that reads lower ones only is not offered it
+	Format      int            `json:"format"` // a process that reads only lower formats is not offered this revision
 	Text        string         `json:"text,omitempty"`
 	Author      string         `json:"by,omitempty"`
-	ProposedAt  int64          `json:"at,omitempty"`        // Unix milliseconds, by the clock of the group's leader then: for people
-	Exclusive   bool           `json:"exclusive,omitempty"` // it differs from the one before in what may not overlap
-	Rollout     *RolloutPolicy `json:"try,omitempty"`       // how it is observed; nil: not
-	RevertsTo   int            `json:"back,omitempty"`      // it has the contents of this version again
-	Baseline    *Goodput       `json:"base,omitempty"`      // before it became active
-	ActiveSince int64          `json:"since,omitempty"`     // when it became active, as ProposedAt; 0: never
-	Outcome     string         `json:"ended,omitempty"`     // what became of it: replaced, withdrawn, taken back; empty: nothing yet
-	Canaries    []string       `json:"parts,omitempty"`     // processes that act on it first; "parts" is from before documents had parts
-	Scope       []string       `json:"touches,omitempty"`   // of one that is exclusive, what pauses while all quiesce; empty: everything
-
-	// Of a document in parts, which has no text:
+	ProposedAt  int64          `json:"at,omitempty"`        // Unix milliseconds by the clock of the group's leader; shown to operators only
+	Exclusive   bool           `json:"exclusive,omitempty"` // it differs from the previous revision in an exclusive field
+	Rollout     *RolloutPolicy `json:"try,omitempty"`       // how it is observed; nil: it is not observed
+	RevertsTo   int            `json:"back,omitempty"`      // the version whose contents it restores; 0: none
+	Baseline    *Goodput       `json:"base,omitempty"`      // goodput before it became active
+	ActiveSince int64          `json:"since,omitempty"`     // when it became active, in the unit of ProposedAt; 0: never
+	Outcome     string         `json:"ended,omitempty"`     // how it ended: replaced, withdrawn or reverted; empty: it has not ended
+	Canaries    []string       `json:"parts,omitempty"`     // processes that act on it first; the JSON name is older than documents in parts
+	Scope       []string       `json:"touches,omitempty"`   // of an exclusive revision: what pauses while processes quiesce; empty: everything
+
+	// Fields of a document in parts, which has no text:
 	InParts      bool            `json:"split,omitempty"`
-	Parts        map[string]Part `json:"by_part,omitempty"` // of the active one: all; of the proposed one: those that differ from the active ones
-	ChangedParts []string        `json:"changed,omitempty"` // the parts in which it differed from the version before
+	Parts        map[string]Part `json:"by_part,omitempty"` // active revision: all parts; proposed one: the parts that differ from the active ones
+	ChangedParts []string        `json:"changed,omitempty"` // names of the parts that differ from the previous version
 }
 
-// The stages of a change, in their order. One that is not exclusive may have canaries; one that is exclusive has all quiesce.
+// The stages of a change, in order. A change that is not exclusive may have canaries. An exclusive change makes all processes quiesce.
 const (
-	StageProposed  Stage = "proposed" // all processes that use the document check it and keep it: they prepare
-	StageCanary    Stage = "trial"    // some of them act on it, and their goodput is compared with that of the others
-	StageQuiescing Stage = "turning"  // all stop what it excludes, and none begins the new yet
+	StageProposed  Stage = "proposed" // all processes that use the document fetch and check the revision
+	StageCanary    Stage = "trial"    // canaries act on it, and their goodput is compared with that of the other processes
+	StageQuiescing Stage = "turning"  // all processes stop what it excludes, and none begins the new version yet
 )
 
-// Stage is how far a change has come.
+// Stage is the progress of a change.
 type Stage string
 
-// RolloutPolicy is how a change that may be bad is observed.
+// RolloutPolicy is how a change is observed and when it is reverted.
 type RolloutPolicy struct {
-	CanaryRatio float64 `json:"part,omitempty"` // of the processes, that are canaries; 0: all at once. No part of a document
-	ObserveMS   int64   `json:"for_ms"`         // milliseconds that it is observed at its canaries, and once it is active
-	MaxLoss     float64 `json:"worse"`          // by which the goodput ratio may be lower than the baseline; beyond it the change is reverted
+	CanaryRatio float64 `json:"part,omitempty"` // ratio of processes that are canaries, 0: all at once; unrelated to parts of a document
+	ObserveMS   int64   `json:"for_ms"`         // milliseconds of observation at the canaries, and again once the change is active
+	MaxLoss     float64 `json:"worse"`          // how far the goodput ratio may fall below the baseline before the change is reverted
 }
 
-// Goodput is what a process was asked for and what it served since its start, each request counted by its priority weight.
+// Goodput is the load offered to a process and the load it served since its start. Each request counts with its priority weight.
 type Goodput struct {
 	Offered float64 `json:"asked"`
 	Served  float64 `json:"served"`
 }
 
-// Ratio is the ratio that was served, 1 of nothing.
+// Ratio returns the ratio of the offered load that was served, or 1 if none was offered.
 func (g Goodput) Ratio() float64 {
 	if g.Offered <= 0 {
 		return 1
@@ -71,22 +71,22 @@
 	return g.Served / g.Offered
 }
 
-// Refusal is why a process can't act on a version.
+// Refusal is the reason why a process can't act on a version.
 type Refusal struct {
 	Version int    `json:"version"`
 	Reason  string `json:"why"`
 }
 
-// Process is a process that uses documents: one start of it, so that what comes back after a restart is another one.
+// Process is one start of a process that uses documents. After a restart it is another Process.
 type Process struct {
 	Name     string             `json:"name"`
-	Formats  map[string]int     `json:"reads"`   // the highest format that it reads of each document that it uses
-	Prepared map[string]int     `json:"holds"`   // the proposed version that it has checked and kept
-	Quiesced map[string]int     `json:"stopped"` // the proposed version for which it has stopped what that excludes
+	Formats  map[string]int     `json:"reads"`   // the highest format that it reads, by document that it uses
+	Prepared map[string]int     `json:"holds"`   // the proposed version that it has fetched and checked, by document
+	Quiesced map[string]int     `json:"stopped"` // the proposed version for which it has quiesced, by document
 	Refusals map[string]Refusal `json:"refuses,omitempty"`
 }
 
-// Revision returns a version that is kept: the active one, the proposed one, or one of the history. It is nil for none.
+// Revision returns the active, proposed or archived revision with this version, or nil if it is not kept.
 func (d *Document) Revision(version int) *Revision {
 	for _, revision := range append([]*Revision{d.Active, d.Proposed}, d.History...) {
 		if revision != nil && revision.ID.Version == version {
@@ -96,7 +96,7 @@
 	return nil
 }
 
-// archive puts a revision into the history, without the texts of parts.
+// archive appends a revision to the history, without the texts of its parts, and drops the oldest beyond maxHistory.
 func (d *Document) archive(revision *Revision) {
 	d.History = append(d.History, revision.withoutParts())
 	if n := len(d.History) - maxHistory; n > 0 {
@@ -104,7 +104,7 @@
 	}
 }
 
-// rejectDigest notes that a digest made things worse.
+// rejectDigest records a digest whose contents lowered goodput.
 func (d *Document) rejectDigest(digest uint64) {
 	if !slices.Contains(d.RejectedDigests, digest) {
 		d.RejectedDigests = append(d.RejectedDigests, digest)
@@ -114,7 +114,7 @@
 	}
 }
 
-// activated is an entry in parts as it comes into force on top of another one.
+// activated returns a revision in parts as it becomes active: its changed parts merged with those of the active revision.
 func (r *Revision) activated(active *Revision) *Revision {
 	activated := *r
 	activated.ChangedParts = slices.Sorted(maps.Keys(r.Parts))
@@ -124,7 +124,7 @@
 	return &activated
 }
 
-// withoutParts is an entry without what a document in parts says: a version that is over is kept so, as it is never taken back.
+// withoutParts returns a revision without the contents of its parts. The history keeps it so, as a document in parts is never reverted.
 func (r *Revision) withoutParts() *Revision {
 	if !r.InParts {
 		return r
@@ -137,7 +137,7 @@
 	return &stripped
 }
 
-// PartsAt are all parts of a version that is in force or under way, with its ID.
+// PartsAt returns the ID and all parts of a version that is active or proposed, and false for any other version.
 func (d *Document) PartsAt(version int) (ID, map[string]Part, bool) {
 	switch {
 	case d.Active != nil && d.Active.ID.Version == version && d.Active.InParts:
@@ -152,7 +152,7 @@
 	return ID{}, nil, false
 }
 
-// IsOfferedTo reports whether a process is told of the proposed revision: not of one in a format that it does not read.
+// IsOfferedTo reports whether the proposed revision is sent to a process: only if the process reads its format.
 func (d *Document) IsOfferedTo(process *Process) bool {
 	return d.Proposed != nil && process.Formats[d.Name] >= d.Proposed.Format
 }
--- a/internal/policy/configstore/fetch.go
+++ b/internal/policy/configstore/fetch.go
@@ -7,11 +7,11 @@
 	"time"
 )
 
-// Fetching missing parts. Inputs: what the process was told of and has not, and how its requests ended. It has one request in flight at
-// most, and waits before the first one: a process that comes back has a megabyte or two to ask for, and a zone that comes back is
-// hundreds of them. Each draws its moment by its name, and waits longer after each failure.
+// Fetching missing parts. Inputs: the parts of a version that the process lacks, and the results of its requests. A process has at most
+// one request in flight and waits before the first one: a returning process requests a megabyte or two, and a returning zone has hundreds
+// of processes. The pause depends on the process's name, and grows after each failure.
 
-// PartsRequest is what a process asks the group for: the manifest of a version, or texts of parts by name.
+// PartsRequest is a request of a process to the group: for the manifest of a version, or for the texts of named parts.
 type PartsRequest struct {
 	Doc     string   `json:"doc"`
 	Version int      `json:"version"`
@@ -19,28 +19,28 @@
 }
 
 const (
-	initialBackoff = 2 * time.Second // over which the first requests of a zone's hundreds of processes are spread
-	maxDoublings   = 4               // of initialBackoff, to half a minute
-	maxRequested   = MaxParts        // names in a request; the answer carries as many as fit
+	initialBackoff = 2 * time.Second // spreads the first requests of a zone's hundreds of processes
+	maxDoublings   = 4               // of initialBackoff, up to 32 seconds
+	maxRequested   = MaxParts        // names in a request; the answer carries as many parts as fit
 )
 
 // requestPacer paces the requests of a process.
 type requestPacer struct {
-	inFlight    bool          // a request is in flight
-	failures    int           // in a row
-	isScheduled bool          // a pause is drawn
-	notBefore   time.Duration // the pause ends then
+	inFlight    bool          // a request was sent and has not ended
+	failures    int           // consecutive
+	isScheduled bool          // notBefore is set
+	notBefore   time.Duration // the earliest time of the next request
 }
 
-// backoff is the pause before the next request of a process after so many failures: a ratio of the whole by its name, so that a thousand
-// processes have a thousand moments.
+// backoff returns the pause before the next request of a process after a number of failures. The hash of the name selects a point of the
+// whole range, so that the requests of a thousand processes are spread evenly.
 func backoff(name string, failures int) time.Duration {
 	maxPause := initialBackoff << min(failures, maxDoublings)
 	ratio := float64(PartDigest(fmt.Sprint(name, "/", failures))>>11) / (1 << 53)
 	return time.Duration(ratio * float64(maxPause))
 }
 
-// nextMissing is what is missing first, in the order of documents: of the active one before the proposed one.
+// nextMissing returns the request for what is missing first: documents in order of name, the active revision before the proposed one.
 func (r *Replica) nextMissing() (request PartsRequest, ok bool) {
 	for _, name := range slices.Sorted(maps.Keys(r.docs)) {
 		doc := r.docs[name]
@@ -59,8 +59,8 @@
 	return request, false
 }
 
-// NextRequest is what to ask the group for now; ReceiveParts or RequestFailed is told of its end. Ok is false where nothing is to be asked
-// for yet; at says when to call again, 0 for when something was received.
+// NextRequest returns the request to send to the group now. The caller reports its result to ReceiveParts or RequestFailed. If ok is false,
+// there is nothing to send yet: retryAt is when to call again, or 0 to call again after the next answer.
 func (r *Replica) NextRequest(now time.Duration) (request PartsRequest, retryAt time.Duration, ok bool) {
 	if r.pacer.inFlight {
 		return request, 0, false
@@ -86,7 +86,7 @@
 	return ok
 }
 
-// RequestFailed records that a request had no answer, or was refused.
+// RequestFailed records that a request had no answer, was refused, or brought nothing new.
 func (r *Replica) RequestFailed() {
 	r.pacer = requestPacer{failures: r.pacer.failures + 1}
 }
--- a/internal/policy/configstore/goodput.go
+++ b/internal/policy/configstore/goodput.go
@@ -2,23 +2,23 @@
 
 import "time"
 
-// Judging goodput. Inputs: what each process was asked for and has served since its start, as it reports it. A change is worse where
-// the ratio that was served is lower by more than its policy allows, and enough was asked for on both sides to say so.
+// Comparing goodput. Inputs: the offered and the served load that each process reports since its start. A change is worse if the ratio
+// of served load is lower by more than its policy allows, and both sides were offered enough load for a comparison.
 
-// minOffered is the weight of requests under which nothing can be said: of 20 one that fails is 5 %.
+// minOffered is the smallest weight of requests that is compared: one failure of 20 is 5 %.
 const minOffered = 20
 
-// isWorse reports whether the goodput ratio is lower than before by more than a bound.
+// isWorse reports whether the goodput ratio fell by more than maxLoss.
 func isWorse(before, now Goodput, maxLoss float64) bool {
 	return before.Offered >= minOffered && now.Offered >= minOffered && now.Ratio() < before.Ratio()-maxLoss
 }
 
-// goodputSince is the goodput of some processes since a stage began. One that came later counts for nothing.
+// goodputSince returns the goodput of the included processes since a stage began. A process that registered later is left out.
 func (m *ProcessMonitor) goodputSince(start stageStart, include func(string) bool) (total Goodput) {
 	for name, report := range m.reports {
 		baseline, ok := start.baseline[name]
 		if !ok || !include(name) || report.Goodput.Offered < baseline.Offered {
-			continue // it came later
+			continue // registered or restarted after the stage began
 		}
 		total.Offered += report.Goodput.Offered - baseline.Offered
 		total.Served += report.Goodput.Served - baseline.Served
@@ -26,7 +26,7 @@
 	return total
 }
 
-// goodputOver is the goodput of some processes over the latest stretch of so long.
+// goodputOver returns the goodput of the included processes over the latest span.
 func (m *ProcessMonitor) goodputOver(span, now time.Duration, include func(string) bool) (total Goodput) {
 	for name, report := range m.reports {
 		if !include(name) {
--- a/internal/policy/configstore/kinds.go
+++ b/internal/policy/configstore/kinds.go
@@ -5,37 +5,37 @@
 	"time"
 )
 
-// Kind is what two processes that act on different values of a field do to each other, and so how a change of it may spread.
+// Kind is the conflict between processes that act on different values of a field. It determines how a change of the field is rolled out.
 type Kind int
 
 // The kinds of fields.
 const (
-	KindUnknown     Kind = iota // not in the table: taken for KindExclusive
-	KindLocal                   // it is the process's own: nobody else acts on it
-	KindIndependent             // nothing: each does its work a little differently
-	KindMonotonic               // a window: it may grow at once, and shrinks only once the longer one has run out
-	KindShared                  // parts of it are granted with a lease, and never sum to more than the whole
-	KindAnnounced               // exclusive, and kept apart by the times that stand in the document
-	KindExclusive               // the old stops everywhere before the new begins anywhere
+	KindUnknown     Kind = iota // not in the table: treated as KindExclusive
+	KindLocal                   // local to a process: no other process acts on it
+	KindIndependent             // no conflict: processes behave slightly differently
+	KindMonotonic               // a time window: it may grow at once, and shrinks only after the longer window has run out
+	KindShared                  // shares are granted with a lease, and never sum to more than the whole
+	KindAnnounced               // exclusive, and kept apart by the times written in the document
+	KindExclusive               // the old value must stop everywhere before the new one begins anywhere
 )
 
-// String is the kind's name in what commands print.
+// String returns the kind's name as commands print it.
 func (k Kind) String() string {
 	return [...]string{"unknown", "own", "free", "monotone", "shared", "announced", "exclusive"}[k]
 }
 
-// The documents that there are.
+// The names of the documents.
 const (
 	DocMap     = "map"     // the cell map
 	DocRouting = "routing" // a router's retries, hedges and health
-	DocClasses = "classes" // the classes of a site
+	DocClasses = "classes" // the request classes of a site
 	DocPools   = "pools"   // the pools of an edge file
 )
 
-// DocumentNames are their names.
+// DocumentNames lists the names of all documents.
 var DocumentNames = []string{DocMap, DocRouting, DocClasses, DocPools}
 
-// fieldKinds are the kinds of all fields, by document and path, with the indexes of arrays left out.
+// fieldKinds holds the kind of each field, by document and path, with array indexes left out.
 var fieldKinds = func() map[string]Kind {
 	kinds := map[string]Kind{}
 	add := func(k Kind, doc, fields string) {
@@ -58,8 +58,8 @@
 	add(KindExclusive, DocClasses, "classes[].name classes[].effect")
 	add(KindMonotonic, DocClasses, "classes[].memory_span")
 	add(KindIndependent, DocClasses, "classes[].target classes[].aim_stretch classes[].deadline classes[].worth classes[].late_worth")
-	// What stands in a process's own files. Of the classes there the same holds as in the document of them, for those processes
-	// that have no group: what differs is found by nobody then.
+	// Fields of a process's own configuration files. Classes there have the same kinds as in the document of classes, for processes without
+	// a group; without a group, differences between processes are not detected.
 	add(KindLocal, "config", `name listen mgmt vm announce vault seed stop_ms limits.memory_mb limits.sockets scgi.listen scgi.upstream
 		scgi.max_body scgi.class scgi.tenant scgi.deadline_ms scgi.held_kb scgi.half_close scgi.upstream_timeout_ms snmp.listen
 		snmp.community settings.family_info.below settings.family_info.callers settings.family_info.calls_by_class
@@ -91,10 +91,10 @@
 	return kinds
 }()
 
-// KindOf is the kind of a field of a document, by a path whose indexes may be left out.
+// KindOf returns the kind of a field of a document. The path may have array indexes or not.
 func KindOf(doc, path string) Kind { return fieldKinds[doc+":"+fieldPath(path)] }
 
-// fieldPath leaves the indexes and names out of a path.
+// fieldPath removes array indexes and element names from a path.
 func fieldPath(path string) string {
 	var b strings.Builder
 	inBrackets := false
@@ -112,8 +112,8 @@
 	return b.String()
 }
 
-// TransitionWindow is what holds now of a window that changes from one length to another, and how long until the new one does: what ran
-// by the longer one may be repeated until then, and as long as a caller waits beyond.
+// TransitionWindow returns the window in effect while it changes from old to next, and how long until next takes effect. A window that
+// shrinks does so after the old one and callerTimeout have passed, as requests that ran under the old one may be repeated until then.
 func TransitionWindow(old, next, callerTimeout time.Duration) (now, until time.Duration) {
 	if next >= old {
 		return next, 0
--- a/internal/policy/configstore/monitor.go
+++ b/internal/policy/configstore/monitor.go
@@ -9,14 +9,14 @@
 	"silverpath/internal/policy/lease"
 )
 
-// ProcessMonitor is what the group's leader knows of the processes that use documents. It proposes what follows from their reports: the
-// expiry of those that are silent, the next stage of a change, its withdrawal, or the reversal of one that made things worse. All times
-// are the leader's own monotonic clock. A new leader takes all to have reported just now, as it can't know what the one before answered.
+// ProcessMonitor runs on the group's leader and records the reports of the processes that use documents. It proposes the expiry of silent
+// processes, the next stage of a change, its withdrawal, or the revert of a change that lowered goodput. All times are the leader's own
+// monotonic clock. A new leader assumes that all processes have just reported, as it can't know what its predecessor answered.
 type ProcessMonitor struct {
 	terms        lease.Terms
-	leadingSince time.Duration // under 0: it does not lead
+	leadingSince time.Duration // negative: the member does not lead
 	reports      map[string]*ProcessReport
-	expiring     map[string]bool // their expiry was proposed
+	expiring     map[string]bool // processes whose expiry was proposed
 	stages       map[string]stageStart
 	proposedAt   map[string]time.Duration // when a change was last proposed, by document
 }
@@ -27,7 +27,7 @@
 	AgeMS          int64          `json:"ago_ms"`
 	ActiveVersions map[string]int `json:"acts"`
 	Goodput        Goodput        `json:"worth"`
-	StopReason     string         `json:"stops,omitempty"` // why nothing exclusive begins there
+	StopReason     string         `json:"stops,omitempty"` // why no exclusive work begins there
 	past           []goodputSample
 }
 
@@ -36,31 +36,31 @@
 	goodput Goodput
 }
 
-// stageStart is since when a document is at its stage.
+// stageStart is the start of a document's current stage.
 type stageStart struct {
 	version  int
 	stage    Stage
 	at       time.Duration
-	baseline map[string]Goodput // of each process, then
+	baseline map[string]Goodput // goodput of each process at the start
 }
 
-// NewProcessMonitor returns the process monitor of a member that does not lead.
+// NewProcessMonitor returns the monitor of a member that does not lead.
 func NewProcessMonitor(t lease.Terms) *ProcessMonitor {
 	m := &ProcessMonitor{terms: t}
 	m.StopLeading()
 	return m
 }
 
-// StartLeading records that the member has begun to lead.
+// StartLeading records that the member became the leader.
 func (m *ProcessMonitor) StartLeading(now time.Duration) {
 	*m = ProcessMonitor{terms: m.terms, leadingSince: now, reports: map[string]*ProcessReport{}, expiring: map[string]bool{}, stages: map[string]stageStart{}, proposedAt: map[string]time.Duration{}}
 }
 
-// StopLeading records that it has ceased to.
+// StopLeading records that the member is no longer the leader.
 func (m *ProcessMonitor) StopLeading() { *m = ProcessMonitor{terms: m.terms, leadingSince: -1} }
 
-// Observe takes the report of a process as it comes. It reports whether the process may be told what is active: no once its expiry was
-// proposed, as it would act on that after the group has ceased to wait for it.
+// Observe records the report of a process. It returns whether the active version may be sent to the process: false once its expiry was
+// proposed, as the process would act on the version after the group has stopped waiting for it.
 func (m *ProcessMonitor) Observe(name string, now time.Duration, versions map[string]int, goodput Goodput, stopReason string) bool {
 	if m.leadingSince < 0 || m.expiring[name] {
 		return false
@@ -77,13 +77,13 @@
 }
 
 const (
-	maxObserved      = 2 * time.Minute // over which goodput is kept; a change is observed for less
-	observeActiveFor = 2               // times RolloutPolicy.ObserveMS that an active version may still be reverted by the monitor
-	minObserved      = 4               // a quarter of RolloutPolicy.ObserveMS has to be over before the monitor says that it is worse
-	proposalRetry    = 4               // a quarter of the lease until a change is proposed again: the one before may be on its way
+	maxObserved      = 2 * time.Minute // how long goodput samples are kept; a change is observed for less
+	observeActiveFor = 2               // times RolloutPolicy.ObserveMS during which the monitor may still revert an active version
+	minObserved      = 4               // a quarter of RolloutPolicy.ObserveMS has to pass before the monitor judges a change as worse
+	proposalRetry    = 4               // a quarter of the lease passes before a change is proposed again: the first proposal may still be pending
 )
 
-// Reports are the last reports of all processes, for operators.
+// Reports returns the last report of each process, for operators.
 func (m *ProcessMonitor) Reports(now time.Duration) map[string]ProcessReport {
 	reports := map[string]ProcessReport{}
 	for name, report := range m.reports {
@@ -94,14 +94,14 @@
 	return reports
 }
 
-// Unregistered records that a process is registered no more, or that its expiry was not proposed after all.
+// Unregistered records that a process is no longer registered, or that its expiry was not proposed after all.
 func (m *ProcessMonitor) Unregistered(name string) {
 	delete(m.expiring, name)
 	delete(m.reports, name)
 }
 
-// Proposals are the changes that the leader is to propose now: the expiry of processes that have not reported for a lease, and the next
-// stages of changes that nothing is waited for any more. The leader calls it several times a lease.
+// Proposals returns the changes that the leader has to propose now: the expiry of processes that have not reported for a lease, and the
+// next stages of changes that wait for no process. The leader calls it several times a lease.
 func (m *ProcessMonitor) Proposals(store *Store, now time.Duration) (list []Change) {
 	if m.leadingSince < 0 {
 		return nil
@@ -123,7 +123,7 @@
 		d := store.Documents[name]
 		m.noteStage(store, d, now)
 		if proposedAt, ok := m.proposedAt[name]; ok && now-proposedAt < m.terms.TTL/proposalRetry {
-			continue // the one before is on its way
+			continue // an earlier proposal may not be applied yet
 		}
 		if c, ok := m.nextChange(store, d, now); ok {
 			m.proposedAt[name] = now
@@ -133,7 +133,7 @@
 	return list
 }
 
-// noteStage notes since when a document is at its stage, and the goodput of all processes then.
+// noteStage records when the current stage of a document began, and the goodput of all processes at that time.
 func (m *ProcessMonitor) noteStage(store *Store, d *Document, now time.Duration) {
 	version := 0
 	if d.Proposed != nil {
@@ -152,7 +152,7 @@
 	delete(m.proposedAt, d.Name)
 }
 
-// nextChange is what is to be proposed of a document now, if anything.
+// nextChange returns the change to propose for a document now, and false if there is none.
 func (m *ProcessMonitor) nextChange(store *Store, d *Document, now time.Duration) (Change, bool) {
 	if d.Proposed == nil {
 		return m.revertIfWorse(store, d, now)
@@ -182,7 +182,7 @@
 	return c, true
 }
 
-// usersOf tells which processes use a document: only those have anything to say of it.
+// usersOf returns a function that reports whether a process uses a document. The goodput of other processes is not affected by it.
 func usersOf(store *Store, d *Document) func(name string) bool {
 	return func(name string) bool {
 		process := store.Processes[name]
@@ -190,7 +190,7 @@
 	}
 }
 
-// revertIfWorse reverts an active version that is still observed, where the goodput since it became active is worse than its baseline.
+// revertIfWorse returns the revert of an active version under observation whose goodput is worse than its baseline.
 func (m *ProcessMonitor) revertIfWorse(store *Store, d *Document, now time.Duration) (Change, bool) {
 	c, start, active := Change{Doc: d.Name, Stage: d.Stage}, m.stages[d.Name], d.Active
 	if active == nil || active.Rollout == nil || active.Baseline == nil || active.RevertsTo > 0 || active.Outcome != "" {
@@ -209,8 +209,8 @@
 	return c, true
 }
 
-// judgeCanaries compares the goodput of the canaries of a change with that of the others since they began. Loss says how much worse it
-// is, empty for not; over, whether they have been observed for long enough.
+// judgeCanaries compares the goodput of a change's canaries with that of the other processes since the canaries began. Loss describes how
+// much worse it is, and is empty if it is not. Observed reports whether the observation time has passed.
 func (m *ProcessMonitor) judgeCanaries(store *Store, d *Document, now time.Duration) (loss string, observed bool) {
 	start, policy, uses := m.stages[d.Name], d.Proposed.Rollout, usersOf(store, d)
 	isCanary := func(name string) bool { return slices.Contains(d.Proposed.Canaries, name) }
--- a/internal/policy/configstore/parts.go
+++ b/internal/policy/configstore/parts.go
@@ -10,50 +10,50 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Documents in parts: a change of a large document costs what it changes. docs/design/parts.md.
+// Documents in parts: the cost of a change depends on the changed parts, not on the size of the document. See docs/design/parts.md.
 
-// Part is a piece of a document.
+// Part is a named piece of a document.
 type Part struct {
-	Version int    `json:"v"` // of the document, in which it last changed
-	Digest  uint64 `json:"d"` // of its text
+	Version int    `json:"v"` // the version of the document in which the part last changed
+	Digest  uint64 `json:"d"` // of Text
 	Text    string `json:"t,omitempty"`
 }
 
-// Draft is a document in parts that is too large for one change, while it is put together. A document has one at most.
+// Draft collects the parts of a change that is too large for one log entry. A document has at most one draft.
 type Draft struct {
 	ID    string            `json:"id"`
 	Parts map[string]string `json:"parts"`
 }
 
-// Bounds of a document in parts.
+// Limits of a document in parts.
 const (
-	// MaxParts bounds the names of a manifest: one of so many is about 50 KB.
+	// MaxParts limits the entries of a manifest: a manifest of 1024 parts is about 50 KB.
 	MaxParts = 1024
-	// MaxPartSize is bytes of a part, the least that can be sent of a change: an answer carries several.
+	// MaxPartSize is the limit of a part in bytes. A part is the smallest unit that is sent, and an answer carries several.
 	MaxPartSize = 64 << 10
-	// MaxDocumentSize is bytes that each member keeps and sends in a snapshot, and each process holds: eight times the map of 930
-	// servers and 21,000 tenants.
+	// MaxDocumentSize is the limit of a document in bytes. Each member stores it and sends it in snapshots, and each process keeps it. It is
+	// eight times the map of 930 servers and 21,000 tenants.
 	MaxDocumentSize = 16 << 20
 	maxPartNameSize = 64
-	PartsFormat     = 2 // the format of a document in parts; of others it is 1, and a process that reads only those is not offered this one
+	PartsFormat     = 2 // format of a document in parts; other documents have format 1, and processes that read only 1 are not offered this
 )
 
-// PartDigest is the digest of a part's text.
+// PartDigest returns the digest of a part's text.
 func PartDigest(text string) uint64 { return xxhash.Sum64String(text) }
 
-// PartsDigest is the digest of a document in parts: that of the names and digests of its parts.
+// PartsDigest returns the digest of a document in parts, over the names and digests of its parts.
 func PartsDigest(parts map[string]Part) uint64 {
 	h := xxhash.New()
-	var b [9]byte // of a 0, which no name has, and a digest
+	var b [9]byte // a zero byte, which no name contains, and a digest
 	for _, name := range slices.Sorted(maps.Keys(parts)) {
-		_, _ = h.WriteString(name) // it never fails
+		_, _ = h.WriteString(name) // never returns an error
 		binary.BigEndian.PutUint64(b[1:], parts[name].Digest)
 		_, _ = h.Write(b[:])
 	}
 	return h.Sum64()
 }
 
-// TextsDigest is PartsDigest of parts that are given by their texts.
+// TextsDigest returns the PartsDigest of parts given by their texts.
 func TextsDigest(texts map[string]string) uint64 {
 	parts := map[string]Part{}
 	for name, text := range texts {
@@ -62,7 +62,7 @@
 	return PartsDigest(parts)
 }
 
-// CheckSize is an error that names the bound that parts of a document are beyond.
+// CheckSize returns an error that names the limit which the parts of a document exceed.
 func CheckSize(doc string, texts map[string]string) error {
 	if len(texts) > MaxParts {
 		return fmt.Errorf("%s: %d parts, of at most %d", doc, len(texts), MaxParts)
@@ -84,7 +84,7 @@
 	return nil
 }
 
-// CheckChangeSize is CheckSize for what one change carries. What is larger goes into a draft by several changes.
+// CheckChangeSize is CheckSize for the parts of one change. Larger contents are loaded into a draft by several changes.
 func CheckChangeSize(doc string, texts map[string]string) error {
 	if err := CheckSize(doc, texts); err != nil {
 		return err
@@ -102,12 +102,12 @@
 	return n
 }
 
-// Batches splits parts into what one change each can carry, in the order of their names.
+// Batches splits parts into groups that each fit into one change, in order of name.
 func Batches(texts map[string]string) (list []map[string]string) {
 	size := 0
 	for _, name := range slices.Sorted(maps.Keys(texts)) {
 		n := len(name) + len(texts[name])
-		if len(list) == 0 || size+n > maxTextSize/2 { // half, as quotes in a text take two bytes on the way
+		if len(list) == 0 || size+n > maxTextSize/2 { // half of the limit, as a quote in a text is encoded as two bytes
 			list, size = append(list, map[string]string{}), 0
 		}
 		list[len(list)-1][name] = texts[name]
@@ -116,7 +116,7 @@
 	return list
 }
 
-// Manifest are parts without their texts.
+// Manifest returns the parts without their texts.
 func Manifest(parts map[string]Part) map[string]Part {
 	list := make(map[string]Part, len(parts))
 	for name, p := range parts {
--- a/internal/policy/configstore/process.go
+++ b/internal/policy/configstore/process.go
@@ -5,7 +5,7 @@
 	"fmt"
 )
 
-// recordReport takes what a process reports of itself, and registers it where the change is that.
+// recordReport records the report of a process. OpRegister also registers the process.
 func (s *Store) recordReport(c Change) error {
 	if c.Process == nil || c.Process.Name == "" {
 		return errors.New("who: missing")
@@ -29,7 +29,7 @@
 	return nil
 }
 
-// applyReport takes what a process reports of a change that is under way. What a late report says of another version is no news.
+// applyReport records what a process reports of a pending change. It ignores what a late report says of another version.
 func (p *Process) applyReport(d *Document, reported *Process) {
 	name, version := d.Name, d.Proposed.ID.Version
 	if reported.Prepared[name] == version {
@@ -47,7 +47,7 @@
 	}
 }
 
-// HasNews reports whether a report of a process adds to what is known of it. Where it does not, it need not go into the group's log.
+// HasNews reports whether a report contains anything that the store has not recorded. If not, it need not go into the group's log.
 func (s *Store) HasNews(reported Process) bool {
 	known := s.Processes[reported.Name]
 	if known == nil {
--- a/internal/policy/configstore/propose.go
+++ b/internal/policy/configstore/propose.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// propose begins a change of a document, on top of its active version.
+// propose starts a change of a document, based on its active version.
 func (s *Store) propose(c Change) (*Document, error) {
 	d := s.Documents[c.Doc]
 	if d == nil {
@@ -42,7 +42,7 @@
 	return d, nil
 }
 
-// checkProposal names why a change can't be proposed, before its contents are looked at.
+// checkProposal returns the reason why a change can't be proposed, before its contents are checked.
 func (s *Store) checkProposal(d *Document, c Change, inParts bool) error {
 	switch {
 	case c.Doc == "" || len(s.Documents) >= maxDocuments && s.Documents[c.Doc] == nil:
@@ -61,7 +61,7 @@
 	return nil
 }
 
-// activeVersion is the version that is active, 0 for none.
+// activeVersion returns the active version, or 0 if there is none.
 func (d *Document) activeVersion() int {
 	if d.Active == nil {
 		return 0
@@ -69,7 +69,7 @@
 	return d.Active.ID.Version
 }
 
-// revert proposes the contents from before the active version, as a new one. It goes through the same stages as any change.
+// revert proposes the contents from before the active version as a new version. It goes through the same stages as any change.
 func (d *Document) revert(c Change) error {
 	if d.Active == nil || d.Active.ID.Version != c.Version {
 		return fmt.Errorf("%w: version %d of %s is not in force", ErrNoSuchChange, c.Version, c.Doc)
@@ -82,7 +82,7 @@
 	}
 	for _, previous := range slices.Backward(d.History) {
 		if previous.ActiveSince == 0 || previous.ID.Digest == d.Active.ID.Digest {
-			continue // it was never in force
+			continue // never active, or the same contents
 		}
 		d.rejectDigest(d.Active.ID.Digest)
 		d.Active.Outcome = clip("taken back: " + c.Reason)
@@ -95,7 +95,7 @@
 	return fmt.Errorf("%w: nothing was in force before", ErrNoSuchChange)
 }
 
-// loadDraft takes parts into the document's draft, which a later proposal names: a change that is too large for one log entry.
+// loadDraft adds parts to the document's draft, which a later proposal names. It serves changes that are too large for one log entry.
 func (s *Store) loadDraft(c Change) (*Document, error) {
 	d := s.Documents[c.Doc]
 	if d == nil {
@@ -123,7 +123,7 @@
 	return d, nil
 }
 
-// DraftedParts are the parts that a change proposes: its own, or those of the draft that it names.
+// DraftedParts returns the parts that a change proposes: its own, or those of the draft that it names.
 func (d *Document) DraftedParts(c Change) (map[string]string, error) {
 	if c.Draft == "" {
 		return c.Parts, CheckChangeSize(d.Name, c.Parts)
@@ -134,8 +134,8 @@
 	return d.Draft.Parts, nil
 }
 
-// changedParts are the parts in which a change differs from the active version, and the digest that the whole then has. It is an error
-// where that is not the digest that the change names: it was made on top of other parts.
+// changedParts returns the parts in which a change differs from the active version, and the digest of the whole document with them. It
+// returns an error if that is not the digest that the change names: the change was then based on other parts.
 func (d *Document) changedParts(c Change) (changed map[string]Part, digest uint64, err error) {
 	texts, err := d.DraftedParts(c)
 	if err != nil {
--- a/internal/policy/configstore/tracker.go
+++ b/internal/policy/configstore/tracker.go
@@ -26,13 +26,13 @@
 func (v Verdict) String() string { return [...]string{"good", "behind", "contradicted", "quiet"}[v] }
 
 // News is what a process has learned by an observation.
-type News int
+type Observation int
 
 // The kinds of news.
 const (
-	NoNews        News = iota
-	NewerVersion       // a version above all that it knew
-	ConflictFound      // a second document of one version
+	NothingNew    Observation = iota
+	NewerVersion              // a version above all that it knew
+	ConflictFound             // a second document of one version
 )
 
 // Sighting is a document that a process has.
@@ -52,15 +52,15 @@
 
 // trackedVersion is what is known of a version's documents.
 type trackedVersion struct {
-	number           int
-	firstObserved    time.Duration // when it was first heard of
-	sightings        []Sighting    // one, or the first two that differ
-	conflictAt       time.Duration // since when two are known to
-	reportedConflict string        // or that two differ, as another process said
+	number              int
+	firstObservedAt     time.Duration // when it was first heard of
+	sightings           []Sighting    // one, or the first two that differ
+	conflictAt          time.Duration // since when two are known to
+	conflictDescription string        // or that two differ, as another process said
 }
 
 func (v *trackedVersion) isConflicting() bool {
-	return len(v.sightings) > 1 || v.reportedConflict != ""
+	return len(v.sightings) > 1 || v.conflictDescription != ""
 }
 
 // VersionTracker is what a process has heard of the versions of others. The zero value has heard nothing. All times are the process's
@@ -88,7 +88,7 @@
 		return nil, false
 	}
 	newest = index == len(t.versions)
-	v = &trackedVersion{number: number, firstObserved: now}
+	v = &trackedVersion{number: number, firstObservedAt: now}
 	t.versions = slices.Insert(t.versions, index, v)
 	if len(t.versions) > maxVersions {
 		t.versions = slices.Delete(t.versions, 0, 1)
@@ -97,15 +97,15 @@
 }
 
 // Observe takes that a process has a document.
-func (t *VersionTracker) Observe(now time.Duration, id ID, source string) News {
+func (t *VersionTracker) Observe(now time.Duration, id ID, source string) Observation {
 	v, newest := t.findOrAdd(id.Version, now)
 	if v == nil {
-		return NoNews
+		return NothingNew
 	}
 	switch {
 	case len(v.sightings) == 0 || len(v.sightings) == 1 && v.sightings[0].ID != id:
 		v.sightings = append(v.sightings, Sighting{id, source[:min(len(source), maxSourceName)]})
-		if len(v.sightings) == 2 && v.reportedConflict == "" {
+		if len(v.sightings) == 2 && v.conflictDescription == "" {
 			t.noteConflict(now, v)
 			return ConflictFound
 		}
@@ -113,16 +113,16 @@
 	if newest && len(t.versions) > 1 {
 		return NewerVersion
 	}
-	return NoNews
+	return NothingNew
 }
 
 // ObserveConflict takes that another process knows of two documents of a version that differ, with its description of them.
-func (t *VersionTracker) ObserveConflict(now time.Duration, number int, description string) News {
+func (t *VersionTracker) ObserveConflict(now time.Duration, number int, description string) Observation {
 	v, _ := t.findOrAdd(number, now)
 	if v == nil || v.isConflicting() || description == "" {
-		return NoNews
+		return NothingNew
 	}
-	v.reportedConflict = description[:min(len(description), 4*maxSourceName)]
+	v.conflictDescription = description[:min(len(description), 4*maxSourceName)]
 	t.noteConflict(now, v)
 	return ConflictFound
 }
@@ -160,8 +160,8 @@
 		return 0, ""
 	}
 	v := t.versions[len(t.versions)-1]
-	if v.reportedConflict != "" || len(v.sightings) < 2 {
-		return v.number, v.reportedConflict
+	if v.conflictDescription != "" || len(v.sightings) < 2 {
+		return v.number, v.conflictDescription
 	}
 	return v.number, v.sightings[0].String() + " and " + v.sightings[1].String()
 }
@@ -180,8 +180,8 @@
 		if v.number <= id.Version {
 			continue
 		}
-		t.longestOutdated = max(t.longestOutdated, now-v.firstObserved)
-		if now-v.firstObserved > onSlowClock(t.terms.Lease, t.terms.ClockDrift) {
+		t.longestOutdated = max(t.longestOutdated, now-v.firstObservedAt)
+		if now-v.firstObservedAt > onSlowClock(t.terms.Lease, t.terms.ClockDrift) {
 			return VerdictOutdated
 		}
 	}
