--- a/internal/policy/configstore/replica.go
+++ b/internal/policy/configstore/replica.go
@@ -9,58 +9,60 @@
 	"silverpath/internal/policy/lease"
 )
 
-// The side of a process. It asks the group every PollInterval, reports what it has prepared and quiesced for, and acts on what Receive
-// returns. What is exclusive it begins only while it is confirmed: it was told within a lease what is active, and has that whole.
+// The process's side. A process polls the group every PollInterval, reports which versions it has prepared and quiesced for, and acts on
+// the updates that Receive returns. It begins exclusive work only while it is confirmed: within the last lease it received the active
+// versions, and it has all their parts.
 
-// Replica is the side of a process that acts on documents. All times are the process's own monotonic clock. It is not safe for
-// concurrent use: controlplane/configwatch calls it under its lock.
+// Replica is the process's side of the documents that a process acts on. All times are the process's own monotonic clock. It is not safe
+// for concurrent use: controlplane/configwatch calls it under its lock.
 type Replica struct {
 	Name string // of one start of the process
-	// CheckParts is an error that tells why this process can't act on parts that differ from what it was handed last, or on all of them.
+	// CheckParts returns an error if this process can't act on the changed parts, which are all parts if whole is true, else the differences
+	// from the last update.
 	CheckParts func(name string, changed map[string]string, whole bool) error
 	Disabled   DisabledGuards // for tests
 
 	formats        map[string]int
 	terms          lease.Terms
 	confirmedUntil time.Duration
-	lastConfirmed  time.Duration // the latest request whose answer confirmed it
-	logIndex       uint64        // of the group's log, in what it was last told
+	lastConfirmed  time.Duration // when the latest request was sent whose answer confirmed the process
+	logIndex       uint64        // index of the group's log in the newest answer
 	docs           map[string]*replicaDocument
 
 	pacer requestPacer
 }
 
-// replicaDocument is what a process has of a document.
+// replicaDocument is a process's state of a document.
 type replicaDocument struct {
 	active, proposed *Revision
 	stage            Stage
 	refusal          Refusal
-	activeVersion    int // the version that it acts on
-	quiescedFor      int // the version for which it has stopped what that excludes; 0: none
+	activeVersion    int // the version that the process acts on
+	quiescedFor      int // the version for which it has quiesced; 0: none
 
-	// Of a document in parts:
-	delivered                  *partialDocument // what the process acts on; nil: nothing
-	activeParts, proposedParts *partialDocument // as far as they are here
-	checked                    ID               // of the proposed one
+	// Fields of a document in parts:
+	delivered                  *partialDocument // the version that the process acts on; nil: none
+	activeParts, proposedParts *partialDocument // as far as their parts were received
+	checked                    ID               // ID of the proposed revision that was checked last
 	checkedAt                  time.Duration
 	mismatches                 Mismatch
 
-	// What pauses while it quiesces, as it was last computed: which tenants live in a cell is a matter of the whole map.
+	// scope is what pauses while the process quiesces. It is cached, as finding the tenants of a cell takes the whole map.
 	scope         *PauseScope
 	scopeOf       ID
 	scopeComplete bool
 }
 
-// Update is a revision of a document that the process has to act on from now on.
+// Update is a revision of a document that the process must act on from now on.
 type Update struct {
 	Doc      string
 	Revision *Revision
-	Parts    map[string]string // of one in parts: those that differ from the update before
-	Complete bool              // Parts are all that there are
+	Parts    map[string]string // of a document in parts: the parts that differ from the previous update
+	Complete bool              // Parts has all parts of the document
 }
 
-// NewReplica returns the side of a process that is not confirmed. Name is that of one start of it, and formats has the highest format
-// that it reads of each document that it uses.
+// NewReplica returns a replica that is not confirmed. Name identifies one start of the process, and formats has the highest format that
+// the process reads, by document that it uses.
 func NewReplica(name string, formats map[string]int) *Replica {
 	r := &Replica{Name: name, formats: formats, docs: map[string]*replicaDocument{}}
 	for doc := range formats {
@@ -69,10 +71,10 @@
 	return r
 }
 
-// LastConfirmed is when it asked for what confirmed it last: what it acts on was the newest then.
+// LastConfirmed returns when the request was sent that confirmed the process last. The versions that it acts on were the newest then.
 func (r *Replica) LastConfirmed() time.Duration { return r.lastConfirmed }
 
-// PollInterval is how long it waits before it asks the group again: a third of the lease, so that two answers may be lost, and a twelfth
+// PollInterval returns the pause before the next poll of the group: a third of the lease, so that two answers may be lost, and a twelfth
 // while a change is proposed or parts are missing.
 func (r *Replica) PollInterval() time.Duration {
 	for _, doc := range r.docs {
@@ -81,12 +83,12 @@
 		}
 	}
 	if !r.IsCurrent() {
-		return r.terms.TTL / 12 // it is not confirmed until it has what is active
+		return r.terms.TTL / 12 // the process is not confirmed until it has the active version
 	}
 	return r.terms.TTL / 3
 }
 
-// Report is what it tells the group of itself.
+// Report returns the state that the process reports to the group.
 func (r *Replica) Report() Process {
 	report := Process{Name: r.Name, Formats: r.formats, Prepared: map[string]int{}, Quiesced: map[string]int{}, Refusals: map[string]Refusal{}}
 	for name, d := range r.docs {
@@ -106,7 +108,7 @@
 	return report
 }
 
-// KnownVersions are the versions whose texts it has, or whose parts it can name, by document: it need not be told of them again.
+// KnownVersions returns, by document, the versions whose text or manifest the process has. The group need not send these again.
 func (r *Replica) KnownVersions() map[string][]int {
 	known := map[string][]int{}
 	for name, d := range r.docs {
@@ -119,7 +121,7 @@
 	return known
 }
 
-// hasManifest reports whether the parts of a version are known by names and digests.
+// hasManifest reports whether the names and digests of a version's parts are known.
 func (d *replicaDocument) hasManifest(id ID) bool {
 	for _, partial := range []*partialDocument{d.activeParts, d.proposedParts} {
 		if partial != nil && partial.id == id && partial.parts != nil {
@@ -129,7 +131,7 @@
 	return false
 }
 
-// ActiveVersions are the versions that it acts on, by document.
+// ActiveVersions returns the versions that the process acts on, by document.
 func (r *Replica) ActiveVersions() map[string]int {
 	versions := map[string]int{}
 	for name, d := range r.docs {
@@ -138,17 +140,17 @@
 	return versions
 }
 
-// Why nothing exclusive begins. The texts stand in the status, in the log and on the wire.
+// The reasons why no exclusive work begins. The texts are part of the status, the log and the wire.
 const (
-	StopUnconfirmed = "unconfirmed" // no answer of the group within a lease: is the group reachable?
-	StopClockSkew   = "clock"       // its wall clock is too far from the leader's, so that times in documents come at another moment
-	StopQuiescing   = "turning"     // all processes stop the old before any begins the new
+	StopUnconfirmed = "unconfirmed" // no answer of the group within a lease; check whether the group is reachable
+	StopClockSkew   = "clock"       // the wall clock is too far from the leader's, so that times in documents are reached at another moment
+	StopQuiescing   = "turning"     // all processes stop acting on the old version before any begins the new one
 )
 
-// ConfirmedUntil is when its confirmation ends, unless an answer comes before.
+// ConfirmedUntil returns when the confirmation ends unless another answer arrives before.
 func (r *Replica) ConfirmedUntil() time.Duration { return r.confirmedUntil }
 
-// IsQuiesced reports whether it has stopped what a change excludes. It has to have done so before Report says so.
+// IsQuiesced reports whether the process must have stopped what a change excludes. It must do so before it sends the next Report.
 func (r *Replica) IsQuiesced() bool {
 	for _, d := range r.docs {
 		if d.quiescedFor != 0 {
@@ -158,7 +160,7 @@
 	return false
 }
 
-// StopReason is why nothing exclusive begins, empty where it may.
+// StopReason returns why no exclusive work may begin, or "" if it may.
 func (r *Replica) StopReason(now time.Duration) string {
 	switch {
 	case now >= r.confirmedUntil:
@@ -169,12 +171,13 @@
 	return ""
 }
 
-// Receive takes what the group has answered to a request that was made at a time: its terms, and its documents as its log had them up to
-// an index. Check is an error that tells why this process can't act on a document's text; it is called once of each. Receive returns what
-// to act on now.
+// Receive handles the group's answer to a request that was sent at requestedAt: the group's terms, and its documents as of an index of its
+// log. Check returns an error if this process can't act on a document's text; it is called once per proposed text. Receive returns the
+// updates to act on now.
 func (r *Replica) Receive(requestedAt time.Duration, index uint64, terms lease.Terms, docs map[string]View, check func(name, text string) error) (updates []Update) {
-	// An answer that was delayed, after a newer one. It may have been asked for later and yet know less, as it came from a member that
-	// lagged: what was stopped by the newer one would begin again while others act on its successor. The index of the log tells.
+	// This answer was delayed and arrives after a newer one. It may belong to a later request and still be older, if it came from a member
+	// that lagged. Exclusive work that the newer answer stopped would then begin again while other processes act on the next version. The
+	// index of the log shows which answer is newer.
 	if index < r.logIndex && !r.Disabled.IndexCheck {
 		return nil
 	}
@@ -186,12 +189,12 @@
 		switch {
 		case d.proposed != nil && d.stage == StageQuiescing:
 			d.quiescedFor = d.proposed.ID.Version
-		default: // it has become active, or was withdrawn
+		default: // the change became active or was withdrawn
 			d.quiescedFor = 0
 		}
 	}
 	updates = r.deliver(requestedAt, check)
-	// What it lacks a part of it doesn't act on, and so this answer does not confirm it.
+	// An answer does not confirm a process that lacks parts, as the process does not act on the active version yet.
 	if r.IsCurrent() {
 		r.lastConfirmed = max(r.lastConfirmed, requestedAt)
 		r.confirmedUntil = max(r.confirmedUntil, requestedAt+terms.HolderTTL())
@@ -199,8 +202,8 @@
 	return updates
 }
 
-// deliver checks what is proposed and returns what the process has to act on now: the active version, or the proposed one where the
-// process is a canary of it. Of a document in parts that is once all of them are here.
+// deliver checks proposed revisions and returns the updates to act on now: to the active revision, or to the proposed one if the process is
+// a canary. A document in parts is delivered once it is complete.
 func (r *Replica) deliver(now time.Duration, check func(name, text string) error) (updates []Update) {
 	for _, name := range slices.Sorted(maps.Keys(r.docs)) {
 		d := r.docs[name]
@@ -231,13 +234,13 @@
 	return updates
 }
 
-// isDelivered reports whether the process was handed a version already.
+// isDelivered reports whether the process already received an update to a revision.
 func (d *replicaDocument) isDelivered(r *Revision) bool {
 	return d.activeVersion == r.ID.Version && (!r.InParts || d.delivered != nil && d.delivered.id == r.ID)
 }
 
-// checkProposed checks the proposed revision: one in parts once it is complete, and then again each third of the lease, as whether the
-// process can act on it may depend on the time.
+// checkProposed checks the proposed revision. A revision in parts is checked once it is complete, and again every third of the lease,
+// as the result may depend on the time.
 func (r *Replica) checkProposed(now time.Duration, name string, d *replicaDocument, check func(name, text string) error) error {
 	switch {
 	case !d.proposed.InParts:
@@ -252,12 +255,13 @@
 	return r.CheckParts(name, changed, complete)
 }
 
-// isPrepared reports whether the proposed revision is here and was checked.
+// isPrepared reports whether the proposed revision is complete and was checked.
 func (d *replicaDocument) isPrepared() bool {
 	return d.proposed != nil && (!d.proposed.InParts || d.proposedParts.isComplete() && d.proposedParts.id == d.proposed.ID && d.checked == d.proposed.ID)
 }
 
-// IsCurrent reports whether it acts on what it was told is active, or on what it is a canary of. Only parts can be missing.
+// IsCurrent reports whether the process acts on the active revisions, or on those that it is a canary of. It is false only
+// while parts are missing.
 func (r *Replica) IsCurrent() bool {
 	for _, d := range r.docs {
 		if d.active != nil && d.active.InParts && !d.actsOn(d.active) && (d.stage != StageCanary || !d.actsOn(d.proposed)) {
@@ -267,12 +271,12 @@
 	return true
 }
 
-// acts reports whether the process acts on a revision of a document in parts.
+// actsOn reports whether the process acts on a revision of a document in parts.
 func (d *replicaDocument) actsOn(r *Revision) bool {
 	return r != nil && d.delivered != nil && d.delivered.id == r.ID
 }
 
-// OutdatedVersions are the versions that it acts on of documents of which parts of the active one are missing, by document.
+// OutdatedVersions returns, by document, the version that the process acts on while parts of the active version are missing.
 func (r *Replica) OutdatedVersions() map[string]int {
 	versions := map[string]int{}
 	for name, d := range r.docs {
@@ -283,14 +287,14 @@
 	return versions
 }
 
-// Redeliver has a document that the process could not act on after all be delivered again, whole.
+// Redeliver makes the next update of a document contain all parts, after the process failed to act on the last one.
 func (r *Replica) Redeliver(name string) {
 	if d := r.docs[name]; d != nil && d.delivered != nil {
 		d.delivered = nil
 	}
 }
 
-// withText puts in the text of a revision that is here already.
+// withText adds the text to a revision that was sent without it, if the process already has the text.
 func (d *replicaDocument) withText(revision *Revision) *Revision {
 	if revision == nil || revision.Text != "" || revision.InParts {
 		return revision
@@ -305,7 +309,7 @@
 	return revision
 }
 
-// PauseScopes is what pauses here for changes that quiesce, empty where none does.
+// PauseScopes returns what pauses at this process for changes that quiesce. It is empty if there are none.
 func (r *Replica) PauseScopes() (scopes []*PauseScope) {
 	for _, name := range slices.Sorted(maps.Keys(r.docs)) {
 		d := r.docs[name]
@@ -321,7 +325,8 @@
 	return scopes
 }
 
-// activeAndProposedTexts are the texts of the active and the proposed revision, or of their parts.
+// activeAndProposedTexts returns the texts of the active and the proposed revision, or of their parts. For a missing part it
+// returns a text that is not JSON, which makes PauseScope.Add pause everything.
 func (d *replicaDocument) activeAndProposedTexts() (texts []string) {
 	for _, revision := range []*Revision{d.active, d.proposed} {
 		if revision != nil && revision.Text != "" {
--- a/internal/policy/configstore/replicaparts.go
+++ b/internal/policy/configstore/replicaparts.go
@@ -7,16 +7,16 @@
 	"time"
 )
 
-// Documents in parts at a process: it acts on a version only once it has every part of it, and the digest over them is the version's.
-// Until then the last good one stays active here.
+// Documents in parts at a process: the process acts on a version only once it has all parts and the digest over them is the version's.
+// Until then it keeps acting on the last complete version.
 
-// partialDocument is a version of a document in parts, as far as a process has it.
+// partialDocument is a version of a document in parts, as far as a process has received it.
 type partialDocument struct {
 	id    ID
-	parts map[string]Part // nil until they are known by names and digests; a text that is not here yet is empty
+	parts map[string]Part // nil: the manifest is unknown; a part with an empty text is missing
 }
 
-// isComplete reports whether all parts are here.
+// isComplete reports whether all parts were received.
 func (p *partialDocument) isComplete() bool {
 	if p == nil || p.parts == nil {
 		return false
@@ -29,7 +29,7 @@
 	return true
 }
 
-// missing are the names of parts whose texts are not here.
+// missing returns the names of the parts whose texts were not received.
 func (p *partialDocument) missing() (names []string) {
 	for _, name := range slices.Sorted(maps.Keys(p.parts)) {
 		if p.parts[name].Text == "" {
@@ -39,22 +39,22 @@
 	return names
 }
 
-// DisabledGuards are the guards that tests leave out, to show the harm that each keeps away.
+// DisabledGuards selects guards that tests turn off, to show which failure each guard prevents.
 type DisabledGuards struct {
-	SinceCheck bool // parts that changed since another version than the one here are put on it too
-	SumCheck   bool // the digest over all parts is not looked at
-	TextCheck  bool // nor that of a part's text
-	IndexCheck bool // an answer by an older index of the group's log is taken too
-	Pacing     bool // requests for parts don't wait
+	SinceCheck bool // parts that changed since another version are merged into the version here as well
+	SumCheck   bool // the digest over all parts is not checked
+	TextCheck  bool // the digest of a part's text is not checked
+	IndexCheck bool // an answer from an older index of the group's log is accepted
+	Pacing     bool // requests for parts are sent without a pause
 }
 
-// Mismatch counts answers that did not follow from what was here, and tells why of the last one.
+// Mismatch counts answers that are inconsistent with the parts here, and has the reason of the last one.
 type Mismatch struct {
 	Count  int
 	Reason string
 }
 
-// partsOf are the parts of the active and the proposed revision, by what the process was told.
+// partsOf returns the parts of the active and the proposed revision after an answer.
 func (d *replicaDocument) partsOf(view View, disabled DisabledGuards) (active, proposed *partialDocument) {
 	if view.Active != nil && view.Active.InParts {
 		var basis *partialDocument
@@ -66,15 +66,15 @@
 	if view.Proposed != nil && view.Proposed.InParts {
 		basis := active
 		if basis == nil {
-			basis = &partialDocument{parts: map[string]Part{}} // the first in parts
+			basis = &partialDocument{parts: map[string]Part{}} // the first version in parts
 		}
 		proposed = d.partsInView(view.Proposed, basis, disabled)
 	}
 	return active, proposed
 }
 
-// partsInView is what the process has of a revision that it was told of: nothing but its ID where that doesn't follow from what is here.
-// Base is what the parts that came differ from, nil for unknown.
+// partsInView returns the parts of a revision in an answer, with only the ID if the parts can't be derived. Basis is the version that the
+// received parts differ from, nil if it is unknown.
 func (d *replicaDocument) partsInView(revision *Revision, basis *partialDocument, disabled DisabledGuards) *partialDocument {
 	for _, known := range []*partialDocument{d.delivered, d.activeParts, d.proposedParts} {
 		if known != nil && known.id == revision.ID && known.parts != nil {
@@ -98,14 +98,14 @@
 		parts[name] = part
 	}
 	if PartsDigest(parts) != revision.ID.Digest && !disabled.SumCheck {
-		d.noteMismatch("%v: its parts come to another digest", revision.ID)
+		d.noteMismatch("%v: the digest over its parts does not match", revision.ID)
 		return partial
 	}
 	partial.parts = parts
 	return partial
 }
 
-// base is the version here that parts which changed since another one are put on, nil where there is none.
+// basisFor returns the version here that parts changed since another version are merged into, or nil if it is not here.
 func (d *replicaDocument) basisFor(since int, disabled DisabledGuards) *partialDocument {
 	if since == 0 {
 		return &partialDocument{parts: map[string]Part{}}
@@ -119,7 +119,7 @@
 	return nil
 }
 
-// text finds the text of a part that is here already, under whichever version.
+// findText returns the text of a part if any version here has it, else "".
 func (d *replicaDocument) findText(name string, digest uint64) string {
 	for _, known := range []*partialDocument{d.delivered, d.activeParts, d.proposedParts} {
 		if known != nil && known.parts[name].Text != "" && known.parts[name].Digest == digest {
@@ -129,13 +129,13 @@
 	return ""
 }
 
-// noteMismatch counts an answer that did not follow.
+// noteMismatch counts an answer that is inconsistent with the parts here.
 func (d *replicaDocument) noteMismatch(format string, args ...any) {
 	d.mismatches.Count++
 	d.mismatches.Reason = fmt.Sprintf(format, args...)
 }
 
-// TakeMismatches are the answers that did not follow from what was here since the last call, by document.
+// TakeMismatches returns the mismatches since the last call, by document, and resets them.
 func (r *Replica) TakeMismatches() map[string]Mismatch {
 	mismatches := map[string]Mismatch{}
 	for name, d := range r.docs {
@@ -146,7 +146,7 @@
 	return mismatches
 }
 
-// CompleteVersions are the versions of documents in parts that it acts on: it is told what has changed since.
+// CompleteVersions returns, by document in parts, the version that the process acts on. The group sends what changed since that version.
 func (r *Replica) CompleteVersions() map[string]int {
 	versions := map[string]int{}
 	for name, d := range r.docs {
@@ -157,13 +157,14 @@
 	return versions
 }
 
-// changesTo are the texts of the parts of a version that differ from what the process acts on. Whole says that they are all.
+// changesTo returns the texts of the parts of a version that differ from the version that the process acts on. Complete reports whether
+// these are all parts of the version, which is the case if a part was removed.
 func (d *replicaDocument) changesTo(target *partialDocument) (changed map[string]string, complete bool) {
 	changed, complete = map[string]string{}, d.delivered == nil
 	if !complete {
 		for name := range d.delivered.parts {
 			if _, ok := target.parts[name]; !ok {
-				complete = true // one is gone
+				complete = true // a part was removed
 			}
 		}
 	}
@@ -175,8 +176,8 @@
 	return changed, complete
 }
 
-// ReceiveParts takes the answer to a request: of a version by its ID, parts with their texts, or without where the request named none.
-// It returns what to act on now.
+// ReceiveParts handles the answer to a request for parts of the version with this ID: parts with texts, or the manifest if the
+// request named no parts. It returns the updates to act on now.
 func (r *Replica) ReceiveParts(now time.Duration, request PartsRequest, id ID, parts map[string]Part, check func(name, text string) error) []Update {
 	progressed := false
 	d := r.docs[request.Doc]
@@ -193,18 +194,18 @@
 	if !progressed {
 		r.RequestFailed()
 	} else {
-		r.pacer = requestPacer{isScheduled: true, notBefore: now} // the next request goes out at once: other processes drew other moments
+		r.pacer = requestPacer{isScheduled: true, notBefore: now} // no pause: first requests are spread already
 	}
 	return r.deliver(now, check)
 }
 
-// acceptManifest takes the names and digests of all parts, and reports whether that was of use.
+// acceptManifest records the names and digests of all parts, and reports whether they were new and valid.
 func (d *replicaDocument) acceptManifest(partial *partialDocument, parts map[string]Part, disabled DisabledGuards) bool {
 	if partial.parts != nil || len(parts) == 0 || len(parts) > MaxParts {
 		return false
 	}
 	if PartsDigest(parts) != partial.id.Digest && !disabled.SumCheck {
-		d.noteMismatch("%v: the manifest has another digest", partial.id)
+		d.noteMismatch("%v: the digest over its manifest does not match", partial.id)
 		return false
 	}
 	manifest := make(map[string]Part, len(parts))
@@ -216,7 +217,7 @@
 	return true
 }
 
-// acceptTexts takes texts of parts, and reports whether one was of use.
+// acceptTexts records texts of parts, and reports whether any of them was missing before.
 func (d *replicaDocument) acceptTexts(partial *partialDocument, parts map[string]Part, disabled DisabledGuards) (progressed bool) {
 	for name, received := range parts {
 		part, ok := partial.parts[name]
--- a/internal/policy/configstore/rollout.go
+++ b/internal/policy/configstore/rollout.go
@@ -6,13 +6,13 @@
 	"slices"
 )
 
-// The stages of a change. Inputs: the change, and what each registered process that uses the document has reported of it. A change goes
-// on only once no process is waited for: each has to read its format, and to have prepared it; before what is exclusive becomes active,
-// each has to have quiesced. A process that reports nothing for a lease is expired, as it has stopped what is exclusive by itself then.
-// One that can't act on a proposed change has it withdrawn.
+// The stages of a change. Inputs: the change, and what each registered process that uses the document has reported of it. A change advances
+// only when it waits for no process: each must read its format and have prepared it, and before an exclusive change becomes active, each
+// must have quiesced. A process that does not report for a lease is expired, as it has stopped exclusive work by then. A change that a
+// process can't act on is withdrawn.
 
-// advance takes a change to its next stage. The group's leader proposes it; that nothing is waited for is checked here, in the log's
-// order, by every member alike, as the leader may have been deposed meanwhile.
+// advance takes a change to its next stage. The group's leader proposes it. Every member checks in log order that the change waits for
+// nothing, as the leader may have been deposed meanwhile.
 func (s *Store) advance(d *Document, c Change) error {
 	if c.Stage != d.Stage {
 		return fmt.Errorf("%w: it is %s, not %s", ErrNoSuchChange, d.Stage, c.Stage)
@@ -42,8 +42,8 @@
 	return nil
 }
 
-// canaries are the processes that act on a change first: the first by the digests of their names with the change's ID, so that it is
-// not always the same ones. One at least.
+// canaries returns the processes that act on a change first, at least one. It selects them by the digest of their name and the change's ID,
+// so that different changes have different canaries.
 func (s *Store) canaries(d *Document) (names []string) {
 	for name, process := range s.Processes {
 		if _, uses := process.Formats[d.Name]; uses {
@@ -61,7 +61,7 @@
 	return names[:min(len(names), max(1, count))]
 }
 
-// WaitingFor names what the proposed revision of a document waits for, the first in the order of processes' names, empty for nothing.
+// WaitingFor returns what the proposed revision of a document waits for, the first process in order of name, or "" for nothing.
 func (s *Store) WaitingFor(d *Document) string {
 	if d.Proposed == nil {
 		return ""
@@ -88,7 +88,7 @@
 	return ""
 }
 
-// RefusedBy is the first process that can't act on the proposed revision, and why; empty for none.
+// RefusedBy returns the first process that can't act on the proposed revision, and the reason. Both are empty if there is none.
 func (s *Store) RefusedBy(d *Document) (process, reason string) {
 	if d.Proposed == nil || d.Stage != StageProposed {
 		return "", ""
@@ -101,17 +101,18 @@
 	return "", ""
 }
 
-// MonitorAuthor is the author of changes that ProcessMonitor proposes as something made things worse. It stands in logs and snapshots.
+// MonitorAuthor is the author of changes that ProcessMonitor proposes because goodput fell. It is part of logs and snapshots.
 const MonitorAuthor = "the watch"
 
-// withdraw takes back a change that is not active yet. What the monitor withdraws from its canaries is not proposed again by mistake.
+// withdraw ends a change that is not active yet. If the monitor withdraws it from its canaries, its digest is rejected
+// from then on.
 func (d *Document) withdraw(c Change) {
 	d.Proposed.Outcome = clip("withdrawn: " + c.Reason)
 	if d.Stage == StageCanary && c.Author == MonitorAuthor {
 		d.rejectDigest(d.Proposed.ID.Digest)
 	}
 	if d.Proposed.RevertsTo > 0 {
-		d.Active.Outcome = "" // it stays after all
+		d.Active.Outcome = "" // the version stays active
 	}
 	d.archive(d.Proposed)
 	d.Proposed, d.Stage, d.HoldReason = nil, "", ""
--- a/internal/policy/configstore/scope.go
+++ b/internal/policy/configstore/scope.go
@@ -6,13 +6,14 @@
 	"strings"
 )
 
-// What an exclusive change pauses: only requests that it touches stop while all processes quiesce. A scope names classes and cells.
+// Scopes of exclusive changes: only requests that a change affects pause while processes quiesce. A scope names classes and cells.
 const (
-	ScopeClass = "class:" // and the class's name
-	ScopeCell  = "cell:"  // and the cell's name
+	ScopeClass = "class:" // followed by the class's name
+	ScopeCell  = "cell:"  // followed by the cell's name
 )
 
-// ScopeOf names what the exclusive differences of a change touch, in order; nil where that is everything.
+// ScopeOf returns the classes and cells that the exclusive differences of a change affect, sorted. It returns nil if
+// they affect everything.
 func ScopeOf(doc string, list []Difference) (scope []string) {
 	for _, d := range list {
 		if d.kind != KindExclusive && d.kind != KindUnknown {
@@ -39,16 +40,16 @@
 	return scope
 }
 
-// PauseScope is what pauses at a process while an exclusive change quiesces.
+// PauseScope is the set of requests that pause at a process while an exclusive change quiesces.
 type PauseScope struct {
 	all          bool
 	classes      map[string]bool
-	tenants      map[string]bool // of those that a map names; "" is all the others
+	tenants      map[string]bool // paused tenants; "" stands for all tenants that the map does not name
 	namedTenants map[string]bool
 }
 
-// Add adds what a change touches. Texts are those of its document before and after, or of their parts, by which it is known which
-// tenants live in a cell: where one can't be read, everything pauses.
+// Add adds the scope of a change. Texts are those of its document before and after, or of their parts, which name the tenants of each cell.
+// If one of them can't be parsed, everything pauses.
 func (s *PauseScope) Add(scope []string, texts []string) {
 	if s.classes == nil {
 		s.classes, s.tenants, s.namedTenants = map[string]bool{}, map[string]bool{}, map[string]bool{}
@@ -64,7 +65,7 @@
 		} else if cell, ok := strings.CutPrefix(name, ScopeCell); ok {
 			cells[cell] = true
 		} else {
-			s.all = true // of a newer build
+			s.all = true // a scope of a newer build
 		}
 	}
 	if len(cells) == 0 || s.all {
@@ -78,7 +79,7 @@
 			}
 		}
 		if json.Unmarshal([]byte(text), &doc) != nil {
-			s.all = true // it can't be known who lives there
+			s.all = true // the tenants of the cells are unknown
 			return
 		}
 		for _, tenant := range doc.Tenants {
@@ -92,7 +93,7 @@
 	}
 }
 
-// Pauses reports whether requests with an idempotency key of a class and a tenant pause.
+// Pauses reports whether requests with an idempotency key, of a class and a tenant, pause.
 func (s *PauseScope) Pauses(class, tenant string) bool {
 	return s.all || s.classes[class] || s.tenants[tenant] || s.tenants[""] && !s.namedTenants[tenant]
 }
--- a/internal/policy/configstore/store.go
+++ b/internal/policy/configstore/store.go
@@ -6,8 +6,8 @@
 	"fmt"
 )
 
-// Store is what a group agrees on: its documents and the processes that use them. It knows no time, and is never changed but by Apply,
-// in the order of the group's log, so that it is the same on every member. It is JSON in snapshots.
+// Store is the state that a group replicates: its documents and the processes that use them. It has no clock, and only Apply changes it, in
+// the order of the group's log, so that it is the same on every member. Snapshots contain it as JSON.
 type Store struct {
 	Documents map[string]*Document `json:"docs"`
 	Processes map[string]*Process  `json:"users"`
@@ -16,72 +16,72 @@
 // NewStore returns a store without documents.
 func NewStore() *Store { return &Store{map[string]*Document{}, map[string]*Process{}} }
 
-// Op is what a change asks of a store. The texts are in the group's log and on the wire.
+// Op is the operation of a change. The texts are part of the group's log and of the wire.
 type Op string
 
 // The operations.
 const (
-	OpPropose   Op = "put"      // a change, on top of a version that is in force
-	OpLoadDraft Op = "load"     // parts of a draft that a later OpPropose names
-	OpRegister  Op = "join"     // by a process, before it acts on anything
-	OpExpire    Op = "lapse"    // by the group's leader, of a process that it has not heard of for a lease, so that it acts on nothing exclusive
-	OpReport    Op = "say"      // by a process: what it has prepared, refuses, and has quiesced for
-	OpAdvance   Op = "advance"  // by the leader: to the next stage, once nothing is waited for
-	OpWithdraw  Op = "withdraw" // of a version that is not active
-	OpRevert    Op = "takeback" // of one that is: the contents before it, as a new version
-	OpHold      Op = "hold"     // have a change wait before its next stage
-	OpRelease   Op = "release"  // and have it go on
+	OpPropose   Op = "put"      // propose a revision based on the active version
+	OpLoadDraft Op = "load"     // add parts to a draft that a later OpPropose names
+	OpRegister  Op = "join"     // register a process, before it acts on any document
+	OpExpire    Op = "lapse"    // by the leader: remove a process that has not reported for a lease and so has stopped exclusive work
+	OpReport    Op = "say"      // by a process: the versions that it has prepared, refused and quiesced for
+	OpAdvance   Op = "advance"  // by the leader: go to the next stage, once the change waits for nothing
+	OpWithdraw  Op = "withdraw" // end a change that is not active
+	OpRevert    Op = "takeback" // propose the contents before the active version as a new version
+	OpHold      Op = "hold"     // make a change wait before its next stage
+	OpRelease   Op = "release"  // end OpHold
 )
 
-// Change is one thing asked of a store.
+// Change is one operation on a store.
 type Change struct {
 	Op        Op             `json:"op"`
 	Doc       string         `json:"doc,omitempty"`
-	Version   int            `json:"version,omitempty"` // OpPropose: the active one, 0 for none; else the one that is meant
+	Version   int            `json:"version,omitempty"` // OpPropose: the active version, 0 for none; else the version to operate on
 	Format    int            `json:"format,omitempty"`
 	Text      string         `json:"text,omitempty"`
 	Exclusive bool           `json:"exclusive,omitempty"`
 	Rollout   *RolloutPolicy `json:"try,omitempty"`
 
-	Parts  map[string]string `json:"parts,omitempty"`  // OpPropose and OpLoadDraft: the texts of the parts that change
-	Draft  string            `json:"draft,omitempty"`  // OpLoadDraft: the one that they belong to; OpPropose: the one whose parts it proposes
-	Digest uint64            `json:"digest,omitempty"` // OpPropose in parts: what the whole must come to
+	Parts  map[string]string `json:"parts,omitempty"`  // OpPropose and OpLoadDraft: texts of the changed parts
+	Draft  string            `json:"draft,omitempty"`  // OpLoadDraft: the draft that they belong to; OpPropose: the draft to propose
+	Digest uint64            `json:"digest,omitempty"` // OpPropose in parts: the digest over all parts of the new version
 	Scope  []string          `json:"touches,omitempty"`
 
-	AllowRejected bool     `json:"again,omitempty"` // OpPropose: also what was reverted before
-	Stage         Stage    `json:"stage,omitempty"` // OpAdvance: from this one
-	Baseline      *Goodput `json:"base,omitempty"`  // OpAdvance: the goodput until now
+	AllowRejected bool     `json:"again,omitempty"` // OpPropose: accept contents that were reverted before
+	Stage         Stage    `json:"stage,omitempty"` // OpAdvance: the current stage
+	Baseline      *Goodput `json:"base,omitempty"`  // OpAdvance: goodput before the change
 	Process       *Process `json:"user,omitempty"`  // OpRegister and OpReport
 	Author        string   `json:"by,omitempty"`
 	Reason        string   `json:"why,omitempty"`
 	At            int64    `json:"at,omitempty"`
 }
 
-// Why Apply refuses a change, with the document and version in the text around it.
+// The errors that Apply wraps with the document and version.
 var (
-	ErrStaleBase      = errors.New("another version is in force") // it was made on top of another one
-	ErrChangePending  = errors.New("a change is under way")       // one at a time
-	ErrNoSuchChange   = errors.New("there is no such change")     // nor such a document, or version
-	ErrNotReady       = errors.New("it still waits")              // for a process, or for an operator
-	ErrNotRegistered  = errors.New("not registered")              // a process reports that the group does not know
-	ErrRejectedBefore = errors.New("it was taken back before")    // as it made things worse
+	ErrStaleBase      = errors.New("another version is in force") // the change is based on another version
+	ErrChangePending  = errors.New("a change is under way")       // a document has at most one pending change
+	ErrNoSuchChange   = errors.New("there is no such change")     // nor such a document or version
+	ErrNotReady       = errors.New("it still waits")              // for a process or an operator
+	ErrNotRegistered  = errors.New("not registered")              // the reporting process is not in the store
+	ErrRejectedBefore = errors.New("it was taken back before")    // because goodput fell
 )
 
-// MaxProcesses bounds the processes that are registered. The leader keeps two minutes of each one's goodput, 24 bytes a report: 12 MB of
-// all where they report once a second.
+// MaxProcesses limits the registered processes. The leader keeps two minutes of each one's goodput, 24 bytes a report: 12 MB in total
+// if they report once a second.
 const MaxProcesses = 4096
 
-// Bounds of what the group keeps, and sends in each snapshot.
+// Limits of what the group stores and sends in each snapshot.
 const (
-	maxDocuments = 32        // the member takes four names (DocumentNames); the rest is for those of later builds
-	maxHistory   = 16        // versions of a document that can be looked at, and reverted to
+	maxDocuments = 32        // the member accepts the four DocumentNames; the rest is for documents of later builds
+	maxHistory   = 16        // versions of a document that can be shown and reverted to
 	maxRejected  = 8         // digests that are not proposed again by mistake
-	maxTextSize  = 256 << 10 // bytes of one change, and of a document that is not in parts: it goes into the log as one entry
+	maxTextSize  = 256 << 10 // bytes of a change, and of a document that is not in parts, as it is one log entry
 	maxReason    = 512       // bytes of a text from an operator or a process
 )
 
-// Apply does what a change asks, in the order of the group's log. It returns the document that the change is of, nil where it is of a
-// process. An error changes nothing; errors.Is tells the ones above, and the text goes to whoever asked.
+// Apply applies a change, in the order of the group's log. It returns the document of the change, or nil if the change is for a process. A
+// change that returns an error has no effect. Callers test for the errors above with errors.Is, and the text is sent to the requester.
 func (s *Store) Apply(c Change) (*Document, error) {
 	switch c.Op {
 	case OpRegister, OpReport:
@@ -119,5 +119,5 @@
 	return d, nil
 }
 
-// clip bounds a text that comes from outside.
+// clip limits the size of a text that comes from outside.
 func clip(s string) string { return s[:min(len(s), maxReason)] }
--- a/internal/policy/configstore/tracker.go
+++ b/internal/policy/configstore/tracker.go
@@ -7,78 +7,78 @@
 	"time"
 )
 
-// Versions that a process hears of without a group. Inputs: the IDs of documents that routers and servers tell each other with health
-// checks and requests. A newer version that has been known for a lease has the process stop what is exclusive; two documents of one
-// version that differ have all stop it that hear of them, until what either has begun can't be repeated any more.
+// Versions reported without a group. Inputs: the IDs of documents that routers and servers exchange with health checks and requests. A
+// process that has known of a newer version for a lease stops exclusive work. If two documents of one version differ, all processes that
+// receive both IDs stop it, until work begun under either can't be repeated any more.
 
-// Verdict says what a process may do by its document.
+// Verdict is whether a process may act on its document.
 type Verdict int
 
-// The verdicts.
+// The verdicts, with their names in the status.
 const (
-	VerdictValid       Verdict = iota // good
-	VerdictOutdated                   // behind: a newer version has been known for a lease: nothing exclusive begins by this one
-	VerdictConflicting                // contradicted: two documents of its version differ: nothing exclusive begins by either
-	VerdictSettling                   // quiet: two have differed not long ago, and what either began may still be repeated
+	VerdictValid       Verdict = iota // "good": exclusive work may begin
+	VerdictOutdated                   // "behind": a newer version has been known for a lease; no exclusive work begins
+	VerdictConflicting                // "contradicted": two documents of its version differ; no exclusive work begins under either
+	VerdictSettling                   // "quiet": two documents differed recently, and work begun under either may still be repeated
 )
 
-// String is the verdict's name in the status, and in counters of requests that failed by it.
+// String returns the verdict's name in the status and in the counters of rejected requests.
 func (v Verdict) String() string { return [...]string{"good", "behind", "contradicted", "quiet"}[v] }
 
-// News is what a process has learned by an observation.
+// Observation is what an observed document or conflict added to the tracker.
 type Observation int
 
-// The kinds of news.
+// The results of an observation.
 const (
 	NothingNew    Observation = iota
-	NewerVersion              // a version above all that it knew
+	NewerVersion              // a version higher than all known ones
 	ConflictFound             // a second document of one version
 )
 
-// Sighting is a document that a process has.
+// Sighting is a document that a process was reported to have.
 type Sighting struct {
 	ID     ID
-	Source string // which process told of it, and where it was heard
+	Source string // the reporting process, and where the report was received
 }
 
-// String is the sighting as the log and other processes are told of it.
+// String returns the sighting as it is written in the log and sent to other processes.
 func (s Sighting) String() string { return fmt.Sprintf("%v by %s", s.ID, s.Source) }
 
-// Bounds on what is remembered: what comes off a wire is not bounded by itself.
+// Limits of what is stored, as the data received from other processes is unbounded.
 const (
-	maxVersions   = 16 // versions that are remembered; a fleet has two or three at a time
+	maxVersions   = 16 // versions that are stored; a fleet has two or three at a time
 	maxSourceName = 64 // bytes of a process's name
 )
 
-// trackedVersion is what is known of a version's documents.
+// trackedVersion has the documents that were reported for a version.
 type trackedVersion struct {
 	number              int
-	firstObservedAt     time.Duration // when it was first heard of
+	firstObservedAt     time.Duration // when the version was first reported
 	sightings           []Sighting    // one, or the first two that differ
-	conflictAt          time.Duration // since when two are known to
-	conflictDescription string        // or that two differ, as another process said
+	conflictAt          time.Duration // when the conflict was detected
+	conflictDescription string        // conflict that another process reported; empty: none
 }
 
 func (v *trackedVersion) isConflicting() bool {
 	return len(v.sightings) > 1 || v.conflictDescription != ""
 }
 
-// VersionTracker is what a process has heard of the versions of others. The zero value has heard nothing. All times are the process's
-// own monotonic clock. It is not safe for concurrent use.
+// VersionTracker records the versions that other processes report. The zero value has no versions. All times are the process's own
+// monotonic clock. It is not safe for concurrent use.
 type VersionTracker struct {
-	terms           Terms             // the longest lease and the rest of it that anyone named
-	versions        []*trackedVersion // rising
+	terms           Terms             // the maximum of each term over all that were given
+	versions        []*trackedVersion // in ascending order
 	suspendedUntil  time.Duration
-	longestOutdated time.Duration // that a process was seen to be outdated, or that two differed
+	longestOutdated time.Duration // longest time that a document was seen to be outdated or in conflict
 }
 
-// ExtendTerms takes the terms that a document, or another process, names. Of two, the longer ones hold: they err on the safe side.
+// ExtendTerms raises each term to that of t if t's is longer. Documents and other processes give terms, and the longest ones are safe.
 func (t *VersionTracker) ExtendTerms(terms Terms) {
 	t.terms = Terms{max(t.terms.Lease, terms.Lease), max(t.terms.ClockSkew, terms.ClockSkew), max(t.terms.ClockDrift, terms.ClockDrift),
 		max(t.terms.ProbeInterval, terms.ProbeInterval), max(t.terms.ProbeTimeout, terms.ProbeTimeout), max(t.terms.OverlapWindow, terms.OverlapWindow)}
 }
 
-// at returns what is known of a version, new where it is not too old to matter.
+// findOrAdd returns the entry of a version, and whether it was added as the newest. It returns nil for a version that is too old to store.
 func (t *VersionTracker) findOrAdd(number int, now time.Duration) (v *trackedVersion, newest bool) {
 	index, found := slices.BinarySearchFunc(t.versions, number, func(v *trackedVersion, n int) int { return cmp.Compare(v.number, n) })
 	if found {
@@ -96,7 +96,7 @@
 	return v, newest
 }
 
-// Observe takes that a process has a document.
+// Observe records that a process has a document.
 func (t *VersionTracker) Observe(now time.Duration, id ID, source string) Observation {
 	v, newest := t.findOrAdd(id.Version, now)
 	if v == nil {
@@ -116,7 +116,7 @@
 	return NothingNew
 }
 
-// ObserveConflict takes that another process knows of two documents of a version that differ, with its description of them.
+// ObserveConflict records that another process detected two different documents of a version, with its description of them.
 func (t *VersionTracker) ObserveConflict(now time.Duration, number int, description string) Observation {
 	v, _ := t.findOrAdd(number, now)
 	if v == nil || v.isConflicting() || description == "" {
@@ -127,24 +127,24 @@
 	return ConflictFound
 }
 
-// noteConflict begins the time in which what either document has begun may be repeated. Until others know as well they go on, for
-// DetectionBound at most.
+// noteConflict suspends exclusive work while work begun under either document may be repeated. Processes that have not detected the
+// conflict yet continue for DetectionBound at most.
 func (t *VersionTracker) noteConflict(now time.Duration, v *trackedVersion) {
 	v.conflictAt = now
 	t.Suspend(now, t.terms.DetectionBound()+t.terms.OverlapWindow)
 }
 
-// Suspend has nothing exclusive begin for so long: another process has found two documents that differ.
+// Suspend stops exclusive work from beginning for d. It is called when another process has found two documents that differ.
 func (t *VersionTracker) Suspend(now, d time.Duration) {
 	t.suspendedUntil = max(t.suspendedUntil, now+d)
 }
 
-// SuspendedFor is how much longer nothing exclusive begins.
+// SuspendedFor returns how much longer no exclusive work begins.
 func (t *VersionTracker) SuspendedFor(now time.Duration) time.Duration {
 	return max(0, t.suspendedUntil-now)
 }
 
-// Newest is the newest document that was heard of, and its first sighting; ok is false where there is none.
+// Newest returns the first sighting of the newest document, and false if there is none.
 func (t *VersionTracker) Newest() (newest Sighting, ok bool) {
 	for _, v := range slices.Backward(t.versions) {
 		if len(v.sightings) > 0 {
@@ -154,7 +154,7 @@
 	return Sighting{}, false
 }
 
-// Conflict is the newest version and the description of its two documents that differ, empty where they don't.
+// Conflict returns the newest version, and a description of its two documents that differ, or "" if they don't.
 func (t *VersionTracker) Conflict() (number int, description string) {
 	if len(t.versions) == 0 {
 		return 0, ""
@@ -166,8 +166,8 @@
 	return v.number, v.sightings[0].String() + " and " + v.sightings[1].String()
 }
 
-// Check tells what may be done by a document. The newest version decides: one above two that differ ends their conflict, but for what
-// they may have begun. It is called with each request that has an idempotency key.
+// Check returns the verdict on a document. The newest version decides: a version above one in conflict ends the conflict, except for the
+// time in which work begun under it may be repeated. Check is called for each request with an idempotency key.
 func (t *VersionTracker) Check(now time.Duration, id ID) Verdict {
 	if count := len(t.versions); count > 0 && t.versions[count-1].isConflicting() && id.Version <= t.versions[count-1].number {
 		t.longestOutdated = max(t.longestOutdated, now-t.versions[count-1].conflictAt)
@@ -188,9 +188,9 @@
 	return VerdictValid
 }
 
-// LongestOutdated is the longest in which a process was seen to act, or to want to, by a document that is not the newest, or that
-// another one contradicts.
+// LongestOutdated returns the longest time in which a process was seen to act, or to try to act, on a document that was outdated or in
+// conflict.
 func (t *VersionTracker) LongestOutdated() time.Duration { return t.longestOutdated }
 
-// Terms are the terms that it goes by.
+// Terms returns the longest terms that were given to ExtendTerms.
 func (t *VersionTracker) Terms() Terms { return t.terms }
--- a/internal/policy/configstore/view.go
+++ b/internal/policy/configstore/view.go
@@ -4,24 +4,24 @@
 	"slices"
 )
 
-// View is a document as a process is told of it, without the texts that it has. The JSON names are those of the wire.
+// View is a document as it is sent to a process, without the texts that the process has. The JSON names are those of the wire.
 type View struct {
 	Active   *Revision `json:"force,omitempty"`
 	Proposed *Revision `json:"next,omitempty"`
 	Stage    Stage     `json:"stage,omitempty"`
-	Since    int       `json:"since,omitempty"` // of a document in parts: Active has those that changed after this version; 0: all, or none
+	Since    int       `json:"since,omitempty"` // of a document in parts: Active has the parts changed after this version; 0: all, or none
 }
 
-// Budgets of what one answer carries, in bytes as they go over the wire: a message of the group's protocol is at most 1 MiB.
+// Limits of the contents of an answer, in encoded bytes: a message of the group's protocol is at most 1 MiB.
 const (
-	// MaxViewSize bounds the parts in the answer to a process that asks what has changed. What is beyond is named, and asked for.
+	// MaxViewSize limits the parts in an answer to a poll. Beyond it the answer has only their names and digests.
 	MaxViewSize = 128 << 10
-	// MaxPartsAnswerSize bounds the parts in the answer to a process that asks for them.
+	// MaxPartsAnswerSize limits the parts in the answer to a request for parts.
 	MaxPartsAnswerSize = 256 << 10
 )
 
-// ViewFor is the document as a process is told of it. Has are the versions whose texts it has, or whose parts it can name; base is the
-// version in parts that it has whole, 0 for none.
+// ViewFor returns the document as it is sent to a process. Known has the versions whose text or manifest the process has. Base is the
+// version in parts that the process has completely, 0 for none.
 func (d *Document) ViewFor(process *Process, known []int, base int) View {
 	view := View{Stage: d.Stage, Active: withoutKnown(d.Active, known)}
 	if d.Active != nil && d.Active.InParts && view.Active.Parts != nil {
@@ -29,7 +29,7 @@
 			view.Since = base
 		}
 		if view.Active.Parts = changedSince(d.Active.Parts, view.Since); view.Since == 0 && !haveTexts(view.Active.Parts) {
-			view.Active.Parts = nil // as many names as there are parts: the process asks for them in its own time
+			view.Active.Parts = nil // the manifest has as many entries as there are parts; the process requests it later
 		}
 	}
 	if !d.IsOfferedTo(process) {
@@ -43,7 +43,7 @@
 	return view
 }
 
-// withoutKnown is a revision without the text that a process has.
+// withoutKnown returns a revision without its text or parts if the process has the version.
 func withoutKnown(revision *Revision, known []int) *Revision {
 	if revision == nil {
 		return nil
@@ -56,13 +56,13 @@
 	return &stripped
 }
 
-// changedSince are the parts that changed after a version, without their texts where an answer can't carry them.
+// changedSince returns the parts that changed after a version, without their texts if these exceed MaxViewSize.
 func changedSince(parts map[string]Part, since int) map[string]Part {
 	changed, size := map[string]Part{}, 0
 	for name, p := range parts {
 		if p.Version > since {
 			changed[name] = p
-			if size <= MaxViewSize { // beyond it there is no need to know
+			if size <= MaxViewSize { // the exact size beyond the limit is not needed
 				size += EncodedSize(p.Text)
 			}
 		}
@@ -80,8 +80,8 @@
 	return true
 }
 
-// SelectParts are the named parts of a version, as many as MaxPartsAnswerSize allows, and one at least; without names it is the manifest
-// of all.
+// SelectParts returns the named parts of a version, as many as MaxPartsAnswerSize allows and at least one. Without names it returns the
+// manifest.
 func SelectParts(parts map[string]Part, names []string) map[string]Part {
 	if len(names) == 0 {
 		return Manifest(parts)
@@ -100,7 +100,7 @@
 	return selected
 }
 
-// EncodedSize is how many bytes a text is as JSON, at most.
+// EncodedSize returns an upper bound of the size of a text as JSON.
 func EncodedSize(text string) int {
 	size := len(text) + 2
 	for i := range len(text) {
@@ -114,8 +114,8 @@
 	return size
 }
 
-// Summary is the document for operators: without the texts of its parts and its draft's, and of its history with as many texts, the
-// latest first, as an answer can carry.
+// Summary returns the document for operators: without the texts of its parts and the parts of its draft, and with as many texts of its
+// history, latest first, as an answer can carry.
 func (d *Document) Summary() *Document {
 	summary := *d
 	for _, revision := range []**Revision{&summary.Active, &summary.Proposed} {
@@ -140,7 +140,7 @@
 	return &summary
 }
 
-// Summary is the store with the summaries of its documents.
+// Summary returns the store with the summaries of its documents.
 func (s *Store) Summary() *Store {
 	summary := &Store{map[string]*Document{}, s.Processes}
 	for name, d := range s.Documents {
