--- a/internal/policy/configstore/document.go
+++ b/internal/policy/configstore/document.go
@@ -36,7 +36,7 @@
 
 	// Fields of a document in parts, which has no text:
 	InParts      bool            `json:"split,omitempty"`
-	Parts        map[string]Part `json:"by_part,omitempty"` // active revision: all parts; proposed one: the parts that differ from the active ones
+	Parts        map[string]Part `json:"by_part,omitempty"` // of the active revision: all; of the proposed one: those that differ
 	ChangedParts []string        `json:"changed,omitempty"` // names of the parts that differ from the previous version
 }
 
@@ -109,7 +109,7 @@
 	if !slices.Contains(d.RejectedDigests, digest) {
 		d.RejectedDigests = append(d.RejectedDigests, digest)
 	}
-	if n := len(d.RejectedDigests) - maxRejected; n > 0 {
+	if n := len(d.RejectedDigests) - maxRejectedDigests; n > 0 {
 		d.RejectedDigests = slices.Delete(d.RejectedDigests, 0, n)
 	}
 }
--- a/internal/policy/configstore/fetch.go
+++ b/internal/policy/configstore/fetch.go
@@ -19,9 +19,9 @@
 }
 
 const (
-	initialBackoff = 2 * time.Second // spreads the first requests of a zone's hundreds of processes
-	maxDoublings   = 4               // of initialBackoff, up to 32 seconds
-	maxRequested   = MaxParts        // names in a request; the answer carries as many parts as fit
+	initialBackoff    = 2 * time.Second // spreads the first requests of a zone's hundreds of processes
+	maxDoublings      = 4               // of initialBackoff, up to 32 seconds
+	maxRequestedParts = MaxParts        // names in a request; the answer carries as many parts as fit
 )
 
 // requestPacer paces the requests of a process.
@@ -51,7 +51,7 @@
 			request = PartsRequest{Doc: name, Version: partial.id.Version}
 			if partial.parts != nil {
 				request.Names = partial.missing()
-				request.Names = request.Names[:min(len(request.Names), maxRequested)]
+				request.Names = request.Names[:min(len(request.Names), maxRequestedParts)]
 			}
 			return request, true
 		}
--- a/internal/policy/configstore/goodput.go
+++ b/internal/policy/configstore/goodput.go
@@ -32,7 +32,7 @@
 		if !include(name) {
 			continue
 		}
-		for _, sample := range report.past {
+		for _, sample := range report.samples {
 			if now-sample.at <= span {
 				total.Offered += report.Goodput.Offered - sample.goodput.Offered
 				total.Served += report.Goodput.Served - sample.goodput.Served
--- a/internal/policy/configstore/kindsgolden_test.go
+++ b/internal/policy/configstore/kindsgolden_test.go
@@ -13,12 +13,12 @@
 // By its kind a change of a field goes to all at once, waits for a window, or has everybody stop first, and the kind's name is printed
 // by rules diff. A field that lost its kind would be taken for exclusive, and stop the fleet. Each field stands in testdata with its kind.
 func TestFieldsKeepTheirKinds(t *testing.T) {
-	var list []string
+	var lines []string
 	for field, kind := range fieldKinds {
-		list = append(list, field+" "+kind.String())
+		lines = append(lines, field+" "+kind.String())
 	}
-	slices.Sort(list)
-	matchesFile(t, "testdata/kinds.txt", strings.Join(list, "\n")+"\n")
+	slices.Sort(lines)
+	compareWithFile(t, "testdata/kinds.txt", strings.Join(lines, "\n")+"\n")
 	if got := KindOf("map", "servers[s1].addr"); got.String() != "announced" {
 		t.Errorf("a server's address is %v", got)
 	}
@@ -34,7 +34,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	b, err := json.Marshal(list)
+	encoded, err := json.Marshal(list)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -42,8 +42,8 @@
 		`{"path":"cells[b].name","old":"\"b\"","kind":"exclusive"},{"path":"colour[0]","new":"\"red\"","kind":"unknown"},` +
 		`{"path":"servers[s1].addr","old":"\"x\"","new":"\"y\"","kind":"announced"},{"path":"version","old":"1","new":"2","kind":"free"},` +
 		`{"path":"window_ms","old":"5","new":"6","kind":"monotone"}]`
-	if string(b) != want || !HasExclusive(list) || FirstDependent(list) != "cells[a].capacity" {
-		t.Errorf("excludes %v, bound %q, got %s", HasExclusive(list), FirstDependent(list), b)
+	if string(encoded) != want || !HasExclusive(list) || FirstDependent(list) != "cells[a].capacity" {
+		t.Errorf("excludes %v, bound %q, got %s", HasExclusive(list), FirstDependent(list), encoded)
 	}
 }
 
@@ -63,19 +63,19 @@
 	}
 }
 
-func matchesFile(t *testing.T, file, got string) {
+func compareWithFile(t *testing.T, file, got string) {
 	t.Helper()
 	want, err := os.ReadFile(file)
 	if err != nil {
 		t.Fatal(err)
 	}
-	a, b := strings.Split(string(want), "\n"), strings.Split(got, "\n")
-	for i := range a {
-		if i >= len(b) || a[i] != b[i] {
-			t.Fatalf("%s:%d: got %q, want %q", file, i+1, strings.Join(b[min(i, len(b)):min(i+1, len(b))], ""), a[i])
+	wantLines, gotLines := strings.Split(string(want), "\n"), strings.Split(got, "\n")
+	for i := range wantLines {
+		if i >= len(gotLines) || wantLines[i] != gotLines[i] {
+			t.Fatalf("%s:%d: got %q, want %q", file, i+1, strings.Join(gotLines[min(i, len(gotLines)):min(i+1, len(gotLines))], ""), wantLines[i])
 		}
 	}
-	if len(b) > len(a) {
-		t.Fatalf("%s: %d lines more: %q", file, len(b)-len(a), b[len(a)])
+	if len(gotLines) > len(wantLines) {
+		t.Fatalf("%s: %d lines more: %q", file, len(gotLines)-len(wantLines), gotLines[len(wantLines)])
 	}
 }
--- a/internal/policy/configstore/monitor.go
+++ b/internal/policy/configstore/monitor.go
@@ -28,7 +28,7 @@
 	ActiveVersions map[string]int `json:"acts"`
 	Goodput        Goodput        `json:"worth"`
 	StopReason     string         `json:"stops,omitempty"` // why no exclusive work begins there
-	past           []goodputSample
+	samples        []goodputSample
 }
 
 type goodputSample struct {
@@ -71,16 +71,16 @@
 		m.reports[name] = report
 	}
 	report.ReceivedAt, report.ActiveVersions, report.Goodput, report.StopReason = now, versions, goodput, stopReason
-	report.past = append(report.past, goodputSample{now, goodput})
-	report.past = slices.DeleteFunc(report.past, func(sample goodputSample) bool { return now-sample.at > maxObserved })
+	report.samples = append(report.samples, goodputSample{now, goodput})
+	report.samples = slices.DeleteFunc(report.samples, func(sample goodputSample) bool { return now-sample.at > goodputRetention })
 	return true
 }
 
 const (
-	maxObserved      = 2 * time.Minute // how long goodput samples are kept; a change is observed for less
-	observeActiveFor = 2               // times RolloutPolicy.ObserveMS during which the monitor may still revert an active version
-	minObserved      = 4               // a quarter of RolloutPolicy.ObserveMS has to pass before the monitor judges a change as worse
-	proposalRetry    = 4               // a quarter of the lease passes before a change is proposed again: the first proposal may still be pending
+	goodputRetention     = 2 * time.Minute // how long goodput samples are kept; a change is observed for less
+	activeObserveFactor  = 2               // times RolloutPolicy.ObserveMS during which the monitor may still revert an active version
+	minObservedDivisor   = 4               // a quarter of RolloutPolicy.ObserveMS has to pass before the monitor judges a change as worse
+	proposalRetryDivisor = 4               // a quarter of the lease until a change is proposed again: the first one may be pending
 )
 
 // Reports returns the last report of each process, for operators.
@@ -88,7 +88,7 @@
 	reports := map[string]ProcessReport{}
 	for name, report := range m.reports {
 		copied := *report
-		copied.AgeMS, copied.past = (now - report.ReceivedAt).Milliseconds(), nil
+		copied.AgeMS, copied.samples = (now - report.ReceivedAt).Milliseconds(), nil
 		reports[name] = copied
 	}
 	return reports
@@ -122,7 +122,7 @@
 	for _, name := range slices.Sorted(maps.Keys(store.Documents)) {
 		d := store.Documents[name]
 		m.noteStage(store, d, now)
-		if proposedAt, ok := m.proposedAt[name]; ok && now-proposedAt < m.terms.TTL/proposalRetry {
+		if proposedAt, ok := m.proposedAt[name]; ok && now-proposedAt < m.terms.TTL/proposalRetryDivisor {
 			continue // an earlier proposal may not be applied yet
 		}
 		if c, ok := m.nextChange(store, d, now); ok {
@@ -197,7 +197,7 @@
 		return c, false
 	}
 	observe := milliseconds(active.Rollout.ObserveMS)
-	if now-start.at > observeActiveFor*observe || now-start.at < observe/minObserved {
+	if now-start.at > activeObserveFactor*observe || now-start.at < observe/minObservedDivisor {
 		return c, false
 	}
 	goodput := m.goodputSince(start, usersOf(store, d))
@@ -217,7 +217,7 @@
 	canaries := m.goodputSince(start, isCanary)
 	others := m.goodputSince(start, func(name string) bool { return uses(name) && !isCanary(name) })
 	observe := milliseconds(policy.ObserveMS)
-	if isWorse(others, canaries, policy.MaxLoss) && now-start.at >= observe/minObserved {
+	if isWorse(others, canaries, policy.MaxLoss) && now-start.at >= observe/minObservedDivisor {
 		return fmt.Sprintf("%.0f%% of the worth was served where it was tried, else %.0f%%", 100*canaries.Ratio(), 100*others.Ratio()), false
 	}
 	return "", now-start.at >= observe
--- a/internal/policy/configstore/parts_test.go
+++ b/internal/policy/configstore/parts_test.go
@@ -17,16 +17,16 @@
 )
 
 // again is what comes out of a book that was written and read.
-func again(t interface{ Fatal(...any) }, b *Store) *Store {
-	text, err := json.Marshal(b)
+func roundTrip(t interface{ Fatal(...any) }, store *Store) *Store {
+	encoded, err := json.Marshal(store)
 	if err != nil {
 		t.Fatal(err)
 	}
-	out := NewStore()
-	if err := json.Unmarshal(text, out); err != nil {
+	decoded := NewStore()
+	if err := json.Unmarshal(encoded, decoded); err != nil {
 		t.Fatal(err)
 	}
-	return out
+	return decoded
 }
 
 func textsOf(parts map[string]Part) map[string]string {
@@ -41,28 +41,28 @@
 // whenever it is written and read between; its digest names the whole, and each part the version in which it changed.
 func TestStoreInParts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b := NewStore()
-		var force, next map[string]string // what it has to say; next nil: nothing is under way
-		since := map[string]int{}
-		draft, drafted := "", map[string]string{}
-		some := func(label string) map[string]string {
+		store := NewStore()
+		var active, proposed map[string]string // what it has to say; next nil: nothing is under way
+		changedIn := map[string]int{}
+		draftID, draftParts := "", map[string]string{}
+		drawParts := func(label string) map[string]string {
 			return rapid.MapOfN(rapid.SampledFrom([]string{"a", "b", "c", "d", "e"}), rapid.SampledFrom([]string{"1", "2", "3"}), 1, 4).Draw(t, label)
 		}
-		onto := func(changed map[string]string) map[string]string {
-			all := maps.Clone(force)
-			if all == nil {
-				all = map[string]string{}
+		mergedWithActive := func(changed map[string]string) map[string]string {
+			merged := maps.Clone(active)
+			if merged == nil {
+				merged = map[string]string{}
 			}
-			maps.Copy(all, changed)
-			return all
+			maps.Copy(merged, changed)
+			return merged
 		}
 		doc := func() *Document {
-			if d := b.Documents["d"]; d != nil {
+			if d := store.Documents["d"]; d != nil {
 				return d
 			}
 			return &Document{}
 		}
-		version := func() int {
+		activeVersion := func() int {
 			if d := doc(); d.Active != nil {
 				return d.Active.ID.Version
 			}
@@ -70,105 +70,105 @@
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"put": func(t *rapid.T) {
-				c := Change{Op: OpPropose, Doc: "d", Version: version(), Parts: some("changed")}
-				all := onto(c.Parts)
-				c.Digest = TextsDigest(all)
-				wrong := rapid.Bool().Draw(t, "wrong")
-				if wrong {
+				c := Change{Op: OpPropose, Doc: "d", Version: activeVersion(), Parts: drawParts("changed")}
+				merged := mergedWithActive(c.Parts)
+				c.Digest = TextsDigest(merged)
+				wrongDigest := rapid.Bool().Draw(t, "wrong")
+				if wrongDigest {
 					c.Digest++
 				}
-				_, err := b.Apply(c)
-				if ok := next == nil && !wrong && !maps.Equal(all, force); ok != (err == nil) {
-					t.Fatalf("%v of %v, wrong %v: %v", c.Parts, force, wrong, err)
+				_, err := store.Apply(c)
+				if ok := proposed == nil && !wrongDigest && !maps.Equal(merged, active); ok != (err == nil) {
+					t.Fatalf("%v of %v, wrong %v: %v", c.Parts, active, wrongDigest, err)
 				} else if ok {
-					next, draft = all, ""
+					proposed, draftID = merged, ""
 				}
 			},
 			"load": func(t *rapid.T) {
 				id := rapid.SampledFrom([]string{"x", "y"}).Draw(t, "draft")
-				parts := some("loaded")
-				if _, err := b.Apply(Change{Op: OpLoadDraft, Doc: "d", Draft: id, Parts: parts}); err != nil {
+				parts := drawParts("loaded")
+				if _, err := store.Apply(Change{Op: OpLoadDraft, Doc: "d", Draft: id, Parts: parts}); err != nil {
 					t.Fatal(err)
 				}
-				if id != draft {
-					draft, drafted = id, map[string]string{}
+				if id != draftID {
+					draftID, draftParts = id, map[string]string{}
 				}
-				maps.Copy(drafted, parts)
+				maps.Copy(draftParts, parts)
 			},
 			"put a draft": func(t *rapid.T) {
 				id := rapid.SampledFrom([]string{"x", "y"}).Draw(t, "draft")
-				all := onto(drafted)
-				_, err := b.Apply(Change{Op: OpPropose, Doc: "d", Version: version(), Draft: id, Digest: TextsDigest(all)})
-				if ok := next == nil && id == draft && !maps.Equal(all, force); ok != (err == nil) {
-					t.Fatalf("%s of %s: %v", id, draft, err)
+				merged := mergedWithActive(draftParts)
+				_, err := store.Apply(Change{Op: OpPropose, Doc: "d", Version: activeVersion(), Draft: id, Digest: TextsDigest(merged)})
+				if ok := proposed == nil && id == draftID && !maps.Equal(merged, active); ok != (err == nil) {
+					t.Fatalf("%s of %s: %v", id, draftID, err)
 				} else if ok {
-					next, draft = all, ""
+					proposed, draftID = merged, ""
 				}
 			},
 			"withdraw": func(t *rapid.T) {
-				if next == nil {
+				if proposed == nil {
 					t.Skip()
 				}
-				if _, err := b.Apply(Change{Op: OpWithdraw, Doc: "d", Version: doc().Proposed.ID.Version}); err != nil {
+				if _, err := store.Apply(Change{Op: OpWithdraw, Doc: "d", Version: doc().Proposed.ID.Version}); err != nil {
 					t.Fatal(err)
 				}
-				next = nil
+				proposed = nil
 			},
 			"advance": func(t *rapid.T) {
-				if next == nil {
+				if proposed == nil {
 					t.Skip()
 				}
-				for name, text := range next {
-					if force[name] != text {
-						since[name] = doc().Proposed.ID.Version
+				for name, text := range proposed {
+					if active[name] != text {
+						changedIn[name] = doc().Proposed.ID.Version
 					}
 				}
-				if _, err := b.Apply(Change{Op: OpAdvance, Doc: "d", Version: doc().Proposed.ID.Version, Stage: StageProposed}); err != nil {
+				if _, err := store.Apply(Change{Op: OpAdvance, Doc: "d", Version: doc().Proposed.ID.Version, Stage: StageProposed}); err != nil {
 					t.Fatal(err)
 				}
-				force, next = next, nil
+				active, proposed = proposed, nil
 			},
-			"written and read": func(t *rapid.T) { b = again(t, b) },
+			"written and read": func(t *rapid.T) { store = roundTrip(t, store) },
 			"a whole text": func(t *rapid.T) {
-				if _, err := b.Apply(Change{Op: OpPropose, Doc: "d", Version: version(), Text: "{}"}); err == nil && (force != nil || next != nil) {
+				if _, err := store.Apply(Change{Op: OpPropose, Doc: "d", Version: activeVersion(), Text: "{}"}); err == nil && (active != nil || proposed != nil) {
 					t.Fatal("put on parts")
 				} else if err == nil {
-					b = NewStore()
-					draft = ""
+					store = NewStore()
+					draftID = ""
 				}
 			},
 			"": func(t *rapid.T) {
 				d := doc()
-				if (d.Active == nil) != (force == nil) || (d.Proposed == nil) != (next == nil) {
+				if (d.Active == nil) != (active == nil) || (d.Proposed == nil) != (proposed == nil) {
 					t.Fatalf("%+v", d)
 				}
-				if force != nil {
-					if got := textsOf(d.Active.Parts); !maps.Equal(got, force) || d.Active.ID.Digest != TextsDigest(force) || !d.Active.InParts || d.Active.Format != 2 {
-						t.Fatalf("in force %v, not %v", got, force)
+				if active != nil {
+					if texts := textsOf(d.Active.Parts); !maps.Equal(texts, active) || d.Active.ID.Digest != TextsDigest(active) || !d.Active.InParts || d.Active.Format != 2 {
+						t.Fatalf("in force %v, not %v", texts, active)
 					}
 					for name, p := range d.Active.Parts {
-						if p.Version != since[name] {
-							t.Fatalf("%s changed in %d, not in %d", name, p.Version, since[name])
+						if p.Version != changedIn[name] {
+							t.Fatalf("%s changed in %d, not in %d", name, p.Version, changedIn[name])
 						}
 					}
 				}
-				if next != nil {
-					_, all, ok := d.PartsAt(d.Proposed.ID.Version)
-					if got := textsOf(all); !ok || !maps.Equal(got, next) || d.Proposed.ID.Digest != TextsDigest(next) {
-						t.Fatalf("under way %v, not %v", got, next)
+				if proposed != nil {
+					_, merged, ok := d.PartsAt(d.Proposed.ID.Version)
+					if texts := textsOf(merged); !ok || !maps.Equal(texts, proposed) || d.Proposed.ID.Digest != TextsDigest(proposed) {
+						t.Fatalf("under way %v, not %v", texts, proposed)
 					}
 					for name, p := range d.Proposed.Parts {
-						if force[name] == p.Text {
+						if active[name] == p.Text {
 							t.Fatalf("%s is carried and is as in force", name)
 						}
 					}
 				}
-				if d.Draft != nil && (draft != d.Draft.ID || !maps.Equal(d.Draft.Parts, drafted)) || (d.Draft == nil) != (draft == "") {
-					t.Fatalf("draft %+v, not %s %v", d.Draft, draft, drafted)
+				if d.Draft != nil && (draftID != d.Draft.ID || !maps.Equal(d.Draft.Parts, draftParts)) || (d.Draft == nil) != (draftID == "") {
+					t.Fatalf("draft %+v, not %s %v", d.Draft, draftID, draftParts)
 				}
-				for _, e := range d.History {
-					if e.Parts != nil || len(e.ChangedParts) == 0 {
-						t.Fatalf("kept %+v", e)
+				for _, revision := range d.History {
+					if revision.Parts != nil || len(revision.ChangedParts) == 0 {
+						t.Fatalf("kept %+v", revision)
 					}
 				}
 			},
@@ -178,61 +178,61 @@
 
 // The bounds are named in one line, and hold for drafts as for changes.
 func TestPartsFit(t *testing.T) {
-	big := strings.Repeat("x", MaxPartSize)
-	many := func(n int, text string) map[string]string {
-		all := map[string]string{}
-		for i := range n {
-			all[fmt.Sprintf("p%04d", i)] = text
+	large := strings.Repeat("x", MaxPartSize)
+	manyParts := func(count int, text string) map[string]string {
+		parts := map[string]string{}
+		for i := range count {
+			parts[fmt.Sprintf("p%04d", i)] = text
 		}
-		return all
+		return parts
 	}
-	b := NewStore()
+	store := NewStore()
 	for _, c := range []struct {
-		why   string
+		want  string
 		parts map[string]string
 	}{
-		{"d: part a: 65537 bytes, of 1 to 65536", map[string]string{"a": big + "x"}},
+		{"d: part a: 65537 bytes, of 1 to 65536", map[string]string{"a": large + "x"}},
 		{"d: part a: 0 bytes", map[string]string{"a": ""}},
-		{"d: 1025 parts, of at most 1024", many(1025, "x")},
+		{"d: 1025 parts, of at most 1024", manyParts(1025, "x")},
 		{"a part's name", map[string]string{strings.Repeat("n", 65): "x"}},
 		{"a part's name", map[string]string{"": "x"}},
 		{"a part's name", map[string]string{"a\x00b": "x"}},
-		{"bytes in one change, of at most 262144", many(4, big)},
+		{"bytes in one change, of at most 262144", manyParts(4, large)},
 	} {
 		for _, op := range []Op{OpPropose, OpLoadDraft} {
-			_, err := b.Apply(Change{Op: op, Doc: "d", Draft: map[Op]string{OpLoadDraft: "x"}[op], Parts: c.parts, Digest: TextsDigest(c.parts)})
-			if err == nil || !strings.Contains(err.Error(), c.why) || strings.Contains(err.Error(), "\n") {
-				t.Errorf("%s: %v, not %q", op, err, c.why)
+			_, err := store.Apply(Change{Op: op, Doc: "d", Draft: map[Op]string{OpLoadDraft: "x"}[op], Parts: c.parts, Digest: TextsDigest(c.parts)})
+			if err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
+				t.Errorf("%s: %v, not %q", op, err, c.want)
 			}
 		}
 	}
 	// A draft is bounded as a whole, and one that another one has ended can't be put.
-	load := func(id string, parts map[string]string) error {
-		_, err := b.Apply(Change{Op: OpLoadDraft, Doc: "d", Draft: id, Parts: parts})
+	loadDraft := func(id string, parts map[string]string) error {
+		_, err := store.Apply(Change{Op: OpLoadDraft, Doc: "d", Draft: id, Parts: parts})
 		return err
 	}
 	var err error
-	n := 0
-	for ; err == nil && n < 1000; n++ {
-		err = load("x", map[string]string{fmt.Sprintf("q%03d", n): big})
+	drafts := 0
+	for ; err == nil && drafts < 1000; drafts++ {
+		err = loadDraft("x", map[string]string{fmt.Sprintf("q%03d", drafts): large})
 	}
-	if err == nil || !strings.Contains(err.Error(), "of at most 16777216") || n != 256 {
-		t.Errorf("after %d: %v", n, err)
+	if err == nil || !strings.Contains(err.Error(), "of at most 16777216") || drafts != 256 {
+		t.Errorf("after %d: %v", drafts, err)
 	}
-	if err := load("y", map[string]string{"a": "{}"}); err != nil {
+	if err := loadDraft("y", map[string]string{"a": "{}"}); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := b.Apply(Change{Op: OpPropose, Doc: "d", Draft: "x"}); !errors.Is(err, ErrNoSuchChange) {
+	if _, err := store.Apply(Change{Op: OpPropose, Doc: "d", Draft: "x"}); !errors.Is(err, ErrNoSuchChange) {
 		t.Error(err)
 	}
-	put := Change{Op: OpPropose, Doc: "d", Draft: "y", Digest: TextsDigest(map[string]string{"a": "{}"})}
-	if _, err := b.Apply(put); err != nil {
+	proposal := Change{Op: OpPropose, Doc: "d", Draft: "y", Digest: TextsDigest(map[string]string{"a": "{}"})}
+	if _, err := store.Apply(proposal); err != nil {
 		t.Error(err)
 	}
 	// What is loaded in batches is within the bounds of one change.
-	for _, one := range Batches(many(30, big[:20000])) {
-		if err := CheckChangeSize("d", one); err != nil || textsSize(one) > maxTextSize/2 {
-			t.Error(textsSize(one), err)
+	for _, batch := range Batches(manyParts(30, large[:20000])) {
+		if err := CheckChangeSize("d", batch); err != nil || textsSize(batch) > maxTextSize/2 {
+			t.Error(textsSize(batch), err)
 		}
 	}
 }
@@ -240,138 +240,138 @@
 // A process of an older build is not handed a document in parts, and is waited for by name; a text of today's is the base of the
 // first version in parts.
 func TestPartsAndOlderBuilds(t *testing.T) {
-	b := NewStore()
-	must := func(c Change) *Document {
+	store := NewStore()
+	mustApply := func(c Change) *Document {
 		t.Helper()
-		d, err := b.Apply(c)
+		d, err := store.Apply(c)
 		if err != nil {
 			t.Fatal(err)
 		}
 		return d
 	}
-	must(Change{Op: OpPropose, Doc: "d", Text: `{"a":1}`})
-	must(Change{Op: OpAdvance, Doc: "d", Version: 1, Stage: StageProposed})
+	mustApply(Change{Op: OpPropose, Doc: "d", Text: `{"a":1}`})
+	mustApply(Change{Op: OpAdvance, Doc: "d", Version: 1, Stage: StageProposed})
 	for name, format := range map[string]int{"old": 1, "new": 2} {
-		must(Change{Op: OpRegister, Process: &Process{Name: name, Formats: map[string]int{"d": format}}})
+		mustApply(Change{Op: OpRegister, Process: &Process{Name: name, Formats: map[string]int{"d": format}}})
 	}
 	parts := map[string]string{"x": `{"a":1}`, "y": `{}`}
-	d := must(Change{Op: OpPropose, Doc: "d", Version: 1, Parts: parts, Digest: TextsDigest(parts)})
-	must(Change{Op: OpReport, Process: &Process{Name: "new", Prepared: map[string]int{"d": 2}}})
-	if w := b.WaitingFor(d); w != "old reads format 1, and this is 2" {
-		t.Error(w)
+	d := mustApply(Change{Op: OpPropose, Doc: "d", Version: 1, Parts: parts, Digest: TextsDigest(parts)})
+	mustApply(Change{Op: OpReport, Process: &Process{Name: "new", Prepared: map[string]int{"d": 2}}})
+	if waiting := store.WaitingFor(d); waiting != "old reads format 1, and this is 2" {
+		t.Error(waiting)
 	}
-	if v := d.ViewFor(b.Processes["old"], []int{1}, 0); v.Proposed != nil || v.Stage != "" || v.Active.ID.Version != 1 {
-		t.Errorf("%+v", v)
+	if view := d.ViewFor(store.Processes["old"], []int{1}, 0); view.Proposed != nil || view.Stage != "" || view.Active.ID.Version != 1 {
+		t.Errorf("%+v", view)
 	}
-	if v := d.ViewFor(b.Processes["new"], []int{1}, 0); v.Proposed == nil || len(v.Proposed.Parts) != 2 || v.Active.Text != "" {
-		t.Errorf("%+v", v)
+	if view := d.ViewFor(store.Processes["new"], []int{1}, 0); view.Proposed == nil || len(view.Proposed.Parts) != 2 || view.Active.Text != "" {
+		t.Errorf("%+v", view)
 	}
-	h := NewReplica("new", map[string]int{"d": 2})
-	handed := map[string]string{}
-	h.CheckParts = func(_ string, changed map[string]string, whole bool) error {
-		if !whole || !maps.Equal(changed, parts) {
-			t.Errorf("checked %v, %v", changed, whole)
+	replica := NewReplica("new", map[string]int{"d": 2})
+	delivered := map[string]string{}
+	replica.CheckParts = func(_ string, changed map[string]string, complete bool) error {
+		if !complete || !maps.Equal(changed, parts) {
+			t.Errorf("checked %v, %v", changed, complete)
 		}
 		return nil
 	}
-	tell := func(index uint64, of *Process) {
-		v := d.ViewFor(of, h.KnownVersions()["d"], h.CompleteVersions()["d"])
-		for _, took := range h.Receive(time.Duration(index), index, lease.Terms{TTL: time.Second}, map[string]View{"d": v}, func(string, string) error { return nil }) {
-			if took.Revision.Text != "" {
-				handed = map[string]string{"whole": took.Revision.Text}
+	deliver := func(index uint64, process *Process) {
+		view := d.ViewFor(process, replica.KnownVersions()["d"], replica.CompleteVersions()["d"])
+		for _, update := range replica.Receive(time.Duration(index), index, lease.Terms{TTL: time.Second}, map[string]View{"d": view}, func(string, string) error { return nil }) {
+			if update.Revision.Text != "" {
+				delivered = map[string]string{"whole": update.Revision.Text}
 				continue
 			}
-			if took.Complete {
-				handed = map[string]string{}
+			if update.Complete {
+				delivered = map[string]string{}
 			}
-			maps.Copy(handed, took.Parts)
+			maps.Copy(delivered, update.Parts)
 		}
 	}
-	tell(1, b.Processes["new"])
-	if handed["whole"] != `{"a":1}` || h.Report().Prepared["d"] != 2 {
-		t.Errorf("%v, %+v", handed, h.Report())
+	deliver(1, store.Processes["new"])
+	if delivered["whole"] != `{"a":1}` || replica.Report().Prepared["d"] != 2 {
+		t.Errorf("%v, %+v", delivered, replica.Report())
 	}
-	must(Change{Op: OpExpire, Author: "old"})
-	must(Change{Op: OpAdvance, Doc: "d", Version: 2, Stage: StageProposed})
-	tell(2, b.Processes["new"])
-	if !maps.Equal(handed, parts) {
-		t.Errorf("%v", handed)
+	mustApply(Change{Op: OpExpire, Author: "old"})
+	mustApply(Change{Op: OpAdvance, Doc: "d", Version: 2, Stage: StageProposed})
+	deliver(2, store.Processes["new"])
+	if !maps.Equal(delivered, parts) {
+		t.Errorf("%v", delivered)
 	}
 }
 
 // fleet is a leader with holders of a document in parts, and words between them that come late, twice, in another order, with a part
 // that is not what it was, from an older state of the leader, or not at all.
-type fleet struct {
-	rng     *rand.Rand
-	book    *Store
-	index   uint64
-	older   []state // that a leader of before goes on with
-	truth   map[ID]map[string]string
-	holders []*holding
-	now     time.Duration
-	wrong   string
+type testFleet struct {
+	rng         *rand.Rand
+	store       *Store
+	index       uint64
+	staleStates []staleState // that a leader of before goes on with
+	textsByID   map[ID]map[string]string
+	processes   []*fleetProcess
+	now         time.Duration
+	failure     string
 }
 
-type state struct {
-	book  *Store
+type staleState struct {
+	store *Store
 	index uint64
 }
 
-type holding struct {
-	h      *Replica
-	says   map[string]string // what the process acts on, by what it was handed
-	acts   ID
-	words  []func() // answers on the way
-	asking int      // askings of parts that are under way
+type fleetProcess struct {
+	replica          *Replica
+	texts            map[string]string // what the process acts on, by what it was handed
+	activeID         ID
+	answers          []func() // answers on the way
+	requestsInFlight int      // askings of parts that are under way
 }
 
 const docInParts = "d"
 
-func newFleet(seed uint64, n int, out DisabledGuards) *fleet {
-	f := &fleet{rng: rand.New(rand.NewPCG(seed, 7)), book: NewStore(), truth: map[ID]map[string]string{}}
+func newTestFleet(seed uint64, n int, disabled DisabledGuards) *testFleet {
+	f := &testFleet{rng: rand.New(rand.NewPCG(seed, 7)), store: NewStore(), textsByID: map[ID]map[string]string{}}
 	for i := range n {
-		p := &holding{h: NewReplica(fmt.Sprint("p", i), map[string]int{docInParts: 2}), says: map[string]string{}}
-		p.h.Disabled = out
-		p.h.CheckParts = func(_ string, changed map[string]string, whole bool) error {
-			all := p.with(changed, whole)
-			for id, texts := range f.truth {
-				if id.Digest == TextsDigest(all) && maps.Equal(texts, all) {
+		p := &fleetProcess{replica: NewReplica(fmt.Sprint("p", i), map[string]int{docInParts: 2}), texts: map[string]string{}}
+		p.replica.Disabled = disabled
+		p.replica.CheckParts = func(_ string, changed map[string]string, complete bool) error {
+			merged := p.withUpdate(changed, complete)
+			for id, texts := range f.textsByID {
+				if id.Digest == TextsDigest(merged) && maps.Equal(texts, merged) {
 					return nil
 				}
 			}
-			f.say("%s checked a mix", p.h.Name)
+			f.fail("%s checked a mix", p.replica.Name)
 			return nil
 		}
-		f.holders = append(f.holders, p)
+		f.processes = append(f.processes, p)
 	}
-	f.change()
+	f.proposeOrFinish()
 	return f
 }
 
-func (f *fleet) say(format string, args ...any) {
-	if f.wrong == "" {
-		f.wrong = fmt.Sprintf(format, args...)
+func (f *testFleet) fail(format string, args ...any) {
+	if f.failure == "" {
+		f.failure = fmt.Sprintf(format, args...)
 	}
 }
 
-func (p *holding) with(changed map[string]string, whole bool) map[string]string {
-	all := map[string]string{}
-	if !whole {
-		maps.Copy(all, p.says)
+func (p *fleetProcess) withUpdate(changed map[string]string, complete bool) map[string]string {
+	merged := map[string]string{}
+	if !complete {
+		maps.Copy(merged, p.texts)
 	}
-	maps.Copy(all, changed)
-	return all
+	maps.Copy(merged, changed)
+	return merged
 }
 
-func (f *fleet) apply(c Change) bool {
+func (f *testFleet) apply(c Change) bool {
 	f.index++
-	_, err := f.book.Apply(c)
+	_, err := f.store.Apply(c)
 	return err == nil
 }
 
 // change puts a change, or has the one that is under way come into force or be withdrawn.
-func (f *fleet) change() {
-	d := f.book.Documents[docInParts]
+func (f *testFleet) proposeOrFinish() {
+	d := f.store.Documents[docInParts]
 	if d != nil && d.Proposed != nil {
 		n := d.Proposed.ID.Version
 		switch f.rng.IntN(4) {
@@ -382,185 +382,185 @@
 		}
 		return
 	}
-	all, version := map[string]string{}, 0
+	merged, version := map[string]string{}, 0
 	if d != nil && d.Active != nil {
-		all, version = textsOf(d.Active.Parts), d.Active.ID.Version
+		merged, version = textsOf(d.Active.Parts), d.Active.ID.Version
 	}
 	changed := map[string]string{}
 	for range 1 + f.rng.IntN(3) {
 		changed[fmt.Sprint("part", f.rng.IntN(6))] = fmt.Sprint("text ", f.rng.IntN(5))
 	}
-	maps.Copy(all, changed)
+	maps.Copy(merged, changed)
 	if f.rng.IntN(16) == 0 { // beyond what an answer carries
 		for i := range 3 {
 			name := fmt.Sprint("large", i)
-			all[name] = fmt.Sprint(f.rng.IntN(5), strings.Repeat("z", MaxViewSize/3))
-			changed[name] = all[name]
+			merged[name] = fmt.Sprint(f.rng.IntN(5), strings.Repeat("z", MaxViewSize/3))
+			changed[name] = merged[name]
 		}
 	}
-	if f.apply(Change{Op: OpPropose, Doc: docInParts, Version: version, Parts: changed, Digest: TextsDigest(all)}) {
-		f.truth[f.book.Documents[docInParts].Proposed.ID] = all
+	if f.apply(Change{Op: OpPropose, Doc: docInParts, Version: version, Parts: changed, Digest: TextsDigest(merged)}) {
+		f.textsByID[f.store.Documents[docInParts].Proposed.ID] = merged
 	}
 }
 
 // copied is something that went over the wire.
-func copied[T any](v T) (out T) {
-	b, err := json.Marshal(v)
+func wireCopy[T any](value T) (copied T) {
+	b, err := json.Marshal(value)
 	if err == nil {
-		err = json.Unmarshal(b, &out)
+		err = json.Unmarshal(b, &copied)
 	}
 	if err != nil {
 		panic(err)
 	}
-	return out
+	return copied
 }
 
 // spoil changes a part in a word, or leaves one out.
-func (f *fleet) spoil(parts map[string]Part) {
+func (f *testFleet) corrupt(parts map[string]Part) {
 	if len(parts) == 0 {
 		return
 	}
 	name := slices.Sorted(maps.Keys(parts))[f.rng.IntN(len(parts))]
-	p := parts[name]
+	part := parts[name]
 	switch f.rng.IntN(3) {
 	case 0:
-		if p.Text != "" {
-			p.Text += "!"
+		if part.Text != "" {
+			part.Text += "!"
 		}
-		parts[name] = p
+		parts[name] = part
 	case 1:
-		p.Digest++
-		parts[name] = p
+		part.Digest++
+		parts[name] = part
 	case 2:
 		delete(parts, name)
 	}
 }
 
 // ask has a process ask what is in force; an answer is on its way, of this leader or of one that knows less.
-func (f *fleet) ask(p *holding, clean bool) {
-	book, index := f.book, f.index
-	if !clean && len(f.older) > 0 && f.rng.IntN(6) == 0 {
-		was := f.older[f.rng.IntN(len(f.older))]
-		book, index = was.book, was.index
-	}
-	d := book.Documents[docInParts]
-	asked := f.now
-	u := &Process{Formats: map[string]int{docInParts: 2}}
-	v := copied(d.ViewFor(u, p.h.KnownVersions()[docInParts], p.h.CompleteVersions()[docInParts]))
-	if !clean && f.rng.IntN(8) == 0 {
-		if v.Active != nil {
-			f.spoil(v.Active.Parts)
-		}
-		if v.Proposed != nil {
-			f.spoil(v.Proposed.Parts)
-		}
-	}
-	p.words = append(p.words, func() {
-		f.take(p, p.h.Receive(asked, index, lease.Terms{TTL: time.Second}, map[string]View{docInParts: v}, func(string, string) error { return nil }))
+func (f *testFleet) poll(p *fleetProcess, reliable bool) {
+	store, index := f.store, f.index
+	if !reliable && len(f.staleStates) > 0 && f.rng.IntN(6) == 0 {
+		stale := f.staleStates[f.rng.IntN(len(f.staleStates))]
+		store, index = stale.store, stale.index
+	}
+	d := store.Documents[docInParts]
+	requestedAt := f.now
+	process := &Process{Formats: map[string]int{docInParts: 2}}
+	view := wireCopy(d.ViewFor(process, p.replica.KnownVersions()[docInParts], p.replica.CompleteVersions()[docInParts]))
+	if !reliable && f.rng.IntN(8) == 0 {
+		if view.Active != nil {
+			f.corrupt(view.Active.Parts)
+		}
+		if view.Proposed != nil {
+			f.corrupt(view.Proposed.Parts)
+		}
+	}
+	p.answers = append(p.answers, func() {
+		f.applyUpdates(p, p.replica.Receive(requestedAt, index, lease.Terms{TTL: time.Second}, map[string]View{docInParts: view}, func(string, string) error { return nil }))
 	})
 }
 
 // fetch has a process ask for parts, where it wants some.
-func (f *fleet) fetch(p *holding, clean bool) {
-	w, _, ok := p.h.NextRequest(f.now)
+func (f *testFleet) requestParts(p *fleetProcess, reliable bool) {
+	request, _, ok := p.replica.NextRequest(f.now)
 	if !ok {
 		return
 	}
-	if p.asking++; p.asking > 1 {
-		f.say("%s asks twice at once", p.h.Name)
+	if p.requestsInFlight++; p.requestsInFlight > 1 {
+		f.fail("%s asks twice at once", p.replica.Name)
 	}
-	id, all, ok := f.book.Documents[docInParts].PartsAt(w.Version)
-	parts := copied(SelectParts(all, w.Names))
-	if !clean && f.rng.IntN(6) == 0 {
-		f.spoil(parts)
+	id, allParts, ok := f.store.Documents[docInParts].PartsAt(request.Version)
+	parts := wireCopy(SelectParts(allParts, request.Names))
+	if !reliable && f.rng.IntN(6) == 0 {
+		f.corrupt(parts)
 	}
-	ended := false
-	p.words = append(p.words, func() {
-		if ended {
+	answered := false
+	p.answers = append(p.answers, func() {
+		if answered {
 			return // its end comes to it once
 		}
-		ended = true
-		p.asking--
+		answered = true
+		p.requestsInFlight--
 		if !ok {
-			p.h.RequestFailed()
+			p.replica.RequestFailed()
 			return
 		}
-		f.take(p, p.h.ReceiveParts(f.now, w, id, parts, func(string, string) error { return nil }))
+		f.applyUpdates(p, p.replica.ReceiveParts(f.now, request, id, parts, func(string, string) error { return nil }))
 	})
 }
 
 // take has a process act on what it was handed, and looks whether that is what a version says.
-func (f *fleet) take(p *holding, list []Update) {
-	for _, t := range list {
-		if t.Revision.ID.Version < p.acts.Version {
-			f.say("%s acts on %v after %v", p.h.Name, t.Revision.ID, p.acts)
+func (f *testFleet) applyUpdates(p *fleetProcess, list []Update) {
+	for _, update := range list {
+		if update.Revision.ID.Version < p.activeID.Version {
+			f.fail("%s acts on %v after %v", p.replica.Name, update.Revision.ID, p.activeID)
 		}
-		p.says, p.acts = p.with(t.Parts, t.Complete), t.Revision.ID
-		if want := f.truth[t.Revision.ID]; !maps.Equal(want, p.says) {
-			f.say("%s acts on a mix as %v", p.h.Name, t.Revision.ID)
+		p.texts, p.activeID = p.withUpdate(update.Parts, update.Complete), update.Revision.ID
+		if wantTexts := f.textsByID[update.Revision.ID]; !maps.Equal(wantTexts, p.texts) {
+			f.fail("%s acts on a mix as %v", p.replica.Name, update.Revision.ID)
 		}
 	}
-	d := f.book.Documents[docInParts]
-	if n := p.h.Report().Prepared[docInParts]; d.Proposed != nil && n == d.Proposed.ID.Version && p.h.docs[docInParts].proposedParts.id == d.Proposed.ID {
-		if got := textsOf(p.h.docs[docInParts].proposedParts.parts); !maps.Equal(got, f.truth[d.Proposed.ID]) {
-			f.say("%s says that it holds %d, and has another text", p.h.Name, n)
+	d := f.store.Documents[docInParts]
+	if prepared := p.replica.Report().Prepared[docInParts]; d.Proposed != nil && prepared == d.Proposed.ID.Version && p.replica.docs[docInParts].proposedParts.id == d.Proposed.ID {
+		if gotTexts := textsOf(p.replica.docs[docInParts].proposedParts.parts); !maps.Equal(gotTexts, f.textsByID[d.Proposed.ID]) {
+			f.fail("%s says that it holds %d, and has another text", p.replica.Name, prepared)
 		}
 	}
 }
 
-func (f *fleet) step() {
-	p := f.holders[f.rng.IntN(len(f.holders))]
+func (f *testFleet) step() {
+	p := f.processes[f.rng.IntN(len(f.processes))]
 	switch f.rng.IntN(9) {
 	case 0:
-		f.change()
+		f.proposeOrFinish()
 	case 1:
 		if f.rng.IntN(4) == 0 {
-			f.older = append(f.older, state{copied(f.book), f.index})
-			f.older = f.older[max(0, len(f.older)-3):]
+			f.staleStates = append(f.staleStates, staleState{wireCopy(f.store), f.index})
+			f.staleStates = f.staleStates[max(0, len(f.staleStates)-3):]
 		}
 	case 2, 3:
-		f.ask(p, false)
+		f.poll(p, false)
 	case 4:
-		f.fetch(p, false)
+		f.requestParts(p, false)
 	case 5:
 		f.now += 5 * time.Second
 	case 6: // lost: of an asking for parts the process hears that it had no answer
-		if len(p.words) > 0 && p.asking == 0 {
-			p.words = p.words[1:]
-		} else if p.asking > 0 && f.rng.IntN(3) == 0 {
-			p.words, p.asking = nil, 0
-			p.h.RequestFailed()
+		if len(p.answers) > 0 && p.requestsInFlight == 0 {
+			p.answers = p.answers[1:]
+		} else if p.requestsInFlight > 0 && f.rng.IntN(3) == 0 {
+			p.answers, p.requestsInFlight = nil, 0
+			p.replica.RequestFailed()
 		}
 	default: // one that is on the way comes, and may come again
-		if len(p.words) == 0 {
+		if len(p.answers) == 0 {
 			return
 		}
-		i := f.rng.IntN(len(p.words))
-		word := p.words[i]
+		i := f.rng.IntN(len(p.answers))
+		answer := p.answers[i]
 		if f.rng.IntN(5) > 0 {
-			p.words = slices.Delete(p.words, i, i+1)
+			p.answers = slices.Delete(p.answers, i, i+1)
 		}
-		word()
+		answer()
 	}
 }
 
 // settle has everything come in its order, until all act on what is in force or so many words were said.
-func (f *fleet) settle(words int) bool {
-	for range words {
-		done := true
-		for _, p := range f.holders {
+func (f *testFleet) settle(rounds int) bool {
+	for range rounds {
+		settled := true
+		for _, p := range f.processes {
 			f.now += time.Second
-			f.ask(p, true)
-			f.fetch(p, true)
-			for len(p.words) > 0 {
-				word := p.words[0]
-				p.words = p.words[1:]
-				word()
+			f.poll(p, true)
+			f.requestParts(p, true)
+			for len(p.answers) > 0 {
+				answer := p.answers[0]
+				p.answers = p.answers[1:]
+				answer()
 			}
-			force := f.book.Documents[docInParts].Active
-			done = done && (force == nil || p.acts == force.ID && p.h.ConfirmedUntil() > f.now)
+			active := f.store.Documents[docInParts].Active
+			settled = settled && (active == nil || p.activeID == active.ID && p.replica.ConfirmedUntil() > f.now)
 		}
-		if done {
+		if settled {
 			return true
 		}
 	}
@@ -572,9 +572,9 @@
 // that is left out is missed. What was told since another version is found by the digest too: left out alone it is not missed.
 func TestNeverAMix(t *testing.T) {
 	for _, c := range []struct {
-		name string
-		out  DisabledGuards
-		harm bool
+		name        string
+		disabled    DisabledGuards
+		wantFailure bool
 	}{
 		{"all guards", DisabledGuards{}, false},
 		{"no digest of the whole", DisabledGuards{SumCheck: true}, true},
@@ -583,73 +583,73 @@
 		{"put on any version", DisabledGuards{SinceCheck: true}, false},
 		{"put on any version, no digest of the whole", DisabledGuards{SinceCheck: true, SumCheck: true}, true},
 	} {
-		found, forced, offs, took := "", 0, 0, 0
+		failure, highestVersion, mismatches, activeVersions := "", 0, 0, 0
 		for seed := range uint64(150) {
-			f := newFleet(seed, 3, c.out)
+			f := newTestFleet(seed, 3, c.disabled)
 			for range 300 {
 				f.step()
 			}
-			for _, p := range f.holders {
-				for _, off := range p.h.TakeMismatches() {
-					offs += off.Count
+			for _, p := range f.processes {
+				for _, mismatch := range p.replica.TakeMismatches() {
+					mismatches += mismatch.Count
 				}
 			}
-			if force := f.book.Documents[docInParts].Active; force != nil {
-				forced = max(forced, force.ID.Version)
+			if active := f.store.Documents[docInParts].Active; active != nil {
+				highestVersion = max(highestVersion, active.ID.Version)
 			}
-			if f.wrong == "" && !c.harm && !f.settle(100) {
-				f.say("they have not all what is in force: %d of %v", f.holders[0].acts.Version, f.book.Documents[docInParts].Active.ID)
+			if f.failure == "" && !c.wantFailure && !f.settle(100) {
+				f.fail("they have not all what is in force: %d of %v", f.processes[0].activeID.Version, f.store.Documents[docInParts].Active.ID)
 			}
-			if f.wrong != "" {
-				found = fmt.Sprint("seed ", seed, " ", f.wrong)
+			if f.failure != "" {
+				failure = fmt.Sprint("seed ", seed, " ", f.failure)
 				break
 			}
-			for _, p := range f.holders {
-				took += p.acts.Version
+			for _, p := range f.processes {
+				activeVersions += p.activeID.Version
 			}
 		}
-		if (found != "") != c.harm {
-			t.Errorf("%s: %q", c.name, found)
+		if (failure != "") != c.wantFailure {
+			t.Errorf("%s: %q", c.name, failure)
 		}
-		if !c.harm && (forced < 5 || offs < 100 || took == 0) {
-			t.Errorf("%s: %d versions came into force, %d things didn't follow: nothing was shown", c.name, forced, offs)
+		if !c.wantFailure && (highestVersion < 5 || mismatches < 100 || activeVersions == 0) {
+			t.Errorf("%s: %d versions came into force, %d things didn't follow: nothing was shown", c.name, highestVersion, mismatches)
 		}
 	}
 }
 
 // A missed Since is what makes a mix where digests can't be looked at: shown by hand, with two versions between.
 func TestSinceAnotherVersion(t *testing.T) {
-	for _, out := range []DisabledGuards{{}, {SinceCheck: true, SumCheck: true}} {
-		f := newFleet(1, 1, out)
-		p := f.holders[0]
-		version := func(parts, all map[string]string) {
-			if !f.apply(Change{Op: OpPropose, Doc: docInParts, Version: f.book.Documents[docInParts].Active.ID.Version, Parts: parts, Digest: TextsDigest(all)}) {
+	for _, disabled := range []DisabledGuards{{}, {SinceCheck: true, SumCheck: true}} {
+		f := newTestFleet(1, 1, disabled)
+		p := f.processes[0]
+		activate := func(parts, texts map[string]string) {
+			if !f.apply(Change{Op: OpPropose, Doc: docInParts, Version: f.store.Documents[docInParts].Active.ID.Version, Parts: parts, Digest: TextsDigest(texts)}) {
 				t.Fatal("not put")
 			}
-			d := f.book.Documents[docInParts]
-			f.truth[d.Proposed.ID] = all
-			f.apply(Change{Op: OpAdvance, Doc: docInParts, Version: d.Proposed.ID.Version, Stage: StageProposed})
+			doc := f.store.Documents[docInParts]
+			f.textsByID[doc.Proposed.ID] = texts
+			f.apply(Change{Op: OpAdvance, Doc: docInParts, Version: doc.Proposed.ID.Version, Stage: StageProposed})
 		}
-		d := f.book.Documents[docInParts]
+		doc := f.store.Documents[docInParts]
 		f.apply(Change{Op: OpAdvance, Doc: docInParts, Version: 1, Stage: StageProposed})
 		f.settle(10)
-		all := textsOf(d.Active.Parts)
+		texts := textsOf(doc.Active.Parts)
 		for i := range 2 {
-			all = maps.Clone(all)
+			texts = maps.Clone(texts)
 			name := fmt.Sprint("new", i)
-			all[name] = "x"
-			version(map[string]string{name: "x"}, all)
+			texts[name] = "x"
+			activate(map[string]string{name: "x"}, texts)
 		}
-		v := copied(d.ViewFor(&Process{Formats: map[string]int{docInParts: 2}}, nil, 2)) // what changed since 2, to one that has 1
-		if v.Since != 2 || len(v.Active.Parts) != 1 {
-			t.Fatalf("%+v", v)
+		view := wireCopy(doc.ViewFor(&Process{Formats: map[string]int{docInParts: 2}}, nil, 2)) // what changed since 2, to one that has 1
+		if view.Since != 2 || len(view.Active.Parts) != 1 {
+			t.Fatalf("%+v", view)
 		}
-		f.take(p, p.h.Receive(f.now, f.index, lease.Terms{TTL: time.Second}, map[string]View{docInParts: v}, func(string, string) error { return nil }))
-		if harm := f.wrong != ""; harm != out.SinceCheck {
-			t.Errorf("%+v: %q", out, f.wrong)
+		f.applyUpdates(p, p.replica.Receive(f.now, f.index, lease.Terms{TTL: time.Second}, map[string]View{docInParts: view}, func(string, string) error { return nil }))
+		if failed := f.failure != ""; failed != disabled.SinceCheck {
+			t.Errorf("%+v: %q", disabled, f.failure)
 		}
-		if !out.SinceCheck && (p.acts.Version != 1 || p.h.TakeMismatches()[docInParts].Count == 0 || p.h.OutdatedVersions()[docInParts] != 1 || !f.settle(10)) {
-			t.Errorf("acts on %v", p.acts)
+		if !disabled.SinceCheck && (p.activeID.Version != 1 || p.replica.TakeMismatches()[docInParts].Count == 0 || p.replica.OutdatedVersions()[docInParts] != 1 || !f.settle(10)) {
+			t.Errorf("acts on %v", p.activeID)
 		}
 	}
 }
@@ -657,52 +657,52 @@
 // A thousand that come back in one moment ask for parts at a thousand moments: in no tenth of the spread a quarter more than its
 // part. One that gets nothing waits longer each time, up to half a minute and a little, and one that gets something goes on at once.
 func TestRequestsArePaced(t *testing.T) {
-	for _, out := range []DisabledGuards{{}, {Pacing: true}} {
-		f := newFleet(3, 1000, out)
+	for _, disabled := range []DisabledGuards{{}, {Pacing: true}} {
+		f := newTestFleet(3, 1000, disabled)
 		f.apply(Change{Op: OpAdvance, Doc: docInParts, Version: 1, Stage: StageProposed})
-		big := map[string]string{}
+		large := map[string]string{}
 		for i := range 8 {
-			big[fmt.Sprint("large", i)] = strings.Repeat("z", MaxPartSize/3)
+			large[fmt.Sprint("large", i)] = strings.Repeat("z", MaxPartSize/3)
 		}
-		d := f.book.Documents[docInParts]
-		all := textsOf(d.Active.Parts)
-		maps.Copy(all, big)
-		f.apply(Change{Op: OpLoadDraft, Doc: docInParts, Draft: "x", Parts: big})
-		if !f.apply(Change{Op: OpPropose, Doc: docInParts, Version: 1, Draft: "x", Digest: TextsDigest(all)}) ||
+		doc := f.store.Documents[docInParts]
+		texts := textsOf(doc.Active.Parts)
+		maps.Copy(texts, large)
+		f.apply(Change{Op: OpLoadDraft, Doc: docInParts, Draft: "x", Parts: large})
+		if !f.apply(Change{Op: OpPropose, Doc: docInParts, Version: 1, Draft: "x", Digest: TextsDigest(texts)}) ||
 			!f.apply(Change{Op: OpAdvance, Doc: docInParts, Version: 2, Stage: StageProposed}) {
 			t.Fatal("not put")
 		}
 		const tenth = initialBackoff / 10
-		var asked [10]int
-		for _, p := range f.holders {
-			f.ask(p, true)
-			p.words[0]()
-			if p.h.ConfirmedUntil() != 0 || p.h.StopReason(0) != StopUnconfirmed {
+		var requests [10]int
+		for _, p := range f.processes {
+			f.poll(p, true)
+			p.answers[0]()
+			if p.replica.ConfirmedUntil() != 0 || p.replica.StopReason(0) != StopUnconfirmed {
 				t.Fatal("it is confirmed without what is in force")
 			}
 			for now := time.Duration(0); ; now += time.Millisecond {
-				if _, at, ok := p.h.NextRequest(now); ok {
-					asked[min(9, now/tenth)]++
+				if _, at, ok := p.replica.NextRequest(now); ok {
+					requests[min(9, now/tenth)]++
 					break
 				} else if at == 0 {
 					t.Fatal("it wants nothing")
 				}
 			}
 		}
-		most := slices.Max(asked[:])
-		if spread := most < 125; spread == out.Pacing {
-			t.Errorf("%+v: %v", out, asked)
+		busiest := slices.Max(requests[:])
+		if isSpread := busiest < 125; isSpread == disabled.Pacing {
+			t.Errorf("%+v: %v", disabled, requests)
 		}
-		if out.Pacing {
+		if disabled.Pacing {
 			continue
 		}
-		p, now := f.holders[0], initialBackoff
-		var waits []time.Duration
+		p, now := f.processes[0], initialBackoff
+		var pauses []time.Duration
 		for range 12 {
-			p.h.RequestFailed()
-			from := now
+			p.replica.RequestFailed()
+			start := now
 			for {
-				if _, at, ok := p.h.NextRequest(now); ok {
+				if _, at, ok := p.replica.NextRequest(now); ok {
 					break
 				} else if at <= now {
 					t.Fatal("no time")
@@ -710,20 +710,20 @@
 					now = at
 				}
 			}
-			waits = append(waits, now-from)
+			pauses = append(pauses, now-start)
 		}
-		if sum := func(list []time.Duration) (n time.Duration) {
-			for _, d := range list {
-				n += d
+		if sum := func(pauses []time.Duration) (total time.Duration) {
+			for _, pause := range pauses {
+				total += pause
 			}
-			return n
-		}; sum(waits[6:]) < 2*sum(waits[:3]) || slices.Max(waits) > initialBackoff<<maxDoublings {
-			t.Errorf("%v", waits)
-		}
-		id, whole, _ := d.PartsAt(2)
-		w, _ := p.h.nextMissing()
-		p.h.ReceiveParts(now, w, id, Manifest(whole), nil)
-		if _, _, ok := p.h.NextRequest(now); !ok {
+			return total
+		}; sum(pauses[6:]) < 2*sum(pauses[:3]) || slices.Max(pauses) > initialBackoff<<maxDoublings {
+			t.Errorf("%v", pauses)
+		}
+		id, parts, _ := doc.PartsAt(2)
+		request, _ := p.replica.nextMissing()
+		p.replica.ReceiveParts(now, request, id, Manifest(parts), nil)
+		if _, _, ok := p.replica.NextRequest(now); !ok {
 			t.Error("it waits though it got something")
 		}
 	}
@@ -733,8 +733,8 @@
 // goes, all for whatever else.
 func TestScopeOf(t *testing.T) {
 	for _, c := range []struct {
-		doc, old, text string
-		touches        []string
+		doc, before, after string
+		want               []string
 	}{
 		{DocClasses, `{"classes":[{"name":"a","effect":"safe"},{"name":"b","effect":"safe"}]}`, `{"classes":[{"name":"a","effect":"keyed"},{"name":"b","effect":"safe","worth":2}]}`, []string{"class:a"}},
 		{DocClasses, `{"classes":[{"name":"a","effect":"safe"}]}`, `{"classes":[{"name":"b","effect":"safe"}]}`, []string{"class:a", "class:b"}},
@@ -744,9 +744,9 @@
 		{DocMap, `{"cells":[{"name":"x"}]}`, `{"cells":[{"name":"y"}],"skew_ms":5}`, nil},
 		{DocMap, `{"version":1}`, `{"version":2}`, nil},
 	} {
-		list, err := Diff(c.doc, c.old, c.text)
-		if got := ScopeOf(c.doc, list); err != nil || !slices.Equal(got, c.touches) {
-			t.Errorf("%s: %v, not %v, %v", c.text, got, c.touches, err)
+		list, err := Diff(c.doc, c.before, c.after)
+		if got := ScopeOf(c.doc, list); err != nil || !slices.Equal(got, c.want) {
+			t.Errorf("%s: %v, not %v, %v", c.after, got, c.want, err)
 		}
 	}
 	homes := func(cells ...string) string {
@@ -756,28 +756,28 @@
 		}
 		return "[" + strings.TrimPrefix(s, ",") + "]"
 	}
-	old := `{"tenants":[{"name":"in","homes":` + homes("x") + `},{"name":"was","homes":` + homes("x", "z") + `},{"name":"out","homes":` + homes("z") + `}]}`
-	text := `{"tenants":[{"name":"comes","homes":` + homes("z", "x") + `}]}`
-	var touched PauseScope
-	touched.Add([]string{"cell:x"}, []string{old, text})
-	touched.Add([]string{"class:k"}, nil)
-	for tenant, stops := range map[string]bool{"in": true, "was": true, "out": false, "comes": true, "nobody": false} {
-		if touched.Pauses("c", tenant) != stops || !touched.Pauses("k", tenant) {
-			t.Errorf("%s: %v", tenant, touched.Pauses("c", tenant))
+	before := `{"tenants":[{"name":"in","homes":` + homes("x") + `},{"name":"was","homes":` + homes("x", "z") + `},{"name":"out","homes":` + homes("z") + `}]}`
+	after := `{"tenants":[{"name":"comes","homes":` + homes("z", "x") + `}]}`
+	var scope PauseScope
+	scope.Add([]string{"cell:x"}, []string{before, after})
+	scope.Add([]string{"class:k"}, nil)
+	for tenant, paused := range map[string]bool{"in": true, "was": true, "out": false, "comes": true, "nobody": false} {
+		if scope.Pauses("c", tenant) != paused || !scope.Pauses("k", tenant) {
+			t.Errorf("%s: %v", tenant, scope.Pauses("c", tenant))
 		}
 	}
-	var rest PauseScope
-	rest.Add([]string{"cell:x"}, []string{`{"tenants":[{"name":"","homes":` + homes("x") + `},{"name":"out","homes":` + homes("z") + `}]}`})
-	if !rest.Pauses("c", "anybody") || rest.Pauses("c", "out") {
+	var unnamed PauseScope
+	unnamed.Add([]string{"cell:x"}, []string{`{"tenants":[{"name":"","homes":` + homes("x") + `},{"name":"out","homes":` + homes("z") + `}]}`})
+	if !unnamed.Pauses("c", "anybody") || unnamed.Pauses("c", "out") {
 		t.Error("those that are not named live in the cell")
 	}
-	var blind PauseScope
-	blind.Add([]string{"cell:x"}, []string{"not here"})
-	if !blind.Pauses("c", "out") {
+	var unknown PauseScope
+	unknown.Add([]string{"cell:x"}, []string{"not here"})
+	if !unknown.Pauses("c", "out") {
 		t.Error("nobody knows who lives there, and it goes on")
 	}
-	var all PauseScope
-	if all.Add(nil, nil); !all.Pauses("c", "out") {
+	var everything PauseScope
+	if everything.Add(nil, nil); !everything.Pauses("c", "out") {
 		t.Error("everything is touched")
 	}
 }
@@ -785,124 +785,124 @@
 // A process stops what a change touches from when it is told that it turns until it acts on the new: those that live in a cell by
 // the parts before as by those after.
 func TestReplicaPauseScopes(t *testing.T) {
-	f := newFleet(1, 1, DisabledGuards{})
-	d := f.book.Documents[docInParts]
+	f := newTestFleet(1, 1, DisabledGuards{})
+	doc := f.store.Documents[docInParts]
 	version := 1
 	f.apply(Change{Op: OpAdvance, Doc: docInParts, Version: version, Stage: StageProposed})
-	all := textsOf(d.Active.Parts)
-	put := func(exclusive bool, touches []string, parts map[string]string) {
+	texts := textsOf(doc.Active.Parts)
+	activate := func(exclusive bool, scope []string, parts map[string]string) {
 		t.Helper()
-		all = maps.Clone(all)
-		maps.Copy(all, parts)
-		c := Change{Op: OpPropose, Doc: docInParts, Version: version, Exclusive: exclusive, Scope: touches, Parts: parts, Digest: TextsDigest(all)}
+		texts = maps.Clone(texts)
+		maps.Copy(texts, parts)
+		proposal := Change{Op: OpPropose, Doc: docInParts, Version: version, Exclusive: exclusive, Scope: scope, Parts: parts, Digest: TextsDigest(texts)}
 		version++
-		if !f.apply(c) || !f.apply(Change{Op: OpAdvance, Doc: docInParts, Version: version, Stage: StageProposed}) {
+		if !f.apply(proposal) || !f.apply(Change{Op: OpAdvance, Doc: docInParts, Version: version, Stage: StageProposed}) {
 			t.Fatal("not put")
 		}
-		f.truth[ID{version, c.Digest}] = all
+		f.textsByID[ID{version, proposal.Digest}] = texts
 	}
 	first := map[string]string{"t": `{"tenants":[{"name":"was","homes":[{"cell":"x"}]},{"name":"out","homes":[{"cell":"z"}]}]}`}
-	for name := range all {
+	for name := range texts {
 		first[name] = `{}`
 	}
-	put(false, nil, first)
+	activate(false, nil, first)
 	f.settle(5)
-	put(true, []string{"cell:x"}, map[string]string{"u": `{"tenants":[{"name":"in","homes":[{"cell":"x"}]}]}`})
+	activate(true, []string{"cell:x"}, map[string]string{"u": `{"tenants":[{"name":"in","homes":[{"cell":"x"}]}]}`})
 	f.settle(5)
-	p := f.holders[0]
-	touched := p.h.PauseScopes()
-	if !p.h.IsQuiesced() || len(touched) != 1 || p.acts.Version != 2 {
-		t.Fatalf("%d touched, acts on %v", len(touched), p.acts)
+	p := f.processes[0]
+	scopes := p.replica.PauseScopes()
+	if !p.replica.IsQuiesced() || len(scopes) != 1 || p.activeID.Version != 2 {
+		t.Fatalf("%d touched, acts on %v", len(scopes), p.activeID)
 	}
-	for tenant, stops := range map[string]bool{"was": true, "in": true, "out": false} {
-		if touched[0].Pauses("c", tenant) != stops {
-			t.Errorf("%s stops: %v", tenant, !stops)
+	for tenant, paused := range map[string]bool{"was": true, "in": true, "out": false} {
+		if scopes[0].Pauses("c", tenant) != paused {
+			t.Errorf("%s stops: %v", tenant, !paused)
 		}
 	}
-	f.ask(p, true)
-	p.words[0]()
-	if p.h.PauseScopes()[0] != touched[0] {
+	f.poll(p, true)
+	p.answers[0]()
+	if p.replica.PauseScopes()[0] != scopes[0] {
 		t.Error("who lives there is worked out again at every word")
 	}
 	f.apply(Change{Op: OpAdvance, Doc: docInParts, Version: version, Stage: StageQuiescing})
 	f.settle(5)
-	if p.h.IsQuiesced() || len(p.h.PauseScopes()) != 0 || p.acts.Version != 3 || f.wrong != "" {
-		t.Error("it still stops, or acts on", p.acts, f.wrong)
+	if p.replica.IsQuiesced() || len(p.replica.PauseScopes()) != 0 || p.activeID.Version != 3 || f.failure != "" {
+		t.Error("it still stops, or acts on", p.activeID, f.failure)
 	}
 }
 
 // At rest an answer is as long whatever the document is; for a change it has what changed.
 func TestAnswersAtRest(t *testing.T) {
-	size := func(parts int, change bool) int {
-		b := NewStore()
-		all := map[string]string{}
+	size := func(parts int, changed bool) int {
+		store := NewStore()
+		texts := map[string]string{}
 		for i := range parts {
-			all[fmt.Sprintf("p%03d", i)] = fmt.Sprintf(`{"n":%d,"x":%q}`, i, strings.Repeat("x", 60))
+			texts[fmt.Sprintf("p%03d", i)] = fmt.Sprintf(`{"n":%d,"x":%q}`, i, strings.Repeat("x", 60))
 		}
 		apply := func(c Change) {
-			if _, err := b.Apply(c); err != nil {
+			if _, err := store.Apply(c); err != nil {
 				t.Fatal(err)
 			}
 		}
-		apply(Change{Op: OpPropose, Doc: "d", Parts: all, Digest: TextsDigest(all)})
+		apply(Change{Op: OpPropose, Doc: "d", Parts: texts, Digest: TextsDigest(texts)})
 		apply(Change{Op: OpAdvance, Doc: "d", Version: 1, Stage: StageProposed})
-		d := b.Documents["d"]
-		has, base := []int{1}, 1
-		if change {
-			all["p000"] = `{"n":0}`
-			apply(Change{Op: OpPropose, Doc: "d", Version: 1, Parts: map[string]string{"p000": all["p000"]}, Digest: TextsDigest(all)})
+		d := store.Documents["d"]
+		known, base := []int{1}, 1
+		if changed {
+			texts["p000"] = `{"n":0}`
+			apply(Change{Op: OpPropose, Doc: "d", Version: 1, Parts: map[string]string{"p000": texts["p000"]}, Digest: TextsDigest(texts)})
 			apply(Change{Op: OpAdvance, Doc: "d", Version: 2, Stage: StageProposed})
 		}
-		text, err := json.Marshal(d.ViewFor(&Process{Formats: map[string]int{"d": 2}}, has, base))
+		encoded, err := json.Marshal(d.ViewFor(&Process{Formats: map[string]int{"d": 2}}, known, base))
 		if err != nil {
 			t.Fatal(err)
 		}
-		return len(text)
+		return len(encoded)
 	}
-	for _, change := range []bool{false, true} {
-		if few, many := size(10, change), size(1000, change); many-few > 4 || few-many > 4 {
-			t.Errorf("%d bytes of 10 parts, %d of 1000, change %v", few, many, change)
+	for _, changed := range []bool{false, true} {
+		if small, large := size(10, changed), size(1000, changed); large-small > 4 || small-large > 4 {
+			t.Errorf("%d bytes of 10 parts, %d of 1000, change %v", small, large, changed)
 		}
 	}
 }
 
 // One that has not the texts of a change that turns can't know who lives in a cell that it touches: all stops, until it has them.
 func TestScopeOfMissingParts(t *testing.T) {
-	f := newFleet(1, 1, DisabledGuards{})
+	f := newTestFleet(1, 1, DisabledGuards{})
 	f.apply(Change{Op: OpAdvance, Doc: docInParts, Version: 1, Stage: StageProposed})
 	f.settle(5)
-	p, d := f.holders[0], f.book.Documents[docInParts]
-	all := textsOf(d.Active.Parts)
+	p, doc := f.processes[0], f.store.Documents[docInParts]
+	texts := textsOf(doc.Active.Parts)
 	changed := map[string]string{"t": `{"tenants":[{"name":"in","homes":[{"cell":"x"}]},{"name":"out","homes":[{"cell":"z"}]}]}`}
-	for name := range all {
+	for name := range texts {
 		changed[name] = `{}` // what is there is no JSON
 	}
-	maps.Copy(all, changed)
-	if !f.apply(Change{Op: OpPropose, Doc: docInParts, Version: 1, Parts: changed, Digest: TextsDigest(all)}) || !f.apply(Change{Op: OpAdvance, Doc: docInParts, Version: 2, Stage: StageProposed}) {
+	maps.Copy(texts, changed)
+	if !f.apply(Change{Op: OpPropose, Doc: docInParts, Version: 1, Parts: changed, Digest: TextsDigest(texts)}) || !f.apply(Change{Op: OpAdvance, Doc: docInParts, Version: 2, Stage: StageProposed}) {
 		t.Fatal("not put")
 	}
-	f.truth[d.Active.ID] = all
+	f.textsByID[doc.Active.ID] = texts
 	f.settle(5)
 	changed = map[string]string{"u": `{"tenants":[{"name":"comes","homes":[{"cell":"x"}]}]}`}
-	all = maps.Clone(all)
-	maps.Copy(all, changed)
-	if !f.apply(Change{Op: OpPropose, Doc: docInParts, Version: 2, Exclusive: true, Scope: []string{"cell:x"}, Parts: changed, Digest: TextsDigest(all)}) ||
+	texts = maps.Clone(texts)
+	maps.Copy(texts, changed)
+	if !f.apply(Change{Op: OpPropose, Doc: docInParts, Version: 2, Exclusive: true, Scope: []string{"cell:x"}, Parts: changed, Digest: TextsDigest(texts)}) ||
 		!f.apply(Change{Op: OpAdvance, Doc: docInParts, Version: 3, Stage: StageProposed}) {
 		t.Fatal("not put")
 	}
-	v := copied(d.ViewFor(&Process{Formats: map[string]int{docInParts: 2}}, p.h.KnownVersions()[docInParts], p.h.CompleteVersions()[docInParts]))
-	whole := v.Proposed.Parts
-	v.Proposed.Parts = Manifest(whole)
-	f.take(p, p.h.Receive(f.now, f.index, lease.Terms{TTL: time.Second}, map[string]View{docInParts: v}, func(string, string) error { return nil }))
+	view := wireCopy(doc.ViewFor(&Process{Formats: map[string]int{docInParts: 2}}, p.replica.KnownVersions()[docInParts], p.replica.CompleteVersions()[docInParts]))
+	parts := view.Proposed.Parts
+	view.Proposed.Parts = Manifest(parts)
+	f.applyUpdates(p, p.replica.Receive(f.now, f.index, lease.Terms{TTL: time.Second}, map[string]View{docInParts: view}, func(string, string) error { return nil }))
 	for _, tenant := range []string{"in", "comes", "out"} {
-		if !p.h.PauseScopes()[0].Pauses("c", tenant) {
+		if !p.replica.PauseScopes()[0].Pauses("c", tenant) {
 			t.Errorf("%s goes on, and the change's texts are not here", tenant)
 		}
 	}
-	f.take(p, p.h.ReceiveParts(f.now, PartsRequest{Doc: docInParts, Version: 3, Names: []string{"u"}}, v.Proposed.ID, whole, func(string, string) error { return nil }))
-	for tenant, stops := range map[string]bool{"in": true, "comes": true, "out": false} {
-		if p.h.PauseScopes()[0].Pauses("c", tenant) != stops {
-			t.Errorf("%s stops: %v", tenant, !stops)
+	f.applyUpdates(p, p.replica.ReceiveParts(f.now, PartsRequest{Doc: docInParts, Version: 3, Names: []string{"u"}}, view.Proposed.ID, parts, func(string, string) error { return nil }))
+	for tenant, paused := range map[string]bool{"in": true, "comes": true, "out": false} {
+		if p.replica.PauseScopes()[0].Pauses("c", tenant) != paused {
+			t.Errorf("%s stops: %v", tenant, !paused)
 		}
 	}
 }
--- a/internal/policy/configstore/propose.go
+++ b/internal/policy/configstore/propose.go
@@ -166,6 +166,7 @@
 	return changed, digest, nil
 }
 
+// mergeParts returns the parts with the changed ones in place of those of the same names.
 func mergeParts(parts, changed map[string]Part) map[string]Part {
 	merged := make(map[string]Part, len(parts)+len(changed))
 	maps.Copy(merged, parts)
--- a/internal/policy/configstore/scope.go
+++ b/internal/policy/configstore/scope.go
@@ -44,7 +44,7 @@
 type PauseScope struct {
 	all          bool
 	classes      map[string]bool
-	tenants      map[string]bool // paused tenants; "" stands for all tenants that the map does not name
+	tenants      map[string]bool // paused tenants; "" is every tenant that the map does not name
 	namedTenants map[string]bool
 }
 
--- a/internal/policy/configstore/store.go
+++ b/internal/policy/configstore/store.go
@@ -73,11 +73,11 @@
 
 // Limits of what the group stores and sends in each snapshot.
 const (
-	maxDocuments = 32        // the member accepts the four DocumentNames; the rest is for documents of later builds
-	maxHistory   = 16        // versions of a document that can be shown and reverted to
-	maxRejected  = 8         // digests that are not proposed again by mistake
-	maxTextSize  = 256 << 10 // bytes of a change, and of a document that is not in parts, as it is one log entry
-	maxReason    = 512       // bytes of a text from an operator or a process
+	maxDocuments       = 32        // the member accepts the four DocumentNames; the rest is for documents of later builds
+	maxHistory         = 16        // versions of a document that can be shown and reverted to
+	maxRejectedDigests = 8         // digests that are not proposed again by mistake
+	maxTextSize        = 256 << 10 // bytes of a change, and of a document that is not in parts, as it is one log entry
+	maxReasonSize      = 512       // bytes of a text from an operator or a process
 )
 
 // Apply applies a change, in the order of the group's log. It returns the document of the change, or nil if the change is for a process. A
@@ -120,4 +120,4 @@
 }
 
 // clip limits the size of a text that comes from outside.
-func clip(s string) string { return s[:min(len(s), maxReason)] }
+func clip(s string) string { return s[:min(len(s), maxReasonSize)] }
--- a/internal/policy/configstore/store_test.go
+++ b/internal/policy/configstore/store_test.go
@@ -14,205 +14,205 @@
 
 // world is a group, as one that never fails, with processes that act on one document: what is on the way may take long, come in
 // another order, or not at all, and a process may be cut off. Times are in ticks.
-type world struct {
-	store   *Store
-	monitor *ProcessMonitor
-	index   uint64
-	procs   []*proc
-	now     time.Duration
-	wrong   string
-	out     guards
+type simulation struct {
+	store     *Store
+	monitor   *ProcessMonitor
+	index     uint64
+	processes []*simProcess
+	now       time.Duration
+	failure   string
+	disabled  guards
 }
 
 // guards that can be left out.
 type guards struct {
-	noLease bool // a process goes on though it was not confirmed
-	noWait  bool // the leader does not wait for those who are silent
-	noTurn  bool // nobody stops before the new begins
-	noIndex bool // an answer that knows less is taken too
+	noLease      bool // a process goes on though it was not confirmed
+	noExpiryWait bool // the leader does not wait for those who are silent
+	noQuiesce    bool // nobody stops before the new begins
+	noIndexCheck bool // an answer that knows less is taken too
 }
 
-type proc struct {
-	h       *Replica
-	rate    float64 // of its clock
-	answers []answer
-	acts    uint64 // digest of the text that it acts on
-	worth   Goodput
+type simProcess struct {
+	replica      *Replica
+	clockRate    float64 // of its clock
+	answers      []delayedAnswer
+	activeDigest uint64 // digest of the text that it acts on
+	goodput      Goodput
 }
 
-type answer struct {
-	asked time.Duration
-	index uint64
-	docs  map[string]View
+type delayedAnswer struct {
+	requestedAt time.Duration
+	index       uint64
+	docs        map[string]View
 }
 
-var worldTerms = lease.Terms{TTL: 12, Drift: 0.05}
+var simTerms = lease.Terms{TTL: 12, Drift: 0.05}
 
-func newWorld(n int, out guards) *world {
-	w := &world{store: NewStore(), monitor: NewProcessMonitor(worldTerms), out: out}
-	w.monitor.StartLeading(0)
+func newSimulation(n int, disabled guards) *simulation {
+	s := &simulation{store: NewStore(), monitor: NewProcessMonitor(simTerms), disabled: disabled}
+	s.monitor.StartLeading(0)
 	for i := range n {
-		w.procs = append(w.procs, &proc{h: NewReplica(fmt.Sprint("p", i), map[string]int{"d": 1}), rate: []float64{0.95, 1.05, 1}[i%3]})
+		s.processes = append(s.processes, &simProcess{replica: NewReplica(fmt.Sprint("p", i), map[string]int{"d": 1}), clockRate: []float64{0.95, 1.05, 1}[i%3]})
 	}
-	_ = w.apply(Change{Op: OpPropose, Doc: "d", Text: "old", Author: "t"})
-	for _, p := range w.procs {
-		w.ask(p)
+	_ = s.apply(Change{Op: OpPropose, Doc: "d", Text: "old", Author: "t"})
+	for _, p := range s.processes {
+		s.poll(p)
 	}
 	for range 6 {
-		w.due()
-		for _, p := range w.procs {
-			w.answer(p, 0)
-			w.ask(p)
+		s.runMonitor()
+		for _, p := range s.processes {
+			s.deliver(p, 0)
+			s.poll(p)
 		}
 	}
-	for _, p := range w.procs {
+	for _, p := range s.processes {
 		p.answers = nil
 	}
-	return w
+	return s
 }
 
 // apply is refused as often as not: a play says what becomes of the store, and asserts that.
-func (w *world) apply(c Change) error {
-	w.index++
-	_, err := w.store.Apply(c)
+func (s *simulation) apply(c Change) error {
+	s.index++
+	_, err := s.store.Apply(c)
 	return err
 }
 
-func (w *world) due() {
-	for _, c := range w.monitor.Proposals(w.store, w.now) {
-		_ = w.apply(c)
-		if c.Op == OpExpire {
-			w.monitor.Unregistered(c.Author)
+func (s *simulation) runMonitor() {
+	for _, change := range s.monitor.Proposals(s.store, s.now) {
+		_ = s.apply(change)
+		if change.Op == OpExpire {
+			s.monitor.Unregistered(change.Author)
 		}
 	}
-	if w.out.noWait {
-		if d := w.store.Documents["d"]; d.Proposed != nil {
-			for name, u := range w.store.Processes {
-				if h := w.monitor.reports[name]; h != nil && w.now-h.ReceivedAt > 2 && u.Quiesced["d"] != d.Proposed.ID.Version {
-					_ = w.apply(Change{Op: OpExpire, Author: name})
+	if s.disabled.noExpiryWait {
+		if doc := s.store.Documents["d"]; doc.Proposed != nil {
+			for name, process := range s.store.Processes {
+				if report := s.monitor.reports[name]; report != nil && s.now-report.ReceivedAt > 2 && process.Quiesced["d"] != doc.Proposed.ID.Version {
+					_ = s.apply(Change{Op: OpExpire, Author: name})
 				}
 			}
 		}
 	}
 }
 
-func (p *proc) clock(now time.Duration) time.Duration {
-	return time.Duration(float64(now) * p.rate)
+func (p *simProcess) localTime(now time.Duration) time.Duration {
+	return time.Duration(float64(now) * p.clockRate)
 }
 
 // ask has a process ask; the group hears it at once, and the answer is on its way.
-func (w *world) ask(p *proc) {
-	s := p.h.Report()
-	if !w.monitor.Observe(p.h.Name, w.now, p.h.ActiveVersions(), p.worth, "") {
+func (s *simulation) poll(p *simProcess) {
+	report := p.replica.Report()
+	if !s.monitor.Observe(p.replica.Name, s.now, p.replica.ActiveVersions(), p.goodput, "") {
 		return
 	}
-	if w.store.HasNews(s) {
+	if s.store.HasNews(report) {
 		op := OpReport
-		if w.store.Processes[p.h.Name] == nil {
+		if s.store.Processes[p.replica.Name] == nil {
 			op = OpRegister
 		}
-		_ = w.apply(Change{Op: op, Process: &s})
+		_ = s.apply(Change{Op: op, Process: &report})
 	}
-	d := w.store.Documents["d"]
-	v := View{Active: d.Active, Proposed: d.Proposed, Stage: d.Stage}
-	p.answers = append(p.answers, answer{p.clock(w.now), w.index, map[string]View{"d": v}})
+	doc := s.store.Documents["d"]
+	view := View{Active: doc.Active, Proposed: doc.Proposed, Stage: doc.Stage}
+	p.answers = append(p.answers, delayedAnswer{p.localTime(s.now), s.index, map[string]View{"d": view}})
 }
 
 // answer has one of the answers on the way arrive.
-func (w *world) answer(p *proc, i int) {
+func (s *simulation) deliver(p *simProcess, i int) {
 	if i < 0 || i >= len(p.answers) {
 		return
 	}
-	a := p.answers[i]
+	received := p.answers[i]
 	p.answers = slices.Delete(slices.Clone(p.answers), i, i+1)
-	index := a.index
-	if w.out.noIndex {
+	index := received.index
+	if s.disabled.noIndexCheck {
 		index = 1 << 40
 	}
-	for _, t := range p.h.Receive(a.asked, index, worldTerms, a.docs, func(string, string) error { return nil }) {
-		p.acts = t.Revision.ID.Digest
+	for _, update := range p.replica.Receive(received.requestedAt, index, simTerms, received.docs, func(string, string) error { return nil }) {
+		p.activeDigest = update.Revision.ID.Digest
 	}
 }
 
 // check looks whether two processes begin what excludes each other, now.
-func (w *world) check() {
-	var acts uint64
-	for _, p := range w.procs {
-		why := p.h.StopReason(p.clock(w.now))
-		if why == StopUnconfirmed && w.out.noLease || why == StopQuiescing && w.out.noTurn {
-			why = ""
+func (s *simulation) checkExclusion() {
+	var activeDigest uint64
+	for _, p := range s.processes {
+		reason := p.replica.StopReason(p.localTime(s.now))
+		if reason == StopUnconfirmed && s.disabled.noLease || reason == StopQuiescing && s.disabled.noQuiesce {
+			reason = ""
 		}
-		if why != "" || p.acts == 0 {
+		if reason != "" || p.activeDigest == 0 {
 			continue
 		}
-		if acts != 0 && acts != p.acts && w.wrong == "" {
-			w.wrong = fmt.Sprintf("at %d", w.now)
+		if activeDigest != 0 && activeDigest != p.activeDigest && s.failure == "" {
+			s.failure = fmt.Sprintf("at %d", s.now)
 		}
-		acts = p.acts
+		activeDigest = p.activeDigest
 	}
 }
 
 // step does one of what can happen, by a number.
-func (w *world) step(n int) {
-	p := w.procs[n%len(w.procs)]
-	switch n / len(w.procs) {
+func (s *simulation) step(action int) {
+	p := s.processes[action%len(s.processes)]
+	switch action / len(s.processes) {
 	case 0:
-		w.ask(p)
+		s.poll(p)
 	case 1:
-		w.answer(p, 0)
+		s.deliver(p, 0)
 	case 2:
-		w.answer(p, len(p.answers)-1)
+		s.deliver(p, len(p.answers)-1)
 	case 3:
-		w.now += []time.Duration{1, 3, 6}[n%3]
+		s.now += []time.Duration{1, 3, 6}[action%3]
 	case 4:
-		w.due()
+		s.runMonitor()
 	case 5:
-		if d := w.store.Documents["d"]; d.Proposed == nil {
+		if doc := s.store.Documents["d"]; doc.Proposed == nil {
 			text := "new"
-			if d.Active != nil && d.Active.Text == "new" {
+			if doc.Active != nil && doc.Active.Text == "new" {
 				text = "old"
 			}
-			_ = w.apply(Change{Op: OpPropose, Doc: "d", Version: d.Active.ID.Version, Text: text, Exclusive: true, AllowRejected: true, Author: "t"})
-		} else if n%2 == 0 {
-			_ = w.apply(Change{Op: OpWithdraw, Doc: "d", Version: d.Proposed.ID.Version})
+			_ = s.apply(Change{Op: OpPropose, Doc: "d", Version: doc.Active.ID.Version, Text: text, Exclusive: true, AllowRejected: true, Author: "t"})
+		} else if action%2 == 0 {
+			_ = s.apply(Change{Op: OpWithdraw, Doc: "d", Version: doc.Proposed.ID.Version})
 		}
 	}
-	w.check()
+	s.checkExclusion()
 }
 
-const kindsOfSteps = 6
+const actionKinds = 6
 
 // Whatever is lost, late, or in another order, by clocks that run apart by the drift: no two processes begin by versions that
 // exclude each other. Each guard that is left out is missed.
 func TestNeverTwoAtOnce(t *testing.T) {
 	for _, c := range []struct {
-		name string
-		out  guards
-		harm bool
+		name        string
+		disabled    guards
+		wantFailure bool
 	}{
 		{"all guards", guards{}, false},
 		{"no lease", guards{noLease: true}, true},
-		{"no wait for the silent", guards{noWait: true}, true},
-		{"nobody stops", guards{noTurn: true}, true},
-		{"answers in any order", guards{noIndex: true}, true},
+		{"no wait for the silent", guards{noExpiryWait: true}, true},
+		{"nobody stops", guards{noQuiesce: true}, true},
+		{"answers in any order", guards{noIndexCheck: true}, true},
 	} {
-		found, forced := "", 0
+		failure, highestVersion := "", 0
 		for seed := range uint64(4000) {
-			w := newWorld(3, c.out)
+			sim := newSimulation(3, c.disabled)
 			rng := rand.New(rand.NewPCG(seed, 19))
 			for range 200 {
-				w.step(rng.IntN(kindsOfSteps * 3))
+				sim.step(rng.IntN(actionKinds * 3))
 			}
-			forced = max(forced, w.store.Documents["d"].Active.ID.Version)
-			if w.wrong != "" {
-				found = fmt.Sprint("seed ", seed, " ", w.wrong)
+			highestVersion = max(highestVersion, sim.store.Documents["d"].Active.ID.Version)
+			if sim.failure != "" {
+				failure = fmt.Sprint("seed ", seed, " ", sim.failure)
 				break
 			}
 		}
-		if (found != "") != c.harm {
-			t.Errorf("%s: %q", c.name, found)
+		if (failure != "") != c.wantFailure {
+			t.Errorf("%s: %q", c.name, failure)
 		}
-		if forced < 2 {
+		if highestVersion < 2 {
 			t.Errorf("%s: no change ever came into force", c.name)
 		}
 	}
@@ -222,177 +222,177 @@
 // it, or to be cut off.
 func TestAllOrdersOfQuiescing(t *testing.T) {
 	for _, c := range []struct {
-		name string
-		out  guards
-		harm bool
+		name        string
+		disabled    guards
+		wantFailure bool
 	}{
 		{"all guards", guards{}, false}, {"no lease", guards{noLease: true}, true},
-		{"no wait for the silent", guards{noWait: true}, true}, {"nobody stops", guards{noTurn: true}, true},
+		{"no wait for the silent", guards{noExpiryWait: true}, true}, {"nobody stops", guards{noQuiesce: true}, true},
 	} {
 		const length = 6
-		found, walked := "", 0
-		play := func(path []int) *world {
-			w := newWorld(2, c.out)
-			_ = w.apply(Change{Op: OpPropose, Doc: "d", Version: 1, Text: "new", Exclusive: true, Author: "t"})
-			for _, p := range w.procs {
-				w.ask(p)
-				w.answer(p, 0)
-				w.ask(p)
-				w.answer(p, 0)
+		failure, paths := "", 0
+		replay := func(path []int) *simulation {
+			sim := newSimulation(2, c.disabled)
+			_ = sim.apply(Change{Op: OpPropose, Doc: "d", Version: 1, Text: "new", Exclusive: true, Author: "t"})
+			for _, p := range sim.processes {
+				sim.poll(p)
+				sim.deliver(p, 0)
+				sim.poll(p)
+				sim.deliver(p, 0)
 			}
-			w.now += 3
-			w.due()
+			sim.now += 3
+			sim.runMonitor()
 			for range 2 { // one has stopped, and said so
-				w.ask(w.procs[0])
-				w.answer(w.procs[0], 0)
+				sim.poll(sim.processes[0])
+				sim.deliver(sim.processes[0], 0)
 			}
 			for _, n := range path {
 				if n == 6 {
-					w.now += 13 // 1 more: longer than a lease and what the leader waits
+					sim.now += 13 // 1 more: longer than a lease and what the leader waits
 				}
-				w.step(n)
+				sim.step(n)
 			}
-			return w
+			return sim
 		}
-		var walk func(path []int)
-		walk = func(path []int) {
-			if found != "" {
+		var explore func(path []int)
+		explore = func(path []int) {
+			if failure != "" {
 				return
 			}
-			walked++
-			if w := play(path); w.wrong != "" {
-				found = fmt.Sprint(path, " ", w.wrong)
+			paths++
+			if sim := replay(path); sim.failure != "" {
+				failure = fmt.Sprint(path, " ", sim.failure)
 				return
 			}
 			if len(path) == length {
 				return
 			}
 			for _, n := range []int{0, 1, 4, 3, 6, 8} { // each asks, each is answered, time passes, the leader looks
-				walk(append(slices.Clone(path), n))
+				explore(append(slices.Clone(path), n))
 			}
 		}
-		walk(nil)
-		if (found != "") != c.harm {
-			t.Errorf("%s: %q after %d", c.name, found, walked)
+		explore(nil)
+		if (failure != "") != c.wantFailure {
+			t.Errorf("%s: %q after %d", c.name, failure, paths)
 		}
 	}
 }
 
-func put(version int, text string) Change {
+func newProposal(version int, text string) Change {
 	return Change{Op: OpPropose, Doc: "d", Version: version, Text: text, Author: "t"}
 }
 
 // What a book says no to, and what becomes of versions.
 func TestStore(t *testing.T) {
-	b := NewStore()
-	must := func(c Change) {
+	store := NewStore()
+	mustApply := func(change Change) {
 		t.Helper()
-		if _, err := b.Apply(c); err != nil {
-			t.Fatalf("%+v: %v", c, err)
+		if _, err := store.Apply(change); err != nil {
+			t.Fatalf("%+v: %v", change, err)
 		}
 	}
-	not := func(c Change, want error, words string) {
+	wantError := func(change Change, want error, text string) {
 		t.Helper()
-		if _, err := b.Apply(c); err == nil || want != nil && !errors.Is(err, want) || !strings.Contains(fmt.Sprint(err), words) {
-			t.Errorf("%+v: %v, want %v %s", c, err, want, words)
+		if _, err := store.Apply(change); err == nil || want != nil && !errors.Is(err, want) || !strings.Contains(fmt.Sprint(err), text) {
+			t.Errorf("%+v: %v, want %v %s", change, err, want, text)
 		}
 	}
 	advance := func(version int, stage Stage) Change {
 		return Change{Op: OpAdvance, Doc: "d", Version: version, Stage: stage, At: 1}
 	}
-	join := func(name string, format int) {
-		must(Change{Op: OpRegister, Process: &Process{Name: name, Formats: map[string]int{"d": format}}})
-	}
-	say := func(name string, holds, stopped int) {
-		must(Change{Op: OpReport, Process: &Process{Name: name, Prepared: map[string]int{"d": holds}, Quiesced: map[string]int{"d": stopped}}})
-	}
-	join("a", 1)
-	join("b", 1)
-	not(put(1, "one"), ErrStaleBase, "0 of d, not 1")
-	must(put(0, "one"))
-	not(put(0, "two"), ErrChangePending, "version 1 of d is proposed")
-	not(advance(1, StageProposed), ErrNotReady, "a does not hold it yet")
-	say("a", 1, 0)
-	say("b", 1, 0)
-	not(advance(1, StageQuiescing), ErrNoSuchChange, "")
-	must(advance(1, StageProposed))
-	not(put(1, "one"), nil, "says the same")
-	c := put(1, "two")
-	c.Exclusive = true
-	must(c)
-	say("a", 1, 2) // holds another, and says that it has stopped before it was time
-	say("b", 2, 2)
-	not(advance(2, StageProposed), ErrNotReady, "a does not hold it yet")
-	say("a", 2, 2)
-	must(advance(2, StageProposed))
-	if d := b.Documents["d"]; d.Stage != StageQuiescing || d.Active.Text != "one" {
-		t.Fatalf("%+v", d)
-	}
-	not(advance(2, StageQuiescing), ErrNotReady, "a has not stopped yet")
-	say("a", 2, 2)
-	say("b", 2, 2)
-	join("late", 1) // acts on nothing, and has to stop as well
-	not(advance(2, StageQuiescing), ErrNotReady, "late has not stopped yet")
-	must(Change{Op: OpExpire, Author: "late"})
-	must(Change{Op: OpHold, Doc: "d", Version: 2, Reason: "noon"})
-	not(advance(2, StageQuiescing), ErrNotReady, "held: noon")
-	must(Change{Op: OpRelease, Doc: "d", Version: 2})
-	must(advance(2, StageQuiescing))
-	not(Change{Op: OpWithdraw, Doc: "d", Version: 2}, ErrNoSuchChange, "not under way")
-	must(Change{Op: OpRevert, Doc: "d", Version: 2, Reason: "worse"})
-	if d := b.Documents["d"]; d.Proposed.Text != "one" || d.Proposed.ID.Version != 3 || !d.Proposed.Exclusive || d.Proposed.RevertsTo != 1 {
-		t.Errorf("%+v", d.Proposed)
-	}
-	must(Change{Op: OpWithdraw, Doc: "d", Version: 3})
-	if d := b.Documents["d"]; d.Active.Outcome != "" || d.Proposed != nil {
-		t.Errorf("%+v", d.Active)
-	}
-	must(Change{Op: OpRevert, Doc: "d", Version: 2})
-	say("a", 4, 0)
-	say("b", 4, 0)
-	must(advance(4, StageProposed))
-	say("a", 4, 4)
-	say("b", 4, 4)
-	must(advance(4, StageQuiescing))
-	not(put(4, "two"), ErrRejectedBefore, "")
-	again := put(4, "two")
-	again.AllowRejected = true
-	must(again)
-	must(Change{Op: OpWithdraw, Doc: "d", Version: 5})
+	register := func(name string, format int) {
+		mustApply(Change{Op: OpRegister, Process: &Process{Name: name, Formats: map[string]int{"d": format}}})
+	}
+	report := func(name string, prepared, quiesced int) {
+		mustApply(Change{Op: OpReport, Process: &Process{Name: name, Prepared: map[string]int{"d": prepared}, Quiesced: map[string]int{"d": quiesced}}})
+	}
+	register("a", 1)
+	register("b", 1)
+	wantError(newProposal(1, "one"), ErrStaleBase, "0 of d, not 1")
+	mustApply(newProposal(0, "one"))
+	wantError(newProposal(0, "two"), ErrChangePending, "version 1 of d is proposed")
+	wantError(advance(1, StageProposed), ErrNotReady, "a does not hold it yet")
+	report("a", 1, 0)
+	report("b", 1, 0)
+	wantError(advance(1, StageQuiescing), ErrNoSuchChange, "")
+	mustApply(advance(1, StageProposed))
+	wantError(newProposal(1, "one"), nil, "says the same")
+	exclusive := newProposal(1, "two")
+	exclusive.Exclusive = true
+	mustApply(exclusive)
+	report("a", 1, 2) // holds another, and says that it has stopped before it was time
+	report("b", 2, 2)
+	wantError(advance(2, StageProposed), ErrNotReady, "a does not hold it yet")
+	report("a", 2, 2)
+	mustApply(advance(2, StageProposed))
+	if doc := store.Documents["d"]; doc.Stage != StageQuiescing || doc.Active.Text != "one" {
+		t.Fatalf("%+v", doc)
+	}
+	wantError(advance(2, StageQuiescing), ErrNotReady, "a has not stopped yet")
+	report("a", 2, 2)
+	report("b", 2, 2)
+	register("late", 1) // acts on nothing, and has to stop as well
+	wantError(advance(2, StageQuiescing), ErrNotReady, "late has not stopped yet")
+	mustApply(Change{Op: OpExpire, Author: "late"})
+	mustApply(Change{Op: OpHold, Doc: "d", Version: 2, Reason: "noon"})
+	wantError(advance(2, StageQuiescing), ErrNotReady, "held: noon")
+	mustApply(Change{Op: OpRelease, Doc: "d", Version: 2})
+	mustApply(advance(2, StageQuiescing))
+	wantError(Change{Op: OpWithdraw, Doc: "d", Version: 2}, ErrNoSuchChange, "not under way")
+	mustApply(Change{Op: OpRevert, Doc: "d", Version: 2, Reason: "worse"})
+	if doc := store.Documents["d"]; doc.Proposed.Text != "one" || doc.Proposed.ID.Version != 3 || !doc.Proposed.Exclusive || doc.Proposed.RevertsTo != 1 {
+		t.Errorf("%+v", doc.Proposed)
+	}
+	mustApply(Change{Op: OpWithdraw, Doc: "d", Version: 3})
+	if doc := store.Documents["d"]; doc.Active.Outcome != "" || doc.Proposed != nil {
+		t.Errorf("%+v", doc.Active)
+	}
+	mustApply(Change{Op: OpRevert, Doc: "d", Version: 2})
+	report("a", 4, 0)
+	report("b", 4, 0)
+	mustApply(advance(4, StageProposed))
+	report("a", 4, 4)
+	report("b", 4, 4)
+	mustApply(advance(4, StageQuiescing))
+	wantError(newProposal(4, "two"), ErrRejectedBefore, "")
+	proposal := newProposal(4, "two")
+	proposal.AllowRejected = true
+	mustApply(proposal)
+	mustApply(Change{Op: OpWithdraw, Doc: "d", Version: 5})
 	// Two builds side by side: who does not read a format is not handed it, and nothing comes into force over its head.
-	newer := put(4, "three")
-	newer.Format = 2
-	must(newer)
-	join("a", 2)
-	say("a", 6, 0)
-	not(advance(6, StageProposed), ErrNotReady, "b reads format 1, and this is 2")
-	if d := b.Documents["d"]; d.IsOfferedTo(b.Processes["b"]) || !d.IsOfferedTo(b.Processes["a"]) {
+	newerFormat := newProposal(4, "three")
+	newerFormat.Format = 2
+	mustApply(newerFormat)
+	register("a", 2)
+	report("a", 6, 0)
+	wantError(advance(6, StageProposed), ErrNotReady, "b reads format 1, and this is 2")
+	if doc := store.Documents["d"]; doc.IsOfferedTo(store.Processes["b"]) || !doc.IsOfferedTo(store.Processes["a"]) {
 		t.Error("handed to one that can't read it")
 	}
-	join("b", 2)
-	say("b", 6, 0)
-	must(advance(6, StageProposed))
+	register("b", 2)
+	report("b", 6, 0)
+	mustApply(advance(6, StageProposed))
 	for n := range 40 { // what is kept is bounded
-		d := b.Documents["d"]
-		must(put(d.Active.ID.Version, fmt.Sprint("text", n)))
-		say("a", d.HighestVersion, 0)
-		say("b", d.HighestVersion, 0)
-		must(advance(d.HighestVersion, StageProposed))
+		doc := store.Documents["d"]
+		mustApply(newProposal(doc.Active.ID.Version, fmt.Sprint("text", n)))
+		report("a", doc.HighestVersion, 0)
+		report("b", doc.HighestVersion, 0)
+		mustApply(advance(doc.HighestVersion, StageProposed))
 	}
-	if d := b.Documents["d"]; len(d.History) != maxHistory || d.Revision(d.HighestVersion) != d.Active || d.Revision(1) != nil {
-		t.Errorf("%d versions kept", len(d.History))
+	if doc := store.Documents["d"]; len(doc.History) != maxHistory || doc.Revision(doc.HighestVersion) != doc.Active || doc.Revision(1) != nil {
+		t.Errorf("%d versions kept", len(doc.History))
 	}
-	not(put(b.Documents["d"].Active.ID.Version, strings.Repeat("x", maxTextSize+1)), nil, "bytes")
+	wantError(newProposal(store.Documents["d"].Active.ID.Version, strings.Repeat("x", maxTextSize+1)), nil, "bytes")
 }
 
 // A change that may be bad acts at a part of the processes first, and is taken back where less is served; one that turns out bad
 // once it is in force is taken back within its time; a good one stays. The same again is not taken without a word.
 func TestRolloutIsObserved(t *testing.T) {
 	for _, c := range []struct {
-		name             string
-		part             float64
-		trial, force     float64 // what the change serves in its trial and once in force, of 1
-		text, ended, why string
+		name                       string
+		canaryRatio                float64
+		canaryServed, activeServed float64 // what the change serves in its trial and once in force, of 1
+		text, outcome, wantErr     string
 	}{
 		{"good", 0.25, 1, 1, "new", "", ""},
 		{"bad in its trial", 0.25, 0.5, 0.5, "old", "withdrawn: 5", "made things worse"},
@@ -400,52 +400,52 @@
 		{"bad all at once", 0, 1, 0.6, "old", "taken back: 6", "made things worse"},
 		{"a little worse", 0.25, 0.98, 0.98, "new", "", ""},
 	} {
-		w := newWorld(8, guards{})
-		w.monitor.terms, worldTerms.TTL = lease.Terms{TTL: 300 * time.Millisecond}, 300*time.Millisecond
-		var proposed, over time.Duration
+		sim := newSimulation(8, guards{})
+		sim.monitor.terms, simTerms.TTL = lease.Terms{TTL: 300 * time.Millisecond}, 300*time.Millisecond
+		var proposedAt, revertedAfter time.Duration
 		for n := 0; n < 600; n++ {
-			w.now += 20 * time.Millisecond
-			for _, p := range w.procs {
-				d, share := w.store.Documents["d"], 1.0
-				if p.acts == NewID(1, []byte("new")).Digest {
-					if share = c.trial; d.Active.Text == "new" {
-						share = c.force
+			sim.now += 20 * time.Millisecond
+			for _, p := range sim.processes {
+				d, served := sim.store.Documents["d"], 1.0
+				if p.activeDigest == NewID(1, []byte("new")).Digest {
+					if served = c.canaryServed; d.Active.Text == "new" {
+						served = c.activeServed
 					}
 				}
-				p.worth.Offered += 2
-				p.worth.Served += 2 * share
-				w.ask(p)
-				w.answer(p, 0)
+				p.goodput.Offered += 2
+				p.goodput.Served += 2 * served
+				sim.poll(p)
+				sim.deliver(p, 0)
 			}
-			w.due()
+			sim.runMonitor()
 			if n == 100 {
-				proposed = w.now
-				_ = w.apply(Change{Op: OpPropose, Doc: "d", Version: 1, Text: "new", Author: "t", Rollout: &RolloutPolicy{CanaryRatio: c.part, ObserveMS: 2000, MaxLoss: 0.05}})
+				proposedAt = sim.now
+				_ = sim.apply(Change{Op: OpPropose, Doc: "d", Version: 1, Text: "new", Author: "t", Rollout: &RolloutPolicy{CanaryRatio: c.canaryRatio, ObserveMS: 2000, MaxLoss: 0.05}})
 			}
-			if n == 110 && c.part > 0 {
-				if d := w.store.Documents["d"]; d.Stage != StageCanary || len(d.Proposed.Canaries) != 2 {
+			if n == 110 && c.canaryRatio > 0 {
+				if d := sim.store.Documents["d"]; d.Stage != StageCanary || len(d.Proposed.Canaries) != 2 {
 					t.Errorf("%s: %+v", c.name, d)
 				}
 			}
-			if d := w.store.Documents["d"]; n > 100 && over == 0 && d.Proposed == nil && d.Active.Text == "old" {
-				over = w.now - proposed
+			if d := sim.store.Documents["d"]; n > 100 && revertedAfter == 0 && d.Proposed == nil && d.Active.Text == "old" {
+				revertedAfter = sim.now - proposedAt
 			}
 		}
-		worldTerms.TTL = 12
-		d := w.store.Documents["d"]
-		ended := ""
-		for _, e := range d.History {
-			if e.Text == "new" {
-				ended = e.Outcome
+		simTerms.TTL = 12
+		d := sim.store.Documents["d"]
+		outcome := ""
+		for _, revision := range d.History {
+			if revision.Text == "new" {
+				outcome = revision.Outcome
 			}
 		}
-		if d.Active.Text != c.text || !strings.HasPrefix(ended, c.ended) || d.Proposed != nil {
-			t.Errorf("%s: in force %q, %q", c.name, d.Active.Text, ended)
+		if d.Active.Text != c.text || !strings.HasPrefix(outcome, c.outcome) || d.Proposed != nil {
+			t.Errorf("%s: in force %q, %q", c.name, d.Active.Text, outcome)
 		}
-		if c.text == "old" && over > 4*time.Second {
-			t.Errorf("%s: taken back after %v", c.name, over)
+		if c.text == "old" && revertedAfter > 4*time.Second {
+			t.Errorf("%s: taken back after %v", c.name, revertedAfter)
 		}
-		if _, err := w.store.Apply(put(d.Active.ID.Version, "new")); c.why != "" && !strings.Contains(fmt.Sprint(err), c.why) {
+		if _, err := sim.store.Apply(newProposal(d.Active.ID.Version, "new")); c.wantErr != "" && !strings.Contains(fmt.Sprint(err), c.wantErr) {
 			t.Errorf("%s: the same again: %v", c.name, err)
 		}
 	}
@@ -456,20 +456,20 @@
 	old := `{"version":1,"tenants":[{"name":"a","rate":1,"homes":[{"cell":"x"}]},{"name":"b","rate":2}]}`
 	text := `{"version":2,"tenants":[{"name":"b","rate":3},{"name":"a","rate":1,"homes":[{"cell":"x"},{"cell":"y","from_ms":5}]}]}`
 	list, err := Diff(DocMap, old, text)
-	got := ""
+	formatted := ""
 	for _, d := range list {
-		got += fmt.Sprintf("%s %s>%s %s; ", d.Path, d.Old, d.New, d.Kind)
+		formatted += fmt.Sprintf("%s %s>%s %s; ", d.Path, d.Old, d.New, d.Kind)
 	}
-	if err != nil || got != `tenants[a].homes[1].cell >"y" announced; tenants[a].homes[1].from_ms >5 announced; tenants[b].rate 2>3 shared; version 1>2 free; ` {
-		t.Errorf("%s %v", got, err)
+	if err != nil || formatted != `tenants[a].homes[1].cell >"y" announced; tenants[a].homes[1].from_ms >5 announced; tenants[b].rate 2>3 shared; version 1>2 free; ` {
+		t.Errorf("%s %v", formatted, err)
 	}
 	if HasExclusive(list) || FirstDependent(list) != "tenants[a].homes[1].cell" {
 		t.Error("a move stops everybody, or may be tried by a part")
 	}
-	for text, excludes := range map[string]bool{`{"classes":[{"name":"a","effect":"token"}]}`: true, `{"classes":[{"name":"a","worth":1}]}`: true,
+	for text, exclusive := range map[string]bool{`{"classes":[{"name":"a","effect":"token"}]}`: true, `{"classes":[{"name":"a","worth":1}]}`: true,
 		`{"format":2}`: false, `{"new":2}`: true} {
 		list, err := Diff(DocClasses, "", text)
-		if err != nil || HasExclusive(list) != excludes {
+		if err != nil || HasExclusive(list) != exclusive {
 			t.Errorf("%s: %+v, %v", text, list, err)
 		}
 	}
--- a/internal/policy/configstore/stored_test.go
+++ b/internal/policy/configstore/stored_test.go
@@ -18,46 +18,46 @@
 // another snapshot, would hold other rules than its peers without anybody noticing. A change, what it makes of a document, the no that
 // it gets, and the whole book at the end stand in testdata as the program wrote them before its names were changed.
 func TestLogOfChangesGivesTheSameBook(t *testing.T) {
-	b := NewStore()
-	play(t, "testdata/book.txt", func(line string) string {
+	store := NewStore()
+	replayGolden(t, "testdata/book.txt", func(line string) string {
 		if line == "book" {
-			return text(t, b)
+			return marshal(t, store)
 		}
-		if name, is := strings.CutPrefix(line, "waits "); is {
-			return fmt.Sprintf("%q", b.WaitingFor(b.Documents[name]))
+		if name, ok := strings.CutPrefix(line, "waits "); ok {
+			return fmt.Sprintf("%q", store.WaitingFor(store.Documents[name]))
 		}
-		if name, is := strings.CutPrefix(line, "refused "); is {
-			who, why := b.RefusedBy(b.Documents[name])
-			return fmt.Sprintf("%q %q", who, why)
+		if name, ok := strings.CutPrefix(line, "refused "); ok {
+			process, reason := store.RefusedBy(store.Documents[name])
+			return fmt.Sprintf("%q %q", process, reason)
 		}
-		if name, is := strings.CutPrefix(line, "listed "); is {
-			return text(t, b.Documents[name].Summary())
+		if name, ok := strings.CutPrefix(line, "listed "); ok {
+			return marshal(t, store.Documents[name].Summary())
 		}
 		var c Change
 		if err := json.Unmarshal([]byte(line), &c); err != nil {
 			t.Fatal(err)
 		}
-		d, err := b.Apply(c)
+		doc, err := store.Apply(c)
 		if err != nil {
 			return "no: " + err.Error()
 		}
-		return text(t, d)
+		return marshal(t, doc)
 	})
 	// A snapshot is read as it was written, and goes on alike.
-	var again Store
-	if err := json.Unmarshal([]byte(text(t, b)), &again); err != nil {
+	var decoded Store
+	if err := json.Unmarshal([]byte(marshal(t, store)), &decoded); err != nil {
 		t.Fatal(err)
 	}
-	if text(t, &again) != text(t, b) {
+	if marshal(t, &decoded) != marshal(t, store) {
 		t.Error("read again it is another one")
 	}
 }
 
 // What a process is told and what it says of itself are a wire between builds as well.
 func TestProcessReadsAndReportsTheSame(t *testing.T) {
-	h := NewReplica("router-1#00000001", map[string]int{"map": 2, "routing": 1})
-	h.CheckParts = func(string, map[string]string, bool) error { return nil }
-	h.Disabled.Pacing = true
+	replica := NewReplica("router-1#00000001", map[string]int{"map": 2, "routing": 1})
+	replica.CheckParts = func(string, map[string]string, bool) error { return nil }
+	replica.Disabled.Pacing = true
 	check := func(_, text string) error {
 		if strings.Contains(text, "bad") {
 			return fmt.Errorf("it is bad")
@@ -66,57 +66,57 @@
 	}
 	terms := lease.Terms{TTL: 3 * time.Second, Drift: 0.05}
 	now, index := time.Second, uint64(0)
-	var want PartsRequest
-	acts := func(take []Update) string {
-		var b strings.Builder
-		for _, x := range take {
-			fmt.Fprintf(&b, "acts on %s %v of format %d, whole %v, parts %v; ", x.Doc, x.Revision.ID, x.Revision.Format, x.Complete, slices.Sorted(maps.Keys(x.Parts)))
+	var lastRequest PartsRequest
+	format := func(updates []Update) string {
+		var out strings.Builder
+		for _, update := range updates {
+			fmt.Fprintf(&out, "acts on %s %v of format %d, whole %v, parts %v; ", update.Doc, update.Revision.ID, update.Revision.Format, update.Complete, slices.Sorted(maps.Keys(update.Parts)))
 		}
-		return b.String()
+		return out.String()
 	}
-	play(t, "testdata/process.txt", func(line string) string {
+	replayGolden(t, "testdata/process.txt", func(line string) string {
 		now += time.Second
 		switch line {
 		case "says":
-			return text(t, h.Report())
+			return marshal(t, replica.Report())
 		case "has":
-			return text(t, h.KnownVersions()) + " " + text(t, h.CompleteVersions()) + " " + text(t, h.ActiveVersions()) + " " + text(t, h.OutdatedVersions())
+			return marshal(t, replica.KnownVersions()) + " " + marshal(t, replica.CompleteVersions()) + " " + marshal(t, replica.ActiveVersions()) + " " + marshal(t, replica.OutdatedVersions())
 		case "stops":
-			return fmt.Sprintf("%q, current %v, asks every %v, until %v", h.StopReason(now), h.IsCurrent(), h.PollInterval(), h.ConfirmedUntil())
+			return fmt.Sprintf("%q, current %v, asks every %v, until %v", replica.StopReason(now), replica.IsCurrent(), replica.PollInterval(), replica.ConfirmedUntil())
 		case "wants":
-			w, at, ok := h.NextRequest(now)
-			want = w
-			return fmt.Sprintf("%s %v %v", text(t, w), at, ok)
+			request, retryAt, ok := replica.NextRequest(now)
+			lastRequest = request
+			return fmt.Sprintf("%s %v %v", marshal(t, request), retryAt, ok)
 		case "vain":
-			h.RequestFailed()
+			replica.RequestFailed()
 			return ""
 		case "offs":
-			return fmt.Sprint(h.TakeMismatches())
+			return fmt.Sprint(replica.TakeMismatches())
 		case "again":
-			h.Redeliver("map")
+			replica.Redeliver("map")
 			return ""
 		}
-		if got, is := strings.CutPrefix(line, "got "); is {
-			var a struct {
+		if got, ok := strings.CutPrefix(line, "got "); ok {
+			var answer struct {
 				ID    ID              `json:"id"`
 				Parts map[string]Part `json:"parts"`
 			}
-			if err := json.Unmarshal([]byte(got), &a); err != nil {
+			if err := json.Unmarshal([]byte(got), &answer); err != nil {
 				t.Fatal(err)
 			}
-			return acts(h.ReceiveParts(now, want, a.ID, a.Parts, check))
+			return format(replica.ReceiveParts(now, lastRequest, answer.ID, answer.Parts, check))
 		}
 		var docs map[string]View
 		if err := json.Unmarshal([]byte(line), &docs); err != nil {
 			t.Fatal(err)
 		}
 		index++
-		return acts(h.Receive(now, index, terms, docs, check))
+		return format(replica.Receive(now, index, terms, docs, check))
 	})
 }
 
 // play gives each line of a file that begins with "< " to a function and compares what it returns with the line that follows.
-func play(t *testing.T, file string, do func(line string) string) {
+func replayGolden(t *testing.T, file string, handle func(line string) string) {
 	t.Helper()
 	f, err := os.Open(file)
 	if err != nil {
@@ -125,28 +125,28 @@
 	t.Cleanup(func() { f.Close() })
 	lines := bufio.NewScanner(f)
 	lines.Buffer(nil, 1<<20)
-	n := 0
+	inputs := 0
 	for lines.Scan() {
-		line, is := strings.CutPrefix(lines.Text(), "< ")
-		if !is {
+		line, ok := strings.CutPrefix(lines.Text(), "< ")
+		if !ok {
 			t.Fatalf("%s: not an input: %q", file, lines.Text())
 		}
 		lines.Scan()
-		if got := "> " + do(line); got != lines.Text() {
+		if got := "> " + handle(line); got != lines.Text() {
 			t.Fatalf("%s: %s\n got %s\nwant %s", file, line, got, lines.Text())
 		}
-		n++
+		inputs++
 	}
-	if lines.Err() != nil || n < 20 {
-		t.Fatalf("%s: %d inputs, error %v", file, n, lines.Err())
+	if lines.Err() != nil || inputs < 20 {
+		t.Fatalf("%s: %d inputs, error %v", file, inputs, lines.Err())
 	}
 }
 
-func text(t *testing.T, v any) string {
+func marshal(t *testing.T, v any) string {
 	t.Helper()
-	b, err := json.Marshal(v)
+	encoded, err := json.Marshal(v)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return string(b)
+	return string(encoded)
 }
--- a/internal/policy/configstore/tracker.go
+++ b/internal/policy/configstore/tracker.go
@@ -46,8 +46,8 @@
 
 // Limits of what is stored, as the data received from other processes is unbounded.
 const (
-	maxVersions   = 16 // versions that are stored; a fleet has two or three at a time
-	maxSourceName = 64 // bytes of a process's name
+	maxVersions       = 16 // versions that are stored; a fleet has two or three at a time
+	maxSourceNameSize = 64 // bytes of a process's name
 )
 
 // trackedVersion has the documents that were reported for a version.
@@ -72,7 +72,8 @@
 	longestOutdated time.Duration // longest time that a document was seen to be outdated or in conflict
 }
 
-// ExtendTerms raises each term to that of t if t's is longer. Documents and other processes give terms, and the longest ones are safe.
+// ExtendTerms raises each term to the given one if that is longer. It is called with the terms of documents and of other processes. Longer
+// terms are always safe.
 func (t *VersionTracker) ExtendTerms(terms Terms) {
 	t.terms = Terms{max(t.terms.Lease, terms.Lease), max(t.terms.ClockSkew, terms.ClockSkew), max(t.terms.ClockDrift, terms.ClockDrift),
 		max(t.terms.ProbeInterval, terms.ProbeInterval), max(t.terms.ProbeTimeout, terms.ProbeTimeout), max(t.terms.OverlapWindow, terms.OverlapWindow)}
@@ -104,7 +105,7 @@
 	}
 	switch {
 	case len(v.sightings) == 0 || len(v.sightings) == 1 && v.sightings[0].ID != id:
-		v.sightings = append(v.sightings, Sighting{id, source[:min(len(source), maxSourceName)]})
+		v.sightings = append(v.sightings, Sighting{id, source[:min(len(source), maxSourceNameSize)]})
 		if len(v.sightings) == 2 && v.conflictDescription == "" {
 			t.noteConflict(now, v)
 			return ConflictFound
@@ -122,7 +123,7 @@
 	if v == nil || v.isConflicting() || description == "" {
 		return NothingNew
 	}
-	v.conflictDescription = description[:min(len(description), 4*maxSourceName)]
+	v.conflictDescription = description[:min(len(description), 4*maxSourceNameSize)]
 	t.noteConflict(now, v)
 	return ConflictFound
 }
--- a/internal/policy/configstore/tracker_test.go
+++ b/internal/policy/configstore/tracker_test.go
@@ -19,7 +19,7 @@
 	}
 }
 
-var terms = Terms{Lease: time.Second, ClockSkew: 100 * time.Millisecond, ClockDrift: 0.05, ProbeInterval: 100 * time.Millisecond,
+var testTerms = Terms{Lease: time.Second, ClockSkew: 100 * time.Millisecond, ClockDrift: 0.05, ProbeInterval: 100 * time.Millisecond,
 	ProbeTimeout: 50 * time.Millisecond, OverlapWindow: 3 * time.Second}
 
 func TestID(t *testing.T) {
@@ -39,54 +39,54 @@
 // said, kept whole.
 func TestVersionTracker(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		type word struct {
+		type observation struct {
 			at time.Duration
 			id ID
 		}
-		var said []word
-		var s VersionTracker
-		s.ExtendTerms(terms)
+		var observed []observation
+		var tracker VersionTracker
+		tracker.ExtendTerms(testTerms)
 		now := time.Duration(0)
 		for range rapid.IntRange(1, 25).Draw(t, "words") {
 			now += time.Duration(rapid.IntRange(0, 900).Draw(t, "ms")) * time.Millisecond
 			id := ID{rapid.IntRange(1, 4).Draw(t, "version"), uint64(rapid.SampledFrom([]int{1, 1, 1, 1, 1, 2}).Draw(t, "digest"))}
-			known := false
-			for _, w := range said {
-				known = known || w.id == id
+			isKnown := false
+			for _, seen := range observed {
+				isKnown = isKnown || seen.id == id
 			}
-			s.Observe(now, id, "r")
-			if !known {
-				said = append(said, word{now, id})
+			tracker.Observe(now, id, "r")
+			if !isKnown {
+				observed = append(observed, observation{now, id})
 			}
-			for v := 1; v <= 4; v++ {
-				for d := uint64(1); d <= 2; d++ {
-					of := ID{v, d}
-					top, differ := 0, map[int]time.Duration{}
-					first := map[int]time.Duration{}
-					for _, w := range said {
-						top = max(top, w.id.Version)
-						if _, ok := first[w.id.Version]; !ok {
-							first[w.id.Version] = w.at
+			for version := 1; version <= 4; version++ {
+				for digest := uint64(1); digest <= 2; digest++ {
+					document := ID{version, digest}
+					highest, conflictAt := 0, map[int]time.Duration{}
+					firstAt := map[int]time.Duration{}
+					for _, seen := range observed {
+						highest = max(highest, seen.id.Version)
+						if _, ok := firstAt[seen.id.Version]; !ok {
+							firstAt[seen.id.Version] = seen.at
 						} else {
-							differ[w.id.Version] = w.at
+							conflictAt[seen.id.Version] = seen.at
 						}
 					}
-					want := VerdictValid
-					for n, at := range first {
-						if n > v && now-at > onSlowClock(terms.Lease, terms.ClockDrift) {
-							want = VerdictOutdated
+					wantVerdict := VerdictValid
+					for number, at := range firstAt {
+						if number > version && now-at > onSlowClock(testTerms.Lease, testTerms.ClockDrift) {
+							wantVerdict = VerdictOutdated
 						}
 					}
-					for _, at := range differ {
-						if now < at+terms.DetectionBound()+terms.OverlapWindow {
-							want = VerdictSettling
+					for _, at := range conflictAt {
+						if now < at+testTerms.DetectionBound()+testTerms.OverlapWindow {
+							wantVerdict = VerdictSettling
 						}
 					}
-					if _, bad := differ[top]; bad && v <= top {
-						want = VerdictConflicting
+					if _, bad := conflictAt[highest]; bad && version <= highest {
+						wantVerdict = VerdictConflicting
 					}
-					if got := s.Check(now, of); got != want {
-						t.Fatalf("%v at %v after %v: %v, want %v", of, now, said, got, want)
+					if got := tracker.Check(now, document); got != wantVerdict {
+						t.Fatalf("%v at %v after %v: %v, want %v", document, now, observed, got, wantVerdict)
 					}
 				}
 			}
@@ -96,24 +96,24 @@
 
 // What comes off a wire is bounded, and the newest is what is kept.
 func TestVersionTrackerIsBounded(t *testing.T) {
-	var s VersionTracker
+	var tracker VersionTracker
 	for n := 1; n <= 1000; n++ {
-		s.Observe(0, ID{n, 1}, strings.Repeat("x", 1000))
+		tracker.Observe(0, ID{n, 1}, strings.Repeat("x", 1000))
 	}
 	for n := 900; n > 0; n-- {
-		s.Observe(0, ID{n, 2}, "old")
+		tracker.Observe(0, ID{n, 2}, "old")
 	}
-	if top, ok := s.Newest(); !ok || top.ID.Version != 1000 || len(s.versions) > maxVersions || len(top.Source) > maxSourceName {
-		t.Errorf("%v, %d versions", top, len(s.versions))
+	if newest, ok := tracker.Newest(); !ok || newest.ID.Version != 1000 || len(tracker.versions) > maxVersions || len(newest.Source) > maxSourceNameSize {
+		t.Errorf("%v, %d versions", newest, len(tracker.versions))
 	}
-	if s.Check(0, ID{1000, 1}) != VerdictValid {
+	if tracker.Check(0, ID{1000, 1}) != VerdictValid {
 		t.Error("old versions that differ hold the newest back")
 	}
-	if s.ObserveConflict(0, 1000, strings.Repeat("y", 1000)) != ConflictFound || s.Check(0, ID{1000, 1}) != VerdictConflicting {
+	if tracker.ObserveConflict(0, 1000, strings.Repeat("y", 1000)) != ConflictFound || tracker.Check(0, ID{1000, 1}) != VerdictConflicting {
 		t.Error("what is told does not count")
 	}
-	if n, words := s.Conflict(); n != 1000 || len(words) > 4*maxSourceName {
-		t.Errorf("%d, %q", n, words)
+	if n, description := tracker.Conflict(); n != 1000 || len(description) > 4*maxSourceNameSize {
+		t.Errorf("%d, %q", n, description)
 	}
 }
 
@@ -122,69 +122,69 @@
 // each of the guards lets it run twice: the servers' judgement alone, the routers' alone, or that a router looks first.
 func TestAllOrdersOfTwoMaps(t *testing.T) {
 	for _, c := range []struct {
-		name                    string
-		servers, routers, looks bool
-		harm                    bool
+		name                                    string
+		serversCheck, routersCheck, probesFirst bool
+		wantFailure                             bool
 	}{
 		{"all", true, true, true, false},
 		{"nobody judges", false, false, true, true},
 		{"routers don't look first", true, true, false, true},
 	} {
 		const length = 7
-		found := ""
+		failure := ""
 		// What to do, in a number: 0..3 router r looks after server s, 4 and 5 router r sends the keyed request.
-		var walk func(done []int)
-		walk = func(done []int) {
-			if found != "" || len(done) == length {
+		var explore func(prefix []int)
+		explore = func(prefix []int) {
+			if failure != "" || len(prefix) == length {
 				return
 			}
 			for next := range 6 {
-				path := append(append([]int(nil), done...), next)
-				if runs(path, c.servers, c.routers, c.looks) > 1 {
-					found = fmt.Sprint(path)
+				path := append(append([]int(nil), prefix...), next)
+				if countRuns(path, c.serversCheck, c.routersCheck, c.probesFirst) > 1 {
+					failure = fmt.Sprint(path)
 					return
 				}
-				walk(path)
+				explore(path)
 			}
 		}
-		walk(nil)
-		if (found != "") != c.harm {
-			t.Errorf("%s: twice by %q", c.name, found)
+		explore(nil)
+		if (failure != "") != c.wantFailure {
+			t.Errorf("%s: twice by %q", c.name, failure)
 		}
 	}
 }
 
 // runs plays an order and counts the runs of the keyed request.
-func runs(path []int, serversJudge, routersJudge, look bool) (n int) {
+func countRuns(path []int, serversCheck, routersCheck, probesFirst bool) (runs int) {
 	var servers, routers [2]VersionTracker
-	var looked [2][2]bool
-	var ran [2]bool
-	for i, do := range path {
+	var probed [2][2]bool
+	var hasRun [2]bool
+	for i, action := range path {
 		now := time.Duration(i) * 10 * time.Millisecond
-		id := func(r int) ID { return ID{1, uint64(r + 1)} }
-		if do < 4 {
-			r, s := do/2, do%2
-			servers[s].Observe(now, id(r), fmt.Sprint("r", r))
-			routers[r].Observe(now, id(r), "own")
-			if n, words := servers[s].Conflict(); words != "" {
-				routers[r].ObserveConflict(now, n, words)
+		id := func(router int) ID { return ID{1, uint64(router + 1)} }
+		if action < 4 {
+			router, server := action/2, action%2
+			servers[server].Observe(now, id(router), fmt.Sprint("r", router))
+			routers[router].Observe(now, id(router), "own")
+			if number, description := servers[server].Conflict(); description != "" {
+				routers[router].ObserveConflict(now, number, description)
 			}
-			if top, ok := servers[s].Newest(); ok {
-				routers[r].Observe(now, top.ID, top.Source)
+			if newest, ok := servers[server].Newest(); ok {
+				routers[router].Observe(now, newest.ID, newest.Source)
 			}
-			looked[r][s] = true
+			probed[router][server] = true
 			continue
 		}
-		r := do - 4 // whose map has the keyed request's home at the server of its own number
-		if look && (!looked[r][0] || !looked[r][1]) || routersJudge && routers[r].Check(now, id(r)) != VerdictValid || ran[r] {
+		router := action - 4 // whose map has the keyed request's home at the server of its own number
+		if probesFirst && (!probed[router][0] || !probed[router][1]) || routersCheck && routers[router].Check(now, id(router)) != VerdictValid || hasRun[router] {
 			continue
 		}
-		servers[r].Observe(now, id(r), "try")
-		if serversJudge && servers[r].Check(now, id(r)) != VerdictValid {
+		servers[router].Observe(now, id(router), "try")
+		if serversCheck && servers[router].Check(now, id(router)) != VerdictValid {
 			continue
 		}
-		ran[r] = true
-		n++
+		hasRun[router] = true
+		runs++
 	}
-	return n
+	return runs
 }
--- a/internal/policy/configstore/view.go
+++ b/internal/policy/configstore/view.go
@@ -28,7 +28,7 @@
 		if 0 < base && base < d.Active.ID.Version {
 			view.Since = base
 		}
-		if view.Active.Parts = changedSince(d.Active.Parts, view.Since); view.Since == 0 && !haveTexts(view.Active.Parts) {
+		if view.Active.Parts = changedSince(d.Active.Parts, view.Since); view.Since == 0 && !hasTexts(view.Active.Parts) {
 			view.Active.Parts = nil // the manifest has as many entries as there are parts; the process requests it later
 		}
 	}
@@ -73,7 +73,8 @@
 	return changed
 }
 
-func haveTexts(parts map[string]Part) bool {
+// hasTexts reports whether parts from changedSince have their texts: all of them have, or none.
+func hasTexts(parts map[string]Part) bool {
 	for _, p := range parts {
 		return p.Text != ""
 	}
