--- a/internal/policy/configstore/kindsgolden_test.go
+++ b/internal/policy/configstore/kindsgolden_test.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// By its kind a change of a field goes to all at once, waits for a window, or has everybody stop first, and the kind's name is printed
-// by rules diff. A field that lost its kind would be taken for exclusive, and stop the fleet. Each field stands in testdata with its kind.
+// The kind of a field decides whether a change of it applies at once, waits for a window, or quiesces all processes, and rules diff prints
+// it. A field without a kind would count as exclusive and stop the fleet. The golden file lists the kind of each field.
 func TestFieldsKeepTheirKinds(t *testing.T) {
 	var lines []string
 	for field, kind := range fieldKinds {
@@ -20,14 +20,14 @@
 	slices.Sort(lines)
 	compareWithFile(t, "testdata/kinds.txt", strings.Join(lines, "\n")+"\n")
 	if got := KindOf("map", "servers[s1].addr"); got.String() != "announced" {
-		t.Errorf("a server's address is %v", got)
+		t.Errorf("kind of a server's address: %v", got)
 	}
 	if got := KindOf("map", "servers[3].colour"); got.String() != "unknown" {
-		t.Errorf("a field that is not there is %v", got)
+		t.Errorf("kind of a field that does not exist: %v", got)
 	}
 }
 
-// What two documents differ in is printed as JSON by rules diff, and decides whether a change excludes.
+// rules diff prints differences as JSON, and they decide whether a change is exclusive.
 func TestDifferencesAreWrittenAsTheyWere(t *testing.T) {
 	list, err := Diff("map", `{"version":1,"window_ms":5,"cells":[{"name":"a","capacity":4},{"name":"b","capacity":4}],"servers":[{"name":"s1","addr":"x"}]}`,
 		`{"version":2,"window_ms":6,"cells":[{"name":"a","capacity":5}],"servers":[{"name":"s1","addr":"y"}],"colour":["red"]}`)
@@ -43,11 +43,11 @@
 		`{"path":"servers[s1].addr","old":"\"x\"","new":"\"y\"","kind":"announced"},{"path":"version","old":"1","new":"2","kind":"free"},` +
 		`{"path":"window_ms","old":"5","new":"6","kind":"monotone"}]`
 	if string(encoded) != want || !HasExclusive(list) || FirstDependent(list) != "cells[a].capacity" {
-		t.Errorf("excludes %v, bound %q, got %s", HasExclusive(list), FirstDependent(list), encoded)
+		t.Errorf("exclusive %v, first dependent %q, got %s", HasExclusive(list), FirstDependent(list), encoded)
 	}
 }
 
-// The names of a verdict are counters and stand in the status of routers and servers; an ID's text is on the wire.
+// Verdicts are names of counters and part of the status of routers and servers. The text of an ID is sent on the wire.
 func TestNamesOfVerdicts(t *testing.T) {
 	got := fmt.Sprintln(VerdictValid, VerdictOutdated, VerdictConflicting, VerdictSettling, StopUnconfirmed, StopClockSkew, StopQuiescing, MonitorAuthor, StageProposed, StageCanary, StageQuiescing)
 	if got != "good behind contradicted quiet unconfirmed clock turning the watch proposed trial turning\n" {
@@ -76,6 +76,6 @@
 		}
 	}
 	if len(gotLines) > len(wantLines) {
-		t.Fatalf("%s: %d lines more: %q", file, len(gotLines)-len(wantLines), gotLines[len(wantLines)])
+		t.Fatalf("%s: %d unexpected lines, first %q", file, len(gotLines)-len(wantLines), gotLines[len(wantLines)])
 	}
 }
--- a/internal/policy/configstore/parts_test.go
+++ b/internal/policy/configstore/parts_test.go
@@ -16,7 +16,7 @@
 	"silverpath/internal/policy/lease"
 )
 
-// again is what comes out of a book that was written and read.
+// roundTrip encodes a store as JSON and returns the decoded result.
 func roundTrip(t interface{ Fatal(...any) }, store *Store) *Store {
 	encoded, err := json.Marshal(store)
 	if err != nil {
@@ -37,12 +37,13 @@
 	return texts
 }
 
-// A book with a document in parts says what a plain list of texts says, whatever is put, drafted, withdrawn and advanced, and
-// whenever it is written and read between; its digest names the whole, and each part the version in which it changed.
+// TestStoreInParts compares a store that has a document in parts with a plain map of texts, over any sequence of proposals, drafts,
+// withdrawals, advances and JSON round trips. The document's digest covers all parts, and each part has the version in which it last
+// changed.
 func TestStoreInParts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		store := NewStore()
-		var active, proposed map[string]string // what it has to say; next nil: nothing is under way
+		var active, proposed map[string]string // the expected contents; proposed is nil if no change is pending
 		changedIn := map[string]int{}
 		draftID, draftParts := "", map[string]string{}
 		drawParts := func(label string) map[string]string {
@@ -69,22 +70,22 @@
 			return 0
 		}
 		t.Repeat(map[string]func(*rapid.T){
-			"put": func(t *rapid.T) {
+			"propose": func(t *rapid.T) {
 				c := Change{Op: OpPropose, Doc: "d", Version: activeVersion(), Parts: drawParts("changed")}
 				merged := mergedWithActive(c.Parts)
 				c.Digest = TextsDigest(merged)
-				wrongDigest := rapid.Bool().Draw(t, "wrong")
+				wrongDigest := rapid.Bool().Draw(t, "wrong digest")
 				if wrongDigest {
 					c.Digest++
 				}
 				_, err := store.Apply(c)
 				if ok := proposed == nil && !wrongDigest && !maps.Equal(merged, active); ok != (err == nil) {
-					t.Fatalf("%v of %v, wrong %v: %v", c.Parts, active, wrongDigest, err)
+					t.Fatalf("proposal of %v on %v, wrong digest %v: error %v", c.Parts, active, wrongDigest, err)
 				} else if ok {
 					proposed, draftID = merged, ""
 				}
 			},
-			"load": func(t *rapid.T) {
+			"load a draft": func(t *rapid.T) {
 				id := rapid.SampledFrom([]string{"x", "y"}).Draw(t, "draft")
 				parts := drawParts("loaded")
 				if _, err := store.Apply(Change{Op: OpLoadDraft, Doc: "d", Draft: id, Parts: parts}); err != nil {
@@ -95,12 +96,12 @@
 				}
 				maps.Copy(draftParts, parts)
 			},
-			"put a draft": func(t *rapid.T) {
+			"propose a draft": func(t *rapid.T) {
 				id := rapid.SampledFrom([]string{"x", "y"}).Draw(t, "draft")
 				merged := mergedWithActive(draftParts)
 				_, err := store.Apply(Change{Op: OpPropose, Doc: "d", Version: activeVersion(), Draft: id, Digest: TextsDigest(merged)})
 				if ok := proposed == nil && id == draftID && !maps.Equal(merged, active); ok != (err == nil) {
-					t.Fatalf("%s of %s: %v", id, draftID, err)
+					t.Fatalf("proposal of draft %q, loaded draft %q: error %v", id, draftID, err)
 				} else if ok {
 					proposed, draftID = merged, ""
 				}
@@ -128,10 +129,10 @@
 				}
 				active, proposed = proposed, nil
 			},
-			"written and read": func(t *rapid.T) { store = roundTrip(t, store) },
+			"write and read": func(t *rapid.T) { store = roundTrip(t, store) },
 			"a whole text": func(t *rapid.T) {
 				if _, err := store.Apply(Change{Op: OpPropose, Doc: "d", Version: activeVersion(), Text: "{}"}); err == nil && (active != nil || proposed != nil) {
-					t.Fatal("put on parts")
+					t.Fatal("a text without parts was accepted for a document in parts")
 				} else if err == nil {
 					store = NewStore()
 					draftID = ""
@@ -140,35 +141,35 @@
 			"": func(t *rapid.T) {
 				d := doc()
 				if (d.Active == nil) != (active == nil) || (d.Proposed == nil) != (proposed == nil) {
-					t.Fatalf("%+v", d)
+					t.Fatalf("active or proposed revision missing or unexpected: %+v", d)
 				}
 				if active != nil {
 					if texts := textsOf(d.Active.Parts); !maps.Equal(texts, active) || d.Active.ID.Digest != TextsDigest(active) || !d.Active.InParts || d.Active.Format != 2 {
-						t.Fatalf("in force %v, not %v", texts, active)
+						t.Fatalf("active parts %v, want %v", texts, active)
 					}
 					for name, p := range d.Active.Parts {
 						if p.Version != changedIn[name] {
-							t.Fatalf("%s changed in %d, not in %d", name, p.Version, changedIn[name])
+							t.Fatalf("part %s changed in version %d, want %d", name, p.Version, changedIn[name])
 						}
 					}
 				}
 				if proposed != nil {
 					_, merged, ok := d.PartsAt(d.Proposed.ID.Version)
 					if texts := textsOf(merged); !ok || !maps.Equal(texts, proposed) || d.Proposed.ID.Digest != TextsDigest(proposed) {
-						t.Fatalf("under way %v, not %v", texts, proposed)
+						t.Fatalf("proposed parts %v, want %v", texts, proposed)
 					}
 					for name, p := range d.Proposed.Parts {
 						if active[name] == p.Text {
-							t.Fatalf("%s is carried and is as in force", name)
+							t.Fatalf("proposed part %s equals the active one", name)
 						}
 					}
 				}
 				if d.Draft != nil && (draftID != d.Draft.ID || !maps.Equal(d.Draft.Parts, draftParts)) || (d.Draft == nil) != (draftID == "") {
-					t.Fatalf("draft %+v, not %s %v", d.Draft, draftID, draftParts)
+					t.Fatalf("draft %+v, want %s %v", d.Draft, draftID, draftParts)
 				}
 				for _, revision := range d.History {
 					if revision.Parts != nil || len(revision.ChangedParts) == 0 {
-						t.Fatalf("kept %+v", revision)
+						t.Fatalf("archived revision has parts or no list of changed parts: %+v", revision)
 					}
 				}
 			},
@@ -176,7 +177,7 @@
 	})
 }
 
-// The bounds are named in one line, and hold for drafts as for changes.
+// Each exceeded limit is reported in one line, for drafts as for proposals.
 func TestPartsFit(t *testing.T) {
 	large := strings.Repeat("x", MaxPartSize)
 	manyParts := func(count int, text string) map[string]string {
@@ -202,11 +203,11 @@
 		for _, op := range []Op{OpPropose, OpLoadDraft} {
 			_, err := store.Apply(Change{Op: op, Doc: "d", Draft: map[Op]string{OpLoadDraft: "x"}[op], Parts: c.parts, Digest: TextsDigest(c.parts)})
 			if err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
-				t.Errorf("%s: %v, not %q", op, err, c.want)
+				t.Errorf("%s: error %v, want %q", op, err, c.want)
 			}
 		}
 	}
-	// A draft is bounded as a whole, and one that another one has ended can't be put.
+	// The limit of a document applies to a whole draft, and a draft that another one replaced can't be proposed.
 	loadDraft := func(id string, parts map[string]string) error {
 		_, err := store.Apply(Change{Op: OpLoadDraft, Doc: "d", Draft: id, Parts: parts})
 		return err
@@ -217,7 +218,7 @@
 		err = loadDraft("x", map[string]string{fmt.Sprintf("q%03d", drafts): large})
 	}
 	if err == nil || !strings.Contains(err.Error(), "of at most 16777216") || drafts != 256 {
-		t.Errorf("after %d: %v", drafts, err)
+		t.Errorf("draft limit reached after %d parts: error %v", drafts, err)
 	}
 	if err := loadDraft("y", map[string]string{"a": "{}"}); err != nil {
 		t.Fatal(err)
@@ -229,7 +230,7 @@
 	if _, err := store.Apply(proposal); err != nil {
 		t.Error(err)
 	}
-	// What is loaded in batches is within the bounds of one change.
+	// Each batch is within the limits of one change.
 	for _, batch := range Batches(manyParts(30, large[:20000])) {
 		if err := CheckChangeSize("d", batch); err != nil || textsSize(batch) > maxTextSize/2 {
 			t.Error(textsSize(batch), err)
@@ -237,8 +238,8 @@
 	}
 }
 
-// A process of an older build is not handed a document in parts, and is waited for by name; a text of today's is the base of the
-// first version in parts.
+// A process of an older build is not offered a document in parts, and the change waits for it by name. A document without parts can be
+// replaced by a version in parts.
 func TestPartsAndOlderBuilds(t *testing.T) {
 	store := NewStore()
 	mustApply := func(c Change) *Document {
@@ -270,7 +271,7 @@
 	delivered := map[string]string{}
 	replica.CheckParts = func(_ string, changed map[string]string, complete bool) error {
 		if !complete || !maps.Equal(changed, parts) {
-			t.Errorf("checked %v, %v", changed, complete)
+			t.Errorf("CheckParts got %v, complete %v", changed, complete)
 		}
 		return nil
 	}
@@ -299,13 +300,13 @@
 	}
 }
 
-// fleet is a leader with holders of a document in parts, and words between them that come late, twice, in another order, with a part
-// that is not what it was, from an older state of the leader, or not at all.
+// testFleet is a leader with processes that act on a document in parts. Answers may be delayed, duplicated, reordered, corrupted, lost, or
+// come from an older state of the leader.
 type testFleet struct {
 	rng         *rand.Rand
 	store       *Store
 	index       uint64
-	staleStates []staleState // that a leader of before goes on with
+	staleStates []staleState // of a former leader that still answers
 	textsByID   map[ID]map[string]string
 	processes   []*fleetProcess
 	now         time.Duration
@@ -319,10 +320,10 @@
 
 type fleetProcess struct {
 	replica          *Replica
-	texts            map[string]string // what the process acts on, by what it was handed
+	texts            map[string]string // contents that the process acts on, from its updates
 	activeID         ID
-	answers          []func() // answers on the way
-	requestsInFlight int      // askings of parts that are under way
+	answers          []func() // not delivered yet
+	requestsInFlight int      // requests for parts
 }
 
 const docInParts = "d"
@@ -339,7 +340,7 @@
 					return nil
 				}
 			}
-			f.fail("%s checked a mix", p.replica.Name)
+			f.fail("%s checked a mix of versions", p.replica.Name)
 			return nil
 		}
 		f.processes = append(f.processes, p)
@@ -369,7 +370,7 @@
 	return err == nil
 }
 
-// change puts a change, or has the one that is under way come into force or be withdrawn.
+// proposeOrFinish proposes a change, or advances or withdraws the pending one.
 func (f *testFleet) proposeOrFinish() {
 	d := f.store.Documents[docInParts]
 	if d != nil && d.Proposed != nil {
@@ -391,7 +392,7 @@
 		changed[fmt.Sprint("part", f.rng.IntN(6))] = fmt.Sprint("text ", f.rng.IntN(5))
 	}
 	maps.Copy(merged, changed)
-	if f.rng.IntN(16) == 0 { // beyond what an answer carries
+	if f.rng.IntN(16) == 0 { // more than an answer carries
 		for i := range 3 {
 			name := fmt.Sprint("large", i)
 			merged[name] = fmt.Sprint(f.rng.IntN(5), strings.Repeat("z", MaxViewSize/3))
@@ -403,7 +404,7 @@
 	}
 }
 
-// copied is something that went over the wire.
+// wireCopy returns a copy that was encoded and decoded as JSON.
 func wireCopy[T any](value T) (copied T) {
 	b, err := json.Marshal(value)
 	if err == nil {
@@ -415,7 +416,7 @@
 	return copied
 }
 
-// spoil changes a part in a word, or leaves one out.
+// corrupt changes the text or the digest of a part, or removes a part.
 func (f *testFleet) corrupt(parts map[string]Part) {
 	if len(parts) == 0 {
 		return
@@ -436,7 +437,7 @@
 	}
 }
 
-// ask has a process ask what is in force; an answer is on its way, of this leader or of one that knows less.
+// poll sends a process's poll and queues the answer, which may come from an older state of the leader unless reliable is set.
 func (f *testFleet) poll(p *fleetProcess, reliable bool) {
 	store, index := f.store, f.index
 	if !reliable && len(f.staleStates) > 0 && f.rng.IntN(6) == 0 {
@@ -460,14 +461,14 @@
 	})
 }
 
-// fetch has a process ask for parts, where it wants some.
+// requestParts sends a process's request for parts, if it has one, and queues the answer.
 func (f *testFleet) requestParts(p *fleetProcess, reliable bool) {
 	request, _, ok := p.replica.NextRequest(f.now)
 	if !ok {
 		return
 	}
 	if p.requestsInFlight++; p.requestsInFlight > 1 {
-		f.fail("%s asks twice at once", p.replica.Name)
+		f.fail("%s has two requests in flight", p.replica.Name)
 	}
 	id, allParts, ok := f.store.Documents[docInParts].PartsAt(request.Version)
 	parts := wireCopy(SelectParts(allParts, request.Names))
@@ -477,7 +478,7 @@
 	answered := false
 	p.answers = append(p.answers, func() {
 		if answered {
-			return // its end comes to it once
+			return // a request ends once, even if its answer is duplicated
 		}
 		answered = true
 		p.requestsInFlight--
@@ -489,21 +490,21 @@
 	})
 }
 
-// take has a process act on what it was handed, and looks whether that is what a version says.
+// applyUpdates applies updates to a process, and checks that it then has exactly the contents of a version.
 func (f *testFleet) applyUpdates(p *fleetProcess, list []Update) {
 	for _, update := range list {
 		if update.Revision.ID.Version < p.activeID.Version {
-			f.fail("%s acts on %v after %v", p.replica.Name, update.Revision.ID, p.activeID)
+			f.fail("%s went back to %v from %v", p.replica.Name, update.Revision.ID, p.activeID)
 		}
 		p.texts, p.activeID = p.withUpdate(update.Parts, update.Complete), update.Revision.ID
 		if wantTexts := f.textsByID[update.Revision.ID]; !maps.Equal(wantTexts, p.texts) {
-			f.fail("%s acts on a mix as %v", p.replica.Name, update.Revision.ID)
+			f.fail("%s acts on a mix of versions as %v", p.replica.Name, update.Revision.ID)
 		}
 	}
 	d := f.store.Documents[docInParts]
 	if prepared := p.replica.Report().Prepared[docInParts]; d.Proposed != nil && prepared == d.Proposed.ID.Version && p.replica.docs[docInParts].proposedParts.id == d.Proposed.ID {
 		if gotTexts := textsOf(p.replica.docs[docInParts].proposedParts.parts); !maps.Equal(gotTexts, f.textsByID[d.Proposed.ID]) {
-			f.fail("%s says that it holds %d, and has another text", p.replica.Name, prepared)
+			f.fail("%s reports %d as prepared, but has other texts", p.replica.Name, prepared)
 		}
 	}
 }
@@ -524,14 +525,14 @@
 		f.requestParts(p, false)
 	case 5:
 		f.now += 5 * time.Second
-	case 6: // lost: of an asking for parts the process hears that it had no answer
+	case 6: // an answer is lost; a lost answer to a request for parts is reported as RequestFailed
 		if len(p.answers) > 0 && p.requestsInFlight == 0 {
 			p.answers = p.answers[1:]
 		} else if p.requestsInFlight > 0 && f.rng.IntN(3) == 0 {
 			p.answers, p.requestsInFlight = nil, 0
 			p.replica.RequestFailed()
 		}
-	default: // one that is on the way comes, and may come again
+	default: // an answer is delivered, and may be delivered again
 		if len(p.answers) == 0 {
 			return
 		}
@@ -544,7 +545,7 @@
 	}
 }
 
-// settle has everything come in its order, until all act on what is in force or so many words were said.
+// settle delivers all answers in order until every process acts on the active version. It returns false after that many rounds.
 func (f *testFleet) settle(rounds int) bool {
 	for range rounds {
 		settled := true
@@ -567,9 +568,10 @@
 	return false
 }
 
-// Whatever is lost, doubled, late, in another order, spoilt on the way or from a leader of before: nobody acts on a mix that no
-// version had, or says that he holds one, or goes back; and once words come in their order all act on what is in force. Each guard
-// that is left out is missed. What was told since another version is found by the digest too: left out alone it is not missed.
+// Answers are lost, duplicated, delayed, reordered, corrupted, or sent by a former leader. A process must never act on a mix of versions,
+// report a mix as prepared, or go back to an older version, and all processes must reach the active version once answers arrive in order.
+// Without one of the guards the test must fail. Parts that changed since another version are also detected by the digest over all parts,
+// so SinceCheck alone can be disabled.
 func TestNeverAMix(t *testing.T) {
 	for _, c := range []struct {
 		name        string
@@ -577,11 +579,11 @@
 		wantFailure bool
 	}{
 		{"all guards", DisabledGuards{}, false},
-		{"no digest of the whole", DisabledGuards{SumCheck: true}, true},
-		{"no digest of a text", DisabledGuards{TextCheck: true}, true},
-		{"answers in any order", DisabledGuards{IndexCheck: true}, true},
-		{"put on any version", DisabledGuards{SinceCheck: true}, false},
-		{"put on any version, no digest of the whole", DisabledGuards{SinceCheck: true, SumCheck: true}, true},
+		{"no digest check of all parts", DisabledGuards{SumCheck: true}, true},
+		{"no digest check of a text", DisabledGuards{TextCheck: true}, true},
+		{"no index check", DisabledGuards{IndexCheck: true}, true},
+		{"no base version check", DisabledGuards{SinceCheck: true}, false},
+		{"no base version check, no digest check of all parts", DisabledGuards{SinceCheck: true, SumCheck: true}, true},
 	} {
 		failure, highestVersion, mismatches, activeVersions := "", 0, 0, 0
 		for seed := range uint64(150) {
@@ -598,7 +600,7 @@
 				highestVersion = max(highestVersion, active.ID.Version)
 			}
 			if f.failure == "" && !c.wantFailure && !f.settle(100) {
-				f.fail("they have not all what is in force: %d of %v", f.processes[0].activeID.Version, f.store.Documents[docInParts].Active.ID)
+				f.fail("processes did not reach the active version: %d, want %v", f.processes[0].activeID.Version, f.store.Documents[docInParts].Active.ID)
 			}
 			if f.failure != "" {
 				failure = fmt.Sprint("seed ", seed, " ", f.failure)
@@ -609,22 +611,22 @@
 			}
 		}
 		if (failure != "") != c.wantFailure {
-			t.Errorf("%s: %q", c.name, failure)
+			t.Errorf("%s: failure %q", c.name, failure)
 		}
 		if !c.wantFailure && (highestVersion < 5 || mismatches < 100 || activeVersions == 0) {
-			t.Errorf("%s: %d versions came into force, %d things didn't follow: nothing was shown", c.name, highestVersion, mismatches)
+			t.Errorf("%s: too few events to test anything: %d versions activated, %d mismatches", c.name, highestVersion, mismatches)
 		}
 	}
 }
 
-// A missed Since is what makes a mix where digests can't be looked at: shown by hand, with two versions between.
+// With digest checks disabled, a wrong Since leads to a mix of versions. This constructs the case with two versions in between.
 func TestSinceAnotherVersion(t *testing.T) {
 	for _, disabled := range []DisabledGuards{{}, {SinceCheck: true, SumCheck: true}} {
 		f := newTestFleet(1, 1, disabled)
 		p := f.processes[0]
 		activate := func(parts, texts map[string]string) {
 			if !f.apply(Change{Op: OpPropose, Doc: docInParts, Version: f.store.Documents[docInParts].Active.ID.Version, Parts: parts, Digest: TextsDigest(texts)}) {
-				t.Fatal("not put")
+				t.Fatal("proposal was rejected")
 			}
 			doc := f.store.Documents[docInParts]
 			f.textsByID[doc.Proposed.ID] = texts
@@ -640,7 +642,7 @@
 			texts[name] = "x"
 			activate(map[string]string{name: "x"}, texts)
 		}
-		view := wireCopy(doc.ViewFor(&Process{Formats: map[string]int{docInParts: 2}}, nil, 2)) // what changed since 2, to one that has 1
+		view := wireCopy(doc.ViewFor(&Process{Formats: map[string]int{docInParts: 2}}, nil, 2)) // changes since 2, sent to a process that has 1
 		if view.Since != 2 || len(view.Active.Parts) != 1 {
 			t.Fatalf("%+v", view)
 		}
@@ -649,13 +651,13 @@
 			t.Errorf("%+v: %q", disabled, f.failure)
 		}
 		if !disabled.SinceCheck && (p.activeID.Version != 1 || p.replica.TakeMismatches()[docInParts].Count == 0 || p.replica.OutdatedVersions()[docInParts] != 1 || !f.settle(10)) {
-			t.Errorf("acts on %v", p.activeID)
+			t.Errorf("mismatch not detected or not recovered from, acts on %v", p.activeID)
 		}
 	}
 }
 
-// A thousand that come back in one moment ask for parts at a thousand moments: in no tenth of the spread a quarter more than its
-// part. One that gets nothing waits longer each time, up to half a minute and a little, and one that gets something goes on at once.
+// 1000 processes that start at once spread their first requests for parts: no tenth of the interval gets more than 125, a quarter above
+// its share. After failures the pauses grow up to 32 seconds, and after a useful answer the next request is sent at once.
 func TestRequestsArePaced(t *testing.T) {
 	for _, disabled := range []DisabledGuards{{}, {Pacing: true}} {
 		f := newTestFleet(3, 1000, disabled)
@@ -670,7 +672,7 @@
 		f.apply(Change{Op: OpLoadDraft, Doc: docInParts, Draft: "x", Parts: large})
 		if !f.apply(Change{Op: OpPropose, Doc: docInParts, Version: 1, Draft: "x", Digest: TextsDigest(texts)}) ||
 			!f.apply(Change{Op: OpAdvance, Doc: docInParts, Version: 2, Stage: StageProposed}) {
-			t.Fatal("not put")
+			t.Fatal("proposal was rejected")
 		}
 		const tenth = initialBackoff / 10
 		var requests [10]int
@@ -678,20 +680,20 @@
 			f.poll(p, true)
 			p.answers[0]()
 			if p.replica.ConfirmedUntil() != 0 || p.replica.StopReason(0) != StopUnconfirmed {
-				t.Fatal("it is confirmed without what is in force")
+				t.Fatal("process is confirmed without the active version")
 			}
 			for now := time.Duration(0); ; now += time.Millisecond {
 				if _, at, ok := p.replica.NextRequest(now); ok {
 					requests[min(9, now/tenth)]++
 					break
 				} else if at == 0 {
-					t.Fatal("it wants nothing")
+					t.Fatal("process has no request to send")
 				}
 			}
 		}
 		busiest := slices.Max(requests[:])
 		if isSpread := busiest < 125; isSpread == disabled.Pacing {
-			t.Errorf("%+v: %v", disabled, requests)
+			t.Errorf("%+v: requests per tenth of the interval: %v", disabled, requests)
 		}
 		if disabled.Pacing {
 			continue
@@ -705,7 +707,7 @@
 				if _, at, ok := p.replica.NextRequest(now); ok {
 					break
 				} else if at <= now {
-					t.Fatal("no time")
+					t.Fatal("NextRequest returned no later time")
 				} else {
 					now = at
 				}
@@ -718,19 +720,19 @@
 			}
 			return total
 		}; sum(pauses[6:]) < 2*sum(pauses[:3]) || slices.Max(pauses) > initialBackoff<<maxDoublings {
-			t.Errorf("%v", pauses)
+			t.Errorf("pauses after failures: %v", pauses)
 		}
 		id, parts, _ := doc.PartsAt(2)
 		request, _ := p.replica.nextMissing()
 		p.replica.ReceiveParts(now, request, id, Manifest(parts), nil)
 		if _, _, ok := p.replica.NextRequest(now); !ok {
-			t.Error("it waits though it got something")
+			t.Error("process waits after a useful answer")
 		}
 	}
 }
 
-// What stops at a change that excludes is what it touches: a class whose effect changes, tenants that live in a cell that comes or
-// goes, all for whatever else.
+// An exclusive change pauses only what it affects: a class whose effect changes, or the tenants of a cell that is added or removed. Any
+// other exclusive change pauses everything.
 func TestScopeOf(t *testing.T) {
 	for _, c := range []struct {
 		doc, before, after string
@@ -738,15 +740,15 @@
 	}{
 		{DocClasses, `{"classes":[{"name":"a","effect":"safe"},{"name":"b","effect":"safe"}]}`, `{"classes":[{"name":"a","effect":"keyed"},{"name":"b","effect":"safe","worth":2}]}`, []string{"class:a"}},
 		{DocClasses, `{"classes":[{"name":"a","effect":"safe"}]}`, `{"classes":[{"name":"b","effect":"safe"}]}`, []string{"class:a", "class:b"}},
-		{DocClasses, `{"classes":[{"name":"a"}]}`, `{"classes":[{"name":"a","new":1}]}`, nil}, // not in the table
+		{DocClasses, `{"classes":[{"name":"a"}]}`, `{"classes":[{"name":"a","new":1}]}`, nil}, // unknown field
 		{DocMap, `{"cells":[{"name":"x"}]}`, `{"cells":[{"name":"x"},{"name":"y"}]}`, []string{"cell:y"}},
-		{DocMap, `{"cells":[{"name":"x"}]}`, `{"cells":[{"name":"x"},{"name":"y]"}]}`, nil}, // its path has no kind
+		{DocMap, `{"cells":[{"name":"x"}]}`, `{"cells":[{"name":"x"},{"name":"y]"}]}`, nil}, // the path can't be parsed, so its kind is unknown
 		{DocMap, `{"cells":[{"name":"x"}]}`, `{"cells":[{"name":"y"}],"skew_ms":5}`, nil},
 		{DocMap, `{"version":1}`, `{"version":2}`, nil},
 	} {
 		list, err := Diff(c.doc, c.before, c.after)
 		if got := ScopeOf(c.doc, list); err != nil || !slices.Equal(got, c.want) {
-			t.Errorf("%s: %v, not %v, %v", c.after, got, c.want, err)
+			t.Errorf("%s: scope %v, want %v, error %v", c.after, got, c.want, err)
 		}
 	}
 	homes := func(cells ...string) string {
@@ -756,34 +758,34 @@
 		}
 		return "[" + strings.TrimPrefix(s, ",") + "]"
 	}
-	before := `{"tenants":[{"name":"in","homes":` + homes("x") + `},{"name":"was","homes":` + homes("x", "z") + `},{"name":"out","homes":` + homes("z") + `}]}`
-	after := `{"tenants":[{"name":"comes","homes":` + homes("z", "x") + `}]}`
+	before := `{"tenants":[{"name":"inside","homes":` + homes("x") + `},{"name":"former","homes":` + homes("x", "z") + `},{"name":"outside","homes":` + homes("z") + `}]}`
+	after := `{"tenants":[{"name":"new","homes":` + homes("z", "x") + `}]}`
 	var scope PauseScope
 	scope.Add([]string{"cell:x"}, []string{before, after})
 	scope.Add([]string{"class:k"}, nil)
-	for tenant, paused := range map[string]bool{"in": true, "was": true, "out": false, "comes": true, "nobody": false} {
+	for tenant, paused := range map[string]bool{"inside": true, "former": true, "outside": false, "new": true, "unlisted": false} {
 		if scope.Pauses("c", tenant) != paused || !scope.Pauses("k", tenant) {
-			t.Errorf("%s: %v", tenant, scope.Pauses("c", tenant))
+			t.Errorf("tenant %s: paused %v", tenant, scope.Pauses("c", tenant))
 		}
 	}
 	var unnamed PauseScope
-	unnamed.Add([]string{"cell:x"}, []string{`{"tenants":[{"name":"","homes":` + homes("x") + `},{"name":"out","homes":` + homes("z") + `}]}`})
-	if !unnamed.Pauses("c", "anybody") || unnamed.Pauses("c", "out") {
-		t.Error("those that are not named live in the cell")
+	unnamed.Add([]string{"cell:x"}, []string{`{"tenants":[{"name":"","homes":` + homes("x") + `},{"name":"outside","homes":` + homes("z") + `}]}`})
+	if !unnamed.Pauses("c", "unlisted") || unnamed.Pauses("c", "outside") {
+		t.Error("tenants that the map does not name are in the cell and must pause, others must not")
 	}
 	var unknown PauseScope
-	unknown.Add([]string{"cell:x"}, []string{"not here"})
-	if !unknown.Pauses("c", "out") {
-		t.Error("nobody knows who lives there, and it goes on")
+	unknown.Add([]string{"cell:x"}, []string{"not JSON"})
+	if !unknown.Pauses("c", "outside") {
+		t.Error("tenants of the cell are unknown, but requests do not pause")
 	}
 	var everything PauseScope
-	if everything.Add(nil, nil); !everything.Pauses("c", "out") {
-		t.Error("everything is touched")
+	if everything.Add(nil, nil); !everything.Pauses("c", "outside") {
+		t.Error("an empty scope does not pause everything")
 	}
 }
 
-// A process stops what a change touches from when it is told that it turns until it acts on the new: those that live in a cell by
-// the parts before as by those after.
+// A process pauses what a change affects from the start of quiescing until it acts on the new version: the tenants of a cell according to
+// the old parts and to the new ones.
 func TestReplicaPauseScopes(t *testing.T) {
 	f := newTestFleet(1, 1, DisabledGuards{})
 	doc := f.store.Documents[docInParts]
@@ -797,41 +799,41 @@
 		proposal := Change{Op: OpPropose, Doc: docInParts, Version: version, Exclusive: exclusive, Scope: scope, Parts: parts, Digest: TextsDigest(texts)}
 		version++
 		if !f.apply(proposal) || !f.apply(Change{Op: OpAdvance, Doc: docInParts, Version: version, Stage: StageProposed}) {
-			t.Fatal("not put")
+			t.Fatal("proposal was rejected")
 		}
 		f.textsByID[ID{version, proposal.Digest}] = texts
 	}
-	first := map[string]string{"t": `{"tenants":[{"name":"was","homes":[{"cell":"x"}]},{"name":"out","homes":[{"cell":"z"}]}]}`}
+	first := map[string]string{"t": `{"tenants":[{"name":"former","homes":[{"cell":"x"}]},{"name":"outside","homes":[{"cell":"z"}]}]}`}
 	for name := range texts {
 		first[name] = `{}`
 	}
 	activate(false, nil, first)
 	f.settle(5)
-	activate(true, []string{"cell:x"}, map[string]string{"u": `{"tenants":[{"name":"in","homes":[{"cell":"x"}]}]}`})
+	activate(true, []string{"cell:x"}, map[string]string{"u": `{"tenants":[{"name":"inside","homes":[{"cell":"x"}]}]}`})
 	f.settle(5)
 	p := f.processes[0]
 	scopes := p.replica.PauseScopes()
 	if !p.replica.IsQuiesced() || len(scopes) != 1 || p.activeID.Version != 2 {
-		t.Fatalf("%d touched, acts on %v", len(scopes), p.activeID)
+		t.Fatalf("%d scopes, acts on %v", len(scopes), p.activeID)
 	}
-	for tenant, paused := range map[string]bool{"was": true, "in": true, "out": false} {
+	for tenant, paused := range map[string]bool{"former": true, "inside": true, "outside": false} {
 		if scopes[0].Pauses("c", tenant) != paused {
-			t.Errorf("%s stops: %v", tenant, !paused)
+			t.Errorf("tenant %s: paused %v", tenant, !paused)
 		}
 	}
 	f.poll(p, true)
 	p.answers[0]()
 	if p.replica.PauseScopes()[0] != scopes[0] {
-		t.Error("who lives there is worked out again at every word")
+		t.Error("the scope is computed again at each answer")
 	}
 	f.apply(Change{Op: OpAdvance, Doc: docInParts, Version: version, Stage: StageQuiescing})
 	f.settle(5)
 	if p.replica.IsQuiesced() || len(p.replica.PauseScopes()) != 0 || p.activeID.Version != 3 || f.failure != "" {
-		t.Error("it still stops, or acts on", p.activeID, f.failure)
+		t.Error("process still pauses, or has a failure; acts on", p.activeID, f.failure)
 	}
 }
 
-// At rest an answer is as long whatever the document is; for a change it has what changed.
+// Without a change the size of an answer does not depend on the document's size. With a change it depends on the changed parts only.
 func TestAnswersAtRest(t *testing.T) {
 	size := func(parts int, changed bool) int {
 		store := NewStore()
@@ -861,48 +863,49 @@
 	}
 	for _, changed := range []bool{false, true} {
 		if small, large := size(10, changed), size(1000, changed); large-small > 4 || small-large > 4 {
-			t.Errorf("%d bytes of 10 parts, %d of 1000, change %v", small, large, changed)
+			t.Errorf("answer has %d bytes for 10 parts, %d for 1000, changed %v", small, large, changed)
 		}
 	}
 }
 
-// One that has not the texts of a change that turns can't know who lives in a cell that it touches: all stops, until it has them.
+// A process that lacks texts of a change that quiesces does not know the tenants of an affected cell. It pauses everything until it
+// has them.
 func TestScopeOfMissingParts(t *testing.T) {
 	f := newTestFleet(1, 1, DisabledGuards{})
 	f.apply(Change{Op: OpAdvance, Doc: docInParts, Version: 1, Stage: StageProposed})
 	f.settle(5)
 	p, doc := f.processes[0], f.store.Documents[docInParts]
 	texts := textsOf(doc.Active.Parts)
-	changed := map[string]string{"t": `{"tenants":[{"name":"in","homes":[{"cell":"x"}]},{"name":"out","homes":[{"cell":"z"}]}]}`}
+	changed := map[string]string{"t": `{"tenants":[{"name":"inside","homes":[{"cell":"x"}]},{"name":"outside","homes":[{"cell":"z"}]}]}`}
 	for name := range texts {
-		changed[name] = `{}` // what is there is no JSON
+		changed[name] = `{}` // replaces a text that is not JSON
 	}
 	maps.Copy(texts, changed)
 	if !f.apply(Change{Op: OpPropose, Doc: docInParts, Version: 1, Parts: changed, Digest: TextsDigest(texts)}) || !f.apply(Change{Op: OpAdvance, Doc: docInParts, Version: 2, Stage: StageProposed}) {
-		t.Fatal("not put")
+		t.Fatal("proposal was rejected")
 	}
 	f.textsByID[doc.Active.ID] = texts
 	f.settle(5)
-	changed = map[string]string{"u": `{"tenants":[{"name":"comes","homes":[{"cell":"x"}]}]}`}
+	changed = map[string]string{"u": `{"tenants":[{"name":"new","homes":[{"cell":"x"}]}]}`}
 	texts = maps.Clone(texts)
 	maps.Copy(texts, changed)
 	if !f.apply(Change{Op: OpPropose, Doc: docInParts, Version: 2, Exclusive: true, Scope: []string{"cell:x"}, Parts: changed, Digest: TextsDigest(texts)}) ||
 		!f.apply(Change{Op: OpAdvance, Doc: docInParts, Version: 3, Stage: StageProposed}) {
-		t.Fatal("not put")
+		t.Fatal("proposal was rejected")
 	}
 	view := wireCopy(doc.ViewFor(&Process{Formats: map[string]int{docInParts: 2}}, p.replica.KnownVersions()[docInParts], p.replica.CompleteVersions()[docInParts]))
 	parts := view.Proposed.Parts
 	view.Proposed.Parts = Manifest(parts)
 	f.applyUpdates(p, p.replica.Receive(f.now, f.index, lease.Terms{TTL: time.Second}, map[string]View{docInParts: view}, func(string, string) error { return nil }))
-	for _, tenant := range []string{"in", "comes", "out"} {
+	for _, tenant := range []string{"inside", "new", "outside"} {
 		if !p.replica.PauseScopes()[0].Pauses("c", tenant) {
-			t.Errorf("%s goes on, and the change's texts are not here", tenant)
+			t.Errorf("tenant %s does not pause while texts of the change are missing", tenant)
 		}
 	}
 	f.applyUpdates(p, p.replica.ReceiveParts(f.now, PartsRequest{Doc: docInParts, Version: 3, Names: []string{"u"}}, view.Proposed.ID, parts, func(string, string) error { return nil }))
-	for tenant, paused := range map[string]bool{"in": true, "comes": true, "out": false} {
+	for tenant, paused := range map[string]bool{"inside": true, "new": true, "outside": false} {
 		if p.replica.PauseScopes()[0].Pauses("c", tenant) != paused {
-			t.Errorf("%s stops: %v", tenant, !paused)
+			t.Errorf("tenant %s: paused %v", tenant, !paused)
 		}
 	}
 }
--- a/internal/policy/configstore/replica.go
+++ b/internal/policy/configstore/replica.go
@@ -17,9 +17,9 @@
 // for concurrent use: controlplane/configwatch calls it under its lock.
 type Replica struct {
 	Name string // of one start of the process
-	// CheckParts returns an error if this process can't act on the changed parts, which are all parts if whole is true, else the differences
+	// CheckParts returns an error if this process can't act on the changed parts, which are all parts if complete is true, else the differences
 	// from the last update.
-	CheckParts func(name string, changed map[string]string, whole bool) error
+	CheckParts func(name string, changed map[string]string, complete bool) error
 	Disabled   DisabledGuards // for tests
 
 	formats        map[string]int
@@ -341,7 +341,7 @@
 			if partial != d.delivered && d.delivered != nil && d.delivered.parts[name].Digest == partial.parts[name].Digest {
 				continue
 			}
-			texts = append(texts, cmp.Or(partial.parts[name].Text, "not here"))
+			texts = append(texts, cmp.Or(partial.parts[name].Text, "missing"))
 		}
 	}
 	return texts
--- a/internal/policy/configstore/store_test.go
+++ b/internal/policy/configstore/store_test.go
@@ -12,8 +12,8 @@
 	"silverpath/internal/policy/lease"
 )
 
-// world is a group, as one that never fails, with processes that act on one document: what is on the way may take long, come in
-// another order, or not at all, and a process may be cut off. Times are in ticks.
+// simulation is a group that never fails, with processes that act on one document. Answers may be delayed, reordered or lost, and a process
+// may be cut off. Times are in ticks.
 type simulation struct {
 	store     *Store
 	monitor   *ProcessMonitor
@@ -24,19 +24,19 @@
 	disabled  guards
 }
 
-// guards that can be left out.
+// guards selects guards that are disabled.
 type guards struct {
-	noLease      bool // a process goes on though it was not confirmed
-	noExpiryWait bool // the leader does not wait for those who are silent
-	noQuiesce    bool // nobody stops before the new begins
-	noIndexCheck bool // an answer that knows less is taken too
+	noLease      bool // a process continues without confirmation
+	noExpiryWait bool // the leader expires silent processes too early
+	noQuiesce    bool // processes do not stop before the new version begins
+	noIndexCheck bool // an answer from an older index is accepted
 }
 
 type simProcess struct {
 	replica      *Replica
-	clockRate    float64 // of its clock
+	clockRate    float64 // ratio to the leader's clock
 	answers      []delayedAnswer
-	activeDigest uint64 // digest of the text that it acts on
+	activeDigest uint64 // digest of the text that the process acts on
 	goodput      Goodput
 }
 
@@ -71,7 +71,7 @@
 	return s
 }
 
-// apply is refused as often as not: a play says what becomes of the store, and asserts that.
+// apply applies a change. Callers may ignore the error: a random action is often rejected, and tests check the resulting store.
 func (s *simulation) apply(c Change) error {
 	s.index++
 	_, err := s.store.Apply(c)
@@ -100,7 +100,7 @@
 	return time.Duration(float64(now) * p.clockRate)
 }
 
-// ask has a process ask; the group hears it at once, and the answer is on its way.
+// poll sends a process's report to the group and queues the answer.
 func (s *simulation) poll(p *simProcess) {
 	report := p.replica.Report()
 	if !s.monitor.Observe(p.replica.Name, s.now, p.replica.ActiveVersions(), p.goodput, "") {
@@ -118,7 +118,7 @@
 	p.answers = append(p.answers, delayedAnswer{p.localTime(s.now), s.index, map[string]View{"d": view}})
 }
 
-// answer has one of the answers on the way arrive.
+// deliver delivers one of the queued answers.
 func (s *simulation) deliver(p *simProcess, i int) {
 	if i < 0 || i >= len(p.answers) {
 		return
@@ -134,7 +134,7 @@
 	}
 }
 
-// check looks whether two processes begin what excludes each other, now.
+// checkExclusion records a failure if two processes may begin work under different versions now.
 func (s *simulation) checkExclusion() {
 	var activeDigest uint64
 	for _, p := range s.processes {
@@ -146,13 +146,13 @@
 			continue
 		}
 		if activeDigest != 0 && activeDigest != p.activeDigest && s.failure == "" {
-			s.failure = fmt.Sprintf("at %d", s.now)
+			s.failure = fmt.Sprintf("two versions at tick %d", s.now)
 		}
 		activeDigest = p.activeDigest
 	}
 }
 
-// step does one of what can happen, by a number.
+// step does the action with this number.
 func (s *simulation) step(action int) {
 	p := s.processes[action%len(s.processes)]
 	switch action / len(s.processes) {
@@ -182,8 +182,8 @@
 
 const actionKinds = 6
 
-// Whatever is lost, late, or in another order, by clocks that run apart by the drift: no two processes begin by versions that
-// exclude each other. Each guard that is left out is missed.
+// Answers are lost, delayed or reordered, and clocks differ by the maximum drift. No two processes may begin work under versions that
+// exclude each other. With any one guard disabled, the test must find a failure.
 func TestNeverTwoAtOnce(t *testing.T) {
 	for _, c := range []struct {
 		name        string
@@ -191,10 +191,10 @@
 		wantFailure bool
 	}{
 		{"all guards", guards{}, false},
-		{"no lease", guards{noLease: true}, true},
-		{"no wait for the silent", guards{noExpiryWait: true}, true},
-		{"nobody stops", guards{noQuiesce: true}, true},
-		{"answers in any order", guards{noIndexCheck: true}, true},
+		{"no lease check", guards{noLease: true}, true},
+		{"no wait before expiry", guards{noExpiryWait: true}, true},
+		{"no quiescing", guards{noQuiesce: true}, true},
+		{"no index check", guards{noIndexCheck: true}, true},
 	} {
 		failure, highestVersion := "", 0
 		for seed := range uint64(4000) {
@@ -210,24 +210,24 @@
 			}
 		}
 		if (failure != "") != c.wantFailure {
-			t.Errorf("%s: %q", c.name, failure)
+			t.Errorf("%s: failure %q", c.name, failure)
 		}
 		if highestVersion < 2 {
-			t.Errorf("%s: no change ever came into force", c.name)
+			t.Errorf("%s: no change became active", c.name)
 		}
 	}
 }
 
-// All orders up to a length from the moment at which one process of two has stopped for a change; the other is about to hear of
-// it, or to be cut off.
+// All orders of actions up to a length, starting when one of two processes has quiesced for a change. The other one has yet to receive the
+// change, or is cut off.
 func TestAllOrdersOfQuiescing(t *testing.T) {
 	for _, c := range []struct {
 		name        string
 		disabled    guards
 		wantFailure bool
 	}{
-		{"all guards", guards{}, false}, {"no lease", guards{noLease: true}, true},
-		{"no wait for the silent", guards{noExpiryWait: true}, true}, {"nobody stops", guards{noQuiesce: true}, true},
+		{"all guards", guards{}, false}, {"no lease check", guards{noLease: true}, true},
+		{"no wait before expiry", guards{noExpiryWait: true}, true}, {"no quiescing", guards{noQuiesce: true}, true},
 	} {
 		const length = 6
 		failure, paths := "", 0
@@ -242,13 +242,13 @@
 			}
 			sim.now += 3
 			sim.runMonitor()
-			for range 2 { // one has stopped, and said so
+			for range 2 { // the first process has quiesced and reported it
 				sim.poll(sim.processes[0])
 				sim.deliver(sim.processes[0], 0)
 			}
 			for _, n := range path {
 				if n == 6 {
-					sim.now += 13 // 1 more: longer than a lease and what the leader waits
+					sim.now += 13 // step adds 1: in total longer than a lease and the leader's wait
 				}
 				sim.step(n)
 			}
@@ -267,13 +267,13 @@
 			if len(path) == length {
 				return
 			}
-			for _, n := range []int{0, 1, 4, 3, 6, 8} { // each asks, each is answered, time passes, the leader looks
+			for _, n := range []int{0, 1, 4, 3, 6, 8} { // poll and delivery of each process, time, monitor
 				explore(append(slices.Clone(path), n))
 			}
 		}
 		explore(nil)
 		if (failure != "") != c.wantFailure {
-			t.Errorf("%s: %q after %d", c.name, failure, paths)
+			t.Errorf("%s: failure %q after %d orders", c.name, failure, paths)
 		}
 	}
 }
@@ -282,19 +282,19 @@
 	return Change{Op: OpPropose, Doc: "d", Version: version, Text: text, Author: "t"}
 }
 
-// What a book says no to, and what becomes of versions.
+// A store rejects changes that are stale, concurrent, unchanged, rejected before, too large or not ready. Other changes pass all stages.
 func TestStore(t *testing.T) {
 	store := NewStore()
 	mustApply := func(change Change) {
 		t.Helper()
 		if _, err := store.Apply(change); err != nil {
-			t.Fatalf("%+v: %v", change, err)
+			t.Fatalf("%+v: unexpected error %v", change, err)
 		}
 	}
 	wantError := func(change Change, want error, text string) {
 		t.Helper()
 		if _, err := store.Apply(change); err == nil || want != nil && !errors.Is(err, want) || !strings.Contains(fmt.Sprint(err), text) {
-			t.Errorf("%+v: %v, want %v %s", change, err, want, text)
+			t.Errorf("%+v: error %v, want %v with text %q", change, err, want, text)
 		}
 	}
 	advance := func(version int, stage Stage) Change {
@@ -320,7 +320,7 @@
 	exclusive := newProposal(1, "two")
 	exclusive.Exclusive = true
 	mustApply(exclusive)
-	report("a", 1, 2) // holds another, and says that it has stopped before it was time
+	report("a", 1, 2) // prepared another version, and reports quiescing before the stage
 	report("b", 2, 2)
 	wantError(advance(2, StageProposed), ErrNotReady, "a does not hold it yet")
 	report("a", 2, 2)
@@ -331,7 +331,7 @@
 	wantError(advance(2, StageQuiescing), ErrNotReady, "a has not stopped yet")
 	report("a", 2, 2)
 	report("b", 2, 2)
-	register("late", 1) // acts on nothing, and has to stop as well
+	register("late", 1) // acts on no document, and must quiesce as well
 	wantError(advance(2, StageQuiescing), ErrNotReady, "late has not stopped yet")
 	mustApply(Change{Op: OpExpire, Author: "late"})
 	mustApply(Change{Op: OpHold, Doc: "d", Version: 2, Reason: "noon"})
@@ -359,7 +359,7 @@
 	proposal.AllowRejected = true
 	mustApply(proposal)
 	mustApply(Change{Op: OpWithdraw, Doc: "d", Version: 5})
-	// Two builds side by side: who does not read a format is not handed it, and nothing comes into force over its head.
+	// Two builds side by side: a process that does not read a format is not offered it, and the change waits for the process.
 	newerFormat := newProposal(4, "three")
 	newerFormat.Format = 2
 	mustApply(newerFormat)
@@ -367,12 +367,12 @@
 	report("a", 6, 0)
 	wantError(advance(6, StageProposed), ErrNotReady, "b reads format 1, and this is 2")
 	if doc := store.Documents["d"]; doc.IsOfferedTo(store.Processes["b"]) || !doc.IsOfferedTo(store.Processes["a"]) {
-		t.Error("handed to one that can't read it")
+		t.Error("offered to a process that can't read it, or not to one that can")
 	}
 	register("b", 2)
 	report("b", 6, 0)
 	mustApply(advance(6, StageProposed))
-	for n := range 40 { // what is kept is bounded
+	for n := range 40 { // the history is bounded
 		doc := store.Documents["d"]
 		mustApply(newProposal(doc.Active.ID.Version, fmt.Sprint("text", n)))
 		report("a", doc.HighestVersion, 0)
@@ -380,25 +380,25 @@
 		mustApply(advance(doc.HighestVersion, StageProposed))
 	}
 	if doc := store.Documents["d"]; len(doc.History) != maxHistory || doc.Revision(doc.HighestVersion) != doc.Active || doc.Revision(1) != nil {
-		t.Errorf("%d versions kept", len(doc.History))
+		t.Errorf("%d versions in the history, or a wrong revision", len(doc.History))
 	}
 	wantError(newProposal(store.Documents["d"].Active.ID.Version, strings.Repeat("x", maxTextSize+1)), nil, "bytes")
 }
 
-// A change that may be bad acts at a part of the processes first, and is taken back where less is served; one that turns out bad
-// once it is in force is taken back within its time; a good one stays. The same again is not taken without a word.
+// A change with a rollout acts at canaries first, and is withdrawn if goodput is lower there. A change that lowers goodput once it is
+// active is reverted within its observation time; a good one stays. Reverted contents are accepted again only with AllowRejected.
 func TestRolloutIsObserved(t *testing.T) {
 	for _, c := range []struct {
 		name                       string
 		canaryRatio                float64
-		canaryServed, activeServed float64 // what the change serves in its trial and once in force, of 1
+		canaryServed, activeServed float64 // ratio of load served under the change: at canaries, and once it is active
 		text, outcome, wantErr     string
 	}{
 		{"good", 0.25, 1, 1, "new", "", ""},
-		{"bad in its trial", 0.25, 0.5, 0.5, "old", "withdrawn: 5", "made things worse"},
-		{"bad once in force", 0.25, 1, 0.6, "old", "taken back: 6", "made things worse"},
-		{"bad all at once", 0, 1, 0.6, "old", "taken back: 6", "made things worse"},
-		{"a little worse", 0.25, 0.98, 0.98, "new", "", ""},
+		{"worse at canaries", 0.25, 0.5, 0.5, "old", "withdrawn: 5", "made things worse"},
+		{"worse once active", 0.25, 1, 0.6, "old", "taken back: 6", "made things worse"},
+		{"worse without canaries", 0, 1, 0.6, "old", "taken back: 6", "made things worse"},
+		{"slightly worse", 0.25, 0.98, 0.98, "new", "", ""},
 	} {
 		sim := newSimulation(8, guards{})
 		sim.monitor.terms, simTerms.TTL = lease.Terms{TTL: 300 * time.Millisecond}, 300*time.Millisecond
@@ -424,7 +424,7 @@
 			}
 			if n == 110 && c.canaryRatio > 0 {
 				if d := sim.store.Documents["d"]; d.Stage != StageCanary || len(d.Proposed.Canaries) != 2 {
-					t.Errorf("%s: %+v", c.name, d)
+					t.Errorf("%s: no canary stage with two canaries: %+v", c.name, d)
 				}
 			}
 			if d := sim.store.Documents["d"]; n > 100 && revertedAfter == 0 && d.Proposed == nil && d.Active.Text == "old" {
@@ -440,18 +440,18 @@
 			}
 		}
 		if d.Active.Text != c.text || !strings.HasPrefix(outcome, c.outcome) || d.Proposed != nil {
-			t.Errorf("%s: in force %q, %q", c.name, d.Active.Text, outcome)
+			t.Errorf("%s: active %q, outcome %q", c.name, d.Active.Text, outcome)
 		}
 		if c.text == "old" && revertedAfter > 4*time.Second {
-			t.Errorf("%s: taken back after %v", c.name, revertedAfter)
+			t.Errorf("%s: reverted after %v", c.name, revertedAfter)
 		}
 		if _, err := sim.store.Apply(newProposal(d.Active.ID.Version, "new")); c.wantErr != "" && !strings.Contains(fmt.Sprint(err), c.wantErr) {
-			t.Errorf("%s: the same again: %v", c.name, err)
+			t.Errorf("%s: same contents proposed again: error %v", c.name, err)
 		}
 	}
 }
 
-// Differences are told by names, and each has a kind.
+// Differences have paths with element names, and a kind each.
 func TestDiff(t *testing.T) {
 	old := `{"version":1,"tenants":[{"name":"a","rate":1,"homes":[{"cell":"x"}]},{"name":"b","rate":2}]}`
 	text := `{"version":2,"tenants":[{"name":"b","rate":3},{"name":"a","rate":1,"homes":[{"cell":"x"},{"cell":"y","from_ms":5}]}]}`
@@ -461,24 +461,24 @@
 		formatted += fmt.Sprintf("%s %s>%s %s; ", d.Path, d.Old, d.New, d.Kind)
 	}
 	if err != nil || formatted != `tenants[a].homes[1].cell >"y" announced; tenants[a].homes[1].from_ms >5 announced; tenants[b].rate 2>3 shared; version 1>2 free; ` {
-		t.Errorf("%s %v", formatted, err)
+		t.Errorf("differences %s, error %v", formatted, err)
 	}
 	if HasExclusive(list) || FirstDependent(list) != "tenants[a].homes[1].cell" {
-		t.Error("a move stops everybody, or may be tried by a part")
+		t.Error("a tenant's move counts as exclusive, or the first dependent field is wrong")
 	}
 	for text, exclusive := range map[string]bool{`{"classes":[{"name":"a","effect":"token"}]}`: true, `{"classes":[{"name":"a","worth":1}]}`: true,
 		`{"format":2}`: false, `{"new":2}`: true} {
 		list, err := Diff(DocClasses, "", text)
 		if err != nil || HasExclusive(list) != exclusive {
-			t.Errorf("%s: %+v, %v", text, list, err)
+			t.Errorf("%s: differences %+v, error %v", text, list, err)
 		}
 	}
 	if _, err := Diff(DocMap, "{", "{}"); err == nil {
-		t.Error("half a document")
+		t.Error("an incomplete text was accepted")
 	}
 	for _, c := range []struct{ old, next, now, until time.Duration }{{5, 7, 7, 0}, {7, 5, 7, 9}, {5, 5, 5, 0}} {
 		if now, until := TransitionWindow(c.old, c.next, 2); now != c.now || until != c.until {
-			t.Errorf("%+v: %v, %v", c, now, until)
+			t.Errorf("%+v: window %v, until %v", c, now, until)
 		}
 	}
 }
--- a/internal/policy/configstore/stored_test.go
+++ b/internal/policy/configstore/stored_test.go
@@ -14,9 +14,9 @@
 	"silverpath/internal/policy/lease"
 )
 
-// Members of a group are upgraded one after the other, and each applies the same log: one that read a change otherwise, or wrote
-// another snapshot, would hold other rules than its peers without anybody noticing. A change, what it makes of a document, the no that
-// it gets, and the whole book at the end stand in testdata as the program wrote them before its names were changed.
+// Members of a group are upgraded one after another and apply the same log. A member that read a change differently, or wrote another
+// snapshot, would silently diverge from its peers. The golden file has changes as older builds wrote them, the resulting documents, the
+// errors and the final store.
 func TestLogOfChangesGivesTheSameBook(t *testing.T) {
 	store := NewStore()
 	replayGolden(t, "testdata/book.txt", func(line string) string {
@@ -43,17 +43,17 @@
 		}
 		return marshal(t, doc)
 	})
-	// A snapshot is read as it was written, and goes on alike.
+	// A snapshot is decoded without a loss.
 	var decoded Store
 	if err := json.Unmarshal([]byte(marshal(t, store)), &decoded); err != nil {
 		t.Fatal(err)
 	}
 	if marshal(t, &decoded) != marshal(t, store) {
-		t.Error("read again it is another one")
+		t.Error("the decoded snapshot differs")
 	}
 }
 
-// What a process is told and what it says of itself are a wire between builds as well.
+// The answers that a process reads, and its reports, are exchanged between builds of different versions.
 func TestProcessReadsAndReportsTheSame(t *testing.T) {
 	replica := NewReplica("router-1#00000001", map[string]int{"map": 2, "routing": 1})
 	replica.CheckParts = func(string, map[string]string, bool) error { return nil }
@@ -115,7 +115,7 @@
 	})
 }
 
-// play gives each line of a file that begins with "< " to a function and compares what it returns with the line that follows.
+// replayGolden passes each line of a file that begins with "< " to handle, and compares the result with the line that follows.
 func replayGolden(t *testing.T, file string, handle func(line string) string) {
 	t.Helper()
 	f, err := os.Open(file)
--- a/internal/policy/configstore/tracker_test.go
+++ b/internal/policy/configstore/tracker_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-// Property tests take the same course every time.
+// Property tests use a fixed seed, so that each run tests the same cases.
 func init() {
 	for name, value := range map[string]string{"rapid.seed": "19", "rapid.nofailfile": "true"} {
 		if err := flag.Set(name, value); err != nil {
@@ -25,18 +25,17 @@
 func TestID(t *testing.T) {
 	id := NewID(7, []byte("a"))
 	if got, ok := ParseID(id.String()); !ok || got != id || NewID(7, []byte("b")) == id {
-		t.Errorf("%v, %v, %v", id, got, ok)
+		t.Errorf("ParseID(%v) = %v, %v", id, got, ok)
 	}
 	for _, bad := range []string{"", "7", "7.", "7.12", "0.0000000000000001", "x.0000000000000001", "7.000000000000000g", "-1.0000000000000001"} {
 		if _, ok := ParseID(bad); ok {
-			t.Errorf("%q is taken for an ID", bad)
+			t.Errorf("ParseID accepts %q", bad)
 		}
 	}
 }
 
-// What a process hears in any order: nothing is held back within a lease; a newer version ends an older one after it; two that
-// differ end both, and the version after them waits until what they began can't come again. It is compared with all that was
-// said, kept whole.
+// TestVersionTracker compares a tracker with the full list of observations, in any order. A newer version outdates an older one after a
+// lease. Two different documents of a version conflict, and the next version settles until work begun under either can't be repeated.
 func TestVersionTracker(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		type observation struct {
@@ -47,7 +46,7 @@
 		var tracker VersionTracker
 		tracker.ExtendTerms(testTerms)
 		now := time.Duration(0)
-		for range rapid.IntRange(1, 25).Draw(t, "words") {
+		for range rapid.IntRange(1, 25).Draw(t, "observations") {
 			now += time.Duration(rapid.IntRange(0, 900).Draw(t, "ms")) * time.Millisecond
 			id := ID{rapid.IntRange(1, 4).Draw(t, "version"), uint64(rapid.SampledFrom([]int{1, 1, 1, 1, 1, 2}).Draw(t, "digest"))}
 			isKnown := false
@@ -86,7 +85,7 @@
 						wantVerdict = VerdictConflicting
 					}
 					if got := tracker.Check(now, document); got != wantVerdict {
-						t.Fatalf("%v at %v after %v: %v, want %v", document, now, observed, got, wantVerdict)
+						t.Fatalf("Check of %v at %v after %v: %v, want %v", document, now, observed, got, wantVerdict)
 					}
 				}
 			}
@@ -94,7 +93,7 @@
 	})
 }
 
-// What comes off a wire is bounded, and the newest is what is kept.
+// The number and size of stored observations are limited, and the newest versions are kept.
 func TestVersionTrackerIsBounded(t *testing.T) {
 	var tracker VersionTracker
 	for n := 1; n <= 1000; n++ {
@@ -104,22 +103,22 @@
 		tracker.Observe(0, ID{n, 2}, "old")
 	}
 	if newest, ok := tracker.Newest(); !ok || newest.ID.Version != 1000 || len(tracker.versions) > maxVersions || len(newest.Source) > maxSourceNameSize {
-		t.Errorf("%v, %d versions", newest, len(tracker.versions))
+		t.Errorf("newest %v, %d versions stored", newest, len(tracker.versions))
 	}
 	if tracker.Check(0, ID{1000, 1}) != VerdictValid {
-		t.Error("old versions that differ hold the newest back")
+		t.Error("a conflict of old versions affects the newest one")
 	}
 	if tracker.ObserveConflict(0, 1000, strings.Repeat("y", 1000)) != ConflictFound || tracker.Check(0, ID{1000, 1}) != VerdictConflicting {
-		t.Error("what is told does not count")
+		t.Error("a reported conflict has no effect")
 	}
 	if n, description := tracker.Conflict(); n != 1000 || len(description) > 4*maxSourceNameSize {
-		t.Errorf("%d, %q", n, description)
+		t.Errorf("conflict of version %d: %q", n, description)
 	}
 }
 
-// All orders, up to a length, in which two routers whose maps of one version differ look after two servers and send one keyed request,
-// each to the home that its map names: it never runs twice. A router sends once it has looked after all its servers. Left out,
-// each of the guards lets it run twice: the servers' judgement alone, the routers' alone, or that a router looks first.
+// All orders, up to a length, in which two routers with different maps of one version probe two servers and send one keyed request, each to
+// the home that its map names. The request never runs twice. A router sends only after it has probed all its servers. Without the checks of
+// routers and servers, or without probing first, the request runs twice.
 func TestAllOrdersOfTwoMaps(t *testing.T) {
 	for _, c := range []struct {
 		name                                    string
@@ -127,12 +126,12 @@
 		wantFailure                             bool
 	}{
 		{"all", true, true, true, false},
-		{"nobody judges", false, false, true, true},
-		{"routers don't look first", true, true, false, true},
+		{"no checks", false, false, true, true},
+		{"no probing before requests", true, true, false, true},
 	} {
 		const length = 7
 		failure := ""
-		// What to do, in a number: 0..3 router r looks after server s, 4 and 5 router r sends the keyed request.
+		// Actions: 0 to 3: router r probes server s; 4 and 5: router r sends the keyed request.
 		var explore func(prefix []int)
 		explore = func(prefix []int) {
 			if failure != "" || len(prefix) == length {
@@ -149,12 +148,12 @@
 		}
 		explore(nil)
 		if (failure != "") != c.wantFailure {
-			t.Errorf("%s: twice by %q", c.name, failure)
+			t.Errorf("%s: ran twice by order %q", c.name, failure)
 		}
 	}
 }
 
-// runs plays an order and counts the runs of the keyed request.
+// countRuns replays an order of actions and counts the runs of the keyed request.
 func countRuns(path []int, serversCheck, routersCheck, probesFirst bool) (runs int) {
 	var servers, routers [2]VersionTracker
 	var probed [2][2]bool
@@ -175,7 +174,7 @@
 			probed[router][server] = true
 			continue
 		}
-		router := action - 4 // whose map has the keyed request's home at the server of its own number
+		router := action - 4 // its map has the key's home at the server of the same number
 		if probesFirst && (!probed[router][0] || !probed[router][1]) || routersCheck && routers[router].Check(now, id(router)) != VerdictValid || hasRun[router] {
 			continue
 		}
