--- a/internal/policy/configstore/document.go
+++ b/internal/policy/configstore/document.go
@@ -14,7 +14,7 @@
 	Stage           Stage       `json:"stage,omitempty"` // of Proposed
 	HoldReason      string      `json:"held,omitempty"`  // why an operator holds Proposed; empty: it is not held
 	History         []*Revision `json:"history,omitempty"`
-	RejectedDigests []uint64    `json:"bad,omitempty"` // digests that were reverted, or withdrawn from canaries, because goodput fell
+	RejectedDigests []uint64    `json:"bad,omitempty"` // digests that were reverted, or withdrawn by the monitor
 	Draft           *Draft      `json:"draft,omitempty"`
 }
 
@@ -104,7 +104,7 @@
 	}
 }
 
-// rejectDigest records a digest whose contents lowered goodput.
+// rejectDigest records a digest that OpPropose then rejects unless AllowRejected is set, and drops the oldest beyond maxRejectedDigests.
 func (d *Document) rejectDigest(digest uint64) {
 	if !slices.Contains(d.RejectedDigests, digest) {
 		d.RejectedDigests = append(d.RejectedDigests, digest)
--- a/internal/policy/configstore/goodput.go
+++ b/internal/policy/configstore/goodput.go
@@ -13,12 +13,13 @@
 	return before.Offered >= minOffered && now.Offered >= minOffered && now.Ratio() < before.Ratio()-maxLoss
 }
 
-// goodputSince returns the goodput of the included processes since a stage began. A process that registered later is left out.
+// goodputSince returns the goodput of the included processes since a stage began. A process that had not
+// reported by then is left out.
 func (m *ProcessMonitor) goodputSince(start stageStart, include func(string) bool) (total Goodput) {
 	for name, report := range m.reports {
 		baseline, ok := start.baseline[name]
 		if !ok || !include(name) || report.Goodput.Offered < baseline.Offered {
-			continue // registered or restarted after the stage began
+			continue // no baseline, or the counter went back
 		}
 		total.Offered += report.Goodput.Offered - baseline.Offered
 		total.Served += report.Goodput.Served - baseline.Served
--- a/internal/policy/configstore/kinds.go
+++ b/internal/policy/configstore/kinds.go
@@ -58,8 +58,8 @@
 	add(KindExclusive, DocClasses, "classes[].name classes[].effect")
 	add(KindMonotonic, DocClasses, "classes[].memory_span")
 	add(KindIndependent, DocClasses, "classes[].target classes[].aim_stretch classes[].deadline classes[].worth classes[].late_worth")
-	// Fields of a process's own configuration files. Classes there have the same kinds as in the document of classes, for processes without
-	// a group; without a group, differences between processes are not detected.
+	// Fields of a process's own configuration files. Classes, routing and pools there have the kinds of their documents. Classes
+	// there apply to processes without a group; differences between such processes are not detected.
 	add(KindLocal, "config", `name listen mgmt vm announce vault seed stop_ms limits.memory_mb limits.sockets scgi.listen scgi.upstream
 		scgi.max_body scgi.class scgi.tenant scgi.deadline_ms scgi.held_kb scgi.half_close scgi.upstream_timeout_ms snmp.listen
 		snmp.community settings.family_info.below settings.family_info.callers settings.family_info.calls_by_class
--- a/internal/policy/configstore/monitor.go
+++ b/internal/policy/configstore/monitor.go
@@ -59,8 +59,8 @@
 // StopLeading records that the member is no longer the leader.
 func (m *ProcessMonitor) StopLeading() { *m = ProcessMonitor{terms: m.terms, leadingSince: -1} }
 
-// Observe records the report of a process. It returns whether the active version may be sent to the process: false once its expiry was
-// proposed, as the process would act on the version after the group has stopped waiting for it.
+// Observe records the report of a process. It returns whether the active version may be sent to the process: false if the member does
+// not lead, or once the expiry of the process was proposed, as it would act on the version after the group has stopped waiting for it.
 func (m *ProcessMonitor) Observe(name string, now time.Duration, versions map[string]int, goodput Goodput, stopReason string) bool {
 	if m.leadingSince < 0 || m.expiring[name] {
 		return false
@@ -182,7 +182,7 @@
 	return c, true
 }
 
-// usersOf returns a function that reports whether a process uses a document. The goodput of other processes is not affected by it.
+// usersOf returns a function that reports whether a process uses a document. A change of the document affects only the goodput of those.
 func usersOf(store *Store, d *Document) func(name string) bool {
 	return func(name string) bool {
 		process := store.Processes[name]
--- a/internal/policy/configstore/replica.go
+++ b/internal/policy/configstore/replica.go
@@ -17,8 +17,8 @@
 // for concurrent use: controlplane/configwatch calls it under its lock.
 type Replica struct {
 	Name string // of one start of the process
-	// CheckParts returns an error if this process can't act on the changed parts, which are all parts if complete is true, else the differences
-	// from the last update.
+	// CheckParts returns an error if this process can't act on the changed parts, which are all parts if complete is true, else the
+	// differences from the last update.
 	CheckParts func(name string, changed map[string]string, complete bool) error
 	Disabled   DisabledGuards // for tests
 
--- a/internal/policy/configstore/replicaparts.go
+++ b/internal/policy/configstore/replicaparts.go
@@ -54,7 +54,7 @@
 	Reason string
 }
 
-// partsOf returns the parts of the active and the proposed revision after an answer.
+// partsOf returns the parts of the active and the proposed revision as of the answer that contains the view.
 func (d *replicaDocument) partsOf(view View, disabled DisabledGuards) (active, proposed *partialDocument) {
 	if view.Active != nil && view.Active.InParts {
 		var basis *partialDocument
@@ -158,7 +158,7 @@
 }
 
 // changesTo returns the texts of the parts of a version that differ from the version that the process acts on. Complete reports whether
-// these are all parts of the version, which is the case if a part was removed.
+// these are all parts of the version, which is the case if nothing was delivered yet or a part was removed.
 func (d *replicaDocument) changesTo(target *partialDocument) (changed map[string]string, complete bool) {
 	changed, complete = map[string]string{}, d.delivered == nil
 	if !complete {
@@ -199,7 +199,7 @@
 	return r.deliver(now, check)
 }
 
-// acceptManifest records the names and digests of all parts, and reports whether they were new and valid.
+// acceptManifest records the names and digests of all parts, and reports whether they were unknown before and match the digest.
 func (d *replicaDocument) acceptManifest(partial *partialDocument, parts map[string]Part, disabled DisabledGuards) bool {
 	if partial.parts != nil || len(parts) == 0 || len(parts) > MaxParts {
 		return false
--- a/internal/policy/configstore/store.go
+++ b/internal/policy/configstore/store.go
@@ -64,7 +64,7 @@
 	ErrNoSuchChange   = errors.New("there is no such change")     // nor such a document or version
 	ErrNotReady       = errors.New("it still waits")              // for a process or an operator
 	ErrNotRegistered  = errors.New("not registered")              // the reporting process is not in the store
-	ErrRejectedBefore = errors.New("it was taken back before")    // because goodput fell
+	ErrRejectedBefore = errors.New("it was taken back before")    // reverted, or withdrawn by the monitor
 )
 
 // MaxProcesses limits the registered processes. The leader keeps two minutes of each one's goodput, 24 bytes a report: 12 MB in total
