--- a/internal/policy/configstore/diff.go
+++ b/internal/policy/configstore/diff.go
@@ -9,25 +9,25 @@
 	"strings"
 )
 
-// Difference is a field in which two documents differ. An element of an array that has a name is told by it.
+// Difference is a field in which two documents differ. In its path, an array element that has a name is identified by the name.
 type Difference struct {
 	Path string `json:"path"`
-	Old  string `json:"old,omitempty"` // empty: it is new
-	New  string `json:"new,omitempty"` // empty: it is gone
+	Old  string `json:"old,omitempty"` // empty: the field is new
+	New  string `json:"new,omitempty"` // empty: the field was removed
 	Kind string `json:"kind"`
 	kind Kind
 }
 
-// Diff are the fields in which two texts of a document differ. Either may be empty.
+// Diff returns the fields in which two texts of a document differ. Either text may be empty. Any other text must be JSON.
 func Diff(doc, old, text string) (list []Difference, err error) {
 	var a, b any
-	for _, t := range []struct {
-		text string
-		into *any
+	for _, input := range []struct {
+		text  string
+		value *any
 	}{{old, &a}, {text, &b}} {
-		if t.text == "" {
-			*t.into = map[string]any{}
-		} else if err := json.Unmarshal([]byte(t.text), t.into); err != nil {
+		if input.text == "" {
+			*input.value = map[string]any{}
+		} else if err := json.Unmarshal([]byte(input.text), input.value); err != nil {
 			return nil, fmt.Errorf("%s: not JSON: %w", doc, err)
 		}
 	}
@@ -39,29 +39,29 @@
 	return list, nil
 }
 
-// DiffParts are the fields in which parts differ from those that are there, part by part: it costs what changed.
+// DiffParts returns the fields in which changed parts differ from the old ones. It compares only parts whose digests differ.
 func DiffParts(doc string, old map[string]Part, changed map[string]string) (list []Difference, err error) {
 	for _, name := range slices.Sorted(maps.Keys(changed)) {
-		if was, ok := old[name]; ok && was.Digest == PartDigest(changed[name]) {
+		if previous, ok := old[name]; ok && previous.Digest == PartDigest(changed[name]) {
 			continue
 		}
-		more, err := Diff(doc, old[name].Text, changed[name])
+		differences, err := Diff(doc, old[name].Text, changed[name])
 		if err != nil {
 			return nil, fmt.Errorf("part %s: %w", name, err)
 		}
-		list = append(list, more...)
+		list = append(list, differences...)
 	}
 	slices.SortStableFunc(list, func(a, b Difference) int { return strings.Compare(a.Path, b.Path) })
 	return list, nil
 }
 
-// HasExclusive reports whether a change differs in what must stop everywhere before it begins anywhere. What has no kind is taken
-// for that.
+// HasExclusive reports whether a change includes an exclusive field, which must stop everywhere before it begins anywhere. A field of
+// unknown kind counts as exclusive.
 func HasExclusive(list []Difference) bool {
 	return slices.ContainsFunc(list, func(d Difference) bool { return d.kind == KindExclusive || d.kind == KindUnknown })
 }
 
-// FirstDependent names the first field of a change that a part of the fleet can't act on alone, empty for none.
+// FirstDependent returns the first field of a change that canaries can't act on alone, or "" if there is none.
 func FirstDependent(list []Difference) string {
 	for _, d := range list {
 		if d.kind != KindIndependent {
@@ -79,19 +79,19 @@
 	return string(b)
 }
 
-// walkDifferences calls fn with every leaf that differs.
+// walkDifferences calls fn for every leaf that differs.
 func walkDifferences(path string, a, b any, fn func(path string, a, b any)) {
-	switch x := either(a, b).(type) {
+	switch x := firstNonNil(a, b).(type) {
 	case map[string]any:
-		av, _ := a.(map[string]any)
-		bv, _ := b.(map[string]any)
-		for key := range union(av, bv) {
-			walkDifferences(strings.TrimPrefix(path+"."+key, "."), av[key], bv[key], fn)
+		aFields, _ := a.(map[string]any)
+		bFields, _ := b.(map[string]any)
+		for key := range unionKeys(aFields, bFields) {
+			walkDifferences(strings.TrimPrefix(path+"."+key, "."), aFields[key], bFields[key], fn)
 		}
 	case []any:
-		av, bv := elementsByName(a), elementsByName(b)
-		for key := range union(av, bv) {
-			walkDifferences(path+"["+key+"]", av[key], bv[key], fn)
+		aElements, bElements := elementsByName(a), elementsByName(b)
+		for key := range unionKeys(aElements, bElements) {
+			walkDifferences(path+"["+key+"]", aElements[key], bElements[key], fn)
 		}
 	default:
 		_ = x
@@ -101,7 +101,7 @@
 	}
 }
 
-// equalLeaves compares leaves, most of which are alike, without writing them.
+// equalLeaves compares two leaves. Scalars, most of which are equal, are compared without encoding them.
 func equalLeaves(a, b any) bool {
 	switch x := a.(type) {
 	case string, float64, bool:
@@ -113,36 +113,36 @@
 	return toJSON(a) == toJSON(b)
 }
 
-func either(a, b any) any {
+func firstNonNil(a, b any) any {
 	if a != nil {
 		return a
 	}
 	return b
 }
 
-func union(a, b map[string]any) map[string]bool {
-	all := map[string]bool{}
+func unionKeys(a, b map[string]any) map[string]bool {
+	keys := map[string]bool{}
 	for key := range a {
-		all[key] = true
+		keys[key] = true
 	}
 	for key := range b {
-		all[key] = true
+		keys[key] = true
 	}
-	return all
+	return keys
 }
 
-// elementsByName are the elements of an array by their names, or by their numbers.
+// elementsByName returns the elements of an array by their names, or by their indexes if they have none.
 func elementsByName(v any) map[string]any {
 	list, _ := v.([]any)
-	all := map[string]any{}
-	for i, e := range list {
+	elements := map[string]any{}
+	for i, element := range list {
 		key := strconv.Itoa(i)
-		if o, ok := e.(map[string]any); ok {
-			if name, ok := o["name"].(string); ok {
+		if object, ok := element.(map[string]any); ok {
+			if name, ok := object["name"].(string); ok {
 				key = name
 			}
 		}
-		all[key] = e
+		elements[key] = element
 	}
-	return all
+	return elements
 }
