--- a/internal/policy/lease/holder.go
+++ b/internal/policy/lease/holder.go
@@ -31,7 +31,7 @@
 	epoch             Epoch
 	expiresAt         time.Duration // it holds the duty until then
 	requestedAt       time.Duration // of its last request; under 0: it is to ask at once
-	wanted            bool          // it is to hold the duty where it can
+	wantsDuty         bool          // it is to hold the duty where it can
 	transferRequested bool          // an operator has named a successor
 	lostAt            time.Duration // when it last ceased to hold
 	endedEpoch        Epoch         // answers about this epoch, or a lower one, are from before it ended
@@ -40,21 +40,21 @@
 // NewHolder returns the side of a process that waits. Process names one start of it: what comes back under the process's name is
 // another one.
 func NewHolder(duty, process string, t Terms) *Holder {
-	return &Holder{Duty: duty, Process: process, terms: t, requestedAt: -1, wanted: true}
+	return &Holder{Duty: duty, Process: process, terms: t, requestedAt: -1, wantsDuty: true}
 }
 
 // State returns what the process is to the duty now, after ending a lease that is over.
 func (h *Holder) State(now time.Duration) HolderState {
 	if (h.state == Holding || h.state == Releasing) && now >= h.expiresAt {
-		h.lose(h.expiresAt)
+		h.endLease(h.expiresAt)
 	}
 	return h.state
 }
 
-func (h *Holder) lose(at time.Duration) {
+func (h *Holder) endLease(at time.Duration) {
 	h.lostAt = at
 	h.epoch, h.expiresAt, h.transferRequested = 0, 0, false
-	if h.state = Waiting; !h.wanted {
+	if h.state = Waiting; !h.wantsDuty {
 		h.state = Stopped
 	}
 }
@@ -74,7 +74,7 @@
 
 // Release lets the duty go, or ends waiting for it. With requeue the process waits for it again.
 func (h *Holder) Release(now time.Duration, requeue bool) {
-	h.wanted = requeue
+	h.wantsDuty = requeue
 	switch h.State(now) {
 	case Holding:
 		h.state, h.requestedAt, h.lostAt = Releasing, -1, now
@@ -88,11 +88,11 @@
 // NextRequest returns what to ask of the group now, and whether there is anything to ask.
 func (h *Holder) NextRequest(now time.Duration) (Request, bool) {
 	state := h.State(now)
-	every := h.terms.TTL / renewalsPerTTL
+	interval := h.terms.TTL / renewalsPerTTL
 	if state == Waiting {
-		every = h.terms.TTL / acquiresPerTTL
+		interval = h.terms.TTL / acquiresPerTTL
 	}
-	if state == Stopped || h.requestedAt >= 0 && now-h.requestedAt < every {
+	if state == Stopped || h.requestedAt >= 0 && now-h.requestedAt < interval {
 		return Request{}, false
 	}
 	h.requestedAt = now
@@ -109,24 +109,24 @@
 // HandleAnswer takes the group's answer to a request: the duty as the group has it, or that the request was refused. RequestedAt is
 // when the request was made, as the lease counts from there. It returns whether the process has come to hold the duty, or has lost it.
 func (h *Holder) HandleAnswer(requestedAt time.Duration, r Request, d Duty, refused bool, now time.Duration) (gained, lost bool) {
-	held := h.State(now) == Holding
+	wasHolding := h.State(now) == Holding
 	switch {
 	case r.Op == Release:
 		h.endedEpoch = max(h.endedEpoch, r.Epoch)
 		if h.epoch == r.Epoch {
-			h.lose(now)
+			h.endLease(now)
 		}
 	case d.Holder != h.Process || refused:
 		if d.Epoch >= h.epoch && (h.state == Holding || h.state == Releasing) {
 			h.endedEpoch = max(h.endedEpoch, h.epoch)
-			h.lose(now)
+			h.endLease(now)
 		}
 	case d.Epoch < h.epoch || d.Epoch <= h.endedEpoch: // delayed on its way: it says nothing of now
 	case h.state == Waiting || h.state == Holding:
 		h.extend(requestedAt, d, now)
 	}
-	holds := h.State(now) == Holding
-	return holds && !held, held && !holds
+	isHolding := h.State(now) == Holding
+	return isHolding && !wasHolding, wasHolding && !isHolding
 }
 
 // extend has the process hold the duty by the lease of an answer, unless that is over already.
--- a/internal/policy/lease/lease_test.go
+++ b/internal/policy/lease/lease_test.go
@@ -16,24 +16,24 @@
 // twice, processes that are stopped for a while, and clocks that drift within the bound. By true time no two hold the duty at once,
 // and epochs only rise. A simulation without one of the guards finds two holders.
 type simulation struct {
-	terms           Terms
-	table           *Table
-	lessor          *Lessor
-	leaderClockRate float64 // by true time
-	holders         []*Holder
-	clockRates      []float64
-	pausedUntil     []int // by process: until which step
-	now             time.Duration
-	inFlight        []message
-	guards          guards
-	lastEpoch       Epoch
+	terms       Terms
+	table       *Table
+	lessor      *Lessor
+	leaderRate  float64 // by true time
+	holders     []*Holder
+	clockRates  []float64
+	pausedUntil []int // by process: until which step
+	now         time.Duration
+	inFlight    []message
+	guards      guards
+	lastEpoch   Epoch
 }
 
 type guards struct {
-	holderCountsShort  bool // by the drift, from before it asked
-	leaderCountsLong   bool // a whole lease and the drift
-	newLeaderWaits     bool // a whole lease from its election
-	expiringNotRenewed bool // a holding whose end was proposed is renewed no more
+	holderSubtractsDrift bool // by the drift, from before it asked
+	leaderWaitsFullTTL   bool // a whole lease and the drift
+	newLeaderWaits       bool // a whole lease from its election
+	expiringNotRenewed   bool // a holding whose end was proposed is renewed no more
 }
 
 type message struct {
@@ -46,31 +46,31 @@
 	refused     bool
 }
 
-func (s *simulation) clock(i int) time.Duration {
+func (s *simulation) holderClock(i int) time.Duration {
 	return time.Duration(float64(s.now) * s.clockRates[i])
 }
-func (s *simulation) leader() time.Duration { return time.Duration(float64(s.now) * s.leaderClockRate) }
+func (s *simulation) leaderClock() time.Duration { return time.Duration(float64(s.now) * s.leaderRate) }
 
-// answerOf is what the group's leader answers: what package member does, in one step.
-func (s *simulation) answerOf(a Request) (Duty, bool) {
-	d := s.table.Duties[a.Duty]
-	if d != nil && (a.Op == Renew || a.Op == Acquire && (d.Holder == a.Process || slices.Contains(d.Queue, a.Process))) {
-		ending := d.Holder == a.Process && !s.lessor.Renew(a.Duty, d.Epoch, a.Op != Renew, s.leader())
+// answerRequest returns the answer of the group's leader. Package member takes several steps for it; the simulation takes one.
+func (s *simulation) answerRequest(request Request) (Duty, bool) {
+	d := s.table.Duties[request.Duty]
+	if d != nil && (request.Op == Renew || request.Op == Acquire && (d.Holder == request.Process || slices.Contains(d.Queue, request.Process))) {
+		expiring := d.Holder == request.Process && !s.lessor.Renew(request.Duty, d.Epoch, request.Op != Renew, s.leaderClock())
 		if !s.guards.expiringNotRenewed {
-			ending = false
+			expiring = false
 		}
-		s.lessor.RecordWaiter(a.Duty, a.Process, s.leader())
-		return *d, ending || a.Op == Renew && (d.Holder != a.Process || d.Epoch != a.Epoch)
+		s.lessor.RecordWaiter(request.Duty, request.Process, s.leaderClock())
+		return *d, expiring || request.Op == Renew && (d.Holder != request.Process || d.Epoch != request.Epoch)
 	}
-	got, err := s.table.Apply(a)
-	s.lessor.RecordGrant(got.Name, got.Epoch, s.leader())
-	return got, err != nil
+	duty, err := s.table.Apply(request)
+	s.lessor.RecordGrant(duty.Name, duty.Epoch, s.leaderClock())
+	return duty, err != nil
 }
 
 // holding are the processes that believe to hold the duty now.
-func (s *simulation) holding() (list []int) {
+func (s *simulation) activeHolders() (list []int) {
 	for i, h := range s.holders {
-		if _, ok := h.Holds(s.clock(i)); ok {
+		if _, ok := h.Holds(s.holderClock(i)); ok {
 			list = append(list, i)
 		}
 	}
@@ -82,39 +82,39 @@
 
 func simulate(draw drawFunc, g guards) (err error) {
 	terms := Terms{TTL: 300 * time.Millisecond, Drift: 0.1}
-	s := &simulation{terms: terms, table: NewTable(1), guards: g, leaderClockRate: 1 + 0.1*float64(draw(-9, 9, "leader hz"))/10}
-	held, waits := terms, terms
-	if !g.holderCountsShort {
-		held.Drift = 0
-		waits.Drift = 0
+	s := &simulation{terms: terms, table: NewTable(1), guards: g, leaderRate: 1 + 0.1*float64(draw(-9, 9, "leader hz"))/10}
+	holderTerms, lessorTerms := terms, terms
+	if !g.holderSubtractsDrift {
+		holderTerms.Drift = 0
+		lessorTerms.Drift = 0
 	}
-	if !g.leaderCountsLong {
-		waits.TTL /= 2
+	if !g.leaderWaitsFullTTL {
+		lessorTerms.TTL /= 2
 	}
-	s.lessor = NewLessor(waits)
+	s.lessor = NewLessor(lessorTerms)
 	s.lessor.Promote(0)
 	for i := range 3 {
-		s.holders = append(s.holders, NewHolder("d", fmt.Sprint("p", i), held))
+		s.holders = append(s.holders, NewHolder("d", fmt.Sprint("p", i), holderTerms))
 		s.clockRates = append(s.clockRates, 1+0.1*float64(draw(-9, 9, "hz"))/10)
 		s.pausedUntil = append(s.pausedUntil, 0)
 	}
 	pending := []Request{} // ends that were proposed and not applied yet
 	loss := draw(0, 60, "loss")
-	slow := 30 * draw(0, 1, "slow") // steps that a message takes at most
+	maxDelay := 30 * draw(0, 1, "slow") // steps that a message takes at most
 	for step := range draw(50, 250, "steps") {
 		s.now += 10 * time.Millisecond
-		switch x := draw(0, 99, "event"); {
-		case x < 2: // another member leads
+		switch event := draw(0, 99, "event"); {
+		case event < 2: // another member leads
 			s.lessor.Demote()
-			s.lessor.Promote(s.leader())
+			s.lessor.Promote(s.leaderClock())
 			if !g.newLeaderWaits {
 				s.lessor.leadingSince = 0
 			}
 			pending = nil // lost with the one before
-		case x < 5:
+		case event < 5:
 			i := draw(0, 2, "who")
 			s.pausedUntil[i] = step + draw(1, 60, "for")
-		case x < 6:
+		case event < 6:
 			if d := s.table.Duties["d"]; d != nil && len(d.Queue) > 0 {
 				if _, err := s.table.Apply(Request{Op: Transfer, Duty: "d", Process: d.Queue[len(d.Queue)-1]}); err != nil {
 					return fmt.Errorf("a transfer to one that waits: %w", err)
@@ -125,45 +125,45 @@
 			if s.pausedUntil[i] > step {
 				continue
 			}
-			if _, ok := h.Holds(s.clock(i)); ok && h.TransferRequested() {
-				h.Release(s.clock(i), true)
+			if _, ok := h.Holds(s.holderClock(i)); ok && h.TransferRequested() {
+				h.Release(s.holderClock(i), true)
 			}
-			a, ok := h.NextRequest(s.clock(i))
+			request, ok := h.NextRequest(s.holderClock(i))
 			if ok && draw(0, 99, "lost") >= loss {
-				n := 1 + draw(0, 9, "twice")/9
-				for range n {
-					s.inFlight = append(s.inFlight, message{step: step + draw(0, slow, "delay"), holder: i, request: a, requestedAt: s.clock(i)})
+				copies := 1 + draw(0, 9, "twice")/9
+				for range copies {
+					s.inFlight = append(s.inFlight, message{step: step + draw(0, maxDelay, "delay"), holder: i, request: request, requestedAt: s.holderClock(i)})
 				}
 			}
 		}
-		var later []message
+		var remaining []message
 		for _, m := range s.inFlight {
 			switch {
 			case m.step > step || m.reply && s.pausedUntil[m.holder] > step:
-				later = append(later, m)
+				remaining = append(remaining, m)
 			case m.reply:
-				s.holders[m.holder].HandleAnswer(m.requestedAt, m.request, m.duty, m.refused, s.clock(m.holder))
+				s.holders[m.holder].HandleAnswer(m.requestedAt, m.request, m.duty, m.refused, s.holderClock(m.holder))
 			default:
-				m.duty, m.refused = s.answerOf(m.request)
-				m.reply, m.step = true, step+draw(0, slow/3, "back")
-				later = append(later, m)
+				m.duty, m.refused = s.answerRequest(m.request)
+				m.reply, m.step = true, step+draw(0, maxDelay/3, "back")
+				remaining = append(remaining, m)
 			}
 		}
-		s.inFlight = later
-		for _, a := range pending {
-			if d, err := s.table.Apply(a); err == nil {
-				s.lessor.RecordGrant(d.Name, d.Epoch, s.leader())
+		s.inFlight = remaining
+		for _, request := range pending {
+			if d, err := s.table.Apply(request); err == nil {
+				s.lessor.RecordGrant(d.Name, d.Epoch, s.leaderClock())
 			}
 		}
-		pending = s.lessor.Overdue(s.table, s.leader())
+		pending = s.lessor.Overdue(s.table, s.leaderClock())
 		if d := s.table.Duties["d"]; d != nil {
 			if d.Epoch < s.lastEpoch {
 				return fmt.Errorf("epoch %v after %v", d.Epoch, s.lastEpoch)
 			}
 			s.lastEpoch = d.Epoch
 		}
-		if o := s.holding(); len(o) > 1 {
-			return fmt.Errorf("%v hold it at once", o)
+		if active := s.activeHolders(); len(active) > 1 {
+			return fmt.Errorf("%v hold it at once", active)
 		}
 	}
 	return nil
@@ -216,45 +216,45 @@
 // A process that waits gets the duty in its turn, a transfer goes before the queue, a stale epoch is refused by name, and a raise of
 // the epoch ends the holding of whoever had a lower one.
 func TestTableQueuesTransfersAndRefusesStaleEpochs(t *testing.T) {
-	x := NewTable(2)
-	do := func(op Op, who string, e Epoch) (Duty, error) {
-		return x.Apply(Request{Op: op, Duty: "d", Process: who, Epoch: e})
+	table := NewTable(2)
+	apply := func(op Op, process string, epoch Epoch) (Duty, error) {
+		return table.Apply(Request{Op: op, Duty: "d", Process: process, Epoch: epoch})
 	}
-	must := func(op Op, who string) Duty {
+	mustApply := func(op Op, process string) Duty {
 		t.Helper()
-		d, err := do(op, who, 0)
+		d, err := apply(op, process, 0)
 		if err != nil {
 			t.Fatal(err)
 		}
 		return d
 	}
-	for _, who := range []string{"a", "b", "c", "a"} {
-		must(Acquire, who)
+	for _, process := range []string{"a", "b", "c", "a"} {
+		mustApply(Acquire, process)
 	}
-	if d, err := do(Release, "b", BaseEpoch(2)+1); !errors.Is(err, ErrStaleEpoch) || d.Holder != "a" {
+	if d, err := apply(Release, "b", BaseEpoch(2)+1); !errors.Is(err, ErrStaleEpoch) || d.Holder != "a" {
 		t.Errorf("%+v, %v", d, err)
 	}
-	must(Transfer, "c")
-	if d, err := do(Release, "a", BaseEpoch(2)+1); err != nil || d.Holder != "c" || d.Epoch != BaseEpoch(2)+2 || d.Successor != "" {
+	mustApply(Transfer, "c")
+	if d, err := apply(Release, "a", BaseEpoch(2)+1); err != nil || d.Holder != "c" || d.Epoch != BaseEpoch(2)+2 || d.Successor != "" {
 		t.Errorf("%+v, %v", d, err)
 	}
-	if _, err := do(Expire, "", BaseEpoch(2)+1); err == nil || err.Error() != "stale epoch 2.1 of d: it has had 2.2" {
+	if _, err := apply(Expire, "", BaseEpoch(2)+1); err == nil || err.Error() != "stale epoch 2.1 of d: it has had 2.2" {
 		t.Error(err)
 	}
-	if d, err := do(RaiseEpoch, "", BaseEpoch(3)); err != nil || d.Holder != "b" || d.Epoch != BaseEpoch(3)+1 {
+	if d, err := apply(RaiseEpoch, "", BaseEpoch(3)); err != nil || d.Holder != "b" || d.Epoch != BaseEpoch(3)+1 {
 		t.Errorf("%+v, %v", d, err)
 	}
-	if x.CheckHolder("d", "c", BaseEpoch(2)+2) == nil || x.CheckHolder("d", "b", BaseEpoch(3)+1) != nil {
+	if table.CheckHolder("d", "c", BaseEpoch(2)+2) == nil || table.CheckHolder("d", "b", BaseEpoch(3)+1) != nil {
 		t.Error("who owns it")
 	}
-	must(Acquire, "e")
-	if d := must(Dequeue, "e"); len(d.Queue) != 0 {
+	mustApply(Acquire, "e")
+	if d := mustApply(Dequeue, "e"); len(d.Queue) != 0 {
 		t.Errorf("%+v", d)
 	}
-	if _, err := do("nonsense", "", 0); !errors.Is(err, ErrUnknownOp) {
+	if _, err := apply("nonsense", "", 0); !errors.Is(err, ErrUnknownOp) {
 		t.Error(err)
 	}
-	if _, err := do(Transfer, "nobody", 0); err == nil {
+	if _, err := apply(Transfer, "nobody", 0); err == nil {
 		t.Error("handed to one that does not wait")
 	}
 }
--- a/internal/policy/lease/lessor.go
+++ b/internal/policy/lease/lessor.go
@@ -97,7 +97,7 @@
 				requests = append(requests, Request{Op: Dequeue, Duty: name, Process: process})
 			}
 		}
-		if l.overdue(d, now) {
+		if l.isOverdue(d, now) {
 			l.expiring[name] = d.Epoch
 			requests = append(requests, Request{Op: Expire, Duty: name, Epoch: d.Epoch})
 		}
@@ -106,15 +106,15 @@
 }
 
 // overdue reports whether the present holding of a duty is to end and that was not proposed yet.
-func (l *Lessor) overdue(d *Duty, now time.Duration) bool {
+func (l *Lessor) isOverdue(d *Duty, now time.Duration) bool {
 	if d.Holder == "" || l.expiring[d.Name] == d.Epoch {
 		return false
 	}
-	last := l.leadingSince
+	lastRenewal := l.leadingSince
 	if r := l.renewals[d.Name]; r.epoch == d.Epoch {
-		last = max(last, r.renewedAt)
+		lastRenewal = max(lastRenewal, r.renewedAt)
 	}
-	return now-last >= l.terms.LeaderTTL()
+	return now-lastRenewal >= l.terms.LeaderTTL()
 }
 
 // ProposalDropped is called with a request of Overdue that could not be proposed, so that its end is proposed again.
--- a/internal/policy/lease/table.go
+++ b/internal/policy/lease/table.go
@@ -53,9 +53,9 @@
 	ProposedAt int64  `json:"at,omitempty"`    // Unix milliseconds, by the clock of the member that proposes it: for people only
 }
 
-// maxQueue bounds the processes that wait for a duty, as the table is in every snapshot and answer. An installation has a few owners
+// maxQueueLength bounds the processes that wait for a duty, as the table is in every snapshot and answer. An installation has a few owners
 // of each duty; a bound that is reached means that processes are restarted in a loop.
-const maxQueue = 32
+const maxQueueLength = 32
 
 // defaultPauseReason stands for a pause without a reason: an empty one would mean no pause.
 const defaultPauseReason = "by an operator"
@@ -65,7 +65,7 @@
 func (t *Table) Apply(r Request) (Duty, error) {
 	d := t.Duties[r.Duty]
 	if d == nil {
-		if !r.Op.creates() || r.Duty == "" {
+		if !r.Op.mayCreateDuty() || r.Duty == "" {
 			return Duty{Name: r.Duty}, fmt.Errorf("%w: %q", ErrUnknownDuty, r.Duty)
 		}
 		d = &Duty{Name: r.Duty, Epoch: BaseEpoch(t.Generation)}
@@ -76,14 +76,14 @@
 }
 
 // creates reports whether an operation may be the first on a duty.
-func (op Op) creates() bool { return op == Acquire || op == RaiseEpoch || op == Pause }
+func (op Op) mayCreateDuty() bool { return op == Acquire || op == RaiseEpoch || op == Pause }
 
 func (d *Duty) apply(r Request) error {
 	switch r.Op {
 	case Acquire:
 		return d.acquire(r)
 	case Release, Expire:
-		return d.end(r)
+		return d.endHolding(r)
 	case Dequeue:
 		d.Queue = slices.DeleteFunc(slices.Clone(d.Queue), func(p string) bool { return p == r.Process })
 	case Transfer:
@@ -113,7 +113,7 @@
 	case d.Holder == r.Process || slices.Contains(d.Queue, r.Process):
 	case d.Holder == "":
 		d.grant(r.Process, r.ProposedAt)
-	case len(d.Queue) >= maxQueue:
+	case len(d.Queue) >= maxQueueLength:
 		return fmt.Errorf("%d wait already", len(d.Queue))
 	default:
 		d.Queue = append(d.Queue, r.Process)
@@ -123,7 +123,7 @@
 
 // end ends the holding of an epoch, by the holder itself or by the leader, and passes the duty on. A request about another epoch is
 // stale: it was delayed, and the duty may be somebody else's by now.
-func (d *Duty) end(r Request) error {
+func (d *Duty) endHolding(r Request) error {
 	if r.Epoch != d.Epoch || d.Holder == "" || r.Op == Release && d.Holder != r.Process {
 		return d.StaleError(r.Epoch)
 	}
