--- a/internal/policy/lease/holder.go
+++ b/internal/policy/lease/holder.go
@@ -2,48 +2,49 @@
 
 import "time"
 
-// HolderState is what a process is to a duty.
+// HolderState is the state of a process with respect to a duty.
 type HolderState int
 
-// States of a process towards a duty.
+// States of a process with respect to a duty.
 const (
-	Waiting   HolderState = iota // it asks to hold the duty
-	Holding                      // it holds it, and may begin actions
-	Releasing                    // it asks to be let go, and begins nothing more
-	Stopped                      // it neither holds the duty nor asks for it
+	Waiting   HolderState = iota // requests the duty and does not hold it
+	Holding                      // holds the duty and may begin actions
+	Releasing                    // requests its release and begins no more actions
+	Stopped                      // neither holds the duty nor requests it
 )
 
-// How often a process asks, as parts of the TTL.
+// Requests that a process sends per TTL.
 const (
-	renewalsPerTTL = 3 // two renewals in a row may be lost before a lease is
-	acquiresPerTTL = 6 // a process that waits is known to be there, and learns soon that it has come to hold
+	renewalsPerTTL = 3 // a lease survives two lost renewals in a row
+	acquiresPerTTL = 6 // keeps a waiting process in the queue, and tells it soon that it was granted the duty
 )
 
-// Holder is the side of a process that wants to hold a duty. Its times are those of the process's own monotonic clock.
+// Holder tracks one process's claim on a duty. All its times are on the process's own monotonic clock.
 //
-// Rules. The process holds the duty for HolderTTL from before the request that was granted or renewed, whatever else it knows; then it
-// stops by itself. Once it has asked to be let go, or was refused, no answer gives that epoch back to it: one may have been on its way.
+// Rules: the process holds the duty for HolderTTL, counted from before it sent the request that granted or renewed the lease, and then
+// stops on its own. After it has requested a release, or was refused, no answer restores the same epoch: a delayed answer from before
+// the release may still arrive.
 type Holder struct {
 	Duty, Process string
 
 	terms             Terms
 	state             HolderState
 	epoch             Epoch
-	expiresAt         time.Duration // it holds the duty until then
-	requestedAt       time.Duration // of its last request; under 0: it is to ask at once
-	wantsDuty         bool          // it is to hold the duty where it can
+	expiresAt         time.Duration // end of the current lease
+	requestedAt       time.Duration // when the last request was sent; negative: the next one is due at once
+	wantsDuty         bool          // false: the process stops requesting the duty once it no longer holds it
 	transferRequested bool          // an operator has named a successor
-	lostAt            time.Duration // when it last ceased to hold
-	endedEpoch        Epoch         // answers about this epoch, or a lower one, are from before it ended
+	lostAt            time.Duration // when the last holding ended
+	endedEpoch        Epoch         // answers with this epoch or a lower one are stale
 }
 
-// NewHolder returns the side of a process that waits. Process names one start of it: what comes back under the process's name is
-// another one.
+// NewHolder returns a Holder in the state Waiting. Process identifies one start of the process: after a restart it has a different
+// identifier.
 func NewHolder(duty, process string, t Terms) *Holder {
 	return &Holder{Duty: duty, Process: process, terms: t, requestedAt: -1, wantsDuty: true}
 }
 
-// State returns what the process is to the duty now, after ending a lease that is over.
+// State returns the process's state now. It first ends a lease that has expired.
 func (h *Holder) State(now time.Duration) HolderState {
 	if (h.state == Holding || h.state == Releasing) && now >= h.expiresAt {
 		h.endLease(h.expiresAt)
@@ -51,6 +52,7 @@
 	return h.state
 }
 
+// endLease ends the holding as of the time at. The process waits for the duty again if wantsDuty is set and stops otherwise.
 func (h *Holder) endLease(at time.Duration) {
 	h.lostAt = at
 	h.epoch, h.expiresAt, h.transferRequested = 0, 0, false
@@ -59,20 +61,20 @@
 	}
 }
 
-// Holds returns the epoch by which the process holds the duty, and whether it does and may begin an action. It is asked before each
-// action. As a process can be stopped between that and the action, whoever takes the action's effect checks the epoch again: see
-// package fence.
+// Holds returns the epoch of the current holding, and whether the process holds the duty and may begin an action. It is called before
+// each action. Because a process can be paused between this call and the action, the receiver of the action checks the epoch again:
+// see package fence.
 func (h *Holder) Holds(now time.Duration) (Epoch, bool) {
 	return h.epoch, h.State(now) == Holding
 }
 
-// LostAt is when the process last ceased to hold the duty, which may be noticed later.
+// LostAt returns when the last holding ended, which can be earlier than the call that detected it.
 func (h *Holder) LostAt() time.Duration { return h.lostAt }
 
-// TransferRequested reports whether the holder is to release the duty to a successor, which it does between two actions.
+// TransferRequested reports whether an operator has named a successor. The holder then releases the duty between two actions.
 func (h *Holder) TransferRequested() bool { return h.transferRequested }
 
-// Release lets the duty go, or ends waiting for it. With requeue the process waits for it again.
+// Release begins to release a held duty, or stops waiting for one. If requeue is set, the process waits for the duty again afterwards.
 func (h *Holder) Release(now time.Duration, requeue bool) {
 	h.wantsDuty = requeue
 	switch h.State(now) {
@@ -85,7 +87,7 @@
 	}
 }
 
-// NextRequest returns what to ask of the group now, and whether there is anything to ask.
+// NextRequest returns the request to send to the group now. It reports false if no request is due.
 func (h *Holder) NextRequest(now time.Duration) (Request, bool) {
 	state := h.State(now)
 	interval := h.terms.TTL / renewalsPerTTL
@@ -100,14 +102,15 @@
 	case Holding:
 		return Request{Op: Renew, Duty: h.Duty, Process: h.Process, Epoch: h.epoch}, true
 	case Releasing:
-		h.endedEpoch = max(h.endedEpoch, h.epoch) // from here on it may be somebody else's, whether or not an answer comes
+		h.endedEpoch = max(h.endedEpoch, h.epoch) // once this is sent, another process may hold the duty, even if no answer arrives
 		return Request{Op: Release, Duty: h.Duty, Process: h.Process, Epoch: h.epoch}, true
 	}
 	return Request{Op: Acquire, Duty: h.Duty, Process: h.Process}, true
 }
 
-// HandleAnswer takes the group's answer to a request: the duty as the group has it, or that the request was refused. RequestedAt is
-// when the request was made, as the lease counts from there. It returns whether the process has come to hold the duty, or has lost it.
+// HandleAnswer processes the group's answer to request r: the duty's state d in the group, and whether the request was refused.
+// RequestedAt is when NextRequest returned the request; the lease counts from then. HandleAnswer reports whether the process gained or
+// lost the duty.
 func (h *Holder) HandleAnswer(requestedAt time.Duration, r Request, d Duty, refused bool, now time.Duration) (gained, lost bool) {
 	wasHolding := h.State(now) == Holding
 	switch {
@@ -121,7 +124,7 @@
 			h.endedEpoch = max(h.endedEpoch, h.epoch)
 			h.endLease(now)
 		}
-	case d.Epoch < h.epoch || d.Epoch <= h.endedEpoch: // delayed on its way: it says nothing of now
+	case d.Epoch < h.epoch || d.Epoch <= h.endedEpoch: // a delayed answer, which does not describe the current state
 	case h.state == Waiting || h.state == Holding:
 		h.extend(requestedAt, d, now)
 	}
@@ -129,7 +132,7 @@
 	return isHolding && !wasHolding, wasHolding && !isHolding
 }
 
-// extend has the process hold the duty by the lease of an answer, unless that is over already.
+// extend applies the lease that an answer granted or renewed, unless it has already expired.
 func (h *Holder) extend(requestedAt time.Duration, d Duty, now time.Duration) {
 	expiresAt := requestedAt + h.terms.HolderTTL()
 	if now >= expiresAt {
--- a/internal/policy/lease/lease.go
+++ b/internal/policy/lease/lease.go
@@ -1,10 +1,11 @@
-// Package lease decides which process holds a duty of the fleet, one at a time. It has no I/O, no clock and no goroutine: times are
-// handed in, and what is to be done comes back. Table is the state that the group agrees on and knows no time; Lessor is the time of
-// the group's leader, which ends a lease that was not renewed; Holder is the side of the process that waits or holds.
+// Package lease grants each duty of the fleet to at most one process at a time. It has no I/O, no clock and no goroutine: callers pass
+// in the time, and the functions return the actions to take. Table is the replicated state that the group agrees on and contains no
+// time. Lessor runs on the group's leader and ends leases that were not renewed. Holder runs in a process that waits for a duty or
+// holds it.
 //
-// Two processes never hold one duty at once while every monotonic clock runs at between 1-drift and 1+drift of true time: the holder
-// counts a lease short and from before it asked, the leader counts it long and from after it heard. docs/design/owner.md has the
-// proof.
+// Two processes never hold the same duty at once as long as every monotonic clock runs at between 1-drift and 1+drift of true time.
+// The holder counts a shortened lease from before it sent its request; the leader counts a lengthened one from after it received the
+// request. docs/design/owner.md has the proof.
 package lease
 
 import (
@@ -13,25 +14,25 @@
 	"time"
 )
 
-// Terms are the length of a lease and the clocks it allows for. The group has them from its founding on; members and clients use the
-// same.
+// Terms are the length of a lease and the clock drift that it tolerates. They are fixed when the group is founded. Members and clients
+// use the same terms.
 type Terms struct {
-	TTL   time.Duration `json:"ttl"`   // length of a lease in true time; nanoseconds in JSON
-	Drift float64       `json:"drift"` // greatest difference of a clock's rate from true time, as a share of it: 0.05 is 5 percent
+	TTL   time.Duration `json:"ttl"`   // length of a lease in true time; in JSON, nanoseconds
+	Drift float64       `json:"drift"` // largest deviation of a clock's rate from true time, as a ratio: 0.05 is 5 percent
 }
 
-// maxDrift bounds Terms.Drift, exclusively: at half, a holder on its own clock would have no more than half of its lease left.
+// maxDrift is the exclusive upper bound of Terms.Drift. At 0.5, HolderTTL would be only half of TTL.
 const maxDrift = 0.5
 
-// HolderTTL is how long a holder counts its lease on its own clock, from before it asked. A slow clock still ends it within TTL of
-// true time.
+// HolderTTL returns the length of a lease on the holder's own clock, counted from before the holder sent its request. Even on the
+// slowest clock that the terms allow, the lease ends within TTL of true time.
 func (t Terms) HolderTTL() time.Duration { return time.Duration(float64(t.TTL) * (1 - t.Drift)) }
 
-// LeaderTTL is how long the leader counts a lease on its own clock, from when it last heard of the holder. On a fast clock it is
-// still TTL of true time at least.
+// LeaderTTL returns the length of a lease on the leader's own clock, counted from when the leader received the holder's last
+// request. Even on the fastest clock that the terms allow, it is at least TTL of true time.
 func (t Terms) LeaderTTL() time.Duration { return time.Duration(float64(t.TTL) * (1 + t.Drift)) }
 
-// Check returns an error that names the first term that can't be, by its name in commands and settings.
+// Check validates the terms. Its error names the first invalid term by its name in commands and settings.
 func (t Terms) Check() error {
 	switch {
 	case t.TTL <= 0:
@@ -42,22 +43,23 @@
 	return nil
 }
 
-// Epoch is the fencing token of one holding of a duty. It rises with each; its upper 32 bits are the group's generation, which rises
-// each time that the group is founded anew.
+// Epoch is the fencing token of one holding of a duty. Each holding of the duty has a higher epoch than the one before. The upper 32
+// bits are the group's generation, which increases each time the group is founded again.
 type Epoch uint64
 
-// generationShift is the place of the generation in an Epoch, in bits.
+// generationShift is the position of the generation within an Epoch, in bits.
 const generationShift = 32
 
-// BaseEpoch is the epoch before the first holding of a generation.
+// BaseEpoch returns the epoch that precedes the first holding in a generation.
 func BaseEpoch(generation uint32) Epoch { return Epoch(generation) << generationShift }
 
-// String writes an epoch as generation and number, as "1.4". Refusals carry this text between processes: the form is a wire.
+// String formats an epoch as generation and number, for example "1.4". Refusals carry this text between processes, so the format is
+// part of the wire protocol.
 func (e Epoch) String() string { return fmt.Sprintf("%d.%d", uint64(e)>>generationShift, uint32(e)) }
 
-// Errors that callers of Table decide by.
+// Errors of Table that callers test for.
 var (
-	ErrStaleEpoch  = errors.New("stale epoch")  // the process holds the duty no longer, or never did by this epoch
-	ErrUnknownDuty = errors.New("no such duty") // nobody has asked for the duty yet, or there is none by this name
-	ErrUnknownOp   = errors.New("unknown op")   // from a build that knows more operations
+	ErrStaleEpoch  = errors.New("stale epoch")  // the process no longer holds the duty, or never held it with this epoch
+	ErrUnknownDuty = errors.New("no such duty") // no request has created a duty with this name yet
+	ErrUnknownOp   = errors.New("unknown op")   // the request comes from a newer build that has more operations
 )
--- a/internal/policy/lease/table.go
+++ b/internal/policy/lease/table.go
@@ -6,62 +6,62 @@
 	"slices"
 )
 
-// Duty is the state of one duty: who holds it, and who waits for it in which order.
+// Duty is the state of one duty: its holder, and the queue of processes that wait for it.
 type Duty struct {
 	Name        string   `json:"name"`
-	Epoch       Epoch    `json:"epoch"`            // of the latest holding
-	Holder      string   `json:"holder,omitempty"` // the process that holds it; empty: nobody
-	Queue       []string `json:"queue,omitempty"`  // processes that wait, the one that has waited longest first
-	Successor   string   `json:"next,omitempty"`   // who is to have it once the holder lets it go; empty: the first of the queue
-	PauseReason string   `json:"paused,omitempty"` // why no action is begun; empty: it is not paused
-	HeldSince   int64    `json:"since,omitempty"`  // Unix milliseconds, by the clock of the leader that granted it: for people only
+	Epoch       Epoch    `json:"epoch"`            // of the latest holding, which may have ended
+	Holder      string   `json:"holder,omitempty"` // the process that holds the duty; empty: none
+	Queue       []string `json:"queue,omitempty"`  // waiting processes, in the order of their first requests
+	Successor   string   `json:"next,omitempty"`   // the waiting process that gets the duty next; empty: the first in the queue
+	PauseReason string   `json:"paused,omitempty"` // why no action may begin; empty: not paused
+	HeldSince   int64    `json:"since,omitempty"`  // Unix milliseconds on the granting leader's clock; only displayed
 }
 
-// Table has the state of all duties. It changes only by Apply, in the order of the group's log, so that every member comes to the
-// same one.
+// Table is the state of all duties. Only Apply changes it, in the order of the group's log, so that every member computes the same
+// table.
 type Table struct {
 	Generation uint32           `json:"generation"`
 	Duties     map[string]*Duty `json:"duties"`
 }
 
-// NewTable returns the table of a group's generation, without duties.
+// NewTable returns an empty table for a generation of the group.
 func NewTable(generation uint32) *Table { return &Table{generation, map[string]*Duty{}} }
 
-// Op is an operation on a duty, by its name in the log.
+// Op is the name of an operation on a duty, as it is written in the log.
 type Op string
 
-// Operations, and who asks for them.
+// Operations, and the senders of each.
 const (
-	Acquire    Op = "acquire" // by a process: hold the duty, or wait for it; asked again it changes nothing
+	Acquire    Op = "acquire" // by a process: hold the duty, or wait for it; idempotent
 	Release    Op = "release" // by the holder
-	Dequeue    Op = "forget"  // by a process that waits, or by the leader of one that has not asked again
+	Dequeue    Op = "forget"  // by a waiting process, or by the leader for one that stopped sending requests
 	Expire     Op = "expire"  // by the leader: end a holding that was not renewed
-	Transfer   Op = "hand"    // by an operator: to one that waits, once the holder consents
+	Transfer   Op = "hand"    // by an operator: name the waiting process that gets the duty once the holder releases it
 	Pause      Op = "pause"   // by an operator
 	Resume     Op = "resume"  // by an operator
-	RaiseEpoch Op = "raise"   // by a holder that was told of a higher epoch, as after a snapshot was put back; ends the present holding
-	Renew      Op = "renew"   // by the holder: noted by the leader alone, never in the log
+	RaiseEpoch Op = "raise"   // by a holder that learned of a higher epoch, as after a snapshot was restored; ends its holding
+	Renew      Op = "renew"   // by the holder: handled by the leader only, never in the log
 )
 
-// Request is one operation asked of a table.
+// Request is one operation on a duty.
 type Request struct {
 	Op         Op     `json:"op"`
 	Duty       string `json:"duty"`
-	Process    string `json:"who,omitempty"`   // one start of a process, as "name#1a2b3c4d"
-	Epoch      Epoch  `json:"epoch,omitempty"` // of Release, Expire, Renew and RaiseEpoch
-	Reason     string `json:"why,omitempty"`   // of Pause, and of a Dequeue by an operator
-	ProposedAt int64  `json:"at,omitempty"`    // Unix milliseconds, by the clock of the member that proposes it: for people only
+	Process    string `json:"who,omitempty"`   // one start of a process, for example "name#1a2b3c4d"
+	Epoch      Epoch  `json:"epoch,omitempty"` // for Release, Expire, Renew and RaiseEpoch
+	Reason     string `json:"why,omitempty"`   // for Pause, and for a Dequeue by an operator
+	ProposedAt int64  `json:"at,omitempty"`    // Unix milliseconds on the proposing member's clock; only displayed
 }
 
-// maxQueueLength bounds the processes that wait for a duty, as the table is in every snapshot and answer. An installation has a few owners
-// of each duty; a bound that is reached means that processes are restarted in a loop.
+// maxQueueLength bounds the number of processes that wait for a duty, because the queue is part of every snapshot and answer. An
+// installation has a few candidates for each duty; a full queue means that processes restart in a loop.
 const maxQueueLength = 32
 
-// defaultPauseReason stands for a pause without a reason: an empty one would mean no pause.
+// defaultPauseReason is the reason of a Pause that has none. An empty PauseReason means that the duty is not paused.
 const defaultPauseReason = "by an operator"
 
-// Apply carries out a request and returns the duty after it. With an error the duty is as it was: ErrUnknownDuty, ErrStaleEpoch and
-// ErrUnknownOp, or a refusal for people.
+// Apply executes a request and returns the resulting state of the duty. On an error the duty is unchanged. The error wraps
+// ErrUnknownDuty, ErrStaleEpoch or ErrUnknownOp, or is a refusal to show to the operator.
 func (t *Table) Apply(r Request) (Duty, error) {
 	d := t.Duties[r.Duty]
 	if d == nil {
@@ -75,9 +75,10 @@
 	return *d, err
 }
 
-// creates reports whether an operation may be the first on a duty.
+// mayCreateDuty reports whether an operation creates a duty that does not exist yet.
 func (op Op) mayCreateDuty() bool { return op == Acquire || op == RaiseEpoch || op == Pause }
 
+// apply executes a request on an existing duty.
 func (d *Duty) apply(r Request) error {
 	switch r.Op {
 	case Acquire:
@@ -95,7 +96,7 @@
 	case Resume:
 		d.PauseReason = ""
 	case RaiseEpoch:
-		if r.Epoch > d.Epoch { // whoever holds it by a lower one is refused where the higher one was seen
+		if r.Epoch > d.Epoch { // servers that saw the higher epoch refuse the current holder's lower one
 			d.Epoch = r.Epoch
 			d.grantNext(r.ProposedAt)
 		}
@@ -105,7 +106,7 @@
 	return nil
 }
 
-// acquire grants a duty that nobody holds, and queues the process for one that somebody does.
+// acquire grants the duty if no process holds it, and otherwise adds the process to the queue.
 func (d *Duty) acquire(r Request) error {
 	switch {
 	case r.Process == "":
@@ -121,8 +122,8 @@
 	return nil
 }
 
-// end ends the holding of an epoch, by the holder itself or by the leader, and passes the duty on. A request about another epoch is
-// stale: it was delayed, and the duty may be somebody else's by now.
+// endHolding ends the holding of an epoch for Release and Expire, and grants the duty to the next process. A request with another epoch
+// is stale: it was delayed, and another process may hold the duty by now.
 func (d *Duty) endHolding(r Request) error {
 	if r.Epoch != d.Epoch || d.Holder == "" || r.Op == Release && d.Holder != r.Process {
 		return d.StaleError(r.Epoch)
@@ -131,7 +132,8 @@
 	return nil
 }
 
-// transfer names who is to have the duty next. The holder learns of it with its next renewal and releases between two actions.
+// transfer names the waiting process that gets the duty next. The answer to the holder's next renewal names that process, and the
+// holder then releases the duty between two actions.
 func (d *Duty) transfer(process string) error {
 	if d.Holder == process {
 		return nil
@@ -143,12 +145,12 @@
 	return nil
 }
 
-// StaleError is the refusal of an epoch that does not hold the duty; it wraps ErrStaleEpoch and names the duty's latest one.
+// StaleError returns the error for an epoch that does not hold the duty. It wraps ErrStaleEpoch and names the duty's latest epoch.
 func (d *Duty) StaleError(e Epoch) error {
 	return fmt.Errorf("%w %v of %s: it has had %v", ErrStaleEpoch, e, d.Name, d.Epoch)
 }
 
-// CheckHolder returns nil if a process holds a duty by an epoch, else an error that wraps ErrUnknownDuty or ErrStaleEpoch.
+// CheckHolder returns nil if a process holds a duty with an epoch, else an error that wraps ErrUnknownDuty or ErrStaleEpoch.
 func (t *Table) CheckHolder(duty, process string, e Epoch) error {
 	d := t.Duties[duty]
 	if d == nil {
@@ -160,6 +162,7 @@
 	return nil
 }
 
+// grant gives the duty to a process with the next epoch, at a time in Unix milliseconds.
 func (d *Duty) grant(process string, at int64) {
 	d.Epoch++
 	d.HeldSince = at
@@ -169,7 +172,7 @@
 	}
 }
 
-// grantNext ends the present holding and grants the duty to its named successor, else to the process that has waited longest.
+// grantNext ends the current holding and grants the duty to the named successor, else to the first process in the queue.
 func (d *Duty) grantNext(at int64) {
 	d.Holder = ""
 	if len(d.Queue) == 0 {
@@ -177,6 +180,6 @@
 	}
 	i := max(0, slices.Index(d.Queue, d.Successor))
 	process := d.Queue[i]
-	d.Queue = slices.Delete(slices.Clone(d.Queue), i, i+1) // copies of the duty that were handed out keep theirs
+	d.Queue = slices.Delete(slices.Clone(d.Queue), i, i+1) // clones, because copies of the duty that Apply returned share the queue
 	d.grant(process, at)
 }
--- a/internal/policy/lease/terms_test.go
+++ b/internal/policy/lease/terms_test.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// If a holder counted its lease for as long as the leader does, a slow clock would have it act after its successor has begun. On the
-// slowest clock that the terms allow for, a holder ends within TTL of true time; on the fastest, the leader waits for TTL at least.
+// If the holder counted its lease for as long as the leader does, a holder with a slow clock would still act after its successor began.
+// With the slowest clock that the terms allow, a holder's lease ends within TTL of true time; with the fastest one, the leader waits
+// for at least TTL.
 func TestHolderCountsShortAndLeaderCountsLong(t *testing.T) {
 	for _, c := range []struct {
 		terms          Terms
@@ -17,16 +18,17 @@
 		{Terms{time.Second, 0}, time.Second, time.Second},
 	} {
 		if got := c.terms.HolderTTL(); got != c.holder {
-			t.Errorf("%+v: the holder counts %v, want %v", c.terms, got, c.holder)
+			t.Errorf("%+v: HolderTTL is %v, want %v", c.terms, got, c.holder)
 		}
 		if got := c.terms.LeaderTTL(); got != c.leader {
-			t.Errorf("%+v: the leader counts %v, want %v", c.terms, got, c.leader)
+			t.Errorf("%+v: LeaderTTL is %v, want %v", c.terms, got, c.leader)
 		}
 	}
 }
 
-// A renewal comes just after the leader has proposed the end of its holding. Renewed, the holder would go on for a lease, while the
-// end is applied and its successor begins. It is not renewed by this leader any more, but for an end that could not be proposed.
+// Guards against a renewal that arrives just after the leader proposed the end of the holding. If it were granted, the holder would
+// continue for another lease while the end is applied and its successor begins. This leader refuses the renewal unless the end could
+// not be proposed.
 func TestHoldingWhoseEndWasProposedIsNotRenewed(t *testing.T) {
 	terms := Terms{TTL: time.Second, Drift: 0.1}
 	table, lessor := NewTable(1), NewLessor(terms)
@@ -37,23 +39,23 @@
 	}
 	lessor.RecordGrant("d", d.Epoch, 0)
 	if !lessor.Renew("d", d.Epoch, false, 500*time.Millisecond) {
-		t.Error("not renewed in time")
+		t.Error("a renewal within the lease was refused")
 	}
 	if due := lessor.Overdue(table, 1599*time.Millisecond); len(due) != 0 {
-		t.Errorf("%+v before the lease is over", due)
+		t.Errorf("Overdue returned %+v before the lease ended", due)
 	}
 	due := lessor.Overdue(table, 1600*time.Millisecond)
 	if len(due) != 1 || due[0].Op != Expire || due[0].Epoch != d.Epoch {
-		t.Fatalf("%+v", due)
+		t.Fatalf("Overdue returned %+v, want one Expire of the holding", due)
 	}
 	if lessor.Renew("d", d.Epoch, false, 1601*time.Millisecond) {
-		t.Error("renewed although its end was proposed")
+		t.Error("a holding was renewed after its end was proposed")
 	}
 	if due := lessor.Overdue(table, 1602*time.Millisecond); len(due) != 0 {
-		t.Errorf("proposed twice: %+v", due)
+		t.Errorf("Overdue returned an end again: %+v", due)
 	}
 	lessor.ProposalDropped(due[0])
 	if !lessor.Renew("d", d.Epoch, false, 1603*time.Millisecond) {
-		t.Error("not renewed although its end was not proposed after all")
+		t.Error("a renewal was refused although the proposal of its end was dropped")
 	}
 }
