--- a/internal/policy/cells/cells.go
+++ b/internal/policy/cells/cells.go
@@ -57,8 +57,8 @@
 
 // Server returns a server by its name, nil for none.
 func (m *Map) Server(name string) *Server {
-	if x := m.validIndex(); x != nil {
-		return x.server(name)
+	if idx := m.validIndex(); idx != nil {
+		return idx.server(name)
 	}
 	for i := range m.Servers {
 		if m.Servers[i].Name == name {
@@ -70,26 +70,26 @@
 
 // tenant returns a tenant, or, where it is not named and the exact one is not asked for, that of all others.
 func (m *Map) tenant(name string, exact bool) *Tenant {
-	if x := m.validIndex(); x != nil {
-		t := x.tenant(name)
+	if idx := m.validIndex(); idx != nil {
+		t := idx.tenant(name)
 		if t == nil && !exact {
-			t = x.tenant("")
+			t = idx.tenant("")
 		}
 		return t
 	}
-	var others *Tenant
+	var defaultTenant *Tenant
 	for i := range m.Tenants {
 		if m.Tenants[i].Name == name {
 			return &m.Tenants[i]
 		}
 		if m.Tenants[i].Name == "" {
-			others = &m.Tenants[i]
+			defaultTenant = &m.Tenants[i]
 		}
 	}
 	if exact {
 		return nil
 	}
-	return others
+	return defaultTenant
 }
 
 // AgreedRate is a tenant's name in the map, "" for all that are not named, and the rate agreed with it, in requests a second. Who
--- a/internal/policy/cells/check.go
+++ b/internal/policy/cells/check.go
@@ -10,27 +10,27 @@
 // Check names the first field that no map can have.
 func (m *Map) Check() error {
 	m = m.Flat()
-	if err := m.checkTop(); err != nil {
+	if err := m.checkVersion(); err != nil {
 		return err
 	}
 	cells, err := m.checkHead()
 	if err != nil {
 		return err
 	}
-	has := func(name string) bool { return cells[name] }
-	if err := m.checkServers(has); err != nil {
+	hasCell := func(name string) bool { return cells[name] }
+	if err := m.checkServers(hasCell); err != nil {
 		return err
 	}
-	names := make(map[string]bool, len(m.Tenants))
+	seenNames := make(map[string]bool, len(m.Tenants))
 	for i := range m.Tenants {
-		if err := m.Tenants[i].check(has, names); err != nil {
+		if err := m.Tenants[i].check(hasCell, seenNames); err != nil {
 			return fmt.Errorf("tenants[%d].%w", i, err)
 		}
 	}
 	return nil
 }
 
-func (m *Map) checkTop() error {
+func (m *Map) checkVersion() error {
 	if m.Version < 1 {
 		return fmt.Errorf("version: under 1: %d", m.Version)
 	}
@@ -40,11 +40,11 @@
 // checkHead checks the times and the cells, and returns the names of these.
 func (m *Map) checkHead() (map[string]bool, error) {
 	for _, f := range []struct {
-		name string
-		d    time.Duration
-		zero bool
+		name      string
+		d         time.Duration
+		allowZero bool
 	}{{"window_ms", m.KeyWindow, false}, {"skew_ms", m.MaxClockSkew, true}, {"lease_ms", m.Lease, false}, {"patience_ms", m.CallerTimeout, false}} {
-		if f.d < 0 || f.d == 0 && !f.zero {
+		if f.d < 0 || f.d == 0 && !f.allowZero {
 			return nil, fmt.Errorf("%s: not above 0: %d", f.name, f.d.Milliseconds())
 		}
 	}
@@ -66,17 +66,17 @@
 	return cells, nil
 }
 
-func (m *Map) checkServers(has func(cell string) bool) error {
-	names, addrs, full := map[string]bool{}, map[string]bool{}, map[string]bool{}
+func (m *Map) checkServers(hasCell func(cell string) bool) error {
+	seenNames, seenAddrs, hasPermanentServer := map[string]bool{}, map[string]bool{}, map[string]bool{}
 	for i := range m.Servers {
 		s := &m.Servers[i]
-		if err := s.check(has, names, addrs); err != nil {
+		if err := s.check(hasCell, seenNames, seenAddrs); err != nil {
 			return fmt.Errorf("servers[%d].%w", i, err)
 		}
-		full[s.Cell] = full[s.Cell] || s.LeavesAt == 0
+		hasPermanentServer[s.Cell] = hasPermanentServer[s.Cell] || s.LeavesAt == 0
 	}
 	for i, c := range m.Cells {
-		if !full[c.Name] {
+		if !hasPermanentServer[c.Name] {
 			return fmt.Errorf("cells[%d]: %q has no server that stays", i, c.Name)
 		}
 	}
@@ -84,33 +84,33 @@
 }
 
 // check names the first field that no server can have beside those whose names and addresses are given, and adds its own.
-func (s *Server) check(has func(cell string) bool, names, addrs map[string]bool) error {
+func (s *Server) check(hasCell func(cell string) bool, seenNames, seenAddrs map[string]bool) error {
 	switch {
 	case s.Name == "":
 		return errors.New("name: missing")
-	case names[s.Name]:
+	case seenNames[s.Name]:
 		return fmt.Errorf("name: %q given twice", s.Name)
 	case s.Addr == "":
 		return errors.New("addr: missing")
-	case addrs[s.Addr]:
+	case seenAddrs[s.Addr]:
 		return fmt.Errorf("addr: %q given twice", s.Addr)
-	case !has(s.Cell):
+	case !hasCell(s.Cell):
 		return fmt.Errorf("cell: no such cell: %q", s.Cell)
 	case !(s.Weight > 0) || math.IsInf(s.Weight, 1):
 		return fmt.Errorf("weight: not above 0: %v", s.Weight)
 	case s.JoinsAt < 0 || s.LeavesAt < 0 || s.LeavesAt > 0 && s.LeavesAt <= s.JoinsAt:
 		return fmt.Errorf("until_ms: not after from_ms: %d", s.LeavesAt)
 	}
-	names[s.Name], addrs[s.Addr] = true, true
+	seenNames[s.Name], seenAddrs[s.Addr] = true, true
 	return nil
 }
 
 // check names the first field that no tenant can have beside those whose names are given, and adds its own.
-func (t *Tenant) check(has func(cell string) bool, names map[string]bool) error {
-	if names[t.Name] {
+func (t *Tenant) check(hasCell func(cell string) bool, seenNames map[string]bool) error {
+	if seenNames[t.Name] {
 		return fmt.Errorf("name: %q given twice", t.Name)
 	}
-	names[t.Name] = true
+	seenNames[t.Name] = true
 	if !(t.Rate >= 0) || math.IsInf(t.Rate, 1) {
 		return fmt.Errorf("rate: not a number of 0 or more: %v", t.Rate)
 	}
@@ -119,7 +119,7 @@
 	}
 	for j, h := range t.Homes {
 		switch {
-		case !has(h.Cell):
+		case !hasCell(h.Cell):
 			return fmt.Errorf("homes[%d].cell: no such cell: %q", j, h.Cell)
 		case h.Shard < 0:
 			return fmt.Errorf("homes[%d].shard: negative: %d", j, h.Shard)
--- a/internal/policy/cells/index.go
+++ b/internal/policy/cells/index.go
@@ -35,7 +35,7 @@
 func TenantPartName(i int) string { return fmt.Sprintf("t%02x", i) }
 
 // part is a part of a map's servers or tenants, sorted by their names. It is never changed, and may be of several maps.
-type part[E any] struct{ list []*E }
+type part[E any] struct{ entries []*E }
 
 // index finds what a request asks a map for. Of a map as it stands in a file it points into the lists there; of one that was
 // joined it is all that there is.
@@ -47,12 +47,12 @@
 	// The lists that it was made of, so that a copy of the map with other ones is not taken for it.
 	firstServer *Server
 	firstTenant *Tenant
-	lengths     [2]int
+	listLengths [2]int
 }
 
 // cellIndex is what a route needs of one.
 type cellIndex struct {
-	inMap       bool      // it stands in the map, not in a server alone
+	declared    bool      // it stands in the map, not in a server alone
 	servers     []*Server // whenever they belong to it: in the file's order, or, of a map that was joined, by name
 	changeTimes []int64   // at which one of them comes or goes, rising, Unix milliseconds
 }
@@ -66,35 +66,35 @@
 }
 
 func newIndex(m *Map) *index {
-	x := &index{lengths: [2]int{len(m.Servers), len(m.Tenants)}}
+	idx := &index{listLengths: [2]int{len(m.Servers), len(m.Tenants)}}
 	if len(m.Servers) > 0 {
-		x.firstServer = &m.Servers[0]
+		idx.firstServer = &m.Servers[0]
 	}
 	if len(m.Tenants) > 0 {
-		x.firstTenant = &m.Tenants[0]
+		idx.firstTenant = &m.Tenants[0]
 	}
-	for i := range x.servers {
-		x.servers[i] = &part[Server]{}
+	for i := range idx.servers {
+		idx.servers[i] = &part[Server]{}
 	}
-	for i := range x.tenants {
-		x.tenants[i] = &part[Tenant]{}
+	for i := range idx.tenants {
+		idx.tenants[i] = &part[Tenant]{}
 	}
 	for i := range m.Servers {
-		p := x.servers[ServerPart(m.Servers[i].Name)]
-		p.list = append(p.list, &m.Servers[i])
+		p := idx.servers[ServerPart(m.Servers[i].Name)]
+		p.entries = append(p.entries, &m.Servers[i])
 	}
 	for i := range m.Tenants {
-		p := x.tenants[TenantPart(m.Tenants[i].Name)]
-		p.list = append(p.list, &m.Tenants[i])
+		p := idx.tenants[TenantPart(m.Tenants[i].Name)]
+		p.entries = append(p.entries, &m.Tenants[i])
 	}
-	for _, p := range x.servers {
-		slices.SortStableFunc(p.list, compareServers)
+	for _, p := range idx.servers {
+		slices.SortStableFunc(p.entries, compareServers)
 	}
-	for _, p := range x.tenants {
-		slices.SortStableFunc(p.list, compareTenants)
+	for _, p := range idx.tenants {
+		slices.SortStableFunc(p.entries, compareTenants)
 	}
-	x.cells = newCellIndex(m.Cells, m.AllServers())
-	return x
+	idx.cells = newCellIndexes(m.Cells, m.AllServers())
+	return idx
 }
 
 func compareServers(a, b *Server) int { return strings.Compare(a.Name, b.Name) }
@@ -102,16 +102,16 @@
 func compareTenants(a, b *Tenant) int { return strings.Compare(a.Name, b.Name) }
 
 // newCellIndex has every server in its cell. It grows with the servers, and is made anew where one of them or a cell has changed.
-func newCellIndex(list []Cell, servers iter.Seq[*Server]) map[string]*cellIndex {
-	all := make(map[string]*cellIndex, len(list))
-	for _, c := range list {
-		all[c.Name] = &cellIndex{inMap: true}
+func newCellIndexes(cells []Cell, servers iter.Seq[*Server]) map[string]*cellIndex {
+	indexes := make(map[string]*cellIndex, len(cells))
+	for _, c := range cells {
+		indexes[c.Name] = &cellIndex{declared: true}
 	}
 	for s := range servers {
-		c := all[s.Cell]
+		c := indexes[s.Cell]
 		if c == nil {
 			c = &cellIndex{}
-			all[s.Cell] = c
+			indexes[s.Cell] = c
 		}
 		c.servers = append(c.servers, s)
 		for _, at := range []int64{s.JoinsAt, s.LeavesAt} {
@@ -120,11 +120,11 @@
 			}
 		}
 	}
-	for _, c := range all {
+	for _, c := range indexes {
 		slices.Sort(c.changeTimes)
 		c.changeTimes = slices.Compact(c.changeTimes)
 	}
-	return all
+	return indexes
 }
 
 // isJoined reports whether the map has its servers and tenants in parts alone.
@@ -134,26 +134,26 @@
 
 // validIndex is the map's index, nil where it has none that is of its lists.
 func (m *Map) validIndex() *index {
-	x := m.index
+	idx := m.index
 	switch {
-	case x == nil || x.joined && !m.isJoined() || x.lengths != [2]int{len(m.Servers), len(m.Tenants)}:
+	case idx == nil || idx.joined && !m.isJoined() || idx.listLengths != [2]int{len(m.Servers), len(m.Tenants)}:
 		return nil
-	case len(m.Servers) > 0 && x.firstServer != &m.Servers[0], len(m.Tenants) > 0 && x.firstTenant != &m.Tenants[0]:
+	case len(m.Servers) > 0 && idx.firstServer != &m.Servers[0], len(m.Tenants) > 0 && idx.firstTenant != &m.Tenants[0]:
 		return nil
 	}
-	return x
+	return idx
 }
 
 // anyIndex is the map's index, or, where it has none, one for a while.
 func (m *Map) anyIndex() *index {
-	if x := m.validIndex(); x != nil {
-		return x
+	if idx := m.validIndex(); idx != nil {
+		return idx
 	}
 	return newIndex(m)
 }
 
-func (x *index) server(name string) *Server {
-	list := x.servers[ServerPart(name)].list
+func (idx *index) server(name string) *Server {
+	list := idx.servers[ServerPart(name)].entries
 	i, found := slices.BinarySearchFunc(list, name, func(s *Server, name string) int { return strings.Compare(s.Name, name) })
 	if !found {
 		return nil
@@ -161,8 +161,8 @@
 	return list[i]
 }
 
-func (x *index) tenant(name string) *Tenant {
-	list := x.tenants[TenantPart(name)].list
+func (idx *index) tenant(name string) *Tenant {
+	list := idx.tenants[TenantPart(name)].entries
 	i, found := slices.BinarySearchFunc(list, name, func(t *Tenant, name string) int { return strings.Compare(t.Name, name) })
 	if !found {
 		return nil
--- a/internal/policy/cells/iterate.go
+++ b/internal/policy/cells/iterate.go
@@ -34,18 +34,18 @@
 		return len(m.Servers), len(m.Tenants)
 	}
 	for _, p := range m.index.servers {
-		servers += len(p.list)
+		servers += len(p.entries)
 	}
 	for _, p := range m.index.tenants {
-		tenants += len(p.list)
+		tenants += len(p.entries)
 	}
 	return servers, tenants
 }
 
 // SameServers reports whether the map shares all its servers with another one, without looking at any.
 func (m *Map) SameServers(other *Map) bool {
-	x, o := m.validIndex(), other.validIndex()
-	return m == other || x != nil && o != nil && x.servers == o.servers
+	idx, otherIdx := m.validIndex(), other.validIndex()
+	return m == other || idx != nil && otherIdx != nil && idx.servers == otherIdx.servers
 }
 
 // Flat is the map with its servers and tenants in lists, as it stands in a file; those of one that was joined are by name. The
@@ -106,7 +106,7 @@
 			if other != nil && other.servers[n] == p {
 				continue
 			}
-			for i, s := range p.list {
+			for i, s := range p.entries {
 				if !yield(position{ServerPartName, n, "servers", i}, s) {
 					return
 				}
@@ -130,7 +130,7 @@
 			if other != nil && other.tenants[n] == p {
 				continue
 			}
-			for i, t := range p.list {
+			for i, t := range p.entries {
 				if !yield(position{TenantPartName, n, "tenants", i}, t) {
 					return
 				}
--- a/internal/policy/cells/join.go
+++ b/internal/policy/cells/join.go
@@ -20,27 +20,27 @@
 // changed is checked, and of the rest what the change can break: with servers or cells it runs over all servers, and over all
 // tenants where a cell is gone; a change of tenants looks at their parts alone, and copies a pointer for each part. An error names the
 // part and the field.
-func Join(old *Map, c Parts) (*Map, error) {
+func Join(old *Map, changes Parts) (*Map, error) {
 	m := newJoined(old)
-	if c.Top != nil {
-		m.Version, m.Epoch = c.Top.Version, c.Top.Epoch
+	if changes.Top != nil {
+		m.Version, m.Epoch = changes.Top.Version, changes.Top.Epoch
 	}
-	if err := m.checkTop(); err != nil {
+	if err := m.checkVersion(); err != nil {
 		return nil, fmt.Errorf("part %s: %w", TopName, err)
 	}
-	hasCell, cellGone, err := m.joinHead(c.Head)
+	hasCell, cellRemoved, err := m.joinHead(changes.Head)
 	if err != nil {
 		return nil, err
 	}
-	if err := m.joinServers(c, hasCell, cellGone); err != nil {
+	if err := m.joinServers(changes, hasCell, cellRemoved); err != nil {
 		return nil, err
 	}
-	if c.Head != nil || len(c.Servers) > 0 || old == nil {
-		if err := m.indexCells(c); err != nil {
+	if changes.Head != nil || len(changes.Servers) > 0 || old == nil {
+		if err := m.indexCells(changes); err != nil {
 			return nil, err
 		}
 	}
-	if err := m.joinTenants(c, hasCell, cellGone); err != nil {
+	if err := m.joinTenants(changes, hasCell, cellRemoved); err != nil {
 		return nil, err
 	}
 	return m, nil
@@ -48,22 +48,22 @@
 
 // newJoined is a map that shares all parts with another one, nil for an empty one.
 func newJoined(old *Map) *Map {
-	m, x := &Map{}, &index{joined: true}
+	m, idx := &Map{}, &index{joined: true}
 	if old != nil {
-		before := old.anyIndex()
+		oldIndex := old.anyIndex()
 		*m = Map{Version: old.Version, Epoch: old.Epoch, KeyWindow: old.KeyWindow, MaxClockSkew: old.MaxClockSkew, Lease: old.Lease,
 			CallerTimeout: old.CallerTimeout, Cells: old.Cells}
-		x.servers, x.tenants, x.cells = before.servers, before.tenants, before.cells
+		idx.servers, idx.tenants, idx.cells = oldIndex.servers, oldIndex.tenants, oldIndex.cells
 	}
-	m.index = x
-	for i, p := range x.servers {
+	m.index = idx
+	for i, p := range idx.servers {
 		if p == nil {
-			x.servers[i] = &part[Server]{}
+			idx.servers[i] = &part[Server]{}
 		}
 	}
-	for i, p := range x.tenants {
+	for i, p := range idx.tenants {
 		if p == nil {
-			x.tenants[i] = &part[Tenant]{}
+			idx.tenants[i] = &part[Tenant]{}
 		}
 	}
 	return m
@@ -71,35 +71,35 @@
 
 // joinHead takes up the times and cells, nil for those of before. It returns which cells there are, and whether one is gone that
 // servers or tenants of unchanged parts may refer to.
-func (m *Map) joinHead(head *Map) (hasCell func(name string) bool, cellGone bool, err error) {
+func (m *Map) joinHead(head *Map) (hasCell func(name string) bool, cellRemoved bool, err error) {
 	if head == nil {
 		return m.index.hasCell, false, nil
 	}
 	m.KeyWindow, m.MaxClockSkew, m.Lease, m.CallerTimeout, m.Cells = head.KeyWindow, head.MaxClockSkew, head.Lease, head.CallerTimeout, head.Cells
-	known, err := m.checkHead()
+	cellNames, err := m.checkHead()
 	if err != nil {
 		return nil, false, fmt.Errorf("part %s: %w", HeadName, err)
 	}
-	for name, before := range m.index.cells {
-		cellGone = cellGone || before.inMap && !known[name]
+	for name, previous := range m.index.cells {
+		cellRemoved = cellRemoved || previous.declared && !cellNames[name]
 	}
-	return func(name string) bool { return known[name] }, cellGone, nil
+	return func(name string) bool { return cellNames[name] }, cellRemoved, nil
 }
 
 // joinServers takes up the parts of servers that have changed. CheckAll has the others be checked too.
-func (m *Map) joinServers(c Parts, hasCell func(name string) bool, checkAll bool) error {
-	x := m.index
-	for i := range x.servers {
-		list, changed := c.Servers[i]
+func (m *Map) joinServers(changes Parts, hasCell func(name string) bool, checkAll bool) error {
+	idx := m.index
+	for i := range idx.servers {
+		list, changed := changes.Servers[i]
 		if changed {
-			x.servers[i] = &part[Server]{pointers(list)}
+			idx.servers[i] = &part[Server]{pointersTo(list)}
 		}
 		if !changed && !checkAll {
 			continue
 		}
-		names, addrs := map[string]bool{}, map[string]bool{}
-		for j, s := range x.servers[i].list {
-			err := s.check(hasCell, names, addrs)
+		seenNames, seenAddrs := map[string]bool{}, map[string]bool{}
+		for j, s := range idx.servers[i].entries {
+			err := s.check(hasCell, seenNames, seenAddrs)
 			if err == nil && ServerPart(s.Name) != i {
 				err = fmt.Errorf("name: %q belongs in part %s", s.Name, ServerPartName(ServerPart(s.Name)))
 			}
@@ -108,26 +108,26 @@
 			}
 		}
 		if changed {
-			slices.SortFunc(x.servers[i].list, compareServers)
+			slices.SortFunc(idx.servers[i].entries, compareServers)
 		}
 	}
 	return nil
 }
 
 // joinTenants is joinServers for tenants.
-func (m *Map) joinTenants(c Parts, hasCell func(name string) bool, checkAll bool) error {
-	x := m.index
-	for i := range x.tenants {
-		list, changed := c.Tenants[i]
+func (m *Map) joinTenants(changes Parts, hasCell func(name string) bool, checkAll bool) error {
+	idx := m.index
+	for i := range idx.tenants {
+		list, changed := changes.Tenants[i]
 		if changed {
-			x.tenants[i] = &part[Tenant]{pointers(list)}
+			idx.tenants[i] = &part[Tenant]{pointersTo(list)}
 		}
 		if !changed && !checkAll {
 			continue
 		}
-		names := make(map[string]bool, len(x.tenants[i].list))
-		for j, t := range x.tenants[i].list {
-			err := t.check(hasCell, names)
+		seenNames := make(map[string]bool, len(idx.tenants[i].entries))
+		for j, t := range idx.tenants[i].entries {
+			err := t.check(hasCell, seenNames)
 			if err == nil && TenantPart(t.Name) != i {
 				err = fmt.Errorf("name: %q belongs in part %s", t.Name, TenantPartName(TenantPart(t.Name)))
 			}
@@ -136,35 +136,35 @@
 			}
 		}
 		if changed {
-			slices.SortFunc(x.tenants[i].list, compareTenants)
+			slices.SortFunc(idx.tenants[i].entries, compareTenants)
 		}
 	}
 	return nil
 }
 
 // indexCells checks what all servers have to have between them, and puts each in its cell.
-func (m *Map) indexCells(c Parts) error {
-	x := m.index
-	addrs := map[string]bool{}
-	for _, changed := range []bool{false, true} { // of two with one address, it is a changed one that is named
-		for i, p := range x.servers {
-			if _, is := c.Servers[i]; is != changed {
+func (m *Map) indexCells(changes Parts) error {
+	idx := m.index
+	seenAddrs := map[string]bool{}
+	for _, wantChanged := range []bool{false, true} { // of two with one address, it is a changed one that is named
+		for i, p := range idx.servers {
+			if _, changed := changes.Servers[i]; changed != wantChanged {
 				continue
 			}
-			for j, s := range p.list {
-				if addrs[s.Addr] {
+			for j, s := range p.entries {
+				if seenAddrs[s.Addr] {
 					return fmt.Errorf("%v.addr: %q given twice", position{ServerPartName, i, "servers", j}, s.Addr)
 				}
-				addrs[s.Addr] = true
+				seenAddrs[s.Addr] = true
 			}
 		}
 	}
-	x.cells = newCellIndex(m.Cells, m.AllServers())
-	for _, c := range x.cells {
+	idx.cells = newCellIndexes(m.Cells, m.AllServers())
+	for _, c := range idx.cells {
 		slices.SortFunc(c.servers, compareServers)
 	}
 	for i, c := range m.Cells {
-		if !slices.ContainsFunc(x.cells[c.Name].servers, func(s *Server) bool { return s.LeavesAt == 0 }) {
+		if !slices.ContainsFunc(idx.cells[c.Name].servers, func(s *Server) bool { return s.LeavesAt == 0 }) {
 			return fmt.Errorf("part %s: cells[%d]: %q has no server that stays", HeadName, i, c.Name)
 		}
 	}
@@ -172,12 +172,12 @@
 }
 
 // hasCell reports whether a cell stands in the map.
-func (x *index) hasCell(cell string) bool {
-	c := x.cells[cell]
-	return c != nil && c.inMap
+func (idx *index) hasCell(cell string) bool {
+	c := idx.cells[cell]
+	return c != nil && c.declared
 }
 
-func pointers[E any](list []E) []*E {
+func pointersTo[E any](list []E) []*E {
 	all := make([]*E, len(list))
 	for i := range list {
 		all[i] = &list[i]
--- a/internal/policy/cells/parts_test.go
+++ b/internal/policy/cells/parts_test.go
@@ -126,7 +126,7 @@
 		case was == nil:
 			add("server %s: new in cell %s from %d", s.Name, s.Cell, s.JoinsAt)
 		case *was != s:
-			add("server %s: %s, was %s", s.Name, s.fields(), was.fields())
+			add("server %s: %s, was %s", s.Name, s.formatFields(), was.formatFields())
 		}
 	}
 	for _, s := range old.Servers {
@@ -201,7 +201,7 @@
 	if key == "" {
 		return r, true
 	}
-	r.Home = highestScore(list, tenant, key).Name
+	r.Home = highestScoring(list, tenant, key).Name
 	least := at - m.OverlapWindow().Milliseconds()
 	var times []int64
 	add := func(when int64) {
@@ -222,7 +222,7 @@
 		if len(before) == 0 {
 			continue
 		}
-		if former := highestScore(before, tenant, key).Name; former != r.Home && !slices.Contains(r.FormerHomes, former) {
+		if former := highestScoring(before, tenant, key).Name; former != r.Home && !slices.Contains(r.FormerHomes, former) {
 			r.FormerHomes = append(r.FormerHomes, former)
 		}
 	}
--- a/internal/policy/cells/plan.go
+++ b/internal/policy/cells/plan.go
@@ -28,20 +28,20 @@
 // Loads returns what every cell carries at a time.
 func (m *Map) Loads(now time.Time) []Load {
 	at := now.UnixMilli()
-	var list []Load
+	var loads []Load
 	for _, c := range m.Cells {
-		l := Load{Cell: c.Name}
+		load := Load{Cell: c.Name}
 		for _, s := range m.activeServers(c.Name, at) {
-			l.Capacity += s.Weight * c.Capacity
+			load.Capacity += s.Weight * c.Capacity
 		}
 		for t := range m.AllTenants() {
 			if t.homeAt(at).Cell == c.Name {
-				l.Rate += t.Rate
+				load.Rate += t.Rate
 			}
 		}
-		list = append(list, l)
+		loads = append(loads, load)
 	}
-	return list
+	return loads
 }
 
 // Plan is a migration that could be made.
@@ -62,49 +62,49 @@
 
 // PlanMove plans a tenant's migration to a cell, and to a shard of so many servers there, 0 for all. It is an error where the target
 // can't carry the tenant or has too few servers for it, or where a migration of it is under way.
-func (m *Map) PlanMove(now time.Time, tenant, to string, shardOf int) (Plan, error) {
-	p := Plan{Tenant: tenant, To: to, Shard: shardOf}
+func (m *Map) PlanMove(now time.Time, tenant, to string, shardSize int) (Plan, error) {
+	p := Plan{Tenant: tenant, To: to, Shard: shardSize}
 	t := m.tenant(tenant, true)
 	if t == nil {
 		return p, fmt.Errorf("tenant %q is not in the map", tenant)
 	}
-	if st := m.moveState(t, now.UnixMilli()); st != Settled {
-		return p, fmt.Errorf("tenant %q: a move is %v", tenant, st)
+	if state := m.moveState(t, now.UnixMilli()); state != Settled {
+		return p, fmt.Errorf("tenant %q: a move is %v", tenant, state)
 	}
 	home := t.homeAt(now.UnixMilli())
 	p.From = home.Cell
 	if !slices.ContainsFunc(m.Cells, func(c Cell) bool { return c.Name == to }) {
 		return p, fmt.Errorf("no such cell: %q", to)
 	}
-	if p.From == to && home.Shard == shardOf {
+	if p.From == to && home.Shard == shardSize {
 		return p, fmt.Errorf("tenant %q lives in cell %s", tenant, to)
 	}
-	if n := len(m.activeServers(to, now.UnixMilli())); shardOf > n {
-		return p, fmt.Errorf("cell %s has %d servers, not %d", to, n, shardOf)
+	if n := len(m.activeServers(to, now.UnixMilli())); shardSize > n {
+		return p, fmt.Errorf("cell %s has %d servers, not %d", to, n, shardSize)
 	}
 	p.At = now.Add(2*m.Lease + m.MaxClockSkew) // a lease for whoever reads the map, and one for whoever can't
 	p.Settled = p.At.Add(m.OverlapWindow() + m.CallerTimeout)
-	p.Next = m.withHome(tenant, Home{Cell: to, Shard: shardOf, Since: p.At.UnixMilli()})
-	pick := func(all []Load) (two []Load) {
-		for _, l := range all {
-			if l.Cell == p.From || l.Cell == to {
-				two = append(two, l)
+	p.Next = m.withNextHome(tenant, Home{Cell: to, Shard: shardSize, Since: p.At.UnixMilli()})
+	selectAffected := func(loads []Load) (affected []Load) {
+		for _, load := range loads {
+			if load.Cell == p.From || load.Cell == to {
+				affected = append(affected, load)
 			}
 		}
-		return two
+		return affected
 	}
-	p.Before, p.After = pick(m.Loads(now)), pick(p.Next.Loads(p.At))
-	for _, l := range p.After {
-		if l.Cell == to && l.Capacity > 0 && l.Utilization() > maxUtilization {
+	p.Before, p.After = selectAffected(m.Loads(now)), selectAffected(p.Next.Loads(p.At))
+	for _, load := range p.After {
+		if load.Cell == to && load.Capacity > 0 && load.Utilization() > maxUtilization {
 			return p, fmt.Errorf("cell %s can't carry it: %.0f of %.0f requests a second would be taken, at most %.0f%% may be",
-				to, l.Rate, l.Capacity, 100*maxUtilization)
+				to, load.Rate, load.Capacity, 100*maxUtilization)
 		}
 	}
 	return p, nil
 }
 
 // withHome is the next map, in which a tenant has one home more.
-func (m *Map) withHome(tenant string, h Home) *Map {
+func (m *Map) withNextHome(tenant string, h Home) *Map {
 	next := m.nextVersion()
 	for i := range next.Tenants {
 		if next.Tenants[i].Name == tenant {
@@ -122,15 +122,15 @@
 		return nil, fmt.Errorf("tenant %q is not in the map", tenant)
 	}
 	last := len(t.Homes) - 1
-	switch st := m.moveState(t, now.UnixMilli()); {
-	case last < 1 || st == Settled || st == Draining:
-		return nil, fmt.Errorf("tenant %q: no move to abort, it is %v", tenant, st)
+	switch state := m.moveState(t, now.UnixMilli()); {
+	case last < 1 || state == Settled || state == Draining:
+		return nil, fmt.Errorf("tenant %q: no move to abort, it is %v", tenant, state)
 	case t.Homes[last].IsAbort:
 		return nil, fmt.Errorf("tenant %q: its move is being aborted", tenant)
 	}
 	earliest := now.Add(2*m.Lease + m.MaxClockSkew).UnixMilli()
 	if t.Homes[last].Since > earliest {
-		next := m.withHome(tenant, Home{})
+		next := m.withNextHome(tenant, Home{})
 		for i := range next.Tenants {
 			if next.Tenants[i].Name == tenant {
 				next.Tenants[i].Homes = next.Tenants[i].Homes[:last]
@@ -138,8 +138,8 @@
 		}
 		return next, nil
 	}
-	back := t.Homes[last-1]
-	return m.withHome(tenant, Home{Cell: back.Cell, Shard: back.Shard, Since: max(earliest, t.Homes[last].Since+1), IsAbort: true}), nil
+	previous := t.Homes[last-1]
+	return m.withNextHome(tenant, Home{Cell: previous.Cell, Shard: previous.Shard, Since: max(earliest, t.Homes[last].Since+1), IsAbort: true}), nil
 }
 
 // PlanRemoval is the next map without a server that is gone: it leaves its cell two leases ahead. It is an error where the cell would be
@@ -152,17 +152,17 @@
 	if s.LeavesAt > 0 {
 		return nil, fmt.Errorf("server %s leaves already", server)
 	}
-	all, stay := 0, 0
-	for o := range m.AllServers() {
-		if o.Cell == s.Cell {
-			all++
-			if o.LeavesAt == 0 && o.Name != server {
-				stay++
+	total, remaining := 0, 0
+	for other := range m.AllServers() {
+		if other.Cell == s.Cell {
+			total++
+			if other.LeavesAt == 0 && other.Name != server {
+				remaining++
 			}
 		}
 	}
-	if stay < 1 || 2*stay < all {
-		return nil, fmt.Errorf("cell %s would be left with %d of %d servers", s.Cell, stay, all)
+	if remaining < 1 || 2*remaining < total {
+		return nil, fmt.Errorf("cell %s would be left with %d of %d servers", s.Cell, remaining, total)
 	}
 	next := m.nextVersion()
 	next.Server(server).LeavesAt = now.Add(2*m.Lease + m.MaxClockSkew).UnixMilli()
@@ -173,15 +173,15 @@
 // migration.
 func (m *Map) Compact(now time.Time) *Map {
 	next := m.nextVersion()
-	keptFrom := now.Add(-m.OverlapWindow() - m.CallerTimeout).UnixMilli()
+	retainedFrom := now.Add(-m.OverlapWindow() - m.CallerTimeout).UnixMilli()
 	for i, t := range next.Tenants {
-		for len(t.Homes) > 1 && t.Homes[1].Since < keptFrom {
+		for len(t.Homes) > 1 && t.Homes[1].Since < retainedFrom {
 			t.Homes = t.Homes[1:]
 			t.Homes = append([]Home{{Cell: t.Homes[0].Cell, Shard: t.Homes[0].Shard, Since: t.Homes[0].Since}}, t.Homes[1:]...)
 		}
 		next.Tenants[i].Homes = t.Homes
 	}
-	next.Servers = slices.DeleteFunc(next.Servers, func(s Server) bool { return s.LeavesAt > 0 && s.LeavesAt < keptFrom })
+	next.Servers = slices.DeleteFunc(next.Servers, func(s Server) bool { return s.LeavesAt > 0 && s.LeavesAt < retainedFrom })
 	return next
 }
 
@@ -189,28 +189,28 @@
 // other: what shuffle sharding keeps small. It grows with the square of the tenants of a cell.
 func (m *Map) Overlap(now time.Time) float64 {
 	at := now.UnixMilli()
-	lists := map[string][][]*Server{} // by cell, of each tenant that lives there
+	serversByCell := map[string][][]*Server{} // by cell, of each tenant that lives there
 	for t := range m.AllTenants() {
 		cell := t.homeAt(at).Cell
-		lists[cell] = append(lists[cell], m.serversOf(t, t.Name, at))
+		serversByCell[cell] = append(serversByCell[cell], m.serversOf(t, t.Name, at))
 	}
-	sum, n := 0.0, 0
+	sum, pairs := 0.0, 0
 	for _, c := range m.Cells {
-		for i, mine := range lists[c.Name] {
-			for j, others := range lists[c.Name] {
+		for i, own := range serversByCell[c.Name] {
+			for j, others := range serversByCell[c.Name] {
 				if i == j {
 					continue
 				}
 				common := 0
 				for _, s := range others {
-					if slices.Contains(mine, s) {
+					if slices.Contains(own, s) {
 						common++
 					}
 				}
-				sum += float64(common) / float64(max(1, len(mine)))
-				n++
+				sum += float64(common) / float64(max(1, len(own)))
+				pairs++
 			}
 		}
 	}
-	return sum / float64(max(1, n))
+	return sum / float64(max(1, pairs))
 }
--- a/internal/policy/cells/route.go
+++ b/internal/policy/cells/route.go
@@ -43,13 +43,13 @@
 	if key == "" {
 		return r, true
 	}
-	r.Home = highestScore(list, tenant, key).Name
-	for _, when := range m.recentChanges(t, at) {
-		before := m.serversOf(t, tenant, when-1)
-		if len(before) == 0 {
+	r.Home = highestScoring(list, tenant, key).Name
+	for _, changedAt := range m.recentChanges(t, at) {
+		formerServers := m.serversOf(t, tenant, changedAt-1)
+		if len(formerServers) == 0 {
 			continue
 		}
-		if former := highestScore(before, tenant, key).Name; former != r.Home && !slices.Contains(r.FormerHomes, former) {
+		if former := highestScoring(formerServers, tenant, key).Name; former != r.Home && !slices.Contains(r.FormerHomes, former) {
 			r.FormerHomes = append(r.FormerHomes, former)
 		}
 	}
@@ -63,29 +63,29 @@
 // recentChanges are the times, the latest first, of the changes that a tenant's keys may come across: within OverlapWindow before a
 // time. Of servers, those of the cells that it has lived in count: others change nothing for it.
 func (m *Map) recentChanges(t *Tenant, at int64) []int64 {
-	after := at - m.OverlapWindow().Milliseconds()
+	windowStart := at - m.OverlapWindow().Milliseconds()
 	var list []int64
-	add := func(when int64) {
-		if when > after && when <= at && when > 0 && !slices.Contains(list, when) {
-			list = append(list, when)
+	addChange := func(changedAt int64) {
+		if changedAt > windowStart && changedAt <= at && changedAt > 0 && !slices.Contains(list, changedAt) {
+			list = append(list, changedAt)
 		}
 	}
 	for _, h := range t.Homes[1:] {
-		add(h.Since)
+		addChange(h.Since)
 	}
-	if x := m.validIndex(); x != nil {
+	if idx := m.validIndex(); idx != nil {
 		for _, h := range t.Homes {
-			if c := x.cells[h.Cell]; c != nil {
-				i, _ := slices.BinarySearch(c.changeTimes, after+1)
+			if c := idx.cells[h.Cell]; c != nil {
+				i, _ := slices.BinarySearch(c.changeTimes, windowStart+1)
 				for ; i < len(c.changeTimes) && c.changeTimes[i] <= at; i++ {
-					add(c.changeTimes[i])
+					addChange(c.changeTimes[i])
 				}
 			}
 		}
 	} else {
 		for i := range m.Servers {
-			add(m.Servers[i].JoinsAt)
-			add(m.Servers[i].LeavesAt)
+			addChange(m.Servers[i].JoinsAt)
+			addChange(m.Servers[i].LeavesAt)
 		}
 	}
 	slices.SortFunc(list, func(a, b int64) int { return cmp.Compare(b, a) })
@@ -93,16 +93,16 @@
 }
 
 // serversOf returns the servers of a tenant at a time.
-func (m *Map) serversOf(t *Tenant, name string, when int64) []*Server {
-	h := t.homeAt(when)
-	return drawShard(name, h.Shard, m.activeServers(h.Cell, when))
+func (m *Map) serversOf(t *Tenant, name string, at int64) []*Server {
+	h := t.homeAt(at)
+	return drawShard(name, h.Shard, m.activeServers(h.Cell, at))
 }
 
 // activeServers are the servers of a cell at a time, of all that ever belong to it. The list is not to be changed.
 func (m *Map) activeServers(cell string, at int64) []*Server {
 	var list []*Server
-	if x := m.validIndex(); x != nil {
-		c := x.cells[cell]
+	if idx := m.validIndex(); idx != nil {
+		c := idx.cells[cell]
 		if c == nil {
 			return nil
 		}
@@ -144,29 +144,29 @@
 
 // drawShard draws a tenant's servers from those of its cell: the first of them by the rendezvous score of its name, so that
 // one server more or less changes at most one of them.
-func drawShard(tenant string, n int, list []*Server) []*Server {
-	if n <= 0 || n >= len(list) {
+func drawShard(tenant string, size int, list []*Server) []*Server {
+	if size <= 0 || size >= len(list) {
 		return list
 	}
-	all := make([]scoredServer, len(list))
+	scored := make([]scoredServer, len(list))
 	for i, s := range list {
-		all[i] = scoredServer{s, rendezvousScore("shard\x00"+tenant, s.Name, s.Weight)}
+		scored[i] = scoredServer{s, rendezvousScore("shard\x00"+tenant, s.Name, s.Weight)}
 	}
-	slices.SortFunc(all, scoredServer.before)
-	drawn := make([]*Server, n)
-	for i := range drawn {
-		drawn[i] = all[i].Server
+	slices.SortFunc(scored, scoredServer.compare)
+	shard := make([]*Server, size)
+	for i := range shard {
+		shard[i] = scored[i].Server
 	}
-	return drawn
+	return shard
 }
 
 // highestScore is the server of a list whose score for a key is the highest.
-func highestScore(list []*Server, tenant, key string) *Server {
+func highestScoring(list []*Server, tenant, key string) *Server {
 	var best *Server
 	highest := 0.0
 	for _, s := range list {
-		if v := rendezvousScore(tenant+"\x00"+key, s.Name, s.Weight); best == nil || v > highest || v == highest && s.Name < best.Name {
-			best, highest = s, v
+		if score := rendezvousScore(tenant+"\x00"+key, s.Name, s.Weight); best == nil || score > highest || score == highest && s.Name < best.Name {
+			best, highest = s, score
 		}
 	}
 	return best
@@ -175,13 +175,13 @@
 // rendezvousScore is a server's rendezvous score for a key: Thaler and Ravishankar, "A Name-Based Mapping Scheme for Rendezvous"
 // (1996), weighted as by Schindelhauer and Schomaker (2005).
 func rendezvousScore(key, server string, weight float64) float64 {
-	var d xxhash.Digest
-	d.Reset()
-	_, _ = d.WriteString(server) // it never fails
-	_, _ = d.WriteString("\x00")
-	_, _ = d.WriteString(key)
-	u := (float64(d.Sum64()>>11) + 0.5) / (1 << 53)
-	return -weight / math.Log(u)
+	var digest xxhash.Digest
+	digest.Reset()
+	_, _ = digest.WriteString(server) // it never fails
+	_, _ = digest.WriteString("\x00")
+	_, _ = digest.WriteString(key)
+	uniform := (float64(digest.Sum64()>>11) + 0.5) / (1 << 53)
+	return -weight / math.Log(uniform)
 }
 
 // scoredServer is a server with its score.
@@ -190,25 +190,25 @@
 	score float64
 }
 
-func (a scoredServer) before(b scoredServer) int {
+func (a scoredServer) compare(b scoredServer) int {
 	return cmp.Or(cmp.Compare(b.score, a.score), strings.Compare(a.Name, b.Name))
 }
 
 // NextChange is the first time after another at which a route may change by the time alone: a server comes or goes, or a tenant
 // moves. ok is false where none is announced. It runs over all cells and tenants.
 func (m *Map) NextChange(after time.Time) (next time.Time, ok bool) {
-	at, first := after.UnixMilli(), int64(math.MaxInt64)
+	at, earliest := after.UnixMilli(), int64(math.MaxInt64)
 	for _, c := range m.anyIndex().cells {
 		if i, _ := slices.BinarySearch(c.changeTimes, at+1); i < len(c.changeTimes) {
-			first = min(first, c.changeTimes[i])
+			earliest = min(earliest, c.changeTimes[i])
 		}
 	}
 	for t := range m.AllTenants() {
 		for _, h := range t.Homes {
 			if h.Since > at {
-				first = min(first, h.Since)
+				earliest = min(earliest, h.Since)
 			}
 		}
 	}
-	return time.UnixMilli(first), first < math.MaxInt64
+	return time.UnixMilli(earliest), earliest < math.MaxInt64
 }
