--- a/internal/policy/cells/check.go
+++ b/internal/policy/cells/check.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Check names the first field that no map can have.
+// Check validates the map. Its error names the first invalid field.
 func (m *Map) Check() error {
 	m = m.Flat()
 	if err := m.checkVersion(); err != nil {
@@ -30,6 +30,7 @@
 	return nil
 }
 
+// checkVersion validates the version.
 func (m *Map) checkVersion() error {
 	if m.Version < 1 {
 		return fmt.Errorf("version: under 1: %d", m.Version)
@@ -37,7 +38,7 @@
 	return nil
 }
 
-// checkHead checks the times and the cells, and returns the names of these.
+// checkHead validates the times and the cells, and returns the set of the cells' names.
 func (m *Map) checkHead() (map[string]bool, error) {
 	for _, f := range []struct {
 		name      string
@@ -66,6 +67,7 @@
 	return cells, nil
 }
 
+// checkServers validates all servers, and checks that every cell has a server that stays.
 func (m *Map) checkServers(hasCell func(cell string) bool) error {
 	seenNames, seenAddrs, hasPermanentServer := map[string]bool{}, map[string]bool{}, map[string]bool{}
 	for i := range m.Servers {
@@ -83,7 +85,8 @@
 	return nil
 }
 
-// check names the first field that no server can have beside those whose names and addresses are given, and adds its own.
+// check validates a server, including that its name and address are not among those seen before, and adds them there. Its error names
+// the first invalid field.
 func (s *Server) check(hasCell func(cell string) bool, seenNames, seenAddrs map[string]bool) error {
 	switch {
 	case s.Name == "":
@@ -105,7 +108,8 @@
 	return nil
 }
 
-// check names the first field that no tenant can have beside those whose names are given, and adds its own.
+// check validates a tenant, including that its name is not among those seen before, and adds it there. Its error names the first
+// invalid field.
 func (t *Tenant) check(hasCell func(cell string) bool, seenNames map[string]bool) error {
 	if seenNames[t.Name] {
 		return fmt.Errorf("name: %q given twice", t.Name)
--- a/internal/policy/cells/diff.go
+++ b/internal/policy/cells/diff.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// Diff names what differs between two maps, a line each, for operators. Parts that they share are not looked at.
+// Diff lists the differences between two maps for operators, one per line. It skips the parts that the maps share.
 func Diff(old, m *Map) []string {
 	if m == old {
 		return nil
@@ -20,7 +20,7 @@
 	return d.lines
 }
 
-// difference is what differs between two maps, as it is found.
+// diffBuilder collects the lines of Diff.
 type diffBuilder struct {
 	old, new               *Map
 	oldIndex, updatedIndex *index
@@ -62,7 +62,8 @@
 	}
 }
 
-// fields are a server's fields as operators' scripts read them from Diff. They stay under these names, whatever the fields' own are.
+// formatFields formats a server's fields for Diff. Operators' scripts read this text, so the names in it stay even where the Go fields
+// have other names.
 func (s *Server) formatFields() string {
 	return fmt.Sprintf("{Name:%s Addr:%s Cell:%s Mgmt:%s Weight:%v From:%d Until:%d}", s.Name, s.Addr, s.Cell, s.AdminAddr, s.Weight, s.JoinsAt, s.LeavesAt)
 }
--- a/internal/policy/cells/follow.go
+++ b/internal/policy/cells/follow.go
@@ -7,20 +7,21 @@
 	"time"
 )
 
-// Which map may follow another. Inputs: both maps, when the old one was last known to be the newest, and the present.
+// Rules for replacing one map by another. Inputs: both maps, the time at which the old one was last confirmed as the newest, and the
+// current time.
 //
-// What has been in force can't be changed, since keys have run where it sent them. What is to come must be announced Lease and
-// MaxClockSkew ahead: a router that has not heard of it has ended the keyed requests of the old map by then, as it sends none once it
-// could not confirm its map for a lease. What ended before a key's repeats are over may be left out. A map that breaks this would have
-// a request with one key run on two servers.
+// Entries that have been in force cannot change, because keyed requests have run where those entries sent them. A future change must be
+// announced Lease and MaxClockSkew ahead: a router that has not received it by then has stopped sending keyed requests by the old map,
+// because it could not confirm its map for a lease. Entries may be removed once no key that ran under them can be repeated. A map that
+// breaks these rules could make one keyed request run on two servers.
 
-// Follows reports, naming the field, why the map can't take the place of another one now. It is called before a map is written, and
-// when one is read.
+// Follows returns nil if the map may replace another one now, else an error that names the field. It is called before a map is written,
+// and when one is read.
 func (m *Map) Follows(old *Map, now time.Time) error { return m.FollowsLate(old, now, now) }
 
-// FollowsLate is Follows for a router that last knew the old map to be the newest at a time, and has sent no keyed requests by it for
-// more than a lease after that: what was announced a lease ahead of then holds for it too, however late it hears of it. Of two maps
-// that share parts it looks at the others alone.
+// FollowsLate is Follows for a router that last confirmed the old map as the newest at confirmedAt, and has sent no keyed requests by it
+// since a lease after that. The router may therefore accept any change that takes effect Lease and MaxClockSkew after confirmedAt or
+// later, however late it receives the map. FollowsLate skips the parts that the maps share.
 func (m *Map) FollowsLate(old *Map, confirmedAt, now time.Time) error {
 	if m == old || m.Version == old.Version && len(Diff(old, m)) == 0 {
 		return nil
@@ -39,7 +40,7 @@
 	return t.checkServers()
 }
 
-// headFollows checks the version, the epoch and the times.
+// checkHeadFollows checks the version, the epoch and the times.
 func (m *Map) checkHeadFollows(old *Map) error {
 	switch {
 	case m.Version <= old.Version:
@@ -54,14 +55,15 @@
 	return nil
 }
 
-// transition is a change from one map to another.
+// transition is the replacement of one map by another.
 type transition struct {
 	from, to               *Map
 	oldIndex, updatedIndex *index
-	earliest               int64 // Unix milliseconds at which something new may come into force
-	retainedFrom           int64 // Unix milliseconds; what ended before may be left out
+	earliest               int64 // Unix milliseconds; the earliest time at which a change may take effect
+	retainedFrom           int64 // Unix milliseconds; entries that ended before this may be removed
 }
 
+// checkTenants checks the tenants that differ between the maps.
 func (t *transition) checkTenants() error {
 	defaultTenant := t.oldIndex.tenant("")
 	for pos, tenant := range t.to.tenantsNotIn(t.oldIndex) {
@@ -87,8 +89,8 @@
 	return nil
 }
 
-// checkNewHomes checks that homes that a tenant did not have are announced in time. A tenant that is named anew may have had its first
-// one from the beginning.
+// checkNewHomes checks that a tenant's new homes are announced early enough. A tenant that the old map did not list may have had its
+// first home from the start.
 func (t *transition) checkNewHomes(pos position, tenant, previous *Tenant) error {
 	for j, h := range tenant.Homes {
 		existed := previous != nil && slices.Contains(previous.Homes, h)
@@ -100,7 +102,7 @@
 	return nil
 }
 
-// checkOldHomes checks that homes that have been in force stay, but for those that ended before keptFrom.
+// checkOldHomes checks that homes that have been in force stay, except those that ended before retainedFrom.
 func (t *transition) checkOldHomes(pos position, tenant, previous *Tenant) error {
 	firstSince := tenant.Homes[0].Since
 	for j, h := range previous.Homes {
@@ -112,6 +114,7 @@
 	return nil
 }
 
+// checkServers checks the servers that differ between the maps.
 func (t *transition) checkServers() error {
 	for pos, s := range t.to.serversNotIn(t.oldIndex) {
 		if err := t.checkServer(pos, s, t.oldIndex.server(s.Name)); err != nil {
@@ -119,7 +122,7 @@
 		}
 	}
 	for _, s := range t.from.serversNotIn(t.updatedIndex) {
-		// One that had left before what may be left out, by a map that was never heard of, is not missed.
+		// A server that stays in the old map may be missing: a map that this router never received can have ended it before retainedFrom.
 		if t.updatedIndex.server(s.Name) == nil && (s.LeavesAt == 0 && t.earliest >= t.retainedFrom || s.LeavesAt >= t.retainedFrom) {
 			return fmt.Errorf("servers: %q is gone, and its keys may come again: set until_ms", s.Name)
 		}
@@ -127,7 +130,8 @@
 	return nil
 }
 
-// checkServer checks a server that is new or has changed. A server that was there for a while keeps all that scores are taken of.
+// checkServer checks a server that is new or has changed. A server that has been in force keeps every field that its rendezvous scores
+// depend on.
 func (t *transition) checkServer(pos position, s, previous *Server) error {
 	switch {
 	case previous == nil:
@@ -142,5 +146,5 @@
 	return nil
 }
 
-// isTooEarly reports whether a time at which a server leaves, 0 for never, comes before a change may take effect.
+// isTooEarly reports whether leavesAt, 0 for never, comes before the earliest time at which a change may take effect.
 func (t *transition) isTooEarly(leavesAt int64) bool { return leavesAt > 0 && leavesAt < t.earliest }
--- a/internal/policy/cells/index.go
+++ b/internal/policy/cells/index.go
@@ -9,62 +9,63 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// A map's servers and tenants stand in parts by the hash of their names. A map that was joined shares all parts but the changed
-// ones with the map before, so that a change costs what changed, and what two maps share need not be compared.
+// Servers and tenants are assigned to parts by the hash of their names. A joined map shares all unchanged parts with the map before it,
+// so the cost of a change depends on the changed parts, and parts that two maps share need no comparison.
 const (
-	ServerParts = 32  // a change of a server sends some 30 others of a fleet of 1,000
-	TenantParts = 256 // a change of a tenant sends some 80 others of 20,000
+	ServerParts = 32  // a change of one server sends about 30 others in a fleet of 1,000
+	TenantParts = 256 // a change of one tenant sends about 80 others of 20,000
 )
 
-// ServerPart is the part that a server of a name stands in.
+// ServerPart returns the number of the part that contains the server with a name.
 func ServerPart(name string) int { return int(xxhash.Sum64String(name) % ServerParts) }
 
-// TenantPart is the part that a tenant of a name stands in.
+// TenantPart returns the number of the part that contains the tenant with a name.
 func TenantPart(name string) int { return int(xxhash.Sum64String(name) % TenantParts) }
 
 // Names of the parts.
 const (
-	TopName  = "top"  // the version and the epoch: they change with every map
+	TopName  = "top"  // the version and the epoch, which change with every map
 	HeadName = "head" // the times and the cells
 )
 
-// ServerPartName is the name of a part of the servers.
+// ServerPartName returns the name of a part of the servers.
 func ServerPartName(i int) string { return fmt.Sprintf("s%02x", i) }
 
-// TenantPartName is the name of a part of the tenants.
+// TenantPartName returns the name of a part of the tenants.
 func TenantPartName(i int) string { return fmt.Sprintf("t%02x", i) }
 
-// part is a part of a map's servers or tenants, sorted by their names. It is never changed, and may be of several maps.
+// part is a part of a map's servers or tenants, sorted by name. It is immutable, and several maps may share it.
 type part[E any] struct{ entries []*E }
 
-// index finds what a request asks a map for. Of a map as it stands in a file it points into the lists there; of one that was
-// joined it is all that there is.
+// index looks up the servers, tenants and cells of a map. For a map from a file it points into the map's lists; for a joined map it is
+// the only storage.
 type index struct {
 	servers [ServerParts]*part[Server]
 	tenants [TenantParts]*part[Tenant]
 	cells   map[string]*cellIndex
 	joined  bool
-	// The lists that it was made of, so that a copy of the map with other ones is not taken for it.
+	// Identity of the lists that the index was built from. A copy of the map with other lists does not use the index.
 	firstServer *Server
 	firstTenant *Tenant
 	listLengths [2]int
 }
 
-// cellIndex is what a route needs of one.
+// cellIndex has the data of one cell that a route needs.
 type cellIndex struct {
-	declared    bool      // it stands in the map, not in a server alone
-	servers     []*Server // whenever they belong to it: in the file's order, or, of a map that was joined, by name
-	changeTimes []int64   // at which one of them comes or goes, rising, Unix milliseconds
+	declared    bool      // the map lists the cell; false: only a server refers to it
+	servers     []*Server // at any time; in the file's order, or by name for a joined map
+	changeTimes []int64   // times at which a server joins or leaves, ascending, Unix milliseconds
 }
 
-// Index has the map, which is not changed from here on, find what it is asked for without running over its lists. It is called
-// before anybody else knows the map; a map without it does the same, slowly.
+// Index builds an index, so that lookups do not search the map's lists. The map must not change afterwards. Index is called before other
+// goroutines use the map. A map without an index gives the same results, more slowly.
 func (m *Map) Index() {
 	if !m.isJoined() {
 		m.index = newIndex(m)
 	}
 }
 
+// newIndex returns an index of the map's lists.
 func newIndex(m *Map) *index {
 	idx := &index{listLengths: [2]int{len(m.Servers), len(m.Tenants)}}
 	if len(m.Servers) > 0 {
@@ -101,7 +102,8 @@
 
 func compareTenants(a, b *Tenant) int { return strings.Compare(a.Name, b.Name) }
 
-// newCellIndex has every server in its cell. It grows with the servers, and is made anew where one of them or a cell has changed.
+// newCellIndexes returns the index of every cell, by name. Its cost grows with the number of servers, and it runs again whenever a server
+// or a cell has changed.
 func newCellIndexes(cells []Cell, servers iter.Seq[*Server]) map[string]*cellIndex {
 	indexes := make(map[string]*cellIndex, len(cells))
 	for _, c := range cells {
@@ -127,12 +129,12 @@
 	return indexes
 }
 
-// isJoined reports whether the map has its servers and tenants in parts alone.
+// isJoined reports whether the map has its servers and tenants only in parts.
 func (m *Map) isJoined() bool {
 	return m.index != nil && m.index.joined && m.Servers == nil && m.Tenants == nil
 }
 
-// validIndex is the map's index, nil where it has none that is of its lists.
+// validIndex returns the map's index, or nil if there is none or it was built from other lists.
 func (m *Map) validIndex() *index {
 	idx := m.index
 	switch {
@@ -144,7 +146,7 @@
 	return idx
 }
 
-// anyIndex is the map's index, or, where it has none, one for a while.
+// anyIndex returns the map's index, or builds a temporary one.
 func (m *Map) anyIndex() *index {
 	if idx := m.validIndex(); idx != nil {
 		return idx
--- a/internal/policy/cells/iterate.go
+++ b/internal/policy/cells/iterate.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// AllServers runs over the servers: in the order of their file, or by the parts of a map that was joined.
+// AllServers iterates over the servers, in the file's order, or part by part for a joined map.
 func (m *Map) AllServers() iter.Seq[*Server] {
 	return func(yield func(*Server) bool) {
 		for _, s := range m.serversNotIn(nil) {
@@ -17,7 +17,7 @@
 	}
 }
 
-// AllTenants runs over the tenants, as AllServers.
+// AllTenants iterates over the tenants, in the same order as AllServers.
 func (m *Map) AllTenants() iter.Seq[*Tenant] {
 	return func(yield func(*Tenant) bool) {
 		for _, t := range m.tenantsNotIn(nil) {
@@ -28,7 +28,7 @@
 	}
 }
 
-// Size is the number of servers and of tenants.
+// Size returns the number of servers and of tenants.
 func (m *Map) Size() (servers, tenants int) {
 	if !m.isJoined() {
 		return len(m.Servers), len(m.Tenants)
@@ -42,14 +42,14 @@
 	return servers, tenants
 }
 
-// SameServers reports whether the map shares all its servers with another one, without looking at any.
+// SameServers reports whether the map shares all parts of its servers with another one. It compares no server.
 func (m *Map) SameServers(other *Map) bool {
 	idx, otherIdx := m.validIndex(), other.validIndex()
 	return m == other || idx != nil && otherIdx != nil && idx.servers == otherIdx.servers
 }
 
-// Flat is the map with its servers and tenants in lists, as it stands in a file; those of one that was joined are by name. The
-// lists are not to be changed.
+// Flat returns the map with its servers and tenants in lists, as in a file. The lists of a joined map are sorted by name. Callers must
+// not change the lists.
 func (m *Map) Flat() *Map {
 	if !m.isJoined() {
 		return m
@@ -67,7 +67,7 @@
 	return &flat
 }
 
-// nextVersion is a copy of the map, of the next version, whose lists may be changed.
+// nextVersion returns a copy of the map with the next version, whose lists may be changed.
 func (m *Map) nextVersion() *Map {
 	next := *m.Flat()
 	next.index = nil
@@ -76,14 +76,15 @@
 	return &next
 }
 
-// position is where an entry of a map stands: in the list of a file, or in that of a part.
+// position locates an entry of a map: its index in a list of the file or of a part.
 type position struct {
-	partName func(int) string // nil: in a file
+	partName func(int) string // nil: the list is in a file
 	number   int
 	list     string
 	index    int
 }
 
+// String formats the position for errors, for example "servers[4]" or "part s0a: servers[0]".
 func (p position) String() string {
 	if p.partName == nil {
 		return fmt.Sprintf("%s[%d]", p.list, p.index)
@@ -91,7 +92,7 @@
 	return fmt.Sprintf("part %s: %s[%d]", p.partName(p.number), p.list, p.index)
 }
 
-// serversNotIn runs over the servers but for those in parts that the map shares with another one.
+// serversNotIn iterates over the servers, except those in parts that the map shares with another index. A nil index excludes none.
 func (m *Map) serversNotIn(other *index) iter.Seq2[position, *Server] {
 	return func(yield func(position, *Server) bool) {
 		if !m.isJoined() {
@@ -115,7 +116,7 @@
 	}
 }
 
-// tenantsNotIn is serversBeside for tenants.
+// tenantsNotIn is serversNotIn for tenants.
 func (m *Map) tenantsNotIn(other *index) iter.Seq2[position, *Tenant] {
 	return func(yield func(position, *Tenant) bool) {
 		if !m.isJoined() {
--- a/internal/policy/cells/join.go
+++ b/internal/policy/cells/join.go
@@ -5,21 +5,21 @@
 	"slices"
 )
 
-// A map in parts. A change of a large map is sent, stored and read part by part; the map that follows shares all other parts with the
-// one before. docs/design/parts.md.
+// Maps in parts. A change of a large map is sent, stored and read part by part, and the new map shares all other parts with the previous
+// one: docs/design/parts.md.
 
-// Parts are parts of a map that take the place of those of another.
+// Parts are the parts of a map that replace those of another map.
 type Parts struct {
-	Top     *Map             // nil, or one with a version and an epoch
-	Head    *Map             // nil, or one with times and cells
-	Servers map[int][]Server // by the number of their part
-	Tenants map[int][]Tenant // by the number of their part
+	Top     *Map             // a map with a version and an epoch; nil: unchanged
+	Head    *Map             // a map with times and cells; nil: unchanged
+	Servers map[int][]Server // by part number
+	Tenants map[int][]Tenant // by part number
 }
 
-// Join returns the map that has these parts in place of those of another, nil for none, and shares the rest with it. What has
-// changed is checked, and of the rest what the change can break: with servers or cells it runs over all servers, and over all
-// tenants where a cell is gone; a change of tenants looks at their parts alone, and copies a pointer for each part. An error names the
-// part and the field.
+// Join returns the map that results from replacing parts of the map old, and shares the other parts with it. A nil old is an empty map.
+// Join validates the replaced parts, and whatever else the change can break: a change of servers or cells visits all servers, and the
+// removal of a cell visits all tenants. A change of tenants visits only the replaced parts, and copies a pointer for each part. An error
+// names the part and the field.
 func Join(old *Map, changes Parts) (*Map, error) {
 	m := newJoined(old)
 	if changes.Top != nil {
@@ -46,7 +46,7 @@
 	return m, nil
 }
 
-// newJoined is a map that shares all parts with another one, nil for an empty one.
+// newJoined returns a joined map that shares all parts with the map old, or an empty one if old is nil.
 func newJoined(old *Map) *Map {
 	m, idx := &Map{}, &index{joined: true}
 	if old != nil {
@@ -69,8 +69,8 @@
 	return m
 }
 
-// joinHead takes up the times and cells, nil for those of before. It returns which cells there are, and whether one is gone that
-// servers or tenants of unchanged parts may refer to.
+// joinHead replaces the times and the cells, unless head is nil. It returns a function that reports whether a cell exists, and whether a
+// cell was removed that servers or tenants of unchanged parts may refer to.
 func (m *Map) joinHead(head *Map) (hasCell func(name string) bool, cellRemoved bool, err error) {
 	if head == nil {
 		return m.index.hasCell, false, nil
@@ -86,7 +86,7 @@
 	return func(name string) bool { return cellNames[name] }, cellRemoved, nil
 }
 
-// joinServers takes up the parts of servers that have changed. CheckAll has the others be checked too.
+// joinServers replaces the changed parts of the servers and validates them. With checkAll it validates the unchanged parts too.
 func (m *Map) joinServers(changes Parts, hasCell func(name string) bool, checkAll bool) error {
 	idx := m.index
 	for i := range idx.servers {
@@ -142,11 +142,12 @@
 	return nil
 }
 
-// indexCells checks what all servers have to have between them, and puts each in its cell.
+// indexCells checks that the addresses of all servers are unique and that every cell has a server that stays, and builds the index of
+// the cells.
 func (m *Map) indexCells(changes Parts) error {
 	idx := m.index
 	seenAddrs := map[string]bool{}
-	for _, wantChanged := range []bool{false, true} { // of two with one address, it is a changed one that is named
+	for _, wantChanged := range []bool{false, true} { // unchanged parts first, so that the error names the changed server
 		for i, p := range idx.servers {
 			if _, changed := changes.Servers[i]; changed != wantChanged {
 				continue
@@ -171,12 +172,13 @@
 	return nil
 }
 
-// hasCell reports whether a cell stands in the map.
+// hasCell reports whether the map lists a cell.
 func (idx *index) hasCell(cell string) bool {
 	c := idx.cells[cell]
 	return c != nil && c.declared
 }
 
+// pointersTo returns pointers to the elements of a list.
 func pointersTo[E any](list []E) []*E {
 	all := make([]*E, len(list))
 	for i := range list {
--- a/internal/policy/cells/plan.go
+++ b/internal/policy/cells/plan.go
@@ -6,18 +6,18 @@
 	"time"
 )
 
-// Plans of changes: what operators and the placement controller may do to a map. Each returns the map that would follow, or an error
-// that names why there is none. Whatever a plan changes comes into force two leases and the clocks' difference after it: a lease for
-// routers that read the map, and one for those that can't and stop.
+// Plans of changes that operators and the placement controller may make to a map. Each returns the next map, or an error with the reason
+// why the change is not possible. A planned change takes effect two leases and MaxClockSkew after the plan: one lease for routers to read
+// the map, and one for routers that cannot read it to stop.
 
-// Load is what a cell has to carry. Commands print it as JSON under these names.
+// Load is the capacity and the agreed load of a cell. Commands print it as JSON with these names.
 type Load struct {
 	Cell     string  `json:"Cell"`
-	Capacity float64 `json:"Capacity"` // requests a second
-	Rate     float64 `json:"Rate"`     // of its tenants, as agreed
+	Capacity float64 `json:"Capacity"` // requests per second
+	Rate     float64 `json:"Rate"`     // sum of the agreed rates of its tenants, requests per second
 }
 
-// Utilization is how much of the capacity is taken.
+// Utilization returns the ratio of the rate to the capacity, or 0 for a cell without capacity.
 func (l Load) Utilization() float64 {
 	if l.Capacity <= 0 {
 		return 0
@@ -25,7 +25,7 @@
 	return l.Rate / l.Capacity
 }
 
-// Loads returns what every cell carries at a time.
+// Loads returns the load of every cell at a time.
 func (m *Map) Loads(now time.Time) []Load {
 	at := now.UnixMilli()
 	var loads []Load
@@ -44,24 +44,24 @@
 	return loads
 }
 
-// Plan is a migration that could be made.
+// Plan is a possible migration of a tenant.
 type Plan struct {
 	Tenant   string
 	From, To string
 	Shard    int
-	At       time.Time // when it comes into force
-	Settled  time.Time // when it is over
-	Before   []Load    // of the two cells
+	At       time.Time // when the migration takes effect
+	Settled  time.Time // when it is complete
+	Before   []Load    // loads of the two cells before and after
 	After    []Load
-	Next     *Map // the map that makes it
+	Next     *Map // the map with the migration
 }
 
-// maxUtilization is the ratio of a cell's capacity that a migration may leave taken: beyond it a server that fails takes the rest of its
-// cell over what it can do.
+// maxUtilization is the highest utilization that a migration may leave in a cell. Beyond it, the failure of one server overloads the
+// rest of the cell.
 const maxUtilization = 0.8
 
-// PlanMove plans a tenant's migration to a cell, and to a shard of so many servers there, 0 for all. It is an error where the target
-// can't carry the tenant or has too few servers for it, or where a migration of it is under way.
+// PlanMove plans the migration of a tenant to a cell, onto a shard of shardSize of its servers, or all of them for 0. It returns an error
+// if the target cell does not have enough capacity or servers, or if a migration of the tenant is in progress.
 func (m *Map) PlanMove(now time.Time, tenant, to string, shardSize int) (Plan, error) {
 	p := Plan{Tenant: tenant, To: to, Shard: shardSize}
 	t := m.tenant(tenant, true)
@@ -82,7 +82,7 @@
 	if n := len(m.activeServers(to, now.UnixMilli())); shardSize > n {
 		return p, fmt.Errorf("cell %s has %d servers, not %d", to, n, shardSize)
 	}
-	p.At = now.Add(2*m.Lease + m.MaxClockSkew) // a lease for whoever reads the map, and one for whoever can't
+	p.At = now.Add(2*m.Lease + m.MaxClockSkew) // one lease to read the map, and one for routers that cannot read it
 	p.Settled = p.At.Add(m.OverlapWindow() + m.CallerTimeout)
 	p.Next = m.withNextHome(tenant, Home{Cell: to, Shard: shardSize, Since: p.At.UnixMilli()})
 	selectAffected := func(loads []Load) (affected []Load) {
@@ -103,7 +103,7 @@
 	return p, nil
 }
 
-// withHome is the next map, in which a tenant has one home more.
+// withNextHome returns the next map, in which a tenant has one more home.
 func (m *Map) withNextHome(tenant string, h Home) *Map {
 	next := m.nextVersion()
 	for i := range next.Tenants {
@@ -114,8 +114,8 @@
 	return next
 }
 
-// PlanAbort plans the way back from a migration that is prepared or in force. One that is prepared is taken out again where there is
-// time for all routers to hear of it; else the way back is a migration of its own, with the same care for repeats.
+// PlanAbort plans the reversal of a migration that is prepared or in force. A prepared migration is removed from the map if all routers
+// can receive that map in time. Otherwise the reversal is itself a migration, with the same guarantees for repeated requests.
 func (m *Map) PlanAbort(now time.Time, tenant string) (*Map, error) {
 	t := m.tenant(tenant, true)
 	if t == nil {
@@ -126,7 +126,7 @@
 	case last < 1 || state == Settled || state == Draining:
 		return nil, fmt.Errorf("tenant %q: no move to abort, it is %v", tenant, state)
 	case t.Homes[last].IsAbort:
-		return nil, fmt.Errorf("tenant %q: its move is being aborted", tenant)
+		return nil, fmt.Errorf("tenant %q: its move is already being aborted", tenant)
 	}
 	earliest := now.Add(2*m.Lease + m.MaxClockSkew).UnixMilli()
 	if t.Homes[last].Since > earliest {
@@ -142,15 +142,15 @@
 	return m.withNextHome(tenant, Home{Cell: previous.Cell, Shard: previous.Shard, Since: max(earliest, t.Homes[last].Since+1), IsAbort: true}), nil
 }
 
-// PlanRemoval is the next map without a server that is gone: it leaves its cell two leases ahead. It is an error where the cell would be
-// left with under half of its servers, as then health says more of the routers that report it than of the servers.
+// PlanRemoval returns the next map, in which a failed server leaves its cell two leases and MaxClockSkew from now. It returns an error if
+// the cell would keep less than half of its servers, because then the failed health checks more likely come from a fault of the routers.
 func (m *Map) PlanRemoval(now time.Time, server string) (*Map, error) {
 	s := m.Server(server)
 	if s == nil {
 		return nil, fmt.Errorf("no such server: %q", server)
 	}
 	if s.LeavesAt > 0 {
-		return nil, fmt.Errorf("server %s leaves already", server)
+		return nil, fmt.Errorf("server %s is already leaving its cell", server)
 	}
 	total, remaining := 0, 0
 	for other := range m.AllServers() {
@@ -169,8 +169,8 @@
 	return next, nil
 }
 
-// Compact is the next map without the homes and servers that no repeat can come from any more. Without it a map would grow with each
-// migration.
+// Compact returns the next map, without the homes and servers whose keyed requests can no longer be repeated. Without it, a map would
+// grow with each migration.
 func (m *Map) Compact(now time.Time) *Map {
 	next := m.nextVersion()
 	retainedFrom := now.Add(-m.OverlapWindow() - m.CallerTimeout).UnixMilli()
@@ -185,11 +185,11 @@
 	return next
 }
 
-// Overlap is, of all pairs of named tenants in one cell, the mean share of its servers that one has in common with the
-// other: what shuffle sharding keeps small. It grows with the square of the tenants of a cell.
+// Overlap returns the mean ratio of a tenant's servers that another tenant also uses, over all ordered pairs of the map's tenants in the
+// same cell. Shuffle sharding keeps this ratio small. The cost grows with the square of the number of tenants in a cell.
 func (m *Map) Overlap(now time.Time) float64 {
 	at := now.UnixMilli()
-	serversByCell := map[string][][]*Server{} // by cell, of each tenant that lives there
+	serversByCell := map[string][][]*Server{} // by cell, the servers of each of its tenants
 	for t := range m.AllTenants() {
 		cell := t.homeAt(at).Cell
 		serversByCell[cell] = append(serversByCell[cell], m.serversOf(t, t.Name, at))
--- a/internal/policy/cells/route.go
+++ b/internal/policy/cells/route.go
@@ -10,22 +10,22 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Homes and routes. Inputs: the map, the time by the router's wall clock, a tenant and an idempotency key. A key's home is the server
-// with the highest rendezvous score for it among the servers of its tenant; these are a shard of the tenant's cell, drawn by scores of
-// the tenant's name. A change of a tenant's cell or servers moves homes: for OverlapWindow after it a key may still be repeated that
-// ran at its former home, so that one is asked before the new home runs it.
+// Homes and routes. Inputs: the map, the time on the router's wall clock, a tenant and an idempotency key. A key's home is the server with
+// the highest rendezvous score for the key among the tenant's servers. These are a shard of the tenant's cell, drawn by rendezvous scores
+// for the tenant's name. A change of a tenant's cell or servers moves homes. For OverlapWindow after the change, a request that ran at the
+// key's former home may still be repeated, so the router asks the former home before the new home runs the request.
 
-// Route is where a request may go.
+// Route is the set of servers that a request may go to.
 type Route struct {
 	Cell        string
-	Servers     []string // those of its tenant, for what needs no home
-	Home        string   // of its key; empty without one
-	FormerHomes []string // which may know the key: to be asked, the latest first, before the home runs it
-	State       State    // of its tenant
+	Servers     []string // servers of the tenant, for requests without a key
+	Home        string   // home of the key; empty without a key
+	FormerHomes []string // servers that may know the key; the router asks them, the latest first, before the home runs the request
+	State       State    // of the tenant's latest migration
 }
 
-// Route tells where a request of a tenant with an idempotency key, empty for none, goes at a time of the router's wall clock. It
-// reports false where the map has no server for it. It is called with each request.
+// Route returns the route of a tenant's request at a time on the router's wall clock. The idempotency key is empty for a request without
+// one. Route reports false if the map has no server for the tenant. It is called for each request.
 func (m *Map) Route(now time.Time, tenant, key string) (r Route, ok bool) {
 	t := m.tenant(tenant, false)
 	if t == nil {
@@ -56,12 +56,12 @@
 	return r, true
 }
 
-// OverlapWindow is how long after a change a key may still be repeated that ran at its former home: its window, from the last run that
-// a router whose clock is behind may have sent there, and as long as its caller waits for it.
+// OverlapWindow returns how long after a change a request that ran at the key's former home may still be repeated. It is the key window,
+// counted from the last run that a router with a slow clock may have sent to the former home, plus the time that a caller waits.
 func (m *Map) OverlapWindow() time.Duration { return m.KeyWindow + m.CallerTimeout + 2*m.MaxClockSkew }
 
-// recentChanges are the times, the latest first, of the changes that a tenant's keys may come across: within OverlapWindow before a
-// time. Of servers, those of the cells that it has lived in count: others change nothing for it.
+// recentChanges returns the times of the changes that can have moved a tenant's keys within OverlapWindow before a time, the latest first.
+// With an index, it considers only servers of the cells that the tenant has been in, because others do not affect it.
 func (m *Map) recentChanges(t *Tenant, at int64) []int64 {
 	windowStart := at - m.OverlapWindow().Milliseconds()
 	var list []int64
@@ -98,7 +98,7 @@
 	return drawShard(name, h.Shard, m.activeServers(h.Cell, at))
 }
 
-// activeServers are the servers of a cell at a time, of all that ever belong to it. The list is not to be changed.
+// activeServers returns the servers that belong to a cell at a time. Callers must not change the list.
 func (m *Map) activeServers(cell string, at int64) []*Server {
 	var list []*Server
 	if idx := m.validIndex(); idx != nil {
@@ -131,7 +131,7 @@
 	return s.JoinsAt <= at && (s.LeavesAt == 0 || at < s.LeavesAt)
 }
 
-// homeAt is a tenant's home at a time.
+// homeAt returns a tenant's home at a time.
 func (t *Tenant) homeAt(at int64) Home {
 	h := t.Homes[0]
 	for _, next := range t.Homes[1:] {
@@ -142,8 +142,8 @@
 	return h
 }
 
-// drawShard draws a tenant's servers from those of its cell: the first of them by the rendezvous score of its name, so that
-// one server more or less changes at most one of them.
+// drawShard selects the given number of a tenant's servers from those of its cell, by their rendezvous scores for the tenant's name.
+// Adding or removing one server of the cell changes at most one server of the shard.
 func drawShard(tenant string, size int, list []*Server) []*Server {
 	if size <= 0 || size >= len(list) {
 		return list
@@ -160,7 +160,7 @@
 	return shard
 }
 
-// highestScore is the server of a list whose score for a key is the highest.
+// highestScoring returns the server with the highest rendezvous score for a tenant's key, or nil for an empty list.
 func highestScoring(list []*Server, tenant, key string) *Server {
 	var best *Server
 	highest := 0.0
@@ -172,30 +172,31 @@
 	return best
 }
 
-// rendezvousScore is a server's rendezvous score for a key: Thaler and Ravishankar, "A Name-Based Mapping Scheme for Rendezvous"
-// (1996), weighted as by Schindelhauer and Schomaker (2005).
+// rendezvousScore returns a server's rendezvous score for a key, after Thaler and Ravishankar, "A Name-Based Mapping Scheme for
+// Rendezvous" (1996), weighted after Schindelhauer and Schomaker (2005).
 func rendezvousScore(key, server string, weight float64) float64 {
 	var digest xxhash.Digest
 	digest.Reset()
-	_, _ = digest.WriteString(server) // it never fails
+	_, _ = digest.WriteString(server) // never fails
 	_, _ = digest.WriteString("\x00")
 	_, _ = digest.WriteString(key)
 	uniform := (float64(digest.Sum64()>>11) + 0.5) / (1 << 53)
 	return -weight / math.Log(uniform)
 }
 
-// scoredServer is a server with its score.
+// scoredServer is a server with its rendezvous score.
 type scoredServer struct {
 	*Server
 	score float64
 }
 
+// compare orders servers by falling score, then by name.
 func (a scoredServer) compare(b scoredServer) int {
 	return cmp.Or(cmp.Compare(b.score, a.score), strings.Compare(a.Name, b.Name))
 }
 
-// NextChange is the first time after another at which a route may change by the time alone: a server comes or goes, or a tenant
-// moves. ok is false where none is announced. It runs over all cells and tenants.
+// NextChange returns the earliest time after the given one at which a route may change without a new map, because a server joins or
+// leaves or a tenant moves. It reports false if no change is announced. It visits all cells and tenants.
 func (m *Map) NextChange(after time.Time) (next time.Time, ok bool) {
 	at, earliest := after.UnixMilli(), int64(math.MaxInt64)
 	for _, c := range m.anyIndex().cells {
