--- a/internal/policy/cells/cells_test.go
+++ b/internal/policy/cells/cells_test.go
@@ -116,58 +116,58 @@
 	if err := p.Next.Follows(m, t0); err != nil {
 		t.Fatal(err)
 	}
-	dual := p.Next.OverlapWindow()
+	overlap := p.Next.OverlapWindow()
 	for _, c := range []struct {
-		after time.Duration
-		state State
-		cell  string
-		asks  int
+		after       time.Duration
+		state       State
+		cell        string
+		formerHomes int
 	}{
-		{-time.Millisecond, Prepared, "a", 0}, {0, Dual, "b", 1}, {dual - time.Millisecond, Dual, "b", 1},
-		{dual, Draining, "b", 0}, {dual + m.CallerTimeout, Settled, "b", 0},
+		{-time.Millisecond, Prepared, "a", 0}, {0, Dual, "b", 1}, {overlap - time.Millisecond, Dual, "b", 1},
+		{overlap, Draining, "b", 0}, {overlap + m.CallerTimeout, Settled, "b", 0},
 	} {
 		r, ok := p.Next.Route(p.At.Add(c.after), "kvizmojster", "key")
-		if !ok || r.State != c.state || r.Cell != c.cell || len(r.FormerHomes) != c.asks {
+		if !ok || r.State != c.state || r.Cell != c.cell || len(r.FormerHomes) != c.formerHomes {
 			t.Errorf("%v after: %+v, want %v in %s", c.after, r, c.state, c.cell)
 		}
-		if c.asks > 0 && m.Server(r.FormerHomes[0]).Cell != "a" || m.Server(r.Home).Cell != c.cell {
+		if c.formerHomes > 0 && m.Server(r.FormerHomes[0]).Cell != "a" || m.Server(r.Home).Cell != c.cell {
 			t.Errorf("%v after: %+v", c.after, r)
 		}
 	}
-	half := p.At.Add(dual / 2)
-	if _, err := p.Next.PlanMove(half, "kvizmojster", "c", 0); err == nil {
+	midway := p.At.Add(overlap / 2)
+	if _, err := p.Next.PlanMove(midway, "kvizmojster", "c", 0); err == nil {
 		t.Error("a second move is planned while one is under way")
 	}
-	back, err := p.Next.PlanAbort(half, "kvizmojster")
+	aborted, err := p.Next.PlanAbort(midway, "kvizmojster")
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := back.Check(); err != nil {
+	if err := aborted.Check(); err != nil {
 		t.Fatal(err)
 	}
-	if err := back.Follows(p.Next, half); err != nil {
+	if err := aborted.Follows(p.Next, midway); err != nil {
 		t.Fatal(err)
 	}
-	r, _ := back.Route(half.Add(2*m.Lease+2*m.MaxClockSkew), "kvizmojster", "key")
+	r, _ := aborted.Route(midway.Add(2*m.Lease+2*m.MaxClockSkew), "kvizmojster", "key")
 	if r.State != Aborted || r.Cell != "a" || len(r.FormerHomes) != 1 || m.Server(r.FormerHomes[0]).Cell != "b" {
 		t.Errorf("aborted: %+v", r)
 	}
-	if _, err := back.PlanAbort(half.Add(2*m.Lease+2*m.MaxClockSkew), "kvizmojster"); err == nil {
+	if _, err := aborted.PlanAbort(midway.Add(2*m.Lease+2*m.MaxClockSkew), "kvizmojster"); err == nil {
 		t.Error("an abort is aborted")
 	}
 	early := t0.Add(-time.Hour)
-	q, err := m.PlanMove(early, "kvizmojster", "b", 0)
+	earlyPlan, err := m.PlanMove(early, "kvizmojster", "b", 0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	q.Next.Tenants[0].Homes[1].Since = t0.UnixMilli()
-	if out, err := q.Next.PlanAbort(early, "kvizmojster"); err != nil || len(out.Tenants[0].Homes) != 1 {
-		t.Errorf("one that is not in force for long is taken out: %+v, %v", out, err)
+	earlyPlan.Next.Tenants[0].Homes[1].Since = t0.UnixMilli()
+	if withdrawn, err := earlyPlan.Next.PlanAbort(early, "kvizmojster"); err != nil || len(withdrawn.Tenants[0].Homes) != 1 {
+		t.Errorf("one that is not in force for long is taken out: %+v, %v", withdrawn, err)
 	}
 	later := p.Settled.Add(time.Second)
-	c := p.Next.Compact(later)
-	if err := c.Check(); err != nil || len(c.Tenants[0].Homes) != 1 || c.Follows(p.Next, later) != nil {
-		t.Errorf("compacted: %+v, %v, %v", c.Tenants[0], err, c.Follows(p.Next, later))
+	compacted := p.Next.Compact(later)
+	if err := compacted.Check(); err != nil || len(compacted.Tenants[0].Homes) != 1 || compacted.Follows(p.Next, later) != nil {
+		t.Errorf("compacted: %+v, %v, %v", compacted.Tenants[0], err, compacted.Follows(p.Next, later))
 	}
 	if d := Diff(m, p.Next); len(d) != 1 || !strings.Contains(d[0], `"kvizmojster": to cell b`) {
 		t.Errorf("diff %q", d)
@@ -202,24 +202,24 @@
 	for i := range m.Servers {
 		m.Servers[i].Cell = "a"
 	}
-	less := *m
-	less.Servers = slices.Clone(m.Servers)
-	less.Servers[3].LeavesAt = t0.UnixMilli()
-	moved, wrong := 0, 0
+	reduced := *m
+	reduced.Servers = slices.Clone(m.Servers)
+	reduced.Servers[3].LeavesAt = t0.UnixMilli()
+	moved, movedFromOthers := 0, 0
 	const keys = 20000
 	for i := range keys {
 		key := fmt.Sprint("key", i)
 		before, _ := m.Route(t0, "kvizmojster", key)
-		after, _ := less.Route(t0, "kvizmojster", key)
+		after, _ := reduced.Route(t0, "kvizmojster", key)
 		if before.Home != after.Home {
 			moved++
 			if before.Home != "s3" {
-				wrong++
+				movedFromOthers++
 			}
 		}
 	}
-	if wrong > 0 || float64(moved)/keys > 1.0/12+0.01 || float64(moved)/keys < 1.0/12-0.01 {
-		t.Errorf("%d of %d keys moved, %d of them from servers that stay", moved, keys, wrong)
+	if movedFromOthers > 0 || float64(moved)/keys > 1.0/12+0.01 || float64(moved)/keys < 1.0/12-0.01 {
+		t.Errorf("%d of %d keys moved, %d of them from servers that stay", moved, keys, movedFromOthers)
 	}
 }
 
@@ -230,8 +230,8 @@
 	for i := range 40 {
 		m.Tenants = append(m.Tenants, Tenant{Name: fmt.Sprint("t", i), Rate: 1, Homes: []Home{{Cell: "a", Shard: 3}}})
 	}
-	if o := m.Overlap(t0); o < 0.15 || o > 0.35 { // by chance 3/12
-		t.Errorf("overlap %v", o)
+	if overlap := m.Overlap(t0); overlap < 0.15 || overlap > 0.35 { // by chance 3/12
+		t.Errorf("overlap %v", overlap)
 	}
 	r, _ := m.Route(t0, "t7", "")
 	if len(r.Servers) != 3 {
@@ -264,9 +264,9 @@
 				next.Servers = append(next.Servers, Server{Name: fmt.Sprint("n", n), Addr: fmt.Sprint("127.0.0.2:", n),
 					Cell: "a", Weight: 1, JoinsAt: at.UnixMilli()})
 			case 2:
-				t0 := &next.Tenants[0]
-				if last := t0.Homes[len(t0.Homes)-1]; last.Since < at.UnixMilli() {
-					t0.Homes = append(slices.Clone(t0.Homes), Home{Cell: rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "cell"), Since: at.UnixMilli()})
+				tenant := &next.Tenants[0]
+				if last := tenant.Homes[len(tenant.Homes)-1]; last.Since < at.UnixMilli() {
+					tenant.Homes = append(slices.Clone(tenant.Homes), Home{Cell: rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "cell"), Since: at.UnixMilli()})
 				}
 			}
 			if next.Check() != nil || next.Follows(m, now) != nil {
@@ -291,11 +291,11 @@
 				t.Fatalf("%v before it lived in %s, which is not asked: %+v", back, former.Home, r)
 			}
 		}
-		quiet := true
+		unchanged := true
 		for _, c := range changes {
-			quiet = quiet && (when.Before(c.at) || when.Sub(c.at) >= m.OverlapWindow())
+			unchanged = unchanged && (when.Before(c.at) || when.Sub(c.at) >= m.OverlapWindow())
 		}
-		if quiet && len(r.FormerHomes) > 0 {
+		if unchanged && len(r.FormerHomes) > 0 {
 			t.Fatalf("nothing has changed of late, and %v are asked", r.FormerHomes)
 		}
 	})
@@ -310,26 +310,26 @@
 		t.Fatal(err)
 	}
 	week := t0.Add(7 * 24 * time.Hour)
-	pruned, err := p.Next.PlanMove(week, "kvizmojster", "a", 0)
+	laterPlan, err := p.Next.PlanMove(week, "kvizmojster", "a", 0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	late := week.Add(24 * time.Hour)
-	if next := pruned.Next; next.FollowsLate(m, t0, late) != nil || p.Next.FollowsLate(m, t0, late) != nil {
-		t.Errorf("announced in time: %v, %v", next.FollowsLate(m, t0, late), p.Next.FollowsLate(m, t0, late))
+	reconnectedAt := week.Add(24 * time.Hour)
+	if next := laterPlan.Next; next.FollowsLate(m, t0, reconnectedAt) != nil || p.Next.FollowsLate(m, t0, reconnectedAt) != nil {
+		t.Errorf("announced in time: %v, %v", next.FollowsLate(m, t0, reconnectedAt), p.Next.FollowsLate(m, t0, reconnectedAt))
 	}
-	if p.Next.Follows(m, late) == nil || p.Next.FollowsLate(m, late, late) == nil {
+	if p.Next.Follows(m, reconnectedAt) == nil || p.Next.FollowsLate(m, reconnectedAt, reconnectedAt) == nil {
 		t.Error("a move is taken up that began while the old map was in force")
 	}
-	gone := *m
-	gone.Version++
-	gone.Servers = gone.Servers[1:]
-	if gone.FollowsLate(m, t0, t0) == nil || gone.FollowsLate(m, t0, late) != nil {
-		t.Errorf("a server that is left out: %v, %v", gone.FollowsLate(m, t0, t0), gone.FollowsLate(m, t0, late))
+	withoutServer := *m
+	withoutServer.Version++
+	withoutServer.Servers = withoutServer.Servers[1:]
+	if withoutServer.FollowsLate(m, t0, t0) == nil || withoutServer.FollowsLate(m, t0, reconnectedAt) != nil {
+		t.Errorf("a server that is left out: %v, %v", withoutServer.FollowsLate(m, t0, t0), withoutServer.FollowsLate(m, t0, reconnectedAt))
 	}
-	back := *m
-	back.Version--
-	if back.FollowsLate(m, t0, late) == nil {
+	older := *m
+	older.Version--
+	if older.FollowsLate(m, t0, reconnectedAt) == nil {
 		t.Error("an older map is taken up")
 	}
 }
--- a/internal/policy/cells/homes_test.go
+++ b/internal/policy/cells/homes_test.go
@@ -57,13 +57,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	a, b := strings.Split(string(want), "\n"), strings.Split(got.String(), "\n")
-	for i := range a {
-		if i >= len(b) || a[i] != b[i] {
-			t.Fatalf("line %d: got %q, want %q", i+1, strings.Join(b[min(i, len(b)):min(i+1, len(b))], ""), a[i])
+	wantLines, gotLines := strings.Split(string(want), "\n"), strings.Split(got.String(), "\n")
+	for i := range wantLines {
+		if i >= len(gotLines) || wantLines[i] != gotLines[i] {
+			t.Fatalf("line %d: got %q, want %q", i+1, strings.Join(gotLines[min(i, len(gotLines)):min(i+1, len(gotLines))], ""), wantLines[i])
 		}
 	}
-	if len(a) != len(b) {
-		t.Errorf("%d lines, want %d", len(b), len(a))
+	if len(wantLines) != len(gotLines) {
+		t.Errorf("%d lines, want %d", len(gotLines), len(wantLines))
 	}
 }
