--- a/internal/policy/cells/cells_test.go
+++ b/internal/policy/cells/cells_test.go
@@ -11,7 +11,7 @@
 	"pgregory.net/rapid"
 )
 
-// Property tests take the same course every time.
+// Property tests use a fixed seed, so that each run draws the same cases.
 func init() {
 	for name, value := range map[string]string{"rapid.seed": "7", "rapid.nofailfile": "true"} {
 		if err := flag.Set(name, value); err != nil {
@@ -22,7 +22,7 @@
 
 var t0 = time.UnixMilli(1_800_000_000_000)
 
-// fleet is a map of n servers in three cells, and four brands.
+// fleet returns a map of n servers in three cells, with three listed tenants and the default entry.
 func fleet(n int) *Map {
 	m := &Map{
 		Version: 1, KeyWindow: 13170 * time.Millisecond, MaxClockSkew: 500 * time.Millisecond, Lease: 5 * time.Second,
@@ -37,6 +37,7 @@
 	return m
 }
 
+// Check names the first invalid field of a map.
 func TestCheck(t *testing.T) {
 	if err := fleet(12).Check(); err != nil {
 		t.Fatal(err)
@@ -67,33 +68,33 @@
 	}
 }
 
-// What has been in force can't be changed, and what is to come is announced a lease ahead.
+// Entries that have been in force cannot change, and future changes must be announced a lease ahead.
 func TestFollows(t *testing.T) {
 	ahead := t0.Add(6 * time.Second).UnixMilli()
 	for name, c := range map[string]struct {
 		change func(m *Map)
 		want   string
 	}{
-		"the same":          {func(m *Map) { m.Version-- }, ""},
-		"older":             {func(m *Map) { m.Version = 0; m.Tenants[0].Rate = 7 }, "version: 0 is not above"},
-		"a move":            {func(m *Map) { m.Tenants[0].Homes = append(m.Tenants[0].Homes, Home{Cell: "b", Since: ahead}) }, ""},
-		"a move at once":    {func(m *Map) { m.Tenants[0].Homes = append(m.Tenants[0].Homes, Home{Cell: "b", Since: ahead - 2000}) }, "tenants[0].homes[1].from_ms: not a lease ahead"},
-		"another past":      {func(m *Map) { m.Tenants[0].Homes = []Home{{Cell: "b"}} }, "tenants[0].homes[0].from_ms: not a lease ahead"},
-		"a tenant gone":     {func(m *Map) { m.Tenants = m.Tenants[1:] }, `tenants: "kvizmojster" is gone`},
-		"a server gone":     {func(m *Map) { m.Servers = m.Servers[1:] }, `servers: "s0" is gone`},
-		"a server ends":     {func(m *Map) { m.Servers[0].LeavesAt = ahead }, ""},
-		"a server ends now": {func(m *Map) { m.Servers[0].LeavesAt = ahead - 3000 }, "servers[0].until_ms: not a lease ahead"},
-		"a server moves":    {func(m *Map) { m.Servers[0].Cell = "b" }, `servers[0]: "s0" changes its cell`},
-		"a server comes": {func(m *Map) {
+		"unchanged":             {func(m *Map) { m.Version-- }, ""},
+		"older":                 {func(m *Map) { m.Version = 0; m.Tenants[0].Rate = 7 }, "version: 0 is not above"},
+		"a move ahead":          {func(m *Map) { m.Tenants[0].Homes = append(m.Tenants[0].Homes, Home{Cell: "b", Since: ahead}) }, ""},
+		"a move at once":        {func(m *Map) { m.Tenants[0].Homes = append(m.Tenants[0].Homes, Home{Cell: "b", Since: ahead - 2000}) }, "tenants[0].homes[1].from_ms: not a lease ahead"},
+		"a changed past home":   {func(m *Map) { m.Tenants[0].Homes = []Home{{Cell: "b"}} }, "tenants[0].homes[0].from_ms: not a lease ahead"},
+		"a tenant removed":      {func(m *Map) { m.Tenants = m.Tenants[1:] }, `tenants: "kvizmojster" is gone`},
+		"a server removed":      {func(m *Map) { m.Servers = m.Servers[1:] }, `servers: "s0" is gone`},
+		"a server leaves":       {func(m *Map) { m.Servers[0].LeavesAt = ahead }, ""},
+		"a server leaves now":   {func(m *Map) { m.Servers[0].LeavesAt = ahead - 3000 }, "servers[0].until_ms: not a lease ahead"},
+		"a server changes cell": {func(m *Map) { m.Servers[0].Cell = "b" }, `servers[0]: "s0" changes its cell`},
+		"a server joins": {func(m *Map) {
 			m.Servers = append(m.Servers, Server{Name: "n", Addr: "127.0.0.1:1", Cell: "a", Weight: 1, JoinsAt: ahead})
 		}, ""},
-		"a server comes now": {func(m *Map) {
+		"a server joins now": {func(m *Map) {
 			m.Servers = append(m.Servers, Server{Name: "n", Addr: "127.0.0.1:1", Cell: "a", Weight: 1, JoinsAt: 0})
 		}, "servers[12].from_ms: not a lease ahead"},
-		"a shorter window":    {func(m *Map) { m.KeyWindow-- }, "window_ms: shorter"},
-		"another lease":       {func(m *Map) { m.Lease-- }, "lease_ms: neither"},
-		"named anew":          {func(m *Map) { m.Tenants = append(m.Tenants, Tenant{"new", 1, []Home{{Cell: "c"}}}) }, ""},
-		"named anew and away": {func(m *Map) { m.Tenants = append(m.Tenants, Tenant{"new", 1, []Home{{Cell: "a"}}}) }, "tenants[4].homes[0]: a tenant that is named anew"},
+		"a shorter window":       {func(m *Map) { m.KeyWindow-- }, "window_ms: shorter"},
+		"a changed lease":        {func(m *Map) { m.Lease-- }, "lease_ms: neither"},
+		"a new tenant":           {func(m *Map) { m.Tenants = append(m.Tenants, Tenant{"new", 1, []Home{{Cell: "c"}}}) }, ""},
+		"a new tenant elsewhere": {func(m *Map) { m.Tenants = append(m.Tenants, Tenant{"new", 1, []Home{{Cell: "a"}}}) }, "tenants[4].homes[0]: a tenant that is named anew"},
 	} {
 		old, m := fleet(12), fleet(12)
 		m.Version = 2
@@ -105,8 +106,8 @@
 	}
 }
 
-// A move goes through its states by the time alone, its keys are asked for where they were as long as they may come
-// again, and an abort half way does the same the other way round.
+// A move passes through its states by the time alone. Former homes are asked for a key as long as its request may be repeated. An abort
+// halfway does the same in the opposite direction.
 func TestMigration(t *testing.T) {
 	m := fleet(12)
 	p, err := m.PlanMove(t0, "kvizmojster", "b", 0)
@@ -128,15 +129,15 @@
 	} {
 		r, ok := p.Next.Route(p.At.Add(c.after), "kvizmojster", "key")
 		if !ok || r.State != c.state || r.Cell != c.cell || len(r.FormerHomes) != c.formerHomes {
-			t.Errorf("%v after: %+v, want %v in %s", c.after, r, c.state, c.cell)
+			t.Errorf("route %v after the move: %+v, want %v in cell %s", c.after, r, c.state, c.cell)
 		}
 		if c.formerHomes > 0 && m.Server(r.FormerHomes[0]).Cell != "a" || m.Server(r.Home).Cell != c.cell {
-			t.Errorf("%v after: %+v", c.after, r)
+			t.Errorf("route %v after the move: homes in the wrong cells: %+v", c.after, r)
 		}
 	}
 	midway := p.At.Add(overlap / 2)
 	if _, err := p.Next.PlanMove(midway, "kvizmojster", "c", 0); err == nil {
-		t.Error("a second move is planned while one is under way")
+		t.Error("PlanMove accepts a second move while one is in progress")
 	}
 	aborted, err := p.Next.PlanAbort(midway, "kvizmojster")
 	if err != nil {
@@ -150,10 +151,10 @@
 	}
 	r, _ := aborted.Route(midway.Add(2*m.Lease+2*m.MaxClockSkew), "kvizmojster", "key")
 	if r.State != Aborted || r.Cell != "a" || len(r.FormerHomes) != 1 || m.Server(r.FormerHomes[0]).Cell != "b" {
-		t.Errorf("aborted: %+v", r)
+		t.Errorf("route after the abort: %+v", r)
 	}
 	if _, err := aborted.PlanAbort(midway.Add(2*m.Lease+2*m.MaxClockSkew), "kvizmojster"); err == nil {
-		t.Error("an abort is aborted")
+		t.Error("PlanAbort accepts the abort of an abort")
 	}
 	early := t0.Add(-time.Hour)
 	earlyPlan, err := m.PlanMove(early, "kvizmojster", "b", 0)
@@ -162,41 +163,41 @@
 	}
 	earlyPlan.Next.Tenants[0].Homes[1].Since = t0.UnixMilli()
 	if withdrawn, err := earlyPlan.Next.PlanAbort(early, "kvizmojster"); err != nil || len(withdrawn.Tenants[0].Homes) != 1 {
-		t.Errorf("one that is not in force for long is taken out: %+v, %v", withdrawn, err)
+		t.Errorf("PlanAbort does not remove a move far in the future: %+v, %v", withdrawn, err)
 	}
 	later := p.Settled.Add(time.Second)
 	compacted := p.Next.Compact(later)
 	if err := compacted.Check(); err != nil || len(compacted.Tenants[0].Homes) != 1 || compacted.Follows(p.Next, later) != nil {
-		t.Errorf("compacted: %+v, %v, %v", compacted.Tenants[0], err, compacted.Follows(p.Next, later))
+		t.Errorf("Compact: %+v, %v, %v", compacted.Tenants[0], err, compacted.Follows(p.Next, later))
 	}
 	if d := Diff(m, p.Next); len(d) != 1 || !strings.Contains(d[0], `"kvizmojster": to cell b`) {
-		t.Errorf("diff %q", d)
+		t.Errorf("Diff returned %q", d)
 	}
 }
 
-// The planner says no to what the target can't carry, and shows both loads.
+// PlanMove refuses a move that exceeds the target's capacity, and returns the loads of both cells.
 func TestPlannerRefuses(t *testing.T) {
-	m := fleet(12) // four servers of 100 a cell
+	m := fleet(12) // four servers per cell, each of capacity 100
 	m.Tenants[0].Rate = 300
 	if _, err := m.PlanMove(t0, "kvizmojster", "b", 0); err == nil || !strings.Contains(err.Error(), "cell b can't carry it: 370 of 400") {
-		t.Errorf("%v", err)
+		t.Errorf("PlanMove beyond the capacity: %v", err)
 	}
 	m.Tenants[0].Rate = 200
 	p, err := m.PlanMove(t0, "kvizmojster", "b", 0)
 	if err != nil || p.Before[0].Rate != 200 || p.After[0].Rate != 0 || p.Before[1].Rate != 70 || p.After[1].Rate != 270 {
-		t.Errorf("%+v, %v", p, err)
+		t.Errorf("PlanMove within the capacity: %+v, %v", p, err)
 	}
 	for _, c := range []struct {
 		tenant, to string
 		shard      int
 	}{{"kvizmojster", "a", 0}, {"nobody", "b", 0}, {"kvizmojster", "x", 0}, {"kvizmojster", "b", 9}} {
 		if _, err := m.PlanMove(t0, c.tenant, c.to, c.shard); err == nil {
-			t.Errorf("%+v is planned", c)
+			t.Errorf("PlanMove accepts %+v", c)
 		}
 	}
 }
 
-// One server of twelve that leaves takes its own keys along and no others: a twelfth and a little.
+// When one of twelve servers leaves, only its own keys move, about a twelfth of all keys.
 func TestKeysMoved(t *testing.T) {
 	m := fleet(12)
 	for i := range m.Servers {
@@ -223,24 +224,24 @@
 	}
 }
 
-// Shuffle sharding keeps what two tenants of a cell have in common small, and is the same wherever it is drawn.
+// Shuffle sharding keeps the share of servers that two tenants of a cell have in common small.
 func TestOverlap(t *testing.T) {
 	m := fleet(36)
 	m.Tenants = nil
 	for i := range 40 {
 		m.Tenants = append(m.Tenants, Tenant{Name: fmt.Sprint("t", i), Rate: 1, Homes: []Home{{Cell: "a", Shard: 3}}})
 	}
-	if overlap := m.Overlap(t0); overlap < 0.15 || overlap > 0.35 { // by chance 3/12
+	if overlap := m.Overlap(t0); overlap < 0.15 || overlap > 0.35 { // the expected value is 3/12
 		t.Errorf("overlap %v", overlap)
 	}
 	r, _ := m.Route(t0, "t7", "")
 	if len(r.Servers) != 3 {
-		t.Errorf("%v", r.Servers)
+		t.Errorf("servers of a shard of 3: %v", r.Servers)
 	}
 }
 
-// Over random maps, moves, servers that come and go, and times: a key has one home, the same for every router; every
-// change of a key's home within the dual stretch is asked about; and out of it nobody is asked.
+// For random maps, moves, joining and leaving servers, and times: a key has exactly one home, the same for every router. Every server that
+// was the key's home within OverlapWindow is asked, and without a change in that time none is.
 func TestProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := fleet(rapid.IntRange(6, 15).Draw(t, "servers"))
@@ -283,12 +284,12 @@
 		}
 		again, _ := m.Route(when, "kvizmojster", key)
 		if r.Home != again.Home || !slices.Contains(r.Servers, r.Home) || slices.Contains(r.FormerHomes, r.Home) {
-			t.Fatalf("%+v and %+v", r, again)
+			t.Fatalf("two routers have routes %+v and %+v", r, again)
 		}
 		for back := time.Duration(1); back < m.OverlapWindow(); back += 97 * time.Millisecond {
 			former, ok := m.Route(when.Add(-back), "kvizmojster", key)
 			if ok && former.Home != r.Home && !slices.Contains(r.FormerHomes, former.Home) {
-				t.Fatalf("%v before it lived in %s, which is not asked: %+v", back, former.Home, r)
+				t.Fatalf("%v earlier the home was %s, which is not asked: %+v", back, former.Home, r)
 			}
 		}
 		unchanged := true
@@ -296,13 +297,13 @@
 			unchanged = unchanged && (when.Before(c.at) || when.Sub(c.at) >= m.OverlapWindow())
 		}
 		if unchanged && len(r.FormerHomes) > 0 {
-			t.Fatalf("nothing has changed of late, and %v are asked", r.FormerHomes)
+			t.Fatalf("nothing changed within the overlap window, but %v are asked", r.FormerHomes)
 		}
 	})
 }
 
-// A router that was away takes up what was announced in time for it, however late it hears of it, and what was pruned since; it
-// does not take what began while it may have sent by the old map.
+// A router that was disconnected accepts changes that were announced in time for it, however late it receives them, and entries that were
+// removed since. It refuses a change that took effect while it may have sent requests by the old map.
 func TestFollowsLate(t *testing.T) {
 	m := fleet(12)
 	p, err := m.PlanMove(t0, "kvizmojster", "b", 0)
@@ -314,22 +315,22 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	reconnectedAt := week.Add(24 * time.Hour)
-	if next := laterPlan.Next; next.FollowsLate(m, t0, reconnectedAt) != nil || p.Next.FollowsLate(m, t0, reconnectedAt) != nil {
-		t.Errorf("announced in time: %v, %v", next.FollowsLate(m, t0, reconnectedAt), p.Next.FollowsLate(m, t0, reconnectedAt))
+	late := week.Add(24 * time.Hour)
+	if next := laterPlan.Next; next.FollowsLate(m, t0, late) != nil || p.Next.FollowsLate(m, t0, late) != nil {
+		t.Errorf("FollowsLate refuses a map announced in time: %v, %v", next.FollowsLate(m, t0, late), p.Next.FollowsLate(m, t0, late))
 	}
-	if p.Next.Follows(m, reconnectedAt) == nil || p.Next.FollowsLate(m, reconnectedAt, reconnectedAt) == nil {
-		t.Error("a move is taken up that began while the old map was in force")
+	if p.Next.Follows(m, late) == nil || p.Next.FollowsLate(m, late, late) == nil {
+		t.Error("a move that began while the old map was in force is accepted")
 	}
 	withoutServer := *m
 	withoutServer.Version++
 	withoutServer.Servers = withoutServer.Servers[1:]
-	if withoutServer.FollowsLate(m, t0, t0) == nil || withoutServer.FollowsLate(m, t0, reconnectedAt) != nil {
-		t.Errorf("a server that is left out: %v, %v", withoutServer.FollowsLate(m, t0, t0), withoutServer.FollowsLate(m, t0, reconnectedAt))
+	if withoutServer.FollowsLate(m, t0, t0) == nil || withoutServer.FollowsLate(m, t0, late) != nil {
+		t.Errorf("removal of a server, in time and late: %v, %v", withoutServer.FollowsLate(m, t0, t0), withoutServer.FollowsLate(m, t0, late))
 	}
 	older := *m
 	older.Version--
-	if older.FollowsLate(m, t0, reconnectedAt) == nil {
-		t.Error("an older map is taken up")
+	if older.FollowsLate(m, t0, late) == nil {
+		t.Error("an older map is accepted")
 	}
 }
--- a/internal/policy/cells/homes_test.go
+++ b/internal/policy/cells/homes_test.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// Two routers agree on the home of a key without talking, also while one is of an older build: were a score or a draw computed
-// otherwise, a keyed request and its repeat would run on two servers. So the routes of 40 keys of five tenants through a move, its abort and
-// servers that come and go stand in testdata as the program gave them before its names were changed.
+// Guards against a build that computes a score or a shard differently: routers of two builds would then disagree on the home of a key, and
+// a keyed request and its repeat would run on two servers. testdata has the routes that an earlier build computed for five keys of six
+// tenants through a move, its abort, and servers that join and leave.
 func TestRoutesStayWhatTheyWere(t *testing.T) {
 	m := &Map{Version: 1, KeyWindow: 10 * time.Second, MaxClockSkew: 500 * time.Millisecond, Lease: 5 * time.Second, CallerTimeout: 4 * time.Second,
 		Cells: []Cell{{"a", 40}, {"b", 40}}}
@@ -64,6 +64,6 @@
 		}
 	}
 	if len(wantLines) != len(gotLines) {
-		t.Errorf("%d lines, want %d", len(gotLines), len(wantLines))
+		t.Errorf("got %d lines, want %d", len(gotLines), len(wantLines))
 	}
 }
--- a/internal/policy/cells/model_test.go
+++ b/internal/policy/cells/model_test.go
@@ -6,16 +6,16 @@
 	"time"
 )
 
-// This file is a model of a keyed request that is tried again and again while its tenant moves, checked over all interleavings:
-// two routers whose clocks differ, three servers, crashes and cold restarts of servers, restarts of routers, answers that
-// get lost. The routes are those of the real Route at three times: before the move, while it is dual, and after.
+// This file checks a model of a keyed request that is attempted repeatedly while its tenant moves, over all interleavings. The model has
+// two routers whose clocks differ, three servers, crashes and cold restarts of servers, restarts of routers, and lost answers. Its routes
+// come from Map.Route at three times: before the move, in the state Dual, and after it.
 
-// rules are those that keep a keyed request from running twice; a test leaves each out on purpose.
+// rules are the rules that keep a keyed request from running twice. A test disables each of them in turn.
 type rules struct {
-	askFormerHome    bool // former homes are asked first
-	recordMiss       bool // one that is asked for what it does not know remembers that, and runs it no more
-	matchStart       bool // an attempt is meant for one start of a server
-	excludeColdStart bool // a server that came back without its keyed requests gets none that it may have run
+	askFormerHome    bool // a router asks the former home first
+	recordMiss       bool // a former home that does not know the key records that it was asked, and does not run the request afterwards
+	matchStart       bool // a server rejects an attempt that was sent to an earlier start of it
+	excludeColdStart bool // a restarted server that lost its keyed requests gets none that it may have run
 }
 
 const (
@@ -23,28 +23,29 @@
 	attemptCount = 3
 )
 
-// modelServer is a server as the model has it.
+// modelServer is the state of a server.
 type modelServer struct {
 	up, ran, missRecorded bool
 	start                 uint8
 }
 
-// modelRouter is a router: what it knows of the servers, and the phase that its clock shows.
+// modelRouter is the state of a router: the phase of the move by its clock, the last start number that it saw of each server, and whether
+// each server may have lost its keyed requests.
 type modelRouter struct {
-	phase       uint8 // 0 before, 1 dual, 2 after
+	phase       uint8 // 0: before the move, 1: Dual, 2: after
 	knownStart  [serverCount]uint8
 	mayHaveLost [serverCount]bool
 }
 
-// modelTry is one try under way.
+// modelAttempt is the state of one attempt of the request.
 type modelAttempt struct {
-	state       uint8 // 0 not begun, 1 to ask, 2 to go home, 3 over
+	state       uint8 // 0: not started, 1: asking the former home, 2: sent to the home, 3: finished
 	router      uint8
-	target      uint8 // the server that it stands before
+	target      uint8 // the server that it is sent to
 	home        uint8
 	hops        uint8
-	startPhase  uint8 // phase of its router then
-	afterAnswer bool  // begun once the keyed request had run and been answered
+	startPhase  uint8 // phase of its router when it started
+	afterAnswer bool  // it started after an earlier attempt was answered
 	result      uint8
 }
 
@@ -54,7 +55,7 @@
 	failed
 )
 
-// model is one state.
+// model is one state of the whole system.
 type model struct {
 	servers             [serverCount]modelServer
 	routers             [2]modelRouter
@@ -63,10 +64,10 @@
 	crashes             uint8
 	routerRestarts      uint8
 	answered            bool
-	attemptedBeforeMove bool // an attempt began before the move
+	attemptedBeforeMove bool // an attempt started before the move
 }
 
-// open reports whether an attempt that began before the move is under way.
+// hasOldAttempt reports whether an attempt that started before the move is still in progress.
 func (m model) hasOldAttempt() bool {
 	for _, t := range m.attempts {
 		if (t.state == 1 || t.state == 2) && t.startPhase == 0 {
@@ -76,9 +77,10 @@
 	return false
 }
 
-// routes are homes and former homes in the three phases, by the real map: former is serversOf for nobody.
+// routes has the key's home and former home in each of the three phases. A former home of serverCount means none.
 type routes struct{ home, former [3]uint8 }
 
+// modelRoutes computes the routes with a map that moves the tenant from cell a to cell b.
 func modelRoutes(t *testing.T) routes {
 	cellMap := fleet(3) // s0 in a, s1 in b, s2 in c
 	cellMap.Tenants[0].Rate = 1
@@ -98,7 +100,7 @@
 	return r
 }
 
-// nexts are the states that may follow one.
+// successors returns the states that can follow a state.
 func (m model) successors(enabled rules, r routes, maxCrashes, maxRestarts uint8) []model {
 	var list []model
 	add := func(change func(n *model)) {
@@ -108,12 +110,12 @@
 	}
 	for i := range m.routers {
 		router := m.routers[i]
-		// Clocks: one router may be ahead of the other by no more than the skew, so both are past the beginning before
-		// either sees the end, and the dual stretch is longer than a caller's patience.
+		// The clocks of the routers differ by at most MaxClockSkew, so both routers are past the start of the overlap before either
+		// sees its end. The overlap is longer than CallerTimeout.
 		if router.phase == 0 || router.phase == 1 && m.routers[1-i].phase >= 1 && !m.hasOldAttempt() {
 			add(func(n *model) { n.routers[i].phase++ })
 		}
-		if m.routerRestarts < maxRestarts { // a router that starts anew learns starts by health checks, and what was lost from them
+		if m.routerRestarts < maxRestarts { // a restarted router learns start numbers and lost keyed requests from health checks
 			add(func(n *model) {
 				n.routerRestarts++
 				for s := range n.servers {
@@ -144,12 +146,12 @@
 		switch attempt.state {
 		case 0:
 			if k > 0 && m.attempts[k-1].state == 0 {
-				continue // tries are alike
+				continue // the attempts are interchangeable
 			}
 			for i := range m.routers {
 				phase := m.routers[i].phase
 				if phase == 2 && (k == 0 || m.attemptedBeforeMove) {
-					continue // first tried after the move, or its window is over: the dual stretch is longer
+					continue // the first attempt is after the move, or the key window has ended, as the overlap is longer
 				}
 				add(func(n *model) {
 					n.attemptedBeforeMove = n.attemptedBeforeMove || phase == 0
@@ -161,7 +163,7 @@
 			}
 		case 1, 2:
 			add(func(n *model) { n.arrive(k, enabled, r) })
-			add(func(n *model) { // the answer, if there is one, is lost on its way
+			add(func(n *model) { // as above, but the answer, if there is one, is lost
 				n.arrive(k, enabled, r)
 				if n.attempts[k].state == 3 {
 					n.attempts[k].result = failed
@@ -173,7 +175,7 @@
 	return list
 }
 
-// step is an attempt's arrival at the server that it stands before, and what its router makes of the answer: Runner.forwardKeyed.
+// arrive delivers an attempt to its target and applies the router's reaction to the answer, as proxy.Runner.forwardKeyed does.
 func (m *model) arrive(k int, enabled rules, r routes) {
 	attempt := &m.attempts[k]
 	router, server := &m.routers[attempt.router], &m.servers[attempt.target]
@@ -195,10 +197,10 @@
 	switch {
 	case server.ran:
 		finish(served)
-	case attempt.state == 1: // unknown
+	case attempt.state == 1: // the former home does not know the key
 		server.missRecorded = server.missRecorded || enabled.recordMiss
 		attempt.state, attempt.target = 2, attempt.home
-	case server.missRecorded: // moved: as another router's clock is ahead
+	case server.missRecorded: // a router whose clock is ahead has asked this server, so the tenant has moved
 		if next := r.home[1]; next != attempt.target && attempt.hops == 0 {
 			attempt.target, attempt.hops = next, 1
 			return
@@ -211,7 +213,8 @@
 	}
 }
 
-// explore visits every state that can come about and returns the first that breaks a property, with their number.
+// explore visits every reachable state. It returns a description of the first one that violates a property, empty for none, and the
+// number of states.
 func explore(enabled rules, r routes, maxCrashes, maxRestarts uint8) (violation string, states int) {
 	initial := model{}
 	for s := range initial.servers {
@@ -223,7 +226,7 @@
 		m := queue[0]
 		queue = queue[1:]
 		if m.runs > 1 {
-			return fmt.Sprintf("a sheet ran %d times: %+v", m.runs, m), len(seen)
+			return fmt.Sprintf("the request ran %d times: %+v", m.runs, m), len(seen)
 		}
 		for _, attempt := range m.attempts {
 			if maxCrashes == 0 && maxRestarts == 0 && attempt.state == 3 && attempt.afterAnswer && attempt.result != served {
@@ -242,37 +245,37 @@
 
 var allRules = rules{askFormerHome: true, recordMiss: true, matchStart: true, excludeColdStart: true}
 
-// Over all interleavings a keyed request never runs twice, and where nothing crashes no repeat of one that was answered is lost.
+// A keyed request never runs twice in any interleaving. Without crashes and restarts, no repeat of an answered request fails.
 func TestModel(t *testing.T) {
 	r := modelRoutes(t)
 	if r.home[0] == r.home[1] || r.former[1] != r.home[0] || r.former[0] != serverCount || r.former[2] != serverCount {
-		t.Fatalf("routes %+v", r)
+		t.Fatalf("unexpected routes: %+v", r)
 	}
 	for _, c := range []struct{ crashes, restarts uint8 }{{0, 0}, {1, 0}, {1, 1}, {2, 0}} {
 		if testing.Short() && c.crashes+c.restarts > 1 {
 			continue
 		}
 		violation, states := explore(allRules, r, c.crashes, c.restarts)
-		t.Logf("%d crashes, %d restarts of routers: %d states", c.crashes, c.restarts, states)
+		t.Logf("%d crashes, %d router restarts: %d states", c.crashes, c.restarts, states)
 		if violation != "" {
 			t.Errorf("%+v: %s", c, violation)
 		}
 	}
 }
 
-// The checker finds the bug when a rule is left out.
+// Guards against a model too weak to notice a missing rule: with any one rule disabled, explore must find a violation.
 func TestModelFindsBugs(t *testing.T) {
 	r := modelRoutes(t)
 	for name, change := range map[string]func(*rules){
-		"former homes are not asked":           func(rs *rules) { rs.askFormerHome = false },
-		"who was asked forgets it":             func(rs *rules) { rs.recordMiss = false },
-		"a try is for any start":               func(rs *rules) { rs.matchStart = false },
-		"who came back cold gets sheets again": func(rs *rules) { rs.excludeColdStart = false },
+		"former homes are not asked":        func(rs *rules) { rs.askFormerHome = false },
+		"a miss is not recorded":            func(rs *rules) { rs.recordMiss = false },
+		"an attempt matches any start":      func(rs *rules) { rs.matchStart = false },
+		"a cold server gets keyed requests": func(rs *rules) { rs.excludeColdStart = false },
 	} {
 		enabled := allRules
 		change(&enabled)
 		if violation, states := explore(enabled, r, 1, 1); violation == "" {
-			t.Errorf("%s: nothing is found in %d states", name, states)
+			t.Errorf("%s: no violation found in %d states", name, states)
 		}
 	}
 }
--- a/internal/policy/cells/parts_test.go
+++ b/internal/policy/cells/parts_test.go
@@ -14,7 +14,7 @@
 	"pgregory.net/rapid"
 )
 
-// ---- The plain way: every list from end to end, as it is written down in docs/design/cells.md ----
+// ---- Reference implementation of docs/design/cells.md: it searches every list from end to end ----
 
 func referenceServer(m *Map, name string) *Server {
 	for i := range m.Servers {
@@ -212,7 +212,7 @@
 	for _, h := range t.Homes[1:] {
 		addChange(h.Since)
 	}
-	for _, s := range m.Servers { // of all cells
+	for _, s := range m.Servers { // of all cells, unlike Map.recentChanges with an index
 		addChange(s.JoinsAt)
 		addChange(s.LeavesAt)
 	}
@@ -250,9 +250,9 @@
 	return sum / float64(max(1, pairs))
 }
 
-// ---- Maps by chance ----
+// ---- Random maps ----
 
-// copied is a map of the same contents that shares nothing with it.
+// deepCopy returns a map with the same contents that shares no memory with the original.
 func deepCopy(m *Map) *Map {
 	copied := *m
 	copied.index = nil
@@ -263,7 +263,7 @@
 	return &copied
 }
 
-// partsOf are all parts of a map in lists.
+// partsOf returns all parts of a map from a file.
 func partsOf(m *Map) Parts {
 	m = deepCopy(m)
 	parts := Parts{Top: m, Head: m, Servers: map[int][]Server{}, Tenants: map[int][]Tenant{}}
@@ -288,7 +288,8 @@
 	return parts
 }
 
-// changed are the parts by which a map differs from the one before.
+// changedParts returns the parts of a map that differ from those of the map before it. The entries of each part are in reverse order, as
+// Join accepts any order.
 func changedParts(old, m *Map) Parts {
 	oldParts, parts := partsOf(old), partsOf(m)
 	if oldParts.Top.Version == parts.Top.Version && oldParts.Top.Epoch == parts.Top.Epoch {
@@ -299,7 +300,7 @@
 	}
 	maps.DeleteFunc(parts.Servers, func(i int, list []Server) bool { return slices.Equal(list, oldParts.Servers[i]) })
 	maps.DeleteFunc(parts.Tenants, func(i int, list []Tenant) bool { return reflect.DeepEqual(list, oldParts.Tenants[i]) })
-	for _, list := range parts.Servers { // in any order
+	for _, list := range parts.Servers { // Join accepts any order
 		slices.Reverse(list)
 	}
 	for _, list := range parts.Tenants {
@@ -308,26 +309,27 @@
 	return parts
 }
 
+// drawMap returns a random map, which may be invalid.
 func drawMap(t *rapid.T) *Map {
 	m := fleet(rapid.IntRange(4, 15).Draw(t, "servers"))
 	for i := range rapid.IntRange(0, 40).Draw(t, "tenants") {
 		cellNames := rapid.SampledFrom([]string{"a", "b", "c"})
 		tenant := Tenant{fmt.Sprint("t", i), 1, []Home{{Cell: cellNames.Draw(t, "cell"), Shard: rapid.IntRange(0, 3).Draw(t, "shard")}}}
 		for n := range rapid.IntRange(0, 2).Draw(t, "moves") {
-			tenant.Homes = append(tenant.Homes, Home{Cell: cellNames.Draw(t, "cell"), Since: t0.UnixMilli() + int64(n*20000+rapid.IntRange(-19000, 0).Draw(t, "from"))})
+			tenant.Homes = append(tenant.Homes, Home{Cell: cellNames.Draw(t, "cell"), Since: t0.UnixMilli() + int64(n*20000+rapid.IntRange(-19000, 0).Draw(t, "since"))})
 		}
 		m.Tenants = append(m.Tenants, tenant)
 	}
-	if rapid.Bool().Draw(t, "all are named") {
+	if rapid.Bool().Draw(t, "no default entry") {
 		m.Tenants = slices.DeleteFunc(m.Tenants, func(t Tenant) bool { return t.Name == "" })
 	}
 	return m
 }
 
-// mutate changes a map by chance, in ways that may be good or not.
+// mutate makes one random change to a map. The result may be invalid.
 func mutate(t *rapid.T, m *Map) {
-	pick := func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "which") }
-	drawTime := func() int64 { return t0.UnixMilli() + int64(rapid.IntRange(-30000, 30000).Draw(t, "when")) }
+	pick := func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "index") }
+	drawTime := func() int64 { return t0.UnixMilli() + int64(rapid.IntRange(-30000, 30000).Draw(t, "time")) }
 	drawCell := func() string {
 		if pick(12) == 0 {
 			return "nowhere"
@@ -352,7 +354,7 @@
 		i := pick(len(m.Cells))
 		name := m.Cells[i].Name
 		m.Cells = slices.Delete(m.Cells, i, i+1)
-		if pick(2) == 0 { // with all that refers to it
+		if pick(2) == 0 { // and everything that refers to the cell
 			m.Servers = slices.DeleteFunc(m.Servers, func(s Server) bool { return s.Cell == name })
 			m.Tenants = slices.DeleteFunc(m.Tenants, func(t Tenant) bool {
 				return slices.ContainsFunc(t.Homes, func(h Home) bool { return h.Cell == name })
@@ -399,16 +401,16 @@
 
 // ---- Properties ----
 
-// Over random maps and changes of them, good and bad: a map that was joined from what changed says, of whether it is good, whether it
-// can follow the one before, what differs and where a request goes, what the plain way says of the whole; and one from a file says it
-// in the same words.
+// For random maps and random valid and invalid changes: a map that Join makes from the changed parts agrees with the reference
+// implementation on validity, on whether it may follow the previous map, on the differences and on every route. A map from a file agrees
+// with the reference implementation letter for letter.
 func TestPartsAreTheWhole(t *testing.T) {
 	valid, invalid, following, notFollowing := 0, 0, 0, 0
 	rapid.Check(t, func(t *rapid.T) {
 		old := drawMap(t)
 		joinedOld, err := Join(nil, partsOf(old))
 		if (err == nil) != (old.Check() == nil) {
-			t.Fatalf("joined: %v, the whole: %v", err, old.Check())
+			t.Fatalf("Join: %v, Check of the whole map: %v", err, old.Check())
 		}
 		if err != nil {
 			return
@@ -423,11 +425,11 @@
 		for _, base := range []*Map{joinedOld, old} {
 			baseKind := "a file"
 			if base == joinedOld {
-				baseKind = "a map in parts"
+				baseKind = "a joined map"
 			}
 			joined, err := Join(base, delta)
 			if (err == nil) != (m.Check() == nil) {
-				t.Fatalf("on %s: joined: %v, the whole: %v", baseKind, err, m.Check())
+				t.Fatalf("based on %s: Join: %v, Check of the whole map: %v", baseKind, err, m.Check())
 			}
 			if err != nil {
 				invalid++
@@ -437,11 +439,11 @@
 			confirmedAt := t0.Add(time.Duration(rapid.IntRange(-60000, 0).Draw(t, "known")) * time.Millisecond)
 			want := referenceFollows(m, old, confirmedAt, t0)
 			for pair, got := range map[string]error{
-				"joined after it": joined.FollowsLate(base, confirmedAt, t0), "joined after the file": joined.FollowsLate(old, confirmedAt, t0),
-				"a file after parts": m.FollowsLate(joinedOld, confirmedAt, t0),
+				"joined follows its base": joined.FollowsLate(base, confirmedAt, t0), "joined follows the file": joined.FollowsLate(old, confirmedAt, t0),
+				"a file follows a joined map": m.FollowsLate(joinedOld, confirmedAt, t0),
 			} {
 				if (got == nil) != (want == nil) {
-					t.Fatalf("on %s, %s: %v, want %v", baseKind, pair, got, want)
+					t.Fatalf("based on %s: %s: %v, want %v", baseKind, pair, got, want)
 				}
 			}
 			if want == nil {
@@ -450,21 +452,21 @@
 				notFollowing++
 			}
 			if got := m.FollowsLate(old, confirmedAt, t0); fmt.Sprint(got) != fmt.Sprint(want) {
-				t.Fatalf("%v, want %v", got, want)
+				t.Fatalf("FollowsLate between files: %v, want %v", got, want)
 			}
 			if got := Diff(old, m); !slices.Equal(got, referenceDiff(old, m)) {
-				t.Fatalf("%q, want %q", got, referenceDiff(old, m))
+				t.Fatalf("Diff between files: %q, want %q", got, referenceDiff(old, m))
 			}
-			for pair, got := range map[string][]string{"from it": Diff(base, joined), "from the file": Diff(old, joined)} {
+			for pair, got := range map[string][]string{"Diff from its base": Diff(base, joined), "Diff from the file": Diff(old, joined)} {
 				if !slices.Equal(slices.Sorted(slices.Values(got)), slices.Sorted(slices.Values(referenceDiff(old, m)))) {
-					t.Fatalf("on %s, %s: %q, want %q", baseKind, pair, got, referenceDiff(old, m))
+					t.Fatalf("based on %s: %s: %q, want %q", baseKind, pair, got, referenceDiff(old, m))
 				}
 			}
-			changedTenants := 0 // of tenants that have to be looked at
+			changedTenants := 0 // number of tenants in changed parts
 			for i := range TenantParts {
 				_, changed := delta.Tenants[i]
 				if shared := joined.index.tenants[i] == base.anyIndex().tenants[i]; shared == changed {
-					t.Fatalf("on %s, part %d: changed %v, shared %v", baseKind, i, changed, shared)
+					t.Fatalf("based on %s: part %d: changed %v, shared %v", baseKind, i, changed, shared)
 				}
 				changedTenants += len(delta.Tenants[i])
 			}
@@ -473,23 +475,23 @@
 				visited++
 			}
 			if visited != changedTenants {
-				t.Fatalf("on %s: %d tenants are looked at, not the %d of the parts that changed", baseKind, visited, changedTenants)
+				t.Fatalf("based on %s: %d tenants are visited, want the %d of the changed parts", baseKind, visited, changedTenants)
 			}
 			if same := joined.SameServers(base); same != (len(delta.Servers) == 0) {
-				t.Fatalf("the same servers: %v, with %d parts of them changed", same, len(delta.Servers))
+				t.Fatalf("SameServers is %v with %d changed parts of servers", same, len(delta.Servers))
 			}
 			flat := joined.Flat()
 			if flat.Check() != nil || len(referenceDiff(m, flat))+len(referenceDiff(flat, m)) > 0 || flat.Version != m.Version || flat.Epoch != m.Epoch {
-				t.Fatalf("flat: %v, %q", flat.Check(), referenceDiff(m, flat))
+				t.Fatalf("Flat: Check: %v, differences: %q", flat.Check(), referenceDiff(m, flat))
 			}
 			if servers, tenants := joined.Size(); servers != len(m.Servers) || tenants != len(m.Tenants) {
-				t.Fatalf("%d servers and %d tenants, of %d and %d", servers, tenants, len(m.Servers), len(m.Tenants))
+				t.Fatalf("Size: %d servers and %d tenants, want %d and %d", servers, tenants, len(m.Servers), len(m.Tenants))
 			}
 			if !compareRoutes(t, m, joined) {
 				return
 			}
 			if want, got := referenceOverlap(m, t0), joined.Overlap(t0); math.Abs(want-got) > 1e-9 {
-				t.Fatalf("overlap %v, want %v", got, want)
+				t.Fatalf("Overlap is %v, want %v", got, want)
 			}
 		}
 		if m.Check() == nil {
@@ -498,10 +500,11 @@
 		}
 	})
 	if valid < 10 || invalid < 10 || following < 10 || notFollowing < 10 {
-		t.Errorf("%d good and %d bad, %d that follow and %d that don't: too few to say anything", valid, invalid, following, notFollowing)
+		t.Errorf("%d valid and %d invalid maps, %d that follow and %d that do not: want at least 10 of each", valid, invalid, following, notFollowing)
 	}
 }
 
+// compareRoutes checks random routes and agreed rates of a map against the reference implementation on m. It fails t on a difference.
 func compareRoutes(t *rapid.T, m, other *Map) bool {
 	for range 5 {
 		tenant := rapid.SampledFrom([]string{"kvizmojster", "krcmarski", "t0", "t7", "t33", "nobody", ""}).Draw(t, "tenant")
@@ -509,22 +512,22 @@
 		now := t0.Add(time.Duration(rapid.IntRange(-60000, 60000).Draw(t, "at")) * time.Millisecond)
 		want, ok := referenceRoute(m, now, tenant, key)
 		got, found := other.Route(now, tenant, key)
-		if other != m { // a map in parts has its servers by their names
+		if other != m { // a joined map lists its servers by name
 			slices.Sort(want.Servers)
 			slices.Sort(got.Servers)
 		}
 		if ok != found || !reflect.DeepEqual(got, want) {
-			t.Fatalf("%q, %q at %v: %+v, %v, want %+v, %v", tenant, key, now.Sub(t0), got, found, want, ok)
+			t.Fatalf("Route of tenant %q, key %q at %v: %+v, %v, want %+v, %v", tenant, key, now.Sub(t0), got, found, want, ok)
 		}
 		name, rate := other.AgreedRate(tenant)
 		if p := referenceTenant(m, tenant, false); p != nil && (p.Name != name || p.Rate != rate) {
-			t.Fatalf("agreed with %q: %q, %v", tenant, name, rate)
+			t.Fatalf("AgreedRate of %q: %q, %v", tenant, name, rate)
 		}
 	}
 	return true
 }
 
-// A part that is no good is named with its field, and the map before is as it was.
+// Join names the part and the field that are invalid, and leaves the previous map unchanged.
 func TestJoinNamesThePart(t *testing.T) {
 	m := fleet(12)
 	old, err := Join(nil, partsOf(m))
@@ -564,15 +567,15 @@
 			Parts{Tenants: map[int][]Tenant{TenantPart("new"): {{"new", 1, []Home{{Cell: "x"}}}}}}},
 	} {
 		if _, err := Join(old, c.parts); err == nil || !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%v, want %s", err, c.want)
+			t.Errorf("Join: %v, want %s", err, c.want)
 		}
 	}
 	if d := referenceDiff(m, old.Flat()); len(d) > 0 || old.FollowsLate(old, t0, t0) != nil {
-		t.Errorf("the map before has changed: %q", d)
+		t.Errorf("the previous map has changed: %q", d)
 	}
 }
 
-// A copy of a map with other lists is not answered from the index of the first.
+// Guards against a copy of a map with other lists that still uses the index of the original.
 func TestCopyHasItsOwnLists(t *testing.T) {
 	m := fleet(12)
 	m.Index()
@@ -580,30 +583,31 @@
 	otherServers.Servers = slices.Clone(m.Servers)
 	otherServers.Servers[0].Weight = 9
 	if s := otherServers.Server("s0"); s == nil || s.Weight != 9 {
-		t.Errorf("%+v", s)
+		t.Errorf("a server of the copy: %+v", s)
 	}
 	otherTenants.Tenants = slices.Clone(m.Tenants)
 	otherTenants.Tenants[0].Rate = 7
 	if _, rate := otherTenants.AgreedRate("kvizmojster"); rate != 7 {
-		t.Errorf("rate %v", rate)
+		t.Errorf("a rate of the copy: %v", rate)
 	}
 	shorter.Servers, shorter.Tenants = m.Servers[:11], m.Tenants[:3]
 	if _, ok := shorter.Route(t0, "nobody", ""); ok || shorter.Server("s11") != nil {
-		t.Error("what was left out is found")
+		t.Error("a removed server or tenant is found")
 	}
 	for _, c := range []*Map{&otherServers, &otherTenants, &shorter} {
 		if c.Follows(m, t0) == nil {
-			t.Error("a map of the same version that differs follows")
+			t.Error("a different map of the same version follows")
 		}
 	}
 	for name, next := range map[string]*Map{"joined": mustJoin(Join(m, Parts{})), "a file": m} {
 		removal, err := next.PlanRemoval(t0, "s0")
 		if err != nil || removal.Server("s0").LeavesAt == 0 || next.Server("s0").LeavesAt != 0 || removal.Check() != nil {
-			t.Errorf("%s: %v, %+v", name, err, next.Server("s0"))
+			t.Errorf("PlanRemoval on %s: %v, %+v", name, err, next.Server("s0"))
 		}
 	}
 }
 
+// mustJoin returns the result of Join and panics on an error.
 func mustJoin(m *Map, err error) *Map {
 	if err != nil {
 		panic(err)
@@ -611,7 +615,7 @@
 	return m
 }
 
-// The next change by the time alone is the first time at which some route may differ.
+// NextChange returns the earliest future time at which a route may change without a new map.
 func TestNextChange(t *testing.T) {
 	m := fleet(12)
 	m.Servers[3].LeavesAt = t0.UnixMilli() + 500
@@ -627,7 +631,7 @@
 			changeTimes, at = append(changeTimes, next.Sub(t0).Milliseconds()), next
 		}
 		if !slices.Equal(changeTimes, []int64{300, 500}) {
-			t.Errorf("%s: %v", name, changeTimes)
+			t.Errorf("%s: NextChange returned the times %v, want 300 and 500", name, changeTimes)
 		}
 	}
 }
