--- a/internal/policy/cells/cells_test.go
+++ b/internal/policy/cells/cells_test.go
@@ -302,8 +302,8 @@
 	})
 }
 
-// A router that was disconnected accepts changes that were announced in time for it, however late it receives them, and entries that were
-// removed since. It refuses a change that took effect while it may have sent requests by the old map.
+// A router that was disconnected accepts changes that were announced in time for it, and removals made in the meantime, however late it
+// receives them. It refuses a change that took effect while it may have sent requests by the old map.
 func TestFollowsLate(t *testing.T) {
 	m := fleet(12)
 	p, err := m.PlanMove(t0, "kvizmojster", "b", 0)
--- a/internal/policy/cells/plan.go
+++ b/internal/policy/cells/plan.go
@@ -48,9 +48,9 @@
 type Plan struct {
 	Tenant   string
 	From, To string
-	Shard    int
+	Shard    int       // number of servers of the shard; 0: all
 	At       time.Time // when the migration takes effect
-	Settled  time.Time // when it is complete
+	Settled  time.Time // when it is over and former homes are not needed any more
 	Before   []Load    // loads of the two cells before and after
 	After    []Load
 	Next     *Map // the map with the migration
