--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -11,32 +11,32 @@
 	"silverpath/internal/transport/msgpackrpc"
 )
 
-// attemptResult is how an attempt ended.
+// attemptResult describes how an attempt ended.
 type attemptResult struct {
 	outcome    loadbalancer.Outcome
 	body       []byte
 	retryAfter time.Duration
-	final      bool   // no other attempt is of use
-	reason     string // of a rejection of a request with a key; core has the reasons
+	final      bool   // a rejection after which no other server is tried
+	reason     string // one of core's Reason constants for a rejected request with a key, else empty
 }
 
-// counterName is the outcome's name in counters: docs/cells.md.
+// counterName returns the outcome's name in metrics, as listed in docs/cells.md.
 func (e attemptResult) counterName() string {
 	return [...]string{"served", "refused", "failed", "broken", "unreachable", "timed_out", "unwritten"}[e.outcome]
 }
 
-// Whether a server may run a request, or only answers where it knows the request's key.
+// Values for the knownOnly parameter of attempt: whether the server may run the request, or answers only if it has a result for its key.
 const (
 	mayRun    = false
 	knownOnly = true
 )
 
-// attempt sends a request to a server and waits for its answer until shortly before its deadline.
+// attempt sends a request to a server and waits for the answer until shortly before the request's deadline.
 func (r *Runner) attempt(q core.Request, name string, knownOnly bool) attemptResult {
 	return r.attemptIn(context.Background(), q, name, knownOnly)
 }
 
-// attemptIn is attempt that ends with a context too, where another attempt's answer is taken.
+// attemptIn is like attempt but also ends when ctx is cancelled, which hedgedAttempt does once the other attempt has succeeded.
 func (r *Runner) attemptIn(ctx context.Context, q core.Request, name string, knownOnly bool) attemptResult {
 	r.mu.Lock()
 	u := r.upstreams[name]
@@ -64,15 +64,15 @@
 		r.noteBackpressure(now, q.Tenant, name, e, fields)
 	}
 	if errors.Is(ctx.Err(), context.Canceled) && e.outcome == loadbalancer.TimedOut {
-		r.balancer.Done(now, name, loadbalancer.Rejected, 0, false) // given up for another attempt's answer: it says nothing of the server
+		r.balancer.Done(now, name, loadbalancer.Rejected, 0, false) // cancelled after the other attempt succeeded: no evidence about this server
 		return e
 	}
 	r.balancer.Done(now, name, e.outcome, time.Since(sentAt), q.Key == "")
 	return e
 }
 
-// noteBackpressure notes what an answer says of the server's capacity, under the lock. A rejection that has a reason is of the request's
-// key, and says nothing of it.
+// recordBackpressure passes the capacity signals of an answer to the load balancer. The caller holds r.mu. The Retry-After of a rejection
+// with a reason is ignored: such a rejection concerns the request's key, not the server's load.
 func (r *Runner) noteBackpressure(now time.Duration, tenant, name string, e attemptResult, fields map[string]string) {
 	credit, _ := strconv.ParseFloat(fields[msgpackrpc.FieldSignal], 64)
 	retryAfter := e.retryAfter
@@ -82,7 +82,7 @@
 	r.balancer.Backpressure(now, r.tenantInMap(tenant), name, credit, retryAfter)
 }
 
-// resultOf is what a server's answer says of an attempt.
+// parseReply converts a server's answer to the result of the attempt.
 func resultOf(a msgpackrpc.Reply) attemptResult {
 	ms, _ := strconv.ParseInt(a.Fields[msgpackrpc.FieldRetryAfter], 10, 64)
 	switch a.Error {
--- a/internal/proxy/change.go
+++ b/internal/proxy/change.go
@@ -15,22 +15,23 @@
 	"silverpath/internal/settings"
 )
 
-// ErrBusy says that another writer of a map is under way, or was stopped in the middle.
+// ErrBusy is returned by Change when another process holds the lock of the map, even if that process is suspended.
 var ErrBusy = errors.New("another change of the map is under way")
 
-// lockPollInterval is how often a writer that waits looks whether it may begin.
+// lockPollInterval is the time between two attempts to take the lock of a map.
 const lockPollInterval = 10 * time.Millisecond
 
-// Change reads a map, has the next one planned, and writes it, with no other writer between: the lock of a file beside
-// the map is held from before it is read until it is replaced. Who finds another writer waits for so long, then gets
-// ErrBusy. A writer that was stopped half way holds the lock, so what it writes when it wakes follows what it read; one that
-// died has let go of it. Plan may return nil for no change.
+// Change reads the map at path, calls plan for the next version, and replaces the file with it. It holds the lock file
+// beside the map from before the read until after the write, so that writers do not interleave. If another writer holds
+// the lock, Change waits up to wait and then returns ErrBusy. A writer that is suspended in between keeps the lock, so
+// the map that it writes on resuming still follows the one that it read; the system releases the lock of a writer that
+// died. If plan returns a nil map, nothing is written.
 func Change(path string, wait time.Duration, plan func(m *cells.Map, now time.Time) (*cells.Map, error)) (*cells.Map, error) {
 	lock, err := lockFileBeside(path, wait)
 	if err != nil {
 		return nil, err
 	}
-	defer lock.Close() // and with it the lock
+	defer lock.Close() // closing the file releases the lock
 	before, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
@@ -50,13 +51,15 @@
 	if err := next.Follows(m, now); err != nil {
 		return nil, err
 	}
-	// Whoever writes by hand knows no lock: what has changed since it was read is not written over.
+	// Manual edits do not take the lock, so a file that has changed since it was read is not overwritten.
 	if after, err := os.ReadFile(path); err != nil || !bytes.Equal(before, after) {
-		return nil, fmt.Errorf("%s: changed by another hand meanwhile: try again", path)
+		return nil, fmt.Errorf("%s: changed by another writer without the lock: try again", path)
 	}
 	return next, WriteMap(path, next)
 }
 
+// lockFileBeside locks the file path.lock and returns it. Closing the file releases the lock. It returns ErrBusy, with the process ID
+// of the lock's owner, if the lock is not free within wait.
 func lockFileBeside(path string, wait time.Duration) (*os.File, error) {
 	f, err := os.OpenFile(path+".lock", os.O_RDWR|os.O_CREATE, 0o644)
 	if err != nil {
@@ -81,7 +84,8 @@
 	}
 }
 
-// writeHolder writes this process's number into a lock file, for whoever finds it locked. Without it the message has no number.
+// writeLockOwner writes this process's ID into a lock file, for the error message of a process that finds it locked. Errors are
+// ignored, as the message is then only without the ID.
 func writeHolder(f *os.File) {
 	_ = f.Truncate(0)
 	_, _ = f.WriteAt([]byte(strconv.Itoa(os.Getpid())), 0)
--- a/internal/proxy/filesource.go
+++ b/internal/proxy/filesource.go
@@ -11,18 +11,19 @@
 	"silverpath/internal/storage/atomicfile"
 )
 
-// FileSource is a map in a file, or the head of a VersionDir, beside a state file that keeps the last good one over a restart of the router.
-// While nothing has changed there, nothing is read: a call of the system and a write of the time cost the same for every map.
+// FileSource loads the map from a file or from the head of a VersionDir. A state file keeps the last valid map across restarts of the
+// router. Loading an unchanged map costs one stat call for each stamp and the write of a timestamp, whatever the size of the map.
 type FileSource struct {
 	path        string
 	state       *stateFile
 	settleTime  time.Duration
-	confirmedAt time.Time   // when the map in force was last read, or found unchanged
-	delivered   *cells.Map  // last
-	stamps      []fileStamp // of what that was read from
+	confirmedAt time.Time   // when the map in force was last read or found unchanged
+	delivered   *cells.Map  // the map that Load returned last
+	stamps      []fileStamp // of the files that delivered was read from
 }
 
-// OpenFileSource returns the source in a file; the state's path is empty where nothing is kept.
+// OpenFileSource returns a source that reads the map at path, a file or a VersionDir. State is the path of the state file; if it is
+// empty, nothing is stored.
 func OpenFileSource(path, state string) (*FileSource, error) {
 	s, err := openStateFile(state)
 	if err != nil {
@@ -34,22 +35,26 @@
 // Close closes the state file.
 func (f *FileSource) Close() error { return f.state.close() }
 
-// Load reads the file. At a start the map of the state file stands for the old one: what is in the file must be able to follow it, and
-// where the file is no good the router goes on with what it had, known to be the newest when it was last read.
+// Load returns the map of the file and the time at which the file was read or found unchanged. If old is nil, the router is starting:
+// the map of the file must then be able to follow the one in the state file. If it can't, or the file is invalid, Load returns the map
+// of the state file and the time of its last confirmation.
 //
-// A file that is there and is the same, in the same place with the same size and times, is not read again: its map is the newest by
-// now, and is the same *cells.Map. Within 2 s of its last change it is read at each call, as another change within one tick of the
-// file system's clock would look the same; a file system that keeps no times, or whose clock is more than 2 s behind, may hide such a
-// second change until the file changes again.
+// A file with the same device, inode, size and times as at the last call is not read again: Load returns the same *cells.Map,
+// confirmed now. Within 2 s of its last change the file is read at each call, as another change within one tick of the file system's
+// clock would leave the same stamp. A file system that stores no times, or whose clock is more than 2 s behind, may hide such a second
+// change until the file changes again.
 func (f *FileSource) Load(old *cells.Map) (*cells.Map, time.Time, error) {
 	return f.load(old, f.confirmedAt)
 }
 
-// LoadOutdated is Load for a router that has gone by an old map beyond its lease.
+// LoadOutdated is like Load, for a router whose map in force was outdated for longer than its lease. It accepts a map that was
+// announced too late for this router.
 func (f *FileSource) LoadOutdated(old *cells.Map) (*cells.Map, time.Time, error) {
 	return f.load(old, time.Time{})
 }
 
+// load implements Load and LoadOutdated. Known is the time at which old was last known to be the newest; the zero time accepts late
+// announcements.
 func (f *FileSource) load(old *cells.Map, known time.Time) (*cells.Map, time.Time, error) {
 	now := time.Now()
 	if old != nil && old == f.delivered && unchanged(f.stamps, f.settleTime) {
@@ -87,8 +92,8 @@
 	return m, now, nil
 }
 
-// stampsFromHead are the stamps that tell whether a map is still the head: of the folder, of the map's file, and of those above it, which
-// are no good, or withdrawn. They are more than two only where there are such.
+// stampsFromHead returns the stamps that show whether m is still the head: those of the folder, of m's file, and of the files of higher
+// versions, which are invalid or withdrawn. Without such files it returns two stamps.
 func (f *FileSource) stampsFromHead(stamps []fileStamp, m *cells.Map) []fileStamp {
 	if !stamps[0].folder {
 		return stamps
@@ -97,7 +102,7 @@
 	return slices.DeleteFunc(stamps, func(l fileStamp) bool { return !l.folder && l.path < head })
 }
 
-// WriteMap replaces a map's file as a whole: whoever reads it finds the old one or the new one, after a loss of power too.
+// WriteMap replaces the map file at path atomically: readers find either the old or the new map, also after a power loss.
 func WriteMap(path string, m *cells.Map) error {
 	return atomicfile.Write(path, settings.FormatCells(m), os.Rename)
 }
--- a/internal/proxy/filestamp.go
+++ b/internal/proxy/filestamp.go
@@ -7,20 +7,20 @@
 	"golang.org/x/sys/unix"
 )
 
-// settleTime is how long after its last change a file's stamp stands for what is in it. Two changes within one tick of the file system's
-// clock (nanoseconds to 10 ms on local disks, 2 s on the coarsest) have the same stamp; a later one does not.
+// settleTime is the age of a file's last change from which an equal stamp proves equal contents. Two changes within one tick of the file
+// system's clock (nanoseconds to 10 ms on local disks, 2 s on the coarsest) leave the same stamp; a later change does not.
 const settleTime = 2 * time.Second
 
-// fileStamp is what the system tells of a file that is not read.
+// fileStamp is the metadata of a file or folder by which a change is detected without reading it.
 type fileStamp struct {
 	path           string
 	dev, ino       uint64
 	size           int64
-	mtime, ctime   int64 // nanoseconds; ctime can't be set back by whoever copies a file with its times
-	folder, recent bool  // recent: it had changed so lately that another change may have the same stamp
+	mtime, ctime   int64 // nanoseconds; unlike mtime, ctime can't be set back by a copy that preserves times
+	folder, recent bool  // recent: changed so shortly before that another change may leave the same stamp
 }
 
-// stampOf is the stamp of a file or folder.
+// stampOf returns the stamp of a file or folder. The stamp is recent if the last change is less than settles ago.
 func stampOf(path string, settles time.Duration) (fileStamp, error) {
 	var s unix.Stat_t
 	now := time.Now()
@@ -30,12 +30,12 @@
 	l := fileStamp{
 		path: path, dev: uint64(s.Dev), ino: s.Ino, size: s.Size, mtime: s.Mtim.Nano(), ctime: s.Ctim.Nano(), folder: s.Mode&unix.S_IFMT == unix.S_IFDIR,
 	}
-	l.recent = now.Sub(time.Unix(0, max(l.mtime, l.ctime))) < settles // so is one from the future, each time
+	l.recent = now.Sub(time.Unix(0, max(l.mtime, l.ctime))) < settles // a time in the future is recent too, at each call
 	return l, nil
 }
 
-// stampsOf are the stamps of a file, or of a VersionDir and the files in it. They are taken before what they are of is read, so that a
-// change meanwhile shows at the next reading.
+// stampsOf returns the stamp of a file, or those of a VersionDir and of the files in it. It is called before the files are read, so that
+// a change during the read is detected at the next load.
 func stampsOf(path string, settles time.Duration) ([]fileStamp, error) {
 	l, err := stampOf(path, settles)
 	if err != nil || !l.folder {
@@ -44,15 +44,15 @@
 	all, s := []fileStamp{l}, VersionDir{path}
 	list, err := s.versions()
 	for _, v := range list {
-		if l, err := stampOf(s.path(v), settles); err == nil { // one that has gone meanwhile shows in the folder's stamp
+		if l, err := stampOf(s.path(v), settles); err == nil { // the removal of a file changes the folder's stamp
 			all = append(all, l)
 		}
 	}
 	return all, err
 }
 
-// unchanged reports whether everything has the stamp that it had, and that may be relied on. It reads nothing, and costs a call of the
-// system for each stamp.
+// unchanged reports whether every file still has its stamp and no stamp is recent. It makes one stat call for each stamp and reads no
+// file.
 func unchanged(stamps []fileStamp, settles time.Duration) bool {
 	for _, was := range stamps {
 		if was.recent {
--- a/internal/proxy/forward.go
+++ b/internal/proxy/forward.go
@@ -8,9 +8,10 @@
 	"silverpath/internal/policy/quota"
 )
 
-// The way of a request: its cell by the map, admission to the cell, then its home or any server of its tenant.
+// The path of a request: the map gives its cell, the request is admitted to the cell, and then it goes to its home or to any server of
+// its tenant.
 
-// route is one request's way through the fleet, from the map to its answer.
+// route routes a request by the map in force, admits it to its cell, forwards it, and returns the answer.
 func (r *Runner) route(q core.Request, class silverpath.Class) (a core.Answer) {
 	m := r.current.Load()
 	keyed := class.Effect == silverpath.Idempotent && q.Key != ""
@@ -23,7 +24,7 @@
 		return r.reject("no_cell")
 	}
 	if !r.admit(m, q.Tenant, route) {
-		if keyed { // another router may have forwarded an attempt of it, and only its home can tell
+		if keyed { // an attempt may have been forwarded by another router, so it can't be rejected as never run
 			return r.fail("over_share")
 		}
 		return r.reject("over_share")
@@ -32,19 +33,19 @@
 	if keyed {
 		return r.forwardToHome(q, m, route)
 	}
-	// A request of an idempotent class that has no key can't be told from another one: it is retried only on proof that it never ran,
-	// like whatever must run at most once.
+	// Without a key, a server can't recognise a repeat, even of an idempotent class: such a request is retried only on proof that it
+	// never ran, like one of a non-idempotent class.
 	return r.forwardAnywhere(q, route, class.Effect == silverpath.Safe)
 }
 
-// admit reports whether a tenant may send one more request into its cell: within the quota that this router was lent, where routers
-// share the cell, and within the tenant's share of the cell's window.
+// admit reports whether a tenant may send one more request to its cell. The request must be within this router's quota, if routers share
+// cells, and within the tenant's share of the cell's window. An admitted request has to be ended by done.
 func (r *Runner) admit(m *mapInForce, tenant string, route cells.Route) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	name, rate := m.AgreedRate(tenant)
 	if r.quota != nil {
-		// By what this router was lent of the tenant's rate, in place of what was agreed for all routers.
+		// The rate that was granted to this router replaces the agreed one, which is for all routers together.
 		k, now := quota.Key{Cell: route.Cell, Tenant: name}, r.leaseClock()
 		if !r.quota.Admit(now, k) {
 			return false
@@ -54,13 +55,14 @@
 	return r.tenants.Admit(r.clock(), route.Cell, name, rate, len(route.Servers))
 }
 
-// tenantInMap is a tenant's name as the map has it, which bounds how many there are. It is called under the lock.
+// tenantInMap returns the name under which the map lists a tenant. State per tenant uses this name, so that its size is bounded by the
+// map. The caller holds r.mu.
 func (r *Runner) tenantInMap(tenant string) string {
 	name, _ := r.current.Load().AgreedRate(tenant)
 	return name
 }
 
-// done ends what admit let in. A failure says nothing of the cell's capacity.
+// done releases a request that admit has admitted, and records its outcome. A failure does not change the cell's window.
 func (r *Runner) done(m *mapInForce, tenant string, route cells.Route, a core.Answer) {
 	o := loadbalancer.Failed
 	switch a.Outcome {
@@ -75,19 +77,19 @@
 	r.tenants.Done(r.clock(), route.Cell, name, o)
 }
 
-// reject rejects a request, which has not run, and counts why.
+// reject returns the rejection of a request that has not run, and counts it under why.
 func (r *Runner) reject(why string) core.Answer {
 	r.stats.Inc("fleet", "refused", why)
 	return core.Answer{Outcome: core.Rejected, RetryAfter: r.events.RetryAfter()}
 }
 
-// fail fails a request, which may have run, and counts why.
+// fail returns the failure of a request that may have run, and counts it under why.
 func (r *Runner) fail(why string) core.Answer {
 	r.stats.Inc("fleet", "failed", why)
 	return core.Answer{Outcome: core.Failed}
 }
 
-// failOutdated is fail where a server knows of a newer map, by which the request may have to run elsewhere.
+// failOutdated is like fail, for a server that has seen a newer map, by which the request may belong to another home.
 func (r *Runner) failOutdated(why string) core.Answer {
 	a := r.fail(why)
 	a.Reason = core.ReasonBehind
--- a/internal/proxy/groupsource.go
+++ b/internal/proxy/groupsource.go
@@ -13,39 +13,39 @@
 	"silverpath/internal/settings"
 )
 
-// GroupSource is the map that a group agrees on, beside a state file that keeps the last one over a restart of the router. Its methods may
-// be called by several goroutines: configwatch applies maps while the runner loads them.
+// GroupSource provides the map that the control group has agreed on. A state file keeps the last one across restarts of the router. Its
+// methods may be called by several goroutines: configwatch applies maps while the runner loads them.
 type GroupSource struct {
 	state *stateFile
 
-	taking               sync.Mutex // held while a map is read and applied
+	taking               sync.Mutex // held while a map is parsed and applied
 	mu                   sync.Mutex
-	latest               namedMap          // applied last; without a Map where the group has told of none
-	latestConfirmedAt    time.Time         // when the group was asked that then said that it is the newest
-	delivered            namedMap          // by Load
-	deliveredConfirmedAt time.Time         // when that was last known to be the newest
-	deliveredInParts     *cells.Map        // the map in parts that Load delivered last; nil: none, or one in one piece came since
-	delta                map[string]string // the parts by which latest differs from that
-	joined               joinedParts       // last: a change is checked again and again while it waits, and then applied
+	latest               namedMap          // applied last; its Map is nil until the group has sent one
+	latestConfirmedAt    time.Time         // when the request was sent whose answer confirmed latest as the newest; zero: not confirmed yet
+	delivered            namedMap          // the map that Load returned last
+	deliveredConfirmedAt time.Time         // when delivered was last known to be the newest
+	deliveredInParts     *cells.Map        // the map in parts that Load returned last; nil: none, or a map in one document was applied since
+	delta                map[string]string // the parts by which latest differs from deliveredInParts
+	joined               joinedParts       // result of the last join: a proposed change is checked repeatedly before it is applied
 }
 
-// joinedParts is a map that was joined from parts.
+// joinedParts is a map that was joined from parts, with the arguments of the join.
 type joinedParts struct {
-	base, m  *cells.Map // base is the map that the rest is of; nil: there is none
-	digest   uint64     // of the parts
+	base, m  *cells.Map // base has the parts that did not change; nil: all parts were given
+	digest   uint64     // of the given parts
 	complete bool
 }
 
-// namedMap is a map, and, where it was applied in parts, the digest by which the group names it.
+// namedMap is a map with the digest by which the group identifies it, if it was applied in parts.
 type namedMap struct {
 	*cells.Map
 	digest  uint64
 	inParts bool
 }
 
-var errNoGroupMap = errors.New("the group has no map yet: silverpath rules put map FILE")
+var errNoGroupMap = errors.New("the group has no map yet: add one with silverpath rules put map FILE")
 
-// OpenGroupSource returns the source; the state's path is empty where nothing is kept.
+// OpenGroupSource returns a source whose state file is at the path state. If the path is empty, nothing is stored.
 func OpenGroupSource(state string) (*GroupSource, error) {
 	s, err := openStateFile(state)
 	if err != nil {
@@ -62,7 +62,7 @@
 // Close closes the state file.
 func (a *GroupSource) Close() error { return a.state.close() }
 
-// Check is an error that names why a map can't follow the one that is in force here.
+// Check parses a map and returns an error if it is invalid or can't follow the map in force.
 func (a *GroupSource) Check(text string) error {
 	m, err := settings.ParseCells([]byte(text))
 	if err != nil {
@@ -71,6 +71,7 @@
 	return a.follows(m)
 }
 
+// follows returns an error if m can't follow the map that Load returned last.
 func (a *GroupSource) follows(m *cells.Map) error {
 	a.mu.Lock()
 	old, since := a.delivered.Map, a.deliveredConfirmedAt
@@ -81,8 +82,9 @@
 	return m.FollowsLate(old, since, time.Now())
 }
 
-// CheckParts is an error that names why the map that has these parts in place of those of the one before can't follow it. That is the one
-// that was applied last, or, before any was, the one of the state file. Whole says that the parts are all that there are.
+// CheckParts joins the changed parts with the previous map and returns an error if the result is invalid or can't follow the map in force.
+// The previous map is the one that was applied last, or the one of the state file if none was. If complete is set, changed has all parts
+// of the map.
 func (a *GroupSource) CheckParts(changed map[string]string, complete bool) error {
 	m, err := a.join(changed, complete)
 	if err != nil {
@@ -91,7 +93,8 @@
 	return a.follows(m)
 }
 
-// join reads the parts, and what they can break, once for as long as neither they nor the map below them change.
+// join returns the map of the changed parts on top of the previous map. It keeps the last result, so that repeated checks of one change
+// parse and validate its parts once.
 func (a *GroupSource) join(changed map[string]string, complete bool) (*cells.Map, error) {
 	a.mu.Lock()
 	base, last := cmp.Or(a.latest.Map, a.delivered.Map), a.joined
@@ -112,8 +115,8 @@
 	return m, err
 }
 
-// ApplyParts has the map of these parts, which was checked, be the one that Load delivers. The digest of id, by which the group names it,
-// names the map to servers and other routers, beside the map's own version. After an error the map before stays.
+// ApplyParts joins parts that CheckParts has accepted and makes the result the map that Load returns. The digest of id, by which the group
+// identifies the map, identifies it to servers and other routers too, with the map's own version. After an error the previous map stays.
 func (a *GroupSource) ApplyParts(id configstore.ID, changed map[string]string, complete bool) error {
 	a.taking.Lock()
 	defer a.taking.Unlock()
@@ -136,7 +139,7 @@
 	return nil
 }
 
-// DigestOf is the digest by which the group names a map that was applied in parts.
+// DigestOf returns the digest by which the group identifies a map that was applied in parts; ok is false for any other map.
 func (a *GroupSource) DigestOf(m *cells.Map) (digest uint64, ok bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -148,7 +151,7 @@
 	return 0, false
 }
 
-// Apply has a map, which was checked, be the one that Load delivers.
+// Apply parses a map that Check has accepted and makes it the map that Load returns.
 func (a *GroupSource) Apply(text string) error {
 	a.taking.Lock()
 	defer a.taking.Unlock()
@@ -162,31 +165,35 @@
 	return nil
 }
 
-// Confirm records when the group was asked for what is in force, once it has answered and the process acts on it.
+// Confirm records that the latest map is the newest as of asked, the time at which the group was asked for it. It is called after the
+// group has answered and the process acts on the answer.
 func (a *GroupSource) Confirm(asked time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.latestConfirmedAt = asked
 }
 
-// MaxClockSkew is by how much the map allows the wall clocks of two routers to differ.
+// MaxClockSkew returns the difference between the wall clocks of two routers that the latest map allows.
 func (a *GroupSource) MaxClockSkew() time.Duration {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.latest.Map == nil {
-		return time.Hour // nothing is sent by it yet
+		return time.Hour // no map of the group is in use yet, so no skew is too large
 	}
 	return a.latest.MaxClockSkew
 }
 
-// Load returns the group's map, or, until the group has answered, the one of the state file.
+// Load returns the group's latest map and the time of its confirmation. Until the group has confirmed one, it returns the map of the
+// state file. It returns an error if there is neither, or if the latest map can't follow old.
 func (a *GroupSource) Load(old *cells.Map) (*cells.Map, time.Time, error) { return a.load(old, false) }
 
-// LoadOutdated is Load for a router that has gone by an old map beyond its lease.
+// LoadOutdated is like Load, for a router whose map in force was outdated for longer than its lease. It accepts a map that was
+// announced too late for this router.
 func (a *GroupSource) LoadOutdated(old *cells.Map) (*cells.Map, time.Time, error) {
 	return a.load(old, true)
 }
 
+// load implements Load and LoadOutdated.
 func (a *GroupSource) load(old *cells.Map, behind bool) (*cells.Map, time.Time, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -199,7 +206,7 @@
 		return nil, time.Time{}, errNoGroupMap
 	case m == nil || a.latestConfirmedAt.IsZero():
 		if old == nil {
-			old = m // the first one: what confirms it comes with it
+			old = m // the first map: unconfirmed, as deliveredConfirmedAt is zero, until Confirm is called
 		}
 		return old, a.deliveredConfirmedAt, nil
 	}
@@ -221,7 +228,7 @@
 	return m, a.latestConfirmedAt, nil
 }
 
-// Newest is the ID of the group's map, where it is another one than that which Load delivered.
+// Newest returns the ID of the group's latest map; ok is false if that is old or not confirmed.
 func (a *GroupSource) Newest(old *cells.Map) (configstore.ID, bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -234,8 +241,8 @@
 	return identifyMap(a.latest.Map), true
 }
 
-// store writes the latest map to the state file, under the lock: all of it where it is another kind than the one before, else what
-// changed, or, where it is the same, the time alone.
+// store writes the latest map to the state file. If the map is already stored, it writes only the time; if the stored one is in parts too,
+// the changed parts; else the complete map. The caller holds a.mu.
 func (a *GroupSource) store() error {
 	if !a.latest.inParts {
 		return a.state.storeWhole(a.latest.Map, a.latestConfirmedAt)
--- a/internal/proxy/healthchecks.go
+++ b/internal/proxy/healthchecks.go
@@ -12,11 +12,11 @@
 	"silverpath/internal/transport/msgpackrpc"
 )
 
-// Health checks. Each server is checked every Config.HealthCheckInterval, all at the same time. The answers tell more than health: when
-// the server started, what it grants in its slow start, and which map it knows of.
+// Health checks. All servers are checked concurrently, every Config.HealthCheckInterval. An answer also carries the server's start time, the
+// requests that it grants this router during its slow start, and the newest map that it has seen.
 
-// Maintain checks the servers' health and reads the map again well within its lease, until the context ends. It runs in a goroutine of
-// the service's; the first round that is over makes the router ready.
+// Maintain checks the servers' health and reloads the map well within its lease, until ctx is done. The service runs it in a goroutine of
+// its own. The router is reported ready after the first round of health checks.
 func (r *Runner) Maintain(ctx context.Context) {
 	go r.reloadMap(ctx)
 	first := true
@@ -33,7 +33,7 @@
 	}
 }
 
-// checkAll checks every server once.
+// checkAll checks every server once, waits for the answers, and logs the changes in health.
 func (r *Runner) checkAll(ctx context.Context) {
 	var wg sync.WaitGroup
 	for s := range r.current.Load().AllServers() {
@@ -45,8 +45,8 @@
 	r.logHealthChanges()
 }
 
-// checkHealth checks a server's health on a connection of its own. A server that answers is alive, also where it says that it is unwell:
-// it drains, and knows its keys.
+// checkHealth checks a server on a new connection. A server that answers is alive, even if it reports itself unhealthy: it is draining and
+// still has the results of its idempotency keys.
 func (r *Runner) checkHealth(ctx context.Context, s cells.Server) {
 	ctx, cancel := context.WithTimeout(ctx, healthCheckTimeout)
 	defer cancel()
@@ -70,7 +70,7 @@
 	}
 }
 
-// askHealth sends a health check, and reports false where no answer came in time.
+// sendHealthCheck sends a health check on a new connection. It returns false if the connection fails or no answer arrives in time.
 func (r *Runner) askHealth(ctx context.Context, addr string, inFlight int) (a msgpackrpc.Reply, ok bool) {
 	c, err := r.cfg.Dial(ctx, addr)
 	if err != nil {
@@ -91,11 +91,11 @@
 	}
 }
 
-// minHealthReportInterval is how often at most the health of all servers is compared with what was logged while answers of a round come
-// in; it is at the round's end too. After each answer it would cost the square of the number of servers.
+// minHealthReportInterval is the least time between two comparisons of the health of all servers with what was logged, apart from the one
+// at the end of a round. A comparison after each answer would make a round's cost quadratic in the number of servers.
 const minHealthReportInterval = 100 * time.Millisecond
 
-// noteAnswer notes what an answer of a server tells of the server, under the lock.
+// recordServerState updates a server's state from the fields of its answer. The caller holds r.mu.
 func (r *Runner) noteAnswer(name string, fields map[string]string) {
 	boot, _ := strconv.ParseInt(fields[msgpackrpc.FieldIncarnation], 10, 64)
 	ranUntil, _ := strconv.ParseInt(fields[msgpackrpc.FieldUnknownRuns], 10, 64)
@@ -115,7 +115,7 @@
 	}
 }
 
-// logHealthChanges logs what changed in the health of servers, under the lock.
+// logHealthChanges logs each server whose health differs from the one logged last. The caller holds r.mu.
 func (r *Runner) logHealthChanges() {
 	r.lastHealthReport = r.clock()
 	for _, s := range r.balancer.States(r.clock()) {
@@ -126,10 +126,10 @@
 	}
 }
 
-// checkInterval is the time between two checks of a server.
+// checkInterval returns the time between two health checks of a server.
 func (r *Runner) checkInterval() time.Duration { return time.Duration(r.healthCheckInterval.Load()) }
 
-// healthCheckFields are the fields by which this router tells a server which map it goes by, as names and values in turn.
+// healthCheckFields returns the fields of a health check that describe this router's map and its terms, as alternating names and values.
 func (r *Runner) healthCheckFields(m *mapInForce) []string {
 	ms := func(d time.Duration) string { return strconv.FormatInt(d.Milliseconds(), 10) }
 	t := r.conflictTerms(m.Map)
--- a/internal/proxy/keyed.go
+++ b/internal/proxy/keyed.go
@@ -9,20 +9,20 @@
 	"silverpath/internal/policy/loadbalancer"
 )
 
-// Requests with an idempotency key. Inputs: the map in force, what is known of its version, and the states of the key's home and of its
-// former homes. Such a request must take effect at most once, and only its home can tell whether it has run: so it is sent nowhere else,
-// and once an attempt may have run it fails rather than being tried elsewhere. It fails too where this router can't know its home: by a
-// map that it could not confirm for a lease, or that others contradict.
+// Requests with an idempotency key. Inputs: the map in force, the verdict on its version, and the states of the key's home and of its former
+// homes. Such a request must take effect at most once, and only its home has a record of its runs. So it is sent to no other server, and
+// after an attempt that may have run it fails instead of being retried elsewhere. It also fails if this router can't be sure of the home:
+// if its map was not confirmed for a lease, or conflicts with another map of the same version.
 
-// maxHomes is the number of homes that a request is sent to: its home, and the next one where the first says that the key has moved.
+// maxHomes is the number of homes that a request is sent to: its home, and the next one if the first answers that the key has moved.
 const maxHomes = 2
 
-// forwardToHome brings a request with a key to its home. Where a server knows of a newer map by which the request must not run there,
-// it has not run by this attempt; where this router finds a newer map then, it tries once more by that one.
+// forwardToHome forwards a request with a key to its home. A server that has seen a newer map rejects the request without running it. If
+// this router then loads a newer map, it tries once more with that map.
 func (r *Runner) forwardToHome(q core.Request, m *mapInForce, route cells.Route) core.Answer {
 	for second := false; ; second = true {
 		if time.Since(m.confirmedAt) > m.Lease {
-			return r.fail("stale_map") // the key may have moved, and have run elsewhere
+			return r.fail("stale_map") // the key may have moved since, and the request may have run at its new home
 		}
 		if v := r.verdict(m); v != configstore.VerdictValid {
 			return r.fail(v.String())
@@ -44,8 +44,8 @@
 	}
 }
 
-// forwardKeyed asks the former homes of a key whether they know it, and then sends the request to its home. What a former home answers
-// is the answer; what no former home knows, the home runs.
+// forwardKeyed asks the former homes of a key for a result, and then sends the request to its home. A result of a former home is the
+// answer; if no former home has a record of the key, the home runs the request.
 func (r *Runner) forwardKeyed(q core.Request, m *mapInForce, route cells.Route) core.Answer {
 	for _, former := range route.FormerHomes {
 		if a, known := r.askFormerHome(q, former); known {
@@ -58,7 +58,7 @@
 		if !moved {
 			return a
 		}
-		// Another router, whose clock is ahead, has asked here before it ran the request at its new home.
+		// A router whose clock is ahead has already treated this home as a former one, and then sent the request to the new home.
 		next, ok := m.Route(Wall().Add(2*m.MaxClockSkew), q.Tenant, q.Key)
 		if !ok || next.Home == home {
 			return r.fail("moved_nowhere")
@@ -68,8 +68,8 @@
 	return r.fail("moved_twice")
 }
 
-// askFormerHome asks a former home of a key whether it knows the request. Known is false where it surely does not; a former home that
-// can't be asked may have run it, so that the request fails.
+// queryFormerHome asks a former home of a key whether it has a record of the request. Known is false only if it certainly has none. The
+// request fails if the former home can't be asked, as it may have run there.
 func (r *Runner) askFormerHome(q core.Request, former string) (a core.Answer, known bool) {
 	if r.checkHome(q.Tenant, former) == loadbalancer.HomeLost {
 		return r.fail("former_home_lost"), true
@@ -89,7 +89,7 @@
 	}
 }
 
-// runAtHome sends a request to its home. Moved says that the home does not run it, as the key has moved on.
+// runAtHome sends a request to its home. Moved reports that the home did not run it because the key has moved to another home.
 func (r *Runner) runAtHome(q core.Request, home string) (a core.Answer, moved bool) {
 	switch r.checkHome(q.Tenant, home) {
 	case loadbalancer.HomeLost:
@@ -113,10 +113,10 @@
 		r.stats.Inc("fleet", "refused", "home")
 		return core.Answer{Outcome: core.Rejected, RetryAfter: e.retryAfter, Final: e.final}, false
 	}
-	return r.fail("home_" + e.reason), false // it started anew, or may begin nothing: an earlier attempt may have run there
+	return r.fail("home_" + e.reason), false // the home has restarted or must not start runs: an earlier attempt may have run there
 }
 
-// checkHome tells what may be done with a tenant's request at a home.
+// checkHome returns whether a tenant's request may be sent to a home.
 func (r *Runner) checkHome(tenant, name string) loadbalancer.HomeState {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/proxy/maps.go
+++ b/internal/proxy/maps.go
@@ -10,10 +10,10 @@
 	"silverpath/internal/settings"
 )
 
-// The map in force. It is read again at a third of its lease, and at once where a newer one was heard of; where it could not be confirmed
-// for a lease, requests with a key fail.
+// The map in force. It is reloaded at a third of its lease, and at once when a newer version was seen. If it could not be confirmed for a
+// lease, requests with a key fail.
 
-// mapInForce is the map in force and when it was last known to be the newest.
+// mapInForce is the map in force with the time at which it was last known to be the newest.
 type mapInForce struct {
 	*cells.Map
 	confirmedAt time.Time
@@ -21,8 +21,8 @@
 	name        string // id as it is on the wire
 }
 
-// useMap puts a map in force that was confirmed at a time. Its servers are gone through where one of them has changed, and its text is
-// made to name it where its source knows no digest; a map that is in force already costs nothing that grows with it.
+// activateMap puts a map in force that was last confirmed at confirmedAt. It iterates over the servers only if one has changed, and formats
+// the map for its ID only if the source has no digest of it. The cost for a map that is already in force does not grow with its size.
 func (r *Runner) useMap(m *cells.Map, confirmedAt time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -42,7 +42,7 @@
 	r.observeVersion(r.clock(), v.id, r.cfg.Name)
 }
 
-// setServers takes up the servers of a map, under the lock.
+// setServers replaces the upstreams and the balancer's servers by those of a map. The caller holds r.mu.
 func (r *Runner) setServers(m *cells.Map) {
 	weights := map[string]float64{}
 	var unchecked []string
@@ -68,8 +68,8 @@
 	}
 }
 
-// Reload reads the map again. One that is no good, or can't follow the one in force, is logged, and the old one stays in force. It is
-// called at SIGHUP, by reloadMap, and where a server knows of a newer map.
+// Reload loads the map from its source. If the map is invalid or can't follow the one in force, Reload logs the error and the old map stays
+// in force. It is called at SIGHUP, by reloadMap, and when a server has rejected a request because it has seen a newer map.
 func (r *Runner) Reload() {
 	r.reading.Lock()
 	defer r.reading.Unlock()
@@ -95,14 +95,15 @@
 	r.useMap(m, confirmedAt)
 }
 
-// noteBadMap counts and logs that no map can follow the one in force, once a lease.
+// recordMapError counts a failed load of the map, and logs it at most once in a lease.
 func (r *Runner) noteBadMap(old *mapInForce, err error) {
 	r.stats.Inc("cells", "bad_map")
 	if time.Since(r.loggedBadMapAt) > old.Lease {
 		r.loggedBadMapAt = time.Now()
 		events.Log(r.log, "cells.map_rejected", old.Version, err)
 	}
-	// Where it was checked in time and comes too late, perhaps at all routers, nobody else tells that there is a newer one.
+	// A map that passed its check in time may still take effect too late, perhaps at all routers. Then no server has seen it, so this
+	// router records its version itself.
 	if src, can := r.cfg.Source.(NewestSource); can {
 		if id, ok := src.Newest(old.Map); ok {
 			r.mu.Lock()
@@ -112,7 +113,7 @@
 	}
 }
 
-// reloadMap reads the map again at a third of its lease, and where a newer one was heard of, until the context ends.
+// reloadMap reloads the map at a third of its lease, and when a newer version was seen, until ctx is done.
 func (r *Runner) reloadMap(ctx context.Context) {
 	for {
 		select {
@@ -127,11 +128,11 @@
 	}
 }
 
-// minReloadPause is the least time between two readings of the map because a newer one was heard of: one that never comes, as its file
-// was forgotten, must not have the map read with each health check.
+// minReloadInterval is the least time between two reloads because a newer version was seen. Without it a newer map that never arrives, for
+// example because its file was not copied to this router, would cause a reload at each health check.
 const minReloadPause = 100 * time.Millisecond
 
-// pause waits for so long, or until the context ends.
+// sleep waits for d or until ctx is done.
 func pause(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
@@ -139,12 +140,12 @@
 	}
 }
 
-// identifyMap names a map by its text.
+// identifyMap returns the ID of a map by the digest of its text.
 func identifyMap(m *cells.Map) configstore.ID {
 	return configstore.NewID(m.Version, settings.FormatCells(m))
 }
 
-// identify names a map by the digest that its source knows, or else by its text.
+// identify returns the ID of a map by the digest that its source has for it, or else by the digest of its text.
 func (r *Runner) identify(m *cells.Map) configstore.ID {
 	if src, can := r.cfg.Source.(DigestSource); can {
 		if digest, named := src.DigestOf(m); named {
@@ -154,8 +155,9 @@
 	return identifyMap(m)
 }
 
-// catchUp records that a newer map is taken up by a router that has gone by an old one beyond its lease. What it sent then, where the newer
-// one has another home for it, may be repeated: nothing exclusive begins until it can't be any more.
+// suspendAfterOutdated is called before m replaces a map that was outdated for longer than its lease. Requests with a key that this router
+// sent by the old map may be repeated, and m may give their keys other homes. So no request with a key is sent until the overlap window
+// has passed since the last of them.
 func (r *Runner) catchUp(m *cells.Map) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -1,10 +1,10 @@
-// Package proxy is the Runner of a router: it forwards requests to the servers of a fleet over the platform's balancer protocol. Which
-// server a request belongs to is decided by policy/cells, which of several gets an attempt by policy/loadbalancer; this package carries
-// it out. Once a request with an idempotency key may have run, nobody but its home is asked for it again.
+// Package proxy implements the Runner of a router: it forwards requests to the servers of a fleet over the platform's balancer protocol.
+// Package policy/cells decides which servers a request belongs to, package policy/loadbalancer which of them gets an attempt; this package
+// does the I/O. A request with an idempotency key that may have run is never sent to a server other than its home.
 //
-// forward.go is the way of a request, keyed.go and retries.go its attempts with and without a key, attempt.go and upstream.go one attempt
-// at one server. maps.go has the map in force, which comes from a file (filesource.go) or from the group (groupsource.go) and is kept over
-// a restart (statefile.go); healthchecks.go and versions.go what servers tell.
+// forward.go has the path of a request, keyed.go and retries.go the attempts with and without a key, attempt.go and upstream.go one attempt
+// at one server. maps.go has the map in force, which is loaded from a file (filesource.go) or from the group (groupsource.go) and stored
+// across restarts (statefile.go). healthchecks.go and versions.go process what servers report in their answers.
 package proxy
 
 import (
@@ -24,7 +24,7 @@
 	"silverpath/internal/transport/msgpackrpc"
 )
 
-// Events is who is told what became of requests: the core.
+// Events receives the results of requests. The core implements it.
 type Events interface {
 	RunnerReady()
 	Class(name string) (silverpath.Class, bool)
@@ -34,24 +34,24 @@
 	RetryAfter() time.Duration
 }
 
-// Config sets up a Runner.
+// Config configures a Runner.
 type Config struct {
-	Name                string // by which servers and the group know it
+	Name                string // identifies the router to servers and to the group
 	Source              Source // of the cell map
 	LoadBalancing       loadbalancer.Config
-	Cores               int // requests in flight that the whole fleet is taken to have capacity for
+	Cores               int // assumed capacity of the whole fleet, in requests in flight
 	HealthCheckInterval time.Duration
-	MaxConnections      int // connections to all servers at most
+	MaxConnections      int // limit of the connections to all servers together
 	// Dial opens a connection to a server; nil: over TCP.
 	Dial func(ctx context.Context, addr string) (*msgpackrpc.Conn, error)
 }
 
 const (
-	dialTimeout        = 500 * time.Millisecond // several round trips on a poor link within the fleet; a server that takes longer is no use
-	healthCheckTimeout = time.Second            // longer than a pause of a loaded server
-	answerReserve      = 50 * time.Millisecond  // before its deadline an attempt is given up, so that its caller still gets an answer
-	minConnections     = 8                      // to all servers, whatever few descriptors there are
-	maxAttempts        = 4                      // of a request without a key, one after the other
+	dialTimeout        = 500 * time.Millisecond // several round trips on a poor link within the fleet; a server that takes longer is unusable
+	healthCheckTimeout = time.Second            // longer than the pauses of a loaded server
+	answerReserve      = 50 * time.Millisecond  // an attempt ends this long before the deadline, so that the caller still gets an answer
+	minConnections     = 8                      // to all servers together, even if Config.MaxConnections is lower
+	maxAttempts        = 4                      // of a request without a key, in sequence
 )
 
 // Runner forwards requests. Its methods may be called by several goroutines.
@@ -64,24 +64,24 @@
 	current         atomic.Pointer[mapInForce]
 	connectionSlots chan struct{}
 
-	mu                  sync.Mutex // of what follows, but for the atomics
+	mu                  sync.Mutex // guards the fields below, up to lastHealthReport, except atomics and reloadSoon
 	balancer            *loadbalancer.Balancer
 	tenants             *loadbalancer.TenantLimiter
-	quota               *quota.Holder // nil: it shares its cells with no other routers
+	quota               *quota.Holder // nil: this router shares its cells with no other
 	upstreams           map[string]*upstream
 	inFlight            atomic.Int64
-	offeredWeight       atomic.Uint64 // priority weight, in thousandths, of all requests that have been answered
-	servedWeight        atomic.Uint64 // and of those that were served
+	offeredWeight       atomic.Uint64 // sum of the priority weights of all answered requests, in thousandths
+	servedWeight        atomic.Uint64 // the same for served requests
 	loggedHealth        map[string]loadbalancer.Health
-	versions            configstore.VersionTracker // of the maps of others
-	reloadSoon          chan struct{}              // the map is to be read again, as a newer one was heard of
-	lastKeyedSent       atomic.Int64               // when a request with a key was last sent, by the clock
+	versions            configstore.VersionTracker // versions of maps that were seen at other routers and servers
+	reloadSoon          chan struct{}              // signals that a newer map was seen, so that the map is reloaded
+	lastKeyedSent       atomic.Int64               // when a request with a key was last sent, as a time of clock
 	healthCheckInterval atomic.Int64               // nanoseconds between two health checks of a server
 
-	quotaCapacity    capacitySpan  // of which the quota was told the capacity
+	quotaCapacity    capacitySpan  // map and time span of the capacity that was last passed to quota
 	lastHealthReport time.Duration // when the health of all servers was last compared with what was logged
 
-	reading        sync.Mutex // held while the map is read
+	reading        sync.Mutex // held by Reload
 	loggedBadMapAt time.Time
 }
 
@@ -90,8 +90,8 @@
 	_ core.Forwarder = (*Runner)(nil)
 )
 
-// New returns a runner with the map that its source has. It is an error where the source has none. Nothing is checked or read again until
-// Maintain runs.
+// New returns a Runner with the map of cfg.Source, or an error if the source has none. Servers are not checked, and the map is not
+// reloaded, until Maintain runs.
 func New(cfg Config, events Events, l *log.Logger, s *metrics.Counters) (*Runner, error) {
 	m, confirmedAt, err := cfg.Source.Load(nil)
 	if err != nil {
@@ -112,10 +112,10 @@
 	return r, nil
 }
 
-// clock is the router's monotonic clock. It begins at an hour, so that 0 is long ago.
+// clock returns the time since an hour before the start, by the monotonic clock, so that 0 is always long ago.
 func (r *Runner) clock() time.Duration { return time.Since(r.startedAt) + time.Hour }
 
-// Forward forwards a request, and tells Events of its end. It does not block.
+// Forward forwards a request in a new goroutine and reports its result to Events. It does not block.
 func (r *Runner) Forward(q core.Request) {
 	r.inFlight.Add(1)
 	go func() {
@@ -134,13 +134,13 @@
 	}()
 }
 
-// Run is not called: see Forward.
+// Run does nothing. It implements core.Runner; the core calls Forward instead.
 func (r *Runner) Run(string, string, []byte) {}
 
-// Resume is never called: runs of the fleet wait for no call of ours.
+// Resume does nothing. It implements core.Runner; a forwarded request never waits for a call of this process.
 func (r *Runner) Resume(string, []byte) {}
 
-// Probe reports the gauges: requests in flight, for each core that the fleet is taken to have.
+// Probe reports the gauges to Events. CPU is the requests in flight divided by Config.Cores, at most 1.
 func (r *Runner) Probe() {
 	n := float64(r.inFlight.Load())
 	r.events.Gauges(silverpath.Gauges{CPU: min(1, n/float64(max(1, r.cfg.Cores))), OnCores: n, Connections: n})
@@ -155,17 +155,17 @@
 	}
 }
 
-// States are the servers as they are known, and what was decided, for operators.
+// States returns the state of each server and the counts of the load balancer's decisions, for operators.
 func (r *Runner) States() ([]loadbalancer.ServerState, loadbalancer.Counts) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.balancer.States(r.clock()), r.balancer.Counts()
 }
 
-// Map is the map in force.
+// Map returns the map in force.
 func (r *Runner) Map() *cells.Map { return r.current.Load().Map }
 
-// Retune takes up another load balancing configuration and interval of health checks, after a change of the routing document.
+// Retune replaces the load balancing configuration and the interval of health checks. It is called when the routing document has changed.
 func (r *Runner) Retune(c loadbalancer.Config, healthCheckInterval time.Duration) {
 	r.healthCheckInterval.Store(int64(healthCheckInterval))
 	r.mu.Lock()
@@ -173,13 +173,13 @@
 	r.balancer.Retune(c)
 }
 
-// Goodput is what was asked for and served since the start, by priority weight.
+// Goodput returns the sums of the priority weights of the answered and of the served requests since the start.
 func (r *Runner) Goodput() configstore.Goodput {
 	return configstore.Goodput{Offered: float64(r.offeredWeight.Load()) / 1000, Served: float64(r.servedWeight.Load()) / 1000}
 }
 
-// Readiness is how far a router has come since its start: whether its map is within its lease, whether requests with a key may be sent by
-// it, and whether it has its quota where routers share cells.
+// Readiness reports whether the map is within its lease, whether requests with a key may be sent, and whether the router has a lease of its
+// quota. HasQuota is true too if the router shares its cells with no other.
 func (r *Runner) Readiness() (hasMap, keyedAllowed, hasQuota bool) {
 	m := r.current.Load()
 	if m == nil {
--- a/internal/proxy/quota.go
+++ b/internal/proxy/quota.go
@@ -9,8 +9,8 @@
 	"silverpath/internal/policy/quota"
 )
 
-// ShareQuota has this router share its cells with others: it is one of so many, and has a reserve where nobody else can be there under its
-// name. It is called before the first request.
+// ShareQuota makes the router use its cells under a quota, as one of at most maxRouters. HasReserve says that no other process can have this
+// router's name; the router then also has a reserve, which needs no grant. ShareQuota is called before the first request.
 func (r *Runner) ShareQuota(maxRouters int, hasReserve bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -18,14 +18,14 @@
 	r.updateQuotaCapacity()
 }
 
-// capacitySpan is the map and the time for which the capacity of cells was computed last.
+// capacitySpan is the map and the time span for which the capacity of cells was computed last.
 type capacitySpan struct {
 	m           *cells.Map
-	from, until int64 // Unix milliseconds; until is the first one that is not in it
+	from, until int64 // Unix milliseconds; from is inclusive, until exclusive
 }
 
-// updateQuotaCapacity sets the capacity of cells, under the lock. It runs over all servers and tenants, and only where the map is another
-// one or the time has come at which one of them comes, goes or moves.
+// updateQuotaCapacity passes the capacity of the cells to the quota. It computes the capacity, at a cost that grows with the number of
+// servers and tenants, only if the map has changed or a server or tenant joins, leaves or moves now. The caller holds r.mu.
 func (r *Runner) updateQuotaCapacity() {
 	m, now := r.current.Load().Map, Wall()
 	if at := now.UnixMilli(); r.quotaCapacity.m == m && r.quotaCapacity.from <= at && at < r.quotaCapacity.until {
@@ -38,7 +38,7 @@
 	}
 }
 
-// QuotaRequest is this router's request to the group's leader, and what to call with the grant that answers it.
+// QuotaRequest returns this router's request to the group's leader, and the function to call with the grant that answers it.
 func (r *Runner) QuotaRequest() (request quota.Request, granted func(quota.Grant, lease.Terms)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -52,5 +52,5 @@
 	}
 }
 
-// leaseClock is the clock by which the leases of grants end.
+// leaseClock returns the time by which the leases of grants expire.
 func (r *Runner) leaseClock() time.Duration { return time.Duration(float64(r.clock()) * Rate) }
--- a/internal/proxy/retries.go
+++ b/internal/proxy/retries.go
@@ -9,12 +9,14 @@
 	"silverpath/internal/policy/loadbalancer"
 )
 
-// Requests without an idempotency key. Inputs: the servers of the request's tenant, whether it is safe to run more than once, and what
-// the load balancer knows. A safe request that fails is retried elsewhere, and hedged where its answer takes longer than nearly all do;
-// any other is retried only on proof that it never ran. Both are within budgets, and end answerReserve before the deadline.
+// Requests without an idempotency key. Inputs: the servers of the request's tenant, whether the request is safe to run more than once, and
+// the state of the load balancer. A safe request that fails is retried on another server, and hedged if its answer takes longer than nearly
+// all answers do. Any other request is retried only on proof that it never ran. Retries and hedges have budgets, and end answerReserve
+// before the deadline.
 
-// forwardAnywhere brings a request that has no home to one server after the other, until it is served or there is no further attempt.
-// What it returns then is the worst that happened: a request that may have run is not told as rejected.
+// forwardAnywhere sends a request without a home to one server after another, until it is served or no further attempt is allowed. If it
+// was not served, the answer is that of the last attempt that was rejected or may have run, and a rejection if there was none. A request
+// that is not safe and may have run fails, as it is not retried.
 func (r *Runner) forwardAnywhere(q core.Request, route cells.Route, safe bool) core.Answer {
 	r.mu.Lock()
 	r.balancer.FirstAttempt(r.clock())
@@ -49,15 +51,15 @@
 	return worst
 }
 
-// pick chooses a server among some, but for the one of the attempt before.
+// pick chooses one of the candidates other than exclude. It returns false if none is available.
 func (r *Runner) pick(tenant string, among []string, exclude string) (string, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.balancer.Pick(r.clock(), r.tenantInMap(tenant), among, exclude)
 }
 
-// hedgedAttempt makes an attempt, and a hedged one elsewhere where the request is safe, takes longer than the hedge delay, and the budget
-// has one left. Whichever is served first is the answer; the other is cancelled.
+// hedgedAttempt makes an attempt. If the request is safe, its answer takes longer than the hedge delay, and the budget allows it, a hedged
+// attempt starts on another server. The first one served is the result, and the other is cancelled.
 func (r *Runner) hedgedAttempt(q core.Request, route cells.Route, name string, safe bool) attemptResult {
 	r.mu.Lock()
 	delay, known := r.balancer.HedgeDelay()
@@ -90,7 +92,7 @@
 				r.stats.Inc("fleet", "hedged")
 				inFlight++
 				second := q
-				second.ID = q.ID + "h" // an attempt of its own, by its own id
+				second.ID = q.ID + "h" // the hedged attempt needs an ID of its own
 				go func() { ends <- r.attemptIn(ctx, second, other, mayRun) }()
 			}
 		}
--- a/internal/proxy/source.go
+++ b/internal/proxy/source.go
@@ -7,25 +7,27 @@
 	"silverpath/internal/policy/configstore"
 )
 
-// Source is where a router has its cell map from.
+// Source provides a router's cell map.
 type Source interface {
-	// Load returns the map and when it was known to be the newest. One that can't follow the old one, which is nil at a
-	// start, is an error, as is one that can't be read.
+	// Load returns the map and the time at which it was last known to be the newest. Old is the map in force, nil at the
+	// start. Load returns an error if the map can't be read or can't follow old.
 	Load(old *cells.Map) (*cells.Map, time.Time, error)
 }
 
-// OutdatedSource is a source that also has maps for a router that has gone by an old one beyond its lease: others act on them already, so
-// that they were announced too late for this router is no reason to refuse them.
+// OutdatedSource is implemented by sources that can load a map for a router whose map in force was outdated for longer than its lease.
+// Other routers act on the newer map already, so LoadOutdated accepts it even if it was announced too late for this router.
 type OutdatedSource interface {
 	LoadOutdated(old *cells.Map) (*cells.Map, time.Time, error)
 }
 
-// NewestSource is a source that may know of a newer map than the one that it delivers, where that one can't follow it in time.
+// NewestSource is implemented by sources that can name a newer map than old that Load rejects, as it can't follow old in time. Ok is false
+// if there is none.
 type NewestSource interface {
 	Newest(old *cells.Map) (id configstore.ID, ok bool)
 }
 
-// DigestSource is a source that knows by which digest others name a map of it. All other maps are named by their own text.
+// DigestSource is implemented by sources that have the digest by which other processes identify a map. Ok is false for a map without one,
+// which is identified by the digest of its text.
 type DigestSource interface {
 	DigestOf(m *cells.Map) (digest uint64, ok bool)
 }
--- a/internal/proxy/statefile.go
+++ b/internal/proxy/statefile.go
@@ -12,19 +12,19 @@
 	"silverpath/internal/settings"
 )
 
-// stateFile keeps a router's last map over its restart, and when it was last known to be the newest: a bbolt database. The two stand
-// apart, so that a confirmation writes 8 bytes and no page of the map; a map in parts is written part by part. A nil stateFile keeps
-// nothing.
+// stateFile is a bbolt database that keeps a router's last map, and the time at which it was last known to be the newest, across restarts.
+// The time is in a bucket of its own, so that a confirmation writes 8 bytes and no page of the map. A map in parts is written part by
+// part. A nil stateFile stores nothing.
 type stateFile struct {
 	db            *bbolt.DB
-	storedWhole   *cells.Map // as it stands there in one piece; nil: unknown
-	storedInParts *cells.Map // as it stands there in parts; nil: unknown
+	storedWhole   *cells.Map // the map stored as one document; nil: unknown
+	storedInParts *cells.Map // the map stored in parts; nil: unknown
 }
 
-// storedMap is what a state file has.
+// storedMap is the contents of a state file.
 type storedMap struct {
 	*cells.Map
-	digest      uint64 // by which a group names a map in parts
+	digest      uint64 // by which the group identifies a map in parts
 	inParts     bool
 	confirmedAt time.Time
 }
@@ -33,20 +33,20 @@
 	bucketWhole = []byte("whole")
 	bucketParts = []byte("parts")
 	bucketTime  = []byte("time")
-	// Where builds that knew no parts kept the map and the time. They are deleted there, as an older build that comes back would else
-	// go on with an old map, or a time that is not the map's; without them it starts as one that has kept nothing. Where they stand, an
-	// older build has written last.
+	// Builds without support for parts store the map and the time in this bucket. Newer builds delete both entries when they store a map:
+	// otherwise, after a downgrade, the older build would load an old map, or a time that belongs to another map. Without them it
+	// starts without a map. If the entries exist, an older build has written the file last.
 	bucketLegacy = []byte("cells")
 
 	keyMap    = []byte("map")
 	keyRead   = []byte("read")
-	keyDigest = []byte("digest") // which is no name of a part
+	keyDigest = []byte("digest") // not the name of a part
 )
 
-// ErrNoMapStored says that a state file has no map.
-var ErrNoMapStored = errors.New("nothing is kept")
+// ErrNoMapStored is returned by StoredMap if the state file has no map.
+var ErrNoMapStored = errors.New("no map stored")
 
-// openStateFile opens a state file, or makes it. An empty path gives nil.
+// openStateFile opens a state file, and creates it if it does not exist. It returns nil for an empty path.
 func openStateFile(path string) (*stateFile, error) {
 	if path == "" {
 		return nil, nil
@@ -69,6 +69,7 @@
 	return &stateFile{db: db}, nil
 }
 
+// close closes the database. It does nothing for a nil stateFile.
 func (s *stateFile) close() error {
 	if s == nil {
 		return nil
@@ -76,7 +77,7 @@
 	return s.db.Close()
 }
 
-// load is the stored map, with a nil Map for none. One that can't be read is none: the router starts without it.
+// load returns the stored map. Its Map is nil if there is none or it can't be read: the router then starts without it.
 func (s *stateFile) load() (k storedMap) {
 	if s == nil {
 		return k
@@ -94,14 +95,14 @@
 	return k
 }
 
-// StoredMap is the map in a state file and when it was last known to be the newest; ErrNoMapStored where there is none. It serves
-// recovery, which inspects what a machine has.
+// StoredMap returns the map in a state file and the time at which it was last known to be the newest, or ErrNoMapStored if there is none.
+// Recovery uses it to inspect the state files of a machine.
 func StoredMap(tx *bbolt.Tx) (*cells.Map, time.Time, error) {
 	k, err := readState(tx)
 	return k.Map, k.confirmedAt, err
 }
 
-// readState reads the map in whichever form it stands there.
+// readState reads the stored map in any of its forms: from an older build, in parts, or as one document.
 func readState(tx *bbolt.Tx) (k storedMap, err error) {
 	get := func(bucket, key []byte) []byte {
 		if b := tx.Bucket(bucket); b != nil {
@@ -132,7 +133,8 @@
 	return k, err
 }
 
-// storeWhole stores a map in one piece, or, where it stands there already, when it was known to be the newest.
+// storeWhole stores a map as one document, with the time at which it was known to be the newest. If m is stored already, it writes only
+// the time.
 func (s *stateFile) storeWhole(m *cells.Map, at time.Time) error {
 	if s == nil {
 		return nil
@@ -151,7 +153,8 @@
 	return err
 }
 
-// storeParts is storeWhole for a map in parts: those that changed since from, nil for all, are written, with the digest.
+// storeParts is like storeWhole for a map in parts, with its digest. It writes the parts in changed if the stored map is from, else all
+// parts.
 func (s *stateFile) storeParts(m *cells.Map, digest uint64, from *cells.Map, changed map[string]string, at time.Time) error {
 	if s == nil {
 		return nil
@@ -174,7 +177,7 @@
 	return err
 }
 
-// update writes the time, and, unless the map stands there, the map, in one transaction.
+// update writes the time, and calls write for the map unless that is stored already, in one transaction.
 func (s *stateFile) update(at time.Time, stands bool, write func(tx *bbolt.Tx) error) error {
 	err := s.db.Update(func(tx *bbolt.Tx) error {
 		if !stands {
@@ -186,7 +189,7 @@
 		return tx.Bucket(bucketTime).Put(keyRead, binary.BigEndian.AppendUint64(nil, uint64(at.UnixMilli())))
 	})
 	if err != nil {
-		return fmt.Errorf("keeping the map: %w", err)
+		return fmt.Errorf("failed to store the map: %w", err)
 	}
 	return nil
 }
--- a/internal/proxy/status.go
+++ b/internal/proxy/status.go
@@ -9,8 +9,8 @@
 	"silverpath/internal/policy/loadbalancer"
 )
 
-// Status is what a router knows of its fleet, as a JSON object for operators: the map in force, its servers and what was decided. The
-// names in it stay: docs/cells.md.
+// Status returns the state of the router as a JSON object for operators: the map in force, its servers and the counts of decisions. The
+// names in the object are an interface, described in docs/cells.md.
 func (r *Runner) Status() []byte {
 	m := r.current.Load()
 	states, counts := r.States()
@@ -43,7 +43,7 @@
 	return o.MarshalTo(nil)
 }
 
-// versionsStatus is what was heard of other maps, and whether keyed requests may be sent by this one.
+// versionsStatus returns the versions of maps that were seen elsewhere, and the verdict on the map in force.
 func (r *Runner) versionsStatus(a *fastjson.Arena, m *mapInForce) *fastjson.Value {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -52,7 +52,7 @@
 	return rules
 }
 
-// serversStatus is what is known of each server.
+// serversStatus returns the state of each server.
 func serversStatus(a *fastjson.Arena, m *mapInForce, states []loadbalancer.ServerState) *fastjson.Value {
 	list := a.NewArray()
 	for i, s := range states {
@@ -77,7 +77,7 @@
 	return list
 }
 
-// windowsStatus is the window of each cell, and how many requests were not admitted to any.
+// windowsStatus returns the window of each cell, and the number of requests that were rejected by a window.
 func (r *Runner) windowsStatus(a *fastjson.Arena, m *mapInForce) (windows, rejected *fastjson.Value) {
 	windows = a.NewObject()
 	r.mu.Lock()
@@ -92,8 +92,8 @@
 	return windows, a.NewNumberInt(int(r.tenants.Rejected()))
 }
 
-// quotaStatus sets the rates that this router may use, by cell and tenant. With the lock it runs over those that it was lent or asked
-// for, not over all tenants of all cells.
+// quotaStatus adds to o the rates that this router may use, by cell and tenant. While it holds r.mu it iterates only over the rates that
+// were granted or requested, not over all tenants of all cells.
 func (r *Runner) quotaStatus(a *fastjson.Arena, o *fastjson.Value, m *mapInForce) {
 	r.mu.Lock()
 	rates, rest := r.quota.Rates(r.leaseClock())
@@ -116,8 +116,8 @@
 	o.Set("beyond_part", a.NewNumberInt(int(beyond)))
 }
 
-// movesStatus is the state of each tenant's latest migration. Those that have never moved are left out: of a large map that is nearly
-// everybody.
+// migrationsStatus returns the state of each tenant's latest migration. Tenants that never migrated, nearly all in a large map, are left
+// out.
 func movesStatus(a *fastjson.Arena, m *mapInForce) *fastjson.Value {
 	tenants := a.NewObject()
 	for t := range m.AllTenants() {
--- a/internal/proxy/testhooks.go
+++ b/internal/proxy/testhooks.go
@@ -2,11 +2,12 @@
 
 import "time"
 
-// Boundary is called in test programs only, which stop the process there: routed (a request with a key has been found its home, by the
-// map that was in force then, and was not sent).
+// Boundary is a hook for test programs, which suspend the process in it. At is "routed" when the home of a request with a key was found by
+// the map in force, and the request is not sent yet.
 var Boundary = func(at string) {}
 
-// Wall is the clock by which times in maps come, and Rate has the one by which leases end run fast or slow, in test programs only.
+// Wall is the wall clock against which the times in maps are compared. Rate is the speed of the clock by which leases of grants expire,
+// relative to the monotonic clock. Only test programs change them.
 var (
 	Wall = time.Now
 	Rate = 1.0
--- a/internal/proxy/upstream.go
+++ b/internal/proxy/upstream.go
@@ -13,19 +13,19 @@
 	"silverpath/internal/transport/msgpackrpc"
 )
 
-// upstream is a server with its connections. A connection carries several requests at a time; a further one is opened where all are
-// full and the router has a slot left.
+// upstream is a server with its connections. A connection carries several requests at a time. Another one is opened if all are full and the
+// router has a connection slot left.
 type upstream struct {
 	name, addr string
-	boot       atomic.Int64  // Unix milliseconds of its start, as it said last; 0: it has not
-	slots      chan struct{} // of the router's connections to all servers
+	boot       atomic.Int64  // Unix milliseconds of the server's start, from its latest answer; 0: unknown
+	slots      chan struct{} // limits the router's connections to all servers together
 	dial       func(ctx context.Context, addr string) (*msgpackrpc.Conn, error)
 
 	mu    sync.Mutex
 	conns []*msgpackrpc.Conn
 }
 
-// close closes the connections and gives their slots back; the upstream may be nil.
+// close closes the connections and releases their slots. It does nothing for a nil upstream.
 func (u *upstream) close() {
 	if u == nil {
 		return
@@ -39,7 +39,8 @@
 	u.conns = nil
 }
 
-// conn returns a connection with capacity for one more request, a new one where there is none. It is an error where none can be opened.
+// conn returns a connection with capacity for one more request. If there is none, it opens one, and returns an error if that fails or no
+// slot is left.
 func (u *upstream) conn(ctx context.Context) (*msgpackrpc.Conn, error) {
 	u.mu.Lock()
 	open := u.conns[:0]
@@ -63,7 +64,7 @@
 	select {
 	case u.slots <- struct{}{}:
 	default:
-		return nil, fmt.Errorf("connecting to %s: no connections left", u.name)
+		return nil, fmt.Errorf("connecting to %s: the limit of connections to all servers is reached", u.name)
 	}
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
@@ -78,12 +79,14 @@
 	return c, nil
 }
 
-// maxSends is how often an attempt is written: once more where its connection turned out to be closed. A server closes connections that
-// rest, and a request that crosses that end is proven not to have run: failing it would show an error for each idle connection.
+// maxSends is the number of times that an attempt is written: once more if its connection turns out to be closed. A server closes idle
+// connections, and a request sent while it does is proven not to have run. Failing such a request would turn each closed idle connection
+// into an error.
 const maxSends = 2
 
-// send sends an attempt and waits for its end. It returns the fields of the server's answer, nil for none. Where the connection is closed
-// as it is written to, or the server says that it has not processed the request, the attempt goes out on a new connection.
+// send sends an attempt and waits for its result. It also returns the fields of the server's answer, or nil without an answer. If the write
+// fails on a closed connection, or the server reports that it has not processed the request, the attempt is sent again on another
+// connection.
 func (u *upstream) send(ctx context.Context, t msgpackrpc.Attempt) (attemptResult, map[string]string) {
 	for sends := 0; sends < maxSends; {
 		c, err := u.conn(ctx)
@@ -92,7 +95,7 @@
 		}
 		id, reply, err := c.Send(func(id uint64) []byte { return t.Append(nil, id) })
 		switch {
-		case errors.Is(err, msgpackrpc.ErrFull): // other requests were quicker
+		case errors.Is(err, msgpackrpc.ErrFull): // other requests took the connection's capacity first
 			continue
 		case err != nil:
 			sends++
@@ -103,7 +106,7 @@
 			if !ok {
 				return attemptResult{outcome: loadbalancer.ConnectionLost}, nil
 			}
-			if a.Unprocessed() { // it crossed the end of an idle connection
+			if a.Unprocessed() { // the server was closing the idle connection
 				sends++
 				continue
 			}
@@ -116,7 +119,7 @@
 	return attemptResult{outcome: loadbalancer.NotSent}, nil
 }
 
-// connectOutcome says what a connection that could not be had proves: nothing was sent, so nothing ran.
+// connectOutcome returns the outcome for an error of conn. Either outcome is proof that the request never ran, as nothing was sent.
 func connectOutcome(err error) loadbalancer.Outcome {
 	var op *net.OpError
 	if errors.Is(err, syscall.ECONNREFUSED) || errors.As(err, &op) {
--- a/internal/proxy/versiondir.go
+++ b/internal/proxy/versiondir.go
@@ -14,30 +14,30 @@
 	"silverpath/internal/storage/atomicfile"
 )
 
-// VersionDir is a folder with the versions of a map, a file each. The file of a version is written once and never again, whoever comes,
-// and however late: a link to a file that is complete and synced is made under the version's name, which the system refuses where that
-// name is taken. So a placement controller that was stopped between its check and its write, and goes on when another one leads, can
-// undo nothing.
+// VersionDir is a folder with the versions of a map, one file for each. The file of a version is written once and never replaced: Put
+// creates it as a hard link to a complete and synced file, and the system refuses a link whose name exists. So a placement controller
+// that was suspended between its check and its write, and resumes while another one leads, can't overwrite a version.
 type VersionDir struct{ Dir string }
 
-// ErrVersionTaken says that a version was written already, with other contents.
-var ErrVersionTaken = errors.New("its place is taken")
+// ErrVersionTaken is returned by Put if the version was already written with other contents.
+var ErrVersionTaken = errors.New("already written with other contents")
 
-// withdrawnMark is what the file of a version has that is not to come any more.
+// withdrawnMark is the contents of a withdrawn version's file. No map will be published under such a version.
 var withdrawnMark = []byte("withdrawn\n")
 
 const (
 	versionSuffix = ".json"
-	keptVersions  = 64 // below the head, for operators to look at
+	keptVersions  = 64 // retained below the head, for operators to inspect
 )
 
+// path returns the name of a version's file.
 func (s VersionDir) path(version int) string {
 	return filepath.Join(s.Dir, fmt.Sprintf("%010d%s", version, versionSuffix))
 }
 
-// versions are those that have a file, rising.
+// versions returns the versions that have a file, in ascending order.
 func (s VersionDir) versions() ([]int, error) {
-	files, err := os.ReadDir(s.Dir) // in the order of their names
+	files, err := os.ReadDir(s.Dir) // sorted by name
 	if err != nil {
 		return nil, err
 	}
@@ -51,8 +51,8 @@
 	return list, nil
 }
 
-// Head is the latest version that is a good map, with its text; nil where there is none. One that is no good is passed over, and is an
-// error beside the head.
+// Head returns the latest version that is a valid map, with its text, or nil if there is none. It skips withdrawn and invalid versions; an
+// invalid one is also reported by the error, which may be non-nil beside a head.
 func (s VersionDir) Head() (m *cells.Map, raw []byte, err error) {
 	list, err := s.versions()
 	if err != nil {
@@ -68,7 +68,7 @@
 			m, err = settings.ParseCells(raw)
 		}
 		if err == nil && m.Version != list[i] {
-			err = fmt.Errorf("version: %d in the place of %d", m.Version, list[i])
+			err = fmt.Errorf("a map of version %d in the file of version %d", m.Version, list[i])
 		}
 		if err == nil {
 			return m, raw, bad
@@ -78,7 +78,7 @@
 	return nil, nil, bad
 }
 
-// HighestVersion is the highest version that has a file, 0 for none.
+// HighestVersion returns the highest version that has a file, or 0 if there is none.
 func (s VersionDir) HighestVersion() (int, error) {
 	list, err := s.versions()
 	if err != nil || len(list) == 0 {
@@ -87,7 +87,7 @@
 	return list[len(list)-1], nil
 }
 
-// Read is the contents of a version's file, nil where there is none.
+// Read returns the contents of a version's file, or nil if there is none.
 func (s VersionDir) Read(version int) ([]byte, error) {
 	raw, err := os.ReadFile(s.path(version))
 	if errors.Is(err, os.ErrNotExist) {
@@ -96,8 +96,8 @@
 	return raw, err
 }
 
-// Put writes a version, or, with nil, withdraws it. That it was written already with the same contents is no error; with others it is
-// ErrVersionTaken.
+// Put writes a version, or withdraws it if raw is nil. If the version was already written, Put returns nil for the same contents and
+// ErrVersionTaken for others.
 func (s VersionDir) Put(version int, raw []byte) error {
 	if raw == nil {
 		raw = withdrawnMark
@@ -117,8 +117,8 @@
 	return nil
 }
 
-// removeOld removes the oldest versions. What a late writer puts in their place is below the head, and nobody reads it. A file that
-// can't be removed is tried again at the next version.
+// removeOld removes the versions more than keptVersions below the head. A late writer may create one of them again, which does no harm, as
+// readers only use the head. A file that can't be removed is tried again at the next Put.
 func (s VersionDir) removeOld(head int) {
 	list, _ := s.versions()
 	for _, v := range list {
@@ -128,15 +128,15 @@
 	}
 }
 
-// ReadMap reads a map from a file, or the head of a VersionDir.
+// ReadMap reads the map at path, a file or a VersionDir. Of a VersionDir it returns the head, or an error if there is none.
 func ReadMap(path string) (*cells.Map, error) {
 	if at, err := os.Stat(path); err == nil && at.IsDir() {
 		m, _, err := VersionDir{path}.Head()
 		if m == nil && err == nil {
-			err = errors.New("no version yet")
+			err = errors.New("the folder has no published version")
 		}
 		if m != nil {
-			err = nil // the head is good; what is no good above it is in force nowhere
+			err = nil // an invalid version above a valid head is in force nowhere
 		}
 		return m, err
 	}
--- a/internal/proxy/versions.go
+++ b/internal/proxy/versions.go
@@ -12,13 +12,15 @@
 	"silverpath/internal/transport/msgpackrpc"
 )
 
-// Versions of maps that servers tell of. Routers that can't reach each other meet at servers: each tells its map with a health check and
-// hears of the newest one, and of two that differ. By what it heard a router stops sending requests with a key: policy/configstore.
+// Versions of maps that servers report. Routers that can't reach each other exchange versions through the servers: a router sends the ID of
+// its map with a health check, and the answer has the newest ID that the server has seen, and any two of one version that differ.
+// Package policy/configstore decides from these whether a router must stop sending requests with a key.
 
-// clockDrift is the ratio by which the monotonic clock of a machine may run fast or slow; quartz stays within a thousandth of that.
+// clockDrift is the ratio by which the monotonic clock of a machine may run fast or slow. The drift of a quartz clock is less than a
+// thousandth of it.
 const clockDrift = 0.05
 
-// conflictTerms are the terms of a map, with this router's health checks.
+// conflictTerms returns the terms of a map, with the interval and timeout of this router's health checks.
 func (r *Runner) conflictTerms(m *cells.Map) configstore.Terms {
 	return configstore.Terms{
 		Lease: m.Lease, ClockSkew: m.MaxClockSkew, ClockDrift: clockDrift, ProbeInterval: r.checkInterval(), ProbeTimeout: healthCheckTimeout,
@@ -26,10 +28,10 @@
 	}
 }
 
-// maxSuspend bounds what a server may have this router stop for by its word.
+// maxSuspend bounds the time for which a server's answer can stop this router from sending requests with a key.
 const maxSuspend = time.Hour
 
-// noteServersMap takes what a server knows of maps, under the lock.
+// recordServerMap records the versions of maps that a server reports in an answer. The caller holds r.mu.
 func (r *Runner) noteServersMap(server string, fields map[string]string) {
 	now := r.clock()
 	if n, description, ok := strings.Cut(fields[msgpackrpc.FieldConflict], " "); ok {
@@ -45,7 +47,8 @@
 	}
 }
 
-// observeVersion takes that there is a map, under the lock. One that is newer than its own has this router read its map again.
+// observeVersion records that source has a map with this ID. If it is newer than the map in force, the map is reloaded soon. The caller
+// holds r.mu.
 func (r *Runner) observeVersion(now time.Duration, id configstore.ID, source string) {
 	switch r.versions.Observe(now, id, source) {
 	case configstore.ConflictFound:
@@ -58,19 +61,19 @@
 	if m := r.current.Load(); m != nil && id.Version > m.Version {
 		select {
 		case r.reloadSoon <- struct{}{}:
-		default: // it is to be read already
+		default: // a reload is already due
 		}
 	}
 }
 
-// reportConflict logs and counts two maps of one version that differ, under the lock.
+// reportConflict logs and counts a conflict: two maps of one version that differ. The caller holds r.mu.
 func (r *Runner) reportConflict() {
 	version, description := r.versions.Conflict()
 	r.stats.Inc("rules", "contradictions")
 	events.Log(r.log, "config.contradiction", version, description)
 }
 
-// verdict tells whether a request with a key may be sent by a map.
+// verdict returns whether requests with a key may be sent by a map.
 func (r *Runner) verdict(m *mapInForce) configstore.Verdict {
 	if core.Unfenced {
 		return configstore.VerdictValid
