--- a/internal/proxy/change.go
+++ b/internal/proxy/change.go
@@ -65,28 +65,28 @@
 	if err != nil {
 		return nil, err
 	}
-	for until := time.Now().Add(wait); ; time.Sleep(lockPollInterval) {
+	for deadline := time.Now().Add(wait); ; time.Sleep(lockPollInterval) {
 		err = unix.Flock(int(f.Fd()), unix.LOCK_EX|unix.LOCK_NB)
 		if err == nil {
-			writeHolder(f)
+			writeLockOwner(f)
 			return f, nil
 		}
 		if !errors.Is(err, unix.EWOULDBLOCK) && !errors.Is(err, unix.EINTR) {
 			f.Close()
 			return nil, fmt.Errorf("%s.lock: %w", path, err)
 		}
-		if time.Now().After(until) {
-			who := make([]byte, 20)
-			n, _ := f.ReadAt(who, 0)
+		if time.Now().After(deadline) {
+			owner := make([]byte, 20)
+			n, _ := f.ReadAt(owner, 0)
 			f.Close()
-			return nil, fmt.Errorf("%s: %w, by process %s", path, ErrBusy, strings.TrimSpace(string(who[:n])))
+			return nil, fmt.Errorf("%s: %w, by process %s", path, ErrBusy, strings.TrimSpace(string(owner[:n])))
 		}
 	}
 }
 
 // writeLockOwner writes this process's ID into a lock file, for the error message of a process that finds it locked. Errors are
 // ignored, as the message is then only without the ID.
-func writeHolder(f *os.File) {
+func writeLockOwner(f *os.File) {
 	_ = f.Truncate(0)
 	_, _ = f.WriteAt([]byte(strconv.Itoa(os.Getpid())), 0)
 }
--- a/internal/proxy/filesource.go
+++ b/internal/proxy/filesource.go
@@ -25,11 +25,11 @@
 // OpenFileSource returns a source that reads the map at path, a file or a VersionDir. State is the path of the state file; if it is
 // empty, nothing is stored.
 func OpenFileSource(path, state string) (*FileSource, error) {
-	s, err := openStateFile(state)
+	file, err := openStateFile(state)
 	if err != nil {
 		return nil, err
 	}
-	return &FileSource{path: path, state: s, settleTime: settleTime}, nil
+	return &FileSource{path: path, state: file, settleTime: settleTime}, nil
 }
 
 // Close closes the state file.
@@ -53,9 +53,9 @@
 	return f.load(old, time.Time{})
 }
 
-// load implements Load and LoadOutdated. Known is the time at which old was last known to be the newest; the zero time accepts late
-// announcements.
-func (f *FileSource) load(old *cells.Map, known time.Time) (*cells.Map, time.Time, error) {
+// load implements Load and LoadOutdated. ConfirmedAt is the time at which old was last known to be the newest; the zero time
+// accepts late announcements.
+func (f *FileSource) load(old *cells.Map, confirmedAt time.Time) (*cells.Map, time.Time, error) {
 	now := time.Now()
 	if old != nil && old == f.delivered && unchanged(f.stamps, f.settleTime) {
 		if err := f.state.storeWhole(old, now); err != nil {
@@ -68,7 +68,7 @@
 	var stored storedMap
 	if starting {
 		stored = f.state.load()
-		old, known, f.confirmedAt = stored.Map, stored.confirmedAt, stored.confirmedAt
+		old, confirmedAt, f.confirmedAt = stored.Map, stored.confirmedAt, stored.confirmedAt
 	}
 	stamps, err := stampsOf(f.path, f.settleTime)
 	var m *cells.Map
@@ -76,7 +76,7 @@
 		m, err = ReadMap(f.path)
 	}
 	if err == nil && old != nil {
-		err = m.FollowsLate(old, known, now)
+		err = m.FollowsLate(old, confirmedAt, now)
 	}
 	if err != nil {
 		err = fmt.Errorf("%s: %w", f.path, err)
@@ -95,11 +95,11 @@
 // stampsFromHead returns the stamps that show whether m is still the head: those of the folder, of m's file, and of the files of higher
 // versions, which are invalid or withdrawn. Without such files it returns two stamps.
 func (f *FileSource) stampsFromHead(stamps []fileStamp, m *cells.Map) []fileStamp {
-	if !stamps[0].folder {
+	if !stamps[0].isDir {
 		return stamps
 	}
 	head := VersionDir{f.path}.path(m.Version)
-	return slices.DeleteFunc(stamps, func(l fileStamp) bool { return !l.folder && l.path < head })
+	return slices.DeleteFunc(stamps, func(st fileStamp) bool { return !st.isDir && st.path < head })
 }
 
 // WriteMap replaces the map file at path atomically: readers find either the old or the new map, also after a power loss.
--- a/internal/proxy/filestamp.go
+++ b/internal/proxy/filestamp.go
@@ -13,52 +13,52 @@
 
 // fileStamp is the metadata of a file or folder by which a change is detected without reading it.
 type fileStamp struct {
-	path           string
-	dev, ino       uint64
-	size           int64
-	mtime, ctime   int64 // nanoseconds; unlike mtime, ctime can't be set back by a copy that preserves times
-	folder, recent bool  // recent: changed so shortly before that another change may leave the same stamp
+	path          string
+	dev, ino      uint64
+	size          int64
+	mtime, ctime  int64 // nanoseconds; unlike mtime, ctime can't be set back by a copy that preserves times
+	isDir, recent bool  // recent: changed so shortly before that another change may leave the same stamp
 }
 
-// stampOf returns the stamp of a file or folder. The stamp is recent if the last change is less than settles ago.
-func stampOf(path string, settles time.Duration) (fileStamp, error) {
+// stampOf returns the stamp of a file or folder. The stamp is recent if the last change is less than minAge ago.
+func stampOf(path string, minAge time.Duration) (fileStamp, error) {
 	var s unix.Stat_t
 	now := time.Now()
 	if err := unix.Stat(path, &s); err != nil {
 		return fileStamp{}, &os.PathError{Op: "stat", Path: path, Err: err}
 	}
-	l := fileStamp{
-		path: path, dev: uint64(s.Dev), ino: s.Ino, size: s.Size, mtime: s.Mtim.Nano(), ctime: s.Ctim.Nano(), folder: s.Mode&unix.S_IFMT == unix.S_IFDIR,
+	st := fileStamp{
+		path: path, dev: uint64(s.Dev), ino: s.Ino, size: s.Size, mtime: s.Mtim.Nano(), ctime: s.Ctim.Nano(), isDir: s.Mode&unix.S_IFMT == unix.S_IFDIR,
 	}
-	l.recent = now.Sub(time.Unix(0, max(l.mtime, l.ctime))) < settles // a time in the future is recent too, at each call
-	return l, nil
+	st.recent = now.Sub(time.Unix(0, max(st.mtime, st.ctime))) < minAge // a time in the future is recent too, at each call
+	return st, nil
 }
 
 // stampsOf returns the stamp of a file, or those of a VersionDir and of the files in it. It is called before the files are read, so that
 // a change during the read is detected at the next load.
-func stampsOf(path string, settles time.Duration) ([]fileStamp, error) {
-	l, err := stampOf(path, settles)
-	if err != nil || !l.folder {
-		return []fileStamp{l}, err
+func stampsOf(path string, minAge time.Duration) ([]fileStamp, error) {
+	st, err := stampOf(path, minAge)
+	if err != nil || !st.isDir {
+		return []fileStamp{st}, err
 	}
-	all, s := []fileStamp{l}, VersionDir{path}
-	list, err := s.versions()
-	for _, v := range list {
-		if l, err := stampOf(s.path(v), settles); err == nil { // the removal of a file changes the folder's stamp
-			all = append(all, l)
+	stamps, dir := []fileStamp{st}, VersionDir{path}
+	versions, err := dir.versions()
+	for _, v := range versions {
+		if st, err := stampOf(dir.path(v), minAge); err == nil { // the removal of a file changes the folder's stamp
+			stamps = append(stamps, st)
 		}
 	}
-	return all, err
+	return stamps, err
 }
 
 // unchanged reports whether every file still has its stamp and no stamp is recent. It makes one stat call for each stamp and reads no
 // file.
-func unchanged(stamps []fileStamp, settles time.Duration) bool {
+func unchanged(stamps []fileStamp, minAge time.Duration) bool {
 	for _, was := range stamps {
 		if was.recent {
 			return false
 		}
-		is, err := stampOf(was.path, settles)
+		is, err := stampOf(was.path, minAge)
 		is.recent = false
 		if err != nil || is != was {
 			return false
--- a/internal/proxy/forward.go
+++ b/internal/proxy/forward.go
@@ -12,30 +12,30 @@
 // its tenant.
 
 // route routes a request by the map in force, admits it to its cell, forwards it, and returns the answer.
-func (r *Runner) route(q core.Request, class silverpath.Class) (a core.Answer) {
+func (r *Runner) route(req core.Request, class silverpath.Class) (a core.Answer) {
 	m := r.current.Load()
-	keyed := class.Effect == silverpath.Idempotent && q.Key != ""
+	keyed := class.Effect == silverpath.Idempotent && req.Key != ""
 	key := ""
 	if keyed {
-		key = q.Key
+		key = req.Key
 	}
-	route, ok := m.Route(Wall(), q.Tenant, key)
+	route, ok := m.Route(Wall(), req.Tenant, key)
 	if !ok {
 		return r.reject("no_cell")
 	}
-	if !r.admit(m, q.Tenant, route) {
+	if !r.admit(m, req.Tenant, route) {
 		if keyed { // an attempt may have been forwarded by another router, so it can't be rejected as never run
 			return r.fail("over_share")
 		}
 		return r.reject("over_share")
 	}
-	defer func() { r.done(m, q.Tenant, route, a) }()
+	defer func() { r.done(m, req.Tenant, route, a) }()
 	if keyed {
-		return r.forwardToHome(q, m, route)
+		return r.forwardToHome(req, m, route)
 	}
 	// Without a key, a server can't recognise a repeat, even of an idempotent class: such a request is retried only on proof that it
 	// never ran, like one of a non-idempotent class.
-	return r.forwardAnywhere(q, route, class.Effect == silverpath.Safe)
+	return r.forwardAnywhere(req, route, class.Effect == silverpath.Safe)
 }
 
 // admit reports whether a tenant may send one more request to its cell. The request must be within this router's quota, if routers share
@@ -64,34 +64,34 @@
 
 // done releases a request that admit has admitted, and records its outcome. A failure does not change the cell's window.
 func (r *Runner) done(m *mapInForce, tenant string, route cells.Route, a core.Answer) {
-	o := loadbalancer.Failed
+	outcome := loadbalancer.Failed
 	switch a.Outcome {
 	case core.Served:
-		o = loadbalancer.Served
+		outcome = loadbalancer.Served
 	case core.Rejected:
-		o = loadbalancer.Rejected
+		outcome = loadbalancer.Rejected
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	name, _ := m.AgreedRate(tenant)
-	r.tenants.Done(r.clock(), route.Cell, name, o)
+	r.tenants.Done(r.clock(), route.Cell, name, outcome)
 }
 
-// reject returns the rejection of a request that has not run, and counts it under why.
-func (r *Runner) reject(why string) core.Answer {
-	r.stats.Inc("fleet", "refused", why)
+// reject returns the rejection of a request that has not run, and counts it under reason.
+func (r *Runner) reject(reason string) core.Answer {
+	r.stats.Inc("fleet", "refused", reason)
 	return core.Answer{Outcome: core.Rejected, RetryAfter: r.events.RetryAfter()}
 }
 
-// fail returns the failure of a request that may have run, and counts it under why.
-func (r *Runner) fail(why string) core.Answer {
-	r.stats.Inc("fleet", "failed", why)
+// fail returns the failure of a request that may have run, and counts it under reason.
+func (r *Runner) fail(reason string) core.Answer {
+	r.stats.Inc("fleet", "failed", reason)
 	return core.Answer{Outcome: core.Failed}
 }
 
 // failOutdated is like fail, for a server that has seen a newer map, by which the request may belong to another home.
-func (r *Runner) failOutdated(why string) core.Answer {
-	a := r.fail(why)
+func (r *Runner) failOutdated(reason string) core.Answer {
+	a := r.fail(reason)
 	a.Reason = core.ReasonBehind
 	return a
 }
--- a/internal/proxy/healthchecks.go
+++ b/internal/proxy/healthchecks.go
@@ -51,16 +51,16 @@
 	ctx, cancel := context.WithTimeout(ctx, healthCheckTimeout)
 	defer cancel()
 	r.mu.Lock()
-	sent, inFlight := r.clock(), r.balancer.InFlight(s.Name)
+	sentAt, inFlight := r.clock(), r.balancer.InFlight(s.Name)
 	r.mu.Unlock()
 	interval := r.checkInterval()
-	a, ok := r.askHealth(ctx, s.Addr, inFlight)
+	a, ok := r.sendHealthCheck(ctx, s.Addr, inFlight)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if ok {
-		r.noteAnswer(s.Name, a.Fields)
+		r.recordServerState(s.Name, a.Fields)
 		if requests, err := strconv.Atoi(a.Fields[msgpackrpc.FieldSlowStartShare]); err == nil {
-			r.balancer.SlowStartGranted(sent, s.Name, requests, msgpackrpc.SlowStartProbeIntervals*interval)
+			r.balancer.SlowStartGranted(sentAt, s.Name, requests, msgpackrpc.SlowStartProbeIntervals*interval)
 		}
 	} else {
 		r.balancer.Unreachable(r.clock(), s.Name)
@@ -71,7 +71,7 @@
 }
 
 // sendHealthCheck sends a health check on a new connection. It returns false if the connection fails or no answer arrives in time.
-func (r *Runner) askHealth(ctx context.Context, addr string, inFlight int) (a msgpackrpc.Reply, ok bool) {
+func (r *Runner) sendHealthCheck(ctx context.Context, addr string, inFlight int) (a msgpackrpc.Reply, ok bool) {
 	c, err := r.cfg.Dial(ctx, addr)
 	if err != nil {
 		return a, false
@@ -96,14 +96,14 @@
 const minHealthReportInterval = 100 * time.Millisecond
 
 // recordServerState updates a server's state from the fields of its answer. The caller holds r.mu.
-func (r *Runner) noteAnswer(name string, fields map[string]string) {
+func (r *Runner) recordServerState(name string, fields map[string]string) {
 	boot, _ := strconv.ParseInt(fields[msgpackrpc.FieldIncarnation], 10, 64)
 	ranUntil, _ := strconv.ParseInt(fields[msgpackrpc.FieldUnknownRuns], 10, 64)
-	joined := int64(0)
+	joinedAt := int64(0)
 	if s := r.current.Load().Server(name); s != nil {
-		joined = s.JoinsAt
+		joinedAt = s.JoinsAt
 	}
-	r.balancer.Answered(r.clock(), name, loadbalancer.Incarnation{Boot: boot, RanUntil: ranUntil, Joined: joined, Now: time.Now().UnixMilli()})
+	r.balancer.Answered(r.clock(), name, loadbalancer.Incarnation{Boot: boot, RanUntil: ranUntil, Joined: joinedAt, Now: time.Now().UnixMilli()})
 	if fields[msgpackrpc.FieldWarmingUp] == "" {
 		r.balancer.WarmedUp(name)
 	}
@@ -111,7 +111,7 @@
 		u.boot.Store(boot)
 	}
 	if fields[msgpackrpc.FieldConfigID] != "" {
-		r.noteServersMap(name, fields)
+		r.recordServerMap(name, fields)
 	}
 }
 
--- a/internal/proxy/maps.go
+++ b/internal/proxy/maps.go
@@ -23,7 +23,7 @@
 
 // activateMap puts a map in force that was last confirmed at confirmedAt. It iterates over the servers only if one has changed, and formats
 // the map for its ID only if the source has no digest of it. The cost for a map that is already in force does not grow with its size.
-func (r *Runner) useMap(m *cells.Map, confirmedAt time.Time) {
+func (r *Runner) activateMap(m *cells.Map, confirmedAt time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	before := r.current.Load()
@@ -71,32 +71,32 @@
 // Reload loads the map from its source. If the map is invalid or can't follow the one in force, Reload logs the error and the old map stays
 // in force. It is called at SIGHUP, by reloadMap, and when a server has rejected a request because it has seen a newer map.
 func (r *Runner) Reload() {
-	r.reading.Lock()
-	defer r.reading.Unlock()
+	r.reloadMu.Lock()
+	defer r.reloadMu.Unlock()
 	old := r.current.Load()
 	load := r.cfg.Source.Load
-	src, can := r.cfg.Source.(OutdatedSource)
-	outdated := can && r.verdict(old) == configstore.VerdictOutdated
+	src, ok := r.cfg.Source.(OutdatedSource)
+	outdated := ok && r.verdict(old) == configstore.VerdictOutdated
 	if outdated {
 		load = src.LoadOutdated
 	}
 	m, confirmedAt, err := load(old.Map)
 	if err != nil {
-		r.noteBadMap(old, err)
+		r.recordMapError(old, err)
 		return
 	}
 	if m.Version != old.Version {
 		if outdated {
-			r.catchUp(m)
+			r.suspendAfterOutdated(m)
 		}
 		r.stats.Inc("cells", "new_map")
 		events.Log(r.log, "cells.map_active", m.Version, old.Version, len(cells.Diff(old.Map, m)))
 	}
-	r.useMap(m, confirmedAt)
+	r.activateMap(m, confirmedAt)
 }
 
 // recordMapError counts a failed load of the map, and logs it at most once in a lease.
-func (r *Runner) noteBadMap(old *mapInForce, err error) {
+func (r *Runner) recordMapError(old *mapInForce, err error) {
 	r.stats.Inc("cells", "bad_map")
 	if time.Since(r.loggedBadMapAt) > old.Lease {
 		r.loggedBadMapAt = time.Now()
@@ -104,7 +104,7 @@
 	}
 	// A map that passed its check in time may still take effect too late, perhaps at all routers. Then no server has seen it, so this
 	// router records its version itself.
-	if src, can := r.cfg.Source.(NewestSource); can {
+	if src, ok := r.cfg.Source.(NewestSource); ok {
 		if id, ok := src.Newest(old.Map); ok {
 			r.mu.Lock()
 			defer r.mu.Unlock()
@@ -123,17 +123,17 @@
 			r.Reload()
 		case <-r.reloadSoon:
 			r.Reload()
-			pause(ctx, max(minReloadPause, r.current.Load().Lease/10))
+			sleep(ctx, max(minReloadInterval, r.current.Load().Lease/10))
 		}
 	}
 }
 
 // minReloadInterval is the least time between two reloads because a newer version was seen. Without it a newer map that never arrives, for
 // example because its file was not copied to this router, would cause a reload at each health check.
-const minReloadPause = 100 * time.Millisecond
+const minReloadInterval = 100 * time.Millisecond
 
 // sleep waits for d or until ctx is done.
-func pause(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
 	case <-time.After(d):
@@ -147,7 +147,7 @@
 
 // identify returns the ID of a map by the digest that its source has for it, or else by the digest of its text.
 func (r *Runner) identify(m *cells.Map) configstore.ID {
-	if src, can := r.cfg.Source.(DigestSource); can {
+	if src, ok := r.cfg.Source.(DigestSource); ok {
 		if digest, named := src.DigestOf(m); named {
 			return configstore.ID{Version: m.Version, Digest: digest}
 		}
@@ -158,11 +158,11 @@
 // suspendAfterOutdated is called before m replaces a map that was outdated for longer than its lease. Requests with a key that this router
 // sent by the old map may be repeated, and m may give their keys other homes. So no request with a key is sent until the overlap window
 // has passed since the last of them.
-func (r *Runner) catchUp(m *cells.Map) {
+func (r *Runner) suspendAfterOutdated(m *cells.Map) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if used := time.Duration(r.lastKeyedSent.Load()); used > 0 {
+	if lastSent := time.Duration(r.lastKeyedSent.Load()); lastSent > 0 {
 		now := r.clock()
-		r.versions.Suspend(now, used+r.conflictTerms(m).OverlapWindow-now)
+		r.versions.Suspend(now, lastSent+r.conflictTerms(m).OverlapWindow-now)
 	}
 }
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -81,7 +81,7 @@
 	quotaCapacity    capacitySpan  // map and time span of the capacity that was last passed to quota
 	lastHealthReport time.Duration // when the health of all servers was last compared with what was logged
 
-	reading        sync.Mutex // held by Reload
+	reloadMu       sync.Mutex // held by Reload
 	loggedBadMapAt time.Time
 }
 
@@ -108,7 +108,7 @@
 		reloadSoon: make(chan struct{}, 1), connectionSlots: make(chan struct{}, max(minConnections, cfg.MaxConnections)),
 	}
 	r.healthCheckInterval.Store(int64(cfg.HealthCheckInterval))
-	r.useMap(m, confirmedAt)
+	r.activateMap(m, confirmedAt)
 	return r, nil
 }
 
@@ -116,20 +116,20 @@
 func (r *Runner) clock() time.Duration { return time.Since(r.startedAt) + time.Hour }
 
 // Forward forwards a request in a new goroutine and reports its result to Events. It does not block.
-func (r *Runner) Forward(q core.Request) {
+func (r *Runner) Forward(req core.Request) {
 	r.inFlight.Add(1)
 	go func() {
 		defer r.inFlight.Add(-1)
 		startedAt := time.Now()
-		class, _ := r.events.Class(q.Class)
-		a := r.route(q, class)
+		class, _ := r.events.Class(req.Class)
+		a := r.route(req, class)
 		weight := uint64(1000 * max(0, class.Weight))
 		r.offeredWeight.Add(weight)
 		if a.Outcome == core.Served {
 			r.servedWeight.Add(weight)
-			r.events.RunEnded(q.ID, silverpath.OK, time.Since(startedAt), a.Body)
+			r.events.RunEnded(req.ID, silverpath.OK, time.Since(startedAt), a.Body)
 		} else {
-			r.events.ForwardReturned(q.ID, a, time.Since(startedAt))
+			r.events.ForwardReturned(req.ID, a, time.Since(startedAt))
 		}
 	}()
 }
@@ -150,8 +150,8 @@
 func (r *Runner) Close() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, p := range r.upstreams {
-		p.close()
+	for _, u := range r.upstreams {
+		u.close()
 	}
 }
 
--- a/internal/proxy/quota.go
+++ b/internal/proxy/quota.go
@@ -28,7 +28,7 @@
 // servers and tenants, only if the map has changed or a server or tenant joins, leaves or moves now. The caller holds r.mu.
 func (r *Runner) updateQuotaCapacity() {
 	m, now := r.current.Load().Map, Wall()
-	if at := now.UnixMilli(); r.quotaCapacity.m == m && r.quotaCapacity.from <= at && at < r.quotaCapacity.until {
+	if nowMS := now.UnixMilli(); r.quotaCapacity.m == m && r.quotaCapacity.from <= nowMS && nowMS < r.quotaCapacity.until {
 		return
 	}
 	r.quota.SetCapacity(quota.CapacityOf(m, now))
--- a/internal/proxy/retries.go
+++ b/internal/proxy/retries.go
@@ -17,71 +17,71 @@
 // forwardAnywhere sends a request without a home to one server after another, until it is served or no further attempt is allowed. If it
 // was not served, the answer is that of the last attempt that was rejected or may have run, and a rejection if there was none. A request
 // that is not safe and may have run fails, as it is not retried.
-func (r *Runner) forwardAnywhere(q core.Request, route cells.Route, safe bool) core.Answer {
+func (r *Runner) forwardAnywhere(req core.Request, route cells.Route, safe bool) core.Answer {
 	r.mu.Lock()
 	r.balancer.FirstAttempt(r.clock())
 	r.mu.Unlock()
-	last, worst := "", core.Answer{Outcome: core.Rejected, RetryAfter: r.events.RetryAfter()}
+	lastServer, answer := "", core.Answer{Outcome: core.Rejected, RetryAfter: r.events.RetryAfter()}
 	for range maxAttempts {
-		name, ok := r.pick(q.Tenant, route.Servers, last)
+		name, ok := r.pick(req.Tenant, route.Servers, lastServer)
 		if !ok {
-			if last == "" {
+			if lastServer == "" {
 				r.stats.Inc("fleet", "refused", "nobody")
 			}
-			return worst
+			return answer
 		}
-		e := r.hedgedAttempt(q, route, name, safe)
+		res := r.hedgedAttempt(req, route, name, safe)
 		switch {
-		case e.outcome == loadbalancer.Served:
-			return core.Answer{Outcome: core.Served, Body: e.body}
-		case e.outcome == loadbalancer.Rejected:
-			worst = core.Answer{Outcome: core.Rejected, RetryAfter: e.retryAfter, Final: e.final}
-		case !e.outcome.NeverRan():
-			worst = r.fail(e.counterName())
+		case res.outcome == loadbalancer.Served:
+			return core.Answer{Outcome: core.Served, Body: res.body}
+		case res.outcome == loadbalancer.Rejected:
+			answer = core.Answer{Outcome: core.Rejected, RetryAfter: res.retryAfter, Final: res.final}
+		case !res.outcome.NeverRan():
+			answer = r.fail(res.counterName())
 		}
 		r.mu.Lock()
-		again := r.balancer.AllowRetry(e.outcome, safe, e.final)
+		retry := r.balancer.AllowRetry(res.outcome, safe, res.final)
 		r.mu.Unlock()
-		if !again || time.Until(q.Deadline) <= 2*answerReserve {
-			return worst
+		if !retry || time.Until(req.Deadline) <= 2*answerReserve {
+			return answer
 		}
 		r.stats.Inc("fleet", "retried")
-		last = name
+		lastServer = name
 	}
-	return worst
+	return answer
 }
 
 // pick chooses one of the candidates other than exclude. It returns false if none is available.
-func (r *Runner) pick(tenant string, among []string, exclude string) (string, bool) {
+func (r *Runner) pick(tenant string, candidates []string, exclude string) (string, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.balancer.Pick(r.clock(), r.tenantInMap(tenant), among, exclude)
+	return r.balancer.Pick(r.clock(), r.tenantInMap(tenant), candidates, exclude)
 }
 
 // hedgedAttempt makes an attempt. If the request is safe, its answer takes longer than the hedge delay, and the budget allows it, a hedged
 // attempt starts on another server. The first one served is the result, and the other is cancelled.
-func (r *Runner) hedgedAttempt(q core.Request, route cells.Route, name string, safe bool) attemptResult {
+func (r *Runner) hedgedAttempt(req core.Request, route cells.Route, name string, safe bool) attemptResult {
 	r.mu.Lock()
-	delay, known := r.balancer.HedgeDelay()
+	delay, ok := r.balancer.HedgeDelay()
 	r.mu.Unlock()
-	if !safe || !known {
-		return r.attempt(q, name, mayRun)
+	if !safe || !ok {
+		return r.attempt(req, name, mayRun)
 	}
-	ends := make(chan attemptResult, 2)
+	results := make(chan attemptResult, 2)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	go func() { ends <- r.attemptIn(ctx, q, name, mayRun) }()
+	go func() { results <- r.attemptIn(ctx, req, name, mayRun) }()
 	hedge := time.NewTimer(delay)
 	defer hedge.Stop()
 	inFlight := 1
 	for {
 		select {
-		case e := <-ends:
-			if inFlight--; e.outcome == loadbalancer.Served || inFlight == 0 {
-				return e
+		case res := <-results:
+			if inFlight--; res.outcome == loadbalancer.Served || inFlight == 0 {
+				return res
 			}
 		case <-hedge.C:
-			other, ok := r.pick(q.Tenant, route.Servers, name)
+			hedgeServer, ok := r.pick(req.Tenant, route.Servers, name)
 			if !ok {
 				continue
 			}
@@ -91,9 +91,9 @@
 			if ok {
 				r.stats.Inc("fleet", "hedged")
 				inFlight++
-				second := q
-				second.ID = q.ID + "h" // the hedged attempt needs an ID of its own
-				go func() { ends <- r.attemptIn(ctx, second, other, mayRun) }()
+				hedged := req
+				hedged.ID = req.ID + "h" // the hedged attempt needs an ID of its own
+				go func() { results <- r.attemptIn(ctx, hedged, hedgeServer, mayRun) }()
 			}
 		}
 	}
--- a/internal/proxy/statefile.go
+++ b/internal/proxy/statefile.go
@@ -78,45 +78,45 @@
 }
 
 // load returns the stored map. Its Map is nil if there is none or it can't be read: the router then starts without it.
-func (s *stateFile) load() (k storedMap) {
+func (s *stateFile) load() (stored storedMap) {
 	if s == nil {
-		return k
+		return stored
 	}
 	err := s.db.View(func(tx *bbolt.Tx) (err error) {
-		k, err = readState(tx)
+		stored, err = readState(tx)
 		return err
 	})
 	if err != nil {
 		return storedMap{}
 	}
-	if k.inParts {
-		s.storedInParts = k.Map
+	if stored.inParts {
+		s.storedInParts = stored.Map
 	}
-	return k
+	return stored
 }
 
 // StoredMap returns the map in a state file and the time at which it was last known to be the newest, or ErrNoMapStored if there is none.
 // Recovery uses it to inspect the state files of a machine.
 func StoredMap(tx *bbolt.Tx) (*cells.Map, time.Time, error) {
-	k, err := readState(tx)
-	return k.Map, k.confirmedAt, err
+	stored, err := readState(tx)
+	return stored.Map, stored.confirmedAt, err
 }
 
 // readState reads the stored map in any of its forms: from an older build, in parts, or as one document.
-func readState(tx *bbolt.Tx) (k storedMap, err error) {
+func readState(tx *bbolt.Tx) (stored storedMap, err error) {
 	get := func(bucket, key []byte) []byte {
 		if b := tx.Bucket(bucket); b != nil {
 			return b.Get(key)
 		}
 		return nil
 	}
-	at, whole, digest := get(bucketTime, keyRead), get(bucketWhole, keyMap), get(bucketParts, keyDigest)
-	if old := get(bucketLegacy, keyMap); old != nil {
-		at, whole, digest = get(bucketLegacy, keyRead), old, nil
+	confirmedAt, whole, digest := get(bucketTime, keyRead), get(bucketWhole, keyMap), get(bucketParts, keyDigest)
+	if legacy := get(bucketLegacy, keyMap); legacy != nil {
+		confirmedAt, whole, digest = get(bucketLegacy, keyRead), legacy, nil
 	}
 	switch {
-	case len(at) != 8 || whole == nil && len(digest) != 8:
-		return k, ErrNoMapStored
+	case len(confirmedAt) != 8 || whole == nil && len(digest) != 8:
+		return stored, ErrNoMapStored
 	case len(digest) == 8:
 		texts := map[string]string{}
 		for _, name := range settings.CellParts() {
@@ -124,22 +124,22 @@
 				texts[name] = string(text)
 			}
 		}
-		k.Map, err = settings.JoinCells(nil, texts)
-		k.inParts, k.digest = true, binary.BigEndian.Uint64(digest)
+		stored.Map, err = settings.JoinCells(nil, texts)
+		stored.inParts, stored.digest = true, binary.BigEndian.Uint64(digest)
 	default:
-		k.Map, err = settings.ParseCells(whole)
+		stored.Map, err = settings.ParseCells(whole)
 	}
-	k.confirmedAt = time.UnixMilli(int64(binary.BigEndian.Uint64(at)))
-	return k, err
+	stored.confirmedAt = time.UnixMilli(int64(binary.BigEndian.Uint64(confirmedAt)))
+	return stored, err
 }
 
 // storeWhole stores a map as one document, with the time at which it was known to be the newest. If m is stored already, it writes only
 // the time.
-func (s *stateFile) storeWhole(m *cells.Map, at time.Time) error {
+func (s *stateFile) storeWhole(m *cells.Map, confirmedAt time.Time) error {
 	if s == nil {
 		return nil
 	}
-	err := s.update(at, s.storedWhole == m, func(tx *bbolt.Tx) error {
+	err := s.update(confirmedAt, s.storedWhole == m, func(tx *bbolt.Tx) error {
 		for _, name := range settings.CellParts() {
 			if err := tx.Bucket(bucketParts).Delete([]byte(name)); err != nil {
 				return err
@@ -155,11 +155,11 @@
 
 // storeParts is like storeWhole for a map in parts, with its digest. It writes the parts in changed if the stored map is from, else all
 // parts.
-func (s *stateFile) storeParts(m *cells.Map, digest uint64, from *cells.Map, changed map[string]string, at time.Time) error {
+func (s *stateFile) storeParts(m *cells.Map, digest uint64, from *cells.Map, changed map[string]string, confirmedAt time.Time) error {
 	if s == nil {
 		return nil
 	}
-	err := s.update(at, s.storedInParts == m, func(tx *bbolt.Tx) error {
+	err := s.update(confirmedAt, s.storedInParts == m, func(tx *bbolt.Tx) error {
 		if from == nil || s.storedInParts != from {
 			changed = settings.SplitCells(m)
 		}
@@ -178,15 +178,15 @@
 }
 
 // update writes the time, and calls write for the map unless that is stored already, in one transaction.
-func (s *stateFile) update(at time.Time, stands bool, write func(tx *bbolt.Tx) error) error {
+func (s *stateFile) update(confirmedAt time.Time, isStored bool, write func(tx *bbolt.Tx) error) error {
 	err := s.db.Update(func(tx *bbolt.Tx) error {
-		if !stands {
-			old := tx.Bucket(bucketLegacy)
-			if err := errors.Join(write(tx), old.Delete(keyMap), old.Delete(keyRead)); err != nil {
+		if !isStored {
+			legacy := tx.Bucket(bucketLegacy)
+			if err := errors.Join(write(tx), legacy.Delete(keyMap), legacy.Delete(keyRead)); err != nil {
 				return err
 			}
 		}
-		return tx.Bucket(bucketTime).Put(keyRead, binary.BigEndian.AppendUint64(nil, uint64(at.UnixMilli())))
+		return tx.Bucket(bucketTime).Put(keyRead, binary.BigEndian.AppendUint64(nil, uint64(confirmedAt.UnixMilli())))
 	})
 	if err != nil {
 		return fmt.Errorf("failed to store the map: %w", err)
--- a/internal/proxy/status.go
+++ b/internal/proxy/status.go
@@ -23,13 +23,13 @@
 	o.Set("worth_asked", a.NewNumberFloat64(float64(r.offeredWeight.Load())/1000))
 	o.Set("worth_served", a.NewNumberFloat64(float64(r.servedWeight.Load())/1000))
 	o.Set("servers", serversStatus(&a, m, states))
-	windows, overShare := r.windowsStatus(&a, m)
-	o.Set("over_share", overShare)
+	windows, rejected := r.windowsStatus(&a, m)
+	o.Set("over_share", rejected)
 	if r.quota != nil {
 		r.quotaStatus(&a, o, m)
 	}
 	o.Set("cells", windows)
-	o.Set("tenants", movesStatus(&a, m))
+	o.Set("tenants", migrationsStatus(&a, m))
 	for _, c := range []struct {
 		name string
 		n    uint64
@@ -69,8 +69,8 @@
 		} else {
 			e.Set("sheets_lost", a.NewFalse())
 		}
-		if at := m.Server(s.Name); at != nil {
-			e.Set("cell", a.NewString(at.Cell))
+		if server := m.Server(s.Name); server != nil {
+			e.Set("cell", a.NewString(server.Cell))
 		}
 		list.SetArrayItem(i, e)
 	}
@@ -97,28 +97,28 @@
 func (r *Runner) quotaStatus(a *fastjson.Arena, o *fastjson.Value, m *mapInForce) {
 	r.mu.Lock()
 	rates, rest := r.quota.Rates(r.leaseClock())
-	beyond := r.quota.Counts().Beyond
+	overQuota := r.quota.Counts().Beyond
 	r.mu.Unlock()
-	each, others := map[string]*fastjson.Value{}, a.NewObject()
+	cellRates, unlisted := map[string]*fastjson.Value{}, a.NewObject()
 	parts := a.NewObject()
 	for _, c := range m.Cells {
-		each[c.Name] = a.NewObject()
-		parts.Set(c.Name, each[c.Name])
-		others.Set(c.Name, a.NewNumberFloat64(rest[c.Name]))
+		cellRates[c.Name] = a.NewObject()
+		parts.Set(c.Name, cellRates[c.Name])
+		unlisted.Set(c.Name, a.NewNumberFloat64(rest[c.Name]))
 	}
 	for k, rate := range rates {
-		if e := each[k.Cell]; e != nil && rate > 0 {
+		if e := cellRates[k.Cell]; e != nil && rate > 0 {
 			e.Set(k.Tenant, a.NewNumberFloat64(rate))
 		}
 	}
 	o.Set("parts", parts)
-	o.Set("parts_rest", others)
-	o.Set("beyond_part", a.NewNumberInt(int(beyond)))
+	o.Set("parts_rest", unlisted)
+	o.Set("beyond_part", a.NewNumberInt(int(overQuota)))
 }
 
 // migrationsStatus returns the state of each tenant's latest migration. Tenants that never migrated, nearly all in a large map, are left
 // out.
-func movesStatus(a *fastjson.Arena, m *mapInForce) *fastjson.Value {
+func migrationsStatus(a *fastjson.Arena, m *mapInForce) *fastjson.Value {
 	tenants := a.NewObject()
 	for t := range m.AllTenants() {
 		if len(t.Homes) < 2 {
--- a/internal/proxy/upstream.go
+++ b/internal/proxy/upstream.go
@@ -87,13 +87,13 @@
 // send sends an attempt and waits for its result. It also returns the fields of the server's answer, or nil without an answer. If the write
 // fails on a closed connection, or the server reports that it has not processed the request, the attempt is sent again on another
 // connection.
-func (u *upstream) send(ctx context.Context, t msgpackrpc.Attempt) (attemptResult, map[string]string) {
+func (u *upstream) send(ctx context.Context, attempt msgpackrpc.Attempt) (attemptResult, map[string]string) {
 	for sends := 0; sends < maxSends; {
 		c, err := u.conn(ctx)
 		if err != nil {
 			return attemptResult{outcome: connectOutcome(err)}, nil
 		}
-		id, reply, err := c.Send(func(id uint64) []byte { return t.Append(nil, id) })
+		id, reply, err := c.Send(func(id uint64) []byte { return attempt.Append(nil, id) })
 		switch {
 		case errors.Is(err, msgpackrpc.ErrFull): // other requests took the connection's capacity first
 			continue
@@ -102,15 +102,15 @@
 			continue
 		}
 		select {
-		case a, ok := <-reply:
+		case answer, ok := <-reply:
 			if !ok {
 				return attemptResult{outcome: loadbalancer.ConnectionLost}, nil
 			}
-			if a.Unprocessed() { // the server was closing the idle connection
+			if answer.Unprocessed() { // the server was closing the idle connection
 				sends++
 				continue
 			}
-			return resultOf(a), a.Fields
+			return parseReply(answer), answer.Fields
 		case <-ctx.Done():
 			c.Cancel(id)
 			return attemptResult{outcome: loadbalancer.TimedOut}, nil
--- a/internal/proxy/versiondir.go
+++ b/internal/proxy/versiondir.go
@@ -26,70 +26,70 @@
 var withdrawnMark = []byte("withdrawn\n")
 
 const (
-	versionSuffix = ".json"
-	keptVersions  = 64 // retained below the head, for operators to inspect
+	versionSuffix    = ".json"
+	retainedVersions = 64 // retained below the head, for operators to inspect
 )
 
 // path returns the name of a version's file.
-func (s VersionDir) path(version int) string {
-	return filepath.Join(s.Dir, fmt.Sprintf("%010d%s", version, versionSuffix))
+func (d VersionDir) path(version int) string {
+	return filepath.Join(d.Dir, fmt.Sprintf("%010d%s", version, versionSuffix))
 }
 
 // versions returns the versions that have a file, in ascending order.
-func (s VersionDir) versions() ([]int, error) {
-	files, err := os.ReadDir(s.Dir) // sorted by name
+func (d VersionDir) versions() ([]int, error) {
+	files, err := os.ReadDir(d.Dir) // sorted by name
 	if err != nil {
 		return nil, err
 	}
-	var list []int
+	var versions []int
 	for _, f := range files {
 		stem, ok := strings.CutSuffix(f.Name(), versionSuffix)
 		if v, err := strconv.Atoi(stem); ok && err == nil {
-			list = append(list, v)
+			versions = append(versions, v)
 		}
 	}
-	return list, nil
+	return versions, nil
 }
 
 // Head returns the latest version that is a valid map, with its text, or nil if there is none. It skips withdrawn and invalid versions; an
 // invalid one is also reported by the error, which may be non-nil beside a head.
-func (s VersionDir) Head() (m *cells.Map, raw []byte, err error) {
-	list, err := s.versions()
+func (d VersionDir) Head() (m *cells.Map, raw []byte, err error) {
+	versions, err := d.versions()
 	if err != nil {
 		return nil, nil, err
 	}
-	var bad error
-	for i := len(list) - 1; i >= 0; i-- {
-		raw, err := os.ReadFile(s.path(list[i]))
+	var invalid error
+	for i := len(versions) - 1; i >= 0; i-- {
+		raw, err := os.ReadFile(d.path(versions[i]))
 		if err == nil && bytes.Equal(raw, withdrawnMark) {
 			continue
 		}
 		if err == nil {
 			m, err = settings.ParseCells(raw)
 		}
-		if err == nil && m.Version != list[i] {
-			err = fmt.Errorf("a map of version %d in the file of version %d", m.Version, list[i])
+		if err == nil && m.Version != versions[i] {
+			err = fmt.Errorf("a map of version %d in the file of version %d", m.Version, versions[i])
 		}
 		if err == nil {
-			return m, raw, bad
+			return m, raw, invalid
 		}
-		bad = errors.Join(bad, fmt.Errorf("%s: %w", s.path(list[i]), err))
+		invalid = errors.Join(invalid, fmt.Errorf("%s: %w", d.path(versions[i]), err))
 	}
-	return nil, nil, bad
+	return nil, nil, invalid
 }
 
 // HighestVersion returns the highest version that has a file, or 0 if there is none.
-func (s VersionDir) HighestVersion() (int, error) {
-	list, err := s.versions()
-	if err != nil || len(list) == 0 {
+func (d VersionDir) HighestVersion() (int, error) {
+	versions, err := d.versions()
+	if err != nil || len(versions) == 0 {
 		return 0, err
 	}
-	return list[len(list)-1], nil
+	return versions[len(versions)-1], nil
 }
 
 // Read returns the contents of a version's file, or nil if there is none.
-func (s VersionDir) Read(version int) ([]byte, error) {
-	raw, err := os.ReadFile(s.path(version))
+func (d VersionDir) Read(version int) ([]byte, error) {
+	raw, err := os.ReadFile(d.path(version))
 	if errors.Is(err, os.ErrNotExist) {
 		return nil, nil
 	}
@@ -98,14 +98,14 @@
 
 // Put writes a version, or withdraws it if raw is nil. If the version was already written, Put returns nil for the same contents and
 // ErrVersionTaken for others.
-func (s VersionDir) Put(version int, raw []byte) error {
+func (d VersionDir) Put(version int, raw []byte) error {
 	if raw == nil {
 		raw = withdrawnMark
 	}
-	err := atomicfile.Write(s.path(version), raw, os.Link)
+	err := atomicfile.Write(d.path(version), raw, os.Link)
 	if errors.Is(err, os.ErrExist) {
-		there, err := s.Read(version)
-		if err == nil && !bytes.Equal(there, raw) {
+		existing, err := d.Read(version)
+		if err == nil && !bytes.Equal(existing, raw) {
 			err = fmt.Errorf("version %d: %w", version, ErrVersionTaken)
 		}
 		return err
@@ -113,24 +113,24 @@
 	if err != nil {
 		return fmt.Errorf("version %d: %w", version, err)
 	}
-	s.removeOld(version)
+	d.removeOld(version)
 	return nil
 }
 
-// removeOld removes the versions more than keptVersions below the head. A late writer may create one of them again, which does no harm, as
-// readers only use the head. A file that can't be removed is tried again at the next Put.
-func (s VersionDir) removeOld(head int) {
-	list, _ := s.versions()
-	for _, v := range list {
-		if v <= head-keptVersions {
-			_ = os.Remove(s.path(v))
+// removeOld removes the versions that are retainedVersions or more below the head. A late writer may create one of them again, which does
+// no harm, as readers only use the head. A file that can't be removed is tried again at the next Put.
+func (d VersionDir) removeOld(head int) {
+	versions, _ := d.versions()
+	for _, v := range versions {
+		if v <= head-retainedVersions {
+			_ = os.Remove(d.path(v))
 		}
 	}
 }
 
 // ReadMap reads the map at path, a file or a VersionDir. Of a VersionDir it returns the head, or an error if there is none.
 func ReadMap(path string) (*cells.Map, error) {
-	if at, err := os.Stat(path); err == nil && at.IsDir() {
+	if info, err := os.Stat(path); err == nil && info.IsDir() {
 		m, _, err := VersionDir{path}.Head()
 		if m == nil && err == nil {
 			err = errors.New("the folder has no published version")
--- a/internal/proxy/versions.go
+++ b/internal/proxy/versions.go
@@ -32,10 +32,10 @@
 const maxSuspend = time.Hour
 
 // recordServerMap records the versions of maps that a server reports in an answer. The caller holds r.mu.
-func (r *Runner) noteServersMap(server string, fields map[string]string) {
+func (r *Runner) recordServerMap(server string, fields map[string]string) {
 	now := r.clock()
-	if n, description, ok := strings.Cut(fields[msgpackrpc.FieldConflict], " "); ok {
-		if version, err := strconv.Atoi(n); err == nil && r.versions.ObserveConflict(now, version, description) == configstore.ConflictFound {
+	if number, description, ok := strings.Cut(fields[msgpackrpc.FieldConflict], " "); ok {
+		if version, err := strconv.Atoi(number); err == nil && r.versions.ObserveConflict(now, version, description) == configstore.ConflictFound {
 			r.reportConflict()
 		}
 	}
