--- a/internal/proxy/parts_test.go
+++ b/internal/proxy/parts_test.go
@@ -29,8 +29,8 @@
 	"silverpath/internal/transport/msgpackrpc"
 )
 
-// fleetOf is a map of so many servers and tenants.
-func fleetOf(servers, tenants int) *cells.Map {
+// newFleetMap returns a map with the given numbers of servers and tenants.
+func newFleetMap(servers, tenants int) *cells.Map {
 	m := &cells.Map{Version: 3, KeyWindow: 2 * time.Second, MaxClockSkew: 100 * time.Millisecond, Lease: time.Second, CallerTimeout: time.Second,
 		Cells: []cells.Cell{{Name: "a", Capacity: 10}, {Name: "b", Capacity: 10}}}
 	for i := range servers {
@@ -42,35 +42,35 @@
 	return m
 }
 
-// next is a map of the next version, in which a tenant has another rate; its file has the same size.
-func next(m *cells.Map) *cells.Map {
-	n := *m.Flat()
-	n.Version++
-	n.Tenants = slices.Clone(n.Tenants)
-	n.Tenants[0].Rate = float64(n.Version % 10)
-	return &n
+// nextVersion returns a map of the next version, in which one tenant has another rate. Its file has the same size as that of m.
+func nextVersion(m *cells.Map) *cells.Map {
+	next := *m.Flat()
+	next.Version++
+	next.Tenants = slices.Clone(next.Tenants)
+	next.Tenants[0].Rate = float64(next.Version % 10)
+	return &next
 }
 
-// beyondTick waits until a change of a file has another time than all those before.
-func beyondTick(t *testing.T) {
+// waitForNextTick waits until the clock of the file system has advanced, so that the next change of a file gets a new time.
+func waitForNextTick(t *testing.T) {
 	t.Helper()
 	probe := filepath.Join(t.TempDir(), "probe")
 	change := func() int64 {
 		if err := os.WriteFile(probe, nil, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		l, err := stampOf(probe, 0)
+		st, err := stampOf(probe, 0)
 		if err != nil {
 			t.Fatal(err)
 		}
-		return l.ctime
+		return st.ctime
 	}
 	for first := change(); change() == first; time.Sleep(time.Millisecond) {
 	}
 }
 
-// cost is how often and how much a function allocates.
-func cost(f func()) (allocs, size float64) {
+// measureAllocs returns the average number and total size of the allocations of a call of f.
+func measureAllocs(f func()) (allocs, size float64) {
 	const runs = 20
 	allocs = testing.AllocsPerRun(runs, f)
 	var before, after runtime.MemStats
@@ -82,20 +82,20 @@
 	return allocs, float64(after.TotalAlloc-before.TotalAlloc) / runs
 }
 
-// pagesOf is how many bytes of pages were written to a state.
-func pagesOf(s *stateFile) int64 {
-	all := s.db.Stats()
-	return all.TxStats.GetPageAlloc()
+// pageBytes returns the bytes of pages that were allocated in a state file.
+func pageBytes(s *stateFile) int64 {
+	stats := s.db.Stats()
+	return stats.TxStats.GetPageAlloc()
 }
 
-// ---- A file ----
+// ---- File source ----
 
-// A file that is unchanged is neither read nor parsed nor written again, however large: its map is the same, by now.
+// Loading an unchanged file must not read, parse or store the map again, whatever its size. It returns the same map, confirmed now.
 func TestUnchangedFileCostsNothing(t *testing.T) {
 	measure := func(tenants int) (allocs, size, written float64) {
 		dir := t.TempDir()
 		path := filepath.Join(dir, "cells.json")
-		if err := WriteMap(path, fleetOf(tenants/20, tenants)); err != nil {
+		if err := WriteMap(path, newFleetMap(tenants/20, tenants)); err != nil {
 			t.Fatal(err)
 		}
 		f, err := OpenFileSource(path, filepath.Join(dir, "state.db"))
@@ -108,27 +108,27 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		pages := pagesOf(f.state)
+		pages := pageBytes(f.state)
 		runs := 0
-		allocs, size = cost(func() {
+		allocs, size = measureAllocs(func() {
 			runs++
 			now := time.Now()
 			again, read, err := f.Load(m)
 			if err != nil || again != m || read.Before(now) {
-				t.Fatalf("another map, read %v after, %v", read.Sub(now), err)
+				t.Fatalf("a different map, confirmed %v after the call, %v", read.Sub(now), err)
 			}
 		})
-		return allocs, size, float64(pagesOf(f.state)-pages) / float64(runs)
+		return allocs, size, float64(pageBytes(f.state)-pages) / float64(runs)
 	}
 	allocs, size, written := measure(100)
-	more, larger, longer := measure(5000)
-	t.Logf("100 tenants: %v allocations of %.0f bytes, pages of %.0f; 5,000: %v of %.0f, pages of %.0f", allocs, size, written, more, larger, longer)
-	if more > allocs+20 || larger > size+32<<10 || longer > written+32<<10 {
-		t.Errorf("100 tenants: %v allocations of %.0f bytes, pages of %.0f; 5,000: %v of %.0f, pages of %.0f", allocs, size, written, more, larger, longer)
+	allocsLarge, sizeLarge, writtenLarge := measure(5000)
+	t.Logf("100 tenants: %v allocations of %.0f bytes, pages of %.0f; 5,000: %v of %.0f, pages of %.0f", allocs, size, written, allocsLarge, sizeLarge, writtenLarge)
+	if allocsLarge > allocs+20 || sizeLarge > size+32<<10 || writtenLarge > written+32<<10 {
+		t.Errorf("100 tenants: %v allocations of %.0f bytes, pages of %.0f; 5,000: %v of %.0f, pages of %.0f", allocs, size, written, allocsLarge, sizeLarge, writtenLarge)
 	}
 }
 
-// Whatever changes a file, or a folder of versions, is noticed at the next look, and what is unchanged is the same map again.
+// Every kind of change of a map file must be detected at the next load. Without a change, Load returns the same map.
 func TestChangesAreNoticed(t *testing.T) {
 	write := func(t *testing.T, path string, m *cells.Map) {
 		t.Helper()
@@ -137,18 +137,18 @@
 		}
 	}
 	for _, c := range []struct {
-		name   string
-		change func(t *testing.T, path string, m *cells.Map) // to the next of a map
-		fails  string
+		name    string
+		change  func(t *testing.T, path string, m *cells.Map) // to the next version of m
+		wantErr string
 	}{
-		{"in place, of the same size", func(t *testing.T, path string, m *cells.Map) { write(t, path, next(m)) }, ""},
+		{"in place, of the same size", func(t *testing.T, path string, m *cells.Map) { write(t, path, nextVersion(m)) }, ""},
 		{"grown", func(t *testing.T, path string, m *cells.Map) {
-			n := next(m)
+			n := nextVersion(m)
 			n.Tenants = append(n.Tenants, cells.Tenant{Name: "new", Homes: []cells.Home{{Cell: "a"}}})
 			write(t, path, n)
 		}, ""},
 		{"replaced", func(t *testing.T, path string, m *cells.Map) {
-			if err := WriteMap(path, next(m)); err != nil {
+			if err := WriteMap(path, nextVersion(m)); err != nil {
 				t.Fatal(err)
 			}
 		}, ""},
@@ -157,13 +157,13 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			write(t, path, next(m))
+			write(t, path, nextVersion(m))
 			if err := os.Chtimes(path, was.ModTime(), was.ModTime()); err != nil {
 				t.Fatal(err)
 			}
 		}, ""},
 		{"replaced by an older file of the same size", func(t *testing.T, path string, m *cells.Map) {
-			write(t, path+".other", next(m))
+			write(t, path+".other", nextVersion(m))
 			past := time.Now().Add(-time.Hour)
 			if err := errors.Join(os.Chtimes(path+".other", past, past), os.Rename(path+".other", path)); err != nil {
 				t.Fatal(err)
@@ -178,9 +178,9 @@
 			if err := os.Remove(path); err != nil {
 				t.Fatal(err)
 			}
-			write(t, path, next(m))
+			write(t, path, nextVersion(m))
 		}, ""},
-		{"no good", func(t *testing.T, path string, m *cells.Map) {
+		{"invalid", func(t *testing.T, path string, m *cells.Map) {
 			if err := os.Truncate(path, 100); err != nil {
 				t.Fatal(err)
 			}
@@ -189,7 +189,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			dir := t.TempDir()
 			path := filepath.Join(dir, "cells.json")
-			write(t, path, fleetOf(4, 10))
+			write(t, path, newFleetMap(4, 10))
 			f, err := OpenFileSource(path, "")
 			if err != nil {
 				t.Fatal(err)
@@ -200,43 +200,44 @@
 				t.Fatal(err)
 			}
 			if again, _, err := f.Load(m); err != nil || again != m {
-				t.Fatalf("unchanged, and not the same: %v", err)
+				t.Fatalf("the unchanged map was not returned again: %v", err)
 			}
-			beyondTick(t)
+			waitForNextTick(t)
 			c.change(t, path, m)
 			n, _, err := f.Load(m)
-			if c.fails != "" {
-				if err == nil || !strings.Contains(err.Error(), c.fails) {
-					t.Fatalf("%v, want %s", err, c.fails)
+			if c.wantErr != "" {
+				if err == nil || !strings.Contains(err.Error(), c.wantErr) {
+					t.Fatalf("error %v, want %s", err, c.wantErr)
 				}
 				if _, _, err := f.Load(m); err == nil {
-					t.Fatal("an error is one once only")
+					t.Fatal("the second load of an invalid file returned no error")
 				}
-				beyondTick(t)
-				write(t, path, next(m))
+				waitForNextTick(t)
+				write(t, path, nextVersion(m))
 				n, _, err = f.Load(m)
 			}
 			if err != nil || n.Version != m.Version+1 {
-				t.Fatalf("%v, %v", n, err)
+				t.Fatalf("after the change: map %v, %v", n, err)
 			}
 			if again, _, err := f.Load(n); err != nil || again != n {
-				t.Fatalf("unchanged, and not the same: %v", err)
+				t.Fatalf("the unchanged map was not returned again: %v", err)
 			}
 		})
 	}
 }
 
-// The same for the head of a folder: a version that comes, one that is mended above the head, and a head that goes.
+// Changes of a folder of versions must be detected at the next load: a new version, an invalid version above the head that is corrected,
+// and the removal of the folder.
 func TestChangesOfAFolderAreNoticed(t *testing.T) {
 	dir := t.TempDir()
-	s := VersionDir{dir}
+	versions := VersionDir{dir}
 	put := func(m *cells.Map) {
 		t.Helper()
-		if err := s.Put(m.Version, settings.FormatCells(m)); err != nil {
+		if err := versions.Put(m.Version, settings.FormatCells(m)); err != nil {
 			t.Fatal(err)
 		}
 	}
-	first := fleetOf(4, 10)
+	first := newFleetMap(4, 10)
 	put(first)
 	f, err := OpenFileSource(dir, "")
 	if err != nil {
@@ -247,257 +248,257 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	looked := func(what string, version int) {
+	expectVersion := func(what string, version int) {
 		t.Helper()
 		n, _, err := f.Load(m)
 		if err != nil || n.Version != version {
-			t.Fatalf("%s: %v", what, err)
+			t.Fatalf("%s: error %v or the wrong version", what, err)
 		}
 		if again, _, err := f.Load(n); err != nil || again != n {
-			t.Fatalf("%s: unchanged, and not the same: %v", what, err)
+			t.Fatalf("%s: the unchanged map was not returned again: %v", what, err)
 		}
 		m = n
-		beyondTick(t)
+		waitForNextTick(t)
 	}
-	looked("nothing", 3)
-	second := next(first)
+	expectVersion("no change", 3)
+	second := nextVersion(first)
 	put(second)
-	looked("the next", 4)
-	third := next(second)
+	expectVersion("a new version", 4)
+	third := nextVersion(second)
 	text := settings.FormatCells(third)
-	if err := os.WriteFile(s.path(5), text[:50], 0o600); err != nil {
+	if err := os.WriteFile(versions.path(5), text[:50], 0o600); err != nil {
 		t.Fatal(err)
 	}
-	looked("one that is no good", 4)
+	expectVersion("an invalid version above the head", 4)
 	if n := len(f.stamps); n != 3 {
-		t.Errorf("%d looks at a folder, its head, and one above it", n)
+		t.Errorf("%d stamps for a folder, its head, and one version above it, want 3", n)
 	}
-	if err := os.WriteFile(s.path(5), text, 0o600); err != nil {
+	if err := os.WriteFile(versions.path(5), text, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	looked("that one mended in place", 5)
+	expectVersion("the invalid version corrected in place", 5)
 	if n := len(f.stamps); n != 2 {
-		t.Errorf("%d looks at a folder and its head", n)
+		t.Errorf("%d stamps for a folder and its head, want 2", n)
 	}
 	if err := os.RemoveAll(dir); err != nil {
 		t.Fatal(err)
 	}
 	if _, _, err := f.Load(m); err == nil {
-		t.Error("a folder that has gone is no error")
+		t.Error("loading from a removed folder returned no error")
 	}
 }
 
-// Two changes within one tick of the clock look alike: so a file that changed lately is read at each look. One that had settled when
-// it was looked at is not, which is all that a look says.
+// Two changes within one tick of the file system's clock can leave the same stamp. So a file that changed less than settleTime ago must be
+// read at each load. A file whose stamp is older is not read, even if its contents differ.
 func TestChangeWithinATick(t *testing.T) {
-	for _, lately := range []bool{true, false} {
+	for _, recent := range []bool{true, false} {
 		path := filepath.Join(t.TempDir(), "cells.json")
-		if err := WriteMap(path, fleetOf(4, 10)); err != nil {
+		if err := WriteMap(path, newFleetMap(4, 10)); err != nil {
 			t.Fatal(err)
 		}
 		f, err := OpenFileSource(path, "")
 		if err != nil {
 			t.Fatal(err)
 		}
-		f.settleTime = map[bool]time.Duration{true: math.MaxInt64, false: 0}[lately]
+		f.settleTime = map[bool]time.Duration{true: math.MaxInt64, false: 0}[recent]
 		m, _, err := f.Load(nil)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := WriteMap(path, next(m)); err != nil {
+		if err := WriteMap(path, nextVersion(m)); err != nil {
 			t.Fatal(err)
 		}
-		if f.stamps, err = stampsOf(path, f.settleTime); err != nil { // as if the first had had the same time, size and place
+		if f.stamps, err = stampsOf(path, f.settleTime); err != nil { // as if both versions had left the same stamp
 			t.Fatal(err)
 		}
 		n, _, err := f.Load(m)
-		if err != nil || (n.Version == m.Version+1) != lately {
-			t.Errorf("lately %v: version %d after %d, %v", lately, n.Version, m.Version, err)
+		if err != nil || (n.Version == m.Version+1) != recent {
+			t.Errorf("recent change %v: version %d after %d, %v", recent, n.Version, m.Version, err)
 		}
 	}
 }
 
 // ---- Maps in parts ----
 
-// agreedOn is a source whose group has agreed on a map, in parts.
-func agreedOn(t *testing.T, state string, m *cells.Map) *GroupSource {
+// newGroupSource returns a source to which m was applied in parts and confirmed.
+func newGroupSource(t *testing.T, state string, m *cells.Map) *GroupSource {
 	t.Helper()
-	a, err := OpenGroupSource(state)
+	src, err := OpenGroupSource(state)
 	if err != nil {
 		t.Fatal(err)
 	}
-	closeLater(t, a)
-	if err := a.CheckParts(settings.SplitCells(m), true); err != nil {
+	closeLater(t, src)
+	if err := src.CheckParts(settings.SplitCells(m), true); err != nil {
 		t.Fatal(err)
 	}
-	if err := a.ApplyParts(configstore.ID{Version: 70, Digest: 77}, settings.SplitCells(m), true); err != nil {
+	if err := src.ApplyParts(configstore.ID{Version: 70, Digest: 77}, settings.SplitCells(m), true); err != nil {
 		t.Fatal(err)
 	}
-	a.Confirm(time.Now())
-	return a
+	src.Confirm(time.Now())
+	return src
 }
 
-// delta are the parts by which a map differs from another.
-func delta(old, m *cells.Map) map[string]string {
-	was, is := settings.SplitCells(old), settings.SplitCells(m)
-	maps.DeleteFunc(is, func(name, text string) bool { return was[name] == text })
-	return is
+// changedParts returns the parts of m that differ from those of old.
+func changedParts(old, m *cells.Map) map[string]string {
+	oldParts, parts := settings.SplitCells(old), settings.SplitCells(m)
+	maps.DeleteFunc(parts, func(name, text string) bool { return oldParts[name] == text })
+	return parts
 }
 
-// A router takes the parts that changed, on top of those that it has; one that is no good, or can't follow, leaves all as it was. What
-// it has outlives it, with the digest by which the group names it.
+// A router applies changed parts on top of its map. A part that is invalid or can't follow must leave the map as it was. After a restart the
+// source must return the last map, with the digest by which the group identifies it.
 func TestGroupSourceInParts(t *testing.T) {
 	state := filepath.Join(t.TempDir(), "state.db")
-	first := fleetOf(10, 200)
-	a := agreedOn(t, state, first)
-	m, _, err := a.Load(nil)
+	first := newFleetMap(10, 200)
+	src := newGroupSource(t, state, first)
+	m, _, err := src.Load(nil)
 	if err != nil || len(cells.Diff(first, m))+len(cells.Diff(m, first)) > 0 {
-		t.Fatalf("%v", err)
+		t.Fatalf("load: %v, or a different map", err)
 	}
-	if digest, ok := a.DigestOf(m); !ok || digest != 77 {
-		t.Errorf("named %d, %v", digest, ok)
+	if digest, ok := src.DigestOf(m); !ok || digest != 77 {
+		t.Errorf("digest %d, %v, want 77", digest, ok)
 	}
-	second := next(m)
-	gone := *second
-	gone.Tenants = second.Tenants[1:]
+	second := nextVersion(m)
+	removed := *second
+	removed.Tenants = second.Tenants[1:]
 	for _, c := range []struct {
-		changed map[string]string
-		whole   bool
-		want    string
+		changed  map[string]string
+		complete bool
+		want     string
 	}{
-		{delta(m, &gone), false, `tenants: "tenant-0" is gone`},
+		{changedParts(m, &removed), false, `tenants: "tenant-0" is gone`},
 		{map[string]string{"top": `{"version":2}`}, false, "version: 2 is not above that in force, 3"},
 		{map[string]string{"t00": `{"tenants":[{}]}`}, false, "part t00: tenants[0]"},
-		{delta(m, second), true, "part head: missing"},
+		{changedParts(m, second), true, "part head: missing"},
 	} {
-		if err := a.CheckParts(c.changed, c.whole); err == nil || !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%v, want %s", err, c.want)
+		if err := src.CheckParts(c.changed, c.complete); err == nil || !strings.Contains(err.Error(), c.want) {
+			t.Errorf("error %v, want %s", err, c.want)
 		}
 	}
-	if err := a.ApplyParts(configstore.ID{Version: 71, Digest: 78}, map[string]string{"t00": `{"tenants":[{}]}`}, false); err == nil {
-		t.Error("a part that is no good is taken")
+	if err := src.ApplyParts(configstore.ID{Version: 71, Digest: 78}, map[string]string{"t00": `{"tenants":[{}]}`}, false); err == nil {
+		t.Error("an invalid part was applied")
 	}
-	if again, _, err := a.Load(m); err != nil || again != m {
-		t.Errorf("the map before does not hold: %v", err)
+	if again, _, err := src.Load(m); err != nil || again != m {
+		t.Errorf("the previous map was not kept: %v", err)
 	}
-	changed := delta(m, second)
+	changed := changedParts(m, second)
 	if len(changed) != 2 {
-		t.Fatalf("changed: %v", slices.Sorted(maps.Keys(changed)))
+		t.Fatalf("changed parts: %v, want 2", slices.Sorted(maps.Keys(changed)))
 	}
-	if err := a.CheckParts(changed, false); err != nil {
+	if err := src.CheckParts(changed, false); err != nil {
 		t.Fatal(err)
 	}
-	third := next(second)
-	third.Tenants[0].Rate, third.Tenants[1].Rate = second.Tenants[0].Rate, 9 // another part than the second
-	for i, m := range []*cells.Map{second, third} {                          // two before the router asks
-		if err := a.ApplyParts(configstore.ID{Version: 71 + i, Digest: 78 + uint64(i)}, delta([]*cells.Map{first, second}[i], m), false); err != nil {
+	third := nextVersion(second)
+	third.Tenants[0].Rate, third.Tenants[1].Rate = second.Tenants[0].Rate, 9 // a change in another part than that of second
+	for i, m := range []*cells.Map{second, third} {                          // two changes before the router loads
+		if err := src.ApplyParts(configstore.ID{Version: 71 + i, Digest: 78 + uint64(i)}, changedParts([]*cells.Map{first, second}[i], m), false); err != nil {
 			t.Fatal(err)
 		}
 	}
-	asked := time.Now()
-	a.Confirm(asked)
-	n, known, err := a.Load(m)
-	if err != nil || !known.Equal(asked) || len(cells.Diff(third, n)) > 0 || n.Version != third.Version || !n.SameServers(m) {
-		t.Fatalf("%v: %q", err, cells.Diff(third, n))
+	requestedAt := time.Now()
+	src.Confirm(requestedAt)
+	n, confirmedAt, err := src.Load(m)
+	if err != nil || !confirmedAt.Equal(requestedAt) || len(cells.Diff(third, n)) > 0 || n.Version != third.Version || !n.SameServers(m) {
+		t.Fatalf("after two changes: %v, differences %q", err, cells.Diff(third, n))
 	}
-	closeNow(t, a)
+	closeNow(t, src)
 
-	a, err = OpenGroupSource(state)
+	src, err = OpenGroupSource(state)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer closeNow(t, a)
-	m, since, err := a.Load(nil)
-	if err != nil || m.Version != third.Version || len(cells.Diff(third, m))+len(cells.Diff(m, third)) > 0 || since.UnixMilli() != asked.UnixMilli() {
-		t.Fatalf("after a restart: %v, known %v after", err, since.Sub(asked))
+	defer closeNow(t, src)
+	m, storedAt, err := src.Load(nil)
+	if err != nil || m.Version != third.Version || len(cells.Diff(third, m))+len(cells.Diff(m, third)) > 0 || storedAt.UnixMilli() != requestedAt.UnixMilli() {
+		t.Fatalf("after a restart: %v, confirmed %v after the request", err, storedAt.Sub(requestedAt))
 	}
-	if digest, ok := a.DigestOf(m); !ok || digest != 79 {
-		t.Errorf("after a restart it is named %d, %v", digest, ok)
+	if digest, ok := src.DigestOf(m); !ok || digest != 79 {
+		t.Errorf("after a restart: digest %d, %v, want 79", digest, ok)
 	}
-	fourth := next(third)
-	if err := a.ApplyParts(configstore.ID{Version: 73, Digest: 80}, delta(third, fourth), false); err != nil {
+	fourth := nextVersion(third)
+	if err := src.ApplyParts(configstore.ID{Version: 73, Digest: 80}, changedParts(third, fourth), false); err != nil {
 		t.Fatal(err)
 	}
-	a.Confirm(time.Now())
-	if n, _, err := a.Load(m); err != nil || len(cells.Diff(fourth, n)) > 0 || !n.SameServers(m) {
-		t.Errorf("on what was kept: %v", err)
+	src.Confirm(time.Now())
+	if n, _, err := src.Load(m); err != nil || len(cells.Diff(fourth, n)) > 0 || !n.SameServers(m) {
+		t.Errorf("parts on top of the stored map: %v", err)
 	}
-	// A group that is of an older build again sends it whole.
-	fifth := next(fourth)
-	if err := a.Apply(string(settings.FormatCells(fifth))); err != nil {
+	// A group that was downgraded to an older build sends the map as one document.
+	fifth := nextVersion(fourth)
+	if err := src.Apply(string(settings.FormatCells(fifth))); err != nil {
 		t.Fatal(err)
 	}
-	a.Confirm(time.Now())
-	n, _, err = a.Load(m)
+	src.Confirm(time.Now())
+	n, _, err = src.Load(m)
 	if err != nil || n.Version != fifth.Version {
 		t.Fatal(err)
 	}
-	if _, ok := a.DigestOf(n); ok {
-		t.Error("a whole map is named by a digest of parts")
+	if _, ok := src.DigestOf(n); ok {
+		t.Error("a map applied as one document has a digest of parts")
 	}
-	sixth := next(fifth)
-	if err := a.ApplyParts(configstore.ID{Version: 75, Digest: 82}, delta(fifth, sixth), false); err != nil {
+	sixth := nextVersion(fifth)
+	if err := src.ApplyParts(configstore.ID{Version: 75, Digest: 82}, changedParts(fifth, sixth), false); err != nil {
 		t.Fatal(err)
 	}
-	a.Confirm(time.Now())
-	if n, _, err := a.Load(n); err != nil || len(cells.Diff(sixth, n)) > 0 {
+	src.Confirm(time.Now())
+	if n, _, err := src.Load(n); err != nil || len(cells.Diff(sixth, n)) > 0 {
 		t.Fatal(err)
 	}
-	closeNow(t, a)
-	a, err = OpenGroupSource(state)
+	closeNow(t, src)
+	src, err = OpenGroupSource(state)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer closeNow(t, a)
-	if m, _, err := a.Load(nil); err != nil || m.Version != sixth.Version || len(cells.Diff(sixth, m))+len(cells.Diff(m, sixth)) > 0 {
+	defer closeNow(t, src)
+	if m, _, err := src.Load(nil); err != nil || m.Version != sixth.Version || len(cells.Diff(sixth, m))+len(cells.Diff(m, sixth)) > 0 {
 		t.Errorf("after another restart: %v", err)
 	}
 }
 
-// A change of one tenant writes its part, and a confirmation the time, however many tenants there are.
+// A change of one tenant must write only its part to the state file, and a confirmation only the time, whatever the number of tenants.
 func TestStateWritesWhatChanged(t *testing.T) {
 	measure := func(tenants int) (change, confirm int64) {
-		first := fleetOf(10, tenants)
-		a := agreedOn(t, filepath.Join(t.TempDir(), "state.db"), first)
-		m, _, err := a.Load(nil)
+		first := newFleetMap(10, tenants)
+		src := newGroupSource(t, filepath.Join(t.TempDir(), "state.db"), first)
+		m, _, err := src.Load(nil)
 		if err != nil {
 			t.Fatal(err)
 		}
-		pages := func() int64 { return pagesOf(a.state) }
+		pages := func() int64 { return pageBytes(src.state) }
 		before := pages()
-		if err := a.ApplyParts(configstore.ID{Version: 71, Digest: 78}, delta(m, next(m)), false); err != nil {
+		if err := src.ApplyParts(configstore.ID{Version: 71, Digest: 78}, changedParts(m, nextVersion(m)), false); err != nil {
 			t.Fatal(err)
 		}
-		a.Confirm(time.Now())
-		m, _, err = a.Load(m)
+		src.Confirm(time.Now())
+		m, _, err = src.Load(m)
 		if err != nil || m.Version != 4 {
 			t.Fatal(err)
 		}
 		change, before = pages()-before, pages()
-		a.Confirm(time.Now().Add(time.Minute))
-		if _, _, err := a.Load(m); err != nil {
+		src.Confirm(time.Now().Add(time.Minute))
+		if _, _, err := src.Load(m); err != nil {
 			t.Fatal(err)
 		}
 		if confirm = pages() - before; confirm == 0 {
-			t.Fatal("a confirmation is not kept")
+			t.Fatal("a confirmation was not stored")
 		}
 		return change, confirm
 	}
 	change, confirm := measure(200)
-	more, longer := measure(5000)
-	t.Logf("200 tenants: a change writes %d bytes of pages, a confirmation %d; 5,000: %d and %d", change, confirm, more, longer)
-	if more > change+64<<10 || longer > confirm+16<<10 {
-		t.Errorf("200 tenants: a change writes %d bytes of pages, a confirmation %d; 5,000: %d and %d", change, confirm, more, longer)
+	changeLarge, confirmLarge := measure(5000)
+	t.Logf("200 tenants: a change writes %d bytes of pages, a confirmation %d; 5,000: %d and %d", change, confirm, changeLarge, confirmLarge)
+	if changeLarge > change+64<<10 || confirmLarge > confirm+16<<10 {
+		t.Errorf("200 tenants: a change writes %d bytes of pages, a confirmation %d; 5,000: %d and %d", change, confirm, changeLarge, confirmLarge)
 	}
 }
 
-// The state of a build that knew no parts is read, and nothing is left in its place that such a build could take for its own; what it
-// writes when it comes back is newer than what stands beside it.
+// The state file of a build without support for parts must be read, and its entries deleted at the next write: otherwise that build would
+// load an outdated map after a downgrade. If its entries exist again, they are newer than the others and must be used.
 func TestStateOfAnOlderBuild(t *testing.T) {
-	for _, kind := range []string{"a file", "the group's, whole", "the group's, in parts"} {
+	for _, kind := range []string{"map file", "group map in one document", "group map in parts"} {
 		t.Run(kind, func(t *testing.T) {
 			state := filepath.Join(t.TempDir(), "state.db")
-			raw := func(do func(b *bbolt.Bucket) error) {
+			updateLegacy := func(do func(b *bbolt.Bucket) error) {
 				t.Helper()
 				db, err := bbolt.Open(state, 0o600, nil)
 				if err != nil {
@@ -512,74 +513,75 @@
 					t.Fatal(err)
 				}
 			}
-			older := func(m *cells.Map, at time.Time) { // as it writes
-				raw(func(b *bbolt.Bucket) error {
+			writeLegacy := func(m *cells.Map, at time.Time) { // writes the entries of an older build
+				updateLegacy(func(b *bbolt.Bucket) error {
 					return errors.Join(b.Put([]byte("map"), settings.FormatCells(m)),
 						b.Put([]byte("read"), binary.BigEndian.AppendUint64(nil, uint64(at.UnixMilli()))))
 				})
 			}
-			m, at := fleetOf(4, 10), time.Now().Add(-time.Minute)
+			m, at := newFleetMap(4, 10), time.Now().Add(-time.Minute)
 			path := filepath.Join(t.TempDir(), "cells.json")
-			for range 2 { // the second time it has come back meanwhile
-				older(m, at)
-				bad := os.WriteFile(path, []byte("{"), 0o600)
-				if bad != nil {
-					t.Fatal(bad)
+			for range 2 { // the second time after a downgrade
+				writeLegacy(m, at)
+				writeErr := os.WriteFile(path, []byte("{"), 0o600)
+				if writeErr != nil {
+					t.Fatal(writeErr)
 				}
-				n := next(m)
-				var kept *cells.Map
-				var since time.Time
+				n := nextVersion(m)
+				var stored *cells.Map
+				var confirmedAt time.Time
 				var err error
-				if kind == "a file" {
+				if kind == "map file" {
 					var f *FileSource
 					if f, err = OpenFileSource(path, state); err == nil {
-						kept, since, err = f.Load(nil)
-						if bad := WriteMap(path, n); bad != nil {
-							t.Fatal(bad)
+						stored, confirmedAt, err = f.Load(nil)
+						if writeErr := WriteMap(path, n); writeErr != nil {
+							t.Fatal(writeErr)
 						}
-						if m, _, bad := f.Load(kept); bad != nil || m.Version != n.Version {
-							t.Fatal(bad)
+						if m, _, loadErr := f.Load(stored); loadErr != nil || m.Version != n.Version {
+							t.Fatal(loadErr)
 						}
 						closeNow(t, f)
 					}
 				} else {
-					var a *GroupSource
-					if a, err = OpenGroupSource(state); err == nil {
-						kept, since, err = a.Load(nil)
-						take := a.Apply(string(settings.FormatCells(n)))
-						if kind == "the group's, in parts" {
-							take = a.ApplyParts(configstore.ID{Version: 9, Digest: 9}, delta(m, n), false)
+					var src *GroupSource
+					if src, err = OpenGroupSource(state); err == nil {
+						stored, confirmedAt, err = src.Load(nil)
+						applyErr := src.Apply(string(settings.FormatCells(n)))
+						if kind == "group map in parts" {
+							applyErr = src.ApplyParts(configstore.ID{Version: 9, Digest: 9}, changedParts(m, n), false)
 						}
-						if take != nil {
-							t.Fatal(take)
+						if applyErr != nil {
+							t.Fatal(applyErr)
 						}
-						a.Confirm(time.Now())
-						if m, _, bad := a.Load(kept); bad != nil || m.Version != n.Version {
-							t.Fatal(bad)
+						src.Confirm(time.Now())
+						if m, _, loadErr := src.Load(stored); loadErr != nil || m.Version != n.Version {
+							t.Fatal(loadErr)
 						}
-						closeNow(t, a)
+						closeNow(t, src)
 					}
 				}
-				if err != nil || kept.Version != m.Version || since.UnixMilli() != at.UnixMilli() {
-					t.Fatalf("%v: version %v", err, kept)
+				if err != nil || stored.Version != m.Version || confirmedAt.UnixMilli() != at.UnixMilli() {
+					t.Fatalf("stored map %v, %v", stored, err)
 				}
-				raw(func(b *bbolt.Bucket) error {
+				updateLegacy(func(b *bbolt.Bucket) error {
 					if b.Get([]byte("map")) != nil || b.Get([]byte("read")) != nil {
-						t.Error("an older build would find half of it")
+						t.Error("an entry of the older build is left")
 					}
 					return nil
 				})
-				m, at = next(n), at.Add(time.Second)
+				m, at = nextVersion(n), at.Add(time.Second)
 			}
 		})
 	}
 }
 
-// ---- A router ----
+// ---- Runner ----
 
-func runnerOn(t *testing.T, src Source, out io.Writer, dial func(context.Context, string) (*msgpackrpc.Conn, error)) *Runner {
+// newRunner returns a Runner with a source, that is closed at the end of the test.
+func newRunner(t *testing.T, src Source, out io.Writer, dial func(context.Context, string) (*msgpackrpc.Conn, error)) *Runner {
 	t.Helper()
-	r, err := New(Config{Name: "r", Source: src, Cores: 1, HealthCheckInterval: time.Hour, MaxConnections: 10, Dial: dial}, &router{}, log.New(out, "", 0), &metrics.Counters{})
+	r, err := New(Config{Name: "r", Source: src, Cores: 1, HealthCheckInterval: time.Hour, MaxConnections: 10, Dial: dial}, &fakeCore{}, log.New(out, "", 0), &metrics.Counters{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -587,73 +589,74 @@
 	return r
 }
 
-// What was taken in parts goes by the group's digest, beside the map's own version; all else by its text, as ever.
+// A map in parts is identified by its own version and the group's digest, any other map by the digest of its text. Otherwise routers would
+// see two IDs for one version and stop keyed requests.
 func TestRouterNamesTheMap(t *testing.T) {
-	m := fleetOf(4, 10)
-	a := agreedOn(t, "", m)
-	r := runnerOn(t, a, io.Discard, nil)
+	m := newFleetMap(4, 10)
+	src := newGroupSource(t, "", m)
+	r := newRunner(t, src, io.Discard, nil)
 	if id := r.current.Load().id; id != (configstore.ID{Version: 3, Digest: 77}) {
-		t.Errorf("in parts: %v", id)
+		t.Errorf("ID of a map in parts: %v", id)
 	}
-	if err := a.Apply(string(settings.FormatCells(next(m)))); err != nil {
+	if err := src.Apply(string(settings.FormatCells(nextVersion(m)))); err != nil {
 		t.Fatal(err)
 	}
-	a.Confirm(time.Now())
+	src.Confirm(time.Now())
 	r.Reload()
-	if id := r.current.Load().id; id != configstore.NewID(4, settings.FormatCells(next(m))) {
-		t.Errorf("whole: %v", id)
+	if id := r.current.Load().id; id != configstore.NewID(4, settings.FormatCells(nextVersion(m))) {
+		t.Errorf("ID of a map in one document: %v", id)
 	}
 }
 
-// To read an unchanged map again costs a router the same for every map, and to take up a change of one tenant the same for every
-// number of others.
+// The cost of reloading an unchanged map must not depend on the map's size, and the cost of activating a change of one tenant not on the
+// number of other tenants.
 func TestReloadCostsWhatChanged(t *testing.T) {
-	measure := func(tenants int) (rest, restSize, change, changeSize float64) {
-		m := fleetOf(tenants/20, tenants)
-		a := agreedOn(t, "", m)
-		r := runnerOn(t, a, io.Discard, nil)
-		rest, restSize = cost(func() {
-			a.Confirm(time.Now())
+	measure := func(tenants int) (unchanged, unchangedSize, change, changeSize float64) {
+		m := newFleetMap(tenants/20, tenants)
+		src := newGroupSource(t, "", m)
+		r := newRunner(t, src, io.Discard, nil)
+		unchanged, unchangedSize = measureAllocs(func() {
+			src.Confirm(time.Now())
 			r.Reload()
 		})
 		version := 3
-		change, changeSize = cost(func() {
+		change, changeSize = measureAllocs(func() {
 			version++
-			top := map[string]string{"top": fmt.Sprintf(`{"version":%d}`, version), "t00": `{"tenants":[]}`}
-			if version == 4 { // whoever stands there first is moved out of the way by the test, not by the group
-				a.mu.Lock()
+			parts := map[string]string{"top": fmt.Sprintf(`{"version":%d}`, version), "t00": `{"tenants":[]}`}
+			if version == 4 { // the test empties part t00 itself, as the group would reject the removal of its tenants
+				src.mu.Lock()
 				var err error
-				if a.latest.Map, err = settings.JoinCells(a.latest.Map, map[string]string{"t00": `{"tenants":[]}`}); err != nil {
+				if src.latest.Map, err = settings.JoinCells(src.latest.Map, map[string]string{"t00": `{"tenants":[]}`}); err != nil {
 					t.Fatal(err)
 				}
-				a.delivered = a.latest
-				a.mu.Unlock()
-				r.current.Store(&mapInForce{Map: a.latest.Map, confirmedAt: time.Now(), id: r.current.Load().id, name: r.current.Load().name})
+				src.delivered = src.latest
+				src.mu.Unlock()
+				r.current.Store(&mapInForce{Map: src.latest.Map, confirmedAt: time.Now(), id: r.current.Load().id, name: r.current.Load().name})
 			}
-			if err := a.ApplyParts(configstore.ID{Version: version, Digest: uint64(version)}, top, false); err != nil {
+			if err := src.ApplyParts(configstore.ID{Version: version, Digest: uint64(version)}, parts, false); err != nil {
 				t.Fatal(err)
 			}
-			a.Confirm(time.Now())
+			src.Confirm(time.Now())
 			r.Reload()
 			if v := r.current.Load(); v.Version != version || v.id.Digest != uint64(version) {
-				t.Fatalf("version %d, named %v, want %d", v.Version, v.id, version)
+				t.Fatalf("version %d, ID %v, want %d", v.Version, v.id, version)
 			}
 		})
 		return
 	}
-	a1, b1, c1, d1 := measure(400)
-	a2, b2, c2, d2 := measure(5000)
-	t.Logf("400 tenants: at rest %v of %.0f bytes, a change %v of %.0f; 5,000: %v of %.0f, %v of %.0f", a1, b1, c1, d1, a2, b2, c2, d2)
-	if a2 > a1+5 || b2 > b1+4096 || c2 > c1+10 || d2 > d1+8192 {
-		t.Errorf("400 tenants: at rest %v of %.0f bytes, a change %v of %.0f; 5,000: %v of %.0f, %v of %.0f", a1, b1, c1, d1, a2, b2, c2, d2)
+	unchanged, unchangedSize, change, changeSize := measure(400)
+	unchangedLarge, unchangedSizeLarge, changeLarge, changeSizeLarge := measure(5000)
+	t.Logf("400 tenants: no change: %v allocations of %.0f bytes, a change: %v of %.0f; 5,000: %v of %.0f, %v of %.0f", unchanged, unchangedSize, change, changeSize, unchangedLarge, unchangedSizeLarge, changeLarge, changeSizeLarge)
+	if unchangedLarge > unchanged+5 || unchangedSizeLarge > unchangedSize+4096 || changeLarge > change+10 || changeSizeLarge > changeSize+8192 {
+		t.Errorf("400 tenants: no change: %v allocations of %.0f bytes, a change: %v of %.0f; 5,000: %v of %.0f, %v of %.0f", unchanged, unchangedSize, change, changeSize, unchangedLarge, unchangedSizeLarge, changeLarge, changeSizeLarge)
 	}
 }
 
-// A router's status can be read however large its map is: of tenants it has those that have moved, and of parts those that are lent or
-// were asked for, and all others together.
+// A router's status must fit in a message, however large its map is. It lists only the tenants that have migrated, and only the rates that
+// were granted or requested, with the sum of all others.
 func TestStatusOfALargeFleet(t *testing.T) {
 	for _, tenants := range []int{20, 21_000} {
-		m := fleetOf(930, tenants)
+		m := newFleetMap(930, tenants)
 		m.Cells = nil
 		for i := range 31 {
 			m.Cells = append(m.Cells, cells.Cell{Name: fmt.Sprint("c", i), Capacity: 10})
@@ -665,11 +668,11 @@
 			m.Tenants[i].Homes = []cells.Home{{Cell: m.Cells[i%31].Name}}
 		}
 		m.Tenants[7].Homes = append(m.Tenants[7].Homes, cells.Home{Cell: "c0", Since: time.Now().Add(time.Hour).UnixMilli()})
-		r := runnerOn(t, agreedOn(t, "", m), io.Discard, nil)
+		r := newRunner(t, newGroupSource(t, "", m), io.Discard, nil)
 		r.ShareQuota(470, true)
 		text := r.Status()
 		if len(text) > msgpackrpc.MaxCallBody/2 {
-			t.Errorf("of %d tenants it has %d bytes", tenants, len(text))
+			t.Errorf("the status for %d tenants has %d bytes", tenants, len(text))
 		}
 		var s struct {
 			Tenants map[string]string
@@ -680,110 +683,112 @@
 			t.Fatal(err)
 		}
 		if len(s.Tenants) != 1 || s.Tenants["tenant-7"] != "prepared" {
-			t.Errorf("of %d tenants it has the moves of %d", tenants, len(s.Tenants))
+			t.Errorf("the status for %d tenants has %d migrations, want 1", tenants, len(s.Tenants))
 		}
 		for i, cell := range m.Cells {
 			sum, want, listed := s.Rest[cell.Name], 0.0, 0
 			for _, p := range s.Parts[cell.Name] {
 				sum += p
 			}
-			if i < tenants { // a tenant lives there
+			if i < tenants { // the cell has a tenant
 				want = 30 * 10 * quota.UsableRatio * quota.ReservedRatio / 470
 			}
 			if i < tenants && tenants < 100 {
 				listed = 1
 			}
 			if math.Abs(sum-want) > want/1000 || len(s.Parts[cell.Name]) != listed {
-				t.Errorf("of %d tenants cell %s has %d parts, with the rest %g, want %g", tenants, cell.Name, len(s.Parts[cell.Name]), sum, want)
+				t.Errorf("%d tenants: cell %s has %d rates, their sum with the rest is %g, want %g", tenants, cell.Name, len(s.Parts[cell.Name]), sum, want)
 			}
 		}
 	}
 }
 
-// What there is to share is told anew where the map, or a server by the time in it, has changed, and else not at all.
+// The capacity for the quota must be computed again if the map has changed, or a server has joined or left by its time in the map. It
+// must not be computed for each grant, at a cost that grows with the map.
 func TestQuotaCapacityIsSetOnce(t *testing.T) {
-	defer func(was func() time.Time) { Wall = was }(Wall)
+	defer func(original func() time.Time) { Wall = original }(Wall)
 	now := time.Now()
 	Wall = func() time.Time { return now }
-	m := fleetOf(4, 2)
+	m := newFleetMap(4, 2)
 	m.Servers[0].LeavesAt = now.Add(time.Minute).UnixMilli()
-	a := agreedOn(t, "", m)
-	r := runnerOn(t, a, io.Discard, nil)
+	src := newGroupSource(t, "", m)
+	r := newRunner(t, src, io.Discard, nil)
 	r.ShareQuota(1, true)
-	part := func() float64 {
+	rate := func() float64 {
 		r.mu.Lock()
 		defer r.mu.Unlock()
 		r.updateQuotaCapacity()
 		return r.quota.Rate(r.leaseClock(), quota.Key{Cell: "a", Tenant: "tenant-0"})
 	}
-	whole := part()
-	told := r.quotaCapacity
-	if whole <= 0 || testing.AllocsPerRun(10, func() { part() }) > 0 || r.quotaCapacity != told {
-		t.Errorf("part %v, told again", whole)
+	full := rate()
+	computed := r.quotaCapacity
+	if full <= 0 || testing.AllocsPerRun(10, func() { rate() }) > 0 || r.quotaCapacity != computed {
+		t.Errorf("rate %v; the capacity was computed again without a change, or allocates", full)
 	}
-	now = now.Add(time.Minute) // one of the two servers of its cell is gone
-	if half := part(); math.Abs(half-whole/2) > 1e-9 {
-		t.Errorf("%v, of %v before", half, whole)
+	now = now.Add(time.Minute) // one of the two servers of the cell has left
+	if half := rate(); math.Abs(half-full/2) > 1e-9 {
+		t.Errorf("rate %v after one of two servers has left, %v before", half, full)
 	}
-	now = now.Add(-2 * time.Minute) // by a clock that was set back
-	if p := part(); p != whole {
-		t.Errorf("%v, want %v", p, whole)
+	now = now.Add(-2 * time.Minute) // the clock was set back
+	if p := rate(); p != full {
+		t.Errorf("rate %v after the clock was set back, want %v", p, full)
 	}
-	more := next(m)
-	more.Cells = []cells.Cell{{Name: "a", Capacity: 30}, {Name: "b", Capacity: 10}}
-	if err := a.ApplyParts(configstore.ID{Version: 9, Digest: 9}, delta(m, more), false); err != nil {
+	larger := nextVersion(m)
+	larger.Cells = []cells.Cell{{Name: "a", Capacity: 30}, {Name: "b", Capacity: 10}}
+	if err := src.ApplyParts(configstore.ID{Version: 9, Digest: 9}, changedParts(m, larger), false); err != nil {
 		t.Fatal(err)
 	}
-	a.Confirm(time.Now())
+	src.Confirm(time.Now())
 	r.Reload()
-	if p := part(); math.Abs(p-3*whole) > 1e-9 {
-		t.Errorf("of a map with three times as much: %v, of %v", p, whole)
+	if p := rate(); math.Abs(p-3*full) > 1e-9 {
+		t.Errorf("rate %v with three times the capacity, %v before", p, full)
 	}
 }
 
-// The health of all servers is looked through at the end of a round of health checks, and not after each answer: none is missing then.
+// The health of all servers is compared with the logged one at the end of a round of health checks, and not after each answer, whose cost
+// would be quadratic. No server may be missing after the round.
 func TestHealthIsLoggedAtTheEndOfARound(t *testing.T) {
 	const servers = 60
 	var out bytes.Buffer
 	refused := func(context.Context, string) (*msgpackrpc.Conn, error) { return nil, errors.New("refused") }
-	r := runnerOn(t, agreedOn(t, "", fleetOf(servers, 2)), &out, refused)
+	r := newRunner(t, newGroupSource(t, "", newFleetMap(servers, 2)), &out, refused)
 	r.mu.Lock()
-	r.lastHealthReport = r.clock() + time.Hour // no other occasion
+	r.lastHealthReport = r.clock() + time.Hour // no comparison after single answers
 	r.mu.Unlock()
 	for s := range r.Map().AllServers() {
 		r.checkHealth(t.Context(), *s)
 	}
 	if len(r.loggedHealth) != 0 {
-		t.Errorf("after single answers the health of %d is told", len(r.loggedHealth))
+		t.Errorf("after single answers the health of %d servers is logged, want 0", len(r.loggedHealth))
 	}
 	r.checkAll(t.Context())
 	if len(r.loggedHealth) != servers {
-		t.Errorf("after a round the health of %d is told, of %d", len(r.loggedHealth), servers)
+		t.Errorf("after a round the health of %d servers is logged, want %d", len(r.loggedHealth), servers)
 	}
 }
 
 // ---- Benchmarks ----
 
-func benchmark(b *testing.B, f func(b *testing.B, tenants int)) {
+func forTenantCounts(b *testing.B, f func(b *testing.B, tenants int)) {
 	for _, tenants := range []int{100, 1000, 21000} {
 		b.Run(fmt.Sprint(tenants), func(b *testing.B) { f(b, tenants) })
 	}
 }
 
-// BenchmarkLoad is the look of a third of a lease at a file that is unchanged.
+// BenchmarkLoad measures the load of an unchanged file, which happens at a third of each lease.
 func BenchmarkLoad(b *testing.B) {
-	for _, kept := range []bool{false, true} {
-		b.Run(fmt.Sprint("kept ", kept), func(b *testing.B) {
-			benchmark(b, func(b *testing.B, tenants int) {
+	for _, stored := range []bool{false, true} {
+		b.Run(fmt.Sprint("kept ", stored), func(b *testing.B) {
+			forTenantCounts(b, func(b *testing.B, tenants int) {
 				dir := b.TempDir()
 				path, state := filepath.Join(dir, "cells.json"), ""
-				if kept {
+				if stored {
 					state = filepath.Join(dir, "state.db")
 				}
-				if err := WriteMap(path, fleetOf(930, tenants)); err != nil {
+				if err := WriteMap(path, newFleetMap(930, tenants)); err != nil {
 					b.Fatal(err)
 				}
-				time.Sleep(2100 * time.Millisecond) // until it has settled
+				time.Sleep(2100 * time.Millisecond) // until the file's stamp is older than settleTime
 				f, err := OpenFileSource(path, state)
 				if err != nil {
 					b.Fatal(err)
@@ -804,12 +809,12 @@
 	}
 }
 
-// BenchmarkProbe is a server's failed probe, beside 929 others.
+// BenchmarkProbe measures a failed health check of one server among 10 or 930.
 func BenchmarkProbe(b *testing.B) {
 	for _, servers := range []int{10, 930} {
 		b.Run(fmt.Sprint(servers), func(b *testing.B) {
-			r, err := New(Config{Name: "r", Source: fixedMap{fleetOf(servers, 2)}, HealthCheckInterval: time.Second, MaxConnections: 10,
-				Dial: func(context.Context, string) (*msgpackrpc.Conn, error) { return nil, errors.New("refused") }}, &router{}, log.New(io.Discard, "", 0), &metrics.Counters{})
+			r, err := New(Config{Name: "r", Source: fixedMap{newFleetMap(servers, 2)}, HealthCheckInterval: time.Second, MaxConnections: 10,
+				Dial: func(context.Context, string) (*msgpackrpc.Conn, error) { return nil, errors.New("refused") }}, &fakeCore{}, log.New(io.Discard, "", 0), &metrics.Counters{})
 			if err != nil {
 				b.Fatal(err)
 			}
@@ -822,90 +827,91 @@
 	}
 }
 
-// A change that was announced just a lease ahead can be checked in time and be too late as it comes into force, as the old map was
-// confirmed once more between. A router on which that happens, and be it all of them, stops by the old map once its lease is over, and then
-// takes up the new one.
+// A change that is announced exactly a lease ahead can pass its check and be too late when it takes effect, because the old map was
+// confirmed again in between. A router to which that happens, perhaps together with all others, must stop sending keyed requests by the old map when
+// its lease is over, and then activate the new map.
 func TestTooLateAsItComesIntoForce(t *testing.T) {
-	m := fleetOf(4, 10)
+	m := newFleetMap(4, 10)
 	m.Lease = 300 * time.Millisecond
-	a := agreedOn(t, "", m)
-	r := runnerOn(t, a, io.Discard, nil)
-	a.Confirm(time.Now())
+	src := newGroupSource(t, "", m)
+	r := newRunner(t, src, io.Discard, nil)
+	src.Confirm(time.Now())
 	r.Reload()
-	n := *next(m)
+	n := *nextVersion(m)
 	n.Tenants[1].Homes = append(slices.Clone(n.Tenants[1].Homes), cells.Home{Cell: "a", Since: time.Now().Add(m.Lease+m.MaxClockSkew).UnixMilli() + 1})
-	changed := delta(m, &n)
+	changed := changedParts(m, &n)
 	time.Sleep(20 * time.Millisecond)
-	if err := a.CheckParts(changed, false); err != nil {
+	if err := src.CheckParts(changed, false); err != nil {
 		t.Fatal(err)
 	}
-	a.Confirm(time.Now())
+	src.Confirm(time.Now())
 	r.Reload()
-	if err := a.ApplyParts(configstore.ID{Version: 71, Digest: 78}, changed, false); err != nil {
+	if err := src.ApplyParts(configstore.ID{Version: 71, Digest: 78}, changed, false); err != nil {
 		t.Fatal(err)
 	}
-	began := time.Now()
+	startedAt := time.Now()
 	for r.current.Load().Version != n.Version {
-		if time.Since(began) > 20*time.Second {
-			t.Fatalf("it goes by map %d", r.current.Load().Version)
+		if time.Since(startedAt) > 20*time.Second {
+			t.Fatalf("map %d is still in force", r.current.Load().Version)
 		}
-		a.Confirm(time.Now())
+		src.Confirm(time.Now())
 		r.Reload()
 		time.Sleep(10 * time.Millisecond)
 	}
-	if took := time.Since(began); took < m.Lease {
-		t.Errorf("it took it up after %v, and may have sent by the old one within its lease", took)
+	if elapsed := time.Since(startedAt); elapsed < m.Lease {
+		t.Errorf("the new map was activated after %v, when the old map's lease was not over", elapsed)
 	}
 	if v := r.verdict(r.current.Load()); v != configstore.VerdictSettling && v != configstore.VerdictValid {
-		t.Errorf("it is %v", v)
+		t.Errorf("verdict %v, want settling or valid", v)
 	}
 }
 
-// A change that waits is checked again and again, which reads its parts once; another one, and the same on another map, is read.
+// A proposed change is checked repeatedly, and its parts must be parsed only once. Another change, or the same one on another map, must be
+// parsed again.
 func TestCheckedOnceRead(t *testing.T) {
-	a, err := OpenGroupSource("")
+	src, err := OpenGroupSource("")
 	if err != nil {
 		t.Fatal(err)
 	}
-	m := fleetOf(30, 3000)
-	texts := settings.SplitCells(m)
-	if err := a.ApplyParts(configstore.ID{Version: 1, Digest: 1}, texts, true); err != nil {
+	m := newFleetMap(30, 3000)
+	parts := settings.SplitCells(m)
+	if err := src.ApplyParts(configstore.ID{Version: 1, Digest: 1}, parts, true); err != nil {
 		t.Fatal(err)
 	}
 	changed := map[string]string{}
-	for name, text := range settings.SplitCells(next(m)) {
-		if texts[name] != text {
+	for name, text := range settings.SplitCells(nextVersion(m)) {
+		if parts[name] != text {
 			changed[name] = text
 		}
 	}
-	check := func(changed map[string]string, whole bool) {
-		if err := a.CheckParts(changed, whole); err != nil {
+	check := func(changed map[string]string, complete bool) {
+		if err := src.CheckParts(changed, complete); err != nil {
 			t.Fatal(err)
 		}
 	}
-	first, _ := cost(func() { a.joined = joinedParts{}; check(texts, true) })
-	again, _ := cost(func() { check(texts, true) })
+	first, _ := measureAllocs(func() { src.joined = joinedParts{}; check(parts, true) })
+	again, _ := measureAllocs(func() { check(parts, true) })
 	if again > first/10 {
-		t.Errorf("checked again it allocates %.0f times, of %.0f at first", again, first)
+		t.Errorf("the second check makes %.0f allocations, the first %.0f", again, first)
 	}
 	check(changed, false)
-	for n := range a.joined.m.AllTenants() {
+	for n := range src.joined.m.AllTenants() {
 		if n.Name == "tenant-0" && n.Rate != 4 {
-			t.Errorf("it was checked by what was read before: %+v", n)
+			t.Errorf("the check used the parts of the previous one: %+v", n)
 		}
 	}
-	spoilt := maps.Clone(changed)
-	for name := range spoilt {
-		spoilt[name] = "{}"
+	invalid := maps.Clone(changed)
+	for name := range invalid {
+		invalid[name] = "{}"
 	}
-	if err := a.CheckParts(spoilt, false); err == nil {
-		t.Error("spoilt parts pass after good ones")
+	if err := src.CheckParts(invalid, false); err == nil {
+		t.Error("invalid parts passed the check after valid ones")
 	}
 	check(changed, false)
-	if err := a.ApplyParts(configstore.ID{Version: 2, Digest: 2}, changed, false); err != nil {
+	if err := src.ApplyParts(configstore.ID{Version: 2, Digest: 2}, changed, false); err != nil {
 		t.Fatal(err)
 	}
-	if a.latest.Version != 4 || a.joined.m != nil {
-		t.Errorf("taken %d, and still kept: %v", a.latest.Version, a.joined.m != nil)
+	if src.latest.Version != 4 || src.joined.m != nil {
+		t.Errorf("version %d applied, join result still kept: %v", src.latest.Version, src.joined.m != nil)
 	}
 }
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -28,54 +28,54 @@
 	{Name: "sheet", Objective: 2 * time.Second, Deadline: 4 * time.Second, Weight: 1, Effect: silverpath.Idempotent, IdempotencyWindow: 10 * time.Second},
 }
 
-// server is a server of the fleet with a stand-in for what does its work.
-type server struct {
+// testServer is a server of the fleet whose runner is a stand-in.
+type testServer struct {
 	core *core.Core
 	pipe *pipes.Listener
 	ln   *listener.Listener
 
-	mu    sync.Mutex
-	runs  []string
-	takes time.Duration
-	fails bool
-	cuts  bool // it drops its connections instead of an answer
-	down  bool
-	conns []net.Conn
+	mu         sync.Mutex
+	runs       []string
+	runTime    time.Duration
+	fails      bool
+	dropsConns bool // it closes its connections instead of answering
+	down       bool
+	conns      []net.Conn
 }
 
-func (s *server) Run(id, _ string, body []byte) {
+func (s *testServer) Run(id, _ string, body []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.runs = append(s.runs, string(body))
-	takes, fails, cuts := s.takes, s.fails, s.cuts
-	time.AfterFunc(takes, func() {
+	runTime, fails, dropsConns := s.runTime, s.fails, s.dropsConns
+	time.AfterFunc(runTime, func() {
 		switch {
-		case cuts:
+		case dropsConns:
 			s.mu.Lock()
 			for _, c := range s.conns {
 				c.Close()
 			}
 			s.conns = nil
 			s.mu.Unlock()
-			s.now().RunEnded(id, silverpath.Failed, takes, nil)
+			s.currentCore().RunEnded(id, silverpath.Failed, runTime, nil)
 		case fails:
-			s.now().RunEnded(id, silverpath.Failed, takes, nil)
+			s.currentCore().RunEnded(id, silverpath.Failed, runTime, nil)
 		default:
-			s.now().RunEnded(id, silverpath.OK, takes, append([]byte("done "), body...))
+			s.currentCore().RunEnded(id, silverpath.OK, runTime, append([]byte("done "), body...))
 		}
 	})
 }
-func (s *server) Resume(string, []byte) {}
-func (s *server) Probe()                { s.now().Gauges(silverpath.Gauges{}) }
+func (s *testServer) Resume(string, []byte) {}
+func (s *testServer) Probe()                { s.currentCore().Gauges(silverpath.Gauges{}) }
 
-func (s *server) ran() int {
+func (s *testServer) ran() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.runs)
 }
 
-// boot starts the server, or starts it anew.
-func (s *server) boot(t *testing.T) {
+// start starts the server, or restarts it with a new core.
+func (s *testServer) start(t *testing.T) {
 	quiet, counters := log.New(io.Discard, "", 0), &metrics.Counters{}
 	c, err := core.New(core.Config{MemoryMB: 64, Log: quiet, Stats: counters, Cell: true, Settings: silverpath.Settings{
 		Cores: 8, MemoryKB: 1e6, MaxRunsPerCore: 8, RetryAfter: true, MaxRetryAfter: time.Second, Classes: classes}})
@@ -94,14 +94,14 @@
 	go s.ln.Serve()
 }
 
-// now is the core that the server has at present.
-func (s *server) now() *core.Core {
+// currentCore returns the core since the last start.
+func (s *testServer) currentCore() *core.Core {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.core
 }
 
-func (s *server) kill() {
+func (s *testServer) kill() {
 	s.mu.Lock()
 	s.down = true
 	for _, c := range s.conns {
@@ -109,18 +109,18 @@
 	}
 	s.conns = nil
 	s.mu.Unlock()
-	s.now().Stop()
+	s.currentCore().Stop()
 	s.ln.Close()
 }
 
-// router is the core of a router, as far as the runner sees it.
-type router struct {
-	mu   sync.Mutex
-	ends map[string]core.Answer
+// fakeCore implements Events and records the answers.
+type fakeCore struct {
+	mu      sync.Mutex
+	answers map[string]core.Answer
 }
 
-func (r *router) RunnerReady() {}
-func (r *router) Class(name string) (silverpath.Class, bool) {
+func (c *fakeCore) RunnerReady() {}
+func (c *fakeCore) Class(name string) (silverpath.Class, bool) {
 	for _, c := range classes {
 		if c.Name == name {
 			return c, true
@@ -128,50 +128,51 @@
 	}
 	return silverpath.Class{}, false
 }
-func (r *router) RunEnded(id string, _ silverpath.Outcome, _ time.Duration, result []byte) {
-	r.ForwardReturned(id, core.Answer{Outcome: core.Served, Body: result}, 0)
+func (c *fakeCore) RunEnded(id string, _ silverpath.Outcome, _ time.Duration, result []byte) {
+	c.ForwardReturned(id, core.Answer{Outcome: core.Served, Body: result}, 0)
 }
-func (r *router) ForwardReturned(id string, a core.Answer, _ time.Duration) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.ends[id] = a
+func (c *fakeCore) ForwardReturned(id string, a core.Answer, _ time.Duration) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.answers[id] = a
 }
-func (r *router) Gauges(silverpath.Gauges)  {}
-func (r *router) RetryAfter() time.Duration { return time.Second }
+func (c *fakeCore) Gauges(silverpath.Gauges)  {}
+func (c *fakeCore) RetryAfter() time.Duration { return time.Second }
 
 type fixedMap struct{ *cells.Map }
 
 func (f fixedMap) Load(*cells.Map) (*cells.Map, time.Time, error) { return f.Map, time.Now(), nil }
 
-// lab is a runner in front of servers, in simulated time.
-type lab struct {
-	t       *testing.T
-	servers []*server
-	runner  *Runner
-	router  *router
-	stats   *metrics.Counters
-	seq     int
+// fleet is a Runner with its servers, in simulated time.
+type fleet struct {
+	t        *testing.T
+	servers  []*testServer
+	runner   *Runner
+	core     *fakeCore
+	stats    *metrics.Counters
+	requests int
 }
 
-func play(t *testing.T, n int, test func(l *lab)) { probing(t, n, 500*time.Millisecond, test) }
+// withFleet is withInterval with a health check every 500 ms.
+func withFleet(t *testing.T, n int, do func(f *fleet)) { withInterval(t, n, 500*time.Millisecond, do) }
 
-// probing plays with so long between two health checks of a server.
-func probing(t *testing.T, n int, every time.Duration, test func(l *lab)) {
+// withInterval runs a test with n servers and the given interval of health checks in simulated time.
+func withInterval(t *testing.T, n int, interval time.Duration, do func(f *fleet)) {
 	synctest.Test(t, func(t *testing.T) {
-		l := &lab{t: t, router: &router{ends: map[string]core.Answer{}}, stats: &metrics.Counters{}}
+		f := &fleet{t: t, core: &fakeCore{answers: map[string]core.Answer{}}, stats: &metrics.Counters{}}
 		m := &cells.Map{Version: 1, KeyWindow: 10 * time.Second, Lease: time.Hour, CallerTimeout: 4 * time.Second,
 			Cells: []cells.Cell{{Name: "a"}}, Tenants: []cells.Tenant{{Homes: []cells.Home{{Cell: "a"}}}}}
 		for k := range n {
-			s := &server{takes: 20 * time.Millisecond}
-			s.boot(t)
-			l.servers = append(l.servers, s)
+			s := &testServer{runTime: 20 * time.Millisecond}
+			s.start(t)
+			f.servers = append(f.servers, s)
 			m.Servers = append(m.Servers, cells.Server{Name: fmt.Sprint("s", k), Addr: fmt.Sprint(k), Cell: "a", Weight: 1, JoinsAt: time.Now().UnixMilli()})
 		}
 		var err error
-		l.runner, err = New(Config{
-			Source: fixedMap{m}, Cores: 100, HealthCheckInterval: every, MaxConnections: 50, LoadBalancing: loadbalancer.Config{RetryRatio: 1, HedgeRatio: 1, Seed: 3},
+		f.runner, err = New(Config{
+			Source: fixedMap{m}, Cores: 100, HealthCheckInterval: interval, MaxConnections: 50, LoadBalancing: loadbalancer.Config{RetryRatio: 1, HedgeRatio: 1, Seed: 3},
 			Dial: func(_ context.Context, addr string) (*msgpackrpc.Conn, error) {
-				s := l.servers[addr[0]-'0']
+				s := f.servers[addr[0]-'0']
 				s.mu.Lock()
 				defer s.mu.Unlock()
 				if s.down {
@@ -181,17 +182,17 @@
 				s.conns = append(s.conns, c)
 				return msgpackrpc.NewConn(c), nil
 			},
-		}, l.router, log.New(io.Discard, "", 0), l.stats)
+		}, f.core, log.New(io.Discard, "", 0), f.stats)
 		if err != nil {
 			t.Fatal(err)
 		}
 		ctx, cancel := context.WithCancel(context.Background())
-		go l.runner.Maintain(ctx)
+		go f.runner.Maintain(ctx)
 		time.Sleep(time.Second)
-		test(l)
+		do(f)
 		cancel()
-		l.runner.Close()
-		for _, s := range l.servers {
+		f.runner.Close()
+		for _, s := range f.servers {
 			if !s.down {
 				s.kill()
 			}
@@ -200,142 +201,143 @@
 	})
 }
 
-// ask hands a request on and returns its answer, waiting as long as it may take.
-func (l *lab) ask(class, key string) core.Answer {
-	l.t.Helper()
-	l.seq++
-	id := fmt.Sprintf("%016x", l.seq)
+// forward forwards a request and returns its answer, after the time of its deadline has passed.
+func (f *fleet) forward(class, key string) core.Answer {
+	f.t.Helper()
+	f.requests++
+	id := fmt.Sprintf("%016x", f.requests)
 	now := time.Now()
-	l.runner.Forward(core.Request{ID: id, Class: class, Key: key, MemoryKB: 1, ReceivedAt: now, Deadline: now.Add(4 * time.Second), Body: []byte(class + key)})
+	f.runner.Forward(core.Request{ID: id, Class: class, Key: key, MemoryKB: 1, ReceivedAt: now, Deadline: now.Add(4 * time.Second), Body: []byte(class + key)})
 	time.Sleep(4 * time.Second)
-	l.router.mu.Lock()
-	defer l.router.mu.Unlock()
-	a, ok := l.router.ends[id]
+	f.core.mu.Lock()
+	defer f.core.mu.Unlock()
+	a, ok := f.core.answers[id]
 	if !ok {
-		l.t.Fatalf("%s has no answer", class)
+		f.t.Fatalf("a request of class %s has no answer", class)
 	}
 	return a
 }
 
-func (l *lab) each(do func(s *server)) {
-	for _, s := range l.servers {
+func (f *fleet) forEachServer(do func(s *testServer)) {
+	for _, s := range f.servers {
 		s.mu.Lock()
 		do(s)
 		s.mu.Unlock()
 	}
 }
 
-func (l *lab) runs() (n int) {
-	for _, s := range l.servers {
+func (f *fleet) runs() (n int) {
+	for _, s := range f.servers {
 		n += s.ran()
 	}
 	return n
 }
 
-// A read that fails, or whose connection breaks, is tried elsewhere; a write is not, as it may have run; both are where
-// nothing could be connected to.
+// A read that fails, or whose connection breaks, is retried on another server. A write is not, as it may have run. Both are retried
+// if no connection could be opened.
 func TestRetries(t *testing.T) {
-	play(t, 2, func(l *lab) {
-		l.servers[0].fails = true
+	withFleet(t, 2, func(f *fleet) {
+		f.servers[0].fails = true
 		for range 6 {
-			if a := l.ask("read", ""); a.Outcome != core.Served {
-				t.Errorf("a read with one server that fails: %+v", a)
+			if a := f.forward("read", ""); a.Outcome != core.Served {
+				t.Errorf("a read with one failing server: %+v", a)
 			}
 		}
 	})
-	play(t, 2, func(l *lab) {
-		l.each(func(s *server) { s.cuts = true })
-		before := l.runs()
-		for _, class := range []string{"pay", "sheet"} { // a request of a keyed class that has no key is a write like any other
-			if a := l.ask(class, ""); a.Outcome != core.Failed || l.runs() != before+1 {
-				t.Errorf("%s whose connection broke: %+v, %d runs", class, a, l.runs()-before)
+	withFleet(t, 2, func(f *fleet) {
+		f.forEachServer(func(s *testServer) { s.dropsConns = true })
+		before := f.runs()
+		for _, class := range []string{"pay", "sheet"} { // a request of an idempotent class without a key is treated like a write
+			if a := f.forward(class, ""); a.Outcome != core.Failed || f.runs() != before+1 {
+				t.Errorf("%s request whose connection broke: %+v, %d runs", class, a, f.runs()-before)
 			}
-			before = l.runs()
+			before = f.runs()
 		}
 	})
-	play(t, 2, func(l *lab) {
-		l.servers[0].kill()
+	withFleet(t, 2, func(f *fleet) {
+		f.servers[0].kill()
 		for range 4 {
-			if a := l.ask("pay", ""); a.Outcome != core.Served {
-				t.Errorf("a write with one server gone: %+v", a)
+			if a := f.forward("pay", ""); a.Outcome != core.Served {
+				t.Errorf("a write with one server down: %+v", a)
 			}
 		}
-		if l.runs() != 4 {
-			t.Errorf("%d runs", l.runs())
+		if f.runs() != 4 {
+			t.Errorf("%d runs, want 4", f.runs())
 		}
-		l.servers[1].kill()
-		if a := l.ask("pay", ""); a.Outcome != core.Rejected || a.RetryAfter == 0 {
-			t.Errorf("a write with all gone: %+v", a)
+		f.servers[1].kill()
+		if a := f.forward("pay", ""); a.Outcome != core.Rejected || a.RetryAfter == 0 {
+			t.Errorf("a write with all servers down: %+v", a)
 		}
 	})
 }
 
-// A read that takes longer than nearly all others gets a hedged request elsewhere, and its answer.
+// A read whose server does not answer gets a hedged request on another server, and its answer.
 func TestHedgedRequest(t *testing.T) {
-	play(t, 2, func(l *lab) {
+	withFleet(t, 2, func(f *fleet) {
 		for range 80 {
-			l.ask("read", "")
+			f.forward("read", "")
 		}
-		l.servers[0].mu.Lock()
-		l.servers[0].takes = time.Hour
-		l.servers[0].mu.Unlock()
+		f.servers[0].mu.Lock()
+		f.servers[0].runTime = time.Hour
+		f.servers[0].mu.Unlock()
 		for range 4 {
-			if a := l.ask("read", ""); a.Outcome != core.Served {
-				t.Errorf("%+v", a)
+			if a := f.forward("read", ""); a.Outcome != core.Served {
+				t.Errorf("a read with one server that does not answer: %+v", a)
 			}
 		}
-		if l.stats.Get("fleet", "hedged") == 0 {
-			t.Error("no second copy was sent")
+		if f.stats.Get("fleet", "hedged") == 0 {
+			t.Error("no hedged request was sent")
 		}
 	})
 }
 
-// A keyed request whose server died after it ran is run nowhere else: it fails while the server is gone, when it is back and knows
-// nothing of it, and until its window is over; a keyed request of another home is not touched. Repeats before get the first result.
+// A keyed request whose home died after the run must not run again elsewhere. A repeat before the death gets the first result. A repeat
+// while the home is down, or restarted without its records, fails. After the key window a request with a new key is served.
 func TestHomeDies(t *testing.T) {
-	play(t, 3, func(l *lab) {
+	withFleet(t, 3, func(f *fleet) {
 		var key string
-		for n := 0; l.servers[0].ran() == 0; n++ {
+		for n := 0; f.servers[0].ran() == 0; n++ {
 			key = fmt.Sprint("k", n)
-			if a := l.ask("sheet", key); a.Outcome != core.Served {
+			if a := f.forward("sheet", key); a.Outcome != core.Served {
 				t.Fatalf("%+v", a)
 			}
 		}
-		before := l.runs()
-		if a := l.ask("sheet", key); a.Outcome != core.Served || string(a.Body) != "done sheet"+key || l.runs() != before {
-			t.Fatalf("a repeat: %+v, %d runs more", a, l.runs()-before)
+		before := f.runs()
+		if a := f.forward("sheet", key); a.Outcome != core.Served || string(a.Body) != "done sheet"+key || f.runs() != before {
+			t.Fatalf("repeat: %+v, %d further runs", a, f.runs()-before)
 		}
-		l.servers[0].kill()
-		if a := l.ask("sheet", key); a.Outcome != core.Failed || l.runs() != before {
-			t.Errorf("while its home is gone: %+v", a)
+		f.servers[0].kill()
+		if a := f.forward("sheet", key); a.Outcome != core.Failed || f.runs() != before {
+			t.Errorf("while its home is down: %+v", a)
 		}
-		l.servers[0].boot(t)
-		if a := l.ask("sheet", key); a.Outcome != core.Failed || l.runs() != before {
-			t.Errorf("with its home back cold: %+v, %d runs more", a, l.runs()-before)
+		f.servers[0].start(t)
+		if a := f.forward("sheet", key); a.Outcome != core.Failed || f.runs() != before {
+			t.Errorf("after its home restarted: %+v, %d further runs", a, f.runs()-before)
 		}
-		if l.stats.Get("fleet", "failed", "home_lost")+l.stats.Get("fleet", "failed", "home_boot") == 0 {
-			t.Error("it is not counted apart")
+		if f.stats.Get("fleet", "failed", "home_lost")+f.stats.Get("fleet", "failed", "home_boot") == 0 {
+			t.Error("the failure is not counted as home_lost or home_boot")
 		}
 		time.Sleep(15 * time.Second)
-		if a := l.ask("sheet", key+"new"); a.Outcome != core.Served {
-			t.Errorf("after the window: %+v", a)
+		if a := f.forward("sheet", key+"new"); a.Outcome != core.Served {
+			t.Errorf("after the key window: %+v", a)
 		}
 	})
 }
 
-// The same when the router has not noticed yet: what is meant for the start that it knows is refused by the next.
+// A home restarts and the router has not noticed yet. The restarted server must reject a request that carries the incarnation of the
+// previous start, as an earlier attempt may have run there.
 func TestHomeRestartsUnseen(t *testing.T) {
-	probing(t, 1, time.Hour, func(l *lab) {
-		l.ask("sheet", "k")
-		before := l.runs()
-		l.servers[0].kill()
+	withInterval(t, 1, time.Hour, func(f *fleet) {
+		f.forward("sheet", "k")
+		before := f.runs()
+		f.servers[0].kill()
 		time.Sleep(10 * time.Millisecond)
-		l.servers[0].boot(t)
-		if a := l.ask("sheet", "k"); a.Outcome != core.Failed || l.runs() != before {
-			t.Errorf("%+v, %d runs more", a, l.runs()-before)
+		f.servers[0].start(t)
+		if a := f.forward("sheet", "k"); a.Outcome != core.Failed || f.runs() != before {
+			t.Errorf("%+v, %d further runs", a, f.runs()-before)
 		}
-		if l.stats.Get("fleet", "failed", "home_boot") != 1 {
-			t.Errorf("counters %v", l.stats.Snapshot())
+		if f.stats.Get("fleet", "failed", "home_boot") != 1 {
+			t.Errorf("home_boot is not 1: counters %v", f.stats.Snapshot())
 		}
 	})
 }
--- a/internal/proxy/source_test.go
+++ b/internal/proxy/source_test.go
@@ -12,7 +12,7 @@
 	"silverpath/internal/settings"
 )
 
-func example() *cells.Map {
+func exampleMap() *cells.Map {
 	return &cells.Map{
 		Version: 3, KeyWindow: 2 * time.Second, MaxClockSkew: 100 * time.Millisecond, Lease: time.Second, CallerTimeout: time.Second,
 		Cells:   []cells.Cell{{Name: "a", Capacity: 10}, {Name: "b", Capacity: 10}},
@@ -22,11 +22,11 @@
 	}
 }
 
-// A map that is half written, older, names a server twice, leaves a tenant without a cell or a cell empty is refused
-// whole, with the field named; what is written is read as it was.
+// A valid map is read as it was written. A map that is truncated, older, lists a server twice, has a cell without a server, or has an
+// unknown field or a wrong type is rejected, with an error of one line that names the field, if there is one.
 func TestMapFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "cells.json")
-	if err := WriteMap(path, example()); err != nil {
+	if err := WriteMap(path, exampleMap()); err != nil {
 		t.Fatal(err)
 	}
 	f, err := OpenFileSource(path, "")
@@ -34,10 +34,10 @@
 		t.Fatal(err)
 	}
 	m, _, err := f.Load(nil)
-	if err != nil || len(cells.Diff(example(), m)) > 0 || m.Version != 3 {
+	if err != nil || len(cells.Diff(exampleMap(), m)) > 0 || m.Version != 3 {
 		t.Fatalf("%+v, %v", m, err)
 	}
-	text := string(settings.FormatCells(example()))
+	text := string(settings.FormatCells(exampleMap()))
 	for _, c := range []struct{ old, new, want string }{
 		{text[len(text)/2:], "", "not JSON"},
 		{`"version": 3`, `"version": 2`, "version: 2 is not above"},
@@ -47,7 +47,7 @@
 		{`"rate": 1.5`, `"rate": "1.5"`, "tenants[0].rate: a string where a number belongs"},
 	} {
 		if !strings.Contains(text, c.old) {
-			t.Fatalf("%s is not in the map", c.old)
+			t.Fatalf("test case: %s is not in the map", c.old)
 		}
 		if err := os.WriteFile(path, []byte(strings.Replace(text, c.old, c.new, 1)), 0o600); err != nil {
 			t.Fatal(err)
@@ -58,32 +58,32 @@
 	}
 }
 
-// What a router has read outlives it: with the file gone bad it goes on with the map that it had, known to be the newest
-// when it was last read and no later, and an older one in the file takes nothing back. A second router can't share the store.
+// A router that restarts with an invalid or older map file must start with its stored map. The map's confirmation time is that of the
+// last read, as a later one would allow keyed requests by a map that may be outdated. Two routers can't open one state file.
 func TestStateOutlivesTheRouter(t *testing.T) {
 	dir := t.TempDir()
 	path, state := filepath.Join(dir, "cells.json"), filepath.Join(dir, "state.db")
-	if err := WriteMap(path, example()); err != nil {
+	if err := WriteMap(path, exampleMap()); err != nil {
 		t.Fatal(err)
 	}
 	f, err := OpenFileSource(path, state)
 	if err != nil {
 		t.Fatal(err)
 	}
-	_, read, err := f.Load(nil)
+	_, readAt, err := f.Load(nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if _, err := OpenFileSource(path, state); err == nil {
-		t.Error("two routers have one store")
+		t.Error("two routers have opened one state file")
 	}
 	closeNow(t, f)
 	time.Sleep(20 * time.Millisecond)
-	older := example()
+	older := exampleMap()
 	older.Version = 2
 	for what, write := range map[string]func() error{
-		"half a file":  func() error { return os.WriteFile(path, []byte(`{"version":`), 0o600) },
-		"an older map": func() error { return WriteMap(path, older) },
+		"a truncated file": func() error { return os.WriteFile(path, []byte(`{"version":`), 0o600) },
+		"an older map":     func() error { return WriteMap(path, older) },
 	} {
 		if err := write(); err != nil {
 			t.Fatal(err)
@@ -91,9 +91,9 @@
 		if f, err = OpenFileSource(path, state); err != nil {
 			t.Fatal(err)
 		}
-		m, at, err := f.Load(nil)
-		if err != nil || m.Version != 3 || at.Sub(read).Abs() > 5*time.Millisecond {
-			t.Errorf("%s: version %d read %v after, %v", what, m.Version, at.Sub(read), err)
+		m, confirmedAt, err := f.Load(nil)
+		if err != nil || m.Version != 3 || confirmedAt.Sub(readAt).Abs() > 5*time.Millisecond {
+			t.Errorf("%s: version %d, confirmed %v after the read, %v", what, m.Version, confirmedAt.Sub(readAt), err)
 		}
 		closeNow(t, f)
 	}
@@ -105,6 +105,6 @@
 	}
 	closeLater(t, f)
 	if _, _, err := f.Load(nil); err == nil {
-		t.Error("a router starts without any map")
+		t.Error("a router has started without a map")
 	}
 }
--- a/internal/proxy/wire_test.go
+++ b/internal/proxy/wire_test.go
@@ -22,42 +22,42 @@
 	"silverpath/internal/transport/msgpackrpc"
 )
 
-// transcript is what went over connections, in the order of their opening.
+// transcript records the bytes of connections, in the order in which they were opened.
 type transcript struct {
 	mu    sync.Mutex
-	conns []*tapped
+	conns []*recordedConn
 }
 
-// tapped is a connection whose bytes are kept, those of each direction together.
-type tapped struct {
+// recordedConn is a connection that records the bytes of each direction.
+type recordedConn struct {
 	net.Conn
-	of             *transcript
+	transcript     *transcript
 	name           string
 	sent, received []byte
 }
 
-func (c *tapped) Write(b []byte) (int, error) {
+func (c *recordedConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
-	c.of.mu.Lock()
-	defer c.of.mu.Unlock()
+	c.transcript.mu.Lock()
+	defer c.transcript.mu.Unlock()
 	c.sent = append(c.sent, b[:n]...)
 	return n, err
 }
 
-func (c *tapped) Read(b []byte) (int, error) {
+func (c *recordedConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
-	c.of.mu.Lock()
-	defer c.of.mu.Unlock()
+	c.transcript.mu.Lock()
+	defer c.transcript.mu.Unlock()
 	c.received = append(c.received, b[:n]...)
 	return n, err
 }
 
-func (tr *transcript) tap(name string, c net.Conn) net.Conn {
+func (tr *transcript) record(name string, conn net.Conn) net.Conn {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
-	t := &tapped{Conn: c, of: tr, name: name}
-	tr.conns = append(tr.conns, t)
-	return t
+	recorded := &recordedConn{Conn: conn, transcript: tr, name: name}
+	tr.conns = append(tr.conns, recorded)
+	return recorded
 }
 
 func (tr *transcript) String() string {
@@ -65,40 +65,40 @@
 	defer tr.mu.Unlock()
 	var b strings.Builder
 	conns := slices.Clone(tr.conns)
-	slices.SortStableFunc(conns, func(a, b *tapped) int { return strings.Compare(a.name, b.name) })
+	slices.SortStableFunc(conns, func(a, b *recordedConn) int { return strings.Compare(a.name, b.name) })
 	for _, c := range conns {
 		fmt.Fprintf(&b, "connection to %s\n> %x\n< %x\n", c.name, c.sent, c.received)
 	}
 	return b.String()
 }
 
-// A fleet is upgraded one process after the other, so a router of one build talks with servers of another. Did a field get another
-// name, or a text another form, the other side would pass over it without a word: a keyed request would go by no rules, a restart would not be
-// noticed. So every byte between a router and its servers, both ways, in a play of health checks, reads, a keyed request, its repeat, and a
-// keyed request that has moved, stands in testdata as the program wrote it before its names were changed.
+// During a rolling upgrade a router of one build talks to servers of another. If a field were renamed or a text changed its form, the other
+// side would ignore it silently: a keyed request would carry no map ID, or a restart would not be noticed. So testdata has every byte
+// between a router and its servers, both ways, as a build from before the identifiers were renamed wrote it. The scenario has health
+// checks, reads, a keyed request, its repeat, and a keyed request whose tenant has moved.
 func TestBytesBetweenRouterAndServers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		tr := &transcript{}
 		quiet, counters := log.New(io.Discard, "", 0), &metrics.Counters{}
-		servers := map[string]*server{}
+		servers := map[string]*testServer{}
 		m := &cells.Map{Version: 3, KeyWindow: 10 * time.Second, MaxClockSkew: 50 * time.Millisecond, Lease: time.Hour, CallerTimeout: 4 * time.Second,
 			Cells: []cells.Cell{{Name: "a", Capacity: 100}, {Name: "b", Capacity: 100}},
 			Tenants: []cells.Tenant{{Name: "kviz", Rate: 20, Homes: []cells.Home{{Cell: "a"}, {Cell: "b", Since: time.Now().Add(4 * time.Second).UnixMilli()}}},
 				{Homes: []cells.Home{{Cell: "b"}}}}}
 		for i, cell := range []string{"a", "b"} {
-			s := &server{takes: 20 * time.Millisecond}
-			s.boot(t)
+			s := &testServer{runTime: 20 * time.Millisecond}
+			s.start(t)
 			name := fmt.Sprint("s", i)
 			servers[name] = s
 			m.Servers = append(m.Servers, cells.Server{Name: name, Addr: name, Cell: cell, Weight: 1, JoinsAt: time.Now().UnixMilli()})
 		}
-		to := &router{ends: map[string]core.Answer{}}
+		events := &fakeCore{answers: map[string]core.Answer{}}
 		runner, err := New(Config{
 			Name: "router-1", Source: fixedMap{m}, Cores: 100, HealthCheckInterval: 500 * time.Millisecond, MaxConnections: 50, LoadBalancing: loadbalancer.Config{RetryRatio: 1, HedgeRatio: 1, Seed: 3},
 			Dial: func(_ context.Context, addr string) (*msgpackrpc.Conn, error) {
-				return msgpackrpc.NewConn(tr.tap(addr, servers[addr].pipe.Dial())), nil
+				return msgpackrpc.NewConn(tr.record(addr, servers[addr].pipe.Dial())), nil
 			},
-		}, to, quiet, counters)
+		}, events, quiet, counters)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -106,23 +106,23 @@
 		go runner.Maintain(ctx)
 		time.Sleep(750 * time.Millisecond)
 		answers := ""
-		for i, q := range []core.Request{
+		for i, req := range []core.Request{
 			{Class: "read", Body: []byte("one")},
 			{Class: "read", Tenant: "kviz", Rank: 0.25, Caller: 2, MemoryKB: 12.5, Body: []byte("two")},
 			{Class: "pay", Tenant: "other", Body: []byte{}},
 			{Class: "sheet", Tenant: "kviz", Key: "k1", MemoryKB: 1, Body: []byte("sheet of k1")},
 			{Class: "sheet", Tenant: "kviz", Key: "k1", MemoryKB: 1, Body: []byte("sheet of k1")},
-			{Class: "sheet", Tenant: "kviz", Key: "k1", MemoryKB: 1, Body: []byte("sheet of k1")}, // it has moved by now
+			{Class: "sheet", Tenant: "kviz", Key: "k1", MemoryKB: 1, Body: []byte("sheet of k1")}, // the tenant has moved by now
 			{Class: "sheet", Tenant: "kviz", Key: "k2", MemoryKB: 1, Body: []byte("sheet of k2")},
 		} {
-			q.ID, q.ReceivedAt = fmt.Sprintf("%016x", i+1), time.Now()
-			q.Deadline = q.ReceivedAt.Add(4 * time.Second)
-			runner.Forward(q)
+			req.ID, req.ReceivedAt = fmt.Sprintf("%016x", i+1), time.Now()
+			req.Deadline = req.ReceivedAt.Add(4 * time.Second)
+			runner.Forward(req)
 			time.Sleep(740 * time.Millisecond)
-			to.mu.Lock()
-			a := to.ends[q.ID]
-			to.mu.Unlock()
-			answers += fmt.Sprintf("answer to %s: %d %q wait %v final %v\n", q.ID, a.Outcome, a.Body, a.RetryAfter, a.Final)
+			events.mu.Lock()
+			a := events.answers[req.ID]
+			events.mu.Unlock()
+			answers += fmt.Sprintf("answer to %s: %d %q wait %v final %v\n", req.ID, a.Outcome, a.Body, a.RetryAfter, a.Final)
 		}
 		status := string(runner.Status())
 		cancel()
@@ -148,12 +148,12 @@
 	})
 }
 
-// Servers of other builds answer with what the program before wrote, and a router acts on it as that one did: each answer stands here
-// as bytes, whose third is the number of the request, and what the router makes of it, as a literal.
+// A router must interpret the answers of servers of the previous build as that build's router did. Each case has an answer as literal bytes,
+// the third of which is the request's number, and the expected result.
 func TestAnswersOfAServerAsARouterReadsThem(t *testing.T) {
 	const (
-		probeGood = "940101c092c381a162a53137303030"             // boot 17000
-		served    = "940100c092c40568656c6c6f81a162a53137303030" // "hello"
+		healthCheckReply = "940101c092c381a162a53137303030"             // incarnation 17000
+		served           = "940100c092c40568656c6c6f81a162a53137303030" // "hello"
 	)
 	for _, c := range []struct{ name, class, key, reply, want string }{
 		{"served", "pay", "", served, `0 "hello" wait 0s final false`},
@@ -163,26 +163,26 @@
 		{"full, with a wait", "pay", "", "94010092a446756c6c81a177a431323530c0", `1 "" wait 1.25s final false`},
 		{"full, for good", "pay", "", "94010092a446756c6c82a177a431323530a16ca131c0", `1 "" wait 1.25s final true`},
 		{"full without a wait", "pay", "", "94010092a446756c6c80c0", `1 "" wait 0s final false`},
-		{"a sheet is served", "sheet", "k", served, `0 "hello" wait 0s final false`},
-		{"a sheet's home is full", "sheet", "k", "94010092a446756c6c81a177a431323530c0", `1 "" wait 1.25s final false`},
-		{"it started anew", "sheet", "k", "94010092a446756c6c82a177a431323530a178a4626f6f74c0", `2 "" wait 0s final false home_boot`},
-		{"it knows of newer rules", "sheet", "k", "94010092a446756c6c82a177a431323530a178a6626568696e64c0", `2 "" wait 0s final false home_behind`},
-		{"it has moved", "sheet", "k", "94010092a446756c6c82a177a431323530a178a56d6f766564c0", `2 "" wait 0s final false moved_nowhere`},
-		{"rules differ", "sheet", "k", "94010092a446756c6c82a177a431323530a178ac636f6e747261646963746564c0", `2 "" wait 0s final false home_contradicted`},
+		{"a keyed request is served", "sheet", "k", served, `0 "hello" wait 0s final false`},
+		{"a keyed request's home is full", "sheet", "k", "94010092a446756c6c81a177a431323530c0", `1 "" wait 1.25s final false`},
+		{"restarted", "sheet", "k", "94010092a446756c6c82a177a431323530a178a4626f6f74c0", `2 "" wait 0s final false home_boot`},
+		{"has seen a newer map", "sheet", "k", "94010092a446756c6c82a177a431323530a178a6626568696e64c0", `2 "" wait 0s final false home_behind`},
+		{"the key has moved", "sheet", "k", "94010092a446756c6c82a177a431323530a178a56d6f766564c0", `2 "" wait 0s final false moved_nowhere`},
+		{"maps conflict", "sheet", "k", "94010092a446756c6c82a177a431323530a178ac636f6e747261646963746564c0", `2 "" wait 0s final false home_contradicted`},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				m := &cells.Map{Version: 3, KeyWindow: time.Second, Lease: time.Hour, CallerTimeout: time.Second, Cells: []cells.Cell{{Name: "a"}},
 					Servers: []cells.Server{{Name: "s", Addr: "s", Cell: "a", Weight: 1}}, Tenants: []cells.Tenant{{Homes: []cells.Home{{Cell: "a"}}}}}
-				to, counters := &router{ends: map[string]core.Answer{}}, &metrics.Counters{}
+				events, counters := &fakeCore{answers: map[string]core.Answer{}}, &metrics.Counters{}
 				runner, err := New(Config{
 					Name: "r", Source: fixedMap{m}, Cores: 1, HealthCheckInterval: time.Hour, MaxConnections: 9, LoadBalancing: loadbalancer.Config{Seed: 3},
 					Dial: func(context.Context, string) (*msgpackrpc.Conn, error) {
-						ours, theirs := net.Pipe()
-						go answerWith(t, theirs, probeGood, c.reply)
-						return msgpackrpc.NewConn(ours), nil
+						client, server := net.Pipe()
+						go answerWith(t, server, healthCheckReply, c.reply)
+						return msgpackrpc.NewConn(client), nil
 					},
-				}, to, log.New(io.Discard, "", 0), counters)
+				}, events, log.New(io.Discard, "", 0), counters)
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -192,20 +192,20 @@
 				now := time.Now()
 				runner.Forward(core.Request{ID: "1", Class: c.class, Key: c.key, MemoryKB: 1, ReceivedAt: now, Deadline: now.Add(4 * time.Second)})
 				time.Sleep(4 * time.Second)
-				to.mu.Lock()
-				a := to.ends["1"]
-				to.mu.Unlock()
+				events.mu.Lock()
+				a := events.answers["1"]
+				events.mu.Unlock()
 				got := fmt.Sprintf("%d %q wait %v final %v", a.Outcome, a.Body, a.RetryAfter, a.Final)
-				for why, n := range counters.Snapshot() {
-					if after, is := strings.CutPrefix(why, "fleet.failed."); is && n > 0 && strings.Contains(c.want, after) {
-						got += " " + after
+				for name, n := range counters.Snapshot() {
+					if reason, ok := strings.CutPrefix(name, "fleet.failed."); ok && n > 0 && strings.Contains(c.want, reason) {
+						got += " " + reason
 					}
 				}
 				if got != c.want {
 					t.Errorf("got %s, want %s, counters %v", got, c.want, counters.Snapshot())
 				}
 				if states, _ := runner.States(); states[0].Boot != 17000 {
-					t.Errorf("its start is taken for %d", states[0].Boot)
+					t.Errorf("incarnation %d, want 17000", states[0].Boot)
 				}
 				cancel()
 				runner.Close()
@@ -215,7 +215,8 @@
 	}
 }
 
-// answerWith answers a health check with one message and every request with another, whose third byte becomes the request's number.
+// answerWith answers each health check with the message probe and each request with reply. It sets the third byte of either to the number
+// of the request.
 func answerWith(t *testing.T, conn net.Conn, probe, reply string) {
 	t.Helper()
 	defer conn.Close()
