--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -17,7 +17,7 @@
 	body       []byte
 	retryAfter time.Duration
 	final      bool   // a rejection after which no other server is tried
-	reason     string // one of core's Reason constants for a rejected request with a key, else empty
+	reason     string // why a request with a key was rejected, core.ReasonUnknown for example; else empty
 }
 
 // counterName returns the outcome's name in metrics, as listed in docs/cells.md.
--- a/internal/proxy/forward.go
+++ b/internal/proxy/forward.go
@@ -24,7 +24,7 @@
 		return r.reject("no_cell")
 	}
 	if !r.admit(m, req.Tenant, route) {
-		if keyed { // an attempt may have been forwarded by another router, so it can't be rejected as never run
+		if keyed { // another router may have sent it to its home, so it may have run
 			return r.fail("over_share")
 		}
 		return r.reject("over_share")
--- a/internal/proxy/groupsource.go
+++ b/internal/proxy/groupsource.go
@@ -24,7 +24,7 @@
 	latestConfirmedAt    time.Time         // when the request was sent whose answer confirmed latest as the newest; zero: not confirmed yet
 	delivered            namedMap          // the map that Load returned last
 	deliveredConfirmedAt time.Time         // when delivered was last known to be the newest
-	deliveredInParts     *cells.Map        // the map in parts that Load returned last; nil: none, or a map in one document was applied since
+	deliveredInParts     *cells.Map        // the map in parts that Load returned last; nil: none, or a complete map was applied since
 	delta                map[string]string // the parts by which latest differs from deliveredInParts
 	joined               joinedParts       // result of the last join: a proposed change is checked repeatedly before it is applied
 }
@@ -193,7 +193,7 @@
 	return g.load(old, true)
 }
 
-// load implements Load and LoadOutdated.
+// load implements Load and LoadOutdated. With outdated set it accepts a map that was announced too late.
 func (g *GroupSource) load(old *cells.Map, outdated bool) (*cells.Map, time.Time, error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -242,7 +242,7 @@
 }
 
 // store writes the latest map to the state file. If the map is already stored, it writes only the time; if the stored one is in parts too,
-// the changed parts; else the complete map. The caller holds a.mu.
+// the changed parts; else the complete map. The caller holds g.mu.
 func (g *GroupSource) store() error {
 	if !g.latest.inParts {
 		return g.state.storeWhole(g.latest.Map, g.latestConfirmedAt)
--- a/internal/proxy/keyed.go
+++ b/internal/proxy/keyed.go
@@ -10,9 +10,9 @@
 )
 
 // Requests with an idempotency key. Inputs: the map in force, the verdict on its version, and the states of the key's home and of its former
-// homes. Such a request must take effect at most once, and only its home has a record of its runs. So it is sent to no other server, and
-// after an attempt that may have run it fails instead of being retried elsewhere. It also fails if this router can't be sure of the home:
-// if its map was not confirmed for a lease, or conflicts with another map of the same version.
+// homes. Such a request must take effect at most once, and only its home and former homes have a record of its runs. So it is sent to no
+// other server, and fails after an attempt that may have run, as a retry on another server could run it twice. It also fails if this router
+// can't be sure of the home: if its map was not confirmed for a lease, or conflicts with another map of the same version.
 
 // maxHomes is the number of homes that a request is sent to: its home, and the next one if the first answers that the key has moved.
 const maxHomes = 2
--- a/internal/proxy/source_test.go
+++ b/internal/proxy/source_test.go
@@ -22,8 +22,8 @@
 	}
 }
 
-// A valid map is read as it was written. A map that is truncated, older, lists a server twice, has a cell without a server, or has an
-// unknown field or a wrong type is rejected, with an error of one line that names the field, if there is one.
+// A valid map is read as it was written. A map is rejected if it is truncated or older, lists a server twice, or has a cell without a
+// server, an unknown field or a value of a wrong type. The error is one line and names the field.
 func TestMapFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "cells.json")
 	if err := WriteMap(path, exampleMap()); err != nil {
