--- a/internal/proxy/forward.go
+++ b/internal/proxy/forward.go
@@ -8,43 +8,44 @@
 	"silverpath/internal/policy/quota"
 )
 
-// The way of a request: its cell by the map, admission to the cell, then its home or any server of its tenant.
+// The path of a request: the map gives its cell, the request is admitted to the cell, and then it goes to its home or to any server of
+// its tenant.
 
-// route is one request's way through the fleet, from the map to its answer.
-func (r *Runner) route(q core.Request, class silverpath.Class) (a core.Answer) {
+// route routes a request by the map in force, admits it to its cell, forwards it, and returns the answer.
+func (r *Runner) route(req core.Request, class silverpath.Class) (a core.Answer) {
 	m := r.current.Load()
-	keyed := class.Effect == silverpath.Idempotent && q.Key != ""
+	keyed := class.Effect == silverpath.Idempotent && req.Key != ""
 	key := ""
 	if keyed {
-		key = q.Key
+		key = req.Key
 	}
-	route, ok := m.Route(Wall(), q.Tenant, key)
+	route, ok := m.Route(Wall(), req.Tenant, key)
 	if !ok {
 		return r.reject("no_cell")
 	}
-	if !r.admit(m, q.Tenant, route) {
-		if keyed { // another router may have forwarded an attempt of it, and only its home can tell
+	if !r.admit(m, req.Tenant, route) {
+		if keyed { // another router may have sent it to its home, so it may have run
 			return r.fail("over_share")
 		}
 		return r.reject("over_share")
 	}
-	defer func() { r.done(m, q.Tenant, route, a) }()
+	defer func() { r.done(m, req.Tenant, route, a) }()
 	if keyed {
-		return r.forwardToHome(q, m, route)
+		return r.forwardToHome(req, m, route)
 	}
-	// A request of an idempotent class that has no key can't be told from another one: it is retried only on proof that it never ran,
-	// like whatever must run at most once.
-	return r.forwardAnywhere(q, route, class.Effect == silverpath.Safe)
+	// Without a key, a server can't recognise a repeat, even of an idempotent class: such a request is retried only on proof that it
+	// never ran, like one of a non-idempotent class.
+	return r.forwardAnywhere(req, route, class.Effect == silverpath.Safe)
 }
 
-// admit reports whether a tenant may send one more request into its cell: within the quota that this router was lent, where routers
-// share the cell, and within the tenant's share of the cell's window.
+// admit reports whether a tenant may send one more request to its cell. The request must be within this router's quota, if routers share
+// cells, and within the tenant's share of the cell's window. An admitted request has to be ended by done.
 func (r *Runner) admit(m *mapInForce, tenant string, route cells.Route) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	name, rate := m.AgreedRate(tenant)
 	if r.quota != nil {
-		// By what this router was lent of the tenant's rate, in place of what was agreed for all routers.
+		// The rate that was granted to this router replaces the agreed one, which is for all routers together.
 		k, now := quota.Key{Cell: route.Cell, Tenant: name}, r.leaseClock()
 		if !r.quota.Admit(now, k) {
 			return false
@@ -54,42 +55,43 @@
 	return r.tenants.Admit(r.clock(), route.Cell, name, rate, len(route.Servers))
 }
 
-// tenantInMap is a tenant's name as the map has it, which bounds how many there are. It is called under the lock.
+// tenantInMap returns the name under which the map lists a tenant. State per tenant uses this name, so that its size is bounded by the
+// map. The caller holds r.mu.
 func (r *Runner) tenantInMap(tenant string) string {
 	name, _ := r.current.Load().AgreedRate(tenant)
 	return name
 }
 
-// done ends what admit let in. A failure says nothing of the cell's capacity.
+// done releases a request that admit has admitted, and records its outcome. A failure does not change the cell's window.
 func (r *Runner) done(m *mapInForce, tenant string, route cells.Route, a core.Answer) {
-	o := loadbalancer.Failed
+	outcome := loadbalancer.Failed
 	switch a.Outcome {
 	case core.Served:
-		o = loadbalancer.Served
+		outcome = loadbalancer.Served
 	case core.Rejected:
-		o = loadbalancer.Rejected
+		outcome = loadbalancer.Rejected
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	name, _ := m.AgreedRate(tenant)
-	r.tenants.Done(r.clock(), route.Cell, name, o)
+	r.tenants.Done(r.clock(), route.Cell, name, outcome)
 }
 
-// reject rejects a request, which has not run, and counts why.
-func (r *Runner) reject(why string) core.Answer {
-	r.stats.Inc("fleet", "refused", why)
+// reject returns the rejection of a request that has not run, and counts it under reason.
+func (r *Runner) reject(reason string) core.Answer {
+	r.stats.Inc("fleet", "refused", reason)
 	return core.Answer{Outcome: core.Rejected, RetryAfter: r.events.RetryAfter()}
 }
 
-// fail fails a request, which may have run, and counts why.
-func (r *Runner) fail(why string) core.Answer {
-	r.stats.Inc("fleet", "failed", why)
+// fail returns the failure of a request that may have run, and counts it under reason.
+func (r *Runner) fail(reason string) core.Answer {
+	r.stats.Inc("fleet", "failed", reason)
 	return core.Answer{Outcome: core.Failed}
 }
 
-// failOutdated is fail where a server knows of a newer map, by which the request may have to run elsewhere.
-func (r *Runner) failOutdated(why string) core.Answer {
-	a := r.fail(why)
+// failOutdated is like fail, for a server that has seen a newer map, by which the request may belong to another home.
+func (r *Runner) failOutdated(reason string) core.Answer {
+	a := r.fail(reason)
 	a.Reason = core.ReasonBehind
 	return a
 }
--- a/internal/proxy/groupsource.go
+++ b/internal/proxy/groupsource.go
@@ -13,134 +13,137 @@
 	"silverpath/internal/settings"
 )
 
-// GroupSource is the map that a group agrees on, beside a state file that keeps the last one over a restart of the router. Its methods may
-// be called by several goroutines: configwatch applies maps while the runner loads them.
+// GroupSource provides the map that the control group has agreed on. A state file keeps the last one across restarts of the router. Its
+// methods may be called by several goroutines: configwatch applies maps while the runner loads them.
 type GroupSource struct {
 	state *stateFile
 
-	taking               sync.Mutex // held while a map is read and applied
+	applyMu              sync.Mutex // held while a map is parsed and applied
 	mu                   sync.Mutex
-	latest               namedMap          // applied last; without a Map where the group has told of none
-	latestConfirmedAt    time.Time         // when the group was asked that then said that it is the newest
-	delivered            namedMap          // by Load
-	deliveredConfirmedAt time.Time         // when that was last known to be the newest
-	deliveredInParts     *cells.Map        // the map in parts that Load delivered last; nil: none, or one in one piece came since
-	delta                map[string]string // the parts by which latest differs from that
-	joined               joinedParts       // last: a change is checked again and again while it waits, and then applied
+	latest               namedMap          // applied last; its Map is nil until the group has sent one
+	latestConfirmedAt    time.Time         // when the request was sent whose answer confirmed latest as the newest; zero: not confirmed yet
+	delivered            namedMap          // the map that Load returned last
+	deliveredConfirmedAt time.Time         // when delivered was last known to be the newest
+	deliveredInParts     *cells.Map        // the map in parts that Load returned last; nil: none, or a complete map was applied since
+	delta                map[string]string // the parts by which latest differs from deliveredInParts
+	joined               joinedParts       // result of the last join: a proposed change is checked repeatedly before it is applied
 }
 
-// joinedParts is a map that was joined from parts.
+// joinedParts is a map that was joined from parts, with the arguments of the join.
 type joinedParts struct {
-	base, m  *cells.Map // base is the map that the rest is of; nil: there is none
-	digest   uint64     // of the parts
+	base, m  *cells.Map // base has the parts that did not change; nil: all parts were given
+	digest   uint64     // of the given parts
 	complete bool
 }
 
-// namedMap is a map, and, where it was applied in parts, the digest by which the group names it.
+// namedMap is a map with the digest by which the group identifies it, if it was applied in parts.
 type namedMap struct {
 	*cells.Map
 	digest  uint64
 	inParts bool
 }
 
-var errNoGroupMap = errors.New("the group has no map yet: silverpath rules put map FILE")
+var errNoGroupMap = errors.New("the group has no map yet: add one with silverpath rules put map FILE")
 
-// OpenGroupSource returns the source; the state's path is empty where nothing is kept.
+// OpenGroupSource returns a source whose state file is at the path state. If the path is empty, nothing is stored.
 func OpenGroupSource(state string) (*GroupSource, error) {
-	s, err := openStateFile(state)
+	file, err := openStateFile(state)
 	if err != nil {
 		return nil, err
 	}
-	k := s.load()
-	a := &GroupSource{state: s, delivered: namedMap{k.Map, k.digest, k.inParts}, deliveredConfirmedAt: k.confirmedAt}
-	if k.inParts {
-		a.deliveredInParts = k.Map
+	stored := file.load()
+	g := &GroupSource{state: file, delivered: namedMap{stored.Map, stored.digest, stored.inParts}, deliveredConfirmedAt: stored.confirmedAt}
+	if stored.inParts {
+		g.deliveredInParts = stored.Map
 	}
-	return a, nil
+	return g, nil
 }
 
 // Close closes the state file.
-func (a *GroupSource) Close() error { return a.state.close() }
+func (g *GroupSource) Close() error { return g.state.close() }
 
-// Check is an error that names why a map can't follow the one that is in force here.
-func (a *GroupSource) Check(text string) error {
+// Check parses a map and returns an error if it is invalid or can't follow the map in force.
+func (g *GroupSource) Check(text string) error {
 	m, err := settings.ParseCells([]byte(text))
 	if err != nil {
 		return err
 	}
-	return a.follows(m)
+	return g.follows(m)
 }
 
-func (a *GroupSource) follows(m *cells.Map) error {
-	a.mu.Lock()
-	old, since := a.delivered.Map, a.deliveredConfirmedAt
-	a.mu.Unlock()
+// follows returns an error if m can't follow the map that Load returned last.
+func (g *GroupSource) follows(m *cells.Map) error {
+	g.mu.Lock()
+	old, confirmedAt := g.delivered.Map, g.deliveredConfirmedAt
+	g.mu.Unlock()
 	if old == nil {
 		return nil
 	}
-	return m.FollowsLate(old, since, time.Now())
+	return m.FollowsLate(old, confirmedAt, time.Now())
 }
 
-// CheckParts is an error that names why the map that has these parts in place of those of the one before can't follow it. That is the one
-// that was applied last, or, before any was, the one of the state file. Whole says that the parts are all that there are.
-func (a *GroupSource) CheckParts(changed map[string]string, complete bool) error {
-	m, err := a.join(changed, complete)
+// CheckParts joins the changed parts with the previous map and returns an error if the result is invalid or can't follow the map in force.
+// The previous map is the one that was applied last, or the one of the state file if none was. If complete is set, changed has all parts
+// of the map.
+func (g *GroupSource) CheckParts(changed map[string]string, complete bool) error {
+	m, err := g.join(changed, complete)
 	if err != nil {
 		return err
 	}
-	return a.follows(m)
+	return g.follows(m)
 }
 
-// join reads the parts, and what they can break, once for as long as neither they nor the map below them change.
-func (a *GroupSource) join(changed map[string]string, complete bool) (*cells.Map, error) {
-	a.mu.Lock()
-	base, last := cmp.Or(a.latest.Map, a.delivered.Map), a.joined
-	a.mu.Unlock()
+// join returns the map of the changed parts on top of the previous map. It keeps the last result, so that repeated checks of one change
+// parse and validate its parts once.
+func (g *GroupSource) join(changed map[string]string, complete bool) (*cells.Map, error) {
+	g.mu.Lock()
+	base, last := cmp.Or(g.latest.Map, g.delivered.Map), g.joined
+	g.mu.Unlock()
 	if complete {
 		base = nil
 	}
-	sum := configstore.TextsDigest(changed)
-	if last.m != nil && last.base == base && last.digest == sum && last.complete == complete {
+	digest := configstore.TextsDigest(changed)
+	if last.m != nil && last.base == base && last.digest == digest && last.complete == complete {
 		return last.m, nil
 	}
 	m, err := settings.JoinCells(base, changed)
 	if err == nil {
-		a.mu.Lock()
-		a.joined = joinedParts{base, m, sum, complete}
-		a.mu.Unlock()
+		g.mu.Lock()
+		g.joined = joinedParts{base, m, digest, complete}
+		g.mu.Unlock()
 	}
 	return m, err
 }
 
-// ApplyParts has the map of these parts, which was checked, be the one that Load delivers. The digest of id, by which the group names it,
-// names the map to servers and other routers, beside the map's own version. After an error the map before stays.
-func (a *GroupSource) ApplyParts(id configstore.ID, changed map[string]string, complete bool) error {
-	a.taking.Lock()
-	defer a.taking.Unlock()
-	m, err := a.join(changed, complete)
+// ApplyParts joins parts that CheckParts has accepted and makes the result the map that Load returns. The digest of id, by which the group
+// identifies the map, identifies it to servers and other routers too, with the map's own version. After an error the previous map stays.
+func (g *GroupSource) ApplyParts(id configstore.ID, changed map[string]string, complete bool) error {
+	g.applyMu.Lock()
+	defer g.applyMu.Unlock()
+	m, err := g.join(changed, complete)
 	if err != nil {
 		return err
 	}
-	a.mu.Lock()
-	defer a.mu.Unlock()
+	g.mu.Lock()
+	defer g.mu.Unlock()
 	switch {
 	case complete:
-		a.deliveredInParts, a.delta = nil, nil
-	case a.deliveredInParts != nil:
-		if a.delta == nil {
-			a.delta = map[string]string{}
+		g.deliveredInParts, g.delta = nil, nil
+	case g.deliveredInParts != nil:
+		if g.delta == nil {
+			g.delta = map[string]string{}
 		}
-		maps.Copy(a.delta, changed)
+		maps.Copy(g.delta, changed)
 	}
-	a.latest, a.latestConfirmedAt, a.joined = namedMap{m, id.Digest, true}, time.Time{}, joinedParts{}
+	g.latest, g.latestConfirmedAt, g.joined = namedMap{m, id.Digest, true}, time.Time{}, joinedParts{}
 	return nil
 }
 
-// DigestOf is the digest by which the group names a map that was applied in parts.
-func (a *GroupSource) DigestOf(m *cells.Map) (digest uint64, ok bool) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	for _, v := range []namedMap{a.delivered, a.latest} {
+// DigestOf returns the digest by which the group identifies a map that was applied in parts; ok is false for any other map.
+func (g *GroupSource) DigestOf(m *cells.Map) (digest uint64, ok bool) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	for _, v := range []namedMap{g.delivered, g.latest} {
 		if v.Map == m && v.inParts {
 			return v.digest, true
 		}
@@ -148,101 +151,105 @@
 	return 0, false
 }
 
-// Apply has a map, which was checked, be the one that Load delivers.
-func (a *GroupSource) Apply(text string) error {
-	a.taking.Lock()
-	defer a.taking.Unlock()
+// Apply parses a map that Check has accepted and makes it the map that Load returns.
+func (g *GroupSource) Apply(text string) error {
+	g.applyMu.Lock()
+	defer g.applyMu.Unlock()
 	m, err := settings.ParseCells([]byte(text))
 	if err != nil {
 		return err
 	}
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	a.latest, a.latestConfirmedAt, a.deliveredInParts, a.delta, a.joined = namedMap{Map: m}, time.Time{}, nil, nil, joinedParts{}
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	g.latest, g.latestConfirmedAt, g.deliveredInParts, g.delta, g.joined = namedMap{Map: m}, time.Time{}, nil, nil, joinedParts{}
 	return nil
 }
 
-// Confirm records when the group was asked for what is in force, once it has answered and the process acts on it.
-func (a *GroupSource) Confirm(asked time.Time) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	a.latestConfirmedAt = asked
+// Confirm records that the latest map is the newest as of requestedAt, the time of the request to the group. It is called after
+// the group has answered and the process acts on the answer.
+func (g *GroupSource) Confirm(requestedAt time.Time) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	g.latestConfirmedAt = requestedAt
 }
 
-// MaxClockSkew is by how much the map allows the wall clocks of two routers to differ.
-func (a *GroupSource) MaxClockSkew() time.Duration {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	if a.latest.Map == nil {
-		return time.Hour // nothing is sent by it yet
+// MaxClockSkew returns the difference between the wall clocks of two routers that the latest map allows.
+func (g *GroupSource) MaxClockSkew() time.Duration {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	if g.latest.Map == nil {
+		return time.Hour // no map of the group is in use yet, so no skew is too large
 	}
-	return a.latest.MaxClockSkew
+	return g.latest.MaxClockSkew
 }
 
-// Load returns the group's map, or, until the group has answered, the one of the state file.
-func (a *GroupSource) Load(old *cells.Map) (*cells.Map, time.Time, error) { return a.load(old, false) }
+// Load returns the group's latest map and the time of its confirmation. Until the group has confirmed one, it returns the map of the
+// state file. It returns an error if there is neither, or if the latest map can't follow old.
+func (g *GroupSource) Load(old *cells.Map) (*cells.Map, time.Time, error) { return g.load(old, false) }
 
-// LoadOutdated is Load for a router that has gone by an old map beyond its lease.
-func (a *GroupSource) LoadOutdated(old *cells.Map) (*cells.Map, time.Time, error) {
-	return a.load(old, true)
+// LoadOutdated is like Load, for a router whose map in force was outdated for longer than its lease. It accepts a map that was
+// announced too late for this router.
+func (g *GroupSource) LoadOutdated(old *cells.Map) (*cells.Map, time.Time, error) {
+	return g.load(old, true)
 }
 
-func (a *GroupSource) load(old *cells.Map, behind bool) (*cells.Map, time.Time, error) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
+// load implements Load and LoadOutdated. With outdated set it accepts a map that was announced too late.
+func (g *GroupSource) load(old *cells.Map, outdated bool) (*cells.Map, time.Time, error) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
 	if old == nil {
-		old = a.delivered.Map
+		old = g.delivered.Map
 	}
-	m := a.latest.Map
+	m := g.latest.Map
 	switch {
 	case m == nil && old == nil:
 		return nil, time.Time{}, errNoGroupMap
-	case m == nil || a.latestConfirmedAt.IsZero():
+	case m == nil || g.latestConfirmedAt.IsZero():
 		if old == nil {
-			old = m // the first one: what confirms it comes with it
+			old = m // the first map: unconfirmed, as deliveredConfirmedAt is zero, until Confirm is called
 		}
-		return old, a.deliveredConfirmedAt, nil
+		return old, g.deliveredConfirmedAt, nil
 	}
 	if old != nil && old != m {
-		since := a.deliveredConfirmedAt
-		if behind {
-			since = time.Time{}
+		confirmedAt := g.deliveredConfirmedAt
+		if outdated {
+			confirmedAt = time.Time{}
 		}
-		if err := m.FollowsLate(old, since, time.Now()); err != nil {
+		if err := m.FollowsLate(old, confirmedAt, time.Now()); err != nil {
 			return nil, time.Time{}, fmt.Errorf("the group's map: %w", err)
 		}
 	}
-	if a.delivered.Map != m || a.latestConfirmedAt.Sub(a.deliveredConfirmedAt) > m.Lease/4 {
-		if err := a.store(); err != nil {
+	if g.delivered.Map != m || g.latestConfirmedAt.Sub(g.deliveredConfirmedAt) > m.Lease/4 {
+		if err := g.store(); err != nil {
 			return nil, time.Time{}, err
 		}
 	}
-	a.delivered, a.deliveredConfirmedAt = a.latest, a.latestConfirmedAt
-	return m, a.latestConfirmedAt, nil
+	g.delivered, g.deliveredConfirmedAt = g.latest, g.latestConfirmedAt
+	return m, g.latestConfirmedAt, nil
 }
 
-// Newest is the ID of the group's map, where it is another one than that which Load delivered.
-func (a *GroupSource) Newest(old *cells.Map) (configstore.ID, bool) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
+// Newest returns the ID of the group's latest map; ok is false if that is old or not confirmed.
+func (g *GroupSource) Newest(old *cells.Map) (configstore.ID, bool) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
 	switch {
-	case a.latest.Map == nil || a.latest.Map == old || a.latestConfirmedAt.IsZero():
+	case g.latest.Map == nil || g.latest.Map == old || g.latestConfirmedAt.IsZero():
 		return configstore.ID{}, false
-	case a.latest.inParts:
-		return configstore.ID{Version: a.latest.Version, Digest: a.latest.digest}, true
+	case g.latest.inParts:
+		return configstore.ID{Version: g.latest.Version, Digest: g.latest.digest}, true
 	}
-	return identifyMap(a.latest.Map), true
+	return identifyMap(g.latest.Map), true
 }
 
-// store writes the latest map to the state file, under the lock: all of it where it is another kind than the one before, else what
-// changed, or, where it is the same, the time alone.
-func (a *GroupSource) store() error {
-	if !a.latest.inParts {
-		return a.state.storeWhole(a.latest.Map, a.latestConfirmedAt)
+// store writes the latest map to the state file. If the map is already stored, it writes only the time; if the stored one is in parts too,
+// the changed parts; else the complete map. The caller holds g.mu.
+func (g *GroupSource) store() error {
+	if !g.latest.inParts {
+		return g.state.storeWhole(g.latest.Map, g.latestConfirmedAt)
 	}
-	err := a.state.storeParts(a.latest.Map, a.latest.digest, a.deliveredInParts, a.delta, a.latestConfirmedAt)
+	err := g.state.storeParts(g.latest.Map, g.latest.digest, g.deliveredInParts, g.delta, g.latestConfirmedAt)
 	if err == nil {
-		a.deliveredInParts, a.delta = a.latest.Map, nil
+		g.deliveredInParts, g.delta = g.latest.Map, nil
 	}
 	return err
 }
--- a/internal/proxy/statefile.go
+++ b/internal/proxy/statefile.go
@@ -12,19 +12,19 @@
 	"silverpath/internal/settings"
 )
 
-// stateFile keeps a router's last map over its restart, and when it was last known to be the newest: a bbolt database. The two stand
-// apart, so that a confirmation writes 8 bytes and no page of the map; a map in parts is written part by part. A nil stateFile keeps
-// nothing.
+// stateFile is a bbolt database that keeps a router's last map, and the time at which it was last known to be the newest, across restarts.
+// The time is in a bucket of its own, so that a confirmation writes 8 bytes and no page of the map. A map in parts is written part by
+// part. A nil stateFile stores nothing.
 type stateFile struct {
 	db            *bbolt.DB
-	storedWhole   *cells.Map // as it stands there in one piece; nil: unknown
-	storedInParts *cells.Map // as it stands there in parts; nil: unknown
+	storedWhole   *cells.Map // the map stored as one document; nil: unknown
+	storedInParts *cells.Map // the map stored in parts; nil: unknown
 }
 
-// storedMap is what a state file has.
+// storedMap is the contents of a state file.
 type storedMap struct {
 	*cells.Map
-	digest      uint64 // by which a group names a map in parts
+	digest      uint64 // by which the group identifies a map in parts
 	inParts     bool
 	confirmedAt time.Time
 }
@@ -33,20 +33,20 @@
 	bucketWhole = []byte("whole")
 	bucketParts = []byte("parts")
 	bucketTime  = []byte("time")
-	// Where builds that knew no parts kept the map and the time. They are deleted there, as an older build that comes back would else
-	// go on with an old map, or a time that is not the map's; without them it starts as one that has kept nothing. Where they stand, an
-	// older build has written last.
+	// Builds without support for parts store the map and the time in this bucket. Newer builds delete both entries when they store a map:
+	// otherwise, after a downgrade, the older build would load an old map, or a time that belongs to another map. Without them it
+	// starts without a map. If the entries exist, an older build has written the file last.
 	bucketLegacy = []byte("cells")
 
 	keyMap    = []byte("map")
 	keyRead   = []byte("read")
-	keyDigest = []byte("digest") // which is no name of a part
+	keyDigest = []byte("digest") // not the name of a part
 )
 
-// ErrNoMapStored says that a state file has no map.
-var ErrNoMapStored = errors.New("nothing is kept")
+// ErrNoMapStored is returned by StoredMap if the state file has no map.
+var ErrNoMapStored = errors.New("no map stored")
 
-// openStateFile opens a state file, or makes it. An empty path gives nil.
+// openStateFile opens a state file, and creates it if it does not exist. It returns nil for an empty path.
 func openStateFile(path string) (*stateFile, error) {
 	if path == "" {
 		return nil, nil
@@ -69,6 +69,7 @@
 	return &stateFile{db: db}, nil
 }
 
+// close closes the database. It does nothing for a nil stateFile.
 func (s *stateFile) close() error {
 	if s == nil {
 		return nil
@@ -76,46 +77,46 @@
 	return s.db.Close()
 }
 
-// load is the stored map, with a nil Map for none. One that can't be read is none: the router starts without it.
-func (s *stateFile) load() (k storedMap) {
+// load returns the stored map. Its Map is nil if there is none or it can't be read: the router then starts without it.
+func (s *stateFile) load() (stored storedMap) {
 	if s == nil {
-		return k
+		return stored
 	}
 	err := s.db.View(func(tx *bbolt.Tx) (err error) {
-		k, err = readState(tx)
+		stored, err = readState(tx)
 		return err
 	})
 	if err != nil {
 		return storedMap{}
 	}
-	if k.inParts {
-		s.storedInParts = k.Map
+	if stored.inParts {
+		s.storedInParts = stored.Map
 	}
-	return k
+	return stored
 }
 
-// StoredMap is the map in a state file and when it was last known to be the newest; ErrNoMapStored where there is none. It serves
-// recovery, which inspects what a machine has.
+// StoredMap returns the map in a state file and the time at which it was last known to be the newest, or ErrNoMapStored if there is none.
+// Recovery uses it to inspect the state files of a machine.
 func StoredMap(tx *bbolt.Tx) (*cells.Map, time.Time, error) {
-	k, err := readState(tx)
-	return k.Map, k.confirmedAt, err
+	stored, err := readState(tx)
+	return stored.Map, stored.confirmedAt, err
 }
 
-// readState reads the map in whichever form it stands there.
-func readState(tx *bbolt.Tx) (k storedMap, err error) {
+// readState reads the stored map in any of its forms: from an older build, in parts, or as one document.
+func readState(tx *bbolt.Tx) (stored storedMap, err error) {
 	get := func(bucket, key []byte) []byte {
 		if b := tx.Bucket(bucket); b != nil {
 			return b.Get(key)
 		}
 		return nil
 	}
-	at, whole, digest := get(bucketTime, keyRead), get(bucketWhole, keyMap), get(bucketParts, keyDigest)
-	if old := get(bucketLegacy, keyMap); old != nil {
-		at, whole, digest = get(bucketLegacy, keyRead), old, nil
+	confirmedAt, whole, digest := get(bucketTime, keyRead), get(bucketWhole, keyMap), get(bucketParts, keyDigest)
+	if legacy := get(bucketLegacy, keyMap); legacy != nil {
+		confirmedAt, whole, digest = get(bucketLegacy, keyRead), legacy, nil
 	}
 	switch {
-	case len(at) != 8 || whole == nil && len(digest) != 8:
-		return k, ErrNoMapStored
+	case len(confirmedAt) != 8 || whole == nil && len(digest) != 8:
+		return stored, ErrNoMapStored
 	case len(digest) == 8:
 		texts := map[string]string{}
 		for _, name := range settings.CellParts() {
@@ -123,21 +124,22 @@
 				texts[name] = string(text)
 			}
 		}
-		k.Map, err = settings.JoinCells(nil, texts)
-		k.inParts, k.digest = true, binary.BigEndian.Uint64(digest)
+		stored.Map, err = settings.JoinCells(nil, texts)
+		stored.inParts, stored.digest = true, binary.BigEndian.Uint64(digest)
 	default:
-		k.Map, err = settings.ParseCells(whole)
+		stored.Map, err = settings.ParseCells(whole)
 	}
-	k.confirmedAt = time.UnixMilli(int64(binary.BigEndian.Uint64(at)))
-	return k, err
+	stored.confirmedAt = time.UnixMilli(int64(binary.BigEndian.Uint64(confirmedAt)))
+	return stored, err
 }
 
-// storeWhole stores a map in one piece, or, where it stands there already, when it was known to be the newest.
-func (s *stateFile) storeWhole(m *cells.Map, at time.Time) error {
+// storeWhole stores a map as one document, with the time at which it was known to be the newest. If m is stored already, it writes only
+// the time.
+func (s *stateFile) storeWhole(m *cells.Map, confirmedAt time.Time) error {
 	if s == nil {
 		return nil
 	}
-	err := s.update(at, s.storedWhole == m, func(tx *bbolt.Tx) error {
+	err := s.update(confirmedAt, s.storedWhole == m, func(tx *bbolt.Tx) error {
 		for _, name := range settings.CellParts() {
 			if err := tx.Bucket(bucketParts).Delete([]byte(name)); err != nil {
 				return err
@@ -151,12 +153,13 @@
 	return err
 }
 
-// storeParts is storeWhole for a map in parts: those that changed since from, nil for all, are written, with the digest.
-func (s *stateFile) storeParts(m *cells.Map, digest uint64, from *cells.Map, changed map[string]string, at time.Time) error {
+// storeParts is like storeWhole for a map in parts, with its digest. It writes the parts in changed if the stored map is from, else all
+// parts.
+func (s *stateFile) storeParts(m *cells.Map, digest uint64, from *cells.Map, changed map[string]string, confirmedAt time.Time) error {
 	if s == nil {
 		return nil
 	}
-	err := s.update(at, s.storedInParts == m, func(tx *bbolt.Tx) error {
+	err := s.update(confirmedAt, s.storedInParts == m, func(tx *bbolt.Tx) error {
 		if from == nil || s.storedInParts != from {
 			changed = settings.SplitCells(m)
 		}
@@ -174,19 +177,19 @@
 	return err
 }
 
-// update writes the time, and, unless the map stands there, the map, in one transaction.
-func (s *stateFile) update(at time.Time, stands bool, write func(tx *bbolt.Tx) error) error {
+// update writes the time, and calls write for the map unless that is stored already, in one transaction.
+func (s *stateFile) update(confirmedAt time.Time, isStored bool, write func(tx *bbolt.Tx) error) error {
 	err := s.db.Update(func(tx *bbolt.Tx) error {
-		if !stands {
-			old := tx.Bucket(bucketLegacy)
-			if err := errors.Join(write(tx), old.Delete(keyMap), old.Delete(keyRead)); err != nil {
+		if !isStored {
+			legacy := tx.Bucket(bucketLegacy)
+			if err := errors.Join(write(tx), legacy.Delete(keyMap), legacy.Delete(keyRead)); err != nil {
 				return err
 			}
 		}
-		return tx.Bucket(bucketTime).Put(keyRead, binary.BigEndian.AppendUint64(nil, uint64(at.UnixMilli())))
+		return tx.Bucket(bucketTime).Put(keyRead, binary.BigEndian.AppendUint64(nil, uint64(confirmedAt.UnixMilli())))
 	})
 	if err != nil {
-		return fmt.Errorf("keeping the map: %w", err)
+		return fmt.Errorf("failed to store the map: %w", err)
 	}
 	return nil
 }
