--- a/internal/policy/admission/allocation.go
+++ b/internal/policy/admission/allocation.go
@@ -10,40 +10,40 @@
 // puts first. Runs can't be stopped, so a pool borrows only while the owners of what it would borrow have nothing queued: by the end
 // of one run a share is back.
 const (
-	starvationAge = time.Second // a pool that waits under its floor for so long goes before all: at a limit smaller than the pools nobody starves
-	minRunShare   = 0.15        // of the limit that runs always have, however much is being read
-	minSlots      = 0.05        // runs that a class can count on: a forecast is never divided by nothing
-	tiny          = 1e-9        // runs below which a rest of a division is nothing
+	starvationThreshold = time.Second // a pool that waits under its floor for so long goes before all: at a limit smaller than the pools nobody starves
+	minRunFraction      = 0.15        // of the limit that runs always have, however much is being read
+	minConcurrency      = 0.05        // runs that a class can count on: a forecast is never divided by nothing
+	roundingTolerance   = 1e-9        // runs below which a rest of a division is nothing
 )
 
 // allocate gives every pool its entitlement.
-func (s *Controller) allocate() {
-	unallocated := s.runLimit
-	for _, p := range s.pools {
+func (c *Controller) allocate() {
+	unallocated := c.runLimit
+	for _, p := range c.pools {
 		p.demand = max(float64(p.running+p.queued), p.arrivalRate*p.meanRunTime)
-		p.entitlement = min(p.demand, s.guaranteed(p))
+		p.entitlement = min(p.demand, c.guaranteedRuns(p))
 		unallocated -= p.entitlement
 	}
-	for unallocated > tiny {
-		weights := 0.0
-		for _, p := range s.pools {
+	for unallocated > roundingTolerance {
+		totalWeight := 0.0
+		for _, p := range c.pools {
 			if p.demand > p.entitlement {
-				weights += p.Weight
+				totalWeight += p.Weight
 			}
 		}
-		if weights <= 0 {
+		if totalWeight <= 0 {
 			return
 		}
 		allocated := 0.0
-		for _, p := range s.pools {
+		for _, p := range c.pools {
 			if p.demand > p.entitlement {
-				part := min(p.demand-p.entitlement, unallocated*p.Weight/weights)
-				p.entitlement += part
-				allocated += part
+				increment := min(p.demand-p.entitlement, unallocated*p.Weight/totalWeight)
+				p.entitlement += increment
+				allocated += increment
 			}
 		}
 		unallocated -= allocated
-		if allocated <= tiny {
+		if allocated <= roundingTolerance {
 			return
 		}
 	}
@@ -51,54 +51,54 @@
 
 // guaranteed is the number of runs that are always a pool's own: a whole one at least, where it has a floor at all and the limit is
 // enough for one each.
-func (s *Controller) guaranteed(p *pool) float64 {
+func (c *Controller) guaranteedRuns(p *pool) float64 {
 	if p.Floor <= 0 {
 		return 0
 	}
-	return max(min(1, s.runLimit/float64(len(s.pools))), p.Floor*s.runLimit)
+	return max(min(1, c.runLimit/float64(len(c.pools))), p.Floor*c.runLimit)
 }
 
 // HasCapacity reports whether one more run of the class may start. A pool under its floor may always, where the limit leaves a run at all and
 // no pool has starved for longer; one under its entitlement, where the floors of those that wait stay free; any other, which borrows,
 // where their entitlements do.
-func (s *Controller) HasCapacity(now time.Duration, class string) bool {
-	p := s.poolOf(class)
-	free := s.runLimit - float64(s.running)
+func (c *Controller) HasCapacity(now time.Duration, class string) bool {
+	p := c.poolOf(class)
+	free := c.runLimit - float64(c.running)
 	if free < 1 {
 		return false
 	}
 	running := float64(p.running)
-	if starved := s.longestStarved(now); starved != nil && starved != p {
+	if starved := c.longestStarved(now); starved != nil && starved != p {
 		return free >= 2 && running < p.entitlement
 	}
-	if running < s.guaranteed(p) {
+	if running < c.guaranteedRuns(p) {
 		return true
 	}
-	return free-s.reservedFor(p) >= 1
+	return free-c.reservedForOthers(p) >= 1
 }
 
 // reservedFor is how many free runs one more run of a pool must leave to the others that wait.
-func (s *Controller) reservedFor(p *pool) float64 {
-	borrows := float64(p.running) >= p.entitlement
+func (c *Controller) reservedForOthers(p *pool) float64 {
+	borrowing := float64(p.running) >= p.entitlement
 	reserved := 0.0
-	for _, q := range s.pools {
+	for _, q := range c.pools {
 		if q == p || q.queued == 0 {
 			continue
 		}
-		due := s.guaranteed(q)
-		if borrows {
-			due = q.entitlement
+		claim := c.guaranteedRuns(q)
+		if borrowing {
+			claim = q.entitlement
 		}
-		reserved += math.Ceil(max(0, min(due, float64(q.running+q.queued))-float64(q.running)) - tiny)
+		reserved += math.Ceil(max(0, min(claim, float64(q.running+q.queued))-float64(q.running)) - roundingTolerance)
 	}
 	return reserved
 }
 
 // longestStarved is the pool that has waited the longest under its floor without a run, nil where none has for long.
-func (s *Controller) longestStarved(now time.Duration) *pool {
+func (c *Controller) longestStarved(now time.Duration) *pool {
 	var longest *pool
-	for _, p := range s.pools {
-		if p.starvedSince == 0 || p.queued == 0 || now-p.starvedSince < starvationAge {
+	for _, p := range c.pools {
+		if p.starvedSince == 0 || p.queued == 0 || now-p.starvedSince < starvationThreshold {
 			continue
 		}
 		if longest == nil || p.starvedSince < longest.starvedSince {
@@ -109,9 +109,9 @@
 }
 
 // Admits reports whether the memory lets one more request of the class wait.
-func (s *Controller) Admits(class string) bool {
-	p := s.poolOf(class)
-	if s.memory.Admits(s.rank(p)) {
+func (c *Controller) Admits(class string) bool {
+	p := c.poolOf(class)
+	if c.memory.Admits(c.rank(p)) {
 		return true
 	}
 	p.rejected++
@@ -119,33 +119,33 @@
 }
 
 // rank is a pool's place among the others by weight, from 0 for the least to 1 for the most.
-func (s *Controller) rank(p *pool) float64 {
-	if len(s.pools) < 2 {
+func (c *Controller) rank(p *pool) float64 {
+	if len(c.pools) < 2 {
 		return 1
 	}
 	lower := 0
-	for _, q := range s.pools {
+	for _, q := range c.pools {
 		if q != p && (q.Weight < p.Weight || q.Weight == p.Weight && q.index > p.index) {
 			lower++
 		}
 	}
-	return float64(lower) / float64(len(s.pools)-1)
+	return float64(lower) / float64(len(c.pools)-1)
 }
 
 // Concurrency is the number of runs at once that a class can count on: its entitlement, and what the others leave.
-func (s *Controller) Concurrency(class string) float64 {
-	p := s.poolOf(class)
+func (c *Controller) Concurrency(class string) float64 {
+	p := c.poolOf(class)
 	others := 0.0
-	for _, q := range s.pools {
+	for _, q := range c.pools {
 		if q != p {
 			others += min(q.demand, q.entitlement)
 		}
 	}
-	return max(p.entitlement, s.runLimit-others, s.guaranteed(p), minSlots)
+	return max(p.entitlement, c.runLimit-others, c.guaranteedRuns(p), minConcurrency)
 }
 
 // Queue names the queue in which a class waits: that of its pool.
-func (s *Controller) Queue(class string) string { return s.poolOf(class).Name }
+func (c *Controller) Queue(class string) string { return c.poolOf(class).Name }
 
 // Limit is the limit on runs on the cores.
-func (s *Controller) Limit() float64 { return s.runLimit }
+func (c *Controller) Limit() float64 { return c.runLimit }
--- a/internal/policy/admission/arrivalgate_test.go
+++ b/internal/policy/admission/arrivalgate_test.go
@@ -8,13 +8,13 @@
 // A gate closes after many rejections in a row, for less than a tick, and a request that was accepted opens it.
 func TestArrivalGateClosesOnFloodOnly(t *testing.T) {
 	var g ArrivalGate
-	for range closeAfter - 1 {
+	for range closeThreshold - 1 {
 		g.Rejected(0)
 	}
 	if g.Closed(0) {
 		t.Error("closed too early")
 	}
-	if g.Rejected(0); !g.Closed(0) || g.Closed(closedFor) {
+	if g.Rejected(0); !g.Closed(0) || g.Closed(closedDuration) {
 		t.Errorf("closed until %v", g.ClosedUntil())
 	}
 	if g.Accepted(); g.Closed(0) {
--- a/internal/policy/admission/config.go
+++ b/internal/policy/admission/config.go
@@ -37,11 +37,11 @@
 		return err
 	}
 	for _, f := range []struct {
-		name string
-		v    float64
+		name  string
+		value float64
 	}{{"least", c.Limit.Min}, {"start", c.Limit.Start}, {"fixed", c.Limit.Fixed}} {
-		if !isAmount(f.v) {
-			return fmt.Errorf("limit.%s: not a number of 0 or more: %v", f.name, f.v)
+		if !isNonNegative(f.value) {
+			return fmt.Errorf("limit.%s: not a number of 0 or more: %v", f.name, f.value)
 		}
 	}
 	return c.Memory.check()
@@ -53,32 +53,32 @@
 	var floors float64
 	catchAll := -1 // index of the pool without classes
 	for i, p := range c.Pools {
-		at := fmt.Sprintf("pools[%d]", i)
+		path := fmt.Sprintf("pools[%d]", i)
 		if p.Name == "" {
-			return fmt.Errorf("%s.name: missing", at)
+			return fmt.Errorf("%s.name: missing", path)
 		}
 		if j, duplicate := names[p.Name]; duplicate {
-			return fmt.Errorf("%s.name: %q is that of pools[%d] too", at, p.Name, j)
+			return fmt.Errorf("%s.name: %q is that of pools[%d] too", path, p.Name, j)
 		}
 		names[p.Name] = i
-		if !isAmount(p.Weight) {
-			return fmt.Errorf("%s.weight: not a number of 0 or more: %v", at, p.Weight)
+		if !isNonNegative(p.Weight) {
+			return fmt.Errorf("%s.weight: not a number of 0 or more: %v", path, p.Weight)
 		}
 		if !(p.Floor >= 0 && p.Floor <= 1) {
-			return fmt.Errorf("%s.floor: not from 0 to 1: %v", at, p.Floor)
+			return fmt.Errorf("%s.floor: not from 0 to 1: %v", path, p.Floor)
 		}
 		floors += p.Floor
 		if len(p.Classes) == 0 {
 			if catchAll >= 0 {
-				return fmt.Errorf("%s.classes: none, as in pools[%d]", at, catchAll)
+				return fmt.Errorf("%s.classes: none, as in pools[%d]", path, catchAll)
 			}
 			catchAll = i
 		}
-		for _, k := range p.Classes {
-			if j, duplicate := classes[k]; duplicate {
-				return fmt.Errorf("%s.classes: %q is in pools[%d] too", at, k, j)
+		for _, class := range p.Classes {
+			if j, duplicate := classes[class]; duplicate {
+				return fmt.Errorf("%s.classes: %q is in pools[%d] too", path, class, j)
 			}
-			classes[k] = i
+			classes[class] = i
 		}
 	}
 	if floors > 1+floorTolerance {
@@ -88,7 +88,7 @@
 }
 
 // isAmount reports whether a value is a number of 0 or more; NaN is none.
-func isAmount(v float64) bool { return v >= 0 && !math.IsInf(v, 1) }
+func isNonNegative(v float64) bool { return v >= 0 && !math.IsInf(v, 1) }
 
 // floorFields names the fields of all floors that are not 0.
 func (c Config) floorFields() string {
--- a/internal/policy/admission/controller.go
+++ b/internal/policy/admission/controller.go
@@ -54,11 +54,11 @@
 
 // request is one that is not finished.
 type request struct {
-	class string
-	pool  *pool
-	state RequestState
-	since time.Duration
-	busy  time.Duration // on the cores
+	class       string
+	pool        *pool
+	state       RequestState
+	stateSince  time.Duration
+	timeOnCores time.Duration // on the cores
 }
 
 // What is learnt of load and runs. The weights were found by trial: raising them follows a change sooner and noise as well.
@@ -68,49 +68,49 @@
 	runTimeDecay    = 0.95                  // weight of the past in the time of a run, for each end
 	initialRunTime  = 0.3                   // seconds, until a run has ended
 	otherLoadWeight = 0.1                   // weight of a reading in what else is on the cores
-	minBurstUnit    = 0.25                  // of the mean burst that a class's counts for: one odd class must not sway the search
-	maxBurstUnit    = 4
+	minBurstWork    = 0.25                  // of the mean burst that a class's counts for: one odd class must not sway the search
+	maxBurstWork    = 4
 )
 
 // New returns the admission of a server, with the limiter that its bounds ask for. An error is one of [Config.Check].
-func New(c Config) (*Controller, error) {
-	return NewWithLimiter(c, c.Limit.newLimiter())
+func New(cfg Config) (*Controller, error) {
+	return NewWithLimiter(cfg, cfg.Limit.newLimiter())
 }
 
 // NewWithLimiter returns admission with another limiter.
-func NewWithLimiter(c Config, l Limiter) (*Controller, error) {
-	if err := c.Check(); err != nil {
+func NewWithLimiter(cfg Config, limiter Limiter) (*Controller, error) {
+	if err := cfg.Check(); err != nil {
 		return nil, err
 	}
-	s := &Controller{limiter: l, memory: NewMemoryGovernor(c.Memory), requests: map[string]*request{}, meanBurst: initialRunTime,
-		configuredBounds: c.Limit, runLimit: max(1, c.Limit.Start, c.Limit.Fixed, float64(len(c.Pools)))}
-	s.buildPools(c)
-	return s, nil
+	c := &Controller{limiter: limiter, memory: NewMemoryGovernor(cfg.Memory), requests: map[string]*request{}, meanBurst: initialRunTime,
+		configuredBounds: cfg.Limit, runLimit: max(1, cfg.Limit.Start, cfg.Limit.Fixed, float64(len(cfg.Pools)))}
+	c.buildPools(cfg)
+	return c, nil
 }
 
 // Reload takes up other pools, weights and floors. What runs goes on, counted where its class now belongs. An error is one of
 // [Config.Check], and then nothing has changed.
-func (s *Controller) Reload(c Config) error {
-	if err := c.Check(); err != nil {
+func (c *Controller) Reload(cfg Config) error {
+	if err := cfg.Check(); err != nil {
 		return err
 	}
-	old := map[string]*pool{}
-	for _, p := range s.pools {
-		old[p.Name] = p
+	previousPools := map[string]*pool{}
+	for _, p := range c.pools {
+		previousPools[p.Name] = p
 	}
-	s.buildPools(c)
-	s.memory.cfg = c.Memory.withDefaults()
-	if c.Limit != s.configuredBounds {
-		s.limiter, s.configuredBounds = c.Limit.newLimiter(), c.Limit
+	c.buildPools(cfg)
+	c.memory.cfg = cfg.Memory.withDefaults()
+	if cfg.Limit != c.configuredBounds {
+		c.limiter, c.configuredBounds = cfg.Limit.newLimiter(), cfg.Limit
 	}
-	for _, p := range s.pools { // a pool that keeps its name keeps its counts
-		if o := old[p.Name]; o != nil {
-			p.meanRunTime, p.meanBurst, p.arrivalRate = o.meanRunTime, o.meanBurst, o.arrivalRate
-			p.started, p.borrowed, p.rejected = o.started, o.borrowed, o.rejected
+	for _, p := range c.pools { // a pool that keeps its name keeps its counts
+		if previous := previousPools[p.Name]; previous != nil {
+			p.meanRunTime, p.meanBurst, p.arrivalRate = previous.meanRunTime, previous.meanBurst, previous.arrivalRate
+			p.started, p.borrowed, p.rejected = previous.started, previous.borrowed, previous.rejected
 		}
 	}
-	for _, r := range s.requests {
-		r.pool = s.poolOf(r.class)
+	for _, r := range c.requests {
+		r.pool = c.poolOf(r.class)
 		switch r.state {
 		case Queued:
 			r.pool.queued++
@@ -118,87 +118,87 @@
 			r.pool.running++
 		}
 	}
-	s.allocate()
+	c.allocate()
 	return nil
 }
 
 // buildPools sets the pools up, without counts.
-func (s *Controller) buildPools(c Config) {
-	s.pools, s.byClass, s.catchAll = nil, map[string]*pool{}, nil
-	for _, set := range c.Pools {
-		p := s.addPool(set)
-		for _, k := range set.Classes {
-			s.byClass[k] = p
+func (c *Controller) buildPools(cfg Config) {
+	c.pools, c.byClass, c.catchAll = nil, map[string]*pool{}, nil
+	for _, set := range cfg.Pools {
+		p := c.addPool(set)
+		for _, class := range set.Classes {
+			c.byClass[class] = p
 		}
 		if len(set.Classes) == 0 {
-			s.catchAll = p
+			c.catchAll = p
 		}
 	}
-	if s.catchAll == nil {
-		s.catchAll = s.addPool(Pool{Name: defaultPoolName})
+	if c.catchAll == nil {
+		c.catchAll = c.addPool(Pool{Name: defaultPoolName})
 	}
 }
 
-func (s *Controller) addPool(set Pool) *pool {
-	p := &pool{Pool: set, index: len(s.pools), meanRunTime: s.meanBurst, meanBurst: s.meanBurst}
-	s.pools = append(s.pools, p)
+func (c *Controller) addPool(set Pool) *pool {
+	p := &pool{Pool: set, index: len(c.pools), meanRunTime: c.meanBurst, meanBurst: c.meanBurst}
+	c.pools = append(c.pools, p)
 	return p
 }
 
-func (s *Controller) poolOf(class string) *pool {
-	if p := s.byClass[class]; p != nil {
+func (c *Controller) poolOf(class string) *pool {
+	if p := c.byClass[class]; p != nil {
 		return p
 	}
-	return s.catchAll
+	return c.catchAll
 }
 
 // ---- Events ----
 
 // Moved is told of every change of a request's state.
-func (s *Controller) Moved(now time.Duration, id, class string, to RequestState) {
-	r := s.requests[id]
+func (c *Controller) Moved(now time.Duration, id, class string, to RequestState) {
+	r := c.requests[id]
 	if r == nil {
 		if to == Finished {
 			return
 		}
-		r = &request{class: class, pool: s.poolOf(class), state: Finished}
-		s.requests[id] = r
+		r = &request{class: class, pool: c.poolOf(class), state: Finished}
+		c.requests[id] = r
 		r.pool.arrivals++
 	}
 	p := r.pool
 	from := r.state
-	s.leave(now, r)
-	r.state, r.since = to, now
+	c.leaveState(now, r)
+	r.state, r.stateSince = to, now
 	switch to {
 	case Queued:
 		p.queued++
 	case Running:
-		s.run(now, p, from)
+		c.enterRunning(now, p, from)
 	case Finished:
-		delete(s.requests, id)
+		delete(c.requests, id)
 		if from == Running {
-			p.meanRunTime = p.meanRunTime*runTimeDecay + r.busy.Seconds()*(1-runTimeDecay)
+			p.meanRunTime = p.meanRunTime*runTimeDecay + r.timeOnCores.Seconds()*(1-runTimeDecay)
 		}
 	}
-	s.noteStarvation(now, p, to)
+	c.updateStarvation(now, p, to)
 }
 
 // leave takes a request out of its state's counts.
-func (s *Controller) leave(now time.Duration, r *request) {
+func (c *Controller) leaveState(now time.Duration, r *request) {
 	switch r.state {
 	case Queued:
 		r.pool.queued--
 	case Running:
 		r.pool.running--
-		s.running--
-		r.busy += now - r.since
-		s.burstEnded(now, r.pool, now-r.since)
-		s.limiter.RunsChanged(now, s.load())
+		c.running--
+		r.timeOnCores += now - r.stateSince
+		c.burstEnded(now, r.pool, now-r.stateSince)
+		c.limiter.RunsChanged(now, c.coreLoad())
 	}
 }
 
 // run counts a run of a pool that starts, or comes back from a call.
-func (s *Controller) run(now time.Duration, p *pool, from RequestState) {
+func (c *Controller) enterRunning(now time.Duration, p *pool, from RequestState) {
 	if from == Queued {
 		p.started++
 		if float64(p.running) >= p.entitlement {
@@ -206,13 +206,13 @@
 		}
 	}
 	p.running++
-	s.running++
-	s.limiter.RunsChanged(now, s.load())
+	c.running++
+	c.limiter.RunsChanged(now, c.coreLoad())
 }
 
 // noteStarvation keeps since when a pool waits under its floor; a run that starts begins that anew.
-func (s *Controller) noteStarvation(now time.Duration, p *pool, to RequestState) {
-	if p.queued == 0 || float64(p.running) >= s.guaranteed(p) {
+func (c *Controller) updateStarvation(now time.Duration, p *pool, to RequestState) {
+	if p.queued == 0 || float64(p.running) >= c.guaranteedRuns(p) {
 		p.starvedSince = 0
 	} else if p.starvedSince == 0 || to == Running {
 		p.starvedSince = max(1, now)
@@ -220,19 +220,19 @@
 }
 
 // load is all that is on the cores.
-func (s *Controller) load() int { return s.running + int(math.Round(s.otherLoad)) }
+func (c *Controller) coreLoad() int { return c.running + int(math.Round(c.otherLoad)) }
 
 // burstEnded counts a burst on the cores that ended, with the run or at a call. It counts at a call too: where calls below grow slow
 // all at once, ends of runs stay away while the cores do as much as ever.
-func (s *Controller) burstEnded(now time.Duration, p *pool, spent time.Duration) {
-	t := spent.Seconds()
-	s.meanBurst = s.meanBurst*runTimeDecay + t*(1-runTimeDecay)
-	p.meanBurst = p.meanBurst*runTimeDecay + t*(1-runTimeDecay)
-	unit := 1.0
-	if s.meanBurst > 0 {
-		unit = min(maxBurstUnit, max(minBurstUnit, p.meanBurst/s.meanBurst))
+func (c *Controller) burstEnded(now time.Duration, p *pool, spent time.Duration) {
+	seconds := spent.Seconds()
+	c.meanBurst = c.meanBurst*runTimeDecay + seconds*(1-runTimeDecay)
+	p.meanBurst = p.meanBurst*runTimeDecay + seconds*(1-runTimeDecay)
+	work := 1.0
+	if c.meanBurst > 0 {
+		work = min(maxBurstWork, max(minBurstWork, p.meanBurst/c.meanBurst))
 	}
-	s.limiter.BurstEnded(now, spent, unit)
+	c.limiter.BurstEnded(now, spent, work)
 }
 
 // Readings are what Tick is told beside the time.
@@ -245,25 +245,25 @@
 
 // Tick takes readings; it comes every 25 ms. The knee is one of all that is on the cores, so it is that which the limiter sees; what
 // is being read there leaves the runs less, though never less than a part.
-func (s *Controller) Tick(now time.Duration, r Readings) {
+func (c *Controller) Tick(now time.Duration, r Readings) {
 	if r.Load > 0 {
-		s.otherLoad += (max(0, r.Load-float64(s.running)) - s.otherLoad) * otherLoadWeight
+		c.otherLoad += (max(0, r.Load-float64(c.running)) - c.otherLoad) * otherLoadWeight
 	}
 	queued := 0
-	for _, p := range s.pools {
+	for _, p := range c.pools {
 		queued += p.queued
 	}
-	s.ceiling = max(1, r.Ceiling)
-	s.limiter.RunsChanged(now, s.load())
-	s.totalLimit = s.limiter.Limit(now, s.ceiling+s.otherLoad, queued > 0)
-	s.runLimit = min(s.ceiling, max(1, s.totalLimit-s.otherLoad, minRunShare*s.totalLimit))
-	s.memory.Tick(now, r.BookedMemory, r.ProcessMemory)
+	c.ceiling = max(1, r.Ceiling)
+	c.limiter.RunsChanged(now, c.coreLoad())
+	c.totalLimit = c.limiter.Limit(now, c.ceiling+c.otherLoad, queued > 0)
+	c.runLimit = min(c.ceiling, max(1, c.totalLimit-c.otherLoad, minRunFraction*c.totalLimit))
+	c.memory.Tick(now, r.BookedMemory, r.ProcessMemory)
 	decay := math.Exp(-tickInterval.Seconds() / arrivalWindow.Seconds())
-	for _, p := range s.pools {
+	for _, p := range c.pools {
 		p.arrivalRate = p.arrivalRate*decay + p.arrivals/tickInterval.Seconds()*(1-decay)
 		p.arrivals = 0
 	}
-	s.allocate()
+	c.allocate()
 }
 
 // ---- What operators see ----
@@ -294,16 +294,16 @@
 }
 
 // Snapshot returns the present one.
-func (s *Controller) Snapshot(now time.Duration) Snapshot {
+func (c *Controller) Snapshot(now time.Duration) Snapshot {
 	snapshot := Snapshot{
-		TotalLimit: s.totalLimit, RunLimit: s.runLimit, Ceiling: s.ceiling, Running: s.running, Diagnosis: s.limiter.Diagnosis(),
-		Memory: s.memory.Stage(), BookedMemory: s.memory.booked, ProcessMemory: s.memory.process,
-		Pools: make([]PoolSnapshot, 0, len(s.pools)),
+		TotalLimit: c.totalLimit, RunLimit: c.runLimit, Ceiling: c.ceiling, Running: c.running, Diagnosis: c.limiter.Diagnosis(),
+		Memory: c.memory.Stage(), BookedMemory: c.memory.booked, ProcessMemory: c.memory.process,
+		Pools: make([]PoolSnapshot, 0, len(c.pools)),
 	}
-	starved := s.longestStarved(now)
-	for _, p := range s.pools {
+	starved := c.longestStarved(now)
+	for _, p := range c.pools {
 		snapshot.Pools = append(snapshot.Pools, PoolSnapshot{
-			Name: p.Name, Weight: p.Weight, Floor: s.guaranteed(p), Running: p.running, Queued: p.queued, Demand: p.demand,
+			Name: p.Name, Weight: p.Weight, Floor: c.guaranteedRuns(p), Running: p.running, Queued: p.queued, Demand: p.demand,
 			Entitlement: p.entitlement, Started: p.started, Borrowed: p.borrowed, Rejected: p.rejected, Starving: p == starved,
 		})
 	}
--- a/internal/policy/admission/limiter.go
+++ b/internal/policy/admission/limiter.go
@@ -15,7 +15,7 @@
 	RunsChanged(now time.Duration, n int)
 	// BurstEnded is told of the end of a burst, which is a run's time on the cores up to a call or its end, and how long that was.
 	// Unit is the usual work of its class's bursts against the mean of all classes.
-	BurstEnded(now, spent time.Duration, unit float64)
+	BurstEnded(now, spent time.Duration, work float64)
 	// Limit is the limit from now on, in runs. It is at most the ceiling, which others set, and demand tells whether more would run
 	// if it were higher.
 	Limit(now time.Duration, ceiling float64, demand bool) float64
@@ -49,8 +49,8 @@
 func (fixedLimit) RunsChanged(time.Duration, int)           {}
 func (fixedLimit) BurstEnded(_, _ time.Duration, _ float64) {}
 func (fixedLimit) Diagnosis() string                        { return "fixed" }
-func (f fixedLimit) Limit(_ time.Duration, c float64, _ bool) float64 {
-	return min(float64(f), max(1, c))
+func (f fixedLimit) Limit(_ time.Duration, ceiling float64, _ bool) float64 {
+	return min(float64(f), max(1, ceiling))
 }
 
 // Diagnoses, in the words of the status and the log.
@@ -65,51 +65,51 @@
 
 // throughputWindow measures the work done in a stretch of time, and the mean number of runs.
 type throughputWindow struct {
-	since    time.Duration
-	at       time.Duration // it was advanced to
-	running  float64
-	area     float64 // runs × seconds
-	workDone float64 // units of work whose bursts ended
-	ended    int     // bursts
-	busy     float64 // seconds on the cores of the bursts that ended, each against its class
+	startedAt    time.Duration
+	advancedTo   time.Duration // it was advanced to
+	currentRuns  float64
+	runSeconds   float64 // runs × seconds
+	workDone     float64 // units of work whose bursts ended
+	burstsEnded  int     // bursts
+	burstSeconds float64 // seconds on the cores of the bursts that ended, each against its class
 }
 
 func (w *throughputWindow) advance(now time.Duration) {
-	if now > w.at {
-		w.area += w.running * (now - w.at).Seconds()
-		w.at = now
+	if now > w.advancedTo {
+		w.runSeconds += w.currentRuns * (now - w.advancedTo).Seconds()
+		w.advancedTo = now
 	}
 }
 
 func (w *throughputWindow) restart(now time.Duration) {
 	w.advance(now)
-	*w = throughputWindow{since: now, at: now, running: w.running}
+	*w = throughputWindow{startedAt: now, advancedTo: now, currentRuns: w.currentRuns}
 }
 
 // seconds is how long the window has been.
-func (w *throughputWindow) seconds() float64 { return (w.at - w.since).Seconds() }
+func (w *throughputWindow) seconds() float64 { return (w.advancedTo - w.startedAt).Seconds() }
 
 // meanRuns is the mean number of runs.
 func (w *throughputWindow) meanRuns() float64 {
-	if l := w.seconds(); l > 0 {
-		return w.area / l
+	if seconds := w.seconds(); seconds > 0 {
+		return w.runSeconds / seconds
 	}
-	return w.running
+	return w.currentRuns
 }
 
 // littleThroughput is the units of work a second by Little's law, from how many ran and how long those that ended took. It swings far
 // less than a count of ends, but it is true only of a window whose runs began in it.
 func (w *throughputWindow) littleThroughput() float64 {
-	if w.busy <= 0 {
+	if w.burstSeconds <= 0 {
 		return 0
 	}
-	return w.meanRuns() * float64(w.ended) / w.busy
+	return w.meanRuns() * float64(w.burstsEnded) / w.burstSeconds
 }
 
 // throughput is the units of work a second, by the bursts that ended.
 func (w *throughputWindow) throughput() float64 {
-	if l := w.seconds(); l > 0 {
-		return w.workDone / l
+	if seconds := w.seconds(); seconds > 0 {
+		return w.workDone / seconds
 	}
 	return 0
 }
--- a/internal/policy/admission/limiter_test.go
+++ b/internal/policy/admission/limiter_test.go
@@ -109,7 +109,7 @@
 	if e.runsOnly {
 		return float64(e.runs()+1) <= limit
 	}
-	return float64(e.runs()+1) <= max(1, limit-float64(e.reading), minRunShare*limit)
+	return float64(e.runs()+1) <= max(1, limit-float64(e.reading), minRunFraction*limit)
 }
 
 func (e *simulation) runs() int { return e.plant.Running() - e.reading }
--- a/internal/policy/admission/memory.go
+++ b/internal/policy/admission/memory.go
@@ -36,7 +36,7 @@
 	// stageHysteresis is how far below a stage's begin the memory must be, and stageHoldTime for how long, before the stage is left:
 	// a stage that turns requests away frees the memory that it needs to end.
 	stageHysteresis = 0.06
-	stageHoldTime   = time.Second
+	stageExitDelay  = time.Second
 )
 
 func (m MemoryStages) withDefaults() MemoryStages {
@@ -56,11 +56,11 @@
 func (m MemoryStages) check() error {
 	m = m.withDefaults()
 	for _, f := range []struct {
-		name string
-		v    float64
+		name  string
+		value float64
 	}{{"tight", m.Tight}, {"scarce", m.Scarce}, {"critical", m.Critical}} {
-		if !(f.v > 0 && f.v <= 1) {
-			return fmt.Errorf("memory.%s: not over 0 and up to 1: %v", f.name, f.v)
+		if !(f.value > 0 && f.value <= 1) {
+			return fmt.Errorf("memory.%s: not over 0 and up to 1: %v", f.name, f.value)
 		}
 	}
 	if m.Scarce < m.Tight {
@@ -76,7 +76,7 @@
 type MemoryGovernor struct {
 	cfg             MemoryStages
 	stage           MemoryStage
-	relievedSince   time.Duration // the memory has been below the stage's begin, less the hysteresis, since; 0: it is not
+	belowSince      time.Duration // the memory has been below the stage's begin, less the hysteresis, since; 0: it is not
 	booked, process float64       // shares in use
 }
 
@@ -91,18 +91,18 @@
 	used := max(booked, process)
 	for s := Critical; s > g.stage; s-- {
 		if used >= g.threshold(s) {
-			g.stage, g.relievedSince = s, 0
+			g.stage, g.belowSince = s, 0
 			return
 		}
 	}
 	if g.stage == Plenty || used >= g.threshold(g.stage)-stageHysteresis {
-		g.relievedSince = 0
+		g.belowSince = 0
 		return
 	}
-	if g.relievedSince == 0 {
-		g.relievedSince = max(1, now)
-	} else if now-g.relievedSince >= stageHoldTime {
-		g.stage, g.relievedSince = g.stage-1, 0
+	if g.belowSince == 0 {
+		g.belowSince = max(1, now)
+	} else if now-g.belowSince >= stageExitDelay {
+		g.stage, g.belowSince = g.stage-1, 0
 	}
 }
 
--- a/internal/policy/admission/reserve.go
+++ b/internal/policy/admission/reserve.go
@@ -11,14 +11,14 @@
 // the listener full, and when a peer that asks cheap things at full speed gets its next answer. Calls of all peers together and of each
 // are paced by token buckets.
 type Reserve struct {
-	cfg            ReserveConfig
-	maxConnections int
-	conns          map[uint64]*peer
-	working        int         // connections that carry work
-	total          tokenBucket // of cheap calls of all
-	busy           int         // peers that made a cheap call of late
-	lastSweep      time.Duration
-	stats          ReserveSnapshot
+	cfg             ReserveConfig
+	maxConnections  int
+	conns           map[uint64]*peer
+	workConnections int         // connections that carry work
+	totalBucket     tokenBucket // of cheap calls of all
+	busyPeers       int         // peers that made a cheap call of late
+	lastSweep       time.Duration
+	stats           ReserveSnapshot
 }
 
 // ReserveConfig sets up a reserve. 0 is the default.
@@ -91,10 +91,10 @@
 // peer is a connection as the reserve knows it.
 type peer struct {
 	id           uint64
-	working      bool
-	bucket       tokenBucket
+	carriesWork  bool
+	callBucket   tokenBucket
 	lastCall     time.Duration // of its cheap calls
-	busy         bool
+	isBusy       bool
 	delayedUntil time.Duration // its answer is held back
 }
 
@@ -111,7 +111,7 @@
 // Opened is told of a new connection. It carries nothing yet.
 func (r *Reserve) Opened(now time.Duration, id uint64) {
 	p := &peer{id: id}
-	p.bucket = tokenBucket{tokens: 1, at: now} // one at once: who comes anew gains nothing by it
+	p.callBucket = tokenBucket{tokens: 1, at: now} // one at once: who comes anew gains nothing by it
 	r.conns[id] = p
 }
 
@@ -121,11 +121,11 @@
 	if p == nil {
 		return
 	}
-	if p.working {
-		r.working--
+	if p.carriesWork {
+		r.workConnections--
 	}
-	if p.busy {
-		r.busy--
+	if p.isBusy {
+		r.busyPeers--
 	}
 	delete(r.conns, id)
 }
@@ -133,15 +133,15 @@
 // AdmitWork reports whether a connection may carry work: those that may leave room for those that never do.
 func (r *Reserve) AdmitWork(id uint64) bool {
 	p := r.conns[id]
-	if p == nil || p.working {
+	if p == nil || p.carriesWork {
 		return p != nil
 	}
-	if r.working >= r.maxConnections-r.Reserved() {
+	if r.workConnections >= r.maxConnections-r.Reserved() {
 		r.stats.WorkRejected++
 		return false
 	}
-	p.working = true
-	r.working++
+	p.carriesWork = true
+	r.workConnections++
 	return true
 }
 
@@ -153,25 +153,25 @@
 	if p == nil {
 		return 0
 	}
-	if !p.busy {
-		p.busy = true
-		r.busy++
+	if !p.isBusy {
+		p.isBusy = true
+		r.busyPeers++
 	}
 	p.lastCall = now
-	r.total.refill(now, r.cfg.CheapRate)
+	r.totalBucket.refill(now, r.cfg.CheapRate)
 	rate := r.cfg.CheapRatePerPeer
-	if r.total.tokens < 1 { // more is asked than there is for all: everybody gets the same
-		rate = max(1, min(rate, r.cfg.CheapRate/float64(r.busy)))
+	if r.totalBucket.tokens < 1 { // more is asked than there is for all: everybody gets the same
+		rate = max(1, min(rate, r.cfg.CheapRate/float64(r.busyPeers)))
 	}
-	p.bucket.refill(now, rate)
-	p.bucket.tokens--
-	delay := min(maxDelay, p.bucket.delay(rate))
+	p.callBucket.refill(now, rate)
+	p.callBucket.tokens--
+	delay := min(maxDelay, p.callBucket.delay(rate))
 	if delay <= 0 {
-		r.total.tokens--
+		r.totalBucket.tokens--
 		r.stats.Cheap++
 		return 0
 	}
-	r.total.tokens = max(-1, r.total.tokens-1)
+	r.totalBucket.tokens = max(-1, r.totalBucket.tokens-1)
 	p.delayedUntil = now + delay
 	r.stats.Cheap++
 	r.stats.Delayed++
@@ -185,9 +185,9 @@
 	}
 	r.lastSweep = now
 	for _, p := range r.conns {
-		if p.busy && now-p.lastCall >= busyWindow {
-			p.busy = false
-			r.busy--
+		if p.isBusy && now-p.lastCall >= busyWindow {
+			p.isBusy = false
+			r.busyPeers--
 		}
 	}
 }
@@ -197,7 +197,7 @@
 func (r *Reserve) Evict(now time.Duration) (uint64, bool) {
 	var worst *peer
 	for _, p := range r.conns {
-		if p.working || p.delayedUntil <= now {
+		if p.carriesWork || p.delayedUntil <= now {
 			continue
 		}
 		if worst == nil || p.delayedUntil > worst.delayedUntil || p.delayedUntil == worst.delayedUntil && p.id < worst.id {
@@ -221,6 +221,6 @@
 // Snapshot returns the present one.
 func (r *Reserve) Snapshot() ReserveSnapshot {
 	s := r.stats
-	s.Connections, s.Working, s.Reserved, s.Busy = len(r.conns), r.working, r.Reserved(), r.busy
+	s.Connections, s.Working, s.Reserved, s.Busy = len(r.conns), r.workConnections, r.Reserved(), r.busyPeers
 	return s
 }
--- a/internal/policy/admission/usl_test.go
+++ b/internal/policy/admission/usl_test.go
@@ -39,13 +39,13 @@
 
 func (u *USL) RunsChanged(now time.Duration, n int) {
 	u.window.advance(now)
-	u.window.running = float64(n)
+	u.window.currentRuns = float64(n)
 }
 
 func (u *USL) BurstEnded(now, spent time.Duration, unit float64) {
 	u.window.advance(now)
 	u.window.workDone += spent.Seconds() / unit
-	u.window.ended++
+	u.window.burstsEnded++
 }
 
 func (u *USL) Limit(now time.Duration, ceiling float64, wanted bool) float64 {
@@ -55,7 +55,7 @@
 	u.window.advance(now)
 	if now >= u.next {
 		u.next = now + uslEvery
-		if wanted && u.window.ended >= 3 {
+		if wanted && u.window.burstsEnded >= 3 {
 			u.learn(ceiling)
 		}
 		u.probing = !u.probing
@@ -73,7 +73,7 @@
 		u.points[i].weight *= uslFade
 	}
 	n := u.window.meanRuns()
-	u.points = append(u.points, uslPoint{n, u.window.workDone / float64(u.window.ended), 1})
+	u.points = append(u.points, uslPoint{n, u.window.workDone / float64(u.window.burstsEnded), 1})
 	if len(u.points) > uslPoints {
 		u.points = u.points[1:]
 	}
--- a/internal/policy/quota/ledger.go
+++ b/internal/policy/quota/ledger.go
@@ -39,7 +39,7 @@
 
 // grantPrecision is by what rates in grants are rounded down, in parts of a request a second: sums hold whatever is lost in writing
 // them.
-const grantPrecision = 1e6
+const grantRateSteps = 1e6
 
 // Ledger is what the group's leader has lent. All times are its own monotonic clock. It is not safe for concurrent use: the member's
 // loop alone calls it.
@@ -47,7 +47,7 @@
 	terms        lease.Terms
 	leadingSince time.Duration // under 0: it does not lead
 	term         uint64
-	grants       uint64 // sent in this term
+	grantsSent   uint64 // sent in this term
 	maxRouters   int
 	cells        map[string]Capacity
 	routers      map[string]*borrower
@@ -57,14 +57,14 @@
 type borrower struct {
 	lastRequest time.Duration
 	demand      map[Key]float64
-	outstanding []outstanding // what it may be using, the oldest first
+	outstanding []outstandingGrant // what it may be using, the oldest first
 }
 
 // outstanding is a grant that a router may be using.
-type outstanding struct {
-	seq   uint64
-	at    time.Duration
-	rates map[Key]float64
+type outstandingGrant struct {
+	seq    uint64
+	sentAt time.Duration
+	rates  map[Key]float64
 }
 
 // NewLedger returns the ledger of a member that does not lead.
@@ -87,7 +87,7 @@
 	if l.leadingSince < 0 || r.MaxRouters <= 0 {
 		return Grant{}, false
 	}
-	if l.forgetSilent(now); len(l.routers) == 0 {
+	if l.removeExpiredRouters(now); len(l.routers) == 0 {
 		l.maxRouters = r.MaxRouters
 	}
 	b := l.routers[router]
@@ -99,13 +99,13 @@
 		l.routers[router] = b
 	}
 	inUse, isNewLeader := ratesByKey(r.Rates), now-l.leadingSince < l.terms.LeaderTTL()
-	first := b.lastRequest == 0
-	l.take(now, b, r)
-	if first && isNewLeader && len(inUse) > 0 { // lent by a leader before this one, and perhaps still valid
-		b.outstanding = append(b.outstanding, outstanding{r.Applied, now, inUse})
+	firstRequest := b.lastRequest == 0
+	l.recordRequest(now, b, r)
+	if firstRequest && isNewLeader && len(inUse) > 0 { // lent by a leader before this one, and perhaps still valid
+		b.outstanding = append(b.outstanding, outstandingGrant{r.Applied, now, inUse})
 	}
-	l.grants++
-	g := outstanding{l.term<<32 + l.grants, now, map[Key]float64{}}
+	l.grantsSent++
+	g := outstandingGrant{l.term<<32 + l.grantsSent, now, map[Key]float64{}}
 	for cell, capacity := range l.cells {
 		target := Targets(capacity, l.demand(now, cell, capacity))[router]
 		if isNewLeader { // others may use what this leader has not heard of
@@ -114,20 +114,20 @@
 			}
 		}
 		for tenant, rate := range l.clamp(now, cell, capacity, b, target) {
-			g.rates[Key{cell, tenant}] = math.Floor(rate*grantPrecision) / grantPrecision
+			g.rates[Key{cell, tenant}] = math.Floor(rate*grantRateSteps) / grantRateSteps
 		}
 	}
 	b.outstanding = append(b.outstanding, g)
-	return g.grant(), true
+	return g.toGrant(), true
 }
 
 // take notes a router's demand, and forgets the grants that it can't be using any more.
-func (l *Ledger) take(now time.Duration, b *borrower, r Request) {
+func (l *Ledger) recordRequest(now time.Duration, b *borrower, r Request) {
 	b.lastRequest, b.demand = now, map[Key]float64{}
 	for _, d := range r.Demand {
 		b.demand[Key{d.Cell, d.Tenant}] = max(0, d.Rate)
 	}
-	b.outstanding = slices.DeleteFunc(b.outstanding, func(o outstanding) bool { return o.seq < r.Applied || now-o.at >= l.terms.LeaderTTL() })
+	b.outstanding = slices.DeleteFunc(b.outstanding, func(o outstandingGrant) bool { return o.seq < r.Applied || now-o.sentAt >= l.terms.LeaderTTL() })
 }
 
 // demand is what all routers that were heard of within a lease are asked for of a cell, by router and tenant.
@@ -148,8 +148,8 @@
 func (l *Ledger) clamp(now time.Duration, cell string, c Capacity, to *borrower, target map[string]float64) map[string]float64 {
 	constraints := c.constraints()
 	left := make([]float64, len(constraints))
-	for i, one := range constraints {
-		left[i] = one.capacity * (1 - ReservedRatio)
+	for i, bound := range constraints {
+		left[i] = bound.capacity * (1 - ReservedRatio)
 	}
 	for _, other := range l.routers {
 		if other == to {
@@ -159,31 +159,31 @@
 			left[i] -= rate
 		}
 	}
-	got := maps.Clone(target)
-	for i, one := range constraints {
+	clamped := maps.Clone(target)
+	for i, bound := range constraints {
 		sum := 0.0
-		for _, tenant := range one.tenants {
+		for _, tenant := range bound.tenants {
 			sum += target[tenant]
 		}
-		for _, tenant := range one.tenants {
+		for _, tenant := range bound.tenants {
 			if sum > 0 {
-				got[tenant] = min(got[tenant], target[tenant]*max(0, left[i])/sum)
+				clamped[tenant] = min(clamped[tenant], target[tenant]*max(0, left[i])/sum)
 			}
 		}
 	}
-	return got
+	return clamped
 }
 
 // maxInUse is the most that a router may be using of each constraint of a cell: it uses one of what it was lent.
 func (l *Ledger) maxInUse(now time.Duration, cell string, constraints []constraint, b *borrower) []float64 {
 	inUse := make([]float64, len(constraints))
 	for _, o := range b.outstanding {
-		if now-o.at >= l.terms.LeaderTTL() {
+		if now-o.sentAt >= l.terms.LeaderTTL() {
 			continue
 		}
-		for i, one := range constraints {
+		for i, bound := range constraints {
 			sum := 0.0
-			for _, tenant := range one.tenants {
+			for _, tenant := range bound.tenants {
 				sum += o.rates[Key{cell, tenant}]
 			}
 			inUse[i] = max(inUse[i], sum)
@@ -193,12 +193,12 @@
 }
 
 // forgetSilent forgets the routers that can't be using a grant any more.
-func (l *Ledger) forgetSilent(now time.Duration) {
+func (l *Ledger) removeExpiredRouters(now time.Duration) {
 	maps.DeleteFunc(l.routers, func(_ string, b *borrower) bool { return now-b.lastRequest >= l.terms.LeaderTTL() })
 }
 
 // grant is the grant as it is sent, by cell and tenant.
-func (o outstanding) grant() Grant {
+func (o outstandingGrant) toGrant() Grant {
 	g := Grant{Seq: o.seq}
 	for _, k := range slices.SortedFunc(maps.Keys(o.rates), func(a, b Key) int {
 		return cmp.Or(strings.Compare(a.Cell, b.Cell), strings.Compare(a.Tenant, b.Tenant))
@@ -226,9 +226,9 @@
 			sums[i] += rate
 		}
 	}
-	for i, one := range constraints {
-		if one.capacity > 0 {
-			ratio = max(ratio, sums[i]/(one.capacity*(1-ReservedRatio)))
+	for i, bound := range constraints {
+		if bound.capacity > 0 {
+			ratio = max(ratio, sums[i]/(bound.capacity*(1-ReservedRatio)))
 		}
 	}
 	return ratio
--- a/internal/policy/quota/quota.go
+++ b/internal/policy/quota/quota.go
@@ -35,8 +35,8 @@
 // Tenant is a tenant of a cell: the requests a second that it has agreed on, and the servers that its requests go to, to whichever has
 // capacity.
 type Tenant struct {
-	Rate float64
-	On   []string
+	Rate    float64
+	Servers []string
 }
 
 // CapacityOf is the capacity of a map's cells at a time, by their names. It is the same until the map's next change by the time alone.
@@ -54,20 +54,20 @@
 		if s.JoinsAt > at || s.LeavesAt > 0 && s.LeavesAt <= at {
 			continue
 		}
-		if w, known := all[s.Cell]; known {
-			w.Servers[s.Name] = UsableRatio * s.Weight * perServer[s.Cell]
+		if capacity, known := all[s.Cell]; known {
+			capacity.Servers[s.Name] = UsableRatio * s.Weight * perServer[s.Cell]
 		}
 	}
 	for t := range m.AllTenants() {
-		r, ok := m.Route(now, t.Name, "")
+		route, ok := m.Route(now, t.Name, "")
 		if !ok {
 			continue
 		}
-		on := r.Servers
+		servers := route.Servers
 		if t.Name == "" { // those that are not named have a shard each
-			on = slices.Sorted(maps.Keys(all[r.Cell].Servers))
+			servers = slices.Sorted(maps.Keys(all[route.Cell].Servers))
 		}
-		all[r.Cell].Tenants[t.Name] = Tenant{t.Rate, on}
+		all[route.Cell].Tenants[t.Name] = Tenant{t.Rate, servers}
 	}
 	return all
 }
@@ -86,20 +86,20 @@
 func (c Capacity) constraints() (list []constraint) {
 	names := slices.Sorted(maps.Keys(c.Tenants))
 	for _, set := range c.serverSets(names) {
-		one := constraint{}
+		bound := constraint{}
 		for _, s := range set {
-			one.capacity += c.Servers[s]
+			bound.capacity += c.Servers[s]
 		}
 		for _, name := range names {
-			inside := len(c.Tenants[name].On) > 0
-			for _, s := range c.Tenants[name].On {
+			inside := len(c.Tenants[name].Servers) > 0
+			for _, s := range c.Tenants[name].Servers {
 				inside = inside && slices.Contains(set, s)
 			}
 			if inside {
-				one.tenants = append(one.tenants, name)
+				bound.tenants = append(bound.tenants, name)
 			}
 		}
-		list = append(list, one)
+		list = append(list, bound)
 	}
 	return list
 }
@@ -112,7 +112,7 @@
 		}
 	}
 	for _, name := range tenants {
-		add(slices.Sorted(slices.Values(c.Tenants[name].On)))
+		add(slices.Sorted(slices.Values(c.Tenants[name].Servers)))
 	}
 	if n := len(sets); n <= maxPairedShards {
 		for i := range n {
--- a/internal/policy/quota/targets.go
+++ b/internal/policy/quota/targets.go
@@ -12,31 +12,31 @@
 const (
 	demandDeviations = 2.0  // standard deviations that a demand gets beyond what was observed, as it was observed for a short time
 	minTenantRate    = 1e-3 // requests a second, the weight of a tenant that has agreed on nothing
-	newcomerWeight   = 0.02 // of all that a tenant is asked for: a router that brings nothing yet has so much to begin with
+	idleRouterWeight = 0.02 // of all that a tenant is asked for: a router that brings nothing yet has so much to begin with
 )
 
 // Targets are the rates of one cell that all routers should have, by router and tenant, by the demand that they report, likewise. A
 // router that brings nothing of a tenant keeps a little to begin with.
 func Targets(c Capacity, demand map[string]map[string]float64) map[string]map[string]float64 {
 	routers := slices.Sorted(maps.Keys(demand))
-	got, sums := map[string]map[string]float64{}, map[string]float64{}
+	targets, sums := map[string]map[string]float64{}, map[string]float64{}
 	for _, r := range routers {
-		got[r] = map[string]float64{}
-		for t, d := range demand[r] {
-			sums[t] += paddedDemand(d)
+		targets[r] = map[string]float64{}
+		for tenant, rate := range demand[r] {
+			sums[tenant] += paddedDemand(rate)
 		}
 	}
 	for tenant, rate := range c.divide(1-ReservedRatio, sums) {
 		claims := make([]Claim, len(routers))
 		for j, r := range routers {
-			d := paddedDemand(demand[r][tenant])
-			claims[j] = Claim{d + newcomerWeight*(sums[tenant]+1), d, []int{0}}
+			routerDemand := paddedDemand(demand[r][tenant])
+			claims[j] = Claim{routerDemand + idleRouterWeight*(sums[tenant]+1), routerDemand, []int{0}}
 		}
-		for j, p := range MaxMin([]float64{rate}, claims) {
-			got[routers[j]][tenant] = p
+		for j, share := range MaxMin([]float64{rate}, claims) {
+			targets[routers[j]][tenant] = share
 		}
 	}
-	return got
+	return targets
 }
 
 // divide divides a ratio of a cell among its tenants by what each demands, nil for nothing.
@@ -46,21 +46,21 @@
 	for _, name := range names {
 		claims[name] = &Claim{Weight: max(c.Tenants[name].Rate, minTenantRate), Demand: demands[name]}
 	}
-	for j, one := range c.constraints() {
-		capacities = append(capacities, ratio*one.capacity)
-		for _, name := range one.tenants {
-			claims[name].On = append(claims[name].On, j)
+	for j, bound := range c.constraints() {
+		capacities = append(capacities, ratio*bound.capacity)
+		for _, name := range bound.tenants {
+			claims[name].Resources = append(claims[name].Resources, j)
 		}
 	}
 	list := make([]Claim, len(names))
 	for i, name := range names {
 		list[i] = *claims[name]
 	}
-	got := map[string]float64{}
+	rates := map[string]float64{}
 	for i, rate := range MaxMin(capacities, list) {
-		got[names[i]] = rate
+		rates[names[i]] = rate
 	}
-	return got
+	return rates
 }
 
 // paddedDemand is the rate that a router is to have that was asked for a rate of late: with what chance adds to it, as that rate was
@@ -69,5 +69,5 @@
 	if rate <= 0 {
 		return 0
 	}
-	return rate + demandDeviations*math.Sqrt(rate/(2*demandSpan)) + 1
+	return rate + demandDeviations*math.Sqrt(rate/(2*demandTimeConstant)) + 1
 }
--- a/internal/policy/quota/wire_test.go
+++ b/internal/policy/quota/wire_test.go
@@ -18,8 +18,8 @@
 // comes late, a leader that goes and one that comes, stands in testdata as the program wrote it before its names were changed.
 func TestRequestsAndGrantsStayWhatTheyWere(t *testing.T) {
 	whole := map[string]Capacity{
-		"a": {Servers: map[string]float64{"s1": 34, "s2": 34}, Tenants: map[string]Tenant{"kviz": {Rate: 30, On: []string{"s1", "s2"}}, "": {Rate: 0, On: []string{"s1", "s2"}}}},
-		"b": {Servers: map[string]float64{"s3": 20}, Tenants: map[string]Tenant{"glava": {Rate: 10, On: []string{"s3"}}}},
+		"a": {Servers: map[string]float64{"s1": 34, "s2": 34}, Tenants: map[string]Tenant{"kviz": {Rate: 30, Servers: []string{"s1", "s2"}}, "": {Rate: 0, Servers: []string{"s1", "s2"}}}},
+		"b": {Servers: map[string]float64{"s3": 20}, Tenants: map[string]Tenant{"glava": {Rate: 10, Servers: []string{"s3"}}}},
 	}
 	terms := lease.Terms{TTL: 3 * time.Second, Drift: 0.05}
 	var got strings.Builder
