--- a/internal/policy/admission/admission_test.go
+++ b/internal/policy/admission/admission_test.go
@@ -126,14 +126,14 @@
 		change func(*Config)
 		want   string
 	}{
-		"floors over 1":    {func(c *Config) { c.Pools[0].Floor, c.Pools[1].Floor = 0.6, 0.5 }, "pools[0].floor, pools[1].floor, pools[2].floor: add up to 1.15, more than there is"},
+		"floors over 1":    {func(c *Config) { c.Pools[0].Floor, c.Pools[1].Floor = 0.6, 0.5 }, "pools[0].floor, pools[1].floor, pools[2].floor: add up to 1.15, which is more than 1"},
 		"no name":          {func(c *Config) { c.Pools[1].Name = "" }, "pools[1].name: missing"},
-		"name twice":       {func(c *Config) { c.Pools[1].Name = "sheets" }, `pools[1].name: "sheets" is that of pools[0] too`},
-		"class twice":      {func(c *Config) { c.Pools[2].Classes = []string{"krog"} }, `pools[2].classes: "krog" is in pools[1] too`},
+		"name twice":       {func(c *Config) { c.Pools[1].Name = "sheets" }, `pools[1].name: "sheets" is already the name of pools[0]`},
+		"class twice":      {func(c *Config) { c.Pools[2].Classes = []string{"krog"} }, `pools[2].classes: "krog" is already a class of pools[1]`},
 		"negative weight":  {func(c *Config) { c.Pools[2].Weight = -1 }, "pools[2].weight: not a number of 0 or more: -1"},
 		"floor over 1":     {func(c *Config) { c.Pools[2].Floor = 2 }, "pools[2].floor: not from 0 to 1: 2"},
-		"two for the rest": {func(c *Config) { c.Pools[0].Classes, c.Pools[2].Classes = nil, nil }, "pools[2].classes: none, as in pools[0]"},
-		"none":             {func(c *Config) { c.Pools = nil }, "pools: none"},
+		"two for the rest": {func(c *Config) { c.Pools[0].Classes, c.Pools[2].Classes = nil, nil }, "pools[2].classes: empty, but pools[0] already has the classes that no pool lists"},
+		"none":             {func(c *Config) { c.Pools = nil }, "pools: no pool is configured"},
 		"memory":           {func(c *Config) { c.Memory.Scarce = 0.5 }, "memory.scarce: under memory.tight: 0.5"},
 		"limit":            {func(c *Config) { c.Limit.Min = -1 }, "limit.least: not a number of 0 or more: -1"},
 	} {
--- a/internal/policy/admission/allocation.go
+++ b/internal/policy/admission/allocation.go
@@ -5,18 +5,18 @@
 	"time"
 )
 
-// Bulkheads. Every pool is entitled to a part of the limit on runs: its floor as far as it has demand for it, and of the rest its part
-// by weight (weighted max-min fairness), no pool more than its demand. What nobody is entitled to is borrowed by whoever the module
-// puts first. Runs can't be stopped, so a pool borrows only while the owners of what it would borrow have nothing queued: by the end
-// of one run a share is back.
+// Pools are bulkheads. Each pool is entitled to a part of the run limit: first its guaranteed runs, as far as it has demand for them,
+// then a part of the rest by weight (weighted max-min fairness). No pool is entitled to more than its demand. Runs beyond all
+// entitlements are borrowed by the pool whose request the decision module picks first. A run cannot be stopped, so a pool may borrow
+// only while the owners of that capacity have nothing queued. Borrowed capacity returns within the time of one run.
 const (
-	starvationThreshold = time.Second // a pool that waits under its floor for so long goes before all: at a limit smaller than the pools nobody starves
-	minRunFraction      = 0.15        // of the limit that runs always have, however much is being read
-	minConcurrency      = 0.05        // runs that a class can count on: a forecast is never divided by nothing
-	roundingTolerance   = 1e-9        // runs below which a rest of a division is nothing
+	starvationThreshold = time.Second // a pool that waited this long below its floor goes first, so none starves at a limit below the pool count
+	minRunFraction      = 0.15        // fraction of the limit that runs always get, whatever request reading uses
+	minConcurrency      = 0.05        // runs; minimum of Concurrency, so that callers can divide by it
+	roundingTolerance   = 1e-9        // runs; smaller remainders are rounding errors
 )
 
-// allocate gives every pool its entitlement.
+// allocate computes the demand and the entitlement of each pool.
 func (c *Controller) allocate() {
 	unallocated := c.runLimit
 	for _, p := range c.pools {
@@ -49,8 +49,8 @@
 	}
 }
 
-// guaranteed is the number of runs that are always a pool's own: a whole one at least, where it has a floor at all and the limit is
-// enough for one each.
+// guaranteedRuns returns the number of runs that a pool can always have. It is at least one run for a pool with a floor, provided that
+// the limit allows one run for each pool.
 func (c *Controller) guaranteedRuns(p *pool) float64 {
 	if p.Floor <= 0 {
 		return 0
@@ -58,9 +58,10 @@
 	return max(min(1, c.runLimit/float64(len(c.pools))), p.Floor*c.runLimit)
 }
 
-// HasCapacity reports whether one more run of the class may start. A pool under its floor may always, where the limit leaves a run at all and
-// no pool has starved for longer; one under its entitlement, where the floors of those that wait stay free; any other, which borrows,
-// where their entitlements do.
+// HasCapacity reports whether one more run of the class may start. A pool below its floor may start a run whenever the limit leaves one
+// free. A pool below its entitlement must leave the floors of the waiting pools free. A pool at or above its entitlement borrows, and
+// must leave the entitlements of the waiting pools free. While another pool starves, a pool needs two free runs and must be below its
+// entitlement.
 func (c *Controller) HasCapacity(now time.Duration, class string) bool {
 	p := c.poolOf(class)
 	free := c.runLimit - float64(c.running)
@@ -77,7 +78,7 @@
 	return free-c.reservedForOthers(p) >= 1
 }
 
-// reservedFor is how many free runs one more run of a pool must leave to the others that wait.
+// reservedForOthers returns the number of free runs that pool p must leave for the other pools that have requests queued.
 func (c *Controller) reservedForOthers(p *pool) float64 {
 	borrowing := float64(p.running) >= p.entitlement
 	reserved := 0.0
@@ -94,7 +95,8 @@
 	return reserved
 }
 
-// longestStarved is the pool that has waited the longest under its floor without a run, nil where none has for long.
+// longestStarved returns the pool that has waited longest below its floor without starting a run, or nil if no pool has waited for
+// starvationThreshold.
 func (c *Controller) longestStarved(now time.Duration) *pool {
 	var longest *pool
 	for _, p := range c.pools {
@@ -108,7 +110,7 @@
 	return longest
 }
 
-// Admits reports whether the memory lets one more request of the class wait.
+// Admits reports whether memory use allows one more request of the class to be queued. It counts a rejection against the pool.
 func (c *Controller) Admits(class string) bool {
 	p := c.poolOf(class)
 	if c.memory.Admits(c.rank(p)) {
@@ -118,7 +120,8 @@
 	return false
 }
 
-// rank is a pool's place among the others by weight, from 0 for the least to 1 for the most.
+// rank returns the position of a pool by weight among all pools, from 0 (lowest) to 1 (highest). For equal weights the earlier pool
+// ranks higher.
 func (c *Controller) rank(p *pool) float64 {
 	if len(c.pools) < 2 {
 		return 1
@@ -132,7 +135,8 @@
 	return float64(lower) / float64(len(c.pools)-1)
 }
 
-// Concurrency is the number of runs at once that a class can count on: its entitlement, and what the others leave.
+// Concurrency returns the number of concurrent runs that a class can rely on: its entitlement, or what the other pools leave if that is
+// more.
 func (c *Controller) Concurrency(class string) float64 {
 	p := c.poolOf(class)
 	others := 0.0
@@ -144,8 +148,8 @@
 	return max(p.entitlement, c.runLimit-others, c.guaranteedRuns(p), minConcurrency)
 }
 
-// Queue names the queue in which a class waits: that of its pool.
+// Queue returns the name of the queue that holds requests of the class, which is the name of its pool.
 func (c *Controller) Queue(class string) string { return c.poolOf(class).Name }
 
-// Limit is the limit on runs on the cores.
+// Limit returns the limit on the number of runs on the cores.
 func (c *Controller) Limit() float64 { return c.runLimit }
--- a/internal/policy/admission/arrivalgate.go
+++ b/internal/policy/admission/arrivalgate.go
@@ -2,23 +2,23 @@
 
 import "time"
 
-// ArrivalGate decides at the first bytes of a request whether the rest of it is worth reading. The decision module rejects requests
-// of a class on arrival; where it has done so for many in a row without accepting one, the next few of that class are told the same
-// without being read in full, until the module is asked again. It serves one class.
+// ArrivalGate decides, at the first bytes of a request, whether the rest of the request is read. It serves one class. After many
+// consecutive rejections on arrival by the decision module, the gate closes for a short time. While it is closed, requests of the class
+// are rejected without being read in full. Then the module is asked again.
 type ArrivalGate struct {
-	consecutiveRejections int // on arrival, one after the other
+	consecutiveRejections int // rejections on arrival without an accepted request in between
 	closedUntil           time.Duration
 	lastRejection         time.Duration
 }
 
 const (
-	closeThreshold   = 16                     // rejections in a row that close a gate: a flood, and no chance
-	recloseThreshold = 4                      // rejections in a row that close it again after it opened
-	closedDuration   = 20 * time.Millisecond  // less than a tick of the module: it is asked again as soon as it may decide otherwise
-	maxRejectionGap  = 100 * time.Millisecond // between two rejections of a row; rarer ones are no flood
+	closeThreshold   = 16                     // consecutive rejections that close an open gate
+	recloseThreshold = 4                      // consecutive rejections that close the gate again after it opened
+	closedDuration   = 20 * time.Millisecond  // under a tick of the module, whose answer can change with each tick
+	maxRejectionGap  = 100 * time.Millisecond // longest time between two consecutive rejections; rarer ones are not a flood
 )
 
-// Rejected is told that the module has rejected an arrival at once.
+// Rejected records that the module rejected a request on arrival. It closes the gate if there were enough consecutive rejections.
 func (g *ArrivalGate) Rejected(now time.Duration) {
 	if now-g.lastRejection > maxRejectionGap {
 		g.consecutiveRejections = 0
@@ -30,11 +30,11 @@
 	}
 }
 
-// Accepted is told that the module has accepted an arrival.
+// Accepted records that the module accepted a request on arrival. It opens the gate.
 func (g *ArrivalGate) Accepted() { g.consecutiveRejections, g.closedUntil = 0, 0 }
 
-// Closed reports whether a request is turned away unread.
+// Closed reports whether requests are rejected without being read in full.
 func (g *ArrivalGate) Closed(now time.Duration) bool { return now < g.closedUntil }
 
-// ClosedUntil is when the gate opens again.
+// ClosedUntil returns the time at which the gate opens again.
 func (g *ArrivalGate) ClosedUntil() time.Duration { return g.closedUntil }
--- a/internal/policy/admission/config.go
+++ b/internal/policy/admission/config.go
@@ -7,31 +7,31 @@
 	"strings"
 )
 
-// Pool sets up one pool of runs: a bulkhead for some classes.
+// Pool configures one pool of runs, a bulkhead for some classes.
 type Pool struct {
 	Name    string
-	Classes []string // whose requests it runs; each class is in one pool. None: all classes that no pool names
-	Weight  float64  // its part, against the others', of what lies over the floors
-	Floor   float64  // share of the limit that is always its own when it wants it
+	Classes []string // classes whose requests the pool runs, each in one pool only; empty: all classes that no pool lists
+	Weight  float64  // relative weight in the division of the capacity above the floors
+	Floor   float64  // fraction of the limit that is guaranteed to the pool whenever it has demand
 }
 
-// Config sets up the pools of a server.
+// Config configures the pools, the limit and the memory stages of a server.
 type Config struct {
 	Pools  []Pool
 	Limit  Bounds
 	Memory MemoryStages
 }
 
-// defaultPoolName is the pool of the classes that no pool names, where none is set up for them.
+// defaultPoolName is the name of the pool that is added for unlisted classes if no pool is configured for them.
 const defaultPoolName = "rest"
 
-// floorTolerance is by how much floors may add up to more than 1: shares like 0.1 are not exact.
+// floorTolerance is the allowed excess of the sum of floors over 1: fractions such as 0.1 have no exact binary form.
 const floorTolerance = 1e-9
 
-// Check names the first field that no pools can have.
+// Check returns an error that names the first invalid field.
 func (c Config) Check() error {
 	if len(c.Pools) == 0 {
-		return errors.New("pools: none")
+		return errors.New("pools: no pool is configured")
 	}
 	if err := c.checkPools(); err != nil {
 		return err
@@ -47,7 +47,7 @@
 	return c.Memory.check()
 }
 
-// checkPools checks each pool, and that names and classes are in one pool each and the floors fit together.
+// checkPools checks each pool, that names and classes are unique, and that the floors sum to at most 1.
 func (c Config) checkPools() error {
 	names, classes := map[string]int{}, map[string]int{}
 	var floors float64
@@ -58,7 +58,7 @@
 			return fmt.Errorf("%s.name: missing", path)
 		}
 		if j, duplicate := names[p.Name]; duplicate {
-			return fmt.Errorf("%s.name: %q is that of pools[%d] too", path, p.Name, j)
+			return fmt.Errorf("%s.name: %q is already the name of pools[%d]", path, p.Name, j)
 		}
 		names[p.Name] = i
 		if !isNonNegative(p.Weight) {
@@ -70,27 +70,27 @@
 		floors += p.Floor
 		if len(p.Classes) == 0 {
 			if catchAll >= 0 {
-				return fmt.Errorf("%s.classes: none, as in pools[%d]", path, catchAll)
+				return fmt.Errorf("%s.classes: empty, but pools[%d] already has the classes that no pool lists", path, catchAll)
 			}
 			catchAll = i
 		}
 		for _, class := range p.Classes {
 			if j, duplicate := classes[class]; duplicate {
-				return fmt.Errorf("%s.classes: %q is in pools[%d] too", path, class, j)
+				return fmt.Errorf("%s.classes: %q is already a class of pools[%d]", path, class, j)
 			}
 			classes[class] = i
 		}
 	}
 	if floors > 1+floorTolerance {
-		return fmt.Errorf("%s: add up to %.3g, more than there is", c.floorFields(), floors)
+		return fmt.Errorf("%s: add up to %.3g, which is more than 1", c.floorFields(), floors)
 	}
 	return nil
 }
 
-// isAmount reports whether a value is a number of 0 or more; NaN is none.
+// isNonNegative reports whether a value is a finite number of 0 or more. NaN is not.
 func isNonNegative(v float64) bool { return v >= 0 && !math.IsInf(v, 1) }
 
-// floorFields names the fields of all floors that are not 0.
+// floorFields returns the names of the fields of all floors over 0.
 func (c Config) floorFields() string {
 	var fields []string
 	for i, p := range c.Pools {
--- a/internal/policy/admission/controller.go
+++ b/internal/policy/admission/controller.go
@@ -5,79 +5,80 @@
 	"time"
 )
 
-// RequestState is where a request stands, as far as admission goes.
+// RequestState is the state of a request as far as admission is concerned.
 type RequestState int
 
-// The states of a request; their numbers are those of silverpath.Place.
+// The states of a request. Their numbers are those of silverpath.Place.
 const (
-	Finished RequestState = iota // nowhere any more
+	Finished RequestState = iota // not in the system
 	Queued                       // waits for a run
-	Running                      // on the cores, or waits for a disk
+	Running                      // its run is on the cores or waits for a disk
 	InCall                       // its run waits for a call to the tier below
 )
 
-// Controller is the admission of one server: its limit, pools and memory stages. It is single-threaded.
+// Controller makes the admission decisions of one server. It has the limit, the pools and the memory stages. It is not safe for
+// concurrent use.
 type Controller struct {
 	pools            []*pool
 	byClass          map[string]*pool
-	catchAll         *pool // of the classes that no pool names
+	catchAll         *pool // pool of the classes that no pool lists
 	limiter          Limiter
-	configuredBounds Bounds // what the limiter was made from
+	configuredBounds Bounds // bounds that the limiter was created with
 	memory           *MemoryGovernor
 
-	totalLimit float64 // on all that is on the cores
-	runLimit   float64 // on the runs there
-	ceiling    float64 // on the runs, as others set it
+	totalLimit float64 // on runs and all other work on the cores
+	runLimit   float64 // on the runs on the cores
+	ceiling    float64 // upper bound of runLimit, set by the caller of Tick
 	running    int
-	otherLoad  float64 // on the cores besides the runs, of late
+	otherLoad  float64 // moving average of the work on the cores other than runs
 	requests   map[string]*request
-	meanBurst  float64 // seconds on the cores of a burst of any class, of late
+	meanBurst  float64 // seconds on the cores; moving average over the bursts of all classes
 }
 
-// pool is one pool with its counts.
+// pool is one pool with its counts and averages.
 type pool struct {
 	Pool
 	index        int
 	queued       int
-	running      int           // on the cores
-	arrivalRate  float64       // requests a second, of late
-	arrivals     float64       // since the last tick
-	meanRunTime  float64       // seconds on the cores of its runs, of late
-	meanBurst    float64       // seconds on the cores of a burst of one, from its start or a call to its end or the next call
-	demand       float64       // runs that it could keep busy
-	entitlement  float64       // runs that are its own
-	starvedSince time.Duration // it has waited under its floor since; 0: it does not
-	started      uint64
-	borrowed     uint64 // of these, beyond its entitlement
-	rejected     uint64 // not admitted for want of memory
+	running      int           // runs on the cores
+	arrivalRate  float64       // requests a second, moving average
+	arrivals     float64       // requests since the last tick
+	meanRunTime  float64       // seconds on the cores of a run, moving average
+	meanBurst    float64       // seconds on the cores of a burst, moving average; a burst ends at a call or at the end of the run
+	demand       float64       // runs that the pool could keep busy
+	entitlement  float64       // runs that the pool is entitled to
+	starvedSince time.Duration // start of the wait below the floor; 0: the pool does not wait below its floor
+	started      uint64        // runs
+	borrowed     uint64        // runs that started beyond the entitlement
+	rejected     uint64        // requests rejected because of memory use
 }
 
-// request is one that is not finished.
+// request is a request that is not finished.
 type request struct {
 	class       string
 	pool        *pool
 	state       RequestState
 	stateSince  time.Duration
-	timeOnCores time.Duration // on the cores
+	timeOnCores time.Duration
 }
 
-// What is learnt of load and runs. The weights were found by trial: raising them follows a change sooner and noise as well.
+// Parameters of the moving averages. A higher weight of new values follows a change sooner, but follows noise as well.
 const (
-	tickInterval    = 25 * time.Millisecond // between two calls of Tick, as the module has it
-	arrivalWindow   = 2 * time.Second       // over which arrivals are counted: a few runs long
-	runTimeDecay    = 0.95                  // weight of the past in the time of a run, for each end
+	tickInterval    = 25 * time.Millisecond // between two calls of Tick; equal to the tick of the decision module
+	arrivalWindow   = 2 * time.Second       // time constant of the arrival rate: the length of a few runs
+	runTimeDecay    = 0.95                  // weight of the previous mean in the mean time of a run or burst
 	initialRunTime  = 0.3                   // seconds, until a run has ended
-	otherLoadWeight = 0.1                   // weight of a reading in what else is on the cores
-	minBurstWork    = 0.25                  // of the mean burst that a class's counts for: one odd class must not sway the search
-	maxBurstWork    = 4
+	otherLoadWeight = 0.1                   // weight of a new reading in otherLoad
+	minBurstWork    = 0.25                  // lower bound of a class's relative mean burst: no single class must dominate the search
+	maxBurstWork    = 4                     // upper bound of the same
 )
 
-// New returns the admission of a server, with the limiter that its bounds ask for. An error is one of [Config.Check].
+// New returns a controller with the limiter that the bounds in cfg select. An error is one of [Config.Check].
 func New(cfg Config) (*Controller, error) {
 	return NewWithLimiter(cfg, cfg.Limit.newLimiter())
 }
 
-// NewWithLimiter returns admission with another limiter.
+// NewWithLimiter returns a controller with the given limiter. An error is one of [Config.Check].
 func NewWithLimiter(cfg Config, limiter Limiter) (*Controller, error) {
 	if err := cfg.Check(); err != nil {
 		return nil, err
@@ -88,8 +89,8 @@
 	return c, nil
 }
 
-// Reload takes up other pools, weights and floors. What runs goes on, counted where its class now belongs. An error is one of
-// [Config.Check], and then nothing has changed.
+// Reload replaces pools, weights, floors and bounds. Runs continue and are counted in the pool to which their class now belongs. If
+// [Config.Check] returns an error, Reload returns it and changes nothing.
 func (c *Controller) Reload(cfg Config) error {
 	if err := cfg.Check(); err != nil {
 		return err
@@ -103,7 +104,7 @@
 	if cfg.Limit != c.configuredBounds {
 		c.limiter, c.configuredBounds = cfg.Limit.newLimiter(), cfg.Limit
 	}
-	for _, p := range c.pools { // a pool that keeps its name keeps its counts
+	for _, p := range c.pools { // a pool with an unchanged name keeps its counts
 		if previous := previousPools[p.Name]; previous != nil {
 			p.meanRunTime, p.meanBurst, p.arrivalRate = previous.meanRunTime, previous.meanBurst, previous.arrivalRate
 			p.started, p.borrowed, p.rejected = previous.started, previous.borrowed, previous.rejected
@@ -122,7 +123,7 @@
 	return nil
 }
 
-// buildPools sets the pools up, without counts.
+// buildPools creates the pools of cfg, with all counts at 0.
 func (c *Controller) buildPools(cfg Config) {
 	c.pools, c.byClass, c.catchAll = nil, map[string]*pool{}, nil
 	for _, set := range cfg.Pools {
@@ -154,7 +155,7 @@
 
 // ---- Events ----
 
-// Moved is told of every change of a request's state.
+// Moved records a change of the state of a request. It must be called for every change.
 func (c *Controller) Moved(now time.Duration, id, class string, to RequestState) {
 	r := c.requests[id]
 	if r == nil {
@@ -183,7 +184,7 @@
 	c.updateStarvation(now, p, to)
 }
 
-// leave takes a request out of its state's counts.
+// leaveState removes a request from the counts of its current state.
 func (c *Controller) leaveState(now time.Duration, r *request) {
 	switch r.state {
 	case Queued:
@@ -197,7 +198,7 @@
 	}
 }
 
-// run counts a run of a pool that starts, or comes back from a call.
+// enterRunning counts a run of a pool that starts or returns from a call.
 func (c *Controller) enterRunning(now time.Duration, p *pool, from RequestState) {
 	if from == Queued {
 		p.started++
@@ -210,7 +211,7 @@
 	c.limiter.RunsChanged(now, c.coreLoad())
 }
 
-// noteStarvation keeps since when a pool waits under its floor; a run that starts begins that anew.
+// updateStarvation records since when a pool has waited below its floor. Each run that starts restarts the wait.
 func (c *Controller) updateStarvation(now time.Duration, p *pool, to RequestState) {
 	if p.queued == 0 || float64(p.running) >= c.guaranteedRuns(p) {
 		p.starvedSince = 0
@@ -219,11 +220,11 @@
 	}
 }
 
-// load is all that is on the cores.
+// coreLoad returns the amount of work on the cores: runs and other load.
 func (c *Controller) coreLoad() int { return c.running + int(math.Round(c.otherLoad)) }
 
-// burstEnded counts a burst on the cores that ended, with the run or at a call. It counts at a call too: where calls below grow slow
-// all at once, ends of runs stay away while the cores do as much as ever.
+// burstEnded records the end of a burst on the cores, at a call or at the end of the run. Bursts that end at a call count because runs
+// stop ending when calls suddenly become slow, although the cores do as much work as before.
 func (c *Controller) burstEnded(now time.Duration, p *pool, spent time.Duration) {
 	seconds := spent.Seconds()
 	c.meanBurst = c.meanBurst*runTimeDecay + seconds*(1-runTimeDecay)
@@ -235,16 +236,17 @@
 	c.limiter.BurstEnded(now, spent, work)
 }
 
-// Readings are what Tick is told beside the time.
+// Readings are the measurements that Tick takes.
 type Readings struct {
-	Ceiling       float64 // that others set to the runs on the cores
-	Load          float64 // all that wants a core, runs and what is being read alike; 0: not known
-	BookedMemory  float64 // share in use of the memory that requests book
-	ProcessMemory float64 // share in use of the process's own memory
+	Ceiling       float64 // upper bound of the number of runs on the cores
+	Load          float64 // all work that wants a core: runs and requests being read; 0: unknown
+	BookedMemory  float64 // used fraction of the memory that requests book
+	ProcessMemory float64 // used fraction of the memory of the process
 }
 
-// Tick takes readings; it comes every 25 ms. The knee is one of all that is on the cores, so it is that which the limiter sees; what
-// is being read there leaves the runs less, though never less than a part.
+// Tick takes readings and updates the limits and entitlements. It is called every 25 ms. The knee is a property of all work on the
+// cores, so the limiter sees the total load. Requests being read reduce the limit on runs, but never below minRunFraction of the total
+// limit.
 func (c *Controller) Tick(now time.Duration, r Readings) {
 	if r.Load > 0 {
 		c.otherLoad += (max(0, r.Load-float64(c.running)) - c.otherLoad) * otherLoadWeight
@@ -266,34 +268,34 @@
 	c.allocate()
 }
 
-// ---- What operators see ----
+// ---- Status for operators ----
 
-// Snapshot is what admission is and believes.
+// Snapshot is the state of admission for status output.
 type Snapshot struct {
-	TotalLimit    float64 // on all that is on the cores
-	RunLimit      float64 // on runs there
-	Ceiling       float64 // on runs there, as others set it
+	TotalLimit    float64 // on runs and all other work on the cores
+	RunLimit      float64 // on the runs on the cores
+	Ceiling       float64 // upper bound of RunLimit
 	Running       int
 	Diagnosis     string // of the limiter
 	Memory        MemoryStage
-	BookedMemory  float64 // share in use
-	ProcessMemory float64 // share in use
+	BookedMemory  float64 // used fraction
+	ProcessMemory float64 // used fraction
 	Pools         []PoolSnapshot
 }
 
-// PoolSnapshot is one pool of a [Snapshot].
+// PoolSnapshot is the state of one pool in a [Snapshot].
 type PoolSnapshot struct {
 	Name                string
 	Weight              float64
-	Floor               float64 // runs that are always its own
+	Floor               float64 // runs guaranteed to the pool
 	Running, Queued     int
 	Demand, Entitlement float64 // runs
-	Started, Borrowed   uint64  // runs since the start, and of these those beyond the entitlement
-	Rejected            uint64  // requests not admitted for want of memory
+	Started, Borrowed   uint64  // runs since the process started; Borrowed counts those beyond the entitlement
+	Rejected            uint64  // requests rejected because of memory use
 	Starving            bool
 }
 
-// Snapshot returns the present one.
+// Snapshot returns the current state of admission.
 func (c *Controller) Snapshot(now time.Duration) Snapshot {
 	snapshot := Snapshot{
 		TotalLimit: c.totalLimit, RunLimit: c.runLimit, Ceiling: c.ceiling, Running: c.running, Diagnosis: c.limiter.Diagnosis(),
--- a/internal/policy/admission/hillclimb.go
+++ b/internal/policy/admission/hillclimb.go
@@ -5,45 +5,46 @@
 	"time"
 )
 
-// HillClimber is the adaptive concurrency limit that serves: it searches by hill climbing for the knee, the number of runs past which
-// the server gets less done. It compares samples at the limit with samples below it. Where fewer runs got less done, more runs have
-// something to gain; where they got more done, there were too many. Comparing neighbours in time tells overload from a slow machine,
-// which is slow at either number of runs. A sudden drop of the throughput is looked into at once by a deep cut.
+// HillClimber is the adaptive concurrency limit used in service. It searches for the knee, the number of runs beyond which throughput
+// falls, by hill climbing. It compares samples at the limit with samples below it, called probes. If throughput was lower with fewer
+// runs, the limit rises; if it was higher with fewer runs, the limit falls. Comparing adjacent samples distinguishes overload from a
+// slow machine, whose throughput is low at either number of runs. A sudden drop of throughput is checked at once by a deep cut of the
+// limit.
 //
-// Inputs: the number of runs, and how long each burst on the cores took ([HillClimber.RunsChanged], [HillClimber.BurstEnded]). Output:
-// [HillClimber.Limit], in runs. The search is additive increase and multiplicative decrease in the logarithm of the limit, with a step
-// that grows while it goes one way and shrinks as it turns.
+// Inputs are the number of runs and the time on the cores of each burst ([HillClimber.RunsChanged], [HillClimber.BurstEnded]). The
+// output is [HillClimber.Limit], in runs. The search is additive increase and multiplicative decrease in the logarithm of the limit. The
+// step grows while the search continues in one direction and shrinks when it turns.
 type HillClimber struct {
 	Bounds
 	limit           float64
-	lowerBound      float64 // the highest limit known to be below the knee; 0: none
-	upperBound      float64 // the lowest limit known to be above it; 0: none
-	step            float64 // of the logarithm of the limit
-	lastProbeUp     bool    // the latest probe said that the limit should rise
-	streak          int     // so many probes in a row said the same
+	lowerBound      float64 // highest limit known to be below the knee; 0: none
+	upperBound      float64 // lowest limit known to be above the knee; 0: none
+	step            float64 // in the logarithm of the limit
+	lastProbeUp     bool    // the latest probe raised the limit
+	streak          int     // number of consecutive probes with the same direction
 	phase           searchPhase
-	restSamplesLeft int // samples at the limit still to come before the next probe
+	restSamplesLeft int // samples at the limit before the next probe
 
-	window    throughputWindow // of the sample that is being taken
-	settledAt time.Duration    // the sample is measured from then on
-	baseline  []sample         // at the limit, the latest last; two at most
-	probe     *sample          // below the limit, until it is judged
+	window    throughputWindow // of the current sample
+	settledAt time.Duration    // start of the measurement of the current sample
+	baseline  []sample         // the last two samples at the limit, the latest last
+	probe     *sample          // sample to compare with: below the limit, or before a deep cut; nil: none
 
-	averageThroughput float64          // units of work a second at the limit, slowly following
-	meanBurst         float64          // seconds on the cores of a burst, of late
-	dropWindow        throughputWindow // in which a sudden drop is looked for
-	dropCheckFrom     time.Duration    // no drop is looked for before then
+	averageThroughput float64          // units of work a second at the limit, moving average
+	meanBurst         float64          // seconds on the cores of a burst, moving average
+	dropWindow        throughputWindow // in which sudden drops are detected
+	dropCheckFrom     time.Duration    // drops before this time are ignored
 	deepCutLimit      float64
-	limitBeforeCut    float64 // until the deep cut is known to have been right; 0: there is none
-	deepCuts          int     // so far
+	limitBeforeCut    float64 // limit before the latest deep cut, until the cut is known to have been right; 0: none
+	deepCuts          int     // since the start
 	diagnosis         string
 }
 
-// sample is what was measured of a stretch of time at one limit.
+// sample is the measurement of a period at one limit.
 type sample struct {
 	throughput     float64 // units of work a second, by Little's law
 	completionRate float64 // units of work a second, by the bursts that ended
-	runs           float64 // mean number
+	runs           float64 // mean number of runs
 	limited        bool    // the limit held runs back
 }
 
@@ -51,72 +52,72 @@
 
 const (
 	atLimit      searchPhase = iota
-	probing                  // somewhat below it
-	checkingDrop             // at it, after a sudden drop: how much is done now?
-	deepCutting              // far below it
+	probing                  // below the limit
+	checkingDrop             // at the limit, after a sudden drop of throughput
+	deepCutting              // far below the limit
 )
 
-// The search in rest. Ratios are of the limit unless they say otherwise. All were found by trial against the simulated machines of
-// docs/design/pools.md; what a change of one does shows in TestLimitersFollowTheKnee.
+// Parameters of the search. Ratios are relative to the limit unless stated otherwise. TestLimitersFollowTheKnee shows the effect of a
+// change on the simulated machines of docs/design/pools.md.
 const (
-	probeRatio    = 0.84 // of a probe. Nearer to 1 the difference drowns in noise; lower, each probe costs work
-	baselineRatio = 0.96 // in use between probes: past the knee every second costs more than below it
-	kneeSlope     = 0.2  // gain of throughput in per cent for one per cent of runs, at which the limit stands still: the last runs gain little
-
-	initialStep     = 0.18 // of the limit's logarithm in a new search
-	stepGrowth      = 2.5  // times the step, for each probe that says the same as the one before
-	maxStep         = 0.32 // of the logarithm: 38% up, or 27% down, in one move
-	fineStep        = 0.04 // the first one once the knee is known
-	boundsConverged = 0.13 // logarithm between limit and bound at which the knee is known
-
-	maxBaselineChange   = 0.5  // logarithm by which the throughput about a probe may differ: else something else changed, and the probe says nothing
-	minProbeDistance    = 0.05 // logarithm between the runs of probe and baseline; closer ones compare noise
+	probeRatio    = 0.84 // limit of a probe: the effect of a higher one is lost in noise, a lower one costs more work
+	baselineRatio = 0.96 // limit between probes: each second past the knee costs more than one below it
+	kneeSlope     = 0.2  // relative gain of throughput per relative gain of runs at which the limit stays: the last runs add little
+
+	initialStep     = 0.18 // in the logarithm of the limit, in a new search
+	stepGrowth      = 2.5  // factor of the step for each probe with the same direction as the one before
+	maxStep         = 0.32 // in the logarithm of the limit: 38% up or 27% down in one move
+	fineStep        = 0.04 // first step once the knee is known
+	boundsConverged = 0.13 // distance of limit and bound in the logarithm at which the knee is known
+
+	maxBaselineChange   = 0.5  // of the logarithm of throughput across a probe; above it, something else changed and the probe is void
+	minProbeDistance    = 0.05 // distance of the runs of probe and baseline in the logarithm; closer ones compare noise
 	restSamplesNearKnee = 3    // samples without a probe once the knee is known: each probe costs work
 
-	throughputDecay = 0.8 // weight of the past in the usual throughput, for each sample
-	burstDecay      = 0.9 // weight of the past in the mean burst, for each end
+	throughputDecay = 0.8 // weight of the previous value in averageThroughput, for each sample
+	burstDecay      = 0.9 // weight of the previous value in meanBurst, for each burst
 )
 
-// How long a sample is.
+// Length of a sample.
 const (
-	minBurstsPerSample   = 12                     // bursts that end in a sample, at least: fewer are too few to compare
-	minBurstsPerCheck    = 6                      // in the sample that follows a sudden drop: it has to be quick
-	minBurstsPerDeepCut  = 9                      // in the one of a deep cut
-	minSampleLength      = 300 * time.Millisecond // shorter ones are of single runs
-	maxSampleLength      = 4 * time.Second        // whatever has ended: a stalled server is followed all the same
-	sampleLengthInBursts = 1.5                    // times the mean burst: a run that began with the sample can end in it
-	settleTimeInBursts   = 1.2                    // times the mean burst, before a sample is measured: what was started at the old limit has ended
-
-	minUtilization = 0.85 // of the limit must be in use for a sample to tell anything of the limit
-	maxUtilization = 1.3  // and no more than so much: past it something else than runs loads the cores
+	minBurstsPerSample   = 12                     // bursts that end in a sample: fewer give no comparable figure
+	minBurstsPerCheck    = 6                      // bursts in the sample that follows a sudden drop, which has to be quick
+	minBurstsPerDeepCut  = 9                      // bursts in the sample of a deep cut
+	minSampleLength      = 300 * time.Millisecond // a shorter one measures single runs
+	maxSampleLength      = 4 * time.Second        // applies even if too few bursts ended, so that a stalled server is followed
+	sampleLengthInBursts = 1.5                    // minimum length in mean bursts: a run that began with the sample can end in it
+	settleTimeInBursts   = 1.2                    // wait in mean bursts before a sample: runs from the previous limit have ended by then
+
+	minUtilization = 0.85 // fraction of the limit that must be in use for a sample to say something about the limit
+	maxUtilization = 1.3  // fraction of the limit above which something other than runs loads the cores
 )
 
-// Sudden drops and deep cuts.
+// Parameters of sudden drops and deep cuts.
 const (
-	dropRatio         = 0.55                   // of the usual throughput: a sudden drop
-	dropRecoveryRatio = 1.2                    // times that, in the sample that follows: it was a lull
-	dropWindowLength  = 400 * time.Millisecond // in which it is looked for
-	speedupRatio      = 2.2                    // times the usual throughput after a deep cut: what was slow is fast again
+	dropRatio         = 0.55                   // of averageThroughput; a lower throughput is a sudden drop
+	dropRecoveryRatio = 1.2                    // of the highest throughput that counts as a drop; more in the next sample means a brief fluctuation
+	dropWindowLength  = 400 * time.Millisecond // in which sudden drops are detected
+	speedupRatio      = 2.2                    // of averageThroughput after a deep cut; above it, a slow machine is fast again
 	deepCutRatio      = 0.60                   // of the limit, in a deep cut
-	furtherCutRatio   = 0.75                   // of that, while fewer runs still get much more done
-	furtherCutSlope   = -0.5                   // gain of throughput for a gain of runs, below which they do
-	aboveKneeSlope    = 0.7                    // below which a drop is taken for overload: a slow machine has about 1
-	cutSpeedupRatio   = 3.5                    // times the throughput before a deep cut, which no cut brings about: what was slow is fast again
+	furtherCutRatio   = 0.75                   // of the deep cut, in a further cut
+	furtherCutSlope   = -0.5                   // throughput gain per gain of runs, below which another cut follows: fewer runs still get much more done
+	aboveKneeSlope    = 0.7                    // throughput gain per gain of runs, below which a drop is overload; a slow machine has about 1
+	cutSpeedupRatio   = 3.5                    // of the throughput before a deep cut; no cut raises it so far, so a slow machine is fast again
 )
 
-// NewHillClimber returns a search that has seen nothing yet.
+// NewHillClimber returns a limiter without any measurement.
 func NewHillClimber(b Bounds) *HillClimber {
 	return &HillClimber{Bounds: b, limit: b.Start, step: initialStep, diagnosis: diagnosisUnconstrained}
 }
 
-// RunsChanged is told of every change in the number of runs on the cores.
+// RunsChanged records a change of the number of runs on the cores. See [Limiter].
 func (c *HillClimber) RunsChanged(now time.Duration, n int) {
 	c.window.advance(now)
 	c.dropWindow.advance(now)
 	c.window.currentRuns, c.dropWindow.currentRuns = float64(n), float64(n)
 }
 
-// BurstEnded is told of the end of a burst on the cores; see [Limiter].
+// BurstEnded records the end of a burst on the cores. See [Limiter].
 func (c *HillClimber) BurstEnded(now, spent time.Duration, work float64) {
 	burstSeconds := spent.Seconds() / work
 	if c.meanBurst == 0 {
@@ -134,13 +135,13 @@
 	}
 }
 
-// Diagnosis says what the limiter takes the server to be.
+// Diagnosis returns the state of the server. See [Limiter].
 func (c *HillClimber) Diagnosis() string { return c.diagnosis }
 
-// DeepCuts is the number of deep cuts so far.
+// DeepCuts returns the number of deep cuts since the start.
 func (c *HillClimber) DeepCuts() int { return c.deepCuts }
 
-// activeLimit is the limit in force in the present phase. Runs are whole, so a probe is at least one run below the baseline.
+// activeLimit returns the limit in force in the current phase. Runs are whole, so a probe is at least one run below the baseline.
 func (c *HillClimber) activeLimit() float64 {
 	baseline := max(1, math.Round(c.limit*baselineRatio))
 	switch c.phase {
@@ -152,8 +153,8 @@
 	return baseline
 }
 
-// Limit is the limit on runs from now on, at most the ceiling. It is asked at every tick; demand says whether more would run if it
-// were higher.
+// Limit returns the limit on runs from now on, at most the ceiling. It must be called at every tick. demand says whether more runs would
+// start if the limit were higher.
 func (c *HillClimber) Limit(now time.Duration, ceiling float64, demand bool) float64 {
 	if c.limit == 0 {
 		c.limit = ceiling / baselineRatio
@@ -173,7 +174,7 @@
 	return c.clamp(c.activeLimit(), ceiling)
 }
 
-// take acts on a complete sample.
+// handleSample acts on a complete sample according to the current phase.
 func (c *HillClimber) handleSample(now time.Duration, s sample) {
 	switch c.phase {
 	case atLimit:
@@ -188,18 +189,18 @@
 	}
 }
 
-// sampleComplete reports whether the present sample is long enough to be judged.
+// sampleComplete reports whether the current sample is long enough to be evaluated.
 func (c *HillClimber) sampleComplete(now time.Duration) bool {
 	elapsed := now - c.window.startedAt
 	return elapsed >= c.requiredLength() && (c.window.burstsEnded >= c.requiredBursts() || elapsed >= maxSampleLength)
 }
 
-// minLength is the least length of a sample.
+// requiredLength returns the minimum length of a sample.
 func (c *HillClimber) requiredLength() time.Duration {
 	return min(maxSampleLength, max(minSampleLength, time.Duration(sampleLengthInBursts*c.meanBurst*float64(time.Second))))
 }
 
-// minEnds is the least number of bursts that end in a sample.
+// requiredBursts returns the minimum number of bursts that end in a sample of the current phase.
 func (c *HillClimber) requiredBursts() int {
 	switch c.phase {
 	case checkingDrop:
@@ -210,14 +211,15 @@
 	return minBurstsPerSample
 }
 
-// measure is the present sample, taken at a limit.
+// measure returns the current sample, taken at the given limit.
 func (c *HillClimber) measure(limit float64, demand bool) sample {
 	runs := c.window.meanRuns()
 	return sample{throughput: c.window.littleThroughput(), completionRate: c.window.throughput(), runs: runs,
 		limited: demand && runs >= minUtilization*limit-0.5 && runs <= maxUtilization*limit+1}
 }
 
-// enter begins a sample in another phase. What was started before goes on, so that the first run's time tells nothing.
+// enterPhase starts a sample in another phase. Bursts that started before still run, so the measurement starts only after the settling
+// time.
 func (c *HillClimber) enterPhase(now time.Duration, p searchPhase) {
 	c.phase = p
 	settle := settleTimeInBursts * c.meanBurst
@@ -225,7 +227,7 @@
 	c.window.restart(now)
 }
 
-// addBaseline takes a sample at the limit: it ends a probe, or is a rest before the next.
+// addBaseline adds a sample at the limit. The sample completes a probe or is a rest before the next probe.
 func (c *HillClimber) addBaseline(now time.Duration, s sample) {
 	c.window.restart(now)
 	if !s.limited {
@@ -251,7 +253,7 @@
 	c.enterPhase(now, probing)
 }
 
-// judgeProbe compares a probe with the samples before and after it.
+// evaluateProbe compares a probe with the samples before and after it.
 func (c *HillClimber) evaluateProbe() {
 	before, probe, after := c.baseline[0], *c.probe, c.baseline[1]
 	c.probe = nil
@@ -259,7 +261,7 @@
 		return
 	}
 	if math.Abs(math.Log(after.throughput/before.throughput)) > maxBaselineChange {
-		c.diagnosis = diagnosisSlowMachine // or overloaded all at once: the next probe tells
+		c.diagnosis = diagnosisSlowMachine // or suddenly overloaded: the next probe decides
 		return
 	}
 	runsGain := (math.Log(before.runs)+math.Log(after.runs))/2 - math.Log(probe.runs)
@@ -270,9 +272,9 @@
 	c.applySlope(throughputGain / runsGain)
 }
 
-// applySlope moves the limit by the slope that a probe has found. The knee is searched for between the highest limit known to be
-// below it and the lowest known to be above it, and followed from there in small steps: one probe alone is often wrong, so that a far
-// bound is given up only for two that say so.
+// applySlope moves the limit by the slope that a probe measured. The knee is searched for between the highest limit known to be below it
+// and the lowest limit known to be above it, and then followed in small steps. A single probe is often wrong, so the opposite bound is
+// discarded only after two consecutive probes contradict it.
 func (c *HillClimber) applySlope(slope float64) {
 	up := slope > kneeSlope
 	if up == c.lastProbeUp {
@@ -303,8 +305,8 @@
 	}
 }
 
-// nextLimit is where a step leads: half way to the far bound while that is known and far off, else as far as the step goes. A far
-// bound that probes contradict is given up.
+// nextLimit returns the limit after a step. If the opposite bound is known and distant, it is the geometric mean of the limit and that
+// bound. Otherwise it is one step away. nextLimit discards an opposite bound that probes contradict.
 func (c *HillClimber) nextLimit(step float64, oppositeBound *float64) float64 {
 	switch {
 	case *oppositeBound == 0:
@@ -327,8 +329,8 @@
 	return c.limit * math.Exp(step)
 }
 
-// restoreLimit takes up the limit of before the latest deep cut, and begins the search anew: at a limit that has not risen much more
-// is done all at once, so a slow machine was taken for overload and is fast again, or the knee is back where it was.
+// restoreLimitBeforeCut restores the limit before the latest deep cut and restarts the search. It is called when throughput suddenly
+// rises at an unchanged limit. Then either a slow machine was mistaken for overload and is fast again, or the knee has moved back.
 func (c *HillClimber) restoreLimitBeforeCut(now time.Duration) {
 	c.limit, c.limitBeforeCut = max(c.limit, c.limitBeforeCut), 0
 	c.baseline, c.probe, c.restSamplesLeft, c.streak, c.lowerBound, c.upperBound, c.step = nil, nil, 0, 0, 0, 0, initialStep
@@ -336,7 +338,8 @@
 	c.enterPhase(now, atLimit)
 }
 
-// suddenDrop reports a sudden drop of the throughput at the limit.
+// detectSuddenDrop reports whether throughput at the limit dropped suddenly. If it rose suddenly after a deep cut, detectSuddenDrop
+// restores the limit before the cut.
 func (c *HillClimber) detectSuddenDrop(now time.Duration, demand bool) bool {
 	if c.dropWindow.seconds() < max(dropWindowLength.Seconds(), 2*min(c.meanBurst, 1)) {
 		return false
@@ -353,13 +356,14 @@
 	if now < c.dropCheckFrom {
 		return false
 	}
-	scale := min(1, runs/max(1, c.limit*baselineRatio)) // fewer runs may do less
+	scale := min(1, runs/max(1, c.limit*baselineRatio)) // fewer runs have a lower throughput
 	return throughput < dropRatio*c.averageThroughput*scale && runs >= minUtilization*c.activeLimit()-0.5
 }
 
-// beginDeepCut looks into a sudden drop: what is done now at this many runs is compared with what fewer get done.
+// evaluateDropCheck acts on the sample after a sudden drop. If the drop persists it starts a deep cut, which compares the throughput at
+// the current number of runs with that of fewer runs.
 func (c *HillClimber) evaluateDropCheck(now time.Duration, s sample) {
-	if !s.limited || s.completionRate > dropRatio*c.averageThroughput*dropRecoveryRatio { // it was no more than a lull
+	if !s.limited || s.completionRate > dropRatio*c.averageThroughput*dropRecoveryRatio { // the drop was a brief fluctuation
 		c.diagnosis = diagnosisAtKnee
 		c.enterPhase(now, atLimit)
 		return
@@ -370,12 +374,12 @@
 	c.averageThroughput = 0
 	c.probe = &s
 	c.enterPhase(now, deepCutting)
-	c.settledAt = now + time.Duration(c.meanBurst*float64(time.Second))/2 // until the runs are fewer
+	c.settledAt = now + time.Duration(c.meanBurst*float64(time.Second))/2 // by then the number of runs has fallen
 }
 
-// judgeDeepCut compares a deep cut with how the work went as the runs grew fewer. A slow machine does less for fewer runs, in
-// proportion; an overloaded one does more. In doubt it is overload: a limit that is too low is climbed from within seconds, and past
-// the knee every second is lost.
+// evaluateDeepCut compares the sample of a deep cut with the one before the cut. With fewer runs, throughput falls in proportion on a
+// slow machine and rises on an overloaded one. Unclear results count as overload: a limit that is too low recovers within seconds,
+// whereas each second past the knee loses throughput.
 func (c *HillClimber) evaluateDeepCut(now time.Duration, s sample) {
 	previous := *c.probe
 	c.probe = nil
@@ -393,7 +397,7 @@
 	}
 	if slope < aboveKneeSlope || c.limit < c.limitBeforeCut {
 		c.diagnosis = diagnosisAboveKnee
-		if c.limit == c.limitBeforeCut || slope < kneeSlope { // else the last cut went too far
+		if c.limit == c.limitBeforeCut || slope < kneeSlope { // otherwise the last cut went too far
 			c.limit = max(c.Min, c.deepCutLimit/baselineRatio)
 		}
 		c.lowerBound, c.upperBound, c.streak, c.step = 0, 0, 0, initialStep
--- a/internal/policy/admission/limiter.go
+++ b/internal/policy/admission/limiter.go
@@ -1,41 +1,45 @@
-// Package admission decides how many runs there may be on a server and whose they are: an adaptive concurrency limit, which follows
-// the number of runs past which a server gets less done; bulkheads, here called pools as in the settings, a group of classes each with
-// a guaranteed share that is borrowed while it idles; stages by which memory gives way; a reserve for what is cheap; and a gate that
-// turns floods away unread.
+// Package admission decides how many runs a server executes at a time and to which classes they belong. It consists of:
 //
-// It has no I/O, no clock and no goroutine: events come in with their time, answers go out. The core calls it under its lock, the
-// listeners their [Reserve] under theirs. docs/design/pools.md weighs the options, docs/pools.md is for operators.
+//   - an adaptive concurrency limit ([Limiter]) that follows the knee, the number of runs beyond which throughput falls
+//   - bulkheads, called pools as in the settings: groups of classes, each with a guaranteed share that others borrow while it is idle
+//   - memory stages that reject work by priority as memory runs short ([MemoryGovernor])
+//   - a reserve of connections and time for cheap calls ([Reserve])
+//   - a gate that rejects floods of requests without reading them ([ArrivalGate])
+//
+// It has no I/O, no clock and no goroutine: events come in with their time, and decisions are returned. The core calls it under its
+// lock. Listeners call their [Reserve] under their own locks. docs/design/pools.md compares the design options, docs/pools.md is for
+// operators.
 package admission
 
 import "time"
 
-// Limiter finds the number of runs on the cores that gets most done. Times are since any fixed moment.
+// Limiter searches for the number of runs on the cores with the highest throughput. All times are relative to one fixed moment.
 type Limiter interface {
-	// RunsChanged is told of every change in the number of runs on the cores.
+	// RunsChanged records a change of the number of runs on the cores. It must be called for every change.
 	RunsChanged(now time.Duration, n int)
-	// BurstEnded is told of the end of a burst, which is a run's time on the cores up to a call or its end, and how long that was.
-	// Unit is the usual work of its class's bursts against the mean of all classes.
+	// BurstEnded records the end of a burst and the time that it spent on the cores. A burst is the time on the cores of a run up to a
+	// call or its end. work is the mean burst of its class relative to the mean of all classes.
 	BurstEnded(now, spent time.Duration, work float64)
-	// Limit is the limit from now on, in runs. It is at most the ceiling, which others set, and demand tells whether more would run
-	// if it were higher.
+	// Limit returns the limit in runs from now on, at most the ceiling. demand says whether more runs would start if the limit were
+	// higher.
 	Limit(now time.Duration, ceiling float64, demand bool) float64
-	// Diagnosis says in a word what the limiter takes the server to be: one of those that docs/pools.md lists.
+	// Diagnosis returns the state of the server as one of the words that docs/pools.md lists.
 	Diagnosis() string
 }
 
-// Bounds are what a limit keeps to, as an edge file sets them. All are in runs.
+// Bounds constrain a limit, as an edge file configures them. All values are in runs.
 type Bounds struct {
-	Min   float64 // the limit never falls below
-	Start float64 // 0: the ceiling
-	Fixed float64 // the limit, which nothing moves then; 0: it is searched for
+	Min   float64 // lower bound of the limit
+	Start float64 // initial limit; 0: the ceiling
+	Fixed float64 // constant limit; 0: the limit is adaptive
 }
 
-// clamp keeps a limit within its bounds and the ceiling; a ceiling under the minimum wins.
+// clamp restricts a limit to the bounds and the ceiling. The ceiling takes precedence over the minimum.
 func (b Bounds) clamp(limit, ceiling float64) float64 {
 	return min(max(limit, b.Min), max(1, ceiling))
 }
 
-// newLimiter is the one that the bounds ask for.
+// newLimiter returns the limiter that the bounds select: a constant one or a [HillClimber].
 func (b Bounds) newLimiter() Limiter {
 	if b.Fixed > 0 {
 		return fixedLimit(b.Fixed)
@@ -43,7 +47,7 @@
 	return NewHillClimber(b)
 }
 
-// fixedLimit is a limit that nothing moves.
+// fixedLimit is a constant limit.
 type fixedLimit float64
 
 func (fixedLimit) RunsChanged(time.Duration, int)           {}
@@ -53,25 +57,25 @@
 	return min(float64(f), max(1, ceiling))
 }
 
-// Diagnoses, in the words of the status and the log.
+// The diagnoses, as they appear in the status and the log.
 const (
-	diagnosisUnconstrained = "calm"    // the limit is not what holds runs back
-	diagnosisAtKnee        = "level"   // at the knee, as far as is known
-	diagnosisBelowKnee     = "rising"  // more runs get more done
-	diagnosisAboveKnee     = "crowded" // fewer runs get more done
-	diagnosisSlowMachine   = "slow"    // slower at any number of runs: the limit is not at fault
-	diagnosisCheckingDrop  = "asking"  // a sudden drop is being looked into
+	diagnosisUnconstrained = "calm"    // runs are not held back by the limit
+	diagnosisAtKnee        = "level"   // at the knee, as far as known
+	diagnosisBelowKnee     = "rising"  // more runs increase throughput
+	diagnosisAboveKnee     = "crowded" // fewer runs increase throughput
+	diagnosisSlowMachine   = "slow"    // throughput is low at any number of runs, so the limit is not the cause
+	diagnosisCheckingDrop  = "asking"  // a sudden drop of throughput is being checked
 )
 
-// throughputWindow measures the work done in a stretch of time, and the mean number of runs.
+// throughputWindow measures the completed work and the mean number of runs over a period.
 type throughputWindow struct {
 	startedAt    time.Duration
-	advancedTo   time.Duration // it was advanced to
-	currentRuns  float64
-	runSeconds   float64 // runs × seconds
-	workDone     float64 // units of work whose bursts ended
-	burstsEnded  int     // bursts
-	burstSeconds float64 // seconds on the cores of the bursts that ended, each against its class
+	advancedTo   time.Duration // runSeconds covers the time until then
+	currentRuns  float64       // runs on the cores at advancedTo
+	runSeconds   float64       // integral of the number of runs over time
+	workDone     float64       // units of work of the bursts that ended
+	burstsEnded  int
+	burstSeconds float64 // seconds on the cores of the bursts that ended, each divided by the relative work of its class
 }
 
 func (w *throughputWindow) advance(now time.Duration) {
@@ -86,10 +90,10 @@
 	*w = throughputWindow{startedAt: now, advancedTo: now, currentRuns: w.currentRuns}
 }
 
-// seconds is how long the window has been.
+// seconds returns the length of the window.
 func (w *throughputWindow) seconds() float64 { return (w.advancedTo - w.startedAt).Seconds() }
 
-// meanRuns is the mean number of runs.
+// meanRuns returns the mean number of runs in the window.
 func (w *throughputWindow) meanRuns() float64 {
 	if seconds := w.seconds(); seconds > 0 {
 		return w.runSeconds / seconds
@@ -97,8 +101,9 @@
 	return w.currentRuns
 }
 
-// littleThroughput is the units of work a second by Little's law, from how many ran and how long those that ended took. It swings far
-// less than a count of ends, but it is true only of a window whose runs began in it.
+// littleThroughput returns the throughput in units of work a second by Little's law, from the mean number of runs and the mean duration
+// of the bursts that ended. It varies far less than a count of ended bursts, but it is only valid for a window in which the measured
+// bursts also began.
 func (w *throughputWindow) littleThroughput() float64 {
 	if w.burstSeconds <= 0 {
 		return 0
@@ -106,7 +111,7 @@
 	return w.meanRuns() * float64(w.burstsEnded) / w.burstSeconds
 }
 
-// throughput is the units of work a second, by the bursts that ended.
+// throughput returns the units of work a second of the bursts that ended.
 func (w *throughputWindow) throughput() float64 {
 	if seconds := w.seconds(); seconds > 0 {
 		return w.workDone / seconds
--- a/internal/policy/admission/memory.go
+++ b/internal/policy/admission/memory.go
@@ -5,18 +5,18 @@
 	"time"
 )
 
-// MemoryStages sets up the governor of memory: shares of a memory at which a stage begins, of the one that requests book on the
-// machine and of the process's own alike. 0 is the default.
+// MemoryStages configures a [MemoryGovernor]. Each field is the used fraction at which a stage begins. It applies to the memory that
+// requests book on the machine and to the memory of the process. A field of 0 takes its default.
 type MemoryStages struct {
-	Tight    float64 // from here on large bodies are not taken and reads are not cached for others
-	Scarce   float64 // the pools of less weight take no more in
-	Critical float64 // only what is cheap and the repeats of what has run are taken
+	Tight    float64 // large bodies are rejected, and reads are not cached for other requests
+	Scarce   float64 // pools of lower weight admit no requests
+	Critical float64 // only cheap calls and repeats of executed requests are admitted
 }
 
-// MemoryStage is how short memory is.
+// MemoryStage is a level of memory shortage.
 type MemoryStage int
 
-// The stages, in order.
+// The memory stages in ascending order.
 const (
 	Plenty MemoryStage = iota
 	Tight
@@ -24,17 +24,17 @@
 	Critical
 )
 
-// String names a stage, in the words of the status and the log.
+// String returns the name of a stage as it appears in the status and the log.
 func (s MemoryStage) String() string { return [...]string{"plenty", "tight", "scarce", "critical"}[s] }
 
-// The decision module's own guard stands at 0.9 of the booked memory, so the stages before it are what makes memory give way in an
-// order.
+// The decision module rejects all new requests at 0.9 of the booked memory. The stages begin below that, so that requests of low priority
+// are rejected first.
 const (
 	defaultTight    = 0.70
 	defaultScarce   = 0.80
 	defaultCritical = 0.88
-	// stageHysteresis is how far below a stage's begin the memory must be, and stageHoldTime for how long, before the stage is left:
-	// a stage that turns requests away frees the memory that it needs to end.
+	// A stage ends once memory use has been stageHysteresis below its threshold for stageExitDelay. The rejections of a stage themselves
+	// lower memory use, so without hysteresis the stage would end and begin repeatedly.
 	stageHysteresis = 0.06
 	stageExitDelay  = time.Second
 )
@@ -46,7 +46,7 @@
 	return m
 }
 
-// setDefault sets a field that is 0.
+// setDefault sets a field that is 0 to its default.
 func setDefault(field *float64, value float64) {
 	if *field == 0 {
 		*field = value
@@ -72,20 +72,20 @@
 	return nil
 }
 
-// MemoryGovernor decides what gives way first when memory is short.
+// MemoryGovernor decides which requests and bodies are rejected when memory is short.
 type MemoryGovernor struct {
 	cfg             MemoryStages
 	stage           MemoryStage
-	belowSince      time.Duration // the memory has been below the stage's begin, less the hysteresis, since; 0: it is not
-	booked, process float64       // shares in use
+	belowSince      time.Duration // time since which memory use is below the threshold less the hysteresis; 0: it is not
+	booked, process float64       // used fractions
 }
 
-// NewMemoryGovernor returns a governor that has seen nothing yet.
+// NewMemoryGovernor returns a governor in the stage Plenty.
 func NewMemoryGovernor(m MemoryStages) *MemoryGovernor {
 	return &MemoryGovernor{cfg: m.withDefaults()}
 }
 
-// Tick is told how much of either memory is in use, as shares. A stage is entered at once and left one at a time.
+// Tick takes the used fractions of booked and process memory. A higher stage begins at once. Stages end one at a time.
 func (g *MemoryGovernor) Tick(now time.Duration, booked, process float64) {
 	g.booked, g.process = booked, process
 	used := max(booked, process)
@@ -106,7 +106,7 @@
 	}
 }
 
-// threshold is the share at which a stage begins.
+// threshold returns the used fraction at which a stage begins.
 func (g *MemoryGovernor) threshold(s MemoryStage) float64 {
 	switch s {
 	case Tight:
@@ -117,21 +117,21 @@
 	return g.cfg.Critical
 }
 
-// Stage is how short memory is.
+// Stage returns the current stage.
 func (g *MemoryGovernor) Stage() MemoryStage { return g.stage }
 
-// Admits reports whether a request of a pool may wait; the rank is its pool's among the others, from 0 to 1.
+// Admits reports whether a request of a pool may be queued. rank is the position of the pool among all pools by weight, from 0 to 1.
 func (g *MemoryGovernor) Admits(rank float64) bool {
 	switch g.stage {
 	case Scarce:
 		return rank >= 0.5
-	case Critical: // what the stage has freed goes to the pool of most weight; the stage itself ends later
+	case Critical: // memory that became free is for the pool of the highest weight; the stage ends later
 		return rank >= 1 && max(g.booked, g.process) < g.cfg.Critical
 	}
 	return true
 }
 
-// MaxBody is the largest body that is taken in a stage, in the unit of the largest that there is.
+// MaxBody returns the largest body that is accepted in a stage, in the unit of largest, the limit without memory shortage.
 func (s MemoryStage) MaxBody(largest int) int {
 	switch s {
 	case Plenty:
--- a/internal/policy/admission/reserve.go
+++ b/internal/policy/admission/reserve.go
@@ -6,36 +6,36 @@
 	"time"
 )
 
-// Reserve keeps headroom, a part of a listener's connections and of the process's time, for what is cheap: what needs no run, such as
-// health checks, status requests and rejections. It decides which connections may carry work, which one gives way when a new one finds
-// the listener full, and when a peer that asks cheap things at full speed gets its next answer. Calls of all peers together and of each
-// are paced by token buckets.
+// Reserve keeps a part of a listener's connections and of the process's time for cheap calls, which need no run: health checks, status
+// requests and rejections. It decides which connections may carry work, which connection is closed for a new one when the listener is
+// full, and how long the answer to a peer that makes too many cheap calls is delayed. Token buckets limit the rate of cheap calls, in
+// total and per peer.
 type Reserve struct {
 	cfg             ReserveConfig
 	maxConnections  int
 	conns           map[uint64]*peer
 	workConnections int         // connections that carry work
-	totalBucket     tokenBucket // of cheap calls of all
-	busyPeers       int         // peers that made a cheap call of late
+	totalBucket     tokenBucket // of the cheap calls of all peers
+	busyPeers       int         // peers that made a cheap call within busyWindow
 	lastSweep       time.Duration
 	stats           ReserveSnapshot
 }
 
-// ReserveConfig sets up a reserve. 0 is the default.
+// ReserveConfig configures a [Reserve]. A field of 0 takes its default.
 type ReserveConfig struct {
-	Connections      float64 // share of the connections that carry no work
+	Connections      float64 // fraction of the connections that carry no work
 	CheapRate        float64 // cheap calls a second of all peers together
-	CheapRatePerPeer float64 // and of one peer, while the others leave it so much
+	CheapRatePerPeer float64 // cheap calls a second of one peer; less if the total rate is exhausted
 }
 
 const (
-	defaultReservedConnections = 0.125 // share: enough that health checks get through while work fills the rest
-	defaultCheapRate           = 4000  // calls a second: a part of what one core answers
-	defaultCheapRatePerPeer    = 100   // calls a second: far above what a balancer or an operator asks
+	defaultReservedConnections = 0.125 // fraction: enough for health checks while work fills the other connections
+	defaultCheapRate           = 4000  // calls a second: a part of the capacity of one core
+	defaultCheapRatePerPeer    = 100   // calls a second: far more than a load balancer or an operator needs
 
-	burstWindow = 200 * time.Millisecond // worth of calls that may come at once
-	busyWindow  = time.Second            // a peer counts as busy for so long after a call
-	maxDelay    = time.Second            // of a cheap answer: who is due for more is the first to give way
+	burstWindow = 200 * time.Millisecond // capacity of a token bucket as time at its rate
+	busyWindow  = time.Second            // time after a cheap call for which a peer counts as busy
+	maxDelay    = time.Second            // of the answer to a cheap call; peers that reach it are evicted first
 )
 
 func (c ReserveConfig) withDefaults() ReserveConfig {
@@ -45,42 +45,42 @@
 	return c
 }
 
-// String says what the reserve keeps.
+// String returns the effective values for operators, with defaults applied.
 func (c ReserveConfig) String() string {
 	c = c.withDefaults()
 	return fmt.Sprintf("%.0f%% of a front's connections carry no work, %g cheap calls a second in all and %g a peer",
 		100*c.Connections, c.CheapRate, c.CheapRatePerPeer)
 }
 
-// Check names the first field that no reserve can have.
+// Check returns an error that names the first invalid field.
 func (c ReserveConfig) Check() error {
 	c = c.withDefaults()
 	if !(c.Connections > 0 && c.Connections < 1) {
 		return fmt.Errorf("reserve.connections: not between 0 and 1: %v", c.Connections)
 	}
 	if !(c.CheapRate >= 1) || math.IsInf(c.CheapRate, 1) {
-		return fmt.Errorf("reserve.cheap_per_s: under 1: %v", c.CheapRate)
+		return fmt.Errorf("reserve.cheap_per_s: not a finite number of 1 or more: %v", c.CheapRate)
 	}
 	if !(c.CheapRatePerPeer >= 1) || math.IsInf(c.CheapRatePerPeer, 1) {
-		return fmt.Errorf("reserve.cheap_each_per_s: under 1: %v", c.CheapRatePerPeer)
+		return fmt.Errorf("reserve.cheap_each_per_s: not a finite number of 1 or more: %v", c.CheapRatePerPeer)
 	}
 	return nil
 }
 
-// tokenBucket is a token bucket whose rate may change: it may be overdrawn, and tells how long until it is not.
+// tokenBucket is a token bucket with a variable rate. It may be overdrawn and computes how long it stays overdrawn.
 type tokenBucket struct {
 	tokens float64
-	at     time.Duration
+	at     time.Duration // time of the last refill
 }
 
-// refill adds what has come at a rate, in tokens a second, since the last time.
+// refill adds the tokens since the last refill at the given rate, in tokens a second.
 func (b *tokenBucket) refill(now time.Duration, rate float64) {
 	capacity := max(1, rate*burstWindow.Seconds())
 	b.tokens = min(capacity, b.tokens+rate*(now-b.at).Seconds())
 	b.at = now
 }
 
-// delay is how long until the bucket holds a token again.
+// delay returns the time until the bucket is no longer overdrawn.
 func (b *tokenBucket) delay(rate float64) time.Duration {
 	if b.tokens >= 0 {
 		return 0
@@ -88,34 +88,34 @@
 	return time.Duration(-b.tokens / rate * float64(time.Second))
 }
 
-// peer is a connection as the reserve knows it.
+// peer is the state of one connection in a reserve.
 type peer struct {
 	id           uint64
 	carriesWork  bool
 	callBucket   tokenBucket
-	lastCall     time.Duration // of its cheap calls
+	lastCall     time.Duration // time of the last cheap call
 	isBusy       bool
-	delayedUntil time.Duration // its answer is held back
+	delayedUntil time.Duration // time until which an answer is delayed
 }
 
-// NewReserve returns the reserve of a listener with at most so many connections.
+// NewReserve returns the reserve of a listener with up to maxConnections connections.
 func NewReserve(c ReserveConfig, maxConnections int) *Reserve {
 	return &Reserve{cfg: c.withDefaults(), maxConnections: maxConnections, conns: map[uint64]*peer{}}
 }
 
-// Reserved is the number of connections that carry no work.
+// Reserved returns the number of connections that carry no work.
 func (r *Reserve) Reserved() int {
 	return min(max(1, int(r.cfg.Connections*float64(r.maxConnections))), max(0, r.maxConnections-1))
 }
 
-// Opened is told of a new connection. It carries nothing yet.
+// Opened records a new connection, which does not carry work yet.
 func (r *Reserve) Opened(now time.Duration, id uint64) {
 	p := &peer{id: id}
-	p.callBucket = tokenBucket{tokens: 1, at: now} // one at once: who comes anew gains nothing by it
+	p.callBucket = tokenBucket{tokens: 1, at: now} // a single token, so that reconnecting gains nothing
 	r.conns[id] = p
 }
 
-// Closed is told of a connection's end.
+// Closed records the end of a connection. It ignores unknown connections.
 func (r *Reserve) Closed(id uint64) {
 	p := r.conns[id]
 	if p == nil {
@@ -130,7 +130,7 @@
 	delete(r.conns, id)
 }
 
-// AdmitWork reports whether a connection may carry work: those that may leave room for those that never do.
+// AdmitWork reports whether a connection may carry work. Work is limited to the connections that are not reserved.
 func (r *Reserve) AdmitWork(id uint64) bool {
 	p := r.conns[id]
 	if p == nil || p.carriesWork {
@@ -145,8 +145,8 @@
 	return true
 }
 
-// CheapCall is told of a cheap call and returns how long its answer is held back: not at all for a peer that keeps within its part.
-// The part of each is what there is for all, shared out among the busy peers, and no more than one may have.
+// CheapCall records a cheap call and returns how long its answer must be delayed: 0 for a peer within its share. The share of a peer is
+// CheapRatePerPeer. While the total rate is exhausted, it is at most an equal part of the total rate for each busy peer.
 func (r *Reserve) CheapCall(now time.Duration, id uint64) time.Duration {
 	r.sweep(now)
 	p := r.conns[id]
@@ -160,7 +160,7 @@
 	p.lastCall = now
 	r.totalBucket.refill(now, r.cfg.CheapRate)
 	rate := r.cfg.CheapRatePerPeer
-	if r.totalBucket.tokens < 1 { // more is asked than there is for all: everybody gets the same
+	if r.totalBucket.tokens < 1 { // the total rate is exhausted: all busy peers get the same rate
 		rate = max(1, min(rate, r.cfg.CheapRate/float64(r.busyPeers)))
 	}
 	p.callBucket.refill(now, rate)
@@ -178,7 +178,7 @@
 	return delay
 }
 
-// sweep takes peers off the busy ones that have asked nothing for a while.
+// sweep marks peers without a cheap call within busyWindow as not busy.
 func (r *Reserve) sweep(now time.Duration) {
 	if now-r.lastSweep < busyWindow/4 {
 		return
@@ -192,8 +192,8 @@
 	}
 }
 
-// Evict chooses, once, the connection that gives way to a new one when the listener is full: the one that is furthest beyond its part
-// of the cheap calls. False where none is beyond it.
+// Evict selects the connection to close for a new one when the listener is full: the one that exceeds its share of cheap calls the most.
+// It selects a connection only once, and returns false if no connection exceeds its share.
 func (r *Reserve) Evict(now time.Duration) (uint64, bool) {
 	var worst *peer
 	for _, p := range r.conns {
@@ -207,18 +207,18 @@
 	if worst == nil {
 		return 0, false
 	}
-	worst.delayedUntil = 0 // chosen once
+	worst.delayedUntil = 0 // not selected again
 	r.stats.Evicted++
 	return worst.id, true
 }
 
-// ReserveSnapshot is what a reserve has done: connections as they are now, and calls and connections since the start.
+// ReserveSnapshot is the state of a reserve for status output: the current connections, and the calls and evictions since the start.
 type ReserveSnapshot struct {
 	Connections, Working, Reserved, Busy  int
 	Cheap, Delayed, WorkRejected, Evicted uint64
 }
 
-// Snapshot returns the present one.
+// Snapshot returns the current state of the reserve.
 func (r *Reserve) Snapshot() ReserveSnapshot {
 	s := r.stats
 	s.Connections, s.Working, s.Reserved, s.Busy = len(r.conns), r.workConnections, r.Reserved(), r.busyPeers
