--- a/internal/policy/admission/hillclimb.go
+++ b/internal/policy/admission/hillclimb.go
@@ -95,12 +95,12 @@
 // Parameters of sudden drops and deep cuts.
 const (
 	dropRatio         = 0.55                   // of averageThroughput; a lower throughput is a sudden drop
-	dropRecoveryRatio = 1.2                    // of the highest throughput that counts as a drop; more in the next sample means a brief fluctuation
+	dropRecoveryRatio = 1.2                    // of the highest throughput of a drop; above it in the next sample, the drop was a brief fluctuation
 	dropWindowLength  = 400 * time.Millisecond // in which sudden drops are detected
 	speedupRatio      = 2.2                    // of averageThroughput after a deep cut; above it, a slow machine is fast again
 	deepCutRatio      = 0.60                   // of the limit, in a deep cut
 	furtherCutRatio   = 0.75                   // of the deep cut, in a further cut
-	furtherCutSlope   = -0.5                   // throughput gain per gain of runs, below which another cut follows: fewer runs still get much more done
+	furtherCutSlope   = -0.5                   // throughput gain per gain of runs, below which another cut follows: fewer runs get much more done
 	aboveKneeSlope    = 0.7                    // throughput gain per gain of runs, below which a drop is overload; a slow machine has about 1
 	cutSpeedupRatio   = 3.5                    // of the throughput before a deep cut; no cut raises it so far, so a slow machine is fast again
 )
--- a/internal/policy/admission/memory.go
+++ b/internal/policy/admission/memory.go
@@ -27,8 +27,8 @@
 // String returns the name of a stage as it appears in the status and the log.
 func (s MemoryStage) String() string { return [...]string{"plenty", "tight", "scarce", "critical"}[s] }
 
-// The decision module rejects all new requests at 0.9 of the booked memory. The stages begin below that, so that requests of low priority
-// are rejected first.
+// The decision module rejects all new requests at 0.9 of the booked memory. The stages begin below that, so that requests of low
+// priority are rejected first.
 const (
 	defaultTight    = 0.70
 	defaultScarce   = 0.80
--- a/internal/policy/quota/holder.go
+++ b/internal/policy/quota/holder.go
@@ -8,53 +8,53 @@
 	"silverpath/internal/policy/lease"
 )
 
-// Admission within a quota. Inputs: the grant of the group's leader and its lease, the router's reserve, and the requests of each key.
-// A key's requests are admitted by a token bucket that the key's rate fills: what the router was lent while the lease holds, and its
-// reserve. What it was asked for of late, admitted or not, is the demand that it tells the leader.
+// Parameters of admission within a quota. Inputs are the grant of the group's leader with its lease, the router's reserve, and the
+// requests of each key. A token bucket admits the requests of a key. It is filled at the rate of the key: the granted rate while the
+// lease is valid, plus the reserve. The rate of recent requests, admitted or not, is the demand that the router reports to the leader.
 const (
-	demandTimeConstant = 1.0         // seconds over which demand is averaged; longer follows a shift of load later, shorter is moved by chance
+	demandTimeConstant = 1.0         // seconds over which demand is averaged: longer follows a shift of load later, shorter follows noise
 	burstSeconds       = 1.0         // seconds of a rate that may be used at once
-	minBurst           = 6.0         // requests that may be used at once, so that a rate of less than one a second is of use
-	minDemand          = 0.01        // requests a second; less is not told
-	keyIdleTimeout     = time.Minute // without a request, of a key whose demand is under minDemand
-	maxKeysListed      = 256         // keys that Rates lists whatever they are; more are too long for a status
+	minBurst           = 6.0         // requests that may be used at once, so that a rate below one a second is usable
+	minDemand          = 0.01        // requests a second; lower demand is not reported
+	keyIdleTimeout     = time.Minute // time without a request after which a key with less than minDemand is deleted
+	maxKeysListed      = 256         // reserved keys up to which Rates lists all of them; more would make the status too long
 )
 
-// Holder is the side of a router: what it was lent, what it is asked for, and whether one more request is within its quota. All times
-// are the router's own monotonic clock. It is not safe for concurrent use: the proxy calls it under its lock.
+// Holder is the side of a router: its grant, its demand, and the decision whether a request is within the quota. All times are of the
+// router's own monotonic clock. It is not safe for concurrent use: the proxy calls it under its lock.
 type Holder struct {
 	maxRouters      int
-	hasReserve      bool // no second router can be there under its name, so that it has its part of the reserve
+	hasReserve      bool // no other router can run under the same name, so this one has its part of the reserve
 	grantSeq        uint64
 	leaseUntil      time.Duration
 	granted         map[Key]float64
 	reserved        map[Key]float64
-	reservedPerCell map[string]float64 // by cell
+	reservedPerCell map[string]float64 // sum of reserved, by cell
 	usage           map[Key]*keyUsage
 	counts          Counts
 }
 
-// Counts are what a holder has decided since the start.
+// Counts are the numbers of decisions of a holder since the start.
 type Counts struct {
 	Within uint64 // requests that were admitted
-	Beyond uint64 // and those that were beyond the quota
+	Beyond uint64 // requests beyond the quota, which were not admitted
 }
 
-// keyUse is what a key is asked for, and its token bucket.
+// keyUsage is the demand and the token bucket of a key.
 type keyUsage struct {
-	demand   float64 // requests a second, a moving average
-	demandAt time.Duration
+	demand   float64       // requests a second, moving average
+	demandAt time.Duration // time to which the average has decayed
 	tokens   float64
-	filledAt time.Duration
+	filledAt time.Duration // time of the last refill of the bucket
 }
 
-// NewHolder returns the side of one of at most so many routers. HasReserve says that nobody else can be there under its name.
+// NewHolder returns the holder of one of at most maxRouters routers. hasReserve says that no other router can run under the same name.
 func NewHolder(maxRouters int, hasReserve bool) *Holder {
 	return &Holder{maxRouters: maxRouters, hasReserve: hasReserve, granted: map[Key]float64{}, usage: map[Key]*keyUsage{}}
 }
 
-// SetCapacity sets the capacity of cells, by their names, of which the reserve is a part. It is called with each new cell map and at
-// its changes by the time alone.
+// SetCapacity sets the capacity of each cell, by cell name, from which the reserve is computed. It must be called with each new cell map
+// and at each change that the map makes by time alone.
 func (h *Holder) SetCapacity(cells map[string]Capacity) {
 	h.reserved, h.reservedPerCell = map[Key]float64{}, map[string]float64{}
 	if !h.hasReserve {
@@ -68,9 +68,10 @@
 	}
 }
 
-// TakeGrant takes a grant that was asked for at a time, by a request that said which grant was in use then. One that was overtaken says
-// nothing: the leader counts it until a later one is in use. Nor does one for a request from before what is in use now: another leader
-// may have lent since what that request said was in use.
+// TakeGrant applies a grant that was requested at requestedAt, by a request that reported applied as the grant in use. It ignores a
+// grant that is not newer than the one in use, because the leader stops counting a grant once the router reports a later one. It also
+// ignores a grant whose request reported an earlier grant: another leader may since have granted the rates that the request reported as
+// in use.
 func (h *Holder) TakeGrant(requestedAt time.Duration, applied uint64, g Grant, terms lease.Terms) {
 	if g.Seq <= h.grantSeq || applied != h.grantSeq {
 		return
@@ -81,7 +82,7 @@
 	}
 }
 
-// Rate is what may be used of a key now, in requests a second: what is lent while the lease holds, and the reserve.
+// Rate returns the current rate of a key in requests a second: the granted rate while the lease is valid, plus the reserve.
 func (h *Holder) Rate(now time.Duration, k Key) float64 {
 	rate := 0.0
 	if now < h.leaseUntil {
@@ -90,8 +91,9 @@
 	return rate + h.reserved[k]
 }
 
-// Rates are what may be used now, in requests a second, by key: of many keys those that something is lent of, or that were asked for of
-// late. Rest is the reserve of all others in each cell. It runs over the former alone, as a map has thousands of tenants.
+// Rates returns the current rates in requests a second. If there are many keys, list contains only those with a granted rate or a recent
+// request, and rest is the reserve of all other keys of each cell. The cost depends on the listed keys only, because a map has thousands
+// of tenants.
 func (h *Holder) Rates(now time.Duration) (list map[Key]float64, rest map[string]float64) {
 	list, rest = map[Key]float64{}, maps.Clone(h.reservedPerCell)
 	addKey := func(k Key) {
@@ -116,7 +118,7 @@
 	return list, rest
 }
 
-// Request is the router's request to the group's leader. Keys that were not asked for in forgetAfter are forgotten.
+// Request returns the router's request to the group's leader. It deletes keys without a request in keyIdleTimeout.
 func (h *Holder) Request(now time.Duration) Request {
 	r := Request{MaxRouters: h.maxRouters, Applied: h.grantSeq}
 	if now < h.leaseUntil {
@@ -135,13 +137,13 @@
 	return r
 }
 
-// decay brings the moving average of the demand to a time.
+// decay advances the moving average of the demand to now.
 func (u *keyUsage) decay(now time.Duration) {
 	u.demand *= math.Exp(-(now - u.demandAt).Seconds() / demandTimeConstant)
 	u.demandAt = now
 }
 
-// Admit counts a request of a key as asked for, and reports whether it is within the quota.
+// Admit adds a request to the demand of a key and reports whether it is within the quota.
 func (h *Holder) Admit(now time.Duration, k Key) bool {
 	u := h.usage[k]
 	if u == nil {
@@ -162,8 +164,8 @@
 	return true
 }
 
-// Counts returns what was decided since the start.
+// Counts returns the numbers of decisions since the start.
 func (h *Holder) Counts() Counts { return h.counts }
 
-// HasLease reports whether there are rates whose lease holds.
+// HasLease reports whether the lease of the latest grant is valid.
 func (h *Holder) HasLease(now time.Duration) bool { return now < h.leaseUntil }
--- a/internal/policy/quota/ledger.go
+++ b/internal/policy/quota/ledger.go
@@ -11,56 +11,57 @@
 	"silverpath/internal/policy/lease"
 )
 
-// Lending. Inputs: the requests of routers, the capacity of cells, and the leader's clock. A router is lent its target, as far as it
-// fits beside all that the others may still be using: of each grant that was sent and is neither acknowledged nor over, the largest.
-// So the sum holds whichever of its grants a router uses. A leader that is new does not know what the one before it lent: for a lease
-// it gives a router no more than that one says that it has.
+// Granting. Inputs are the requests of routers, the capacity of cells and the leader's clock. A router is granted its target rates as
+// far as they fit beside all that the other routers may still be using. For each of these routers that is the largest of its outstanding
+// grants: those that were sent, are not superseded by an acknowledged one and have not expired. So the sum is within the capacity
+// whichever grant a router uses. A new leader does not know the grants of its predecessor. For the length of a lease it grants a router
+// no more than the router reports as in use.
 
-// Request is what a router asks the group's leader for rates with. It is JSON between builds.
+// Request is the message by which a router asks the group's leader for rates. It is exchanged as JSON between builds.
 type Request struct {
-	MaxRouters int          `json:"most"`    // routers that there can be, by this one's settings
-	Applied    uint64       `json:"applied"` // the grant that it uses
-	Rates      []Allocation `json:"parts"`   // that it uses
-	Demand     []Allocation `json:"demand"`  // that it was asked for of late
+	MaxRouters int          `json:"most"`    // maximum number of routers in the settings of this router
+	Applied    uint64       `json:"applied"` // sequence number of the grant in use
+	Rates      []Allocation `json:"parts"`   // rates in use
+	Demand     []Allocation `json:"demand"`  // rates of recent requests
 }
 
-// Allocation is a rate of a key.
+// Allocation is the rate of a key.
 type Allocation struct {
 	Cell   string  `json:"c"`
 	Tenant string  `json:"t"`
 	Rate   float64 `json:"r"` // requests a second
 }
 
-// Grant is what a router is lent, with a lease.
+// Grant is the leader's answer to a [Request]: rates that are valid for a lease.
 type Grant struct {
-	Seq   uint64       `json:"seq"` // rises with each, also from leader to leader
+	Seq   uint64       `json:"seq"` // increases with each grant, also across leaders
 	Rates []Allocation `json:"parts"`
 }
 
-// grantPrecision is by what rates in grants are rounded down, in parts of a request a second: sums hold whatever is lost in writing
-// them.
+// grantRateSteps is the number of steps in a rate of one request a second. Rates in grants are rounded down to a step, so that their
+// sums stay within the capacity despite rounding in JSON.
 const grantRateSteps = 1e6
 
-// Ledger is what the group's leader has lent. All times are its own monotonic clock. It is not safe for concurrent use: the member's
-// loop alone calls it.
+// Ledger records the grants of the group's leader. All times are of the leader's own monotonic clock. It is not safe for concurrent use:
+// only the member's loop calls it.
 type Ledger struct {
 	terms        lease.Terms
-	leadingSince time.Duration // under 0: it does not lead
+	leadingSince time.Duration // negative: the member does not lead
 	term         uint64
-	grantsSent   uint64 // sent in this term
+	grantsSent   uint64 // number of grants in this term
 	maxRouters   int
 	cells        map[string]Capacity
 	routers      map[string]*borrower
 }
 
-// borrower is a router that is lent rates.
+// borrower is the state of a router that requests rates.
 type borrower struct {
 	lastRequest time.Duration
 	demand      map[Key]float64
-	outstanding []outstandingGrant // what it may be using, the oldest first
+	outstanding []outstandingGrant // grants that the router may be using, the oldest first
 }
 
-// outstanding is a grant that a router may be using.
+// outstandingGrant is a grant that a router may be using.
 type outstandingGrant struct {
 	seq    uint64
 	sentAt time.Duration
@@ -70,19 +71,20 @@
 // NewLedger returns the ledger of a member that does not lead.
 func NewLedger(t lease.Terms) *Ledger { return &Ledger{terms: t, leadingSince: -1} }
 
-// StartLeading records that the member has begun to lead, in a term of the group.
+// StartLeading records that the member leads the group since now, in the given term. It discards all earlier grants.
 func (l *Ledger) StartLeading(now time.Duration, term uint64) {
 	*l = Ledger{terms: l.terms, leadingSince: now, term: term, cells: l.cells, routers: map[string]*borrower{}}
 }
 
-// StopLeading records that the member has ceased to lead.
+// StopLeading records that the member no longer leads the group.
 func (l *Ledger) StopLeading() { *l = Ledger{terms: l.terms, leadingSince: -1, cells: l.cells} }
 
-// SetCapacity sets the capacity of cells, by their names. It is called with each new cell map and at its changes by the time alone.
+// SetCapacity sets the capacity of each cell, by cell name. It must be called with each new cell map and at each change that the map
+// makes by time alone.
 func (l *Ledger) SetCapacity(cells map[string]Capacity) { l.cells = cells }
 
-// Lend takes a router's request and returns what it is lent. It reports false, and lends nothing, where the member does not lead, or
-// where routers were set up for different numbers of them: their reserves would then sum to another ratio.
+// Lend records a router's request and returns its grant. It returns false and grants nothing if the member does not lead, if there are
+// already MaxRouters routers, or if routers have different settings of MaxRouters: their reserves would not sum to [ReservedRatio].
 func (l *Ledger) Lend(now time.Duration, router string, r Request) (Grant, bool) {
 	if l.leadingSince < 0 || r.MaxRouters <= 0 {
 		return Grant{}, false
@@ -101,14 +103,14 @@
 	inUse, isNewLeader := ratesByKey(r.Rates), now-l.leadingSince < l.terms.LeaderTTL()
 	firstRequest := b.lastRequest == 0
 	l.recordRequest(now, b, r)
-	if firstRequest && isNewLeader && len(inUse) > 0 { // lent by a leader before this one, and perhaps still valid
+	if firstRequest && isNewLeader && len(inUse) > 0 { // granted by an earlier leader, and possibly still valid
 		b.outstanding = append(b.outstanding, outstandingGrant{r.Applied, now, inUse})
 	}
 	l.grantsSent++
 	g := outstandingGrant{l.term<<32 + l.grantsSent, now, map[Key]float64{}}
 	for cell, capacity := range l.cells {
 		target := Targets(capacity, l.demand(now, cell, capacity))[router]
-		if isNewLeader { // others may use what this leader has not heard of
+		if isNewLeader { // other routers may use rates that this leader does not know
 			for tenant, rate := range target {
 				target[tenant] = min(rate, inUse[Key{cell, tenant}])
 			}
@@ -121,7 +123,7 @@
 	return g.toGrant(), true
 }
 
-// take notes a router's demand, and forgets the grants that it can't be using any more.
+// recordRequest records the demand of a router and removes the grants that it can no longer be using.
 func (l *Ledger) recordRequest(now time.Duration, b *borrower, r Request) {
 	b.lastRequest, b.demand = now, map[Key]float64{}
 	for _, d := range r.Demand {
@@ -130,7 +132,7 @@
 	b.outstanding = slices.DeleteFunc(b.outstanding, func(o outstandingGrant) bool { return o.seq < r.Applied || now-o.sentAt >= l.terms.LeaderTTL() })
 }
 
-// demand is what all routers that were heard of within a lease are asked for of a cell, by router and tenant.
+// demand returns the demand for a cell by router and tenant, of all routers with a request within a lease.
 func (l *Ledger) demand(now time.Duration, cell string, c Capacity) map[string]map[string]float64 {
 	demand := map[string]map[string]float64{}
 	for name, b := range l.routers {
@@ -144,7 +146,8 @@
 	return demand
 }
 
-// clamp bounds what a router is to be lent of a cell so that with all that others may be using no constraint has more than there is.
+// clamp limits the target rates of a router for a cell. Together with all that other routers may be using, no constraint exceeds the
+// capacity that can be granted.
 func (l *Ledger) clamp(now time.Duration, cell string, c Capacity, to *borrower, target map[string]float64) map[string]float64 {
 	constraints := c.constraints()
 	left := make([]float64, len(constraints))
@@ -174,7 +177,8 @@
 	return clamped
 }
 
-// maxInUse is the most that a router may be using of each constraint of a cell: it uses one of what it was lent.
+// maxInUse returns, for each constraint of a cell, the most that a router may be using: the largest sum of one of its outstanding
+// grants, as it uses one grant at a time.
 func (l *Ledger) maxInUse(now time.Duration, cell string, constraints []constraint, b *borrower) []float64 {
 	inUse := make([]float64, len(constraints))
 	for _, o := range b.outstanding {
@@ -192,12 +196,12 @@
 	return inUse
 }
 
-// forgetSilent forgets the routers that can't be using a grant any more.
+// removeExpiredRouters removes the routers that can no longer be using a grant.
 func (l *Ledger) removeExpiredRouters(now time.Duration) {
 	maps.DeleteFunc(l.routers, func(_ string, b *borrower) bool { return now-b.lastRequest >= l.terms.LeaderTTL() })
 }
 
-// grant is the grant as it is sent, by cell and tenant.
+// toGrant returns the grant as sent to the router, sorted by cell and tenant.
 func (o outstandingGrant) toGrant() Grant {
 	g := Grant{Seq: o.seq}
 	for _, k := range slices.SortedFunc(maps.Keys(o.rates), func(a, b Key) int {
@@ -208,6 +212,7 @@
 	return g
 }
 
+// ratesByKey returns the rates of a list by key.
 func ratesByKey(list []Allocation) map[Key]float64 {
 	rates := map[Key]float64{}
 	for _, a := range list {
@@ -216,8 +221,8 @@
 	return rates
 }
 
-// LentRatio is the most that all routers together may be using of any constraint of a cell, as a ratio of what there is to lend. It is
-// never above 1; members tell it with their status.
+// LentRatio returns the highest ratio of the rates that all routers together may be using to the capacity that can be granted, over the
+// constraints of a cell. It is never above 1. Members report it in their status.
 func (l *Ledger) LentRatio(now time.Duration, cell string) (ratio float64) {
 	constraints := l.cells[cell].constraints()
 	sums := make([]float64, len(constraints))
@@ -234,7 +239,7 @@
 	return ratio
 }
 
-// LentRatios are those of all cells, by their names.
+// LentRatios returns the result of [Ledger.LentRatio] for each cell, by cell name.
 func (l *Ledger) LentRatios(now time.Duration) map[string]float64 {
 	all := map[string]float64{}
 	for cell := range l.cells {
--- a/internal/policy/quota/maxmin.go
+++ b/internal/policy/quota/maxmin.go
@@ -5,34 +5,35 @@
 	"slices"
 )
 
-// Claim is a claim on some resources, of each of which the claimant uses all that it is given.
+// Claim is a claim on some resources. The claimant uses the same amount of each of them.
 type Claim struct {
 	Weight    float64
-	Demand    float64 // what it would use; what is left when all have theirs goes to all by weight
-	Resources []int   // the resources
+	Demand    float64 // amount that the claimant can use; a remainder after all demands are met is divided by weight
+	Resources []int   // indices of the claimed resources
 }
 
-// epsilon is what counts as nothing, of rates of 1e-3 to 1e6 requests a second: above what sums of them lose by rounding.
+// epsilon is the amount below which a remainder counts as zero. Rates are 1e-3 to 1e6 requests a second, and rounding errors of their
+// sums are smaller.
 const epsilon = 1e-9
 
-// MaxMin divides resources by weighted max-min fairness, filling all claims at once until one has what it demands or meets a resource
-// that is used up (Bertsekas and Gallager, "Data Networks", 6.5.2): nobody gets more while another one who wants more has less by
-// weight. It returns what each claim gets.
+// MaxMin divides resources by weighted max-min fairness and returns the amount of each claim. It uses progressive filling (Bertsekas and
+// Gallager, "Data Networks", 6.5.2): all claims rise together, each until its demand is met or one of its resources is exhausted. So no
+// claim gets more while another unmet claim has less by weight.
 func MaxMin(capacities []float64, claims []Claim) []float64 {
 	f := progressiveFilling{claims: claims, allocated: make([]float64, len(claims)), remaining: slices.Clone(capacities)}
-	f.fill(true)  // first what is demanded,
-	f.fill(false) // then what is left
+	f.fill(true)  // first up to the demands,
+	f.fill(false) // then the remainder
 	return f.allocated
 }
 
-// filling is a division under way.
+// progressiveFilling is the state of a division.
 type progressiveFilling struct {
 	claims    []Claim
 	allocated []float64 // by claim
 	remaining []float64 // by resource
 }
 
-// fill raises all open claims together, round by round, until none is open. Bounded claims end at their demand.
+// fill raises all open claims together, step by step, until none is open. If bounded is set, a claim closes when its demand is met.
 func (f *progressiveFilling) fill(bounded bool) {
 	open := make([]bool, len(f.claims))
 	for i, c := range f.claims {
@@ -52,8 +53,8 @@
 	}
 }
 
-// step is how far all open claims can rise, by their weights, until the first demand is met or the first resource used up, and by how
-// much each resource is used for each unit of that.
+// step returns how far all open claims can rise in proportion to their weights until the first demand is met or the first resource is
+// exhausted. usage is the amount of each resource that a rise of 1 uses.
 func (f *progressiveFilling) step(open []bool, bounded bool) (step float64, usage []float64) {
 	step, usage = math.Inf(1), make([]float64, len(f.remaining))
 	for i, c := range f.claims {
@@ -75,7 +76,7 @@
 	return max(0, step), usage
 }
 
-// stays reports whether a claim stays open: its demand is not met, and none of its resources is used up.
+// staysOpen reports whether a claim stays open: its demand is not met, and none of its resources is exhausted.
 func (f *progressiveFilling) staysOpen(i int, bounded bool) bool {
 	c := f.claims[i]
 	if bounded && f.allocated[i] >= c.Demand-epsilon {
--- a/internal/policy/quota/quota.go
+++ b/internal/policy/quota/quota.go
@@ -1,10 +1,10 @@
-// Package quota decides how much of a cell's capacity each router may use: the requests a second that the cell's servers can do, among
-// the tenants that live there and the routers that bring their requests. It has no I/O, no clock and no goroutine.
+// Package quota divides the capacity of a cell, the requests a second that its servers can process, among the tenants of the cell and
+// the routers that forward their requests. It has no I/O, no clock and no goroutine.
 //
-// Ledger is the side of the group's leader, which lends rates with a lease: ledger.go. Holder is that of a router, which admits requests
-// within the rates that it was lent and a small reserve that it has for good: holder.go. What each should have is decided by demand and
-// weighted max-min fairness: targets.go, maxmin.go. docs/design/rules.md has the proof that valid rates never sum to more than the
-// capacity, whoever is cut off.
+// Ledger is the side of the group's leader, which grants rates with a lease (ledger.go). Holder is the side of a router, which admits
+// requests within its granted rates and a small permanent reserve (holder.go). The target rates follow from demand by weighted max-min
+// fairness (targets.go, maxmin.go). docs/design/rules.md proves that the rates valid at any time sum to at most the capacity, even if
+// some processes are cut off.
 package quota
 
 import (
@@ -15,31 +15,33 @@
 	"silverpath/internal/policy/cells"
 )
 
-// Key is what a rate is of: a cell's capacity, for one of its tenants.
+// Key identifies what a rate applies to: the capacity of a cell for one of its tenants.
 type Key struct{ Cell, Tenant string }
 
-// ReservedRatio is the ratio of a cell's capacity that is never lent: each of at most so many routers has an equal part of it, whether
-// it can reach the group or not. A tenth lets a router that is cut off go on with a little, and costs little where none is.
+// ReservedRatio is the fraction of a cell's capacity that is never granted. Each router has an equal part of it, whether it can reach
+// the group or not; the number of routers is bounded. A tenth lets a router that is cut off continue at a low rate, and costs little
+// while none is.
 const ReservedRatio = 0.1
 
-// UsableRatio is the ratio of what servers can do that is given out: beyond it their queues grow, and they reject by chance what comes
-// within every tenant's rate.
+// UsableRatio is the fraction of the servers' capacity that is granted or reserved. Above it the queues of the servers grow, and the
+// servers reject requests at random, even those within the rate of their tenant.
 const UsableRatio = 0.85
 
-// Capacity is what there is in a cell: the requests a second that each of its servers can do, and the tenants that live there.
+// Capacity is the capacity of a cell: the requests a second that each server can process, and the tenants of the cell.
 type Capacity struct {
 	Servers map[string]float64
 	Tenants map[string]Tenant
 }
 
-// Tenant is a tenant of a cell: the requests a second that it has agreed on, and the servers that its requests go to, to whichever has
-// capacity.
+// Tenant is a tenant of a cell: its agreed rate in requests a second, and the servers that process its requests. Each request goes to
+// any of these servers that has free capacity.
 type Tenant struct {
 	Rate    float64
 	Servers []string
 }
 
-// CapacityOf is the capacity of a map's cells at a time, by their names. It is the same until the map's next change by the time alone.
+// CapacityOf returns the capacity of each cell of a map at a time, by cell name. It stays valid until the next change that the map makes
+// by time alone.
 func CapacityOf(m *cells.Map, now time.Time) map[string]Capacity {
 	all := map[string]Capacity{}
 	for _, c := range m.Cells {
@@ -64,7 +66,7 @@
 			continue
 		}
 		servers := route.Servers
-		if t.Name == "" { // those that are not named have a shard each
+		if t.Name == "" { // each unlisted tenant has a shard of its own
 			servers = slices.Sorted(maps.Keys(all[route.Cell].Servers))
 		}
 		all[route.Cell].Tenants[t.Name] = Tenant{t.Rate, servers}
@@ -72,17 +74,19 @@
 	return all
 }
 
-// constraint is some servers of a cell and the tenants whose requests go to these alone: together they get no more than these can do.
+// constraint is a set of servers of a cell and the tenants whose requests go to these servers only. Together the tenants get no more
+// than the capacity of the servers.
 type constraint struct {
 	capacity float64 // requests a second
 	tenants  []string
 }
 
-// maxPairedShards bounds the shards of which all pairs are looked at, 120 of them; with more, only each by itself and the whole cell
-// are, so that the cost stays linear.
+// maxPairedShards is the highest number of shards of which all pairs are constraints (120 pairs). With more shards only the single
+// shards and the whole cell are, so that the cost stays linear.
 const maxPairedShards = 16
 
-// constraints are all that bound the tenants of a cell: each shard, two that may overlap, and the cell.
+// constraints returns the constraints on the tenants of a cell: one for each shard, one for each pair of shards, as they may overlap,
+// and one for the cell.
 func (c Capacity) constraints() (list []constraint) {
 	names := slices.Sorted(maps.Keys(c.Tenants))
 	for _, set := range c.serverSets(names) {
@@ -104,7 +108,7 @@
 	return list
 }
 
-// serverSets are the shards of the named tenants, the pairs of them, and the cell, each once.
+// serverSets returns the shards of the named tenants, the unions of two shards, and all servers of the cell, each set once.
 func (c Capacity) serverSets(tenants []string) (sets [][]string) {
 	add := func(set []string) {
 		if len(set) > 0 && !slices.ContainsFunc(sets, func(other []string) bool { return slices.Equal(other, set) }) {
--- a/internal/policy/quota/targets.go
+++ b/internal/policy/quota/targets.go
@@ -6,17 +6,17 @@
 	"slices"
 )
 
-// Targets: what each router should have of a cell. Inputs: the capacity, and the requests a second that each router says that it was
-// asked for of each tenant. The cell is divided among tenants by weighted max-min, by the rates that they have agreed on, and each
-// tenant's rate among the routers that bring its requests.
+// Parameters of the target rates. Inputs are the capacity of a cell and the demand that each router reports for each tenant, in requests
+// a second. The capacity is divided among the tenants by weighted max-min fairness, with the agreed rates as weights. The rate of each
+// tenant is then divided among the routers that forward its requests.
 const (
-	demandDeviations = 2.0  // standard deviations that a demand gets beyond what was observed, as it was observed for a short time
-	minTenantRate    = 1e-3 // requests a second, the weight of a tenant that has agreed on nothing
-	idleRouterWeight = 0.02 // of all that a tenant is asked for: a router that brings nothing yet has so much to begin with
+	demandDeviations = 2.0  // standard deviations added to an observed demand, because it was observed for a short time
+	minTenantRate    = 1e-3 // requests a second; weight of a tenant without an agreed rate
+	idleRouterWeight = 0.02 // fraction of a tenant's total demand, added to each router's weight as the initial rate of an idle router
 )
 
-// Targets are the rates of one cell that all routers should have, by router and tenant, by the demand that they report, likewise. A
-// router that brings nothing of a tenant keeps a little to begin with.
+// Targets returns the target rates of all routers for one cell, by router and tenant, given their demand by router and tenant. A router
+// without requests of a tenant gets a small initial rate.
 func Targets(c Capacity, demand map[string]map[string]float64) map[string]map[string]float64 {
 	routers := slices.Sorted(maps.Keys(demand))
 	targets, sums := map[string]map[string]float64{}, map[string]float64{}
@@ -39,7 +39,7 @@
 	return targets
 }
 
-// divide divides a ratio of a cell among its tenants by what each demands, nil for nothing.
+// divide divides a ratio of the capacity of a cell among its tenants by their demands. If demands is nil, all demands are 0.
 func (c Capacity) divide(ratio float64, demands map[string]float64) map[string]float64 {
 	var capacities []float64
 	claims, names := map[string]*Claim{}, slices.Sorted(maps.Keys(c.Tenants))
@@ -63,8 +63,8 @@
 	return rates
 }
 
-// paddedDemand is the rate that a router is to have that was asked for a rate of late: with what chance adds to it, as that rate was
-// observed over twice demandSpan only.
+// paddedDemand returns the rate that a router needs for an observed demand: the demand plus demandDeviations standard deviations plus
+// one request a second. The observation covers only about twice demandTimeConstant.
 func paddedDemand(rate float64) float64 {
 	if rate <= 0 {
 		return 0
