--- a/internal/policy/admission/arrivalgate_test.go
+++ b/internal/policy/admission/arrivalgate_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// A gate closes after many rejections in a row, for less than a tick, and a request that was accepted opens it.
+// A gate closes after many consecutive rejections, for less than a tick, and an accepted request opens it.
 func TestArrivalGateClosesOnFloodOnly(t *testing.T) {
 	var g ArrivalGate
 	for range closeThreshold - 1 {
@@ -18,9 +18,9 @@
 		t.Errorf("closed until %v", g.ClosedUntil())
 	}
 	if g.Accepted(); g.Closed(0) {
-		t.Error("still closed after one was accepted")
+		t.Error("still closed after an accepted request")
 	}
-	for now := time.Duration(0); now < time.Minute; now += maxRejectionGap + 1 { // rejections here and there are no flood
+	for now := time.Duration(0); now < time.Minute; now += maxRejectionGap + 1 { // rare rejections are not a flood
 		if g.Rejected(now); g.Closed(now) {
 			t.Fatal("closed without a flood")
 		}
--- a/internal/policy/admission/config.go
+++ b/internal/policy/admission/config.go
@@ -51,7 +51,7 @@
 func (c Config) checkPools() error {
 	names, classes := map[string]int{}, map[string]int{}
 	var floors float64
-	catchAll := -1 // index of the pool without classes
+	catchAllIndex := -1 // index of the pool without classes
 	for i, p := range c.Pools {
 		path := fmt.Sprintf("pools[%d]", i)
 		if p.Name == "" {
@@ -69,10 +69,10 @@
 		}
 		floors += p.Floor
 		if len(p.Classes) == 0 {
-			if catchAll >= 0 {
-				return fmt.Errorf("%s.classes: empty, but pools[%d] already has the classes that no pool lists", path, catchAll)
+			if catchAllIndex >= 0 {
+				return fmt.Errorf("%s.classes: empty, but pools[%d] already has the classes that no pool lists", path, catchAllIndex)
 			}
-			catchAll = i
+			catchAllIndex = i
 		}
 		for _, class := range p.Classes {
 			if j, duplicate := classes[class]; duplicate {
--- a/internal/policy/admission/controller.go
+++ b/internal/policy/admission/controller.go
@@ -126,12 +126,12 @@
 // buildPools creates the pools of cfg, with all counts at 0.
 func (c *Controller) buildPools(cfg Config) {
 	c.pools, c.byClass, c.catchAll = nil, map[string]*pool{}, nil
-	for _, set := range cfg.Pools {
-		p := c.addPool(set)
-		for _, class := range set.Classes {
+	for _, poolConfig := range cfg.Pools {
+		p := c.addPool(poolConfig)
+		for _, class := range poolConfig.Classes {
 			c.byClass[class] = p
 		}
-		if len(set.Classes) == 0 {
+		if len(poolConfig.Classes) == 0 {
 			c.catchAll = p
 		}
 	}
@@ -140,8 +140,8 @@
 	}
 }
 
-func (c *Controller) addPool(set Pool) *pool {
-	p := &pool{Pool: set, index: len(c.pools), meanRunTime: c.meanBurst, meanBurst: c.meanBurst}
+func (c *Controller) addPool(poolConfig Pool) *pool {
+	p := &pool{Pool: poolConfig, index: len(c.pools), meanRunTime: c.meanBurst, meanBurst: c.meanBurst}
 	c.pools = append(c.pools, p)
 	return p
 }
--- a/internal/policy/quota/ledger.go
+++ b/internal/policy/quota/ledger.go
@@ -150,16 +150,16 @@
 // capacity that can be granted.
 func (l *Ledger) clamp(now time.Duration, cell string, c Capacity, to *borrower, target map[string]float64) map[string]float64 {
 	constraints := c.constraints()
-	left := make([]float64, len(constraints))
+	remaining := make([]float64, len(constraints))
 	for i, bound := range constraints {
-		left[i] = bound.capacity * (1 - ReservedRatio)
+		remaining[i] = bound.capacity * (1 - ReservedRatio)
 	}
 	for _, other := range l.routers {
 		if other == to {
 			continue
 		}
 		for i, rate := range l.maxInUse(now, cell, constraints, other) {
-			left[i] -= rate
+			remaining[i] -= rate
 		}
 	}
 	clamped := maps.Clone(target)
@@ -170,7 +170,7 @@
 		}
 		for _, tenant := range bound.tenants {
 			if sum > 0 {
-				clamped[tenant] = min(clamped[tenant], target[tenant]*max(0, left[i])/sum)
+				clamped[tenant] = min(clamped[tenant], target[tenant]*max(0, remaining[i])/sum)
 			}
 		}
 	}
--- a/internal/policy/quota/targets.go
+++ b/internal/policy/quota/targets.go
@@ -12,7 +12,7 @@
 const (
 	demandDeviations = 2.0  // standard deviations added to an observed demand, because it was observed for a short time
 	minTenantRate    = 1e-3 // requests a second; weight of a tenant without an agreed rate
-	idleRouterWeight = 0.02 // fraction of a tenant's total demand, added to each router's weight as the initial rate of an idle router
+	baseRouterWeight = 0.02 // fraction of a tenant's total demand, added to each router's weight as the initial rate of an idle router
 )
 
 // Targets returns the target rates of all routers for one cell, by router and tenant, given their demand by router and tenant. A router
@@ -30,7 +30,7 @@
 		claims := make([]Claim, len(routers))
 		for j, r := range routers {
 			routerDemand := paddedDemand(demand[r][tenant])
-			claims[j] = Claim{routerDemand + idleRouterWeight*(sums[tenant]+1), routerDemand, []int{0}}
+			claims[j] = Claim{routerDemand + baseRouterWeight*(sums[tenant]+1), routerDemand, []int{0}}
 		}
 		for j, share := range MaxMin([]float64{rate}, claims) {
 			targets[routers[j]][tenant] = share
