--- a/internal/policy/quota/holder.go
+++ b/internal/policy/quota/holder.go
@@ -8,150 +8,152 @@
 	"silverpath/internal/policy/lease"
 )
 
-// Admission within a quota. Inputs: the grant of the group's leader and its lease, the router's reserve, and the requests of each key.
-// A key's requests are admitted by a token bucket that the key's rate fills: what the router was lent while the lease holds, and its
-// reserve. What it was asked for of late, admitted or not, is the demand that it tells the leader.
+// Parameters of admission within a quota. Inputs are the grant of the group's leader with its lease, the router's reserve, and the
+// requests of each key. A token bucket admits the requests of a key. It is filled at the rate of the key: the granted rate while the
+// lease is valid, plus the reserve. The rate of recent requests, admitted or not, is the demand that the router reports to the leader.
 const (
-	demandSpan    = 1.0         // seconds over which demand is averaged; longer follows a shift of load later, shorter is moved by chance
-	burstSpan     = 1.0         // seconds of a rate that may be used at once
-	minBurst      = 6.0         // requests that may be used at once, so that a rate of less than one a second is of use
-	minDemand     = 0.01        // requests a second; less is not told
-	forgetAfter   = time.Minute // without a request, of a key whose demand is under minDemand
-	maxKeysListed = 256         // keys that Rates lists whatever they are; more are too long for a status
+	demandTimeConstant = 1.0         // seconds over which demand is averaged: longer follows a shift of load later, shorter follows noise
+	burstSeconds       = 1.0         // seconds of a rate that may be used at once
+	minBurst           = 6.0         // requests that may be used at once, so that a rate below one a second is usable
+	minDemand          = 0.01        // requests a second; lower demand is not reported
+	keyIdleTimeout     = time.Minute // time without a request after which a key with less than minDemand is deleted
+	maxKeysListed      = 256         // reserved keys up to which Rates lists all of them; more would make the status too long
 )
 
-// Holder is the side of a router: what it was lent, what it is asked for, and whether one more request is within its quota. All times
-// are the router's own monotonic clock. It is not safe for concurrent use: the proxy calls it under its lock.
+// Holder is the side of a router: its grant, its demand, and the decision whether a request is within the quota. All times are of the
+// router's own monotonic clock. It is not safe for concurrent use: the proxy calls it under its lock.
 type Holder struct {
-	maxRouters   int
-	hasReserve   bool // no second router can be there under its name, so that it has its part of the reserve
-	grantSeq     uint64
-	leaseUntil   time.Duration
-	lent         map[Key]float64
-	reserved     map[Key]float64
-	reservedSums map[string]float64 // by cell
-	keys         map[Key]*keyUse
-	counts       Counts
+	maxRouters      int
+	hasReserve      bool // no other router can run under the same name, so this one has its part of the reserve
+	grantSeq        uint64
+	leaseUntil      time.Duration
+	granted         map[Key]float64
+	reserved        map[Key]float64
+	reservedPerCell map[string]float64 // sum of reserved, by cell
+	usage           map[Key]*keyUsage
+	counts          Counts
 }
 
-// Counts are what a holder has decided since the start.
+// Counts are the numbers of decisions of a holder since the start.
 type Counts struct {
 	Within uint64 // requests that were admitted
-	Beyond uint64 // and those that were beyond the quota
+	Beyond uint64 // requests beyond the quota, which were not admitted
 }
 
-// keyUse is what a key is asked for, and its token bucket.
-type keyUse struct {
-	demand   float64 // requests a second, a moving average
-	demandAt time.Duration
+// keyUsage is the demand and the token bucket of a key.
+type keyUsage struct {
+	demand   float64       // requests a second, moving average
+	demandAt time.Duration // time to which the average has decayed
 	tokens   float64
-	filledAt time.Duration
+	filledAt time.Duration // time of the last refill of the bucket
 }
 
-// NewHolder returns the side of one of at most so many routers. HasReserve says that nobody else can be there under its name.
+// NewHolder returns the holder of one of at most maxRouters routers. hasReserve says that no other router can run under the same name.
 func NewHolder(maxRouters int, hasReserve bool) *Holder {
-	return &Holder{maxRouters: maxRouters, hasReserve: hasReserve, lent: map[Key]float64{}, keys: map[Key]*keyUse{}}
+	return &Holder{maxRouters: maxRouters, hasReserve: hasReserve, granted: map[Key]float64{}, usage: map[Key]*keyUsage{}}
 }
 
-// SetCapacity sets the capacity of cells, by their names, of which the reserve is a part. It is called with each new cell map and at
-// its changes by the time alone.
+// SetCapacity sets the capacity of each cell, by cell name, from which the reserve is computed. It must be called with each new cell map
+// and at each change that the map makes by time alone.
 func (h *Holder) SetCapacity(cells map[string]Capacity) {
-	h.reserved, h.reservedSums = map[Key]float64{}, map[string]float64{}
+	h.reserved, h.reservedPerCell = map[Key]float64{}, map[string]float64{}
 	if !h.hasReserve {
 		return
 	}
 	for cell, c := range cells {
 		for tenant, rate := range c.divide(ReservedRatio/float64(h.maxRouters), nil) {
 			h.reserved[Key{cell, tenant}] = rate
-			h.reservedSums[cell] += rate
+			h.reservedPerCell[cell] += rate
 		}
 	}
 }
 
-// TakeGrant takes a grant that was asked for at a time, by a request that said which grant was in use then. One that was overtaken says
-// nothing: the leader counts it until a later one is in use. Nor does one for a request from before what is in use now: another leader
-// may have lent since what that request said was in use.
-func (h *Holder) TakeGrant(asked time.Duration, applied uint64, g Grant, terms lease.Terms) {
+// TakeGrant applies a grant that was requested at requestedAt, by a request that reported applied as the grant in use. It ignores a
+// grant that is not newer than the one in use, because the leader stops counting a grant once the router reports a later one. It also
+// ignores a grant whose request reported an earlier grant: another leader may since have granted the rates that the request reported as
+// in use.
+func (h *Holder) TakeGrant(requestedAt time.Duration, applied uint64, g Grant, terms lease.Terms) {
 	if g.Seq <= h.grantSeq || applied != h.grantSeq {
 		return
 	}
-	h.grantSeq, h.leaseUntil, h.lent = g.Seq, asked+terms.HolderTTL(), map[Key]float64{}
+	h.grantSeq, h.leaseUntil, h.granted = g.Seq, requestedAt+terms.HolderTTL(), map[Key]float64{}
 	for _, a := range g.Rates {
-		h.lent[Key{a.Cell, a.Tenant}] = a.Rate
+		h.granted[Key{a.Cell, a.Tenant}] = a.Rate
 	}
 }
 
-// Rate is what may be used of a key now, in requests a second: what is lent while the lease holds, and the reserve.
+// Rate returns the current rate of a key in requests a second: the granted rate while the lease is valid, plus the reserve.
 func (h *Holder) Rate(now time.Duration, k Key) float64 {
 	rate := 0.0
 	if now < h.leaseUntil {
-		rate = h.lent[k]
+		rate = h.granted[k]
 	}
 	return rate + h.reserved[k]
 }
 
-// Rates are what may be used now, in requests a second, by key: of many keys those that something is lent of, or that were asked for of
-// late. Rest is the reserve of all others in each cell. It runs over the former alone, as a map has thousands of tenants.
+// Rates returns the current rates in requests a second. If there are many keys, list contains only those with a granted rate or a recent
+// request, and rest is the reserve of all other keys of each cell. The cost depends on the listed keys only, because a map has thousands
+// of tenants.
 func (h *Holder) Rates(now time.Duration) (list map[Key]float64, rest map[string]float64) {
-	list, rest = map[Key]float64{}, maps.Clone(h.reservedSums)
-	add := func(k Key) {
+	list, rest = map[Key]float64{}, maps.Clone(h.reservedPerCell)
+	addKey := func(k Key) {
 		if _, ok := list[k]; !ok {
 			list[k] = h.Rate(now, k)
 			rest[k.Cell] = max(0, rest[k.Cell]-h.reserved[k])
 		}
 	}
-	for k := range h.keys {
-		add(k)
+	for k := range h.usage {
+		addKey(k)
 	}
 	if now < h.leaseUntil {
-		for k := range h.lent {
-			add(k)
+		for k := range h.granted {
+			addKey(k)
 		}
 	}
 	if len(h.reserved) <= maxKeysListed {
 		for k := range h.reserved {
-			add(k)
+			addKey(k)
 		}
 	}
 	return list, rest
 }
 
-// Request is the router's request to the group's leader. Keys that were not asked for in forgetAfter are forgotten.
+// Request returns the router's request to the group's leader. It deletes keys without a request in keyIdleTimeout.
 func (h *Holder) Request(now time.Duration) Request {
 	r := Request{MaxRouters: h.maxRouters, Applied: h.grantSeq}
 	if now < h.leaseUntil {
-		for k, rate := range h.lent {
+		for k, rate := range h.granted {
 			r.Rates = append(r.Rates, Allocation{k.Cell, k.Tenant, rate})
 		}
 	}
-	for k, u := range h.keys {
+	for k, u := range h.usage {
 		u.decay(now)
 		if u.demand > minDemand {
 			r.Demand = append(r.Demand, Allocation{k.Cell, k.Tenant, u.demand})
-		} else if now-u.filledAt > forgetAfter {
-			delete(h.keys, k)
+		} else if now-u.filledAt > keyIdleTimeout {
+			delete(h.usage, k)
 		}
 	}
 	return r
 }
 
-// decay brings the moving average of the demand to a time.
-func (u *keyUse) decay(now time.Duration) {
-	u.demand *= math.Exp(-(now - u.demandAt).Seconds() / demandSpan)
+// decay advances the moving average of the demand to now.
+func (u *keyUsage) decay(now time.Duration) {
+	u.demand *= math.Exp(-(now - u.demandAt).Seconds() / demandTimeConstant)
 	u.demandAt = now
 }
 
-// Admit counts a request of a key as asked for, and reports whether it is within the quota.
+// Admit adds a request to the demand of a key and reports whether it is within the quota.
 func (h *Holder) Admit(now time.Duration, k Key) bool {
-	u := h.keys[k]
+	u := h.usage[k]
 	if u == nil {
-		u = &keyUse{demandAt: now, filledAt: now, tokens: minBurst}
-		h.keys[k] = u
+		u = &keyUsage{demandAt: now, filledAt: now, tokens: minBurst}
+		h.usage[k] = u
 	}
 	u.decay(now)
-	u.demand += 1 / demandSpan
+	u.demand += 1 / demandTimeConstant
 	rate := h.Rate(now, k)
-	u.tokens = min(u.tokens+rate*(now-u.filledAt).Seconds(), max(minBurst, rate*burstSpan))
+	u.tokens = min(u.tokens+rate*(now-u.filledAt).Seconds(), max(minBurst, rate*burstSeconds))
 	u.filledAt = now
 	if u.tokens < 1 {
 		h.counts.Beyond++
@@ -162,8 +164,8 @@
 	return true
 }
 
-// Counts returns what was decided since the start.
+// Counts returns the numbers of decisions since the start.
 func (h *Holder) Counts() Counts { return h.counts }
 
-// HasLease reports whether there are rates whose lease holds.
+// HasLease reports whether the lease of the latest grant is valid.
 func (h *Holder) HasLease(now time.Duration) bool { return now < h.leaseUntil }
