--- a/internal/policy/hotrestart/coordinator.go
+++ b/internal/policy/hotrestart/coordinator.go
@@ -81,7 +81,7 @@
 	unknownUntil  int64 // requests that reached the machine until then (Unix nanoseconds) may repeat a run that is not known here
 	marks         int   // runs that needed the mark
 	claims        map[string]*claim
-	listed        map[string]bool // keys of the runs that came on this link, until all have
+	listedKeys    map[string]bool // keys of the runs that came on this link, until all have
 	effects       Effects
 }
 
@@ -94,7 +94,7 @@
 
 // New returns the half of a process that has no slot yet.
 func New(e Executions) *Coordinator {
-	return &Coordinator{executions: e, claims: map[string]*claim{}, listed: map[string]bool{}}
+	return &Coordinator{executions: e, claims: map[string]*claim{}, listedKeys: map[string]bool{}}
 }
 
 // TakeEffects returns the effects since the last call.
@@ -175,15 +175,15 @@
 func (c *Coordinator) LinkUp() {
 	c.linked, c.helloReceived, c.synced = true, false, false
 	c.effects.Send = nil
-	clear(c.listed)
+	clear(c.listedKeys)
 	c.send(Message{Kind: Hello, StartedAt: c.startedAt, PeerStartedAt: c.peerStartedAt, Sole: c.servedAlone(), Evacuated: c.evacuated,
 		EvacuationSeq: c.evacuationSeq, Ready: c.ready, UnknownUntil: c.unknownUntil})
 }
 
 // LinkDown is told when the link is gone, and the other not known to be dead. Unread says that something that the other wrote may not
 // have been read.
-func (c *Coordinator) LinkDown(unread bool) {
-	c.everSynced = c.everSynced && !unread
+func (c *Coordinator) LinkDown(mayHaveUnread bool) {
+	c.everSynced = c.everSynced && !mayHaveUnread
 	c.linked, c.helloReceived, c.synced = false, false, false
 	c.effects.Send = nil
 	c.effects.Changed = true
@@ -216,7 +216,7 @@
 		c.receiveStatus(m)
 	case Run:
 		if !c.synced {
-			c.listed[m.Execution.Key] = true
+			c.listedKeys[m.Execution.Key] = true
 		}
 		c.executions.Apply(m.Execution)
 	case Released:
@@ -227,8 +227,8 @@
 		}
 		c.synced, c.everSynced = true, true
 		// What the other does not have any more it abandoned while there was no link, or never got.
-		c.executions.Retain(func(key string) bool { return c.listed[key] })
-		clear(c.listed)
+		c.executions.Retain(func(key string) bool { return c.listedKeys[key] })
+		clear(c.listedKeys)
 		c.effects.Changed = true
 	case Claim:
 		return c.receiveClaim(m)
@@ -248,7 +248,7 @@
 	if m.PeerStartedAt != 0 && m.PeerStartedAt != c.startedAt {
 		return ErrStaleIdentity
 	}
-	role, err := c.settleRole(m, until)
+	role, err := c.negotiateRole(m, until)
 	if err != nil {
 		return err
 	}
@@ -268,10 +268,10 @@
 // servedAlone reports whether this process has been the one that serves.
 func (c *Coordinator) servedAlone() bool { return c.role == Sole || c.role == Predecessor }
 
-// settleRole is this process's role to one that introduces itself: the predecessor is the process that has served alone, else the one that
+// negotiateRole is this process's role to one that introduces itself: the predecessor is the process that has served alone, else the one that
 // started first, of two that started at once the one in slot 0. Where neither has served alone each saw another before it served, and
 // neither knows what had run by then.
-func (c *Coordinator) settleRole(m Message, until int64) (Role, error) {
+func (c *Coordinator) negotiateRole(m Message, until int64) (Role, error) {
 	predecessor := c.servedAlone()
 	if predecessor && m.Sole {
 		return c.role, errors.New("both have served alone")
--- a/internal/policy/hotrestart/decisions_test.go
+++ b/internal/policy/hotrestart/decisions_test.go
@@ -13,39 +13,39 @@
 // table is the runs of one process and what it was told of the other's.
 type executionTable map[string]Execution
 
-func (k executionTable) Find(key string, _ int64) (Execution, bool) { f, ok := k[key]; return f, ok }
-func (k executionTable) Apply(f Execution)                          { f.Remote = true; k[f.Key] = f }
-func (k executionTable) Forget(key string) {
-	if k[key].Remote {
-		delete(k, key)
+func (t executionTable) Find(key string, _ int64) (Execution, bool) { e, ok := t[key]; return e, ok }
+func (t executionTable) Apply(e Execution)                          { e.Remote = true; t[e.Key] = e }
+func (t executionTable) Forget(key string) {
+	if t[key].Remote {
+		delete(t, key)
 	}
 }
 
-func (k executionTable) Local() (list []Execution) {
-	for _, key := range slices.Sorted(maps.Keys(k)) {
-		if f := k[key]; !f.Remote {
-			list = append(list, f)
+func (t executionTable) Local() (list []Execution) {
+	for _, key := range slices.Sorted(maps.Keys(t)) {
+		if e := t[key]; !e.Remote {
+			list = append(list, e)
 		}
 	}
 	return list
 }
 
-func (k executionTable) PeerLost(mayHaveRun func(f Execution) bool) {
-	for key, f := range k {
-		if f.Remote && f.Stage < Succeeded {
-			if f.Stage = Failed; mayHaveRun(f) {
-				k[key] = f
+func (t executionTable) PeerLost(mayHaveRun func(e Execution) bool) {
+	for key, e := range t {
+		if e.Remote && e.Stage < Succeeded {
+			if e.Stage = Failed; mayHaveRun(e) {
+				t[key] = e
 			} else {
-				delete(k, key)
+				delete(t, key)
 			}
 		}
 	}
 }
 
-func (k executionTable) Retain(listed func(key string) bool) {
-	for key, f := range k {
-		if f.Remote && f.Stage < Succeeded && !listed(key) {
-			delete(k, key)
+func (t executionTable) Retain(listed func(key string) bool) {
+	for key, e := range t {
+		if e.Remote && e.Stage < Succeeded && !listed(key) {
+			delete(t, key)
 		}
 	}
 }
@@ -57,71 +57,71 @@
 	for seed := range uint64(40) {
 		rng := rand.New(rand.NewPCG(seed, 30))
 		var sides [2]*Coordinator
-		var runs [2]executionTable
-		var way [2][]Message // to each
+		var tables [2]executionTable
+		var inbox [2][]Message // to each
 		linked := false
 		now := int64(0)
-		born := func(i int) {
-			runs[i] = executionTable{}
-			sides[i] = New(runs[i])
+		start := func(i int) {
+			tables[i] = executionTable{}
+			sides[i] = New(tables[i])
 			sides[i].SlotTaken(now+1, i)
 		}
-		say := func(i int) {
+		recordEffects := func(i int) {
 			s := sides[i]
-			fx := s.TakeEffects()
-			out := "-"
-			if fx.Evacuated != nil {
-				out = fmt.Sprint(*fx.Evacuated)
+			effects := s.TakeEffects()
+			evacuated := "-"
+			if effects.Evacuated != nil {
+				evacuated = fmt.Sprint(*effects.Evacuated)
 			}
-			fmt.Fprintln(h, i, s.Role(), s.MayServe(), s.HasPeer(), s.SuccessorReady(), s.UnknownUntil(), s.PeerStartedAt(), s.Marks(), fx.Changed, out, fx.ClearMark, fx.Marks)
-			for _, m := range fx.Send {
+			fmt.Fprintln(h, i, s.Role(), s.MayServe(), s.HasPeer(), s.SuccessorReady(), s.UnknownUntil(), s.PeerStartedAt(), s.Marks(), effects.Changed, evacuated, effects.ClearMark, effects.Marks)
+			for _, m := range effects.Send {
 				fmt.Fprintln(h, " ", m)
-				way[1-i] = append(way[1-i], m)
+				inbox[1-i] = append(inbox[1-i], m)
 			}
 		}
-		cut := func(unread bool) {
-			linked, way = false, [2][]Message{}
+		breakLink := func(mayHaveUnread bool) {
+			linked, inbox = false, [2][]Message{}
 			for i := range sides {
-				sides[i].LinkDown(unread)
-				say(i)
+				sides[i].LinkDown(mayHaveUnread)
+				recordEffects(i)
 			}
 		}
-		born(0)
+		start(0)
 		sides[0].PeerAbsent(false, now)
-		say(0)
-		born(1)
+		recordEffects(0)
+		start(1)
 		sides[1].PeerPresent()
 		for range 400 {
 			now += int64(rng.IntN(5))
 			i := rng.IntN(2)
 			s := sides[i]
 			key := fmt.Sprint("k", rng.IntN(12))
-			f := Execution{Key: key, ID: fmt.Sprint(i, now), Fingerprint: 7, ReceivedAt: now, ExpiresAt: now + 50, Window: time.Second}
+			e := Execution{Key: key, ID: fmt.Sprint(i, now), Fingerprint: 7, ReceivedAt: now, ExpiresAt: now + 50, Window: time.Second}
 			switch rng.IntN(14) {
 			case 0:
 				if !linked {
 					linked = true
 					sides[0].LinkUp()
 					sides[1].LinkUp()
-					say(0)
-					say(1)
+					recordEffects(0)
+					recordEffects(1)
 				}
 			case 1:
 				if linked && rng.IntN(4) == 0 {
-					cut(rng.IntN(2) == 0)
+					breakLink(rng.IntN(2) == 0)
 				}
 			case 2: // one dies, and another one starts in its place
 				if rng.IntN(6) > 0 {
 					continue
 				}
 				other := 1 - i
-				linked, way = false, [2][]Message{}
+				linked, inbox = false, [2][]Message{}
 				if rng.IntN(2) == 0 {
 					sides[other].LinkDown(rng.IntN(2) == 0)
 				}
 				sides[other].PeerAbsent(rng.IntN(2) == 0, now)
-				say(other)
-				born(i)
+				recordEffects(other)
+				start(i)
 				sides[other].PeerPresent()
 				s = sides[i]
 				s.PeerPresent()
@@ -131,59 +131,59 @@
 				s.SetReady(rng.IntN(2) == 0)
 			case 5, 6:
 				s.BeginClaim(key)
-				v := s.CheckClaim(f)
-				fmt.Fprintln(h, "ask", i, key, v)
-				if _, known := runs[i].Find(key, now); v == Granted && !known {
-					runs[i][key] = f
+				state := s.CheckClaim(e)
+				fmt.Fprintln(h, "ask", i, key, state)
+				if _, known := tables[i].Find(key, now); state == Granted && !known {
+					tables[i][key] = e
 				} else if rng.IntN(3) == 0 {
 					s.EndClaim(key, now)
 				}
 			case 7, 8, 9:
-				own := runs[i].Local()
-				if len(own) == 0 {
+				local := tables[i].Local()
+				if len(local) == 0 {
 					continue
 				}
-				f := own[rng.IntN(len(own))]
+				e := local[rng.IntN(len(local))]
 				switch {
-				case f.Stage == Queued && rng.IntN(4) == 0:
-					delete(runs[i], f.Key)
-					s.RequestDropped(f.Key)
-					s.EndClaim(f.Key, now)
-				case f.Stage == Queued:
-					f.Stage = Running
-					runs[i][f.Key] = f
-					n := s.RunStarts(f)
-					fmt.Fprintln(h, "starts", i, f.Key, n)
-					if n == NoticeByLink && rng.IntN(9) == 0 {
+				case e.Stage == Queued && rng.IntN(4) == 0:
+					delete(tables[i], e.Key)
+					s.RequestDropped(e.Key)
+					s.EndClaim(e.Key, now)
+				case e.Stage == Queued:
+					e.Stage = Running
+					tables[i][e.Key] = e
+					notice := s.RunStarts(e)
+					fmt.Fprintln(h, "starts", i, e.Key, notice)
+					if notice == NoticeByLink && rng.IntN(9) == 0 {
 						s.NoticeLost()
 					}
-				case f.Stage == Running:
-					f.Stage, f.Result = Succeeded, []byte("result")
-					runs[i][f.Key] = f
-					s.RunEnded(f)
-					s.EndClaim(f.Key, now)
+				case e.Stage == Running:
+					e.Stage, e.Result = Succeeded, []byte("result")
+					tables[i][e.Key] = e
+					s.RunEnded(e)
+					s.EndClaim(e.Key, now)
 				}
 			default:
-				if !linked || len(way[i]) == 0 {
+				if !linked || len(inbox[i]) == 0 {
 					continue
 				}
-				m := way[i][0]
-				way[i] = way[i][1:]
+				m := inbox[i][0]
+				inbox[i] = inbox[i][1:]
 				if err := s.Receive(m, now); err != nil {
 					fmt.Fprintln(h, "receive", i, err)
-					cut(true)
+					breakLink(true)
 					continue
 				}
 				if rng.IntN(4) == 0 {
-					clear, marks := s.TakeClearMark()
-					fmt.Fprintln(h, clear, marks)
+					clearMark, marks := s.TakeClearMark()
+					fmt.Fprintln(h, clearMark, marks)
 				}
 			}
-			say(i)
+			recordEffects(i)
 		}
-		for i := range runs {
-			for _, key := range slices.Sorted(maps.Keys(runs[i])) {
-				fmt.Fprintln(h, i, runs[i][key])
+		for i := range tables {
+			for _, key := range slices.Sorted(maps.Keys(tables[i])) {
+				fmt.Fprintln(h, i, tables[i][key])
 			}
 		}
 	}
--- a/internal/policy/lifecycle/lifecycle_test.go
+++ b/internal/policy/lifecycle/lifecycle_test.go
@@ -8,28 +8,28 @@
 
 // Every pair of state and event, whole: where it leads and what the operator is told.
 func TestEveryEventInEveryState(t *testing.T) {
-	no := func(s State) Outcome { return Outcome{To: s} }
-	yes := func(s State) Outcome { return Outcome{To: s, OK: true} }
+	rejected := func(s State) Outcome { return Outcome{To: s} }
+	accepted := func(s State) Outcome { return Outcome{To: s, OK: true} }
 	want := [states][events]Outcome{ //  Up, Evacuate, Rejoin, Leave, End
-		Starting:          {yes(Serving), yes(EvacuatedStarting), yes(Starting), yes(Draining), yes(Stopped)},
-		EvacuatedStarting: {yes(Evacuated), yes(EvacuatedStarting), yes(Starting), yes(Draining), yes(Stopped)},
-		Serving:           {yes(Serving), yes(Evacuated), yes(Serving), yes(Draining), yes(Stopped)},
-		Evacuated:         {yes(Evacuated), yes(Evacuated), yes(Serving), yes(Draining), yes(Stopped)},
-		Draining:          {no(Draining), yes(Draining), no(Draining), yes(Draining), yes(Stopped)},
-		Stopped:           {no(Stopped), yes(Stopped), no(Stopped), yes(Stopped), yes(Stopped)},
+		Starting:          {accepted(Serving), accepted(EvacuatedStarting), accepted(Starting), accepted(Draining), accepted(Stopped)},
+		EvacuatedStarting: {accepted(Evacuated), accepted(EvacuatedStarting), accepted(Starting), accepted(Draining), accepted(Stopped)},
+		Serving:           {accepted(Serving), accepted(Evacuated), accepted(Serving), accepted(Draining), accepted(Stopped)},
+		Evacuated:         {accepted(Evacuated), accepted(Evacuated), accepted(Serving), accepted(Draining), accepted(Stopped)},
+		Draining:          {rejected(Draining), accepted(Draining), rejected(Draining), accepted(Draining), accepted(Stopped)},
+		Stopped:           {rejected(Stopped), accepted(Stopped), rejected(Stopped), accepted(Stopped), accepted(Stopped)},
 	}
 	healthy := [states]bool{Starting: true, Serving: true}
 	ready := [states]bool{Serving: true}
-	leaving := [states]bool{Draining: true, Stopped: true}
+	shuttingDown := [states]bool{Draining: true, Stopped: true}
 	for s := range states {
 		for e := range events {
-			if a := s.On(e); a.To != want[s][e].To || a.OK != want[s][e].OK || a.Reason == "" {
-				t.Errorf("%v, %v: %+v, want %+v and why", s, e, a, want[s][e])
+			if got := s.On(e); got.To != want[s][e].To || got.OK != want[s][e].OK || got.Reason == "" {
+				t.Errorf("%v, %v: %+v, want %+v and why", s, e, got, want[s][e])
 			}
 		}
-		r, why := s.Ready()
-		if r != ready[s] || s.Healthy() != healthy[s] || s.ShuttingDown() != leaving[s] || why == "" {
-			t.Errorf("%v: ready %v, healthy %v, leaving %v, %q", s, r, s.Healthy(), s.ShuttingDown(), why)
+		isReady, reason := s.Ready()
+		if isReady != ready[s] || s.Healthy() != healthy[s] || s.ShuttingDown() != shuttingDown[s] || reason == "" {
+			t.Errorf("%v: ready %v, healthy %v, leaving %v, %q", s, isReady, s.Healthy(), s.ShuttingDown(), reason)
 		}
 	}
 }
@@ -38,17 +38,17 @@
 // is up and rejoined is ready.
 func TestOrders(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s, up, out, left := Starting, false, false, false
+		s, up, evacuated, leaving := Starting, false, false, false
 		for _, e := range rapid.SliceOf(rapid.SampledFrom([]Event{WorkerUp, Evacuate, Rejoin, Shutdown, Drained})).Draw(t, "events") {
-			a := s.On(e)
-			s = a.To
-			up, left = up || e == WorkerUp, left || e == Shutdown || e == Drained
-			out = (out || e == Evacuate) && e != Rejoin
-			r, _ := s.Ready()
-			if left != s.ShuttingDown() || r != (up && !out && !left) || !left && s.Healthy() == out {
-				t.Fatalf("after %v: %v, with up %v, out %v, left %v", e, s, up, out, left)
+			outcome := s.On(e)
+			s = outcome.To
+			up, leaving = up || e == WorkerUp, leaving || e == Shutdown || e == Drained
+			evacuated = (evacuated || e == Evacuate) && e != Rejoin
+			ready, _ := s.Ready()
+			if leaving != s.ShuttingDown() || ready != (up && !evacuated && !leaving) || !leaving && s.Healthy() == evacuated {
+				t.Fatalf("after %v: %v, with up %v, out %v, left %v", e, s, up, evacuated, leaving)
 			}
-			if (e == Evacuate || e == Rejoin) && !left && !a.OK {
+			if (e == Evacuate || e == Rejoin) && !leaving && !outcome.OK {
 				t.Fatalf("%v is refused", e)
 			}
 		}
--- a/internal/policy/loadbalancer/backpressure.go
+++ b/internal/policy/loadbalancer/backpressure.go
@@ -9,9 +9,9 @@
 // Retry-After gets nothing of that tenant until then. One that tells a credit gets no more requests in flight than that, one at least.
 // One in its slow start gets what it granted this router: policy/slowstart.
 
-// maxExcludedTenants bounds the tenants whose Retry-After is kept of a server; those that are over are dropped first, and all of them
+// maxRetryAfterTenants bounds the tenants whose Retry-After is kept of a server; those that are over are dropped first, and all of them
 // where that is not enough. Each costs a map entry, and a cell serves some dozens of tenants at a time.
-const maxExcludedTenants = 256
+const maxRetryAfterTenants = 256
 
 // Backpressure records what an answer to a tenant's request said beside its outcome: a credit, the requests that the server wants in
 // flight at most, 0 for none told, and a Retry-After, 0 for none. The Retry-After is for the tenant alone: a server rejects first who
@@ -25,18 +25,18 @@
 		s.credit = credit
 	}
 	if retryAfter > 0 {
-		if len(s.retryAfter) >= maxExcludedTenants {
+		if len(s.retryAfter) >= maxRetryAfterTenants {
 			maps.DeleteFunc(s.retryAfter, func(_ string, until time.Duration) bool { return now >= until })
 		}
-		if s.retryAfter == nil || len(s.retryAfter) >= maxExcludedTenants {
+		if s.retryAfter == nil || len(s.retryAfter) >= maxRetryAfterTenants {
 			s.retryAfter = map[string]time.Duration{}
 		}
 		s.retryAfter[tenant] = max(s.retryAfter[tenant], now+retryAfter)
 	}
 }
 
-// excludes reports whether a server asked to be left alone with a tenant's requests for now.
-func (s *server) excludes(now time.Duration, tenant string) bool { return now < s.retryAfter[tenant] }
+// inBackoff reports whether a server asked to be left alone with a tenant's requests for now.
+func (s *server) inBackoff(now time.Duration, tenant string) bool { return now < s.retryAfter[tenant] }
 
 // overCredit reports whether a server has as much in flight as it wants.
 func (s *server) overCredit() bool { return s.credit > 0 && float64(s.inFlight) >= max(1, s.credit) }
--- a/internal/policy/loadbalancer/ejection.go
+++ b/internal/policy/loadbalancer/ejection.go
@@ -50,7 +50,7 @@
 	if s := b.servers[name]; s != nil {
 		s.inFlight++
 		if s.circuit == CircuitHalfOpen {
-			s.trialOut = true
+			s.trialInFlight = true
 		}
 	}
 }
@@ -63,7 +63,7 @@
 		return
 	}
 	s.inFlight = max(0, s.inFlight-1)
-	s.trialOut = false
+	s.trialInFlight = false
 	failed := 0.0
 	switch o {
 	case Served:
--- a/internal/policy/loadbalancer/fairness.go
+++ b/internal/policy/loadbalancer/fairness.go
@@ -11,16 +11,16 @@
 // none, a tenant within its share of the window by agreed rates still is, up to overcommit times the window; one beyond its share only
 // into what those within theirs leave free. So a tenant that floods fills what is left over, and no more.
 const (
-	initialWindow   = 16.0                   // requests in flight for each server; too high costs some rejections, too low some idle time
-	minWindow       = 2.0                    // for each server, so that the window can find its way up again
-	windowDecrease  = 0.85                   // of what is in flight, when a server rejects a request
-	decreaseEvery   = 100 * time.Millisecond // at most, as one overload brings many rejections at once
-	tenantIdleAfter = time.Second            // a tenant that has sent nothing for so long has no share
-	overcommit      = 1.25                   // of the window: as far as tenants within their shares may go beyond it
-	shareDeviations = 2.0                    // standard deviations of what a tenant has in flight, by which chance brings it over its share
-	usualWeight     = 0.05                   // weight of a request in what is usual for its tenant; the last twenty count
-	reservedBurst   = 0.1                    // seconds of a tenant's agreed rate that are kept free for it beyond what it has in flight
-	minAgreedRate   = 1e-3                   // requests a second, of a tenant that has agreed on nothing
+	initialWindow        = 16.0                   // requests in flight for each server; too high costs some rejections, too low some idle time
+	minWindow            = 2.0                    // for each server, so that the window can find its way up again
+	windowDecrease       = 0.85                   // of what is in flight, when a server rejects a request
+	minDecreaseInterval  = 100 * time.Millisecond // at most, as one overload brings many rejections at once
+	tenantIdleTimeout    = time.Second            // a tenant that has sent nothing for so long has no share
+	overcommit           = 1.25                   // of the window: as far as tenants within their shares may go beyond it
+	shareTolerance       = 2.0                    // standard deviations of what a tenant has in flight, by which chance brings it over its share
+	averageWeight        = 0.05                   // weight of a request in what is usual for its tenant; the last twenty count
+	reservedBurstSeconds = 0.1                    // seconds of a tenant's agreed rate that are kept free for it beyond what it has in flight
+	minAgreedRate        = 1e-3                   // requests a second, of a tenant that has agreed on nothing
 )
 
 // TenantLimiter admits the requests of tenants to cells. Like Balancer it is not safe for concurrent use.
@@ -39,10 +39,10 @@
 
 // tenantUse is what a tenant has of a cell.
 type tenantUse struct {
-	rate          float64 // requests a second, as agreed
-	inFlight      int
-	usualInFlight float64       // a moving average, as its requests find it
-	lastRequest   time.Duration // when it was
+	rate            float64 // requests a second, as agreed
+	inFlight        int
+	averageInFlight float64       // a moving average, as its requests find it
+	lastRequest     time.Duration // when it was
 }
 
 // NewTenantLimiter returns a limiter without cells.
@@ -76,7 +76,7 @@
 func (w *cellWindow) totalRate(now time.Duration) float64 {
 	total := 0.0
 	for name, u := range w.tenants {
-		if u.inFlight == 0 && now-u.lastRequest > tenantIdleAfter {
+		if u.inFlight == 0 && now-u.lastRequest > tenantIdleTimeout {
 			delete(w.tenants, name)
 			continue
 		}
@@ -88,26 +88,26 @@
 // hasCapacity reports whether the window has capacity for one more request of a tenant.
 func (w *cellWindow) hasCapacity(u *tenantUse, totalRate float64) bool {
 	share := w.limit * u.rate / totalRate
-	u.usualInFlight += (float64(u.inFlight) - u.usualInFlight) * usualWeight
+	u.averageInFlight += (float64(u.inFlight) - u.averageInFlight) * averageWeight
 	switch {
 	case float64(u.inFlight) < share:
 		return float64(w.inFlight) < w.limit*overcommit
-	case u.usualInFlight < share && float64(u.inFlight) < share+shareDeviations*math.Sqrt(share)+1:
+	case u.averageInFlight < share && float64(u.inFlight) < share+shareTolerance*math.Sqrt(share)+1:
 		// It has less in flight than its share as a rule, and chance has brought it more just now: of a share of four, one request in
 		// six finds four in flight. A tenant that floods has more than its share all the time.
-		return float64(w.inFlight) < w.limit*overcommit+shareDeviations*math.Sqrt(w.limit)
+		return float64(w.inFlight) < w.limit*overcommit+shareTolerance*math.Sqrt(w.limit)
 	}
 	return float64(w.inFlight)+w.reservedForOthers(u, totalRate) < w.limit
 }
 
-// reservedForOthers are the requests that the window keeps free for the other tenants: what they would send within reservedBurst, as
+// reservedForOthers are the requests that the window keeps free for the other tenants: what they would send within reservedBurstSeconds, as
 // far as it is within their shares.
 func (w *cellWindow) reservedForOthers(u *tenantUse, totalRate float64) float64 {
 	reserved := 0.0
 	for _, other := range w.tenants {
 		if other != u {
 			inFlight := float64(other.inFlight)
-			reserved += max(0, min(w.limit*other.rate/totalRate, inFlight+other.rate*reservedBurst)-inFlight)
+			reserved += max(0, min(w.limit*other.rate/totalRate, inFlight+other.rate*reservedBurstSeconds)-inFlight)
 		}
 	}
 	return reserved
@@ -128,7 +128,7 @@
 		w.limit += 1 / w.limit
 	case o == Rejected && now >= w.nextDecrease:
 		w.limit = math.Min(w.limit, float64(w.inFlight+1)) * windowDecrease
-		w.nextDecrease = now + decreaseEvery
+		w.nextDecrease = now + minDecreaseInterval
 	}
 }
 
--- a/internal/policy/loadbalancer/health.go
+++ b/internal/policy/loadbalancer/health.go
@@ -47,7 +47,7 @@
 	if s == nil {
 		return
 	}
-	b.noticeRestart(now, s, in)
+	b.detectRestart(now, s, in)
 	s.failuresInRow = 0
 	if s.health != Alive && now >= s.holdDownUntil {
 		s.setHealth(now, Alive)
@@ -71,8 +71,8 @@
 
 func (s *server) setHealth(now time.Duration, h Health) {
 	s.health = h
-	s.changes = append(slices.DeleteFunc(s.changes, func(at time.Duration) bool { return now-at > flapWindow }), now)
-	if len(s.changes) > maxFlaps {
+	s.healthChanges = append(slices.DeleteFunc(s.healthChanges, func(at time.Duration) bool { return now-at > flapWindow }), now)
+	if len(s.healthChanges) > maxFlaps {
 		s.holdDownUntil = now + holdDown
 	}
 	if h == Alive {
--- a/internal/policy/loadbalancer/hedging.go
+++ b/internal/policy/loadbalancer/hedging.go
@@ -9,10 +9,10 @@
 // run more than once and waits longer than hedgeQuantile of recent reads took gets a second attempt elsewhere, within the hedge
 // budget: retrybudget.go. Nothing is hedged until a quarter of latencySamples is there.
 const (
-	hedgeQuantile  = 0.95 // one request in twenty waits as long, as many as the budget pays for
-	latencySamples = 256  // reads; the quantile rests on the twelve slowest
-	minSamples     = latencySamples / 4
-	quantileEvery  = latencySamples / 8 // new samples until the quantile is taken again, as that sorts them all
+	hedgeQuantile    = 0.95 // one request in twenty waits as long, as many as the budget pays for
+	latencySamples   = 256  // reads; the quantile rests on the twelve slowest
+	minSamples       = latencySamples / 4
+	quantileInterval = latencySamples / 8 // new samples until the quantile is taken again, as that sorts them all
 )
 
 // latencyQuantile is the hedgeQuantile of recent latencies, over a ring of samples.
@@ -37,7 +37,7 @@
 	if len(l.samples) < minSamples {
 		return 0, false
 	}
-	if l.added >= quantileEvery {
+	if l.added >= quantileInterval {
 		sorted := slices.Clone(l.samples)
 		slices.Sort(sorted)
 		l.quantile = time.Duration(sorted[int(hedgeQuantile*float64(len(sorted)-1))] * float64(time.Second))
--- a/internal/policy/loadbalancer/homes.go
+++ b/internal/policy/loadbalancer/homes.go
@@ -26,7 +26,7 @@
 		return HomeLost
 	case b.hasLostKeys(now, s):
 		return HomeLost
-	case s.excludes(now, tenant) || !b.hasCapacity(now, s):
+	case s.inBackoff(now, tenant) || !b.hasCapacity(now, s):
 		return HomeBusy
 	}
 	return HomeReady
@@ -37,22 +37,22 @@
 	return s.lostKeys && now-s.lostKeysAt < b.cfg.KeyWindow
 }
 
-// noticeRestart notices that a server's process is another one than before, and forgets what attempts at that one have shown.
-func (b *Balancer) noticeRestart(now time.Duration, s *server, in Incarnation) {
-	wasDead, known := s.health == Dead, s.boot != 0
+// detectRestart notices that a server's process is another one than before, and forgets what attempts at that one have shown.
+func (b *Balancer) detectRestart(now time.Duration, s *server, in Incarnation) {
+	wasDead, bootKnown := s.health == Dead, s.boot != 0
 	s.hasAnswered = true
-	restarted := in.Boot != 0 && known && in.Boot != s.boot || in.Boot == 0 && wasDead
+	restarted := in.Boot != 0 && bootKnown && in.Boot != s.boot || in.Boot == 0 && wasDead
 	// One that started not long ago, and was in the map before, had a process whose keys it has forgotten: so a router that has itself
 	// just started knows what it missed.
 	ranUntil := in.Boot
 	if in.RanUntil != 0 {
 		ranUntil = min(in.RanUntil, in.Boot)
 	}
-	missed := in.Boot != 0 && !known && in.Boot > in.Joined && in.Now-ranUntil < b.cfg.KeyWindow.Milliseconds()
+	missedRestart := in.Boot != 0 && !bootKnown && in.Boot > in.Joined && in.Now-ranUntil < b.cfg.KeyWindow.Milliseconds()
 	if in.Boot != 0 {
 		s.boot = in.Boot
 	}
-	if !restarted && !missed {
+	if !restarted && !missedRestart {
 		return
 	}
 	b.counts.ColdBack++
--- a/internal/policy/loadbalancer/loadbalancer.go
+++ b/internal/policy/loadbalancer/loadbalancer.go
@@ -39,15 +39,15 @@
 
 // withDefaults is the configuration with defaults where it has zeros.
 func (c Config) withDefaults() Config {
-	def := func(v *float64, d float64) {
+	setDefault := func(v *float64, d float64) {
 		if *v == 0 {
 			*v = d
 		}
 	}
-	def(&c.RetryRatio, defaultRetryRatio)
-	def(&c.HedgeRatio, defaultHedgeRatio)
-	def(&c.MaxEjectedRatio, defaultMaxEjectedRatio)
-	def(&c.PanicThreshold, defaultPanicThreshold)
+	setDefault(&c.RetryRatio, defaultRetryRatio)
+	setDefault(&c.HedgeRatio, defaultHedgeRatio)
+	setDefault(&c.MaxEjectedRatio, defaultMaxEjectedRatio)
+	setDefault(&c.PanicThreshold, defaultPanicThreshold)
 	if c.SlowStart == 0 {
 		c.SlowStart = defaultSlowStart
 	}
@@ -77,19 +77,19 @@
 	// Failure detection: health.go.
 	health        Health
 	failuresInRow int             // health checks and connections that failed since the last answer
-	changes       []time.Duration // of health, within flapWindow
+	healthChanges []time.Duration // of health, within flapWindow
 	holdDownUntil time.Duration   // not alive again before then, as it flaps
 	upSince       time.Duration   // it came up, or back from ejection: its slow start is measured from then
 
 	// Attempts: ejection.go.
-	inFlight     int
-	latency      float64 // seconds, a moving average
-	failureRatio float64 // of recent attempts, a moving average
-	attempts     int     // since it came up
-	circuit      Circuit
-	openUntil    time.Duration // the circuit is open until then
-	ejections    int           // in a row
-	trialOut     bool          // the one attempt of a half-open circuit is in flight
+	inFlight      int
+	latency       float64 // seconds, a moving average
+	failureRatio  float64 // of recent attempts, a moving average
+	attempts      int     // since it came up
+	circuit       Circuit
+	openUntil     time.Duration // the circuit is open until then
+	ejections     int           // in a row
+	trialInFlight bool          // the one attempt of a half-open circuit is in flight
 
 	// What it asked for: backpressure.go.
 	retryAfter map[string]time.Duration // by tenant: it gets nothing of the tenant until then
--- a/internal/policy/loadbalancer/retrybudget.go
+++ b/internal/policy/loadbalancer/retrybudget.go
@@ -7,32 +7,32 @@
 
 // Retry budgets. Inputs: first attempts, and how an attempt ended. Retries are limited to a ratio of first attempts, so that a fault
 // of all servers does not multiply their load: each first attempt adds ratio tokens, each retry takes one. Unused tokens are kept for
-// the first attempts of budgetSpan only, and at least budgetMinTokens, so that a router with few requests can retry at all. Hedged
+// the first attempts of budgetWindowSeconds only, and at least budgetMinTokens, so that a router with few requests can retry at all. Hedged
 // requests have a budget of their own by the same rule.
 //
 // A request that must take effect at most once is retried only where the attempt before is proven not to have run; any other also
 // where it failed or its connection broke. A timeout is never followed by a retry: there is no time left, and the server has too much.
 const (
-	budgetSpan      = 10.0 // seconds' worth of first attempts; a burst of failures after a quiet hour finds no more
-	budgetMinTokens = 2.0  // retries; one request may need both
+	budgetWindowSeconds = 10.0 // seconds' worth of first attempts; a burst of failures after a quiet hour finds no more
+	budgetMinTokens     = 2.0  // retries; one request may need both
 )
 
 // retryBudget is a token bucket that first attempts fill.
 type retryBudget struct {
-	ratio  float64 // tokens for each first attempt
-	tokens float64
-	rate   float64 // first attempts a second, a moving average
-	at     time.Duration
+	ratio     float64 // tokens for each first attempt
+	tokens    float64
+	rate      float64 // first attempts a second, a moving average
+	updatedAt time.Duration
 }
 
 // deposit counts a first attempt.
 func (b *retryBudget) deposit(now time.Duration) {
-	if dt := (now - b.at).Seconds(); dt > 0 {
-		b.rate *= math.Exp(-dt / budgetSpan)
-		b.at = now
+	if dt := (now - b.updatedAt).Seconds(); dt > 0 {
+		b.rate *= math.Exp(-dt / budgetWindowSeconds)
+		b.updatedAt = now
 	}
-	b.rate += 1 / budgetSpan
-	b.tokens = min(b.tokens+b.ratio, max(budgetMinTokens, b.ratio*b.rate*budgetSpan))
+	b.rate += 1 / budgetWindowSeconds
+	b.tokens = min(b.tokens+b.ratio, max(budgetMinTokens, b.ratio*b.rate*budgetWindowSeconds))
 }
 
 // withdraw takes a token, and reports false where there is none.
--- a/internal/policy/loadbalancer/selection.go
+++ b/internal/policy/loadbalancer/selection.go
@@ -23,10 +23,10 @@
 
 // Pick chooses the server for an attempt of a request that is not sticky, among those of its tenant; exclude is the one of the attempt
 // before, empty for none. It reports false where nobody can be asked.
-func (b *Balancer) Pick(now time.Duration, tenant string, among []string, exclude string) (string, bool) {
-	candidates := b.sample(among)
-	usable, out := b.usable(now, tenant, candidates, exclude)
-	if len(candidates) > 0 && 1-float64(out)/float64(len(candidates)) < b.cfg.PanicThreshold {
+func (b *Balancer) Pick(now time.Duration, tenant string, names []string, exclude string) (string, bool) {
+	candidates := b.sample(names)
+	usable, unavailable := b.usable(now, tenant, candidates, exclude)
+	if len(candidates) > 0 && 1-float64(unavailable)/float64(len(candidates)) < b.cfg.PanicThreshold {
 		b.counts.Panicked++
 		usable = b.ignoringHealth(now, tenant, candidates, exclude, usable[:0])
 	} else {
@@ -42,10 +42,10 @@
 }
 
 // sample returns the servers of a list, or, of a long list, maxCandidates of them drawn without repetition.
-func (b *Balancer) sample(among []string) []*server {
-	list := make([]*server, 0, min(maxCandidates, len(among)))
-	if len(among) <= maxCandidates {
-		for _, name := range among {
+func (b *Balancer) sample(names []string) []*server {
+	list := make([]*server, 0, min(maxCandidates, len(names)))
+	if len(names) <= maxCandidates {
+		for _, name := range names {
 			if s := b.servers[name]; s != nil {
 				list = append(list, s)
 			}
@@ -53,7 +53,7 @@
 		return list
 	}
 	for range 2 * maxCandidates {
-		s := b.servers[among[b.rng.IntN(len(among))]]
+		s := b.servers[names[b.rng.IntN(len(names))]]
 		if s != nil && !slices.Contains(list, s) {
 			if list = append(list, s); len(list) == maxCandidates {
 				break
@@ -64,7 +64,7 @@
 }
 
 // usable are the candidates that may get an attempt now, and the number of those that are dead or ejected.
-func (b *Balancer) usable(now time.Duration, tenant string, candidates []*server, exclude string) (usable []*server, out int) {
+func (b *Balancer) usable(now time.Duration, tenant string, candidates []*server, exclude string) (usable []*server, unavailable int) {
 	usable = make([]*server, 0, len(candidates))
 	for _, s := range candidates {
 		if s.name == exclude {
@@ -73,10 +73,10 @@
 		if b.isUsable(now, tenant, s) {
 			usable = append(usable, s)
 		} else if s.health == Dead || s.circuit == CircuitOpen {
-			out++
+			unavailable++
 		}
 	}
-	return usable, out
+	return usable, unavailable
 }
 
 // isUsable reports whether a server may get an attempt now, by its own state. A circuit whose time is over is half open from here on.
@@ -84,14 +84,14 @@
 	if s.circuit == CircuitOpen && now >= s.openUntil {
 		s.circuit = CircuitHalfOpen
 	}
-	return s.health != Dead && s.circuit != CircuitOpen && (s.circuit != CircuitHalfOpen || !s.trialOut) &&
-		!s.excludes(now, tenant) && b.hasCapacity(now, s) && !s.overCredit()
+	return s.health != Dead && s.circuit != CircuitOpen && (s.circuit != CircuitHalfOpen || !s.trialInFlight) &&
+		!s.inBackoff(now, tenant) && b.hasCapacity(now, s) && !s.overCredit()
 }
 
 // ignoringHealth appends the candidates that have capacity and have not asked to be left alone.
 func (b *Balancer) ignoringHealth(now time.Duration, tenant string, candidates []*server, exclude string, list []*server) []*server {
 	for _, s := range candidates {
-		if s.name != exclude && !s.excludes(now, tenant) && b.hasCapacity(now, s) {
+		if s.name != exclude && !s.inBackoff(now, tenant) && b.hasCapacity(now, s) {
 			list = append(list, s)
 		}
 	}
--- a/internal/policy/recovery/heartbeat.go
+++ b/internal/policy/recovery/heartbeat.go
@@ -30,16 +30,16 @@
 
 // Downtime is for how long, at the least, nothing has been run, by the heartbeat that was found and the present moment as another one.
 // The wall clock has no part in it: it may have been set back, ahead, or have stood still during the outage.
-func (s Heartbeat) Downtime(now Heartbeat) (atLeast time.Duration, by Evidence) {
+func (h Heartbeat) Downtime(now Heartbeat) (minDowntime time.Duration, evidence Evidence) {
 	switch {
-	case s.Machine == "" || s.Machine != now.Machine || s.Name != now.Name || s.Boot == "" || now.Boot == "":
+	case h.Machine == "" || h.Machine != now.Machine || h.Name != now.Name || h.Boot == "" || now.Boot == "":
 		return 0, NoEvidence
-	case s.Boot != now.Boot:
+	case h.Boot != now.Boot:
 		return now.SinceBoot, Rebooted
-	case now.SinceBoot < s.SinceBoot: // no clock of one boot runs back: it is not what it says
+	case now.SinceBoot < h.SinceBoot: // no clock of one boot runs back: it is not what it says
 		return 0, NoEvidence
 	}
-	return max(0, now.SinceBoot-s.SinceBoot-s.Validity), SameBoot
+	return max(0, now.SinceBoot-h.SinceBoot-h.Validity), SameBoot
 }
 
 // LeaseTerms are those of a HeartbeatLease.
--- a/internal/policy/recovery/progress.go
+++ b/internal/policy/recovery/progress.go
@@ -21,8 +21,8 @@
 )
 
 // String names a prerequisite, in the words of the state and the log.
-func (n Prerequisite) String() string {
-	return [...]string{"disk", "worker", "rules", "window", "signs", "map", "shares"}[n]
+func (p Prerequisite) String() string {
+	return [...]string{"disk", "worker", "rules", "window", "signs", "map", "shares"}[p]
 }
 
 // Work is a kind of what a process does for others.
@@ -50,8 +50,8 @@
 
 // requirements is what each kind of work needs. What a process has no use for (no store, no group) is met from the start.
 var requirements = map[Role][]struct {
-	work Work
-	by   []Prerequisite
+	work  Work
+	needs []Prerequisite
 }{
 	Server: {{Reads, []Prerequisite{WorkerUp}}, {Replays, []Prerequisite{StoreRead}}, {IdempotentRequests, []Prerequisite{WorkerUp, StoreRead, RulesConfirmed, WindowOver, HeartbeatsDurable}},
 		{FullCapacity, []Prerequisite{WorkerUp, StoreRead, RulesConfirmed, WindowOver, HeartbeatsDurable}}},
@@ -105,18 +105,18 @@
 
 // Update notes which prerequisites are met, all at once, and which are not. Those that are not named are as they were.
 func (p *Progress) Update(now time.Duration, met map[Prerequisite]bool) {
-	for n, is := range met {
-		if p.met[n] != is {
-			p.met[n], p.since[n] = is, now
+	for n, isMet := range met {
+		if p.met[n] != isMet {
+			p.met[n], p.since[n] = isMet, now
 		}
 	}
 	p.advance(now)
 }
 
 // ExpectWait notes how long from now on a prerequisite is waited for at the most.
-func (p *Progress) ExpectWait(now time.Duration, n Prerequisite, max time.Duration) {
+func (p *Progress) ExpectWait(now time.Duration, n Prerequisite, maxWait time.Duration) {
 	if !p.met[n] {
-		p.since[n], p.maxWait[n] = now, max
+		p.since[n], p.maxWait[n] = now, maxWait
 	}
 }
 
@@ -124,11 +124,11 @@
 func (p *Progress) Allows(w Work) bool { return len(p.missing(w)) == 0 }
 
 func (p *Progress) missing(w Work) (list []Prerequisite) {
-	for _, o := range requirements[p.role] {
-		if o.work != w {
+	for _, requirement := range requirements[p.role] {
+		if requirement.work != w {
 			continue
 		}
-		for _, n := range o.by {
+		for _, n := range requirement.needs {
 			if !p.met[n] {
 				list = append(list, n)
 			}
@@ -173,11 +173,11 @@
 
 // Snapshot returns the present one.
 func (p *Progress) Snapshot(now time.Duration) Snapshot {
-	v := Snapshot{State: p.state, Since: now - p.reachedAt, Steps: slices.Clone(p.steps)}
+	snapshot := Snapshot{State: p.state, Since: now - p.reachedAt, Steps: slices.Clone(p.steps)}
 	for n := range prerequisites {
 		if !p.met[n] {
-			v.Waits = append(v.Waits, Wait{n, now - p.since[n], p.maxWait[n]})
+			snapshot.Waits = append(snapshot.Waits, Wait{n, now - p.since[n], p.maxWait[n]})
 		}
 	}
-	return v
+	return snapshot
 }
--- a/internal/policy/recovery/recovery_test.go
+++ b/internal/policy/recovery/recovery_test.go
@@ -22,65 +22,65 @@
 // however that was, none has. Without the rule that heartbeats have to be durable, some has.
 func TestNothingRunsLaterThanARestartAssumes(t *testing.T) {
 	const day = 24 * time.Hour
-	play := func(t *rapid.T, ruled bool) (late time.Duration) {
+	simulate := func(t *rapid.T, requireValid bool) (late time.Duration) {
 		terms := LeaseTerms{Interval: 250 * time.Millisecond, Validity: time.Second}
 		// Drawn evenly: short times alone find nothing.
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
-		draw := func(most time.Duration) time.Duration { return 1 + time.Duration(rng.Int64N(int64(most))) }
-		up := draw(day) // of the machine, as the process starts; true time runs with it
-		l, now, began := NewHeartbeatLease(terms), up, time.Duration(-1)
-		var lasting Heartbeat
-		var ends time.Duration // of the write under way
-		writing, fails := false, false
+		randomDuration := func(limit time.Duration) time.Duration { return 1 + time.Duration(rng.Int64N(int64(limit))) }
+		uptime := randomDuration(day) // of the machine, as the process starts; true time runs with it
+		lease, now, lastBegan := NewHeartbeatLease(terms), uptime, time.Duration(-1)
+		var durable Heartbeat
+		var writeEnds time.Duration // of the write under way
+		writing, writeFails := false, false
 		for range 1 + rng.IntN(60) {
-			if writing && now >= ends {
-				if !fails {
-					lasting = Heartbeat{"s", "m", "b", l.writeStarted, terms.Validity}
+			if writing && now >= writeEnds {
+				if !writeFails {
+					durable = Heartbeat{"s", "m", "b", lease.writeStarted, terms.Validity}
 				}
-				l.HeartbeatWritten(!fails)
+				lease.HeartbeatWritten(!writeFails)
 				writing = false
 			}
-			if l.HeartbeatDue(now) {
-				writing, fails = true, rng.IntN(4) == 0
-				ends = now + draw(3*time.Second)
+			if lease.HeartbeatDue(now) {
+				writing, writeFails = true, rng.IntN(4) == 0
+				writeEnds = now + randomDuration(3*time.Second)
 			}
-			if l.MayExecute(now) || !ruled && l.durable {
-				began = now
+			if lease.MayExecute(now) || !requireValid && lease.durable {
+				lastBegan = now
 			}
-			now += draw(500 * time.Millisecond)
+			now += randomDuration(500 * time.Millisecond)
 		}
-		if writing && !fails && rng.IntN(2) == 0 { // it may have come to last though nobody heard
-			lasting = Heartbeat{"s", "m", "b", l.writeStarted, terms.Validity}
+		if writing && !writeFails && rng.IntN(2) == 0 { // it may have come to last though nobody heard
+			durable = Heartbeat{"s", "m", "b", lease.writeStarted, terms.Validity}
 		}
 		died := now
-		next, passed := Heartbeat{"s", "m", "b", 0, terms.Validity}, draw(day)
+		next, outage := Heartbeat{"s", "m", "b", 0, terms.Validity}, randomDuration(day)
 		switch rng.IntN(4) {
 		case 0:
-			next.SinceBoot = died + passed
+			next.SinceBoot = died + outage
 		case 1:
-			next.Boot, next.SinceBoot = "c", draw(passed)
+			next.Boot, next.SinceBoot = "c", randomDuration(outage)
 		case 2: // the disk in another machine, which has been on for long
 			next.Machine, next.Boot, next.SinceBoot = "n", "d", day
 		case 3:
-			next.Name, next.SinceBoot = "another", died+passed
+			next.Name, next.SinceBoot = "another", died+outage
 		}
-		least, by := lasting.Downtime(next)
-		if by == NoEvidence && least != 0 {
-			t.Fatalf("%v by nothing", least)
+		minDowntime, evidence := durable.Downtime(next)
+		if evidence == NoEvidence && minDowntime != 0 {
+			t.Fatalf("%v by nothing", minDowntime)
 		}
-		if began < 0 {
+		if lastBegan < 0 {
 			return 0
 		}
-		return least - (died + passed - began)
+		return minDowntime - (died + outage - lastBegan)
 	}
 	rapid.Check(t, func(t *rapid.T) {
-		if late := play(t, true); late > 0 {
+		if late := simulate(t, true); late > 0 {
 			t.Fatalf("work was begun %v later than it was taken to be", late)
 		}
 	})
-	harm := false
-	rapid.Check(t, func(t *rapid.T) { harm = play(t, false) > 0 || harm })
-	if !harm {
+	found := false
+	rapid.Check(t, func(t *rapid.T) { found = simulate(t, false) > 0 || found })
+	if !found {
 		t.Error("without the rule no harm is found")
 	}
 }
@@ -161,12 +161,12 @@
 	}
 	has := map[string]bool{}
 	for _, l := range StateTable {
-		for _, w := range l.Where {
+		for _, w := range l.Files {
 			if has[w] = true; !found[w] {
-				t.Errorf("%s writes to no disk, and has the line %q", w, l.What)
+				t.Errorf("%s writes to no disk, and has the line %q", w, l.Name)
 			}
 		}
-		if l.What == "" || l.Reason == "" {
+		if l.Name == "" || l.Reason == "" {
 			t.Errorf("a line that says nothing: %+v", l)
 		}
 	}
--- a/internal/policy/recovery/trust.go
+++ b/internal/policy/recovery/trust.go
@@ -15,8 +15,8 @@
 
 // StateKind is one kind of state.
 type StateKind struct {
-	What   string
-	Where  []string // the files of this program that write it to disks; none: it is in memory alone
+	Name   string
+	Files  []string // the files of this program that write it to disks; none: it is in memory alone
 	Trust  Trust
 	Reason string // and how it is made sure, or confirmed
 }
--- a/internal/policy/slowstart/slowstart.go
+++ b/internal/policy/slowstart/slowstart.go
@@ -21,19 +21,19 @@
 	safetyMargin = 0.9
 	// maxCallers bounds the callers that are known at once, some 100 bytes each; whoever comes beyond is granted nothing.
 	maxCallers = 1024
-	// turnTerms is how many terms a caller keeps its place among those who get what does not divide by all: two, so that it has the
+	// rotationTerms is how many terms a caller keeps its place among those who get what does not divide by all: two, so that it has the
 	// request that it was granted for a whole term before another caller has it.
-	turnTerms = 2
+	rotationTerms = 2
 )
 
 // Capacity is the number of requests that a server takes at once, so long after its start, and whether it is warming up. It is what
 // the module survives on the cores then: their speed rises evenly from Settings.ColdSpeed to 1 over Settings.WarmupTime.
-func Capacity(set silverpath.Settings, up time.Duration) (requests float64, warming bool) {
-	if !set.Cold || up >= set.WarmupTime {
+func Capacity(settings silverpath.Settings, uptime time.Duration) (requests float64, warming bool) {
+	if !settings.Cold || uptime >= settings.WarmupTime {
 		return 0, false
 	}
-	speed := set.ColdSpeed + (1-set.ColdSpeed)*max(0, up.Seconds())/set.WarmupTime.Seconds()
-	return safetyMargin * float64(set.Cores) * (1 + (set.MaxRunsPerCore-1)*speed), true
+	speed := settings.ColdSpeed + (1-settings.ColdSpeed)*max(0, uptime.Seconds())/settings.WarmupTime.Seconds()
+	return safetyMargin * float64(settings.Cores) * (1 + (settings.MaxRunsPerCore-1)*speed), true
 }
 
 // Server grants what a server takes to its callers. All times are the server's monotonic clock.
@@ -68,7 +68,7 @@
 		g = &grant{}
 	}
 	g.inFlight = max(0, inFlight)
-	takenByOthers, names := 0, []string{caller}
+	reservedByOthers, names := 0, []string{caller}
 	for name, other := range s.callers {
 		if other == g {
 			continue
@@ -78,7 +78,7 @@
 			continue
 		}
 		names = append(names, name)
-		takenByOthers += max(other.requests, other.inFlight)
+		reservedByOthers += max(other.requests, other.inFlight)
 	}
 	if len(s.callers) >= maxCallers && s.callers[caller] == nil {
 		return 0
@@ -88,21 +88,21 @@
 	if now-s.listeningSince < term {
 		callers = max(callers, s.assumedCallers)
 	}
-	all := int(math.Floor(capacity))
-	share, remainder := all/callers, all%callers
-	if s.rank(names, caller, now/(turnTerms*term)) < remainder {
+	total := int(math.Floor(capacity))
+	share, remainder := total/callers, total%callers
+	if s.rank(names, caller, now/(rotationTerms*term)) < remainder {
 		share++
 	}
-	g.requests, g.until = max(0, min(share, all-takenByOthers)), now+term
+	g.requests, g.until = max(0, min(share, total-reservedByOthers)), now+term
 	return g.requests
 }
 
 // rank is a caller's place among all, another one at each turn.
-func (s *Server) rank(names []string, caller string, turn time.Duration) int {
+func (s *Server) rank(names []string, caller string, rotation time.Duration) int {
 	// The multiplier is 2^64 by the golden ratio, as in Fibonacci hashing: turns that follow each other give orders that are unlike.
-	place := func(name string) uint64 { return maphash.String(s.seed, name) ^ uint64(turn)*0x9e3779b97f4a7c15 }
+	orderKey := func(name string) uint64 { return maphash.String(s.seed, name) ^ uint64(rotation)*0x9e3779b97f4a7c15 }
 	slices.SortFunc(names, func(a, b string) int {
-		switch x, y := place(a), place(b); {
+		switch x, y := orderKey(a), orderKey(b); {
 		case x < y:
 			return -1
 		case x > y:
@@ -125,8 +125,8 @@
 func (c *Caller) Restarted() { *c = Caller{warming: true} }
 
 // Granted records how many requests the server granted, for a term that begins as they were asked for.
-func (c *Caller) Granted(asked time.Duration, requests int, term time.Duration) {
-	*c = Caller{warming: true, requests: requests, until: asked + term}
+func (c *Caller) Granted(requestedAt time.Duration, requests int, term time.Duration) {
+	*c = Caller{warming: true, requests: requests, until: requestedAt + term}
 }
 
 // WarmedUp records that the server has said nothing of a slow start.
--- a/internal/policy/slowstart/slowstart_test.go
+++ b/internal/policy/slowstart/slowstart_test.go
@@ -14,16 +14,16 @@
 
 func TestCapacity(t *testing.T) {
 	for up, want := range map[time.Duration]float64{-time.Second: 0.9 * 6 * 2.75, 0: 0.9 * 6 * 2.75, 6 * time.Second: 0.9 * 6 * 5.375} {
-		if got, cold := Capacity(settings, up); !cold || math.Abs(got-want) > 1e-9 {
-			t.Errorf("%v after the start: %v, %v; want %v", up, got, cold, want)
+		if got, warming := Capacity(settings, up); !warming || math.Abs(got-want) > 1e-9 {
+			t.Errorf("%v after the start: %v, %v; want %v", up, got, warming, want)
 		}
 	}
 	warm := settings
 	warm.Cold = false
-	if _, cold := Capacity(warm, 0); cold {
+	if _, warming := Capacity(warm, 0); warming {
 		t.Error("cold though it is not")
 	}
-	if _, cold := Capacity(settings, settings.WarmupTime); cold {
+	if _, warming := Capacity(settings, settings.WarmupTime); warming {
 		t.Error("cold for longer than told")
 	}
 }
@@ -40,12 +40,12 @@
 	}
 	c.Granted(time.Second, 2, 3*time.Second)
 	for _, x := range []struct {
-		at     time.Duration
-		flying int
-		want   bool
+		at       time.Duration
+		inFlight int
+		want     bool
 	}{{time.Second, 1, true}, {time.Second, 2, false}, {4*time.Second - 1, 0, true}, {4 * time.Second, 0, false}} {
-		if got := c.HasCapacity(x.at, x.flying); got != x.want {
-			t.Errorf("at %v with %d out: %v", x.at, x.flying, got)
+		if got := c.HasCapacity(x.at, x.inFlight); got != x.want {
+			t.Errorf("at %v with %d out: %v", x.at, x.inFlight, got)
 		}
 	}
 	c.WarmedUp()
@@ -55,89 +55,89 @@
 }
 
 // sender is a caller that has out whatever it may.
-type sender struct {
-	name  string
-	from  time.Duration
-	until time.Duration // it is lost then
-	next  time.Duration // it asks
-	told  []news
-	c     Caller
-	out   []time.Duration // ends of its requests
+type simulatedCaller struct {
+	name        string
+	startsAt    time.Duration
+	stopsAt     time.Duration // it is lost then
+	nextRequest time.Duration // it asks
+	replies     []reply
+	c           Caller
+	inFlight    []time.Duration // ends of its requests
 }
 
-type news struct {
-	at, asked time.Duration
-	part      int
+type reply struct {
+	arrivesAt, requestedAt time.Duration
+	granted                int
 }
 
 const (
-	step  = 20 * time.Millisecond
-	every = time.Second
-	term  = 3 * every
+	step     = 20 * time.Millisecond
+	interval = time.Second
+	term     = 3 * interval
 )
 
 // play has so many callers send all that they may to a server that is cold, with callers that join, are lost and come back, and
 // news that come late or not at all. It returns the most by which what was out passed the whole, in the chance that is allowed,
 // and how much of the whole was used on average once all could be known.
-func play(seed uint64, n int, grant func(s *Server, now time.Duration, who string, flying int, capacity float64) int) (worst, used float64) {
+func simulate(seed uint64, n int, grant func(s *Server, now time.Duration, who string, flying int, capacity float64) int) (worstExcess, utilization float64) {
 	rng := rand.New(rand.NewPCG(seed, uint64(n)))
 	s := NewServer(0, n)
-	var all []*sender
+	var callers []*simulatedCaller
 	for i := range n {
-		c := &sender{name: fmt.Sprint("c", i), until: time.Hour, next: time.Duration(rng.Int64N(int64(every)))}
+		c := &simulatedCaller{name: fmt.Sprint("c", i), stopsAt: time.Hour, nextRequest: time.Duration(rng.Int64N(int64(interval)))}
 		if rng.IntN(4) == 0 { // joins late
-			c.from = time.Duration(rng.Int64N(int64(5 * time.Second)))
-			c.next += c.from
+			c.startsAt = time.Duration(rng.Int64N(int64(5 * time.Second)))
+			c.nextRequest += c.startsAt
 		}
 		if rng.IntN(5) == 0 {
-			c.until = c.from + time.Duration(rng.Int64N(int64(6*time.Second)))
+			c.stopsAt = c.startsAt + time.Duration(rng.Int64N(int64(6*time.Second)))
 		}
 		c.c.Restarted()
-		all = append(all, c)
+		callers = append(callers, c)
 	}
-	worst = math.Inf(-1)
+	worstExcess = math.Inf(-1)
 	steps := 0
 	for now := time.Duration(0); ; now += step {
-		capacity, cold := Capacity(settings, now)
-		if !cold {
-			return worst, used / float64(steps)
+		capacity, warming := Capacity(settings, now)
+		if !warming {
+			return worstExcess, utilization / float64(steps)
 		}
-		sum := 0
-		for i, c := range all {
-			if now < c.from {
+		inFlight := 0
+		for i, c := range callers {
+			if now < c.startsAt {
 				continue
 			}
-			if now >= c.until { // lost, with all that it had out; another takes its place a while later
-				all[i] = &sender{name: c.name + "'", from: now + 2*time.Second, until: time.Hour, next: now + 2*time.Second}
-				all[i].c.Restarted()
+			if now >= c.stopsAt { // lost, with all that it had out; another takes its place a while later
+				callers[i] = &simulatedCaller{name: c.name + "'", startsAt: now + 2*time.Second, stopsAt: time.Hour, nextRequest: now + 2*time.Second}
+				callers[i].c.Restarted()
 				continue
 			}
-			open := c.out[:0]
-			for _, end := range c.out {
+			unfinished := c.inFlight[:0]
+			for _, end := range c.inFlight {
 				if end > now {
-					open = append(open, end)
+					unfinished = append(unfinished, end)
 				}
 			}
-			c.out = open
-			if now >= c.next {
-				c.next = now + every
-				p := grant(s, now, c.name, len(c.out), capacity)
+			c.inFlight = unfinished
+			if now >= c.nextRequest {
+				c.nextRequest = now + interval
+				granted := grant(s, now, c.name, len(c.inFlight), capacity)
 				if rng.IntN(5) > 0 { // else the answer is lost
-					c.told = append(c.told, news{now + time.Duration(rng.Int64N(int64(800*time.Millisecond))), now, p})
+					c.replies = append(c.replies, reply{now + time.Duration(rng.Int64N(int64(800*time.Millisecond))), now, granted})
 				}
 			}
-			for len(c.told) > 0 && c.told[0].at <= now {
-				c.c.Granted(c.told[0].asked, c.told[0].part, term)
-				c.told = c.told[1:]
+			for len(c.replies) > 0 && c.replies[0].arrivesAt <= now {
+				c.c.Granted(c.replies[0].requestedAt, c.replies[0].granted, term)
+				c.replies = c.replies[1:]
 			}
-			for c.c.HasCapacity(now, len(c.out)) {
-				c.out = append(c.out, now+100*time.Millisecond+time.Duration(rng.Int64N(int64(2*time.Second))))
+			for c.c.HasCapacity(now, len(c.inFlight)) {
+				c.inFlight = append(c.inFlight, now+100*time.Millisecond+time.Duration(rng.Int64N(int64(2*time.Second))))
 			}
-			sum += len(c.out)
+			inFlight += len(c.inFlight)
 		}
-		worst = max(worst, (float64(sum)-capacity)/(2*math.Sqrt(capacity)+2))
+		worstExcess = max(worstExcess, (float64(inFlight)-capacity)/(2*math.Sqrt(capacity)+2))
 		if now > 4*time.Second {
-			used += float64(sum) / capacity
+			utilization += float64(inFlight) / capacity
 			steps++
 		}
 	}
@@ -148,18 +148,18 @@
 func TestSumOfAllCallers(t *testing.T) {
 	for _, n := range []int{1, 2, 5, 20, 30} {
 		const seeds = 100
-		mean := 0.0
+		meanUtilization := 0.0
 		for seed := range uint64(seeds) {
-			worst, used := play(seed, n, func(s *Server, now time.Duration, who string, flying int, whole float64) int {
+			worstExcess, utilization := simulate(seed, n, func(s *Server, now time.Duration, who string, flying int, whole float64) int {
 				return s.Grant(now, who, flying, whole, term)
 			})
-			if worst > 1 {
-				t.Fatalf("%d callers, seed %d: %.2f times what chance may add", n, seed, worst)
+			if worstExcess > 1 {
+				t.Fatalf("%d callers, seed %d: %.2f times what chance may add", n, seed, worstExcess)
 			}
-			mean += used / seeds
+			meanUtilization += utilization / seeds
 		}
-		if mean < 0.5 {
-			t.Errorf("%d callers use %.2f of it on average", n, mean)
+		if meanUtilization < 0.5 {
+			t.Errorf("%d callers use %.2f of it on average", n, meanUtilization)
 		}
 	}
 }
@@ -167,7 +167,7 @@
 // Where each caller takes its fair part by the number that the settings name, rounded up to one at least, or those that are gone or
 // late are not counted, the sum does not hold: this test finds that.
 func TestSumOfOtherWays(t *testing.T) {
-	for name, part := range map[string]func(s *Server, now time.Duration, who string, flying int, whole float64) int{
+	for name, grant := range map[string]func(s *Server, now time.Duration, who string, flying int, whole float64) int{
 		"each the whole":       func(_ *Server, _ time.Duration, _ string, _ int, whole float64) int { return int(whole) },
 		"rounded up, by three": func(_ *Server, _ time.Duration, _ string, _ int, whole float64) int { return int(math.Ceil(whole / 3)) },
 		"what others hold is not counted": func(s *Server, now time.Duration, who string, flying int, whole float64) int {
@@ -180,8 +180,8 @@
 	} {
 		found := false
 		for seed := range uint64(200) {
-			worst, _ := play(seed, 20, part)
-			found = found || worst > 1
+			worstExcess, _ := simulate(seed, 20, grant)
+			found = found || worstExcess > 1
 		}
 		if !found {
 			t.Errorf("%s: no harm found", name)
@@ -193,23 +193,23 @@
 // the other is forgotten.
 func TestWhatOthersWereGranted(t *testing.T) {
 	for _, x := range []struct {
-		name   string
-		flying int
-		at     time.Duration
-		want   int
+		name     string
+		inFlight int
+		at       time.Duration
+		want     int
 	}{
 		{"the half of two, as the other holds all", 0, term - 1, 0},
 		{"the other's part is over", 0, term, 10},
-		{"the other had more out than its part", 7, term + every - 1, 3},
-		{"the other's part is over, and what it had out", 7, term + every, 10},
+		{"the other had more out than its part", 7, term + interval - 1, 3},
+		{"the other's part is over, and what it had out", 7, term + interval, 10},
 	} {
 		s := NewServer(0, 1)
-		if p := s.Grant(0, "other", 0, 10, term); p != 10 {
-			t.Fatalf("%s: alone it gets %d", x.name, p)
+		if granted := s.Grant(0, "other", 0, 10, term); granted != 10 {
+			t.Fatalf("%s: alone it gets %d", x.name, granted)
 		}
-		if x.flying > 0 {
-			if p := s.Grant(every, "other", x.flying, 4, term); p != 4 { // of less than it has out
-				t.Fatalf("%s: alone it gets %d", x.name, p)
+		if x.inFlight > 0 {
+			if granted := s.Grant(interval, "other", x.inFlight, 4, term); granted != 4 { // of less than it has out
+				t.Fatalf("%s: alone it gets %d", x.name, granted)
 			}
 		}
 		if got := s.Grant(x.at, "one", 0, 10, term); got != x.want {
@@ -224,8 +224,8 @@
 // Whoever is first leaves the others' parts to them, until all had a term to be heard of.
 func TestFirstCallerOfSeveral(t *testing.T) {
 	for at, want := range map[time.Duration][2]int{0: {2, 3}, term - 1: {2, 3}, term: {10, 10}} {
-		if p := NewServer(0, 4).Grant(at, "first", 0, 10, term); p < want[0] || p > want[1] {
-			t.Errorf("after %v the first of four gets %d, want %v", at, p, want)
+		if granted := NewServer(0, 4).Grant(at, "first", 0, 10, term); granted < want[0] || granted > want[1] {
+			t.Errorf("after %v the first of four gets %d, want %v", at, granted, want)
 		}
 	}
 }
@@ -239,7 +239,7 @@
 	if len(s.callers) > maxCallers {
 		t.Fatalf("%d callers", len(s.callers))
 	}
-	if p := s.Grant(time.Minute, "new", 0, 1e6, time.Hour); p != 0 {
-		t.Errorf("part %d beyond the bound", p)
+	if granted := s.Grant(time.Minute, "new", 0, 1e6, time.Hour); granted != 0 {
+		t.Errorf("part %d beyond the bound", granted)
 	}
 }
