--- a/internal/policy/loadbalancer/ejection.go
+++ b/internal/policy/loadbalancer/ejection.go
@@ -2,41 +2,42 @@
 
 import "time"
 
-// Outlier ejection and the circuit breaker. Inputs: the outcome and duration of each attempt. A server whose failure ratio, a moving
-// average, reaches ejectionThreshold after at least minAttempts is ejected: its circuit is open and it gets no attempts of
-// requests without an idempotency key; those with one belong to their home and are sent there all the same (homes.go). After
-// baseEjection, doubled at each ejection that follows without a success between and at most maxEjection, its circuit is half open: it
-// gets one attempt at a time. The first that ends then, also one from before the ejection, settles it: where it is served or rejected, the
-// circuit is closed and the server's ramp begins (SlowStart of Config); else it is ejected again. That too many of a cell are ejected at once is handled where a server is chosen: selection.go.
+// Outlier ejection and the circuit breaker. Inputs: the outcome and duration of each attempt. A server is ejected when its failure ratio,
+// a moving average, reaches ejectionThreshold after at least minAttempts. Its circuit is then open and it gets no attempts of requests
+// without an idempotency key. Requests with a key are still sent to their home (homes.go). After baseEjection the circuit is half open
+// and the server gets one attempt at a time; the time doubles with each ejection that follows without a success between, up to
+// maxEjection. The first attempt that ends while the circuit is half open, even one that began before the ejection, decides: if it is
+// served or rejected, the circuit closes and the server's ramp begins (Config.SlowStart); otherwise the server is ejected again.
+// selection.go handles the case that too many servers of a cell are ejected at once.
 const (
-	ejectionThreshold = 0.5             // ratio of failed attempts; with half of them, clients see the fault
-	minAttempts       = 8               // fewer are too small a sample to judge a server by
-	baseEjection      = 2 * time.Second // as long as a process takes to restart
-	maxEjection       = time.Minute     // a server that was repaired is back in use within it
-	maxDoublings      = 10              // of baseEjection; more would not be reached, and overflow in the end
+	ejectionThreshold = 0.5             // ratio of failed attempts; at a half, clients notice the fault
+	minAttempts       = 8               // fewer are too small a sample
+	baseEjection      = 2 * time.Second // about the time of a process restart
+	maxEjection       = time.Minute     // bounds how long a repaired server stays unused
+	maxDoublings      = 10              // of baseEjection; maxEjection is reached before, and more would overflow
 
-	failureDecay   = 0.9                    // weight of the past in a server's failure ratio; the last ten attempts or so count
-	latencyDecay   = 0.9                    // and in its latency
-	initialLatency = 100 * time.Millisecond // assumed of a server that has not answered yet: neither preferred nor avoided
-	failurePenalty = 2                      // times its latency, at least, that a failed attempt counts as having taken
+	failureDecay   = 0.9                    // weight of the previous failure ratio in the moving average, which spans about ten attempts
+	latencyDecay   = 0.9                    // weight of the previous latency in the moving average
+	initialLatency = 100 * time.Millisecond // of a server that has not answered yet, so that it is neither preferred nor avoided
+	failurePenalty = 2                      // a failed attempt counts as at least this multiple of the server's latency
 )
 
-// Circuit says whether a server gets attempts.
+// Circuit is the state of a server's circuit breaker.
 type Circuit int
 
 // The states of a server's circuit breaker.
 const (
-	CircuitClosed   Circuit = iota // it gets attempts
-	CircuitOpen                    // it is ejected and gets none without a key
-	CircuitHalfOpen                // it gets one at a time, to see
+	CircuitClosed   Circuit = iota // the server gets attempts
+	CircuitOpen                    // the server is ejected and gets only requests with an idempotency key
+	CircuitHalfOpen                // the server gets one trial attempt at a time
 )
 
-// String is the state's name in the status of a router.
+// String returns the state's name in a router's status.
 func (c Circuit) String() string { return [...]string{"closed", "open", "half"}[c] }
 
-// Acquire is asked at the moment at which an attempt goes to a server that Pick or CheckHome named, and counts it as in flight where it
-// reports true. It reports false where the server's slow start has no capacity left by now: many may have been told at once that
-// there is capacity for one. Each attempt that was acquired has to be ended by Done.
+// Acquire counts an attempt as in flight to a server. It is called immediately before the attempt is sent to a server that Pick returned
+// or CheckHome accepted. It returns false, and counts nothing, if the server's slow-start grant is used up: several requests may have
+// passed Pick or CheckHome while there was capacity for only one. Each acquired attempt must be ended by Done.
 func (b *Balancer) Acquire(now time.Duration, name string) bool {
 	if s := b.servers[name]; s != nil && !s.warmup.HasCapacity(now, s.inFlight) {
 		return false
@@ -45,7 +46,7 @@
 	return true
 }
 
-// started counts an attempt that goes to a server.
+// started counts an attempt as in flight to a server.
 func (b *Balancer) started(name string) {
 	if s := b.servers[name]; s != nil {
 		s.inFlight++
@@ -55,8 +56,8 @@
 	}
 }
 
-// Done records how an attempt ended and how long it took. Read says that it had no idempotency key: its latency counts towards the
-// hedge delay.
+// Done records the outcome and the duration of an attempt. Read reports that the request had no idempotency key; the latency of a served
+// read counts towards the hedge delay.
 func (b *Balancer) Done(now time.Duration, name string, o Outcome, took time.Duration, read bool) {
 	s := b.servers[name]
 	if s == nil {
@@ -71,13 +72,13 @@
 		if read {
 			b.latency.add(took.Seconds())
 		}
-	case Rejected: // it works, but is overloaded: its latency is that of no work
+	case Rejected: // the server is up but overloaded; a rejection does no work, so its duration is not a latency sample
 	case ConnectFailed, NotSent:
 		failed = 1
 		b.Unreachable(now, name)
 	case Failed, ConnectionLost, TimedOut:
 		failed = 1
-		// A failure is no fast answer: it counts as slow. Else a server that fails at once would attract every request.
+		// A failure counts as slow even if it was fast. Otherwise a server that fails at once would attract every request.
 		s.latency = s.latency*latencyDecay + max(failurePenalty*s.latency, took.Seconds())*(1-latencyDecay)
 	}
 	s.attempts++
@@ -103,7 +104,7 @@
 	s.ejections++
 }
 
-// resetAttempts forgets what attempts at an earlier process of a server have shown.
+// resetAttempts clears the statistics of attempts at a server's previous process.
 func (s *server) resetAttempts() {
 	s.attempts, s.failureRatio, s.circuit, s.ejections, s.latency = 0, 0, CircuitClosed, 0, initialLatency.Seconds()
 }
--- a/internal/policy/loadbalancer/fairness.go
+++ b/internal/policy/loadbalancer/fairness.go
@@ -5,25 +5,26 @@
 	"time"
 )
 
-// Fairness among the tenants of a cell. Inputs: the requests that this router has in flight there, by tenant, how they end, and the
-// rates that tenants have agreed on. The cell's window, the requests in flight that it carries, is found as TCP finds its own: it grows
-// with every answer and shrinks when a server rejects something. While the cell has capacity every tenant is admitted. When it has
-// none, a tenant within its share of the window by agreed rates still is, up to overcommit times the window; one beyond its share only
-// into what those within theirs leave free. So a tenant that floods fills what is left over, and no more.
+// Fairness among the tenants of a cell. Inputs: this router's requests in flight to the cell by tenant, their outcomes, and the agreed
+// rates of the tenants. The cell's window is the number of requests in flight that the cell carries. It is found like a TCP congestion
+// window: it grows with every served request and shrinks when a server rejects one. While the cell has capacity, every tenant is admitted.
+// When it has none, a tenant within its share of the window (by agreed rates) is admitted up to overcommit times the window. A tenant
+// beyond its share is admitted only into the capacity that tenants within their shares leave free, so a flooding tenant gets no more
+// than that.
 const (
-	initialWindow        = 16.0                   // requests in flight for each server; too high costs some rejections, too low some idle time
-	minWindow            = 2.0                    // for each server, so that the window can find its way up again
-	windowDecrease       = 0.85                   // of what is in flight, when a server rejects a request
-	minDecreaseInterval  = 100 * time.Millisecond // at most, as one overload brings many rejections at once
-	tenantIdleTimeout    = time.Second            // a tenant that has sent nothing for so long has no share
-	overcommit           = 1.25                   // of the window: as far as tenants within their shares may go beyond it
-	shareTolerance       = 2.0                    // standard deviations of what a tenant has in flight, by which chance brings it over its share
-	averageWeight        = 0.05                   // weight of a request in what is usual for its tenant; the last twenty count
-	reservedBurstSeconds = 0.1                    // seconds of a tenant's agreed rate that are kept free for it beyond what it has in flight
-	minAgreedRate        = 1e-3                   // requests a second, of a tenant that has agreed on nothing
+	initialWindow        = 16.0                   // requests in flight per server; higher costs some rejections at the start, lower some idle time
+	minWindow            = 2.0                    // requests in flight per server; a smaller window could not grow again
+	windowDecrease       = 0.85                   // factor on the requests in flight when a server rejects a request
+	minDecreaseInterval  = 100 * time.Millisecond // one overload causes many rejections at once
+	tenantIdleTimeout    = time.Second            // without a request for longer, a tenant has no share
+	overcommit           = 1.25                   // multiple of the window up to which tenants within their shares are admitted
+	shareTolerance       = 2.0                    // standard deviations by which a tenant's requests in flight may exceed its share by chance
+	averageWeight        = 0.05                   // of a new sample in a tenant's average of requests in flight; spans about twenty requests
+	reservedBurstSeconds = 0.1                    // seconds of agreed rate that are reserved for a tenant beyond its requests in flight
+	minAgreedRate        = 1e-3                   // requests a second, for a tenant without an agreed rate
 )
 
-// TenantLimiter admits the requests of tenants to cells. Like Balancer it is not safe for concurrent use.
+// TenantLimiter admits requests of tenants to cells. Like Balancer, it is not safe for concurrent use.
 type TenantLimiter struct {
 	cells    map[string]*cellWindow
 	rejected uint64
@@ -31,25 +32,25 @@
 
 // cellWindow is the congestion window of a cell.
 type cellWindow struct {
-	limit        float64 // requests in flight at once
+	limit        float64 // requests in flight that the cell carries
 	inFlight     int
-	nextDecrease time.Duration // the window shrinks no further before then
+	nextDecrease time.Duration // the earliest time of the next decrease
 	tenants      map[string]*tenantUse
 }
 
-// tenantUse is what a tenant has of a cell.
+// tenantUse is a tenant's use of a cell.
 type tenantUse struct {
-	rate            float64 // requests a second, as agreed
+	rate            float64 // agreed requests a second
 	inFlight        int
-	averageInFlight float64       // a moving average, as its requests find it
-	lastRequest     time.Duration // when it was
+	averageInFlight float64       // a moving average, sampled at each of its requests
+	lastRequest     time.Duration // time of the tenant's latest request
 }
 
 // NewTenantLimiter returns a limiter without cells.
 func NewTenantLimiter() *TenantLimiter { return &TenantLimiter{cells: map[string]*cellWindow{}} }
 
-// Admit reports whether a request of a tenant with an agreed rate, in requests a second, is admitted to a cell of so many servers. One
-// that is has to be ended by Done.
+// Admit reports whether a tenant's request is admitted to a cell. Rate is the tenant's agreed rate in requests a second; servers is the
+// number of servers in the cell. An admitted request must be ended by Done.
 func (l *TenantLimiter) Admit(now time.Duration, cell, tenant string, rate float64, servers int) bool {
 	w := l.cells[cell]
 	if w == nil {
@@ -72,7 +73,7 @@
 	return true
 }
 
-// totalRate is the sum of the agreed rates of tenants that are active, in requests a second. Those that are not are forgotten.
+// totalRate returns the sum of the agreed rates of the active tenants, in requests a second. It deletes idle tenants.
 func (w *cellWindow) totalRate(now time.Duration) float64 {
 	total := 0.0
 	for name, u := range w.tenants {
@@ -93,15 +94,15 @@
 	case float64(u.inFlight) < share:
 		return float64(w.inFlight) < w.limit*overcommit
 	case u.averageInFlight < share && float64(u.inFlight) < share+shareTolerance*math.Sqrt(share)+1:
-		// It has less in flight than its share as a rule, and chance has brought it more just now: of a share of four, one request in
-		// six finds four in flight. A tenant that floods has more than its share all the time.
+		// The tenant's average is below its share, and it exceeds the share only by chance now: with an average just under a share of
+		// four, about one request in six finds four in flight. A flooding tenant is above its share all the time.
 		return float64(w.inFlight) < w.limit*overcommit+shareTolerance*math.Sqrt(w.limit)
 	}
 	return float64(w.inFlight)+w.reservedForOthers(u, totalRate) < w.limit
 }
 
-// reservedForOthers are the requests that the window keeps free for the other tenants: what they would send within reservedBurstSeconds, as
-// far as it is within their shares.
+// reservedForOthers returns the number of requests that the window reserves for the other tenants: what they would send within
+// reservedBurstSeconds, limited to their shares.
 func (w *cellWindow) reservedForOthers(u *tenantUse, totalRate float64) float64 {
 	reserved := 0.0
 	for _, other := range w.tenants {
@@ -113,7 +114,7 @@
 	return reserved
 }
 
-// Done records how a request that was admitted has ended: served ones widen the window, rejected ones narrow it.
+// Done records the outcome of an admitted request. A served request widens the cell's window, a rejected one narrows it.
 func (l *TenantLimiter) Done(now time.Duration, cell, tenant string, o Outcome) {
 	w := l.cells[cell]
 	if w == nil {
@@ -132,7 +133,7 @@
 	}
 }
 
-// Window is the window of a cell, and what is in flight there; 0 for a cell that has had no request.
+// Window returns the window of a cell and its requests in flight, or 0 for a cell that has had no request.
 func (l *TenantLimiter) Window(cell string) (limit float64, inFlight int) {
 	if w := l.cells[cell]; w != nil {
 		return w.limit, w.inFlight
@@ -140,5 +141,5 @@
 	return 0, 0
 }
 
-// Rejected is the number of requests that were not admitted since the start.
+// Rejected returns the number of requests that Admit refused since the start.
 func (l *TenantLimiter) Rejected() uint64 { return l.rejected }
--- a/internal/policy/loadbalancer/health.go
+++ b/internal/policy/loadbalancer/health.go
@@ -5,43 +5,43 @@
 	"time"
 )
 
-// Failure detection. Inputs: answers of a server, of whatever kind, and health checks or connections that failed. After
-// suspectAfter failures in a row a server is suspect: it gets attempts only where nobody better is there. After deadAfter it is dead:
-// it gets none, and requests that are sticky to it fail. One answer makes it alive again, unless it flaps: a server whose health
-// changed more than maxFlaps times within flapWindow is held down, and has to answer after holdDown once more.
+// Failure detection. Inputs: any answers of a server, and failed health checks or connections. After suspectAfter consecutive failures a
+// server is suspect and gets attempts only if no better server is available. After deadAfter it is dead: it gets none, and requests that
+// are sticky to it fail. One answer makes it alive again, unless it flaps: if a server's health changed more than maxFlaps times within
+// flapWindow, answers count again only after holdDown.
 const (
-	suspectAfter = 1 // failures in a row; one is no proof, but there is mostly a better server
-	deadAfter    = 3 // failures in a row; one or two are lost to a restart or a busy network
+	suspectAfter = 1 // consecutive failures; one proves little, but a better server is usually available
+	deadAfter    = 3 // consecutive failures; a restart or a busy network causes one or two
 
-	flapWindow = time.Minute      // in which changes of health are counted; several restarts fit in
-	maxFlaps   = 4                // changes; a restart makes two or three of them
-	holdDown   = 10 * time.Second // longer than a restart, so that one that crashes at start stays out
+	flapWindow = time.Minute      // period over which health changes are counted; it covers several restarts
+	maxFlaps   = 4                // health changes; a restart causes two or three
+	holdDown   = 10 * time.Second // longer than a restart, so that a server that crashes at start gets no requests
 )
 
-// Health is what is believed of a server. The names are those of SWIM (Das, Gupta and Motivala, 2002).
+// Health is a server's state according to failure detection. The names are those of SWIM (Das, Gupta and Motivala, 2002).
 type Health int
 
 // The states of a server's health.
 const (
-	Unknown Health = iota // nothing was heard of it yet
-	Alive                 // it answers
-	Suspect               // something failed: it gets attempts only where nobody better is there
-	Dead                  // it can't be reached
+	Unknown Health = iota // no answer and no failure yet
+	Alive                 // the server answers
+	Suspect               // a check or connection failed: the server gets attempts only if no better one is available
+	Dead                  // the server is unreachable
 )
 
-// String is the health's name in the log and in the status of a router.
+// String returns the state's name in the log and in a router's status.
 func (h Health) String() string { return [...]string{"unknown", "alive", "suspect", "dead"}[h] }
 
-// Incarnation is what an answer says of the process that gave it. All times are Unix milliseconds.
+// Incarnation identifies the process that gave an answer. All times are Unix milliseconds.
 type Incarnation struct {
-	Boot     int64 // when it started, by its own word; 0: it does not say
-	RanUntil int64 // until when, at the latest, an earlier process of it may have run anything; 0: it can't say
-	Joined   int64 // when the server came to be in the cell map
-	Now      int64 // the present, by the router's wall clock
+	Boot     int64 // start of the process, as it reports it; 0 if it reports none
+	RanUntil int64 // latest time at which an earlier process of the server may have run a request; 0 if the server cannot tell
+	Joined   int64 // when the server was added to the cell map
+	Now      int64 // current time by the router's wall clock
 }
 
-// Answered records that a server answered a health check or a request. It makes the server alive, unless it flaps, and notices a
-// restart: homes.go.
+// Answered records that a server answered a health check or a request. It makes the server alive, unless the server flaps, and detects
+// restarts (homes.go).
 func (b *Balancer) Answered(now time.Duration, name string, in Incarnation) {
 	s := b.servers[name]
 	if s == nil {
@@ -54,7 +54,7 @@
 	}
 }
 
-// Unreachable records that a health check failed, or that no connection was to be had.
+// Unreachable records a failed health check or connection.
 func (b *Balancer) Unreachable(now time.Duration, name string) {
 	s := b.servers[name]
 	if s == nil {
--- a/internal/policy/loadbalancer/hedging.go
+++ b/internal/policy/loadbalancer/hedging.go
@@ -5,21 +5,21 @@
 	"time"
 )
 
-// Hedged requests (Dean and Barroso, "The Tail at Scale", 2013). Inputs: the latencies of reads that were served. A request that may
-// run more than once and waits longer than hedgeQuantile of recent reads took gets a second attempt elsewhere, within the hedge
-// budget: retrybudget.go. Nothing is hedged until a quarter of latencySamples is there.
+// Hedged requests (Dean and Barroso, "The Tail at Scale", 2013). Inputs: the latencies of served reads. A request that may run more than
+// once, and that has waited longer than the hedgeQuantile of recent read latencies, gets a second attempt elsewhere within the hedge
+// budget (retrybudget.go). Nothing is hedged before minSamples latencies are known.
 const (
-	hedgeQuantile    = 0.95 // one request in twenty waits as long, as many as the budget pays for
-	latencySamples   = 256  // reads; the quantile rests on the twelve slowest
+	hedgeQuantile    = 0.95 // one request in twenty waits longer, which matches the default hedge budget
+	latencySamples   = 256  // reads; about twelve of them are above the quantile
 	minSamples       = latencySamples / 4
-	quantileInterval = latencySamples / 8 // new samples until the quantile is taken again, as that sorts them all
+	quantileInterval = latencySamples / 8 // new samples between two computations of the quantile, each of which sorts all samples
 )
 
-// latencyQuantile is the hedgeQuantile of recent latencies, over a ring of samples.
+// latencyQuantile computes the hedgeQuantile of recent latencies from a ring of samples.
 type latencyQuantile struct {
 	samples  []float64 // seconds
-	next     int       // the oldest sample
-	added    int       // since the quantile was taken
+	next     int       // index of the oldest sample
+	added    int       // samples since the quantile was computed
 	quantile time.Duration
 }
 
@@ -46,11 +46,11 @@
 	return l.quantile, true
 }
 
-// HedgeDelay is how long a request that may run more than once waits for its answer before it is hedged; false while too few latencies
-// are known.
+// HedgeDelay returns how long a request that may run more than once waits for its answer before it is hedged. It returns false while too
+// few latencies are known.
 func (b *Balancer) HedgeDelay() (time.Duration, bool) { return b.latency.get() }
 
-// AllowHedge reports whether a hedged request may be sent, and takes it from the budget.
+// AllowHedge reports whether the hedge budget has a token for a hedged request, and takes it.
 func (b *Balancer) AllowHedge() bool {
 	if !b.hedges.withdraw() {
 		b.counts.HedgesSpent++
--- a/internal/policy/loadbalancer/homes.go
+++ b/internal/policy/loadbalancer/homes.go
@@ -2,23 +2,23 @@
 
 import "time"
 
-// Sticky requests. A request with an idempotency key runs at its home, the server that the cell map names for the key, and nowhere
-// else: only the home can tell that an earlier attempt of it has run. A home that started anew may have forgotten what it ran; until
-// no repeat can come any more, Config.KeyWindow after the earlier process can have run anything, requests for it fail. So what must
-// take effect at most once does, at the price of failures after a restart without a durable log.
+// Sticky requests. A request with an idempotency key runs only at its home, the server that the cell map assigns to the key, because only
+// the home knows whether an earlier attempt has run. A restarted home may have lost that knowledge. Requests for it fail until no repeat
+// can arrive any more, which is Config.KeyWindow after the earlier process can last have run a request. This keeps execution at most once,
+// at the price of failed requests after a restart without a durable log.
 
-// HomeState is what may be done with a request at the home of its idempotency key.
+// HomeState says whether a request may be sent to the home of its idempotency key.
 type HomeState int
 
-// What may be done with a request at its home.
+// The states of a home.
 const (
-	HomeReady HomeState = iota // it may be sent
-	HomeLost                   // an earlier attempt may have run there and is forgotten, or can't be asked for: the request fails
-	HomeBusy                   // the home is full, or asked to be left alone: the request is rejected, as it never runs elsewhere
+	HomeReady HomeState = iota // the request may be sent
+	HomeLost                   // an earlier attempt may have run there, and the home has lost its record or is unreachable: the request fails
+	HomeBusy                   // the home is full or its Retry-After has not passed: the request is rejected, as it never runs elsewhere
 )
 
-// CheckHome tells what may be done with a tenant's request at its home. A home that is dead, came back without what it knew, or has
-// not yet told a router that is new itself when it started, may have run an earlier attempt.
+// CheckHome reports whether a tenant's request may be sent to its home. It returns HomeLost if the home is not in the cell map, is dead,
+// lost its keys in a restart, or has not yet answered this router: an earlier attempt may have run there.
 func (b *Balancer) CheckHome(now time.Duration, tenant, name string) HomeState {
 	s := b.servers[name]
 	switch {
@@ -32,18 +32,19 @@
 	return HomeReady
 }
 
-// hasLostKeys reports whether repeats may still come of requests that a process of the server ran that is gone.
+// hasLostKeys reports whether a repeat may still arrive of a request that an earlier process of the server ran.
 func (b *Balancer) hasLostKeys(now time.Duration, s *server) bool {
 	return s.lostKeys && now-s.lostKeysAt < b.cfg.KeyWindow
 }
 
-// detectRestart notices that a server's process is another one than before, and forgets what attempts at that one have shown.
+// detectRestart compares the process that answered with the previous one. After a restart it marks the keys as lost and resets the
+// attempt statistics.
 func (b *Balancer) detectRestart(now time.Duration, s *server, in Incarnation) {
 	wasDead, bootKnown := s.health == Dead, s.boot != 0
 	s.hasAnswered = true
 	restarted := in.Boot != 0 && bootKnown && in.Boot != s.boot || in.Boot == 0 && wasDead
-	// One that started not long ago, and was in the map before, had a process whose keys it has forgotten: so a router that has itself
-	// just started knows what it missed.
+	// A server that started within the key window, but after it was added to the map, had an earlier process, whose keys are lost. A
+	// router that has just started detects the restart by this, although it never saw the earlier process.
 	ranUntil := in.Boot
 	if in.RanUntil != 0 {
 		ranUntil = min(in.RanUntil, in.Boot)
@@ -57,7 +58,7 @@
 	}
 	b.counts.ColdBack++
 	s.lostKeys, s.lostKeysAt, s.upSince = true, now, now
-	if in.Boot != 0 { // what ran before ran before it started
+	if in.Boot != 0 { // the earlier process ran nothing after this one started
 		s.warmup.Restarted()
 		s.lostKeysAt = now - time.Duration(max(0, in.Now-ranUntil))*time.Millisecond
 	}
--- a/internal/policy/loadbalancer/loadbalancer.go
+++ b/internal/policy/loadbalancer/loadbalancer.go
@@ -1,11 +1,18 @@
-// Package loadbalancer decides which server of a cell gets an attempt of a request, and whether there may be another attempt: from
-// what a router observes itself (requests in flight, answers, rejections, failures and health checks). It has no I/O, no clock and no
-// goroutine: events come in with their time, decisions go out.
+// Package loadbalancer decides which server of a cell gets an attempt of a request, and whether another attempt is allowed. It decides
+// from what the router itself observes: requests in flight, answers, rejections, failures and health checks. It has no I/O, no clock and
+// no goroutine: events come in with their time, decisions go out.
 //
-// Each rule has a file, with its inputs, units and reasons at the head: health.go (failure detection), ejection.go (outlier ejection
-// and the circuit breaker), backpressure.go (what servers ask for), selection.go (the choice among servers), homes.go (servers that
-// are sticky for an idempotency key), retrybudget.go, hedging.go and fairness.go (a cell shared among tenants). docs/design/cells.md
-// weighs the alternatives.
+// Each rule has a file, with its inputs, units and reasons at the head:
+//
+//   - health.go: failure detection
+//   - ejection.go: outlier ejection and the circuit breaker
+//   - backpressure.go: limits that servers request
+//   - selection.go: the choice of a server
+//   - homes.go: requests that are sticky to the home of their idempotency key
+//   - retrybudget.go and hedging.go: retries and hedged requests
+//   - fairness.go: a cell shared by tenants
+//
+// docs/design/cells.md discusses the alternatives.
 package loadbalancer
 
 import (
@@ -15,29 +22,29 @@
 	"silverpath/internal/policy/slowstart"
 )
 
-// Config sets up a Balancer. 0 stands for the default.
+// Config configures a Balancer. A zero field selects its default.
 type Config struct {
 	RetryRatio      float64       // retries, as a ratio of first attempts; 0.1 by default
 	HedgeRatio      float64       // hedged requests, as a ratio of first attempts; 0.05 by default
-	MaxEjectedRatio float64       // of a cell's servers that may be left out at once as suspect or slow; 0.4 by default. Ejection is bounded by PanicThreshold
-	PanicThreshold  float64       // ratio of a cell's servers in use under which health is ignored; 0.5 by default
-	SlowStart       time.Duration // until a server that came back gets its whole share from this router; 10 s by default. A server that warms up grants its own: policy/slowstart
-	KeyWindow       time.Duration // a request with an idempotency key may be repeated for so long after its run began
-	MaxInFlight     int           // requests in flight to a server at once; 256 by default
-	Seed            uint64        // of the draws among servers
+	MaxEjectedRatio float64       // ratio of a cell's servers that may be skipped as suspect or slow; 0.4 by default. PanicThreshold bounds ejection
+	PanicThreshold  float64       // health is ignored if a smaller ratio of a cell's servers is in use; 0.5 by default
+	SlowStart       time.Duration // ramp of a recovered server to its full share; 10 s by default. Servers also grant their own: policy/slowstart
+	KeyWindow       time.Duration // period after the start of its run in which a request with an idempotency key may be repeated
+	MaxInFlight     int           // maximum requests in flight to a server; 256 by default
+	Seed            uint64        // seeds the random choice among servers
 }
 
-// Defaults of Config. An operator changes them in the router's settings: retries, hedges, most_out, panic, slow_start_ms.
+// Defaults of Config. The router's settings override them: retries, hedges, most_out, panic, slow_start_ms.
 const (
-	defaultRetryRatio      = 0.1              // a fault of all servers costs a tenth more load, not a multiple
-	defaultHedgeRatio      = 0.05             // as many as requests that take longer than the hedge delay
-	defaultMaxEjectedRatio = 0.4              // the servers that stay have to carry the load of all
-	defaultPanicThreshold  = 0.5              // with half gone, the fault is more likely shared, or the router's own
-	defaultSlowStart       = 10 * time.Second // as long as a process takes to fill its caches
-	defaultMaxInFlight     = 256              // eight connections' worth; beyond it a queue grows that nobody drains in time
+	defaultRetryRatio      = 0.1              // a fault of all servers adds a tenth to their load instead of multiplying it
+	defaultHedgeRatio      = 0.05             // the ratio of requests that take longer than the hedge delay
+	defaultMaxEjectedRatio = 0.4              // the remaining servers carry the load of all
+	defaultPanicThreshold  = 0.5              // with half of the servers lost, the fault is more likely shared or the router's own
+	defaultSlowStart       = 10 * time.Second // about the time a process takes to fill its caches
+	defaultMaxInFlight     = 256              // the requests of eight connections; beyond it they queue and are not served in time
 )
 
-// withDefaults is the configuration with defaults where it has zeros.
+// withDefaults returns the configuration with zero fields replaced by their defaults.
 func (c Config) withDefaults() Config {
 	setDefault := func(v *float64, d float64) {
 		if *v == 0 {
@@ -57,8 +64,8 @@
 	return c
 }
 
-// Balancer holds what a router knows of all servers. It is not safe for concurrent use: the proxy calls it under its lock. All times
-// are the router's monotonic clock.
+// Balancer holds a router's state of all servers. It is not safe for concurrent use: the proxy calls it under its lock. All times are
+// those of the router's monotonic clock.
 type Balancer struct {
 	cfg     Config
 	rng     *rand.Rand
@@ -69,37 +76,37 @@
 	counts  Counts
 }
 
-// server is what is known of one server.
+// server is the state of one server.
 type server struct {
 	name   string
 	weight float64
 
 	// Failure detection: health.go.
 	health        Health
-	failuresInRow int             // health checks and connections that failed since the last answer
-	healthChanges []time.Duration // of health, within flapWindow
-	holdDownUntil time.Duration   // not alive again before then, as it flaps
-	upSince       time.Duration   // it came up, or back from ejection: its slow start is measured from then
+	failuresInRow int             // failed health checks and connections since the last answer
+	healthChanges []time.Duration // times within flapWindow
+	holdDownUntil time.Duration   // a flapping server does not become alive before then
+	upSince       time.Duration   // when it became alive, restarted or returned from ejection; its slow start begins then
 
 	// Attempts: ejection.go.
 	inFlight      int
 	latency       float64 // seconds, a moving average
-	failureRatio  float64 // of recent attempts, a moving average
-	attempts      int     // since it came up
+	failureRatio  float64 // a moving average over recent attempts
+	attempts      int     // since the process started
 	circuit       Circuit
-	openUntil     time.Duration // the circuit is open until then
-	ejections     int           // in a row
+	openUntil     time.Duration // end of the open state
+	ejections     int           // consecutive
 	trialInFlight bool          // the one attempt of a half-open circuit is in flight
 
-	// What it asked for: backpressure.go.
-	retryAfter map[string]time.Duration // by tenant: it gets nothing of the tenant until then
-	credit     float64                  // requests that it wants in flight at most; 0: it has not said
+	// Limits that the server requested: backpressure.go.
+	retryAfter map[string]time.Duration // by tenant; the server gets no request of the tenant before that time
+	credit     float64                  // maximum requests in flight that the server announced; 0 if none
 
 	// Incarnations: homes.go.
-	boot        int64         // Unix milliseconds of its start, as it says; 0: it has not said
-	lostKeysAt  time.Duration // an incarnation that may have run keyed requests was last there then
-	lostKeys    bool          // such an incarnation is gone with what it knew
-	hasAnswered bool          // this router has heard of it: until then nobody knows whether it started anew
+	boot        int64         // start of the process in Unix milliseconds, as it reports it; 0 if unknown
+	lostKeysAt  time.Duration // latest time at which the previous process may have run requests with a key
+	lostKeys    bool          // the previous process may have run such requests, and its record of them is lost
+	hasAnswered bool          // the server has answered this router; before that, a restart cannot be ruled out
 
 	warmup slowstart.Caller
 }
@@ -113,16 +120,16 @@
 	}
 }
 
-// Retune takes up other ratios and bounds after a change of the routing document. What is known of servers, and what was spent of
-// budgets, stays; KeyWindow, Seed and MaxInFlight stay as they were at the start.
+// Retune applies new ratios and bounds after a change of the routing document. It keeps the state of the servers, the spent budgets, and
+// the values of KeyWindow, Seed and MaxInFlight that New was given.
 func (b *Balancer) Retune(c Config) {
 	c.KeyWindow, c.Seed, c.MaxInFlight = b.cfg.KeyWindow, b.cfg.Seed, b.cfg.MaxInFlight
 	b.cfg = c.withDefaults()
 	b.retries.ratio, b.hedges.ratio = b.cfg.RetryRatio, b.cfg.HedgeRatio
 }
 
-// SetServers sets the servers that there are, with their weights; it is called with each new cell map. A server that stays keeps all
-// that is known of it.
+// SetServers sets the servers and their weights. It is called with each new cell map. A server that is in the previous and the new map
+// keeps its state.
 func (b *Balancer) SetServers(now time.Duration, weights map[string]float64) {
 	for name := range b.servers {
 		if _, stays := weights[name]; !stays {
@@ -138,7 +145,7 @@
 	}
 }
 
-// InFlight is the number of attempts that are in flight to a server.
+// InFlight returns the number of attempts in flight to a server.
 func (b *Balancer) InFlight(name string) int {
 	if s := b.servers[name]; s != nil {
 		return s.inFlight
--- a/internal/policy/loadbalancer/selection.go
+++ b/internal/policy/loadbalancer/selection.go
@@ -7,22 +7,22 @@
 	"time"
 )
 
-// Selection: power of two choices (Mitzenmacher, 2001) among the servers of a tenant that may be used. Inputs: health, circuit,
-// backpressure, in-flight requests and latency of each. Of two that are drawn, the one whose cost is lower is taken: its latency times
-// the requests that would then be in flight, by its weight and by the ratio of its share that it gets in its slow start.
+// Selection: power of two choices (Mitzenmacher, 2001) among the usable servers of a tenant. Inputs: health, circuit, backpressure,
+// requests in flight and latency of each. Two servers are drawn, and the one with the lower cost is chosen. The cost is the latency times
+// the requests that would then be in flight, divided by the weight and by the ratio of its share that the server gets in its slow start.
 //
-// Suspects and slow outliers are left out, the worst first, while at least 1-MaxEjectedRatio of the cell's servers stay. Where fewer
-// than PanicThreshold of them are neither dead nor ejected, the fault is more likely the router's own, or that of all: health is
-// ignored, and all are drawn from but those that asked to be left alone or are full.
+// Suspects and slow outliers are skipped, the worst first, as long as at least 1-MaxEjectedRatio of the cell's servers remain. If fewer
+// than PanicThreshold of the servers are neither dead nor ejected, the fault is more likely the router's own or shared by all servers.
+// Health is then ignored, and all servers are eligible except those that are full or have an active Retry-After.
 const (
-	maxCandidates  = 16  // servers among which a choice is made: all of a small cell, a sample of a large one, so that it costs the same
-	minForMedian   = 3   // servers; of two nobody can say which is the outlier
-	slowOutlier    = 4   // times the median latency of its cell; less is the difference of two machines
-	minWarmupRatio = 0.1 // of its share for a server that just came up, so that it gets anything at all
+	maxCandidates  = 16  // servers per choice: all of a small cell, a sample of a large one, which bounds the cost
+	minForMedian   = 3   // servers; with two, the outlier cannot be determined
+	slowOutlier    = 4   // multiple of the cell's median latency; differences between machines are smaller
+	minWarmupRatio = 0.1 // ratio of its share that a server gets at the start of its slow start, so that it gets any requests
 )
 
-// Pick chooses the server for an attempt of a request that is not sticky, among those of its tenant; exclude is the one of the attempt
-// before, empty for none. It reports false where nobody can be asked.
+// Pick chooses a server for an attempt of a request that is not sticky. Names are the servers of the tenant; exclude is the server of the
+// previous attempt, or empty. Pick returns false if no server is available.
 func (b *Balancer) Pick(now time.Duration, tenant string, names []string, exclude string) (string, bool) {
 	candidates := b.sample(names)
 	usable, unavailable := b.usable(now, tenant, candidates, exclude)
@@ -41,7 +41,7 @@
 	return b.betterOfTwo(now, usable).name, true
 }
 
-// sample returns the servers of a list, or, of a long list, maxCandidates of them drawn without repetition.
+// sample returns the servers of a list. From a list longer than maxCandidates it draws up to that many without repetition.
 func (b *Balancer) sample(names []string) []*server {
 	list := make([]*server, 0, min(maxCandidates, len(names)))
 	if len(names) <= maxCandidates {
@@ -63,7 +63,7 @@
 	return list
 }
 
-// usable are the candidates that may get an attempt now, and the number of those that are dead or ejected.
+// usable returns the candidates that may get an attempt now, and the number of candidates that are dead or ejected.
 func (b *Balancer) usable(now time.Duration, tenant string, candidates []*server, exclude string) (usable []*server, unavailable int) {
 	usable = make([]*server, 0, len(candidates))
 	for _, s := range candidates {
@@ -79,7 +79,7 @@
 	return usable, unavailable
 }
 
-// isUsable reports whether a server may get an attempt now, by its own state. A circuit whose time is over is half open from here on.
+// isUsable reports whether a server may get an attempt now. It changes an open circuit whose time is over to half open.
 func (b *Balancer) isUsable(now time.Duration, tenant string, s *server) bool {
 	if s.circuit == CircuitOpen && now >= s.openUntil {
 		s.circuit = CircuitHalfOpen
@@ -88,7 +88,7 @@
 		!s.inBackoff(now, tenant) && b.hasCapacity(now, s) && !s.overCredit()
 }
 
-// ignoringHealth appends the candidates that have capacity and have not asked to be left alone.
+// ignoringHealth appends the candidates that have capacity and no active Retry-After, regardless of their health.
 func (b *Balancer) ignoringHealth(now time.Duration, tenant string, candidates []*server, exclude string, list []*server) []*server {
 	for _, s := range candidates {
 		if s.name != exclude && !s.inBackoff(now, tenant) && b.hasCapacity(now, s) {
@@ -98,7 +98,7 @@
 	return list
 }
 
-// withoutOutliers leaves out suspects and the slow, the worst first, as long as enough servers stay.
+// withoutOutliers removes suspects and slow servers, the worst first, as long as enough servers remain.
 func (b *Balancer) withoutOutliers(usable, candidates []*server) []*server {
 	minKept := max(1, int(math.Ceil(float64(len(candidates))*(1-b.cfg.MaxEjectedRatio))))
 	median := medianLatency(candidates)
@@ -121,7 +121,7 @@
 	})
 }
 
-// medianLatency is the median latency of some servers in seconds, 0 for fewer than minForMedian.
+// medianLatency returns the median latency of the servers in seconds, or 0 for fewer than minForMedian.
 func medianLatency(list []*server) float64 {
 	if len(list) < minForMedian {
 		return 0
@@ -149,12 +149,12 @@
 	return first
 }
 
-// cost is what a further attempt at a server is expected to wait, in seconds by weight.
+// cost returns the expected wait of one more attempt at a server, in seconds divided by its weight and its slow-start ratio.
 func (b *Balancer) cost(now time.Duration, s *server) float64 {
 	return s.latency * float64(s.inFlight+1) / (s.weight * b.warmupRatio(now, s))
 }
 
-// warmupRatio is the ratio of its share that a server gets while it has come up not long ago: it rises evenly over Config.SlowStart.
+// warmupRatio returns the ratio of its share that a server gets in its slow start. It rises linearly over Config.SlowStart.
 func (b *Balancer) warmupRatio(now time.Duration, s *server) float64 {
 	if up := now - s.upSince; up < b.cfg.SlowStart {
 		return max(minWarmupRatio, up.Seconds()/b.cfg.SlowStart.Seconds())
--- a/internal/policy/loadbalancer/state.go
+++ b/internal/policy/loadbalancer/state.go
@@ -6,21 +6,21 @@
 	"time"
 )
 
-// Counts are what a balancer has decided since the start.
+// Counts counts the decisions of a Balancer since its start.
 type Counts struct {
 	Ejected      uint64 // ejections of servers
-	Panicked     uint64 // choices that ignored health
-	Retried      uint64 // retries that were allowed
-	RetriesSpent uint64 // and those that the budget did not pay for
-	Hedged       uint64 // hedged requests that were allowed
-	HedgesSpent  uint64 // and those that the budget did not pay for
-	ColdBack     uint64 // restarts of servers that may have forgotten keys
+	Panicked     uint64 // choices that ignored health, below PanicThreshold
+	Retried      uint64 // allowed retries
+	RetriesSpent uint64 // retries denied because the budget was spent
+	Hedged       uint64 // allowed hedged requests
+	HedgesSpent  uint64 // hedged requests denied because the budget was spent
+	ColdBack     uint64 // server restarts that may have lost idempotency keys
 }
 
-// Counts returns what was decided since the start.
+// Counts returns the decision counters since the start.
 func (b *Balancer) Counts() Counts { return b.counts }
 
-// ServerState is what is known of a server, for operators.
+// ServerState is the state of a server as shown to operators.
 type ServerState struct {
 	Name         string
 	Health       Health
@@ -28,12 +28,12 @@
 	InFlight     int
 	Latency      time.Duration
 	FailureRatio float64
-	WarmupRatio  float64 // the ratio of its share that it gets
-	LostKeys     bool    // requests with a key that it ran before its restart are forgotten, and may be repeated
-	Boot         int64   // Unix milliseconds, 0 for not told
+	WarmupRatio  float64 // ratio of its share that it gets in its slow start
+	LostKeys     bool    // its record of requests with a key was lost in a restart, and repeats of them may still arrive
+	Boot         int64   // start of the process in Unix milliseconds, 0 if unknown
 }
 
-// States returns all servers by name.
+// States returns the states of all servers, sorted by name.
 func (b *Balancer) States(now time.Duration) []ServerState {
 	var list []ServerState
 	for _, s := range b.servers {
