--- a/internal/policy/hotrestart/claims.go
+++ b/internal/policy/hotrestart/claims.go
@@ -2,10 +2,10 @@
 
 import "errors"
 
-// Claims. A process runs an idempotent request only where its key is its own: the predecessor owns every key that neither process has a
-// run of, the successor one that was granted to it. An attempt at the successor claims its key and waits for the reply.
+// Claims. A process runs an idempotent request only if it owns the key. The predecessor owns every key of which neither process has a
+// run; the successor owns the keys that the predecessor granted to it. An attempt at the successor claims its key and waits for the reply.
 
-// BeginClaim begins an attempt's claim to its key. EndClaim ends it, however it went.
+// BeginClaim begins an attempt's claim to its key. EndClaim must follow, whatever CheckClaim returned.
 func (c *Coordinator) BeginClaim(key string) {
 	k := c.claims[key]
 	if k == nil {
@@ -15,8 +15,8 @@
 	k.waiters++
 }
 
-// CheckClaim says whether an attempt may go on; one that is pending asks again at every change. Where it may, its run is entered into the
-// table at once, before any other event.
+// CheckClaim reports whether an attempt may proceed. While it returns Pending, the attempt calls it again after every Effects.Changed.
+// After Granted, the caller enters the run into the table of executions before any other event.
 func (c *Coordinator) CheckClaim(e Execution) ClaimState {
 	_, known := c.executions.Find(e.Key, e.ReceivedAt)
 	switch {
@@ -30,7 +30,7 @@
 		return Granted
 	}
 	k := c.claims[e.Key]
-	if k == nil || !c.synced { // without a link, or before all is known, nobody can tell
+	if k == nil || !c.synced { // the predecessor's runs are not all known on this link, so ownership is undecided
 		return Pending
 	}
 	if k.granted {
@@ -43,7 +43,8 @@
 	return Pending
 }
 
-// EndClaim ends an attempt's claim. A key that was granted and that no run here holds is given back.
+// EndClaim ends an attempt's claim. After the last attempt's claim, a granted key of which this process has no run is released to the
+// predecessor.
 func (c *Coordinator) EndClaim(key string, receivedAt int64) {
 	k := c.claims[key]
 	if k == nil {
@@ -53,7 +54,7 @@
 		return
 	}
 	if k.requested && !k.granted && c.linked {
-		return // its reply is on the way
+		return // receiveClaimReply deletes the claim when the reply arrives
 	}
 	delete(c.claims, key)
 	if _, known := c.executions.Find(key, receivedAt); k.granted && !known {
@@ -61,11 +62,11 @@
 	}
 }
 
-// receiveClaim answers the successor's claim. A key is granted unless a run of it is known here; a run of the successor's own that has not
-// ended does not count, as a successor that asks for a key anew has abandoned what it was granted before.
+// receiveClaim answers the successor's claim. It grants the key unless a run of it is known here. An unfinished run of the successor's own
+// does not prevent the grant: a successor that claims a key again has abandoned its earlier grant.
 func (c *Coordinator) receiveClaim(m Message) error {
 	if c.role != Predecessor {
-		return errors.New("a claim to one that is not the elder")
+		return errors.New("received a claim, but this process is not the predecessor")
 	}
 	key := Execution{Key: m.Execution.Key, ID: m.Execution.ID}
 	e, known := c.executions.Find(m.Execution.Key, m.Execution.ReceivedAt)
@@ -75,13 +76,13 @@
 		return nil
 	}
 	e = m.Execution
-	e.Stage, e.Result = Running, nil // from now on it may be
+	e.Stage, e.Result = Running, nil // the successor may run it from now on
 	c.executions.Apply(e)
 	c.send(Message{Kind: Grant, Execution: key})
 	return nil
 }
 
-// receiveClaimReply takes the predecessor's reply to a claim. A grant that nobody waits for any more is given back.
+// receiveClaimReply handles the predecessor's reply to a claim. It releases a granted key that no attempt waits for any more.
 func (c *Coordinator) receiveClaimReply(m Message) {
 	k := c.claims[m.Execution.Key]
 	if k == nil || !k.requested {
@@ -101,8 +102,8 @@
 	}
 }
 
-// RunStarts is told when a run of this process is about to begin, and says how the other is notified first, as it must be of the
-// predecessor's.
+// RunStarts is called before a run of this process begins. It returns how the peer must be notified first. Only the predecessor's runs
+// need a notice.
 func (c *Coordinator) RunStarts(e Execution) Notice {
 	switch {
 	case c.role != Predecessor:
@@ -115,17 +116,17 @@
 	return NoticeByMark
 }
 
-// NoticeLost is told when the message with a run's notice could not be written: the mark is left instead.
+// NoticeLost is called when the message with a run's notice could not be written. The caller leaves the mark instead.
 func (c *Coordinator) NoticeLost() { c.marks++ }
 
-// RunEnded is told how a run of this process ended.
+// RunEnded is called when a run of this process has ended. It sends the result to the peer.
 func (c *Coordinator) RunEnded(e Execution) {
 	if c.helloReceived {
 		c.send(Message{Kind: Run, Execution: e})
 	}
 }
 
-// RequestDropped is told when this process abandoned a request that did not run.
+// RequestDropped is called when this process abandoned a request before its run began. It releases the key.
 func (c *Coordinator) RequestDropped(key string) {
 	if k := c.claims[key]; k != nil {
 		k.granted = false
--- a/internal/policy/hotrestart/coordinator.go
+++ b/internal/policy/hotrestart/coordinator.go
@@ -1,11 +1,12 @@
-// Package hotrestart decides how two processes are one service during a hot restart, while the newer takes over from the older: who owns
-// a key, when the newer one is ready, and what each does when the other is silent or dead. It decides only: no I/O, no clock, no
-// goroutine. Events go in, messages for the other process and effects for this one come out. The core calls it under its lock.
+// Package hotrestart decides how two processes act as one service during a hot restart, while the successor takes over from the
+// predecessor: which process owns a key, when the successor is ready, and what each does when the other is silent or dead. It has no I/O,
+// no clock and no goroutine: events go in, messages for the peer and effects for this process come out. The core calls it under its lock.
 //
-// One rule carries the rest: an idempotent request is run only by the process that owns its key. The predecessor owns every key that
-// neither has; the successor owns what the predecessor has granted it. Before the predecessor runs a key it says so, in order, on a link
-// whose bytes outlive it, so the successor knows after the predecessor's death all that may have run. Where the predecessor has to run
-// without a link it leaves a mark first, and a successor that finds the mark fails what it does not know.
+// An idempotent request is run only by the process that owns its key. The predecessor owns every key of which neither process has a run;
+// the successor owns the keys that the predecessor granted to it. Before the predecessor runs a request, it notifies the successor on a
+// link whose bytes outlive the predecessor. If the predecessor dies, the successor therefore knows every request that may have run. If
+// the predecessor has to run a request without a link, it leaves a mark first, and a successor that finds the mark fails the requests
+// that it does not know.
 package hotrestart
 
 import (
@@ -13,145 +14,147 @@
 	"fmt"
 )
 
-// Role is what a process is to the other.
+// Role is a process's role in a hot restart.
 type Role uint8
 
 // The roles.
 const (
-	Joining Role = iota // it does not know yet whether there is another
-	Sole                // there is none
+	Joining Role = iota // it is not known yet whether there is a peer
+	Sole                // there is no peer
 	Predecessor
 	Successor
 )
 
-// String names a role in the words of the log: elder is Predecessor, younger is Successor.
+// String returns the role's name in the log: elder is Predecessor, younger is Successor.
 func (r Role) String() string { return [...]string{"joining", "sole", "elder", "younger"}[r] }
 
-// ClaimState is what becomes of an attempt that claims its key.
+// ClaimState says whether an attempt that claims its key may proceed.
 type ClaimState uint8
 
 // The states of a claim.
 const (
-	Granted    ClaimState = iota // it may go on: the key is this process's, or its run is known here
-	Pending                      // it asks again at the next change
-	Unknowable                   // whether it ran can't be known: it fails
+	Granted    ClaimState = iota // the attempt may proceed: this process owns the key, or knows its run
+	Pending                      // the attempt calls CheckClaim again after the next change
+	Unknowable                   // it cannot be determined whether the request ran: the attempt fails
 )
 
-// Effects are what this process has to do after events.
+// Effects are the actions that this process must take after events.
 type Effects struct {
 	Send      []Message
-	Changed   bool // role, readiness or a key changed: attempts that wait ask again
+	Changed   bool // role, readiness or a key changed: pending attempts call CheckClaim again
 	Evacuated *bool
-	ClearMark bool // once all is sent, the mark is removed if Marks is still that: the other knows all again
+	ClearMark bool // after Send is written, the mark is removed if Marks is unchanged: the peer then knows all runs
 	Marks     int
 }
 
-// Notice is how the other is notified of a run before it begins.
+// Notice is how the peer is notified of a run before the run begins.
 type Notice uint8
 
 // The kinds of notice.
 const (
-	NoNotice     Notice = iota // none is needed
-	NoticeByLink               // by what is to be sent, which has to be written first; where that fails, as NoticeByMark
-	NoticeByMark               // there is no link: by the mark that is left for it
+	NoNotice     Notice = iota // no notice is needed
+	NoticeByLink               // by a message in Effects.Send, written before the run; if the write fails, as NoticeByMark
+	NoticeByMark               // by the mark, because there is no link
 )
 
-// ErrPeerReplaced ends a link: another process is there than before, so that one is dead.
-var ErrPeerReplaced = errors.New("another process than before")
+// ErrPeerReplaced closes the link: the peer is a different process than before, so the earlier one is dead.
+var ErrPeerReplaced = errors.New("peer process was replaced")
 
-// ErrStaleIdentity ends a link too: the other side takes this process for another one, and finds out by this link's Hello.
-var ErrStaleIdentity = errors.New("taken for another process")
+// ErrStaleIdentity closes the link: the peer expected a different process in this slot. It learns of the replacement from this link's
+// Hello.
+var ErrStaleIdentity = errors.New("peer expected a different process")
 
-// Coordinator is one process's half of a hot restart. It is single-threaded.
+// Coordinator holds one process's state of a hot restart. It is not safe for concurrent use.
 type Coordinator struct {
-	startedAt     int64 // Unix nanoseconds, by which the other tells this process from another
-	slot          int   // 0 or 1, which decides between equal starts
+	startedAt     int64 // Unix nanoseconds; it identifies this process to the peer
+	slot          int   // 0 or 1; it breaks the tie between equal start times
 	executions    Executions
 	role          Role
 	linked        bool
-	helloReceived bool  // the other's Hello came on this link
-	synced        bool  // all its runs came on this link
-	everSynced    bool  // all its runs came once, on some link
-	peerStartedAt int64 // of the other; 0: none was met
+	helloReceived bool  // the peer's Hello was received on this link
+	synced        bool  // all its runs were received on this link
+	everSynced    bool  // all its runs were received on this or an earlier link
+	peerStartedAt int64 // start of the peer; 0 before its Hello
 	peerReady     bool
 	ready         bool
 	evacuated     bool
 	evacuationSeq int64
-	peerSeen      bool  // there was another
-	unknownUntil  int64 // requests that reached the machine until then (Unix nanoseconds) may repeat a run that is not known here
-	marks         int   // runs that needed the mark
+	peerSeen      bool  // a peer was present
+	unknownUntil  int64 // requests received until then (Unix nanoseconds) may repeat a run that is unknown here
+	marks         int   // runs that were notified by the mark
 	claims        map[string]*claim
-	listedKeys    map[string]bool // keys of the runs that came on this link, until all have
+	listedKeys    map[string]bool // keys of the peer's runs received on this link, until SyncComplete
 	effects       Effects
 }
 
-// claim is a key that attempts here want, and the other may have.
+// claim is the claim of this process's attempts to a key that the peer may own.
 type claim struct {
-	waiters   int // attempts
+	waiters   int // attempts between BeginClaim and EndClaim
 	requested bool
 	granted   bool
 }
 
-// New returns the half of a process that has no slot yet.
+// New returns the coordinator of a process that has no slot yet.
 func New(e Executions) *Coordinator {
 	return &Coordinator{executions: e, claims: map[string]*claim{}, listedKeys: map[string]bool{}}
 }
 
-// TakeEffects returns the effects since the last call.
+// TakeEffects returns the effects since its last call and clears them.
 func (c *Coordinator) TakeEffects() Effects {
 	e := c.effects
 	c.effects = Effects{}
 	return e
 }
 
-// TakeClearMark takes the effect of that name before the others.
+// TakeClearMark returns Effects.ClearMark and Effects.Marks and clears ClearMark, before the other effects are taken.
 func (c *Coordinator) TakeClearMark() (clearMark bool, marks int) {
 	clearMark, marks = c.effects.ClearMark, c.effects.Marks
 	c.effects.ClearMark = false
 	return clearMark, marks
 }
 
-// send has a message sent, where there is a link.
+// send adds a message to the effects if there is a link.
 func (c *Coordinator) send(m Message) {
 	if c.linked {
 		c.effects.Send = append(c.effects.Send, m)
 	}
 }
 
-// Role is what this process is to the other.
+// Role returns this process's role.
 func (c *Coordinator) Role() Role { return c.role }
 
-// HasPeer reports whether there is another process.
+// HasPeer reports whether this process is the predecessor or the successor of another.
 func (c *Coordinator) HasPeer() bool { return c.role == Predecessor || c.role == Successor }
 
-// MayServe reports whether this process may take requests: it is alone, or the predecessor, or knows all that the predecessor ran.
+// MayServe reports whether this process may accept requests: it is alone, or the predecessor, or a successor that has received all runs
+// of the predecessor.
 func (c *Coordinator) MayServe() bool {
 	return c.role == Sole || c.role == Predecessor || c.role == Successor && c.everSynced
 }
 
-// SuccessorReady reports whether the other is the successor and ready, so that this one may leave at once.
+// SuccessorReady reports whether the peer is a successor that is ready, so that this process may shut down at once.
 func (c *Coordinator) SuccessorReady() bool { return c.role == Predecessor && c.peerReady }
 
-// UnknownUntil is until when requests may repeat a run that is not known here, in Unix nanoseconds.
+// UnknownUntil returns the time, in Unix nanoseconds, up to which a received request may repeat a run that is unknown here.
 func (c *Coordinator) UnknownUntil() int64 { return c.unknownUntil }
 
-// PeerStartedAt is when the other started, in Unix nanoseconds; 0: none was met.
+// PeerStartedAt returns the start of the peer in Unix nanoseconds, or 0 if no Hello of a peer was received.
 func (c *Coordinator) PeerStartedAt() int64 { return c.peerStartedAt }
 
-// Marks is the number of runs that needed the mark.
+// Marks returns the number of runs that were notified by the mark.
 func (c *Coordinator) Marks() int { return c.marks }
 
-// ---- The other process ----
+// ---- Peer and link ----
 
-// SlotTaken is told when the process took one of the two slots, and when that was, in Unix nanoseconds.
+// SlotTaken is called when this process has taken one of the two slots; startedAt is that time in Unix nanoseconds.
 func (c *Coordinator) SlotTaken(startedAt int64, slot int) { c.startedAt, c.slot = startedAt, slot }
 
-// PeerPresent is told when the other slot is taken.
+// PeerPresent is called when the other slot is found taken.
 func (c *Coordinator) PeerPresent() { c.peerSeen = true }
 
-// PeerAbsent is told when the other slot is empty: at the start, or as the other is dead. Marked says whether it left the mark of having
-// run without a link; then, and where it never listed all its runs, what reached the machine until the given time may repeat a run that
-// is not known here.
+// PeerAbsent is called when the other slot is found empty: at the start, or after the peer died. Marked reports whether the peer left the
+// mark of having run requests without a link. If it did, or never listed all its runs, requests received up to until (Unix nanoseconds)
+// may repeat a run that is unknown here.
 func (c *Coordinator) PeerAbsent(marked bool, until int64) {
 	previous := c.role
 	if previous == Sole {
@@ -164,14 +167,14 @@
 	if unknown {
 		c.unknownUntil = max(c.unknownUntil, until)
 	}
-	// A predecessor that is known to have listed all says so before it runs what it has queued. A successor that was granted a key may
-	// have run it.
+	// A predecessor that has listed all its runs notifies this process before it runs a queued request, so such a request did not run. A
+	// successor may have run any key that it was granted.
 	c.executions.PeerLost(func(e Execution) bool { return previous == Predecessor || unknown || e.Stage != Queued })
 	c.everSynced, c.peerSeen = false, false
 	c.resetClaims()
 }
 
-// LinkUp is told when there is a link: this process introduces itself.
+// LinkUp is called when a link is established. It sends this process's Hello.
 func (c *Coordinator) LinkUp() {
 	c.linked, c.helloReceived, c.synced = true, false, false
 	c.effects.Send = nil
@@ -180,8 +183,8 @@
 		EvacuationSeq: c.evacuationSeq, Ready: c.ready, UnknownUntil: c.unknownUntil})
 }
 
-// LinkDown is told when the link is gone, and the other not known to be dead. Unread says that something that the other wrote may not
-// have been read.
+// LinkDown is called when the link is closed and the peer is not known to be dead. mayHaveUnread reports that the peer may have written
+// messages that were not read.
 func (c *Coordinator) LinkDown(mayHaveUnread bool) {
 	c.everSynced = c.everSynced && !mayHaveUnread
 	c.linked, c.helloReceived, c.synced = false, false, false
@@ -190,7 +193,8 @@
 	c.resetClaims()
 }
 
-// resetClaims has all claims made anew, on the next link. A key in use has its run in the table, which is listed anew.
+// resetClaims resets all claims, which are sent again on the next link. Granted keys that are in use need no new claim: their runs are in
+// the table, which is listed again.
 func (c *Coordinator) resetClaims() {
 	for key, k := range c.claims {
 		k.requested, k.granted = false, false
@@ -200,14 +204,14 @@
 	}
 }
 
-// Receive takes a message of the other's. An error means that the link is no good; ErrPeerReplaced and ErrStaleIdentity say more. What
-// reaches the machine until the given time may repeat a run from before, where neither knows of all of those.
+// Receive handles a message of the peer. After an error the caller closes the link; ErrPeerReplaced and ErrStaleIdentity identify two
+// causes. If neither process knows all earlier runs, requests received up to until (Unix nanoseconds) may repeat one of them.
 func (c *Coordinator) Receive(m Message, until int64) error {
 	if !c.linked {
-		return nil // of a link that is gone
+		return nil // the message is of a closed link
 	}
 	if c.helloReceived == (m.Kind == Hello) {
-		return fmt.Errorf("message of kind %d out of turn", m.Kind)
+		return fmt.Errorf("message of kind %d out of order", m.Kind)
 	}
 	switch m.Kind {
 	case Hello:
@@ -223,10 +227,10 @@
 		c.executions.Forget(m.Execution.Key)
 	case SyncComplete:
 		if c.synced {
-			return errors.New("all runs told twice")
+			return errors.New("received SyncComplete twice on one link")
 		}
 		c.synced, c.everSynced = true, true
-		// What the other does not have any more it abandoned while there was no link, or never got.
+		// Runs that the peer did not list were abandoned while there was no link, or never reached it.
 		c.executions.Retain(func(key string) bool { return c.listedKeys[key] })
 		clear(c.listedKeys)
 		c.effects.Changed = true
@@ -235,12 +239,12 @@
 	case Grant, Denied:
 		c.receiveClaimReply(m)
 	default:
-		return fmt.Errorf("message of unknown kind %d", m.Kind)
+		return fmt.Errorf("unknown message kind %d", m.Kind)
 	}
 	return nil
 }
 
-// receiveHello settles the roles, and lists all runs of this process.
+// receiveHello determines the roles and sends all runs of this process.
 func (c *Coordinator) receiveHello(m Message, until int64) error {
 	if c.peerStartedAt != 0 && c.peerStartedAt != m.StartedAt && c.HasPeer() {
 		return ErrPeerReplaced
@@ -256,7 +260,7 @@
 	c.peerStartedAt, c.helloReceived = m.StartedAt, true
 	c.unknownUntil = max(c.unknownUntil, m.UnknownUntil)
 	c.receiveStatus(m)
-	c.sendStatus() // what has changed since this one's own Hello
+	c.sendStatus() // it may have changed since this process's own Hello
 	for _, e := range c.executions.Local() {
 		c.send(Message{Kind: Run, Execution: e})
 	}
@@ -265,16 +269,16 @@
 	return nil
 }
 
-// servedAlone reports whether this process has been the one that serves.
+// servedAlone reports whether this process is the only one or the predecessor, that is, the one that serves.
 func (c *Coordinator) servedAlone() bool { return c.role == Sole || c.role == Predecessor }
 
-// negotiateRole is this process's role to one that introduces itself: the predecessor is the process that has served alone, else the one that
-// started first, of two that started at once the one in slot 0. Where neither has served alone each saw another before it served, and
-// neither knows what had run by then.
+// negotiateRole returns this process's role towards the sender of a Hello. The predecessor is the process that has served alone, otherwise
+// the one that started first; of two with equal start times it is the one in slot 0. If neither has served alone, each found a peer before
+// it served, and neither knows what an earlier process ran.
 func (c *Coordinator) negotiateRole(m Message, until int64) (Role, error) {
 	predecessor := c.servedAlone()
 	if predecessor && m.Sole {
-		return c.role, errors.New("both have served alone")
+		return c.role, errors.New("both processes have served alone")
 	}
 	if !predecessor && !m.Sole && c.role == Joining {
 		c.unknownUntil = max(c.unknownUntil, until)
@@ -284,12 +288,13 @@
 		return Successor, nil
 	}
 	if c.role == Successor {
-		return c.role, errors.New("the elder says that it is the younger")
+		return c.role, errors.New("the predecessor claims to be the successor")
 	}
 	return Predecessor, nil
 }
 
-// receiveStatus takes readiness and evacuation of the other's. Of two changes of the evacuation at once the predecessor's holds.
+// receiveStatus applies the peer's readiness and evacuation state. If both processes changed the evacuation at the same time, the
+// predecessor's change wins.
 func (c *Coordinator) receiveStatus(m Message) {
 	c.peerReady = m.Ready
 	if m.EvacuationSeq > c.evacuationSeq || m.EvacuationSeq == c.evacuationSeq && c.role == Successor {
@@ -301,14 +306,14 @@
 	c.effects.Changed = true
 }
 
-// sendStatus sends this process's, once the other has introduced itself.
+// sendStatus sends this process's status if the peer's Hello was received.
 func (c *Coordinator) sendStatus() {
 	if c.helloReceived {
 		c.send(Message{Kind: Status, Evacuated: c.evacuated, EvacuationSeq: c.evacuationSeq, Ready: c.ready})
 	}
 }
 
-// SetEvacuated is told when an operator began a drain here, or ended it: it holds for both.
+// SetEvacuated is called when an operator began or ended an evacuation at this process. The change applies to both processes.
 func (c *Coordinator) SetEvacuated(evacuated bool) {
 	if c.evacuated != evacuated {
 		c.evacuated = evacuated
@@ -317,7 +322,7 @@
 	}
 }
 
-// SetReady is told when this process serves, or no longer does.
+// SetReady is called when this process becomes ready to serve or stops being so.
 func (c *Coordinator) SetReady(ready bool) {
 	if c.ready != ready {
 		c.ready = ready
--- a/internal/policy/hotrestart/message.go
+++ b/internal/policy/hotrestart/message.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// Stage says how far the run of a key has come, as the other process is told. Its numbers stand on the link.
+// Stage is the progress of a run, as sent to the peer. Its numbers are part of the link's protocol.
 type Stage uint8
 
 // The stages of a run.
 const (
-	Queued    Stage = iota // taken, not run
+	Queued    Stage = iota // accepted, not begun
 	Running                // it may have run
-	Succeeded              // its result is here
+	Succeeded              // it has a result
 	Failed                 // it may have run, and has no result
 )
 
@@ -17,54 +17,54 @@
 type Execution struct {
 	Key, ID     string
 	Fingerprint uint64        // of the request; every attempt must have the same
-	ReceivedAt  int64         // Unix nanoseconds at which the attempt that runs reached the machine
-	ExpiresAt   int64         // Unix nanoseconds at which the last of its attempts is past
-	Window      time.Duration // within which its attempts come
+	ReceivedAt  int64         // Unix nanoseconds at which the attempt that is run was received
+	ExpiresAt   int64         // Unix nanoseconds after which no attempt of the request arrives
+	Window      time.Duration // period in which its attempts may arrive
 	Stage       Stage
 	Result      []byte
-	Remote      bool // it is the other process's; not on the link
+	Remote      bool // it is a run of the peer; not sent on the link
 }
 
-// Executions are this process's runs of idempotent requests, and what it was told of the other's: the core's table of keys.
+// Executions is the core's table of keys: this process's runs of idempotent requests and the runs that the peer has reported.
 type Executions interface {
-	// Find returns the run that an attempt repeats which reached the machine then, in Unix nanoseconds: this process's or the other's.
+	// Find returns the run, of either process, that an attempt received at receivedAt (Unix nanoseconds) repeats.
 	Find(key string, receivedAt int64) (Execution, bool)
-	// Apply notes that the other's run has come so far.
+	// Apply records the reported stage of a run of the peer.
 	Apply(e Execution)
-	// Forget notes that the other abandoned its run of a key before it began.
+	// Forget deletes a run of the peer that was abandoned before it began.
 	Forget(key string)
-	// Local are the runs of this process, within their windows.
+	// Local returns the runs of this process whose windows have not ended.
 	Local() []Execution
-	// PeerLost notes that the other is gone: its runs without an end have failed where they may have run, and never were where not.
+	// PeerLost is called when the peer is dead. Its unfinished runs are marked as failed if they may have run, and deleted otherwise.
 	PeerLost(mayHaveRun func(e Execution) bool)
-	// Retain keeps, of the other's runs without an end, those that it listed just now.
+	// Retain deletes the unfinished runs of the peer that it did not list.
 	Retain(listed func(key string) bool)
 }
 
-// Kind is the kind of a message. Its numbers stand on the link.
+// Kind is the kind of a message. Its numbers are part of the link's protocol.
 type Kind uint8
 
 // The kinds of messages.
 const (
-	Hello        Kind = iota + 1 // the first: who sends it
-	Status                       // what else the other has to know
-	Run                          // how far a run of the sender's has come
-	Released                     // the sender abandoned a run before it began, or gave back a key that it was granted
-	SyncComplete                 // all runs of the sender have been listed
-	Claim                        // may the sender run this key?
-	Grant                        // it may
-	Denied                       // it may not: the run was sent just before
+	Hello        Kind = iota + 1 // the first message of a link, which identifies the sender
+	Status                       // readiness and evacuation of the sender
+	Run                          // the stage of a run of the sender
+	Released                     // the sender abandoned a run before it began, or released a key that it was granted
+	SyncComplete                 // the sender has listed all its runs
+	Claim                        // the sender requests to run a key
+	Grant                        // the claim is granted
+	Denied                       // the claim is denied; a Run message with the known run precedes it
 )
 
-// Message is what one process tells the other.
+// Message is a message between the two processes.
 type Message struct {
 	Kind          Kind
-	StartedAt     int64 // Hello: Unix nanoseconds of the sender's start, by which processes are told apart
-	PeerStartedAt int64 // Hello: that of the process that it takes the other one for; 0: none yet
-	Sole          bool  // Hello: it served alone
-	Evacuated     bool  // Hello, Status: evacuated
-	EvacuationSeq int64 // Hello, Status: the number of that change, of all that either knew of
-	Ready         bool  // Hello, Status: ready to serve
-	UnknownUntil  int64 // Hello: requests that reached the machine until then (Unix nanoseconds) may repeat a run that the sender does not know
+	StartedAt     int64 // Hello: the sender's start in Unix nanoseconds, which identifies it
+	PeerStartedAt int64 // Hello: start of the process that the sender expects as its peer; 0 for none
+	Sole          bool  // Hello: the sender has served alone
+	Evacuated     bool  // Hello, Status: the service is evacuated
+	EvacuationSeq int64 // Hello, Status: sequence number of the latest evacuation change
+	Ready         bool  // Hello, Status: the sender is ready to serve
+	UnknownUntil  int64 // Hello: requests received until then (Unix nanoseconds) may repeat a run that is unknown to the sender
 	Execution     Execution
 }
