--- a/internal/policy/lifecycle/lifecycle.go
+++ b/internal/policy/lifecycle/lifecycle.go
@@ -1,52 +1,52 @@
-// Package lifecycle decides through which states a service goes from its start to its exit. There are two drains: one that operators begin
-// and end, called an evacuation, during which all that comes is served, and the shutdown that SIGTERM begins, which is final. It decides
-// only: no clock, no lock, no goroutine.
+// Package lifecycle defines the states of a service from its start to its exit, and the transitions between them. There are two kinds of
+// drain: an evacuation, which operators begin and end and during which all requests are served, and the shutdown, which SIGTERM begins and
+// which is final. It has no clock, no lock and no goroutine.
 package lifecycle
 
-// State is how far a service has come. The numbers are those of the MIB, less one.
+// State is the state of a service. Its number is that of the MIB minus one.
 type State int32
 
 // The states of a service.
 const (
 	Starting          State = iota // the interpreter is not up yet
-	Serving                        // ready
-	Draining                       // told to leave by a signal: final
-	Stopped                        // everything is answered
-	EvacuatedStarting              // not up yet, and told to evacuate
-	Evacuated                      // up, told to evacuate: health is bad, and all that comes is served
+	Serving                        // the service is ready
+	Draining                       // a signal began the shutdown, which is final
+	Stopped                        // all requests are answered
+	EvacuatedStarting              // evacuated before the interpreter is up
+	Evacuated                      // evacuated while up: health checks fail, and all requests are served
 	states
 )
 
-// String names a state, in the words of the log and the status.
+// String returns the state's name in the log and the status.
 func (s State) String() string {
 	return [...]string{"starting", "serving", "draining", "stopped", "held", "evacuated"}[s]
 }
 
-// Event is what moves a service on.
+// Event is an event that may change the state of a service.
 type Event int
 
 // The events.
 const (
-	WorkerUp Event = iota // that which does the work is there
-	Evacuate              // an operator begins a drain
-	Rejoin                // an operator ends it
-	Shutdown              // the notice to leave
-	Drained               // everything is answered, or the process is about to be stopped
+	WorkerUp Event = iota // the interpreter is up
+	Evacuate              // an operator begins an evacuation
+	Rejoin                // an operator ends the evacuation
+	Shutdown              // a signal requests the shutdown
+	Drained               // all requests are answered, or the process is about to be stopped
 	events
 )
 
-// String names an event.
+// String returns the event's name.
 func (e Event) String() string { return [...]string{"up", "evacuate", "rejoin", "leave", "end"}[e] }
 
-// Outcome is what becomes of an event.
+// Outcome is the result of an event.
 type Outcome struct {
 	To     State
-	OK     bool   // what was requested holds now
+	OK     bool   // the requested state is in effect
 	Reason string // one line for the operator
 }
 
-// transitions has what every event does in every state. An operator who requests what holds already is told yes, so that a call whose answer
-// was lost can be made again.
+// transitions holds the outcome of every event in every state. Requesting a state that is already in effect succeeds, so that an operator
+// can repeat a call whose answer was lost.
 var transitions = [states][events]Outcome{
 	Starting: {
 		WorkerUp: {Serving, true, "serving"},
@@ -78,7 +78,7 @@
 	},
 	Draining: {
 		WorkerUp: {Draining, false, "leaving for good"},
-		Evacuate: {Draining, true, "leaving for good"}, // its health is bad already
+		Evacuate: {Draining, true, "leaving for good"}, // its health checks fail already
 		Rejoin:   {Draining, false, "leaving for good: start it again"},
 		Shutdown: {Draining, true, "was leaving before"},
 		Drained:  {Stopped, true, "stopped"},
@@ -92,16 +92,16 @@
 	},
 }
 
-// On is what an event does in a state.
+// On returns the outcome of an event in the state.
 func (s State) On(e Event) Outcome { return transitions[s][e] }
 
-// Healthy reports whether health checks may be answered as good.
+// Healthy reports whether health checks succeed.
 func (s State) Healthy() bool { return s == Starting || s == Serving }
 
-// ShuttingDown reports whether the service was told to leave, for good.
+// ShuttingDown reports whether the shutdown has begun, which is final.
 func (s State) ShuttingDown() bool { return s == Draining || s == Stopped }
 
-// Ready reports whether operators are told that the process is ready to serve, and why not.
+// Ready returns the readiness that operators are shown, and its reason.
 func (s State) Ready() (bool, string) {
 	switch s {
 	case Serving:
