--- a/internal/policy/slowstart/slowstart.go
+++ b/internal/policy/slowstart/slowstart.go
@@ -1,9 +1,9 @@
-// Package slowstart decides how many requests each of several callers may have in flight to a server that is warming up, so that all
-// of them together stay within what it can take. It decides only: no clock, no lock, no I/O. docs/design/crossings.md has the reasons.
+// Package slowstart decides how many requests each caller may have in flight to a server that is warming up, so that the sum over all
+// callers stays within the server's capacity. It has no clock, no lock and no I/O. docs/design/crossings.md has the reasons.
 //
-// The server grants, as it alone hears of all who send to it; a caller uses what it was granted for a term and nothing beyond it. So
-// the sum holds whoever joins, leaves, hears late or hears nothing; what is left to chance are requests that go out between a caller's
-// health check and the answer to it.
+// The server grants the requests, because only it receives messages from all callers. A caller uses its grant for a term and sends
+// nothing beyond it. The sum therefore stays within the capacity when callers join or leave, or receive their grants late or never. It
+// can be exceeded only by requests that a caller sends between its health check and the answer to it.
 package slowstart
 
 import (
@@ -17,17 +17,18 @@
 )
 
 const (
-	// safetyMargin is the share of a told limit that is used, as in the module: the last tenth is where queues begin.
+	// safetyMargin is the ratio of the capacity that is granted, as in the module: queues begin in the last tenth.
 	safetyMargin = 0.9
-	// maxCallers bounds the callers that are known at once, some 100 bytes each; whoever comes beyond is granted nothing.
+	// maxCallers bounds the stored callers, which cost about 100 bytes each. Further callers are granted nothing.
 	maxCallers = 1024
-	// rotationTerms is how many terms a caller keeps its place among those who get what does not divide by all: two, so that it has the
-	// request that it was granted for a whole term before another caller has it.
+	// rotationTerms is the number of terms after which the remainder of the division among callers rotates to other callers. With two, a
+	// caller keeps an extra request for at least one whole term before another caller gets it.
 	rotationTerms = 2
 )
 
-// Capacity is the number of requests that a server takes at once, so long after its start, and whether it is warming up. It is what
-// the module survives on the cores then: their speed rises evenly from Settings.ColdSpeed to 1 over Settings.WarmupTime.
+// Capacity returns the number of concurrent requests that a server accepts at a given uptime, and whether it is warming up. The number
+// follows from the speed of the cores, which rises linearly from Settings.ColdSpeed to 1 over Settings.WarmupTime, and from the runs per
+// core that the module sustains at that speed.
 func Capacity(settings silverpath.Settings, uptime time.Duration) (requests float64, warming bool) {
 	if !settings.Cold || uptime >= settings.WarmupTime {
 		return 0, false
@@ -36,32 +37,32 @@
 	return safetyMargin * float64(settings.Cores) * (1 + (settings.MaxRunsPerCore-1)*speed), true
 }
 
-// Server grants what a server takes to its callers. All times are the server's monotonic clock.
+// Server divides a server's capacity among its callers. All times are those of the server's monotonic clock.
 type Server struct {
-	assumedCallers int           // until all had the time to be heard
-	listeningSince time.Duration // callers could first be heard then
+	assumedCallers int           // minimum number of callers during the first term
+	listeningSince time.Duration // since then callers can reach the server
 	seed           maphash.Seed
 	callers        map[string]*grant
 }
 
-// grant is what a caller was granted.
+// grant is the grant of one caller.
 type grant struct {
 	requests int
-	until    time.Duration // it may go by them until then
-	inFlight int           // that it had as it spoke last
+	until    time.Duration // end of the term
+	inFlight int           // as reported by the caller's latest health check
 }
 
-// NewServer returns the grants of a server that started at the given time. Assumed is the number of callers that it is taken to have
-// until each had a term to be heard: nothing but the settings tells it sooner.
+// NewServer returns a Server without grants. Now is the time at which the server started. Assumed is the number of callers, from the
+// settings, that the server assumes during its first term, before every caller has sent a health check.
 func NewServer(now time.Duration, assumed int) *Server {
 	return &Server{assumedCallers: max(1, assumed), listeningSince: now, seed: maphash.MakeSeed(), callers: map[string]*grant{}}
 }
 
-// Grant is how many requests a caller that speaks now, and has so many in flight here, may have in flight for a term from its speaking
-// on. Capacity is what the server takes, from the function of that name. It is called with each health check of a router.
+// Grant returns the number of requests that a caller may have in flight for a term from now on. It is called with each health check of a
+// router. InFlight is the number of requests that the caller has in flight to this server; capacity is the result of Capacity.
 //
-// The others count with what they were granted or with what they have in flight, whichever is more, until their term is over: so a
-// caller whose grant shrinks and whose requests still run is not counted too low.
+// Until their terms are over, the other callers count with the larger of their grant and their requests in flight. A caller whose grant
+// shrinks while its requests still run is therefore not counted too low.
 func (s *Server) Grant(now time.Duration, caller string, inFlight int, capacity float64, term time.Duration) int {
 	g := s.callers[caller]
 	if g == nil {
@@ -74,7 +75,7 @@
 			continue
 		}
 		if now >= other.until {
-			delete(s.callers, name) // it said nothing since: what it may still have in flight is left to chance
+			delete(s.callers, name) // its term is over; requests that it still has in flight are not counted
 			continue
 		}
 		names = append(names, name)
@@ -97,9 +98,9 @@
 	return g.requests
 }
 
-// rank is a caller's place among all, another one at each turn.
+// rank returns a caller's position among all callers. The order changes with each rotation.
 func (s *Server) rank(names []string, caller string, rotation time.Duration) int {
-	// The multiplier is 2^64 by the golden ratio, as in Fibonacci hashing: turns that follow each other give orders that are unlike.
+	// The multiplier is 2^64 divided by the golden ratio, as in Fibonacci hashing: it gives successive rotations dissimilar orders.
 	orderKey := func(name string) uint64 { return maphash.String(s.seed, name) ^ uint64(rotation)*0x9e3779b97f4a7c15 }
 	slices.SortFunc(names, func(a, b string) int {
 		switch x, y := orderKey(a), orderKey(b); {
@@ -113,7 +114,7 @@
 	return slices.Index(names, caller)
 }
 
-// Caller is what a caller knows of a server's slow start. The zero value is of a server that is warm. All times are the caller's
+// Caller is a caller's state of one server's slow start. The zero value is that of a warm server. All times are those of the caller's
 // monotonic clock.
 type Caller struct {
 	warming  bool
@@ -121,21 +122,22 @@
 	until    time.Duration
 }
 
-// Restarted records that the server has started anew: until it grants something, nothing is claimed of it.
+// Restarted records that the server has restarted. HasCapacity then returns false until the server grants requests.
 func (c *Caller) Restarted() { *c = Caller{warming: true} }
 
-// Granted records how many requests the server granted, for a term that begins as they were asked for.
+// Granted records the number of requests that the server granted, for a term that begins when the caller sent its health check.
 func (c *Caller) Granted(requestedAt time.Duration, requests int, term time.Duration) {
 	*c = Caller{warming: true, requests: requests, until: requestedAt + term}
 }
 
-// WarmedUp records that the server has said nothing of a slow start.
+// WarmedUp records that an answer of the server had no slow-start grant.
 func (c *Caller) WarmedUp() { *c = Caller{} }
 
-// HasCapacity reports whether one more request may go out beside those in flight: first attempts, retries and hedged requests alike.
+// HasCapacity reports whether one more request may be sent besides those in flight. First attempts, retries and hedged requests count
+// alike.
 func (c *Caller) HasCapacity(now time.Duration, inFlight int) bool {
 	return !c.warming || now < c.until && inFlight < c.requests
 }
 
-// Warming reports whether the server is taken to be in its slow start.
+// Warming reports whether the caller assumes that the server is in its slow start.
 func (c *Caller) Warming() bool { return c.warming }
