--- a/internal/policy/recovery/heartbeat.go
+++ b/internal/policy/recovery/heartbeat.go
@@ -1,70 +1,70 @@
-// Package recovery decides how a process comes back after an outage of its own or of its machine: what its own heartbeat on the disk
-// proves of how long ago it last ran anything, what it may run while it can't write heartbeats, on what the return of its service waits,
-// and what of all state it trusts. It decides only: no I/O, no clock, no goroutine.
+// Package recovery decides how a process resumes service after an outage of the process or its machine: how long ago it last ran
+// requests, according to its durable heartbeat; what it may run while it cannot write heartbeats; which prerequisites each kind of work
+// has; and which stored state it trusts. It has no I/O, no clock and no goroutine.
 package recovery
 
 import "time"
 
-// Heartbeat says that a process was running at a time. Times are those of the machine since it was switched on, which no setting of the
-// wall clock moves. It stands on the disk as JSON by the names of its tags.
+// Heartbeat proves that a process was running at a time. Times are measured since the machine's boot, so setting the wall clock does not
+// change them. A heartbeat is stored on disk as JSON under the names of its tags.
 type Heartbeat struct {
-	Name      string        `json:"Name"`    // of the service
-	Machine   string        `json:"Machine"` // on which it ran; empty: not known
-	Boot      string        `json:"Boot"`    // of the machine, by the name of that start
-	SinceBoot time.Duration `json:"Up"`      // since then
-	Validity  time.Duration `json:"Valid"`   // for so long after it the process may have begun what has an effect
+	Name      string        `json:"Name"`    // name of the service
+	Machine   string        `json:"Machine"` // machine on which it ran; empty if unknown
+	Boot      string        `json:"Boot"`    // identifier of the machine's boot
+	SinceBoot time.Duration `json:"Up"`      // time of the heartbeat, since that boot
+	Validity  time.Duration `json:"Valid"`   // period after the heartbeat in which the process may have begun requests with an effect
 }
 
-// Evidence is by what it is known how long ago a process last ran.
+// Evidence is what the duration of a downtime is derived from.
 type Evidence uint8
 
 // The kinds of evidence.
 const (
-	NoEvidence Evidence = iota // no heartbeat, or one of another machine: it may have run until just now
-	SameBoot                   // the machine was on all the time, and its clock counted
-	Rebooted                   // the machine was switched on since: it ran before that
+	NoEvidence Evidence = iota // no heartbeat, or one of another machine or service: the process may have run until now
+	SameBoot                   // the machine was not rebooted, and its clock counted the downtime
+	Rebooted                   // the machine was rebooted since the heartbeat: the process ran before that
 )
 
-// String names the evidence, in the words of the log and of what operators are shown.
+// String returns the evidence's name in the log and in operators' output.
 func (e Evidence) String() string { return [...]string{"nothing", "process", "machine"}[e] }
 
-// Downtime is for how long, at the least, nothing has been run, by the heartbeat that was found and the present moment as another one.
-// The wall clock has no part in it: it may have been set back, ahead, or have stood still during the outage.
+// Downtime returns the minimum time for which no request was run, and the evidence for it. The receiver is the stored heartbeat; now is a
+// heartbeat of the present time. The wall clock is not used, because it may have been set or have stopped during the outage.
 func (h Heartbeat) Downtime(now Heartbeat) (minDowntime time.Duration, evidence Evidence) {
 	switch {
 	case h.Machine == "" || h.Machine != now.Machine || h.Name != now.Name || h.Boot == "" || now.Boot == "":
 		return 0, NoEvidence
 	case h.Boot != now.Boot:
 		return now.SinceBoot, Rebooted
-	case now.SinceBoot < h.SinceBoot: // no clock of one boot runs back: it is not what it says
+	case now.SinceBoot < h.SinceBoot: // time since boot never decreases, so the heartbeat is invalid
 		return 0, NoEvidence
 	}
 	return max(0, now.SinceBoot-h.SinceBoot-h.Validity), SameBoot
 }
 
-// LeaseTerms are those of a HeartbeatLease.
+// LeaseTerms are the terms of a HeartbeatLease.
 type LeaseTerms struct {
 	Interval time.Duration // between two heartbeats
-	Validity time.Duration // after the latest durable one, within which requests with an effect may run
+	Validity time.Duration // period after the latest durable heartbeat in which requests with an effect may run
 }
 
-// HeartbeatLease is what a process grants itself by its heartbeats: requests with an effect run only while the latest durable one is
-// valid. So the next process knows, by that heartbeat alone, since when nothing has run.
+// HeartbeatLease allows requests with an effect to run only while the latest durable heartbeat is valid. The next process therefore knows
+// from that heartbeat alone since when nothing has run.
 type HeartbeatLease struct {
 	terms        LeaseTerms
-	writeStarted time.Duration // when the latest write was begun
+	writeStarted time.Duration // start of the latest write
 	everWritten  bool
 	writing      bool
-	durableAt    time.Duration // the latest heartbeat that is durable
+	durableAt    time.Duration // time of the latest durable heartbeat
 	durable      bool
 }
 
-// NewHeartbeatLease returns the lease of a process that has written no heartbeat yet: nothing may run.
+// NewHeartbeatLease returns the lease of a process that has written no heartbeat yet. MayExecute returns false until one is durable.
 func NewHeartbeatLease(t LeaseTerms) *HeartbeatLease {
 	return &HeartbeatLease{terms: t}
 }
 
-// HeartbeatDue reports whether a heartbeat is to be written now, and notes that it is.
+// HeartbeatDue reports whether a heartbeat must be written now. If it returns true, the write counts as started.
 func (l *HeartbeatLease) HeartbeatDue(now time.Duration) bool {
 	if l.writing || l.everWritten && now-l.writeStarted < l.terms.Interval {
 		return false
@@ -73,7 +73,8 @@
 	return true
 }
 
-// HeartbeatWritten is told how the write ended that was due. What the heartbeat says is of the moment at which the write was begun.
+// HeartbeatWritten is called when the started write has ended; ok reports that the heartbeat is durable. The heartbeat's time is the start
+// of the write.
 func (l *HeartbeatLease) HeartbeatWritten(ok bool) {
 	l.writing = false
 	if ok {
@@ -81,7 +82,8 @@
 	}
 }
 
-// MayExecute reports whether requests with an effect may run: a restart will take nothing to have begun later than this allows.
+// MayExecute reports whether requests with an effect may run. After a restart, Downtime assumes that none began after the time up to which
+// this function returned true.
 func (l *HeartbeatLease) MayExecute(now time.Duration) bool {
 	return l.durable && now-l.durableAt < l.terms.Validity
 }
--- a/internal/policy/recovery/progress.go
+++ b/internal/policy/recovery/progress.go
@@ -5,41 +5,41 @@
 	"time"
 )
 
-// Prerequisite is one thing on which the return of service waits.
+// Prerequisite is a condition for kinds of work after a start.
 type Prerequisite uint8
 
 // The prerequisites.
 const (
-	StoreRead         Prerequisite = iota // what the process stored itself has been read
-	WorkerUp                              // that which does the work is up
-	RulesConfirmed                        // the rules that it acts on are confirmed
-	WindowOver                            // what may have run before, and is not known, can't come again
+	StoreRead         Prerequisite = iota // the process has read its own store
+	WorkerUp                              // the interpreter is up
+	RulesConfirmed                        // the rules in use are confirmed as current
+	WindowOver                            // no repeat can arrive of a request that ran before the start and is unknown
 	HeartbeatsDurable                     // heartbeats are durable
-	MapKnown                              // a router has a map to go by
-	QuotasKnown                           // a router has its quotas of what all routers share
+	MapKnown                              // the router has a cell map
+	QuotasKnown                           // the router has its quotas of the limits that all routers share
 	prerequisites
 )
 
-// String names a prerequisite, in the words of the state and the log.
+// String returns the prerequisite's name in the status and the log.
 func (p Prerequisite) String() string {
 	return [...]string{"disk", "worker", "rules", "window", "signs", "map", "shares"}[p]
 }
 
-// Work is a kind of what a process does for others.
+// Work is a kind of work that a process does for clients.
 type Work uint8
 
 // The kinds of work.
 const (
-	Reads              Work = iota // what has no effect
-	Replays                        // of what is known to have run
+	Reads              Work = iota // requests without an effect
+	Replays                        // answers to repeats of requests that are known to have run
 	IdempotentRequests             // requests with an effect
-	FullCapacity                   // all of it, as much as the process ever takes
+	FullCapacity                   // all kinds of work, at full capacity
 )
 
-// String names a kind of work.
+// String returns the name of the kind of work.
 func (w Work) String() string { return [...]string{"reads", "repeats", "sheets", "width"}[w] }
 
-// Role is what a process is.
+// Role is the role of a process.
 type Role uint8
 
 // The roles.
@@ -48,7 +48,8 @@
 	Router
 )
 
-// requirements is what each kind of work needs. What a process has no use for (no store, no group) is met from the start.
+// requirements lists the prerequisites of each kind of work. A prerequisite that a process does not use (no store, no group) is met from
+// the start.
 var requirements = map[Role][]struct {
 	work  Work
 	needs []Prerequisite
@@ -58,42 +59,43 @@
 	Router: {{Reads, []Prerequisite{MapKnown}}, {Replays, []Prerequisite{MapKnown, RulesConfirmed}}, {IdempotentRequests, []Prerequisite{MapKnown, RulesConfirmed}}, {FullCapacity, []Prerequisite{MapKnown, RulesConfirmed, QuotasKnown}}},
 }
 
-// maxSteps is how many steps of a recovery are kept, the first ones: a process that goes back and forth fills no memory.
+// maxSteps bounds the recorded steps of a recovery. The first ones are kept, so a process whose state alternates does not fill memory.
 const maxSteps = 32
 
-// State is how far a process has come. Each has all that the ones before it have.
+// State is the state of a recovery. Each state allows the work of the states before it.
 type State uint8
 
 // The states of a recovery.
 const (
-	Unavailable     State = iota // it answers only that it can't
-	ReadsOnly                    // reads
-	ReadsAndEffects              // reads, and sheets
-	FullService                  // all
+	Unavailable     State = iota // all requests are refused
+	ReadsOnly                    // reads are served
+	ReadsAndEffects              // reads and requests with an effect are served
+	FullService                  // all work is done at full capacity
 )
 
-// String names a state, in the words of the state and the log.
+// String returns the state's name in the status and the log.
 func (s State) String() string { return [...]string{"dark", "reads", "sheets", "full"}[s] }
 
-// Progress is the recovery of one process, from its start to full service. It is single-threaded; times are since the start.
+// Progress tracks the recovery of one process from its start to full service. It is not safe for concurrent use. The caller passes all
+// times from one monotonic clock.
 type Progress struct {
 	role      Role
 	met       [prerequisites]bool
-	since     [prerequisites]time.Duration // it is met, or waited for
-	maxWait   [prerequisites]time.Duration // 0: as long as it takes
+	since     [prerequisites]time.Duration // time of the latest change between met and unmet, or of ExpectWait
+	maxWait   [prerequisites]time.Duration // 0: unbounded
 	startedAt time.Duration
 	state     State
-	reachedAt time.Duration // the state was reached
+	reachedAt time.Duration // when the state was reached
 	steps     []Step
 }
 
-// Step is a state with when it was reached, from the start on.
+// Step is a state and the time from the start until it was reached.
 type Step struct {
 	State State
 	After time.Duration
 }
 
-// NewProgress returns the recovery of a process that starts; uses are the prerequisites that it has.
+// NewProgress returns the recovery of a process that starts now. Uses are the prerequisites that apply to it.
 func NewProgress(now time.Duration, role Role, uses ...Prerequisite) *Progress {
 	p := &Progress{role: role, startedAt: now, reachedAt: now}
 	for n := range prerequisites {
@@ -103,7 +105,7 @@
 	return p
 }
 
-// Update notes which prerequisites are met, all at once, and which are not. Those that are not named are as they were.
+// Update records, in one step, which prerequisites are met and which are not. Prerequisites that are not in the map keep their state.
 func (p *Progress) Update(now time.Duration, met map[Prerequisite]bool) {
 	for n, isMet := range met {
 		if p.met[n] != isMet {
@@ -113,14 +115,14 @@
 	p.advance(now)
 }
 
-// ExpectWait notes how long from now on a prerequisite is waited for at the most.
+// ExpectWait records the maximum wait for an unmet prerequisite, counted from now.
 func (p *Progress) ExpectWait(now time.Duration, n Prerequisite, maxWait time.Duration) {
 	if !p.met[n] {
 		p.since[n], p.maxWait[n] = now, maxWait
 	}
 }
 
-// Allows reports whether a kind of work is open.
+// Allows reports whether all prerequisites of a kind of work are met.
 func (p *Progress) Allows(w Work) bool { return len(p.missing(w)) == 0 }
 
 func (p *Progress) missing(w Work) (list []Prerequisite) {
@@ -156,22 +158,22 @@
 	}
 }
 
-// Wait is one prerequisite that is not met.
+// Wait is an unmet prerequisite.
 type Wait struct {
 	Prerequisite Prerequisite
-	Waited       time.Duration // for so long
-	MaxWait      time.Duration // 0: as long as it takes
+	Waited       time.Duration // wait so far
+	MaxWait      time.Duration // 0: unbounded
 }
 
-// Snapshot is a recovery as it is seen.
+// Snapshot is the state of a recovery at one time.
 type Snapshot struct {
 	State State
-	Since time.Duration
-	Waits []Wait // for all that is not open yet
+	Since time.Duration // time since the state was reached
+	Waits []Wait        // the unmet prerequisites
 	Steps []Step
 }
 
-// Snapshot returns the present one.
+// Snapshot returns the recovery's current state.
 func (p *Progress) Snapshot(now time.Duration) Snapshot {
 	snapshot := Snapshot{State: p.state, Since: now - p.reachedAt, Steps: slices.Clone(p.steps)}
 	for n := range prerequisites {
