--- a/internal/policy/hotrestart/decisions_test.go
+++ b/internal/policy/hotrestart/decisions_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// table is the runs of one process and what it was told of the other's.
+// executionTable is an Executions in memory, with the runs of one process and those that its peer reported.
 type executionTable map[string]Execution
 
 func (t executionTable) Find(key string, _ int64) (Execution, bool) { e, ok := t[key]; return e, ok }
@@ -50,15 +50,16 @@
 	}
 }
 
-// Every message and answer of two processes in random takeovers, with links that break and processes that die, is held by a digest
-// that was taken before the code was renamed.
+// A changed order of messages or a changed decision of the coordinators could let two processes run the same request. The test simulates
+// random takeovers of two processes, with broken links and dead processes, and compares a digest of every message and result with the
+// recorded digest of an earlier version.
 func TestCoordinatorsDecideAsBefore(t *testing.T) {
 	h := sha256.New()
 	for seed := range uint64(40) {
 		rng := rand.New(rand.NewPCG(seed, 30))
 		var sides [2]*Coordinator
 		var tables [2]executionTable
-		var inbox [2][]Message // to each
+		var inbox [2][]Message // messages that were sent to each side and not yet received
 		linked := false
 		now := int64(0)
 		start := func(i int) {
@@ -110,7 +111,7 @@
 				if linked && rng.IntN(4) == 0 {
 					breakLink(rng.IntN(2) == 0)
 				}
-			case 2: // one dies, and another one starts in its place
+			case 2: // one process dies, and another starts in its slot
 				if rng.IntN(6) > 0 {
 					continue
 				}
@@ -188,6 +189,6 @@
 		}
 	}
 	if got, want := fmt.Sprintf("%x", h.Sum(nil)[:8]), "f43dfbd2df7d52ea"; got != want {
-		t.Errorf("%s, want %s", got, want)
+		t.Errorf("digest of all decisions: got %s, want %s", got, want)
 	}
 }
--- a/internal/policy/lifecycle/lifecycle_test.go
+++ b/internal/policy/lifecycle/lifecycle_test.go
@@ -6,7 +6,7 @@
 	"pgregory.net/rapid"
 )
 
-// Every pair of state and event, whole: where it leads and what the operator is told.
+// Checks the next state, the result and the reason for every event in every state, and the readiness and health of every state.
 func TestEveryEventInEveryState(t *testing.T) {
 	rejected := func(s State) Outcome { return Outcome{To: s} }
 	accepted := func(s State) Outcome { return Outcome{To: s, OK: true} }
@@ -24,18 +24,18 @@
 	for s := range states {
 		for e := range events {
 			if got := s.On(e); got.To != want[s][e].To || got.OK != want[s][e].OK || got.Reason == "" {
-				t.Errorf("%v, %v: %+v, want %+v and why", s, e, got, want[s][e])
+				t.Errorf("state %v, event %v: got %+v, want %+v with a reason", s, e, got, want[s][e])
 			}
 		}
 		isReady, reason := s.Ready()
 		if isReady != ready[s] || s.Healthy() != healthy[s] || s.ShuttingDown() != shuttingDown[s] || reason == "" {
-			t.Errorf("%v: ready %v, healthy %v, leaving %v, %q", s, isReady, s.Healthy(), s.ShuttingDown(), reason)
+			t.Errorf("state %v: ready %v, healthy %v, shutting down %v, reason %q", s, isReady, s.Healthy(), s.ShuttingDown(), reason)
 		}
 	}
 }
 
-// Whatever the order of events: leaving is final, health is bad from an evacuation to the rejoin, and a service that
-// is up and rejoined is ready.
+// In any order of events, a shutdown is final, health checks fail from an evacuation to the rejoin, and a service that is up and not
+// evacuated is ready.
 func TestOrders(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s, up, evacuated, leaving := Starting, false, false, false
@@ -46,10 +46,10 @@
 			evacuated = (evacuated || e == Evacuate) && e != Rejoin
 			ready, _ := s.Ready()
 			if leaving != s.ShuttingDown() || ready != (up && !evacuated && !leaving) || !leaving && s.Healthy() == evacuated {
-				t.Fatalf("after %v: %v, with up %v, out %v, left %v", e, s, up, evacuated, leaving)
+				t.Fatalf("after event %v: state %v, with up %v, evacuated %v, leaving %v", e, s, up, evacuated, leaving)
 			}
 			if (e == Evacuate || e == Rejoin) && !leaving && !outcome.OK {
-				t.Fatalf("%v is refused", e)
+				t.Fatalf("%v was rejected", e)
 			}
 		}
 	})
--- a/internal/policy/loadbalancer/decisions_test.go
+++ b/internal/policy/loadbalancer/decisions_test.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// Which server gets an attempt follows from what was seen of all and from draws of a seeded source, in their order. Was a draw made more or
-// less, or a rule asked at another place, routers would choose otherwise with no test the wiser. So the choices of a play of 12 servers
-// with failures, a slow one, restarts, waits, budgets and hedges stand in testdata as they were before the names were changed.
+// The choice of a server depends on the observations so far and on the order of the draws from a seeded source. An additional draw, or a
+// rule that is evaluated at a different point, changes the choices of routers without failing another test. The test compares the choices
+// of a simulation of 12 servers, with failures, a slow server, restarts, Retry-After, budgets and hedges, with those recorded in testdata.
 func TestChoicesStayWhatTheyWere(t *testing.T) {
 	balancer := New(Config{Seed: 11, KeyWindow: 3 * time.Second, RetryRatio: 0.2})
 	names, weights := []string{}, map[string]float64{}
@@ -53,7 +53,7 @@
 		case step%43 == 0:
 			o = NotSent
 		}
-		if step%3 != 0 { // the others are out for good
+		if step%3 != 0 { // the other attempts never end
 			balancer.Done(now+took, name, o, took, step%2 == 0)
 		}
 		retry := balancer.AllowRetry(o, step%2 == 0, step%97 == 0)
@@ -64,7 +64,7 @@
 		hedge := known && step%9 == 0 && balancer.AllowHedge()
 		switch step {
 		case 100:
-			balancer.Answered(now, "s1", Incarnation{Boot: wall + 900000, RanUntil: wall + 890000, Joined: wall, Now: wall + 901000}) // started anew
+			balancer.Answered(now, "s1", Incarnation{Boot: wall + 900000, RanUntil: wall + 890000, Joined: wall, Now: wall + 901000}) // restarted
 		case 150:
 			balancer.SlowStartGranted(now, "s2", 2, time.Second)
 		case 200:
--- a/internal/policy/loadbalancer/fairness_test.go
+++ b/internal/policy/loadbalancer/fairness_test.go
@@ -7,8 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// floodCell plays a cell of four servers that holds so many requests and rejects the rest: two tenants of the same rate, one
-// of which sends ten times as much. It returns the share of each that was served.
+// floodCell simulates a cell of four servers that runs up to 100 requests at once and rejects the rest. Two tenants have the same agreed
+// rate, and one sends ten times as much. It returns the ratio of each tenant's requests that were served.
 func floodCell(limiter *TenantLimiter, seconds int) (quiet, flooding float64) {
 	const capacity, duration = 100, 300 * time.Millisecond
 	type request struct {
@@ -33,8 +33,8 @@
 			}
 		}
 		inFlight = unfinished
-		for n := range 11 { // quiet 100 a second of the 333 that the cell does, loud 1000
-			tenant := "loud"
+		for n := range 11 { // the cell serves 333 requests a second; quiet sends 100 and flooding 1000
+			tenant := "flooding"
 			if n == 0 {
 				tenant = "quiet"
 			}
@@ -54,19 +54,19 @@
 			inFlight = append(inFlight, r)
 		}
 	}
-	return served["quiet"] / sent["quiet"], served["loud"] / sent["loud"]
+	return served["quiet"] / sent["quiet"], served["flooding"] / sent["flooding"]
 }
 
-// A tenant that keeps within its share hardly notices one that floods the cell, and the flood gets what is left over.
+// A flooding tenant must not cause rejections for a tenant within its share, and must still get the remaining capacity.
 func TestFloodLeavesOthersTheirShare(t *testing.T) {
 	quiet, flooding := floodCell(NewTenantLimiter(), 60)
 	if quiet < 0.95 || flooding < 0.15 {
-		t.Errorf("%.3f of the quiet tenant's is served, %.3f of the loud one's", quiet, flooding)
+		t.Errorf("served ratio: quiet tenant %.3f, want at least 0.95; flooding tenant %.3f, want at least 0.15", quiet, flooding)
 	}
 }
 
-// Over random events a tenant within its share is admitted unless the cell is far over its window, nothing goes negative, and
-// the window keeps its least.
+// Over random events, a tenant within its share is admitted while the cell is within its window, the requests in flight are counted
+// correctly, and the window never becomes negative.
 func TestTenantLimiterProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limiter, now := NewTenantLimiter(), time.Duration(0)
@@ -82,7 +82,7 @@
 					inFlight[tenant]++
 					total++
 				} else if float64(inFlight[tenant]) < limit/3-1 && float64(windowInFlight) < limit {
-					t.Fatalf("%s with %d out there of %v is turned away, %d in all", tenant, inFlight[tenant], limit, windowInFlight)
+					t.Fatalf("tenant %s with %d requests in flight was rejected; window %v, %d in flight in the cell", tenant, inFlight[tenant], limit, windowInFlight)
 				}
 			} else if inFlight[tenant] > 0 {
 				inFlight[tenant]--
@@ -90,7 +90,7 @@
 				limiter.Done(now, "a", tenant, Outcome(rapid.IntRange(0, int(NotSent)).Draw(t, "outcome")))
 			}
 			if limit, windowInFlight := limiter.Window("a"); windowInFlight != total || limit < 0 {
-				t.Fatalf("%d out there, counted %d; window %v", windowInFlight, total, limit)
+				t.Fatalf("%d requests in flight, want %d; window %v", windowInFlight, total, limit)
 			}
 		}
 	})
--- a/internal/policy/loadbalancer/loadbalancer_test.go
+++ b/internal/policy/loadbalancer/loadbalancer_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-// Property tests take the same course every time.
+// A fixed seed makes the property tests deterministic.
 func init() {
 	for name, value := range map[string]string{"rapid.seed": "7", "rapid.nofailfile": "true"} {
 		if err := flag.Set(name, value); err != nil {
@@ -35,7 +35,8 @@
 	return balancer, names
 }
 
-// play sends tries, of which each server takes and gives what it is said to, and returns how many went to each.
+// simulate sends n attempts at the given interval. Server returns the outcome and the duration of an attempt at a server. It returns the
+// number of attempts by server, and under the empty name the number of requests for which Pick found none.
 func simulate(balancer *Balancer, names []string, now time.Duration, n int, interval time.Duration, server func(name string) (Outcome, time.Duration)) map[string]int {
 	attempts := map[string]int{}
 	type attempt struct {
@@ -70,8 +71,8 @@
 	return attempts
 }
 
-// A server that fails at once is the quickest and has nothing in flight: it must not attract what there is. It is
-// ejected, tried again one at a time, and taken back when it is well.
+// A server that fails at once has the lowest latency and no requests in flight, so it could attract all requests. It must be ejected,
+// probed with one attempt at a time, and used again after it has recovered.
 func TestFastFailuresAttractNothing(t *testing.T) {
 	balancer, names := newBalancer(4, Config{})
 	now := time.Hour
@@ -82,16 +83,16 @@
 		return Served, 80 * time.Millisecond
 	})
 	if got["s0"] > 60 || balancer.Counts().Ejected < 1 {
-		t.Fatalf("%v went to each, %+v", got, balancer.Counts())
+		t.Fatalf("attempts by server: %v, want at most 60 at s0; counts %+v, want an ejection", got, balancer.Counts())
 	}
 	now += 2 * time.Minute
 	got = simulate(balancer, names, now, 4000, 5*time.Millisecond, func(string) (Outcome, time.Duration) { return Served, 80 * time.Millisecond })
 	if got["s0"] < 600 {
-		t.Errorf("%v went to each once it was well", got)
+		t.Errorf("attempts by server after the recovery: %v, want at least 600 at s0", got)
 	}
 }
 
-// A server ten times slower than the others of its cell gets next to nothing; a cell that is slow as a whole is used.
+// A server that is ten times slower than the others of its cell gets few attempts. A cell whose servers are all slow is used normally.
 func TestSlowOutliers(t *testing.T) {
 	balancer, names := newBalancer(4, Config{})
 	latencyOf := func(slow ...string) func(string) (Outcome, time.Duration) {
@@ -105,24 +106,24 @@
 		}
 	}
 	if got := simulate(balancer, names, time.Hour, 2000, 10*time.Millisecond, latencyOf("s0")); got["s0"] > 100 {
-		t.Errorf("%v went to each", got)
+		t.Errorf("attempts by server: %v, want at most 100 at s0", got)
 	}
 	if got := simulate(balancer, names, 2*time.Hour, 2000, 10*time.Millisecond, latencyOf(names...)); got[""] > 0 || got["s1"] < 300 {
-		t.Errorf("%v went to each of a slow cell", got)
+		t.Errorf("attempts by server of a slow cell: %v, want at least 300 at s1 and none without a server", got)
 	}
 }
 
-// When more than half of a cell is out, health says more of the router than of the servers: all are tried, and no more
-// than the cap is out otherwise.
+// If more than half of a cell's servers are ejected, the fault is probably the router's: all servers must be tried. Otherwise at most
+// MaxEjectedRatio of them are skipped as outliers.
 func TestPanicThreshold(t *testing.T) {
 	balancer, names := newBalancer(4, Config{})
 	got := simulate(balancer, names, time.Hour, 400, 10*time.Millisecond, func(string) (Outcome, time.Duration) { return Failed, time.Millisecond })
 	if got[""] > 0 || balancer.Counts().Panicked == 0 {
-		t.Errorf("%v, %+v", got, balancer.Counts())
+		t.Errorf("attempts by server: %v, want none without a server; counts %+v, want choices that ignore health", got, balancer.Counts())
 	}
 	for _, n := range names {
 		if got[n] < 50 {
-			t.Errorf("%v went to each", got)
+			t.Errorf("attempts by server: %v, want at least 50 at each", got)
 		}
 	}
 	balancer, names = newBalancer(5, Config{})
@@ -130,32 +131,32 @@
 		balancer.Unreachable(time.Hour, n)
 	}
 	if kept := balancer.withoutOutliers(balancer.sample(names), balancer.sample(names)); len(kept) != 3 {
-		t.Errorf("%d are left of five with two suspects", len(kept))
+		t.Errorf("%d of five servers with two suspects remain, want 3", len(kept))
 	}
 }
 
-// Suspicion comes before death, one that restarted is eased in and has forgotten its keyed requests, and one that flaps must be
-// well for a while.
+// A server becomes suspect before it is dead. After a restart it has a slow start and has lost its keys. A flapping server becomes alive
+// only after the hold-down.
 func TestFailureDetection(t *testing.T) {
 	balancer, _ := newBalancer(3, Config{})
 	now := time.Hour
 	health := func() Health { return balancer.servers["s0"].health }
 	balancer.Unreachable(now, "s0")
 	if health() != Suspect {
-		t.Fatalf("after one failure %v", health())
+		t.Fatalf("health %v after one failure, want suspect", health())
 	}
 	balancer.Unreachable(now, "s0")
 	balancer.Unreachable(now, "s0")
 	if health() != Dead || balancer.CheckHome(now, "", "s0") != HomeLost {
-		t.Fatalf("after three %v", health())
+		t.Fatalf("health %v after three failures, want dead and a lost home", health())
 	}
 	now += time.Second
-	balancer.Answered(now, "s0", Incarnation{}) // it says nothing of its start: it may be another one
+	balancer.Answered(now, "s0", Incarnation{}) // without a boot time: the process may be a different one
 	if health() != Alive || balancer.CheckHome(now, "", "s0") != HomeLost || balancer.warmupRatio(now, balancer.servers["s0"]) > 0.2 {
-		t.Fatalf("%v, home %v", health(), balancer.CheckHome(now, "", "s0"))
+		t.Fatalf("health %v, home %v after a restart; want alive, a lost home and a slow start", health(), balancer.CheckHome(now, "", "s0"))
 	}
 	if balancer.CheckHome(now+14*time.Second, "", "s0") != HomeReady {
-		t.Error("no sheet of before can come again, and it still gets none")
+		t.Error("the home is not ready after the key window has ended")
 	}
 	for range 6 {
 		now += time.Second
@@ -165,15 +166,16 @@
 		balancer.Answered(now, "s0", Incarnation{})
 	}
 	if health() == Alive {
-		t.Error("one that comes and goes counts as alive")
+		t.Error("a flapping server is alive")
 	}
 	if balancer.Answered(now+holdDown+time.Second, "s0", Incarnation{}); health() != Alive {
-		t.Error("it never does again")
+		t.Error("a flapping server is not alive after the hold-down")
 	}
 }
 
-// What a server says of its start tells a restart from a broken link, and a router that starts itself learns of what it
-// missed; one that entered the map after it had started has nothing to forget.
+// A home that restarted within the key window must not get requests with a key, as it may have lost them. The boot time distinguishes a
+// restart from a broken connection. A router that started after the restart detects it too, unless the server was added to the map after
+// its boot and had no earlier process.
 func TestRestartsAreNoticed(t *testing.T) {
 	for name, c := range map[string]struct {
 		boots    []int64
@@ -181,16 +183,16 @@
 		joined   int64
 		want     HomeState
 	}{
-		"the same start":                        {[]int64{1000, 1000}, 0, 5000, HomeReady},
-		"started anew":                          {[]int64{1000, 99000}, 0, 500, HomeLost},
-		"long ago":                              {[]int64{1000, 50000}, 0, 500, HomeReady},
-		"a router that comes":                   {[]int64{95000}, 0, 500, HomeLost},
-		"new in the map":                        {[]int64{95000}, 0, 96000, HomeReady},
-		"dark for longer than the window":       {[]int64{1000, 99000}, 86000, 500, HomeReady},
-		"dark for less":                         {[]int64{1000, 99000}, 90000, 500, HomeLost},
-		"a router that comes, to one long dark": {[]int64{95000}, 80000, 500, HomeReady},
-		"what ran after the start is no news":   {[]int64{1000, 50000}, 99000, 500, HomeReady},
-		"a router that comes, before a word":    {nil, 0, 500, HomeLost},
+		"same process":                     {[]int64{1000, 1000}, 0, 5000, HomeReady},
+		"restart":                          {[]int64{1000, 99000}, 0, 500, HomeLost},
+		"restart before the key window":    {[]int64{1000, 50000}, 0, 500, HomeReady},
+		"new router":                       {[]int64{95000}, 0, 500, HomeLost},
+		"added to the map after its boot":  {[]int64{95000}, 0, 96000, HomeReady},
+		"downtime longer than the window":  {[]int64{1000, 99000}, 86000, 500, HomeReady},
+		"downtime shorter than the window": {[]int64{1000, 99000}, 90000, 500, HomeLost},
+		"new router, long downtime":        {[]int64{95000}, 80000, 500, HomeReady},
+		"RanUntil later than the boot":     {[]int64{1000, 50000}, 99000, 500, HomeReady},
+		"new router, no answer yet":        {nil, 0, 500, HomeLost},
 	} {
 		balancer := New(Config{KeyWindow: 13 * time.Second})
 		balancer.SetServers(time.Hour, map[string]float64{"s": 1})
@@ -198,30 +200,30 @@
 			balancer.Answered(time.Hour, "s", Incarnation{Boot: boot, RanUntil: c.ranUntil, Joined: c.joined, Now: 100000})
 		}
 		if got := balancer.CheckHome(time.Hour, "", "s"); got == HomeReady && len(c.boots) > 1 && c.boots[0] != c.boots[1] {
-			t.Errorf("%s: a sheet goes to a start that was only heard of", name)
+			t.Errorf("%s: the home is ready before the restarted server granted anything", name)
 		}
-		balancer.WarmedUp("s") // it says so
+		balancer.WarmedUp("s")
 		if got := balancer.CheckHome(time.Hour, "", "s"); got != c.want {
-			t.Errorf("%s: %v, want %v", name, got, c.want)
+			t.Errorf("%s: home state %v, want %v", name, got, c.want)
 		}
 	}
 }
 
-// A server that is warming up gets no more than it granted: first attempts, retries and hedged requests alike, keyed requests too, also
-// where so many servers are out that health is not looked at. Without news the part ends.
+// A warming server gets at most as many requests in flight as it granted: first attempts, retries, hedged requests and requests with a
+// key, even when health is ignored because too many servers are lost. The grant ends with its term.
 func TestSlowStartIsABound(t *testing.T) {
-	balancer, now := New(Config{SlowStart: 1}), time.Hour // without the weight that eases a server in
+	balancer, now := New(Config{SlowStart: 1}), time.Hour // without this router's own ramp
 	balancer.SetServers(now, map[string]float64{"s": 1, "gone": 1, "too": 1})
 	balancer.Answered(now-time.Second, "s", Incarnation{Boot: 1000, Now: 100000})
 	balancer.Answered(now-time.Second, "s", Incarnation{Boot: 90000, Joined: 95000, Now: 100000})
 	for range deadAfter {
 		balancer.Unreachable(now, "gone")
 		balancer.Unreachable(now, "too")
-		balancer.started("gone") // so that the one that is there is the better one
+		balancer.started("gone") // makes the warming server the cheaper choice
 		balancer.started("too")
 	}
 	isOffered := func(at time.Duration) (pick, home bool) {
-		for range 100 { // the others are drawn too
+		for range 100 { // Pick draws the other servers too
 			name, _ := balancer.Pick(at, "", []string{"s", "gone", "too"}, "")
 			pick = pick || name == "s"
 		}
@@ -230,28 +232,29 @@
 	check := func(what string, at time.Duration, want bool) {
 		t.Helper()
 		if pick, home := isOffered(at); pick != want || home != want {
-			t.Errorf("%s: reads %v, sheets %v; want %v", what, pick, home, want)
+			t.Errorf("%s: picked %v, home not busy %v; want %v", what, pick, home, want)
 		}
 	}
-	check("only heard of", now, false)
+	check("before a grant", now, false)
 	balancer.SlowStartGranted(now, "s", 2, 3*time.Second)
-	check("with room", now, true)
+	check("with a grant of two", now, true)
 	balancer.started("s")
-	check("with room for one", now, true)
+	check("with one in flight", now, true)
 	balancer.started("s")
-	check("full", now, false)
+	check("with two in flight", now, false)
 	balancer.Done(now, "s", Served, time.Millisecond, true)
-	check("with one back", now, true)
-	if !balancer.Acquire(now, "s") || balancer.Acquire(now, "s") { // two were told that there is room for one
-		t.Error("not one of two goes out")
+	check("after one has ended", now, true)
+	if !balancer.Acquire(now, "s") || balancer.Acquire(now, "s") { // two attempts compete for the capacity of one
+		t.Error("want exactly the first of two attempts to be acquired")
 	}
-	check("full again", now, false)
-	check("without news for a term", now+3*time.Second, false)
+	check("after one more was acquired", now, false)
+	check("after the term", now+3*time.Second, false)
 	balancer.WarmedUp("s")
 	check("warm", now+time.Hour, true)
 }
 
-// Retries are a ratio of first attempts, whatever fails; a write is tried again only on proof.
+// Retries and hedged requests are limited to a ratio of first attempts, even if all attempts fail. A write is retried only if the previous
+// attempt provably did not run.
 func TestRetryBudgets(t *testing.T) {
 	balancer, _ := newBalancer(3, Config{RetryRatio: 0.1, HedgeRatio: 0.05})
 	retried, hedged := 0, 0
@@ -265,7 +268,7 @@
 		}
 	}
 	if retried > 1100 || retried < 900 || hedged > 550 || hedged < 450 {
-		t.Errorf("%d retries and %d hedges for 10000 first tries", retried, hedged)
+		t.Errorf("%d retries and %d hedges for 10000 first attempts, want about 1000 and 500", retried, hedged)
 	}
 	balancer, _ = newBalancer(3, Config{RetryRatio: 1})
 	for o, want := range map[Outcome][2]bool{ // of a write, of a read
@@ -276,70 +279,70 @@
 			balancer.FirstAttempt(time.Hour)
 		}
 		if got := [2]bool{balancer.AllowRetry(o, false, false), balancer.AllowRetry(o, true, false)}; got != want {
-			t.Errorf("outcome %d: %v, want %v", o, got, want)
+			t.Errorf("outcome %d: retry of a write and of a read: %v, want %v", o, got, want)
 		}
 	}
 	if balancer.AllowRetry(Rejected, true, true) {
-		t.Error("tried elsewhere against the server's wish")
+		t.Error("a retry was allowed although the server ruled out another attempt")
 	}
 }
 
-// Who asked to be left alone is, and a told credit is kept.
+// A server gets at most as many requests in flight as its credit, and no request of a tenant before that tenant's Retry-After has passed.
 func TestBackpressure(t *testing.T) {
 	balancer, _ := newBalancer(1, Config{})
 	now := time.Hour
 	balancer.Backpressure(now, "", "s0", 2, 0)
 	for range 2 {
 		if _, ok := balancer.Pick(now, "", []string{"s0"}, ""); !ok {
-			t.Fatal("nobody")
+			t.Fatal("no server for an attempt within the credit")
 		}
 		balancer.started("s0")
 	}
 	if n, ok := balancer.Pick(now, "", []string{"s0"}, ""); ok {
-		t.Errorf("%s, with two out there of two", n)
+		t.Errorf("picked %s with two requests in flight and a credit of two", n)
 	}
 	balancer.Done(now, "s0", Served, time.Millisecond, true)
 	balancer.Backpressure(now, "", "s0", 0, time.Second)
 	if _, ok := balancer.Pick(now, "", []string{"s0"}, ""); ok || balancer.CheckHome(now, "", "s0") != HomeBusy {
-		t.Error("it is not left alone")
+		t.Error("a request was allowed before the Retry-After passed")
 	}
 	if n, ok := balancer.Pick(now, "other", []string{"s0"}, ""); !ok || balancer.CheckHome(now, "other", "s0") != HomeReady {
-		t.Errorf("what one tenant was told keeps another one away from %q", n)
+		t.Errorf("the Retry-After of one tenant applies to another: picked %q", n)
 	}
 	for i := range 2 * maxRetryAfterTenants {
 		balancer.Backpressure(now, fmt.Sprint("t", i), "s0", 0, time.Second)
 	}
 	if n := len(balancer.servers["s0"].retryAfter); n > maxRetryAfterTenants {
-		t.Errorf("%d tenants are remembered", n)
+		t.Errorf("Retry-After is stored for %d tenants, above the bound", n)
 	}
 	balancer.Backpressure(now, "", "s0", 0, time.Second)
 	if _, ok := balancer.Pick(now+time.Second, "", []string{"s0"}, ""); !ok {
-		t.Error("left alone for good")
+		t.Error("no request was allowed after the Retry-After passed")
 	}
 }
 
-// A hedged request goes out later than nearly all first ones have been answered.
+// The hedge delay is a high quantile of the latencies: nearly all requests are answered before they would be hedged.
 func TestHedgeDelay(t *testing.T) {
 	balancer, _ := newBalancer(1, Config{})
 	if _, known := balancer.HedgeDelay(); known {
-		t.Error("known without an answer")
+		t.Error("a hedge delay is known before any answer")
 	}
 	for i := range 200 {
 		balancer.started("s0")
 		balancer.Done(time.Hour, "s0", Served, time.Duration(i+1)*time.Millisecond, true)
 	}
 	if delay, known := balancer.HedgeDelay(); !known || delay < 180*time.Millisecond || delay > 195*time.Millisecond {
-		t.Errorf("%v, %v", delay, known)
+		t.Errorf("hedge delay %v, known %v; want 180 to 195 ms", delay, known)
 	}
 }
 
-// Over random events nothing in flight goes negative, what is picked is among those asked for and never the one left
-// out, and budgets hold.
+// Over random events, the requests in flight are counted correctly, Pick returns a listed server that is not excluded, and retries stay
+// within their budget.
 func TestProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		balancer, names := newBalancer(rapid.IntRange(1, 6).Draw(t, "servers"), Config{RetryRatio: 0.1})
 		now := time.Hour
-		out := map[string]int{}
+		inFlight := map[string]int{}
 		first, retried := 0, 0
 		for range rapid.IntRange(0, 200).Draw(t, "events") {
 			now += time.Duration(rapid.IntRange(0, 500).Draw(t, "ms")) * time.Millisecond
@@ -350,14 +353,14 @@
 				balancer.FirstAttempt(now)
 				if got, ok := balancer.Pick(now, "", names, name); ok {
 					if got == name || balancer.servers[got] == nil {
-						t.Fatalf("picked %q but for %q", got, name)
+						t.Fatalf("picked %q with %q excluded", got, name)
 					}
 					balancer.started(got)
-					out[got]++
+					inFlight[got]++
 				}
 			case 2:
-				if out[name] > 0 {
-					out[name]--
+				if inFlight[name] > 0 {
+					inFlight[name]--
 					o := Outcome(rapid.IntRange(0, int(NotSent)).Draw(t, "outcome"))
 					balancer.Done(now, name, o, time.Duration(rapid.IntRange(1, 3000).Draw(t, "took"))*time.Millisecond, true)
 					if balancer.AllowRetry(o, true, false) {
@@ -372,18 +375,18 @@
 				balancer.Backpressure(now, "", name, float64(rapid.IntRange(0, 5).Draw(t, "credit")), time.Duration(rapid.IntRange(0, 2).Draw(t, "away"))*time.Second)
 			}
 			for _, n := range names {
-				if balancer.servers[n].inFlight != out[n] {
-					t.Fatalf("%d in flight at %s, sent %d", balancer.servers[n].inFlight, n, out[n])
+				if balancer.servers[n].inFlight != inFlight[n] {
+					t.Fatalf("%d attempts in flight at %s, want %d", balancer.servers[n].inFlight, n, inFlight[n])
 				}
 			}
 			if float64(retried) > budgetMinTokens+0.1*float64(first)+1e-6 {
-				t.Fatalf("%d further tries of %d first ones", retried, first)
+				t.Fatalf("%d retries of %d first attempts exceed the budget", retried, first)
 			}
 		}
 	})
 }
 
-// What a choice costs, by the number of servers.
+// Measures the cost of a choice by the number of servers.
 func BenchmarkPick(b *testing.B) {
 	for _, n := range []int{12, 120, 1200} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/internal/policy/recovery/recovery_test.go
+++ b/internal/policy/recovery/recovery_test.go
@@ -17,20 +17,21 @@
 	"pgregory.net/rapid"
 )
 
-// A process writes heartbeats to a disk that stalls and fails, begins work where it may, and dies; the machine stays on, or is off for a
-// time, or the disk comes to another one. If work had begun later than the next process takes it to have, a request would run twice: so
-// however that was, none has. Without the rule that heartbeats have to be durable, some has.
+// A request would run twice if work began later than the restarted process assumes. A process writes heartbeats to a disk that stalls and
+// fails, begins work while MayExecute allows it, and dies. The machine then stays on or reboots, or the disk is moved to another machine.
+// Work must never have begun later than Downtime assumes. The second check shows that the simulation finds violations without the rule
+// that the latest durable heartbeat must be valid.
 func TestNothingRunsLaterThanARestartAssumes(t *testing.T) {
 	const day = 24 * time.Hour
 	simulate := func(t *rapid.T, requireValid bool) (late time.Duration) {
 		terms := LeaseTerms{Interval: 250 * time.Millisecond, Validity: time.Second}
-		// Drawn evenly: short times alone find nothing.
+		// Durations are drawn uniformly: rapid prefers short durations, which find no violation.
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
 		randomDuration := func(limit time.Duration) time.Duration { return 1 + time.Duration(rng.Int64N(int64(limit))) }
-		uptime := randomDuration(day) // of the machine, as the process starts; true time runs with it
+		uptime := randomDuration(day) // of the machine when the process starts; the simulated time is counted from the same boot
 		lease, now, lastBegan := NewHeartbeatLease(terms), uptime, time.Duration(-1)
 		var durable Heartbeat
-		var writeEnds time.Duration // of the write under way
+		var writeEnds time.Duration // end of the write in progress
 		writing, writeFails := false, false
 		for range 1 + rng.IntN(60) {
 			if writing && now >= writeEnds {
@@ -49,7 +50,7 @@
 			}
 			now += randomDuration(500 * time.Millisecond)
 		}
-		if writing && !writeFails && rng.IntN(2) == 0 { // it may have come to last though nobody heard
+		if writing && !writeFails && rng.IntN(2) == 0 { // the write may be durable although its end was not reported
 			durable = Heartbeat{"s", "m", "b", lease.writeStarted, terms.Validity}
 		}
 		died := now
@@ -59,14 +60,14 @@
 			next.SinceBoot = died + outage
 		case 1:
 			next.Boot, next.SinceBoot = "c", randomDuration(outage)
-		case 2: // the disk in another machine, which has been on for long
+		case 2: // the disk was moved to another machine, which has been up for a day
 			next.Machine, next.Boot, next.SinceBoot = "n", "d", day
 		case 3:
 			next.Name, next.SinceBoot = "another", died+outage
 		}
 		minDowntime, evidence := durable.Downtime(next)
 		if evidence == NoEvidence && minDowntime != 0 {
-			t.Fatalf("%v by nothing", minDowntime)
+			t.Fatalf("downtime %v without evidence, want 0", minDowntime)
 		}
 		if lastBegan < 0 {
 			return 0
@@ -75,18 +76,18 @@
 	}
 	rapid.Check(t, func(t *rapid.T) {
 		if late := simulate(t, true); late > 0 {
-			t.Fatalf("work was begun %v later than it was taken to be", late)
+			t.Fatalf("work began %v later than the restarted process assumes", late)
 		}
 	})
 	found := false
 	rapid.Check(t, func(t *rapid.T) { found = simulate(t, false) > 0 || found })
 	if !found {
-		t.Error("without the rule no harm is found")
+		t.Error("no violation was found without the validity rule")
 	}
 }
 
-// All sets of prerequisites that are met: what is open has all that it needs, each state has what the ones before it have, and what is
-// not met and of use is what is waited for.
+// For every set of used and met prerequisites, work is allowed only if all its prerequisites are met, each state allows the work of the
+// states before it, and exactly the used but unmet prerequisites are listed as waits.
 func TestWorkOpensOnlyWithItsPrerequisites(t *testing.T) {
 	for _, role := range []Role{Server, Router} {
 		for uses := range 1 << prerequisites {
@@ -108,15 +109,15 @@
 				v := p.Snapshot(time.Minute)
 				if p.Allows(IdempotentRequests) && (lacks(RulesConfirmed) || role == Server && (lacks(StoreRead) || lacks(WindowOver) || lacks(HeartbeatsDurable)) || role == Router && lacks(MapKnown)) ||
 					p.Allows(FullCapacity) && !p.Allows(IdempotentRequests) || p.Allows(IdempotentRequests) && !p.Allows(Reads) || p.Allows(Replays) && role == Server && lacks(StoreRead) {
-					t.Fatalf("%v that uses %v and has %b allows too much", role, list, met)
+					t.Fatalf("role %v with prerequisites %v, of which %b are met, allows work whose prerequisites are unmet", role, list, met)
 				}
 				if v.State != map[bool]State{true: FullService}[p.Allows(FullCapacity)] && v.State != map[bool]State{true: ReadsAndEffects}[p.Allows(IdempotentRequests)] &&
 					v.State != map[bool]State{true: ReadsOnly}[p.Allows(Reads)] {
-					t.Fatalf("state %v", v.State)
+					t.Fatalf("state %v does not match the allowed work", v.State)
 				}
 				for n := range prerequisites {
 					if waits := slices.ContainsFunc(v.Waits, func(w Wait) bool { return w.Prerequisite == n }); waits != lacks(n) {
-						t.Fatalf("%v: waits %v, lacks %v", n, waits, lacks(n))
+						t.Fatalf("prerequisite %v: listed as a wait: %v, unmet: %v", n, waits, lacks(n))
 					}
 				}
 			}
@@ -124,8 +125,8 @@
 	}
 }
 
-// A new file writes state to a disk, and nobody has said whether a restart may trust it: every file of the program that writes has its
-// line in the table of state, and every line's files write.
+// A source file that writes new state to disk could be added without a decision whether a restart may trust that state. Every source file
+// that writes to disk must be listed in StateTable, and every file in StateTable must write to disk.
 func TestEveryFileThatWritesHasItsTrust(t *testing.T) {
 	writes := map[string]bool{"atomicfile.Write": true, "bbolt.Open": true, "os.Rename": true, "os.Link": true, "os.WriteFile": true,
 		"os.Create": true, "os.CreateTemp": true, "os.OpenFile": true}
@@ -135,7 +136,7 @@
 		if err != nil || d.IsDir() || !strings.HasSuffix(name, ".go") || strings.HasSuffix(name, "_test.go") {
 			return err
 		}
-		for _, outside := range []string{"internal/testkit/benchmarks/", "internal/testkit/harness/", "internal/testkit/standin/"} { // of tests and of the lab
+		for _, outside := range []string{"internal/testkit/benchmarks/", "internal/testkit/harness/", "internal/testkit/standin/"} { // code of tests and benchmarks
 			if strings.HasPrefix(name, outside) {
 				return nil
 			}
@@ -163,19 +164,19 @@
 	for _, l := range StateTable {
 		for _, w := range l.Files {
 			if has[w] = true; !found[w] {
-				t.Errorf("%s writes to no disk, and has the line %q", w, l.Name)
+				t.Errorf("%s does not write to disk, but is listed in the entry %q", w, l.Name)
 			}
 		}
 		if l.Name == "" || l.Reason == "" {
-			t.Errorf("a line that says nothing: %+v", l)
+			t.Errorf("entry without a name or a reason: %+v", l)
 		}
 	}
 	for name := range found {
 		if !has[name] {
-			t.Errorf("%s writes to disks, and has no line in the table of trust", name)
+			t.Errorf("%s writes to disk, but is not listed in StateTable", name)
 		}
 	}
 	if len(found) < 8 {
-		t.Errorf("only %d files that write were found", len(found))
+		t.Errorf("found only %d files that write to disk, want at least 8", len(found))
 	}
 }
--- a/internal/policy/slowstart/slowstart_test.go
+++ b/internal/policy/slowstart/slowstart_test.go
@@ -13,22 +13,23 @@
 var settings = silverpath.Settings{Cores: 6, MaxRunsPerCore: 8, Cold: true, ColdSpeed: 0.25, WarmupTime: 12 * time.Second}
 
 func TestCapacity(t *testing.T) {
-	for up, want := range map[time.Duration]float64{-time.Second: 0.9 * 6 * 2.75, 0: 0.9 * 6 * 2.75, 6 * time.Second: 0.9 * 6 * 5.375} {
-		if got, warming := Capacity(settings, up); !warming || math.Abs(got-want) > 1e-9 {
-			t.Errorf("%v after the start: %v, %v; want %v", up, got, warming, want)
+	for uptime, want := range map[time.Duration]float64{-time.Second: 0.9 * 6 * 2.75, 0: 0.9 * 6 * 2.75, 6 * time.Second: 0.9 * 6 * 5.375} {
+		if got, warming := Capacity(settings, uptime); !warming || math.Abs(got-want) > 1e-9 {
+			t.Errorf("capacity at uptime %v: got %v, warming %v; want %v", uptime, got, warming, want)
 		}
 	}
 	warm := settings
 	warm.Cold = false
 	if _, warming := Capacity(warm, 0); warming {
-		t.Error("cold though it is not")
+		t.Error("warming although Settings.Cold is false")
 	}
 	if _, warming := Capacity(settings, settings.WarmupTime); warming {
-		t.Error("cold for longer than told")
+		t.Error("warming after Settings.WarmupTime")
 	}
 }
 
-// A caller claims nothing of a start that it has just heard of, goes by its part for a term from its asking on, and by none after.
+// A caller must not send to a restarted server before it has a grant, uses the grant for a term from its health check on, and sends
+// nothing after the term.
 func TestCaller(t *testing.T) {
 	var c Caller
 	if !c.HasCapacity(0, 1000) || c.Warming() {
@@ -36,7 +37,7 @@
 	}
 	c.Restarted()
 	if c.HasCapacity(0, 0) || !c.Warming() {
-		t.Fatal("a part of a start that was only heard of")
+		t.Fatal("a restarted server has capacity before it granted anything")
 	}
 	c.Granted(time.Second, 2, 3*time.Second)
 	for _, x := range []struct {
@@ -45,24 +46,24 @@
 		want     bool
 	}{{time.Second, 1, true}, {time.Second, 2, false}, {4*time.Second - 1, 0, true}, {4 * time.Second, 0, false}} {
 		if got := c.HasCapacity(x.at, x.inFlight); got != x.want {
-			t.Errorf("at %v with %d out: %v", x.at, x.inFlight, got)
+			t.Errorf("at %v with %d in flight: unexpected capacity %v", x.at, x.inFlight, got)
 		}
 	}
 	c.WarmedUp()
 	if !c.HasCapacity(time.Hour, 5) {
-		t.Error("warm, and limited")
+		t.Error("a server is limited after it has warmed up")
 	}
 }
 
-// sender is a caller that has out whatever it may.
+// simulatedCaller sends as many requests as its grants allow.
 type simulatedCaller struct {
-	name        string
-	startsAt    time.Duration
-	stopsAt     time.Duration // it is lost then
-	nextRequest time.Duration // it asks
-	replies     []reply
-	c           Caller
-	inFlight    []time.Duration // ends of its requests
+	name            string
+	startsAt        time.Duration
+	stopsAt         time.Duration // the caller crashes then
+	nextHealthCheck time.Duration // time of its next health check
+	replies         []reply
+	caller          Caller
+	inFlight        []time.Duration // end times of its requests
 }
 
 type reply struct {
@@ -76,23 +77,23 @@
 	term     = 3 * interval
 )
 
-// play has so many callers send all that they may to a server that is cold, with callers that join, are lost and come back, and
-// news that come late or not at all. It returns the most by which what was out passed the whole, in the chance that is allowed,
-// and how much of the whole was used on average once all could be known.
-func simulate(seed uint64, n int, grant func(s *Server, now time.Duration, who string, flying int, capacity float64) int) (worstExcess, utilization float64) {
+// simulate lets n callers send all requests that grant allows to a warming server. Callers join, crash and are replaced; answers are late
+// or lost. It returns the largest excess of the requests in flight over the capacity, as a multiple of the allowed random excess, and the
+// average utilization of the capacity after the first seconds.
+func simulate(seed uint64, n int, grant func(s *Server, now time.Duration, caller string, inFlight int, capacity float64) int) (worstExcess, utilization float64) {
 	rng := rand.New(rand.NewPCG(seed, uint64(n)))
 	s := NewServer(0, n)
 	var callers []*simulatedCaller
 	for i := range n {
-		c := &simulatedCaller{name: fmt.Sprint("c", i), stopsAt: time.Hour, nextRequest: time.Duration(rng.Int64N(int64(interval)))}
-		if rng.IntN(4) == 0 { // joins late
+		c := &simulatedCaller{name: fmt.Sprint("c", i), stopsAt: time.Hour, nextHealthCheck: time.Duration(rng.Int64N(int64(interval)))}
+		if rng.IntN(4) == 0 { // the caller joins late
 			c.startsAt = time.Duration(rng.Int64N(int64(5 * time.Second)))
-			c.nextRequest += c.startsAt
+			c.nextHealthCheck += c.startsAt
 		}
 		if rng.IntN(5) == 0 {
 			c.stopsAt = c.startsAt + time.Duration(rng.Int64N(int64(6*time.Second)))
 		}
-		c.c.Restarted()
+		c.caller.Restarted()
 		callers = append(callers, c)
 	}
 	worstExcess = math.Inf(-1)
@@ -107,9 +108,9 @@
 			if now < c.startsAt {
 				continue
 			}
-			if now >= c.stopsAt { // lost, with all that it had out; another takes its place a while later
-				callers[i] = &simulatedCaller{name: c.name + "'", startsAt: now + 2*time.Second, stopsAt: time.Hour, nextRequest: now + 2*time.Second}
-				callers[i].c.Restarted()
+			if now >= c.stopsAt { // its requests in flight end with it; a new caller replaces it 2 s later
+				callers[i] = &simulatedCaller{name: c.name + "'", startsAt: now + 2*time.Second, stopsAt: time.Hour, nextHealthCheck: now + 2*time.Second}
+				callers[i].caller.Restarted()
 				continue
 			}
 			unfinished := c.inFlight[:0]
@@ -119,18 +120,18 @@
 				}
 			}
 			c.inFlight = unfinished
-			if now >= c.nextRequest {
-				c.nextRequest = now + interval
+			if now >= c.nextHealthCheck {
+				c.nextHealthCheck = now + interval
 				granted := grant(s, now, c.name, len(c.inFlight), capacity)
-				if rng.IntN(5) > 0 { // else the answer is lost
+				if rng.IntN(5) > 0 { // otherwise the answer is lost
 					c.replies = append(c.replies, reply{now + time.Duration(rng.Int64N(int64(800*time.Millisecond))), now, granted})
 				}
 			}
 			for len(c.replies) > 0 && c.replies[0].arrivesAt <= now {
-				c.c.Granted(c.replies[0].requestedAt, c.replies[0].granted, term)
+				c.caller.Granted(c.replies[0].requestedAt, c.replies[0].granted, term)
 				c.replies = c.replies[1:]
 			}
-			for c.c.HasCapacity(now, len(c.inFlight)) {
+			for c.caller.HasCapacity(now, len(c.inFlight)) {
 				c.inFlight = append(c.inFlight, now+100*time.Millisecond+time.Duration(rng.Int64N(int64(2*time.Second))))
 			}
 			inFlight += len(c.inFlight)
@@ -143,39 +144,39 @@
 	}
 }
 
-// However many callers share a cold server, what they have out together stays within what it takes but for chance, and most of
-// it is used.
+// The requests in flight of all callers must stay within the warming server's capacity, except for a small random excess, and must use
+// most of it, for any number of callers.
 func TestSumOfAllCallers(t *testing.T) {
 	for _, n := range []int{1, 2, 5, 20, 30} {
 		const seeds = 100
 		meanUtilization := 0.0
 		for seed := range uint64(seeds) {
-			worstExcess, utilization := simulate(seed, n, func(s *Server, now time.Duration, who string, flying int, whole float64) int {
-				return s.Grant(now, who, flying, whole, term)
+			worstExcess, utilization := simulate(seed, n, func(s *Server, now time.Duration, caller string, inFlight int, capacity float64) int {
+				return s.Grant(now, caller, inFlight, capacity, term)
 			})
 			if worstExcess > 1 {
-				t.Fatalf("%d callers, seed %d: %.2f times what chance may add", n, seed, worstExcess)
+				t.Fatalf("%d callers, seed %d: %.2f times the allowed random excess over the capacity", n, seed, worstExcess)
 			}
 			meanUtilization += utilization / seeds
 		}
 		if meanUtilization < 0.5 {
-			t.Errorf("%d callers use %.2f of it on average", n, meanUtilization)
+			t.Errorf("%d callers use %.2f of the capacity on average, want at least 0.5", n, meanUtilization)
 		}
 	}
 }
 
-// Where each caller takes its fair part by the number that the settings name, rounded up to one at least, or those that are gone or
-// late are not counted, the sum does not hold: this test finds that.
+// The simulation must detect grants that exceed the capacity: the whole capacity for each caller, a fixed fraction that is rounded up, and
+// grants that do not count the callers that are late or have crashed.
 func TestSumOfOtherWays(t *testing.T) {
-	for name, grant := range map[string]func(s *Server, now time.Duration, who string, flying int, whole float64) int{
-		"each the whole":       func(_ *Server, _ time.Duration, _ string, _ int, whole float64) int { return int(whole) },
-		"rounded up, by three": func(_ *Server, _ time.Duration, _ string, _ int, whole float64) int { return int(math.Ceil(whole / 3)) },
-		"what others hold is not counted": func(s *Server, now time.Duration, who string, flying int, whole float64) int {
+	for name, grant := range map[string]func(s *Server, now time.Duration, caller string, inFlight int, capacity float64) int{
+		"whole capacity each": func(_ *Server, _ time.Duration, _ string, _ int, capacity float64) int { return int(capacity) },
+		"a third, rounded up": func(_ *Server, _ time.Duration, _ string, _ int, total float64) int { return int(math.Ceil(total / 3)) },
+		"other callers are not counted": func(s *Server, now time.Duration, caller string, inFlight int, capacity float64) int {
 			for _, c := range s.callers {
 				c.requests, c.inFlight = 0, 0
 			}
 			s.assumedCallers = 1
-			return s.Grant(now, who, flying, whole, term)
+			return s.Grant(now, caller, inFlight, capacity, term)
 		},
 	} {
 		found := false
@@ -184,13 +185,12 @@
 			found = found || worstExcess > 1
 		}
 		if !found {
-			t.Errorf("%s: no harm found", name)
+			t.Errorf("%s: no excess over the capacity was found", name)
 		}
 	}
 }
 
-// What another holds counts for as long as its part lasts, by the part or by what it had out, whichever is more; from its end on
-// the other is forgotten.
+// Another caller counts until its term ends, with the larger of its grant and its requests in flight. After that it is deleted.
 func TestWhatOthersWereGranted(t *testing.T) {
 	for _, x := range []struct {
 		name     string
@@ -198,48 +198,48 @@
 		at       time.Duration
 		want     int
 	}{
-		{"the half of two, as the other holds all", 0, term - 1, 0},
-		{"the other's part is over", 0, term, 10},
-		{"the other had more out than its part", 7, term + interval - 1, 3},
-		{"the other's part is over, and what it had out", 7, term + interval, 10},
+		{"the other has the whole capacity", 0, term - 1, 0},
+		{"the other's term is over", 0, term, 10},
+		{"the other has more in flight than its grant", 7, term + interval - 1, 3},
+		{"the other's term is over, with requests in flight", 7, term + interval, 10},
 	} {
 		s := NewServer(0, 1)
 		if granted := s.Grant(0, "other", 0, 10, term); granted != 10 {
-			t.Fatalf("%s: alone it gets %d", x.name, granted)
+			t.Fatalf("%s: a single caller is granted %d, want 10", x.name, granted)
 		}
 		if x.inFlight > 0 {
-			if granted := s.Grant(interval, "other", x.inFlight, 4, term); granted != 4 { // of less than it has out
-				t.Fatalf("%s: alone it gets %d", x.name, granted)
+			if granted := s.Grant(interval, "other", x.inFlight, 4, term); granted != 4 { // fewer than it has in flight
+				t.Fatalf("%s: a single caller is granted %d, want 4", x.name, granted)
 			}
 		}
 		if got := s.Grant(x.at, "one", 0, 10, term); got != x.want {
-			t.Errorf("%s: %d, want %d", x.name, got, x.want)
+			t.Errorf("%s: granted %d, want %d", x.name, got, x.want)
 		}
 		if _, known := s.callers["other"]; known != (x.want < 10) {
-			t.Errorf("%s: the other is known: %v", x.name, known)
+			t.Errorf("%s: the other caller is stored: %v", x.name, known)
 		}
 	}
 }
 
-// Whoever is first leaves the others' parts to them, until all had a term to be heard of.
+// During the first term, the first of several callers must not be granted the shares of those that have not sent a health check yet.
 func TestFirstCallerOfSeveral(t *testing.T) {
 	for at, want := range map[time.Duration][2]int{0: {2, 3}, term - 1: {2, 3}, term: {10, 10}} {
 		if granted := NewServer(0, 4).Grant(at, "first", 0, 10, term); granted < want[0] || granted > want[1] {
-			t.Errorf("after %v the first of four gets %d, want %v", at, granted, want)
+			t.Errorf("at %v the first of four callers is granted %d, want %v", at, granted, want)
 		}
 	}
 }
 
-// Callers without end get no part, and take no memory without end.
+// An unlimited number of callers must not use unlimited memory: callers beyond the bound are not stored and are granted nothing.
 func TestCallersAreBounded(t *testing.T) {
 	s := NewServer(0, 1)
 	for i := range maxCallers + 10 {
 		s.Grant(time.Duration(i), fmt.Sprint(i), 0, 1e6, time.Hour)
 	}
 	if len(s.callers) > maxCallers {
-		t.Fatalf("%d callers", len(s.callers))
+		t.Fatalf("%d callers are stored, above the bound", len(s.callers))
 	}
 	if granted := s.Grant(time.Minute, "new", 0, 1e6, time.Hour); granted != 0 {
-		t.Errorf("part %d beyond the bound", granted)
+		t.Errorf("a caller beyond the bound is granted %d, want 0", granted)
 	}
 }
