--- a/internal/policy/hotrestart/coordinator.go
+++ b/internal/policy/hotrestart/coordinator.go
@@ -3,10 +3,10 @@
 // no clock and no goroutine: events go in, messages for the peer and effects for this process come out. The core calls it under its lock.
 //
 // An idempotent request is run only by the process that owns its key. The predecessor owns every key of which neither process has a run;
-// the successor owns the keys that the predecessor granted to it. Before the predecessor runs a request, it notifies the successor on a
-// link whose bytes outlive the predecessor. If the predecessor dies, the successor therefore knows every request that may have run. If
-// the predecessor has to run a request without a link, it leaves a mark first, and a successor that finds the mark fails the requests
-// that it does not know.
+// the successor owns the keys that the predecessor granted to it. Before the predecessor runs a request, it notifies the successor, in
+// order, on a link whose bytes outlive the predecessor. If the predecessor dies, the successor therefore knows every request that may
+// have run. If the predecessor has to run a request without a link, it leaves a mark first, and a successor that finds the mark fails the
+// requests that it does not know.
 package hotrestart
 
 import (
@@ -53,8 +53,8 @@
 // The kinds of notice.
 const (
 	NoNotice     Notice = iota // no notice is needed
-	NoticeByLink               // by a message in Effects.Send, written before the run; if the write fails, as NoticeByMark
-	NoticeByMark               // by the mark, because there is no link
+	NoticeByLink               // a message in Effects.Send must be written before the run; if the write fails, the mark must be left
+	NoticeByMark               // there is no link, so the mark must be left before the run
 )
 
 // ErrPeerReplaced closes the link: the peer is a different process than before, so the earlier one is dead.
@@ -72,14 +72,14 @@
 	role          Role
 	linked        bool
 	helloReceived bool  // the peer's Hello was received on this link
-	synced        bool  // all its runs were received on this link
-	everSynced    bool  // all its runs were received on this or an earlier link
+	synced        bool  // all runs of the peer were received on this link
+	everSynced    bool  // all runs of the peer were received on this or an earlier link
 	peerStartedAt int64 // start of the peer; 0 before its Hello
 	peerReady     bool
 	ready         bool
 	evacuated     bool
 	evacuationSeq int64
-	peerSeen      bool  // a peer was present
+	hadPeer       bool  // a peer was present
 	unknownUntil  int64 // requests received until then (Unix nanoseconds) may repeat a run that is unknown here
 	marks         int   // runs that were notified by the mark
 	claims        map[string]*claim
@@ -150,7 +150,7 @@
 func (c *Coordinator) SlotTaken(startedAt int64, slot int) { c.startedAt, c.slot = startedAt, slot }
 
 // PeerPresent is called when the other slot is found taken.
-func (c *Coordinator) PeerPresent() { c.peerSeen = true }
+func (c *Coordinator) PeerPresent() { c.hadPeer = true }
 
 // PeerAbsent is called when the other slot is found empty: at the start, or after the peer died. Marked reports whether the peer left the
 // mark of having run requests without a link. If it did, or never listed all its runs, requests received up to until (Unix nanoseconds)
@@ -163,14 +163,14 @@
 	c.linked, c.helloReceived, c.synced, c.peerReady, c.peerStartedAt = false, false, false, false, 0
 	c.role = Sole
 	c.effects = Effects{Changed: true, Evacuated: c.effects.Evacuated}
-	unknown := c.peerSeen && previous != Predecessor && (!c.everSynced || marked)
+	unknown := c.hadPeer && previous != Predecessor && (!c.everSynced || marked)
 	if unknown {
 		c.unknownUntil = max(c.unknownUntil, until)
 	}
 	// A predecessor that has listed all its runs notifies this process before it runs a queued request, so such a request did not run. A
 	// successor may have run any key that it was granted.
 	c.executions.PeerLost(func(e Execution) bool { return previous == Predecessor || unknown || e.Stage != Queued })
-	c.everSynced, c.peerSeen = false, false
+	c.everSynced, c.hadPeer = false, false
 	c.resetClaims()
 }
 
--- a/internal/policy/loadbalancer/selection.go
+++ b/internal/policy/loadbalancer/selection.go
@@ -100,18 +100,18 @@
 
 // withoutOutliers removes suspects and slow servers, the worst first, as long as enough servers remain.
 func (b *Balancer) withoutOutliers(usable, candidates []*server) []*server {
-	minKept := max(1, int(math.Ceil(float64(len(candidates))*(1-b.cfg.MaxEjectedRatio))))
+	minRemaining := max(1, int(math.Ceil(float64(len(candidates))*(1-b.cfg.MaxEjectedRatio))))
 	median := medianLatency(candidates)
 	isOutlier := func(s *server) bool {
 		return s.health == Suspect || median > 0 && s.attempts >= minAttempts && s.latency > slowOutlier*median
 	}
-	if len(usable) <= minKept || !slices.ContainsFunc(usable, isOutlier) {
+	if len(usable) <= minRemaining || !slices.ContainsFunc(usable, isOutlier) {
 		return usable
 	}
 	slices.SortFunc(usable, func(a, b *server) int {
 		return cmp.Or(cmp.Compare(b.health, a.health), cmp.Compare(b.latency, a.latency), cmp.Compare(a.name, b.name))
 	})
-	removable := len(usable) - minKept
+	removable := len(usable) - minRemaining
 	return slices.DeleteFunc(usable, func(s *server) bool {
 		if removable > 0 && isOutlier(s) {
 			removable--
