--- a/internal/policy/controller/controller.go
+++ b/internal/policy/controller/controller.go
@@ -1,28 +1,28 @@
-// Package controller decides the work that belongs to the whole fleet and is done by one process at a time, the holder of a duty:
-// Placement changes the cell map, Rollout takes the servers out and back one after the other, Monitor says which servers are gone. It
-// has no I/O, no clock and no goroutine: package runner carries out the actions that it returns.
+// Package controller implements the leased controllers of a fleet: Placement changes the cell map, Rollout evacuates and rejoins the
+// servers in turn, and Monitor detects dead servers. A duty is the task of one controller; one process at a time holds its lease. The
+// package has no I/O, no clock and no goroutine: package runner carries out the actions that it returns.
 //
-// Each duty has a journal that the group keeps. Every action has its intent in the journal before it and its outcome after it, each
-// written by the holder's epoch and the next step, so that the next holder goes on where the last one stopped. Whatever an earlier
-// holder intended is settled before anything new is begun.
+// Each duty has a journal, which the group replicates. The holder writes the intent of every action before the action and its outcome
+// after it, with its epoch and the next step number. The next holder resumes from the journal: it completes the intents of earlier
+// holders before it starts anything new.
 package controller
 
-// The duties, by the names that commands, settings and the journal have for them.
+// Names of the duties in commands, settings and the journal.
 const (
 	PlacementDuty = "keeper"    // changes the cell map
-	RolloutDuty   = "conductor" // takes servers out of service and back
-	MonitorDuty   = "watcher"   // says which servers are gone
+	RolloutDuty   = "conductor" // evacuates and rejoins servers
+	MonitorDuty   = "watcher"   // detects dead servers
 )
 
-// Duties are the names of all duties, in the order in which they are listed.
+// Duties lists the names of all duties in the order of output.
 var Duties = []string{PlacementDuty, RolloutDuty, MonitorDuty}
 
-// Action is what the holder of a duty does next, one thing at a time.
+// Action is the next action of a duty's holder. The holder carries out one action at a time.
 type Action struct {
 	Kind    ActionKind
-	Write   JournalWrite  // of WriteJournal; duty, process, epoch and step are the caller's to add
+	Write   JournalWrite  // of WriteJournal; the caller sets duty, process, epoch and step
 	Version int           // of Publish and Withdraw
-	Raw     []byte        // of Publish: the map's text
+	Raw     []byte        // of Publish: the text of the map
 	Command ServerCommand // of SendCommand
 }
 
@@ -31,14 +31,14 @@
 
 // Kinds of actions.
 const (
-	Idle         ActionKind = iota // there is nothing to do now
-	WriteJournal                   // write an intent, progress or an outcome into the journal
-	Publish                        // put a version of the map into its place, which is written once
-	Withdraw                       // take that place, so that no version can be published there
+	Idle         ActionKind = iota // nothing to do now
+	WriteJournal                   // write an intent, progress or an outcome to the journal
+	Publish                        // write a version of the map to the write-once entry of that version
+	Withdraw                       // mark the entry of a version as withdrawn, so that the version can't be published
 	SendCommand                    // send a command to a server
 )
 
-// String is the kind's name in log events, as in "placement.publish".
+// String returns the name of the kind in log events, as in "placement.publish".
 func (k ActionKind) String() string {
 	return [...]string{"rest", "write", "publish", "withdraw", "send"}[k]
 }
--- a/internal/policy/controller/journal.go
+++ b/internal/policy/controller/journal.go
@@ -9,79 +9,79 @@
 	"silverpath/internal/policy/lease"
 )
 
-// ItemState is what became of an item.
+// ItemState is the state of an item.
 type ItemState string
 
 // States of an item.
 const (
 	Queued   ItemState = "queued"
-	Intended ItemState = "intent" // its action may have been made, in part or whole
+	Intended ItemState = "intent" // its action may have been carried out, in part or in full
 	Done     ItemState = "done"
-	Failed   ItemState = "failed" // given up; Note says why
+	Failed   ItemState = "failed" // given up; Note has the reason
 )
 
-// Finished reports whether nothing more becomes of an item.
+// Finished reports whether the state is final.
 func (s ItemState) Finished() bool { return s == Done || s == Failed }
 
-// Directives of an operator for an item that is under way.
+// Directives of an operator for an unfinished item.
 const (
 	DirectPause  = "pause"
 	DirectResume = "resume" // ends a pause; it is not stored
-	DirectAbort  = "abort"  // for good
+	DirectAbort  = "abort"  // ends the item; DirectResume does not revoke it
 )
 
-// Item is one request to a duty and what became of it.
+// Item is one request to a duty, with its state.
 type Item struct {
 	ID        string          `json:"id"`
 	Kind      string          `json:"kind"`
 	Args      json.RawMessage `json:"args,omitempty"`
 	State     ItemState       `json:"state"`
-	Epoch     lease.Epoch     `json:"epoch,omitempty"` // with Step: of its last write
-	Step      uint64          `json:"step,omitempty"`
-	Attempts  int             `json:"tries,omitempty"`
-	Plan      string          `json:"plan,omitempty"` // what is to be done, or how far it is; text, as it is compared to the byte
-	Note      string          `json:"note,omitempty"` // for people
-	Directive string          `json:"wish,omitempty"` // DirectPause, DirectAbort or empty
+	Epoch     lease.Epoch     `json:"epoch,omitempty"` // of its last write
+	Step      uint64          `json:"step,omitempty"`  // of its last write
+	Attempts  int             `json:"tries,omitempty"` // number of plans that could not be published
+	Plan      string          `json:"plan,omitempty"`  // what to do, or the progress; a string, as it is compared byte by byte
+	Note      string          `json:"note,omitempty"`  // for people
+	Directive string          `json:"wish,omitempty"`  // DirectPause, DirectAbort or empty
 }
 
-// Journal is the work of one duty. It changes only by Submit, Direct and Apply, in the order of the group's log.
+// Journal has the items of one duty. Only Submit, Direct and Apply change it, in the order of the group's log.
 type Journal struct {
 	Duty      string        `json:"duty"`
 	Step      uint64        `json:"step"` // of the last write
 	LastWrite *JournalWrite `json:"last,omitempty"`
 	Items     []Item        `json:"items"`
-	Document  string        `json:"doc,omitempty"` // what the duty keeps: the map that is in force
+	Document  string        `json:"doc,omitempty"` // the document of the duty: for PlacementDuty, the text of the active map
 }
 
-// JournalWrite is what the holder writes of an item: an intent, how far it is, or its outcome.
+// JournalWrite is a write by the holder: the intent, progress or outcome of an item, a new document, or both.
 type JournalWrite struct {
 	Duty     string      `json:"duty"`
 	Process  string      `json:"who"`
 	Epoch    lease.Epoch `json:"epoch"`
 	Step     uint64      `json:"step"`
-	Item     string      `json:"item,omitempty"` // its ID; empty: only Document is written
+	Item     string      `json:"item,omitempty"` // ID of the item; empty: only Document is written
 	State    ItemState   `json:"state,omitempty"`
 	Attempts int         `json:"tries,omitempty"`
-	Plan     string      `json:"plan,omitempty"` // empty: as it was
+	Plan     string      `json:"plan,omitempty"` // empty: unchanged
 	Note     string      `json:"note,omitempty"`
-	Document string      `json:"doc,omitempty"` // empty: as it was
+	Document string      `json:"doc,omitempty"` // empty: unchanged
 }
 
-// Bounds of a journal, which is in every snapshot of the group and in every answer about its duty.
+// Bounds of a journal. Every snapshot of the group and every response about the duty contains the whole journal.
 const (
-	maxOpenItems     = 256 // items that are queued or under way. Found by trial; raising it lets a script in a loop queue more
-	maxFinishedItems = 64  // items that are kept for people to look at: a screen or two
+	maxOpenItems     = 256 // queued and intended items; bounds what a script that submits in a loop can queue
+	maxFinishedItems = 64  // finished items that are kept for people to read: one or two screens
 )
 
-// Errors of a journal that callers decide by.
+// Errors of a journal that callers distinguish.
 var (
-	ErrOutOfStep = errors.New("out of step")        // not the journal's next step, or of an item that is finished
-	ErrPaused    = errors.New("the duty is paused") // by an operator: nothing new is begun
-	ErrFull      = errors.New("too much is queued") // maxOpenItems are
-	ErrNoItem    = errors.New("no such item")       // never submitted, or finished long ago
+	ErrOutOfStep    = errors.New("out of step")        // the step is not the next one, or the item is finished
+	ErrPaused       = errors.New("the duty is paused") // an operator paused the duty: no queued item is started
+	ErrJournalFull  = errors.New("too much is queued") // the journal has maxOpenItems unfinished items
+	ErrItemNotFound = errors.New("no such item")       // the item was never submitted, or was pruned after it finished
 )
 
-// Item returns an item by its ID, nil for none.
+// Item returns the item with the given ID, or nil if there is none.
 func (j *Journal) Item(id string) *Item {
 	for i := range j.Items {
 		if j.Items[i].ID == id {
@@ -91,67 +91,68 @@
 	return nil
 }
 
-// Current is the item to work on: the one under way, else the first that is queued; nil for none.
+// Current returns the item to work on: the first intended one, else the first queued one, or nil if there is none.
 func (j *Journal) Current() *Item {
 	var firstQueued *Item
 	for i := range j.Items {
-		switch it := &j.Items[i]; {
-		case it.State == Intended:
-			return it
-		case it.State == Queued && firstQueued == nil:
-			firstQueued = it
+		switch item := &j.Items[i]; {
+		case item.State == Intended:
+			return item
+		case item.State == Queued && firstQueued == nil:
+			firstQueued = item
 		}
 	}
 	return firstQueued
 }
 
-// Submit queues a request. One whose ID is known is not queued again: who asks may do so twice. It returns ErrFull, or that an ID or
-// kind is missing.
+// Submit queues a request and returns its item. It is idempotent: for an ID that the journal has, it returns that item. It returns
+// ErrJournalFull if maxOpenItems items are unfinished, and an error if the ID or the kind is empty.
 func (j *Journal) Submit(id, kind string, args json.RawMessage) (Item, error) {
 	if id == "" || kind == "" {
 		return Item{}, errors.New("an item without id or kind")
 	}
-	if it := j.Item(id); it != nil {
-		return *it, nil
+	if existing := j.Item(id); existing != nil {
+		return *existing, nil
 	}
 	open := 0
-	for _, it := range j.Items {
-		if !it.State.Finished() {
+	for _, item := range j.Items {
+		if !item.State.Finished() {
 			open++
 		}
 	}
 	if open >= maxOpenItems {
-		return Item{}, fmt.Errorf("%w: %d", ErrFull, open)
+		return Item{}, fmt.Errorf("%w: %d", ErrJournalFull, open)
 	}
-	it := Item{ID: id, Kind: kind, Args: args, State: Queued}
-	j.Items = append(j.Items, it)
-	return it, nil
+	item := Item{ID: id, Kind: kind, Args: args, State: Queued}
+	j.Items = append(j.Items, item)
+	return item, nil
 }
 
-// Direct notes what an operator wants of an item that is not finished: a directive. An abort is not taken back.
+// Direct sets the directive of an unfinished item, or clears it for DirectResume, and returns the item. It returns ErrItemNotFound for
+// an unknown item, and an error for a finished one or for a DirectResume after an abort.
 func (j *Journal) Direct(id, directive string) (Item, error) {
-	it := j.Item(id)
+	item := j.Item(id)
 	switch {
-	case it == nil:
-		return Item{}, fmt.Errorf("%w: %q", ErrNoItem, id)
-	case it.State.Finished():
-		return *it, fmt.Errorf("it is %s", it.State)
-	case directive == DirectResume && it.Directive == DirectAbort:
-		return *it, errors.New("it is being aborted")
+	case item == nil:
+		return Item{}, fmt.Errorf("%w: %q", ErrItemNotFound, id)
+	case item.State.Finished():
+		return *item, fmt.Errorf("it is %s", item.State)
+	case directive == DirectResume && item.Directive == DirectAbort:
+		return *item, errors.New("it is being aborted")
 	case directive == DirectResume:
-		it.Directive = ""
+		item.Directive = ""
 	default:
-		it.Directive = directive
+		item.Directive = directive
 	}
-	return *it, nil
+	return *item, nil
 }
 
-// Apply takes a write of the holder.
+// Apply applies a write of the holder. A rejected write changes nothing.
 //
-// It is the fence of the journal: a process that does not hold the duty by the write's epoch is refused with lease.ErrStaleEpoch, so
-// that a holder that was replaced while it was stopped changes nothing when it wakes. A step that is not the next one is refused with
-// ErrOutOfStep, but for the last one sent again, whose answer was lost: that changes nothing. An item of a paused duty is not begun
-// (ErrPaused).
+// Apply fences the journal: it returns lease.ErrStaleEpoch unless the process holds the duty in the epoch of the write, so that a
+// holder that was suspended and replaced can't change the journal when it resumes. It returns ErrOutOfStep unless the step is the next
+// one. A repetition of the last write, as after a lost response, succeeds and changes nothing. It returns ErrPaused for the intent of a
+// queued item while the duty is paused, and ErrItemNotFound for an unknown item.
 func (j *Journal) Apply(w JournalWrite, t *lease.Table) error {
 	if err := t.CheckHolder(w.Duty, w.Process, w.Epoch); err != nil {
 		return err
@@ -171,49 +172,49 @@
 		j.Document = w.Document
 	}
 	j.Step = w.Step
-	w.Document = "" // the journal has it once
+	w.Document = "" // the journal stores the document only once
 	j.LastWrite = &w
 	j.prune()
 	return nil
 }
 
 func (j *Journal) applyToItem(w JournalWrite, paused bool) error {
-	it := j.Item(w.Item)
+	item := j.Item(w.Item)
 	switch {
-	case it == nil:
-		return fmt.Errorf("%w: %q", ErrNoItem, w.Item)
-	case it.State.Finished():
-		return fmt.Errorf("%w: %q is %s", ErrOutOfStep, w.Item, it.State)
-	case it.State == Queued && w.State == Intended && paused:
+	case item == nil:
+		return fmt.Errorf("%w: %q", ErrItemNotFound, w.Item)
+	case item.State.Finished():
+		return fmt.Errorf("%w: %q is %s", ErrOutOfStep, w.Item, item.State)
+	case item.State == Queued && w.State == Intended && paused:
 		return ErrPaused
 	}
-	it.State, it.Epoch, it.Step, it.Attempts, it.Note = w.State, w.Epoch, w.Step, w.Attempts, w.Note
+	item.State, item.Epoch, item.Step, item.Attempts, item.Note = w.State, w.Epoch, w.Step, w.Attempts, w.Note
 	if w.Plan != "" {
-		it.Plan = w.Plan
+		item.Plan = w.Plan
 	}
 	return nil
 }
 
-func (w *JournalWrite) sameAs(o JournalWrite) bool {
-	return w.Process == o.Process && w.Epoch == o.Epoch && w.Item == o.Item && w.State == o.State && w.Plan == o.Plan
+func (w *JournalWrite) sameAs(other JournalWrite) bool {
+	return w.Process == other.Process && w.Epoch == other.Epoch && w.Item == other.Item && w.State == other.State && w.Plan == other.Plan
 }
 
-// prune drops the oldest finished items beyond maxFinishedItems, and the plans of all finished ones but the latest: a plan may be a
-// whole map.
+// prune removes the oldest finished items beyond maxFinishedItems. It also clears the plans of all finished items except the one that
+// the last write finished, as a plan can be a whole map.
 func (j *Journal) prune() {
 	finished := 0
 	for i := range j.Items {
-		it := &j.Items[i]
-		if !it.State.Finished() {
+		item := &j.Items[i]
+		if !item.State.Finished() {
 			continue
 		}
 		finished++
-		if it.Step != j.Step {
-			it.Plan = ""
+		if item.Step != j.Step {
+			item.Plan = ""
 		}
 	}
-	j.Items = slices.DeleteFunc(j.Items, func(it Item) bool {
-		if !it.State.Finished() || finished <= maxFinishedItems {
+	j.Items = slices.DeleteFunc(j.Items, func(item Item) bool {
+		if !item.State.Finished() || finished <= maxFinishedItems {
 			return false
 		}
 		finished--
--- a/internal/policy/controller/journal_test.go
+++ b/internal/policy/controller/journal_test.go
@@ -34,7 +34,7 @@
 		{"an older epoch", JournalWrite{Duty: "d", Process: "o", Epoch: 6, Step: 1, Item: "a"}, lease.ErrStaleEpoch},
 		{"another process", JournalWrite{Duty: "d", Process: "x", Epoch: 7, Step: 1, Item: "a"}, lease.ErrStaleEpoch},
 		{"a step ahead", JournalWrite{Duty: "d", Process: "o", Epoch: 7, Step: 2, Item: "a"}, ErrOutOfStep},
-		{"no such item", JournalWrite{Duty: "d", Process: "o", Epoch: 7, Step: 1, Item: "b"}, ErrNoItem},
+		{"no such item", JournalWrite{Duty: "d", Process: "o", Epoch: 7, Step: 1, Item: "b"}, ErrItemNotFound},
 		{"the intent", w, nil},
 		{"the intent again", w, nil},
 		{"another at its step", JournalWrite{Duty: "d", Process: "o", Epoch: 7, Step: 1, Item: "a", State: Done}, ErrOutOfStep},
@@ -66,7 +66,7 @@
 	}
 	for i := 0; ; i++ {
 		if _, err := j.Submit(fmt.Sprint("q", i), "k", nil); err != nil {
-			if !errors.Is(err, ErrFull) || i != maxOpenItems-1 {
+			if !errors.Is(err, ErrJournalFull) || i != maxOpenItems-1 {
 				t.Error(i, err)
 			}
 			break
--- a/internal/policy/controller/monitor.go
+++ b/internal/policy/controller/monitor.go
@@ -7,59 +7,59 @@
 	"time"
 )
 
-// HealthReport is what one router says of the servers.
+// HealthReport is the view that one router has of the servers.
 type HealthReport struct {
 	Router      string
-	RequestedAt time.Duration   // when it was asked, by the holder's clock
-	Dead        map[string]bool // by server: dead; else alive, or not known to be dead
+	RequestedAt time.Duration   // when the report was requested, by the holder's clock
+	Dead        map[string]bool // by server; false: alive, or not known to be dead
 }
 
-// Verdict is what the monitor takes a server to be. Its text is part of log events, as in "monitor.partly".
+// Verdict is the monitor's conclusion on a server. Its text is part of log events, as in "monitor.partly".
 type Verdict string
 
 // Verdicts on a server.
 const (
 	Alive           Verdict = "alive"
-	PartlyReachable Verdict = "partly" // only some routers can't reach it
-	Unknown         Verdict = "unsure" // too few routers have reported of late
-	Suspected       Verdict = "dying"  // all routers that report say dead, for less than DeadAfter
+	PartlyReachable Verdict = "partly" // some of the fresh reports say dead
+	Unknown         Verdict = "unsure" // too few routers have a fresh report
+	Suspected       Verdict = "dying"  // all fresh reports have said dead for less than DeadAfter
 	Dead            Verdict = "dead"
 )
 
-// minReportingRouters have to report, whatever their majority is: a router alone can't tell a server that is gone from a link of its
-// own that is.
+// minReportingRouters is the minimum number of fresh reports for a verdict, even if fewer are a majority. A single router can't
+// distinguish a dead server from a failure of its own link.
 const minReportingRouters = 2
 
-// Monitor decides from what routers report which servers are gone. Its times are those of the holder's own monotonic clock.
+// Monitor decides from the reports of the routers which servers are dead. Its times count on the holder's own monotonic clock.
 //
-// Rule. A server is dead where a majority of all routers, minReportingRouters at least, have reported within MaxReportAge, and all of
-// these have said dead for DeadAfter without a break. Inputs are the routers' reports; silence of routers says nothing of servers.
+// A server is dead if both hold: a majority of all routers, and at least minReportingRouters, have reported within MaxReportAge; and
+// all of these reports have said dead for DeadAfter without interruption. A missing report never counts against a server.
 type Monitor struct {
-	Routers      []string      // all that there are
-	DeadAfter    time.Duration // a setting, gone_after_ms
-	MaxReportAge time.Duration // an older report says nothing
+	Routers      []string      // names of all routers
+	DeadAfter    time.Duration // setting gone_after_ms
+	MaxReportAge time.Duration // an older report is ignored
 
 	latest    map[string]HealthReport  // by router
-	deadSince map[string]time.Duration // by server: since when all that report have said dead
+	deadSince map[string]time.Duration // by server: since when all fresh reports have said dead
 }
 
-// AddReport takes a router's report.
-func (w *Monitor) AddReport(r HealthReport) {
-	if w.latest == nil {
-		w.latest, w.deadSince = map[string]HealthReport{}, map[string]time.Duration{}
+// AddReport stores a report and replaces the earlier one of the same router.
+func (m *Monitor) AddReport(r HealthReport) {
+	if m.latest == nil {
+		m.latest, m.deadSince = map[string]HealthReport{}, map[string]time.Duration{}
 	}
-	w.latest[r.Router] = r
+	m.latest[r.Router] = r
 }
 
-// Verdicts returns what the servers are taken to be now.
-func (w *Monitor) Verdicts(servers []string, now time.Duration) map[string]Verdict {
+// Verdicts returns the verdict on each of the servers at time now.
+func (m *Monitor) Verdicts(servers []string, now time.Duration) map[string]Verdict {
 	var fresh []HealthReport
-	for _, router := range w.Routers {
-		if r, ok := w.latest[router]; ok && now-r.RequestedAt <= w.MaxReportAge {
+	for _, router := range m.Routers {
+		if r, ok := m.latest[router]; ok && now-r.RequestedAt <= m.MaxReportAge {
 			fresh = append(fresh, r)
 		}
 	}
-	quorate := len(fresh) >= max(minReportingRouters, len(w.Routers)/2+1)
+	enoughReports := len(fresh) >= max(minReportingRouters, len(m.Routers)/2+1)
 	verdicts := map[string]Verdict{}
 	for _, server := range servers {
 		dead := 0
@@ -68,46 +68,46 @@
 				dead++
 			}
 		}
-		if dead == 0 || dead < len(fresh) || !quorate {
-			delete(w.deadSince, server)
+		if dead == 0 || dead < len(fresh) || !enoughReports {
+			delete(m.deadSince, server)
 		}
 		switch {
-		case !quorate:
+		case !enoughReports:
 			verdicts[server] = Unknown
 		case dead == 0:
 			verdicts[server] = Alive
 		case dead < len(fresh):
 			verdicts[server] = PartlyReachable
 		default:
-			verdicts[server] = w.unanimous(server, now)
+			verdicts[server] = m.unanimousVerdict(server, now)
 		}
 	}
 	return verdicts
 }
 
-// unanimous is the verdict on a server that all routers that report say dead of.
-func (w *Monitor) unanimous(server string, now time.Duration) Verdict {
-	since, ok := w.deadSince[server]
+// unanimousVerdict returns the verdict on a server that all fresh reports call dead: Suspected, and Dead after DeadAfter.
+func (m *Monitor) unanimousVerdict(server string, now time.Duration) Verdict {
+	since, ok := m.deadSince[server]
 	if !ok {
 		since = now
-		w.deadSince[server] = now
+		m.deadSince[server] = now
 	}
-	if now-since >= w.DeadAfter {
+	if now-since >= m.DeadAfter {
 		return Dead
 	}
 	return Suspected
 }
 
-// GoneRequest is the request to Placement that a verdict makes; ok is false for one that makes none. There is one ID for each server
-// and version of the map, so that it is queued once whoever monitors.
-func GoneRequest(server string, version int, v Verdict, after time.Duration) (id string, g ServerGone, ok bool) {
+// GoneRequest returns the request to Placement to remove a dead server; ok is false for any other verdict. The ID depends only on the
+// server and the version of the map, so that the requests of successive holders are queued once.
+func GoneRequest(server string, version int, v Verdict, deadAfter time.Duration) (id string, removal ServerGone, ok bool) {
 	if v != Dead {
 		return "", ServerGone{}, false
 	}
-	return fmt.Sprintf("gone-%s-%d", server, version), ServerGone{server, fmt.Sprintf("all routers that report have said dead for %v", after)}, true
+	return fmt.Sprintf("gone-%s-%d", server, version), ServerGone{server, fmt.Sprintf("all routers that report have said dead for %v", deadAfter)}, true
 }
 
-// SortedServers returns the servers of verdicts by name, so that log lines come in one order.
+// SortedServers returns the servers of verdicts sorted by name, for a stable order of log lines.
 func SortedServers(verdicts map[string]Verdict) []string {
 	return slices.Sorted(maps.Keys(verdicts))
 }
--- a/internal/policy/controller/rollout.go
+++ b/internal/policy/controller/rollout.go
@@ -7,21 +7,21 @@
 	"time"
 )
 
-// KindRollout is the kind of the requests to Rollout, by its name in the journal; args are a RolloutSpec.
+// KindRollout is the kind of requests to Rollout in the journal; args are a RolloutSpec.
 const KindRollout = "roll"
 
-// RolloutSpec is what an operator asks of a rollout: every server is evacuated, is out for a while, and returns, never more than so
-// many at once.
+// RolloutSpec is an operator's request for a rollout: every server is evacuated, stays out for the dwell time, and rejoins. The spec
+// bounds how many servers are out at once.
 type RolloutSpec struct {
-	Servers        []string `json:"servers,omitempty"` // by name; empty: all of the map
-	MaxOutPerCell  int      `json:"cell_most"`         // servers of a cell that may be out at once
-	MaxOut         int      `json:"all_most"`          // servers that may be out at once in all
-	DwellMS        int64    `json:"dwell_ms"`          // milliseconds that each is out at least
-	ReturnMS       int64    `json:"back_ms"`           // milliseconds from being told to return until it has to be ready, or the rollout stops
-	MinServedShare float64  `json:"worth_least"`       // share of the requested weight that has to be served, or the rollout stops; 0: not looked at
+	Servers        []string `json:"servers,omitempty"` // names; empty: all servers of the map
+	MaxOutPerCell  int      `json:"cell_most"`         // maximum number of servers of one cell that are out at once
+	MaxOut         int      `json:"all_most"`          // maximum number of servers that are out at once in total
+	DwellMS        int64    `json:"dwell_ms"`          // minimum time that each server is out, in milliseconds
+	ReturnMS       int64    `json:"back_ms"`           // milliseconds from the rejoin command until the server must be ready
+	MinServedShare float64  `json:"worth_least"`       // minimum served share of the requested weight, else the rollout stops; 0: not checked
 }
 
-// Check returns an error that names the first field that can't be, by its name in the journal.
+// Check returns an error that names the first invalid field by its name in the journal.
 func (r RolloutSpec) Check() error {
 	switch {
 	case r.MaxOutPerCell < 1:
@@ -40,158 +40,159 @@
 
 func (r RolloutSpec) dwell() time.Duration { return time.Duration(r.DwellMS) * time.Millisecond }
 
-func (r RolloutSpec) returnWithin() time.Duration {
+func (r RolloutSpec) returnTimeout() time.Duration {
 	return time.Duration(r.ReturnMS) * time.Millisecond
 }
 
-// Stage is how far a server is in a rollout, by its name in the journal.
+// Stage is the progress of a server in a rollout, by its name in the journal.
 type Stage string
 
 // Stages of a server, in their order.
 const (
 	NotStarted Stage = "in"
-	Evacuating Stage = "going_out" // its command is intended, and may have been sent
+	Evacuating Stage = "going_out" // the evacuate command is intended, and may have been sent
 	Evacuated  Stage = "out"
-	Rejoining  Stage = "going_back" // its command is intended, and may have been sent
-	Returning  Stage = "returning"  // it was told to return, and was not seen ready yet
+	Rejoining  Stage = "going_back" // the rejoin command is intended, and may have been sent
+	Returning  Stage = "returning"  // the server accepted the rejoin command, and was not observed ready yet
 	Returned   Stage = "back"
-	Lost       Stage = "lost" // it can't be told, or did not return in time
+	Lost       Stage = "lost" // the server did not accept the rejoin command, or was not ready in time
 )
 
-// maybeOut reports whether a server at a stage may be out of service.
-func (s Stage) maybeOut() bool { return s != NotStarted && s != Returned }
+// mayBeOut reports whether a server at this stage may be out of service.
+func (s Stage) mayBeOut() bool { return s != NotStarted && s != Returned }
 
-// commandIntended reports whether a command to the server may be on its way.
+// commandIntended reports whether a command to a server at this stage is intended and may have been sent.
 func (s Stage) commandIntended() bool { return s == Evacuating || s == Rejoining }
 
 // RolloutServer is a server of a rollout.
 type RolloutServer struct {
 	Name  string `json:"name"`
 	Cell  string `json:"cell"`
-	Admin string `json:"mgmt"` // its address for commands
+	Admin string `json:"mgmt"` // address of its admin API
 	Stage Stage  `json:"stage"`
 }
 
-// RolloutProgress is how far a rollout is: the plan of its item.
+// RolloutProgress is the progress of a rollout. Its JSON is the plan of the rollout's item.
 type RolloutProgress struct {
 	Servers []RolloutServer `json:"members"`
-	Stopped string          `json:"stopped,omitempty"` // why no other server is evacuated; empty: it goes on
+	Stopped string          `json:"stopped,omitempty"` // reason why no more servers are evacuated; empty: not stopped
 }
 
-// OutCount is how many servers may be out, by the journal.
+// OutCount returns the number of servers that may be out of service, by their stages.
 func (p RolloutProgress) OutCount() int {
 	n := 0
 	for _, s := range p.Servers {
-		if s.Stage.maybeOut() {
+		if s.Stage.mayBeOut() {
 			n++
 		}
 	}
 	return n
 }
 
-// ServerCommand is what a server is told, for the rollout's duty and by its holder's epoch and the step of its intent.
+// ServerCommand is a command to a server. The caller sends it with the holder's epoch and the journal step of its intent.
 type ServerCommand struct {
 	Server, Admin string
-	Evacuate      bool // else rejoin
+	Evacuate      bool // false: rejoin
 }
 
-// Readiness is what was last observed of a server.
+// Readiness is the last observation of a server.
 type Readiness struct {
-	ProbedAt  time.Duration // when it was asked, by the holder's clock; 0: never
+	ProbedAt  time.Duration // when the probe was sent, by the holder's clock; 0: never
 	Reachable bool
 	Ready     bool
 }
 
-// WeightedLoad is the requests that routers were asked for and those that they served, each counted by its priority weight, since the
-// rollout last looked.
+// WeightedLoad is the sum of the priority weights of the requests that routers received, and of those that were served, since the last
+// observation.
 type WeightedLoad struct{ Requested, Served float64 }
 
-// Rollout decides what a rollout does next. It is the present holder's: times are its own clock's, so what an earlier holder had waited
-// for is waited for anew.
+// Rollout is the controller of rollouts. Its state belongs to the present holder and its times count on the holder's clock, so a new
+// holder restarts the waiting times.
 //
-// Rules, in the order in which they are looked at:
+// Rules, in the order of their evaluation:
 //
-//   - It stops (no other server is evacuated, those that are out return) when an operator aborts it, when too little of the requested
-//     weight is served, when a server can't be told to go or to return, and when one does not return in time.
-//   - A command that is intended is settled before all else: an earlier holder may have sent it. The present holder writes the intent
-//     anew by its own epoch and sends its own command; once a server has that, it refuses the older one (package fence).
-//   - Servers that are out return after their dwell, or at once where the rollout has stopped.
-//   - A server is evacuated only where no more than the spec allows are out then: see mayEvacuate.
+//   - A rollout stops when an operator aborts it, when too small a share of the requested weight is served, when a server does not
+//     accept a command, or when a server does not return in time. After a stop no more servers are evacuated, and those out return.
+//   - An intended command comes before all other work, as an earlier holder may have sent it. The present holder writes the intent again
+//     with its own epoch and sends its own command; a server that has received it rejects the older one (package fence).
+//   - Evacuated servers rejoin after their dwell time, or at once if the rollout has stopped.
+//   - A server is evacuated only if the bounds of the spec hold afterwards: see mayEvacuate.
 type Rollout struct {
-	epoch        uint64 // of the holder whose commands the maps below are about
-	item         string
-	stages       map[string]Stage // by server
-	stageSince   map[string]time.Duration
-	acknowledged map[string]bool // its command was carried out
-	failures     map[string]int  // of its command, in a row
-	lastLoad     WeightedLoad
-	lowInARow    int // observations in which too little was served
+	epoch         uint64                   // epoch of the holder that the state below belongs to
+	item          string                   // ID of the rollout's item
+	stages        map[string]Stage         // by server
+	stageSince    map[string]time.Duration // by server
+	acknowledged  map[string]bool          // by server: it carried out the command of its stage
+	failures      map[string]int           // by server: failed attempts to send the command of its stage
+	lastLoad      WeightedLoad
+	lowShareCount int // number of successive observations with too low a served share
 }
 
 const (
-	// A server counts as one that can't be told after maxCommandFailures failures of its command in a row, and ReturnMS at its stage. Found by trial; raising it
-	// makes a rollout wait longer for a server whose machine is gone, while others stay out.
+	// maxCommandFailures is the number of failed attempts after which a command is given up, if the server has been at its stage for at
+	// least ReturnMS. A higher value delays a rollout with a dead server while other servers stay out.
 	maxCommandFailures = 5
-	// maxLowInARow observations, a second apart, in which too little is served stop a rollout: one may be a burst of requests.
-	maxLowInARow = 3
-	// minRequestedWeight has to be requested between two observations before the share that was served says anything: below it, a
-	// few requests decide.
+	// maxLowShareCount is the number of successive observations with too low a served share that stop a rollout. They are one second
+	// apart; a single one can come from a burst of requests.
+	maxLowShareCount = 3
+	// minRequestedWeight is the minimum weight of requests in an observation. Below it, a few requests would decide the served share.
 	minRequestedWeight = 50
 )
 
-// ObserveLoad takes what was requested and served in the last second. MinShare is RolloutSpec.MinServedShare.
-func (c *Rollout) ObserveLoad(w WeightedLoad, minShare float64) {
-	if w.Requested < minRequestedWeight || minShare == 0 {
+// ObserveLoad adds an observation of the last second's load. The parameter minShare is RolloutSpec.MinServedShare.
+func (r *Rollout) ObserveLoad(load WeightedLoad, minShare float64) {
+	if load.Requested < minRequestedWeight || minShare == 0 {
 		return
 	}
-	c.lastLoad = w
-	if c.lowInARow++; w.Served >= minShare*w.Requested {
-		c.lowInARow = 0
+	r.lastLoad = load
+	if r.lowShareCount++; load.Served >= minShare*load.Requested {
+		r.lowShareCount = 0
 	}
 }
 
-// RecordCommand takes what became of a command: it was carried out, or it was not, as the server can't be reached or refuses it.
-func (c *Rollout) RecordCommand(server string, accepted bool) {
+// RecordCommand records whether a server accepted its last command. A server that can't be reached has not accepted it.
+func (r *Rollout) RecordCommand(server string, accepted bool) {
 	if accepted {
-		c.acknowledged[server] = true
+		r.acknowledged[server] = true
 	} else {
-		c.failures[server]++
+		r.failures[server]++
 	}
 }
 
-// Next returns what to do now. Servers are those of the map; readiness is what was observed of each, also of those that are not part of
-// the rollout, as a server that is not there counts as out.
-func (c *Rollout) Next(j *Journal, epoch uint64, servers []RolloutServer, readiness map[string]Readiness, now time.Duration) Action {
-	it := j.Current()
-	if it == nil {
+// Next returns the next action of the holder. The parameter servers has all servers of the map. The parameter readiness has the
+// observations of all of them, also of those outside the rollout, as a server that is not ready counts as out.
+func (r *Rollout) Next(j *Journal, epoch uint64, servers []RolloutServer, readiness map[string]Readiness, now time.Duration) Action {
+	item := j.Current()
+	if item == nil {
 		return Action{}
 	}
-	fail := func(why string) Action {
-		return Action{Kind: WriteJournal, Write: JournalWrite{Item: it.ID, State: Failed, Note: why}}
+	fail := func(reason string) Action {
+		return Action{Kind: WriteJournal, Write: JournalWrite{Item: item.ID, State: Failed, Note: reason}}
 	}
 	var spec RolloutSpec
-	if err := json.Unmarshal(it.Args, &spec); err != nil {
-		return fail("its arguments: " + err.Error())
+	if err := json.Unmarshal(item.Args, &spec); err != nil {
+		return fail("invalid arguments: " + err.Error())
 	}
 	if err := spec.Check(); err != nil {
 		return fail(err.Error())
 	}
-	if it.State == Queued {
+	if item.State == Queued {
 		p, err := newProgress(spec, servers)
 		if err != nil {
 			return fail(err.Error())
 		}
-		return writeProgress(it, p, "")
+		return writeProgress(item, p, "")
 	}
 	var p RolloutProgress
-	if err := json.Unmarshal([]byte(it.Plan), &p); err != nil {
-		return fail("its progress can't be read: " + err.Error())
+	if err := json.Unmarshal([]byte(item.Plan), &p); err != nil {
+		return fail("failed to parse the progress: " + err.Error())
 	}
-	c.trackStages(it.ID, epoch, p, now)
-	return c.decide(rolloutInput{it, spec, p, servers, readiness, now})
+	r.trackStages(item.ID, epoch, p, now)
+	return r.decide(rolloutInput{item, spec, p, servers, readiness, now})
 }
 
-// newProgress is the progress of a rollout that begins: none of its servers has started.
+// newProgress returns the progress of a new rollout, with all of its servers at NotStarted. It returns an error if the spec names an
+// unknown server, if a server has no admin address, or if there are no servers.
 func newProgress(spec RolloutSpec, servers []RolloutServer) (RolloutProgress, error) {
 	var p RolloutProgress
 	for _, s := range servers {
@@ -210,32 +211,32 @@
 		}
 	}
 	if len(p.Servers) == 0 {
-		return p, fmt.Errorf("no servers")
+		return p, fmt.Errorf("the rollout has no servers")
 	}
 	return p, nil
 }
 
-// trackStages notes since when each server has been at its stage, as this holder knows it. What was known of another rollout, or by
-// another epoch, is dropped.
-func (c *Rollout) trackStages(item string, epoch uint64, p RolloutProgress, now time.Duration) {
-	if c.item != item || c.epoch != epoch {
-		*c = Rollout{item: item, epoch: epoch, stageSince: map[string]time.Duration{}, stages: map[string]Stage{},
+// trackStages records when this holder first observed each server at its present stage. It resets the state after a change of the
+// rollout or of the epoch.
+func (r *Rollout) trackStages(item string, epoch uint64, p RolloutProgress, now time.Duration) {
+	if r.item != item || r.epoch != epoch {
+		*r = Rollout{item: item, epoch: epoch, stageSince: map[string]time.Duration{}, stages: map[string]Stage{},
 			acknowledged: map[string]bool{}, failures: map[string]int{}}
 	}
 	for _, s := range p.Servers {
-		if c.stages[s.Name] != s.Stage {
-			c.stages[s.Name], c.stageSince[s.Name] = s.Stage, now
-			delete(c.acknowledged, s.Name)
-			delete(c.failures, s.Name)
+		if r.stages[s.Name] != s.Stage {
+			r.stages[s.Name], r.stageSince[s.Name] = s.Stage, now
+			delete(r.acknowledged, s.Name)
+			delete(r.failures, s.Name)
 		}
 	}
 }
 
-// writeProgress writes how far a rollout is, as an intent: a stage that begins with a command is written before the command is sent.
-func writeProgress(it *Item, p RolloutProgress, note string) Action {
+// writeProgress returns the write of a rollout's progress as an intent. A stage with a command is written before its command is sent.
+func writeProgress(item *Item, p RolloutProgress, note string) Action {
 	raw, err := json.Marshal(p)
 	if err != nil {
 		note = err.Error()
 	}
-	return Action{Kind: WriteJournal, Write: JournalWrite{Item: it.ID, State: Intended, Plan: string(raw), Note: note}}
+	return Action{Kind: WriteJournal, Write: JournalWrite{Item: item.ID, State: Intended, Plan: string(raw), Note: note}}
 }
--- a/internal/policy/controller/rollout_test.go
+++ b/internal/policy/controller/rollout_test.go
@@ -37,7 +37,7 @@
 			c.RecordCommand(a.Command.Server, true)
 			if a.Command.Evacuate {
 				c.ObserveLoad(WeightedLoad{30, 0}, 0.9) // too little was asked to say anything
-				for range maxLowInARow {
+				for range maxLowShareCount {
 					c.ObserveLoad(WeightedLoad{100, 80}, 0.9)
 				}
 			}
