--- a/internal/policy/controller/golden_test.go
+++ b/internal/policy/controller/golden_test.go
@@ -16,45 +16,46 @@
 	"silverpath/internal/policy/lease"
 )
 
-// Owners of two builds follow each other in an upgrade, over one journal. The journals here are as an earlier build wrote them, its
-// owner stopped in the middle: s0 is out, the order for s2 is meant and may have been given. An owner of this build goes on from
-// there, and every write and order is what the earlier build's next owner made of it, to the byte.
+// During an upgrade, holders of two builds work on one journal in turn. If they read it differently, a rollout would break off or
+// evacuate too many servers. The fixture is a journal of an earlier build whose holder stopped during a rollout: s0 is out, and the
+// command to s2 is intended and may have been sent. Every write and command of this build's holder must equal that of the earlier
+// build's next holder, byte by byte.
 func TestRolloutJournalOfAnEarlierBuild(t *testing.T) {
 	j := journalFixture(t, "conductor")
 	servers := []RolloutServer{{Name: "s0", Cell: "a", Admin: "m0"}, {Name: "s1", Cell: "a", Admin: "m1"}, {Name: "s2", Cell: "b", Admin: "m2"}}
 	table := lease.NewTable(0)
 	table.Duties["conductor"] = &lease.Duty{Name: "conductor", Epoch: 6, Holder: "b#1"}
-	var c Rollout
+	var rollout Rollout
 	var log strings.Builder
-	out := map[string]bool{"s0": true}
+	evacuated := map[string]bool{"s0": true}
 	for now := 100 * time.Millisecond; j.Current() != nil; now += 100 * time.Millisecond {
 		if now > time.Minute {
-			t.Fatalf("not over in a minute:\n%s", &log)
+			t.Fatalf("the rollout did not finish within a minute:\n%s", &log)
 		}
-		seen := map[string]Readiness{}
+		readiness := map[string]Readiness{}
 		for _, s := range servers {
-			seen[s.Name] = Readiness{ProbedAt: now, Reachable: true, Ready: !out[s.Name]}
+			readiness[s.Name] = Readiness{ProbedAt: now, Reachable: true, Ready: !evacuated[s.Name]}
 		}
-		act := c.Next(j, 6, servers, seen, now)
-		if act.Kind == SendCommand {
-			out[act.Command.Server] = act.Command.Evacuate
-			fmt.Fprintf(&log, "%v %s %s %s %v\n", now, act.Kind, act.Command.Server, act.Command.Admin, act.Command.Evacuate)
-			c.RecordCommand(act.Command.Server, true)
-			if act.Command.Server == "s1" && act.Command.Evacuate {
-				c.ObserveLoad(WeightedLoad{100, 40}, 0.5)
-				c.ObserveLoad(WeightedLoad{100, 40}, 0.5)
-				c.ObserveLoad(WeightedLoad{100, 40}, 0.5)
+		action := rollout.Next(j, 6, servers, readiness, now)
+		if action.Kind == SendCommand {
+			evacuated[action.Command.Server] = action.Command.Evacuate
+			fmt.Fprintf(&log, "%v %s %s %s %v\n", now, action.Kind, action.Command.Server, action.Command.Admin, action.Command.Evacuate)
+			rollout.RecordCommand(action.Command.Server, true)
+			if action.Command.Server == "s1" && action.Command.Evacuate {
+				rollout.ObserveLoad(WeightedLoad{100, 40}, 0.5)
+				rollout.ObserveLoad(WeightedLoad{100, 40}, 0.5)
+				rollout.ObserveLoad(WeightedLoad{100, 40}, 0.5)
 			}
 		}
-		if act.Kind == WriteJournal {
-			fmt.Fprintf(&log, "%v %s ", now, act.Kind)
-			applyWrite(t, &log, j, table, act.Write, "conductor", 6)
+		if action.Kind == WriteJournal {
+			fmt.Fprintf(&log, "%v %s ", now, action.Kind)
+			applyWrite(t, &log, j, table, action.Write, "conductor", 6)
 		}
 	}
 	compare(t, log.String(), "conductor")
 }
 
-// The same of the map's keeper: version 5 was planned by the owner before and is not there yet.
+// The same upgrade for Placement: the earlier holder planned version 5 and has not published it.
 func TestPlacementJournalOfAnEarlierBuild(t *testing.T) {
 	j := journalFixture(t, "keeper")
 	table := lease.NewTable(0)
@@ -63,44 +64,44 @@
 		Cells:   []cells.Cell{{Name: "a", Capacity: 10}, {Name: "b", Capacity: 10}},
 		Servers: []cells.Server{{Name: "s", Addr: "x", Cell: "a", Weight: 1}, {Name: "u", Addr: "y", Cell: "b", Weight: 1}},
 		Tenants: []cells.Tenant{{Name: "t", Rate: 1, Homes: []cells.Home{{Cell: "a"}}}}}
-	k := Placement{Codec: Codec{
+	placement := Placement{Codec: Codec{
 		Format: func(m *cells.Map) []byte { return fmt.Appendf(nil, `{"version":%d}`, m.Version) },
 		Parse: func(b []byte) (*cells.Map, error) {
 			m := *current
 			return &m, json.Unmarshal(b, &struct{ Version *int }{&m.Version})
 		},
 	}}
-	head := PublishedMap{Map: current, Raw: []byte(`{"version":4}`), HighestVersion: 4}
+	published := PublishedMap{Map: current, Raw: []byte(`{"version":4}`), HighestVersion: 4}
 	var log strings.Builder
 	for n := 0; j.Current() != nil; n++ {
 		if n > 100 {
-			t.Fatalf("not over:\n%s", &log)
+			t.Fatalf("unfinished items after 100 actions:\n%s", &log)
 		}
-		act := k.Next(j, head, 6, time.UnixMilli(1e12))
-		switch act.Kind {
+		action := placement.Next(j, published, 6, time.UnixMilli(1e12))
+		switch action.Kind {
 		case WriteJournal:
-			fmt.Fprintf(&log, "%s ", act.Kind)
-			applyWrite(t, &log, j, table, act.Write, "keeper", 6)
-			if act.Write.Document != "" {
-				current.Version = head.HighestVersion
-				head.Raw, head.Occupant = []byte(act.Write.Document), nil
+			fmt.Fprintf(&log, "%s ", action.Kind)
+			applyWrite(t, &log, j, table, action.Write, "keeper", 6)
+			if action.Write.Document != "" {
+				current.Version = published.HighestVersion
+				published.Raw, published.Occupant = []byte(action.Write.Document), nil
 			}
 		case Publish, Withdraw:
-			fmt.Fprintf(&log, "%s %d %s\n", act.Kind, act.Version, act.Raw)
-			head.HighestVersion, head.Occupant = act.Version, act.Raw
-			if act.Kind == Withdraw {
-				head.Occupant = []byte("withdrawn")
+			fmt.Fprintf(&log, "%s %d %s\n", action.Kind, action.Version, action.Raw)
+			published.HighestVersion, published.Occupant = action.Version, action.Raw
+			if action.Kind == Withdraw {
+				published.Occupant = []byte("withdrawn")
 			}
 		default:
-			t.Fatalf("act %s:\n%s", act.Kind, &log)
+			t.Fatalf("unexpected action %s:\n%s", action.Kind, &log)
 		}
 	}
 	compare(t, log.String(), "keeper")
 }
 
-// What a verdict asks of the keeper, and what a roll asks of the conductor, as it stands in the journal.
+// Holders of other builds read the arguments and plans of items, so their JSON must not change.
 func TestRequestsAsEarlierBuildsWroteThem(t *testing.T) {
-	id, gone, ok := GoneRequest("s9", 3, Dead, 4*time.Second)
+	id, removal, ok := GoneRequest("s9", 3, Dead, 4*time.Second)
 	if id != "gone-s9-3" || !ok {
 		t.Error(id, ok)
 	}
@@ -108,7 +109,7 @@
 		v    any
 		want string
 	}{
-		{gone, `{"server":"s9","why":"all routers that report have said dead for 4s"}`},
+		{removal, `{"server":"s9","why":"all routers that report have said dead for 4s"}`},
 		{MoveRequest{"t", "b", 2}, `{"tenant":"t","to":"b","shard":2}`},
 		{MoveRequest{Tenant: "t"}, `{"tenant":"t"}`},
 		{RolloutSpec{[]string{"s"}, 1, 2, 3, 4, 0.5}, `{"servers":["s"],"cell_most":1,"all_most":2,"dwell_ms":3,"back_ms":4,"worth_least":0.5}`},
@@ -116,7 +117,7 @@
 	} {
 		got, err := json.Marshal(c.v)
 		if err != nil || string(got) != c.want {
-			t.Errorf("%s, %v, want %s", got, err, c.want)
+			t.Errorf("got %s, %v, want %s", got, err, c.want)
 		}
 	}
 }
@@ -133,7 +134,7 @@
 	}
 	again, err := json.Marshal(j)
 	if err != nil || string(again) != strings.TrimSpace(string(b)) {
-		t.Errorf("read and written again, %v\n got %s\nwant %s", err, again, b)
+		t.Errorf("decoded and encoded again, %v\n got %s\nwant %s", err, again, b)
 	}
 	return j
 }
@@ -162,8 +163,9 @@
 	}
 }
 
-// Rolls under faults: servers that can't be told, are not seen, come back late or never, owners that follow each other, wishes of
-// operators, too little served. What is decided in 600 of them, and what is written of it, is what an earlier build decided.
+// A change of the code must not change the decisions of a rollout. 600 random rollouts run with unreachable servers, missing probes, late
+// or no returns, changes of the holder, directives and overload. The digest of their decisions and writes must equal that of an
+// earlier build.
 func TestRolloutDecisionsOfAnEarlierBuild(t *testing.T) {
 	sum := sha256.New()
 	ended := map[string]int{}
@@ -177,7 +179,7 @@
 	}
 }
 
-// randomRollout plays one roll, writes what is decided, and returns how it ended.
+// randomRollout simulates one rollout with random faults, writes its decisions to log, and returns the final state of its item.
 func randomRollout(t *testing.T, log io.Writer, rng *rand.Rand) string {
 	t.Helper()
 	args, err := json.Marshal(RolloutSpec{MaxOutPerCell: 1 + rng.IntN(2), MaxOut: 1 + rng.IntN(3), DwellMS: int64(rng.IntN(600)), ReturnMS: int64(300 + rng.IntN(900)), MinServedShare: float64(rng.IntN(2)) / 2})
@@ -189,11 +191,11 @@
 		t.Fatal(err)
 	}
 	var servers []RolloutServer
-	out, broken, late := map[string]bool{}, map[string]bool{}, map[string]time.Duration{}
+	evacuated, unreachable, readyAt := map[string]bool{}, map[string]bool{}, map[string]time.Duration{}
 	for i := range 2 + rng.IntN(4) {
 		s := RolloutServer{Name: fmt.Sprint("s", i), Cell: fmt.Sprint("c", i%2), Admin: fmt.Sprint("m", i)}
 		servers = append(servers, s)
-		broken[s.Name] = rng.IntN(12) == 0
+		unreachable[s.Name] = rng.IntN(12) == 0
 	}
 	epoch := lease.Epoch(1)
 	table := lease.NewTable(0)
@@ -203,41 +205,41 @@
 			t.Fatal(err)
 		}
 	}
-	var c Rollout
+	var rollout Rollout
 	for now := 50 * time.Millisecond; now < 40*time.Second && j.Current() != nil; now += 50 * time.Millisecond {
-		switch x := rng.IntN(400); {
-		case x < 4: // another owner, whose clock begins anew
+		switch event := rng.IntN(400); {
+		case event < 4: // another holder, without the state of the earlier one
 			epoch++
-			c = Rollout{}
+			rollout = Rollout{}
 			table.Duties["conductor"].Epoch = epoch
-		case x < 6:
+		case event < 6:
 			direct([]string{"pause", "resume", "abort"}[rng.IntN(3)])
-		case x < 8:
+		case event < 8:
 			direct("resume")
-		case x < 20:
-			c.ObserveLoad(WeightedLoad{float64(20 + rng.IntN(100)), float64(rng.IntN(80))}, 0.5)
-		case x < 24:
+		case event < 20:
+			rollout.ObserveLoad(WeightedLoad{float64(20 + rng.IntN(100)), float64(rng.IntN(80))}, 0.5)
+		case event < 24:
 			name := servers[rng.IntN(len(servers))].Name
-			broken[name] = !broken[name]
+			unreachable[name] = !unreachable[name]
 		}
-		seen := map[string]Readiness{}
+		readiness := map[string]Readiness{}
 		for _, s := range servers {
 			if rng.IntN(20) > 0 {
-				seen[s.Name] = Readiness{ProbedAt: now - time.Duration(rng.IntN(2000))*time.Millisecond, Reachable: !broken[s.Name] || rng.IntN(4) == 0, Ready: !out[s.Name] && now >= late[s.Name]}
+				readiness[s.Name] = Readiness{ProbedAt: now - time.Duration(rng.IntN(2000))*time.Millisecond, Reachable: !unreachable[s.Name] || rng.IntN(4) == 0, Ready: !evacuated[s.Name] && now >= readyAt[s.Name]}
 			}
 		}
-		act := c.Next(j, uint64(epoch), servers, seen, now)
-		fmt.Fprintln(log, now, act.Kind, act.Command.Server, act.Command.Admin, act.Command.Evacuate, act.Version, string(act.Raw))
-		if act.Kind == SendCommand {
-			yes := !broken[act.Command.Server] && rng.IntN(5) > 0
-			if yes || rng.IntN(2) == 0 {
-				out[act.Command.Server] = act.Command.Evacuate
-				late[act.Command.Server] = now + time.Duration(rng.IntN(900))*time.Millisecond
+		action := rollout.Next(j, uint64(epoch), servers, readiness, now)
+		fmt.Fprintln(log, now, action.Kind, action.Command.Server, action.Command.Admin, action.Command.Evacuate, action.Version, string(action.Raw))
+		if action.Kind == SendCommand {
+			accepted := !unreachable[action.Command.Server] && rng.IntN(5) > 0
+			if accepted || rng.IntN(2) == 0 {
+				evacuated[action.Command.Server] = action.Command.Evacuate
+				readyAt[action.Command.Server] = now + time.Duration(rng.IntN(900))*time.Millisecond
 			}
-			c.RecordCommand(act.Command.Server, yes)
+			rollout.RecordCommand(action.Command.Server, accepted)
 		}
-		if act.Kind == WriteJournal {
-			w := act.Write
+		if action.Kind == WriteJournal {
+			w := action.Write
 			w.Duty, w.Process, w.Epoch, w.Step = "conductor", "b#1", epoch, j.Step+1
 			b, err := json.Marshal(w)
 			if err != nil {
@@ -249,7 +251,7 @@
 			}
 		}
 	}
-	it := j.Item("r")
-	fmt.Fprintln(log, string(it.State), it.Note)
-	return string(it.State)
+	item := j.Item("r")
+	fmt.Fprintln(log, string(item.State), item.Note)
+	return string(item.State)
 }
--- a/internal/policy/controller/journal_test.go
+++ b/internal/policy/controller/journal_test.go
@@ -8,24 +8,24 @@
 	"silverpath/internal/policy/lease"
 )
 
-// heldBy is a table whose duty "d" is held.
-func heldBy(epoch lease.Epoch, who string) *lease.Table {
+// heldBy returns a table in which a process holds duty "d".
+func heldBy(epoch lease.Epoch, process string) *lease.Table {
 	t := lease.NewTable(0)
-	t.Duties["d"] = &lease.Duty{Name: "d", Epoch: epoch, Holder: who}
+	t.Duties["d"] = &lease.Duty{Name: "d", Epoch: epoch, Holder: process}
 	return t
 }
 
-// A holder that was replaced while it was stopped writes what it had meant; one whose answer was lost writes twice. A journal takes the
-// next step of the holder's epoch, and the last one again; what is stale, out of step, finished or paused is refused by name and
-// changes nothing. It drops what has long been finished, and never what is open.
+// A holder that was suspended and replaced writes after its successor, and a holder that lost a response repeats its write. The journal
+// accepts only the next step of the present epoch, and a repetition of the last one. It rejects stale writes, wrong steps, finished
+// items and paused duties with the matching error and stays unchanged. It prunes finished items, never open ones.
 func TestJournalRefusesStaleAndOutOfStepWrites(t *testing.T) {
 	j := &Journal{Duty: "d"}
 	if _, err := j.Submit("a", "k", nil); err != nil {
 		t.Fatal(err)
 	}
 	submit(t, j, "a", "k", nil)
-	tab := heldBy(7, "o")
-	w := JournalWrite{Duty: "d", Process: "o", Epoch: 7, Step: 1, Item: "a", State: Intended, Plan: "p"}
+	table := heldBy(7, "o")
+	intent := JournalWrite{Duty: "d", Process: "o", Epoch: 7, Step: 1, Item: "a", State: Intended, Plan: "p"}
 	for _, c := range []struct {
 		name string
 		w    JournalWrite
@@ -35,34 +35,34 @@
 		{"another process", JournalWrite{Duty: "d", Process: "x", Epoch: 7, Step: 1, Item: "a"}, lease.ErrStaleEpoch},
 		{"a step ahead", JournalWrite{Duty: "d", Process: "o", Epoch: 7, Step: 2, Item: "a"}, ErrOutOfStep},
 		{"no such item", JournalWrite{Duty: "d", Process: "o", Epoch: 7, Step: 1, Item: "b"}, ErrItemNotFound},
-		{"the intent", w, nil},
-		{"the intent again", w, nil},
-		{"another at its step", JournalWrite{Duty: "d", Process: "o", Epoch: 7, Step: 1, Item: "a", State: Done}, ErrOutOfStep},
+		{"the intent", intent, nil},
+		{"the intent again", intent, nil},
+		{"another write at the same step", JournalWrite{Duty: "d", Process: "o", Epoch: 7, Step: 1, Item: "a", State: Done}, ErrOutOfStep},
 		{"its outcome", JournalWrite{Duty: "d", Process: "o", Epoch: 7, Step: 2, Item: "a", State: Done, Document: "x"}, nil},
-		{"once more", JournalWrite{Duty: "d", Process: "o", Epoch: 7, Step: 3, Item: "a", State: Intended}, ErrOutOfStep},
+		{"an intent after the outcome", JournalWrite{Duty: "d", Process: "o", Epoch: 7, Step: 3, Item: "a", State: Intended}, ErrOutOfStep},
 	} {
-		if err := j.Apply(c.w, tab); !errors.Is(err, c.want) {
-			t.Errorf("%s: %v", c.name, err)
+		if err := j.Apply(c.w, table); !errors.Is(err, c.want) {
+			t.Errorf("%s: got %v", c.name, err)
 		}
 	}
-	if it := j.Item("a"); it.State != Done || j.Document != "x" || j.Step != 2 || len(j.Items) != 1 {
-		t.Errorf("%+v", j)
+	if item := j.Item("a"); item.State != Done || j.Document != "x" || j.Step != 2 || len(j.Items) != 1 {
+		t.Errorf("journal after the outcome: %+v", j)
 	}
 	submit(t, j, "b", "k", nil)
-	tab.Duties["d"].PauseReason = "by an operator"
-	if err := j.Apply(JournalWrite{Duty: "d", Process: "o", Epoch: 7, Step: 3, Item: "b", State: Intended}, tab); !errors.Is(err, ErrPaused) {
+	table.Duties["d"].PauseReason = "by an operator"
+	if err := j.Apply(JournalWrite{Duty: "d", Process: "o", Epoch: 7, Step: 3, Item: "b", State: Intended}, table); !errors.Is(err, ErrPaused) {
 		t.Error(err)
 	}
-	tab.Duties["d"].PauseReason = ""
+	table.Duties["d"].PauseReason = ""
 	for i := range 3 * maxFinishedItems {
 		id := fmt.Sprint("x", i)
 		submit(t, j, id, "k", nil)
-		if err := j.Apply(JournalWrite{Duty: "d", Process: "o", Epoch: 7, Step: j.Step + 1, Item: id, State: Done, Plan: "p"}, tab); err != nil {
+		if err := j.Apply(JournalWrite{Duty: "d", Process: "o", Epoch: 7, Step: j.Step + 1, Item: id, State: Done, Plan: "p"}, table); err != nil {
 			t.Fatal(err)
 		}
 	}
 	if len(j.Items) != maxFinishedItems+1 || j.Item("b") == nil || j.Items[1].Plan != "" {
-		t.Errorf("%d items", len(j.Items))
+		t.Errorf("%d items left, or an item or a plan wrongly pruned", len(j.Items))
 	}
 	for i := 0; ; i++ {
 		if _, err := j.Submit(fmt.Sprint("q", i), "k", nil); err != nil {
--- a/internal/policy/controller/monitor_test.go
+++ b/internal/policy/controller/monitor_test.go
@@ -5,45 +5,45 @@
 	"time"
 )
 
-// A router whose link is cut says that all servers are dead. A server is dead where a majority of the routers report, and all that
-// report have said so for long enough; one that some reach is not, and silence of the routers says nothing.
+// A router with a failed link reports all servers as dead, and removing them would take down the fleet. A server is dead only if a
+// majority of the routers report and all of their reports have said dead for DeadAfter. Without enough reports the verdict is Unknown.
 func TestServerIsDeadOnlyIfRoutersAgree(t *testing.T) {
-	w := &Monitor{Routers: []string{"r1", "r2", "r3"}, DeadAfter: 4 * time.Second, MaxReportAge: 3 * time.Second}
-	at := time.Duration(0)
-	say := func(who string, dead ...string) {
-		r := HealthReport{Router: who, RequestedAt: at, Dead: map[string]bool{}}
+	m := &Monitor{Routers: []string{"r1", "r2", "r3"}, DeadAfter: 4 * time.Second, MaxReportAge: 3 * time.Second}
+	now := time.Duration(0)
+	report := func(router string, dead ...string) {
+		r := HealthReport{Router: router, RequestedAt: now, Dead: map[string]bool{}}
 		for _, d := range dead {
 			r.Dead[d] = true
 		}
-		w.AddReport(r)
+		m.AddReport(r)
 	}
-	want := func(v Verdict) {
+	expect := func(v Verdict) {
 		t.Helper()
-		if got := w.Verdicts([]string{"s"}, at)["s"]; got != v {
-			t.Errorf("at %v: %s, want %s", at, got, v)
+		if got := m.Verdicts([]string{"s"}, now)["s"]; got != v {
+			t.Errorf("at %v: %s, want %s", now, got, v)
 		}
 	}
-	want(Unknown)
-	say("r1", "s")
-	want(Unknown) // one router alone may be the one that is cut off
-	say("r2")
-	want(PartlyReachable)
+	expect(Unknown)
+	report("r1", "s")
+	expect(Unknown) // the only reporting router may have lost its own link
+	report("r2")
+	expect(PartlyReachable)
 	for range 5 {
-		at += time.Second
-		say("r1", "s")
-		say("r2", "s")
-		if at < 5*time.Second {
-			want(Suspected)
+		now += time.Second
+		report("r1", "s")
+		report("r2", "s")
+		if now < 5*time.Second {
+			expect(Suspected)
 		}
 	}
-	want(Dead)
-	if id, g, ok := GoneRequest("s", 3, Dead, w.DeadAfter); !ok || id != "gone-s-3" || g.Server != "s" {
-		t.Error(id, g, ok)
+	expect(Dead)
+	if id, removal, ok := GoneRequest("s", 3, Dead, m.DeadAfter); !ok || id != "gone-s-3" || removal.Server != "s" {
+		t.Error(id, removal, ok)
 	}
-	say("r3")
-	want(PartlyReachable)
-	say("r3", "s")
-	want(Suspected) // from the beginning
-	at += 4 * time.Second
-	want(Unknown)
+	report("r3")
+	expect(PartlyReachable)
+	report("r3", "s")
+	expect(Suspected) // DeadAfter starts again
+	now += 4 * time.Second
+	expect(Unknown)
 }
