--- a/internal/policy/fence/golden_test.go
+++ b/internal/policy/fence/golden_test.go
@@ -8,9 +8,9 @@
 	"testing"
 )
 
-// A server that is upgraded must go on refusing what it refused before: if the new build read its file of orders otherwise than the
-// old one wrote it, an owner that was replaced long ago could order it out of service again. testdata/orders was written by an
-// earlier build, of a server that had done order 7 of epoch 1.2 of the conductor and learnt of the keeper.
+// An upgraded server must still reject stale commands: if the new build misread the fence file of the old one, a holder that was
+// replaced long ago could evacuate the server again. testdata/orders was written by an earlier build on a server that had carried out
+// the command of step 7 in epoch 1.2 of the conductor, and had set the floor of the keeper.
 func TestFileOfAnEarlierBuild(t *testing.T) {
 	fixture, err := os.ReadFile("testdata/orders")
 	if err != nil {
@@ -20,7 +20,7 @@
 	if err := os.WriteFile(path, fixture, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Open(path, "another"); err == nil || err.Error() != path+`: of another service, "s1": set it aside` {
+	if _, err := Open(path, "another"); err == nil || err.Error() != path+`: fence file of another service, "s1": move it away` {
 		t.Error(err)
 	}
 	f, err := Open(path, "s1")
@@ -28,9 +28,9 @@
 		t.Fatal(err)
 	}
 	for _, c := range []struct {
-		order Command
-		fresh bool
-		want  string
+		command Command
+		fresh   bool
+		want    string
 	}{
 		{Command{"conductor", 1<<32 | 2, 7, "evacuate"}, false, ""},
 		{Command{"conductor", 1<<32 | 2, 8, "rejoin"}, true, ""},
@@ -42,13 +42,13 @@
 		{Command{"keeper", 5, 2, "move"}, false, "stale step 2 of keeper in epoch 0.5: 2 was seen"},
 		{Command{"watcher", 5, 2, "judge"}, false, "no epoch is known yet of watcher"},
 	} {
-		fresh, err := f.Check(c.order)
+		fresh, err := f.Check(c.command)
 		got := ""
 		if err != nil {
 			got = err.Error()
 		}
 		if fresh != c.fresh || got != c.want {
-			t.Errorf("%+v: %v, %q, want %v, %q", c.order, fresh, got, c.fresh, c.want)
+			t.Errorf("%+v: fresh %v, error %q, want %v, %q", c.command, fresh, got, c.fresh, c.want)
 		}
 	}
 	if err := f.Persist(Command{"conductor", 1<<32 | 3, 1, "rejoin"}, "s1"); err != nil {
@@ -66,7 +66,7 @@
 	if err := os.WriteFile(path, damaged, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Open(path, "s1"); err == nil || err.Error() != path+": torn, or not a file of orders: set it aside" {
+	if _, err := Open(path, "s1"); err == nil || err.Error() != path+": checksum mismatch, the file is torn or not a fence file: move it away" {
 		t.Error(err)
 	}
 	if _, err := Open(filepath.Join(t.TempDir(), "none"), "s1"); err != nil || errors.Is(err, os.ErrNotExist) {
--- a/internal/policy/fence/model_test.go
+++ b/internal/policy/fence/model_test.go
@@ -13,36 +13,42 @@
 	"silverpath/internal/storage/atomicfile"
 )
 
-// A holder that is stopped after its check wakes up and sends its command when its successor has sent others: two servers would be out
-// at once. This file searches all short interleavings of a holder, its successor, the commands in flight, delivered late and twice, two
-// servers, one of which may start anew, and the end of the lease. Table, journal and fence are the real ones. A holder may be stopped
-// anywhere: between its check and its action, and between intent, action and outcome. Never does a command of an old epoch take
-// effect after one of a newer one, never are both servers out, and nobody begins an action once another one holds the duty.
+// A holder that is suspended after its lease check resumes and sends its command after its successor has sent others, and two servers
+// are out at once. This file searches all short interleavings of a holder, its successor, the end of the lease, two servers of which one
+// may restart, and commands in flight that arrive late or twice. Table, journal and fence are the real implementations. A holder can be
+// suspended between any two steps: check, intent, action and outcome.
+//
+// The invariants: no command of an old epoch takes effect after one of a newer epoch, the servers are never both out, and no process
+// starts an action while another process holds the duty.
 
+// guards are the rules of the protocol. A search with one of them off must find a violation.
 type guards struct {
-	fence       bool // servers refuse commands that are older than the latest
-	persistent  bool // and know the latest after a start
-	holderStops bool // a holder stops by itself before the duty is another's
+	fence       bool // servers reject commands that are older than the latest
+	persistent  bool // a restarted server has its latest commands, or asks the group
+	holderStops bool // a holder stops by its own clock before its successor starts
 	intentFirst bool // the intent is in the journal before the command is sent
 }
 
+// sentCommand is a command in flight to a server.
 type sentCommand struct {
 	Command
-	server int
-	copies int
+	server int // index of the server
+	copies int // deliveries that are left
 }
 
+// process is a holder or its successor.
 type process struct {
 	name  string
 	epoch lease.Epoch
 	holds bool
-	// What it is about to do: nothing, write, or send; decided at its check.
-	doing        string
+	// The pending action, decided at the last lease check: empty, "write" or "send".
+	pending      string
 	write        controller.JournalWrite
 	command      sentCommand
-	acknowledged [2]uint64 // by server: the step of the command that it has acknowledged
+	acknowledged [2]uint64 // by server: step of the last command that it acknowledged to this process
 }
 
+// state is one state of the search.
 type state struct {
 	duty         lease.Duty
 	journal      controller.Journal
@@ -52,9 +58,9 @@
 	incomplete   [2]bool
 	evacuated    [2]bool
 	inFlight     []sentCommand
-	highestEpoch lease.Epoch // of what took effect
+	highestEpoch lease.Epoch // highest epoch of the commands that took effect
 	restarts     int
-	harm         string
+	violation    string // the invariant that was violated; empty: none
 }
 
 func initialState() state {
@@ -67,15 +73,15 @@
 	return s
 }
 
-// clone copies what changes in place.
+// clone returns a copy that shares no mutable data with s, except the duty, journal and plan, which are replaced as a whole.
 func (s state) clone() state {
 	s.inFlight = append([]sentCommand(nil), s.inFlight...)
-	for i, b := range s.latest {
-		n := map[string]Command{}
-		for k, v := range b {
-			n[k] = v
+	for i, latest := range s.latest {
+		copied := map[string]Command{}
+		for k, v := range latest {
+			copied[k] = v
 		}
-		s.latest[i] = n
+		s.latest[i] = copied
 	}
 	return s
 }
@@ -90,66 +96,66 @@
 
 func (s *state) key() string {
 	b, _ := json.Marshal([]any{s.duty, s.journal.Step, s.item, s.latest, s.incomplete, s.evacuated, s.highestEpoch, s.restarts})
-	var x strings.Builder
-	x.Write(b)
-	for _, a := range s.processes {
-		c, _ := json.Marshal([]any{a.epoch, a.holds, a.doing, a.write, a.command.Command, a.command.server, a.acknowledged})
-		x.Write(c)
+	var key strings.Builder
+	key.Write(b)
+	for _, p := range s.processes {
+		encoded, _ := json.Marshal([]any{p.epoch, p.holds, p.pending, p.write, p.command.Command, p.command.server, p.acknowledged})
+		key.Write(encoded)
 	}
-	for _, o := range s.inFlight {
-		c, _ := json.Marshal([]any{o.Command, o.server, o.copies})
-		x.Write(c)
+	for _, sent := range s.inFlight {
+		encoded, _ := json.Marshal([]any{sent.Command, sent.server, sent.copies})
+		key.Write(encoded)
 	}
-	return x.String()
+	return key.String()
 }
 
-// decide is what a holder does next by the journal: what was begun before what is new.
-func (s *state) decide(a *process, g guards) {
+// decideNext sets the pending action of a holder by the journal. Work that was started comes before new work.
+func (s *state) decideNext(holder *process, g guards) {
 	var p controller.RolloutProgress
 	if err := json.Unmarshal([]byte(s.item.Plan), &p); err != nil {
-		panic(err) // a plan of this file's own
+		panic(err) // the plan was written by this test
 	}
-	write := func(i int, st controller.Stage) {
-		p.Servers[i].Stage = st
+	write := func(i int, stage controller.Stage) {
+		p.Servers[i].Stage = stage
 		raw, _ := json.Marshal(p)
-		a.doing = "write"
-		a.write = controller.JournalWrite{Duty: controller.RolloutDuty, Process: a.name, Epoch: a.epoch, Step: s.journal.Step + 1, Item: "r", State: controller.Intended, Plan: string(raw)}
+		holder.pending = "write"
+		holder.write = controller.JournalWrite{Duty: controller.RolloutDuty, Process: holder.name, Epoch: holder.epoch, Step: s.journal.Step + 1, Item: "r", State: controller.Intended, Plan: string(raw)}
 	}
-	send := func(i int, act string, step uint64) {
-		a.doing, a.command = "send", sentCommand{Command{controller.RolloutDuty, a.epoch, step, act}, i, 2}
+	send := func(i int, action string, step uint64) {
+		holder.pending, holder.command = "send", sentCommand{Command{controller.RolloutDuty, holder.epoch, step, action}, i, 2}
 	}
-	for i, m := range p.Servers {
-		act, done := "evacuate", controller.Evacuated
-		if m.Stage == controller.Rejoining {
-			act, done = "rejoin", controller.Returned
+	for i, server := range p.Servers {
+		action, doneStage := "evacuate", controller.Evacuated
+		if server.Stage == controller.Rejoining {
+			action, doneStage = "rejoin", controller.Returned
 		}
 		switch {
-		case m.Stage != controller.Evacuating && m.Stage != controller.Rejoining:
-		case s.item.Epoch != a.epoch:
-			write(i, m.Stage)
+		case server.Stage != controller.Evacuating && server.Stage != controller.Rejoining:
+		case s.item.Epoch != holder.epoch:
+			write(i, server.Stage)
 			return
-		case a.acknowledged[i] == s.item.Step:
-			write(i, done)
+		case holder.acknowledged[i] == s.item.Step:
+			write(i, doneStage)
 			return
 		default:
-			send(i, act, s.item.Step)
+			send(i, action, s.item.Step)
 			return
 		}
 	}
-	for i, m := range p.Servers {
-		if m.Stage == controller.Evacuated {
+	for i, server := range p.Servers {
+		if server.Stage == controller.Evacuated {
 			write(i, controller.Rejoining)
 			return
 		}
 	}
 	for k := range p.Servers {
 		i := k
-		if a.name == "two" {
-			i = len(p.Servers) - 1 - k // whom it sees ready may differ
+		if holder.name == "two" {
+			i = len(p.Servers) - 1 - k // the successor may observe another server as ready first
 		}
-		if m := p.Servers[i]; m.Stage == controller.NotStarted {
+		if server := p.Servers[i]; server.Stage == controller.NotStarted {
 			if !g.intentFirst {
-				if a.acknowledged[i] != s.journal.Step+1 {
+				if holder.acknowledged[i] != s.journal.Step+1 {
 					send(i, "evacuate", s.journal.Step+1)
 				} else {
 					write(i, controller.Evacuated)
@@ -162,83 +168,83 @@
 	}
 }
 
-// deliver is what a server does with a command.
-func (s *state) deliver(o sentCommand, g guards) {
-	f := New(s.latest[o.server], s.incomplete[o.server])
-	if !f.Knows(o.Duty) {
-		f.SetFloor(o.Duty, s.duty.Epoch, s.journal.Step) // it asks the group
-		s.incomplete[o.server] = false
-	}
-	fresh, err := f.Check(o.Command)
+// deliver handles a command on its server.
+func (s *state) deliver(c sentCommand, g guards) {
+	f := New(s.latest[c.server], s.incomplete[c.server])
+	if !f.Knows(c.Duty) {
+		f.SetFloor(c.Duty, s.duty.Epoch, s.journal.Step) // the server reads the floor from the group
+		s.incomplete[c.server] = false
+	}
+	fresh, err := f.Check(c.Command)
 	if err != nil && g.fence {
-		s.latest[o.server] = f.Latest()
+		s.latest[c.server] = f.Latest()
 		return
 	}
-	f.Record(o.Command)
-	s.latest[o.server] = f.Latest()
+	f.Record(c.Command)
+	s.latest[c.server] = f.Latest()
 	if err == nil && !fresh {
-		return // it was done, and is not done again
+		return // carried out before
 	}
-	if o.Epoch < s.highestEpoch && s.evacuated[o.server] != (o.Action == "evacuate") {
-		s.harm = "a command of an old epoch took effect after one of a newer one"
+	if c.Epoch < s.highestEpoch && s.evacuated[c.server] != (c.Action == "evacuate") {
+		s.violation = "a command of an old epoch took effect after one of a newer one"
 	}
-	s.highestEpoch = max(s.highestEpoch, o.Epoch)
-	if s.evacuated[o.server] = o.Action == "evacuate"; s.evacuated[0] && s.evacuated[1] {
-		s.harm = "both servers are out"
+	s.highestEpoch = max(s.highestEpoch, c.Epoch)
+	if s.evacuated[c.server] = c.Action == "evacuate"; s.evacuated[0] && s.evacuated[1] {
+		s.violation = "both servers are out"
 	}
 	for i := range s.processes {
-		if s.processes[i].epoch == o.Epoch {
-			s.processes[i].acknowledged[o.server] = o.Step
+		if s.processes[i].epoch == c.Epoch {
+			s.processes[i].acknowledged[c.server] = c.Step
 		}
 	}
 }
 
-func (s state) successors(g guards) (list []state) {
+func (s state) successors(g guards) (next []state) {
 	add := func(change func(n *state)) {
 		n := s.clone()
 		change(&n)
-		list = append(list, n)
+		next = append(next, n)
 	}
 	for i := range s.processes {
-		a := s.processes[i]
+		p := s.processes[i]
 		switch {
-		case a.doing == "" && a.holds:
+		case p.pending == "" && p.holds:
 			add(func(n *state) {
-				n.decide(&n.processes[i], g)
-				if n.processes[i].doing != "" && n.duty.Holder != a.name {
-					n.harm = "a process begins that does not hold the duty"
+				n.decideNext(&n.processes[i], g)
+				if n.processes[i].pending != "" && n.duty.Holder != p.name {
+					n.violation = "a process starts an action while another one holds the duty"
 				}
 			})
-		case a.doing == "write":
+		case p.pending == "write":
 			add(func(n *state) {
 				t, j := n.tableAndJournal()
-				if j.Apply(a.write, t) == nil {
+				if j.Apply(p.write, t) == nil {
 					n.item, n.journal = j.Items[0], controller.Journal{Duty: j.Duty, Step: j.Step, LastWrite: j.LastWrite}
 				}
-				n.processes[i].doing, n.processes[i].write = "", controller.JournalWrite{}
+				n.processes[i].pending, n.processes[i].write = "", controller.JournalWrite{}
 			})
-		case a.doing == "send":
+		case p.pending == "send":
 			add(func(n *state) {
-				n.processes[i].doing, n.processes[i].command = "", sentCommand{}
-				for _, o := range n.inFlight {
-					if o.Command == a.command.Command && o.server == a.command.server {
-						return // one and the same, whenever it comes
+				n.processes[i].pending, n.processes[i].command = "", sentCommand{}
+				for _, c := range n.inFlight {
+					if c.Command == p.command.Command && c.server == p.command.server {
+						return // an equal command is in flight
 					}
 				}
-				n.inFlight = append(n.inFlight, a.command)
+				n.inFlight = append(n.inFlight, p.command)
 			})
 		}
 	}
-	for k, o := range s.inFlight {
+	for k, c := range s.inFlight {
 		add(func(n *state) {
-			n.deliver(o, g)
+			n.deliver(c, g)
 			if n.inFlight[k].copies--; n.inFlight[k].copies == 0 {
 				n.inFlight = append(n.inFlight[:k:k], n.inFlight[k+1:]...)
 			}
 		})
 	}
 	if s.processes[0].holds {
-		add(func(n *state) { n.processes[0].holds = false }) // its lease is over, by its own count
+		add(func(n *state) { n.processes[0].holds = false }) // the lease ends by the holder's own clock
 	}
 	if s.duty.Holder == "one" && (!s.processes[0].holds || !g.holderStops) {
 		add(func(n *state) {
@@ -252,26 +258,27 @@
 	}
 	if s.restarts < 1 {
 		for i := range s.latest {
-			add(func(n *state) { // it starts anew, in and serving
+			add(func(n *state) { // the server restarts, and serves
 				n.restarts++
 				n.evacuated[i] = false
 				n.latest[i] = map[string]Command{}
-				n.incomplete[i] = g.persistent // its file is lost: it asks the group, or trusts any command
+				n.incomplete[i] = g.persistent // the file is lost: the server asks the group, or without the guard accepts any command
 			})
 		}
 	}
-	return list
+	return next
 }
 
-func search(g guards, most int) (harm string, states int) {
+// search visits up to maxStates states in breadth-first order. It returns the first violation, or an empty string, and the number of states.
+func search(g guards, maxStates int) (violation string, states int) {
 	seen := map[string]bool{}
 	queue := []state{initialState()}
-	for len(queue) > 0 && len(seen) < most {
+	for len(queue) > 0 && len(seen) < maxStates {
 		s := queue[0]
 		queue = queue[1:]
 		for _, n := range s.successors(g) {
-			if n.harm != "" {
-				return n.harm, len(seen)
+			if n.violation != "" {
+				return n.violation, len(seen)
 			}
 			if k := n.key(); !seen[k] {
 				seen[k] = true
@@ -283,9 +290,9 @@
 }
 
 func TestNoStaleCommandInAnyInterleaving(t *testing.T) {
-	harm, n := search(guards{true, true, true, true}, 150000)
-	if harm != "" {
-		t.Error(harm)
+	violation, n := search(guards{true, true, true, true}, 150000)
+	if violation != "" {
+		t.Error(violation)
 	}
 	t.Logf("%d states", n)
 	for name, g := range map[string]guards{
@@ -294,16 +301,16 @@
 		"the holder does not stop by itself": {true, true, false, true},
 		"no intent before the command":       {true, true, true, false},
 	} {
-		harm, n := search(g, 60000)
-		if harm == "" {
-			t.Errorf("%s: no harm found in %d states", name, n)
+		violation, n := search(g, 60000)
+		if violation == "" {
+			t.Errorf("%s: no violation found in %d states", name, n)
 		}
-		t.Logf("%s: %s, after %d states", name, harm, n)
+		t.Logf("%s: %s, after %d states", name, violation, n)
 	}
 }
 
-// A server that restarts must still refuse what it refused before. Its file lasts; one that is torn or another service's is refused and
-// left as it is; a command that could not be stored is not recorded, so that it is not carried out.
+// A restarted server must still reject stale commands. The fence file persists; a torn file, or that of another service, is rejected and
+// stays unchanged; a command that could not be stored is not recorded, so that it is not carried out.
 func TestFileLastsAndRefusesDamage(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "orders")
 	f, err := Open(path, "s1")
@@ -311,35 +318,35 @@
 		t.Fatal(err)
 	}
 	f.SetFloor("d", 4, 7)
-	o := Command{"d", 5, 1, "evacuate"}
-	if fresh, err := f.Check(o); !fresh || err != nil {
+	command := Command{"d", 5, 1, "evacuate"}
+	if fresh, err := f.Check(command); !fresh || err != nil {
 		t.Fatal(fresh, err)
 	}
-	if err := f.Persist(o, "s1"); err != nil {
+	if err := f.Persist(command, "s1"); err != nil {
 		t.Fatal(err)
 	}
 	if f, err = Open(path, "s1"); err != nil {
 		t.Fatal(err)
 	}
-	if fresh, err := f.Check(o); fresh || err != nil {
-		t.Errorf("again: %v, %v", fresh, err)
+	if fresh, err := f.Check(command); fresh || err != nil {
+		t.Errorf("the same command after a restart: fresh %v, error %v", fresh, err)
 	}
 	for _, old := range []Command{{"d", 4, 9, "evacuate"}, {"d", 5, 0, "rejoin"}, {"d", 5, 1, "rejoin"}} {
 		if _, err := f.Check(old); !errors.Is(err, ErrStaleEpoch) && !errors.Is(err, ErrStaleStep) {
-			t.Errorf("%+v: %v", old, err)
+			t.Errorf("stale command %+v: got %v", old, err)
 		}
 	}
 	if _, err := Open(path, "s2"); err == nil || !strings.Contains(err.Error(), `of another service, "s1"`) {
 		t.Error(err)
 	}
-	sync := atomicfile.Sync
-	defer func() { atomicfile.Sync = sync }()
+	realSync := atomicfile.Sync
+	defer func() { atomicfile.Sync = realSync }()
 	atomicfile.Sync = func(*os.File) error { return errors.New("full") }
 	if err := f.Persist(Command{"d", 6, 1, "rejoin"}, "s1"); err == nil {
-		t.Error("kept without a sync")
+		t.Error("Persist succeeded although the sync failed")
 	}
 	if fresh, _ := f.Check(Command{"d", 5, 2, "rejoin"}); !fresh {
-		t.Error("what was not kept counts as seen")
+		t.Error("a command that was not persisted counts as recorded")
 	}
 	data, _ := os.ReadFile(path)
 	os.WriteFile(path, data[:len(data)-3], 0o600)
