--- a/internal/policy/statemachine/golden_test.go
+++ b/internal/policy/statemachine/golden_test.go
@@ -7,10 +7,9 @@
 	"testing"
 )
 
-// The log and the snapshot of a member outlive the build that wrote them, and a group has members of several builds while it is
-// upgraded. If a name in the code leaked into their bytes, an upgraded member would read another state than the others have. The
-// commands here are as they stand in a log; results.jsonl and snapshot were written by an earlier build from them. Every build
-// must come to the same results and the same bytes, and read what the earlier one wrote.
+// The log and the snapshot of a member outlive the build that wrote them, and during an upgrade a group has members of several builds. If
+// a renamed identifier changed the stored format, an upgraded member would diverge from the others. An earlier build wrote results.jsonl
+// and snapshot from the log in commands.jsonl. This build must come to the same results and the same bytes, and restore the snapshot.
 func TestStoredFormatIsThatOfEarlierBuilds(t *testing.T) {
 	commands, results, snapshot := lines(t, "testdata/commands.jsonl"), lines(t, "testdata/results.jsonl"), fixture(t, "testdata/snapshot")
 	s := New(1)
@@ -27,7 +26,7 @@
 			t.Fatal(err)
 		}
 		if !bytes.Equal(got, results[i]) {
-			t.Errorf("command %d\n%s\n got %s\nwant %s", i+1, line, got, results[i])
+			t.Errorf("result of command %d\n%s\n got %s\nwant %s", i+1, line, got, results[i])
 		}
 	}
 	got, err := s.Snapshot()
@@ -46,11 +45,11 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(again, snapshot) {
-		t.Errorf("restored and written again\n got %s\nwant %s", again, snapshot)
+		t.Errorf("snapshot of the restored state\n got %s\nwant %s", again, snapshot)
 	}
 }
 
-// What a command is written as, in a log and to a member: read and written again it has the same bytes.
+// Members of other builds read the commands in logs and messages: decoding and encoding a command must not change its bytes.
 func TestCommandFormatIsThatOfEarlierBuilds(t *testing.T) {
 	for i, line := range lines(t, "testdata/written.jsonl") {
 		var c Command
--- a/internal/policy/statemachine/snapshot.go
+++ b/internal/policy/statemachine/snapshot.go
@@ -7,26 +7,27 @@
 	"hash/crc32"
 )
 
-// checksumLength is the length of a snapshot's checksum, in hex digits of a CRC-32.
+// checksumLength is the length of a snapshot's CRC-32 checksum, in hex digits.
 const checksumLength = 8
 
-// Snapshot returns the state as it is stored and sent to members: a checksum, and JSON.
+// Snapshot returns the state in the format that is stored and sent to members: a checksum, followed by JSON.
 func (s *State) Snapshot() ([]byte, error) {
-	b, err := json.Marshal(s)
+	body, err := json.Marshal(s)
 	if err != nil {
-		return nil, fmt.Errorf("snapshot: %w", err)
+		return nil, fmt.Errorf("failed to encode a snapshot: %w", err)
 	}
-	return append([]byte(checksum(b)), b...), nil
+	return append([]byte(checksum(body)), body...), nil
 }
 
-// Restore reads a snapshot. One whose checksum is wrong is an error: a member that trusted it would answer otherwise than the others.
+// Restore decodes a snapshot. It returns an error if the checksum does not match, as a member with a damaged snapshot would diverge from
+// the other members.
 func Restore(b []byte) (*State, error) {
 	if len(b) < checksumLength || string(b[:checksumLength]) != checksum(b[checksumLength:]) {
-		return nil, errors.New("snapshot: its checksum is wrong")
+		return nil, errors.New("failed to restore a snapshot: checksum mismatch")
 	}
 	s := New(0)
 	if err := json.Unmarshal(b[checksumLength:], s); err != nil {
-		return nil, fmt.Errorf("snapshot: %w", err)
+		return nil, fmt.Errorf("failed to decode a snapshot: %w", err)
 	}
 	return s, nil
 }
--- a/internal/policy/statemachine/snapshot_test.go
+++ b/internal/policy/statemachine/snapshot_test.go
@@ -11,8 +11,8 @@
 	"silverpath/internal/policy/configstore"
 )
 
-// largeMap is a map of the size that the group is built for, in parts: 930 servers in 32, 21,000 tenants in 256. A tenant has moved
-// once, as it is after a year of changes.
+// largeMap returns the parts of a map of the largest supported size: 930 servers in 32 parts and 21,000 tenants in 256 parts. Each
+// tenant has moved once, as after a year of changes.
 func largeMap() map[string]string {
 	type m = map[string]any
 	lists := map[string][]m{}
@@ -38,12 +38,11 @@
 	return parts
 }
 
-// A snapshot that grew with the processes that follow the map would not get through to a member that is behind. One of the largest
-// fleet, with 1,400 processes, has each part once, is within what members send each other,
-// and comes out as it went in.
+// A snapshot with a copy of the map for each process would be too large to send to a member that lags behind. For the largest supported
+// map and 1,400 processes, the snapshot must contain each part once, stay within a bound, and restore to the same state.
 func TestSnapshotOfALargeFleetHasEachPartOnce(t *testing.T) {
 	s, parts := New(1), largeMap()
-	do := func(c configstore.Change) Result {
+	apply := func(c configstore.Change) Result {
 		t.Helper()
 		r := s.Apply(Command{Config: &c})
 		if r.Error != "" {
@@ -51,90 +50,91 @@
 		}
 		return r
 	}
-	size := 0
+	partsSize := 0
 	for name, text := range parts {
-		size += len(name) + configstore.EncodedSize(text)
+		partsSize += len(name) + configstore.EncodedSize(text)
 	}
-	for _, one := range configstore.Batches(parts) {
-		do(configstore.Change{Op: configstore.OpLoadDraft, Doc: configstore.DocMap, Draft: "first", Parts: one})
+	for _, batch := range configstore.Batches(parts) {
+		apply(configstore.Change{Op: configstore.OpLoadDraft, Doc: configstore.DocMap, Draft: "first", Parts: batch})
 	}
-	do(configstore.Change{Op: configstore.OpPropose, Doc: configstore.DocMap, Draft: "first", Digest: configstore.TextsDigest(parts)})
-	do(configstore.Change{Op: configstore.OpAdvance, Doc: configstore.DocMap, Version: 1, Stage: configstore.StageProposed})
-	var words []configstore.Change
+	apply(configstore.Change{Op: configstore.OpPropose, Doc: configstore.DocMap, Draft: "first", Digest: configstore.TextsDigest(parts)})
+	apply(configstore.Change{Op: configstore.OpAdvance, Doc: configstore.DocMap, Version: 1, Stage: configstore.StageProposed})
+	var registrations []configstore.Change
 	for i := range 1400 {
-		words = append(words, configstore.Change{Op: configstore.OpRegister, Process: &configstore.Process{Name: fmt.Sprintf("router-%04d#0a1b2c3d", i),
+		registrations = append(registrations, configstore.Change{Op: configstore.OpRegister, Process: &configstore.Process{Name: fmt.Sprintf("router-%04d#0a1b2c3d", i),
 			Formats: map[string]int{configstore.DocMap: 2, configstore.DocRouting: 1, configstore.DocClasses: 1}}})
 	}
-	if r := s.Apply(Command{ConfigBatch: words}); r.Error != "" || len(s.Config.Processes) != 1400 {
+	if r := s.Apply(Command{ConfigBatch: registrations}); r.Error != "" || len(s.Config.Processes) != 1400 {
 		t.Fatal(r.Error, len(s.Config.Processes))
 	}
 	changed := map[string]string{"tenants-007": `{"tenants":[]}`}
 	parts["tenants-007"] = changed["tenants-007"]
-	do(configstore.Change{Op: configstore.OpPropose, Doc: configstore.DocMap, Version: 1, Parts: changed, Digest: configstore.TextsDigest(parts)})
-	began := time.Now()
-	b, err := s.Snapshot()
-	wrote := time.Since(began)
+	apply(configstore.Change{Op: configstore.OpPropose, Doc: configstore.DocMap, Version: 1, Parts: changed, Digest: configstore.TextsDigest(parts)})
+	started := time.Now()
+	snapshot, err := s.Snapshot()
+	encodeTime := time.Since(started)
 	if err != nil {
 		t.Fatal(err)
 	}
-	began = time.Now()
-	out, err := Restore(b)
+	started = time.Now()
+	restored, err := Restore(snapshot)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Logf("parts %d bytes as JSON, snapshot %d bytes, written in %v, read in %v", size, len(b), wrote, time.Since(began))
-	if most := size + 400*1400; len(b) > most {
-		t.Errorf("%d bytes, over the parts once and 400 for each process: %d", len(b), most)
+	t.Logf("parts %d bytes as JSON, snapshot %d bytes, written in %v, read in %v", partsSize, len(snapshot), encodeTime, time.Since(started))
+	if maxSize := partsSize + 400*1400; len(snapshot) > maxSize {
+		t.Errorf("snapshot of %d bytes, want at most %d: the parts once, and 400 bytes for each process", len(snapshot), maxSize)
 	}
-	again, err := out.Snapshot()
-	if err != nil || !bytes.Equal(b, again) {
-		t.Error("it comes out as another one", err)
+	again, err := restored.Snapshot()
+	if err != nil || !bytes.Equal(snapshot, again) {
+		t.Error("the snapshot of the restored state differs, or failed:", err)
 	}
-	d := out.Config.Documents[configstore.DocMap]
-	if _, all, ok := d.PartsAt(2); !ok || configstore.PartsDigest(all) != configstore.TextsDigest(parts) || len(d.Proposed.Parts) != 1 || d.Draft != nil {
-		t.Errorf("%d parts under way, draft %v", len(d.Proposed.Parts), d.Draft != nil)
+	document := restored.Config.Documents[configstore.DocMap]
+	if _, all, ok := document.PartsAt(2); !ok || configstore.PartsDigest(all) != configstore.TextsDigest(parts) || len(document.Proposed.Parts) != 1 || document.Draft != nil {
+		t.Errorf("parts of version 2 differ, or %d proposed parts, want 1, or a draft left: %v", len(document.Proposed.Parts), document.Draft != nil)
 	}
 }
 
-// A member whose program is replaced has a snapshot from before there were documents in parts. It is read: its texts, its trial and its history are what they were.
+// An upgraded member can have a snapshot from before documents had parts. Restoring it must keep the texts, the canary stage and the
+// history of its documents.
 func TestSnapshotFromBeforeThereWerePartsIsRead(t *testing.T) {
-	old := `{"terms":{},"members":{},"table":{"generation":1,"duties":{}},"journals":{},"rules":{"docs":{"routing":{"name":"routing","top":3,
+	legacy := `{"terms":{},"members":{},"table":{"generation":1,"duties":{}},"journals":{},"rules":{"docs":{"routing":{"name":"routing","top":3,
 		"force":{"id":{"version":2,"digest":5},"format":1,"text":"{\"retries\":0.1}","since":7},
 		"next":{"id":{"version":3,"digest":6},"format":1,"text":"{}","try":{"part":0.5,"for_ms":9,"worse":0.1},"parts":["r1#1"]},"stage":"trial",
 		"history":[{"id":{"version":1,"digest":4},"format":1,"text":"{\"retries\":0.2}","since":3,"ended":"replaced by version 2"}]}},
 		"users":{"r1#1":{"name":"r1#1","reads":{"routing":1},"holds":{"routing":3},"stopped":{}}}}}`
-	s, err := Restore(append(fmt.Appendf(nil, "%08x", crc32.ChecksumIEEE([]byte(old))), old...))
+	s, err := Restore(append(fmt.Appendf(nil, "%08x", crc32.ChecksumIEEE([]byte(legacy))), legacy...))
 	if err != nil {
 		t.Fatal(err)
 	}
-	d := s.Config.Documents["routing"]
-	if d.Active.Text != `{"retries":0.1}` || d.Active.InParts || len(d.Proposed.Canaries) != 1 || d.Proposed.Canaries[0] != "r1#1" || d.History[0].Text == "" {
-		t.Errorf("%+v", d)
+	document := s.Config.Documents["routing"]
+	if document.Active.Text != `{"retries":0.1}` || document.Active.InParts || len(document.Proposed.Canaries) != 1 || document.Proposed.Canaries[0] != "r1#1" || document.History[0].Text == "" {
+		t.Errorf("%+v", document)
 	}
 	r := s.Apply(Command{Config: &configstore.Change{Op: configstore.OpAdvance, Doc: "routing", Version: 3, Stage: configstore.StageCanary}})
-	if r.Error != "" || d.Active.ID.Version != 3 {
+	if r.Error != "" || document.Active.ID.Version != 3 {
 		t.Error(r.Error)
 	}
 }
 
-// A bit of a snapshot is lost on a disk or on the way: a member that took it would answer otherwise than the others. One that is damaged
-// anywhere, or cut short, is refused.
+// A disk or the network flips a bit of a snapshot, and a member that restored it would diverge from the others. A snapshot that is
+// damaged at any byte, or truncated, must be rejected.
 func TestDamagedSnapshotIsRefused(t *testing.T) {
-	b, err := New(1).Snapshot()
+	snapshot, err := New(1).Snapshot()
 	if err != nil {
 		t.Fatal(err)
 	}
-	for i := range b {
-		damaged := bytes.Clone(b)
+	for i := range snapshot {
+		damaged := bytes.Clone(snapshot)
 		damaged[i] ^= 1
 		if _, err := Restore(damaged); err == nil {
-			t.Errorf("a damaged byte %d is not noticed", i)
+			t.Errorf("a snapshot with a damaged byte %d was restored", i)
 		}
-		if _, err := Restore(b[:i]); err == nil {
-			t.Errorf("cut at byte %d it is read", i)
+		if _, err := Restore(snapshot[:i]); err == nil {
+			t.Errorf("a snapshot truncated at byte %d was restored", i)
 		}
 	}
-	if _, err := Restore(b); err != nil {
+	if _, err := Restore(snapshot); err != nil {
 		t.Error(err)
 	}
 }
--- a/internal/policy/statemachine/statemachine.go
+++ b/internal/policy/statemachine/statemachine.go
@@ -1,8 +1,10 @@
-// Package statemachine is the state that the members of a group agree on: who holds each duty, the duties' journals, and the fleet's
-// configuration documents. It is the same on every member after the same log: it has no I/O, no clock, no goroutine and no chance.
+// Package statemachine is the replicated state of a group: the holder of each duty, the journals of the duties, and the configuration
+// documents of the fleet. It is deterministic, so that every member has the same state after the same log: it has no I/O, no clock, no
+// goroutine and no randomness.
 //
-// Commands and snapshots outlive the build that wrote them, and members of several builds run one group while it is upgraded. The JSON
-// names in this package, and in lease, controller and configstore below it, are that format: testdata holds what earlier builds wrote.
+// Commands and snapshots outlive the build that wrote them, and during an upgrade members of several builds run one group. Their format
+// is the JSON of the types in this package and in the packages lease, controller and configstore. The files in testdata were written by
+// earlier builds.
 package statemachine
 
 import (
@@ -23,12 +25,12 @@
 	Directive *Directive               `json:"wish,omitempty"`
 	Journal   *controller.JournalWrite `json:"write,omitempty"`
 	Config    *configstore.Change      `json:"rule,omitempty"`
-	// ConfigBatch is what processes said of themselves that came together: a thousand that say one thing each are one entry. Each is
-	// applied by itself; a process that could not be registered finds out by not being there.
+	// ConfigBatch has the registrations and reports of many processes, so that a thousand changes at once are one entry of the log. Each
+	// change is applied separately. A process whose registration failed notices that the state does not list it.
 	ConfigBatch []configstore.Change `json:"words,omitempty"`
 }
 
-// SubmitItem queues a request to a duty.
+// SubmitItem is the command to queue a request to a duty.
 type SubmitItem struct {
 	Duty string          `json:"duty"`
 	ID   string          `json:"id"`
@@ -36,21 +38,21 @@
 	Args json.RawMessage `json:"args,omitempty"`
 }
 
-// Directive is what an operator wants of an item that is under way.
+// Directive is the command to set an operator's directive for an unfinished item.
 type Directive struct {
 	Duty      string `json:"duty"`
 	ID        string `json:"id"`
 	Directive string `json:"wish"` // controller.DirectPause, DirectResume or DirectAbort
 }
 
-// Result is what a command came to.
+// Result is the result of a command.
 type Result struct {
-	Error     string           `json:"error,omitempty"` // for people; empty: it was done
-	ErrorKind string           `json:"kind,omitempty"`  // for programs: a Kind, or empty for any other error
+	Error     string           `json:"error,omitempty"` // for people; empty: the command succeeded
+	ErrorKind string           `json:"kind,omitempty"`  // for programs: one of the kinds below, or empty for any other error
 	Duty      *lease.Duty      `json:"duty,omitempty"`
 	Item      *controller.Item `json:"item,omitempty"`
-	Step      uint64           `json:"step,omitempty"`    // of the journal
-	Version   int              `json:"version,omitempty"` // of the change of a document
+	Step      uint64           `json:"step,omitempty"`    // last step of the duty's journal
+	Version   int              `json:"version,omitempty"` // proposed version of the changed document, or its active one
 }
 
 // Kinds of errors in a Result.
@@ -62,26 +64,26 @@
 
 // Member is a member of the group.
 type Member struct {
-	ID   uint64 `json:"id"` // of its disk
+	ID   uint64 `json:"id"` // identifies the member's disk
 	Name string `json:"name"`
 	Addr string `json:"addr"`
 }
 
-// State is what the members agree on.
+// State is the replicated state of a group.
 type State struct {
-	Terms    lease.Terms                    `json:"terms"` // of all leases, from the founding on
+	Terms    lease.Terms                    `json:"terms"` // terms of all leases, fixed when the group is founded
 	Members  map[uint64]Member              `json:"members"`
 	Table    *lease.Table                   `json:"table"`
 	Journals map[string]*controller.Journal `json:"journals"`
 	Config   *configstore.Store             `json:"rules"`
 }
 
-// New returns the empty state of a group of a generation.
+// New returns the empty state of a group with the given generation.
 func New(generation uint32) *State {
 	return &State{lease.Terms{}, map[uint64]Member{}, lease.NewTable(generation), map[string]*controller.Journal{}, configstore.NewStore()}
 }
 
-// Journal returns a duty's journal to read, an empty one for none.
+// Journal returns the journal of a duty for reading. For a duty without a journal it returns an empty one that is not stored.
 func (s *State) Journal(duty string) *controller.Journal {
 	if j := s.Journals[duty]; j != nil {
 		return j
@@ -89,7 +91,7 @@
 	return &controller.Journal{Duty: duty}
 }
 
-// ensureJournal returns a duty's journal to write, which is kept from now on.
+// ensureJournal returns the journal of a duty for writing. It creates the journal if there is none.
 func (s *State) ensureJournal(duty string) *controller.Journal {
 	if s.Journals[duty] == nil {
 		s.Journals[duty] = &controller.Journal{Duty: duty}
@@ -104,8 +106,8 @@
 	return fmt.Errorf("%w: %q", lease.ErrUnknownDuty, duty)
 }
 
-// Apply carries out a command. Members call it with every committed entry, in the order of the log. It does not fail but by its
-// result, as an entry that was agreed on can't be refused by one member.
+// Apply applies a command and returns its result. Every member calls it with each committed entry in the order of the log. Errors are
+// part of the result, as a single member can't reject a committed entry.
 func (s *State) Apply(c Command) (r Result) {
 	if err := s.apply(c, &r); err != nil {
 		r.Error, r.ErrorKind = err.Error(), errorKind(err)
@@ -120,8 +122,8 @@
 	case c.Submit != nil:
 		return s.applySubmit(*c.Submit, r)
 	case c.Directive != nil:
-		it, err := s.Journal(c.Directive.Duty).Direct(c.Directive.ID, c.Directive.Directive)
-		r.Item = &it
+		item, err := s.Journal(c.Directive.Duty).Direct(c.Directive.ID, c.Directive.Directive)
+		r.Item = &item
 		return err
 	case c.Journal != nil:
 		return s.applyJournal(*c.Journal, r)
@@ -130,7 +132,7 @@
 	case c.ConfigBatch != nil:
 		for _, change := range c.ConfigBatch {
 			if change.Op == configstore.OpRegister || change.Op == configstore.OpReport {
-				_, _ = s.Config.Apply(change) // a refusal is noticed by the process: what it is told lacks what it said
+				_, _ = s.Config.Apply(change) // a process whose change was rejected notices that the state lacks it
 			}
 		}
 		return nil
@@ -142,8 +144,8 @@
 	if err := checkDuty(request.Duty); err != nil {
 		return err
 	}
-	d, err := s.Table.Apply(request)
-	r.Duty = &d
+	duty, err := s.Table.Apply(request)
+	r.Duty = &duty
 	return err
 }
 
@@ -151,8 +153,8 @@
 	if err := checkDuty(submit.Duty); err != nil {
 		return err
 	}
-	it, err := s.ensureJournal(submit.Duty).Submit(submit.ID, submit.Kind, submit.Args)
-	r.Item = &it
+	item, err := s.ensureJournal(submit.Duty).Submit(submit.ID, submit.Kind, submit.Args)
+	r.Item = &item
 	return err
 }
 
@@ -167,11 +169,11 @@
 }
 
 func (s *State) applyConfig(change configstore.Change, r *Result) error {
-	d, err := s.Config.Apply(change)
-	if d != nil && d.Proposed != nil {
-		r.Version = d.Proposed.ID.Version
-	} else if d != nil && d.Active != nil {
-		r.Version = d.Active.ID.Version
+	document, err := s.Config.Apply(change)
+	if document != nil && document.Proposed != nil {
+		r.Version = document.Proposed.ID.Version
+	} else if document != nil && document.Active != nil {
+		r.Version = document.Active.ID.Version
 	}
 	return err
 }
