--- a/internal/policy/capacity/bounds.go
+++ b/internal/policy/capacity/bounds.go
@@ -3,7 +3,7 @@
 // Program is what bounds the program, and how long what it writes is. Each figure stands here once, and TestBounds holds it against
 // the source. 0 is no bound. A change of a bound changes Current; BeforeParts stays, as what it is compared with. Sizes are in bytes,
 // intervals in ms.
-type Program struct {
+type ProgramLimits struct {
 	MaxTextSize          float64 // bytes of a document that is one text, and of one change of one in parts
 	MaxCallBody          float64 // bytes of a message between processes
 	RequestOverhead      float64 // of these, kept free beside members' messages
@@ -50,13 +50,13 @@
 }
 
 // inParts reports whether a map goes in parts.
-func (p Program) inParts() bool { return p.TenantParts > 0 }
+func (p ProgramLimits) hasParts() bool { return p.TenantParts > 0 }
 
 // parts is how many a map has: those of tenants and servers, top and head.
-func (p Program) parts() float64 { return p.TenantParts + p.ServerParts + 2 }
+func (p ProgramLimits) partCount() float64 { return p.TenantParts + p.ServerParts + 2 }
 
 // BeforeParts is the program that the first results were measured on.
-var BeforeParts = Program{
+var BeforeParts = ProgramLimits{
 	MaxTextSize: 262144, MaxCallBody: 1048576, RequestOverhead: 4096, MaxStatusBody: 65536, MaxHistory: 16, MaxProcesses: 1024, MaxDocuments: 32, MaxCallers: 1024,
 	MaxOpenItems: 256, MaxMemberConnections: 128, CompactAfterEntries: 2000, ElectionTicks: 10, IdleGrace: 100, ReservedDescriptors: 16, MaxAdminConnections: 24, CallerShare: 0.6, UpstreamShare: 0.4, ReportInterval: 200, GroupRetryInterval: 100, PollsWhileChanging: 12, PollsAtRest: 3,
 	TenantTextSize: 195, ServerTextSize: 154, TenantMessageSize: 222, ServerMessageSize: 177, HomeTextSize: 108, TenantStatusSize: 25, ServerStatusSize: 146, ReportSize: 14,
@@ -65,7 +65,7 @@
 // Current is the program as it is.
 var Current = currentProgram()
 
-func currentProgram() Program {
+func currentProgram() ProgramLimits {
 	p := BeforeParts
 	p.MaxProcesses, p.MaxMemberConnections = 4096, 4608
 	p.TenantParts, p.ServerParts, p.MaxDocumentSize, p.MaxPartSize, p.MaxViewSize, p.MaxPartsAnswerSize, p.RequestSpread = 256, 32, 16777216, 65536, 131072, 262144, 2000
--- a/internal/policy/capacity/bounds_test.go
+++ b/internal/policy/capacity/bounds_test.go
@@ -61,7 +61,7 @@
 		t.Errorf("a report has %d bytes without a name, the table has %v", n, Current.ReportSize)
 	}
 	// What has no line there is a size of what is written, which TestSizes holds.
-	for f := range reflect.TypeFor[Program]().Fields() {
+	for f := range reflect.TypeFor[ProgramLimits]().Fields() {
 		sized := strings.HasSuffix(f.Name, "TextSize") && f.Name != "MaxTextSize" || strings.HasSuffix(f.Name, "MessageSize") ||
 			strings.HasSuffix(f.Name, "StatusSize") || f.Name == "ReportSize"
 		if sized == table[f.Name] {
@@ -79,7 +79,7 @@
 }
 
 // sources lists where each bound of a program stands.
-func sources(p Program) []source {
+func sources(p ProgramLimits) []source {
 	return []source{
 		{"MaxTextSize", p.MaxTextSize, "internal/policy/configstore", "maxTextSize"},
 		{"MaxHistory", p.MaxHistory, "internal/policy/configstore", "maxHistory"},
--- a/internal/policy/capacity/estimate.go
+++ b/internal/policy/capacity/estimate.go
@@ -12,13 +12,13 @@
 
 // Kinds of basis, from the best to none.
 const (
-	Measured    Basis = "measured"     // at this size or between two that were measured
-	Foretold    Basis = "foretold"     // by a slope, beyond what was measured
-	Assumed     Basis = "assumed"      // counted from the code's own periods and bounds, or a field of the target's file
-	NotMeasured Basis = "not measured" // nothing was, and nothing is made up
+	Measured     Basis = "measured"     // at this size or between two that were measured
+	Extrapolated Basis = "foretold"     // by a slope, beyond what was measured
+	Assumed      Basis = "assumed"      // counted from the code's own periods and bounds, or a field of the target's file
+	NotMeasured  Basis = "not measured" // nothing was, and nothing is made up
 )
 
-var basisRank = map[Basis]int{Measured: 0, Foretold: 1, Assumed: 2, NotMeasured: 3}
+var basisRank = map[Basis]int{Measured: 0, Extrapolated: 1, Assumed: 2, NotMeasured: 3}
 
 // Number is a figure; what is not a number stands as null in JSON.
 type Number float64
@@ -33,28 +33,28 @@
 
 // Estimate is a figure and what it rests on.
 type Estimate struct {
-	Value  Number  `json:"value"`
-	Basis  Basis   `json:"basis"`
-	Factor float64 `json:"factor,omitempty"` // Foretold: this many times the largest size that was measured
-	Off    float64 `json:"off,omitempty"`    // Foretold, by a slope that is not believed: by which it was off where it was held against a size
-	Series string  `json:"series,omitempty"` // Measured and Foretold: what was read
-	Of     string  `json:"of,omitempty"`     // hollow or simulated, where it was not of real processes alone
+	Value         Number  `json:"value"`
+	Basis         Basis   `json:"basis"`
+	Factor        float64 `json:"factor,omitempty"` // Foretold: this many times the largest size that was measured
+	RelativeError float64 `json:"off,omitempty"`    // Foretold, by a slope that is not believed: by which it was off where it was held against a size
+	Series        string  `json:"series,omitempty"` // Measured and Foretold: what was read
+	MeasuredOn    string  `json:"of,omitempty"`     // hollow or simulated, where it was not of real processes alone
 }
 
 // String is the basis for people.
 func (e Estimate) String() string {
 	switch {
-	case e.Basis == Foretold && e.Off != 0:
-		return e.of(fmt.Sprintf("foretold ×%s, not believed (off by %.0f%%)", short(e.Factor), 100*e.Off))
-	case e.Basis == Foretold:
-		return e.of("foretold ×" + short(e.Factor))
+	case e.Basis == Extrapolated && e.RelativeError != 0:
+		return e.withMeasuredOn(fmt.Sprintf("foretold ×%s, not believed (off by %.0f%%)", short(e.Factor), 100*e.RelativeError))
+	case e.Basis == Extrapolated:
+		return e.withMeasuredOn("foretold ×" + short(e.Factor))
 	}
-	return e.of(string(e.Basis))
+	return e.withMeasuredOn(string(e.Basis))
 }
 
-func (e Estimate) of(text string) string {
-	if e.Of != "" && (e.Basis == Measured || e.Basis == Foretold) {
-		return text + ", " + e.Of
+func (e Estimate) withMeasuredOn(text string) string {
+	if e.MeasuredOn != "" && (e.Basis == Measured || e.Basis == Extrapolated) {
+		return text + ", " + e.MeasuredOn
 	}
 	return text
 }
@@ -64,19 +64,19 @@
 func notMeasured() Estimate { return Estimate{Value: Number(math.NaN()), Basis: NotMeasured} }
 
 // plus is a sum, which rests on the worse of its parts.
-func (e Estimate) plus(o Estimate) Estimate {
+func (e Estimate) add(o Estimate) Estimate {
 	sum := e
 	if basisRank[o.Basis] > basisRank[e.Basis] {
 		sum = o
 	}
 	sum.Value, sum.Factor = e.Value+o.Value, max(e.Factor, o.Factor)
-	if math.Abs(o.Off) > math.Abs(e.Off) {
-		sum.Off = o.Off
+	if math.Abs(o.RelativeError) > math.Abs(e.RelativeError) {
+		sum.RelativeError = o.RelativeError
 	} else {
-		sum.Off = e.Off
+		sum.RelativeError = e.RelativeError
 	}
-	if sum.Of = e.Of; o.Of == "simulated" || sum.Of == "" {
-		sum.Of = o.Of
+	if sum.MeasuredOn = e.MeasuredOn; o.MeasuredOn == "simulated" || sum.MeasuredOn == "" {
+		sum.MeasuredOn = o.MeasuredOn
 	}
 	if e.Series != o.Series && e.Series != "" && o.Series != "" {
 		sum.Series = e.Series + " + " + o.Series
@@ -85,7 +85,7 @@
 }
 
 // times is a figure for each of so many.
-func (e Estimate) times(n float64) Estimate {
+func (e Estimate) scale(n float64) Estimate {
 	e.Value *= Number(n)
 	return e
 }
@@ -110,7 +110,7 @@
 	first, last := s.Points[0], s.Points[len(s.Points)-1]
 	e := Estimate{Basis: Measured, Series: name}
 	if s.Of != "real" {
-		e.Of = s.Of
+		e.MeasuredOn = s.Of
 	}
 	switch {
 	case at >= first.At && at <= last.At:
@@ -125,26 +125,26 @@
 	case s.Fit == nil:
 		return notMeasured()
 	}
-	e.Basis, e.Factor = Foretold, at/last.At
+	e.Basis, e.Factor = Extrapolated, at/last.At
 	// From the last size that was measured on, by the slope: what the fit missed there is not added to what it foretells.
 	e.Value = Number(max(0, s.Fit.Value(at)))
 	if at > last.At {
 		e.Value = Number(last.Median() + s.Fit.Value(at) - s.Fit.Value(last.At))
 	}
 	if !s.Fit.Believed() {
-		e.Off = s.Fit.Off
+		e.RelativeError = s.Fit.Off
 	}
 	return e
 }
 
 // base is what a series says of a size of nothing.
-func (r Results) base(name string) float64 {
+func (r Results) baseline(name string) float64 {
 	s, ok := r.find(name)
-	rest, alone := r.find(s.Role + "." + s.Figure + ".rest")
+	rest, hasRest := r.find(s.Role + "." + s.Figure + ".rest")
 	switch {
 	case !ok:
 		return 0
-	case alone && s.Role != "":
+	case hasRest && s.Role != "":
 		return rest.Points[0].Median()
 	case s.Fit != nil:
 		return max(0, s.Fit.Base)
@@ -161,7 +161,7 @@
 
 // firstShareOver is the least share of the target at which a figure is over a budget: 0 where it is over it at any size that is looked at, NaN where
 // nothing can be said, and infinite where it is not over it at 20 times the target.
-func firstShareOver(budget float64, figure func(share float64) Estimate) (share float64, e Estimate) {
+func lowestShareOver(budget float64, figure func(share float64) Estimate) (share float64, e Estimate) {
 	over := func(s float64) bool { return float64(figure(s).Value) > budget }
 	if over(minShare) {
 		return 0, figure(minShare)
--- a/internal/policy/capacity/lines.go
+++ b/internal/policy/capacity/lines.go
@@ -1,19 +1,21 @@
 package capacity
 
-type figure = func(share float64) Estimate
+type estimateFunc = func(share float64) Estimate
 
 // figures are a figure in each condition; what is left out is as at rest.
-type figures map[Condition]figure
+type conditionFuncs map[Condition]estimateFunc
 
 // always is a figure that is the same in all conditions.
-func always(f figure) figures { return figures{Rest: f} }
+func inAllConditions(f estimateFunc) conditionFuncs { return conditionFuncs{Rest: f} }
 
-func counted(v float64) figure { return func(share float64) Estimate { return assumed(v * share) } }
+func proportional(v float64) estimateFunc {
+	return func(share float64) Estimate { return assumed(v * share) }
+}
 
-func fixed(v float64) figure { return func(float64) Estimate { return assumed(v) } }
+func unscaled(v float64) estimateFunc { return func(float64) Estimate { return assumed(v) } }
 
 // asAtRest is a figure that is taken to be as at rest, and was not measured in this condition.
-func asAtRest(f figure) figure {
+func assumedAsAtRest(f estimateFunc) estimateFunc {
 	return func(share float64) Estimate {
 		e := f(share)
 		if e.Basis != NotMeasured {
@@ -23,11 +25,11 @@
 	}
 }
 
-func sum(list ...figure) figure {
+func sum(terms ...estimateFunc) estimateFunc {
 	return func(share float64) Estimate {
-		e := list[0](share)
-		for _, f := range list[1:] {
-			e = e.plus(f(share))
+		e := terms[0](share)
+		for _, f := range terms[1:] {
+			e = e.add(f(share))
 		}
 		return e
 	}
@@ -38,14 +40,14 @@
 
 // Places in the code.
 const (
-	inProbes  = "internal/transport/msgpackrpc, internal/proxy"
-	inRules   = "internal/controlplane/configwatch, internal/controlplane/quorum"
-	inMember  = "internal/controlplane/quorum/member"
-	inBook    = "internal/policy/configstore, internal/controlplane/quorum/member"
-	inFleet   = "internal/proxy, internal/policy/loadbalancer"
-	inBudget  = "internal/transport/listener, internal/service"
-	inOwner   = "internal/controlplane/runner, internal/policy/controller"
-	inReports = "internal/transport/loadreport"
+	pkgsHealthChecks = "internal/transport/msgpackrpc, internal/proxy"
+	pkgsConfigSync   = "internal/controlplane/configwatch, internal/controlplane/quorum"
+	pkgsMember       = "internal/controlplane/quorum/member"
+	pkgsConfigStore  = "internal/policy/configstore, internal/controlplane/quorum/member"
+	pkgsRouting      = "internal/proxy, internal/policy/loadbalancer"
+	pkgsConnections  = "internal/transport/listener, internal/service"
+	pkgsOwner        = "internal/controlplane/runner, internal/policy/controller"
+	pkgsLoadReport   = "internal/transport/loadreport"
 )
 
 // lineBuilder collects the figures of all roles, and has what several of them are computed from.
@@ -61,14 +63,14 @@
 
 // lines are the figures of all roles.
 func (c *planner) lines() []Line {
-	a := c.t.Assumed
+	a := c.target.Assumed
 	b := &lineBuilder{planner: c, probers: c.probersPerServer(), followerCount: c.followers(), probesPerSecond: 1000 / a.Probe, lease: a.Lease / 1000,
-		entries: c.t.entries()}
-	probes := b.paced("router.cpu.servers", c.t.Servers)
+		entries: c.target.entries()}
+	probesCPU := b.rateScaledSeries("router.cpu.servers", c.target.Servers)
 	b.server()
-	b.router(probes)
+	b.router(probesCPU)
 	b.routerMap()
-	b.caller(probes)
+	b.caller(probesCPU)
 	b.follower()
 	b.leader()
 	b.leaderChanges()
@@ -81,67 +83,69 @@
 }
 
 // series is a measured figure by its size at the target.
-func (b *lineBuilder) series(name string, at float64) figure {
-	return func(share float64) Estimate { return b.r.At(name, at*share) }
+func (b *lineBuilder) series(name string, at float64) estimateFunc {
+	return func(share float64) Estimate { return b.results.At(name, at*share) }
 }
 
 // control is a figure of control, all of it or what is above a process without any: see Readings.ControlAdded.
-func (b *lineBuilder) control(name string, at float64) figure {
-	return func(share float64) Estimate { return b.controlled(name, at*share) }
+func (b *lineBuilder) controlSeries(name string, at float64) estimateFunc {
+	return func(share float64) Estimate { return b.controlEstimate(name, at*share) }
 }
 
 // paced is a figure of control that grows with how often it is done: see rateFactor.
-func (b *lineBuilder) paced(name string, at float64) figure {
-	return b.control(name, at*b.rateFactor(name))
+func (b *lineBuilder) rateScaledSeries(name string, at float64) estimateFunc {
+	return b.controlSeries(name, at*b.rateFactor(name))
 }
 
 // repeated is a figure of control whose cost, and not its size, counts so many times. What a map costs does not grow evenly by its tenants.
-func (b *lineBuilder) repeated(name string, at float64) figure {
+func (b *lineBuilder) costScaledSeries(name string, at float64) estimateFunc {
 	return func(share float64) Estimate {
-		e, n := b.r.At(name, at*share), b.rateFactor(name)
-		if base := b.r.base(name); n != 1 && e.Basis != NotMeasured {
+		e, n := b.results.At(name, at*share), b.rateFactor(name)
+		if base := b.results.baseline(name); n != 1 && e.Basis != NotMeasured {
 			e.Value = Number(base + (float64(e.Value)-base)*n)
-			e.Basis, e.Factor = Foretold, max(e.Factor, n)
+			e.Basis, e.Factor = Extrapolated, max(e.Factor, n)
 		}
-		if b.t.Readings.ControlAdded {
-			e.Value = Number(max(0, float64(e.Value)-b.r.base(name)))
+		if b.target.Readings.ControlAdded {
+			e.Value = Number(max(0, float64(e.Value)-b.results.baseline(name)))
 		}
 		return e
 	}
 }
 
 // groupMessages are the messages a second between a process and the group, each with its answer, at so many in a lease.
-func (b *lineBuilder) groupMessages(times float64) float64 { return 2 * times / b.lease }
+func (b *lineBuilder) groupMessages(pollsPerLease float64) float64 {
+	return 2 * pollsPerLease / b.lease
+}
 
 // either is one of two texts, by whether a map goes in parts.
-func (b *lineBuilder) either(parts, whole string) string {
-	if b.p.inParts() {
-		return parts
+func (b *lineBuilder) byPartsMode(inParts, asOneDocument string) string {
+	if b.limits.hasParts() {
+		return inParts
 	}
-	return whole
+	return asOneDocument
 }
 
 // add takes a line up, with its figure in each condition.
-func (b *lineBuilder) add(l Line, of figures) {
-	l.At, l.of = map[Condition]Estimate{}, map[Condition]figure{}
+func (b *lineBuilder) add(l Line, funcs conditionFuncs) {
+	l.Estimates, l.atShare = map[Condition]Estimate{}, map[Condition]estimateFunc{}
 	for _, k := range Conditions {
-		f := of[k]
+		f := funcs[k]
 		if f == nil {
-			f = of[Rest]
+			f = funcs[Rest]
 		}
-		l.of[k], l.At[k] = f, f(1)
+		l.atShare[k], l.Estimates[k] = f, f(1)
 	}
 	b.list = append(b.list, l)
 }
 
 // newLine is a line without its figures. Budget 0 is none; stops says what stops where it is passed, empty where it only costs too much.
-func newLine(role, figure, unit string, budget float64, of string, carried, says, stops string) Line {
-	return Line{Role: role, Figure: figure, Unit: unit, Budget: Number(budget), BudgetOf: of, Carried: carried, Says: says, stops: stops}
+func newLine(role, figure, unit string, budget float64, budgetSource string, carriedBy, note, stopsWhenOver string) Line {
+	return Line{Role: role, Figure: figure, Unit: unit, Budget: Number(budget), BudgetSource: budgetSource, CarriedBy: carriedBy, Note: note, stopsWhenOver: stopsWhenOver}
 }
 
 // costing is a line whose budget, where it is passed, means what the text says.
-func costing(l Line, text string) Line {
-	l.costs = text
+func withCost(l Line, cost string) Line {
+	l.costWhenOver = cost
 	return l
 }
 
@@ -157,24 +161,24 @@
 
 // callerTargets is how many a caller picks among.
 func (c *planner) callerTargets() float64 {
-	if c.t.Readings.CallersPick {
-		return c.t.Servers
+	if c.target.Readings.CallersPick {
+		return c.target.Servers
 	}
 	return c.routers
 }
 
-func (c *planner) callerConns() figure {
-	if c.t.Readings.CallersPick {
-		return counted(c.t.Servers)
+func (c *planner) callerConnections() estimateFunc {
+	if c.target.Readings.CallersPick {
+		return proportional(c.target.Servers)
 	}
-	return fixed(c.t.Assumed.CallerConnections)
+	return unscaled(c.target.Assumed.CallerConnections)
 }
 
 // smallerSideZones is how many zones lie in the regions but the first, which has the most: the side without a majority.
-func (c *planner) smallerSideZones() float64 {
+func (c *planner) minorityZones() float64 {
 	n := 0.0
-	for z := 1; z <= int(c.t.Zones); z++ {
-		if c.region(z) != 1 {
+	for zone := 1; zone <= int(c.target.Zones); zone++ {
+		if c.region(zone) != 1 {
 			n++
 		}
 	}
@@ -184,33 +188,33 @@
 // rateFactor is how many times as often something is done at the target as it was where a series was measured: a health check twice as often
 // counts as twice as many servers or callers.
 func (c *planner) rateFactor(name string) float64 {
-	s, ok := c.r.find(name)
+	s, ok := c.results.find(name)
 	if !ok {
 		return 1
 	}
-	n := 1.0
+	factor := 1.0
 	if check := s.Fixed["check_ms"]; check > 0 {
-		n *= check / c.t.Assumed.Probe
+		factor *= check / c.target.Assumed.Probe
 	}
 	if lease := s.Fixed["lease_ms"]; lease > 0 && s.Varies == "tenants" {
-		n *= lease / c.t.Assumed.MapLease
+		factor *= lease / c.target.Assumed.MapLease
 	} else if lease > 0 {
-		n *= lease / c.t.Assumed.Lease
+		factor *= lease / c.target.Assumed.Lease
 	}
-	return n
+	return factor
 }
 
 // increase is by how much a series at a size is above what it has at another one, for as many followers as are given; 0: those that it was
 // measured with.
-func (c *planner) increase(name string, at, from, followers float64) figure {
+func (c *planner) increase(name string, at, baseline, followers float64) estimateFunc {
 	return func(share float64) Estimate {
-		e, base := c.r.At(name, at*share), c.r.At(name, from)
-		if s, _ := c.r.find(name); e.Basis != NotMeasured && base.Basis != NotMeasured {
-			times := 1.0
+		e, base := c.results.At(name, at*share), c.results.At(name, baseline)
+		if s, _ := c.results.find(name); e.Basis != NotMeasured && base.Basis != NotMeasured {
+			factor := 1.0
 			if n := s.Fixed["followers"]; n > 0 && followers > 0 {
-				times = followers * share / n
+				factor = followers * share / n
 			}
-			e.Value, e.Basis = max(0, e.Value-base.Value)*Number(times), Assumed
+			e.Value, e.Basis = max(0, e.Value-base.Value)*Number(factor), Assumed
 			return e
 		}
 		return notMeasured()
@@ -218,8 +222,8 @@
 }
 
 // route is what finding a request's route takes by the tenants in the map, in µs; nothing where it was not measured.
-func (c *planner) route(share float64) Estimate {
-	e := c.r.At("router.route.tenants", c.t.entries()*share)
+func (c *planner) routeTime(share float64) Estimate {
+	e := c.results.At("router.route.tenants", c.target.entries()*share)
 	if e.Basis == NotMeasured {
 		return Estimate{Basis: Measured}
 	}
@@ -228,7 +232,7 @@
 
 // routeNote says whether that time is counted.
 func (c *planner) routeNote() string {
-	if _, ok := c.r.find("router.route.tenants"); !ok {
+	if _, ok := c.results.find("router.route.tenants"); !ok {
 		return "without the time to find a route among all tenants, which was not measured"
 	}
 	return "with the time to find a route among all tenants"
--- a/internal/policy/capacity/page_test.go
+++ b/internal/policy/capacity/page_test.go
@@ -41,7 +41,7 @@
 	return of
 }
 
-func plan(t *testing.T, of capacity.Target, from string, p capacity.Program) capacity.Plan {
+func plan(t *testing.T, of capacity.Target, from string, p capacity.ProgramLimits) capacity.Plan {
 	t.Helper()
 	r, err := results.Read(from)
 	if err != nil {
@@ -61,7 +61,7 @@
 		t.Fatal(err)
 	}
 	tables := plan(t, target(t, nil), results.Scale, capacity.Current).Tables()
-	tables = append(tables, plan(t, target(t, nil), results.Was, capacity.BeforeParts).Breaking("was"))
+	tables = append(tables, plan(t, target(t, nil), results.Was, capacity.BeforeParts).BreakingTable("was"))
 	for _, other := range []struct {
 		name   string
 		change func(*capacity.Target)
@@ -302,7 +302,7 @@
 	at := func(role, figure string, k capacity.Condition) float64 {
 		for _, l := range p.Lines {
 			if l.Role == role && l.Figure == figure {
-				return float64(l.At[k].Value) * 1024
+				return float64(l.Estimates[k].Value) * 1024
 			}
 		}
 		t.Fatal("no line ", figure)
@@ -365,12 +365,12 @@
 			fullest = max(fullest, len(text))
 		}
 	}
-	for _, x := range p.Breaks {
-		switch x.What {
+	for _, x := range p.BreakingPoints {
+		switch x.Name {
 		case "leader: the map as one document":
-			within("map", all, float64(x.Needed.Value)*1024)
+			within("map", all, float64(x.NeededAtTarget.Value)*1024)
 		case "leader: the fullest part of the map":
-			within("fullest part", fullest, float64(x.Needed.Value)*1024)
+			within("fullest part", fullest, float64(x.NeededAtTarget.Value)*1024)
 		}
 	}
 	// Of all tenants the mean answer: a change of each part's first tenant.
--- a/internal/policy/capacity/plan.go
+++ b/internal/policy/capacity/plan.go
@@ -10,67 +10,67 @@
 type Condition string
 
 // Conditions are those that are looked at.
-var Conditions = []Condition{Rest, Peak, Burst, ZoneBack, Apart}
+var Conditions = []Condition{Rest, Peak, Burst, ZoneRecovering, Partitioned}
 
 // The conditions by name.
 const (
-	Rest     Condition = "at rest"
-	Peak     Condition = "at the peak"
-	Burst    Condition = "in a burst of changes"
-	ZoneBack Condition = "while a zone comes back"
-	Apart    Condition = "while regions don't hear each other"
+	Rest           Condition = "at rest"
+	Peak           Condition = "at the peak"
+	Burst          Condition = "in a burst of changes"
+	ZoneRecovering Condition = "while a zone comes back"
+	Partitioned    Condition = "while regions don't hear each other"
 )
 
 // Line is one figure of one role.
 type Line struct {
-	Role     string                 `json:"role"`
-	Figure   string                 `json:"figure"`
-	Unit     string                 `json:"unit"`
-	At       map[Condition]Estimate `json:"at"`
-	Budget   Number                 `json:"budget"` // null: there is none
-	BudgetOf string                 `json:"budget_of,omitempty"`
-	Carried  string                 `json:"carried_by"`
-	Says     string                 `json:"says,omitempty"` // what is assumed, or counted
+	Role         string                 `json:"role"`
+	Figure       string                 `json:"figure"`
+	Unit         string                 `json:"unit"`
+	Estimates    map[Condition]Estimate `json:"at"`
+	Budget       Number                 `json:"budget"` // null: there is none
+	BudgetSource string                 `json:"budget_of,omitempty"`
+	CarriedBy    string                 `json:"carried_by"`
+	Note         string                 `json:"says,omitempty"` // what is assumed, or counted
 
-	of    map[Condition]func(share float64) Estimate
-	stops string // what stops where the budget is passed; empty: it only costs too much
-	costs string // and what that means; empty: that it is over the budget
+	atShare       map[Condition]func(share float64) Estimate
+	stopsWhenOver string // what stops where the budget is passed; empty: it only costs too much
+	costWhenOver  string // and what that means; empty: that it is over the budget
 }
 
 // Sizing is one row of what is needed.
 type Sizing struct {
-	What string   `json:"what"`
-	Unit string   `json:"unit"`
-	Is   Estimate `json:"is"`
-	Says string   `json:"says"`
+	Name     string   `json:"what"`
+	Unit     string   `json:"unit"`
+	Estimate Estimate `json:"is"`
+	Note     string   `json:"says"`
 }
 
 // Break is where a budget or a bound is passed.
-type Break struct {
-	What   string   `json:"what"`
-	Stops  bool     `json:"stops"`
-	Share  Number   `json:"share"` // of the target; null: at none up to 20 times of it, or nothing can be said
-	Any    bool     `json:"at_any_size,omitempty"`
-	Needed Estimate `json:"needed"` // at the target
-	Bound  Number   `json:"bound"`
-	Unit   string   `json:"unit"`
-	By     Estimate `json:"by"` // at that share
-	Says   string   `json:"says"`
-	In     string   `json:"carried_by"`
+type BreakingPoint struct {
+	Name           string   `json:"what"`
+	Stops          bool     `json:"stops"`
+	Share          Number   `json:"share"` // of the target; null: at none up to 20 times of it, or nothing can be said
+	AtAnySize      bool     `json:"at_any_size,omitempty"`
+	NeededAtTarget Estimate `json:"needed"` // at the target
+	Bound          Number   `json:"bound"`
+	Unit           string   `json:"unit"`
+	AtShare        Estimate `json:"by"` // at that share
+	Consequence    string   `json:"says"`
+	CarriedBy      string   `json:"carried_by"`
 }
 
 // Cost is what one thing that fails or is restarted asks for.
 type Cost struct {
-	What     string   `json:"what"`
-	Day      Number   `json:"a_day"`
-	Servers  Number   `json:"servers"`
-	Known    Estimate `json:"known"`                // ms until routers take it for dead
-	Late     Number   `json:"requests_tried_again"` // each time, at the peak
-	Sheets   Number   `json:"sheets_without_store"` // that fail each time, at the peak
-	Stored   Number   `json:"sheets_with_store"`
-	Commits  Number   `json:"commits"`  // of the group, each time
-	Versions Number   `json:"versions"` // of the map, each time
-	Connects Number   `json:"connects"` // of routers to servers, each time
+	Event              string   `json:"what"`
+	PerDay             Number   `json:"a_day"`
+	Servers            Number   `json:"servers"`
+	DetectionTime      Estimate `json:"known"`                // ms until routers take it for dead
+	RetriedRequests    Number   `json:"requests_tried_again"` // each time, at the peak
+	FailedWithoutStore Number   `json:"sheets_without_store"` // that fail each time, at the peak
+	FailedWithStore    Number   `json:"sheets_with_store"`
+	Commits            Number   `json:"commits"`  // of the group, each time
+	MapVersions        Number   `json:"versions"` // of the map, each time
+	Connections        Number   `json:"connects"` // of routers to servers, each time
 }
 
 // Machine is one that is set aside for control.
@@ -83,115 +83,115 @@
 
 // Plan is all that is computed.
 type Plan struct {
-	Target   Target    `json:"-"`
-	Routers  Number    `json:"routers"`
-	Measured string    `json:"measured"` // the program and machine of the results
-	Lines    []Line    `json:"lines"`
-	Sizing   []Sizing  `json:"sizing"`
-	Machines []Machine `json:"machines"`
-	Day      []Cost    `json:"day"`
-	Breaks   []Break   `json:"breaks"` // what stops first, the lowest share first, then what only costs too much
-	Unknown  []string  `json:"unknown"`
+	Target         Target          `json:"-"`
+	Routers        Number          `json:"routers"`
+	Measured       string          `json:"measured"` // the program and machine of the results
+	Lines          []Line          `json:"lines"`
+	Sizing         []Sizing        `json:"sizing"`
+	Machines       []Machine       `json:"machines"`
+	DailyCosts     []Cost          `json:"day"`
+	BreakingPoints []BreakingPoint `json:"breaks"` // what stops first, the lowest share first, then what only costs too much
+	UnknownBudgets []string        `json:"unknown"`
 }
 
 // planner is what the parts of a plan share.
 type planner struct {
-	t       Target
-	r       Results
-	p       Program
-	routers float64
-	each    float64 // requests a second of a router, at the peak with a zone lost
+	target            Target
+	results           Results
+	limits            ProgramLimits
+	routers           float64
+	requestsPerRouter float64 // requests a second of a router, at the peak with a zone lost
 }
 
 // Compute is the plan of a target, by what was measured and the program's bounds.
-func Compute(t Target, r Results, p Program) (Plan, error) {
+func Compute(t Target, r Results, p ProgramLimits) (Plan, error) {
 	if err := t.Check(); err != nil {
 		return Plan{}, err
 	}
-	r, left := r.applicableTo(p)
-	c := &planner{t: t, r: r, p: p}
+	r, excluded := r.applicableTo(p)
+	c := &planner{target: t, results: r, limits: p}
 	out := Plan{Target: t, Sizing: c.sizing()}
 	out.Routers = Number(c.routers)
 	if r.Program != "" {
 		out.Measured = r.Program + ", " + r.Machine
-		if left > 0 {
-			out.Measured += fmt.Sprintf("; %d series left out, of what the program does otherwise since", left)
+		if excluded > 0 {
+			out.Measured += fmt.Sprintf("; %d series left out, of what the program does otherwise since", excluded)
 		}
 	}
 	out.Lines = c.lines()
 	out.Machines = c.machines(out.Lines)
-	out.Day = c.dailyCosts()
-	out.Breaks, out.Unknown = c.breaks(out.Lines)
+	out.DailyCosts = c.dailyCosts()
+	out.BreakingPoints, out.UnknownBudgets = c.breakingPoints(out.Lines)
 	return out, nil
 }
 
 // controlled is a figure of control by a series: all of it, or what is above a process without any.
-func (c *planner) controlled(name string, at float64) Estimate {
-	e := c.r.At(name, at)
-	if c.t.Readings.ControlAdded {
-		e.Value = Number(max(0, float64(e.Value)-c.r.base(name)))
+func (c *planner) controlEstimate(name string, at float64) Estimate {
+	e := c.results.At(name, at)
+	if c.target.Readings.ControlAdded {
+		e.Value = Number(max(0, float64(e.Value)-c.results.baseline(name)))
 	}
 	return e
 }
 
 // sizing is how many servers and routers the peak takes with a zone lost. It sets the routers.
 func (c *planner) sizing() (list []Sizing) {
-	t, a := c.t, c.t.Assumed
-	left := (t.Zones - 1) / t.Zones
-	zoned := func(n float64) float64 { return t.Zones * math.Ceil(n/(t.Zones-1)-1e-9) }
-	add := func(what, unit string, e Estimate, says string) { list = append(list, Sizing{what, unit, e, says}) }
+	t, a := c.target, c.target.Assumed
+	remaining := (t.Zones - 1) / t.Zones
+	acrossZones := func(n float64) float64 { return t.Zones * math.Ceil(n/(t.Zones-1)-1e-9) }
+	add := func(name, unit string, e Estimate, note string) { list = append(list, Sizing{name, unit, e, note}) }
 	add("requests a second of a server, all zones there", "1/s", assumed(t.Requests/t.Servers), "the peak over the target's servers")
-	add("requests a second of a server, a zone lost", "1/s", assumed(t.Requests/(t.Servers*left)), "the peak over those that are left")
-	add("servers for the peak, a zone lost", "", assumed(zoned(t.Requests/(a.ServerRequests*a.Utilisation))),
+	add("requests a second of a server, a zone lost", "1/s", assumed(t.Requests/(t.Servers*remaining)), "the peak over those that are left")
+	add("servers for the peak, a zone lost", "", assumed(acrossZones(t.Requests/(a.ServerRequests*a.Utilisation))),
 		"assumed.server_requests_per_s at assumed.utilisation; as many in each zone")
 	add("share of the peak that the target's servers carry, a zone lost", "",
-		assumed(min(1, t.Servers*left*a.ServerRequests*a.Utilisation/t.Requests)), "the same, of the servers that the target has")
+		assumed(min(1, t.Servers*remaining*a.ServerRequests*a.Utilisation/t.Requests)), "the same, of the servers that the target has")
 
 	// What a router can take: by its core, with and without what its control leaves of it, by the time that it adds, by its connections.
-	control := c.r.At("router.cpu.servers", t.Servers*c.rateFactor("router.cpu.servers"))
-	free, byCore := c.perCore(a.Utilisation), notMeasured()
+	control := c.results.At("router.cpu.servers", t.Servers*c.rateFactor("router.cpu.servers"))
+	byCoreWithoutControl, byCore := c.requestsPerCore(a.Utilisation), notMeasured()
 	if control.Basis != NotMeasured {
-		byCore = c.perCore(a.Utilisation - float64(control.Value)).plus(control.times(0))
+		byCore = c.requestsPerCore(a.Utilisation - float64(control.Value)).add(control.scale(0))
 	}
-	add("requests a second of a router, by its core, were control free", "1/s", free, "up to assumed.utilisation of a core, "+c.routeNote())
+	add("requests a second of a router, by its core, were control free", "1/s", byCoreWithoutControl, "up to assumed.utilisation of a core, "+c.routeNote())
 	add("requests a second of a router, by its core, beside its health checks", "1/s", byCore, "less what router.cpu.servers says of all servers; 0: nothing is left")
-	byTime := c.largestWithin("router.added_p99.requests", t.Added-float64(c.route(1).Value)/1000)
+	byTime := c.largestWithin("router.added_p99.requests", t.Added-float64(c.routeTime(1).Value)/1000)
 	add("requests a second of a router, by the time that it adds", "1/s", byTime, "the largest that was measured at which it is within added_p99_ms, "+c.routeNote())
-	takes := free
+	perRouter := byCoreWithoutControl
 	for _, e := range []Estimate{byCore, byTime} {
-		if e.Basis != NotMeasured && e.Value > 0 && e.Value < takes.Value {
-			takes = e
+		if e.Basis != NotMeasured && e.Value > 0 && e.Value < perRouter.Value {
+			perRouter = e
 		}
 	}
-	need := takes
-	need.Value = Number(zoned(t.Requests / float64(takes.Value)))
-	add("routers for the peak, a zone lost", "", need, "the least of these that is above 0; as many in each zone")
-	conns := assumed(zoned(t.Callers * a.CallerConnections / (c.descriptorsForConnections() * c.p.CallerShare)))
-	says := "callers × assumed.caller_connections over a router's places for callers, by assumed.sockets"
+	routersForPeak := perRouter
+	routersForPeak.Value = Number(acrossZones(t.Requests / float64(perRouter.Value)))
+	add("routers for the peak, a zone lost", "", routersForPeak, "the least of these that is above 0; as many in each zone")
+	routersForConnections := assumed(acrossZones(t.Callers * a.CallerConnections / (c.descriptorsForConnections() * c.limits.CallerShare)))
+	note := "callers × assumed.caller_connections over a router's places for callers, by assumed.sockets"
 	if t.Readings.CallersPick {
-		conns, says = assumed(0), "callers pick among servers: none comes to a router"
+		routersForConnections, note = assumed(0), "callers pick among servers: none comes to a router"
 	}
-	add("routers for the callers' connections, a zone lost", "", conns, says)
-	all := need
-	if conns.Value > need.Value {
-		all = conns
+	add("routers for the callers' connections, a zone lost", "", routersForConnections, note)
+	planned := routersForPeak
+	if routersForConnections.Value > routersForPeak.Value {
+		planned = routersForConnections
 	}
-	add("routers that are reckoned with", "", all, "the larger of the two")
-	c.routers = max(1, float64(all.Value))
-	c.each = t.Requests / (c.routers * left)
+	add("routers that are reckoned with", "", planned, "the larger of the two")
+	c.routers = max(1, float64(planned.Value))
+	c.requestsPerRouter = t.Requests / (c.routers * remaining)
 	return list
 }
 
 // perCore is how many requests a second a router can take with a part of a core.
-func (c *planner) perCore(part float64) Estimate {
-	part, route := max(0, part), float64(c.route(1).Value)/1e6
-	s, ok := c.r.find("router.cpu.requests")
+func (c *planner) requestsPerCore(cores float64) Estimate {
+	cores, route := max(0, cores), float64(c.routeTime(1).Value)/1e6
+	s, ok := c.results.find("router.cpu.requests")
 	if !ok {
-		return assumed(part / (c.t.Assumed.RouterRequest/1e6 + route))
+		return assumed(cores / (c.target.Assumed.RouterRequest/1e6 + route))
 	}
 	last := s.Points[len(s.Points)-1].At
-	share, e := firstShareOver(part, func(share float64) Estimate {
-		e := c.r.At(s.Name, share*last)
+	share, e := lowestShareOver(cores, func(share float64) Estimate {
+		e := c.results.At(s.Name, share*last)
 		e.Value += Number(route * share * last)
 		return e
 	})
@@ -208,7 +208,7 @@
 // largestWithin is the largest size that was measured at which a series is within a budget. What lies between is not looked at, as the difference of
 // two quantiles goes up and down, nor what lies beyond.
 func (c *planner) largestWithin(name string, budget float64) Estimate {
-	s, _ := c.r.find(name)
+	s, _ := c.results.find(name)
 	for _, p := range slices.Backward(s.Points) {
 		if p.Median() <= budget {
 			return Estimate{Value: Number(p.At), Basis: Measured, Series: name}
@@ -219,67 +219,67 @@
 
 // descriptorsForConnections is how many descriptors a process has for connections.
 func (c *planner) descriptorsForConnections() float64 {
-	s := c.t.Assumed.Sockets
-	return max(8, s-c.p.ReservedDescriptors-min(max(math.Floor(s/16), 4), c.p.MaxAdminConnections))
+	s := c.target.Assumed.Sockets
+	return max(8, s-c.limits.ReservedDescriptors-min(max(math.Floor(s/16), 4), c.limits.MaxAdminConnections))
 }
 
 // mapTextSize and mapMessageSize are the bytes of a map at a share of the target, as a document and as it stands within a message.
 func (c *planner) mapTextSize(share float64) float64 {
-	return share * (c.t.entries()*c.p.TenantTextSize + c.t.Servers*c.p.ServerTextSize)
+	return share * (c.target.entries()*c.limits.TenantTextSize + c.target.Servers*c.limits.ServerTextSize)
 }
 
 func (c *planner) mapMessageSize(share float64) float64 {
-	return share * (c.t.entries()*c.p.TenantMessageSize + c.t.Servers*c.p.ServerMessageSize)
+	return share * (c.target.entries()*c.limits.TenantMessageSize + c.target.Servers*c.limits.ServerMessageSize)
 }
 
 // partsTextSize and partsMessageSize are the same of a map in parts.
 func (c *planner) partsTextSize(share float64) float64 {
-	return share * (c.t.entries()*c.p.TenantPartTextSize + c.t.Servers*c.p.ServerPartTextSize)
+	return share * (c.target.entries()*c.limits.TenantPartTextSize + c.target.Servers*c.limits.ServerPartTextSize)
 }
 
 func (c *planner) partsMessageSize(share float64) float64 {
-	return share*(c.t.entries()*c.p.TenantPartMessageSize+c.t.Servers*c.p.ServerPartMessageSize) + c.p.parts()*c.p.PartMessageSize
+	return share*(c.target.entries()*c.limits.TenantPartMessageSize+c.target.Servers*c.limits.ServerPartMessageSize) + c.limits.partCount()*c.limits.PartMessageSize
 }
 
 // changeMessageSize is what a tenant's change is within a message: the whole map, or in parts the tenant's part and the one with the version.
 func (c *planner) changeMessageSize(share float64) float64 {
-	if !c.p.inParts() {
+	if !c.limits.hasParts() {
 		return c.mapMessageSize(share)
 	}
-	return 2*c.p.PartMessageSize + share*c.t.entries()*c.p.TenantPartMessageSize/c.p.TenantParts
+	return 2*c.limits.PartMessageSize + share*c.target.entries()*c.limits.TenantPartMessageSize/c.limits.TenantParts
 }
 
 // fullest is how many of something the fullest part has, where so many fall evenly by chance into as many parts as a map has for tenants:
 // four times the spread over the mean.
-func (c *planner) fullest(n float64) float64 {
-	mean := n / c.p.TenantParts
+func (c *planner) fullestPart(n float64) float64 {
+	mean := n / c.limits.TenantParts
 	return mean + 4*math.Sqrt(mean)
 }
 
 // statusSize is the bytes of a router's status at a share of the target.
 func (c *planner) statusSize(share float64) float64 {
-	return share * (c.t.entries()*c.p.TenantStatusSize + c.t.Servers*c.p.ServerStatusSize)
+	return share * (c.target.entries()*c.limits.TenantStatusSize + c.target.Servers*c.limits.ServerStatusSize)
 }
 
 // probersPerServer is how many callers of any kind have a server for themselves.
 func (c *planner) probersPerServer() float64 {
-	if c.t.Readings.CallersPick {
-		return c.t.Callers + c.routers
+	if c.target.Readings.CallersPick {
+		return c.target.Callers + c.routers
 	}
 	return c.routers
 }
 
 // followers are the processes that act on documents.
 func (c *planner) followers() float64 {
-	if c.t.Readings.CallersPick {
-		return c.t.Servers + c.routers + c.t.Callers
+	if c.target.Readings.CallersPick {
+		return c.target.Servers + c.routers + c.target.Callers
 	}
-	return c.t.Servers + c.routers
+	return c.target.Servers + c.routers
 }
 
 // members of the group: one in a zone, an odd number of them.
 func (c *planner) members() float64 {
-	n := min(c.t.Zones, c.t.Control.Machines, 5)
+	n := min(c.target.Zones, c.target.Control.Machines, 5)
 	if math.Mod(n, 2) == 0 {
 		n--
 	}
--- a/internal/policy/capacity/plan_test.go
+++ b/internal/policy/capacity/plan_test.go
@@ -46,12 +46,12 @@
 	return p.Lines[i]
 }
 
-func (p Plan) brk(what string) (Break, bool) {
-	i := slices.IndexFunc(p.Breaks, func(b Break) bool { return b.What == what })
+func (p Plan) brk(what string) (BreakingPoint, bool) {
+	i := slices.IndexFunc(p.BreakingPoints, func(b BreakingPoint) bool { return b.Name == what })
 	if i < 0 {
-		return Break{}, false
+		return BreakingPoint{}, false
 	}
-	return p.Breaks[i], true
+	return p.BreakingPoints[i], true
 }
 
 func TestTargetNamesTheBadField(t *testing.T) {
@@ -109,11 +109,11 @@
 			t.Errorf("%s at %v: %v, %s; want %v, %s", c.name, c.at, e.Value, e, c.value, c.basis)
 		}
 	}
-	sum := r.At("a", 64).plus(assumed(9))
+	sum := r.At("a", 64).add(assumed(9))
 	if sum.Basis != Assumed || !near(sum.Value, 140) || sum.Factor != 4 {
 		t.Errorf("%+v", sum)
 	}
-	if sum := r.At("a", 2).plus(r.At("none", 1)); sum.Basis != NotMeasured {
+	if sum := r.At("a", 2).add(r.At("none", 1)); sum.Basis != NotMeasured {
 		t.Errorf("%+v", sum)
 	}
 }
@@ -142,17 +142,17 @@
 		{1000, 40, math.Inf(1), ""},  // beyond 20 times
 		{1.2, 200, 0.01, "foretold"}, // 1 + 0.1 × 2, below what was measured
 	} {
-		share, e := firstShareOver(c.budget, at(c.x))
+		share, e := lowestShareOver(c.budget, at(c.x))
 		if math.Abs(share-c.share) > 1e-6 && share != c.share || c.budget != 0.5 && !strings.HasPrefix(e.String(), c.basis) {
 			t.Errorf("%v of %v: %v, %s", c.budget, c.x, share, e)
 		}
 	}
-	if share, _ := firstShareOver(1, func(float64) Estimate { return notMeasured() }); !math.IsNaN(share) {
+	if share, _ := lowestShareOver(1, func(float64) Estimate { return notMeasured() }); !math.IsNaN(share) {
 		t.Errorf("nothing was measured: %v", share)
 	}
 	// Over the budget within what was measured, and nothing known beyond.
 	bare := Results{Series: []Series{{Name: "a", Points: []Point{{10, []float64{1}}, {20, []float64{3}}}}}}
-	if share, e := firstShareOver(2, func(s float64) Estimate { return bare.At("a", 100*s) }); math.Abs(share-0.15) > 1e-6 || e.Basis != Measured {
+	if share, e := lowestShareOver(2, func(s float64) Estimate { return bare.At("a", 100*s) }); math.Abs(share-0.15) > 1e-6 || e.Basis != Measured {
 		t.Errorf("%v, %v", share, e)
 	}
 }
@@ -185,27 +185,27 @@
 		"routers that are reckoned with":                                       10,
 	}
 	for _, s := range p.Sizing {
-		if !near(s.Is.Value, want[s.What]) {
-			t.Errorf("%s: %v, want %v", s.What, s.Is.Value, want[s.What])
+		if !near(s.Estimate.Value, want[s.Name]) {
+			t.Errorf("%s: %v, want %v", s.Name, s.Estimate.Value, want[s.Name])
 		}
-		delete(want, s.What)
+		delete(want, s.Name)
 	}
 	if len(want) > 0 {
 		t.Errorf("missing: %v", want)
 	}
 	// Ten callers, 0.005 + 0.001 × 10; the budget of 0.01 is passed at five of them.
-	if e := p.line("server", "processor, health checks").At[Rest]; !near(e.Value, 0.015) || e.Basis != Measured {
+	if e := p.line("server", "processor, health checks").Estimates[Rest]; !near(e.Value, 0.015) || e.Basis != Measured {
 		t.Errorf("%+v", e)
 	}
-	if b, ok := p.brk("server: processor, health checks"); !ok || b.Stops || !near(b.Share, 0.5) || !near(b.Needed.Value, 0.015) {
+	if b, ok := p.brk("server: processor, health checks"); !ok || b.Stops || !near(b.Share, 0.5) || !near(b.NeededAtTarget.Value, 0.015) {
 		t.Errorf("%+v", b)
 	}
 	// 110 followers, of which 80 were measured.
-	if e := p.line("leader", "processor").At[Rest]; !near(e.Value, 0.11) || e.String() != "foretold ×1.38" {
+	if e := p.line("leader", "processor").Estimates[Rest]; !near(e.Value, 0.11) || e.String() != "foretold ×1.38" {
 		t.Errorf("%+v, %s", e, e)
 	}
 	// Of a router's peak: 8,000 over eight that are left.
-	if e := p.line("router", "processor, requests").At[Peak]; !near(e.Value, 0.2) {
+	if e := p.line("router", "processor, requests").Estimates[Peak]; !near(e.Value, 0.2) {
 		t.Errorf("%+v", e)
 	}
 	// The map: 1,000 × 195 + 100 × 154 bytes of 262,144.
@@ -216,32 +216,32 @@
 	if b, ok := p.brk("leader: bytes of a snapshot of the group"); !ok || !near(b.Share, (1048576-4096)/(17*239700.0+110*512)) {
 		t.Errorf("%+v", b)
 	}
-	if e := p.line("leader", "connections made for words").At[Rest]; !near(e.Value, 220) || e.Basis != Measured {
+	if e := p.line("leader", "connections made for words").Estimates[Rest]; !near(e.Value, 220) || e.Basis != Measured {
 		t.Errorf("%+v", e)
 	}
 	// Of 110 followers and six more connections none gives way at 128 places.
-	if e := p.line("leader", "connections made for words").At[Burst]; !near(e.Value, 0) {
+	if e := p.line("leader", "connections made for words").Estimates[Burst]; !near(e.Value, 0) {
 		t.Errorf("%+v", e)
 	}
 	// 10 × 239,700 bytes in ten seconds, by a tenth of what is asked each second: the share's square passes 20 KB/s.
-	if b, ok := p.brk("router: bytes in, the map with each change"); !ok || !near(b.Share, math.Sqrt(20*1024/239700.0)) || !near(b.Needed.Value, 239700.0/1024) {
+	if b, ok := p.brk("router: bytes in, the map with each change"); !ok || !near(b.Share, math.Sqrt(20*1024/239700.0)) || !near(b.NeededAtTarget.Value, 239700.0/1024) {
 		t.Errorf("%+v", b)
 	}
 	// A machine that fails with one server: 80 a second for half a second; half of them are sheets, for ten seconds.
-	if c := p.Day[2]; !near(c.Late, 40) || !near(c.Sheets, 400) || !near(c.Stored, 400) || c.Connects != 10 || c.Day != 4 {
+	if c := p.DailyCosts[2]; !near(c.RetriedRequests, 40) || !near(c.FailedWithoutStore, 400) || !near(c.FailedWithStore, 400) || c.Connections != 10 || c.PerDay != 4 {
 		t.Errorf("%+v", c)
 	}
-	if c := p.Day[1]; c.Late != 0 || !near(c.Sheets, 400) || c.Stored != 0 || c.Commits != 2 {
+	if c := p.DailyCosts[1]; c.RetriedRequests != 0 || !near(c.FailedWithoutStore, 400) || c.FailedWithStore != 0 || c.Commits != 2 {
 		t.Errorf("%+v", c)
 	}
 	// 100 servers, two of five zones on the smaller side; 36 changes in the hour, each 12 entries.
-	if e := p.line("owner", "state: open items of the keeper").At[Apart]; !near(e.Value, 40) {
+	if e := p.line("owner", "state: open items of the keeper").Estimates[Partitioned]; !near(e.Value, 40) {
 		t.Errorf("%+v", e)
 	}
-	if e := p.line("leader", "entries of its log in the hour apart").At[Apart]; !near(e.Value, 432) {
+	if e := p.line("leader", "entries of its log in the hour apart").Estimates[Partitioned]; !near(e.Value, 432) {
 		t.Errorf("%+v", e)
 	}
-	if c := p.Day[0]; c.Day != 864 || c.Commits != 12 {
+	if c := p.DailyCosts[0]; c.PerDay != 864 || c.Commits != 12 {
 		t.Errorf("%+v", c)
 	}
 	// Five zones in two regions, three in the first; a member in each.
@@ -257,15 +257,15 @@
 // What stops comes first, each part by its share.
 func TestOrderOfBreaks(t *testing.T) {
 	p := compute(t, small(), Results{Series: []Series{line("leader.cpu.followers", 0, 1, 10, 20, 40, 80), line("router.cpu.servers", 0, 0.1, 10, 20, 40, 80)}})
-	for i, b := range p.Breaks[1:] {
-		if was := p.Breaks[i]; !was.Stops && b.Stops || was.Stops == b.Stops && was.Share > b.Share {
-			t.Errorf("%s, %v, comes before %s, %v", was.What, was.Share, b.What, b.Share)
+	for i, b := range p.BreakingPoints[1:] {
+		if was := p.BreakingPoints[i]; !was.Stops && b.Stops || was.Stops == b.Stops && was.Share > b.Share {
+			t.Errorf("%s, %v, comes before %s, %v", was.Name, was.Share, b.Name, b.Share)
 		}
 	}
-	if first := p.Breaks[0]; first.What != "router: processor, health checks, of a whole core" || !near(first.Share, 0.1) {
+	if first := p.BreakingPoints[0]; first.Name != "router: processor, health checks, of a whole core" || !near(first.Share, 0.1) {
 		t.Errorf("%+v", first)
 	}
-	if last := p.Breaks[len(p.Breaks)-1]; last.Stops {
+	if last := p.BreakingPoints[len(p.BreakingPoints)-1]; last.Stops {
 		t.Errorf("%+v", last)
 	}
 	// Nothing else is left out where health checks take all: the routers are those of a control that were free.
@@ -286,11 +286,11 @@
 // Nothing is made up for what was not measured: it is said by name, stands as null in JSON and as a dash for people.
 func TestMissing(t *testing.T) {
 	p := compute(t, small(), Results{})
-	if e := p.line("server", "processor, health checks").At[Rest]; e.Basis != NotMeasured || e.cell() != "–" {
+	if e := p.line("server", "processor, health checks").Estimates[Rest]; e.Basis != NotMeasured || e.tableCell() != "–" {
 		t.Errorf("%+v", e)
 	}
-	if !slices.Contains(p.Unknown, "server: processor, health checks") {
-		t.Errorf("%v", p.Unknown)
+	if !slices.Contains(p.UnknownBudgets, "server: processor, health checks") {
+		t.Errorf("%v", p.UnknownBudgets)
 	}
 	if _, ok := p.brk("server: processor, health checks"); ok {
 		t.Error("it breaks somewhere")
@@ -300,8 +300,8 @@
 		t.Errorf("%v, %.300s", err, data)
 	}
 	for _, l := range p.Lines {
-		for k, e := range l.At {
-			if e.Basis == Measured || e.Basis == Foretold || e.Basis == NotMeasured != math.IsNaN(float64(e.Value)) {
+		for k, e := range l.Estimates {
+			if e.Basis == Measured || e.Basis == Extrapolated || e.Basis == NotMeasured != math.IsNaN(float64(e.Value)) {
 				t.Errorf("%s: %s, %s: %+v", l.Role, l.Figure, k, e)
 			}
 		}
@@ -314,13 +314,13 @@
 	other := small()
 	other.Readings = Readings{CallersPick: true, RoutesBeside: true, ControlAdded: true}
 	p := compute(t, other, r)
-	if n := p.line("server", "state: callers it knows").At[Rest].Value; float64(n) != float64(p.Routers)+50 {
+	if n := p.line("server", "state: callers it knows").Estimates[Rest].Value; float64(n) != float64(p.Routers)+50 {
 		t.Errorf("%v callers", n)
 	}
-	if n := p.line("router", "state: entries of servers and tenants").At[Rest].Value; n != 1110 {
+	if n := p.line("router", "state: entries of servers and tenants").Estimates[Rest].Value; n != 1110 {
 		t.Errorf("%v entries", n)
 	}
-	was, now := is.line("server", "processor, health checks").At[Rest].Value, p.line("server", "processor, health checks").At[Rest].Value
+	was, now := is.line("server", "processor, health checks").Estimates[Rest].Value, p.line("server", "processor, health checks").Estimates[Rest].Value
 	if !near(was, 0.005+0.001*float64(is.Routers)) || !near(now, 0.001*(float64(p.Routers)+50)) {
 		t.Errorf("%v, %v", was, now)
 	}
@@ -381,19 +381,19 @@
 		basis        Basis
 	}{
 		{"server", "processor, health checks", Rest, 0.005 + 0.001*20, Measured},
-		{"server", "processor, health checks", ZoneBack, 0.005 + 0.001*20 + 50.0/500, Measured}, // a round of 50 ms each 500
-		{"router", "processor, the map from a file", Rest, 0.002, Foretold},                     // twice as often
+		{"server", "processor, health checks", ZoneRecovering, 0.005 + 0.001*20 + 50.0/500, Measured}, // a round of 50 ms each 500
+		{"router", "processor, the map from a file", Rest, 0.002, Extrapolated},                       // twice as often
 		{"leader", "processor", Rest, 0.1 + 0.001*220, Measured},
 		{"leader", "processor", Burst, 0.1 + 0.001*220 + 0.001*3600*2, Assumed}, // one a second, twice the followers
-		{"leader", "processor", ZoneBack, 0.1 + 0.001*220 + 0.01*22, Assumed},
-		{"leader", "processor", Apart, 0.1 + 0.001*220, Assumed},
+		{"leader", "processor", ZoneRecovering, 0.1 + 0.001*220 + 0.01*22, Assumed},
+		{"leader", "processor", Partitioned, 0.1 + 0.001*220, Assumed},
 	} {
-		if e := p.line(c.role, c.figure).At[c.k]; !near(e.Value, c.value) || e.Basis != c.basis {
+		if e := p.line(c.role, c.figure).Estimates[c.k]; !near(e.Value, c.value) || e.Basis != c.basis {
 			t.Errorf("%s: %s, %s: %+v, want %v", c.role, c.figure, c.k, e, c.value)
 		}
 	}
 	// A rack of five: 80 a second each, for 1.5 s.
-	if c := p.Day[3]; !near(c.Late, 600) || !near(c.Known.Value, 1500) || c.Known.Basis != Measured {
+	if c := p.DailyCosts[3]; !near(c.RetriedRequests, 600) || !near(c.DetectionTime.Value, 1500) || c.DetectionTime.Basis != Measured {
 		t.Errorf("%+v", c)
 	}
 }
@@ -413,19 +413,19 @@
 	for _, s := range p.Sizing {
 		if want, ok := map[string]float64{
 			"requests a second of a router, by its core, were control free": 2500, "requests a second of a router, by the time that it adds": 1000,
-		}[s.What]; ok && !near(s.Is.Value, want) {
-			t.Errorf("%s: %v, want %v", s.What, s.Is.Value, want)
+		}[s.Name]; ok && !near(s.Estimate.Value, want) {
+			t.Errorf("%s: %v, want %v", s.Name, s.Estimate.Value, want)
 		}
 	}
 	// 8,000 over 1,000: eight, two in each zone; 1,000 a second each with a zone lost.
-	if e := p.line("router", "processor, requests").At[Peak]; p.Routers != 10 || !near(e.Value, 0.2) {
+	if e := p.line("router", "processor, requests").Estimates[Peak]; p.Routers != 10 || !near(e.Value, 0.2) {
 		t.Errorf("%v routers, %+v", p.Routers, e)
 	}
-	if e := p.line("router", "time added to a request, p99").At[Peak]; !near(e.Value, 1.6) {
+	if e := p.line("router", "time added to a request, p99").Estimates[Peak]; !near(e.Value, 1.6) {
 		t.Errorf("%+v", e)
 	}
 	// 200 ms each hundred seconds.
-	if e := p.line("router", "processor, checking new maps").At[Rest]; !near(e.Value, 0.002) {
+	if e := p.line("router", "processor, checking new maps").Estimates[Rest]; !near(e.Value, 0.002) {
 		t.Errorf("%+v", e)
 	}
 	// 2 ms a tenant, of ten ticks of 50.
@@ -466,13 +466,13 @@
 	// 1,000 in 256 parts: 3.9 and four times its root, 11.8 in all, of 100 bytes; after a year of 864 moves a day 1,231.9 and 140.4 of 54.
 	mean, moves := 1000/256.0, 365*864/256.0
 	full := (mean+4*math.Sqrt(mean))*100 + (moves+4*math.Sqrt(moves))*54
-	if b, _ := p.brk("leader: the fullest part of the map after a year of moves"); !near(b.Needed.Value, full/1024) || b.Share > 1 || !strings.Contains(b.Says, "after 315 days") {
+	if b, _ := p.brk("leader: the fullest part of the map after a year of moves"); !near(b.NeededAtTarget.Value, full/1024) || b.Share > 1 || !strings.Contains(b.Consequence, "after 315 days") {
 		t.Errorf("%+v, want %v", b, full/1024)
 	}
-	if b, _ := p.brk("leader: the fullest part of the map"); !near(b.Needed.Value, (mean+4*math.Sqrt(mean))*100/1024) || b.Share < 1 {
+	if b, _ := p.brk("leader: the fullest part of the map"); !near(b.NeededAtTarget.Value, (mean+4*math.Sqrt(mean))*100/1024) || b.Share < 1 {
 		t.Errorf("%+v", b)
 	}
-	if b, _ := p.brk("leader: a snapshot while a whole map is put on another and a third is drafted"); !near(b.Needed.Value, (3*word+110*134)/1024.0) {
+	if b, _ := p.brk("leader: a snapshot while a whole map is put on another and a third is drafted"); !near(b.NeededAtTarget.Value, (3*word+110*134)/1024.0) {
 		t.Errorf("%+v", b)
 	}
 	change := 2*68 + 1000*116/256.0
@@ -488,11 +488,11 @@
 		{"leader", "bytes of a snapshot of the group", Rest, (word + 110*134) / 1024.0},
 		{"leader", "bytes of a snapshot of the group", Burst, (word + change + 110*134) / 1024.0},
 		{"tool", "bytes of one reading of the rules", Rest, (290*68 + 110*268) / 1024.0},
-		{"tool", "bytes of one reading of the rules", ZoneBack, (290*68 + 132*268) / 1024.0},
+		{"tool", "bytes of one reading of the rules", ZoneRecovering, (290*68 + 132*268) / 1024.0},
 		{"tool", "words of a first import", Rest, 1},
 		{"leader", "connections made for words", Burst, 0},
 	} {
-		if e := p.line(c.role, c.figure).At[c.k]; !near(e.Value, c.want) || e.Basis != Assumed {
+		if e := p.line(c.role, c.figure).Estimates[c.k]; !near(e.Value, c.want) || e.Basis != Assumed {
 			t.Errorf("%s: %s, %s: %+v, want %v", c.role, c.figure, c.k, e, c.want)
 		}
 	}
@@ -502,8 +502,8 @@
 		t.Fatal(err)
 	}
 	out := p.line("leader", "bytes out")
-	if !near(out.At[Rest].Value, 55) || !near(out.At[ZoneBack].Value, 55+word*2/2/1024.0) || !near(out.At[Burst].Value, 55+change*10/1024) {
-		t.Errorf("%+v", out.At)
+	if !near(out.Estimates[Rest].Value, 55) || !near(out.Estimates[ZoneRecovering].Value, 55+word*2/2/1024.0) || !near(out.Estimates[Burst].Value, 55+change*10/1024) {
+		t.Errorf("%+v", out.Estimates)
 	}
 }
 
@@ -518,7 +518,7 @@
 	far := small()
 	far.Servers = 930
 	for _, c := range []struct {
-		program Program
+		program ProgramLimits
 		by      string
 		known   bool // what the leader spends
 	}{{BeforeParts, commitsBeforeParts[0], true}, {Current, commitsBeforeParts[0], false}, {Current, "later", true}} {
@@ -527,19 +527,19 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if is := p.line("leader", "processor").At[Rest].Basis != NotMeasured; is != c.known {
+		if is := p.line("leader", "processor").Estimates[Rest].Basis != NotMeasured; is != c.known {
 			t.Errorf("by %s: the leader's processor is known: %v", c.by, is)
 		}
-		if is := p.line("router", "processor, health checks").At[Rest].Basis != NotMeasured; is != c.known {
+		if is := p.line("router", "processor, health checks").Estimates[Rest].Basis != NotMeasured; is != c.known {
 			t.Errorf("by %s: a router's health checks are known: %v", c.by, is)
 		}
-		if p.line("server", "processor, health checks").At[Rest].Basis == NotMeasured || p.line("router", "processor, requests").At[Peak].Basis == NotMeasured {
+		if p.line("server", "processor, health checks").Estimates[Rest].Basis == NotMeasured || p.line("router", "processor, requests").Estimates[Peak].Basis == NotMeasured {
 			t.Errorf("by %s: what is as it was is not known", c.by)
 		}
 		if p, err = Compute(far, r, c.program); err != nil {
 			t.Fatal(err)
 		}
-		if e := p.line("router", "connections made for health checks").At[Rest]; c.known && !near(e.Value, 696) || !c.known && (!near(e.Value, 1860) || e.Basis != Foretold || e.Off != 0) {
+		if e := p.line("router", "connections made for health checks").Estimates[Rest]; c.known && !near(e.Value, 696) || !c.known && (!near(e.Value, 1860) || e.Basis != Extrapolated || e.RelativeError != 0) {
 			t.Errorf("by %s: %+v", c.by, e)
 		}
 		if left := strings.Contains(p.Measured, "; 2 series left out"); left == c.known {
@@ -550,7 +550,7 @@
 		t.Error("the results were changed")
 	}
 	for _, x := range changedSeries {
-		if x.series == "" || x.why == "" {
+		if x.prefix == "" || x.reason == "" {
 			t.Errorf("%+v", x)
 		}
 	}
@@ -571,22 +571,22 @@
 	of := small()
 	of.Readings.ControlAdded = true
 	p := compute(t, of, r)
-	if e := p.line("server", "processor, health checks").At[Rest]; !near(e.Value, 0.02+0.01-0.004) {
+	if e := p.line("server", "processor, health checks").Estimates[Rest]; !near(e.Value, 0.02+0.01-0.004) {
 		t.Errorf("%+v", e)
 	}
-	if e := p.line("router", "time to check a new map").At[Rest]; e.cell() != "200 m(s)" || e.String() != "measured, simulated" {
-		t.Errorf("%s, %s", e.cell(), e)
+	if e := p.line("router", "time to check a new map").Estimates[Rest]; e.tableCell() != "200 m(s)" || e.String() != "measured, simulated" {
+		t.Errorf("%s, %s", e.tableCell(), e)
 	}
-	if e := r.At("router.follows.tenants", 500); e.cell() != "50 m(h)" {
-		t.Errorf("%s", e.cell())
+	if e := r.At("router.follows.tenants", 500); e.tableCell() != "50 m(h)" {
+		t.Errorf("%s", e.tableCell())
 	}
 	// Of 110 followers none needs a new connection; the slope has 110.
-	if e := p.line("leader", "connections made for words").At[Rest]; e.Value != 0 || e.Basis != Assumed {
+	if e := p.line("leader", "connections made for words").Estimates[Rest]; e.Value != 0 || e.Basis != Assumed {
 		t.Errorf("%+v", e)
 	}
 	// Over its budget without any caller: what it needs at the target stands for it.
 	q := compute(t, small(), r)
-	if b, ok := q.brk("server: processor, health checks"); !ok || !b.Any || b.Share != 0 || !near(b.By.Value, 0.03) {
+	if b, ok := q.brk("server: processor, health checks"); !ok || !b.AtAnySize || b.Share != 0 || !near(b.AtShare.Value, 0.03) {
 		t.Errorf("%+v", b)
 	}
 }
--- a/internal/policy/capacity/render.go
+++ b/internal/policy/capacity/render.go
@@ -42,20 +42,20 @@
 }
 
 // cell is an estimate in a table: what it rests on stands behind it, m measured, ×N foretold, a assumed.
-func (e Estimate) cell() string {
-	of := ""
-	if e.Of != "" {
-		of = "(" + e.Of[:1] + ")"
+func (e Estimate) tableCell() string {
+	suffix := ""
+	if e.MeasuredOn != "" {
+		suffix = "(" + e.MeasuredOn[:1] + ")"
 	}
 	switch e.Basis {
 	case Measured:
-		return short(float64(e.Value)) + " m" + of
-	case Foretold:
+		return short(float64(e.Value)) + " m" + suffix
+	case Extrapolated:
 		mark := ""
-		if e.Off != 0 {
+		if e.RelativeError != 0 {
 			mark = "?"
 		}
-		return short(float64(e.Value)) + " ×" + short(e.Factor) + mark + of
+		return short(float64(e.Value)) + " ×" + short(e.Factor) + mark + suffix
 	case Assumed:
 		return short(float64(e.Value)) + " a"
 	}
@@ -85,60 +85,60 @@
 	for _, l := range p.Lines {
 		row := []string{l.Role, l.Figure}
 		if l.Unit != "" {
-			row[1] += "," + unit(l.Unit)
+			row[1] += "," + unitSuffix(l.Unit)
 		}
 		for _, k := range Conditions {
-			row = append(row, l.At[k].cell())
+			row = append(row, l.Estimates[k].tableCell())
 		}
 		budget := ""
 		if l.Budget > 0 {
 			budget = short(float64(l.Budget))
 		}
-		roles.Rows = append(roles.Rows, append(row, budget, l.Carried, l.Says))
+		roles.Rows = append(roles.Rows, append(row, budget, l.CarriedBy, l.Note))
 	}
 	sizing := Table{Name: "sizing", Title: "Servers and routers for the peak", Head: []string{"what", "figure", "basis", "how"}}
 	for _, s := range p.Sizing {
-		sizing.Rows = append(sizing.Rows, []string{s.What, short(float64(s.Is.Value)) + unit(s.Unit), s.Is.String(), s.Says})
+		sizing.Rows = append(sizing.Rows, []string{s.Name, short(float64(s.Estimate.Value)) + unitSuffix(s.Unit), s.Estimate.String(), s.Note})
 	}
 	machines := Table{Name: "machines", Title: "The machines of control", Head: []string{"machine", "region", "zone", "runs", "processor, core"}}
 	for i, m := range p.Machines {
-		machines.Rows = append(machines.Rows, []string{strconv.Itoa(i + 1), strconv.Itoa(m.Region), strconv.Itoa(m.Zone), m.Runs, m.Core.cell()})
+		machines.Rows = append(machines.Rows, []string{strconv.Itoa(i + 1), strconv.Itoa(m.Region), strconv.Itoa(m.Zone), m.Runs, m.Core.tableCell()})
 	}
 	day := Table{Name: "day", Title: "What fails and is restarted", Head: []string{"what", "a day", "servers", "ms until routers know", "requests tried again", "sheets failed, no store",
 		"sheets failed, with a store", "commits", "versions of the map", "connections made"}}
-	for _, c := range p.Day {
-		row := []string{c.What, short(float64(c.Day)), short(float64(c.Servers)), c.Known.cell()}
-		for _, v := range []Number{c.Late, c.Sheets, c.Stored, c.Commits, c.Versions, c.Connects} {
+	for _, c := range p.DailyCosts {
+		row := []string{c.Event, short(float64(c.PerDay)), short(float64(c.Servers)), c.DetectionTime.tableCell()}
+		for _, v := range []Number{c.RetriedRequests, c.FailedWithoutStore, c.FailedWithStore, c.Commits, c.MapVersions, c.Connections} {
 			row = append(row, short(float64(v)))
 		}
 		day.Rows = append(day.Rows, row)
 	}
-	list := []Table{roles, sizing, machines, day, p.breaking("breaking", "By breaking point")}
+	list := []Table{roles, sizing, machines, day, p.breakingTable("breaking", "By breaking point")}
 	t := Table{Name: "unknown", Title: "Of which nothing can be said, as it was not measured far enough", Head: []string{"budget"}}
-	for _, u := range p.Unknown {
+	for _, u := range p.UnknownBudgets {
 		t.Rows = append(t.Rows, []string{u})
 	}
-	if len(p.Unknown) == 0 {
+	if len(p.UnknownBudgets) == 0 {
 		t.Rows = [][]string{{"none"}}
 	}
 	return append(list, t)
 }
 
-func (p Plan) breaking(name, title string) Table {
+func (p Plan) breakingTable(name, title string) Table {
 	t := Table{Name: name, Title: title, Head: []string{"", "share of the target", "what", "needed", "bound or budget", "basis", "what happens", "carried by"}}
-	for i, b := range p.Breaks {
+	for i, b := range p.BreakingPoints {
 		kind := "costs"
 		if b.Stops {
 			kind = "stops"
 		}
-		t.Rows = append(t.Rows, []string{fmt.Sprintf("%d %s", i+1, kind), percent(b.Share), b.What, short(float64(b.Needed.Value)) + unit(b.Unit),
-			short(float64(b.Bound)) + unit(b.Unit), b.By.String(), b.Says, b.In})
+		t.Rows = append(t.Rows, []string{fmt.Sprintf("%d %s", i+1, kind), percent(b.Share), b.Name, short(float64(b.NeededAtTarget.Value)) + unitSuffix(b.Unit),
+			short(float64(b.Bound)) + unitSuffix(b.Unit), b.AtShare.String(), b.Consequence, b.CarriedBy})
 	}
 	return t
 }
 
 // Breaking is the list by breaking point under another name.
-func (p Plan) Breaking(name string) Table { return p.breaking(name, "By breaking point") }
+func (p Plan) BreakingTable(name string) Table { return p.breakingTable(name, "By breaking point") }
 
 // Markdown is a table as it stands in a page.
 func (t Table) Markdown() string {
@@ -162,16 +162,16 @@
 func Fill(page string, tables []Table) (string, error) {
 	used := map[string]bool{}
 	for _, t := range tables {
-		open := "<!-- capacity:" + t.Name + " -->\n"
-		before, rest, ok := strings.Cut(page, open)
+		startMarker := "<!-- capacity:" + t.Name + " -->\n"
+		before, afterStart, ok := strings.Cut(page, startMarker)
 		if !ok {
 			return page, fmt.Errorf("no marker for the table %q", t.Name)
 		}
-		_, after, ok := strings.Cut(rest, end)
+		_, after, ok := strings.Cut(afterStart, endMarker)
 		if !ok {
 			return page, fmt.Errorf("the marker of the table %q has no end", t.Name)
 		}
-		page = before + open + t.Markdown() + end + after
+		page = before + startMarker + t.Markdown() + endMarker + after
 		used[t.Name] = true
 	}
 	for rest := page; ; {
@@ -187,25 +187,25 @@
 	}
 }
 
-const end = "<!-- /capacity -->"
+const endMarker = "<!-- /capacity -->"
 
 // Compare has what another plan breaks at, where that is another share than in a first one.
-func Compare(name string, is, other Plan) Table {
+func Compare(name string, base, other Plan) Table {
 	t := Table{Name: name, Title: "By another reading", Head: []string{"what", "share of the target", "by the other reading", "needed", "bound or budget", "basis"}}
-	for _, b := range other.Breaks {
-		i := slices.IndexFunc(is.Breaks, func(was Break) bool { return was.What == b.What })
-		was := "–"
+	for _, b := range other.BreakingPoints {
+		i := slices.IndexFunc(base.BreakingPoints, func(p BreakingPoint) bool { return p.Name == b.Name })
+		baseShare := "–"
 		if i >= 0 {
-			was = percent(is.Breaks[i].Share)
+			baseShare = percent(base.BreakingPoints[i].Share)
 		}
-		if now := percent(b.Share); now != was {
-			t.Rows = append(t.Rows, []string{b.What, was, now, short(float64(b.Needed.Value)) + unit(b.Unit), short(float64(b.Bound)) + unit(b.Unit), b.By.String()})
+		if otherShare := percent(b.Share); otherShare != baseShare {
+			t.Rows = append(t.Rows, []string{b.Name, baseShare, otherShare, short(float64(b.NeededAtTarget.Value)) + unitSuffix(b.Unit), short(float64(b.Bound)) + unitSuffix(b.Unit), b.AtShare.String()})
 		}
 	}
 	return t
 }
 
-func unit(u string) string {
+func unitSuffix(u string) string {
 	if u == "" {
 		return ""
 	}
--- a/internal/policy/capacity/since.go
+++ b/internal/policy/capacity/since.go
@@ -9,7 +9,7 @@
 var commitsBeforeParts = []string{"d8bae39"}
 
 // changedSeries is what the program does otherwise than these did, by how its series begin, and why. What was measured of it says nothing of the program as it is.
-var changedSeries = []struct{ series, why string }{
+var changedSeries = []struct{ prefix, reason string }{
 	{"router.cpu.servers", "servers are no longer sorted at each answer to a health check"},
 	{"router.allocations.", "as above, and a map is read where it has changed"},
 	{"router.resident.", "a map has an index, and its parts are shared with the one before"},
@@ -42,25 +42,25 @@
 // truncatedSeries are series that say nothing of larger sizes: there a router of before came late with its health checks, as it sorted all servers
 // at each answer, so that it sent fewer than it was set to.
 var truncatedSeries = []struct {
-	series string
-	to     float64
+	name    string
+	maxSize float64
 }{
 	{"router.bytes_in.servers", 240}, {"router.bytes_out.servers", 240}, {"router.opened.servers", 240}, {"router.messages.servers", 240},
 }
 
 // applicableTo are the results as far as they say something of a program, and how many series do not.
-func (r Results) applicableTo(p Program) (Results, int) {
-	if !p.inParts() || !slices.Contains(commitsBeforeParts, r.Program) {
+func (r Results) applicableTo(p ProgramLimits) (Results, int) {
+	if !p.hasParts() || !slices.Contains(commitsBeforeParts, r.Program) {
 		return r, 0
 	}
 	all := r.Series
 	r.Series = slices.DeleteFunc(slices.Clone(all), func(s Series) bool {
-		return slices.ContainsFunc(changedSeries, func(x struct{ series, why string }) bool { return strings.HasPrefix(s.Name, x.series) })
+		return slices.ContainsFunc(changedSeries, func(x struct{ prefix, reason string }) bool { return strings.HasPrefix(s.Name, x.prefix) })
 	})
 	for i, s := range r.Series {
 		for _, x := range truncatedSeries {
-			if s.Name == x.series {
-				s.Points = slices.DeleteFunc(slices.Clone(s.Points), func(p Point) bool { return p.At > x.to })
+			if s.Name == x.name {
+				s.Points = slices.DeleteFunc(slices.Clone(s.Points), func(p Point) bool { return p.At > x.maxSize })
 				s.Fit, _ = Draw(s.Points, 1) // none of too few sizes
 				r.Series[i] = s
 			}
--- a/internal/policy/capacity/target.go
+++ b/internal/policy/capacity/target.go
@@ -70,15 +70,15 @@
 func (t Target) Check() error {
 	for _, f := range t.fields() {
 		switch {
-		case math.IsNaN(f.v) || math.IsInf(f.v, 0):
+		case math.IsNaN(f.value) || math.IsInf(f.value, 0):
 			return fmt.Errorf("%s: not a number", f.name)
-		case f.v < f.min || f.min == 0 && f.v == 0 && !f.zeroAllowed:
+		case f.value < f.min || f.min == 0 && f.value == 0 && !f.zeroAllowed:
 			if f.min == 0 {
-				return fmt.Errorf("%s: not above 0: %v", f.name, f.v)
+				return fmt.Errorf("%s: not above 0: %v", f.name, f.value)
 			}
-			return fmt.Errorf("%s: under %v: %v", f.name, f.min, f.v)
-		case f.max > 0 && f.v > f.max:
-			return fmt.Errorf("%s: over %v: %v", f.name, f.max, f.v)
+			return fmt.Errorf("%s: under %v: %v", f.name, f.min, f.value)
+		case f.max > 0 && f.value > f.max:
+			return fmt.Errorf("%s: over %v: %v", f.name, f.max, f.value)
 		}
 	}
 	if t.Regions > t.Zones {
@@ -95,7 +95,7 @@
 
 type field struct {
 	name        string
-	v           float64
+	value       float64
 	min, max    float64
 	zeroAllowed bool // 0 can be, where the least is 0
 }
