--- a/internal/policy/capacity/bounds_test.go
+++ b/internal/policy/capacity/bounds_test.go
@@ -18,54 +18,54 @@
 
 // Every bound of the program as it is stands in the source, by the name or the words that the table gives.
 func TestBounds(t *testing.T) {
-	table := map[string]bool{}
+	listed := map[string]bool{}
 	for _, s := range sources(Current) {
-		table[s.name] = true
+		listed[s.name] = true
 		fset := token.NewFileSet()
 		files := parseDir(t, fset, "../../../"+s.dir)
-		if !token.IsIdentifier(s.found) {
-			if !slices.ContainsFunc(files, func(f *ast.File) bool { return stands(t, fset, f, s.found) }) {
-				t.Errorf("%s: %s does not say %q", s.name, s.dir, s.found)
+		if !token.IsIdentifier(s.expr) {
+			if !slices.ContainsFunc(files, func(f *ast.File) bool { return containsExpr(t, fset, f, s.expr) }) {
+				t.Errorf("%s: %s does not say %q", s.name, s.dir, s.expr)
 			}
-			if v := number(t, s.found); v != s.value {
-				t.Errorf("%s is %v, and %q of %s is %v", s.name, s.value, s.found, s.dir, v)
+			if v := evalText(t, s.expr); v != s.value {
+				t.Errorf("%s is %v, and %q of %s is %v", s.name, s.value, s.expr, s.dir, v)
 			}
 			continue
 		}
 		var values []ast.Expr
 		for _, f := range files {
-			if e := constantOf(f, s.found); e != nil {
+			if e := findConstant(f, s.expr); e != nil {
 				values = append(values, e)
 			}
 		}
 		if len(values) != 1 {
-			t.Errorf("%s: %s has %d constants %s, not one", s.name, s.dir, len(values), s.found)
+			t.Errorf("%s: %s has %d constants %s, not one", s.name, s.dir, len(values), s.expr)
 			continue
 		}
-		if v := valueOf(t, values[0]); v != s.value {
-			t.Errorf("%s is %v, and %s of %s is %v", s.name, s.value, s.found, s.dir, v)
+		if v := evalConstant(t, values[0]); v != s.value {
+			t.Errorf("%s is %v, and %s of %s is %v", s.name, s.value, s.expr, s.dir, v)
 		}
 	}
 	// A status is read up to a message's length.
 	fset := token.NewFileSet()
 	for _, text := range []string{"doOn(dialLong, addr, dialTimeout, (*Conn).Status)", "msgpackrpc.DialCalls(ctx, addr)"} {
-		if f, err := parser.ParseFile(fset, "../../transport/client/client.go", nil, 0); err != nil || !stands(t, fset, f, text) {
+		if f, err := parser.ParseFile(fset, "../../transport/client/client.go", nil, 0); err != nil || !containsExpr(t, fset, f, text) {
 			t.Errorf("internal/transport/client/client.go does not say %q: %v", text, err)
 		}
 	}
-	const report = "announce %s %t"
-	if f, err := parser.ParseFile(fset, "../../transport/loadreport/reporter.go", nil, 0); err != nil || !stands(t, fset, f, `"`+report+`"`) {
-		t.Errorf("internal/transport/loadreport/reporter.go does not say %q: %v", report, err)
+	const reportFormat = "announce %s %t"
+	if f, err := parser.ParseFile(fset, "../../transport/loadreport/reporter.go", nil, 0); err != nil || !containsExpr(t, fset, f, `"`+reportFormat+`"`) {
+		t.Errorf("internal/transport/loadreport/reporter.go does not say %q: %v", reportFormat, err)
 	}
-	if n := len(fmt.Sprintf(report, "", true)); float64(n) != Current.ReportSize {
+	if n := len(fmt.Sprintf(reportFormat, "", true)); float64(n) != Current.ReportSize {
 		t.Errorf("a report has %d bytes without a name, the table has %v", n, Current.ReportSize)
 	}
 	// What has no line there is a size of what is written, which TestSizes holds.
 	for f := range reflect.TypeFor[ProgramLimits]().Fields() {
-		sized := strings.HasSuffix(f.Name, "TextSize") && f.Name != "MaxTextSize" || strings.HasSuffix(f.Name, "MessageSize") ||
+		isSize := strings.HasSuffix(f.Name, "TextSize") && f.Name != "MaxTextSize" || strings.HasSuffix(f.Name, "MessageSize") ||
 			strings.HasSuffix(f.Name, "StatusSize") || f.Name == "ReportSize"
-		if sized == table[f.Name] {
-			t.Errorf("%s: in the table of sources: %v", f.Name, table[f.Name])
+		if isSize == listed[f.Name] {
+			t.Errorf("%s: in the table of sources: %v", f.Name, listed[f.Name])
 		}
 	}
 }
@@ -75,7 +75,7 @@
 	name  string
 	value float64
 	dir   string // of the package, below the root
-	found string // name of a constant, or the text of an expression
+	expr  string // name of a constant, or the text of an expression
 }
 
 // sources lists where each bound of a program stands.
@@ -136,7 +136,7 @@
 }
 
 // stands reports whether an expression stands in a file.
-func stands(t *testing.T, fset *token.FileSet, f *ast.File, text string) (found bool) {
+func containsExpr(t *testing.T, fset *token.FileSet, f *ast.File, text string) (found bool) {
 	ast.Inspect(f, func(n ast.Node) bool {
 		if e, ok := n.(ast.Expr); ok && !found {
 			var b bytes.Buffer
@@ -151,12 +151,12 @@
 }
 
 // number is what an expression comes to: milliseconds of a time, and the part of what a name stands for.
-func number(t *testing.T, text string) float64 {
-	text, ms := strings.CutSuffix(text, " * time.Millisecond")
-	if whole, ok := strings.CutSuffix(text, " * time.Second"); ok {
-		text, ms = whole+" * 1000", true
+func evalText(t *testing.T, text string) float64 {
+	text, isDuration := strings.CutSuffix(text, " * time.Millisecond")
+	if seconds, ok := strings.CutSuffix(text, " * time.Second"); ok {
+		text, isDuration = seconds+" * 1000", true
 	}
-	if !ms {
+	if !isDuration {
 		if _, after, ok := strings.Cut(text, " * "); ok {
 			text = after
 		} else if _, after, ok := strings.Cut(text, " / "); ok {
@@ -173,7 +173,7 @@
 }
 
 // valueOf is what a constant's expression comes to, with the constants of the program's other packages that it names.
-func valueOf(t *testing.T, e ast.Expr) float64 {
+func evalConstant(t *testing.T, e ast.Expr) float64 {
 	t.Helper()
 	text := types.ExprString(e)
 	ast.Inspect(e, func(n ast.Node) bool {
@@ -181,16 +181,16 @@
 		if !ok {
 			return true
 		}
-		of := types.ExprString(x)
-		name := types.ExprString(x.X)
-		dirs, err := filepath.Glob("../../*/" + name)
+		selector := types.ExprString(x)
+		pkg := types.ExprString(x.X)
+		dirs, err := filepath.Glob("../../*/" + pkg)
 		if err != nil {
 			t.Fatal(err)
 		}
-		for _, dir := range append(dirs, "../../"+name) {
+		for _, dir := range append(dirs, "../../"+pkg) {
 			for _, f := range parseDir(t, token.NewFileSet(), dir) {
-				if c := constantOf(f, x.Sel.Name); c != nil {
-					text = strings.ReplaceAll(text, of, fmt.Sprint("(", types.ExprString(c), ")"))
+				if c := findConstant(f, x.Sel.Name); c != nil {
+					text = strings.ReplaceAll(text, selector, fmt.Sprint("(", types.ExprString(c), ")"))
 				}
 			}
 		}
@@ -204,7 +204,7 @@
 	return v
 }
 
-func constantOf(f *ast.File, name string) (e ast.Expr) {
+func findConstant(f *ast.File, name string) (e ast.Expr) {
 	ast.Inspect(f, func(n ast.Node) bool {
 		if v, ok := n.(*ast.ValueSpec); ok {
 			for i, id := range v.Names {
--- a/internal/policy/capacity/plan_test.go
+++ b/internal/policy/capacity/plan_test.go
@@ -9,7 +9,7 @@
 )
 
 // small is a target that can be worked by hand.
-func small() Target {
+func smallTarget() Target {
 	return Target{
 		Servers: 100, Callers: 50, CallerServices: 5, Requests: 8000, Routes: 10, Tenants: 1000, Added: 2, Regions: 2, Zones: 5, Changes: 864, InForce: 8,
 		Control: Control{Core: 0.01, Memory: 32, Bytes: 20, Machines: 6}, Day: Day{Fail: 4, Restart: 30, RackEvery: 7, ZoneEvery: 60, Apart: 3600},
@@ -19,7 +19,7 @@
 }
 
 // line is a series of base + per × at, measured once at each size; the last one is what the slope is held against.
-func line(name string, base, per float64, at ...float64) Series {
+func linearSeries(name string, base, per float64, at ...float64) Series {
 	s := Series{Name: name}
 	for _, x := range at {
 		s.Points = append(s.Points, Point{x, []float64{base + per*x}})
@@ -30,23 +30,23 @@
 	return s
 }
 
-func near(a Number, b float64) bool { return math.Abs(float64(a)-b) <= 1e-6*max(1, math.Abs(b)) }
+func approxEqual(a Number, b float64) bool { return math.Abs(float64(a)-b) <= 1e-6*max(1, math.Abs(b)) }
 
-func compute(t *testing.T, of Target, r Results) Plan {
+func compute(t *testing.T, target Target, r Results) Plan {
 	t.Helper()
-	p, err := Compute(of, r, BeforeParts)
+	p, err := Compute(target, r, BeforeParts)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return p
 }
 
-func (p Plan) line(role, figure string) Line {
+func (p Plan) findLine(role, figure string) Line {
 	i := slices.IndexFunc(p.Lines, func(l Line) bool { return l.Role == role && l.Figure == figure })
 	return p.Lines[i]
 }
 
-func (p Plan) brk(what string) (BreakingPoint, bool) {
+func (p Plan) findBreakingPoint(what string) (BreakingPoint, bool) {
 	i := slices.IndexFunc(p.BreakingPoints, func(b BreakingPoint) bool { return b.Name == what })
 	if i < 0 {
 		return BreakingPoint{}, false
@@ -55,7 +55,7 @@
 }
 
 func TestTargetNamesTheBadField(t *testing.T) {
-	if err := small().Check(); err != nil {
+	if err := smallTarget().Check(); err != nil {
 		t.Fatal(err)
 	}
 	for _, c := range []struct {
@@ -74,26 +74,26 @@
 		{func(x *Target) { x.Assumed.Sockets = 10 }, "assumed.sockets: under 64: 10"},
 		{func(x *Target) { x.Assumed.MachineBytes = math.Inf(1) }, "assumed.machine_kb_per_s: not a number"},
 	} {
-		bad := small()
-		c.change(&bad)
-		if err := bad.Check(); err == nil || err.Error() != c.want {
+		invalid := smallTarget()
+		c.change(&invalid)
+		if err := invalid.Check(); err == nil || err.Error() != c.want {
 			t.Errorf("%v, want %s", err, c.want)
 		}
-		if _, err := Compute(bad, Results{}, BeforeParts); err == nil {
+		if _, err := Compute(invalid, Results{}, BeforeParts); err == nil {
 			t.Errorf("computed: %s", c.want)
 		}
 	}
-	none := small()
-	none.Changes, none.Day.Fail, none.Routes = 0, 0, 0
-	if err := none.Check(); err != nil {
+	zeros := smallTarget()
+	zeros.Changes, zeros.Day.Fail, zeros.Routes = 0, 0, 0
+	if err := zeros.Check(); err != nil {
 		t.Error(err)
 	}
 }
 
 func TestAt(t *testing.T) {
-	wrong := line("wrong", 0, 1, 1, 2, 4, 8)
-	wrong.Fit.Off = 0.5
-	r := Results{Series: []Series{line("a", 3, 2, 1, 2, 4, 8, 16), wrong, {Name: "bare", Points: []Point{{1, []float64{5}}, {3, []float64{9, 7, 8}}}}}}
+	poorFit := linearSeries("wrong", 0, 1, 1, 2, 4, 8)
+	poorFit.Fit.Off = 0.5
+	r := Results{Series: []Series{linearSeries("a", 3, 2, 1, 2, 4, 8, 16), poorFit, {Name: "bare", Points: []Point{{1, []float64{5}}, {3, []float64{9, 7, 8}}}}}}
 	for _, c := range []struct {
 		name  string
 		at    float64
@@ -105,12 +105,12 @@
 		{"bare", 4, math.NaN(), "not measured"}, {"none", 1, math.NaN(), "not measured"}, {"a", math.Inf(1), math.NaN(), "not measured"},
 	} {
 		e := r.At(c.name, c.at)
-		if e.String() != c.basis || !near(e.Value, c.value) && !(math.IsNaN(c.value) && math.IsNaN(float64(e.Value))) {
+		if e.String() != c.basis || !approxEqual(e.Value, c.value) && !(math.IsNaN(c.value) && math.IsNaN(float64(e.Value))) {
 			t.Errorf("%s at %v: %v, %s; want %v, %s", c.name, c.at, e.Value, e, c.value, c.basis)
 		}
 	}
 	sum := r.At("a", 64).add(assumed(9))
-	if sum.Basis != Assumed || !near(sum.Value, 140) || sum.Factor != 4 {
+	if sum.Basis != Assumed || !approxEqual(sum.Value, 140) || sum.Factor != 4 {
 		t.Errorf("%+v", sum)
 	}
 	if sum := r.At("a", 2).add(r.At("none", 1)); sum.Basis != NotMeasured {
@@ -120,16 +120,16 @@
 
 // What is foretold goes on from what was measured last, so a fit that misses there does not jump.
 func TestForetoldGoesOn(t *testing.T) {
-	s := line("a", 0, 1, 1, 2, 4, 8)
+	s := linearSeries("a", 0, 1, 1, 2, 4, 8)
 	s.Points[3].Values = []float64{10}
 	e := Results{Series: []Series{s}}.At("a", 16)
-	if !near(e.Value, 18) {
+	if !approxEqual(e.Value, 18) {
 		t.Errorf("%v", e.Value)
 	}
 }
 
 func TestPasses(t *testing.T) {
-	r := Results{Series: []Series{line("a", 1, 0.1, 10, 20, 40, 80)}}
+	r := Results{Series: []Series{linearSeries("a", 1, 0.1, 10, 20, 40, 80)}}
 	at := func(x float64) func(float64) Estimate { return func(s float64) Estimate { return r.At("a", x*s) } }
 	for _, c := range []struct {
 		budget, x, share float64
@@ -151,8 +151,8 @@
 		t.Errorf("nothing was measured: %v", share)
 	}
 	// Over the budget within what was measured, and nothing known beyond.
-	bare := Results{Series: []Series{{Name: "a", Points: []Point{{10, []float64{1}}, {20, []float64{3}}}}}}
-	if share, e := lowestShareOver(2, func(s float64) Estimate { return bare.At("a", 100*s) }); math.Abs(share-0.15) > 1e-6 || e.Basis != Measured {
+	withoutFit := Results{Series: []Series{{Name: "a", Points: []Point{{10, []float64{1}}, {20, []float64{3}}}}}}
+	if share, e := lowestShareOver(2, func(s float64) Estimate { return withoutFit.At("a", 100*s) }); math.Abs(share-0.15) > 1e-6 || e.Basis != Measured {
 		t.Errorf("%v, %v", share, e)
 	}
 }
@@ -162,15 +162,15 @@
 // 8,000 / 1,000 = 8 routers in four zones, 2 in each: 10 in all.
 func TestByHand(t *testing.T) {
 	r := Results{Program: "p", Machine: "m", Series: []Series{
-		line("router.cpu.requests", 0.1, 0.0001, 500, 1000, 2000, 4000),
-		line("router.cpu.servers", 0.1, 0.001, 25, 50, 100, 200),
-		line("router.added_p99.requests", 0.5, 0.001, 500, 1000, 2000, 4000),
-		line("server.cpu.callers", 0.005, 0.001, 2, 4, 8, 16),
-		line("leader.cpu.followers", 0, 0.001, 10, 20, 40, 80),
-		line("member.snapshot_size.followers", 0, 0.5, 50, 100, 200, 400),
-		line("leader.opened.followers", 0, 2, 50, 100, 200, 400),
+		linearSeries("router.cpu.requests", 0.1, 0.0001, 500, 1000, 2000, 4000),
+		linearSeries("router.cpu.servers", 0.1, 0.001, 25, 50, 100, 200),
+		linearSeries("router.added_p99.requests", 0.5, 0.001, 500, 1000, 2000, 4000),
+		linearSeries("server.cpu.callers", 0.005, 0.001, 2, 4, 8, 16),
+		linearSeries("leader.cpu.followers", 0, 0.001, 10, 20, 40, 80),
+		linearSeries("member.snapshot_size.followers", 0, 0.5, 50, 100, 200, 400),
+		linearSeries("leader.opened.followers", 0, 2, 50, 100, 200, 400),
 	}}
-	p := compute(t, small(), r)
+	p := compute(t, smallTarget(), r)
 	if p.Routers != 10 {
 		t.Fatalf("%v routers: %+v", p.Routers, p.Sizing)
 	}
@@ -185,7 +185,7 @@
 		"routers that are reckoned with":                                       10,
 	}
 	for _, s := range p.Sizing {
-		if !near(s.Estimate.Value, want[s.Name]) {
+		if !approxEqual(s.Estimate.Value, want[s.Name]) {
 			t.Errorf("%s: %v, want %v", s.Name, s.Estimate.Value, want[s.Name])
 		}
 		delete(want, s.Name)
@@ -194,51 +194,51 @@
 		t.Errorf("missing: %v", want)
 	}
 	// Ten callers, 0.005 + 0.001 × 10; the budget of 0.01 is passed at five of them.
-	if e := p.line("server", "processor, health checks").Estimates[Rest]; !near(e.Value, 0.015) || e.Basis != Measured {
+	if e := p.findLine("server", "processor, health checks").Estimates[Rest]; !approxEqual(e.Value, 0.015) || e.Basis != Measured {
 		t.Errorf("%+v", e)
 	}
-	if b, ok := p.brk("server: processor, health checks"); !ok || b.Stops || !near(b.Share, 0.5) || !near(b.NeededAtTarget.Value, 0.015) {
+	if b, ok := p.findBreakingPoint("server: processor, health checks"); !ok || b.Stops || !approxEqual(b.Share, 0.5) || !approxEqual(b.NeededAtTarget.Value, 0.015) {
 		t.Errorf("%+v", b)
 	}
 	// 110 followers, of which 80 were measured.
-	if e := p.line("leader", "processor").Estimates[Rest]; !near(e.Value, 0.11) || e.String() != "foretold ×1.38" {
+	if e := p.findLine("leader", "processor").Estimates[Rest]; !approxEqual(e.Value, 0.11) || e.String() != "foretold ×1.38" {
 		t.Errorf("%+v, %s", e, e)
 	}
 	// Of a router's peak: 8,000 over eight that are left.
-	if e := p.line("router", "processor, requests").Estimates[Peak]; !near(e.Value, 0.2) {
+	if e := p.findLine("router", "processor, requests").Estimates[Peak]; !approxEqual(e.Value, 0.2) {
 		t.Errorf("%+v", e)
 	}
 	// The map: 1,000 × 195 + 100 × 154 bytes of 262,144.
-	if b, ok := p.brk("leader: the map as one document"); !ok || !b.Stops || !near(b.Share, 262144/210400.0) {
+	if b, ok := p.findBreakingPoint("leader: the map as one document"); !ok || !b.Stops || !approxEqual(b.Share, 262144/210400.0) {
 		t.Errorf("%+v", b)
 	}
 	// 17 of 1,000 × 222 + 100 × 177 bytes, and half a KB of each of 110 that are registered.
-	if b, ok := p.brk("leader: bytes of a snapshot of the group"); !ok || !near(b.Share, (1048576-4096)/(17*239700.0+110*512)) {
+	if b, ok := p.findBreakingPoint("leader: bytes of a snapshot of the group"); !ok || !approxEqual(b.Share, (1048576-4096)/(17*239700.0+110*512)) {
 		t.Errorf("%+v", b)
 	}
-	if e := p.line("leader", "connections made for words").Estimates[Rest]; !near(e.Value, 220) || e.Basis != Measured {
+	if e := p.findLine("leader", "connections made for words").Estimates[Rest]; !approxEqual(e.Value, 220) || e.Basis != Measured {
 		t.Errorf("%+v", e)
 	}
 	// Of 110 followers and six more connections none gives way at 128 places.
-	if e := p.line("leader", "connections made for words").Estimates[Burst]; !near(e.Value, 0) {
+	if e := p.findLine("leader", "connections made for words").Estimates[Burst]; !approxEqual(e.Value, 0) {
 		t.Errorf("%+v", e)
 	}
 	// 10 × 239,700 bytes in ten seconds, by a tenth of what is asked each second: the share's square passes 20 KB/s.
-	if b, ok := p.brk("router: bytes in, the map with each change"); !ok || !near(b.Share, math.Sqrt(20*1024/239700.0)) || !near(b.NeededAtTarget.Value, 239700.0/1024) {
+	if b, ok := p.findBreakingPoint("router: bytes in, the map with each change"); !ok || !approxEqual(b.Share, math.Sqrt(20*1024/239700.0)) || !approxEqual(b.NeededAtTarget.Value, 239700.0/1024) {
 		t.Errorf("%+v", b)
 	}
 	// A machine that fails with one server: 80 a second for half a second; half of them are sheets, for ten seconds.
-	if c := p.DailyCosts[2]; !near(c.RetriedRequests, 40) || !near(c.FailedWithoutStore, 400) || !near(c.FailedWithStore, 400) || c.Connections != 10 || c.PerDay != 4 {
+	if c := p.DailyCosts[2]; !approxEqual(c.RetriedRequests, 40) || !approxEqual(c.FailedWithoutStore, 400) || !approxEqual(c.FailedWithStore, 400) || c.Connections != 10 || c.PerDay != 4 {
 		t.Errorf("%+v", c)
 	}
-	if c := p.DailyCosts[1]; c.RetriedRequests != 0 || !near(c.FailedWithoutStore, 400) || c.FailedWithStore != 0 || c.Commits != 2 {
+	if c := p.DailyCosts[1]; c.RetriedRequests != 0 || !approxEqual(c.FailedWithoutStore, 400) || c.FailedWithStore != 0 || c.Commits != 2 {
 		t.Errorf("%+v", c)
 	}
 	// 100 servers, two of five zones on the smaller side; 36 changes in the hour, each 12 entries.
-	if e := p.line("owner", "state: open items of the keeper").Estimates[Partitioned]; !near(e.Value, 40) {
+	if e := p.findLine("owner", "state: open items of the keeper").Estimates[Partitioned]; !approxEqual(e.Value, 40) {
 		t.Errorf("%+v", e)
 	}
-	if e := p.line("leader", "entries of its log in the hour apart").Estimates[Partitioned]; !near(e.Value, 432) {
+	if e := p.findLine("leader", "entries of its log in the hour apart").Estimates[Partitioned]; !approxEqual(e.Value, 432) {
 		t.Errorf("%+v", e)
 	}
 	if c := p.DailyCosts[0]; c.PerDay != 864 || c.Commits != 12 {
@@ -256,13 +256,13 @@
 
 // What stops comes first, each part by its share.
 func TestOrderOfBreaks(t *testing.T) {
-	p := compute(t, small(), Results{Series: []Series{line("leader.cpu.followers", 0, 1, 10, 20, 40, 80), line("router.cpu.servers", 0, 0.1, 10, 20, 40, 80)}})
+	p := compute(t, smallTarget(), Results{Series: []Series{linearSeries("leader.cpu.followers", 0, 1, 10, 20, 40, 80), linearSeries("router.cpu.servers", 0, 0.1, 10, 20, 40, 80)}})
 	for i, b := range p.BreakingPoints[1:] {
-		if was := p.BreakingPoints[i]; !was.Stops && b.Stops || was.Stops == b.Stops && was.Share > b.Share {
-			t.Errorf("%s, %v, comes before %s, %v", was.Name, was.Share, b.Name, b.Share)
+		if previous := p.BreakingPoints[i]; !previous.Stops && b.Stops || previous.Stops == b.Stops && previous.Share > b.Share {
+			t.Errorf("%s, %v, comes before %s, %v", previous.Name, previous.Share, b.Name, b.Share)
 		}
 	}
-	if first := p.BreakingPoints[0]; first.Name != "router: processor, health checks, of a whole core" || !near(first.Share, 0.1) {
+	if first := p.BreakingPoints[0]; first.Name != "router: processor, health checks, of a whole core" || !approxEqual(first.Share, 0.1) {
 		t.Errorf("%+v", first)
 	}
 	if last := p.BreakingPoints[len(p.BreakingPoints)-1]; last.Stops {
@@ -272,27 +272,27 @@
 	if p.Routers != 10 { // 8,000 over 0.5 / 500 µs = 1,000: eight, two in each of four zones, and in the fifth
 		t.Errorf("%v routers", p.Routers)
 	}
-	none := BeforeParts
-	none.MaxTextSize, none.MaxHistory = 0, 0
-	q, err := Compute(small(), Results{}, none)
+	withoutLimits := BeforeParts
+	withoutLimits.MaxTextSize, withoutLimits.MaxHistory = 0, 0
+	unbounded, err := Compute(smallTarget(), Results{}, withoutLimits)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, ok := q.brk("leader: the map as one document"); ok {
+	if _, ok := unbounded.findBreakingPoint("leader: the map as one document"); ok {
 		t.Error("a bound that there is not")
 	}
 }
 
 // Nothing is made up for what was not measured: it is said by name, stands as null in JSON and as a dash for people.
 func TestMissing(t *testing.T) {
-	p := compute(t, small(), Results{})
-	if e := p.line("server", "processor, health checks").Estimates[Rest]; e.Basis != NotMeasured || e.tableCell() != "–" {
+	p := compute(t, smallTarget(), Results{})
+	if e := p.findLine("server", "processor, health checks").Estimates[Rest]; e.Basis != NotMeasured || e.tableCell() != "–" {
 		t.Errorf("%+v", e)
 	}
 	if !slices.Contains(p.UnknownBudgets, "server: processor, health checks") {
 		t.Errorf("%v", p.UnknownBudgets)
 	}
-	if _, ok := p.brk("server: processor, health checks"); ok {
+	if _, ok := p.findBreakingPoint("server: processor, health checks"); ok {
 		t.Error("it breaks somewhere")
 	}
 	data, err := json.Marshal(p)
@@ -309,26 +309,26 @@
 }
 
 func TestReadings(t *testing.T) {
-	r := Results{Series: []Series{line("server.cpu.callers", 0.005, 0.001, 2, 4, 8, 16)}}
-	is := compute(t, small(), r)
-	other := small()
+	r := Results{Series: []Series{linearSeries("server.cpu.callers", 0.005, 0.001, 2, 4, 8, 16)}}
+	base := compute(t, smallTarget(), r)
+	other := smallTarget()
 	other.Readings = Readings{CallersPick: true, RoutesBeside: true, ControlAdded: true}
 	p := compute(t, other, r)
-	if n := p.line("server", "state: callers it knows").Estimates[Rest].Value; float64(n) != float64(p.Routers)+50 {
+	if n := p.findLine("server", "state: callers it knows").Estimates[Rest].Value; float64(n) != float64(p.Routers)+50 {
 		t.Errorf("%v callers", n)
 	}
-	if n := p.line("router", "state: entries of servers and tenants").Estimates[Rest].Value; n != 1110 {
+	if n := p.findLine("router", "state: entries of servers and tenants").Estimates[Rest].Value; n != 1110 {
 		t.Errorf("%v entries", n)
 	}
-	was, now := is.line("server", "processor, health checks").Estimates[Rest].Value, p.line("server", "processor, health checks").Estimates[Rest].Value
-	if !near(was, 0.005+0.001*float64(is.Routers)) || !near(now, 0.001*(float64(p.Routers)+50)) {
-		t.Errorf("%v, %v", was, now)
+	baseCPU, otherCPU := base.findLine("server", "processor, health checks").Estimates[Rest].Value, p.findLine("server", "processor, health checks").Estimates[Rest].Value
+	if !approxEqual(baseCPU, 0.005+0.001*float64(base.Routers)) || !approxEqual(otherCPU, 0.001*(float64(p.Routers)+50)) {
+		t.Errorf("%v, %v", baseCPU, otherCPU)
 	}
-	rows := Compare("x", is, p).Rows
+	rows := Compare("x", base, p).Rows
 	if !slices.ContainsFunc(rows, func(r []string) bool { return r[0] == "leader: the map as one document" && r[1] != r[2] }) {
 		t.Errorf("%v", rows)
 	}
-	if len(Compare("x", is, is).Rows) > 0 {
+	if len(Compare("x", base, base).Rows) > 0 {
 		t.Error("it differs from itself")
 	}
 }
@@ -357,20 +357,20 @@
 
 // What was measured at another pace counts as many times: checks each second where the target has two, a lease of 6 s where it has 3.
 func TestPace(t *testing.T) {
-	at := func(s Series, varies string, fixed map[string]float64) Series {
+	withConditions := func(s Series, varies string, fixed map[string]float64) Series {
 		s.Varies, s.Fixed = varies, fixed
 		return s
 	}
 	r := Results{Series: []Series{
-		at(line("server.cpu.callers", 0.005, 0.001, 5, 10, 20, 40), "callers", map[string]float64{"check_ms": 1000}),
-		line("server.round.callers", 0, 5, 5, 10, 20, 40),
-		at(line("router.cpu.tenants.file", 0, 1e-6, 500, 1000, 2000, 4000), "tenants", map[string]float64{"lease_ms": 6000}),
-		at(line("leader.cpu.followers", 0.1, 0.001, 40, 80, 160, 320), "followers", map[string]float64{"lease_ms": 6000}),
-		at(line("leader.cpu.changes", 0.2, 0.001, 0, 900, 1800, 3600), "changes", map[string]float64{"followers": 55}),
-		at(line("leader.cpu.restarts", 0.3, 0.01, 5, 20, 40, 80), "restarts", map[string]float64{"followers": 40}),
-		line("router.dead_after.servers_lost.silent", 1000, 100, 1, 5, 20, 40),
+		withConditions(linearSeries("server.cpu.callers", 0.005, 0.001, 5, 10, 20, 40), "callers", map[string]float64{"check_ms": 1000}),
+		linearSeries("server.round.callers", 0, 5, 5, 10, 20, 40),
+		withConditions(linearSeries("router.cpu.tenants.file", 0, 1e-6, 500, 1000, 2000, 4000), "tenants", map[string]float64{"lease_ms": 6000}),
+		withConditions(linearSeries("leader.cpu.followers", 0.1, 0.001, 40, 80, 160, 320), "followers", map[string]float64{"lease_ms": 6000}),
+		withConditions(linearSeries("leader.cpu.changes", 0.2, 0.001, 0, 900, 1800, 3600), "changes", map[string]float64{"followers": 55}),
+		withConditions(linearSeries("leader.cpu.restarts", 0.3, 0.01, 5, 20, 40, 80), "restarts", map[string]float64{"followers": 40}),
+		linearSeries("router.dead_after.servers_lost.silent", 1000, 100, 1, 5, 20, 40),
 	}}
-	p := compute(t, small(), r)
+	p := compute(t, smallTarget(), r)
 	if p.Routers != 10 {
 		t.Fatal(p.Routers)
 	}
@@ -388,12 +388,12 @@
 		{"leader", "processor", ZoneRecovering, 0.1 + 0.001*220 + 0.01*22, Assumed},
 		{"leader", "processor", Partitioned, 0.1 + 0.001*220, Assumed},
 	} {
-		if e := p.line(c.role, c.figure).Estimates[c.k]; !near(e.Value, c.value) || e.Basis != c.basis {
+		if e := p.findLine(c.role, c.figure).Estimates[c.k]; !approxEqual(e.Value, c.value) || e.Basis != c.basis {
 			t.Errorf("%s: %s, %s: %+v, want %v", c.role, c.figure, c.k, e, c.value)
 		}
 	}
 	// A rack of five: 80 a second each, for 1.5 s.
-	if c := p.DailyCosts[3]; !near(c.RetriedRequests, 600) || !near(c.DetectionTime.Value, 1500) || c.DetectionTime.Basis != Measured {
+	if c := p.DailyCosts[3]; !approxEqual(c.RetriedRequests, 600) || !approxEqual(c.DetectionTime.Value, 1500) || c.DetectionTime.Basis != Measured {
 		t.Errorf("%+v", c)
 	}
 }
@@ -401,108 +401,108 @@
 // What a request's route takes among all tenants counts for the core and the time: 100 µs over a core's 0.5 of 100 µs a request, and 0.1 of 2 ms.
 func TestRouteAmongAllTenants(t *testing.T) {
 	r := Results{Series: []Series{
-		line("router.cpu.requests", 0, 0.0001, 500, 1000, 2000, 4000),
-		line("router.added_p99.requests", 0.5, 0.001, 500, 1000, 2000, 4000),
-		line("router.route.tenants", 0, 0.1, 250, 500, 1000, 2000),
-		line("router.parse.tenants", 0, 0.05, 250, 500, 1000, 2000),
-		line("router.follows.tenants", 0, 0.15, 250, 500, 1000, 2000),
-		line("leader.wholes.tenants", 0, 1.5, 250, 500, 1000, 2000),
-		line("leader.targets.tenants", 0, 0.5, 250, 500, 1000, 2000),
+		linearSeries("router.cpu.requests", 0, 0.0001, 500, 1000, 2000, 4000),
+		linearSeries("router.added_p99.requests", 0.5, 0.001, 500, 1000, 2000, 4000),
+		linearSeries("router.route.tenants", 0, 0.1, 250, 500, 1000, 2000),
+		linearSeries("router.parse.tenants", 0, 0.05, 250, 500, 1000, 2000),
+		linearSeries("router.follows.tenants", 0, 0.15, 250, 500, 1000, 2000),
+		linearSeries("leader.wholes.tenants", 0, 1.5, 250, 500, 1000, 2000),
+		linearSeries("leader.targets.tenants", 0, 0.5, 250, 500, 1000, 2000),
 	}}
-	p := compute(t, small(), r)
+	p := compute(t, smallTarget(), r)
 	for _, s := range p.Sizing {
 		if want, ok := map[string]float64{
 			"requests a second of a router, by its core, were control free": 2500, "requests a second of a router, by the time that it adds": 1000,
-		}[s.Name]; ok && !near(s.Estimate.Value, want) {
+		}[s.Name]; ok && !approxEqual(s.Estimate.Value, want) {
 			t.Errorf("%s: %v, want %v", s.Name, s.Estimate.Value, want)
 		}
 	}
 	// 8,000 over 1,000: eight, two in each zone; 1,000 a second each with a zone lost.
-	if e := p.line("router", "processor, requests").Estimates[Peak]; p.Routers != 10 || !near(e.Value, 0.2) {
+	if e := p.findLine("router", "processor, requests").Estimates[Peak]; p.Routers != 10 || !approxEqual(e.Value, 0.2) {
 		t.Errorf("%v routers, %+v", p.Routers, e)
 	}
-	if e := p.line("router", "time added to a request, p99").Estimates[Peak]; !near(e.Value, 1.6) {
+	if e := p.findLine("router", "time added to a request, p99").Estimates[Peak]; !approxEqual(e.Value, 1.6) {
 		t.Errorf("%+v", e)
 	}
 	// 200 ms each hundred seconds.
-	if e := p.line("router", "processor, checking new maps").Estimates[Rest]; !near(e.Value, 0.002) {
+	if e := p.findLine("router", "processor, checking new maps").Estimates[Rest]; !approxEqual(e.Value, 0.002) {
 		t.Errorf("%+v", e)
 	}
 	// 2 ms a tenant, of ten ticks of 50.
-	if b, ok := p.brk("leader: time to share the cells out, in one go"); !ok || !b.Stops || !near(b.Share, 0.25) {
+	if b, ok := p.findBreakingPoint("leader: time to share the cells out, in one go"); !ok || !b.Stops || !approxEqual(b.Share, 0.25) {
 		t.Errorf("%+v", b)
 	}
 }
 
 // The same of a map in parts: 100 bytes a tenant and 104 a server, as words 116 and 120, in 290 parts of 68 bytes.
 func TestInPartsByHand(t *testing.T) {
-	p, err := Compute(small(), Results{}, Current)
+	p, err := Compute(smallTarget(), Results{}, Current)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if p.Routers != 10 { // 8,000 over 0.5 / 500 µs: eight, two in each of four zones, and in the fifth
 		t.Fatal(p.Routers)
 	}
-	const word = 1000*116 + 100*120 + 290*68 // 147,720
-	share := func(what string, want float64) {
+	const mapSize = 1000*116 + 100*120 + 290*68 // 147,720
+	checkShare := func(name string, want float64) {
 		t.Helper()
-		if b, ok := p.brk(what); !ok || math.Abs(float64(b.Share)-want) > 1e-6*want {
-			t.Errorf("%s: %+v, want %v", what, b, want)
+		if b, ok := p.findBreakingPoint(name); !ok || math.Abs(float64(b.Share)-want) > 1e-6*want {
+			t.Errorf("%s: %+v, want %v", name, b, want)
 		}
 	}
-	share("leader: the map as one document", 16777216/(1000*100+100*104.0))
-	share("owner: the keeper's journal in one answer", 1048576/(3*(1000*222+100*177.0)))
-	share("owner: the keeper's next map in one entry of the log", 458752/(1000*222+100*177.0))
-	share("leader: askings that wait at one time", 8192/(110*1.2))
+	checkShare("leader: the map as one document", 16777216/(1000*100+100*104.0))
+	checkShare("owner: the keeper's journal in one answer", 1048576/(3*(1000*222+100*177.0)))
+	checkShare("owner: the keeper's next map in one entry of the log", 458752/(1000*222+100*177.0))
+	checkShare("leader: askings that wait at one time", 8192/(110*1.2))
 	for what, bound := range map[string]float64{"leader: state: processes that are registered": 4096, "leader: descriptors: connections": 4608} {
-		if b, _ := p.brk(what); float64(b.Bound) != bound || !math.IsInf(float64(b.Share), 1) { // over 20 times 132 and 116
+		if b, _ := p.findBreakingPoint(what); float64(b.Bound) != bound || !math.IsInf(float64(b.Share), 1) { // over 20 times 132 and 116
 			t.Errorf("%s: %+v", what, b)
 		}
 	}
 	// An answer has no whole map.
-	if b, ok := p.brk("follower: the map in force and the next one in one answer"); ok {
+	if b, ok := p.findBreakingPoint("follower: the map in force and the next one in one answer"); ok {
 		t.Errorf("%+v", b)
 	}
 	// 1,000 in 256 parts: 3.9 and four times its root, 11.8 in all, of 100 bytes; after a year of 864 moves a day 1,231.9 and 140.4 of 54.
 	mean, moves := 1000/256.0, 365*864/256.0
-	full := (mean+4*math.Sqrt(mean))*100 + (moves+4*math.Sqrt(moves))*54
-	if b, _ := p.brk("leader: the fullest part of the map after a year of moves"); !near(b.NeededAtTarget.Value, full/1024) || b.Share > 1 || !strings.Contains(b.Consequence, "after 315 days") {
-		t.Errorf("%+v, want %v", b, full/1024)
+	fullest := (mean+4*math.Sqrt(mean))*100 + (moves+4*math.Sqrt(moves))*54
+	if b, _ := p.findBreakingPoint("leader: the fullest part of the map after a year of moves"); !approxEqual(b.NeededAtTarget.Value, fullest/1024) || b.Share > 1 || !strings.Contains(b.Consequence, "after 315 days") {
+		t.Errorf("%+v, want %v", b, fullest/1024)
 	}
-	if b, _ := p.brk("leader: the fullest part of the map"); !near(b.NeededAtTarget.Value, (mean+4*math.Sqrt(mean))*100/1024) || b.Share < 1 {
+	if b, _ := p.findBreakingPoint("leader: the fullest part of the map"); !approxEqual(b.NeededAtTarget.Value, (mean+4*math.Sqrt(mean))*100/1024) || b.Share < 1 {
 		t.Errorf("%+v", b)
 	}
-	if b, _ := p.brk("leader: a snapshot while a whole map is put on another and a third is drafted"); !near(b.NeededAtTarget.Value, (3*word+110*134)/1024.0) {
+	if b, _ := p.findBreakingPoint("leader: a snapshot while a whole map is put on another and a third is drafted"); !approxEqual(b.NeededAtTarget.Value, (3*mapSize+110*134)/1024.0) {
 		t.Errorf("%+v", b)
 	}
-	change := 2*68 + 1000*116/256.0
+	changeSize := 2*68 + 1000*116/256.0
 	for _, c := range []struct {
 		role, figure string
 		k            Condition
 		want         float64
 	}{
-		{"router", "bytes in, the map with each change", Rest, change * 0.01 / 1024},
-		{"router", "bytes in, the map with each change", Burst, change / 1024},
-		{"router", "bytes in, the map as it starts", Rest, word / 1024.0},
+		{"router", "bytes in, the map with each change", Rest, changeSize * 0.01 / 1024},
+		{"router", "bytes in, the map with each change", Burst, changeSize / 1024},
+		{"router", "bytes in, the map as it starts", Rest, mapSize / 1024.0},
 		{"router", "askings for the map as it starts", Rest, 2},
-		{"leader", "bytes of a snapshot of the group", Rest, (word + 110*134) / 1024.0},
-		{"leader", "bytes of a snapshot of the group", Burst, (word + change + 110*134) / 1024.0},
+		{"leader", "bytes of a snapshot of the group", Rest, (mapSize + 110*134) / 1024.0},
+		{"leader", "bytes of a snapshot of the group", Burst, (mapSize + changeSize + 110*134) / 1024.0},
 		{"tool", "bytes of one reading of the rules", Rest, (290*68 + 110*268) / 1024.0},
 		{"tool", "bytes of one reading of the rules", ZoneRecovering, (290*68 + 132*268) / 1024.0},
 		{"tool", "words of a first import", Rest, 1},
 		{"leader", "connections made for words", Burst, 0},
 	} {
-		if e := p.line(c.role, c.figure).Estimates[c.k]; !near(e.Value, c.want) || e.Basis != Assumed {
+		if e := p.findLine(c.role, c.figure).Estimates[c.k]; !approxEqual(e.Value, c.want) || e.Basis != Assumed {
 			t.Errorf("%s: %s, %s: %+v, want %v", c.role, c.figure, c.k, e, c.want)
 		}
 	}
 	// Where the leader's words were measured, a zone's two routers that start have the map within two seconds.
-	p, err = Compute(small(), Results{Series: []Series{line("leader.bytes_out.followers", 0, 0.5, 50, 100, 200, 400)}}, Current)
+	p, err = Compute(smallTarget(), Results{Series: []Series{linearSeries("leader.bytes_out.followers", 0, 0.5, 50, 100, 200, 400)}}, Current)
 	if err != nil {
 		t.Fatal(err)
 	}
-	out := p.line("leader", "bytes out")
-	if !near(out.Estimates[Rest].Value, 55) || !near(out.Estimates[ZoneRecovering].Value, 55+word*2/2/1024.0) || !near(out.Estimates[Burst].Value, 55+change*10/1024) {
+	out := p.findLine("leader", "bytes out")
+	if !approxEqual(out.Estimates[Rest].Value, 55) || !approxEqual(out.Estimates[ZoneRecovering].Value, 55+mapSize*2/2/1024.0) || !approxEqual(out.Estimates[Burst].Value, 55+changeSize*10/1024) {
 		t.Errorf("%+v", out.Estimates)
 	}
 }
@@ -510,40 +510,40 @@
 // What was measured before documents went in parts counts for the program as it was; of today's what it does otherwise since is left out.
 func TestSince(t *testing.T) {
 	r := Results{Program: commitsBeforeParts[0], Machine: "m", Series: []Series{
-		line("server.cpu.callers", 0.005, 0.001, 2, 4, 8, 16), line("leader.cpu.followers", 0, 0.001, 10, 20, 40, 80), line("router.cpu.servers", 0, 0.001, 10, 20, 40, 80),
-		line("router.cpu.requests", 0.1, 0.0001, 500, 1000, 2000, 4000), line("router.opened.servers", 0, 2, 30, 60, 120, 240, 930),
+		linearSeries("server.cpu.callers", 0.005, 0.001, 2, 4, 8, 16), linearSeries("leader.cpu.followers", 0, 0.001, 10, 20, 40, 80), linearSeries("router.cpu.servers", 0, 0.001, 10, 20, 40, 80),
+		linearSeries("router.cpu.requests", 0.1, 0.0001, 500, 1000, 2000, 4000), linearSeries("router.opened.servers", 0, 2, 30, 60, 120, 240, 930),
 	}}
 	last := &r.Series[4].Points[4]
 	last.Values = []float64{696} // 930 servers were asked late
-	far := small()
-	far.Servers = 930
+	largeTarget := smallTarget()
+	largeTarget.Servers = 930
 	for _, c := range []struct {
 		program ProgramLimits
-		by      string
+		commit  string
 		known   bool // what the leader spends
 	}{{BeforeParts, commitsBeforeParts[0], true}, {Current, commitsBeforeParts[0], false}, {Current, "later", true}} {
-		r.Program = c.by
-		p, err := Compute(small(), r, c.program)
+		r.Program = c.commit
+		p, err := Compute(smallTarget(), r, c.program)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if is := p.line("leader", "processor").Estimates[Rest].Basis != NotMeasured; is != c.known {
-			t.Errorf("by %s: the leader's processor is known: %v", c.by, is)
+		if measured := p.findLine("leader", "processor").Estimates[Rest].Basis != NotMeasured; measured != c.known {
+			t.Errorf("by %s: the leader's processor is known: %v", c.commit, measured)
 		}
-		if is := p.line("router", "processor, health checks").Estimates[Rest].Basis != NotMeasured; is != c.known {
-			t.Errorf("by %s: a router's health checks are known: %v", c.by, is)
+		if measured := p.findLine("router", "processor, health checks").Estimates[Rest].Basis != NotMeasured; measured != c.known {
+			t.Errorf("by %s: a router's health checks are known: %v", c.commit, measured)
 		}
-		if p.line("server", "processor, health checks").Estimates[Rest].Basis == NotMeasured || p.line("router", "processor, requests").Estimates[Peak].Basis == NotMeasured {
-			t.Errorf("by %s: what is as it was is not known", c.by)
+		if p.findLine("server", "processor, health checks").Estimates[Rest].Basis == NotMeasured || p.findLine("router", "processor, requests").Estimates[Peak].Basis == NotMeasured {
+			t.Errorf("by %s: what is as it was is not known", c.commit)
 		}
-		if p, err = Compute(far, r, c.program); err != nil {
+		if p, err = Compute(largeTarget, r, c.program); err != nil {
 			t.Fatal(err)
 		}
-		if e := p.line("router", "connections made for health checks").Estimates[Rest]; c.known && !near(e.Value, 696) || !c.known && (!near(e.Value, 1860) || e.Basis != Extrapolated || e.RelativeError != 0) {
-			t.Errorf("by %s: %+v", c.by, e)
+		if e := p.findLine("router", "connections made for health checks").Estimates[Rest]; c.known && !approxEqual(e.Value, 696) || !c.known && (!approxEqual(e.Value, 1860) || e.Basis != Extrapolated || e.RelativeError != 0) {
+			t.Errorf("by %s: %+v", c.commit, e)
 		}
-		if left := strings.Contains(p.Measured, "; 2 series left out"); left == c.known {
-			t.Errorf("by %s: %s", c.by, p.Measured)
+		if excluded := strings.Contains(p.Measured, "; 2 series left out"); excluded == c.known {
+			t.Errorf("by %s: %s", c.commit, p.Measured)
 		}
 	}
 	if len(r.Series) != 5 || len(r.Series[4].Points) != 5 {
@@ -559,34 +559,34 @@
 // What is of no real process says so; a process at rest that was measured by itself is what control is added to; a slope that is not
 // believed does not say how many connections a leader is asked for.
 func TestWhatWasMeasured(t *testing.T) {
-	calls := line("server.cpu.callers", 0.02, 0.001, 5, 10, 20, 40)
-	calls.Role, calls.Figure = "server", "cpu"
-	decided := line("router.parse.tenants", 0, 0.1, 250, 500, 1000, 2000)
-	decided.Of = "simulated"
-	hollow := line("router.follows.tenants", 0, 0.1, 250, 500, 1000, 2000)
+	probed := linearSeries("server.cpu.callers", 0.02, 0.001, 5, 10, 20, 40)
+	probed.Role, probed.Figure = "server", "cpu"
+	simulated := linearSeries("router.parse.tenants", 0, 0.1, 250, 500, 1000, 2000)
+	simulated.Of = "simulated"
+	hollow := linearSeries("router.follows.tenants", 0, 0.1, 250, 500, 1000, 2000)
 	hollow.Of = "hollow"
-	opened := line("leader.opened.followers", 0, 1, 10, 20, 40, 80)
+	opened := linearSeries("leader.opened.followers", 0, 1, 10, 20, 40, 80)
 	opened.Fit.Off = 0.5
-	r := Results{Series: []Series{calls, decided, hollow, opened, {Name: "server.cpu.rest", Points: []Point{{0, []float64{0.004}}}}}}
-	of := small()
-	of.Readings.ControlAdded = true
-	p := compute(t, of, r)
-	if e := p.line("server", "processor, health checks").Estimates[Rest]; !near(e.Value, 0.02+0.01-0.004) {
+	r := Results{Series: []Series{probed, simulated, hollow, opened, {Name: "server.cpu.rest", Points: []Point{{0, []float64{0.004}}}}}}
+	controlAdded := smallTarget()
+	controlAdded.Readings.ControlAdded = true
+	p := compute(t, controlAdded, r)
+	if e := p.findLine("server", "processor, health checks").Estimates[Rest]; !approxEqual(e.Value, 0.02+0.01-0.004) {
 		t.Errorf("%+v", e)
 	}
-	if e := p.line("router", "time to check a new map").Estimates[Rest]; e.tableCell() != "200 m(s)" || e.String() != "measured, simulated" {
+	if e := p.findLine("router", "time to check a new map").Estimates[Rest]; e.tableCell() != "200 m(s)" || e.String() != "measured, simulated" {
 		t.Errorf("%s, %s", e.tableCell(), e)
 	}
 	if e := r.At("router.follows.tenants", 500); e.tableCell() != "50 m(h)" {
 		t.Errorf("%s", e.tableCell())
 	}
 	// Of 110 followers none needs a new connection; the slope has 110.
-	if e := p.line("leader", "connections made for words").Estimates[Rest]; e.Value != 0 || e.Basis != Assumed {
+	if e := p.findLine("leader", "connections made for words").Estimates[Rest]; e.Value != 0 || e.Basis != Assumed {
 		t.Errorf("%+v", e)
 	}
 	// Over its budget without any caller: what it needs at the target stands for it.
-	q := compute(t, small(), r)
-	if b, ok := q.brk("server: processor, health checks"); !ok || !b.AtAnySize || b.Share != 0 || !near(b.AtShare.Value, 0.03) {
+	withoutAdded := compute(t, smallTarget(), r)
+	if b, ok := withoutAdded.findBreakingPoint("server: processor, health checks"); !ok || !b.AtAnySize || b.Share != 0 || !approxEqual(b.AtShare.Value, 0.03) {
 		t.Errorf("%+v", b)
 	}
 }
--- a/internal/policy/capacity/results_test.go
+++ b/internal/policy/capacity/results_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func points(f func(x float64) float64, at ...float64) (list []Point) {
+func makePoints(f func(x float64) float64, at ...float64) (list []Point) {
 	for _, x := range at {
 		list = append(list, Point{x, []float64{f(x), f(x) * 1.5, f(x) * 0.9}})
 	}
@@ -14,7 +14,7 @@
 
 func TestDrawForetells(t *testing.T) {
 	for _, power := range []float64{1, 2} {
-		f, err := Draw(points(func(x float64) float64 { return 3 + 2*math.Pow(x, power) }, 1, 2, 4, 8, 16), power)
+		f, err := Draw(makePoints(func(x float64) float64 { return 3 + 2*math.Pow(x, power) }, 1, 2, 4, 8, 16), power)
 		if err != nil || math.Abs(f.Base-3) > 1e-9 || math.Abs(f.Per-2) > 1e-9 || f.To != 8 || f.At != 16 || !f.Believed() {
 			t.Errorf("power %v: %+v, %v", power, f, err)
 		}
@@ -23,11 +23,11 @@
 
 // What grows by the square is not foretold by a line, and a size of under twice the largest that was fitted proves nothing.
 func TestDrawIsMarked(t *testing.T) {
-	f, err := Draw(points(func(x float64) float64 { return x * x }, 1, 2, 4, 8, 16), 1)
+	f, err := Draw(makePoints(func(x float64) float64 { return x * x }, 1, 2, 4, 8, 16), 1)
 	if err != nil || f.Believed() {
 		t.Errorf("a square taken for a line is believed: %+v, %v", f, err)
 	}
-	if f, err := Draw(points(func(x float64) float64 { return x }, 1, 2, 4, 5), 1); err == nil {
+	if f, err := Draw(makePoints(func(x float64) float64 { return x }, 1, 2, 4, 5), 1); err == nil {
 		t.Errorf("a slope of two sizes: %+v", f)
 	}
 	near := Fit{To: 8, At: 15, Off: 0}
