--- a/internal/policy/capacity/breaks.go
+++ b/internal/policy/capacity/breaks.go
@@ -17,20 +17,20 @@
 			continue
 		}
 		lowest, found := BreakingPoint{Share: Number(math.Inf(1))}, false
-		for i, k := range Conditions {
-			if slices.ContainsFunc(Conditions[:i], func(other Condition) bool { return l.Estimates[other] == l.Estimates[k] }) {
+		for i, condition := range Conditions {
+			if slices.ContainsFunc(Conditions[:i], func(other Condition) bool { return l.Estimates[other] == l.Estimates[condition] }) {
 				continue // as in one before
 			}
-			share, atShare := lowestShareOver(float64(l.Budget), l.atShare[k])
+			share, atShare := lowestShareOver(float64(l.Budget), l.atShare[condition])
 			if math.IsNaN(share) {
 				continue
 			}
 			if share == 0 {
-				atShare = l.Estimates[k] // its base alone is over: what it needs at the target says more
+				atShare = l.Estimates[condition] // its base alone is over: what it needs at the target says more
 			}
 			if b := (BreakingPoint{
-				Name: l.Role + ": " + l.Figure, Stops: l.stopsWhenOver != "", Share: Number(share), AtAnySize: share == 0, NeededAtTarget: l.Estimates[k], Bound: l.Budget,
-				Unit: l.Unit, AtShare: atShare, Consequence: consequence(l, k), CarriedBy: l.CarriedBy,
+				Name: l.Role + ": " + l.Figure, Stops: l.stopsWhenOver != "", Share: Number(share), AtAnySize: share == 0, NeededAtTarget: l.Estimates[condition], Bound: l.Budget,
+				Unit: l.Unit, AtShare: atShare, Consequence: consequence(l, condition), CarriedBy: l.CarriedBy,
 			}); !found || b.Share < lowest.Share {
 				lowest, found = b, true
 			}
@@ -55,20 +55,20 @@
 }
 
 // says is what the passing of a line's budget means.
-func consequence(l Line, k Condition) string {
+func consequence(l Line, condition Condition) string {
 	text := l.stopsWhenOver
 	if text == "" {
 		text = cmp.Or(l.costWhenOver, "over "+l.BudgetSource)
 	}
-	if k != Rest {
-		text += ", " + string(k)
+	if condition != Rest {
+		text += ", " + string(condition)
 	}
 	return text
 }
 
 // fixedBounds are bounds that no line has, from the sizes of what is written.
 func (c *planner) fixedBounds() (list []BreakingPoint) {
-	p, maxMessage := c.limits, c.limits.MaxCallBody
+	limits, maxMessage := c.limits, c.limits.MaxCallBody
 	addGrowing := func(name string, needed func(share float64) float64, bound float64, unit, carriedBy, consequence string) {
 		if bound <= 0 {
 			return // there is none
@@ -84,30 +84,30 @@
 		list = append(list, BreakingPoint{Name: name, Stops: true, Share: share, NeededAtTarget: assumed(needed), Bound: Number(bound), Unit: unit, AtShare: assumed(bound), Consequence: consequence, CarriedBy: carriedBy})
 	}
 	const movesAssumption = "were each change a move, as homes of the past stay and nothing takes them out"
-	if p.hasParts() {
-		add("leader: the map as one document", c.partsTextSize(1)/kb, p.MaxDocumentSize/kb, "KB", "internal/policy/configstore", "the map is refused")
-		addGrowing("leader: what a week of moves adds to the map", func(s float64) float64 { return 7 * c.target.Changes * s * p.HomePartTextSize / kb }, p.MaxDocumentSize/kb, "KB", "internal/policy/cells",
+	if limits.hasParts() {
+		add("leader: the map as one document", c.partsTextSize(1)/kb, limits.MaxDocumentSize/kb, "KB", "internal/policy/configstore", "the map is refused")
+		addGrowing("leader: what a week of moves adds to the map", func(s float64) float64 { return 7 * c.target.Changes * s * limits.HomePartTextSize / kb }, limits.MaxDocumentSize/kb, "KB", "internal/policy/cells",
 			"the map is refused, whatever its size before: "+movesAssumption)
 		fullestSize := func(s, days float64) float64 {
-			return (c.fullestPart(c.target.entries()*s)*p.TenantPartTextSize + c.fullestPart(c.target.Changes*s*days)*p.HomePartTextSize) / kb
+			return (c.fullestPart(c.target.entries()*s)*limits.TenantPartTextSize + c.fullestPart(c.target.Changes*s*days)*limits.HomePartTextSize) / kb
 		}
-		addGrowing("leader: the fullest part of the map", func(s float64) float64 { return fullestSize(s, 0) }, p.MaxPartSize/kb, "KB", "internal/policy/configstore", "the map is refused")
+		addGrowing("leader: the fullest part of the map", func(s float64) float64 { return fullestSize(s, 0) }, limits.MaxPartSize/kb, "KB", "internal/policy/configstore", "the map is refused")
 		days := 0.0
-		for c.target.Changes > 0 && fullestSize(1, days) <= p.MaxPartSize/kb && days < 3650 {
+		for c.target.Changes > 0 && fullestSize(1, days) <= limits.MaxPartSize/kb && days < 3650 {
 			days++
 		}
-		addGrowing("leader: the fullest part of the map after a year of moves", func(s float64) float64 { return fullestSize(s, 365) }, p.MaxPartSize/kb, "KB", "internal/policy/cells",
+		addGrowing("leader: the fullest part of the map after a year of moves", func(s float64) float64 { return fullestSize(s, 365) }, limits.MaxPartSize/kb, "KB", "internal/policy/cells",
 			fmt.Sprintf("a move of a tenant in that part is refused, at the target after %.0f days: %s", days, movesAssumption))
 		followers := c.followers()
 		addGrowing("leader: a snapshot while a whole map is put on another and a third is drafted",
-			func(s float64) float64 { return (3*c.partsMessageSize(s) + followers*s*p.ProcessMessageSize) / kb }, p.MaxSnapshotSize/kb, "KB", pkgsMember,
+			func(s float64) float64 { return (3*c.partsMessageSize(s) + followers*s*limits.ProcessMessageSize) / kb }, limits.MaxSnapshotSize/kb, "KB", pkgsMember,
 			"a member that fell behind, or a new one, can't be brought up until then: group.snapshot_unsent")
-		add("leader: askings that wait at one time", followers*(1+1/c.target.Zones), p.MaxPendingReads, "", pkgsMember, "a process beyond the bound is told to ask elsewhere")
-		add("owner: the keeper's next map in one entry of the log", c.mapMessageSize(1)/kb, p.MaxCommandSize/kb, "KB", pkgsOwner,
+		add("leader: askings that wait at one time", followers*(1+1/c.target.Zones), limits.MaxPendingReads, "", pkgsMember, "a process beyond the bound is told to ask elsewhere")
+		add("owner: the keeper's next map in one entry of the log", c.mapMessageSize(1)/kb, limits.MaxCommandSize/kb, "KB", pkgsOwner,
 			"the keeper can't write down what it means to do: no move, no server taken out")
 	} else {
-		add("leader: the map as one document", c.mapTextSize(1)/kb, p.MaxTextSize/kb, "KB", "internal/policy/configstore", "the map is refused")
-		add("leader: what a week of moves adds to the map", 7*c.target.Changes*p.HomeTextSize/kb, p.MaxTextSize/kb, "KB", "internal/policy/cells",
+		add("leader: the map as one document", c.mapTextSize(1)/kb, limits.MaxTextSize/kb, "KB", "internal/policy/configstore", "the map is refused")
+		add("leader: what a week of moves adds to the map", 7*c.target.Changes*limits.HomeTextSize/kb, limits.MaxTextSize/kb, "KB", "internal/policy/cells",
 			"the map is refused, whatever its size before: "+movesAssumption)
 		add("follower: the map in force and the next one in one answer", 2*c.mapMessageSize(1)/kb, maxMessage/kb, "KB", pkgsConfigSync,
 			"a process that starts while a change is under way gets no answer: it is unconfirmed")
@@ -115,12 +115,12 @@
 	add("owner: the keeper's journal in one answer", 3*c.mapMessageSize(1)/kb, maxMessage/kb, "KB", pkgsOwner,
 		"the keeper reads its journal no more: no move, no server taken out (the map in force, the plan, the last write)")
 	precondition := ""
-	if p.hasParts() {
+	if limits.hasParts() {
 		precondition = "once every tenant has moved: "
 	}
-	add("owner: a router's status in one answer", c.statusSize(1)/kb, p.MaxStatusBody/kb, "KB", "internal/transport/msgpackrpc, internal/controlplane/runner",
+	add("owner: a router's status in one answer", c.statusSize(1)/kb, limits.MaxStatusBody/kb, "KB", "internal/transport/msgpackrpc, internal/controlplane/runner",
 		precondition+"no router reports: the watcher is unsure of all servers, a roll sees no worth; silverpath status fails")
-	add("leader: documents", float64(documentCount), p.MaxDocuments, "", "internal/policy/configstore", "a further document is refused")
+	add("leader: documents", float64(documentCount), limits.MaxDocuments, "", "internal/policy/configstore", "a further document is refused")
 	return list
 }
 
@@ -129,10 +129,10 @@
 
 // machines are those that are set aside for control, and what stands on them.
 func (c *planner) machines(lines []Line) (list []Machine) {
-	at := func(role, figure string, k Condition) Estimate {
+	lineEstimate := func(role, figure string, condition Condition) Estimate {
 		for _, l := range lines {
 			if l.Role == role && l.Figure == figure {
-				return l.Estimates[k]
+				return l.Estimates[condition]
 			}
 		}
 		return notMeasured()
@@ -143,9 +143,9 @@
 		m := Machine{Zone: zone, Region: c.region(zone)}
 		switch {
 		case i == 0:
-			m.Runs, m.Core = "member, that leads here; owner of duties", at("leader", "processor", Burst)
+			m.Runs, m.Core = "member, that leads here; owner of duties", lineEstimate("leader", "processor", Burst)
 		case i < members:
-			m.Runs, m.Core = "member", at("member", "processor", Rest)
+			m.Runs, m.Core = "member", lineEstimate("member", "processor", Rest)
 			if m.Region != c.region(1) || i == members-1 {
 				m.Runs += "; owner of duties, that waits"
 			}
@@ -165,18 +165,18 @@
 
 // dailyCosts is what failures and restarts cost.
 func (c *planner) dailyCosts() (list []Cost) {
-	t, a := c.target, c.target.Assumed
-	rate := t.Requests / t.Servers
+	target, assumptions := c.target, c.target.Assumed
+	requestsPerServer := target.Requests / target.Servers
 	add := func(event string, perDay, servers, groupCommits, mapVersions float64, silent bool) {
-		keyedRequests := servers * rate * a.Sheets * a.Window
+		keyedRequests := servers * requestsPerServer * assumptions.Sheets * assumptions.Window
 		cost := Cost{Event: event, PerDay: Number(perDay), Servers: Number(servers), FailedWithoutStore: Number(keyedRequests), Commits: Number(groupCommits),
 			MapVersions: Number(mapVersions), Connections: Number(servers * c.routers), DetectionTime: notMeasured()}
 		if silent {
 			// Until then it goes on to be chosen. Where that was not measured: for one health check.
 			if cost.DetectionTime = c.results.At("router.dead_after.servers_lost.silent", servers); cost.DetectionTime.Basis == NotMeasured {
-				cost.DetectionTime = assumed(a.Probe)
+				cost.DetectionTime = assumed(assumptions.Probe)
 			}
-			cost.RetriedRequests = Number(servers * rate * float64(cost.DetectionTime.Value) / 1000)
+			cost.RetriedRequests = Number(servers * requestsPerServer * float64(cost.DetectionTime.Value) / 1000)
 			cost.FailedWithStore = Number(keyedRequests) // the disk is gone with the machine
 		}
 		list = append(list, cost)
@@ -185,11 +185,11 @@
 		commitsPerRestart    = 2 // commits: the old start lapses, the new one joins
 		commitsPerLostServer = 5 // one lapses; asked of the keeper, intended, done; in force
 	)
-	add("a change of the map", t.Changes, 0, c.routers+2, 1, false) // put, held by each router, advanced
-	add("a server is restarted or replaced, in good order", t.Day.Restart, 1, commitsPerRestart, 0, false)
-	add("a machine fails, with one server", t.Day.Fail, 1, commitsPerLostServer, 1, true)
-	add("a rack or switch", 1/t.Day.RackEvery, a.RackServers, commitsPerLostServer*a.RackServers, a.RackServers, true)
-	zoneServers := t.Servers / t.Zones
-	add("a zone", 1/t.Day.ZoneEvery, zoneServers, commitsPerLostServer*zoneServers+c.routers/t.Zones, zoneServers, true)
+	add("a change of the map", target.Changes, 0, c.routers+2, 1, false) // put, held by each router, advanced
+	add("a server is restarted or replaced, in good order", target.Day.Restart, 1, commitsPerRestart, 0, false)
+	add("a machine fails, with one server", target.Day.Fail, 1, commitsPerLostServer, 1, true)
+	add("a rack or switch", 1/target.Day.RackEvery, assumptions.RackServers, commitsPerLostServer*assumptions.RackServers, assumptions.RackServers, true)
+	zoneServers := target.Servers / target.Zones
+	add("a zone", 1/target.Day.ZoneEvery, zoneServers, commitsPerLostServer*zoneServers+c.routers/target.Zones, zoneServers, true)
 	return list
 }
--- a/internal/policy/capacity/lines.go
+++ b/internal/policy/capacity/lines.go
@@ -67,18 +67,18 @@
 	b := &lineBuilder{planner: c, probers: c.probersPerServer(), followerCount: c.followers(), probesPerSecond: 1000 / a.Probe, lease: a.Lease / 1000,
 		entries: c.target.entries()}
 	probesCPU := b.rateScaledSeries("router.cpu.servers", c.target.Servers)
-	b.server()
-	b.router(probesCPU)
-	b.routerMap()
-	b.caller(probesCPU)
-	b.follower()
-	b.leader()
-	b.leaderChanges()
-	b.member()
-	b.owner()
-	b.announce()
-	b.snapshot()
-	b.tool()
+	b.addServerLines()
+	b.addRouterLines(probesCPU)
+	b.addRouterMapLines()
+	b.addCallerLines(probesCPU)
+	b.addFollowerLines()
+	b.addLeaderLines()
+	b.addLeaderChangesLines()
+	b.addMemberLines()
+	b.addOwnerLines()
+	b.addAnnounceLines()
+	b.addSnapshotLines()
+	b.addToolLines()
 	return b.list
 }
 
@@ -128,12 +128,12 @@
 // add takes a line up, with its figure in each condition.
 func (b *lineBuilder) add(l Line, funcs conditionFuncs) {
 	l.Estimates, l.atShare = map[Condition]Estimate{}, map[Condition]estimateFunc{}
-	for _, k := range Conditions {
-		f := funcs[k]
+	for _, condition := range Conditions {
+		f := funcs[condition]
 		if f == nil {
 			f = funcs[Rest]
 		}
-		l.atShare[k], l.Estimates[k] = f, f(1)
+		l.atShare[condition], l.Estimates[condition] = f, f(1)
 	}
 	b.list = append(b.list, l)
 }
--- a/internal/policy/capacity/lines_group.go
+++ b/internal/policy/capacity/lines_group.go
@@ -5,7 +5,7 @@
 )
 
 // follower has the lines of whatever acts on the group's documents.
-func (b *lineBuilder) follower() {
+func (b *lineBuilder) addFollowerLines() {
 	b.add(newLine("follower", "state: documents", "", 0, "", pkgsConfigSync, "a router's: map, routing, classes; a server's: classes, pools", ""), inAllConditions(unscaled(3)))
 	b.add(newLine("follower", "memory", "MB", 0, "", pkgsConfigSync, "in that of servers and routers", ""), inAllConditions(unmeasured))
 	b.add(newLine("follower", "descriptors", "", 0, "", pkgsConfigSync, "a connection to the member that leads", ""), inAllConditions(unscaled(1)))
@@ -19,7 +19,7 @@
 }
 
 // leader has the lines of the member that leads, but those of changes.
-func (b *lineBuilder) leader() {
+func (b *lineBuilder) addLeaderLines() {
 	b.add(newLine("leader", "state: processes that are registered", "", b.limits.MaxProcesses, "configstore.MaxProcesses", pkgsConfigStore,
 		"servers and routers; a zone that was off for under a lease comes back beside its old starts, which haven't lapsed",
 		"a process beyond the bound can't register: it begins nothing exclusive"), conditionFuncs{
@@ -70,7 +70,7 @@
 }
 
 // leaderChanges has the lines of the member that leads that go with changes and connections.
-func (b *lineBuilder) leaderChanges() {
+func (b *lineBuilder) addLeaderChangesLines() {
 	for _, doc := range []string{"routing", "map"} {
 		for _, quantile := range []string{"p50", "p99", "worst"} {
 			budget, budgetSource := 0.0, ""
@@ -113,7 +113,7 @@
 }
 
 // member has the lines of a member that doesn't lead.
-func (b *lineBuilder) member() {
+func (b *lineBuilder) addMemberLines() {
 	b.add(newLine("member", "processor", "core", 1, "a core of its machine", pkgsMember, "of a member that doesn't lead", ""), inAllConditions(b.series("member.cpu.followers", b.followerCount*b.rateFactor("member.cpu.followers"))))
 	b.add(newLine("member", "messages", "1/s", 0, "", pkgsMember, "heartbeats and their answers", ""), inAllConditions(unscaled(2*1000/b.target.Assumed.Tick)))
 
@@ -124,7 +124,7 @@
 }
 
 // snapshot has the line of a snapshot of the group.
-func (b *lineBuilder) snapshot() {
+func (b *lineBuilder) addSnapshotLines() {
 	if b.limits.hasParts() {
 		b.add(newLine("leader", "bytes of a snapshot of the group", "KB", b.limits.MaxSnapshotSize/kb, "member.longestSnapshot", "internal/controlplane/quorum/member, internal/policy/statemachine",
 			"the map in force once, each process that is registered, and in a burst a change of one tenant",
--- a/internal/policy/capacity/lines_owner.go
+++ b/internal/policy/capacity/lines_owner.go
@@ -7,7 +7,7 @@
 )
 
 // owner has the lines of the owner of the fleet's duties.
-func (b *lineBuilder) owner() {
+func (b *lineBuilder) addOwnerLines() {
 	zoneServers, minorityServers := b.target.Servers/b.target.Zones, b.target.Servers*b.minorityZones()/b.target.Zones
 	b.add(newLine("owner", "state: open items of the keeper", "", b.limits.MaxOpenItems, "duties.mostOpen", pkgsOwner,
 		"a zone that is gone asks for each of its servers; apart: the watcher takes the servers of the smaller side for gone, and asks for each",
@@ -26,7 +26,7 @@
 }
 
 // tool has the lines of an operator's command.
-func (b *lineBuilder) tool() {
+func (b *lineBuilder) addToolLines() {
 	b.add(newLine("tool", "messages", "", 0, "", "cmd/silverpath, internal/controlplane/quorum", "for one command: a reading of the rules, the change, and readings until it is in force", ""), inAllConditions(unscaled(3)))
 	b.add(newLine("tool", "descriptors", "", 0, "", "cmd/silverpath, internal/controlplane/quorum", "a connection to each member that it tries", ""), inAllConditions(unscaled(b.members())))
 	if b.limits.hasParts() {
--- a/internal/policy/capacity/lines_router.go
+++ b/internal/policy/capacity/lines_router.go
@@ -5,7 +5,7 @@
 )
 
 // router has the lines of a router, but those of new maps and requests; probes is the processor that its health checks take.
-func (b *lineBuilder) router(probesCPU estimateFunc) {
+func (b *lineBuilder) addRouterLines(probesCPU estimateFunc) {
 	b.add(newLine("router", "state: entries of servers and tenants", "", 0, "", pkgsRouting, "the map and a table of servers; counted", ""), inAllConditions(proportional(b.target.Servers+b.entries)))
 	b.add(newLine("router", "messages", "1/s", 0, "", pkgsHealthChecks+", "+pkgsConfigSync, "a probe of each server and its answer each assumed.probe_ms, words to the group", ""), conditionFuncs{
 		Rest: func(s float64) Estimate {
@@ -31,7 +31,7 @@
 }
 
 // routerMap has the lines of a router that go with new maps, memory, connections and requests.
-func (b *lineBuilder) routerMap() {
+func (b *lineBuilder) addRouterMapLines() {
 	checkTime := sum(b.series("router.parse.tenants", b.entries), b.series("router.follows.tenants", b.entries))
 	b.add(newLine("router", "time to check a new map", "ms", 1000*b.target.InForce, "in_force_s", "internal/settings, internal/policy/cells",
 		"read, and whether it may follow the one in force: the decision's own time, a part of each change's way"+b.byPartsMode("; of a whole map, from a file: from the group only changed parts are read", ""), ""), inAllConditions(checkTime))
--- a/internal/policy/capacity/lines_server.go
+++ b/internal/policy/capacity/lines_server.go
@@ -5,7 +5,7 @@
 )
 
 // server has the lines of a server. Its probes come from all who pick among servers.
-func (b *lineBuilder) server() {
+func (b *lineBuilder) addServerLines() {
 	probesCPU := b.rateScaledSeries("server.cpu.callers", b.probers)
 	b.add(newLine("server", "state: callers it knows", "", b.limits.MaxCallers, "slowstart.maxCallers", "internal/policy/slowstart",
 		"who picks among servers has an entry at each; counted", "callers beyond the bound get no part of a cold server"), inAllConditions(proportional(b.probers)))
@@ -36,7 +36,7 @@
 }
 
 // caller has the lines of a process that sends requests.
-func (b *lineBuilder) caller(probesCPU estimateFunc) {
+func (b *lineBuilder) addCallerLines(probesCPU estimateFunc) {
 	b.add(newLine("caller", "state: whom it knows", "", 0, "", "not this program's", "all routers, or all servers where it picks among these; counted", ""), inAllConditions(proportional(b.callerTargets())))
 	b.add(newLine("caller", "descriptors", "", 0, "", "not this program's", "assumed.caller_connections, or one to each server where it picks among these", ""), inAllConditions(b.callerConnections()))
 	if b.target.Readings.CallersPick {
@@ -50,7 +50,7 @@
 }
 
 // announce has the lines of reports, by which callers learn of servers.
-func (b *lineBuilder) announce() {
+func (b *lineBuilder) addAnnounceLines() {
 	b.add(newLine("announce", "messages", "1/s", 0, "", pkgsLoadReport, "five reports a second of each server, as the service hears them", ""), inAllConditions(proportional(b.target.Servers*1000/b.limits.ReportInterval)))
 	b.add(newLine("announce", "bytes", "KB/s", 0, "", pkgsLoadReport, "a datagram of 28 bytes of headers, 14 of words and a name of 11", ""), inAllConditions(proportional(b.target.Servers*1000/b.limits.ReportInterval*(28+b.limits.ReportSize+11)/kb)))
 }
--- a/internal/policy/capacity/plan.go
+++ b/internal/policy/capacity/plan.go
@@ -136,26 +136,26 @@
 
 // sizing is how many servers and routers the peak takes with a zone lost. It sets the routers.
 func (c *planner) sizing() (list []Sizing) {
-	t, a := c.target, c.target.Assumed
-	remaining := (t.Zones - 1) / t.Zones
-	acrossZones := func(n float64) float64 { return t.Zones * math.Ceil(n/(t.Zones-1)-1e-9) }
+	target, assumptions := c.target, c.target.Assumed
+	remaining := (target.Zones - 1) / target.Zones
+	acrossZones := func(n float64) float64 { return target.Zones * math.Ceil(n/(target.Zones-1)-1e-9) }
 	add := func(name, unit string, e Estimate, note string) { list = append(list, Sizing{name, unit, e, note}) }
-	add("requests a second of a server, all zones there", "1/s", assumed(t.Requests/t.Servers), "the peak over the target's servers")
-	add("requests a second of a server, a zone lost", "1/s", assumed(t.Requests/(t.Servers*remaining)), "the peak over those that are left")
-	add("servers for the peak, a zone lost", "", assumed(acrossZones(t.Requests/(a.ServerRequests*a.Utilisation))),
+	add("requests a second of a server, all zones there", "1/s", assumed(target.Requests/target.Servers), "the peak over the target's servers")
+	add("requests a second of a server, a zone lost", "1/s", assumed(target.Requests/(target.Servers*remaining)), "the peak over those that are left")
+	add("servers for the peak, a zone lost", "", assumed(acrossZones(target.Requests/(assumptions.ServerRequests*assumptions.Utilisation))),
 		"assumed.server_requests_per_s at assumed.utilisation; as many in each zone")
 	add("share of the peak that the target's servers carry, a zone lost", "",
-		assumed(min(1, t.Servers*remaining*a.ServerRequests*a.Utilisation/t.Requests)), "the same, of the servers that the target has")
+		assumed(min(1, target.Servers*remaining*assumptions.ServerRequests*assumptions.Utilisation/target.Requests)), "the same, of the servers that the target has")
 
 	// What a router can take: by its core, with and without what its control leaves of it, by the time that it adds, by its connections.
-	control := c.results.At("router.cpu.servers", t.Servers*c.rateFactor("router.cpu.servers"))
-	byCoreWithoutControl, byCore := c.requestsPerCore(a.Utilisation), notMeasured()
+	control := c.results.At("router.cpu.servers", target.Servers*c.rateFactor("router.cpu.servers"))
+	byCoreWithoutControl, byCore := c.requestsPerCore(assumptions.Utilisation), notMeasured()
 	if control.Basis != NotMeasured {
-		byCore = c.requestsPerCore(a.Utilisation - float64(control.Value)).add(control.scale(0))
+		byCore = c.requestsPerCore(assumptions.Utilisation - float64(control.Value)).add(control.scale(0))
 	}
 	add("requests a second of a router, by its core, were control free", "1/s", byCoreWithoutControl, "up to assumed.utilisation of a core, "+c.routeNote())
 	add("requests a second of a router, by its core, beside its health checks", "1/s", byCore, "less what router.cpu.servers says of all servers; 0: nothing is left")
-	byTime := c.largestWithin("router.added_p99.requests", t.Added-float64(c.routeTime(1).Value)/1000)
+	byTime := c.largestWithin("router.added_p99.requests", target.Added-float64(c.routeTime(1).Value)/1000)
 	add("requests a second of a router, by the time that it adds", "1/s", byTime, "the largest that was measured at which it is within added_p99_ms, "+c.routeNote())
 	perRouter := byCoreWithoutControl
 	for _, e := range []Estimate{byCore, byTime} {
@@ -164,11 +164,11 @@
 		}
 	}
 	routersForPeak := perRouter
-	routersForPeak.Value = Number(acrossZones(t.Requests / float64(perRouter.Value)))
+	routersForPeak.Value = Number(acrossZones(target.Requests / float64(perRouter.Value)))
 	add("routers for the peak, a zone lost", "", routersForPeak, "the least of these that is above 0; as many in each zone")
-	routersForConnections := assumed(acrossZones(t.Callers * a.CallerConnections / (c.descriptorsForConnections() * c.limits.CallerShare)))
+	routersForConnections := assumed(acrossZones(target.Callers * assumptions.CallerConnections / (c.descriptorsForConnections() * c.limits.CallerShare)))
 	note := "callers × assumed.caller_connections over a router's places for callers, by assumed.sockets"
-	if t.Readings.CallersPick {
+	if target.Readings.CallersPick {
 		routersForConnections, note = assumed(0), "callers pick among servers: none comes to a router"
 	}
 	add("routers for the callers' connections, a zone lost", "", routersForConnections, note)
@@ -178,7 +178,7 @@
 	}
 	add("routers that are reckoned with", "", planned, "the larger of the two")
 	c.routers = max(1, float64(planned.Value))
-	c.requestsPerRouter = t.Requests / (c.routers * remaining)
+	c.requestsPerRouter = target.Requests / (c.routers * remaining)
 	return list
 }
 
--- a/internal/policy/capacity/plan_test.go
+++ b/internal/policy/capacity/plan_test.go
@@ -300,9 +300,9 @@
 		t.Errorf("%v, %.300s", err, data)
 	}
 	for _, l := range p.Lines {
-		for k, e := range l.Estimates {
+		for condition, e := range l.Estimates {
 			if e.Basis == Measured || e.Basis == Extrapolated || e.Basis == NotMeasured != math.IsNaN(float64(e.Value)) {
-				t.Errorf("%s: %s, %s: %+v", l.Role, l.Figure, k, e)
+				t.Errorf("%s: %s, %s: %+v", l.Role, l.Figure, condition, e)
 			}
 		}
 	}
--- a/internal/policy/capacity/render.go
+++ b/internal/policy/capacity/render.go
@@ -87,8 +87,8 @@
 		if l.Unit != "" {
 			row[1] += "," + unitSuffix(l.Unit)
 		}
-		for _, k := range Conditions {
-			row = append(row, l.Estimates[k].tableCell())
+		for _, condition := range Conditions {
+			row = append(row, l.Estimates[condition].tableCell())
 		}
 		budget := ""
 		if l.Budget > 0 {
