--- a/internal/policy/capacity/bounds.go
+++ b/internal/policy/capacity/bounds.go
@@ -1,68 +1,68 @@
 package capacity
 
-// Program is what bounds the program, and how long what it writes is. Each figure stands here once, and TestBounds holds it against
-// the source. 0 is no bound. A change of a bound changes Current; BeforeParts stays, as what it is compared with. Sizes are in bytes,
-// intervals in ms.
+// ProgramLimits has the limits of the program and the sizes of the data that it writes. TestBounds compares the limits with the source
+// and TestSizes the sizes with encoded data. 0 means no limit. A change of a limit changes Current; BeforeParts stays as the version that
+// Current is compared with. Sizes are in bytes, intervals in ms.
 type ProgramLimits struct {
-	MaxTextSize          float64 // bytes of a document that is one text, and of one change of one in parts
+	MaxTextSize          float64 // bytes of a document stored as one text, and of one change of a document in parts
 	MaxCallBody          float64 // bytes of a message between processes
-	RequestOverhead      float64 // of these, kept free beside members' messages
-	MaxStatusBody        float64 // bytes of a status that is read
-	MaxHistory           float64 // versions of a document that are kept beside the one in force
-	MaxProcesses         float64 // processes that act on documents
-	MaxDocuments         float64 // documents
-	MaxCallers           float64 // among whom a cold server shares out what it takes
-	MaxOpenItems         float64 // of a duty that are not over
-	MaxMemberConnections float64 // connections of a member
-	CompactAfterEntries  float64 // entries of a member's log between two snapshots
-	ElectionTicks        float64 // heartbeats that a member may miss
-	IdleGrace            float64 // ms that a connection has idled before it gives way
-	ReservedDescriptors  float64 // descriptors kept for logs and links
-	MaxAdminConnections  float64 // and, at most, for operators
-	CallerShare          float64 // of what is left, for the connections of callers
-	UpstreamShare        float64 // of what is left at a router, for connections to servers
-	ReportInterval       float64 // ms between two reports to the announce service
-	GroupRetryInterval   float64 // ms between two polls of a group that doesn't answer
-	PollsWhileChanging   float64 // a process polls the group so many times in a lease while a change is under way
-	PollsAtRest          float64 // and so many otherwise
+	RequestOverhead      float64 // bytes of MaxCallBody that a call between members leaves free for its other fields
+	MaxStatusBody        float64 // bytes of a status reply
+	MaxHistory           float64 // earlier versions kept of a document, besides the active one
+	MaxProcesses         float64 // registered processes that apply documents
+	MaxDocuments         float64 // documents in the configuration store
+	MaxCallers           float64 // callers among which a server in slow start divides its capacity
+	MaxOpenItems         float64 // unfinished items of a controller's journal
+	MaxMemberConnections float64 // connections that a member accepts
+	CompactAfterEntries  float64 // log entries of a member between two snapshots
+	ElectionTicks        float64 // heartbeat intervals without a heartbeat after which a member starts an election
+	IdleGrace            float64 // ms that a connection is idle before a new one may replace it
+	ReservedDescriptors  float64 // descriptors reserved for logs and links
+	MaxAdminConnections  float64 // most descriptors reserved for operators' connections
+	CallerShare          float64 // fraction of the remaining descriptors for callers' connections
+	UpstreamShare        float64 // fraction of a router's remaining descriptors for connections to servers
+	ReportInterval       float64 // ms between two reports of a server to the announce service
+	GroupRetryInterval   float64 // ms between two polls of a group that does not answer
+	PollsWhileChanging   float64 // polls of the group per lease by one process while a change is in progress
+	PollsAtRest          float64 // polls of the group per lease by one process otherwise
 
-	// Of a document in parts; all 0 of a program that has none.
-	TenantParts, ServerParts        float64 // of a map
+	// Limits of documents in parts; 0 in a program without parts.
+	TenantParts, ServerParts        float64 // parts of a map for tenants and for servers
 	MaxDocumentSize                 float64 // bytes of a document in parts
 	MaxPartSize                     float64 // bytes of a part
-	MaxViewSize, MaxPartsAnswerSize float64 // bytes of parts in an answer with what changed, and in one with parts that were requested by name
-	RequestSpread                   float64 // ms within which processes that come back together draw the moment at which they request parts
+	MaxViewSize, MaxPartsAnswerSize float64 // bytes of parts in a reply with the changed parts, and in one with parts requested by name
+	RequestSpread                   float64 // ms; a process waits a random part of it before it requests all parts, which spreads the load of a returning zone
 	MaxSnapshotSize                 float64 // bytes of a snapshot in chunks
-	MaxCommandSize                  float64 // bytes of an entry of a member's log
-	MaxPendingReads                 float64 // polls that wait at a member
+	MaxCommandSize                  float64 // bytes of one entry of a member's log
+	MaxPendingReads                 float64 // polls that wait for an answer at a member
 
-	TenantTextSize, ServerTextSize       float64 // bytes of an entry of the map, as it stands in a document
-	TenantMessageSize, ServerMessageSize float64 // and within a message or a snapshot, where a text is quoted
-	HomeTextSize                         float64 // of a further home of a tenant, as it stands in a document
-	TenantStatusSize, ServerStatusSize   float64 // bytes of an entry of a router's status; of a program with parts a tenant has one once it has moved
-	ReportSize                           float64 // bytes of a report to the announce service, without the name
+	TenantTextSize, ServerTextSize       float64 // bytes of one tenant's or server's entry in the text of a map
+	TenantMessageSize, ServerMessageSize float64 // the same within a message or a snapshot, where the text is a quoted string
+	HomeTextSize                         float64 // bytes of each additional home of a tenant in the text of a map
+	TenantStatusSize, ServerStatusSize   float64 // bytes of one entry of a router's status; with parts, only moved tenants have one
+	ReportSize                           float64 // bytes of a report to the announce service, without the server's name
 
-	TenantPartTextSize, ServerPartTextSize       float64 // bytes of an entry of the map, as it stands in a part
-	TenantPartMessageSize, ServerPartMessageSize float64 // and within a message or a snapshot
-	HomePartTextSize                             float64 // of a further home of a tenant, as it stands in a part
-	PartMessageSize                              float64 // of a part without entries, with its name, version and digest, within a message or a snapshot
-	ProcessMessageSize, ProcessReadMessageSize   float64 // of a process that is registered, within a snapshot, and within a reading of the rules
+	TenantPartTextSize, ServerPartTextSize       float64 // bytes of one tenant's or server's entry in the text of a part
+	TenantPartMessageSize, ServerPartMessageSize float64 // the same within a message or a snapshot
+	HomePartTextSize                             float64 // bytes of each additional home of a tenant in the text of a part
+	PartMessageSize                              float64 // bytes of a part without entries within a message or a snapshot
+	ProcessMessageSize, ProcessReadMessageSize   float64 // bytes of a registered process in a snapshot, and in a reply with the store
 }
 
-// inParts reports whether a map goes in parts.
+// hasParts reports whether the program splits a map into parts.
 func (p ProgramLimits) hasParts() bool { return p.TenantParts > 0 }
 
-// parts is how many a map has: those of tenants and servers, top and head.
+// partCount returns the number of parts of a map: those of tenants, those of servers, and the parts top and head.
 func (p ProgramLimits) partCount() float64 { return p.TenantParts + p.ServerParts + 2 }
 
-// BeforeParts is the program that the first results were measured on.
+// BeforeParts has the limits of the program without document parts, which docs/results/scale-was.json was measured on.
 var BeforeParts = ProgramLimits{
 	MaxTextSize: 262144, MaxCallBody: 1048576, RequestOverhead: 4096, MaxStatusBody: 65536, MaxHistory: 16, MaxProcesses: 1024, MaxDocuments: 32, MaxCallers: 1024,
 	MaxOpenItems: 256, MaxMemberConnections: 128, CompactAfterEntries: 2000, ElectionTicks: 10, IdleGrace: 100, ReservedDescriptors: 16, MaxAdminConnections: 24, CallerShare: 0.6, UpstreamShare: 0.4, ReportInterval: 200, GroupRetryInterval: 100, PollsWhileChanging: 12, PollsAtRest: 3,
 	TenantTextSize: 195, ServerTextSize: 154, TenantMessageSize: 222, ServerMessageSize: 177, HomeTextSize: 108, TenantStatusSize: 25, ServerStatusSize: 146, ReportSize: 14,
 }
 
-// Current is the program as it is.
+// Current has the limits of this version of the program.
 var Current = currentProgram()
 
 func currentProgram() ProgramLimits {
--- a/internal/policy/capacity/breaks.go
+++ b/internal/policy/capacity/breaks.go
@@ -8,8 +8,8 @@
 	"strings"
 )
 
-// breaks are where budgets and bounds are passed: what stops something before what only costs too much, each by the share of the target,
-// the lowest first. What can't be said, as nothing was measured, is named apart.
+// breakingPoints returns the shares of the target at which budgets and bounds are exceeded. Those that stop something come before those
+// that only cost too much, each group in ascending order of share. unknown names the budgets without enough measurements.
 func (c *planner) breakingPoints(lines []Line) (list []BreakingPoint, unknown []string) {
 	unknown = []string{}
 	for _, l := range lines {
@@ -19,14 +19,14 @@
 		lowest, found := BreakingPoint{Share: Number(math.Inf(1))}, false
 		for i, condition := range Conditions {
 			if slices.ContainsFunc(Conditions[:i], func(other Condition) bool { return l.Estimates[other] == l.Estimates[condition] }) {
-				continue // as in one before
+				continue // same estimate as in an earlier condition
 			}
 			share, atShare := lowestShareOver(float64(l.Budget), l.atShare[condition])
 			if math.IsNaN(share) {
 				continue
 			}
 			if share == 0 {
-				atShare = l.Estimates[condition] // its base alone is over: what it needs at the target says more
+				atShare = l.Estimates[condition] // the baseline alone exceeds the budget: report the estimate at the target
 			}
 			if b := (BreakingPoint{
 				Name: l.Role + ": " + l.Figure, Stops: l.stopsWhenOver != "", Share: Number(share), AtAnySize: share == 0, NeededAtTarget: l.Estimates[condition], Bound: l.Budget,
@@ -54,7 +54,7 @@
 	return list, unknown
 }
 
-// says is what the passing of a line's budget means.
+// consequence describes what happens in a condition once a line exceeds its budget.
 func consequence(l Line, condition Condition) string {
 	text := l.stopsWhenOver
 	if text == "" {
@@ -66,12 +66,12 @@
 	return text
 }
 
-// fixedBounds are bounds that no line has, from the sizes of what is written.
+// fixedBounds returns the breaking points of bounds that have no line, computed from the sizes of encoded data.
 func (c *planner) fixedBounds() (list []BreakingPoint) {
 	limits, maxMessage := c.limits, c.limits.MaxCallBody
 	addGrowing := func(name string, needed func(share float64) float64, bound float64, unit, carriedBy, consequence string) {
 		if bound <= 0 {
-			return // there is none
+			return // the program has no such bound
 		}
 		share, atShare := lowestShareOver(bound, func(s float64) Estimate { return assumed(needed(s)) })
 		list = append(list, BreakingPoint{Name: name, Stops: true, Share: Number(share), AtAnySize: share == 0, NeededAtTarget: assumed(needed(1)), Bound: Number(bound), Unit: unit, AtShare: atShare, Consequence: consequence, CarriedBy: carriedBy})
@@ -124,10 +124,10 @@
 	return list
 }
 
-// documents that there are: map, routing, classes, pools.
+// documentCount is the number of documents: map, routing, classes and pools.
 const documentCount = 4
 
-// machines are those that are set aside for control, and what stands on them.
+// machines returns the machines reserved for control and the processes on each.
 func (c *planner) machines(lines []Line) (list []Machine) {
 	lineEstimate := func(role, figure string, condition Condition) Estimate {
 		for _, l := range lines {
@@ -158,12 +158,12 @@
 	return list
 }
 
-// region is where a zone lies: the first of them have the more zones.
+// region returns the region of a zone, both counted from 1. Where zones do not divide evenly, the first regions have one more.
 func (c *planner) region(zone int) int {
 	return int(math.Floor(float64(zone-1)*c.target.Regions/c.target.Zones)) + 1
 }
 
-// dailyCosts is what failures and restarts cost.
+// dailyCosts returns the cost of each kind of failure, restart and change.
 func (c *planner) dailyCosts() (list []Cost) {
 	target, assumptions := c.target, c.target.Assumed
 	requestsPerServer := target.Requests / target.Servers
@@ -172,20 +172,20 @@
 		cost := Cost{Event: event, PerDay: Number(perDay), Servers: Number(servers), FailedWithoutStore: Number(keyedRequests), Commits: Number(groupCommits),
 			MapVersions: Number(mapVersions), Connections: Number(servers * c.routers), DetectionTime: notMeasured()}
 		if silent {
-			// Until then it goes on to be chosen. Where that was not measured: for one health check.
+			// Routers choose the server until they detect the failure. Without a measurement this takes one health check interval.
 			if cost.DetectionTime = c.results.At("router.dead_after.servers_lost.silent", servers); cost.DetectionTime.Basis == NotMeasured {
 				cost.DetectionTime = assumed(assumptions.Probe)
 			}
 			cost.RetriedRequests = Number(servers * requestsPerServer * float64(cost.DetectionTime.Value) / 1000)
-			cost.FailedWithStore = Number(keyedRequests) // the disk is gone with the machine
+			cost.FailedWithStore = Number(keyedRequests) // the store is lost with the disk of the machine
 		}
 		list = append(list, cost)
 	}
 	const (
-		commitsPerRestart    = 2 // commits: the old start lapses, the new one joins
-		commitsPerLostServer = 5 // one lapses; asked of the keeper, intended, done; in force
+		commitsPerRestart    = 2 // the previous start's registration expires; the new start registers
+		commitsPerLostServer = 5 // registration expires; request to the keeper, its intent, its completion; map in force
 	)
-	add("a change of the map", target.Changes, 0, c.routers+2, 1, false) // put, held by each router, advanced
+	add("a change of the map", target.Changes, 0, c.routers+2, 1, false) // commits: proposal, a report of each router, advance
 	add("a server is restarted or replaced, in good order", target.Day.Restart, 1, commitsPerRestart, 0, false)
 	add("a machine fails, with one server", target.Day.Fail, 1, commitsPerLostServer, 1, true)
 	add("a rack or switch", 1/target.Day.RackEvery, assumptions.RackServers, commitsPerLostServer*assumptions.RackServers, assumptions.RackServers, true)
--- a/internal/policy/capacity/estimate.go
+++ b/internal/policy/capacity/estimate.go
@@ -7,23 +7,23 @@
 	"sort"
 )
 
-// Basis is what a figure rests on.
+// Basis says how the value of an Estimate was obtained.
 type Basis string
 
-// Kinds of basis, from the best to none.
+// The kinds of basis, from the most to the least reliable.
 const (
-	Measured     Basis = "measured"     // at this size or between two that were measured
-	Extrapolated Basis = "foretold"     // by a slope, beyond what was measured
-	Assumed      Basis = "assumed"      // counted from the code's own periods and bounds, or a field of the target's file
-	NotMeasured  Basis = "not measured" // nothing was, and nothing is made up
+	Measured     Basis = "measured"     // at this size, or interpolated between two measured sizes
+	Extrapolated Basis = "foretold"     // extrapolated by a fit outside the measured sizes
+	Assumed      Basis = "assumed"      // computed from intervals and bounds of the code, or from fields of the target's file
+	NotMeasured  Basis = "not measured" // no measurement applies; the value is NaN
 )
 
 var basisRank = map[Basis]int{Measured: 0, Extrapolated: 1, Assumed: 2, NotMeasured: 3}
 
-// Number is a figure; what is not a number stands as null in JSON.
+// Number is a float64 whose NaN and infinities are null in JSON.
 type Number float64
 
-// MarshalJSON writes it.
+// MarshalJSON returns null for NaN and infinities, else the number.
 func (n Number) MarshalJSON() ([]byte, error) {
 	if math.IsNaN(float64(n)) || math.IsInf(float64(n), 0) {
 		return []byte("null"), nil
@@ -31,17 +31,17 @@
 	return json.Marshal(float64(n))
 }
 
-// Estimate is a figure and what it rests on.
+// Estimate is a value and its basis.
 type Estimate struct {
 	Value         Number  `json:"value"`
 	Basis         Basis   `json:"basis"`
-	Factor        float64 `json:"factor,omitempty"` // Foretold: this many times the largest size that was measured
-	RelativeError float64 `json:"off,omitempty"`    // Foretold, by a slope that is not believed: by which it was off where it was held against a size
-	Series        string  `json:"series,omitempty"` // Measured and Foretold: what was read
-	MeasuredOn    string  `json:"of,omitempty"`     // hollow or simulated, where it was not of real processes alone
+	Factor        float64 `json:"factor,omitempty"` // Extrapolated: the size divided by the largest measured size
+	RelativeError float64 `json:"off,omitempty"`    // Extrapolated by an unreliable fit: the fit's relative error
+	Series        string  `json:"series,omitempty"` // Measured and Extrapolated: the name of the series
+	MeasuredOn    string  `json:"of,omitempty"`     // "hollow" or "simulated"; empty if only real processes were measured
 }
 
-// String is the basis for people.
+// String returns the basis as tables show it.
 func (e Estimate) String() string {
 	switch {
 	case e.Basis == Extrapolated && e.RelativeError != 0:
@@ -52,6 +52,7 @@
 	return e.withMeasuredOn(string(e.Basis))
 }
 
+// withMeasuredOn appends the kind of processes measured, where these were not all real.
 func (e Estimate) withMeasuredOn(text string) string {
 	if e.MeasuredOn != "" && (e.Basis == Measured || e.Basis == Extrapolated) {
 		return text + ", " + e.MeasuredOn
@@ -59,11 +60,13 @@
 	return text
 }
 
+// assumed returns v with the basis Assumed.
 func assumed(v float64) Estimate { return Estimate{Value: Number(v), Basis: Assumed} }
 
+// notMeasured returns NaN with the basis NotMeasured.
 func notMeasured() Estimate { return Estimate{Value: Number(math.NaN()), Basis: NotMeasured} }
 
-// plus is a sum, which rests on the worse of its parts.
+// add returns the sum of two estimates with the less reliable basis of the two.
 func (e Estimate) add(o Estimate) Estimate {
 	sum := e
 	if basisRank[o.Basis] > basisRank[e.Basis] {
@@ -84,13 +87,13 @@
 	return sum
 }
 
-// times is a figure for each of so many.
+// scale returns e with its value multiplied by n.
 func (e Estimate) scale(n float64) Estimate {
 	e.Value *= Number(n)
 	return e
 }
 
-// find returns a series by name.
+// find returns the series of a name, if it has points.
 func (r Results) find(name string) (Series, bool) {
 	for _, s := range r.Series {
 		if s.Name == name && len(s.Points) > 0 {
@@ -100,8 +103,8 @@
 	return Series{}, false
 }
 
-// At is what a series says of a size: between two that were measured the line from one median to the next, beyond them its slope.
-// Without a slope there is nothing to say of what lies beyond.
+// At estimates the value of a series at a size. Between two measured sizes it interpolates their medians linearly; outside the measured
+// sizes it extrapolates by the fit, or returns notMeasured for a series without a fit.
 func (r Results) At(name string, at float64) Estimate {
 	s, ok := r.find(name)
 	if !ok || math.IsNaN(at) || math.IsInf(at, 0) {
@@ -126,7 +129,7 @@
 		return notMeasured()
 	}
 	e.Basis, e.Factor = Extrapolated, at/last.At
-	// From the last size that was measured on, by the slope: what the fit missed there is not added to what it foretells.
+	// Above the last measured size, add the growth of the fit to the median measured there: the fit's error at that size is left out.
 	e.Value = Number(max(0, s.Fit.Value(at)))
 	if at > last.At {
 		e.Value = Number(last.Median() + s.Fit.Value(at) - s.Fit.Value(last.At))
@@ -137,7 +140,8 @@
 	return e
 }
 
-// base is what a series says of a size of nothing.
+// baseline returns the value of a series at size 0: that of the ".rest" series of the same role and figure if there is one, else the base
+// of the fit, else the first point. It returns 0 for an unknown series.
 func (r Results) baseline(name string) float64 {
 	s, ok := r.find(name)
 	rest, hasRest := r.find(s.Role + "." + s.Figure + ".rest")
@@ -152,15 +156,15 @@
 	return s.Points[0].Median()
 }
 
-// Shares of the target between which a budget's passing is looked for.
+// The range of shares of the target that lowestShareOver searches.
 const (
 	minShare    = 1e-4
 	maxShare    = 20
-	searchSteps = 400 // of the search, each by 3%
+	searchSteps = 400 // each multiplies the share by 1.03
 )
 
-// firstShareOver is the least share of the target at which a figure is over a budget: 0 where it is over it at any size that is looked at, NaN where
-// nothing can be said, and infinite where it is not over it at 20 times the target.
+// lowestShareOver returns the lowest share of the target at which a figure exceeds a budget, and the estimate at that share. The share is 0
+// if the figure exceeds the budget already at minShare, infinite if it does not at maxShare, and NaN if the figure was not measured.
 func lowestShareOver(budget float64, figure func(share float64) Estimate) (share float64, e Estimate) {
 	over := func(s float64) bool { return float64(figure(s).Value) > budget }
 	if over(minShare) {
--- a/internal/policy/capacity/lines.go
+++ b/internal/policy/capacity/lines.go
@@ -1,20 +1,21 @@
 package capacity
 
+// estimateFunc estimates a figure at a share of the target.
 type estimateFunc = func(share float64) Estimate
 
-// figures are a figure in each condition; what is left out is as at rest.
+// conditionFuncs has the estimate of a figure in each condition. A condition that is left out has that of Rest.
 type conditionFuncs map[Condition]estimateFunc
 
-// always is a figure that is the same in all conditions.
+// inAllConditions returns f for every condition.
 func inAllConditions(f estimateFunc) conditionFuncs { return conditionFuncs{Rest: f} }
 
-func proportional(v float64) estimateFunc {
-	return func(share float64) Estimate { return assumed(v * share) }
-}
+// scaled returns an assumed value of v at the target, in proportion to the share.
+func scaled(v float64) estimateFunc { return func(s float64) Estimate { return assumed(v * s) } }
 
+// unscaled returns an assumed value of v at every share.
 func unscaled(v float64) estimateFunc { return func(float64) Estimate { return assumed(v) } }
 
-// asAtRest is a figure that is taken to be as at rest, and was not measured in this condition.
+// assumedAsAtRest returns f, measured at rest, as an assumption for a condition in which it was not measured.
 func assumedAsAtRest(f estimateFunc) estimateFunc {
 	return func(share float64) Estimate {
 		e := f(share)
@@ -25,6 +26,7 @@
 	}
 }
 
+// sum returns the sum of all terms.
 func sum(terms ...estimateFunc) estimateFunc {
 	return func(share float64) Estimate {
 		e := terms[0](share)
@@ -35,10 +37,10 @@
 	}
 }
 
-// kb is bytes of a KB, here as in what was measured.
+// kb is the number of bytes in a KB, as in the results.
 const kb = 1024
 
-// Places in the code.
+// The packages that a figure depends on, as the column "carried by" lists them.
 const (
 	pkgsHealthChecks = "internal/transport/msgpackrpc, internal/proxy"
 	pkgsConfigSync   = "internal/controlplane/configwatch, internal/controlplane/quorum"
@@ -50,18 +52,18 @@
 	pkgsLoadReport   = "internal/transport/loadreport"
 )
 
-// lineBuilder collects the figures of all roles, and has what several of them are computed from.
+// lineBuilder collects the lines of all roles and has the values that several lines share.
 type lineBuilder struct {
 	*planner
-	probers         float64 // processes that pick among servers, and so probe each
-	followerCount   float64 // processes that act on documents
-	probesPerSecond float64 // of a server by each of its probers
-	lease           float64 // seconds, of the group
-	entries         float64 // of the map
+	probers         float64 // processes that pick among servers and therefore probe each server
+	followerCount   float64 // processes that apply documents of the group
+	probesPerSecond float64 // to one server from one prober
+	lease           float64 // of the group, in seconds
+	entries         float64 // tenants and routes in the map
 	list            []Line
 }
 
-// lines are the figures of all roles.
+// lines returns the lines of all roles.
 func (c *planner) lines() []Line {
 	a := c.target.Assumed
 	b := &lineBuilder{planner: c, probers: c.probersPerServer(), followerCount: c.followers(), probesPerSecond: 1000 / a.Probe, lease: a.Lease / 1000,
@@ -82,22 +84,23 @@
 	return b.list
 }
 
-// series is a measured figure by its size at the target.
+// series estimates by a series, whose size at the target is at.
 func (b *lineBuilder) series(name string, at float64) estimateFunc {
 	return func(share float64) Estimate { return b.results.At(name, at*share) }
 }
 
-// control is a figure of control, all of it or what is above a process without any: see Readings.ControlAdded.
+// controlSeries estimates the cost of control by a series: see controlEstimate.
 func (b *lineBuilder) controlSeries(name string, at float64) estimateFunc {
 	return func(share float64) Estimate { return b.controlEstimate(name, at*share) }
 }
 
-// paced is a figure of control that grows with how often it is done: see rateFactor.
+// rateScaledSeries is controlSeries at a size multiplied by rateFactor.
 func (b *lineBuilder) rateScaledSeries(name string, at float64) estimateFunc {
 	return b.controlSeries(name, at*b.rateFactor(name))
 }
 
-// repeated is a figure of control whose cost, and not its size, counts so many times. What a map costs does not grow evenly by its tenants.
+// costScaledSeries is controlSeries with the cost above the baseline, instead of the size, multiplied by rateFactor: the cost of a map is not
+// linear in its tenants.
 func (b *lineBuilder) costScaledSeries(name string, at float64) estimateFunc {
 	return func(share float64) Estimate {
 		e, n := b.results.At(name, at*share), b.rateFactor(name)
@@ -112,12 +115,12 @@
 	}
 }
 
-// groupMessages are the messages a second between a process and the group, each with its answer, at so many in a lease.
+// groupMessages returns the requests and replies a second between one process and the group at a number of polls per lease.
 func (b *lineBuilder) groupMessages(pollsPerLease float64) float64 {
 	return 2 * pollsPerLease / b.lease
 }
 
-// either is one of two texts, by whether a map goes in parts.
+// byPartsMode returns inParts if the program splits maps into parts, else asOneDocument.
 func (b *lineBuilder) byPartsMode(inParts, asOneDocument string) string {
 	if b.limits.hasParts() {
 		return inParts
@@ -125,7 +128,7 @@
 	return asOneDocument
 }
 
-// add takes a line up, with its figure in each condition.
+// add appends a line with its estimate in each condition.
 func (b *lineBuilder) add(l Line, funcs conditionFuncs) {
 	l.Estimates, l.atShare = map[Condition]Estimate{}, map[Condition]estimateFunc{}
 	for _, condition := range Conditions {
@@ -138,28 +141,29 @@
 	b.list = append(b.list, l)
 }
 
-// newLine is a line without its figures. Budget 0 is none; stops says what stops where it is passed, empty where it only costs too much.
+// newLine returns a line without estimates. A budget of 0 means none; stopsWhenOver says what stops once the budget is exceeded, and is empty
+// if exceeding it only costs too much.
 func newLine(role, figure, unit string, budget float64, budgetSource string, carriedBy, note, stopsWhenOver string) Line {
 	return Line{Role: role, Figure: figure, Unit: unit, Budget: Number(budget), BudgetSource: budgetSource, CarriedBy: carriedBy, Note: note, stopsWhenOver: stopsWhenOver}
 }
 
-// costing is a line whose budget, where it is passed, means what the text says.
+// withCost returns the line with a text that says what exceeding its budget costs.
 func withCost(l Line, cost string) Line {
 	l.costWhenOver = cost
 	return l
 }
 
-// unmeasured is a figure of which nothing was measured.
+// unmeasured is the estimate of a figure without measurements.
 func unmeasured(float64) Estimate { return notMeasured() }
 
-// Budgets of control, by their fields of the target's file.
+// The budgets of control, by their names in the target's file.
 const (
 	budgetCore   = "control.core"
 	budgetMemory = "control.memory_mb"
 	budgetBytes  = "control.kb_per_s"
 )
 
-// callerTargets is how many a caller picks among.
+// callerTargets returns the number of servers or routers that a caller picks among.
 func (c *planner) callerTargets() float64 {
 	if c.target.Readings.CallersPick {
 		return c.target.Servers
@@ -167,14 +171,15 @@
 	return c.routers
 }
 
+// callerConnections estimates the connections that a caller keeps open.
 func (c *planner) callerConnections() estimateFunc {
 	if c.target.Readings.CallersPick {
-		return proportional(c.target.Servers)
+		return scaled(c.target.Servers)
 	}
 	return unscaled(c.target.Assumed.CallerConnections)
 }
 
-// smallerSideZones is how many zones lie in the regions but the first, which has the most: the side without a majority.
+// minorityZones returns the number of zones outside region 1, which has the most zones: the side without a quorum in a partition.
 func (c *planner) minorityZones() float64 {
 	n := 0.0
 	for zone := 1; zone <= int(c.target.Zones); zone++ {
@@ -185,8 +190,8 @@
 	return n
 }
 
-// rateFactor is how many times as often something is done at the target as it was where a series was measured: a health check twice as often
-// counts as twice as many servers or callers.
+// rateFactor returns how many times more often an activity takes place at the target than in the measurement of a series. A caller may
+// multiply the size by it: health checks at twice the rate cost as much as twice the servers or callers.
 func (c *planner) rateFactor(name string) float64 {
 	s, ok := c.results.find(name)
 	if !ok {
@@ -204,8 +209,8 @@
 	return factor
 }
 
-// increase is by how much a series at a size is above what it has at another one, for as many followers as are given; 0: those that it was
-// measured with.
+// increase estimates by how much a series at size at exceeds its value at size baseline, scaled from the followers of the measurement to the
+// given number. 0 followers means no scaling.
 func (c *planner) increase(name string, at, baseline, followers float64) estimateFunc {
 	return func(share float64) Estimate {
 		e, base := c.results.At(name, at*share), c.results.At(name, baseline)
@@ -221,7 +226,7 @@
 	}
 }
 
-// route is what finding a request's route takes by the tenants in the map, in µs; nothing where it was not measured.
+// routeTime estimates the time to find a request's route, in µs, by the tenants in the map. It is 0 if it was not measured.
 func (c *planner) routeTime(share float64) Estimate {
 	e := c.results.At("router.route.tenants", c.target.entries()*share)
 	if e.Basis == NotMeasured {
@@ -230,7 +235,7 @@
 	return e
 }
 
-// routeNote says whether that time is counted.
+// routeNote says whether routeTime is included in a figure.
 func (c *planner) routeNote() string {
 	if _, ok := c.results.find("router.route.tenants"); !ok {
 		return "without the time to find a route among all tenants, which was not measured"
--- a/internal/policy/capacity/lines_group.go
+++ b/internal/policy/capacity/lines_group.go
@@ -4,7 +4,7 @@
 	"fmt"
 )
 
-// follower has the lines of whatever acts on the group's documents.
+// addFollowerLines adds the lines of a process that applies the group's documents.
 func (b *lineBuilder) addFollowerLines() {
 	b.add(newLine("follower", "state: documents", "", 0, "", pkgsConfigSync, "a router's: map, routing, classes; a server's: classes, pools", ""), inAllConditions(unscaled(3)))
 	b.add(newLine("follower", "memory", "MB", 0, "", pkgsConfigSync, "in that of servers and routers", ""), inAllConditions(unmeasured))
@@ -18,12 +18,12 @@
 	b.add(newLine("follower", "bytes, in and out", "KB/s", b.target.Control.Bytes, budgetBytes, pkgsConfigSync, "words that bring no news", ""), conditionFuncs{Rest: traffic, Partitioned: assumedAsAtRest(traffic)})
 }
 
-// leader has the lines of the member that leads, but those of changes.
+// addLeaderLines adds the lines of the leading member, except those of addLeaderChangesLines and addSnapshotLines.
 func (b *lineBuilder) addLeaderLines() {
 	b.add(newLine("leader", "state: processes that are registered", "", b.limits.MaxProcesses, "configstore.MaxProcesses", pkgsConfigStore,
 		"servers and routers; a zone that was off for under a lease comes back beside its old starts, which haven't lapsed",
 		"a process beyond the bound can't register: it begins nothing exclusive"), conditionFuncs{
-		Rest: proportional(b.followerCount), ZoneRecovering: proportional(b.followerCount * (1 + 1/b.target.Zones))})
+		Rest: scaled(b.followerCount), ZoneRecovering: scaled(b.followerCount * (1 + 1/b.target.Zones))})
 	b.add(newLine("leader", "messages", "1/s", 0, "", pkgsMember, "words of followers and their answers, heartbeats", ""), conditionFuncs{
 		Rest: func(s float64) Estimate {
 			return assumed(b.followerCount*s*b.groupMessages(b.limits.PollsAtRest) + 2*(b.members()-1)*1000/b.target.Assumed.Tick)
@@ -43,7 +43,7 @@
 		"the other members hear nothing for an election's time and elect another leader, which does the same"),
 		inAllConditions(sum(b.series("leader.wholes.tenants", b.entries), b.series("leader.targets.tenants", b.entries))))
 	b.add(newLine("leader", "memory", "MB", 0, "", pkgsMember, "resident", ""), inAllConditions(b.series("leader.resident.followers", b.followerCount)))
-	var recoveryBytes estimateFunc // of one text nothing is reckoned
+	var recoveryBytes estimateFunc // nil, as at rest, for a map as one document
 	bytesOut := b.series("leader.bytes_out.followers", b.followerCount*b.rateFactor("leader.bytes_out.followers"))
 	if b.limits.hasParts() {
 		recoveryBytes = sum(bytesOut, func(s float64) Estimate {
@@ -69,7 +69,7 @@
 		Rest: b.series("leader.syncs.followers", b.followerCount), Burst: b.increase("member.syncs.changes", 3600*b.target.Assumed.BurstChanges, 0, b.followerCount)})
 }
 
-// leaderChanges has the lines of the member that leads that go with changes and connections.
+// addLeaderChangesLines adds the lines of the leading member that depend on document changes and connections.
 func (b *lineBuilder) addLeaderChangesLines() {
 	for _, doc := range []string{"routing", "map"} {
 		for _, quantile := range []string{"p50", "p99", "worst"} {
@@ -102,7 +102,7 @@
 	}
 	opened := func(s float64) Estimate {
 		e := b.results.At("leader.opened.followers", b.followerCount*b.rateFactor("leader.opened.followers")*s)
-		if e.Basis == NotMeasured || e.RelativeError != 0 { // it begins where the places end, which no slope has
+		if e.Basis == NotMeasured || e.RelativeError != 0 { // reconnects start at the connection limit, which a linear fit does not show
 			return reconnects(b.limits.PollsAtRest)(s)
 		}
 		return e
@@ -112,18 +112,18 @@
 		"followers wait for a place, and begin nothing exclusive once a lease is over"), conditionFuncs{Rest: opened, Burst: reconnects(b.limits.PollsWhileChanging)})
 }
 
-// member has the lines of a member that doesn't lead.
+// addMemberLines adds the lines of a member that does not lead.
 func (b *lineBuilder) addMemberLines() {
 	b.add(newLine("member", "processor", "core", 1, "a core of its machine", pkgsMember, "of a member that doesn't lead", ""), inAllConditions(b.series("member.cpu.followers", b.followerCount*b.rateFactor("member.cpu.followers"))))
 	b.add(newLine("member", "messages", "1/s", 0, "", pkgsMember, "heartbeats and their answers", ""), inAllConditions(unscaled(2*1000/b.target.Assumed.Tick)))
 
-	b.add(newLine("member", "state: processes that are registered", "", 0, "", pkgsConfigStore, "as the leader's, by the log", ""), inAllConditions(proportional(b.followerCount)))
+	b.add(newLine("member", "state: processes that are registered", "", 0, "", pkgsConfigStore, "as the leader's, by the log", ""), inAllConditions(scaled(b.followerCount)))
 	b.add(newLine("member", "memory", "MB", 0, "", pkgsMember, "of a member that doesn't lead", ""), inAllConditions(unmeasured))
 	b.add(newLine("member", "bytes, in and out", "KB/s", 0, "", pkgsMember, "of a member that doesn't lead", ""), inAllConditions(unmeasured))
 	b.add(newLine("member", "descriptors: connections", "", 0, "", pkgsMember, "to and from each other member", ""), inAllConditions(unscaled(2*(b.members()-1))))
 }
 
-// snapshot has the line of a snapshot of the group.
+// addSnapshotLines adds the line of the size of a group snapshot.
 func (b *lineBuilder) addSnapshotLines() {
 	if b.limits.hasParts() {
 		b.add(newLine("leader", "bytes of a snapshot of the group", "KB", b.limits.MaxSnapshotSize/kb, "member.longestSnapshot", "internal/controlplane/quorum/member, internal/policy/statemachine",
--- a/internal/policy/capacity/lines_owner.go
+++ b/internal/policy/capacity/lines_owner.go
@@ -6,14 +6,14 @@
 	"strings"
 )
 
-// owner has the lines of the owner of the fleet's duties.
+// addOwnerLines adds the lines of the process that owns the leased controllers (duties) of the fleet.
 func (b *lineBuilder) addOwnerLines() {
 	zoneServers, minorityServers := b.target.Servers/b.target.Zones, b.target.Servers*b.minorityZones()/b.target.Zones
 	b.add(newLine("owner", "state: open items of the keeper", "", b.limits.MaxOpenItems, "duties.mostOpen", pkgsOwner,
 		"a zone that is gone asks for each of its servers; apart: the watcher takes the servers of the smaller side for gone, and asks for each",
 		"requests beyond the bound are told no, moves among them"), conditionFuncs{
-		Rest: unscaled(1), Burst: proportional(60 * b.target.Assumed.BurstChanges), ZoneRecovering: proportional(zoneServers), Partitioned: proportional(minorityServers)})
-	b.add(newLine("owner", "messages", "1/s", 0, "", pkgsOwner, "the status of each router, asked once a second, and its answer", ""), inAllConditions(proportional(2*b.routers)))
+		Rest: unscaled(1), Burst: scaled(60 * b.target.Assumed.BurstChanges), ZoneRecovering: scaled(zoneServers), Partitioned: scaled(minorityServers)})
+	b.add(newLine("owner", "messages", "1/s", 0, "", pkgsOwner, "the status of each router, asked once a second, and its answer", ""), inAllConditions(scaled(2*b.routers)))
 	b.add(newLine("owner", "bytes in, routers' status", "KB/s", b.target.Assumed.MachineBytes, "assumed.machine_kb_per_s", pkgsOwner, b.byPartsMode("all servers of each router, and tenants that have ever moved, taken for all", "all servers and tenants of each router"), ""), inAllConditions(func(s float64) Estimate {
 		return assumed(b.routers * s * b.statusSize(s) / kb)
 	}))
@@ -22,10 +22,10 @@
 		name, unit, _ := strings.Cut(f, ", ")
 		b.add(newLine("owner", name, unit, 0, "", pkgsOwner, "it reads the status of each router once a second", ""), inAllConditions(unmeasured))
 	}
-	b.add(newLine("owner", "descriptors: connections", "", 0, "", pkgsOwner, "one for each status that is asked for, and one to the group", ""), inAllConditions(proportional(b.routers)))
+	b.add(newLine("owner", "descriptors: connections", "", 0, "", pkgsOwner, "one for each status that is asked for, and one to the group", ""), inAllConditions(scaled(b.routers)))
 }
 
-// tool has the lines of an operator's command.
+// addToolLines adds the lines of an operator's command.
 func (b *lineBuilder) addToolLines() {
 	b.add(newLine("tool", "messages", "", 0, "", "cmd/silverpath, internal/controlplane/quorum", "for one command: a reading of the rules, the change, and readings until it is in force", ""), inAllConditions(unscaled(3)))
 	b.add(newLine("tool", "descriptors", "", 0, "", "cmd/silverpath, internal/controlplane/quorum", "a connection to each member that it tries", ""), inAllConditions(unscaled(b.members())))
--- a/internal/policy/capacity/lines_router.go
+++ b/internal/policy/capacity/lines_router.go
@@ -4,9 +4,9 @@
 	"math"
 )
 
-// router has the lines of a router, but those of new maps and requests; probes is the processor that its health checks take.
+// addRouterLines adds the lines of a router, except those of addRouterMapLines. probesCPU is the processor time of its health checks.
 func (b *lineBuilder) addRouterLines(probesCPU estimateFunc) {
-	b.add(newLine("router", "state: entries of servers and tenants", "", 0, "", pkgsRouting, "the map and a table of servers; counted", ""), inAllConditions(proportional(b.target.Servers+b.entries)))
+	b.add(newLine("router", "state: entries of servers and tenants", "", 0, "", pkgsRouting, "the map and a table of servers; counted", ""), inAllConditions(scaled(b.target.Servers+b.entries)))
 	b.add(newLine("router", "messages", "1/s", 0, "", pkgsHealthChecks+", "+pkgsConfigSync, "a probe of each server and its answer each assumed.probe_ms, words to the group", ""), conditionFuncs{
 		Rest: func(s float64) Estimate {
 			return assumed(2*b.target.Servers*s*b.probesPerSecond + b.groupMessages(b.limits.PollsAtRest))
@@ -30,7 +30,7 @@
 		conditionFuncs{Rest: unmeasured, Peak: sum(b.series("router.cpu.requests", b.requestsPerRouter), func(s float64) Estimate { return b.routeTime(s).scale(b.requestsPerRouter / 1e6) }), Burst: unmeasured, ZoneRecovering: unmeasured, Partitioned: unmeasured})
 }
 
-// routerMap has the lines of a router that go with new maps, memory, connections and requests.
+// addRouterMapLines adds the lines of a router that depend on new maps, memory, connections and requests.
 func (b *lineBuilder) addRouterMapLines() {
 	checkTime := sum(b.series("router.parse.tenants", b.entries), b.series("router.follows.tenants", b.entries))
 	b.add(newLine("router", "time to check a new map", "ms", 1000*b.target.InForce, "in_force_s", "internal/settings, internal/policy/cells",
@@ -61,7 +61,7 @@
 			}))
 	}
 	b.add(newLine("router", "descriptors: connections to servers", "", b.descriptorsForConnections()*b.limits.UpstreamShare, "2 of 5 of assumed.sockets less the spare ones", pkgsRouting+", internal/service",
-		"one to each server while it has requests there", "servers beyond the bound get no connection: their sheets fail"), inAllConditions(proportional(b.target.Servers)))
+		"one to each server while it has requests there", "servers beyond the bound get no connection: their sheets fail"), inAllConditions(scaled(b.target.Servers)))
 	b.add(newLine("router", "connections made for health checks", "1/s", 0, "", pkgsRouting, "each check has its own", ""), inAllConditions(b.series("router.opened.servers", b.target.Servers*b.rateFactor("router.opened.servers"))))
 	for _, quantile := range []struct {
 		name         string
--- a/internal/policy/capacity/plan.go
+++ b/internal/policy/capacity/plan.go
@@ -6,13 +6,13 @@
 	"slices"
 )
 
-// Condition is what a fleet is in.
+// Condition is an operating state of the fleet.
 type Condition string
 
-// Conditions are those that are looked at.
+// Conditions lists all conditions in the order of the tables.
 var Conditions = []Condition{Rest, Peak, Burst, ZoneRecovering, Partitioned}
 
-// The conditions by name.
+// The conditions that figures are estimated in.
 const (
 	Rest           Condition = "at rest"
 	Peak           Condition = "at the peak"
@@ -27,17 +27,17 @@
 	Figure       string                 `json:"figure"`
 	Unit         string                 `json:"unit"`
 	Estimates    map[Condition]Estimate `json:"at"`
-	Budget       Number                 `json:"budget"` // null: there is none
+	Budget       Number                 `json:"budget"` // 0: none
 	BudgetSource string                 `json:"budget_of,omitempty"`
 	CarriedBy    string                 `json:"carried_by"`
-	Note         string                 `json:"says,omitempty"` // what is assumed, or counted
+	Note         string                 `json:"says,omitempty"` // what the figure assumes or counts
 
 	atShare       map[Condition]func(share float64) Estimate
-	stopsWhenOver string // what stops where the budget is passed; empty: it only costs too much
-	costWhenOver  string // and what that means; empty: that it is over the budget
+	stopsWhenOver string // what stops once the budget is exceeded; empty: exceeding it only costs too much
+	costWhenOver  string // what exceeding it costs; empty: "over" and BudgetSource
 }
 
-// Sizing is one row of what is needed.
+// Sizing is one step of the computation of how many servers and routers the peak needs.
 type Sizing struct {
 	Name     string   `json:"what"`
 	Unit     string   `json:"unit"`
@@ -45,35 +45,35 @@
 	Note     string   `json:"says"`
 }
 
-// Break is where a budget or a bound is passed.
+// BreakingPoint is the share of the target at which a figure exceeds a budget or a bound.
 type BreakingPoint struct {
 	Name           string   `json:"what"`
 	Stops          bool     `json:"stops"`
-	Share          Number   `json:"share"` // of the target; null: at none up to 20 times of it, or nothing can be said
+	Share          Number   `json:"share"` // of the target; null: not exceeded up to maxShare
 	AtAnySize      bool     `json:"at_any_size,omitempty"`
-	NeededAtTarget Estimate `json:"needed"` // at the target
+	NeededAtTarget Estimate `json:"needed"`
 	Bound          Number   `json:"bound"`
 	Unit           string   `json:"unit"`
-	AtShare        Estimate `json:"by"` // at that share
+	AtShare        Estimate `json:"by"` // the estimate at Share
 	Consequence    string   `json:"says"`
 	CarriedBy      string   `json:"carried_by"`
 }
 
-// Cost is what one thing that fails or is restarted asks for.
+// Cost is the cost of one kind of failure, restart or change, each time that it takes place.
 type Cost struct {
 	Event              string   `json:"what"`
 	PerDay             Number   `json:"a_day"`
 	Servers            Number   `json:"servers"`
-	DetectionTime      Estimate `json:"known"`                // ms until routers take it for dead
-	RetriedRequests    Number   `json:"requests_tried_again"` // each time, at the peak
-	FailedWithoutStore Number   `json:"sheets_without_store"` // that fail each time, at the peak
+	DetectionTime      Estimate `json:"known"`                // ms until routers treat the server as dead
+	RetriedRequests    Number   `json:"requests_tried_again"` // at the peak
+	FailedWithoutStore Number   `json:"sheets_without_store"` // requests with a key that fail at the peak
 	FailedWithStore    Number   `json:"sheets_with_store"`
-	Commits            Number   `json:"commits"`  // of the group, each time
-	MapVersions        Number   `json:"versions"` // of the map, each time
-	Connections        Number   `json:"connects"` // of routers to servers, each time
+	Commits            Number   `json:"commits"`  // of the group
+	MapVersions        Number   `json:"versions"` // of the map
+	Connections        Number   `json:"connects"` // of routers to servers
 }
 
-// Machine is one that is set aside for control.
+// Machine is a machine reserved for control.
 type Machine struct {
 	Zone   int      `json:"zone"`
 	Region int      `json:"region"`
@@ -81,29 +81,29 @@
 	Core   Estimate `json:"core"`
 }
 
-// Plan is all that is computed.
+// Plan is the result of Compute.
 type Plan struct {
 	Target         Target          `json:"-"`
 	Routers        Number          `json:"routers"`
-	Measured       string          `json:"measured"` // the program and machine of the results
+	Measured       string          `json:"measured"` // the commit and machine of the results
 	Lines          []Line          `json:"lines"`
 	Sizing         []Sizing        `json:"sizing"`
 	Machines       []Machine       `json:"machines"`
 	DailyCosts     []Cost          `json:"day"`
-	BreakingPoints []BreakingPoint `json:"breaks"` // what stops first, the lowest share first, then what only costs too much
+	BreakingPoints []BreakingPoint `json:"breaks"` // those that stop something first, each group by ascending share
 	UnknownBudgets []string        `json:"unknown"`
 }
 
-// planner is what the parts of a plan share.
+// planner has the inputs and intermediate values that the parts of a plan share.
 type planner struct {
 	target            Target
 	results           Results
 	limits            ProgramLimits
 	routers           float64
-	requestsPerRouter float64 // requests a second of a router, at the peak with a zone lost
+	requestsPerRouter float64 // requests a second at the peak with a zone lost
 }
 
-// Compute is the plan of a target, by what was measured and the program's bounds.
+// Compute returns the plan of a target from results and the program's limits. It returns the error of t.Check.
 func Compute(t Target, r Results, p ProgramLimits) (Plan, error) {
 	if err := t.Check(); err != nil {
 		return Plan{}, err
@@ -125,7 +125,7 @@
 	return out, nil
 }
 
-// controlled is a figure of control by a series: all of it, or what is above a process without any.
+// controlEstimate estimates the cost of control by a series. With Readings.ControlAdded the baseline of the series is subtracted.
 func (c *planner) controlEstimate(name string, at float64) Estimate {
 	e := c.results.At(name, at)
 	if c.target.Readings.ControlAdded {
@@ -134,7 +134,7 @@
 	return e
 }
 
-// sizing is how many servers and routers the peak takes with a zone lost. It sets the routers.
+// sizing computes how many servers and routers the peak needs with a zone lost. It sets c.routers and c.requestsPerRouter.
 func (c *planner) sizing() (list []Sizing) {
 	target, assumptions := c.target, c.target.Assumed
 	remaining := (target.Zones - 1) / target.Zones
@@ -147,7 +147,7 @@
 	add("share of the peak that the target's servers carry, a zone lost", "",
 		assumed(min(1, target.Servers*remaining*assumptions.ServerRequests*assumptions.Utilisation/target.Requests)), "the same, of the servers that the target has")
 
-	// What a router can take: by its core, with and without what its control leaves of it, by the time that it adds, by its connections.
+	// The capacity of a router: by its core with and without the cost of health checks, by the added latency and by its connections.
 	control := c.results.At("router.cpu.servers", target.Servers*c.rateFactor("router.cpu.servers"))
 	byCoreWithoutControl, byCore := c.requestsPerCore(assumptions.Utilisation), notMeasured()
 	if control.Basis != NotMeasured {
@@ -182,7 +182,7 @@
 	return list
 }
 
-// perCore is how many requests a second a router can take with a part of a core.
+// requestsPerCore returns the requests a second that a router can take with a fraction of a core.
 func (c *planner) requestsPerCore(cores float64) Estimate {
 	cores, route := max(0, cores), float64(c.routeTime(1).Value)/1e6
 	s, ok := c.results.find("router.cpu.requests")
@@ -198,15 +198,15 @@
 	switch {
 	case math.IsNaN(share) || math.IsInf(share, 0):
 		return notMeasured()
-	case share == 0: // not even what it spends without requests
+	case share == 0: // less than its use without requests
 		return Estimate{Basis: Measured, Series: s.Name}
 	}
 	e.Value = Number(share * last)
 	return e
 }
 
-// largestWithin is the largest size that was measured at which a series is within a budget. What lies between is not looked at, as the difference of
-// two quantiles goes up and down, nor what lies beyond.
+// largestWithin returns the largest measured size at which a series is within a budget. It neither interpolates nor extrapolates, because the
+// difference of two quantiles is not monotonic.
 func (c *planner) largestWithin(name string, budget float64) Estimate {
 	s, _ := c.results.find(name)
 	for _, p := range slices.Backward(s.Points) {
@@ -217,31 +217,34 @@
 	return notMeasured()
 }
 
-// descriptorsForConnections is how many descriptors a process has for connections.
+// descriptorsForConnections returns the descriptors that a process has for connections of callers and to servers.
 func (c *planner) descriptorsForConnections() float64 {
 	s := c.target.Assumed.Sockets
 	return max(8, s-c.limits.ReservedDescriptors-min(max(math.Floor(s/16), 4), c.limits.MaxAdminConnections))
 }
 
-// mapTextSize and mapMessageSize are the bytes of a map at a share of the target, as a document and as it stands within a message.
+// mapTextSize returns the bytes of a map as one document at a share of the target.
 func (c *planner) mapTextSize(share float64) float64 {
 	return share * (c.target.entries()*c.limits.TenantTextSize + c.target.Servers*c.limits.ServerTextSize)
 }
 
+// mapMessageSize returns the bytes of such a map within a message.
 func (c *planner) mapMessageSize(share float64) float64 {
 	return share * (c.target.entries()*c.limits.TenantMessageSize + c.target.Servers*c.limits.ServerMessageSize)
 }
 
-// partsTextSize and partsMessageSize are the same of a map in parts.
+// partsTextSize returns the bytes of the texts of all parts of a map at a share of the target.
 func (c *planner) partsTextSize(share float64) float64 {
 	return share * (c.target.entries()*c.limits.TenantPartTextSize + c.target.Servers*c.limits.ServerPartTextSize)
 }
 
+// partsMessageSize returns the bytes of all parts of a map within a message.
 func (c *planner) partsMessageSize(share float64) float64 {
 	return share*(c.target.entries()*c.limits.TenantPartMessageSize+c.target.Servers*c.limits.ServerPartMessageSize) + c.limits.partCount()*c.limits.PartMessageSize
 }
 
-// changeMessageSize is what a tenant's change is within a message: the whole map, or in parts the tenant's part and the one with the version.
+// changeMessageSize returns the bytes of a change of one tenant within a message: the whole map, or in parts the tenant's part and the
+// part with the version.
 func (c *planner) changeMessageSize(share float64) float64 {
 	if !c.limits.hasParts() {
 		return c.mapMessageSize(share)
@@ -249,19 +252,19 @@
 	return 2*c.limits.PartMessageSize + share*c.target.entries()*c.limits.TenantPartMessageSize/c.limits.TenantParts
 }
 
-// fullest is how many of something the fullest part has, where so many fall evenly by chance into as many parts as a map has for tenants:
-// four times the spread over the mean.
+// fullestPart returns the number of items in the fullest part when n items are hashed evenly into the tenant parts of a map: four standard
+// deviations above the mean.
 func (c *planner) fullestPart(n float64) float64 {
 	mean := n / c.limits.TenantParts
 	return mean + 4*math.Sqrt(mean)
 }
 
-// statusSize is the bytes of a router's status at a share of the target.
+// statusSize returns the bytes of a router's status at a share of the target.
 func (c *planner) statusSize(share float64) float64 {
 	return share * (c.target.entries()*c.limits.TenantStatusSize + c.target.Servers*c.limits.ServerStatusSize)
 }
 
-// probersPerServer is how many callers of any kind have a server for themselves.
+// probersPerServer returns the number of processes that pick among servers and probe each.
 func (c *planner) probersPerServer() float64 {
 	if c.target.Readings.CallersPick {
 		return c.target.Callers + c.routers
@@ -269,7 +272,7 @@
 	return c.routers
 }
 
-// followers are the processes that act on documents.
+// followers returns the number of processes that apply documents of the group.
 func (c *planner) followers() float64 {
 	if c.target.Readings.CallersPick {
 		return c.target.Servers + c.routers + c.target.Callers
@@ -277,7 +280,7 @@
 	return c.target.Servers + c.routers
 }
 
-// members of the group: one in a zone, an odd number of them.
+// members returns the number of members of the group: an odd number, at most 5 and at most one in a zone.
 func (c *planner) members() float64 {
 	n := min(c.target.Zones, c.target.Control.Machines, 5)
 	if math.Mod(n, 2) == 0 {
--- a/internal/policy/capacity/plan_test.go
+++ b/internal/policy/capacity/plan_test.go
@@ -344,10 +344,10 @@
 func TestResultsCheck(t *testing.T) {
 	good := Series{Name: "a", Points: []Point{{1, []float64{1}}, {2, []float64{1}}}}
 	for want, bad := range map[string][]Series{
-		"series[0].name: missing":                             {{}},
-		`series[1].name: "a" given twice`:                     {good, good},
-		"series[0].points[0].values: none":                    {{Name: "a", Points: []Point{{At: 1}}}},
-		"series[0].points[1].at: not above the one before: 1": {{Name: "a", Points: []Point{{1, []float64{1}}, {1, []float64{1}}}}},
+		"series[0].name: missing":                                 {{}},
+		`series[1].name: "a" given twice`:                         {good, good},
+		"series[0].points[0].values: empty":                       {{Name: "a", Points: []Point{{At: 1}}}},
+		"series[0].points[1].at: not above the previous point: 1": {{Name: "a", Points: []Point{{1, []float64{1}}, {1, []float64{1}}}}},
 	} {
 		if err := (Results{Series: bad}).Check(); err == nil || err.Error() != want {
 			t.Errorf("%v, want %s", err, want)
--- a/internal/policy/capacity/render.go
+++ b/internal/policy/capacity/render.go
@@ -8,15 +8,15 @@
 	"strings"
 )
 
-// Table is one for people.
+// Table is a table of the plan for output.
 type Table struct {
-	Name  string // of its markers in docs/CAPACITY.md
+	Name  string // of its marker in docs/CAPACITY.md
 	Title string
 	Head  []string
 	Rows  [][]string
 }
 
-// short writes a figure with two or three digits that count.
+// short formats a value with two or three significant digits, and with all digits of its integer part.
 func short(v float64) string {
 	switch abs := math.Abs(v); {
 	case math.IsNaN(v):
@@ -41,7 +41,7 @@
 	return strconv.FormatFloat(v, 'g', 2, 64)
 }
 
-// cell is an estimate in a table: what it rests on stands behind it, m measured, ×N foretold, a assumed.
+// tableCell formats an estimate for a table, followed by the mark of its basis: see Marks.
 func (e Estimate) tableCell() string {
 	suffix := ""
 	if e.MeasuredOn != "" {
@@ -62,6 +62,7 @@
 	return "–"
 }
 
+// percent formats a share of the target.
 func percent(share Number) string {
 	switch v := float64(share); {
 	case math.IsInf(v, 0):
@@ -75,11 +76,11 @@
 	}
 }
 
-// Marks says what the marks in the tables mean.
+// Marks explains the marks in the tables.
 const Marks = "m: measured; ×N: foretold by a slope, N times the largest size that was measured, with ? where the slope did not foretell " +
 	"the size that it was held against; (h) and (s): of hollow processes, or of the decision's own code; a: assumed or counted; –: not measured, or of no meaning there."
 
-// Tables are the plan for people, in the order of the page.
+// Tables returns the tables of the plan in the order of docs/CAPACITY.md.
 func (p Plan) Tables() []Table {
 	roles := Table{Name: "roles", Title: "Each role at the target", Head: []string{"role", "figure", "rest", "peak", "burst", "zone back", "apart", "budget", "carried by", "what is taken"}}
 	for _, l := range p.Lines {
@@ -124,6 +125,7 @@
 	return append(list, t)
 }
 
+// breakingTable returns the breaking points in order.
 func (p Plan) breakingTable(name, title string) Table {
 	t := Table{Name: name, Title: title, Head: []string{"", "share of the target", "what", "needed", "bound or budget", "basis", "what happens", "carried by"}}
 	for i, b := range p.BreakingPoints {
@@ -137,10 +139,10 @@
 	return t
 }
 
-// Breaking is the list by breaking point under another name.
+// BreakingTable returns the table of breaking points under another name.
 func (p Plan) BreakingTable(name string) Table { return p.breakingTable(name, "By breaking point") }
 
-// Markdown is a table as it stands in a page.
+// Markdown formats the table for a page.
 func (t Table) Markdown() string {
 	var b strings.Builder
 	line := func(cells []string) {
@@ -158,7 +160,8 @@
 	return b.String()
 }
 
-// Fill puts tables between their markers in a page, and names the first that has none, and the first marker that has no table.
+// Fill replaces the text between the markers of each table in a page. It returns an error that names the first table without a marker, or the
+// first marker without a table.
 func Fill(page string, tables []Table) (string, error) {
 	used := map[string]bool{}
 	for _, t := range tables {
@@ -187,9 +190,10 @@
 	}
 }
 
+// endMarker closes the text of every table.
 const endMarker = "<!-- /capacity -->"
 
-// Compare has what another plan breaks at, where that is another share than in a first one.
+// Compare returns a table of the breaking points of other whose share of the target is not the same in base.
 func Compare(name string, base, other Plan) Table {
 	t := Table{Name: name, Title: "By another reading", Head: []string{"what", "share of the target", "by the other reading", "needed", "bound or budget", "basis"}}
 	for _, b := range other.BreakingPoints {
@@ -205,6 +209,7 @@
 	return t
 }
 
+// unitSuffix returns the unit after a space, or "" without a unit.
 func unitSuffix(u string) string {
 	if u == "" {
 		return ""
--- a/internal/policy/capacity/results.go
+++ b/internal/policy/capacity/results.go
@@ -1,5 +1,5 @@
-// Package capacity computes what a fleet of a given size asks of each role, and at which share of that size a budget is passed,
-// from slopes that were measured. It only computes: a target and results in, tables out.
+// Package capacity computes the load that a fleet of a given size puts on each role, and the share of that size at which a budget is
+// exceeded, from the results of scale measurements. It has no side effects: its input is a target and results, its output tables.
 package capacity
 
 import (
@@ -11,69 +11,69 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Results is what was measured: docs/results/scale.json.
+// Results has the measurements of one commit, as in docs/results/scale.json.
 type Results struct {
 	Command string   `json:"command"`
 	Machine string   `json:"machine"`
-	Program string   `json:"program"` // the commit
+	Program string   `json:"program"` // the commit that was measured
 	Series  []Series `json:"series"`
 }
 
-// Series is one figure of one role over the one size that was varied.
+// Series has the measurements of one figure of one role at several values of one size.
 type Series struct {
-	Name   string             `json:"name"`   // ROLE.FIGURE.VARIES, and a further word where that is not enough
+	Name   string             `json:"name"`   // ROLE.FIGURE.VARIES, and a fourth word where these are ambiguous
 	Role   string             `json:"role"`   // server, router, caller, leader, member, owner, tool
 	Figure string             `json:"figure"` // cpu, resident, heap, allocations, messages, bytes_in, bytes_out, opened, syncs, force_p50, …
 	Unit   string             `json:"unit"`   // core, MB, 1/s, KB/s, ms
 	Varies string             `json:"varies"` // servers, routers, callers, tenants, followers, changes, requests, restarts, zones
-	Fixed  map[string]float64 `json:"fixed"`  // what stayed, by the same words
-	Of     string             `json:"of"`     // hollow, real, simulated
+	Fixed  map[string]float64 `json:"fixed"`  // the sizes that were constant, by the words of Varies, and intervals such as check_ms
+	Of     string             `json:"of"`     // what was measured: real processes, hollow ones, or simulated (the code of a decision alone)
 	Plays  int                `json:"plays"`
-	Points []Point            `json:"points"` // rising
+	Points []Point            `json:"points"` // by ascending size
 	Fit    *Fit               `json:"fit,omitempty"`
 }
 
-// Point is what was read at one size.
+// Point has the values measured at one size.
 type Point struct {
 	At     float64   `json:"at"`
-	Values []float64 `json:"values"` // a play each
+	Values []float64 `json:"values"` // one per repetition
 }
 
-// Median is the middle of its plays.
+// Median returns the median of the values.
 func (p Point) Median() float64 {
 	v := slices.Sorted(slices.Values(p.Values))
 	return stat.Quantile(0.5, stat.Empirical, v, nil)
 }
 
-// Fit is a line through the medians: Base + Per x At to the Power. It was fitted to sizes of up to To, and what it foretold of a size
-// beyond stands beside what was measured there.
+// Fit is a curve through the medians of a series, Base + Per × size^Power, fitted to the sizes From to To. Its prediction for a larger size,
+// At, is compared with the measurement there.
 type Fit struct {
 	Base     float64 `json:"base"`
 	Per      float64 `json:"per"`
 	Power    float64 `json:"power"`
 	From     float64 `json:"from"`
 	To       float64 `json:"to"`
-	At       float64 `json:"at"` // the size that was not fitted to
+	At       float64 `json:"at"` // the size that the fit is checked against
 	Foretold float64 `json:"foretold"`
 	Measured float64 `json:"measured"`
-	Off      float64 `json:"off"` // of what was measured, by which the foretold is off
+	Off      float64 `json:"off"` // relative error of Foretold: Foretold/Measured - 1
 	Cause    string  `json:"cause,omitempty"`
 }
 
-// maxSlopeError is the part by which what was foretold may be off before a slope is marked.
-const maxSlopeError = 0.25
+// maxFitError is the largest relative error of the prediction at which a fit is reliable.
+const maxFitError = 0.25
 
-// Believed reports whether the slope foretold a size that it was not fitted to.
-func (f Fit) Believed() bool { return f.At >= 2*f.To && math.Abs(f.Off) <= maxSlopeError }
+// Believed reports whether the fit is reliable: it predicted a size of at least 2 × To within maxFitError.
+func (f Fit) Believed() bool { return f.At >= 2*f.To && math.Abs(f.Off) <= maxFitError }
 
-// Value is what the slope says of a size.
+// Value returns the value of the fit at a size.
 func (f Fit) Value(at float64) float64 { return f.Base + f.Per*math.Pow(at, f.Power) }
 
-// errTooFewSizes says that a slope can't be fitted.
-var errTooFewSizes = errors.New("a slope needs three sizes, and one of at least twice the largest of them to be held against")
+// errTooFewSizes is returned by Draw.
+var errTooFewSizes = errors.New("too few sizes: a fit needs three, and one of at least twice the largest of these to check it against")
 
-// Draw fits a line of a power through all points but those of at least twice the size of one before; the last of these is what it is held
-// against. The fit is by least squares of the medians.
+// Draw fits a curve of a power by least squares to the medians of all points up to half the size of the last point, and checks it against
+// the last point. It returns an error if fewer than three points are left for the fit, or if the last median is 0.
 func Draw(points []Point, power float64) (*Fit, error) {
 	if len(points) < 4 {
 		return nil, errTooFewSizes
@@ -94,13 +94,13 @@
 	f.Base, f.Per = stat.LinearRegression(x, y, nil, false)
 	f.Foretold = f.Value(f.At)
 	if f.Measured == 0 {
-		return nil, fmt.Errorf("nothing was measured at %g", f.At)
+		return nil, fmt.Errorf("the median at size %g is 0: the relative error of the fit is undefined", f.At)
 	}
 	f.Off = f.Foretold/f.Measured - 1
 	return f, nil
 }
 
-// Check names the first series that can't be.
+// Check returns an error that names the first invalid series.
 func (r Results) Check() error {
 	names := map[string]bool{}
 	for i, s := range r.Series {
@@ -114,9 +114,9 @@
 		for j, p := range s.Points {
 			switch {
 			case len(p.Values) == 0:
-				return fmt.Errorf("series[%d].points[%d].values: none", i, j)
+				return fmt.Errorf("series[%d].points[%d].values: empty", i, j)
 			case j > 0 && p.At <= s.Points[j-1].At:
-				return fmt.Errorf("series[%d].points[%d].at: not above the one before: %v", i, j, p.At)
+				return fmt.Errorf("series[%d].points[%d].at: not above the previous point: %v", i, j, p.At)
 			}
 		}
 	}
--- a/internal/policy/capacity/since.go
+++ b/internal/policy/capacity/since.go
@@ -5,42 +5,43 @@
 	"strings"
 )
 
-// commitsBeforeParts are the programs, by commit, that figures were measured on before documents went in parts.
+// commitsBeforeParts lists the commits without document parts that results were measured on.
 var commitsBeforeParts = []string{"d8bae39"}
 
-// changedSeries is what the program does otherwise than these did, by how its series begin, and why. What was measured of it says nothing of the program as it is.
+// changedSeries lists series, by the prefix of their names, whose results from commitsBeforeParts do not apply to the current program, each
+// with the change that is the reason.
 var changedSeries = []struct{ prefix, reason string }{
-	{"router.cpu.servers", "servers are no longer sorted at each answer to a health check"},
-	{"router.allocations.", "as above, and a map is read where it has changed"},
-	{"router.resident.", "a map has an index, and its parts are shared with the one before"},
-	{"router.cpu.tenants", "a file is read where it has changed"},
-	{"router.ready.tenants", "what is known of a map is kept part by part"},
-	{"router.parse.", "a map is indexed as it is read, and from a group only changed parts are read"},
-	{"router.follows.", "only what two maps do not share is compared"},
-	{"router.route", "a tenant and its cell's servers are found by an index"},
+	{"router.cpu.servers", "servers are not sorted on each answer to a health check"},
+	{"router.allocations.", "as above, and a map is read only if it changed"},
+	{"router.resident.", "a map has an index and shares unchanged parts with the previous map"},
+	{"router.cpu.tenants", "a file is read only if it changed"},
+	{"router.ready.tenants", "the state derived from a map is kept per part"},
+	{"router.parse.", "a map is indexed when it is read, and only changed parts are read from a group"},
+	{"router.follows.", "only parts that two maps do not share are compared"},
+	{"router.route", "a tenant and the servers of its cell are found by an index"},
 	{"router.find.", "a server is found by an index"},
-	{"router.round.", "health is looked through at the end of a round, not at each answer"},
+	{"router.round.", "health is evaluated at the end of a round, not on each answer"},
 	{"router.states.", "as above"},
-	{"router.cpu.followers", "a connection to the group stays"},
+	{"router.cpu.followers", "the connection to the group is kept open"},
 	{"router.opened.followers", "as above"},
-	{"leader.wholes.", "worked out as a map comes, from an index, not each second"},
+	{"leader.wholes.", "computed from an index when a map arrives, not every second"},
 	{"leader.targets.", "as above"},
-	{"leader.cpu.", "connections stay, all that wait share one confirming, and parts are told of that changed"},
-	{"leader.opened.", "connections stay"},
-	{"leader.bytes_", "parts are told of that changed"},
-	{"leader.resident.", "each process has a connection that stays"},
-	{"leader.refused.", "there may be four times as many processes"},
-	{"leader.force_", "connections stay, and parts are told of that changed"},
-	{"leader.syncs.", "what is said at one time is one entry"},
+	{"leader.cpu.", "connections are kept open, waiting reads share one confirmation, and only changed parts are sent"},
+	{"leader.opened.", "connections are kept open"},
+	{"leader.bytes_", "only changed parts are sent"},
+	{"leader.resident.", "each process has a connection that is kept open"},
+	{"leader.refused.", "the limit of processes is four times as high"},
+	{"leader.force_", "connections are kept open, and only changed parts are sent"},
+	{"leader.syncs.", "reports that arrive together share one log entry"},
 	{"member.cpu.", "as above"},
 	{"member.bytes_", "as above"},
-	{"member.resident.", "as above, and history has no texts of parts"},
-	{"member.snapshot", "it has each part once, and no texts of what is over"},
-	{"tool.", "a map goes in parts"},
+	{"member.resident.", "as above, and the history has no texts of parts"},
+	{"member.snapshot", "it has each part once, and no texts of superseded versions"},
+	{"tool.", "a map is split into parts"},
 }
 
-// truncatedSeries are series that say nothing of larger sizes: there a router of before came late with its health checks, as it sorted all servers
-// at each answer, so that it sent fewer than it was set to.
+// truncatedSeries lists series whose results from commitsBeforeParts apply only up to a size. Above it, routers of those commits sent fewer
+// health checks than configured: they sorted all servers on each answer to a health check and fell behind.
 var truncatedSeries = []struct {
 	name    string
 	maxSize float64
@@ -48,7 +49,7 @@
 	{"router.bytes_in.servers", 240}, {"router.bytes_out.servers", 240}, {"router.opened.servers", 240}, {"router.messages.servers", 240},
 }
 
-// applicableTo are the results as far as they say something of a program, and how many series do not.
+// applicableTo returns the results that apply to a program with the given limits, and the number of series left out.
 func (r Results) applicableTo(p ProgramLimits) (Results, int) {
 	if !p.hasParts() || !slices.Contains(commitsBeforeParts, r.Program) {
 		return r, 0
@@ -61,7 +62,7 @@
 		for _, x := range truncatedSeries {
 			if s.Name == x.name {
 				s.Points = slices.DeleteFunc(slices.Clone(s.Points), func(p Point) bool { return p.At > x.maxSize })
-				s.Fit, _ = Draw(s.Points, 1) // none of too few sizes
+				s.Fit, _ = Draw(s.Points, 1) // nil if too few sizes are left
 				r.Series[i] = s
 			}
 		}
--- a/internal/policy/capacity/target.go
+++ b/internal/policy/capacity/target.go
@@ -5,68 +5,68 @@
 	"math"
 )
 
-// Target is what a fleet has to carry, what may be spent on it, how its words are read, and what is taken for granted where nothing
-// was measured. Its settings file is deploy/target.json; docs/CAPACITY.md says where each figure comes from.
+// Target has the load of a fleet, the budgets of its control, the readings of ambiguous terms, and assumptions for what was not measured.
+// Its settings file is deploy/target.json; docs/CAPACITY.md gives the source of each value.
 type Target struct {
 	Servers        float64
-	Callers        float64 // processes that ask
-	CallerServices float64 // the services that they belong to
-	Requests       float64 // a second, at the peak
+	Callers        float64 // processes that send requests
+	CallerServices float64 // services that the callers belong to
+	Requests       float64 // a second at the peak, of the whole fleet
 	Routes         float64
 	Tenants        float64
-	Added          float64 // ms that are added to a request, for 99 of 100
+	Added          float64 // ms added to a request, 99th percentile
 	Regions, Zones float64
-	Changes        float64 // of configuration, a day
-	InForce        float64 // s within which each is in force everywhere
+	Changes        float64 // of configuration per day
+	InForce        float64 // s within which a change of configuration is in force everywhere
 	Control        Control
 	Day            Day
 	Readings       Readings
 	Assumed        Assumptions
 }
 
-// Control is what may be spent on it.
+// Control has the budgets of control.
 type Control struct {
-	Core     float64 // of one, by a service
+	Core     float64 // fraction of one core, per service
 	Memory   float64 // MB
 	Bytes    float64 // KB/s, in and out together
-	Machines float64 // that are set aside
+	Machines float64 // reserved for control
 }
 
-// Day is what fails and is restarted.
+// Day has the rates of failures and restarts.
 type Day struct {
-	Fail, Restart float64 // machines, a day
-	RackEvery     float64 // days
-	ZoneEvery     float64 // days
-	Apart         float64 // s for which regions don't hear each other
+	Fail, Restart float64 // machines per day
+	RackEvery     float64 // days between failures of a rack
+	ZoneEvery     float64 // days between failures of a zone
+	Apart         float64 // s of a network partition between regions
 }
 
-// Readings are how the target's words are taken where they leave it open: docs/questions.md.
+// Readings chooses between interpretations of ambiguous terms of the target: see docs/questions.md.
 type Readings struct {
-	CallersPick  bool // a caller picks among servers by itself, as a router does; else it picks among routers
-	RoutesBeside bool // routes are entries of the map beside the tenants' own; else some of these
-	ControlAdded bool // control is what is added to a process without it; else all that a process spends without requests
+	CallersPick  bool // callers pick among servers as routers do; otherwise they pick among routers
+	RoutesBeside bool // routes are map entries in addition to those of tenants; otherwise they are some of these
+	ControlAdded bool // control costs what it adds to a process without it; otherwise all that a process uses without requests
 }
 
-// Assumptions are what is taken for granted. Each is a field of the settings file.
+// Assumptions has values that were not measured. Each is a field of the settings file.
 type Assumptions struct {
-	Utilisation       float64 // of a core, or of what a server can do, at the peak
-	ServerRequests    float64 // a second, that a server can do
-	RouterRequest     float64 // µs of the processor for a request, where none was measured
-	CallerConnections float64 // that a caller keeps, to different routers
-	Sockets           float64 // limits.sockets of a process
+	Utilisation       float64 // fraction of a core, or of ServerRequests, in use at the peak
+	ServerRequests    float64 // requests a second that a server can execute
+	RouterRequest     float64 // µs of processor time of a router per request, if not measured
+	CallerConnections float64 // connections that a caller keeps, each to another router
+	Sockets           float64 // the setting limits.sockets of a process
 	Probe             float64 // ms between two health checks of a server
-	Lease             float64 // ms, of the group
-	MapLease, MapSkew float64 // ms, of the map
-	Tick              float64 // ms, of the group's heartbeat
-	BurstChanges      float64 // a second, in a burst
-	Sheets            float64 // of all requests, the part that is keyed
-	Window            float64 // s in which a sheet may come again
-	RackServers       float64
-	RegionDelay       float64 // ms, there and back between regions
-	MachineBytes      float64 // KB/s that a machine's network carries
+	Lease             float64 // ms, of the quorum group
+	MapLease, MapSkew float64 // ms, of the cell map
+	Tick              float64 // ms between two heartbeats of the group
+	BurstChanges      float64 // changes a second in a burst
+	Sheets            float64 // fraction of requests that have an idempotency key
+	Window            float64 // s, the key window: a request with a key may be repeated within it
+	RackServers       float64 // servers of a rack
+	RegionDelay       float64 // ms of a round trip between regions
+	MachineBytes      float64 // KB/s of a machine's network
 }
 
-// Check names the first field that can't be, as it stands in the settings file.
+// Check returns an error that names the first invalid field as the settings file does.
 func (t Target) Check() error {
 	for _, f := range t.fields() {
 		switch {
@@ -93,13 +93,15 @@
 	return nil
 }
 
+// field is a number of the settings file and its valid range.
 type field struct {
 	name        string
 	value       float64
-	min, max    float64
-	zeroAllowed bool // 0 can be, where the least is 0
+	min, max    float64 // max 0 means none
+	zeroAllowed bool    // 0 is valid, where min is 0
 }
 
+// fields returns all numbers of the target by their names in the settings file.
 func (t Target) fields() []field {
 	c, d, a := t.Control, t.Day, t.Assumed
 	return []field{
@@ -121,7 +123,7 @@
 	}
 }
 
-// entries is how many entries the map has for tenants and routes.
+// entries returns the number of map entries for tenants and routes.
 func (t Target) entries() float64 {
 	if t.Readings.RoutesBeside {
 		return t.Tenants + t.Routes
