--- a/internal/policy/capacity/bounds_test.go
+++ b/internal/policy/capacity/bounds_test.go
@@ -16,7 +16,7 @@
 	"testing"
 )
 
-// Every bound of the program as it is stands in the source, by the name or the words that the table gives.
+// Every limit in Current equals the constant or the expression of the source that sources lists for it.
 func TestBounds(t *testing.T) {
 	listed := map[string]bool{}
 	for _, s := range sources(Current) {
@@ -25,10 +25,10 @@
 		files := parseDir(t, fset, "../../../"+s.dir)
 		if !token.IsIdentifier(s.expr) {
 			if !slices.ContainsFunc(files, func(f *ast.File) bool { return containsExpr(t, fset, f, s.expr) }) {
-				t.Errorf("%s: %s does not say %q", s.name, s.dir, s.expr)
+				t.Errorf("%s: %s does not contain the expression %q", s.name, s.dir, s.expr)
 			}
 			if v := evalText(t, s.expr); v != s.value {
-				t.Errorf("%s is %v, and %q of %s is %v", s.name, s.value, s.expr, s.dir, v)
+				t.Errorf("%s is %v, but %q in %s is %v", s.name, s.value, s.expr, s.dir, v)
 			}
 			continue
 		}
@@ -39,46 +39,46 @@
 			}
 		}
 		if len(values) != 1 {
-			t.Errorf("%s: %s has %d constants %s, not one", s.name, s.dir, len(values), s.expr)
+			t.Errorf("%s: %s has %d constants %s, want 1", s.name, s.dir, len(values), s.expr)
 			continue
 		}
 		if v := evalConstant(t, values[0]); v != s.value {
-			t.Errorf("%s is %v, and %s of %s is %v", s.name, s.value, s.expr, s.dir, v)
+			t.Errorf("%s is %v, but %s in %s is %v", s.name, s.value, s.expr, s.dir, v)
 		}
 	}
-	// A status is read up to a message's length.
+	// The client reads a status as one message of the protocol, so MaxCallBody limits it.
 	fset := token.NewFileSet()
 	for _, text := range []string{"doOn(dialLong, addr, dialTimeout, (*Conn).Status)", "msgpackrpc.DialCalls(ctx, addr)"} {
 		if f, err := parser.ParseFile(fset, "../../transport/client/client.go", nil, 0); err != nil || !containsExpr(t, fset, f, text) {
-			t.Errorf("internal/transport/client/client.go does not say %q: %v", text, err)
+			t.Errorf("internal/transport/client/client.go does not contain the expression %q: %v", text, err)
 		}
 	}
 	const reportFormat = "announce %s %t"
 	if f, err := parser.ParseFile(fset, "../../transport/loadreport/reporter.go", nil, 0); err != nil || !containsExpr(t, fset, f, `"`+reportFormat+`"`) {
-		t.Errorf("internal/transport/loadreport/reporter.go does not say %q: %v", reportFormat, err)
+		t.Errorf("internal/transport/loadreport/reporter.go does not contain the text %q: %v", reportFormat, err)
 	}
 	if n := len(fmt.Sprintf(reportFormat, "", true)); float64(n) != Current.ReportSize {
-		t.Errorf("a report has %d bytes without a name, the table has %v", n, Current.ReportSize)
+		t.Errorf("a report without a name has %d bytes, Current has %v", n, Current.ReportSize)
 	}
-	// What has no line there is a size of what is written, which TestSizes holds.
+	// Fields that sources does not list are sizes of encoded data, which TestSizes checks.
 	for f := range reflect.TypeFor[ProgramLimits]().Fields() {
 		isSize := strings.HasSuffix(f.Name, "TextSize") && f.Name != "MaxTextSize" || strings.HasSuffix(f.Name, "MessageSize") ||
 			strings.HasSuffix(f.Name, "StatusSize") || f.Name == "ReportSize"
 		if isSize == listed[f.Name] {
-			t.Errorf("%s: in the table of sources: %v", f.Name, listed[f.Name])
+			t.Errorf("%s: listed in sources: %v", f.Name, listed[f.Name])
 		}
 	}
 }
 
-// source says where a bound stands in the source: a constant of a package, or an expression that has to be there as it is.
+// source is the place of a limit in the source: a constant of a package, or an expression that its files must contain literally.
 type source struct {
 	name  string
 	value float64
-	dir   string // of the package, below the root
+	dir   string // of the package, relative to the root of the repository
 	expr  string // name of a constant, or the text of an expression
 }
 
-// sources lists where each bound of a program stands.
+// sources lists the place of each limit.
 func sources(p ProgramLimits) []source {
 	return []source{
 		{"MaxTextSize", p.MaxTextSize, "internal/policy/configstore", "maxTextSize"},
@@ -115,7 +115,7 @@
 	}
 }
 
-// parseDir reads the files of a package that are no tests.
+// parseDir parses the files of a package except its tests.
 func parseDir(t *testing.T, fset *token.FileSet, dir string) (files []*ast.File) {
 	t.Helper()
 	names, err := filepath.Glob(dir + "/*.go")
@@ -135,7 +135,7 @@
 	return files
 }
 
-// stands reports whether an expression stands in a file.
+// containsExpr reports whether a file contains an expression with the given text.
 func containsExpr(t *testing.T, fset *token.FileSet, f *ast.File, text string) (found bool) {
 	ast.Inspect(f, func(n ast.Node) bool {
 		if e, ok := n.(ast.Expr); ok && !found {
@@ -150,7 +150,7 @@
 	return found
 }
 
-// number is what an expression comes to: milliseconds of a time, and the part of what a name stands for.
+// evalText evaluates an expression of sources: a duration in milliseconds, or the constant factor or divisor after a name.
 func evalText(t *testing.T, text string) float64 {
 	text, isDuration := strings.CutSuffix(text, " * time.Millisecond")
 	if seconds, ok := strings.CutSuffix(text, " * time.Second"); ok {
@@ -172,7 +172,7 @@
 	return v
 }
 
-// valueOf is what a constant's expression comes to, with the constants of the program's other packages that it names.
+// evalConstant evaluates the expression of a constant, with the constants of other packages of the program that it uses.
 func evalConstant(t *testing.T, e ast.Expr) float64 {
 	t.Helper()
 	text := types.ExprString(e)
@@ -204,6 +204,7 @@
 	return v
 }
 
+// findConstant returns the expression of a constant of a file, or nil.
 func findConstant(f *ast.File, name string) (e ast.Expr) {
 	ast.Inspect(f, func(n ast.Node) bool {
 		if v, ok := n.(*ast.ValueSpec); ok {
--- a/internal/policy/capacity/lines.go
+++ b/internal/policy/capacity/lines.go
@@ -116,9 +116,7 @@
 }
 
 // groupMessages returns the requests and replies a second between one process and the group at a number of polls per lease.
-func (b *lineBuilder) groupMessages(pollsPerLease float64) float64 {
-	return 2 * pollsPerLease / b.lease
-}
+func (b *lineBuilder) groupMessages(polls float64) float64 { return 2 * polls / b.lease }
 
 // byPartsMode returns inParts if the program splits maps into parts, else asOneDocument.
 func (b *lineBuilder) byPartsMode(inParts, asOneDocument string) string {
--- a/internal/policy/capacity/page_test.go
+++ b/internal/policy/capacity/page_test.go
@@ -25,10 +25,11 @@
 	"silverpath/internal/transport/loadreport"
 )
 
-var update = flag.Bool("update", false, "write the tables of docs/CAPACITY.md anew")
+var update = flag.Bool("update", false, "rewrite the tables of docs/CAPACITY.md")
 
 const pagePath = "../../../docs/CAPACITY.md"
 
+// loadTarget returns the built-in target with a modification.
 func loadTarget(t *testing.T, modify func(*capacity.Target)) capacity.Target {
 	t.Helper()
 	parsed, err := settings.ParseTarget(deploy.Target)
@@ -41,20 +42,21 @@
 	return parsed
 }
 
-func computePlan(t *testing.T, of capacity.Target, resultsFile string, limits capacity.ProgramLimits) capacity.Plan {
+// computePlan computes the plan of a target from a built-in file of results.
+func computePlan(t *testing.T, target capacity.Target, resultsFile string, limits capacity.ProgramLimits) capacity.Plan {
 	t.Helper()
 	r, err := results.Read(resultsFile)
 	if err != nil {
 		t.Fatal(err)
 	}
-	got, err := capacity.Compute(of, r, limits)
+	got, err := capacity.Compute(target, r, limits)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return got
 }
 
-// The tables of the page are those that the computation has on the results that are kept: go test ./internal/policy/capacity -update writes them.
+// The tables of docs/CAPACITY.md equal those computed from the built-in results. "go test ./internal/policy/capacity -update" rewrites them.
 func TestPage(t *testing.T) {
 	data, err := os.ReadFile(pagePath)
 	if err != nil {
@@ -62,7 +64,7 @@
 	}
 	tables := computePlan(t, loadTarget(t, nil), results.Scale, capacity.Current).Tables()
 	tables = append(tables, computePlan(t, loadTarget(t, nil), results.Was, capacity.BeforeParts).BreakingTable("was"))
-	for _, other := range []struct {
+	for _, reading := range []struct {
 		name   string
 		change func(*capacity.Target)
 	}{
@@ -70,7 +72,7 @@
 		{"routes", func(x *capacity.Target) { x.Readings.RoutesBeside = true }},
 		{"added", func(x *capacity.Target) { x.Readings.ControlAdded = true }},
 	} {
-		tables = append(tables, capacity.Compare(other.name, computePlan(t, loadTarget(t, nil), results.Scale, capacity.Current), computePlan(t, loadTarget(t, other.change), results.Scale, capacity.Current)))
+		tables = append(tables, capacity.Compare(reading.name, computePlan(t, loadTarget(t, nil), results.Scale, capacity.Current), computePlan(t, loadTarget(t, reading.change), results.Scale, capacity.Current)))
 	}
 	want, err := capacity.Fill(string(data), tables)
 	if err != nil {
@@ -88,13 +90,13 @@
 	pageLines, wantLines := strings.Split(string(data), "\n"), strings.Split(want, "\n")
 	for i := range wantLines {
 		if i >= len(pageLines) || pageLines[i] != wantLines[i] {
-			t.Fatalf("docs/CAPACITY.md, line %d: the page and the computation differ, which says\n%s", i+1, wantLines[i])
+			t.Fatalf("docs/CAPACITY.md, line %d: the page differs from the computed line\n%s", i+1, wantLines[i])
 		}
 	}
-	t.Fatal("docs/CAPACITY.md: the page is longer than the computation")
+	t.Fatal("docs/CAPACITY.md: the page has more lines than the computed page")
 }
 
-// Every field of the target's file is on the page.
+// Every field of the target's file is described in docs/CAPACITY.md.
 func TestFieldsAreOnThePage(t *testing.T) {
 	text, err := os.ReadFile(pagePath)
 	if err != nil {
@@ -102,7 +104,7 @@
 	}
 	_, section, ok := strings.Cut(string(text), "## The target's file")
 	if !ok {
-		t.Fatal("no part for the file")
+		t.Fatal("docs/CAPACITY.md has no section \"The target's file\"")
 	}
 	var fields map[string]any
 	if err := json.Unmarshal(deploy.Target, &fields); err != nil {
@@ -112,41 +114,42 @@
 		inner, ok := v.(map[string]any)
 		if !ok {
 			if !strings.Contains(section, "`"+key+"`") {
-				t.Errorf("%s is not on the page", key)
+				t.Errorf("%s is not described in docs/CAPACITY.md", key)
 			}
 			continue
 		}
 		for name := range inner {
 			if !strings.Contains(section, "`"+key+"."+name+"`") && !strings.Contains(section, "`."+name+"`") {
-				t.Errorf("%s.%s is not on the page", key, name)
+				t.Errorf("%s.%s is not described in docs/CAPACITY.md", key, name)
 			}
 		}
 	}
 }
 
-// A page that lacks a table, or has one that nobody computes, is found.
+// Fill reports a page without the marker of a table, and a marker without a table.
 func TestFill(t *testing.T) {
 	table := capacity.Table{Name: "a", Head: []string{"x", "y"}, Rows: [][]string{{"1", "a|b"}}}
 	const good = "text\n<!-- capacity:a -->\nold\n<!-- /capacity -->\nmore\n"
 	got, err := capacity.Fill(good, []capacity.Table{table})
 	if want := "text\n<!-- capacity:a -->\n| x | y |\n| --- | --- |\n| 1 | a\\|b |\n<!-- /capacity -->\nmore\n"; err != nil || got != want {
-		t.Errorf("%q, %v", got, err)
+		t.Errorf("filled page %q, error %v", got, err)
 	}
-	for bad, want := range map[string]string{
+	for text, want := range map[string]string{
 		"text": `no marker for the table "a"`, "<!-- capacity:a -->\nold\n": `the marker of the table "a" has no end`,
 		good + "<!-- capacity:b -->\n<!-- /capacity -->\n": `no table for the marker "b"`,
 	} {
-		if _, err := capacity.Fill(bad, []capacity.Table{table}); err == nil || err.Error() != want {
-			t.Errorf("%q: %v, want %s", bad, err, want)
+		if _, err := capacity.Fill(text, []capacity.Table{table}); err == nil || err.Error() != want {
+			t.Errorf("page %q: error %v, want %s", text, err, want)
 		}
 	}
 }
 
+// staticSource is a map source that always returns the same map.
 type staticSource struct{ m *cells.Map }
 
 func (f staticSource) Load(*cells.Map) (*cells.Map, time.Time, error) { return f.m, time.Now(), nil }
 
-// What an entry takes of a document, a word, a status and a report is what the program writes, for names of eleven and twelve letters.
+// The sizes in Current and the report interval equal those of the program. The sizes of entries are for names of 11 and 12 letters.
 func TestSizes(t *testing.T) {
 	makeMap := func(servers, tenants int) *cells.Map {
 		m := &cells.Map{Version: 1, KeyWindow: time.Second, Lease: time.Second, CallerTimeout: time.Second, Cells: []cells.Cell{{Name: "cell-001", Capacity: 430}}}
@@ -177,13 +180,13 @@
 		return len(r.Status())
 	}
 	p := capacity.Current
-	for _, c := range []struct {
+	for _, tc := range []struct {
 		name           string
 		size           func(*cells.Map) int
 		server, tenant float64
 	}{
 		{"document", documentSize, p.ServerTextSize, p.TenantTextSize},
-		{"word", messageSize, p.ServerMessageSize, p.TenantMessageSize},
+		{"message", messageSize, p.ServerMessageSize, p.TenantMessageSize},
 		{"status", statusSize, p.ServerStatusSize, 0},
 		{"status of tenants that have moved", func(m *cells.Map) int {
 			for i := range m.Tenants {
@@ -192,15 +195,15 @@
 			return statusSize(m)
 		}, p.ServerStatusSize, p.TenantStatusSize},
 	} {
-		base := c.size(makeMap(10, 10))
-		if n := float64(c.size(makeMap(20, 10))-base) / 10; n != c.server {
-			t.Errorf("%s: %v bytes a server, the table has %v", c.name, n, c.server)
+		base := tc.size(makeMap(10, 10))
+		if n := float64(tc.size(makeMap(20, 10))-base) / 10; n != tc.server {
+			t.Errorf("%s: %v bytes per server, Current has %v", tc.name, n, tc.server)
 		}
-		if n := float64(c.size(makeMap(10, 20))-base) / 10; n != c.tenant {
-			t.Errorf("%s: %v bytes a tenant, the table has %v", c.name, n, c.tenant)
+		if n := float64(tc.size(makeMap(10, 20))-base) / 10; n != tc.tenant {
+			t.Errorf("%s: %v bytes per tenant, Current has %v", tc.name, n, tc.tenant)
 		}
 	}
-	// Of a map in parts: its entries, as texts and within a word, and the rest of a part.
+	// A map in parts: its entries, as texts and within a message, and the rest of a part.
 	partsSize := func(m *cells.Map) (n int) {
 		for _, text := range settings.SplitCells(m) {
 			n += len(text)
@@ -213,25 +216,25 @@
 		}
 		return n
 	}
-	// Beyond the first entry of a part each has a comma.
+	// Enough entries that every part has one already: each further entry also adds a comma.
 	const manyTenants, moreTenants = 6000, 12000
-	for _, c := range []struct {
+	for _, tc := range []struct {
 		name           string
 		size           func(*cells.Map) int
 		server, tenant float64
 	}{
 		{"part", partsSize, p.ServerPartTextSize, p.TenantPartTextSize},
-		{"part within a word", partsMessageSize, p.ServerPartMessageSize, p.TenantPartMessageSize},
+		{"part within a message", partsMessageSize, p.ServerPartMessageSize, p.TenantPartMessageSize},
 	} {
-		base := c.size(makeMap(900, manyTenants))
-		if n := float64(c.size(makeMap(990, manyTenants))-base) / 90; n != c.server {
-			t.Errorf("%s: %v bytes a server, the table has %v", c.name, n, c.server)
+		base := tc.size(makeMap(900, manyTenants))
+		if n := float64(tc.size(makeMap(990, manyTenants))-base) / 90; n != tc.server {
+			t.Errorf("%s: %v bytes per server, Current has %v", tc.name, n, tc.server)
 		}
-		if n := float64(c.size(makeMap(900, moreTenants))-base) / (moreTenants - manyTenants); n != c.tenant {
-			t.Errorf("%s: %v bytes a tenant, the table has %v", c.name, n, c.tenant)
+		if n := float64(tc.size(makeMap(900, moreTenants))-base) / (moreTenants - manyTenants); n != tc.tenant {
+			t.Errorf("%s: %v bytes per tenant, Current has %v", tc.name, n, tc.tenant)
 		}
 	}
-	wrote := func(v any) int {
+	jsonSize := func(v any) int {
 		b, err := json.Marshal(v)
 		if err != nil {
 			t.Fatal(err)
@@ -240,12 +243,12 @@
 	}
 	const version, digest = 1234567, 12345678901234567890
 	emptyParts := map[string]configstore.Part{"t00": {Version: version, Digest: digest, Text: `{"tenants":[]}`}}
-	size := wrote(emptyParts)
+	size := jsonSize(emptyParts)
 	emptyParts["t01"] = emptyParts["t00"]
-	if n := float64(wrote(emptyParts) - size); n != p.PartMessageSize {
-		t.Errorf("%v bytes of a part without entries, the table has %v", n, p.PartMessageSize)
+	if n := float64(jsonSize(emptyParts) - size); n != p.PartMessageSize {
+		t.Errorf("part without entries: %v bytes, Current has %v", n, p.PartMessageSize)
 	}
-	// A process that is registered: of one map under way it has said that it holds it.
+	// Registered processes, each of which has prepared one map revision.
 	makeStore := func(processes int) (store *configstore.Store, reports map[string]configstore.ProcessReport) {
 		store, reports = configstore.NewStore(), map[string]configstore.ProcessReport{}
 		for i := range processes {
@@ -268,44 +271,44 @@
 	}
 	configViewSize := func(processes int) int {
 		store, reports := makeStore(processes)
-		return wrote(quorum.ConfigView{Store: store.Summary(), Reports: reports})
+		return jsonSize(quorum.ConfigView{Store: store.Summary(), Reports: reports})
 	}
 	if n := float64(snapshotSize(20)-snapshotSize(10)) / 10; n != p.ProcessMessageSize {
-		t.Errorf("a snapshot: %v bytes a process, the table has %v", n, p.ProcessMessageSize)
+		t.Errorf("snapshot: %v bytes per process, Current has %v", n, p.ProcessMessageSize)
 	}
 	if n := float64(configViewSize(20)-configViewSize(10)) / 10; n != p.ProcessReadMessageSize {
-		t.Errorf("a reading of the rules: %v bytes a process, the table has %v", n, p.ProcessReadMessageSize)
+		t.Errorf("reply with the configuration store: %v bytes per process, Current has %v", n, p.ProcessReadMessageSize)
 	}
 	extraHome := makeMap(900, manyTenants)
 	size = partsSize(extraHome)
 	extraHome.Tenants[3].Homes = append(extraHome.Tenants[3].Homes, cells.Home{Cell: "cell-001", Shard: 8, Since: 1767225600001})
 	if n := float64(partsSize(extraHome) - size); n != p.HomePartTextSize {
-		t.Errorf("part: %v bytes a further home, the table has %v", n, p.HomePartTextSize)
+		t.Errorf("part: %v bytes per additional home, Current has %v", n, p.HomePartTextSize)
 	}
 
 	moved := makeMap(10, 10)
 	base := documentSize(moved)
 	moved.Tenants[3].Homes = append(moved.Tenants[3].Homes, cells.Home{Cell: "cell-001", Shard: 8, Since: 1767225600001})
 	if n := float64(documentSize(moved) - base); n != p.HomeTextSize {
-		t.Errorf("document: %v bytes a further home, the table has %v", n, p.HomeTextSize)
+		t.Errorf("document: %v bytes per additional home, Current has %v", n, p.HomeTextSize)
 	}
 	if got := float64(loadreport.Interval.Milliseconds()); got != p.ReportInterval {
-		t.Errorf("reports each %v ms, the table has %v", got, p.ReportInterval)
+		t.Errorf("report interval: %v ms, Current has %v", got, p.ReportInterval)
 	}
 }
 
-// What is counted of the target's map in parts is what the program writes of one: a snapshot, a reading of the rules, an answer that tells
-// of a tenant's change (less one that tells of none), and the fullest part.
+// The sizes computed for the target's map in parts agree with encoded data: a snapshot, a reply with the configuration store, the growth of a
+// sync reply by a change of one tenant, and the fullest part.
 func TestCountedInParts(t *testing.T) {
 	fleet := loadTarget(t, nil)
 	p := computePlan(t, fleet, results.Scale, capacity.Current)
-	lineBytes := func(role, figure string, k capacity.Condition) float64 {
+	lineBytes := func(role, figure string, condition capacity.Condition) float64 {
 		for _, l := range p.Lines {
 			if l.Role == role && l.Figure == figure {
-				return float64(l.Estimates[k].Value) * 1024
+				return float64(l.Estimates[condition].Value) * 1024
 			}
 		}
-		t.Fatal("no line ", figure)
+		t.Fatal("no line for the figure ", figure)
 		return 0
 	}
 	m := &cells.Map{Version: 1, KeyWindow: time.Second, Lease: time.Second, CallerTimeout: time.Second, Cells: []cells.Cell{{Name: "cell-001", Capacity: 430}}}
@@ -337,12 +340,12 @@
 	}
 	checkSize := func(name string, size int, estimate float64) {
 		t.Helper()
-		t.Logf("%s: %d bytes, counted %.0f", name, size, estimate)
-		if deviation := float64(size)/estimate - 1; deviation > 0.01 || deviation < -0.1 { // small versions are shorter than what is counted
-			t.Errorf("%s: %d bytes, counted %.0f", name, size, estimate)
+		t.Logf("%s: %d bytes, computed %.0f", name, size, estimate)
+		if deviation := float64(size)/estimate - 1; deviation > 0.01 || deviation < -0.1 { // the computed sizes assume more digits in versions
+			t.Errorf("%s: %d bytes, computed %.0f", name, size, estimate)
 		}
 	}
-	wrote := func(v any) int {
+	jsonSize := func(v any) int {
 		b, err := json.Marshal(v)
 		if err != nil {
 			t.Fatal(err)
@@ -354,9 +357,9 @@
 		t.Fatal(err)
 	}
 	checkSize("snapshot", len(b), lineBytes("leader", "bytes of a snapshot of the group", capacity.Rest))
-	checkSize("reading", wrote(quorum.ConfigView{Store: s.Config.Summary(), Reports: reports}), lineBytes("tool", "bytes of one reading of the rules", capacity.Rest))
+	checkSize("reply with the configuration store", jsonSize(quorum.ConfigView{Store: s.Config.Summary(), Reports: reports}), lineBytes("tool", "bytes of one reading of the rules", capacity.Rest))
 	if n := lineBytes("tool", "words of a first import", capacity.Rest) / 1024; math.Abs(float64(len(batches))-n) > 1 {
-		t.Errorf("%d words of a first import, counted %v", len(batches), n)
+		t.Errorf("first import: %d messages, computed %v", len(batches), n)
 	}
 	total, fullest := 0, 0
 	for name, text := range texts {
@@ -373,11 +376,11 @@
 			checkSize("fullest part", fullest, float64(b.NeededAtTarget.Value)*1024)
 		}
 	}
-	// Of all tenants the mean answer: a change of each part's first tenant.
+	// The mean over all parts of the growth of a reply by a change of the part's first tenant.
 	original, replyGrowth := texts, 0
 	document, process := s.Config.Documents[configstore.DocMap], s.Config.Processes["server-0000#0a1b2c3d"]
 	replySize := func(d *configstore.Document) int {
-		return wrote(quorum.ConfigSyncReply{Docs: map[string]configstore.View{configstore.DocMap: d.ViewFor(process, []int{1}, 1)}})
+		return jsonSize(quorum.ConfigSyncReply{Docs: map[string]configstore.View{configstore.DocMap: d.ViewFor(process, []int{1}, 1)}})
 	}
 	for i := range cells.TenantParts {
 		name := cells.TenantPartName(i)
--- a/internal/policy/capacity/results_test.go
+++ b/internal/policy/capacity/results_test.go
@@ -5,6 +5,7 @@
 	"testing"
 )
 
+// makePoints returns points whose median is f of their size.
 func makePoints(f func(x float64) float64, at ...float64) (list []Point) {
 	for _, x := range at {
 		list = append(list, Point{x, []float64{f(x), f(x) * 1.5, f(x) * 0.9}})
@@ -21,17 +22,17 @@
 	}
 }
 
-// What grows by the square is not foretold by a line, and a size of under twice the largest that was fitted proves nothing.
+// A linear fit of a quadratic series is unreliable, and so is a fit checked at less than twice the largest size that it was fitted to.
 func TestDrawIsMarked(t *testing.T) {
 	f, err := Draw(makePoints(func(x float64) float64 { return x * x }, 1, 2, 4, 8, 16), 1)
 	if err != nil || f.Believed() {
-		t.Errorf("a square taken for a line is believed: %+v, %v", f, err)
+		t.Errorf("the linear fit of a quadratic series is reliable: %+v, %v", f, err)
 	}
 	if f, err := Draw(makePoints(func(x float64) float64 { return x }, 1, 2, 4, 5), 1); err == nil {
-		t.Errorf("a slope of two sizes: %+v", f)
+		t.Errorf("a fit of two sizes: %+v", f)
 	}
 	near := Fit{To: 8, At: 15, Off: 0}
 	if near.Believed() {
-		t.Error("a size of under twice the largest is taken for proof")
+		t.Error("a fit checked at less than twice the largest size is reliable")
 	}
 }
