--- a/internal/policy/capacity/plan_test.go
+++ b/internal/policy/capacity/plan_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// small is a target that can be worked by hand.
+// smallTarget returns a target whose plan can be computed by hand.
 func smallTarget() Target {
 	return Target{
 		Servers: 100, Callers: 50, CallerServices: 5, Requests: 8000, Routes: 10, Tenants: 1000, Added: 2, Regions: 2, Zones: 5, Changes: 864, InForce: 8,
@@ -18,7 +18,7 @@
 	}
 }
 
-// line is a series of base + per × at, measured once at each size; the last one is what the slope is held against.
+// linearSeries returns a series of base + per × size with one value per size. Its fit is checked against the last size.
 func linearSeries(name string, base, per float64, at ...float64) Series {
 	s := Series{Name: name}
 	for _, x := range at {
@@ -30,8 +30,10 @@
 	return s
 }
 
+// approxEqual reports whether a differs from b by at most 1e-6, relative to b if b is above 1.
 func approxEqual(a Number, b float64) bool { return math.Abs(float64(a)-b) <= 1e-6*max(1, math.Abs(b)) }
 
+// compute returns the plan of a target for the program without parts.
 func compute(t *testing.T, target Target, r Results) Plan {
 	t.Helper()
 	p, err := Compute(target, r, BeforeParts)
@@ -41,11 +43,13 @@
 	return p
 }
 
+// findLine returns the line of a figure, which must exist.
 func (p Plan) findLine(role, figure string) Line {
 	i := slices.IndexFunc(p.Lines, func(l Line) bool { return l.Role == role && l.Figure == figure })
 	return p.Lines[i]
 }
 
+// findBreakingPoint returns a breaking point by its name.
 func (p Plan) findBreakingPoint(what string) (BreakingPoint, bool) {
 	i := slices.IndexFunc(p.BreakingPoints, func(b BreakingPoint) bool { return b.Name == what })
 	if i < 0 {
@@ -77,10 +81,10 @@
 		invalid := smallTarget()
 		c.change(&invalid)
 		if err := invalid.Check(); err == nil || err.Error() != c.want {
-			t.Errorf("%v, want %s", err, c.want)
+			t.Errorf("Check: %v, want %s", err, c.want)
 		}
 		if _, err := Compute(invalid, Results{}, BeforeParts); err == nil {
-			t.Errorf("computed: %s", c.want)
+			t.Errorf("Compute accepted a target with the error %q", c.want)
 		}
 	}
 	zeros := smallTarget()
@@ -111,20 +115,20 @@
 	}
 	sum := r.At("a", 64).add(assumed(9))
 	if sum.Basis != Assumed || !approxEqual(sum.Value, 140) || sum.Factor != 4 {
-		t.Errorf("%+v", sum)
+		t.Errorf("Assumed sum beyond the measured sizes: %+v", sum)
 	}
 	if sum := r.At("a", 2).add(r.At("none", 1)); sum.Basis != NotMeasured {
-		t.Errorf("%+v", sum)
+		t.Errorf("sum with a series that was not measured: %+v", sum)
 	}
 }
 
-// What is foretold goes on from what was measured last, so a fit that misses there does not jump.
+// Extrapolation continues from the last measured value: the fit's error there does not cause a jump.
 func TestForetoldGoesOn(t *testing.T) {
 	s := linearSeries("a", 0, 1, 1, 2, 4, 8)
 	s.Points[3].Values = []float64{10}
 	e := Results{Series: []Series{s}}.At("a", 16)
 	if !approxEqual(e.Value, 18) {
-		t.Errorf("%v", e.Value)
+		t.Errorf("extrapolated value %v, want 18", e.Value)
 	}
 }
 
@@ -138,28 +142,28 @@
 		{5, 40, 1, "measured"},       // 1 + 0.1 × 40
 		{3, 40, 0.5, "measured"},     // 1 + 0.1 × 20
 		{17, 40, 4, "foretold ×2"},   // 1 + 0.1 × 160
-		{0.5, 40, 0, "foretold ×0"},  // its base alone
-		{1000, 40, math.Inf(1), ""},  // beyond 20 times
-		{1.2, 200, 0.01, "foretold"}, // 1 + 0.1 × 2, below what was measured
+		{0.5, 40, 0, "foretold ×0"},  // the base alone exceeds the budget
+		{1000, 40, math.Inf(1), ""},  // not exceeded at 20 times the target
+		{1.2, 200, 0.01, "foretold"}, // 1 + 0.1 × 2, below the measured sizes
 	} {
 		share, e := lowestShareOver(c.budget, at(c.x))
 		if math.Abs(share-c.share) > 1e-6 && share != c.share || c.budget != 0.5 && !strings.HasPrefix(e.String(), c.basis) {
-			t.Errorf("%v of %v: %v, %s", c.budget, c.x, share, e)
+			t.Errorf("budget %v, size %v: share %v, %s", c.budget, c.x, share, e)
 		}
 	}
 	if share, _ := lowestShareOver(1, func(float64) Estimate { return notMeasured() }); !math.IsNaN(share) {
-		t.Errorf("nothing was measured: %v", share)
+		t.Errorf("figure without measurements: share %v, want NaN", share)
 	}
-	// Over the budget within what was measured, and nothing known beyond.
+	// The budget is exceeded within the measured sizes of a series without a fit, which has no estimate beyond them.
 	withoutFit := Results{Series: []Series{{Name: "a", Points: []Point{{10, []float64{1}}, {20, []float64{3}}}}}}
 	if share, e := lowestShareOver(2, func(s float64) Estimate { return withoutFit.At("a", 100*s) }); math.Abs(share-0.15) > 1e-6 || e.Basis != Measured {
-		t.Errorf("%v, %v", share, e)
+		t.Errorf("series without a fit: share %v, estimate %v", share, e)
 	}
 }
 
-// A case worked by hand. Routers: 8,000 requests a second at 0.5 of a core; a request takes 100 µs over a base of 0.1, and health checks of 100
-// servers 0.2 of a core: 0.3 are left, (0.3 - 0.1) / 0.0001 = 2,000 a second; the time added is within 2 ms at 1,000, and not at 2,000. With a zone lost
-// 8,000 / 1,000 = 8 routers in four zones, 2 in each: 10 in all.
+// A plan computed by hand. The peak is 8,000 requests a second. A router may use 0.5 of a core: health checks of 100 servers take 0.2, the base
+// 0.1 and a request 100 µs, which leaves (0.3 - 0.1) / 0.0001 = 2,000 requests a second. The added latency is within 2 ms at 1,000 a second but
+// not at 2,000. With a zone lost, 8,000 / 1,000 = 8 routers are needed in four zones: 2 in each zone, 10 in all.
 func TestByHand(t *testing.T) {
 	r := Results{Program: "p", Machine: "m", Series: []Series{
 		linearSeries("router.cpu.requests", 0.1, 0.0001, 500, 1000, 2000, 4000),
@@ -172,7 +176,7 @@
 	}}
 	p := compute(t, smallTarget(), r)
 	if p.Routers != 10 {
-		t.Fatalf("%v routers: %+v", p.Routers, p.Sizing)
+		t.Fatalf("%v routers, want 10: %+v", p.Routers, p.Sizing)
 	}
 	want := map[string]float64{
 		"requests a second of a server, all zones there": 80, "requests a second of a server, a zone lost": 100, "servers for the peak, a zone lost": 100,
@@ -181,7 +185,7 @@
 		"requests a second of a router, by its core, beside its health checks": 2000,
 		"requests a second of a router, by the time that it adds":              1000,
 		"routers for the peak, a zone lost":                                    10,
-		"routers for the callers' connections, a zone lost":                    5, // 150 over 590
+		"routers for the callers' connections, a zone lost":                    5, // 150 connections, 590 descriptors a router
 		"routers that are reckoned with":                                       10,
 	}
 	for _, s := range p.Sizing {
@@ -191,86 +195,87 @@
 		delete(want, s.Name)
 	}
 	if len(want) > 0 {
-		t.Errorf("missing: %v", want)
+		t.Errorf("missing from the sizing: %v", want)
 	}
-	// Ten callers, 0.005 + 0.001 × 10; the budget of 0.01 is passed at five of them.
+	// Ten routers probe each server: 0.005 + 0.001 × 10. Five reach the budget of 0.01.
 	if e := p.findLine("server", "processor, health checks").Estimates[Rest]; !approxEqual(e.Value, 0.015) || e.Basis != Measured {
-		t.Errorf("%+v", e)
+		t.Errorf("server health checks: %+v", e)
 	}
 	if b, ok := p.findBreakingPoint("server: processor, health checks"); !ok || b.Stops || !approxEqual(b.Share, 0.5) || !approxEqual(b.NeededAtTarget.Value, 0.015) {
-		t.Errorf("%+v", b)
+		t.Errorf("breaking point of server health checks: %+v", b)
 	}
-	// 110 followers, of which 80 were measured.
+	// 110 followers; up to 80 were measured.
 	if e := p.findLine("leader", "processor").Estimates[Rest]; !approxEqual(e.Value, 0.11) || e.String() != "foretold ×1.38" {
-		t.Errorf("%+v, %s", e, e)
+		t.Errorf("leader processor: %+v, %s", e, e)
 	}
-	// Of a router's peak: 8,000 over eight that are left.
+	// A router at the peak: 8,000 requests over the eight routers left.
 	if e := p.findLine("router", "processor, requests").Estimates[Peak]; !approxEqual(e.Value, 0.2) {
-		t.Errorf("%+v", e)
+		t.Errorf("router processor for requests: %+v", e)
 	}
-	// The map: 1,000 × 195 + 100 × 154 bytes of 262,144.
+	// The map: 1,000 × 195 + 100 × 154 bytes; the limit is 262,144.
 	if b, ok := p.findBreakingPoint("leader: the map as one document"); !ok || !b.Stops || !approxEqual(b.Share, 262144/210400.0) {
-		t.Errorf("%+v", b)
+		t.Errorf("breaking point of the map: %+v", b)
 	}
-	// 17 of 1,000 × 222 + 100 × 177 bytes, and half a KB of each of 110 that are registered.
+	// 17 versions of 1,000 × 222 + 100 × 177 bytes, and half a KB for each of 110 registered processes.
 	if b, ok := p.findBreakingPoint("leader: bytes of a snapshot of the group"); !ok || !approxEqual(b.Share, (1048576-4096)/(17*239700.0+110*512)) {
-		t.Errorf("%+v", b)
+		t.Errorf("breaking point of the snapshot: %+v", b)
 	}
 	if e := p.findLine("leader", "connections made for words").Estimates[Rest]; !approxEqual(e.Value, 220) || e.Basis != Measured {
-		t.Errorf("%+v", e)
+		t.Errorf("leader connections made at rest: %+v", e)
 	}
-	// Of 110 followers and six more connections none gives way at 128 places.
+	// The limit of 128 connections exceeds those of 110 followers, five members and an owner: none is replaced.
 	if e := p.findLine("leader", "connections made for words").Estimates[Burst]; !approxEqual(e.Value, 0) {
-		t.Errorf("%+v", e)
+		t.Errorf("leader connections made in a burst: %+v", e)
 	}
-	// 10 × 239,700 bytes in ten seconds, by a tenth of what is asked each second: the share's square passes 20 KB/s.
+	// One change a second of a map of 239,700 bytes. The rate and the size both grow with the share, so the load grows with its square; the
+	// budget is 20 KB/s.
 	if b, ok := p.findBreakingPoint("router: bytes in, the map with each change"); !ok || !approxEqual(b.Share, math.Sqrt(20*1024/239700.0)) || !approxEqual(b.NeededAtTarget.Value, 239700.0/1024) {
-		t.Errorf("%+v", b)
+		t.Errorf("breaking point of the bytes of map changes: %+v", b)
 	}
-	// A machine that fails with one server: 80 a second for half a second; half of them are sheets, for ten seconds.
+	// A machine with one server fails: 80 requests a second are retried for half a second; half of 80 a second have a key, for ten seconds.
 	if c := p.DailyCosts[2]; !approxEqual(c.RetriedRequests, 40) || !approxEqual(c.FailedWithoutStore, 400) || !approxEqual(c.FailedWithStore, 400) || c.Connections != 10 || c.PerDay != 4 {
-		t.Errorf("%+v", c)
+		t.Errorf("machine failure: %+v", c)
 	}
 	if c := p.DailyCosts[1]; c.RetriedRequests != 0 || !approxEqual(c.FailedWithoutStore, 400) || c.FailedWithStore != 0 || c.Commits != 2 {
-		t.Errorf("%+v", c)
+		t.Errorf("orderly restart: %+v", c)
 	}
-	// 100 servers, two of five zones on the smaller side; 36 changes in the hour, each 12 entries.
+	// 100 servers, with two of five zones on the minority side; 36 changes in the hour, 12 log entries each.
 	if e := p.findLine("owner", "state: open items of the keeper").Estimates[Partitioned]; !approxEqual(e.Value, 40) {
-		t.Errorf("%+v", e)
+		t.Errorf("open items in a partition: %+v", e)
 	}
 	if e := p.findLine("leader", "entries of its log in the hour apart").Estimates[Partitioned]; !approxEqual(e.Value, 432) {
-		t.Errorf("%+v", e)
+		t.Errorf("log entries in a partition: %+v", e)
 	}
 	if c := p.DailyCosts[0]; c.PerDay != 864 || c.Commits != 12 {
-		t.Errorf("%+v", c)
+		t.Errorf("change of the map: %+v", c)
 	}
-	// Five zones in two regions, three in the first; a member in each.
+	// Five zones with a member each, three of them in the first of two regions; the sixth machine is in the last zone.
 	var regions []int
 	for _, m := range p.Machines {
 		regions = append(regions, m.Region)
 	}
 	if !slices.Equal(regions, []int{1, 1, 1, 2, 2, 2}) {
-		t.Errorf("regions %v", regions)
+		t.Errorf("regions of the machines: %v", regions)
 	}
 }
 
-// What stops comes first, each part by its share.
+// Breaking points that stop something come first; each group is in ascending order of share.
 func TestOrderOfBreaks(t *testing.T) {
 	p := compute(t, smallTarget(), Results{Series: []Series{linearSeries("leader.cpu.followers", 0, 1, 10, 20, 40, 80), linearSeries("router.cpu.servers", 0, 0.1, 10, 20, 40, 80)}})
 	for i, b := range p.BreakingPoints[1:] {
 		if previous := p.BreakingPoints[i]; !previous.Stops && b.Stops || previous.Stops == b.Stops && previous.Share > b.Share {
-			t.Errorf("%s, %v, comes before %s, %v", previous.Name, previous.Share, b.Name, b.Share)
+			t.Errorf("%s (share %v) is listed before %s (share %v)", previous.Name, previous.Share, b.Name, b.Share)
 		}
 	}
 	if first := p.BreakingPoints[0]; first.Name != "router: processor, health checks, of a whole core" || !approxEqual(first.Share, 0.1) {
-		t.Errorf("%+v", first)
+		t.Errorf("first breaking point: %+v", first)
 	}
 	if last := p.BreakingPoints[len(p.BreakingPoints)-1]; last.Stops {
-		t.Errorf("%+v", last)
+		t.Errorf("last breaking point stops something: %+v", last)
 	}
-	// Nothing else is left out where health checks take all: the routers are those of a control that were free.
-	if p.Routers != 10 { // 8,000 over 0.5 / 500 µs = 1,000: eight, two in each of four zones, and in the fifth
-		t.Errorf("%v routers", p.Routers)
+	// If health checks use a whole core, the number of routers is that for control without cost.
+	if p.Routers != 10 { // 8,000 over 0.5 / 500 µs = 1,000: eight routers with a zone lost, two in each of five zones
+		t.Errorf("%v routers, want 10", p.Routers)
 	}
 	withoutLimits := BeforeParts
 	withoutLimits.MaxTextSize, withoutLimits.MaxHistory = 0, 0
@@ -279,25 +284,25 @@
 		t.Fatal(err)
 	}
 	if _, ok := unbounded.findBreakingPoint("leader: the map as one document"); ok {
-		t.Error("a bound that there is not")
+		t.Error("a limit of 0 has a breaking point")
 	}
 }
 
-// Nothing is made up for what was not measured: it is said by name, stands as null in JSON and as a dash for people.
+// A figure that was not measured gets no value: it is listed as unknown, null in JSON and a dash in tables.
 func TestMissing(t *testing.T) {
 	p := compute(t, smallTarget(), Results{})
 	if e := p.findLine("server", "processor, health checks").Estimates[Rest]; e.Basis != NotMeasured || e.tableCell() != "–" {
-		t.Errorf("%+v", e)
+		t.Errorf("figure without measurements: %+v", e)
 	}
 	if !slices.Contains(p.UnknownBudgets, "server: processor, health checks") {
-		t.Errorf("%v", p.UnknownBudgets)
+		t.Errorf("unknown budgets: %v", p.UnknownBudgets)
 	}
 	if _, ok := p.findBreakingPoint("server: processor, health checks"); ok {
-		t.Error("it breaks somewhere")
+		t.Error("a figure without measurements has a breaking point")
 	}
 	data, err := json.Marshal(p)
 	if err != nil || !strings.Contains(string(data), `"value":null,"basis":"not measured"`) || strings.Contains(string(data), "NaN") {
-		t.Errorf("%v, %.300s", err, data)
+		t.Errorf("JSON of the plan: error %v, %.300s", err, data)
 	}
 	for _, l := range p.Lines {
 		for condition, e := range l.Estimates {
@@ -315,21 +320,21 @@
 	other.Readings = Readings{CallersPick: true, RoutesBeside: true, ControlAdded: true}
 	p := compute(t, other, r)
 	if n := p.findLine("server", "state: callers it knows").Estimates[Rest].Value; float64(n) != float64(p.Routers)+50 {
-		t.Errorf("%v callers", n)
+		t.Errorf("callers that a server knows: %v", n)
 	}
 	if n := p.findLine("router", "state: entries of servers and tenants").Estimates[Rest].Value; n != 1110 {
-		t.Errorf("%v entries", n)
+		t.Errorf("entries of the map: %v, want 1110", n)
 	}
 	baseCPU, otherCPU := base.findLine("server", "processor, health checks").Estimates[Rest].Value, p.findLine("server", "processor, health checks").Estimates[Rest].Value
 	if !approxEqual(baseCPU, 0.005+0.001*float64(base.Routers)) || !approxEqual(otherCPU, 0.001*(float64(p.Routers)+50)) {
-		t.Errorf("%v, %v", baseCPU, otherCPU)
+		t.Errorf("server health checks: %v, with the other readings %v", baseCPU, otherCPU)
 	}
 	rows := Compare("x", base, p).Rows
 	if !slices.ContainsFunc(rows, func(r []string) bool { return r[0] == "leader: the map as one document" && r[1] != r[2] }) {
-		t.Errorf("%v", rows)
+		t.Errorf("rows of Compare: %v", rows)
 	}
 	if len(Compare("x", base, base).Rows) > 0 {
-		t.Error("it differs from itself")
+		t.Error("Compare finds differences between equal plans")
 	}
 }
 
@@ -350,12 +355,12 @@
 		"series[0].points[1].at: not above the previous point: 1": {{Name: "a", Points: []Point{{1, []float64{1}}, {1, []float64{1}}}}},
 	} {
 		if err := (Results{Series: bad}).Check(); err == nil || err.Error() != want {
-			t.Errorf("%v, want %s", err, want)
+			t.Errorf("Check: %v, want %s", err, want)
 		}
 	}
 }
 
-// What was measured at another pace counts as many times: checks each second where the target has two, a lease of 6 s where it has 3.
+// Results measured at another rate are scaled: health checks every second where the target has two a second, a lease of 6 s where it has 3 s.
 func TestPace(t *testing.T) {
 	withConditions := func(s Series, varies string, fixed map[string]float64) Series {
 		s.Varies, s.Fixed = varies, fixed
@@ -381,10 +386,10 @@
 		basis        Basis
 	}{
 		{"server", "processor, health checks", Rest, 0.005 + 0.001*20, Measured},
-		{"server", "processor, health checks", ZoneRecovering, 0.005 + 0.001*20 + 50.0/500, Measured}, // a round of 50 ms each 500
+		{"server", "processor, health checks", ZoneRecovering, 0.005 + 0.001*20 + 50.0/500, Measured}, // a round of 50 ms every 500 ms
 		{"router", "processor, the map from a file", Rest, 0.002, Extrapolated},                       // twice as often
 		{"leader", "processor", Rest, 0.1 + 0.001*220, Measured},
-		{"leader", "processor", Burst, 0.1 + 0.001*220 + 0.001*3600*2, Assumed}, // one a second, twice the followers
+		{"leader", "processor", Burst, 0.1 + 0.001*220 + 0.001*3600*2, Assumed}, // one change a second, twice the followers
 		{"leader", "processor", ZoneRecovering, 0.1 + 0.001*220 + 0.01*22, Assumed},
 		{"leader", "processor", Partitioned, 0.1 + 0.001*220, Assumed},
 	} {
@@ -392,13 +397,14 @@
 			t.Errorf("%s: %s, %s: %+v, want %v", c.role, c.figure, c.k, e, c.value)
 		}
 	}
-	// A rack of five: 80 a second each, for 1.5 s.
+	// A rack of five servers: 80 requests a second each, for 1.5 s.
 	if c := p.DailyCosts[3]; !approxEqual(c.RetriedRequests, 600) || !approxEqual(c.DetectionTime.Value, 1500) || c.DetectionTime.Basis != Measured {
-		t.Errorf("%+v", c)
+		t.Errorf("rack failure: %+v", c)
 	}
 }
 
-// What a request's route takes among all tenants counts for the core and the time: 100 µs over a core's 0.5 of 100 µs a request, and 0.1 of 2 ms.
+// The time to find a route among all tenants is part of both the processor time and the latency of a request: 100 µs in addition to 100 µs
+// of processor time, of 0.5 core, and 0.1 ms of the 2 ms that may be added.
 func TestRouteAmongAllTenants(t *testing.T) {
 	r := Results{Series: []Series{
 		linearSeries("router.cpu.requests", 0, 0.0001, 500, 1000, 2000, 4000),
@@ -417,30 +423,30 @@
 			t.Errorf("%s: %v, want %v", s.Name, s.Estimate.Value, want)
 		}
 	}
-	// 8,000 over 1,000: eight, two in each zone; 1,000 a second each with a zone lost.
+	// 8,000 over 1,000: eight routers with a zone lost, two in each zone; each then has 1,000 requests a second.
 	if e := p.findLine("router", "processor, requests").Estimates[Peak]; p.Routers != 10 || !approxEqual(e.Value, 0.2) {
-		t.Errorf("%v routers, %+v", p.Routers, e)
+		t.Errorf("%v routers, processor for requests %+v", p.Routers, e)
 	}
 	if e := p.findLine("router", "time added to a request, p99").Estimates[Peak]; !approxEqual(e.Value, 1.6) {
-		t.Errorf("%+v", e)
+		t.Errorf("added latency p99: %+v", e)
 	}
-	// 200 ms each hundred seconds.
+	// 200 ms per change, one change every 100 s.
 	if e := p.findLine("router", "processor, checking new maps").Estimates[Rest]; !approxEqual(e.Value, 0.002) {
-		t.Errorf("%+v", e)
+		t.Errorf("processor for checking new maps: %+v", e)
 	}
-	// 2 ms a tenant, of ten ticks of 50.
+	// 2 ms per tenant; the budget is ten ticks of 50 ms.
 	if b, ok := p.findBreakingPoint("leader: time to share the cells out, in one go"); !ok || !b.Stops || !approxEqual(b.Share, 0.25) {
-		t.Errorf("%+v", b)
+		t.Errorf("breaking point of the time to share out cells: %+v", b)
 	}
 }
 
-// The same of a map in parts: 100 bytes a tenant and 104 a server, as words 116 and 120, in 290 parts of 68 bytes.
+// A plan for a map in parts, computed by hand: 100 bytes per tenant and 104 per server, 116 and 120 within a message, in 290 parts of 68 bytes.
 func TestInPartsByHand(t *testing.T) {
 	p, err := Compute(smallTarget(), Results{}, Current)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if p.Routers != 10 { // 8,000 over 0.5 / 500 µs: eight, two in each of four zones, and in the fifth
+	if p.Routers != 10 { // 8,000 over 0.5 / 500 µs: eight routers with a zone lost, two in each of five zones
 		t.Fatal(p.Routers)
 	}
 	const mapSize = 1000*116 + 100*120 + 290*68 // 147,720
@@ -455,25 +461,26 @@
 	checkShare("owner: the keeper's next map in one entry of the log", 458752/(1000*222+100*177.0))
 	checkShare("leader: askings that wait at one time", 8192/(110*1.2))
 	for what, bound := range map[string]float64{"leader: state: processes that are registered": 4096, "leader: descriptors: connections": 4608} {
-		if b, _ := p.findBreakingPoint(what); float64(b.Bound) != bound || !math.IsInf(float64(b.Share), 1) { // over 20 times 132 and 116
+		if b, _ := p.findBreakingPoint(what); float64(b.Bound) != bound || !math.IsInf(float64(b.Share), 1) { // above 20 times 132 and 116
 			t.Errorf("%s: %+v", what, b)
 		}
 	}
-	// An answer has no whole map.
+	// No reply has the whole map.
 	if b, ok := p.findBreakingPoint("follower: the map in force and the next one in one answer"); ok {
-		t.Errorf("%+v", b)
+		t.Errorf("whole map in one answer in spite of parts: %+v", b)
 	}
-	// 1,000 in 256 parts: 3.9 and four times its root, 11.8 in all, of 100 bytes; after a year of 864 moves a day 1,231.9 and 140.4 of 54.
+	// 1,000 tenants in 256 parts: a mean of 3.9 plus four times its square root, 11.8, of 100 bytes each. After a year of 864 moves a day also
+	// 1,231.9 + 140.4 former homes of 54 bytes each.
 	mean, moves := 1000/256.0, 365*864/256.0
 	fullest := (mean+4*math.Sqrt(mean))*100 + (moves+4*math.Sqrt(moves))*54
 	if b, _ := p.findBreakingPoint("leader: the fullest part of the map after a year of moves"); !approxEqual(b.NeededAtTarget.Value, fullest/1024) || b.Share > 1 || !strings.Contains(b.Consequence, "after 315 days") {
-		t.Errorf("%+v, want %v", b, fullest/1024)
+		t.Errorf("fullest part after a year: %+v, want %v KB", b, fullest/1024)
 	}
 	if b, _ := p.findBreakingPoint("leader: the fullest part of the map"); !approxEqual(b.NeededAtTarget.Value, (mean+4*math.Sqrt(mean))*100/1024) || b.Share < 1 {
-		t.Errorf("%+v", b)
+		t.Errorf("fullest part: %+v", b)
 	}
 	if b, _ := p.findBreakingPoint("leader: a snapshot while a whole map is put on another and a third is drafted"); !approxEqual(b.NeededAtTarget.Value, (3*mapSize+110*134)/1024.0) {
-		t.Errorf("%+v", b)
+		t.Errorf("snapshot during a change of the whole map: %+v", b)
 	}
 	changeSize := 2*68 + 1000*116/256.0
 	for _, c := range []struct {
@@ -496,31 +503,32 @@
 			t.Errorf("%s: %s, %s: %+v, want %v", c.role, c.figure, c.k, e, c.want)
 		}
 	}
-	// Where the leader's words were measured, a zone's two routers that start have the map within two seconds.
+	// If the bytes sent by the leader were measured, the two routers of a returning zone add the whole map each within two seconds.
 	p, err = Compute(smallTarget(), Results{Series: []Series{linearSeries("leader.bytes_out.followers", 0, 0.5, 50, 100, 200, 400)}}, Current)
 	if err != nil {
 		t.Fatal(err)
 	}
 	out := p.findLine("leader", "bytes out")
 	if !approxEqual(out.Estimates[Rest].Value, 55) || !approxEqual(out.Estimates[ZoneRecovering].Value, 55+mapSize*2/2/1024.0) || !approxEqual(out.Estimates[Burst].Value, 55+changeSize*10/1024) {
-		t.Errorf("%+v", out.Estimates)
+		t.Errorf("bytes sent by the leader: %+v", out.Estimates)
 	}
 }
 
-// What was measured before documents went in parts counts for the program as it was; of today's what it does otherwise since is left out.
+// Results of a commit without document parts apply to the limits of that program. For the current limits, series that changed since are left
+// out and truncated series are cut.
 func TestSince(t *testing.T) {
 	r := Results{Program: commitsBeforeParts[0], Machine: "m", Series: []Series{
 		linearSeries("server.cpu.callers", 0.005, 0.001, 2, 4, 8, 16), linearSeries("leader.cpu.followers", 0, 0.001, 10, 20, 40, 80), linearSeries("router.cpu.servers", 0, 0.001, 10, 20, 40, 80),
 		linearSeries("router.cpu.requests", 0.1, 0.0001, 500, 1000, 2000, 4000), linearSeries("router.opened.servers", 0, 2, 30, 60, 120, 240, 930),
 	}}
 	last := &r.Series[4].Points[4]
-	last.Values = []float64{696} // 930 servers were asked late
+	last.Values = []float64{696} // below 2 × 930: health checks of 930 servers fell behind
 	largeTarget := smallTarget()
 	largeTarget.Servers = 930
 	for _, c := range []struct {
 		program ProgramLimits
 		commit  string
-		known   bool // what the leader spends
+		known   bool // whether changed series are measured
 	}{{BeforeParts, commitsBeforeParts[0], true}, {Current, commitsBeforeParts[0], false}, {Current, "later", true}} {
 		r.Program = c.commit
 		p, err := Compute(smallTarget(), r, c.program)
@@ -528,36 +536,36 @@
 			t.Fatal(err)
 		}
 		if measured := p.findLine("leader", "processor").Estimates[Rest].Basis != NotMeasured; measured != c.known {
-			t.Errorf("by %s: the leader's processor is known: %v", c.commit, measured)
+			t.Errorf("results of %s: leader processor measured: %v", c.commit, measured)
 		}
 		if measured := p.findLine("router", "processor, health checks").Estimates[Rest].Basis != NotMeasured; measured != c.known {
-			t.Errorf("by %s: a router's health checks are known: %v", c.commit, measured)
+			t.Errorf("results of %s: router health checks measured: %v", c.commit, measured)
 		}
 		if p.findLine("server", "processor, health checks").Estimates[Rest].Basis == NotMeasured || p.findLine("router", "processor, requests").Estimates[Peak].Basis == NotMeasured {
-			t.Errorf("by %s: what is as it was is not known", c.commit)
+			t.Errorf("results of %s: an unchanged series is left out", c.commit)
 		}
 		if p, err = Compute(largeTarget, r, c.program); err != nil {
 			t.Fatal(err)
 		}
 		if e := p.findLine("router", "connections made for health checks").Estimates[Rest]; c.known && !approxEqual(e.Value, 696) || !c.known && (!approxEqual(e.Value, 1860) || e.Basis != Extrapolated || e.RelativeError != 0) {
-			t.Errorf("by %s: %+v", c.commit, e)
+			t.Errorf("results of %s: connections for health checks: %+v", c.commit, e)
 		}
 		if excluded := strings.Contains(p.Measured, "; 2 series left out"); excluded == c.known {
-			t.Errorf("by %s: %s", c.commit, p.Measured)
+			t.Errorf("results of %s: %s", c.commit, p.Measured)
 		}
 	}
 	if len(r.Series) != 5 || len(r.Series[4].Points) != 5 {
-		t.Error("the results were changed")
+		t.Error("Compute modified the results")
 	}
 	for _, x := range changedSeries {
 		if x.prefix == "" || x.reason == "" {
-			t.Errorf("%+v", x)
+			t.Errorf("incomplete entry of changedSeries: %+v", x)
 		}
 	}
 }
 
-// What is of no real process says so; a process at rest that was measured by itself is what control is added to; a slope that is not
-// believed does not say how many connections a leader is asked for.
+// Estimates from hollow processes and simulations are marked; the cost of control is what exceeds a process measured at rest; an unreliable
+// fit is not used for the connections that a leader accepts.
 func TestWhatWasMeasured(t *testing.T) {
 	probed := linearSeries("server.cpu.callers", 0.02, 0.001, 5, 10, 20, 40)
 	probed.Role, probed.Figure = "server", "cpu"
@@ -572,21 +580,21 @@
 	controlAdded.Readings.ControlAdded = true
 	p := compute(t, controlAdded, r)
 	if e := p.findLine("server", "processor, health checks").Estimates[Rest]; !approxEqual(e.Value, 0.02+0.01-0.004) {
-		t.Errorf("%+v", e)
+		t.Errorf("health checks above the process at rest: %+v", e)
 	}
 	if e := p.findLine("router", "time to check a new map").Estimates[Rest]; e.tableCell() != "200 m(s)" || e.String() != "measured, simulated" {
-		t.Errorf("%s, %s", e.tableCell(), e)
+		t.Errorf("time to check a new map: %s, %s", e.tableCell(), e)
 	}
 	if e := r.At("router.follows.tenants", 500); e.tableCell() != "50 m(h)" {
-		t.Errorf("%s", e.tableCell())
+		t.Errorf("hollow series: %s", e.tableCell())
 	}
-	// Of 110 followers none needs a new connection; the slope has 110.
+	// 110 followers fit in the connection limit, so none reconnects; the unreliable fit would give 110.
 	if e := p.findLine("leader", "connections made for words").Estimates[Rest]; e.Value != 0 || e.Basis != Assumed {
-		t.Errorf("%+v", e)
+		t.Errorf("leader connections with an unreliable fit: %+v", e)
 	}
-	// Over its budget without any caller: what it needs at the target stands for it.
+	// The budget is exceeded without any caller: the breaking point has the estimate at the target.
 	withoutAdded := compute(t, smallTarget(), r)
 	if b, ok := withoutAdded.findBreakingPoint("server: processor, health checks"); !ok || !b.AtAnySize || b.Share != 0 || !approxEqual(b.AtShare.Value, 0.03) {
-		t.Errorf("%+v", b)
+		t.Errorf("breaking point below the smallest share: %+v", b)
 	}
 }
