--- a/internal/policy/capacity/estimate.go
+++ b/internal/policy/capacity/estimate.go
@@ -52,7 +52,7 @@
 	return e.withMeasuredOn(string(e.Basis))
 }
 
-// withMeasuredOn appends the kind of processes measured, where these were not all real.
+// withMeasuredOn appends MeasuredOn to the text of a basis that rests on measurements.
 func (e Estimate) withMeasuredOn(text string) string {
 	if e.MeasuredOn != "" && (e.Basis == Measured || e.Basis == Extrapolated) {
 		return text + ", " + e.MeasuredOn
--- a/internal/policy/capacity/page_test.go
+++ b/internal/policy/capacity/page_test.go
@@ -179,21 +179,21 @@
 		defer r.Close()
 		return len(r.Status())
 	}
-	p := capacity.Current
+	limits := capacity.Current
 	for _, tc := range []struct {
 		name           string
 		size           func(*cells.Map) int
 		server, tenant float64
 	}{
-		{"document", documentSize, p.ServerTextSize, p.TenantTextSize},
-		{"message", messageSize, p.ServerMessageSize, p.TenantMessageSize},
-		{"status", statusSize, p.ServerStatusSize, 0},
+		{"document", documentSize, limits.ServerTextSize, limits.TenantTextSize},
+		{"message", messageSize, limits.ServerMessageSize, limits.TenantMessageSize},
+		{"status", statusSize, limits.ServerStatusSize, 0},
 		{"status of tenants that have moved", func(m *cells.Map) int {
 			for i := range m.Tenants {
 				m.Tenants[i].Homes = append(m.Tenants[i].Homes, cells.Home{Cell: "cell-001", Shard: 8, Since: 1767225600001})
 			}
 			return statusSize(m)
-		}, p.ServerStatusSize, p.TenantStatusSize},
+		}, limits.ServerStatusSize, limits.TenantStatusSize},
 	} {
 		base := tc.size(makeMap(10, 10))
 		if n := float64(tc.size(makeMap(20, 10))-base) / 10; n != tc.server {
@@ -223,8 +223,8 @@
 		size           func(*cells.Map) int
 		server, tenant float64
 	}{
-		{"part", partsSize, p.ServerPartTextSize, p.TenantPartTextSize},
-		{"part within a message", partsMessageSize, p.ServerPartMessageSize, p.TenantPartMessageSize},
+		{"part", partsSize, limits.ServerPartTextSize, limits.TenantPartTextSize},
+		{"part within a message", partsMessageSize, limits.ServerPartMessageSize, limits.TenantPartMessageSize},
 	} {
 		base := tc.size(makeMap(900, manyTenants))
 		if n := float64(tc.size(makeMap(990, manyTenants))-base) / 90; n != tc.server {
@@ -245,8 +245,8 @@
 	emptyParts := map[string]configstore.Part{"t00": {Version: version, Digest: digest, Text: `{"tenants":[]}`}}
 	size := jsonSize(emptyParts)
 	emptyParts["t01"] = emptyParts["t00"]
-	if n := float64(jsonSize(emptyParts) - size); n != p.PartMessageSize {
-		t.Errorf("part without entries: %v bytes, Current has %v", n, p.PartMessageSize)
+	if n := float64(jsonSize(emptyParts) - size); n != limits.PartMessageSize {
+		t.Errorf("part without entries: %v bytes, Current has %v", n, limits.PartMessageSize)
 	}
 	// Registered processes, each of which has prepared one map revision.
 	makeStore := func(processes int) (store *configstore.Store, reports map[string]configstore.ProcessReport) {
@@ -273,27 +273,27 @@
 		store, reports := makeStore(processes)
 		return jsonSize(quorum.ConfigView{Store: store.Summary(), Reports: reports})
 	}
-	if n := float64(snapshotSize(20)-snapshotSize(10)) / 10; n != p.ProcessMessageSize {
-		t.Errorf("snapshot: %v bytes per process, Current has %v", n, p.ProcessMessageSize)
+	if n := float64(snapshotSize(20)-snapshotSize(10)) / 10; n != limits.ProcessMessageSize {
+		t.Errorf("snapshot: %v bytes per process, Current has %v", n, limits.ProcessMessageSize)
 	}
-	if n := float64(configViewSize(20)-configViewSize(10)) / 10; n != p.ProcessReadMessageSize {
-		t.Errorf("reply with the configuration store: %v bytes per process, Current has %v", n, p.ProcessReadMessageSize)
+	if n := float64(configViewSize(20)-configViewSize(10)) / 10; n != limits.ProcessReadMessageSize {
+		t.Errorf("reply with the configuration store: %v bytes per process, Current has %v", n, limits.ProcessReadMessageSize)
 	}
 	extraHome := makeMap(900, manyTenants)
 	size = partsSize(extraHome)
 	extraHome.Tenants[3].Homes = append(extraHome.Tenants[3].Homes, cells.Home{Cell: "cell-001", Shard: 8, Since: 1767225600001})
-	if n := float64(partsSize(extraHome) - size); n != p.HomePartTextSize {
-		t.Errorf("part: %v bytes per additional home, Current has %v", n, p.HomePartTextSize)
+	if n := float64(partsSize(extraHome) - size); n != limits.HomePartTextSize {
+		t.Errorf("part: %v bytes per additional home, Current has %v", n, limits.HomePartTextSize)
 	}
 
 	moved := makeMap(10, 10)
 	base := documentSize(moved)
 	moved.Tenants[3].Homes = append(moved.Tenants[3].Homes, cells.Home{Cell: "cell-001", Shard: 8, Since: 1767225600001})
-	if n := float64(documentSize(moved) - base); n != p.HomeTextSize {
-		t.Errorf("document: %v bytes per additional home, Current has %v", n, p.HomeTextSize)
+	if n := float64(documentSize(moved) - base); n != limits.HomeTextSize {
+		t.Errorf("document: %v bytes per additional home, Current has %v", n, limits.HomeTextSize)
 	}
-	if got := float64(loadreport.Interval.Milliseconds()); got != p.ReportInterval {
-		t.Errorf("report interval: %v ms, Current has %v", got, p.ReportInterval)
+	if got := float64(loadreport.Interval.Milliseconds()); got != limits.ReportInterval {
+		t.Errorf("report interval: %v ms, Current has %v", got, limits.ReportInterval)
 	}
 }
 
--- a/internal/policy/capacity/plan.go
+++ b/internal/policy/capacity/plan.go
@@ -67,10 +67,10 @@
 	DetectionTime      Estimate `json:"known"`                // ms until routers treat the server as dead
 	RetriedRequests    Number   `json:"requests_tried_again"` // at the peak
 	FailedWithoutStore Number   `json:"sheets_without_store"` // requests with a key that fail at the peak
-	FailedWithStore    Number   `json:"sheets_with_store"`
-	Commits            Number   `json:"commits"`  // of the group
-	MapVersions        Number   `json:"versions"` // of the map
-	Connections        Number   `json:"connects"` // of routers to servers
+	FailedWithStore    Number   `json:"sheets_with_store"`    // the same, if servers store results
+	Commits            Number   `json:"commits"`              // of the group
+	MapVersions        Number   `json:"versions"`             // of the map
+	Connections        Number   `json:"connects"`             // of routers to servers
 }
 
 // Machine is a machine reserved for control.
@@ -78,7 +78,7 @@
 	Zone   int      `json:"zone"`
 	Region int      `json:"region"`
 	Runs   string   `json:"runs"`
-	Core   Estimate `json:"core"`
+	Core   Estimate `json:"core"` // processor time, in cores
 }
 
 // Plan is the result of Compute.
@@ -90,8 +90,8 @@
 	Sizing         []Sizing        `json:"sizing"`
 	Machines       []Machine       `json:"machines"`
 	DailyCosts     []Cost          `json:"day"`
-	BreakingPoints []BreakingPoint `json:"breaks"` // those that stop something first, each group by ascending share
-	UnknownBudgets []string        `json:"unknown"`
+	BreakingPoints []BreakingPoint `json:"breaks"`  // those that stop something first, each group by ascending share
+	UnknownBudgets []string        `json:"unknown"` // budgets of figures that were not measured far enough
 }
 
 // planner has the inputs and intermediate values that the parts of a plan share.
@@ -104,12 +104,12 @@
 }
 
 // Compute returns the plan of a target from results and the program's limits. It returns the error of t.Check.
-func Compute(t Target, r Results, p ProgramLimits) (Plan, error) {
+func Compute(t Target, r Results, limits ProgramLimits) (Plan, error) {
 	if err := t.Check(); err != nil {
 		return Plan{}, err
 	}
-	r, excluded := r.applicableTo(p)
-	c := &planner{target: t, results: r, limits: p}
+	r, excluded := r.applicableTo(limits)
+	c := &planner{target: t, results: r, limits: limits}
 	out := Plan{Target: t, Sizing: c.sizing()}
 	out.Routers = Number(c.routers)
 	if r.Program != "" {
@@ -280,7 +280,7 @@
 	return c.target.Servers + c.routers
 }
 
-// members returns the number of members of the group: an odd number, at most 5 and at most one in a zone.
+// members returns the number of members of the group: an odd number, at most 5, and at most one per zone and per control machine.
 func (c *planner) members() float64 {
 	n := min(c.target.Zones, c.target.Control.Machines, 5)
 	if math.Mod(n, 2) == 0 {
--- a/internal/policy/capacity/plan_test.go
+++ b/internal/policy/capacity/plan_test.go
@@ -73,7 +73,7 @@
 		{func(x *Target) { x.Control.Core = 1.5 }, "control.core: over 1: 1.5"},
 		{func(x *Target) { x.Zones = 2.5 }, "zones: not a whole number: 2.5"},
 		{func(x *Target) { x.Regions = 1.5 }, "regions: not a whole number: 1.5"},
-		{func(x *Target) { x.Regions = 6 }, "regions: over the zones, of which there are 5: 6"},
+		{func(x *Target) { x.Regions = 6 }, "regions: more than the 5 zones: 6"},
 		{func(x *Target) { x.Day.RackEvery = 0 }, "day.rack_every_days: not above 0: 0"},
 		{func(x *Target) { x.Assumed.Sockets = 10 }, "assumed.sockets: under 64: 10"},
 		{func(x *Target) { x.Assumed.MachineBytes = math.Inf(1) }, "assumed.machine_kb_per_s: not a number"},
--- a/internal/policy/capacity/results.go
+++ b/internal/policy/capacity/results.go
@@ -28,14 +28,14 @@
 	Varies string             `json:"varies"` // servers, routers, callers, tenants, followers, changes, requests, restarts, zones
 	Fixed  map[string]float64 `json:"fixed"`  // the sizes that were constant, by the words of Varies, and intervals such as check_ms
 	Of     string             `json:"of"`     // what was measured: real processes, hollow ones, or simulated (the code of a decision alone)
-	Plays  int                `json:"plays"`
+	Plays  int                `json:"plays"`  // the largest number of repetitions at a size
 	Points []Point            `json:"points"` // by ascending size
 	Fit    *Fit               `json:"fit,omitempty"`
 }
 
 // Point has the values measured at one size.
 type Point struct {
-	At     float64   `json:"at"`
+	At     float64   `json:"at"`     // the size
 	Values []float64 `json:"values"` // one per repetition
 }
 
--- a/internal/policy/capacity/since.go
+++ b/internal/policy/capacity/since.go
@@ -50,8 +50,8 @@
 }
 
 // applicableTo returns the results that apply to a program with the given limits, and the number of series left out.
-func (r Results) applicableTo(p ProgramLimits) (Results, int) {
-	if !p.hasParts() || !slices.Contains(commitsBeforeParts, r.Program) {
+func (r Results) applicableTo(limits ProgramLimits) (Results, int) {
+	if !limits.hasParts() || !slices.Contains(commitsBeforeParts, r.Program) {
 		return r, 0
 	}
 	all := r.Series
--- a/internal/policy/capacity/target.go
+++ b/internal/policy/capacity/target.go
@@ -82,7 +82,7 @@
 		}
 	}
 	if t.Regions > t.Zones {
-		return fmt.Errorf("regions: over the zones, of which there are %v: %v", t.Zones, t.Regions)
+		return fmt.Errorf("regions: more than the %v zones: %v", t.Zones, t.Regions)
 	}
 	if t.Zones != math.Trunc(t.Zones) {
 		return fmt.Errorf("zones: not a whole number: %v", t.Zones)
