--- a/internal/policy/capacity/results.go
+++ b/internal/policy/capacity/results.go
@@ -60,11 +60,11 @@
 	Cause    string  `json:"cause,omitempty"`
 }
 
-// maxFitError is the largest relative error of the prediction at which a fit is reliable.
-const maxFitError = 0.25
+// maxError is the largest relative error of the prediction at which a fit is reliable.
+const maxError = 0.25
 
-// Believed reports whether the fit is reliable: it predicted a size of at least 2 × To within maxFitError.
-func (f Fit) Believed() bool { return f.At >= 2*f.To && math.Abs(f.Off) <= maxFitError }
+// Believed reports whether the fit is reliable: it predicted a size of at least 2 × To within maxError.
+func (f Fit) Believed() bool { return f.At >= 2*f.To && math.Abs(f.Off) <= maxError }
 
 // Value returns the value of the fit at a size.
 func (f Fit) Value(at float64) float64 { return f.Base + f.Per*math.Pow(at, f.Power) }
