--- a/internal/controlplane/quorum/client.go
+++ b/internal/controlplane/quorum/client.go
@@ -1,5 +1,5 @@
-// Package quorum is the client of the group that agrees on the fleet's work, and the messages of its wire. A member of the group is in
-// package member, which brings the raft library: a process that only asks links none of it.
+// Package quorum has the client of the raft group that coordinates the fleet, and the messages of its protocol. The members are in
+// package member, which imports the raft library; a process that is only a client does not link that library.
 package quorum
 
 import (
@@ -13,33 +13,33 @@
 	"silverpath/internal/transport/msgpackrpc"
 )
 
-// Client asks a group, by whichever member answers. Its methods may be called at the same time.
+// Client sends requests to the leader of a group, which it finds by asking the members. It is safe for concurrent use.
 type Client struct {
 	Group string
-	Addrs []string // of members; no others are asked, whatever a member answers
+	Addrs []string // of members; the client calls no other address, even if a reply names one as the leader
 
-	mu     sync.Mutex
-	conns  map[string]*msgpackrpc.Conn
-	leader string // the address of the member that was last known to lead; empty: none is
-	next   int    // of Addrs, to be tried where no leader is known
+	mu       sync.Mutex
+	conns    map[string]*msgpackrpc.Conn
+	leader   string // address of the last known leader; empty: unknown
+	nextAddr int    // index in Addrs, modulo its length, of the member to try next if no leader is known
 }
 
-// Errors that callers decide by.
+// Errors that callers distinguish.
 var (
-	// ErrUnavailable says that no member answered as the leader in the time that there was. What was asked may have been done.
+	// ErrUnavailable means that no member answered as the leader before the context ended. The request may have been executed.
 	ErrUnavailable = errors.New("the group can't be asked")
-	// ErrRefused says that the group said no.
+	// ErrRefused means that the group rejected the request.
 	ErrRefused = errors.New("refused")
 )
 
-// Times of a call that is repeated until the leader answers.
+// Timeouts and pauses of a call that is retried until the leader answers.
 const (
-	attemptTimeout = 700 * time.Millisecond // of one call to one member: a leader that lost its majority answers nothing
-	retryPause     = 20 * time.Millisecond  // between two members: one round over all of them is quick
-	roundPause     = 100 * time.Millisecond // once all were asked: an election takes a few of these
+	attemptTimeout = 700 * time.Millisecond // for one call to one member: a leader that lost its majority does not answer
+	retryPause     = 20 * time.Millisecond  // between attempts in the first round over the members
+	roundPause     = 100 * time.Millisecond // between attempts after that round: an election lasts several of these
 )
 
-// Close ends the client's connections.
+// Close closes the client's connections.
 func (c *Client) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -49,7 +49,7 @@
 	c.conns = nil
 }
 
-// connTo returns the connection to a member, opened anew where it was lost.
+// connTo returns the connection to a member. It dials if there is none or if the present one accepts no more calls.
 func (c *Client) connTo(ctx context.Context, addr string) (*msgpackrpc.Conn, error) {
 	c.mu.Lock()
 	conn := c.conns[addr]
@@ -60,9 +60,9 @@
 		}
 		conn.Close()
 	}
-	dialing, cancel := context.WithTimeout(ctx, DialTimeout)
+	dialCtx, cancel := context.WithTimeout(ctx, DialTimeout)
 	defer cancel()
-	conn, err := msgpackrpc.DialCalls(dialing, addr)
+	conn, err := msgpackrpc.DialCalls(dialCtx, addr)
 	if err != nil {
 		return nil, err
 	}
@@ -78,44 +78,44 @@
 	return conn, nil
 }
 
-// Call makes one call to one member and returns its reply, which may carry an error code. With an error nobody knows whether the call
-// took effect.
+// Call makes one call to one member and returns its reply, which may carry an error code. If Call returns an error, the call may have
+// been executed or not.
 func (c *Client) Call(ctx context.Context, addr, method string, fields map[string]string, body []byte) (msgpackrpc.Reply, error) {
 	conn, err := c.connTo(ctx, addr)
 	if err != nil {
 		return msgpackrpc.Reply{}, err
 	}
-	all := map[string]string{"g": c.Group}
+	allFields := map[string]string{"g": c.Group}
 	for k, v := range fields {
-		all[k] = v
+		allFields[k] = v
 	}
-	reply, err := conn.Call(msgpackrpc.Call{Method: method, Fields: all, Body: body})
+	replies, err := conn.Call(msgpackrpc.Call{Method: method, Fields: allFields, Body: body})
 	if err != nil {
 		return msgpackrpc.Reply{}, err
 	}
 	timeout := time.NewTimer(attemptTimeout)
 	defer timeout.Stop()
 	select {
-	case r, ok := <-reply:
+	case r, ok := <-replies:
 		if !ok {
-			return r, errors.New("the connection ended without an answer")
+			return r, errors.New("connection closed before the reply arrived")
 		}
 		return r, nil
 	case <-timeout.C:
-		conn.Close() // what it carries may be stuck: the next call has a new one
-		return msgpackrpc.Reply{}, fmt.Errorf("no answer within %v", attemptTimeout)
+		conn.Close() // the connection may be stuck: the next call opens a new one
+		return msgpackrpc.Reply{}, fmt.Errorf("no reply within %v", attemptTimeout)
 	case <-ctx.Done():
 		return msgpackrpc.Reply{}, ctx.Err()
 	}
 }
 
-// callLeader calls the member that is thought to lead, else the next in turn, and notes who leads by its reply.
+// callLeader calls the last known leader, or the next member in turn if none is known. It updates the known leader from the reply.
 func (c *Client) callLeader(ctx context.Context, method string, fields map[string]string, body []byte) (msgpackrpc.Reply, error) {
 	c.mu.Lock()
 	addr := c.leader
 	if addr == "" {
-		addr = c.Addrs[c.next%len(c.Addrs)]
-		c.next++
+		addr = c.Addrs[c.nextAddr%len(c.Addrs)]
+		c.nextAddr++
 	}
 	c.mu.Unlock()
 	r, err := c.Call(ctx, addr, method, fields, body)
@@ -125,7 +125,7 @@
 		c.leader = ""
 	case r.Error == CodeNotLeader:
 		if c.leader = r.Fields["leader"]; !slices.Contains(c.Addrs, c.leader) {
-			c.leader = "" // only those are asked that the client was told of
+			c.leader = "" // the client calls only the addresses in Addrs
 		}
 	default:
 		c.leader = addr
@@ -134,21 +134,21 @@
 	return r, err
 }
 
-// callUntilAnswered calls until the leader has answered, or the context ends: then the error wraps ErrUnavailable. It may call twice,
-// so it is for what changes nothing by being asked twice. A no of the group wraps ErrRefused.
+// callUntilAnswered repeats a call until the leader answers. If the context ends first, the error wraps ErrUnavailable. If the group
+// rejects the call, the error wraps ErrRefused. The group may execute the call several times, so the call must be idempotent.
 func (c *Client) callUntilAnswered(ctx context.Context, method string, fields map[string]string, body []byte) ([]byte, error) {
-	var last error
+	var lastErr error
 	for n := 0; ; n++ {
 		r, err := c.callLeader(ctx, method, fields, body)
 		switch {
 		case err != nil:
-			last = err
+			lastErr = err
 		case r.Error == "":
 			return r.Body, nil
 		case r.Error == CodeRefused, r.Error == CodeWrongGroup:
 			return nil, fmt.Errorf("%w: %s", ErrRefused, r.Fields["why"])
 		default:
-			last = fmt.Errorf("%s %s", r.Error, r.Fields["why"])
+			lastErr = fmt.Errorf("%s %s", r.Error, r.Fields["why"])
 		}
 		pause := retryPause
 		if n > len(c.Addrs) {
@@ -156,7 +156,7 @@
 		}
 		select {
 		case <-ctx.Done():
-			return nil, fmt.Errorf("%w: %w", ErrUnavailable, last)
+			return nil, fmt.Errorf("%w: %w", ErrUnavailable, lastErr)
 		case <-time.After(pause):
 		}
 	}
--- a/internal/controlplane/quorum/member/config_parts.go
+++ b/internal/controlplane/quorum/member/config_parts.go
@@ -13,24 +13,24 @@
 func (m *Member) handleConfigParts(call msgpackrpc.Call, reply replyFunc) {
 	var request configstore.PartsRequest
 	if err := json.Unmarshal(call.Body, &request); err != nil || len(request.Names) > configstore.MaxParts {
-		reply(refuse(quorum.CodeRefused, "at most %d parts are asked for at a time", configstore.MaxParts))
+		reply(errorReply(quorum.CodeRefused, "at most %d parts are asked for at a time", configstore.MaxParts))
 		return
 	}
 	if !m.leading {
 		reply(m.notLeader())
 		return
 	}
-	d := m.state.Config.Documents[request.Doc]
-	if d == nil {
-		reply(refuse(quorum.CodeRefused, "no document %q", request.Doc))
+	document := m.state.Config.Documents[request.Doc]
+	if document == nil {
+		reply(errorReply(quorum.CodeRefused, "no document %q", request.Doc))
 		return
 	}
-	id, all, ok := d.PartsAt(request.Version)
+	id, parts, ok := document.PartsAt(request.Version)
 	if !ok {
-		reply(refuse(quorum.CodeRefused, "version %d of %s is not in force or under way in parts", request.Version, request.Doc))
+		reply(errorReply(quorum.CodeRefused, "version %d of %s is not in force or under way in parts", request.Version, request.Doc))
 		return
 	}
-	send := quorum.DocumentParts{ID: id, Parts: configstore.SelectParts(all, request.Names)}
+	response := quorum.DocumentParts{ID: id, Parts: configstore.SelectParts(parts, request.Names)}
 	if len(request.Names) > 0 {
 		m.stats.Inc("rules", "parts_sent")
 	} else {
@@ -38,9 +38,9 @@
 	}
 	// What is sent is never changed, so it can be marshalled beside the loop: many that ask don't hold up the rest.
 	go func() {
-		b, err := json.Marshal(send)
+		b, err := json.Marshal(response)
 		if err != nil {
-			reply(refuse(quorum.CodeRefused, "%v", err))
+			reply(errorReply(quorum.CodeRefused, "%v", err))
 			return
 		}
 		reply(msgpackrpc.CallResult{Body: b})
--- a/internal/controlplane/quorum/member/main.go
+++ b/internal/controlplane/quorum/member/main.go
@@ -47,45 +47,45 @@
 
 // Run runs a member of the group, a runner of duties, or both in one process, until a signal to leave. It returns an error of the
 // settings, or of a member whose disk can't be trusted.
-func Run(set settings.Quorum, signals <-chan os.Signal, out io.Writer) error {
+func Run(cfg settings.Quorum, signals <-chan os.Signal, out io.Writer) error {
 	debug.SetMemoryLimit(memoryLimit)
-	l := Logger(out, set.JSON)
+	logger := Logger(out, cfg.JSON)
 	counters := &metrics.Counters{}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	var all sync.WaitGroup
-	defer all.Wait()
+	var tasks sync.WaitGroup
+	defer tasks.Wait()
 	failed := make(chan error, 1)
 	stopMember := func() {}
-	if set.Member != nil {
-		m, ln, err := openMember(set, l, counters)
+	if cfg.Member != nil {
+		m, ln, err := openMember(cfg, logger, counters)
 		if err != nil {
 			return err
 		}
 		defer ln.Close()
-		l.Info().Str("event", "group.listening").Str("process", set.Name).Stringer("addr", ln.Addr()).Send()
+		logger.Info().Str("event", "group.listening").Str("process", cfg.Name).Stringer("addr", ln.Addr()).Send()
 		go ln.Serve()
-		stopAgent, err := serveSNMP(set, m, l, counters)
+		stopAgent, err := serveSNMP(cfg, m, logger, counters)
 		if err != nil {
 			return errors.Join(err, m.Close())
 		}
 		defer stopAgent()
-		member, stop := context.WithCancel(context.Background())
+		memberCtx, stop := context.WithCancel(context.Background())
 		defer stop()
 		stopMember = stop
-		all.Go(func() { failed <- m.Run(member) })
+		tasks.Go(func() { failed <- m.Run(memberCtx) })
 	}
-	running := make(chan struct{})
-	if set.Runner != nil {
-		group := &quorum.Client{Group: set.Group.Name, Addrs: set.Group.Members}
+	runnerDone := make(chan struct{})
+	if cfg.Runner != nil {
+		group := &quorum.Client{Group: cfg.Group.Name, Addrs: cfg.Group.Members}
 		defer group.Close()
-		r := runner.New(runner.Config{Name: set.Name, Set: *set.Runner, Group: group, Log: l, Stats: counters, Rate: ClockRate})
+		r := runner.New(runner.Config{Name: cfg.Name, Set: *cfg.Runner, Group: group, Log: logger, Stats: counters, Rate: ClockRate})
 		go func() {
-			defer close(running)
+			defer close(runnerDone)
 			r.Run(ctx)
 		}()
 	} else {
-		close(running)
+		close(runnerDone)
 	}
 	for {
 		select {
@@ -98,12 +98,12 @@
 				continue
 			}
 			if sig == syscall.SIGHUP {
-				l.Info().Str("event", "group.reload").Str("why", "its settings hold from a start to its end").Send()
+				logger.Info().Str("event", "group.reload").Str("why", "its settings hold from a start to its end").Send()
 				continue
 			}
-			l.Info().Str("event", "group.leaving").Str("process", set.Name).Stringer("signal", sig).Send()
+			logger.Info().Str("event", "group.leaving").Str("process", cfg.Name).Stringer("signal", sig).Send()
 			cancel()
-			<-running // its duties are released first: another process goes on at once
+			<-runnerDone // its duties are released first: another process goes on at once
 			stopMember()
 			counters.Print(out)
 			return nil
@@ -112,16 +112,16 @@
 }
 
 // serveSNMP starts the member's SNMP agent, if its settings have one, and returns what ends it.
-func serveSNMP(set settings.Quorum, m *Member, l zerolog.Logger, counters *metrics.Counters) (stop func(), err error) {
-	a := set.Member.SNMP
-	if a.Listen == "" {
+func serveSNMP(cfg settings.Quorum, m *Member, logger zerolog.Logger, counters *metrics.Counters) (stop func(), err error) {
+	agentConfig := cfg.Member.SNMP
+	if agentConfig.Listen == "" {
 		return func() {}, nil
 	}
-	agent, err := snmp.Listen(a.Listen, a.Community, set.Name, snmpView{m}, log.New(l, "", 0), counters, nil)
+	agent, err := snmp.Listen(agentConfig.Listen, agentConfig.Community, cfg.Name, snmpView{m}, log.New(logger, "", 0), counters, nil)
 	if err != nil {
 		return nil, fmt.Errorf("member.snmp.listen: %w", err)
 	}
-	l.Info().Str("event", "group.snmp").Str("process", set.Name).Stringer("addr", agent.Addr()).Send()
+	logger.Info().Str("event", "group.snmp").Str("process", cfg.Name).Stringer("addr", agent.Addr()).Send()
 	go agent.Serve()
 	return func() { agent.Close() }, nil
 }
@@ -147,18 +147,18 @@
 func (s snmpView) View() core.View { return core.View{} }
 
 // openMember opens a member's disk and its listener.
-func openMember(set settings.Quorum, l zerolog.Logger, counters *metrics.Counters) (*Member, *listener.Listener, error) {
-	if err := os.MkdirAll(set.Member.Dir, 0o700); err != nil {
+func openMember(cfg settings.Quorum, logger zerolog.Logger, counters *metrics.Counters) (*Member, *listener.Listener, error) {
+	if err := os.MkdirAll(cfg.Member.Dir, 0o700); err != nil {
 		return nil, nil, fmt.Errorf("member.dir: %w", err)
 	}
-	m, err := Open(Config{Name: set.Name, Group: set.Group.Name, Addr: set.Member.Addr, Dir: set.Member.Dir,
-		Tick: set.Member.Tick, Log: l, Stats: counters, Rate: ClockRate})
+	m, err := Open(Config{Name: cfg.Name, Group: cfg.Group.Name, Addr: cfg.Member.Addr, Dir: cfg.Member.Dir,
+		Tick: cfg.Member.Tick, Log: logger, Stats: counters, Rate: ClockRate})
 	if err != nil {
 		return nil, nil, fmt.Errorf("member.dir: %w", err)
 	}
-	calls := msgpackrpc.NewCallServer(Name, counters, m.Answer)
-	ln, err := listener.Listen(Name, set.Member.Listen, maxConnections, func() time.Duration { return time.Minute }, calls.Serve,
-		log.New(l, "", 0), counters)
+	server := msgpackrpc.NewCallServer(Name, counters, m.Answer)
+	ln, err := listener.Listen(Name, cfg.Member.Listen, maxConnections, func() time.Duration { return time.Minute }, server.Serve,
+		log.New(logger, "", 0), counters)
 	if err != nil {
 		return nil, nil, errors.Join(fmt.Errorf("member.listen: %w", err), m.Close())
 	}
--- a/internal/controlplane/quorum/member/member.go
+++ b/internal/controlplane/quorum/member/member.go
@@ -79,11 +79,11 @@
 	applied            uint64
 	snapshotIndex      uint64
 	lessor             *lease.Lessor
-	configWatch        *configstore.ProcessMonitor
+	processMonitor     *configstore.ProcessMonitor
 	quotaLedger        *quota.Ledger
-	grantable          grantableMap         // the map that quotaLedger was told of
+	capacityMap        capacityMap          // the map that quotaLedger was told of
 	readWaiters        []func(ok bool)      // reads that wait for the next confirmation that this member leads
-	pendingReads       int                  // readWaiters, and those of the confirmation that is under way
+	pendingReadCount   int                  // readWaiters, and those of the confirmation that is under way
 	configBatch        []configstore.Change // reports of processes, to be proposed together
 	configBatchDone    []func(r statemachine.Result, ok bool)
 	bytesSinceSnapshot int                 // of entries
@@ -98,7 +98,7 @@
 	proposals          map[uint64]func(statemachine.Result, bool) // by number: what waits for the entry to be applied
 	reads              map[string]pendingRead                     // by number: what waits for a confirmation
 	seq                uint64                                     // of the last number given
-	salt               uint64                                     // the start's own: numbers of two starts differ
+	startNonce         uint64                                     // the start's own: numbers of two starts differ
 	membersChanged     bool                                       // since the last snapshot
 	leading            bool
 	caughtUp           bool            // leading, and an entry of its own term was applied: its state is as new as any
@@ -110,23 +110,23 @@
 // Open opens a member's disk. One that is empty becomes a member of no group, with a number of its own. Errors name the folder, or say
 // that the disk is another member's.
 func Open(cfg Config) (*Member, error) {
-	disk, err := openStore(filepath.Join(cfg.Dir, databaseFile))
+	s, err := openStore(filepath.Join(cfg.Dir, databaseFile))
 	if err != nil {
 		return nil, err
 	}
-	m, err := openOn(disk, cfg)
+	m, err := openWithStore(s, cfg)
 	if err != nil {
-		return nil, errors.Join(err, disk.close())
+		return nil, errors.Join(err, s.close())
 	}
 	return m, nil
 }
 
-func openOn(disk *store, cfg Config) (*Member, error) {
-	identity, err := startIdentity(disk, cfg)
+func openWithStore(s *store, cfg Config) (*Member, error) {
+	identity, err := recordStart(s, cfg)
 	if err != nil {
 		return nil, err
 	}
-	marks, err := getJSON[map[uint64]diskMark](disk, keyMarks)
+	marks, err := getJSON[map[uint64]diskMark](s, keyMarks)
 	if err != nil {
 		return nil, fmt.Errorf("%s: its marks: %w", cfg.Dir, err)
 	}
@@ -138,10 +138,10 @@
 	}
 	m := &Member{
 		cfg: cfg, log: cfg.Log.With().Str("process", cfg.Name).Logger(), stats: cfg.Stats, startedAt: time.Now(),
-		calls: make(chan func(), callQueueLength), stopped: make(chan struct{}), store: disk, marks: marks, lessor: lease.NewLessor(lease.Terms{}),
-		configWatch: configstore.NewProcessMonitor(lease.Terms{}), quotaLedger: quota.NewLedger(lease.Terms{}),
+		calls: make(chan func(), callQueueLength), stopped: make(chan struct{}), store: s, marks: marks, lessor: lease.NewLessor(lease.Terms{}),
+		processMonitor: configstore.NewProcessMonitor(lease.Terms{}), quotaLedger: quota.NewLedger(lease.Terms{}),
 		vouchedBy: map[uint64]bool{}, peers: map[uint64]*peer{}, proposals: map[uint64]func(statemachine.Result, bool){},
-		reads: map[string]pendingRead{}, salt: randomNumber() &^ (1 << 63), state: statemachine.New(0), confState: &pb.ConfState{},
+		reads: map[string]pendingRead{}, startNonce: randomUint64() &^ (1 << 63), state: statemachine.New(0), confState: &pb.ConfState{},
 	}
 	m.identity.Store(&identity)
 	if identity.Group != "" {
@@ -153,23 +153,23 @@
 	return m, nil
 }
 
-// startIdentity is who the member is by its disk, with this start counted there.
-func startIdentity(disk *store, cfg Config) (Identity, error) {
-	identity, err := getJSON[Identity](disk, keyIdentity)
+// recordStart is who the member is by its disk, with this start counted there.
+func recordStart(s *store, cfg Config) (Identity, error) {
+	identity, err := getJSON[Identity](s, keyIdentity)
 	if err != nil {
 		return identity, fmt.Errorf("%s: who it is: %w", cfg.Dir, err)
 	}
 	if identity.ID == 0 {
-		identity = Identity{ID: randomNumber() | 1, Name: cfg.Name}
+		identity = Identity{ID: randomUint64() | 1, Name: cfg.Name}
 	}
 	if identity.Name != cfg.Name {
 		return identity, fmt.Errorf("dir: the disk of member %q, not of %q: set it aside", identity.Name, cfg.Name)
 	}
 	identity.Starts++
-	return identity, disk.update("start", func(tx *bbolt.Tx) error { return putJSON(tx, keyIdentity, identity) })
+	return identity, s.update("start", func(tx *bbolt.Tx) error { return putJSON(tx, keyIdentity, identity) })
 }
 
-func randomNumber() uint64 {
+func randomUint64() uint64 {
 	var b [diskIDBytes]byte
 	rand.Read(b[:]) // it never fails: it ends the program instead
 	return binary.BigEndian.Uint64(b[:])
@@ -181,9 +181,9 @@
 }
 
 // enqueue hands a function to the loop; it is dropped once the member has ended.
-func (m *Member) enqueue(do func()) {
+func (m *Member) enqueue(call func()) {
 	select {
-	case m.calls <- do:
+	case m.calls <- call:
 	case <-m.stopped:
 	}
 }
@@ -260,21 +260,21 @@
 
 // publishStatus publishes the status for those who ask beside the loop.
 func (m *Member) publishStatus() {
-	who := m.identity.Load()
-	s := &quorum.Status{Name: m.cfg.Name, ID: fmt.Sprintf("%016x", who.ID), Group: m.cfg.Group, GroupID: who.Group, State: quorum.StateUnfounded,
-		Starts: who.Starts, Applied: m.applied, Syncs: m.store.syncs, LeaseMS: m.state.Terms.TTL.Milliseconds(),
+	identity := m.identity.Load()
+	status := &quorum.Status{Name: m.cfg.Name, ID: fmt.Sprintf("%016x", identity.ID), Group: m.cfg.Group, GroupID: identity.Group, State: quorum.StateNoGroup,
+		Starts: identity.Starts, Applied: m.applied, Syncs: m.store.syncs, LeaseMS: m.state.Terms.TTL.Milliseconds(),
 		Drift: m.state.Terms.Drift, Confirmed: m.confirmed, Format: configstore.PartsFormat}
 	if m.node != nil {
-		b := m.node.BasicStatus()
-		s.Term, s.Commit, s.Leader = b.GetTerm(), b.GetCommit(), m.state.Members[b.Lead].Addr
-		s.Voter = slices.Contains(m.confState.GetVoters(), who.ID)
-		for _, p := range m.state.Members {
-			s.Members = append(s.Members, p)
+		raftStatus := m.node.BasicStatus()
+		status.Term, status.Commit, status.Leader = raftStatus.GetTerm(), raftStatus.GetCommit(), m.state.Members[raftStatus.Lead].Addr
+		status.Voter = slices.Contains(m.confState.GetVoters(), identity.ID)
+		for _, member := range m.state.Members {
+			status.Members = append(status.Members, member)
 		}
-		slices.SortFunc(s.Members, func(a, b statemachine.Member) int { return strings.Compare(a.Name, b.Name) })
-		s.State = m.stateName(b.RaftState)
+		slices.SortFunc(status.Members, func(a, b statemachine.Member) int { return strings.Compare(a.Name, b.Name) })
+		status.State = m.stateName(raftStatus.RaftState)
 	}
-	m.status.Store(s)
+	m.status.Store(status)
 }
 
 // stateName is what a member of a group is, by its name in a status.
--- a/internal/controlplane/quorum/member/membership.go
+++ b/internal/controlplane/quorum/member/membership.go
@@ -19,36 +19,36 @@
 	Remove uint64              `json:"remove,omitempty"`
 }
 
-// handleFound makes this member one of the first of a group. Said again it changes nothing.
-func (m *Member) handleFound(call msgpackrpc.Call) msgpackrpc.CallResult {
-	var b quorum.Bootstrap
-	if err := json.Unmarshal(call.Body, &b); err != nil {
-		return refuse(quorum.CodeRefused, "%v", err)
+// handleBootstrap makes this member one of the first of a group. Said again it changes nothing.
+func (m *Member) handleBootstrap(call msgpackrpc.Call) msgpackrpc.CallResult {
+	var bootstrap quorum.Bootstrap
+	if err := json.Unmarshal(call.Body, &bootstrap); err != nil {
+		return errorReply(quorum.CodeRefused, "%v", err)
 	}
 	identity := *m.identity.Load()
 	switch {
-	case identity.Group == b.ID():
+	case identity.Group == bootstrap.ID():
 		return msgpackrpc.CallResult{}
 	case identity.Group != "":
-		return refuse(quorum.CodeRefused, "member %s belongs to group %s already", identity.Name, identity.Group)
-	case b.Group != m.cfg.Group || !slices.ContainsFunc(b.Members, func(p statemachine.Member) bool { return p.ID == identity.ID }):
-		return refuse(quorum.CodeRefused, "not among the first members")
+		return errorReply(quorum.CodeRefused, "member %s belongs to group %s already", identity.Name, identity.Group)
+	case bootstrap.Group != m.cfg.Group || !slices.ContainsFunc(bootstrap.Members, func(p statemachine.Member) bool { return p.ID == identity.ID }):
+		return errorReply(quorum.CodeRefused, "not among the first members")
 	}
-	if err := b.Terms.Check(); err != nil {
-		return refuse(quorum.CodeRefused, "%v", err)
+	if err := bootstrap.Terms.Check(); err != nil {
+		return errorReply(quorum.CodeRefused, "%v", err)
 	}
 	state := statemachine.New(1)
-	state.Terms = b.Terms
-	for _, p := range b.Members {
-		state.Members[p.ID] = p
+	state.Terms = bootstrap.Terms
+	for _, member := range bootstrap.Members {
+		state.Members[member.ID] = member
 	}
-	identity.Group = b.ID()
-	if err := m.store.writeFounding(identity, state); err != nil {
+	identity.Group = bootstrap.ID()
+	if err := m.store.writeBootstrap(identity, state); err != nil {
 		m.abort(err)
-		return refuse(quorum.CodeUnknownOutcome, "%v", err)
+		return errorReply(quorum.CodeUnknownOutcome, "%v", err)
 	}
 	m.identity.Store(&identity)
-	m.log.Info().Str("event", "group.founded").Str("group", identity.Group).Int("members", len(b.Members)).Send()
+	m.log.Info().Str("event", "group.founded").Str("group", identity.Group).Int("members", len(bootstrap.Members)).Send()
 	m.startMember()
 	return msgpackrpc.CallResult{}
 }
@@ -56,21 +56,21 @@
 // handleJoin makes this member, whose disk is empty, one that listens to a group until it was added there. Said again it changes
 // nothing.
 func (m *Member) handleJoin(call msgpackrpc.Call) msgpackrpc.CallResult {
-	var j quorum.Join
-	if err := json.Unmarshal(call.Body, &j); err != nil || j.ID == "" {
-		return refuse(quorum.CodeRefused, "no group")
+	var join quorum.Join
+	if err := json.Unmarshal(call.Body, &join); err != nil || join.ID == "" {
+		return errorReply(quorum.CodeRefused, "no group")
 	}
 	identity := *m.identity.Load()
 	switch {
-	case identity.Group == j.ID:
+	case identity.Group == join.ID:
 		return msgpackrpc.CallResult{}
 	case identity.Group != "":
-		return refuse(quorum.CodeRefused, "member %s belongs to group %s already", identity.Name, identity.Group)
+		return errorReply(quorum.CodeRefused, "member %s belongs to group %s already", identity.Name, identity.Group)
 	}
-	identity.Group = j.ID
-	if err := m.store.writeJoin(identity, j.Members); err != nil {
+	identity.Group = join.ID
+	if err := m.store.writeJoin(identity, join.Members); err != nil {
 		m.abort(err)
-		return refuse(quorum.CodeUnknownOutcome, "%v", err)
+		return errorReply(quorum.CodeUnknownOutcome, "%v", err)
 	}
 	m.identity.Store(&identity)
 	m.log.Info().Str("event", "group.joined").Str("group", identity.Group).Send()
@@ -93,7 +93,7 @@
 func (m *Member) handleMemberChange(call msgpackrpc.Call, reply replyFunc) {
 	var member statemachine.Member
 	if err := json.Unmarshal(call.Body, &member); err != nil || member.ID == 0 {
-		reply(refuse(quorum.CodeRefused, "no member"))
+		reply(errorReply(quorum.CodeRefused, "no member"))
 		return
 	}
 	if !m.leading {
@@ -113,7 +113,7 @@
 	case known && progress.IsLearner:
 		m.proposeMemberChange(pb.ConfChangeAddNode, member.ID, memberChange{Peer: member}, reply)
 	case m.hasName(member.Name):
-		reply(refuse(quorum.CodeRefused, "member %s is in the group by another disk: remove that first", member.Name))
+		reply(errorReply(quorum.CodeRefused, "member %s is in the group by another disk: remove that first", member.Name))
 	default:
 		m.proposeMemberChange(pb.ConfChangeAddLearnerNode, member.ID, memberChange{Peer: member}, reply)
 	}
@@ -138,15 +138,15 @@
 // proposeMemberChange puts a change of members into the log, and replies once it is applied here.
 func (m *Member) proposeMemberChange(kind pb.ConfChangeType, id uint64, change memberChange, reply replyFunc) {
 	m.seq++
-	change.Seq = m.salt + m.seq
-	ctx, err := json.Marshal(change)
+	change.Seq = m.startNonce + m.seq
+	payload, err := json.Marshal(change)
 	if err != nil {
-		reply(refuse(quorum.CodeRefused, "%v", err))
+		reply(errorReply(quorum.CodeRefused, "%v", err))
 		return
 	}
-	cc := &pb.ConfChangeV2{Context: ctx, Changes: []*pb.ConfChangeSingle{{Type: kind.Enum(), NodeId: proto.Uint64(id)}}}
-	if err := m.node.ProposeConfChange(cc); err != nil {
-		reply(refuse(quorum.CodeUnknownOutcome, "%v", err))
+	confChange := &pb.ConfChangeV2{Context: payload, Changes: []*pb.ConfChangeSingle{{Type: kind.Enum(), NodeId: proto.Uint64(id)}}}
+	if err := m.node.ProposeConfChange(confChange); err != nil {
+		reply(errorReply(quorum.CodeUnknownOutcome, "%v", err))
 		return
 	}
 	m.proposals[change.Seq] = func(_ statemachine.Result, ok bool) {
--- a/internal/controlplane/quorum/member/peer.go
+++ b/internal/controlplane/quorum/member/peer.go
@@ -37,92 +37,92 @@
 	if m.ctx == nil {
 		return // not running yet: Run calls it
 	}
-	me := m.identity.Load().ID
+	self := m.identity.Load().ID
 	for id, p := range m.peers {
 		if q, ok := m.state.Members[id]; !ok || q.Addr != p.Addr {
 			p.stop()
 			delete(m.peers, id)
 		}
 	}
-	for id, q := range m.state.Members {
-		if id == me || m.peers[id] != nil {
+	for id, member := range m.state.Members {
+		if id == self || m.peers[id] != nil {
 			continue
 		}
 		ctx, cancel := context.WithCancel(m.ctx)
-		p := &peer{Member: q, queue: make(chan *pb.Message, peerQueueLength), stop: cancel}
+		p := &peer{Member: member, queue: make(chan *pb.Message, peerQueueLength), stop: cancel}
 		m.peers[id] = p
 		m.background.Go(func() { m.sendLoop(ctx, p) })
 	}
 }
 
 // send queues a message to the member that it is for.
-func (m *Member) send(x *pb.Message) {
-	p := m.peers[x.GetTo()]
+func (m *Member) send(message *pb.Message) {
+	p := m.peers[message.GetTo()]
 	if p == nil {
 		return
 	}
 	select {
-	case p.queue <- x:
+	case p.queue <- message:
 	default:
 		m.stats.Inc("group", "dropped")
-		m.unreachable(x.GetTo(), []*pb.Message{x})
+		m.reportUnreachable(message.GetTo(), []*pb.Message{message})
 	}
 }
 
 // unreachable tells the library that messages to a member were not sent.
-func (m *Member) unreachable(id uint64, list []*pb.Message) {
+func (m *Member) reportUnreachable(id uint64, messages []*pb.Message) {
 	if m.node == nil {
 		return
 	}
 	m.node.ReportUnreachable(id)
-	for _, x := range list {
-		if x.GetType() == pb.MsgSnap {
+	for _, message := range messages {
+		if message.GetType() == pb.MsgSnap {
 			m.node.ReportSnapshot(id, raft.SnapshotFailure)
 		}
 	}
 }
 
-// messagesSent is called with what became of a call with messages: whether the member took them, and its reply.
-func (m *Member) messagesSent(p *peer, list []*pb.Message, ok bool, reply msgpackrpc.Reply) {
+// handleSendResult is called with what became of a call with messages: whether the member took them, and its reply.
+func (m *Member) handleSendResult(p *peer, messages []*pb.Message, ok bool, reply msgpackrpc.Reply) {
 	if reply.Error == quorum.CodeSuperseded {
 		m.abort(fmt.Errorf("member %s says: %s", p.Name, reply.Fields["why"]))
 		return
 	}
-	for _, x := range list {
-		if x.GetType() == pb.MsgSnap && m.node != nil {
-			st := raft.SnapshotFinish
+	for _, message := range messages {
+		if message.GetType() == pb.MsgSnap && m.node != nil {
+			status := raft.SnapshotFinish
 			if !ok {
-				st = raft.SnapshotFailure
+				status = raft.SnapshotFailure
 			}
-			m.node.ReportSnapshot(p.ID, st)
+			m.node.ReportSnapshot(p.ID, status)
 		}
 	}
 }
 
 // appendMessage appends a message behind its length, in 4 bytes.
-func appendMessage(b []byte, m *pb.Message) ([]byte, error) {
-	at := len(b)
+func appendMessage(b []byte, message *pb.Message) ([]byte, error) {
+	start := len(b)
 	b = append(b, make([]byte, lengthBytes)...)
-	b, err := proto.MarshalOptions{}.MarshalAppend(b, m)
-	binary.BigEndian.PutUint32(b[at:], uint32(len(b)-at-lengthBytes))
+	b, err := proto.MarshalOptions{}.MarshalAppend(b, message)
+	binary.BigEndian.PutUint32(b[start:], uint32(len(b)-start-lengthBytes))
 	return b, err
 }
 
 // parseMessages reads what appendMessage wrote, one message after the other.
 func parseMessages(b []byte) ([]*pb.Message, error) {
-	var list []*pb.Message
+	var messages []*pb.Message
 	for len(b) > 0 {
 		if len(b) < lengthBytes || uint64(len(b)-lengthBytes) < uint64(binary.BigEndian.Uint32(b)) {
 			return nil, errors.New("messages cut short")
 		}
 		n := int(binary.BigEndian.Uint32(b))
-		m := &pb.Message{}
-		if err := proto.Unmarshal(b[lengthBytes:lengthBytes+n], m); err != nil {
+		message := &pb.Message{}
+		if err := proto.Unmarshal(b[lengthBytes:lengthBytes+n], message); err != nil {
 			return nil, err
 		}
-		list, b = append(list, m), b[lengthBytes+n:]
+		messages, b = append(messages, message), b[lengthBytes+n:]
 	}
-	return list, nil
+	return messages, nil
 }
 
 // peerLink is the connection to a member; it is its sendLoop's.
@@ -148,9 +148,9 @@
 	if time.Now().Before(l.downUntil) {
 		return errPeerDown
 	}
-	dialing, cancel := context.WithTimeout(ctx, quorum.DialTimeout)
+	dialCtx, cancel := context.WithTimeout(ctx, quorum.DialTimeout)
 	defer cancel()
-	conn, err := msgpackrpc.DialCalls(dialing, addr)
+	conn, err := msgpackrpc.DialCalls(dialCtx, addr)
 	if err != nil {
 		l.downUntil = time.Now().Add(pause)
 		return err
@@ -174,33 +174,33 @@
 	var link peerLink
 	defer link.close()
 	for {
-		var first *pb.Message
+		var message *pb.Message
 		select {
 		case <-ctx.Done():
 			return
-		case first = <-p.queue:
+		case message = <-p.queue:
 		}
-		messages := m.collect(ctx, p, first)
+		messages := m.collectBatch(ctx, p, message)
 		if len(messages) == 0 {
 			continue
 		}
-		reply, err := m.callWith(ctx, p, &link, messages)
+		replies, err := m.sendMessages(ctx, p, &link, messages)
 		if err != nil {
 			if !errors.Is(err, msgpackrpc.ErrFull) {
 				link.close()
 			}
 			m.stats.Inc("group", "unsent")
-			m.enqueue(func() { m.unreachable(p.ID, messages) })
+			m.enqueue(func() { m.reportUnreachable(p.ID, messages) })
 			continue
 		}
 		m.stats.Add(uint64(len(messages)), "group", "messages")
-		used := link.conn
-		go m.awaitReply(ctx, p, used, reply, messages)
+		conn := link.conn
+		go m.awaitReply(ctx, p, conn, replies, messages)
 	}
 }
 
 // collect takes what is queued, up to what fits into a call. Long snapshots go their own way beside it.
-func (m *Member) collect(ctx context.Context, p *peer, first *pb.Message) []*pb.Message {
+func (m *Member) collectBatch(ctx context.Context, p *peer, first *pb.Message) []*pb.Message {
 	if m.sendLongSnapshot(ctx, p, first) {
 		return nil
 	}
@@ -227,8 +227,8 @@
 	return true
 }
 
-// callWith makes a call with messages over a link.
-func (m *Member) callWith(ctx context.Context, p *peer, link *peerLink, messages []*pb.Message) (<-chan msgpackrpc.Reply, error) {
+// sendMessages makes a call with messages over a link.
+func (m *Member) sendMessages(ctx context.Context, p *peer, link *peerLink, messages []*pb.Message) (<-chan msgpackrpc.Reply, error) {
 	var body []byte
 	var err error
 	for _, message := range messages {
@@ -244,11 +244,11 @@
 	if err := link.open(ctx, p.Addr, m.cfg.Tick); err != nil {
 		return nil, err
 	}
-	return link.conn.Call(m.peerRequest(quorum.MethodRaft, body))
+	return link.conn.Call(m.newPeerCall(quorum.MethodRaft, body))
 }
 
 // awaitReply waits for the reply to a call and tells the loop. It ends with the reply, CallTimeout or its context.
-func (m *Member) awaitReply(ctx context.Context, p *peer, used *msgpackrpc.Conn, replies <-chan msgpackrpc.Reply, messages []*pb.Message) {
+func (m *Member) awaitReply(ctx context.Context, p *peer, conn *msgpackrpc.Conn, replies <-chan msgpackrpc.Reply, messages []*pb.Message) {
 	var reply msgpackrpc.Reply
 	ok := false
 	select {
@@ -256,37 +256,37 @@
 	case <-time.After(quorum.CallTimeout):
 		// Something on the way is lost. Calls that are never answered would fill the connection's places, and nothing would go out any
 		// more: the next call has a new connection.
-		used.Close()
+		conn.Close()
 	case <-ctx.Done():
 		return
 	}
-	m.enqueue(func() { m.messagesSent(p, messages, ok && reply.Error == "", reply) })
+	m.enqueue(func() { m.handleSendResult(p, messages, ok && reply.Error == "", reply) })
 }
 
-// peerRequest is a call to another member, with who makes it: the group, the disk, its start and the number of that.
-func (m *Member) peerRequest(method string, body []byte) msgpackrpc.Call {
+// newPeerCall is a call to another member, with who makes it: the group, the disk, its start and the number of that.
+func (m *Member) newPeerCall(method string, body []byte) msgpackrpc.Call {
 	self := m.identity.Load()
 	return msgpackrpc.Call{Method: method, Body: body, Fields: map[string]string{
 		"g": m.cfg.Group, "gi": self.Group, "id": strconv.FormatUint(self.ID, 10), "st": strconv.FormatUint(self.Starts, 10),
-		"n": strconv.FormatUint(m.salt, 10),
+		"n": strconv.FormatUint(m.startNonce, 10),
 	}}
 }
 
 // callPeer makes one call to an address on a connection of its own.
 func callPeer(ctx context.Context, addr string, call msgpackrpc.Call) (msgpackrpc.Reply, error) {
-	dialing, cancel := context.WithTimeout(ctx, quorum.DialTimeout)
+	dialCtx, cancel := context.WithTimeout(ctx, quorum.DialTimeout)
 	defer cancel()
-	conn, err := msgpackrpc.DialCalls(dialing, addr)
+	conn, err := msgpackrpc.DialCalls(dialCtx, addr)
 	if err != nil {
 		return msgpackrpc.Reply{}, err
 	}
 	defer conn.Close()
-	reply, err := conn.Call(call)
+	replies, err := conn.Call(call)
 	if err != nil {
 		return msgpackrpc.Reply{}, err
 	}
 	select {
-	case r, ok := <-reply:
+	case r, ok := <-replies:
 		if !ok {
 			return r, errors.New("the connection ended without an answer")
 		}
--- a/internal/controlplane/quorum/member/program.go
+++ b/internal/controlplane/quorum/member/program.go
@@ -30,39 +30,39 @@
 func Command() *cobra.Command {
 	cmd := &cobra.Command{Use: "silverpath-quorum", Short: "Members of the group, and owners of duties: started by silverpath",
 		SilenceUsage: true, SilenceErrors: true, CompletionOptions: cobra.CompletionOptions{DisableDefaultCmd: true}}
-	run := func(use, short string, pick func(*settings.Quorum) error) {
-		var config string
-		c := &cobra.Command{Use: use, Short: short, Args: cobra.NoArgs, RunE: func(*cobra.Command, []string) error {
-			set, err := settings.LoadQuorum(config)
+	addCommand := func(use, short string, check func(*settings.Quorum) error) {
+		var path string
+		sub := &cobra.Command{Use: use, Short: short, Args: cobra.NoArgs, RunE: func(*cobra.Command, []string) error {
+			set, err := settings.LoadQuorum(path)
 			if err == nil {
-				err = pick(&set)
+				err = check(&set)
 			}
 			if err != nil {
 				return err
 			}
 			return Run(set, Signals(), os.Stderr)
 		}}
-		c.Flags().StringVar(&config, "config", "", "its settings")
-		c.MarkFlagRequired("config")
-		cmd.AddCommand(c)
+		sub.Flags().StringVar(&path, "config", "", "its settings")
+		sub.MarkFlagRequired("config")
+		cmd.AddCommand(sub)
 	}
-	run("member", "Run a member of the group", func(s *settings.Quorum) error {
+	addCommand("member", "Run a member of the group", func(s *settings.Quorum) error {
 		if s.Member == nil {
 			return errors.New("member: missing")
 		}
 		return nil
 	})
-	run("owner", "Own duties, and be no member", func(s *settings.Quorum) error {
+	addCommand("owner", "Own duties, and be no member", func(s *settings.Quorum) error {
 		if s.Member = nil; s.Runner == nil {
 			return errors.New("owner: missing")
 		}
 		return nil
 	})
 	var dir string
-	try := &cobra.Command{Use: "try", Short: "Run a whole group of three in one process, to look at", Args: cobra.NoArgs,
+	trial := &cobra.Command{Use: "try", Short: "Run a whole group of three in one process, to look at", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error { return runTrialGroup(c, dir) }}
-	try.Flags().StringVar(&dir, "dir", "", "a folder that lasts (default: one that does not)")
-	cmd.AddCommand(try)
+	trial.Flags().StringVar(&dir, "dir", "", "a folder that lasts (default: one that does not)")
+	cmd.AddCommand(trial)
 	return cmd
 }
 
@@ -80,29 +80,29 @@
 		return err
 	}
 	signals := Signals()
-	var each []chan os.Signal
-	var all sync.WaitGroup
+	var signalChans []chan os.Signal
+	var running sync.WaitGroup
 	failed := make(chan error, len(addrs))
-	for i, a := range addrs {
-		set := settings.Quorum{Name: fmt.Sprint("q", i+1), Group: settings.GroupRef{Name: "try", Members: addrs},
-			Member: &settings.Member{Listen: a, Addr: a, Dir: filepath.Join(dir, fmt.Sprint("q", i+1)), Tick: 50 * time.Millisecond},
+	for i, addr := range addrs {
+		cfg := settings.Quorum{Name: fmt.Sprint("q", i+1), Group: settings.GroupRef{Name: "try", Members: addrs},
+			Member: &settings.Member{Listen: addr, Addr: addr, Dir: filepath.Join(dir, fmt.Sprint("q", i+1)), Tick: 50 * time.Millisecond},
 			Runner: &settings.Runner{Controllers: []string{controller.PlacementDuty, controller.RolloutDuty}, Map: filepath.Join(dir, "map"), DeadAfter: 10 * time.Second}}
-		ch := make(chan os.Signal, 1)
-		each = append(each, ch)
-		all.Go(func() {
-			if err := Run(set, ch, c.ErrOrStderr()); err != nil {
+		memberSignals := make(chan os.Signal, 1)
+		signalChans = append(signalChans, memberSignals)
+		running.Go(func() {
+			if err := Run(cfg, memberSignals, c.ErrOrStderr()); err != nil {
 				failed <- err
 			}
 		})
 	}
-	leave := func() {
-		for _, ch := range each {
+	stopAll := func() {
+		for _, ch := range signalChans {
 			ch <- syscall.SIGTERM
 		}
-		all.Wait()
+		running.Wait()
 	}
-	if err := foundTrialGroup(addrs, failed); err != nil {
-		leave()
+	if err := bootstrapTrialGroup(addrs, failed); err != nil {
+		stopAll()
 		return err
 	}
 	fmt.Fprintf(c.OutOrStdout(), "a group of three; look with: silverpath duty list --group try --members %s\n", addrs[0])
@@ -111,17 +111,17 @@
 	case err = <-failed:
 	case <-signals:
 	}
-	leave()
+	stopAll()
 	return err
 }
 
-// foundTrialGroup founds a group of members once all of them listen, or returns the error of one that failed meanwhile.
-func foundTrialGroup(addrs []string, failed <-chan error) (err error) {
-	g := quorum.Client{Group: "try", Addrs: addrs}
-	defer g.Close()
-	for range trialFoundings {
+// bootstrapTrialGroup founds a group of members once all of them listen, or returns the error of one that failed meanwhile.
+func bootstrapTrialGroup(addrs []string, failed <-chan error) (err error) {
+	group := quorum.Client{Group: "try", Addrs: addrs}
+	defer group.Close()
+	for range trialBootstrapAttempts {
 		ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
-		_, err = g.Found(ctx, lease.Terms{TTL: 3 * time.Second, Drift: 0.05})
+		_, err = group.Found(ctx, lease.Terms{TTL: 3 * time.Second, Drift: 0.05})
 		cancel()
 		if err == nil {
 			return nil
@@ -129,7 +129,7 @@
 		select {
 		case e := <-failed:
 			return e
-		case <-time.After(trialPause):
+		case <-time.After(trialRetryPause):
 		}
 	}
 	return err
@@ -137,6 +137,6 @@
 
 // A trial group is founded as soon as its members listen, which takes a moment.
 const (
-	trialFoundings = 50
-	trialPause     = 100 * time.Millisecond
+	trialBootstrapAttempts = 50
+	trialRetryPause        = 100 * time.Millisecond
 )
--- a/internal/controlplane/quorum/member/propose.go
+++ b/internal/controlplane/quorum/member/propose.go
@@ -16,14 +16,14 @@
 	"silverpath/internal/transport/msgpackrpc"
 )
 
-// entryNumberBytes is the length of the number before each command of the log.
-const entryNumberBytes = 8
+// proposalIDBytes is the length of the number before each command of the log.
+const proposalIDBytes = 8
 
 // maxCommandBytes bounds a command as it is in the log: with what else a call to a member carries it stays within one call.
 const maxCommandBytes = msgpackrpc.MaxCallBody/2 - 64<<10
 
-// maxBatch bounds the changes of processes that are proposed as one entry: the entry stays well below maxCommandBytes.
-const maxBatch = 256
+// maxConfigBatch bounds the changes of processes that are proposed as one entry: the entry stays well below maxCommandBytes.
+const maxConfigBatch = 256
 
 // Errors of what is proposed, or waits for a confirmation.
 var (
@@ -41,29 +41,29 @@
 
 // entry is a command as it is in the log: the number of the proposal, then the command. The member that proposed it finds by the number
 // who waits for it.
-func entry(id uint64, c statemachine.Command) ([]byte, error) {
-	b, err := json.Marshal(c)
+func encodeEntry(id uint64, cmd statemachine.Command) ([]byte, error) {
+	b, err := json.Marshal(cmd)
 	return append(binary.BigEndian.AppendUint64(nil, id), b...), err
 }
 
 // propose puts a command into the log; done, which may be nil, is called with what it came to, or with false if nobody here can say. It
 // returns errNotLeader, errTooManyPending, errCommandTooLong or an error of the library: then done is not called.
-func (m *Member) propose(c statemachine.Command, done func(statemachine.Result, bool)) error {
+func (m *Member) propose(cmd statemachine.Command, done func(statemachine.Result, bool)) error {
 	if !m.leading || m.node == nil {
 		return errNotLeader
 	}
 	if len(m.proposals) >= maxPending {
 		return errTooManyPending
 	}
-	if c.Lease != nil {
-		c.Lease.ProposedAt = time.Now().UnixMilli()
+	if cmd.Lease != nil {
+		cmd.Lease.ProposedAt = time.Now().UnixMilli()
 	}
-	if c.Config != nil {
-		c.Config.At = time.Now().UnixMilli()
+	if cmd.Config != nil {
+		cmd.Config.At = time.Now().UnixMilli()
 	}
 	m.seq++
-	id := m.salt + m.seq
-	b, err := entry(id, c)
+	id := m.startNonce + m.seq
+	b, err := encodeEntry(id, cmd)
 	if err == nil && len(b) > maxCommandBytes {
 		err = errCommandTooLong
 	}
@@ -76,10 +76,10 @@
 	return err
 }
 
-// answerProposal answers who waits here for the entry of a number, if anybody does.
-func (m *Member) answerProposal(number uint64, r statemachine.Result) {
-	if done := m.proposals[number]; done != nil {
-		delete(m.proposals, number)
+// completeProposal answers who waits here for the entry of a number, if anybody does.
+func (m *Member) completeProposal(id uint64, r statemachine.Result) {
+	if done := m.proposals[id]; done != nil {
+		delete(m.proposals, id)
 		done(r, true)
 	}
 }
@@ -90,10 +90,10 @@
 	if !m.leading {
 		return errNotLeader
 	}
-	if m.pendingReads >= maxPending {
+	if m.pendingReadCount >= maxPending {
 		return errTooManyPending
 	}
-	m.pendingReads++
+	m.pendingReadCount++
 	m.readWaiters = append(m.readWaiters, done)
 	return nil
 }
@@ -101,13 +101,13 @@
 // readIndex asks the library for a confirmation that this member leads.
 func (m *Member) readIndex(done func(ok bool)) {
 	m.seq++
-	ctx := string(binary.BigEndian.AppendUint64(nil, m.salt+m.seq))
+	ctx := string(binary.BigEndian.AppendUint64(nil, m.startNonce+m.seq))
 	m.reads[ctx] = pendingRead{requestedAt: time.Now(), done: done}
 	m.node.ReadIndex([]byte(ctx))
 }
 
-// noteReadStates takes the library's confirmations.
-func (m *Member) noteReadStates(states []raft.ReadState) {
+// recordReadStates takes the library's confirmations.
+func (m *Member) recordReadStates(states []raft.ReadState) {
 	for _, rs := range states {
 		if r, ok := m.reads[string(rs.RequestCtx)]; ok {
 			r.index = max(1, rs.Index)
@@ -116,8 +116,8 @@
 	}
 }
 
-// answerReads answers reads that are confirmed, once all that was agreed by then is applied.
-func (m *Member) answerReads() {
+// completeReads answers reads that are confirmed, once all that was agreed by then is applied.
+func (m *Member) completeReads() {
 	for ctx, r := range m.reads {
 		if r.index > 0 && r.index <= m.applied {
 			delete(m.reads, ctx)
@@ -144,7 +144,7 @@
 	for _, done := range m.readWaiters {
 		done(false)
 	}
-	m.pendingReads -= len(m.readWaiters)
+	m.pendingReadCount -= len(m.readWaiters)
 	m.configBatch, m.configBatchDone, m.readWaiters = nil, nil, nil
 	for id, done := range m.proposals {
 		delete(m.proposals, id)
@@ -156,36 +156,36 @@
 	}
 }
 
-// proposeConfig puts a process's report of itself into the log. Where a document is in parts, no member is of a build that can't read a
+// proposeReport puts a process's report of itself into the log. Where a document is in parts, no member is of a build that can't read a
 // batch: then reports that come while the disk is busy are one entry.
-func (m *Member) proposeConfig(c configstore.Change, done func(r statemachine.Result, ok bool)) error {
+func (m *Member) proposeReport(change configstore.Change, done func(r statemachine.Result, ok bool)) error {
 	if !slices.ContainsFunc(configstore.DocumentNames, func(name string) bool {
 		d := m.state.Config.Documents[name]
 		return d != nil && d.Active != nil && d.Active.InParts
 	}) {
-		return m.propose(statemachine.Command{Config: &c}, done)
+		return m.propose(statemachine.Command{Config: &change}, done)
 	}
 	if len(m.configBatch) >= maxPending {
 		return errTooManyPending
 	}
-	c.At = time.Now().UnixMilli()
-	m.configBatch, m.configBatchDone = append(m.configBatch, c), append(m.configBatchDone, done)
+	change.At = time.Now().UnixMilli()
+	m.configBatch, m.configBatchDone = append(m.configBatch, change), append(m.configBatchDone, done)
 	return nil
 }
 
 // flushBatches handles together what came together in a turn of the loop: one confirmation for all reads, one entry for the reports.
 func (m *Member) flushBatches() {
 	for len(m.configBatch) > 0 {
-		n := min(len(m.configBatch), maxBatch)
+		n := min(len(m.configBatch), maxConfigBatch)
 		changes, done := slices.Clone(m.configBatch[:n]), slices.Clone(m.configBatchDone[:n])
 		m.configBatch, m.configBatchDone = m.configBatch[n:], m.configBatchDone[n:]
-		all := func(r statemachine.Result, ok bool) {
-			for _, one := range done {
-				one(r, ok)
+		completeAll := func(r statemachine.Result, ok bool) {
+			for _, complete := range done {
+				complete(r, ok)
 			}
 		}
-		if err := m.propose(statemachine.Command{ConfigBatch: changes}, all); err != nil {
-			all(statemachine.Result{}, false)
+		if err := m.propose(statemachine.Command{ConfigBatch: changes}, completeAll); err != nil {
+			completeAll(statemachine.Result{}, false)
 			continue
 		}
 		m.stats.Add(uint64(n), "rules", "together")
@@ -193,11 +193,11 @@
 	if len(m.readWaiters) == 0 {
 		return
 	}
-	waiting := m.readWaiters
+	waiters := m.readWaiters
 	m.readWaiters = nil
 	m.readIndex(func(ok bool) {
-		m.pendingReads -= len(waiting)
-		for _, done := range waiting {
+		m.pendingReadCount -= len(waiters)
+		for _, done := range waiters {
 			done(ok)
 		}
 	})
--- a/internal/controlplane/quorum/member/raft.go
+++ b/internal/controlplane/quorum/member/raft.go
@@ -37,8 +37,8 @@
 		if err != nil {
 			return fmt.Errorf("%s: who else there is: %w", m.cfg.Dir, err)
 		}
-		for _, p := range peers {
-			m.state.Members[p.ID] = p
+		for _, peer := range peers {
+			m.state.Members[peer.ID] = peer
 		}
 	} else if m.state, err = statemachine.Restore(snap.GetData()); err != nil {
 		return fmt.Errorf("%s: %w", m.cfg.Dir, err)
@@ -61,7 +61,7 @@
 	m.state, m.confState = state, meta.GetConfState()
 	m.applied = meta.GetIndex()
 	m.snapshotIndex = m.applied
-	m.lessor, m.configWatch, m.quotaLedger = lease.NewLessor(state.Terms), configstore.NewProcessMonitor(state.Terms), quota.NewLedger(state.Terms)
+	m.lessor, m.processMonitor, m.quotaLedger = lease.NewLessor(state.Terms), configstore.NewProcessMonitor(state.Terms), quota.NewLedger(state.Terms)
 }
 
 // handleReady carries out what the library wants, in the order that raft is correct by: what must last is on disk before a message that
@@ -84,15 +84,15 @@
 	if rd.SoftState != nil {
 		m.leadershipChanged(rd.RaftState == raft.StateLeader)
 	}
-	for _, x := range rd.Messages {
-		m.send(x)
+	for _, message := range rd.Messages {
+		m.send(message)
 	}
-	m.noteReadStates(rd.ReadStates)
-	for _, e := range rd.CommittedEntries {
-		m.applyEntry(e)
+	m.recordReadStates(rd.ReadStates)
+	for _, entry := range rd.CommittedEntries {
+		m.applyEntry(entry)
 	}
 	m.node.Advance(rd)
-	m.answerReads()
+	m.completeReads()
 	m.compactIfDue()
 }
 
@@ -134,74 +134,74 @@
 
 // leadershipChanged is called with whether this member leads now. What waits for a leader that is none any more fails: nobody here can
 // say what becomes of it.
-func (m *Member) leadershipChanged(leads bool) {
-	if leads == m.leading {
+func (m *Member) leadershipChanged(leading bool) {
+	if leading == m.leading {
 		return
 	}
-	m.leading, m.caughtUp = leads, false
-	m.grantable.refreshAt = time.Time{} // the ledger is told anew
-	if leads {
+	m.leading, m.caughtUp = leading, false
+	m.capacityMap.refreshAt = time.Time{} // the ledger is told anew
+	if leading {
 		m.lessor.Promote(m.clock())
-		m.configWatch.StartLeading(m.clock())
+		m.processMonitor.StartLeading(m.clock())
 		m.quotaLedger.StartLeading(m.clock(), m.node.BasicStatus().GetTerm())
 		m.log.Info().Str("event", "group.leads").Uint64("term", m.node.BasicStatus().GetTerm()).Send()
 		m.stats.Inc("group", "led")
 		return
 	}
 	m.lessor.Demote()
-	m.configWatch.StopLeading()
+	m.processMonitor.StopLeading()
 	m.quotaLedger.StopLeading()
 	m.log.Info().Str("event", "group.follows").Send()
 	m.failPending()
 }
 
 // applyEntry applies an entry that a majority has agreed on.
-func (m *Member) applyEntry(e *pb.Entry) {
-	m.applied = e.GetIndex()
-	m.bytesSinceSnapshot += len(e.GetData())
-	m.caughtUp = m.caughtUp || m.leading && e.GetTerm() == m.node.BasicStatus().GetTerm()
-	switch e.GetType() {
+func (m *Member) applyEntry(entry *pb.Entry) {
+	m.applied = entry.GetIndex()
+	m.bytesSinceSnapshot += len(entry.GetData())
+	m.caughtUp = m.caughtUp || m.leading && entry.GetTerm() == m.node.BasicStatus().GetTerm()
+	switch entry.GetType() {
 	case pb.EntryNormal:
-		m.applyCommand(e.GetData())
+		m.applyCommand(entry.GetData())
 	case pb.EntryConfChangeV2, pb.EntryConfChange:
-		m.applyMemberChange(e.GetData())
+		m.applyMemberChange(entry.GetData())
 	}
 }
 
 // applyCommand applies a command of the log, and answers who waits for it here.
 func (m *Member) applyCommand(data []byte) {
-	if len(data) < entryNumberBytes {
+	if len(data) < proposalIDBytes {
 		return // the empty entry of a new leader
 	}
-	var c statemachine.Command
-	r := statemachine.Result{Error: "a command that can't be read"}
-	if err := json.Unmarshal(data[entryNumberBytes:], &c); err == nil {
-		r = m.state.Apply(c)
+	var cmd statemachine.Command
+	result := statemachine.Result{Error: "a command that can't be read"}
+	if err := json.Unmarshal(data[proposalIDBytes:], &cmd); err == nil {
+		result = m.state.Apply(cmd)
 	}
 	m.stats.Inc("group", "applied")
-	if c.Lease != nil {
-		m.leaseApplied(*c.Lease, r)
+	if cmd.Lease != nil {
+		m.leaseApplied(*cmd.Lease, result)
 	}
-	if c.Config != nil {
-		m.configApplied(*c.Config, r)
+	if cmd.Config != nil {
+		m.configApplied(*cmd.Config, result)
 	}
-	for _, change := range c.ConfigBatch {
+	for _, change := range cmd.ConfigBatch {
 		m.configApplied(change, statemachine.Result{})
 	}
-	m.answerProposal(binary.BigEndian.Uint64(data), r)
+	m.completeProposal(binary.BigEndian.Uint64(data), result)
 }
 
 // applyMemberChange applies a change of the group's members.
 func (m *Member) applyMemberChange(data []byte) {
-	var c pb.ConfChangeV2
-	if err := proto.Unmarshal(data, &c); err != nil {
+	var confChange pb.ConfChangeV2
+	if err := proto.Unmarshal(data, &confChange); err != nil {
 		m.abort(fmt.Errorf("a change of members that can't be read: %w", err))
 		return
 	}
-	m.confState = m.node.ApplyConfChange(&c)
+	m.confState = m.node.ApplyConfChange(&confChange)
 	m.membersChanged = true
 	var change memberChange
-	_ = json.Unmarshal(c.GetContext(), &change) // one without a context is the library's own, and names no member
+	_ = json.Unmarshal(confChange.GetContext(), &change) // one without a context is the library's own, and names no member
 	if change.Remove != 0 {
 		delete(m.state.Members, change.Remove)
 	} else if change.Peer.ID != 0 {
@@ -209,7 +209,7 @@
 	}
 	m.log.Info().Str("event", "group.members").Int("voters", len(m.confState.GetVoters())).Int("learners", len(m.confState.GetLearners())).Send()
 	m.updatePeers()
-	m.answerProposal(change.Seq, statemachine.Result{})
+	m.completeProposal(change.Seq, statemachine.Result{})
 }
 
 // leaseApplied follows a lease request that was applied: the leader counts a new holding from now on, and logs it.
@@ -257,6 +257,6 @@
 func (l raftLogger) Fatalf(f string, v ...any) { panic(fmt.Sprintf(f, v...)) }
 func (l raftLogger) Panic(v ...any)            { panic(fmt.Sprint(v...)) }
 func (l raftLogger) Panicf(f string, v ...any) { panic(fmt.Sprintf(f, v...)) }
-func (l raftLogger) warn(s string) {
-	l.log.Warn().Str("event", "group.raft_library").Str("text", s).Send()
+func (l raftLogger) warn(text string) {
+	l.log.Warn().Str("event", "group.raft_library").Str("text", text).Send()
 }
--- a/internal/controlplane/quorum/member/requests.go
+++ b/internal/controlplane/quorum/member/requests.go
@@ -32,16 +32,16 @@
 	if call.Method == quorum.MethodStatus {
 		b, err := json.Marshal(m.Status())
 		if err != nil {
-			return replyNow(refuse(quorum.CodeRefused, "%v", err))
+			return replyNow(errorReply(quorum.CodeRefused, "%v", err))
 		}
 		return replyNow(msgpackrpc.CallResult{Body: b})
 	}
 	// The rest is the loop's.
-	out := make(chan msgpackrpc.CallResult, 1)
-	m.enqueue(func() { m.dispatch(call, func(r msgpackrpc.CallResult) { out <- r }) })
+	result := make(chan msgpackrpc.CallResult, 1)
+	m.enqueue(func() { m.dispatch(call, func(r msgpackrpc.CallResult) { result <- r }) })
 	return func() msgpackrpc.CallResult {
 		select {
-		case r := <-out:
+		case r := <-result:
 			return r
 		case <-m.stopped:
 		case <-ctx.Done():
@@ -56,7 +56,7 @@
 }
 
 // refuse is a reply with an error code and a reason for people.
-func refuse(code, format string, args ...any) msgpackrpc.CallResult {
+func errorReply(code, format string, args ...any) msgpackrpc.CallResult {
 	return msgpackrpc.CallResult{Error: code, Fields: []string{"why", fmt.Sprintf(format, args...)}}
 }
 
@@ -65,8 +65,8 @@
 	switch call.Method {
 	case quorum.MethodRaft, quorum.MethodVouch, quorum.MethodMark, quorum.MethodSnapshotPart:
 		reply(m.handlePeer(call))
-	case quorum.MethodFound:
-		reply(m.handleFound(call))
+	case quorum.MethodBootstrap:
+		reply(m.handleBootstrap(call))
 	case quorum.MethodJoin:
 		reply(m.handleJoin(call))
 	case quorum.MethodDo:
@@ -84,24 +84,24 @@
 	case quorum.MethodAdd, quorum.MethodRemove:
 		m.handleMemberChange(call, reply)
 	default:
-		reply(refuse(quorum.CodeRefused, "no such word: %q", call.Method))
+		reply(errorReply(quorum.CodeRefused, "no such word: %q", call.Method))
 	}
 }
 
 // handlePeer takes a call of another member, after a look at who it is.
 func (m *Member) handlePeer(call msgpackrpc.Call) msgpackrpc.CallResult {
-	id, self := fieldNumber(call, "id"), m.identity.Load()
+	id, self := uintField(call, "id"), m.identity.Load()
 	switch {
 	case self.Group == "" || call.Fields["gi"] != self.Group:
 		m.stats.Inc("group", "strangers")
-		return refuse(quorum.CodeWrongGroup, "this is group %q, not %q", self.Group, call.Fields["gi"])
+		return errorReply(quorum.CodeWrongGroup, "this is group %q, not %q", self.Group, call.Fields["gi"])
 	case id == self.ID:
-		return refuse(quorum.CodeSuperseded, "two processes run on copies of one disk")
+		return errorReply(quorum.CodeSuperseded, "two processes run on copies of one disk")
 	}
 	last := m.marks[id]
-	mark := diskMark{fieldNumber(call, "st"), fieldNumber(call, "n"), fieldNumber(call, "t"), fieldNumber(call, "c")}
+	mark := diskMark{uintField(call, "st"), uintField(call, "n"), uintField(call, "t"), uintField(call, "c")}
 	if mark.Starts < last.Starts || mark.Starts == last.Starts && mark.Nonce != last.Nonce {
-		return refuse(quorum.CodeSuperseded, "start %d of this disk, and start %d of it was seen elsewhere", mark.Starts, last.Starts)
+		return errorReply(quorum.CodeSuperseded, "start %d of this disk, and start %d of it was seen elsewhere", mark.Starts, last.Starts)
 	}
 	switch call.Method {
 	case quorum.MethodVouch:
@@ -116,8 +116,8 @@
 	return msgpackrpc.CallResult{}
 }
 
-// fieldNumber reads a field that is a number, 0 where it is none.
-func fieldNumber(call msgpackrpc.Call, key string) uint64 {
+// uintField reads a field that is a number, 0 where it is none.
+func uintField(call msgpackrpc.Call, key string) uint64 {
 	n, err := strconv.ParseUint(call.Fields[key], 10, 64)
 	if err != nil {
 		return 0
@@ -133,7 +133,7 @@
 	messages, err := parseMessages(call.Body)
 	if err != nil {
 		m.stats.Inc("malformed", Name)
-		return refuse(quorum.CodeRefused, "%v", err)
+		return errorReply(quorum.CodeRefused, "%v", err)
 	}
 	for _, message := range messages {
 		m.stepRaft(message, from)
@@ -143,28 +143,28 @@
 
 // stepRaft hands a message to the library, unless it shows that this disk has lost an entry that it had acknowledged: a leader's heartbeat
 // names no entry as agreed that this member did not acknowledge, so one beyond the log's end was lost here.
-func (m *Member) stepRaft(x *pb.Message, from uint64) {
-	if x.GetFrom() != from || x.GetTo() != m.identity.Load().ID || raft.IsLocalMsg(x.GetType()) {
+func (m *Member) stepRaft(message *pb.Message, from uint64) {
+	if message.GetFrom() != from || message.GetTo() != m.identity.Load().ID || raft.IsLocalMsg(message.GetType()) {
 		m.stats.Inc("malformed", Name)
 		return
 	}
-	if last, _ := m.store.memory.LastIndex(); x.GetType() == pb.MsgHeartbeat && x.GetCommit() > last {
+	if last, _ := m.store.memory.LastIndex(); message.GetType() == pb.MsgHeartbeat && message.GetCommit() > last {
 		m.abort(fmt.Errorf("the disk is older than its words: entry %d was said to be on it, it ends at %d; set %s aside and add the member anew",
-			x.GetCommit(), last, m.cfg.Dir))
+			message.GetCommit(), last, m.cfg.Dir))
 		return
 	}
-	_ = m.node.Step(x) // its errors are of messages that came late
+	_ = m.node.Step(message) // its errors are of messages that came late
 }
 
 // notLeader is the reply of a member that does not lead, with the address of the one that does where it is known.
 func (m *Member) notLeader() msgpackrpc.CallResult {
-	r := refuse(quorum.CodeNotLeader, "member %s does not lead", m.cfg.Name)
+	reply := errorReply(quorum.CodeNotLeader, "member %s does not lead", m.cfg.Name)
 	if m.node != nil {
 		if p, ok := m.state.Members[m.node.BasicStatus().Lead]; ok && p.ID != m.identity.Load().ID {
-			r.Fields = append(r.Fields, "leader", p.Addr)
+			reply.Fields = append(reply.Fields, "leader", p.Addr)
 		}
 	}
-	return r
+	return reply
 }
 
 // resultReply is the reply with what a command came to; ok is false where nobody here can say.
@@ -174,58 +174,58 @@
 	}
 	b, err := json.Marshal(r)
 	if err != nil {
-		return refuse(quorum.CodeRefused, "%v", err)
+		return errorReply(quorum.CodeRefused, "%v", err)
 	}
 	return msgpackrpc.CallResult{Body: b}
 }
 
 // handleDo puts a command into the log and replies with what it came to.
 func (m *Member) handleDo(call msgpackrpc.Call, reply replyFunc) {
-	var c statemachine.Command
-	if err := json.Unmarshal(call.Body, &c); err != nil {
-		reply(refuse(quorum.CodeRefused, "%v", err))
+	var cmd statemachine.Command
+	if err := json.Unmarshal(call.Body, &cmd); err != nil {
+		reply(errorReply(quorum.CodeRefused, "%v", err))
 		return
 	}
-	if c.Lease != nil && leaderOnly(*c.Lease) {
-		reply(refuse(quorum.CodeRefused, "only the group's leader may"))
+	if cmd.Lease != nil && leaderOnly(*cmd.Lease) {
+		reply(errorReply(quorum.CodeRefused, "only the group's leader may"))
 		return
 	}
-	if c.Config != nil {
+	if cmd.Config != nil {
 		if !m.leading || !m.caughtUp {
 			reply(m.notLeader())
 			return
 		}
-		if reason := m.completeChange(c.Config); reason != "" {
+		if reason := m.completeChange(cmd.Config); reason != "" {
 			reply(resultReply(statemachine.Result{Error: reason}, true))
 			return
 		}
 	}
-	if c.Lease != nil && c.Lease.Op == lease.Acquire && m.leading {
-		if m.holdsOrWaits(c.Lease.Duty, c.Lease.Process) {
+	if cmd.Lease != nil && cmd.Lease.Op == lease.Acquire && m.leading {
+		if m.holdsOrWaits(cmd.Lease.Duty, cmd.Lease.Process) {
 			m.handleRenew(call, reply) // it changes nothing: no entry of the log
 			return
 		}
-		m.lessor.RecordWaiter(c.Lease.Duty, c.Lease.Process, m.clock())
+		m.lessor.RecordWaiter(cmd.Lease.Duty, cmd.Lease.Process, m.clock())
 	}
-	m.proposeAndReply(c, reply)
+	m.proposeAndReply(cmd, reply)
 }
 
 // proposeAndReply puts a command into the log and replies with what it came to, or why it could not be proposed.
-func (m *Member) proposeAndReply(c statemachine.Command, reply replyFunc) {
-	err := m.propose(c, func(r statemachine.Result, ok bool) { reply(resultReply(r, ok)) })
+func (m *Member) proposeAndReply(cmd statemachine.Command, reply replyFunc) {
+	err := m.propose(cmd, func(r statemachine.Result, ok bool) { reply(resultReply(r, ok)) })
 	switch {
 	case errors.Is(err, errNotLeader):
 		reply(m.notLeader())
 	case errors.Is(err, errCommandTooLong):
-		reply(refuse(quorum.CodeRefused, "%v", err))
+		reply(errorReply(quorum.CodeRefused, "%v", err))
 	case err != nil:
-		reply(refuse(quorum.CodeUnknownOutcome, "%v", err))
+		reply(errorReply(quorum.CodeUnknownOutcome, "%v", err))
 	}
 }
 
 // leaderOnly reports whether a request is one that only the leader may propose: an end by its time. An operator's Dequeue says why.
-func leaderOnly(r lease.Request) bool {
-	return r.Op == lease.Expire || r.Op == lease.Dequeue && r.Reason == ""
+func leaderOnly(request lease.Request) bool {
+	return request.Op == lease.Expire || request.Op == lease.Dequeue && request.Reason == ""
 }
 
 // holdsOrWaits reports whether a process holds a duty, or waits for it.
@@ -237,19 +237,19 @@
 // handleRenew notes that a holder goes on, or that a process waits, by the leader alone: no entry is written. It replies once a majority
 // has confirmed that this member led after the call came, so that no other leader can have ended the lease meanwhile.
 func (m *Member) handleRenew(call msgpackrpc.Call, reply replyFunc) {
-	var c statemachine.Command
-	if err := json.Unmarshal(call.Body, &c); err != nil || c.Lease == nil {
-		reply(refuse(quorum.CodeRefused, "no renewal"))
+	var cmd statemachine.Command
+	if err := json.Unmarshal(call.Body, &cmd); err != nil || cmd.Lease == nil {
+		reply(errorReply(quorum.CodeRefused, "no renewal"))
 		return
 	}
-	request, now := *c.Lease, m.clock()
+	request, now := *cmd.Lease, m.clock()
 	if !m.leading || !m.caughtUp {
 		reply(m.notLeader())
 		return
 	}
-	ending := false // its end was proposed
+	expiring := false // its end was proposed
 	if d := m.state.Table.Duties[request.Duty]; d != nil && d.Holder == request.Process {
-		ending = !m.lessor.Renew(request.Duty, d.Epoch, request.Op != lease.Renew, now)
+		expiring = !m.lessor.Renew(request.Duty, d.Epoch, request.Op != lease.Renew, now)
 	}
 	m.lessor.RecordWaiter(request.Duty, request.Process, now)
 	m.stats.Inc("group", "renewals")
@@ -258,7 +258,7 @@
 		if d := m.state.Table.Duties[request.Duty]; d != nil {
 			copied := *d
 			r.Duty = &copied
-			if ending && d.Holder == request.Process || request.Op == lease.Renew && (d.Holder != request.Process || d.Epoch != request.Epoch) {
+			if expiring && d.Holder == request.Process || request.Op == lease.Renew && (d.Holder != request.Process || d.Epoch != request.Epoch) {
 				r.Error, r.ErrorKind = d.StaleError(request.Epoch).Error(), statemachine.KindStaleEpoch
 			}
 		} else {
@@ -282,15 +282,15 @@
 			reply(msgpackrpc.CallResult{Error: quorum.CodeUnknownOutcome})
 			return
 		}
-		v := quorum.StateView{Terms: m.state.Terms, Table: m.state.Table, Journals: map[string]*controller.Journal{}, Wall: time.Now().UnixMilli()}
-		for _, name := range controller.Duties {
-			if call.Fields["duty"] == name || call.Fields["duty"] == "*" {
-				v.Journals[name] = m.state.Journal(name)
+		view := quorum.StateView{Terms: m.state.Terms, Table: m.state.Table, Journals: map[string]*controller.Journal{}, Wall: time.Now().UnixMilli()}
+		for _, duty := range controller.Duties {
+			if call.Fields["duty"] == duty || call.Fields["duty"] == "*" {
+				view.Journals[duty] = m.state.Journal(duty)
 			}
 		}
-		b, err := json.Marshal(v)
+		b, err := json.Marshal(view)
 		if err != nil {
-			reply(refuse(quorum.CodeRefused, "%v", err))
+			reply(errorReply(quorum.CodeRefused, "%v", err))
 			return
 		}
 		reply(msgpackrpc.CallResult{Body: b})
--- a/internal/controlplane/quorum/member/snapshot_transfer.go
+++ b/internal/controlplane/quorum/member/snapshot_transfer.go
@@ -41,51 +41,51 @@
 }
 
 // sendSnapshotAsync sends a snapshot in parts and tells the loop what became of it.
-func (m *Member) sendSnapshotAsync(ctx context.Context, p *peer, x *pb.Message) {
-	err := m.sendSnapshot(ctx, p, x)
+func (m *Member) sendSnapshotAsync(ctx context.Context, p *peer, message *pb.Message) {
+	err := m.sendSnapshot(ctx, p, message)
 	m.enqueue(func() {
 		if err != nil {
 			m.stats.Inc("group", "snapshots_unsent")
 			m.log.Warn().Str("event", "group.snapshot_unsent").Str("member", p.Name).Err(err).Send()
-			m.unreachable(p.ID, []*pb.Message{x})
+			m.reportUnreachable(p.ID, []*pb.Message{message})
 			return
 		}
 		m.stats.Inc("group", "snapshots_sent")
-		m.messagesSent(p, []*pb.Message{x}, true, msgpackrpc.Reply{})
+		m.handleSendResult(p, []*pb.Message{message}, true, msgpackrpc.Reply{})
 	})
 }
 
 // sendSnapshot sends a snapshot in parts, each once the one before is acknowledged.
-func (m *Member) sendSnapshot(ctx context.Context, p *peer, x *pb.Message) error {
-	b, err := proto.Marshal(x)
+func (m *Member) sendSnapshot(ctx context.Context, p *peer, message *pb.Message) error {
+	encoded, err := proto.Marshal(message)
 	if err != nil {
 		return err
 	}
-	if len(b) > maxSnapshotBytes {
-		return fmt.Errorf("%d bytes, of at most %d", len(b), maxSnapshotBytes)
+	if len(encoded) > maxSnapshotBytes {
+		return fmt.Errorf("%d bytes, of at most %d", len(encoded), maxSnapshotBytes)
 	}
-	dialing, cancel := context.WithTimeout(ctx, quorum.DialTimeout)
+	dialCtx, cancel := context.WithTimeout(ctx, quorum.DialTimeout)
 	defer cancel()
-	conn, err := msgpackrpc.DialCalls(dialing, p.Addr)
+	conn, err := msgpackrpc.DialCalls(dialCtx, p.Addr)
 	if err != nil {
 		return err
 	}
 	defer conn.Close()
-	checksum := xxhash.Sum64(b)
-	for at, n := 0, 0; at < len(b); at, n = at+snapshotPartBytes, n+1 {
-		call := m.peerRequest(quorum.MethodSnapshotPart, b[at:min(at+snapshotPartBytes, len(b))])
-		for key, v := range map[string]uint64{"s": checksum, "o": uint64(at), "l": uint64(len(b))} {
+	checksum := xxhash.Sum64(encoded)
+	for offset, part := 0, 0; offset < len(encoded); offset, part = offset+snapshotPartBytes, part+1 {
+		call := m.newPeerCall(quorum.MethodSnapshotPart, encoded[offset:min(offset+snapshotPartBytes, len(encoded))])
+		for key, v := range map[string]uint64{"s": checksum, "o": uint64(offset), "l": uint64(len(encoded))} {
 			call.Fields[key] = strconv.FormatUint(v, 10)
 		}
-		if SnapshotPartHook != nil && !SnapshotPartHook(n) {
+		if SnapshotPartHook != nil && !SnapshotPartHook(part) {
 			continue // lost: the next part does not follow
 		}
-		reply, err := conn.Call(call)
+		replies, err := conn.Call(call)
 		if err != nil {
 			return err
 		}
 		select {
-		case r, ok := <-reply:
+		case r, ok := <-replies:
 			if !ok {
 				return errors.New("the connection ended within it")
 			}
@@ -105,33 +105,33 @@
 // follow the one before drops the snapshot.
 func (m *Member) handleSnapshotPart(call msgpackrpc.Call, from uint64) msgpackrpc.CallResult {
 	if !m.confirmed {
-		return refuse(quorum.CodeRefused, "not yet one that may say anything")
+		return errorReply(quorum.CodeRefused, "not yet one that may say anything")
 	}
-	checksum, offset, length := fieldNumber(call, "s"), fieldNumber(call, "o"), fieldNumber(call, "l")
+	checksum, offset, length := uintField(call, "s"), uintField(call, "o"), uintField(call, "l")
 	if length == 0 || length > maxSnapshotBytes || uint64(len(call.Body)) > length {
 		m.stats.Inc("malformed", Name)
-		return refuse(quorum.CodeRefused, "a snapshot of %d bytes, of at most %d", length, maxSnapshotBytes)
+		return errorReply(quorum.CodeRefused, "a snapshot of %d bytes, of at most %d", length, maxSnapshotBytes)
 	}
 	if offset == 0 {
 		m.incoming = &incomingSnapshot{from: from, checksum: checksum, receivedAt: time.Now()}
 	}
-	in := m.incoming
-	if in == nil || in.from != from || in.checksum != checksum || uint64(len(in.received)) != offset || offset+uint64(len(call.Body)) > length {
+	incoming := m.incoming
+	if incoming == nil || incoming.from != from || incoming.checksum != checksum || uint64(len(incoming.received)) != offset || offset+uint64(len(call.Body)) > length {
 		m.incoming = nil
-		return refuse(quorum.CodeRefused, "a chunk at %d that doesn't follow", offset)
+		return errorReply(quorum.CodeRefused, "a chunk at %d that doesn't follow", offset)
 	}
-	in.received, in.receivedAt = append(in.received, call.Body...), time.Now()
-	if uint64(len(in.received)) < length {
+	incoming.received, incoming.receivedAt = append(incoming.received, call.Body...), time.Now()
+	if uint64(len(incoming.received)) < length {
 		return msgpackrpc.CallResult{}
 	}
 	m.incoming = nil
 	message := &pb.Message{}
-	if xxhash.Sum64(in.received) != checksum {
-		return refuse(quorum.CodeRefused, "a snapshot whose checksum is wrong")
+	if xxhash.Sum64(incoming.received) != checksum {
+		return errorReply(quorum.CodeRefused, "a snapshot whose checksum is wrong")
 	}
-	if err := proto.Unmarshal(in.received, message); err != nil || message.GetType() != pb.MsgSnap {
+	if err := proto.Unmarshal(incoming.received, message); err != nil || message.GetType() != pb.MsgSnap {
 		m.stats.Inc("malformed", Name)
-		return refuse(quorum.CodeRefused, "no snapshot: %v", err)
+		return errorReply(quorum.CodeRefused, "no snapshot: %v", err)
 	}
 	m.stats.Inc("group", "snapshots_put_together")
 	m.stepRaft(message, from)
--- a/internal/controlplane/quorum/member/store.go
+++ b/internal/controlplane/quorum/member/store.go
@@ -69,24 +69,24 @@
 // load reads what is on disk into memory: the snapshot, the term and vote, and the entries after the snapshot.
 func (s *store) load() error {
 	err := s.update("open", func(tx *bbolt.Tx) error {
-		m, err := tx.CreateBucketIfNotExists(bucketMeta)
+		meta, err := tx.CreateBucketIfNotExists(bucketMeta)
 		if err != nil {
 			return err
 		}
-		if f := m.Get(keyFormat); f != nil && string(f) != storeFormat {
-			return fmt.Errorf("format %q, this build knows %q", f, storeFormat)
+		if format := meta.Get(keyFormat); format != nil && string(format) != storeFormat {
+			return fmt.Errorf("format %q, this build knows %q", format, storeFormat)
 		}
 		if _, err := tx.CreateBucketIfNotExists(bucketLog); err != nil {
 			return err
 		}
-		return m.Put(keyFormat, []byte(storeFormat))
+		return meta.Put(keyFormat, []byte(storeFormat))
 	})
 	if err != nil {
 		return err
 	}
 	return s.db.View(func(tx *bbolt.Tx) error {
-		m := tx.Bucket(bucketMeta)
-		if b := m.Get(keySnap); b != nil {
+		meta := tx.Bucket(bucketMeta)
+		if b := meta.Get(keySnap); b != nil {
 			snap := &pb.Snapshot{}
 			if err := proto.Unmarshal(b, snap); err != nil {
 				return fmt.Errorf("its snapshot: %w", err)
@@ -95,37 +95,37 @@
 				return err
 			}
 		}
-		if b := m.Get(keyHardState); b != nil {
-			hard := &pb.HardState{}
-			if err := proto.Unmarshal(b, hard); err != nil {
+		if b := meta.Get(keyHardState); b != nil {
+			hardState := &pb.HardState{}
+			if err := proto.Unmarshal(b, hardState); err != nil {
 				return fmt.Errorf("its term: %w", err)
 			}
-			if err := s.memory.SetHardState(hard); err != nil {
+			if err := s.memory.SetHardState(hardState); err != nil {
 				return err
 			}
 		}
 		first, _ := s.memory.FirstIndex()
-		var list []*pb.Entry
+		var entries []*pb.Entry
 		err := tx.Bucket(bucketLog).ForEach(func(k, v []byte) error {
 			if binary.BigEndian.Uint64(k) < first {
 				return nil
 			}
-			e := &pb.Entry{}
-			if err := proto.Unmarshal(v, e); err != nil {
+			entry := &pb.Entry{}
+			if err := proto.Unmarshal(v, entry); err != nil {
 				return fmt.Errorf("entry %x: %w", k, err)
 			}
-			list = append(list, e)
+			entries = append(entries, entry)
 			return nil
 		})
 		if err != nil {
 			return err
 		}
-		return s.memory.Append(list)
+		return s.memory.Append(entries)
 	})
 }
 
 // update makes one transaction. After an error every later one returns the same.
-func (s *store) update(op string, do func(tx *bbolt.Tx) error) error {
+func (s *store) update(op string, write func(tx *bbolt.Tx) error) error {
 	if s.failed != nil {
 		return s.failed
 	}
@@ -135,7 +135,7 @@
 	}
 	if err == nil {
 		s.syncs++
-		err = s.db.Update(do)
+		err = s.db.Update(write)
 	}
 	if err != nil {
 		s.failed = fmt.Errorf("writing to the disk (%s): %w", op, err)
@@ -175,9 +175,9 @@
 	return tx.Bucket(bucketMeta).Put(key, b)
 }
 
-// writeFounding makes the member one of a group whose first members are given: the group's state is its first snapshot, which no entry
+// writeBootstrap makes the member one of a group whose first members are given: the group's state is its first snapshot, which no entry
 // led to.
-func (s *store) writeFounding(identity Identity, state *statemachine.State) error {
+func (s *store) writeBootstrap(identity Identity, state *statemachine.State) error {
 	data, err := state.Snapshot()
 	if err != nil {
 		return err
@@ -187,14 +187,14 @@
 		conf.Voters = append(conf.Voters, id)
 	}
 	snap := &pb.Snapshot{Data: data, Metadata: &pb.SnapshotMetadata{ConfState: conf, Index: proto.Uint64(1), Term: proto.Uint64(1)}}
-	hard := &pb.HardState{Term: proto.Uint64(1), Commit: proto.Uint64(1)}
+	hardState := &pb.HardState{Term: proto.Uint64(1), Commit: proto.Uint64(1)}
 	err = s.update("found", func(tx *bbolt.Tx) error {
-		return errors.Join(putJSON(tx, keyIdentity, identity), putProto(tx, keySnap, snap), putProto(tx, keyHardState, hard))
+		return errors.Join(putJSON(tx, keyIdentity, identity), putProto(tx, keySnap, snap), putProto(tx, keyHardState, hardState))
 	})
 	if err != nil {
 		return err
 	}
-	if err := s.memory.SetHardState(hard); err != nil {
+	if err := s.memory.SetHardState(hardState); err != nil {
 		return err
 	}
 	return s.memory.ApplySnapshot(snap)
@@ -209,7 +209,7 @@
 
 // save writes what must last before a message speaks of it: the term and vote, entries, a snapshot that was received, marks of others. Any
 // of them may be nil.
-func (s *store) save(hard *pb.HardState, entries []*pb.Entry, snap *pb.Snapshot, marks map[uint64]diskMark) error {
+func (s *store) save(hardState *pb.HardState, entries []*pb.Entry, snap *pb.Snapshot, marks map[uint64]diskMark) error {
 	hasSnapshot := snap != nil && snap.GetMetadata().GetIndex() > 0
 	err := s.update("save", func(tx *bbolt.Tx) error {
 		if marks != nil {
@@ -226,8 +226,8 @@
 		if err := putEntries(log, entries); err != nil {
 			return err
 		}
-		if hard != nil {
-			return putProto(tx, keyHardState, hard)
+		if hardState != nil {
+			return putProto(tx, keyHardState, hardState)
 		}
 		return nil
 	})
@@ -239,8 +239,8 @@
 			return err
 		}
 	}
-	if hard != nil {
-		if err := s.memory.SetHardState(hard); err != nil {
+	if hardState != nil {
+		if err := s.memory.SetHardState(hardState); err != nil {
 			return err
 		}
 	}
@@ -255,10 +255,10 @@
 	if err := deleteEntries(log, entries[0].GetIndex(), ^uint64(0)); err != nil {
 		return err
 	}
-	for _, e := range entries {
-		b, err := proto.Marshal(e)
+	for _, entry := range entries {
+		b, err := proto.Marshal(entry)
 		if err == nil {
-			err = log.Put(entryKey(e.GetIndex()), b)
+			err = log.Put(entryKey(entry.GetIndex()), b)
 		}
 		if err != nil {
 			return err
@@ -292,11 +292,11 @@
 	upTo := index - min(index, keep)
 	first, _ := s.memory.FirstIndex()
 	for i, bytes := index, 0; i > max(upTo, first); i-- {
-		list, err := s.memory.Entries(i, i+1, anyEntrySize)
-		if err != nil || len(list) == 0 {
+		entries, err := s.memory.Entries(i, i+1, noSizeLimit)
+		if err != nil || len(entries) == 0 {
 			break
 		}
-		if bytes += len(list[0].GetData()); bytes > keepBytes {
+		if bytes += len(entries[0].GetData()); bytes > keepBytes {
 			upTo = i
 			break
 		}
@@ -313,6 +313,6 @@
 	return err
 }
 
-const anyEntrySize = ^uint64(0) // bytes: one entry is read, however long
+const noSizeLimit = ^uint64(0) // bytes: one entry is read, however long
 
 func (s *store) close() error { return s.db.Close() }
--- a/internal/controlplane/quorum/member/vouch.go
+++ b/internal/controlplane/quorum/member/vouch.go
@@ -29,20 +29,20 @@
 }
 
 // aheadOf says what of a mark is ahead of another one of the same disk, by its text in refusals; empty: nothing is.
-func (m diskMark) aheadOf(o diskMark) string {
+func (m diskMark) aheadOf(other diskMark) string {
 	switch {
-	case m.Term > o.Term:
-		return fmt.Sprintf("term %d was said before, the disk has %d", m.Term, o.Term)
-	case m.Commit > o.Commit:
-		return fmt.Sprintf("entry %d was said to be known before, the disk knows %d", m.Commit, o.Commit)
+	case m.Term > other.Term:
+		return fmt.Sprintf("term %d was said before, the disk has %d", m.Term, other.Term)
+	case m.Commit > other.Commit:
+		return fmt.Sprintf("entry %d was said to be known before, the disk knows %d", m.Commit, other.Commit)
 	}
 	return ""
 }
 
 // ownMark is how far this disk is now.
 func (m *Member) ownMark() diskMark {
-	st, _, _ := m.store.memory.InitialState()
-	return diskMark{Starts: m.identity.Load().Starts, Nonce: m.salt, Term: st.GetTerm(), Commit: st.GetCommit()}
+	hardState, _, _ := m.store.memory.InitialState()
+	return diskMark{Starts: m.identity.Load().Starts, Nonce: m.startNonce, Term: hardState.GetTerm(), Commit: hardState.GetCommit()}
 }
 
 // confirm reports whether enough others have vouched for this disk since the start, and has the member take part once they have.
@@ -50,21 +50,21 @@
 	if m.confirmed || m.node == nil {
 		return m.confirmed
 	}
-	me := m.identity.Load().ID
+	self := m.identity.Load().ID
 	voters := m.confState.GetVoters()
-	n := 0
+	vouched := 0
 	for _, id := range voters {
-		if id != me && m.vouchedBy[id] {
-			n++
+		if id != self && m.vouchedBy[id] {
+			vouched++
 		}
 	}
-	need := len(voters) / 2 // of the others: with this member a majority
-	if !slices.Contains(voters, me) {
-		need = min(1, len(voters))
+	needed := len(voters) / 2 // of the others: with this member a majority
+	if !slices.Contains(voters, self) {
+		needed = min(1, len(voters))
 	}
-	if n >= need {
+	if vouched >= needed {
 		m.confirmed = true
-		m.log.Info().Str("event", "group.confirmed").Int("by", n).Send()
+		m.log.Info().Str("event", "group.confirmed").Int("by", vouched).Send()
 	}
 	return m.confirmed
 }
@@ -75,7 +75,7 @@
 	if m.node == nil || m.confirmed || m.confirm() {
 		return
 	}
-	call := m.markCall(quorum.MethodVouch, m.ownMark())
+	call := m.newMarkCall(quorum.MethodVouch, m.ownMark())
 	for id, p := range m.peers {
 		if m.vouchedBy[id] {
 			continue
@@ -103,7 +103,7 @@
 		return
 	}
 	m.sentMark, m.markSentAt = own, time.Now()
-	call := m.markCall(quorum.MethodMark, own)
+	call := m.newMarkCall(quorum.MethodMark, own)
 	for _, p := range m.peers {
 		m.background.Go(func() {
 			_, _ = callPeer(m.ctx, p.Addr, call) // one that is lost is made up for by the next
@@ -111,24 +111,24 @@
 	}
 }
 
-// markCall is a call that says how far this disk is.
-func (m *Member) markCall(method string, own diskMark) msgpackrpc.Call {
-	call := m.peerRequest(method, nil)
+// newMarkCall is a call that says how far this disk is.
+func (m *Member) newMarkCall(method string, own diskMark) msgpackrpc.Call {
+	call := m.newPeerCall(method, nil)
 	call.Fields["t"], call.Fields["c"] = strconv.FormatUint(own.Term, 10), strconv.FormatUint(own.Commit, 10)
 	return call
 }
 
 // handleVouch answers a member that asks whether its disk is as new as this one knows it.
 func (m *Member) handleVouch(id uint64, mark diskMark) msgpackrpc.CallResult {
-	if why := m.marks[id].aheadOf(mark); why != "" {
-		m.log.Warn().Str("event", "group.disk_older").Str("member", m.state.Members[id].Name).Str("why", why).Send()
-		return refuse(quorum.CodeSuperseded, "the disk is older than its words: %s", why)
+	if reason := m.marks[id].aheadOf(mark); reason != "" {
+		m.log.Warn().Str("event", "group.disk_older").Str("member", m.state.Members[id].Name).Str("why", reason).Send()
+		return errorReply(quorum.CodeSuperseded, "the disk is older than its words: %s", reason)
 	}
 	m.marks[id] = mark
 	// It is stored before the other may vote: else a restart of this member would let an older disk in.
 	if err := m.store.save(nil, nil, nil, m.marks); err != nil {
 		m.abort(err)
-		return refuse(quorum.CodeUnknownOutcome, "%v", err)
+		return errorReply(quorum.CodeUnknownOutcome, "%v", err)
 	}
 	return msgpackrpc.CallResult{}
 }
--- a/internal/controlplane/quorum/membership.go
+++ b/internal/controlplane/quorum/membership.go
@@ -11,17 +11,17 @@
 	"silverpath/internal/policy/statemachine"
 )
 
-// addPause is the pause between two looks at whether a new member has caught up: short beside the seconds that it takes.
-const addPause = 50 * time.Millisecond
+// catchUpPollInterval is the pause between polls of whether a new member has caught up, which takes seconds.
+const catchUpPollInterval = 50 * time.Millisecond
 
-// Answers to MethodAdd, as JSON strings.
+// Replies to MethodAdd and MethodRemove, as JSON strings.
 const (
-	AnswerVoter      = `"voter"`       // the member has a vote
-	AnswerCatchingUp = `"catching up"` // it listens, and is not near enough to the leader yet to have one
-	AnswerChanged    = `"changed"`     // one step was made: ask again
+	AnswerVoter      = `"voter"`       // the member is a voter
+	AnswerCatchingUp = `"catching up"` // the member is a learner, whose log is still too far behind the leader's for a vote
+	AnswerChanged    = `"changed"`     // one membership change was applied; for MethodAdd, call again
 )
 
-// StatusOf asks one member what it is.
+// StatusOf returns the status of one member.
 func (c *Client) StatusOf(ctx context.Context, addr string) (s Status, err error) {
 	body, err := c.callMember(ctx, addr, MethodStatus, nil)
 	if err == nil {
@@ -30,7 +30,7 @@
 	return s, err
 }
 
-// callMember makes one call to one member, whose error code is an error.
+// callMember makes one call to one member and returns the body of the reply. An error code in the reply is an error.
 func (c *Client) callMember(ctx context.Context, addr, method string, body []byte) ([]byte, error) {
 	r, err := c.Call(ctx, addr, method, nil, body)
 	if err == nil && r.Error != "" {
@@ -39,8 +39,8 @@
 	return r.Body, err
 }
 
-// callMemberWith tells one member a value.
-func (c *Client) callMemberWith(ctx context.Context, addr, method string, value any) error {
+// callMemberJSON makes one call to one member with a value as its JSON body.
+func (c *Client) callMemberJSON(ctx context.Context, addr, method string, value any) error {
 	body, err := json.Marshal(value)
 	if err != nil {
 		return err
@@ -51,31 +51,32 @@
 	return nil
 }
 
-// Found makes a group of the client's members, which must belong to none. It can be called again where it failed half way.
+// Found creates a group of the client's members. It fails if one of them belongs to another group. After an error it can be called
+// again, also if some members have joined the new group already.
 func (c *Client) Found(ctx context.Context, terms lease.Terms) (Bootstrap, error) {
-	b := Bootstrap{Group: c.Group, Terms: terms}
+	bootstrap := Bootstrap{Group: c.Group, Terms: terms}
 	for _, addr := range c.Addrs {
 		s, err := c.StatusOf(ctx, addr)
 		if err != nil {
-			return b, fmt.Errorf("%s: %w", addr, err)
+			return bootstrap, fmt.Errorf("%s: %w", addr, err)
 		}
-		b.Members = append(b.Members, statemachine.Member{ID: parseMemberID(s.ID), Name: s.Name, Addr: addr})
+		bootstrap.Members = append(bootstrap.Members, statemachine.Member{ID: parseMemberID(s.ID), Name: s.Name, Addr: addr})
 	}
-	id := b.ID()
+	id := bootstrap.ID()
 	for _, addr := range c.Addrs {
 		if s, err := c.StatusOf(ctx, addr); err != nil || s.GroupID != "" && s.GroupID != id {
-			return b, fmt.Errorf("%s: belongs to group %s already: a group is founded of members whose disks are empty", addr, s.GroupID)
+			return bootstrap, fmt.Errorf("%s: belongs to group %s already: the disks of a new group's members must be empty", addr, s.GroupID)
 		}
 	}
 	for _, addr := range c.Addrs {
-		if err := c.callMemberWith(ctx, addr, MethodFound, b); err != nil {
-			return b, err
+		if err := c.callMemberJSON(ctx, addr, MethodBootstrap, bootstrap); err != nil {
+			return bootstrap, err
 		}
 	}
-	return b, nil
+	return bootstrap, nil
 }
 
-// parseMemberID reads a member's ID as a Status has it, 0 where it can't be read: no member has that.
+// parseMemberID parses the ID in a Status. It returns 0, which is no member's ID, if the ID is malformed.
 func parseMemberID(hex string) uint64 {
 	id, err := strconv.ParseUint(hex, 16, 64)
 	if err != nil {
@@ -84,8 +85,8 @@
 	return id
 }
 
-// Add makes a member whose disk is empty one of the group: it listens until it has caught up, then it has a vote. Add returns then, or
-// with the context's end.
+// Add adds a member whose disk is empty to the group. The member is a learner until it has caught up, and then becomes a voter. Add
+// returns once the member is a voter, or with an error if the context ends first.
 func (c *Client) Add(ctx context.Context, addr string) error {
 	s, err := c.StatusOf(ctx, addr)
 	if err != nil {
@@ -95,7 +96,7 @@
 	if err != nil {
 		return err
 	}
-	if err := c.callMemberWith(ctx, addr, MethodJoin, Join{ID: leader.GroupID, Members: leader.Members}); err != nil {
+	if err := c.callMemberJSON(ctx, addr, MethodJoin, Join{ID: leader.GroupID, Members: leader.Members}); err != nil {
 		return err
 	}
 	member, err := json.Marshal(statemachine.Member{ID: parseMemberID(s.ID), Name: s.Name, Addr: addr})
@@ -109,13 +110,13 @@
 		}
 		select {
 		case <-ctx.Done():
-			return fmt.Errorf("%s listens and has no vote yet: %w", addr, ctx.Err())
-		case <-time.After(addPause):
+			return fmt.Errorf("member %s is a learner and not yet a voter: %w", addr, ctx.Err())
+		case <-time.After(catchUpPollInterval):
 		}
 	}
 }
 
-// Remove takes a member out, by name.
+// Remove removes the member with a name from the group.
 func (c *Client) Remove(ctx context.Context, name string) error {
 	leader, err := c.leaderStatus(ctx)
 	if err != nil {
@@ -131,10 +132,10 @@
 			return err
 		}
 	}
-	return fmt.Errorf("no such member: %q", name)
+	return fmt.Errorf("member %q is not in the group", name)
 }
 
-// leaderStatus is the status of the member that leads.
+// leaderStatus returns the status of the leader.
 func (c *Client) leaderStatus(ctx context.Context) (Status, error) {
 	if _, err := c.Read(ctx, ""); err != nil {
 		return Status{}, err
--- a/internal/controlplane/quorum/requests.go
+++ b/internal/controlplane/quorum/requests.go
@@ -10,7 +10,7 @@
 	"silverpath/internal/policy/statemachine"
 )
 
-// request makes a call with a value as its JSON body, until the leader has answered, and reads the answer into another.
+// request sends value as the JSON body of a call, repeats the call until the leader answers, and decodes the reply into answer.
 func (c *Client) request(ctx context.Context, method string, fields map[string]string, value, answer any) error {
 	var body []byte
 	if value != nil {
@@ -19,15 +19,16 @@
 			return err
 		}
 	}
-	out, err := c.callUntilAnswered(ctx, method, fields, body)
+	reply, err := c.callUntilAnswered(ctx, method, fields, body)
 	if err != nil {
 		return err
 	}
-	return json.Unmarshal(out, answer)
+	return json.Unmarshal(reply, answer)
 }
 
-// Do has the group agree on a command. An error in the result is the group's own no; Do's errors are as of every request: ErrUnavailable,
-// after which the command may have been done or not, and ErrRefused. A command that is done twice must come to the same.
+// Do sends a command to the group, which appends it to its log; a lease renewal goes to the leader alone. Result.Error says why the
+// command failed when it was applied. Do returns ErrUnavailable, after which the command may have been applied or not, or ErrRefused.
+// The command may be applied more than once, so it must be idempotent.
 func (c *Client) Do(ctx context.Context, cmd statemachine.Command) (r statemachine.Result, err error) {
 	method := MethodDo
 	if cmd.Lease != nil && cmd.Lease.Op == lease.Renew {
@@ -36,34 +37,34 @@
 	return r, c.request(ctx, method, nil, cmd, &r)
 }
 
-// Read returns what the group has agreed on by now: the table, and the journal of a duty, or, with "*", of all.
+// Read returns the current state of the group: the lease table, and the journal of a duty, or of all duties if duty is "*".
 func (c *Client) Read(ctx context.Context, duty string) (v StateView, err error) {
 	return v, c.request(ctx, MethodRead, map[string]string{"duty": duty}, nil, &v)
 }
 
-// Sync says what a process that acts on documents has to say, and returns what is in force.
+// Sync reports the state of a process that uses configuration documents and returns the versions that it is to apply or prepare.
 func (c *Client) Sync(ctx context.Context, s ConfigSync) (r ConfigSyncReply, err error) {
 	return r, c.request(ctx, MethodConfigSync, nil, s, &r)
 }
 
-// Config returns the documents, and who acts on which.
+// Config returns the configuration documents and the reports of the processes that use them.
 func (c *Client) Config(ctx context.Context) (v ConfigView, err error) {
 	return v, c.request(ctx, MethodConfigRead, nil, nil, &v)
 }
 
-// Parts returns parts of a version of a document, or its manifest where none are named. It asks once, of the member that was last known
-// to lead: who asks for parts has a pause of its own before it asks again.
-func (c *Client) Parts(ctx context.Context, w configstore.PartsRequest) (p DocumentParts, err error) {
-	body, err := json.Marshal(w)
+// Parts returns parts of a version of a document, or its manifest if the request names no parts. It makes one attempt, with callLeader:
+// callers have their own backoff between requests for parts.
+func (c *Client) Parts(ctx context.Context, request configstore.PartsRequest) (parts DocumentParts, err error) {
+	body, err := json.Marshal(request)
 	if err != nil {
-		return p, err
+		return parts, err
 	}
-	r, err := c.callLeader(ctx, MethodConfigParts, nil, body)
-	if err == nil && r.Error != "" {
-		err = fmt.Errorf("%s %s", r.Error, r.Fields["why"])
+	reply, err := c.callLeader(ctx, MethodConfigParts, nil, body)
+	if err == nil && reply.Error != "" {
+		err = fmt.Errorf("%s %s", reply.Error, reply.Fields["why"])
 	}
 	if err != nil {
-		return p, err
+		return parts, err
 	}
-	return p, json.Unmarshal(r.Body, &p)
+	return parts, json.Unmarshal(reply.Body, &parts)
 }
