--- a/internal/controlplane/quorum/member/config.go
+++ b/internal/controlplane/quorum/member/config.go
@@ -11,11 +11,11 @@
 	"silverpath/internal/transport/msgpackrpc"
 )
 
-// This file is a member's part in the configuration documents: what processes that act on them say of themselves, and the leader's time
-// over them. What is decided is in package configstore.
+// This file handles requests about configuration documents: reports of the processes that use them, and the steps that the leader proposes
+// when they are due. The decisions are in package configstore.
 
-// handleConfigSync registers a process, takes its report of itself, and tells it what is in force. Like a renewal it is answered once
-// a majority has confirmed that this member led after the call came; only what is new of a process goes into the log.
+// handleConfigSync registers a process, records its report and replies with the documents. As for a lease renewal, the reply waits until a
+// majority has confirmed that this member still led after the call arrived. Only new information about the process is written to the log.
 func (m *Member) handleConfigSync(call msgpackrpc.Call, reply replyFunc) {
 	var request quorum.ConfigSync
 	if err := json.Unmarshal(call.Body, &request); err != nil || request.Process.Name == "" {
@@ -31,7 +31,7 @@
 		return
 	}
 	if !m.processMonitor.Observe(request.Process.Name, m.clock(), request.ActiveVersions, request.Load, request.StopReason) {
-		reply(msgpackrpc.CallResult{Error: quorum.CodeUnknownOutcome}) // its end was proposed: after it, it registers anew
+		reply(msgpackrpc.CallResult{Error: quorum.CodeUnknownOutcome}) // the leader has proposed its expiry: it registers again after that
 		return
 	}
 	grant := m.grantQuota(request)
@@ -42,7 +42,8 @@
 	}
 }
 
-// recordProcess has the group agree on what is new of a process, if anything is, and then calls tell.
+// recordProcess proposes a process's report if it has new information, and confirms leadership otherwise. It calls respond after that, or
+// reply with an error if the report was rejected.
 func (m *Member) recordProcess(process configstore.Process, respond func(ok bool), reply replyFunc) error {
 	if !m.state.Config.HasNews(process) {
 		return m.confirmLeadership(respond)
@@ -60,7 +61,8 @@
 	})
 }
 
-// replyConfigSync tells a process what is in force, as it is once the process is registered; ok is false where nobody here can say.
+// replyConfigSync replies to a process with the documents, once the process is registered. If ok is false, the outcome of the registration
+// is unknown.
 func (m *Member) replyConfigSync(request quorum.ConfigSync, grant *quota.Grant, ok bool, reply replyFunc) {
 	process := m.state.Config.Processes[request.Process.Name]
 	switch {
@@ -79,7 +81,7 @@
 	reply(msgpackrpc.CallResult{Body: b})
 }
 
-// documentViews are the documents as a process gets them.
+// documentViews returns each document that a process uses, reduced to what the process lacks.
 func documentViews(store *configstore.Store, process *configstore.Process, request quorum.ConfigSync) map[string]configstore.View {
 	views := map[string]configstore.View{}
 	for name := range process.Formats {
@@ -90,7 +92,7 @@
 	return views
 }
 
-// unreadableDocument names a document of which a version is in force that a process can't read; empty: there is none.
+// unreadableDocument returns the name of a document whose active version has a format that the process does not support; empty: none.
 func unreadableDocument(store *configstore.Store, process configstore.Process) string {
 	for _, name := range configstore.DocumentNames {
 		maxFormat, uses := process.Formats[name]
@@ -101,7 +103,7 @@
 	return ""
 }
 
-// handleConfigRead replies with the documents, and with what processes have reported of themselves.
+// handleConfigRead replies with the documents and the latest reports of the processes.
 func (m *Member) handleConfigRead(reply replyFunc) {
 	err := m.confirmLeadership(func(ok bool) {
 		if !ok {
@@ -120,8 +122,8 @@
 	}
 }
 
-// proposeOverdueConfig proposes what is due by the leader's time: the next stage of a change, and the end of processes that have not
-// reported.
+// proposeOverdueConfig proposes what is due by the leader's clock: the next stage of a change, and the expiry of processes that have
+// stopped reporting.
 func (m *Member) proposeOverdueConfig() {
 	for _, change := range m.processMonitor.Proposals(m.state.Config, m.clock()) {
 		if err := m.propose(statemachine.Command{Config: &change}, nil); err != nil && change.Op == configstore.OpExpire {
@@ -130,7 +132,7 @@
 	}
 }
 
-// configApplied follows a change of a document that was applied, and logs it where this member leads.
+// configApplied is called after a change of a document or a process was applied. A leader logs the change.
 func (m *Member) configApplied(change configstore.Change, result statemachine.Result) {
 	if change.Op == configstore.OpExpire {
 		m.processMonitor.Unregistered(change.Author)
--- a/internal/controlplane/quorum/member/config_change.go
+++ b/internal/controlplane/quorum/member/config_change.go
@@ -9,8 +9,8 @@
 	"silverpath/internal/settings"
 )
 
-// completeChange completes a change of a document that comes from outside with what it touches, and returns why it can't be asked for;
-// empty: it can. The leader writes what a change touches: a client of another build may know other fields.
+// completeChange sets the scope of a change that a client proposes, and whether it is exclusive. It returns the reason if the change is not
+// allowed; empty: it is allowed. The leader computes the scope because a client of another build may not have the same fields.
 func (m *Member) completeChange(c *configstore.Change) string {
 	if reason := checkExternalChange(c); reason != "" || c.Op != configstore.OpPropose {
 		return reason
@@ -21,7 +21,7 @@
 		active, version = document.Active, document.Active.ID.Version
 	}
 	if c.Version != version {
-		return configstore.ErrStaleBase.Error() // what it differs in would be seen against another one
+		return configstore.ErrStaleBase.Error() // the differences would be computed against another version
 	}
 	if active != nil && active.InParts && c.Text != "" {
 		return c.Doc + " is in parts: a whole text can't be put on it, silverpath rules put splits it"
@@ -31,7 +31,7 @@
 		return err.Error()
 	}
 	c.Exclusive, c.Scope = false, nil
-	if active == nil { // it differs from nothing, and excludes nothing
+	if active == nil { // a first version has no differences, so it is not exclusive
 		return ""
 	}
 	if dependent := configstore.FirstDependent(differences); c.Rollout != nil && c.Rollout.CanaryRatio > 0 && dependent != "" {
@@ -43,7 +43,7 @@
 	return ""
 }
 
-// checkExternalChange is why a change can't be asked for from outside, whatever is in force; empty: it can.
+// checkExternalChange returns why a client may not propose a change, whatever the active version is; empty: it may.
 func checkExternalChange(c *configstore.Change) string {
 	switch c.Op {
 	case configstore.OpPropose, configstore.OpLoadDraft, configstore.OpWithdraw, configstore.OpRevert, configstore.OpHold, configstore.OpRelease:
@@ -63,7 +63,8 @@
 	return ""
 }
 
-// differences are the fields in which a change differs from what is in force: of one in parts those of the parts that it changes.
+// differences returns the fields in which a change differs from the active version. For a change in parts it compares the changed parts
+// only.
 func (m *Member) differences(c *configstore.Change, active *configstore.Revision) ([]configstore.Difference, error) {
 	if len(c.Parts) == 0 && c.Draft == "" {
 		old := ""
@@ -80,7 +81,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if active == nil { // it differs from nothing, and excludes nothing
+	if active == nil { // a first version has no differences
 		for name, text := range changed {
 			if !json.Valid([]byte(text)) {
 				return nil, fmt.Errorf("part %s: %s: not JSON", name, c.Doc)
@@ -92,7 +93,7 @@
 	switch {
 	case active.InParts:
 		old = active.Parts
-	default: // the first one in parts: against the text split in the same way
+	default: // the first version in parts: compare with the active text, split in the same way
 		cellMap, err := settings.ParseCells([]byte(active.Text))
 		if err != nil {
 			return nil, err
--- a/internal/controlplane/quorum/member/config_parts.go
+++ b/internal/controlplane/quorum/member/config_parts.go
@@ -8,8 +8,8 @@
 	"silverpath/internal/transport/msgpackrpc"
 )
 
-// handleConfigParts replies with parts of a version, or with its manifest. The process that asks checks their digests by what it was told
-// in an answer that a majority confirmed, so this reply needs no confirmation.
+// handleConfigParts replies with parts of a version, or with its manifest. The process checks the digests against those in a reply that a
+// majority confirmed, so this reply needs no confirmation.
 func (m *Member) handleConfigParts(call msgpackrpc.Call, reply replyFunc) {
 	var request configstore.PartsRequest
 	if err := json.Unmarshal(call.Body, &request); err != nil || len(request.Names) > configstore.MaxParts {
@@ -36,7 +36,7 @@
 	} else {
 		m.stats.Inc("rules", "manifests_sent")
 	}
-	// What is sent is never changed, so it can be marshalled beside the loop: many that ask don't hold up the rest.
+	// The parts are immutable, so another goroutine can encode them: many such requests do not delay the event loop.
 	go func() {
 		b, err := json.Marshal(response)
 		if err != nil {
--- a/internal/controlplane/quorum/member/main.go
+++ b/internal/controlplane/quorum/member/main.go
@@ -27,16 +27,16 @@
 )
 
 const (
-	// maxConnections bounds the connections of a member, of others and of those who ask: each process that follows has one, to whoever
-	// leads, and a restarted one a second for a while.
+	// maxConnections bounds the connections that a member accepts from other members and from clients. Each registered process has one
+	// connection to the leader, and for a while a second one after it restarts.
 	maxConnections = configstore.MaxProcesses + 512
-	memoryLimit    = 192 << 20 // bytes at which the garbage collector works harder: several of the largest snapshots
+	memoryLimit    = 192 << 20 // bytes, the soft limit of the Go runtime: several times the largest snapshot
 )
 
-// ClockRate is the rate of this process's clock for leases, set by test programs only; 0 is 1, the clock as it is.
+// ClockRate scales the clock that this process uses for leases. Only test programs set it. 0 means 1, the unscaled clock.
 var ClockRate float64
 
-// Logger returns the log of a process of the group: lines for people, or JSON.
+// Logger returns the logger of a member or runner process. It writes JSON, or plain text for people.
 func Logger(out io.Writer, asJSON bool) zerolog.Logger {
 	zerolog.TimeFieldFormat = time.RFC3339Nano
 	if !asJSON {
@@ -45,8 +45,8 @@
 	return zerolog.New(out).With().Timestamp().Logger()
 }
 
-// Run runs a member of the group, a runner of duties, or both in one process, until a signal to leave. It returns an error of the
-// settings, or of a member whose disk can't be trusted.
+// Run runs a member of the group, a runner of duties, or both in one process, until a terminating signal arrives. It returns an error if
+// the settings cannot be used, or if the member stops because its disk is no longer reliable.
 func Run(cfg settings.Quorum, signals <-chan os.Signal, out io.Writer) error {
 	debug.SetMemoryLimit(memoryLimit)
 	logger := Logger(out, cfg.JSON)
@@ -98,12 +98,12 @@
 				continue
 			}
 			if sig == syscall.SIGHUP {
-				logger.Info().Str("event", "group.reload").Str("why", "its settings hold from a start to its end").Send()
+				logger.Info().Str("event", "group.reload").Str("why", "settings are read at the start only: restart the process to apply changes").Send()
 				continue
 			}
 			logger.Info().Str("event", "group.leaving").Str("process", cfg.Name).Stringer("signal", sig).Send()
 			cancel()
-			<-runnerDone // its duties are released first: another process goes on at once
+			<-runnerDone // the runner releases its duties before the member stops, so that another process takes them over at once
 			stopMember()
 			counters.Print(out)
 			return nil
@@ -111,7 +111,7 @@
 	}
 }
 
-// serveSNMP starts the member's SNMP agent, if its settings have one, and returns what ends it.
+// serveSNMP starts the member's SNMP agent if the settings configure one. The returned function stops the agent.
 func serveSNMP(cfg settings.Quorum, m *Member, logger zerolog.Logger, counters *metrics.Counters) (stop func(), err error) {
 	agentConfig := cfg.Member.SNMP
 	if agentConfig.Listen == "" {
@@ -126,13 +126,13 @@
 	return func() { agent.Close() }, nil
 }
 
-// snmpView is what the SNMP agent shows of a member: healthy while it has its vote and knows a leader.
+// snmpView is the state of a member that its SNMP agent reports.
 type snmpView struct{ m *Member }
 
-// Health reports whether the member has its vote and knows a leader.
+// Health reports whether the member is confirmed and knows a leader.
 func (s snmpView) Health() bool { st := s.m.Status(); return st.Confirmed && st.Leader != "" }
 
-// Phase is starting until the member has its vote, then serving.
+// Phase returns Starting until the member is confirmed, and Serving after that.
 func (s snmpView) Phase() lifecycle.State {
 	if s.m.Status().Confirmed {
 		return lifecycle.Serving
@@ -140,13 +140,13 @@
 	return lifecycle.Starting
 }
 
-// PendingAnswers is 0: a member has no requests of clients.
+// PendingAnswers returns 0: a member handles no requests of the fleet's clients.
 func (s snmpView) PendingAnswers() int { return 0 }
 
-// View is empty: a member has no module.
+// View returns an empty view: a member has no module.
 func (s snmpView) View() core.View { return core.View{} }
 
-// openMember opens a member's disk and its listener.
+// openMember opens the database of a member and its listener. Errors name the setting that is at fault.
 func openMember(cfg settings.Quorum, logger zerolog.Logger, counters *metrics.Counters) (*Member, *listener.Listener, error) {
 	if err := os.MkdirAll(cfg.Member.Dir, 0o700); err != nil {
 		return nil, nil, fmt.Errorf("member.dir: %w", err)
--- a/internal/controlplane/quorum/member/member.go
+++ b/internal/controlplane/quorum/member/member.go
@@ -1,10 +1,10 @@
-// Package member runs a member of the group that agrees on the fleet's work. The raft library is a state machine without I/O; the store,
-// the wire and the time round it are this package's.
+// Package member runs a member of the raft group that coordinates the fleet. The raft library is a state machine without I/O; this package
+// adds storage, network and timers.
 //
-// One goroutine, the loop of Run, owns a member's state. What comes from outside (requests, replies, ticks) is handed to it with
-// enqueue, so nothing in a Member is locked. Files: member.go the loop, raft.go what the library wants done, propose.go what waits for
-// agreement, vouch.go disks that were put back from a copy, peer.go and snapshot_transfer.go the way to other members, requests.go,
-// membership.go and config.go the group's requests, store.go the disk.
+// One goroutine, the event loop of Run, owns the state of a Member. Other goroutines pass requests, replies and results to it with
+// enqueue, so a Member has no lock. member.go has the event loop, raft.go carries out what the library returns as ready, and propose.go
+// has proposals and linearizable reads. vouch.go detects disks that were restored from a copy, store.go is the storage, and peer.go and
+// snapshot_transfer.go send to other members. requests.go, membership.go and config.go handle the requests.
 package member
 
 import (
@@ -33,30 +33,30 @@
 	"silverpath/internal/policy/statemachine"
 )
 
-// Name is the name of a member's listener in counters and log lines.
+// Name identifies a member's listener in counters and log lines.
 const Name = "group"
 
-// Config sets up a member.
+// Config configures a member.
 type Config struct {
 	Name, Group string
-	Addr        string // by which other members reach it
+	Addr        string // the address at which other members connect
 	Dir         string
-	Tick        time.Duration // of a heartbeat; an election takes electionTicks of them, up to twice that
+	Tick        time.Duration // heartbeat interval; the election timeout is electionTicks to twice electionTicks of them
 	Log         zerolog.Logger
 	Stats       *metrics.Counters
-	Rate        float64 // of its clock, for tests; 0: 1
+	Rate        float64 // clock rate, for tests; 0 means 1
 }
 
-// Bounds and times of a member.
+// Limits of a member.
 const (
-	electionTicks     = 10   // an election takes ten to twenty: a heartbeat may be lost, or late, a few times in a row
-	maxPending        = 8192 // requests that wait for agreement: two of each process that there can be
-	callQueueLength   = 256  // calls that wait for the loop; beyond it their connections wait
-	diskIDBytes       = 8    // of chance in a member's number, and in the number of a start
+	electionTicks     = 10   // the election timeout is ten to twenty ticks, so a few heartbeats in a row may be lost or late
+	maxPending        = 8192 // proposals, and separately reads, that wait for a majority: two for each process that can register
+	callQueueLength   = 256  // calls that wait for the event loop; when the queue is full, connections block
+	diskIDBytes       = 8    // random bytes in the ID of a member and in the nonce of a start
 	databaseFile      = "group.db"
-	maxUncommitted    = 8 << 20   // bytes of proposals that wait for a majority: without one they must not fill the leader's memory
-	maxMessageEntries = 128 << 10 // bytes of entries in one message: several go in a call
-	maxInflight       = 64        // messages to a member that are not acknowledged: a slow one costs no more
+	maxUncommitted    = 8 << 20   // bytes of uncommitted proposals: bounds the leader's memory while it has no majority
+	maxMessageEntries = 128 << 10 // bytes of entries in one message; a call carries several messages
+	maxInflight       = 64        // unacknowledged append messages to a member: bounds the memory that a slow member costs
 )
 
 // Member is one member of the group.
@@ -71,9 +71,9 @@
 	stopped chan struct{}
 	status  atomic.Pointer[quorum.Status]
 
-	// The rest is the loop's own.
+	// The fields below belong to the event loop.
 	store              *store
-	node               *raft.RawNode // nil while it belongs to no group
+	node               *raft.RawNode // nil while the member belongs to no group
 	state              *statemachine.State
 	confState          *pb.ConfState
 	applied            uint64
@@ -81,34 +81,34 @@
 	lessor             *lease.Lessor
 	processMonitor     *configstore.ProcessMonitor
 	quotaLedger        *quota.Ledger
-	capacityMap        capacityMap          // the map that quotaLedger was told of
-	readWaiters        []func(ok bool)      // reads that wait for the next confirmation that this member leads
-	pendingReadCount   int                  // readWaiters, and those of the confirmation that is under way
-	configBatch        []configstore.Change // reports of processes, to be proposed together
+	capacityMap        capacityMap          // the cell map that set the capacity in quotaLedger
+	readWaiters        []func(ok bool)      // reads that wait for the next leadership confirmation to start
+	pendingReadCount   int                  // readWaiters and the reads of the confirmations in progress
+	configBatch        []configstore.Change // reports of processes, proposed together as one entry
 	configBatchDone    []func(r statemachine.Result, ok bool)
-	bytesSinceSnapshot int                 // of entries
-	incoming           *incomingSnapshot   // a snapshot that arrives in parts; nil: none
-	marks              map[uint64]diskMark // by member: how far its disk is, as it last said
-	marksDirty         bool                // marks are to be stored with the next write
-	sentMark           diskMark            // of this member
+	bytesSinceSnapshot int                 // of applied entries
+	incoming           *incomingSnapshot   // a snapshot that is arriving in parts; nil: none
+	marks              map[uint64]diskMark // by member: the latest known mark of its disk
+	marksDirty         bool                // marks changed since they were last stored
+	sentMark           diskMark            // the last mark that this member sent
 	markSentAt         time.Time
-	vouchedBy          map[uint64]bool // members that vouched for this disk since the start
-	confirmed          bool            // a majority did: the member takes part
+	vouchedBy          map[uint64]bool // members that have vouched for this disk since the start
+	confirmed          bool            // a majority vouched for this disk: the member participates in raft
 	peers              map[uint64]*peer
-	proposals          map[uint64]func(statemachine.Result, bool) // by number: what waits for the entry to be applied
-	reads              map[string]pendingRead                     // by number: what waits for a confirmation
-	seq                uint64                                     // of the last number given
-	startNonce         uint64                                     // the start's own: numbers of two starts differ
-	membersChanged     bool                                       // since the last snapshot
+	proposals          map[uint64]func(statemachine.Result, bool) // by proposal ID: called once the entry is applied
+	reads              map[string]pendingRead                     // by request context: reads whose leadership confirmation is in progress
+	seq                uint64                                     // of the last proposal or read
+	startNonce         uint64                                     // random per process start, so that proposal IDs of two starts differ
+	membersChanged     bool                                       // membership changed since the last snapshot
 	leading            bool
-	caughtUp           bool            // leading, and an entry of its own term was applied: its state is as new as any
-	fatal              error           // the disk can't be trusted any more: the loop ends
-	ctx                context.Context // Run's
-	background         sync.WaitGroup  // goroutines that end with ctx
+	caughtUp           bool            // leading, and an entry of this term is applied: the state includes all entries of earlier terms
+	fatal              error           // the disk is no longer reliable: the loop ends with this error
+	ctx                context.Context // of Run
+	background         sync.WaitGroup  // goroutines that end when ctx does
 }
 
-// Open opens a member's disk. One that is empty becomes a member of no group, with a number of its own. Errors name the folder, or say
-// that the disk is another member's.
+// Open opens the database of a member. An empty database gets a new random ID and belongs to no group. Open returns an error if the
+// database cannot be read or belongs to a member of another name.
 func Open(cfg Config) (*Member, error) {
 	s, err := openStore(filepath.Join(cfg.Dir, databaseFile))
 	if err != nil {
@@ -128,7 +128,7 @@
 	}
 	marks, err := getJSON[map[uint64]diskMark](s, keyMarks)
 	if err != nil {
-		return nil, fmt.Errorf("%s: its marks: %w", cfg.Dir, err)
+		return nil, fmt.Errorf("%s: failed to read the disk marks: %w", cfg.Dir, err)
 	}
 	if marks == nil {
 		marks = map[uint64]diskMark{}
@@ -153,17 +153,17 @@
 	return m, nil
 }
 
-// recordStart is who the member is by its disk, with this start counted there.
+// recordStart returns the identity on disk, after it has counted this start there. An empty disk gets a new ID.
 func recordStart(s *store, cfg Config) (Identity, error) {
 	identity, err := getJSON[Identity](s, keyIdentity)
 	if err != nil {
-		return identity, fmt.Errorf("%s: who it is: %w", cfg.Dir, err)
+		return identity, fmt.Errorf("%s: failed to read the identity of the member: %w", cfg.Dir, err)
 	}
 	if identity.ID == 0 {
 		identity = Identity{ID: randomUint64() | 1, Name: cfg.Name}
 	}
 	if identity.Name != cfg.Name {
-		return identity, fmt.Errorf("dir: the disk of member %q, not of %q: set it aside", identity.Name, cfg.Name)
+		return identity, fmt.Errorf("dir: the disk belongs to member %q, not to %q: move it aside", identity.Name, cfg.Name)
 	}
 	identity.Starts++
 	return identity, s.update("start", func(tx *bbolt.Tx) error { return putJSON(tx, keyIdentity, identity) })
@@ -171,16 +171,16 @@
 
 func randomUint64() uint64 {
 	var b [diskIDBytes]byte
-	rand.Read(b[:]) // it never fails: it ends the program instead
+	rand.Read(b[:]) // never returns an error: if it fails it ends the program
 	return binary.BigEndian.Uint64(b[:])
 }
 
-// clock is the member's monotonic clock.
+// clock returns the time since the start on the member's monotonic clock, scaled by Config.Rate.
 func (m *Member) clock() time.Duration {
 	return time.Duration(float64(time.Since(m.startedAt)) * m.cfg.Rate)
 }
 
-// enqueue hands a function to the loop; it is dropped once the member has ended.
+// enqueue passes a function to the event loop. It blocks while the queue is full, and drops the function once the member has stopped.
 func (m *Member) enqueue(call func()) {
 	select {
 	case m.calls <- call:
@@ -188,17 +188,17 @@
 	}
 }
 
-// Close gives up the disk of a member that Run is not called for.
+// Close closes the database of a member for which Run was not called.
 func (m *Member) Close() error { return m.store.close() }
 
-// Run is the member's life. It ends with the context and returns nil, or with an error after which the member's disk can't be trusted:
-// the program ends then, and an operator looks at the disk.
+// Run runs the member's event loop. It returns nil once the context ends. It returns an error once the disk is no longer reliable: the
+// program must then end, and an operator must inspect the disk.
 func (m *Member) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	m.ctx = ctx
 	defer m.background.Wait()
 	defer cancel()
-	defer func() { _ = m.store.close() }() // what had to last was synced before
+	defer func() { _ = m.store.close() }() // all durable state was synced before
 	defer close(m.stopped)
 	m.updatePeers()
 	ticker := time.NewTicker(time.Duration(float64(m.cfg.Tick) / m.cfg.Rate))
@@ -227,7 +227,7 @@
 	}
 }
 
-// drainCalls makes a call and those that came with it: what came together is written to the disk together.
+// drainCalls runs a call and all others in the queue, so that what they write shares one disk sync.
 func (m *Member) drainCalls(call func()) {
 	call()
 	for {
@@ -240,7 +240,7 @@
 	}
 }
 
-// tick is called once a heartbeat.
+// tick is called once per heartbeat interval.
 func (m *Member) tick(ticks int) {
 	if m.confirmed {
 		m.node.Tick()
@@ -251,14 +251,14 @@
 	m.sendMark()
 }
 
-// abort has the loop end with an error of the disk, the first of them.
+// abort makes the event loop end with an error. Only the first error is kept.
 func (m *Member) abort(err error) {
 	if m.fatal == nil {
 		m.fatal = err
 	}
 }
 
-// publishStatus publishes the status for those who ask beside the loop.
+// publishStatus updates the status that Status returns to other goroutines.
 func (m *Member) publishStatus() {
 	identity := m.identity.Load()
 	status := &quorum.Status{Name: m.cfg.Name, ID: fmt.Sprintf("%016x", identity.ID), Group: m.cfg.Group, GroupID: identity.Group, State: quorum.StateNoGroup,
@@ -277,7 +277,7 @@
 	m.status.Store(status)
 }
 
-// stateName is what a member of a group is, by its name in a status.
+// stateName returns the Status.State of a member that belongs to a group.
 func (m *Member) stateName(state raft.StateType) string {
 	switch {
 	case !m.confirmed:
@@ -290,5 +290,5 @@
 	return quorum.StateCandidate
 }
 
-// Status is what the member was at the end of its last turn. It may be called from any goroutine.
+// Status returns the member's status as of the last iteration of the event loop. It may be called from any goroutine.
 func (m *Member) Status() quorum.Status { return *m.status.Load() }
--- a/internal/controlplane/quorum/member/membership.go
+++ b/internal/controlplane/quorum/member/membership.go
@@ -12,14 +12,14 @@
 	"silverpath/internal/transport/msgpackrpc"
 )
 
-// memberChange is the context of a change of members, as it is in the log.
+// memberChange is the context of a membership change in the log.
 type memberChange struct {
-	Seq    uint64              `json:"seq"` // of the proposal: who waits for it
+	Seq    uint64              `json:"seq"` // ID of the proposal, by which the proposer finds the pending reply
 	Peer   statemachine.Member `json:"peer"`
 	Remove uint64              `json:"remove,omitempty"`
 }
 
-// handleBootstrap makes this member one of the first of a group. Said again it changes nothing.
+// handleBootstrap makes this member one of the first members of a group. It is idempotent.
 func (m *Member) handleBootstrap(call msgpackrpc.Call) msgpackrpc.CallResult {
 	var bootstrap quorum.Bootstrap
 	if err := json.Unmarshal(call.Body, &bootstrap); err != nil {
@@ -53,8 +53,8 @@
 	return msgpackrpc.CallResult{}
 }
 
-// handleJoin makes this member, whose disk is empty, one that listens to a group until it was added there. Said again it changes
-// nothing.
+// handleJoin assigns this member, whose disk is empty, to an existing group. The member has no vote until the group adds it. It is
+// idempotent.
 func (m *Member) handleJoin(call msgpackrpc.Call) msgpackrpc.CallResult {
 	var join quorum.Join
 	if err := json.Unmarshal(call.Body, &join); err != nil || join.ID == "" {
@@ -78,7 +78,7 @@
 	return msgpackrpc.CallResult{}
 }
 
-// startMember has a member take part that has just become one of a group.
+// startMember starts raft on a member that has just been assigned to a group.
 func (m *Member) startMember() {
 	if err := m.startRaft(); err != nil {
 		m.abort(err)
@@ -88,8 +88,8 @@
 	m.requestVouches()
 }
 
-// handleMemberChange adds a member or removes one, one step a call. A member is added as one that only listens; asked again once it has
-// caught up it gets a vote. So a new member that is slow, or not there, never counts for a majority that could not be reached.
+// handleMemberChange adds or removes a member, one membership change per call. A new member is added as a learner; a later call makes it
+// a voter once it has caught up. So a slow or unreachable new member does not raise the number of votes that a majority needs.
 func (m *Member) handleMemberChange(call msgpackrpc.Call, reply replyFunc) {
 	var member statemachine.Member
 	if err := json.Unmarshal(call.Body, &member); err != nil || member.ID == 0 {
@@ -119,13 +119,13 @@
 	}
 }
 
-// nearlyCaughtUp reports whether a member that has the log up to an index lacks so little that it needs no snapshot.
+// nearlyCaughtUp reports whether a member whose log matches up to an index is so little behind that it needs no snapshot.
 func (m *Member) nearlyCaughtUp(match uint64) bool {
 	last, err := m.store.memory.LastIndex()
 	return err == nil && match > 0 && match+compactKeepEntries >= last
 }
 
-// hasName reports whether there is a member of a name.
+// hasName reports whether the group has a member with a name.
 func (m *Member) hasName(name string) bool {
 	for _, member := range m.state.Members {
 		if member.Name == name {
@@ -135,7 +135,7 @@
 	return false
 }
 
-// proposeMemberChange puts a change of members into the log, and replies once it is applied here.
+// proposeMemberChange proposes a membership change and replies once it is applied here.
 func (m *Member) proposeMemberChange(kind pb.ConfChangeType, id uint64, change memberChange, reply replyFunc) {
 	m.seq++
 	change.Seq = m.startNonce + m.seq
--- a/internal/controlplane/quorum/member/peer.go
+++ b/internal/controlplane/quorum/member/peer.go
@@ -17,7 +17,7 @@
 	"silverpath/internal/transport/msgpackrpc"
 )
 
-// peer is the way to one other member. What can't be sent is dropped: the library sends it again where it matters.
+// peer sends messages to one other member. Messages that cannot be sent are dropped: the library repeats those that matter.
 type peer struct {
 	statemachine.Member
 	queue chan *pb.Message
@@ -25,17 +25,18 @@
 }
 
 const (
-	peerQueueLength = 512     // messages that wait for a member. Found by trial; raising it keeps more memory for one that is not there
-	requestOverhead = 4 << 10 // bytes of a call beside its messages
-	lengthBytes     = 4       // before each message of a call
-	// maxInlineSnapshot bounds a snapshot that goes in one call, which members of older builds take as well; a longer one goes in parts.
+	peerQueueLength = 512     // messages; a longer queue costs more memory while a member is unreachable
+	requestOverhead = 4 << 10 // bytes of a call in addition to its messages
+	lengthBytes     = 4       // length prefix of each message in a call
+	// maxInlineSnapshot is the size in bytes up to which a snapshot is sent in one call, which members of older builds accept too. A
+	// longer one is sent in parts.
 	maxInlineSnapshot = msgpackrpc.MaxCallBody/2 - 64<<10
 )
 
-// updatePeers opens and ends the ways to other members, as the members have changed.
+// updatePeers starts and stops the send loops of other members after the members of the group have changed.
 func (m *Member) updatePeers() {
 	if m.ctx == nil {
-		return // not running yet: Run calls it
+		return // not running yet: Run calls updatePeers again
 	}
 	self := m.identity.Load().ID
 	for id, p := range m.peers {
@@ -55,7 +56,7 @@
 	}
 }
 
-// send queues a message to the member that it is for.
+// send queues a message for its receiver. If the queue is full, the message is dropped and the library is notified.
 func (m *Member) send(message *pb.Message) {
 	p := m.peers[message.GetTo()]
 	if p == nil {
@@ -69,7 +70,7 @@
 	}
 }
 
-// unreachable tells the library that messages to a member were not sent.
+// reportUnreachable notifies the library that messages to a member were not sent.
 func (m *Member) reportUnreachable(id uint64, messages []*pb.Message) {
 	if m.node == nil {
 		return
@@ -82,10 +83,11 @@
 	}
 }
 
-// handleSendResult is called with what became of a call with messages: whether the member took them, and its reply.
+// handleSendResult handles the outcome of a call with messages. It reports the outcome of a snapshot to the library, and ends this member
+// if the receiver has seen a newer state or a later start of its disk.
 func (m *Member) handleSendResult(p *peer, messages []*pb.Message, ok bool, reply msgpackrpc.Reply) {
 	if reply.Error == quorum.CodeSuperseded {
-		m.abort(fmt.Errorf("member %s says: %s", p.Name, reply.Fields["why"]))
+		m.abort(fmt.Errorf("member %s rejected this disk: %s", p.Name, reply.Fields["why"]))
 		return
 	}
 	for _, message := range messages {
@@ -99,7 +101,7 @@
 	}
 }
 
-// appendMessage appends a message behind its length, in 4 bytes.
+// appendMessage appends a message with its length before it, in lengthBytes bytes.
 func appendMessage(b []byte, message *pb.Message) ([]byte, error) {
 	start := len(b)
 	b = append(b, make([]byte, lengthBytes)...)
@@ -108,7 +110,7 @@
 	return b, err
 }
 
-// parseMessages reads what appendMessage wrote, one message after the other.
+// parseMessages parses a sequence of messages that appendMessage wrote. It returns an error if the sequence is truncated or malformed.
 func parseMessages(b []byte) ([]*pb.Message, error) {
 	var messages []*pb.Message
 	for len(b) > 0 {
@@ -125,10 +127,10 @@
 	return messages, nil
 }
 
-// peerLink is the connection to a member; it is its sendLoop's.
+// peerLink is the connection to a member. Only the member's sendLoop uses it.
 type peerLink struct {
-	conn      *msgpackrpc.Conn // nil: none
-	downUntil time.Time        // the member could not be reached: it is not dialled before
+	conn      *msgpackrpc.Conn // nil: not connected
+	downUntil time.Time        // no dial before this time, since the last one failed
 }
 
 func (l *peerLink) close() {
@@ -138,9 +140,9 @@
 	}
 }
 
-var errPeerDown = errors.New("down")
+var errPeerDown = errors.New("last dial failed, next dial is not due yet")
 
-// open opens the connection where there is none that can be used.
+// open dials the member if there is no connection. After a failed dial it returns errPeerDown without dialing for the length of pause.
 func (l *peerLink) open(ctx context.Context, addr string, pause time.Duration) error {
 	if l.conn != nil {
 		return nil
@@ -159,7 +161,7 @@
 	return nil
 }
 
-// dropUnusable closes a connection that takes no more calls.
+// dropUnusable closes the connection if it accepts no more calls.
 func (l *peerLink) dropUnusable() {
 	if l.conn == nil {
 		return
@@ -169,7 +171,7 @@
 	}
 }
 
-// sendLoop sends what is queued to a member, as many messages a call as there are, until its context ends.
+// sendLoop sends the queued messages of a member, as many per call as are queued and fit, until its context ends.
 func (m *Member) sendLoop(ctx context.Context, p *peer) {
 	var link peerLink
 	defer link.close()
@@ -199,7 +201,7 @@
 	}
 }
 
-// collect takes what is queued, up to what fits into a call. Long snapshots go their own way beside it.
+// collectBatch takes messages from the queue, up to the size of a call. Long snapshots are sent separately.
 func (m *Member) collectBatch(ctx context.Context, p *peer, first *pb.Message) []*pb.Message {
 	if m.sendLongSnapshot(ctx, p, first) {
 		return nil
@@ -218,7 +220,7 @@
 	return messages
 }
 
-// sendLongSnapshot has a message go in parts if it is a snapshot that does not go in one call.
+// sendLongSnapshot starts to send a message in parts if it is a snapshot that is too long for one call. It reports whether it did.
 func (m *Member) sendLongSnapshot(ctx context.Context, p *peer, message *pb.Message) bool {
 	if message.GetType() != pb.MsgSnap || proto.Size(message) <= maxInlineSnapshot {
 		return false
@@ -227,7 +229,7 @@
 	return true
 }
 
-// sendMessages makes a call with messages over a link.
+// sendMessages sends messages in one call over a link, which it opens if necessary. It returns the channel of the reply.
 func (m *Member) sendMessages(ctx context.Context, p *peer, link *peerLink, messages []*pb.Message) (<-chan msgpackrpc.Reply, error) {
 	var body []byte
 	var err error
@@ -238,7 +240,7 @@
 	}
 	if len(body) > msgpackrpc.MaxCallBody-requestOverhead {
 		m.log.Error().Str("event", "group.call_too_long").Str("member", p.Name).Int("bytes", len(body)).Send()
-		return nil, errors.New("too long for a word")
+		return nil, errors.New("messages exceed the size of a call")
 	}
 	link.dropUnusable()
 	if err := link.open(ctx, p.Addr, m.cfg.Tick); err != nil {
@@ -247,15 +249,16 @@
 	return link.conn.Call(m.newPeerCall(quorum.MethodRaft, body))
 }
 
-// awaitReply waits for the reply to a call and tells the loop. It ends with the reply, CallTimeout or its context.
+// awaitReply waits for the reply to a call and passes the outcome to the event loop. It gives up after CallTimeout, or when its context
+// ends.
 func (m *Member) awaitReply(ctx context.Context, p *peer, conn *msgpackrpc.Conn, replies <-chan msgpackrpc.Reply, messages []*pb.Message) {
 	var reply msgpackrpc.Reply
 	ok := false
 	select {
 	case reply, ok = <-replies:
 	case <-time.After(quorum.CallTimeout):
-		// Something on the way is lost. Calls that are never answered would fill the connection's places, and nothing would go out any
-		// more: the next call has a new connection.
+		// The call or its reply is lost. Unanswered calls would use up the connection's limit of concurrent calls and block all
+		// sending, so the connection is closed and the next call opens a new one.
 		conn.Close()
 	case <-ctx.Done():
 		return
@@ -263,7 +266,8 @@
 	m.enqueue(func() { m.handleSendResult(p, messages, ok && reply.Error == "", reply) })
 }
 
-// newPeerCall is a call to another member, with who makes it: the group, the disk, its start and the number of that.
+// newPeerCall returns a call to another member. Its fields identify the sender: the group's name and ID, the member's ID, the number of
+// the start and the start's nonce.
 func (m *Member) newPeerCall(method string, body []byte) msgpackrpc.Call {
 	self := m.identity.Load()
 	return msgpackrpc.Call{Method: method, Body: body, Fields: map[string]string{
@@ -272,7 +276,7 @@
 	}}
 }
 
-// callPeer makes one call to an address on a connection of its own.
+// callPeer makes one call to an address on a new connection and returns the reply.
 func callPeer(ctx context.Context, addr string, call msgpackrpc.Call) (msgpackrpc.Reply, error) {
 	dialCtx, cancel := context.WithTimeout(ctx, quorum.DialTimeout)
 	defer cancel()
@@ -288,11 +292,11 @@
 	select {
 	case r, ok := <-replies:
 		if !ok {
-			return r, errors.New("the connection ended without an answer")
+			return r, errors.New("connection closed before the reply arrived")
 		}
 		return r, nil
 	case <-time.After(quorum.CallTimeout):
-		return msgpackrpc.Reply{}, errors.New("no answer")
+		return msgpackrpc.Reply{}, errors.New("no reply before the timeout")
 	case <-ctx.Done():
 		return msgpackrpc.Reply{}, ctx.Err()
 	}
--- a/internal/controlplane/quorum/member/program.go
+++ b/internal/controlplane/quorum/member/program.go
@@ -19,16 +19,17 @@
 	"silverpath/internal/settings"
 )
 
-// Signals are those that a process of the group acts on: SIGTERM and SIGINT end it, SIGUSR1 prints its counters, SIGHUP is logged.
+// Signals returns a channel of the signals that Run handles: SIGTERM and SIGINT end the process, SIGUSR1 prints its counters, and SIGHUP
+// is only logged.
 func Signals() <-chan os.Signal {
 	signals := make(chan os.Signal, 8)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP, syscall.SIGUSR1)
 	return signals
 }
 
-// Command is the program of members and of runners of duties, which "silverpath quorum" and "silverpath duty run" start.
+// Command returns the root command of the silverpath-quorum program, which "silverpath quorum" and "silverpath duty run" start.
 func Command() *cobra.Command {
-	cmd := &cobra.Command{Use: "silverpath-quorum", Short: "Members of the group, and owners of duties: started by silverpath",
+	cmd := &cobra.Command{Use: "silverpath-quorum", Short: "Run members of the group and owners of duties: started by silverpath",
 		SilenceUsage: true, SilenceErrors: true, CompletionOptions: cobra.CompletionOptions{DisableDefaultCmd: true}}
 	addCommand := func(use, short string, check func(*settings.Quorum) error) {
 		var path string
@@ -42,7 +43,7 @@
 			}
 			return Run(set, Signals(), os.Stderr)
 		}}
-		sub.Flags().StringVar(&path, "config", "", "its settings")
+		sub.Flags().StringVar(&path, "config", "", "settings file")
 		sub.MarkFlagRequired("config")
 		cmd.AddCommand(sub)
 	}
@@ -52,7 +53,7 @@
 		}
 		return nil
 	})
-	addCommand("owner", "Own duties, and be no member", func(s *settings.Quorum) error {
+	addCommand("owner", "Own duties, in a process that is no member of the group", func(s *settings.Quorum) error {
 		if s.Member = nil; s.Runner == nil {
 			return errors.New("owner: missing")
 		}
@@ -66,14 +67,15 @@
 	return cmd
 }
 
-// runTrialGroup runs three members in this process, founds a group of them, and ends with a signal.
+// runTrialGroup runs three members in this process, creates a group of them, and returns after a terminating signal or the first error.
+// If dir is empty, the disks are in a temporary folder.
 func runTrialGroup(c *cobra.Command, dir string) error {
 	if dir == "" {
 		var err error
 		if dir, err = os.MkdirTemp("", "silverpath-group"); err != nil {
 			return err
 		}
-		defer func() { _ = os.RemoveAll(dir) }() // a temporary folder
+		defer func() { _ = os.RemoveAll(dir) }() // a leftover temporary folder is harmless
 	}
 	addrs := []string{"127.0.0.1:4301", "127.0.0.1:4302", "127.0.0.1:4303"}
 	if err := os.MkdirAll(filepath.Join(dir, "map"), 0o755); err != nil {
@@ -105,7 +107,7 @@
 		stopAll()
 		return err
 	}
-	fmt.Fprintf(c.OutOrStdout(), "a group of three; look with: silverpath duty list --group try --members %s\n", addrs[0])
+	fmt.Fprintf(c.OutOrStdout(), "a group of three members is running; to inspect it: silverpath duty list --group try --members %s\n", addrs[0])
 	var err error
 	select {
 	case err = <-failed:
@@ -115,7 +117,7 @@
 	return err
 }
 
-// bootstrapTrialGroup founds a group of members once all of them listen, or returns the error of one that failed meanwhile.
+// bootstrapTrialGroup creates a group of the members once all of them listen. If a member fails first, it returns that member's error.
 func bootstrapTrialGroup(addrs []string, failed <-chan error) (err error) {
 	group := quorum.Client{Group: "try", Addrs: addrs}
 	defer group.Close()
@@ -135,7 +137,7 @@
 	return err
 }
 
-// A trial group is founded as soon as its members listen, which takes a moment.
+// Attempts to create a trial group, whose members need a moment until they listen.
 const (
 	trialBootstrapAttempts = 50
 	trialRetryPause        = 100 * time.Millisecond
--- a/internal/controlplane/quorum/member/propose.go
+++ b/internal/controlplane/quorum/member/propose.go
@@ -16,38 +16,38 @@
 	"silverpath/internal/transport/msgpackrpc"
 )
 
-// proposalIDBytes is the length of the number before each command of the log.
+// proposalIDBytes is the length of the proposal ID before each command in the log.
 const proposalIDBytes = 8
 
-// maxCommandBytes bounds a command as it is in the log: with what else a call to a member carries it stays within one call.
+// maxCommandBytes bounds an encoded command, so that its log entry and the other contents of a call to a member fit into one call.
 const maxCommandBytes = msgpackrpc.MaxCallBody/2 - 64<<10
 
-// maxConfigBatch bounds the changes of processes that are proposed as one entry: the entry stays well below maxCommandBytes.
+// maxConfigBatch bounds the process reports that are proposed as one entry, which so stays well below maxCommandBytes.
 const maxConfigBatch = 256
 
-// Errors of what is proposed, or waits for a confirmation.
+// Errors of proposals and reads.
 var (
 	errNotLeader      = errors.New("this member does not lead")
 	errTooManyPending = errors.New("too much is under way")
 	errCommandTooLong = fmt.Errorf("over %d bytes in one command", maxCommandBytes)
 )
 
-// pendingRead is what waits for the library's confirmation that this member still led after it came.
+// pendingRead is a read that waits until a majority has confirmed that this member still led after the read was requested.
 type pendingRead struct {
-	index       uint64 // of the log, to be applied before the answer; 0: not known yet
+	index       uint64 // log index to apply before the read completes; 0: leadership is not confirmed yet
 	requestedAt time.Time
 	done        func(ok bool)
 }
 
-// entry is a command as it is in the log: the number of the proposal, then the command. The member that proposed it finds by the number
-// who waits for it.
+// encodeEntry encodes a command for the log: the ID of the proposal, then the command as JSON. The proposer finds the pending callback by
+// the ID.
 func encodeEntry(id uint64, cmd statemachine.Command) ([]byte, error) {
 	b, err := json.Marshal(cmd)
 	return append(binary.BigEndian.AppendUint64(nil, id), b...), err
 }
 
-// propose puts a command into the log; done, which may be nil, is called with what it came to, or with false if nobody here can say. It
-// returns errNotLeader, errTooManyPending, errCommandTooLong or an error of the library: then done is not called.
+// propose proposes a command. It calls done, which may be nil, with the result once the command is applied, or with false if the outcome
+// is unknown. It returns errNotLeader, errTooManyPending, errCommandTooLong or an error of the library, and does not call done then.
 func (m *Member) propose(cmd statemachine.Command, done func(statemachine.Result, bool)) error {
 	if !m.leading || m.node == nil {
 		return errNotLeader
@@ -76,7 +76,7 @@
 	return err
 }
 
-// completeProposal answers who waits here for the entry of a number, if anybody does.
+// completeProposal calls the pending callback of a proposal, if this member has one.
 func (m *Member) completeProposal(id uint64, r statemachine.Result) {
 	if done := m.proposals[id]; done != nil {
 		delete(m.proposals, id)
@@ -84,8 +84,9 @@
 	}
 }
 
-// confirmLeadership calls done once a majority has confirmed that this member led after now, and all that was agreed by then is applied
-// here. So an answer of done is as new as the request, although no entry is written for it. One confirmation is for all that wait.
+// confirmLeadership calls done once a majority has confirmed that this member still led after this call, and all entries committed by then
+// are applied here. So reads in done are linearizable although no log entry is written. One confirmation serves all reads of an iteration
+// of the event loop. It returns errNotLeader or errTooManyPending, and does not call done then.
 func (m *Member) confirmLeadership(done func(ok bool)) error {
 	if !m.leading {
 		return errNotLeader
@@ -98,7 +99,7 @@
 	return nil
 }
 
-// readIndex asks the library for a confirmation that this member leads.
+// readIndex asks the library to confirm that this member is the leader.
 func (m *Member) readIndex(done func(ok bool)) {
 	m.seq++
 	ctx := string(binary.BigEndian.AppendUint64(nil, m.startNonce+m.seq))
@@ -106,7 +107,7 @@
 	m.node.ReadIndex([]byte(ctx))
 }
 
-// recordReadStates takes the library's confirmations.
+// recordReadStates records the leadership confirmations that the library returned.
 func (m *Member) recordReadStates(states []raft.ReadState) {
 	for _, rs := range states {
 		if r, ok := m.reads[string(rs.RequestCtx)]; ok {
@@ -116,7 +117,7 @@
 	}
 }
 
-// completeReads answers reads that are confirmed, once all that was agreed by then is applied.
+// completeReads completes the confirmed reads whose log index is applied.
 func (m *Member) completeReads() {
 	for ctx, r := range m.reads {
 		if r.index > 0 && r.index <= m.applied {
@@ -126,7 +127,7 @@
 	}
 }
 
-// dropStalledReads gives up reads whose confirmation was lost.
+// dropStalledReads fails reads whose confirmation has not arrived within quorum.CallTimeout.
 func (m *Member) dropStalledReads() {
 	for ctx, r := range m.reads {
 		if time.Since(r.requestedAt) > quorum.CallTimeout {
@@ -136,7 +137,7 @@
 	}
 }
 
-// failPending answers all that waits with an unknown outcome.
+// failPending completes all pending reports, reads and proposals with an unknown outcome.
 func (m *Member) failPending() {
 	for _, done := range m.configBatchDone {
 		done(statemachine.Result{}, false)
@@ -156,8 +157,8 @@
 	}
 }
 
-// proposeReport puts a process's report of itself into the log. Where a document is in parts, no member is of a build that can't read a
-// batch: then reports that come while the disk is busy are one entry.
+// proposeReport proposes a process's report of itself. If a document is in parts, no member has a build that cannot decode a batch: then
+// reports that arrive while the disk is busy are proposed as one entry.
 func (m *Member) proposeReport(change configstore.Change, done func(r statemachine.Result, ok bool)) error {
 	if !slices.ContainsFunc(configstore.DocumentNames, func(name string) bool {
 		d := m.state.Config.Documents[name]
@@ -173,7 +174,8 @@
 	return nil
 }
 
-// flushBatches handles together what came together in a turn of the loop: one confirmation for all reads, one entry for the reports.
+// flushBatches starts one leadership confirmation for all reads of this iteration of the event loop, and proposes its reports in batches
+// of at most maxConfigBatch.
 func (m *Member) flushBatches() {
 	for len(m.configBatch) > 0 {
 		n := min(len(m.configBatch), maxConfigBatch)
--- a/internal/controlplane/quorum/member/quota.go
+++ b/internal/controlplane/quorum/member/quota.go
@@ -10,19 +10,20 @@
 	"silverpath/internal/settings"
 )
 
-// This file tells the leader's quota ledger what capacity there is to grant, and grants routers their part of it.
+// This file sets the capacity in the leader's quota ledger and grants routers their quota of it.
 
-// ledgerRefresh is how long the ledger goes by what it was told, at most: the wall clock, by which tenants move, may be set meanwhile.
+// ledgerRefresh is the longest time before the ledger's capacity is computed again: tenants move by the wall clock, which may be set in
+// between.
 const ledgerRefresh = time.Minute
 
-// capacityMap is the map that is in force. Of a map in parts only the parts that changed are read again.
+// capacityMap caches the parsed active cell map. If the map is in parts, only changed parts are parsed again.
 type capacityMap struct {
 	id        configstore.ID
 	cellMap   *cells.Map
-	refreshAt time.Time // when the capacity changes by the times in the map; zero: the ledger was not told of this map
+	refreshAt time.Time // when to compute the capacity again; zero: the ledger does not have the capacity of this map yet
 }
 
-// update reads what has changed in the map that is in force. It reports whether there is one that can be read.
+// update parses the changes of the active cell map since the last call. It reports whether the map is valid.
 func (g *capacityMap) update(active *configstore.Revision) bool {
 	if g.cellMap != nil && g.id == active.ID {
 		return true
@@ -50,8 +51,8 @@
 	return true
 }
 
-// updateLedger tells the ledger what capacity there is to grant: at a new map, and as servers come and go and tenants move by the times in
-// it. It reports whether there is a map.
+// updateLedger sets the ledger's capacity after a new cell map, and when the times in the map add or remove servers or move tenants. It
+// reports whether the map is valid.
 func (m *Member) updateLedger(active *configstore.Revision) bool {
 	if !m.capacityMap.update(active) {
 		return false
@@ -67,8 +68,8 @@
 	return true
 }
 
-// grantQuota is what a router is granted of the cells that it shares with others; nil: it shares none. It counts as granted from here on,
-// whether or not the reply arrives.
+// grantQuota grants a router its quota in the cells that it shares with other routers. It returns nil if the router requests no quota, if
+// there is no valid cell map, or if the ledger grants nothing. The ledger counts the quota as granted even if the reply is lost.
 func (m *Member) grantQuota(request quorum.ConfigSync) *quota.Grant {
 	d := m.state.Config.Documents[configstore.DocMap]
 	if request.Quota == nil || d == nil || d.Active == nil {
--- a/internal/controlplane/quorum/member/raft.go
+++ b/internal/controlplane/quorum/member/raft.go
@@ -17,25 +17,26 @@
 	"silverpath/internal/policy/statemachine"
 )
 
-// When the log is replaced by a snapshot of the state.
+// Limits at which a snapshot of the state replaces the log.
 const (
-	compactAfterEntries = 2000 // entries since the last one. Found by trial; raising it has a start read and apply more of the log
-	compactKeepEntries  = 200  // of them stay: a member that is no further behind needs no snapshot
-	// compactAfterBytes has a snapshot be made of what many large changes have written, and compactKeepBytes bounds what of them stays.
+	compactAfterEntries = 2000 // entries since the last snapshot; with more, a start reads and applies more of the log
+	compactKeepEntries  = 200  // entries to keep: a member that is no further behind needs no snapshot
+	// compactAfterBytes triggers a snapshot after many large changes, and compactKeepBytes bounds the entries that are kept then.
 	compactAfterBytes = 16 << 20
 	compactKeepBytes  = 4 << 20
 )
 
-// startRaft starts the library on what the disk has. It is called at the start of a member of a group, and as one becomes that.
+// startRaft starts the raft library on the stored state. It is called when a member that belongs to a group starts, and when a member is
+// assigned to a group.
 func (m *Member) startRaft() error {
 	snap, err := m.store.memory.Snapshot()
 	if err != nil {
 		return err
 	}
-	if raft.IsEmptySnap(snap) { // it has joined, and got nothing of the group yet
+	if raft.IsEmptySnap(snap) { // the member has joined, but has no state of the group yet
 		peers, err := getJSON[[]statemachine.Member](m.store, keyPeers)
 		if err != nil {
-			return fmt.Errorf("%s: who else there is: %w", m.cfg.Dir, err)
+			return fmt.Errorf("%s: failed to read the members of the group: %w", m.cfg.Dir, err)
 		}
 		for _, peer := range peers {
 			m.state.Members[peer.ID] = peer
@@ -56,7 +57,7 @@
 	return nil
 }
 
-// adoptSnapshot makes a snapshot's state the member's. What the leader's time was told of the state before it is void.
+// adoptSnapshot replaces the member's state with that of a snapshot. It resets the leader's timers, which refer to the old state.
 func (m *Member) adoptSnapshot(state *statemachine.State, meta *pb.SnapshotMetadata) {
 	m.state, m.confState = state, meta.GetConfState()
 	m.applied = meta.GetIndex()
@@ -64,8 +65,8 @@
 	m.lessor, m.processMonitor, m.quotaLedger = lease.NewLessor(state.Terms), configstore.NewProcessMonitor(state.Terms), quota.NewLedger(state.Terms)
 }
 
-// handleReady carries out what the library wants, in the order that raft is correct by: what must last is on disk before a message that
-// speaks of it goes out, and what is agreed is applied after that.
+// handleReady carries out what the library returns as ready, in the order that raft requires: entries and votes are durable before the
+// messages that depend on them are sent, and committed entries are applied after that.
 func (m *Member) handleReady() {
 	rd := m.node.Ready()
 	if err := m.saveReady(rd); err != nil {
@@ -96,7 +97,7 @@
 	m.compactIfDue()
 }
 
-// saveReady writes what has to last, if there is any, with marks of others that are not stored yet.
+// saveReady writes the state that must be durable, if any, together with marks of other members that are not stored yet.
 func (m *Member) saveReady(rd raft.Ready) error {
 	if rd.HardState == nil && len(rd.Entries) == 0 && raft.IsEmptySnap(rd.Snapshot) {
 		return nil
@@ -112,8 +113,8 @@
 	return nil
 }
 
-// compactIfDue puts a snapshot in the place of the log's beginning. A change of members always does: a snapshot from before it names
-// no new member, and is refused there.
+// compactIfDue replaces the beginning of the log with a snapshot once a limit is reached. A membership change always triggers a snapshot:
+// an older one does not name the new member, and the new member would reject it.
 func (m *Member) compactIfDue() {
 	due := m.applied-m.snapshotIndex >= compactAfterEntries || m.bytesSinceSnapshot >= compactAfterBytes || m.membersChanged
 	if !due || m.fatal != nil {
@@ -132,14 +133,14 @@
 	m.stats.Inc("group", "snapshots")
 }
 
-// leadershipChanged is called with whether this member leads now. What waits for a leader that is none any more fails: nobody here can
-// say what becomes of it.
+// leadershipChanged is called with whether this member is the leader now. When it stops leading, pending reads and proposals fail with an
+// unknown outcome.
 func (m *Member) leadershipChanged(leading bool) {
 	if leading == m.leading {
 		return
 	}
 	m.leading, m.caughtUp = leading, false
-	m.capacityMap.refreshAt = time.Time{} // the ledger is told anew
+	m.capacityMap.refreshAt = time.Time{} // the ledger's capacity must be set again
 	if leading {
 		m.lessor.Promote(m.clock())
 		m.processMonitor.StartLeading(m.clock())
@@ -155,7 +156,7 @@
 	m.failPending()
 }
 
-// applyEntry applies an entry that a majority has agreed on.
+// applyEntry applies a committed entry.
 func (m *Member) applyEntry(entry *pb.Entry) {
 	m.applied = entry.GetIndex()
 	m.bytesSinceSnapshot += len(entry.GetData())
@@ -168,10 +169,10 @@
 	}
 }
 
-// applyCommand applies a command of the log, and answers who waits for it here.
+// applyCommand applies a command from the log and completes its proposal if this member made it.
 func (m *Member) applyCommand(data []byte) {
 	if len(data) < proposalIDBytes {
-		return // the empty entry of a new leader
+		return // the empty entry of a newly elected leader
 	}
 	var cmd statemachine.Command
 	result := statemachine.Result{Error: "a command that can't be read"}
@@ -191,17 +192,17 @@
 	m.completeProposal(binary.BigEndian.Uint64(data), result)
 }
 
-// applyMemberChange applies a change of the group's members.
+// applyMemberChange applies a membership change.
 func (m *Member) applyMemberChange(data []byte) {
 	var confChange pb.ConfChangeV2
 	if err := proto.Unmarshal(data, &confChange); err != nil {
-		m.abort(fmt.Errorf("a change of members that can't be read: %w", err))
+		m.abort(fmt.Errorf("failed to decode a membership change: %w", err))
 		return
 	}
 	m.confState = m.node.ApplyConfChange(&confChange)
 	m.membersChanged = true
 	var change memberChange
-	_ = json.Unmarshal(confChange.GetContext(), &change) // one without a context is the library's own, and names no member
+	_ = json.Unmarshal(confChange.GetContext(), &change) // a change without a context comes from the library and names no member
 	if change.Remove != 0 {
 		delete(m.state.Members, change.Remove)
 	} else if change.Peer.ID != 0 {
@@ -212,7 +213,7 @@
 	m.completeProposal(change.Seq, statemachine.Result{})
 }
 
-// leaseApplied follows a lease request that was applied: the leader counts a new holding from now on, and logs it.
+// leaseApplied is called after a lease request was applied. It starts the lease timer of a new grant; a leader also logs the request.
 func (m *Member) leaseApplied(request lease.Request, r statemachine.Result) {
 	if r.Error != "" || r.Duty == nil {
 		return
@@ -228,7 +229,8 @@
 	}
 }
 
-// leaderTick is called at every tick: a leader proposes what its time has come for, and whoever waits in vain is given up.
+// leaderTick is called at every tick. A leader proposes what has become due. Any member drops incomplete snapshots and reads that have
+// timed out.
 func (m *Member) leaderTick() {
 	if m.leading && m.caughtUp {
 		for _, request := range m.lessor.Overdue(m.state.Table, m.clock()) {
@@ -242,7 +244,7 @@
 	m.dropStalledReads()
 }
 
-// raftLogger passes the library's errors on to the log, as warnings; what it says at every turn is not logged.
+// raftLogger logs the errors of the raft library as warnings and drops its lower levels. Fatal errors panic.
 type raftLogger struct{ log zerolog.Logger }
 
 func (l raftLogger) Debug(...any)              {}
--- a/internal/controlplane/quorum/member/requests.go
+++ b/internal/controlplane/quorum/member/requests.go
@@ -19,11 +19,11 @@
 	"silverpath/internal/transport/msgpackrpc"
 )
 
-// replyFunc takes the reply to a call. It is called once, at once or later, by the loop or by a goroutine that marshals a large one.
+// replyFunc sends the reply to a call. It is called exactly once, by the event loop or by a goroutine that encodes a large reply.
 type replyFunc func(msgpackrpc.CallResult)
 
-// Answer takes a call of a connection, in the order in which they came, and returns what waits for its reply. It is what the listener of
-// calls is given.
+// Answer starts to handle a call and returns a function that waits for its reply. The listener calls Answer for the calls of a
+// connection in the order of their arrival. The reply is CodeUnknownOutcome if the member stops or the context ends first.
 func (m *Member) Answer(ctx context.Context, call msgpackrpc.Call) func() msgpackrpc.CallResult {
 	if g := call.Fields["g"]; g != m.cfg.Group {
 		m.stats.Inc("group", "strangers")
@@ -36,7 +36,7 @@
 		}
 		return replyNow(msgpackrpc.CallResult{Body: b})
 	}
-	// The rest is the loop's.
+	// The event loop handles all other calls.
 	result := make(chan msgpackrpc.CallResult, 1)
 	m.enqueue(func() { m.dispatch(call, func(r msgpackrpc.CallResult) { result <- r }) })
 	return func() msgpackrpc.CallResult {
@@ -50,17 +50,17 @@
 	}
 }
 
-// replyNow is a reply that waits for nothing.
+// replyNow returns a function that returns a reply without waiting.
 func replyNow(r msgpackrpc.CallResult) func() msgpackrpc.CallResult {
 	return func() msgpackrpc.CallResult { return r }
 }
 
-// refuse is a reply with an error code and a reason for people.
+// errorReply returns a reply with an error code and a reason in words.
 func errorReply(code, format string, args ...any) msgpackrpc.CallResult {
 	return msgpackrpc.CallResult{Error: code, Fields: []string{"why", fmt.Sprintf(format, args...)}}
 }
 
-// dispatch carries out a call in the loop.
+// dispatch handles a call in the event loop.
 func (m *Member) dispatch(call msgpackrpc.Call, reply replyFunc) {
 	switch call.Method {
 	case quorum.MethodRaft, quorum.MethodVouch, quorum.MethodMark, quorum.MethodSnapshotPart:
@@ -88,7 +88,8 @@
 	}
 }
 
-// handlePeer takes a call of another member, after a look at who it is.
+// handlePeer handles a call of another member. It rejects calls from another group, from a copy of this disk, and from a start of a disk
+// of which a later start was seen.
 func (m *Member) handlePeer(call msgpackrpc.Call) msgpackrpc.CallResult {
 	id, self := uintField(call, "id"), m.identity.Load()
 	switch {
@@ -116,7 +117,7 @@
 	return msgpackrpc.CallResult{}
 }
 
-// uintField reads a field that is a number, 0 where it is none.
+// uintField parses a numeric field. It returns 0 if the field is missing or malformed.
 func uintField(call msgpackrpc.Call, key string) uint64 {
 	n, err := strconv.ParseUint(call.Fields[key], 10, 64)
 	if err != nil {
@@ -125,7 +126,8 @@
 	return n
 }
 
-// handleRaft takes messages of the library. A member that is not confirmed drops them: it may not answer any.
+// handleRaft passes the raft messages of a call to the library. A member that is not confirmed drops them: it must not vote or
+// acknowledge.
 func (m *Member) handleRaft(call msgpackrpc.Call, from uint64) msgpackrpc.CallResult {
 	if !m.confirmed {
 		return msgpackrpc.CallResult{}
@@ -141,22 +143,23 @@
 	return msgpackrpc.CallResult{}
 }
 
-// stepRaft hands a message to the library, unless it shows that this disk has lost an entry that it had acknowledged: a leader's heartbeat
-// names no entry as agreed that this member did not acknowledge, so one beyond the log's end was lost here.
+// stepRaft passes a message to the library, unless the message shows that this disk has lost an entry that it had acknowledged. The commit
+// index in a leader's heartbeat never exceeds what this member has acknowledged, so a commit index beyond the end of the log means that
+// entries were lost here. The library would panic on it.
 func (m *Member) stepRaft(message *pb.Message, from uint64) {
 	if message.GetFrom() != from || message.GetTo() != m.identity.Load().ID || raft.IsLocalMsg(message.GetType()) {
 		m.stats.Inc("malformed", Name)
 		return
 	}
 	if last, _ := m.store.memory.LastIndex(); message.GetType() == pb.MsgHeartbeat && message.GetCommit() > last {
-		m.abort(fmt.Errorf("the disk is older than its words: entry %d was said to be on it, it ends at %d; set %s aside and add the member anew",
+		m.abort(fmt.Errorf("the disk is older than its words: entry %d was acknowledged, but the log ends at %d; move %s aside and add the member again",
 			message.GetCommit(), last, m.cfg.Dir))
 		return
 	}
-	_ = m.node.Step(message) // its errors are of messages that came late
+	_ = m.node.Step(message) // the errors concern outdated messages only
 }
 
-// notLeader is the reply of a member that does not lead, with the address of the one that does where it is known.
+// notLeader returns the reply of a member that is not the leader, with the leader's address if it is known.
 func (m *Member) notLeader() msgpackrpc.CallResult {
 	reply := errorReply(quorum.CodeNotLeader, "member %s does not lead", m.cfg.Name)
 	if m.node != nil {
@@ -167,7 +170,7 @@
 	return reply
 }
 
-// resultReply is the reply with what a command came to; ok is false where nobody here can say.
+// resultReply returns the reply with the result of a command. If ok is false, the outcome is unknown.
 func resultReply(r statemachine.Result, ok bool) msgpackrpc.CallResult {
 	if !ok {
 		return msgpackrpc.CallResult{Error: quorum.CodeUnknownOutcome}
@@ -179,7 +182,7 @@
 	return msgpackrpc.CallResult{Body: b}
 }
 
-// handleDo puts a command into the log and replies with what it came to.
+// handleDo proposes a command and replies with its result once it is applied.
 func (m *Member) handleDo(call msgpackrpc.Call, reply replyFunc) {
 	var cmd statemachine.Command
 	if err := json.Unmarshal(call.Body, &cmd); err != nil {
@@ -202,7 +205,7 @@
 	}
 	if cmd.Lease != nil && cmd.Lease.Op == lease.Acquire && m.leading {
 		if m.holdsOrWaits(cmd.Lease.Duty, cmd.Lease.Process) {
-			m.handleRenew(call, reply) // it changes nothing: no entry of the log
+			m.handleRenew(call, reply) // the request changes no state, so it needs no log entry
 			return
 		}
 		m.lessor.RecordWaiter(cmd.Lease.Duty, cmd.Lease.Process, m.clock())
@@ -210,7 +213,7 @@
 	m.proposeAndReply(cmd, reply)
 }
 
-// proposeAndReply puts a command into the log and replies with what it came to, or why it could not be proposed.
+// proposeAndReply proposes a command and replies with its result, or with the reason why it could not be proposed.
 func (m *Member) proposeAndReply(cmd statemachine.Command, reply replyFunc) {
 	err := m.propose(cmd, func(r statemachine.Result, ok bool) { reply(resultReply(r, ok)) })
 	switch {
@@ -223,19 +226,21 @@
 	}
 }
 
-// leaderOnly reports whether a request is one that only the leader may propose: an end by its time. An operator's Dequeue says why.
+// leaderOnly reports whether only the leader may propose a lease request, because it follows from a timeout. An operator's Dequeue has a
+// reason, the leader's has none.
 func leaderOnly(request lease.Request) bool {
 	return request.Op == lease.Expire || request.Op == lease.Dequeue && request.Reason == ""
 }
 
-// holdsOrWaits reports whether a process holds a duty, or waits for it.
+// holdsOrWaits reports whether a process holds a duty or is in its queue.
 func (m *Member) holdsOrWaits(duty, process string) bool {
 	d := m.state.Table.Duties[duty]
 	return d != nil && (d.Holder == process || slices.Contains(d.Queue, process))
 }
 
-// handleRenew notes that a holder goes on, or that a process waits, by the leader alone: no entry is written. It replies once a majority
-// has confirmed that this member led after the call came, so that no other leader can have ended the lease meanwhile.
+// handleRenew renews a lease, or records that a process still waits for a duty. Only the leader records this; it writes no log entry. It
+// replies once a majority has confirmed that this member still led after the call arrived, so no other leader can have ended the lease in
+// between.
 func (m *Member) handleRenew(call msgpackrpc.Call, reply replyFunc) {
 	var cmd statemachine.Command
 	if err := json.Unmarshal(call.Body, &cmd); err != nil || cmd.Lease == nil {
@@ -247,7 +252,7 @@
 		reply(m.notLeader())
 		return
 	}
-	expiring := false // its end was proposed
+	expiring := false // the leader has proposed the end of the lease
 	if d := m.state.Table.Duties[request.Duty]; d != nil && d.Holder == request.Process {
 		expiring = !m.lessor.Renew(request.Duty, d.Epoch, request.Op != lease.Renew, now)
 	}
@@ -271,7 +276,7 @@
 	}
 }
 
-// handleRead replies with what the group has agreed on by now.
+// handleRead replies with the current state of the group, once a majority has confirmed that this member still led after the call arrived.
 func (m *Member) handleRead(call msgpackrpc.Call, reply replyFunc) {
 	if !m.leading {
 		reply(m.notLeader())
--- a/internal/controlplane/quorum/member/snapshot_transfer.go
+++ b/internal/controlplane/quorum/member/snapshot_transfer.go
@@ -15,32 +15,32 @@
 	"silverpath/internal/transport/msgpackrpc"
 )
 
-// This file sends a snapshot that is longer than a call. Its parts go in their order on a connection of their own, so that heartbeats go on
-// beside them. Whatever goes wrong, the library is told that the snapshot failed, and sends it again.
+// This file transfers snapshots that are too long for one call. The parts are sent in order on a separate connection, so that they do not
+// delay heartbeats. After any error the library is notified that the snapshot failed, and sends it again.
 
 const (
-	// snapshotPartBytes are in one part: each is acknowledged, so that a slow link has few bytes under way.
+	// snapshotPartBytes is the length of a part. Each part is acknowledged, so a slow link has only one part in flight.
 	snapshotPartBytes = 256 << 10
-	// maxSnapshotBytes bounds what a member puts together in memory: a document, its draft and what is under way of it, at their
-	// largest, and the rest of the state.
+	// maxSnapshotBytes bounds the snapshot that a member assembles in memory: the largest document with its largest draft and proposed
+	// version, and the rest of the state.
 	maxSnapshotBytes = 64 << 20
-	// snapshotPartTimeout is how long the next part may take to arrive before what there is of a snapshot is dropped: longer than the
-	// sender waits for an acknowledgement, so that only a sender that is gone is given up.
+	// snapshotPartTimeout is the time without a new part after which an incomplete snapshot is dropped. It is longer than the sender waits
+	// for an acknowledgement, so that only the snapshot of a sender that has stopped is dropped.
 	snapshotPartTimeout = 10 * time.Second
 )
 
-// SnapshotPartHook is called before each part of a snapshot goes out, in test programs only: one that it returns false for is lost.
+// SnapshotPartHook is called before part n of a snapshot is sent; only test programs set it. If it returns false, the part is not sent.
 var SnapshotPartHook func(n int) bool
 
-// incomingSnapshot is a snapshot that arrives in parts. There is one at a time: only the leader sends any.
+// incomingSnapshot is a snapshot that is arriving in parts. There is at most one, since only the leader sends snapshots.
 type incomingSnapshot struct {
-	from       uint64 // member
+	from       uint64 // ID of the sender
 	checksum   uint64 // of the complete message
 	received   []byte
 	receivedAt time.Time
 }
 
-// sendSnapshotAsync sends a snapshot in parts and tells the loop what became of it.
+// sendSnapshotAsync sends a snapshot in parts and passes the outcome to the event loop.
 func (m *Member) sendSnapshotAsync(ctx context.Context, p *peer, message *pb.Message) {
 	err := m.sendSnapshot(ctx, p, message)
 	m.enqueue(func() {
@@ -55,14 +55,14 @@
 	})
 }
 
-// sendSnapshot sends a snapshot in parts, each once the one before is acknowledged.
+// sendSnapshot sends a snapshot in parts. It sends each part after the acknowledgement of the one before.
 func (m *Member) sendSnapshot(ctx context.Context, p *peer, message *pb.Message) error {
 	encoded, err := proto.Marshal(message)
 	if err != nil {
 		return err
 	}
 	if len(encoded) > maxSnapshotBytes {
-		return fmt.Errorf("%d bytes, of at most %d", len(encoded), maxSnapshotBytes)
+		return fmt.Errorf("snapshot has %d bytes, the limit is %d", len(encoded), maxSnapshotBytes)
 	}
 	dialCtx, cancel := context.WithTimeout(ctx, quorum.DialTimeout)
 	defer cancel()
@@ -78,7 +78,7 @@
 			call.Fields[key] = strconv.FormatUint(v, 10)
 		}
 		if SnapshotPartHook != nil && !SnapshotPartHook(part) {
-			continue // lost: the next part does not follow
+			continue // lost: the receiver rejects the next part, whose offset does not match
 		}
 		replies, err := conn.Call(call)
 		if err != nil {
@@ -87,13 +87,13 @@
 		select {
 		case r, ok := <-replies:
 			if !ok {
-				return errors.New("the connection ended within it")
+				return errors.New("connection closed during the transfer")
 			}
 			if r.Error != "" {
 				return fmt.Errorf("%s %s", r.Error, r.Fields["why"])
 			}
 		case <-time.After(quorum.CallTimeout):
-			return errors.New("no answer")
+			return errors.New("no acknowledgement of a part before the timeout")
 		case <-ctx.Done():
 			return ctx.Err()
 		}
@@ -101,8 +101,8 @@
 	return nil
 }
 
-// handleSnapshotPart takes a part of a snapshot, and hands the message to the library once the last part is here. A part that does not
-// follow the one before drops the snapshot.
+// handleSnapshotPart stores a part of a snapshot. After the last part it passes the complete message to the library. A part that does not
+// continue the previous one is rejected and drops the snapshot.
 func (m *Member) handleSnapshotPart(call msgpackrpc.Call, from uint64) msgpackrpc.CallResult {
 	if !m.confirmed {
 		return errorReply(quorum.CodeRefused, "not yet one that may say anything")
@@ -138,7 +138,7 @@
 	return msgpackrpc.CallResult{}
 }
 
-// dropStalledSnapshot gives up a snapshot whose next part does not arrive.
+// dropStalledSnapshot drops an incomplete snapshot if no part has arrived for snapshotPartTimeout.
 func (m *Member) dropStalledSnapshot() {
 	if m.incoming != nil && time.Since(m.incoming.receivedAt) > snapshotPartTimeout {
 		m.incoming = nil
--- a/internal/controlplane/quorum/member/store.go
+++ b/internal/controlplane/quorum/member/store.go
@@ -15,22 +15,23 @@
 	"silverpath/internal/policy/statemachine"
 )
 
-// Identity is who a member is, by its disk. An empty disk gets a new number, and so is a member that has no vote until it was added,
-// whatever its name: it has forgotten what it acknowledged.
+// Identity identifies a member by its disk. An empty disk gets a new ID. It is thus a new member without a vote until it is added to the
+// group, even if its name was used before: a member that lost its disk has lost the entries that it acknowledged.
 type Identity struct {
 	ID     uint64 `json:"id"`
 	Name   string `json:"name"`
-	Starts uint64 `json:"starts"` // of the program on this disk
-	// Group is the ID of the group that it belongs to; empty while it belongs to none.
+	Starts uint64 `json:"starts"` // process starts on this disk
+	// Group is the ID of the member's group; empty while it belongs to none.
 	Group string `json:"group,omitempty"`
 }
 
-// DiskFaultHook is asked before every write of a store, in test programs only: it may wait, as a disk that stalls, or return the
-// error of one that is full or has failed.
+// DiskFaultHook is called before every write of a store; only test programs set it. It may block, to simulate a stalled disk, or return
+// an error, to simulate a full or failed disk.
 var DiskFaultHook func(op string) error
 
-// store keeps a member's log on disk, with the same in memory for the library to read. Every write is one transaction, synced before it
-// returns. After an error nothing more is written: what is not known to be durable can't be acknowledged, and is not trusted.
+// store keeps the raft log of a member on disk, and a copy in memory for the library to read. Every write is one transaction, which is
+// synced before the write returns. After an error all further writes fail: the state of the disk is unknown, and data that may not be
+// durable must not be acknowledged.
 type store struct {
 	db     *bbolt.DB
 	memory *raft.MemoryStorage
@@ -38,7 +39,7 @@
 	syncs  uint64
 }
 
-// Buckets and keys of the database, by their names on disk.
+// Buckets and keys of the database, with their names on disk.
 var (
 	bucketMeta   = []byte("meta")
 	bucketLog    = []byte("log")
@@ -50,10 +51,11 @@
 	keyFormat    = []byte("format")
 )
 
-// storeFormat is the version of what is on disk. A build refuses one that it does not know.
+// storeFormat is the version of the database format. A build rejects a database of another version.
 const storeFormat = "1"
 
-// openStore opens or creates the database of a member, and reads it into memory.
+// openStore opens or creates the database of a member and loads it into memory. It returns an error after a second if another process has
+// the database open.
 func openStore(path string) (*store, error) {
 	db, err := bbolt.Open(path, 0o600, &bbolt.Options{Timeout: time.Second, NoFreelistSync: true})
 	if err != nil {
@@ -66,7 +68,7 @@
 	return s, nil
 }
 
-// load reads what is on disk into memory: the snapshot, the term and vote, and the entries after the snapshot.
+// load reads the snapshot, the term and vote, and the log entries that follow the snapshot from disk into memory.
 func (s *store) load() error {
 	err := s.update("open", func(tx *bbolt.Tx) error {
 		meta, err := tx.CreateBucketIfNotExists(bucketMeta)
@@ -74,7 +76,7 @@
 			return err
 		}
 		if format := meta.Get(keyFormat); format != nil && string(format) != storeFormat {
-			return fmt.Errorf("format %q, this build knows %q", format, storeFormat)
+			return fmt.Errorf("database format is %q, but this build supports only %q", format, storeFormat)
 		}
 		if _, err := tx.CreateBucketIfNotExists(bucketLog); err != nil {
 			return err
@@ -89,7 +91,7 @@
 		if b := meta.Get(keySnap); b != nil {
 			snap := &pb.Snapshot{}
 			if err := proto.Unmarshal(b, snap); err != nil {
-				return fmt.Errorf("its snapshot: %w", err)
+				return fmt.Errorf("failed to decode the snapshot: %w", err)
 			}
 			if err := s.memory.ApplySnapshot(snap); err != nil {
 				return err
@@ -98,7 +100,7 @@
 		if b := meta.Get(keyHardState); b != nil {
 			hardState := &pb.HardState{}
 			if err := proto.Unmarshal(b, hardState); err != nil {
-				return fmt.Errorf("its term: %w", err)
+				return fmt.Errorf("failed to decode the term and vote: %w", err)
 			}
 			if err := s.memory.SetHardState(hardState); err != nil {
 				return err
@@ -112,7 +114,7 @@
 			}
 			entry := &pb.Entry{}
 			if err := proto.Unmarshal(v, entry); err != nil {
-				return fmt.Errorf("entry %x: %w", k, err)
+				return fmt.Errorf("failed to decode the entry with key %x: %w", k, err)
 			}
 			entries = append(entries, entry)
 			return nil
@@ -124,7 +126,7 @@
 	})
 }
 
-// update makes one transaction. After an error every later one returns the same.
+// update runs one write transaction. After an error, every later call returns the same error.
 func (s *store) update(op string, write func(tx *bbolt.Tx) error) error {
 	if s.failed != nil {
 		return s.failed
@@ -143,10 +145,10 @@
 	return s.failed
 }
 
-// entryKey is the key of an entry: its index, so that they stand in their order.
+// entryKey returns the key of an entry: its index in big-endian order, so that keys sort by index.
 func entryKey(index uint64) []byte { return binary.BigEndian.AppendUint64(nil, index) }
 
-// getJSON reads a value of the member's own, the zero value where there is none.
+// getJSON reads and decodes a value from the meta bucket. It returns the zero value if the key is missing.
 func getJSON[T any](s *store, key []byte) (v T, err error) {
 	err = s.db.View(func(tx *bbolt.Tx) error {
 		if b := tx.Bucket(bucketMeta).Get(key); b != nil {
@@ -157,7 +159,7 @@
 	return v, err
 }
 
-// putJSON writes a value of the member's own.
+// putJSON writes a value to the meta bucket as JSON.
 func putJSON(tx *bbolt.Tx, key []byte, v any) error {
 	b, err := json.Marshal(v)
 	if err != nil {
@@ -166,7 +168,7 @@
 	return tx.Bucket(bucketMeta).Put(key, b)
 }
 
-// putProto writes a value of the raft library's.
+// putProto writes a message of the raft library to the meta bucket.
 func putProto(tx *bbolt.Tx, key []byte, m proto.Message) error {
 	b, err := proto.Marshal(m)
 	if err != nil {
@@ -175,8 +177,8 @@
 	return tx.Bucket(bucketMeta).Put(key, b)
 }
 
-// writeBootstrap makes the member one of a group whose first members are given: the group's state is its first snapshot, which no entry
-// led to.
+// writeBootstrap makes the member one of the first members of a group. The initial state is stored as a snapshot at index 1, without any
+// log entry before it.
 func (s *store) writeBootstrap(identity Identity, state *statemachine.State) error {
 	data, err := state.Snapshot()
 	if err != nil {
@@ -200,15 +202,15 @@
 	return s.memory.ApplySnapshot(snap)
 }
 
-// writeJoin makes the member one that listens to a group.
+// writeJoin assigns the member to an existing group, whose members it stores. The member has no vote until the group adds it.
 func (s *store) writeJoin(identity Identity, peers []statemachine.Member) error {
 	return s.update("join", func(tx *bbolt.Tx) error {
 		return errors.Join(putJSON(tx, keyIdentity, identity), putJSON(tx, keyPeers, peers))
 	})
 }
 
-// save writes what must last before a message speaks of it: the term and vote, entries, a snapshot that was received, marks of others. Any
-// of them may be nil.
+// save writes what must be durable before a message that depends on it is sent: the term and vote, entries, a received snapshot, and the
+// marks of other members. Any of them may be nil.
 func (s *store) save(hardState *pb.HardState, entries []*pb.Entry, snap *pb.Snapshot, marks map[uint64]diskMark) error {
 	hasSnapshot := snap != nil && snap.GetMetadata().GetIndex() > 0
 	err := s.update("save", func(tx *bbolt.Tx) error {
@@ -218,7 +220,7 @@
 			}
 		}
 		log := tx.Bucket(bucketLog)
-		if hasSnapshot { // it is in the place of all entries
+		if hasSnapshot { // the snapshot replaces all entries
 			if err := errors.Join(putProto(tx, keySnap, snap), deleteEntries(log, 0, ^uint64(0))); err != nil {
 				return err
 			}
@@ -247,7 +249,7 @@
 	return s.memory.Append(entries)
 }
 
-// putEntries writes entries in the place of all from the first of them on: those were of a leader that had no majority.
+// putEntries writes entries and deletes all present ones from the first index on: those came from a leader that did not commit them.
 func putEntries(log *bbolt.Bucket, entries []*pb.Entry) error {
 	if len(entries) == 0 {
 		return nil
@@ -267,9 +269,9 @@
 	return nil
 }
 
-// deleteEntries deletes entries from one index up to, not with, another.
+// deleteEntries deletes the entries with indexes in [from, to).
 func deleteEntries(log *bbolt.Bucket, from, to uint64) error {
-	var keys [][]byte // a cursor passes over keys where it deletes as it goes
+	var keys [][]byte // a bbolt cursor skips keys if they are deleted during the iteration
 	c := log.Cursor()
 	for k, _ := c.Seek(entryKey(from)); k != nil && binary.BigEndian.Uint64(k) < to; k, _ = c.Next() {
 		keys = append(keys, k)
@@ -282,8 +284,8 @@
 	return nil
 }
 
-// compact puts the state at an index in the place of the log before it, but for the last keep entries, or fewer if they are more than
-// keepBytes: members that are a little behind get those, and need no snapshot.
+// compact stores the state at an index as a snapshot and deletes the log before it. It keeps the last keep entries, or fewer if they
+// exceed keepBytes: members that are only slightly behind catch up from those entries and need no snapshot.
 func (s *store) compact(index uint64, conf *pb.ConfState, data []byte, keep uint64, keepBytes int) error {
 	snap, err := s.memory.CreateSnapshot(index, conf, data)
 	if err != nil {
@@ -313,6 +315,6 @@
 	return err
 }
 
-const noSizeLimit = ^uint64(0) // bytes: one entry is read, however long
+const noSizeLimit = ^uint64(0) // bytes: reads a single entry of any length
 
 func (s *store) close() error { return s.db.Close() }
--- a/internal/controlplane/quorum/member/vouch.go
+++ b/internal/controlplane/quorum/member/vouch.go
@@ -10,25 +10,27 @@
 	"silverpath/internal/transport/msgpackrpc"
 )
 
-// This file finds a disk that was put back from a copy, or two processes on copies of one disk.
+// This file detects a disk that was restored from a copy, and two processes that run on copies of one disk.
 //
-// A member that votes, or acknowledges an entry, and later forgets that it did, can have the group agree on two different things. It
-// shows as a member whose term, or last agreed entry, is lower than what it has said before. So each member says once in a while how
-// far its disk is, its mark, and the others store that. After a start a member takes no part (no vote, no acknowledgement) until, with
-// it, a majority has vouched that its disk is no older than the mark they know. An older one ends its process.
+// A member that loses its vote or an acknowledged entry can make the group commit two different entries at one index. Such a member's
+// term or commit index is lower than what it has sent before. So each member regularly sends its term and commit index, the mark of its
+// disk, and the other members store it. After a start a member does not vote or acknowledge entries until a majority, which includes
+// itself, has vouched: each member of it has confirmed that the disk is not behind the stored mark. A member whose disk is behind ends
+// its process.
 
-// markInterval is the pause between two marks of a member. A copy of the disk that is younger than the last stored mark is not found.
+// markInterval is the minimum time between two marks of a member. A copy of the disk that is newer than the last stored mark is not
+// detected.
 const markInterval = time.Second
 
-// diskMark is how far a member's disk is. No field falls but on a disk that was put back from a copy.
+// diskMark is the progress of a member's disk. Starts, Term and Commit decrease only if the disk is restored from a copy.
 type diskMark struct {
-	Starts uint64 `json:"starts"` // of the program on the disk
-	Nonce  uint64 `json:"nonce"`  // of that start
+	Starts uint64 `json:"starts"` // process starts on this disk
+	Nonce  uint64 `json:"nonce"`  // random number of the latest start
 	Term   uint64 `json:"term"`
 	Commit uint64 `json:"commit"`
 }
 
-// aheadOf says what of a mark is ahead of another one of the same disk, by its text in refusals; empty: nothing is.
+// aheadOf compares a mark with another one of the same disk. It returns the error text for what is ahead of the other one; empty: nothing.
 func (m diskMark) aheadOf(other diskMark) string {
 	switch {
 	case m.Term > other.Term:
@@ -39,13 +41,14 @@
 	return ""
 }
 
-// ownMark is how far this disk is now.
+// ownMark returns the present mark of this disk.
 func (m *Member) ownMark() diskMark {
 	hardState, _, _ := m.store.memory.InitialState()
 	return diskMark{Starts: m.identity.Load().Starts, Nonce: m.startNonce, Term: hardState.GetTerm(), Commit: hardState.GetCommit()}
 }
 
-// confirm reports whether enough others have vouched for this disk since the start, and has the member take part once they have.
+// confirm reports whether enough other members have vouched for this disk since the start. Once they have, it lets this member vote and
+// acknowledge entries.
 func (m *Member) confirm() bool {
 	if m.confirmed || m.node == nil {
 		return m.confirmed
@@ -58,7 +61,7 @@
 			vouched++
 		}
 	}
-	needed := len(voters) / 2 // of the others: with this member a majority
+	needed := len(voters) / 2 // vouches of other members: with this member they are a majority
 	if !slices.Contains(voters, self) {
 		needed = min(1, len(voters))
 	}
@@ -69,8 +72,8 @@
 	return m.confirmed
 }
 
-// requestVouches asks the others whether this disk is as new as they know it. It is called at the start and once an election's time
-// until the member is confirmed.
+// requestVouches asks the other members to vouch for this disk. It is called at the start and then every electionTicks until the member is
+// confirmed.
 func (m *Member) requestVouches() {
 	if m.node == nil || m.confirmed || m.confirm() {
 		return
@@ -86,7 +89,7 @@
 				switch {
 				case err != nil:
 				case reply.Error == quorum.CodeSuperseded:
-					m.abort(fmt.Errorf("member %s says: %s; this disk has no vote: set %s aside and add the member anew", p.Name, reply.Fields["why"], m.cfg.Dir))
+					m.abort(fmt.Errorf("member %s rejected this disk: %s; this disk has no vote: move %s aside and add the member again", p.Name, reply.Fields["why"], m.cfg.Dir))
 				case reply.Error == "":
 					m.vouchedBy[id] = true
 					m.confirm()
@@ -96,7 +99,7 @@
 	}
 }
 
-// sendMark tells the others how far this disk is, where that has changed, once in markInterval.
+// sendMark sends this disk's mark to the other members if it has changed, at most once per markInterval.
 func (m *Member) sendMark() {
 	own := m.ownMark()
 	if !m.confirmed || own == m.sentMark || time.Since(m.markSentAt) < markInterval {
@@ -106,26 +109,26 @@
 	call := m.newMarkCall(quorum.MethodMark, own)
 	for _, p := range m.peers {
 		m.background.Go(func() {
-			_, _ = callPeer(m.ctx, p.Addr, call) // one that is lost is made up for by the next
+			_, _ = callPeer(m.ctx, p.Addr, call) // a lost mark is superseded by the next one
 		})
 	}
 }
 
-// newMarkCall is a call that says how far this disk is.
+// newMarkCall returns a call that carries a mark of this disk.
 func (m *Member) newMarkCall(method string, own diskMark) msgpackrpc.Call {
 	call := m.newPeerCall(method, nil)
 	call.Fields["t"], call.Fields["c"] = strconv.FormatUint(own.Term, 10), strconv.FormatUint(own.Commit, 10)
 	return call
 }
 
-// handleVouch answers a member that asks whether its disk is as new as this one knows it.
+// handleVouch vouches for another member's disk, or rejects it if the disk is behind the mark recorded here.
 func (m *Member) handleVouch(id uint64, mark diskMark) msgpackrpc.CallResult {
 	if reason := m.marks[id].aheadOf(mark); reason != "" {
 		m.log.Warn().Str("event", "group.disk_older").Str("member", m.state.Members[id].Name).Str("why", reason).Send()
 		return errorReply(quorum.CodeSuperseded, "the disk is older than its words: %s", reason)
 	}
 	m.marks[id] = mark
-	// It is stored before the other may vote: else a restart of this member would let an older disk in.
+	// The mark is stored before the other member may vote. Otherwise this member could restart, lose the mark and vouch for an older copy.
 	if err := m.store.save(nil, nil, nil, m.marks); err != nil {
 		m.abort(err)
 		return errorReply(quorum.CodeUnknownOutcome, "%v", err)
@@ -133,7 +136,7 @@
 	return msgpackrpc.CallResult{}
 }
 
-// handleMark notes how far another member's disk is; it is stored with the next write.
+// handleMark records the mark of another member's disk. The mark is stored with the next write.
 func (m *Member) handleMark(id uint64, mark diskMark) {
 	if last := m.marks[id]; mark.Term >= last.Term && mark.Commit >= last.Commit && mark != last {
 		m.marks[id], m.marksDirty = mark, true
