--- a/internal/controlplane/quorum/member/config_parts_test.go
+++ b/internal/controlplane/quorum/member/config_parts_test.go
@@ -28,20 +28,20 @@
 	"silverpath/internal/transport/msgpackrpc"
 )
 
-// members are members of a group in this process, with their own disks and words between them.
-type members struct {
-	t     *testing.T
-	dirs  []string
-	addrs []string
-	ends  []func()
-	stats []*metrics.Counters
-	of    []*Member
+// testGroup is a group whose members run in this process, with their own disks and real connections between them.
+type testGroup struct {
+	t       *testing.T
+	dirs    []string
+	addrs   []string
+	stops   []func()
+	stats   []*metrics.Counters
+	members []*Member
 	*quorum.Client
 }
 
-func newMembers(t *testing.T, n int, ttl time.Duration) *members {
+func newTestGroup(t *testing.T, n int, ttl time.Duration) *testGroup {
 	t.Helper()
-	g := &members{t: t, ends: make([]func(), n), of: make([]*Member, n), Client: &quorum.Client{Group: "test"}}
+	g := &testGroup{t: t, stops: make([]func(), n), members: make([]*Member, n), Client: &quorum.Client{Group: "test"}}
 	for range n {
 		reserved, err := harness.Reserve()
 		if err != nil {
@@ -57,7 +57,7 @@
 	}
 	t.Cleanup(func() {
 		g.Close()
-		for i := range g.ends {
+		for i := range g.stops {
 			g.stop(i)
 		}
 	})
@@ -69,36 +69,36 @@
 	return g
 }
 
-func (g *members) start(i int) {
+func (g *testGroup) start(i int) {
 	g.t.Helper()
 	m, err := Open(Config{Name: fmt.Sprint("q", i), Group: "test", Addr: g.addrs[i], Dir: g.dirs[i], Tick: 20 * time.Millisecond,
 		Log: zerolog.Nop(), Stats: g.stats[i]})
 	if err != nil {
 		g.t.Fatal(err)
 	}
-	quiet := log.New(io.Discard, "", 0)
-	words := msgpackrpc.NewCallServer(Name, g.stats[i], m.Answer)
+	discard := log.New(io.Discard, "", 0)
+	server := msgpackrpc.NewCallServer(Name, g.stats[i], m.Answer)
 	var mu sync.Mutex
 	var conns []net.Conn
 	ln, err := listener.Listen(Name, g.addrs[i], maxConnections, func() time.Duration { return time.Minute }, func(conn net.Conn, slot *listener.Slot) {
 		mu.Lock()
 		conns = append(conns, conn)
 		mu.Unlock()
-		words.Serve(conn, slot)
-	}, quiet, g.stats[i])
+		server.Serve(conn, slot)
+	}, discard, g.stats[i])
 	if err != nil {
 		g.t.Fatal(err)
 	}
 	go ln.Serve()
 	ctx, cancel := context.WithCancel(context.Background())
-	var all sync.WaitGroup
-	all.Go(func() {
+	var running sync.WaitGroup
+	running.Go(func() {
 		if err := m.Run(ctx); err != nil {
 			g.t.Error(err)
 		}
 	})
-	g.of[i] = m
-	g.ends[i] = func() { // as a process ends: nothing on its connections is answered any more
+	g.members[i] = m
+	g.stops[i] = func() { // like the end of a process: calls in flight get no reply
 		ln.Close()
 		cancel()
 		mu.Lock()
@@ -106,48 +106,48 @@
 			conn.Close()
 		}
 		mu.Unlock()
-		all.Wait()
+		running.Wait()
 	}
 }
 
-func (g *members) stop(i int) {
-	if g.ends[i] != nil {
-		g.ends[i]()
-		g.ends[i] = nil
+func (g *testGroup) stop(i int) {
+	if g.stops[i] != nil {
+		g.stops[i]()
+		g.stops[i] = nil
 	}
 }
 
-func (g *members) do(c configstore.Change) statemachine.Result {
+func (g *testGroup) apply(change configstore.Change) statemachine.Result {
 	g.t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
-	r, err := g.Do(ctx, statemachine.Command{Config: &c})
+	r, err := g.Do(ctx, statemachine.Command{Config: &change})
 	if err != nil {
 		g.t.Fatal(err)
 	}
 	return r
 }
 
-func (g *members) must(c configstore.Change) statemachine.Result {
+func (g *testGroup) mustApply(change configstore.Change) statemachine.Result {
 	g.t.Helper()
-	r := g.do(c)
+	r := g.apply(change)
 	if r.Error != "" {
 		g.t.Fatal(r.Error)
 	}
 	return r
 }
 
-func (g *members) await(what string, yes func() bool) {
+func (g *testGroup) await(event string, happened func() bool) {
 	g.t.Helper()
-	for end := time.Now().Add(time.Minute); !yes(); time.Sleep(5 * time.Millisecond) {
-		if time.Now().After(end) {
-			g.t.Fatal("not within a minute: ", what)
+	for deadline := time.Now().Add(time.Minute); !happened(); time.Sleep(5 * time.Millisecond) {
+		if time.Now().After(deadline) {
+			g.t.Fatal("did not happen within a minute: ", event)
 		}
 	}
 }
 
-// force is what is in force of the map.
-func (g *members) force() *configstore.Revision {
+// activeMap returns the active version of the map, or nil if there is none.
+func (g *testGroup) activeMap() *configstore.Revision {
 	g.t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
@@ -155,19 +155,19 @@
 	if err != nil {
 		g.t.Fatal(err)
 	}
-	d := r.Store.Documents[configstore.DocMap]
-	if d == nil {
+	document := r.Store.Documents[configstore.DocMap]
+	if document == nil {
 		return nil
 	}
-	return d.Active
+	return document.Active
 }
 
-func (g *members) inForce(version int) {
+func (g *testGroup) awaitActive(version int) {
 	g.t.Helper()
-	g.await(fmt.Sprint("version ", version), func() bool { e := g.force(); return e != nil && e.ID.Version == version })
+	g.await(fmt.Sprint("version ", version), func() bool { active := g.activeMap(); return active != nil && active.ID.Version == version })
 }
 
-// largeMap is a map of so many tenants in three cells.
+// largeMap returns a map with a number of tenants in three cells.
 func largeMap(tenants int) *cells.Map {
 	m := &cells.Map{Version: 1, KeyWindow: time.Second, MaxClockSkew: 50 * time.Millisecond, Lease: time.Second, CallerTimeout: time.Second}
 	for i := range 3 {
@@ -180,90 +180,90 @@
 	return m
 }
 
-// loadMap puts a whole map in parts, by a draft.
-func (g *members) loadMap(texts map[string]string, version int) {
+// loadMap proposes a complete map in parts, which it first loads as a draft.
+func (g *testGroup) loadMap(texts map[string]string, version int) {
 	g.t.Helper()
-	for _, one := range configstore.Batches(texts) {
-		g.must(configstore.Change{Op: configstore.OpLoadDraft, Doc: configstore.DocMap, Draft: "a", Parts: one})
+	for _, batch := range configstore.Batches(texts) {
+		g.mustApply(configstore.Change{Op: configstore.OpLoadDraft, Doc: configstore.DocMap, Draft: "a", Parts: batch})
 	}
-	g.must(configstore.Change{Op: configstore.OpPropose, Doc: configstore.DocMap, Version: version, Draft: "a", Digest: configstore.TextsDigest(texts), Author: "t"})
+	g.mustApply(configstore.Change{Op: configstore.OpPropose, Doc: configstore.DocMap, Version: version, Draft: "a", Digest: configstore.TextsDigest(texts), Author: "t"})
 }
 
-// follower is the side of a process that follows the map, without its clock.
+// follower is the client side of a process that uses the map, without its poll timer.
 type follower struct {
-	h     *configstore.Replica
-	says  map[string]string
-	began time.Time
-	bytes int // of the last answer
+	replica   *configstore.Replica
+	texts     map[string]string
+	startedAt time.Time
+	lastSize  int // bytes of the last reply
 }
 
 func newFollower(name string, format int) *follower {
-	f := &follower{h: configstore.NewReplica(name, map[string]int{configstore.DocMap: format}), says: map[string]string{}, began: time.Now()}
-	f.h.CheckParts = func(string, map[string]string, bool) error { return nil }
+	f := &follower{replica: configstore.NewReplica(name, map[string]int{configstore.DocMap: format}), texts: map[string]string{}, startedAt: time.Now()}
+	f.replica.CheckParts = func(string, map[string]string, bool) error { return nil }
 	return f
 }
 
-func (f *follower) take(list []configstore.Update) {
-	for _, t := range list {
-		if t.Complete || t.Revision.Text != "" {
-			f.says = map[string]string{"": t.Revision.Text}
-			if t.Revision.Text == "" {
-				delete(f.says, "")
+func (f *follower) applyUpdates(updates []configstore.Update) {
+	for _, update := range updates {
+		if update.Complete || update.Revision.Text != "" {
+			f.texts = map[string]string{"": update.Revision.Text}
+			if update.Revision.Text == "" {
+				delete(f.texts, "")
 			}
 		}
-		maps.Copy(f.says, t.Parts)
+		maps.Copy(f.texts, update.Parts)
 	}
 }
 
-func pass(string, string) error { return nil }
+func acceptText(string, string) error { return nil }
 
-// once asks the group once, and for what it lacks.
-func (f *follower) once(g *members) error {
+// poll sends one report, and then one request for parts if the process lacks any.
+func (f *follower) poll(g *testGroup) error {
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
-	asked := time.Since(f.began)
-	a, err := g.Sync(ctx, quorum.ConfigSync{Process: f.h.Report(), HasVersions: f.h.KnownVersions(), BaseVersions: f.h.CompleteVersions(), ActiveVersions: f.h.ActiveVersions()})
+	sentAt := time.Since(f.startedAt)
+	reply, err := g.Sync(ctx, quorum.ConfigSync{Process: f.replica.Report(), HasVersions: f.replica.KnownVersions(), BaseVersions: f.replica.CompleteVersions(), ActiveVersions: f.replica.ActiveVersions()})
 	if err != nil {
 		return err
 	}
-	b, _ := json.Marshal(a)
-	f.bytes = len(b)
-	f.take(f.h.Receive(asked, a.Index, a.Terms, a.Docs, pass))
-	if w, _, ok := f.h.NextRequest(time.Since(f.began)); ok {
-		p, err := g.Parts(ctx, w)
+	encoded, _ := json.Marshal(reply)
+	f.lastSize = len(encoded)
+	f.applyUpdates(f.replica.Receive(sentAt, reply.Index, reply.Terms, reply.Docs, acceptText))
+	if request, _, ok := f.replica.NextRequest(time.Since(f.startedAt)); ok {
+		parts, err := g.Parts(ctx, request)
 		if err != nil {
-			f.h.RequestFailed()
+			f.replica.RequestFailed()
 			return err
 		}
-		f.take(f.h.ReceiveParts(time.Since(f.began), w, p.ID, p.Parts, pass))
+		f.applyUpdates(f.replica.ReceiveParts(time.Since(f.startedAt), request, parts.ID, parts.Parts, acceptText))
 	}
 	return nil
 }
 
-// A thousand processes that got the complete map with every change, or with every question, would fill the leader's link. A process gets
-// it once, then the parts that changed; at rest the reply does not grow with the map. One of an older build is told that it can't read
-// the active version, and a change in parts waits for one that is there.
+// A thousand processes that received the complete map with every change, or with every poll, would saturate the leader's link. A process
+// must receive the map once and then only changed parts, and a reply without changes must not grow with the map. A process of an older
+// build must be rejected because it cannot read the active version; while one is registered, a change in parts waits for it.
 func TestProcessFollowsALargeMapByWhatChanged(t *testing.T) {
 	var atRest []int
 	for _, tenants := range []int{1000, 21000} {
-		g := newMembers(t, 1, 3*time.Second)
-		m := largeMap(tenants)
-		texts := settings.SplitCells(m)
+		g := newTestGroup(t, 1, 3*time.Second)
+		cellMap := largeMap(tenants)
+		texts := settings.SplitCells(cellMap)
 		g.loadMap(texts, 0)
-		g.inForce(1)
+		g.awaitActive(1)
 		f := newFollower("r1", 2)
-		g.await("the whole map", func() bool { _ = f.once(g); return maps.Equal(f.says, texts) })
-		if err := f.once(g); err != nil {
+		g.await("the whole map", func() bool { _ = f.poll(g); return maps.Equal(f.texts, texts) })
+		if err := f.poll(g); err != nil {
 			t.Fatal(err)
 		}
-		atRest = append(atRest, f.bytes)
-		if err := newFollower("r0", 1).once(g); err == nil || !strings.Contains(err.Error(), "format 2: this build reads 1") {
+		atRest = append(atRest, f.lastSize)
+		if err := newFollower("r0", 1).poll(g); err == nil || !strings.Contains(err.Error(), "format 2: this build reads 1") {
 			t.Error(err)
 		}
 
-		m.Version = 2
-		m.Tenants[0].Rate = 2
-		after := settings.SplitCells(m)
+		cellMap.Version = 2
+		cellMap.Tenants[0].Rate = 2
+		after := settings.SplitCells(cellMap)
 		changed := map[string]string{}
 		for name, text := range after {
 			if texts[name] != text {
@@ -271,70 +271,70 @@
 			}
 		}
 		if len(changed) != 2 {
-			t.Fatalf("%d parts changed", len(changed))
+			t.Fatalf("%d parts changed, want 2", len(changed))
 		}
-		c := configstore.Change{Op: configstore.OpPropose, Doc: configstore.DocMap, Version: 1, Parts: changed, Digest: configstore.TextsDigest(after), Author: "t"}
-		wrong := c
-		wrong.Digest++
-		if r := g.do(wrong); !strings.Contains(r.Error, "they are of another version") {
+		change := configstore.Change{Op: configstore.OpPropose, Doc: configstore.DocMap, Version: 1, Parts: changed, Digest: configstore.TextsDigest(after), Author: "t"}
+		wrongDigest := change
+		wrongDigest.Digest++
+		if r := g.apply(wrongDigest); !strings.Contains(r.Error, "they are of another version") {
 			t.Error(r.Error)
 		}
-		g.must(c)
-		most := 0
-		g.await("the change", func() bool { _ = f.once(g); most = max(most, f.bytes); return maps.Equal(f.says, after) })
-		size := 0
+		g.mustApply(change)
+		maxSize := 0
+		g.await("the change", func() bool { _ = f.poll(g); maxSize = max(maxSize, f.lastSize); return maps.Equal(f.texts, after) })
+		changeSize := 0
 		for _, text := range changed {
-			size += configstore.EncodedSize(text)
+			changeSize += configstore.EncodedSize(text)
 		}
-		if most > atRest[len(atRest)-1]+2*size+1000 {
-			t.Errorf("%d tenants: an answer of %d bytes for a change of %d", tenants, most, size)
+		if maxSize > atRest[len(atRest)-1]+2*changeSize+1000 {
+			t.Errorf("%d tenants: a reply has %d bytes for a change of %d", tenants, maxSize, changeSize)
 		}
-		t.Logf("%d tenants: %d bytes at rest, %d at most for a change of %d", tenants, atRest[len(atRest)-1], most, size)
+		t.Logf("%d tenants: reply has %d bytes without changes, at most %d for a change of %d", tenants, atRest[len(atRest)-1], maxSize, changeSize)
 	}
-	if d := atRest[1] - atRest[0]; d > 8 || d < -8 {
-		t.Errorf("at rest an answer has %d bytes of 1,000 tenants, %d of 21,000", atRest[0], atRest[1])
+	if growth := atRest[1] - atRest[0]; growth > 8 || growth < -8 {
+		t.Errorf("a reply without changes has %d bytes with 1,000 tenants, %d with 21,000", atRest[0], atRest[1])
 	}
 }
 
-// A client of another build might write less than a change touches, and what must stop would go on. So the leader writes it: a new
-// cell stops that cell alone, the clock skew everything. A map that is not in parts is the base of the first one that is.
+// A client of another build might compute too small a scope for a change, and work that must pause would continue. So the leader computes
+// the scope: a new cell pauses that cell alone, a new clock skew pauses everything. The first map in parts may follow one that is not.
 func TestLeaderWritesWhatAChangeTouches(t *testing.T) {
-	g := newMembers(t, 1, 3*time.Second)
-	m := largeMap(30)
-	g.must(configstore.Change{Op: configstore.OpPropose, Doc: configstore.DocMap, Text: string(settings.FormatCells(m))})
-	g.inForce(1)
-	if e := g.force(); e.InParts || e.Format != 1 {
-		t.Fatalf("%+v", e)
+	g := newTestGroup(t, 1, 3*time.Second)
+	cellMap := largeMap(30)
+	g.mustApply(configstore.Change{Op: configstore.OpPropose, Doc: configstore.DocMap, Text: string(settings.FormatCells(cellMap))})
+	g.awaitActive(1)
+	if active := g.activeMap(); active.InParts || active.Format != 1 {
+		t.Fatalf("active version is %+v, want format 1 and not in parts", active)
 	}
 	version := 1
 	for _, c := range []struct {
-		change    func()
+		edit      func()
 		exclusive bool
-		touches   string
+		scope     string
 	}{
-		{func() {}, false, ""}, // only its form
-		{func() { m.Tenants[3].Rate = 7 }, false, ""},
+		{func() {}, false, ""}, // only the format changes
+		{func() { cellMap.Tenants[3].Rate = 7 }, false, ""},
 		{func() {
-			m.Cells = append(m.Cells, cells.Cell{Name: "new", Capacity: 5})
-			m.Servers = append(m.Servers, cells.Server{Name: "sn", Addr: "127.0.0.1:9", Cell: "new", Weight: 1})
+			cellMap.Cells = append(cellMap.Cells, cells.Cell{Name: "new", Capacity: 5})
+			cellMap.Servers = append(cellMap.Servers, cells.Server{Name: "sn", Addr: "127.0.0.1:9", Cell: "new", Weight: 1})
 		}, true, "cell:new"},
-		{func() { m.MaxClockSkew *= 2 }, true, ""},
+		{func() { cellMap.MaxClockSkew *= 2 }, true, ""},
 	} {
-		m.Version++
-		c.change()
-		texts := settings.SplitCells(m)
-		r := g.must(configstore.Change{Op: configstore.OpPropose, Doc: configstore.DocMap, Version: version, Parts: texts, Digest: configstore.TextsDigest(texts), Scope: []string{"cell:lie"}})
+		cellMap.Version++
+		c.edit()
+		texts := settings.SplitCells(cellMap)
+		r := g.mustApply(configstore.Change{Op: configstore.OpPropose, Doc: configstore.DocMap, Version: version, Parts: texts, Digest: configstore.TextsDigest(texts), Scope: []string{"cell:lie"}})
 		version++
 		if r.Version != version {
-			t.Errorf("version %d, not %d", r.Version, version)
+			t.Errorf("proposed as version %d, want %d", r.Version, version)
 		}
-		g.inForce(version)
-		e := g.force()
-		if e.Exclusive != c.exclusive || strings.Join(e.Scope, " ") != c.touches || !e.InParts {
-			t.Errorf("version %d: exclusive %v, touches %q", version, e.Exclusive, e.Scope)
+		g.awaitActive(version)
+		active := g.activeMap()
+		if active.Exclusive != c.exclusive || strings.Join(active.Scope, " ") != c.scope || !active.InParts {
+			t.Errorf("version %d: exclusive %v, scope %q", version, active.Exclusive, active.Scope)
 		}
 	}
-	for why, c := range map[string]configstore.Change{
+	for want, change := range map[string]configstore.Change{
 		"only a map is in parts":         {Op: configstore.OpLoadDraft, Doc: configstore.DocRouting, Draft: "x", Parts: map[string]string{"a": "{}"}},
 		"a whole text can't be put":      {Op: configstore.OpPropose, Doc: configstore.DocMap, Version: version, Text: "{}"},
 		"only the group's leader may":    {Op: configstore.OpExpire, Author: "r1"},
@@ -344,162 +344,162 @@
 		"bytes in one command":           {Op: configstore.OpPropose, Doc: configstore.DocMap, Version: version, Author: strings.Repeat("\x01", 100_000)},
 	} {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
-		r, err := g.Do(ctx, statemachine.Command{Config: &c})
+		r, err := g.Do(ctx, statemachine.Command{Config: &change})
 		cancel()
-		if got := fmt.Sprint(r.Error, err); !strings.Contains(got, why) || strings.Contains(got, "\n") {
-			t.Errorf("%q, not %q", got, why)
+		if got := fmt.Sprint(r.Error, err); !strings.Contains(got, want) || strings.Contains(got, "\n") {
+			t.Errorf("change failed with %q, want %q in one line", got, want)
 		}
 	}
 }
 
-// A member that was away while the log went on needs a snapshot that is longer than a call. It goes in parts; one that is lost on the way
-// has the whole snapshot sent again.
+// A member that was down while the log grew needs a snapshot that is longer than a call. The snapshot is sent in parts. If a part is lost,
+// the whole snapshot must be sent again, else the member would never catch up.
 func TestLongSnapshotGoesInPartsAndIsSentAgain(t *testing.T) {
-	var lost atomic.Int32
-	t.Cleanup(func() { SnapshotPartHook = nil }) // once the members have ended
-	SnapshotPartHook = func(n int) bool { return n != 2 || lost.Add(1) != 1 }
-	g := newMembers(t, 3, 3*time.Second)
+	var thirdPartCalls atomic.Int32
+	t.Cleanup(func() { SnapshotPartHook = nil }) // runs after the members have stopped
+	SnapshotPartHook = func(n int) bool { return n != 2 || thirdPartCalls.Add(1) != 1 }
+	g := newTestGroup(t, 3, 3*time.Second)
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
 	if _, err := g.Read(ctx, ""); err != nil {
 		t.Fatal(err)
 	}
-	away := 0
-	for i, m := range g.of {
+	absent := 0
+	for i, m := range g.members {
 		if m.Status().State != "leader" {
-			away = i
+			absent = i
 		}
 	}
-	g.stop(away)
+	g.stop(absent)
 	texts := settings.SplitCells(largeMap(21000))
 	g.loadMap(texts, 0)
-	g.inForce(1)
-	sum := func(name string) (n uint64) {
+	g.awaitActive(1)
+	total := func(name string) (n uint64) {
 		for _, s := range g.stats {
 			n += s.Get("group", name)
 		}
 		return n
 	}
-	snapshots := sum("snapshots")
-	for n := 0; sum("snapshots") < snapshots+2 && n < 1000; n++ { // what is kept of the log is bounded in bytes too
-		one := configstore.Batches(texts)[0]
-		one["t00"] += strings.Repeat(" ", n+1)
-		g.must(configstore.Change{Op: configstore.OpLoadDraft, Doc: configstore.DocMap, Draft: fmt.Sprint("x", n), Parts: one})
+	snapshots := total("snapshots")
+	for n := 0; total("snapshots") < snapshots+2 && n < 1000; n++ { // the kept log is bounded in bytes too
+		batch := configstore.Batches(texts)[0]
+		batch["t00"] += strings.Repeat(" ", n+1)
+		g.mustApply(configstore.Change{Op: configstore.OpLoadDraft, Doc: configstore.DocMap, Draft: fmt.Sprint("x", n), Parts: batch})
 	}
-	if sum("snapshots") < snapshots+2 {
-		t.Fatal("no snapshot was made of what was written")
+	if total("snapshots") < snapshots+2 {
+		t.Fatal("the writes triggered fewer than 2 snapshots")
 	}
-	g.start(away)
+	g.start(absent)
 	t.Cleanup(func() {
 		if t.Failed() {
 			for i, s := range g.stats {
 				var b strings.Builder
 				s.Print(&b)
-				t.Logf("member %d, %+v:\n%s", i, g.of[i].Status(), b.String())
+				t.Logf("member %d, %+v:\n%s", i, g.members[i].Status(), b.String())
 			}
 		}
 	})
-	g.await("the member that was away has caught up", func() bool {
-		e, all := g.of[away].Status(), uint64(0)
-		for i, m := range g.of {
-			if i != away {
-				all = max(all, m.Status().Applied)
+	g.await("the member that was down has caught up", func() bool {
+		status, maxApplied := g.members[absent].Status(), uint64(0)
+		for i, m := range g.members {
+			if i != absent {
+				maxApplied = max(maxApplied, m.Status().Applied)
 			}
 		}
-		return e.Applied >= all
+		return status.Applied >= maxApplied
 	})
-	if lost.Load() < 2 || sum("snapshots_unsent") == 0 || g.stats[away].Get("group", "snapshots_put_together") == 0 {
-		t.Errorf("the third chunk went out %d times, %d failed, %d put together", lost.Load(), sum("snapshots_unsent"), g.stats[away].Get("group", "snapshots_put_together"))
+	if thirdPartCalls.Load() < 2 || total("snapshots_unsent") == 0 || g.stats[absent].Get("group", "snapshots_put_together") == 0 {
+		t.Errorf("the third part was sent %d times; snapshots: %d failed, %d assembled", thirdPartCalls.Load(), total("snapshots_unsent"), g.stats[absent].Get("group", "snapshots_put_together"))
 	}
-	// It has the same as the others, and can lead.
-	for i := range g.of {
-		if i != away {
+	// The member has the same state as the others: it can form a majority with one of them.
+	for i := range g.members {
+		if i != absent {
 			g.stop(i)
 			break
 		}
 	}
-	if e := g.force(); e == nil || e.ID.Digest != configstore.TextsDigest(texts) {
-		t.Errorf("%+v", e)
+	if active := g.activeMap(); active == nil || active.ID.Digest != configstore.TextsDigest(texts) {
+		t.Errorf("active version after one member stopped is %+v", active)
 	}
 }
 
-// Parts of two snapshots, or with one missing between, would make a state that no member has. A part that does not follow, is of another
-// snapshot, or beyond the bound is refused, and what there was is dropped.
+// Parts of two snapshots, or with a part missing in between, would assemble a state that no member has. A part that is out of order, belongs
+// to another snapshot or exceeds a bound must be rejected, and the incomplete snapshot dropped.
 func TestPartsThatDoNotFollowDropTheSnapshot(t *testing.T) {
 	m := &Member{confirmed: true, stats: &metrics.Counters{}, cfg: Config{Group: "test"}}
-	say := func(from uint64, body, s, o, l string) string {
-		v := m.handleSnapshotPart(msgpackrpc.Call{Body: []byte(body), Fields: map[string]string{"s": s, "o": o, "l": l}}, from)
-		return v.Error
+	sendPart := func(from uint64, body, s, o, l string) string {
+		reply := m.handleSnapshotPart(msgpackrpc.Call{Body: []byte(body), Fields: map[string]string{"s": s, "o": o, "l": l}}, from)
+		return reply.Error
 	}
 	for i, c := range []struct {
 		from          uint64
 		body, s, o, l string
 		ok            bool
 	}{
-		{1, "abc", "7", "3", "9", false}, // nothing before it
+		{1, "abc", "7", "3", "9", false}, // not the first part
 		{1, "abc", "7", "0", "9", true},
 		{1, "abc", "7", "3", "9", true},
-		{1, "abc", "8", "6", "9", false}, // of another one
-		{1, "abc", "7", "6", "9", false}, // dropped by now
+		{1, "abc", "8", "6", "9", false}, // of another snapshot
+		{1, "abc", "7", "6", "9", false}, // the snapshot was dropped
 		{1, "abc", "7", "0", "9", true},
-		{2, "abc", "7", "3", "9", false}, // by another one
+		{2, "abc", "7", "3", "9", false}, // from another member
 		{1, "abc", "7", "0", "9", true},
-		{1, "abcdefg", "7", "3", "9", false}, // longer than it is
+		{1, "abcdefg", "7", "3", "9", false}, // exceeds the length of the snapshot
 		{1, "abc", "7", "0", fmt.Sprint(maxSnapshotBytes + 1), false},
 		{1, "abc", "7", "0", "0", false},
-		{1, "abc", "7", "0", "3", false}, // its checksum is wrong
+		{1, "abc", "7", "0", "3", false}, // wrong checksum
 	} {
-		if got := say(c.from, c.body, c.s, c.o, c.l); (got == "") != c.ok {
-			t.Errorf("%d: %q", i, got)
+		if got := sendPart(c.from, c.body, c.s, c.o, c.l); (got == "") != c.ok {
+			t.Errorf("part %d: reply has error code %q", i, got)
 		}
 	}
 	if m.incoming != nil {
-		t.Error("something is kept")
+		t.Error("an incomplete snapshot is kept after a rejected part")
 	}
-	say(1, "abc", "7", "0", "9")
+	sendPart(1, "abc", "7", "0", "9")
 	m.incoming.receivedAt = m.incoming.receivedAt.Add(-snapshotPartTimeout - time.Second)
 	if m.dropStalledSnapshot(); m.incoming != nil {
-		t.Error("kept though nothing more comes")
+		t.Error("an incomplete snapshot is kept after its timeout")
 	}
 }
 
-// A hundred processes that come back at once would cost a hundred writes to the disk. What they report while the disk is busy is one
-// entry of the log, and each has its reply.
+// A hundred processes that return at once would cost a hundred disk writes. Reports that arrive while the disk is busy must share log
+// entries, and each process must get its reply.
 func TestReportsThatComeTogetherAreOneEntry(t *testing.T) {
-	var held atomic.Bool
-	free := make(chan struct{})
-	t.Cleanup(func() { DiskFaultHook = nil }) // once the members have ended
+	var stalled atomic.Bool
+	release := make(chan struct{})
+	t.Cleanup(func() { DiskFaultHook = nil }) // runs after the members have stopped
 	DiskFaultHook = func(string) error {
-		if held.Load() {
-			<-free
+		if stalled.Load() {
+			<-release
 		}
 		return nil
 	}
-	g := newMembers(t, 1, time.Minute)
+	g := newTestGroup(t, 1, time.Minute)
 	g.loadMap(settings.SplitCells(largeMap(30)), 0)
-	g.inForce(1)
+	g.awaitActive(1)
 	const n = 100
-	m, before := g.of[0], g.stats[0].Get("group", "applied")
-	held.Store(true)
-	var all sync.WaitGroup
-	registered := func(i int) {
-		all.Go(func() {
-			c := &members{Client: &quorum.Client{Group: "test", Addrs: g.addrs}}
-			defer c.Close()
-			f := newFollower(fmt.Sprint("r", i), 2)
-			for f.once(c) != nil && t.Context().Err() == nil {
+	m, before := g.members[0], g.stats[0].Get("group", "applied")
+	stalled.Store(true)
+	var clients sync.WaitGroup
+	register := func(i int) {
+		clients.Go(func() {
+			group := &testGroup{Client: &quorum.Client{Group: "test", Addrs: g.addrs}}
+			defer group.Close()
+			process := newFollower(fmt.Sprint("r", i), 2)
+			for process.poll(group) != nil && t.Context().Err() == nil {
 				time.Sleep(10 * time.Millisecond)
 			}
 		})
 	}
-	registered(0) // it has the disk written
+	register(0) // its registration starts a disk write, which blocks
 	for i := range n - 1 {
-		registered(i + 1)
+		register(i + 1)
 	}
-	g.await("they all wait", func() bool { return len(m.calls) >= n-1 })
-	held.Store(false)
-	close(free)
-	all.Wait()
+	g.await("all processes wait for replies", func() bool { return len(m.calls) >= n-1 })
+	stalled.Store(false)
+	close(release)
+	clients.Wait()
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
 	r, err := g.Config(ctx)
@@ -508,7 +508,7 @@
 	}
 	entries := g.stats[0].Get("group", "applied") - before
 	if entries > n/10 {
-		t.Errorf("%d entries for %d words", entries, n)
+		t.Errorf("%d log entries for %d reports, want at most a tenth", entries, n)
 	}
-	t.Logf("%d entries for %d words", entries, n)
+	t.Logf("%d log entries for %d reports", entries, n)
 }
--- a/internal/controlplane/quorum/member/golden_test.go
+++ b/internal/controlplane/quorum/member/golden_test.go
@@ -32,35 +32,35 @@
 	"silverpath/internal/transport/msgpackrpc"
 )
 
-// A group is upgraded member by member: what a member finds on its disk was written by an earlier build, and whoever it talks with
-// may still be one. Here are disks and messages as an earlier build wrote them.
+// Members of a group are upgraded one at a time, so a member's disk may have been written by an earlier build, and its peers may still run
+// one. These tests use disks and messages that an earlier build wrote.
 
-// A member whose program is replaced goes on from its disk: it is the same member of the same group, leads it again (it is the only
-// one), and answers what the earlier build would have answered: the duties and journals, the documents with the change under way,
-// and what a process that follows them is told. The disks have a snapshot and entries after it; one has documents that are whole,
-// the other a map in parts.
+// A build that cannot read an earlier build's disk, or reads it differently, would lose the state of the group in an upgrade. The member
+// must keep its identity, become leader again, as the only member, and reply as the earlier build would have: with the duties and
+// journals, the documents with the change in progress, and the versions for a process. Each disk has a snapshot and later entries. One has
+// unsplit documents, the other a map in parts.
 func TestDiskOfAnEarlierBuild(t *testing.T) {
 	for _, kind := range []string{"whole", "parts"} {
 		t.Run(kind, func(t *testing.T) {
 			dir := t.TempDir()
-			b, err := os.ReadFile("testdata/" + kind + ".db")
+			database, err := os.ReadFile("testdata/" + kind + ".db")
 			if err != nil {
 				t.Fatal(err)
 			}
-			if err := os.WriteFile(filepath.Join(dir, "group.db"), b, 0o600); err != nil {
+			if err := os.WriteFile(filepath.Join(dir, "group.db"), database, 0o600); err != nil {
 				t.Fatal(err)
 			}
-			addr, stop := startMember(t, dir, "q0", "test")
-			say := dialMember(t, addr)
+			addr, stopMember := startMember(t, dir, "q0", "test")
+			send := dialMember(t, addr)
 			leads := false
-			for end := time.Now().Add(30 * time.Second); !leads; time.Sleep(10 * time.Millisecond) {
-				leads = strings.Contains(say("group.read", "", "g", "test", "duty", ""), `[1, 0, nil,`)
-				if time.Now().After(end) {
-					t.Fatal("it does not lead")
+			for deadline := time.Now().Add(30 * time.Second); !leads; time.Sleep(10 * time.Millisecond) {
+				leads = strings.Contains(send("group.read", "", "g", "test", "duty", ""), `[1, 0, nil,`)
+				if time.Now().After(deadline) {
+					t.Fatal("the member did not become leader within 30s")
 				}
 			}
-			var got strings.Builder
-			for _, w := range [][]string{
+			var answers strings.Builder
+			for _, request := range [][]string{
 				{"group.status", ""},
 				{"group.read", "", "duty", "*"},
 				{"group.read", "", "duty", "keeper"},
@@ -96,14 +96,14 @@
 				{"group.raft", ""},
 				{"group.cook", ""},
 			} {
-				fields := append([]string{"g", "test"}, w[2:]...)
-				fmt.Fprintf(&got, "%s %s %s\n%s\n", w[0], strings.Join(fields, " "), w[1], say(w[0], w[1], fields...))
+				fields := append([]string{"g", "test"}, request[2:]...)
+				fmt.Fprintf(&answers, "%s %s %s\n%s\n", request[0], strings.Join(fields, " "), request[1], send(request[0], request[1], fields...))
 			}
-			fmt.Fprintf(&got, "of another group\n%s\n", say("group.status", "", "g", "other"))
-			compareFile(t, masked(got.String()), kind+".answers")
-			stop()
+			fmt.Fprintf(&answers, "of another group\n%s\n", send("group.status", "", "g", "other"))
+			compareGolden(t, maskVolatile(answers.String()), kind+".answers")
+			stopMember()
 
-			// What it writes now has the keys and forms that the earlier build reads.
+			// The disk after this run has the keys and formats that the earlier build reads.
 			db, err := bbolt.Open(filepath.Join(dir, "group.db"), 0o600, &bbolt.Options{Timeout: time.Second})
 			if err != nil {
 				t.Fatal(err)
@@ -113,123 +113,124 @@
 					t.Error(err)
 				}
 			}()
-			var disk strings.Builder
+			var contents strings.Builder
 			err = db.View(func(tx *bbolt.Tx) error {
-				return tx.ForEach(func(name []byte, b *bbolt.Bucket) error {
-					fmt.Fprintf(&disk, "%s:", name)
+				return tx.ForEach(func(name []byte, bucket *bbolt.Bucket) error {
+					fmt.Fprintf(&contents, "%s:", name)
 					keys := 0
-					err := b.ForEach(func(k, v []byte) error {
+					err := bucket.ForEach(func(k, v []byte) error {
 						if keys++; string(name) == "meta" {
-							fmt.Fprintf(&disk, " %s", k)
+							fmt.Fprintf(&contents, " %s", k)
 							if v[0] == '{' || len(v) < 3 {
-								fmt.Fprintf(&disk, "=%s", v)
+								fmt.Fprintf(&contents, "=%s", v)
 							}
 						} else if len(k) != 8 {
-							t.Errorf("key %x", k)
+							t.Errorf("key %x of the log has not 8 bytes", k)
 						}
 						return nil
 					})
 					if string(name) == "log" && keys == 0 {
-						t.Error("an empty log")
+						t.Error("the log has no entries")
 					}
-					disk.WriteByte('\n')
+					contents.WriteByte('\n')
 					return err
 				})
 			})
 			if err != nil {
 				t.Fatal(err)
 			}
-			compareFile(t, disk.String(), kind+".keys")
+			compareGolden(t, contents.String(), kind+".keys")
 		})
 	}
 }
 
-// A member of another build asks and is asked: that it vouches for a disk, says how far its own is, and the library's messages, each
-// behind its length. The member here is founded with one of a later or earlier build, which is played by the test.
+// A change to the messages between members would split a group while it is upgraded. The test plays the second member of a group and checks
+// the vouch, mark and raft messages that the real member sends, and its replies to such messages.
 func TestMessagesBetweenMembersOfAnEarlierBuild(t *testing.T) {
 	addr, _ := startMember(t, t.TempDir(), "q0", "test")
-	say := dialMember(t, addr)
+	send := dialMember(t, addr)
 	var status quorum.Status
-	statusOf := func() {
+	refreshStatus := func() {
 		t.Helper()
-		text := say("group.status", "", "g", "test")
+		text := send("group.status", "", "g", "test")
 		text = text[strings.Index(text, "{"):]
 		if err := json.NewDecoder(strings.NewReader(text)).Decode(&status); err != nil {
-			t.Fatalf("%s: %v", text, err)
+			t.Fatalf("failed to decode status %s: %v", text, err)
 		}
 	}
-	statusOf()
-	other := newRecorder(t, func(method string, n int) string { return "" })
-	founding := fmt.Sprintf(`{"group":"test","members":[{"id":%d,"name":"q0","addr":"%s"},{"id":7,"name":"q1","addr":"%s"}],"terms":{"ttl":60000000000,"drift":0.05}}`,
-		parseID(t, status.ID), addr, other.addr)
-	if got := say("group.found", founding, "g", "test"); got != `[1, 0, nil, [bin"", {}]]` {
+	refreshStatus()
+	fakePeer := newRecorder(t, func(method string, n int) string { return "" })
+	bootstrap := fmt.Sprintf(`{"group":"test","members":[{"id":%d,"name":"q0","addr":"%s"},{"id":7,"name":"q1","addr":"%s"}],"terms":{"ttl":60000000000,"drift":0.05}}`,
+		parseID(t, status.ID), addr, fakePeer.addr)
+	if got := send("group.found", bootstrap, "g", "test"); got != `[1, 0, nil, [bin"", {}]]` {
 		t.Fatal(got)
 	}
-	statusOf()
-	for end := time.Now().Add(30 * time.Second); !other.has("group.vouch", "group.raft", "group.mark"); time.Sleep(10 * time.Millisecond) {
-		if time.Now().After(end) {
-			t.Fatal("not heard:\n", other.text())
+	refreshStatus()
+	for deadline := time.Now().Add(30 * time.Second); !fakePeer.hasAll("group.vouch", "group.raft", "group.mark"); time.Sleep(10 * time.Millisecond) {
+		if time.Now().After(deadline) {
+			t.Fatal("no vouch, raft and mark calls within 30s; received:\n", fakePeer.allText())
 		}
 	}
 	self := parseID(t, status.ID)
 	mask := func(s string) string {
 		s = strings.ReplaceAll(s, status.GroupID, "GROUP")
 		s = strings.ReplaceAll(s, fmt.Sprint(self), "SELF")
-		return regexp.MustCompile(`"n":"\d+"`).ReplaceAllString(s, `"n":"SALT"`)
+		return regexp.MustCompile(`"n":"\d+"`).ReplaceAllString(s, `"n":"NONCE"`)
 	}
 	for _, c := range []struct{ method, want string }{
-		{"group.vouch", `[0, ID, "group.vouch", [{"c":"1","g":"test","gi":"GROUP","id":"SELF","n":"SALT","st":"1","t":"1"}, bin""]]`},
-		{"group.mark", `[0, ID, "group.mark", [{"c":"1","g":"test","gi":"GROUP","id":"SELF","n":"SALT","st":"1","t":"1"}, bin""]]`},
+		{"group.vouch", `[0, ID, "group.vouch", [{"c":"1","g":"test","gi":"GROUP","id":"SELF","n":"NONCE","st":"1","t":"1"}, bin""]]`},
+		{"group.mark", `[0, ID, "group.mark", [{"c":"1","g":"test","gi":"GROUP","id":"SELF","n":"NONCE","st":"1","t":"1"}, bin""]]`},
 	} {
-		if got := mask(other.first(c.method)); got != c.want {
+		if got := mask(fakePeer.firstText(c.method)); got != c.want {
 			t.Errorf("%s\n got %s\nwant %s", c.method, got, c.want)
 		}
 	}
-	// Before it stands for election it asks whether it would be elected (type 17), at term 2, with entry 1 of term 1 as its last.
-	m := other.body("group.raft")
+	// Before an election the member sends a pre-vote request (type 17) for term 2, with entry 1 of term 1 as its last.
+	message := fakePeer.firstBody("group.raft")
 	want := "\x08\x11\x10\x07\x18" + string(binary.AppendUvarint(nil, self)) + "\x20\x02\x28\x01\x30\x01"
-	if len(m) < 4 || int(binary.BigEndian.Uint32(m)) != len(m)-4 && len(m) < 4+len(want) || !strings.HasPrefix(string(m[4:]), want) {
-		t.Errorf("group.raft %x, want its length and %x", m, want)
+	if len(message) < 4 || int(binary.BigEndian.Uint32(message)) != len(message)-4 && len(message) < 4+len(want) || !strings.HasPrefix(string(message[4:]), want) {
+		t.Errorf("group.raft %x, want its length and %x", message, want)
 	}
-	// And what it answers to the other's words: a mark is noted, an older disk is refused, and so are copies of a disk.
-	peer := []string{"g", "test", "gi", status.GroupID, "id", "7", "n", "5"}
+	// The replies to the other member: a mark is recorded; an older disk and copies of a disk are rejected.
+	peerFields := []string{"g", "test", "gi", status.GroupID, "id", "7", "n", "5"}
 	for _, c := range []struct {
 		method, body string
 		fields       []string
 		want         string
 	}{
-		{"group.vouch", "", append(slices.Clone(peer), "st", "2", "t", "3", "c", "9"), `[1, 0, nil, [bin"", {}]]`},
-		{"group.mark", "", append(slices.Clone(peer), "st", "2", "t", "4", "c", "10"), `[1, 0, nil, [bin"", {}]]`},
-		{"group.vouch", "", append(slices.Clone(peer), "st", "2", "t", "3", "c", "9"), `[1, 0, ["Superseded", {"why":"the disk is older than its words: term 4 was said before, the disk has 3"}], nil]`},
-		{"group.vouch", "", append(slices.Clone(peer), "st", "2", "t", "4", "c", "9"), `[1, 0, ["Superseded", {"why":"the disk is older than its words: entry 10 was said to be known before, the disk knows 9"}], nil]`},
-		{"group.mark", "", append(slices.Clone(peer), "st", "1", "t", "4", "c", "10"), `[1, 0, ["Superseded", {"why":"start 1 of this disk, and start 2 of it was seen elsewhere"}], nil]`},
+		{"group.vouch", "", append(slices.Clone(peerFields), "st", "2", "t", "3", "c", "9"), `[1, 0, nil, [bin"", {}]]`},
+		{"group.mark", "", append(slices.Clone(peerFields), "st", "2", "t", "4", "c", "10"), `[1, 0, nil, [bin"", {}]]`},
+		{"group.vouch", "", append(slices.Clone(peerFields), "st", "2", "t", "3", "c", "9"), `[1, 0, ["Superseded", {"why":"the disk is older than its words: term 4 was said before, the disk has 3"}], nil]`},
+		{"group.vouch", "", append(slices.Clone(peerFields), "st", "2", "t", "4", "c", "9"), `[1, 0, ["Superseded", {"why":"the disk is older than its words: entry 10 was said to be known before, the disk knows 9"}], nil]`},
+		{"group.mark", "", append(slices.Clone(peerFields), "st", "1", "t", "4", "c", "10"), `[1, 0, ["Superseded", {"why":"start 1 of this disk, and start 2 of it was seen elsewhere"}], nil]`},
 		{"group.mark", "", []string{"g", "test", "gi", status.GroupID, "id", fmt.Sprint(self)}, `[1, 0, ["Superseded", {"why":"two processes run on copies of one disk"}], nil]`},
 		{"group.mark", "", []string{"g", "test", "gi", "x", "id", "7"}, `[1, 0, ["Stranger", {"why":"this is group \"GROUP\", not \"x\""}], nil]`},
-		{"group.raft", "\x00\x00\x00", append(slices.Clone(peer), "st", "2"), `[1, 0, ["No", {"why":"messages cut short"}], nil]`},
-		{"group.raft", "\x00\x00\x00\x04\x08\x08\x10\x01", append(slices.Clone(peer), "st", "2"), `[1, 0, nil, [bin"", {}]]`},
-		{"group.chunk", "abc", append(slices.Clone(peer), "st", "2", "s", "1", "o", "0", "l", "99999999"), `[1, 0, ["No", {"why":"a snapshot of 99999999 bytes, of at most 67108864"}], nil]`},
-		{"group.chunk", "abc", append(slices.Clone(peer), "st", "2", "s", "1", "o", "0", "l", "6"), `[1, 0, nil, [bin"", {}]]`},
-		{"group.chunk", "abc", append(slices.Clone(peer), "st", "2", "s", "1", "o", "5", "l", "6"), `[1, 0, ["No", {"why":"a chunk at 5 that doesn't follow"}], nil]`},
-		{"group.chunk", "abc", append(slices.Clone(peer), "st", "2", "s", "1", "o", "0", "l", "3"), `[1, 0, ["No", {"why":"a snapshot whose checksum is wrong"}], nil]`},
+		{"group.raft", "\x00\x00\x00", append(slices.Clone(peerFields), "st", "2"), `[1, 0, ["No", {"why":"messages cut short"}], nil]`},
+		{"group.raft", "\x00\x00\x00\x04\x08\x08\x10\x01", append(slices.Clone(peerFields), "st", "2"), `[1, 0, nil, [bin"", {}]]`},
+		{"group.chunk", "abc", append(slices.Clone(peerFields), "st", "2", "s", "1", "o", "0", "l", "99999999"), `[1, 0, ["No", {"why":"a snapshot of 99999999 bytes, of at most 67108864"}], nil]`},
+		{"group.chunk", "abc", append(slices.Clone(peerFields), "st", "2", "s", "1", "o", "0", "l", "6"), `[1, 0, nil, [bin"", {}]]`},
+		{"group.chunk", "abc", append(slices.Clone(peerFields), "st", "2", "s", "1", "o", "5", "l", "6"), `[1, 0, ["No", {"why":"a chunk at 5 that doesn't follow"}], nil]`},
+		{"group.chunk", "abc", append(slices.Clone(peerFields), "st", "2", "s", "1", "o", "0", "l", "3"), `[1, 0, ["No", {"why":"a snapshot whose checksum is wrong"}], nil]`},
 		{"group.do", `{"ask":{"op":"acquire","duty":"keeper","who":"a"}}`, []string{"g", "test"}, `[1, 0, ["NotLeader", {"why":"member q0 does not lead"}], nil]`},
 		{"group.read", "", []string{"g", "test"}, `[1, 0, ["NotLeader", {"why":"member q0 does not lead"}], nil]`},
 	} {
-		if got := mask(say(c.method, c.body, c.fields...)); got != c.want {
+		if got := mask(send(c.method, c.body, c.fields...)); got != c.want {
 			t.Errorf("%s\n got %s\nwant %s", c.method, got, c.want)
 		}
 	}
 }
 
-// What routers, servers, owners and commands say to a member is read by members of earlier builds.
+// Routers, servers, owners and commands may be newer than the members that they call, so the client's requests must keep the form that
+// members of earlier builds parse.
 func TestRequestsOfAnEarlierBuild(t *testing.T) {
 	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
 	defer cancel()
-	statuses := 0
-	m := newRecorder(t, func(method string, n int) string {
+	statusCalls := 0
+	fakeMember := newRecorder(t, func(method string, n int) string {
 		switch method {
 		case "group.status":
-			statuses++
-			return `{"name":"q0","id":"00000000000000ff","group":"test","group_id":"` + map[bool]string{true: "", false: "g1"}[statuses < 4] + `","state":"leader","members":[{"id":255,"name":"q0","addr":"ADDR"}]}`
+			statusCalls++
+			return `{"name":"q0","id":"00000000000000ff","group":"test","group_id":"` + map[bool]string{true: "", false: "g1"}[statusCalls < 4] + `","state":"leader","members":[{"id":255,"name":"q0","addr":"ADDR"}]}`
 		case "group.add":
 			return []string{`"changed"`, `"catching up"`, `"voter"`}[min(n, 2)]
 		case "group.read":
@@ -237,73 +238,73 @@
 		}
 		return "{}"
 	})
-	c := &quorum.Client{Group: "test", Addrs: []string{m.addr}}
-	t.Cleanup(c.Close)
+	client := &quorum.Client{Group: "test", Addrs: []string{fakeMember.addr}}
+	t.Cleanup(client.Close)
 	must := func(err error) {
 		t.Helper()
 		if err != nil {
 			t.Fatal(err)
 		}
 	}
-	_, err := c.Do(ctx, statemachine.Command{Lease: &lease.Request{Op: lease.Acquire, Duty: "keeper", Process: "a#1"}})
+	_, err := client.Do(ctx, statemachine.Command{Lease: &lease.Request{Op: lease.Acquire, Duty: "keeper", Process: "a#1"}})
 	must(err)
-	_, err = c.Do(ctx, statemachine.Command{Lease: &lease.Request{Op: lease.Renew, Duty: "keeper", Process: "a#1", Epoch: 4294967297}})
+	_, err = client.Do(ctx, statemachine.Command{Lease: &lease.Request{Op: lease.Renew, Duty: "keeper", Process: "a#1", Epoch: 4294967297}})
 	must(err)
-	v, err := c.Read(ctx, "*")
+	view, err := client.Read(ctx, "*")
 	must(err)
-	if v.Terms.TTL != 3*time.Second || v.Table.CheckHolder("keeper", "a#1", 4294967297) != nil || v.Wall != 1 {
-		t.Errorf("%+v", v)
+	if view.Terms.TTL != 3*time.Second || view.Table.CheckHolder("keeper", "a#1", 4294967297) != nil || view.Wall != 1 {
+		t.Errorf("Read returned %+v", view)
 	}
-	_, err = c.Sync(ctx, quorum.ConfigSync{Process: configstore.Process{Name: "r1#1", Formats: map[string]int{"map": 2}, Prepared: map[string]int{"map": 3}, Quiesced: map[string]int{"map": 4},
+	_, err = client.Sync(ctx, quorum.ConfigSync{Process: configstore.Process{Name: "r1#1", Formats: map[string]int{"map": 2}, Prepared: map[string]int{"map": 3}, Quiesced: map[string]int{"map": 4},
 		Refusals: map[string]configstore.Refusal{"map": {Version: 5, Reason: "w"}}}, HasVersions: map[string][]int{"map": {1, 2}}, BaseVersions: map[string]int{"map": 1}, ActiveVersions: map[string]int{"map": 1},
 		Load: configstore.Goodput{Offered: 2, Served: 1}, StopReason: "s", Quota: &quota.Request{MaxRouters: 3, Applied: 4, Rates: []quota.Allocation{{Cell: "c", Tenant: "t", Rate: 1.5}}, Demand: []quota.Allocation{}}})
 	must(err)
-	_, err = c.Config(ctx)
+	_, err = client.Config(ctx)
 	must(err)
-	_, err = c.Parts(ctx, configstore.PartsRequest{Doc: "map", Version: 2, Names: []string{"top"}})
+	_, err = client.Parts(ctx, configstore.PartsRequest{Doc: "map", Version: 2, Names: []string{"top"}})
 	must(err)
-	f, err := c.Found(ctx, lease.Terms{TTL: 3 * time.Second, Drift: 0.05})
+	bootstrap, err := client.Found(ctx, lease.Terms{TTL: 3 * time.Second, Drift: 0.05})
 	must(err)
-	if f.Members[0].Addr = "127.0.0.1:1"; f.ID() != "c569c19268c18732" {
-		t.Errorf("a group of the same first members is another one: %s", f.ID())
+	if bootstrap.Members[0].Addr = "127.0.0.1:1"; bootstrap.ID() != "c569c19268c18732" {
+		t.Errorf("ID of a group with the same first members changed to %s", bootstrap.ID())
 	}
-	must(c.Add(ctx, m.addr))
-	must(c.Remove(ctx, "q0"))
-	compareFile(t, strings.ReplaceAll(m.text(), m.addr, "ADDR"), "requests")
-	for _, one := range []struct{ method, want string }{
+	must(client.Add(ctx, fakeMember.addr))
+	must(client.Remove(ctx, "q0"))
+	compareGolden(t, strings.ReplaceAll(fakeMember.allText(), fakeMember.addr, "ADDR"), "requests")
+	for _, c := range []struct{ method, want string }{
 		{"rules.read", "\x94\x00\x05\xaarules.read\x92\x81\xa1g\xa4test\xc4\x00"},
 		{"group.status", "\x94\x00\x07\xacgroup.status\x92\x81\xa1g\xa4test\xc4\x00"},
 	} {
-		if got := m.raw(one.method); got != one.want {
-			t.Errorf("%s\n got %x\nwant %x", one.method, got, one.want)
+		if got := fakeMember.firstMessage(c.method); got != c.want {
+			t.Errorf("%s\n got %x\nwant %x", c.method, got, c.want)
 		}
 	}
-	// Refusals of a member, as the client tells them.
+	// Error codes of a member, as the errors that the client returns.
 	for reply, want := range map[string]string{
 		"\x92\xa2No\x81\xa3why\xa1x\xc0":        "refused: x",
 		"\x92\xa8Stranger\x81\xa3why\xa1y\xc0":  "refused: y",
 		"\x92\xa4Lost\x80\xc0":                  "the group can't be asked: Lost ",
 		"\x92\xa9NotLeader\x81\xa3why\xa1z\xc0": "the group can't be asked: NotLeader z",
 	} {
-		r := newRecorder(t, func(string, int) string { return "raw:" + reply })
-		c := &quorum.Client{Group: "test", Addrs: []string{r.addr}}
-		t.Cleanup(c.Close)
+		fakeMember := newRecorder(t, func(string, int) string { return "raw:" + reply })
+		client := &quorum.Client{Group: "test", Addrs: []string{fakeMember.addr}}
+		t.Cleanup(client.Close)
 		var err error
-		for range 10 { // the time may run out while an answer is on its way: then that is what it tells
+		for range 10 { // the context may end while a reply is in flight, and the error is another one then
 			ctx, cancel := context.WithTimeout(t.Context(), 300*time.Millisecond)
-			_, err = c.Read(ctx, "")
+			_, err = client.Read(ctx, "")
 			cancel()
 			if err != nil && err.Error() == want {
 				break
 			}
 		}
 		if err == nil || err.Error() != want {
-			t.Errorf("%v, want %s", err, want)
+			t.Errorf("Read returned error %v, want %s", err, want)
 		}
 	}
 }
 
-// startMember runs a member on a disk, on a port of its own.
+// startMember runs a member on the disk in dir, on a free port. stop ends it and waits for it.
 func startMember(t *testing.T, dir, name, groupName string) (addr string, stop func()) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -317,15 +318,15 @@
 		t.Fatal(err)
 	}
 	ln.Close()
-	words := msgpackrpc.NewCallServer(Name, counters, m.Answer)
-	l, err := listener.Listen(Name, addr, maxConnections, func() time.Duration { return time.Minute }, words.Serve, log.New(io.Discard, "", 0), counters)
+	server := msgpackrpc.NewCallServer(Name, counters, m.Answer)
+	callListener, err := listener.Listen(Name, addr, maxConnections, func() time.Duration { return time.Minute }, server.Serve, log.New(io.Discard, "", 0), counters)
 	if err != nil {
 		t.Fatal(err)
 	}
-	go l.Serve()
+	go callListener.Serve()
 	ctx, cancel := context.WithCancel(context.Background())
-	var all sync.WaitGroup
-	all.Go(func() {
+	var running sync.WaitGroup
+	running.Go(func() {
 		if err := m.Run(ctx); err != nil {
 			t.Error(err)
 		}
@@ -333,16 +334,16 @@
 	var once sync.Once
 	stop = func() {
 		once.Do(func() {
-			l.Close()
+			callListener.Close()
 			cancel()
-			all.Wait()
+			running.Wait()
 		})
 	}
 	t.Cleanup(stop)
 	return addr, stop
 }
 
-// dialMember returns a function that sends one request as bytes of its own making, and returns the answer as text.
+// dialMember connects to a member. The returned function sends one request, which it encodes itself, and returns the reply as text.
 func dialMember(t *testing.T, addr string) func(method, body string, fields ...string) string {
 	t.Helper()
 	conn, err := net.Dial("tcp", addr)
@@ -350,7 +351,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { conn.Close() })
-	r := bufio.NewReader(conn)
+	reader := bufio.NewReader(conn)
 	return func(method, body string, fields ...string) string {
 		t.Helper()
 		b := []byte("\x94\x00\x00")
@@ -364,7 +365,7 @@
 		if _, err := conn.Write(b); err != nil {
 			t.Fatal(err)
 		}
-		raw, err := msgpackrpc.ReadMessage(r, 4<<20)
+		raw, err := msgpackrpc.ReadMessage(reader, 4<<20)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -373,25 +374,26 @@
 	}
 }
 
-// recorder plays a member: it keeps what is said to it, and answers with a body by the method and how often it was said before.
+// recorder is a stand-in for a member. It records the requests and replies with the body that respond returns for the method and for the
+// number of earlier requests of that method.
 type recorder struct {
-	addr string
-	mu   sync.Mutex
-	raws [][]byte
+	addr     string
+	mu       sync.Mutex
+	messages [][]byte
 }
 
-func newRecorder(t *testing.T, answer func(method string, n int) string) *recorder {
+func newRecorder(t *testing.T, respond func(method string, n int) string) *recorder {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	rec := &recorder{addr: ln.Addr().String()}
-	var all sync.WaitGroup
+	var running sync.WaitGroup
 	var mu sync.Mutex
 	var conns []net.Conn
-	said := map[string]int{}
-	all.Go(func() {
+	calls := map[string]int{}
+	running.Go(func() {
 		for {
 			conn, err := ln.Accept()
 			if err != nil {
@@ -400,20 +402,20 @@
 			mu.Lock()
 			conns = append(conns, conn)
 			mu.Unlock()
-			all.Go(func() {
-				r := bufio.NewReader(conn)
+			running.Go(func() {
+				reader := bufio.NewReader(conn)
 				for {
-					raw, err := msgpackrpc.ReadMessage(r, 4<<20)
+					raw, err := msgpackrpc.ReadMessage(reader, 4<<20)
 					if err != nil {
 						return
 					}
 					id, method := idAndMethod(raw)
 					mu.Lock()
-					body := strings.ReplaceAll(answer(method, said[method]), "ADDR", rec.addr)
-					said[method]++
+					body := strings.ReplaceAll(respond(method, calls[method]), "ADDR", rec.addr)
+					calls[method]++
 					mu.Unlock()
 					rec.mu.Lock()
-					rec.raws = append(rec.raws, raw)
+					rec.messages = append(rec.messages, raw)
 					rec.mu.Unlock()
 					b := append([]byte("\x94\x01"), id...)
 					if reply, ok := strings.CutPrefix(body, "raw:"); ok {
@@ -434,12 +436,12 @@
 			conn.Close()
 		}
 		mu.Unlock()
-		all.Wait()
+		running.Wait()
 	})
 	return rec
 }
 
-// idAndMethod are the bytes of a request's number, and its method.
+// idAndMethod returns the encoded ID of a request, and its method.
 func idAndMethod(raw []byte) (id []byte, method string) {
 	_, rest := valueText(raw[2:])
 	id = raw[2 : len(raw)-len(rest)]
@@ -447,14 +449,14 @@
 	return id, strings.Trim(method, `"`)
 }
 
-func (r *recorder) each() [][]byte {
+func (r *recorder) received() [][]byte {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return slices.Clone(r.raws)
+	return slices.Clone(r.messages)
 }
 
-func (r *recorder) raw(method string) string {
-	for _, raw := range r.each() {
+func (r *recorder) firstMessage(method string) string {
+	for _, raw := range r.received() {
 		if _, m := idAndMethod(raw); m == method {
 			return string(raw)
 		}
@@ -462,28 +464,28 @@
 	return ""
 }
 
-func (r *recorder) has(methods ...string) bool {
-	return !slices.ContainsFunc(methods, func(m string) bool { return r.raw(m) == "" })
+func (r *recorder) hasAll(methods ...string) bool {
+	return !slices.ContainsFunc(methods, func(m string) bool { return r.firstMessage(m) == "" })
 }
 
-func (r *recorder) first(method string) string {
-	text, _ := messageText([]byte(r.raw(method)))
+func (r *recorder) firstText(method string) string {
+	text, _ := messageText([]byte(r.firstMessage(method)))
 	return regexp.MustCompile(`^\[0, \d+,`).ReplaceAllString(text, "[0, ID,")
 }
 
-func (r *recorder) text() string {
+func (r *recorder) allText() string {
 	var b strings.Builder
-	for _, raw := range r.each() {
+	for _, raw := range r.received() {
 		text, _ := messageText(raw)
 		fmt.Fprintln(&b, text)
 	}
 	return b.String()
 }
 
-// body is the body of the first request of a method.
-func (r *recorder) body(method string) []byte {
-	raw := []byte(r.raw(method))
-	_, rest := valueText(raw[bytes.Index(raw, []byte(method))+len(method)+1:]) // past its fields
+// firstBody returns the body of the first request of a method.
+func (r *recorder) firstBody(method string) []byte {
+	raw := []byte(r.firstMessage(method))
+	_, rest := valueText(raw[bytes.Index(raw, []byte(method))+len(method)+1:]) // skips the fields
 	switch rest[0] {
 	case 0xc4:
 		return rest[2 : 2+int(rest[1])]
@@ -493,11 +495,11 @@
 	return nil
 }
 
-// messageText writes a MessagePack value as text, the fields of a map in their order by name, as a map has none on the wire.
+// messageText formats a MessagePack value as text. It sorts the fields of maps by name, since their order on the wire varies.
 func messageText(b []byte) (string, []byte) { return valueText(b) }
 
 func valueText(b []byte) (string, []byte) {
-	x, b := b[0], b[1:]
+	tag, b := b[0], b[1:]
 	size := func(n int) int {
 		v := 0
 		for _, c := range b[:n] {
@@ -508,11 +510,11 @@
 	}
 	text := func(n int) string { s := string(b[:n]); b = b[n:]; return s }
 	switch {
-	case x < 0x80:
-		return fmt.Sprint(x), b
-	case x < 0x90:
+	case tag < 0x80:
+		return fmt.Sprint(tag), b
+	case tag < 0x90:
 		var pairs []string
-		for range int(x & 0x0f) {
+		for range int(tag & 0x0f) {
 			var k, v string
 			k, b = valueText(b)
 			v, b = valueText(b)
@@ -520,30 +522,30 @@
 		}
 		slices.Sort(pairs)
 		return "{" + strings.Join(pairs, ",") + "}", b
-	case x < 0xa0:
+	case tag < 0xa0:
 		var list []string
-		for range int(x & 0x0f) {
+		for range int(tag & 0x0f) {
 			var v string
 			v, b = valueText(b)
 			list = append(list, v)
 		}
 		return "[" + strings.Join(list, ", ") + "]", b
-	case x < 0xc0:
-		return fmt.Sprintf("%q", text(int(x&0x1f))), b
-	case x == 0xc0:
+	case tag < 0xc0:
+		return fmt.Sprintf("%q", text(int(tag&0x1f))), b
+	case tag == 0xc0:
 		return "nil", b
-	case x >= 0xc4 && x <= 0xc6:
-		return `bin"` + text(size(1<<(x-0xc4))) + `"`, b
-	case x >= 0xcc && x <= 0xcf:
-		return fmt.Sprint(uint64(size(1 << (x - 0xcc)))), b
-	case x >= 0xd9 && x <= 0xdb:
-		return fmt.Sprintf("%q", text(size(1<<(x-0xd9)))), b
+	case tag >= 0xc4 && tag <= 0xc6:
+		return `bin"` + text(size(1<<(tag-0xc4))) + `"`, b
+	case tag >= 0xcc && tag <= 0xcf:
+		return fmt.Sprint(uint64(size(1 << (tag - 0xcc)))), b
+	case tag >= 0xd9 && tag <= 0xdb:
+		return fmt.Sprintf("%q", text(size(1<<(tag-0xd9)))), b
 	}
-	return fmt.Sprintf("?%x", x), b
+	return fmt.Sprintf("?%x", tag), b
 }
 
-// masked takes out what differs from run to run: the clock, and how often the disk was written.
-func masked(s string) string {
+// maskVolatile replaces the values that differ between runs, which are times and the number of disk writes, with 0.
+func maskVolatile(s string) string {
 	return regexp.MustCompile(`"(wall|ago_ms|syncs)":\d{2,}|"(syncs|ago_ms)":\d`).ReplaceAllStringFunc(s, func(m string) string {
 		return m[:strings.Index(m, ":")] + ":0"
 	})
@@ -558,7 +560,7 @@
 	return id
 }
 
-func compareFile(t *testing.T, got, name string) {
+func compareGolden(t *testing.T, got, name string) {
 	t.Helper()
 	want, err := os.ReadFile("testdata/" + name)
 	if err != nil {
@@ -567,10 +569,10 @@
 	if got == string(want) {
 		return
 	}
-	g, w := strings.Split(got, "\n"), strings.Split(string(want), "\n")
-	for i := range max(len(g), len(w)) {
-		if i >= len(g) || i >= len(w) || g[i] != w[i] {
-			t.Fatalf("%s, from line %d\n got %s\nwant %s", name, i+1, strings.Join(g[min(i, len(g)):min(i+1, len(g))], "\n"), strings.Join(w[min(i, len(w)):min(i+1, len(w))], "\n"))
+	gotLines, wantLines := strings.Split(got, "\n"), strings.Split(string(want), "\n")
+	for i := range max(len(gotLines), len(wantLines)) {
+		if i >= len(gotLines) || i >= len(wantLines) || gotLines[i] != wantLines[i] {
+			t.Fatalf("%s differs from line %d on\n got %s\nwant %s", name, i+1, strings.Join(gotLines[min(i, len(gotLines)):min(i+1, len(gotLines))], "\n"), strings.Join(wantLines[min(i, len(wantLines)):min(i+1, len(wantLines))], "\n"))
 		}
 	}
 }
--- a/internal/controlplane/quorum/member/peer_test.go
+++ b/internal/controlplane/quorum/member/peer_test.go
@@ -8,8 +8,8 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Bytes of a damaged or hostile member must not end this one. What is appended is read again; what is cut short anywhere is an error and
-// no panic.
+// Corrupt or hostile input from another member must not crash this one: a truncated message is an error, not a panic. Messages that parse
+// also parse again after they are encoded.
 func FuzzParseMessages(f *testing.F) {
 	var b []byte
 	for i := range uint64(3) {
@@ -18,22 +18,22 @@
 	f.Add(b)
 	f.Add(b[:len(b)-1])
 	f.Add([]byte{0xff, 0xff, 0xff, 0xff})
-	if list, err := parseMessages(b); err != nil || len(list) != 3 || list[2].GetTo() != 2 {
-		f.Fatal(list, err)
+	if messages, err := parseMessages(b); err != nil || len(messages) != 3 || messages[2].GetTo() != 2 {
+		f.Fatal(messages, err)
 	}
 	f.Fuzz(func(t *testing.T, b []byte) {
 		list, err := parseMessages(b)
 		if err != nil {
 			return
 		}
-		var again []byte
+		var encoded []byte
 		for _, m := range list {
-			if again, err = appendMessage(again, m); err != nil {
+			if encoded, err = appendMessage(encoded, m); err != nil {
 				t.Fatal(err)
 			}
 		}
-		if more, err := parseMessages(again); err != nil || len(more) != len(list) {
-			t.Fatalf("%d of %d, %v", len(more), len(list), err)
+		if reparsed, err := parseMessages(encoded); err != nil || len(reparsed) != len(list) {
+			t.Fatalf("%d of %d messages parsed after encoding, error %v", len(reparsed), len(list), err)
 		}
 	})
 }
