--- a/internal/controlplane/quorum/client.go
+++ b/internal/controlplane/quorum/client.go
@@ -27,7 +27,7 @@
 // Errors that callers distinguish.
 var (
 	// ErrUnavailable means that no member answered as the leader before the context ended. The request may have been executed.
-	ErrUnavailable = errors.New("the group can't be asked")
+	ErrUnavailable = errors.New("the group is unavailable")
 	// ErrRefused means that the group rejected the request.
 	ErrRefused = errors.New("refused")
 )
--- a/internal/controlplane/quorum/member/golden_test.go
+++ b/internal/controlplane/quorum/member/golden_test.go
@@ -283,8 +283,8 @@
 	for reply, want := range map[string]string{
 		"\x92\xa2No\x81\xa3why\xa1x\xc0":        "refused: x",
 		"\x92\xa8Stranger\x81\xa3why\xa1y\xc0":  "refused: y",
-		"\x92\xa4Lost\x80\xc0":                  "the group can't be asked: Lost ",
-		"\x92\xa9NotLeader\x81\xa3why\xa1z\xc0": "the group can't be asked: NotLeader z",
+		"\x92\xa4Lost\x80\xc0":                  "the group is unavailable: Lost ",
+		"\x92\xa9NotLeader\x81\xa3why\xa1z\xc0": "the group is unavailable: NotLeader z",
 	} {
 		fakeMember := newRecorder(t, func(string, int) string { return "raw:" + reply })
 		client := &quorum.Client{Group: "test", Addrs: []string{fakeMember.addr}}
--- a/internal/controlplane/quorum/member/member.go
+++ b/internal/controlplane/quorum/member/member.go
@@ -52,7 +52,7 @@
 	electionTicks     = 10   // the election timeout is ten to twenty ticks, so a few heartbeats in a row may be lost or late
 	maxPending        = 8192 // proposals, and separately reads, that wait for a majority: two for each process that can register
 	callQueueLength   = 256  // calls that wait for the event loop; when the queue is full, connections block
-	diskIDBytes       = 8    // random bytes in the ID of a member and in the nonce of a start
+	randomIDBytes     = 8    // random bytes in the ID of a member and in the nonce of a start
 	databaseFile      = "group.db"
 	maxUncommitted    = 8 << 20   // bytes of uncommitted proposals: bounds the leader's memory while it has no majority
 	maxMessageEntries = 128 << 10 // bytes of entries in one message; a call carries several messages
@@ -121,6 +121,7 @@
 	return m, nil
 }
 
+// openWithStore returns a member with an open database. It starts raft if the member belongs to a group.
 func openWithStore(s *store, cfg Config) (*Member, error) {
 	identity, err := recordStart(s, cfg)
 	if err != nil {
@@ -169,8 +170,9 @@
 	return identity, s.update("start", func(tx *bbolt.Tx) error { return putJSON(tx, keyIdentity, identity) })
 }
 
+// randomUint64 returns a cryptographically random number.
 func randomUint64() uint64 {
-	var b [diskIDBytes]byte
+	var b [randomIDBytes]byte
 	rand.Read(b[:]) // never returns an error: if it fails it ends the program
 	return binary.BigEndian.Uint64(b[:])
 }
--- a/internal/controlplane/quorum/member/membership.go
+++ b/internal/controlplane/quorum/member/membership.go
@@ -107,9 +107,9 @@
 	progress, known := m.node.Status().Progress[member.ID]
 	switch {
 	case slices.Contains(m.confState.GetVoters(), member.ID):
-		reply(msgpackrpc.CallResult{Body: []byte(quorum.AnswerVoter)})
+		reply(msgpackrpc.CallResult{Body: []byte(quorum.ReplyVoter)})
 	case known && progress.IsLearner && !m.nearlyCaughtUp(progress.Match):
-		reply(msgpackrpc.CallResult{Body: []byte(quorum.AnswerCatchingUp)})
+		reply(msgpackrpc.CallResult{Body: []byte(quorum.ReplyCatchingUp)})
 	case known && progress.IsLearner:
 		m.proposeMemberChange(pb.ConfChangeAddNode, member.ID, memberChange{Peer: member}, reply)
 	case m.hasName(member.Name):
@@ -154,6 +154,6 @@
 			reply(msgpackrpc.CallResult{Error: quorum.CodeUnknownOutcome})
 			return
 		}
-		reply(msgpackrpc.CallResult{Body: []byte(quorum.AnswerChanged)})
+		reply(msgpackrpc.CallResult{Body: []byte(quorum.ReplyChanged)})
 	}
 }
--- a/internal/controlplane/quorum/member/peer.go
+++ b/internal/controlplane/quorum/member/peer.go
@@ -40,7 +40,7 @@
 	}
 	self := m.identity.Load().ID
 	for id, p := range m.peers {
-		if q, ok := m.state.Members[id]; !ok || q.Addr != p.Addr {
+		if member, ok := m.state.Members[id]; !ok || member.Addr != p.Addr {
 			p.stop()
 			delete(m.peers, id)
 		}
--- a/internal/controlplane/quorum/member/program.go
+++ b/internal/controlplane/quorum/member/program.go
@@ -62,7 +62,7 @@
 	var dir string
 	trial := &cobra.Command{Use: "try", Short: "Run a whole group of three in one process, to look at", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error { return runTrialGroup(c, dir) }}
-	trial.Flags().StringVar(&dir, "dir", "", "a folder that lasts (default: one that does not)")
+	trial.Flags().StringVar(&dir, "dir", "", "folder of the disks, which is kept (default: a temporary folder)")
 	cmd.AddCommand(trial)
 	return cmd
 }
--- a/internal/controlplane/quorum/member/quota.go
+++ b/internal/controlplane/quorum/member/quota.go
@@ -24,16 +24,16 @@
 }
 
 // update parses the changes of the active cell map since the last call. It reports whether the map is valid.
-func (g *capacityMap) update(active *configstore.Revision) bool {
-	if g.cellMap != nil && g.id == active.ID {
+func (c *capacityMap) update(active *configstore.Revision) bool {
+	if c.cellMap != nil && c.id == active.ID {
 		return true
 	}
 	var parsed *cells.Map
 	var err error
 	if active.InParts {
-		old, changed := g.cellMap, map[string]string{}
+		old, changed := c.cellMap, map[string]string{}
 		for name, p := range active.Parts {
-			if old == nil || p.Version > g.id.Version {
+			if old == nil || p.Version > c.id.Version {
 				changed[name] = p.Text
 			}
 		}
@@ -47,7 +47,7 @@
 	if err != nil {
 		return false
 	}
-	*g = capacityMap{id: active.ID, cellMap: parsed}
+	*c = capacityMap{id: active.ID, cellMap: parsed}
 	return true
 }
 
--- a/internal/controlplane/quorum/member/requests.go
+++ b/internal/controlplane/quorum/member/requests.go
@@ -163,8 +163,8 @@
 func (m *Member) notLeader() msgpackrpc.CallResult {
 	reply := errorReply(quorum.CodeNotLeader, "member %s does not lead", m.cfg.Name)
 	if m.node != nil {
-		if p, ok := m.state.Members[m.node.BasicStatus().Lead]; ok && p.ID != m.identity.Load().ID {
-			reply.Fields = append(reply.Fields, "leader", p.Addr)
+		if leader, ok := m.state.Members[m.node.BasicStatus().Lead]; ok && leader.ID != m.identity.Load().ID {
+			reply.Fields = append(reply.Fields, "leader", leader.Addr)
 		}
 	}
 	return reply
--- a/internal/controlplane/quorum/membership.go
+++ b/internal/controlplane/quorum/membership.go
@@ -16,9 +16,9 @@
 
 // Replies to MethodAdd and MethodRemove, as JSON strings.
 const (
-	AnswerVoter      = `"voter"`       // the member is a voter
-	AnswerCatchingUp = `"catching up"` // the member is a learner, whose log is still too far behind the leader's for a vote
-	AnswerChanged    = `"changed"`     // one membership change was applied; for MethodAdd, call again
+	ReplyVoter      = `"voter"`       // the member is a voter
+	ReplyCatchingUp = `"catching up"` // the member is a learner, whose log is still too far behind the leader's for a vote
+	ReplyChanged    = `"changed"`     // one membership change was applied; for MethodAdd, call again
 )
 
 // StatusOf returns the status of one member.
@@ -52,7 +52,7 @@
 }
 
 // Found creates a group of the client's members. It fails if one of them belongs to another group. After an error it can be called
-// again, also if some members have joined the new group already.
+// again, even if some members already belong to the new group.
 func (c *Client) Found(ctx context.Context, terms lease.Terms) (Bootstrap, error) {
 	bootstrap := Bootstrap{Group: c.Group, Terms: terms}
 	for _, addr := range c.Addrs {
@@ -104,8 +104,8 @@
 		return err
 	}
 	for {
-		answer, err := c.callUntilAnswered(ctx, MethodAdd, nil, member)
-		if err != nil || string(answer) == AnswerVoter {
+		reply, err := c.callUntilAnswered(ctx, MethodAdd, nil, member)
+		if err != nil || string(reply) == ReplyVoter {
 			return err
 		}
 		select {
--- a/internal/controlplane/quorum/messages.go
+++ b/internal/controlplane/quorum/messages.go
@@ -49,7 +49,7 @@
 	DialTimeout = 500 * time.Millisecond // to open a connection: several round trips of a slow link
 )
 
-// Bootstrap creates a group. Each of its first members receives the same one.
+// Bootstrap creates a group. All first members receive the same Bootstrap.
 type Bootstrap struct {
 	Group   string                `json:"group"`
 	Members []statemachine.Member `json:"members"`
@@ -119,7 +119,7 @@
 	BaseVersions   map[string]int      `json:"bases,omitempty"` // by document in parts: the version that the process has complete
 	ActiveVersions map[string]int      `json:"acts"`            // by document: the version that the process applies
 	Load           configstore.Goodput `json:"worth"`
-	StopReason     string              `json:"stops,omitempty"` // why the process starts no exclusive work; empty: it does
+	StopReason     string              `json:"stops,omitempty"` // why the process may not start exclusive work; empty: it may
 	Quota          *quota.Request      `json:"share,omitempty"` // set by a router that shares cells with other routers
 }
 
