--- a/internal/controlplane/quorum/membership.go
+++ b/internal/controlplane/quorum/membership.go
@@ -65,7 +65,7 @@
 	id := bootstrap.ID()
 	for _, addr := range c.Addrs {
 		if s, err := c.StatusOf(ctx, addr); err != nil || s.GroupID != "" && s.GroupID != id {
-			return bootstrap, fmt.Errorf("%s: belongs to group %s already: the disks of a new group's members must be empty", addr, s.GroupID)
+			return bootstrap, fmt.Errorf("%s: belongs to group %s already: a group is founded of members whose disks are empty", addr, s.GroupID)
 		}
 	}
 	for _, addr := range c.Addrs {
@@ -132,7 +132,7 @@
 			return err
 		}
 	}
-	return fmt.Errorf("member %q is not in the group", name)
+	return fmt.Errorf("no such member: %q", name)
 }
 
 // leaderStatus returns the status of the leader.
