--- a/internal/controlplane/quorum/member/peer.go
+++ b/internal/controlplane/quorum/member/peer.go
@@ -17,7 +17,7 @@
 	"silverpath/internal/transport/msgpackrpc"
 )
 
-// peer is the way to one other member. What can't be sent is dropped: the library sends it again where it matters.
+// peer sends messages to one other member. Messages that cannot be sent are dropped: the library repeats those that matter.
 type peer struct {
 	statemachine.Member
 	queue chan *pb.Message
@@ -25,110 +25,112 @@
 }
 
 const (
-	peerQueueLength = 512     // messages that wait for a member. Found by trial; raising it keeps more memory for one that is not there
-	requestOverhead = 4 << 10 // bytes of a call beside its messages
-	lengthBytes     = 4       // before each message of a call
-	// maxInlineSnapshot bounds a snapshot that goes in one call, which members of older builds take as well; a longer one goes in parts.
+	peerQueueLength = 512     // messages; a longer queue costs more memory while a member is unreachable
+	requestOverhead = 4 << 10 // bytes of a call in addition to its messages
+	lengthBytes     = 4       // length prefix of each message in a call
+	// maxInlineSnapshot is the size in bytes up to which a snapshot is sent in one call, which members of older builds accept too. A
+	// longer one is sent in parts.
 	maxInlineSnapshot = msgpackrpc.MaxCallBody/2 - 64<<10
 )
 
-// updatePeers opens and ends the ways to other members, as the members have changed.
+// updatePeers starts and stops the send loops of other members after the members of the group have changed.
 func (m *Member) updatePeers() {
 	if m.ctx == nil {
-		return // not running yet: Run calls it
+		return // not running yet: Run calls updatePeers again
 	}
-	me := m.identity.Load().ID
+	self := m.identity.Load().ID
 	for id, p := range m.peers {
-		if q, ok := m.state.Members[id]; !ok || q.Addr != p.Addr {
+		if member, ok := m.state.Members[id]; !ok || member.Addr != p.Addr {
 			p.stop()
 			delete(m.peers, id)
 		}
 	}
-	for id, q := range m.state.Members {
-		if id == me || m.peers[id] != nil {
+	for id, member := range m.state.Members {
+		if id == self || m.peers[id] != nil {
 			continue
 		}
 		ctx, cancel := context.WithCancel(m.ctx)
-		p := &peer{Member: q, queue: make(chan *pb.Message, peerQueueLength), stop: cancel}
+		p := &peer{Member: member, queue: make(chan *pb.Message, peerQueueLength), stop: cancel}
 		m.peers[id] = p
 		m.background.Go(func() { m.sendLoop(ctx, p) })
 	}
 }
 
-// send queues a message to the member that it is for.
-func (m *Member) send(x *pb.Message) {
-	p := m.peers[x.GetTo()]
+// send queues a message for its receiver. If the queue is full, the message is dropped and the library is notified.
+func (m *Member) send(message *pb.Message) {
+	p := m.peers[message.GetTo()]
 	if p == nil {
 		return
 	}
 	select {
-	case p.queue <- x:
+	case p.queue <- message:
 	default:
 		m.stats.Inc("group", "dropped")
-		m.unreachable(x.GetTo(), []*pb.Message{x})
+		m.reportUnreachable(message.GetTo(), []*pb.Message{message})
 	}
 }
 
-// unreachable tells the library that messages to a member were not sent.
-func (m *Member) unreachable(id uint64, list []*pb.Message) {
+// reportUnreachable notifies the library that messages to a member were not sent.
+func (m *Member) reportUnreachable(id uint64, messages []*pb.Message) {
 	if m.node == nil {
 		return
 	}
 	m.node.ReportUnreachable(id)
-	for _, x := range list {
-		if x.GetType() == pb.MsgSnap {
+	for _, message := range messages {
+		if message.GetType() == pb.MsgSnap {
 			m.node.ReportSnapshot(id, raft.SnapshotFailure)
 		}
 	}
 }
 
-// messagesSent is called with what became of a call with messages: whether the member took them, and its reply.
-func (m *Member) messagesSent(p *peer, list []*pb.Message, ok bool, reply msgpackrpc.Reply) {
+// handleSendResult handles the outcome of a call with messages. It reports the outcome of a snapshot to the library, and ends this member
+// if the receiver has seen a newer state or a later start of its disk.
+func (m *Member) handleSendResult(p *peer, messages []*pb.Message, ok bool, reply msgpackrpc.Reply) {
 	if reply.Error == quorum.CodeSuperseded {
-		m.abort(fmt.Errorf("member %s says: %s", p.Name, reply.Fields["why"]))
+		m.abort(fmt.Errorf("member %s rejected this disk: %s", p.Name, reply.Fields["why"]))
 		return
 	}
-	for _, x := range list {
-		if x.GetType() == pb.MsgSnap && m.node != nil {
-			st := raft.SnapshotFinish
+	for _, message := range messages {
+		if message.GetType() == pb.MsgSnap && m.node != nil {
+			status := raft.SnapshotFinish
 			if !ok {
-				st = raft.SnapshotFailure
+				status = raft.SnapshotFailure
 			}
-			m.node.ReportSnapshot(p.ID, st)
+			m.node.ReportSnapshot(p.ID, status)
 		}
 	}
 }
 
-// appendMessage appends a message behind its length, in 4 bytes.
-func appendMessage(b []byte, m *pb.Message) ([]byte, error) {
-	at := len(b)
+// appendMessage appends a message with its length before it, in lengthBytes bytes.
+func appendMessage(b []byte, message *pb.Message) ([]byte, error) {
+	start := len(b)
 	b = append(b, make([]byte, lengthBytes)...)
-	b, err := proto.MarshalOptions{}.MarshalAppend(b, m)
-	binary.BigEndian.PutUint32(b[at:], uint32(len(b)-at-lengthBytes))
+	b, err := proto.MarshalOptions{}.MarshalAppend(b, message)
+	binary.BigEndian.PutUint32(b[start:], uint32(len(b)-start-lengthBytes))
 	return b, err
 }
 
-// parseMessages reads what appendMessage wrote, one message after the other.
+// parseMessages parses a sequence of messages that appendMessage wrote. It returns an error if the sequence is truncated or malformed.
 func parseMessages(b []byte) ([]*pb.Message, error) {
-	var list []*pb.Message
+	var messages []*pb.Message
 	for len(b) > 0 {
 		if len(b) < lengthBytes || uint64(len(b)-lengthBytes) < uint64(binary.BigEndian.Uint32(b)) {
 			return nil, errors.New("messages cut short")
 		}
 		n := int(binary.BigEndian.Uint32(b))
-		m := &pb.Message{}
-		if err := proto.Unmarshal(b[lengthBytes:lengthBytes+n], m); err != nil {
+		message := &pb.Message{}
+		if err := proto.Unmarshal(b[lengthBytes:lengthBytes+n], message); err != nil {
 			return nil, err
 		}
-		list, b = append(list, m), b[lengthBytes+n:]
+		messages, b = append(messages, message), b[lengthBytes+n:]
 	}
-	return list, nil
+	return messages, nil
 }
 
-// peerLink is the connection to a member; it is its sendLoop's.
+// peerLink is the connection to a member. Only the member's sendLoop uses it.
 type peerLink struct {
-	conn      *msgpackrpc.Conn // nil: none
-	downUntil time.Time        // the member could not be reached: it is not dialled before
+	conn      *msgpackrpc.Conn // nil: not connected
+	downUntil time.Time        // no dial before this time, since the last one failed
 }
 
 func (l *peerLink) close() {
@@ -138,9 +140,9 @@
 	}
 }
 
-var errPeerDown = errors.New("down")
+var errPeerDown = errors.New("last dial failed, next dial is not due yet")
 
-// open opens the connection where there is none that can be used.
+// open dials the member if there is no connection. After a failed dial it returns errPeerDown without dialing for the length of pause.
 func (l *peerLink) open(ctx context.Context, addr string, pause time.Duration) error {
 	if l.conn != nil {
 		return nil
@@ -148,9 +150,9 @@
 	if time.Now().Before(l.downUntil) {
 		return errPeerDown
 	}
-	dialing, cancel := context.WithTimeout(ctx, quorum.DialTimeout)
+	dialCtx, cancel := context.WithTimeout(ctx, quorum.DialTimeout)
 	defer cancel()
-	conn, err := msgpackrpc.DialCalls(dialing, addr)
+	conn, err := msgpackrpc.DialCalls(dialCtx, addr)
 	if err != nil {
 		l.downUntil = time.Now().Add(pause)
 		return err
@@ -159,7 +161,7 @@
 	return nil
 }
 
-// dropUnusable closes a connection that takes no more calls.
+// dropUnusable closes the connection if it accepts no more calls.
 func (l *peerLink) dropUnusable() {
 	if l.conn == nil {
 		return
@@ -169,38 +171,38 @@
 	}
 }
 
-// sendLoop sends what is queued to a member, as many messages a call as there are, until its context ends.
+// sendLoop sends the queued messages of a member, as many per call as are queued and fit, until its context ends.
 func (m *Member) sendLoop(ctx context.Context, p *peer) {
 	var link peerLink
 	defer link.close()
 	for {
-		var first *pb.Message
+		var message *pb.Message
 		select {
 		case <-ctx.Done():
 			return
-		case first = <-p.queue:
+		case message = <-p.queue:
 		}
-		messages := m.collect(ctx, p, first)
+		messages := m.collectBatch(ctx, p, message)
 		if len(messages) == 0 {
 			continue
 		}
-		reply, err := m.callWith(ctx, p, &link, messages)
+		replies, err := m.sendMessages(ctx, p, &link, messages)
 		if err != nil {
 			if !errors.Is(err, msgpackrpc.ErrFull) {
 				link.close()
 			}
 			m.stats.Inc("group", "unsent")
-			m.enqueue(func() { m.unreachable(p.ID, messages) })
+			m.enqueue(func() { m.reportUnreachable(p.ID, messages) })
 			continue
 		}
 		m.stats.Add(uint64(len(messages)), "group", "messages")
-		used := link.conn
-		go m.awaitReply(ctx, p, used, reply, messages)
+		conn := link.conn
+		go m.awaitReply(ctx, p, conn, replies, messages)
 	}
 }
 
-// collect takes what is queued, up to what fits into a call. Long snapshots go their own way beside it.
-func (m *Member) collect(ctx context.Context, p *peer, first *pb.Message) []*pb.Message {
+// collectBatch takes messages from the queue, up to the size of a call. Long snapshots are sent separately.
+func (m *Member) collectBatch(ctx context.Context, p *peer, first *pb.Message) []*pb.Message {
 	if m.sendLongSnapshot(ctx, p, first) {
 		return nil
 	}
@@ -218,7 +220,7 @@
 	return messages
 }
 
-// sendLongSnapshot has a message go in parts if it is a snapshot that does not go in one call.
+// sendLongSnapshot starts to send a message in parts if it is a snapshot that is too long for one call. It reports whether it did.
 func (m *Member) sendLongSnapshot(ctx context.Context, p *peer, message *pb.Message) bool {
 	if message.GetType() != pb.MsgSnap || proto.Size(message) <= maxInlineSnapshot {
 		return false
@@ -227,8 +229,8 @@
 	return true
 }
 
-// callWith makes a call with messages over a link.
-func (m *Member) callWith(ctx context.Context, p *peer, link *peerLink, messages []*pb.Message) (<-chan msgpackrpc.Reply, error) {
+// sendMessages sends messages in one call over a link, which it opens if necessary. It returns the channel of the reply.
+func (m *Member) sendMessages(ctx context.Context, p *peer, link *peerLink, messages []*pb.Message) (<-chan msgpackrpc.Reply, error) {
 	var body []byte
 	var err error
 	for _, message := range messages {
@@ -238,61 +240,63 @@
 	}
 	if len(body) > msgpackrpc.MaxCallBody-requestOverhead {
 		m.log.Error().Str("event", "group.call_too_long").Str("member", p.Name).Int("bytes", len(body)).Send()
-		return nil, errors.New("too long for a word")
+		return nil, errors.New("messages exceed the size of a call")
 	}
 	link.dropUnusable()
 	if err := link.open(ctx, p.Addr, m.cfg.Tick); err != nil {
 		return nil, err
 	}
-	return link.conn.Call(m.peerRequest(quorum.MethodRaft, body))
+	return link.conn.Call(m.newPeerCall(quorum.MethodRaft, body))
 }
 
-// awaitReply waits for the reply to a call and tells the loop. It ends with the reply, CallTimeout or its context.
-func (m *Member) awaitReply(ctx context.Context, p *peer, used *msgpackrpc.Conn, replies <-chan msgpackrpc.Reply, messages []*pb.Message) {
+// awaitReply waits for the reply to a call and passes the outcome to the event loop. It gives up after CallTimeout, or when its context
+// ends.
+func (m *Member) awaitReply(ctx context.Context, p *peer, conn *msgpackrpc.Conn, replies <-chan msgpackrpc.Reply, messages []*pb.Message) {
 	var reply msgpackrpc.Reply
 	ok := false
 	select {
 	case reply, ok = <-replies:
 	case <-time.After(quorum.CallTimeout):
-		// Something on the way is lost. Calls that are never answered would fill the connection's places, and nothing would go out any
-		// more: the next call has a new connection.
-		used.Close()
+		// The call or its reply is lost. Unanswered calls would use up the connection's limit of concurrent calls and block all
+		// sending, so the connection is closed and the next call opens a new one.
+		conn.Close()
 	case <-ctx.Done():
 		return
 	}
-	m.enqueue(func() { m.messagesSent(p, messages, ok && reply.Error == "", reply) })
+	m.enqueue(func() { m.handleSendResult(p, messages, ok && reply.Error == "", reply) })
 }
 
-// peerRequest is a call to another member, with who makes it: the group, the disk, its start and the number of that.
-func (m *Member) peerRequest(method string, body []byte) msgpackrpc.Call {
+// newPeerCall returns a call to another member. Its fields identify the sender: the group's name and ID, the member's ID, the number of
+// the start and the start's nonce.
+func (m *Member) newPeerCall(method string, body []byte) msgpackrpc.Call {
 	self := m.identity.Load()
 	return msgpackrpc.Call{Method: method, Body: body, Fields: map[string]string{
 		"g": m.cfg.Group, "gi": self.Group, "id": strconv.FormatUint(self.ID, 10), "st": strconv.FormatUint(self.Starts, 10),
-		"n": strconv.FormatUint(m.salt, 10),
+		"n": strconv.FormatUint(m.startNonce, 10),
 	}}
 }
 
-// callPeer makes one call to an address on a connection of its own.
+// callPeer makes one call to an address on a new connection and returns the reply.
 func callPeer(ctx context.Context, addr string, call msgpackrpc.Call) (msgpackrpc.Reply, error) {
-	dialing, cancel := context.WithTimeout(ctx, quorum.DialTimeout)
+	dialCtx, cancel := context.WithTimeout(ctx, quorum.DialTimeout)
 	defer cancel()
-	conn, err := msgpackrpc.DialCalls(dialing, addr)
+	conn, err := msgpackrpc.DialCalls(dialCtx, addr)
 	if err != nil {
 		return msgpackrpc.Reply{}, err
 	}
 	defer conn.Close()
-	reply, err := conn.Call(call)
+	replies, err := conn.Call(call)
 	if err != nil {
 		return msgpackrpc.Reply{}, err
 	}
 	select {
-	case r, ok := <-reply:
+	case r, ok := <-replies:
 		if !ok {
-			return r, errors.New("the connection ended without an answer")
+			return r, errors.New("connection closed before the reply arrived")
 		}
 		return r, nil
 	case <-time.After(quorum.CallTimeout):
-		return msgpackrpc.Reply{}, errors.New("no answer")
+		return msgpackrpc.Reply{}, errors.New("no reply before the timeout")
 	case <-ctx.Done():
 		return msgpackrpc.Reply{}, ctx.Err()
 	}
--- a/internal/controlplane/quorum/member/quota.go
+++ b/internal/controlplane/quorum/member/quota.go
@@ -10,77 +10,78 @@
 	"silverpath/internal/settings"
 )
 
-// This file tells the leader's quota ledger what capacity there is to grant, and grants routers their part of it.
+// This file sets the capacity in the leader's quota ledger and grants routers their quota of it.
 
-// ledgerRefresh is how long the ledger goes by what it was told, at most: the wall clock, by which tenants move, may be set meanwhile.
+// ledgerRefresh is the longest time before the ledger's capacity is computed again: tenants move by the wall clock, which may be set in
+// between.
 const ledgerRefresh = time.Minute
 
-// grantableMap is the map that is in force. Of a map in parts only the parts that changed are read again.
-type grantableMap struct {
+// capacityMap caches the parsed active cell map. If the map is in parts, only changed parts are parsed again.
+type capacityMap struct {
 	id        configstore.ID
 	cellMap   *cells.Map
-	refreshAt time.Time // when the capacity changes by the times in the map; zero: the ledger was not told of this map
+	refreshAt time.Time // when to compute the capacity again; zero: the ledger does not have the capacity of this map yet
 }
 
-// update reads what has changed in the map that is in force. It reports whether there is one that can be read.
-func (g *grantableMap) update(e *configstore.Revision) bool {
-	if g.cellMap != nil && g.id == e.ID {
+// update parses the changes of the active cell map since the last call. It reports whether the map is valid.
+func (c *capacityMap) update(active *configstore.Revision) bool {
+	if c.cellMap != nil && c.id == active.ID {
 		return true
 	}
-	var of *cells.Map
+	var parsed *cells.Map
 	var err error
-	if e.InParts {
-		old, changed := g.cellMap, map[string]string{}
-		for name, p := range e.Parts {
-			if old == nil || p.Version > g.id.Version {
+	if active.InParts {
+		old, changed := c.cellMap, map[string]string{}
+		for name, p := range active.Parts {
+			if old == nil || p.Version > c.id.Version {
 				changed[name] = p.Text
 			}
 		}
-		if len(changed) == len(e.Parts) {
+		if len(changed) == len(active.Parts) {
 			old = nil
 		}
-		of, err = settings.JoinCells(old, changed)
+		parsed, err = settings.JoinCells(old, changed)
 	} else {
-		of, err = settings.ParseCells([]byte(e.Text))
+		parsed, err = settings.ParseCells([]byte(active.Text))
 	}
 	if err != nil {
 		return false
 	}
-	*g = grantableMap{id: e.ID, cellMap: of}
+	*c = capacityMap{id: active.ID, cellMap: parsed}
 	return true
 }
 
-// updateLedger tells the ledger what capacity there is to grant: at a new map, and as servers come and go and tenants move by the times in
-// it. It reports whether there is a map.
-func (m *Member) updateLedger(e *configstore.Revision) bool {
-	if !m.grantable.update(e) {
+// updateLedger sets the ledger's capacity after a new cell map, and when the times in the map add or remove servers or move tenants. It
+// reports whether the map is valid.
+func (m *Member) updateLedger(active *configstore.Revision) bool {
+	if !m.capacityMap.update(active) {
 		return false
 	}
-	if now := time.Now(); !now.Before(m.grantable.refreshAt) {
-		m.quotaLedger.SetCapacity(quota.CapacityOf(m.grantable.cellMap, now))
-		m.grantable.refreshAt = now.Add(ledgerRefresh)
-		if next, ok := m.grantable.cellMap.NextChange(now); ok && next.Before(m.grantable.refreshAt) {
-			m.grantable.refreshAt = next
+	if now := time.Now(); !now.Before(m.capacityMap.refreshAt) {
+		m.quotaLedger.SetCapacity(quota.CapacityOf(m.capacityMap.cellMap, now))
+		m.capacityMap.refreshAt = now.Add(ledgerRefresh)
+		if next, ok := m.capacityMap.cellMap.NextChange(now); ok && next.Before(m.capacityMap.refreshAt) {
+			m.capacityMap.refreshAt = next
 		}
 		m.stats.Inc("rules", "lent_anew")
 	}
 	return true
 }
 
-// grantQuota is what a router is granted of the cells that it shares with others; nil: it shares none. It counts as granted from here on,
-// whether or not the reply arrives.
-func (m *Member) grantQuota(s quorum.ConfigSync) *quota.Grant {
+// grantQuota grants a router its quota in the cells that it shares with other routers. It returns nil if the router requests no quota, if
+// there is no valid cell map, or if the ledger grants nothing. The ledger counts the quota as granted even if the reply is lost.
+func (m *Member) grantQuota(request quorum.ConfigSync) *quota.Grant {
 	d := m.state.Config.Documents[configstore.DocMap]
-	if s.Quota == nil || d == nil || d.Active == nil {
+	if request.Quota == nil || d == nil || d.Active == nil {
 		return nil
 	}
 	if !m.updateLedger(d.Active) {
 		return nil
 	}
-	g, ok := m.quotaLedger.Lend(m.clock(), s.Process.Name, *s.Quota)
+	grant, ok := m.quotaLedger.Lend(m.clock(), request.Process.Name, *request.Quota)
 	if !ok {
 		m.stats.Inc("rules", "no_share")
 		return nil
 	}
-	return &g
+	return &grant
 }
