--- a/internal/settings/cells.go
+++ b/internal/settings/cells.go
@@ -12,14 +12,14 @@
 	"silverpath/internal/policy/cells"
 )
 
-// ParseCells reads a cell map and checks it whole. A map that can be read and is no good comes with the error.
+// ParseCells parses and validates a cell map. If the map parses but is not valid, ParseCells returns it together with the error.
 func ParseCells(data []byte) (*cells.Map, error) {
 	var err error
-	f := object(data, &err)
+	f := parseObject(data, &err)
 	if err != nil {
 		return nil, err
 	}
-	f.only(slices.Concat(topKeys, headKeys, []string{"servers", "tenants"})...)
+	f.rejectUnknown(slices.Concat(topKeys, headKeys, []string{"servers", "tenants"})...)
 	m := &cells.Map{}
 	readTop(f, m)
 	readHead(f, m)
@@ -34,31 +34,31 @@
 	return m, nil
 }
 
-// The members of a map beside its servers and tenants, by the part that they stand in.
+// JSON keys of a map apart from its servers and tenants, by the part that contains them.
 var (
 	topKeys  = []string{"version", "epoch"}
 	headKeys = []string{"window_ms", "skew_ms", "lease_ms", "patience_ms", "cells"}
 )
 
-// readTop reads the version of a map.
+// readTop reads the version and the epoch of a map.
 func readTop(f fields, m *cells.Map) {
 	m.Version, m.Epoch = int(f.integer("version")), uint64(f.integer("epoch"))
 }
 
-// readHead reads the times and the cells of a map.
+// readHead reads the durations and the cells of a map.
 func readHead(f fields, m *cells.Map) {
 	ms := func(key string) time.Duration { return time.Duration(f.integer(key)) * time.Millisecond }
 	m.KeyWindow, m.MaxClockSkew, m.Lease, m.CallerTimeout = ms("window_ms"), ms("skew_ms"), ms("lease_ms"), ms("patience_ms")
 	f.each("cells", func(_ int, c fields) {
-		c.only("name", "capacity")
+		c.rejectUnknown("name", "capacity")
 		m.Cells = append(m.Cells, cells.Cell{Name: c.text("name"), Capacity: c.number("capacity")})
 	})
 }
 
-// readServers reads the servers of a map, or of a part of it.
+// readServers reads the servers of a map or of one of its parts.
 func readServers(f fields) (list []cells.Server) {
 	f.each("servers", func(_ int, s fields) {
-		s.only("name", "addr", "mgmt", "cell", "weight", "from_ms", "until_ms")
+		s.rejectUnknown("name", "addr", "mgmt", "cell", "weight", "from_ms", "until_ms")
 		weight := 1.0
 		if s.v.Exists("weight") {
 			weight = s.number("weight")
@@ -71,23 +71,23 @@
 	return list
 }
 
-// readTenants reads the tenants of a map, or of a part of it.
+// readTenants reads the tenants of a map or of one of its parts.
 func readTenants(f fields) (list []cells.Tenant) {
 	f.each("tenants", func(_ int, t fields) {
-		t.only("name", "rate", "homes")
-		set := cells.Tenant{Name: t.text("name"), Rate: t.number("rate")}
+		t.rejectUnknown("name", "rate", "homes")
+		tenant := cells.Tenant{Name: t.text("name"), Rate: t.number("rate")}
 		t.each("homes", func(_ int, h fields) {
-			h.only("cell", "shard", "from_ms", "abort")
-			set.Homes = append(set.Homes, cells.Home{
-				Cell: h.text("cell"), Shard: int(h.integer("shard")), Since: h.integer("from_ms"), IsAbort: h.flag("abort"),
+			h.rejectUnknown("cell", "shard", "from_ms", "abort")
+			tenant.Homes = append(tenant.Homes, cells.Home{
+				Cell: h.text("cell"), Shard: int(h.integer("shard")), Since: h.integer("from_ms"), IsAbort: h.boolean("abort"),
 			})
 		})
-		list = append(list, set)
+		list = append(list, tenant)
 	})
 	return list
 }
 
-// FormatCells writes a cell map, for people to read and ParseCells.
+// FormatCells returns a cell map as indented JSON that ParseCells accepts.
 func FormatCells(m *cells.Map) []byte {
 	m = m.Flat()
 	var a fastjson.Arena
@@ -111,7 +111,7 @@
 	return append(b.Bytes(), '\n')
 }
 
-// writeTop writes the version of a map.
+// writeTop adds the version and the epoch of a map to o.
 func writeTop(a *fastjson.Arena, o *fastjson.Value, m *cells.Map) {
 	o.Set("version", a.NewNumberInt(m.Version))
 	if m.Epoch > 0 {
@@ -119,8 +119,8 @@
 	}
 }
 
-// writeHead writes the times of a map, with its cells in the order given.
-func writeHead(a *fastjson.Arena, o *fastjson.Value, m *cells.Map, all []cells.Cell) {
+// writeHead adds the durations of a map to o, and the given cells in their order.
+func writeHead(a *fastjson.Arena, o *fastjson.Value, m *cells.Map, cellList []cells.Cell) {
 	for _, t := range []struct {
 		key string
 		d   time.Duration
@@ -128,7 +128,7 @@
 		o.Set(t.key, a.NewNumberInt(int(t.d.Milliseconds())))
 	}
 	list := a.NewArray()
-	for i, c := range all {
+	for i, c := range cellList {
 		e := a.NewObject()
 		e.Set("name", a.NewString(c.Name))
 		e.Set("capacity", a.NewNumberFloat64(c.Capacity))
@@ -137,7 +137,7 @@
 	o.Set("cells", list)
 }
 
-// serverValue is a server as JSON.
+// serverValue returns a server as a JSON object.
 func serverValue(a *fastjson.Arena, s *cells.Server) *fastjson.Value {
 	e := a.NewObject()
 	e.Set("name", a.NewString(s.Name))
@@ -154,7 +154,7 @@
 	return e
 }
 
-// tenantValue is a tenant as JSON.
+// tenantValue returns a tenant as a JSON object.
 func tenantValue(a *fastjson.Arena, t *cells.Tenant) *fastjson.Value {
 	e, homes := a.NewObject(), a.NewArray()
 	e.Set("name", a.NewString(t.Name))
--- a/internal/settings/config.go
+++ b/internal/settings/config.go
@@ -16,56 +16,57 @@
 	"silverpath"
 )
 
-// Config is the configuration of one process: its place on the platform, and the module's settings, which are the module's own type.
+// Config is the configuration of one process: its addresses and limits on the platform, and the settings of the module.
 type Config struct {
 	Name          string
-	Listen        string        // where balancers connect; empty: no such front
-	Admin         string        // where operators call; empty: nowhere
-	Interpreter   string        // the interpreter
-	Announce      string        // the announce service; empty: none
-	Vault         string        // what lies below; empty in the last tier
-	Seed          int64         // for random numbers
-	StopTimeout   time.Duration // from the notice to leave to the end of the process
+	Listen        string        // address of the MessagePack-RPC front, where load balancers connect; empty: no such front
+	Admin         string        // address of the admin API; empty: disabled
+	Interpreter   string        // address of the interpreter
+	Announce      string        // address of the announce service; empty: none
+	Vault         string        // address of the tier below; empty in the last tier
+	Seed          int64         // of the random number generator
+	StopTimeout   time.Duration // from the shutdown notice to the exit of the process
 	MemoryMB      float64
 	Descriptors   int
 	SCGI          SCGI
 	SNMP          SNMP
-	JSONLog       bool // its log is for machines: set by the command line
-	BuiltinWorker bool // the built-in worker does the work: set by a start without a configuration
+	JSONLog       bool // log in JSON; set by the command line
+	BuiltinWorker bool // run requests on the built-in worker; set when the process starts without a configuration
 	Edge          Edge
 	Server        silverpath.Settings
-	Gauges        []string // the order of the gauges
-	ListenFD      int      // descriptor of the listening socket that other processes of this service share; 0: none
-	shape         shape    // of the file
+	Gauges        []string // names of the gauges, in the order of the interpreter's readings
+	ListenFD      int      // descriptor of a listening socket shared with other processes of this service; 0: none
+	keys          keySet   // keys that the file contains
 }
 
-// SCGI sets up the second front and the second runner; both are off while their address is empty.
+// SCGI configures the SCGI front and the SCGI application server. Each is off if its address is empty.
 type SCGI struct {
-	Listen    string // where web fronts connect
-	Upstream  string // an application server that does the work in place of the interpreter
+	Listen    string // address of the front, where web servers connect
+	Upstream  string // address of an application server that runs requests in place of the interpreter
 	MaxBody   int
-	Class     string        // for requests that name none; empty: the path's first part names it
-	Tenant    string        // likewise
-	Deadline  time.Duration // likewise; 0: the class's own
-	RequestKB float64       // memory booked for a held request
+	Class     string        // class of requests that name none; empty: the first segment of the path names it
+	Tenant    string        // tenant of requests that name none
+	Deadline  time.Duration // deadline of requests that set none; 0: that of the class
+	RequestKB float64       // memory booked for a queued request
 	HalfClose bool          // a caller that closes its sending half still waits for its answer
-	Timeout   time.Duration // after which a run upstream is taken to have failed
+	Timeout   time.Duration // after which a run on the application server has failed
 }
 
-// SNMP sets up the agent, which is off while its address is empty.
+// SNMP configures the SNMP agent, which is off if its address is empty.
 type SNMP struct {
 	Listen    string
-	Community string // the one that is answered
+	Community string // the only community that the agent answers
 }
 
-// Load reads a server's configuration file. LB_NAME, LB_LISTEN and LB_MGMT stand in for what it leaves out; LB_SOCKET_FD is the
-// descriptor of an inherited listening socket. An error names the file and the field.
+// Load reads a server's configuration file at the start and at each reload. The environment variables LB_NAME, LB_LISTEN and LB_MGMT
+// supply the fields that the file omits. LB_SOCKET_FD is the descriptor of an inherited listening socket. An error names the file and
+// the field.
 func Load(path string) (Config, error) { return load(path, false) }
 
-// LoadRouter is Load for a router, which has no interpreter.
+// LoadRouter reads a router's configuration file. It is Load, except that the address of the interpreter is optional.
 func LoadRouter(path string) (Config, error) { return load(path, true) }
 
-// load is Load for either role.
+// load implements Load and LoadRouter.
 func load(path string, router bool) (Config, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -73,7 +74,7 @@
 	}
 	c, err := parseConfig(data, os.Getenv("LB_NAME"), os.Getenv("LB_LISTEN"), router)
 	if mgmt := os.Getenv("LB_MGMT"); err == nil && c.Admin == "" && mgmt != "" {
-		c.Admin, err = mgmt, address("LB_MGMT", mgmt)
+		c.Admin, err = mgmt, checkAddress("LB_MGMT", mgmt)
 	}
 	if fd := os.Getenv("LB_SOCKET_FD"); err == nil && fd != "" && c.Listen != "" {
 		if c.ListenFD, err = strconv.Atoi(fd); err != nil || c.ListenFD < 3 {
@@ -86,33 +87,34 @@
 	return c, nil
 }
 
-// ParseConfig reads the text of a server's configuration; name and listen stand in for what it leaves out.
+// ParseConfig parses and validates the text of a server's configuration. If the text omits the name or the listen address, name and
+// listen take their place.
 func ParseConfig(data []byte, name, listen string) (Config, error) {
 	return parseConfig(data, name, listen, false)
 }
 
-// parseConfig is ParseConfig for either role.
+// parseConfig implements ParseConfig for a server or a router.
 func parseConfig(data []byte, name, listen string, router bool) (Config, error) {
 	var err error
-	f := object(data, &err)
+	f := parseObject(data, &err)
 	if err != nil {
 		return Config{}, err
 	}
-	limits, s, agent := f.object("limits"), f.object("scgi"), f.object("snmp")
+	limits, scgi, snmp := f.object("limits"), f.object("scgi"), f.object("snmp")
 	c := Config{
 		Name: f.text("name"), Listen: f.text("listen"), Interpreter: f.text("vm"), Announce: f.text("announce"),
-		Vault: f.text("vault"), Admin: f.text("mgmt"), shape: shapeOf(f.v), StopTimeout: time.Duration(f.integer("stop_ms")) * time.Millisecond,
+		Vault: f.text("vault"), Admin: f.text("mgmt"), keys: keySetOf(f.v), StopTimeout: time.Duration(f.integer("stop_ms")) * time.Millisecond,
 		MemoryMB: limits.number("memory_mb"), Descriptors: int(limits.integer("sockets")),
 		SCGI: SCGI{
-			Listen: s.text("listen"), Upstream: s.text("upstream"), MaxBody: int(s.integer("max_body")),
-			Class: s.text("class"), Tenant: s.text("tenant"),
-			Deadline: time.Duration(s.integer("deadline_ms")) * time.Millisecond, RequestKB: s.number("held_kb"),
-			HalfClose: s.flag("half_close"),
-			Timeout:   time.Duration(s.integer("upstream_timeout_ms")) * time.Millisecond,
+			Listen: scgi.text("listen"), Upstream: scgi.text("upstream"), MaxBody: int(scgi.integer("max_body")),
+			Class: scgi.text("class"), Tenant: scgi.text("tenant"),
+			Deadline: time.Duration(scgi.integer("deadline_ms")) * time.Millisecond, RequestKB: scgi.number("held_kb"),
+			HalfClose: scgi.boolean("half_close"),
+			Timeout:   time.Duration(scgi.integer("upstream_timeout_ms")) * time.Millisecond,
 		},
 	}
-	c.SNMP = SNMP{Listen: agent.text("listen"), Community: agent.text("community")}
-	c.Server, c.Gauges = read(f.object("settings"))
+	c.SNMP = SNMP{Listen: snmp.text("listen"), Community: snmp.text("community")}
+	c.Server, c.Gauges = readSettings(f.object("settings"))
 	seed := f.text("seed")
 	if err != nil {
 		return c, err
@@ -136,18 +138,18 @@
 
 // Bounds and defaults of a configuration.
 const (
-	minMemoryMB      = 16 // what the runtime and one busy front take
-	minDescriptors   = 64 // below, no front has a connection to give
-	defaultStop      = 3 * time.Second
-	defaultMemoryMB  = 192
-	defaultSockets   = 1024
-	defaultMaxBody   = 2048 // bytes: the platform's
-	defaultTimeout   = 30 * time.Second
-	defaultRequestKB = 32   // a request's buffers on the way through the SCGI front
-	maxRequestKB     = 2000 // as on the MessagePack-RPC front
+	minMemoryMB            = 16 // used by the runtime and one front under load
+	minDescriptors         = 64 // with fewer, no front can accept a connection
+	defaultStopTimeout     = 3 * time.Second
+	defaultMemoryMB        = 192
+	defaultDescriptors     = 1024
+	defaultMaxBodyBytes    = 2048 // limit of the platform
+	defaultUpstreamTimeout = 30 * time.Second
+	defaultRequestKB       = 32   // buffers of one request in the SCGI front
+	maxRequestKB           = 2000 // same as for the MessagePack-RPC front
 )
 
-// complete sets defaults and returns an error of the first field that no service can do with.
+// complete validates the configuration and sets defaults. An error names the first field that is not valid.
 func (c *Config) complete(v *fastjson.Value, router bool) error {
 	for _, check := range []func() error{
 		func() error { return c.checkAddresses(router) },
@@ -159,19 +161,19 @@
 			return err
 		}
 	}
-	setDefault(&c.StopTimeout, defaultStop)
+	setDefault(&c.StopTimeout, defaultStopTimeout)
 	setDefault(&c.MemoryMB, defaultMemoryMB)
-	setDefault(&c.Descriptors, defaultSockets)
-	setDefault(&c.SCGI.MaxBody, defaultMaxBody)
-	setDefault(&c.SCGI.Timeout, defaultTimeout)
+	setDefault(&c.Descriptors, defaultDescriptors)
+	setDefault(&c.SCGI.MaxBody, defaultMaxBodyBytes)
+	setDefault(&c.SCGI.Timeout, defaultUpstreamTimeout)
 	setDefault(&c.SCGI.RequestKB, defaultRequestKB)
-	if _, err := silverpath.New(0, c.Server, silent{}); err != nil {
+	if _, err := silverpath.New(0, c.Server, noopHost{}); err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
 	return nil
 }
 
-// setDefault sets what is zero.
+// setDefault sets *v to value if it is zero.
 func setDefault[T comparable](v *T, value T) {
 	var zero T
 	if *v == zero {
@@ -179,7 +181,8 @@
 	}
 }
 
-// checkAddresses checks every address that is given or needed. A server needs a front, and somebody who does the work.
+// checkAddresses validates the required addresses and the optional ones that are set. A server requires a front, and either an
+// interpreter or an application server.
 func (c *Config) checkAddresses(router bool) error {
 	for _, a := range []struct {
 		field, addr string
@@ -193,19 +196,19 @@
 		if a.addr == "" && !a.required {
 			continue
 		}
-		if err := address(a.field, a.addr); err != nil {
+		if err := checkAddress(a.field, a.addr); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// checkSettings checks that the module's settings have what has no default.
+// checkSettings checks that the fields of the module's settings that have no default are present.
 func (c *Config) checkSettings(v *fastjson.Value) error {
-	for _, need := range [][]string{{"settings"}, {"settings", "classes"}, {"settings", "family_info"},
+	for _, path := range [][]string{{"settings"}, {"settings", "classes"}, {"settings", "family_info"},
 		{"settings", "family_info", "cpus"}, {"settings", "family_info", "memory_kb"}} {
-		if !v.Exists(need...) {
-			return fmt.Errorf("%s: missing", strings.Join(need, "."))
+		if !v.Exists(path...) {
+			return fmt.Errorf("%s: missing", strings.Join(path, "."))
 		}
 	}
 	for i, k := range c.Server.Classes {
@@ -216,7 +219,7 @@
 	return nil
 }
 
-// checkBounds checks name, limits and SNMP.
+// checkBounds validates the name, the stop timeout, the limits and the SNMP agent.
 func (c *Config) checkBounds(v *fastjson.Value) error {
 	switch {
 	case c.Name == "":
@@ -233,44 +236,43 @@
 	return nil
 }
 
-// checkSCGI checks the bounds of the SCGI front and its application server.
+// checkSCGI validates the SCGI front and its application server.
 func (c *Config) checkSCGI() error {
-	switch set := c.SCGI; {
-	case set.MaxBody < 0:
-		return fmt.Errorf("scgi.max_body: negative: %v", set.MaxBody)
-	case set.Deadline < 0:
-		return fmt.Errorf("scgi.deadline_ms: negative: %v", set.Deadline.Milliseconds())
-	case set.Timeout < 0:
-		return fmt.Errorf("scgi.upstream_timeout_ms: negative: %v", set.Timeout.Milliseconds())
-	case !(set.RequestKB >= 0 && set.RequestKB < maxRequestKB):
-		return fmt.Errorf("scgi.held_kb: not from 0 to %d: %v", maxRequestKB, set.RequestKB)
+	switch scgi := c.SCGI; {
+	case scgi.MaxBody < 0:
+		return fmt.Errorf("scgi.max_body: negative: %v", scgi.MaxBody)
+	case scgi.Deadline < 0:
+		return fmt.Errorf("scgi.deadline_ms: negative: %v", scgi.Deadline.Milliseconds())
+	case scgi.Timeout < 0:
+		return fmt.Errorf("scgi.upstream_timeout_ms: negative: %v", scgi.Timeout.Milliseconds())
+	case !(scgi.RequestKB >= 0 && scgi.RequestKB < maxRequestKB):
+		return fmt.Errorf("scgi.held_kb: not from 0 to %d: %v", maxRequestKB, scgi.RequestKB)
 	}
 	return nil
 }
 
-// address checks that a field is an address and port.
-func address(field, addr string) error {
+// checkAddress checks that the value of a field is an IP address and port.
+func checkAddress(field, addr string) error {
 	if _, err := netip.ParseAddrPort(addr); err != nil {
 		return fmt.Errorf("%s: not an address and port: %q", field, addr)
 	}
 	return nil
 }
 
-// Differs returns the names of the fields in which another configuration differs from this one and which hold from a start to the
-// end of a process: all but the module's settings, the pools and the addresses of the interpreter, the vault and the announce
-// service. Service.Reload logs each.
-func (c Config) Differs(d Config) []string {
+// Differs returns the names of the changed fields that take effect only at a restart: all except the module's settings, the pools and
+// the addresses of the interpreter, the vault and the announce service. Service.Reload logs each of them.
+func (c Config) Differs(o Config) []string {
 	var list []string
 	for _, f := range []struct {
 		name string
 		same bool
 	}{
-		{"name", c.Name == d.Name}, {"listen", c.Listen == d.Listen}, {"mgmt", c.Admin == d.Admin}, {"stop_ms", c.StopTimeout == d.StopTimeout},
-		{"vm", (c.Interpreter == "") == (d.Interpreter == "")}, {"vault", (c.Vault == "") == (d.Vault == "")},
-		{"limits", c.MemoryMB == d.MemoryMB && c.Descriptors == d.Descriptors},
-		{"scgi", c.SCGI == d.SCGI}, {"snmp", c.SNMP == d.SNMP},
-		{"edge", c.Edge.sameExceptPools(d.Edge)},
-		{"settings.family_info.gauges", slices.Equal(c.Gauges, d.Gauges)},
+		{"name", c.Name == o.Name}, {"listen", c.Listen == o.Listen}, {"mgmt", c.Admin == o.Admin}, {"stop_ms", c.StopTimeout == o.StopTimeout},
+		{"vm", (c.Interpreter == "") == (o.Interpreter == "")}, {"vault", (c.Vault == "") == (o.Vault == "")},
+		{"limits", c.MemoryMB == o.MemoryMB && c.Descriptors == o.Descriptors},
+		{"scgi", c.SCGI == o.SCGI}, {"snmp", c.SNMP == o.SNMP},
+		{"edge", c.Edge.sameExceptPools(o.Edge)},
+		{"settings.family_info.gauges", slices.Equal(c.Gauges, o.Gauges)},
 	} {
 		if !f.same {
 			list = append(list, f.name)
@@ -279,9 +281,9 @@
 	return list
 }
 
-// Retuned reports whether another configuration has other settings of the module, but for the seed, which a file that is written
-// anew may give anew.
-func (c Config) Retuned(d Config) bool {
-	c.Server.Seed = d.Server.Seed
-	return !reflect.DeepEqual(c.Server, d.Server)
+// Retuned reports whether the module's settings of another configuration differ from these. The seed is not compared, because a
+// regenerated file may contain a new one.
+func (c Config) Retuned(next Config) bool {
+	c.Server.Seed = next.Server.Seed
+	return !reflect.DeepEqual(c.Server, next.Server)
 }
--- a/internal/settings/documents.go
+++ b/internal/settings/documents.go
@@ -14,86 +14,87 @@
 	"silverpath/internal/policy/configstore"
 )
 
-// ConfigWatch sets up a process that acts on documents of a group ("rules"): see docs/rules.md.
+// ConfigWatch configures a process that applies configuration documents of a group (JSON key "rules"): see docs/rules.md.
 type ConfigWatch struct {
 	Group      GroupRef
 	Documents  []string
-	MaxRouters int // routers that there can be at once, which share the quotas of the cells; 0: quotas are not shared
+	MaxRouters int // largest number of concurrent routers, which share the quotas of the cells; 0: quotas are not shared
 }
 
-// Uses reports whether the process acts on a document of the group.
-func (r *ConfigWatch) Uses(doc string) bool { return r != nil && slices.Contains(r.Documents, doc) }
+// Uses reports whether the process applies a document of the group. It may be called on nil.
+func (w *ConfigWatch) Uses(doc string) bool { return w != nil && slices.Contains(w.Documents, doc) }
 
-// readConfigWatch reads the documents of a group that the process acts on; nil: none.
+// readConfigWatch reads which documents of a group the process applies. It returns nil if the object is absent.
 func readConfigWatch(f fields) *ConfigWatch {
 	if f.v == nil {
 		return nil
 	}
-	f.only("group", "members", "documents", "most_routers")
-	set := &ConfigWatch{Group: f.group(), Documents: f.texts("documents"), MaxRouters: int(f.integer("most_routers"))}
-	if set.MaxRouters < 0 || set.MaxRouters > 0 && !set.Uses(configstore.DocMap) {
-		f.fail("most_routers", "negative, or there is no map among the documents")
+	f.rejectUnknown("group", "members", "documents", "most_routers")
+	watch := &ConfigWatch{Group: f.group(), Documents: f.texts("documents"), MaxRouters: int(f.integer("most_routers"))}
+	if watch.MaxRouters < 0 || watch.MaxRouters > 0 && !watch.Uses(configstore.DocMap) {
+		f.fail("most_routers", "negative, or the map is not among the documents")
 	}
-	for i, doc := range set.Documents {
+	for i, doc := range watch.Documents {
 		if !slices.Contains(configstore.DocumentNames, doc) {
 			f.fail(fmt.Sprintf("documents[%d]", i), "no such document: %q", doc)
 		}
 	}
-	if len(set.Documents) == 0 {
+	if len(watch.Documents) == 0 {
 		f.fail("documents", "none")
 	}
-	return set
+	return watch
 }
 
-// ParseRouting reads the document of how routers balance load and retry; map and state are empty.
+// ParseRouting parses the routing document: how routers balance load, retry and check health. The returned Router has no map file
+// and no state file.
 func ParseRouting(text string) (Router, error) {
 	var err error
-	f := object([]byte(text), &err)
+	f := parseObject([]byte(text), &err)
 	if err != nil {
 		return Router{}, err
 	}
-	f.only("format", "probe_ms", "retries", "hedges", "most_out", "panic", "slow_start_ms")
-	set := readRouting(f)
-	return set, err
+	f.rejectUnknown("format", "probe_ms", "retries", "hedges", "most_out", "panic", "slow_start_ms")
+	router := readRouting(f)
+	return router, err
 }
 
-// ParsePools reads the document of a site's pools and checks it for the site.
+// ParsePools parses the document of a site's pools and validates it against the classes of the site.
 func ParsePools(text string, site silverpath.Settings) (admission.Config, error) {
 	var err error
-	f := object([]byte(text), &err)
+	f := parseObject([]byte(text), &err)
 	if err != nil {
 		return admission.Config{}, err
 	}
-	f.only("format", "pools", "limit", "memory")
-	set := readPools(f, site)
+	f.rejectUnknown("format", "pools", "limit", "memory")
+	pools := readPools(f, site)
 	if err != nil {
-		return set, err
+		return pools, err
 	}
-	return set, set.Check()
+	return pools, pools.Check()
 }
 
-// ParseClasses reads the document of a site's classes, and returns the site's settings with them. What a class may call
-// below, and is worth without, stays the site's own.
+// ParseClasses parses the document of a site's classes and returns the site's settings with these classes. A class keeps its
+// CallsDependency and DegradedWeight from the site's settings.
 func ParseClasses(text string, site silverpath.Settings) (silverpath.Settings, error) {
 	return parseClasses(text, site, true)
 }
 
-// parseClasses is ParseClasses; with check the module is asked whether it takes the settings.
+// parseClasses implements ParseClasses. If check is set, the module validates the resulting settings.
 func parseClasses(text string, site silverpath.Settings, check bool) (silverpath.Settings, error) {
 	var err error
-	f := object([]byte(text), &err)
+	f := parseObject([]byte(text), &err)
 	if err != nil {
 		return site, err
 	}
-	f.only("format", "classes")
+	f.rejectUnknown("format", "classes")
 	old := site.Classes
 	site.Classes = nil
 	f.each("classes", func(_ int, c fields) {
-		c.only("name", "target", "aim_stretch", "deadline", "worth", "late_worth", "effect", "memory_span")
+		c.rejectUnknown("name", "target", "aim_stretch", "deadline", "worth", "late_worth", "effect", "memory_span")
 		class := readClass(c)
-		for _, o := range old {
-			if o.Name == class.Name {
-				class.CallsDependency, class.DegradedWeight = o.CallsDependency, o.DegradedWeight
+		for _, oldClass := range old {
+			if oldClass.Name == class.Name {
+				class.CallsDependency, class.DegradedWeight = oldClass.CallsDependency, oldClass.DegradedWeight
 			}
 		}
 		switch {
@@ -115,12 +116,12 @@
 		return site, errors.New("classes: none")
 	}
 	if check {
-		_, err = silverpath.New(0, site, silent{})
+		_, err = silverpath.New(0, site, noopHost{})
 	}
 	return site, err
 }
 
-// documentKeys are the members of each document but the map, and in which object of a file they stand, at its top where that is empty.
+// documentKeys has the keys of each document except the map, and the object of a file that contains them; empty: the top level.
 var documentKeys = map[string]struct {
 	object string
 	keys   []string
@@ -130,11 +131,11 @@
 	configstore.DocPools:   {"", []string{"pools", "limit", "memory"}},
 }
 
-// ExtractDocument returns the text of a document from a file, with its format. The file may be the document itself, or, for
-// installations that had files alone, an edge file or a configuration: then the part is taken that the document is. It is called by
-// the operators' commands; an error says what is wrong with the file.
+// ExtractDocument returns the text of a document from a file, and the document's format. The file is the document itself, or an edge
+// file or configuration of an installation without a group: then the keys of the document are copied from it. Operators' commands
+// call it. An error names the field that is not valid.
 func ExtractDocument(name string, data []byte) (text string, format int, err error) {
-	f := object(data, &err)
+	f := parseObject(data, &err)
 	if err != nil {
 		return "", 0, err
 	}
@@ -151,8 +152,8 @@
 	}
 	v, keys := f.v, doc.keys
 	if doc.object != "" {
-		if part := f.v.Get(doc.object); part != nil {
-			v = part
+		if member := f.v.Get(doc.object); member != nil {
+			v = member
 		}
 	}
 	format = 1
@@ -160,7 +161,7 @@
 		format = int(n)
 		keys = append(slices.Clone(keys), "format")
 	}
-	if format > 1 { // of a build that knows more: the process that reads it says what is wrong with it
+	if format > 1 { // written for a newer build: the process that applies the document validates it
 		return string(v.MarshalTo(nil)), format, err
 	}
 	if text, err = subset(v, keys); err != nil {
@@ -175,13 +176,13 @@
 	return text, format, err
 }
 
-// subset is the text of an object with some members of another one, for people to read.
+// subset returns indented JSON of an object with only the given members of v.
 func subset(v *fastjson.Value, keys []string) (string, error) {
 	var a fastjson.Arena
 	o := a.NewObject()
 	for _, key := range keys {
-		if part := v.Get(key); part != nil {
-			o.Set(key, part)
+		if member := v.Get(key); member != nil {
+			o.Set(key, member)
 		}
 	}
 	var b bytes.Buffer
--- a/internal/settings/edge.go
+++ b/internal/settings/edge.go
@@ -16,50 +16,51 @@
 	"silverpath/internal/policy/loadbalancer"
 )
 
-// Edge is an edge file: what goes beyond the platform, set up by the operator. The zero value is all off.
+// Edge is the content of an edge file, which configures the features beyond the platform's interface. In the zero value all of them
+// are off.
 type Edge struct {
-	On          bool // an edge file was given
-	Status      bool // fronts answer status requests
-	Cell        bool // serves in a cell, behind routers: see docs/cells.md
+	On          bool // there is an edge file
+	Status      bool // the fronts answer status requests
+	Cell        bool // the process is a server of a cell, behind routers: see docs/cells.md
 	Pools       admission.Config
-	Reserve     *admission.ReserveConfig // nil: none
-	Router      *Router                  // nil: it is no router
-	Commands    *Commands                // nil: it takes no commands of the fleet
-	ConfigWatch *ConfigWatch             // nil: it acts on its own files alone
-	Store       *Store                   // nil: what ran is forgotten with the process
-	Heartbeat   *Heartbeat               // nil: it leaves no heartbeat
+	Reserve     *admission.ReserveConfig // nil: no reserve
+	Router      *Router                  // nil: the process is not a router
+	Commands    *Commands                // nil: fenced commands are off
+	ConfigWatch *ConfigWatch             // nil: the process applies only its own files
+	Store       *Store                   // nil: records of runs are lost when the process exits
+	Heartbeat   *Heartbeat               // nil: no heartbeat
 }
 
-// Heartbeat sets up a heartbeat on disk ("life"): see docs/recovery.md.
+// Heartbeat configures a heartbeat on disk (JSON key "life"): see docs/recovery.md.
 type Heartbeat struct {
 	File  string
-	Valid time.Duration // how long after one that is on disk idempotent requests may start
+	Valid time.Duration // how long after a durable heartbeat idempotent requests may start
 }
 
-// Store sets up where the runs of idempotent requests outlive the process ("store"): see docs/durable.md.
+// Store configures the durable store of idempotent requests (JSON key "store"): see docs/durable.md.
 type Store struct {
 	Dir         string
-	SizeMB      float64       // of all records; 0: an eighth of the memory
-	ResultKB    float64       // set aside for each result that is to come
-	CommitDelay time.Duration // how long a commit waits for more that could go with it, where more is to be expected
+	SizeMB      float64       // size of all records; 0: an eighth of the memory
+	ResultKB    float64       // reserved for the result of each run in progress
+	CommitDelay time.Duration // how long a commit waits for further records if more are expected
 }
 
-// Commands sets up a server that takes commands of the fleet's controllers ("orders"): see docs/duties.md.
+// Commands configures a server that executes fenced commands of the leased controllers (JSON key "orders"): see docs/duties.md.
 type Commands struct {
-	State string // the file that keeps the latest over a restart
+	State string // path of the file that preserves the latest command across a restart
 	Group GroupRef
 }
 
-// Router sets up a router ("fleet"): see docs/cells.md.
+// Router configures a router (JSON key "fleet"): see docs/cells.md.
 type Router struct {
-	Map     string // the file with the cell map
-	State   string // the file that keeps the last good map over a restart; empty: none
-	Probe   time.Duration
+	Map     string        // path of the cell map; empty: the group has the map
+	State   string        // path of the file that preserves the last valid map across a restart; empty: none
+	Probe   time.Duration // interval of health checks
 	Routing loadbalancer.Config
 }
 
-// sameExceptPools reports whether another edge file sets up the same, but for the shares of its pools, which may change at a reload,
-// and for who commands the fleet.
+// sameExceptPools reports whether two edge files are equal apart from Commands and the parameters of the pools, which may change at a
+// reload.
 func (e Edge) sameExceptPools(other Edge) bool {
 	return e.On == other.On && e.Status == other.Status && e.Cell == other.Cell && e.PoolsOn() == other.PoolsOn() &&
 		reflect.DeepEqual(e.Reserve, other.Reserve) && reflect.DeepEqual(e.Router, other.Router) &&
@@ -67,10 +68,10 @@
 		reflect.DeepEqual(e.Heartbeat, other.Heartbeat)
 }
 
-// PoolsOn reports whether there are pools.
+// PoolsOn reports whether the edge file configures any pools.
 func (e Edge) PoolsOn() bool { return len(e.Pools.Pools) > 0 }
 
-// LoadEdge reads an edge file for a site with the given settings. An error names the file and the field.
+// LoadEdge reads an edge file and validates it against the settings of the site. An error names the file and the field.
 func LoadEdge(path string, site silverpath.Settings) (Edge, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -83,19 +84,19 @@
 	return e, nil
 }
 
-// ParseEdge reads the text of an edge file for a site with the given settings.
+// ParseEdge parses the text of an edge file and validates it against the settings of the site.
 func ParseEdge(data []byte, site silverpath.Settings) (Edge, error) {
 	var err error
-	f := object(data, &err)
+	f := parseObject(data, &err)
 	if err != nil {
 		return Edge{}, err
 	}
-	f.only("status", "cell", "pools", "limit", "memory", "reserve", "fleet", "orders", "rules", "store", "life")
+	f.rejectUnknown("status", "cell", "pools", "limit", "memory", "reserve", "fleet", "orders", "rules", "store", "life")
 	e := Edge{On: true, Status: true}
 	if f.v.Exists("status") {
-		e.Status = f.flag("status")
+		e.Status = f.boolean("status")
 	}
-	e.Cell = f.flag("cell")
+	e.Cell = f.boolean("cell")
 	limit, memory, reserve := f.object("limit"), f.object("memory"), f.object("reserve")
 	e.Pools = readPools(f, site)
 	e.Reserve = readReserve(reserve)
@@ -105,10 +106,10 @@
 	e.Store = readStore(f.object("store"))
 	e.Heartbeat = readHeartbeat(f.object("life"))
 	if e.Heartbeat != nil && e.Router != nil {
-		f.fail("life", "a router runs no sheets")
+		f.fail("life", "not supported on a router: it runs no requests")
 	}
 	if e.Store != nil && e.Router != nil {
-		f.fail("store", "a router keeps no runs")
+		f.fail("store", "not supported on a router: it runs no requests")
 	}
 	switch {
 	case err != nil:
@@ -127,97 +128,97 @@
 	return e, nil
 }
 
-// readCommands reads how a server takes the fleet's commands; nil: not at all.
+// readCommands reads the configuration of fenced commands. It returns nil if the object is absent.
 func readCommands(f fields) *Commands {
 	if f.v == nil {
 		return nil
 	}
-	f.only("state", "group", "members")
-	set := &Commands{State: f.text("state"), Group: f.group()}
-	if set.State == "" {
+	f.rejectUnknown("state", "group", "members")
+	commands := &Commands{State: f.text("state"), Group: f.group()}
+	if commands.State == "" {
 		f.fail("state", "missing")
 	}
-	return set
+	return commands
 }
 
-// readReserve reads the part of the connections that is set aside for cheap calls; nil: none is.
+// readReserve reads the share of connections reserved for cheap calls. It returns nil if the object is absent.
 func readReserve(f fields) *admission.ReserveConfig {
 	if f.v == nil {
 		return nil
 	}
-	f.only("connections", "cheap_per_s", "cheap_each_per_s")
+	f.rejectUnknown("connections", "cheap_per_s", "cheap_each_per_s")
 	return &admission.ReserveConfig{
 		Connections: f.number("connections"), CheapRate: f.number("cheap_per_s"),
 		CheapRatePerPeer: f.number("cheap_each_per_s"),
 	}
 }
 
-// Bounds of a heartbeat's validity: shorter ones would lapse at a slow write, longer ones keep a restarted process waiting.
+// Bounds of a heartbeat's validity. A shorter one expires during a slow write; a longer one makes a restarted process wait.
 const (
 	minHeartbeatValid     = 200 * time.Millisecond
 	maxHeartbeatValid     = time.Minute
 	defaultHeartbeatValid = 2 * time.Second
 )
 
-// readHeartbeat reads the heartbeat on disk; nil: none.
+// readHeartbeat reads the configuration of the heartbeat. It returns nil if the object is absent.
 func readHeartbeat(f fields) *Heartbeat {
 	if f.v == nil {
 		return nil
 	}
-	f.only("file", "valid_ms")
-	set := &Heartbeat{File: f.text("file"), Valid: time.Duration(f.integer("valid_ms")) * time.Millisecond}
+	f.rejectUnknown("file", "valid_ms")
+	heartbeat := &Heartbeat{File: f.text("file"), Valid: time.Duration(f.integer("valid_ms")) * time.Millisecond}
 	switch {
-	case set.File == "":
+	case heartbeat.File == "":
 		f.fail("file", "missing")
-	case f.v.Exists("valid_ms") && (set.Valid < minHeartbeatValid || set.Valid > maxHeartbeatValid):
-		f.fail("valid_ms", "not from 200 to 60000: %v", set.Valid.Milliseconds())
+	case f.v.Exists("valid_ms") && (heartbeat.Valid < minHeartbeatValid || heartbeat.Valid > maxHeartbeatValid):
+		f.fail("valid_ms", "not from 200 to 60000: %v", heartbeat.Valid.Milliseconds())
 	}
-	if set.Valid == 0 {
-		set.Valid = defaultHeartbeatValid
+	if heartbeat.Valid == 0 {
+		heartbeat.Valid = defaultHeartbeatValid
 	}
-	return set
+	return heartbeat
 }
 
 // Bounds and defaults of a store.
 const (
 	maxStoreMB         = 1 << 16
 	maxResultKB        = 1024
-	defaultResultKB    = 16 // several of the platform's results
+	defaultResultKB    = 16 // several results of the platform's usual size
 	maxCommitDelay     = 100 * time.Millisecond
-	defaultCommitDelay = 500 * time.Microsecond // docs/results/durable.md has what it gains and costs
+	defaultCommitDelay = 500 * time.Microsecond // docs/results/durable.md compares the throughput and latency of several delays
 )
 
-// readStore reads the store of idempotent requests; nil: none.
+// readStore reads the configuration of the durable store. It returns nil if the object is absent.
 func readStore(f fields) *Store {
 	if f.v == nil {
 		return nil
 	}
-	f.only("dir", "size_mb", "result_kb", "gather_us")
-	set := &Store{Dir: f.text("dir"), SizeMB: f.number("size_mb"), ResultKB: f.number("result_kb"), CommitDelay: f.micros("gather_us")}
+	f.rejectUnknown("dir", "size_mb", "result_kb", "gather_us")
+	store := &Store{Dir: f.text("dir"), SizeMB: f.number("size_mb"), ResultKB: f.number("result_kb"), CommitDelay: f.micros("gather_us")}
 	switch {
-	case set.Dir == "":
+	case store.Dir == "":
 		f.fail("dir", "missing")
-	case !(set.SizeMB >= 0 && set.SizeMB <= maxStoreMB):
-		f.fail("size_mb", "not from 0 to 65536: %v", set.SizeMB)
-	case !(set.ResultKB >= 0 && set.ResultKB <= maxResultKB):
-		f.fail("result_kb", "not from 0 to 1024: %v", set.ResultKB)
-	case set.CommitDelay < 0 || set.CommitDelay > maxCommitDelay:
-		f.fail("gather_us", "not from 0 to 100000: %v", set.CommitDelay.Microseconds())
+	case !(store.SizeMB >= 0 && store.SizeMB <= maxStoreMB):
+		f.fail("size_mb", "not from 0 to 65536: %v", store.SizeMB)
+	case !(store.ResultKB >= 0 && store.ResultKB <= maxResultKB):
+		f.fail("result_kb", "not from 0 to 1024: %v", store.ResultKB)
+	case store.CommitDelay < 0 || store.CommitDelay > maxCommitDelay:
+		f.fail("gather_us", "not from 0 to 100000: %v", store.CommitDelay.Microseconds())
 	}
-	if set.ResultKB == 0 {
-		set.ResultKB = defaultResultKB
+	if store.ResultKB == 0 {
+		store.ResultKB = defaultResultKB
 	}
 	if !f.v.Exists("gather_us") {
-		set.CommitDelay = defaultCommitDelay
+		store.CommitDelay = defaultCommitDelay
 	}
-	return set
+	return store
 }
 
-// readPools reads the pools of a site with their limit and memory stages.
-func readPools(f fields, site silverpath.Settings) (set admission.Config) {
+// readPools reads the pools of a site, their concurrency limit and their memory stages.
+func readPools(f fields, site silverpath.Settings) (config admission.Config) {
 	f.each("pools", func(_ int, p fields) {
-		p.only("name", "classes", "weight", "floor")
-		one := admission.Pool{Name: p.text("name"), Weight: p.number("weight"), Floor: p.number("floor")}
+		p.rejectUnknown("name", "classes", "weight", "floor")
+		pool := admission.Pool{Name: p.text("name"), Weight: p.number("weight"), Floor: p.number("floor")}
 		for i, k := range p.array("classes") {
 			name, err := k.StringBytes()
 			if err != nil {
@@ -228,62 +229,62 @@
 				p.fail(fmt.Sprintf("classes[%d]", i), "no class of the site: %q", name)
 				return
 			}
-			one.Classes = append(one.Classes, string(name))
+			pool.Classes = append(pool.Classes, string(name))
 		}
-		set.Pools = append(set.Pools, one)
+		config.Pools = append(config.Pools, pool)
 	})
 	limit, memory := f.object("limit"), f.object("memory")
-	limit.only("least", "start", "fixed")
-	set.Limit = admission.Bounds{Min: limit.number("least"), Start: limit.number("start"), Fixed: limit.number("fixed")}
-	memory.only("tight", "scarce", "critical")
-	set.Memory = admission.MemoryStages{Tight: memory.number("tight"), Scarce: memory.number("scarce"), Critical: memory.number("critical")}
-	return set
+	limit.rejectUnknown("least", "start", "fixed")
+	config.Limit = admission.Bounds{Min: limit.number("least"), Start: limit.number("start"), Fixed: limit.number("fixed")}
+	memory.rejectUnknown("tight", "scarce", "critical")
+	config.Memory = admission.MemoryStages{Tight: memory.number("tight"), Scarce: memory.number("scarce"), Critical: memory.number("critical")}
+	return config
 }
 
-// readRouter reads how a router finds and treats its servers; nil: the process is no router. The map comes from a file or from the
-// group, never from both.
+// readRouter reads the configuration of a router. It returns nil if the object is absent. The map comes either from a file or from the
+// group.
 func readRouter(f fields, watch *ConfigWatch) *Router {
 	if f.v == nil {
 		return nil
 	}
-	f.only("map", "state", "probe_ms", "retries", "hedges", "most_out", "panic", "slow_start_ms")
-	set := readRouting(f)
-	set.Map, set.State = f.text("map"), f.text("state")
+	f.rejectUnknown("map", "state", "probe_ms", "retries", "hedges", "most_out", "panic", "slow_start_ms")
+	router := readRouting(f)
+	router.Map, router.State = f.text("map"), f.text("state")
 	switch fromGroup := watch.Uses(configstore.DocMap); {
-	case set.Map == "" && !fromGroup:
+	case router.Map == "" && !fromGroup:
 		f.fail("map", "missing")
-	case set.Map != "" && fromGroup:
-		f.fail("map", "the group has it: rules.documents names it too")
+	case router.Map != "" && fromGroup:
+		f.fail("map", "set, although rules.documents takes the map from the group")
 	}
-	return &set
+	return &router
 }
 
-// readRouting reads how a router balances load and retries.
+// readRouting reads how a router balances load, retries and checks health.
 func readRouting(f fields) Router {
-	set := Router{
+	router := Router{
 		Probe: time.Duration(f.integer("probe_ms")) * time.Millisecond,
 		Routing: loadbalancer.Config{
 			RetryRatio: f.number("retries"), HedgeRatio: f.number("hedges"), MaxEjectedRatio: f.number("most_out"), PanicThreshold: f.number("panic"),
 			SlowStart: time.Duration(f.integer("slow_start_ms")) * time.Millisecond,
 		},
 	}
-	for key, v := range map[string]float64{"retries": set.Routing.RetryRatio, "hedges": set.Routing.HedgeRatio,
-		"most_out": set.Routing.MaxEjectedRatio, "panic": set.Routing.PanicThreshold} {
+	for key, v := range map[string]float64{"retries": router.Routing.RetryRatio, "hedges": router.Routing.HedgeRatio,
+		"most_out": router.Routing.MaxEjectedRatio, "panic": router.Routing.PanicThreshold} {
 		if !(v >= 0 && v <= 1) {
 			f.fail(key, "not from 0 to 1: %v", v)
 		}
 	}
-	if set.Probe < 0 || set.Routing.SlowStart < 0 {
-		f.fail("probe_ms", "it or slow_start_ms is negative")
+	if router.Probe < 0 || router.Routing.SlowStart < 0 {
+		f.fail("probe_ms", "this or slow_start_ms is negative")
 	}
-	if set.Probe == 0 {
-		set.Probe = 500 * time.Millisecond
+	if router.Probe == 0 {
+		router.Probe = 500 * time.Millisecond
 	}
-	return set
+	return router
 }
 
-// only fails for the first member of the object that is not one of those known.
-func (f fields) only(known ...string) {
+// rejectUnknown records an error for the first member of the object whose key is not known.
+func (f fields) rejectUnknown(known ...string) {
 	if f.v == nil {
 		return
 	}
--- a/internal/settings/kinds_test.go
+++ b/internal/settings/kinds_test.go
@@ -11,10 +11,10 @@
 	"silverpath/internal/policy/configstore"
 )
 
-// Every field that any file of settings has is of a stated kind: a reader that asks for one without fails here. The files are
-// those under deploy, and documents with all there is.
+// Every field that any parser reads has a kind in configstore. A parser that reads a field without one fails here. The inputs are the
+// files under deploy and the documents extracted from them.
 func TestEveryFieldHasAKind(t *testing.T) {
-	defer func() { lookedUp = nil }()
+	defer func() { onLookup = nil }()
 	file := func(name string) []byte {
 		data, err := os.ReadFile("../../deploy/" + name)
 		if err != nil {
@@ -22,7 +22,7 @@
 		}
 		return data
 	}
-	total, site := 0, sheets()
+	lookups, site := 0, deployedSettings()
 	for doc, read := range map[string]func() error{
 		"config":               func() error { _, err := ParseConfig(file("scgi.json"), "n", "127.0.0.1:0"); return err },
 		"quorum":               func() error { _, err := ParseQuorum(file("quorum.json")); return err },
@@ -38,23 +38,23 @@
 			_, err := ParseClasses(text, site)
 			return err
 		},
-		"edge":               func() error { _, err := ParseEdge(file("edge.json"), site); return err },
-		"edge of a router":   func() error { _, err := ParseEdge(file("route.json"), site); return err },
-		"edge with orders":   func() error { _, err := ParseEdge(file("orders.json"), site); return err },
-		"edge with rules":    func() error { _, err := ParseEdge(file("rules.json"), site); return err },
-		"edge with a store":  func() error { _, err := ParseEdge(file("durable.json"), site); return err },
-		"edge of such a one": func() error { _, err := ParseEdge(file("route-rules.json"), site); return err },
+		"edge":                                 func() error { _, err := ParseEdge(file("edge.json"), site); return err },
+		"edge of a router":                     func() error { _, err := ParseEdge(file("route.json"), site); return err },
+		"edge with commands":                   func() error { _, err := ParseEdge(file("orders.json"), site); return err },
+		"edge with a config watch":             func() error { _, err := ParseEdge(file("rules.json"), site); return err },
+		"edge with a store":                    func() error { _, err := ParseEdge(file("durable.json"), site); return err },
+		"edge of a router with a config watch": func() error { _, err := ParseEdge(file("route-rules.json"), site); return err },
 	} {
 		seen := map[string]bool{}
-		lookedUp = func(path string) { seen[path] = true }
+		onLookup = func(path string) { seen[path] = true }
 		if err := read(); err != nil {
 			t.Errorf("%s: %v", doc, err)
 		}
-		lookedUp = nil
+		onLookup = nil
 		doc, _, _ := strings.Cut(doc, " ")
 		for _, path := range slices.Sorted(maps.Keys(seen)) {
-			total++
-			// An object is of no kind, what is in it is; one that is not there is looked at elsewhere.
+			lookups++
+			// Only members have a kind, objects have none. An object that is absent in one file is read in another.
 			leaf := !slices.Contains([]string{"fleet", "orders", "rules", "pools", "reserve", "store", "life", "member.snmp"}, path)
 			for other := range seen {
 				leaf = leaf && !strings.HasPrefix(other, path+".") && !strings.HasPrefix(other, path+"[")
@@ -64,16 +64,16 @@
 			}
 		}
 	}
-	if total < 150 {
-		t.Errorf("%d fields were looked for", total)
+	if lookups < 150 {
+		t.Errorf("%d fields were read, want at least 150", lookups)
 	}
 	if configstore.KindOf("config", "nothing") != configstore.KindUnknown {
-		t.Error("what is not there has a kind")
+		t.Error("a field that does not exist has a kind")
 	}
 }
 
-// sheets are the settings of a site with the classes of the files under deploy.
-func sheets() silverpath.Settings {
+// deployedSettings returns the module's settings of deploy/scgi.json, which have the classes that the edge files name.
+func deployedSettings() silverpath.Settings {
 	data, _ := os.ReadFile("../../deploy/scgi.json")
 	c, _ := ParseConfig(data, "n", "127.0.0.1:0")
 	return c.Server
--- a/internal/settings/parts.go
+++ b/internal/settings/parts.go
@@ -12,33 +12,34 @@
 	"silverpath/internal/policy/cells"
 )
 
-// cellParts are the names of a map's parts, in their order, and where each stands in it.
+// cellPartNames has the names of a map's parts in order. The maps return a part's index among the server or tenant parts.
 var (
-	cellParts    []string
-	serverPartOf = map[string]int{}
-	tenantPartOf = map[string]int{}
+	cellPartNames   []string
+	serverPartIndex = map[string]int{}
+	tenantPartIndex = map[string]int{}
 )
 
 func init() {
-	cellParts = append(cellParts, cells.TopName, cells.HeadName)
+	cellPartNames = append(cellPartNames, cells.TopName, cells.HeadName)
 	for i := range cells.ServerParts {
 		name := cells.ServerPartName(i)
-		cellParts, serverPartOf[name] = append(cellParts, name), i
+		cellPartNames, serverPartIndex[name] = append(cellPartNames, name), i
 	}
 	for i := range cells.TenantParts {
 		name := cells.TenantPartName(i)
-		cellParts, tenantPartOf[name] = append(cellParts, name), i
+		cellPartNames, tenantPartIndex[name] = append(cellPartNames, name), i
 	}
 }
 
-// CellParts are the names of a map's parts, in their order: "top" with the version and the epoch, "head" with the times and the
-// cells, "s00" to "s1f" with the servers by xxhash of their names, and "t00" to "tff" with the tenants by that of theirs.
-func CellParts() []string { return slices.Clone(cellParts) }
+// CellParts returns the names of a map's parts in order: "top" with the version and the epoch, "head" with the durations and the
+// cells, "s00" to "s1f" with the servers, and "t00" to "tff" with the tenants. The xxhash of its name selects the part of a server or
+// tenant.
+func CellParts() []string { return slices.Clone(cellPartNames) }
 
-// SplitCells returns the text of each part of a map: compact JSON, its entries by name. The same map gives the same texts,
-// whatever the order of its entries; all parts are there.
+// SplitCells returns the text of every part of a map as compact JSON, with entries sorted by name. The texts do not depend on the
+// order of the map's entries.
 func SplitCells(m *cells.Map) map[string]string {
-	texts := make(map[string]string, len(cellParts))
+	texts := make(map[string]string, len(cellPartNames))
 	var a fastjson.Arena
 	write := func(name string, fill func(o *fastjson.Value)) {
 		o := a.NewObject()
@@ -83,58 +84,58 @@
 	return texts
 }
 
-// JoinCells returns the map that has these parts in place of those of the old one, and shares the rest with it. Without an old one
-// all parts have to be there. What changed is read and checked, and of the rest what the change can break; an error names the part
-// and the field that is no good, an entry that stands in a part where its name does not belong among them.
+// JoinCells returns a map with the changed parts in place of those of old, and shares the other parts with old. If old is nil, changed
+// has to contain all parts. JoinCells validates the changed parts, and in the others whatever the change can invalidate. An error
+// names the part and the field; an entry whose name belongs in another part is an error too.
 func JoinCells(old *cells.Map, changed map[string]string) (*cells.Map, error) {
 	if old == nil {
-		for _, name := range cellParts {
-			if _, there := changed[name]; !there {
+		for _, name := range cellPartNames {
+			if _, ok := changed[name]; !ok {
 				return nil, fmt.Errorf("part %s: missing", name)
 			}
 		}
 	}
-	p := cells.Parts{Servers: map[int][]cells.Server{}, Tenants: map[int][]cells.Tenant{}}
+	parts := cells.Parts{Servers: map[int][]cells.Server{}, Tenants: map[int][]cells.Tenant{}}
 	for _, name := range slices.Sorted(maps.Keys(changed)) {
-		if err := readPart(&p, name, changed[name]); err != nil {
+		if err := readPart(&parts, name, changed[name]); err != nil {
 			return nil, fmt.Errorf("part %s: %w", name, err)
 		}
 	}
-	return cells.Join(old, p)
+	return cells.Join(old, parts)
 }
 
-// need fails where a list is absent: it would else be taken for an empty one.
-func (f fields) need(key string) {
+// requireArray records an error if a list is absent. Without it, an absent list would be read as an empty one.
+func (f fields) requireArray(key string) {
 	if f.get(key, fastjson.TypeArray) == nil {
 		f.fail(key, "missing")
 	}
 }
 
 // readPart reads the text of one part of a map into p.
-func readPart(p *cells.Parts, name, text string) (err error) {
-	f := object([]byte(text), &err)
+func readPart(parts *cells.Parts, name, text string) (err error) {
+	f := parseObject([]byte(text), &err)
 	if err != nil {
 		return err
 	}
-	server, isServer := serverPartOf[name]
-	tenant, isTenant := tenantPartOf[name]
+	server, isServer := serverPartIndex[name]
+	tenant, isTenant := tenantPartIndex[name]
 	switch {
 	case name == cells.TopName:
-		f.only(topKeys...)
-		p.Top = &cells.Map{}
-		readTop(f, p.Top)
+		f.rejectUnknown(topKeys...)
+		parts.Top = &cells.Map{}
+		readTop(f, parts.Top)
 	case name == cells.HeadName:
-		f.only(headKeys...)
-		p.Head = &cells.Map{}
-		readHead(f, p.Head)
+		f.rejectUnknown(headKeys...)
+		parts.Head = &cells.Map{}
+		readHead(f, parts.Head)
 	case isServer:
-		f.only("servers")
-		f.need("servers")
-		p.Servers[server] = readServers(f)
+		f.rejectUnknown("servers")
+		f.requireArray("servers")
+		parts.Servers[server] = readServers(f)
 	case isTenant:
-		f.only("tenants")
-		f.need("tenants")
-		p.Tenants[tenant] = readTenants(f)
+		f.rejectUnknown("tenants")
+		f.requireArray("tenants")
+		parts.Tenants[tenant] = readTenants(f)
 	default:
 		return fmt.Errorf("no map has it")
 	}
--- a/internal/settings/parts_test.go
+++ b/internal/settings/parts_test.go
@@ -18,14 +18,14 @@
 	"silverpath/internal/policy/cells"
 )
 
-// Property tests take the same course every time.
+// A fixed seed makes property tests deterministic.
 func init() { _ = flag.Set("rapid.seed", "7"); _ = flag.Set("rapid.nofailfile", "true") }
 
 var t0 = time.UnixMilli(1_800_000_000_000)
 
-// fleetOf is a map of so many servers and tenants, of which every tenth has moved and every hundredth server leaves. Exactly four of
-// its tenants stand in the part t00, however many there are.
-func fleetOf(servers, tenants int) *cells.Map {
+// generateMap returns a map with the given numbers of servers and tenants. Every hundredth server leaves, and about every tenth tenant
+// has moved to another cell. At most four tenants are in part t00, so that the size of that part does not grow with the map.
+func generateMap(servers, tenants int) *cells.Map {
 	m := &cells.Map{Version: 7, Epoch: 3, KeyWindow: 13 * time.Second, MaxClockSkew: 500 * time.Millisecond, Lease: 5 * time.Second, CallerTimeout: 4 * time.Second}
 	for i := range 1 + servers/30 {
 		m.Cells = append(m.Cells, cells.Cell{Name: fmt.Sprint("c", i), Capacity: 100})
@@ -37,11 +37,11 @@
 		}
 		m.Servers = append(m.Servers, s)
 	}
-	first := 0
+	inFirstPart := 0
 	for i := 0; len(m.Tenants) < tenants; i++ {
 		t := cells.Tenant{Name: fmt.Sprint("tenant-", i), Rate: float64(i%50) + 0.5, Homes: []cells.Home{{Cell: m.Cells[i%len(m.Cells)].Name, Shard: i % 4}}}
 		if cells.TenantPart(t.Name) == 0 {
-			if first++; first > 4 {
+			if inFirstPart++; inFirstPart > 4 {
 				continue
 			}
 		}
@@ -53,11 +53,11 @@
 	return m
 }
 
-// A map is its parts: what is split and joined again is the same map, whatever the order of its entries; and one in which something
-// has changed, joined from the parts that differ, is the whole that it was made from.
+// Joining the parts of a map gives an equivalent map, in whatever order its entries are. Joining the parts that differ between two maps
+// to the first one gives the second and leaves the first unchanged.
 func TestSplitAndJoin(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := fleetOf(rapid.IntRange(1, 70).Draw(t, "servers"), rapid.IntRange(0, 90).Draw(t, "tenants"))
+		m := generateMap(rapid.IntRange(1, 70).Draw(t, "servers"), rapid.IntRange(0, 90).Draw(t, "tenants"))
 		if rapid.Bool().Draw(t, "others") {
 			m.Tenants = append(m.Tenants, cells.Tenant{Name: "", Rate: 1, Homes: []cells.Home{{Cell: "c0"}}})
 		}
@@ -68,28 +68,28 @@
 		if !slices.Equal(slices.Sorted(maps.Keys(texts)), slices.Sorted(slices.Values(CellParts()))) {
 			t.Fatalf("parts %v", slices.Sorted(maps.Keys(texts)))
 		}
-		mixed := *m
+		shuffled := *m
 		r := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "order"), 1))
-		mixed.Cells, mixed.Servers, mixed.Tenants = slices.Clone(m.Cells), slices.Clone(m.Servers), slices.Clone(m.Tenants)
-		r.Shuffle(len(mixed.Cells), func(i, j int) { mixed.Cells[i], mixed.Cells[j] = mixed.Cells[j], mixed.Cells[i] })
-		r.Shuffle(len(mixed.Servers), func(i, j int) { mixed.Servers[i], mixed.Servers[j] = mixed.Servers[j], mixed.Servers[i] })
-		r.Shuffle(len(mixed.Tenants), func(i, j int) { mixed.Tenants[i], mixed.Tenants[j] = mixed.Tenants[j], mixed.Tenants[i] })
-		if !maps.Equal(texts, SplitCells(&mixed)) {
-			t.Fatal("another order gives other texts")
+		shuffled.Cells, shuffled.Servers, shuffled.Tenants = slices.Clone(m.Cells), slices.Clone(m.Servers), slices.Clone(m.Tenants)
+		r.Shuffle(len(shuffled.Cells), func(i, j int) { shuffled.Cells[i], shuffled.Cells[j] = shuffled.Cells[j], shuffled.Cells[i] })
+		r.Shuffle(len(shuffled.Servers), func(i, j int) { shuffled.Servers[i], shuffled.Servers[j] = shuffled.Servers[j], shuffled.Servers[i] })
+		r.Shuffle(len(shuffled.Tenants), func(i, j int) { shuffled.Tenants[i], shuffled.Tenants[j] = shuffled.Tenants[j], shuffled.Tenants[i] })
+		if !maps.Equal(texts, SplitCells(&shuffled)) {
+			t.Fatal("the texts of the parts depend on the order of the entries")
 		}
 		joined, err := JoinCells(nil, texts)
 		if err != nil {
 			t.Fatal(err)
 		}
-		alike(t, m, joined)
+		requireEquivalent(t, m, joined)
 		if !maps.Equal(texts, SplitCells(joined)) {
-			t.Fatal("what was joined gives other texts")
+			t.Fatal("splitting the joined map gives different texts")
 		}
-		written, err := ParseCells(FormatCells(joined))
+		reparsed, err := ParseCells(FormatCells(joined))
 		if err != nil {
 			t.Fatal(err)
 		}
-		alike(t, joined, written)
+		requireEquivalent(t, joined, reparsed)
 
 		next := *m
 		next.Servers, next.Tenants = slices.Clone(m.Servers), slices.Clone(m.Tenants)
@@ -110,23 +110,23 @@
 		}
 		delta := SplitCells(&next)
 		maps.DeleteFunc(delta, func(name, text string) bool { return texts[name] == text })
-		whole, err := ParseCells(FormatCells(&next))
+		want, err := ParseCells(FormatCells(&next))
 		if err != nil {
 			t.Fatal(err)
 		}
-		for _, from := range []*cells.Map{joined, written} {
-			got, err := JoinCells(from, delta)
+		for _, base := range []*cells.Map{joined, reparsed} {
+			got, err := JoinCells(base, delta)
 			if err != nil {
 				t.Fatal(err)
 			}
-			alike(t, whole, got)
+			requireEquivalent(t, want, got)
 		}
-		alike(t, m, joined) // and is as it was
+		requireEquivalent(t, m, joined) // JoinCells has not changed its argument
 	})
 }
 
-// alike has two maps say the same, of what they are and of where requests go.
-func alike(t *rapid.T, m, other *cells.Map) {
+// requireEquivalent checks that two maps have the same content and route requests of sampled tenants to the same servers.
+func requireEquivalent(t *rapid.T, m, other *cells.Map) {
 	if d := append(cells.Diff(m, other), cells.Diff(other, m)...); len(d) > 0 || m.Version != other.Version || m.Epoch != other.Epoch {
 		t.Fatalf("version %d, epoch %d and %d, %d: %q", m.Version, m.Epoch, other.Version, other.Epoch, d)
 	}
@@ -144,9 +144,9 @@
 	}
 }
 
-// A part that can't be read, or that no map has, is named with its field, and the map before holds.
+// The error for a part that is malformed, invalid or unknown names the part and the field. The old map stays unchanged.
 func TestBadPart(t *testing.T) {
-	m := fleetOf(40, 100)
+	m := generateMap(40, 100)
 	old, err := JoinCells(nil, SplitCells(m))
 	if err != nil {
 		t.Fatal(err)
@@ -167,37 +167,37 @@
 		{"t00", `{"tenants":[{"name":"tenant-1","rate":1,"homes":[{"cell":"c0"}]}]}`, `part t00: tenants[0].name: "tenant-1" belongs in part ` + name},
 	} {
 		if _, err := JoinCells(old, map[string]string{c.part: c.text}); err == nil || !strings.HasPrefix(err.Error(), c.want) {
-			t.Errorf("%v, want %s", err, c.want)
+			t.Errorf("error %v, want %s", err, c.want)
 		}
 	}
-	less := SplitCells(m)
-	delete(less, "s07")
-	if _, err := JoinCells(nil, less); err == nil || err.Error() != "part s07: missing" {
-		t.Errorf("without a part: %v", err)
+	incomplete := SplitCells(m)
+	delete(incomplete, "s07")
+	if _, err := JoinCells(nil, incomplete); err == nil || err.Error() != "part s07: missing" {
+		t.Errorf("without part s07: error %v", err)
 	}
 	if d := append(cells.Diff(m, old), cells.Diff(old, m)...); len(d) > 0 {
-		t.Errorf("the map before has changed: %q", d)
+		t.Errorf("the old map has changed: %q", d)
 	}
 }
 
-// A map from a file is written in the file's order.
+// FormatCells writes the entries of a parsed map in the order of the file.
 func TestFileKeepsItsOrder(t *testing.T) {
-	m := fleetOf(40, 100)
+	m := generateMap(40, 100)
 	slices.Reverse(m.Tenants)
 	text := FormatCells(m)
-	read, err := ParseCells(text)
-	if err != nil || !bytes.Equal(FormatCells(read), text) {
-		t.Errorf("written otherwise, %v", err)
+	parsed, err := ParseCells(text)
+	if err != nil || !bytes.Equal(FormatCells(parsed), text) {
+		t.Errorf("the formatted map differs from the parsed text, error %v", err)
 	}
 	var v struct{ Tenants []struct{ Name string } }
 	if err := json.Unmarshal(text, &v); err != nil || v.Tenants[0].Name != m.Tenants[0].Name {
-		t.Errorf("%v: the first is %q", err, v.Tenants[0].Name)
+		t.Errorf("error %v, first tenant %q", err, v.Tenants[0].Name)
 	}
 }
 
-// joinsOne is a map in parts and a change of its part t00, which has four tenants.
-func joinsOne(servers, tenants int) (*cells.Map, map[string]string) {
-	m := fleetOf(servers, tenants)
+// onePartChange returns a map that was joined from its parts, and a change of its part t00, which has up to four tenants.
+func onePartChange(servers, tenants int) (*cells.Map, map[string]string) {
+	m := generateMap(servers, tenants)
 	old, err := JoinCells(nil, SplitCells(m))
 	if err != nil {
 		panic(err)
@@ -207,8 +207,8 @@
 	}
 }
 
-// cost is how often and how much a function allocates.
-func cost(f func()) (allocs, size float64) {
+// measureAllocs returns the mean number of allocations and of allocated bytes of one call of f.
+func measureAllocs(f func()) (allocs, size float64) {
 	const runs = 50
 	allocs = testing.AllocsPerRun(runs, f)
 	var before, after runtime.MemStats
@@ -220,15 +220,15 @@
 	return allocs, float64(after.TotalAlloc-before.TotalAlloc) / runs
 }
 
-// A change of one part costs that part and a pointer for each other, however many tenants and servers there are; so does the
-// check that it can follow the map before, and what differs from it.
+// Joining a change of one part allocates that part and one pointer for each other part, independent of the number of tenants. The same
+// holds for checking that the new map may follow the old one and for comparing the two.
 func TestChangeCostsWhatChanged(t *testing.T) {
 	measure := func(tenants int) (allocs, size float64) {
-		old, delta := joinsOne(930, tenants)
+		old, delta := onePartChange(930, tenants)
 		if SplitCells(old)["t00"] == delta["t00"] {
-			t.Fatal("nothing is changed")
+			t.Fatal("the change leaves part t00 as it was")
 		}
-		return cost(func() {
+		return measureAllocs(func() {
 			m, err := JoinCells(old, delta)
 			if err != nil {
 				t.Fatal(err)
@@ -237,29 +237,29 @@
 				t.Fatal(err)
 			}
 			if d := cells.Diff(old, m); len(d) != 1 || !m.SameServers(old) {
-				t.Fatalf("%q", d)
+				t.Fatalf("differences %q, want one that leaves the servers unchanged", d)
 			}
 		})
 	}
 	allocs, size := measure(1000)
-	more, larger := measure(21000)
-	t.Logf("1,000 tenants: %v allocations of %.0f bytes; 21,000: %v of %.0f", allocs, size, more, larger)
-	if more > allocs+5 || larger > size+2048 {
-		t.Errorf("1,000 tenants: %v allocations of %.0f bytes; 21,000: %v of %.0f", allocs, size, more, larger)
+	largeAllocs, largeSize := measure(21000)
+	t.Logf("1,000 tenants: %v allocations of %.0f bytes; 21,000: %v of %.0f", allocs, size, largeAllocs, largeSize)
+	if largeAllocs > allocs+5 || largeSize > size+2048 {
+		t.Errorf("1,000 tenants: %v allocations of %.0f bytes; 21,000: %v of %.0f", allocs, size, largeAllocs, largeSize)
 	}
 }
 
 // ---- Benchmarks ----
 
-func benchmark(b *testing.B, f func(b *testing.B, tenants int)) {
+func benchmarkTenants(b *testing.B, f func(b *testing.B, tenants int)) {
 	for _, tenants := range []int{100, 1000, 21000} {
 		b.Run(fmt.Sprint(tenants), func(b *testing.B) { f(b, tenants) })
 	}
 }
 
 func BenchmarkJoinOnePart(b *testing.B) {
-	benchmark(b, func(b *testing.B, tenants int) {
-		old, delta := joinsOne(930, tenants)
+	benchmarkTenants(b, func(b *testing.B, tenants int) {
+		old, delta := onePartChange(930, tenants)
 		b.ReportAllocs()
 		for b.Loop() {
 			if _, err := JoinCells(old, delta); err != nil {
@@ -270,8 +270,8 @@
 }
 
 func BenchmarkJoinAllParts(b *testing.B) {
-	benchmark(b, func(b *testing.B, tenants int) {
-		texts := SplitCells(fleetOf(930, tenants))
+	benchmarkTenants(b, func(b *testing.B, tenants int) {
+		texts := SplitCells(generateMap(930, tenants))
 		b.ReportAllocs()
 		for b.Loop() {
 			if _, err := JoinCells(nil, texts); err != nil {
@@ -282,8 +282,8 @@
 }
 
 func BenchmarkSplitCells(b *testing.B) {
-	benchmark(b, func(b *testing.B, tenants int) {
-		m := fleetOf(930, tenants)
+	benchmarkTenants(b, func(b *testing.B, tenants int) {
+		m := generateMap(930, tenants)
 		b.ReportAllocs()
 		for b.Loop() {
 			SplitCells(m)
@@ -292,8 +292,8 @@
 }
 
 func BenchmarkParseCells(b *testing.B) {
-	benchmark(b, func(b *testing.B, tenants int) {
-		text := FormatCells(fleetOf(930, tenants))
+	benchmarkTenants(b, func(b *testing.B, tenants int) {
+		text := FormatCells(generateMap(930, tenants))
 		b.ReportAllocs()
 		for b.Loop() {
 			if _, err := ParseCells(text); err != nil {
@@ -304,8 +304,8 @@
 }
 
 func BenchmarkFollowsOnePart(b *testing.B) {
-	benchmark(b, func(b *testing.B, tenants int) {
-		old, delta := joinsOne(930, tenants)
+	benchmarkTenants(b, func(b *testing.B, tenants int) {
+		old, delta := onePartChange(930, tenants)
 		m, err := JoinCells(old, delta)
 		if err != nil {
 			b.Fatal(err)
@@ -320,8 +320,8 @@
 }
 
 func BenchmarkFollowsFiles(b *testing.B) {
-	benchmark(b, func(b *testing.B, tenants int) {
-		text := FormatCells(fleetOf(930, tenants))
+	benchmarkTenants(b, func(b *testing.B, tenants int) {
+		text := FormatCells(generateMap(930, tenants))
 		old, _ := ParseCells(text)
 		m, _ := ParseCells(text)
 		m.Version++
@@ -335,8 +335,8 @@
 }
 
 func BenchmarkRoute(b *testing.B) {
-	benchmark(b, func(b *testing.B, tenants int) {
-		m, err := ParseCells(FormatCells(fleetOf(930, tenants)))
+	benchmarkTenants(b, func(b *testing.B, tenants int) {
+		m, err := ParseCells(FormatCells(generateMap(930, tenants)))
 		if err != nil {
 			b.Fatal(err)
 		}
--- a/internal/settings/quorum.go
+++ b/internal/settings/quorum.go
@@ -17,32 +17,33 @@
 	Members []string
 }
 
-// Quorum sets up a process of the group, or one that only runs controllers: see docs/quorum.md and docs/duties.md.
+// Quorum configures a process that is a member of the group, runs leased controllers, or both: see docs/quorum.md and docs/duties.md.
 type Quorum struct {
 	Name   string
 	Group  GroupRef
-	Member *Member // nil: it is no member
-	Runner *Runner // nil: it runs no controllers
-	JSON   bool    // its log is for machines
+	Member *Member // nil: the process is not a member
+	Runner *Runner // nil: the process runs no controllers
+	JSON   bool    // log in JSON
 }
 
-// Member sets up a member of the group.
+// Member configures a member of the group.
 type Member struct {
-	Listen, Addr string // Addr is by which others reach it
-	Dir          string
+	Listen, Addr string // Addr is the address that other processes dial
+	Dir          string // data directory
 	Tick         time.Duration
 	SNMP         SNMP
 }
 
-// Runner sets up the controllers that a process runs while it holds their leases ("owner", "duties").
+// Runner configures the controllers that a process runs while it holds their leases (JSON keys "owner" and "duties").
 type Runner struct {
 	Controllers []string
-	Map         string // the folder with the versions of the map
+	Map         string // directory with the versions of the map
 	Routers     []string
-	DeadAfter   time.Duration // a server is dead once all routers that report have said so for this long
+	DeadAfter   time.Duration // a server is dead once all reporting routers have reported it unreachable for this long
 }
 
-// LoadQuorum reads the file of such a process. An error names the file, but for one of reading it, and the field.
+// LoadQuorum reads the configuration file of a group process at its start. An error names the file and, if the file can be read, the
+// field.
 func LoadQuorum(path string) (Quorum, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -55,14 +56,14 @@
 	return q, nil
 }
 
-// ParseQuorum reads the text of such a file. An unknown field is an error.
+// ParseQuorum parses and validates the text of such a file. An unknown field is an error.
 func ParseQuorum(data []byte) (Quorum, error) {
 	var err error
-	f := object(data, &err)
+	f := parseObject(data, &err)
 	if err != nil {
 		return Quorum{}, err
 	}
-	f.only("name", "group", "members", "member", "owner", "log")
+	f.rejectUnknown("name", "group", "members", "member", "owner", "log")
 	q := Quorum{Name: f.text("name"), Group: f.group(), JSON: enum(f, "log", map[string]bool{"text": false, "json": true})}
 	if q.Name == "" {
 		f.fail("name", "missing")
@@ -70,25 +71,25 @@
 	q.Member = readMember(f.object("member"))
 	q.Runner = readRunner(f.object("owner"))
 	if q.Member == nil && q.Runner == nil {
-		f.fail("member", "neither it nor owner is there: nothing to do")
+		f.fail("member", "missing, and owner too: the process has nothing to do")
 	}
 	return q, err
 }
 
 const (
-	defaultTick      = 50 * time.Millisecond // of raft: an election within half a second
-	defaultDeadAfter = 10 * time.Second      // longer than a server's warm restart takes
+	defaultTick      = 50 * time.Millisecond // raft tick; elections complete within 500 ms
+	defaultDeadAfter = 10 * time.Second      // longer than a warm restart of a server
 )
 
-// readMember reads how a member of the group is set up; nil: the process is none.
+// readMember reads the configuration of a member. It returns nil if the object is absent.
 func readMember(f fields) *Member {
 	if f.v == nil {
 		return nil
 	}
-	f.only("listen", "addr", "dir", "tick_ms", "snmp")
+	f.rejectUnknown("listen", "addr", "dir", "tick_ms", "snmp")
 	m := &Member{Listen: f.text("listen"), Addr: f.text("addr"), Dir: f.text("dir"), Tick: f.millisOr("tick_ms", defaultTick)}
 	if agent := f.object("snmp"); agent.v != nil {
-		agent.only("listen", "community")
+		agent.rejectUnknown("listen", "community")
 		m.SNMP = SNMP{Listen: agent.text("listen"), Community: agent.text("community")}
 		agent.address("listen", m.SNMP.Listen)
 		if m.SNMP.Community == "" {
@@ -105,12 +106,12 @@
 	return m
 }
 
-// readRunner reads which controllers the process runs while it leads them; nil: none.
+// readRunner reads the configuration of the leased controllers. It returns nil if the object is absent.
 func readRunner(f fields) *Runner {
 	if f.v == nil {
 		return nil
 	}
-	f.only("duties", "map", "routers", "gone_after_ms")
+	f.rejectUnknown("duties", "map", "routers", "gone_after_ms")
 	r := &Runner{
 		Controllers: f.texts("duties"), Map: f.text("map"), Routers: f.texts("routers"),
 		DeadAfter: f.millisOr("gone_after_ms", defaultDeadAfter),
@@ -129,7 +130,7 @@
 	return r
 }
 
-// millisOr returns a member that is a number of milliseconds above 0, or a default where it is absent.
+// millisOr returns a member that is a positive number of milliseconds, or the default if it is absent.
 func (f fields) millisOr(key string, absent time.Duration) time.Duration {
 	if f.get(key, fastjson.TypeNumber) == nil {
 		return absent
@@ -141,14 +142,14 @@
 	return d
 }
 
-// address fails where the value of a member is no address and port.
+// address records an error if the value of a member is not an IP address and port.
 func (f fields) address(key, value string) {
-	if err := address(key, value); err != nil && *f.err == nil {
+	if err := checkAddress(key, value); err != nil && *f.err == nil {
 		*f.err = fmt.Errorf("%s%w", f.path, err)
 	}
 }
 
-// group reads the group and the addresses of its members.
+// group reads the name of the group and the addresses of its members. Both are required if the object is present.
 func (f fields) group() GroupRef {
 	g := GroupRef{Name: f.text("group"), Members: f.texts("members")}
 	if f.v == nil {
@@ -166,7 +167,7 @@
 	return g
 }
 
-// texts reads an array of strings.
+// texts returns a member that is an array of strings.
 func (f fields) texts(key string) (list []string) {
 	for i, v := range f.array(key) {
 		if v.Type() != fastjson.TypeString {
--- a/internal/settings/quorum_test.go
+++ b/internal/settings/quorum_test.go
@@ -9,7 +9,7 @@
 	"silverpath"
 )
 
-// The files under deploy are good, and a bad field is named.
+// The group files under deploy are valid, and an error names the field that is not.
 func TestQuorum(t *testing.T) {
 	data, err := os.ReadFile("../../deploy/quorum.json")
 	if err != nil {
@@ -22,11 +22,11 @@
 	if q, err := LoadQuorum("../../deploy/owner.json"); err != nil || q.Member != nil {
 		t.Errorf("%+v, %v", q, err)
 	}
-	orders, err := os.ReadFile("../../deploy/orders.json")
+	edge, err := os.ReadFile("../../deploy/orders.json")
 	if err != nil {
 		t.Fatal(err)
 	}
-	if e, err := ParseEdge(orders, silverpath.Settings{}); err != nil || e.Commands == nil || e.Commands.Group.Name != "kviz" {
+	if e, err := ParseEdge(edge, silverpath.Settings{}); err != nil || e.Commands == nil || e.Commands.Group.Name != "kviz" {
 		t.Errorf("%+v, %v", e.Commands, err)
 	}
 	for _, c := range []struct{ old, new, want string }{
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,9 +1,9 @@
-// Package settings is the one reader of settings: configurations, edge files, the group's files, cell maps, documents of the group and
-// the capacity target, all JSON. The keys are those of the pages; the types and fields have the terms of the code. Whatever is no good
-// is one error of one line that names the field by its path.
+// Package settings parses and validates all JSON configuration: configurations of processes, edge files, files of group processes,
+// cell maps, documents of the group and the capacity target. The JSON keys are those of the public documentation, while types and
+// fields have the terms of the code. A validation error is one line that starts with the path of the field.
 //
-// A configuration and the module's settings are read leniently, since sites differ and add keys; files of the operator's own are
-// checked whole, and an unknown key in them is an error.
+// Unknown keys of a configuration and of the module's settings are ignored, because sites add keys of their own. In the other files an
+// unknown key is an error.
 package settings
 
 import (
@@ -17,40 +17,40 @@
 	"silverpath"
 )
 
-// fields reads the members of one object and keeps the first error, which names the member by its path. Absent and null members are
-// the zero value; unknown ones are never looked at, unless only is called.
+// fields reads the members of one object and records the first error, which starts with the path of the member. An absent or null
+// member reads as the zero value. Unknown members are ignored unless rejectUnknown is called.
 type fields struct {
-	path string          // of the object, with a dot at its end; empty: the whole file
+	path string          // path of the object with a trailing dot; empty: the top level
 	v    *fastjson.Value // nil: the object is absent
-	err  *error          // the first, shared by all objects of a file
+	err  *error          // first error, shared by all objects of a file
 }
 
-// object parses the text of a JSON object. Err gets the first error, now or as members are read.
-func object(data []byte, err *error) fields {
-	v, bad := fastjson.ParseBytes(data)
+// parseObject parses the text of a JSON object. It stores a parse error in err, and reading members stores their first error there.
+func parseObject(data []byte, err *error) fields {
+	v, parseErr := fastjson.ParseBytes(data)
 	switch {
-	case bad != nil:
-		*err = fmt.Errorf("not JSON: %w", bad)
+	case parseErr != nil:
+		*err = fmt.Errorf("not JSON: %w", parseErr)
 	case v.Type() != fastjson.TypeObject:
 		*err = errors.New("not a JSON object")
 	}
 	return fields{"", v, err}
 }
 
-// fail notes what is wrong with a member, unless something was wrong before.
+// fail records an error of a member unless an earlier error is recorded.
 func (f fields) fail(key, format string, args ...any) {
 	if *f.err == nil {
 		*f.err = fmt.Errorf("%s%s: %s", f.path, key, fmt.Sprintf(format, args...))
 	}
 }
 
-// lookedUp is told the path of every member that is looked for, in tests only: they hold the pages against it.
-var lookedUp func(path string)
+// onLookup is called with the path of every member that is read. Only tests set it, to check that each member has a kind.
+var onLookup func(path string)
 
-// get returns a member, nil where it is absent or null. A value of another type is an error.
+// get returns a member, or nil if it is absent or null. A value of another type is an error.
 func (f fields) get(key string, want fastjson.Type) *fastjson.Value {
-	if lookedUp != nil {
-		lookedUp(f.path + key)
+	if onLookup != nil {
+		onLookup(f.path + key)
 	}
 	if f.v == nil {
 		return nil
@@ -66,7 +66,7 @@
 	return v
 }
 
-// object returns a member that is an object; reading an absent one gives zero values.
+// object returns a member that is an object. Members of an absent object read as zero values.
 func (f fields) object(key string) fields {
 	return fields{f.path + key + ".", f.get(key, fastjson.TypeObject), f.err}
 }
@@ -76,7 +76,7 @@
 	return f.get(key, fastjson.TypeArray).GetArray()
 }
 
-// each calls fn with every object of an array.
+// each calls fn with the index and the fields of every object in an array.
 func (f fields) each(key string, fn func(int, fields)) {
 	for i, v := range f.array(key) {
 		if v.Type() != fastjson.TypeObject {
@@ -114,15 +114,15 @@
 	return int64(n)
 }
 
-// micros returns a member that is a whole number of microseconds.
+// micros returns a member that is a whole number of microseconds, capped to what a time.Duration can represent.
 func (f fields) micros(key string) time.Duration {
 	return time.Duration(min(f.integer(key), math.MaxInt64/1000)) * time.Microsecond
 }
 
-// flag returns a member that is true or false.
-func (f fields) flag(key string) bool {
-	if lookedUp != nil {
-		lookedUp(f.path + key)
+// boolean returns a member that is true or false.
+func (f fields) boolean(key string) bool {
+	if onLookup != nil {
+		onLookup(f.path + key)
 	}
 	if f.v == nil {
 		return false
@@ -138,7 +138,7 @@
 	}
 }
 
-// enum returns the meaning of a member that is one of some words; an absent one means the zero value.
+// enum returns the value that meanings has for a string member, or the zero value if the member is absent or empty.
 func enum[T any](f fields, key string, meanings map[string]T) T {
 	text := f.text(key)
 	v, ok := meanings[text]
@@ -148,8 +148,8 @@
 	return v
 }
 
-// Parse reads the module's settings, as the simulator and the platform give them at a start, and the names of the gauges, in the order
-// in which readings come.
+// Parse parses the module's settings that the simulator or the platform sends at the start. It also returns the names of the gauges,
+// in the order of the readings.
 func Parse(text string) (silverpath.Settings, []string, error) {
 	v, err := fastjson.Parse(text)
 	if err != nil {
@@ -158,12 +158,12 @@
 	if v.Type() != fastjson.TypeObject {
 		return silverpath.Settings{}, nil, fmt.Errorf("reading the settings: not an object")
 	}
-	s, gauges := read(fields{"", v, &err})
+	s, gauges := readSettings(fields{"", v, &err})
 	return s, gauges, err
 }
 
-// read fills the module's Settings from the object that the simulator and the platform give, and returns the names of the gauges.
-func read(p fields) (silverpath.Settings, []string) {
+// readSettings reads the module's settings and the names of the gauges.
+func readSettings(p fields) (silverpath.Settings, []string) {
 	s := readSite(p)
 	s.ClassMix = classMix(p.object("scoring_mix"))
 	family := p.object("family_info")
@@ -178,22 +178,22 @@
 	return s, gauges
 }
 
-// readSite reads what the settings say of the machine, the callers and the lower tier.
+// readSite reads the settings that describe the machine, the callers and the tier below.
 func readSite(p fields) silverpath.Settings {
 	f, rules, limits := p.object("family_info"), p.object("rules"), p.object("limits")
 	s := silverpath.Settings{
 		Cores: int(f.integer("cpus")), MemoryKB: f.number("memory_kb"),
 		RunFactor: f.number("run_factor"), KeyKB: f.number("key_kb"),
-		Cold: f.flag("cold"), ColdSpeed: rules.number("cold_from"), WarmupTime: rules.micros("warm_within"),
+		Cold: f.boolean("cold"), ColdSpeed: rules.number("cold_from"), WarmupTime: rules.micros("warm_within"),
 		MaxRunsPerCore: rules.number("fall_multiple"), RunsWindow: rules.micros("overload_for"),
 		DrainGrace:   rules.micros("drain_grace"),
 		WeightByWork: p.text("worth_by") == "work", OverQuotaWeight: 1,
 		Servers: int(p.integer("servers")), Callers: int(f.integer("callers")), Tier: int(p.integer("tier")),
 		FreshFor:   f.micros("fresh_for"),
-		RetryAfter: limits.flag("retry_after"), MaxRetryAfter: limits.micros("max_retry_after"),
+		RetryAfter: limits.boolean("retry_after"), MaxRetryAfter: limits.micros("max_retry_after"),
 		CallQuota: f.number("dep_share"), CallWindow: f.micros("dep_window"), CallLinger: f.micros("linger"),
-		Readiness: f.flag("readiness"), KeepAlive: f.micros("keepalive_max"),
-		MarksRetries: p.object("client_habits").flag("marks_retry"),
+		Readiness: f.boolean("readiness"), KeepAlive: f.micros("keepalive_max"),
+		MarksRetries: p.object("client_habits").boolean("marks_retry"),
 		Preemption: enum(f, "preemption", map[string]silverpath.Preemption{
 			"none": silverpath.PreemptNone, "drop": silverpath.PreemptDrop, "pause": silverpath.PreemptPause}),
 		Signal: enum(f, "say", map[string]silverpath.Signal{
@@ -209,11 +209,11 @@
 	return s
 }
 
-// classMix is the part of the worst class in the score, from 0 to 1; 0 where the settings name no parts.
+// classMix returns the share of the worst class in the score, from 0 to 1. It is 0 if the settings give no shares.
 func classMix(mix fields) float64 {
 	total := 0.0
-	for _, part := range []string{"whole", "worst_class", "worst_tenant", "worst_window"} {
-		total += mix.number(part)
+	for _, component := range []string{"whole", "worst_class", "worst_tenant", "worst_window"} {
+		total += mix.number(component)
 	}
 	if total <= 0 {
 		return 0
@@ -221,8 +221,8 @@
 	return mix.number("worst_class") / total
 }
 
-// readClasses reads the classes, with what the family says of each by its place in the list: whether its runs call below, and what
-// they are worth without.
+// readClasses reads the classes. Two arrays of family, parallel to the list of classes, have each class's CallsDependency and
+// DegradedWeight.
 func readClasses(p, family fields) (list []silverpath.Class) {
 	n := len(p.array("classes"))
 	perClass := func(key string) []*fastjson.Value {
@@ -233,14 +233,14 @@
 		}
 		return values
 	}
-	calls, without := perClass("calls_by_class"), perClass("worth_without")
+	calls, degradedWeights := perClass("calls_by_class"), perClass("worth_without")
 	p.each("classes", func(i int, c fields) {
 		class := readClass(c)
 		if len(calls) > 0 {
 			class.CallsDependency = calls[i].GetBool()
 		}
-		if len(without) > 0 {
-			class.DegradedWeight = without[i].GetFloat64()
+		if len(degradedWeights) > 0 {
+			class.DegradedWeight = degradedWeights[i].GetFloat64()
 		}
 		list = append(list, class)
 	})
@@ -258,8 +258,7 @@
 	}
 }
 
-// Gauges puts readings, in the order of the names that the settings gave, where the module looks for them. It is called with every
-// set of readings; there are as many values as names.
+// Gauges converts a set of readings to the module's gauges. Values has one value for each name of names, in the same order.
 func Gauges(names []string, values []float64) silverpath.Gauges {
 	var g silverpath.Gauges
 	for i, name := range names {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -8,7 +8,7 @@
 	"silverpath"
 )
 
-const server = `{"classes":[{"name":"read","target":1000000,"deadline":3000000,"worth":1,"effect":"pure"},` +
+const moduleSettings = `{"classes":[{"name":"read","target":1000000,"deadline":3000000,"worth":1,"effect":"pure"},` +
 	`{"name":"pay","target":1000000,"deadline":3000000,"worth":3,"effect":"token","memory_span":9000000}],` +
 	`"family_info":{"below":"tier","cpus":2,"memory_kb":10000.5,"run_factor":4,"key_kb":5,"say":"credit","cold":true,` +
 	`"preemption":"none","gauges":["core_use","on_cores"],"calls_by_class":[true,false],"unknown":{}},` +
@@ -16,7 +16,7 @@
 	`"scoring_mix":{"whole":0.6,"worst_class":0.2,"worst_tenant":0.1,"worst_window":0.1},"tenants":[{"name":"acme","allowance_per_s":12.5}]}`
 
 const config = `{"name":"n3","listen":"127.0.0.4:8080","vm":"127.1.0.1:7300","announce":"127.2.0.1:2379","vault":"127.1.0.2:9042",` +
-	`"seed":"8c1f30d27a5be964","stop_ms":3200,"limits":{"cores":1.0,"memory_mb":192,"sockets":1024},"settings":` + server + `}`
+	`"seed":"8c1f30d27a5be964","stop_ms":3200,"limits":{"cores":1.0,"memory_mb":192,"sockets":1024},"settings":` + moduleSettings + `}`
 
 func TestConfig(t *testing.T) {
 	c, err := ParseConfig([]byte(config), "other", "other")
@@ -39,7 +39,7 @@
 	}
 }
 
-// A bad configuration is refused in one line that names the field.
+// The error for an invalid configuration is one line that names the field.
 func TestBadConfig(t *testing.T) {
 	for _, c := range []struct{ old, new, want string }{
 		{`{"name"`, `["name"`, "not JSON"},
@@ -78,12 +78,12 @@
 	f.Add(`{"settings":{"classes":[1]}}`)
 	f.Fuzz(func(t *testing.T, text string) {
 		if c, err := ParseConfig([]byte(text), "n", "127.0.0.1:1"); err == nil && c.Server.Cores <= 0 {
-			t.Fatal("a server without cores")
+			t.Fatal("a configuration without cores is accepted")
 		}
 	})
 }
 
-// A bad edge file is refused in one line that names the field.
+// The error for an invalid edge file is one line that names the field.
 func TestBadEdge(t *testing.T) {
 	site, err := ParseConfig([]byte(config), "", "")
 	if err != nil {
--- a/internal/settings/shape.go
+++ b/internal/settings/shape.go
@@ -11,65 +11,65 @@
 	"silverpath"
 )
 
-// shape is the set of keys that a file gives, by path. Of an array of objects it has the keys that all of them give.
-type shape map[string]bool
+// keySet is the set of keys in a file, by path. For an array of objects it contains the keys that all of the objects have.
+type keySet map[string]bool
 
-// shapeOf returns the shape of a file.
-func shapeOf(v *fastjson.Value) shape {
-	s := shape{}
+// keySetOf returns the keys of a file.
+func keySetOf(v *fastjson.Value) keySet {
+	s := keySet{}
 	s.add("", v)
 	return s
 }
 
-// add adds the keys of a value at a path.
-func (s shape) add(path string, v *fastjson.Value) {
+// add adds the keys of the value at a path.
+func (s keySet) add(path string, v *fastjson.Value) {
 	switch v.Type() {
 	case fastjson.TypeObject:
 		v.GetObject().Visit(func(key []byte, v *fastjson.Value) {
 			if v.Type() == fastjson.TypeNull {
-				return // as good as absent
+				return // same as absent
 			}
-			at := strings.TrimPrefix(path+"."+string(key), ".")
-			s[at] = true
-			s.add(at, v)
+			keyPath := strings.TrimPrefix(path+"."+string(key), ".")
+			s[keyPath] = true
+			s.add(keyPath, v)
 		})
 	case fastjson.TypeArray:
-		var all shape
+		var common keySet
 		for _, e := range v.GetArray() {
-			one := shape{}
-			one.add(path+"[]", e)
-			if all == nil {
-				all = one
+			element := keySet{}
+			element.add(path+"[]", e)
+			if common == nil {
+				common = element
 			}
-			maps.DeleteFunc(all, func(key string, _ bool) bool { return !one[key] })
+			maps.DeleteFunc(common, func(key string, _ bool) bool { return !element[key] })
 		}
-		if all != nil {
-			s[path+"[]"] = true // there are elements
-			maps.Copy(s, all)
+		if common != nil {
+			s[path+"[]"] = true // marks a non-empty array
+			maps.Copy(s, common)
 		}
 	}
 }
 
-// lacks names the first key of s that another shape lacks. What the elements of an array have is not asked of an
-// empty one.
-func (s shape) lacks(t shape) string {
+// firstMissing returns the first key of s that is missing in other, or "". Keys of array elements are not required if the array is
+// empty in other.
+func (s keySet) firstMissing(other keySet) string {
 	for _, key := range slices.Sorted(maps.Keys(s)) {
-		list, _, inside := strings.Cut(key, "[]")
-		emptyList := inside && t[list] && !t[list+"[]"]
-		if !t[key] && !emptyList {
+		array, _, inArray := strings.Cut(key, "[]")
+		emptyList := inArray && other[array] && !other[array+"[]"]
+		if !other[key] && !emptyList {
 			return key
 		}
 	}
 	return ""
 }
 
-// Replaces reports whether another configuration may take this one's place in a running service: it has to give every
-// key that this one gives, so that a file that was cut down or written by hand changes nothing by what it leaves out.
-func (c Config) Replaces(d Config) error {
-	if key := c.shape.lacks(d.shape); key != "" {
+// Replaces returns an error if next must not replace this configuration in a running service. Next has to contain every key of this
+// one, so that a truncated or incomplete file does not reset the settings that it omits.
+func (c Config) Replaces(next Config) error {
+	if key := c.keys.firstMissing(next.keys); key != "" {
 		return fmt.Errorf("%s: missing, and the configuration in force has it", key)
 	}
-	for i, k := range d.Server.Classes {
+	for i, k := range next.Server.Classes {
 		if k.Name == "" {
 			return fmt.Errorf("settings.classes[%d].name: missing", i)
 		}
--- a/internal/settings/silent.go
+++ b/internal/settings/silent.go
@@ -2,47 +2,47 @@
 
 import "time"
 
-// silent is a silverpath.Host that does nothing, for a module that is only asked whether it takes its settings.
-type silent struct{}
+// noopHost is a silverpath.Host that does nothing. It serves modules that are created only to validate settings.
+type noopHost struct{}
 
 // Run implements silverpath.Host.
-func (silent) Run(string) {}
+func (noopHost) Run(string) {}
 
 // Reject implements silverpath.Host.
-func (silent) Reject(string, time.Duration, bool) {}
+func (noopHost) Reject(string, time.Duration, bool) {}
 
 // Fail implements silverpath.Host.
-func (silent) Fail(string) {}
+func (noopHost) Fail(string) {}
 
 // Join implements silverpath.Host.
-func (silent) Join(string) {}
+func (noopHost) Join(string) {}
 
 // Stop implements silverpath.Host.
-func (silent) Stop(string) {}
+func (noopHost) Stop(string) {}
 
 // Call implements silverpath.Host.
-func (silent) Call(string, time.Duration) {}
+func (noopHost) Call(string, time.Duration) {}
 
 // SkipCall implements silverpath.Host.
-func (silent) SkipCall(string) {}
+func (noopHost) SkipCall(string) {}
 
 // RememberKey implements silverpath.Host.
-func (silent) RememberKey(string, time.Duration) {}
+func (noopHost) RememberKey(string, time.Duration) {}
 
 // ForgetKey implements silverpath.Host.
-func (silent) ForgetKey(string) {}
+func (noopHost) ForgetKey(string) {}
 
 // Health implements silverpath.Host.
-func (silent) Health(bool) {}
+func (noopHost) Health(bool) {}
 
 // Signal implements silverpath.Host.
-func (silent) Signal(float64) {}
+func (noopHost) Signal(float64) {}
 
 // CloseIdle implements silverpath.Host.
-func (silent) CloseIdle(time.Duration) {}
+func (noopHost) CloseIdle(time.Duration) {}
 
 // Wake implements silverpath.Host.
-func (silent) Wake(time.Duration) {}
+func (noopHost) Wake(time.Duration) {}
 
 // Log implements silverpath.Host.
-func (silent) Log(string) {}
+func (noopHost) Log(string) {}
--- a/internal/settings/target.go
+++ b/internal/settings/target.go
@@ -9,7 +9,7 @@
 	"silverpath/internal/policy/capacity"
 )
 
-// LoadTarget reads the target of a fleet's capacity: see docs/CAPACITY.md.
+// LoadTarget reads the capacity target of a fleet from a file: see docs/CAPACITY.md. An error names the file and the field.
 func LoadTarget(path string) (capacity.Target, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -22,30 +22,30 @@
 	return t, nil
 }
 
-// ParseTarget reads the text of such a file. It is checked whole: a field that is not known, or missing, is an error, since a size
-// that nobody gave would be taken for none.
+// ParseTarget parses and validates the text of such a file. An unknown or missing field is an error: a missing size would otherwise be
+// read as 0.
 func ParseTarget(data []byte) (capacity.Target, error) {
 	var t capacity.Target
 	var err error
-	f := object(data, &err)
+	f := parseObject(data, &err)
 	if err != nil {
 		return t, err
 	}
-	t.Readings = readReadings(part(f, "readings"))
-	numbers(f, []size{
+	t.Readings = readReadings(requireObject(f, "readings"))
+	requireNumbers(f, []numberField{
 		{"servers", &t.Servers}, {"callers", &t.Callers}, {"caller_services", &t.CallerServices}, {"requests_per_s", &t.Requests},
 		{"routes", &t.Routes}, {"tenants", &t.Tenants}, {"added_p99_ms", &t.Added}, {"regions", &t.Regions}, {"zones", &t.Zones},
 		{"changes_per_day", &t.Changes}, {"in_force_s", &t.InForce},
 	}, "control", "day", "readings", "assumed")
-	numbers(part(f, "control"), []size{
+	requireNumbers(requireObject(f, "control"), []numberField{
 		{"core", &t.Control.Core}, {"memory_mb", &t.Control.Memory}, {"kb_per_s", &t.Control.Bytes}, {"machines", &t.Control.Machines},
 	})
-	numbers(part(f, "day"), []size{
+	requireNumbers(requireObject(f, "day"), []numberField{
 		{"machines_fail", &t.Day.Fail}, {"restarts", &t.Day.Restart}, {"rack_every_days", &t.Day.RackEvery},
 		{"zone_every_days", &t.Day.ZoneEvery}, {"regions_apart_s", &t.Day.Apart},
 	})
 	a := &t.Assumed
-	numbers(part(f, "assumed"), []size{
+	requireNumbers(requireObject(f, "assumed"), []numberField{
 		{"utilisation", &a.Utilisation}, {"server_requests_per_s", &a.ServerRequests}, {"router_request_us", &a.RouterRequest},
 		{"caller_connections", &a.CallerConnections}, {"sockets", &a.Sockets}, {"probe_ms", &a.Probe}, {"lease_ms", &a.Lease},
 		{"map_lease_ms", &a.MapLease}, {"map_skew_ms", &a.MapSkew}, {"tick_ms", &a.Tick}, {"burst_changes_per_s", &a.BurstChanges},
@@ -58,15 +58,15 @@
 	return t, t.Check()
 }
 
-// readReadings reads how the target's words are to be understood.
+// readReadings reads which interpretation of the target's ambiguous terms applies.
 func readReadings(f fields) capacity.Readings {
-	f.only("callers_pick_servers", "routes_beside_tenants", "control_is_what_is_added")
-	return capacity.Readings{CallersPick: f.flag("callers_pick_servers"), RoutesBeside: f.flag("routes_beside_tenants"),
-		ControlAdded: f.flag("control_is_what_is_added")}
+	f.rejectUnknown("callers_pick_servers", "routes_beside_tenants", "control_is_what_is_added")
+	return capacity.Readings{CallersPick: f.boolean("callers_pick_servers"), RoutesBeside: f.boolean("routes_beside_tenants"),
+		ControlAdded: f.boolean("control_is_what_is_added")}
 }
 
-// part reads an object that has to be there.
-func part(f fields, key string) fields {
+// requireObject returns a member that is an object and records an error if it is absent.
+func requireObject(f fields, key string) fields {
 	o := f.object(key)
 	if o.v == nil {
 		f.fail(key, "missing")
@@ -74,18 +74,18 @@
 	return o
 }
 
-// size is one number of the target, by its key.
-type size struct {
+// numberField is a numeric field of the target: its key and where its value is stored.
+type numberField struct {
 	key string
 	v   *float64
 }
 
-// numbers reads sizes that all have to be there, beside which there is nothing but the others.
-func numbers(f fields, list []size, others ...string) {
+// requireNumbers reads required numbers. A key that is neither in list nor in others is an error.
+func requireNumbers(f fields, list []numberField, others ...string) {
 	for _, s := range list {
 		others = append(others, s.key)
 	}
-	f.only(others...)
+	f.rejectUnknown(others...)
 	for _, s := range list {
 		if f.v != nil && f.get(s.key, fastjson.TypeNumber) == nil {
 			f.fail(s.key, "missing")
--- a/internal/settings/target_test.go
+++ b/internal/settings/target_test.go
@@ -8,22 +8,22 @@
 	"testing"
 )
 
-// The file under deploy is good, and every field of it is needed, a number, and of a size that can be.
+// The target under deploy is valid. Each of its fields is required, and a value of another type or a negative number is an error.
 func TestTarget(t *testing.T) {
 	data, err := os.ReadFile("../../deploy/target.json")
 	if err != nil {
 		t.Fatal(err)
 	}
-	of, err := ParseTarget(data)
-	if err != nil || of.Servers != 930 || of.Control.Bytes != 21 || of.Day.Restart != 3100 || of.Assumed.Window != 13.17 || of.Readings.CallersPick {
-		t.Errorf("%+v, %v", of, err)
+	target, err := ParseTarget(data)
+	if err != nil || target.Servers != 930 || target.Control.Bytes != 21 || target.Day.Restart != 3100 || target.Assumed.Window != 13.17 || target.Readings.CallersPick {
+		t.Errorf("%+v, %v", target, err)
 	}
-	var all map[string]any
-	if err := json.Unmarshal(data, &all); err != nil {
+	var document map[string]any
+	if err := json.Unmarshal(data, &document); err != nil {
 		t.Fatal(err)
 	}
-	read := func() error {
-		text, err := json.Marshal(all)
+	parse := func() error {
+		text, err := json.Marshal(document)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -33,52 +33,52 @@
 	checked := 0
 	var walk func(path string, o map[string]any)
 	walk = func(path string, o map[string]any) {
-		for key, was := range o {
-			var bad map[string]any
-			switch v := was.(type) {
+		for key, original := range o {
+			var replacements map[string]any
+			switch v := original.(type) {
 			case map[string]any:
 				walk(path+key+".", v)
-				bad = map[string]any{"a number where a object belongs": 1}
-				if key != "readings" { // all false is a reading too, but it has to be said
+				replacements = map[string]any{"a number where a object belongs": 1}
+				if key != "readings" { // required even if all of its fields are false: checked below
 					delete(o, key)
-					if err := read(); err == nil || err.Error() != path+key+": missing" {
+					if err := parse(); err == nil || err.Error() != path+key+": missing" {
 						t.Errorf("without %s%s: %v", path, key, err)
 					}
-					o[key] = was
+					o[key] = original
 				}
 			case bool:
-				bad = map[string]any{"neither true nor false": 1}
+				replacements = map[string]any{"neither true nor false": 1}
 			default:
 				checked++
-				bad = map[string]any{"a string where a number belongs": "1", ": -1": -1}
+				replacements = map[string]any{"a string where a number belongs": "1", ": -1": -1}
 				delete(o, key)
-				if err := read(); err == nil || err.Error() != path+key+": missing" {
+				if err := parse(); err == nil || err.Error() != path+key+": missing" {
 					t.Errorf("without %s%s: %v", path, key, err)
 				}
 			}
-			for want, v := range bad {
+			for want, v := range replacements {
 				if v == nil {
 					continue
 				}
 				o[key] = v
-				if err := read(); err == nil || !strings.HasPrefix(err.Error(), path+key+": ") || !strings.Contains(err.Error(), want) {
+				if err := parse(); err == nil || !strings.HasPrefix(err.Error(), path+key+": ") || !strings.Contains(err.Error(), want) {
 					t.Errorf("%s%s: %v is %v, want %q", path, key, v, err, want)
 				}
 			}
-			o[key] = was
+			o[key] = original
 		}
 		o["more"] = 1
-		if err := read(); err == nil || err.Error() != path+"more: unknown" {
+		if err := parse(); err == nil || err.Error() != path+"more: unknown" {
 			t.Errorf("%smore: %v", path, err)
 		}
 		delete(o, "more")
 	}
-	walk("", all)
+	walk("", document)
 	if checked != 36 {
-		t.Errorf("%d sizes", checked)
+		t.Errorf("%d numbers, want 36", checked)
 	}
-	delete(all, "readings")
-	if err := read(); err == nil || err.Error() != "readings: missing" {
+	delete(document, "readings")
+	if err := parse(); err == nil || err.Error() != "readings: missing" {
 		t.Error(err)
 	}
 	bad := filepath.Join(t.TempDir(), "t.json")
@@ -89,6 +89,6 @@
 		t.Error(err)
 	}
 	if _, err := LoadTarget(bad + "x"); err == nil {
-		t.Error("a file that is not there")
+		t.Error("a missing file is not an error")
 	}
 }
