--- a/internal/builtinworker/interpreter.go
+++ b/internal/builtinworker/interpreter.go
@@ -13,98 +13,102 @@
 	"github.com/valyala/fastjson"
 )
 
-// Class is the work of the requests of one class.
+// Class is the amount of work of the runs of one class.
 type Class struct {
-	MinWork, MaxWork time.Duration // of a run on a core of its own at speed 1, drawn evenly between the two
+	MinWork, MaxWork time.Duration // duration of a run below the knee at speed 1, uniformly distributed between the two
 }
 
-// Fault changes the machine for a time. What is 0 stays as it is.
+// Fault is a temporary change of the machine. Fields that are 0 change nothing.
 type Fault struct {
-	At, For time.Duration // from the start of the script; For 0: for good
+	At, For time.Duration // start, counted from Play, and duration; For 0: permanent
 	Speed   float64       // factor on the speed
-	Knee    float64       // factor on the point of collapse
-	Memory  float64       // share of the memory that is filled besides what is booked
-	Cut     bool          // the link to the service is broken, once
+	Knee    float64       // factor on the knee
+	Memory  float64       // share of the memory in use in addition to the booked one
+	Cut     bool          // close the connection to the service once, at the start of the fault
 }
 
-// Config sets up an interpreter.
+// Config configures an interpreter.
 type Config struct {
-	Listen         string // an address on loopback
+	Listen         string // TCP address, on loopback
 	Cores          int
 	Shape          Shape
 	Classes        map[string]Class
-	Other          Class         // for the classes that are not named
-	ReadWork       time.Duration // reading one request takes so much of the cores: see Read
+	Other          Class         // for classes that are not in Classes
+	ReadWork       time.Duration // work of reading one request; 0: reading takes no time
 	MemoryKB       float64
-	RunFactor      float64 // memory of a run as a multiple of its held memory
-	MaxRunsPerCore float64 // the machine dies with more runs a core than this, in the mean of failureWindow; 0: it never does
+	RunFactor      float64 // memory of a run as a multiple of the memory of its queued request
+	MaxRunsPerCore float64 // the machine fails if the mean number of runs per core in failureWindow exceeds this; 0: no limit
 	Seed           uint64
-	Audit          bool // keep count of runs by body: see Runs
+	Audit          bool // count the runs by body: see Runs
 }
 
 const (
-	maxNotices    = 4000
-	maxEndedJobs  = 100_000 // ended ones, of which it is known that they ran
-	maxLineBytes  = 64 << 10
-	failureWindow = 3 * time.Second
-	gaugeInterval = 100 * time.Millisecond // over which cores count as busy
+	maxKeptNotices = 4000
+	maxEndedJobs   = 100_000 // ended runs that are kept, so that a repeated APPLY does not run them again
+	maxLineBytes   = 64 << 10
+	failureWindow  = 3 * time.Second
+	gaugeInterval  = 100 * time.Millisecond // minimum interval between samples of runs and busy cores
 )
 
-// Interpreter plays the platform's interpreter: it owns the cores and does the work of requests. It is safe for concurrent use.
+// Interpreter is a stand-in interpreter that executes runs on a simulated machine. It is safe for concurrent use.
 type Interpreter struct {
 	cfg       Config
 	ln        net.Listener
 	startedAt time.Time
 
-	mu           sync.Mutex
-	machine      *Machine
-	rng          *rand.Rand
-	timer        *time.Timer
-	link         net.Conn
-	out          chan []byte
-	lastNotice   int64
-	notices      []notice
-	jobs         map[string]*job
-	endedJobs    []string           // ended runs, the oldest first
-	reservedKB   map[string]float64 // kilobytes booked, by request
-	bookedKB     float64
-	extraMemory  float64 // part of the memory that faults fill
-	readsRunning int
-	unread       []*read
-	runs         map[string]int // by body
-	failure      string         // why the machine died
-	runSamples   []runSample
-	lastBusy     float64
-	lastAt       time.Duration
-	coreUse      float64
-	peakMemory   float64 // the largest part of the memory in use so far
-	closed       bool
+	mu              sync.Mutex
+	machine         *Machine
+	rng             *rand.Rand
+	timer           *time.Timer
+	conn            net.Conn
+	sendQueue       chan []byte
+	lastNoticeID    int64
+	notices         []notice
+	jobs            map[string]*job
+	endedJobs       []string           // ended runs, oldest first
+	reservedKB      map[string]float64 // booked memory by request
+	bookedKB        float64
+	faultMemory     float64 // share of the memory that faults use
+	readsRunning    int
+	pendingReads    []*read
+	runCounts       map[string]int // by body, if Audit is set
+	failure         string         // why the machine failed; empty: it has not
+	runSamples      []runSample
+	lastBusySeconds float64
+	lastSampleAt    time.Duration
+	coreUse         float64
+	peakMemory      float64 // largest share of the memory in use so far
+	closed          bool
 }
 
+// runSample is the integral of the number of runs over time, at one time.
 type runSample struct {
 	at   time.Duration
 	runs float64
 }
 
+// notice is a numbered message to the service. The last maxKeptNotices are kept and sent again after a reconnection.
 type notice struct {
-	n    int64
+	id   int64
 	line []byte
 }
 
+// job is a run, or the reading of a request.
 type job struct {
 	body    []byte
 	class   string
 	started time.Duration
-	kb      float64 // booked for the run beyond what its request holds
-	read    *read   // not a run but the reading of a request
+	extraKB float64 // booked for the run in addition to the memory of its request
+	read    *read   // nil for a run
 }
 
+// read is the reading of a request. Done is closed when it ends.
 type read struct {
 	id   string
 	done chan struct{}
 }
 
-// Listen starts an interpreter. Its owner closes it.
+// Listen starts an interpreter, which runs until Close. It returns an error if it fails to listen on the address.
 func Listen(cfg Config) (*Interpreter, error) {
 	ln, err := net.Listen("tcp", cfg.Listen)
 	if err != nil {
@@ -113,16 +117,16 @@
 	i := &Interpreter{
 		cfg: cfg, ln: ln, startedAt: time.Now(), machine: NewMachine(cfg.Cores, cfg.Shape),
 		rng:  rand.New(rand.NewPCG(cfg.Seed, 1)),
-		jobs: map[string]*job{}, reservedKB: map[string]float64{}, runs: map[string]int{},
+		jobs: map[string]*job{}, reservedKB: map[string]float64{}, runCounts: map[string]int{},
 	}
 	go i.accept()
 	return i, nil
 }
 
-// Addr is the address that services connect to.
+// Addr returns the address that services connect to.
 func (i *Interpreter) Addr() string { return i.ln.Addr().String() }
 
-// Close ends the interpreter.
+// Close stops the interpreter and closes its connection.
 func (i *Interpreter) Close() {
 	i.ln.Close()
 	i.mu.Lock()
@@ -131,92 +135,95 @@
 	if i.timer != nil {
 		i.timer.Stop()
 	}
-	if i.link != nil {
-		i.link.Close()
+	if i.conn != nil {
+		i.conn.Close()
 	}
 }
 
-func (i *Interpreter) clock() time.Duration { return time.Since(i.startedAt) }
+// elapsed returns the time since the start, which is the clock of the machine.
+func (i *Interpreter) elapsed() time.Duration { return time.Since(i.startedAt) }
 
-// Play runs a script of faults from now on.
+// Play schedules a script of faults and returns at once.
 func (i *Interpreter) Play(script []Fault) {
-	for _, t := range script {
-		time.AfterFunc(t.At, func() { i.applyFault(t, true) })
-		if t.For > 0 {
-			time.AfterFunc(t.At+t.For, func() { i.applyFault(t, false) })
+	for _, fault := range script {
+		time.AfterFunc(fault.At, func() { i.applyFault(fault, true) })
+		if fault.For > 0 {
+			time.AfterFunc(fault.At+fault.For, func() { i.applyFault(fault, false) })
 		}
 	}
 }
 
-func (i *Interpreter) applyFault(t Fault, begins bool) {
+// applyFault starts or ends a fault.
+func (i *Interpreter) applyFault(fault Fault, begins bool) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	shape := i.machine.Shape()
 	for _, f := range []struct {
-		by float64
-		to *float64
-	}{{t.Speed, &shape.Speed}, {t.Knee, &shape.Knee}} {
+		factor float64
+		target *float64
+	}{{fault.Speed, &shape.Speed}, {fault.Knee, &shape.Knee}} {
 		switch {
-		case f.by > 0 && begins:
-			*f.to *= f.by
-		case f.by > 0:
-			*f.to /= f.by
+		case f.factor > 0 && begins:
+			*f.target *= f.factor
+		case f.factor > 0:
+			*f.target /= f.factor
 		}
 	}
 	if begins {
-		i.extraMemory += t.Memory
-		if t.Cut && i.link != nil {
-			i.link.Close()
+		i.faultMemory += fault.Memory
+		if fault.Cut && i.conn != nil {
+			i.conn.Close()
 		}
 	} else {
-		i.extraMemory -= t.Memory
+		i.faultMemory -= fault.Memory
 	}
 	i.advance()
-	i.machine.Reshape(i.clock(), shape)
+	i.machine.Reshape(i.elapsed(), shape)
 	i.setTimer()
 }
 
-// Knee is the point of collapse, which services are not told.
+// Knee returns the current knee of the machine. Tests compare it with a service's concurrency limit; the protocol does not reveal it.
 func (i *Interpreter) Knee() float64 {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	return i.machine.Shape().Knee
 }
 
-// Running is the number of runs and readings on the cores.
+// Running returns the number of runs and reads in progress.
 func (i *Interpreter) Running() int {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	return i.machine.Running()
 }
 
-// Failure returns why the machine died, empty while it has not, and the largest part of the memory that was in use so far.
+// Failure returns why the machine failed, or "" if it has not, and the largest share of the memory in use so far.
 func (i *Interpreter) Failure() (why string, memory float64) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	return i.failure, i.peakMemory
 }
 
-// Runs returns how often each body was run, where runs are audited.
+// Runs returns the number of runs by request body. It is empty unless Config.Audit is set.
 func (i *Interpreter) Runs() map[string]int {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	all := make(map[string]int, len(i.runs))
-	for body, n := range i.runs {
-		all[body] = n
+	counts := make(map[string]int, len(i.runCounts))
+	for body, n := range i.runCounts {
+		counts[body] = n
 	}
-	return all
+	return counts
 }
 
-// Ran reports whether a body was run, where runs are audited.
+// Ran reports whether a request with this body was run. It returns false unless Config.Audit is set.
 func (i *Interpreter) Ran(body string) bool {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	return i.runs[body] > 0
+	return i.runCounts[body] > 0
 }
 
-// Read takes a request in as the platform's network does: it costs the cores work, one request a core at a
-// time, and then its memory is booked. It returns when the request has been read and is to be written to the service.
+// Read simulates the platform reading a request from the network: each core reads one request at a time, which takes ReadWork, and
+// then the memory of the request is booked. A caller calls Read before it writes the request to the service; Read blocks until the
+// request has been read.
 func (i *Interpreter) Read(id string, kb float64) {
 	r := &read{id: id, done: make(chan struct{})}
 	i.mu.Lock()
@@ -225,7 +232,7 @@
 		i.mu.Unlock()
 		return
 	}
-	i.unread = append(i.unread, r)
+	i.pendingReads = append(i.pendingReads, r)
 	i.advance()
 	i.startReads()
 	i.setTimer()
@@ -236,12 +243,13 @@
 	i.mu.Unlock()
 }
 
+// reserve books the memory of a request.
 func (i *Interpreter) reserve(id string, kb float64) {
 	i.reservedKB[id] = kb
 	i.bookedKB += kb
 }
 
-// Release ends the booking of a request: it is answered.
+// Release releases the memory of a request. A caller calls it when the request has been answered.
 func (i *Interpreter) Release(id string) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -249,20 +257,21 @@
 	delete(i.reservedKB, id)
 }
 
+// startReads starts pending reads while there are cores that read nothing.
 func (i *Interpreter) startReads() {
-	for i.readsRunning < i.cfg.Cores && len(i.unread) > 0 {
-		r := i.unread[0]
-		i.unread = i.unread[1:]
+	for i.readsRunning < i.cfg.Cores && len(i.pendingReads) > 0 {
+		r := i.pendingReads[0]
+		i.pendingReads = i.pendingReads[1:]
 		i.readsRunning++
 		name := "read " + r.id
 		i.jobs[name] = &job{read: r}
-		i.machine.Add(i.clock(), name, i.cfg.ReadWork)
+		i.machine.Add(i.elapsed(), name, i.cfg.ReadWork)
 	}
 }
 
-// advance brings the machine up to now and notifies of the runs that ended. It is called under the lock.
+// advance advances the machine to the present and sends a notice for each run that has ended. The caller holds mu.
 func (i *Interpreter) advance() {
-	now := i.clock()
+	now := i.elapsed()
 	for _, id := range i.machine.Advance(now) {
 		j := i.jobs[id]
 		if j.read != nil {
@@ -272,14 +281,14 @@
 			i.startReads()
 			continue
 		}
-		i.bookedKB -= j.kb
+		i.bookedKB -= j.extraKB
 		body := append([]byte(j.class+": "), j.body...)
-		if i.cfg.Audit { // so that the results of two runs of one body differ
-			body = fmt.Appendf(body, " #%d.%d", i.cfg.Seed, i.lastNotice)
+		if i.cfg.Audit { // make the results of two runs of the same body differ
+			body = fmt.Appendf(body, " #%d.%d", i.cfg.Seed, i.lastNoticeID)
 		}
 		i.notify(`"type":"VALUE"`, fmt.Sprintf(`"job":%q,"state":"PASS","took":%.3f,"data":"%s"`, id,
 			(now-j.started).Seconds()*1000, base64.StdEncoding.EncodeToString(body)))
-		j.body = nil // that it ran is kept for long, what it was asked is not
+		j.body = nil // the job stays known until maxEndedJobs later ones have ended; its body is not needed
 		if i.endedJobs = append(i.endedJobs, id); len(i.endedJobs) > maxEndedJobs {
 			delete(i.jobs, i.endedJobs[0])
 			i.endedJobs = i.endedJobs[1:]
@@ -288,12 +297,12 @@
 	i.sampleGauges(now)
 }
 
-// sampleGauges keeps the gauges, and notes whether the machine has died.
+// sampleGauges updates the gauges and records the first failure of the machine: memory in use above 1, or too many runs per core.
 func (i *Interpreter) sampleGauges(now time.Duration) {
-	runs, busy := i.machine.Integrals()
-	if d := now - i.lastAt; d >= gaugeInterval {
-		i.coreUse = (busy - i.lastBusy) / d.Seconds() / float64(i.cfg.Cores)
-		i.lastBusy, i.lastAt = busy, now
+	runs, busy := i.machine.UsageIntegrals()
+	if d := now - i.lastSampleAt; d >= gaugeInterval {
+		i.coreUse = (busy - i.lastBusySeconds) / d.Seconds() / float64(i.cfg.Cores)
+		i.lastBusySeconds, i.lastSampleAt = busy, now
 		i.runSamples = append(i.runSamples, runSample{now, runs})
 	}
 	for len(i.runSamples) > 1 && now-i.runSamples[1].at >= failureWindow {
@@ -308,29 +317,30 @@
 		i.failure = fmt.Sprintf("memory: %.2f", memory)
 	}
 	if len(i.runSamples) > 0 && i.cfg.MaxRunsPerCore > 0 {
-		if first := i.runSamples[0]; now-first.at >= failureWindow {
-			mean := (runs - first.runs) / (now - first.at).Seconds() / float64(i.cfg.Cores)
+		if oldest := i.runSamples[0]; now-oldest.at >= failureWindow {
+			mean := (runs - oldest.runs) / (now - oldest.at).Seconds() / float64(i.cfg.Cores)
 			if mean > i.cfg.MaxRunsPerCore {
-				i.failure = fmt.Sprintf("crowd: %.1f runs a core", mean)
+				i.failure = fmt.Sprintf("overload: %.1f runs per core", mean)
 			}
 		}
 	}
 }
 
+// memory returns the share of the memory in use.
 func (i *Interpreter) memory() float64 {
 	if i.cfg.MemoryKB <= 0 {
-		return i.extraMemory
+		return i.faultMemory
 	}
-	return i.extraMemory + i.bookedKB/i.cfg.MemoryKB
+	return i.faultMemory + i.bookedKB/i.cfg.MemoryKB
 }
 
-// setTimer sets the timer to the end of the next run.
+// setTimer sets the timer to the next end of a run.
 func (i *Interpreter) setTimer() {
 	at, found := i.machine.NextEnd()
 	if !found || i.closed {
 		return
 	}
-	wait := max(0, at-i.clock())
+	wait := max(0, at-i.elapsed())
 	if i.timer == nil {
 		i.timer = time.AfterFunc(wait, func() {
 			i.mu.Lock()
@@ -343,31 +353,33 @@
 	i.timer.Reset(wait)
 }
 
-// ---- The protocol ----
+// ---- Protocol ----
 
-// notify gives a notice its number, keeps it and sends it where there is a link.
+// notify numbers a notice, keeps it and sends it if a service is connected.
 func (i *Interpreter) notify(kind, rest string) {
-	i.lastNotice++
-	line := fmt.Appendf(nil, `{%s,"n":%d,%s}`+"\n", kind, i.lastNotice, rest)
-	i.notices = append(i.notices, notice{i.lastNotice, line})
-	if over := len(i.notices) - maxNotices; over > 0 {
-		i.notices = slices.Delete(i.notices, 0, over)
+	i.lastNoticeID++
+	line := fmt.Appendf(nil, `{%s,"n":%d,%s}`+"\n", kind, i.lastNoticeID, rest)
+	i.notices = append(i.notices, notice{i.lastNoticeID, line})
+	if excess := len(i.notices) - maxKeptNotices; excess > 0 {
+		i.notices = slices.Delete(i.notices, 0, excess)
 	}
 	i.send(line)
 }
 
+// send queues a line for the connected service. If the queue is full, send closes the connection.
 func (i *Interpreter) send(line []byte) {
-	if i.out == nil {
+	if i.sendQueue == nil {
 		return
 	}
 	select {
-	case i.out <- line:
-	default: // who reads nothing loses its link; the notices are kept
-		i.link.Close()
-		i.out = nil
+	case i.sendQueue <- line:
+	default: // the service does not read; it gets the kept notices when it reconnects
+		i.conn.Close()
+		i.sendQueue = nil
 	}
 }
 
+// accept accepts connections until Close.
 func (i *Interpreter) accept() {
 	for {
 		conn, err := i.ln.Accept()
@@ -378,12 +390,12 @@
 	}
 }
 
-// serve is the life of one link.
+// serve reads the commands of one connection until it closes or a command is malformed.
 func (i *Interpreter) serve(conn net.Conn) {
 	defer conn.Close()
-	out := make(chan []byte, 2*maxNotices)
-	over := make(chan struct{})
-	defer close(over)
+	out := make(chan []byte, 2*maxKeptNotices)
+	done := make(chan struct{})
+	defer close(done)
 	go func() {
 		for {
 			select {
@@ -392,7 +404,7 @@
 					conn.Close()
 					return
 				}
-			case <-over:
+			case <-done:
 				return
 			}
 		}
@@ -402,14 +414,14 @@
 	var p fastjson.Parser
 	for lines.Scan() {
 		v, err := p.ParseBytes(lines.Bytes())
-		if err != nil || !i.execute(conn, out, v) {
+		if err != nil || !i.handleCommand(conn, out, v) {
 			return
 		}
 	}
 }
 
-// execute carries out one command; false for what is none.
-func (i *Interpreter) execute(conn net.Conn, out chan []byte, v *fastjson.Value) bool {
+// handleCommand executes one command. It returns false if the command is malformed or unknown.
+func (i *Interpreter) handleCommand(conn net.Conn, out chan []byte, v *fastjson.Value) bool {
 	id := string(v.GetStringBytes("job"))
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -417,14 +429,14 @@
 	defer i.setTimer()
 	switch string(v.GetStringBytes("type")) {
 	case "CONNECT":
-		if i.link != nil && i.link != conn {
-			i.link.Close()
+		if i.conn != nil && i.conn != conn {
+			i.conn.Close()
 		}
-		i.link, i.out = conn, out
-		i.send(fmt.Appendf(nil, `{"type":"BANNER","state":"LOADED","took":%d}`+"\n", i.clock().Milliseconds()))
+		i.conn, i.sendQueue = conn, out
+		i.send(fmt.Appendf(nil, `{"type":"BANNER","state":"LOADED","took":%d}`+"\n", i.elapsed().Milliseconds()))
 		after := v.GetInt64("n")
 		for _, n := range i.notices {
-			if n.n > after {
+			if n.id > after {
 				i.send(n.line)
 			}
 		}
@@ -436,8 +448,8 @@
 		if err != nil {
 			return false
 		}
-		i.apply(id, string(v.GetStringBytes("kind")), body)
-	case "RESOLVE": // no run of this interpreter waits for a call
+		i.startRun(id, string(v.GetStringBytes("kind")), body)
+	case "RESOLVE": // runs of this interpreter make no calls
 		i.send(fmt.Appendf(nil, `{"type":"ERROR","state":"RESOLVE","job":%q}`+"\n", id))
 	default:
 		return false
@@ -445,7 +457,8 @@
 	return true
 }
 
-func (i *Interpreter) apply(id, class string, body []byte) {
+// startRun starts a run unless a run with this ID is known.
+func (i *Interpreter) startRun(id, class string, body []byte) {
 	if i.jobs[id] != nil {
 		return
 	}
@@ -457,11 +470,11 @@
 	if c.MaxWork > c.MinWork {
 		work += time.Duration(i.rng.Int64N(int64(c.MaxWork - c.MinWork)))
 	}
-	j := &job{body: body, class: class, started: i.clock(), kb: i.reservedKB[id] * max(0, i.cfg.RunFactor-1)}
+	j := &job{body: body, class: class, started: i.elapsed(), extraKB: i.reservedKB[id] * max(0, i.cfg.RunFactor-1)}
 	i.jobs[id] = j
-	i.bookedKB += j.kb
+	i.bookedKB += j.extraKB
 	if i.cfg.Audit {
-		i.runs[string(body)]++
+		i.runCounts[string(body)]++
 	}
-	i.machine.Add(i.clock(), id, work)
+	i.machine.Add(i.elapsed(), id, work)
 }
--- a/internal/builtinworker/interpreter_test.go
+++ b/internal/builtinworker/interpreter_test.go
@@ -12,41 +12,41 @@
 	"github.com/valyala/fastjson"
 )
 
-// A machine does what its shape says: up to the point of collapse runs don't hold each other up, past it each takes from
-// all, and a change of shape holds from its time on.
+// Up to the knee, runs do not slow each other down. Above it, total throughput falls. A change of shape takes effect at its time.
 func TestMachine(t *testing.T) {
-	p := NewMachine(4, Shape{Knee: 2, Thrash: 1, Speed: 1})
-	p.Add(0, "a", time.Second)
-	p.Add(0, "b", 2*time.Second)
-	if at, some := p.NextEnd(); !some || at != time.Second {
-		t.Fatalf("the first end at %v, %v", at, some)
+	m := NewMachine(4, Shape{Knee: 2, Thrash: 1, Speed: 1})
+	m.Add(0, "a", time.Second)
+	m.Add(0, "b", 2*time.Second)
+	if at, found := m.NextEnd(); !found || at != time.Second {
+		t.Fatalf("first end at %v, found %v, want 1s", at, found)
 	}
-	if ends := p.Advance(1500 * time.Millisecond); len(ends) != 1 || ends[0] != "a" {
+	if ends := m.Advance(1500 * time.Millisecond); len(ends) != 1 || ends[0] != "a" {
 		t.Fatalf("ends %v", ends)
 	}
-	p.Reshape(1500*time.Millisecond, Shape{Knee: 2, Thrash: 1, Speed: 0.1})
-	if at, _ := p.NextEnd(); at.Round(time.Millisecond) != 6500*time.Millisecond {
-		t.Fatalf("half a second of work ends at %v on a machine ten times slower", at)
+	m.Reshape(1500*time.Millisecond, Shape{Knee: 2, Thrash: 1, Speed: 0.1})
+	if at, _ := m.NextEnd(); at.Round(time.Millisecond) != 6500*time.Millisecond {
+		t.Fatalf("half a second of work on a machine ten times slower ends at %v, want 6.5s", at)
 	}
-	p = NewMachine(4, Shape{Knee: 2, Thrash: 1, Speed: 1})
-	for i := range 4 { // twice the point: half the throughput, of 2 it is 1
-		p.Add(0, fmt.Sprint(i), time.Second)
+	m = NewMachine(4, Shape{Knee: 2, Thrash: 1, Speed: 1})
+	for i := range 4 { // twice the knee: total throughput is 1 instead of 2
+		m.Add(0, fmt.Sprint(i), time.Second)
 	}
-	if ends := p.Advance(10 * time.Second); len(ends) != 4 {
+	if ends := m.Advance(10 * time.Second); len(ends) != 4 {
 		t.Fatalf("ends %v", ends)
 	}
-	if runs, busy := p.Integrals(); runs != 16 || busy != 16 {
+	if runs, busy := m.UsageIntegrals(); runs != 16 || busy != 16 {
 		t.Errorf("%v runs and %v busy cores × seconds, want 4 runs for 4 s", runs, busy)
 	}
 }
 
-// link is a service's end of a link.
-type link struct {
+// testConn is a service's end of a connection to the interpreter.
+type testConn struct {
 	net.Conn
 	lines *bufio.Scanner
 }
 
-func dial(t *testing.T, i *Interpreter, last int) link {
+// dial connects to the interpreter as a service that has read all notices up to last.
+func dial(t *testing.T, i *Interpreter, last int) testConn {
 	t.Helper()
 	conn, err := net.Dial("tcp", i.Addr())
 	if err != nil {
@@ -55,10 +55,11 @@
 	t.Cleanup(func() { conn.Close() })
 	conn.SetDeadline(time.Now().Add(30 * time.Second))
 	fmt.Fprintf(conn, `{"type":"CONNECT","n":%d}`+"\n", last)
-	return link{conn, bufio.NewScanner(conn)}
+	return testConn{conn, bufio.NewScanner(conn)}
 }
 
-func (l link) next(t *testing.T) *fastjson.Value {
+// next reads one message of the interpreter.
+func (l testConn) next(t *testing.T) *fastjson.Value {
 	t.Helper()
 	if !l.lines.Scan() {
 		t.Fatalf("no notice: %v", l.lines.Err())
@@ -66,8 +67,8 @@
 	return fastjson.MustParse(l.lines.Text())
 }
 
-// The interpreter speaks the protocol: a run is started once whatever is sent, its end has a number and the result, and a
-// new link brings all notices after the last one read.
+// A run is started once even if its command is repeated. The notice of its end has a number and the result. After a reconnection, the
+// interpreter sends all notices after the last one that the service has read.
 func TestInterpreter(t *testing.T) {
 	i, err := Listen(Config{Listen: "127.0.0.1:0", Cores: 2, Shape: Shape{Knee: 2, Speed: 1}, RunFactor: 4, MemoryKB: 100,
 		Other: Class{MinWork: time.Millisecond, MaxWork: time.Millisecond}, Audit: true})
@@ -92,16 +93,16 @@
 		t.Fatalf("%v", v)
 	}
 	if n := i.Runs()["body"]; n != 1 {
-		t.Errorf("run %d times", n)
+		t.Errorf("%d runs, want 1", n)
 	}
-	again := dial(t, i, 0)
-	again.next(t)
-	if v := again.next(t); v.GetInt("n") != 1 {
-		t.Errorf("on a new link %v", v)
+	reconnected := dial(t, i, 0)
+	reconnected.next(t)
+	if v := reconnected.next(t); v.GetInt("n") != 1 {
+		t.Errorf("after a reconnection: notice %v, want number 1", v)
 	}
 	i.Release("a")
-	if why, most := i.Failure(); why != "" || most > 0.41 || most < 0.09 {
-		t.Errorf("fell: %q, memory %v", why, most)
+	if why, peak := i.Failure(); why != "" || peak > 0.41 || peak < 0.09 {
+		t.Errorf("failure %q, peak memory %v", why, peak)
 	}
 	i.Play([]Fault{{Memory: 2, Knee: 0.5}})
 	for deadline := time.Now().Add(10 * time.Second); ; time.Sleep(time.Millisecond) {
@@ -109,7 +110,7 @@
 			break
 		}
 		if time.Now().After(deadline) {
-			t.Fatal("a machine whose memory is filled twice over does not fall")
+			t.Fatal("a machine with twice its memory in use has not failed")
 		}
 	}
 }
--- a/internal/builtinworker/machine.go
+++ b/internal/builtinworker/machine.go
@@ -1,8 +1,8 @@
-// Package builtinworker is an interpreter of the project's own, which speaks the platform's protocol over real sockets, written
-// from its public description. A start without a configuration has its work done by it: what came is sent back, after as long as
-// the operators' own work typically takes. Tests and measurements use it as the interpreter too, with faults put into it.
+// Package builtinworker is a stand-in for the platform's interpreter. It implements the interpreter protocol over TCP, from the
+// protocol's public description. A process that starts without a configuration runs its requests on it: each run echoes the body of
+// its request after a typical run time. Tests and benchmarks use it as their interpreter and inject faults into it.
 //
-// This file is its machine: no I/O, no clock, no goroutine. Time comes in with every call, counted from the start.
+// machine.go models the machine without I/O, clocks or goroutines: every call passes the time since the start.
 package builtinworker
 
 import (
@@ -10,15 +10,15 @@
 	"time"
 )
 
-// Shape is how a machine's throughput depends on what runs on it. Up to Knee runs each has a core of Speed; past it
-// every further run takes from all of them: n runs get Speed × Knee / (1 + Thrash × (n/Knee - 1)) done together.
+// Shape defines the throughput of a machine as a function of its concurrent runs. Up to Knee runs, each proceeds at Speed. Above the
+// knee, total throughput falls: n runs together complete Speed × Knee / (1 + Thrash × (n/Knee - 1)) work-seconds a second.
 type Shape struct {
-	Knee   float64 // the point of collapse, in runs: what a service has to find out by itself
-	Thrash float64 // how steeply throughput falls past it; 0: not at all
-	Speed  float64 // work-seconds that a core does in a second
+	Knee   float64 // concurrent runs above which throughput falls; services have to discover it
+	Thrash float64 // slope of the fall above the knee; 0: throughput stays constant
+	Speed  float64 // work-seconds that one run completes a second, up to the knee
 }
 
-// Throughput is the work-seconds that n runs get done in a second.
+// Throughput returns the work-seconds that n concurrent runs complete a second.
 func (s Shape) Throughput(n float64) float64 {
 	if n <= s.Knee {
 		return s.Speed * n
@@ -26,102 +26,103 @@
 	return s.Speed * s.Knee / (1 + s.Thrash*(n/s.Knee-1))
 }
 
-// Machine is a machine whose cores are shared evenly by all that runs on them.
+// Machine simulates a machine whose throughput is shared equally by its runs.
 type Machine struct {
-	shape       Shape
-	now         time.Duration
-	left        map[string]float64 // work-seconds
-	order       []string           // of starting, so that ends at one time come in a fixed order
-	runSeconds  float64            // runs × seconds so far
-	busySeconds float64            // busy cores × seconds so far, of the cores told
-	cores       float64
+	shape         Shape
+	now           time.Duration
+	remainingWork map[string]float64 // work-seconds, by run
+	order         []string           // runs in start order: makes the order of simultaneous ends deterministic
+	runSeconds    float64            // integral of the number of runs over time
+	busySeconds   float64            // integral of the number of busy cores over time, at most cores
+	cores         float64
 }
 
-// NewMachine returns an idle machine that says that it has the given cores.
+// NewMachine returns an idle machine. The number of cores only limits the busy cores of UsageIntegrals: throughput depends on shape
+// alone.
 func NewMachine(cores int, shape Shape) *Machine {
-	return &Machine{shape: shape, left: map[string]float64{}, cores: float64(cores)}
+	return &Machine{shape: shape, remainingWork: map[string]float64{}, cores: float64(cores)}
 }
 
-// Reshape changes the machine from a time on.
-func (p *Machine) Reshape(now time.Duration, shape Shape) {
-	p.elapse(now)
-	p.shape = shape
+// Reshape changes the shape of the machine at the given time.
+func (m *Machine) Reshape(now time.Duration, shape Shape) {
+	m.accrueWork(now)
+	m.shape = shape
 }
 
-// Shape returns how the machine is.
-func (p *Machine) Shape() Shape { return p.shape }
+// Shape returns the current shape of the machine.
+func (m *Machine) Shape() Shape { return m.shape }
 
-// Running is the number of runs on the cores.
-func (p *Machine) Running() int { return len(p.order) }
+// Running returns the number of runs in progress.
+func (m *Machine) Running() int { return len(m.order) }
 
-// Add starts a run of the given work.
-func (p *Machine) Add(now time.Duration, id string, work time.Duration) {
-	p.elapse(now)
-	if _, runs := p.left[id]; !runs {
-		p.left[id] = work.Seconds()
-		p.order = append(p.order, id)
+// Add starts a run with the given amount of work. It does nothing if a run with this ID is in progress.
+func (m *Machine) Add(now time.Duration, id string, work time.Duration) {
+	m.accrueWork(now)
+	if _, running := m.remainingWork[id]; !running {
+		m.remainingWork[id] = work.Seconds()
+		m.order = append(m.order, id)
 	}
 }
 
-// elapse lets the time pass in which nothing ends.
-func (p *Machine) elapse(now time.Duration) {
-	n := float64(len(p.order))
-	if now <= p.now {
+// accrueWork advances the machine to the given time, up to which no run ends.
+func (m *Machine) accrueWork(now time.Duration) {
+	n := float64(len(m.order))
+	if now <= m.now {
 		return
 	}
-	dt := (now - p.now).Seconds()
-	p.now = now
-	p.runSeconds += n * dt
-	p.busySeconds += min(n, p.cores) * dt
+	dt := (now - m.now).Seconds()
+	m.now = now
+	m.runSeconds += n * dt
+	m.busySeconds += min(n, m.cores) * dt
 	if n == 0 {
 		return
 	}
-	done := p.shape.Throughput(n) / n * dt
-	for id := range p.left {
-		p.left[id] -= done
+	done := m.shape.Throughput(n) / n * dt
+	for id := range m.remainingWork {
+		m.remainingWork[id] -= done
 	}
 }
 
-const minWork = 1e-9 // work-seconds below which a run has ended
+const workEpsilon = 1e-9 // work-seconds: a run with no more work left has ended
 
-// NextEnd is when the next run ends if nothing changes; false where none will.
-func (p *Machine) NextEnd() (time.Duration, bool) {
+// NextEnd returns when the next run ends if no run is added and the shape stays the same. It returns false if no run will end.
+func (m *Machine) NextEnd() (time.Duration, bool) {
 	next := math.Inf(1)
-	for _, w := range p.left {
+	for _, w := range m.remainingWork {
 		next = min(next, w)
 	}
-	each := 0.0
-	if n := float64(len(p.order)); n > 0 {
-		each = p.shape.Throughput(n) / n
+	rate := 0.0
+	if n := float64(len(m.order)); n > 0 {
+		rate = m.shape.Throughput(n) / n
 	}
-	if math.IsInf(next, 1) || each <= 0 {
+	if math.IsInf(next, 1) || rate <= 0 {
 		return 0, false
 	}
-	return p.now + time.Duration(math.Ceil(max(0, next)/each*1e9)), true
+	return m.now + time.Duration(math.Ceil(max(0, next)/rate*1e9)), true
 }
 
-// Advance lets time pass and returns the runs that ended, in the order in which they did.
-func (p *Machine) Advance(now time.Duration) []string {
+// Advance advances the machine to the given time and returns the runs that ended, in order of their ends.
+func (m *Machine) Advance(now time.Duration) []string {
 	var ended []string
 	for {
-		at, found := p.NextEnd()
+		at, found := m.NextEnd()
 		if !found || at > now {
-			p.elapse(now)
+			m.accrueWork(now)
 			return ended
 		}
-		p.elapse(at)
-		running := p.order[:0]
-		for _, id := range p.order {
-			if p.left[id] <= minWork {
-				delete(p.left, id)
+		m.accrueWork(at)
+		running := m.order[:0]
+		for _, id := range m.order {
+			if m.remainingWork[id] <= workEpsilon {
+				delete(m.remainingWork, id)
 				ended = append(ended, id)
 			} else {
 				running = append(running, id)
 			}
 		}
-		p.order = running
+		m.order = running
 	}
 }
 
-// Integrals returns runs × seconds and busy cores × seconds since the start.
-func (p *Machine) Integrals() (runs, busy float64) { return p.runSeconds, p.busySeconds }
+// UsageIntegrals returns the integrals of the number of runs and of the number of busy cores over time, in seconds since the start.
+func (m *Machine) UsageIntegrals() (runs, busy float64) { return m.runSeconds, m.busySeconds }
--- a/internal/settings/parts.go
+++ b/internal/settings/parts.go
@@ -12,7 +12,7 @@
 	"silverpath/internal/policy/cells"
 )
 
-// cellPartNames has the names of a map's parts in order. The maps return a part's index among the server or tenant parts.
+// cellPartNames has the names of a map's parts in order. The two maps have the index of each server part and tenant part by its name.
 var (
 	cellPartNames   []string
 	serverPartIndex = map[string]int{}
@@ -111,7 +111,7 @@
 	}
 }
 
-// readPart reads the text of one part of a map into p.
+// readPart parses the text of one part of a map and stores it in parts.
 func readPart(parts *cells.Parts, name, text string) (err error) {
 	f := parseObject([]byte(text), &err)
 	if err != nil {
--- a/internal/settings/quorum.go
+++ b/internal/settings/quorum.go
@@ -56,7 +56,7 @@
 	return q, nil
 }
 
-// ParseQuorum parses and validates the text of such a file. An unknown field is an error.
+// ParseQuorum parses and validates the text of a group process's configuration. An unknown field is an error.
 func ParseQuorum(data []byte) (Quorum, error) {
 	var err error
 	f := parseObject(data, &err)
--- a/internal/settings/target.go
+++ b/internal/settings/target.go
@@ -22,8 +22,8 @@
 	return t, nil
 }
 
-// ParseTarget parses and validates the text of such a file. An unknown or missing field is an error: a missing size would otherwise be
-// read as 0.
+// ParseTarget parses and validates the text of a capacity target. An unknown or missing field is an error: a missing number would
+// otherwise be read as 0.
 func ParseTarget(data []byte) (capacity.Target, error) {
 	var t capacity.Target
 	var err error
