--- a/internal/builtinworker/interpreter.go
+++ b/internal/builtinworker/interpreter.go
@@ -43,11 +43,11 @@
 }
 
 const (
-	maxKeptNotices = 4000
-	maxEndedJobs   = 100_000 // ended runs that are kept, so that a repeated APPLY does not run them again
-	maxLineBytes   = 64 << 10
-	failureWindow  = 3 * time.Second
-	gaugeInterval  = 100 * time.Millisecond // minimum interval between samples of runs and busy cores
+	maxBufferedNotices = 4000
+	maxEndedJobs       = 100_000 // ended runs that are kept, so that a repeated APPLY does not run them again
+	maxLineBytes       = 64 << 10
+	failureWindow      = 3 * time.Second
+	gaugeInterval      = 100 * time.Millisecond // minimum interval between samples of runs and busy cores
 )
 
 // Interpreter is a stand-in interpreter that executes runs on a simulated machine. It is safe for concurrent use.
@@ -87,7 +87,7 @@
 	runs float64
 }
 
-// notice is a numbered message to the service. The last maxKeptNotices are kept and sent again after a reconnection.
+// notice is a numbered message to the service. The last maxBufferedNotices are kept and sent again after a reconnection.
 type notice struct {
 	id   int64
 	line []byte
@@ -360,7 +360,7 @@
 	i.lastNoticeID++
 	line := fmt.Appendf(nil, `{%s,"n":%d,%s}`+"\n", kind, i.lastNoticeID, rest)
 	i.notices = append(i.notices, notice{i.lastNoticeID, line})
-	if excess := len(i.notices) - maxKeptNotices; excess > 0 {
+	if excess := len(i.notices) - maxBufferedNotices; excess > 0 {
 		i.notices = slices.Delete(i.notices, 0, excess)
 	}
 	i.send(line)
@@ -393,13 +393,13 @@
 // serve reads the commands of one connection until it closes or a command is malformed.
 func (i *Interpreter) serve(conn net.Conn) {
 	defer conn.Close()
-	out := make(chan []byte, 2*maxKeptNotices)
+	sendQueue := make(chan []byte, 2*maxBufferedNotices)
 	done := make(chan struct{})
 	defer close(done)
 	go func() {
 		for {
 			select {
-			case line := <-out:
+			case line := <-sendQueue:
 				if _, err := conn.Write(line); err != nil {
 					conn.Close()
 					return
@@ -414,14 +414,14 @@
 	var p fastjson.Parser
 	for lines.Scan() {
 		v, err := p.ParseBytes(lines.Bytes())
-		if err != nil || !i.handleCommand(conn, out, v) {
+		if err != nil || !i.handleCommand(conn, sendQueue, v) {
 			return
 		}
 	}
 }
 
 // handleCommand executes one command. It returns false if the command is malformed or unknown.
-func (i *Interpreter) handleCommand(conn net.Conn, out chan []byte, v *fastjson.Value) bool {
+func (i *Interpreter) handleCommand(conn net.Conn, sendQueue chan []byte, v *fastjson.Value) bool {
 	id := string(v.GetStringBytes("job"))
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -432,7 +432,7 @@
 		if i.conn != nil && i.conn != conn {
 			i.conn.Close()
 		}
-		i.conn, i.sendQueue = conn, out
+		i.conn, i.sendQueue = conn, sendQueue
 		i.send(fmt.Appendf(nil, `{"type":"BANNER","state":"LOADED","took":%d}`+"\n", i.elapsed().Milliseconds()))
 		after := v.GetInt64("n")
 		for _, n := range i.notices {
--- a/internal/transport/admin/admin.go
+++ b/internal/transport/admin/admin.go
@@ -1,5 +1,5 @@
-// Package admin is the API for operators and for the fleet's controllers: HTTP/1.1, one call a connection. It takes none of the
-// core's locks and has its own few connections and buffers, so that a crowd of clients keeps no operator out.
+// Package admin serves the API for operators and for the leased controllers: HTTP/1.1 with one request per connection. It takes none of
+// the core's locks and has its own connections and buffers, so that it stays available to operators while clients overload the process.
 package admin
 
 import (
@@ -21,104 +21,109 @@
 const Name = "mgmt"
 
 const (
-	// MaxConnections is the most connections at once. A further one takes the place of the one that has been unfinished for longest,
-	// so that callers that never finish keep nobody out.
+	// MaxConnections is the maximum number of concurrent connections. A further connection evicts the oldest stalled one, so that
+	// callers that never complete a request block nobody else.
 	MaxConnections = 24
 	minConnections = 4
-	// descriptorsPerConnection is how many of the process's descriptors there must be for each connection here.
+	// descriptorsPerConnection is the number of descriptors that a process needs for each admin connection: see ConnectionLimit.
 	descriptorsPerConnection = 16
 
-	callTimeout  = 5 * time.Second // for a call to come whole
-	writeTimeout = 2 * time.Second // for its answer to be taken
-	// minCallTime is for a call to come whole before its place may be taken. Callers that never finish and come back at once can so
-	// hold up one that does, but not push it out: of fifty, for three times that.
-	minCallTime = 50 * time.Millisecond
-	// maxCallTime is the same for one that always has a byte more to send.
-	maxCallTime = 500 * time.Millisecond
-	// capacityPollInterval is between two looks for a place while none is released.
-	capacityPollInterval = minCallTime / 10
-	// lingerTimeout and maxLingerBytes bound what is read of a caller after its answer: a close over unread bytes would reset the
-	// connection, and the answer might be lost with it.
+	readTimeout  = 5 * time.Second // to receive a request
+	writeTimeout = 2 * time.Second // to send its response
+	// minEvictionAge is the age at which a connection without unread bytes may be evicted. It gives every request that time to arrive.
+	// Callers that never complete a request and reconnect at once can thereby delay a complete one, but not evict it: fifty of them
+	// delay it by three times this age.
+	minEvictionAge = 50 * time.Millisecond
+	// maxEvictionAge is the age at which a connection may be evicted even if it has unread bytes, so that a caller that keeps sending
+	// single bytes is evicted too.
+	maxEvictionAge = 500 * time.Millisecond
+	// capacityPollInterval is the interval of checks for a stalled connection while no connection closes.
+	capacityPollInterval = minEvictionAge / 10
+	// lingerTimeout and maxLingerBytes bound the lingering close, which reads from a caller after its response. Closing a connection
+	// with unread bytes would reset it, and the response could be lost.
 	lingerTimeout  = 200 * time.Millisecond
 	maxLingerBytes = 64 << 10
-	// badCallLogInterval is the least time between two log lines about bad calls; the counters have them all.
-	badCallLogInterval = time.Second
-	// acceptRetryDelay follows a failure to accept: out of descriptors, some will be released.
+	// rejectionLogInterval is the minimum interval between log lines about rejected requests. The counters count all of them.
+	rejectionLogInterval = time.Second
+	// acceptRetryDelay is the delay after a failed accept, in which the process may release descriptors if it had none left.
 	acceptRetryDelay = 10 * time.Millisecond
 )
 
-// Operator does what is called for. No method blocks. Each says whether it was done, or is so, and why in one line.
+// Operator executes the requests of operators. No method blocks. Each returns whether the action was done or the condition is met, and
+// the reason in one line, which is the body of the response.
 type Operator interface {
 	Ready() (bool, string)
 	Evacuate() (bool, string)
 	Rejoin() (bool, string)
 }
 
-// Commands takes the fleet's commands: calls that name a controller, the epoch of its lease and the step of its plan.
+// Commands executes fenced commands: requests with a controller's name, the epoch of its lease and the step of its plan.
 type Commands interface {
-	// Execute carries out a command by perform, or returns why not. It may wait for a disk, and for the group.
+	// Execute calls perform if the fence accepts the command, else it returns the reason. It may wait for the disk and for the group.
 	Execute(action, controller string, epoch, step uint64, perform func() (bool, string)) (accepted bool, reason string)
 }
 
-// ConnectionLimit is the number of connections at once of a process with so many descriptors.
+// ConnectionLimit returns the maximum number of concurrent admin connections of a process with the given limit on descriptors.
 func ConnectionLimit(descriptors int) int {
 	return min(max(descriptors/descriptorsPerConnection, minConnections), MaxConnections)
 }
 
-// Server answers operators at one address.
+// Server serves the admin API on one address.
 type Server struct {
 	ln       net.Listener
 	maxConns int
 	op       Operator
-	commands Commands // nil: none are taken
+	commands Commands // nil: queries are ignored, and every request is an operator's
 	snapshot func() (string, error)
 	log      *log.Logger
 	stats    *metrics.Counters
-	callTime *metrics.Timing
+	latency  *metrics.Timing
 
-	mu              sync.Mutex
-	conns           []*callerConn // in the order of their coming
-	badCallLoggedAt time.Time
-	closed          bool
-	released        chan struct{}
+	mu                sync.Mutex
+	conns             []*clientConn // in the order in which they were accepted
+	rejectionLoggedAt time.Time
+	closed            bool
+	released          chan struct{}
 }
 
-type callerConn struct {
+// clientConn is a connection of a caller.
+type clientConn struct {
 	conn       net.Conn
 	acceptedAt time.Time
 	evicted    bool
 }
 
-// Listen opens the address, for at most maxConns connections at once. Serve must follow, or Close.
+// Listen opens the address for at most maxConns concurrent connections. It returns the error of the listener. The caller has to call
+// Serve or Close.
 func Listen(addr string, maxConns int, op Operator, l *log.Logger, s *metrics.Counters) (*Server, error) {
 	ln, err := (&net.ListenConfig{KeepAlive: -1}).Listen(context.Background(), "tcp", addr)
 	if err != nil {
 		return nil, err
 	}
-	return &Server{ln: ln, maxConns: maxConns, op: op, log: l, stats: s, callTime: s.Timing("call", Name), released: make(chan struct{}, 1)}, nil
+	return &Server{ln: ln, maxConns: maxConns, op: op, log: l, stats: s, latency: s.Timing("call", Name), released: make(chan struct{}, 1)}, nil
 }
 
-// SetCommands sets what takes the fleet's commands. It is called before Serve.
-func (s *Server) SetCommands(o Commands) { s.commands = o }
+// SetCommands sets the executor of fenced commands. It must be called before Serve.
+func (s *Server) SetCommands(c Commands) { s.commands = c }
 
-// SetSnapshots sets what makes a copy of the store and returns its path. It is called before Serve.
-func (s *Server) SetSnapshots(make func() (path string, err error)) { s.snapshot = make }
+// SetSnapshots sets the function that writes a copy of the store and returns its path. It must be called before Serve.
+func (s *Server) SetSnapshots(snapshot func() (path string, err error)) { s.snapshot = snapshot }
 
-// Addr returns the address listened on.
+// Addr returns the address of the listener.
 func (s *Server) Addr() net.Addr { return s.ln.Addr() }
 
-// Close ends Serve. Calls under way are cut off: they can be made again.
+// Close stops Serve and closes all connections. Callers may repeat the requests that this interrupts.
 func (s *Server) Close() {
 	s.ln.Close()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.closed = true
-	for _, p := range s.conns {
-		p.conn.Close()
+	for _, c := range s.conns {
+		c.conn.Close()
 	}
 }
 
-// Serve accepts calls until Close.
+// Serve accepts connections until Close.
 func (s *Server) Serve() {
 	for {
 		conn, err := s.ln.Accept()
@@ -131,20 +136,20 @@
 			continue
 		}
 		s.stats.Inc("connections", Name)
-		p := &callerConn{conn: conn}
+		c := &clientConn{conn: conn}
 		s.awaitCapacity()
-		p.acceptedAt = time.Now()
+		c.acceptedAt = time.Now()
 		s.mu.Lock()
-		s.conns = append(s.conns, p)
+		s.conns = append(s.conns, c)
 		if s.closed {
 			conn.Close()
 		}
 		s.mu.Unlock()
-		go s.serve(p)
+		go s.serve(c)
 	}
 }
 
-// awaitCapacity waits until there is a place. The caller that has been unfinished for longest is evicted, once its time is over.
+// awaitCapacity waits until there are fewer than maxConns connections. It evicts the oldest stalled connection if there is one.
 func (s *Server) awaitCapacity() {
 	for {
 		s.mu.Lock()
@@ -152,7 +157,7 @@
 			s.mu.Unlock()
 			return
 		}
-		i := slices.IndexFunc(s.conns, (*callerConn).stalled)
+		i := slices.IndexFunc(s.conns, (*clientConn).stalled)
 		if i >= 0 {
 			victim := s.conns[i]
 			s.conns = slices.Delete(s.conns, i, i+1)
@@ -173,51 +178,51 @@
 	}
 }
 
-// stalled reports whether a call has had its time to come whole. One of which bytes lie unread waits for the service, not the service
-// for it: on a busy core its goroutine may have had no turn yet.
-func (p *callerConn) stalled() bool {
-	age := time.Since(p.acceptedAt)
-	return age >= maxCallTime || age >= minCallTime && linger.Peek(p.conn) != linger.Unread
+// stalled reports whether a connection may be evicted because its request has not arrived in time. Unread bytes postpone that to
+// maxEvictionAge: the connection waits for its goroutine, which may not have been scheduled yet on a busy core.
+func (c *clientConn) stalled() bool {
+	age := time.Since(c.acceptedAt)
+	return age >= maxEvictionAge || age >= minEvictionAge && linger.Peek(c.conn) != linger.Unread
 }
 
-// release closes a connection and has its place free.
-func (s *Server) release(p *callerConn) {
-	p.conn.Close()
+// release closes a connection, removes it from the list and wakes awaitCapacity.
+func (s *Server) release(c *clientConn) {
+	c.conn.Close()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.conns = slices.DeleteFunc(s.conns, func(q *callerConn) bool { return q == p })
+	s.conns = slices.DeleteFunc(s.conns, func(other *clientConn) bool { return other == c })
 	select {
 	case s.released <- struct{}{}:
 	default:
 	}
 }
 
-// serve reads one call, answers it and closes its connection.
-func (s *Server) serve(p *callerConn) {
-	defer s.release(p)
-	conn := p.conn
-	conn.SetReadDeadline(time.Now().Add(callTimeout))
+// serve reads one request, sends the response and closes the connection.
+func (s *Server) serve(c *clientConn) {
+	defer s.release(c)
+	conn := c.conn
+	conn.SetReadDeadline(time.Now().Add(readTimeout))
 	r := bufio.NewReaderSize(conn, maxHeadBytes)
-	c, err := readCall(r)
+	req, err := readRequest(r)
 	receivedAt := time.Now()
-	var bad *rejection
+	var rejected *rejection
 	switch {
 	case err == nil:
-		s.dispatch(conn, c)
-		s.callTime.Record(time.Since(receivedAt))
-	case errors.As(err, &bad):
-		s.reject(conn, bad)
+		s.dispatch(conn, req)
+		s.latency.Record(time.Since(receivedAt))
+	case errors.As(err, &rejected):
+		s.reject(conn, rejected)
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		s.reject(conn, &rejection{408, "too_slow", "no whole call came within 5 s"})
-	default: // the caller has left, or its place was taken
-		if s.mu.Lock(); !p.evicted {
+	default: // the caller has closed the connection, or it was evicted
+		if s.mu.Lock(); !c.evicted {
 			s.stats.Inc("cut_short", Name)
 		}
 		s.mu.Unlock()
 		return
 	}
 	if err == nil && r.Buffered() > 0 {
-		s.stats.Inc("pipelined", Name) // one call a connection: what follows it is not made
+		s.stats.Inc("pipelined", Name) // one request per connection: further ones are ignored
 	}
 	linger.Close(conn, nil, lingerTimeout, maxLingerBytes)
 }
--- a/internal/transport/admin/admin_test.go
+++ b/internal/transport/admin/admin_test.go
@@ -16,26 +16,26 @@
 	"silverpath/internal/transport/linger"
 )
 
-// operated notes what it is asked.
-type operated struct {
-	mu    sync.Mutex
-	made  []string
-	never bool // says no
+// recordingOperator records the methods that are called.
+type recordingOperator struct {
+	mu      sync.Mutex
+	calls   []string
+	refuses bool // every method returns false
 }
 
-func (o *operated) note(what string) (bool, string) {
+func (o *recordingOperator) record(call string) (bool, string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.made = append(o.made, what)
-	return !o.never, what
+	o.calls = append(o.calls, call)
+	return !o.refuses, call
 }
-func (o *operated) Ready() (bool, string)    { return o.note("ready") }
-func (o *operated) Evacuate() (bool, string) { return o.note("evacuate") }
-func (o *operated) Rejoin() (bool, string)   { return o.note("rejoin") }
+func (o *recordingOperator) Ready() (bool, string)    { return o.record("ready") }
+func (o *recordingOperator) Evacuate() (bool, string) { return o.record("evacuate") }
+func (o *recordingOperator) Rejoin() (bool, string)   { return o.record("rejoin") }
 
-func serve(t *testing.T) (*Server, *operated, *metrics.Counters) {
+func serve(t *testing.T) (*Server, *recordingOperator, *metrics.Counters) {
 	t.Helper()
-	op, counters := &operated{}, &metrics.Counters{}
+	op, counters := &recordingOperator{}, &metrics.Counters{}
 	s, err := Listen("127.0.0.1:0", MaxConnections, op, log.New(io.Discard, "", 0), counters)
 	if err != nil {
 		t.Fatal(err)
@@ -45,8 +45,8 @@
 	return s, op, counters
 }
 
-// say sends a text and returns all that comes back.
-func say(t *testing.T, s *Server, parts ...string) string {
+// exchange sends a text on a new connection and returns everything that the server sends until it closes.
+func exchange(t *testing.T, s *Server, parts ...string) string {
 	t.Helper()
 	conn, err := net.Dial("tcp", s.Addr().String())
 	if err != nil {
@@ -66,10 +66,10 @@
 	return string(b)
 }
 
-// Every kind of call has its own answer, with one line that says why, and its counter.
+// Each kind of request has its own status, a one-line body and a counter. Only a valid request reaches the operator.
 func TestAnswers(t *testing.T) {
 	for _, c := range []struct {
-		text, status, why, counter string
+		text, status, message, counter string
 	}{
 		{"GET /api/ready HTTP/1.1\r\nX: no\r\n\r\n", "503", "ready", "calls.mgmt.ready.no"},
 		{"POST /api/evacuate HTTP/1.1\r\nX: no\r\n\r\n", "409", "evacuate", "calls.mgmt.evacuate.no"},
@@ -94,42 +94,42 @@
 		{"GET /api/ready HTTP/1.1\r\n" + strings.Repeat("a: b\r\n", 900) + "\r\n", "431", "4 KiB", "bad_call.mgmt.too_large"},
 	} {
 		s, op, counters := serve(t)
-		op.never = strings.Contains(c.text, "X: no")
-		got := say(t, s, c.text)
+		op.refuses = strings.Contains(c.text, "X: no")
+		got := exchange(t, s, c.text)
 		head, body, _ := strings.Cut(got, "\r\n\r\n")
-		if !strings.HasPrefix(head, "HTTP/1.1 "+c.status) || !strings.Contains(body, c.why) || strings.Count(body, "\n") != 1 ||
+		if !strings.HasPrefix(head, "HTTP/1.1 "+c.status) || !strings.Contains(body, c.message) || strings.Count(body, "\n") != 1 ||
 			!strings.Contains(head, fmt.Sprintf("Content-Length: %d\r\n", len(body))) || !strings.Contains(head, "Connection: close") {
 			t.Errorf("%.60q: %q", c.text, got)
 		}
 		if counters.Get(c.counter) != 1 {
-			t.Errorf("%.60q: %s is not counted: %v", c.text, c.counter, counters.Snapshot())
+			t.Errorf("%.60q: counter %s is not 1: %v", c.text, c.counter, counters.Snapshot())
 		}
-		if wrong := !strings.HasPrefix(c.status, "200") && !op.never; wrong == (len(op.made) > 0) || len(op.made) > 1 {
-			t.Errorf("%.60q: made %v", c.text, op.made)
+		if rejected := !strings.HasPrefix(c.status, "200") && !op.refuses; rejected == (len(op.calls) > 0) || len(op.calls) > 1 {
+			t.Errorf("%.60q: calls of the operator: %v", c.text, op.calls)
 		}
 	}
 }
 
-const whole = "POST /api/evacuate HTTP/1.1\r\nHost: edge\r\nContent-Length: 7\r\n\r\n{\"a\":1}"
+const completeRequest = "POST /api/evacuate HTTP/1.1\r\nHost: edge\r\nContent-Length: 7\r\n\r\n{\"a\":1}"
 
-// A call that comes cut at any byte is made as if it came whole, and one that ends there is not made.
+// A request that arrives in two segments, split at any byte, is executed. A request that ends at that byte is not.
 func TestEveryCut(t *testing.T) {
 	s, op, counters := serve(t)
-	for i := 1; i < len(whole); i++ {
+	for i := 1; i < len(completeRequest); i++ {
 		conn, err := net.Dial("tcp", s.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
-		io.WriteString(conn, whole[:i])
+		io.WriteString(conn, completeRequest[:i])
 		conn.Close()
-		if got := say(t, s, whole[:i], whole[i:]); !strings.HasPrefix(got, "HTTP/1.1 200") {
-			t.Fatalf("cut at %d: %q", i, got)
+		if got := exchange(t, s, completeRequest[:i], completeRequest[i:]); !strings.HasPrefix(got, "HTTP/1.1 200") {
+			t.Fatalf("split at byte %d: %q", i, got)
 		}
 	}
-	if len(op.made) != len(whole)-1 {
-		t.Errorf("%d calls made, want %d", len(op.made), len(whole)-1)
+	if len(op.calls) != len(completeRequest)-1 {
+		t.Errorf("%d requests executed, want %d", len(op.calls), len(completeRequest)-1)
 	}
-	for deadline := time.Now().Add(5 * time.Second); counters.Get("cut_short", Name) != uint64(len(whole)-1); {
+	for deadline := time.Now().Add(5 * time.Second); counters.Get("cut_short", Name) != uint64(len(completeRequest)-1); {
 		if time.Now().After(deadline) {
 			t.Fatalf("%d counted as cut short", counters.Get("cut_short", Name))
 		}
@@ -137,7 +137,7 @@
 	}
 }
 
-// Callers that never finish keep nobody out, and hold no more than their few places.
+// Callers that never complete a request do not block others, and occupy at most MaxConnections connections.
 func TestStalledCallersAreEvicted(t *testing.T) {
 	s, _, counters := serve(t)
 	for i := range 50 {
@@ -146,10 +146,10 @@
 			t.Fatal(err)
 		}
 		defer conn.Close()
-		io.WriteString(conn, whole[:i])
+		io.WriteString(conn, completeRequest[:i])
 	}
 	began := time.Now()
-	if got := say(t, s, whole); !strings.HasPrefix(got, "HTTP/1.1 200") {
+	if got := exchange(t, s, completeRequest); !strings.HasPrefix(got, "HTTP/1.1 200") {
 		t.Fatal(got)
 	}
 	if took := time.Since(began); took >= time.Second {
@@ -158,12 +158,12 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(s.conns) > MaxConnections || counters.Get("evicted", Name) < 50-MaxConnections {
-		t.Errorf("%d places, %d evicted", len(s.conns), counters.Get("evicted", Name))
+		t.Errorf("%d connections, %d evicted", len(s.conns), counters.Get("evicted", Name))
 	}
 }
 
-// A call whose bytes have come keeps its place, though it is the oldest and its goroutine has had no turn yet; one that
-// sends a byte now and then does not keep it for ever.
+// A connection with unread bytes is not evicted at minEvictionAge, even if it is the oldest: its goroutine may not have been scheduled
+// yet. At maxEvictionAge it is evicted, so that a caller that keeps sending single bytes does not occupy it forever.
 func TestUnreadCallIsNotEvicted(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -171,53 +171,53 @@
 	}
 	defer ln.Close()
 	s := &Server{maxConns: 2, stats: &metrics.Counters{}, released: make(chan struct{}, 1)}
-	for _, text := range []string{whole, ""} {
-		near, err := net.Dial("tcp", ln.Addr().String())
+	for _, text := range []string{completeRequest, ""} {
+		client, err := net.Dial("tcp", ln.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer near.Close()
-		far, err := ln.Accept()
+		defer client.Close()
+		accepted, err := ln.Accept()
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer far.Close()
-		io.WriteString(near, text)
-		p := &callerConn{conn: far, acceptedAt: time.Now().Add(-minCallTime)}
-		unread := func() bool { return linger.Peek(far) == linger.Unread }
+		defer accepted.Close()
+		io.WriteString(client, text)
+		c := &clientConn{conn: accepted, acceptedAt: time.Now().Add(-minEvictionAge)}
+		unread := func() bool { return linger.Peek(accepted) == linger.Unread }
 		for deadline := time.Now().Add(10 * time.Second); unread() != (text != ""); time.Sleep(time.Millisecond) {
 			if time.Now().After(deadline) {
-				t.Fatalf("unread is %v of %q", unread(), text)
+				t.Fatalf("unread bytes: %v, after sending %q", unread(), text)
 			}
 		}
-		s.conns = append(s.conns, p)
+		s.conns = append(s.conns, c)
 	}
 	first := s.conns[0]
 	if s.awaitCapacity(); len(s.conns) != 1 || s.conns[0] != first || first.evicted {
-		t.Fatal("the call whose bytes have come gave way")
+		t.Fatal("the connection with unread bytes was evicted, want the one without")
 	}
-	s.maxConns, first.acceptedAt = 1, time.Now().Add(-maxCallTime)
+	s.maxConns, first.acceptedAt = 1, time.Now().Add(-maxEvictionAge)
 	if s.awaitCapacity(); len(s.conns) != 0 || !first.evicted {
-		t.Error("a place is kept for ever")
+		t.Error("a connection with unread bytes is not evicted at maxEvictionAge")
 	}
 }
 
 func FuzzHead(f *testing.F) {
-	f.Add([]byte(whole))
+	f.Add([]byte(completeRequest))
 	f.Add([]byte("GET /api/ready HTTP/1.1\r\nHost: x\r\n\r\n"))
 	f.Add([]byte("GET /api/ready HTTP/1.0\n\n"))
 	f.Add([]byte("POST / HTTP/1.1\r\nContent-Length: 18446744073709551616\r\n\r\n"))
 	f.Add([]byte(" / HTTP/1.1\r\n\r\n"))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		c, err := readHead(bufio.NewReaderSize(strings.NewReader(string(b)), maxHeadBytes))
+		req, err := readHead(bufio.NewReaderSize(strings.NewReader(string(b)), maxHeadBytes))
 		var bad *rejection
 		switch {
 		case err == nil:
-			if c.method == "" || !strings.HasPrefix(c.path, "/") || c.body < 0 || c.body > maxBodyBytes || len(b) == 0 {
-				t.Fatalf("%q: %+v", b, c)
+			if req.method == "" || !strings.HasPrefix(req.path, "/") || req.bodyLength < 0 || req.bodyLength > maxBodyBytes || len(b) == 0 {
+				t.Fatalf("%q: %+v", b, req)
 			}
 		case errors.As(err, &bad):
-			if reasons[bad.code] == "" || bad.message == "" || strings.Contains(bad.message, "\n") {
+			if reasonPhrases[bad.code] == "" || bad.message == "" || strings.Contains(bad.message, "\n") {
 				t.Fatalf("%q: %+v", b, bad)
 			}
 		case !errors.Is(err, io.EOF):
--- a/internal/transport/admin/call.go
+++ b/internal/transport/admin/call.go
@@ -10,42 +10,42 @@
 )
 
 const (
-	maxHeadBytes = 4 << 10 // of request line and headers
-	maxBodyBytes = 4 << 10 // what a call brings is read and not looked at
+	maxHeadBytes = 4 << 10 // of the request line and the headers
+	maxBodyBytes = 4 << 10 // bodies are read and discarded
 )
 
-// status is the HTTP status of an answer.
+// status is the HTTP status code of a response.
 type status int
 
-// reasons has the reason phrase of each status.
-var reasons = map[status]string{
+// reasonPhrases has the reason phrase of each status.
+var reasonPhrases = map[status]string{
 	200: "OK", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed", 408: "Request Timeout", 409: "Conflict",
 	411: "Length Required", 413: "Content Too Large", 431: "Request Header Fields Too Large", 503: "Service Unavailable",
 	505: "HTTP Version Not Supported",
 }
 
-// rejection is the answer to a call that is not made.
+// rejection is the response to a request that is not executed.
 type rejection struct {
 	code    status
-	counter string // of its counter
+	counter string // label of the counter of rejected requests
 	message string
 }
 
-// Error returns the line of the answer.
-func (p *rejection) Error() string { return p.message }
+// Error returns the text of the response.
+func (r *rejection) Error() string { return r.message }
 
-// call is one call as it was read.
-type call struct {
+// request is a parsed HTTP request.
+type request struct {
 	method, path string
 	query        string
-	body         int // bytes
+	bodyLength   int // in bytes
 }
 
-// readHead reads request line and headers, in lines that end with \n or \r\n. An error of the call is a *rejection; io.EOF says that
-// nothing came.
-func readHead(r *bufio.Reader) (c call, err error) {
+// readHead reads the request line and the headers, whose lines end with \n or \r\n. It returns a *rejection for a malformed or too large
+// request, and io.EOF if the connection ends before a line is complete.
+func readHead(r *bufio.Reader) (req request, err error) {
 	remaining := maxHeadBytes
-	line := func() ([]byte, error) {
+	readLine := func() ([]byte, error) {
 		b, err := r.ReadSlice('\n')
 		remaining -= len(b)
 		if errors.Is(err, bufio.ErrBufferFull) || remaining < 0 {
@@ -53,29 +53,29 @@
 		}
 		return bytes.TrimSuffix(bytes.TrimSuffix(b, []byte("\n")), []byte("\r")), err
 	}
-	first, err := line()
+	requestLine, err := readLine()
 	if err != nil {
-		return c, err
+		return req, err
 	}
-	if err := c.parseRequestLine(string(first)); err != nil {
-		return c, err
+	if err := req.parseRequestLine(string(requestLine)); err != nil {
+		return req, err
 	}
 	for hasLength := false; ; {
-		b, err := line()
+		b, err := readLine()
 		if err != nil {
-			return c, err
+			return req, err
 		}
 		if len(b) == 0 {
-			return c, nil
+			return req, nil
 		}
-		if err := c.parseHeader(string(b), &hasLength); err != nil {
-			return c, err
+		if err := req.parseHeader(string(b), &hasLength); err != nil {
+			return req, err
 		}
 	}
 }
 
-// parseRequestLine reads METHOD /PATH?QUERY HTTP/1.1.
-func (c *call) parseRequestLine(line string) error {
+// parseRequestLine parses a line METHOD /PATH?QUERY HTTP/1.1. It accepts HTTP/1.0 too.
+func (c *request) parseRequestLine(line string) error {
 	parts := strings.Split(line, " ")
 	if len(parts) != 3 || parts[0] == "" || !strings.HasPrefix(parts[1], "/") || !strings.HasPrefix(parts[2], "HTTP/") {
 		return &rejection{400, "malformed", "the first line is not METHOD /PATH HTTP/1.1"}
@@ -88,8 +88,9 @@
 	return nil
 }
 
-// parseHeader reads one header, of which only the body's length matters. It may come twice if it says the same.
-func (c *call) parseHeader(line string, hasLength *bool) error {
+// parseHeader parses one header line. It uses only Content-Length, which may be repeated with the same value, and rejects
+// Transfer-Encoding.
+func (c *request) parseHeader(line string, hasLength *bool) error {
 	name, value, ok := strings.Cut(line, ":")
 	if !ok || name == "" || strings.TrimSpace(name) != name {
 		return &rejection{400, "malformed", "a header line is not NAME: VALUE"}
@@ -97,24 +98,24 @@
 	switch strings.ToLower(name) {
 	case "content-length":
 		n, err := strconv.ParseUint(strings.TrimSpace(value), 10, 31)
-		if err != nil || *hasLength && int(n) != c.body {
+		if err != nil || *hasLength && int(n) != c.bodyLength {
 			return &rejection{400, "malformed", "Content-Length is no number"}
 		}
 		if n > maxBodyBytes {
 			return &rejection{413, "too_large", "a body over 4 KiB"}
 		}
-		c.body, *hasLength = int(n), true
+		c.bodyLength, *hasLength = int(n), true
 	case "transfer-encoding":
 		return &rejection{411, "malformed", "give a Content-Length"}
 	}
 	return nil
 }
 
-// readCall reads one whole call.
-func readCall(r *bufio.Reader) (call, error) {
-	c, err := readHead(r)
-	if err == nil && c.body > 0 {
-		_, err = io.CopyN(io.Discard, r, int64(c.body))
+// readRequest reads one request and discards its body.
+func readRequest(r *bufio.Reader) (request, error) {
+	req, err := readHead(r)
+	if err == nil && req.bodyLength > 0 {
+		_, err = io.CopyN(io.Discard, r, int64(req.bodyLength))
 	}
-	return c, err
+	return req, err
 }
--- a/internal/transport/admin/client.go
+++ b/internal/transport/admin/client.go
@@ -9,8 +9,9 @@
 	"strings"
 )
 
-// Call makes one call of another process; requestLine is METHOD /PATH. It reports whether the answer is a yes, and its line. An error
-// says that no answer was read: the call may have been made. Controllers and operators' commands call it.
+// Call sends one request to the admin API of another process; requestLine is METHOD /PATH. It returns whether the status of the response
+// is 2xx, and the body. After an error, which means that no response was read, the request may have been executed. Controllers and
+// operators' commands use it.
 func Call(ctx context.Context, addr, requestLine string) (ok bool, message string, err error) {
 	var d net.Dialer
 	conn, err := d.DialContext(ctx, "tcp", addr)
@@ -25,15 +26,15 @@
 		return false, "", err
 	}
 	r := bufio.NewReader(io.LimitReader(conn, maxHeadBytes))
-	first, err := r.ReadString('\n')
+	statusLine, err := r.ReadString('\n')
 	if err != nil {
 		return false, "", err
 	}
-	parts := strings.SplitN(first, " ", 3)
+	parts := strings.SplitN(statusLine, " ", 3)
 	if len(parts) < 2 {
-		return false, "", fmt.Errorf("no answer that can be read: %q", first)
+		return false, "", fmt.Errorf("malformed status line: %q", statusLine)
 	}
-	for line := first; strings.TrimSpace(line) != "" && err == nil; {
+	for line := statusLine; strings.TrimSpace(line) != "" && err == nil; {
 		line, err = r.ReadString('\n')
 	}
 	if err != nil {
--- a/internal/transport/admin/dispatch.go
+++ b/internal/transport/admin/dispatch.go
@@ -11,23 +11,23 @@
 	"silverpath/internal/events"
 )
 
-// calls are what may be called for: by which method, who does it, and the status of an answer that says no.
-var calls = map[string]struct {
-	method string
-	do     func(Operator) (bool, string)
-	no     status
+// endpoints has the method and the handler of each path, and the status of the response if the handler returns false.
+var endpoints = map[string]struct {
+	method        string
+	handle        func(Operator) (bool, string)
+	failureStatus status
 }{
 	"/api/ready":    {"GET", Operator.Ready, 503},
 	"/api/evacuate": {"POST", Operator.Evacuate, 409},
 	"/api/rejoin":   {"POST", Operator.Rejoin, 409},
 }
 
-// dispatch makes a call and answers what became of it.
-func (s *Server) dispatch(conn net.Conn, c call) {
-	k, known := calls[c.path]
-	if c.path == "/api/snapshot" && s.snapshot != nil {
-		k.method, k.no, known = "POST", 503, true
-		k.do = func(Operator) (bool, string) {
+// dispatch executes a request and writes the response.
+func (s *Server) dispatch(conn net.Conn, req request) {
+	endpoint, known := endpoints[req.path]
+	if req.path == "/api/snapshot" && s.snapshot != nil {
+		endpoint.method, endpoint.failureStatus, known = "POST", 503, true
+		endpoint.handle = func(Operator) (bool, string) {
 			path, err := s.snapshot()
 			if err != nil {
 				return false, err.Error()
@@ -39,76 +39,77 @@
 		s.reject(conn, &rejection{404, "unknown_path", "no such call"})
 		return
 	}
-	if c.method != k.method {
-		s.reject(conn, &rejection{405, "wrong_method", "call it with " + k.method}, "Allow: "+k.method)
+	if req.method != endpoint.method {
+		s.reject(conn, &rejection{405, "wrong_method", "call it with " + endpoint.method}, "Allow: "+endpoint.method)
 		return
 	}
-	perform := func() (bool, string) { return k.do(s.op) }
-	// A call without a query is an operator's by hand and passes no fence; so does every call where no orders are set up.
-	if s.commands != nil && k.method == "POST" && c.query != "" && c.path != "/api/snapshot" {
-		var bad *rejection
-		if perform, bad = s.asCommand(c, perform); bad != nil {
-			s.reject(conn, bad)
+	perform := func() (bool, string) { return endpoint.handle(s.op) }
+	// A request without a query comes from an operator and bypasses the fence. Without commands, every request does.
+	if s.commands != nil && endpoint.method == "POST" && req.query != "" && req.path != "/api/snapshot" {
+		var rejected *rejection
+		if perform, rejected = s.fencedCommand(req, perform); rejected != nil {
+			s.reject(conn, rejected)
 			return
 		}
 	}
 	done, message := perform()
 	code, outcome := status(200), "yes"
 	if !done {
-		code, outcome = k.no, "no"
+		code, outcome = endpoint.failureStatus, "no"
 	}
-	s.stats.Inc("calls", Name, strings.TrimPrefix(c.path, "/api/"), outcome)
+	s.stats.Inc("calls", Name, strings.TrimPrefix(req.path, "/api/"), outcome)
 	s.write(conn, code, message)
 }
 
-// asCommand has a call that is a command of the fleet taken as one: it names the controller, its epoch and its step.
-func (s *Server) asCommand(c call, perform func() (bool, string)) (func() (bool, string), *rejection) {
-	q, err := url.ParseQuery(c.query)
-	bad := &rejection{400, "malformed", "an order has duty, epoch and step"}
-	if err != nil || q.Get("duty") == "" {
-		return nil, bad
+// fencedCommand returns a function that executes a request as a fenced command. The query has to name the controller, its epoch and its
+// step; else fencedCommand returns a rejection.
+func (s *Server) fencedCommand(req request, perform func() (bool, string)) (func() (bool, string), *rejection) {
+	query, err := url.ParseQuery(req.query)
+	malformed := &rejection{400, "malformed", "an order has duty, epoch and step"}
+	if err != nil || query.Get("duty") == "" {
+		return nil, malformed
 	}
-	epoch, err := strconv.ParseUint(q.Get("epoch"), 10, 64)
+	epoch, err := strconv.ParseUint(query.Get("epoch"), 10, 64)
 	if err != nil {
-		return nil, bad
+		return nil, malformed
 	}
-	step, err := strconv.ParseUint(q.Get("step"), 10, 64)
+	step, err := strconv.ParseUint(query.Get("step"), 10, 64)
 	if err != nil {
-		return nil, bad
+		return nil, malformed
 	}
 	return func() (bool, string) {
-		done, message := s.commands.Execute(strings.TrimPrefix(c.path, "/api/"), q.Get("duty"), epoch, step, perform)
+		done, message := s.commands.Execute(strings.TrimPrefix(req.path, "/api/"), query.Get("duty"), epoch, step, perform)
 		s.stats.Inc("orders", map[bool]string{true: "taken", false: "refused"}[done])
 		if !done {
-			events.Log(s.log, "command.rejected", c.path, message)
+			events.Log(s.log, "command.rejected", req.path, message)
 		}
 		return done, message
 	}, nil
 }
 
-// reject answers a call that is not made.
-func (s *Server) reject(conn net.Conn, p *rejection, headers ...string) {
-	s.stats.Inc("bad_call", Name, p.counter)
+// reject counts, logs and answers a request that is not executed.
+func (s *Server) reject(conn net.Conn, r *rejection, headers ...string) {
+	s.stats.Inc("bad_call", Name, r.counter)
 	s.mu.Lock()
-	logIt := time.Since(s.badCallLoggedAt) >= badCallLogInterval
-	if logIt {
-		s.badCallLoggedAt = time.Now()
+	shouldLog := time.Since(s.rejectionLoggedAt) >= rejectionLogInterval
+	if shouldLog {
+		s.rejectionLoggedAt = time.Now()
 	}
 	s.mu.Unlock()
-	if logIt {
-		events.Log(s.log, "admin.bad_request", int(p.code), conn.RemoteAddr(), p.message)
+	if shouldLog {
+		events.Log(s.log, "admin.bad_request", int(r.code), conn.RemoteAddr(), r.message)
 	}
-	s.write(conn, p.code, p.message, headers...)
+	s.write(conn, r.code, r.message, headers...)
 }
 
-// write writes an answer: a status, and one line that says why.
-func (s *Server) write(conn net.Conn, code status, why string, headers ...string) {
+// write writes a response with a status and a one-line message as the body.
+func (s *Server) write(conn net.Conn, code status, message string, headers ...string) {
 	b := fmt.Appendf(make([]byte, 0, 256), "HTTP/1.1 %d %s\r\nContent-Type: text/plain\r\nContent-Length: %d\r\nConnection: close\r\n",
-		code, reasons[code], len(why)+1)
+		code, reasonPhrases[code], len(message)+1)
 	for _, h := range headers {
 		b = append(append(b, h...), "\r\n"...)
 	}
-	b = fmt.Appendf(b, "\r\n%s\n", why)
+	b = fmt.Appendf(b, "\r\n%s\n", message)
 	conn.SetWriteDeadline(time.Now().Add(writeTimeout))
 	if _, err := conn.Write(b); err != nil {
 		s.stats.Inc("write_failed", Name)
