--- a/internal/transport/msgpackrpc/answer.go
+++ b/internal/transport/msgpackrpc/answer.go
@@ -8,8 +8,9 @@
 	"silverpath/internal/policy/configstore"
 )
 
-// respondToProbe answers a health check. A router says with it by which document it goes and with which times, and is told what
-// this server has heard of that document from others, and its share while this server warms up.
+// respondToProbe answers a health check. A router's probe names the configuration document that the router applies and the times of that
+// document. The answer to it has the newest document that this server has observed and, during the slow start, the number of requests
+// that the router may have in flight here.
 func (c *client) respondToProbe(m message) {
 	var fields []string
 	if id := m.fields[FieldConfigID]; id != "" {
@@ -30,7 +31,7 @@
 	c.write(func(b []byte) []byte { return appendHealth(b, m.id, c.core.Health(), c.withServerState(fields)) })
 }
 
-// rulesFields are the fields of an answer to a router's probe that tell what this server has observed of the rules.
+// rulesFields returns the fields of a probe's answer that report which configuration documents this server has observed.
 func rulesFields(notice core.RulesNotice) (pairs []string) {
 	if notice.Newest != "" {
 		pairs = append(pairs, FieldConfigID, notice.Newest, FieldConfigSource, notice.Source)
@@ -44,8 +45,8 @@
 	return pairs
 }
 
-// withServerState appends what every answer tells of this server: the module's signal, where it has set one, and in a cell its
-// incarnation and how recent that is.
+// withServerState appends the fields that every answer has: the module's signal, if it has set one, and in a cell the server's
+// incarnation, whether it is in its slow start, and until when an earlier process may have run requests that are unknown here.
 func (c *client) withServerState(pairs []string) []string {
 	if v, ok := c.core.Signal(); ok {
 		pairs = append(pairs, FieldSignal, strconv.FormatFloat(v, 'f', -1, 64))
@@ -62,14 +63,14 @@
 	return pairs
 }
 
-// respond writes the answer of a request in flight. One that was cancelled gets none: its message id may be another request's by
-// now, which would take the answer for its own.
+// respond writes the answer of a request in flight. A cancelled request gets no answer: the peer may have reused its message id, and
+// would take the answer for that of the later request.
 func (c *client) respond(id uint64, requestID string, a core.Answer) {
 	c.mu.Lock()
 	pending := c.pending[id] == requestID
 	if pending {
 		delete(c.pending, id)
-		c.writingAnswers++ // until it is written the connection is not idle
+		c.writingAnswers++ // the connection is not idle until the answer is written
 	}
 	c.mu.Unlock()
 	if !pending {
@@ -82,12 +83,12 @@
 	c.slot.SetInFlight(len(c.pending) + c.writingAnswers)
 }
 
-// reply writes an answer.
+// reply writes an answer with the fields of withServerState.
 func (c *client) reply(id uint64, a core.Answer) {
 	c.write(func(b []byte) []byte { return appendAnswer(b, id, a, c.withServerState(nil)) })
 }
 
-// appendAnswer appends an answer with its fields, given as name and value in turn.
+// appendAnswer encodes an answer. Fields holds alternating names and values.
 func appendAnswer(b []byte, id uint64, a core.Answer, fields []string) []byte {
 	b = appendUint(appendUint(appendArray(b, 4), uint64(response)), id)
 	switch a.Outcome {
@@ -111,7 +112,7 @@
 	return appendNil(appendFields(b, fields))
 }
 
-// appendHealth appends the answer to a probe.
+// appendHealth encodes the answer to a probe. Fields holds alternating names and values.
 func appendHealth(b []byte, id uint64, healthy bool, fields []string) []byte {
 	b = appendUint(appendUint(appendArray(b, 4), uint64(response)), id)
 	return appendFields(appendBool(appendArray(appendNil(b), 2), healthy), fields)
--- a/internal/transport/msgpackrpc/calls.go
+++ b/internal/transport/msgpackrpc/calls.go
@@ -15,14 +15,15 @@
 	"silverpath/internal/transport/listener"
 )
 
-// This file has calls between processes of the program, members of the group and owners of its controllers among them. They go over
-// the same messages as requests for work: a request whose method is the call's, with its fields and body, and its answer. They
-// belong to no core, and bodies may be longer.
+// This file implements calls between processes of the program, such as quorum members and the owners of controllers. A call uses the
+// same messages as a request for work: its method takes the place of the class. Calls do not pass through a core, and their bodies may
+// be longer.
 
 const (
-	// MaxCallBody bounds the body of a call or its result, in bytes: a cell map of the largest fleet several times over.
+	// MaxCallBody is the largest body of a call or of its result, in bytes. It is several times the size of the cell map of the
+	// largest fleet.
 	MaxCallBody = 1 << 20
-	// maxCallsInFlight bounds the calls in flight on a connection: twice the MaxInFlight of the other end.
+	// maxCallsInFlight is the largest number of calls in flight on a connection: twice the caller's MaxInFlight.
 	maxCallsInFlight = 64
 )
 
@@ -33,41 +34,42 @@
 	Body   []byte
 }
 
-// CallResult is the answer to a call: a body, or an error code, each with fields, given as name and value in turn.
+// CallResult is the answer to a call: a body or an error code, with optional fields.
 type CallResult struct {
-	Error  string // a code that the caller decides by; empty: none
+	Error  string // code that the caller acts on; empty: no error
 	Body   []byte
-	Fields []string
+	Fields []string // alternating names and values
 }
 
-// CallHandler takes a call and returns what finishes it. It is called with the calls of a connection in their order; what it returns
-// runs beside the calls that follow. The context ends with the connection.
+// CallHandler starts a call and returns a function that completes it. The handler is called for the calls of a connection in the order
+// of their arrival. The returned function runs concurrently with later calls. The context is cancelled when the connection ends.
 type CallHandler func(ctx context.Context, call Call) (finish func() CallResult)
 
-// CallServer serves connections of other processes.
+// CallServer serves calls on connections from other processes.
 type CallServer struct {
 	name   string
 	stats  *metrics.Counters
 	handle CallHandler
 }
 
-// NewCallServer returns a server of calls, whose name stands in counters and log lines. Its Serve is given to a listener.
+// NewCallServer returns a server that passes calls to handle. Name labels its counters and log lines. Serve is the Handler to give to a
+// listener.
 func NewCallServer(name string, s *metrics.Counters, handle CallHandler) *CallServer {
 	return &CallServer{name, s, handle}
 }
 
-// callConn is one connection of another process.
+// callConn is one connection from another process.
 type callConn struct {
 	*CallServer
 	conn net.Conn
 	slot *listener.Slot
 
-	mu       sync.Mutex // of writing, and of inFlight
+	mu       sync.Mutex // guards writes to conn, and inFlight
 	inFlight int
 	pending  sync.WaitGroup // calls without a written result
 }
 
-// Serve reads the calls of one connection until it ends, and answers them. It returns once every result is written, or can't be.
+// Serve reads and answers the calls of one connection until it ends. It returns after every result is written or its write has failed.
 func (f *CallServer) Serve(conn net.Conn, slot *listener.Slot) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -78,18 +80,18 @@
 	switch {
 	case err == nil, errors.Is(err, os.ErrDeadlineExceeded) && slot.Evicted():
 	case errors.Is(err, io.EOF), errors.Is(err, net.ErrClosed):
-		cancel() // the caller has left
+		cancel() // the caller has closed the connection
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		f.stats.Inc("too_slow", f.name)
 	case errors.Is(err, errMalformed):
 		f.stats.Inc("malformed", f.name)
 		slot.LogPeer("listener.connection_closed", f.name, conn.RemoteAddr(), err)
 	}
-	c.pending.Wait() // what was called before is answered, as long as the other side reads
+	c.pending.Wait() // earlier calls are answered as long as the peer reads
 	slot.CloseGracefully(r)
 }
 
-// readCalls handles one call after another. It returns nil where the slot was evicted as a call came, which is not handled then.
+// readCalls reads calls and starts each of them. It returns nil if the slot was evicted when a call arrived; that call is not handled.
 func (c *callConn) readCalls(ctx context.Context, r *bufio.Reader) error {
 	d := decoder{r: r, maxBody: MaxCallBody}
 	c.conn.SetReadDeadline(time.Now().Add(listener.MessageTimeout))
@@ -106,7 +108,7 @@
 		if !c.slot.BeginMessage() {
 			return nil
 		}
-		if m.kind == request && m.method != methodProbe { // else it is a balancer that has lost its way, and does no harm
+		if m.kind == request && m.method != methodProbe { // a probe or notification comes from a misdirected balancer and is ignored
 			if err := c.begin(ctx, m); err != nil {
 				return err
 			}
@@ -115,7 +117,8 @@
 	}
 }
 
-// begin hands a call to the handler and has its result written once it is finished.
+// begin passes a call to the handler and starts a goroutine that completes it and writes its result. It returns an error if the
+// connection has more than maxCallsInFlight calls.
 func (c *callConn) begin(ctx context.Context, m message) error {
 	c.mu.Lock()
 	c.inFlight++
@@ -123,7 +126,7 @@
 	c.slot.SetInFlight(n)
 	c.mu.Unlock()
 	if n > maxCallsInFlight {
-		return malformed("%d calls in flight", n)
+		return malformed("too many calls in flight: %d", n)
 	}
 	c.stats.Inc("words", c.name, m.method)
 	finish := c.handle(ctx, Call{m.method, m.fields, m.body})
@@ -131,7 +134,7 @@
 	return nil
 }
 
-// writeResult writes the result of a call. Where that fails the connection is closed, so that its reading goroutine ends.
+// writeResult writes the result of a call. If the write fails, it closes the connection, which ends the reading goroutine.
 func (c *callConn) writeResult(id uint64, result CallResult) {
 	b := appendCallResult(nil, id, result)
 	c.mu.Lock()
@@ -144,7 +147,7 @@
 	c.slot.SetInFlight(c.inFlight)
 }
 
-// appendCallResult appends the answer to a call.
+// appendCallResult encodes the answer to a call.
 func appendCallResult(b []byte, id uint64, result CallResult) []byte {
 	b = appendUint(appendUint(appendArray(b, 4), uint64(response)), id)
 	if result.Error != "" {
@@ -153,7 +156,7 @@
 	return appendFields(appendBin(appendArray(appendNil(b), 2), result.Body), result.Fields)
 }
 
-// DialCalls opens a connection for calls. Its owner closes it.
+// DialCalls opens a connection for calls, whose results may have MaxCallBody bytes. The caller must close it.
 func DialCalls(ctx context.Context, addr string) (*Conn, error) {
 	var d net.Dialer
 	conn, err := d.DialContext(ctx, "tcp", addr)
@@ -163,7 +166,8 @@
 	return newConn(conn, MaxCallBody), nil
 }
 
-// Call sends a call. The channel gets the reply, or is closed without one: then the call may have been handled.
+// Call sends a call. The channel receives the reply. If the connection ends first, the channel is closed without a reply, and the call
+// may have been handled.
 func (c *Conn) Call(call Call) (<-chan Reply, error) {
 	fields := make([]string, 0, 2*len(call.Fields))
 	for k, v := range call.Fields {
@@ -173,15 +177,15 @@
 	return reply, err
 }
 
-// ReadMessage reads one whole message of either direction as it stands on the wire, of at most maxBytes. Faults that tests put
-// between two processes hold back, drop or repeat whole messages by it.
+// ReadMessage reads the next message of either direction and returns its encoded bytes, of which there are at most maxBytes. Tests
+// use it in fault-injecting relays that delay, drop or duplicate whole messages.
 func ReadMessage(r *bufio.Reader, maxBytes int) ([]byte, error) {
 	if _, err := r.Peek(1); err != nil {
 		return nil, err
 	}
 	var recorded recorder
 	recorded.r, recorded.maxBytes = r, maxBytes
-	in := bufio.NewReaderSize(&recorded, 16) // reads no further ahead than the message: the recorder gives a byte at a time
+	in := bufio.NewReaderSize(&recorded, 16) // does not read past the message: recorder.Read returns one byte at a time
 	err := decoder{r: in, maxBody: maxBytes}.skip(0)
 	if errors.Is(err, io.EOF) {
 		err = io.ErrUnexpectedEOF
@@ -189,17 +193,17 @@
 	return recorded.bytes, err
 }
 
-// recorder is a reader that gives one byte at a time and keeps all that it gave.
+// recorder is a reader that returns one byte at a time and records the bytes that it returned.
 type recorder struct {
 	r        *bufio.Reader
 	bytes    []byte
 	maxBytes int
 }
 
-// Read gives the next byte.
+// Read reads one byte. It fails once maxBytes were recorded.
 func (c *recorder) Read(p []byte) (int, error) {
 	if len(c.bytes) >= c.maxBytes {
-		return 0, malformed("a message over %d bytes", c.maxBytes)
+		return 0, malformed("message exceeds %d bytes", c.maxBytes)
 	}
 	x, err := c.r.ReadByte()
 	if err != nil {
--- a/internal/transport/msgpackrpc/client.go
+++ b/internal/transport/msgpackrpc/client.go
@@ -2,48 +2,48 @@
 
 import "bufio"
 
-// This file is the other end of the wire, as a balancer has it. The stand-in callers of the tests use it.
+// This file has the balancer's side of the protocol: it encodes requests and decodes the server's messages. Tests use it in stand-in
+// callers.
 
-// Reply is a message that a balancer reads: the answer to a request, the answer to a probe, or a notification.
+// Reply is a message that a server sends: the answer to a request or a probe, or a notification.
 type Reply struct {
-	ID           uint64            // of the request; of methodLastTaken: of the last request that was taken
-	Notification string            // its method; empty: an answer
-	Error        string            // ErrorFull or errorFailed, or a call's error; empty: served, or a probe's answer
-	Body         []byte            // the result
-	Healthy      bool              // a probe's result
-	Fields       map[string]string // see the fields of an answer
+	ID           uint64            // id of the request; for methodLastTaken, of the last request that the server took
+	Notification string            // method of a notification; empty for an answer
+	Error        string            // ErrorFull, errorFailed or a call's error code; empty if served, or for a probe
+	Body         []byte            // result of a request or call
+	Healthy      bool              // result of a probe
+	Fields       map[string]string // see "Fields of an answer" in wire.go
 }
 
-// Unprocessed reports whether this stands in for the answer to a request that was never taken, since its connection was closed
-// before: it may be sent again.
+// Unprocessed reports whether the server closed the connection without taking the request. Such a request may be sent again.
 func (a Reply) Unprocessed() bool { return a.Notification == methodLastTaken }
 
-// AppendRequest appends a request as a balancer sends it, with its fields given as name and value in turn.
+// AppendRequest encodes a request as a balancer sends it. Fields holds alternating names and values.
 func AppendRequest(b []byte, id uint64, class string, body []byte, fields ...string) []byte {
 	b = appendUint(appendUint(appendArray(b, 4), uint64(request)), id)
 	b = appendArray(appendText(b, class), 2)
 	return appendBin(appendFields(b, fields), body)
 }
 
-// AppendProbe appends a health check, with the fields of a router given as name and value in turn.
+// AppendProbe encodes a health check. Fields holds the alternating names and values of a router's probe.
 func AppendProbe(b []byte, id uint64, fields ...string) []byte {
 	b = appendUint(appendUint(appendArray(b, 4), uint64(request)), id)
 	return appendFields(appendArray(appendText(b, methodProbe), 1), fields)
 }
 
-// AppendStatus appends a request for the state of the service as JSON.
+// AppendStatus encodes a request for the state of the service as JSON.
 func AppendStatus(b []byte, id uint64) []byte {
 	b = appendUint(appendUint(appendArray(b, 4), uint64(request)), id)
 	return appendFields(appendArray(appendText(b, StatusMethod), 1), nil)
 }
 
-// AppendCancel appends the notification that nobody waits for the request of an id any more.
+// AppendCancel encodes the notification that cancels the request with this id.
 func AppendCancel(b []byte, id uint64) []byte {
 	b = appendText(appendUint(appendArray(b, 3), uint64(notification)), methodCancel)
 	return appendUint(appendArray(b, 1), id)
 }
 
-// ReadReply reads the next message of a service. io.EOF is a clean end.
+// ReadReply reads the next message from a server. It returns io.EOF if the stream ended before the message.
 func ReadReply(r *bufio.Reader) (Reply, error) { return readReply(r, maxResult) }
 
 // readReply is ReadReply for results of at most maxResult bytes.
@@ -61,7 +61,7 @@
 	case kind(k) == notification && n == 3:
 		return a, d.readServerNotification(&a)
 	case kind(k) != response || n != 4:
-		return a, malformed("%d elements of type %d", n, k)
+		return a, malformed("array of %d elements with message type %d", n, k)
 	}
 	if a.ID, err = d.uint(); err != nil {
 		return a, err
@@ -76,7 +76,7 @@
 	return a, d.pair(func() error { return d.readResult(&a, maxResult) }, &a.Fields)
 }
 
-// readServerNotification reads the method of a notification, and the id that methodLastTaken has.
+// readServerNotification reads the method of a notification, and for methodLastTaken the request id.
 func (d decoder) readServerNotification(a *Reply) (err error) {
 	if a.Notification, err = d.text("method"); err != nil {
 		return err
@@ -86,7 +86,7 @@
 	}
 	n, err := d.array()
 	if err == nil && n != 1 {
-		err = malformed("%d parameters of %q", n, methodLastTaken)
+		err = malformed("%d parameters for method %q", n, methodLastTaken)
 	}
 	if err == nil {
 		a.ID, err = d.uint()
@@ -94,7 +94,7 @@
 	return err
 }
 
-// readError reads an error with its fields, beside which there is no result.
+// readError reads an error with its fields, and the nil result that must follow it.
 func (d decoder) readError(a *Reply) error {
 	err := d.pair(func() (err error) { a.Error, err = d.text("error"); return err }, &a.Fields)
 	if err != nil {
@@ -102,12 +102,12 @@
 	}
 	noResult, err := d.null()
 	if err == nil && !noResult {
-		err = malformed("a result beside an error")
+		err = malformed("answer has both an error and a result")
 	}
 	return err
 }
 
-// readResult reads a result: a truth for a probe, bytes for all else.
+// readResult reads a result: a boolean for a probe, otherwise bytes.
 func (d decoder) readResult(a *Reply, maxResult int) error {
 	b, err := d.r.Peek(1)
 	if err == nil && b[0]&0xfe == 0xc2 { // false or true
@@ -119,7 +119,7 @@
 	return err
 }
 
-// null reads past a nil, and reports whether that was next.
+// null reports whether the next value is nil, and if so reads past it.
 func (d decoder) null() (bool, error) {
 	b, err := d.r.Peek(1)
 	if err != nil || b[0] != 0xc0 {
@@ -129,14 +129,14 @@
 	return true, err
 }
 
-// pair reads [VALUE, FIELDS].
+// pair reads the array [VALUE, FIELDS]. Value reads the first element.
 func (d decoder) pair(value func() error, fields *map[string]string) error {
 	n, err := d.array()
 	if err != nil {
 		return err
 	}
 	if n != 2 {
-		return malformed("%d elements where a value and its fields belong", n)
+		return malformed("%d elements, want a value and its fields", n)
 	}
 	if err = value(); err == nil {
 		*fields, err = d.fields()
--- a/internal/transport/msgpackrpc/conn.go
+++ b/internal/transport/msgpackrpc/conn.go
@@ -11,37 +11,37 @@
 	"time"
 )
 
-// Conn is a balancer's end of a connection: it carries many requests at a time, with ids that rise.
+// Conn is the balancer's end of a connection. It carries up to MaxInFlight requests at a time, with increasing message ids.
 type Conn struct {
 	conn      net.Conn
-	maxResult int // bytes of a result
-	writing   sync.Mutex
+	maxResult int        // largest result, in bytes
+	writing   sync.Mutex // held for each write; serializes messages
 
 	mu       sync.Mutex
-	lastID   uint64                // of the last request sent
-	pending  map[uint64]chan Reply // of requests in flight, by id; each has room for its one reply
+	lastID   uint64                // message id of the last request sent
+	pending  map[uint64]chan Reply // requests in flight by message id; each channel buffers one reply
 	draining bool                  // the server asked for no more requests
-	broken   bool
+	broken   bool                  // a read failed: nothing more is sent
 }
 
-// errBroken says that nothing can be sent on a connection any more.
-var errBroken = errors.New("the connection is broken")
+// errBroken is returned by Send after reading from the connection has failed.
+var errBroken = errors.New("connection is broken")
 
-// ErrFull says that a connection has MaxInFlight requests in flight, or that its server asked for no more: another connection may
-// take the request.
-var ErrFull = errors.New("the connection takes no more")
+// ErrFull is returned by Send if the connection has MaxInFlight requests in flight, or if the server asked for no more requests on it.
+// The request can be sent on another connection.
+var ErrFull = errors.New("connection accepts no more requests")
 
-// Dial opens a connection to a service's front. Its owner closes it.
+// Dial opens a connection to a server's MessagePack-RPC front. The caller must close it.
 func Dial(ctx context.Context, addr string) (*Conn, error) {
 	var d net.Dialer
 	conn, err := d.DialContext(ctx, "tcp", addr)
 	if err != nil {
-		return nil, fmt.Errorf("connecting: %w", err)
+		return nil, fmt.Errorf("failed to connect: %w", err)
 	}
 	return NewConn(conn), nil
 }
 
-// NewConn returns a Conn on an open connection, and reads it until it ends.
+// NewConn returns a Conn on an open connection and starts a goroutine that reads replies until the connection ends.
 func NewConn(conn net.Conn) *Conn { return newConn(conn, maxResult) }
 
 // newConn is NewConn for results of at most maxResult bytes.
@@ -51,10 +51,10 @@
 	return c
 }
 
-// Close ends the connection; requests in flight get no reply.
+// Close closes the connection. Requests in flight get no reply.
 func (c *Conn) Close() { c.conn.Close() }
 
-// Capacity reports whether the connection takes one more request now, and whether it will take any more at all.
+// Capacity reports whether the connection can take another request now, and whether it is usable: neither broken nor draining.
 func (c *Conn) Capacity() (hasCapacity, usable bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -62,7 +62,7 @@
 	return usable && len(c.pending) < MaxInFlight, usable
 }
 
-// read hands out replies until the connection ends; then every request in flight has its channel closed without one.
+// read delivers replies until the connection ends. It then closes the channels of the requests still in flight.
 func (c *Conn) read() {
 	r := bufio.NewReader(c.conn)
 	for {
@@ -83,13 +83,13 @@
 		if reply != nil {
 			reply <- a
 		}
-		if done { // everything on it has been answered
+		if done { // all requests on the connection are answered
 			c.conn.Close()
 		}
 	}
 }
 
-// fail closes the connection and the channel of every request in flight.
+// fail closes the connection and the channel of every request in flight, and has Send return errBroken.
 func (c *Conn) fail() {
 	c.mu.Lock()
 	c.broken = true
@@ -101,8 +101,8 @@
 	c.conn.Close()
 }
 
-// notified takes a notification: no more is sent after methodDrain and methodLastTaken, and by the latter requests with a higher id
-// are replied to as unprocessed.
+// notified handles a notification. After methodDrain or methodLastTaken nothing more is sent. After methodLastTaken, requests with a
+// higher id than the notification's get a reply that is Unprocessed.
 func (c *Conn) notified(a Reply) {
 	c.mu.Lock()
 	c.draining = c.draining || a.Notification == methodDrain || a.Unprocessed()
@@ -119,11 +119,12 @@
 	}
 }
 
-// Send writes one message, which message makes for the next id. The channel gets the reply, or is closed without one: then the
-// request may have run. An error, ErrFull among them, says that the message was not written whole, so that nothing of it ran.
+// Send calls message with the next id and writes the message that it returns. The channel receives the reply. If the connection ends
+// first, the channel is closed without a reply, and the request may have run. After an error, such as ErrFull, the message was not
+// written completely, and the request has not run.
 func (c *Conn) Send(message func(id uint64) []byte) (id uint64, reply <-chan Reply, err error) {
 	ch := make(chan Reply, 1)
-	c.writing.Lock() // so that ids rise on the wire
+	c.writing.Lock() // keeps the ids increasing on the wire
 	defer c.writing.Unlock()
 	c.mu.Lock()
 	if c.broken {
@@ -139,13 +140,13 @@
 	c.pending[id] = ch
 	c.mu.Unlock()
 	if err = c.write(message(id)); err != nil {
-		c.conn.Close() // the reader closes what else is open
-		return id, nil, fmt.Errorf("writing: %w", err)
+		c.conn.Close() // the reading goroutine then closes the channels of all requests
+		return id, nil, fmt.Errorf("failed to write message: %w", err)
 	}
 	return id, ch, nil
 }
 
-// Cancel tells the server that nobody waits for a request any more; its reply is dropped.
+// Cancel notifies the server that the caller no longer waits for a request, and discards its reply.
 func (c *Conn) Cancel(id uint64) {
 	c.mu.Lock()
 	pending := c.pending[id] != nil && !c.broken
@@ -154,11 +155,11 @@
 	if pending {
 		c.writing.Lock()
 		defer c.writing.Unlock()
-		_ = c.write(AppendCancel(nil, id)) // where it fails, the connection breaks, and the reading goroutine meets that
+		_ = c.write(AppendCancel(nil, id)) // a failed write breaks the connection, which the reading goroutine detects
 	}
 }
 
-// write writes a message whole, under the writing lock.
+// write writes a complete message. It is called with the writing lock held.
 func (c *Conn) write(b []byte) error {
 	c.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
 	_, err := c.conn.Write(b)
@@ -169,21 +170,21 @@
 type Attempt struct {
 	ID, Class, Tenant string
 	Key               string        // idempotency key; empty: none
-	ReceivedAt        time.Time     // by the balancer, from its caller
-	Timeout           time.Duration // from then until the caller waits no longer
-	MemoryKB          float64       // memory that the server books for it
-	Rank              float64       // from 0 to under 1
-	Caller            int
+	ReceivedAt        time.Time     // when the balancer received the request from its caller
+	Timeout           time.Duration // how long the caller waits, counted from ReceivedAt
+	MemoryKB          float64       // memory that the server reserves for the attempt
+	Rank              float64       // importance within its class, at least 0 and below 1
+	Caller            int           // number of the caller
 	Body              []byte
-	KnownOnly         bool   // answered only from a result on record; nothing runs
-	Incarnation       int64  // of the server that is meant, see FieldIncarnation; 0: any
-	ConfigID          string // the document by which it goes there; empty: none is named
+	KnownOnly         bool   // answer only from a recorded result; run nothing
+	Incarnation       int64  // incarnation of the server that the attempt is meant for, see FieldIncarnation; 0: any
+	ConfigID          string // configuration document that the attempt was routed by, see FieldConfigID; empty: none
 }
 
-// maxAttemptFields is the number of names and values of an attempt that has all fields.
+// maxAttemptFields is the number of field names and values of an attempt with all fields set.
 const maxAttemptFields = 22
 
-// Append appends the attempt as a message with an id.
+// Append encodes the attempt as a request with this message id.
 func (t Attempt) Append(b []byte, id uint64) []byte {
 	fields := append(make([]string, 0, maxAttemptFields), fieldID, t.ID, fieldReceivedAt, strconv.FormatInt(t.ReceivedAt.UnixMilli(), 10),
 		fieldCaller, strconv.Itoa(t.Caller), fieldTimeout, strconv.FormatInt(t.Timeout.Milliseconds(), 10),
--- a/internal/transport/msgpackrpc/decode.go
+++ b/internal/transport/msgpackrpc/decode.go
@@ -8,36 +8,36 @@
 	"io"
 )
 
-// errMalformed is of a peer that speaks something else, or beyond the bounds. It closes its connection.
+// errMalformed is the error for input that violates the protocol or exceeds a bound. The connection is closed after it.
 var errMalformed = errors.New("malformed message")
 
-// malformed returns an errMalformed that says what is wrong.
+// malformed returns an error that wraps errMalformed and describes the violation.
 func malformed(format string, args ...any) error {
 	return fmt.Errorf("%w: %s", errMalformed, fmt.Sprintf(format, args...))
 }
 
-// message is one message of a balancer, with the parameters that the methods take.
+// message is one message from a balancer with the parameters that its method takes.
 type message struct {
 	kind    kind
-	id      uint64 // of a request, or the one that methodCancel names
+	id      uint64 // id of the request, or of the one that methodCancel cancels
 	method  string
-	status  bool // asks for the state of the service
-	skipped bool // its class is rejected whatever it says: fields and body were not read
+	status  bool // the request asks for the state of the service
+	skipped bool // decoder.rejects reported true for the class: fields and body were skipped
 	fields  map[string]string
 	body    []byte
 }
 
-// decoder reads MessagePack values from a connection, with no value larger than its bound.
+// decoder reads MessagePack values from a connection. It checks each length against its bound before it allocates memory.
 type decoder struct {
 	r             *bufio.Reader
-	statusEnabled bool // StatusMethod is a method, not a class
-	inCell        bool // a probe may have fields: it comes from a router
-	maxBody       int  // bytes of a body; 0: defaultMaxBody
-	// rejects reports whether a request of a class is rejected whatever it says, so that reading it can be saved; nil: none is.
+	statusEnabled bool // StatusMethod is handled as a method, not as a class
+	inCell        bool // probes come from routers and may have fields
+	maxBody       int  // largest body, in bytes; 0: defaultMaxBody
+	// rejects reports whether every request of a class is rejected, so that its fields and body need not be decoded. Nil: none is.
 	rejects func(class string) bool
 }
 
-// number reads a big-endian number of n bytes.
+// number reads an unsigned big-endian integer of n bytes.
 func (d decoder) number(n int) (uint64, error) {
 	var b [8]byte
 	if _, err := io.ReadFull(d.r, b[8-n:]); err != nil {
@@ -46,7 +46,8 @@
 	return binary.BigEndian.Uint64(b[:]), nil
 }
 
-// length reads a length that the type byte holds, or that follows it in 1, 2 or 4 bytes.
+// length reads a length of size bytes. If size is 0, the length is fixed, which the caller took from the type byte. It returns an error
+// if the length exceeds maxLength. What names the value in the error.
 func (d decoder) length(what string, maxLength int, fixed uint64, size int) (int, error) {
 	n, err := fixed, error(nil)
 	if size > 0 {
@@ -56,12 +57,12 @@
 		return 0, err
 	}
 	if n > uint64(maxLength) {
-		return 0, malformed("%s of length %d", what, n)
+		return 0, malformed("%s of length %d exceeds its bound", what, n)
 	}
 	return int(n), nil
 }
 
-// bodyLimit is the most bytes of a body.
+// bodyLimit returns the largest allowed body, in bytes.
 func (d decoder) bodyLimit() int {
 	if d.maxBody > 0 {
 		return d.maxBody
@@ -69,7 +70,7 @@
 	return defaultMaxBody
 }
 
-// array reads the head of an array and returns its length.
+// array reads the header of an array and returns its length.
 func (d decoder) array() (int, error) {
 	b, err := d.r.ReadByte()
 	if err != nil {
@@ -81,10 +82,10 @@
 	case b == 0xdc || b == 0xdd:
 		return d.length("array", maxElements, 0, 2<<(b-0xdc))
 	}
-	return 0, malformed("byte %#02x where an array belongs", b)
+	return 0, malformed("byte %#02x, want an array", b)
 }
 
-// uint reads a number that is not negative.
+// uint reads a non-negative integer.
 func (d decoder) uint() (uint64, error) {
 	b, err := d.r.ReadByte()
 	if err != nil {
@@ -95,18 +96,18 @@
 		return uint64(b), nil
 	case b >= 0xcc && b <= 0xcf:
 		return d.number(1 << (b - 0xcc))
-	case b >= 0xd0 && b <= 0xd3: // signed: some encoders write positive numbers so
+	case b >= 0xd0 && b <= 0xd3: // signed formats, which some encoders use for positive numbers
 		n := 1 << (b - 0xd0)
 		v, err := d.number(n)
 		if err == nil && v>>(8*n-1) != 0 {
-			err = malformed("a negative number")
+			err = malformed("negative number")
 		}
 		return v, err
 	}
-	return 0, malformed("byte %#02x where a number belongs", b)
+	return 0, malformed("byte %#02x, want a number", b)
 }
 
-// bytes reads a str or a bin.
+// bytes reads a str or bin value of at most maxLength bytes. What names the value in errors.
 func (d decoder) bytes(what string, maxLength int) ([]byte, error) {
 	b, err := d.r.ReadByte()
 	if err != nil {
@@ -121,7 +122,7 @@
 	case b >= 0xc4 && b <= 0xc6:
 		n, err = d.length(what, maxLength, 0, 1<<(b-0xc4))
 	default:
-		err = malformed("byte %#02x where a %s belongs", b, what)
+		err = malformed("byte %#02x, want a %s", b, what)
 	}
 	if err != nil {
 		return nil, err
@@ -131,7 +132,7 @@
 	return v, err
 }
 
-// text reads a text; what it is stands in the error.
+// text reads a string of at most maxText bytes. What names the value in errors.
 func (d decoder) text(what string) (string, error) {
 	v, err := d.bytes(what, maxText)
 	return string(v), err
@@ -150,7 +151,7 @@
 	case b == 0xde || b == 0xdf:
 		n, err = d.length("map", maxElements, 0, 2<<(b-0xde))
 	default:
-		err = malformed("byte %#02x where a map belongs", b)
+		err = malformed("byte %#02x, want a map", b)
 	}
 	if err != nil {
 		return nil, err
@@ -168,43 +169,44 @@
 	return m, nil
 }
 
-// layout is how a value goes on after its first byte.
+// layout describes the part of a value that follows its first byte.
 type layout struct {
-	size       int    // bytes that follow, beside those that a length counts
-	elements   int    // values that follow
-	lengthSize int    // bytes of a length that follows; 0: there is none
-	perLength  int    // values for each of the length; 0: it counts bytes
-	what       string // that has the length, for errors
-	invalid    bool   // no value begins so
+	size       int    // number of bytes that follow, without those that a length counts
+	elements   int    // number of nested values that follow
+	lengthSize int    // bytes of the length field; 0: there is none
+	perLength  int    // nested values per unit of the length; 0: the length counts bytes
+	what       string // name of the value in errors
+	invalid    bool   // no value begins with this byte
 }
 
-// layouts has the layout of a value by its first byte, as MessagePack's specification has it.
+// layouts maps the first byte of a value to the layout of the rest, as in the MessagePack specification.
 var layouts = func() (all [256]layout) {
 	set := func(first, last int, at func(i int) layout) {
 		for b := first; b <= last; b++ {
 			all[b] = at(b - first)
 		}
 	}
-	set(0x80, 0x8f, func(i int) layout { return layout{elements: 2 * i} }) // short maps
-	set(0x90, 0x9f, func(i int) layout { return layout{elements: i} })     // short arrays
-	set(0xa0, 0xbf, func(i int) layout { return layout{size: i} })         // short texts
+	set(0x80, 0x8f, func(i int) layout { return layout{elements: 2 * i} }) // fixmap
+	set(0x90, 0x9f, func(i int) layout { return layout{elements: i} })     // fixarray
+	set(0xa0, 0xbf, func(i int) layout { return layout{size: i} })         // fixstr
 	set(0xc1, 0xc1, func(int) layout { return layout{invalid: true} })
-	set(0xc4, 0xc6, func(i int) layout { return layout{lengthSize: 1 << i, what: "value"} })        // bytes
-	set(0xc7, 0xc9, func(i int) layout { return layout{size: 1, lengthSize: 1 << i, what: "ext"} }) // with a type byte
-	set(0xca, 0xcb, func(i int) layout { return layout{size: 4 << i} })                             // floats
-	set(0xcc, 0xcf, func(i int) layout { return layout{size: 1 << i} })                             // unsigned numbers
+	set(0xc4, 0xc6, func(i int) layout { return layout{lengthSize: 1 << i, what: "value"} })        // bin
+	set(0xc7, 0xc9, func(i int) layout { return layout{size: 1, lengthSize: 1 << i, what: "ext"} }) // ext, with a type byte
+	set(0xca, 0xcb, func(i int) layout { return layout{size: 4 << i} })                             // float
+	set(0xcc, 0xcf, func(i int) layout { return layout{size: 1 << i} })                             // uint
 	set(0xd0, 0xd3, func(i int) layout { return layout{size: 1 << i} })                             // signed numbers
-	set(0xd4, 0xd8, func(i int) layout { return layout{size: 1 + 1<<i} })                           // short ext
-	set(0xd9, 0xdb, func(i int) layout { return layout{lengthSize: 1 << i, what: "value"} })        // texts
+	set(0xd4, 0xd8, func(i int) layout { return layout{size: 1 + 1<<i} })                           // fixext
+	set(0xd9, 0xdb, func(i int) layout { return layout{lengthSize: 1 << i, what: "value"} })        // str
 	set(0xdc, 0xdd, func(i int) layout { return layout{lengthSize: 2 << i, perLength: 1, what: "array"} })
 	set(0xde, 0xdf, func(i int) layout { return layout{lengthSize: 2 << i, perLength: 2, what: "map"} })
-	return all // the rest are small numbers, nil, false and true, after which nothing follows
+	return all // the other bytes are complete values: fixint, nil, false and true
 }()
 
-// skip reads past one value, for parameters that no method takes and for requests that are rejected unread.
+// skip reads past one value. It is used for parameters that the method does not take, and for requests that are rejected without
+// decoding. Depth is the nesting depth of the value.
 func (d decoder) skip(depth int) error {
 	if depth > maxDepth {
-		return malformed("values nested too deep")
+		return malformed("values nested too deeply")
 	}
 	b, err := d.r.ReadByte()
 	if err != nil {
@@ -214,7 +216,7 @@
 	size, elements := at.size, at.elements
 	switch {
 	case at.invalid:
-		return malformed("byte %#02x", b)
+		return malformed("invalid type byte %#02x", b)
 	case at.perLength > 0:
 		n, err := d.length(at.what, maxElements, 0, at.lengthSize)
 		if err != nil {
@@ -240,7 +242,7 @@
 	return err
 }
 
-// message reads one message. io.EOF means that the stream ended between two messages.
+// message reads one message. It returns io.EOF if the stream ended between two messages, and io.ErrUnexpectedEOF if it ended within one.
 func (d decoder) message() (message, error) {
 	var m message
 	if _, err := d.r.Peek(1); err != nil {
@@ -253,7 +255,7 @@
 	return m, err
 }
 
-// readMessage reads a message: its kind, id and method, then its parameters.
+// readMessage reads the kind, id and method of a message, then its parameters.
 func (d decoder) readMessage(m *message) error {
 	n, err := d.array()
 	if err != nil {
@@ -271,7 +273,7 @@
 		}
 	case m.kind == notification && n == 3:
 	default:
-		return malformed("%d elements of type %d", n, k)
+		return malformed("array of %d elements with message type %d", n, k)
 	}
 	if m.method, err = d.text("method"); err != nil {
 		return err
@@ -287,7 +289,7 @@
 	return err
 }
 
-// readParams reads the parameters that the message's method takes, and returns how many of them it has read.
+// readParams reads the parameters that the message's method takes. It returns the number of parameters read; the caller skips the rest.
 func (d decoder) readParams(m *message, params int) (read int, err error) {
 	if m.kind == notification {
 		return d.readNotification(m, params)
@@ -303,7 +305,7 @@
 		m.status = true
 		return 0, nil
 	case params < 2:
-		return 0, malformed("%d parameters of %q", params, m.method)
+		return 0, malformed("%d parameters for method %q", params, m.method)
 	case d.rejects != nil && d.rejects(m.method):
 		m.skipped = true
 		return 0, nil
@@ -314,13 +316,13 @@
 	return 2, err
 }
 
-// readNotification reads the one parameter of methodCancel, the id of a request; other notifications mean nothing here.
+// readNotification reads the id of a request, the one parameter of methodCancel. Other notifications are ignored.
 func (d decoder) readNotification(m *message, params int) (read int, err error) {
 	if m.method != methodCancel {
 		return 0, nil
 	}
 	if params == 0 {
-		return 0, malformed("%s of nothing", methodCancel)
+		return 0, malformed("%s without a request id", methodCancel)
 	}
 	m.id, err = d.uint()
 	return 1, err
--- a/internal/transport/msgpackrpc/encode.go
+++ b/internal/transport/msgpackrpc/encode.go
@@ -2,9 +2,9 @@
 
 import "encoding/binary"
 
-func appendArray(b []byte, n int) []byte { return append(b, 0x90|byte(n)) } // n < 16
+func appendArray(b []byte, n int) []byte { return append(b, 0x90|byte(n)) } // requires n < 16
 
-func appendMap(b []byte, n int) []byte { return append(b, 0x80|byte(n)) } // n < 16
+func appendMap(b []byte, n int) []byte { return append(b, 0x80|byte(n)) } // requires n < 16
 
 func appendUint(b []byte, n uint64) []byte {
 	switch {
@@ -53,7 +53,7 @@
 	return append(b, 0xc2)
 }
 
-// appendFields appends a map of strings to strings, given as name and value in turn.
+// appendFields encodes a map of strings to strings. Pairs holds alternating names and values of at most 15 fields.
 func appendFields(b []byte, pairs []string) []byte {
 	b = appendMap(b, len(pairs)/2)
 	for _, s := range pairs {
--- a/internal/transport/msgpackrpc/front.go
+++ b/internal/transport/msgpackrpc/front.go
@@ -17,38 +17,38 @@
 	"silverpath/internal/transport/listener"
 )
 
-// Front serves balancers.
+// Front serves the connections of balancers and routers for a core.
 type Front struct {
 	core   *core.Core
 	log    *log.Logger
 	stats  *metrics.Counters
-	writes *metrics.Timing
+	writes *metrics.Timing // durations of writes
 }
 
-// New returns the front of a core. Its Serve is given to a listener.
+// New returns a front for a core. Serve is the Handler to give to a listener.
 func New(c *core.Core, l *log.Logger, s *metrics.Counters) *Front {
 	return &Front{c, l, s, s.Timing("write", Name)}
 }
 
-// client is one connection of a balancer.
+// client is one connection from a balancer or router.
 type client struct {
 	*Front
 	conn net.Conn
 	slot *listener.Slot
 
 	mu             sync.Mutex
-	pending        map[uint64]string // ids of requests in flight, by message id
-	writingAnswers int               // answers that are being written
+	pending        map[uint64]string // request ids of requests in flight, by message id
+	writingAnswers int               // number of answers being written
 	lastTakenID    uint64            // message id of the last request taken
 	drainNotified  bool              // methodDrain was sent
 	broken         bool              // a write failed: nothing more is written
 
-	writing sync.Mutex // one message at a time
+	writing sync.Mutex // held while a message is written
 
-	skippedAnswer core.Answer // to the request that the decoder skipped just now; only the reading goroutine uses it
+	skippedAnswer core.Answer // answer to the last request that the decoder skipped; used only by the reading goroutine
 }
 
-// Serve reads the messages of one connection until it ends, and answers them. It returns once every answer is written, or can't be.
+// Serve reads and answers the messages of one connection until it ends. It returns after every answer is written or its write has failed.
 func (f *Front) Serve(conn net.Conn, slot *listener.Slot) {
 	c := &client{Front: f, conn: conn, slot: slot, pending: map[uint64]string{}}
 	slot.OnDrain(c.notifyDrain)
@@ -64,7 +64,7 @@
 	}}
 	var requests sync.WaitGroup
 	err := c.readMessages(r, d, &requests)
-	// Half a message is no request, and costs nobody an answer: what came before it is answered as long as the other side reads.
+	// An incomplete or malformed message is not a request. Earlier requests are still answered, as long as the peer reads.
 	switch {
 	case err == nil || errors.Is(err, io.EOF) || errors.Is(err, os.ErrDeadlineExceeded) && slot.Evicted():
 	case errors.Is(err, os.ErrDeadlineExceeded):
@@ -79,10 +79,10 @@
 	slot.CloseGracefully(r)
 }
 
-// readMessages handles one message after another. It returns nil where the slot was evicted as a message came, of which then
-// nothing runs; io.EOF at a clean end.
+// readMessages reads and handles messages. It returns nil if the slot was evicted when a message arrived; that message is not handled.
+// It returns io.EOF if the stream ended between two messages.
 func (c *client) readMessages(r *bufio.Reader, d decoder, requests *sync.WaitGroup) error {
-	c.conn.SetReadDeadline(time.Now().Add(listener.MessageTimeout)) // who connects and sends nothing keeps no place
+	c.conn.SetReadDeadline(time.Now().Add(listener.MessageTimeout)) // a peer that sends nothing does not keep its slot
 	for n := 1; ; n++ {
 		if n%listener.MessagesPerTurn == 0 {
 			runtime.Gosched()
@@ -100,7 +100,7 @@
 			return nil
 		}
 		err = c.handle(m, requests)
-		if r.Buffered() == 0 { // else more has been read already, which a look at the socket does not show
+		if r.Buffered() == 0 { // otherwise the slot must not be evicted: buffered bytes do not show as unread on the socket
 			c.slot.EndMessage()
 		}
 		if err != nil {
@@ -109,7 +109,7 @@
 	}
 }
 
-// abort closes a connection on which nobody can be answered any more, and lets the core know of each request in flight.
+// abort closes a connection on which no answer can be sent any more, and reports each request in flight to the core as abandoned.
 func (c *client) abort() {
 	c.conn.Close()
 	c.mu.Lock()
@@ -122,8 +122,8 @@
 	}
 }
 
-// notifyDrain asks the balancer, once, to send no more on this connection; it closes it when all is answered. The listener calls it
-// in a drain and where a connection idles.
+// notifyDrain asks the balancer, once, to send no more requests on this connection. The balancer closes the connection when all its
+// requests are answered. The listener calls notifyDrain in a drain and when a connection has been idle too long.
 func (c *client) notifyDrain() {
 	c.mu.Lock()
 	notified := c.drainNotified
@@ -136,22 +136,22 @@
 	}
 }
 
-// notifyLastTaken tells a router up to which message id requests on this connection were taken; none is from now on. Without it a
-// request that crosses the close would fail, as it might have run. The listener calls it before it closes the connection.
+// notifyLastTaken sends a router the message id of the last request taken on this connection; no later one is taken. Without it, a
+// request that crosses the close would fail, since it might have run. The listener calls it before it closes the connection.
 func (c *client) notifyLastTaken() {
 	c.mu.Lock()
 	id := c.lastTakenID
 	c.mu.Unlock()
 	if !c.writing.TryLock() {
-		return // an answer is stuck in it: the peer reads nothing
+		return // the write of an answer is blocked: the peer does not read
 	}
 	defer c.writing.Unlock()
 	c.conn.SetWriteDeadline(time.Now().Add(lastTakenTimeout))
 	_, _ = c.conn.Write(appendUint(appendArray(appendText(appendUint(appendArray(nil, 3), uint64(notification)), methodLastTaken), 1), id))
 }
 
-// write writes one message, which message appends to a pooled buffer. After an error nothing more is written: the reading
-// goroutine meets the closed connection and aborts.
+// write writes the message that message appends to a pooled buffer. If the write fails, it closes the connection and nothing more is
+// written; the reading goroutine then fails to read and calls abort.
 func (c *client) write(message func([]byte) []byte) {
 	b := bufferpool.Get()
 	defer bufferpool.Put(b)
--- a/internal/transport/msgpackrpc/request.go
+++ b/internal/transport/msgpackrpc/request.go
@@ -9,7 +9,7 @@
 	"silverpath/internal/core"
 )
 
-// handle does what one message asks. An error is of a malformed message, and ends the connection.
+// handle processes one message. It returns an error for a malformed message, which ends the connection.
 func (c *client) handle(m message, requests *sync.WaitGroup) error {
 	switch {
 	case m.kind == notification:
@@ -37,7 +37,7 @@
 		return nil
 	}
 	if k, _ := c.core.Class(m.method); !c.slot.AdmitsWork() && k.Effect != silverpath.Idempotent {
-		// The rest of the connections is for cheap calls. An idempotent request may be one: the repeat of one that has run.
+		// This connection is reserved for cheap calls. An idempotent request may be cheap: the retry of one that has run already.
 		c.stats.Inc("turned_away", Name, "reserve")
 		c.reply(m.id, core.Answer{Outcome: core.Rejected, RetryAfter: c.core.RetryAfter()})
 		c.notifyDrain()
@@ -46,7 +46,7 @@
 	return c.serve(m, requests)
 }
 
-// cancel drops a request in flight: its caller has given it up. What came before it on the connection may have answered it already.
+// cancel drops a request in flight whose caller no longer waits. A request that was answered in the meantime is ignored.
 func (c *client) cancel(id uint64) {
 	c.stats.Inc("give_up", Name)
 	c.mu.Lock()
@@ -59,8 +59,8 @@
 	}
 }
 
-// serve has the core serve a request for work, or answers one that it can't be given: with a bad field, for another incarnation of
-// this server, or one too many on the connection.
+// serve passes a request for work to the core, in a goroutine of its own. It rejects or fails a request that has an invalid field, is
+// meant for another incarnation of this server, or exceeds maxInFlightServed. It returns an error if the message id is already in use.
 func (c *client) serve(m message, requests *sync.WaitGroup) error {
 	r, badField := mapRequest(m, time.Now(), c.core)
 	if r.RulesID != "" {
@@ -69,7 +69,7 @@
 	c.mu.Lock()
 	if _, duplicate := c.pending[m.id]; duplicate {
 		c.mu.Unlock()
-		return malformed("message id %d given twice", m.id)
+		return malformed("message id %d is already in flight", m.id)
 	}
 	tooMany := len(c.pending) >= maxInFlightServed
 	if badField == "" && !tooMany {
@@ -97,8 +97,8 @@
 	return nil
 }
 
-// mapRequest maps a message's fields to a request of the core. BadField is the first field that is missing or out of its bounds, or
-// core.ReasonBoot for a request that is meant for another incarnation of this server; empty: none.
+// mapRequest converts a message to a request of the core. BadField is the first field that is missing or out of bounds, core.ReasonBoot
+// for a request that is meant for another incarnation of this server, or empty if the request is valid.
 func mapRequest(m message, now time.Time, c *core.Core) (r core.Request, badField string) {
 	f := m.fields
 	receivedAt, ok := parseReceivedAt(f[fieldReceivedAt], now)
@@ -138,8 +138,8 @@
 	return r, ""
 }
 
-// requestTimeout reads how long the caller waits, from the balancer's receipt of the request. Where the field is missing, it is the
-// deadline of the class.
+// requestTimeout parses how long the caller waits, counted from when the balancer received the request. If the field is missing, it
+// returns the deadline of the class.
 func requestTimeout(text, class string, c *core.Core) (timeout time.Duration, ok bool) {
 	if k, known := c.Class(class); text == "" && known {
 		return k.Deadline.Truncate(time.Millisecond), true
@@ -151,19 +151,19 @@
 	return time.Duration(ms) * time.Millisecond, true
 }
 
-// parseReceivedAt reads when the balancer received a request. A balancer's clock may be ahead by maxClockSkew.
+// parseReceivedAt parses the time at which the balancer received a request. The balancer's clock may be ahead by up to maxClockSkew.
 func parseReceivedAt(text string, now time.Time) (time.Time, bool) {
 	ms, err := strconv.ParseInt(text, 10, 64)
 	return time.UnixMilli(ms), err == nil && ms >= 0 && ms <= now.Add(maxClockSkew).UnixMilli()
 }
 
-// parseMemory reads the kilobytes that a request books.
+// parseMemory parses the kilobytes of memory to reserve for a request.
 func parseMemory(text string) (kb float64, ok bool) {
 	kb, err := strconv.ParseFloat(text, 64)
 	return kb, err == nil && kb > 0 && kb < maxMemoryKB
 }
 
-// parseRank reads a rank, 0 where it is missing.
+// parseRank parses a rank. A missing rank is 0.
 func parseRank(text string) (rank float64, ok bool) {
 	if text == "" {
 		return 0, true
@@ -172,7 +172,7 @@
 	return rank, err == nil && rank >= 0 && rank < 1
 }
 
-// parseCaller reads a caller's number, 0 where it is missing.
+// parseCaller parses the number of a caller. A missing number is 0.
 func parseCaller(text string) (caller int, ok bool) {
 	if text == "" {
 		return 0, true
--- a/internal/transport/msgpackrpc/wire.go
+++ b/internal/transport/msgpackrpc/wire.go
@@ -1,9 +1,9 @@
-// Package msgpackrpc speaks the platform's MessagePack-RPC over TCP, at both ends: the front that serves balancers and routers
-// (Front), their end of a connection (Conn), and calls between processes of the program over the same messages (CallServer). It
-// parses, maps and writes; what becomes of a request is decided in core.
+// Package msgpackrpc implements both ends of the platform's MessagePack-RPC over TCP: the front that serves balancers and routers
+// (Front), their end of a connection (Conn), and calls between processes of the program with the same messages (CallServer). It decodes
+// and encodes messages; package core decides how a request is handled.
 //
 // A message is an array: [0, ID, METHOD, [PARAMETER...]] is a request, [1, ID, ERROR, RESULT] its answer, [2, METHOD,
-// [PARAMETER...]] a notification. A request for work has the class as its method and two parameters, a map of fields and the body.
+// [PARAMETER...]] a notification. A request for work has its class as METHOD and two parameters: a map of fields and the body.
 package msgpackrpc
 
 import "time"
@@ -20,94 +20,96 @@
 	notification
 )
 
-// Methods that are no class. The words are the platform's.
+// Methods that are not classes. The platform defines their names.
 const (
-	// StatusMethod asks for the state of the service as JSON, where the edge file switches that on.
+	// StatusMethod requests the state of the service as JSON. It is available only if the edge file enables it.
 	StatusMethod = "status"
 
 	methodProbe  = "probe"    // health check: the result is true or false, with fields
-	methodCancel = "giveUp"   // notification: nobody waits for the request of this id any more, and it gets no answer
+	methodCancel = "giveUp"   // notification: the caller no longer waits for the request with this id, which gets no answer
 	methodDrain  = "lastCall" // notification to a balancer: send no more requests on this connection
-	// methodLastTaken is a notification to a router, before a connection at rest is closed: the id of the last request on it that
-	// was taken. One that crosses the close with a higher id was not taken and never will be, so that it may be sent again, also
-	// when it is an idempotent request without a key on record.
+	// methodLastTaken is a notification to a router before the server closes an idle connection. It has the id of the last request
+	// that the server took on the connection. A request with a higher id that crosses the close will not be taken, so the router may
+	// send it again, even if it is an idempotent request without a recorded key.
 	methodLastTaken = "lastTaken"
 )
 
-// Errors of an answer: see Reply.Error.
+// Errors of an answer, see Reply.Error.
 const (
-	// ErrorFull is of a rejection: nothing ran, and another server or a later attempt may serve the request.
+	// ErrorFull rejects a request: nothing ran, and another server or a later attempt may serve it.
 	ErrorFull   = "Full"
-	errorFailed = "Error" // failed: it may have run
+	errorFailed = "Error" // the request failed; it may have run
 )
 
-// Fields of a request. Those that start with a capital are read or written by package proxy too.
+// Fields of a request. The exported ones are also read or written by package proxy.
 const (
-	fieldID          = "i" // of the attempt, 16 hexadecimal digits
-	fieldReceivedAt  = "s" // when the balancer received it: milliseconds since 1970
-	fieldTimeout     = "d" // milliseconds from then in which the caller waits for the answer
-	fieldMemory      = "m" // kilobytes that it books while it is held
-	fieldTenant      = "t" //
+	fieldID          = "i" // id of the attempt, 16 hexadecimal digits
+	fieldReceivedAt  = "s" // when the balancer received the request, in milliseconds since 1970
+	fieldTimeout     = "d" // how long the caller waits from then on, in milliseconds
+	fieldMemory      = "m" // memory to reserve while the request is in the service, in kilobytes
+	fieldTenant      = "t" // tenant
 	fieldKey         = "k" // idempotency key
-	fieldObject      = "o" // that a read is about
-	fieldRank        = "p" // among requests of its class, from 0 to under 1
+	fieldObject      = "o" // object that a read refers to
+	fieldRank        = "p" // rank among requests of its class, at least 0 and below 1
 	fieldCaller      = "f" // number of the caller
-	fieldKnownOnly   = "n" // "1": answer only from a result on record, run nothing
-	FieldIncarnation = "b" // of the server that is meant: start of its process, milliseconds since 1970
-	FieldConfigID    = "g" // the document by which a router sends it here: VERSION.DIGEST
+	fieldKnownOnly   = "n" // FlagSet: answer only from a recorded result, run nothing
+	FieldIncarnation = "b" // incarnation of the target server: start of its process, in milliseconds since 1970
+	FieldConfigID    = "g" // configuration document that the router routed by: VERSION.DIGEST
 )
 
-// Further fields of a router's probe. FieldConfigID and FieldConfigSource are in the answer too, of the newest document that the server
-// has heard of.
+// Further fields of a router's probe. FieldConfigID and FieldConfigSource are also in the answer, where they identify the newest document
+// that the server has observed.
 const (
-	FieldConfigSource  = "gn" // who told of the document: in a probe the router's own name
-	FieldLease         = "gl" // times of its document, in milliseconds
-	FieldClockSkew     = "gs"
-	FieldProbeInterval = "gp"
-	FieldProbeTimeout  = "gw"
-	FieldOverlapWindow = "gd"
-	FieldInFlight      = "fl" // the router's requests in flight at this server
+	FieldConfigSource  = "gn" // source of the document; in a probe, the name of the router
+	FieldLease         = "gl" // lease of the document, in milliseconds
+	FieldClockSkew     = "gs" // allowed clock skew, in milliseconds
+	FieldProbeInterval = "gp" // in milliseconds
+	FieldProbeTimeout  = "gw" // in milliseconds
+	FieldOverlapWindow = "gd" // in milliseconds
+	FieldInFlight      = "fl" // number of the router's requests in flight at this server
 )
 
-// Fields of an answer, beside FieldIncarnation.
+// Fields of an answer. Answers also have FieldIncarnation.
 const (
-	FieldSignal         = "v"  // the module's free value: a load level, a credit of requests in flight, or a weight
+	FieldSignal         = "v"  // value set by the module: a load level, a credit of requests in flight, or a weight
 	FieldWarmingUp      = "cs" // FlagSet: the server is in its slow start
-	FieldUnknownRuns    = "l"  // of a served answer or a probe's: until when an earlier process may have run what is unknown here
-	FieldRetryAfter     = "w"  // of a rejected one: milliseconds
-	FieldFinal          = "l"  // FlagSet: of a rejected one: no other server should be tried
-	FieldReason         = "x"  // of a rejected one: why, where it has an idempotency key
-	FieldSlowStartShare = "c"  // of a probe's: how many requests the router may have in flight at a server that warms up
-	FieldConflict       = "gc" // of a probe's: a version of which two documents differ, a blank, and the description of both
-	FieldSuspended      = "gq" // of a probe's: milliseconds for which nothing exclusive begins
+	FieldUnknownRuns    = "l"  // served answer or probe: until when an earlier process may have run requests that this one has no record of
+	FieldRetryAfter     = "w"  // rejection: delay before a retry, in milliseconds
+	FieldFinal          = "l"  // rejection, FlagSet: the request should not be tried at another server
+	FieldReason         = "x"  // rejection: reason, for a request with an idempotency key
+	FieldSlowStartShare = "c"  // probe: number of requests that the router may have in flight here during the slow start
+	FieldConflict       = "gc" // probe: a version with two different documents, a space, and a description of both
+	FieldSuspended      = "gq" // probe: for how many milliseconds no exclusive run starts
 )
 
-// FlagSet is the value of a field that is either there or not.
+// FlagSet is the value of a flag field. An unset flag is left out.
 const FlagSet = "1"
 
-// Bounds on what a message may hold. Anything beyond them is malformed and closes its connection: a length is checked before memory
-// is taken for it.
+// Bounds on the content of a message. A message that exceeds one is malformed and closes its connection. Lengths are checked before
+// memory is allocated.
 const (
-	defaultMaxBody = 2 << 10          // bytes of a request's body: the platform's
+	defaultMaxBody = 2 << 10          // bytes of a request's body, as the platform defines it
 	maxResult      = 64 << 10         // bytes of a result
-	maxText        = 512              // bytes of a method, a field's name or its value
-	maxElements    = 64               // of an array, or pairs of a map
-	maxDepth       = 4                // of values in one that is skipped
-	maxTimeout     = time.Hour        // fieldTimeout; the platform's deadlines are seconds
-	maxTerm        = time.Hour        // any of a router's times; longer ones count as an hour
-	maxMemoryKB    = 2000             // fieldMemory
-	maxClockSkew   = 10 * time.Second // by which a balancer's clock may be ahead
+	maxText        = 512              // bytes of a method, a field name or a field value
+	maxElements    = 64               // elements of an array, or pairs of a map
+	maxDepth       = 4                // nesting depth of a skipped value
+	maxTimeout     = time.Hour        // largest fieldTimeout; the platform's deadlines are a few seconds
+	maxTerm        = time.Hour        // largest time in a router's probe; a longer one is reduced to it
+	maxMemoryKB    = 2000             // fieldMemory must be below it
+	maxClockSkew   = 10 * time.Second // how far a balancer's clock may be ahead
 )
 
 const (
-	// MaxInFlight is the number of requests that a balancer or router has in flight on a connection.
+	// MaxInFlight is the largest number of requests that a balancer or router has in flight on a connection.
 	MaxInFlight = 32
-	// maxInFlightServed is the number that a server takes: twice as many, for answers that are on their way.
+	// maxInFlightServed is the largest number of requests in flight that a server accepts on a connection. It is twice MaxInFlight, to
+	// allow for answers that have not reached the peer yet.
 	maxInFlightServed = 64
-	// writeTimeout is how long a peer may take nothing before it loses its connection: it holds a buffer meanwhile.
+	// writeTimeout is how long a write may take before the connection is closed. A blocked write occupies a buffer.
 	writeTimeout = 2 * time.Second
-	// lastTakenTimeout is the same for methodLastTaken, which is written while a place is needed: who takes nothing goes without.
+	// lastTakenTimeout is the write timeout for methodLastTaken. It is short because a new connection may be waiting for the slot. A
+	// peer that does not read in time does not get the notification.
 	lastTakenTimeout = 10 * time.Millisecond
-	// SlowStartProbeIntervals is for how many of its probe intervals a router goes by its share of a server that warms up.
+	// SlowStartProbeIntervals is the number of probe intervals for which a router applies FieldSlowStartShare of an answer.
 	SlowStartProbeIntervals = 3
 )
