--- a/internal/transport/listener/accept.go
+++ b/internal/transport/listener/accept.go
@@ -13,16 +13,18 @@
 )
 
 const (
-	// acceptRetryDelay follows a failure to accept: out of descriptors, only time or an eviction brings one.
+	// acceptRetryDelay is the pause after a failed accept. If the process is out of descriptors, one becomes free only with time or by
+	// an eviction.
 	acceptRetryDelay = 10 * time.Millisecond
-	// acceptErrorInterval is the least time between two log lines that accepting fails.
+	// acceptErrorInterval is the least time between two log lines about failed accepts.
 	acceptErrorInterval = time.Second
-	// acceptBacklogTimeout is for how long after Close connections are accepted that wait already, however many come: clients wait
-	// a second for a connection before they go elsewhere.
+	// acceptBacklogTimeout is for how long after Close connections in the backlog are still accepted, regardless of their number.
+	// Clients wait a second for a connection before they try another server.
 	acceptBacklogTimeout = time.Second
 )
 
-// Serve accepts connections until Close, and returns once none waits any more; their handlers may still run. It is called once.
+// Serve accepts connections until Close and then those in the backlog. Their handlers may still run when it returns. It must be called
+// only once.
 func (l *Listener) Serve() {
 	done := make(chan struct{})
 	defer close(done)
@@ -42,13 +44,14 @@
 		}
 		l.stats.Inc("connections", l.name)
 		accepted := time.Now()
-		l.awaitCapacity() // only now, so that no idle connection is closed for one that may never come
+		l.awaitCapacity() // after accepting, so that no idle connection is evicted before a new one has arrived
 		admission.Record(time.Since(accepted))
 		l.start(conn)
 	}
 }
 
-// acceptFailed waits before the next attempt. Without a descriptor for who waits it evicts a connection for it.
+// acceptFailed counts and logs a failed accept and waits before the next attempt. If the process or the system is out of descriptors, it
+// evicts an idle connection to free one.
 func (l *Listener) acceptFailed(err error) {
 	l.stats.Inc("accept_failed", l.name)
 	if now := time.Now(); now.Sub(l.acceptErrorLoggedAt) >= acceptErrorInterval {
@@ -61,7 +64,7 @@
 	time.Sleep(acceptRetryDelay)
 }
 
-// start gives a connection a slot and runs its handler, after which the slot is released.
+// start assigns a slot to a connection and runs its handler in a new goroutine, which then releases the slot.
 func (l *Listener) start(conn net.Conn) {
 	s := &Slot{owner: l, conn: conn, lastActivity: time.Now(), evicted: make(chan struct{})}
 	l.mu.Lock()
@@ -81,7 +84,7 @@
 	}()
 }
 
-// release takes back the slot of a connection whose handler has ended.
+// release closes a connection whose handler has returned, and removes its slot.
 func (l *Listener) release(s *Slot) {
 	s.conn.Close()
 	l.mu.Lock()
@@ -97,8 +100,8 @@
 	}
 }
 
-// accept waits for the next connection. Once the listener is closing it accepts who waits already, whose first bytes may lie on this
-// machine: to close the socket over them would lose their requests. Then it closes the socket and returns net.ErrClosed.
+// accept waits for the next connection. After Close it accepts the connections in the backlog, since the kernel may hold their first
+// requests, which closing the socket would lose. It then closes the socket and returns net.ErrClosed.
 func (l *Listener) accept() (net.Conn, error) {
 	conn, err := l.ln.Accept()
 	if !errors.Is(err, os.ErrDeadlineExceeded) {
@@ -121,7 +124,7 @@
 	return conn, err
 }
 
-// hasPending reports whether a connection waits to be accepted.
+// hasPending reports whether the listener's backlog holds a connection.
 func hasPending(ln net.Listener) bool {
 	s, ok := ln.(syscall.Conn)
 	if !ok {
@@ -136,5 +139,5 @@
 	return n > 0
 }
 
-// deadlineSetter is a listener whose Accept can be given a deadline, as one of TCP can.
+// deadlineSetter is a listener that supports a deadline for Accept, such as net.TCPListener.
 type deadlineSetter interface{ SetDeadline(t time.Time) error }
--- a/internal/transport/listener/drain.go
+++ b/internal/transport/listener/drain.go
@@ -8,19 +8,19 @@
 )
 
 const (
-	// idleCheckInterval is between two looks for connections that have idled for too long.
+	// idleCheckInterval is the interval between checks for connections that have been idle too long.
 	idleCheckInterval = 250 * time.Millisecond
-	// lingerTimeout and maxLingerBytes bound what is read of a connection after its last answer: long enough for the peer's kernel to
-	// acknowledge it on a line within one zone, short beside the time for which a slot is waited for.
+	// lingerTimeout and maxLingerBytes bound the lingering close, which reads from a connection after its last answer. The timeout is
+	// long enough for the peer's kernel to acknowledge the answer within one zone, and short compared with the wait for a slot.
 	lingerTimeout  = 50 * time.Millisecond
 	maxLingerBytes = 64 << 10
-	// endPollInterval is between two looks at connections that EndConnections waits for.
+	// endPollInterval is the interval at which EndConnections checks the connections that it waits for.
 	endPollInterval = 2 * time.Millisecond
 )
 
-// CloseGracefully closes a connection on which all answers are written, so that they arrive: it reads on, up to a bound, what the peer
-// still sends, since a close over unread bytes would reset the connection. R holds what was read of it already, or is nil. It is a
-// handler's last call.
+// CloseGracefully closes a connection whose answers are all written, in a way that lets them arrive. It reads what the peer still sends,
+// up to a bound, since closing a socket with unread bytes would reset the connection. R is a reader that may have buffered bytes of the
+// connection, or nil. A handler must call CloseGracefully last.
 func (s *Slot) CloseGracefully(r io.Reader) {
 	s.owner.mu.Lock()
 	s.closing = true
@@ -32,7 +32,7 @@
 	linger.Close(s.conn, r, remaining, maxLingerBytes)
 }
 
-// notifyIdle asks the peers of connections that have idled for too long to leave, until done.
+// notifyIdle asks the peers of connections that have been idle too long to close them. It runs until done is closed.
 func (l *Listener) notifyIdle(done <-chan struct{}) {
 	tick := time.NewTicker(idleCheckInterval)
 	defer tick.Stop()
@@ -50,7 +50,7 @@
 	}
 }
 
-// notifyDrain asks the peers of the selected connections to leave, each once. Selected is called under the lock.
+// notifyDrain asks the peers of the selected connections to close them, at most once per connection. Selected is called with l.mu held.
 func (l *Listener) notifyDrain(selected func(*Slot) bool) {
 	l.mu.Lock()
 	var notices []func()
@@ -62,11 +62,11 @@
 	}
 	l.mu.Unlock()
 	for _, notice := range notices {
-		go notice() // a slow peer must not hold up the others
+		go notice() // a slow peer must not delay the others
 	}
 }
 
-// Drain asks every peer, and those still to come, to leave. Connections are accepted on until Close.
+// Drain asks the peers of all present and future connections to close them. Connections are accepted until Close.
 func (l *Listener) Drain() {
 	l.mu.Lock()
 	l.draining = true
@@ -74,8 +74,8 @@
 	l.notifyDrain(func(*Slot) bool { return true })
 }
 
-// Close has no more connections accepted than those that wait already; open ones go on. The socket closes at once where Serve does not
-// run, or another process accepts who waits, and soon after otherwise.
+// Close stops accepting connections, except for those in the backlog. Open connections continue. The socket is closed at once if Serve was
+// not called or if another process accepts from the same socket; otherwise Serve closes it after accepting the backlog.
 func (l *Listener) Close() {
 	l.mu.Lock()
 	again, serving := l.closed, l.serving
@@ -93,9 +93,8 @@
 	l.ln.Close()
 }
 
-// EndConnections closes the open connections within the timeout: each as soon as all that came on it is read and answered. What is read
-// from then on is not handled. It returns once their handlers have ended, or the timeout is over; what is left then ends with the
-// process.
+// EndConnections closes each open connection as soon as all that arrived on it is read and answered. Messages read after that are not
+// handled. It returns when all handlers have ended or the timeout has passed. Connections left then are closed when the process exits.
 func (l *Listener) EndConnections(timeout time.Duration) {
 	deadline := time.Now().Add(timeout)
 	for {
--- a/internal/transport/listener/evict.go
+++ b/internal/transport/listener/evict.go
@@ -7,30 +7,31 @@
 	"silverpath/internal/transport/linger"
 )
 
-// Eviction. A new connection over the budget waits until an idle one is closed for it: of those that have idled for at least
-// minIdleBeforeEviction the peer that is missed least, see evictBefore. Where a reserve is set up, a peer that makes far more cheap
-// calls than its part is closed first. A connection with a request in flight, or with bytes that nobody has read yet, stays.
+// Eviction: a new connection over the budget waits until an idle one is closed. The victim is the first in the order of evictBefore among
+// the connections that have been idle for at least minIdleBeforeEviction. With a reserve, the connection of a peer that makes far more
+// cheap calls than its share is closed first. A connection with a request in flight or with unread bytes is not evicted as idle.
 const (
-	// minIdleBeforeEviction is how long a connection must have idled. Balancers send a request again that crosses the close of its
-	// connection within 50 ms; one that was under way for longer would be lost.
+	// minIdleBeforeEviction is how long a connection must have been idle. If a request crosses the close of its connection, the balancer
+	// sends it again only if it was in transit for at most 50 ms; a request in transit for longer would be lost.
 	minIdleBeforeEviction = 100 * time.Millisecond
-	// capacityPollInterval is between two looks for a slot while none is released.
+	// capacityPollInterval is the interval at which awaitCapacity checks for a slot while none is released.
 	capacityPollInterval = minIdleBeforeEviction / 2
-	// A peer that the reserve evicts comes back at once: evictPause follows every evictionsPerPause of them, so that their coming and
-	// going does not take the process's time. Found by trial; a longer pause holds up new connections under a flood.
+	// Peers that the reserve evicts reconnect at once. A pause of evictPause after every evictionsPerPause evictions limits the CPU time
+	// that this takes. A longer pause would delay new connections during a flood.
 	evictPause        = time.Millisecond
 	evictionsPerPause = 8
 )
 
-// idle reports whether nobody would lose anything by the connection's close, for at least minIdle. Half a message is no request. It is
-// called under the owner's lock.
+// idle reports whether the connection has been idle for at least minIdle: it has no request in flight, no message being handled, and is
+// not closing. A partly received message does not count as a request. It is called with owner.mu held.
 func (s *Slot) idle(minIdle time.Duration) bool {
 	return s.inFlight == 0 && !s.handling && !s.closing && time.Since(s.lastActivity) >= minIdle
 }
 
-// evict closes an idle connection, unless something has come on it that was not read yet; it reports whether it did. A peer that never
-// sent anything has no answer on its way. Of others the sending half is closed first, so that their last answers arrive, and they
-// have lingerTimeout to close theirs. What is read from now on is not handled: BeginMessage says no.
+// evict closes a connection that has been idle for at least minIdle and has no unread bytes, and reports whether it did. If the peer has
+// sent messages, only the sending half is closed at first, so that the last answers arrive; the peer then has lingerTimeout to close its
+// half. Otherwise no answer is on its way, and the connection is closed at once. After evict, BeginMessage returns false, so that messages
+// read later are not handled.
 func (s *Slot) evict(minIdle time.Duration) bool {
 	l := s.owner
 	l.mu.Lock()
@@ -55,16 +56,16 @@
 	return true
 }
 
-// Evicted reports whether the slot was evicted, or its connection lingers.
+// Evicted reports whether the slot was evicted or its connection is in a lingering close.
 func (s *Slot) Evicted() bool {
 	s.owner.mu.Lock()
 	defer s.owner.mu.Unlock()
 	return s.closing
 }
 
-// evictBefore reports whether an idle connection is evicted before another one: who has sent nothing goes first, since connections
-// that say nothing must not push out balancers; then who has sent one message, as clients do that never come back; then who has
-// idled longest.
+// evictBefore reports whether an idle connection is evicted before another one. Connections without any message come first, since silent
+// connections must not displace balancers. Next are those with one message, as of clients that never send another. Among equals, the one
+// that has been idle longest comes first.
 func (s *Slot) evictBefore(other *Slot) bool {
 	if a, b := min(s.messages, 2), min(other.messages, 2); a != b {
 		return a < b
@@ -72,9 +73,9 @@
 	return s.lastActivity.Before(other.lastActivity)
 }
 
-// awaitCapacity waits until the budget has a slot. Connections that wait as the listener closes are accepted within the budget too,
-// a crowd by and by, and beyond it only where no connection can be evicted or the last second is over: nobody would come back to
-// accept them.
+// awaitCapacity waits until the budget has a free slot, and evicts a connection if necessary. The backlog of a closing listener is
+// accepted within the budget too, one connection after another. It may exceed the budget only if no connection can be evicted or
+// acceptBacklogFor has passed since Close, because connections that are not accepted then would be lost.
 func (l *Listener) awaitCapacity() {
 	for {
 		l.mu.Lock()
@@ -86,7 +87,7 @@
 			l.mu.Unlock()
 			l.evictVictim(victim)
 		} else {
-			atLimit := len(l.slots)-l.closingCount() >= l.maxConns // else there is a slot as soon as an evicted one is released
+			atLimit := len(l.slots)-l.closingCount() >= l.maxConns // otherwise a slot becomes free when an evicted one is released
 			l.mu.Unlock()
 			if atLimit {
 				l.evictOne()
@@ -99,8 +100,8 @@
 	}
 }
 
-// reserveVictim chooses the slot of the peer that is furthest beyond its part of the reserve, once; nil: none is. It is called under
-// the lock.
+// reserveVictim returns the slot of the peer that exceeds its share of the reserve most, or nil if no peer exceeds it. It returns each slot
+// at most once. It is called with l.mu held.
 func (l *Listener) reserveVictim() *Slot {
 	if l.reserve == nil {
 		return nil
@@ -114,7 +115,7 @@
 	return victim
 }
 
-// evictVictim closes a slot that the reserve has chosen, also in the middle of its calls.
+// evictVictim closes the connection of a slot that reserveVictim returned, even while it handles calls.
 func (l *Listener) evictVictim(victim *Slot) {
 	l.stats.Inc("evicted", l.name)
 	victim.conn.Close()
@@ -124,7 +125,7 @@
 	}
 }
 
-// closingCount is how many connections are closing already. It is called under the lock.
+// closingCount returns the number of connections that are closing. It is called with l.mu held.
 func (l *Listener) closingCount() (n int) {
 	for s := range l.slots {
 		if s.closing {
@@ -134,7 +135,8 @@
 	return n
 }
 
-// hasEvictable reports whether any connection is closing, or will be idle unless more comes on it. It is called under the lock.
+// hasEvictable reports whether any connection is closing, or has no request in flight and no message being handled, so that it can become
+// idle. It is called with l.mu held.
 func (l *Listener) hasEvictable() bool {
 	for s := range l.slots {
 		if s.closing || s.inFlight == 0 && !s.handling {
@@ -144,7 +146,7 @@
 	return false
 }
 
-// evictOne evicts the idle connection that is missed least, where there is one.
+// evictOne evicts the first idle connection in the order of evictBefore, if there is one.
 func (l *Listener) evictOne() {
 	l.mu.Lock()
 	var idle []*Slot
@@ -157,9 +159,10 @@
 	l.evictIdle(idle, 1)
 }
 
-// evictIdle evicts as many of the idle connections as count says, in the order of evictBefore. One on which something has come stays.
+// evictIdle evicts up to count of the given connections, in the order of evictBefore. It skips those that are no longer idle or have unread
+// bytes.
 func (l *Listener) evictIdle(idle []*Slot, count int) {
-	l.mu.Lock() // what they are compared by changes under it
+	l.mu.Lock() // evictBefore reads fields that l.mu guards
 	slices.SortFunc(idle, func(a, b *Slot) int {
 		switch {
 		case a.evictBefore(b):
@@ -181,8 +184,8 @@
 	}
 }
 
-// SetMaxConnections changes the budget. Idle connections over it are evicted at once. It is called where another process of the
-// service takes half of the limits, and where it gives them back.
+// SetMaxConnections changes the budget, and evicts idle connections over it at once. It is called when another process of the service takes
+// half of the limits, and again when it returns them.
 func (l *Listener) SetMaxConnections(maxConns int) {
 	l.mu.Lock()
 	l.maxConns = max(1, maxConns)
--- a/internal/transport/listener/listener.go
+++ b/internal/transport/listener/listener.go
@@ -1,6 +1,6 @@
-// Package listener accepts the connections of every front and keeps them within their budget of descriptors. For a new connection
-// over the budget it evicts an idle one; it asks the peers of those that idle too long, and of all in a drain, to leave; and it
-// closes connections so that the last answer on them arrives. What is spoken on a connection is its Handler's.
+// Package listener accepts the connections of every front and keeps their number within a budget of descriptors. It evicts an idle
+// connection for a new one over the budget. It asks the peers of connections that have been idle too long, and of all connections in a
+// drain, to close them. It closes connections in a way that lets the last answer arrive. The protocol of a connection is up to its Handler.
 package listener
 
 import (
@@ -19,8 +19,8 @@
 	"silverpath/internal/policy/admission"
 )
 
-// Handler serves one connection until it is over, and closes it. It says on the slot what comes and goes on the connection, from
-// which the listener knows whether the connection may be closed.
+// Handler serves one connection until it ends, and closes it. It reports messages and requests in flight to the slot, from which the
+// listener determines whether the connection may be closed.
 type Handler func(conn net.Conn, slot *Slot)
 
 // Listener accepts the connections of one front.
@@ -28,41 +28,41 @@
 	name        string
 	ln          net.Listener
 	handle      Handler
-	idleTimeout func() time.Duration // how long a connection may carry nothing; 0: without end
+	idleTimeout func() time.Duration // how long a connection may be idle; 0: unlimited
 	log         *log.Logger
 	stats       *metrics.Counters
 	startedAt   time.Time
 
 	shared           bool          // another process accepts on the same socket: see ShareSocket
-	lingerTimeout    time.Duration // the constant, but in tests
-	acceptBacklogFor time.Duration // acceptBacklogTimeout, but in tests
+	lingerTimeout    time.Duration // the constant lingerTimeout, except in tests
+	acceptBacklogFor time.Duration // the constant acceptBacklogTimeout, except in tests
 
-	// Only of the accepting goroutine:
-	reserveEvictions    int       // see evictionsPerPause
-	acceptErrorLoggedAt time.Time // when a line that accepting fails was logged last
+	// Used only by the accepting goroutine:
+	reserveEvictions    int       // number of slots evicted for the reserve, see evictionsPerPause
+	acceptErrorLoggedAt time.Time // when a failed accept was last logged
 
-	released chan struct{}  // has a token while a slot may have been released since the last look
-	handlers sync.WaitGroup // handlers that run
+	released chan struct{}  // signals awaitCapacity that a slot was released
+	handlers sync.WaitGroup // running handlers
 
-	mu             sync.Mutex // of all below, and of each slot
+	mu             sync.Mutex // guards all fields below, and those of each slot
 	maxConns       int
-	reserve        *admission.Reserve // nil: none
+	reserve        *admission.Reserve // nil: no reserve
 	lastID         uint64
 	slots          map[*Slot]bool
-	slotByID       map[uint64]*Slot // with a reserve, those that it may still choose
+	slotByID       map[uint64]*Slot // with a reserve: the slots that it may still evict
 	draining       bool             // Drain was called
 	serving        bool             // Serve was called
-	closed         bool             // Close was called,
-	closedAt       time.Time        // at this time
-	logWindowStart time.Time        // of the second in which lines about peers are counted
-	linesInWindow  int
+	closed         bool             // Close was called
+	closedAt       time.Time        // when Close was called
+	logWindowStart time.Time        // start of the second in which linesInWindow counts
+	linesInWindow  int              // events that LogPeer was called for in this second
 }
 
-// Listen opens a front's address for at most maxConns connections. IdleTimeout tells how long a connection may carry nothing; 0 is
-// without end. Serve must follow, or Close.
+// Listen opens a front's address for at most maxConns connections. IdleTimeout returns how long a connection may be idle; 0 is unlimited.
+// The caller must call Serve or Close afterwards.
 func Listen(name, addr string, maxConns int, idleTimeout func() time.Duration, handle Handler, l *log.Logger, s *metrics.Counters) (*Listener, error) {
-	// Peers that say nothing are closed by time limits of our own, so that the kernel's keep-alive is not needed: to set it up would
-	// cost each connection three system calls.
+	// TCP keep-alive is off: the time limits of this program already close silent connections, and enabling keep-alive costs three
+	// system calls per connection.
 	ln, err := (&net.ListenConfig{KeepAlive: -1}).Listen(context.Background(), "tcp", addr)
 	if err != nil {
 		return nil, err
@@ -70,12 +70,13 @@
 	return New(name, ln, maxConns, idleTimeout, handle, l, s), nil
 }
 
-// ListenShared opens an address that another process of the service may have open too, for New.
+// ListenShared opens an address that another process of the service may have open too. The result is passed to New.
 func ListenShared(addr string) (net.Listener, error) {
 	return (&net.ListenConfig{KeepAlive: -1, Control: ReusePort}).Listen(context.Background(), "tcp", addr)
 }
 
-// ReusePort is a net.ListenConfig's Control by which two processes of the service can have one address.
+// ReusePort is a Control function for net.ListenConfig that sets SO_REUSEPORT, which lets two processes of the service listen on one
+// address.
 func ReusePort(_, _ string, c syscall.RawConn) error {
 	var err error
 	if e := c.Control(func(fd uintptr) { err = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_REUSEPORT, 1) }); e != nil {
@@ -84,25 +85,26 @@
 	return err
 }
 
-// Inherited returns the listener of a descriptor that the process was started with, for New. The descriptor itself is closed.
+// Inherited returns a listener for a descriptor that the process inherited, to be passed to New. It closes the descriptor itself. It
+// returns an error if the descriptor is not an open TCP listener.
 func Inherited(fd int) (net.Listener, error) {
 	f := os.NewFile(uintptr(fd), "listener")
 	if f == nil {
 		return nil, fmt.Errorf("descriptor %d is not open", fd)
 	}
-	defer f.Close() // the listener has its own
+	defer f.Close() // the listener has a duplicate
 	ln, err := net.FileListener(f)
 	if err != nil {
-		return nil, fmt.Errorf("descriptor %d: %w", fd, err)
+		return nil, fmt.Errorf("failed to listen on descriptor %d: %w", fd, err)
 	}
 	if _, ok := ln.(*net.TCPListener); !ok {
 		ln.Close()
-		return nil, fmt.Errorf("descriptor %d is no TCP listener", fd)
+		return nil, fmt.Errorf("descriptor %d is not a TCP listener", fd)
 	}
 	return ln, nil
 }
 
-// New is Listen for a socket that is open already.
+// New is like Listen for a socket that is already open.
 func New(name string, ln net.Listener, maxConns int, idleTimeout func() time.Duration, handle Handler, l *log.Logger, s *metrics.Counters) *Listener {
 	return &Listener{
 		name: name, ln: ln, maxConns: max(1, maxConns), handle: handle, idleTimeout: idleTimeout, log: l, stats: s,
@@ -110,12 +112,12 @@
 	}
 }
 
-// Reserve sets a part of the connections aside for cheap calls. It is called before Serve.
+// Reserve reserves a part of the connections for cheap calls. It must be called before Serve.
 func (l *Listener) Reserve(c admission.ReserveConfig) {
 	l.reserve = admission.NewReserve(c, l.maxConns)
 }
 
-// Reserved returns the state of the reserve, and whether there is one.
+// Reserved returns the state of the reserve. It returns false if there is no reserve.
 func (l *Listener) Reserved() (admission.ReserveSnapshot, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -125,14 +127,14 @@
 	return l.reserve.Snapshot(), true
 }
 
-// ShareSocket says that another process accepts on the same socket, so that connections that wait there at Close are for that one to
-// accept. It is called before Serve.
+// ShareSocket records that another process accepts from the same socket, so that Close leaves the backlog to that process. It must be
+// called before Serve.
 func (l *Listener) ShareSocket() { l.shared = true }
 
 // Name returns the front's name.
 func (l *Listener) Name() string { return l.name }
 
-// Addr returns the address listened on.
+// Addr returns the address that the listener is bound to.
 func (l *Listener) Addr() net.Addr { return l.ln.Addr() }
 
 // Connections returns the number of open connections.
--- a/internal/transport/listener/slot.go
+++ b/internal/transport/listener/slot.go
@@ -8,38 +8,39 @@
 )
 
 const (
-	// MessageTimeout is how long a peer has for its first whole message from its connecting, and for each further one from its first
-	// byte. Who needs longer gets no answer but a close. A slow line needs some hundred milliseconds for the largest request.
+	// MessageTimeout is how long a peer may take to send its first message, counted from the connect, and each further message, counted
+	// from its first byte. After that the connection is closed without an answer to the message. Over a slow line the largest request
+	// takes a few hundred milliseconds.
 	MessageTimeout = 2 * time.Second
-	// MessagesPerTurn is how many messages a connection has taken before the others have their turn. A peer that always has more to
-	// send would otherwise keep the one core for the 10 ms that the Go scheduler leaves a goroutine, and forty of them would keep
-	// operators waiting for half a second.
+	// MessagesPerTurn is how many messages a reading goroutine handles before it yields to others. Otherwise a peer that always has more
+	// to send would occupy the only core for the 10 ms after which the Go scheduler preempts a goroutine, and forty such peers would
+	// delay operators' calls by half a second.
 	MessagesPerTurn = 2
-	// maxLinesPerWindow is how many lines about peers are logged in a second: who floods the service must not flood its log.
+	// maxLinesPerWindow is how many lines about peers are logged per second. A flood of the service must not flood its log.
 	maxLinesPerWindow = 1
 )
 
-// Slot is a connection's place in the budget. Its handler says on it what comes and goes.
+// Slot is a connection's place in the budget. The handler of the connection reports messages and requests in flight to it.
 type Slot struct {
 	id      uint64
 	owner   *Listener
 	conn    net.Conn
-	evicted chan struct{} // closed as the reserve evicts the connection
+	evicted chan struct{} // closed when the reserve evicts the connection
 
-	// Under the owner's lock:
-	onDrain       func()    // asks the peer to leave; nil: nobody can ask it
-	onEvict       func()    // tells the peer what was taken, before the close; nil: nothing is told
+	// Guarded by owner.mu:
+	onDrain       func()    // asks the peer to close the connection; nil: not possible
+	onEvict       func()    // sends a last notification before an eviction; nil: none
 	drainNotified bool      // onDrain was called
 	inFlight      int       // requests without a written answer
-	lastActivity  time.Time // when something came or went last
-	messages      int       // whole messages that came
-	handling      bool      // the last of them is being handled
-	closing       bool      // evicted, or lingering: nothing that comes is taken any more
-	lingerUntil   time.Time // when the connection closes at the latest; zero while it is not closing
+	lastActivity  time.Time // when a message last began or ended, or inFlight was set
+	messages      int       // number of complete messages received
+	handling      bool      // the last message is being handled
+	closing       bool      // evicted or in a lingering close: no further message is handled
+	lingerUntil   time.Time // latest time of the close; zero if the close has not begun
 }
 
-// BeginMessage notes that a whole message has come, and reports whether it may be handled. It is false where the slot was evicted
-// before: then nothing of the message may run, since the answer would not arrive.
+// BeginMessage records that a complete message was received, and reports whether it may be handled. It returns false if the slot was
+// evicted before. Then the message must not be handled, since its answer would not arrive.
 func (s *Slot) BeginMessage() bool {
 	s.owner.mu.Lock()
 	defer s.owner.mu.Unlock()
@@ -51,22 +52,22 @@
 	return true
 }
 
-// EndMessage notes that the last message is handled: it is answered, or its request is in flight.
+// EndMessage records that the last message was handled: it is answered, or its request is in flight.
 func (s *Slot) EndMessage() {
 	s.owner.mu.Lock()
 	defer s.owner.mu.Unlock()
 	s.handling, s.lastActivity = false, time.Now()
 }
 
-// SetInFlight notes how many requests on the connection have no written answer. While there is one, the slot is not evicted.
+// SetInFlight sets the number of requests on the connection without a written answer. While it is not 0, the connection is not idle.
 func (s *Slot) SetInFlight(n int) {
 	s.owner.mu.Lock()
 	defer s.owner.mu.Unlock()
 	s.inFlight, s.lastActivity = n, time.Now()
 }
 
-// AdmitsWork reports whether the connection may carry requests for work, or is one of those that the reserve keeps for cheap calls.
-// Without a reserve every connection may.
+// AdmitsWork reports whether the connection may carry requests for work. It returns false if the reserve keeps the connection for cheap
+// calls. Without a reserve it returns true.
 func (s *Slot) AdmitsWork() bool {
 	l := s.owner
 	if l.reserve == nil {
@@ -77,8 +78,8 @@
 	return l.reserve.AdmitWork(s.id)
 }
 
-// PaceCheapCall is called before a cheap call is answered. It waits where the peer makes more of them than its part of the reserve,
-// and holds up nobody else.
+// PaceCheapCall is called before a cheap call is answered. If the peer exceeds its share of the reserve, it waits, without delaying other
+// connections.
 func (s *Slot) PaceCheapCall() {
 	l := s.owner
 	if l.reserve == nil {
@@ -93,13 +94,13 @@
 		defer timer.Stop()
 		select {
 		case <-timer.C:
-		case <-s.evicted: // the slot is needed now, not when its turn comes
+		case <-s.evicted: // the slot is needed now, so the wait ends early
 		}
 	}
 }
 
-// OnDrain sets how the peer is asked to leave: in a drain, at once where one is under way, and when the connection idles too long.
-// Where nothing is set the connection is only closed by an eviction or at the end.
+// OnDrain sets the function that asks the peer to close the connection. It is called in a drain, at once if a drain is in progress, and
+// when the connection has been idle too long. Without it the connection is closed only by an eviction or by EndConnections.
 func (s *Slot) OnDrain(notice func()) {
 	s.owner.mu.Lock()
 	s.onDrain = notice
@@ -110,14 +111,15 @@
 	}
 }
 
-// OnEvict sets what is sent last before the slot is evicted, to a peer that has sent anything. It must not wait for a slow peer.
+// OnEvict sets a function that sends a last notification to the peer before an idle connection is closed. It is called only if the
+// peer has sent a message. It must not wait for a slow peer.
 func (s *Slot) OnEvict(notice func()) {
 	s.owner.mu.Lock()
 	defer s.owner.mu.Unlock()
 	s.onEvict = notice
 }
 
-// LogPeer logs an event about the peer. Beyond maxLinesPerWindow a second events are only counted.
+// LogPeer logs an event about the peer. Events beyond maxLinesPerWindow per second are only counted.
 func (s *Slot) LogPeer(event string, values ...any) {
 	l := s.owner
 	l.mu.Lock()
