--- a/internal/transport/client/client.go
+++ b/internal/transport/client/client.go
@@ -1,5 +1,4 @@
-// Package client is a client of either front, for the command line: it sends requests, or one status request, and says what came of
-// them.
+// Package client is a command-line client for both fronts. It sends requests or a status request, and reports the outcome.
 package client
 
 import (
@@ -21,29 +20,29 @@
 	"silverpath/internal/transport/scgi"
 )
 
-// The fronts, by their names on the command line (--front).
+// Names of the fronts on the command line (--front).
 const (
 	Platform = msgpackrpc.Name
 	SCGI     = scgi.Name
 )
 
-// Request is what is sent. All attempts with the same idempotency key are one request.
+// Request is a request to send. Requests with the same idempotency key are attempts of one request.
 type Request struct {
 	Class, Tenant, Key string
 	Body               []byte
 	Timeout            time.Duration // how long the caller waits
-	ID                 string        // 16 hexadecimal digits; empty: a new one. SCGI has the service make them
-	MemoryKB           float64       // memory to book; 0: 1
+	ID                 string        // 16 hexadecimal digits; empty: a random id; SCGI: unused, the service assigns one
+	MemoryKB           float64       // memory to reserve; 0: 1 KB
 }
 
-// Reply is the answer, whichever front it came from.
+// Reply is the answer to a request, from either front.
 type Reply struct {
 	Outcome    string // served, refused or failed
 	Body       []byte
-	RetryAfter time.Duration // refused: when to come back
+	RetryAfter time.Duration // refused: delay before a retry
 }
 
-// dialTimeout is how long a connection may take, and how much longer than its request an answer is waited for.
+// dialTimeout is the timeout for opening a connection. It is also added to a request's timeout when waiting for the answer.
 const dialTimeout = 2 * time.Second
 
 // newID returns 16 random hexadecimal digits.
@@ -53,10 +52,10 @@
 	return hex.EncodeToString(b[:])
 }
 
-// Conn is a connection to the MessagePack-RPC front that carries many requests at a time.
+// Conn is a connection to the MessagePack-RPC front. It carries many requests at a time.
 type Conn struct{ *msgpackrpc.Conn }
 
-// Dial opens a connection to the MessagePack-RPC front. Its owner closes it.
+// Dial opens a connection to the MessagePack-RPC front. The caller must close it.
 func Dial(addr string) (*Conn, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), dialTimeout)
 	defer cancel()
@@ -64,7 +63,8 @@
 	return &Conn{c}, err
 }
 
-// dialLong is Dial for answers as long as a call's: the status of a router has a line for each server.
+// dialLong is like Dial, but answers may have up to msgpackrpc.MaxCallBody bytes. The status of a router has a line per server and exceeds
+// the usual bound.
 func dialLong(addr string) (*Conn, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), dialTimeout)
 	defer cancel()
@@ -72,7 +72,8 @@
 	return &Conn{c}, err
 }
 
-// send writes one message made for the next id. The channel gets the reply, or is closed without one.
+// send sends the message that message returns for the next id. The channel receives the reply, or is closed without one if the message
+// could not be sent or the connection ended.
 func (c *Conn) send(message func(id uint64) []byte) <-chan Reply {
 	out := make(chan Reply, 1)
 	_, in, err := c.Send(message)
@@ -99,7 +100,7 @@
 	return out
 }
 
-// Do sends a request. The channel gets the reply, or is closed without one.
+// Do sends a request. The channel receives the reply, or is closed without one if the request could not be sent or the connection ended.
 func (c *Conn) Do(q Request) <-chan Reply {
 	t := msgpackrpc.Attempt{ID: q.ID, Class: q.Class, Tenant: q.Tenant, Key: q.Key, ReceivedAt: time.Now(), Timeout: q.Timeout,
 		MemoryKB: q.MemoryKB, Body: q.Body}
@@ -112,26 +113,26 @@
 	return c.send(func(id uint64) []byte { return t.Append(nil, id) })
 }
 
-// Probe sends a health check; a healthy service's reply is served. Measurements call it.
+// Probe sends a health check. The reply of a healthy service has the outcome "served". Measurements use it.
 func (c *Conn) Probe() <-chan Reply {
 	return c.send(func(id uint64) []byte { return msgpackrpc.AppendProbe(nil, id) })
 }
 
-// Status asks for the state of the service, as JSON in the body.
+// Status requests the state of the service. The body of the reply is JSON.
 func (c *Conn) Status() <-chan Reply {
 	return c.send(func(id uint64) []byte { return msgpackrpc.AppendStatus(nil, id) })
 }
 
-// doSCGI sends one request on a connection of its own, as SCGI has it.
+// doSCGI sends one request on a new connection and reads the answer. SCGI has one request per connection.
 func doSCGI(addr string, body []byte, wait time.Duration, headers ...string) (Reply, error) {
 	conn, err := net.DialTimeout("tcp", addr, dialTimeout)
 	if err != nil {
-		return Reply{}, fmt.Errorf("connecting: %w", err)
+		return Reply{}, fmt.Errorf("failed to connect: %w", err)
 	}
 	defer conn.Close()
 	conn.SetDeadline(time.Now().Add(wait + dialTimeout))
 	if _, err := conn.Write(scgi.AppendRequest(nil, body, headers...)); err != nil {
-		return Reply{}, fmt.Errorf("asking: %w", err)
+		return Reply{}, fmt.Errorf("failed to write request: %w", err)
 	}
 	a, err := scgi.ReadReply(bufio.NewReader(conn))
 	if err != nil {
@@ -146,7 +147,7 @@
 	return Reply{Outcome: "failed", Body: a.Body}, nil
 }
 
-// headers are the SCGI headers of a request.
+// headers returns the SCGI headers of a request as alternating names and values.
 func headers(q Request) []string {
 	h := []string{"REQUEST_METHOD", "POST", "PATH_INFO", "/" + q.Class,
 		"HTTP_X_TIMEOUT_MS", strconv.FormatInt(q.Timeout.Milliseconds(), 10)}
@@ -159,10 +160,10 @@
 	return h
 }
 
-// errNoAnswer is of a request that may have run.
-var errNoAnswer = errors.New("the connection ended without an answer")
+// errNoAnswer is returned if the connection ended without an answer. The request may have run.
+var errNoAnswer = errors.New("connection closed without an answer")
 
-// Do sends one request to a front on a connection of its own, and waits for the reply. An error says that none came.
+// Do sends one request to a front on a new connection and waits for the reply. It returns an error if no reply arrived.
 func Do(front, addr string, q Request) (Reply, error) {
 	if front == SCGI {
 		return doSCGI(addr, q.Body, q.Timeout, headers(q)...)
@@ -170,7 +171,7 @@
 	return doOn(Dial, addr, q.Timeout, func(c *Conn) <-chan Reply { return c.Do(q) })
 }
 
-// doOn does so by way of send, on a connection that dial opens.
+// doOn opens a connection with dial, sends a request on it with send, and waits for the reply until timeout plus dialTimeout.
 func doOn(dial func(string) (*Conn, error), addr string, timeout time.Duration, send func(*Conn) <-chan Reply) (Reply, error) {
 	c, err := dial(addr)
 	if err != nil {
@@ -188,7 +189,7 @@
 	}
 }
 
-// Status asks a front for the state of the service, as JSON. An error says also that the service gives none.
+// Status requests the state of the service as JSON from a front. It also returns an error if the service does not serve its status.
 func Status(front, addr string) ([]byte, error) {
 	var a Reply
 	var err error
@@ -201,21 +202,21 @@
 	case err != nil:
 		return nil, err
 	case a.Outcome != "served":
-		return nil, errors.New("the service gives no status: see \"status\" in its edge file")
+		return nil, errors.New("service does not serve its status: see \"status\" in its edge file")
 	}
 	return a.Body, nil
 }
 
-// Plan is what Run sends: Count requests, one every Interval by the clock, whatever becomes of those before.
+// Plan describes the requests that Run sends: Count requests, one per Interval, on a schedule that does not wait for earlier answers.
 type Plan struct {
 	Front, Addr string
 	Request     Request
 	Count       int
-	Interval    time.Duration // 0: each after the answer of the one before
+	Interval    time.Duration // 0: send each request after the previous answer
 }
 
-// Run sends what is planned, prints every answer and a summary, and reports how many were served. The times count
-// from the moment at which a request was to be sent, so that a stall is seen by all that it holds up.
+// Run sends the requests of a plan, prints every answer and a summary to out, and returns how many were served. Latencies count from when
+// a request was due, so that a stall shows in the latency of every request that it delayed.
 func Run(p Plan, out io.Writer) (served int, err error) {
 	type result struct {
 		n    int
