--- a/internal/transport/client/client.go
+++ b/internal/transport/client/client.go
@@ -63,9 +63,9 @@
 	return &Conn{c}, err
 }
 
-// dialLong is like Dial, but answers may have up to msgpackrpc.MaxCallBody bytes. The status of a router has a line per server and exceeds
-// the usual bound.
-func dialLong(addr string) (*Conn, error) {
+// dialLongReplies is like Dial, but answers may have up to msgpackrpc.MaxCallBody bytes. The status of a router, with a line per server,
+// may exceed the usual bound.
+func dialLongReplies(addr string) (*Conn, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), dialTimeout)
 	defer cancel()
 	c, err := msgpackrpc.DialCalls(ctx, addr)
@@ -102,15 +102,15 @@
 
 // Do sends a request. The channel receives the reply, or is closed without one if the request could not be sent or the connection ended.
 func (c *Conn) Do(q Request) <-chan Reply {
-	t := msgpackrpc.Attempt{ID: q.ID, Class: q.Class, Tenant: q.Tenant, Key: q.Key, ReceivedAt: time.Now(), Timeout: q.Timeout,
+	attempt := msgpackrpc.Attempt{ID: q.ID, Class: q.Class, Tenant: q.Tenant, Key: q.Key, ReceivedAt: time.Now(), Timeout: q.Timeout,
 		MemoryKB: q.MemoryKB, Body: q.Body}
-	if t.ID == "" {
-		t.ID = newID()
+	if attempt.ID == "" {
+		attempt.ID = newID()
 	}
-	if t.MemoryKB == 0 {
-		t.MemoryKB = 1
+	if attempt.MemoryKB == 0 {
+		attempt.MemoryKB = 1
 	}
-	return c.send(func(id uint64) []byte { return t.Append(nil, id) })
+	return c.send(func(id uint64) []byte { return attempt.Append(nil, id) })
 }
 
 // Probe sends a health check. The reply of a healthy service has the outcome "served". Measurements use it.
@@ -124,13 +124,13 @@
 }
 
 // doSCGI sends one request on a new connection and reads the answer. SCGI has one request per connection.
-func doSCGI(addr string, body []byte, wait time.Duration, headers ...string) (Reply, error) {
+func doSCGI(addr string, body []byte, timeout time.Duration, headers ...string) (Reply, error) {
 	conn, err := net.DialTimeout("tcp", addr, dialTimeout)
 	if err != nil {
 		return Reply{}, fmt.Errorf("failed to connect: %w", err)
 	}
 	defer conn.Close()
-	conn.SetDeadline(time.Now().Add(wait + dialTimeout))
+	conn.SetDeadline(time.Now().Add(timeout + dialTimeout))
 	if _, err := conn.Write(scgi.AppendRequest(nil, body, headers...)); err != nil {
 		return Reply{}, fmt.Errorf("failed to write request: %w", err)
 	}
@@ -168,11 +168,11 @@
 	if front == SCGI {
 		return doSCGI(addr, q.Body, q.Timeout, headers(q)...)
 	}
-	return doOn(Dial, addr, q.Timeout, func(c *Conn) <-chan Reply { return c.Do(q) })
+	return sendOnNewConn(Dial, addr, q.Timeout, func(c *Conn) <-chan Reply { return c.Do(q) })
 }
 
-// doOn opens a connection with dial, sends a request on it with send, and waits for the reply until timeout plus dialTimeout.
-func doOn(dial func(string) (*Conn, error), addr string, timeout time.Duration, send func(*Conn) <-chan Reply) (Reply, error) {
+// sendOnNewConn opens a connection with dial, sends a request on it with send, and waits for the reply until timeout plus dialTimeout.
+func sendOnNewConn(dial func(string) (*Conn, error), addr string, timeout time.Duration, send func(*Conn) <-chan Reply) (Reply, error) {
 	c, err := dial(addr)
 	if err != nil {
 		return Reply{}, err
@@ -196,7 +196,7 @@
 	if front == SCGI {
 		a, err = doSCGI(addr, nil, dialTimeout, "REQUEST_METHOD", "GET", "PATH_INFO", "/"+msgpackrpc.StatusMethod)
 	} else {
-		a, err = doOn(dialLong, addr, dialTimeout, (*Conn).Status)
+		a, err = sendOnNewConn(dialLongReplies, addr, dialTimeout, (*Conn).Status)
 	}
 	switch {
 	case err != nil:
@@ -219,10 +219,10 @@
 // a request was due, so that a stall shows in the latency of every request that it delayed.
 func Run(p Plan, out io.Writer) (served int, err error) {
 	type result struct {
-		n    int
-		took time.Duration
-		a    Reply
-		err  error
+		n       int
+		latency time.Duration
+		reply   Reply
+		err     error
 	}
 	results := make(chan result)
 	startedAt := time.Now()
@@ -250,18 +250,18 @@
 	h := hdrhistogram.New(1, int64(time.Hour/time.Microsecond), 3)
 	outcomes := map[string]int{}
 	for r := range results {
-		what := r.a.Outcome
+		outcome := r.reply.Outcome
 		switch {
 		case r.err != nil:
-			what, err = "no answer", r.err
-			fmt.Fprintf(out, "%d: no answer after %v: %v\n", r.n, r.took.Round(time.Microsecond), r.err)
-		case what == "refused":
-			fmt.Fprintf(out, "%d: refused after %v, come back in %v\n", r.n, r.took.Round(time.Microsecond), r.a.RetryAfter)
+			outcome, err = "no answer", r.err
+			fmt.Fprintf(out, "%d: no answer after %v: %v\n", r.n, r.latency.Round(time.Microsecond), r.err)
+		case outcome == "refused":
+			fmt.Fprintf(out, "%d: refused after %v, retry after %v\n", r.n, r.latency.Round(time.Microsecond), r.reply.RetryAfter)
 		default:
-			fmt.Fprintf(out, "%d: %s after %v: %s\n", r.n, what, r.took.Round(time.Microsecond), r.a.Body)
+			fmt.Fprintf(out, "%d: %s after %v: %s\n", r.n, outcome, r.latency.Round(time.Microsecond), r.reply.Body)
 		}
-		outcomes[what]++
-		_ = h.RecordValue(r.took.Microseconds())
+		outcomes[outcome]++
+		_ = h.RecordValue(r.latency.Microseconds())
 	}
 	quantile := func(q float64) time.Duration { return time.Duration(h.ValueAtQuantile(q)) * time.Microsecond }
 	fmt.Fprintf(out, "%d asked: %d served, %d refused, %d failed, %d without an answer; p50 %v, p99 %v, longest %v\n",
--- a/internal/transport/listener/accept.go
+++ b/internal/transport/listener/accept.go
@@ -29,7 +29,7 @@
 	done := make(chan struct{})
 	defer close(done)
 	go l.notifyIdle(done)
-	admission := l.stats.Timing("room", l.name)
+	slotWait := l.stats.Timing("room", l.name)
 	l.mu.Lock()
 	l.serving = true
 	l.mu.Unlock()
@@ -45,7 +45,7 @@
 		l.stats.Inc("connections", l.name)
 		accepted := time.Now()
 		l.awaitCapacity() // after accepting, so that no idle connection is evicted before a new one has arrived
-		admission.Record(time.Since(accepted))
+		slotWait.Record(time.Since(accepted))
 		l.start(conn)
 	}
 }
@@ -108,14 +108,14 @@
 		return conn, err
 	}
 	l.mu.Lock()
-	expired := time.Since(l.closedAt) > l.acceptBacklogFor
+	expired := time.Since(l.closedAt) > l.acceptBacklogTimeout
 	l.mu.Unlock()
 	socket := l.ln.(deadlineSetter)
 	if expired || !hasPending(l.ln) {
 		l.ln.Close()
 		return nil, net.ErrClosed
 	}
-	_ = socket.SetDeadline(time.Now().Add(l.acceptBacklogFor))
+	_ = socket.SetDeadline(time.Now().Add(l.acceptBacklogTimeout))
 	conn, err = l.ln.Accept()
 	_ = socket.SetDeadline(time.Now().Add(-time.Second))
 	if err == nil {
--- a/internal/transport/listener/close_test.go
+++ b/internal/transport/listener/close_test.go
@@ -376,7 +376,7 @@
 func TestCloseAcceptsACrowd(t *testing.T) {
 	const most, crowd = 4, 24
 	e := newEcho(t, most)
-	e.acceptBacklogFor = time.Minute
+	e.acceptBacklogTimeout = time.Minute
 	for range most {
 		e.dial(t, "")
 	}
--- a/internal/transport/listener/drain.go
+++ b/internal/transport/listener/drain.go
@@ -78,14 +78,14 @@
 // not called or if another process accepts from the same socket; otherwise Serve closes it after accepting the backlog.
 func (l *Listener) Close() {
 	l.mu.Lock()
-	again, serving := l.closed, l.serving
+	alreadyClosed, serving := l.closed, l.serving
 	l.closed = true
-	if !again {
+	if !alreadyClosed {
 		l.closedAt = time.Now()
 	}
 	l.mu.Unlock()
 	if socket, ok := l.ln.(deadlineSetter); ok && serving && !l.shared {
-		if !again {
+		if !alreadyClosed {
 			_ = socket.SetDeadline(time.Now().Add(-time.Second))
 		}
 		return
--- a/internal/transport/listener/evict.go
+++ b/internal/transport/listener/evict.go
@@ -35,20 +35,20 @@
 func (s *Slot) evict(minIdle time.Duration) bool {
 	l := s.owner
 	l.mu.Lock()
-	ok := s.idle(minIdle) && linger.Peek(s.conn) != linger.Unread
-	s.closing = s.closing || ok
-	if ok {
+	evictable := s.idle(minIdle) && linger.Peek(s.conn) != linger.Unread
+	s.closing = s.closing || evictable
+	if evictable {
 		s.lingerUntil = time.Now().Add(l.lingerTimeout)
 	}
-	spoke, deadline, onEvict := s.messages > 0, s.lingerUntil, s.onEvict
+	hasSent, deadline, onEvict := s.messages > 0, s.lingerUntil, s.onEvict
 	l.mu.Unlock()
-	if !ok {
+	if !evictable {
 		return false
 	}
-	if spoke && onEvict != nil {
+	if hasSent && onEvict != nil {
 		onEvict()
 	}
-	if spoke && linger.CloseWrite(s.conn) {
+	if hasSent && linger.CloseWrite(s.conn) {
 		s.conn.SetReadDeadline(deadline)
 	} else {
 		s.conn.Close()
@@ -75,11 +75,11 @@
 
 // awaitCapacity waits until the budget has a free slot, and evicts a connection if necessary. The backlog of a closing listener is
 // accepted within the budget too, one connection after another. It may exceed the budget only if no connection can be evicted or
-// acceptBacklogFor has passed since Close, because connections that are not accepted then would be lost.
+// acceptBacklogTimeout has passed since Close, because connections that are not accepted then would be lost.
 func (l *Listener) awaitCapacity() {
 	for {
 		l.mu.Lock()
-		if len(l.slots) < l.maxConns || l.closed && (time.Since(l.closedAt) > l.acceptBacklogFor || !l.hasEvictable()) {
+		if len(l.slots) < l.maxConns || l.closed && (time.Since(l.closedAt) > l.acceptBacklogTimeout || !l.hasEvictable()) {
 			l.mu.Unlock()
 			return
 		}
--- a/internal/transport/listener/listener.go
+++ b/internal/transport/listener/listener.go
@@ -33,9 +33,9 @@
 	stats       *metrics.Counters
 	startedAt   time.Time
 
-	shared           bool          // another process accepts on the same socket: see ShareSocket
-	lingerTimeout    time.Duration // the constant lingerTimeout, except in tests
-	acceptBacklogFor time.Duration // the constant acceptBacklogTimeout, except in tests
+	shared               bool          // another process accepts on the same socket: see ShareSocket
+	lingerTimeout        time.Duration // the constant lingerTimeout, except in tests
+	acceptBacklogTimeout time.Duration // the constant acceptBacklogTimeout, except in tests
 
 	// Used only by the accepting goroutine:
 	reserveEvictions    int       // number of slots evicted for the reserve, see evictionsPerPause
@@ -108,13 +108,13 @@
 func New(name string, ln net.Listener, maxConns int, idleTimeout func() time.Duration, handle Handler, l *log.Logger, s *metrics.Counters) *Listener {
 	return &Listener{
 		name: name, ln: ln, maxConns: max(1, maxConns), handle: handle, idleTimeout: idleTimeout, log: l, stats: s,
-		startedAt: time.Now(), lingerTimeout: lingerTimeout, acceptBacklogFor: acceptBacklogTimeout, slots: map[*Slot]bool{}, slotByID: map[uint64]*Slot{}, released: make(chan struct{}, 1),
+		startedAt: time.Now(), lingerTimeout: lingerTimeout, acceptBacklogTimeout: acceptBacklogTimeout, slots: map[*Slot]bool{}, slotByID: map[uint64]*Slot{}, released: make(chan struct{}, 1),
 	}
 }
 
 // Reserve reserves a part of the connections for cheap calls. It must be called before Serve.
-func (l *Listener) Reserve(c admission.ReserveConfig) {
-	l.reserve = admission.NewReserve(c, l.maxConns)
+func (l *Listener) Reserve(cfg admission.ReserveConfig) {
+	l.reserve = admission.NewReserve(cfg, l.maxConns)
 }
 
 // Reserved returns the state of the reserve. It returns false if there is no reserve.
--- a/internal/transport/msgpackrpc/answer.go
+++ b/internal/transport/msgpackrpc/answer.go
@@ -11,21 +11,21 @@
 // respondToProbe answers a health check. A router's probe names the configuration document that the router applies and the times of that
 // document. The answer to it has the newest document that this server has observed and, during the slow start, the number of requests
 // that the router may have in flight here.
-func (c *client) respondToProbe(m message) {
+func (c *frontConn) respondToProbe(m message) {
 	var fields []string
 	if id := m.fields[FieldConfigID]; id != "" {
 		ms := func(key string) time.Duration {
 			n, _ := strconv.ParseInt(m.fields[key], 10, 64)
-			return time.Duration(max(0, min(n, maxTerm.Milliseconds()))) * time.Millisecond
+			return time.Duration(max(0, min(n, maxProbeTime.Milliseconds()))) * time.Millisecond
 		}
 		c.core.ObserveRules(id, m.fields[FieldConfigSource], configstore.Terms{
 			Lease: ms(FieldLease), ClockSkew: ms(FieldClockSkew), ProbeInterval: ms(FieldProbeInterval),
 			ProbeTimeout: ms(FieldProbeTimeout), OverlapWindow: ms(FieldOverlapWindow),
 		})
 		fields = rulesFields(c.core.RulesNotice())
-		inFlight, _ := strconv.Atoi(m.fields[FieldInFlight])
-		if share, warming := c.core.SlowStart(m.fields[FieldConfigSource], inFlight, SlowStartProbeIntervals*max(ms(FieldProbeInterval), time.Millisecond)); warming {
-			fields = append(fields, FieldSlowStartShare, strconv.Itoa(share))
+		routerInFlight, _ := strconv.Atoi(m.fields[FieldInFlight])
+		if grantedRequests, inSlowStart := c.core.SlowStart(m.fields[FieldConfigSource], routerInFlight, SlowStartProbeIntervals*max(ms(FieldProbeInterval), time.Millisecond)); inSlowStart {
+			fields = append(fields, FieldSlowStartShare, strconv.Itoa(grantedRequests))
 		}
 	}
 	c.write(func(b []byte) []byte { return appendHealth(b, m.id, c.core.Health(), c.withServerState(fields)) })
@@ -47,7 +47,7 @@
 
 // withServerState appends the fields that every answer has: the module's signal, if it has set one, and in a cell the server's
 // incarnation, whether it is in its slow start, and until when an earlier process may have run requests that are unknown here.
-func (c *client) withServerState(pairs []string) []string {
+func (c *frontConn) withServerState(pairs []string) []string {
 	if v, ok := c.core.Signal(); ok {
 		pairs = append(pairs, FieldSignal, strconv.FormatFloat(v, 'f', -1, 64))
 	}
@@ -63,9 +63,9 @@
 	return pairs
 }
 
-// respond writes the answer of a request in flight. A cancelled request gets no answer: the peer may have reused its message id, and
+// completeRequest writes the answer of a request in flight. A cancelled request gets no answer: the peer may have reused its message id, and
 // would take the answer for that of the later request.
-func (c *client) respond(id uint64, requestID string, a core.Answer) {
+func (c *frontConn) completeRequest(id uint64, requestID string, a core.Answer) {
 	c.mu.Lock()
 	pending := c.pending[id] == requestID
 	if pending {
@@ -76,15 +76,15 @@
 	if !pending {
 		return
 	}
-	c.reply(id, a)
+	c.writeAnswer(id, a)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.writingAnswers--
 	c.slot.SetInFlight(len(c.pending) + c.writingAnswers)
 }
 
-// reply writes an answer with the fields of withServerState.
-func (c *client) reply(id uint64, a core.Answer) {
+// writeAnswer writes an answer with the fields of withServerState.
+func (c *frontConn) writeAnswer(id uint64, a core.Answer) {
 	c.write(func(b []byte) []byte { return appendAnswer(b, id, a, c.withServerState(nil)) })
 }
 
@@ -105,9 +105,9 @@
 		if a.Reason != "" {
 			fields = append(fields, FieldReason, a.Reason)
 		}
-		b = appendText(appendArray(b, 2), ErrorFull)
+		b = appendStr(appendArray(b, 2), ErrorFull)
 	default:
-		b = appendText(appendArray(b, 2), errorFailed)
+		b = appendStr(appendArray(b, 2), errorFailed)
 	}
 	return appendNil(appendFields(b, fields))
 }
--- a/internal/transport/msgpackrpc/calls.go
+++ b/internal/transport/msgpackrpc/calls.go
@@ -54,8 +54,8 @@
 
 // NewCallServer returns a server that passes calls to handle. Name labels its counters and log lines. Serve is the Handler to give to a
 // listener.
-func NewCallServer(name string, s *metrics.Counters, handle CallHandler) *CallServer {
-	return &CallServer{name, s, handle}
+func NewCallServer(name string, stats *metrics.Counters, handle CallHandler) *CallServer {
+	return &CallServer{name, stats, handle}
 }
 
 // callConn is one connection from another process.
@@ -70,22 +70,22 @@
 }
 
 // Serve reads and answers the calls of one connection until it ends. It returns after every result is written or its write has failed.
-func (f *CallServer) Serve(conn net.Conn, slot *listener.Slot) {
+func (s *CallServer) Serve(conn net.Conn, slot *listener.Slot) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	r := bufferpool.GetReader(conn)
 	defer bufferpool.PutReader(r)
-	c := &callConn{CallServer: f, conn: conn, slot: slot}
+	c := &callConn{CallServer: s, conn: conn, slot: slot}
 	err := c.readCalls(ctx, r)
 	switch {
 	case err == nil, errors.Is(err, os.ErrDeadlineExceeded) && slot.Evicted():
 	case errors.Is(err, io.EOF), errors.Is(err, net.ErrClosed):
 		cancel() // the caller has closed the connection
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		f.stats.Inc("too_slow", f.name)
+		s.stats.Inc("too_slow", s.name)
 	case errors.Is(err, errMalformed):
-		f.stats.Inc("malformed", f.name)
-		slot.LogPeer("listener.connection_closed", f.name, conn.RemoteAddr(), err)
+		s.stats.Inc("malformed", s.name)
+		slot.LogPeer("listener.connection_closed", s.name, conn.RemoteAddr(), err)
 	}
 	c.pending.Wait() // earlier calls are answered as long as the peer reads
 	slot.CloseGracefully(r)
@@ -109,7 +109,7 @@
 			return nil
 		}
 		if m.kind == request && m.method != methodProbe { // a probe or notification comes from a misdirected balancer and is ignored
-			if err := c.begin(ctx, m); err != nil {
+			if err := c.startCall(ctx, m); err != nil {
 				return err
 			}
 		}
@@ -117,16 +117,16 @@
 	}
 }
 
-// begin passes a call to the handler and starts a goroutine that completes it and writes its result. It returns an error if the
+// startCall passes a call to the handler and starts a goroutine that completes it and writes its result. It returns an error if the
 // connection has more than maxCallsInFlight calls.
-func (c *callConn) begin(ctx context.Context, m message) error {
+func (c *callConn) startCall(ctx context.Context, m message) error {
 	c.mu.Lock()
 	c.inFlight++
-	n := c.inFlight
-	c.slot.SetInFlight(n)
+	inFlight := c.inFlight
+	c.slot.SetInFlight(inFlight)
 	c.mu.Unlock()
-	if n > maxCallsInFlight {
-		return malformed("too many calls in flight: %d", n)
+	if inFlight > maxCallsInFlight {
+		return malformed("too many calls in flight: %d", inFlight)
 	}
 	c.stats.Inc("words", c.name, m.method)
 	finish := c.handle(ctx, Call{m.method, m.fields, m.body})
@@ -151,7 +151,7 @@
 func appendCallResult(b []byte, id uint64, result CallResult) []byte {
 	b = appendUint(appendUint(appendArray(b, 4), uint64(response)), id)
 	if result.Error != "" {
-		return appendNil(appendFields(appendText(appendArray(b, 2), result.Error), result.Fields))
+		return appendNil(appendFields(appendStr(appendArray(b, 2), result.Error), result.Fields))
 	}
 	return appendFields(appendBin(appendArray(appendNil(b), 2), result.Body), result.Fields)
 }
@@ -201,14 +201,14 @@
 }
 
 // Read reads one byte. It fails once maxBytes were recorded.
-func (c *recorder) Read(p []byte) (int, error) {
-	if len(c.bytes) >= c.maxBytes {
-		return 0, malformed("message exceeds %d bytes", c.maxBytes)
+func (rec *recorder) Read(p []byte) (int, error) {
+	if len(rec.bytes) >= rec.maxBytes {
+		return 0, malformed("message exceeds %d bytes", rec.maxBytes)
 	}
-	x, err := c.r.ReadByte()
+	next, err := rec.r.ReadByte()
 	if err != nil {
 		return 0, err
 	}
-	p[0], c.bytes = x, append(c.bytes, x)
+	p[0], rec.bytes = next, append(rec.bytes, next)
 	return 1, nil
 }
--- a/internal/transport/msgpackrpc/client.go
+++ b/internal/transport/msgpackrpc/client.go
@@ -21,30 +21,30 @@
 // AppendRequest encodes a request as a balancer sends it. Fields holds alternating names and values.
 func AppendRequest(b []byte, id uint64, class string, body []byte, fields ...string) []byte {
 	b = appendUint(appendUint(appendArray(b, 4), uint64(request)), id)
-	b = appendArray(appendText(b, class), 2)
+	b = appendArray(appendStr(b, class), 2)
 	return appendBin(appendFields(b, fields), body)
 }
 
 // AppendProbe encodes a health check. Fields holds the alternating names and values of a router's probe.
 func AppendProbe(b []byte, id uint64, fields ...string) []byte {
 	b = appendUint(appendUint(appendArray(b, 4), uint64(request)), id)
-	return appendFields(appendArray(appendText(b, methodProbe), 1), fields)
+	return appendFields(appendArray(appendStr(b, methodProbe), 1), fields)
 }
 
 // AppendStatus encodes a request for the state of the service as JSON.
 func AppendStatus(b []byte, id uint64) []byte {
 	b = appendUint(appendUint(appendArray(b, 4), uint64(request)), id)
-	return appendFields(appendArray(appendText(b, StatusMethod), 1), nil)
+	return appendFields(appendArray(appendStr(b, StatusMethod), 1), nil)
 }
 
 // AppendCancel encodes the notification that cancels the request with this id.
 func AppendCancel(b []byte, id uint64) []byte {
-	b = appendText(appendUint(appendArray(b, 3), uint64(notification)), methodCancel)
+	b = appendStr(appendUint(appendArray(b, 3), uint64(notification)), methodCancel)
 	return appendUint(appendArray(b, 1), id)
 }
 
 // ReadReply reads the next message from a server. It returns io.EOF if the stream ended before the message.
-func ReadReply(r *bufio.Reader) (Reply, error) { return readReply(r, maxResult) }
+func ReadReply(r *bufio.Reader) (Reply, error) { return readReply(r, maxResultBytes) }
 
 // readReply is ReadReply for results of at most maxResult bytes.
 func readReply(r *bufio.Reader, maxResult int) (Reply, error) {
@@ -66,19 +66,19 @@
 	if a.ID, err = d.uint(); err != nil {
 		return a, err
 	}
-	noError, err := d.null()
+	noError, err := d.skipNil()
 	if err != nil {
 		return a, err
 	}
 	if !noError {
 		return a, d.readError(&a)
 	}
-	return a, d.pair(func() error { return d.readResult(&a, maxResult) }, &a.Fields)
+	return a, d.valueAndFields(func() error { return d.readResult(&a, maxResult) }, &a.Fields)
 }
 
 // readServerNotification reads the method of a notification, and for methodLastTaken the request id.
 func (d decoder) readServerNotification(a *Reply) (err error) {
-	if a.Notification, err = d.text("method"); err != nil {
+	if a.Notification, err = d.str("method"); err != nil {
 		return err
 	}
 	if a.Notification != methodLastTaken {
@@ -96,11 +96,11 @@
 
 // readError reads an error with its fields, and the nil result that must follow it.
 func (d decoder) readError(a *Reply) error {
-	err := d.pair(func() (err error) { a.Error, err = d.text("error"); return err }, &a.Fields)
+	err := d.valueAndFields(func() (err error) { a.Error, err = d.str("error"); return err }, &a.Fields)
 	if err != nil {
 		return err
 	}
-	noResult, err := d.null()
+	noResult, err := d.skipNil()
 	if err == nil && !noResult {
 		err = malformed("answer has both an error and a result")
 	}
@@ -119,8 +119,8 @@
 	return err
 }
 
-// null reports whether the next value is nil, and if so reads past it.
-func (d decoder) null() (bool, error) {
+// skipNil reports whether the next value is nil, and if so reads past it.
+func (d decoder) skipNil() (bool, error) {
 	b, err := d.r.Peek(1)
 	if err != nil || b[0] != 0xc0 {
 		return false, err
@@ -129,8 +129,8 @@
 	return true, err
 }
 
-// pair reads the array [VALUE, FIELDS]. Value reads the first element.
-func (d decoder) pair(value func() error, fields *map[string]string) error {
+// valueAndFields reads the array [VALUE, FIELDS]. Value reads the first element.
+func (d decoder) valueAndFields(value func() error, fields *map[string]string) error {
 	n, err := d.array()
 	if err != nil {
 		return err
--- a/internal/transport/msgpackrpc/conn.go
+++ b/internal/transport/msgpackrpc/conn.go
@@ -42,7 +42,7 @@
 }
 
 // NewConn returns a Conn on an open connection and starts a goroutine that reads replies until the connection ends.
-func NewConn(conn net.Conn) *Conn { return newConn(conn, maxResult) }
+func NewConn(conn net.Conn) *Conn { return newConn(conn, maxResultBytes) }
 
 // newConn is NewConn for results of at most maxResult bytes.
 func newConn(conn net.Conn, maxResult int) *Conn {
@@ -72,7 +72,7 @@
 			return
 		}
 		if a.Notification != "" {
-			c.notified(a)
+			c.handleNotification(a)
 			continue
 		}
 		c.mu.Lock()
@@ -101,9 +101,9 @@
 	c.conn.Close()
 }
 
-// notified handles a notification. After methodDrain or methodLastTaken nothing more is sent. After methodLastTaken, requests with a
-// higher id than the notification's get a reply that is Unprocessed.
-func (c *Conn) notified(a Reply) {
+// handleNotification handles a notification. After methodDrain or methodLastTaken nothing more is sent. After methodLastTaken, requests
+// with a higher id than the notification's get a reply that is Unprocessed.
+func (c *Conn) handleNotification(a Reply) {
 	c.mu.Lock()
 	c.draining = c.draining || a.Notification == methodDrain || a.Unprocessed()
 	for id, reply := range c.pending {
@@ -185,27 +185,27 @@
 const maxAttemptFields = 22
 
 // Append encodes the attempt as a request with this message id.
-func (t Attempt) Append(b []byte, id uint64) []byte {
-	fields := append(make([]string, 0, maxAttemptFields), fieldID, t.ID, fieldReceivedAt, strconv.FormatInt(t.ReceivedAt.UnixMilli(), 10),
-		fieldCaller, strconv.Itoa(t.Caller), fieldTimeout, strconv.FormatInt(t.Timeout.Milliseconds(), 10),
-		fieldMemory, strconv.FormatFloat(t.MemoryKB, 'f', 2, 64))
-	if t.Tenant != "" {
-		fields = append(fields, fieldTenant, t.Tenant)
+func (a Attempt) Append(b []byte, id uint64) []byte {
+	fields := append(make([]string, 0, maxAttemptFields), fieldID, a.ID, fieldReceivedAt, strconv.FormatInt(a.ReceivedAt.UnixMilli(), 10),
+		fieldCaller, strconv.Itoa(a.Caller), fieldTimeout, strconv.FormatInt(a.Timeout.Milliseconds(), 10),
+		fieldMemory, strconv.FormatFloat(a.MemoryKB, 'f', 2, 64))
+	if a.Tenant != "" {
+		fields = append(fields, fieldTenant, a.Tenant)
 	}
-	if t.Rank > 0 {
-		fields = append(fields, fieldRank, strconv.FormatFloat(t.Rank, 'f', 4, 64))
+	if a.Rank > 0 {
+		fields = append(fields, fieldRank, strconv.FormatFloat(a.Rank, 'f', 4, 64))
 	}
-	if t.Key != "" {
-		fields = append(fields, fieldKey, t.Key)
+	if a.Key != "" {
+		fields = append(fields, fieldKey, a.Key)
 	}
-	if t.KnownOnly {
+	if a.KnownOnly {
 		fields = append(fields, fieldKnownOnly, FlagSet)
 	}
-	if t.Incarnation != 0 {
-		fields = append(fields, FieldIncarnation, strconv.FormatInt(t.Incarnation, 10))
+	if a.Incarnation != 0 {
+		fields = append(fields, FieldIncarnation, strconv.FormatInt(a.Incarnation, 10))
 	}
-	if t.ConfigID != "" {
-		fields = append(fields, FieldConfigID, t.ConfigID)
+	if a.ConfigID != "" {
+		fields = append(fields, FieldConfigID, a.ConfigID)
 	}
-	return AppendRequest(b, id, t.Class, t.Body, fields...)
+	return AppendRequest(b, id, a.Class, a.Body, fields...)
 }
--- a/internal/transport/msgpackrpc/conn_test.go
+++ b/internal/transport/msgpackrpc/conn_test.go
@@ -96,7 +96,7 @@
 func TestDrainNotification(t *testing.T) {
 	c, s := pair()
 	_, _, reply := send(t, c, s, Attempt{ID: "a", Class: "krog", ReceivedAt: time.Now(), MemoryKB: 1})
-	s.Write(appendArray(appendText(appendUint(appendArray(nil, 3), uint64(notification)), methodDrain), 0))
+	s.Write(appendArray(appendStr(appendUint(appendArray(nil, 3), uint64(notification)), methodDrain), 0))
 	for deadline := time.Now().Add(10 * time.Second); ; time.Sleep(time.Millisecond) {
 		if _, usable := c.Capacity(); !usable {
 			break
--- a/internal/transport/msgpackrpc/decode.go
+++ b/internal/transport/msgpackrpc/decode.go
@@ -32,7 +32,7 @@
 	r             *bufio.Reader
 	statusEnabled bool // StatusMethod is handled as a method, not as a class
 	inCell        bool // probes come from routers and may have fields
-	maxBody       int  // largest body, in bytes; 0: defaultMaxBody
+	maxBody       int  // largest body, in bytes; 0: defaultMaxBodyBytes
 	// rejects reports whether every request of a class is rejected, so that its fields and body need not be decoded. Nil: none is.
 	rejects func(class string) bool
 }
@@ -46,10 +46,10 @@
 	return binary.BigEndian.Uint64(b[:]), nil
 }
 
-// length reads a length of size bytes. If size is 0, the length is fixed, which the caller took from the type byte. It returns an error
-// if the length exceeds maxLength. What names the value in the error.
-func (d decoder) length(what string, maxLength int, fixed uint64, size int) (int, error) {
-	n, err := fixed, error(nil)
+// length reads a length of size bytes. If size is 0, it uses the length inline that the caller took from the type byte. It returns an
+// error if the length exceeds maxLength. What names the value in the error.
+func (d decoder) length(what string, maxLength int, inline uint64, size int) (int, error) {
+	n, err := inline, error(nil)
 	if size > 0 {
 		n, err = d.number(size)
 	}
@@ -67,7 +67,7 @@
 	if d.maxBody > 0 {
 		return d.maxBody
 	}
-	return defaultMaxBody
+	return defaultMaxBodyBytes
 }
 
 // array reads the header of an array and returns its length.
@@ -132,9 +132,9 @@
 	return v, err
 }
 
-// text reads a string of at most maxText bytes. What names the value in errors.
-func (d decoder) text(what string) (string, error) {
-	v, err := d.bytes(what, maxText)
+// str reads a string of at most maxStringBytes bytes. What names the value in errors.
+func (d decoder) str(what string) (string, error) {
+	v, err := d.bytes(what, maxStringBytes)
 	return string(v), err
 }
 
@@ -158,19 +158,19 @@
 	}
 	m := make(map[string]string, n)
 	for range n {
-		key, err := d.text("field name")
+		key, err := d.str("field name")
 		if err != nil {
 			return nil, err
 		}
-		if m[key], err = d.text("field"); err != nil {
+		if m[key], err = d.str("field"); err != nil {
 			return nil, err
 		}
 	}
 	return m, nil
 }
 
-// layout describes the part of a value that follows its first byte.
-type layout struct {
+// valueLayout describes the part of a value that follows its first byte.
+type valueLayout struct {
 	size       int    // number of bytes that follow, without those that a length counts
 	elements   int    // number of nested values that follow
 	lengthSize int    // bytes of the length field; 0: there is none
@@ -180,25 +180,25 @@
 }
 
 // layouts maps the first byte of a value to the layout of the rest, as in the MessagePack specification.
-var layouts = func() (all [256]layout) {
-	set := func(first, last int, at func(i int) layout) {
+var layouts = func() (all [256]valueLayout) {
+	set := func(first, last int, layoutOf func(i int) valueLayout) {
 		for b := first; b <= last; b++ {
-			all[b] = at(b - first)
+			all[b] = layoutOf(b - first)
 		}
 	}
-	set(0x80, 0x8f, func(i int) layout { return layout{elements: 2 * i} }) // fixmap
-	set(0x90, 0x9f, func(i int) layout { return layout{elements: i} })     // fixarray
-	set(0xa0, 0xbf, func(i int) layout { return layout{size: i} })         // fixstr
-	set(0xc1, 0xc1, func(int) layout { return layout{invalid: true} })
-	set(0xc4, 0xc6, func(i int) layout { return layout{lengthSize: 1 << i, what: "value"} })        // bin
-	set(0xc7, 0xc9, func(i int) layout { return layout{size: 1, lengthSize: 1 << i, what: "ext"} }) // ext, with a type byte
-	set(0xca, 0xcb, func(i int) layout { return layout{size: 4 << i} })                             // float
-	set(0xcc, 0xcf, func(i int) layout { return layout{size: 1 << i} })                             // uint
-	set(0xd0, 0xd3, func(i int) layout { return layout{size: 1 << i} })                             // signed numbers
-	set(0xd4, 0xd8, func(i int) layout { return layout{size: 1 + 1<<i} })                           // fixext
-	set(0xd9, 0xdb, func(i int) layout { return layout{lengthSize: 1 << i, what: "value"} })        // str
-	set(0xdc, 0xdd, func(i int) layout { return layout{lengthSize: 2 << i, perLength: 1, what: "array"} })
-	set(0xde, 0xdf, func(i int) layout { return layout{lengthSize: 2 << i, perLength: 2, what: "map"} })
+	set(0x80, 0x8f, func(i int) valueLayout { return valueLayout{elements: 2 * i} }) // fixmap
+	set(0x90, 0x9f, func(i int) valueLayout { return valueLayout{elements: i} })     // fixarray
+	set(0xa0, 0xbf, func(i int) valueLayout { return valueLayout{size: i} })         // fixstr
+	set(0xc1, 0xc1, func(int) valueLayout { return valueLayout{invalid: true} })
+	set(0xc4, 0xc6, func(i int) valueLayout { return valueLayout{lengthSize: 1 << i, what: "value"} })        // bin
+	set(0xc7, 0xc9, func(i int) valueLayout { return valueLayout{size: 1, lengthSize: 1 << i, what: "ext"} }) // ext, with a type byte
+	set(0xca, 0xcb, func(i int) valueLayout { return valueLayout{size: 4 << i} })                             // float
+	set(0xcc, 0xcf, func(i int) valueLayout { return valueLayout{size: 1 << i} })                             // uint
+	set(0xd0, 0xd3, func(i int) valueLayout { return valueLayout{size: 1 << i} })                             // int
+	set(0xd4, 0xd8, func(i int) valueLayout { return valueLayout{size: 1 + 1<<i} })                           // fixext
+	set(0xd9, 0xdb, func(i int) valueLayout { return valueLayout{lengthSize: 1 << i, what: "value"} })        // str
+	set(0xdc, 0xdd, func(i int) valueLayout { return valueLayout{lengthSize: 2 << i, perLength: 1, what: "array"} })
+	set(0xde, 0xdf, func(i int) valueLayout { return valueLayout{lengthSize: 2 << i, perLength: 2, what: "map"} })
 	return all // the other bytes are complete values: fixint, nil, false and true
 }()
 
@@ -212,19 +212,19 @@
 	if err != nil {
 		return err
 	}
-	at := &layouts[b]
-	size, elements := at.size, at.elements
+	layout := &layouts[b]
+	size, elements := layout.size, layout.elements
 	switch {
-	case at.invalid:
+	case layout.invalid:
 		return malformed("invalid type byte %#02x", b)
-	case at.perLength > 0:
-		n, err := d.length(at.what, maxElements, 0, at.lengthSize)
+	case layout.perLength > 0:
+		n, err := d.length(layout.what, maxElements, 0, layout.lengthSize)
 		if err != nil {
 			return err
 		}
-		elements = n * at.perLength
-	case at.lengthSize > 0:
-		n, err := d.length(at.what, d.bodyLimit(), 0, at.lengthSize)
+		elements = n * layout.perLength
+	case layout.lengthSize > 0:
+		n, err := d.length(layout.what, d.bodyLimit(), 0, layout.lengthSize)
 		if err != nil {
 			return err
 		}
@@ -275,7 +275,7 @@
 	default:
 		return malformed("array of %d elements with message type %d", n, k)
 	}
-	if m.method, err = d.text("method"); err != nil {
+	if m.method, err = d.str("method"); err != nil {
 		return err
 	}
 	params, err := d.array()
--- a/internal/transport/msgpackrpc/encode.go
+++ b/internal/transport/msgpackrpc/encode.go
@@ -20,7 +20,7 @@
 	return binary.BigEndian.AppendUint64(append(b, 0xcf), n)
 }
 
-func appendText(b []byte, s string) []byte {
+func appendStr(b []byte, s string) []byte {
 	switch n := len(s); {
 	case n < 32:
 		b = append(b, 0xa0|byte(n))
@@ -57,7 +57,7 @@
 func appendFields(b []byte, pairs []string) []byte {
 	b = appendMap(b, len(pairs)/2)
 	for _, s := range pairs {
-		b = appendText(b, s)
+		b = appendStr(b, s)
 	}
 	return b
 }
--- a/internal/transport/msgpackrpc/front.go
+++ b/internal/transport/msgpackrpc/front.go
@@ -30,8 +30,8 @@
 	return &Front{c, l, s, s.Timing("write", Name)}
 }
 
-// client is one connection from a balancer or router.
-type client struct {
+// frontConn is one connection from a balancer or router.
+type frontConn struct {
 	*Front
 	conn net.Conn
 	slot *listener.Slot
@@ -50,7 +50,7 @@
 
 // Serve reads and answers the messages of one connection until it ends. It returns after every answer is written or its write has failed.
 func (f *Front) Serve(conn net.Conn, slot *listener.Slot) {
-	c := &client{Front: f, conn: conn, slot: slot, pending: map[uint64]string{}}
+	c := &frontConn{Front: f, conn: conn, slot: slot, pending: map[uint64]string{}}
 	slot.OnDrain(c.notifyDrain)
 	r := bufferpool.GetReader(conn)
 	defer bufferpool.PutReader(r)
@@ -81,7 +81,7 @@
 
 // readMessages reads and handles messages. It returns nil if the slot was evicted when a message arrived; that message is not handled.
 // It returns io.EOF if the stream ended between two messages.
-func (c *client) readMessages(r *bufio.Reader, d decoder, requests *sync.WaitGroup) error {
+func (c *frontConn) readMessages(r *bufio.Reader, d decoder, requests *sync.WaitGroup) error {
 	c.conn.SetReadDeadline(time.Now().Add(listener.MessageTimeout)) // a peer that sends nothing does not keep its slot
 	for n := 1; ; n++ {
 		if n%listener.MessagesPerTurn == 0 {
@@ -110,7 +110,7 @@
 }
 
 // abort closes a connection on which no answer can be sent any more, and reports each request in flight to the core as abandoned.
-func (c *client) abort() {
+func (c *frontConn) abort() {
 	c.conn.Close()
 	c.mu.Lock()
 	pending := c.pending
@@ -124,21 +124,21 @@
 
 // notifyDrain asks the balancer, once, to send no more requests on this connection. The balancer closes the connection when all its
 // requests are answered. The listener calls notifyDrain in a drain and when a connection has been idle too long.
-func (c *client) notifyDrain() {
+func (c *frontConn) notifyDrain() {
 	c.mu.Lock()
 	notified := c.drainNotified
 	c.drainNotified = true
 	c.mu.Unlock()
 	if !notified {
 		c.write(func(b []byte) []byte {
-			return appendArray(appendText(appendUint(appendArray(b, 3), uint64(notification)), methodDrain), 0)
+			return appendArray(appendStr(appendUint(appendArray(b, 3), uint64(notification)), methodDrain), 0)
 		})
 	}
 }
 
 // notifyLastTaken sends a router the message id of the last request taken on this connection; no later one is taken. Without it, a
 // request that crosses the close would fail, since it might have run. The listener calls it before it closes the connection.
-func (c *client) notifyLastTaken() {
+func (c *frontConn) notifyLastTaken() {
 	c.mu.Lock()
 	id := c.lastTakenID
 	c.mu.Unlock()
@@ -147,12 +147,12 @@
 	}
 	defer c.writing.Unlock()
 	c.conn.SetWriteDeadline(time.Now().Add(lastTakenTimeout))
-	_, _ = c.conn.Write(appendUint(appendArray(appendText(appendUint(appendArray(nil, 3), uint64(notification)), methodLastTaken), 1), id))
+	_, _ = c.conn.Write(appendUint(appendArray(appendStr(appendUint(appendArray(nil, 3), uint64(notification)), methodLastTaken), 1), id))
 }
 
 // write writes the message that message appends to a pooled buffer. If the write fails, it closes the connection and nothing more is
 // written; the reading goroutine then fails to read and calls abort.
-func (c *client) write(message func([]byte) []byte) {
+func (c *frontConn) write(message func([]byte) []byte) {
 	b := bufferpool.Get()
 	defer bufferpool.Put(b)
 	c.writing.Lock()
--- a/internal/transport/msgpackrpc/request.go
+++ b/internal/transport/msgpackrpc/request.go
@@ -10,7 +10,7 @@
 )
 
 // handle processes one message. It returns an error for a malformed message, which ends the connection.
-func (c *client) handle(m message, requests *sync.WaitGroup) error {
+func (c *frontConn) handle(m message, requests *sync.WaitGroup) error {
 	switch {
 	case m.kind == notification:
 		if m.method == methodCancel {
@@ -30,16 +30,16 @@
 	case m.status:
 		c.stats.Inc("status", Name)
 		c.slot.PaceCheapCall()
-		c.reply(m.id, core.Answer{Outcome: core.Served, Body: c.core.Status()})
+		c.writeAnswer(m.id, core.Answer{Outcome: core.Served, Body: c.core.Status()})
 		return nil
 	case m.skipped:
-		c.reply(m.id, c.skippedAnswer)
+		c.writeAnswer(m.id, c.skippedAnswer)
 		return nil
 	}
-	if k, _ := c.core.Class(m.method); !c.slot.AdmitsWork() && k.Effect != silverpath.Idempotent {
+	if class, _ := c.core.Class(m.method); !c.slot.AdmitsWork() && class.Effect != silverpath.Idempotent {
 		// This connection is reserved for cheap calls. An idempotent request may be cheap: the retry of one that has run already.
 		c.stats.Inc("turned_away", Name, "reserve")
-		c.reply(m.id, core.Answer{Outcome: core.Rejected, RetryAfter: c.core.RetryAfter()})
+		c.writeAnswer(m.id, core.Answer{Outcome: core.Rejected, RetryAfter: c.core.RetryAfter()})
 		c.notifyDrain()
 		return nil
 	}
@@ -47,7 +47,7 @@
 }
 
 // cancel drops a request in flight whose caller no longer waits. A request that was answered in the meantime is ignored.
-func (c *client) cancel(id uint64) {
+func (c *frontConn) cancel(id uint64) {
 	c.stats.Inc("give_up", Name)
 	c.mu.Lock()
 	requestID := c.pending[id]
@@ -61,7 +61,7 @@
 
 // serve passes a request for work to the core, in a goroutine of its own. It rejects or fails a request that has an invalid field, is
 // meant for another incarnation of this server, or exceeds maxInFlightServed. It returns an error if the message id is already in use.
-func (c *client) serve(m message, requests *sync.WaitGroup) error {
+func (c *frontConn) serve(m message, requests *sync.WaitGroup) error {
 	r, badField := mapRequest(m, time.Now(), c.core)
 	if r.RulesID != "" {
 		r.RulesSource = c.conn.RemoteAddr().String()
@@ -80,18 +80,18 @@
 	switch {
 	case badField == core.ReasonBoot:
 		c.stats.Inc("turned_away", Name, badField)
-		c.reply(m.id, core.Answer{Outcome: core.Rejected, RetryAfter: c.core.RetryAfter(), Reason: badField})
+		c.writeAnswer(m.id, core.Answer{Outcome: core.Rejected, RetryAfter: c.core.RetryAfter(), Reason: badField})
 	case badField != "":
 		c.stats.Inc("bad_field", Name, badField)
-		c.reply(m.id, core.Answer{Outcome: core.Failed})
+		c.writeAnswer(m.id, core.Answer{Outcome: core.Failed})
 	case tooMany:
 		c.stats.Inc("turned_away", Name, "too_many_open")
-		c.reply(m.id, core.Answer{Outcome: core.Rejected, RetryAfter: c.core.RetryAfter()})
+		c.writeAnswer(m.id, core.Answer{Outcome: core.Rejected, RetryAfter: c.core.RetryAfter()})
 	default:
 		requests.Add(1)
 		go func() {
 			defer requests.Done()
-			c.core.Serve(r, func(a core.Answer) { c.respond(m.id, r.ID, a) })
+			c.core.Serve(r, func(a core.Answer) { c.completeRequest(m.id, r.ID, a) })
 		}()
 	}
 	return nil
@@ -141,8 +141,8 @@
 // requestTimeout parses how long the caller waits, counted from when the balancer received the request. If the field is missing, it
 // returns the deadline of the class.
 func requestTimeout(text, class string, c *core.Core) (timeout time.Duration, ok bool) {
-	if k, known := c.Class(class); text == "" && known {
-		return k.Deadline.Truncate(time.Millisecond), true
+	if classSettings, known := c.Class(class); text == "" && known {
+		return classSettings.Deadline.Truncate(time.Millisecond), true
 	}
 	ms, err := strconv.ParseInt(text, 10, 64)
 	if err != nil || ms < 0 || ms > maxTimeout.Milliseconds() {
--- a/internal/transport/msgpackrpc/wire.go
+++ b/internal/transport/msgpackrpc/wire.go
@@ -88,15 +88,15 @@
 // Bounds on the content of a message. A message that exceeds one is malformed and closes its connection. Lengths are checked before
 // memory is allocated.
 const (
-	defaultMaxBody = 2 << 10          // bytes of a request's body, as the platform defines it
-	maxResult      = 64 << 10         // bytes of a result
-	maxText        = 512              // bytes of a method, a field name or a field value
-	maxElements    = 64               // elements of an array, or pairs of a map
-	maxDepth       = 4                // nesting depth of a skipped value
-	maxTimeout     = time.Hour        // largest fieldTimeout; the platform's deadlines are a few seconds
-	maxTerm        = time.Hour        // largest time in a router's probe; a longer one is reduced to it
-	maxMemoryKB    = 2000             // fieldMemory must be below it
-	maxClockSkew   = 10 * time.Second // how far a balancer's clock may be ahead
+	defaultMaxBodyBytes = 2 << 10          // bytes of a request's body, as the platform defines it
+	maxResultBytes      = 64 << 10         // bytes of a result
+	maxStringBytes      = 512              // bytes of a method, a field name or a field value
+	maxElements         = 64               // elements of an array, or pairs of a map
+	maxDepth            = 4                // nesting depth of a skipped value
+	maxTimeout          = time.Hour        // largest fieldTimeout; the platform's deadlines are a few seconds
+	maxProbeTime        = time.Hour        // largest time in a router's probe; a longer one is reduced to it
+	maxMemoryKB         = 2000             // fieldMemory must be below it
+	maxClockSkew        = 10 * time.Second // how far a balancer's clock may be ahead
 )
 
 const (
