--- a/internal/transport/listener/close_test.go
+++ b/internal/transport/listener/close_test.go
@@ -18,11 +18,12 @@
 	"silverpath/internal/transport/linger"
 )
 
-// echo serves lines of one byte over loopback: what is read is written back, once turn lets it. It notes what it has taken.
+// echo is a listener on loopback that writes each byte back. It reads a byte only after it has received a token from turn, and records the
+// bytes that it handled.
 type echo struct {
 	*Listener
 	addr string
-	turn chan struct{} // one token a byte that may be read; closed: all
+	turn chan struct{} // one token per byte that may be read; closed: no limit
 
 	mu    sync.Mutex
 	taken string
@@ -83,28 +84,28 @@
 	}
 }
 
-// ended reads the end of a connection: in good order, and not by a reset.
+// ended reads from a connection and requires io.EOF, neither data nor a reset.
 func ended(t *testing.T, c net.Conn) {
 	t.Helper()
 	if n, err := c.Read(make([]byte, 1)); n != 0 || !errors.Is(err, io.EOF) {
-		t.Fatalf("%d bytes and %v where the connection ends", n, err)
+		t.Fatalf("read %d bytes, %v; want io.EOF", n, err)
 	}
 }
 
-// until waits for what an event of the other side brings about.
+// until waits until holds returns true, for up to 20 seconds.
 func until(t *testing.T, what string, holds func() bool) {
 	t.Helper()
 	for deadline := time.Now().Add(20 * time.Second); !holds(); time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatalf("never: %s", what)
+			t.Fatalf("timed out waiting until %s", what)
 		}
 	}
 }
 
-// slot is the one slot there is, once it has taken so many messages.
+// slot waits for a slot that has handled this number of messages, and returns it.
 func (e *echo) slot(t *testing.T, asked int) (only *Slot) {
 	t.Helper()
-	until(t, "a connection that has asked", func() bool {
+	until(t, "a connection has sent its messages", func() bool {
 		e.Listener.mu.Lock()
 		defer e.Listener.mu.Unlock()
 		for s := range e.slots {
@@ -117,66 +118,66 @@
 	return only
 }
 
-// What has come on a connection that rests, and was not read yet, keeps its place: it is answered.
+// An idle connection on which a request has arrived that was not read yet is not evicted, and the request is answered.
 func TestEvictionMeetsARequest(t *testing.T) {
 	e := newEcho(t, 2)
 	e.turn <- struct{}{}
 	c := e.dial(t, "a")
 	read(t, c, "a")
 	s := e.slot(t, 1)
-	io.WriteString(c, "b") // the handler has no turn to read it
-	until(t, "the byte has come", func() bool { return linger.Peek(s.conn) == linger.Unread })
+	io.WriteString(c, "b") // the handler has no token to read it
+	until(t, "the byte has arrived", func() bool { return linger.Peek(s.conn) == linger.Unread })
 	if s.evict(0) {
-		t.Fatal("a connection with a request that was not read gave way")
+		t.Fatal("a connection with an unread request was evicted")
 	}
 	e.turn <- struct{}{}
 	read(t, c, "b")
 }
 
-// What comes after the sending half has ended is read and not taken, and the client sees an end in good order.
+// A request that arrives after an eviction has closed the sending half is read and not handled. The client sees io.EOF and no reset.
 func TestRequestAfterTheEnd(t *testing.T) {
 	e := newEcho(t, 2)
-	e.lingerTimeout = time.Minute // for as long as this test takes
+	e.lingerTimeout = time.Minute // longer than the test runs
 	e.turn <- struct{}{}
 	c := e.dial(t, "a")
 	read(t, c, "a")
 	s := e.slot(t, 1)
 	if !s.evict(0) || s.evict(0) || !s.Evicted() {
-		t.Fatal("one that rests does not give way, or twice")
+		t.Fatal("an idle connection was not evicted, or was evicted twice")
 	}
 	ended(t, c)
-	io.WriteString(c, "b") // in the instant of the end
+	io.WriteString(c, "b") // crosses the close
 	if err := c.(*net.TCPConn).CloseWrite(); err != nil {
-		t.Fatalf("reset: %v", err)
+		t.Fatalf("closing the sending half: %v", err)
 	}
 	close(e.turn)
 	until(t, "the connection is gone", func() bool { return e.Connections() == 0 })
 	if got := e.has(); got != "a" {
-		t.Fatalf("taken %q: what can't be answered was taken", got)
+		t.Fatalf("handled %q: a request that can't be answered was handled", got)
 	}
 }
 
-// A connection that was given up is closed soon, though its client ends nothing.
+// An evicted connection is closed soon even if its client does not close its end.
 func TestEvictedConnectionIsClosed(t *testing.T) {
 	e := newEcho(t, 2)
 	close(e.turn)
 	c := e.dial(t, "a")
 	read(t, c, "a")
 	if !e.slot(t, 1).evict(0) {
-		t.Fatal("one that rests does not give way")
+		t.Fatal("an idle connection was not evicted")
 	}
 	until(t, "the connection is gone", func() bool { return e.Connections() == 0 })
 }
 
-// The last answer arrives though more lies unread as the connection ends: it ends in good order.
+// If unread bytes remain when the connection is closed, the last answer still arrives and the connection ends without a reset.
 func TestLingerOverUnread(t *testing.T) {
 	e := newEcho(t, 2)
 	e.turn <- struct{}{}
 	c := e.dial(t, "a"+strings.Repeat("x", 20000))
 	s := e.slot(t, 1)
-	until(t, "the rest has come", func() bool { return linger.Peek(s.conn) == linger.Unread })
+	until(t, "the remaining bytes have arrived", func() bool { return linger.Peek(s.conn) == linger.Unread })
 	e.Listener.mu.Lock()
-	s.closing = true // as one that is told not to take any more
+	s.closing = true // as after an eviction: no further message is handled
 	e.Listener.mu.Unlock()
 	e.turn <- struct{}{}
 	read(t, c, "a")
@@ -185,26 +186,26 @@
 	until(t, "the connection is gone", func() bool { return e.Connections() == 0 })
 }
 
-// A listener that closes takes in who waits already: their bytes may lie on this machine.
+// Close must not lose connections in the backlog, whose first requests the kernel may already hold.
 func TestCloseAcceptsPending(t *testing.T) {
 	e := newEcho(t, 1)
 	first := e.dial(t, "")
-	until(t, "the first is served", func() bool { return e.Connections() == 1 })
+	until(t, "the first connection has a slot", func() bool { return e.Connections() == 1 })
 	e.Listener.mu.Lock()
 	for s := range e.slots {
-		s.inFlight = 1 // so that it does not give way
+		s.inFlight = 1 // prevents its eviction
 	}
 	e.Listener.mu.Unlock()
-	second := e.dial(t, "b") // is accepted, and waits for room
-	until(t, "the second waits", func() bool { return e.stats.Get("connections", "test") == 2 })
-	third := e.dial(t, "c") // waits to be accepted
+	second := e.dial(t, "b") // is accepted, and waits for a slot
+	until(t, "the second connection is accepted", func() bool { return e.stats.Get("connections", "test") == 2 })
+	third := e.dial(t, "c") // stays in the backlog
 	e.Close()
 	close(e.turn)
 	io.WriteString(first, "a")
 	read(t, first, "a")
 	read(t, second, "b")
 	read(t, third, "c")
-	until(t, "the address is closed", func() bool {
+	until(t, "the socket is closed", func() bool {
 		c, err := net.Dial("tcp", e.addr)
 		if err == nil {
 			c.Close()
@@ -213,8 +214,8 @@
 	})
 }
 
-// At the end of the process connections that rest are ended in good order, those with a request once it is answered, and one
-// that never is takes no longer than it may.
+// EndConnections closes idle connections at once and without a reset, and a connection with a request when the request is answered. If a
+// request is never answered, EndConnections returns after its timeout and leaves the connection open.
 func TestEndConnections(t *testing.T) {
 	e := newEcho(t, 4)
 	close(e.turn)
@@ -222,7 +223,7 @@
 	read(t, rests, "a")
 	read(t, busy, "b")
 	read(t, never, "c")
-	until(t, "all are seen to", func() bool {
+	until(t, "the first message of each connection is handled", func() bool {
 		e.Listener.mu.Lock()
 		defer e.Listener.mu.Unlock()
 		for s := range e.slots {
@@ -240,7 +241,7 @@
 				return s
 			}
 		}
-		t.Fatal("no slot")
+		t.Fatal("the connection has no slot")
 		return nil
 	}
 	answering, open := port(busy), port(never)
@@ -254,18 +255,18 @@
 	ended(t, rests)
 	busy.SetReadDeadline(time.Now().Add(20 * time.Millisecond))
 	if _, err := busy.Read(make([]byte, 1)); !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Fatalf("one with an open request was ended: %v", err)
+		t.Fatalf("read on a connection with a request in flight: %v, want a timeout", err)
 	}
 	busy.SetReadDeadline(time.Now().Add(20 * time.Second))
 	answering.SetInFlight(0)
 	ended(t, busy)
 	<-done
 	if open.Evicted() {
-		t.Error("one with an open request was ended at last")
+		t.Error("a connection with a request in flight was closed after the timeout")
 	}
 }
 
-// failing is a listener that is out of descriptors until a connection was given up.
+// failing is a listener whose Accept fails up to left times for lack of descriptors, while free returns false.
 type failing struct {
 	net.Listener
 	left int
@@ -280,7 +281,7 @@
 	return f.Listener.Accept()
 }
 
-// One newcomer has one connection give way, however often room is looked for while that one lingers.
+// A new connection evicts only one connection, however often awaitCapacity looks for a slot while the evicted one lingers.
 func TestOneEvictionForOneNewcomer(t *testing.T) {
 	e := newEcho(t, 3)
 	e.lingerTimeout = 300 * time.Millisecond
@@ -288,7 +289,7 @@
 	for range 3 {
 		read(t, e.dial(t, "a"), "a")
 	}
-	until(t, "all have rested", func() bool {
+	until(t, "all connections are idle", func() bool {
 		e.Listener.mu.Lock()
 		defer e.Listener.mu.Unlock()
 		n := 0
@@ -299,22 +300,22 @@
 		}
 		return n == 3
 	})
-	c := e.dial(t, "b") // the clients that rest end nothing: one of them lingers for as long as it may
+	c := e.dial(t, "b") // idle clients do not close their ends, so the evicted connection lingers until its timeout
 	for range 20 {
 		select {
-		case e.released <- struct{}{}: // as of one that was over before
+		case e.released <- struct{}{}: // as if an earlier connection had been released
 		default:
 		}
 		time.Sleep(time.Millisecond)
 	}
 	read(t, c, "b")
 	if n := e.stats.Get("evicted", "test"); n != 1 {
-		t.Errorf("%d gave way for one", n)
+		t.Errorf("%d connections evicted for one new one", n)
 	}
 }
 
-// Out of descriptors, accepting neither spins nor stops: the connection that is missed least gives way, one line a second says
-// so, and who waits is served as soon as there is room.
+// When the process is out of descriptors, accepting neither spins nor stops. An idle connection is evicted, the failure is logged at most
+// once per second, and waiting connections are accepted when a descriptor is free.
 func TestNoDescriptors(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := pipes.Listen()
@@ -337,16 +338,16 @@
 		time.Sleep(minIdleBeforeEviction)
 		f.left = 1000
 		began := time.Now()
-		wakes := p.Dial() // has the listener look again
+		wakes := p.Dial() // wakes the blocked Accept, so that the next one fails
 		waits := p.Dial()
 		synctest.Wait()
 		time.Sleep(time.Second)
 		synctest.Wait()
 		if n := l.Connections(); n != 3 {
-			t.Fatalf("%d connections %v after accepting failed, want 3", n, time.Since(began))
+			t.Fatalf("%d connections %v after accept began to fail, want 3", n, time.Since(began))
 		}
 		if !closed(t, idle) || closed(t, busy) {
-			t.Error("the one with a request gave way, or none did")
+			t.Error("the connection with a request was evicted, or the idle one was not")
 		}
 		f.free = func() bool { return false }
 		f.left = 300
@@ -355,14 +356,14 @@
 		before := l.stats.Get("accept_failed", "test")
 		time.Sleep(time.Second)
 		if n := l.stats.Get("accept_failed", "test") - before; n > uint64(time.Second/acceptRetryDelay)+1 {
-			t.Errorf("failed %d times within 1 s: it spins", n)
+			t.Errorf("accept failed %d times within 1 s: it spins", n)
 		}
 		time.Sleep(9 * time.Second)
 		if n := l.stats.Get("accept_failed", "test"); n < 200 || n > 302 {
-			t.Errorf("failed %d times within 10 s", n)
+			t.Errorf("accept failed %d times within 10 s", n)
 		}
 		if n := strings.Count(out.String(), "\n"); n > 12 {
-			t.Errorf("%d lines in 11 s", n)
+			t.Errorf("%d lines logged in 11 s", n)
 		}
 		l.Close()
 		for _, c := range []net.Conn{idle, busy, wakes, waits, third} {
@@ -371,8 +372,8 @@
 	})
 }
 
-// A crowd that waits as the listener closes is taken in within the budget: what never asked gives way to who comes after it, and
-// a request among the crowd is answered.
+// After Close, a backlog larger than the budget is accepted within the budget: connections without a message are evicted for those after
+// them, and a request in the backlog is answered.
 func TestCloseAcceptsACrowd(t *testing.T) {
 	const most, crowd = 4, 24
 	e := newEcho(t, most)
@@ -383,11 +384,11 @@
 	until(t, "the budget is full", func() bool { return e.Connections() == most })
 	e.Listener.mu.Lock()
 	for s := range e.slots {
-		s.inFlight = 1 // nothing gives way until all of the crowd waits
+		s.inFlight = 1 // prevents evictions until all connections are in the backlog
 	}
 	e.Listener.mu.Unlock()
-	e.dial(t, "") // is accepted, and waits for room
-	until(t, "one waits for room", func() bool { return e.stats.Get("connections", "test") == most+1 })
+	e.dial(t, "") // is accepted, and waits for a slot
+	until(t, "one connection waits for a slot", func() bool { return e.stats.Get("connections", "test") == most+1 })
 	for range crowd {
 		e.dial(t, "")
 	}
@@ -400,12 +401,12 @@
 	e.Close()
 	close(e.turn)
 	peak := 0
-	until(t, "the request among the crowd is answered", func() bool {
+	until(t, "the request in the backlog is handled", func() bool {
 		peak = max(peak, e.Connections())
 		return e.has() == "q"
 	})
 	read(t, asks, "q")
 	if peak > most {
-		t.Errorf("%d connections, of a budget of %d", peak, most)
+		t.Errorf("%d connections exceed the budget of %d", peak, most)
 	}
 }
--- a/internal/transport/listener/listener_test.go
+++ b/internal/transport/listener/listener_test.go
@@ -16,8 +16,8 @@
 	"silverpath/internal/testkit/pipes"
 )
 
-// play runs a test on a listener of at most two connections. Its handler reads until the end; a byte opens
-// requests, as many as the byte says.
+// play runs test with a listener of at most two connections, in simulated time. The handler sets the number of requests in flight to the
+// value of each byte that it reads. Left returns how often peers were asked to close their connections.
 func play(t *testing.T, idle time.Duration, test func(l *Listener, dial func() net.Conn, left func() int)) {
 	synctest.Test(t, func(t *testing.T) {
 		p := pipes.Listen()
@@ -65,32 +65,32 @@
 	return errors.Is(err, io.EOF)
 }
 
-// Over the budget the connection that has idled longest makes room, never one with a request open.
+// For a new connection over the budget, the connection that has been idle longest is evicted, never one with a request in flight.
 func TestBudget(t *testing.T) {
 	play(t, 0, func(l *Listener, dial func() net.Conn, _ func() int) {
 		a, b := dial(), dial()
 		a.Write([]byte{1})
-		c := dial() // waits until b may go
+		c := dial() // waits until b may be evicted
 		time.Sleep(time.Second)
 		if closed(t, a) || !closed(t, b) || closed(t, c) || l.Connections() != 2 {
 			t.Fatalf("%d connections", l.Connections())
 		}
 		c.Write([]byte{1})
-		d := dial() // none idles: it waits
+		d := dial() // no connection is idle, so this one waits
 		time.Sleep(time.Minute)
 		if closed(t, a) || closed(t, c) || l.Connections() != 2 {
-			t.Fatal("a connection with a request open was closed")
+			t.Fatal("a connection with a request in flight was closed")
 		}
 		a.Write([]byte{0})
 		time.Sleep(time.Second)
 		if !closed(t, a) || closed(t, d) {
-			t.Fatal("the one that had become idle did not make room")
+			t.Fatal("the connection that became idle was not evicted for the new one")
 		}
 	})
 }
 
-// Who has asked nothing goes before one that has, however long that idles, and who asked once before one that
-// comes again: those that connect and say nothing must not push out the balancers.
+// Connections without any message are evicted before those with one message, and these before connections with several messages, however
+// long the latter have been idle. Otherwise silent connections would displace balancers.
 func TestEvictionOrder(t *testing.T) {
 	play(t, 0, func(l *Listener, dial func() net.Conn, _ func() int) {
 		usual := dial()
@@ -102,20 +102,20 @@
 		once := dial()
 		once.Write([]byte{0})
 		time.Sleep(time.Second)
-		silent := dial() // pushes out the one that asked once
+		silent := dial() // evicts the connection with one message
 		time.Sleep(time.Second)
 		if closed(t, usual) || !closed(t, once) {
-			t.Fatal("who asked once stays, or who comes again goes")
+			t.Fatal("connection with one message was not evicted, or the one with several messages was")
 		}
 		last := dial()
 		time.Sleep(time.Second)
 		if closed(t, usual) || !closed(t, silent) || closed(t, last) {
-			t.Fatal("who said nothing stays, or who comes again goes")
+			t.Fatal("silent connection was not evicted, or the one with several messages was")
 		}
 	})
 }
 
-// Lines about peers are few, however many peers there are.
+// At most maxLinesPerWindow lines about peers are logged per second. Further events are counted as unlogged.
 func TestLogIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var out strings.Builder
@@ -128,12 +128,12 @@
 			time.Sleep(time.Second)
 		}
 		if n := strings.Count(out.String(), "\n"); n != 10*maxLinesPerWindow || l.stats.Get("unlogged", "test") != 1000-10*maxLinesPerWindow {
-			t.Fatalf("%d lines", n)
+			t.Fatalf("%d lines logged in 10 s", n)
 		}
 	})
 }
 
-// Idle connections are asked to leave, once, and those with requests open are not.
+// The peer of an idle connection is asked once to close it. The peer of a connection with a request in flight is not asked.
 func TestIdle(t *testing.T) {
 	play(t, time.Second, func(_ *Listener, dial func() net.Conn, left func() int) {
 		a := dial()
@@ -141,32 +141,32 @@
 		a.Write([]byte{1})
 		time.Sleep(900 * time.Millisecond)
 		if left() != 0 {
-			t.Fatal("asked too early")
+			t.Fatal("peer asked to leave before the idle timeout")
 		}
 		time.Sleep(5 * time.Second)
 		if n := left(); n != 1 {
-			t.Fatalf("%d asked, want 1", n)
+			t.Fatalf("%d idle peers asked to leave, want 1", n)
 		}
 	})
 }
 
-// In a drain all peers are asked to leave, those that come later too.
+// A drain asks all peers to close their connections, including those that connect during the drain.
 func TestDrain(t *testing.T) {
 	play(t, 0, func(l *Listener, dial func() net.Conn, left func() int) {
 		dial().Write([]byte{1})
 		l.Drain()
 		if n := left(); n != 1 {
-			t.Fatalf("%d asked, want 1", n)
+			t.Fatalf("%d peers asked to leave, want 1", n)
 		}
 		dial()
 		if n := left(); n != 2 {
-			t.Fatalf("%d asked, want 2", n)
+			t.Fatalf("%d peers asked to leave, want 2", n)
 		}
 	})
 }
 
-// floods plays a listener of eight connections, one of them reserved, whose peers ask something cheap with a 1 and open
-// work with a 2, and are answered with the same byte, or a 0 where the connection may carry no work.
+// floods runs test with a listener of eight connections, one of them reserved, in simulated time. A byte of 1 is a cheap call, and a 2 is a
+// request for work, which stays in flight. The answer is the same byte, or 0 if the connection may not carry work.
 func floods(t *testing.T, test func(l *Listener, dial func() net.Conn)) {
 	synctest.Test(t, func(t *testing.T) {
 		p := pipes.Listen()
@@ -217,30 +217,29 @@
 	return a[0], time.Since(began)
 }
 
-// When work holds all the connections that it may have, the next who brings work is told so at once, and who asks what
-// is cheap is answered.
+// When all connections that may carry work do, a further connection is reserved: it rejects work at once and answers cheap calls.
 func TestReserveOfConnections(t *testing.T) {
 	floods(t, func(l *Listener, dial func() net.Conn) {
 		for range 7 {
 			if a, _ := say(t, dial(), 2); a != 2 {
-				t.Fatal("work is turned away while there is room for it")
+				t.Fatal("work was rejected on an unreserved connection")
 			}
 		}
 		last := dial()
 		if a, _ := say(t, last, 2); a != 0 {
-			t.Error("work in the reserve")
+			t.Error("work was accepted on a reserved connection")
 		}
 		if a, took := say(t, last, 1); a != 1 || took > 0 {
-			t.Errorf("a cheap call: %d after %v", a, took)
+			t.Errorf("cheap call: answer %d after %v", a, took)
 		}
 		if st, on := l.Reserved(); !on || st.Working != 7 || st.WorkRejected != 1 {
-			t.Errorf("%+v, %v", st, on)
+			t.Errorf("state of the reserve: %+v, %v", st, on)
 		}
 	})
 }
 
-// Peers that only ask what is cheap, at full speed, fill every connection: each is held to its part, and a new
-// connection takes the place of the one furthest beyond it, so that a quiet peer is answered at once.
+// Peers that make cheap calls at full speed occupy every connection. Each is limited to its share, and a new connection replaces the one
+// that exceeds its share most, so that the call of a quiet peer is answered at once.
 func TestReserveUnderAFlood(t *testing.T) {
 	floods(t, func(l *Listener, dial func() net.Conn) {
 		stop := make(chan struct{})
@@ -265,18 +264,18 @@
 		}
 		time.Sleep(3 * time.Second)
 		if st, _ := l.Reserved(); st.Cheap > 3*400*3/2 || st.Delayed == 0 {
-			t.Errorf("%d cheap calls in 3 s with 400 a second for all, %d paced", st.Cheap, st.Delayed)
+			t.Errorf("%d cheap calls in 3 s at a limit of 400 per second, %d delayed", st.Cheap, st.Delayed)
 		}
 		quiet := dial()
 		if a, took := say(t, quiet, 1); a != 1 || took > 50*time.Millisecond {
-			t.Errorf("a quiet peer's call: %d after %v", a, took)
+			t.Errorf("call of a quiet peer: answer %d after %v", a, took)
 		}
 		close(stop)
 		time.Sleep(2 * time.Second)
 	})
 }
 
-// A smaller budget holds at once for those that idle, the least missed first; what has a request open stays.
+// Lowering the budget evicts idle connections at once, in the order of evictBefore. Connections with a request in flight stay.
 func TestSetMaxConnections(t *testing.T) {
 	play(t, 0, func(l *Listener, dial func() net.Conn, _ func() int) {
 		l.SetMaxConnections(4)
@@ -285,22 +284,22 @@
 			all = append(all, dial())
 		}
 		for _, c := range all[:2] {
-			c.Write([]byte{1}) // a request is open
+			c.Write([]byte{1}) // a request is in flight
 		}
-		all[3].Write([]byte{0}) // has asked once
+		all[3].Write([]byte{0}) // has sent one message
 		synctest.Wait()
 		time.Sleep(2 * minIdleBeforeEviction)
 		l.SetMaxConnections(3)
 		synctest.Wait()
 		for i, want := range []bool{false, false, true, false} {
 			if closed(t, all[i]) != want {
-				t.Errorf("connection %d: closed is %v", i, !want)
+				t.Errorf("connection %d: closed = %v", i, !want)
 			}
 		}
 		l.SetMaxConnections(1)
 		synctest.Wait()
 		if n := l.Connections(); n != 2 || !closed(t, all[3]) {
-			t.Errorf("%d connections, want the two with requests", n)
+			t.Errorf("%d connections, want the 2 with requests in flight", n)
 		}
 	})
 }
--- a/internal/transport/msgpackrpc/calls_test.go
+++ b/internal/transport/msgpackrpc/calls_test.go
@@ -16,8 +16,8 @@
 	"silverpath/internal/transport/listener"
 )
 
-// Calls are handled in their order, a slow result holds up no later one, bodies may be long, and what is too long or no call ends its
-// connection without a result and is counted.
+// A slow call does not delay later calls on its connection, and bodies may have MaxCallBody bytes. A longer body, or input that is not a
+// call, closes the connection without a result and is counted as malformed.
 func TestCalls(t *testing.T) {
 	var c metrics.Counters
 	hold := make(chan struct{})
@@ -53,18 +53,18 @@
 	slow := begin(Call{Method: "slow", Body: []byte("late")})
 	long := strings.Repeat("x", MaxCallBody)
 	if a := <-begin(Call{Method: "echo", Body: []byte(long)}); string(a.Body) != long {
-		t.Errorf("%d bytes came back, %q", len(a.Body), a.Error)
+		t.Errorf("echo returned %d bytes, error %q", len(a.Body), a.Error)
 	}
 	if a := <-begin(Call{Method: "wrong", Fields: map[string]string{"x": "because"}}); a.Error != "Wrong" || a.Fields["why"] != "because" {
-		t.Errorf("%+v", a)
+		t.Errorf("reply to call \"wrong\": %+v", a)
 	}
 	close(hold)
 	if a := <-slow; string(a.Body) != "late" {
-		t.Errorf("%+v", a)
+		t.Errorf("reply to call \"slow\": %+v", a)
 	}
-	if r, err := conn.Call(Call{Method: "echo", Body: append([]byte(long), 'x')}); err == nil { // it may break while it is written
+	if r, err := conn.Call(Call{Method: "echo", Body: append([]byte(long), 'x')}); err == nil { // the connection may break during the write
 		if a, ok := <-r; ok {
-			t.Errorf("a call over the bound is answered: %+v", a)
+			t.Errorf("call over the bound was answered: %+v", a)
 		}
 	}
 	raw, err := net.Dial("tcp", ln.Addr().String())
@@ -75,29 +75,29 @@
 	raw.Write([]byte("GET / HTTP/1.1\r\n\r\n"))
 	raw.SetReadDeadline(time.Now().Add(5 * time.Second))
 	if b, err := io.ReadAll(raw); len(b) > 0 || err != nil && !strings.Contains(err.Error(), "reset") {
-		t.Errorf("%q, %v", b, err)
+		t.Errorf("read after an HTTP request: %q, %v", b, err)
 	}
 	for until := time.Now().Add(5 * time.Second); c.Get("malformed", "calls") < 2; time.Sleep(time.Millisecond) {
 		if time.Now().After(until) {
-			t.Fatalf("%d counted", c.Get("malformed", "calls"))
+			t.Fatalf("%d messages counted as malformed, want 2", c.Get("malformed", "calls"))
 		}
 	}
 }
 
-// A message is read as it stands on the wire, whatever it says, and no further.
+// ReadMessage returns the exact bytes of one message and reads nothing after it.
 func TestReadMessage(t *testing.T) {
 	one := AppendRequest(nil, 7, "krog", bytes.Repeat([]byte("b"), 300), "i", "x", "s", "1")
 	two := AppendCancel(nil, 7)
 	r := bufio.NewReader(bytes.NewReader(append(append([]byte{}, one...), two...)))
 	for _, want := range [][]byte{one, two} {
 		if got, err := ReadMessage(r, 1000); err != nil || !bytes.Equal(got, want) {
-			t.Fatalf("%q, %v", got, err)
+			t.Fatalf("ReadMessage: %q, %v", got, err)
 		}
 	}
 	if _, err := ReadMessage(r, 1000); !errors.Is(err, io.EOF) {
 		t.Error(err)
 	}
 	if _, err := ReadMessage(bufio.NewReader(bytes.NewReader(one)), 100); err == nil {
-		t.Error("a message over the bound is read")
+		t.Error("message over the bound was read")
 	}
 }
--- a/internal/transport/msgpackrpc/close_test.go
+++ b/internal/transport/msgpackrpc/close_test.go
@@ -20,7 +20,7 @@
 	"silverpath/internal/transport/listener"
 )
 
-// worker is a stand-in runner whose runs end when the test says so.
+// worker is a stand-in runner that reports started runs on a channel. The test ends them.
 type worker struct {
 	*core.Core
 	runs chan string
@@ -30,7 +30,7 @@
 func (w worker) Resume(string, []byte)      {}
 func (w worker) Probe()                     { w.Gauges(silverpath.Gauges{}) }
 
-// serve serves a listener with at most so many connections.
+// serve starts a core and its front on a listener with at most maxConns connections.
 func serve(t *testing.T, ln net.Listener, most int) (worker, *listener.Listener, *metrics.Counters) {
 	t.Helper()
 	counters, quiet := &metrics.Counters{}, log.New(io.Discard, "", 0)
@@ -53,9 +53,8 @@
 	return AppendRequest(nil, id, "x", []byte("body"), "i", fmt.Sprintf("%016x", id), "s", fmt.Sprint(time.Now().UnixMilli()), "d", "30000", "m", "1")
 }
 
-// What a connection brings after a whole request costs that request nothing: half a message that goes no further, or is cut off
-// by the end of what the client sends, and what is no message at all, with much more behind it. The answer arrives, and then the
-// connection ends in good order.
+// Input after a complete request must not affect its answer. The input is an incomplete message that stalls or is cut off by the end of
+// the stream, or a malformed message with more data after it. The answer must arrive and the connection must end without a reset.
 func TestHalfMessageCostsNobody(t *testing.T) {
 	half := ask(2)[:20]
 	garbage := []byte("\xc1" + strings.Repeat("x", 30000))
@@ -76,7 +75,7 @@
 				conn.(*net.TCPConn).CloseWrite()
 			}
 			id := <-w.runs
-			for counters.Get("malformed", Name) == 0 { // until it has been met
+			for counters.Get("malformed", Name) == 0 { // until the front has read it
 				time.Sleep(time.Millisecond)
 			}
 			w.RunEnded(id, silverpath.OK, 0, []byte("done"))
@@ -85,7 +84,7 @@
 				t.Errorf("%s: %+v, %v", name, a, err)
 			}
 			if _, err := ReadReply(r); !errors.Is(err, io.EOF) {
-				t.Errorf("%s: the connection ends by %v", name, err)
+				t.Errorf("%s: read after the answer: %v, want io.EOF", name, err)
 			}
 			conn.Close()
 			l.Close()
@@ -97,15 +96,15 @@
 			p := pipes.Listen()
 			w, l, counters := serve(t, p, 10)
 			conn := p.Dial()
-			go conn.Write(append(ask(1), half...)) // and no more
+			go conn.Write(append(ask(1), half...)) // the rest is never sent
 			id := <-w.runs
 			time.Sleep(2 * listener.MessageTimeout)
 			if n := counters.Get("too_slow", Name); n != 1 {
-				t.Errorf("%d too slow", n)
+				t.Errorf("%d connections counted as too slow, want 1", n)
 			}
 			go w.RunEnded(id, silverpath.OK, 0, []byte("done"))
 			if a, err := ReadReply(bufio.NewReader(conn)); err != nil || a.ID != 1 || string(a.Body) != "done" {
-				t.Errorf("%+v, %v", a, err)
+				t.Errorf("answer to the complete request: %+v, %v", a, err)
 			}
 			conn.Close()
 			l.Close()
@@ -115,7 +114,7 @@
 	})
 }
 
-// A connection whose answer is still being written is not idle: a newcomer waits rather than cut it off.
+// A connection is not idle while an answer is being written: a new connection waits for a slot instead of evicting it.
 func TestAnswerBeingWritten(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := pipes.Listen()
@@ -124,19 +123,19 @@
 		go conn.Write(ask(1))
 		id := <-w.runs
 		w.RunEnded(id, silverpath.OK, 0, []byte("done"))
-		synctest.Wait() // it is being written: a pipe takes it only as it is read
+		synctest.Wait() // the answer is being written: a write to a pipe blocks until it is read
 		next := p.Dial()
 		go next.Write(ask(2))
 		time.Sleep(writeTimeout / 2)
 		if n := len(w.runs); n != 0 {
-			t.Fatal("the newcomer was served before there was room")
+			t.Fatal("request of the new connection ran before a slot was free")
 		}
 		if a, err := ReadReply(bufio.NewReader(conn)); err != nil || string(a.Body) != "done" {
-			t.Fatalf("the answer was cut off: %+v, %v", a, err)
+			t.Fatalf("answer was cut off: %+v, %v", a, err)
 		}
 		w.RunEnded(<-w.runs, silverpath.OK, 0, []byte("then"))
 		if a, err := ReadReply(bufio.NewReader(next)); err != nil || string(a.Body) != "then" {
-			t.Fatalf("the newcomer: %+v, %v", a, err)
+			t.Fatalf("answer on the new connection: %+v, %v", a, err)
 		}
 		conn.Close()
 		next.Close()
@@ -146,8 +145,8 @@
 	})
 }
 
-// What a client that floods a connection with requests sends behind the bound is refused at once and leaves nothing behind, and
-// the answers to what was taken come all the same.
+// On a connection flooded with requests, those beyond maxInFlightServed are rejected at once and leave no state behind. The accepted
+// requests are answered.
 func TestFloodOfRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := pipes.Listen()
@@ -172,7 +171,7 @@
 		began := time.Now()
 		synctest.Wait()
 		if n := counters.Get("turned_away", Name, "too_many_open"); n == 0 || time.Since(began) > 0 {
-			t.Errorf("%d refused at once, %v later", n, time.Since(began))
+			t.Errorf("%d requests rejected after %v, want some at once", n, time.Since(began))
 		}
 		for n := 0; n < sent; {
 			select {
@@ -182,9 +181,9 @@
 				n++
 			}
 		}
-		time.Sleep(time.Second) // until the view is made anew
+		time.Sleep(time.Second) // until the core has updated its view
 		if v := w.View(); v.PendingAnswers != 0 || v.InHand != 0 {
-			t.Errorf("left behind: %+v", v)
+			t.Errorf("state left behind: %+v", v)
 		}
 		conn.Close()
 		l.Close()
@@ -193,7 +192,8 @@
 	})
 }
 
-// What was read together with the message before it is not seen on the connection any more: it keeps its place all the same.
+// Bytes that were read together with the previous message no longer show as unread on the socket. The connection must still not count as
+// idle: evicting it would lose the request that these bytes begin.
 func TestReadAheadIsNotEvicted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := pipes.Listen()
@@ -202,19 +202,19 @@
 		go conn.Write(append(AppendProbe(nil, 1), whole[:20]...))
 		r := bufio.NewReader(conn)
 		if a, err := ReadReply(r); err != nil || !a.Healthy {
-			t.Fatalf("%+v, %v", a, err)
+			t.Fatalf("answer to the probe: %+v, %v", a, err)
 		}
-		l.EndConnections(100 * time.Millisecond) // ends what rests
+		l.EndConnections(100 * time.Millisecond) // closes idle connections
 		go conn.Write(whole[20:])
 		synctest.Wait()
 		select {
 		case id := <-w.runs:
 			w.RunEnded(id, silverpath.OK, 0, []byte("done"))
 		default:
-			t.Error("it is not taken")
+			t.Error("request that was read ahead in part was not run")
 		}
 		if a, err := ReadReply(r); err != nil || string(a.Body) != "done" {
-			t.Errorf("%+v, %v", a, err)
+			t.Errorf("answer to the request: %+v, %v", a, err)
 		}
 		conn.Close()
 		l.Close()
@@ -223,9 +223,10 @@
 	})
 }
 
-// The buffer of an answer that is being written belongs to it until it is: what others are told meanwhile comes from others.
+// The pooled buffer of an answer must not be reused until its write has returned. Answers written to other connections meanwhile use other
+// buffers.
 func TestBufferOfAnAnswerBeingWritten(t *testing.T) {
-	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1)) // a pool has buffers for each
+	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1)) // sync.Pool keeps buffers per processor
 	synctest.Test(t, func(t *testing.T) {
 		p := pipes.Listen()
 		w, l, _ := serve(t, p, 10)
@@ -235,11 +236,11 @@
 			conns = append(conns, conn)
 			go conn.Write(ask(uint64(id + 1)))
 			w.RunEnded(<-w.runs, silverpath.OK, 0, []byte(body))
-			synctest.Wait() // it is being written: a pipe takes it only as it is read
+			synctest.Wait() // the answer is being written: a write to a pipe blocks until it is read
 		}
 		for id, want := range []string{"first", "other", "third"} {
 			if a, err := ReadReply(bufio.NewReader(conns[id])); err != nil || a.ID != uint64(id+1) || string(a.Body) != want {
-				t.Errorf("connection %d is told %+v, %v", id+1, a, err)
+				t.Errorf("answer on connection %d: %+v, %v", id+1, a, err)
 			}
 			conns[id].Close()
 		}
--- a/internal/transport/msgpackrpc/conn_test.go
+++ b/internal/transport/msgpackrpc/conn_test.go
@@ -10,7 +10,7 @@
 	"silverpath/internal/core"
 )
 
-// service is the other end of a connection, played by the test.
+// service is the server's end of a connection. The test reads and writes its messages.
 type service struct {
 	net.Conn
 	d decoder
@@ -33,7 +33,7 @@
 	return m
 }
 
-// send sends a try and returns what the service read of it.
+// send sends an attempt. It returns the message that the service read, and the id and reply channel that Send returned.
 func send(t *testing.T, c *Conn, s service, try Attempt) (message, uint64, <-chan Reply) {
 	t.Helper()
 	type sent struct {
@@ -53,7 +53,8 @@
 	return m, x.id, x.reply
 }
 
-// Ids rise, at most 32 requests are open, a request that is given up is said to be, and its late answer goes nowhere.
+// Message ids increase, and at most MaxInFlight requests are in flight. Cancel notifies the server, and a late answer to the cancelled
+// request is dropped.
 func TestConn(t *testing.T) {
 	c, s := pair()
 	defer c.Close()
@@ -62,37 +63,37 @@
 	first, id, reply := send(t, c, s, try)
 	f := first.fields
 	if first.id != 1 || id != 1 || f["i"] != "a" || f["s"] != "7" || f["d"] != "80" || f["m"] != "1.50" || f["n"] != "1" || f["b"] != "9" || f["k"] != "k" || f["p"] != "0.2500" {
-		t.Fatalf("%+v", first)
+		t.Fatalf("message of the attempt: %+v", first)
 	}
 	for n := uint64(2); n <= MaxInFlight; n++ {
 		if room, usable := c.Capacity(); !room || !usable {
-			t.Fatalf("no room for request %d", n)
+			t.Fatalf("no capacity for request %d", n)
 		}
 		if m, _, _ := send(t, c, s, try); m.id != n {
 			t.Fatalf("id %d, want %d", m.id, n)
 		}
 	}
 	if room, usable := c.Capacity(); room || !usable {
-		t.Errorf("room for request %d", MaxInFlight+1)
+		t.Errorf("capacity for request %d", MaxInFlight+1)
 	}
 	if _, _, err := c.Send(func(uint64) []byte { return nil }); !errors.Is(err, ErrFull) {
-		t.Errorf("request %d: %v", MaxInFlight+1, err)
+		t.Errorf("Send of request %d: %v, want ErrFull", MaxInFlight+1, err)
 	}
 	go c.Cancel(id)
 	if m := s.next(t); m.method != methodCancel || m.id != id {
-		t.Errorf("%+v", m)
+		t.Errorf("message after Cancel: %+v", m)
 	}
 	s.Write(appendAnswer(nil, id, done, nil))
 	s.Write(appendAnswer(nil, 2, done, nil))
 	select {
 	case a := <-reply:
-		t.Errorf("an answer to what was given up: %+v", a)
+		t.Errorf("reply to a cancelled request: %+v", a)
 	case <-time.After(20 * time.Millisecond):
 	}
 }
 
-// Told to bring no more, a connection takes none, and closes once all on it is answered. One that breaks closes what is
-// open without a reply.
+// After methodDrain a connection accepts no more requests and closes when all requests on it are answered. When a connection breaks, the
+// channels of its requests are closed without a reply.
 func TestDrainNotification(t *testing.T) {
 	c, s := pair()
 	_, _, reply := send(t, c, s, Attempt{ID: "a", Class: "krog", ReceivedAt: time.Now(), MemoryKB: 1})
@@ -101,23 +102,23 @@
 		if _, usable := c.Capacity(); !usable {
 			break
 		} else if time.Now().After(deadline) {
-			t.Fatal("it takes more after the last call")
+			t.Fatal("connection accepts requests after methodDrain")
 		}
 	}
 	s.Write(appendAnswer(nil, 1, done, nil))
 	if a, ok := <-reply; !ok || string(a.Body) != "done" {
-		t.Errorf("%+v, %v", a, ok)
+		t.Errorf("reply while draining: %+v, %v", a, ok)
 	}
 	if _, err := s.d.message(); err == nil {
-		t.Error("it stays open")
+		t.Error("drained connection stays open")
 	}
 	c, s = pair()
 	_, _, reply = send(t, c, s, Attempt{ID: "a", Class: "krog", ReceivedAt: time.Now(), MemoryKB: 1})
 	s.Close()
 	if a, ok := <-reply; ok {
-		t.Errorf("%+v off a broken connection", a)
+		t.Errorf("reply on a broken connection: %+v", a)
 	}
 	if _, _, err := c.Send(func(uint64) []byte { return nil }); err == nil {
-		t.Error("a broken connection is written to")
+		t.Error("Send on a broken connection succeeded")
 	}
 }
--- a/internal/transport/msgpackrpc/decode_test.go
+++ b/internal/transport/msgpackrpc/decode_test.go
@@ -13,7 +13,7 @@
 	"silverpath/internal/core"
 )
 
-// valid are messages as balancers send them.
+// valid has messages as balancers send them.
 var valid = [][]byte{
 	AppendRequest(nil, 7, "oddaja", []byte("a\x00b"), "i", "9b1f03aa5c7e2d41", "s", "1764576000123", "f", "4", "t", "acme",
 		"d", "480", "m", "24.5", "p", "0.6250", "k", "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"),
@@ -30,10 +30,10 @@
 func TestMessages(t *testing.T) {
 	m, err := read(valid[0])
 	if err != nil || m.id != 7 || m.method != "oddaja" || string(m.body) != "a\x00b" || m.fields["k"] == "" || len(m.fields) != 8 {
-		t.Fatalf("%+v, %v", m, err)
+		t.Fatalf("request: %+v, %v", m, err)
 	}
 	if m, err = read(valid[3]); err != nil || m.kind != notification || m.id != 300 {
-		t.Fatalf("%+v, %v", m, err)
+		t.Fatalf("cancellation: %+v, %v", m, err)
 	}
 	r := bufio.NewReader(bytes.NewReader(bytes.Join(valid, nil)))
 	for i := range valid {
@@ -46,7 +46,7 @@
 	}
 }
 
-// A message cut anywhere is never taken for a whole one, nor for a clean end.
+// A message that is cut at any byte gives io.ErrUnexpectedEOF, neither a message nor io.EOF.
 func TestCuts(t *testing.T) {
 	for i, b := range valid {
 		for n := 1; n < len(b); n++ {
@@ -57,7 +57,7 @@
 	}
 }
 
-// bad is what clients that are no balancers send.
+// bad has malformed messages, as peers that are not balancers send them.
 var bad = map[string][]byte{
 	"not an array":      {0x81, 0, 0},
 	"a response":        {0x94, 1, 1, 0xc0, 0xc0},
@@ -84,7 +84,7 @@
 	}
 }
 
-// Garbage, from a fixed seed, ends in an error or a message, never in a panic or a large allocation.
+// Randomly altered messages give an error or a message within its bounds, never a panic or a large allocation. The seed is fixed.
 func TestGarbage(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(1, 2))
 	for range 20000 {
@@ -93,7 +93,7 @@
 			b[rnd.IntN(len(b))] = byte(rnd.Uint32())
 		}
 		if m, err := read(b); err == nil && len(m.body) > defaultMaxBodyBytes {
-			t.Fatalf("body of %d bytes", len(m.body))
+			t.Fatalf("body of %d bytes exceeds its bound", len(m.body))
 		}
 	}
 }
@@ -110,7 +110,7 @@
 	f.Fuzz(func(t *testing.T, b []byte) {
 		m, err := read(b)
 		if err == nil && (len(m.body) > defaultMaxBodyBytes || len(m.fields) > maxElements || len(m.method) > maxStringBytes) {
-			t.Fatal("a message beyond its bounds")
+			t.Fatal("message exceeds its bounds")
 		}
 	})
 }
@@ -141,7 +141,8 @@
 	}
 }
 
-// A request with a bad field is named by it, and answered: its connection holds other requests.
+// mapRequest reports the name of an invalid field instead of an error that would close the connection, since the connection may carry other
+// requests.
 func TestFields(t *testing.T) {
 	c, err := core.New(core.Config{Settings: silverpath.Settings{Cores: 1, MemoryKB: 1,
 		Classes: []silverpath.Class{{Name: "x", Deadline: time.Second}}}, MemoryMB: 16})
@@ -161,47 +162,48 @@
 		}
 		r, problem := mapRequest(message{method: "x", fields: fields}, time.Now(), c)
 		if problem != field {
-			t.Errorf("field %s=%q: problem %q", field, value, problem)
+			t.Errorf("field %s=%q: invalid field %q", field, value, problem)
 		}
 		if field == "" && (r.Deadline != time.UnixMilli(1500) || r.ReceivedAt != time.UnixMilli(1000) || r.Key != "key" || r.MemoryKB != 24.5) {
-			t.Errorf("request %+v", r)
+			t.Errorf("mapped request: %+v", r)
 		}
 	}
 	delete(good, "d")
 	if r, problem := mapRequest(message{method: "x", fields: good}, time.Now(), c); problem != "" || r.Deadline != time.UnixMilli(2000) {
-		t.Errorf("without d: %q, due %v", problem, r.Deadline)
+		t.Errorf("without field d: invalid field %q, deadline %v", problem, r.Deadline)
 	}
 }
 
-// A request of a shut class is passed over whole, without its body being kept, and what follows it is read.
+// The decoder skips a request of a rejected class without keeping its fields and body, and reads the messages after it. A status request is
+// malformed if status is not enabled. A skipped body still has to keep its bound.
 func TestSkippedRequest(t *testing.T) {
 	b := AppendRequest(nil, 3, "shut", bytes.Repeat([]byte("x"), 2000), "i", "a", "d", "7")
 	b = AppendStatus(AppendProbe(AppendRequest(b, 4, "open", []byte("y"), "i", "b"), 5), 6)
 	d := decoder{r: bufio.NewReader(bytes.NewReader(b)), statusEnabled: true, rejects: func(class string) bool { return class == "shut" }}
 	if m, err := d.message(); err != nil || !m.skipped || m.id != 3 || m.fields != nil || m.body != nil {
-		t.Fatalf("%+v, %v", m, err)
+		t.Fatalf("request of a rejected class: %+v, %v", m, err)
 	}
 	if m, err := d.message(); err != nil || m.skipped || m.id != 4 || string(m.body) != "y" || m.fields["i"] != "b" {
-		t.Fatalf("%+v, %v", m, err)
+		t.Fatalf("request after the skipped one: %+v, %v", m, err)
 	}
 	if m, err := d.message(); err != nil || m.method != methodProbe {
-		t.Fatalf("%+v, %v", m, err)
+		t.Fatalf("probe: %+v, %v", m, err)
 	}
 	if m, err := d.message(); err != nil || !m.status || m.id != 6 {
-		t.Fatalf("%+v, %v", m, err)
+		t.Fatalf("status request: %+v, %v", m, err)
 	}
 	d = decoder{r: bufio.NewReader(bytes.NewReader(AppendStatus(nil, 1)))}
 	if _, err := d.message(); !errors.Is(err, errMalformed) {
-		t.Errorf("a status request where there are none: %v", err)
+		t.Errorf("status request with status disabled: %v", err)
 	}
 	huge := append(appendStr(appendArray(append([]byte{0x94, 0, 1}, 0), 0)[:3], "shut"), 0x92, 0x80, 0xc6, 0x7f, 0xff, 0xff, 0xff)
 	d = decoder{r: bufio.NewReader(bytes.NewReader(huge)), rejects: func(string) bool { return true }}
 	if _, err := d.message(); !errors.Is(err, errMalformed) {
-		t.Errorf("a body said to hold 2 GB: %v", err)
+		t.Errorf("skipped body with a declared length of 2 GB: %v", err)
 	}
 }
 
-// What reading a request costs, whole and passed over.
+// BenchmarkRead measures decoding a request, and skipping one of a rejected class.
 func BenchmarkRead(b *testing.B) {
 	raw := AppendRequest(nil, 3, "lestvica", bytes.Repeat([]byte("x"), 200), "i", "9b1f03aa5c7e2d41", "s", "1764576000123",
 		"f", "4", "t", "acme", "d", "480", "m", "24.5", "p", "0.6250")
--- a/internal/transport/msgpackrpc/front_test.go
+++ b/internal/transport/msgpackrpc/front_test.go
@@ -17,8 +17,8 @@
 	"silverpath/internal/transport/listener"
 )
 
-// A number that was given up may be another request's when the first one's answer comes: that one is not written,
-// or the second request would get an answer that is not its own.
+// A balancer may reuse the message id of a cancelled request. The late answer to the cancelled request must not be written, since the
+// balancer would take it for the answer to the second request.
 func TestReusedNumber(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c, err := core.New(core.Config{Settings: silverpath.Settings{Cores: 1, MemoryKB: 1,
@@ -37,10 +37,10 @@
 		defer l.Close()
 		r := bufio.NewReader(p.Dial())
 		if a, err := ReadReply(r); err != nil || a.ID != 7 || string(a.Body) != "second" {
-			t.Fatalf("answer %+v, %v", a, err)
+			t.Fatalf("answer: %+v, %v", a, err)
 		}
 		if _, err := ReadReply(r); !errors.Is(err, io.EOF) {
-			t.Fatalf("a second answer: %v", err)
+			t.Fatalf("read after the answer: %v, want io.EOF", err)
 		}
 	})
 }
