--- a/internal/transport/listener/close_test.go
+++ b/internal/transport/listener/close_test.go
@@ -18,25 +18,25 @@
 	"silverpath/internal/transport/linger"
 )
 
-// echo is a listener on loopback that writes each byte back. It reads a byte only after it has received a token from turn, and records the
-// bytes that it handled.
+// echo is a listener on loopback that writes each byte back. It reads a byte only after it has received a token, and records the bytes that
+// it handled.
 type echo struct {
 	*Listener
-	addr string
-	turn chan struct{} // one token per byte that may be read; closed: no limit
+	addr   string
+	tokens chan struct{} // one token per byte that may be read; closed: no limit
 
-	mu    sync.Mutex
-	taken string
+	mu      sync.Mutex
+	handled string
 }
 
-func newEcho(t *testing.T, most int) *echo {
+func newEcho(t *testing.T, maxConns int) *echo {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	e := &echo{addr: ln.Addr().String(), turn: make(chan struct{}, 100)}
-	e.Listener = New("test", ln, most, func() time.Duration { return 0 }, e.handle, log.New(io.Discard, "", 0), &metrics.Counters{})
+	e := &echo{addr: ln.Addr().String(), tokens: make(chan struct{}, 100)}
+	e.Listener = New("test", ln, maxConns, func() time.Duration { return 0 }, e.handle, log.New(io.Discard, "", 0), &metrics.Counters{})
 	go e.Serve()
 	t.Cleanup(e.Close)
 	return e
@@ -44,22 +44,22 @@
 
 func (e *echo) handle(conn net.Conn, s *Slot) {
 	for b := []byte{0}; ; s.EndMessage() {
-		<-e.turn
+		<-e.tokens
 		if _, err := conn.Read(b); err != nil || !s.BeginMessage() {
 			break
 		}
 		e.mu.Lock()
-		e.taken += string(b)
+		e.handled += string(b)
 		e.mu.Unlock()
 		conn.Write(b)
 	}
 	s.CloseGracefully(nil)
 }
 
-func (e *echo) has() string {
+func (e *echo) handledBytes() string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.taken
+	return e.handled
 }
 
 func (e *echo) dial(t *testing.T, bytes string) net.Conn {
@@ -76,7 +76,7 @@
 	return c
 }
 
-func read(t *testing.T, c net.Conn, want string) {
+func expectRead(t *testing.T, c net.Conn, want string) {
 	t.Helper()
 	b := make([]byte, len(want))
 	if _, err := io.ReadFull(c, b); err != nil || string(b) != want {
@@ -84,18 +84,18 @@
 	}
 }
 
-// ended reads from a connection and requires io.EOF, neither data nor a reset.
-func ended(t *testing.T, c net.Conn) {
+// expectEOF reads from a connection and requires io.EOF, neither data nor a reset.
+func expectEOF(t *testing.T, c net.Conn) {
 	t.Helper()
 	if n, err := c.Read(make([]byte, 1)); n != 0 || !errors.Is(err, io.EOF) {
 		t.Fatalf("read %d bytes, %v; want io.EOF", n, err)
 	}
 }
 
-// until waits until holds returns true, for up to 20 seconds.
-func until(t *testing.T, what string, holds func() bool) {
+// waitUntil waits until condition returns true, for up to 20 seconds.
+func waitUntil(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	for deadline := time.Now().Add(20 * time.Second); !holds(); time.Sleep(time.Millisecond) {
+	for deadline := time.Now().Add(20 * time.Second); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
 			t.Fatalf("timed out waiting until %s", what)
 		}
@@ -103,56 +103,56 @@
 }
 
 // slot waits for a slot that has handled this number of messages, and returns it.
-func (e *echo) slot(t *testing.T, asked int) (only *Slot) {
+func (e *echo) slot(t *testing.T, messages int) (found *Slot) {
 	t.Helper()
-	until(t, "a connection has sent its messages", func() bool {
+	waitUntil(t, "a connection has sent its messages", func() bool {
 		e.Listener.mu.Lock()
 		defer e.Listener.mu.Unlock()
 		for s := range e.slots {
-			if s.messages == asked && !s.handling {
-				only = s
+			if s.messages == messages && !s.handling {
+				found = s
 			}
 		}
-		return only != nil
+		return found != nil
 	})
-	return only
+	return found
 }
 
 // An idle connection on which a request has arrived that was not read yet is not evicted, and the request is answered.
 func TestEvictionMeetsARequest(t *testing.T) {
 	e := newEcho(t, 2)
-	e.turn <- struct{}{}
+	e.tokens <- struct{}{}
 	c := e.dial(t, "a")
-	read(t, c, "a")
+	expectRead(t, c, "a")
 	s := e.slot(t, 1)
 	io.WriteString(c, "b") // the handler has no token to read it
-	until(t, "the byte has arrived", func() bool { return linger.Peek(s.conn) == linger.Unread })
+	waitUntil(t, "the byte has arrived", func() bool { return linger.Peek(s.conn) == linger.Unread })
 	if s.evict(0) {
 		t.Fatal("a connection with an unread request was evicted")
 	}
-	e.turn <- struct{}{}
-	read(t, c, "b")
+	e.tokens <- struct{}{}
+	expectRead(t, c, "b")
 }
 
 // A request that arrives after an eviction has closed the sending half is read and not handled. The client sees io.EOF and no reset.
 func TestRequestAfterTheEnd(t *testing.T) {
 	e := newEcho(t, 2)
 	e.lingerTimeout = time.Minute // longer than the test runs
-	e.turn <- struct{}{}
+	e.tokens <- struct{}{}
 	c := e.dial(t, "a")
-	read(t, c, "a")
+	expectRead(t, c, "a")
 	s := e.slot(t, 1)
 	if !s.evict(0) || s.evict(0) || !s.Evicted() {
 		t.Fatal("an idle connection was not evicted, or was evicted twice")
 	}
-	ended(t, c)
+	expectEOF(t, c)
 	io.WriteString(c, "b") // crosses the close
 	if err := c.(*net.TCPConn).CloseWrite(); err != nil {
 		t.Fatalf("closing the sending half: %v", err)
 	}
-	close(e.turn)
-	until(t, "the connection is gone", func() bool { return e.Connections() == 0 })
-	if got := e.has(); got != "a" {
+	close(e.tokens)
+	waitUntil(t, "the connection is gone", func() bool { return e.Connections() == 0 })
+	if got := e.handledBytes(); got != "a" {
 		t.Fatalf("handled %q: a request that can't be answered was handled", got)
 	}
 }
@@ -160,52 +160,52 @@
 // An evicted connection is closed soon even if its client does not close its end.
 func TestEvictedConnectionIsClosed(t *testing.T) {
 	e := newEcho(t, 2)
-	close(e.turn)
+	close(e.tokens)
 	c := e.dial(t, "a")
-	read(t, c, "a")
+	expectRead(t, c, "a")
 	if !e.slot(t, 1).evict(0) {
 		t.Fatal("an idle connection was not evicted")
 	}
-	until(t, "the connection is gone", func() bool { return e.Connections() == 0 })
+	waitUntil(t, "the connection is gone", func() bool { return e.Connections() == 0 })
 }
 
 // If unread bytes remain when the connection is closed, the last answer still arrives and the connection ends without a reset.
 func TestLingerOverUnread(t *testing.T) {
 	e := newEcho(t, 2)
-	e.turn <- struct{}{}
+	e.tokens <- struct{}{}
 	c := e.dial(t, "a"+strings.Repeat("x", 20000))
 	s := e.slot(t, 1)
-	until(t, "the remaining bytes have arrived", func() bool { return linger.Peek(s.conn) == linger.Unread })
+	waitUntil(t, "the remaining bytes have arrived", func() bool { return linger.Peek(s.conn) == linger.Unread })
 	e.Listener.mu.Lock()
 	s.closing = true // as after an eviction: no further message is handled
 	e.Listener.mu.Unlock()
-	e.turn <- struct{}{}
-	read(t, c, "a")
-	ended(t, c)
+	e.tokens <- struct{}{}
+	expectRead(t, c, "a")
+	expectEOF(t, c)
 	c.Close()
-	until(t, "the connection is gone", func() bool { return e.Connections() == 0 })
+	waitUntil(t, "the connection is gone", func() bool { return e.Connections() == 0 })
 }
 
 // Close must not lose connections in the backlog, whose first requests the kernel may already hold.
 func TestCloseAcceptsPending(t *testing.T) {
 	e := newEcho(t, 1)
 	first := e.dial(t, "")
-	until(t, "the first connection has a slot", func() bool { return e.Connections() == 1 })
+	waitUntil(t, "the first connection has a slot", func() bool { return e.Connections() == 1 })
 	e.Listener.mu.Lock()
 	for s := range e.slots {
 		s.inFlight = 1 // prevents its eviction
 	}
 	e.Listener.mu.Unlock()
 	second := e.dial(t, "b") // is accepted, and waits for a slot
-	until(t, "the second connection is accepted", func() bool { return e.stats.Get("connections", "test") == 2 })
+	waitUntil(t, "the second connection is accepted", func() bool { return e.stats.Get("connections", "test") == 2 })
 	third := e.dial(t, "c") // stays in the backlog
 	e.Close()
-	close(e.turn)
+	close(e.tokens)
 	io.WriteString(first, "a")
-	read(t, first, "a")
-	read(t, second, "b")
-	read(t, third, "c")
-	until(t, "the socket is closed", func() bool {
+	expectRead(t, first, "a")
+	expectRead(t, second, "b")
+	expectRead(t, third, "c")
+	waitUntil(t, "the socket is closed", func() bool {
 		c, err := net.Dial("tcp", e.addr)
 		if err == nil {
 			c.Close()
@@ -218,12 +218,12 @@
 // request is never answered, EndConnections returns after its timeout and leaves the connection open.
 func TestEndConnections(t *testing.T) {
 	e := newEcho(t, 4)
-	close(e.turn)
-	rests, busy, never := e.dial(t, "a"), e.dial(t, "b"), e.dial(t, "c")
-	read(t, rests, "a")
-	read(t, busy, "b")
-	read(t, never, "c")
-	until(t, "the first message of each connection is handled", func() bool {
+	close(e.tokens)
+	idle, busy, unanswered := e.dial(t, "a"), e.dial(t, "b"), e.dial(t, "c")
+	expectRead(t, idle, "a")
+	expectRead(t, busy, "b")
+	expectRead(t, unanswered, "c")
+	waitUntil(t, "the first message of each connection is handled", func() bool {
 		e.Listener.mu.Lock()
 		defer e.Listener.mu.Unlock()
 		for s := range e.slots {
@@ -233,7 +233,7 @@
 		}
 		return len(e.slots) == 3
 	})
-	port := func(c net.Conn) *Slot {
+	slotOf := func(c net.Conn) *Slot {
 		e.Listener.mu.Lock()
 		defer e.Listener.mu.Unlock()
 		for s := range e.slots {
@@ -244,38 +244,38 @@
 		t.Fatal("the connection has no slot")
 		return nil
 	}
-	answering, open := port(busy), port(never)
-	answering.SetInFlight(1)
-	open.SetInFlight(1)
+	busySlot, unansweredSlot := slotOf(busy), slotOf(unanswered)
+	busySlot.SetInFlight(1)
+	unansweredSlot.SetInFlight(1)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
 		e.EndConnections(2 * time.Second)
 	}()
-	ended(t, rests)
+	expectEOF(t, idle)
 	busy.SetReadDeadline(time.Now().Add(20 * time.Millisecond))
 	if _, err := busy.Read(make([]byte, 1)); !errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Fatalf("read on a connection with a request in flight: %v, want a timeout", err)
 	}
 	busy.SetReadDeadline(time.Now().Add(20 * time.Second))
-	answering.SetInFlight(0)
-	ended(t, busy)
+	busySlot.SetInFlight(0)
+	expectEOF(t, busy)
 	<-done
-	if open.Evicted() {
+	if unansweredSlot.Evicted() {
 		t.Error("a connection with a request in flight was closed after the timeout")
 	}
 }
 
-// failing is a listener whose Accept fails up to left times for lack of descriptors, while free returns false.
+// failing is a listener whose Accept fails up to failures times for lack of descriptors, while free returns false.
 type failing struct {
 	net.Listener
-	left int
-	free func() bool
+	failures int
+	free     func() bool
 }
 
 func (f *failing) Accept() (net.Conn, error) {
-	if f.left > 0 && !f.free() {
-		f.left--
+	if f.failures > 0 && !f.free() {
+		f.failures--
 		return nil, &net.OpError{Op: "accept", Err: os.NewSyscallError("accept4", syscall.EMFILE)}
 	}
 	return f.Listener.Accept()
@@ -285,11 +285,11 @@
 func TestOneEvictionForOneNewcomer(t *testing.T) {
 	e := newEcho(t, 3)
 	e.lingerTimeout = 300 * time.Millisecond
-	close(e.turn)
+	close(e.tokens)
 	for range 3 {
-		read(t, e.dial(t, "a"), "a")
+		expectRead(t, e.dial(t, "a"), "a")
 	}
-	until(t, "all connections are idle", func() bool {
+	waitUntil(t, "all connections are idle", func() bool {
 		e.Listener.mu.Lock()
 		defer e.Listener.mu.Unlock()
 		n := 0
@@ -308,7 +308,7 @@
 		}
 		time.Sleep(time.Millisecond)
 	}
-	read(t, c, "b")
+	expectRead(t, c, "b")
 	if n := e.stats.Get("evicted", "test"); n != 1 {
 		t.Errorf("%d connections evicted for one new one", n)
 	}
@@ -336,21 +336,21 @@
 		}
 		l.mu.Unlock()
 		time.Sleep(minIdleBeforeEviction)
-		f.left = 1000
-		began := time.Now()
-		wakes := p.Dial() // wakes the blocked Accept, so that the next one fails
-		waits := p.Dial()
+		f.failures = 1000
+		startedAt := time.Now()
+		wakeup := p.Dial() // wakes the blocked Accept, so that the next one fails
+		waiting := p.Dial()
 		synctest.Wait()
 		time.Sleep(time.Second)
 		synctest.Wait()
 		if n := l.Connections(); n != 3 {
-			t.Fatalf("%d connections %v after accept began to fail, want 3", n, time.Since(began))
+			t.Fatalf("%d connections %v after accept began to fail, want 3", n, time.Since(startedAt))
 		}
 		if !closed(t, idle) || closed(t, busy) {
 			t.Error("the connection with a request was evicted, or the idle one was not")
 		}
 		f.free = func() bool { return false }
-		f.left = 300
+		f.failures = 300
 		third := p.Dial()
 		p.Dial().Close()
 		before := l.stats.Get("accept_failed", "test")
@@ -366,7 +366,7 @@
 			t.Errorf("%d lines logged in 11 s", n)
 		}
 		l.Close()
-		for _, c := range []net.Conn{idle, busy, wakes, waits, third} {
+		for _, c := range []net.Conn{idle, busy, wakeup, waiting, third} {
 			c.Close()
 		}
 	})
@@ -375,38 +375,38 @@
 // After Close, a backlog larger than the budget is accepted within the budget: connections without a message are evicted for those after
 // them, and a request in the backlog is answered.
 func TestCloseAcceptsACrowd(t *testing.T) {
-	const most, crowd = 4, 24
-	e := newEcho(t, most)
+	const maxConns, backlog = 4, 24
+	e := newEcho(t, maxConns)
 	e.acceptBacklogTimeout = time.Minute
-	for range most {
+	for range maxConns {
 		e.dial(t, "")
 	}
-	until(t, "the budget is full", func() bool { return e.Connections() == most })
+	waitUntil(t, "the budget is full", func() bool { return e.Connections() == maxConns })
 	e.Listener.mu.Lock()
 	for s := range e.slots {
 		s.inFlight = 1 // prevents evictions until all connections are in the backlog
 	}
 	e.Listener.mu.Unlock()
 	e.dial(t, "") // is accepted, and waits for a slot
-	until(t, "one connection waits for a slot", func() bool { return e.stats.Get("connections", "test") == most+1 })
-	for range crowd {
+	waitUntil(t, "one connection waits for a slot", func() bool { return e.stats.Get("connections", "test") == maxConns+1 })
+	for range backlog {
 		e.dial(t, "")
 	}
-	asks := e.dial(t, "q")
+	requester := e.dial(t, "q")
 	e.Listener.mu.Lock()
 	for s := range e.slots {
 		s.inFlight = 0
 	}
 	e.Listener.mu.Unlock()
 	e.Close()
-	close(e.turn)
+	close(e.tokens)
 	peak := 0
-	until(t, "the request in the backlog is handled", func() bool {
+	waitUntil(t, "the request in the backlog is handled", func() bool {
 		peak = max(peak, e.Connections())
-		return e.has() == "q"
+		return e.handledBytes() == "q"
 	})
-	read(t, asks, "q")
-	if peak > most {
-		t.Errorf("%d connections exceed the budget of %d", peak, most)
+	expectRead(t, requester, "q")
+	if peak > maxConns {
+		t.Errorf("%d connections exceed the budget of %d", peak, maxConns)
 	}
 }
--- a/internal/transport/listener/evict.go
+++ b/internal/transport/listener/evict.go
@@ -11,8 +11,8 @@
 // the connections that have been idle for at least minIdleBeforeEviction. With a reserve, the connection of a peer that makes far more
 // cheap calls than its share is closed first. A connection with a request in flight or with unread bytes is not evicted as idle.
 const (
-	// minIdleBeforeEviction is how long a connection must have been idle. If a request crosses the close of its connection, the balancer
-	// sends it again only if it was in transit for at most 50 ms; a request in transit for longer would be lost.
+	// minIdleBeforeEviction is how long a connection must have been idle. A balancer sends a request again if it crosses the close of its
+	// connection within 50 ms; a request that was in transit for longer would be lost.
 	minIdleBeforeEviction = 100 * time.Millisecond
 	// capacityPollInterval is the interval at which awaitCapacity checks for a slot while none is released.
 	capacityPollInterval = minIdleBeforeEviction / 2
--- a/internal/transport/listener/listener.go
+++ b/internal/transport/listener/listener.go
@@ -117,8 +117,8 @@
 	l.reserve = admission.NewReserve(cfg, l.maxConns)
 }
 
-// Reserved returns the state of the reserve. It returns false if there is no reserve.
-func (l *Listener) Reserved() (admission.ReserveSnapshot, bool) {
+// ReserveState returns the state of the reserve. It returns false if there is no reserve.
+func (l *Listener) ReserveState() (admission.ReserveSnapshot, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.reserve == nil {
--- a/internal/transport/listener/listener_test.go
+++ b/internal/transport/listener/listener_test.go
@@ -16,18 +16,18 @@
 	"silverpath/internal/testkit/pipes"
 )
 
-// play runs test with a listener of at most two connections, in simulated time. The handler sets the number of requests in flight to the
-// value of each byte that it reads. Left returns how often peers were asked to close their connections.
-func play(t *testing.T, idle time.Duration, test func(l *Listener, dial func() net.Conn, left func() int)) {
+// runWithListener runs test with a listener of at most two connections, in simulated time. The handler sets the number of requests in
+// flight to the value of each byte that it reads. DrainNotices returns how often peers were asked to close their connections.
+func runWithListener(t *testing.T, idle time.Duration, test func(l *Listener, dial func() net.Conn, drainNotices func() int)) {
 	synctest.Test(t, func(t *testing.T) {
 		p := pipes.Listen()
 		var mu sync.Mutex
-		asked := 0
+		notices := 0
 		handle := func(conn net.Conn, s *Slot) {
 			s.OnDrain(func() {
 				mu.Lock()
 				defer mu.Unlock()
-				asked++
+				notices++
 			})
 			for b := []byte{0}; ; s.EndMessage() {
 				if _, err := conn.Read(b); err != nil || !s.BeginMessage() {
@@ -40,15 +40,15 @@
 		go l.Serve()
 		var all []net.Conn
 		test(l, func() net.Conn {
-			near := p.Dial()
-			all = append(all, near)
+			conn := p.Dial()
+			all = append(all, conn)
 			synctest.Wait()
-			return near
+			return conn
 		}, func() int {
 			synctest.Wait()
 			mu.Lock()
 			defer mu.Unlock()
-			return asked
+			return notices
 		})
 		l.Close()
 		for _, c := range all {
@@ -67,7 +67,7 @@
 
 // For a new connection over the budget, the connection that has been idle longest is evicted, never one with a request in flight.
 func TestBudget(t *testing.T) {
-	play(t, 0, func(l *Listener, dial func() net.Conn, _ func() int) {
+	runWithListener(t, 0, func(l *Listener, dial func() net.Conn, _ func() int) {
 		a, b := dial(), dial()
 		a.Write([]byte{1})
 		c := dial() // waits until b may be evicted
@@ -92,11 +92,11 @@
 // Connections without any message are evicted before those with one message, and these before connections with several messages, however
 // long the latter have been idle. Otherwise silent connections would displace balancers.
 func TestEvictionOrder(t *testing.T) {
-	play(t, 0, func(l *Listener, dial func() net.Conn, _ func() int) {
-		usual := dial()
+	runWithListener(t, 0, func(l *Listener, dial func() net.Conn, _ func() int) {
+		frequent := dial()
 		for range 3 {
-			usual.Write([]byte{1})
-			usual.Write([]byte{0})
+			frequent.Write([]byte{1})
+			frequent.Write([]byte{0})
 		}
 		time.Sleep(time.Minute)
 		once := dial()
@@ -104,12 +104,12 @@
 		time.Sleep(time.Second)
 		silent := dial() // evicts the connection with one message
 		time.Sleep(time.Second)
-		if closed(t, usual) || !closed(t, once) {
+		if closed(t, frequent) || !closed(t, once) {
 			t.Fatal("connection with one message was not evicted, or the one with several messages was")
 		}
 		last := dial()
 		time.Sleep(time.Second)
-		if closed(t, usual) || !closed(t, silent) || closed(t, last) {
+		if closed(t, frequent) || !closed(t, silent) || closed(t, last) {
 			t.Fatal("silent connection was not evicted, or the one with several messages was")
 		}
 	})
@@ -135,16 +135,16 @@
 
 // The peer of an idle connection is asked once to close it. The peer of a connection with a request in flight is not asked.
 func TestIdle(t *testing.T) {
-	play(t, time.Second, func(_ *Listener, dial func() net.Conn, left func() int) {
+	runWithListener(t, time.Second, func(_ *Listener, dial func() net.Conn, drainNotices func() int) {
 		a := dial()
 		dial()
 		a.Write([]byte{1})
 		time.Sleep(900 * time.Millisecond)
-		if left() != 0 {
+		if drainNotices() != 0 {
 			t.Fatal("peer asked to leave before the idle timeout")
 		}
 		time.Sleep(5 * time.Second)
-		if n := left(); n != 1 {
+		if n := drainNotices(); n != 1 {
 			t.Fatalf("%d idle peers asked to leave, want 1", n)
 		}
 	})
@@ -152,22 +152,22 @@
 
 // A drain asks all peers to close their connections, including those that connect during the drain.
 func TestDrain(t *testing.T) {
-	play(t, 0, func(l *Listener, dial func() net.Conn, left func() int) {
+	runWithListener(t, 0, func(l *Listener, dial func() net.Conn, drainNotices func() int) {
 		dial().Write([]byte{1})
 		l.Drain()
-		if n := left(); n != 1 {
+		if n := drainNotices(); n != 1 {
 			t.Fatalf("%d peers asked to leave, want 1", n)
 		}
 		dial()
-		if n := left(); n != 2 {
+		if n := drainNotices(); n != 2 {
 			t.Fatalf("%d peers asked to leave, want 2", n)
 		}
 	})
 }
 
-// floods runs test with a listener of eight connections, one of them reserved, in simulated time. A byte of 1 is a cheap call, and a 2 is a
-// request for work, which stays in flight. The answer is the same byte, or 0 if the connection may not carry work.
-func floods(t *testing.T, test func(l *Listener, dial func() net.Conn)) {
+// runWithReserve runs test with a listener of eight connections, one of them reserved, in simulated time. A byte of 1 is a cheap call, and
+// a 2 is a request for work, which stays in flight. The answer is the same byte, or 0 if the connection may not carry work.
+func runWithReserve(t *testing.T, test func(l *Listener, dial func() net.Conn)) {
 	synctest.Test(t, func(t *testing.T) {
 		p := pipes.Listen()
 		handle := func(conn net.Conn, s *Slot) {
@@ -192,10 +192,10 @@
 		go l.Serve()
 		var all []net.Conn
 		test(l, func() net.Conn {
-			near := p.Dial()
-			all = append(all, near)
+			conn := p.Dial()
+			all = append(all, conn)
 			synctest.Wait()
-			return near
+			return conn
 		})
 		l.Close()
 		for _, c := range all {
@@ -204,9 +204,9 @@
 	})
 }
 
-func say(t *testing.T, c net.Conn, b byte) (byte, time.Duration) {
+func exchange(t *testing.T, c net.Conn, b byte) (byte, time.Duration) {
 	t.Helper()
-	began := time.Now()
+	startedAt := time.Now()
 	if _, err := c.Write([]byte{b}); err != nil {
 		t.Fatal(err)
 	}
@@ -214,25 +214,25 @@
 	if _, err := c.Read(a); err != nil {
 		t.Fatal(err)
 	}
-	return a[0], time.Since(began)
+	return a[0], time.Since(startedAt)
 }
 
 // When all connections that may carry work do, a further connection is reserved: it rejects work at once and answers cheap calls.
 func TestReserveOfConnections(t *testing.T) {
-	floods(t, func(l *Listener, dial func() net.Conn) {
+	runWithReserve(t, func(l *Listener, dial func() net.Conn) {
 		for range 7 {
-			if a, _ := say(t, dial(), 2); a != 2 {
+			if a, _ := exchange(t, dial(), 2); a != 2 {
 				t.Fatal("work was rejected on an unreserved connection")
 			}
 		}
 		last := dial()
-		if a, _ := say(t, last, 2); a != 0 {
+		if a, _ := exchange(t, last, 2); a != 0 {
 			t.Error("work was accepted on a reserved connection")
 		}
-		if a, took := say(t, last, 1); a != 1 || took > 0 {
+		if a, took := exchange(t, last, 1); a != 1 || took > 0 {
 			t.Errorf("cheap call: answer %d after %v", a, took)
 		}
-		if st, on := l.Reserved(); !on || st.Working != 7 || st.WorkRejected != 1 {
+		if st, on := l.ReserveState(); !on || st.Working != 7 || st.WorkRejected != 1 {
 			t.Errorf("state of the reserve: %+v, %v", st, on)
 		}
 	})
@@ -241,7 +241,7 @@
 // Peers that make cheap calls at full speed occupy every connection. Each is limited to its share, and a new connection replaces the one
 // that exceeds its share most, so that the call of a quiet peer is answered at once.
 func TestReserveUnderAFlood(t *testing.T) {
-	floods(t, func(l *Listener, dial func() net.Conn) {
+	runWithReserve(t, func(l *Listener, dial func() net.Conn) {
 		stop := make(chan struct{})
 		for range 8 {
 			c := dial()
@@ -263,11 +263,11 @@
 			}()
 		}
 		time.Sleep(3 * time.Second)
-		if st, _ := l.Reserved(); st.Cheap > 3*400*3/2 || st.Delayed == 0 {
+		if st, _ := l.ReserveState(); st.Cheap > 3*400*3/2 || st.Delayed == 0 {
 			t.Errorf("%d cheap calls in 3 s at a limit of 400 per second, %d delayed", st.Cheap, st.Delayed)
 		}
 		quiet := dial()
-		if a, took := say(t, quiet, 1); a != 1 || took > 50*time.Millisecond {
+		if a, took := exchange(t, quiet, 1); a != 1 || took > 50*time.Millisecond {
 			t.Errorf("call of a quiet peer: answer %d after %v", a, took)
 		}
 		close(stop)
@@ -277,7 +277,7 @@
 
 // Lowering the budget evicts idle connections at once, in the order of evictBefore. Connections with a request in flight stay.
 func TestSetMaxConnections(t *testing.T) {
-	play(t, 0, func(l *Listener, dial func() net.Conn, _ func() int) {
+	runWithListener(t, 0, func(l *Listener, dial func() net.Conn, _ func() int) {
 		l.SetMaxConnections(4)
 		var all []net.Conn
 		for range 4 {
--- a/internal/transport/msgpackrpc/calls_test.go
+++ b/internal/transport/msgpackrpc/calls_test.go
@@ -20,12 +20,12 @@
 // call, closes the connection without a result and is counted as malformed.
 func TestCalls(t *testing.T) {
 	var c metrics.Counters
-	hold := make(chan struct{})
+	release := make(chan struct{})
 	f := NewCallServer("calls", &c, func(_ context.Context, call Call) func() CallResult {
 		return func() CallResult {
 			switch call.Method {
 			case "slow":
-				<-hold
+				<-release
 			case "wrong":
 				return CallResult{Error: "Wrong", Fields: []string{"why", call.Fields["x"]}}
 			}
@@ -43,22 +43,22 @@
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	begin := func(call Call) <-chan Reply {
+	startCall := func(call Call) <-chan Reply {
 		r, err := conn.Call(call)
 		if err != nil {
 			t.Fatal(err)
 		}
 		return r
 	}
-	slow := begin(Call{Method: "slow", Body: []byte("late")})
+	slow := startCall(Call{Method: "slow", Body: []byte("late")})
 	long := strings.Repeat("x", MaxCallBody)
-	if a := <-begin(Call{Method: "echo", Body: []byte(long)}); string(a.Body) != long {
+	if a := <-startCall(Call{Method: "echo", Body: []byte(long)}); string(a.Body) != long {
 		t.Errorf("echo returned %d bytes, error %q", len(a.Body), a.Error)
 	}
-	if a := <-begin(Call{Method: "wrong", Fields: map[string]string{"x": "because"}}); a.Error != "Wrong" || a.Fields["why"] != "because" {
+	if a := <-startCall(Call{Method: "wrong", Fields: map[string]string{"x": "because"}}); a.Error != "Wrong" || a.Fields["why"] != "because" {
 		t.Errorf("reply to call \"wrong\": %+v", a)
 	}
-	close(hold)
+	close(release)
 	if a := <-slow; string(a.Body) != "late" {
 		t.Errorf("reply to call \"slow\": %+v", a)
 	}
@@ -77,8 +77,8 @@
 	if b, err := io.ReadAll(raw); len(b) > 0 || err != nil && !strings.Contains(err.Error(), "reset") {
 		t.Errorf("read after an HTTP request: %q, %v", b, err)
 	}
-	for until := time.Now().Add(5 * time.Second); c.Get("malformed", "calls") < 2; time.Sleep(time.Millisecond) {
-		if time.Now().After(until) {
+	for deadline := time.Now().Add(5 * time.Second); c.Get("malformed", "calls") < 2; time.Sleep(time.Millisecond) {
+		if time.Now().After(deadline) {
 			t.Fatalf("%d messages counted as malformed, want 2", c.Get("malformed", "calls"))
 		}
 	}
@@ -86,10 +86,10 @@
 
 // ReadMessage returns the exact bytes of one message and reads nothing after it.
 func TestReadMessage(t *testing.T) {
-	one := AppendRequest(nil, 7, "krog", bytes.Repeat([]byte("b"), 300), "i", "x", "s", "1")
-	two := AppendCancel(nil, 7)
-	r := bufio.NewReader(bytes.NewReader(append(append([]byte{}, one...), two...)))
-	for _, want := range [][]byte{one, two} {
+	first := AppendRequest(nil, 7, "krog", bytes.Repeat([]byte("b"), 300), "i", "x", "s", "1")
+	second := AppendCancel(nil, 7)
+	r := bufio.NewReader(bytes.NewReader(append(append([]byte{}, first...), second...)))
+	for _, want := range [][]byte{first, second} {
 		if got, err := ReadMessage(r, 1000); err != nil || !bytes.Equal(got, want) {
 			t.Fatalf("ReadMessage: %q, %v", got, err)
 		}
@@ -97,7 +97,7 @@
 	if _, err := ReadMessage(r, 1000); !errors.Is(err, io.EOF) {
 		t.Error(err)
 	}
-	if _, err := ReadMessage(bufio.NewReader(bytes.NewReader(one)), 100); err == nil {
+	if _, err := ReadMessage(bufio.NewReader(bytes.NewReader(first)), 100); err == nil {
 		t.Error("message over the bound was read")
 	}
 }
--- a/internal/transport/msgpackrpc/close_test.go
+++ b/internal/transport/msgpackrpc/close_test.go
@@ -30,12 +30,12 @@
 func (w worker) Resume(string, []byte)      {}
 func (w worker) Probe()                     { w.Gauges(silverpath.Gauges{}) }
 
-// serve starts a core and its front on a listener with at most maxConns connections.
-func serve(t *testing.T, ln net.Listener, most int) (worker, *listener.Listener, *metrics.Counters) {
+// startFront starts a core and its front on a listener with at most maxConns connections.
+func startFront(t *testing.T, ln net.Listener, maxConns int) (worker, *listener.Listener, *metrics.Counters) {
 	t.Helper()
-	counters, quiet := &metrics.Counters{}, log.New(io.Discard, "", 0)
+	counters, logger := &metrics.Counters{}, log.New(io.Discard, "", 0)
 	c, err := core.New(core.Config{Settings: silverpath.Settings{Cores: 4, MemoryKB: 10000, MaxRunsPerCore: 8, RunsWindow: time.Second,
-		Classes: []silverpath.Class{{Name: "x", Objective: 20 * time.Second, Deadline: 30 * time.Second, Weight: 1}}}, MemoryMB: 16, Log: quiet, Stats: counters})
+		Classes: []silverpath.Class{{Name: "x", Objective: 20 * time.Second, Deadline: 30 * time.Second, Weight: 1}}}, MemoryMB: 16, Log: logger, Stats: counters})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -44,33 +44,33 @@
 		t.Fatal(err)
 	}
 	c.RunnerReady()
-	l := listener.New(Name, ln, most, func() time.Duration { return 0 }, New(c, quiet, counters).Serve, quiet, counters)
+	l := listener.New(Name, ln, maxConns, func() time.Duration { return 0 }, New(c, logger, counters).Serve, logger, counters)
 	go l.Serve()
 	return w, l, counters
 }
 
-func ask(id uint64) []byte {
+func encodeRequest(id uint64) []byte {
 	return AppendRequest(nil, id, "x", []byte("body"), "i", fmt.Sprintf("%016x", id), "s", fmt.Sprint(time.Now().UnixMilli()), "d", "30000", "m", "1")
 }
 
 // Input after a complete request must not affect its answer. The input is an incomplete message that stalls or is cut off by the end of
 // the stream, or a malformed message with more data after it. The answer must arrive and the connection must end without a reset.
 func TestHalfMessageCostsNobody(t *testing.T) {
-	half := ask(2)[:20]
+	incomplete := encodeRequest(2)[:20]
 	garbage := []byte("\xc1" + strings.Repeat("x", 30000))
 	t.Run("over loopback", func(t *testing.T) {
-		for name, after := range map[string][]byte{"half, and the end": half, "garbage": garbage} {
+		for name, extra := range map[string][]byte{"half, and the end": incomplete, "garbage": garbage} {
 			ln, err := net.Listen("tcp", "127.0.0.1:0")
 			if err != nil {
 				t.Fatal(err)
 			}
-			w, l, counters := serve(t, ln, 10)
+			w, l, counters := startFront(t, ln, 10)
 			conn, err := net.Dial("tcp", ln.Addr().String())
 			if err != nil {
 				t.Fatal(err)
 			}
 			conn.SetDeadline(time.Now().Add(20 * time.Second))
-			conn.Write(append(ask(1), after...))
+			conn.Write(append(encodeRequest(1), extra...))
 			if name != "garbage" {
 				conn.(*net.TCPConn).CloseWrite()
 			}
@@ -94,9 +94,9 @@
 	t.Run("in simulated time", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			p := pipes.Listen()
-			w, l, counters := serve(t, p, 10)
+			w, l, counters := startFront(t, p, 10)
 			conn := p.Dial()
-			go conn.Write(append(ask(1), half...)) // the rest is never sent
+			go conn.Write(append(encodeRequest(1), incomplete...)) // the rest is never sent
 			id := <-w.runs
 			time.Sleep(2 * listener.MessageTimeout)
 			if n := counters.Get("too_slow", Name); n != 1 {
@@ -118,14 +118,14 @@
 func TestAnswerBeingWritten(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := pipes.Listen()
-		w, l, _ := serve(t, p, 1)
+		w, l, _ := startFront(t, p, 1)
 		conn := p.Dial()
-		go conn.Write(ask(1))
+		go conn.Write(encodeRequest(1))
 		id := <-w.runs
 		w.RunEnded(id, silverpath.OK, 0, []byte("done"))
 		synctest.Wait() // the answer is being written: a write to a pipe blocks until it is read
 		next := p.Dial()
-		go next.Write(ask(2))
+		go next.Write(encodeRequest(2))
 		time.Sleep(writeTimeout / 2)
 		if n := len(w.runs); n != 0 {
 			t.Fatal("request of the new connection ran before a slot was free")
@@ -150,12 +150,12 @@
 func TestFloodOfRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := pipes.Listen()
-		w, l, counters := serve(t, p, 10)
+		w, l, counters := startFront(t, p, 10)
 		conn := p.Dial()
 		const sent = 500
 		go func() {
 			for id := range uint64(sent) {
-				conn.Write(ask(id + 1))
+				conn.Write(encodeRequest(id + 1))
 			}
 		}()
 		answers := make(chan Reply, sent)
@@ -168,10 +168,10 @@
 				answers <- a
 			}
 		}()
-		began := time.Now()
+		startedAt := time.Now()
 		synctest.Wait()
-		if n := counters.Get("turned_away", Name, "too_many_open"); n == 0 || time.Since(began) > 0 {
-			t.Errorf("%d requests rejected after %v, want some at once", n, time.Since(began))
+		if n := counters.Get("turned_away", Name, "too_many_open"); n == 0 || time.Since(startedAt) > 0 {
+			t.Errorf("%d requests rejected after %v, want some at once", n, time.Since(startedAt))
 		}
 		for n := 0; n < sent; {
 			select {
@@ -197,15 +197,15 @@
 func TestReadAheadIsNotEvicted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := pipes.Listen()
-		w, l, _ := serve(t, p, 10)
-		conn, whole := p.Dial(), ask(2)
-		go conn.Write(append(AppendProbe(nil, 1), whole[:20]...))
+		w, l, _ := startFront(t, p, 10)
+		conn, encoded := p.Dial(), encodeRequest(2)
+		go conn.Write(append(AppendProbe(nil, 1), encoded[:20]...))
 		r := bufio.NewReader(conn)
 		if a, err := ReadReply(r); err != nil || !a.Healthy {
 			t.Fatalf("answer to the probe: %+v, %v", a, err)
 		}
 		l.EndConnections(100 * time.Millisecond) // closes idle connections
-		go conn.Write(whole[20:])
+		go conn.Write(encoded[20:])
 		synctest.Wait()
 		select {
 		case id := <-w.runs:
@@ -229,12 +229,12 @@
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1)) // sync.Pool keeps buffers per processor
 	synctest.Test(t, func(t *testing.T) {
 		p := pipes.Listen()
-		w, l, _ := serve(t, p, 10)
+		w, l, _ := startFront(t, p, 10)
 		var conns []net.Conn
 		for id, body := range []string{"first", "other", "third"} {
 			conn := p.Dial()
 			conns = append(conns, conn)
-			go conn.Write(ask(uint64(id + 1)))
+			go conn.Write(encodeRequest(uint64(id + 1)))
 			w.RunEnded(<-w.runs, silverpath.OK, 0, []byte(body))
 			synctest.Wait() // the answer is being written: a write to a pipe blocks until it is read
 		}
--- a/internal/transport/msgpackrpc/decode_test.go
+++ b/internal/transport/msgpackrpc/decode_test.go
@@ -13,8 +13,8 @@
 	"silverpath/internal/core"
 )
 
-// valid has messages as balancers send them.
-var valid = [][]byte{
+// validMessages has messages as balancers send them.
+var validMessages = [][]byte{
 	AppendRequest(nil, 7, "oddaja", []byte("a\x00b"), "i", "9b1f03aa5c7e2d41", "s", "1764576000123", "f", "4", "t", "acme",
 		"d", "480", "m", "24.5", "p", "0.6250", "k", "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"),
 	AppendRequest(nil, 70000, "lestvica", bytes.Repeat([]byte{0xc1}, defaultMaxBodyBytes), "i", "0", "s", "1", "d", "1", "m", "1"),
@@ -23,20 +23,20 @@
 	{0x94, 0, 0xd0, 5, 0xd9, 1, 'x', 0xdc, 0, 3, 0xde, 0, 0, 0xc6, 0, 0, 0, 0, 0x92, 0xca, 1, 2, 3, 4, 0x81, 0xa1, 'k', 0xc0},
 }
 
-func read(b []byte) (message, error) {
+func decodeMessage(b []byte) (message, error) {
 	return decoder{r: bufio.NewReader(bytes.NewReader(b))}.message()
 }
 
 func TestMessages(t *testing.T) {
-	m, err := read(valid[0])
+	m, err := decodeMessage(validMessages[0])
 	if err != nil || m.id != 7 || m.method != "oddaja" || string(m.body) != "a\x00b" || m.fields["k"] == "" || len(m.fields) != 8 {
 		t.Fatalf("request: %+v, %v", m, err)
 	}
-	if m, err = read(valid[3]); err != nil || m.kind != notification || m.id != 300 {
+	if m, err = decodeMessage(validMessages[3]); err != nil || m.kind != notification || m.id != 300 {
 		t.Fatalf("cancellation: %+v, %v", m, err)
 	}
-	r := bufio.NewReader(bytes.NewReader(bytes.Join(valid, nil)))
-	for i := range valid {
+	r := bufio.NewReader(bytes.NewReader(bytes.Join(validMessages, nil)))
+	for i := range validMessages {
 		if _, err := (decoder{r: r}).message(); err != nil {
 			t.Fatalf("message %d of a stream: %v", i, err)
 		}
@@ -48,17 +48,17 @@
 
 // A message that is cut at any byte gives io.ErrUnexpectedEOF, neither a message nor io.EOF.
 func TestCuts(t *testing.T) {
-	for i, b := range valid {
+	for i, b := range validMessages {
 		for n := 1; n < len(b); n++ {
-			if _, err := read(b[:n]); !errors.Is(err, io.ErrUnexpectedEOF) {
+			if _, err := decodeMessage(b[:n]); !errors.Is(err, io.ErrUnexpectedEOF) {
 				t.Fatalf("message %d cut at %d of %d: %v", i, n, len(b), err)
 			}
 		}
 	}
 }
 
-// bad has malformed messages, as peers that are not balancers send them.
-var bad = map[string][]byte{
+// malformedMessages has malformed messages, as peers that are not balancers send them.
+var malformedMessages = map[string][]byte{
 	"not an array":      {0x81, 0, 0},
 	"a response":        {0x94, 1, 1, 0xc0, 0xc0},
 	"a negative id":     {0x94, 0, 0xd0, 0xff, 0xa1, 'x', 0x90},
@@ -77,8 +77,8 @@
 }
 
 func TestMalformed(t *testing.T) {
-	for name, b := range bad {
-		if _, err := read(b); !errors.Is(err, errMalformed) {
+	for name, b := range malformedMessages {
+		if _, err := decodeMessage(b); !errors.Is(err, errMalformed) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
@@ -88,27 +88,27 @@
 func TestGarbage(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(1, 2))
 	for range 20000 {
-		b := bytes.Clone(valid[rnd.IntN(len(valid))])
+		b := bytes.Clone(validMessages[rnd.IntN(len(validMessages))])
 		for range 1 + rnd.IntN(4) {
 			b[rnd.IntN(len(b))] = byte(rnd.Uint32())
 		}
-		if m, err := read(b); err == nil && len(m.body) > defaultMaxBodyBytes {
+		if m, err := decodeMessage(b); err == nil && len(m.body) > defaultMaxBodyBytes {
 			t.Fatalf("body of %d bytes exceeds its bound", len(m.body))
 		}
 	}
 }
 
 func FuzzMessage(f *testing.F) {
-	for _, b := range valid {
+	for _, b := range validMessages {
 		f.Add(b)
 	}
-	for _, b := range bad {
+	for _, b := range malformedMessages {
 		f.Add(b)
 	}
 	f.Add([]byte("\xdd\xff\xff\xff\xff"))
-	f.Add(valid[0][:len(valid[0])/2])
+	f.Add(validMessages[0][:len(validMessages[0])/2])
 	f.Fuzz(func(t *testing.T, b []byte) {
-		m, err := read(b)
+		m, err := decodeMessage(b)
 		if err == nil && (len(m.body) > defaultMaxBodyBytes || len(m.fields) > maxElements || len(m.method) > maxStringBytes) {
 			t.Fatal("message exceeds its bounds")
 		}
@@ -160,17 +160,17 @@
 		if field != "" {
 			fields[field] = value
 		}
-		r, problem := mapRequest(message{method: "x", fields: fields}, time.Now(), c)
-		if problem != field {
-			t.Errorf("field %s=%q: invalid field %q", field, value, problem)
+		r, badField := mapRequest(message{method: "x", fields: fields}, time.Now(), c)
+		if badField != field {
+			t.Errorf("field %s=%q: invalid field %q", field, value, badField)
 		}
 		if field == "" && (r.Deadline != time.UnixMilli(1500) || r.ReceivedAt != time.UnixMilli(1000) || r.Key != "key" || r.MemoryKB != 24.5) {
 			t.Errorf("mapped request: %+v", r)
 		}
 	}
 	delete(good, "d")
-	if r, problem := mapRequest(message{method: "x", fields: good}, time.Now(), c); problem != "" || r.Deadline != time.UnixMilli(2000) {
-		t.Errorf("without field d: invalid field %q, deadline %v", problem, r.Deadline)
+	if r, badField := mapRequest(message{method: "x", fields: good}, time.Now(), c); badField != "" || r.Deadline != time.UnixMilli(2000) {
+		t.Errorf("without field d: invalid field %q, deadline %v", badField, r.Deadline)
 	}
 }
 
@@ -207,16 +207,16 @@
 func BenchmarkRead(b *testing.B) {
 	raw := AppendRequest(nil, 3, "lestvica", bytes.Repeat([]byte("x"), 200), "i", "9b1f03aa5c7e2d41", "s", "1764576000123",
 		"f", "4", "t", "acme", "d", "480", "m", "24.5", "p", "0.6250")
-	for _, shut := range []bool{false, true} {
-		b.Run(map[bool]string{false: "whole", true: "passed-over"}[shut], func(b *testing.B) {
+	for _, skip := range []bool{false, true} {
+		b.Run(map[bool]string{false: "whole", true: "passed-over"}[skip], func(b *testing.B) {
 			b.ReportAllocs()
 			src := bytes.NewReader(raw)
 			r := bufio.NewReader(src)
-			d := decoder{r: r, inCell: shut, rejects: func(string) bool { return shut }}
+			d := decoder{r: r, inCell: skip, rejects: func(string) bool { return skip }}
 			for b.Loop() {
 				src.Reset(raw)
 				r.Reset(src)
-				if m, err := d.message(); err != nil || m.skipped != shut {
+				if m, err := d.message(); err != nil || m.skipped != skip {
 					b.Fatal(err)
 				}
 			}
--- a/internal/transport/msgpackrpc/golden_test.go
+++ b/internal/transport/msgpackrpc/golden_test.go
@@ -15,7 +15,7 @@
 func TestLiteralBytes(t *testing.T) {
 	long, longer := strings.Repeat("x", 32), strings.Repeat("y", 256)
 	for _, c := range []struct {
-		what      string
+		name      string
 		got, want []byte
 	}{
 		{"request", AppendRequest(nil, 0x7f, "krog", []byte("b"), "i", "1"), []byte("\x94\x00\x7f\xa4krog\x92\x81\xa1i\xa11\xc4\x01b")},
@@ -43,7 +43,7 @@
 		{"call error", appendCallResult(nil, 4, CallResult{Error: "Stale", Fields: []string{"n", "1"}}), []byte("\x94\x01\x04\x92\xa5Stale\x81\xa1n\xa11\xc0")},
 	} {
 		if !bytes.Equal(c.got, c.want) {
-			t.Errorf("%s:\n got %s\nwant %s", c.what, fmt.Sprintf("%q", c.got), fmt.Sprintf("%q", c.want))
+			t.Errorf("%s:\n got %s\nwant %s", c.name, fmt.Sprintf("%q", c.got), fmt.Sprintf("%q", c.want))
 		}
 	}
 }
