--- a/internal/transport/client/client.go
+++ b/internal/transport/client/client.go
@@ -63,9 +63,9 @@
 	return &Conn{c}, err
 }
 
-// dialLongReplies is like Dial, but answers may have up to msgpackrpc.MaxCallBody bytes. The status of a router, with a line per server,
+// dialLong is like Dial, but answers may have up to msgpackrpc.MaxCallBody bytes. The status of a router, with a line per server,
 // may exceed the usual bound.
-func dialLongReplies(addr string) (*Conn, error) {
+func dialLong(addr string) (*Conn, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), dialTimeout)
 	defer cancel()
 	c, err := msgpackrpc.DialCalls(ctx, addr)
@@ -168,11 +168,11 @@
 	if front == SCGI {
 		return doSCGI(addr, q.Body, q.Timeout, headers(q)...)
 	}
-	return sendOnNewConn(Dial, addr, q.Timeout, func(c *Conn) <-chan Reply { return c.Do(q) })
+	return doOn(Dial, addr, q.Timeout, func(c *Conn) <-chan Reply { return c.Do(q) })
 }
 
-// sendOnNewConn opens a connection with dial, sends a request on it with send, and waits for the reply until timeout plus dialTimeout.
-func sendOnNewConn(dial func(string) (*Conn, error), addr string, timeout time.Duration, send func(*Conn) <-chan Reply) (Reply, error) {
+// doOn opens a connection with dial, sends a request on it with send, and waits for the reply until timeout plus dialTimeout.
+func doOn(dial func(string) (*Conn, error), addr string, timeout time.Duration, send func(*Conn) <-chan Reply) (Reply, error) {
 	c, err := dial(addr)
 	if err != nil {
 		return Reply{}, err
@@ -196,7 +196,7 @@
 	if front == SCGI {
 		a, err = doSCGI(addr, nil, dialTimeout, "REQUEST_METHOD", "GET", "PATH_INFO", "/"+msgpackrpc.StatusMethod)
 	} else {
-		a, err = sendOnNewConn(dialLongReplies, addr, dialTimeout, (*Conn).Status)
+		a, err = doOn(dialLong, addr, dialTimeout, (*Conn).Status)
 	}
 	switch {
 	case err != nil:
--- a/internal/transport/msgpackrpc/answer.go
+++ b/internal/transport/msgpackrpc/answer.go
@@ -23,9 +23,9 @@
 			ProbeTimeout: ms(FieldProbeTimeout), OverlapWindow: ms(FieldOverlapWindow),
 		})
 		fields = rulesFields(c.core.RulesNotice())
-		routerInFlight, _ := strconv.Atoi(m.fields[FieldInFlight])
-		if grantedRequests, inSlowStart := c.core.SlowStart(m.fields[FieldConfigSource], routerInFlight, SlowStartProbeIntervals*max(ms(FieldProbeInterval), time.Millisecond)); inSlowStart {
-			fields = append(fields, FieldSlowStartShare, strconv.Itoa(grantedRequests))
+		inFlight, _ := strconv.Atoi(m.fields[FieldInFlight])
+		if quota, warming := c.core.SlowStart(m.fields[FieldConfigSource], inFlight, SlowStartProbeIntervals*max(ms(FieldProbeInterval), time.Millisecond)); warming {
+			fields = append(fields, FieldSlowStartShare, strconv.Itoa(quota))
 		}
 	}
 	c.write(func(b []byte) []byte { return appendHealth(b, m.id, c.core.Health(), c.withServerState(fields)) })
@@ -63,9 +63,9 @@
 	return pairs
 }
 
-// completeRequest writes the answer of a request in flight. A cancelled request gets no answer: the peer may have reused its message id, and
+// respond writes the answer of a request in flight. A cancelled request gets no answer: the peer may have reused its message id, and
 // would take the answer for that of the later request.
-func (c *frontConn) completeRequest(id uint64, requestID string, a core.Answer) {
+func (c *frontConn) respond(id uint64, requestID string, a core.Answer) {
 	c.mu.Lock()
 	pending := c.pending[id] == requestID
 	if pending {
--- a/internal/transport/msgpackrpc/conn.go
+++ b/internal/transport/msgpackrpc/conn.go
@@ -173,7 +173,7 @@
 	ReceivedAt        time.Time     // when the balancer received the request from its caller
 	Timeout           time.Duration // how long the caller waits, counted from ReceivedAt
 	MemoryKB          float64       // memory that the server reserves for the attempt
-	Rank              float64       // importance within its class, at least 0 and below 1
+	Rank              float64       // rank among requests of its class, at least 0 and below 1
 	Caller            int           // number of the caller
 	Body              []byte
 	KnownOnly         bool   // answer only from a recorded result; run nothing
--- a/internal/transport/msgpackrpc/front_test.go
+++ b/internal/transport/msgpackrpc/front_test.go
@@ -29,9 +29,9 @@
 		f, p := New(c, log.New(io.Discard, "", 0), &metrics.Counters{}), pipes.Listen()
 		l := listener.New("test", p, 1, func() time.Duration { return 0 }, func(conn net.Conn, slot *listener.Slot) {
 			fc := &frontConn{Front: f, conn: conn, slot: slot, pending: map[uint64]string{7: "second"}}
-			fc.completeRequest(7, "first", core.Answer{Outcome: core.Served, Body: []byte("first")})
-			fc.completeRequest(7, "second", core.Answer{Outcome: core.Served, Body: []byte("second")})
-			fc.completeRequest(7, "second", core.Answer{Outcome: core.Served, Body: []byte("third")})
+			fc.respond(7, "first", core.Answer{Outcome: core.Served, Body: []byte("first")})
+			fc.respond(7, "second", core.Answer{Outcome: core.Served, Body: []byte("second")})
+			fc.respond(7, "second", core.Answer{Outcome: core.Served, Body: []byte("third")})
 		}, log.New(io.Discard, "", 0), &metrics.Counters{})
 		go l.Serve()
 		defer l.Close()
--- a/internal/transport/msgpackrpc/request.go
+++ b/internal/transport/msgpackrpc/request.go
@@ -91,7 +91,7 @@
 		requests.Add(1)
 		go func() {
 			defer requests.Done()
-			c.core.Serve(r, func(a core.Answer) { c.completeRequest(m.id, r.ID, a) })
+			c.core.Serve(r, func(a core.Answer) { c.respond(m.id, r.ID, a) })
 		}()
 	}
 	return nil
