--- a/internal/transport/client/client.go
+++ b/internal/transport/client/client.go
@@ -215,8 +215,9 @@
 	Interval    time.Duration // 0: send each request after the previous answer
 }
 
-// Run sends the requests of a plan, prints every answer and a summary to out, and returns how many were served. Latencies count from when
-// a request was due, so that a stall shows in the latency of every request that it delayed.
+// Run sends the requests of a plan, prints every answer and a summary to out, and returns how many were served. If requests got no
+// answer, it returns the error of one of them. Latencies count from when a request was due, so that a stall shows in the latency of every
+// request that it delayed.
 func Run(p Plan, out io.Writer) (served int, err error) {
 	type result struct {
 		n       int
--- a/internal/transport/msgpackrpc/close_test.go
+++ b/internal/transport/msgpackrpc/close_test.go
@@ -59,7 +59,7 @@
 	incomplete := encodeRequest(2)[:20]
 	garbage := []byte("\xc1" + strings.Repeat("x", 30000))
 	t.Run("over loopback", func(t *testing.T) {
-		for name, extra := range map[string][]byte{"half, and the end": incomplete, "garbage": garbage} {
+		for name, extra := range map[string][]byte{"incomplete, then the end": incomplete, "garbage": garbage} {
 			ln, err := net.Listen("tcp", "127.0.0.1:0")
 			if err != nil {
 				t.Fatal(err)
--- a/internal/transport/msgpackrpc/wire.go
+++ b/internal/transport/msgpackrpc/wire.go
@@ -79,7 +79,7 @@
 	FieldReason         = "x"  // rejection: reason, for a request with an idempotency key
 	FieldSlowStartShare = "c"  // probe: number of requests that the router may have in flight here during the slow start
 	FieldConflict       = "gc" // probe: a version with two different documents, a space, and a description of both
-	FieldSuspended      = "gq" // probe: for how many milliseconds no exclusive run starts
+	FieldSuspended      = "gq" // probe: for how many milliseconds nothing exclusive starts, see configstore.KindExclusive
 )
 
 // FlagSet is the value of a flag field. An unset flag is left out.
