--- a/internal/transport/listener/listener_test.go
+++ b/internal/transport/listener/listener_test.go
@@ -16,18 +16,18 @@
 	"silverpath/internal/testkit/pipes"
 )
 
-// play runs a test on a listener of at most two connections. Its handler reads until the end; a byte opens
-// requests, as many as the byte says.
-func play(t *testing.T, idle time.Duration, test func(l *Listener, dial func() net.Conn, left func() int)) {
+// runWithListener runs test with a listener of at most two connections, in simulated time. The handler sets the number of requests in
+// flight to the value of each byte that it reads. DrainNotices returns how often peers were asked to close their connections.
+func runWithListener(t *testing.T, idle time.Duration, test func(l *Listener, dial func() net.Conn, drainNotices func() int)) {
 	synctest.Test(t, func(t *testing.T) {
 		p := pipes.Listen()
 		var mu sync.Mutex
-		asked := 0
+		notices := 0
 		handle := func(conn net.Conn, s *Slot) {
 			s.OnDrain(func() {
 				mu.Lock()
 				defer mu.Unlock()
-				asked++
+				notices++
 			})
 			for b := []byte{0}; ; s.EndMessage() {
 				if _, err := conn.Read(b); err != nil || !s.BeginMessage() {
@@ -40,15 +40,15 @@
 		go l.Serve()
 		var all []net.Conn
 		test(l, func() net.Conn {
-			near := p.Dial()
-			all = append(all, near)
+			conn := p.Dial()
+			all = append(all, conn)
 			synctest.Wait()
-			return near
+			return conn
 		}, func() int {
 			synctest.Wait()
 			mu.Lock()
 			defer mu.Unlock()
-			return asked
+			return notices
 		})
 		l.Close()
 		for _, c := range all {
@@ -65,57 +65,57 @@
 	return errors.Is(err, io.EOF)
 }
 
-// Over the budget the connection that has idled longest makes room, never one with a request open.
+// For a new connection over the budget, the connection that has been idle longest is evicted, never one with a request in flight.
 func TestBudget(t *testing.T) {
-	play(t, 0, func(l *Listener, dial func() net.Conn, _ func() int) {
+	runWithListener(t, 0, func(l *Listener, dial func() net.Conn, _ func() int) {
 		a, b := dial(), dial()
 		a.Write([]byte{1})
-		c := dial() // waits until b may go
+		c := dial() // waits until b may be evicted
 		time.Sleep(time.Second)
 		if closed(t, a) || !closed(t, b) || closed(t, c) || l.Connections() != 2 {
 			t.Fatalf("%d connections", l.Connections())
 		}
 		c.Write([]byte{1})
-		d := dial() // none idles: it waits
+		d := dial() // no connection is idle, so this one waits
 		time.Sleep(time.Minute)
 		if closed(t, a) || closed(t, c) || l.Connections() != 2 {
-			t.Fatal("a connection with a request open was closed")
+			t.Fatal("a connection with a request in flight was closed")
 		}
 		a.Write([]byte{0})
 		time.Sleep(time.Second)
 		if !closed(t, a) || closed(t, d) {
-			t.Fatal("the one that had become idle did not make room")
+			t.Fatal("the connection that became idle was not evicted for the new one")
 		}
 	})
 }
 
-// Who has asked nothing goes before one that has, however long that idles, and who asked once before one that
-// comes again: those that connect and say nothing must not push out the balancers.
+// Connections without any message are evicted before those with one message, and these before connections with several messages, however
+// long the latter have been idle. Otherwise silent connections would displace balancers.
 func TestEvictionOrder(t *testing.T) {
-	play(t, 0, func(l *Listener, dial func() net.Conn, _ func() int) {
-		usual := dial()
+	runWithListener(t, 0, func(l *Listener, dial func() net.Conn, _ func() int) {
+		frequent := dial()
 		for range 3 {
-			usual.Write([]byte{1})
-			usual.Write([]byte{0})
+			frequent.Write([]byte{1})
+			frequent.Write([]byte{0})
 		}
 		time.Sleep(time.Minute)
 		once := dial()
 		once.Write([]byte{0})
 		time.Sleep(time.Second)
-		silent := dial() // pushes out the one that asked once
+		silent := dial() // evicts the connection with one message
 		time.Sleep(time.Second)
-		if closed(t, usual) || !closed(t, once) {
-			t.Fatal("who asked once stays, or who comes again goes")
+		if closed(t, frequent) || !closed(t, once) {
+			t.Fatal("connection with one message was not evicted, or the one with several messages was")
 		}
 		last := dial()
 		time.Sleep(time.Second)
-		if closed(t, usual) || !closed(t, silent) || closed(t, last) {
-			t.Fatal("who said nothing stays, or who comes again goes")
+		if closed(t, frequent) || !closed(t, silent) || closed(t, last) {
+			t.Fatal("silent connection was not evicted, or the one with several messages was")
 		}
 	})
 }
 
-// Lines about peers are few, however many peers there are.
+// At most maxLinesPerWindow lines about peers are logged per second. Further events are counted as unlogged.
 func TestLogIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var out strings.Builder
@@ -128,46 +128,46 @@
 			time.Sleep(time.Second)
 		}
 		if n := strings.Count(out.String(), "\n"); n != 10*maxLinesPerWindow || l.stats.Get("unlogged", "test") != 1000-10*maxLinesPerWindow {
-			t.Fatalf("%d lines", n)
+			t.Fatalf("%d lines logged in 10 s", n)
 		}
 	})
 }
 
-// Idle connections are asked to leave, once, and those with requests open are not.
+// The peer of an idle connection is asked once to close it. The peer of a connection with a request in flight is not asked.
 func TestIdle(t *testing.T) {
-	play(t, time.Second, func(_ *Listener, dial func() net.Conn, left func() int) {
+	runWithListener(t, time.Second, func(_ *Listener, dial func() net.Conn, drainNotices func() int) {
 		a := dial()
 		dial()
 		a.Write([]byte{1})
 		time.Sleep(900 * time.Millisecond)
-		if left() != 0 {
-			t.Fatal("asked too early")
+		if drainNotices() != 0 {
+			t.Fatal("peer asked to leave before the idle timeout")
 		}
 		time.Sleep(5 * time.Second)
-		if n := left(); n != 1 {
-			t.Fatalf("%d asked, want 1", n)
+		if n := drainNotices(); n != 1 {
+			t.Fatalf("%d idle peers asked to leave, want 1", n)
 		}
 	})
 }
 
-// In a drain all peers are asked to leave, those that come later too.
+// A drain asks all peers to close their connections, including those that connect during the drain.
 func TestDrain(t *testing.T) {
-	play(t, 0, func(l *Listener, dial func() net.Conn, left func() int) {
+	runWithListener(t, 0, func(l *Listener, dial func() net.Conn, drainNotices func() int) {
 		dial().Write([]byte{1})
 		l.Drain()
-		if n := left(); n != 1 {
-			t.Fatalf("%d asked, want 1", n)
+		if n := drainNotices(); n != 1 {
+			t.Fatalf("%d peers asked to leave, want 1", n)
 		}
 		dial()
-		if n := left(); n != 2 {
-			t.Fatalf("%d asked, want 2", n)
+		if n := drainNotices(); n != 2 {
+			t.Fatalf("%d peers asked to leave, want 2", n)
 		}
 	})
 }
 
-// floods plays a listener of eight connections, one of them reserved, whose peers ask something cheap with a 1 and open
-// work with a 2, and are answered with the same byte, or a 0 where the connection may carry no work.
-func floods(t *testing.T, test func(l *Listener, dial func() net.Conn)) {
+// runWithReserve runs test with a listener of eight connections, one of them reserved, in simulated time. A byte of 1 is a cheap call, and
+// a 2 is a request for work, which stays in flight. The answer is the same byte, or 0 if the connection may not carry work.
+func runWithReserve(t *testing.T, test func(l *Listener, dial func() net.Conn)) {
 	synctest.Test(t, func(t *testing.T) {
 		p := pipes.Listen()
 		handle := func(conn net.Conn, s *Slot) {
@@ -192,10 +192,10 @@
 		go l.Serve()
 		var all []net.Conn
 		test(l, func() net.Conn {
-			near := p.Dial()
-			all = append(all, near)
+			conn := p.Dial()
+			all = append(all, conn)
 			synctest.Wait()
-			return near
+			return conn
 		})
 		l.Close()
 		for _, c := range all {
@@ -204,9 +204,9 @@
 	})
 }
 
-func say(t *testing.T, c net.Conn, b byte) (byte, time.Duration) {
+func exchange(t *testing.T, c net.Conn, b byte) (byte, time.Duration) {
 	t.Helper()
-	began := time.Now()
+	startedAt := time.Now()
 	if _, err := c.Write([]byte{b}); err != nil {
 		t.Fatal(err)
 	}
@@ -214,35 +214,34 @@
 	if _, err := c.Read(a); err != nil {
 		t.Fatal(err)
 	}
-	return a[0], time.Since(began)
+	return a[0], time.Since(startedAt)
 }
 
-// When work holds all the connections that it may have, the next who brings work is told so at once, and who asks what
-// is cheap is answered.
+// When all connections that may carry work do, a further connection is reserved: it rejects work at once and answers cheap calls.
 func TestReserveOfConnections(t *testing.T) {
-	floods(t, func(l *Listener, dial func() net.Conn) {
+	runWithReserve(t, func(l *Listener, dial func() net.Conn) {
 		for range 7 {
-			if a, _ := say(t, dial(), 2); a != 2 {
-				t.Fatal("work is turned away while there is room for it")
+			if a, _ := exchange(t, dial(), 2); a != 2 {
+				t.Fatal("work was rejected on an unreserved connection")
 			}
 		}
 		last := dial()
-		if a, _ := say(t, last, 2); a != 0 {
-			t.Error("work in the reserve")
+		if a, _ := exchange(t, last, 2); a != 0 {
+			t.Error("work was accepted on a reserved connection")
 		}
-		if a, took := say(t, last, 1); a != 1 || took > 0 {
-			t.Errorf("a cheap call: %d after %v", a, took)
+		if a, took := exchange(t, last, 1); a != 1 || took > 0 {
+			t.Errorf("cheap call: answer %d after %v", a, took)
 		}
-		if st, on := l.Reserved(); !on || st.Working != 7 || st.WorkRejected != 1 {
-			t.Errorf("%+v, %v", st, on)
+		if st, on := l.ReserveState(); !on || st.Working != 7 || st.WorkRejected != 1 {
+			t.Errorf("state of the reserve: %+v, %v", st, on)
 		}
 	})
 }
 
-// Peers that only ask what is cheap, at full speed, fill every connection: each is held to its part, and a new
-// connection takes the place of the one furthest beyond it, so that a quiet peer is answered at once.
+// Peers that make cheap calls at full speed occupy every connection. Each is limited to its share, and a new connection replaces the one
+// that exceeds its share most, so that the call of a quiet peer is answered at once.
 func TestReserveUnderAFlood(t *testing.T) {
-	floods(t, func(l *Listener, dial func() net.Conn) {
+	runWithReserve(t, func(l *Listener, dial func() net.Conn) {
 		stop := make(chan struct{})
 		for range 8 {
 			c := dial()
@@ -264,43 +263,43 @@
 			}()
 		}
 		time.Sleep(3 * time.Second)
-		if st, _ := l.Reserved(); st.Cheap > 3*400*3/2 || st.Delayed == 0 {
-			t.Errorf("%d cheap calls in 3 s with 400 a second for all, %d paced", st.Cheap, st.Delayed)
+		if st, _ := l.ReserveState(); st.Cheap > 3*400*3/2 || st.Delayed == 0 {
+			t.Errorf("%d cheap calls in 3 s at a limit of 400 per second, %d delayed", st.Cheap, st.Delayed)
 		}
 		quiet := dial()
-		if a, took := say(t, quiet, 1); a != 1 || took > 50*time.Millisecond {
-			t.Errorf("a quiet peer's call: %d after %v", a, took)
+		if a, took := exchange(t, quiet, 1); a != 1 || took > 50*time.Millisecond {
+			t.Errorf("call of a quiet peer: answer %d after %v", a, took)
 		}
 		close(stop)
 		time.Sleep(2 * time.Second)
 	})
 }
 
-// A smaller budget holds at once for those that idle, the least missed first; what has a request open stays.
+// Lowering the budget evicts idle connections at once, in the order of evictBefore. Connections with a request in flight stay.
 func TestSetMaxConnections(t *testing.T) {
-	play(t, 0, func(l *Listener, dial func() net.Conn, _ func() int) {
+	runWithListener(t, 0, func(l *Listener, dial func() net.Conn, _ func() int) {
 		l.SetMaxConnections(4)
 		var all []net.Conn
 		for range 4 {
 			all = append(all, dial())
 		}
 		for _, c := range all[:2] {
-			c.Write([]byte{1}) // a request is open
+			c.Write([]byte{1}) // a request is in flight
 		}
-		all[3].Write([]byte{0}) // has asked once
+		all[3].Write([]byte{0}) // has sent one message
 		synctest.Wait()
 		time.Sleep(2 * minIdleBeforeEviction)
 		l.SetMaxConnections(3)
 		synctest.Wait()
 		for i, want := range []bool{false, false, true, false} {
 			if closed(t, all[i]) != want {
-				t.Errorf("connection %d: closed is %v", i, !want)
+				t.Errorf("connection %d: closed = %v", i, !want)
 			}
 		}
 		l.SetMaxConnections(1)
 		synctest.Wait()
 		if n := l.Connections(); n != 2 || !closed(t, all[3]) {
-			t.Errorf("%d connections, want the two with requests", n)
+			t.Errorf("%d connections, want the 2 with requests in flight", n)
 		}
 	})
 }
--- a/internal/transport/msgpackrpc/close_test.go
+++ b/internal/transport/msgpackrpc/close_test.go
@@ -20,7 +20,7 @@
 	"silverpath/internal/transport/listener"
 )
 
-// worker is a stand-in runner whose runs end when the test says so.
+// worker is a stand-in runner that reports started runs on a channel. The test ends them.
 type worker struct {
 	*core.Core
 	runs chan string
@@ -30,12 +30,12 @@
 func (w worker) Resume(string, []byte)      {}
 func (w worker) Probe()                     { w.Gauges(silverpath.Gauges{}) }
 
-// serve serves a listener with at most so many connections.
-func serve(t *testing.T, ln net.Listener, most int) (worker, *listener.Listener, *metrics.Counters) {
+// startFront starts a core and its front on a listener with at most maxConns connections.
+func startFront(t *testing.T, ln net.Listener, maxConns int) (worker, *listener.Listener, *metrics.Counters) {
 	t.Helper()
-	counters, quiet := &metrics.Counters{}, log.New(io.Discard, "", 0)
+	counters, logger := &metrics.Counters{}, log.New(io.Discard, "", 0)
 	c, err := core.New(core.Config{Settings: silverpath.Settings{Cores: 4, MemoryKB: 10000, MaxRunsPerCore: 8, RunsWindow: time.Second,
-		Classes: []silverpath.Class{{Name: "x", Objective: 20 * time.Second, Deadline: 30 * time.Second, Weight: 1}}}, MemoryMB: 16, Log: quiet, Stats: counters})
+		Classes: []silverpath.Class{{Name: "x", Objective: 20 * time.Second, Deadline: 30 * time.Second, Weight: 1}}}, MemoryMB: 16, Log: logger, Stats: counters})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -44,39 +44,38 @@
 		t.Fatal(err)
 	}
 	c.RunnerReady()
-	l := listener.New(Name, ln, most, func() time.Duration { return 0 }, New(c, quiet, counters).Serve, quiet, counters)
+	l := listener.New(Name, ln, maxConns, func() time.Duration { return 0 }, New(c, logger, counters).Serve, logger, counters)
 	go l.Serve()
 	return w, l, counters
 }
 
-func ask(id uint64) []byte {
+func encodeRequest(id uint64) []byte {
 	return AppendRequest(nil, id, "x", []byte("body"), "i", fmt.Sprintf("%016x", id), "s", fmt.Sprint(time.Now().UnixMilli()), "d", "30000", "m", "1")
 }
 
-// What a connection brings after a whole request costs that request nothing: half a message that goes no further, or is cut off
-// by the end of what the client sends, and what is no message at all, with much more behind it. The answer arrives, and then the
-// connection ends in good order.
+// Input after a complete request must not affect its answer. The input is an incomplete message that stalls or is cut off by the end of
+// the stream, or a malformed message with more data after it. The answer must arrive and the connection must end without a reset.
 func TestHalfMessageCostsNobody(t *testing.T) {
-	half := ask(2)[:20]
+	incomplete := encodeRequest(2)[:20]
 	garbage := []byte("\xc1" + strings.Repeat("x", 30000))
 	t.Run("over loopback", func(t *testing.T) {
-		for name, after := range map[string][]byte{"half, and the end": half, "garbage": garbage} {
+		for name, extra := range map[string][]byte{"incomplete, then the end": incomplete, "garbage": garbage} {
 			ln, err := net.Listen("tcp", "127.0.0.1:0")
 			if err != nil {
 				t.Fatal(err)
 			}
-			w, l, counters := serve(t, ln, 10)
+			w, l, counters := startFront(t, ln, 10)
 			conn, err := net.Dial("tcp", ln.Addr().String())
 			if err != nil {
 				t.Fatal(err)
 			}
 			conn.SetDeadline(time.Now().Add(20 * time.Second))
-			conn.Write(append(ask(1), after...))
+			conn.Write(append(encodeRequest(1), extra...))
 			if name != "garbage" {
 				conn.(*net.TCPConn).CloseWrite()
 			}
 			id := <-w.runs
-			for counters.Get("malformed", Name) == 0 { // until it has been met
+			for counters.Get("malformed", Name) == 0 { // until the front has read it
 				time.Sleep(time.Millisecond)
 			}
 			w.RunEnded(id, silverpath.OK, 0, []byte("done"))
@@ -85,7 +84,7 @@
 				t.Errorf("%s: %+v, %v", name, a, err)
 			}
 			if _, err := ReadReply(r); !errors.Is(err, io.EOF) {
-				t.Errorf("%s: the connection ends by %v", name, err)
+				t.Errorf("%s: read after the answer: %v, want io.EOF", name, err)
 			}
 			conn.Close()
 			l.Close()
@@ -95,17 +94,17 @@
 	t.Run("in simulated time", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			p := pipes.Listen()
-			w, l, counters := serve(t, p, 10)
+			w, l, counters := startFront(t, p, 10)
 			conn := p.Dial()
-			go conn.Write(append(ask(1), half...)) // and no more
+			go conn.Write(append(encodeRequest(1), incomplete...)) // the rest is never sent
 			id := <-w.runs
 			time.Sleep(2 * listener.MessageTimeout)
 			if n := counters.Get("too_slow", Name); n != 1 {
-				t.Errorf("%d too slow", n)
+				t.Errorf("%d connections counted as too slow, want 1", n)
 			}
 			go w.RunEnded(id, silverpath.OK, 0, []byte("done"))
 			if a, err := ReadReply(bufio.NewReader(conn)); err != nil || a.ID != 1 || string(a.Body) != "done" {
-				t.Errorf("%+v, %v", a, err)
+				t.Errorf("answer to the complete request: %+v, %v", a, err)
 			}
 			conn.Close()
 			l.Close()
@@ -115,28 +114,28 @@
 	})
 }
 
-// A connection whose answer is still being written is not idle: a newcomer waits rather than cut it off.
+// A connection is not idle while an answer is being written: a new connection waits for a slot instead of evicting it.
 func TestAnswerBeingWritten(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := pipes.Listen()
-		w, l, _ := serve(t, p, 1)
+		w, l, _ := startFront(t, p, 1)
 		conn := p.Dial()
-		go conn.Write(ask(1))
+		go conn.Write(encodeRequest(1))
 		id := <-w.runs
 		w.RunEnded(id, silverpath.OK, 0, []byte("done"))
-		synctest.Wait() // it is being written: a pipe takes it only as it is read
+		synctest.Wait() // the answer is being written: a write to a pipe blocks until it is read
 		next := p.Dial()
-		go next.Write(ask(2))
+		go next.Write(encodeRequest(2))
 		time.Sleep(writeTimeout / 2)
 		if n := len(w.runs); n != 0 {
-			t.Fatal("the newcomer was served before there was room")
+			t.Fatal("request of the new connection ran before a slot was free")
 		}
 		if a, err := ReadReply(bufio.NewReader(conn)); err != nil || string(a.Body) != "done" {
-			t.Fatalf("the answer was cut off: %+v, %v", a, err)
+			t.Fatalf("answer was cut off: %+v, %v", a, err)
 		}
 		w.RunEnded(<-w.runs, silverpath.OK, 0, []byte("then"))
 		if a, err := ReadReply(bufio.NewReader(next)); err != nil || string(a.Body) != "then" {
-			t.Fatalf("the newcomer: %+v, %v", a, err)
+			t.Fatalf("answer on the new connection: %+v, %v", a, err)
 		}
 		conn.Close()
 		next.Close()
@@ -146,17 +145,17 @@
 	})
 }
 
-// What a client that floods a connection with requests sends behind the bound is refused at once and leaves nothing behind, and
-// the answers to what was taken come all the same.
+// On a connection flooded with requests, those beyond maxInFlightServed are rejected at once and leave no state behind. The accepted
+// requests are answered.
 func TestFloodOfRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := pipes.Listen()
-		w, l, counters := serve(t, p, 10)
+		w, l, counters := startFront(t, p, 10)
 		conn := p.Dial()
 		const sent = 500
 		go func() {
 			for id := range uint64(sent) {
-				conn.Write(ask(id + 1))
+				conn.Write(encodeRequest(id + 1))
 			}
 		}()
 		answers := make(chan Reply, sent)
@@ -169,10 +168,10 @@
 				answers <- a
 			}
 		}()
-		began := time.Now()
+		startedAt := time.Now()
 		synctest.Wait()
-		if n := counters.Get("turned_away", Name, "too_many_open"); n == 0 || time.Since(began) > 0 {
-			t.Errorf("%d refused at once, %v later", n, time.Since(began))
+		if n := counters.Get("turned_away", Name, "too_many_open"); n == 0 || time.Since(startedAt) > 0 {
+			t.Errorf("%d requests rejected after %v, want some at once", n, time.Since(startedAt))
 		}
 		for n := 0; n < sent; {
 			select {
@@ -182,9 +181,9 @@
 				n++
 			}
 		}
-		time.Sleep(time.Second) // until the view is made anew
+		time.Sleep(time.Second) // until the core has updated its view
 		if v := w.View(); v.PendingAnswers != 0 || v.InHand != 0 {
-			t.Errorf("left behind: %+v", v)
+			t.Errorf("state left behind: %+v", v)
 		}
 		conn.Close()
 		l.Close()
@@ -193,28 +192,29 @@
 	})
 }
 
-// What was read together with the message before it is not seen on the connection any more: it keeps its place all the same.
+// Bytes that were read together with the previous message no longer show as unread on the socket. The connection must still not count as
+// idle: evicting it would lose the request that these bytes begin.
 func TestReadAheadIsNotEvicted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := pipes.Listen()
-		w, l, _ := serve(t, p, 10)
-		conn, whole := p.Dial(), ask(2)
-		go conn.Write(append(AppendProbe(nil, 1), whole[:20]...))
+		w, l, _ := startFront(t, p, 10)
+		conn, encoded := p.Dial(), encodeRequest(2)
+		go conn.Write(append(AppendProbe(nil, 1), encoded[:20]...))
 		r := bufio.NewReader(conn)
 		if a, err := ReadReply(r); err != nil || !a.Healthy {
-			t.Fatalf("%+v, %v", a, err)
+			t.Fatalf("answer to the probe: %+v, %v", a, err)
 		}
-		l.EndConnections(100 * time.Millisecond) // ends what rests
-		go conn.Write(whole[20:])
+		l.EndConnections(100 * time.Millisecond) // closes idle connections
+		go conn.Write(encoded[20:])
 		synctest.Wait()
 		select {
 		case id := <-w.runs:
 			w.RunEnded(id, silverpath.OK, 0, []byte("done"))
 		default:
-			t.Error("it is not taken")
+			t.Error("request that was read ahead in part was not run")
 		}
 		if a, err := ReadReply(r); err != nil || string(a.Body) != "done" {
-			t.Errorf("%+v, %v", a, err)
+			t.Errorf("answer to the request: %+v, %v", a, err)
 		}
 		conn.Close()
 		l.Close()
@@ -223,23 +223,24 @@
 	})
 }
 
-// The buffer of an answer that is being written belongs to it until it is: what others are told meanwhile comes from others.
+// The pooled buffer of an answer must not be reused until its write has returned. Answers written to other connections meanwhile use other
+// buffers.
 func TestBufferOfAnAnswerBeingWritten(t *testing.T) {
-	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1)) // a pool has buffers for each
+	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1)) // sync.Pool keeps buffers per processor
 	synctest.Test(t, func(t *testing.T) {
 		p := pipes.Listen()
-		w, l, _ := serve(t, p, 10)
+		w, l, _ := startFront(t, p, 10)
 		var conns []net.Conn
 		for id, body := range []string{"first", "other", "third"} {
 			conn := p.Dial()
 			conns = append(conns, conn)
-			go conn.Write(ask(uint64(id + 1)))
+			go conn.Write(encodeRequest(uint64(id + 1)))
 			w.RunEnded(<-w.runs, silverpath.OK, 0, []byte(body))
-			synctest.Wait() // it is being written: a pipe takes it only as it is read
+			synctest.Wait() // the answer is being written: a write to a pipe blocks until it is read
 		}
 		for id, want := range []string{"first", "other", "third"} {
 			if a, err := ReadReply(bufio.NewReader(conns[id])); err != nil || a.ID != uint64(id+1) || string(a.Body) != want {
-				t.Errorf("connection %d is told %+v, %v", id+1, a, err)
+				t.Errorf("answer on connection %d: %+v, %v", id+1, a, err)
 			}
 			conns[id].Close()
 		}
--- a/internal/transport/msgpackrpc/encode.go
+++ b/internal/transport/msgpackrpc/encode.go
@@ -2,9 +2,9 @@
 
 import "encoding/binary"
 
-func appendArray(b []byte, n int) []byte { return append(b, 0x90|byte(n)) } // n < 16
+func appendArray(b []byte, n int) []byte { return append(b, 0x90|byte(n)) } // requires n < 16
 
-func appendMap(b []byte, n int) []byte { return append(b, 0x80|byte(n)) } // n < 16
+func appendMap(b []byte, n int) []byte { return append(b, 0x80|byte(n)) } // requires n < 16
 
 func appendUint(b []byte, n uint64) []byte {
 	switch {
@@ -20,7 +20,7 @@
 	return binary.BigEndian.AppendUint64(append(b, 0xcf), n)
 }
 
-func appendText(b []byte, s string) []byte {
+func appendStr(b []byte, s string) []byte {
 	switch n := len(s); {
 	case n < 32:
 		b = append(b, 0xa0|byte(n))
@@ -53,11 +53,11 @@
 	return append(b, 0xc2)
 }
 
-// appendFields appends a map of strings to strings, given as name and value in turn.
+// appendFields encodes a map of strings to strings. Pairs holds alternating names and values of at most 15 fields.
 func appendFields(b []byte, pairs []string) []byte {
 	b = appendMap(b, len(pairs)/2)
 	for _, s := range pairs {
-		b = appendText(b, s)
+		b = appendStr(b, s)
 	}
 	return b
 }
