--- a/internal/transport/bufferpool/bufferpool.go
+++ b/internal/transport/bufferpool/bufferpool.go
@@ -1,5 +1,5 @@
-// Package bufferpool pools the buffers that all connections read into and write from. They have one size, so that one pool serves
-// all fronts, and memory does not depend on which of them is busy.
+// Package bufferpool pools the buffers that all connections read into and write from. All buffers have the same size, so that one pool
+// serves all fronts and memory use does not depend on which front is busy.
 package bufferpool
 
 import (
@@ -8,7 +8,7 @@
 	"sync"
 )
 
-// Size is the bytes of every buffer: the platform's largest request, of a 2 KiB body and its fields, several times over.
+// Size is the capacity of every buffer in bytes. It holds the platform's largest request, a 2 KiB body and its fields, several times.
 const Size = 8 << 10
 
 var (
@@ -16,10 +16,10 @@
 	readers = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, Size) }}
 )
 
-// Get returns an empty buffer of the capacity Size. Its user gives it back by Put, once nothing refers to its bytes any more.
+// Get returns an empty buffer with capacity Size. The caller returns it with Put once nothing refers to its bytes.
 func Get() *[]byte { return buffers.Get().(*[]byte) }
 
-// Put gives a buffer back. One that outgrew Size is left to the garbage collector.
+// Put returns a buffer to the pool. A buffer that outgrew Size is left to the garbage collector.
 func Put(b *[]byte) {
 	if cap(*b) != Size {
 		return
@@ -28,14 +28,14 @@
 	buffers.Put(b)
 }
 
-// GetReader returns a pooled reader of r, to be given back by PutReader.
+// GetReader returns a pooled reader that reads from r. The caller returns it with PutReader.
 func GetReader(r io.Reader) *bufio.Reader {
 	b := readers.Get().(*bufio.Reader)
 	b.Reset(r)
 	return b
 }
 
-// PutReader gives a reader back. What it has buffered is lost.
+// PutReader returns a reader to the pool. It discards the reader's buffered bytes.
 func PutReader(b *bufio.Reader) {
 	b.Reset(nil)
 	readers.Put(b)
--- a/internal/transport/linger/linger.go
+++ b/internal/transport/linger/linger.go
@@ -1,6 +1,6 @@
-// Package linger closes TCP connections so that what was written on them arrives. A close over bytes that nobody has read makes the
-// kernel reset the connection, and the other side may lose an answer that is on its way: so the sending half ends first, what still
-// comes is read for a bounded time, and only then the connection closes.
+// Package linger implements the lingering close of TCP connections. If a connection is closed while received bytes are unread, the kernel
+// resets it, and the peer may lose an answer that is still in transit. A lingering close therefore shuts down the sending half first,
+// reads and discards input for a bounded time, and only then closes the connection.
 package linger
 
 import (
@@ -12,15 +12,16 @@
 	"golang.org/x/sys/unix"
 )
 
-// CloseWrite closes the sending half of a connection. It reports whether that succeeded: a pipe in memory has no halves.
+// CloseWrite shuts down the sending half of a connection and reports whether that succeeded. It fails for connections that do not support
+// half-close, such as in-memory pipes.
 func CloseWrite(conn net.Conn) bool {
 	half, ok := conn.(interface{ CloseWrite() error })
 	return ok && half.CloseWrite() == nil
 }
 
-// Close closes a connection on which all that was to be written is written. What still comes is read, by r where that holds a buffer
-// of the connection, and thrown away, until the other side closes it too, the timeout is over or maxBytes have come. It is called
-// by a connection's handler as its last step.
+// Close performs a lingering close. A connection's handler calls it as its last step, after all output is written. Close reads and discards
+// input until the peer closes its side, the timeout expires or maxBytes bytes have been read. It reads from r, the connection's buffered
+// reader, or from conn if r is nil. A connection that does not support half-close is closed at once.
 func Close(conn net.Conn, r io.Reader, timeout time.Duration, maxBytes int64) {
 	defer conn.Close()
 	if !CloseWrite(conn) {
@@ -33,18 +34,18 @@
 	_, _ = io.CopyN(io.Discard, r, maxBytes)
 }
 
-// State is what Peek finds on a connection.
+// State is the state of a connection as reported by Peek.
 type State int
 
-// What Peek finds.
+// The states that Peek reports.
 const (
-	Unknown State = iota // it has no socket to look at
-	Idle                 // open, and nothing has come that was not read
-	Unread               // bytes have come and were not read
-	Closed               // the other side has closed it, or it is broken
+	Unknown State = iota // the connection has no socket
+	Idle                 // open, without unread bytes
+	Unread               // open, with received bytes that have not been read
+	Closed               // closed by the peer, or failed
 )
 
-// Peek looks at a connection without waiting and without reading from it.
+// Peek returns the state of a connection. It does not block and does not consume input.
 func Peek(conn net.Conn) State {
 	s, ok := conn.(syscall.Conn)
 	if !ok {
--- a/internal/transport/linger/linger_test.go
+++ b/internal/transport/linger/linger_test.go
@@ -14,118 +14,118 @@
 	"time"
 )
 
-// watched is a connection that notes what is done with it. What comes on it is what the other side is said to send.
-type watched struct {
+// recordingConn is a connection that records the calls made on it. Its reads return the bytes of input.
+type recordingConn struct {
 	net.Conn
-	mu    sync.Mutex
-	did   []string
-	until time.Time
-	comes io.Reader
-	took  int
+	mu        sync.Mutex
+	calls     []string
+	deadline  time.Time
+	input     io.Reader
+	bytesRead int
 }
 
-func (w *watched) note(what string) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if len(w.did) == 0 || w.did[len(w.did)-1] != what {
-		w.did = append(w.did, what)
+func (c *recordingConn) record(what string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if len(c.calls) == 0 || c.calls[len(c.calls)-1] != what {
+		c.calls = append(c.calls, what)
 	}
 }
 
-func (w *watched) CloseWrite() error { w.note("half"); return nil }
-func (w *watched) Close() error      { w.note("close"); return nil }
+func (c *recordingConn) CloseWrite() error { c.record("CloseWrite"); return nil }
+func (c *recordingConn) Close() error      { c.record("Close"); return nil }
 
-func (w *watched) SetReadDeadline(t time.Time) error {
-	w.note("limit")
-	w.until = t
+func (c *recordingConn) SetReadDeadline(t time.Time) error {
+	c.record("SetReadDeadline")
+	c.deadline = t
 	return nil
 }
 
-func (w *watched) Read(b []byte) (int, error) {
-	w.note("read")
-	n, err := w.comes.Read(b)
-	w.took += n
+func (c *recordingConn) Read(b []byte) (int, error) {
+	c.record("Read")
+	n, err := c.input.Read(b)
+	c.bytesRead += n
 	return n, err
 }
 
-type failing struct{ err error }
+type errReader struct{ err error }
 
-func (f failing) Read([]byte) (int, error) { return 0, f.err }
+func (r errReader) Read([]byte) (int, error) { return 0, r.err }
 
-// Between the end of the sending half and the close all that still comes is read, until the other side ends, the time is over
-// or enough has come.
+// Between the half-close and the close, Close reads input until the peer closes its side, the timeout expires or the byte limit is
+// reached.
 func TestReadsBeforeTheClose(t *testing.T) {
-	const most = 10000
+	const maxBytes = 10000
 	for name, c := range map[string]struct {
-		comes io.Reader
-		took  int
+		input     io.Reader
+		bytesRead int
 	}{
-		"the other side ends":    {strings.NewReader(strings.Repeat("x", 3000)), 3000},
-		"the time is over":       {io.MultiReader(strings.NewReader("xyz"), failing{os.ErrDeadlineExceeded}), 3},
-		"the connection breaks":  {io.MultiReader(strings.NewReader("xyz"), failing{net.ErrClosed}), 3},
-		"it sends without end":   {endless{}, most},
-		"nothing comes any more": {strings.NewReader(""), 0},
+		"the peer closes":      {strings.NewReader(strings.Repeat("x", 3000)), 3000},
+		"the timeout expires":  {io.MultiReader(strings.NewReader("xyz"), errReader{os.ErrDeadlineExceeded}), 3},
+		"the connection fails": {io.MultiReader(strings.NewReader("xyz"), errReader{net.ErrClosed}), 3},
+		"endless input":        {endlessReader{}, maxBytes},
+		"no input":             {strings.NewReader(""), 0},
 	} {
-		w := &watched{comes: c.comes}
+		conn := &recordingConn{input: c.input}
 		before := time.Now()
-		Close(w, nil, time.Hour, most)
-		if want := []string{"half", "limit", "read", "close"}; !slices.Equal(w.did, want) {
-			t.Errorf("%s: %v, want %v", name, w.did, want)
+		Close(conn, nil, time.Hour, maxBytes)
+		if want := []string{"CloseWrite", "SetReadDeadline", "Read", "Close"}; !slices.Equal(conn.calls, want) {
+			t.Errorf("%s: calls %v, want %v", name, conn.calls, want)
 		}
-		if w.took != c.took {
-			t.Errorf("%s: %d bytes were read, want %d", name, w.took, c.took)
+		if conn.bytesRead != c.bytesRead {
+			t.Errorf("%s: read %d bytes, want %d", name, conn.bytesRead, c.bytesRead)
 		}
-		if w.until.Before(before.Add(time.Hour)) || w.until.After(time.Now().Add(time.Hour)) {
-			t.Errorf("%s: it may last until %v", name, w.until)
+		if conn.deadline.Before(before.Add(time.Hour)) || conn.deadline.After(time.Now().Add(time.Hour)) {
+			t.Errorf("%s: read deadline %v, want one hour from the call", name, conn.deadline)
 		}
 	}
 }
 
-type endless struct{}
+type endlessReader struct{}
 
-func (endless) Read(b []byte) (int, error) { return len(b), nil }
+func (endlessReader) Read(b []byte) (int, error) { return len(b), nil }
 
-// What a buffer holds of the connection counts as read from it.
+// Bytes that the reader has already buffered count towards the byte limit.
 func TestReadsThroughTheBuffer(t *testing.T) {
-	w := &watched{comes: strings.NewReader(strings.Repeat("x", 3000))}
-	r := bufio.NewReaderSize(w, 1000)
+	conn := &recordingConn{input: strings.NewReader(strings.Repeat("x", 3000))}
+	r := bufio.NewReaderSize(conn, 1000)
 	_, _ = r.Peek(1)
-	Close(w, r, time.Hour, 1000)
-	if w.took != 1000 {
-		t.Errorf("%d bytes were read of the connection, 1000 of them through its buffer", w.took)
+	Close(conn, r, time.Hour, 1000)
+	if conn.bytesRead != 1000 {
+		t.Errorf("read %d bytes from the connection, want the 1000 that were buffered", conn.bytesRead)
 	}
 }
 
-// A connection without halves is closed at once: nobody would be told to end his side.
+// A connection without half-close is closed at once: the peer would not see that it should close its side.
 func TestWithoutHalves(t *testing.T) {
-	here, there := net.Pipe()
-	defer there.Close()
-	Close(here, nil, time.Hour, 1000)
-	if _, err := there.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
-		t.Errorf("%v", err)
+	conn, peer := net.Pipe()
+	defer peer.Close()
+	Close(conn, nil, time.Hour, 1000)
+	if _, err := peer.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
+		t.Errorf("peer's read: %v, want EOF", err)
 	}
 }
 
-// turned is a connection that tells of the first reading of it, and of its close.
-type turned struct {
+// signalingConn is a TCP connection that closes the channel readOrClosed at its first Read or at its Close.
+type signalingConn struct {
 	*net.TCPConn
-	once sync.Once
-	turn chan struct{}
+	once         sync.Once
+	readOrClosed chan struct{}
 }
 
-func (c *turned) Read(b []byte) (int, error) {
-	c.once.Do(func() { close(c.turn) })
+func (c *signalingConn) Read(b []byte) (int, error) {
+	c.once.Do(func() { close(c.readOrClosed) })
 	return c.TCPConn.Read(b)
 }
 
-func (c *turned) Close() error {
+func (c *signalingConn) Close() error {
 	err := c.TCPConn.Close()
-	c.once.Do(func() { close(c.turn) })
+	c.once.Do(func() { close(c.readOrClosed) })
 	return err
 }
 
-// An answer that its reader has not taken in yet, as he is slow and it is larger than his buffer, arrives whole though bytes
-// lie unread as the connection ends: a plain close over them throws away what the system has not sent.
+// An answer that is larger than a slow reader's buffer is still partly unsent when the connection is closed, and received bytes are unread.
+// A plain close would reset the connection and discard the unsent bytes. With a lingering close the whole answer must arrive.
 func TestAnswerOfASlowReaderOverUnread(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -143,14 +143,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	server := &turned{TCPConn: accepted.(*net.TCPConn), turn: make(chan struct{})}
+	server := &signalingConn{TCPConn: accepted.(*net.TCPConn), readOrClosed: make(chan struct{})}
 	server.SetWriteBuffer(1 << 20)
 	answer := bytes.Repeat([]byte("answer"), 40000)
 	server.SetWriteDeadline(time.Now().Add(20 * time.Second))
 	if _, err := server.Write(answer); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := io.WriteString(client, "more than anybody reads"); err != nil {
+	if _, err := io.WriteString(client, "bytes that the server never reads"); err != nil {
 		t.Fatal(err)
 	}
 	for Peek(server) != Unread {
@@ -161,20 +161,20 @@
 		defer close(closed)
 		Close(server, nil, time.Minute, 64<<10)
 	}()
-	<-server.turn // it lingers, or has closed
+	<-server.readOrClosed // Close reads input, or has closed the connection
 	_ = client.SetReadDeadline(time.Now().Add(20 * time.Second))
 	got, err := io.ReadAll(client)
 	if err != nil || !bytes.Equal(got, answer) {
-		t.Fatalf("%d bytes of %d, %v", len(got), len(answer), err)
+		t.Fatalf("received %d bytes of %d: %v", len(got), len(answer), err)
 	}
 	select {
 	case <-closed:
-		t.Error("closed before the client has ended its side")
+		t.Error("Close returned before the client closed its side")
 	default:
 	}
 	_ = client.Close()
 	<-closed
 	if _, err := accepted.Read(make([]byte, 1)); !errors.Is(err, net.ErrClosed) {
-		t.Errorf("%v", err)
+		t.Errorf("read after Close: %v, want net.ErrClosed", err)
 	}
 }
--- a/internal/transport/loadreport/reporter.go
+++ b/internal/transport/loadreport/reporter.go
@@ -1,4 +1,4 @@
-// Package loadreport tells the announce service that this process is there and whether it is healthy, in one UDP datagram a report.
+// Package loadreport reports this process and its health to the announce service. Each report is one UDP datagram.
 package loadreport
 
 import (
@@ -12,9 +12,8 @@
 	"silverpath/internal/events"
 )
 
-// Interval is the time between two reports. An entry of the announce service lapses 3 s after the last report that arrived, and a good
-// part of them may be lost on the way: with one in four lost, all of the 14 that make up such a stretch are lost about once in 10^8
-// stretches.
+// Interval is the time between two reports. The announce service expires an entry 3 s after the last report that arrived, and datagrams
+// may be lost. If one report in four is lost, all 14 reports of a 3 s period are lost in about one of 10^8 periods.
 const Interval = 200 * time.Millisecond
 
 // Reporter sends the reports of one process.
@@ -30,12 +29,13 @@
 	redirected chan struct{}
 }
 
-// New returns a Reporter for the service of a name, whose health is asked for with each report. An empty address is none.
+// New returns a Reporter for the named service. It calls healthy for each report. With an empty address it sends nothing until Redirect
+// sets one.
 func New(addr, name string, healthy func() bool, l *log.Logger) *Reporter {
 	return &Reporter{name: name, healthy: healthy, log: l, dial: net.Dial, addr: addr, redirected: make(chan struct{}, 1)}
 }
 
-// Redirect sends the reports to another address from now on, the next one at once; an empty one ends them.
+// Redirect changes the destination of the reports and sends the next one at once. An empty address suspends them.
 func (r *Reporter) Redirect(addr string) {
 	r.mu.Lock()
 	r.addr = addr
@@ -46,19 +46,19 @@
 	}
 }
 
-// Silence ends the reports for good: another process of the same name reports from now on.
+// Silence stops the reports permanently. It is called when another process of the same name takes over reporting.
 func (r *Reporter) Silence() {
 	r.mu.Lock()
 	r.silenced = true
 	r.mu.Unlock()
 }
 
-// failureLogInterval is the least time between two log lines that no report can be sent.
+// failureLogInterval is the minimum time between two log lines about a failure to open the socket.
 const failureLogInterval = 10 * time.Second
 
-// Run reports until the context ends; it is called once. A report that can't be sent is dropped: the next one comes soon, and the
-// announce service may be down. Where there is no socket to send by, as no descriptor or no route is left, the next report tries again
-// to have one: a service that gave up here would stay unknown for good.
+// Run sends reports until the context ends. It is called once. A report that cannot be sent is dropped, since the next one follows soon
+// and the announce service may be down. If no socket can be opened, for lack of a descriptor or a route, Run tries again with the next
+// report: without the retry the service would stay unlisted permanently.
 func (r *Reporter) Run(ctx context.Context) {
 	tick := time.NewTicker(Interval)
 	defer tick.Stop()
@@ -99,7 +99,7 @@
 	}
 }
 
-// report is the text of a report.
+// report returns the payload of one report.
 func report(name string, healthy bool) []byte {
 	return fmt.Appendf(nil, "announce %s %t", name, healthy)
 }
--- a/internal/transport/loadreport/reporter_test.go
+++ b/internal/transport/loadreport/reporter_test.go
@@ -35,8 +35,8 @@
 	}
 }
 
-// Reports come in one datagram each, again and again, and say what the health is then. After a move they come
-// at the new address.
+// Each report is one datagram with the health at that time. After Redirect the reports go to the new address, and after Silence they
+// stop.
 func TestRun(t *testing.T) {
 	first, second := listen(t), listen(t)
 	ctx, cancel := context.WithCancel(t.Context())
@@ -52,31 +52,31 @@
 	r.Redirect("")
 	r.Redirect(second.LocalAddr().String())
 	expect(t, second, "announce n3 false")
-	r.Silence() // another process of the name reports
+	r.Silence() // another process of the same name reports from here on
 	_ = second.SetReadDeadline(time.Now().Add(3 * Interval))
-	late := 0
-	for b := make([]byte, 100); ; late++ {
+	afterSilence := 0
+	for b := make([]byte, 100); ; afterSilence++ {
 		if _, _, err := second.ReadFrom(b); err != nil {
 			break
 		}
 	}
-	if late > 1 { // one may have been on its way
-		t.Errorf("%d reports of one that is quiet", late)
+	if afterSilence > 1 { // one report may have been in transit
+		t.Errorf("%d reports after Silence, want at most 1", afterSilence)
 	}
 	cancel()
 	<-done
 }
 
-// A service that has no socket to report by at first, or at a new address, reports as soon as it can have one, and says so
-// once.
+// Opening the socket fails for the first reports, and again after Redirect. The Reporter must send as soon as a socket can be opened, and
+// log the failure only once.
 func TestNoSocketAtFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var out strings.Builder
 		r := New("a", "n3", func() bool { return true }, log.New(&out, "", 0))
 		var got []string
-		fails := 20
+		failuresLeft := 20
 		r.dial = func(_, addr string) (net.Conn, error) {
-			if fails--; fails >= 0 {
+			if failuresLeft--; failuresLeft >= 0 {
 				return nil, syscall.EMFILE
 			}
 			near, far := net.Pipe()
@@ -102,22 +102,22 @@
 		if want := []string{"a: announce n3 true"}; !slices.Equal(got, want) || strings.Count(out.String(), "\n") != 1 {
 			t.Fatalf("reports %q, log %q", got, out.String())
 		}
-		got, fails = nil, 1
+		got, failuresLeft = nil, 1
 		r.Redirect("b")
 		time.Sleep(Interval)
 		synctest.Wait()
 		if want := []string{"b: announce n3 true"}; !slices.Equal(got, want) {
-			t.Fatalf("reports after the move: %q", got)
+			t.Fatalf("reports after Redirect: %q", got)
 		}
 		cancel()
 		<-done
 	})
 }
 
-// With one report in four lost, an entry that lapses after 3 s must not lapse in a month of reports.
+// The announce service expires an entry after 3 s without a report. With one report in four lost, no entry may expire in a month.
 func TestIntervalOutlivesLoss(t *testing.T) {
-	lost := math.Pow(0.25, math.Floor(float64(3*time.Second-Interval)/float64(Interval)))
-	if stretches := 30 * 24 * time.Hour / (3 * time.Second); lost*float64(stretches) > 0.01 {
-		t.Fatalf("a report every %v", Interval)
+	allLost := math.Pow(0.25, math.Floor(float64(3*time.Second-Interval)/float64(Interval)))
+	if periods := 30 * 24 * time.Hour / (3 * time.Second); allLost*float64(periods) > 0.01 {
+		t.Fatalf("interval %v is too long: an entry may expire within a month", Interval)
 	}
 }
