--- a/internal/transport/interpreter/lines.go
+++ b/internal/transport/interpreter/lines.go
@@ -12,17 +12,17 @@
 	"silverpath/internal/transport/bufferpool"
 )
 
-// write writes lines to a link.
-func write(conn net.Conn, b []byte) error {
+// write writes b to a connection, within writeTimeout.
+func writeWithTimeout(conn net.Conn, b []byte) error {
 	conn.SetWriteDeadline(time.Now().Add(writeTimeout))
 	if _, err := conn.Write(b); err != nil {
-		return fmt.Errorf("writing: %w", err)
+		return fmt.Errorf("failed to write to the interpreter: %w", err)
 	}
 	return nil
 }
 
-// write writes the queued commands once the link is live, several at a time, until linkDone.
-func (l *Link) write(conn net.Conn, linkDone <-chan struct{}) {
+// write sends the queued commands in batches while the link is live. It returns when linkDone is closed or a write fails.
+func (l *Link) writeLoop(conn net.Conn, linkDone <-chan struct{}) {
 	b := bufferpool.Get()
 	defer bufferpool.Put(b)
 	for {
@@ -45,31 +45,31 @@
 			if n == 0 {
 				break
 			}
-			if err := write(conn, *b); err != nil {
-				conn.Close() // the reader reports it
+			if err := writeWithTimeout(conn, *b); err != nil {
+				conn.Close() // read then fails, and its error is reported
 				return
 			}
 		}
 	}
 }
 
-// read reads notices until the link fails.
-func (l *Link) read(conn net.Conn) error {
+// read reads and handles notices until the link fails. It never returns nil.
+func (l *Link) readLoop(conn net.Conn) error {
 	r := bufferpool.GetReader(conn)
 	defer bufferpool.PutReader(r)
 	var p fastjson.Parser
-	var long []byte
+	var longLine []byte
 	for {
-		line, err := readLine(r, &long)
+		line, err := readLine(r, &longLine)
 		if err != nil {
-			return fmt.Errorf("reading: %w", err)
+			return fmt.Errorf("failed to read a notice: %w", err)
 		}
 		l.mu.Lock()
 		l.lastReceived, l.unansweredProbes = time.Now(), 0
 		l.mu.Unlock()
 		v, err := p.ParseBytes(line)
 		if err != nil {
-			return fmt.Errorf("a notice that is not JSON: %w", err)
+			return fmt.Errorf("malformed notice: not JSON: %w", err)
 		}
 		if err := l.handleNotice(conn, v); err != nil {
 			return err
@@ -77,20 +77,21 @@
 	}
 }
 
-// readLine returns a line, valid until the next call. It grows beyond the reader's buffer only for long ones.
-func readLine(r *bufio.Reader, long *[]byte) ([]byte, error) {
+// readLine returns the next line, which is valid until the next call. It uses long only for a line that exceeds the reader's buffer. A line
+// longer than maxLineBytes is an error.
+func readLine(r *bufio.Reader, longLine *[]byte) ([]byte, error) {
 	line, err := r.ReadSlice('\n')
 	if !errors.Is(err, bufio.ErrBufferFull) {
 		return line, err
 	}
-	*long = (*long)[:0]
+	*longLine = (*longLine)[:0]
 	for {
-		*long = append(*long, line...)
-		if len(*long) > maxLineBytes {
-			return nil, errors.New("a line without end")
+		*longLine = append(*longLine, line...)
+		if len(*longLine) > maxLineBytes {
+			return nil, errors.New("line exceeds the maximum length")
 		}
 		if !errors.Is(err, bufio.ErrBufferFull) {
-			return *long, err
+			return *longLine, err
 		}
 		line, err = r.ReadSlice('\n')
 	}
--- a/internal/transport/interpreter/link.go
+++ b/internal/transport/interpreter/link.go
@@ -1,6 +1,6 @@
-// Package interpreter is the link to the platform's interpreter, which does the work: JSON objects, one to each line, commands one
-// way and notices the other. It keeps the link open, takes up the notices where the last link ended, and starts again the runs whose
-// start a broken link may have lost; the interpreter knows each by its id and starts none twice.
+// Package interpreter is the client of the platform's interpreter, which executes the requests. The protocol is one JSON object a line:
+// commands are sent and notices are received. The package keeps the link open, resumes the notices where the last link ended, and resends
+// the start of each run that a broken link may have lost. The interpreter identifies a run by its ID and starts none twice.
 package interpreter
 
 import (
@@ -20,93 +20,95 @@
 	"silverpath/internal/metrics"
 )
 
-// Events is what a Link reports runs to: the core. Its calls come one at a time, and must not block.
+// Events receives what a Link reports. The core implements it. Its methods are called one at a time and must not block.
 type Events interface {
-	// Started says how long ago the interpreter started, and whether it did so without what it had cached. It comes before RunnerReady.
+	// Started reports how long ago the interpreter started and whether its cache was empty then. It is called before RunnerReady.
 	Started(withoutCache bool, ago time.Duration)
-	// RunnerReady says that the link is live: runs can be started.
+	// RunnerReady reports that the link is live and runs can be started.
 	RunnerReady()
-	// RunNeedsCall says that a run waits for a call below with this body; Resume hands it the reply.
+	// RunNeedsCall reports that a run waits for an dependency call with this body. Resume sends it the reply.
 	RunNeedsCall(id string, body []byte)
-	// RunEnded says how a run ended, after how long, and its result where it succeeded.
+	// RunEnded reports the outcome of a run, its duration, and its result if it succeeded.
 	RunEnded(id string, o silverpath.Outcome, spent time.Duration, result []byte)
-	// Gauges tells the readings that Probe asked for.
+	// Gauges reports the gauge values that Probe requested.
 	Gauges(g silverpath.Gauges)
 }
 
-// Commands and notices, by their "type", and the references of the TOP command. The words are the platform's.
+// The types of commands and notices, and the references of the TOP command. The platform's protocol defines the types.
 const (
-	commandConnect = "CONNECT" // take up the notices after number n
-	commandApply   = "APPLY"   // start a run; nothing happens where it was started before
-	commandResolve = "RESOLVE" // the reply to a run's call below
-	commandTop     = "TOP"     // tell the gauges
+	commandConnect = "CONNECT" // resume the notices after number n
+	commandApply   = "APPLY"   // start a run; no effect if the run was started before
+	commandResolve = "RESOLVE" // the reply to a run's dependency call
+	commandTop     = "TOP"     // request the gauges
 
-	noticeBanner = "BANNER" // the first: the interpreter's state, and for how long it has been up
+	noticeBanner = "BANNER" // the first notice: the interpreter's state and uptime
 	noticeTops   = "TOPS"   // the gauges
-	noticeAwait  = "AWAIT"  // a run waits for a call below
+	noticeAwait  = "AWAIT"  // a run waits for an dependency call
 	noticeValue  = "VALUE"  // a run has ended
 	noticeError  = "ERROR"  // a command was refused
-	noticeTrace  = "TRACE"  // for people
+	noticeTrace  = "TRACE"  // diagnostic output
 
-	refTick = "tick" // of a TOP that only asks for the gauges
-	// refSync is of the TOP whose answer shows that all earlier notices have been read.
+	refTick = "tick" // marks a TOP that only requests the gauges
+	// refSync marks the TOP whose answer shows that all earlier notices have been read.
 	refSync = "sync"
-	// refRedirect is of the one whose answer shows that all earlier commands have arrived.
+	// refRedirect marks the TOP whose answer shows that all earlier commands have arrived.
 	refRedirect = "move"
 )
 
 const (
 	maxLineBytes = 1 << 20
-	maxTookMs    = 1 << 40 // milliseconds, so that times stay within their type
+	maxUptimeMs  = 1 << 40 // milliseconds; keeps the conversion to a time.Duration from overflowing
 	writeTimeout = 2 * time.Second
-	minBackoff   = 5 * time.Millisecond // after a live link broke; doubles with each attempt that fails
-	maxBackoff   = time.Second          // also the longest time for a connection
-	// redirectTimeout is how long a link that is left for another address may take to show that its commands have arrived.
+	minBackoff   = 5 * time.Millisecond // after a live link broke; doubled after each failed attempt
+	maxBackoff   = time.Second          // also the dial timeout
+	// redirectTimeout is how long Redirect waits for the old link to confirm that its commands have arrived.
 	redirectTimeout = 500 * time.Millisecond
-	// silenceTimeout and minSilentProbes are when a live link on which nothing comes is taken to be broken. Its gauges are asked for
-	// forty times a second, so that silence is never a want of news; and a process that stood still itself has asked only once.
+	// silenceTimeout and minSilentProbes set when a live link that receives nothing is considered broken: both must be exceeded. The gauges
+	// are requested forty times a second, so a working link is never silent. The probe count prevents closing a working link after this
+	// process itself was suspended for longer than silenceTimeout: it has then sent only one probe.
 	silenceTimeout  = 10 * time.Second
 	minSilentProbes = 40
 )
 
 // Link runs requests on the interpreter. It is the core's Runner.
 type Link struct {
-	gauges []string // their names, in the order of their values
+	gauges []string // names, in the order of the values in TOPS
 	events Events
 	log    *log.Logger
 	stats  *metrics.Counters
 	dial   func(ctx context.Context, network, addr string) (net.Conn, error)
-	wake   chan struct{} // has a token while commands may be queued
+	wake   chan struct{} // holds a token while commands may be queued
 
 	mu               sync.Mutex
 	addr             string
-	cancelLink       context.CancelFunc // ends the present link, or the wait for the next
-	runs             map[string]*run    // whose end was not read
-	queue            []command          // to be written
-	live             bool               // the notices that this link missed have all been read
-	redirecting      bool               // this link is left for another address
-	lastNotice       int64              // number of the last notice read, on any link
-	brokeAt          time.Time          // when the last live link broke; zero where it was left
-	lastReceived     time.Time          // when something came last on the present link
-	unansweredProbes int                // since then
-	silent           bool               // this link is given up as nothing comes on it
+	cancelLink       context.CancelFunc // ends the current link, or the wait before the next one
+	runs             map[string]*run    // by ID; runs whose end has not been read
+	queue            []command          // commands that have not been written
+	live             bool               // all notices that earlier links missed have been read
+	redirecting      bool               // the link is being moved to another address
+	lastNotice       int64              // number of the last notice read on any link
+	brokeAt          time.Time          // when the last live link broke; zero after a redirect
+	lastReceived     time.Time          // when the current link last received a line
+	unansweredProbes int                // probes sent since lastReceived
+	silent           bool               // the link is being closed because it receives nothing
 }
 
-// run is one whose end was not read.
+// run is a run whose end has not been read.
 type run struct {
-	applyLine  []byte // starts it
-	sent       bool   // written, or to be written, on the present link or one before it
-	sentBefore bool   // on more than one link
+	applyLine  []byte // the APPLY command that starts the run
+	sent       bool   // the start was queued or written on the current link or an earlier one
+	sentBefore bool   // the start was sent on more than one link
 }
 
-// command is a line to be written.
+// command is a queued line.
 type command struct {
 	line       []byte
-	resolve    bool // kept for the next link where this one breaks before it is written
-	lastOnLink bool // what comes after it waits for the next link
+	resolve    bool // a RESOLVE; kept for the next link if this one breaks before it is written
+	lastOnLink bool // later commands wait for the next link
 }
 
-// New returns a link to the interpreter at addr, whose gauges come in the order of the names; Maintain opens it and holds it open.
+// New returns a link to the interpreter at addr. The parameter gauges lists the names of the gauges in the order in which the interpreter
+// sends their values. Maintain opens the link and keeps it open.
 func New(addr string, gauges []string, events Events, l *log.Logger, s *metrics.Counters) *Link {
 	return &Link{
 		addr: addr, gauges: gauges, events: events, log: l, stats: s, runs: map[string]*run{}, cancelLink: func() {},
@@ -114,7 +116,7 @@
 	}
 }
 
-// jsonLine returns a JSON object of texts, given as name and value in turn, as a line.
+// jsonLine returns a line with a JSON object of string fields. The arguments alternate between names and values.
 func jsonLine(pairs ...string) []byte {
 	var a fastjson.Arena
 	o := a.NewObject()
@@ -124,7 +126,7 @@
 	return append(o.MarshalTo(nil), '\n')
 }
 
-// Run starts a run of a request. While the link is down it waits for the next one.
+// Run starts a run of a request. While the link is down, the start waits for the next link.
 func (l *Link) Run(id, class string, body []byte) {
 	line := jsonLine("type", commandApply, "job", id, "kind", class, "data", base64.StdEncoding.EncodeToString(body))
 	l.mu.Lock()
@@ -135,7 +137,7 @@
 	}
 }
 
-// Resume hands a run the reply to its call below.
+// Resume sends a run the reply to its dependency call. It does nothing if the run has ended.
 func (l *Link) Resume(id string, reply []byte) {
 	line := jsonLine("type", commandResolve, "job", id, "data", base64.StdEncoding.EncodeToString(reply))
 	l.mu.Lock()
@@ -145,7 +147,7 @@
 	}
 }
 
-// Probe asks for the gauges, which Events gets, and gives up a link that is silent.
+// Probe requests the gauges, which are reported to Events. If the link has been silent for too long, Probe closes it instead.
 func (l *Link) Probe() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -161,7 +163,7 @@
 	l.enqueue(command{line: jsonLine("type", commandTop, "ref", refTick)})
 }
 
-// enqueue has a command written once the link is live. It is called under the lock.
+// enqueue queues a command to be written once the link is live. The caller holds l.mu.
 func (l *Link) enqueue(c command) {
 	l.queue = append(l.queue, c)
 	select {
@@ -170,9 +172,9 @@
 	}
 }
 
-// Redirect leaves the interpreter's address for a new one. The interpreter is the same: its runs go on and its notices keep their
-// numbers. A live link is left once all that was written to it is known to have arrived, so that no command is lost with it; what comes
-// meanwhile waits for the new one.
+// Redirect moves the link to a new address of the same interpreter, so runs continue and notices keep their numbers. A live link is closed
+// once the interpreter confirms that all written commands have arrived, so that none is lost, or after redirectTimeout. Commands that are
+// queued in the meantime wait for the new link.
 func (l *Link) Redirect(addr string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -181,17 +183,17 @@
 	}
 	l.addr, l.brokeAt = addr, time.Time{}
 	switch {
-	case l.redirecting: // for whichever address was told last
+	case l.redirecting: // the redirect in progress connects to the most recent address
 	case l.live:
 		l.redirecting = true
 		l.enqueue(command{line: jsonLine("type", commandTop, "ref", refRedirect), lastOnLink: true})
 		time.AfterFunc(redirectTimeout, l.cancelLink)
 	default:
-		l.cancelLink() // nothing but CONNECT was written
+		l.cancelLink() // only CONNECT has been written, so no command can be lost
 	}
 }
 
-// Maintain holds the link open until the context ends. It is called once.
+// Maintain keeps the link open until the context ends. It is called once.
 func (l *Link) Maintain(ctx context.Context) {
 	backoff := minBackoff
 	for ctx.Err() == nil {
@@ -200,9 +202,9 @@
 		addr := l.addr
 		l.cancelLink = cancel
 		l.mu.Unlock()
-		wasLive, leaving, err := l.connect(linkCtx, addr)
+		wasLive, closedByRedirect, err := l.serveLink(linkCtx, addr)
 		l.mu.Lock()
-		redirected, next := leaving || addr != l.addr, l.addr
+		redirected, next := closedByRedirect || addr != l.addr, l.addr
 		l.mu.Unlock()
 		switch {
 		case ctx.Err() != nil:
@@ -217,7 +219,7 @@
 				backoff = minBackoff
 			}
 			select {
-			case <-linkCtx.Done(): // the end, or a new address
+			case <-linkCtx.Done(): // the context ended, or Redirect was called
 			case <-time.After(backoff):
 			}
 			backoff = min(2*backoff, maxBackoff)
@@ -226,39 +228,39 @@
 	}
 }
 
-// errSilent ends a link on which nothing comes.
-var errSilent = fmt.Errorf("nothing was heard for %v", silenceTimeout)
+// errSilent closes a link that has received nothing for silenceTimeout.
+var errSilent = fmt.Errorf("no notice received for %v", silenceTimeout)
 
-// errRedirected ends a link that is left for another address.
-var errRedirected = errors.New("left for another address")
+// errRedirected closes a link that was moved to another address by Redirect.
+var errRedirected = errors.New("link redirected to another address")
 
-// connect is the life of one link: CONNECT, then a writer beside the reading of notices until either fails. It reports whether the link
-// came to be live, and whether it was left for another address.
-func (l *Link) connect(ctx context.Context, addr string) (live, left bool, err error) {
+// connect opens one link and serves it until it fails: it sends CONNECT, then reads notices while a second goroutine writes commands. It
+// reports whether the link became live, whether it was closed by Redirect, and the error that ended it.
+func (l *Link) serveLink(ctx context.Context, addr string) (live, redirected bool, err error) {
 	conn, err := l.dial(ctx, "tcp", addr)
 	if err != nil {
-		return false, false, fmt.Errorf("connecting: %w", err)
+		return false, false, fmt.Errorf("failed to connect to the interpreter: %w", err)
 	}
 	defer context.AfterFunc(ctx, func() { conn.Close() })()
 	l.mu.Lock()
 	connectLine := fmt.Appendf(nil, `{"type":"%s","n":%d}`+"\n", commandConnect, l.lastNotice)
 	l.mu.Unlock()
-	if err := write(conn, connectLine); err != nil {
+	if err := writeWithTimeout(conn, connectLine); err != nil {
 		conn.Close()
 		return false, false, err
 	}
-	linkDone, written := make(chan struct{}), make(chan struct{})
+	linkDone, writerDone := make(chan struct{}), make(chan struct{})
 	go func() {
-		defer close(written)
-		l.write(conn, linkDone)
+		defer close(writerDone)
+		l.writeLoop(conn, linkDone)
 	}()
-	err = l.read(conn)
+	err = l.readLoop(conn)
 	conn.Close()
 	close(linkDone)
-	<-written
+	<-writerDone
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	live, left = l.live || l.redirecting, l.redirecting
+	live, redirected = l.live || l.redirecting, l.redirecting
 	if l.silent {
 		err = errSilent
 	}
@@ -267,13 +269,13 @@
 		l.brokeAt = time.Now()
 	}
 	l.live, l.redirecting = false, false
-	// What was not written goes out on the next link: replies as they are, runs by being started anew there.
-	unwritten := l.queue[:0]
+	// Replies that were not written are sent on the next link. Starts of runs are dropped here, since becomeLive resends them.
+	unsentReplies := l.queue[:0]
 	for _, c := range l.queue {
 		if c.resolve {
-			unwritten = append(unwritten, c)
+			unsentReplies = append(unsentReplies, c)
 		}
 	}
-	l.queue = unwritten
-	return live, left, err
+	l.queue = unsentReplies
+	return live, redirected, err
 }
--- a/internal/transport/interpreter/link_test.go
+++ b/internal/transport/interpreter/link_test.go
@@ -19,73 +19,73 @@
 	"silverpath/internal/metrics"
 )
 
-// heard notes what the core would be told.
-type heard struct {
+// eventRecorder records the events that a Link reports to the core.
+type eventRecorder struct {
 	mu      sync.Mutex
-	list    []string
+	events  []string
 	started []string
 }
 
-func (h *heard) note(format string, args ...any) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.list = append(h.list, fmt.Sprintf(format, args...))
+func (r *eventRecorder) record(format string, args ...any) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.events = append(r.events, fmt.Sprintf(format, args...))
 }
-func (h *heard) RunnerReady() { h.note("up") }
-func (h *heard) Started(cold bool, ago time.Duration) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.started = append(h.started, fmt.Sprintf("%v %v", cold, ago))
+func (r *eventRecorder) RunnerReady() { r.record("ready") }
+func (r *eventRecorder) Started(cold bool, ago time.Duration) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.started = append(r.started, fmt.Sprintf("%v %v", cold, ago))
 }
-func (h *heard) RunNeedsCall(id string, body []byte) { h.note("awaits %s %q", id, body) }
-func (h *heard) RunEnded(id string, o silverpath.Outcome, spent time.Duration, result []byte) {
-	h.note("ended %s %d %v %q", id, o, spent, result)
+func (r *eventRecorder) RunNeedsCall(id string, body []byte) { r.record("needs call %s %q", id, body) }
+func (r *eventRecorder) RunEnded(id string, o silverpath.Outcome, spent time.Duration, result []byte) {
+	r.record("ended %s %d %v %q", id, o, spent, result)
 }
-func (h *heard) Gauges(g silverpath.Gauges) { h.note("gauges %v %v", g.CPU, g.OnCores) }
+func (r *eventRecorder) Gauges(g silverpath.Gauges) { r.record("gauges %v %v", g.CPU, g.OnCores) }
 
-func (h *heard) take() []string {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	l := h.list
-	h.list = nil
+func (r *eventRecorder) takeEvents() []string {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	l := r.events
+	r.events = nil
 	return l
 }
 
-// machine is the stand-in interpreter's side of one link.
-type machine struct {
-	t    *testing.T
-	conn net.Conn
-	in   chan string
+// fakeInterpreter is the server side of one link.
+type fakeInterpreter struct {
+	t        *testing.T
+	conn     net.Conn
+	commands chan string
 }
 
-func (m *machine) say(lines ...string) {
-	m.t.Helper()
+func (f *fakeInterpreter) send(lines ...string) {
+	f.t.Helper()
 	for _, l := range lines {
-		if _, err := m.conn.Write([]byte(l + "\n")); err != nil {
-			m.t.Fatal(err)
+		if _, err := f.conn.Write([]byte(l + "\n")); err != nil {
+			f.t.Fatal(err)
 		}
 	}
 	synctest.Wait()
 }
 
-// reads checks the commands that have come.
-func (m *machine) reads(want ...string) {
-	m.t.Helper()
+// expectCommands checks the commands received since the last check.
+func (f *fakeInterpreter) expectCommands(want ...string) {
+	f.t.Helper()
 	synctest.Wait()
 	var got []string
-	for len(m.in) > 0 {
-		got = append(got, <-m.in)
+	for len(f.commands) > 0 {
+		got = append(got, <-f.commands)
 	}
 	if !slices.Equal(got, want) {
-		m.t.Fatalf("commands %q, want %q", got, want)
+		f.t.Fatalf("commands %q, want %q", got, want)
 	}
 }
 
-// play runs a test with a link whose every connection is handed over as a machine.
-func play(t *testing.T, test func(l *Link, h *heard, next func() *machine)) {
+// withLink runs a test in simulated time with a Link. Each call of accept returns the server side of the Link's next connection.
+func withLink(t *testing.T, test func(l *Link, events *eventRecorder, accept func() *fakeInterpreter)) {
 	synctest.Test(t, func(t *testing.T) {
-		h := &heard{}
-		l := New("127.0.0.1:1", []string{"core_use", "on_cores"}, h, log.New(io.Discard, "", 0), &metrics.Counters{})
+		events := &eventRecorder{}
+		l := New("127.0.0.1:1", []string{"core_use", "on_cores"}, events, log.New(io.Discard, "", 0), &metrics.Counters{})
 		conns := make(chan net.Conn, 8)
 		l.dial = func(context.Context, string, string) (net.Conn, error) {
 			near, far := net.Pipe()
@@ -95,326 +95,327 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan struct{})
 		go func() { defer close(done); l.Maintain(ctx) }()
-		var machines []*machine
-		test(l, h, func() *machine {
-			m := &machine{t: t, conn: <-conns, in: make(chan string, 100)}
-			machines = append(machines, m)
+		var interpreters []*fakeInterpreter
+		test(l, events, func() *fakeInterpreter {
+			interp := &fakeInterpreter{t: t, conn: <-conns, commands: make(chan string, 100)}
+			interpreters = append(interpreters, interp)
 			go func() {
-				s := bufio.NewScanner(m.conn)
+				s := bufio.NewScanner(interp.conn)
 				for s.Scan() {
-					m.in <- s.Text()
+					interp.commands <- s.Text()
 				}
 			}()
-			return m
+			return interp
 		})
 		cancel()
-		for _, m := range machines {
-			m.conn.Close()
+		for _, interp := range interpreters {
+			interp.conn.Close()
 		}
 		<-done
 	})
 }
 
-const sync0 = `{"type":"TOP","ref":"sync"}`
-const tick = `{"type":"TOP","ref":"tick"}`
-const tops = `{"type":"TOPS","ref":"sync","gauges":[0.5,3,0,0]}`
+const topSync = `{"type":"TOP","ref":"sync"}`
+const topTick = `{"type":"TOP","ref":"tick"}`
+const topsSync = `{"type":"TOPS","ref":"sync","gauges":[0.5,3,0,0]}`
 const banner = `{"type":"BANNER","state":"EMPTY","took":5}`
 
-func apply(id string) string {
+func applyCommand(id string) string {
 	return `{"type":"APPLY","job":"` + id + `","kind":"krog","data":"eA=="}`
 }
 
 func TestRun(t *testing.T) {
-	play(t, func(l *Link, h *heard, next func() *machine) {
-		m := next()
-		m.reads(`{"type":"CONNECT","n":0}`)
-		time.Sleep(time.Minute) // the interpreter may start long after the service
+	withLink(t, func(l *Link, events *eventRecorder, accept func() *fakeInterpreter) {
+		interp := accept()
+		interp.expectCommands(`{"type":"CONNECT","n":0}`)
+		time.Sleep(time.Minute) // the interpreter may start long after this process
 		l.Run("a", "krog", []byte("x"))
-		m.reads()
-		m.say(banner)
-		m.reads(sync0)
-		m.say(tops)
-		m.reads(apply("a"), tick)
-		m.say(`{"type":"TRACE","n":1,"state":"hello"}`, `{"type":"AWAIT","n":2,"job":"a","data":"AGFzaw=="}`)
+		interp.expectCommands()
+		interp.send(banner)
+		interp.expectCommands(topSync)
+		interp.send(topsSync)
+		interp.expectCommands(applyCommand("a"), topTick)
+		interp.send(`{"type":"TRACE","n":1,"state":"hello"}`, `{"type":"AWAIT","n":2,"job":"a","data":"AGFzaw=="}`)
 		l.Resume("a", []byte("\x00re"))
-		m.reads(`{"type":"RESOLVE","job":"a","data":"AHJl"}`)
-		m.say(`{"type":"VALUE","n":3,"job":"a","state":"PASS","took":12,"data":"b2s="}`)
-		want := []string{"up", "gauges 0.5 3", `awaits a "\x00ask"`, `ended a 0 12ms "ok"`}
-		if got := h.take(); !slices.Equal(got, want) {
-			t.Fatalf("heard %q, want %q", got, want)
+		interp.expectCommands(`{"type":"RESOLVE","job":"a","data":"AHJl"}`)
+		interp.send(`{"type":"VALUE","n":3,"job":"a","state":"PASS","took":12,"data":"b2s="}`)
+		want := []string{"ready", "gauges 0.5 3", `needs call a "\x00ask"`, `ended a 0 12ms "ok"`}
+		if got := events.takeEvents(); !slices.Equal(got, want) {
+			t.Fatalf("events %q, want %q", got, want)
 		}
-		if want := []string{"true 5ms"}; !slices.Equal(h.started, want) {
-			t.Fatalf("the interpreter started %q, want %q", h.started, want)
+		if want := []string{"true 5ms"}; !slices.Equal(events.started, want) {
+			t.Fatalf("reported starts %q, want %q", events.started, want)
 		}
 	})
 }
 
-// ERROR and NOOP end a run, which never ran if its only start was refused, and so does KILLED; what ends a run that is over already is passed over.
+// ERROR, NOOP, KILLED and FAIL each end a run with its outcome. A refused start and NOOP mean that the run never ran. The end of a run that
+// has already ended is ignored.
 func TestRunOutcomes(t *testing.T) {
-	play(t, func(l *Link, h *heard, next func() *machine) {
-		m := next()
-		m.say(banner, tops)
+	withLink(t, func(l *Link, events *eventRecorder, accept func() *fakeInterpreter) {
+		interp := accept()
+		interp.send(banner, topsSync)
 		for _, id := range []string{"a", "b", "c", "d"} {
 			l.Run(id, "krog", []byte("x"))
 		}
-		m.say(`{"type":"ERROR","state":"APPLY","job":"a"}`, `{"type":"VALUE","n":1,"job":"b","state":"NOOP","took":0}`,
+		interp.send(`{"type":"ERROR","state":"APPLY","job":"a"}`, `{"type":"VALUE","n":1,"job":"b","state":"NOOP","took":0}`,
 			`{"type":"VALUE","n":2,"job":"c","state":"KILLED","took":1}`, `{"type":"VALUE","n":3,"job":"d","state":"FAIL","took":1}`,
 			`{"type":"ERROR","state":"RESOLVE","job":"d"}`)
-		want := []string{"up", "gauges 0.5 3", `ended a 7 0s ""`, `ended b 7 0s ""`, `ended c 6 1ms ""`, `ended d 1 1ms ""`}
-		if got := h.take(); !slices.Equal(got, want) {
-			t.Fatalf("heard %q, want %q", got, want)
+		want := []string{"ready", "gauges 0.5 3", `ended a 7 0s ""`, `ended b 7 0s ""`, `ended c 6 1ms ""`, `ended d 1 1ms ""`}
+		if got := events.takeEvents(); !slices.Equal(got, want) {
+			t.Fatalf("events %q, want %q", got, want)
 		}
 	})
 }
 
-// A new link takes the notices up where the last one was read to, hears none twice, and starts again only what
-// has no end once all that was missed is read: a start lost with the old link must not lose its request, and a
-// run that ended meanwhile must not be started again.
+// A new link resumes the notices after the last one read, ignores duplicates, and resends starts only after it has read all missed
+// notices. Otherwise a start lost with the old link would lose its request, or a run that has ended would be started again.
 func TestReconnect(t *testing.T) {
-	play(t, func(l *Link, h *heard, next func() *machine) {
-		m := next()
-		m.say(banner, tops)
+	withLink(t, func(l *Link, events *eventRecorder, accept func() *fakeInterpreter) {
+		interp := accept()
+		interp.send(banner, topsSync)
 		l.Run("a", "krog", []byte("x"))
 		l.Run("b", "krog", []byte("x"))
-		m.say(`{"type":"VALUE","n":1,"job":"z","state":"PASS","took":1}`, `{"type":"AWAIT","n":2,"job":"b","data":""}`)
-		m.conn.Close()
+		interp.send(`{"type":"VALUE","n":1,"job":"z","state":"PASS","took":1}`, `{"type":"AWAIT","n":2,"job":"b","data":""}`)
+		interp.conn.Close()
 		synctest.Wait()
 		l.Resume("b", []byte("re")) // while there is no link
 		l.Run("c", "krog", []byte("x"))
 		time.Sleep(time.Second)
-		h.take()
-		m = next()
-		m.reads(`{"type":"CONNECT","n":2}`)
-		m.say(`{"type":"BANNER","state":"LOADED","took":3600000}`)
-		m.say(`{"type":"AWAIT","n":2,"job":"b","data":""}`, `{"type":"VALUE","n":3,"job":"a","state":"PASS","took":1}`)
-		m.reads(sync0)
-		m.say(tops)
+		events.takeEvents()
+		interp = accept()
+		interp.expectCommands(`{"type":"CONNECT","n":2}`)
+		interp.send(`{"type":"BANNER","state":"LOADED","took":3600000}`)
+		interp.send(`{"type":"AWAIT","n":2,"job":"b","data":""}`, `{"type":"VALUE","n":3,"job":"a","state":"PASS","took":1}`)
+		interp.expectCommands(topSync)
+		interp.send(topsSync)
 		synctest.Wait()
 		var got []string
-		for len(m.in) > 0 {
-			got = append(got, <-m.in)
+		for len(interp.commands) > 0 {
+			got = append(got, <-interp.commands)
 		}
 		slices.Sort(got[:2])
-		if want := []string{apply("b"), apply("c"), `{"type":"RESOLVE","job":"b","data":"cmU="}`, tick}; !slices.Equal(got, want) {
+		if want := []string{applyCommand("b"), applyCommand("c"), `{"type":"RESOLVE","job":"b","data":"cmU="}`, topTick}; !slices.Equal(got, want) {
 			t.Fatalf("commands %q, want %q", got, want)
 		}
-		if got, want := h.take(), []string{`ended a 0 1ms ""`, "up", "gauges 0.5 3"}; !slices.Equal(got, want) {
-			t.Fatalf("heard %q, want %q", got, want)
+		if got, want := events.takeEvents(), []string{`ended a 0 1ms ""`, "ready", "gauges 0.5 3"}; !slices.Equal(got, want) {
+			t.Fatalf("events %q, want %q", got, want)
 		}
 	})
 }
 
-// An interpreter that started after the link broke knows none of its runs and numbers from 1 again: they fail,
-// none is started twice, and its notices are heard. A request that came meanwhile is started there.
+// An interpreter that restarted after the link broke has lost its runs and numbers notices from 1 again. The lost runs fail, none is
+// started twice, and the new notices are not taken for duplicates. A request that arrived while the link was down is started.
 func TestInterpreterRestarts(t *testing.T) {
-	play(t, func(l *Link, h *heard, next func() *machine) {
-		m := next()
-		m.say(banner, tops)
+	withLink(t, func(l *Link, events *eventRecorder, accept func() *fakeInterpreter) {
+		interp := accept()
+		interp.send(banner, topsSync)
 		l.Run("a", "krog", []byte("x"))
-		m.say(`{"type":"AWAIT","n":7,"job":"a","data":""}`)
-		m.conn.Close()
+		interp.send(`{"type":"AWAIT","n":7,"job":"a","data":""}`)
+		interp.conn.Close()
 		synctest.Wait()
 		l.Run("b", "krog", []byte("x"))
 		time.Sleep(time.Second)
-		h.take()
-		m = next()
-		m.say(banner, tops) // it started 5 ms ago
-		m.reads(`{"type":"CONNECT","n":7}`, sync0, apply("b"), tick)
-		m.say(`{"type":"VALUE","n":1,"job":"b","state":"PASS","took":1}`)
-		want := []string{`ended a 1 0s ""`, "up", "gauges 0.5 3", `ended b 0 1ms ""`}
-		if got := h.take(); !slices.Equal(got, want) {
-			t.Fatalf("heard %q, want %q", got, want)
+		events.takeEvents()
+		interp = accept()
+		interp.send(banner, topsSync) // the interpreter started 5 ms ago
+		interp.expectCommands(`{"type":"CONNECT","n":7}`, topSync, applyCommand("b"), topTick)
+		interp.send(`{"type":"VALUE","n":1,"job":"b","state":"PASS","took":1}`)
+		want := []string{`ended a 1 0s ""`, "ready", "gauges 0.5 3", `ended b 0 1ms ""`}
+		if got := events.takeEvents(); !slices.Equal(got, want) {
+			t.Fatalf("events %q, want %q", got, want)
 		}
 	})
 }
 
-// A link that brings what is no notice is given up for a new one; a line longer than a buffer is read whole.
+// A malformed notice closes the link, and a new one is opened. A line longer than the reader's buffer is read completely.
 func TestLines(t *testing.T) {
-	play(t, func(l *Link, h *heard, next func() *machine) {
+	withLink(t, func(l *Link, events *eventRecorder, accept func() *fakeInterpreter) {
 		for _, bad := range []string{"{", "[]}", `{"type":"VALUE","n":1,"job":"a","state":"ODD"}`, `{"type":"AWAIT","n":2,"job":"a","data":"*"}`} {
-			m := next()
-			m.say(bad)
+			interp := accept()
+			interp.send(bad)
 			synctest.Wait()
-			if _, err := m.conn.Write([]byte("x")); err == nil {
-				t.Fatalf("the link outlives %q", bad)
+			if _, err := interp.conn.Write([]byte("x")); err == nil {
+				t.Fatalf("the link is still open after %q", bad)
 			}
 		}
-		m := next()
-		m.say(banner, tops, `{"type":"TRACE","n":3,"state":"`+strings.Repeat("x", 100<<10)+`"}`,
+		interp := accept()
+		interp.send(banner, topsSync, `{"type":"TRACE","n":3,"state":"`+strings.Repeat("x", 100<<10)+`"}`,
 			`{"type":"AWAIT","n":4,"job":"a","data":"eA=="}`)
-		if got := h.take(); !slices.Contains(got, `awaits a "x"`) {
-			t.Fatalf("heard %q", got)
+		if got := events.takeEvents(); !slices.Contains(got, `needs call a "x"`) {
+			t.Fatalf("events %q", got)
 		}
 	})
 }
 
-// An end that can't be read is a failure at once, never a result, and the run's waiters wait no longer; the next link goes on
-// after it.
+// The end of a run that cannot be parsed fails the run at once, so that its callers do not wait for another end. The next link resumes
+// after that notice.
 func TestMalformedEnds(t *testing.T) {
 	for _, bad := range []string{
 		`{"type":"VALUE","n":1,"job":"a","state":"ODD","data":"eA=="}`, `{"type":"VALUE","n":1,"job":"a","data":"eA=="}`,
 		`{"type":"VALUE","n":1,"job":"a","state":"PASS","data":"*"}`, `{"type":"AWAIT","n":1,"job":"a","data":"eA"}`,
 	} {
-		play(t, func(l *Link, h *heard, next func() *machine) {
-			m := next()
-			m.say(banner, tops)
+		withLink(t, func(l *Link, events *eventRecorder, accept func() *fakeInterpreter) {
+			interp := accept()
+			interp.send(banner, topsSync)
 			l.Run("a", "krog", []byte("x"))
-			h.take()
-			m.say(bad)
-			if got, want := h.take(), []string{`ended a 1 0s ""`}; !slices.Equal(got, want) {
-				t.Fatalf("%s: heard %q, want %q", bad, got, want)
+			events.takeEvents()
+			interp.send(bad)
+			if got, want := events.takeEvents(), []string{`ended a 1 0s ""`}; !slices.Equal(got, want) {
+				t.Fatalf("%s: events %q, want %q", bad, got, want)
 			}
-			m = next()
-			m.reads(`{"type":"CONNECT","n":1}`)
+			interp = accept()
+			interp.expectCommands(`{"type":"CONNECT","n":1}`)
 		})
 	}
 }
 
-// A link on which nothing comes while the gauges are asked for is taken to be broken, and the next one goes on where it
-// ended. One that answers is not, nor is one whose service itself stood still.
+// A link that receives nothing while the gauges are requested is closed, and the next link resumes its notices. A link that answers stays
+// open, and so does one that is silent because this process itself was suspended.
 func TestSilentLink(t *testing.T) {
-	play(t, func(l *Link, h *heard, next func() *machine) {
-		m := next()
-		m.say(banner, tops)
-		ask := func(d time.Duration) {
+	withLink(t, func(l *Link, events *eventRecorder, accept func() *fakeInterpreter) {
+		interp := accept()
+		interp.send(banner, topsSync)
+		probeFor := func(d time.Duration) {
 			for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(25 * time.Millisecond) {
 				l.Probe()
 				synctest.Wait()
-				for len(m.in) > 0 {
-					<-m.in
+				for len(interp.commands) > 0 {
+					<-interp.commands
 				}
 			}
 		}
-		m.say(`{"type":"TRACE","n":5,"state":"x"}`)
-		ask(silenceTimeout - time.Second)
-		m.say(tops)
-		ask(silenceTimeout - time.Second)
-		m.say(tops)
-		time.Sleep(time.Hour) // nobody asks
-		ask(500 * time.Millisecond)
+		interp.send(`{"type":"TRACE","n":5,"state":"x"}`)
+		probeFor(silenceTimeout - time.Second)
+		interp.send(topsSync)
+		probeFor(silenceTimeout - time.Second)
+		interp.send(topsSync)
+		time.Sleep(time.Hour) // this process is suspended and sends no probes
+		probeFor(500 * time.Millisecond)
 		if n := l.stats.Get("interpreter", "silent"); n != 0 {
-			t.Fatalf("given up %d times while it answers", n)
+			t.Fatalf("a link that answers was closed %d times as silent", n)
 		}
-		m.say(tops)
-		ask(silenceTimeout + time.Second)
+		interp.send(topsSync)
+		probeFor(silenceTimeout + time.Second)
 		if n := l.stats.Get("interpreter", "silent"); n != 1 {
-			t.Fatalf("given up %d times while it is silent", n)
+			t.Fatalf("a silent link was closed %d times, want 1", n)
 		}
-		m = next()
-		m.reads(`{"type":"CONNECT","n":5}`)
-		m.say(`{"type":"BANNER","state":"LOADED","took":3600000}`, tops)
-		if got := h.take(); !slices.Contains(got, "up") {
-			t.Fatalf("heard %q", got)
+		interp = accept()
+		interp.expectCommands(`{"type":"CONNECT","n":5}`)
+		interp.send(`{"type":"BANNER","state":"LOADED","took":3600000}`, topsSync)
+		if got := events.takeEvents(); !slices.Contains(got, "ready") {
+			t.Fatalf("events %q", got)
 		}
 	})
 }
 
-// A start that was refused on its only link never ran; one that went out on two may have run on the first.
+// A run whose only start was refused never ran. A run whose start was sent on two links may have run after the first start, so a refusal of
+// the second reports it as failed.
 func TestRefusedStart(t *testing.T) {
-	play(t, func(l *Link, h *heard, next func() *machine) {
-		m := next()
-		m.say(banner, tops)
+	withLink(t, func(l *Link, events *eventRecorder, accept func() *fakeInterpreter) {
+		interp := accept()
+		interp.send(banner, topsSync)
 		l.Run("a", "krog", []byte("x"))
-		m.conn.Close()
-		m = next()
-		m.say(`{"type":"BANNER","state":"LOADED","took":3600000}`, tops)
+		interp.conn.Close()
+		interp = accept()
+		interp.send(`{"type":"BANNER","state":"LOADED","took":3600000}`, topsSync)
 		l.Run("b", "krog", []byte("x"))
-		h.take()
-		m.say(`{"type":"ERROR","state":"APPLY","job":"a"}`, `{"type":"ERROR","state":"APPLY","job":"b"}`,
-			`{"type":"ERROR","state":"APPLY","job":"nobody's"}`)
-		if got, want := h.take(), []string{`ended a 1 0s ""`, `ended b 7 0s ""`}; !slices.Equal(got, want) {
-			t.Fatalf("heard %q, want %q", got, want)
+		events.takeEvents()
+		interp.send(`{"type":"ERROR","state":"APPLY","job":"a"}`, `{"type":"ERROR","state":"APPLY","job":"b"}`,
+			`{"type":"ERROR","state":"APPLY","job":"unknown"}`)
+		if got, want := events.takeEvents(), []string{`ended a 1 0s ""`, `ended b 7 0s ""`}; !slices.Equal(got, want) {
+			t.Fatalf("events %q, want %q", got, want)
 		}
 	})
 }
 
-const move = `{"type":"TOP","ref":"move"}`
+const topRedirect = `{"type":"TOP","ref":"move"}`
 
-// A moved interpreter is the same one: the old link is left once all commands on it have arrived, a notice that
-// was under way is read whole, what comes meanwhile goes out on the new link, and runs and numbers carry on,
-// whatever the new link says of its age.
+// A redirect leads to the same interpreter at another address. The old link is closed once all its commands have arrived, and a notice in
+// transit is read completely. Commands queued in the meantime are sent on the new link. Runs and notice numbers continue, even if the
+// uptime in the new BANNER looks like a restart.
 func TestRedirect(t *testing.T) {
-	play(t, func(l *Link, h *heard, next func() *machine) {
-		m := next()
-		m.say(banner, tops)
+	withLink(t, func(l *Link, events *eventRecorder, accept func() *fakeInterpreter) {
+		interp := accept()
+		interp.send(banner, topsSync)
 		l.Run("a", "krog", []byte("x"))
 		l.Run("b", "krog", []byte("x"))
-		m.say(`{"type":"AWAIT","n":1,"job":"a","data":""}`)
-		m.reads(`{"type":"CONNECT","n":0}`, sync0, tick, apply("a"), apply("b"))
+		interp.send(`{"type":"AWAIT","n":1,"job":"a","data":""}`)
+		interp.expectCommands(`{"type":"CONNECT","n":0}`, topSync, topTick, applyCommand("a"), applyCommand("b"))
 		l.Resume("a", []byte("re"))
-		m.conn.Write([]byte(`{"type":"VALUE","n":2,"job":`)) // a notice under way
+		interp.conn.Write([]byte(`{"type":"VALUE","n":2,"job":`)) // a partly received notice
 		l.Redirect("127.0.0.1:2")
 		l.Run("c", "krog", []byte("x"))
-		m.reads(`{"type":"RESOLVE","job":"a","data":"cmU="}`, move)
-		m.say(`"b","state":"PASS","took":1}`)
-		l.Redirect("127.0.0.1:3") // before the first move is done
-		m.say(`{"type":"TOPS","ref":"move","gauges":[0,0]}`)
-		h.take()
-		m = next()
-		m.reads(`{"type":"CONNECT","n":2}`)
-		m.say(banner, tops)
+		interp.expectCommands(`{"type":"RESOLVE","job":"a","data":"cmU="}`, topRedirect)
+		interp.send(`"b","state":"PASS","took":1}`)
+		l.Redirect("127.0.0.1:3") // before the first redirect is done
+		interp.send(`{"type":"TOPS","ref":"move","gauges":[0,0]}`)
+		events.takeEvents()
+		interp = accept()
+		interp.expectCommands(`{"type":"CONNECT","n":2}`)
+		interp.send(banner, topsSync)
 		var got []string
 		synctest.Wait()
-		for len(m.in) > 0 {
-			got = append(got, <-m.in)
+		for len(interp.commands) > 0 {
+			got = append(got, <-interp.commands)
 		}
 		slices.Sort(got[1:3])
-		if want := []string{sync0, apply("a"), apply("c"), tick}; !slices.Equal(got, want) {
+		if want := []string{topSync, applyCommand("a"), applyCommand("c"), topTick}; !slices.Equal(got, want) {
 			t.Fatalf("commands %q, want %q", got, want)
 		}
-		m.say(`{"type":"VALUE","n":3,"job":"a","state":"PASS","took":1}`)
-		if got, want := h.take(), []string{"up", "gauges 0.5 3", `ended a 0 1ms ""`}; !slices.Equal(got, want) {
-			t.Fatalf("heard %q, want %q", got, want)
+		interp.send(`{"type":"VALUE","n":3,"job":"a","state":"PASS","took":1}`)
+		if got, want := events.takeEvents(), []string{"ready", "gauges 0.5 3", `ended a 0 1ms ""`}; !slices.Equal(got, want) {
+			t.Fatalf("events %q, want %q", got, want)
 		}
 		l.mu.Lock()
 		defer l.mu.Unlock()
 		if l.addr != "127.0.0.1:3" || l.redirecting {
-			t.Fatalf("address %s, leaving %v", l.addr, l.redirecting)
+			t.Fatalf("address %s, redirecting %v", l.addr, l.redirecting)
 		}
 	})
 }
 
-// A link that is left and brings no answer is cut after a while; one that is not live yet is cut at once, and so
-// is a wait for the next try.
+// After Redirect, a link that does not answer is closed after redirectTimeout. A link that is not live yet is closed at once, and a wait
+// before the next connection attempt ends at once.
 func TestRedirectFromDeadLink(t *testing.T) {
-	play(t, func(l *Link, h *heard, next func() *machine) {
-		m := next()
-		m.say(banner, tops)
-		began := time.Now()
+	withLink(t, func(l *Link, events *eventRecorder, accept func() *fakeInterpreter) {
+		interp := accept()
+		interp.send(banner, topsSync)
+		start := time.Now()
 		l.Redirect("127.0.0.1:2")
-		next()
-		if d := time.Since(began); d != redirectTimeout {
-			t.Fatalf("left after %v", d)
+		accept()
+		if d := time.Since(start); d != redirectTimeout {
+			t.Fatalf("connected to the new address after %v", d)
 		}
 		l.Redirect("127.0.0.1:3") // before its BANNER
-		m = next()
-		if d := time.Since(began); d != redirectTimeout {
-			t.Fatalf("left after %v", d)
+		interp = accept()
+		if d := time.Since(start); d != redirectTimeout {
+			t.Fatalf("connected to the new address after %v", d)
 		}
-		m.reads(`{"type":"CONNECT","n":0}`)
-		for range 12 { // until the wait has grown to its longest
-			m.conn.Close()
-			m = next()
+		interp.expectCommands(`{"type":"CONNECT","n":0}`)
+		for range 12 { // until the backoff has reached its maximum
+			interp.conn.Close()
+			interp = accept()
 		}
-		m.conn.Close()
+		interp.conn.Close()
 		synctest.Wait()
-		began = time.Now()
+		start = time.Now()
 		l.Redirect("127.0.0.1:4")
-		m = next()
-		if d := time.Since(began); d != 0 {
-			t.Fatalf("dialed after %v", d)
+		interp = accept()
+		if d := time.Since(start); d != 0 {
+			t.Fatalf("dialed after %v, want at once", d)
 		}
-		m.say(banner, tops)
-		if got := h.take(); !slices.Contains(got, "up") {
-			t.Fatalf("heard %q", got)
+		interp.send(banner, topsSync)
+		if got := events.takeEvents(); !slices.Contains(got, "ready") {
+			t.Fatalf("events %q", got)
 		}
 	})
 }
 
-// Whatever a link brings, reading it ends with the link, and neither panics nor tells of a run that is not ours.
+// For any input, reading ends with the link. It neither panics nor reports the end of a run that was not started.
 func FuzzNotices(f *testing.F) {
 	pass := `{"type":"VALUE","n":3,"job":"a","state":"PASS","took":12,"data":"b2s="}`
-	f.Add(banner + "\n" + tops + "\n" + pass + "\n" + pass + "\n")
+	f.Add(banner + "\n" + topsSync + "\n" + pass + "\n" + pass + "\n")
 	f.Add(banner + "\n" + `{"type":"TRACE","n":1,"state":"x"}` + "\n" + pass[:40])
 	f.Add(`{"type":"BANNER","state":"EMPTY","took":-1}` + "\n" + `{"type":"BANNER","state":4,"took":9223372036854775807}` + "\n")
 	f.Add(`{"type":"VALUE","n":-3,"job":"a","state":"PASS","took":1e300}` + "\n")
@@ -428,34 +429,34 @@
 			io.WriteString(far, in)
 			far.Close()
 		}()
-		h := &heard{}
-		l := New("", []string{"core_use", "on_cores"}, h, log.New(io.Discard, "", 0), &metrics.Counters{})
-		if l.read(near) == nil {
-			t.Fatal("the end of a link is no error")
+		events := &eventRecorder{}
+		l := New("", []string{"core_use", "on_cores"}, events, log.New(io.Discard, "", 0), &metrics.Counters{})
+		if l.readLoop(near) == nil {
+			t.Fatal("no error at the end of the link")
 		}
-		for _, line := range h.take() {
+		for _, line := range events.takeEvents() {
 			if strings.HasPrefix(line, "ended") {
-				t.Fatalf("told that a run ended which was not started: %s", line)
+				t.Fatalf("reported the end of a run that was not started: %s", line)
 			}
 		}
 	})
 }
 
-// Garbage, from a fixed seed, in the place of notices is an error or passed over, never a panic.
+// Notices corrupted by a generator with a fixed seed are an error or ignored, never a panic.
 func TestGarbage(t *testing.T) {
-	rnd := rand.New(rand.NewPCG(5, 6))
-	lines := []string{banner, tops, `{"type":"VALUE","n":3,"job":"a","state":"PASS","took":12,"data":"b2s="}`}
+	rng := rand.New(rand.NewPCG(5, 6))
+	lines := []string{banner, topsSync, `{"type":"VALUE","n":3,"job":"a","state":"PASS","took":12,"data":"b2s="}`}
 	for range 5000 {
-		b := []byte(lines[rnd.IntN(len(lines))])
-		for range 1 + rnd.IntN(3) {
-			b[rnd.IntN(len(b))] = byte(rnd.Uint32())
+		b := []byte(lines[rng.IntN(len(lines))])
+		for range 1 + rng.IntN(3) {
+			b[rng.IntN(len(b))] = byte(rng.Uint32())
 		}
 		near, far := net.Pipe()
 		go func() { _, _ = io.Copy(io.Discard, far) }()
-		l := New("", []string{"core_use"}, &heard{}, log.New(io.Discard, "", 0), &metrics.Counters{})
+		l := New("", []string{"core_use"}, &eventRecorder{}, log.New(io.Discard, "", 0), &metrics.Counters{})
 		go func() { far.Write(append(b, '\n')); far.Close() }()
-		if l.read(near) == nil {
-			t.Fatal("the end of a link is no error")
+		if l.readLoop(near) == nil {
+			t.Fatal("no error at the end of the link")
 		}
 	}
 }
--- a/internal/transport/interpreter/notices.go
+++ b/internal/transport/interpreter/notices.go
@@ -15,15 +15,16 @@
 	"silverpath/internal/settings"
 )
 
-// commandNames are the commands that an ERROR may name. What comes off a wire is not bounded, counters are: all else counts as "other".
+// commandNames are the commands that an ERROR is counted under. Any other name is counted as "other", since a counter for each name that
+// the network delivers would make the number of counters unbounded.
 var commandNames = []string{commandConnect, commandApply, commandResolve, commandTop}
 
-// outcomeOf has the outcome of a run by the "state" of its end.
+// outcomeOf maps the "state" of a VALUE to the outcome of the run.
 var outcomeOf = map[string]silverpath.Outcome{
 	"PASS": silverpath.OK, "FAIL": silverpath.Failed, "KILLED": silverpath.Canceled, "NOOP": silverpath.NotStarted,
 }
 
-// handleNotice takes one notice. One that a former link has brought already is passed over by its number. An error ends the link.
+// handleNotice handles one notice. It ignores a notice whose number shows that an earlier link has delivered it. An error closes the link.
 func (l *Link) handleNotice(conn net.Conn, v *fastjson.Value) error {
 	kind, id := string(v.GetStringBytes("type")), string(v.GetStringBytes("job"))
 	if v.Exists("n") && kind != noticeBanner && !l.isNew(v.GetInt64("n")) {
@@ -31,8 +32,8 @@
 	}
 	data, err := decodeData(v.GetStringBytes("data"))
 	if err != nil {
-		l.ended(id, silverpath.Failed, 0, nil) // its number is passed, so that it comes no more
-		return fmt.Errorf("%s: data: %w", kind, err)
+		l.reportEnd(id, silverpath.Failed, 0, nil) // the interpreter does not resend this notice, as its number has been read
+		return fmt.Errorf("%s: malformed data: %w", kind, err)
 	}
 	switch kind {
 	case noticeBanner:
@@ -44,10 +45,10 @@
 	case noticeValue:
 		outcome, ok := outcomeOf[string(v.GetStringBytes("state"))]
 		if !ok {
-			l.ended(id, silverpath.Failed, 0, nil) // likewise: nobody else will tell how the run ended
-			return fmt.Errorf("VALUE: state: unknown: %q", v.GetStringBytes("state"))
+			l.reportEnd(id, silverpath.Failed, 0, nil) // likewise: no other notice reports the end of the run
+			return fmt.Errorf("VALUE: unknown state %q", v.GetStringBytes("state"))
 		}
-		l.ended(id, outcome, time.Duration(v.GetFloat64("took")*float64(time.Millisecond)), data)
+		l.reportEnd(id, outcome, time.Duration(v.GetFloat64("took")*float64(time.Millisecond)), data)
 	case noticeError:
 		l.handleError(id, string(v.GetStringBytes("state")))
 	case noticeTrace:
@@ -57,16 +58,16 @@
 	return nil
 }
 
-// isNew reports whether a notice's number is above all that came before, and remembers it.
+// isNew reports whether a notice's number is higher than that of every earlier notice, and records it.
 func (l *Link) isNew(n int64) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	isNew := n > l.lastNotice
+	newer := n > l.lastNotice
 	l.lastNotice = max(l.lastNotice, n)
-	return isNew
+	return newer
 }
 
-// decodeData decodes what a notice brings; nil where that is nothing.
+// decodeData decodes the base64 data of a notice. It returns nil if there is none.
 func decodeData(encoded []byte) ([]byte, error) {
 	if len(encoded) == 0 {
 		return nil, nil
@@ -76,17 +77,18 @@
 	return data[:n], err
 }
 
-// handleBanner takes the interpreter's first words, and asks for a sign that all notices of before have been read.
+// handleBanner handles the first notice of a link. It sends a TOP whose answer shows that all notices from before this link have been read.
 func (l *Link) handleBanner(conn net.Conn, v *fastjson.Value) error {
 	state := string(v.GetStringBytes("state"))
 	events.Log(l.log, "interpreter.up", state, v.GetInt64("took"))
-	ago := time.Duration(min(max(0, v.GetInt64("took")), maxTookMs)) * time.Millisecond
+	ago := time.Duration(min(max(0, v.GetInt64("took")), maxUptimeMs)) * time.Millisecond
 	l.detectRestart(ago)
 	l.events.Started(state == "EMPTY", ago)
-	return write(conn, jsonLine("type", commandTop, "ref", refSync))
+	return writeWithTimeout(conn, jsonLine("type", commandTop, "ref", refSync))
 }
 
-// handleTops takes the gauges, and what their reference shows.
+// handleTops handles the gauges and the reference of the TOP that requested them. It returns errRedirected if the reference is that of a
+// redirect.
 func (l *Link) handleTops(v *fastjson.Value) error {
 	switch string(v.GetStringBytes("ref")) {
 	case refSync:
@@ -95,11 +97,12 @@
 	case refRedirect:
 		return errRedirected
 	}
-	l.readings(v.GetArray("gauges"))
+	l.reportGauges(v.GetArray("gauges"))
 	return nil
 }
 
-// handleError takes a refused command. A run whose only start was refused never ran; one that was sent on more than one link may run.
+// handleError handles a refused command. A run whose only start was refused never ran. A run whose start was sent on more than one link may
+// have been started by an earlier one.
 func (l *Link) handleError(id, command string) {
 	if !slices.Contains(commandNames, command) {
 		command = "other"
@@ -116,18 +119,18 @@
 	if command == commandApply && !r.sentBefore {
 		outcome = silverpath.NotStarted
 	}
-	l.ended(id, outcome, 0, nil)
+	l.reportEnd(id, outcome, 0, nil)
 }
 
-// detectRestart is told how long ago the interpreter started. One that started after the last link broke knows no run of ours and
-// numbers its notices anew: what was started on the old one may have had its effect and will have no end any more, so that it fails; to
-// start it again could run an effect twice.
+// detectRestart checks whether the interpreter, whose uptime is ago, restarted after the last link broke. A restarted interpreter
+// has lost all runs and numbers its notices from 1. The lost runs may have taken effect and will report no end, so they fail: starting them
+// again could apply an effect twice.
 func (l *Link) detectRestart(ago time.Duration) {
 	l.mu.Lock()
 	var lost []string
 	if !l.brokeAt.IsZero() && ago < time.Since(l.brokeAt) {
 		l.lastNotice = 0
-		l.queue = nil // replies to calls of runs that are gone
+		l.queue = nil // replies for runs that are lost
 		for id, r := range l.runs {
 			if r.sent {
 				lost = append(lost, id)
@@ -140,12 +143,12 @@
 		events.Log(l.log, "interpreter.restarted", len(lost))
 	}
 	for _, id := range lost {
-		l.ended(id, silverpath.Failed, 0, nil)
+		l.reportEnd(id, silverpath.Failed, 0, nil)
 	}
 }
 
-// becomeLive makes a link live: every notice of former links has been read, so that a run without an end either goes on there, and to
-// start it again does nothing, or its start was lost.
+// becomeLive marks the link live and resends the start of every run that has not ended. All notices of earlier links have been read, so
+// such a run either is in progress, and the repeated start has no effect, or its start was lost.
 func (l *Link) becomeLive() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -163,8 +166,8 @@
 	l.enqueue(command{line: jsonLine("type", commandTop, "ref", refTick)})
 }
 
-// ended reports the end of a run, once.
-func (l *Link) ended(id string, o silverpath.Outcome, spent time.Duration, result []byte) {
+// ended reports the end of a run. It ignores an unknown run or one whose end was reported before.
+func (l *Link) reportEnd(id string, o silverpath.Outcome, spent time.Duration, result []byte) {
 	l.mu.Lock()
 	known := l.runs[id] != nil
 	delete(l.runs, id)
@@ -174,8 +177,8 @@
 	}
 }
 
-// readings reports the gauges. A reading that is no number, or too few of them, is counted and dropped.
-func (l *Link) readings(values []*fastjson.Value) {
+// readings reports the gauge values. If there are too few values or one is not a valid number, it counts the fault and reports none.
+func (l *Link) reportGauges(values []*fastjson.Value) {
 	if len(values) < len(l.gauges) {
 		l.stats.Inc("interpreter", "short_gauges")
 		return
