--- a/internal/transport/interpreter/lines.go
+++ b/internal/transport/interpreter/lines.go
@@ -12,7 +12,7 @@
 	"silverpath/internal/transport/bufferpool"
 )
 
-// write writes b to a connection, within writeTimeout.
+// writeWithTimeout writes b to a connection, within writeTimeout.
 func writeWithTimeout(conn net.Conn, b []byte) error {
 	conn.SetWriteDeadline(time.Now().Add(writeTimeout))
 	if _, err := conn.Write(b); err != nil {
@@ -21,7 +21,7 @@
 	return nil
 }
 
-// write sends the queued commands in batches while the link is live. It returns when linkDone is closed or a write fails.
+// writeLoop sends the queued commands in batches while the link is live. It returns when linkDone is closed or a write fails.
 func (l *Link) writeLoop(conn net.Conn, linkDone <-chan struct{}) {
 	b := bufferpool.Get()
 	defer bufferpool.Put(b)
@@ -46,14 +46,14 @@
 				break
 			}
 			if err := writeWithTimeout(conn, *b); err != nil {
-				conn.Close() // read then fails, and its error is reported
+				conn.Close() // readLoop then fails, and its error is reported
 				return
 			}
 		}
 	}
 }
 
-// read reads and handles notices until the link fails. It never returns nil.
+// readLoop reads and handles notices until the link fails. It never returns nil.
 func (l *Link) readLoop(conn net.Conn) error {
 	r := bufferpool.GetReader(conn)
 	defer bufferpool.PutReader(r)
@@ -77,7 +77,7 @@
 	}
 }
 
-// readLine returns the next line, which is valid until the next call. It uses long only for a line that exceeds the reader's buffer. A line
+// readLine returns the next line, which is valid until the next call. It uses longLine only for a line that exceeds the buffer. A line
 // longer than maxLineBytes is an error.
 func readLine(r *bufio.Reader, longLine *[]byte) ([]byte, error) {
 	line, err := r.ReadSlice('\n')
--- a/internal/transport/interpreter/link.go
+++ b/internal/transport/interpreter/link.go
@@ -26,7 +26,7 @@
 	Started(withoutCache bool, ago time.Duration)
 	// RunnerReady reports that the link is live and runs can be started.
 	RunnerReady()
-	// RunNeedsCall reports that a run waits for an dependency call with this body. Resume sends it the reply.
+	// RunNeedsCall reports that a run waits for a dependency call with this body. Resume sends it the reply.
 	RunNeedsCall(id string, body []byte)
 	// RunEnded reports the outcome of a run, its duration, and its result if it succeeded.
 	RunEnded(id string, o silverpath.Outcome, spent time.Duration, result []byte)
@@ -43,7 +43,7 @@
 
 	noticeBanner = "BANNER" // the first notice: the interpreter's state and uptime
 	noticeTops   = "TOPS"   // the gauges
-	noticeAwait  = "AWAIT"  // a run waits for an dependency call
+	noticeAwait  = "AWAIT"  // a run waits for a dependency call
 	noticeValue  = "VALUE"  // a run has ended
 	noticeError  = "ERROR"  // a command was refused
 	noticeTrace  = "TRACE"  // diagnostic output
@@ -234,7 +234,7 @@
 // errRedirected closes a link that was moved to another address by Redirect.
 var errRedirected = errors.New("link redirected to another address")
 
-// connect opens one link and serves it until it fails: it sends CONNECT, then reads notices while a second goroutine writes commands. It
+// serveLink opens one link and serves it until it fails: it sends CONNECT, then reads notices while a second goroutine writes commands. It
 // reports whether the link became live, whether it was closed by Redirect, and the error that ended it.
 func (l *Link) serveLink(ctx context.Context, addr string) (live, redirected bool, err error) {
 	conn, err := l.dial(ctx, "tcp", addr)
--- a/internal/transport/interpreter/notices.go
+++ b/internal/transport/interpreter/notices.go
@@ -166,7 +166,7 @@
 	l.enqueue(command{line: jsonLine("type", commandTop, "ref", refTick)})
 }
 
-// ended reports the end of a run. It ignores an unknown run or one whose end was reported before.
+// reportEnd reports the end of a run. It ignores an unknown run or one whose end was reported before.
 func (l *Link) reportEnd(id string, o silverpath.Outcome, spent time.Duration, result []byte) {
 	l.mu.Lock()
 	known := l.runs[id] != nil
@@ -177,7 +177,7 @@
 	}
 }
 
-// readings reports the gauge values. If there are too few values or one is not a valid number, it counts the fault and reports none.
+// reportGauges reports the gauge values. If there are too few values or one is not a valid number, it counts the fault and reports none.
 func (l *Link) reportGauges(values []*fastjson.Value) {
 	if len(values) < len(l.gauges) {
 		l.stats.Inc("interpreter", "short_gauges")
