--- a/internal/transport/restartlink/codec.go
+++ b/internal/transport/restartlink/codec.go
@@ -11,14 +11,15 @@
 	"silverpath/internal/policy/hotrestart"
 )
 
-// A frame is its length as four bytes, then a version, the kind, flags, and what the kind brings: numbers of eight bytes, and of a run
-// texts with their length before them. All numbers are big-endian.
+// A frame consists of the length of what follows in four bytes, the version, the kind and the flags in one byte each, and the fields of the
+// kind. A number has eight bytes, a stage one byte, and a key, ID or result has its length in four bytes before it. All numbers and lengths
+// are big-endian.
 const (
-	version      = 1
-	frameHead    = 3       // bytes of version, kind and flags
-	maxFrame     = 1 << 20 // bytes: of a result there are 4 KiB on the platform; an application server's may be larger
-	minRunLength = 4*8 + 1 + 3*4
-	readChunk    = 4 << 10 // bytes: what a length promises is allocated as it comes
+	protocolVersion  = 1
+	frameHeaderBytes = 3       // bytes of version, kind and flags
+	maxFrameBytes    = 1 << 20 // bytes; a result has up to 4 KiB on the platform, and that of an application server may be larger
+	minRunBytes      = 4*8 + 1 + 3*4
+	readChunkBytes   = 4 << 10 // bytes; a frame's buffer grows by this as its bytes arrive
 )
 
 const (
@@ -27,13 +28,13 @@
 	flagReady
 )
 
-// errFrame is of bytes that are no frame: the link ends, and is counted as malformed.
-var errFrame = errors.New("bad frame")
+// errFrame reports a malformed frame. The link is closed, and the frame is counted as malformed.
+var errFrame = errors.New("malformed frame")
 
-// appendMessage appends a message's frame.
+// appendMessage appends the frame of a message to b.
 func appendMessage(b []byte, m hotrestart.Message) []byte {
 	start := len(b)
-	b = append(b, 0, 0, 0, 0, version, byte(m.Kind), flags(m))
+	b = append(b, 0, 0, 0, 0, protocolVersion, byte(m.Kind), flags(m))
 	switch m.Kind {
 	case hotrestart.Hello:
 		for _, n := range []int64{m.StartedAt, m.PeerStartedAt, m.EvacuationSeq, m.UnknownUntil} {
@@ -71,69 +72,70 @@
 	return n
 }
 
-// readMessage reads one frame into the buffer, which it returns, grown where it had to be. Memory is taken as its bytes come, whatever its
-// length promises. An error is one of parseMessage, or of the reader: io.EOF between frames, io.ErrUnexpectedEOF in one.
+// readMessage reads one frame into the buffer frame, which it returns, enlarged if necessary. The buffer grows with the bytes that arrive,
+// whatever the length field says. Errors are those of parseMessage and of the reader: io.EOF between frames and io.ErrUnexpectedEOF within
+// a frame. A length out of bounds is errFrame.
 func readMessage(r *bufio.Reader, frame []byte) (m hotrestart.Message, _ []byte, err error) {
 	var head [4]byte
 	if _, err = io.ReadFull(r, head[:]); err != nil {
 		return m, frame, err
 	}
 	n := int(binary.BigEndian.Uint32(head[:]))
-	if n > maxFrame || n < frameHead {
-		return m, frame, fmt.Errorf("%w: %d bytes", errFrame, n)
+	if n > maxFrameBytes || n < frameHeaderBytes {
+		return m, frame, fmt.Errorf("%w: length of %d bytes is out of bounds", errFrame, n)
 	}
 	frame = frame[:0]
 	for len(frame) < n {
 		have := len(frame)
-		frame = append(frame, make([]byte, min(readChunk, n-have))...)
+		frame = append(frame, make([]byte, min(readChunkBytes, n-have))...)
 		if _, err = io.ReadFull(r, frame[have:]); err != nil {
 			if errors.Is(err, io.EOF) {
 				err = io.ErrUnexpectedEOF
 			}
-			return m, frame, fmt.Errorf("in a frame: %w", err)
+			return m, frame, fmt.Errorf("failed to read a frame: %w", err)
 		}
 	}
 	m, err = parseMessage(frame)
 	return m, frame, err
 }
 
-// parseMessage reads the message of a frame without its length. An error is errFrame, with what is wrong.
+// parseMessage parses a frame without its length field. Errors wrap errFrame.
 func parseMessage(b []byte) (m hotrestart.Message, err error) {
-	if len(b) < frameHead || b[0] != version {
-		return m, fmt.Errorf("%w: of another version", errFrame)
+	if len(b) < frameHeaderBytes || b[0] != protocolVersion {
+		return m, fmt.Errorf("%w: unsupported version", errFrame)
 	}
 	m.Kind = hotrestart.Kind(b[1])
 	m.Sole, m.Evacuated, m.Ready = b[2]&flagSole != 0, b[2]&flagEvacuated != 0, b[2]&flagReady != 0
-	b = b[frameHead:]
+	b = b[frameHeaderBytes:]
 	switch m.Kind {
 	case hotrestart.Hello:
 		if len(b) != 4*8 {
-			return m, fmt.Errorf("%w: hello of %d bytes", errFrame, len(b))
+			return m, fmt.Errorf("%w: hello has %d bytes", errFrame, len(b))
 		}
 		for i, n := range []*int64{&m.StartedAt, &m.PeerStartedAt, &m.EvacuationSeq, &m.UnknownUntil} {
 			*n = int64(binary.BigEndian.Uint64(b[8*i:]))
 		}
 	case hotrestart.Status:
 		if len(b) != 8 {
-			return m, fmt.Errorf("%w: status of %d bytes", errFrame, len(b))
+			return m, fmt.Errorf("%w: status has %d bytes", errFrame, len(b))
 		}
 		m.EvacuationSeq = int64(binary.BigEndian.Uint64(b))
 	case hotrestart.SyncComplete:
 		if len(b) != 0 {
-			return m, fmt.Errorf("%w: %d bytes too many", errFrame, len(b))
+			return m, fmt.Errorf("%w: sync-complete with %d extra bytes", errFrame, len(b))
 		}
 	case hotrestart.Run, hotrestart.Released, hotrestart.Claim, hotrestart.Grant, hotrestart.Denied:
 		m.Execution, err = parseExecution(b)
 	default:
-		return m, fmt.Errorf("%w: kind %d", errFrame, m.Kind)
+		return m, fmt.Errorf("%w: unknown kind %d", errFrame, m.Kind)
 	}
 	return m, err
 }
 
-// parseExecution reads a run. What it returns shares nothing with what it read.
+// parseExecution parses a run. The result does not alias b.
 func parseExecution(b []byte) (e hotrestart.Execution, err error) {
-	if len(b) < minRunLength {
-		return e, fmt.Errorf("%w: a run of %d bytes", errFrame, len(b))
+	if len(b) < minRunBytes {
+		return e, fmt.Errorf("%w: run has only %d bytes", errFrame, len(b))
 	}
 	number := func() int64 {
 		n := int64(binary.BigEndian.Uint64(b))
@@ -150,7 +152,7 @@
 		}
 		n := int(binary.BigEndian.Uint32(b))
 		if b = b[4:]; n > len(b) {
-			err = fmt.Errorf("%w: %d bytes of %d", errFrame, len(b), n)
+			err = fmt.Errorf("%w: field has %d bytes of %d", errFrame, len(b), n)
 			return nil
 		}
 		t := b[:n]
--- a/internal/transport/restartlink/link.go
+++ b/internal/transport/restartlink/link.go
@@ -1,6 +1,5 @@
-// Package restartlink is the link between two processes that are one service during a hot restart: the slots that they take, the socket
-// between them, and the mark that one leaves for the other. What is decided by it is decided in the package hotrestart, under the core's
-// lock.
+// Package restartlink implements the link between the two processes of a service during a hot restart: the slots that they take, the socket
+// between them, and the mark that one leaves for the other. Package hotrestart makes the decisions, under the core's lock.
 package restartlink
 
 import (
@@ -23,43 +22,43 @@
 )
 
 const (
-	peerCheckInterval = 20 * time.Millisecond  // between two looks whether the other slot is taken: a start and a death are noticed within it
-	writeTimeout      = 500 * time.Millisecond // of a process that is there and does not read: the link is given up, requests wait no longer
-	helloTimeout      = time.Second            // of a process that connected and sends nothing: so is its link
-	maxBackoff        = time.Second            // between two attempts to connect
-	maxWrite          = 32 << 10               // bytes of one write, but for its last frame: writeTimeout is of so much
-	maxIdleBuffer     = 256 << 10              // bytes that are kept between writes; a list of many runs takes more, once
+	peerCheckInterval  = 20 * time.Millisecond  // between two checks of the other slot; a start or a death is noticed within it
+	writeTimeout       = 500 * time.Millisecond // for a peer that does not read; the link is then closed and requests stop waiting
+	helloTimeout       = time.Second            // for a peer that connected and sends nothing; the link is then closed
+	maxBackoff         = time.Second            // between two connection attempts
+	maxWriteBytes      = 32 << 10               // bytes from which a write takes no further frame, as writeTimeout applies to each write
+	maxIdleBufferBytes = 256 << 10              // bytes of buffer kept between writes; listing many runs needs more only once
 )
 
-// Link is this process's slot and its link to the other process.
+// Link holds this process's slot and its connection to the peer, the other process of the service.
 type Link struct {
 	slots      *slots
-	slot       int // -1: none yet
+	slot       int // -1 until a slot is taken
 	startedAt  int64
-	fullLogged bool // it was logged that there are two already
-	peerAbsent bool // as the core was notified last
-	peerSeen   bool
+	fullLogged bool // it was logged that both slots are taken
+	peerAbsent bool // the core was last notified that there is no peer
+	peerSeen   bool // a peer has been found, in the other slot or by a link
 	core       *core.Core
 	log        *log.Logger
 	stats      *metrics.Counters
-	ln         net.Listener // of slot 0, to which slot 1 connects
+	ln         net.Listener // in slot 0, for the process in slot 1
 	wake       chan struct{}
-	incoming   chan net.Conn // from the process in slot 1
-	done       chan struct{} // closed once the slot is free again
+	incoming   chan net.Conn // connections from the process in slot 1
+	done       chan struct{} // closed once the slot is released
 
-	writeMu sync.Mutex // guards what follows
-	conn    net.Conn   // nil: no link
-	linkID  int        // its number, by which the core tells links apart
-	buf     []byte     // of frames that are being written
+	writeMu sync.Mutex // guards conn, linkID and buf
+	conn    net.Conn   // nil while there is no link
+	linkID  int        // number of the link, as returned by Core.PairLinked
+	buf     []byte     // frames being written
 
-	backoff  time.Duration // before the next attempt to connect: longer each time that a link ends before all was listed
+	backoff  time.Duration // before the next connection attempt; grows until a link has received the peer's complete list of runs
 	nextDial time.Time
 
 	markMu sync.Mutex
 	marked bool
 }
 
-// Open prepares the slots of a service in a folder that its processes share.
+// Open opens the slot files of the named service in dir, a folder that its processes share. Start takes a slot.
 func Open(dir, name string, l *log.Logger, s *metrics.Counters) (*Link, error) {
 	slots, err := openSlots(dir, name)
 	if err != nil {
@@ -69,12 +68,13 @@
 		incoming: make(chan net.Conn), done: make(chan struct{})}, nil
 }
 
-// CoreConfig is what the core needs of the link. Shared is told whether two processes share the limits.
+// CoreConfig returns the core's configuration for this link. The function shared is called when a second process appears or disappears; the
+// two processes share the limits.
 func (l *Link) CoreConfig(shared func(two bool)) *core.PairConfig {
 	return &core.PairConfig{Flush: l.flush, MarkUnnotified: l.leaveMark, Wake: l.wakeWriter, Shared: shared}
 }
 
-// wakeWriter has the writer look for messages to send.
+// wakeWriter wakes writeLoop to send queued messages. It does not block.
 func (l *Link) wakeWriter() {
 	select {
 	case l.wake <- struct{}{}:
@@ -82,14 +82,14 @@
 	}
 }
 
-// Start takes a slot and looks for the other process, before the core is notified of anything else. A third process has no slot, which is
-// no error, and is not ready until one of the two is gone.
+// Start takes a slot and checks for a peer, before the core is notified of anything else. If both slots are taken, Start returns nil, and
+// the process is not ready until Run finds a free slot.
 func (l *Link) Start(c *core.Core) error {
 	l.core = c
 	return l.takeSlot()
 }
 
-// takeSlot takes a free slot, if there is one.
+// takeSlot takes a free slot and notifies the core. If there is none, it logs this once and returns nil.
 func (l *Link) takeSlot() error {
 	slot, ok := l.slots.take()
 	if !ok {
@@ -102,7 +102,7 @@
 	}
 	l.slot, l.startedAt = slot, time.Now().UnixNano()
 	if slot == 0 {
-		_ = os.Remove(l.slots.socketPath(0)) // of a dead process, as the slot was free; where it stays, listening fails and says so
+		_ = os.Remove(l.slots.socketPath(0)) // left by a dead process, since the slot was free; if it cannot be removed, Listen fails
 		var err error
 		if l.ln, err = net.Listen("unix", l.slots.socketPath(0)); err != nil {
 			return err
@@ -113,8 +113,8 @@
 	return nil
 }
 
-// checkPeer notifies the core whether there is another process.
-func (l *Link) checkPeer() (there bool) {
+// checkPeer checks whether a process holds the other slot, and notifies the core if that has changed. It reports whether there is a peer.
+func (l *Link) checkPeer() (present bool) {
 	if l.slots.taken(1 - l.slot) {
 		if l.peerAbsent || !l.peerSeen {
 			l.core.PairOther()
@@ -127,27 +127,27 @@
 	}
 	l.peerAbsent = true
 	previous := l.core.PairRole()
-	l.reportPeerGone()
+	l.reportNoPeer()
 	events.Log(l.log, "hotrestart.alone", previous)
 	l.slots.removeMarks()
 	return false
 }
 
-// reportPeerGone notifies the core that the other process is dead.
-func (l *Link) reportPeerGone() {
+// reportNoPeer notifies the core that there is no peer, and passes it the check for a dead peer's mark.
+func (l *Link) reportNoPeer() {
 	l.core.PairAlone(func(startedAt int64) bool {
 		_, err := os.Stat(l.slots.markPath(startedAt))
 		return err == nil
 	})
 }
 
-// Released is closed once the slot is free again, after the end of Run's context.
+// Released returns a channel that is closed once Run has released the slot.
 func (l *Link) Released() <-chan struct{} { return l.done }
 
-// Run holds the link as long as there is another process, until the context ends. By then the core has stopped.
+// Run maintains the link to the peer until the context ends, and then releases the slot. The core must have stopped by then.
 func (l *Link) Run(ctx context.Context) {
 	defer close(l.done)
-	defer l.slots.close() // and so the slot: this process runs nothing any more, however long its exit takes
+	defer l.slots.close() // releases the slot at once: this process runs no requests any more, but its exit may take long
 	go l.writeLoop(ctx)
 	tick := time.NewTicker(peerCheckInterval)
 	defer tick.Stop()
@@ -177,6 +177,7 @@
 	}
 }
 
+// accept passes connections of the process in slot 1 to Run.
 func (l *Link) accept(ctx context.Context) {
 	for {
 		conn, err := l.ln.Accept()
@@ -195,19 +196,19 @@
 // serveLink serves one link, from its first message to its end.
 func (l *Link) serveLink(ctx context.Context, conn net.Conn) {
 	defer context.AfterFunc(ctx, func() { conn.Close() })()
-	l.peerAbsent, l.peerSeen = false, true // the other may be dead before its slot was looked at
+	l.peerAbsent, l.peerSeen = false, true // the peer may die before checkPeer finds its slot taken, and checkPeer must then report its death
 	l.writeMu.Lock()
 	l.conn, l.linkID = conn, l.core.PairLinked()
 	l.writeMu.Unlock()
 	err := l.readMessages(conn)
 	if errors.Is(err, hotrestart.ErrStaleIdentity) {
-		_ = l.flush(l.currentLink()) // the link ends in any case; the other finds out by this side's Hello, which may not have been written yet
+		_ = l.flush(l.currentLink()) // the peer learns its error from this side's Hello, which may still be unsent; the link closes anyway
 	}
 	l.backoff = min(max(2*l.backoff, peerCheckInterval), maxBackoff)
 	l.nextDial = time.Now().Add(l.backoff)
 	conn.Close()
 	if errors.Is(err, hotrestart.ErrPeerReplaced) {
-		l.reportPeerGone() // first: what is not read of this link is not that process's
+		l.reportNoPeer() // before PairCut: the unread bytes of this link are not from the dead process
 	}
 	l.writeMu.Lock()
 	l.conn = nil
@@ -226,12 +227,12 @@
 	}
 }
 
-// endedByPeer reports whether a link ended at the other side, so that all that was written there has been read.
+// endedByPeer reports whether the peer closed the link, which means that everything the peer wrote has been read.
 func endedByPeer(err error) bool {
 	return errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, syscall.ECONNRESET)
 }
 
-// readMessages takes messages until the link fails.
+// readMessages reads messages and passes them to the core until the link fails. It never returns nil.
 func (l *Link) readMessages(conn net.Conn) error {
 	r := bufio.NewReader(conn)
 	var frame []byte
@@ -241,9 +242,9 @@
 		if frame = f; err != nil {
 			return err
 		}
-		clear, marks, err := l.core.PairMessage(m)
+		mayClearMark, marks, err := l.core.PairMessage(m)
 		if err != nil {
-			return fmt.Errorf("the other process: %w", err)
+			return fmt.Errorf("failed to handle a message of the other process: %w", err)
 		}
 		switch m.Kind {
 		case hotrestart.Hello:
@@ -253,38 +254,38 @@
 			l.backoff = 0
 			events.Log(l.log, "hotrestart.complete", l.core.PairRole())
 		}
-		if clear {
-			if l.flush(l.currentLink()) == nil { // else what the other wrote is still to be read
+		if mayClearMark {
+			if l.flush(l.currentLink()) == nil { // if it fails, the mark stays, and the rest of the peer's messages is still read
 				l.clearMark(marks)
 			}
 		}
 	}
 }
 
-// writeLoop sends what nobody waits for.
+// writeLoop writes the messages that no request waits for. It runs until the context ends.
 func (l *Link) writeLoop(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-l.wake:
-			_ = l.flush(l.currentLink()) // a link that fails is given up by flush, and ends where it is read
+			_ = l.flush(l.currentLink()) // on an error flush stops writing to the link, and readMessages ends it
 		}
 	}
 }
 
-// currentLink is the number of the present link.
+// currentLink returns the number of the current link.
 func (l *Link) currentLink() int {
 	l.writeMu.Lock()
 	defer l.writeMu.Unlock()
 	return l.linkID
 }
 
-// errNoLink is of a flush of a link that is gone.
-var errNoLink = errors.New("no link")
+// errNoLink reports a flush of a link that was closed or replaced.
+var errNoLink = errors.New("no link to the other process")
 
-// flush writes all that is to be sent on a link, and returns once it is written: from then on the other process reads it, whatever becomes
-// of this one. An error means that it may not: errNoLink, or why the write failed.
+// flush writes all queued messages of a link. Once it returns nil, the peer can read them even if this process dies. After an error the
+// peer may not receive them. The error is errNoLink if the link was closed or replaced, or the error of Core.PairOut or of the write.
 func (l *Link) flush(link int) error {
 	l.writeMu.Lock()
 	defer l.writeMu.Unlock()
@@ -297,29 +298,30 @@
 	}
 	for len(out) > 0 {
 		l.buf = l.buf[:0]
-		for len(out) > 0 && len(l.buf) < maxWrite {
+		for len(out) > 0 && len(l.buf) < maxWriteBytes {
 			l.buf = appendMessage(l.buf, out[0])
 			out = out[1:]
 		}
 		l.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
 		if _, err := l.conn.Write(l.buf); err != nil {
-			// What the other wrote before is still to be read: if it is gone, that is all there will be to know of it. One that is
-			// there and does not read sees the end of this side's bytes, and ends the link.
-			if half, ok := l.conn.(*net.UnixConn); ok {
-				_ = half.CloseWrite() // the link is given up in any case
+			// The receiving half stays open: if the peer is dead, its last messages are the only source about its runs. A peer that is
+			// alive but does not read sees the end of this side's output and closes the link.
+			if unixConn, ok := l.conn.(*net.UnixConn); ok {
+				_ = unixConn.CloseWrite() // a failure is ignored, since the link is no longer written to
 			}
 			l.conn = nil
 			l.core.PairWriteClosed(l.linkID)
-			return fmt.Errorf("writing to the other process: %w", err)
+			return fmt.Errorf("failed to write to the other process: %w", err)
 		}
 	}
-	if cap(l.buf) > maxIdleBuffer {
+	if cap(l.buf) > maxIdleBufferBytes {
 		l.buf = nil
 	}
 	return nil
 }
 
-// leaveMark leaves the mark that this process runs what the other was not notified of.
+// leaveMark creates the mark which shows that this process runs requests that the peer was not notified of. It does nothing if the mark
+// exists.
 func (l *Link) leaveMark() error {
 	l.markMu.Lock()
 	defer l.markMu.Unlock()
@@ -336,12 +338,12 @@
 	return f.Close()
 }
 
-// clearMark removes the mark, unless more was run since that the other was not notified of.
+// clearMark removes the mark, unless more runs than marks have required it.
 func (l *Link) clearMark(marks int) {
 	l.markMu.Lock()
 	defer l.markMu.Unlock()
 	if l.marked && l.core.PairMarks() == marks {
-		_ = os.Remove(l.slots.markPath(l.startedAt)) // a mark that stays has the other fail what it could answer, and no more
+		_ = os.Remove(l.slots.markPath(l.startedAt)) // a mark that cannot be removed only makes the peer fail requests that it could answer
 		l.marked = false
 	}
 }
--- a/internal/transport/restartlink/slots.go
+++ b/internal/transport/restartlink/slots.go
@@ -12,15 +12,16 @@
 	"golang.org/x/sys/unix"
 )
 
-// slots are the two slots for processes of one service: a file each, in a folder that they share. The process in a slot holds the lock on
-// its file, which the system releases with the process. So a file that a dead process left behind says nothing, and there are never more
-// than two.
+// slots are the two slots for processes of one service. Each slot is a file in a folder that the processes share, and the process in the
+// slot holds the lock on the file. The kernel releases the lock when the process ends, so a file left behind by a dead process has no
+// effect, and at most two processes have a slot.
 type slots struct {
 	dir   *os.File
 	stem  string
 	locks [2]*os.File
 }
 
+// openSlots opens the slot files of the named service in dir. It takes no slot.
 func openSlots(dir, name string) (*slots, error) {
 	d, err := os.Open(dir)
 	if err != nil {
@@ -28,28 +29,29 @@
 	}
 	h := fnv.New64a()
 	h.Write([]byte(name))
-	p := &slots{dir: d, stem: fmt.Sprintf("silverpath-%016x", h.Sum64())}
-	for i := range p.locks {
-		if p.locks[i], err = os.OpenFile(filepath.Join(dir, fmt.Sprintf("%s.%d", p.stem, i)), os.O_RDWR|os.O_CREATE, 0o600); err != nil {
-			p.close()
+	s := &slots{dir: d, stem: fmt.Sprintf("silverpath-%016x", h.Sum64())}
+	for i := range s.locks {
+		if s.locks[i], err = os.OpenFile(filepath.Join(dir, fmt.Sprintf("%s.%d", s.stem, i)), os.O_RDWR|os.O_CREATE, 0o600); err != nil {
+			s.close()
 			return nil, err
 		}
 	}
-	return p, nil
+	return s, nil
 }
 
-func (p *slots) close() {
-	p.dir.Close()
-	for _, f := range p.locks {
+// close closes the files, which releases the slot.
+func (s *slots) close() {
+	s.dir.Close()
+	for _, f := range s.locks {
 		if f != nil {
 			f.Close()
 		}
 	}
 }
 
-// take takes a slot that is free, if there is one.
-func (p *slots) take() (slot int, ok bool) {
-	for i, f := range p.locks {
+// take takes a free slot. It returns false if there is none.
+func (s *slots) take() (slot int, ok bool) {
+	for i, f := range s.locks {
 		l := unix.Flock_t{Type: unix.F_WRLCK, Whence: io.SeekStart}
 		if unix.FcntlFlock(f.Fd(), unix.F_OFD_SETLK, &l) == nil {
 			return i, true
@@ -58,30 +60,31 @@
 	return 0, false
 }
 
-// taken reports whether another process is in a slot.
-func (p *slots) taken(slot int) bool {
+// taken reports whether another process holds a slot.
+func (s *slots) taken(slot int) bool {
 	l := unix.Flock_t{Type: unix.F_WRLCK, Whence: io.SeekStart}
-	err := unix.FcntlFlock(p.locks[slot].Fd(), unix.F_OFD_GETLK, &l)
-	return err != nil || l.Type != unix.F_UNLCK // when in doubt, one is
+	err := unix.FcntlFlock(s.locks[slot].Fd(), unix.F_OFD_GETLK, &l)
+	return err != nil || l.Type != unix.F_UNLCK // if the lock cannot be queried, assume that another process holds it
 }
 
-// socketPath is where the process in a slot listens for the other. By way of the folder's descriptor its path is short enough for a
-// socket's name, however long the folder's own is.
-func (p *slots) socketPath(slot int) string {
-	return fmt.Sprintf("/proc/self/fd/%d/%s.%d.sock", p.dir.Fd(), p.stem, slot)
+// socketPath returns the path of the socket on which the process in a slot accepts the peer's connection. The path goes through the
+// folder's descriptor under /proc/self/fd, because the folder's own path may exceed the maximum length of a socket's path.
+func (s *slots) socketPath(slot int) string {
+	return fmt.Sprintf("/proc/self/fd/%d/%s.%d.sock", s.dir.Fd(), s.stem, slot)
 }
 
-// markPath is the file by which a process, named by its start, says that it ran what the other was not notified of.
-func (p *slots) markPath(startedAt int64) string {
-	return filepath.Join(p.dir.Name(), p.stem+".mark."+strconv.FormatInt(startedAt, 10))
+// markPath returns the path of the mark of the process that started at startedAt. The mark is a file which shows that the process ran
+// requests that its peer was not notified of.
+func (s *slots) markPath(startedAt int64) string {
+	return filepath.Join(s.dir.Name(), s.stem+".mark."+strconv.FormatInt(startedAt, 10))
 }
 
-// removeMarks removes the marks of processes that nobody looks for any more.
-func (p *slots) removeMarks() {
-	names, _ := os.ReadDir(p.dir.Name())
+// removeMarks removes all marks. It is called when there is no peer, after the check for a dead peer's mark, so no process looks for one.
+func (s *slots) removeMarks() {
+	names, _ := os.ReadDir(s.dir.Name())
 	for _, n := range names {
-		if strings.HasPrefix(n.Name(), p.stem+".mark.") {
-			_ = os.Remove(filepath.Join(p.dir.Name(), n.Name())) // one that stays is in nobody's way
+		if strings.HasPrefix(n.Name(), s.stem+".mark.") {
+			_ = os.Remove(filepath.Join(s.dir.Name(), n.Name())) // a mark that cannot be removed has no effect: no process looks for it
 		}
 	}
 }
