--- a/internal/testkit/harness/group.go
+++ b/internal/testkit/harness/group.go
@@ -15,38 +15,40 @@
 	"silverpath/internal/testkit/standin/faults"
 )
 
-// Starter starts the program with arguments, in an environment with more.
+// Starter starts the program with arguments and additional environment variables.
 type Starter func(args []string, env ...string) (*Process, error)
 
-// Group is a group of processes of the program. Each is heard, by the others and by those who ask, by a way of its own.
+// Group is a quorum of processes of the program. Each member is reached, by the other members and by clients, through a fault-injecting
+// proxy of its own.
 type Group struct {
-	Dir     string
-	Addrs   []string // where the members listen
-	Ways    []*faults.Between
-	Members []*Process
-	Client  *quorum.Client
-	begin   Starter
-	tick    time.Duration
-	files   int
-
-	reserved []*Reservation // of Addrs, until Close
+	Dir           string
+	Addrs         []string          // listening addresses of the members, behind the proxies
+	Ways          []*faults.Between // the proxy in front of each member
+	Members       []*Process
+	Client        *quorum.Client
+	startProcess  Starter
+	tick          time.Duration
+	settingsFiles int
+
+	reserved []*Reservation // reservations of Addrs, released by Close
 }
 
-// NewGroup starts and founds a group of n members in a folder.
-func NewGroup(dir string, n int, terms lease.Terms, tick time.Duration, begin Starter) (*Group, error) {
-	g := &Group{Dir: dir, Client: &quorum.Client{Group: "test"}, Members: make([]*Process, n), begin: begin, tick: tick}
+// NewGroup starts n members with their data in dir, founds the quorum and waits for a leader. After an error the caller still calls Close
+// on the returned group.
+func NewGroup(dir string, n int, terms lease.Terms, tick time.Duration, startProcess Starter) (*Group, error) {
+	g := &Group{Dir: dir, Client: &quorum.Client{Group: "test"}, Members: make([]*Process, n), startProcess: startProcess, tick: tick}
 	for i := range n {
 		reserved, err := Reserve()
 		if err != nil {
 			return g, err
 		}
 		g.reserved = append(g.reserved, reserved)
-		way, err := faults.Listen(reserved.Addr, true, uint64(i))
+		proxy, err := faults.Listen(reserved.Addr, true, uint64(i))
 		if err != nil {
 			return g, err
 		}
-		g.Addrs, g.Ways = append(g.Addrs, reserved.Addr), append(g.Ways, way)
-		g.Client.Addrs = append(g.Client.Addrs, way.Addr())
+		g.Addrs, g.Ways = append(g.Addrs, reserved.Addr), append(g.Ways, proxy)
+		g.Client.Addrs = append(g.Client.Addrs, proxy.Addr())
 	}
 	for i := range n {
 		if err := g.Start(i); err != nil {
@@ -62,10 +64,10 @@
 	return g, err
 }
 
-// Close ends the group and all ways.
+// Close kills all members, closes the proxies and the client, and releases the addresses.
 func (g *Group) Close() {
-	for _, w := range g.Ways {
-		w.Close()
+	for _, proxy := range g.Ways {
+		proxy.Close()
 	}
 	for _, m := range g.Members {
 		if m != nil {
@@ -78,49 +80,50 @@
 	}
 }
 
-// Disk is a member's folder.
+// Disk returns the data folder of a member.
 func (g *Group) Disk(i int) string { return filepath.Join(g.Dir, fmt.Sprint("q", i)) }
 
-// file writes settings into a file of their own.
-func (g *Group) file(text string) (string, error) {
-	g.files++
-	path := filepath.Join(g.Dir, fmt.Sprintf("settings-%d.json", g.files))
+// writeSettings writes settings to a new file and returns its path.
+func (g *Group) writeSettings(text string) (string, error) {
+	g.settingsFiles++
+	path := filepath.Join(g.Dir, fmt.Sprintf("settings-%d.json", g.settingsFiles))
 	return path, os.WriteFile(path, []byte(text), 0o600)
 }
 
-// Start starts a member, on the disk that it has.
+// Start starts a member on its existing data folder and waits until it listens.
 func (g *Group) Start(i int, env ...string) error {
-	list, _ := json.Marshal(g.Client.Addrs)
-	file, err := g.file(fmt.Sprintf(`{"name":"q%d","group":"test","members":%s,"member":{"listen":%q,"addr":%q,"dir":%q,"tick_ms":%d}}`,
-		i, list, g.Addrs[i], g.Ways[i].Addr(), g.Disk(i), g.tick.Milliseconds()))
+	membersJSON, _ := json.Marshal(g.Client.Addrs)
+	file, err := g.writeSettings(fmt.Sprintf(`{"name":"q%d","group":"test","members":%s,"member":{"listen":%q,"addr":%q,"dir":%q,"tick_ms":%d}}`,
+		i, membersJSON, g.Addrs[i], g.Ways[i].Addr(), g.Disk(i), g.tick.Milliseconds()))
 	if err != nil {
 		return err
 	}
-	if g.Members[i], err = g.begin([]string{"quorum", "--config", file}, append(env, "SILVERPATH_DISK="+g.Disk(i)+".fault")...); err != nil {
+	if g.Members[i], err = g.startProcess([]string{"quorum", "--config", file}, append(env, "SILVERPATH_DISK="+g.Disk(i)+".fault")...); err != nil {
 		return err
 	}
 	_, err = g.Members[i].Await(10*time.Second, 0, "group.listening")
 	return err
 }
 
-// Owner starts a process that owns duties of a map, and asks the group at the given addresses; nil: as everybody.
-func (g *Group) Owner(name, dir string, list, members, routers []string, env ...string) (*Process, error) {
+// Owner starts a process that runs the listed controllers on the map in dir. It reaches the quorum at the given addresses, or through the
+// proxies of all members if members is nil.
+func (g *Group) Owner(name, dir string, controllers, members, routers []string, env ...string) (*Process, error) {
 	if members == nil {
 		members = g.Client.Addrs
 	}
-	ds, _ := json.Marshal(list)
-	ms, _ := json.Marshal(members)
-	rs, _ := json.Marshal(append([]string{}, routers...))
-	file, err := g.file(fmt.Sprintf(`{"name":%q,"group":"test","members":%s,"owner":{"duties":%s,"map":%q,"routers":%s,"gone_after_ms":1500}}`,
-		name, ms, ds, dir, rs))
+	controllersJSON, _ := json.Marshal(controllers)
+	membersJSON, _ := json.Marshal(members)
+	routersJSON, _ := json.Marshal(append([]string{}, routers...))
+	file, err := g.writeSettings(fmt.Sprintf(`{"name":%q,"group":"test","members":%s,"owner":{"duties":%s,"map":%q,"routers":%s,"gone_after_ms":1500}}`,
+		name, membersJSON, controllersJSON, dir, routersJSON))
 	if err != nil {
 		return nil, err
 	}
-	return g.begin([]string{"duty", "run", "--config", file}, env...)
+	return g.startProcess([]string{"duty", "run", "--config", file}, env...)
 }
 
-// Fault has a member's disk fail, or stall for a time with every write; empty: well again. It works where the program looks
-// for such a file.
+// Fault makes a member's disk fail, or delay every write, as text says. An empty text ends the fault. It only works with a program that
+// reads the fault file named by SILVERPATH_DISK.
 func (g *Group) Fault(i int, text string) {
 	if text == "" {
 		_ = os.Remove(g.Disk(i) + ".fault")
@@ -129,14 +132,14 @@
 	}
 }
 
-// Leader waits for a member that leads, and says which.
+// Leader waits for a member that leads and serves reads, and returns its index.
 func (g *Group) Leader() (int, error) {
-	for end := time.Now().Add(15 * time.Second); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
+	for deadline := time.Now().Add(15 * time.Second); time.Now().Before(deadline); time.Sleep(5 * time.Millisecond) {
 		for i, a := range g.Client.Addrs {
 			ctx, cancel := context.WithTimeout(context.Background(), 500*time.Millisecond)
 			s, err := g.Client.StatusOf(ctx, a)
 			if err == nil && s.State == "leader" {
-				_, err = g.Client.Read(ctx, "") // it may be one that does not know yet
+				_, err = g.Client.Read(ctx, "") // the member may have lost its leadership without having noticed
 				cancel()
 				if err == nil {
 					return i, nil
@@ -146,47 +149,47 @@
 			cancel()
 		}
 	}
-	return 0, fmt.Errorf("no member leads")
+	return 0, fmt.Errorf("no member of the group became leader")
 }
 
-// View reads what the group has agreed on.
+// View reads the committed state of the group.
 func (g *Group) View() (quorum.StateView, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
 	return g.Client.Read(ctx, "*")
 }
 
-// Do has the group agree on a command.
+// Do commits a command through the group and returns its result.
 func (g *Group) Do(c statemachine.Command) (statemachine.Result, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
 	return g.Client.Do(ctx, c)
 }
 
-// Submit queues a request to a duty.
-func (g *Group) Submit(duty, id, kind string, args any) error {
+// Submit queues an item for a controller. It also returns an error if the group rejects the item.
+func (g *Group) Submit(controllerName, id, kind string, args any) error {
 	raw, err := json.Marshal(args)
 	if err != nil {
 		return err
 	}
-	r, err := g.Do(statemachine.Command{Submit: &statemachine.SubmitItem{Duty: duty, ID: id, Kind: kind, Args: raw}})
+	r, err := g.Do(statemachine.Command{Submit: &statemachine.SubmitItem{Duty: controllerName, ID: id, Kind: kind, Args: raw}})
 	if err == nil && r.Error != "" {
 		err = fmt.Errorf("%s", r.Error)
 	}
 	return err
 }
 
-// Over waits until nothing more becomes of an item.
-func (g *Group) Over(duty, id string, within time.Duration) (it controller.Item, err error) {
-	for end := time.Now().Add(within); ; time.Sleep(10 * time.Millisecond) {
-		v, e := g.View()
-		if e == nil && v.Journals[duty].Item(id) != nil {
-			if it = *v.Journals[duty].Item(id); it.State.Finished() {
-				return it, nil
+// Over waits until an item has finished and returns it.
+func (g *Group) Over(controllerName, id string, within time.Duration) (item controller.Item, err error) {
+	for deadline := time.Now().Add(within); ; time.Sleep(10 * time.Millisecond) {
+		view, viewErr := g.View()
+		if viewErr == nil && view.Journals[controllerName].Item(id) != nil {
+			if item = *view.Journals[controllerName].Item(id); item.State.Finished() {
+				return item, nil
 			}
 		}
-		if time.Now().After(end) {
-			return it, fmt.Errorf("%s is %s (%s) after %v: %v", id, it.State, it.Note, within, e) //nolint:errorlint // e may be nil, which %w does not take
+		if time.Now().After(deadline) {
+			return item, fmt.Errorf("item %s is not finished but %s (%s) after %v: %v", id, item.State, item.Note, within, viewErr) //nolint:errorlint // viewErr may be nil, which %w does not support
 		}
 	}
 }
--- a/internal/testkit/harness/harness.go
+++ b/internal/testkit/harness/harness.go
@@ -1,5 +1,5 @@
-// Package harness runs processes of the program for tests and for the lab: it starts them, follows their logs, stops and
-// wakes them, and ends them. It is no part of the service.
+// Package harness runs processes of the program for tests and for the lab. It starts, suspends, resumes and kills them and
+// follows their logs. It is not part of the service.
 package harness
 
 import (
@@ -22,28 +22,29 @@
 	mu        sync.Mutex
 	log       bytes.Buffer
 	lines     []string
-	lineAdded chan struct{} // closed, and made anew, with every line
-	ended     chan struct{} // closed at the log's end
-	endedAt   time.Time     // when the log ended, or the process was stopped before
-	stoppedAt time.Time     // since when it is stopped; zero: it is not
+	lineAdded chan struct{} // closed and replaced with every line
+	ended     chan struct{} // closed at the end of the log
+	endedAt   time.Time     // when the log ended, or when the process was stopped if it was killed while stopped
+	stoppedAt time.Time     // when Freeze stopped the process; zero if it is not stopped
 }
 
-// Start starts a process and follows its standard error. It does not outlive the one that started it.
+// Start starts a process and follows its standard error as its log. The kernel kills the process if this one dies.
 func Start(cmd *exec.Cmd) (*Process, error) {
 	p := &Process{cmd: cmd, lineAdded: make(chan struct{}), ended: make(chan struct{})}
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
-	errs, err := cmd.StderrPipe()
+	stderr, err := cmd.StderrPipe()
 	if err != nil {
 		return nil, err
 	}
 	if err := cmd.Start(); err != nil {
-		return nil, fmt.Errorf("starting %s: %w", cmd.Path, err)
+		return nil, fmt.Errorf("failed to start %s: %w", cmd.Path, err)
 	}
-	go p.follow(errs)
+	go p.followLog(stderr)
 	return p, nil
 }
 
-func (p *Process) follow(r io.Reader) {
+// followLog reads the log until its end.
+func (p *Process) followLog(r io.Reader) {
 	defer func() {
 		p.mu.Lock()
 		if p.endedAt = time.Now(); !p.stoppedAt.IsZero() {
@@ -69,15 +70,16 @@
 	}
 }
 
-// Await waits for a line of the log that has all of some texts, and returns it. From is the number of lines to pass over.
+// Await waits for a line of the log that contains all the texts, and returns it. It skips the first from lines. It returns an error if the
+// log ends, or if no such line is logged within the given time.
 func (p *Process) Await(within time.Duration, from int, texts ...string) (string, error) {
-	end := time.NewTimer(within)
-	defer end.Stop()
+	timeout := time.NewTimer(within)
+	defer timeout.Stop()
 	for {
 		p.mu.Lock()
 		lineAdded := p.lineAdded
 		for ; from < len(p.lines); from++ {
-			if line := p.lines[from]; hasAll(line, texts) {
+			if line := p.lines[from]; containsAll(line, texts) {
 				p.mu.Unlock()
 				return line, nil
 			}
@@ -87,18 +89,18 @@
 		case <-lineAdded:
 		case <-p.ended:
 			p.mu.Lock()
-			more := from < len(p.lines)
+			unread := from < len(p.lines)
 			p.mu.Unlock()
-			if !more {
-				return "", fmt.Errorf("it ended without %q:\n%s", texts, p.Log())
+			if !unread {
+				return "", fmt.Errorf("the process ended without a log line with %q:\n%s", texts, p.Log())
 			}
-		case <-end.C:
-			return "", fmt.Errorf("no %q within %v:\n%s", texts, within, p.Log())
+		case <-timeout.C:
+			return "", fmt.Errorf("no log line with %q within %v:\n%s", texts, within, p.Log())
 		}
 	}
 }
 
-func hasAll(line string, texts []string) bool {
+func containsAll(line string, texts []string) bool {
 	for _, t := range texts {
 		if !strings.Contains(line, t) {
 			return false
@@ -107,14 +109,14 @@
 	return true
 }
 
-// Lines is the number of lines in the log.
+// Lines returns the number of lines in the log.
 func (p *Process) Lines() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return len(p.lines)
 }
 
-// TextAfter waits for what follows a text in the log, up to the next space.
+// TextAfter waits for a log line that contains text, and returns the word that follows text directly, up to the next space.
 func (p *Process) TextAfter(within time.Duration, text string) (string, error) {
 	line, err := p.Await(within, 0, text)
 	if err != nil {
@@ -125,20 +127,20 @@
 	return word, nil
 }
 
-// Log is all that the process has logged.
+// Log returns everything that the process has logged.
 func (p *Process) Log() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.log.String()
 }
 
-// Pid is the process's number.
+// Pid returns the process ID.
 func (p *Process) Pid() int { return p.cmd.Process.Pid }
 
-// Signal sends a signal.
+// Signal sends a signal to the process.
 func (p *Process) Signal(s syscall.Signal) error { return p.cmd.Process.Signal(s) }
 
-// Freeze stops the process where it is, and returns once the system says that it is stopped.
+// Freeze suspends the process with SIGSTOP. It returns once the kernel reports the process as stopped, or after about 1 s.
 func (p *Process) Freeze() {
 	_ = p.Signal(syscall.SIGSTOP)
 	for range 1000 {
@@ -154,7 +156,7 @@
 	}
 }
 
-// Stopped reports whether the process is stopped, or gone.
+// Stopped reports whether the process is stopped or has ended.
 func (p *Process) Stopped() bool {
 	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.Pid()))
 	if err != nil {
@@ -164,7 +166,7 @@
 	return len(rest) > 1 && (rest[1] == 'T' || rest[1] == 'Z')
 }
 
-// Wake has it go on.
+// Wake resumes a process that Freeze has suspended.
 func (p *Process) Wake() {
 	p.mu.Lock()
 	p.stoppedAt = time.Time{}
@@ -172,15 +174,15 @@
 	_ = p.Signal(syscall.SIGCONT)
 }
 
-// Kill ends the process at once.
+// Kill kills the process and waits for its end.
 func (p *Process) Kill() {
 	_ = p.cmd.Process.Kill()
 	<-p.ended
 	_ = p.cmd.Wait()
 }
 
-// Until is when it last did anything: its end, or, of one that was ended while it was stopped, when it was stopped; now where it has
-// not ended.
+// Until returns the last time at which the process could act. For a process that has ended it is the end, or the time of Freeze if the
+// process was killed while it was suspended. For a process that has not ended it is the current time.
 func (p *Process) Until() time.Time {
 	select {
 	case <-p.ended:
@@ -190,22 +192,22 @@
 	}
 }
 
-// Ended is closed once the process has said its last.
+// Ended returns a channel that is closed at the end of the process's log.
 func (p *Process) Ended() <-chan struct{} { return p.ended }
 
-// Wait waits for its end and returns how it ended.
+// Wait waits for the end of the process and returns the error of exec.Cmd.Wait.
 func (p *Process) Wait() error {
 	<-p.ended
 	return p.cmd.Wait()
 }
 
-// Leave sends SIGTERM and waits for the end.
+// Leave sends SIGTERM and waits for the end of the process, as Wait does.
 func (p *Process) Leave() error {
 	_ = p.Signal(syscall.SIGTERM)
 	return p.Wait()
 }
 
-// CPU is the time that the process has had on the processors, by /proc in hundredths of a second.
+// CPU returns the processor time that the process has used, with the 10 ms resolution of /proc. It returns 0 if the process is gone.
 func (p *Process) CPU() time.Duration {
 	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.Pid()))
 	if err != nil {
--- a/internal/testkit/harness/reserve.go
+++ b/internal/testkit/harness/reserve.go
@@ -6,25 +6,25 @@
 	"golang.org/x/sys/unix"
 )
 
-// Reservation is a loopback address for a process that is yet to start, or to start again. It guards against another process of the
-// machine taking the port in between, which shows as "address in use" at a start, or as a test that talks to a stranger. The socket is
-// bound and never listens: the system then hands its port to nobody who asks for any port, neither to listen nor for an outgoing
-// connection, while a listener that names the port and sets SO_REUSEADDR, as Go's do, gets it.
+// Reservation is a reserved loopback address for a process that has yet to start or restart. Without a reservation, another process of the
+// machine may take the port in the meantime. The start then fails with "address in use", or the test talks to the wrong process. The
+// reservation's socket is bound but does not listen: the kernel then never assigns its port to a socket that asks for any port, neither for
+// listening nor for an outgoing connection. A listener that names the port and sets SO_REUSEADDR, as Go's listeners do, can still bind it.
 type Reservation struct {
 	Addr string
 	fd   int
 }
 
-// Reserve binds a loopback address. The caller ends it by Release, after the processes that listen there.
+// Reserve reserves a loopback address. The caller releases it with Release after the processes that listen there have ended.
 func Reserve() (*Reservation, error) {
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
-		return nil, fmt.Errorf("reserve an address: socket: %w", err)
+		return nil, fmt.Errorf("failed to reserve an address: socket: %w", err)
 	}
 	r := &Reservation{fd: fd}
 	if err := r.bind(); err != nil {
 		r.Release()
-		return nil, fmt.Errorf("reserve an address: %w", err)
+		return nil, fmt.Errorf("failed to reserve an address: %w", err)
 	}
 	return r, nil
 }
@@ -44,5 +44,5 @@
 	return nil
 }
 
-// Release gives the address up.
+// Release ends the reservation.
 func (r *Reservation) Release() { _ = unix.Close(r.fd) }
--- a/internal/testkit/harness/reserve_test.go
+++ b/internal/testkit/harness/reserve_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// A member of a group was started at an address that had been looked up a moment before, and beside other programs of the machine
-// somebody else had taken it by then. A reserved address is given to nobody who asks for any, and to who names it.
+// Without a reservation, a free address that is looked up before a process starts may be taken by another program in the meantime. The
+// kernel must not assign a reserved address to a socket that asks for any port, but a listener that names the port must get it, repeatedly.
 func TestReservedAddressIsGivenToWhoNamesIt(t *testing.T) {
 	r, err := Reserve()
 	if err != nil {
@@ -20,10 +20,10 @@
 		}
 		t.Cleanup(func() { ln.Close() })
 		if ln.Addr().String() == r.Addr {
-			t.Fatal("somebody else got the reserved address")
+			t.Fatal("a listener on any port got the reserved address")
 		}
 	}
-	for range 3 { // a process that starts, and starts again
+	for range 3 { // a process that starts and restarts
 		ln, err := net.Listen("tcp", r.Addr)
 		if err != nil {
 			t.Fatal(err)
@@ -36,7 +36,7 @@
 		}
 		if second, err := net.Listen("tcp", r.Addr); err == nil {
 			second.Close()
-			t.Error("two listen at one address")
+			t.Error("two sockets listen at the same address")
 		}
 		ln.Close()
 	}
--- a/internal/testkit/harness/rules.go
+++ b/internal/testkit/harness/rules.go
@@ -9,108 +9,109 @@
 	"time"
 )
 
-// Acted is a stretch in which a process could begin what is exclusive, by a version of a document, as its log says. From and To
-// are times of day; To is the end of the log where it went on until then.
+// Acted is a period in which a process could begin exclusive work under one version of a document, according to its log. From and To are
+// times of day. If the period lasted until the end of the log, To is that end.
 type Acted struct {
 	Process, Version string
 	From, To         time.Duration
 }
 
 var (
-	acts   = regexp.MustCompile(`^(\d\d):(\d\d):(\d\d\.\d+) config: active: (\w+) (\S+)`)
-	stops  = regexp.MustCompile(`^(\d\d):(\d\d):(\d\d\.\d+) config: nothing that is exclusive begins: \w+, since (\S+) ago`)
-	goesOn = regexp.MustCompile(`^(\d\d):(\d\d):(\d\d\.\d+) config: exclusive work goes on`)
+	activeLine  = regexp.MustCompile(`^(\d\d):(\d\d):(\d\d\.\d+) config: active: (\w+) (\S+)`)
+	stoppedLine = regexp.MustCompile(`^(\d\d):(\d\d):(\d\d\.\d+) config: nothing that is exclusive begins: \w+, since (\S+) ago`)
+	resumedLine = regexp.MustCompile(`^(\d\d):(\d\d):(\d\d\.\d+) config: exclusive work goes on`)
 )
 
-// timeOf is the time of day of a line, past midnight a day later where the log began before.
-func timeOf(m []string, began time.Duration) time.Duration {
-	// Not Sscan: it takes 08 for a number to the base of 8.
+// timeOf returns the time of day of a log line, plus 24 hours if the line was logged after midnight and the log began before it.
+func timeOf(m []string, logStart time.Duration) time.Duration {
+	// Not Sscan, which parses 08 as an octal number.
 	h, _ := strconv.Atoi(m[1])
 	min, _ := strconv.Atoi(m[2])
 	sec, _ := time.ParseDuration(m[3] + "s")
 	at := time.Duration(h)*time.Hour + time.Duration(min)*time.Minute + sec
-	if at < began-time.Hour {
+	if at < logStart-time.Hour {
 		at += 24 * time.Hour
 	}
 	return at
 }
 
-// ActsOf reads from its log when a process could begin what is exclusive, by which version of a document.
+// ActsOf returns the periods in which a process could begin exclusive work under each version of a document, as read from its log.
 func ActsOf(name string, p *Process, doc string) []Acted {
 	return Acts(name, p.Log(), doc, DayTime(p.Until()))
 }
 
-// Acts is ActsOf for a log that ends at a time of day.
+// Acts is ActsOf for the text of a log that ends at the given time of day.
 func Acts(name, log, doc string, end time.Duration) (list []Acted) {
-	var now *Acted
-	version, on := "", false
-	began := time.Duration(-1)
-	turn := func(at time.Duration, to string, goes bool) {
-		if now != nil && (to != version || !goes) {
-			now.To = max(now.From, at)
-			list = append(list, *now)
-			now = nil
+	var current *Acted
+	version, active := "", false
+	logStart := time.Duration(-1)
+	update := func(at time.Duration, newVersion string, nowActive bool) {
+		if current != nil && (newVersion != version || !nowActive) {
+			current.To = max(current.From, at)
+			list = append(list, *current)
+			current = nil
 		}
-		version, on = to, goes
-		if now == nil && on && version != "" {
-			now = &Acted{Process: name, Version: version, From: at}
+		version, active = newVersion, nowActive
+		if current == nil && active && version != "" {
+			current = &Acted{Process: name, Version: version, From: at}
 		}
 	}
 	at := func(m []string) time.Duration {
-		t := timeOf(m, began)
-		if began < 0 {
-			began = t
+		t := timeOf(m, logStart)
+		if logStart < 0 {
+			logStart = t
 		}
 		return t
 	}
 	for _, line := range strings.Split(log, "\n") {
-		if m := acts.FindStringSubmatch(line); m != nil && m[4] == doc {
-			turn(at(m), m[5], on)
-		} else if m := stops.FindStringSubmatch(line); m != nil {
+		if m := activeLine.FindStringSubmatch(line); m != nil && m[4] == doc {
+			update(at(m), m[5], active)
+		} else if m := stoppedLine.FindStringSubmatch(line); m != nil {
 			ago, _ := time.ParseDuration(m[4])
-			turn(at(m)-ago, version, false)
-		} else if m := goesOn.FindStringSubmatch(line); m != nil {
-			turn(at(m), version, true)
+			update(at(m)-ago, version, false)
+		} else if m := resumedLine.FindStringSubmatch(line); m != nil {
+			update(at(m), version, true)
 		}
 	}
-	if end < began {
+	if end < logStart {
 		end += 24 * time.Hour // past midnight
 	}
-	if now != nil {
-		now.To = end
-		list = append(list, *now)
+	if current != nil {
+		current.To = end
+		list = append(list, *current)
 	}
 	return list
 }
 
-// Overlap is the longest time in which two processes could begin what is exclusive by different versions, and who they were.
-func Overlap(list []Acted) (longest time.Duration, what string) {
+// Overlap returns the longest time in which two processes could begin exclusive work under different versions, and a description of the two
+// periods.
+func Overlap(list []Acted) (longest time.Duration, periods string) {
 	return OverlapOf(list, func(a, b string) bool { return a != b })
 }
 
-// OverlapOf is Overlap for a document of which not all versions exclude each other.
-func OverlapOf(list []Acted, exclude func(a, b string) bool) (longest time.Duration, what string) {
+// OverlapOf is Overlap for a document whose versions conflict only if exclude returns true for them.
+func OverlapOf(list []Acted, exclude func(a, b string) bool) (longest time.Duration, periods string) {
 	for i, a := range list {
 		for _, b := range list[i+1:] {
 			if d := min(a.To, b.To) - max(a.From, b.From); d > longest && exclude(a.Version, b.Version) {
-				longest, what = d, fmt.Sprintf("%+v and %+v", a, b)
+				longest, periods = d, fmt.Sprintf("%+v and %+v", a, b)
 			}
 		}
 	}
-	return longest, what
+	return longest, periods
 }
 
-// Versions are those that were acted on, in no order, each once.
-func Versions(list []Acted) (all []string) {
+// Versions returns the distinct versions in a list of periods.
+func Versions(list []Acted) (versions []string) {
 	for _, a := range list {
-		if !slices.Contains(all, a.Version) {
-			all = append(all, a.Version)
+		if !slices.Contains(versions, a.Version) {
+			versions = append(versions, a.Version)
 		}
 	}
-	return all
+	return versions
 }
 
-// DayTime is a moment as Acts counts.
+// DayTime returns the time of day of t in UTC, which is how Acts counts times.
 func DayTime(t time.Time) time.Duration {
 	t = t.UTC()
 	return t.Sub(time.Date(t.Year(), t.Month(), t.Day(), 0, 0, 0, 0, time.UTC))
--- a/internal/testkit/pipes/pipes.go
+++ b/internal/testkit/pipes/pipes.go
@@ -1,4 +1,4 @@
-// Package pipes is a listener whose connections are pipes in memory, for tests in simulated time.
+// Package pipes provides a listener whose connections are in-memory pipes, for tests in simulated time.
 package pipes
 
 import (
@@ -6,7 +6,7 @@
 	"sync"
 )
 
-// Listener is a net.Listener; its peers connect by Dial.
+// Listener is a net.Listener. Clients connect with Dial.
 type Listener struct {
 	conns chan net.Conn
 	once  sync.Once
@@ -18,14 +18,14 @@
 	return &Listener{conns: make(chan net.Conn, 8), done: make(chan struct{})}
 }
 
-// Dial returns the near end of a new connection.
+// Dial returns the client end of a new connection. Accept returns the other end.
 func (l *Listener) Dial() net.Conn {
 	near, far := net.Pipe()
 	l.conns <- far
 	return near
 }
 
-// Accept waits for the next connection, or the listener's end.
+// Accept returns the next connection. After Close it returns net.ErrClosed.
 func (l *Listener) Accept() (net.Conn, error) {
 	select {
 	case c := <-l.conns:
@@ -35,11 +35,11 @@
 	}
 }
 
-// Close ends the listener.
+// Close closes the listener. It may be called more than once. Open connections stay open.
 func (l *Listener) Close() error {
 	l.once.Do(func() { close(l.done) })
 	return nil
 }
 
-// Addr is no address that anybody could dial.
+// Addr returns a placeholder address, which cannot be dialed.
 func (l *Listener) Addr() net.Addr { return &net.UnixAddr{Name: "pipe"} }
