--- a/internal/testkit/harness/harness.go
+++ b/internal/testkit/harness/harness.go
@@ -123,8 +123,8 @@
 		return "", err
 	}
 	_, rest, _ := strings.Cut(line, text)
-	word, _, _ := strings.Cut(rest, " ")
-	return word, nil
+	value, _, _ := strings.Cut(rest, " ")
+	return value, nil
 }
 
 // Log returns everything that the process has logged.
--- a/internal/transport/interpreter/link.go
+++ b/internal/transport/interpreter/link.go
@@ -202,7 +202,7 @@
 		addr := l.addr
 		l.cancelLink = cancel
 		l.mu.Unlock()
-		wasLive, closedByRedirect, err := l.serveLink(linkCtx, addr)
+		becameLive, closedByRedirect, err := l.serveLink(linkCtx, addr)
 		l.mu.Lock()
 		redirected, next := closedByRedirect || addr != l.addr, l.addr
 		l.mu.Unlock()
@@ -215,7 +215,7 @@
 		default:
 			l.stats.Inc("interpreter", "link_down")
 			events.Log(l.log, "interpreter.link_down", err)
-			if wasLive {
+			if becameLive {
 				backoff = minBackoff
 			}
 			select {
--- a/internal/transport/linger/linger_test.go
+++ b/internal/transport/linger/linger_test.go
@@ -24,11 +24,11 @@
 	bytesRead int
 }
 
-func (c *recordingConn) record(what string) {
+func (c *recordingConn) record(call string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.calls) == 0 || c.calls[len(c.calls)-1] != what {
-		c.calls = append(c.calls, what)
+	if len(c.calls) == 0 || c.calls[len(c.calls)-1] != call {
+		c.calls = append(c.calls, call)
 	}
 }
 
@@ -150,7 +150,7 @@
 	if _, err := server.Write(answer); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := io.WriteString(client, "bytes that the server never reads"); err != nil {
+	if _, err := io.WriteString(client, "unread bytes at the close"); err != nil {
 		t.Fatal(err)
 	}
 	for Peek(server) != Unread {
--- a/internal/transport/restartlink/link_test.go
+++ b/internal/transport/restartlink/link_test.go
@@ -53,6 +53,7 @@
 	kill  func() // simulates the death of the process: closes its link and releases its slot
 }
 
+// startProcess starts a process of the service with its slots in dir. The test's cleanup kills it.
 func startProcess(t *testing.T, dir string) *process {
 	t.Helper()
 	s := &metrics.Counters{}
@@ -87,6 +88,7 @@
 	return p
 }
 
+// await waits until the condition holds, and fails the test after 20 s.
 func await(t *testing.T, description string, condition func() bool) {
 	t.Helper()
 	for deadline := time.Now().Add(20 * time.Second); !condition(); time.Sleep(time.Millisecond) {
@@ -98,6 +100,7 @@
 
 func (p *process) serves() bool { return p.core.Phase() == lifecycle.Serving }
 
+// attempt sends a request with a key, received at the given time, and returns the channel that gets its answer.
 func (p *process) attempt(id, key string, receivedAt time.Time) chan core.Answer {
 	answer := make(chan core.Answer, 1)
 	go p.core.Serve(core.Request{Front: "test", ID: id, Class: "oddaja", Key: key, MemoryKB: 1, Body: []byte(key),
@@ -105,6 +108,7 @@
 	return answer
 }
 
+// expectAnswer waits for an answer and checks its outcome and body.
 func expectAnswer(t *testing.T, name string, answer chan core.Answer, outcome core.Outcome, body string) {
 	t.Helper()
 	select {
@@ -255,15 +259,15 @@
 	await(t, "the first process serves despite stale files", predecessor.serves)
 	successor := startProcess(t, dir)
 	await(t, "the second process serves", successor.serves)
-	c := startProcess(t, dir)
+	third := startProcess(t, dir)
 	time.Sleep(5 * peerCheckInterval)
-	if ready, why := c.core.Ready(); ready || !strings.Contains(why, "another process") || c.stats.Get("handover", "third") != 1 {
+	if ready, why := third.core.Ready(); ready || !strings.Contains(why, "another process") || third.stats.Get("handover", "third") != 1 {
 		t.Fatalf("the third process is ready, or not counted as waiting for a slot: reason %q", why)
 	}
 	predecessor.kill()
-	await(t, "the third process takes the free slot and serves", c.serves)
-	if successor.core.PairRole() != hotrestart.Predecessor || c.core.PairRole() != hotrestart.Successor {
-		t.Errorf("roles %v and %v", successor.core.PairRole(), c.core.PairRole())
+	await(t, "the third process takes the free slot and serves", third.serves)
+	if successor.core.PairRole() != hotrestart.Predecessor || third.core.PairRole() != hotrestart.Successor {
+		t.Errorf("roles %v and %v", successor.core.PairRole(), third.core.PairRole())
 	}
 }
 
@@ -339,7 +343,7 @@
 		conn.SetReadDeadline(time.Now().Add(20 * time.Second))
 		m, _, err := readMessage(bufio.NewReader(conn), nil)
 		if err != nil || m.Kind != hotrestart.Hello || m.StartedAt == 0 {
-			t.Errorf("link %d: %+v, %v", link, m, err)
+			t.Errorf("link %d: got %+v, %v, want a Hello of the process", link, m, err)
 		}
 		conn.Close()
 	}
@@ -356,7 +360,7 @@
 	for _, m := range sampleMessages {
 		got, f, err := readMessage(r, frame)
 		if frame = f; err != nil || !reflect.DeepEqual(got, m) {
-			t.Fatalf("%+v, %v, want %+v", got, err, m)
+			t.Fatalf("read %+v, %v, want %+v", got, err, m)
 		}
 	}
 	whole := appendMessage(nil, sampleMessages[3])
