--- a/internal/events/events.go
+++ b/internal/events/events.go
@@ -1,7 +1,10 @@
-// Package events is the structured log of servers and routers. Each event has a name and named fields, which stand in one table,
-// Templates. Members of the group and processes that run controllers log by zerolog instead, with the same kind of names (duty.*,
-// group.*, placement.*, monitor.*, command.*): internal/controlplane/quorum/member and internal/controlplane/runner. On a log for people an event is a line of text; on a log for machines it is a JSON object of the same fields.
-// docs/oncall.md says of each event what it means and what to do.
+// Package events writes the structured log of servers and routers. Each event has a name and named fields, defined in the table
+// Templates. A text log shows an event as a line of text; a JSON log shows it as an object with the same fields. docs/oncall.md
+// describes each event and the response to it.
+//
+// The members of the group (internal/controlplane/quorum/member) and the processes that run controllers
+// (internal/controlplane/runner) log with zerolog directly, under names of the same form (duty.*, group.*, placement.*, monitor.*,
+// command.*).
 package events
 
 import (
@@ -13,8 +16,8 @@
 	"github.com/rs/zerolog"
 )
 
-// Templates has the line of every event, by the event's name. A field stands in it as {name} or, with a verb of package fmt, as
-// {name:%.2f}; a field's name is its key in the JSON object too.
+// Templates maps the name of each event to the template of its line in the text log. A field is written as {name} or, with a verb of
+// package fmt, as {name:%.2f}. The name of a field is also its key in the JSON object.
 var Templates = map[string]string{
 	"loadreport.failed":          "load report not sent: {why}",
 	"backstop":                   "backstop: {class} {request} is due, {after} after it was read, and had no answer from the module",
@@ -87,10 +90,10 @@
 	"worker":                     "worker: no configuration: the built-in worker at {addr} does the work, which is to send back what came",
 }
 
-// segment is a piece of a template: literal text, then one field, whose name is empty at the end of the template.
+// segment is a part of a template: literal text followed by one field. The last segment has no field, so its field name is empty.
 type segment struct{ before, field, verb string }
 
-// templates are the Templates, parsed once at the start of the process.
+// templates holds the parsed Templates by event name.
 var templates = func() map[string][]segment {
 	all := map[string][]segment{}
 	for name, text := range Templates {
@@ -115,7 +118,7 @@
 	}
 }
 
-// Fields returns the names of an event's fields, in the order in which Log takes their values.
+// Fields returns the names of an event's fields, in the order in which Log expects their values.
 func Fields(name string) (list []string) {
 	for _, p := range templates[name] {
 		if p.field != "" {
@@ -125,23 +128,24 @@
 	return list
 }
 
-// JSONWriter is the output of a log for machines: a JSON object a line.
+// JSONWriter writes a JSON log, one object per line. Log recognizes a log.Logger that writes to it.
 type JSONWriter struct{ log zerolog.Logger }
 
-// NewJSONWriter returns the output of the named process, with the time of each line in microseconds since 1970.
+// NewJSONWriter returns a JSONWriter that adds the name of the process and the time, in microseconds since 1970, to each line. It
+// sets the time format of package zerolog for the whole process.
 func NewJSONWriter(out io.Writer, process string) *JSONWriter {
 	zerolog.TimeFieldFormat = zerolog.TimeFormatUnixMicro
 	return &JSONWriter{zerolog.New(out).With().Timestamp().Str("process", process).Logger()}
 }
 
-// Write logs a line that is no event of Templates, such as a library's, as the event "text".
+// Write logs a line that is not an event of Templates, such as one that a library logs, as the event "text".
 func (m *JSONWriter) Write(b []byte) (int, error) {
 	m.log.Log().Str("event", "text").Str("text", strings.TrimSpace(string(b))).Send()
 	return len(b), nil
 }
 
-// Log logs an event with the values of its fields, in the order of Fields. It is called by every package that logs to a log.Logger; TestEvents
-// holds the calls against Templates and docs/oncall.md.
+// Log logs an event with the values of its fields, in the order of Fields. Packages of servers and routers call it instead of the
+// methods of log.Logger. TestEvents checks these calls against Templates and docs/oncall.md.
 func Log(l *log.Logger, name string, values ...any) {
 	parts := templates[name]
 	if m, ok := l.Writer().(*JSONWriter); ok {
@@ -164,7 +168,7 @@
 	l.Print(b.String())
 }
 
-// addField adds a field to a JSON object: a number as a number, all else as the text that a person would read.
+// addField adds a field to a JSON object. Integers and float64 values become JSON numbers; other values become their text form.
 func addField(e *zerolog.Event, name string, v any) *zerolog.Event {
 	switch v := v.(type) {
 	case int:
--- a/internal/metrics/counters.go
+++ b/internal/metrics/counters.go
@@ -1,5 +1,6 @@
-// Package metrics has the counters and timings of a process. Fronts, clients and controllers count by it; the state as JSON, SNMP, the
-// admin API and SIGUSR1 show them. Their names are a wire: operators' tools read them.
+// Package metrics implements the counters and timings of a process. Fronts, clients and controllers update them; the JSON status, the
+// SNMP agent, the admin API and SIGUSR1 expose them. Their names are part of the external interface, since operators' tools read
+// them.
 package metrics
 
 import (
@@ -11,20 +12,20 @@
 	"sync"
 )
 
-// Counters is a set of named counters. The zero value is ready; it is safe for concurrent use.
+// Counters is a set of named counters and timings. The zero value is ready to use. It is safe for concurrent use.
 type Counters struct {
 	mu      sync.Mutex
 	n       map[string]uint64
 	timings map[string]*Timing
 }
 
-// counterName joins the parts of a name by dots. A part may come off the wire, so that blanks in it are replaced: it must not forge a
-// line of its own.
+// counterName joins the parts of a name with dots and replaces whitespace with underscores. A part may come from a request; without
+// the replacement a line break in it could forge a line of the printed counters.
 func counterName(parts []string) string {
 	return strings.Join(strings.Fields(strings.Join(parts, ".")), "_")
 }
 
-// Add adds n to the counter with the given parts of a name, such as event, front and class.
+// Add adds n to the counter whose name has the given parts, for example event, front and class.
 func (c *Counters) Add(n uint64, parts ...string) {
 	key := counterName(parts)
 	c.mu.Lock()
@@ -35,7 +36,7 @@
 	c.n[key] += n
 }
 
-// Set sets the counter to n: for what is measured and not counted, such as a size or a state.
+// Set sets the counter to n. It is used for gauges, such as a size or a state.
 func (c *Counters) Set(n uint64, parts ...string) {
 	key := counterName(parts)
 	c.mu.Lock()
@@ -49,7 +50,7 @@
 // Inc adds 1 to the counter.
 func (c *Counters) Inc(parts ...string) { c.Add(1, parts...) }
 
-// Get returns the counter's value, 0 for one that was never added to.
+// Get returns the value of the counter, or 0 if it does not exist.
 func (c *Counters) Get(parts ...string) uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -63,7 +64,7 @@
 	return maps.Clone(c.n)
 }
 
-// Timing returns the timing of a name, a new one at the first call. Callers that record often keep it.
+// Timing returns the timing with the given name and creates it at the first call. Callers that record often should keep the result.
 func (c *Counters) Timing(parts ...string) *Timing {
 	key := counterName(parts)
 	c.mu.Lock()
@@ -77,7 +78,7 @@
 	return c.timings[key]
 }
 
-// Timings returns all timings in the order of their names.
+// Timings returns all timings, sorted by name.
 func (c *Counters) Timings() []*Timing {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -88,8 +89,8 @@
 	return list
 }
 
-// Print writes every counter and every timing, a line each, in the order of their names. Write errors are dropped: it writes to the
-// process's log.
+// Print writes all counters and then all timings, one per line and each sorted by name. It ignores write errors, since it writes to
+// the log of the process.
 func (c *Counters) Print(w io.Writer) {
 	all := c.Snapshot()
 	for _, key := range slices.Sorted(maps.Keys(all)) {
--- a/internal/metrics/timing.go
+++ b/internal/metrics/timing.go
@@ -9,9 +9,9 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Timing is a histogram of times, from a microsecond to a minute. It is safe for concurrent use.
+// Timing is a histogram of durations from 1 µs to 1 minute. It is safe for concurrent use.
 type Timing struct {
-	Name string // its parts joined by dots
+	Name string // the name's parts, joined by dots
 	mu   sync.Mutex
 	h    *hdrhistogram.Histogram
 }
@@ -20,22 +20,22 @@
 	return &Timing{Name: name, h: hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 2)}
 }
 
-// Record adds a time. One beyond a minute counts as a minute.
+// Record adds a duration. Durations above one minute count as one minute.
 func (t *Timing) Record(d time.Duration) {
 	t.mu.Lock()
 	_ = t.h.RecordValue(min(int64(time.Minute/time.Microsecond), max(0, d.Microseconds())))
 	t.mu.Unlock()
 }
 
-// Quantile returns the time that the given percentage of the recorded times do not exceed, from 0 to 100, and how many times were
-// recorded.
+// Quantile returns the duration that the given percentage (0 to 100) of the recorded durations do not exceed, and the number of
+// recorded durations.
 func (t *Timing) Quantile(quantile float64) (time.Duration, int64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return time.Duration(t.h.ValueAtQuantile(quantile)) * time.Microsecond, t.h.TotalCount()
 }
 
-// Print writes the timing as a line.
+// Print writes the count, the main quantiles and the maximum as one line.
 func (t *Timing) Print(w io.Writer) {
 	p50, n := t.Quantile(50)
 	p99, _ := t.Quantile(99)
--- a/internal/service/budget.go
+++ b/internal/service/budget.go
@@ -9,36 +9,39 @@
 	"silverpath/internal/transport/listener"
 )
 
-// softMemoryRatio is the part of limits.memory_mb that the Go runtime has as its soft limit: above it the collector works harder
-// rather than let the heap grow. The rest is for what the limit does not count, as the kernel's socket buffers.
+// softMemoryRatio is the fraction of limits.memory_mb that the Go runtime gets as its soft memory limit. Above that limit the garbage
+// collector works harder instead of letting the heap grow. The rest is for memory outside the Go runtime, such as the kernel's socket
+// buffers.
 const softMemoryRatio = 0.6
 
-// reservedDescriptors are set aside of limits.sockets for logs, listening sockets, the links and the Go runtime.
+// reservedDescriptors is the number of descriptors of limits.sockets that are reserved for logs, listening sockets, the links and
+// the Go runtime.
 const reservedDescriptors = 16
 
-// softMemoryLimit is the Go runtime's soft memory limit, in bytes.
+// softMemoryLimit returns the soft memory limit of the Go runtime in bytes.
 func softMemoryLimit(cfg settings.Config) int64 {
 	return int64(cfg.MemoryMB * softMemoryRatio * (1 << 20))
 }
 
-// DescriptorBudget is the number of connections that each user of descriptors may have open; 0 where it is off.
+// DescriptorBudget holds the maximum number of connections of each component. It is 0 for a disabled component.
 type DescriptorBudget struct {
 	RPC      int // MessagePack-RPC front
 	SCGI     int // SCGI front
 	Vault    int // client of the vault
-	Upstream int // client of the application server, or of a router's servers
+	Upstream int // client of the application server, or of the servers of a router
 }
 
-// descriptorBudget shares limits.sockets out, less what is reserved, so that clients can take no descriptor that the interpreter,
-// the operators or the announce service need. Balancers open up to half of the limit, so that their front has 3/5 of what is
-// left, or 2/5 beside web fronts, which have 1/5; 2/5 are for calls that the process makes itself.
+// descriptorBudget divides limits.sockets among the components. The reserved descriptors are excluded, so that clients can't use up
+// those that the interpreter, the operators and the announce service need. Load balancers open up to half of the limit, so the
+// MessagePack-RPC front gets 3/5 of the remaining descriptors, or 2/5 if there is also an SCGI front, which then gets 1/5. The
+// other 2/5 are for outgoing connections.
 func descriptorBudget(c settings.Config) DescriptorBudget {
 	reserved := reservedDescriptors
 	if c.Admin != "" {
-		reserved += admin.ConnectionLimit(c.Descriptors) // whatever clients do
+		reserved += admin.ConnectionLimit(c.Descriptors) // clients must not block operators
 	}
 	if c.ListenFD > 0 {
-		reserved *= 2 // another process starts beside this one, before any share is given up
+		reserved *= 2 // during a hot restart the successor opens its own before this process gives any up
 	}
 	n := max(8, c.Descriptors-reserved)
 	b := DescriptorBudget{RPC: n * 3 / 5}
@@ -54,20 +57,20 @@
 		b.Vault = n * 2 / 5
 	}
 	if c.ListenFD > 0 {
-		b.Vault, b.Upstream = b.Vault/2, b.Upstream/2 // each of two processes has as many
+		b.Vault, b.Upstream = b.Vault/2, b.Upstream/2 // both processes of a hot restart open this many
 	}
 	return b
 }
 
-// listenerBudget is the number of connections of a listener while no other process shares the limits.
+// listenerBudget holds the connection limit of a listener while no other process shares the limits.
 type listenerBudget struct {
 	ln       *listener.Listener
 	maxConns int
 }
 
-// splitLimits gives this process half of memory and connections while two processes of the service run, and all of them
-// otherwise. The restart link calls it under the core's lock at each change; a listener that has to evict connections takes
-// longer than that lock may be held, so that each goes on by itself.
+// splitLimits halves the memory and connection limits of this process while two processes of the service run, and restores them
+// when only one runs. The restart link calls it at each change, with the core's lock held. The limits of the listeners change in
+// goroutines of their own, because evicting connections takes longer than that lock may be held.
 func (s *Service) splitLimits(withPeer bool) {
 	processes := 1
 	if withPeer {
--- a/internal/service/classes.go
+++ b/internal/service/classes.go
@@ -10,7 +10,7 @@
 	"silverpath/internal/settings"
 )
 
-// checkClasses reports whether the group's classes could be applied: it names the field that is no good.
+// checkClasses returns an error that names the invalid field if the group's classes can't be applied.
 func (s *Service) checkClasses(text string) error {
 	s.settingsMu.Lock()
 	defer s.settingsMu.Unlock()
@@ -18,8 +18,8 @@
 	return err
 }
 
-// applyClasses applies the group's classes. A class whose idempotency window becomes shorter keeps the old length until what ran
-// by that can't come again: else a repeat in its last part would run a second time.
+// applyClasses applies the group's classes. A class whose idempotency window becomes shorter keeps the old window until no request
+// that ran under it can be repeated. Otherwise a request repeated late in the old window would run a second time.
 func (s *Service) applyClasses(text string) error {
 	s.settingsMu.Lock()
 	defer s.settingsMu.Unlock()
@@ -42,7 +42,8 @@
 	return nil
 }
 
-// transition returns the settings to go by at first on the way from old to next, and after how long next may hold; 0: at once.
+// transition returns the settings to apply first when the settings change from old to next, and the delay after which next may be
+// applied. A delay of 0 means that interim equals next.
 func transition(old, next silverpath.Settings) (interim silverpath.Settings, delay time.Duration) {
 	interim = next
 	interim.Classes = slices.Clone(next.Classes)
@@ -57,7 +58,7 @@
 	return interim, delay
 }
 
-// finishTransition applies the settings at the end of their transition, unless other classes have come meanwhile. A timer calls it.
+// finishTransition applies next at the end of a transition, unless newer classes were applied in the meantime. A timer calls it.
 func (s *Service) finishTransition(next silverpath.Settings, generation int) {
 	s.settingsMu.Lock()
 	defer s.settingsMu.Unlock()
--- a/internal/service/configwatch.go
+++ b/internal/service/configwatch.go
@@ -12,17 +12,17 @@
 	"silverpath/internal/transport/scgi"
 )
 
-// roleConfig is what a role does with a group's documents, beside the classes, which every role applies.
+// roleConfig sets up the config watcher for a role. Every role applies the classes document in addition to the documents here.
 type roleConfig struct {
-	documents map[string]configwatch.Document // by name: what the role applies
-	goodput   func() configstore.Goodput      // since the start, for the group's view of a rollout
-	confirmed func(requestedAt time.Time)     // nil, or called when the group has confirmed what was current at that time
-	clockSkew func() time.Duration            // nil, or the most by which the fleet's clocks differ
-	quota     configwatch.QuotaClient         // nil, or asks the group for a quota of the cells
+	documents map[string]configwatch.Document // documents that the role applies, by name
+	goodput   func() configstore.Goodput      // goodput since the start, which the group uses to judge a rollout
+	confirmed func(requestedAt time.Time)     // called when the group confirms the documents as of that time; may be nil
+	clockSkew func() time.Duration            // maximum clock skew in the fleet; may be nil
+	quota     configwatch.QuotaClient         // requests a quota of the cells; may be nil
 }
 
-// watchConfig has the process act on documents of a group, where the edge file sets that up (rules). A document that neither the
-// role nor every process has a use for is an error.
+// watchConfig creates the watcher that applies the documents of a group, if the edge file configures it (rules). It returns an error
+// if a configured document is neither the classes document nor one that the role applies.
 func (s *Service) watchConfig(role roleConfig) error {
 	set := s.cfg.Edge.ConfigWatch
 	if set == nil {
@@ -35,7 +35,7 @@
 			d, ok = configwatch.Document{Format: 1, Check: s.checkClasses, Apply: s.applyClasses}, true
 		}
 		if !ok {
-			return fmt.Errorf("rules.documents[%d]: this process has no use for %q", i, name)
+			return fmt.Errorf("rules.documents[%d]: document %q does not apply to this role", i, name)
 		}
 		watched[name] = d
 	}
@@ -50,8 +50,8 @@
 	return nil
 }
 
-// goodput is the weight of all requests that this server was offered and that it served since its start, by the counters of its
-// fronts.
+// goodput returns the total weight of the requests that this server received and of those that it served since its start, from the
+// counters of its fronts.
 func (s *Service) goodput() (w configstore.Goodput) {
 	for _, k := range s.core.Classes() {
 		for _, front := range []string{msgpackrpc.Name, scgi.Name} {
--- a/internal/service/describe.go
+++ b/internal/service/describe.go
@@ -8,7 +8,7 @@
 	"silverpath/internal/transport/admin"
 )
 
-// Describe says, for a person, what a configuration sets up.
+// Describe returns a human-readable summary of a configuration.
 func Describe(c settings.Config) string {
 	b := descriptorBudget(c)
 	s := fmt.Sprintf("%s: ok, %d classes, %d cores, %.0f MB, %d descriptors, stops within %v\n",
@@ -31,7 +31,7 @@
 	return s + describeEdge(c.Edge)
 }
 
-// mapFileOf is the file that a router has its map from.
+// mapFileOf returns the path of a router's cell map file, or "" if c does not configure a router.
 func mapFileOf(c settings.Config) string {
 	if c.Edge.Router == nil {
 		return ""
@@ -39,7 +39,7 @@
 	return c.Edge.Router.Map
 }
 
-// describeEdge says what an edge file sets up.
+// describeEdge returns the lines of Describe for an edge file.
 func describeEdge(e settings.Edge) string {
 	if !e.On {
 		return "  edge: off\n"
--- a/internal/service/drain.go
+++ b/internal/service/drain.go
@@ -9,46 +9,49 @@
 	"silverpath/internal/settings"
 )
 
-// The times of a drain, counted back from the moment at which the platform stops the process: stop_ms after the notice to leave.
+// Timing of a drain. The platform stops the process stop_ms after the shutdown signal.
 const (
-	// exitMargin is how long before the stop the process has ended. The module answers what is left 100 ms before the stop.
+	// exitMargin is the time between the exit of the process and the stop by the platform. The module answers the remaining
+	// requests 100 ms before the stop.
 	exitMargin = 60 * time.Millisecond
-	// idleCloseLead is for how long before the exit connections without a pending answer are closed one by one, so that a peer
-	// that rests on one sees its end in good order and not a reset.
+	// idleCloseLead is the time before the exit at which the process starts to close connections without a pending answer, each in
+	// an orderly way. Otherwise idle peers would see a reset when the process exits.
 	idleCloseLead = 60 * time.Millisecond
-	// drainServeRatio is the part of the drain window (rules.drain_grace) in which peers are served as before. Callers hear of the
-	// drain seconds late; the rest of the window is for them to leave.
+	// drainServeRatio is the fraction of the drain window (rules.drain_grace) in which peers are served as before. Callers learn of
+	// the drain seconds late; the rest of the window is the time for them to leave.
 	drainServeRatio = 0.8
-	// acceptGrace is how long connections are still accepted after peers were asked to leave: one may be under way already.
+	// acceptGrace is the time for which connections are still accepted after peers were asked to leave. A client may have started
+	// to connect before it received that notification.
 	acceptGrace = 50 * time.Millisecond
-	// settleInterval is between two looks at whether all is answered, and as long as an answer may be on its way to the kernel
-	// after the last one was counted.
+	// settleInterval is the interval between two checks for pending answers and open connections. It also covers the time that an
+	// answer takes to reach the kernel after it was counted.
 	settleInterval = 100 * time.Millisecond
-	// quietLooks is after how many looks in a row at which nothing was left the drain is over.
+	// quietLooks is the number of consecutive checks that must find nothing pending before the drain ends.
 	quietLooks = 2
 )
 
-// A process that another one replaces is stopped replacedGrace after the longest deadline of a class, which counts as no more
-// than maxReplacedDeadline: these are the platform's numbers.
+// The platform stops a process that has a successor replacedGrace after the longest deadline of its classes, of which it counts
+// at most maxReplacedDeadline.
 const (
 	replacedGrace       = 700 * time.Millisecond
 	maxReplacedDeadline = 3 * time.Second
 )
 
-// drainDelay is how long after the notice to leave peers are served as before, until they are asked to leave too.
+// drainDelay returns the time between the shutdown signal and the request to peers to leave. Peers are served as before during it.
 func drainDelay(c settings.Config) time.Duration {
 	return min(time.Duration(drainServeRatio*float64(c.Server.DrainGrace)), c.StopTimeout/2)
 }
 
-// drain leads from the notice to leave to the end. Callers hear of it seconds late, and whoever takes over may be warming up yet:
-// for drainDelay requests are served as before. Then peers are asked to leave, and for acceptGrace connections are still accepted
-// that may be under way: a refused connection proves that nothing ran, so that its caller goes elsewhere at no cost here. The
-// drain is over once nothing is left, or exitMargin before the stop; the error says how many requests had no answer then.
+// drain shuts the service down after the shutdown signal. For drainDelay it serves requests as before, because callers learn of
+// the drain seconds late and the process that takes over may still be warming up. Then it asks peers to leave, and accepts
+// connections for another acceptGrace, because some may already be in progress. After that, connections are refused: a refused
+// connection proves that nothing ran, so the caller can safely go elsewhere, at no cost to this process. The drain ends once no
+// answer is pending and no connection is open, or exitMargin before the stop. The error gives the number of unanswered requests.
 func (s *Service) drain() error {
 	startedAt := time.Now()
 	stop, delay := s.stopTimeout(), s.drainDelay
 	if s.core.Successor() {
-		// Who connects from now on is accepted by the process that replaces this one, and who is asked to leave goes there.
+		// The successor accepts new connections from now on, including those of peers that are asked to leave here.
 		events.Log(s.log, "hotrestart.successor")
 		s.loadReporter.Silence()
 		delay = 0
@@ -63,7 +66,7 @@
 	return s.settle(startedAt, stop)
 }
 
-// stopTimeout is how long after the notice to leave the platform stops the process.
+// stopTimeout returns the time between the shutdown signal and the stop of the process by the platform.
 func (s *Service) stopTimeout() time.Duration {
 	if s.restartLink == nil {
 		return s.cfg.StopTimeout
@@ -71,10 +74,12 @@
 	return min(s.cfg.StopTimeout, min(s.core.MaxDeadline(), maxReplacedDeadline)+replacedGrace)
 }
 
-// settle waits until nothing is left that is owed an answer or connected, and ends what is left shortly before the stop.
+// settle waits until no answer is pending and no connection is open. Shortly before the stop it closes the remaining connections
+// and answers the remaining requests.
 //
-// A socket that the platform holds refuses nobody: who connects to it waits, unread, until some process accepts. So while no other
-// process does, connections are accepted here until just before the end, and told to go elsewhere.
+// The platform keeps an inherited socket open, so the socket never refuses a connection: a connection waits in the backlog until
+// a process accepts it. Therefore this process accepts connections until just before its exit, unless a successor does, and asks
+// these peers to leave.
 func (s *Service) settle(startedAt time.Time, stop time.Duration) error {
 	exitAt := startedAt.Add(stop - s.exitMargin)
 	accepting := s.restartLink != nil && !s.core.Successor()
@@ -97,7 +102,7 @@
 				return err
 			}
 			quiet, accepting = quietLooks, false
-		case <-closeIdle.C: // a connection that comes to rest from here to the exit is closed then
+		case <-closeIdle.C: // EndConnections closes each connection as soon as it is idle, until the exit
 			for _, l := range s.listeners {
 				closing.Go(func() { l.EndConnections(idleCloseLead) })
 			}
@@ -116,9 +121,9 @@
 	return nil
 }
 
-// answerRest has all pending requests answered at the last moment. The module should have done so before: it may have had no turn,
-// on a machine without a core to spare, or with its interpreter gone. It returns an error where answers are left after half of
-// exitMargin.
+// answerRest answers all pending requests just before the exit. Normally the module has answered them earlier, but it may not have
+// been scheduled on an overloaded machine, or its interpreter may be down. If requests are still unanswered after half of
+// exitMargin, answerRest returns an error with their number.
 func (s *Service) answerRest() error {
 	if s.core.PendingAnswers() > 0 {
 		s.core.AnswerAll()
@@ -132,14 +137,15 @@
 	return nil
 }
 
-// closeListeners has all fronts accept no more than who waits already; a second call changes nothing.
+// closeListeners closes the listeners of all fronts. Connections that already wait in the backlog are still accepted, and open
+// connections stay open. Further calls have no effect.
 func (s *Service) closeListeners() {
 	for _, l := range s.listeners {
 		l.Close()
 	}
 }
 
-// connections is the number of open connections of all fronts.
+// connections returns the number of open connections on all fronts.
 func (s *Service) connections() int {
 	n := 0
 	for _, l := range s.listeners {
--- a/internal/service/heartbeat.go
+++ b/internal/service/heartbeat.go
@@ -9,17 +9,18 @@
 	"silverpath/internal/storage/heartbeat"
 )
 
-// openHeartbeat has the service leave a heartbeat on disk, where the edge file sets one up (life). Idempotent requests start only
-// while the last heartbeat is valid, so that what a killed process may have run ended by a time that the next one can read. Where
-// no store keeps what ran, requests with an unknown idempotency key fail after a start until none can come again that an earlier
-// process may have run: to run one could repeat its effect.
+// openHeartbeat starts writing a heartbeat to disk, if the edge file configures one (life). Idempotent requests start only while the
+// last heartbeat is valid. The heartbeat of a killed process therefore tells the next process the latest time at which the killed
+// one can have started a request. Without a store the next process does not know which requests ran. After its start it fails
+// requests with an unknown idempotency key, since running one could repeat its effect, until the window of every request that an
+// earlier process may have run has ended.
 func (s *Service) openHeartbeat() (err error) {
 	set := s.cfg.Edge.Heartbeat
 	if set == nil {
 		return nil
 	}
 	if s.restartLink != nil {
-		return errors.New("life: not beside another process of the service (LB_SOCKET_FD)")
+		return errors.New("life: not supported with hot restart (LB_SOCKET_FD)")
 	}
 	if s.heartbeat, err = heartbeat.Open(set.File, s.cfg.Name, set.Valid, s.log, s.stats); err != nil {
 		return fmt.Errorf("life.file: %w", err)
@@ -44,8 +45,8 @@
 	return nil
 }
 
-// unknownRunsFor is for how long from now on an idempotent request may be repeated that an earlier process may have run, where
-// no store knows of it: the longest idempotency window, less the downtime before this start.
+// unknownRunsFor returns how much longer a client may repeat an idempotent request that an earlier process may have run and that
+// no store recorded: the longest idempotency window less the time for which no process has run any request.
 func (s *Service) unknownRunsFor() time.Duration {
 	downtime, _ := s.heartbeat.Downtime()
 	return s.core.LongestWindow() - downtime
--- a/internal/service/main.go
+++ b/internal/service/main.go
@@ -15,14 +15,15 @@
 	"silverpath/internal/transport/admin"
 )
 
-// Signals are the channels of a process's signals. The notices to leave have one of their own, so that none is lost behind a
-// reload that does not end.
+// Signals holds the channels on which a process receives its signals. Shutdown signals have a channel of their own, so that a
+// reload that blocks can't delay them.
 type Signals struct {
 	Shutdown chan os.Signal // SIGTERM, SIGINT
 	Others   chan os.Signal // SIGHUP: reload; SIGUSR1: print the counters
 }
 
-// NotifySignals has the process hear its signals. It is called before anything else, so that a signal during the start counts.
+// NotifySignals starts the delivery of signals to the returned channels. It is called first in the process, so that a signal that
+// arrives during the start is not lost.
 func NotifySignals() Signals {
 	s := Signals{make(chan os.Signal, 1), make(chan os.Signal, 8)}
 	signal.Notify(s.Shutdown, syscall.SIGTERM, syscall.SIGINT)
@@ -30,9 +31,9 @@
 	return s
 }
 
-// Main runs a service in this process until the notice to leave, which holds at every moment, also before the service is open.
-// Load reads the configuration, at the start and again at each SIGHUP; the log goes to out. The error is one line, of load, of New
-// or of Run.
+// Main runs a service in this process until a shutdown signal, which also interrupts a start that waits for its addresses. Main
+// calls load to read the configuration at the start and at each SIGHUP, and writes the log to out. It returns an error of load, of
+// opening the service, or of Run, as a single line.
 func Main(load func() (settings.Config, error), signals Signals, out io.Writer, hooks Hooks) error {
 	cfg, err := load()
 	if err != nil {
@@ -45,7 +46,7 @@
 		l = log.New(events.NewJSONWriter(out, cfg.Name), "", 0)
 	}
 	shutdown := make(chan struct{})
-	go func() { // ends with the process; a second notice changes nothing
+	go func() { // ends after the first shutdown signal; later ones are ignored
 		events.Log(l, "shutdown", <-signals.Shutdown)
 		close(shutdown)
 	}()
@@ -58,14 +59,14 @@
 		return err
 	}
 	s.logAddrs()
-	go s.handleSignals(signals.Others, load, out) // ends with the process
+	go s.handleSignals(signals.Others, load, out) // runs until the process exits
 	err = s.Run(shutdown)
 	s.stats.Print(out)
 	events.Log(l, "exit")
 	return err
 }
 
-// logAddrs logs every address that is listened on.
+// logAddrs logs the address of each open front.
 func (s *Service) logAddrs() {
 	for _, ln := range s.listeners {
 		events.Log(s.log, "listening", ln.Name(), ln.Addr())
@@ -78,7 +79,8 @@
 	}
 }
 
-// handleSignals reloads at SIGHUP and prints the counters at SIGUSR1. A configuration that is no good leaves the old one in force.
+// handleSignals reloads the configuration on SIGHUP and prints the counters on SIGUSR1. If a reload fails, the current
+// configuration stays in effect.
 func (s *Service) handleSignals(signals <-chan os.Signal, load func() (settings.Config, error), out io.Writer) {
 	for sig := range signals {
 		if sig == syscall.SIGUSR1 {
--- a/internal/service/open.go
+++ b/internal/service/open.go
@@ -21,21 +21,21 @@
 	"silverpath/internal/transport/snmp"
 )
 
-// A start waits for addresses in use, as by the process before this one that has not ended yet, and for no longer: it has to be
-// ready within 10 s or say why it is not.
+// Retries of an address in use at the start. The previous process may still hold it while it drains. The retries are limited
+// because a start must be ready within 10 s or report why it is not.
 const (
 	addressRetryFor      = 8 * time.Second
-	addressRetryInterval = 20 * time.Millisecond // short beside the time that a client waits for a connection
+	addressRetryInterval = 20 * time.Millisecond // well below the connect timeout of clients
 )
 
-// openCore makes the core. Where the socket is inherited, the link to another process of this service comes first, since the core
-// shares its idempotency keys over it.
+// openCore creates the core. If the process inherits its socket, openCore opens the link to the other process of a hot restart
+// first, because the core shares its idempotency keys over that link.
 func (s *Service) openCore() (err error) {
 	cfg := s.cfg
 	var pairing *core.PairConfig
 	if cfg.ListenFD > 0 {
 		if s.restartLink, err = restartlink.Open(os.TempDir(), cfg.Name, s.log, s.stats); err != nil {
-			return fmt.Errorf("LB_SOCKET_FD: a place beside other processes: %w", err)
+			return fmt.Errorf("LB_SOCKET_FD: failed to open the hot restart link: %w", err)
 		}
 		pairing = s.restartLink.CoreConfig(s.splitLimits)
 	}
@@ -47,7 +47,7 @@
 	return err
 }
 
-// openFronts opens the fronts for clients: MessagePack-RPC, on an inherited socket or one of its own, and SCGI.
+// openFronts opens the client fronts: MessagePack-RPC, on the inherited socket if there is one, and SCGI.
 func (s *Service) openFronts(b DescriptorBudget) error {
 	cfg := s.cfg
 	if cfg.Listen != "" {
@@ -71,7 +71,7 @@
 	return s.listen("scgi.listen", scgi.Name, cfg.SCGI.Listen, b.SCGI, f.Serve)
 }
 
-// openSNMP opens the SNMP agent, where an address is set for it.
+// openSNMP opens the SNMP agent if an address is configured for it.
 func (s *Service) openSNMP() (err error) {
 	if s.cfg.SNMP.Listen == "" {
 		return nil
@@ -90,7 +90,7 @@
 	return nil
 }
 
-// openAdmin opens the admin API, where an address is set for it.
+// openAdmin opens the admin API if an address is configured for it.
 func (s *Service) openAdmin() (err error) {
 	if s.cfg.Admin == "" {
 		return nil
@@ -111,20 +111,21 @@
 	return nil
 }
 
-// startReporting has the service known from its Run on: to the announce service, and to another process of it.
+// startReporting adds the task that sends load reports to the announce service and, if the process inherits its socket, starts the
+// link to the other process of a hot restart.
 func (s *Service) startReporting() error {
 	s.loadReporter = loadreport.New(s.cfg.Announce, s.cfg.Name, s.core.Health, s.log)
 	s.tasks = append(s.tasks, s.loadReporter.Run)
 	if s.restartLink != nil {
 		if err := s.restartLink.Start(s.core); err != nil {
-			return fmt.Errorf("LB_SOCKET_FD: a place beside other processes: %w", err)
+			return fmt.Errorf("LB_SOCKET_FD: failed to start the hot restart link: %w", err)
 		}
 		s.tasks = append(s.tasks, s.restartLink.Run)
 	}
 	return nil
 }
 
-// listen opens a front at an address of its own; an error names the field that gave it.
+// listen opens a front at addr and adds its listener. Errors start with field, the configuration field that addr comes from.
 func (s *Service) listen(field, name, addr string, maxConns int, handle listener.Handler) error {
 	var ln *listener.Listener
 	err := s.retryAddressInUse(func() (err error) {
@@ -145,11 +146,12 @@
 	return nil
 }
 
-// errShutdownBeforeOpen ends a start during which the notice to leave came. Main takes it for a good end.
-var errShutdownBeforeOpen = errors.New("told to leave before the service was open")
+// errShutdownBeforeOpen is returned when the shutdown signal interrupts a start. Main treats it as a successful exit.
+var errShutdownBeforeOpen = errors.New("shutdown signal received before the service was open")
 
-// retryAddressInUse calls open until it succeeds, fails by another error than an address in use, the time is over, or the notice
-// to leave comes, by errShutdownBeforeOpen. Without it a start would fail beside a process that is still draining.
+// retryAddressInUse calls open, and calls it again while it fails with EADDRINUSE and addressRetryUntil has not passed. It returns
+// the result of the last call, or errShutdownBeforeOpen if the shutdown signal arrives between two calls. Without the retries a
+// start would fail while the previous process still drains.
 func (s *Service) retryAddressInUse(open func() error) error {
 	for logged := false; ; logged = true {
 		err := open()
@@ -167,7 +169,8 @@
 	}
 }
 
-// addListener adds a front with its part of the descriptors, of which the reserve for cheap calls is kept where one is set up.
+// addListener adds the listener of a front, limited to maxConns connections. If the edge file configures a reserve, part of these
+// connections is reserved for cheap calls.
 func (s *Service) addListener(ln *listener.Listener, maxConns int) {
 	if r := s.cfg.Edge.Reserve; r != nil {
 		ln.Reserve(*r)
@@ -176,7 +179,7 @@
 	s.listenerBudgets = append(s.listenerBudgets, listenerBudget{ln, maxConns})
 }
 
-// poolsOf returns the admission pools that a configuration sets up, nil for none.
+// poolsOf returns the admission pools of cfg, or nil if cfg has none.
 func poolsOf(cfg settings.Config) *admission.Config {
 	if !cfg.Edge.PoolsOn() {
 		return nil
--- a/internal/service/pools.go
+++ b/internal/service/pools.go
@@ -7,13 +7,13 @@
 	"silverpath/internal/settings"
 )
 
-// poolsDocument is how a server applies the document of its pools.
+// poolsDocument returns the functions with which a server checks and applies the group's pools document.
 func (s *Service) poolsDocument() configwatch.Document {
 	check := func(text string) error {
 		s.settingsMu.Lock()
 		defer s.settingsMu.Unlock()
 		if !s.cfg.Edge.PoolsOn() {
-			return errors.New("this server has no pools")
+			return errors.New("this server has no pools configured")
 		}
 		_, err := settings.ParsePools(text, s.cfg.Server)
 		return err
--- a/internal/service/recovery.go
+++ b/internal/service/recovery.go
@@ -14,11 +14,11 @@
 	"silverpath/internal/policy/recovery"
 )
 
-// recoveryPollInterval is between two checks of what full service still waits for. Found by trial: longer, the log and the state
-// say later that a process is back; the checks themselves read memory only.
+// recoveryPollInterval is the interval between two checks of the prerequisites of full service. A longer interval delays the log
+// line and the status that report a recovered process; the checks are cheap, since they only read memory.
 const recoveryPollInterval = 20 * time.Millisecond
 
-// recoveryTracker is the recovery of a process, from its start to full service, as the log and the state show it.
+// recoveryTracker tracks the recovery of a process from its start to full service, for the log and the status.
 type recoveryTracker struct {
 	mu          sync.Mutex
 	path        *recovery.Progress
@@ -26,8 +26,8 @@
 	loggedState recovery.State
 }
 
-// trackServerRecovery tracks a server's recovery, where it keeps anything on disk or acts on a group's documents; without these
-// it has nothing to wait for but its worker.
+// trackServerRecovery tracks the recovery of a server that has a store, a heartbeat or documents of a group. Any other server waits
+// only for its worker, which needs no tracking.
 func (s *Service) trackServerRecovery() {
 	if s.store == nil && s.heartbeat == nil && s.configWatch == nil {
 		return
@@ -53,7 +53,8 @@
 	}
 }
 
-// trackRouterRecovery tracks a router's recovery: its map, the group's confirmation of it, and its quota of the cells.
+// trackRouterRecovery tracks the recovery of a router: its cell map, the group's confirmation of its documents, and its quota of
+// the cells.
 func (s *Service) trackRouterRecovery() {
 	s.trackRecovery(recovery.Router, map[recovery.Prerequisite]func() bool{
 		recovery.MapKnown: func() bool { mapped, _, _ := s.router.Readiness(); return mapped },
@@ -65,8 +66,8 @@
 	})
 }
 
-// trackRecovery tracks the recovery of a role from now on. Checks has the needs that this process has, each with whether it is
-// met; they are called every recoveryPollInterval and must not block.
+// trackRecovery starts to track the recovery of a role. The keys of checks are the prerequisites of this process; each function
+// reports whether its prerequisite is met. The functions are called every recoveryPollInterval and must not block.
 func (s *Service) trackRecovery(role recovery.Role, checks map[recovery.Prerequisite]func() bool) *recoveryTracker {
 	var needs []recovery.Prerequisite
 	for n := range checks {
@@ -90,7 +91,7 @@
 	return r
 }
 
-// updateRecovery tells the path which needs are met, and logs and counts a state that it reaches by that.
+// updateRecovery records which prerequisites are met, and logs and counts the recovery state if it changed.
 func (s *Service) updateRecovery(r *recoveryTracker, checks map[recovery.Prerequisite]func() bool) {
 	met := map[recovery.Prerequisite]bool{}
 	for n, check := range checks {
@@ -118,7 +119,7 @@
 	events.Log(s.log, "recovery.state", v.State, now.Round(time.Millisecond), strings.Join(waits, ", "))
 }
 
-// status is the recovery as JSON, for the service's state.
+// status returns the recovery as JSON, for the status of the service.
 func (r *recoveryTracker) status() []byte {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/service/reload.go
+++ b/internal/service/reload.go
@@ -13,9 +13,9 @@
 )
 
 // Reload applies a new configuration while the service runs: the settings of the module, the addresses of the interpreter, the
-// vault and the announce service, and the pools. What is under way goes on as it began. The rest of a configuration holds from a
-// start to the end of the process: where it differs, the log says so and the old one holds. Main calls it at each SIGHUP; on an
-// error, which names the field, nothing has changed.
+// vault and the announce service, and the pools. Requests in progress finish under the settings they started with. All other
+// fields take effect only at the next start: Reload logs each of them that differs and keeps its current value. Main calls Reload
+// at each SIGHUP. An error names the configuration field; in that case nothing has changed.
 func (s *Service) Reload(cfg settings.Config) error {
 	s.settingsMu.Lock()
 	defer s.settingsMu.Unlock()
@@ -49,8 +49,8 @@
 	return nil
 }
 
-// redirect has the clients of the interpreter, the vault and the announce service go to new addresses. An address that is left out
-// changes nothing, but for the announce service, which may be switched off so. It is called under settingsMu.
+// redirect applies new addresses of the interpreter, the vault and the announce service. An empty address of the interpreter or the
+// vault is ignored; an empty address of the announce service turns load reports off. The caller holds settingsMu.
 func (s *Service) redirect(cfg settings.Config) {
 	if old := s.cfg.Interpreter; s.interpreter != nil && cfg.Interpreter != "" && cfg.Interpreter != old {
 		events.Log(s.log, "reload.moved", "vm", old, cfg.Interpreter)
@@ -69,8 +69,8 @@
 	}
 }
 
-// reloadPools applies the pools of a new edge file, where there are pools in both and no document of the group sets them. Pools
-// that are no good leave the old ones in force. It is called under settingsMu.
+// reloadPools applies the pools of a new edge file if the old and the new edge file both have pools and no document of the group
+// sets them. If the new pools are invalid, it logs the error and keeps the old ones. The caller holds settingsMu.
 func (s *Service) reloadPools(edge settings.Edge) {
 	old := s.cfg.Edge
 	if !edge.PoolsOn() || !old.PoolsOn() || edge.ConfigWatch.Uses(configstore.DocPools) || reflect.DeepEqual(edge.Pools, old.Pools) {
@@ -84,7 +84,7 @@
 	s.cfg.Edge.Pools = edge.Pools
 }
 
-// classes names the classes of settings, for the log.
+// classes lists the names of the classes in set, for the log.
 func classes(set silverpath.Settings) string {
 	var names []string
 	for _, k := range set.Classes {
--- a/internal/service/router.go
+++ b/internal/service/router.go
@@ -6,7 +6,8 @@
 	"silverpath/internal/proxy"
 )
 
-// buildRouter makes the service a router: the proxy to the fleet does the work, and there is no interpreter and no vault.
+// buildRouter opens the components of a router. A proxy forwards the requests to the servers of the fleet; a router has no
+// interpreter and no vault.
 func (s *Service) buildRouter(b DescriptorBudget) error {
 	src, err := s.routerConfigSource()
 	if err != nil {
@@ -21,7 +22,7 @@
 		return fmt.Errorf("fleet.map: %w", err)
 	}
 	if watch := s.cfg.Edge.ConfigWatch; watch != nil && watch.MaxRouters > 0 {
-		s.router.ShareQuota(watch.MaxRouters, set.State != "") // one process at a time has the lock of its state
+		s.router.ShareQuota(watch.MaxRouters, set.State != "") // a router with a state file locks it, so no other process can run under its name
 	}
 	s.core.AddStatus("fleet", s.router.Status)
 	s.tasks = append(s.tasks, s.router.Maintain)
--- a/internal/service/routerconfig.go
+++ b/internal/service/routerconfig.go
@@ -13,15 +13,16 @@
 	"silverpath/internal/settings"
 )
 
-// How long a router waits for the group's documents as it starts. One that has kept a map serves by that if the group is silent;
-// one without has nothing to serve by, and is given the time in which a group elects a leader anew.
+// Timeouts for the group's documents at the start of a router. A router with a stored map serves from that map if the group does
+// not answer. A router without one can't serve at all, so it waits long enough for the group to elect a new leader.
 const (
 	firstConfigWait = 2 * time.Second
 	firstMapWait    = 20 * time.Second
 )
 
-// routerConfigSource has a router act on the group's documents and returns where its cell map comes from: the group, where the
-// map is among the documents, else a file. Where it is the group, the call waits until the map is current, or the wait is over.
+// routerConfigSource starts to watch the group's documents for a router and returns the source of its cell map: the group if the
+// map is one of the watched documents, a file otherwise. If the source is the group, routerConfigSource waits until the map is
+// current or the timeout has passed.
 func (s *Service) routerConfigSource() (proxy.Source, error) {
 	set := s.cfg.Edge.Router
 	role := roleConfig{
@@ -68,7 +69,8 @@
 	return src, nil
 }
 
-// routingDocument is how a router applies the document of its load balancing: before it has a proxy, the proxy starts with it.
+// routingDocument returns the functions with which a router checks and applies the group's load balancing document. A document
+// that arrives before the proxy exists becomes part of the proxy's initial configuration.
 func (s *Service) routingDocument() configwatch.Document {
 	check := func(text string) error {
 		_, err := settings.ParseRouting(text)
@@ -89,7 +91,7 @@
 	}}
 }
 
-// routerGoodput is the goodput of the proxy, none before there is one.
+// routerGoodput returns the goodput of the proxy, or zero before the proxy exists.
 func (s *Service) routerGoodput() configstore.Goodput {
 	if s.router == nil {
 		return configstore.Goodput{}
@@ -97,10 +99,11 @@
 	return s.router.Goodput()
 }
 
-// quotaClient asks the group for the quota of a router's proxy, and for nothing before there is one.
+// quotaClient requests quota from the group for the proxy of a router. Before the proxy exists its requests are empty.
 type quotaClient struct{ s *Service }
 
-// QuotaRequest is called by the config watch before each poll of the group; what it returns takes the answer.
+// QuotaRequest returns the quota request to send with the next poll of the group, and the function that applies the answer. The
+// config watcher calls it before each poll.
 func (q quotaClient) QuotaRequest() (quota.Request, func(quota.Grant, lease.Terms)) {
 	if q.s.router == nil {
 		return quota.Request{}, func(quota.Grant, lease.Terms) {}
--- a/internal/service/server.go
+++ b/internal/service/server.go
@@ -18,8 +18,9 @@
 	"silverpath/internal/transport/vault"
 )
 
-// buildServer makes the service a server: the interpreter does the work, with the vault below it, or an SCGI application server.
-// The store and the heartbeat open first, since they gate what the core may run.
+// buildServer opens the components of a server. Requests run on the interpreter, with the vault as its back end if one is
+// configured, or on an SCGI application server. The store and the heartbeat open before the back end, because they decide which
+// requests the core may run.
 func (s *Service) buildServer(b DescriptorBudget) error {
 	if s.cfg.BuiltinWorker {
 		var err error
@@ -58,14 +59,14 @@
 	return s.core.Attach(s.interpreter, below)
 }
 
-// openCommands has the server take the fleet's commands by its admin API, where the edge file sets that up (orders).
+// openCommands opens the executor of fenced commands, which arrive over the admin API, if the edge file configures it (orders).
 func (s *Service) openCommands() (err error) {
 	set := s.cfg.Edge.Commands
 	if set == nil {
 		return nil
 	}
 	if s.cfg.Admin == "" {
-		return errors.New("orders: there is no mgmt to take them at")
+		return errors.New("orders: commands arrive over the admin API, but mgmt is not set")
 	}
 	group := &quorum.Client{Group: set.Group.Name, Addrs: set.Group.Members}
 	if s.commands, err = command.Open(set.State, s.cfg.Name, group, s.log); err != nil {
@@ -74,8 +75,8 @@
 	return nil
 }
 
-// startBuiltinWorker starts the built-in worker, for a start without a configuration: an interpreter that sends back what came,
-// after as long as the operators' own work typically takes.
+// startBuiltinWorker starts the built-in worker, which is used if the process is started without a configuration. It is an
+// interpreter that echoes each request body, after as long as the operators' own requests typically take.
 func startBuiltinWorker(cfg settings.Config) (*builtinworker.Interpreter, error) {
 	n := cfg.Server.Cores
 	return builtinworker.Listen(builtinworker.Config{
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -1,10 +1,11 @@
-// Package service is one process of the program, a server or a router: it builds the parts of its role, connects them, serves
-// until the notice to leave and drains. What decides stands below it in core, proxy and policy; here is only which parts there
-// are, in which order they open and close, and how the process's memory and descriptors are shared out among them.
+// Package service runs one process of the program as a server or a router. It builds and connects the components of that role,
+// serves until the shutdown signal, and drains. Request handling and policy are in the packages core, proxy and policy; this
+// package decides which components exist, the order in which they open and close, and how the process's memory and file
+// descriptors are divided among them.
 //
-// The way through the package: Main (main.go) reads the configuration and hears the signals; New (service.go) opens the parts
-// step by step (open.go), those of a server (server.go) or a router (router.go); Run serves; drain (drain.go) ends it. A reload
-// is Reload (reload.go); documents of a group come in by configwatch.go.
+// Main (main.go) reads the configuration and handles signals. New (service.go) opens the components step by step (open.go), with
+// those of a server in server.go and those of a router in router.go. Run serves, and drain (drain.go) shuts down. Reload
+// (reload.go) applies a changed configuration; configwatch.go applies the documents of a group.
 package service
 
 import (
@@ -32,64 +33,65 @@
 	"silverpath/internal/transport/vault"
 )
 
-// Hooks wrap parts of the service for whoever starts it: tests put faults between the parts by them. A nil hook wraps nothing.
+// Hooks let tests wrap components of the service, for example to inject faults. A nil hook leaves its component unwrapped.
 type Hooks struct {
-	// WrapStore wraps the store of idempotency keys, as the core calls it.
+	// WrapStore wraps the store of idempotency keys that the core uses.
 	WrapStore func(core.Store) core.Store
-	// WrapHeartbeat wraps the check whether the heartbeat on disk still lasts, which gates the start of idempotent requests.
+	// WrapHeartbeat wraps the check that the heartbeat on disk is still valid. Idempotent requests start only while it is.
 	WrapHeartbeat func(lasts func() bool) func() bool
 }
 
-// Service is one process's service, open or running. New makes it, Run runs it once.
+// Service is the service of one process. New opens it; Run serves and is called once.
 type Service struct {
 	cfg   settings.Config
 	hooks Hooks
 	log   *log.Logger
 	stats *metrics.Counters
 	core  *core.Core
-	tasks []func(context.Context) // run beside the listeners, from Run until it ends
+	tasks []func(context.Context) // background tasks: Run starts them and cancels their context when it returns
 
-	// The fronts. The SNMP agent and the admin API are nil where no address is set for them.
+	// Fronts. The SNMP agent and the admin API are nil if no address is configured for them.
 	listeners       []*listener.Listener
-	listenerBudgets []listenerBudget // in the order of listeners
+	listenerBudgets []listenerBudget // same order as listeners
 	snmpAgent       *snmp.Agent
 	admin           *admin.Server
 
-	// What does the work: in a server the interpreter's link with the vault below, which are nil where an SCGI application server
-	// does it; in a router the proxy.
+	// Back ends. A server uses the link to the interpreter, and the vault if one is configured; both are nil if an SCGI application
+	// server handles the requests. A router uses the proxy.
 	interpreter   *interpreter.Link
 	vault         *vault.Client
 	router        *proxy.Runner
-	builtinWorker *builtinworker.Interpreter // nil but in a start without a configuration
+	builtinWorker *builtinworker.Interpreter // set only if the process was started without a configuration
 
-	// Each is nil where the edge file does not set it up, the last where the process shares no socket.
-	commands    *command.Executor       // takes the fleet's commands
-	configWatch *configwatch.Watcher    // acts on a group's documents
-	store       *idempotencystore.Store // keeps idempotency keys over a restart
-	heartbeat   *heartbeat.Heartbeats   // leaves a heartbeat on disk
-	restartLink *restartlink.Link       // to the process that this one replaces, or that replaces it
+	// Each of these is nil unless the edge file configures it; restartLink is nil unless the process inherits its socket.
+	commands    *command.Executor       // executes fenced commands
+	configWatch *configwatch.Watcher    // applies the documents of a group
+	store       *idempotencystore.Store // keeps idempotency keys across restarts
+	heartbeat   *heartbeat.Heartbeats   // writes the heartbeat on disk
+	restartLink *restartlink.Link       // link to the predecessor or the successor of a hot restart
 
-	loadReporter *loadreport.Reporter // reports nowhere while its address is empty
+	loadReporter *loadreport.Reporter // sends no reports while its address is empty
 
-	settingsMu        sync.Mutex // guards cfg, which a reload or a document changes, and the two fields below
-	classesGeneration int        // how often classes of the group were applied
-	classesFromGroup  bool       // the group's document sets the classes, not the file
+	settingsMu        sync.Mutex // guards cfg, which reloads and documents change, and the two fields below
+	classesGeneration int        // number of times the group's classes were applied
+	classesFromGroup  bool       // the classes come from the group's document instead of the settings file
 
-	exitMargin time.Duration // see the constant; shorter in tests
-	drainDelay time.Duration // see the function; shorter in tests
+	exitMargin time.Duration // the constant exitMargin; tests change it
+	drainDelay time.Duration // the result of the function drainDelay; tests shorten it
 
-	// While the service opens:
-	addressRetryUntil time.Time       // until then an address in use is tried again
-	shutdown          <-chan struct{} // closed at the notice to leave; nil: none can come
+	// Used only while the service opens.
+	addressRetryUntil time.Time       // end of the retries of an address in use
+	shutdown          <-chan struct{} // closed at the shutdown signal; nil if the start can't be interrupted
 }
 
-// New builds a service in its role and opens its addresses. An error names the field of the configuration that it came of, and
-// leaves nothing open. New is called once, by Main or a test; Run must follow.
+// New builds a server or a router and opens its addresses. An error names the configuration field that caused it; on an error
+// every component that was opened is closed again. The caller must call Run afterwards.
 func New(cfg settings.Config, l *log.Logger) (*Service, error) {
 	return openWithRetry(cfg, l, Hooks{}, 0, nil)
 }
 
-// openWithRetry is New for a process: an address in use is tried again for retryFor, or until shutdown is closed.
+// openWithRetry is like New, but retries an address in use for retryFor. If shutdown is closed during the retries, it returns
+// errShutdownBeforeOpen.
 func openWithRetry(cfg settings.Config, l *log.Logger, hooks Hooks, retryFor time.Duration, shutdown <-chan struct{}) (*Service, error) {
 	s := &Service{
 		cfg: cfg, hooks: hooks, log: l, stats: &metrics.Counters{}, exitMargin: exitMargin, drainDelay: drainDelay(cfg),
@@ -116,7 +118,7 @@
 	return s, nil
 }
 
-// close closes what a start has opened that failed later on.
+// close releases the components opened so far by a start that failed.
 func (s *Service) close() {
 	for _, l := range s.listeners {
 		l.Close()
@@ -135,7 +137,8 @@
 	}
 }
 
-// Addrs returns the addresses listened on, in the order MessagePack-RPC, SCGI, SNMP; those that are off are left out.
+// Addrs returns the addresses of the MessagePack-RPC front, the SCGI front and the SNMP agent, in this order. Disabled ones are
+// omitted.
 func (s *Service) Addrs() []net.Addr {
 	var list []net.Addr
 	for _, l := range s.listeners {
@@ -150,8 +153,9 @@
 // Stats returns the service's counters.
 func (s *Service) Stats() *metrics.Counters { return s.stats }
 
-// Run serves until shutdown is closed, then drains. It returns once everything is answered and no peer is left, or exitMargin
-// before the process is stopped; the error says how many requests had no answer then. It is called once.
+// Run serves until shutdown is closed, then drains. It returns once every request is answered and every connection is closed, or
+// exitMargin before the platform stops the process. The error gives the number of requests that were left unanswered. Run is
+// called once.
 func (s *Service) Run(shutdown <-chan struct{}) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -159,7 +163,7 @@
 		defer s.builtinWorker.Close()
 	}
 	for _, run := range s.tasks {
-		go run(ctx) // each ends with ctx, at the latest with the process
+		go run(ctx) // a task returns when ctx is cancelled; Run does not wait for it
 	}
 	for _, l := range s.listeners {
 		go s.serve(ctx, l)
@@ -179,13 +183,13 @@
 		s.store.Close()
 	}
 	if s.restartLink != nil {
-		<-s.restartLink.Released() // before the last log lines: the process that replaces this one waits for nothing else
+		<-s.restartLink.Released() // the successor waits only for this slot, so it is released before the last log lines are written
 	}
 	return err
 }
 
-// serve accepts a front's connections until its listener closes. Where another process shares the socket, what is accepted has
-// to be read, so that nothing is accepted before this process may take requests.
+// serve accepts connections on l until l is closed. If another process shares the socket, serve first waits until this process
+// may take requests, because this process must serve every connection that it accepts.
 func (s *Service) serve(ctx context.Context, l *listener.Listener) {
 	if s.restartLink != nil {
 		select {
--- a/internal/service/store.go
+++ b/internal/service/store.go
@@ -7,25 +7,25 @@
 	"silverpath/internal/storage/idempotencystore"
 )
 
-// storeMemoryDivisor is the divisor of limits.memory_mb that gives the most a store's records may take: pages of its file that the
-// kernel keeps in memory count against the same limit.
+// storeMemoryDivisor gives the maximum size of a store's records as a fraction of limits.memory_mb. The size is limited because
+// pages of the store's file in the kernel's page cache count against the same memory limit.
 const storeMemoryDivisor = 4
 
-// openStore has the runs of idempotent requests outlive the process, where the edge file sets a store up.
+// openStore opens the store that keeps the runs of idempotent requests across restarts, if the edge file configures one.
 func (s *Service) openStore() (err error) {
 	set := s.cfg.Edge.Store
 	if set == nil {
 		return nil
 	}
 	if s.restartLink != nil {
-		return errors.New("store: not beside another process of the service (LB_SOCKET_FD)")
+		return errors.New("store: not supported with hot restart (LB_SOCKET_FD)")
 	}
 	size := set.SizeMB
 	if size == 0 {
 		size = s.cfg.MemoryMB / storeMemoryDivisor / 2
 	}
 	if size > s.cfg.MemoryMB/storeMemoryDivisor {
-		return fmt.Errorf("store.size_mb: over a quarter of limits.memory_mb: %v", size)
+		return fmt.Errorf("store.size_mb: %v is more than a quarter of limits.memory_mb", size)
 	}
 	s.store, err = idempotencystore.Open(idempotencystore.Config{
 		Dir: set.Dir, Name: s.cfg.Name, MaxBytes: int(size * (1 << 20)), ResultReserve: int(set.ResultKB * (1 << 10)), GroupCommitDelay: set.CommitDelay,
