--- a/internal/events/events.go
+++ b/internal/events/events.go
@@ -91,30 +91,30 @@
 }
 
 // segment is a part of a template: literal text followed by one field. The last segment has no field, so its field name is empty.
-type segment struct{ before, field, verb string }
+type segment struct{ literal, field, verb string }
 
 // templates holds the parsed Templates by event name.
 var templates = func() map[string][]segment {
-	all := map[string][]segment{}
+	parsed := map[string][]segment{}
 	for name, text := range Templates {
-		all[name] = parseTemplate(text)
+		parsed[name] = parseTemplate(text)
 	}
-	return all
+	return parsed
 }()
 
 // parseTemplate splits a template into its segments.
-func parseTemplate(text string) (parts []segment) {
+func parseTemplate(text string) (segments []segment) {
 	for {
-		before, rest, found := strings.Cut(text, "{")
+		literal, rest, found := strings.Cut(text, "{")
 		if !found {
-			return append(parts, segment{before: before})
+			return append(segments, segment{literal: literal})
 		}
 		field, after, _ := strings.Cut(rest, "}")
 		name, verb, _ := strings.Cut(field, ":")
 		if verb == "" {
 			verb = "%v"
 		}
-		parts, text = append(parts, segment{before, name, verb}), after
+		segments, text = append(segments, segment{literal, name, verb}), after
 	}
 }
 
@@ -139,18 +139,18 @@
 }
 
 // Write logs a line that is not an event of Templates, such as one that a library logs, as the event "text".
-func (m *JSONWriter) Write(b []byte) (int, error) {
-	m.log.Log().Str("event", "text").Str("text", strings.TrimSpace(string(b))).Send()
+func (w *JSONWriter) Write(b []byte) (int, error) {
+	w.log.Log().Str("event", "text").Str("text", strings.TrimSpace(string(b))).Send()
 	return len(b), nil
 }
 
 // Log logs an event with the values of its fields, in the order of Fields. Packages of servers and routers call it instead of the
 // methods of log.Logger. TestEvents checks these calls against Templates and docs/oncall.md.
 func Log(l *log.Logger, name string, values ...any) {
-	parts := templates[name]
-	if m, ok := l.Writer().(*JSONWriter); ok {
-		e := m.log.Log().Str("event", name)
-		for i, p := range parts {
+	segments := templates[name]
+	if w, ok := l.Writer().(*JSONWriter); ok {
+		e := w.log.Log().Str("event", name)
+		for i, p := range segments {
 			if p.field != "" && i < len(values) {
 				e = addField(e, p.field, values[i])
 			}
@@ -159,8 +159,8 @@
 		return
 	}
 	var b strings.Builder
-	for i, p := range parts {
-		b.WriteString(p.before)
+	for i, p := range segments {
+		b.WriteString(p.literal)
 		if p.field != "" && i < len(values) {
 			fmt.Fprintf(&b, p.verb, values[i])
 		}
--- a/internal/metrics/counters.go
+++ b/internal/metrics/counters.go
@@ -15,7 +15,7 @@
 // Counters is a set of named counters and timings. The zero value is ready to use. It is safe for concurrent use.
 type Counters struct {
 	mu      sync.Mutex
-	n       map[string]uint64
+	values  map[string]uint64
 	timings map[string]*Timing
 }
 
@@ -30,10 +30,10 @@
 	key := counterName(parts)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.n == nil {
-		c.n = map[string]uint64{}
+	if c.values == nil {
+		c.values = map[string]uint64{}
 	}
-	c.n[key] += n
+	c.values[key] += n
 }
 
 // Set sets the counter to n. It is used for gauges, such as a size or a state.
@@ -41,10 +41,10 @@
 	key := counterName(parts)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.n == nil {
-		c.n = map[string]uint64{}
+	if c.values == nil {
+		c.values = map[string]uint64{}
 	}
-	c.n[key] = n
+	c.values[key] = n
 }
 
 // Inc adds 1 to the counter.
@@ -54,14 +54,14 @@
 func (c *Counters) Get(parts ...string) uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.n[counterName(parts)]
+	return c.values[counterName(parts)]
 }
 
 // Snapshot returns a copy of all counters.
 func (c *Counters) Snapshot() map[string]uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return maps.Clone(c.n)
+	return maps.Clone(c.values)
 }
 
 // Timing returns the timing with the given name and creates it at the first call. Callers that record often should keep the result.
@@ -92,9 +92,9 @@
 // Print writes all counters and then all timings, one per line and each sorted by name. It ignores write errors, since it writes to
 // the log of the process.
 func (c *Counters) Print(w io.Writer) {
-	all := c.Snapshot()
-	for _, key := range slices.Sorted(maps.Keys(all)) {
-		fmt.Fprintf(w, "counter %s %d\n", key, all[key])
+	counters := c.Snapshot()
+	for _, key := range slices.Sorted(maps.Keys(counters)) {
+		fmt.Fprintf(w, "counter %s %d\n", key, counters[key])
 	}
 	for _, t := range c.Timings() {
 		t.Print(w)
--- a/internal/service/classes.go
+++ b/internal/service/classes.go
@@ -38,7 +38,7 @@
 		generation := s.classesGeneration
 		time.AfterFunc(delay, func() { s.finishTransition(next, generation) })
 	}
-	events.Log(s.log, "reload.settings", classes(interim))
+	events.Log(s.log, "reload.settings", describeClasses(interim))
 	return nil
 }
 
@@ -47,11 +47,11 @@
 func transition(old, next silverpath.Settings) (interim silverpath.Settings, delay time.Duration) {
 	interim = next
 	interim.Classes = slices.Clone(next.Classes)
-	for i, k := range interim.Classes {
-		for _, o := range old.Classes {
-			if o.Name == k.Name {
-				window, until := configstore.TransitionWindow(o.IdempotencyWindow, k.IdempotencyWindow, max(o.Deadline, k.Deadline))
-				interim.Classes[i].IdempotencyWindow, delay = window, max(delay, until)
+	for i, class := range interim.Classes {
+		for _, prev := range old.Classes {
+			if prev.Name == class.Name {
+				window, remaining := configstore.TransitionWindow(prev.IdempotencyWindow, class.IdempotencyWindow, max(prev.Deadline, class.Deadline))
+				interim.Classes[i].IdempotencyWindow, delay = window, max(delay, remaining)
 			}
 		}
 	}
@@ -70,5 +70,5 @@
 		return
 	}
 	s.cfg.Server = next
-	events.Log(s.log, "reload.settings", classes(next))
+	events.Log(s.log, "reload.settings", describeClasses(next))
 }
--- a/internal/service/describe.go
+++ b/internal/service/describe.go
@@ -14,25 +14,25 @@
 	s := fmt.Sprintf("%s: ok, %d classes, %d cores, %.0f MB, %d descriptors, stops within %v\n",
 		c.Name, len(c.Server.Classes), c.Server.Cores, c.MemoryMB, c.Descriptors, c.StopTimeout)
 	for _, component := range []struct {
-		what, addr string
+		name, addr string
 		maxConns   int
 	}{
 		{"MessagePack-RPC front", c.Listen, b.RPC}, {"SCGI front", c.SCGI.Listen, b.SCGI},
-		{"interpreter", c.Interpreter, 1}, {"fleet", mapFileOf(c), b.Upstream}, {"SCGI application server", c.SCGI.Upstream, b.Upstream},
+		{"interpreter", c.Interpreter, 1}, {"fleet", mapFile(c), b.Upstream}, {"SCGI application server", c.SCGI.Upstream, b.Upstream},
 		{"vault", c.Vault, b.Vault}, {"announce service", c.Announce, 1}, {"SNMP agent", c.SNMP.Listen, 1},
 		{"management front", c.Admin, admin.ConnectionLimit(c.Descriptors)},
 	} {
 		if component.addr == "" {
-			s += fmt.Sprintf("  %s: off\n", component.what)
+			s += fmt.Sprintf("  %s: off\n", component.name)
 		} else {
-			s += fmt.Sprintf("  %s: %s, at most %d connections\n", component.what, component.addr, component.maxConns)
+			s += fmt.Sprintf("  %s: %s, at most %d connections\n", component.name, component.addr, component.maxConns)
 		}
 	}
 	return s + describeEdge(c.Edge)
 }
 
-// mapFileOf returns the path of a router's cell map file, or "" if c does not configure a router.
-func mapFileOf(c settings.Config) string {
+// mapFile returns the path of a router's cell map file, or "" if c does not configure a router.
+func mapFile(c settings.Config) string {
 	if c.Edge.Router == nil {
 		return ""
 	}
@@ -55,11 +55,11 @@
 	if !e.PoolsOn() {
 		s += "  pools: off\n"
 	}
-	if st := e.Store; st != nil {
-		s += fmt.Sprintf("  store: %s\n", st.Dir)
+	if store := e.Store; store != nil {
+		s += fmt.Sprintf("  store: %s\n", store.Dir)
 	}
-	if r := e.Reserve; r != nil {
-		s += fmt.Sprintf("  reserve: %s\n", r)
+	if reserve := e.Reserve; reserve != nil {
+		s += fmt.Sprintf("  reserve: %s\n", reserve)
 	} else {
 		s += "  reserve: off\n"
 	}
--- a/internal/service/drain.go
+++ b/internal/service/drain.go
@@ -23,11 +23,11 @@
 	// acceptGrace is the time for which connections are still accepted after peers were asked to leave. A client may have started
 	// to connect before it received that notification.
 	acceptGrace = 50 * time.Millisecond
-	// settleInterval is the interval between two checks for pending answers and open connections. It also covers the time that an
+	// idleCheckInterval is the interval between two checks for pending answers and open connections. It also covers the time that an
 	// answer takes to reach the kernel after it was counted.
-	settleInterval = 100 * time.Millisecond
-	// quietLooks is the number of consecutive checks that must find nothing pending before the drain ends.
-	quietLooks = 2
+	idleCheckInterval = 100 * time.Millisecond
+	// idleChecksToExit is the number of consecutive checks that must find nothing pending before the drain ends.
+	idleChecksToExit = 2
 )
 
 // The platform stops a process that has a successor replacedGrace after the longest deadline of its classes, of which it counts
@@ -63,7 +63,7 @@
 		l.Drain()
 	}
 	time.Sleep(min(acceptGrace, stop/4))
-	return s.settle(startedAt, stop)
+	return s.waitUntilIdle(startedAt, stop)
 }
 
 // stopTimeout returns the time between the shutdown signal and the stop of the process by the platform.
@@ -74,13 +74,13 @@
 	return min(s.cfg.StopTimeout, min(s.core.MaxDeadline(), maxReplacedDeadline)+replacedGrace)
 }
 
-// settle waits until no answer is pending and no connection is open. Shortly before the stop it closes the remaining connections
+// waitUntilIdle waits until no answer is pending and no connection is open. Shortly before the stop it closes the remaining connections
 // and answers the remaining requests.
 //
 // The platform keeps an inherited socket open, so the socket never refuses a connection: a connection waits in the backlog until
 // a process accepts it. Therefore this process accepts connections until just before its exit, unless a successor does, and asks
 // these peers to leave.
-func (s *Service) settle(startedAt time.Time, stop time.Duration) error {
+func (s *Service) waitUntilIdle(startedAt time.Time, stop time.Duration) error {
 	exitAt := startedAt.Add(stop - s.exitMargin)
 	accepting := s.restartLink != nil && !s.core.Successor()
 	if !accepting {
@@ -92,28 +92,28 @@
 	defer closeIdle.Stop()
 	var closing sync.WaitGroup
 	defer closing.Wait()
-	tick := time.NewTicker(settleInterval)
+	tick := time.NewTicker(idleCheckInterval)
 	defer tick.Stop()
-	for quiet := 0; quiet < quietLooks || accepting; {
+	for idleChecks := 0; idleChecks < idleChecksToExit || accepting; {
 		select {
 		case <-exit.C:
-			if err := s.answerRest(); err != nil {
+			if err := s.answerPending(); err != nil {
 				s.core.Stop()
 				return err
 			}
-			quiet, accepting = quietLooks, false
+			idleChecks, accepting = idleChecksToExit, false
 		case <-closeIdle.C: // EndConnections closes each connection as soon as it is idle, until the exit
 			for _, l := range s.listeners {
 				closing.Go(func() { l.EndConnections(idleCloseLead) })
 			}
 		case <-tick.C:
-			quiet++
-			if accepting && (s.core.Successor() || time.Now().After(exitAt.Add(-2*settleInterval))) {
+			idleChecks++
+			if accepting && (s.core.Successor() || time.Now().After(exitAt.Add(-2*idleCheckInterval))) {
 				accepting = false
 				s.closeListeners()
 			}
 			if s.core.PendingAnswers() > 0 || s.connections() > 0 {
-				quiet = 0
+				idleChecks = 0
 			}
 		}
 	}
@@ -121,13 +121,13 @@
 	return nil
 }
 
-// answerRest answers all pending requests just before the exit. Normally the module has answered them earlier, but it may not have
+// answerPending answers all pending requests just before the exit. Normally the module has answered them earlier, but it may not have
 // been scheduled on an overloaded machine, or its interpreter may be down. If requests are still unanswered after half of
-// exitMargin, answerRest returns an error with their number.
-func (s *Service) answerRest() error {
+// exitMargin, answerPending returns an error with their number.
+func (s *Service) answerPending() error {
 	if s.core.PendingAnswers() > 0 {
 		s.core.AnswerAll()
-		for until := time.Now().Add(s.exitMargin / 2); s.core.PendingAnswers() > 0 && time.Now().Before(until); {
+		for giveUpAt := time.Now().Add(s.exitMargin / 2); s.core.PendingAnswers() > 0 && time.Now().Before(giveUpAt); {
 			time.Sleep(time.Millisecond)
 		}
 	}
--- a/internal/service/heartbeat.go
+++ b/internal/service/heartbeat.go
@@ -15,29 +15,29 @@
 // requests with an unknown idempotency key, since running one could repeat its effect, until the window of every request that an
 // earlier process may have run has ended.
 func (s *Service) openHeartbeat() (err error) {
-	set := s.cfg.Edge.Heartbeat
-	if set == nil {
+	config := s.cfg.Edge.Heartbeat
+	if config == nil {
 		return nil
 	}
 	if s.restartLink != nil {
 		return errors.New("life: not supported with hot restart (LB_SOCKET_FD)")
 	}
-	if s.heartbeat, err = heartbeat.Open(set.File, s.cfg.Name, set.Valid, s.log, s.stats); err != nil {
+	if s.heartbeat, err = heartbeat.Open(config.File, s.cfg.Name, config.Valid, s.log, s.stats); err != nil {
 		return fmt.Errorf("life.file: %w", err)
 	}
 	downtime, _ := s.heartbeat.Downtime()
 	s.stats.Set(uint64(downtime.Milliseconds()), "life", "dark_ms")
 	s.core.SetUnknownRunsUntil(time.Now().Add(-downtime).UnixMilli())
-	lasts := s.heartbeat.MayExecute
+	valid := s.heartbeat.MayExecute
 	if wrap := s.hooks.WrapHeartbeat; wrap != nil {
-		lasts = wrap(lasts)
+		valid = wrap(valid)
 	}
 	s.core.AddGate(func(time.Duration) idempotency.Decision {
 		switch {
-		case s.store == nil && s.unknownRunsFor() > 0:
+		case s.store == nil && s.unknownRunsRemaining() > 0:
 			return idempotency.Decision{Action: idempotency.Fail, Reason: idempotency.ReasonIncomplete}
-		case !lasts():
-			return idempotency.Decision{Action: idempotency.Reject, Reason: "no_sign_of_life", RetryAfter: set.Valid / 2}
+		case !valid():
+			return idempotency.Decision{Action: idempotency.Reject, Reason: "no_sign_of_life", RetryAfter: config.Valid / 2}
 		}
 		return idempotency.Decision{}
 	})
@@ -45,9 +45,9 @@
 	return nil
 }
 
-// unknownRunsFor returns how much longer a client may repeat an idempotent request that an earlier process may have run and that
+// unknownRunsRemaining returns how much longer a client may repeat an idempotent request that an earlier process may have run and that
 // no store recorded: the longest idempotency window less the time for which no process has run any request.
-func (s *Service) unknownRunsFor() time.Duration {
+func (s *Service) unknownRunsRemaining() time.Duration {
 	downtime, _ := s.heartbeat.Downtime()
 	return s.core.LongestWindow() - downtime
 }
--- a/internal/service/main.go
+++ b/internal/service/main.go
@@ -58,7 +58,7 @@
 	if err != nil {
 		return err
 	}
-	s.logAddrs()
+	s.logAddresses()
 	go s.handleSignals(signals.Others, load, out) // runs until the process exits
 	err = s.Run(shutdown)
 	s.stats.Print(out)
@@ -66,8 +66,8 @@
 	return err
 }
 
-// logAddrs logs the address of each open front.
-func (s *Service) logAddrs() {
+// logAddresses logs the address of each open front.
+func (s *Service) logAddresses() {
 	for _, ln := range s.listeners {
 		events.Log(s.log, "listening", ln.Name(), ln.Addr())
 	}
--- a/internal/service/open.go
+++ b/internal/service/open.go
@@ -32,17 +32,17 @@
 // first, because the core shares its idempotency keys over that link.
 func (s *Service) openCore() (err error) {
 	cfg := s.cfg
-	var pairing *core.PairConfig
+	var pair *core.PairConfig
 	if cfg.ListenFD > 0 {
 		if s.restartLink, err = restartlink.Open(os.TempDir(), cfg.Name, s.log, s.stats); err != nil {
 			return fmt.Errorf("LB_SOCKET_FD: failed to open the hot restart link: %w", err)
 		}
-		pairing = s.restartLink.CoreConfig(s.splitLimits)
+		pair = s.restartLink.CoreConfig(s.splitLimits)
 	}
 	s.core, err = core.New(core.Config{
-		Pair: pairing,
+		Pair: pair,
 		Name: cfg.Name, Settings: cfg.Server, MemoryMB: cfg.MemoryMB, Status: cfg.Edge.Status, Log: s.log, Stats: s.stats,
-		Pools: poolsOf(cfg), Cell: cfg.Edge.Cell,
+		Pools: poolsConfig(cfg), Cell: cfg.Edge.Cell,
 	})
 	return err
 }
@@ -51,24 +51,24 @@
 func (s *Service) openFronts(b DescriptorBudget) error {
 	cfg := s.cfg
 	if cfg.Listen != "" {
-		f := msgpackrpc.New(s.core, s.log, s.stats)
+		front := msgpackrpc.New(s.core, s.log, s.stats)
 		if cfg.ListenFD > 0 {
 			ln, err := listener.Inherited(cfg.ListenFD)
 			if err != nil {
 				return fmt.Errorf("LB_SOCKET_FD: %w", err)
 			}
-			inherited := listener.New(msgpackrpc.Name, ln, b.RPC, s.core.IdleAfter, f.Serve, s.log, s.stats)
+			inherited := listener.New(msgpackrpc.Name, ln, b.RPC, s.core.IdleAfter, front.Serve, s.log, s.stats)
 			inherited.ShareSocket()
 			s.addListener(inherited, b.RPC)
-		} else if err := s.listen("listen", msgpackrpc.Name, cfg.Listen, b.RPC, f.Serve); err != nil {
+		} else if err := s.listen("listen", msgpackrpc.Name, cfg.Listen, b.RPC, front.Serve); err != nil {
 			return err
 		}
 	}
 	if cfg.SCGI.Listen == "" {
 		return nil
 	}
-	f := scgi.New(s.core, cfg.SCGI, cfg.Seed, s.log, s.stats)
-	return s.listen("scgi.listen", scgi.Name, cfg.SCGI.Listen, b.SCGI, f.Serve)
+	front := scgi.New(s.core, cfg.SCGI, cfg.Seed, s.log, s.stats)
+	return s.listen("scgi.listen", scgi.Name, cfg.SCGI.Listen, b.SCGI, front.Serve)
 }
 
 // openSNMP opens the SNMP agent if an address is configured for it.
@@ -172,15 +172,15 @@
 // addListener adds the listener of a front, limited to maxConns connections. If the edge file configures a reserve, part of these
 // connections is reserved for cheap calls.
 func (s *Service) addListener(ln *listener.Listener, maxConns int) {
-	if r := s.cfg.Edge.Reserve; r != nil {
-		ln.Reserve(*r)
+	if reserve := s.cfg.Edge.Reserve; reserve != nil {
+		ln.Reserve(*reserve)
 	}
 	s.listeners = append(s.listeners, ln)
 	s.listenerBudgets = append(s.listenerBudgets, listenerBudget{ln, maxConns})
 }
 
-// poolsOf returns the admission pools of cfg, or nil if cfg has none.
-func poolsOf(cfg settings.Config) *admission.Config {
+// poolsConfig returns the admission pools of cfg, or nil if cfg has none.
+func poolsConfig(cfg settings.Config) *admission.Config {
 	if !cfg.Edge.PoolsOn() {
 		return nil
 	}
--- a/internal/service/pools.go
+++ b/internal/service/pools.go
@@ -24,12 +24,12 @@
 		}
 		s.settingsMu.Lock()
 		defer s.settingsMu.Unlock()
-		set, err := settings.ParsePools(text, s.cfg.Server)
+		pools, err := settings.ParsePools(text, s.cfg.Server)
 		if err == nil {
-			err = s.core.ReloadPools(set)
+			err = s.core.ReloadPools(pools)
 		}
 		if err == nil {
-			s.cfg.Edge.Pools = set
+			s.cfg.Edge.Pools = pools
 		}
 		return err
 	}}
--- a/internal/service/recovery.go
+++ b/internal/service/recovery.go
@@ -21,7 +21,7 @@
 // recoveryTracker tracks the recovery of a process from its start to full service, for the log and the status.
 type recoveryTracker struct {
 	mu          sync.Mutex
-	path        *recovery.Progress
+	progress    *recovery.Progress
 	startedAt   time.Time
 	loggedState recovery.State
 }
@@ -39,7 +39,7 @@
 		checks[recovery.StoreRead] = func() bool { v := s.store.View(); return v.Health != idempotency.Loading }
 		checks[recovery.WindowOver] = func() bool { return s.store.View().Complete }
 	} else if s.heartbeat != nil {
-		checks[recovery.WindowOver] = func() bool { return s.unknownRunsFor() <= 0 }
+		checks[recovery.WindowOver] = func() bool { return s.unknownRunsRemaining() <= 0 }
 	}
 	if s.heartbeat != nil {
 		checks[recovery.HeartbeatsDurable] = s.heartbeat.MayExecute
@@ -47,9 +47,9 @@
 	if s.configWatch != nil {
 		checks[recovery.RulesConfirmed] = func() bool { return s.configWatch.StopReason() == "" }
 	}
-	r := s.trackRecovery(recovery.Server, checks)
+	tracker := s.trackRecovery(recovery.Server, checks)
 	if s.heartbeat != nil && s.store == nil {
-		r.path.ExpectWait(0, recovery.WindowOver, max(0, s.unknownRunsFor()))
+		tracker.progress.ExpectWait(0, recovery.WindowOver, max(0, s.unknownRunsRemaining()))
 	}
 }
 
@@ -57,30 +57,30 @@
 // the cells.
 func (s *Service) trackRouterRecovery() {
 	s.trackRecovery(recovery.Router, map[recovery.Prerequisite]func() bool{
-		recovery.MapKnown: func() bool { mapped, _, _ := s.router.Readiness(); return mapped },
+		recovery.MapKnown: func() bool { hasMap, _, _ := s.router.Readiness(); return hasMap },
 		recovery.RulesConfirmed: func() bool {
-			_, sure, _ := s.router.Readiness()
-			return sure && (s.configWatch == nil || s.configWatch.StopReason() == "")
+			_, confirmed, _ := s.router.Readiness()
+			return confirmed && (s.configWatch == nil || s.configWatch.StopReason() == "")
 		},
-		recovery.QuotasKnown: func() bool { _, _, shared := s.router.Readiness(); return shared },
+		recovery.QuotasKnown: func() bool { _, _, hasQuota := s.router.Readiness(); return hasQuota },
 	})
 }
 
 // trackRecovery starts to track the recovery of a role. The keys of checks are the prerequisites of this process; each function
 // reports whether its prerequisite is met. The functions are called every recoveryPollInterval and must not block.
 func (s *Service) trackRecovery(role recovery.Role, checks map[recovery.Prerequisite]func() bool) *recoveryTracker {
-	var needs []recovery.Prerequisite
-	for n := range checks {
-		needs = append(needs, n)
+	var prerequisites []recovery.Prerequisite
+	for prerequisite := range checks {
+		prerequisites = append(prerequisites, prerequisite)
 	}
-	r := &recoveryTracker{startedAt: time.Now()}
-	r.path = recovery.NewProgress(0, role, needs...)
-	s.core.AddStatus("recovery", r.status)
+	tracker := &recoveryTracker{startedAt: time.Now()}
+	tracker.progress = recovery.NewProgress(0, role, prerequisites...)
+	s.core.AddStatus("recovery", tracker.status)
 	s.tasks = append(s.tasks, func(ctx context.Context) {
 		t := time.NewTicker(recoveryPollInterval)
 		defer t.Stop()
 		for {
-			s.updateRecovery(r, checks)
+			s.updateRecovery(tracker, checks)
 			select {
 			case <-ctx.Done():
 				return
@@ -88,58 +88,58 @@
 			}
 		}
 	})
-	return r
+	return tracker
 }
 
 // updateRecovery records which prerequisites are met, and logs and counts the recovery state if it changed.
-func (s *Service) updateRecovery(r *recoveryTracker, checks map[recovery.Prerequisite]func() bool) {
+func (s *Service) updateRecovery(tracker *recoveryTracker, checks map[recovery.Prerequisite]func() bool) {
 	met := map[recovery.Prerequisite]bool{}
-	for n, check := range checks {
-		met[n] = check()
+	for prerequisite, check := range checks {
+		met[prerequisite] = check()
 	}
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	now := time.Since(r.startedAt)
-	r.path.Update(now, met)
-	v := r.path.Snapshot(now)
-	s.stats.Set(uint64(v.State), "recovery", "state")
-	s.stats.Set(uint64(len(v.Waits)), "recovery", "waits")
-	if v.State == r.loggedState {
+	tracker.mu.Lock()
+	defer tracker.mu.Unlock()
+	elapsed := time.Since(tracker.startedAt)
+	tracker.progress.Update(elapsed, met)
+	snapshot := tracker.progress.Snapshot(elapsed)
+	s.stats.Set(uint64(snapshot.State), "recovery", "state")
+	s.stats.Set(uint64(len(snapshot.Waits)), "recovery", "waits")
+	if snapshot.State == tracker.loggedState {
 		return
 	}
-	r.loggedState = v.State
+	tracker.loggedState = snapshot.State
 	var waits []string
-	for _, w := range v.Waits {
+	for _, w := range snapshot.Waits {
 		waits = append(waits, w.Prerequisite.String())
 	}
 	if len(waits) == 0 {
 		waits = []string{"nothing"}
 	}
-	s.stats.Inc("recovery", "reached", v.State.String())
-	events.Log(s.log, "recovery.state", v.State, now.Round(time.Millisecond), strings.Join(waits, ", "))
+	s.stats.Inc("recovery", "reached", snapshot.State.String())
+	events.Log(s.log, "recovery.state", snapshot.State, elapsed.Round(time.Millisecond), strings.Join(waits, ", "))
 }
 
 // status returns the recovery as JSON, for the status of the service.
 func (r *recoveryTracker) status() []byte {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	v := r.path.Snapshot(time.Since(r.startedAt))
+	snapshot := r.progress.Snapshot(time.Since(r.startedAt))
 	var a fastjson.Arena
 	o := a.NewObject()
 	ms := func(d time.Duration) *fastjson.Value { return a.NewNumberFloat64(float64(d.Milliseconds())) }
-	o.Set("state", a.NewString(v.State.String()))
-	o.Set("for_ms", ms(v.Since))
+	o.Set("state", a.NewString(snapshot.State.String()))
+	o.Set("for_ms", ms(snapshot.Since))
 	waits, steps := a.NewArray(), a.NewArray()
-	for i, w := range v.Waits {
-		e := a.NewObject()
-		e.Set("for", a.NewString(w.Prerequisite.String()))
-		e.Set("since_ms", ms(w.Waited))
+	for i, w := range snapshot.Waits {
+		entry := a.NewObject()
+		entry.Set("for", a.NewString(w.Prerequisite.String()))
+		entry.Set("since_ms", ms(w.Waited))
 		if w.MaxWait > 0 {
-			e.Set("at_most_ms", ms(w.MaxWait))
+			entry.Set("at_most_ms", ms(w.MaxWait))
 		}
-		waits.SetArrayItem(i, e)
+		waits.SetArrayItem(i, entry)
 	}
-	for i, st := range v.Steps {
+	for i, st := range snapshot.Steps {
 		e := a.NewObject()
 		e.Set("state", a.NewString(st.State.String()))
 		e.Set("after_ms", ms(st.After))
--- a/internal/service/reload.go
+++ b/internal/service/reload.go
@@ -31,12 +31,12 @@
 			return fmt.Errorf("settings: %w", err)
 		}
 		s.cfg.Server = cfg.Server
-		events.Log(s.log, "reload.settings", classes(cfg.Server))
+		events.Log(s.log, "reload.settings", describeClasses(cfg.Server))
 	}
 	if s.builtinWorker != nil {
 		cfg.Interpreter = old.Interpreter
 	}
-	s.redirect(cfg)
+	s.updateAddresses(cfg)
 	for _, field := range s.cfg.Differs(cfg) {
 		events.Log(s.log, "reload.differs", field)
 	}
@@ -49,9 +49,9 @@
 	return nil
 }
 
-// redirect applies new addresses of the interpreter, the vault and the announce service. An empty address of the interpreter or the
+// updateAddresses applies new addresses of the interpreter, the vault and the announce service. An empty address of the interpreter or the
 // vault is ignored; an empty address of the announce service turns load reports off. The caller holds settingsMu.
-func (s *Service) redirect(cfg settings.Config) {
+func (s *Service) updateAddresses(cfg settings.Config) {
 	if old := s.cfg.Interpreter; s.interpreter != nil && cfg.Interpreter != "" && cfg.Interpreter != old {
 		events.Log(s.log, "reload.moved", "vm", old, cfg.Interpreter)
 		s.cfg.Interpreter = cfg.Interpreter
@@ -84,11 +84,11 @@
 	s.cfg.Edge.Pools = edge.Pools
 }
 
-// classes lists the names of the classes in set, for the log.
-func classes(set silverpath.Settings) string {
+// describeClasses lists the names of the classes in cfg, for the log.
+func describeClasses(cfg silverpath.Settings) string {
 	var names []string
-	for _, k := range set.Classes {
-		names = append(names, k.Name)
+	for _, class := range cfg.Classes {
+		names = append(names, class.Name)
 	}
 	return "classes " + strings.Join(names, ", ")
 }
--- a/internal/service/routerconfig.go
+++ b/internal/service/routerconfig.go
@@ -24,7 +24,7 @@
 // map is one of the watched documents, a file otherwise. If the source is the group, routerConfigSource waits until the map is
 // current or the timeout has passed.
 func (s *Service) routerConfigSource() (proxy.Source, error) {
-	set := s.cfg.Edge.Router
+	config := s.cfg.Edge.Router
 	role := roleConfig{
 		documents: map[string]configwatch.Document{configstore.DocRouting: s.routingDocument()},
 		goodput:   s.routerGoodput,
@@ -33,26 +33,26 @@
 		if err := s.watchConfig(role); err != nil {
 			return nil, err
 		}
-		src, err := proxy.OpenFileSource(set.Map, set.State)
+		src, err := proxy.OpenFileSource(config.Map, config.State)
 		if err != nil {
 			return nil, fmt.Errorf("fleet.state: %w", err)
 		}
 		return src, nil
 	}
-	src, err := proxy.OpenGroupSource(set.State)
+	src, err := proxy.OpenGroupSource(config.State)
 	if err != nil {
 		return nil, fmt.Errorf("fleet.state: %w", err)
 	}
 	role.documents[configstore.DocMap] = configwatch.Document{
 		Format: configstore.PartsFormat, Check: src.Check, Apply: src.Apply, CheckParts: src.CheckParts, ApplyParts: src.ApplyParts,
 	}
-	role.confirmed = func(requestedAt time.Time) {
+	role.onConfirmed = func(requestedAt time.Time) {
 		src.Confirm(requestedAt)
 		if s.router != nil {
 			s.router.Reload()
 		}
 	}
-	role.clockSkew = src.MaxClockSkew
+	role.maxClockSkew = src.MaxClockSkew
 	if s.cfg.Edge.ConfigWatch.MaxRouters > 0 {
 		role.quota = quotaClient{s}
 	}
--- a/internal/service/server.go
+++ b/internal/service/server.go
@@ -45,31 +45,31 @@
 	s.trackServerRecovery()
 	cfg := s.cfg
 	if cfg.SCGI.Upstream != "" {
-		up := scgi.NewUpstream(cfg.SCGI.Upstream, cfg.Server.Cores, b.Upstream, cfg.SCGI.Timeout, s.core, s.log, s.stats)
-		s.tasks = append(s.tasks, up.ReportUp)
-		return s.core.Attach(up, nil)
+		upstream := scgi.NewUpstream(cfg.SCGI.Upstream, cfg.Server.Cores, b.Upstream, cfg.SCGI.Timeout, s.core, s.log, s.stats)
+		s.tasks = append(s.tasks, upstream.ReportUp)
+		return s.core.Attach(upstream, nil)
 	}
 	s.interpreter = interpreter.New(cfg.Interpreter, cfg.Gauges, s.core, s.log, s.stats)
 	s.tasks = append(s.tasks, s.interpreter.Maintain)
-	var below core.Caller
+	var vaultCaller core.Caller
 	if cfg.Vault != "" {
 		s.vault = vault.New(cfg.Vault, b.Vault)
-		below = s.vault
+		vaultCaller = s.vault
 	}
-	return s.core.Attach(s.interpreter, below)
+	return s.core.Attach(s.interpreter, vaultCaller)
 }
 
 // openCommands opens the executor of fenced commands, which arrive over the admin API, if the edge file configures it (orders).
 func (s *Service) openCommands() (err error) {
-	set := s.cfg.Edge.Commands
-	if set == nil {
+	config := s.cfg.Edge.Commands
+	if config == nil {
 		return nil
 	}
 	if s.cfg.Admin == "" {
 		return errors.New("orders: commands arrive over the admin API, but mgmt is not set")
 	}
-	group := &quorum.Client{Group: set.Group.Name, Addrs: set.Group.Members}
-	if s.commands, err = command.Open(set.State, s.cfg.Name, group, s.log); err != nil {
+	group := &quorum.Client{Group: config.Group.Name, Addrs: config.Group.Members}
+	if s.commands, err = command.Open(config.State, s.cfg.Name, group, s.log); err != nil {
 		return fmt.Errorf("orders.state: %w", err)
 	}
 	return nil
@@ -78,9 +78,9 @@
 // startBuiltinWorker starts the built-in worker, which is used if the process is started without a configuration. It is an
 // interpreter that echoes each request body, after as long as the operators' own requests typically take.
 func startBuiltinWorker(cfg settings.Config) (*builtinworker.Interpreter, error) {
-	n := cfg.Server.Cores
+	cores := cfg.Server.Cores
 	return builtinworker.Listen(builtinworker.Config{
-		Listen: "127.0.0.1:0", Cores: n, Shape: builtinworker.Shape{Knee: float64(n), Thrash: 1, Speed: 1},
+		Listen: "127.0.0.1:0", Cores: cores, Shape: builtinworker.Shape{Knee: float64(cores), Thrash: 1, Speed: 1},
 		Other:    builtinworker.Class{MinWork: 60 * time.Millisecond, MaxWork: 100 * time.Millisecond},
 		MemoryKB: cfg.Server.MemoryKB, RunFactor: cfg.Server.RunFactor, Seed: uint64(cfg.Seed),
 	})
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -38,7 +38,7 @@
 	// WrapStore wraps the store of idempotency keys that the core uses.
 	WrapStore func(core.Store) core.Store
 	// WrapHeartbeat wraps the check that the heartbeat on disk is still valid. Idempotent requests start only while it is.
-	WrapHeartbeat func(lasts func() bool) func() bool
+	WrapHeartbeat func(valid func() bool) func() bool
 }
 
 // Service is the service of one process. New opens it; Run serves and is called once.
--- a/internal/service/store.go
+++ b/internal/service/store.go
@@ -13,14 +13,14 @@
 
 // openStore opens the store that keeps the runs of idempotent requests across restarts, if the edge file configures one.
 func (s *Service) openStore() (err error) {
-	set := s.cfg.Edge.Store
-	if set == nil {
+	config := s.cfg.Edge.Store
+	if config == nil {
 		return nil
 	}
 	if s.restartLink != nil {
 		return errors.New("store: not supported with hot restart (LB_SOCKET_FD)")
 	}
-	size := set.SizeMB
+	size := config.SizeMB
 	if size == 0 {
 		size = s.cfg.MemoryMB / storeMemoryDivisor / 2
 	}
@@ -28,7 +28,7 @@
 		return fmt.Errorf("store.size_mb: %v is more than a quarter of limits.memory_mb", size)
 	}
 	s.store, err = idempotencystore.Open(idempotencystore.Config{
-		Dir: set.Dir, Name: s.cfg.Name, MaxBytes: int(size * (1 << 20)), ResultReserve: int(set.ResultKB * (1 << 10)), GroupCommitDelay: set.CommitDelay,
+		Dir: config.Dir, Name: s.cfg.Name, MaxBytes: int(size * (1 << 20)), ResultReserve: int(config.ResultKB * (1 << 10)), GroupCommitDelay: config.CommitDelay,
 		Log: s.log, Stats: s.stats,
 	}, s.core)
 	if err != nil {
