--- a/internal/service/routerconfig.go
+++ b/internal/service/routerconfig.go
@@ -14,7 +14,7 @@
 )
 
 // Timeouts for the group's documents at the start of a router. A router with a stored map serves from that map if the group does
-// not answer. A router without one can't serve at all, so it waits long enough for the group to elect a new leader.
+// not answer. A router without a stored map can't serve at all, so its timeout is long enough for the group to elect a new leader.
 const (
 	firstConfigWait = 2 * time.Second
 	firstMapWait    = 20 * time.Second
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -84,8 +84,9 @@
 	shutdown          <-chan struct{} // closed at the shutdown signal; nil if the start can't be interrupted
 }
 
-// New builds a server or a router and opens its addresses. An error names the configuration field that caused it; on an error
-// every component that was opened is closed again. The caller must call Run afterwards.
+// New builds a server or a router and opens its addresses. An error names the configuration field that caused it; before New
+// returns an error, it closes the listeners, the store and the built-in worker that it has opened. After New succeeds, the caller
+// must call Run.
 func New(cfg settings.Config, l *log.Logger) (*Service, error) {
 	return openWithRetry(cfg, l, Hooks{}, 0, nil)
 }
@@ -183,7 +184,7 @@
 		s.store.Close()
 	}
 	if s.restartLink != nil {
-		<-s.restartLink.Released() // the successor waits only for this slot, so it is released before the last log lines are written
+		<-s.restartLink.Released() // before Main writes its last log lines, since a replacement process waits only for this slot
 	}
 	return err
 }
