--- a/internal/service/apart_test.go
+++ b/internal/service/apart_test.go
@@ -15,7 +15,7 @@
 	"silverpath/internal/transport/msgpackrpc"
 )
 
-// start starts a service in this process and returns it with what ends it.
+// start starts a service whose settings are changed by set. It is stopped at the end of the test.
 func start(t *testing.T, set func(c *silverpath.Settings)) *Service {
 	t.Helper()
 	vm, _, release := startInterpreter(t)
@@ -26,11 +26,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	leave, done := make(chan struct{}), make(chan error, 1)
-	go func() { done <- s.Run(leave) }()
+	shutdown, done := make(chan struct{}), make(chan error, 1)
+	go func() { done <- s.Run(shutdown) }()
 	t.Cleanup(func() {
 		release()
-		close(leave)
+		close(shutdown)
 		if err := <-done; err != nil {
 			t.Error(err)
 		}
@@ -38,8 +38,8 @@
 	return s
 }
 
-// ask brings a try and returns its answer.
-func (s *Service) ask(t *testing.T, class, tenant, key, id, body string) msgpackrpc.Reply {
+// send sends one request and returns its reply, skipping notifications.
+func (s *Service) send(t *testing.T, class, tenant, key, id, body string) msgpackrpc.Reply {
 	t.Helper()
 	fields := []string{"i", id, "s", strconv.FormatInt(time.Now().UnixMilli(), 10), "d", "20000", "m", "1"}
 	if tenant != "" {
@@ -51,20 +51,21 @@
 	p := dial(t, s.Addrs()[0], msgpackrpc.AppendRequest(nil, 1, class, []byte(body), fields...))
 	defer p.Close()
 	for {
-		a, err := msgpackrpc.ReadReply(p.r)
+		reply, err := msgpackrpc.ReadReply(p.r)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if a.Notification == "" {
-			return a
+		if reply.Notification == "" {
+			return reply
 		}
 	}
 }
 
+// runs returns the number of successful runs of a class.
 func (s *Service) runs(class string) uint64 { return s.stats.Get("runs", class, "ok") }
 
-// Two services in one process, of two customers that name a class alike and mean something else by it, and of whom only one knows
-// a tenant: each goes by its own settings, also after one of them has taken up others.
+// Two services in one process must not share state. They define a class of the same name differently and have different tenants.
+// Each must use its own settings, also after one of them is reloaded.
 func TestServicesShareNoState(t *testing.T) {
 	tenants := func(names ...string) (list []silverpath.Tenant) {
 		for _, n := range names {
@@ -81,23 +82,23 @@
 		c.Classes = append(c.Classes, silverpath.Class{Name: "mark", Objective: 10 * time.Second, Deadline: 30 * time.Second, Weight: 1})
 		c.Tenants = tenants("south", "both")
 	})
-	try := func(s *Service, n int) {
+	sendKeyed := func(s *Service, n int) {
 		t.Helper()
-		if a := s.ask(t, "mark", "both", "key", fmt.Sprintf("%016x", n), "body"); a.Error != "" || string(a.Body) != "BODY" {
-			t.Fatalf("%+v", a)
+		if reply := s.send(t, "mark", "both", "key", fmt.Sprintf("%016x", n), "body"); reply.Error != "" || string(reply.Body) != "BODY" {
+			t.Fatalf("got reply %+v, want body BODY", reply)
 		}
 	}
 	for n := range 3 {
-		try(one, n)
-		try(two, n)
+		sendKeyed(one, n)
+		sendKeyed(two, n)
 	}
-	if a, b := one.runs("mark"), two.runs("mark"); a != 1 || b != 3 {
-		t.Errorf("%d runs where it is keyed, %d where it is not; want 1 and 3", a, b)
+	if runsOfOne, runsOfTwo := one.runs("mark"), two.runs("mark"); runsOfOne != 1 || runsOfTwo != 3 {
+		t.Errorf("got %d runs of the idempotent class and %d of the other; want 1 and 3", runsOfOne, runsOfTwo)
 	}
-	if a := one.ask(t, "mark", "south", "", "a", "x"); a.Error != "Error" {
-		t.Errorf("the other's tenant: %+v", a)
+	if reply := one.send(t, "mark", "south", "", "a", "x"); reply.Error != "Error" {
+		t.Errorf("tenant of the other service: got reply %+v, want an error", reply)
 	}
-	// One takes up settings in which the classes stand in another order and a tenant is gone; the other notices nothing.
+	// Reloading one with reordered classes and without one of its tenants must not affect two.
 	next := one.cfg
 	next.Server.Classes = []silverpath.Class{
 		{Name: "new", Objective: 10 * time.Second, Deadline: 30 * time.Second, Weight: 5}, one.cfg.Server.Classes[1], one.cfg.Server.Classes[0]}
@@ -105,41 +106,41 @@
 	if err := one.Reload(next); err != nil {
 		t.Fatal(err)
 	}
-	try(one, 10)
-	try(two, 10)
-	if a, b := one.runs("mark"), two.runs("mark"); a != 1 || b != 4 {
-		t.Errorf("after a reload %d and %d runs, want 1 and 4", a, b)
+	sendKeyed(one, 10)
+	sendKeyed(two, 10)
+	if runsOfOne, runsOfTwo := one.runs("mark"), two.runs("mark"); runsOfOne != 1 || runsOfTwo != 4 {
+		t.Errorf("after the reload: got %d and %d runs, want 1 and 4", runsOfOne, runsOfTwo)
 	}
 	for s, want := range map[*Service][3]string{one: {"", "Error", ""}, two: {"Full", "", "Error"}} {
-		got := [3]string{s.ask(t, "new", "both", "", "n", "x").Error, s.ask(t, "krog", "south", "", "s", "x").Error, s.ask(t, "krog", "east", "", "e", "x").Error}
+		got := [3]string{s.send(t, "new", "both", "", "n", "x").Error, s.send(t, "krog", "south", "", "s", "x").Error, s.send(t, "krog", "east", "", "e", "x").Error}
 		if got != want {
-			t.Errorf("the new class, the tenants south and east: %q, want %q", got, want)
+			t.Errorf("errors for the new class, tenant south and tenant east: got %q, want %q", got, want)
 		}
 	}
-	if a := one.ask(t, "krog", "north", "", "g", "x"); a.Error != "Error" {
-		t.Errorf("a tenant that is gone: %+v", a)
+	if reply := one.send(t, "krog", "north", "", "g", "x"); reply.Error != "Error" {
+		t.Errorf("removed tenant: got reply %+v, want an error", reply)
 	}
 }
 
-// Buffers are pooled by all services of a process: what one of them writes is never another one's, however many at once.
+// All services of a process share the buffer pools. Under concurrent requests no reply may contain the data of another request.
 func TestServicesShareNoBuffer(t *testing.T) {
 	services := []*Service{start(t, func(*silverpath.Settings) {}), start(t, func(*silverpath.Settings) {})}
-	var all sync.WaitGroup
-	for c := range 16 {
-		s := services[c%2]
-		all.Go(func() {
+	var clients sync.WaitGroup
+	for client := range 16 {
+		s := services[client%2]
+		clients.Go(func() {
 			for n := range 20 {
-				body := strings.Repeat(fmt.Sprintf("%c%x-", 'a'+c, n), 1+100*((c+n)%5))
-				if a := s.ask(t, "krog", "", "", fmt.Sprintf("%08x%08x", c, n), body); a.Error == "" && !bytes.Equal(a.Body, bytes.ToUpper([]byte(body))) {
-					t.Errorf("asked %.20q, told %.20q", body, a.Body)
+				body := strings.Repeat(fmt.Sprintf("%c%x-", 'a'+client, n), 1+100*((client+n)%5))
+				if reply := s.send(t, "krog", "", "", fmt.Sprintf("%08x%08x", client, n), body); reply.Error == "" && !bytes.Equal(reply.Body, bytes.ToUpper([]byte(body))) {
+					t.Errorf("sent %.20q, got reply %.20q", body, reply.Body)
 				}
 			}
 		})
 	}
-	all.Wait()
+	clients.Wait()
 	for _, s := range services {
 		if n := s.runs("krog"); n == 0 {
-			t.Error("nothing was served")
+			t.Error("a service has served no request")
 		}
 	}
 }
--- a/internal/service/drain_test.go
+++ b/internal/service/drain_test.go
@@ -13,60 +13,63 @@
 	"silverpath/internal/transport/msgpackrpc"
 )
 
-// leaving is a service that is told to leave by the returned function, whose peers are asked to leave soon after.
-func leaving(t *testing.T, vm string, stop time.Duration) (s *Service, leave func(), done <-chan error) {
+// startDrainable starts a service with the given stop timeout. The function shutdown sends it the shutdown signal; 100 ms later it asks its
+// peers to leave. The result of Run arrives on done.
+func startDrainable(t *testing.T, vm string, stopTimeout time.Duration) (s *Service, shutdown func(), done <-chan error) {
 	t.Helper()
 	cfg := config(vm)
-	cfg.StopTimeout, cfg.Server.DrainGrace = stop, stop/4
+	cfg.StopTimeout, cfg.Server.DrainGrace = stopTimeout, stopTimeout/4
 	s, err := New(cfg, log.New(io.Discard, "", 0))
 	if err != nil {
 		t.Fatal(err)
 	}
 	s.drainDelay = 100 * time.Millisecond
-	notice, over := make(chan struct{}), make(chan error, 1)
-	go func() { over <- s.Run(notice) }()
-	return s, func() { close(notice) }, over
+	shutdownSignal, result := make(chan struct{}), make(chan error, 1)
+	go func() { result <- s.Run(shutdownSignal) }()
+	return s, func() { close(shutdownSignal) }, result
 }
 
-func call(id uint64, body string) []byte {
+// newCall returns an encoded request of class krog, whose request ID is body followed by id.
+func newCall(id uint64, body string) []byte {
 	return msgpackrpc.AppendRequest(nil, id, "krog", []byte(body), "i", body+strconv.FormatUint(id, 10),
 		"s", strconv.FormatInt(time.Now().UnixMilli(), 10), "d", "20000", "m", "1")
 }
 
-func (p peer) expect(t *testing.T, id uint64, notification, outcome string) {
+// expect reads the next reply and fails the test unless it has the given ID, notification and error.
+func (p peer) expect(t *testing.T, id uint64, notification, wantError string) {
 	t.Helper()
-	if a, err := msgpackrpc.ReadReply(p.r); err != nil || a.ID != id || a.Notification != notification || a.Error != outcome {
-		t.Fatalf("%+v, %v; want %d %q %q", a, err, id, notification, outcome)
+	if reply, err := msgpackrpc.ReadReply(p.r); err != nil || reply.ID != id || reply.Notification != notification || reply.Error != wantError {
+		t.Fatalf("got reply %+v, error %v; want ID %d, notification %q, error %q", reply, err, id, notification, wantError)
 	}
 }
 
-// A request that crosses the word to bring no more is served, one that comes when nothing may be run any more is refused, and
-// a client that rests on its connection until the service ends it sees the end in good order.
+// Guards the order of a drain. A request that crosses the notification to send no more is served, a request after the drain window
+// is rejected, and a client that stays idle on its connection sees an orderly close (EOF, no reset) at the end.
 func TestRestsUntilTheEnd(t *testing.T) {
 	vm, _, release := startInterpreter(t)
 	defer release()
-	s, leave, done := leaving(t, vm, 4*time.Second)
-	busy, rests := dial(t, s.Addrs()[0], call(1, "a")), dial(t, s.Addrs()[0], call(1, "b"))
-	busy.expect(t, 1, "", "")
-	rests.expect(t, 1, "", "")
-	leave()
+	s, shutdown, done := startDrainable(t, vm, 4*time.Second)
+	active, idle := dial(t, s.Addrs()[0], newCall(1, "a")), dial(t, s.Addrs()[0], newCall(1, "b"))
+	active.expect(t, 1, "", "")
+	idle.expect(t, 1, "", "")
+	shutdown()
 	for !s.core.Phase().ShuttingDown() {
 		time.Sleep(time.Millisecond)
 	}
-	told := time.Now()
-	busy.expect(t, 0, "lastCall", "")
-	rests.expect(t, 0, "lastCall", "")
-	busy.Write(call(2, "crosses"))
-	busy.expect(t, 2, "", "")
-	time.Sleep(time.Until(told.Add(s.cfg.Server.DrainGrace + 10*time.Millisecond))) // until the window is over
-	busy.Write(call(3, "late"))
-	busy.expect(t, 3, "", "Full")
+	drainStartedAt := time.Now()
+	active.expect(t, 0, "lastCall", "")
+	idle.expect(t, 0, "lastCall", "")
+	active.Write(newCall(2, "crosses"))
+	active.expect(t, 2, "", "")
+	time.Sleep(time.Until(drainStartedAt.Add(s.cfg.Server.DrainGrace + 10*time.Millisecond))) // until the drain window is over
+	active.Write(newCall(3, "late"))
+	active.expect(t, 3, "", "Full")
 	if n := s.runs("krog"); n != 3 {
-		t.Errorf("%d runs, want 3", n)
+		t.Errorf("got %d runs, want 3", n)
 	}
-	for _, p := range []peer{busy, rests} {
+	for _, p := range []peer{active, idle} {
 		if n, err := p.Read(make([]byte, 1)); n != 0 || !errors.Is(err, io.EOF) {
-			t.Errorf("%d bytes and %v at the end", n, err)
+			t.Errorf("at the end: read %d bytes and error %v, want EOF", n, err)
 		}
 	}
 	if err := <-done; err != nil {
@@ -74,38 +77,38 @@
 	}
 }
 
-// The notice to leave while the link to the interpreter is down: what is in hand is answered, nobody waits for the link, and
-// the process ends in time.
+// A shutdown signal while the link to the interpreter is down: the pending request is answered without waiting for the link, and
+// the process ends before it would be stopped.
 func TestShutdownWithoutInterpreter(t *testing.T) {
 	vm, _, release := startInterpreter(t)
 	defer release()
-	way, err := faults.Listen(vm, false, 1)
+	faultProxy, err := faults.Listen(vm, false, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer way.Close()
-	s, leave, done := leaving(t, way.Addr(), 4*time.Second)
-	s.exitMargin = 2 * time.Second // long before the module would answer: it may be held up, as on a loaded machine
-	p := dial(t, s.Addrs()[0], append(call(1, "a"), call(2, "hold")...))
+	defer faultProxy.Close()
+	s, shutdown, done := startDrainable(t, faultProxy.Addr(), 4*time.Second)
+	s.exitMargin = 2 * time.Second // ends before the module would answer, which a loaded machine may delay
+	p := dial(t, s.Addrs()[0], append(newCall(1, "a"), newCall(2, "hold")...))
 	p.expect(t, 1, "", "")
 	for s.stats.Get("read", "msgpack", "krog") < 2 {
 		time.Sleep(time.Millisecond)
 	}
-	way.Cut(true)
+	faultProxy.Cut(true)
 	for s.stats.Get("interpreter", "link_down") == 0 {
 		time.Sleep(time.Millisecond)
 	}
-	leave()
+	shutdown()
 	p.expect(t, 0, "lastCall", "")
 	p.expect(t, 2, "", "Error")
 	if n := s.stats.Get("backstop"); n != 1 {
-		t.Errorf("%d answered by the backstop, want the one in hand", n)
+		t.Errorf("backstop answered %d requests, want 1 (the pending one)", n)
 	}
 	if err := <-done; err != nil {
 		t.Error(err)
 	}
 	if conn, err := net.Dial("tcp", s.Addrs()[0].String()); err == nil {
 		conn.Close()
-		t.Error("the address is open after the end")
+		t.Error("the listening address is still open after Run returned")
 	}
 }
--- a/internal/service/operate_test.go
+++ b/internal/service/operate_test.go
@@ -23,8 +23,8 @@
 	"silverpath/internal/transport/msgpackrpc"
 )
 
-// An operator's drain: health is bad at once, all that comes is served, the end of it makes health good, and the drain
-// of SIGTERM can't be undone.
+// An operator evacuates the server and has it rejoin. The server turns unhealthy at once, still serves every request, and is healthy
+// again after the rejoin. A drain that SIGTERM started can't be undone.
 func TestEvacuate(t *testing.T) {
 	vm, _, release := startInterpreter(t)
 	defer release()
@@ -35,18 +35,18 @@
 		t.Fatal(err)
 	}
 	s.drainDelay = 300 * time.Millisecond
-	leave, done := make(chan struct{}), make(chan error, 1)
-	go func() { done <- s.Run(leave) }()
-	ops, platform := s.admin.Addr().String(), s.Addrs()[0]
+	shutdown, done := make(chan struct{}), make(chan error, 1)
+	go func() { done <- s.Run(shutdown) }()
+	adminAddr, rpcAddr := s.admin.Addr().String(), s.Addrs()[0]
 	for deadline := time.Now().Add(20 * time.Second); ; time.Sleep(time.Millisecond) {
-		if code, _ := benchmarks.Call(ops, "GET /api/ready"); code == 200 {
+		if code, _ := benchmarks.Call(adminAddr, "GET /api/ready"); code == 200 {
 			break
 		} else if time.Now().After(deadline) {
-			t.Fatal("not ready")
+			t.Fatal("server did not become ready within 20 s")
 		}
 	}
 	healthy := func() bool {
-		p := dial(t, platform, msgpackrpc.AppendProbe(nil, 1))
+		p := dial(t, rpcAddr, msgpackrpc.AppendProbe(nil, 1))
 		defer p.Close()
 		r, err := msgpackrpc.ReadReply(p.r)
 		if err != nil {
@@ -54,13 +54,13 @@
 		}
 		return r.Healthy
 	}
-	served := func(id string) {
+	expectServed := func(id string) {
 		t.Helper()
-		p := dial(t, platform, msgpackrpc.AppendRequest(nil, 1, "krog", []byte("x"), "i", id,
+		p := dial(t, rpcAddr, msgpackrpc.AppendRequest(nil, 1, "krog", []byte("x"), "i", id,
 			"s", strconv.FormatInt(time.Now().UnixMilli(), 10), "d", "30000", "m", "1"))
 		defer p.Close()
 		if r, err := msgpackrpc.ReadReply(p.r); err != nil || string(r.Body) != "X" {
-			t.Fatalf("%s: %+v, %v", id, r, err)
+			t.Fatalf("%s: got reply %+v, error %v", id, r, err)
 		}
 	}
 	for i, c := range []struct {
@@ -72,12 +72,12 @@
 		{"GET /api/ready", 503, false}, {"POST /api/rejoin", 200, true}, {"GET /api/ready", 200, true},
 		{"POST /api/evacuate", 200, false},
 	} {
-		if code, why := benchmarks.Call(ops, c.call); code != c.code || why == "" || healthy() != c.healthy {
-			t.Errorf("%s: %d %q, healthy %v", c.call, code, why, healthy())
+		if code, why := benchmarks.Call(adminAddr, c.call); code != c.code || why == "" || healthy() != c.healthy {
+			t.Errorf("%s: got status %d, text %q, healthy %v", c.call, code, why, healthy())
 		}
-		served(fmt.Sprint(i, c.call))
+		expectServed(fmt.Sprint(i, c.call))
 	}
-	close(leave)
+	close(shutdown)
 	for s.core.Phase().String() != "draining" {
 		time.Sleep(time.Millisecond)
 	}
@@ -85,8 +85,8 @@
 		call string
 		code int
 	}{{"POST /api/rejoin", 409}, {"POST /api/evacuate", 200}, {"GET /api/ready", 503}} {
-		if code, why := benchmarks.Call(ops, c.call); code != c.code || why == "" || healthy() {
-			t.Errorf("leaving, %s: %d %q", c.call, code, why)
+		if code, why := benchmarks.Call(adminAddr, c.call); code != c.code || why == "" || healthy() {
+			t.Errorf("during the drain, %s: got status %d, text %q", c.call, code, why)
 		}
 	}
 	if err := <-done; err != nil {
@@ -94,7 +94,7 @@
 	}
 }
 
-// Fifty operators that never finish keep one that does from nothing, while clients saturate the service.
+// 50 operators with unfinished requests must not block an operator's complete request while clients saturate the service.
 func TestAdminUnderClientFlood(t *testing.T) {
 	vm, _, release := startInterpreter(t)
 	defer release()
@@ -106,9 +106,9 @@
 		t.Fatal(err)
 	}
 	s.drainDelay = 0
-	leave, done := make(chan struct{}), make(chan error, 1)
-	go func() { done <- s.Run(leave) }()
-	over := make(chan struct{})
+	shutdown, done := make(chan struct{}), make(chan error, 1)
+	go func() { done <- s.Run(shutdown) }()
+	floodDone := make(chan struct{})
 	var flood sync.WaitGroup
 	for c := range 40 {
 		flood.Add(1)
@@ -122,7 +122,7 @@
 			go func() { _, _ = io.Copy(io.Discard, conn) }()
 			for n := uint64(1); ; n++ {
 				select {
-				case <-over:
+				case <-floodDone:
 					return
 				default:
 				}
@@ -145,22 +145,22 @@
 	for s.stats.Get("read", "msgpack", "krog") < 2000 {
 		time.Sleep(time.Millisecond)
 	}
-	began := time.Now()
+	startedAt := time.Now()
 	code, why := benchmarks.Call(s.admin.Addr().String(), "POST /api/evacuate")
-	t.Logf("answered after %v", time.Since(began))
-	if took := time.Since(began); code != 200 || took > time.Second {
-		t.Errorf("%d %q after %v", code, why, took)
+	t.Logf("the admin API answered after %v", time.Since(startedAt))
+	if took := time.Since(startedAt); code != 200 || took > time.Second {
+		t.Errorf("got status %d, text %q after %v; want 200 within 1 s", code, why, took)
 	}
-	close(over)
+	close(floodDone)
 	flood.Wait()
-	close(leave)
+	close(shutdown)
 	if err := <-done; err != nil {
 		t.Fatal(err)
 	}
 }
 
-// SIGHUP under load takes up classes that come and go; requests in hand end under the class that they came with, keys
-// included. What is no good changes nothing.
+// SIGHUP under load adds and removes classes. Requests in progress finish under the class they arrived with, including those with an
+// idempotency key. An invalid configuration changes nothing.
 func TestReconfigureUnderLoad(t *testing.T) {
 	vm, _, release := startInterpreter(t)
 	defer release()
@@ -168,11 +168,11 @@
 	defer debug.SetMemoryLimit(debug.SetMemoryLimit(-1))
 	cfgs, errs := make(chan settings.Config, 8), make(chan error, 8)
 	load := func() (settings.Config, error) { return <-cfgs, <-errs }
-	signals, out, done := Signals{make(chan os.Signal, 1), make(chan os.Signal, 8)}, &output{}, make(chan error, 1)
-	sheet := silverpath.Class{Name: "oddaja", Objective: 10 * time.Second, Deadline: 30 * time.Second, Weight: 1,
+	signals, out, done := Signals{make(chan os.Signal, 1), make(chan os.Signal, 8)}, &logBuffer{}, make(chan error, 1)
+	keyedClass := silverpath.Class{Name: "oddaja", Objective: 10 * time.Second, Deadline: 30 * time.Second, Weight: 1,
 		Effect: silverpath.Idempotent, IdempotencyWindow: 20 * time.Second}
 	cfg := config(vm)
-	cfg.Server.Classes = append(cfg.Server.Classes, sheet)
+	cfg.Server.Classes = append(cfg.Server.Classes, keyedClass)
 	cfg.StopTimeout = 3 * time.Second
 	cfgs <- cfg
 	errs <- nil
@@ -183,7 +183,7 @@
 	}
 	out.await(t, "phase serving")
 	id := 0
-	ask := func(class, key, body string) peer {
+	sendRequest := func(class, key, body string) peer {
 		id++
 		fields := []string{"i", fmt.Sprint("r", id), "s", strconv.FormatInt(time.Now().UnixMilli(), 10), "d", "30000", "m", "1"}
 		if key != "" {
@@ -191,45 +191,45 @@
 		}
 		return dial(t, addr, msgpackrpc.AppendRequest(nil, 1, class, []byte(body), fields...))
 	}
-	expect := func(what string, p peer, fault, body string) {
+	expect := func(name string, p peer, wantError, wantBody string) {
 		t.Helper()
 		r, err := msgpackrpc.ReadReply(bufio.NewReader(p))
-		if err != nil || r.Error != fault || string(r.Body) != body {
-			t.Errorf("%s: %+v, %v", what, r, err)
+		if err != nil || r.Error != wantError || string(r.Body) != wantBody {
+			t.Errorf("%s: got reply %+v, error %v", name, r, err)
 		}
 	}
-	held, sent := ask("krog", "", "hold1"), ask("oddaja", "k", "hold2")
-	expect("before", ask("krog", "", "a"), "", "A")
+	heldRequest, keyedRequest := sendRequest("krog", "", "hold1"), sendRequest("oddaja", "k", "hold2")
+	expect("before the reload", sendRequest("krog", "", "a"), "", "A")
 
 	next := cfg
-	next.Server.Classes = []silverpath.Class{{Name: "krog-next", Objective: time.Second, Deadline: 5 * time.Second, Weight: 1}, sheet}
+	next.Server.Classes = []silverpath.Class{{Name: "krog-next", Objective: time.Second, Deadline: 5 * time.Second, Weight: 1}, keyedClass}
 	next.Server.Classes[1].Name = "oddaja-next"
 	cfgs <- next
 	errs <- nil
 	signals.Others <- syscall.SIGHUP
 	out.await(t, "reload: settings: taken up, classes krog-next, oddaja-next")
-	expect("the new class", ask("krog-next", "", "b"), "", "B")
-	expect("the dropped class", ask("krog", "", "c"), "Full", "")
-	again := ask("oddaja-next", "k", "hold2")
+	expect("the new class", sendRequest("krog-next", "", "b"), "", "B")
+	expect("the dropped class", sendRequest("krog", "", "c"), "Full", "")
+	keyedRetry := sendRequest("oddaja-next", "k", "hold2")
 
 	bad := next
 	bad.Server.Classes = nil
-	for _, b := range []struct {
+	for _, invalid := range []struct {
 		cfg settings.Config
 		err error
 	}{{bad, nil}, {settings.Config{}, errors.New("settings.classes[0].deadline: not a number above 0")}} {
-		cfgs <- b.cfg
-		errs <- b.err
+		cfgs <- invalid.cfg
+		errs <- invalid.err
 		signals.Others <- syscall.SIGHUP
 	}
 	out.await(t, "reload: the old configuration holds: settings.classes[0].deadline: not a number above 0")
-	expect("after bad files", ask("krog-next", "", "d"), "", "D")
+	expect("after invalid files", sendRequest("krog-next", "", "d"), "", "D")
 	release()
-	expect("a request of the dropped class", held, "", "HOLD1")
-	expect("a sheet of the dropped class", sent, "", "HOLD2")
-	expect("its try under the new name", again, "", "HOLD2")
+	expect("a request of the dropped class", heldRequest, "", "HOLD1")
+	expect("a keyed request of the dropped class", keyedRequest, "", "HOLD2")
+	expect("its retry under the new class name", keyedRetry, "", "HOLD2")
 	signals.Shutdown <- syscall.SIGTERM
-	for _, p := range []peer{held, sent, again} {
+	for _, p := range []peer{heldRequest, keyedRequest, keyedRetry} {
 		p.Close()
 	}
 	if err := <-done; err != nil {
--- a/internal/service/service_test.go
+++ b/internal/service/service_test.go
@@ -29,18 +29,18 @@
 	"silverpath/internal/transport/scgi"
 )
 
-// startInterpreter starts a stand-in that passes every run with the body turned into upper case, but holds back those
-// whose body says so until told. It has two addresses and takes one link after another at either; a run goes on
-// and is started once, whatever its link does.
-func startInterpreter(t *testing.T) (addr, moved string, release func()) {
+// startInterpreter starts a stand-in interpreter that answers every run with its body in upper case. Runs whose body starts with
+// "hold" are answered only after release is called. The stand-in listens on two addresses and serves one link at a time on each. A
+// run starts only once and continues if its link is replaced.
+func startInterpreter(t *testing.T) (addr, secondAddr string, release func()) {
 	t.Helper()
-	held := make(chan struct{})
+	released := make(chan struct{})
 	var mu sync.Mutex
 	var link net.Conn
-	n := 0
+	runs := 0
 	started := map[string]bool{}
-	say := func(conn net.Conn, kind, rest string) {
-		fmt.Fprintf(conn, `{"type":"%s",%s}`+"\n", kind, rest)
+	send := func(conn net.Conn, kind, fields string) {
+		fmt.Fprintf(conn, `{"type":"%s",%s}`+"\n", kind, fields)
 	}
 	serve := func(conn net.Conn) {
 		for s := bufio.NewScanner(conn); s.Scan(); {
@@ -50,9 +50,9 @@
 			switch string(v.GetStringBytes("type")) {
 			case "CONNECT":
 				link = conn
-				say(conn, "BANNER", `"state":"LOADED","took":1`)
+				send(conn, "BANNER", `"state":"LOADED","took":1`)
 			case "TOP":
-				say(conn, "TOPS", `"ref":"`+string(v.GetStringBytes("ref"))+`","gauges":[0,0,0,0]`)
+				send(conn, "TOPS", `"ref":"`+string(v.GetStringBytes("ref"))+`","gauges":[0,0,0,0]`)
 			case "APPLY":
 				if started[job] {
 					break
@@ -61,13 +61,13 @@
 				body, _ := base64.StdEncoding.DecodeString(string(v.GetStringBytes("data")))
 				go func() {
 					if strings.HasPrefix(string(body), "hold") {
-						<-held
+						<-released
 					}
 					mu.Lock()
 					defer mu.Unlock()
-					n++
-					say(link, "VALUE", fmt.Sprintf(`"n":%d,"job":"%s","state":"PASS","took":1,"data":"%s"`,
-						n, job, base64.StdEncoding.EncodeToString(bytes.ToUpper(body))))
+					runs++
+					send(link, "VALUE", fmt.Sprintf(`"n":%d,"job":"%s","state":"PASS","took":1,"data":"%s"`,
+						runs, job, base64.StdEncoding.EncodeToString(bytes.ToUpper(body))))
 				}()
 			}
 			mu.Unlock()
@@ -92,9 +92,10 @@
 			}
 		}()
 	}
-	return addrs[0], addrs[1], sync.OnceFunc(func() { close(held) })
+	return addrs[0], addrs[1], sync.OnceFunc(func() { close(released) })
 }
 
+// config returns the configuration of a server with both fronts on loopback addresses and the interpreter at vm.
 func config(vm string) settings.Config {
 	return settings.Config{
 		Name: "n1", Listen: "127.0.0.1:0", Interpreter: vm, StopTimeout: 20 * time.Second, MemoryMB: 64, Descriptors: 128,
@@ -107,12 +108,13 @@
 	}
 }
 
-// peer is one connection of a stand-in caller.
+// peer is a client connection of a test.
 type peer struct {
 	net.Conn
 	r *bufio.Reader
 }
 
+// dial connects to addr and sends raw.
 func dial(t *testing.T, addr net.Addr, raw []byte) peer {
 	t.Helper()
 	conn, err := net.Dial("tcp", addr.String())
@@ -127,8 +129,8 @@
 	return peer{conn, bufio.NewReader(conn)}
 }
 
-// The whole program on loopback sockets: both fronts serve, the notice to leave is passed on to balancers, what
-// was read is answered, new connections are refused, and the process ends long before it would be stopped.
+// Serves on both fronts over loopback sockets and then drains: load balancers are notified, requests that were read are answered,
+// new connections are refused, and the process ends well before it would be stopped.
 func TestServeAndDrain(t *testing.T) {
 	vm, _, release := startInterpreter(t)
 	defer release()
@@ -137,61 +139,61 @@
 		t.Fatal(err)
 	}
 	if s.drainDelay != 10*time.Second {
-		t.Fatalf("peers are served for %v after the notice, want half of the time to the stop", s.drainDelay)
+		t.Fatalf("drainDelay is %v, want half of the stop timeout", s.drainDelay)
 	}
 	s.drainDelay = 500 * time.Millisecond
-	leave, done := make(chan struct{}), make(chan error, 1)
-	go func() { done <- s.Run(leave) }()
-	platform, second := s.Addrs()[0], s.Addrs()[1]
+	shutdown, done := make(chan struct{}), make(chan error, 1)
+	go func() { done <- s.Run(shutdown) }()
+	rpcAddr, scgiAddr := s.Addrs()[0], s.Addrs()[1]
 
 	now := time.Now().UnixMilli()
 	call := func(id uint64, name, body string) []byte {
 		return msgpackrpc.AppendRequest(nil, id, "krog", []byte(body), "i", name, "s", strconv.FormatInt(now, 10), "d", "30000", "m", "1")
 	}
-	a := dial(t, platform, append(append(msgpackrpc.AppendProbe(nil, 1), call(2, "a1", "fast")...), call(3, "a2", "hold")...))
-	if r, err := msgpackrpc.ReadReply(a.r); err != nil || !r.Healthy {
-		t.Fatalf("probe: %+v, %v", r, err)
+	rpcConn := dial(t, rpcAddr, append(append(msgpackrpc.AppendProbe(nil, 1), call(2, "a1", "fast")...), call(3, "a2", "hold")...))
+	if r, err := msgpackrpc.ReadReply(rpcConn.r); err != nil || !r.Healthy {
+		t.Fatalf("probe: got reply %+v, error %v", r, err)
 	}
-	if r, err := msgpackrpc.ReadReply(a.r); err != nil || r.ID != 2 || string(r.Body) != "FAST" {
-		t.Fatalf("request: %+v, %v", r, err)
+	if r, err := msgpackrpc.ReadReply(rpcConn.r); err != nil || r.ID != 2 || string(r.Body) != "FAST" {
+		t.Fatalf("request: got reply %+v, error %v", r, err)
 	}
-	b := dial(t, second, scgi.AppendRequest(nil, []byte("web"), "PATH_INFO", "/krog"))
-	if r, err := scgi.ReadReply(b.r); err != nil || r.Status != 200 || string(r.Body) != "WEB" {
-		t.Fatalf("SCGI: %+v, %v", r, err)
+	scgiConn := dial(t, scgiAddr, scgi.AppendRequest(nil, []byte("web"), "PATH_INFO", "/krog"))
+	if r, err := scgi.ReadReply(scgiConn.r); err != nil || r.Status != 200 || string(r.Body) != "WEB" {
+		t.Fatalf("SCGI request: got reply %+v, error %v", r, err)
 	}
 
-	late := dial(t, second, nil) // connected before the notice, with a request that comes after it
+	lateConn := dial(t, scgiAddr, nil) // connects before the shutdown signal and sends its request after it
 	for s.connections() < 3 {
 		time.Sleep(time.Millisecond)
 	}
-	close(leave)
-	told := time.Now()
-	fresh := dial(t, platform, nil) // callers don't know yet: they are served
-	if _, err := fresh.Write(call(1, "a3", "more")); err != nil {
+	close(shutdown)
+	shutdownAt := time.Now()
+	newConn := dial(t, rpcAddr, nil) // callers are not notified yet, so their requests are served
+	if _, err := newConn.Write(call(1, "a3", "more")); err != nil {
 		t.Fatal(err)
 	}
-	if r, err := msgpackrpc.ReadReply(fresh.r); err != nil || r.ID != 1 || string(r.Body) != "MORE" {
-		t.Fatalf("a request on a new connection after the notice: %+v, %v", r, err)
+	if r, err := msgpackrpc.ReadReply(newConn.r); err != nil || r.ID != 1 || string(r.Body) != "MORE" {
+		t.Fatalf("request on a new connection after the shutdown signal: got reply %+v, error %v", r, err)
 	}
-	fresh.Close()
-	if r, err := msgpackrpc.ReadReply(a.r); err != nil || r.Notification != "lastCall" {
-		t.Fatalf("in the drain: %+v, %v", r, err)
+	newConn.Close()
+	if r, err := msgpackrpc.ReadReply(rpcConn.r); err != nil || r.Notification != "lastCall" {
+		t.Fatalf("drain notification: got reply %+v, error %v", r, err)
 	}
-	if d := time.Since(told); d < s.drainDelay {
-		t.Fatalf("asked to leave %v after the notice", d)
+	if d := time.Since(shutdownAt); d < s.drainDelay {
+		t.Fatalf("peers were asked to leave %v after the shutdown signal, which is too early", d)
 	}
-	if _, err := late.Write(scgi.AppendRequest(nil, []byte("late"), "PATH_INFO", "/krog")); err != nil {
+	if _, err := lateConn.Write(scgi.AppendRequest(nil, []byte("late"), "PATH_INFO", "/krog")); err != nil {
 		t.Fatal(err)
 	}
-	if r, err := scgi.ReadReply(late.r); err != nil || r.Status != 200 || string(r.Body) != "LATE" {
-		t.Fatalf("an SCGI request in the drain: %+v, %v", r, err)
+	if r, err := scgi.ReadReply(lateConn.r); err != nil || r.Status != 200 || string(r.Body) != "LATE" {
+		t.Fatalf("SCGI request during the drain: got reply %+v, error %v", r, err)
 	}
 	release()
-	if r, err := msgpackrpc.ReadReply(a.r); err != nil || r.ID != 3 || string(r.Body) != "HOLD" {
-		t.Fatalf("what was read: %+v, %v", r, err)
+	if r, err := msgpackrpc.ReadReply(rpcConn.r); err != nil || r.ID != 3 || string(r.Body) != "HOLD" {
+		t.Fatalf("request read before the drain: got reply %+v, error %v", r, err)
 	}
-	for { // the address closes soon after the notice
-		conn, err := net.Dial("tcp", platform.String())
+	for { // the address closes soon after the shutdown signal
+		conn, err := net.Dial("tcp", rpcAddr.String())
 		if err != nil {
 			break
 		}
@@ -200,37 +202,37 @@
 	}
 	select {
 	case err := <-done:
-		t.Fatalf("left while a balancer is connected: %v", err)
+		t.Fatalf("Run returned while a load balancer was connected: %v", err)
 	default:
 	}
-	a.Close()
-	b.Close()
-	late.Close()
+	rpcConn.Close()
+	scgiConn.Close()
+	lateConn.Close()
 	if err := <-done; err != nil {
 		t.Fatal(err)
 	}
 	if n := s.Stats().Get("answered", "msgpack", "krog", "served"); n != 3 {
-		t.Errorf("%d served by msgpack, want 3", n)
+		t.Errorf("msgpack served %d requests, want 3", n)
 	}
 	if n := s.Stats().Get("answered", "scgi", "krog", "served"); n != 2 {
-		t.Errorf("%d served by scgi, want 2", n)
+		t.Errorf("scgi served %d requests, want 2", n)
 	}
 }
 
-// output is a log that is waited on.
-type output struct {
+// logBuffer is a log buffer that tests wait on. It is safe for concurrent use.
+type logBuffer struct {
 	mu   sync.Mutex
 	text strings.Builder
 }
 
-func (o *output) Write(b []byte) (int, error) {
+func (o *logBuffer) Write(b []byte) (int, error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.text.Write(b)
 }
 
-// await returns what follows the given text in the log, to the line's end.
-func (o *output) await(t *testing.T, text string) string {
+// await waits until the log contains text and returns the rest of that line.
+func (o *logBuffer) await(t *testing.T, text string) string {
 	t.Helper()
 	for range 30000 {
 		o.mu.Lock()
@@ -241,14 +243,14 @@
 		}
 		time.Sleep(time.Millisecond)
 	}
-	t.Fatalf("the log lacks %q", text)
+	t.Fatalf("%q did not appear in the log", text)
 	return ""
 }
 
-// SIGHUP takes up new addresses while requests run, again and again and in a drain too, and no request is lost
-// by it; a file that is no good leaves the old configuration, and so does what holds only from a start.
+// SIGHUP applies new addresses while requests run, repeatedly and during a drain, and no request is lost. An invalid file leaves
+// the configuration unchanged. A field that takes effect only at a start keeps its value.
 func TestReload(t *testing.T) {
-	vm, moved, release := startInterpreter(t)
+	vm, secondAddr, release := startInterpreter(t)
 	defer release()
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(0))
 	defer debug.SetMemoryLimit(debug.SetMemoryLimit(-1))
@@ -260,7 +262,7 @@
 	cfgs := make(chan settings.Config, 8)
 	errs := make(chan error, 8)
 	load := func() (settings.Config, error) { return <-cfgs, <-errs }
-	signals, out, done := Signals{make(chan os.Signal, 1), make(chan os.Signal, 8)}, &output{}, make(chan error, 1)
+	signals, out, done := Signals{make(chan os.Signal, 1), make(chan os.Signal, 8)}, &logBuffer{}, make(chan error, 1)
 	reload := func(c settings.Config, err error) {
 		cfgs <- c
 		errs <- err
@@ -280,43 +282,43 @@
 			"s", strconv.FormatInt(time.Now().UnixMilli(), 10), "d", "30000", "m", "1")
 	}
 	out.await(t, "phase serving")
-	a := dial(t, addr, append(call(1, "hold1"), call(2, "quick1")...))
+	conn := dial(t, addr, append(call(1, "hold1"), call(2, "quick1")...))
 	expect := func(id uint64, body string) {
 		t.Helper()
 		for {
-			r, err := msgpackrpc.ReadReply(a.r)
+			r, err := msgpackrpc.ReadReply(conn.r)
 			if err == nil && r.Notification != "" {
 				continue
 			}
 			if err != nil || r.ID != id || string(r.Body) != body {
-				t.Fatalf("%+v, %v, want %s", r, err, body)
+				t.Fatalf("got reply %+v, error %v; want body %s", r, err, body)
 			}
 			return
 		}
 	}
 	expect(2, "QUICK1")
 
-	reload(settings.Config{}, errors.New("vm: no good"))
-	out.await(t, "reload: the old configuration holds: vm: no good")
+	reload(settings.Config{}, errors.New("vm: invalid address"))
+	out.await(t, "reload: the old configuration holds: vm: invalid address")
 	next := cfg
-	next.Interpreter, next.Announce, next.Descriptors = moved, reports.LocalAddr().String(), 64
+	next.Interpreter, next.Announce, next.Descriptors = secondAddr, reports.LocalAddr().String(), 64
 	reload(next, nil)
 	out.await(t, "reload: limits: differs, and holds only from the next start")
-	out.await(t, "interpreter moved from "+vm+" to "+moved)
-	b := make([]byte, 64)
+	out.await(t, "interpreter moved from "+vm+" to "+secondAddr)
+	report := make([]byte, 64)
 	if err := reports.SetReadDeadline(time.Now().Add(30 * time.Second)); err != nil {
 		t.Fatal(err)
 	}
-	if n, _, err := reports.ReadFrom(b); err != nil || string(b[:n]) != "announce n1 true" {
-		t.Fatalf("report %q, %v", b[:n], err)
+	if n, _, err := reports.ReadFrom(report); err != nil || string(report[:n]) != "announce n1 true" {
+		t.Fatalf("got load report %q, error %v", report[:n], err)
 	}
-	a.Write(call(3, "quick2"))
+	conn.Write(call(3, "quick2"))
 	expect(3, "QUICK2")
-	for range 3 { // in quick succession, there and back
+	for range 3 { // change the address and change it back in quick succession
 		reload(cfg, nil)
 		reload(next, nil)
 	}
-	a.Write(call(4, "quick3"))
+	conn.Write(call(4, "quick3"))
 	expect(4, "QUICK3")
 
 	signals.Shutdown <- syscall.SIGTERM
@@ -324,13 +326,13 @@
 	reload(cfg, nil)
 	release()
 	expect(1, "HOLD1")
-	a.Close()
+	conn.Close()
 	if err := <-done; err != nil {
 		t.Fatal(err)
 	}
 }
 
-// An address that is taken is one plain error that names the field.
+// An address in use is reported as a single-line error that starts with the configuration field.
 func TestListenAddressTaken(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -346,49 +348,49 @@
 		}
 		_, err := New(c, log.New(io.Discard, "", 0))
 		if err == nil || !strings.HasPrefix(err.Error(), field+": ") || strings.Contains(err.Error(), "\n") {
-			t.Errorf("error %v, want one with the field %s", err, field)
+			t.Errorf("got error %v, want a single line that starts with %s", err, field)
 		}
 	}
 }
 
-// The shares of the descriptors never add up to more than there are.
+// The descriptor budget never exceeds the limit, for one process and for the two processes of a hot restart.
 func TestBudget(t *testing.T) {
-	for _, sockets := range []int{64, 128, 1024} {
+	for _, descriptors := range []int{64, 128, 1024} {
 		for _, c := range []settings.Config{{Listen: "x", Vault: "x", Interpreter: "x"}, config("x"),
 			{SCGI: settings.SCGI{Listen: "x", Upstream: "x"}}, {Listen: "x", Vault: "x", SCGI: settings.SCGI{Listen: "x", Upstream: "x"}}} {
-			c.Descriptors = sockets
+			c.Descriptors = descriptors
 			b := descriptorBudget(c)
-			if sum := b.RPC + b.SCGI + b.Vault + b.Upstream; sum > sockets-reservedDescriptors {
-				t.Errorf("%d descriptors: %+v", sockets, b)
+			if sum := b.RPC + b.SCGI + b.Vault + b.Upstream; sum > descriptors-reservedDescriptors {
+				t.Errorf("budget for %d descriptors exceeds them: %+v", descriptors, b)
 			}
-			// Two processes: one with all, before it has given up its share, and one that opens its own files.
+			// Hot restart: the predecessor still has all its connections while the successor opens its own descriptors.
 			c.Admin, c.ListenFD = "x", 7
 			b = descriptorBudget(c)
-			if sum := b.RPC + b.SCGI + 2*(b.Vault+b.Upstream+reservedDescriptors+admin.ConnectionLimit(sockets)); sum > sockets || b.RPC+b.SCGI < 8 {
-				t.Errorf("%d descriptors of two: %+v", sockets, b)
+			if sum := b.RPC + b.SCGI + 2*(b.Vault+b.Upstream+reservedDescriptors+admin.ConnectionLimit(descriptors)); sum > descriptors || b.RPC+b.SCGI < 8 {
+				t.Errorf("budget of two processes for %d descriptors exceeds them, or clients get fewer than 8: %+v", descriptors, b)
 			}
 		}
 	}
 }
 
-// SIGHUP takes new shares up while runs go on, keeps the old ones where the new are no good, and says which; the rest of an
-// edge file waits for the next start.
+// A reload applies new pools while requests run, and keeps the old pools and logs the invalid field if the new ones are invalid.
+// Other changes of the edge file are logged and take effect only at the next start.
 func TestReloadOfPools(t *testing.T) {
 	vm, _, release := startInterpreter(t)
 	defer release()
 	cfg := config(vm)
 	cfg.Edge = settings.Edge{On: true, Status: true, Reserve: &admission.ReserveConfig{}, Pools: admission.Config{
 		Pools: []admission.Pool{{Name: "rounds", Classes: []string{"krog"}, Weight: 1, Floor: 0.5}}}}
-	var out lines
+	var out syncBuffer
 	s, err := New(cfg, log.New(&out, "", 0))
 	if err != nil {
 		t.Fatal(err)
 	}
-	leave, done := make(chan struct{}), make(chan error, 1)
+	shutdown, done := make(chan struct{}), make(chan error, 1)
 	s.drainDelay = 0
-	go func() { done <- s.Run(leave) }()
+	go func() { done <- s.Run(shutdown) }()
 	now := strconv.FormatInt(time.Now().UnixMilli(), 10)
-	a := dial(t, s.Addrs()[0], msgpackrpc.AppendRequest(nil, 1, "krog", []byte("hold"), "i", "a1", "s", now, "d", "30000", "m", "1"))
+	conn := dial(t, s.Addrs()[0], msgpackrpc.AppendRequest(nil, 1, "krog", []byte("hold"), "i", "a1", "s", now, "d", "30000", "m", "1"))
 	for s.stats.Get("read", "msgpack", "krog") == 0 {
 		time.Sleep(time.Millisecond)
 	}
@@ -406,40 +408,40 @@
 	text := out.String()
 	for _, want := range []string{"reload: pools: taken up", "reload: the old pools hold: pools[0].floor", "reload: edge: differs"} {
 		if !strings.Contains(text, want) {
-			t.Errorf("%q is not in the log: %s", want, text)
+			t.Errorf("log does not contain %q: %s", want, text)
 		}
 	}
 	release()
-	if r, err := msgpackrpc.ReadReply(a.r); err != nil || string(r.Body) != "HOLD" {
-		t.Errorf("the run that went on: %+v, %v", r, err)
+	if r, err := msgpackrpc.ReadReply(conn.r); err != nil || string(r.Body) != "HOLD" {
+		t.Errorf("request that ran during the reloads: got reply %+v, error %v", r, err)
 	}
 	for deadline := time.Now().Add(20 * time.Second); ; time.Sleep(time.Millisecond) {
 		if v := s.core.View().Pools; v != nil && len(v.Pools) == 2 && v.Pools[0].Weight == 5 {
 			break
 		} else if time.Now().After(deadline) {
-			t.Fatalf("the pools are %+v", v)
+			t.Fatalf("new pools were not applied: got %+v", v)
 		}
 	}
-	a.Close()
-	close(leave)
+	conn.Close()
+	close(shutdown)
 	if err := <-done; err != nil {
 		t.Fatal(err)
 	}
 }
 
-// lines is a log that may be read while it is written.
-type lines struct {
+// syncBuffer is a log buffer that can be read while the service writes to it.
+type syncBuffer struct {
 	mu sync.Mutex
 	b  bytes.Buffer
 }
 
-func (l *lines) Write(b []byte) (int, error) {
+func (l *syncBuffer) Write(b []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.b.Write(b)
 }
 
-func (l *lines) String() string {
+func (l *syncBuffer) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.b.String()
--- a/internal/service/start_test.go
+++ b/internal/service/start_test.go
@@ -14,20 +14,21 @@
 	"silverpath/internal/settings"
 )
 
-// program runs Main with the given configuration. It returns what is told to it, its log, and its end.
-func program(t *testing.T, load func() (settings.Config, error)) (Signals, *output, <-chan error) {
+// startMain runs Main with the given load function. It returns the channels for its signals, its log, and a channel with its result.
+func startMain(t *testing.T, load func() (settings.Config, error)) (Signals, *logBuffer, <-chan error) {
 	t.Helper()
 	limit, procs := debug.SetMemoryLimit(-1), runtime.GOMAXPROCS(0)
 	t.Cleanup(func() {
 		debug.SetMemoryLimit(limit)
 		runtime.GOMAXPROCS(procs)
 	})
-	signals, out, done := Signals{make(chan os.Signal, 1), make(chan os.Signal, 8)}, &output{}, make(chan error, 1)
+	signals, out, done := Signals{make(chan os.Signal, 1), make(chan os.Signal, 8)}, &logBuffer{}, make(chan error, 1)
 	go func() { done <- Main(load, signals, out, Hooks{}) }()
 	return signals, out, done
 }
 
-func taken(t *testing.T) net.Listener {
+// occupyAddress returns a listener that occupies a loopback address.
+func occupyAddress(t *testing.T) net.Listener {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -37,15 +38,15 @@
 	return ln
 }
 
-// A process whose addresses the one before it still has waits for them, one after the other, and then serves.
+// A start whose addresses are still held by the previous process waits for each of them in turn, and then serves.
 func TestStartsOnceAddressesAreFree(t *testing.T) {
 	vm, _, release := startInterpreter(t)
 	defer release()
-	first, second, third := taken(t), taken(t), taken(t)
+	first, second, third := occupyAddress(t), occupyAddress(t), occupyAddress(t)
 	cfg := config(vm)
 	cfg.StopTimeout = time.Second
 	cfg.Listen, cfg.SCGI.Listen, cfg.Admin = first.Addr().String(), second.Addr().String(), third.Addr().String()
-	signals, out, done := program(t, func() (settings.Config, error) { return cfg, nil })
+	signals, out, done := startMain(t, func() (settings.Config, error) { return cfg, nil })
 	for _, ln := range []net.Listener{first, second, third} {
 		out.await(t, "an address is taken, tried again for ")
 		out.await(t, "listen tcp "+ln.Addr().String())
@@ -58,58 +59,59 @@
 	}
 }
 
-// The notice to leave holds while a start waits for its addresses.
+// A shutdown signal interrupts a start that waits for its addresses.
 func TestShutdownDuringStart(t *testing.T) {
 	cfg := config("127.0.0.1:1")
-	cfg.Listen = taken(t).Addr().String()
-	signals, out, done := program(t, func() (settings.Config, error) { return cfg, nil })
+	cfg.Listen = occupyAddress(t).Addr().String()
+	signals, out, done := startMain(t, func() (settings.Config, error) { return cfg, nil })
 	out.await(t, "an address is taken")
 	signals.Shutdown <- syscall.SIGTERM
-	if err := <-done; err != nil || !strings.Contains(out.said(), "told to leave: terminated") || strings.Contains(out.said(), "listening on") {
-		t.Fatalf("%v:\n%s", err, out.said())
+	if err := <-done; err != nil || !strings.Contains(out.contents(), "told to leave: terminated") || strings.Contains(out.contents(), "listening on") {
+		t.Fatalf("Main returned %v, log:\n%s", err, out.contents())
 	}
 }
 
-// A reload that does not end, and others that wait behind it, hold no notice to leave back. A second notice changes nothing,
-// and a reload in a drain is taken up.
+// A reload that blocks, with more reloads queued behind it, does not delay the shutdown signal. A second shutdown signal has no
+// effect, and a reload during the drain is applied.
 func TestShutdownDuringReload(t *testing.T) {
 	vm, _, release := startInterpreter(t)
 	defer release()
 	cfg := config(vm)
 	cfg.StopTimeout = 5 * time.Second
 	cfg.Server.DrainGrace = time.Second
-	loads, going := make(chan error), make(chan bool, 20)
-	begun := false
-	signals, out, done := program(t, func() (settings.Config, error) {
-		if !begun {
-			begun = true
+	loadResults, loadStarted := make(chan error), make(chan bool, 20)
+	started := false
+	signals, out, done := startMain(t, func() (settings.Config, error) {
+		if !started {
+			started = true
 			return cfg, nil
 		}
-		going <- true
-		return cfg, <-loads
+		loadStarted <- true
+		return cfg, <-loadResults
 	})
 	out.await(t, "phase serving")
 	for range 9 {
 		signals.Others <- syscall.SIGHUP
 	}
-	<-going // the first reload does not end, the others fill what there is for signals
+	<-loadStarted // the first reload blocks, the others fill the signal channel
 	signals.Shutdown <- syscall.SIGTERM
 	out.await(t, "phase draining")
 	signals.Shutdown <- syscall.SIGTERM
-	loads <- errors.New("too late")
-	out.await(t, "the old configuration holds: too late")
-	<-going
-	loads <- nil
+	loadResults <- errors.New("load failed")
+	out.await(t, "the old configuration holds: load failed")
+	<-loadStarted
+	loadResults <- nil
 	out.await(t, "reload: done")
 	if err := <-done; err != nil {
 		t.Fatal(err)
 	}
-	if n := strings.Count(out.said(), "told to leave"); n != 1 {
-		t.Errorf("told to leave %d times", n)
+	if n := strings.Count(out.contents(), "told to leave"); n != 1 {
+		t.Errorf("shutdown was logged %d times, want once", n)
 	}
 }
 
-func (o *output) said() string {
+// contents returns the log written so far.
+func (o *logBuffer) contents() string {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.text.String()
