--- a/internal/service/pools.go
+++ b/internal/service/pools.go
@@ -13,7 +13,7 @@
 		s.settingsMu.Lock()
 		defer s.settingsMu.Unlock()
 		if !s.cfg.Edge.PoolsOn() {
-			return errors.New("this server has no pools configured")
+			return errors.New("this server has no pools")
 		}
 		_, err := settings.ParsePools(text, s.cfg.Server)
 		return err
