--- a/internal/controlplane/runner/leases.go
+++ b/internal/controlplane/runner/leases.go
@@ -10,15 +10,16 @@
 )
 
 const (
-	// leaseInterval is the pause between two looks at a lease: short beside a sixth of a lease, by which requests are made.
+	// leaseInterval is the interval of lease checks. It is short compared to a sixth of a lease, the interval of renewals.
 	leaseInterval = 20 * time.Millisecond
-	// releaseGrace is how long a runner that ends waits for its duties to be released. A release that is lost costs a lease.
+	// releaseGrace is how long a stopping runner waits for the release of its duties. If the release is lost, the duty stays
+	// without a holder until the lease expires.
 	releaseGrace = requestTimeout / 2
-	// answerQueueLength bounds answers of the group that wait: more than can be asked for in requestTimeout.
+	// answerQueueLength bounds the queue of the group's answers. It exceeds the number of requests in requestTimeout.
 	answerQueueLength = 16
 )
 
-// leaseAnswer is the group's answer to a request.
+// leaseAnswer is the group's answer to a lease request.
 type leaseAnswer struct {
 	requestedAt time.Duration
 	request     lease.Request
@@ -26,74 +27,77 @@
 	refused     bool
 }
 
-// holds reports whether the duty is held now, and by which epoch.
+// holds returns the epoch of the lease and whether this process holds the duty now.
 func (d *duty) holds() (lease.Epoch, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.holder.Holds(d.clock())
 }
 
-// beginAction reports whether the duty is still held; then it is not released to a successor before endAction.
+// beginAction reports whether this process still holds the duty. If so, the duty is not released to a successor before
+// endAction is called.
 func (d *duty) beginAction() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	_, d.acting = d.holder.Holds(d.clock())
-	return d.acting
+	_, d.actionInProgress = d.holder.Holds(d.clock())
+	return d.actionInProgress
 }
 
 func (d *duty) endAction() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.acting = false
+	d.actionInProgress = false
 }
 
-// release lets the duty go; with requeue the process waits for it again.
+// release releases the duty. With requeue the process applies for it again.
 func (d *duty) release(requeue bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.holder.Release(d.clock(), requeue)
 }
 
-// leaseStep is what a look at a lease came to.
+// leaseStep is the state of a lease after a check, and the request that is due.
 type leaseStep struct {
-	now     time.Duration
-	state   lease.HolderState
-	epoch   lease.Epoch
-	holds   bool
-	request lease.Request // to be made now, if due
-	due     bool
-	lostAgo time.Duration // since when the duty is not held
+	now       time.Duration
+	state     lease.HolderState
+	epoch     lease.Epoch
+	holds     bool
+	request   lease.Request // valid if due
+	due       bool
+	sinceLost time.Duration // time since the lease was lost
 }
 
-// lookAtLease releases a duty that is to go to a successor, between two actions, and returns what to ask of the group.
-func (d *duty) lookAtLease() (s leaseStep) {
+// checkLease returns the state of the lease and the request that is due. It first releases the duty if a transfer to a
+// successor was requested and no action is in progress.
+func (d *duty) checkLease() (s leaseStep) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	s.now = d.clock()
 	s.state = d.holder.State(s.now)
-	if s.state == lease.Holding && d.holder.TransferRequested() && !d.acting {
+	if s.state == lease.Holding && d.holder.TransferRequested() && !d.actionInProgress {
 		d.holder.Release(s.now, true)
 	}
 	s.epoch, s.holds = d.holder.Holds(s.now)
 	s.request, s.due = d.holder.NextRequest(s.now)
-	s.lostAgo = s.now - d.holder.LostAt()
+	s.sinceLost = s.now - d.holder.LostAt()
 	return s
 }
 
-// keepLease keeps the lease, whatever the duty's work waits for. When the context ends the duty is released, within releaseGrace.
-func (d *duty) keepLease(ctx context.Context) {
+// maintainLease acquires and renews the lease independently of the duty's work. When the context ends it releases the duty,
+// waiting at most releaseGrace.
+func (d *duty) maintainLease(ctx context.Context) {
 	answers := make(chan leaseAnswer, answerQueueLength)
 	tick := time.NewTicker(leaseInterval)
 	defer tick.Stop()
-	wasHeld, ending := false, ctx.Done()
-	graceOver := make(<-chan time.Time)
+	previouslyHeld, stopRequested := false, ctx.Done()
+	graceExpired := make(<-chan time.Time)
 	for {
 		select {
-		case <-ending:
-			ending = nil
+		case <-stopRequested:
+			stopRequested = nil
 			d.release(false)
-			graceOver = time.After(releaseGrace)
-		case <-graceOver:
+			graceExpired = time.After(releaseGrace)
+		case <-graceExpired:
 			return
 		case a := <-answers:
 			d.mu.Lock()
@@ -101,12 +105,12 @@
 			d.mu.Unlock()
 		case <-tick.C:
 		}
-		s := d.lookAtLease()
-		if s.holds != wasHeld {
-			wasHeld = s.holds
-			d.logHolding(s)
+		s := d.checkLease()
+		if s.holds != previouslyHeld {
+			previouslyHeld = s.holds
+			d.logOwnership(s)
 		}
-		if s.state == lease.Stopped && ending == nil {
+		if s.state == lease.Stopped && stopRequested == nil {
 			return
 		}
 		if s.due {
@@ -115,27 +119,27 @@
 	}
 }
 
-// logHolding logs that the duty has come to be held, or is not held any more.
-func (d *duty) logHolding(s leaseStep) {
-	event, line := "duty.owned", d.log.Info()
-	if !s.holds { // on a loaded machine, or after a stop, it may be noticed late
-		event, line = "duty.lost", line.Dur("ago", s.lostAgo)
+// logOwnership logs and counts that this process has acquired or lost the duty.
+func (d *duty) logOwnership(s leaseStep) {
+	event, entry := "duty.owned", d.log.Info()
+	if !s.holds { // a loaded machine or a suspended process notices the loss late
+		event, entry = "duty.lost", entry.Dur("ago", s.sinceLost)
 	}
-	line.Str("event", event).Stringer("epoch", s.epoch).Send()
+	entry.Str("event", event).Stringer("epoch", s.epoch).Send()
 	d.cfg.Stats.Inc(strings.ReplaceAll(event, ".", "_"), d.name)
 }
 
-// requestLease makes a request about the lease. It ends with the answer, or requestTimeout: then the lease runs out by itself. It does not
-// end with the runner's context, as the release is asked for after that.
-func (d *duty) requestLease(now time.Duration, request lease.Request, answers chan<- leaseAnswer) {
-	asking, cancel := context.WithTimeout(context.Background(), requestTimeout)
+// requestLease sends a lease request to the group and queues the answer. Without an answer within requestTimeout the lease
+// expires by itself. The request does not use the runner's context, because the release is sent after that context ends.
+func (d *duty) requestLease(requestedAt time.Duration, request lease.Request, answers chan<- leaseAnswer) {
+	requestCtx, cancel := context.WithTimeout(context.Background(), requestTimeout)
 	defer cancel()
-	r, err := d.cfg.Group.Do(asking, statemachine.Command{Lease: &request})
+	r, err := d.cfg.Group.Do(requestCtx, statemachine.Command{Lease: &request})
 	if err != nil || r.Duty == nil {
 		return
 	}
 	select {
-	case answers <- leaseAnswer{now, request, *r.Duty, r.Error != ""}:
-	default: // as if it were lost
+	case answers <- leaseAnswer{requestedAt, request, *r.Duty, r.Error != ""}:
+	default: // the queue is full: treated like a lost answer
 	}
 }
--- a/internal/controlplane/runner/leases_test.go
+++ b/internal/controlplane/runner/leases_test.go
@@ -23,7 +23,7 @@
 	if !d.beginAction() {
 		t.Fatal("no action begins with a lease")
 	}
-	if s := d.lookAtLease(); !s.holds {
+	if s := d.checkLease(); !s.holds {
 		t.Error("the duty is released in the middle of an action")
 	}
 	r.startedAt = r.startedAt.Add(-time.Second) // a second passes
--- a/internal/controlplane/runner/monitor.go
+++ b/internal/controlplane/runner/monitor.go
@@ -14,26 +14,26 @@
 )
 
 const (
-	reportInterval = time.Second        // between two questions to all routers
-	maxReportAge   = 3 * reportInterval // two reports in a row may be lost
+	reportInterval = time.Second        // between polls of all routers
+	maxReportAge   = 3 * reportInterval // tolerates the loss of two consecutive reports
 )
 
-// pollRouters asks the routers for what they know of the servers and for the weight that they were asked for and served, until the
+// pollRouters polls the routers for the health of the servers and for their requested and served weighted load, until the
 // context ends.
 func (r *Runner) pollRouters(ctx context.Context) {
 	for ctx.Err() == nil {
-		var all sync.WaitGroup
+		var polls sync.WaitGroup
 		for _, router := range r.cfg.Set.Routers {
-			all.Go(func() { r.pollRouter(router) })
+			polls.Go(func() { r.pollRouter(router) })
 		}
-		all.Wait()
-		pause(ctx, reportInterval)
+		polls.Wait()
+		sleep(ctx, reportInterval)
 	}
 }
 
-// pollRouter asks one router, and notes its answer; one that does not answer has reported nothing.
+// pollRouter polls one router and records its report. Without a valid answer nothing is recorded.
 func (r *Runner) pollRouter(router string) {
-	at := r.clock()
+	requestedAt := r.clock()
 	body, err := client.Status(client.Platform, router)
 	if err != nil {
 		return
@@ -43,7 +43,7 @@
 		return
 	}
 	fleet := v.Get("fleet")
-	report := controller.HealthReport{Router: router, RequestedAt: at, Dead: map[string]bool{}}
+	report := controller.HealthReport{Router: router, RequestedAt: requestedAt, Dead: map[string]bool{}}
 	for _, s := range fleet.GetArray("servers") {
 		report.Dead[string(s.GetStringBytes("name"))] = string(s.GetStringBytes("health")) == "dead"
 	}
@@ -53,22 +53,23 @@
 	r.loads[router] = controller.WeightedLoad{Requested: fleet.GetFloat64("worth_asked"), Served: fleet.GetFloat64("worth_served")}
 }
 
-// reportDeadServers logs verdicts that have changed, and queues a request to the placement duty for each server that is dead.
-func (d *duty) reportDeadServers(paused bool) error {
-	verdicts, before, mapVersion := d.lookAtVerdicts()
+// reportVerdicts logs each changed verdict and submits a removal request to the placement duty for each server that has
+// become dead. While the duty is paused it submits none.
+func (d *duty) reportVerdicts(paused bool) error {
+	verdicts, previous, mapVersion := d.updateVerdicts()
 	for _, name := range controller.SortedServers(verdicts) {
 		verdict := verdicts[name]
-		if verdict != before[name] && (verdict != controller.Alive || before != nil) {
-			// monitor.alive, monitor.partly, monitor.unsure, monitor.dying or monitor.dead
+		if verdict != previous[name] && (verdict != controller.Alive || previous != nil) {
+			// The event is monitor.alive, monitor.partly, monitor.unsure, monitor.dying or monitor.dead.
 			d.log.Info().Str("event", "monitor."+string(verdict)).Str("server", name).Send()
 		}
-		id, gone, ok := controller.GoneRequest(name, mapVersion, verdict, d.cfg.Set.DeadAfter)
-		if !ok || paused || before[name] == verdict {
+		id, removal, ok := controller.GoneRequest(name, mapVersion, verdict, d.cfg.Set.DeadAfter)
+		if !ok || paused || previous[name] == verdict {
 			continue
 		}
-		if err := d.submitGone(id, gone); err != nil {
+		if err := d.submitRemoval(id, removal); err != nil {
 			d.Runner.mu.Lock()
-			d.verdicts = nil // submitted again with the next look
+			d.verdicts = nil // the next check submits all removal requests again
 			d.Runner.mu.Unlock()
 			return err
 		}
@@ -76,26 +77,26 @@
 	return nil
 }
 
-// lookAtVerdicts returns the verdicts now and those of the look before, nil at the first.
-func (r *Runner) lookAtVerdicts() (now, before map[string]controller.Verdict, mapVersion int) {
+// updateVerdicts returns the current verdicts, those of the previous check (nil at the first) and the version of the map.
+func (r *Runner) updateVerdicts() (now, previous map[string]controller.Verdict, mapVersion int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var names []string
 	for _, s := range r.servers {
 		names = append(names, s.Name)
 	}
-	now, before = r.monitor.Verdicts(names, r.clock()), r.verdicts
+	now, previous = r.monitor.Verdicts(names, r.clock()), r.verdicts
 	r.verdicts = now
-	return now, before, r.mapVersion
+	return now, previous, r.mapVersion
 }
 
-func (d *duty) submitGone(id string, gone controller.ServerGone) error {
-	args, err := json.Marshal(gone)
+func (d *duty) submitRemoval(id string, removal controller.ServerGone) error {
+	args, err := json.Marshal(removal)
 	if err != nil {
 		return err
 	}
-	asking, cancel := context.WithTimeout(context.Background(), requestTimeout)
+	requestCtx, cancel := context.WithTimeout(context.Background(), requestTimeout)
 	defer cancel()
-	_, err = d.cfg.Group.Do(asking, statemachine.Command{Submit: &statemachine.SubmitItem{Duty: controller.PlacementDuty, ID: id, Kind: controller.KindGone, Args: args}})
+	_, err = d.cfg.Group.Do(requestCtx, statemachine.Command{Submit: &statemachine.SubmitItem{Duty: controller.PlacementDuty, ID: id, Kind: controller.KindGone, Args: args}})
 	return err
 }
--- a/internal/controlplane/runner/placement.go
+++ b/internal/controlplane/runner/placement.go
@@ -10,24 +10,24 @@
 	"silverpath/internal/settings"
 )
 
-// After maxPutFailures failures in a row to publish a version its place is withdrawn, and the change is planned anew for a later time. Found by
-// trial; raising it has a folder that can't be written hold up the duty for longer.
+// maxPutFailures is the number of consecutive failures to publish a version after which the version is withdrawn and the
+// change is planned again for a later time. A higher value lets an unwritable folder block the duty for longer.
 const maxPutFailures = 20
 
 var codec = controller.Codec{Format: settings.FormatCells, Parse: settings.ParseCells}
 
-// readPublished reads the map that routers can read, and notes its servers. A version that is no good beside a good one is passed over.
+// readPublished reads the map that routers see and records its servers. An invalid version is skipped if a valid one exists.
 func (d *duty) readPublished() (controller.PublishedMap, error) {
 	m, raw, err := d.maps.Head()
 	if m == nil {
 		return controller.PublishedMap{}, err
 	}
-	d.noteServers(m)
+	d.recordServers(m)
 	return controller.PublishedMap{Map: m, Raw: raw}, nil
 }
 
-// noteServers notes the servers of the map that is in force, for probes and verdicts.
-func (r *Runner) noteServers(m *cells.Map) {
+// recordServers records the servers of the published map, for probes and health verdicts.
+func (r *Runner) recordServers(m *cells.Map) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.servers, r.mapVersion = nil, m.Version
@@ -39,11 +39,12 @@
 	}
 }
 
-// decidePlacement asks for the next step of a change of the map. While the duty is paused, what is under way is finished. A clock that
-// differs from the leader's by more than the map allows is errClock.
+// decidePlacement returns the placement controller's next action. While the duty is paused, a change that has started is
+// still finished and no queued one begins. It returns errClock if this process's clock differs from the leader's by more
+// than the map allows.
 func (d *duty) decidePlacement(j *controller.Journal, published controller.PublishedMap, epoch lease.Epoch, paused bool, clockOffset time.Duration) (controller.Action, error) {
-	it := j.Current()
-	if paused && (it == nil || it.State == controller.Queued) {
+	item := j.Current()
+	if paused && (item == nil || item.State == controller.Queued) {
 		return controller.Action{}, nil
 	}
 	if m := published.Map; m != nil && clockOffset > m.MaxClockSkew {
@@ -53,8 +54,8 @@
 	if published.HighestVersion, err = d.maps.HighestVersion(); err != nil {
 		return controller.Action{}, err
 	}
-	if it != nil && it.State == controller.Intended {
-		if plan, err := settings.ParseCells([]byte(it.Plan)); err == nil { // one that can't be read is the controller's to give up
+	if item != nil && item.State == controller.Intended {
+		if plan, err := settings.ParseCells([]byte(item.Plan)); err == nil { // the controller fails an item with an unreadable plan
 			if published.Occupant, err = d.maps.Read(plan.Version); err != nil {
 				return controller.Action{}, err
 			}
--- a/internal/controlplane/runner/rollout.go
+++ b/internal/controlplane/runner/rollout.go
@@ -17,26 +17,26 @@
 )
 
 const (
-	commandTimeout = 3 * time.Second        // of a command to a server, which stores it before it answers
-	probeInterval  = 200 * time.Millisecond // between two looks at which servers are to be probed
-	probeTimeout   = time.Second            // of a probe; a server has one under way at most
-	loadInterval   = time.Second            // between two looks at what was served
+	commandTimeout = 3 * time.Second        // of a command to a server, which persists it before it answers
+	probeInterval  = 200 * time.Millisecond // between rounds of readiness probes
+	probeTimeout   = time.Second            // of a probe; each server has at most one in progress
+	loadInterval   = time.Second            // between samples of the requested and served load
 )
 
-// decideRollout asks for the next step of a rollout. A pause of the duty pauses a rollout that is under way.
+// decideRollout returns the rollout controller's next action. A pause of the duty also pauses an active rollout.
 func (d *duty) decideRollout(j *controller.Journal, epoch lease.Epoch, paused bool) controller.Action {
-	it := j.Current()
+	item := j.Current()
 	d.Runner.mu.Lock()
-	d.rolloutActive = it != nil
+	d.rolloutActive = item != nil
 	servers, readiness := d.servers, maps.Clone(d.readiness)
 	d.Runner.mu.Unlock()
-	if it == nil || paused && it.State == controller.Queued {
+	if item == nil || paused && item.State == controller.Queued {
 		return controller.Action{}
 	}
-	if paused && it.Directive == "" {
-		it.Directive = controller.DirectPause
+	if paused && item.Directive == "" {
+		item.Directive = controller.DirectPause
 	}
-	d.observeLoad(it)
+	d.observeLoad(item)
 	return d.rollout.Next(j, uint64(epoch), servers, readiness, d.clock())
 }
 
@@ -46,10 +46,10 @@
 	return d.rolloutActive
 }
 
-// observeLoad tells the rollout what was requested and served since it was last told, once in loadInterval.
+// observeLoad passes the load that was requested and served since the last sample to the rollout, once in loadInterval.
 func (d *duty) observeLoad(it *controller.Item) {
 	now := d.clock()
-	elapsed := now - d.loadAt
+	elapsed := now - d.loadSampledAt
 	if elapsed < loadInterval {
 		return
 	}
@@ -63,40 +63,44 @@
 		total.Requested, total.Served = total.Requested+l.Requested, total.Served+l.Served
 	}
 	d.Runner.mu.Unlock()
-	since := controller.WeightedLoad{Requested: total.Requested - d.totalLoad.Requested, Served: total.Served - d.totalLoad.Served}
-	// At the first look, after a router has started anew, and where looks were missed (three intervals), the difference says nothing.
-	if d.totalLoad.Requested > 0 && elapsed < 3*loadInterval && since.Requested >= 0 && since.Served >= 0 {
-		d.rollout.ObserveLoad(since, spec.MinServedShare)
+	delta := controller.WeightedLoad{Requested: total.Requested - d.sampledLoad.Requested, Served: total.Served - d.sampledLoad.Served}
+	// The difference is not meaningful for the first sample, after a router has restarted (its counters start at 0 again) or
+	// after missed samples (three intervals).
+	if d.sampledLoad.Requested > 0 && elapsed < 3*loadInterval && delta.Requested >= 0 && delta.Served >= 0 {
+		d.rollout.ObserveLoad(delta, spec.MinServedShare)
 	}
-	d.totalLoad, d.loadAt = total, now
+	d.sampledLoad, d.loadSampledAt = total, now
 }
 
-// sendCommand sends a command to a server, with the epoch and step that its fence judges it by, and reports whether it was accepted.
+// sendCommand sends a command with its epoch and step, which the server's fence checks, and reports whether the server
+// accepted it.
 func (d *duty) sendCommand(ctx context.Context, epoch lease.Epoch, step uint64, c controller.ServerCommand) (accepted bool) {
-	call := "rejoin"
+	operation := "rejoin"
 	if c.Evacuate {
-		call = "evacuate"
+		operation = "evacuate"
 	}
-	calling, cancel := context.WithTimeout(ctx, commandTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, commandTimeout)
 	defer cancel()
-	accepted, reason, err := admin.Call(calling, c.Admin, fmt.Sprintf("POST /api/%s?duty=%s&epoch=%d&step=%d", call, d.name, uint64(epoch), step))
+	accepted, reason, err := admin.Call(callCtx, c.Admin, fmt.Sprintf("POST /api/%s?duty=%s&epoch=%d&step=%d", operation, d.name, uint64(epoch), step))
 	if err != nil {
 		reason = err.Error()
 	}
 	d.rollout.RecordCommand(c.Server, accepted)
-	// command.evacuate or command.rejoin
-	d.log.Info().Str("event", "command."+call).Stringer("epoch", epoch).Uint64("step", step).Str("server", c.Server).Bool("yes", accepted).Str("why", reason).Send()
-	d.cfg.Stats.Inc("orders_sent", call, map[bool]string{true: "yes", false: "no"}[accepted])
-	if higher, ok := refusedEpoch(reason, d.name); ok {
-		// The group knows less than the server, as after its snapshot was put back from a copy: it rises above the server's epoch, and
-		// the next holding has a higher one. If it does not learn of it now, the next command is refused in the same way.
-		_, _ = d.cfg.Group.Do(calling, statemachine.Command{Lease: &lease.Request{Op: lease.RaiseEpoch, Duty: d.name, Epoch: higher}})
+	// The event is command.evacuate or command.rejoin.
+	d.log.Info().Str("event", "command."+operation).Stringer("epoch", epoch).Uint64("step", step).Str("server", c.Server).Bool("yes", accepted).Str("why", reason).Send()
+	d.cfg.Stats.Inc("orders_sent", operation, map[bool]string{true: "yes", false: "no"}[accepted])
+	if higher, ok := parseRefusedEpoch(reason, d.name); ok {
+		// The server has seen a higher epoch than the group knows, for example because the group was restored from an old
+		// snapshot. The group raises its epoch above the server's, so that the next lease gets a higher one. If this request
+		// fails, the next command is refused in the same way and the request is repeated.
+		_, _ = d.cfg.Group.Do(callCtx, statemachine.Command{Lease: &lease.Request{Op: lease.RaiseEpoch, Duty: d.name, Epoch: higher}})
 	}
 	return accepted
 }
 
-// refusedEpoch reads the epoch that a server's fence has seen out of its refusal of a stale one; the text is the fence's.
-func refusedEpoch(reason, duty string) (lease.Epoch, bool) {
+// parseRefusedEpoch parses the epoch that a server's fence has seen from the text by which the fence refuses a stale epoch. It
+// returns false for any other text.
+func parseRefusedEpoch(reason, duty string) (lease.Epoch, bool) {
 	_, observed, ok := strings.Cut(reason, duty+": ")
 	if !ok || !strings.HasPrefix(reason, fence.ErrStaleEpoch.Error()) {
 		return 0, false
@@ -108,11 +112,11 @@
 	return lease.BaseEpoch(uint32(generation)) | lease.Epoch(number), true
 }
 
-// probeServers asks the servers whether they are ready, while a rollout is under way, until the context ends. Probes end with the
-// context, or probeTimeout.
+// probeServers probes the servers' readiness while a rollout is active, until the context ends. A probe ends with the
+// context or after probeTimeout.
 func (r *Runner) probeServers(ctx context.Context) {
 	var mu sync.Mutex
-	underWay := map[string]bool{}
+	inProgress := map[string]bool{}
 	for ctx.Err() == nil {
 		r.mu.Lock()
 		servers := r.servers
@@ -122,8 +126,8 @@
 		r.mu.Unlock()
 		for _, s := range servers {
 			mu.Lock()
-			skip := underWay[s.Name] || s.Admin == ""
-			underWay[s.Name] = true
+			skip := inProgress[s.Name] || s.Admin == ""
+			inProgress[s.Name] = true
 			mu.Unlock()
 			if skip {
 				continue
@@ -131,21 +135,21 @@
 			go func() {
 				r.probe(ctx, s)
 				mu.Lock()
-				delete(underWay, s.Name)
+				delete(inProgress, s.Name)
 				mu.Unlock()
 			}()
 		}
-		pause(ctx, probeInterval)
+		sleep(ctx, probeInterval)
 	}
 }
 
-// probe asks one server whether it is ready, and notes what it shows.
+// probe probes one server's readiness and records the result.
 func (r *Runner) probe(ctx context.Context, s controller.RolloutServer) {
-	at := r.clock() // from before it is asked: an answer says nothing of what happened after that
-	probing, cancel := context.WithTimeout(ctx, probeTimeout)
-	ready, _, err := admin.Call(probing, s.Admin, "GET /api/ready")
+	probedAt := r.clock() // taken before the probe is sent: the answer need not reflect what happens after it
+	probeCtx, cancel := context.WithTimeout(ctx, probeTimeout)
+	ready, _, err := admin.Call(probeCtx, s.Admin, "GET /api/ready")
 	cancel()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.readiness[s.Name] = controller.Readiness{ProbedAt: at, Reachable: err == nil, Ready: ready}
+	r.readiness[s.Name] = controller.Readiness{ProbedAt: probedAt, Reachable: err == nil, Ready: ready}
 }
--- a/internal/controlplane/runner/runner.go
+++ b/internal/controlplane/runner/runner.go
@@ -1,8 +1,8 @@
-// Package runner holds duties of the fleet for a process: it keeps their leases and carries out what their controllers decide. What is
-// decided is in package controller, who holds a duty in package lease.
+// Package runner runs the fleet's leased controllers (duties) in a process: it acquires and renews their leases and carries
+// out the controllers' actions. Package controller decides the actions, package lease decides which process holds a duty.
 //
-// Each duty has one goroutine for its lease and one for its work, so that nothing that an action waits for holds up a renewal, or
-// another duty. All goroutines end with the context of Run, which waits for them.
+// Each duty has one goroutine for its lease and one for its work, so that a slow action delays neither a renewal nor another
+// duty. All goroutines end with the context of Run, which waits for them.
 package runner
 
 import (
@@ -24,52 +24,54 @@
 
 // Config sets up a runner.
 type Config struct {
-	Name  string // of the process, for good
+	Name  string // of the process, the same across restarts
 	Set   settings.Runner
 	Group *quorum.Client
 	Log   zerolog.Logger
 	Stats *metrics.Counters
-	Rate  float64 // of its clock, for tests; 0: 1
+	Rate  float64 // speed of its clock relative to real time, for tests; 0 means 1
 }
 
-// Boundary is called at every boundary of an action, in test programs only, which stop the process there: "check" (before it looks
-// whether it still holds the duty), "write" (after that, before a journal entry), "intent" (the entry is written), "act" (the action is
-// made, and its outcome not written).
+// Boundary is called at each boundary of an action. Test programs set it to stop the process there. The boundaries are
+// "check" (before the last check of the lease), "write" (after that check, before a journal entry is written), "intent"
+// (the entry is written, the action is not made) and "act" (the action is made, its outcome is not written).
 var Boundary = func(duty, at string, step uint64) {}
 
-// Wall is the wall clock by which maps are made; test programs set another one.
+// Wall returns the wall clock time that maps are made with. Test programs replace it.
 var Wall = time.Now
 
-// requestTimeout is how long the group is asked: longer than an election takes, so that a request outlasts a change of the leader.
+// requestTimeout is the timeout of a request to the group. It is longer than an election, so that a request survives a
+// change of the leader.
 const requestTimeout = 2 * time.Second
 
-// noGroupPause is the pause between two questions to a group that is not there, or not founded, at the start.
-const noGroupPause = time.Second
+// groupRetryInterval is the pause between requests at the start while the group is unreachable or not founded.
+const groupRetryInterval = time.Second
 
-// Runner is a process that holds duties, or waits for them.
+// Runner is a process that holds duties or waits to acquire them.
 type Runner struct {
 	cfg       Config
-	process   string // the name of this start
+	process   string // Config.Name and a token that is unique to this start
 	startedAt time.Time
 	maps      proxy.VersionDir
 
-	mu            sync.Mutex // of what follows: what was observed
+	mu            sync.Mutex // protects the observations below
 	servers       []controller.RolloutServer
 	mapVersion    int
-	rolloutActive bool // a rollout is under way: servers are probed
+	rolloutActive bool // servers are probed while it is set
 	readiness     map[string]controller.Readiness
 	monitor       controller.Monitor
-	loads         map[string]controller.WeightedLoad // by router, since its start, as it last said
-	verdicts      map[string]controller.Verdict      // as last looked at; nil: they are all to be looked at anew
+	loads         map[string]controller.WeightedLoad // by router: cumulative since the router's start, as last reported
+	verdicts      map[string]controller.Verdict      // of the last check; nil before the first and after a failed submission
 }
 
-// processTokenBytes tell the starts of a process apart.
+// processTokenBytes is the size of the random token that distinguishes the starts of a process.
 const processTokenBytes = 4
 
-// New returns a runner. The process that the group knows it by is this start of it: another start is another process.
+// New returns a runner. Its process name in the group is unique to this start: after a restart the group sees another
+// process.
 func New(cfg Config) *Runner {
 	var token [processTokenBytes]byte
-	rand.Read(token[:]) // it never fails: it ends the program instead
+	rand.Read(token[:]) // never returns an error: it crashes the program instead
 	if cfg.Rate == 0 {
 		cfg.Rate = 1
 	}
@@ -80,65 +82,65 @@
 	}
 }
 
-// clock is the runner's monotonic clock.
+// clock returns the time since the start by the runner's monotonic clock.
 func (r *Runner) clock() time.Duration {
 	return time.Duration(float64(time.Since(r.startedAt)) * r.cfg.Rate)
 }
 
-// Run holds what duties it can until the context ends, and releases them then.
+// Run acquires the configured duties and carries out their work until the context ends. It then releases them and returns.
 func (r *Runner) Run(ctx context.Context) {
 	terms := r.leaseTerms(ctx)
-	var all sync.WaitGroup
+	var goroutines sync.WaitGroup
 	for _, name := range r.cfg.Set.Controllers {
 		d := &duty{Runner: r, name: name, holder: lease.NewHolder(name, r.process, terms),
 			log: r.cfg.Log.With().Str("process", r.cfg.Name).Str("duty", name).Logger()}
-		all.Go(func() { d.keepLease(ctx) })
-		all.Go(func() { d.work(ctx) })
+		goroutines.Go(func() { d.maintainLease(ctx) })
+		goroutines.Go(func() { d.work(ctx) })
 	}
 	if len(r.cfg.Set.Routers) > 0 {
-		all.Go(func() { r.pollRouters(ctx) })
+		goroutines.Go(func() { r.pollRouters(ctx) })
 	}
-	all.Go(func() { r.probeServers(ctx) })
-	all.Wait()
+	goroutines.Go(func() { r.probeServers(ctx) })
+	goroutines.Wait()
 }
 
-// leaseTerms asks the group for the terms of its leases until it answers, or the context ends.
+// leaseTerms asks the group for its lease terms until it answers or the context ends.
 func (r *Runner) leaseTerms(ctx context.Context) (terms lease.Terms) {
 	for ctx.Err() == nil && terms.TTL == 0 {
-		asking, cancel := context.WithTimeout(ctx, requestTimeout)
-		v, err := r.cfg.Group.Read(asking, "")
+		requestCtx, cancel := context.WithTimeout(ctx, requestTimeout)
+		view, err := r.cfg.Group.Read(requestCtx, "")
 		cancel()
-		if terms = v.Terms; err != nil || terms.TTL == 0 {
+		if terms = view.Terms; err != nil || terms.TTL == 0 {
 			r.cfg.Log.Warn().Str("event", "owner.no_group").Err(err).Send()
-			pause(ctx, noGroupPause)
+			sleep(ctx, groupRetryInterval)
 		}
 	}
 	return terms
 }
 
-// pause waits, or until the context ends.
-func pause(ctx context.Context, d time.Duration) {
+// pause waits for d or until the context ends.
+func sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
 	case <-time.After(d):
 	}
 }
 
-// duty is one duty of a runner.
+// duty is one leased controller of a runner.
 type duty struct {
 	*Runner
 	name string
 	log  zerolog.Logger
 
-	mu     sync.Mutex // of holder and acting
-	holder *lease.Holder
-	acting bool // between its check and the end of its action
-
-	// The rest is the work's.
-	placement   controller.Placement
-	rollout     controller.Rollout
-	putFailures int                     // of a version of the map, in a row
-	lastError   string                  // as last logged
-	totalLoad   controller.WeightedLoad // of all routers, when the rollout last looked
-	loadAt      time.Duration           // when that was
+	mu               sync.Mutex // protects holder and acting
+	holder           *lease.Holder
+	actionInProgress bool // an action is in progress, from beginAction to endAction
+
+	// The fields below are used by the goroutine of work only.
+	placement     controller.Placement
+	rollout       controller.Rollout
+	putFailures   int                     // consecutive failures to write a version of the map
+	loggedError   string                  // the error that was logged last
+	sampledLoad   controller.WeightedLoad // of all routers, at the last sample
+	loadSampledAt time.Duration           // time of the last sample
 }
--- a/internal/controlplane/runner/work.go
+++ b/internal/controlplane/runner/work.go
@@ -13,28 +13,28 @@
 )
 
 const (
-	idleInterval = 250 * time.Millisecond // between two looks at a journal without work: a request is begun soon after it is queued
-	busyInterval = 20 * time.Millisecond  // between two looks at a rollout under way, which goes by what servers show meanwhile
-	// clockTolerance is the part of a difference of clocks that says nothing: the group tells its time in whole milliseconds.
+	idleInterval = 250 * time.Millisecond // between reads of an empty journal; bounds the delay before a queued item starts
+	busyInterval = 20 * time.Millisecond  // between steps of an active rollout, which depend on the servers' current readiness
+	// clockTolerance is the resolution of the group's time, which is reported in whole milliseconds.
 	clockTolerance = time.Millisecond
 )
 
-// errClock says that this process's clock and that of the group's leader differ by more than the map allows. What is planned by such a
-// clock is for another time than the routers'.
+// errClock reports that this process's clock differs from the group leader's by more than the map allows. The times in a
+// plan made with such a clock would be wrong for the routers.
 var errClock = errors.New("the clock differs from the group's")
 
-// work does what is to be done while the duty is held.
+// work carries out the duty's actions while this process holds its lease, until the context ends.
 func (d *duty) work(ctx context.Context) {
 	for ctx.Err() == nil {
-		epoch, holds := d.holds()
-		if !holds {
-			pause(ctx, leaseInterval)
+		epoch, held := d.holds()
+		if !held {
+			sleep(ctx, leaseInterval)
 			continue
 		}
 		wait := idleInterval
 		acted, err := d.actOnce(ctx, epoch)
 		switch {
-		case errors.Is(err, errClock): // another process may have a better one
+		case errors.Is(err, errClock): // the clock of another process may be within the limit
 			d.logError(err)
 			d.release(true)
 			wait = requestTimeout
@@ -45,24 +45,25 @@
 		case d.name == controller.RolloutDuty && d.isRolloutActive():
 			wait = busyInterval
 		}
-		pause(ctx, wait)
+		sleep(ctx, wait)
 	}
 }
 
-// logError logs what holds the duty's work up, once until it is held up by something else: a success between is not logged, and the same
-// error after it is not logged again.
+// logError logs an error that blocks the duty's work, unless it is the error that was logged last. A success does not reset
+// this: the same error after it is not logged again.
 func (d *duty) logError(err error) {
-	if text := err.Error(); text != d.lastError {
-		d.lastError = text
+	if text := err.Error(); text != d.loggedError {
+		d.loggedError = text
 		d.log.Warn().Str("event", "duty.held_up").Err(err).Send()
 	}
 }
 
-// actOnce reads the duty's journal, asks its controller for the next action and carries it out. It reports whether there was one.
+// actOnce reads the duty's journal, asks its controller for the next action and carries it out. It reports whether an
+// action was made.
 func (d *duty) actOnce(ctx context.Context, epoch lease.Epoch) (acted bool, err error) {
-	asking, cancel := context.WithTimeout(ctx, requestTimeout)
+	requestCtx, cancel := context.WithTimeout(ctx, requestTimeout)
 	requestedAt := time.Now()
-	view, err := d.cfg.Group.Read(asking, d.name)
+	view, err := d.cfg.Group.Read(requestCtx, d.name)
 	cancel()
 	if err != nil {
 		return false, err
@@ -73,7 +74,7 @@
 	}
 	j := view.Journals[d.name]
 	if j == nil {
-		return false, errors.New("no journal")
+		return false, errors.New("the group has no journal of this duty")
 	}
 	paused := view.Table.Duties[d.name].PauseReason != ""
 	action, err := d.decide(j, epoch, paused, clockOffset)
@@ -82,13 +83,14 @@
 	}
 	Boundary(d.name, "check", j.Step)
 	if !d.beginAction() {
-		return false, nil // it was stopped for so long that it holds nothing any more
+		return false, nil // the lease has expired, for example because the process was suspended
 	}
 	defer d.endAction()
-	return d.carryOut(ctx, j, epoch, action)
+	return d.perform(ctx, j, epoch, action)
 }
 
-// decide asks the duty's controller what is next. The map that is published is looked at for all of them.
+// decide returns the next action of the duty's controller. It reads the published map for every duty, as probes and health
+// verdicts need its servers.
 func (d *duty) decide(j *controller.Journal, epoch lease.Epoch, paused bool, clockOffset time.Duration) (controller.Action, error) {
 	published, err := d.readPublished()
 	if err != nil {
@@ -100,13 +102,13 @@
 	case controller.RolloutDuty:
 		return d.decideRollout(j, epoch, paused), nil
 	case controller.MonitorDuty:
-		return controller.Action{}, d.reportDeadServers(paused)
+		return controller.Action{}, d.reportVerdicts(paused)
 	}
 	return controller.Action{}, nil
 }
 
-// carryOut makes an action. It reports whether it was made.
-func (d *duty) carryOut(ctx context.Context, j *controller.Journal, epoch lease.Epoch, action controller.Action) (bool, error) {
+// perform performs an action and reports whether it was performed. A command that the server refused was not.
+func (d *duty) perform(ctx context.Context, j *controller.Journal, epoch lease.Epoch, action controller.Action) (bool, error) {
 	switch action.Kind {
 	case controller.WriteJournal:
 		Boundary(d.name, "write", j.Step)
@@ -119,36 +121,36 @@
 		Boundary(d.name, "act", j.Step)
 		return true, nil
 	case controller.SendCommand:
-		it := j.Current()
-		Boundary(d.name, "intent", it.Step)
-		accepted := d.sendCommand(ctx, epoch, it.Step, action.Command)
-		Boundary(d.name, "act", it.Step)
+		item := j.Current()
+		Boundary(d.name, "intent", item.Step)
+		accepted := d.sendCommand(ctx, epoch, item.Step, action.Command)
+		Boundary(d.name, "act", item.Step)
 		return accepted, nil
 	}
 	return false, nil
 }
 
-// writeJournal writes into the journal, by this holder's epoch and as the next step.
+// writeJournal writes an entry to the duty's journal with this holder's epoch and the next step number.
 func (d *duty) writeJournal(ctx context.Context, j *controller.Journal, epoch lease.Epoch, w controller.JournalWrite) error {
 	w.Duty, w.Process, w.Epoch, w.Step = d.name, d.process, epoch, j.Step+1
-	asking, cancel := context.WithTimeout(ctx, requestTimeout)
+	requestCtx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
-	r, err := d.cfg.Group.Do(asking, statemachine.Command{Journal: &w})
+	reply, err := d.cfg.Group.Do(requestCtx, statemachine.Command{Journal: &w})
 	if err != nil {
-		return err // whether it is written is noticed with the next look
+		return err // the next read of the journal shows whether the entry was written
 	}
-	if r.Error != "" {
-		d.cfg.Stats.Inc("duty_refused", d.name, r.ErrorKind)
-		d.log.Warn().Str("event", "duty.refused").Stringer("epoch", epoch).Uint64("step", w.Step).Str("why", r.Error).Send()
-		return errors.New(r.Error)
+	if reply.Error != "" {
+		d.cfg.Stats.Inc("duty_refused", d.name, reply.ErrorKind)
+		d.log.Warn().Str("event", "duty.refused").Stringer("epoch", epoch).Uint64("step", w.Step).Str("why", reply.Error).Send()
+		return errors.New(reply.Error)
 	}
 	d.log.Info().Str("event", "duty.step").Stringer("epoch", epoch).Uint64("step", w.Step).Str("item", w.Item).
 		Str("state", string(w.State)).Str("note", w.Note).Send()
 	return nil
 }
 
-// putVersion takes the place of a version of the map, with its text or, to withdraw it, without. A place that is taken is no error:
-// what stands there is noticed with the next look.
+// putVersion writes a version of the map: its text to publish it, the withdrawn mark to withdraw it. A version that already
+// exists is not an error: the next read shows its content.
 func (d *duty) putVersion(j *controller.Journal, epoch lease.Epoch, action controller.Action) error {
 	err := d.maps.Put(action.Version, action.Raw)
 	if err != nil && !errors.Is(err, proxy.ErrVersionTaken) {
@@ -157,7 +159,7 @@
 		return fmt.Errorf("%v: %w", action.Kind, err)
 	}
 	d.putFailures = 0
-	// placement.publish or placement.withdraw
+	// The event is placement.publish or placement.withdraw.
 	d.log.Info().Str("event", "placement."+action.Kind.String()).Stringer("epoch", epoch).Uint64("step", j.Step).Int("version", action.Version).Send()
 	return nil
 }
