--- a/internal/controlplane/command/executor.go
+++ b/internal/controlplane/command/executor.go
@@ -1,5 +1,5 @@
-// Package command executes fenced commands of the fleet's controllers on a server: what decides is in package fence, and its file is the
-// server's memory of it.
+// Package command executes the fenced commands of the fleet's controllers on a server. Package fence decides whether a
+// command is accepted and stores the last accepted command of each duty in a file.
 package command
 
 import (
@@ -15,36 +15,38 @@
 	"silverpath/internal/policy/lease"
 )
 
-// Executor is the fence of a server. Its file lasts; of a duty that the file says nothing of, the group is asked before any command is
-// accepted, as a server whose file is new may have carried out newer ones.
+// Executor executes commands on a server. It persists the last accepted command of each duty in a file. If the file has no
+// entry for a duty, it asks the group for the duty's epoch and step before it accepts a command: a server whose file is new
+// may have executed newer commands before.
 type Executor struct {
 	Service string
 	Group   *quorum.Client
 	Log     *log.Logger
 
-	mu   sync.Mutex // one command at a time: an older one is not carried out after a newer one
+	mu   sync.Mutex // serializes commands, so that an older one is not executed after a newer one
 	file *fence.File
 }
 
-// learnTimeout is how long the group is asked for what it knows of a duty: less than a controller waits for the server's answer.
-const learnTimeout = 2 * time.Second
+// learnEpochTimeout is the timeout of the request to the group for a duty's epoch and step. It is shorter than the time that a
+// controller waits for the server's answer.
+const learnEpochTimeout = 2 * time.Second
 
-// Open opens the fence's file of a service. Its errors are those of fence.Open.
-func Open(path, service string, g *quorum.Client, l *log.Logger) (*Executor, error) {
-	f, err := fence.Open(path, service)
+// Open opens the fence file of a service. It returns the errors of fence.Open.
+func Open(path, service string, group *quorum.Client, logger *log.Logger) (*Executor, error) {
+	file, err := fence.Open(path, service)
 	if err != nil {
 		return nil, err
 	}
-	return &Executor{Service: service, Group: g, Log: l, file: f}, nil
+	return &Executor{Service: service, Group: group, Log: logger, file: file}, nil
 }
 
-// Execute carries out a command by perform if it is newer than all before it, and returns whether it was accepted and the text for the
-// controller. That it was accepted is stored before it is carried out: a server that ends in between refuses older ones all the same.
-// The admin API calls it with each command that names a duty.
+// Execute calls perform if the command is newer than all earlier commands of its duty. It returns whether the command was
+// accepted and the text for the controller. The command is persisted before perform is called, so that a server that
+// restarts in between still refuses older commands. The admin API calls Execute for each command that names a duty.
 func (x *Executor) Execute(action, duty string, epoch, step uint64, perform func() (bool, string)) (accepted bool, reason string) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	if err := x.learn(duty); err != nil {
+	if err := x.learnEpoch(duty); err != nil {
 		return false, err.Error()
 	}
 	c := fence.Command{Duty: duty, Epoch: lease.Epoch(epoch), Step: step, Action: action}
@@ -53,7 +55,8 @@
 		return false, err.Error()
 	}
 	if !fresh {
-		// A copy does nothing. Nor does it after a restart, which has ended what the command did: that may be long ago.
+		// A repeated command has no effect. This includes a repeat after a restart, although the restart has undone what the
+		// command did: the command may be long outdated.
 		return true, "it was done before"
 	}
 	if err := x.file.Persist(c, x.Service); err != nil {
@@ -64,12 +67,12 @@
 	return accepted, reason
 }
 
-// learn asks the group for the epoch and step of a duty that the file says nothing of.
-func (x *Executor) learn(duty string) error {
+// learnEpoch asks the group for the epoch and step of a duty that the file has no entry for. It does nothing for other duties.
+func (x *Executor) learnEpoch(duty string) error {
 	if x.file.Knows(duty) {
 		return nil
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), learnTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), learnEpochTimeout)
 	defer cancel()
 	view, err := x.Group.Read(ctx, duty)
 	if err != nil {
--- a/internal/controlplane/configwatch/configwatch.go
+++ b/internal/controlplane/configwatch/configwatch.go
@@ -1,5 +1,6 @@
-// Package configwatch has a process act on the documents that a group agrees on: it asks the group again and again, and carries out what
-// policy/configstore's Replica decides. sync.go is one round, stop.go when nothing exclusive begins, parts.go fetches missing parts.
+// Package configwatch applies the configuration documents that a group agrees on to a process. It polls the group and
+// carries out the decisions of policy/configstore's Replica. sync.go is one poll, stop.go decides whether exclusive work may
+// begin, parts.go fetches missing parts of documents.
 package configwatch
 
 import (
@@ -23,39 +24,40 @@
 	"silverpath/internal/policy/quota"
 )
 
-// Document is what a process does with a document that it uses.
+// Document describes how a process handles one of the documents that it uses.
 type Document struct {
-	Format int                     // the highest that it reads
-	Check  func(text string) error // an error tells why this process can't act on a text
-	Apply  func(text string) error // acts on it from now on
+	Format int                     // the highest format that the process reads
+	Check  func(text string) error // returns why the process can't act on the text, nil if it can
+	Apply  func(text string) error // makes the process act on the text
 
-	// The same of a document in parts, by the parts that differ from what was applied last; whole says that they are all that there are.
-	// They are nil where the process uses it in no parts.
+	// CheckParts and ApplyParts are Check and Apply for a document in parts. They receive the parts that differ from those
+	// that were applied last, or all parts if whole is true. They are nil if the process does not use the document in parts.
 	CheckParts func(changed map[string]string, whole bool) error
 	ApplyParts func(id configstore.ID, changed map[string]string, whole bool) error
 }
 
-// Config sets up a Watcher.
+// Config configures a Watcher.
 type Config struct {
 	Name         string // of the process
 	Group        *quorum.Client
 	Documents    map[string]Document
-	Goodput      func() configstore.Goodput // since the start; nil: it reports none
-	OnConfirmed  func(asked time.Time)      // called with when the group was asked, each time that its answer confirmed what is active; nil: nobody
-	MaxClockSkew func() time.Duration       // between two processes, where times in documents count; nil: they do not
-	Quota        QuotaClient                // where the process shares cells with others; nil: it does not
+	Goodput      func() configstore.Goodput // cumulative since the start; nil: none is reported
+	OnConfirmed  func(asked time.Time)      // called with the time of each request whose answer confirmed the active versions; may be nil
+	MaxClockSkew func() time.Duration       // limit between two processes; nil: no document depends on wall clock times
+	Quota        QuotaClient                // nil: the process shares no cells with other processes
 	Log          *log.Logger
 	Stats        *metrics.Counters
 }
 
-// QuotaClient is a process that is lent a quota.
+// QuotaClient requests a quota from the group's leader and applies the grant.
 type QuotaClient interface {
-	// QuotaRequest returns its request to the group's leader, and what to call with the grant that answers it.
+	// QuotaRequest returns the request for the next poll, and a function to call with the grant in the answer.
 	QuotaRequest() (r quota.Request, granted func(g quota.Grant, t lease.Terms))
 }
 
-// Formats has a process take other formats for those that it reads, DisabledGuards has it do without guards, Rate has its clock run fast
-// or slow, and Wall is its wall clock, in test programs only.
+// Test programs set these variables. Formats overrides the highest format that the process reads, by document.
+// DisabledGuards disables guards of the replica. Rate is the speed of the process's clock relative to real time. Wall is
+// its wall clock.
 var (
 	Formats        map[string]int
 	DisabledGuards configstore.DisabledGuards
@@ -64,63 +66,63 @@
 )
 
 const (
-	requestTimeout = time.Second            // longer than a change of the group's leader takes to be noticed
-	retryInterval  = 100 * time.Millisecond // between two requests while the group does not answer
-	minInterval    = 10 * time.Millisecond  // between two requests, whatever the lease
+	requestTimeout = time.Second            // longer than it takes to detect a change of the group's leader
+	retryInterval  = 100 * time.Millisecond // between requests while the group does not answer
+	minInterval    = 10 * time.Millisecond  // lower bound of the interval between polls, for short leases
 )
 
-// Watcher has one process act on documents. Its methods may be called by several goroutines.
+// Watcher polls the group for one process and applies the documents. Its methods are safe for concurrent use.
 type Watcher struct {
-	cfg   Config
-	began time.Time
+	cfg       Config
+	startedAt time.Time
 
-	// What decides whether a request with a key begins, read without the lock: stop.go.
-	confirmedUntil atomic.Int64                              // by clock, nanoseconds
-	paused         atomic.Pointer[[]*configstore.PauseScope] // while a change quiesces
-	clockApart     atomic.Bool                               // its wall clock is further from the leader's than documents allow
+	// These fields decide whether a request with a key may begin. They are read without the lock: see stop.go.
+	confirmedUntil atomic.Int64                              // nanoseconds of clock
+	paused         atomic.Pointer[[]*configstore.PauseScope] // scopes that are paused while a change quiesces
+	clockSkewed    atomic.Bool                               // the wall clock differs from the leader's by more than documents allow
 
 	mu                 sync.Mutex
 	replica            *configstore.Replica
-	loggedReason       string // why nothing exclusive begins, as last logged
-	loggedAt           time.Duration
-	longestUnconfirmed time.Duration // time that it was unconfirmed
-	conflictBound      time.Duration
-	loggedError        string // what went wrong, as last logged
-	observedSkew       time.Duration
+	loggedReason       string        // the stop reason that was logged last, empty if exclusive work may begin
+	reasonChangedAt    time.Duration // when loggedReason last changed
+	longestUnconfirmed time.Duration // longest period without a confirmation
+	conflictBound      time.Duration // configstore.Terms.ConflictBound of the group's terms
+	loggedError        string        // the kind of error that was logged last, empty after a success
+	observedSkew       time.Duration // largest difference from the leader's wall clock
 }
 
-// New returns a watcher of a process that is not confirmed. It asks nothing before Run or WaitCurrent.
+// New returns a watcher of an unconfirmed process. It sends no request before Run or WaitCurrent is called.
 func New(cfg Config) *Watcher {
-	var b [4]byte
-	rand.Read(b[:])
+	var token [4]byte
+	rand.Read(token[:])
 	formats := map[string]int{}
-	for name, d := range cfg.Documents {
-		formats[name] = d.Format
-		if n, other := Formats[name]; other {
-			formats[name] = n
+	for name, doc := range cfg.Documents {
+		formats[name] = doc.Format
+		if format, overridden := Formats[name]; overridden {
+			formats[name] = format
 		}
 	}
 	w := &Watcher{
-		cfg: cfg, began: time.Now(), loggedReason: configstore.StopUnconfirmed,
-		replica: configstore.NewReplica(cfg.Name+"#"+hex.EncodeToString(b[:]), formats),
+		cfg: cfg, startedAt: time.Now(), loggedReason: configstore.StopUnconfirmed,
+		replica: configstore.NewReplica(cfg.Name+"#"+hex.EncodeToString(token[:]), formats),
 	}
 	w.paused.Store(&[]*configstore.PauseScope{})
 	w.replica.Disabled = DisabledGuards
 	w.replica.CheckParts = func(name string, changed map[string]string, whole bool) error {
-		if d := w.cfg.Documents[name]; d.CheckParts != nil {
-			return d.CheckParts(changed, whole)
+		if doc := w.cfg.Documents[name]; doc.CheckParts != nil {
+			return doc.CheckParts(changed, whole)
 		}
 		return errors.New("this process takes it in no parts")
 	}
 	return w
 }
 
-// clock is the process's monotonic clock.
+// clock returns the time since the start by the process's monotonic clock.
 func (w *Watcher) clock() time.Duration {
-	return time.Duration(float64(time.Since(w.began)) * Rate)
+	return time.Duration(float64(time.Since(w.startedAt)) * Rate)
 }
 
-// Run asks the group until the context ends, and fetches parts that are missing in between.
+// Run polls the group until the context ends, and fetches missing parts between polls.
 func (w *Watcher) Run(ctx context.Context) {
 	go w.watchConfirmation(ctx)
 	for ctx.Err() == nil {
@@ -135,14 +137,15 @@
 	}
 }
 
-// WaitCurrent asks until the group has answered and the process acts on all that is active, or the context ends; it reports false then.
+// WaitCurrent polls the group until the process acts on all active versions and returns true. It returns false if the
+// context ends first.
 func (w *Watcher) WaitCurrent(ctx context.Context) bool {
 	for {
 		answered := w.sync(ctx)
 		w.mu.Lock()
-		here := answered && w.replica.IsCurrent()
+		current := answered && w.replica.IsCurrent()
 		w.mu.Unlock()
-		if here {
+		if current {
 			return true
 		}
 		w.fetchUntil(ctx, time.Now().Add(retryInterval))
@@ -152,30 +155,30 @@
 	}
 }
 
-// Status is which versions the process acts on, and whether it is confirmed, as a JSON object for operators.
+// Status returns a JSON object for operators: the versions that the process acts on and the state of its confirmation.
 func (w *Watcher) Status() []byte {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	now := w.clock()
-	var a fastjson.Arena
-	o := a.NewObject()
-	o.Set("who", a.NewString(w.replica.Name))
-	o.Set("stops", a.NewString(w.StopReason()))
-	o.Set("confirmed_ms_ago", a.NewNumberInt(int((now - w.replica.LastConfirmed()).Milliseconds())))
-	o.Set("bound_ms", a.NewNumberInt(int(w.conflictBound.Milliseconds())))
-	o.Set("longest_unconfirmed_ms", a.NewNumberInt(int(w.longestUnconfirmed.Milliseconds())))
-	o.Set("clock_off_ms", a.NewNumberInt(int(w.observedSkew.Milliseconds())))
-	active, list := w.replica.ActiveVersions(), a.NewObject()
+	var arena fastjson.Arena
+	status := arena.NewObject()
+	status.Set("who", arena.NewString(w.replica.Name))
+	status.Set("stops", arena.NewString(w.StopReason()))
+	status.Set("confirmed_ms_ago", arena.NewNumberInt(int((now - w.replica.LastConfirmed()).Milliseconds())))
+	status.Set("bound_ms", arena.NewNumberInt(int(w.conflictBound.Milliseconds())))
+	status.Set("longest_unconfirmed_ms", arena.NewNumberInt(int(w.longestUnconfirmed.Milliseconds())))
+	status.Set("clock_off_ms", arena.NewNumberInt(int(w.observedSkew.Milliseconds())))
+	active, list := w.replica.ActiveVersions(), arena.NewObject()
 	for _, name := range slices.Sorted(maps.Keys(active)) {
-		list.Set(name, a.NewNumberInt(active[name]))
+		list.Set(name, arena.NewNumberInt(active[name]))
 	}
-	o.Set("acts", list)
-	if old := w.replica.OutdatedVersions(); len(old) > 0 {
-		list := a.NewObject()
-		for _, name := range slices.Sorted(maps.Keys(old)) {
-			list.Set(name, a.NewNumberInt(old[name]))
+	status.Set("acts", list)
+	if outdated := w.replica.OutdatedVersions(); len(outdated) > 0 {
+		list := arena.NewObject()
+		for _, name := range slices.Sorted(maps.Keys(outdated)) {
+			list.Set(name, arena.NewNumberInt(outdated[name]))
 		}
-		o.Set("old", list) // it acts on these while parts of what is active are missing
+		status.Set("old", list) // versions that the process acts on while parts of the active ones are missing
 	}
-	return o.MarshalTo(nil)
+	return status.MarshalTo(nil)
 }
--- a/internal/controlplane/configwatch/parts.go
+++ b/internal/controlplane/configwatch/parts.go
@@ -10,42 +10,43 @@
 	"silverpath/internal/policy/configstore"
 )
 
-// fetchUntil fetches missing parts until it is time for the next sync, which is at once where all of them have come.
+// fetchUntil fetches missing parts until the time of the next sync. It returns at once when the last missing part has
+// arrived.
 func (w *Watcher) fetchUntil(ctx context.Context, until time.Time) {
 	for ctx.Err() == nil {
-		asked, next := w.fetchParts(ctx)
-		left := time.Until(until)
-		if left <= 0 || asked && next < 0 {
+		requested, next := w.fetchParts(ctx)
+		wait := time.Until(until)
+		if wait <= 0 || requested && next < 0 {
 			return
 		}
-		if asked {
+		if requested {
 			continue
 		}
 		if next >= 0 {
-			left = min(left, max(next, time.Millisecond))
+			wait = min(wait, max(next, time.Millisecond))
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(left):
+		case <-time.After(wait):
 		}
 	}
 }
 
-// fetchParts fetches missing parts once, where the replica says that it is time to. Next is how long until it is, under 0 where nothing is
-// missing.
-func (w *Watcher) fetchParts(ctx context.Context) (asked bool, next time.Duration) {
+// fetchParts sends one request for missing parts if the replica has one due, and reports whether it did. It returns how
+// long until the next request is due, or a negative value if no part is missing.
+func (w *Watcher) fetchParts(ctx context.Context) (requested bool, next time.Duration) {
 	w.mu.Lock()
-	request, at, ok := w.replica.NextRequest(w.clock())
+	request, dueAt, due := w.replica.NextRequest(w.clock())
 	next = -1
-	if !ok && at > 0 {
-		next = at - w.clock()
+	if !due && dueAt > 0 {
+		next = dueAt - w.clock()
 	}
 	w.mu.Unlock()
-	if !ok {
+	if !due {
 		return false, next
 	}
-	asking, cancel := context.WithTimeout(ctx, requestTimeout)
-	p, err := w.cfg.Group.Parts(asking, request)
+	requestCtx, cancel := context.WithTimeout(ctx, requestTimeout)
+	reply, err := w.cfg.Group.Parts(requestCtx, request)
 	cancel()
 	w.cfg.Stats.Inc("rules", "parts_asked")
 	w.mu.Lock()
@@ -54,7 +55,7 @@
 		w.cfg.Stats.Inc("rules", "parts_unanswered")
 		w.replica.RequestFailed()
 	} else {
-		updates = w.replica.ReceiveParts(w.clock(), request, p.ID, p.Parts, w.check)
+		updates = w.replica.ReceiveParts(w.clock(), request, reply.ID, reply.Parts, w.check)
 	}
 	missing := w.replica.IsIncomplete()
 	w.mu.Unlock()
@@ -66,7 +67,7 @@
 	return true, next
 }
 
-// logMismatches logs and counts answers that did not follow from what is here.
+// logMismatches logs and counts answers that do not match the parts that the process has.
 func (w *Watcher) logMismatches() {
 	w.mu.Lock()
 	mismatches, active := w.replica.TakeMismatches(), w.replica.ActiveVersions()
--- a/internal/controlplane/configwatch/stop.go
+++ b/internal/controlplane/configwatch/stop.go
@@ -8,20 +8,22 @@
 	"silverpath/internal/policy/configstore"
 )
 
-// When nothing exclusive begins. Exclusive is the start of a request with an idempotency key that is not known here yet; what is known is
-// answered, and requests without a key run on. Inputs: until when the process is confirmed, whether its wall clock is too far from the leader's, and what
-// pauses for a change that quiesces. The reads take no lock: a request that begins may hold locks that a check of a document waits for.
+// This file decides whether exclusive work may begin. Exclusive work is the execution of a request whose idempotency key is
+// not known to this process yet. Requests with a known key are answered and requests without a key run in any case. The
+// inputs are the end of the process's confirmation, the difference between its wall clock and the leader's, and the scopes
+// that a quiescing change pauses. They are read without a lock, because a request that begins may hold locks that the check
+// of a document waits for.
 
-// StopReason is why some or all that is exclusive does not begin, empty where all of it may.
+// StopReason returns why some or all exclusive work may not begin, empty if all of it may.
 func (w *Watcher) StopReason() string {
-	if why := w.stopReasonForAll(); why != "" || len(*w.paused.Load()) == 0 {
-		return why
+	if reason := w.stopReasonForAll(); reason != "" || len(*w.paused.Load()) == 0 {
+		return reason
 	}
 	return configstore.StopQuiescing
 }
 
-// StopReasonFor is why requests with a key of a class and a tenant do not begin, empty where they may: a change that quiesces pauses only
-// what it touches. It is called with each such request.
+// StopReasonFor returns why requests with a key of this class and tenant may not begin, empty if they may: a quiescing
+// change pauses only the classes and tenants that it affects. It is called for each such request.
 func (w *Watcher) StopReasonFor(class, tenant string) string {
 	if why := w.stopReasonForAll(); why != "" {
 		return why
@@ -34,40 +36,41 @@
 	return ""
 }
 
-// stopReasonForAll is why nothing exclusive begins.
+// stopReasonForAll returns why no exclusive work may begin, empty if some may.
 func (w *Watcher) stopReasonForAll() string {
 	switch {
 	case int64(w.clock()) >= w.confirmedUntil.Load():
 		return configstore.StopUnconfirmed
-	case w.clockApart.Load():
+	case w.clockSkewed.Load():
 		return configstore.StopClockSkew
 	}
 	return ""
 }
 
-// watchConfirmation logs at once when a confirmation ends, whatever a request to the group waits for, until the context ends.
+// watchConfirmation logs the end of a confirmation at once, also while a request to the group is pending. It returns when
+// the context ends.
 func (w *Watcher) watchConfirmation(ctx context.Context) {
 	for ctx.Err() == nil {
-		left := time.Duration(w.confirmedUntil.Load()) - w.clock()
-		if left <= 0 {
-			left = retryInterval
+		remaining := time.Duration(w.confirmedUntil.Load()) - w.clock()
+		if remaining <= 0 {
+			remaining = retryInterval
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(left + time.Millisecond):
+		case <-time.After(remaining + time.Millisecond):
 			w.logStopReason()
 		}
 	}
 }
 
-// logStopReason logs and counts when something exclusive stops, and logs when it may begin again.
+// logStopReason logs and counts that exclusive work stops, and logs that it may begin again.
 func (w *Watcher) logStopReason() {
 	w.mu.Lock()
 	now := w.clock()
-	reason, logged, since := w.StopReason(), w.loggedReason, w.loggedAt
+	reason, logged, since := w.StopReason(), w.loggedReason, w.reasonChangedAt
 	changed := reason != logged
 	if changed {
-		w.loggedReason, w.loggedAt = reason, now
+		w.loggedReason, w.reasonChangedAt = reason, now
 	}
 	if logged == configstore.StopUnconfirmed {
 		w.longestUnconfirmed = max(w.longestUnconfirmed, now-since)
@@ -77,11 +80,11 @@
 	case !changed:
 	case reason != "":
 		w.cfg.Stats.Inc("rules", "stopped", reason)
-		ago := time.Duration(0)
+		sinceStop := time.Duration(0)
 		if reason == configstore.StopUnconfirmed {
-			ago = now - time.Duration(w.confirmedUntil.Load()) // a process that was suspended sees it late
+			sinceStop = now - time.Duration(w.confirmedUntil.Load()) // a suspended process notices the end late
 		}
-		events.Log(w.cfg.Log, "config.exclusive_stopped", reason, ago)
+		events.Log(w.cfg.Log, "config.exclusive_stopped", reason, sinceStop)
 	default:
 		events.Log(w.cfg.Log, "config.exclusive_resumed", logged, now-since)
 	}
--- a/internal/controlplane/configwatch/sync.go
+++ b/internal/controlplane/configwatch/sync.go
@@ -12,98 +12,98 @@
 	"silverpath/internal/policy/quota"
 )
 
-// sync asks the group once, and does what the answer says. It reports whether the group has answered.
+// sync polls the group once and applies the answer. It reports whether the group answered.
 func (w *Watcher) sync(ctx context.Context) bool {
 	w.mu.Lock()
-	s := quorum.ConfigSync{
+	request := quorum.ConfigSync{
 		Process: w.replica.Report(), HasVersions: w.replica.KnownVersions(), BaseVersions: w.replica.CompleteVersions(),
 		ActiveVersions: w.replica.ActiveVersions(), StopReason: w.StopReason(),
 	}
-	asked := request{clock: w.clock(), wall: Wall(), at: time.Now()}
+	sentAt := requestTime{clock: w.clock(), wall: Wall(), at: time.Now()}
 	w.mu.Unlock()
 	if w.cfg.Goodput != nil {
-		s.Load = w.cfg.Goodput()
+		request.Load = w.cfg.Goodput()
 	}
-	granted := func(quota.Grant, lease.Terms) {}
+	applyGrant := func(quota.Grant, lease.Terms) {}
 	if w.cfg.Quota != nil {
-		var r quota.Request
-		r, granted = w.cfg.Quota.QuotaRequest()
-		s.Quota = &r
+		var quotaRequest quota.Request
+		quotaRequest, applyGrant = w.cfg.Quota.QuotaRequest()
+		request.Quota = &quotaRequest
 	}
-	asking, cancel := context.WithTimeout(ctx, requestTimeout)
-	a, err := w.cfg.Group.Sync(asking, s)
+	requestCtx, cancel := context.WithTimeout(ctx, requestTimeout)
+	reply, err := w.cfg.Group.Sync(requestCtx, request)
 	cancel()
 	if err != nil {
 		w.cfg.Stats.Inc("rules", "unanswered")
 		w.logError(err)
 		return false
 	}
-	w.logStopReason() // a confirmation that ended while this was asked
-	w.takeAnswer(asked, a, granted)
+	w.logStopReason() // the confirmation may have ended during the request
+	w.applyReply(sentAt, reply, applyGrant)
 	return true
 }
 
-// request is when the group was asked, by three clocks.
-type request struct {
-	clock time.Duration // by which leases count
-	wall  time.Time     // which is compared with the leader's
-	at    time.Time     // for OnConfirmed
+// requestTime is the time of a request to the group by three clocks.
+type requestTime struct {
+	clock time.Duration // of Watcher.clock, for leases
+	wall  time.Time     // of Wall, compared with the leader's wall clock
+	at    time.Time     // of time.Now, for OnConfirmed
 }
 
-// takeAnswer acts on what the group has answered. The order guards against two processes that act on versions that exclude each other:
-// what a quiescing change touches pauses before anything else, the new version is acted on, and only then do the pauses end and does the
-// confirmation hold. Else a request could begin by the old version between them, at a process that has said that it has stopped, or at
-// one that comes back unconfirmed.
-func (w *Watcher) takeAnswer(asked request, a quorum.ConfigSyncReply, granted func(quota.Grant, lease.Terms)) {
+// applyReply applies the group's answer. The order of the steps prevents two processes from acting on conflicting versions:
+// first the scopes of a quiescing change are paused, then the new version is applied, and only then the pauses end and the
+// confirmation takes effect. In another order a request could begin under the old version on a process that has reported
+// that it has stopped, or on one that was unconfirmed before this answer.
+func (w *Watcher) applyReply(sentAt requestTime, reply quorum.ConfigSyncReply, applyGrant func(quota.Grant, lease.Terms)) {
 	w.mu.Lock()
-	updates := w.replica.Receive(asked.clock, a.Index, a.Terms, a.Docs, w.check)
-	w.conflictBound = configstore.Terms{Lease: a.Terms.TTL, ClockDrift: a.Terms.Drift}.ConflictBound()
+	updates := w.replica.Receive(sentAt.clock, reply.Index, reply.Terms, reply.Docs, w.check)
+	w.conflictBound = configstore.Terms{Lease: reply.Terms.TTL, ClockDrift: reply.Terms.Drift}.ConflictBound()
 	w.cfg.Stats.Set(uint64(w.conflictBound.Milliseconds()), "rules", "bound_ms")
 	w.cfg.Stats.Set(uint64(w.longestUnconfirmed.Milliseconds()), "rules", "longest_unconfirmed_ms")
-	confirmed := w.replica.LastConfirmed() == asked.clock
+	confirmed := w.replica.LastConfirmed() == sentAt.clock
 	quiescing := w.replica.PauseScopes()
-	both := append(slices.Clone(*w.paused.Load()), quiescing...)
-	w.paused.Store(&both)
-	until := w.replica.ConfirmedUntil()
-	// The leader answered between the request and now, so the clocks differ by this at least.
-	skew := max(0, time.UnixMilli(a.Wall).Sub(Wall()), asked.wall.Sub(time.UnixMilli(a.Wall))-time.Millisecond)
+	pausedScopes := append(slices.Clone(*w.paused.Load()), quiescing...)
+	w.paused.Store(&pausedScopes)
+	confirmedUntil := w.replica.ConfirmedUntil()
+	// The leader read its clock between the request and now, so this is a lower bound of the difference.
+	skew := max(0, time.UnixMilli(reply.Wall).Sub(Wall()), sentAt.wall.Sub(time.UnixMilli(reply.Wall))-time.Millisecond)
 	w.observedSkew = max(w.observedSkew, skew)
 	w.mu.Unlock()
 	w.logError(nil)
-	if a.Grant != nil {
-		granted(*a.Grant, a.Terms)
+	if reply.Grant != nil {
+		applyGrant(*reply.Grant, reply.Terms)
 	}
 	w.logMismatches()
-	actsOnAll := w.apply(updates)
+	appliedAll := w.apply(updates)
 	if w.cfg.MaxClockSkew != nil {
-		// Two that are each within half of it of the leader's clock are within it of each other.
-		w.clockApart.Store(skew > w.cfg.MaxClockSkew()/2)
+		// Two processes that each differ from the leader by at most half the limit differ from each other by at most the limit.
+		w.clockSkewed.Store(skew > w.cfg.MaxClockSkew()/2)
 	}
-	if w.cfg.OnConfirmed != nil && confirmed { // a process that lacks a part of what is active goes by an older version
-		w.cfg.OnConfirmed(asked.at)
+	if w.cfg.OnConfirmed != nil && confirmed { // not confirmed if parts are missing: the process still acts on an older version
+		w.cfg.OnConfirmed(sentAt.at)
 	}
 	w.paused.Store(&quiescing)
-	if actsOnAll {
-		w.confirmedUntil.Store(int64(until))
+	if appliedAll {
+		w.confirmedUntil.Store(int64(confirmedUntil))
 	}
 }
 
-// apply has the process act on updates, and reports whether it acts on all of them. One that it can't act on after all is logged; in parts
-// it is delivered once more, with all of them.
-func (w *Watcher) apply(updates []configstore.Update) (all bool) {
-	all = true
+// apply applies updates and reports whether all of them succeeded. It logs each failure. A document in parts that failed is
+// delivered again, with all its parts.
+func (w *Watcher) apply(updates []configstore.Update) (appliedAll bool) {
+	appliedAll = true
 	for _, u := range updates {
-		d, err := w.cfg.Documents[u.Doc], error(nil)
+		doc, err := w.cfg.Documents[u.Doc], error(nil)
 		switch {
 		case !u.Revision.InParts:
-			err = d.Apply(u.Revision.Text)
-		case d.ApplyParts != nil:
-			err = d.ApplyParts(u.Revision.ID, u.Parts, u.Complete)
+			err = doc.Apply(u.Revision.Text)
+		case doc.ApplyParts != nil:
+			err = doc.ApplyParts(u.Revision.ID, u.Parts, u.Complete)
 		}
-		if err != nil { // it was checked: something has changed since
+		if err != nil { // the check succeeded before: something has changed since
 			w.cfg.Stats.Inc("rules", "bad")
 			events.Log(w.cfg.Log, "config.rejected", u.Doc, u.Revision.ID, err)
-			all = false
+			appliedAll = false
 			if u.Revision.InParts {
 				w.mu.Lock()
 				w.replica.Redeliver(u.Doc)
@@ -114,17 +114,17 @@
 		w.cfg.Stats.Inc("rules", "taken", u.Doc)
 		events.Log(w.cfg.Log, "config.active", u.Doc, u.Revision.ID)
 	}
-	return all
+	return appliedAll
 }
 
-// check is an error that tells why this process can't act on a document's text.
+// check returns why this process can't act on a document's text, nil if it can.
 func (w *Watcher) check(name, text string) error { return w.cfg.Documents[name].Check(text) }
 
-// logError logs what went wrong, once while it stays the same.
+// logError logs that a request to the group failed, once until a request succeeds. A nil error is a success.
 func (w *Watcher) logError(err error) {
 	text := ""
 	if err != nil {
-		text = "can't ask the group"
+		text = "request to the group failed"
 	}
 	w.mu.Lock()
 	changed := text != w.loggedError
