--- a/internal/storage/atomicfile/atomicfile.go
+++ b/internal/storage/atomicfile/atomicfile.go
@@ -1,4 +1,5 @@
-// Package atomicfile replaces files atomically and durably: after a loss of power the old or the new one is there, complete.
+// Package atomicfile replaces files atomically and durably: after a loss of power either the old or the new file is present
+// and complete.
 package atomicfile
 
 import (
@@ -7,18 +8,18 @@
 	"path/filepath"
 )
 
-// Sync is how a file, or a folder, is made durable; tests put one in its place that fails.
+// Sync makes a file or a folder durable. Tests replace it with a function that fails.
 var Sync = (*os.File).Sync
 
-// Write writes a file beside its place, makes it durable, puts it there by place, and makes the folder durable. Place is os.Rename, which
-// replaces what stands there, or os.Link, which fails where something does. After an error nobody knows which of the two stands there
-// after a loss of power.
-func Write(path string, data []byte, place func(from, to string) error) error {
+// Write writes data to a temporary file in the folder of path, syncs it, installs it at path with install and syncs the folder.
+// Install is os.Rename, which replaces an existing file, or os.Link, which fails if path exists. After an error it is unknown
+// whether path has the old or the new content after a loss of power.
+func Write(path string, data []byte, install func(from, to string) error) error {
 	f, err := os.CreateTemp(filepath.Dir(path), ".next-"+filepath.Base(path))
 	if err != nil {
 		return err
 	}
-	defer func() { _ = os.Remove(f.Name()) }() // a renamed one is not there any more, a linked one has another name too
+	defer func() { _ = os.Remove(f.Name()) }() // after os.Rename this name does not exist; after os.Link path is a second name
 	_, err = f.Write(data)
 	if err == nil {
 		err = f.Chmod(0o644)
@@ -29,7 +30,7 @@
 	if err = errors.Join(err, f.Close()); err != nil {
 		return err
 	}
-	if err := place(f.Name(), path); err != nil {
+	if err := install(f.Name(), path); err != nil {
 		return err
 	}
 	dir, err := os.Open(filepath.Dir(path))
--- a/internal/storage/heartbeat/heartbeat.go
+++ b/internal/storage/heartbeat/heartbeat.go
@@ -1,5 +1,5 @@
-// Package heartbeat writes the heartbeats of a process to a disk, and reads the last one of the process before it. What they prove is
-// decided by the package recovery.
+// Package heartbeat writes the heartbeats of a process to disk and reads the last heartbeat of the previous process. Package
+// recovery decides what a heartbeat proves.
 package heartbeat
 
 import (
@@ -23,12 +23,13 @@
 )
 
 const (
-	// heartbeatsPerValidity is how many heartbeats are due while the latest is valid: one or two may be late without a pause.
+	// heartbeatsPerValidity is the number of heartbeats that are due while the latest is valid. One or two may be late before
+	// requests have to stop.
 	heartbeatsPerValidity = 4
-	maxFile               = 4 << 10 // bytes of a heartbeat's file: far more than its names take
+	maxFileSize           = 4 << 10 // bytes that are read of a heartbeat file, far more than a heartbeat takes
 )
 
-// Heartbeats writes those of one process.
+// Heartbeats writes the heartbeats of one process and grants it the right to execute requests while they are valid.
 type Heartbeats struct {
 	path, name string
 	validity   time.Duration
@@ -36,108 +37,109 @@
 	stats      *metrics.Counters
 	downtime   time.Duration
 	evidence   recovery.Evidence
-	foundAt    idempotency.Clock // when the last one was read
+	openedAt   idempotency.Clock // when the previous process's heartbeat was read
 
 	mu            sync.Mutex
 	lease         *recovery.HeartbeatLease
-	failureLogged bool // that heartbeats can't be written
+	failureLogged bool // the current failure to write heartbeats has been logged
 }
 
-// fileRecord is a heartbeat as it is written; the checksum is of the heartbeat's JSON.
+// fileRecord is the content of a heartbeat file. The checksum covers the JSON of the heartbeat.
 type fileRecord struct {
 	Heartbeat recovery.Heartbeat `json:"sign"`
 	Checksum  uint32             `json:"sum"`
 }
 
 func (r fileRecord) checksum() uint32 {
-	text, _ := json.Marshal(r.Heartbeat) // texts and numbers alone: it can't fail
+	text, _ := json.Marshal(r.Heartbeat) // can't fail: the fields are strings and numbers
 	return crc32.ChecksumIEEE(text)
 }
 
-// Open reads the heartbeat of the process before this one, and writes the first of this one. A file that can't be read proves nothing,
-// and is set aside; one of another service is an error. Interval and validity of heartbeats follow from validity.
-func Open(path, name string, validity time.Duration, l *log.Logger, s *metrics.Counters) (*Heartbeats, error) {
-	k := &Heartbeats{path: path, name: name, validity: validity, log: l, stats: s, foundAt: idempotencystore.Now(),
+// Open reads the heartbeat of the previous process and writes the first one of this process. A file that can't be read
+// proves nothing and is renamed. It returns an error if the file is that of another service or can't be renamed. The
+// interval of heartbeats follows from validity.
+func Open(path, name string, validity time.Duration, logger *log.Logger, stats *metrics.Counters) (*Heartbeats, error) {
+	h := &Heartbeats{path: path, name: name, validity: validity, log: logger, stats: stats, openedAt: idempotencystore.Now(),
 		lease: recovery.NewHeartbeatLease(recovery.LeaseTerms{Interval: validity / heartbeatsPerValidity, Validity: validity})}
-	last, err := Read(path)
+	previous, err := Read(path)
 	if err != nil {
-		events.Log(l, "heartbeat.unreadable", err)
+		events.Log(logger, "heartbeat.unreadable", err)
 		if err := os.Rename(path, fmt.Sprintf("%s.damaged-%d", path, time.Now().UnixNano())); err != nil && !errors.Is(err, fs.ErrNotExist) {
 			return nil, err
 		}
 	}
-	k.downtime, k.evidence = last.Downtime(k.heartbeat(k.foundAt))
-	if last.Name != "" && last.Name != name {
-		return nil, fmt.Errorf("%s: it is of the service %q, not of %q", path, last.Name, name)
+	h.downtime, h.evidence = previous.Downtime(h.heartbeat(h.openedAt))
+	if previous.Name != "" && previous.Name != name {
+		return nil, fmt.Errorf("%s: it is of the service %q, not of %q", path, previous.Name, name)
 	}
-	k.writeIfDue() // a failure is logged: reads are served all the same
-	events.Log(l, "heartbeat.downtime", k.downtime.Round(time.Millisecond), k.evidence)
-	return k, nil
+	h.writeIfDue() // a failure is logged and does not stop the service: it still serves reads
+	events.Log(logger, "heartbeat.downtime", h.downtime.Round(time.Millisecond), h.evidence)
+	return h, nil
 }
 
-// Read reads a heartbeat. One that is not there is of nobody, and no error.
-func Read(path string) (s recovery.Heartbeat, err error) {
+// Read reads a heartbeat file. It returns the zero heartbeat and no error if the file does not exist.
+func Read(path string) (heartbeat recovery.Heartbeat, err error) {
 	f, err := os.Open(path)
 	if errors.Is(err, fs.ErrNotExist) {
-		return s, nil
+		return heartbeat, nil
 	}
 	if err != nil {
-		return s, err
+		return heartbeat, err
 	}
 	defer f.Close()
-	b := make([]byte, maxFile)
-	n, err := f.Read(b)
+	buf := make([]byte, maxFileSize)
+	n, err := f.Read(buf)
 	if err != nil {
-		return s, fmt.Errorf("%s: %w", path, err)
+		return heartbeat, fmt.Errorf("%s: %w", path, err)
 	}
-	var r fileRecord
-	if err := json.Unmarshal(b[:n], &r); err != nil {
-		return s, fmt.Errorf("%s: %w", path, err)
+	var record fileRecord
+	if err := json.Unmarshal(buf[:n], &record); err != nil {
+		return heartbeat, fmt.Errorf("%s: %w", path, err)
 	}
-	if r.Checksum != r.checksum() {
-		return s, fmt.Errorf("%s: its checksum is not of what it says", path)
+	if record.Checksum != record.checksum() {
+		return heartbeat, fmt.Errorf("%s: its checksum is not of what it says", path)
 	}
-	return r.Heartbeat, nil
+	return record.Heartbeat, nil
 }
 
-func (k *Heartbeats) heartbeat(c idempotency.Clock) recovery.Heartbeat {
-	return recovery.Heartbeat{Name: k.name, Machine: c.Machine, Boot: c.Boot, SinceBoot: c.SinceBoot, Validity: k.validity}
+func (h *Heartbeats) heartbeat(now idempotency.Clock) recovery.Heartbeat {
+	return recovery.Heartbeat{Name: h.name, Machine: now.Machine, Boot: now.Boot, SinceBoot: now.SinceBoot, Validity: h.validity}
 }
 
-// writeIfDue writes a heartbeat where one is due.
-func (k *Heartbeats) writeIfDue() {
+// writeIfDue writes a heartbeat if one is due. It logs the first of consecutive failures.
+func (h *Heartbeats) writeIfDue() {
 	now := idempotencystore.Now()
-	k.mu.Lock()
-	due := k.lease.HeartbeatDue(now.SinceBoot)
-	k.mu.Unlock()
+	h.mu.Lock()
+	due := h.lease.HeartbeatDue(now.SinceBoot)
+	h.mu.Unlock()
 	if !due {
 		return
 	}
-	r := fileRecord{Heartbeat: k.heartbeat(now)}
-	r.Checksum = r.checksum()
-	text, err := json.Marshal(r)
+	record := fileRecord{Heartbeat: h.heartbeat(now)}
+	record.Checksum = record.checksum()
+	text, err := json.Marshal(record)
 	if err == nil {
-		if err = fault(); err == nil {
-			err = atomicfile.Write(k.path, text, os.Rename)
+		if err = injectedFault(); err == nil {
+			err = atomicfile.Write(h.path, text, os.Rename)
 		}
 	}
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.lease.HeartbeatWritten(err == nil)
-	if err != nil && !k.failureLogged {
-		events.Log(k.log, "heartbeat.failed", err)
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.lease.HeartbeatWritten(err == nil)
+	if err != nil && !h.failureLogged {
+		events.Log(h.log, "heartbeat.failed", err)
 	}
-	if k.failureLogged = err != nil; k.failureLogged {
-		k.stats.Inc("life", "failed")
+	if h.failureLogged = err != nil; h.failureLogged {
+		h.stats.Inc("life", "failed")
 	} else {
-		k.stats.Inc("life", "signs")
+		h.stats.Inc("life", "signs")
 	}
 }
 
-// FaultHook is asked before a heartbeat is written, in test programs only.
+// FaultHook is called before each heartbeat is written. Test programs set it to return the error of a failing disk.
 var FaultHook func() error
 
-func fault() error {
+func injectedFault() error {
 	if FaultHook == nil {
 		return nil
 	}
@@ -145,27 +147,28 @@
 }
 
 // Run writes heartbeats until the context ends.
-func (k *Heartbeats) Run(ctx context.Context) {
-	t := time.NewTicker(max(k.validity/heartbeatsPerValidity/2, time.Millisecond))
-	defer t.Stop()
+func (h *Heartbeats) Run(ctx context.Context) {
+	ticker := time.NewTicker(max(h.validity/heartbeatsPerValidity/2, time.Millisecond))
+	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-t.C:
-			k.writeIfDue()
+		case <-ticker.C:
+			h.writeIfDue()
 		}
 	}
 }
 
-// MayExecute reports whether requests with an effect may run: see [recovery.HeartbeatLease].
-func (k *Heartbeats) MayExecute() bool {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.lease.MayExecute(idempotencystore.Now().SinceBoot)
+// MayExecute reports whether requests with side effects may run: see [recovery.HeartbeatLease].
+func (h *Heartbeats) MayExecute() bool {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return h.lease.MayExecute(idempotencystore.Now().SinceBoot)
 }
 
-// Downtime is for how long, by now and at the least, no earlier process of the service has run anything, and by what that is known.
-func (k *Heartbeats) Downtime() (time.Duration, recovery.Evidence) {
-	return k.downtime + idempotencystore.Now().SinceBoot - k.foundAt.SinceBoot, k.evidence
+// Downtime returns for how long at least no earlier process of the service has executed a request, as of now, and the
+// evidence for it.
+func (h *Heartbeats) Downtime() (time.Duration, recovery.Evidence) {
+	return h.downtime + idempotencystore.Now().SinceBoot - h.openedAt.SinceBoot, h.evidence
 }
--- a/internal/storage/inspect/inspect.go
+++ b/internal/storage/inspect/inspect.go
@@ -1,5 +1,5 @@
-// Package inspect reads what processes store on disks, without changing anything, and says whose it is, of when, and whether it can be
-// trusted as the package recovery has it. No process may have the files open.
+// Package inspect reads the files that processes store on disk, without changing them. It reports to whom a file belongs,
+// how old it is and whether package recovery trusts it. No process may have the files open.
 package inspect
 
 import (
@@ -23,7 +23,8 @@
 	"silverpath/internal/storage/idempotencystore"
 )
 
-// Finding is what one file or folder proves. Its names in JSON are those of the command recover inspect.
+// Finding is the result of the inspection of one file or folder. Its JSON names are those in the output of the command
+// recover inspect.
 type Finding struct {
 	Path    string   `json:"path"`
 	Kind    string   `json:"kind"`
@@ -33,7 +34,7 @@
 	Problem string   `json:"wrong,omitempty"`
 }
 
-// readers are the readers of kinds of state by what they read, in the order in which a path is tried.
+// readers lists the kinds of stored state with their readers, in the order in which a path is tried.
 var readers = []struct {
 	name  string
 	trust recovery.Trust
@@ -46,17 +47,18 @@
 	{"sign of life", recovery.Trusted, readHeartbeat},
 }
 
-// errOtherKind is of a file that is something else: the next reader is tried.
-var errOtherKind = errors.New("something else")
+// errOtherKind reports that a file is not of the reader's kind. The next reader is tried.
+var errOtherKind = errors.New("file of another kind")
 
-// Inspect reads a path. What is there and can't be read says so in the finding; an error is of a path that is not there.
+// Inspect inspects a file or folder. A file that can't be read is reported in the finding's Problem. It returns an error
+// only if the path can't be found.
 func Inspect(path string) (Finding, error) {
 	if _, err := os.Stat(path); err != nil {
 		return Finding{}, err
 	}
-	for _, k := range readers {
-		f := Finding{Path: path, Kind: k.name, Trust: k.trust.String()}
-		err := k.read(path, &f)
+	for _, reader := range readers {
+		f := Finding{Path: path, Kind: reader.name, Trust: reader.trust.String()}
+		err := reader.read(path, &f)
 		if errors.Is(err, errOtherKind) {
 			continue
 		}
@@ -72,9 +74,10 @@
 	f.Facts = append(f.Facts, fmt.Sprintf(format, args...))
 }
 
-// viewDatabase reads a file of the library bbolt, where it has a bucket of the given name. ErrInUse is of one that a process has open.
-func viewDatabase(path, name string, do func(tx *bbolt.Tx) error) (err error) {
-	if s, err := os.Stat(path); err != nil || s.IsDir() {
+// viewDatabase calls view with a read transaction on a bbolt file. It returns errOtherKind if the path is no bbolt file or the
+// file lacks the named bucket, and ErrInUse if a process has the file open.
+func viewDatabase(path, bucket string, view func(tx *bbolt.Tx) error) (err error) {
+	if info, err := os.Stat(path); err != nil || info.IsDir() {
 		return errOtherKind
 	}
 	defer idempotencystore.RecoverPanic(&err)()
@@ -85,56 +88,56 @@
 	if err != nil {
 		return errOtherKind
 	}
-	defer func() { _ = db.Close() }() // nothing was written
+	defer func() { _ = db.Close() }() // opened read-only
 	return db.View(func(tx *bbolt.Tx) error {
-		if tx.Bucket([]byte(name)) == nil {
+		if tx.Bucket([]byte(bucket)) == nil {
 			return errOtherKind
 		}
-		return do(tx)
+		return view(tx)
 	})
 }
 
-// fileIn is the first of some files of a folder that is there, or the path itself.
+// fileIn returns the first of the named files that exists in the folder path, or path itself if none does.
 func fileIn(path string, names ...string) string {
 	for _, n := range names {
-		if at := filepath.Join(path, n); isFile(at) {
-			return at
+		if file := filepath.Join(path, n); isFile(file) {
+			return file
 		}
 	}
 	return path
 }
 
 func isFile(path string) bool {
-	s, err := os.Stat(path)
-	return err == nil && !s.IsDir()
+	info, err := os.Stat(path)
+	return err == nil && !info.IsDir()
 }
 
 func readMember(path string, f *Finding) error {
-	list, _ := filepath.Glob(filepath.Join(path, "*.db"))
-	for _, one := range append(list, path) {
-		err := viewDatabase(one, "log", func(tx *bbolt.Tx) error {
+	files, _ := filepath.Glob(filepath.Join(path, "*.db"))
+	for _, file := range append(files, path) {
+		err := viewDatabase(file, "log", func(tx *bbolt.Tx) error {
 			meta := tx.Bucket([]byte("meta"))
 			if meta == nil {
 				return errOtherKind
 			}
-			var who struct {
+			var identity struct {
 				ID     uint64 `json:"id"`
 				Name   string `json:"name"`
 				Starts uint64 `json:"starts"`
 				Group  string `json:"group"`
 			}
-			if err := json.Unmarshal(meta.Get([]byte("who")), &who); err != nil {
-				return fmt.Errorf("its identity: %w", err)
+			if err := json.Unmarshal(meta.Get([]byte("who")), &identity); err != nil {
+				return fmt.Errorf("invalid identity: %w", err)
 			}
-			f.Owner = who.Name
-			f.addFact("number %x, started %d times", who.ID, who.Starts)
-			if who.Group == "" {
-				f.addFact("of no group")
+			f.Owner = identity.Name
+			f.addFact("number %x, started %d times", identity.ID, identity.Starts)
+			if identity.Group == "" {
+				f.addFact("member of no group")
 			} else {
-				f.addFact("of the group %s", who.Group)
+				f.addFact("of the group %s", identity.Group)
 			}
 			if k, _ := tx.Bucket([]byte("log")).Cursor().Last(); len(k) == 8 {
-				f.addFact("log up to entry %d, as it was written; what of it was agreed its group knows", binary.BigEndian.Uint64(k))
+				f.addFact("log up to entry %d as written; only the group knows up to which entry it is committed", binary.BigEndian.Uint64(k))
 			}
 			return nil
 		})
@@ -146,31 +149,31 @@
 }
 
 func readStore(path string, f *Finding) error {
-	at := fileIn(path, idempotencystore.FileName)
-	if err := viewDatabase(at, "keys", func(*bbolt.Tx) error { return nil }); err != nil {
+	file := fileIn(path, idempotencystore.FileName)
+	if err := viewDatabase(file, "keys", func(*bbolt.Tx) error { return nil }); err != nil {
 		return err
 	}
-	s, err := idempotencystore.Check(at)
+	summary, err := idempotencystore.Check(file)
 	if err != nil {
 		return err
 	}
-	f.Owner = s.Name
-	f.addFact("store %s, %d records, %d KB", s.ID, s.Records, s.Bytes>>10)
-	for _, state := range slices.Sorted(maps.Keys(s.ByState)) {
-		f.addFact("%s: %d", state, s.ByState[state])
+	f.Owner = summary.Name
+	f.addFact("store %s, %d records, %d KB", summary.ID, summary.Records, summary.Bytes>>10)
+	for _, state := range slices.Sorted(maps.Keys(summary.ByState)) {
+		f.addFact("%s: %d", state, summary.ByState[state])
 	}
-	f.addFact("whole: %v, closed in good order: %v, from the machine's present start: %v", s.Complete, s.ClosedCleanly, s.SameBoot)
-	if s.Unreadable > 0 || s.Damage != "" {
-		return fmt.Errorf("%d records can't be read %s", s.Unreadable, s.Damage)
+	f.addFact("whole: %v, closed in good order: %v, from the machine's present start: %v", summary.Complete, summary.ClosedCleanly, summary.SameBoot)
+	if summary.Unreadable > 0 || summary.Damage != "" {
+		return fmt.Errorf("%d records can't be read %s", summary.Unreadable, summary.Damage)
 	}
 	return nil
 }
 
 func readRouter(path string, f *Finding) error {
 	return viewDatabase(path, "cells", func(tx *bbolt.Tx) error {
-		m, read, err := proxy.StoredMap(tx)
+		m, confirmedAt, err := proxy.StoredMap(tx)
 		if errors.Is(err, proxy.ErrNoMapStored) {
-			f.addFact("no map yet")
+			f.addFact("no map stored")
 			return nil
 		}
 		if err != nil {
@@ -178,26 +181,26 @@
 		}
 		servers, tenants := m.Size()
 		f.addFact("map version %d, %d servers, %d tenants", m.Version, servers, tenants)
-		f.addFact("read last at %s by the wall clock", read.UTC().Format(time.RFC3339))
+		f.addFact("last confirmed as the newest at %s by the wall clock", confirmedAt.UTC().Format(time.RFC3339))
 		return nil
 	})
 }
 
-// prefixOf is the beginning of a file, by which it is told what it is; empty where it can't be read.
-func prefixOf(path string, size int) string {
+// filePrefix returns the first bytes of a file, which identify its kind. It returns an empty string if the file can't be read.
+func filePrefix(path string, size int) string {
 	file, err := os.Open(path)
 	if err != nil {
 		return ""
 	}
 	defer file.Close()
-	head := make([]byte, size)
-	n, _ := file.Read(head)
-	return string(head[:n])
+	prefix := make([]byte, size)
+	n, _ := file.Read(prefix)
+	return string(prefix[:n])
 }
 
 func readFence(path string, f *Finding) error {
-	head := prefixOf(path, 9)
-	if len(head) < 9 || head[8] != '\n' || strings.Trim(head[:8], "0123456789abcdef") != "" {
+	prefix := filePrefix(path, 9)
+	if len(prefix) < 9 || prefix[8] != '\n' || strings.Trim(prefix[:8], "0123456789abcdef") != "" {
 		return errOtherKind
 	}
 	service, commands, err := fence.ReadFile(path)
@@ -206,24 +209,24 @@
 	}
 	f.Owner = service
 	for _, duty := range slices.Sorted(maps.Keys(commands)) {
-		o := commands[duty]
-		f.addFact("%s: epoch %v, step %d, %s", duty, o.Epoch, o.Step, o.Action)
+		command := commands[duty]
+		f.addFact("%s: epoch %v, step %d, %s", duty, command.Epoch, command.Step, command.Action)
 	}
 	return nil
 }
 
 func readHeartbeat(path string, f *Finding) error {
-	if !strings.HasPrefix(prefixOf(path, 8), `{"sign"`) {
+	if !strings.HasPrefix(filePrefix(path, 8), `{"sign"`) {
 		return errOtherKind
 	}
-	s, err := heartbeat.Read(path)
+	last, err := heartbeat.Read(path)
 	if err != nil {
 		return err
 	}
 	now := idempotencystore.Now()
-	downtime, by := s.Downtime(recovery.Heartbeat{Name: s.Name, Machine: now.Machine, Boot: now.Boot, SinceBoot: now.SinceBoot})
-	f.Owner = s.Name
-	f.addFact("of the machine %q, %v after it was switched on", s.Machine, s.SinceBoot.Round(time.Millisecond))
-	f.addFact("seen from here and now: nothing was begun for %v at the least, by %v", downtime.Round(time.Millisecond), by)
+	downtime, evidence := last.Downtime(recovery.Heartbeat{Name: last.Name, Machine: now.Machine, Boot: now.Boot, SinceBoot: now.SinceBoot})
+	f.Owner = last.Name
+	f.addFact("of the machine %q, %v after it was switched on", last.Machine, last.SinceBoot.Round(time.Millisecond))
+	f.addFact("seen from here and now: nothing was begun for %v at the least, by %v", downtime.Round(time.Millisecond), evidence)
 	return nil
 }
