--- a/internal/storage/idempotencystore/clock.go
+++ b/internal/storage/idempotencystore/clock.go
@@ -13,29 +13,31 @@
 	"silverpath/internal/policy/idempotency"
 )
 
-// Now is the machine's clock: how long it has been switched on, sleep included, and which boot that is. Steps of the wall clock move
-// neither. Test programs put another one in its place.
+// Now returns the machine's clock: the time since boot, including sleep, and the identity of the boot. Changes of the wall
+// clock affect neither. Test programs replace it.
 var Now = func() idempotency.Clock {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
-		return idempotency.Clock{Boot: unknownBoot(), SinceBoot: time.Since(processStart)}
+		return idempotency.Clock{Boot: processBootID(), SinceBoot: time.Since(processStart)}
 	}
-	return idempotency.Clock{Machine: machine(), Boot: boot(), SinceBoot: time.Duration(ts.Nano())}
+	return idempotency.Clock{Machine: machineID(), Boot: bootID(), SinceBoot: time.Duration(ts.Nano())}
 }
 
 var processStart = time.Now()
 
-// boot is the kernel's name for this time of being switched on. Where it has none, each process takes itself for the first.
-var boot = sync.OnceValue(func() string {
+// bootID returns the kernel's ID of the present boot. If there is none, it is an ID of this process, so that each process
+// counts as a boot of its own.
+var bootID = sync.OnceValue(func() string {
 	b, err := os.ReadFile("/proc/sys/kernel/random/boot_id")
 	if err != nil || len(b) == 0 {
-		return unknownBoot()
+		return processBootID()
 	}
 	return strings.TrimSpace(string(b))
 })
 
-// machine is the installation's own name, by which a disk in another machine is told from one that came back. Empty: there is none.
-var machine = sync.OnceValue(func() string {
+// machineID returns the ID of the operating system's installation, which detects a disk that was moved to another machine. It
+// is empty if there is none.
+var machineID = sync.OnceValue(func() string {
 	b, err := os.ReadFile("/etc/machine-id")
 	if err != nil {
 		return ""
@@ -43,7 +45,7 @@
 	return strings.TrimSpace(string(b))
 })
 
-var unknownBoot = sync.OnceValue(newID)
+var processBootID = sync.OnceValue(newID)
 
 func newID() string {
 	var b [8]byte
--- a/internal/storage/idempotencystore/file.go
+++ b/internal/storage/idempotencystore/file.go
@@ -17,29 +17,30 @@
 	"silverpath/internal/policy/idempotency"
 )
 
-// FileName is the file in a store's folder.
+// FileName is the name of the file in a store's folder.
 const FileName = "keys.db"
 
 const (
 	lockName = "lock"
-	// formatVersion is the version of what is on the disk.
+	// formatVersion is the version of the file's format.
 	formatVersion = 1
-	// fileGrowth is by how many bytes the file grows: few enough to be found, many enough that it seldom does.
+	// fileGrowth is the number of bytes by which the file grows at a time: few enough that a disk has them free, many enough
+	// that the file seldom grows.
 	fileGrowth = 1 << 20
-	// lockWait is how long a process waits for another one that has the file: one that was killed may take a while to be gone.
+	// lockWait is how long a process waits for the lock: a process that was killed may take a while to release it.
 	lockWait = 2 * time.Second
-	// fillPercent is how full pages are left: numbers rise, so that nothing is put between.
+	// fillPercent is the fill rate of pages. Sequence numbers increase, so that no record is inserted between others.
 	fillPercent = 0.9
 )
 
 var (
 	bucketMeta       = []byte("meta")
 	bucketKeys       = []byte("keys")
-	bucketUnreadable = []byte("broken") // records that can't be read, as they were found
-	keyMeta          = []byte("meta")
+	bucketQuarantine = []byte("broken") // quarantine: the bytes of records that can't be decoded
+	headerKey        = []byte("meta")
 )
 
-// header is what a file says of itself. Its names in JSON are those on the disk.
+// header is the metadata of a file, stored as JSON.
 type header struct {
 	Format            int    `json:"format"`
 	ID                string `json:"id"`
@@ -49,10 +50,10 @@
 	CompleteSince     int64  `json:"since_ns"`
 	Complete          bool   `json:"whole"`
 	CompleteSinceWall int64  `json:"wall_ms"`
-	ClosedCleanly     bool   `json:"clean"` // closed in good order, and not opened since
+	ClosedCleanly     bool   `json:"clean"` // closed cleanly, and not opened since
 }
 
-// newHeader is that of a file that knows every run from now on; wall is now in Unix milliseconds.
+// newHeader returns the header of a file that knows every run from now on. Wall is the current time in Unix milliseconds.
 func newHeader(name string, now idempotency.Clock, wall int64) header {
 	return header{Format: formatVersion, ID: newID(), Name: name, Machine: now.Machine, Boot: now.Boot,
 		CompleteSince: int64(now.SinceBoot), CompleteSinceWall: wall}
@@ -63,8 +64,8 @@
 		CompleteSinceWall: h.CompleteSinceWall}
 }
 
-// FaultHook is asked at every fault point of what is written, by its name, in test programs only: it may wait, end the process, or
-// return the error of a disk that has failed.
+// FaultHook is called with the name of each fault point. Test programs set it to wait, to end the process or to return the
+// error of a failing disk.
 var FaultHook func(boundary string) error
 
 func faultPoint(name string) error {
@@ -74,18 +75,19 @@
 	return FaultHook(name)
 }
 
-// file is one open file of records.
+// file is an open file of records.
 type file struct {
 	db     *bbolt.DB
 	path   string
 	header header
 }
 
-// close closes a file. What was committed is durable by then, so that nobody can act on an error.
+// close closes the file. It ignores the error: all committed changes are durable already.
 func (f *file) close() { _ = f.db.Close() }
 
-// openDatabase opens a file. Which of its pages are free stands in it: to find that out would be a walk through all of them, on which the
-// library ends the process where one is damaged. One that is there and can't be a file of records is an error that names it.
+// openDatabase opens a bbolt file. The list of its free pages is stored in the file: without it bbolt would walk through all
+// pages, and end the process if one is damaged. It returns ErrInUse if another process has the file open, and errDamaged if
+// it is not a valid bbolt file.
 func openDatabase(path string, readOnly bool) (db *bbolt.DB, err error) {
 	defer RecoverPanic(&err)()
 	db, err = bbolt.Open(path, 0o600, &bbolt.Options{Timeout: lockWait, FreelistType: bbolt.FreelistMapType, ReadOnly: readOnly})
@@ -102,15 +104,15 @@
 	return db, nil
 }
 
-// ErrInUse is of a file that another process has open.
+// ErrInUse reports that another process has a file or folder open.
 var ErrInUse = errors.New("in use by another process")
 
-var errDamaged = errors.New("it can't be read")
+var errDamaged = errors.New("damaged file")
 
-// OpenRead opens a file of the library's to be read.
+// OpenRead opens a bbolt file read-only. It returns ErrInUse if a process has the file open.
 func OpenRead(path string) (*bbolt.DB, error) { return openDatabase(path, true) }
 
-// openFile opens the file of a folder, or makes one that knows nothing from before now.
+// openFile opens the file at path, or creates one that knows no run from before now.
 func openFile(path, name string, now idempotency.Clock, wall int64) (f *file, created bool, err error) {
 	if _, err := os.Stat(path); errors.Is(err, fs.ErrNotExist) {
 		f, err := writeFile(path, newHeader(name, now, wall), nil)
@@ -136,12 +138,12 @@
 func (f *file) readHeader() (err error) {
 	defer RecoverPanic(&err)()
 	return f.db.View(func(tx *bbolt.Tx) error {
-		m := tx.Bucket(bucketMeta)
-		if m == nil || tx.Bucket(bucketKeys) == nil {
-			return fmt.Errorf("%s: %w: no file of records", f.path, errDamaged)
+		meta := tx.Bucket(bucketMeta)
+		if meta == nil || tx.Bucket(bucketKeys) == nil {
+			return fmt.Errorf("%s: %w: missing buckets", f.path, errDamaged)
 		}
-		if err := json.Unmarshal(m.Get(keyMeta), &f.header); err != nil {
-			return fmt.Errorf("%s: %w: its head: %w", f.path, errDamaged, err)
+		if err := json.Unmarshal(meta.Get(headerKey), &f.header); err != nil {
+			return fmt.Errorf("%s: %w: invalid header: %w", f.path, errDamaged, err)
 		}
 		if f.header.Format != formatVersion {
 			return fmt.Errorf("%s: format %d, this build knows %d", f.path, f.header.Format, formatVersion)
@@ -150,8 +152,8 @@
 	})
 }
 
-// RecoverPanic makes an error of what the library comes upon in pages that are not what they should be: its own panics, and reads
-// outside of the file's memory. Use it as defer RecoverPanic(&err)().
+// RecoverPanic turns panics that bbolt raises on damaged pages into errors, including faults of reads outside the memory map
+// of the file. Use it as defer RecoverPanic(&err)().
 func RecoverPanic(err *error) func() {
 	old := debug.SetPanicOnFault(true)
 	return func() {
@@ -162,37 +164,37 @@
 	}
 }
 
-// change is one change of a file: a record's bytes, or that it is taken off.
+// change is a change of a file: a record that is written or removed.
 type change struct {
 	seq    uint64
 	value  []byte
 	remove bool
-	done   func(error) // nil: nobody waits
+	done   func(error) // called after the commit; may be nil
 }
 
-// commit makes changes, with a new header where that is not nil, and returns once they are durable. After an error nobody knows whether
-// they are.
-func (f *file) commit(changes []change, head *header) (err error) {
+// commit applies changes, and a new header unless changedHeader is nil, and returns once they are durable. After an error it is
+// unknown whether they are durable.
+func (f *file) commit(changes []change, changedHeader *header) (err error) {
 	defer RecoverPanic(&err)()
 	if err := faultPoint("commit"); err != nil {
 		return err
 	}
 	err = f.db.Update(func(tx *bbolt.Tx) error {
-		b := tx.Bucket(bucketKeys)
-		b.FillPercent = fillPercent
+		keys := tx.Bucket(bucketKeys)
+		keys.FillPercent = fillPercent
 		for _, c := range changes {
 			var err error
 			if c.remove {
-				err = b.Delete(seqKey(c.seq))
+				err = keys.Delete(seqKey(c.seq))
 			} else {
-				err = b.Put(seqKey(c.seq), c.value)
+				err = keys.Put(seqKey(c.seq), c.value)
 			}
 			if err != nil {
 				return err
 			}
 		}
-		if head != nil {
-			return putHeader(tx, *head)
+		if changedHeader != nil {
+			return putHeader(tx, *changedHeader)
 		}
 		return nil
 	})
@@ -207,21 +209,21 @@
 	if err != nil {
 		return err
 	}
-	return tx.Bucket(bucketMeta).Put(keyMeta, text)
+	return tx.Bucket(bucketMeta).Put(headerKey, text)
 }
 
-// maxUnreadable is how many records that can't be read newestTime passes over: then the file is as one without records.
+// maxUnreadable is the number of records that newestTime tries to decode before it treats the file as empty.
 const maxUnreadable = 1000
 
-// newestTime is the time of the newest record.
+// newestTime returns the time of the newest readable record, 0 if there is none.
 func (f *file) newestTime() (at time.Duration, err error) {
 	defer RecoverPanic(&err)()
-	attempts := maxUnreadable
+	remaining := maxUnreadable
 	err = f.db.View(func(tx *bbolt.Tx) error {
-		c := tx.Bucket(bucketKeys).Cursor()
-		for k, v := c.Last(); k != nil && attempts > 0; k, v = c.Prev() {
-			attempts--
-			if r, bad := decodeRecord(0, v); bad == nil {
+		cursor := tx.Bucket(bucketKeys).Cursor()
+		for k, v := cursor.Last(); k != nil && remaining > 0; k, v = cursor.Prev() {
+			remaining--
+			if r, decodeErr := decodeRecord(0, v); decodeErr == nil {
 				at = r.RecordedAt
 				return nil
 			}
@@ -231,34 +233,36 @@
 	return at, err
 }
 
-// scan reads records in their order, some at a time, so that no reader holds pages for long. Those that can't be read come as unreadable.
-func (f *file) scan(some int, take func(list []idempotency.Record, unreadable []uint64)) (err error) {
+// scan reads all records in their order and calls take for each chunk of up to chunkSize records. Each chunk has a transaction of
+// its own, so that no reader keeps pages from being reused for long. Unreadable has the numbers of records that can't be
+// decoded.
+func (f *file) scan(chunkSize int, take func(list []idempotency.Record, unreadable []uint64)) (err error) {
 	defer RecoverPanic(&err)()
-	past := uint64(0) // numbers rise: where they don't, damaged pages lead back to themselves
+	lastSeq := uint64(0) // sequence numbers must increase: damaged pages may form a cycle
 	for from, more := []byte{}, true; more; {
-		var list []idempotency.Record
+		var records []idempotency.Record
 		var unreadable []uint64
 		err := f.db.View(func(tx *bbolt.Tx) error {
 			c := tx.Bucket(bucketKeys).Cursor()
 			k, v := c.Seek(from)
-			for ; k != nil && len(list)+len(unreadable) < some; k, v = c.Next() {
+			for ; k != nil && len(records)+len(unreadable) < chunkSize; k, v = c.Next() {
 				if len(k) != 8 {
-					return fmt.Errorf("%w: a record without a number", errDamaged)
+					return fmt.Errorf("%w: record key is not a sequence number", errDamaged)
 				}
 				seq := binary.BigEndian.Uint64(k)
-				if seq <= past && past > 0 {
-					return fmt.Errorf("%w: record %d after %d", errDamaged, seq, past)
+				if seq <= lastSeq && lastSeq > 0 {
+					return fmt.Errorf("%w: record %d after %d", errDamaged, seq, lastSeq)
 				}
-				past = seq
-				if r, bad := decodeRecord(seq, v); bad == nil {
-					list = append(list, r)
+				lastSeq = seq
+				if r, decodeErr := decodeRecord(seq, v); decodeErr == nil {
+					records = append(records, r)
 				} else {
 					unreadable = append(unreadable, seq)
 				}
 			}
 			if more = k != nil; more {
 				if bytes.Compare(k, from) <= 0 {
-					return fmt.Errorf("%w: its records don't rise", errDamaged)
+					return fmt.Errorf("%w: record keys do not increase", errDamaged)
 				}
 				from = append([]byte(nil), k...)
 			}
@@ -267,16 +271,16 @@
 		if err != nil {
 			return err
 		}
-		take(list, unreadable)
+		take(records, unreadable)
 	}
 	return nil
 }
 
-// quarantine puts records that can't be read where they are not met again, as they are.
+// quarantine moves the bytes of unreadable records to a bucket that is not scanned.
 func (f *file) quarantine(unreadable []uint64) (err error) {
 	defer RecoverPanic(&err)()
 	return f.db.Update(func(tx *bbolt.Tx) error {
-		quarantined, err := tx.CreateBucketIfNotExists(bucketUnreadable)
+		quarantined, err := tx.CreateBucketIfNotExists(bucketQuarantine)
 		if err != nil {
 			return err
 		}
@@ -290,7 +294,7 @@
 	})
 }
 
-// count is the number of records.
+// count returns the number of records.
 func (f *file) count() (n int, err error) {
 	defer RecoverPanic(&err)()
 	err = f.db.View(func(tx *bbolt.Tx) error {
@@ -300,11 +304,11 @@
 	return n, err
 }
 
-// size is the file's, in bytes.
+// size returns the size of the file in bytes, 0 if it is unknown.
 func (f *file) size() int64 {
-	s, err := os.Stat(f.path)
+	info, err := os.Stat(f.path)
 	if err != nil {
 		return 0
 	}
-	return s.Size()
+	return info.Size()
 }
--- a/internal/storage/idempotencystore/load.go
+++ b/internal/storage/idempotencystore/load.go
@@ -10,10 +10,11 @@
 	"silverpath/internal/policy/idempotency"
 )
 
-// scanChunk is how many records are read at once: few enough that no reader holds pages of the file for long.
+// scanChunk is the number of records per read transaction. It is small so that no reader keeps pages of the file from being
+// reused for long.
 const scanChunk = 1024
 
-// Run reads what is there and then writes, until Close. It is the store's one goroutine.
+// Run loads the stored records and then writes changes until Close. It is the store's only goroutine.
 func (s *Store) Run(context.Context) {
 	defer close(s.stopped)
 	s.load()
@@ -21,19 +22,19 @@
 	s.writeLoop()
 }
 
-// Loaded is closed once all is read.
+// Loaded returns a channel that is closed once all records are loaded.
 func (s *Store) Loaded() <-chan struct{} { return s.loadedAll }
 
-// loadReport is what was met while all records were read.
+// loadReport is the result of reading all records.
 type loadReport struct {
 	now        idempotency.Clock
-	shift      time.Duration // what is added to the times of the file
-	expired    []uint64      // records that don't matter any more
-	unreadable []uint64      // records that can't be read
-	err        error         // why the rest can't be read; nil: all was
+	timeShift  time.Duration // added to the times in the file
+	expired    []uint64      // records that are no longer relevant
+	unreadable []uint64      // records that can't be decoded
+	err        error         // why reading stopped early; nil if all records were read
 }
 
-// damage says what could not be read; empty: nothing.
+// damage describes what could not be read. It returns an empty string if everything was read.
 func (r *loadReport) damage() string {
 	switch {
 	case r.err != nil:
@@ -44,14 +45,15 @@
 	return ""
 }
 
-// load reads all records, hands them over as it goes, and settles what of the runs before is known.
+// load reads all records, passes them to the owner in chunks, and determines whether all earlier runs are known.
 func (s *Store) load() {
 	startedAt := time.Now()
-	r := s.readRecords()
-	incompleteUntil := s.updateCoverage(&r)
-	s.keepUnreadable(&r)
-	// Times that count from another boot are written as they count now before any new one joins them; so is a header that has changed.
-	for s.needsRewrite || r.shift != 0 {
+	report := s.readRecords()
+	incompleteUntil := s.updateCoverage(&report)
+	s.quarantineUnreadable(&report)
+	// Times of another boot are rewritten relative to the present one before any new record is added, together with the
+	// changed header.
+	for s.needsRewrite || report.timeShift != 0 {
 		if s.rewrite() {
 			break
 		}
@@ -65,48 +67,48 @@
 	if s.closed {
 		s.ledger.Close()
 	}
-	for _, seq := range r.expired {
+	for _, seq := range report.expired {
 		s.queue = append(s.queue, change{seq: seq, remove: true})
 	}
 	records := s.ledger.Snapshot(Now().SinceBoot).Records
 	s.mu.Unlock()
 	took := time.Since(startedAt)
 	s.stats.Set(uint64(took.Milliseconds()), "store", "load_ms")
-	events.Log(s.log, "store.loaded", records, took.Round(time.Millisecond), r.shift != 0)
-	if left := incompleteUntil - Now().SinceBoot; left > 0 {
-		events.Log(s.log, "store.incomplete", left.Round(time.Second))
+	events.Log(s.log, "store.loaded", records, took.Round(time.Millisecond), report.timeShift != 0)
+	if remaining := incompleteUntil - Now().SinceBoot; remaining > 0 {
+		events.Log(s.log, "store.incomplete", remaining.Round(time.Second))
 	}
 }
 
-// readRecords hands all records that matter to their owner.
-func (s *Store) readRecords() (r loadReport) {
-	n, err := s.file.count()
+// readRecords passes all relevant records to the ledger and to their owner.
+func (s *Store) readRecords() (report loadReport) {
+	count, err := s.file.count()
 	newest := time.Duration(0)
 	if err == nil {
 		newest, err = s.file.newestTime()
 	}
-	r.now = Now()
-	r.shift = s.file.header.coverage().TimeShift(newest, r.now)
+	report.now = Now()
+	report.timeShift = s.file.header.coverage().TimeShift(newest, report.now)
 	s.mu.Lock()
-	s.ledger.ExpectRecords(n)
+	s.ledger.ExpectRecords(count)
 	s.mu.Unlock()
 	if err == nil {
-		err = s.file.scan(scanChunk, func(list []idempotency.Record, unreadable []uint64) { s.take(&r, list, unreadable) })
+		err = s.file.scan(scanChunk, func(list []idempotency.Record, unreadable []uint64) { s.loadChunk(&report, list, unreadable) })
 	}
-	r.err = err
-	return r
+	report.err = err
+	return report
 }
 
-// take takes up some records that were read.
-func (s *Store) take(r *loadReport, list []idempotency.Record, unreadable []uint64) {
-	_ = faultPoint("loading") // it may wait; reading on is all there is to do
-	r.unreadable = append(r.unreadable, unreadable...)
-	relevant := list[:0]
+// take loads one chunk of records: the relevant ones into the ledger and the owner, the others into the report.
+func (s *Store) loadChunk(report *loadReport, records []idempotency.Record, unreadable []uint64) {
+	_ = faultPoint("loading") // only for delays: an error is ignored and reading goes on
+	report.unreadable = append(report.unreadable, unreadable...)
+	relevant := records[:0]
 	s.mu.Lock()
-	for _, found := range list {
-		record, matters := found.Recover(r.shift, r.now.SinceBoot)
-		if !matters {
-			r.expired = append(r.expired, record.Seq)
+	for _, stored := range records {
+		record, isRelevant := stored.Recover(report.timeShift, report.now.SinceBoot)
+		if !isRelevant {
+			report.expired = append(report.expired, record.Seq)
 			continue
 		}
 		s.ledger.Load(&record)
@@ -116,22 +118,22 @@
 	s.owner.Restore(relevant, wallTime(Now().SinceBoot))
 }
 
-// updateCoverage brings the header to what is known now, and returns until when runs may matter that are not here. What can't be read
-// may have held any key: all is known only from now on.
-func (s *Store) updateCoverage(r *loadReport) (incompleteUntil time.Duration) {
+// updateCoverage updates the header's coverage, and returns until when runs may be relevant that the store does not know. An
+// unreadable record may have had any key, so after damage the store is complete only from now on.
+func (s *Store) updateCoverage(report *loadReport) (incompleteUntil time.Duration) {
 	h := s.file.header
 	if !h.Complete {
-		incompleteUntil = time.Duration(h.CompleteSince) + r.shift + s.owner.LongestWindow()
+		incompleteUntil = time.Duration(h.CompleteSince) + report.timeShift + s.owner.LongestWindow()
 	}
-	if damage := r.damage(); damage != "" {
+	if damage := report.damage(); damage != "" {
 		s.stats.Inc("store", "damaged")
 		events.Log(s.log, "store.damaged", damage)
-		h.Complete, h.CompleteSince, h.CompleteSinceWall = false, int64(r.now.SinceBoot), time.Now().UnixMilli()
-		incompleteUntil = r.now.SinceBoot + s.owner.LongestWindow()
-	} else if r.shift != 0 {
-		h.CompleteSince += int64(r.shift)
+		h.Complete, h.CompleteSince, h.CompleteSinceWall = false, int64(report.now.SinceBoot), time.Now().UnixMilli()
+		incompleteUntil = report.now.SinceBoot + s.owner.LongestWindow()
+	} else if report.timeShift != 0 {
+		h.CompleteSince += int64(report.timeShift)
 	}
-	h.Machine, h.Boot = r.now.Machine, r.now.Boot
+	h.Machine, h.Boot = report.now.Machine, report.now.Boot
 	s.file.header = h
 	s.mu.Lock()
 	s.completeSince = h.CompleteSinceWall
@@ -139,21 +141,22 @@
 	return incompleteUntil
 }
 
-// keepUnreadable keeps what can't be read for whoever can read more of it: the whole file, beside one that is written of what could be
-// read, or single records.
-func (s *Store) keepUnreadable(r *loadReport) {
+// quarantineUnreadable preserves unreadable data for later analysis. If reading stopped early, the whole file is kept under a
+// quarantine name and a new file is written from the records that could be read. Otherwise the unreadable records are moved
+// to the quarantine bucket.
+func (s *Store) quarantineUnreadable(report *loadReport) {
 	switch {
-	case r.err != nil:
+	case report.err != nil:
 		s.needsRewrite = true
 		if err := os.Link(s.file.path, quarantineName(s.file.path)); err != nil {
 			events.Log(s.log, "store.failed", err)
 		}
-	case len(r.unreadable) > 0:
-		s.needsRewrite = s.file.quarantine(r.unreadable) != nil
+	case len(report.unreadable) > 0:
+		s.needsRewrite = s.file.quarantine(report.unreadable) != nil
 	}
 }
 
-// pause waits, and reports whether the store was closed meanwhile.
+// pause waits for d and reports whether the store was closed meanwhile.
 func (s *Store) pause(d time.Duration) bool {
 	time.Sleep(d)
 	s.mu.Lock()
--- a/internal/storage/idempotencystore/offline.go
+++ b/internal/storage/idempotencystore/offline.go
@@ -11,22 +11,23 @@
 	"silverpath/internal/policy/idempotency"
 )
 
-// Summary is what stands in a file of records.
+// Summary describes a file of records.
 type Summary struct {
 	ID, Name      string
 	Format        int
-	Complete      bool // every run that matters is in it
-	ClosedCleanly bool // its service closed it in good order
-	SameBoot      bool // its times count from the machine's present start
+	Complete      bool // every relevant run is in the file
+	ClosedCleanly bool // the service closed the file cleanly
+	SameBoot      bool // the file is of the machine's present boot
 	Records       int
 	ByState       map[string]int
-	Bytes         int    // of records
-	File          int64  // of the file
-	Unreadable    int    // records that can't be read
-	Damage        string // what keeps the rest from being read; empty: nothing
+	Bytes         int    // size of the records
+	File          int64  // size of the file in bytes
+	Unreadable    int    // records that can't be decoded
+	Damage        string // why reading stopped early; empty if all records were read
 }
 
-// Init makes the store of a service that has run no request that could come again. One that is there is an error.
+// Init creates the store of a service that has executed no request that could be retried. It returns an error if the store
+// exists.
 func Init(dir, name string) error {
 	return withLock(dir, func(path string) error {
 		if _, err := os.Stat(path); !errors.Is(err, fs.ErrNotExist) {
@@ -43,8 +44,8 @@
 	})
 }
 
-// withLock calls do while no other process may open the folder's store.
-func withLock(dir string, do func(path string) error) error {
+// withLock calls action with the path of the folder's file while it holds the lock of the folder.
+func withLock(dir string, action func(path string) error) error {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return err
 	}
@@ -53,10 +54,10 @@
 		return err
 	}
 	defer lock.Close()
-	return do(filepath.Join(dir, FileName))
+	return action(filepath.Join(dir, FileName))
 }
 
-// FileOf is the file of a store, by its folder or itself.
+// FileOf returns the path of a store's file. Path is the store's folder or the file itself.
 func FileOf(path string) string {
 	if s, err := os.Stat(path); err == nil && s.IsDir() {
 		return filepath.Join(path, FileName)
@@ -64,7 +65,7 @@
 	return path
 }
 
-// openReadOnly opens a file that no service has open, to be read.
+// openReadOnly opens an existing file for reading. It returns ErrInUse if a process has the file open.
 func openReadOnly(path string) (*file, error) {
 	if _, err := os.Stat(path); err != nil {
 		return nil, err
@@ -81,52 +82,54 @@
 	return f, nil
 }
 
-// Check reads a whole file. What can't be read of it is in the summary; an error is of a file that can't be opened.
-func Check(path string) (s Summary, err error) {
+// Check reads a whole file and returns its summary, which includes unreadable records and damage. It returns an error only
+// if the file can't be opened.
+func Check(path string) (summary Summary, err error) {
 	f, err := openReadOnly(path)
 	if err != nil {
-		return s, err
+		return summary, err
 	}
 	defer f.close()
-	s = Summary{ID: f.header.ID, Name: f.header.Name, Format: f.header.Format, Complete: f.header.Complete, ClosedCleanly: f.header.ClosedCleanly,
+	summary = Summary{ID: f.header.ID, Name: f.header.Name, Format: f.header.Format, Complete: f.header.Complete, ClosedCleanly: f.header.ClosedCleanly,
 		SameBoot: f.header.Boot == Now().Boot, ByState: map[string]int{}, File: f.size()}
 	err = f.scan(scanChunk, func(list []idempotency.Record, unreadable []uint64) {
-		s.Unreadable += len(unreadable)
-		s.Records += len(list)
+		summary.Unreadable += len(unreadable)
+		summary.Records += len(list)
 		for i := range list {
-			s.ByState[list[i].State.String()]++
-			s.Bytes += list[i].Size()
+			summary.ByState[list[i].State.String()]++
+			summary.Bytes += list[i].Size()
 		}
 	})
 	if err != nil {
-		s.Damage = err.Error()
+		summary.Damage = err.Error()
 	}
-	return s, nil
+	return summary, nil
 }
 
-// Dump hands over every record of a file, in the order of their intents. The first error ends it after
-// the records that were read with it; one that can't be read is an error.
-func Dump(path string, take func(idempotency.Record) error) error {
+// Dump calls visit for each record of a file, in the order of their intents. After an error of visit no further record is
+// passed to it; after an unreadable record only the other records of the same chunk are. It returns these errors and that
+// of reading the file.
+func Dump(path string, visit func(idempotency.Record) error) error {
 	f, err := openReadOnly(path)
 	if err != nil {
 		return err
 	}
 	defer f.close()
-	var bad error
+	var recordErr error
 	err = f.scan(scanChunk, func(list []idempotency.Record, unreadable []uint64) {
 		for i := range list {
-			if bad == nil {
-				bad = take(list[i])
+			if recordErr == nil {
+				recordErr = visit(list[i])
 			}
 		}
 		for _, seq := range unreadable {
-			bad = errors.Join(bad, fmt.Errorf("record %d can't be read", seq))
+			recordErr = errors.Join(recordErr, fmt.Errorf("record %d can't be read", seq))
 		}
 	})
-	return errors.Join(err, bad)
+	return errors.Join(err, recordErr)
 }
 
-// Compact rewrites the file of a folder without what is unused, and returns its bytes before and after.
+// Compact rewrites the file of a folder without unused pages, and returns its size in bytes before and after.
 func Compact(dir string) (before, after int64, err error) {
 	err = withLock(dir, func(path string) error {
 		f, err := openReadOnly(path)
@@ -145,50 +148,52 @@
 	return before, after, err
 }
 
-// rewrite writes the records of a file into another one, by what change makes of each.
-func (f *file) rewrite(path string, h header, change func(idempotency.Record) (idempotency.Record, bool)) (*file, error) {
+// rewrite writes the records of a file to a new file at path. Transform returns the new content of each record and whether to
+// keep it. Unreadable records are an error.
+func (f *file) rewrite(path string, h header, transform func(idempotency.Record) (idempotency.Record, bool)) (*file, error) {
 	return writeFile(path, h, func(put func(idempotency.Record) error) error {
-		var bad error
+		var recordErr error
 		err := f.scan(scanChunk, func(list []idempotency.Record, unreadable []uint64) {
 			if len(unreadable) > 0 {
-				bad = errors.Join(bad, fmt.Errorf("%d records can't be read: a service sets them aside as it starts", len(unreadable)))
+				recordErr = errors.Join(recordErr, fmt.Errorf("%d records can't be read: a service moves them aside when it starts", len(unreadable)))
 			}
 			for _, r := range list {
-				if r, keep := change(r); keep && bad == nil {
-					bad = put(r)
+				if r, keep := transform(r); keep && recordErr == nil {
+					recordErr = put(r)
 				}
 			}
 		})
-		return errors.Join(err, bad)
+		return errors.Join(err, recordErr)
 	})
 }
 
-// Export copies the file of a store that no service has open. Something that stands at the place of the copy is an error.
-func Export(dir, to string) error {
-	if _, err := os.Stat(to); err == nil {
-		return fmt.Errorf("%s: there is something already", to)
+// Export copies the file of a store that no service has open. It returns an error if the path of the copy exists.
+func Export(dir, target string) error {
+	if _, err := os.Stat(target); err == nil {
+		return fmt.Errorf("%s: the path of the copy exists already", target)
 	}
 	f, err := openReadOnly(FileOf(dir))
 	if err != nil {
 		return err
 	}
 	defer f.close()
-	return f.copyTo(to)
+	return f.copyTo(target)
 }
 
-// Import makes the store of a folder from a copy of another one, and returns how many records were taken over. What the other ran since
-// the copy was made is not in it: requests that are not known fail until that can't matter any more. Whole says that there is nothing
-// such: the copy was made of a store that its service had closed for good, and a copy of one in use is an error.
-func Import(from, dir, name string, complete bool) (records int, err error) {
-	f, err := openReadOnly(FileOf(from))
+// Import creates the store of a folder from a copy of another store, and returns the number of imported records. Runs of the
+// other service since the copy was made are not in it, so requests with unknown keys fail until the windows of such runs are
+// over. Complete states that there are no such runs because the service had closed the store for good; it is an error for
+// a copy of a store in use.
+func Import(source, dir, name string, complete bool) (records int, err error) {
+	f, err := openReadOnly(FileOf(source))
 	if err != nil {
 		return 0, err
 	}
 	defer f.close()
 	if complete && (!f.header.ClosedCleanly || !f.header.Complete) {
-		return 0, fmt.Errorf("%s: it is a copy of a store in use, and so not whole", from)
+		return 0, fmt.Errorf("%s: it is a copy of a store in use, and so not whole", source)
 	}
-	last, err := f.newestTime()
+	newest, err := f.newestTime()
 	if err != nil {
 		return 0, err
 	}
@@ -197,7 +202,7 @@
 			return fmt.Errorf("%s: there is one already", path)
 		}
 		now := Now()
-		shift := f.header.coverage().TimeShift(last, now)
+		shift := f.header.coverage().TimeShift(newest, now)
 		h := newHeader(name, now, time.Now().UnixMilli())
 		h.Complete, h.ClosedCleanly = complete, true
 		next, err := f.rewrite(path, h, func(r idempotency.Record) (idempotency.Record, bool) {
--- a/internal/storage/idempotencystore/record.go
+++ b/internal/storage/idempotencystore/record.go
@@ -9,16 +9,16 @@
 	"silverpath/internal/policy/idempotency"
 )
 
-// recordFixed is the bytes of a record before its key: checksum, state and five numbers.
-const recordFixed = 4 + 1 + 5*8
+// fixedFieldsSize is the size in bytes of a record's fixed fields: checksum, state and five numbers.
+const fixedFieldsSize = 4 + 1 + 5*8
 
-// maxRecord is the bytes of a record that is read, at most: more than a runner can bring.
-const maxRecord = 4 << 20
+// maxRecordSize is the largest size in bytes of a record that is decoded. No interpreter can return a result of this size.
+const maxRecordSize = 4 << 20
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// encodeRecord is a record as it is written: a checksum of four bytes, the state, five numbers of eight bytes, key and name with their
-// lengths, and the result. Numbers are big-endian.
+// encodeRecord returns the stored form of a record: a checksum of four bytes, the state, five numbers of eight bytes, the
+// key and the ID with their lengths as varints, and the result. Numbers are big-endian.
 func encodeRecord(r *idempotency.Record) []byte {
 	b := make([]byte, 4, 64+r.Size())
 	b = append(b, byte(r.State))
@@ -34,32 +34,32 @@
 	return b
 }
 
-var errUnreadableRecord = errors.New("a record that can't be read")
+var errUnreadableRecord = errors.New("unreadable record")
 
-// decodeRecord reads a record, or returns errUnreadableRecord. What it returns shares nothing with what it read.
+// decodeRecord decodes a record, or returns errUnreadableRecord. The result shares no memory with b.
 func decodeRecord(seq uint64, b []byte) (r idempotency.Record, err error) {
-	if len(b) < recordFixed || len(b) > maxRecord || crc32.Checksum(b[4:], castagnoli) != binary.BigEndian.Uint32(b) {
+	if len(b) < fixedFieldsSize || len(b) > maxRecordSize || crc32.Checksum(b[4:], castagnoli) != binary.BigEndian.Uint32(b) {
 		return r, errUnreadableRecord
 	}
 	r.Seq, r.State = seq, idempotency.State(b[4])
 	if r.State == idempotency.Unknown || r.State >= idempotency.Expired {
 		return r, errUnreadableRecord
 	}
-	n := func(i int) uint64 { return binary.BigEndian.Uint64(b[5+8*i:]) }
-	r.RecordedAt, r.ReceivedAt, r.ExpiresAt, r.Window, r.Fingerprint = time.Duration(n(0)), time.Duration(n(1)), time.Duration(n(2)), time.Duration(n(3)), n(4)
-	rest := b[recordFixed:]
-	text := func() string {
-		size, used := binary.Uvarint(rest)
-		if used <= 0 || size > uint64(len(rest)-used) {
+	field := func(i int) uint64 { return binary.BigEndian.Uint64(b[5+8*i:]) }
+	r.RecordedAt, r.ReceivedAt, r.ExpiresAt, r.Window, r.Fingerprint = time.Duration(field(0)), time.Duration(field(1)), time.Duration(field(2)), time.Duration(field(3)), field(4)
+	rest := b[fixedFieldsSize:]
+	readString := func() string {
+		size, n := binary.Uvarint(rest)
+		if n <= 0 || size > uint64(len(rest)-n) {
 			err = errUnreadableRecord
 			return ""
 		}
-		t := string(rest[used : used+int(size)])
-		rest = rest[used+int(size):]
+		t := string(rest[n : n+int(size)])
+		rest = rest[n+int(size):]
 		return t
 	}
-	if r.Key = text(); err == nil {
-		r.ID = text()
+	if r.Key = readString(); err == nil {
+		r.ID = readString()
 	}
 	if len(rest) > 0 && err == nil {
 		r.Result = append([]byte(nil), rest...)
@@ -67,5 +67,5 @@
 	return r, err
 }
 
-// seqKey is the key in the file of a record's number: keys sort as numbers do.
+// seqKey returns the database key of a record's sequence number. Keys sort in the order of the numbers.
 func seqKey(seq uint64) []byte { return binary.BigEndian.AppendUint64(nil, seq) }
--- a/internal/storage/idempotencystore/rewrite.go
+++ b/internal/storage/idempotencystore/rewrite.go
@@ -13,37 +13,37 @@
 	"silverpath/internal/storage/atomicfile"
 )
 
-// rewriteBatch is how many records are put at once into a new file.
+// rewriteBatch is the number of records per transaction when a new file is written.
 const rewriteBatch = 4096
 
-// writeFile writes a whole file beside its place, has it made durable and puts it there: a process that ends meanwhile leaves the old
-// one. List hands over the records; nil: there are none.
-func writeFile(path string, h header, list func(put func(idempotency.Record) error) error) (f *file, err error) {
-	next := path + ".next"
+// writeFile writes a new file with the header and records, syncs it and renames it to path. If the process ends meanwhile,
+// the old file stays. ForEach calls put for each record; nil means that there are none.
+func writeFile(path string, h header, forEach func(put func(idempotency.Record) error) error) (f *file, err error) {
+	tmpPath := path + ".next"
 	if err := faultPoint("rewrite"); err != nil {
 		return nil, err
 	}
-	if err := os.Remove(next); err != nil && !errors.Is(err, fs.ErrNotExist) {
+	if err := os.Remove(tmpPath); err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return nil, err
 	}
-	db, err := openDatabase(next, false)
+	db, err := openDatabase(tmpPath, false)
 	if err != nil {
 		return nil, err
 	}
 	defer func() {
 		if err != nil {
-			_ = db.Close() // the error that matters is why it could not be written
+			_ = db.Close() // the error of the write is returned
 		}
 	}()
-	db.NoSync = true // until all is written
+	db.NoSync = true // the file is synced once, after all records
 	var pending []idempotency.Record
 	flush := func() error {
-		list := pending
+		batch := pending
 		pending = pending[:0]
-		return putRecords(db, h, list)
+		return putRecords(db, h, batch)
 	}
-	if list != nil {
-		err = list(func(r idempotency.Record) error {
+	if forEach != nil {
+		err = forEach(func(r idempotency.Record) error {
 			if pending = append(pending, r); len(pending) >= rewriteBatch {
 				return flush()
 			}
@@ -55,7 +55,7 @@
 		func() error { return faultPoint("rewrite.written") },
 		db.Sync,
 		func() error { return faultPoint("rewrite.synced") },
-		func() error { return os.Rename(next, path) },
+		func() error { return os.Rename(tmpPath, path) },
 		func() error { return faultPoint("rewrite.renamed") },
 		func() error { return syncDir(filepath.Dir(path)) },
 		func() error { return faultPoint("rewrite.done") },
@@ -71,19 +71,19 @@
 	return &file{db: db, path: path, header: h}, nil
 }
 
-// putRecords puts records and the header into a new file.
-func putRecords(db *bbolt.DB, h header, list []idempotency.Record) error {
+// putRecords writes records and the header to a new file, in one transaction.
+func putRecords(db *bbolt.DB, h header, records []idempotency.Record) error {
 	return db.Update(func(tx *bbolt.Tx) error {
 		if _, err := tx.CreateBucketIfNotExists(bucketMeta); err != nil {
 			return err
 		}
-		b, err := tx.CreateBucketIfNotExists(bucketKeys)
+		keys, err := tx.CreateBucketIfNotExists(bucketKeys)
 		if err != nil {
 			return err
 		}
-		b.FillPercent = fillPercent
-		for i := range list {
-			if err := b.Put(seqKey(list[i].Seq), encodeRecord(&list[i])); err != nil {
+		keys.FillPercent = fillPercent
+		for i := range records {
+			if err := keys.Put(seqKey(records[i].Seq), encodeRecord(&records[i])); err != nil {
 				return err
 			}
 		}
@@ -91,7 +91,7 @@
 	})
 }
 
-// syncDir makes the names in a folder durable.
+// syncDir syncs a folder, which makes its entries durable.
 func syncDir(path string) error {
 	dir, err := os.Open(path)
 	if err != nil {
@@ -100,28 +100,28 @@
 	return errors.Join(atomicfile.Sync(dir), dir.Close())
 }
 
-// copyTo writes a copy of the file as it stands, which is durable once it is there.
+// copyTo writes a consistent copy of the file to path. The copy is synced before it is renamed to path.
 func (f *file) copyTo(path string) (err error) {
 	defer RecoverPanic(&err)()
 	if err := faultPoint("snapshot"); err != nil {
 		return err
 	}
 	next := path + ".next"
-	out, err := os.OpenFile(next, os.O_CREATE|os.O_TRUNC|os.O_WRONLY, 0o600)
+	copied, err := os.OpenFile(next, os.O_CREATE|os.O_TRUNC|os.O_WRONLY, 0o600)
 	if err != nil {
 		return err
 	}
 	err = f.db.View(func(tx *bbolt.Tx) error {
-		_, err := tx.WriteTo(out)
+		_, err := tx.WriteTo(copied)
 		return err
 	})
 	if err == nil {
 		err = faultPoint("snapshot.written")
 	}
 	if err == nil {
-		err = atomicfile.Sync(out)
+		err = atomicfile.Sync(copied)
 	}
-	if err = errors.Join(err, out.Close()); err != nil {
+	if err = errors.Join(err, copied.Close()); err != nil {
 		return err
 	}
 	if err := os.Rename(next, path); err != nil {
--- a/internal/storage/idempotencystore/status.go
+++ b/internal/storage/idempotencystore/status.go
@@ -12,54 +12,55 @@
 	"silverpath/internal/policy/idempotency"
 )
 
-// Snapshot writes a copy into the store's folder while it serves, and returns its path. It waits for the disk.
+// Snapshot copies the store into its folder while it serves, and returns the path of the copy. It blocks on the disk.
 func (s *Store) Snapshot() (string, error) {
-	type turn struct {
+	type snapshotStart struct {
 		file *file
 		err  error
 	}
-	turns := make(chan turn, 1)
+	started := make(chan snapshotStart, 1)
 	dir := filepath.Join(s.cfg.Dir, "snapshots")
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return "", err
 	}
 	path := filepath.Join(dir, "keys-"+time.Now().UTC().Format("20060102T150405.000000")+".db")
-	// The writer's turn: intents of before are in it. The copy is made beside further commits.
+	// Wait until the writer has committed all changes that were queued before, so that the copy contains their intents. The
+	// copy is written concurrently with later commits.
 	s.mu.Lock()
 	if s.closed {
 		s.mu.Unlock()
 		return "", errors.New("the store is closed")
 	}
-	s.enqueue(change{remove: true, done: func(err error) { turns <- turn{s.file, err} }})
+	s.enqueue(change{remove: true, done: func(err error) { started <- snapshotStart{s.file, err} }})
 	s.mu.Unlock()
-	t := <-turns
-	if t.err != nil {
-		return "", t.err
+	start := <-started
+	if start.err != nil {
+		return "", start.err
 	}
-	return path, t.file.copyTo(path)
+	return path, start.file.copyTo(path)
 }
 
-// View is the store as it stands now.
+// View returns the current state of the store.
 func (s *Store) View() idempotency.Snapshot {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.ledger.Snapshot(Now().SinceBoot)
 }
 
-// Status is the view as the JSON of a status request.
+// Status returns the view as JSON for a status request.
 func (s *Store) Status() []byte {
-	v := s.View()
-	var a fastjson.Arena
-	o := a.NewObject()
-	o.Set("phase", a.NewString(v.Health.String()))
-	known := a.NewFalse()
-	if v.Complete {
-		known = a.NewTrue()
+	view := s.View()
+	var arena fastjson.Arena
+	status := arena.NewObject()
+	status.Set("phase", arena.NewString(view.Health.String()))
+	complete := arena.NewFalse()
+	if view.Complete {
+		complete = arena.NewTrue()
 	}
-	o.Set("known", known)
-	for name, n := range map[string]int{"live": v.Records, "bytes": v.Bytes, "reserved": v.ReservedBytes, "limit": v.MaxBytes, "loaded": v.Loaded,
-		"expected": v.Expected, "pace_us": int(v.CommitTime.Microseconds())} {
-		o.Set(name, a.NewNumberString(strconv.Itoa(n)))
+	status.Set("known", complete)
+	for name, n := range map[string]int{"live": view.Records, "bytes": view.Bytes, "reserved": view.ReservedBytes, "limit": view.MaxBytes, "loaded": view.Loaded,
+		"expected": view.Expected, "pace_us": int(view.CommitTime.Microseconds())} {
+		status.Set(name, arena.NewNumberString(strconv.Itoa(n)))
 	}
-	return o.MarshalTo(nil)
+	return status.MarshalTo(nil)
 }
--- a/internal/storage/idempotencystore/store.go
+++ b/internal/storage/idempotencystore/store.go
@@ -1,6 +1,6 @@
-// Package idempotencystore stores the runs of idempotent requests on a disk, so that a restart neither runs one again nor forgets its
-// result. The records lie in a file of the library bbolt, which brings it whole through a loss of power; what may be done with them is
-// decided by the package idempotency. One goroutine writes, and every commit serves all who wait for one.
+// Package idempotencystore stores the runs of idempotent requests on disk, so that after a restart no request runs again and
+// no result is lost. The records are in a bbolt file, which stays consistent through a loss of power. Package idempotency
+// decides which requests may run. One goroutine writes, and each commit covers all changes that wait at that time.
 package idempotencystore
 
 import (
@@ -19,27 +19,29 @@
 	"silverpath/internal/policy/idempotency"
 )
 
-// retryAfter is how long a rejected caller stays away where nothing tells better: as long as a failed file is left before it is
-// rewritten.
+// retryAfter is the default retry delay for rejected callers. It equals rewriteInterval, the time after which a failed file
+// is rewritten.
 const retryAfter = time.Second
 
-// RecordOwner acts on what is stored: the core. Times of the machine's clock are turned into its own, and back, by at.
+// RecordOwner uses the stored records. It is implemented by the core.
 type RecordOwner interface {
-	// Restore takes up records that were found, in the order of their intents.
+	// Restore is called with records that were loaded, in the order of their intents. At converts a time since boot to the
+	// owner's clock.
 	Restore(list []idempotency.Record, at func(time.Duration) time.Time)
-	// Records are all records as they stand. The writer asks for them when it rewrites the file.
+	// Records returns the current state of all records. The writer calls it when it rewrites the file. At converts a time of
+	// the owner's clock to a time since boot.
 	Records(at func(time.Time) time.Duration) []idempotency.Record
-	// LongestWindow is how long after a run an attempt of it may come, for all classes.
+	// LongestWindow returns the longest time after a run in which another attempt may arrive, over all classes.
 	LongestWindow() time.Duration
 }
 
-// Config sets up a store.
+// Config configures a store.
 type Config struct {
 	Dir              string
-	Name             string        // of the service: the folder of another one is not taken
-	MaxBytes         int           // of all records, in bytes
-	ResultReserve    int           // bytes set aside for each result that is to come
-	GroupCommitDelay time.Duration // how long a commit waits, at the most, for more that could go with it
+	Name             string        // of the service; Open fails for a file of another service
+	MaxBytes         int           // limit of all records, in bytes
+	ResultReserve    int           // bytes reserved for each pending result
+	GroupCommitDelay time.Duration // longest time that a commit waits for further changes
 	Log              *log.Logger
 	Stats            *metrics.Counters
 }
@@ -53,22 +55,23 @@
 	stats        *metrics.Counters
 	commitTiming *metrics.Timing
 	wake         chan struct{}
-	stopped      chan struct{} // closed once the writer has ended
-	loadedAll    chan struct{} // closed once all is read
+	stopped      chan struct{} // closed once Run has ended
+	loadedAll    chan struct{} // closed once all records are loaded
 
 	mu            sync.Mutex
 	ledger        *idempotency.Ledger
 	queue         []change
-	completeSince int64 // Unix milliseconds, of the header: since when all is known
+	completeSince int64 // Unix milliseconds; the header's CompleteSinceWall
 	closed        bool
 
-	file         *file // the writer's, and the loader's before there is one
-	needsRewrite bool  // the file is not what was meant to be written; the writer's too
+	// After Open, these fields are used by Run's goroutine only.
+	file         *file
+	needsRewrite bool // a write failed or the file is damaged: it must be rewritten before the next commit
 }
 
-// Open opens the store of a folder, which is made where it is not there. [ErrInUse] is of one that another process has; a file of
-// another service or format, and a folder that can't be written, are errors that say so. A damaged file is set aside, and an empty one
-// that knows nothing of before takes its place.
+// Open opens the store in a folder, which it creates if it does not exist. It returns [ErrInUse] if another process has the
+// store open, and an error if the file is of another service or format or the folder can't be written. A damaged file is
+// renamed, and replaced by an empty one in which no earlier run is known.
 func Open(cfg Config, owner RecordOwner) (*Store, error) {
 	if err := os.MkdirAll(cfg.Dir, 0o700); err != nil {
 		return nil, err
@@ -79,7 +82,7 @@
 	}
 	now, path := Now(), filepath.Join(cfg.Dir, FileName)
 	f, created, err := openFile(path, cfg.Name, now, time.Now().UnixMilli())
-	if errors.Is(err, errDamaged) { // kept for whoever can read more of it, and begun anew as if nothing were known
+	if errors.Is(err, errDamaged) { // keep it for analysis and start with an empty store
 		cfg.Stats.Inc("store", "damaged")
 		events.Log(cfg.Log, "store.damaged", err)
 		if err = os.Rename(path, quarantineName(path)); err == nil {
@@ -87,7 +90,7 @@
 		}
 	}
 	if err != nil {
-		_ = lock.Close() // the error that matters is why the file can't be opened
+		_ = lock.Close() // the error of opening the file is returned
 		return nil, err
 	}
 	s := &Store{
@@ -99,8 +102,8 @@
 	}
 	if !created && f.header.ClosedCleanly {
 		h := f.header
-		h.ClosedCleanly = false                   // before anything else is written
-		if err := f.commit(nil, &h); err != nil { // what is there can be read all the same, and is rewritten once the disk is well
+		h.ClosedCleanly = false                   // durable before any other change
+		if err := f.commit(nil, &h); err != nil { // the file can still be read; it is rewritten once writes succeed
 			s.needsRewrite = true
 			events.Log(s.log, "store.failed", err)
 		}
@@ -109,31 +112,32 @@
 	return s, nil
 }
 
-// ---- What the core calls: no method blocks on the disk ----
+// ---- Methods that the core calls: none of them blocks on the disk ----
 
-// CompleteSince is from when on, in Unix milliseconds, every run is known here: a restart that forgets nothing does not change it.
+// CompleteSince returns the time in Unix milliseconds since which the store knows every run. A restart without loss of
+// records does not change it.
 func (s *Store) CompleteSince() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.completeSince
 }
 
-// CanExecute is what becomes of a new idempotent request that has so much time left.
+// CanExecute decides whether a new idempotent request with this much time left may run.
 func (s *Store) CanExecute(left time.Duration) idempotency.Decision {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.ledger.CanExecute(Now().SinceBoot, left)
 }
 
-// LogIntent has the intent of a run written and gives the record its number, or says why not. Done is told once the intent is durable, or
-// that it is not known to be.
+// LogIntent queues the intent of a run and assigns the record its sequence number, or returns the decision not to run it. It
+// calls done with nil once the intent is durable, or with an error if it may not be.
 func (s *Store) LogIntent(r *idempotency.Record, receivedAt, expiresAt time.Time, left time.Duration, done func(error)) idempotency.Decision {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	r.ReceivedAt, r.ExpiresAt = sinceBoot(receivedAt), sinceBoot(expiresAt)
-	d := s.ledger.Admit(r, Now().SinceBoot, left)
-	if d.Action != idempotency.Execute {
-		return d
+	decision := s.ledger.Admit(r, Now().SinceBoot, left)
+	if decision.Action != idempotency.Execute {
+		return decision
 	}
 	seq := r.Seq
 	s.enqueue(change{seq: seq, value: encodeRecord(r), done: func(err error) {
@@ -144,23 +148,25 @@
 		}
 		done(err)
 	}})
-	return d
+	return decision
 }
 
-// LogMoved has it written that a key runs elsewhere. Done is told once that is durable.
+// LogMoved queues a record that a key runs on another server. It calls done with nil once the record is durable, or with an
+// error if it may not be.
 func (s *Store) LogMoved(r *idempotency.Record, expiresAt time.Time, done func(error)) idempotency.Decision {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	r.ExpiresAt = sinceBoot(expiresAt)
 	r.ReceivedAt = r.ExpiresAt
-	d := s.ledger.AdmitMoved(r, Now().SinceBoot)
-	if d.Action == idempotency.Execute {
+	decision := s.ledger.AdmitMoved(r, Now().SinceBoot)
+	if decision.Action == idempotency.Execute {
 		s.enqueue(change{seq: r.Seq, value: encodeRecord(r), done: done})
 	}
-	return d
+	return decision
 }
 
-// LogResult has the result of a run written. Done is told once it is durable. One that is not is as none: every retry fails.
+// LogResult queues the result of a run. It calls done with nil once the result is durable. If the write fails, done is
+// called with the error and the run counts as failed: every retry fails.
 func (s *Store) LogResult(r *idempotency.Record, receivedAt, expiresAt time.Time, done func(error)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -178,14 +184,15 @@
 	}})
 }
 
-// NoteFailed notes that a run has ended without a result. On the disk that is what an intent alone says.
+// NoteFailed records that a run has ended without a result. Nothing is written: after a restart an intent without a result
+// means the same.
 func (s *Store) NoteFailed(seq uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.ledger.Finish(seq, idempotency.Failed, 0)
 }
 
-// Withdraw notes that a run never began.
+// Withdraw removes the record of a run that never began.
 func (s *Store) Withdraw(seq uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -194,14 +201,14 @@
 	}
 }
 
-// enqueue queues a change, under the lock.
+// enqueue queues a change and wakes the writer. The caller holds s.mu.
 func (s *Store) enqueue(c change) {
 	s.queue = append(s.queue, c)
 	s.ledger.ChangeQueued(Now().SinceBoot)
 	s.wakeWriter()
 }
 
-// wakeWriter has the writer look.
+// wakeWriter makes the writer check its queue.
 func (s *Store) wakeWriter() {
 	select {
 	case s.wake <- struct{}{}:
@@ -209,7 +216,7 @@
 	}
 }
 
-// Close writes what is queued and gives the folder up.
+// Close waits until all queued changes are written, closes the file and releases the lock of the folder.
 func (s *Store) Close() {
 	s.mu.Lock()
 	s.closed = true
@@ -219,32 +226,33 @@
 	<-s.stopped
 }
 
-// Abandon gives up a store that Run never served: the service did not come to run.
+// Abandon closes the file, without marking it as closed cleanly, and releases the lock of the folder. The service calls it
+// if its start failed before Run.
 func (s *Store) Abandon() {
 	s.file.close()
-	_ = s.lock.Close() // the lock ends with the descriptor, whatever is reported
+	_ = s.lock.Close() // closing the descriptor releases the lock even if it reports an error
 }
 
 // ---- The folder and the clock ----
 
-// quarantineName is where a damaged file is kept.
+// quarantineName returns the path to which a damaged file is renamed.
 func quarantineName(path string) string {
 	return fmt.Sprintf("%s.damaged-%d", path, time.Now().UnixNano())
 }
 
-// lockDir makes a folder one process's own.
+// lockDir locks a folder for this process. It returns ErrInUse if another process holds the lock for longer than lockWait.
 func lockDir(dir string) (*os.File, error) {
 	lock, err := os.OpenFile(filepath.Join(dir, lockName), os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
 		return nil, err
 	}
-	for end := time.Now().Add(lockWait); ; time.Sleep(lockWait / 100) {
+	for deadline := time.Now().Add(lockWait); ; time.Sleep(lockWait / 100) {
 		err := unix.Flock(int(lock.Fd()), unix.LOCK_EX|unix.LOCK_NB)
 		if err == nil {
 			return lock, nil
 		}
-		if !errors.Is(err, unix.EWOULDBLOCK) || time.Now().After(end) {
-			_ = lock.Close() // the error that matters is the lock's
+		if !errors.Is(err, unix.EWOULDBLOCK) || time.Now().After(deadline) {
+			_ = lock.Close() // the error of the lock is returned
 			if errors.Is(err, unix.EWOULDBLOCK) {
 				err = ErrInUse
 			}
@@ -253,10 +261,10 @@
 	}
 }
 
-// sinceBoot is a time as the machine's clock has it.
+// sinceBoot converts a time of this process to a time since boot.
 func sinceBoot(t time.Time) time.Duration { return Now().SinceBoot - time.Since(t) }
 
-// wallTime turns times of the machine's clock, which says now, into those of the wall clock and of this process.
+// wallTime returns a function that converts a time since boot to a time of this process. Now is the present time since boot.
 func wallTime(now time.Duration) func(time.Duration) time.Time {
 	wall := time.Now()
 	return func(d time.Duration) time.Time { return wall.Add(d - now) }
--- a/internal/storage/idempotencystore/writer.go
+++ b/internal/storage/idempotencystore/writer.go
@@ -9,24 +9,24 @@
 )
 
 const (
-	maxBatch        = 1024        // changes in one commit: a longer one would hold up those that come meanwhile
-	expireInterval  = time.Second // between two looks for records that are past their time
-	maxExpired      = 8192        // records that are taken off at one look: it holds the store's lock
-	rewriteInterval = time.Second // between two attempts to rewrite the file after a failure
+	maxBatch        = 1024        // changes per commit; a larger batch would delay the changes that arrive meanwhile
+	expireInterval  = time.Second // between removals of expired records
+	maxExpired      = 8192        // records removed at a time, as the removal holds the store's lock
+	rewriteInterval = time.Second // between attempts to rewrite the file after a failure
 )
 
-// errNeedsRewrite is what waiting requests are told while nobody knows whether what was written last is durable.
-var errNeedsRewrite = errors.New("the store failed, and is written anew")
+// errNeedsRewrite is passed to waiting requests after a failed write, until the file has been rewritten.
+var errNeedsRewrite = errors.New("the store has failed and must be rewritten")
 
-// writeLoop commits what is queued, and takes off what is past its time, until Close. One commit serves all that wait for one.
+// writeLoop commits queued changes in batches and removes expired records, until Close.
 func (s *Store) writeLoop() {
-	tick := time.NewTicker(expireInterval)
-	defer tick.Stop()
+	ticker := time.NewTicker(expireInterval)
+	defer ticker.Stop()
 	lastRewrite := time.Time{}
 	for {
 		select {
 		case <-s.wake:
-		case <-tick.C:
+		case <-ticker.C:
 			s.expire()
 		}
 		s.mu.Lock()
@@ -40,34 +40,34 @@
 		}
 		s.commitBatch(&lastRewrite)
 		s.mu.Lock()
-		done := s.closed && len(s.queue) == 0
+		finished := s.closed && len(s.queue) == 0
 		s.mu.Unlock()
-		if done {
+		if finished {
 			s.closeFile()
 			return
 		}
 	}
 }
 
-// commitBatch commits one batch, and tells those that wait for it.
+// commitBatch commits one batch and calls done of each of its changes. Before that it rewrites the file if needed.
 func (s *Store) commitBatch(lastRewrite *time.Time) {
 	s.mu.Lock()
 	n := min(len(s.queue), maxBatch)
 	batch := s.queue[:n:n]
 	s.queue = s.queue[n:]
-	head := s.headerToWrite()
+	changedHeader := s.headerToWrite()
 	closed := s.closed
 	s.mu.Unlock()
 	if s.needsRewrite && (closed || time.Since(*lastRewrite) >= rewriteInterval) {
 		*lastRewrite = time.Now()
 		s.recoverFile()
 	}
-	if n == 0 && head == nil {
+	if n == 0 && changedHeader == nil {
 		return
 	}
 	err := errNeedsRewrite
 	if !s.needsRewrite {
-		err = s.commit(batch, head)
+		err = s.commit(batch, changedHeader)
 	}
 	for _, c := range batch {
 		if c.done != nil {
@@ -78,16 +78,16 @@
 		s.compactIfSparse()
 	}
 	s.mu.Lock()
-	if len(s.queue) > 0 { // what came meanwhile goes next
+	if len(s.queue) > 0 { // changes that arrived meanwhile are in the next batch
 		s.wakeWriter()
 	}
 	s.mu.Unlock()
 }
 
-// commit writes a batch, with a new header where that is not nil, and notes how that went.
-func (s *Store) commit(batch []change, head *header) error {
+// commit writes a batch, and a new header unless changedHeader is nil, and records the outcome in the ledger and the metrics.
+func (s *Store) commit(batch []change, changedHeader *header) error {
 	startedAt := time.Now()
-	err := s.file.commit(batch, head)
+	err := s.file.commit(batch, changedHeader)
 	took := time.Since(startedAt)
 	s.commitTiming.Record(took)
 	s.mu.Lock()
@@ -104,13 +104,13 @@
 	}
 	s.stats.Inc("store", "commits")
 	s.stats.Add(uint64(len(batch)), "store", "changes")
-	if head != nil {
-		s.file.header = *head
+	if changedHeader != nil {
+		s.file.header = *changedHeader
 	}
 	return nil
 }
 
-// headerToWrite is the header that is to be written with the next batch, nil for the one that there is. It is called under the lock.
+// headerToWrite returns the header to write with the next batch, nil if the header has not changed. The caller holds s.mu.
 func (s *Store) headerToWrite() *header {
 	if !s.ledger.BecameComplete(Now().SinceBoot) {
 		return nil
@@ -120,7 +120,7 @@
 	return &h
 }
 
-// recoverFile tries to rewrite the file after a failure. From then on requests run again.
+// recoverFile tries to rewrite the file after a failure. If it succeeds, requests may run again.
 func (s *Store) recoverFile() {
 	if !s.rewrite() {
 		return
@@ -131,12 +131,12 @@
 	events.Log(s.log, "store.rewritten")
 }
 
-// rewrite writes all that is known into a new file, which takes the place of the one of which nobody knows what is durable.
+// rewrite writes all current records to a new file, which replaces the present one, and reports whether it succeeded.
 func (s *Store) rewrite() bool {
 	old := s.file
-	list := s.owner.Records(sinceBoot)
+	records := s.owner.Records(sinceBoot)
 	f, err := writeFile(old.path, old.header, func(put func(idempotency.Record) error) error {
-		for _, r := range list {
+		for _, r := range records {
 			if err := put(r); err != nil {
 				return err
 			}
@@ -153,7 +153,7 @@
 	return true
 }
 
-// compactIfSparse rewrites the file where most of it is unused. Where that fails the file is as after any failure.
+// compactIfSparse rewrites the file if most of it is unused. A failure is handled like that of any other write.
 func (s *Store) compactIfSparse() {
 	s.mu.Lock()
 	sparse := s.ledger.ShouldCompact(s.file.size())
@@ -166,19 +166,19 @@
 	}
 }
 
-// expire takes off what is past its time.
+// expire queues the removal of expired records and updates the size metrics.
 func (s *Store) expire() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, seq := range s.ledger.Expire(Now().SinceBoot, maxExpired) {
 		s.queue = append(s.queue, change{seq: seq, remove: true})
 	}
-	v := s.ledger.Snapshot(Now().SinceBoot)
-	s.stats.Set(uint64(v.Records), "store", "live")
-	s.stats.Set(uint64(v.Bytes), "store", "bytes")
+	snapshot := s.ledger.Snapshot(Now().SinceBoot)
+	s.stats.Set(uint64(snapshot.Records), "store", "live")
+	s.stats.Set(uint64(snapshot.Bytes), "store", "bytes")
 }
 
-// closeFile marks the file as closed in good order and gives the folder up.
+// closeFile marks the file as closed cleanly, closes it and releases the lock of the folder.
 func (s *Store) closeFile() {
 	if !s.needsRewrite {
 		h := s.file.header
