--- a/internal/controlplane/configwatch/configwatch_test.go
+++ b/internal/controlplane/configwatch/configwatch_test.go
@@ -17,11 +17,11 @@
 	"silverpath/internal/transport/msgpackrpc"
 )
 
-// leader is a member that answers askings with what it is told to.
-func leader(t *testing.T, docs *map[string]configstore.View) *quorum.Client {
+// startLeader starts a group member that answers each poll with the given documents, and returns a client of it.
+func startLeader(t *testing.T, docs *map[string]configstore.View) *quorum.Client {
 	t.Helper()
 	index := uint64(0)
-	f := msgpackrpc.NewCallServer("words", &metrics.Counters{}, func(context.Context, msgpackrpc.Call) func() msgpackrpc.CallResult {
+	callServer := msgpackrpc.NewCallServer("words", &metrics.Counters{}, func(context.Context, msgpackrpc.Call) func() msgpackrpc.CallResult {
 		index++
 		b, err := json.Marshal(quorum.ConfigSyncReply{Terms: lease.Terms{TTL: time.Hour, Drift: 0.05}, Index: index, Wall: time.Now().UnixMilli(), Docs: *docs})
 		return func() msgpackrpc.CallResult {
@@ -31,7 +31,7 @@
 			return msgpackrpc.CallResult{Body: b}
 		}
 	})
-	ln, err := listener.Listen("words", "127.0.0.1:0", 8, func() time.Duration { return time.Minute }, f.Serve, log.New(io.Discard, "", 0), &metrics.Counters{})
+	ln, err := listener.Listen("words", "127.0.0.1:0", 8, func() time.Duration { return time.Minute }, callServer.Serve, log.New(io.Discard, "", 0), &metrics.Counters{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -41,83 +41,85 @@
 	return c
 }
 
-// One that is unconfirmed, as one that was cut off while the others turned, begins nothing exclusive before it acts on what it is told
-// is in force, and has had its map taken up; nor does one that can't act on it. The same holds of parts.
+// A process was cut off while the others changed to a new version. If it became confirmed before it acts on the active
+// version, it could begin exclusive work under the old one. It must stay unconfirmed until the active version is applied and
+// OnConfirmed has been called, and also if it can't apply the version. This holds for documents as text and in parts.
 func TestActsBeforeItGoesOn(t *testing.T) {
 	parts := map[string]configstore.Part{"a": {Version: 2, Digest: configstore.PartDigest("{}"), Text: "{}"}}
-	for name, force := range map[string]*configstore.Revision{
+	for name, active := range map[string]*configstore.Revision{
 		"a text": {ID: configstore.NewID(2, []byte("{}")), Format: 1, Text: "{}"},
 		"parts":  {ID: configstore.ID{Version: 2, Digest: configstore.PartsDigest(parts)}, Format: 2, InParts: true, Parts: parts},
 	} {
-		docs := map[string]configstore.View{"d": {Active: force}}
+		docs := map[string]configstore.View{"d": {Active: active}}
 		var f *Watcher
-		var at []string // why nothing began, at each step
-		var refuse error
-		see := func() error {
-			at = append(at, f.StopReasonFor("class", "tenant"))
-			return refuse
+		var reasons []string // the stop reason at each callback
+		var applyErr error
+		recordReason := func() error {
+			reasons = append(reasons, f.StopReasonFor("class", "tenant"))
+			return applyErr
 		}
-		f = New(Config{Name: "p", Group: leader(t, &docs), Log: log.New(io.Discard, "", 0), Stats: &metrics.Counters{},
-			OnConfirmed: func(time.Time) { _ = see() },
-			Documents: map[string]Document{"d": {Format: 2, Check: func(string) error { return nil }, Apply: func(string) error { return see() },
+		f = New(Config{Name: "p", Group: startLeader(t, &docs), Log: log.New(io.Discard, "", 0), Stats: &metrics.Counters{},
+			OnConfirmed: func(time.Time) { _ = recordReason() },
+			Documents: map[string]Document{"d": {Format: 2, Check: func(string) error { return nil }, Apply: func(string) error { return recordReason() },
 				CheckParts: func(map[string]string, bool) error { return nil },
-				ApplyParts: func(configstore.ID, map[string]string, bool) error { return see() }}}})
-		refuse = errors.New("not now")
+				ApplyParts: func(configstore.ID, map[string]string, bool) error { return recordReason() }}}})
+		applyErr = errors.New("not now")
 		if !f.sync(t.Context()) || f.StopReason() != configstore.StopUnconfirmed {
-			t.Errorf("%s: it goes on and does not act on it: %q", name, f.StopReason())
+			t.Errorf("%s: confirmed although the active version was not applied: %q", name, f.StopReason())
 		}
 		if name == "a text" {
-			continue // it is not handed out once more
+			continue // a text is not delivered again
 		}
-		refuse, at = nil, nil
+		applyErr, reasons = nil, nil
 		if !f.sync(t.Context()) || f.StopReason() != "" {
-			t.Errorf("%s: it does not go on: %q", name, f.StopReason())
+			t.Errorf("%s: not confirmed after the active version was applied: %q", name, f.StopReason())
 		}
-		if len(at) != 2 || at[0] != configstore.StopUnconfirmed || at[1] != configstore.StopUnconfirmed {
-			t.Errorf("%s: while it took it up it was held by %q", name, at)
+		if len(reasons) != 2 || reasons[0] != configstore.StopUnconfirmed || reasons[1] != configstore.StopUnconfirmed {
+			t.Errorf("%s: stop reasons while the version was applied: %q", name, reasons)
 		}
 	}
 }
 
-// One that has stopped as a change turns is held by that until it acts on the new; and nobody is told that what he goes by is the newest
-// by an answer of which parts are missing here.
+// A process that has paused for a quiescing change must stay paused until it has applied the new version, else it could begin
+// work under the old one. An answer that names a version with missing parts must not call OnConfirmed, because the process
+// still acts on an older version.
 func TestPausedUntilItActs(t *testing.T) {
 	old := map[string]configstore.Part{"a": {Version: 1, Digest: configstore.PartDigest("{}"), Text: "{}"}}
 	next := map[string]configstore.Part{"a": {Version: 2, Digest: configstore.PartDigest(`{"b":1}`), Text: `{"b":1}`}}
-	entry := func(version int, parts map[string]configstore.Part) *configstore.Revision {
+	revision := func(version int, parts map[string]configstore.Part) *configstore.Revision {
 		return &configstore.Revision{ID: configstore.ID{Version: version, Digest: configstore.PartsDigest(parts)}, Format: 2, InParts: true, Parts: parts}
 	}
-	known := func(version int, parts map[string]configstore.Part) *configstore.Revision { // as one is told of it that has it
-		e := entry(version, parts)
-		e.Parts = nil
-		return e
+	manifest := func(version int, parts map[string]configstore.Part) *configstore.Revision { // as the group describes it to a process that has the parts
+		r := revision(version, parts)
+		r.Parts = nil
+		return r
 	}
-	docs := map[string]configstore.View{"d": {Active: entry(1, old)}}
+	docs := map[string]configstore.View{"d": {Active: revision(1, old)}}
 	var f *Watcher
-	var held []string
-	told := 0
-	f = New(Config{Name: "p", Group: leader(t, &docs), Log: log.New(io.Discard, "", 0), Stats: &metrics.Counters{}, OnConfirmed: func(time.Time) { told++ },
+	var reasons []string
+	confirmations := 0
+	f = New(Config{Name: "p", Group: startLeader(t, &docs), Log: log.New(io.Discard, "", 0), Stats: &metrics.Counters{}, OnConfirmed: func(time.Time) { confirmations++ },
 		Documents: map[string]Document{"d": {Format: 2, CheckParts: func(map[string]string, bool) error { return nil },
 			ApplyParts: func(configstore.ID, map[string]string, bool) error {
-				held = append(held, f.StopReasonFor("class", "tenant"))
+				reasons = append(reasons, f.StopReasonFor("class", "tenant"))
 				return nil
 			}}}})
-	step := func(v configstore.View, stops string) {
+	syncWith := func(v configstore.View, wantReason string) {
 		t.Helper()
 		docs = map[string]configstore.View{"d": v}
-		if !f.sync(t.Context()) || f.StopReasonFor("class", "tenant") != stops {
-			t.Fatalf("held by %q, want %q", f.StopReasonFor("class", "tenant"), stops)
+		if !f.sync(t.Context()) || f.StopReasonFor("class", "tenant") != wantReason {
+			t.Fatalf("stop reason %q, want %q", f.StopReasonFor("class", "tenant"), wantReason)
 		}
 	}
-	step(configstore.View{Active: entry(1, old)}, "")
-	step(configstore.View{Active: known(1, old), Proposed: entry(2, next), Stage: configstore.StageQuiescing}, configstore.StopQuiescing)
-	step(configstore.View{Active: known(2, next)}, "")
-	if len(held) != 2 || held[1] != configstore.StopQuiescing || told != 3 {
-		t.Errorf("as it took it up it was held by %q; told %d times", held, told)
+	syncWith(configstore.View{Active: revision(1, old)}, "")
+	syncWith(configstore.View{Active: manifest(1, old), Proposed: revision(2, next), Stage: configstore.StageQuiescing}, configstore.StopQuiescing)
+	syncWith(configstore.View{Active: manifest(2, next)}, "")
+	if len(reasons) != 2 || reasons[1] != configstore.StopQuiescing || confirmations != 3 {
+		t.Errorf("stop reasons while the version was applied: %q; confirmed %d times", reasons, confirmations)
 	}
 	third := map[string]configstore.Part{"a": {Version: 3, Digest: configstore.PartDigest(`{"b":3}`)}}
-	docs = map[string]configstore.View{"d": {Active: entry(3, third), Since: 2}}
-	if !f.sync(t.Context()) || told != 3 {
-		t.Errorf("told that it goes by the newest, and it lacks a part: %d", told)
+	docs = map[string]configstore.View{"d": {Active: revision(3, third), Since: 2}}
+	if !f.sync(t.Context()) || confirmations != 3 {
+		t.Errorf("confirmed although a part of the active version is missing: %d times", confirmations)
 	}
 }
--- a/internal/controlplane/runner/golden_test.go
+++ b/internal/controlplane/runner/golden_test.go
@@ -28,37 +28,38 @@
 	"silverpath/internal/transport/msgpackrpc"
 )
 
-// An owner of one build orders servers of another, over a journal that others read. Here a roll of one server and a tenant's move
-// run against a group of one, with a server that is played by the test. It refuses the first order as a server does that has seen a
-// higher epoch: the owner has the group rise above it, and its next order has the epoch after. What goes to the server, what stands
-// in the journal and what is put into the map's folder is, to the byte, what an earlier build made of it.
+// Compatibility with an earlier build: a runner commands servers of other builds and writes a journal and map versions that
+// other builds read. The test runs a rollout of one server and a move of a tenant with a group of one member and a fake
+// server. The server refuses the first command like one that has seen a higher epoch: the runner raises the group's epoch
+// above it and sends the next command with the epoch after. The requests to the server, the journal and the files in the
+// map's folder must be byte for byte those of the earlier build.
 func TestOrdersAndMapOfAnEarlierBuild(t *testing.T) {
 	client := groupOfOne(t)
-	calls := &calls{}
+	server := &fakeServer{}
 	dir := t.TempDir()
 	first, err := os.ReadFile("testdata/map-1.json")
 	if err != nil {
 		t.Fatal(err)
 	}
-	first = []byte(strings.ReplaceAll(string(first), "MGMT", calls.serve(t)))
+	first = []byte(strings.ReplaceAll(string(first), "MGMT", server.serve(t)))
 	if err := os.WriteFile(filepath.Join(dir, "0000000001.json"), first, 0o644); err != nil {
 		t.Fatal(err)
 	}
-	o := runner.New(runner.Config{Name: "o1", Group: client, Log: zerolog.Nop(), Stats: &metrics.Counters{},
+	process := runner.New(runner.Config{Name: "o1", Group: client, Log: zerolog.Nop(), Stats: &metrics.Counters{},
 		Set: settings.Runner{Controllers: []string{"keeper", "conductor"}, Map: dir, DeadAfter: time.Second}})
 	ctx, cancel := context.WithCancel(context.Background())
-	var all sync.WaitGroup
-	all.Go(func() { o.Run(ctx) })
-	t.Cleanup(func() { cancel(); all.Wait() })
+	var goroutines sync.WaitGroup
+	goroutines.Go(func() { process.Run(ctx) })
+	t.Cleanup(func() { cancel(); goroutines.Wait() })
 
-	item := func(duty, id string) (found string) {
+	waitForItem := func(duty, id string) (found string) {
 		t.Helper()
-		for end := time.Now().Add(30 * time.Second); ; time.Sleep(10 * time.Millisecond) {
-			if time.Now().After(end) {
-				t.Fatalf("%s is not over: %s\n%s", id, found, calls.text())
+		for deadline := time.Now().Add(30 * time.Second); ; time.Sleep(10 * time.Millisecond) {
+			if time.Now().After(deadline) {
+				t.Fatalf("item %s has not finished: %s\n%s", id, found, server.commandLines())
 			}
-			asking, cancel := context.WithTimeout(ctx, 5*time.Second)
-			v, err := client.Read(asking, duty)
+			requestCtx, cancel := context.WithTimeout(ctx, 5*time.Second)
+			v, err := client.Read(requestCtx, duty)
 			cancel()
 			if err != nil || v.Journals[duty] == nil || v.Journals[duty].Item(id) == nil {
 				continue
@@ -72,24 +73,24 @@
 	}
 	submit := func(duty, id, kind, args string) {
 		t.Helper()
-		asking, cancel := context.WithTimeout(ctx, 20*time.Second)
+		requestCtx, cancel := context.WithTimeout(ctx, 20*time.Second)
 		defer cancel()
-		if r, err := client.Do(asking, statemachine.Command{Submit: &statemachine.SubmitItem{Duty: duty, ID: id, Kind: kind, Args: []byte(args)}}); err != nil || r.Error != "" {
+		if r, err := client.Do(requestCtx, statemachine.Command{Submit: &statemachine.SubmitItem{Duty: duty, ID: id, Kind: kind, Args: []byte(args)}}); err != nil || r.Error != "" {
 			t.Fatal(err, r.Error)
 		}
 	}
 	submit("conductor", "roll-1", "roll", `{"servers":["s0"],"cell_most":1,"all_most":1,"dwell_ms":100,"back_ms":20000,"worth_least":0}`)
-	mgmt := calls.addr
-	if got, want := item("conductor", "roll-1"), `done 4294967303 8 {"members":[{"name":"s0","cell":"c0","mgmt":"`+mgmt+`","stage":"back"}]} "1 servers"`; got != want {
+	adminAddr := server.addr
+	if got, want := waitForItem("conductor", "roll-1"), `done 4294967303 8 {"members":[{"name":"s0","cell":"c0","mgmt":"`+adminAddr+`","stage":"back"}]} "1 servers"`; got != want {
 		t.Errorf("\n got %s\nwant %s", got, want)
 	}
-	if got, want := calls.text(), "POST /api/evacuate?duty=conductor&epoch=4294967297&step=2\n"+
+	if got, want := server.commandLines(), "POST /api/evacuate?duty=conductor&epoch=4294967297&step=2\n"+
 		"POST /api/evacuate?duty=conductor&epoch=4294967303&step=3\nPOST /api/rejoin?duty=conductor&epoch=4294967303&step=5\n"; got != want {
-		t.Errorf("orders\n got %s\nwant %s", got, want)
+		t.Errorf("commands\n got %s\nwant %s", got, want)
 	}
 
 	submit("keeper", "move-1", "move", `{"tenant":"t","to":"c1"}`)
-	got := item("keeper", "move-1")
+	got := waitForItem("keeper", "move-1")
 	second, err := os.ReadFile(filepath.Join(dir, "0000000002.json"))
 	if err != nil {
 		t.Fatal(err)
@@ -114,7 +115,7 @@
 	}
 }
 
-// groupOfOne is a group of one member, in this process.
+// groupOfOne starts a group of one member in this process and returns a client of it.
 func groupOfOne(t *testing.T) *quorum.Client {
 	t.Helper()
 	counters := &metrics.Counters{}
@@ -128,8 +129,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	words := msgpackrpc.NewCallServer(member.Name, counters, m.Answer)
-	ln, err := listener.Listen(member.Name, addr, 64, func() time.Duration { return time.Minute }, words.Serve, log.New(io.Discard, "", 0), counters)
+	callServer := msgpackrpc.NewCallServer(member.Name, counters, m.Answer)
+	ln, err := listener.Listen(member.Name, addr, 64, func() time.Duration { return time.Minute }, callServer.Serve, log.New(io.Discard, "", 0), counters)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -148,29 +149,30 @@
 		cancel()
 		all.Wait()
 	})
-	founding, done := context.WithTimeout(ctx, 20*time.Second)
-	defer done()
-	if _, err := client.Found(founding, lease.Terms{TTL: 6 * time.Second, Drift: 0.05}); err != nil {
+	foundCtx, cancelFound := context.WithTimeout(ctx, 20*time.Second)
+	defer cancelFound()
+	if _, err := client.Found(foundCtx, lease.Terms{TTL: 6 * time.Second, Drift: 0.05}); err != nil {
 		t.Fatal(err)
 	}
 	return client
 }
 
-// calls plays a server's admin address: it is ready unless it was evacuated, and refuses the first order.
-type calls struct {
-	addr string
-	mu   sync.Mutex
-	list []string
-	out  bool
+// fakeServer is the fake admin address of a server. It records commands, refuses the first one, and reports that it is ready
+// unless it was evacuated.
+type fakeServer struct {
+	addr      string
+	mu        sync.Mutex
+	commands  []string
+	evacuated bool
 }
 
-func (c *calls) serve(t *testing.T) string {
+func (s *fakeServer) serve(t *testing.T) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.addr = ln.Addr().String()
+	s.addr = ln.Addr().String()
 	var all sync.WaitGroup
 	all.Go(func() {
 		for {
@@ -180,33 +182,33 @@
 			}
 			line, err := bufio.NewReader(conn).ReadString('\n')
 			if call, ok := strings.CutSuffix(line, " HTTP/1.1\r\n"); ok && err == nil {
-				fmt.Fprint(conn, c.answer(call))
+				fmt.Fprint(conn, s.answer(call))
 			}
 			conn.Close()
 		}
 	})
 	t.Cleanup(func() { ln.Close(); all.Wait() })
-	return c.addr
+	return s.addr
 }
 
-func (c *calls) answer(call string) string {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	yes, why := !c.out, ""
+func (s *fakeServer) answer(call string) string {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	accepted, reason := !s.evacuated, ""
 	if strings.HasPrefix(call, "POST ") {
-		c.list = append(c.list, call)
-		if yes = len(c.list) > 1; yes {
-			c.out = strings.Contains(call, "evacuate")
+		s.commands = append(s.commands, call)
+		if accepted = len(s.commands) > 1; accepted {
+			s.evacuated = strings.Contains(call, "evacuate")
 		} else {
-			why = "stale epoch 1.1 of conductor: 1.6 was seen"
+			reason = "stale epoch 1.1 of conductor: 1.6 was seen"
 		}
 	}
-	status := map[bool]string{true: "200 OK", false: "409 Conflict"}[yes]
-	return "HTTP/1.1 " + status + "\r\nConnection: close\r\n\r\n" + why + "\n"
+	status := map[bool]string{true: "200 OK", false: "409 Conflict"}[accepted]
+	return "HTTP/1.1 " + status + "\r\nConnection: close\r\n\r\n" + reason + "\n"
 }
 
-func (c *calls) text() string {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return strings.Join(c.list, "\n") + "\n"
+func (s *fakeServer) commandLines() string {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return strings.Join(s.commands, "\n") + "\n"
 }
--- a/internal/storage/atomicfile/atomicfile_test.go
+++ b/internal/storage/atomicfile/atomicfile_test.go
@@ -7,11 +7,11 @@
 	"testing"
 )
 
-// A disk fails as a file is replaced. Half of the new file in the old one's place would be trusted after a restart: so the old one stays
-// as it was, and nothing is left beside it.
+// A sync fails while a file is replaced. A partly written file in place of the old one would be trusted after a restart, so
+// the old file must stay unchanged and no temporary file may be left.
 func TestFailedReplacementLeavesTheOldFile(t *testing.T) {
-	sync := Sync
-	t.Cleanup(func() { Sync = sync })
+	originalSync := Sync
+	t.Cleanup(func() { Sync = originalSync })
 	dir := t.TempDir()
 	path := filepath.Join(dir, "state")
 	if err := Write(path, []byte("old"), os.Rename); err != nil {
@@ -23,14 +23,14 @@
 		t.Errorf("%v, want %v", err, failure)
 	}
 	if text, err := os.ReadFile(path); err != nil || string(text) != "old" {
-		t.Errorf("%q, %v", text, err)
+		t.Errorf("content %q, %v", text, err)
 	}
 	if left, err := os.ReadDir(dir); err != nil || len(left) != 1 {
-		t.Errorf("left beside it: %v, %v", left, err)
+		t.Errorf("files in the folder: %v, %v", left, err)
 	}
 }
 
-// A version that stands in its place is never overwritten: os.Link fails where something is there, and the new file is gone again.
+// An existing version must never be overwritten: with os.Link, Write fails if the path exists and removes its temporary file.
 func TestLinkDoesNotReplace(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "version-1")
@@ -38,11 +38,11 @@
 		t.Fatal(err)
 	}
 	if err := Write(path, []byte("second"), os.Link); !errors.Is(err, os.ErrExist) {
-		t.Errorf("%v", err)
+		t.Errorf("second write to an existing path: %v", err)
 	}
 	text, err := os.ReadFile(path)
 	left, _ := os.ReadDir(dir)
 	if err != nil || string(text) != "first" || len(left) != 1 {
-		t.Errorf("%q, %v, %v", text, err, left)
+		t.Errorf("content %q, %v, files %v", text, err, left)
 	}
 }
--- a/internal/storage/idempotencystore/store_test.go
+++ b/internal/storage/idempotencystore/store_test.go
@@ -24,7 +24,7 @@
 	"silverpath/internal/policy/idempotency"
 )
 
-// readFile is what a file gives back: every record by number, as it would be written. An error is damage that was seen.
+// readFile returns the encoded records of a file by sequence number. It returns an error if damage is detected.
 func readFile(path string) (map[uint64]string, error) {
 	f, _, err := openFile(path, "n", idempotency.Clock{}, 0)
 	if err != nil {
@@ -32,9 +32,9 @@
 	}
 	defer f.close()
 	all := map[uint64]string{}
-	err = f.scan(3, func(list []idempotency.Record, broken []uint64) {
-		if len(broken) > 0 {
-			err = errors.New("broken records")
+	err = f.scan(3, func(list []idempotency.Record, unreadable []uint64) {
+		if len(unreadable) > 0 {
+			err = errors.New("unreadable records")
 		}
 		for i := range list {
 			all[list[i].Seq] = string(encodeRecord(&list[i]))
@@ -43,26 +43,27 @@
 	return all, err
 }
 
-// powerLoss is a file as a loss of power may leave it half way from one state to the next: of the pages that differ some are there,
-// some not, some in part. The pages of the head come only once all others last, unless nothing is synced.
+// powerLoss returns a file as a loss of power may leave it between two states: of the pages that differ, some are written,
+// some are not and some are written in part. With synced, the meta pages at the head are written only after all other pages
+// are durable.
 func powerLoss(rng *rand.Rand, before, after []byte, synced bool) []byte {
-	const page, sector, heads = 4096, 512, 2
+	const page, sector, metaPages = 4096, 512, 2
 	out := slices.Clone(after)
-	was := func(at int) []byte {
+	oldSector := func(at int) []byte {
 		b := make([]byte, sector)
 		if at < len(before) {
 			copy(b, before[at:min(len(before), at+sector)])
 		}
 		return b
 	}
-	headsOnly := synced && rng.IntN(2) == 0
+	metaOnly := synced && rng.IntN(2) == 0
 	for at := 0; at < len(out); at += page {
-		head := at < heads*page
-		if head == synced && !headsOnly && head || headsOnly && head && rng.IntN(2) == 0 || !head && !headsOnly && rng.IntN(2) == 0 {
-			whole := rng.IntN(2) == 0
+		isMeta := at < metaPages*page
+		if isMeta == synced && !metaOnly && isMeta || metaOnly && isMeta && rng.IntN(2) == 0 || !isMeta && !metaOnly && rng.IntN(2) == 0 {
+			wholePage := rng.IntN(2) == 0
 			for s := at; s < at+page; s += sector {
-				if whole || rng.IntN(2) == 0 || head { // a head is one sector
-					copy(out[s:], was(s))
+				if wholePage || rng.IntN(2) == 0 || isMeta { // a meta page's content is within one sector
+					copy(out[s:], oldSector(s))
 				}
 			}
 		}
@@ -70,8 +71,9 @@
 	return out
 }
 
-// harmful reads an image in a process of its own, as what a disk without syncs leaves may lead the library in circles and end it.
-func harmful(t *testing.T, image string, either ...map[uint64]string) bool {
+// failsCheck reports whether reading an image crashes, hangs, fails or returns neither of the two states. It reads the image in
+// a separate process, because bbolt may loop forever or crash on an image that was written without syncs.
+func failsCheck(t *testing.T, image string, states ...map[uint64]string) bool {
 	ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 	defer cancel()
 	cmd := exec.CommandContext(ctx, os.Args[0], "-test.run", "^TestReadImageInAProcessOfItsOwn$")
@@ -80,8 +82,8 @@
 	if err != nil {
 		return true
 	}
-	for _, e := range either {
-		if strings.Contains(string(out), fmt.Sprintf("IMAGE %x\n", digest(e))) {
+	for _, state := range states {
+		if strings.Contains(string(out), fmt.Sprintf("IMAGE %x\n", digest(state))) {
 			return false
 		}
 	}
@@ -96,7 +98,7 @@
 	return h.Sum(nil)
 }
 
-// TestReadImageInAProcessOfItsOwn is the process of its own of the test below; by itself it has nothing to read.
+// TestReadImageInAProcessOfItsOwn is the process that failsCheck starts. Without an image in its environment it is skipped.
 func TestReadImageInAProcessOfItsOwn(t *testing.T) {
 	image := os.Getenv("SILVERPATH_IMAGE")
 	if image == "" {
@@ -110,9 +112,9 @@
 	fmt.Printf("IMAGE %x\n", digest(all))
 }
 
-// The power goes in the middle of a commit of an intent, a result or an expiry. Half of it would be a run that is forgotten, or an answer
-// that nobody gave: so what is found is the state before the commit or after it, complete. Where the disk is not waited for, the same
-// check finds that it is neither.
+// The power fails during a commit of intents, results and expiries. A partly applied commit would lose a run or return a
+// result that does not exist, so the file must have the complete state before or after the commit. The same check must fail
+// for some images that are written without syncs, which shows that it detects partial commits.
 func TestPowerLossDuringACommitLeavesAWholeState(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, FileName)
@@ -121,37 +123,37 @@
 		t.Fatal(err)
 	}
 	rng := rand.New(rand.NewPCG(1, 2))
-	harm, images, unsynced := 0, 0, 0
-	live := map[uint64]int{}
+	failures, images, unsynced := 0, 0, 0
+	recordStates := map[uint64]int{}
 	for seq := uint64(1); seq < 120; {
 		before, _ := os.ReadFile(path)
-		was, err := recordsOf(f)
+		oldRecords, err := recordsOf(f)
 		if err != nil {
 			t.Fatal(err)
 		}
-		var ops []change
+		var changes []change
 		for range 1 + rng.IntN(6) {
-			switch one := slices.Sorted(maps.Keys(live)); {
-			case rng.IntN(2) == 0 || len(one) == 0:
+			switch seqs := slices.Sorted(maps.Keys(recordStates)); {
+			case rng.IntN(2) == 0 || len(seqs) == 0:
 				r := idempotency.Record{Seq: seq, State: idempotency.Running, Key: fmt.Sprint("key", seq), ID: "id", ExpiresAt: 9}
-				ops, live[seq] = append(ops, change{seq: seq, value: encodeRecord(&r)}), 1
+				changes, recordStates[seq] = append(changes, change{seq: seq, value: encodeRecord(&r)}), 1
 				seq++
 			default:
-				n := one[rng.IntN(len(one))]
+				n := seqs[rng.IntN(len(seqs))]
 				r := idempotency.Record{Seq: n, State: idempotency.Completed, Key: fmt.Sprint("key", n), ID: "id", ExpiresAt: 9, Result: bytes.Repeat([]byte{byte(n)}, rng.IntN(3000))}
-				if live[n]++; live[n] > 2 {
-					ops = append(ops, change{seq: n, remove: true})
-					delete(live, n)
+				if recordStates[n]++; recordStates[n] > 2 {
+					changes = append(changes, change{seq: n, remove: true})
+					delete(recordStates, n)
 				} else {
-					ops = append(ops, change{seq: n, value: encodeRecord(&r)})
+					changes = append(changes, change{seq: n, value: encodeRecord(&r)})
 				}
 			}
 		}
-		if err := f.commit(ops, &header{Format: formatVersion, Name: "n", CompleteSince: int64(seq)}); err != nil {
+		if err := f.commit(changes, &header{Format: formatVersion, Name: "n", CompleteSince: int64(seq)}); err != nil {
 			t.Fatal(err)
 		}
 		after, _ := os.ReadFile(path)
-		is, err := recordsOf(f)
+		newRecords, err := recordsOf(f)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -163,19 +165,19 @@
 			}
 			images++
 			if !synced {
-				if unsynced++; unsynced%3 == 0 && harmful(t, image, was, is) {
-					harm++
+				if unsynced++; unsynced%3 == 0 && failsCheck(t, image, oldRecords, newRecords) {
+					failures++
 				}
 				continue
 			}
-			if got, err := readFile(image); err != nil || !maps.Equal(got, was) && !maps.Equal(got, is) {
-				t.Fatalf("commit to %d, image %d: %v, %d records, were %d and became %d", seq, i, err, len(got), len(was), len(is))
+			if got, err := readFile(image); err != nil || !maps.Equal(got, oldRecords) && !maps.Equal(got, newRecords) {
+				t.Fatalf("commit up to record %d, image %d: %v, %d records, want the %d before or the %d after the commit", seq, i, err, len(got), len(oldRecords), len(newRecords))
 			}
 		}
 	}
 	f.close()
-	if harm == 0 {
-		t.Errorf("%d images, none of those without syncs does harm: this test finds nothing", images)
+	if failures == 0 {
+		t.Errorf("%d images, and no image without syncs fails the check: the test can't detect a partial commit", images)
 	}
 }
 
@@ -189,45 +191,45 @@
 	return all, err
 }
 
-// recordHolder stands for the core, which acts on what is stored.
-type recordHolder struct {
-	mu   sync.Mutex
-	all  map[string]idempotency.Record
-	wait time.Duration
+// memoryOwner is a RecordOwner that keeps the records in memory, in place of the core.
+type memoryOwner struct {
+	mu      sync.Mutex
+	records map[string]idempotency.Record
+	window  time.Duration
 }
 
-func (k *recordHolder) Restore(list []idempotency.Record, _ func(time.Duration) time.Time) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+func (o *memoryOwner) Restore(list []idempotency.Record, _ func(time.Duration) time.Time) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
 	for _, r := range list {
-		k.all[r.Key] = r
+		o.records[r.Key] = r
 	}
 }
 
-func (k *recordHolder) Records(func(time.Time) time.Duration) (list []idempotency.Record) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	for _, r := range k.all {
+func (o *memoryOwner) Records(func(time.Time) time.Duration) (list []idempotency.Record) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	for _, r := range o.records {
 		list = append(list, r)
 	}
 	return list
 }
 
-func (k *recordHolder) LongestWindow() time.Duration { return k.wait }
+func (o *memoryOwner) LongestWindow() time.Duration { return o.window }
 
-func start(t *testing.T, dir string) (*Store, *recordHolder) {
+func openStore(t *testing.T, dir string) (*Store, *memoryOwner) {
 	t.Helper()
-	k := &recordHolder{all: map[string]idempotency.Record{}, wait: 300 * time.Millisecond}
-	s, err := Open(Config{Dir: dir, Name: "n", MaxBytes: 8 << 20, ResultReserve: 1 << 10, Log: log.New(io.Discard, "", 0), Stats: &metrics.Counters{}}, k)
+	owner := &memoryOwner{records: map[string]idempotency.Record{}, window: 300 * time.Millisecond}
+	s, err := Open(Config{Dir: dir, Name: "n", MaxBytes: 8 << 20, ResultReserve: 1 << 10, Log: log.New(io.Discard, "", 0), Stats: &metrics.Counters{}}, owner)
 	if err != nil {
 		t.Fatal(err)
 	}
 	go s.Run(t.Context())
 	<-s.Loaded()
-	return s, k
+	return s, owner
 }
 
-// storeRun has one run stored, with its result.
+// storeRun stores one run and, unless it is nil, its result.
 func storeRun(t *testing.T, s *Store, key string, result []byte) {
 	t.Helper()
 	done := make(chan error, 1)
@@ -246,30 +248,31 @@
 	}
 }
 
-// A disk gives back a damaged record, or damaged pages. A request whose record is gone could run twice: so what can't be read is set
-// aside and kept, what else there is is taken up, and what is not known fails until it can't matter, also over a further restart.
+// A disk returns a damaged record or damaged pages. A request whose record is lost could run twice, so unreadable data must be
+// quarantined and all other records loaded, and requests with unknown keys must fail until the windows of all earlier runs
+// are over, also across a second restart.
 func TestDamagedStoreFailsUnknownKeysUntilTheirWindowIsOver(t *testing.T) {
 	for _, kind := range []string{"a record", "the pages"} {
 		dir := t.TempDir()
 		if err := Init(dir, "n"); err != nil {
 			t.Fatal(err)
 		}
-		s, _ := start(t, dir)
+		s, _ := openStore(t, dir)
 		for i := range 300 {
 			storeRun(t, s, fmt.Sprint("key-", i), []byte(strings.Repeat("result", 50)))
 		}
-		since := s.CompleteSince()
+		completeSince := s.CompleteSince()
 		s.Close()
 		path := filepath.Join(dir, FileName)
 		text, _ := os.ReadFile(path)
 		if at := bytes.Index(text, []byte("key-7")); kind == "a record" {
-			for ; at >= 0; at = bytes.Index(text, []byte("key-7")) { // in every page that ever had it
+			for ; at >= 0; at = bytes.Index(text, []byte("key-7")) { // also in pages that are no longer used
 				text[at]++
 			}
 		} else {
-			for at := 4 * 4096; at < len(text); at += 4096 { // the heads of most pages
+			for at := 4 * 4096; at < len(text); at += 4096 { // overwrite the header of every third page
 				if at%(3*4096) == 0 {
-					copy(text[at:], "no page's head")
+					copy(text[at:], "no page header")
 				}
 			}
 		}
@@ -277,44 +280,44 @@
 			t.Fatal(err)
 		}
 		time.Sleep(2 * time.Millisecond)
-		s, k := start(t, dir)
-		if s.CompleteSince() == since {
-			t.Errorf("%s: it says that nothing was forgotten", kind)
+		s, owner := openStore(t, dir)
+		if s.CompleteSince() == completeSince {
+			t.Errorf("%s: CompleteSince did not change although records were lost", kind)
 		}
-		if n := len(k.all); kind == "a record" && n < 280 || n >= 300 {
-			t.Errorf("%s: %d of 300 records taken up", kind, n)
+		if n := len(owner.records); kind == "a record" && n < 280 || n >= 300 {
+			t.Errorf("%s: %d of 300 records loaded", kind, n)
 		}
 		if v := s.CanExecute(time.Second); v.Action != idempotency.Fail {
-			t.Errorf("%s: a request that may have run: %v", kind, v)
+			t.Errorf("%s: decision on a request that may have run: %v", kind, v)
 		}
 		s.Close()
-		if left, _ := filepath.Glob(path + ".damaged-*"); kind != "a record" && len(left) != 1 {
-			t.Errorf("%s: set aside: %v", kind, left)
+		if quarantined, _ := filepath.Glob(path + ".damaged-*"); kind != "a record" && len(quarantined) != 1 {
+			t.Errorf("%s: quarantined files: %v", kind, quarantined)
 		}
-		s, _ = start(t, dir)
+		s, _ = openStore(t, dir)
 		if v := s.CanExecute(time.Second); v.Action != idempotency.Fail {
-			t.Errorf("%s: after a further restart: %v", kind, v)
+			t.Errorf("%s: decision after a second restart: %v", kind, v)
 		}
 		time.Sleep(400 * time.Millisecond)
 		if v := s.CanExecute(time.Second); v.Action != idempotency.Execute {
-			t.Errorf("%s: once it can't matter: %v", kind, v)
+			t.Errorf("%s: decision after the window is over: %v", kind, v)
 		}
 		storeRun(t, s, "new", make([]byte, 1<<20)) // a result of the largest size
 		s.Close()
-		if _, k = start(t, dir); len(k.all["new"].Result) != 1<<20 {
-			t.Errorf("%s: %d bytes of the largest result", kind, len(k.all["new"].Result))
+		if _, owner = openStore(t, dir); len(owner.records["new"].Result) != 1<<20 {
+			t.Errorf("%s: %d bytes of the largest result after a restart", kind, len(owner.records["new"].Result))
 		}
 	}
 }
 
-// Anything that is read as a record is the record that was written, or is not read at all.
+// Bytes that decode as a record must encode to the same bytes; all others must be rejected.
 func FuzzRecord(f *testing.F) {
 	f.Add(encodeRecord(&idempotency.Record{State: idempotency.Completed, Key: "k", ID: "i", Result: []byte("r")}))
 	f.Add([]byte{1, 2, 3})
 	f.Fuzz(func(t *testing.T, b []byte) {
 		r, err := decodeRecord(7, b)
 		if err == nil && !bytes.Equal(encodeRecord(&r), b) {
-			t.Fatalf("%q is read as %+v", b, r)
+			t.Fatalf("%q decodes as %+v, which encodes differently", b, r)
 		}
 	})
 }
