--- a/internal/controlplane/configwatch/configwatch.go
+++ b/internal/controlplane/configwatch/configwatch.go
@@ -31,9 +31,9 @@
 	Apply  func(text string) error // makes the process act on the text
 
 	// CheckParts and ApplyParts are Check and Apply for a document in parts. They receive the parts that differ from those
-	// that were applied last, or all parts if whole is true. They are nil if the process does not use the document in parts.
-	CheckParts func(changed map[string]string, whole bool) error
-	ApplyParts func(id configstore.ID, changed map[string]string, whole bool) error
+	// that were applied last, or all parts if complete is true. They are nil if the process does not use the document in parts.
+	CheckParts func(changed map[string]string, complete bool) error
+	ApplyParts func(id configstore.ID, changed map[string]string, complete bool) error
 }
 
 // Config configures a Watcher.
@@ -41,10 +41,10 @@
 	Name         string // of the process
 	Group        *quorum.Client
 	Documents    map[string]Document
-	Goodput      func() configstore.Goodput // cumulative since the start; nil: none is reported
-	OnConfirmed  func(asked time.Time)      // called with the time of each request whose answer confirmed the active versions; may be nil
-	MaxClockSkew func() time.Duration       // limit between two processes; nil: no document depends on wall clock times
-	Quota        QuotaClient                // nil: the process shares no cells with other processes
+	Goodput      func() configstore.Goodput  // cumulative since the start; nil: none is reported
+	OnConfirmed  func(requestedAt time.Time) // called with the time of each request whose answer confirmed the active versions; may be nil
+	MaxClockSkew func() time.Duration        // limit between two processes; nil: no document depends on wall clock times
+	Quota        QuotaClient                 // nil: the process shares no cells with other processes
 	Log          *log.Logger
 	Stats        *metrics.Counters
 }
@@ -108,9 +108,9 @@
 	}
 	w.paused.Store(&[]*configstore.PauseScope{})
 	w.replica.Disabled = DisabledGuards
-	w.replica.CheckParts = func(name string, changed map[string]string, whole bool) error {
+	w.replica.CheckParts = func(name string, changed map[string]string, complete bool) error {
 		if doc := w.cfg.Documents[name]; doc.CheckParts != nil {
-			return doc.CheckParts(changed, whole)
+			return doc.CheckParts(changed, complete)
 		}
 		return errors.New("this process takes it in no parts")
 	}
--- a/internal/controlplane/runner/leases.go
+++ b/internal/controlplane/runner/leases.go
@@ -43,6 +43,7 @@
 	return d.actionInProgress
 }
 
+// endAction allows the release of the duty to a successor again.
 func (d *duty) endAction() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/controlplane/runner/monitor.go
+++ b/internal/controlplane/runner/monitor.go
@@ -90,6 +90,8 @@
 	return now, previous, r.mapVersion
 }
 
+// submitRemoval submits a removal request to the placement duty. A request that was submitted before, with the same id, has
+// no further effect.
 func (d *duty) submitRemoval(id string, removal controller.ServerGone) error {
 	args, err := json.Marshal(removal)
 	if err != nil {
--- a/internal/controlplane/runner/rollout.go
+++ b/internal/controlplane/runner/rollout.go
@@ -40,6 +40,7 @@
 	return d.rollout.Next(j, uint64(epoch), servers, readiness, d.clock())
 }
 
+// isRolloutActive reports whether the last call of decideRollout found an unfinished rollout.
 func (d *duty) isRolloutActive() bool {
 	d.Runner.mu.Lock()
 	defer d.Runner.mu.Unlock()
--- a/internal/controlplane/runner/runner.go
+++ b/internal/controlplane/runner/runner.go
@@ -32,9 +32,11 @@
 	Rate  float64 // speed of its clock relative to real time, for tests; 0 means 1
 }
 
-// Boundary is called at each boundary of an action. Test programs set it to stop the process there. The boundaries are
-// "check" (before the last check of the lease), "write" (after that check, before a journal entry is written), "intent"
-// (the entry is written, the action is not made) and "act" (the action is made, its outcome is not written).
+// Boundary is called at each boundary of an action. Test programs set it to stop the process there. The boundaries are:
+//   - check: before the last check of the lease
+//   - write: after that check, before a journal entry is written
+//   - intent: the entry is written, the action is not made
+//   - act: the action is made, its outcome is not written
 var Boundary = func(duty, at string, step uint64) {}
 
 // Wall returns the wall clock time that maps are made with. Test programs replace it.
--- a/internal/storage/heartbeat/heartbeat.go
+++ b/internal/storage/heartbeat/heartbeat.go
@@ -50,6 +50,7 @@
 	Checksum  uint32             `json:"sum"`
 }
 
+// checksum returns the checksum of the heartbeat's JSON.
 func (r fileRecord) checksum() uint32 {
 	text, _ := json.Marshal(r.Heartbeat) // can't fail: the fields are strings and numbers
 	return crc32.ChecksumIEEE(text)
@@ -102,6 +103,7 @@
 	return record.Heartbeat, nil
 }
 
+// heartbeat returns the heartbeat of this process at the given time.
 func (h *Heartbeats) heartbeat(now idempotency.Clock) recovery.Heartbeat {
 	return recovery.Heartbeat{Name: h.name, Machine: now.Machine, Boot: now.Boot, SinceBoot: now.SinceBoot, Validity: h.validity}
 }
--- a/internal/storage/idempotencystore/file.go
+++ b/internal/storage/idempotencystore/file.go
@@ -27,8 +27,8 @@
 	// fileGrowth is the number of bytes by which the file grows at a time: few enough that a disk has them free, many enough
 	// that the file seldom grows.
 	fileGrowth = 1 << 20
-	// lockWait is how long a process waits for the lock: a process that was killed may take a while to release it.
-	lockWait = 2 * time.Second
+	// lockTimeout is how long a process waits for the lock: a process that was killed may take a while to release it.
+	lockTimeout = 2 * time.Second
 	// fillPercent is the fill rate of pages. Sequence numbers increase, so that no record is inserted between others.
 	fillPercent = 0.9
 )
@@ -59,6 +59,7 @@
 		CompleteSince: int64(now.SinceBoot), CompleteSinceWall: wall}
 }
 
+// coverage returns the period of which the file has every run.
 func (h header) coverage() idempotency.Coverage {
 	return idempotency.Coverage{Machine: h.Machine, Boot: h.Boot, CompleteSince: time.Duration(h.CompleteSince), Complete: h.Complete,
 		CompleteSinceWall: h.CompleteSinceWall}
@@ -68,6 +69,7 @@
 // error of a failing disk.
 var FaultHook func(boundary string) error
 
+// faultPoint returns the error that FaultHook injects at the named point, nil without a hook.
 func faultPoint(name string) error {
 	if FaultHook == nil {
 		return nil
@@ -90,7 +92,7 @@
 // it is not a valid bbolt file.
 func openDatabase(path string, readOnly bool) (db *bbolt.DB, err error) {
 	defer RecoverPanic(&err)()
-	db, err = bbolt.Open(path, 0o600, &bbolt.Options{Timeout: lockWait, FreelistType: bbolt.FreelistMapType, ReadOnly: readOnly})
+	db, err = bbolt.Open(path, 0o600, &bbolt.Options{Timeout: lockTimeout, FreelistType: bbolt.FreelistMapType, ReadOnly: readOnly})
 	switch {
 	case errors.Is(err, berrors.ErrTimeout):
 		err = ErrInUse
@@ -112,7 +114,7 @@
 // OpenRead opens a bbolt file read-only. It returns ErrInUse if a process has the file open.
 func OpenRead(path string) (*bbolt.DB, error) { return openDatabase(path, true) }
 
-// openFile opens the file at path, or creates one that knows no run from before now.
+// openFile opens the file at path, or creates an empty one whose coverage starts now.
 func openFile(path, name string, now idempotency.Clock, wall int64) (f *file, created bool, err error) {
 	if _, err := os.Stat(path); errors.Is(err, fs.ErrNotExist) {
 		f, err := writeFile(path, newHeader(name, now, wall), nil)
@@ -135,6 +137,7 @@
 	return f, false, nil
 }
 
+// readHeader reads the header. It returns errDamaged if the file has none, and another error for an unknown format.
 func (f *file) readHeader() (err error) {
 	defer RecoverPanic(&err)()
 	return f.db.View(func(tx *bbolt.Tx) error {
@@ -204,6 +207,7 @@
 	return faultPoint("committed")
 }
 
+// putHeader writes the header within a transaction.
 func putHeader(tx *bbolt.Tx, h header) error {
 	text, err := json.Marshal(h)
 	if err != nil {
--- a/internal/storage/idempotencystore/load.go
+++ b/internal/storage/idempotencystore/load.go
@@ -10,20 +10,20 @@
 	"silverpath/internal/policy/idempotency"
 )
 
-// scanChunk is the number of records per read transaction. It is small so that no reader keeps pages of the file from being
+// scanChunkSize is the number of records per read transaction. It is small so that no reader keeps pages of the file from being
 // reused for long.
-const scanChunk = 1024
+const scanChunkSize = 1024
 
 // Run loads the stored records and then writes changes until Close. It is the store's only goroutine.
 func (s *Store) Run(context.Context) {
 	defer close(s.stopped)
 	s.load()
-	close(s.loadedAll)
+	close(s.loaded)
 	s.writeLoop()
 }
 
 // Loaded returns a channel that is closed once all records are loaded.
-func (s *Store) Loaded() <-chan struct{} { return s.loadedAll }
+func (s *Store) Loaded() <-chan struct{} { return s.loaded }
 
 // loadReport is the result of reading all records.
 type loadReport struct {
@@ -93,13 +93,13 @@
 	s.ledger.ExpectRecords(count)
 	s.mu.Unlock()
 	if err == nil {
-		err = s.file.scan(scanChunk, func(list []idempotency.Record, unreadable []uint64) { s.loadChunk(&report, list, unreadable) })
+		err = s.file.scan(scanChunkSize, func(list []idempotency.Record, unreadable []uint64) { s.loadChunk(&report, list, unreadable) })
 	}
 	report.err = err
 	return report
 }
 
-// take loads one chunk of records: the relevant ones into the ledger and the owner, the others into the report.
+// loadChunk loads one chunk of records: the relevant ones into the ledger and the owner, the others into the report.
 func (s *Store) loadChunk(report *loadReport, records []idempotency.Record, unreadable []uint64) {
 	_ = faultPoint("loading") // only for delays: an error is ignored and reading goes on
 	report.unreadable = append(report.unreadable, unreadable...)
@@ -115,7 +115,7 @@
 		relevant = append(relevant, record)
 	}
 	s.mu.Unlock()
-	s.owner.Restore(relevant, wallTime(Now().SinceBoot))
+	s.owner.Restore(relevant, wallTimeConverter(Now().SinceBoot))
 }
 
 // updateCoverage updates the header's coverage, and returns until when runs may be relevant that the store does not know. An
--- a/internal/storage/idempotencystore/offline.go
+++ b/internal/storage/idempotencystore/offline.go
@@ -92,7 +92,7 @@
 	defer f.close()
 	summary = Summary{ID: f.header.ID, Name: f.header.Name, Format: f.header.Format, Complete: f.header.Complete, ClosedCleanly: f.header.ClosedCleanly,
 		SameBoot: f.header.Boot == Now().Boot, ByState: map[string]int{}, File: f.size()}
-	err = f.scan(scanChunk, func(list []idempotency.Record, unreadable []uint64) {
+	err = f.scan(scanChunkSize, func(list []idempotency.Record, unreadable []uint64) {
 		summary.Unreadable += len(unreadable)
 		summary.Records += len(list)
 		for i := range list {
@@ -116,7 +116,7 @@
 	}
 	defer f.close()
 	var recordErr error
-	err = f.scan(scanChunk, func(list []idempotency.Record, unreadable []uint64) {
+	err = f.scan(scanChunkSize, func(list []idempotency.Record, unreadable []uint64) {
 		for i := range list {
 			if recordErr == nil {
 				recordErr = visit(list[i])
@@ -153,7 +153,7 @@
 func (f *file) rewrite(path string, h header, transform func(idempotency.Record) (idempotency.Record, bool)) (*file, error) {
 	return writeFile(path, h, func(put func(idempotency.Record) error) error {
 		var recordErr error
-		err := f.scan(scanChunk, func(list []idempotency.Record, unreadable []uint64) {
+		err := f.scan(scanChunkSize, func(list []idempotency.Record, unreadable []uint64) {
 			if len(unreadable) > 0 {
 				recordErr = errors.Join(recordErr, fmt.Errorf("%d records can't be read: a service moves them aside when it starts", len(unreadable)))
 			}
--- a/internal/storage/idempotencystore/rewrite.go
+++ b/internal/storage/idempotencystore/rewrite.go
@@ -13,8 +13,8 @@
 	"silverpath/internal/storage/atomicfile"
 )
 
-// rewriteBatch is the number of records per transaction when a new file is written.
-const rewriteBatch = 4096
+// rewriteBatchSize is the number of records per transaction when a new file is written.
+const rewriteBatchSize = 4096
 
 // writeFile writes a new file with the header and records, syncs it and renames it to path. If the process ends meanwhile,
 // the old file stays. ForEach calls put for each record; nil means that there are none.
@@ -44,7 +44,7 @@
 	}
 	if forEach != nil {
 		err = forEach(func(r idempotency.Record) error {
-			if pending = append(pending, r); len(pending) >= rewriteBatch {
+			if pending = append(pending, r); len(pending) >= rewriteBatchSize {
 				return flush()
 			}
 			return nil
--- a/internal/storage/idempotencystore/store.go
+++ b/internal/storage/idempotencystore/store.go
@@ -56,7 +56,7 @@
 	commitTiming *metrics.Timing
 	wake         chan struct{}
 	stopped      chan struct{} // closed once Run has ended
-	loadedAll    chan struct{} // closed once all records are loaded
+	loaded       chan struct{} // closed once all records are loaded
 
 	mu            sync.Mutex
 	ledger        *idempotency.Ledger
@@ -96,7 +96,7 @@
 	s := &Store{
 		cfg: cfg, owner: owner, lock: lock, file: f, completeSince: f.header.CompleteSinceWall,
 		log: cfg.Log, stats: cfg.Stats, commitTiming: cfg.Stats.Timing("store_commit"),
-		wake: make(chan struct{}, 1), stopped: make(chan struct{}), loadedAll: make(chan struct{}),
+		wake: make(chan struct{}, 1), stopped: make(chan struct{}), loaded: make(chan struct{}),
 		ledger: idempotency.NewLedger(idempotency.Limits{Bytes: cfg.MaxBytes, ResultReserve: cfg.ResultReserve,
 			GroupCommitDelay: cfg.GroupCommitDelay, RetryAfter: retryAfter}),
 	}
@@ -240,13 +240,13 @@
 	return fmt.Sprintf("%s.damaged-%d", path, time.Now().UnixNano())
 }
 
-// lockDir locks a folder for this process. It returns ErrInUse if another process holds the lock for longer than lockWait.
+// lockDir locks a folder for this process. It returns ErrInUse if another process holds the lock for longer than lockTimeout.
 func lockDir(dir string) (*os.File, error) {
 	lock, err := os.OpenFile(filepath.Join(dir, lockName), os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
 		return nil, err
 	}
-	for deadline := time.Now().Add(lockWait); ; time.Sleep(lockWait / 100) {
+	for deadline := time.Now().Add(lockTimeout); ; time.Sleep(lockTimeout / 100) {
 		err := unix.Flock(int(lock.Fd()), unix.LOCK_EX|unix.LOCK_NB)
 		if err == nil {
 			return lock, nil
@@ -264,8 +264,8 @@
 // sinceBoot converts a time of this process to a time since boot.
 func sinceBoot(t time.Time) time.Duration { return Now().SinceBoot - time.Since(t) }
 
-// wallTime returns a function that converts a time since boot to a time of this process. Now is the present time since boot.
-func wallTime(now time.Duration) func(time.Duration) time.Time {
+// wallTimeConverter returns a function that converts a time since boot to a time of this process. Now is the present time since boot.
+func wallTimeConverter(now time.Duration) func(time.Duration) time.Time {
 	wall := time.Now()
 	return func(d time.Duration) time.Time { return wall.Add(d - now) }
 }
--- a/internal/storage/idempotencystore/store_test.go
+++ b/internal/storage/idempotencystore/store_test.go
@@ -248,9 +248,9 @@
 	}
 }
 
-// A disk returns a damaged record or damaged pages. A request whose record is lost could run twice, so unreadable data must be
-// quarantined and all other records loaded, and requests with unknown keys must fail until the windows of all earlier runs
-// are over, also across a second restart.
+// A disk returns a damaged record or damaged pages. A request whose record is lost could run twice. So requests with unknown
+// keys must fail until the windows of all earlier runs are over, also across a second restart. Unreadable data must be
+// quarantined and all other records loaded.
 func TestDamagedStoreFailsUnknownKeysUntilTheirWindowIsOver(t *testing.T) {
 	for _, kind := range []string{"a record", "the pages"} {
 		dir := t.TempDir()
--- a/internal/storage/inspect/inspect.go
+++ b/internal/storage/inspect/inspect.go
@@ -70,6 +70,7 @@
 	return Finding{Path: path, Kind: "unknown", Trust: recovery.Discarded.String(), Problem: "nothing that this program writes"}, nil
 }
 
+// addFact adds a formatted line to the finding's facts.
 func (f *Finding) addFact(format string, args ...any) {
 	f.Facts = append(f.Facts, fmt.Sprintf(format, args...))
 }
@@ -97,8 +98,8 @@
 	})
 }
 
-// fileIn returns the first of the named files that exists in the folder path, or path itself if none does.
-func fileIn(path string, names ...string) string {
+// firstFile returns the first of the named files that exists in the folder path, or path itself if none does.
+func firstFile(path string, names ...string) string {
 	for _, n := range names {
 		if file := filepath.Join(path, n); isFile(file) {
 			return file
@@ -112,6 +113,7 @@
 	return err == nil && !info.IsDir()
 }
 
+// readMember reads the log of a group member, from its database or the folder of it.
 func readMember(path string, f *Finding) error {
 	files, _ := filepath.Glob(filepath.Join(path, "*.db"))
 	for _, file := range append(files, path) {
@@ -148,8 +150,9 @@
 	return errOtherKind
 }
 
+// readStore reads an idempotency store, from its file or folder.
 func readStore(path string, f *Finding) error {
-	file := fileIn(path, idempotencystore.FileName)
+	file := firstFile(path, idempotencystore.FileName)
 	if err := viewDatabase(file, "keys", func(*bbolt.Tx) error { return nil }); err != nil {
 		return err
 	}
@@ -169,6 +172,7 @@
 	return nil
 }
 
+// readRouter reads the state file of a router, which stores its last map.
 func readRouter(path string, f *Finding) error {
 	return viewDatabase(path, "cells", func(tx *bbolt.Tx) error {
 		m, confirmedAt, err := proxy.StoredMap(tx)
@@ -198,6 +202,7 @@
 	return string(prefix[:n])
 }
 
+// readFence reads the fence file of a server. It is identified by its first line, a checksum of eight hexadecimal digits.
 func readFence(path string, f *Finding) error {
 	prefix := filePrefix(path, 9)
 	if len(prefix) < 9 || prefix[8] != '\n' || strings.Trim(prefix[:8], "0123456789abcdef") != "" {
@@ -215,6 +220,7 @@
 	return nil
 }
 
+// readHeartbeat reads a heartbeat file. It is identified by its first JSON name.
 func readHeartbeat(path string, f *Finding) error {
 	if !strings.HasPrefix(filePrefix(path, 8), `{"sign"`) {
 		return errOtherKind
