--- a/internal/transport/scgi/client.go
+++ b/internal/transport/scgi/client.go
@@ -23,7 +23,7 @@
 
 // ReadReply reads the answer to the one request of a connection.
 func ReadReply(r *bufio.Reader) (Reply, error) {
-	a, err := readResponse(r, maxResult)
+	a, err := readResponse(r, maxResultBytes)
 	if err != nil {
 		return Reply{}, err
 	}
--- a/internal/transport/scgi/close_test.go
+++ b/internal/transport/scgi/close_test.go
@@ -12,76 +12,76 @@
 
 // lingering is a listener whose connections tell, as they are closed, whether the other side had ended them before. Once the
 // sending half of one has ended no time limits the reading of it, so that a busy machine does not matter.
-type lingering struct {
+type trackingListener struct {
 	*net.TCPListener
-	conns chan *lingeringConn
+	conns chan *trackingConn
 }
 
-type lingeringConn struct {
+type trackingConn struct {
 	*net.TCPConn
-	mu          sync.Mutex
-	half, ended bool
-	once        sync.Once
-	closed      chan bool // whether it had ended
+	mu                  sync.Mutex
+	writeClosed, gotEOF bool
+	once                sync.Once
+	closed              chan bool // whether it had ended
 }
 
-func listenLingering(t *testing.T) *lingering {
+func newTrackingListener(t *testing.T) *trackingListener {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &lingering{ln.(*net.TCPListener), make(chan *lingeringConn, 1000)}
+	return &trackingListener{ln.(*net.TCPListener), make(chan *trackingConn, 1000)}
 }
 
-func (l *lingering) Accept() (net.Conn, error) {
+func (l *trackingListener) Accept() (net.Conn, error) {
 	conn, err := l.AcceptTCP()
 	if err != nil {
 		return nil, err
 	}
-	c := &lingeringConn{TCPConn: conn, closed: make(chan bool, 1)}
+	c := &trackingConn{TCPConn: conn, closed: make(chan bool, 1)}
 	l.conns <- c
 	return c, nil
 }
 
-func (c *lingeringConn) CloseWrite() error {
+func (c *trackingConn) CloseWrite() error {
 	c.mu.Lock()
-	c.half = true
+	c.writeClosed = true
 	c.mu.Unlock()
 	_ = c.TCPConn.SetReadDeadline(time.Time{})
 	return c.TCPConn.CloseWrite()
 }
 
-func (c *lingeringConn) SetReadDeadline(t time.Time) error {
+func (c *trackingConn) SetReadDeadline(t time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.half {
+	if c.writeClosed {
 		return nil
 	}
 	return c.TCPConn.SetReadDeadline(t)
 }
 
-func (c *lingeringConn) Read(b []byte) (int, error) {
+func (c *trackingConn) Read(b []byte) (int, error) {
 	n, err := c.TCPConn.Read(b)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.ended = c.ended || errors.Is(err, io.EOF)
+	c.gotEOF = c.gotEOF || errors.Is(err, io.EOF)
 	return n, err
 }
 
-func (c *lingeringConn) Close() error {
+func (c *trackingConn) Close() error {
 	err := c.TCPConn.Close()
 	c.once.Do(func() {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		c.closed <- c.ended
+		c.closed <- c.gotEOF
 	})
 	return err
 }
 
 // askOn has a request answered while more of it is still to come. What comes after the answer is read before the connection
 // is closed, since a close over it would reset the connection and could take the answer along.
-func (l *lingering) askOn(t *testing.T, raw []byte) Reply {
+func (l *trackingListener) sendWhileReading(t *testing.T, raw []byte) Reply {
 	t.Helper()
 	conn, err := net.Dial("tcp", l.Addr().String())
 	if err != nil {
@@ -102,7 +102,7 @@
 	}
 	conn.Write([]byte("more"))
 	conn.(*net.TCPConn).CloseWrite()
-	if ended := <-(<-l.conns).closed; !ended {
+	if gotEOF := <-(<-l.conns).closed; !gotEOF {
 		t.Errorf("status %d: closed before the other side had ended", a.Status)
 	}
 	return a
--- a/internal/transport/scgi/front.go
+++ b/internal/transport/scgi/front.go
@@ -52,24 +52,24 @@
 
 // Front serves web fronts on a core.
 type Front struct {
-	core   *core.Core
-	cfg    settings.SCGI
-	log    *log.Logger
-	stats  *metrics.Counters
-	writes *metrics.Timing
-	salt   uint64
-	seq    atomic.Uint64
+	core        *core.Core
+	cfg         settings.SCGI
+	log         *log.Logger
+	stats       *metrics.Counters
+	writeTiming *metrics.Timing
+	idSalt      uint64
+	seq         atomic.Uint64
 }
 
 // New returns the front of a core. Request ids are made from the seed. Its Serve is given to a listener.
 func New(c *core.Core, cfg settings.SCGI, seed int64, l *log.Logger, s *metrics.Counters) *Front {
-	return &Front{core: c, cfg: cfg, log: l, stats: s, writes: s.Timing("write", Name), salt: rand.New(rand.NewPCG(uint64(seed), 1)).Uint64()}
+	return &Front{core: c, cfg: cfg, log: l, stats: s, writeTiming: s.Timing("write", Name), idSalt: rand.New(rand.NewPCG(uint64(seed), 1)).Uint64()}
 }
 
 // newID returns a request id of 16 hexadecimal digits that no other request of this process has.
 func (f *Front) newID() string {
 	var b [8]byte
-	binary.BigEndian.PutUint64(b[:], f.salt^f.seq.Add(1)*0x9e3779b97f4a7c15) // odd factor: never twice
+	binary.BigEndian.PutUint64(b[:], f.idSalt^f.seq.Add(1)*0x9e3779b97f4a7c15) // odd factor: never twice
 	return fmt.Sprintf("%x", b)
 }
 
@@ -95,7 +95,7 @@
 	defer bufferpool.PutReader(r)
 	conn.SetReadDeadline(time.Now().Add(listener.MessageTimeout))
 	m, err := readHead(r)
-	if err == nil && f.asksStatus(m.headers) {
+	if err == nil && f.isStatusRequest(m.headers) {
 		f.stats.Inc("status", Name)
 		slot.PaceCheapCall()
 		f.write(conn, statusOf[core.Served], f.core.Status(), "application/json", "Cache-Control", "no-store")
@@ -230,7 +230,7 @@
 	conn.SetWriteDeadline(time.Now().Add(writeTimeout))
 	startedAt := time.Now()
 	_, err := conn.Write(*b)
-	f.writes.Record(time.Since(startedAt))
+	f.writeTiming.Record(time.Since(startedAt))
 	if err != nil {
 		f.stats.Inc("write_failed", Name)
 	}
--- a/internal/transport/scgi/message.go
+++ b/internal/transport/scgi/message.go
@@ -122,7 +122,7 @@
 		case i == maxHeaders:
 			return 0, fmt.Errorf("%w: over %d headers", errTooLarge, maxHeaders)
 		}
-		if _, twice := m.headers[name]; twice {
+		if _, duplicate := m.headers[name]; duplicate {
 			return 0, malformed("header %q given twice", name)
 		}
 		m.headers[name] = value
@@ -143,13 +143,13 @@
 
 // appendMessage appends a request with the headers given as name and value in turn.
 func appendMessage(b, body []byte, headers ...string) []byte {
-	all := append([]string{"CONTENT_LENGTH", strconv.Itoa(len(body)), "SCGI", "1"}, headers...)
+	fields := append([]string{"CONTENT_LENGTH", strconv.Itoa(len(body)), "SCGI", "1"}, headers...)
 	n := 0
-	for _, s := range all {
+	for _, s := range fields {
 		n += len(s) + 1
 	}
 	b = append(strconv.AppendInt(b, int64(n), 10), ':')
-	for _, s := range all {
+	for _, s := range fields {
 		b = append(append(b, s...), 0)
 	}
 	return append(append(b, ','), body...)
--- a/internal/transport/scgi/message_test.go
+++ b/internal/transport/scgi/message_test.go
@@ -25,26 +25,26 @@
 )
 
 // specimen is the example of the protocol's specification.
-const specimen = "70:CONTENT_LENGTH\x0027\x00SCGI\x001\x00REQUEST_METHOD\x00POST\x00REQUEST_URI\x00/deepthought\x00," +
+const specExample = "70:CONTENT_LENGTH\x0027\x00SCGI\x001\x00REQUEST_METHOD\x00POST\x00REQUEST_URI\x00/deepthought\x00," +
 	"What is the answer to life?"
 
-func read(b string) (message, error) { return readMessage(bufio.NewReader(strings.NewReader(b)), 100) }
+func read(s string) (message, error) { return readMessage(bufio.NewReader(strings.NewReader(s)), 100) }
 
 func TestSpecimen(t *testing.T) {
-	m, err := read(specimen)
+	m, err := read(specExample)
 	if err != nil || string(m.body) != "What is the answer to life?" || m.headers["REQUEST_URI"] != "/deepthought" {
 		t.Fatalf("%+v, %v", m, err)
 	}
 	got := appendMessage(nil, m.body, "REQUEST_METHOD", "POST", "REQUEST_URI", "/deepthought")
-	if string(got) != specimen {
+	if string(got) != specExample {
 		t.Fatalf("written as %q", got)
 	}
 }
 
 // A request cut anywhere is never taken for a whole one.
 func TestCuts(t *testing.T) {
-	for n := 1; n < len(specimen); n++ {
-		if _, err := read(specimen[:n]); !errors.Is(err, io.ErrUnexpectedEOF) {
+	for n := 1; n < len(specExample); n++ {
+		if _, err := read(specExample[:n]); !errors.Is(err, io.ErrUnexpectedEOF) {
 			t.Fatalf("cut at %d: %v", n, err)
 		}
 	}
@@ -84,7 +84,7 @@
 func TestGarbage(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(3, 4))
 	for range 20000 {
-		b := []byte(specimen)
+		b := []byte(specExample)
 		for range 1 + rnd.IntN(4) {
 			b[rnd.IntN(len(b))] = byte(rnd.Uint32())
 		}
@@ -95,9 +95,9 @@
 }
 
 func FuzzMessage(f *testing.F) {
-	f.Add(specimen)
+	f.Add(specExample)
 	f.Add(netstring("CONTENT_LENGTH\x000\x00SCGI\x001\x00"))
-	f.Add(specimen[:len(specimen)/2])
+	f.Add(specExample[:len(specExample)/2])
 	f.Add(netstring("CONTENT_LENGTH\x0060000000\x00SCGI\x001\x00") + strings.Repeat("x", 4096))
 	f.Add(netstring("CONTENT_LENGTH\x00-1\x00SCGI\x001\x00"))
 	f.Add("99999999999999999999:")
@@ -125,7 +125,7 @@
 	})
 }
 
-var site = silverpath.Settings{
+var testSettings = silverpath.Settings{
 	Cores: 2, MemoryKB: 20000, MaxRunsPerCore: 8, RunsWindow: time.Second, RetryAfter: true, MaxRetryAfter: time.Second,
 	Classes: []silverpath.Class{
 		{Name: "lestvica", Objective: time.Second, Deadline: 4 * time.Second, Weight: 1},
@@ -134,7 +134,7 @@
 }
 
 // application is a stand-in application server; it does with each connection what the test says.
-func application(t *testing.T, serve func(m message, conn net.Conn)) string {
+func startApplicationServer(t *testing.T, serve func(m message, conn net.Conn)) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -159,15 +159,15 @@
 }
 
 // edge is a whole service on loopback sockets: the front, the core, and an application server behind.
-func edge(t *testing.T, upstream string, timeout time.Duration) (addr string, c *core.Core, counters *metrics.Counters) {
+func startService(t *testing.T, upstreamAddr string, timeout time.Duration) (addr string, c *core.Core, counters *metrics.Counters) {
 	t.Helper()
 	quiet := log.New(io.Discard, "", 0)
 	counters = &metrics.Counters{}
-	c, err := core.New(core.Config{Settings: site, MemoryMB: 32, Log: quiet, Stats: counters})
+	c, err := core.New(core.Config{Settings: testSettings, MemoryMB: 32, Log: quiet, Stats: counters})
 	if err != nil {
 		t.Fatal(err)
 	}
-	up := NewUpstream(upstream, 2, 8, timeout, c, quiet, counters)
+	up := NewUpstream(upstreamAddr, 2, 8, timeout, c, quiet, counters)
 	if err := c.Attach(up, nil); err != nil {
 		t.Fatal(err)
 	}
@@ -182,7 +182,7 @@
 	return ln.Addr().String(), c, counters
 }
 
-func ask(t *testing.T, addr string, raw []byte) (Reply, error) {
+func sendRequest(t *testing.T, addr string, raw []byte) (Reply, error) {
 	t.Helper()
 	conn, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -198,7 +198,7 @@
 
 // Every outcome has its status, over real sockets from the web front to the application server and back.
 func TestStatuses(t *testing.T) {
-	upstream := application(t, func(m message, conn net.Conn) {
+	upstream := startApplicationServer(t, func(m message, conn net.Conn) {
 		switch string(m.body) {
 		case "fine":
 			conn.Write(appendResponse(nil, "200 OK", []byte("\x00result"), "text/plain"))
@@ -212,7 +212,7 @@
 			_, _ = io.Copy(io.Discard, conn)
 		}
 	})
-	addr, _, _ := edge(t, upstream, 30*time.Second)
+	addr, _, _ := startService(t, upstream, 30*time.Second)
 	for name, c := range map[string]struct {
 		raw    []byte
 		status int
@@ -234,7 +234,7 @@
 		"no class":          {AppendRequest(nil, nil), 404, ""},
 	} {
 		t.Run(name, func(t *testing.T) {
-			a, err := ask(t, addr, c.raw)
+			a, err := sendRequest(t, addr, c.raw)
 			if err != nil || a.Status != c.status || c.body != "" && string(a.Body) != c.body {
 				t.Fatalf("status %d, body %q, error %v; want %d, %q", a.Status, a.Body, err, c.status, c.body)
 			}
@@ -246,11 +246,11 @@
 // is refused proves that nothing ran, so the next try may.
 func TestBrokenUpstream(t *testing.T) {
 	runs := make(chan string, 10)
-	upstream := application(t, func(m message, conn net.Conn) { runs <- m.headers["HTTP_X_REQUEST_ID"] })
-	addr, _, _ := edge(t, upstream, 30*time.Second)
-	oddaja := AppendRequest(nil, []byte("x"), "PATH_INFO", "/oddaja", "HTTP_IDEMPOTENCY_KEY", "k")
+	upstream := startApplicationServer(t, func(m message, conn net.Conn) { runs <- m.headers["HTTP_X_REQUEST_ID"] })
+	addr, _, _ := startService(t, upstream, 30*time.Second)
+	keyedRequest := AppendRequest(nil, []byte("x"), "PATH_INFO", "/oddaja", "HTTP_IDEMPOTENCY_KEY", "k")
 	for range 3 {
-		if a, err := ask(t, addr, oddaja); err != nil || a.Status != 502 {
+		if a, err := sendRequest(t, addr, keyedRequest); err != nil || a.Status != 502 {
 			t.Fatalf("status %d, error %v", a.Status, err)
 		}
 	}
@@ -262,9 +262,9 @@
 		t.Fatal(err)
 	}
 	ln.Close()
-	addr, _, counters := edge(t, ln.Addr().String(), 30*time.Second)
+	addr, _, counters := startService(t, ln.Addr().String(), 30*time.Second)
 	for range 2 {
-		if a, err := ask(t, addr, oddaja); err != nil || a.Status != 502 {
+		if a, err := sendRequest(t, addr, keyedRequest); err != nil || a.Status != 502 {
 			t.Fatalf("status %d, error %v", a.Status, err)
 		}
 	}
@@ -275,18 +275,18 @@
 
 // A caller that closes only its sending half is answered where the operator says that callers do so.
 func TestHalfClose(t *testing.T) {
-	for _, half := range []bool{true, false} {
-		near, far := net.Pipe()
-		c, err := core.New(core.Config{Settings: site, MemoryMB: 32, Log: log.New(io.Discard, "", 0)})
+	for _, halfClose := range []bool{true, false} {
+		clientConn, serverConn := net.Pipe()
+		c, err := core.New(core.Config{Settings: testSettings, MemoryMB: 32, Log: log.New(io.Discard, "", 0)})
 		if err != nil {
 			t.Fatal(err)
 		}
 		started := make(chan string, 1)
-		if err := c.Attach(runner{c, started}, nil); err != nil {
+		if err := c.Attach(manualRunner{c, started}, nil); err != nil {
 			t.Fatal(err)
 		}
 		counters := &metrics.Counters{}
-		f := New(c, settings.SCGI{MaxBody: 64, RequestKB: 20, HalfClose: half}, 1, log.New(io.Discard, "", 0), counters)
+		f := New(c, settings.SCGI{MaxBody: 64, RequestKB: 20, HalfClose: halfClose}, 1, log.New(io.Discard, "", 0), counters)
 		done := make(chan struct{})
 		q, err := f.mapRequest(message{headers: map[string]string{"PATH_INFO": "/oddaja"}}, time.Now(), nil)
 		if err != nil {
@@ -294,31 +294,31 @@
 		}
 		go func() {
 			defer close(done)
-			f.awaitAnswer(far, bufio.NewReader(strings.NewReader("")), q, func() {}) // the sending half has ended
+			f.awaitAnswer(serverConn, bufio.NewReader(strings.NewReader("")), q, func() {}) // the sending half has ended
 		}()
 		id := <-started
-		if half {
+		if halfClose {
 			c.RunEnded(id, silverpath.OK, 0, []byte("done"))
-			if a, err := ReadReply(bufio.NewReader(near)); err != nil || string(a.Body) != "done" {
+			if a, err := ReadReply(bufio.NewReader(clientConn)); err != nil || string(a.Body) != "done" {
 				t.Fatalf("body %q, error %v", a.Body, err)
 			}
 		}
 		<-done
-		if n := counters.Get("dropped", Name); (n == 1) == half {
-			t.Fatalf("half_close %v: %d counted as dropped", half, n)
+		if n := counters.Get("dropped", Name); (n == 1) == halfClose {
+			t.Fatalf("half_close %v: %d counted as dropped", halfClose, n)
 		}
 		c.Stop()
 	}
 }
 
-type runner struct {
+type manualRunner struct {
 	core    *core.Core
 	started chan string
 }
 
-func (r runner) Run(id, _ string, _ []byte) { r.started <- id }
-func (r runner) Resume(string, []byte)      {}
-func (r runner) Probe()                     {}
+func (r manualRunner) Run(id, _ string, _ []byte) { r.started <- id }
+func (r manualRunner) Resume(string, []byte)      {}
+func (r manualRunner) Probe()                     {}
 
 func TestIDsDiffer(t *testing.T) {
 	f := New(nil, settings.SCGI{}, 7, nil, &metrics.Counters{})
@@ -335,25 +335,25 @@
 // A flood of a class is turned away by its headers: the body that was announced is neither waited for nor read, and the
 // state of the service is told where it is to be. What still comes then, and after what can't be read, is read before the close.
 func TestRefusedByItsHeaders(t *testing.T) {
-	c, err := core.New(core.Config{Settings: site, MemoryMB: 32, Log: log.New(io.Discard, "", 0), Status: true,
+	c, err := core.New(core.Config{Settings: testSettings, MemoryMB: 32, Log: log.New(io.Discard, "", 0), Status: true,
 		Pools: &admission.Config{Pools: []admission.Pool{{Name: "all", Weight: 1}}}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := c.Attach(runner{c, make(chan string, 1000)}, nil); err != nil {
+	if err := c.Attach(manualRunner{c, make(chan string, 1000)}, nil); err != nil {
 		t.Fatal(err)
 	}
 	defer c.Stop()
 	f := New(c, settings.SCGI{MaxBody: 64, RequestKB: 20}, 1, log.New(io.Discard, "", 0), &metrics.Counters{})
-	conns := listenLingering(t)
-	ln := listener.New(Name, conns, 100, c.IdleAfter, f.Serve, log.New(io.Discard, "", 0), &metrics.Counters{})
+	trackingLn := newTrackingListener(t)
+	ln := listener.New(Name, trackingLn, 100, c.IdleAfter, f.Serve, log.New(io.Discard, "", 0), &metrics.Counters{})
 	go ln.Serve()
 	defer ln.Close()
-	if a := conns.askOn(t, AppendRequest(nil, nil, "PATH_INFO", "/status")); a.Status != 200 ||
+	if a := trackingLn.sendWhileReading(t, AppendRequest(nil, nil, "PATH_INFO", "/status")); a.Status != 200 ||
 		!strings.Contains(string(a.Body), `"phase"`) || a.Headers["content-type"] != "application/json" {
 		t.Fatalf("%+v", a)
 	}
-	if a := conns.askOn(t, []byte("no request")); a.Status != 400 {
+	if a := trackingLn.sendWhileReading(t, []byte("no request")); a.Status != 400 {
 		t.Fatalf("%+v", a)
 	}
 	head := bytes.TrimSuffix(AppendRequest(nil, bytes.Repeat([]byte("x"), 60), "PATH_INFO", "/lestvica"), bytes.Repeat([]byte("x"), 60))
@@ -363,7 +363,7 @@
 			go c.Serve(core.Request{Front: "test", ID: fmt.Sprint(now.UnixNano(), i), Class: "lestvica", MemoryKB: 1, ReceivedAt: now,
 				Deadline: now.Add(200 * time.Millisecond)}, func(core.Answer) {})
 		}
-		a := conns.askOn(t, head)
+		a := trackingLn.sendWhileReading(t, head)
 		if a.Status == 503 && a.RetryAfter > 0 {
 			break
 		}
@@ -375,7 +375,7 @@
 
 // Bodies of 60 MB are refused by the length that they state, while they still come, and take no memory here.
 func TestHugeBodiesTakeNoMemory(t *testing.T) {
-	addr, _, _ := edge(t, application(t, func(message, net.Conn) {}), 30*time.Second)
+	addr, _, _ := startService(t, startApplicationServer(t, func(message, net.Conn) {}), 30*time.Second)
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
 	var wg sync.WaitGroup
@@ -391,9 +391,9 @@
 			block := "CONTENT_LENGTH\x0062914560\x00SCGI\x001\x00PATH_INFO\x00/lestvica\x00"
 			fmt.Fprintf(conn, "%d:%s,", len(block), block)
 			go func() {
-				piece := make([]byte, 64<<10)
+				chunk := make([]byte, 64<<10)
 				for range 960 {
-					if _, err := conn.Write(piece); err != nil {
+					if _, err := conn.Write(chunk); err != nil {
 						return
 					}
 				}
@@ -405,20 +405,20 @@
 	}
 	wg.Wait()
 	runtime.ReadMemStats(&after)
-	if grown := int64(after.TotalAlloc - before.TotalAlloc); grown > 8<<20 {
-		t.Errorf("%d KB were allocated for eight bodies of 60 MB", grown>>10)
+	if allocated := int64(after.TotalAlloc - before.TotalAlloc); allocated > 8<<20 {
+		t.Errorf("%d KB were allocated for eight bodies of 60 MB", allocated>>10)
 	}
 }
 
 // While memory is short large bodies are turned away, but not those of sheets: a repeat of one that has run is not refused.
 func TestLargeBodiesWhileMemoryIsShort(t *testing.T) {
-	c, err := core.New(core.Config{Settings: site, MemoryMB: 64, Log: log.New(io.Discard, "", 0),
+	c, err := core.New(core.Config{Settings: testSettings, MemoryMB: 64, Log: log.New(io.Discard, "", 0),
 		Pools: &admission.Config{Pools: []admission.Pool{{Name: "all", Weight: 1}}}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	started := make(chan string, 10)
-	if err := c.Attach(short{runner{c, started}}, nil); err != nil {
+	if err := c.Attach(lowMemoryRunner{manualRunner{c, started}}, nil); err != nil {
 		t.Fatal(err)
 	}
 	defer c.Stop()
@@ -429,9 +429,9 @@
 	}
 	go ln.Serve()
 	defer ln.Close()
-	sheet := AppendRequest(nil, bytes.Repeat([]byte("x"), 60), "PATH_INFO", "/oddaja", "HTTP_IDEMPOTENCY_KEY", "k")
+	keyedRequest := AppendRequest(nil, bytes.Repeat([]byte("x"), 60), "PATH_INFO", "/oddaja", "HTTP_IDEMPOTENCY_KEY", "k")
 	go func() { c.RunEnded(<-started, silverpath.OK, 0, []byte("scored")) }()
-	if a, err := ask(t, ln.Addr().String(), sheet); err != nil || a.Status != 200 {
+	if a, err := sendRequest(t, ln.Addr().String(), keyedRequest); err != nil || a.Status != 200 {
 		t.Fatalf("%+v, %v", a, err)
 	}
 	for deadline := time.Now().Add(20 * time.Second); c.MaxBody(64) != 16; time.Sleep(time.Millisecond) {
@@ -439,15 +439,15 @@
 			t.Fatal("memory is not short")
 		}
 	}
-	if a, err := ask(t, ln.Addr().String(), AppendRequest(nil, bytes.Repeat([]byte("x"), 60), "PATH_INFO", "/lestvica")); err != nil || a.Status != 413 {
+	if a, err := sendRequest(t, ln.Addr().String(), AppendRequest(nil, bytes.Repeat([]byte("x"), 60), "PATH_INFO", "/lestvica")); err != nil || a.Status != 413 {
 		t.Errorf("a read: %+v, %v", a, err)
 	}
-	if a, err := ask(t, ln.Addr().String(), sheet); err != nil || a.Status != 200 || string(a.Body) != "scored" {
+	if a, err := sendRequest(t, ln.Addr().String(), keyedRequest); err != nil || a.Status != 200 || string(a.Body) != "scored" {
 		t.Errorf("the repeat of a sheet: %+v, %v", a, err)
 	}
 }
 
 // short is a runner on a machine whose memory is full.
-type short struct{ runner }
+type lowMemoryRunner struct{ manualRunner }
 
-func (s short) Probe() { s.core.Gauges(silverpath.Gauges{Memory: 0.85}) }
+func (s lowMemoryRunner) Probe() { s.core.Gauges(silverpath.Gauges{Memory: 0.85}) }
--- a/internal/transport/scgi/request.go
+++ b/internal/transport/scgi/request.go
@@ -14,7 +14,7 @@
 )
 
 // mapRequest maps the headers to a request of the core. An error is the rejection of the first header that is no good.
-func (f *Front) mapRequest(m message, now time.Time, from net.Addr) (core.Request, error) {
+func (f *Front) mapRequest(m message, now time.Time, peer net.Addr) (core.Request, error) {
 	class, known := f.class(m.headers)
 	if !known {
 		return core.Request{}, &rejection{"404 Not Found", fmt.Sprintf("no class %q", class.Name), "unknown_class"}
@@ -27,7 +27,7 @@
 		q.Tenant = t
 	}
 	if len(q.Key) > maxKeyBytes {
-		return core.Request{}, badHeader(m.headers, headerKey)
+		return core.Request{}, invalidHeader(m.headers, headerKey)
 	}
 	timeout, err := f.timeout(m.headers, class)
 	if err != nil {
@@ -35,13 +35,13 @@
 	}
 	q.Deadline = now.Add(timeout)
 	if v, ok := m.headers[headerCaller]; !ok {
-		q.Caller = callerOf(m.headers["REMOTE_ADDR"], from)
+		q.Caller = callerFromAddr(m.headers["REMOTE_ADDR"], peer)
 	} else if q.Caller, err = strconv.Atoi(v); err != nil || q.Caller < 0 {
-		return core.Request{}, badHeader(m.headers, headerCaller)
+		return core.Request{}, invalidHeader(m.headers, headerCaller)
 	}
 	if v, ok := m.headers[headerRank]; ok {
 		if q.Rank, err = strconv.ParseFloat(v, 64); err != nil || !(q.Rank >= 0 && q.Rank < 1) {
-			return core.Request{}, badHeader(m.headers, headerRank)
+			return core.Request{}, invalidHeader(m.headers, headerRank)
 		}
 	}
 	return q, nil
@@ -54,7 +54,7 @@
 	case ok:
 		ms, err := strconv.ParseInt(v, 10, 64)
 		if err != nil || ms <= 0 || ms > maxTimeout.Milliseconds() {
-			return 0, badHeader(headers, headerDeadline)
+			return 0, invalidHeader(headers, headerDeadline)
 		}
 		return time.Duration(ms) * time.Millisecond, nil
 	case f.cfg.Deadline > 0:
@@ -64,7 +64,7 @@
 }
 
 // badHeader is the rejection of a header that can't be read or is out of its bounds.
-func badHeader(headers map[string]string, name string) error {
+func invalidHeader(headers map[string]string, name string) error {
 	return &rejection{"400 Bad Request", fmt.Sprintf("%s is %q", name, headers[name]), "bad_header"}
 }
 
@@ -72,7 +72,7 @@
 const statusPath = "/status"
 
 // asksStatus reports whether a request is for the state of the service.
-func (f *Front) asksStatus(h map[string]string) bool {
+func (f *Front) isStatusRequest(h map[string]string) bool {
 	if h["PATH_INFO"] != statusPath || h[headerClass] != "" || !f.core.ServesStatus() {
 		return false
 	}
@@ -101,11 +101,11 @@
 }
 
 // callerOf numbers a caller by its address, the web front's own where it names none.
-func callerOf(remote string, from net.Addr) int {
-	if remote == "" && from != nil {
-		remote, _, _ = net.SplitHostPort(from.String())
+func callerFromAddr(addr string, peer net.Addr) int {
+	if addr == "" && peer != nil {
+		addr, _, _ = net.SplitHostPort(peer.String())
 	}
 	h := fnv.New32a()
-	_, _ = io.WriteString(h, remote)
+	_, _ = io.WriteString(h, addr)
 	return int(h.Sum32() >> 1)
 }
--- a/internal/transport/scgi/upstream.go
+++ b/internal/transport/scgi/upstream.go
@@ -19,7 +19,7 @@
 
 const (
 	// maxResult bounds a result, in bytes, as on the MessagePack-RPC front.
-	maxResult = 64 << 10
+	maxResultBytes = 64 << 10
 	// dialTimeout is how long an application server may take for a connection: it is next door, and a refused one proves more.
 	dialTimeout = time.Second
 )
@@ -131,5 +131,5 @@
 	}
 	r := bufferpool.GetReader(conn)
 	defer bufferpool.PutReader(r)
-	return readResponse(r, maxResult)
+	return readResponse(r, maxResultBytes)
 }
--- a/internal/transport/simulator/decode.go
+++ b/internal/transport/simulator/decode.go
@@ -57,14 +57,14 @@
 }
 
 // fail keeps an error that names the line, the message and the field, if there is none yet.
-func (d *decoder) fail(field, what string) {
+func (d *decoder) fail(field, reason string) {
 	if d.err == nil {
-		d.err = fmt.Errorf("line %d: %s: field %s: %s", d.line, d.name, field, what)
+		d.err = fmt.Errorf("line %d: %s: field %s: %s", d.line, d.name, field, reason)
 	}
 }
 
 // text returns a field that must be there.
-func (d *decoder) text(field string) string {
+func (d *decoder) requiredText(field string) string {
 	v, ok := d.fields[field]
 	if !ok || v == "" {
 		d.fail(field, "missing")
@@ -73,7 +73,7 @@
 }
 
 // optional returns a field that may be absent or 0, which means the same.
-func (d *decoder) optional(field string) string {
+func (d *decoder) optionalText(field string) string {
 	if v := d.fields[field]; v != "0" {
 		return v
 	}
@@ -145,7 +145,7 @@
 
 // outcome returns how a run or a call ended.
 func (d *decoder) outcome() silverpath.Outcome {
-	v := d.text("state_code")
+	v := d.requiredText("state_code")
 	o, ok := outcomes[v]
 	if !ok {
 		d.fail("state_code", "unknown: "+strconv.Quote(v))
@@ -156,11 +156,11 @@
 // request returns an attempt that was just read: here the wire's names become the module's.
 func (d *decoder) request() silverpath.Request {
 	return silverpath.Request{
-		ID:           d.text("corr"),
-		Class:        d.text("class"),
-		Tenant:       d.optional("account"),
-		Key:          d.optional("target_key"),
-		DuplicateOf:  d.optional("repeats"),
+		ID:           d.requiredText("corr"),
+		Class:        d.requiredText("class"),
+		Tenant:       d.optionalText("account"),
+		Key:          d.optionalText("target_key"),
+		DuplicateOf:  d.optionalText("repeats"),
 		Caller:       int(d.integer("from", false)),
 		QueuedKB:     d.number("footprint", true),
 		Unread:       d.duration("unread_for", false),
--- a/internal/transport/simulator/host.go
+++ b/internal/transport/simulator/host.go
@@ -7,12 +7,12 @@
 
 // host writes the actions of one instance.
 type host struct {
-	server *server
-	who    int64
+	server     *server
+	instanceID int64
 }
 
 // action writes an action on one request.
-func (h *host) action(name, id, rest string) { h.server.writeLine(h.who, name+"\tcorr="+id+rest) }
+func (h *host) write(name, id, rest string) { h.server.writeLine(h.instanceID, name+"\tcorr="+id+rest) }
 
 // durationField is a field with a time, in microseconds.
 func durationField(field string, d time.Duration) string {
@@ -28,7 +28,7 @@
 }
 
 // Run is EXECUTE on the wire.
-func (h *host) Run(id string) { h.action("EXECUTE", id, "") }
+func (h *host) Run(id string) { h.write("EXECUTE", id, "") }
 
 // Reject is PUSH_BACK on the wire.
 func (h *host) Reject(id string, after time.Duration, final bool) {
@@ -39,53 +39,53 @@
 	if final {
 		rest += flagField("give_up", true)
 	}
-	h.action("PUSH_BACK", id, rest)
+	h.write("PUSH_BACK", id, rest)
 }
 
 // Fail is REPORT_FAILURE on the wire.
-func (h *host) Fail(id string) { h.action("REPORT_FAILURE", id, "") }
+func (h *host) Fail(id string) { h.write("REPORT_FAILURE", id, "") }
 
 // Join is ECHO on the wire.
-func (h *host) Join(id string) { h.action("ECHO", id, "") }
+func (h *host) Join(id string) { h.write("ECHO", id, "") }
 
 // Stop is TAKE_OFF on the wire.
-func (h *host) Stop(id string) { h.action("TAKE_OFF", id, "") }
+func (h *host) Stop(id string) { h.write("TAKE_OFF", id, "") }
 
 // Call is ASK_BELOW on the wire.
 func (h *host) Call(id string, timeout time.Duration) {
-	h.action("ASK_BELOW", id, durationField("patience", timeout))
+	h.write("ASK_BELOW", id, durationField("patience", timeout))
 }
 
 // SkipCall is DO_WITHOUT on the wire.
-func (h *host) SkipCall(id string) { h.action("DO_WITHOUT", id, "") }
+func (h *host) SkipCall(id string) { h.write("DO_WITHOUT", id, "") }
 
 // RememberKey is STORE_KEY on the wire.
 func (h *host) RememberKey(id string, d time.Duration) {
-	h.action("STORE_KEY", id, durationField("hold_for", d))
+	h.write("STORE_KEY", id, durationField("hold_for", d))
 }
 
 // ForgetKey is DROP_KEY on the wire.
-func (h *host) ForgetKey(id string) { h.action("DROP_KEY", id, "") }
+func (h *host) ForgetKey(id string) { h.write("DROP_KEY", id, "") }
 
 // Health is REPORT_HEALTH on the wire.
 func (h *host) Health(good bool) {
-	h.server.writeLine(h.who, "REPORT_HEALTH"+flagField("shallow", true)+flagField("enable", good))
+	h.server.writeLine(h.instanceID, "REPORT_HEALTH"+flagField("shallow", true)+flagField("enable", good))
 }
 
 // Signal is PUBLISH on the wire.
 func (h *host) Signal(value float64) {
-	h.server.writeLine(h.who, "PUBLISH\tamount="+strconv.FormatFloat(value, 'f', -1, 64))
+	h.server.writeLine(h.instanceID, "PUBLISH\tamount="+strconv.FormatFloat(value, 'f', -1, 64))
 }
 
 // CloseIdle is KEEPALIVE on the wire.
 func (h *host) CloseIdle(after time.Duration) {
-	h.server.writeLine(h.who, "KEEPALIVE"+durationField("hold_for", after))
+	h.server.writeLine(h.instanceID, "KEEPALIVE"+durationField("hold_for", after))
 }
 
 // Wake is DEFER on the wire.
 func (h *host) Wake(after time.Duration) {
-	h.server.writeLine(h.who, "DEFER"+durationField("span", after)+"\thandle=tick")
+	h.server.writeLine(h.instanceID, "DEFER"+durationField("span", after)+"\thandle=tick")
 }
 
 // Log is NOTE_DOWN on the wire.
-func (h *host) Log(text string) { h.server.writeLine(h.who, "NOTE_DOWN\ttext="+oneLine(text)) }
+func (h *host) Log(text string) { h.server.writeLine(h.instanceID, "NOTE_DOWN\ttext="+oneLine(text)) }
--- a/internal/transport/simulator/server.go
+++ b/internal/transport/simulator/server.go
@@ -155,53 +155,53 @@
 
 // handleEvent hands one event to its instance. A panic in a decision would end the process, and with it the days of all other
 // instances; it is reported as a FAULT of this instance instead, by which the simulator ends the day with its text.
-func (s *server) handleEvent(who int64, d *decoder) {
+func (s *server) handleEvent(instanceID int64, d *decoder) {
 	defer func() {
 		if p := recover(); p != nil {
-			s.writeLine(who, "FAULT\ttext="+oneLine(fmt.Sprint(p)))
+			s.writeLine(instanceID, "FAULT\ttext="+oneLine(fmt.Sprint(p)))
 		}
 	}()
 	if d.name == "LAUNCH" {
-		s.startInstance(who, d)
+		s.startInstance(instanceID, d)
 		return
 	}
-	inst := s.instances[who]
+	inst := s.instances[instanceID]
 	if inst == nil {
-		d.fail("who", fmt.Sprintf("instance %d is not started", who))
+		d.fail("who", fmt.Sprintf("instance %d is not started", instanceID))
 		return
 	}
-	deliver := s.parseEvent(who, inst, d)
+	deliver := s.parseEvent(instanceID, inst, d)
 	if d.err == nil {
 		deliver()
 	}
 }
 
 // parseEvent reads an event completely and returns its delivery, so that nothing malformed reaches a decision.
-func (s *server) parseEvent(who int64, inst *instance, d *decoder) func() {
+func (s *server) parseEvent(instanceID int64, inst *instance, d *decoder) func() {
 	now, shedder := s.now, inst.shedder
 	switch d.name {
 	case "KILL":
-		return func() { delete(s.instances, who) }
+		return func() { delete(s.instances, instanceID) }
 	case "SUBMIT":
 		r := d.request()
 		return func() { shedder.Arrive(now, r) }
 	case "CANCELLED_BY_CLIENT":
-		id := d.text("corr")
+		id := d.requiredText("corr")
 		return func() { shedder.Cancelled(now, id) }
 	case "WOUND_UP":
-		id, outcome, spent := d.text("corr"), d.outcome(), d.duration("spent", false)
+		id, outcome, spent := d.requiredText("corr"), d.outcome(), d.duration("spent", false)
 		return func() { shedder.RunEnded(now, id, outcome, spent) }
 	case "BLOCKED":
-		id := d.text("corr")
+		id := d.requiredText("corr")
 		return func() { shedder.NeedsCall(now, id) }
 	case "CALL_ENDED":
-		id, outcome, spent := d.text("corr"), d.outcome(), d.duration("spent", false)
+		id, outcome, spent := d.requiredText("corr"), d.outcome(), d.duration("spent", false)
 		return func() { shedder.CallEnded(now, id, outcome, spent) }
 	case "QUIESCE":
-		stop := d.duration("drop_dead", true)
-		return func() { shedder.Drain(now, stop) }
+		stopTime := d.duration("drop_dead", true)
+		return func() { shedder.Drain(now, stopTime) }
 	case "TIMER":
-		d.text("handle")
+		d.requiredText("handle")
 		g := d.gauges(inst.gauges)
 		return func() { shedder.Tick(now, g) }
 	}
@@ -210,9 +210,9 @@
 }
 
 // startInstance makes an instance with the settings that it is launched with.
-func (s *server) startInstance(who int64, d *decoder) {
+func (s *server) startInstance(instanceID int64, d *decoder) {
 	salt := d.integer("salt", false)
-	set, gauges, err := settings.Parse(d.text("params"))
+	set, gauges, err := settings.Parse(d.requiredText("params"))
 	if err != nil {
 		d.fail("params", err.Error())
 	}
@@ -220,19 +220,19 @@
 		return
 	}
 	set.Seed = salt
-	shedder, err := silverpath.New(s.now, set, &host{s, who})
+	shedder, err := silverpath.New(s.now, set, &host{s, instanceID})
 	if err != nil {
 		d.fail("params", err.Error())
 		return
 	}
-	s.instances[who] = &instance{shedder: shedder, gauges: gauges}
+	s.instances[instanceID] = &instance{shedder: shedder, gauges: gauges}
 }
 
 // writeLine adds one line to the reply, naming the instance first where it changes.
-func (s *server) writeLine(who int64, line string) {
-	if s.current != who {
-		s.current = who
-		fmt.Fprintf(&s.out, "CONTEXT\twho=%d\n", who)
+func (s *server) writeLine(instanceID int64, line string) {
+	if s.current != instanceID {
+		s.current = instanceID
+		fmt.Fprintf(&s.out, "CONTEXT\twho=%d\n", instanceID)
 	}
 	s.out.WriteString(line)
 	s.out.WriteByte('\n')
--- a/internal/transport/simulator/server_test.go
+++ b/internal/transport/simulator/server_test.go
@@ -43,22 +43,22 @@
 }
 
 func TestMalformedInputNamesItsField(t *testing.T) {
-	at := "CLOCK\tsim_time=2000\nSELECT\twho=3\n"
+	batchStart := "CLOCK\tsim_time=2000\nSELECT\twho=3\n"
 	for name, c := range map[string]struct{ in, want string }{
-		"unknown message":       {launch + at + "NONSENSE\tcorr=a\nGO\n", "line 7: NONSENSE: unknown message"},
-		"missing field":         {launch + at + "SUBMIT\tcorr=a\tclass=read\nGO\n", "line 7: SUBMIT: field footprint: missing"},
-		"malformed field":       {launch + at + "SUBMIT\tcorr=a\tclass=read\tfootprint=x\nGO\n", "field footprint: not a number"},
-		"negative memory":       {launch + at + "SUBMIT\tcorr=a\tclass=read\tfootprint=-1\nGO\n", "field footprint: not a number of 0"},
-		"infinite memory":       {launch + at + "SUBMIT\tcorr=a\tclass=read\tfootprint=Inf\nGO\n", "field footprint"},
-		"bad flag":              {launch + at + "SUBMIT\tcorr=a\tclass=read\tfootprint=1\tagain_by_client=yes\nGO\n", "again_by_client"},
-		"field without a name":  {launch + at + "SUBMIT\tcorr\nGO\n", "line 7: SUBMIT: field without a name"},
-		"field twice":           {launch + at + "SUBMIT\tcorr=a\tcorr=b\nGO\n", "field corr given twice"},
-		"outcome":               {launch + at + "WOUND_UP\tcorr=a\tstate_code=Fine\nGO\n", "field state_code: unknown"},
-		"short gauges":          {launch + at + "TIMER\thandle=tick\tmetrics=0.5\nGO\n", "field metrics"},
+		"unknown message":       {launch + batchStart + "NONSENSE\tcorr=a\nGO\n", "line 7: NONSENSE: unknown message"},
+		"missing field":         {launch + batchStart + "SUBMIT\tcorr=a\tclass=read\nGO\n", "line 7: SUBMIT: field footprint: missing"},
+		"malformed field":       {launch + batchStart + "SUBMIT\tcorr=a\tclass=read\tfootprint=x\nGO\n", "field footprint: not a number"},
+		"negative memory":       {launch + batchStart + "SUBMIT\tcorr=a\tclass=read\tfootprint=-1\nGO\n", "field footprint: not a number of 0"},
+		"infinite memory":       {launch + batchStart + "SUBMIT\tcorr=a\tclass=read\tfootprint=Inf\nGO\n", "field footprint"},
+		"bad flag":              {launch + batchStart + "SUBMIT\tcorr=a\tclass=read\tfootprint=1\tagain_by_client=yes\nGO\n", "again_by_client"},
+		"field without a name":  {launch + batchStart + "SUBMIT\tcorr\nGO\n", "line 7: SUBMIT: field without a name"},
+		"field twice":           {launch + batchStart + "SUBMIT\tcorr=a\tcorr=b\nGO\n", "field corr given twice"},
+		"outcome":               {launch + batchStart + "WOUND_UP\tcorr=a\tstate_code=Fine\nGO\n", "field state_code: unknown"},
+		"short gauges":          {launch + batchStart + "TIMER\thandle=tick\tmetrics=0.5\nGO\n", "field metrics"},
 		"instance not started":  {"CLOCK\tsim_time=2000\nSELECT\twho=4\nBLOCKED\tcorr=a\nGO\n", "instance 4 is not started"},
-		"killed instance":       {launch + at + "KILL\nBLOCKED\tcorr=a\nGO\n", "instance 3 is not started"},
+		"killed instance":       {launch + batchStart + "KILL\nBLOCKED\tcorr=a\nGO\n", "instance 3 is not started"},
 		"no instance":           {"CLOCK\tsim_time=2000\nBLOCKED\tcorr=a\nGO\n", "no instance selected"},
-		"end within a batch":    {launch + at, "end of input within a batch"},
+		"end within a batch":    {launch + batchStart, "end of input within a batch"},
 		"no clock":              {"SELECT\twho=3\nGO\n", "must begin with CLOCK"},
 		"clock moves backwards": {launch + "CLOCK\tsim_time=5\nGO\n", "field sim_time: moved backwards"},
 		"settings not JSON":     {"CLOCK\tsim_time=1\nSELECT\twho=3\nLAUNCH\tparams={\nGO\n", "field params"},
--- a/internal/transport/snmp/agent.go
+++ b/internal/transport/snmp/agent.go
@@ -19,21 +19,21 @@
 
 // root is where the MIB hangs: below the enterprise number that RFC 5612 sets aside for documentation, until
 // the operator has one of its own.
-var root = oid{1, 3, 6, 1, 4, 1, 32473, 1}
+var mibRoot = oid{1, 3, 6, 1, 4, 1, 32473, 1}
 
 // The objects of the MIB.
 var (
-	objectName     = root.with(1, 1, 0)
-	objectPhase    = root.with(1, 2, 0)
-	objectUpTime   = root.with(1, 3, 0)
-	objectOwed     = root.with(1, 4, 0)
-	objectHealth   = root.with(1, 5, 0)
-	columnCounters = root.with(2, 1, 2)
-	objectLimit    = root.with(4, 1, 0)
-	objectCeiling  = root.with(4, 2, 0)
-	objectOnCores  = root.with(4, 3, 0)
-	objectMemory   = root.with(4, 4, 0)
-	poolEntry      = root.with(4, 5, 1)
+	objectName           = mibRoot.child(1, 1, 0)
+	objectPhase          = mibRoot.child(1, 2, 0)
+	objectUpTime         = mibRoot.child(1, 3, 0)
+	objectPendingAnswers = mibRoot.child(1, 4, 0)
+	objectHealth         = mibRoot.child(1, 5, 0)
+	columnCounters       = mibRoot.child(2, 1, 2)
+	objectLimit          = mibRoot.child(4, 1, 0)
+	objectCeiling        = mibRoot.child(4, 2, 0)
+	objectRunning        = mibRoot.child(4, 3, 0)
+	objectMemory         = mibRoot.child(4, 4, 0)
+	poolEntry            = mibRoot.child(4, 5, 1)
 )
 
 const (
@@ -59,7 +59,7 @@
 	conn      net.PacketConn
 	community string
 	name      string
-	core      Source
+	source    Source
 	stats     *metrics.Counters
 	log       *log.Logger
 	startedAt time.Time
@@ -72,7 +72,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return &Agent{conn: conn, community: community, name: name, core: c, stats: s, log: l, startedAt: time.Now()}, nil
+	return &Agent{conn: conn, community: community, name: name, source: c, stats: s, log: l, startedAt: time.Now()}, nil
 }
 
 // Addr returns the address listened on.
@@ -182,7 +182,7 @@
 		}
 	case tagGetNext:
 		for _, name := range q.names {
-			bind, _ := successor(objects, name)
+			bind, _ := getNext(objects, name)
 			binds = append(binds, bind)
 		}
 	case tagGetBulk:
@@ -242,7 +242,7 @@
 		return varBind(name, objects[i].value)
 	}
 	for _, o := range objects { // a name under a known object lacks only the instance
-		if parent := o.name[:len(root)+2]; len(name) >= len(parent) && name[:len(parent)].compare(parent) == 0 {
+		if parent := o.name[:len(mibRoot)+2]; len(name) >= len(parent) && name[:len(parent)].compare(parent) == 0 {
 			return varBind(name, appendElement(nil, tagNoSuchInstance, nil))
 		}
 	}
@@ -250,7 +250,7 @@
 }
 
 // successor is the binding of the object after a name, and that object's name; nil at the end of the MIB.
-func successor(objects []object, name oid) ([]byte, oid) {
+func getNext(objects []object, name oid) ([]byte, oid) {
 	i, found := slices.BinarySearchFunc(objects, name, compare)
 	if found {
 		i++
@@ -264,24 +264,24 @@
 // getBulk has the successors of the first names once, and of the others again and again.
 func getBulk(objects []object, q request) [][]byte {
 	var binds [][]byte
-	once := min(len(q.names), int(max(0, q.nonRepeaters)))
-	for _, name := range q.names[:once] {
-		bind, _ := successor(objects, name)
+	nonRepeaters := min(len(q.names), int(max(0, q.nonRepeaters)))
+	for _, name := range q.names[:nonRepeaters] {
+		bind, _ := getNext(objects, name)
 		binds = append(binds, bind)
 	}
-	names := slices.Clone(q.names[once:])
+	names := slices.Clone(q.names[nonRepeaters:])
 	for range min(maxRepetitions, max(0, q.maxRepetitions)) {
-		more := false
+		anyLeft := false
 		for i, name := range names {
-			bind, at := successor(objects, name)
-			if binds = append(binds, bind); at != nil {
-				names[i], more = at, true
+			bind, next := getNext(objects, name)
+			if binds = append(binds, bind); next != nil {
+				names[i], anyLeft = next, true
 			}
 			if len(binds) > maxRepetitions {
 				return binds
 			}
 		}
-		if !more {
+		if !anyLeft {
 			break
 		}
 	}
@@ -291,14 +291,14 @@
 // objects is the whole MIB as it is now, in the order of names.
 func (a *Agent) objects() []object {
 	health := int32(2) // TruthValue
-	if a.core.Health() {
+	if a.source.Health() {
 		health = 1
 	}
 	list := []object{
 		{objectName, appendElement(nil, tagString, []byte(a.name))},
-		{objectPhase, appendInteger(nil, int32(a.core.Phase())+1)},
+		{objectPhase, appendInteger(nil, int32(a.source.Phase())+1)},
 		{objectUpTime, appendUnsigned(nil, tagTimeTicks, uint64(time.Since(a.startedAt)/(10*time.Millisecond))&(1<<32-1))},
-		{objectOwed, appendUnsigned(nil, tagGauge32, uint64(max(0, a.core.PendingAnswers())))},
+		{objectPendingAnswers, appendUnsigned(nil, tagGauge32, uint64(max(0, a.source.PendingAnswers())))},
 		{objectHealth, appendInteger(nil, health)},
 	}
 	counters := a.stats.Snapshot()
@@ -311,7 +311,7 @@
 		}
 		index := columnCounters
 		for _, c := range []byte(name) {
-			index = index.with(uint32(c))
+			index = index.child(uint32(c))
 		}
 		list = append(list, object{index, appendUnsigned(nil, tagCounter64, counters[name])})
 	}
@@ -322,7 +322,7 @@
 
 // pools are the objects of the pools, where there are any.
 func (a *Agent) pools() []object {
-	st := a.core.View().Pools
+	st := a.source.View().Pools
 	if st == nil {
 		return nil
 	}
@@ -330,7 +330,7 @@
 	truth := map[bool]int32{true: 1, false: 2} // TruthValue
 	list := []object{
 		{objectLimit, gauge(100 * st.RunLimit)}, {objectCeiling, gauge(100 * st.Ceiling)},
-		{objectOnCores, gauge(float64(st.Running))}, {objectMemory, appendInteger(nil, int32(st.Memory)+1)},
+		{objectRunning, gauge(float64(st.Running))}, {objectMemory, appendInteger(nil, int32(st.Memory)+1)},
 	}
 	for i, p := range st.Pools {
 		for column, value := range [][]byte{
@@ -338,7 +338,7 @@
 			gauge(100 * p.Entitlement), appendUnsigned(nil, tagCounter64, p.Started), appendUnsigned(nil, tagCounter64, p.Borrowed),
 			appendUnsigned(nil, tagCounter64, p.Rejected), appendInteger(nil, truth[p.Starving]),
 		} {
-			list = append(list, object{poolEntry.with(uint32(column+2), uint32(i+1)), value})
+			list = append(list, object{poolEntry.child(uint32(column+2), uint32(i+1)), value})
 		}
 	}
 	return list
--- a/internal/transport/snmp/ber.go
+++ b/internal/transport/snmp/ber.go
@@ -31,7 +31,7 @@
 	tagGetBulk  = 0xa5
 )
 
-const maxOIDParts = 128 // sub-identifiers, as RFC 3416 has it
+const maxSubIDs = 128 // sub-identifiers, as RFC 3416 has it
 
 var errMalformed = errors.New("malformed message")
 
@@ -40,7 +40,7 @@
 
 func (o oid) compare(p oid) int { return slices.CompareFunc(o, p, cmp.Compare[uint32]) }
 
-func (o oid) with(more ...uint32) oid { return append(slices.Clone(o), more...) }
+func (o oid) child(subIDs ...uint32) oid { return append(slices.Clone(o), subIDs...) }
 
 // element is one BER element.
 type element struct {
@@ -101,24 +101,24 @@
 		return nil, nil, err
 	}
 	var o oid
-	n, open := uint64(0), false
+	n, continued := uint64(0), false
 	for _, c := range v {
-		n, open = n<<7|uint64(c&0x7f), c&0x80 != 0
-		if n > 1<<32-1 || len(o) >= maxOIDParts {
+		n, continued = n<<7|uint64(c&0x7f), c&0x80 != 0
+		if n > 1<<32-1 || len(o) >= maxSubIDs {
 			return nil, nil, fmt.Errorf("%w: an object identifier out of bounds", errMalformed)
 		}
-		if open {
+		if continued {
 			continue
 		}
 		if o == nil {
-			first := min(n/40, 2)
-			o = append(o, uint32(first), uint32(n-40*first))
+			firstArc := min(n/40, 2)
+			o = append(o, uint32(firstArc), uint32(n-40*firstArc))
 		} else {
 			o = append(o, uint32(n))
 		}
 		n = 0
 	}
-	if open || o == nil {
+	if continued || o == nil {
 		return nil, nil, fmt.Errorf("%w: an object identifier cut short", errMalformed)
 	}
 	return o, rest, nil
@@ -138,11 +138,11 @@
 	return append(b, body...)
 }
 
-func appendInteger(b []byte, n int32) []byte { return appendElement(b, tagInteger, shortest(int64(n))) }
+func appendInteger(b []byte, n int32) []byte { return appendElement(b, tagInteger, intBytes(int64(n))) }
 
 // appendUnsigned appends a number of one of the unsigned types.
 func appendUnsigned(b []byte, tag byte, n uint64) []byte {
-	v := shortest(int64(n))
+	v := intBytes(int64(n))
 	if n>>63 != 0 { // as a signed number it would be negative
 		v = append([]byte{0}, v...)
 		for len(v) < 9 {
@@ -153,7 +153,7 @@
 }
 
 // shortest is a number in two's complement in as few bytes as hold it.
-func shortest(n int64) []byte {
+func intBytes(n int64) []byte {
 	v := []byte{byte(n >> 56), byte(n >> 48), byte(n >> 40), byte(n >> 32), byte(n >> 24), byte(n >> 16), byte(n >> 8), byte(n)}
 	for len(v) > 1 && (v[0] == 0 && v[1] < 0x80 || v[0] == 0xff && v[1] >= 0x80) {
 		v = v[1:]
@@ -163,7 +163,7 @@
 
 func appendOID(b []byte, o oid) []byte {
 	var v []byte
-	sub := func(n uint64) {
+	appendSubID := func(n uint64) {
 		var part []byte
 		for first := true; first || n > 0; first = false {
 			c := byte(n & 0x7f)
@@ -177,9 +177,9 @@
 		v = append(v, part...)
 	}
 	if len(o) >= 2 {
-		sub(uint64(o[0])*40 + uint64(o[1]))
+		appendSubID(uint64(o[0])*40 + uint64(o[1]))
 		for _, n := range o[2:] {
-			sub(uint64(n))
+			appendSubID(uint64(n))
 		}
 	}
 	return appendElement(b, tagOID, v)
--- a/internal/transport/snmp/snmp_test.go
+++ b/internal/transport/snmp/snmp_test.go
@@ -16,25 +16,25 @@
 )
 
 // ask is a request as a manager sends it, byte by byte from RFC 3416.
-func ask(kind byte, id, first, repeats int32, names ...oid) []byte {
+func encodeRequest(kind byte, id, nonRepeaters, repetitions int32, names ...oid) []byte {
 	var binds []byte
 	for _, n := range names {
 		binds = append(binds, varBind(n, []byte{tagNull, 0})...)
 	}
-	pdu := appendInteger(appendInteger(appendInteger(nil, id), first), repeats)
+	pdu := appendInteger(appendInteger(appendInteger(nil, id), nonRepeaters), repetitions)
 	pdu = appendElement(pdu, tagSequence, binds)
 	m := appendElement([]byte{tagInteger, 1, version2c}, tagString, []byte("quiz"))
 	return appendElement(nil, tagSequence, appendElement(m, kind, pdu))
 }
 
 // answered is one name and its value in a response.
-type answered struct {
+type binding struct {
 	name  oid
 	value element
 }
 
 // read takes a response apart.
-func read(t *testing.T, b []byte, id int32) (status, index int32, list []answered) {
+func parseResponse(t *testing.T, b []byte, id int32) (status, index int32, list []binding) {
 	t.Helper()
 	q, version, err := parse(b)
 	if err != nil || version != version2c || q.kind != tagResponse || q.id != id || q.community != "quiz" {
@@ -49,16 +49,16 @@
 	}
 	b, _, _ = expectElement(b, tagSequence)
 	for len(b) > 0 {
-		var one []byte
-		one, b, _ = expectElement(b, tagSequence)
-		name, rest, _ := expectOID(one)
+		var varBindBody []byte
+		varBindBody, b, _ = expectElement(b, tagSequence)
+		name, rest, _ := expectOID(varBindBody)
 		v, _, _ := nextElement(rest)
-		list = append(list, answered{name, v})
+		list = append(list, binding{name, v})
 	}
 	return q.nonRepeaters, q.maxRepetitions, list
 }
 
-func agent(t *testing.T) *Agent {
+func newTestAgent(t *testing.T) *Agent {
 	t.Helper()
 	s, quiet := &metrics.Counters{}, log.New(io.Discard, "", 0)
 	c, err := core.New(core.Config{Settings: silverpath.Settings{Cores: 1, MemoryKB: 1,
@@ -76,18 +76,18 @@
 	return a
 }
 
-func counter(name string) oid {
+func counterOID(name string) oid {
 	o := columnCounters
 	for _, c := range []byte(name) {
-		o = o.with(uint32(c))
+		o = o.child(uint32(c))
 	}
 	return o
 }
 
 func TestGet(t *testing.T) {
-	a := agent(t)
-	reply, _ := a.respond(ask(tagGet, 77, 0, 0, objectName, objectPhase, counter("read.msgpack.krog"), counter("none"), root.with(9)))
-	status, _, list := read(t, reply, 77)
+	a := newTestAgent(t)
+	reply, _ := a.respond(encodeRequest(tagGet, 77, 0, 0, objectName, objectPhase, counterOID("read.msgpack.krog"), counterOID("none"), mibRoot.child(9)))
+	status, _, list := parseResponse(t, reply, 77)
 	want := []element{{tagString, []byte("n3")}, {tagInteger, []byte{1}}, {tagCounter64, []byte{1, 44}},
 		{tagNoSuchInstance, nil}, {tagNoSuchObject, nil}}
 	if status != 0 || len(list) != len(want) {
@@ -102,24 +102,24 @@
 
 // A walk from the root meets every object once, in order, and comes to the end of the view.
 func TestWalk(t *testing.T) {
-	a := agent(t)
-	at, seen := root, 0
-	for ; ; seen++ {
-		reply, _ := a.respond(ask(tagGetNext, 1, 0, 0, at))
-		_, _, list := read(t, reply, 1)
+	a := newTestAgent(t)
+	name, count := mibRoot, 0
+	for ; ; count++ {
+		reply, _ := a.respond(encodeRequest(tagGetNext, 1, 0, 0, name))
+		_, _, list := parseResponse(t, reply, 1)
 		if list[0].value.tag == tagEndOfMibView {
 			break
 		}
-		if list[0].name.compare(at) <= 0 {
-			t.Fatalf("%v follows %v", list[0].name, at)
+		if list[0].name.compare(name) <= 0 {
+			t.Fatalf("%v follows %v", list[0].name, name)
 		}
-		at = list[0].name
+		name = list[0].name
 	}
-	if seen != 7 || at.compare(counter("read.msgpack.oddaja")) != 0 {
-		t.Fatalf("%d objects, the last %v", seen, at)
+	if count != 7 || name.compare(counterOID("read.msgpack.oddaja")) != 0 {
+		t.Fatalf("%d objects, the last %v", count, name)
 	}
-	reply, _ := a.respond(ask(tagGetBulk, 2, 1, 50, objectName, root))
-	_, _, list := read(t, reply, 2)
+	reply, _ := a.respond(encodeRequest(tagGetBulk, 2, 1, 50, objectName, mibRoot))
+	_, _, list := parseResponse(t, reply, 2)
 	if len(list) != 9 || list[0].name.compare(objectPhase) != 0 || list[8].value.tag != tagEndOfMibView {
 		t.Fatalf("bulk: %d values", len(list))
 	}
@@ -130,44 +130,44 @@
 
 // A response keeps to one packet: a bulk of many counters is cut, a plain request is told that it asks too much.
 func TestLargeResponses(t *testing.T) {
-	a := agent(t)
+	a := newTestAgent(t)
 	var names []oid
 	for i := range 150 {
 		a.stats.Inc("some.long.name.of.a.counter", string(rune('a'+i%26)), string(rune('a'+i/26)))
-		names = append(names, objectName.with(uint32(i), 1<<31, 1<<31, 1<<31))
+		names = append(names, objectName.child(uint32(i), 1<<31, 1<<31, 1<<31))
 	}
-	reply, _ := a.respond(ask(tagGetBulk, 3, 0, 200, root))
-	if _, _, list := read(t, reply, 3); len(reply) > maxResponseBytes || len(list) < 10 {
+	reply, _ := a.respond(encodeRequest(tagGetBulk, 3, 0, 200, mibRoot))
+	if _, _, list := parseResponse(t, reply, 3); len(reply) > maxResponseBytes || len(list) < 10 {
 		t.Errorf("bulk: %d bytes, %d values", len(reply), len(list))
 	}
-	reply, _ = a.respond(ask(tagGet, 4, 0, 0, names...))
-	if status, _, _ := read(t, reply, 4); status != errTooBig {
+	reply, _ = a.respond(encodeRequest(tagGet, 4, 0, 0, names...))
+	if status, _, _ := parseResponse(t, reply, 4); status != errTooBig {
 		t.Errorf("status %d, want tooBig", status)
 	}
 }
 
 func TestNothingCanBeSet(t *testing.T) {
-	reply, _ := agent(t).respond(ask(tagSet, 5, 0, 0, objectName))
-	if status, index, _ := read(t, reply, 5); status != errNotWritable || index != 1 {
+	reply, _ := newTestAgent(t).respond(encodeRequest(tagSet, 5, 0, 0, objectName))
+	if status, index, _ := parseResponse(t, reply, 5); status != errNotWritable || index != 1 {
 		t.Errorf("status %d, index %d", status, index)
 	}
 }
 
 func TestUnanswered(t *testing.T) {
-	a, good := agent(t), ask(tagGet, 6, 0, 0, objectName)
-	version1 := bytes.Clone(good)
+	a, valid := newTestAgent(t), encodeRequest(tagGet, 6, 0, 0, objectName)
+	version1 := bytes.Clone(valid)
 	version1[4] = 0
-	for why, b := range map[string][]byte{
-		"malformed": good[:20], "bad_version": version1,
-		"bad_community": bytes.Replace(good, []byte("quiz"), []byte("quid"), 1), "bad_request": ask(0xa4, 1, 0, 0),
+	for reason, b := range map[string][]byte{
+		"malformed": valid[:20], "bad_version": version1,
+		"bad_community": bytes.Replace(valid, []byte("quiz"), []byte("quid"), 1), "bad_request": encodeRequest(0xa4, 1, 0, 0),
 	} {
-		if reply, got := a.respond(b); reply != nil || got != why {
-			t.Errorf("%s: reply %x, why %q", why, reply, got)
+		if reply, got := a.respond(b); reply != nil || got != reason {
+			t.Errorf("%s: reply %x, why %q", reason, reply, got)
 		}
 	}
 	rnd := rand.New(rand.NewPCG(7, 8))
 	for range 20000 { // garbage, from a fixed seed, is passed over or answered, within bounds
-		b := bytes.Clone(good)
+		b := bytes.Clone(valid)
 		for range 1 + rnd.IntN(4) {
 			b[rnd.IntN(len(b))] = byte(rnd.Uint32())
 		}
@@ -175,25 +175,25 @@
 			t.Fatalf("a response of %d bytes", len(reply))
 		}
 	}
-	for n := range len(good) {
-		if reply, why := a.respond(good[:n]); reply != nil || why != "malformed" {
-			t.Errorf("cut at %d: %x, %q", n, reply, why)
+	for n := range len(valid) {
+		if reply, reason := a.respond(valid[:n]); reply != nil || reason != "malformed" {
+			t.Errorf("cut at %d: %x, %q", n, reply, reason)
 		}
 	}
 }
 
 func FuzzAnswer(f *testing.F) {
-	f.Add(ask(tagGet, 1, 0, 0, objectName))
-	f.Add(ask(tagGetBulk, 1, 0, 10, root))
+	f.Add(encodeRequest(tagGet, 1, 0, 0, objectName))
+	f.Add(encodeRequest(tagGetBulk, 1, 0, 10, mibRoot))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		a := &Agent{community: "quiz", core: mustCore(t), stats: &metrics.Counters{}}
+		a := &Agent{community: "quiz", source: newTestCore(t), stats: &metrics.Counters{}}
 		if reply, _ := a.respond(b); len(reply) > maxResponseBytes {
 			t.Fatalf("a response of %d bytes", len(reply))
 		}
 	})
 }
 
-func mustCore(t *testing.T) *core.Core {
+func newTestCore(t *testing.T) *core.Core {
 	c, err := core.New(core.Config{MemoryMB: 16})
 	if err != nil {
 		t.Fatal(err)
@@ -203,7 +203,7 @@
 
 // The agent answers a manager over UDP.
 func TestServe(t *testing.T) {
-	a := agent(t)
+	a := newTestAgent(t)
 	go a.Serve()
 	conn, err := net.Dial("udp", a.Addr().String())
 	if err != nil {
@@ -211,14 +211,14 @@
 	}
 	defer conn.Close()
 	conn.Write([]byte("garbage"))
-	conn.Write(ask(tagGet, 9, 0, 0, objectName))
+	conn.Write(encodeRequest(tagGet, 9, 0, 0, objectName))
 	conn.SetReadDeadline(time.Now().Add(30 * time.Second))
 	b := make([]byte, 2000)
 	n, err := conn.Read(b)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, _, list := read(t, b[:n], 9); string(list[0].value.body) != "n3" {
+	if _, _, list := parseResponse(t, b[:n], 9); string(list[0].value.body) != "n3" {
 		t.Fatalf("%+v", list)
 	}
 }
@@ -231,7 +231,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := c.Attach(still{c}, nil); err != nil {
+	if err := c.Attach(probeOnlyRunner{c}, nil); err != nil {
 		t.Fatal(err)
 	}
 	defer c.Stop()
@@ -240,27 +240,27 @@
 			t.Fatal("no state of the pools")
 		}
 	}
-	a := &Agent{community: "quiz", name: "n3", core: c, stats: &metrics.Counters{}}
-	reply, _ := a.respond(ask(tagGetBulk, 1, 0, 50, root.with(3)))
-	_, _, list := read(t, reply, 1)
+	a := &Agent{community: "quiz", name: "n3", source: c, stats: &metrics.Counters{}}
+	reply, _ := a.respond(encodeRequest(tagGetBulk, 1, 0, 50, mibRoot.child(3)))
+	_, _, list := parseResponse(t, reply, 1)
 	if len(list) != 21 || list[0].name.compare(objectLimit) != 0 || list[20].value.tag != tagEndOfMibView {
 		t.Fatalf("%d values: %v", len(list), list)
 	}
-	if v := list[4]; v.name.compare(poolEntry.with(2, 1)) != 0 || string(v.value.body) != "sheets" {
+	if v := list[4]; v.name.compare(poolEntry.child(2, 1)) != 0 || string(v.value.body) != "sheets" {
 		t.Errorf("%v is %q", v.name, v.value.body)
 	}
 	if v := list[5]; string(v.value.body) != "rest" {
 		t.Errorf("%v is %q", v.name, v.value.body)
 	}
-	reply, _ = agent(t).respond(ask(tagGetNext, 2, 0, 0, root.with(3)))
-	if _, _, list := read(t, reply, 2); list[0].value.tag != tagEndOfMibView {
+	reply, _ = newTestAgent(t).respond(encodeRequest(tagGetNext, 2, 0, 0, mibRoot.child(3)))
+	if _, _, list := parseResponse(t, reply, 2); list[0].value.tag != tagEndOfMibView {
 		t.Errorf("without pools %v", list[0])
 	}
 }
 
 // still is a runner that only answers probes.
-type still struct{ c *core.Core }
+type probeOnlyRunner struct{ c *core.Core }
 
-func (still) Run(string, string, []byte) {}
-func (still) Resume(string, []byte)      {}
-func (s still) Probe()                   { s.c.Gauges(silverpath.Gauges{}) }
+func (probeOnlyRunner) Run(string, string, []byte) {}
+func (probeOnlyRunner) Resume(string, []byte)      {}
+func (s probeOnlyRunner) Probe()                   { s.c.Gauges(silverpath.Gauges{}) }
--- a/internal/transport/vault/client.go
+++ b/internal/transport/vault/client.go
@@ -22,12 +22,12 @@
 
 // Client makes calls. It is the core's Caller.
 type Client struct {
-	dial        func(ctx context.Context, network, addr string) (net.Conn, error)
-	connections chan struct{} // has a token for each connection in use
+	dial func(ctx context.Context, network, addr string) (net.Conn, error)
+	sem  chan struct{} // has a token for each connection in use
 
 	mu    sync.Mutex
 	addr  string
-	idle  []*conn
+	idle  []*persistConn
 	calls map[string]*call // by request
 }
 
@@ -35,7 +35,7 @@
 type call struct{ cancel context.CancelFunc }
 
 // conn is a connection, in use or idle.
-type conn struct {
+type persistConn struct {
 	net.Conn
 	addr      string
 	r         *bufio.Reader
@@ -46,7 +46,7 @@
 // New returns a client with at most maxConns connections at once.
 func New(addr string, maxConns int) *Client {
 	return &Client{
-		addr: addr, dial: (&net.Dialer{}).DialContext, connections: make(chan struct{}, max(1, maxConns)),
+		addr: addr, dial: (&net.Dialer{}).DialContext, sem: make(chan struct{}, max(1, maxConns)),
 		calls: map[string]*call{},
 	}
 }
@@ -59,8 +59,8 @@
 		return
 	}
 	c.addr = addr
-	for _, k := range c.idle {
-		c.close(k)
+	for _, pc := range c.idle {
+		c.close(pc)
 	}
 	c.idle = nil
 }
@@ -91,8 +91,8 @@
 		}
 	}()
 	select {
-	case c.connections <- struct{}{}:
-		defer func() { <-c.connections }()
+	case c.sem <- struct{}{}:
+		defer func() { <-c.sem }()
 	case <-ctx.Done():
 		return silverpath.Unreachable, nil // nothing was sent
 	}
@@ -123,53 +123,53 @@
 // callOnce makes a call on one connection, a new one where it must be (fresh). Stale says that it was an idle one that broke before any
 // of a reply came.
 func (c *Client) callOnce(ctx context.Context, id string, timeout time.Duration, body []byte, fresh bool) (r reply, stale bool, err error) {
-	k, err := c.connect(ctx, fresh)
+	pc, err := c.connect(ctx, fresh)
 	if err != nil {
 		return r, false, err
 	}
-	stop := context.AfterFunc(ctx, func() { k.Close() })
-	r, gotReply, err := k.exchange(id, timeout, body)
-	surplus := k.r.Buffered() > 0
+	stop := context.AfterFunc(ctx, func() { pc.Close() })
+	r, gotReply, err := pc.exchange(id, timeout, body)
+	surplus := pc.r.Buffered() > 0
 	if err == nil && r.status == 200 && surplus {
 		// Its length is wrong, or there are two replies: in either case nobody knows what the reply is. A rejection stands, as nothing of
 		// it is handed on.
 		err = errSurplus
 	}
-	stale = k.reused && err != nil && !gotReply
+	stale = pc.reused && err != nil && !gotReply
 	// After surplus the connection has lost its place. And one made for one call is not kept: many of those would fill the descriptors.
 	if !stop() || err != nil || !r.keepAlive || surplus || fresh {
-		c.close(k)
+		c.close(pc)
 	} else {
-		c.keepIdle(k)
+		c.keepIdle(pc)
 	}
 	return r, stale, err
 }
 
 // connect returns an idle connection to use again, or a new one; fresh: always a new one.
-func (c *Client) connect(ctx context.Context, fresh bool) (*conn, error) {
+func (c *Client) connect(ctx context.Context, fresh bool) (*persistConn, error) {
 	now := time.Now()
 	c.mu.Lock()
 	for len(c.idle) > 0 && !fresh {
-		k := c.idle[len(c.idle)-1]
+		pc := c.idle[len(c.idle)-1]
 		c.idle = c.idle[:len(c.idle)-1]
-		if now.Sub(k.idleSince) < idleTimeout && isIdle(k.Conn) {
+		if now.Sub(pc.idleSince) < idleTimeout && isIdle(pc.Conn) {
 			c.mu.Unlock()
-			k.reused = true
-			return k, nil
+			pc.reused = true
+			return pc, nil
 		}
-		c.close(k)
+		c.close(pc)
 	}
-	for len(c.idle) > 0 && len(c.idle)+len(c.connections) > cap(c.connections) { // those in use count, and this one among them
+	for len(c.idle) > 0 && len(c.idle)+len(c.sem) > cap(c.sem) { // those in use count, and this one among them
 		c.close(c.idle[0])
 		c.idle = c.idle[1:]
 	}
 	addr := c.addr
 	c.mu.Unlock()
-	n, err := c.dial(ctx, "tcp", addr)
+	netConn, err := c.dial(ctx, "tcp", addr)
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", errUnreachable, err)
 	}
-	return &conn{Conn: n, addr: addr, r: bufferpool.GetReader(n)}, nil
+	return &persistConn{Conn: netConn, addr: addr, r: bufferpool.GetReader(netConn)}, nil
 }
 
 // isIdle reports whether an idle connection is still open and has brought nothing.
@@ -179,28 +179,28 @@
 }
 
 // keepIdle keeps a connection for the next call and closes those that have idled for too long.
-func (c *Client) keepIdle(k *conn) {
-	k.idleSince = time.Now()
+func (c *Client) keepIdle(pc *persistConn) {
+	pc.idleSince = time.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if k.addr != c.addr {
-		c.close(k)
+	if pc.addr != c.addr {
+		c.close(pc)
 		return
 	}
-	for len(c.idle) > 0 && k.idleSince.Sub(c.idle[0].idleSince) >= idleTimeout {
+	for len(c.idle) > 0 && pc.idleSince.Sub(c.idle[0].idleSince) >= idleTimeout {
 		c.close(c.idle[0])
 		c.idle = c.idle[1:]
 	}
-	c.idle = append(c.idle, k)
+	c.idle = append(c.idle, pc)
 	if len(c.idle) == 1 {
 		time.AfterFunc(idleTimeout, c.closeExpired)
 	}
 }
 
 // close closes a connection that nobody uses.
-func (c *Client) close(k *conn) {
-	k.Close()
-	bufferpool.PutReader(k.r)
+func (c *Client) close(pc *persistConn) {
+	pc.Close()
+	bufferpool.PutReader(pc.r)
 }
 
 // closeExpired closes idle connections, so that none is kept when no call comes to use it. A timer calls it while there are any.
@@ -217,18 +217,18 @@
 }
 
 // exchange writes a call and reads its reply. GotReply says whether anything of a reply came.
-func (k *conn) exchange(id string, timeout time.Duration, body []byte) (r reply, gotReply bool, err error) {
+func (pc *persistConn) exchange(id string, timeout time.Duration, body []byte) (r reply, gotReply bool, err error) {
 	b := bufferpool.Get()
 	defer bufferpool.Put(b)
 	*b = fmt.Appendf(*b, "POST /v2/read HTTP/1.1\r\nHost: vault\r\nX-Ticket: %s\r\nX-Max-Ms: %d\r\nContent-Length: %d\r\n\r\n",
 		id, max(1, timeout.Milliseconds()), len(body))
 	*b = append(*b, body...)
-	if _, err := k.Write(*b); err != nil {
+	if _, err := pc.Write(*b); err != nil {
 		return r, false, fmt.Errorf("writing the call: %w", err)
 	}
-	if _, err := k.r.Peek(1); err != nil {
+	if _, err := pc.r.Peek(1); err != nil {
 		return r, false, fmt.Errorf("reading the reply: %w", err)
 	}
-	r, err = readReply(k.r)
+	r, err = readReply(pc.r)
 	return r, true, err
 }
--- a/internal/transport/vault/client_test.go
+++ b/internal/transport/vault/client_test.go
@@ -20,23 +20,23 @@
 )
 
 // below is a stand-in for the vault: connections are pipes, and the test answers on them.
-type below struct {
+type pipeClient struct {
 	*Client
 	conns chan net.Conn
 }
 
-func newBelow() *below {
-	b := &below{New("", 4), make(chan net.Conn, 8)}
-	b.dial = func(context.Context, string, string) (net.Conn, error) {
-		near, far := net.Pipe()
-		b.conns <- far
-		return near, nil
+func newPipeClient() *pipeClient {
+	c := &pipeClient{New("", 4), make(chan net.Conn, 8)}
+	c.dial = func(context.Context, string, string) (net.Conn, error) {
+		clientConn, serverConn := net.Pipe()
+		c.conns <- serverConn
+		return clientConn, nil
 	}
-	return b
+	return c
 }
 
 // take reads one call.
-func take(t *testing.T, r *bufio.Reader) string {
+func readCall(t *testing.T, r *bufio.Reader) string {
 	t.Helper()
 	var all strings.Builder
 	n := 0
@@ -87,17 +87,17 @@
 		strings.Repeat("HTTP/1.1 100 Continue\r\n\r\n", 50) + "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok":               silverpath.Disconnected,
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			b := newBelow()
+			c := newPipeClient()
 			go func() {
-				conn := <-b.conns
-				call := take(t, bufio.NewReader(conn))
+				conn := <-c.conns
+				call := readCall(t, bufio.NewReader(conn))
 				if call != "POST /v2/read HTTP/1.1\r\nHost: vault\r\nX-Ticket: id\r\nX-Max-Ms: 250\r\nContent-Length: 3\r\n\r\na\x00b" {
 					t.Errorf("call %q", call)
 				}
 				io.WriteString(conn, reply)
 				conn.Close()
 			}()
-			got, body := b.Call(t.Context(), "id", 250*time.Millisecond, []byte("a\x00b"), false)
+			got, body := c.Call(t.Context(), "id", 250*time.Millisecond, []byte("a\x00b"), false)
 			if got != want || got == silverpath.OK && string(body) != "ok" {
 				t.Errorf("%q: outcome %v, body %q, want %v", reply, got, body, want)
 			}
@@ -117,14 +117,14 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		said := make(chan bool)
+		done := make(chan bool)
 		go func() {
 			for first := true; ; first = false {
 				conn, err := ln.Accept()
 				if err != nil {
 					return
 				}
-				take(t, bufio.NewReader(conn))
+				readCall(t, bufio.NewReader(conn))
 				if !first {
 					io.WriteString(conn, ok)
 					continue
@@ -133,7 +133,7 @@
 					if io.WriteString(conn, part); part == "" {
 						conn.Close()
 					}
-					said <- true
+					done <- true
 				}
 			}
 		}()
@@ -142,10 +142,10 @@
 			if got, _ := c.Call(t.Context(), "a", 10*time.Second, nil, false); got != silverpath.Overloaded {
 				t.Errorf("%s: the first call: %v", name, got)
 			}
-			said <- true
+			done <- true
 		}()
 		for range len(reply) + 1 {
-			<-said
+			<-done
 		}
 		for len(reply) > 1 { // until what was written has come
 			c.mu.Lock()
@@ -167,16 +167,16 @@
 // that may be made again is, and one that may not never goes out on such a connection.
 func TestForgottenConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBelow()
+		c := newPipeClient()
 		calls := 0
 		go func() {
-			for conn := range b.conns {
+			for conn := range c.conns {
 				go func() {
 					for r := bufio.NewReader(conn); ; {
 						if _, err := r.Peek(1); err != nil {
 							return
 						}
-						take(t, r)
+						readCall(t, r)
 						if calls++; calls == 2 {
 							conn.Close()
 							return
@@ -187,42 +187,42 @@
 			}
 		}()
 		for n := range 2 {
-			if got, _ := b.Call(t.Context(), "id", time.Second, nil, false); got != silverpath.OK {
+			if got, _ := c.Call(t.Context(), "id", time.Second, nil, false); got != silverpath.OK {
 				t.Fatalf("call %d: outcome %v", n, got)
 			}
 		}
 		if calls != 3 {
 			t.Fatalf("%d calls were made, want the second one twice", calls)
 		}
-		b.Call(t.Context(), "id", time.Second, nil, false)
-		b.mu.Lock()
-		idle := b.idle[0]
-		b.mu.Unlock()
-		if got, _ := b.Call(t.Context(), "id", time.Second, nil, true); got != silverpath.OK {
+		c.Call(t.Context(), "id", time.Second, nil, false)
+		c.mu.Lock()
+		idle := c.idle[0]
+		c.mu.Unlock()
+		if got, _ := c.Call(t.Context(), "id", time.Second, nil, true); got != silverpath.OK {
 			t.Fatalf("outcome %v", got)
 		}
-		b.mu.Lock()
-		if len(b.idle) != 1 || b.idle[0] != idle || idle.reused {
+		c.mu.Lock()
+		if len(c.idle) != 1 || c.idle[0] != idle || idle.reused {
 			t.Fatal("a call that may be made only once shares a connection with others")
 		}
-		b.mu.Unlock()
+		c.mu.Unlock()
 		calls = 1
-		if got, _ := b.Call(t.Context(), "id", time.Second, nil, true); got != silverpath.Disconnected || calls != 2 {
+		if got, _ := c.Call(t.Context(), "id", time.Second, nil, true); got != silverpath.Disconnected || calls != 2 {
 			t.Fatalf("outcome %v after %d calls", got, calls-1)
 		}
 		time.Sleep(time.Minute)
-		close(b.conns)
+		close(c.conns)
 	})
 }
 
 // counted is a connection that counts its end.
-type counted struct {
+type countedConn struct {
 	net.Conn
 	open *atomic.Int32
 	once sync.Once
 }
 
-func (c *counted) Close() error {
+func (c *countedConn) Close() error {
 	c.once.Do(func() { c.open.Add(-1) })
 	return c.Conn.Close()
 }
@@ -230,32 +230,32 @@
 // Connections in use and idle ones together stay within the bound.
 func TestConnectionLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBelow()
-		var open, most atomic.Int32
-		b.dial = func(context.Context, string, string) (net.Conn, error) {
-			near, far := net.Pipe()
-			if n := open.Add(1); n > most.Load() {
-				most.Store(n)
+		c := newPipeClient()
+		var open, maxOpen atomic.Int32
+		c.dial = func(context.Context, string, string) (net.Conn, error) {
+			clientConn, serverConn := net.Pipe()
+			if n := open.Add(1); n > maxOpen.Load() {
+				maxOpen.Store(n)
 			}
 			go func() {
-				for r := bufio.NewReader(far); ; {
+				for r := bufio.NewReader(serverConn); ; {
 					if _, err := r.Peek(1); err != nil {
 						return
 					}
-					take(t, r)
+					readCall(t, r)
 					time.Sleep(100 * time.Millisecond)
-					io.WriteString(far, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
+					io.WriteString(serverConn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 				}
 			}()
-			return &counted{Conn: near, open: &open}, nil
+			return &countedConn{Conn: clientConn, open: &open}, nil
 		}
 		for n := range 40 {
-			go b.Call(t.Context(), fmt.Sprint(n), time.Minute, nil, n%3 == 0)
+			go c.Call(t.Context(), fmt.Sprint(n), time.Minute, nil, n%3 == 0)
 			time.Sleep(time.Duration(n) * 7 * time.Millisecond)
 		}
 		time.Sleep(time.Minute)
-		if int(most.Load()) > cap(b.connections) || open.Load() != 0 {
-			t.Fatalf("%d connections at once, %d left", most.Load(), open.Load())
+		if int(maxOpen.Load()) > cap(c.sem) || open.Load() != 0 {
+			t.Fatalf("%d connections at once, %d left", maxOpen.Load(), open.Load())
 		}
 	})
 }
@@ -263,33 +263,33 @@
 // After a move calls go to the new address, on no connection of the old one; a call under way ends where it is.
 func TestRedirect(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBelow()
+		c := newPipeClient()
 		var dialed []string
-		b.dial = func(_ context.Context, _, addr string) (net.Conn, error) {
+		c.dial = func(_ context.Context, _, addr string) (net.Conn, error) {
 			dialed = append(dialed, addr)
-			near, far := net.Pipe()
+			clientConn, serverConn := net.Pipe()
 			go func() {
-				for r := bufio.NewReader(far); ; {
+				for r := bufio.NewReader(serverConn); ; {
 					if _, err := r.Peek(1); err != nil {
 						return
 					}
-					take(t, r)
+					readCall(t, r)
 					time.Sleep(time.Second)
-					io.WriteString(far, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
+					io.WriteString(serverConn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 				}
 			}()
-			return near, nil
+			return clientConn, nil
 		}
 		call := func() {
-			if got, _ := b.Call(t.Context(), "id", 5*time.Second, nil, false); got != silverpath.OK {
+			if got, _ := c.Call(t.Context(), "id", 5*time.Second, nil, false); got != silverpath.OK {
 				t.Errorf("outcome %v", got)
 			}
 		}
-		b.Redirect("old")
+		c.Redirect("old")
 		call()
 		go call()
 		time.Sleep(time.Millisecond)
-		b.Redirect("new")
+		c.Redirect("new")
 		time.Sleep(2 * time.Second)
 		call()
 		call()
@@ -302,9 +302,9 @@
 
 // A refused connection proves that no call ran, as does one never made for want of room.
 func TestUnreachable(t *testing.T) {
-	b := newBelow()
-	b.dial = func(context.Context, string, string) (net.Conn, error) { return nil, errors.New("refused") }
-	if got, _ := b.Call(t.Context(), "id", time.Second, nil, false); got != silverpath.Unreachable {
+	c := newPipeClient()
+	c.dial = func(context.Context, string, string) (net.Conn, error) { return nil, errors.New("refused") }
+	if got, _ := c.Call(t.Context(), "id", time.Second, nil, false); got != silverpath.Unreachable {
 		t.Fatalf("outcome %v", got)
 	}
 }
@@ -312,29 +312,29 @@
 // Patience ends a call, and so does a second call for the same request; both close the connection.
 func TestCancelledCall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBelow()
-		began := time.Now()
-		if got, _ := b.Call(t.Context(), "id", 250*time.Millisecond, nil, false); got != silverpath.TimedOut || time.Since(began) != 250*time.Millisecond {
-			t.Fatalf("outcome %v after %v", got, time.Since(began))
+		c := newPipeClient()
+		startedAt := time.Now()
+		if got, _ := c.Call(t.Context(), "id", 250*time.Millisecond, nil, false); got != silverpath.TimedOut || time.Since(startedAt) != 250*time.Millisecond {
+			t.Fatalf("outcome %v after %v", got, time.Since(startedAt))
 		}
-		if _, err := io.ReadAll(<-b.conns); err != nil {
+		if _, err := io.ReadAll(<-c.conns); err != nil {
 			t.Fatal(err)
 		}
 		first := make(chan silverpath.Outcome)
 		go func() {
-			got, _ := b.Call(t.Context(), "id", time.Second, nil, false)
+			got, _ := c.Call(t.Context(), "id", time.Second, nil, false)
 			first <- got
 		}()
 		synctest.Wait()
-		go b.Call(t.Context(), "id", time.Second, nil, false)
-		if got := <-first; got != silverpath.Canceled || time.Since(began) != 250*time.Millisecond {
-			t.Fatalf("the first call: %v after %v", got, time.Since(began))
+		go c.Call(t.Context(), "id", time.Second, nil, false)
+		if got := <-first; got != silverpath.Canceled || time.Since(startedAt) != 250*time.Millisecond {
+			t.Fatalf("the first call: %v after %v", got, time.Since(startedAt))
 		}
 		time.Sleep(time.Minute)
-		b.mu.Lock()
-		defer b.mu.Unlock()
-		if len(b.calls) != 0 {
-			t.Fatalf("%d calls are remembered", len(b.calls))
+		c.mu.Lock()
+		defer c.mu.Unlock()
+		if len(c.calls) != 0 {
+			t.Fatalf("%d calls are remembered", len(c.calls))
 		}
 	})
 }
@@ -342,28 +342,28 @@
 // A connection serves one call after another, and none idles for as long as the other side would keep it.
 func TestIdle(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBelow()
+		c := newPipeClient()
 		serve := func(conn net.Conn, r *bufio.Reader) {
-			take(t, r)
+			readCall(t, r)
 			io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 		}
 		var conn net.Conn
 		go func() {
-			conn = <-b.conns
+			conn = <-c.conns
 			r := bufio.NewReader(conn)
 			serve(conn, r)
 			serve(conn, r)
 		}()
 		for range 2 {
-			if got, _ := b.Call(t.Context(), "id", time.Second, nil, false); got != silverpath.OK {
+			if got, _ := c.Call(t.Context(), "id", time.Second, nil, false); got != silverpath.OK {
 				t.Fatalf("outcome %v", got)
 			}
 			time.Sleep(2 * time.Second)
 		}
 		time.Sleep(7 * time.Second)
-		b.mu.Lock()
-		idle := len(b.idle)
-		b.mu.Unlock()
+		c.mu.Lock()
+		idle := len(c.idle)
+		c.mu.Unlock()
 		if idle != 0 {
 			t.Fatal("a connection idles for 9 s")
 		}
--- a/internal/transport/vault/reply.go
+++ b/internal/transport/vault/reply.go
@@ -54,7 +54,7 @@
 type head struct {
 	status                 int
 	notReceived, keepAlive bool
-	length                 int // -1 where it is not told
+	contentLength          int // -1 where it is not told
 	chunked                bool
 }
 
@@ -97,7 +97,7 @@
 	if err != nil || version != "HTTP/1.1" && version != "HTTP/1.0" || h.status < 100 || h.status > 599 {
 		return fmt.Errorf("not a status line: %q", line)
 	}
-	h.keepAlive, h.length = version == "HTTP/1.1", -1
+	h.keepAlive, h.contentLength = version == "HTTP/1.1", -1
 	return nil
 }
 
@@ -110,10 +110,10 @@
 	switch value = strings.TrimSpace(value); strings.ToLower(name) {
 	case "content-length":
 		length, err := parseDigits(value)
-		if err != nil || length > maxBodyBytes || h.length >= 0 && h.length != length {
+		if err != nil || length > maxBodyBytes || h.contentLength >= 0 && h.contentLength != length {
 			return fmt.Errorf("Content-Length: %q", value)
 		}
-		h.length = length
+		h.contentLength = length
 	case "transfer-encoding":
 		if !strings.EqualFold(value, "chunked") || h.chunked {
 			return fmt.Errorf("Transfer-Encoding: %q", value)
@@ -139,25 +139,25 @@
 			return reply{}, fmt.Errorf("over %d answers of the class 1xx", maxInterimReplies)
 		}
 	}
-	body, hasEnd, err := h.readBody(r)
+	body, delimited, err := h.readBody(r)
 	if err != nil {
 		return reply{}, err
 	}
-	return reply{h.status, h.notReceived, h.keepAlive && hasEnd, body}, nil
+	return reply{h.status, h.notReceived, h.keepAlive && delimited, body}, nil
 }
 
 // readBody reads the body of a reply. HasEnd is false where only the close of the connection ended it.
-func (h head) readBody(r *bufio.Reader) (body []byte, hasEnd bool, err error) {
+func (h head) readBody(r *bufio.Reader) (body []byte, delimited bool, err error) {
 	switch {
-	case h.chunked && h.length >= 0:
+	case h.chunked && h.contentLength >= 0:
 		return nil, false, errors.New("both a length and chunks")
 	case h.status == 204 || h.status == 304:
 		return nil, true, nil
 	case h.chunked:
 		body, err = readChunks(r)
 		return body, true, err
-	case h.length >= 0:
-		body = make([]byte, h.length)
+	case h.contentLength >= 0:
+		body = make([]byte, h.contentLength)
 		if _, err := io.ReadFull(r, body); err != nil {
 			return nil, false, fmt.Errorf("reading the reply's body: %w", err)
 		}
@@ -196,9 +196,9 @@
 				}
 			}
 		}
-		at := len(body)
+		offset := len(body)
 		body = append(body, make([]byte, n)...)
-		if _, err := io.ReadFull(r, body[at:]); err != nil {
+		if _, err := io.ReadFull(r, body[offset:]); err != nil {
 			return nil, fmt.Errorf("reading a chunk: %w", err)
 		}
 		if line, err = readLine(r); err != nil || line != "" {
