--- a/internal/transport/vault/client.go
+++ b/internal/transport/vault/client.go
@@ -1,5 +1,5 @@
-// Package vault makes the calls below, of the vault or of a lower tier, over HTTP/1.1 with a client of the project's own: one call at a
-// time on a connection, and a call is given up by closing its connection. What matters is which ends prove that a call never ran.
+// Package vault is the HTTP/1.1 client for calls to the vault or to a lower tier. A connection carries one call at a time, and a call is
+// canceled by closing its connection. The client distinguishes failures that prove that a call never ran from those that do not.
 package vault
 
 import (
@@ -16,25 +16,25 @@
 	"silverpath/internal/transport/linger"
 )
 
-// idleTimeout is how long a connection is kept for the next call. The other side closes after 10 s; a call that meets that close would
-// break off, which proves nothing, so ours go long before.
+// idleTimeout is how long an idle connection is kept for reuse. The server closes idle connections after 10 s. A call that races with
+// that close fails without proof that it did not run, so the client closes its idle connections much earlier.
 const idleTimeout = 3 * time.Second
 
-// Client makes calls. It is the core's Caller.
+// Client makes calls on a bounded number of connections. It implements core.Caller.
 type Client struct {
 	dial func(ctx context.Context, network, addr string) (net.Conn, error)
-	sem  chan struct{} // has a token for each connection in use
+	sem  chan struct{} // semaphore: one token for each connection in use
 
 	mu    sync.Mutex
 	addr  string
 	idle  []*persistConn
-	calls map[string]*call // by request
+	calls map[string]*call // by request ID
 }
 
-// call is one that is under way.
+// call is a call in progress.
 type call struct{ cancel context.CancelFunc }
 
-// conn is a connection, in use or idle.
+// persistConn is a connection to the server, in use or idle.
 type persistConn struct {
 	net.Conn
 	addr      string
@@ -43,7 +43,7 @@
 	reused    bool
 }
 
-// New returns a client with at most maxConns connections at once.
+// New returns a client that calls the server at addr over at most maxConns connections at a time.
 func New(addr string, maxConns int) *Client {
 	return &Client{
 		addr: addr, dial: (&net.Dialer{}).DialContext, sem: make(chan struct{}, max(1, maxConns)),
@@ -51,7 +51,8 @@
 	}
 }
 
-// Redirect sends calls to another address from now on. Those under way end where they are.
+// Redirect changes the address for later calls and closes the idle connections to the old address. Calls in progress continue on their
+// connections.
 func (c *Client) Redirect(addr string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -65,14 +66,14 @@
 	c.idle = nil
 }
 
-// Call makes one call for a request and returns its outcome with the reply's body; a second call for the same request gives up the
-// first. It waits for a connection and the reply, for timeout at the most. Outcomes that prove that the call never ran are Unreachable,
-// Overloaded and NotStarted.
+// Call makes a call for the request with the given ID and returns its outcome and the body of the reply. It waits at most timeout for a
+// connection and the reply. A second call for the same request cancels the first. The outcomes Unreachable, Overloaded and NotStarted
+// prove that the call never ran.
 //
-// A call that may be made only once (atMostOnce) goes out on a connection of its own: on one that has idled a reset could mean that the
-// other side had forgotten it, so that the call never ran, or as well that it ran and its reply was lost. On a new one only the latter
-// is possible. Calls that may be made again take an idle connection where there is one, and are made again at once should it break
-// before a reply begins.
+// With atMostOnce set, the call gets a new connection that no other call uses. A reset of a reused connection is ambiguous: the server
+// may have dropped the idle connection, so that the call never ran, or the call ran and its reply was lost. On a new connection only the
+// second is possible. Other calls reuse an idle connection if there is one. If that connection breaks before the reply begins, Call
+// immediately repeats the call on a new one.
 func (c *Client) Call(ctx context.Context, id string, timeout time.Duration, body []byte, atMostOnce bool) (silverpath.Outcome, []byte) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -114,14 +115,14 @@
 	return r.outcome(), r.body
 }
 
-// errUnreachable is of a connection that could not be made: it proves that no call ran.
-var errUnreachable = errors.New("connecting")
+// errUnreachable means that no connection could be established, which proves that the call never ran.
+var errUnreachable = errors.New("failed to connect")
 
-// errSurplus is of a reply after which more came than its length says.
-var errSurplus = errors.New("reading the reply: more came than its length says")
+// errSurplus means that the connection holds more bytes than the length of the reply accounts for.
+var errSurplus = errors.New("reading the reply: unexpected bytes after its end")
 
-// callOnce makes a call on one connection, a new one where it must be (fresh). Stale says that it was an idle one that broke before any
-// of a reply came.
+// callOnce makes a call on one connection, which is a new one if fresh is set. The result stale reports that a reused connection broke
+// before any byte of the reply arrived.
 func (c *Client) callOnce(ctx context.Context, id string, timeout time.Duration, body []byte, fresh bool) (r reply, stale bool, err error) {
 	pc, err := c.connect(ctx, fresh)
 	if err != nil {
@@ -131,12 +132,13 @@
 	r, gotReply, err := pc.exchange(id, timeout, body)
 	surplus := pc.r.Buffered() > 0
 	if err == nil && r.status == 200 && surplus {
-		// Its length is wrong, or there are two replies: in either case nobody knows what the reply is. A rejection stands, as nothing of
-		// it is handed on.
+		// Either the stated length is wrong or there are two replies, so the content of the reply is uncertain. Replies with another
+		// status stay valid, because their bodies are not used.
 		err = errSurplus
 	}
 	stale = pc.reused && err != nil && !gotReply
-	// After surplus the connection has lost its place. And one made for one call is not kept: many of those would fill the descriptors.
+	// Surplus bytes would be read as the start of the next reply. A connection that was opened for a single call is not kept either,
+	// because many of them would exhaust the file descriptors.
 	if !stop() || err != nil || !r.keepAlive || surplus || fresh {
 		c.close(pc)
 	} else {
@@ -145,7 +147,7 @@
 	return r, stale, err
 }
 
-// connect returns an idle connection to use again, or a new one; fresh: always a new one.
+// connect returns an idle connection for reuse, or a new one if there is none or fresh is set. Its error is errUnreachable.
 func (c *Client) connect(ctx context.Context, fresh bool) (*persistConn, error) {
 	now := time.Now()
 	c.mu.Lock()
@@ -159,7 +161,7 @@
 		}
 		c.close(pc)
 	}
-	for len(c.idle) > 0 && len(c.idle)+len(c.sem) > cap(c.sem) { // those in use count, and this one among them
+	for len(c.idle) > 0 && len(c.idle)+len(c.sem) > cap(c.sem) { // len(c.sem) includes the connection to be opened
 		c.close(c.idle[0])
 		c.idle = c.idle[1:]
 	}
@@ -172,13 +174,14 @@
 	return &persistConn{Conn: netConn, addr: addr, r: bufferpool.GetReader(netConn)}, nil
 }
 
-// isIdle reports whether an idle connection is still open and has brought nothing.
+// isIdle reports whether an idle connection is still open and has received no bytes, as far as the platform can tell.
 func isIdle(conn net.Conn) bool {
 	state := linger.Peek(conn)
 	return state == linger.Idle || state == linger.Unknown
 }
 
-// keepIdle keeps a connection for the next call and closes those that have idled for too long.
+// keepIdle keeps a connection for reuse and closes those that have been idle for idleTimeout. If the address has changed, it closes the
+// connection instead.
 func (c *Client) keepIdle(pc *persistConn) {
 	pc.idleSince = time.Now()
 	c.mu.Lock()
@@ -197,13 +200,14 @@
 	}
 }
 
-// close closes a connection that nobody uses.
+// close closes a connection and recycles its read buffer. No call may be using the connection.
 func (c *Client) close(pc *persistConn) {
 	pc.Close()
 	bufferpool.PutReader(pc.r)
 }
 
-// closeExpired closes idle connections, so that none is kept when no call comes to use it. A timer calls it while there are any.
+// closeExpired closes the connections that have been idle for idleTimeout. A timer calls it as long as there are idle connections, so
+// that they are closed even if no further call is made.
 func (c *Client) closeExpired() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -216,7 +220,7 @@
 	}
 }
 
-// exchange writes a call and reads its reply. GotReply says whether anything of a reply came.
+// exchange writes a call and reads its reply. The result gotReply reports whether any byte of the reply arrived.
 func (pc *persistConn) exchange(id string, timeout time.Duration, body []byte) (r reply, gotReply bool, err error) {
 	b := bufferpool.Get()
 	defer bufferpool.Put(b)
--- a/internal/transport/vault/client_test.go
+++ b/internal/transport/vault/client_test.go
@@ -19,7 +19,7 @@
 	"silverpath/internal/transport/linger"
 )
 
-// below is a stand-in for the vault: connections are pipes, and the test answers on them.
+// pipeClient is a client whose connections are pipes. The test takes the server's ends from conns and replies on them.
 type pipeClient struct {
 	*Client
 	conns chan net.Conn
@@ -35,7 +35,7 @@
 	return c
 }
 
-// take reads one call.
+// readCall reads one call and returns it with its headers.
 func readCall(t *testing.T, r *bufio.Reader) string {
 	t.Helper()
 	var all strings.Builder
@@ -101,13 +101,13 @@
 			if got != want || got == silverpath.OK && string(body) != "ok" {
 				t.Errorf("%q: outcome %v, body %q, want %v", reply, got, body, want)
 			}
-			time.Sleep(time.Minute) // the idle connection is swept
+			time.Sleep(time.Minute) // until the idle connection is closed
 		})
 	}
 }
 
-// Bytes that belong to no call end a connection: surplus after a reply, whenever it comes, must not be read as
-// the reply to the next call. A copy of a 503 would make a call be made again that has run.
+// Surplus bytes after a reply, whenever they arrive, must close the connection and not be read as the reply to the next call.
+// Otherwise a duplicated 503 would cause a call that has run to be repeated.
 func TestSurplus(t *testing.T) {
 	const ok, busy = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", "HTTP/1.1 503 Busy\r\nX-Refused-Unseen: 1\r\nContent-Length: 0\r\n\r\n"
 	for name, reply := range map[string][]string{
@@ -140,14 +140,14 @@
 		c := New(ln.Addr().String(), 4)
 		go func() {
 			if got, _ := c.Call(t.Context(), "a", 10*time.Second, nil, false); got != silverpath.Overloaded {
-				t.Errorf("%s: the first call: %v", name, got)
+				t.Errorf("%s: first call: outcome %v, want Overloaded", name, got)
 			}
 			done <- true
 		}()
 		for range len(reply) + 1 {
 			<-done
 		}
-		for len(reply) > 1 { // until what was written has come
+		for len(reply) > 1 { // until the surplus bytes or the close have arrived
 			c.mu.Lock()
 			idle := len(c.idle) > 0 && linger.Peek(c.idle[0].Conn) == linger.Idle
 			c.mu.Unlock()
@@ -157,14 +157,14 @@
 			time.Sleep(time.Millisecond)
 		}
 		if got, body := c.Call(t.Context(), "b", 10*time.Second, nil, false); got != silverpath.OK || string(body) != "ok" {
-			t.Errorf("%s: the next call: %v %q", name, got, body)
+			t.Errorf("%s: next call: outcome %v, body %q, want OK, \"ok\"", name, got, body)
 		}
 		ln.Close()
 	}
 }
 
-// A connection that idled and breaks before a reply may have been forgotten, or its call may have run: a call
-// that may be made again is, and one that may not never goes out on such a connection.
+// If a reused connection breaks before the reply, the server may have dropped it while it was idle, or the call may have run. Calls
+// that may be repeated are repeated on a new connection, and at-most-once calls never use an idle connection.
 func TestForgottenConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newPipeClient()
@@ -192,7 +192,7 @@
 			}
 		}
 		if calls != 3 {
-			t.Fatalf("%d calls were made, want the second one twice", calls)
+			t.Fatalf("the server received %d calls, want 3 (the second one twice)", calls)
 		}
 		c.Call(t.Context(), "id", time.Second, nil, false)
 		c.mu.Lock()
@@ -203,19 +203,19 @@
 		}
 		c.mu.Lock()
 		if len(c.idle) != 1 || c.idle[0] != idle || idle.reused {
-			t.Fatal("a call that may be made only once shares a connection with others")
+			t.Fatal("an at-most-once call reused an idle connection or left its own in the pool")
 		}
 		c.mu.Unlock()
 		calls = 1
 		if got, _ := c.Call(t.Context(), "id", time.Second, nil, true); got != silverpath.Disconnected || calls != 2 {
-			t.Fatalf("outcome %v after %d calls", got, calls-1)
+			t.Fatalf("at-most-once call: outcome %v, received %d times, want Disconnected, once", got, calls-1)
 		}
 		time.Sleep(time.Minute)
 		close(c.conns)
 	})
 }
 
-// counted is a connection that counts its end.
+// countedConn decrements the number of open connections when it is first closed.
 type countedConn struct {
 	net.Conn
 	open *atomic.Int32
@@ -227,7 +227,7 @@
 	return c.Conn.Close()
 }
 
-// Connections in use and idle ones together stay within the bound.
+// The connections in use and the idle ones together never exceed the client's limit.
 func TestConnectionLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newPipeClient()
@@ -255,12 +255,12 @@
 		}
 		time.Sleep(time.Minute)
 		if int(maxOpen.Load()) > cap(c.sem) || open.Load() != 0 {
-			t.Fatalf("%d connections at once, %d left", maxOpen.Load(), open.Load())
+			t.Fatalf("at most %d connections were open at once, and %d are still open", maxOpen.Load(), open.Load())
 		}
 	})
 }
 
-// After a move calls go to the new address, on no connection of the old one; a call under way ends where it is.
+// After Redirect, calls go to the new address and reuse no connection to the old one. A call in progress ends on its old connection.
 func TestRedirect(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newPipeClient()
@@ -300,7 +300,7 @@
 	})
 }
 
-// A refused connection proves that no call ran, as does one never made for want of room.
+// If the connection is refused, the call never ran, and its outcome is Unreachable.
 func TestUnreachable(t *testing.T) {
 	c := newPipeClient()
 	c.dial = func(context.Context, string, string) (net.Conn, error) { return nil, errors.New("refused") }
@@ -309,7 +309,7 @@
 	}
 }
 
-// Patience ends a call, and so does a second call for the same request; both close the connection.
+// A call is ended by its timeout and by a second call for the same request. Both close the connection.
 func TestCancelledCall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newPipeClient()
@@ -328,18 +328,18 @@
 		synctest.Wait()
 		go c.Call(t.Context(), "id", time.Second, nil, false)
 		if got := <-first; got != silverpath.Canceled || time.Since(startedAt) != 250*time.Millisecond {
-			t.Fatalf("the first call: %v after %v", got, time.Since(startedAt))
+			t.Fatalf("first call: outcome %v after %v, want Canceled at once", got, time.Since(startedAt))
 		}
 		time.Sleep(time.Minute)
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		if len(c.calls) != 0 {
-			t.Fatalf("%d calls are remembered", len(c.calls))
+			t.Fatalf("%d ended calls are still in the call table", len(c.calls))
 		}
 	})
 }
 
-// A connection serves one call after another, and none idles for as long as the other side would keep it.
+// A connection is reused for consecutive calls. An idle connection is closed before the server's timeout of 10 s.
 func TestIdle(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newPipeClient()
@@ -365,10 +365,10 @@
 		idle := len(c.idle)
 		c.mu.Unlock()
 		if idle != 0 {
-			t.Fatal("a connection idles for 9 s")
+			t.Fatal("a connection is still idle after 9 s")
 		}
 		if _, err := conn.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
-			t.Fatalf("the other side reads %v", err)
+			t.Fatalf("reading on the server's side: error %v, want EOF", err)
 		}
 	})
 }
@@ -383,7 +383,7 @@
 	f.Fuzz(func(t *testing.T, in string) {
 		r, err := readReply(bufio.NewReader(strings.NewReader(in)))
 		if err == nil && (r.status < 200 || r.status > 599 || len(r.body) > maxBodyBytes) {
-			t.Fatal("a reply beyond its bounds")
+			t.Fatal("accepted a reply that exceeds its bounds")
 		}
 	})
 }
--- a/internal/transport/vault/reply.go
+++ b/internal/transport/vault/reply.go
@@ -11,22 +11,22 @@
 	"silverpath"
 )
 
-// Bounds of a reply. One beyond them is no reply.
+// Bounds of a reply. A reply that exceeds one is an error.
 const (
-	maxBodyBytes      = 64 << 10 // as of a result
+	maxBodyBytes      = 64 << 10 // the same as for the result of a run
 	maxHeaders        = 64
-	maxInterimReplies = 8 // of the class 1xx, before the reply proper
+	maxInterimReplies = 8 // 1xx replies before the final one
 )
 
-// reply is what came of a call.
+// reply is the server's final reply to a call.
 type reply struct {
 	status      int
-	notReceived bool // the other side says that it never handled the call
-	keepAlive   bool // the connection can take another call
+	notReceived bool // X-Refused-Unseen: 1, the server never handled the call
+	keepAlive   bool // the connection can be reused
 	body        []byte
 }
 
-// outcome maps a reply to an outcome. Only the word that the call was not received proves that it never ran.
+// outcome maps a reply to an outcome. Only notReceived proves that the call never ran.
 func (r reply) outcome() silverpath.Outcome {
 	switch {
 	case r.status == 200:
@@ -41,7 +41,7 @@
 	return silverpath.Failed
 }
 
-// readLine reads a line, without its end.
+// readLine reads a line and returns it without its line ending.
 func readLine(r *bufio.Reader) (string, error) {
 	line, err := r.ReadSlice('\n')
 	if err != nil {
@@ -50,24 +50,24 @@
 	return strings.TrimRight(string(line), "\r\n"), nil
 }
 
-// head is the head of a reply.
+// head is the status line of a reply and the headers that the client evaluates.
 type head struct {
 	status                 int
 	notReceived, keepAlive bool
-	contentLength          int // -1 where it is not told
+	contentLength          int // -1: no Content-Length header
 	chunked                bool
 }
 
-// parseDigits reads a number that is nothing but digits.
+// parseDigits parses a decimal number of at most 9 digits. Unlike strconv.Atoi it accepts no sign.
 func parseDigits(s string) (int, error) {
 	if s == "" || len(s) > 9 || strings.Trim(s, "0123456789") != "" {
-		return 0, fmt.Errorf("not a number: %q", s)
+		return 0, fmt.Errorf("invalid number %q", s)
 	}
 	return strconv.Atoi(s)
 }
 
-// readHead reads one head. What is no plain HTTP/1 is an error: a length that is guessed wrong would hand the run another reply than the
-// one that was made for it.
+// readHead reads the status line and headers of one reply. Anything but plain HTTP/1 is an error, because a wrongly guessed length could
+// give the run a reply that belongs to another call.
 func readHead(r *bufio.Reader) (h head, err error) {
 	line, err := readLine(r)
 	if err != nil {
@@ -81,7 +81,7 @@
 			return h, err
 		}
 		if n == maxHeaders {
-			return h, fmt.Errorf("not a header: %q", line)
+			return h, fmt.Errorf("too many headers, the first surplus one is %q", line)
 		}
 		if err := h.parseHeader(line); err != nil {
 			return h, err
@@ -89,34 +89,35 @@
 	}
 }
 
-// parseStatusLine reads HTTP/1.1 STATUS REASON.
+// parseStatusLine parses a status line "HTTP/1.1 STATUS REASON".
 func (h *head) parseStatusLine(line string) (err error) {
 	version, rest, _ := strings.Cut(line, " ")
 	code, _, _ := strings.Cut(rest, " ")
 	h.status, err = parseDigits(code)
 	if err != nil || version != "HTTP/1.1" && version != "HTTP/1.0" || h.status < 100 || h.status > 599 {
-		return fmt.Errorf("not a status line: %q", line)
+		return fmt.Errorf("invalid status line %q", line)
 	}
 	h.keepAlive, h.contentLength = version == "HTTP/1.1", -1
 	return nil
 }
 
-// parseHeader reads one header, of which those matter that say where the body ends and what became of the call.
+// parseHeader parses one header line. It evaluates the headers that delimit the body, control reuse of the connection or report that
+// the server never handled the call, and ignores all others.
 func (h *head) parseHeader(line string) error {
 	name, value, ok := strings.Cut(line, ":")
 	if !ok || name == "" || strings.ContainsAny(name, " \t") {
-		return fmt.Errorf("not a header: %q", line)
+		return fmt.Errorf("invalid header line %q", line)
 	}
 	switch value = strings.TrimSpace(value); strings.ToLower(name) {
 	case "content-length":
 		length, err := parseDigits(value)
 		if err != nil || length > maxBodyBytes || h.contentLength >= 0 && h.contentLength != length {
-			return fmt.Errorf("Content-Length: %q", value)
+			return fmt.Errorf("invalid or conflicting Content-Length %q", value)
 		}
 		h.contentLength = length
 	case "transfer-encoding":
 		if !strings.EqualFold(value, "chunked") || h.chunked {
-			return fmt.Errorf("Transfer-Encoding: %q", value)
+			return fmt.Errorf("unsupported or repeated Transfer-Encoding %q", value)
 		}
 		h.chunked = true
 	case "connection":
@@ -127,7 +128,7 @@
 	return nil
 }
 
-// readReply reads one reply. Answers of the class 1xx before it are passed over.
+// readReply reads one reply and skips up to maxInterimReplies 1xx replies before it.
 func readReply(r *bufio.Reader) (reply, error) {
 	var h head
 	for n := 0; h.status < 200; n++ {
@@ -136,7 +137,7 @@
 			return reply{}, err
 		}
 		if n == maxInterimReplies {
-			return reply{}, fmt.Errorf("over %d answers of the class 1xx", maxInterimReplies)
+			return reply{}, fmt.Errorf("more than %d interim (1xx) replies", maxInterimReplies)
 		}
 	}
 	body, delimited, err := h.readBody(r)
@@ -146,11 +147,11 @@
 	return reply{h.status, h.notReceived, h.keepAlive && delimited, body}, nil
 }
 
-// readBody reads the body of a reply. HasEnd is false where only the close of the connection ended it.
+// readBody reads the body of a reply. The result delimited is false if only the close of the connection marked the end of the body.
 func (h head) readBody(r *bufio.Reader) (body []byte, delimited bool, err error) {
 	switch {
 	case h.chunked && h.contentLength >= 0:
-		return nil, false, errors.New("both a length and chunks")
+		return nil, false, errors.New("reply has both Content-Length and Transfer-Encoding")
 	case h.status == 204 || h.status == 304:
 		return nil, true, nil
 	case h.chunked:
@@ -163,20 +164,20 @@
 		}
 		return body, true, nil
 	case h.status == 200:
-		// To read to the end would take a reply that broke off for a whole one.
-		return nil, false, errors.New("a reply without a length")
+		// Reading until the connection closes would accept a truncated reply as complete.
+		return nil, false, errors.New("reply with status 200 has neither Content-Length nor chunks")
 	}
 	body, err = io.ReadAll(io.LimitReader(r, maxBodyBytes+1))
 	if err == nil && len(body) > maxBodyBytes {
-		err = errors.New("too long")
+		err = errors.New("body too long")
 	}
 	if err != nil {
-		return nil, false, fmt.Errorf("a reply's body without end: %w", err)
+		return nil, false, fmt.Errorf("reading a reply's body of unstated length: %w", err)
 	}
 	return body, false, nil
 }
 
-// readChunks reads a body in chunks, with the trailers after it.
+// readChunks reads a chunked body and discards its trailers.
 func readChunks(r *bufio.Reader) ([]byte, error) {
 	var body []byte
 	for {
@@ -187,7 +188,7 @@
 		size, _, _ := strings.Cut(line, ";")
 		n, err := strconv.ParseUint(strings.TrimSpace(size), 16, 31)
 		if err != nil || len(body)+int(n) > maxBodyBytes {
-			return nil, fmt.Errorf("a chunk of size %q", line)
+			return nil, fmt.Errorf("invalid or excessive chunk size %q", line)
 		}
 		if n == 0 {
 			for { // trailers
@@ -202,7 +203,7 @@
 			return nil, fmt.Errorf("reading a chunk: %w", err)
 		}
 		if line, err = readLine(r); err != nil || line != "" {
-			return nil, fmt.Errorf("a chunk's end: %q: %w", line, err)
+			return nil, fmt.Errorf("expected the end of a chunk, got %q: %w", line, err)
 		}
 	}
 }
