--- a/internal/transport/scgi/client.go
+++ b/internal/transport/scgi/client.go
@@ -6,22 +6,23 @@
 	"time"
 )
 
-// This file is the other end of the wire, as a web front has it: the client on the command line and the tests use it.
+// This file has the client side of the protocol, as a web server implements it. The command-line client and the tests use it.
 
-// Reply is what a web front reads.
+// Reply is the response that a web server receives.
 type Reply struct {
 	Status     int
-	RetryAfter time.Duration     // whole seconds; 0: none is told
+	RetryAfter time.Duration     // in whole seconds; 0 without a Retry-After header
 	Headers    map[string]string // names in lower case
 	Body       []byte
 }
 
-// AppendRequest appends a request as a web front sends it, with headers given as name and value in turn.
+// AppendRequest appends an SCGI request to b and returns the result. Headers are alternating names and values.
 func AppendRequest(b, body []byte, headers ...string) []byte {
 	return appendMessage(b, body, headers...)
 }
 
-// ReadReply reads the answer to the one request of a connection.
+// ReadReply reads the response to the request of a connection. It fails if the response is malformed, truncated or longer than
+// maxResultBytes.
 func ReadReply(r *bufio.Reader) (Reply, error) {
 	a, err := readResponse(r, maxResultBytes)
 	if err != nil {
--- a/internal/transport/scgi/close_test.go
+++ b/internal/transport/scgi/close_test.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// lingering is a listener whose connections tell, as they are closed, whether the other side had ended them before. Once the
-// sending half of one has ended no time limits the reading of it, so that a busy machine does not matter.
+// trackingListener is a listener whose connections record, when they are closed, whether the peer had closed its side before. After
+// CloseWrite a connection ignores read deadlines, so that the tests do not depend on the speed of the machine.
 type trackingListener struct {
 	*net.TCPListener
 	conns chan *trackingConn
@@ -22,7 +22,7 @@
 	mu                  sync.Mutex
 	writeClosed, gotEOF bool
 	once                sync.Once
-	closed              chan bool // whether it had ended
+	closed              chan bool // receives gotEOF at the first Close
 }
 
 func newTrackingListener(t *testing.T) *trackingListener {
@@ -79,8 +79,8 @@
 	return err
 }
 
-// askOn has a request answered while more of it is still to come. What comes after the answer is read before the connection
-// is closed, since a close over it would reset the connection and could take the answer along.
+// sendWhileReading sends a request, reads its response and only then sends more bytes. The server must read those bytes before it closes
+// the connection, because a close with unread bytes resets the connection, and the reset could discard the response.
 func (l *trackingListener) sendWhileReading(t *testing.T, raw []byte) Reply {
 	t.Helper()
 	conn, err := net.Dial("tcp", l.Addr().String())
@@ -98,12 +98,12 @@
 		t.Fatal(err)
 	}
 	if _, err := r.ReadByte(); err != io.EOF {
-		t.Errorf("status %d: %v where the answer ends", a.Status, err)
+		t.Errorf("status %d: error %v after the response, want EOF", a.Status, err)
 	}
 	conn.Write([]byte("more"))
 	conn.(*net.TCPConn).CloseWrite()
 	if gotEOF := <-(<-l.conns).closed; !gotEOF {
-		t.Errorf("status %d: closed before the other side had ended", a.Status)
+		t.Errorf("status %d: the server closed the connection before the client did", a.Status)
 	}
 	return a
 }
--- a/internal/transport/scgi/front.go
+++ b/internal/transport/scgi/front.go
@@ -23,11 +23,11 @@
 	"silverpath/internal/transport/listener"
 )
 
-// Name is the front's name in counters and log lines.
+// Name is the name of this front in counters and log lines.
 const Name = "scgi"
 
-// The headers that a request is mapped from; a web front makes them of the HTTP headers X-Request-Class and so on, or sets them
-// itself. docs/scgi.md says what each means.
+// The SCGI headers that mapRequest evaluates. A web server derives them from the HTTP headers X-Request-Class and so on, or sets them
+// itself. docs/scgi.md defines each.
 const (
 	headerClass    = "HTTP_X_REQUEST_CLASS"
 	headerTenant   = "HTTP_X_TENANT"
@@ -38,57 +38,58 @@
 )
 
 const (
-	// writeTimeout is how long a web front may take nothing of its answer before it loses it.
+	// writeTimeout bounds the write of a response. A web server that does not read its response in this time does not get it.
 	writeTimeout = 2 * time.Second
-	// lingerTimeout and maxLingerBytes bound what is read of a client after an answer that did not wait for all that it sends: as much
-	// as a web front has buffered by then.
+	// lingerTimeout and maxLingerBytes bound the lingering close after a response that was sent before the whole request was read. They
+	// cover what a web server has buffered by then.
 	lingerTimeout  = time.Second
 	maxLingerBytes = 1 << 20
-	// maxTimeout bounds HTTP_X_TIMEOUT_MS; the platform's deadlines are seconds.
+	// maxTimeout bounds HTTP_X_TIMEOUT_MS. The platform's deadlines are a few seconds.
 	maxTimeout = time.Hour
-	// maxKeyBytes bounds an idempotency key, which is kept for the whole window.
+	// maxKeyBytes bounds an idempotency key, which is kept in memory for the whole key window.
 	maxKeyBytes = 128
 )
 
-// Front serves web fronts on a core.
+// Front serves the SCGI requests of web servers on a core.
 type Front struct {
-	core        *core.Core
-	cfg         settings.SCGI
-	log         *log.Logger
-	stats       *metrics.Counters
-	writeTiming *metrics.Timing
-	idSalt      uint64
-	seq         atomic.Uint64
+	core      *core.Core
+	cfg       settings.SCGI
+	log       *log.Logger
+	stats     *metrics.Counters
+	writeTime *metrics.Timing
+	salt      uint64
+	seq       atomic.Uint64
 }
 
-// New returns the front of a core. Request ids are made from the seed. Its Serve is given to a listener.
+// New returns an SCGI front for a core. The seed determines the request IDs. A listener calls Serve for each connection.
 func New(c *core.Core, cfg settings.SCGI, seed int64, l *log.Logger, s *metrics.Counters) *Front {
-	return &Front{core: c, cfg: cfg, log: l, stats: s, writeTiming: s.Timing("write", Name), idSalt: rand.New(rand.NewPCG(uint64(seed), 1)).Uint64()}
+	return &Front{core: c, cfg: cfg, log: l, stats: s, writeTime: s.Timing("write", Name), salt: rand.New(rand.NewPCG(uint64(seed), 1)).Uint64()}
 }
 
-// newID returns a request id of 16 hexadecimal digits that no other request of this process has.
+// newID returns a request ID of 16 hexadecimal digits that is unique in this front.
 func (f *Front) newID() string {
 	var b [8]byte
-	binary.BigEndian.PutUint64(b[:], f.idSalt^f.seq.Add(1)*0x9e3779b97f4a7c15) // odd factor: never twice
+	binary.BigEndian.PutUint64(b[:], f.salt^f.seq.Add(1)*0x9e3779b97f4a7c15) // the odd factor keeps the IDs distinct
 	return fmt.Sprintf("%x", b)
 }
 
-// rejection is the answer to a request that never reaches the core.
+// rejection is the response to a request that never reaches the core.
 type rejection struct {
-	status, text string // of the answer
-	counter      string // of its kind
+	status, text string // of the response
+	counter      string // the counter to increment
 }
 
-// Error returns the text of the answer.
+// Error returns the text of the response.
 func (r *rejection) Error() string { return r.text }
 
-// statusOf has the status of each outcome of the core.
+// statusOf maps each outcome of the core to the status of the response.
 var statusOf = map[core.Outcome]string{
 	core.Served: "200 OK", core.Rejected: "503 Service Unavailable", core.Failed: "502 Bad Gateway",
 	core.Expired: "504 Gateway Timeout", core.Invalid: "422 Unprocessable Content",
 }
 
-// Serve reads the one request of a connection, answers it and closes the connection.
+// Serve reads the request of a connection, answers it and closes the connection. It rejects a request by its headers alone if
+// rejectUnread reports so or if the stated size of the body is too large.
 func (f *Front) Serve(conn net.Conn, slot *listener.Slot) {
 	defer conn.Close()
 	r := bufferpool.GetReader(conn)
@@ -104,12 +105,12 @@
 	}
 	maxBody := f.core.MaxBody(f.cfg.MaxBody)
 	if class, known := f.class(m.headers); err == nil && known {
-		if class.Effect == silverpath.Idempotent { // it may be the repeat of one that has run, which is never rejected
+		if class.Effect == silverpath.Idempotent { // a retry of a request that has run is never rejected
 			maxBody = f.cfg.MaxBody
 		}
 		if a, rejected := f.rejectUnread(class, slot); rejected {
 			f.writeAnswer(conn, a)
-			if uint64(r.Buffered()) < m.size { // else all has come, and a plain close resets nothing
+			if uint64(r.Buffered()) < m.size { // otherwise the whole body has arrived, and a plain close causes no reset
 				linger.Close(conn, r, lingerTimeout, maxLingerBytes)
 			}
 			return
@@ -127,18 +128,19 @@
 		return
 	}
 	if !slot.BeginMessage() {
-		return // evicted as it came: nothing of it ran
+		return // the connection was evicted meanwhile, and the request never ran
 	}
 	conn.SetReadDeadline(time.Time{})
 	slot.SetInFlight(1)
-	f.awaitAnswer(conn, r, q, func() { // the slot may go to whoever has more need of it
+	f.awaitAnswer(conn, r, q, func() { // from here on the listener may evict the connection
 		slot.SetInFlight(0)
 		slot.EndMessage()
 	})
 }
 
-// rejectUnread reports whether a request is rejected by its headers alone, so that its body need not be read: the core takes none of
-// its class now, or the connection is one of the reserve's and the request no repeat.
+// rejectUnread reports whether a request is rejected by its headers alone, so that its body need not be read, and returns the answer. It
+// rejects a request if the core accepts none of its class at the moment, or if the connection belongs to the reserve and the class is
+// not idempotent.
 func (f *Front) rejectUnread(class silverpath.Class, slot *listener.Slot) (core.Answer, bool) {
 	a, rejected := f.core.RejectsUnread(Name, class.Name)
 	if !rejected && !slot.AdmitsWork() && class.Effect != silverpath.Idempotent {
@@ -148,7 +150,7 @@
 	return a, rejected
 }
 
-// reject answers what could not be read as a request. Who has closed the connection, or broken off, gets no answer.
+// reject responds to a request that could not be read or mapped. A client that closed or broke the connection gets no response.
 func (f *Front) reject(conn net.Conn, r *bufio.Reader, slot *listener.Slot, err error) {
 	var p *rejection
 	switch {
@@ -157,7 +159,7 @@
 		p = &rejection{"400 Bad Request", err.Error(), "malformed"}
 	case errors.Is(err, errTooLarge):
 		p = &rejection{"413 Content Too Large", err.Error(), "too_large"}
-	case errors.Is(err, io.EOF): // opened and closed again
+	case errors.Is(err, io.EOF): // closed without sending anything
 		return
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		p = &rejection{"408 Request Timeout", fmt.Sprintf("no whole request came within %v", listener.MessageTimeout), "too_slow"}
@@ -171,9 +173,9 @@
 	linger.Close(conn, r, lingerTimeout, maxLingerBytes)
 }
 
-// awaitAnswer leads one request through the core and watches meanwhile whether its caller leaves, which it does by closing its
-// connection; the run of an idempotent request goes on then, and a retry gets its result. OnWritten is called once the answer is
-// written.
+// awaitAnswer passes a request to the core and writes its answer. Meanwhile it reads from the connection to detect that the caller
+// closes it. The run of an idempotent request then goes on, and a retry gets its result. The function onWritten is called once the
+// answer is written.
 func (f *Front) awaitAnswer(conn net.Conn, r *bufio.Reader, q core.Request, onWritten func()) {
 	answered := make(chan struct{})
 	go f.core.Serve(q, func(a core.Answer) {
@@ -186,10 +188,10 @@
 		onWritten()
 	})
 	var err error
-	for n := 0; err == nil; n++ { // what comes after a request means nothing
+	for n := 0; err == nil; n++ { // bytes after the request are discarded
 		if _, err = r.Discard(1); n == maxLingerBytes {
 			f.stats.Inc("surplus", Name)
-			<-answered // its answer is still to come, and nothing more is read
+			<-answered // nothing more is read, but the answer is still written
 			return
 		}
 	}
@@ -206,7 +208,7 @@
 	f.core.CallerGone(q.ID)
 }
 
-// writeAnswer writes the answer of the core.
+// writeAnswer writes an answer of the core as a response. A rejection gets a Retry-After header of at least 1 s.
 func (f *Front) writeAnswer(conn net.Conn, a core.Answer, headers ...string) {
 	if a.Outcome == core.Rejected {
 		retryAfter := max(1, int64((a.RetryAfter+time.Second-1)/time.Second))
@@ -222,7 +224,7 @@
 	f.write(conn, statusOf[a.Outcome], body, contentType, headers...)
 }
 
-// write writes an answer, with headers given as name and value in turn.
+// write writes a response. Headers are alternating names and values. A failed write is only counted.
 func (f *Front) write(conn net.Conn, status string, body []byte, contentType string, headers ...string) {
 	b := bufferpool.Get()
 	defer bufferpool.Put(b)
@@ -230,7 +232,7 @@
 	conn.SetWriteDeadline(time.Now().Add(writeTimeout))
 	startedAt := time.Now()
 	_, err := conn.Write(*b)
-	f.writeTiming.Record(time.Since(startedAt))
+	f.writeTime.Record(time.Since(startedAt))
 	if err != nil {
 		f.stats.Inc("write_failed", Name)
 	}
--- a/internal/transport/scgi/message.go
+++ b/internal/transport/scgi/message.go
@@ -1,8 +1,8 @@
-// Package scgi is the second front: it serves web fronts that speak SCGI, and calls application servers that do (Upstream). The
-// protocol is that of "SCGI: A Simple Common Gateway Interface alternative" (Neil Schemenauer): a netstring of headers, then a
-// body; one request on a connection, and an answer as CGI gives it.
+// Package scgi implements the SCGI protocol on both sides: Front serves requests of web servers, and Upstream runs requests on an SCGI
+// application server. The protocol is defined in "SCGI: A Simple Common Gateway Interface alternative" (Neil Schemenauer). A connection
+// carries one request, which is a netstring of headers followed by a body, and a response in the format of CGI.
 //
-// docs/scgi.md has the mapping between SCGI's headers and a request.
+// docs/scgi.md defines the mapping between SCGI headers and a request.
 package scgi
 
 import (
@@ -15,17 +15,18 @@
 )
 
 const (
-	maxHeaderBytes = 8 << 10 // of the netstring: a web front's own bound on HTTP headers
-	maxHeaders     = 128     // of a request, or of an answer
+	maxHeaderBytes = 8 << 10 // of the netstring; web servers bound HTTP headers by the same size
+	maxHeaders     = 128     // of a request or of a response
 )
 
-// Errors of a peer that speaks something else, or beyond the bounds: a client gets a status for each, an application server's run fails.
+// Errors for input that violates the protocol or exceeds a bound. On the front each maps to a status of the response. On the upstream
+// they fail the run.
 var (
 	errMalformed = errors.New("malformed request")
 	errTooLarge  = errors.New("request too large")
 )
 
-// malformed returns an errMalformed that says what is wrong.
+// malformed returns an error that wraps errMalformed and adds details.
 func malformed(format string, args ...any) error {
 	return fmt.Errorf("%w: %s", errMalformed, fmt.Sprintf(format, args...))
 }
@@ -33,11 +34,12 @@
 // message is one SCGI request.
 type message struct {
 	headers map[string]string
-	size    uint64 // of the body, as the headers have it
+	size    uint64 // of the body, from CONTENT_LENGTH
 	body    []byte
 }
 
-// readMessage reads a request whose body has at most the given size. io.EOF means that nothing was sent.
+// readMessage reads a request whose body has at most maxBody bytes. It returns io.EOF if the peer closed the connection without sending
+// anything, and an error that wraps errMalformed or errTooLarge for invalid input.
 func readMessage(r *bufio.Reader, maxBody int) (message, error) {
 	m, err := readHead(r)
 	if err == nil {
@@ -46,7 +48,8 @@
 	return m, err
 }
 
-// readHead reads a request's headers, which are enough to refuse it by.
+// readHead reads the headers of a request, so that it can be rejected before its body is read. It returns io.EOF if the peer closed the
+// connection without sending anything.
 func readHead(r *bufio.Reader) (message, error) {
 	var m message
 	if _, err := r.Peek(1); err != nil {
@@ -59,7 +62,8 @@
 	return m, unexpectedEOF(err)
 }
 
-// readBody reads the body that follows the headers.
+// readBody reads the body that follows the headers. It returns errTooLarge, before it allocates memory, if the stated size exceeds
+// maxBody.
 func (m *message) readBody(r *bufio.Reader, maxBody int) error {
 	if m.size > uint64(maxBody) {
 		return fmt.Errorf("%w: a body of %d bytes", errTooLarge, m.size)
@@ -69,7 +73,7 @@
 	return unexpectedEOF(err)
 }
 
-// unexpectedEOF makes the end of a stream within a request an io.ErrUnexpectedEOF, to tell it from one before it.
+// unexpectedEOF converts io.EOF to io.ErrUnexpectedEOF, which distinguishes a truncated request from a connection without a request.
 func unexpectedEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
@@ -77,7 +81,7 @@
 	return err
 }
 
-// readNetstring reads LENGTH ":" BYTES ",".
+// readNetstring reads a netstring, LENGTH ":" BYTES ",", of at most maxHeaderBytes and returns BYTES.
 func readNetstring(r *bufio.Reader) ([]byte, error) {
 	n := 0
 	for i := 0; ; i++ {
@@ -105,7 +109,7 @@
 	return v[:n], nil
 }
 
-// parse splits the headers and returns the length of the body.
+// parse parses the block of headers into m.headers and returns the length of the body.
 func (m *message) parse(block []byte) (size uint64, err error) {
 	m.headers = map[string]string{}
 	rest := string(block)
@@ -141,7 +145,7 @@
 	return size, nil
 }
 
-// appendMessage appends a request with the headers given as name and value in turn.
+// appendMessage appends a request to b. Headers are alternating names and values, and follow CONTENT_LENGTH and SCGI.
 func appendMessage(b, body []byte, headers ...string) []byte {
 	fields := append([]string{"CONTENT_LENGTH", strconv.Itoa(len(body)), "SCGI", "1"}, headers...)
 	n := 0
@@ -155,7 +159,7 @@
 	return append(append(b, ','), body...)
 }
 
-// appendResponse appends an answer with the headers given as name and value in turn.
+// appendResponse appends a response to b. Headers are alternating names and values.
 func appendResponse(b []byte, status string, body []byte, contentType string, headers ...string) []byte {
 	b = fmt.Appendf(b, "Status: %s\r\nContent-Type: %s\r\nContent-Length: %d\r\n", status, contentType, len(body))
 	for i := 0; i < len(headers); i += 2 {
@@ -164,15 +168,15 @@
 	return append(append(b, "\r\n"...), body...)
 }
 
-// response is an application server's answer.
+// response is the response of an application server.
 type response struct {
 	status  int
 	headers map[string]string // names in lower case
 	body    []byte
 }
 
-// readResponse reads an answer as CGI gives it: headers, an empty line, and a body to the end of the stream or to the length stated.
-// Without a Status the status is 200. A body cut short is an error, never a result.
+// readResponse reads a response in the format of CGI: headers, an empty line, and a body that extends to Content-Length or, without that
+// header, to the end of the stream. Without a Status header the status is 200. A body shorter than Content-Length is an error.
 func readResponse(r *bufio.Reader, maxBody int) (response, error) {
 	headers, err := readResponseHeaders(r)
 	if err != nil {
@@ -182,38 +186,39 @@
 	if s, ok := headers["status"]; ok {
 		code, _, _ := strings.Cut(s, " ")
 		if a.status, err = strconv.Atoi(code); err != nil || a.status < 100 || a.status > 599 {
-			return a, malformed("the answer's Status is %q", s)
+			return a, malformed("invalid response header Status %q", s)
 		}
 	}
 	if s, ok := headers["content-length"]; ok {
 		n, err := strconv.Atoi(s)
 		if err != nil || n < 0 || n > maxBody {
-			return a, malformed("the answer's Content-Length is %q", s)
+			return a, malformed("invalid or excessive response header Content-Length %q", s)
 		}
 		a.body = make([]byte, n)
 		if _, err := io.ReadFull(r, a.body); err != nil {
-			return a, fmt.Errorf("reading the body of the answer: %w", err)
+			return a, fmt.Errorf("reading the response body: %w", err)
 		}
 		return a, nil
 	}
 	body, err := io.ReadAll(io.LimitReader(r, int64(maxBody)+1))
 	if err != nil {
-		return a, fmt.Errorf("reading the body of the answer: %w", err)
+		return a, fmt.Errorf("reading the response body: %w", err)
 	}
 	if len(body) > maxBody {
-		return a, malformed("the answer's body has over %d bytes", maxBody)
+		return a, malformed("response body of more than %d bytes", maxBody)
 	}
 	a.body = body
 	return a, nil
 }
 
-// readResponseHeaders reads the headers of an answer, up to the empty line, with names in lower case. There is at least one.
+// readResponseHeaders reads the headers of a response up to the empty line and returns them with names in lower case. A response without
+// headers is an error.
 func readResponseHeaders(r *bufio.Reader) (map[string]string, error) {
 	headers := map[string]string{}
 	for i := 0; ; i++ {
 		line, err := r.ReadSlice('\n')
 		if err != nil {
-			return nil, fmt.Errorf("reading the headers of the answer: %w", err)
+			return nil, fmt.Errorf("reading the response headers: %w", err)
 		}
 		text := strings.TrimRight(string(line), "\r\n")
 		if text == "" {
@@ -221,12 +226,12 @@
 		}
 		name, value, ok := strings.Cut(text, ":")
 		if !ok || name == "" || i == maxHeaders {
-			return nil, malformed("%q where a header of the answer belongs", text)
+			return nil, malformed("invalid or surplus response header line %q", text)
 		}
 		headers[strings.ToLower(name)] = strings.TrimSpace(value)
 	}
 	if len(headers) == 0 {
-		return nil, malformed("an answer without headers")
+		return nil, malformed("response without headers")
 	}
 	return headers, nil
 }
--- a/internal/transport/scgi/message_test.go
+++ b/internal/transport/scgi/message_test.go
@@ -24,7 +24,7 @@
 	"silverpath/internal/transport/listener"
 )
 
-// specimen is the example of the protocol's specification.
+// specExample is the example request in the specification of the protocol.
 const specExample = "70:CONTENT_LENGTH\x0027\x00SCGI\x001\x00REQUEST_METHOD\x00POST\x00REQUEST_URI\x00/deepthought\x00," +
 	"What is the answer to life?"
 
@@ -37,15 +37,15 @@
 	}
 	got := appendMessage(nil, m.body, "REQUEST_METHOD", "POST", "REQUEST_URI", "/deepthought")
 	if string(got) != specExample {
-		t.Fatalf("written as %q", got)
+		t.Fatalf("encoded as %q, want the example", got)
 	}
 }
 
-// A request cut anywhere is never taken for a whole one.
+// A request that is truncated at any byte is never accepted as complete.
 func TestCuts(t *testing.T) {
 	for n := 1; n < len(specExample); n++ {
 		if _, err := read(specExample[:n]); !errors.Is(err, io.ErrUnexpectedEOF) {
-			t.Fatalf("cut at %d: %v", n, err)
+			t.Fatalf("truncated to %d bytes: error %v, want io.ErrUnexpectedEOF", n, err)
 		}
 	}
 }
@@ -57,30 +57,30 @@
 		in   string
 		want error
 	}{
-		"no length":              {":,", errMalformed},
-		"a length with a sign":   {"-1:,", errMalformed},
-		"a leading zero":         {"01:x,", errMalformed},
-		"no comma":               {"1:xy", errMalformed},
-		"no headers":             {"0:,", errMalformed},
-		"no end of a header":     {netstring("CONTENT_LENGTH\x000"), errMalformed},
-		"SCGI first":             {netstring("SCGI\x001\x00CONTENT_LENGTH\x000\x00"), errMalformed},
-		"no SCGI":                {netstring("CONTENT_LENGTH\x000\x00"), errMalformed},
-		"SCGI of 2":              {netstring("CONTENT_LENGTH\x000\x00SCGI\x002\x00"), errMalformed},
-		"CONTENT_LENGTH empty":   {netstring("CONTENT_LENGTH\x00\x00SCGI\x001\x00"), errMalformed},
-		"CONTENT_LENGTH signed":  {netstring("CONTENT_LENGTH\x00+1\x00SCGI\x001\x00"), errMalformed},
-		"a header twice":         {netstring("CONTENT_LENGTH\x000\x00SCGI\x001\x00A\x001\x00A\x002\x00"), errMalformed},
-		"a header with no name":  {netstring("CONTENT_LENGTH\x000\x00SCGI\x001\x00\x00x\x00"), errMalformed},
-		"a netstring of 1 GB":    {"1000000000:", errTooLarge},
-		"a body over the limit":  {netstring("CONTENT_LENGTH\x00101\x00SCGI\x001\x00"), errTooLarge},
-		"a body beyond a number": {netstring("CONTENT_LENGTH\x00" + strings.Repeat("9", 30) + "\x00SCGI\x001\x00"), errTooLarge},
+		"no length":               {":,", errMalformed},
+		"a length with a sign":    {"-1:,", errMalformed},
+		"a leading zero":          {"01:x,", errMalformed},
+		"no comma":                {"1:xy", errMalformed},
+		"no headers":              {"0:,", errMalformed},
+		"unterminated header":     {netstring("CONTENT_LENGTH\x000"), errMalformed},
+		"SCGI first":              {netstring("SCGI\x001\x00CONTENT_LENGTH\x000\x00"), errMalformed},
+		"no SCGI":                 {netstring("CONTENT_LENGTH\x000\x00"), errMalformed},
+		"SCGI version 2":          {netstring("CONTENT_LENGTH\x000\x00SCGI\x002\x00"), errMalformed},
+		"CONTENT_LENGTH empty":    {netstring("CONTENT_LENGTH\x00\x00SCGI\x001\x00"), errMalformed},
+		"CONTENT_LENGTH signed":   {netstring("CONTENT_LENGTH\x00+1\x00SCGI\x001\x00"), errMalformed},
+		"a header twice":          {netstring("CONTENT_LENGTH\x000\x00SCGI\x001\x00A\x001\x00A\x002\x00"), errMalformed},
+		"a header with no name":   {netstring("CONTENT_LENGTH\x000\x00SCGI\x001\x00\x00x\x00"), errMalformed},
+		"a netstring of 1 GB":     {"1000000000:", errTooLarge},
+		"a body over the limit":   {netstring("CONTENT_LENGTH\x00101\x00SCGI\x001\x00"), errTooLarge},
+		"a length that overflows": {netstring("CONTENT_LENGTH\x00" + strings.Repeat("9", 30) + "\x00SCGI\x001\x00"), errTooLarge},
 	} {
 		if _, err := read(c.in); !errors.Is(err, c.want) {
-			t.Errorf("%s: %v, want %v", name, err, c.want)
+			t.Errorf("%s: error %v, want %v", name, err, c.want)
 		}
 	}
 }
 
-// Garbage, from a fixed seed, ends in an error or a request within its bounds.
+// A randomly corrupted request (fixed seed) leads to an error or to a request within its bounds.
 func TestGarbage(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(3, 4))
 	for range 20000 {
@@ -89,7 +89,7 @@
 			b[rnd.IntN(len(b))] = byte(rnd.Uint32())
 		}
 		if m, err := read(string(b)); err == nil && len(m.body) > 100 {
-			t.Fatalf("body of %d bytes", len(m.body))
+			t.Fatalf("accepted a body of %d bytes, limit 100", len(m.body))
 		}
 	}
 }
@@ -106,7 +106,7 @@
 	f.Fuzz(func(t *testing.T, in string) {
 		m, err := read(in)
 		if err == nil && (len(m.body) > 100 || len(m.headers) > maxHeaders || m.headers["SCGI"] != "1") {
-			t.Fatal("a request beyond its bounds")
+			t.Fatal("accepted a request that exceeds its bounds")
 		}
 	})
 }
@@ -120,7 +120,7 @@
 	f.Fuzz(func(t *testing.T, in string) {
 		a, err := readResponse(bufio.NewReader(strings.NewReader(in)), 100)
 		if err == nil && (len(a.body) > 100 || a.status < 100 || a.status > 599) {
-			t.Fatal("an answer beyond its bounds")
+			t.Fatal("accepted a response that exceeds its bounds")
 		}
 	})
 }
@@ -133,7 +133,8 @@
 	},
 }
 
-// application is a stand-in application server; it does with each connection what the test says.
+// startApplicationServer starts a stand-in application server and returns its address. It calls serve with the request of each
+// connection.
 func startApplicationServer(t *testing.T, serve func(m message, conn net.Conn)) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -158,7 +159,7 @@
 	return ln.Addr().String()
 }
 
-// edge is a whole service on loopback sockets: the front, the core, and an application server behind.
+// startService starts a front and a core that use the application server at upstreamAddr, and returns the address of the front.
 func startService(t *testing.T, upstreamAddr string, timeout time.Duration) (addr string, c *core.Core, counters *metrics.Counters) {
 	t.Helper()
 	quiet := log.New(io.Discard, "", 0)
@@ -196,7 +197,7 @@
 	return ReadReply(bufio.NewReader(conn))
 }
 
-// Every outcome has its status, over real sockets from the web front to the application server and back.
+// Each outcome leads to its status. The requests go over real sockets from a web server to the application server and back.
 func TestStatuses(t *testing.T) {
 	upstream := startApplicationServer(t, func(m message, conn net.Conn) {
 		switch string(m.body) {
@@ -242,8 +243,8 @@
 	}
 }
 
-// A connection to the application server that breaks proves nothing, so the effect is not run again; one that
-// is refused proves that nothing ran, so the next try may.
+// A broken connection to the application server does not prove that nothing ran, so a retry does not run again. A refused connection
+// proves it, so a retry does run.
 func TestBrokenUpstream(t *testing.T) {
 	runs := make(chan string, 10)
 	upstream := startApplicationServer(t, func(m message, conn net.Conn) { runs <- m.headers["HTTP_X_REQUEST_ID"] })
@@ -255,7 +256,7 @@
 		}
 	}
 	if n := len(runs); n != 1 {
-		t.Fatalf("run %d times", n)
+		t.Fatalf("the application server received %d runs, want 1", n)
 	}
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -269,11 +270,11 @@
 		}
 	}
 	if n := counters.Get("upstream", "unreachable"); n != 2 {
-		t.Fatalf("tried %d times, want 2: a refused connection ran nothing", n)
+		t.Fatalf("%d attempts to connect, want 2: after a refused connection the retry may run", n)
 	}
 }
 
-// A caller that closes only its sending half is answered where the operator says that callers do so.
+// With half_close set, a caller that has closed only its sending half still gets its answer. Without it the caller counts as gone.
 func TestHalfClose(t *testing.T) {
 	for _, halfClose := range []bool{true, false} {
 		clientConn, serverConn := net.Pipe()
@@ -294,7 +295,7 @@
 		}
 		go func() {
 			defer close(done)
-			f.awaitAnswer(serverConn, bufio.NewReader(strings.NewReader("")), q, func() {}) // the sending half has ended
+			f.awaitAnswer(serverConn, bufio.NewReader(strings.NewReader("")), q, func() {}) // the caller has closed its sending half
 		}()
 		id := <-started
 		if halfClose {
@@ -305,7 +306,7 @@
 		}
 		<-done
 		if n := counters.Get("dropped", Name); (n == 1) == halfClose {
-			t.Fatalf("half_close %v: %d counted as dropped", halfClose, n)
+			t.Fatalf("half_close %v: %d requests counted as dropped", halfClose, n)
 		}
 		c.Stop()
 	}
@@ -326,14 +327,15 @@
 	for range 10000 {
 		id := f.newID()
 		if len(id) != 16 || seen[id] {
-			t.Fatalf("id %q", id)
+			t.Fatalf("request ID %q is not unique or not 16 characters long", id)
 		}
 		seen[id] = true
 	}
 }
 
-// A flood of a class is turned away by its headers: the body that was announced is neither waited for nor read, and the
-// state of the service is told where it is to be. What still comes then, and after what can't be read, is read before the close.
+// Under a flood of requests of one class, further ones are rejected by their headers, without waiting for the body. After such a
+// rejection, after a status request and after a malformed request, the server reads what the client still sends before it closes the
+// connection.
 func TestRefusedByItsHeaders(t *testing.T) {
 	c, err := core.New(core.Config{Settings: testSettings, MemoryMB: 32, Log: log.New(io.Discard, "", 0), Status: true,
 		Pools: &admission.Config{Pools: []admission.Pool{{Name: "all", Weight: 1}}}})
@@ -358,7 +360,7 @@
 	}
 	head := bytes.TrimSuffix(AppendRequest(nil, bytes.Repeat([]byte("x"), 60), "PATH_INFO", "/lestvica"), bytes.Repeat([]byte("x"), 60))
 	for deadline := time.Now().Add(20 * time.Second); ; {
-		now := time.Now() // a flood: far more than two cores can do by their due time
+		now := time.Now() // far more requests than two cores can run before the deadline
 		for i := range 2000 {
 			go c.Serve(core.Request{Front: "test", ID: fmt.Sprint(now.UnixNano(), i), Class: "lestvica", MemoryKB: 1, ReceivedAt: now,
 				Deadline: now.Add(200 * time.Millisecond)}, func(core.Answer) {})
@@ -373,7 +375,7 @@
 	}
 }
 
-// Bodies of 60 MB are refused by the length that they state, while they still come, and take no memory here.
+// Bodies of 60 MB are rejected by their stated length while they are still being sent. No memory is allocated for them.
 func TestHugeBodiesTakeNoMemory(t *testing.T) {
 	addr, _, _ := startService(t, startApplicationServer(t, func(message, net.Conn) {}), 30*time.Second)
 	var before, after runtime.MemStats
@@ -406,11 +408,12 @@
 	wg.Wait()
 	runtime.ReadMemStats(&after)
 	if allocated := int64(after.TotalAlloc - before.TotalAlloc); allocated > 8<<20 {
-		t.Errorf("%d KB were allocated for eight bodies of 60 MB", allocated>>10)
+		t.Errorf("%d KB were allocated for eight bodies of 60 MB, limit 8 MB", allocated>>10)
 	}
 }
 
-// While memory is short large bodies are turned away, but not those of sheets: a repeat of one that has run is not refused.
+// While memory is short, large bodies are rejected, except those of an idempotent class: the retry of a request that has run must not be
+// rejected.
 func TestLargeBodiesWhileMemoryIsShort(t *testing.T) {
 	c, err := core.New(core.Config{Settings: testSettings, MemoryMB: 64, Log: log.New(io.Discard, "", 0),
 		Pools: &admission.Config{Pools: []admission.Pool{{Name: "all", Weight: 1}}}})
@@ -436,18 +439,18 @@
 	}
 	for deadline := time.Now().Add(20 * time.Second); c.MaxBody(64) != 16; time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatal("memory is not short")
+			t.Fatal("the body limit is not reduced although memory is short")
 		}
 	}
 	if a, err := sendRequest(t, ln.Addr().String(), AppendRequest(nil, bytes.Repeat([]byte("x"), 60), "PATH_INFO", "/lestvica")); err != nil || a.Status != 413 {
-		t.Errorf("a read: %+v, %v", a, err)
+		t.Errorf("request of a class that is not idempotent: %+v, error %v; want status 413", a, err)
 	}
 	if a, err := sendRequest(t, ln.Addr().String(), keyedRequest); err != nil || a.Status != 200 || string(a.Body) != "scored" {
-		t.Errorf("the repeat of a sheet: %+v, %v", a, err)
+		t.Errorf("retry of an idempotent request: %+v, error %v; want status 200", a, err)
 	}
 }
 
-// short is a runner on a machine whose memory is full.
+// lowMemoryRunner is a runner that reports a memory use of 85 %.
 type lowMemoryRunner struct{ manualRunner }
 
 func (s lowMemoryRunner) Probe() { s.core.Gauges(silverpath.Gauges{Memory: 0.85}) }
--- a/internal/transport/scgi/request.go
+++ b/internal/transport/scgi/request.go
@@ -13,7 +13,8 @@
 	"silverpath/internal/core"
 )
 
-// mapRequest maps the headers to a request of the core. An error is the rejection of the first header that is no good.
+// mapRequest converts a received message to a request of the core. Its error is a *rejection for an unknown class or for the first
+// invalid header.
 func (f *Front) mapRequest(m message, now time.Time, peer net.Addr) (core.Request, error) {
 	class, known := f.class(m.headers)
 	if !known {
@@ -47,7 +48,8 @@
 	return q, nil
 }
 
-// timeout is how long the caller waits from the reading of its request: by its header, else by scgi.deadline_ms, else by its class.
+// timeout returns how long the caller waits after its request was read: the value of its header, else scgi.deadline_ms, else the
+// deadline of its class.
 func (f *Front) timeout(headers map[string]string, class silverpath.Class) (time.Duration, error) {
 	v, ok := headers[headerDeadline]
 	switch {
@@ -63,15 +65,15 @@
 	return class.Deadline, nil
 }
 
-// badHeader is the rejection of a header that can't be read or is out of its bounds.
+// invalidHeader returns the rejection of a request whose header of the given name is malformed or out of bounds.
 func invalidHeader(headers map[string]string, name string) error {
 	return &rejection{"400 Bad Request", fmt.Sprintf("%s is %q", name, headers[name]), "bad_header"}
 }
 
-// statusPath asks for the state of the service, where the edge file switches that on and no class has that name.
+// statusPath is the path that returns the state of the service if the settings enable it and no class is named "status".
 const statusPath = "/status"
 
-// asksStatus reports whether a request is for the state of the service.
+// isStatusRequest reports whether a request asks for the state of the service.
 func (f *Front) isStatusRequest(h map[string]string) bool {
 	if h["PATH_INFO"] != statusPath || h[headerClass] != "" || !f.core.ServesStatus() {
 		return false
@@ -80,7 +82,8 @@
 	return !known
 }
 
-// class finds the class: the header, else the path's first part, else the configured one.
+// class returns the class of a request and whether it exists. The class is named by the header, else by the first segment of the path,
+// else by the settings. For an unknown class only Name is set.
 func (f *Front) class(h map[string]string) (silverpath.Class, bool) {
 	name := h[headerClass]
 	if name == "" {
@@ -100,7 +103,8 @@
 	return class, known
 }
 
-// callerOf numbers a caller by its address, the web front's own where it names none.
+// callerFromAddr derives a caller number from the address of the caller. If addr is empty it uses the address of the connection's peer,
+// which is the web server.
 func callerFromAddr(addr string, peer net.Addr) int {
 	if addr == "" && peer != nil {
 		addr, _, _ = net.SplitHostPort(peer.String())
--- a/internal/transport/scgi/upstream.go
+++ b/internal/transport/scgi/upstream.go
@@ -18,22 +18,23 @@
 )
 
 const (
-	// maxResult bounds a result, in bytes, as on the MessagePack-RPC front.
+	// maxResultBytes bounds the result of a run. The MessagePack-RPC front has the same bound.
 	maxResultBytes = 64 << 10
-	// dialTimeout is how long an application server may take for a connection: it is next door, and a refused one proves more.
+	// dialTimeout bounds connecting to the application server. It is short because the server is nearby and a refused connection,
+	// unlike a timeout, proves that nothing ran.
 	dialTimeout = time.Second
 )
 
-// Events is what an Upstream reports runs to: the core.
+// Events receives the events of an Upstream. The core implements it.
 type Events interface {
 	RunnerReady()
 	RunEnded(id string, o silverpath.Outcome, spent time.Duration, result []byte)
-	// Gauges tells the readings that Probe asked for.
+	// Gauges reports the readings that Probe requested.
 	Gauges(g silverpath.Gauges)
 }
 
-// Upstream is a core.Runner for sites whose work is done by an SCGI application server: one connection for each run. Such a server
-// tells nothing of its cores, so that the gauges are what is seen from here: the runs under way, for each core of the settings.
+// Upstream is a core.Runner that executes runs on an SCGI application server, with one connection for each run. Such a server does not
+// report its load, so Upstream estimates the gauges from the number of runs in progress and the configured number of cores.
 type Upstream struct {
 	addr        string
 	cores       int
@@ -42,7 +43,7 @@
 	log         *log.Logger
 	stats       *metrics.Counters
 	dial        func(ctx context.Context, network, addr string) (net.Conn, error)
-	connections chan struct{} // has a token for each connection in use
+	connections chan struct{} // semaphore: one token for each connection in use
 
 	mu      sync.Mutex
 	running int
@@ -50,8 +51,8 @@
 
 var _ core.Runner = (*Upstream)(nil)
 
-// NewUpstream returns a runner on the application server at addr, with at most the given number of connections.
-// A run that has no answer after the timeout is taken to have failed.
+// NewUpstream returns a runner that uses the application server at addr over at most maxConns connections. A run without a complete
+// response after the timeout fails.
 func NewUpstream(addr string, cores, maxConns int, timeout time.Duration, events Events, l *log.Logger, s *metrics.Counters) *Upstream {
 	return &Upstream{
 		addr: addr, cores: max(1, cores), timeout: timeout, events: events, log: l, stats: s,
@@ -59,10 +60,10 @@
 	}
 }
 
-// ReportUp tells the core that runs can be started: there is no link to wait for. It returns at once.
+// ReportUp reports to the core that runs can be started. It returns at once, because there is no link to establish first.
 func (u *Upstream) ReportUp(context.Context) { u.events.RunnerReady() }
 
-// Run starts a run of a request; Ended tells its end.
+// Run starts a run of a request and returns at once. Events.RunEnded reports the end of the run.
 func (u *Upstream) Run(id, class string, body []byte) {
 	u.mu.Lock()
 	u.running++
@@ -77,10 +78,10 @@
 	}()
 }
 
-// Resume is never called: an application server's runs wait for no call below.
+// Resume is never called, because the runs of an application server make no calls to a lower tier through the core.
 func (u *Upstream) Resume(string, []byte) {}
 
-// Probe reports the gauges.
+// Probe reports the gauges with Events.Gauges.
 func (u *Upstream) Probe() {
 	u.mu.Lock()
 	n := float64(u.running)
@@ -88,8 +89,8 @@
 	u.events.Gauges(silverpath.Gauges{CPU: min(1, n/float64(u.cores)), OnCores: n, Connections: n})
 }
 
-// run makes one request of the application server. Ignored says that nothing ran for certain, so that a later attempt may run; after
-// any other failure the effect may have taken place.
+// run sends one request to the application server and returns its outcome and result. The outcome NotStarted proves that nothing ran,
+// so a later attempt may run. After any other failure the effect may have taken place.
 func (u *Upstream) run(id, class string, body []byte) (silverpath.Outcome, []byte) {
 	u.connections <- struct{}{}
 	defer func() { <-u.connections }()
@@ -100,7 +101,7 @@
 		u.stats.Inc("upstream", "unreachable")
 		events.Log(u.log, "upstream.unreachable", err)
 		if errors.Is(err, syscall.ECONNREFUSED) {
-			return silverpath.NotStarted, nil // proof that nothing ran
+			return silverpath.NotStarted, nil // a refused connection proves that nothing ran
 		}
 		return silverpath.Failed, nil
 	}
@@ -108,7 +109,7 @@
 	a, err := u.exchange(conn, id, class, body)
 	switch {
 	case err != nil:
-		// A connection that breaks proves nothing: the effect may have taken place.
+		// A broken connection does not prove that nothing ran: the effect may have taken place.
 		u.stats.Inc("upstream", "broken")
 		events.Log(u.log, "upstream.broken", id, err)
 		return silverpath.Failed, nil
@@ -119,7 +120,7 @@
 	return silverpath.OK, a.body
 }
 
-// exchange writes the request of a run and reads the answer, within the timeout.
+// exchange writes the request of a run and reads the response, within the timeout.
 func (u *Upstream) exchange(conn net.Conn, id, class string, body []byte) (response, error) {
 	conn.SetDeadline(time.Now().Add(u.timeout))
 	b := bufferpool.Get()
