--- a/internal/transport/simulator/decode.go
+++ b/internal/transport/simulator/decode.go
@@ -11,14 +11,15 @@
 	"silverpath/internal/settings"
 )
 
-// message is one line, split into its name and values.
+// message is one line of input, split into the message name and its fields.
 type message struct {
 	line   int
 	name   string
 	fields map[string]string
 }
 
-// splitLine parses one line. The value of a text field (params) extends to the end of the line.
+// splitLine parses one line into a message. The value of the field params is JSON and extends to the end of the line. A field without a
+// name or a duplicate field is an error.
 func splitLine(number int, line string) (message, error) {
 	name, rest, more := strings.Cut(line, "\t")
 	m := message{line: number, name: name, fields: map[string]string{}}
@@ -44,26 +45,26 @@
 }
 
 const (
-	// maxMicroseconds is the longest time that fits a Duration, in microseconds.
+	// maxMicroseconds is the longest duration, in microseconds, that fits a time.Duration.
 	maxMicroseconds = math.MaxInt64 / int64(time.Microsecond)
-	// maxNumber keeps sums of a few numbers finite.
+	// maxNumber bounds a number so that sums of a few of them stay finite.
 	maxNumber = 1e300
 )
 
-// decoder reads the fields of a message and keeps the first error.
+// decoder reads the fields of a message and keeps the first error. The results of its methods are valid only while err is nil.
 type decoder struct {
 	message
 	err error
 }
 
-// fail keeps an error that names the line, the message and the field, if there is none yet.
+// fail records an error that names the line, the message and the field. It does nothing if an error is already recorded.
 func (d *decoder) fail(field, reason string) {
 	if d.err == nil {
 		d.err = fmt.Errorf("line %d: %s: field %s: %s", d.line, d.name, field, reason)
 	}
 }
 
-// text returns a field that must be there.
+// requiredText returns a text field. A missing or empty field is an error.
 func (d *decoder) requiredText(field string) string {
 	v, ok := d.fields[field]
 	if !ok || v == "" {
@@ -72,7 +73,7 @@
 	return v
 }
 
-// optional returns a field that may be absent or 0, which means the same.
+// optionalText returns a text field, or "" if it is absent or "0".
 func (d *decoder) optionalText(field string) string {
 	if v := d.fields[field]; v != "0" {
 		return v
@@ -80,7 +81,7 @@
 	return ""
 }
 
-// integer returns a whole number, 0 where the field is absent.
+// integer returns an integer field, or 0 if it is absent and not required.
 func (d *decoder) integer(field string, required bool) int64 {
 	v, ok := d.fields[field]
 	if !ok {
@@ -96,7 +97,7 @@
 	return n
 }
 
-// duration returns a time in microseconds as a Duration.
+// duration returns a field in microseconds as a time.Duration, or 0 if it is absent and not required. A negative value is an error.
 func (d *decoder) duration(field string, required bool) time.Duration {
 	n := d.integer(field, required)
 	if n < 0 || n > maxMicroseconds {
@@ -106,7 +107,7 @@
 	return time.Duration(n) * time.Microsecond
 }
 
-// number returns a number of 0 or more, 0 where the field is absent.
+// number returns a non-negative decimal field, or 0 if it is absent and not required.
 func (d *decoder) number(field string, required bool) float64 {
 	v, ok := d.fields[field]
 	if !ok {
@@ -123,7 +124,7 @@
 	return f
 }
 
-// flag returns a bool, false where the field is absent.
+// flag returns a boolean field, or false if it is absent.
 func (d *decoder) flag(field string) bool {
 	switch v := d.fields[field]; v {
 	case "", "0":
@@ -136,14 +137,14 @@
 	}
 }
 
-// outcomes are the wire's names of outcomes.
+// outcomes maps the names of outcomes on the wire to those of the module.
 var outcomes = map[string]silverpath.Outcome{
 	"Ok": silverpath.OK, "Failed": silverpath.Failed, "QueueFull": silverpath.Overloaded,
 	"TimedOut": silverpath.TimedOut, "ConnectError": silverpath.Unreachable, "ResetByPeer": silverpath.Disconnected,
 	"Canceled": silverpath.Canceled, "Ignored": silverpath.NotStarted,
 }
 
-// outcome returns how a run or a call ended.
+// outcome returns the outcome of a run or a call from the field state_code.
 func (d *decoder) outcome() silverpath.Outcome {
 	v := d.requiredText("state_code")
 	o, ok := outcomes[v]
@@ -153,7 +154,7 @@
 	return o
 }
 
-// request returns an attempt that was just read: here the wire's names become the module's.
+// request returns the attempt that a SUBMIT message describes. It maps the field names of the wire to those of the module.
 func (d *decoder) request() silverpath.Request {
 	return silverpath.Request{
 		ID:           d.requiredText("corr"),
@@ -171,7 +172,7 @@
 	}
 }
 
-// gauges reads the values of a timer, ordered as the settings named them.
+// gauges returns the readings of a TIMER message. The field metrics lists them in the order of names, which is the order in the settings.
 func (d *decoder) gauges(names []string) silverpath.Gauges {
 	var g silverpath.Gauges
 	row, ok := d.fields["metrics"]
--- a/internal/transport/simulator/server.go
+++ b/internal/transport/simulator/server.go
@@ -1,9 +1,9 @@
-// Package simulator is the adapter to the operators' simulator: it speaks its wire, which is lines of text in batches, hands the
-// events to one Shedder for each instance, and encodes their actions. It decides nothing.
+// Package simulator is the adapter to the operators' simulator. Its protocol is batches of text lines. The package passes the events of a
+// batch to one Shedder for each instance and encodes the actions of the Shedders in the reply. It makes no decisions of its own.
 //
 //	server.go  batches and instances
-//	decode.go  lines and fields to the module's types
-//	host.go    the module's actions to lines
+//	decode.go  decodes lines and fields into the module's types
+//	host.go    encodes the module's actions as lines
 package simulator
 
 import (
@@ -19,8 +19,8 @@
 	"silverpath/internal/settings"
 )
 
-// Serve reads batches from in until its end and writes a reply to each. The error tells the line and the
-// field of input that can't be read.
+// Serve reads batches from in until its end and writes a reply to each to out. For malformed input it returns an error that names the line
+// and the field.
 func Serve(in io.Reader, out io.Writer) error {
 	s := newServer(in)
 	for {
@@ -40,14 +40,14 @@
 // server hosts the instances of one connection to the simulator.
 type server struct {
 	in        *bufio.Reader
-	out       bytes.Buffer // the reply to the batch, written when it is whole
+	out       bytes.Buffer // the reply to the current batch, sent when it is complete
 	line      int
 	now       time.Duration
 	instances map[int64]*instance
-	current   int64 // the instance whose actions are written, or noInstance
+	current   int64 // the instance of the last CONTEXT line of the reply, or noInstance
 }
 
-// noInstance is the number of no instance: those on the wire are 0 or more.
+// noInstance is an instance number that does not occur on the wire, where the numbers are 0 or more.
 const noInstance = -1
 
 func newServer(in io.Reader) *server {
@@ -58,13 +58,13 @@
 	}
 }
 
-// instance is one Shedder, with the order in which its settings named the gauges.
+// instance is one simulated server.
 type instance struct {
 	shedder *silverpath.Shedder
-	gauges  []string
+	gauges  []string // names of the gauges, in the order of the settings
 }
 
-// nextLine returns the next line, without its end, or io.EOF.
+// nextLine returns the next line without its line ending, or io.EOF at the end of input.
 func (s *server) nextLine() (string, error) {
 	line, err := s.in.ReadString('\n')
 	if errors.Is(err, io.EOF) && line != "" {
@@ -77,7 +77,7 @@
 	return strings.TrimSuffix(strings.TrimSuffix(line, "\n"), "\r"), nil
 }
 
-// serveBatch reads one batch and writes its reply; it returns io.EOF at a clean end of input.
+// serveBatch reads one batch and builds its reply in s.out. It returns io.EOF if the input ends before the batch begins.
 func (s *server) serveBatch() error {
 	if err := s.readClock(); err != nil {
 		return err
@@ -112,7 +112,8 @@
 	}
 }
 
-// readClock reads the line that begins a batch; it returns io.EOF at a clean end of input.
+// readClock reads the CLOCK line at the start of a batch and sets the time. It returns io.EOF if the input ends before the line, and an
+// error if the time moves backwards.
 func (s *server) readClock() error {
 	line, err := s.nextLine()
 	if err != nil {
@@ -137,14 +138,14 @@
 	return nil
 }
 
-// nextMessage reads a line within a batch; it returns io.EOF at the end of input.
+// nextMessage reads the next line within a batch. It returns io.EOF at the end of input.
 func (s *server) nextMessage() (*decoder, error) {
 	line, err := s.nextLine()
 	if errors.Is(err, io.EOF) {
 		return nil, err
 	}
 	if err != nil {
-		return nil, fmt.Errorf("reading: %w", err)
+		return nil, fmt.Errorf("reading a batch: %w", err)
 	}
 	m, err := splitLine(s.line, line)
 	if err != nil {
@@ -153,8 +154,8 @@
 	return &decoder{message: m}, nil
 }
 
-// handleEvent hands one event to its instance. A panic in a decision would end the process, and with it the days of all other
-// instances; it is reported as a FAULT of this instance instead, by which the simulator ends the day with its text.
+// handleEvent passes one event to its instance. A panic in a decision would end the process and with it the simulated days of all
+// instances. It is recovered and reported as a FAULT of this instance, on which the simulator ends the day with the text of the fault.
 func (s *server) handleEvent(instanceID int64, d *decoder) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -176,7 +177,8 @@
 	}
 }
 
-// parseEvent reads an event completely and returns its delivery, so that nothing malformed reaches a decision.
+// parseEvent decodes an event and returns a function that delivers it. The caller delivers it only if all fields were valid, so that no
+// malformed event reaches a decision.
 func (s *server) parseEvent(instanceID int64, inst *instance, d *decoder) func() {
 	now, shedder := s.now, inst.shedder
 	switch d.name {
@@ -209,7 +211,7 @@
 	return nil
 }
 
-// startInstance makes an instance with the settings that it is launched with.
+// startInstance creates an instance with the settings and the seed of a LAUNCH message.
 func (s *server) startInstance(instanceID int64, d *decoder) {
 	salt := d.integer("salt", false)
 	set, gauges, err := settings.Parse(d.requiredText("params"))
@@ -228,7 +230,7 @@
 	s.instances[instanceID] = &instance{shedder: shedder, gauges: gauges}
 }
 
-// writeLine adds one line to the reply, naming the instance first where it changes.
+// writeLine appends a line to the reply. If the line is of another instance than the one before it, a CONTEXT line precedes it.
 func (s *server) writeLine(instanceID int64, line string) {
 	if s.current != instanceID {
 		s.current = instanceID
@@ -238,7 +240,7 @@
 	s.out.WriteByte('\n')
 }
 
-// oneLine keeps text from ending its line or its field.
+// oneLine replaces line breaks and tabs in text by spaces, because they would end the line or the field.
 func oneLine(text string) string {
 	return strings.NewReplacer("\n", " ", "\r", " ", "\t", " ").Replace(text)
 }
--- a/internal/transport/simulator/server_test.go
+++ b/internal/transport/simulator/server_test.go
@@ -32,12 +32,12 @@
 		t.Fatal(err)
 	}
 	if n := strings.Count(out, "EOR\n"); n != 4 {
-		t.Errorf("%d replies to 4 batches", n)
+		t.Errorf("%d replies to 4 batches, want 4", n)
 	}
 	for _, want := range []string{"CONTEXT\twho=3\nREPORT_HEALTH\tshallow=1\tenable=1\n", "EXECUTE\tcorr=a\n",
 		"STORE_KEY\tcorr=b\thold_for=9000000\n", "EXECUTE\tcorr=b\n", "DEFER\tspan="} {
 		if !strings.Contains(out, want) {
-			t.Errorf("no %q in:\n%s", want, out)
+			t.Errorf("missing %q in the output:\n%s", want, out)
 		}
 	}
 }
@@ -62,14 +62,14 @@
 		"no clock":              {"SELECT\twho=3\nGO\n", "must begin with CLOCK"},
 		"clock moves backwards": {launch + "CLOCK\tsim_time=5\nGO\n", "field sim_time: moved backwards"},
 		"settings not JSON":     {"CLOCK\tsim_time=1\nSELECT\twho=3\nLAUNCH\tparams={\nGO\n", "field params"},
-		"impossible settings": {"CLOCK\tsim_time=1\nSELECT\twho=3\nLAUNCH\tparams=" +
+		"invalid settings": {"CLOCK\tsim_time=1\nSELECT\twho=3\nLAUNCH\tparams=" +
 			strings.Replace(params, `"cpus":2`, `"cpus":0`, 1) + "\nGO\n", "Cores"},
-		"list that does not fit": {"CLOCK\tsim_time=1\nSELECT\twho=3\nLAUNCH\tparams=" +
+		"list of wrong length": {"CLOCK\tsim_time=1\nSELECT\twho=3\nLAUNCH\tparams=" +
 			strings.Replace(params, `"cpus":2`, `"cpus":2,"worth_without":[1]`, 1) + "\nGO\n", "worth_without"},
 	} {
 		_, err := serve(t, c.in)
 		if err == nil || !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%s: error %v, want one with %q", name, err, c.want)
+			t.Errorf("%s: error %v, want one that contains %q", name, err, c.want)
 		}
 	}
 }
@@ -82,20 +82,20 @@
 	}
 	in.WriteString("CANCELLED_BY_CLIENT\tcorr=gone\tpad=" + strings.Repeat("y", 3<<20) + "\nGO\n")
 	if out, err := serve(t, in.String()); err != nil || strings.Count(out, "EOR\n") != 2 {
-		t.Fatalf("error %v", err)
+		t.Fatalf("error %v, want none and 2 replies", err)
 	}
 }
 
 func TestPanicBecomesFault(t *testing.T) {
 	s := newServer(strings.NewReader(""))
-	s.instances[1] = &instance{} // no shedder: any event panics
+	s.instances[1] = &instance{} // without a shedder every event panics
 	s.handleEvent(1, &decoder{message: message{name: "BLOCKED", fields: map[string]string{"corr": "a"}}})
 	if got := s.out.String(); !strings.Contains(got, "FAULT\ttext=") || strings.Count(got, "\n") != 2 {
-		t.Fatalf("got %q", got)
+		t.Fatalf("output %q, want a CONTEXT line and a FAULT line", got)
 	}
 }
 
-// FuzzServe looks for input that panics the parser or lets a malformed batch pass with a reply too many.
+// FuzzServe searches for input that causes a panic or more replies than there are batches.
 func FuzzServe(f *testing.F) {
 	f.Add(launch)
 	f.Add(launch + "CLOCK\tsim_time=2000\nSELECT\twho=3\nSUBMIT\tcorr=a\tclass=pay\tfootprint=1\trepeats=b\nGO\n")
@@ -113,7 +113,8 @@
 	})
 }
 
-// A full fleet in one batch, and input that stops within it: one message, and nothing but whole replies.
+// Serve handles 1500 instances in one batch. If the input ends within a batch, it returns an error and the output holds only complete
+// replies.
 func TestManyInstances(t *testing.T) {
 	var in strings.Builder
 	in.WriteString("CLOCK\tsim_time=1000\n")
@@ -126,10 +127,10 @@
 	}
 	out, err := serve(t, in.String()+"GO\n")
 	if err != nil || strings.Count(out, "EXECUTE\t") != 1500 || strings.Count(out, "EOR\n") != 2 {
-		t.Errorf("error %v, %d runs", err, strings.Count(out, "EXECUTE\t"))
+		t.Errorf("error %v, %d runs started, want 1500 and 2 replies", err, strings.Count(out, "EXECUTE\t"))
 	}
 	out, err = serve(t, in.String())
 	if err == nil || strings.Count(out, "EOR\n") != 1 || !strings.HasSuffix(out, "EOR\n") {
-		t.Errorf("error %v, and the output ends with %q", err, out[max(0, len(out)-60):])
+		t.Errorf("truncated batch: error %v, output ends with %q; want an error and one complete reply", err, out[max(0, len(out)-60):])
 	}
 }
