--- a/internal/transport/snmp/agent.go
+++ b/internal/transport/snmp/agent.go
@@ -17,11 +17,11 @@
 	"silverpath/internal/policy/lifecycle"
 )
 
-// root is where the MIB hangs: below the enterprise number that RFC 5612 sets aside for documentation, until
-// the operator has one of its own.
+// mibRoot is the root of the MIB. It is below the enterprise number that RFC 5612 reserves for documentation, as long as the operator
+// has no number of its own.
 var mibRoot = oid{1, 3, 6, 1, 4, 1, 32473, 1}
 
-// The objects of the MIB.
+// The objects of the MIB. docs/SILVERPATH-MIB.txt defines them.
 var (
 	objectName           = mibRoot.child(1, 1, 0)
 	objectPhase          = mibRoot.child(1, 2, 0)
@@ -38,15 +38,16 @@
 
 const (
 	version2c        = 1
-	maxResponseBytes = 1400 // one packet on any path
-	maxCounterName   = 100  // of a counter, as an index
+	maxResponseBytes = 1400 // fits in one packet on any path
+	maxCounterName   = 100  // bytes of a counter name that are used as a table index
 	maxRepetitions   = 200
 
 	errTooBig      = 1
 	errNotWritable = 17
 )
 
-// Source is what an agent shows beside counters: the core of a service, or a member of the group. Its methods must not block.
+// Source supplies the state that an agent reports in addition to counters. The core of a service and a member of the quorum group implement
+// it. Its methods must not block.
 type Source interface {
 	Health() bool
 	Phase() lifecycle.State
@@ -65,7 +66,8 @@
 	startedAt time.Time
 }
 
-// Listen opens an agent's address; control, where it is not nil, is called on the socket first. Serve must follow, or Close.
+// Listen returns an agent that listens on a UDP address. If control is not nil, it is called on the socket before it is bound. The
+// caller must call Serve or Close.
 func Listen(addr, community, name string, c Source, l *log.Logger, s *metrics.Counters,
 	control func(network, addr string, raw syscall.RawConn) error) (*Agent, error) {
 	conn, err := (&net.ListenConfig{Control: control}).ListenPacket(context.Background(), "udp", addr)
@@ -75,14 +77,14 @@
 	return &Agent{conn: conn, community: community, name: name, source: c, stats: s, log: l, startedAt: time.Now()}, nil
 }
 
-// Addr returns the address listened on.
+// Addr returns the address that the agent listens on.
 func (a *Agent) Addr() net.Addr { return a.conn.LocalAddr() }
 
-// Close ends Serve.
+// Close closes the socket, which ends Serve.
 func (a *Agent) Close() { a.conn.Close() }
 
-// Serve answers requests until Close. What is malformed, of another version or for another community gets no
-// answer, as the protocol has it, and is counted.
+// Serve answers requests until Close is called. Malformed messages and those with another version or community are counted and, as the
+// protocol requires, get no response.
 func (a *Agent) Serve() {
 	b := make([]byte, 64<<10)
 	for {
@@ -107,17 +109,17 @@
 	}
 }
 
-// request is a message that asks for something.
+// request is a decoded request message.
 type request struct {
 	kind           byte
 	id             int32
-	nonRepeaters   int32 // GetBulk: the names asked for once
-	maxRepetitions int32 // and how often the others are
+	nonRepeaters   int32 // GetBulk: the number of leading names that are looked up once
+	maxRepetitions int32 // GetBulk: how often each other name is looked up
 	names          []oid
 	community      string
 }
 
-// parse takes a message apart; version is 0-based, as the protocol has it.
+// parse decodes a message. The version is 0-based, as in the protocol, so that SNMPv2c is 1. The error wraps errMalformed.
 func parse(b []byte) (q request, version int32, err error) {
 	fail := func(err error) (request, int32, error) { return request{}, version, err }
 	b, _, err = expectElement(b, tagSequence)
@@ -162,7 +164,7 @@
 	return q, version, nil
 }
 
-// respond returns the response to a message, or for what reason, by its counter, there is none.
+// respond returns the response to a message. Without a response, reason is the name of the counter for the cause.
 func (a *Agent) respond(b []byte) (reply []byte, reason string) {
 	q, version, err := parse(b)
 	switch {
@@ -204,7 +206,7 @@
 	}
 }
 
-// echo is what was asked, unchanged but for the values.
+// echo returns the variable bindings of the request with null values.
 func (q request) echo() [][]byte {
 	var binds [][]byte
 	for _, name := range q.names {
@@ -213,7 +215,8 @@
 	return binds
 }
 
-// response is a response to the request, with an error status and the index of the binding that it is of.
+// response encodes a response to the request. Status is the error status, and index the 1-based position of the binding that caused the
+// error, or 0.
 func (q request) response(status, index int, binds [][]byte) []byte {
 	pdu := appendInteger(nil, q.id)
 	pdu = appendInteger(appendInteger(pdu, int32(status)), int32(index))
@@ -222,26 +225,26 @@
 	return appendElement(nil, tagSequence, appendElement(m, tagResponse, pdu))
 }
 
-// object is one instance of the MIB with its value, encoded.
+// object is one object instance of the MIB with its encoded value.
 type object struct {
 	name  oid
 	value []byte
 }
 
-// varBind is one binding of a name to a value, encoded.
+// varBind encodes the variable binding of a name and an encoded value.
 func varBind(name oid, value []byte) []byte {
 	return appendElement(nil, tagSequence, append(appendOID(nil, name), value...))
 }
 
-// compare orders objects by name.
+// compare compares the name of an object with a name, for binary searches.
 func compare(o object, name oid) int { return o.name.compare(name) }
 
-// get is the binding of a name to the value of its object, or to what is missing.
+// get returns the binding of a name to the value of its object. If there is no such object, the value is noSuchInstance or noSuchObject.
 func get(objects []object, name oid) []byte {
 	if i, found := slices.BinarySearchFunc(objects, name, compare); found {
 		return varBind(name, objects[i].value)
 	}
-	for _, o := range objects { // a name under a known object lacks only the instance
+	for _, o := range objects { // a name below a known object lacks only the instance
 		if parent := o.name[:len(mibRoot)+2]; len(name) >= len(parent) && name[:len(parent)].compare(parent) == 0 {
 			return varBind(name, appendElement(nil, tagNoSuchInstance, nil))
 		}
@@ -249,7 +252,8 @@
 	return varBind(name, appendElement(nil, tagNoSuchObject, nil))
 }
 
-// successor is the binding of the object after a name, and that object's name; nil at the end of the MIB.
+// getNext returns the binding of the first object after a name in lexicographic order, and the name of that object. After the last object
+// the value is endOfMibView and the returned name is nil.
 func getNext(objects []object, name oid) ([]byte, oid) {
 	i, found := slices.BinarySearchFunc(objects, name, compare)
 	if found {
@@ -261,7 +265,8 @@
 	return varBind(objects[i].name, objects[i].value), objects[i].name
 }
 
-// getBulk has the successors of the first names once, and of the others again and again.
+// getBulk returns the bindings of a GetBulk request: one getNext for each of the first q.nonRepeaters names, and up to
+// q.maxRepetitions successive ones for each other name. It stops once there are more than maxRepetitions bindings.
 func getBulk(objects []object, q request) [][]byte {
 	var binds [][]byte
 	nonRepeaters := min(len(q.names), int(max(0, q.nonRepeaters)))
@@ -288,7 +293,7 @@
 	return binds
 }
 
-// objects is the whole MIB as it is now, in the order of names.
+// objects returns the current objects of the whole MIB, sorted by name.
 func (a *Agent) objects() []object {
 	health := int32(2) // TruthValue
 	if a.source.Health() {
@@ -304,7 +309,7 @@
 	counters := a.stats.Snapshot()
 	for _, name := range slices.Sorted(maps.Keys(counters)) {
 		if len(name) > maxCounterName {
-			name = name[:maxCounterName] // an index has its bounds; no name of ours is so long
+			name = name[:maxCounterName] // bounds the length of an index; no existing counter name reaches it
 			if _, twice := counters[name]; twice {
 				continue
 			}
@@ -320,7 +325,7 @@
 	return list
 }
 
-// pools are the objects of the pools, where there are any.
+// pools returns the objects of the run limit and of the pools, or nil if the service has no pools.
 func (a *Agent) pools() []object {
 	st := a.source.View().Pools
 	if st == nil {
@@ -344,7 +349,7 @@
 	return list
 }
 
-// String is a name in the usual dotted form.
+// String returns the identifier in dotted notation with a leading dot.
 func (o oid) String() string {
 	s := ""
 	for _, n := range o {
--- a/internal/transport/snmp/ber.go
+++ b/internal/transport/snmp/ber.go
@@ -1,5 +1,5 @@
-// Package snmp is a read-only SNMPv2c agent (RFC 3416) with a MIB of its own, docs/SILVERPATH-MIB.txt. It reports
-// the service's counters and nothing can be set through it.
+// Package snmp is a read-only SNMPv2c agent (RFC 3416). It reports the state and counters of the service under the MIB in
+// docs/SILVERPATH-MIB.txt.
 package snmp
 
 import (
@@ -9,7 +9,7 @@
 	"slices"
 )
 
-// The tags in use, of X.690 and RFC 3416.
+// The BER tags that the agent uses, from X.690 and RFC 3416.
 const (
 	tagInteger   = 0x02
 	tagString    = 0x04
@@ -31,7 +31,7 @@
 	tagGetBulk  = 0xa5
 )
 
-const maxSubIDs = 128 // sub-identifiers, as RFC 3416 has it
+const maxSubIDs = 128 // sub-identifiers of an object identifier, the limit of RFC 3416
 
 var errMalformed = errors.New("malformed message")
 
@@ -42,22 +42,22 @@
 
 func (o oid) child(subIDs ...uint32) oid { return append(slices.Clone(o), subIDs...) }
 
-// element is one BER element.
+// element is a decoded BER element.
 type element struct {
 	tag  byte
 	body []byte
 }
 
-// nextElement takes the first element off b.
+// nextElement decodes the first element of b and returns it and the rest of b. The error wraps errMalformed.
 func nextElement(b []byte) (element, []byte, error) {
 	if len(b) < 2 || b[0]&0x1f == 0x1f {
-		return element{}, nil, fmt.Errorf("%w: an element cut short", errMalformed)
+		return element{}, nil, fmt.Errorf("%w: truncated element or multi-byte tag", errMalformed)
 	}
 	n, rest := int(b[1]), b[2:]
 	if n&0x80 != 0 {
 		size := n & 0x7f
 		if size == 0 || size > 3 || len(rest) < size {
-			return element{}, nil, fmt.Errorf("%w: a length of %d bytes", errMalformed, size)
+			return element{}, nil, fmt.Errorf("%w: length encoded in %d bytes", errMalformed, size)
 		}
 		n = 0
 		for _, c := range rest[:size] {
@@ -66,16 +66,16 @@
 		rest = rest[size:]
 	}
 	if n > len(rest) {
-		return element{}, nil, fmt.Errorf("%w: an element of %d bytes, %d left", errMalformed, n, len(rest))
+		return element{}, nil, fmt.Errorf("%w: element of %d bytes, but only %d bytes left", errMalformed, n, len(rest))
 	}
 	return element{b[0], rest[:n]}, rest[n:], nil
 }
 
-// expectElement takes an element of a given tag.
+// expectElement decodes the first element of b, which must have the given tag, and returns its content and the rest of b.
 func expectElement(b []byte, tag byte) ([]byte, []byte, error) {
 	e, rest, err := nextElement(b)
 	if err == nil && e.tag != tag {
-		err = fmt.Errorf("%w: tag %#02x where %#02x belongs", errMalformed, e.tag, tag)
+		err = fmt.Errorf("%w: tag %#02x, want %#02x", errMalformed, e.tag, tag)
 	}
 	return e.body, rest, err
 }
@@ -86,7 +86,7 @@
 		return 0, nil, err
 	}
 	if len(v) == 0 || len(v) > 4 {
-		return 0, nil, fmt.Errorf("%w: an integer of %d bytes", errMalformed, len(v))
+		return 0, nil, fmt.Errorf("%w: integer of %d bytes", errMalformed, len(v))
 	}
 	n := int32(int8(v[0]))
 	for _, c := range v[1:] {
@@ -105,7 +105,7 @@
 	for _, c := range v {
 		n, continued = n<<7|uint64(c&0x7f), c&0x80 != 0
 		if n > 1<<32-1 || len(o) >= maxSubIDs {
-			return nil, nil, fmt.Errorf("%w: an object identifier out of bounds", errMalformed)
+			return nil, nil, fmt.Errorf("%w: object identifier exceeds its bounds", errMalformed)
 		}
 		if continued {
 			continue
@@ -119,12 +119,12 @@
 		n = 0
 	}
 	if continued || o == nil {
-		return nil, nil, fmt.Errorf("%w: an object identifier cut short", errMalformed)
+		return nil, nil, fmt.Errorf("%w: truncated or empty object identifier", errMalformed)
 	}
 	return o, rest, nil
 }
 
-// appendElement appends an element.
+// appendElement appends an encoded element with the given tag and content to b.
 func appendElement(b []byte, tag byte, body []byte) []byte {
 	b = append(b, tag)
 	switch n := len(body); {
@@ -132,7 +132,7 @@
 		b = append(b, byte(n))
 	case n <= 0xff:
 		b = append(b, 0x81, byte(n))
-	default: // no message of ours reaches 64 KiB
+	default: // a length of two bytes; no message of the agent reaches 64 KiB
 		b = append(b, 0x82, byte(n>>8), byte(n))
 	}
 	return append(b, body...)
@@ -140,10 +140,10 @@
 
 func appendInteger(b []byte, n int32) []byte { return appendElement(b, tagInteger, intBytes(int64(n))) }
 
-// appendUnsigned appends a number of one of the unsigned types.
+// appendUnsigned appends a number of an unsigned type (Gauge32, TimeTicks or Counter64) to b.
 func appendUnsigned(b []byte, tag byte, n uint64) []byte {
 	v := intBytes(int64(n))
-	if n>>63 != 0 { // as a signed number it would be negative
+	if n>>63 != 0 { // a leading 0 keeps the number positive, and the leading 0xff bytes that intBytes dropped are restored
 		v = append([]byte{0}, v...)
 		for len(v) < 9 {
 			v = slices.Insert(v, 1, 0xff)
@@ -152,7 +152,7 @@
 	return appendElement(b, tag, v)
 }
 
-// shortest is a number in two's complement in as few bytes as hold it.
+// intBytes returns the shortest two's complement encoding of a number, as BER requires.
 func intBytes(n int64) []byte {
 	v := []byte{byte(n >> 56), byte(n >> 48), byte(n >> 40), byte(n >> 32), byte(n >> 24), byte(n >> 16), byte(n >> 8), byte(n)}
 	for len(v) > 1 && (v[0] == 0 && v[1] < 0x80 || v[0] == 0xff && v[1] >= 0x80) {
--- a/internal/transport/snmp/snmp_test.go
+++ b/internal/transport/snmp/snmp_test.go
@@ -15,7 +15,7 @@
 	"silverpath/internal/policy/admission"
 )
 
-// ask is a request as a manager sends it, byte by byte from RFC 3416.
+// encodeRequest encodes a request as a manager sends it, following RFC 3416.
 func encodeRequest(kind byte, id, nonRepeaters, repetitions int32, names ...oid) []byte {
 	var binds []byte
 	for _, n := range names {
@@ -27,18 +27,18 @@
 	return appendElement(nil, tagSequence, appendElement(m, kind, pdu))
 }
 
-// answered is one name and its value in a response.
+// binding is a variable binding of a response.
 type binding struct {
 	name  oid
 	value element
 }
 
-// read takes a response apart.
+// parseResponse decodes the response to the request with the given ID.
 func parseResponse(t *testing.T, b []byte, id int32) (status, index int32, list []binding) {
 	t.Helper()
 	q, version, err := parse(b)
 	if err != nil || version != version2c || q.kind != tagResponse || q.id != id || q.community != "quiz" {
-		t.Fatalf("%+v, %v", q, err)
+		t.Fatalf("invalid response: %+v, error %v", q, err)
 	}
 	b, _, _ = expectElement(b, tagSequence)
 	_, b, _ = expectInteger(b)
@@ -91,16 +91,16 @@
 	want := []element{{tagString, []byte("n3")}, {tagInteger, []byte{1}}, {tagCounter64, []byte{1, 44}},
 		{tagNoSuchInstance, nil}, {tagNoSuchObject, nil}}
 	if status != 0 || len(list) != len(want) {
-		t.Fatalf("status %d, %d values", status, len(list))
+		t.Fatalf("error status %d, %d bindings", status, len(list))
 	}
 	for i, w := range want {
 		if got := list[i].value; got.tag != w.tag || !bytes.Equal(got.body, w.body) {
-			t.Errorf("%v: %#x %x, want %#x %x", list[i].name, got.tag, got.body, w.tag, w.body)
+			t.Errorf("%v: tag %#x, value %x; want tag %#x, value %x", list[i].name, got.tag, got.body, w.tag, w.body)
 		}
 	}
 }
 
-// A walk from the root meets every object once, in order, and comes to the end of the view.
+// A walk from the root with GetNext returns every object once, in order, and then endOfMibView.
 func TestWalk(t *testing.T) {
 	a := newTestAgent(t)
 	name, count := mibRoot, 0
@@ -111,24 +111,24 @@
 			break
 		}
 		if list[0].name.compare(name) <= 0 {
-			t.Fatalf("%v follows %v", list[0].name, name)
+			t.Fatalf("GetNext returned %v after %v, which is not in order", list[0].name, name)
 		}
 		name = list[0].name
 	}
 	if count != 7 || name.compare(counterOID("read.msgpack.oddaja")) != 0 {
-		t.Fatalf("%d objects, the last %v", count, name)
+		t.Fatalf("%d objects, the last one is %v", count, name)
 	}
 	reply, _ := a.respond(encodeRequest(tagGetBulk, 2, 1, 50, objectName, mibRoot))
 	_, _, list := parseResponse(t, reply, 2)
 	if len(list) != 9 || list[0].name.compare(objectPhase) != 0 || list[8].value.tag != tagEndOfMibView {
-		t.Fatalf("bulk: %d values", len(list))
+		t.Fatalf("GetBulk: %d bindings, want 9 that end with endOfMibView", len(list))
 	}
 	if v := list[7].value; !bytes.Equal(v.body, []byte{0, 128, 0, 0, 0, 0, 0, 0, 0}) {
-		t.Errorf("a counter of 2^63 is %x", v.body)
+		t.Errorf("a counter of 2^63 is encoded as %x", v.body)
 	}
 }
 
-// A response keeps to one packet: a bulk of many counters is cut, a plain request is told that it asks too much.
+// A response fits in one packet: that to a GetBulk request is truncated, and a Get request that would exceed the packet gets tooBig.
 func TestLargeResponses(t *testing.T) {
 	a := newTestAgent(t)
 	var names []oid
@@ -138,18 +138,18 @@
 	}
 	reply, _ := a.respond(encodeRequest(tagGetBulk, 3, 0, 200, mibRoot))
 	if _, _, list := parseResponse(t, reply, 3); len(reply) > maxResponseBytes || len(list) < 10 {
-		t.Errorf("bulk: %d bytes, %d values", len(reply), len(list))
+		t.Errorf("GetBulk: response of %d bytes with %d bindings", len(reply), len(list))
 	}
 	reply, _ = a.respond(encodeRequest(tagGet, 4, 0, 0, names...))
 	if status, _, _ := parseResponse(t, reply, 4); status != errTooBig {
-		t.Errorf("status %d, want tooBig", status)
+		t.Errorf("error status %d, want tooBig", status)
 	}
 }
 
 func TestNothingCanBeSet(t *testing.T) {
 	reply, _ := newTestAgent(t).respond(encodeRequest(tagSet, 5, 0, 0, objectName))
 	if status, index, _ := parseResponse(t, reply, 5); status != errNotWritable || index != 1 {
-		t.Errorf("status %d, index %d", status, index)
+		t.Errorf("error status %d, error index %d; want notWritable, 1", status, index)
 	}
 }
 
@@ -162,22 +162,22 @@
 		"bad_community": bytes.Replace(valid, []byte("quiz"), []byte("quid"), 1), "bad_request": encodeRequest(0xa4, 1, 0, 0),
 	} {
 		if reply, got := a.respond(b); reply != nil || got != reason {
-			t.Errorf("%s: reply %x, why %q", reason, reply, got)
+			t.Errorf("%s: response %x, reason %q", reason, reply, got)
 		}
 	}
 	rnd := rand.New(rand.NewPCG(7, 8))
-	for range 20000 { // garbage, from a fixed seed, is passed over or answered, within bounds
+	for range 20000 { // corrupted messages (fixed seed) are ignored or answered within the size limit
 		b := bytes.Clone(valid)
 		for range 1 + rnd.IntN(4) {
 			b[rnd.IntN(len(b))] = byte(rnd.Uint32())
 		}
 		if reply, _ := a.respond(b); len(reply) > maxResponseBytes {
-			t.Fatalf("a response of %d bytes", len(reply))
+			t.Fatalf("response of %d bytes exceeds the limit", len(reply))
 		}
 	}
 	for n := range len(valid) {
 		if reply, reason := a.respond(valid[:n]); reply != nil || reason != "malformed" {
-			t.Errorf("cut at %d: %x, %q", n, reply, reason)
+			t.Errorf("truncated to %d bytes: response %x, reason %q", n, reply, reason)
 		}
 	}
 }
@@ -188,7 +188,7 @@
 	f.Fuzz(func(t *testing.T, b []byte) {
 		a := &Agent{community: "quiz", source: newTestCore(t), stats: &metrics.Counters{}}
 		if reply, _ := a.respond(b); len(reply) > maxResponseBytes {
-			t.Fatalf("a response of %d bytes", len(reply))
+			t.Fatalf("response of %d bytes exceeds the limit", len(reply))
 		}
 	})
 }
@@ -201,7 +201,7 @@
 	return c
 }
 
-// The agent answers a manager over UDP.
+// The agent ignores a malformed datagram and answers a request over UDP.
 func TestServe(t *testing.T) {
 	a := newTestAgent(t)
 	go a.Serve()
@@ -219,11 +219,11 @@
 		t.Fatal(err)
 	}
 	if _, _, list := parseResponse(t, b[:n], 9); string(list[0].value.body) != "n3" {
-		t.Fatalf("%+v", list)
+		t.Fatalf("response %+v, want the name n3", list)
 	}
 }
 
-// A service with pools has them in its MIB, in order, and one without has none.
+// The MIB of a service with pools holds them in order. That of a service without pools holds none.
 func TestPools(t *testing.T) {
 	set := admission.Config{Pools: []admission.Pool{{Name: "sheets", Classes: []string{"oddaja"}, Weight: 1, Floor: 0.5}}}
 	c, err := core.New(core.Config{MemoryMB: 64, Pools: &set, Log: log.New(io.Discard, "", 0), Settings: silverpath.Settings{
@@ -237,28 +237,28 @@
 	defer c.Stop()
 	for deadline := time.Now().Add(10 * time.Second); c.View().Pools == nil; time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatal("no state of the pools")
+			t.Fatal("the core published no state of the pools within 10 s")
 		}
 	}
 	a := &Agent{community: "quiz", name: "n3", source: c, stats: &metrics.Counters{}}
 	reply, _ := a.respond(encodeRequest(tagGetBulk, 1, 0, 50, mibRoot.child(3)))
 	_, _, list := parseResponse(t, reply, 1)
 	if len(list) != 21 || list[0].name.compare(objectLimit) != 0 || list[20].value.tag != tagEndOfMibView {
-		t.Fatalf("%d values: %v", len(list), list)
+		t.Fatalf("%d bindings: %v", len(list), list)
 	}
 	if v := list[4]; v.name.compare(poolEntry.child(2, 1)) != 0 || string(v.value.body) != "sheets" {
-		t.Errorf("%v is %q", v.name, v.value.body)
+		t.Errorf("%v has the value %q", v.name, v.value.body)
 	}
 	if v := list[5]; string(v.value.body) != "rest" {
-		t.Errorf("%v is %q", v.name, v.value.body)
+		t.Errorf("%v has the value %q", v.name, v.value.body)
 	}
 	reply, _ = newTestAgent(t).respond(encodeRequest(tagGetNext, 2, 0, 0, mibRoot.child(3)))
 	if _, _, list := parseResponse(t, reply, 2); list[0].value.tag != tagEndOfMibView {
-		t.Errorf("without pools %v", list[0])
+		t.Errorf("service without pools: got %v, want endOfMibView", list[0])
 	}
 }
 
-// still is a runner that only answers probes.
+// probeOnlyRunner is a runner that answers probes and ignores runs.
 type probeOnlyRunner struct{ c *core.Core }
 
 func (probeOnlyRunner) Run(string, string, []byte) {}
