--- a/internal/transport/vault/client_test.go
+++ b/internal/transport/vault/client_test.go
@@ -111,7 +111,7 @@
 func TestSurplus(t *testing.T) {
 	const ok, busy = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", "HTTP/1.1 503 Busy\r\nX-Refused-Unseen: 1\r\nContent-Length: 0\r\n\r\n"
 	for name, reply := range map[string][]string{
-		"a copy": {busy + busy}, "noise": {busy + "\x00\xffnoise"}, "a late copy": {busy, busy}, "an early close": {busy, ""},
+		"duplicate": {busy + busy}, "garbage": {busy + "\x00\xffnoise"}, "late duplicate": {busy, busy}, "early close": {busy, ""},
 	} {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
