--- a/internal/transport/scgi/front.go
+++ b/internal/transport/scgi/front.go
@@ -29,12 +29,12 @@
 // The SCGI headers that mapRequest evaluates. A web server derives them from the HTTP headers X-Request-Class and so on, or sets them
 // itself. docs/scgi.md defines each.
 const (
-	headerClass    = "HTTP_X_REQUEST_CLASS"
-	headerTenant   = "HTTP_X_TENANT"
-	headerDeadline = "HTTP_X_TIMEOUT_MS"
-	headerCaller   = "HTTP_X_CALLER"
-	headerRank     = "HTTP_X_RANK"
-	headerKey      = "HTTP_IDEMPOTENCY_KEY"
+	headerClass   = "HTTP_X_REQUEST_CLASS"
+	headerTenant  = "HTTP_X_TENANT"
+	headerTimeout = "HTTP_X_TIMEOUT_MS"
+	headerCaller  = "HTTP_X_CALLER"
+	headerRank    = "HTTP_X_RANK"
+	headerKey     = "HTTP_IDEMPOTENCY_KEY"
 )
 
 const (
@@ -110,7 +110,7 @@
 		}
 		if a, rejected := f.rejectUnread(class, slot); rejected {
 			f.writeAnswer(conn, a)
-			if uint64(r.Buffered()) < m.size { // otherwise the whole body has arrived, and a plain close causes no reset
+			if uint64(r.Buffered()) < m.bodySize { // otherwise the whole body has arrived, and a plain close causes no reset
 				linger.Close(conn, r, lingerTimeout, maxLingerBytes)
 			}
 			return
--- a/internal/transport/scgi/message.go
+++ b/internal/transport/scgi/message.go
@@ -33,9 +33,9 @@
 
 // message is one SCGI request.
 type message struct {
-	headers map[string]string
-	size    uint64 // of the body, from CONTENT_LENGTH
-	body    []byte
+	headers  map[string]string
+	bodySize uint64 // from CONTENT_LENGTH
+	body     []byte
 }
 
 // readMessage reads a request whose body has at most maxBody bytes. It returns io.EOF if the peer closed the connection without sending
@@ -57,7 +57,7 @@
 	}
 	block, err := readNetstring(r)
 	if err == nil {
-		m.size, err = m.parse(block)
+		m.bodySize, err = m.parseHeaders(block)
 	}
 	return m, unexpectedEOF(err)
 }
@@ -65,10 +65,10 @@
 // readBody reads the body that follows the headers. It returns errTooLarge, before it allocates memory, if the stated size exceeds
 // maxBody.
 func (m *message) readBody(r *bufio.Reader, maxBody int) error {
-	if m.size > uint64(maxBody) {
-		return fmt.Errorf("%w: a body of %d bytes", errTooLarge, m.size)
+	if m.bodySize > uint64(maxBody) {
+		return fmt.Errorf("%w: a body of %d bytes", errTooLarge, m.bodySize)
 	}
-	m.body = make([]byte, m.size)
+	m.body = make([]byte, m.bodySize)
 	_, err := io.ReadFull(r, m.body)
 	return unexpectedEOF(err)
 }
@@ -109,8 +109,8 @@
 	return v[:n], nil
 }
 
-// parse parses the block of headers into m.headers and returns the length of the body.
-func (m *message) parse(block []byte) (size uint64, err error) {
+// parseHeaders parses the block of headers into m.headers and returns the length of the body.
+func (m *message) parseHeaders(block []byte) (bodySize uint64, err error) {
 	m.headers = map[string]string{}
 	rest := string(block)
 	for i := 0; rest != ""; i++ {
@@ -139,10 +139,10 @@
 	if strings.Trim(length, "0123456789") != "" || length == "" {
 		return 0, malformed("CONTENT_LENGTH is %q", length)
 	}
-	if size, err = strconv.ParseUint(length, 10, 63); err != nil {
+	if bodySize, err = strconv.ParseUint(length, 10, 63); err != nil {
 		return 0, fmt.Errorf("%w: CONTENT_LENGTH is %s", errTooLarge, length)
 	}
-	return size, nil
+	return bodySize, nil
 }
 
 // appendMessage appends a request to b. Headers are alternating names and values, and follow CONTENT_LENGTH and SCGI.
--- a/internal/transport/scgi/message_test.go
+++ b/internal/transport/scgi/message_test.go
@@ -162,19 +162,19 @@
 // startService starts a front and a core that use the application server at upstreamAddr, and returns the address of the front.
 func startService(t *testing.T, upstreamAddr string, timeout time.Duration) (addr string, c *core.Core, counters *metrics.Counters) {
 	t.Helper()
-	quiet := log.New(io.Discard, "", 0)
+	discardLog := log.New(io.Discard, "", 0)
 	counters = &metrics.Counters{}
-	c, err := core.New(core.Config{Settings: testSettings, MemoryMB: 32, Log: quiet, Stats: counters})
+	c, err := core.New(core.Config{Settings: testSettings, MemoryMB: 32, Log: discardLog, Stats: counters})
 	if err != nil {
 		t.Fatal(err)
 	}
-	up := NewUpstream(upstreamAddr, 2, 8, timeout, c, quiet, counters)
+	up := NewUpstream(upstreamAddr, 2, 8, timeout, c, discardLog, counters)
 	if err := c.Attach(up, nil); err != nil {
 		t.Fatal(err)
 	}
 	up.ReportUp(t.Context())
-	f := New(c, settings.SCGI{MaxBody: 64, RequestKB: 20}, 1, quiet, counters)
-	ln, err := listener.Listen(Name, "127.0.0.1:0", 100, c.IdleAfter, f.Serve, quiet, counters)
+	f := New(c, settings.SCGI{MaxBody: 64, RequestKB: 20}, 1, discardLog, counters)
+	ln, err := listener.Listen(Name, "127.0.0.1:0", 100, c.IdleAfter, f.Serve, discardLog, counters)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/transport/scgi/request.go
+++ b/internal/transport/scgi/request.go
@@ -51,12 +51,12 @@
 // timeout returns how long the caller waits after its request was read: the value of its header, else scgi.deadline_ms, else the
 // deadline of its class.
 func (f *Front) timeout(headers map[string]string, class silverpath.Class) (time.Duration, error) {
-	v, ok := headers[headerDeadline]
+	v, ok := headers[headerTimeout]
 	switch {
 	case ok:
 		ms, err := strconv.ParseInt(v, 10, 64)
 		if err != nil || ms <= 0 || ms > maxTimeout.Milliseconds() {
-			return 0, invalidHeader(headers, headerDeadline)
+			return 0, invalidHeader(headers, headerTimeout)
 		}
 		return time.Duration(ms) * time.Millisecond, nil
 	case f.cfg.Deadline > 0:
--- a/internal/transport/simulator/server.go
+++ b/internal/transport/simulator/server.go
@@ -44,7 +44,7 @@
 	line      int
 	now       time.Duration
 	instances map[int64]*instance
-	current   int64 // the instance of the last CONTEXT line of the reply, or noInstance
+	contextID int64 // the instance of the last CONTEXT line of the reply, or noInstance
 }
 
 // noInstance is an instance number that does not occur on the wire, where the numbers are 0 or more.
@@ -53,15 +53,15 @@
 func newServer(in io.Reader) *server {
 	return &server{
 		in:        bufio.NewReaderSize(in, 1<<16),
-		current:   noInstance,
+		contextID: noInstance,
 		instances: map[int64]*instance{},
 	}
 }
 
 // instance is one simulated server.
 type instance struct {
-	shedder *silverpath.Shedder
-	gauges  []string // names of the gauges, in the order of the settings
+	shedder    *silverpath.Shedder
+	gaugeNames []string // names of the gauges, in the order of the settings
 }
 
 // nextLine returns the next line without its line ending, or io.EOF at the end of input.
@@ -134,7 +134,7 @@
 	if d.err != nil {
 		return d.err
 	}
-	s.now, s.current = now, noInstance
+	s.now, s.contextID = now, noInstance
 	return nil
 }
 
@@ -204,7 +204,7 @@
 		return func() { shedder.Drain(now, stopTime) }
 	case "TIMER":
 		d.requiredText("handle")
-		g := d.gauges(inst.gauges)
+		g := d.gauges(inst.gaugeNames)
 		return func() { shedder.Tick(now, g) }
 	}
 	d.err = fmt.Errorf("line %d: %s: unknown message", d.line, d.name)
@@ -214,26 +214,26 @@
 // startInstance creates an instance with the settings and the seed of a LAUNCH message.
 func (s *server) startInstance(instanceID int64, d *decoder) {
 	salt := d.integer("salt", false)
-	set, gauges, err := settings.Parse(d.requiredText("params"))
+	cfg, gaugeNames, err := settings.Parse(d.requiredText("params"))
 	if err != nil {
 		d.fail("params", err.Error())
 	}
 	if d.err != nil {
 		return
 	}
-	set.Seed = salt
-	shedder, err := silverpath.New(s.now, set, &host{s, instanceID})
+	cfg.Seed = salt
+	shedder, err := silverpath.New(s.now, cfg, &host{s, instanceID})
 	if err != nil {
 		d.fail("params", err.Error())
 		return
 	}
-	s.instances[instanceID] = &instance{shedder: shedder, gauges: gauges}
+	s.instances[instanceID] = &instance{shedder: shedder, gaugeNames: gaugeNames}
 }
 
 // writeLine appends a line to the reply. If the line is of another instance than the one before it, a CONTEXT line precedes it.
 func (s *server) writeLine(instanceID int64, line string) {
-	if s.current != instanceID {
-		s.current = instanceID
+	if s.contextID != instanceID {
+		s.contextID = instanceID
 		fmt.Fprintf(&s.out, "CONTEXT\twho=%d\n", instanceID)
 	}
 	s.out.WriteString(line)
--- a/internal/transport/snmp/agent.go
+++ b/internal/transport/snmp/agent.go
@@ -42,8 +42,8 @@
 	maxCounterName   = 100  // bytes of a counter name that are used as a table index
 	maxRepetitions   = 200
 
-	errTooBig      = 1
-	errNotWritable = 17
+	statusTooBig      = 1
+	statusNotWritable = 17
 )
 
 // Source supplies the state that an agent reports in addition to counters. The core of a service and a member of the quorum group implement
@@ -111,7 +111,7 @@
 
 // request is a decoded request message.
 type request struct {
-	kind           byte
+	pduType        byte
 	id             int32
 	nonRepeaters   int32 // GetBulk: the number of leading names that are looked up once
 	maxRepetitions int32 // GetBulk: how often each other name is looked up
@@ -138,7 +138,7 @@
 	if err != nil {
 		return fail(err)
 	}
-	q.kind, b = pdu.tag, pdu.body
+	q.pduType, b = pdu.tag, pdu.body
 	for _, n := range []*int32{&q.id, &q.nonRepeaters, &q.maxRepetitions} {
 		if *n, b, err = expectInteger(b); err != nil {
 			return fail(err)
@@ -177,7 +177,7 @@
 	}
 	var binds [][]byte
 	objects := a.objects()
-	switch q.kind {
+	switch q.pduType {
 	case tagGet:
 		for _, name := range q.names {
 			binds = append(binds, get(objects, name))
@@ -190,7 +190,7 @@
 	case tagGetBulk:
 		binds = getBulk(objects, q)
 	case tagSet:
-		return q.response(errNotWritable, min(1, len(q.names)), q.echo()), ""
+		return q.response(statusNotWritable, min(1, len(q.names)), q.nullBindings()), ""
 	default:
 		return nil, "bad_request"
 	}
@@ -199,15 +199,15 @@
 		switch {
 		case len(reply) <= maxResponseBytes:
 			return reply, ""
-		case q.kind != tagGetBulk || len(binds) == 0:
-			return q.response(errTooBig, 0, nil), ""
+		case q.pduType != tagGetBulk || len(binds) == 0:
+			return q.response(statusTooBig, 0, nil), ""
 		}
 		binds = binds[:len(binds)*3/4]
 	}
 }
 
-// echo returns the variable bindings of the request with null values.
-func (q request) echo() [][]byte {
+// nullBindings returns the variable bindings of the request with null values.
+func (q request) nullBindings() [][]byte {
 	var binds [][]byte
 	for _, name := range q.names {
 		binds = append(binds, varBind(name, appendElement(nil, tagNull, nil)))
@@ -295,7 +295,7 @@
 
 // objects returns the current objects of the whole MIB, sorted by name.
 func (a *Agent) objects() []object {
-	health := int32(2) // TruthValue
+	health := int32(2) // TruthValue of SNMPv2-TC: 1 is true, 2 is false
 	if a.source.Health() {
 		health = 1
 	}
@@ -320,28 +320,28 @@
 		}
 		list = append(list, object{index, appendUnsigned(nil, tagCounter64, counters[name])})
 	}
-	list = append(list, a.pools()...)
+	list = append(list, a.poolObjects()...)
 	slices.SortFunc(list, func(x, y object) int { return x.name.compare(y.name) })
 	return list
 }
 
-// pools returns the objects of the run limit and of the pools, or nil if the service has no pools.
-func (a *Agent) pools() []object {
-	st := a.source.View().Pools
-	if st == nil {
+// poolObjects returns the objects of the run limit and of the pools, or nil if the service has no pools.
+func (a *Agent) poolObjects() []object {
+	state := a.source.View().Pools
+	if state == nil {
 		return nil
 	}
 	gauge := func(v float64) []byte { return appendUnsigned(nil, tagGauge32, uint64(max(0, v))) }
-	truth := map[bool]int32{true: 1, false: 2} // TruthValue
+	truthValue := map[bool]int32{true: 1, false: 2} // of SNMPv2-TC
 	list := []object{
-		{objectLimit, gauge(100 * st.RunLimit)}, {objectCeiling, gauge(100 * st.Ceiling)},
-		{objectRunning, gauge(float64(st.Running))}, {objectMemory, appendInteger(nil, int32(st.Memory)+1)},
+		{objectLimit, gauge(100 * state.RunLimit)}, {objectCeiling, gauge(100 * state.Ceiling)},
+		{objectRunning, gauge(float64(state.Running))}, {objectMemory, appendInteger(nil, int32(state.Memory)+1)},
 	}
-	for i, p := range st.Pools {
+	for i, p := range state.Pools {
 		for column, value := range [][]byte{
 			appendElement(nil, tagString, []byte(p.Name)), gauge(float64(p.Running)), gauge(float64(p.Queued)),
 			gauge(100 * p.Entitlement), appendUnsigned(nil, tagCounter64, p.Started), appendUnsigned(nil, tagCounter64, p.Borrowed),
-			appendUnsigned(nil, tagCounter64, p.Rejected), appendInteger(nil, truth[p.Starving]),
+			appendUnsigned(nil, tagCounter64, p.Rejected), appendInteger(nil, truthValue[p.Starving]),
 		} {
 			list = append(list, object{poolEntry.child(uint32(column+2), uint32(i+1)), value})
 		}
--- a/internal/transport/snmp/snmp_test.go
+++ b/internal/transport/snmp/snmp_test.go
@@ -16,7 +16,7 @@
 )
 
 // encodeRequest encodes a request as a manager sends it, following RFC 3416.
-func encodeRequest(kind byte, id, nonRepeaters, repetitions int32, names ...oid) []byte {
+func encodeRequest(pduType byte, id, nonRepeaters, repetitions int32, names ...oid) []byte {
 	var binds []byte
 	for _, n := range names {
 		binds = append(binds, varBind(n, []byte{tagNull, 0})...)
@@ -24,7 +24,7 @@
 	pdu := appendInteger(appendInteger(appendInteger(nil, id), nonRepeaters), repetitions)
 	pdu = appendElement(pdu, tagSequence, binds)
 	m := appendElement([]byte{tagInteger, 1, version2c}, tagString, []byte("quiz"))
-	return appendElement(nil, tagSequence, appendElement(m, kind, pdu))
+	return appendElement(nil, tagSequence, appendElement(m, pduType, pdu))
 }
 
 // binding is a variable binding of a response.
@@ -37,7 +37,7 @@
 func parseResponse(t *testing.T, b []byte, id int32) (status, index int32, list []binding) {
 	t.Helper()
 	q, version, err := parse(b)
-	if err != nil || version != version2c || q.kind != tagResponse || q.id != id || q.community != "quiz" {
+	if err != nil || version != version2c || q.pduType != tagResponse || q.id != id || q.community != "quiz" {
 		t.Fatalf("invalid response: %+v, error %v", q, err)
 	}
 	b, _, _ = expectElement(b, tagSequence)
@@ -60,19 +60,19 @@
 
 func newTestAgent(t *testing.T) *Agent {
 	t.Helper()
-	s, quiet := &metrics.Counters{}, log.New(io.Discard, "", 0)
+	counters, discardLog := &metrics.Counters{}, log.New(io.Discard, "", 0)
 	c, err := core.New(core.Config{Settings: silverpath.Settings{Cores: 1, MemoryKB: 1,
-		Classes: []silverpath.Class{{Name: "x", Deadline: time.Second}}}, MemoryMB: 16, Log: quiet, Stats: s})
+		Classes: []silverpath.Class{{Name: "x", Deadline: time.Second}}}, MemoryMB: 16, Log: discardLog, Stats: counters})
 	if err != nil {
 		t.Fatal(err)
 	}
-	a, err := Listen("127.0.0.1:0", "quiz", "n3", c, quiet, s, nil)
+	a, err := Listen("127.0.0.1:0", "quiz", "n3", c, discardLog, counters, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(a.Close)
-	s.Add(300, "read.msgpack.krog")
-	s.Add(1<<63, "read.msgpack.oddaja")
+	counters.Add(300, "read.msgpack.krog")
+	counters.Add(1<<63, "read.msgpack.oddaja")
 	return a
 }
 
@@ -141,14 +141,14 @@
 		t.Errorf("GetBulk: response of %d bytes with %d bindings", len(reply), len(list))
 	}
 	reply, _ = a.respond(encodeRequest(tagGet, 4, 0, 0, names...))
-	if status, _, _ := parseResponse(t, reply, 4); status != errTooBig {
+	if status, _, _ := parseResponse(t, reply, 4); status != statusTooBig {
 		t.Errorf("error status %d, want tooBig", status)
 	}
 }
 
 func TestNothingCanBeSet(t *testing.T) {
 	reply, _ := newTestAgent(t).respond(encodeRequest(tagSet, 5, 0, 0, objectName))
-	if status, index, _ := parseResponse(t, reply, 5); status != errNotWritable || index != 1 {
+	if status, index, _ := parseResponse(t, reply, 5); status != statusNotWritable || index != 1 {
 		t.Errorf("error status %d, error index %d; want notWritable, 1", status, index)
 	}
 }
