--- a/internal/transport/snmp/agent.go
+++ b/internal/transport/snmp/agent.go
@@ -46,8 +46,8 @@
 	statusNotWritable = 17
 )
 
-// Source supplies the state that an agent reports in addition to counters. The core of a service and a member of the quorum group implement
-// it. Its methods must not block.
+// Source supplies the state that an agent reports in addition to counters. The core of a service and a member of the quorum group
+// implement it. Its methods must not block.
 type Source interface {
 	Health() bool
 	Phase() lifecycle.State
--- a/internal/transport/snmp/ber.go
+++ b/internal/transport/snmp/ber.go
@@ -38,8 +38,10 @@
 // oid is an object identifier.
 type oid []uint32
 
+// compare orders identifiers lexicographically, as cmp.Compare does for numbers.
 func (o oid) compare(p oid) int { return slices.CompareFunc(o, p, cmp.Compare[uint32]) }
 
+// child returns a copy of the identifier with further sub-identifiers appended.
 func (o oid) child(subIDs ...uint32) oid { return append(slices.Clone(o), subIDs...) }
 
 // element is a decoded BER element.
@@ -80,6 +82,7 @@
 	return e.body, rest, err
 }
 
+// expectInteger decodes the first element of b, which must be an integer of at most 4 bytes, and returns it and the rest of b.
 func expectInteger(b []byte) (int32, []byte, error) {
 	v, rest, err := expectElement(b, tagInteger)
 	if err != nil {
@@ -95,6 +98,7 @@
 	return n, rest, nil
 }
 
+// expectOID decodes the first element of b, which must be an object identifier, and returns it and the rest of b.
 func expectOID(b []byte) (oid, []byte, error) {
 	v, rest, err := expectElement(b, tagOID)
 	if err != nil {
@@ -138,6 +142,7 @@
 	return append(b, body...)
 }
 
+// appendInteger appends an encoded INTEGER to b.
 func appendInteger(b []byte, n int32) []byte { return appendElement(b, tagInteger, intBytes(int64(n))) }
 
 // appendUnsigned appends a number of an unsigned type (Gauge32, TimeTicks or Counter64) to b.
@@ -161,6 +166,7 @@
 	return v
 }
 
+// appendOID appends an encoded object identifier to b. An identifier of less than two parts is encoded as empty.
 func appendOID(b []byte, o oid) []byte {
 	var v []byte
 	appendSubID := func(n uint64) {
--- a/internal/transport/vault/client.go
+++ b/internal/transport/vault/client.go
@@ -116,7 +116,7 @@
 }
 
 // errUnreachable means that no connection could be established, which proves that the call never ran.
-var errUnreachable = errors.New("failed to connect")
+var errUnreachable = errors.New("connecting")
 
 // errSurplus means that the connection holds more bytes than the length of the reply accounts for.
 var errSurplus = errors.New("reading the reply: unexpected bytes after its end")
--- a/internal/transport/vault/client_test.go
+++ b/internal/transport/vault/client_test.go
@@ -35,7 +35,7 @@
 	return c
 }
 
-// readCall reads one call and returns it with its headers.
+// readCall reads one call from a connection and returns its head and body.
 func readCall(t *testing.T, r *bufio.Reader) string {
 	t.Helper()
 	var all strings.Builder
