--- a/internal/transport/vault/reply.go
+++ b/internal/transport/vault/reply.go
@@ -15,7 +15,7 @@
 const (
 	maxBodyBytes      = 64 << 10 // the same as for the result of a run
 	maxHeaders        = 64
-	maxInterimReplies = 8 // 1xx replies before the final one
+	maxInterimReplies = 8 // this many 1xx replies before the final one are an error
 )
 
 // reply is the server's final reply to a call.
@@ -128,7 +128,7 @@
 	return nil
 }
 
-// readReply reads one reply and skips up to maxInterimReplies 1xx replies before it.
+// readReply reads one reply. It skips 1xx replies before it and fails if there are maxInterimReplies or more of them.
 func readReply(r *bufio.Reader) (reply, error) {
 	var h head
 	for n := 0; h.status < 200; n++ {
@@ -137,7 +137,7 @@
 			return reply{}, err
 		}
 		if n == maxInterimReplies {
-			return reply{}, fmt.Errorf("more than %d interim (1xx) replies", maxInterimReplies)
+			return reply{}, fmt.Errorf("%d or more interim (1xx) replies", maxInterimReplies)
 		}
 	}
 	body, delimited, err := h.readBody(r)
