--- a/internal/transport/scgi/message_test.go
+++ b/internal/transport/scgi/message_test.go
@@ -24,28 +24,28 @@
 	"silverpath/internal/transport/listener"
 )
 
-// specimen is the example of the protocol's specification.
-const specimen = "70:CONTENT_LENGTH\x0027\x00SCGI\x001\x00REQUEST_METHOD\x00POST\x00REQUEST_URI\x00/deepthought\x00," +
+// specExample is the example request in the specification of the protocol.
+const specExample = "70:CONTENT_LENGTH\x0027\x00SCGI\x001\x00REQUEST_METHOD\x00POST\x00REQUEST_URI\x00/deepthought\x00," +
 	"What is the answer to life?"
 
-func read(b string) (message, error) { return readMessage(bufio.NewReader(strings.NewReader(b)), 100) }
+func read(s string) (message, error) { return readMessage(bufio.NewReader(strings.NewReader(s)), 100) }
 
 func TestSpecimen(t *testing.T) {
-	m, err := read(specimen)
+	m, err := read(specExample)
 	if err != nil || string(m.body) != "What is the answer to life?" || m.headers["REQUEST_URI"] != "/deepthought" {
 		t.Fatalf("%+v, %v", m, err)
 	}
 	got := appendMessage(nil, m.body, "REQUEST_METHOD", "POST", "REQUEST_URI", "/deepthought")
-	if string(got) != specimen {
-		t.Fatalf("written as %q", got)
+	if string(got) != specExample {
+		t.Fatalf("encoded as %q, want the example", got)
 	}
 }
 
-// A request cut anywhere is never taken for a whole one.
+// A request that is truncated at any byte is never accepted as complete.
 func TestCuts(t *testing.T) {
-	for n := 1; n < len(specimen); n++ {
-		if _, err := read(specimen[:n]); !errors.Is(err, io.ErrUnexpectedEOF) {
-			t.Fatalf("cut at %d: %v", n, err)
+	for n := 1; n < len(specExample); n++ {
+		if _, err := read(specExample[:n]); !errors.Is(err, io.ErrUnexpectedEOF) {
+			t.Fatalf("truncated to %d bytes: error %v, want io.ErrUnexpectedEOF", n, err)
 		}
 	}
 }
@@ -57,47 +57,47 @@
 		in   string
 		want error
 	}{
-		"no length":              {":,", errMalformed},
-		"a length with a sign":   {"-1:,", errMalformed},
-		"a leading zero":         {"01:x,", errMalformed},
-		"no comma":               {"1:xy", errMalformed},
-		"no headers":             {"0:,", errMalformed},
-		"no end of a header":     {netstring("CONTENT_LENGTH\x000"), errMalformed},
-		"SCGI first":             {netstring("SCGI\x001\x00CONTENT_LENGTH\x000\x00"), errMalformed},
-		"no SCGI":                {netstring("CONTENT_LENGTH\x000\x00"), errMalformed},
-		"SCGI of 2":              {netstring("CONTENT_LENGTH\x000\x00SCGI\x002\x00"), errMalformed},
-		"CONTENT_LENGTH empty":   {netstring("CONTENT_LENGTH\x00\x00SCGI\x001\x00"), errMalformed},
-		"CONTENT_LENGTH signed":  {netstring("CONTENT_LENGTH\x00+1\x00SCGI\x001\x00"), errMalformed},
-		"a header twice":         {netstring("CONTENT_LENGTH\x000\x00SCGI\x001\x00A\x001\x00A\x002\x00"), errMalformed},
-		"a header with no name":  {netstring("CONTENT_LENGTH\x000\x00SCGI\x001\x00\x00x\x00"), errMalformed},
-		"a netstring of 1 GB":    {"1000000000:", errTooLarge},
-		"a body over the limit":  {netstring("CONTENT_LENGTH\x00101\x00SCGI\x001\x00"), errTooLarge},
-		"a body beyond a number": {netstring("CONTENT_LENGTH\x00" + strings.Repeat("9", 30) + "\x00SCGI\x001\x00"), errTooLarge},
+		"no length":               {":,", errMalformed},
+		"a length with a sign":    {"-1:,", errMalformed},
+		"a leading zero":          {"01:x,", errMalformed},
+		"no comma":                {"1:xy", errMalformed},
+		"no headers":              {"0:,", errMalformed},
+		"unterminated header":     {netstring("CONTENT_LENGTH\x000"), errMalformed},
+		"SCGI first":              {netstring("SCGI\x001\x00CONTENT_LENGTH\x000\x00"), errMalformed},
+		"no SCGI":                 {netstring("CONTENT_LENGTH\x000\x00"), errMalformed},
+		"SCGI version 2":          {netstring("CONTENT_LENGTH\x000\x00SCGI\x002\x00"), errMalformed},
+		"CONTENT_LENGTH empty":    {netstring("CONTENT_LENGTH\x00\x00SCGI\x001\x00"), errMalformed},
+		"CONTENT_LENGTH signed":   {netstring("CONTENT_LENGTH\x00+1\x00SCGI\x001\x00"), errMalformed},
+		"a header twice":          {netstring("CONTENT_LENGTH\x000\x00SCGI\x001\x00A\x001\x00A\x002\x00"), errMalformed},
+		"a header with no name":   {netstring("CONTENT_LENGTH\x000\x00SCGI\x001\x00\x00x\x00"), errMalformed},
+		"a netstring of 1 GB":     {"1000000000:", errTooLarge},
+		"a body over the limit":   {netstring("CONTENT_LENGTH\x00101\x00SCGI\x001\x00"), errTooLarge},
+		"a length that overflows": {netstring("CONTENT_LENGTH\x00" + strings.Repeat("9", 30) + "\x00SCGI\x001\x00"), errTooLarge},
 	} {
 		if _, err := read(c.in); !errors.Is(err, c.want) {
-			t.Errorf("%s: %v, want %v", name, err, c.want)
+			t.Errorf("%s: error %v, want %v", name, err, c.want)
 		}
 	}
 }
 
-// Garbage, from a fixed seed, ends in an error or a request within its bounds.
+// A randomly corrupted request (fixed seed) leads to an error or to a request within its bounds.
 func TestGarbage(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(3, 4))
 	for range 20000 {
-		b := []byte(specimen)
+		b := []byte(specExample)
 		for range 1 + rnd.IntN(4) {
 			b[rnd.IntN(len(b))] = byte(rnd.Uint32())
 		}
 		if m, err := read(string(b)); err == nil && len(m.body) > 100 {
-			t.Fatalf("body of %d bytes", len(m.body))
+			t.Fatalf("accepted a body of %d bytes, limit 100", len(m.body))
 		}
 	}
 }
 
 func FuzzMessage(f *testing.F) {
-	f.Add(specimen)
+	f.Add(specExample)
 	f.Add(netstring("CONTENT_LENGTH\x000\x00SCGI\x001\x00"))
-	f.Add(specimen[:len(specimen)/2])
+	f.Add(specExample[:len(specExample)/2])
 	f.Add(netstring("CONTENT_LENGTH\x0060000000\x00SCGI\x001\x00") + strings.Repeat("x", 4096))
 	f.Add(netstring("CONTENT_LENGTH\x00-1\x00SCGI\x001\x00"))
 	f.Add("99999999999999999999:")
@@ -106,7 +106,7 @@
 	f.Fuzz(func(t *testing.T, in string) {
 		m, err := read(in)
 		if err == nil && (len(m.body) > 100 || len(m.headers) > maxHeaders || m.headers["SCGI"] != "1") {
-			t.Fatal("a request beyond its bounds")
+			t.Fatal("accepted a request that exceeds its bounds")
 		}
 	})
 }
@@ -120,12 +120,12 @@
 	f.Fuzz(func(t *testing.T, in string) {
 		a, err := readResponse(bufio.NewReader(strings.NewReader(in)), 100)
 		if err == nil && (len(a.body) > 100 || a.status < 100 || a.status > 599) {
-			t.Fatal("an answer beyond its bounds")
+			t.Fatal("accepted a response that exceeds its bounds")
 		}
 	})
 }
 
-var site = silverpath.Settings{
+var testSettings = silverpath.Settings{
 	Cores: 2, MemoryKB: 20000, MaxRunsPerCore: 8, RunsWindow: time.Second, RetryAfter: true, MaxRetryAfter: time.Second,
 	Classes: []silverpath.Class{
 		{Name: "lestvica", Objective: time.Second, Deadline: 4 * time.Second, Weight: 1},
@@ -133,8 +133,9 @@
 	},
 }
 
-// application is a stand-in application server; it does with each connection what the test says.
-func application(t *testing.T, serve func(m message, conn net.Conn)) string {
+// startApplicationServer starts a stand-in application server and returns its address. It calls serve with the request of each
+// connection.
+func startApplicationServer(t *testing.T, serve func(m message, conn net.Conn)) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -158,22 +159,22 @@
 	return ln.Addr().String()
 }
 
-// edge is a whole service on loopback sockets: the front, the core, and an application server behind.
-func edge(t *testing.T, upstream string, timeout time.Duration) (addr string, c *core.Core, counters *metrics.Counters) {
+// startService starts a front and a core that use the application server at upstreamAddr, and returns the address of the front.
+func startService(t *testing.T, upstreamAddr string, timeout time.Duration) (addr string, c *core.Core, counters *metrics.Counters) {
 	t.Helper()
-	quiet := log.New(io.Discard, "", 0)
+	discardLog := log.New(io.Discard, "", 0)
 	counters = &metrics.Counters{}
-	c, err := core.New(core.Config{Settings: site, MemoryMB: 32, Log: quiet, Stats: counters})
+	c, err := core.New(core.Config{Settings: testSettings, MemoryMB: 32, Log: discardLog, Stats: counters})
 	if err != nil {
 		t.Fatal(err)
 	}
-	up := NewUpstream(upstream, 2, 8, timeout, c, quiet, counters)
+	up := NewUpstream(upstreamAddr, 2, 8, timeout, c, discardLog, counters)
 	if err := c.Attach(up, nil); err != nil {
 		t.Fatal(err)
 	}
 	up.ReportUp(t.Context())
-	f := New(c, settings.SCGI{MaxBody: 64, RequestKB: 20}, 1, quiet, counters)
-	ln, err := listener.Listen(Name, "127.0.0.1:0", 100, c.IdleAfter, f.Serve, quiet, counters)
+	f := New(c, settings.SCGI{MaxBody: 64, RequestKB: 20}, 1, discardLog, counters)
+	ln, err := listener.Listen(Name, "127.0.0.1:0", 100, c.IdleAfter, f.Serve, discardLog, counters)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -182,7 +183,7 @@
 	return ln.Addr().String(), c, counters
 }
 
-func ask(t *testing.T, addr string, raw []byte) (Reply, error) {
+func sendRequest(t *testing.T, addr string, raw []byte) (Reply, error) {
 	t.Helper()
 	conn, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -196,9 +197,9 @@
 	return ReadReply(bufio.NewReader(conn))
 }
 
-// Every outcome has its status, over real sockets from the web front to the application server and back.
+// Each outcome leads to its status. The requests go over real sockets from a web server to the application server and back.
 func TestStatuses(t *testing.T) {
-	upstream := application(t, func(m message, conn net.Conn) {
+	upstream := startApplicationServer(t, func(m message, conn net.Conn) {
 		switch string(m.body) {
 		case "fine":
 			conn.Write(appendResponse(nil, "200 OK", []byte("\x00result"), "text/plain"))
@@ -212,7 +213,7 @@
 			_, _ = io.Copy(io.Discard, conn)
 		}
 	})
-	addr, _, _ := edge(t, upstream, 30*time.Second)
+	addr, _, _ := startService(t, upstream, 30*time.Second)
 	for name, c := range map[string]struct {
 		raw    []byte
 		status int
@@ -234,7 +235,7 @@
 		"no class":          {AppendRequest(nil, nil), 404, ""},
 	} {
 		t.Run(name, func(t *testing.T) {
-			a, err := ask(t, addr, c.raw)
+			a, err := sendRequest(t, addr, c.raw)
 			if err != nil || a.Status != c.status || c.body != "" && string(a.Body) != c.body {
 				t.Fatalf("status %d, body %q, error %v; want %d, %q", a.Status, a.Body, err, c.status, c.body)
 			}
@@ -242,51 +243,51 @@
 	}
 }
 
-// A connection to the application server that breaks proves nothing, so the effect is not run again; one that
-// is refused proves that nothing ran, so the next try may.
+// A broken connection to the application server does not prove that nothing ran, so a retry does not run again. A refused connection
+// proves it, so a retry does run.
 func TestBrokenUpstream(t *testing.T) {
 	runs := make(chan string, 10)
-	upstream := application(t, func(m message, conn net.Conn) { runs <- m.headers["HTTP_X_REQUEST_ID"] })
-	addr, _, _ := edge(t, upstream, 30*time.Second)
-	oddaja := AppendRequest(nil, []byte("x"), "PATH_INFO", "/oddaja", "HTTP_IDEMPOTENCY_KEY", "k")
+	upstream := startApplicationServer(t, func(m message, conn net.Conn) { runs <- m.headers["HTTP_X_REQUEST_ID"] })
+	addr, _, _ := startService(t, upstream, 30*time.Second)
+	keyedRequest := AppendRequest(nil, []byte("x"), "PATH_INFO", "/oddaja", "HTTP_IDEMPOTENCY_KEY", "k")
 	for range 3 {
-		if a, err := ask(t, addr, oddaja); err != nil || a.Status != 502 {
+		if a, err := sendRequest(t, addr, keyedRequest); err != nil || a.Status != 502 {
 			t.Fatalf("status %d, error %v", a.Status, err)
 		}
 	}
 	if n := len(runs); n != 1 {
-		t.Fatalf("run %d times", n)
+		t.Fatalf("the application server received %d runs, want 1", n)
 	}
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	ln.Close()
-	addr, _, counters := edge(t, ln.Addr().String(), 30*time.Second)
+	addr, _, counters := startService(t, ln.Addr().String(), 30*time.Second)
 	for range 2 {
-		if a, err := ask(t, addr, oddaja); err != nil || a.Status != 502 {
+		if a, err := sendRequest(t, addr, keyedRequest); err != nil || a.Status != 502 {
 			t.Fatalf("status %d, error %v", a.Status, err)
 		}
 	}
 	if n := counters.Get("upstream", "unreachable"); n != 2 {
-		t.Fatalf("tried %d times, want 2: a refused connection ran nothing", n)
+		t.Fatalf("%d attempts to connect, want 2: after a refused connection the retry may run", n)
 	}
 }
 
-// A caller that closes only its sending half is answered where the operator says that callers do so.
+// With half_close set, a caller that has closed only its sending half still gets its answer. Without it the caller counts as gone.
 func TestHalfClose(t *testing.T) {
-	for _, half := range []bool{true, false} {
-		near, far := net.Pipe()
-		c, err := core.New(core.Config{Settings: site, MemoryMB: 32, Log: log.New(io.Discard, "", 0)})
+	for _, halfClose := range []bool{true, false} {
+		clientConn, serverConn := net.Pipe()
+		c, err := core.New(core.Config{Settings: testSettings, MemoryMB: 32, Log: log.New(io.Discard, "", 0)})
 		if err != nil {
 			t.Fatal(err)
 		}
 		started := make(chan string, 1)
-		if err := c.Attach(runner{c, started}, nil); err != nil {
+		if err := c.Attach(manualRunner{c, started}, nil); err != nil {
 			t.Fatal(err)
 		}
 		counters := &metrics.Counters{}
-		f := New(c, settings.SCGI{MaxBody: 64, RequestKB: 20, HalfClose: half}, 1, log.New(io.Discard, "", 0), counters)
+		f := New(c, settings.SCGI{MaxBody: 64, RequestKB: 20, HalfClose: halfClose}, 1, log.New(io.Discard, "", 0), counters)
 		done := make(chan struct{})
 		q, err := f.mapRequest(message{headers: map[string]string{"PATH_INFO": "/oddaja"}}, time.Now(), nil)
 		if err != nil {
@@ -294,31 +295,31 @@
 		}
 		go func() {
 			defer close(done)
-			f.awaitAnswer(far, bufio.NewReader(strings.NewReader("")), q, func() {}) // the sending half has ended
+			f.awaitAnswer(serverConn, bufio.NewReader(strings.NewReader("")), q, func() {}) // the caller has closed its sending half
 		}()
 		id := <-started
-		if half {
+		if halfClose {
 			c.RunEnded(id, silverpath.OK, 0, []byte("done"))
-			if a, err := ReadReply(bufio.NewReader(near)); err != nil || string(a.Body) != "done" {
+			if a, err := ReadReply(bufio.NewReader(clientConn)); err != nil || string(a.Body) != "done" {
 				t.Fatalf("body %q, error %v", a.Body, err)
 			}
 		}
 		<-done
-		if n := counters.Get("dropped", Name); (n == 1) == half {
-			t.Fatalf("half_close %v: %d counted as dropped", half, n)
+		if n := counters.Get("dropped", Name); (n == 1) == halfClose {
+			t.Fatalf("half_close %v: %d requests counted as dropped", halfClose, n)
 		}
 		c.Stop()
 	}
 }
 
-type runner struct {
+type manualRunner struct {
 	core    *core.Core
 	started chan string
 }
 
-func (r runner) Run(id, _ string, _ []byte) { r.started <- id }
-func (r runner) Resume(string, []byte)      {}
-func (r runner) Probe()                     {}
+func (r manualRunner) Run(id, _ string, _ []byte) { r.started <- id }
+func (r manualRunner) Resume(string, []byte)      {}
+func (r manualRunner) Probe()                     {}
 
 func TestIDsDiffer(t *testing.T) {
 	f := New(nil, settings.SCGI{}, 7, nil, &metrics.Counters{})
@@ -326,44 +327,45 @@
 	for range 10000 {
 		id := f.newID()
 		if len(id) != 16 || seen[id] {
-			t.Fatalf("id %q", id)
+			t.Fatalf("request ID %q is not unique or not 16 characters long", id)
 		}
 		seen[id] = true
 	}
 }
 
-// A flood of a class is turned away by its headers: the body that was announced is neither waited for nor read, and the
-// state of the service is told where it is to be. What still comes then, and after what can't be read, is read before the close.
+// Under a flood of requests of one class, further ones are rejected by their headers, without waiting for the body. After such a
+// rejection, after a status request and after a malformed request, the server reads what the client still sends before it closes the
+// connection.
 func TestRefusedByItsHeaders(t *testing.T) {
-	c, err := core.New(core.Config{Settings: site, MemoryMB: 32, Log: log.New(io.Discard, "", 0), Status: true,
+	c, err := core.New(core.Config{Settings: testSettings, MemoryMB: 32, Log: log.New(io.Discard, "", 0), Status: true,
 		Pools: &admission.Config{Pools: []admission.Pool{{Name: "all", Weight: 1}}}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := c.Attach(runner{c, make(chan string, 1000)}, nil); err != nil {
+	if err := c.Attach(manualRunner{c, make(chan string, 1000)}, nil); err != nil {
 		t.Fatal(err)
 	}
 	defer c.Stop()
 	f := New(c, settings.SCGI{MaxBody: 64, RequestKB: 20}, 1, log.New(io.Discard, "", 0), &metrics.Counters{})
-	conns := listenLingering(t)
-	ln := listener.New(Name, conns, 100, c.IdleAfter, f.Serve, log.New(io.Discard, "", 0), &metrics.Counters{})
+	trackingLn := newTrackingListener(t)
+	ln := listener.New(Name, trackingLn, 100, c.IdleAfter, f.Serve, log.New(io.Discard, "", 0), &metrics.Counters{})
 	go ln.Serve()
 	defer ln.Close()
-	if a := conns.askOn(t, AppendRequest(nil, nil, "PATH_INFO", "/status")); a.Status != 200 ||
+	if a := trackingLn.sendWhileReading(t, AppendRequest(nil, nil, "PATH_INFO", "/status")); a.Status != 200 ||
 		!strings.Contains(string(a.Body), `"phase"`) || a.Headers["content-type"] != "application/json" {
 		t.Fatalf("%+v", a)
 	}
-	if a := conns.askOn(t, []byte("no request")); a.Status != 400 {
+	if a := trackingLn.sendWhileReading(t, []byte("no request")); a.Status != 400 {
 		t.Fatalf("%+v", a)
 	}
 	head := bytes.TrimSuffix(AppendRequest(nil, bytes.Repeat([]byte("x"), 60), "PATH_INFO", "/lestvica"), bytes.Repeat([]byte("x"), 60))
 	for deadline := time.Now().Add(20 * time.Second); ; {
-		now := time.Now() // a flood: far more than two cores can do by their due time
+		now := time.Now() // far more requests than two cores can run before the deadline
 		for i := range 2000 {
 			go c.Serve(core.Request{Front: "test", ID: fmt.Sprint(now.UnixNano(), i), Class: "lestvica", MemoryKB: 1, ReceivedAt: now,
 				Deadline: now.Add(200 * time.Millisecond)}, func(core.Answer) {})
 		}
-		a := conns.askOn(t, head)
+		a := trackingLn.sendWhileReading(t, head)
 		if a.Status == 503 && a.RetryAfter > 0 {
 			break
 		}
@@ -373,9 +375,9 @@
 	}
 }
 
-// Bodies of 60 MB are refused by the length that they state, while they still come, and take no memory here.
+// Bodies of 60 MB are rejected by their stated length while they are still being sent. No memory is allocated for them.
 func TestHugeBodiesTakeNoMemory(t *testing.T) {
-	addr, _, _ := edge(t, application(t, func(message, net.Conn) {}), 30*time.Second)
+	addr, _, _ := startService(t, startApplicationServer(t, func(message, net.Conn) {}), 30*time.Second)
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
 	var wg sync.WaitGroup
@@ -391,9 +393,9 @@
 			block := "CONTENT_LENGTH\x0062914560\x00SCGI\x001\x00PATH_INFO\x00/lestvica\x00"
 			fmt.Fprintf(conn, "%d:%s,", len(block), block)
 			go func() {
-				piece := make([]byte, 64<<10)
+				chunk := make([]byte, 64<<10)
 				for range 960 {
-					if _, err := conn.Write(piece); err != nil {
+					if _, err := conn.Write(chunk); err != nil {
 						return
 					}
 				}
@@ -405,20 +407,21 @@
 	}
 	wg.Wait()
 	runtime.ReadMemStats(&after)
-	if grown := int64(after.TotalAlloc - before.TotalAlloc); grown > 8<<20 {
-		t.Errorf("%d KB were allocated for eight bodies of 60 MB", grown>>10)
+	if allocated := int64(after.TotalAlloc - before.TotalAlloc); allocated > 8<<20 {
+		t.Errorf("%d KB were allocated for eight bodies of 60 MB, limit 8 MB", allocated>>10)
 	}
 }
 
-// While memory is short large bodies are turned away, but not those of sheets: a repeat of one that has run is not refused.
+// While memory is short, large bodies are rejected, except those of an idempotent class: the retry of a request that has run must not be
+// rejected.
 func TestLargeBodiesWhileMemoryIsShort(t *testing.T) {
-	c, err := core.New(core.Config{Settings: site, MemoryMB: 64, Log: log.New(io.Discard, "", 0),
+	c, err := core.New(core.Config{Settings: testSettings, MemoryMB: 64, Log: log.New(io.Discard, "", 0),
 		Pools: &admission.Config{Pools: []admission.Pool{{Name: "all", Weight: 1}}}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	started := make(chan string, 10)
-	if err := c.Attach(short{runner{c, started}}, nil); err != nil {
+	if err := c.Attach(lowMemoryRunner{manualRunner{c, started}}, nil); err != nil {
 		t.Fatal(err)
 	}
 	defer c.Stop()
@@ -429,25 +432,25 @@
 	}
 	go ln.Serve()
 	defer ln.Close()
-	sheet := AppendRequest(nil, bytes.Repeat([]byte("x"), 60), "PATH_INFO", "/oddaja", "HTTP_IDEMPOTENCY_KEY", "k")
+	keyedRequest := AppendRequest(nil, bytes.Repeat([]byte("x"), 60), "PATH_INFO", "/oddaja", "HTTP_IDEMPOTENCY_KEY", "k")
 	go func() { c.RunEnded(<-started, silverpath.OK, 0, []byte("scored")) }()
-	if a, err := ask(t, ln.Addr().String(), sheet); err != nil || a.Status != 200 {
+	if a, err := sendRequest(t, ln.Addr().String(), keyedRequest); err != nil || a.Status != 200 {
 		t.Fatalf("%+v, %v", a, err)
 	}
 	for deadline := time.Now().Add(20 * time.Second); c.MaxBody(64) != 16; time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatal("memory is not short")
+			t.Fatal("the body limit is not reduced although memory is short")
 		}
 	}
-	if a, err := ask(t, ln.Addr().String(), AppendRequest(nil, bytes.Repeat([]byte("x"), 60), "PATH_INFO", "/lestvica")); err != nil || a.Status != 413 {
-		t.Errorf("a read: %+v, %v", a, err)
+	if a, err := sendRequest(t, ln.Addr().String(), AppendRequest(nil, bytes.Repeat([]byte("x"), 60), "PATH_INFO", "/lestvica")); err != nil || a.Status != 413 {
+		t.Errorf("request of a class that is not idempotent: %+v, error %v; want status 413", a, err)
 	}
-	if a, err := ask(t, ln.Addr().String(), sheet); err != nil || a.Status != 200 || string(a.Body) != "scored" {
-		t.Errorf("the repeat of a sheet: %+v, %v", a, err)
+	if a, err := sendRequest(t, ln.Addr().String(), keyedRequest); err != nil || a.Status != 200 || string(a.Body) != "scored" {
+		t.Errorf("retry of an idempotent request: %+v, error %v; want status 200", a, err)
 	}
 }
 
-// short is a runner on a machine whose memory is full.
-type short struct{ runner }
+// lowMemoryRunner is a runner that reports a memory use of 85 %.
+type lowMemoryRunner struct{ manualRunner }
 
-func (s short) Probe() { s.core.Gauges(silverpath.Gauges{Memory: 0.85}) }
+func (s lowMemoryRunner) Probe() { s.core.Gauges(silverpath.Gauges{Memory: 0.85}) }
--- a/internal/transport/snmp/agent.go
+++ b/internal/transport/snmp/agent.go
@@ -17,36 +17,37 @@
 	"silverpath/internal/policy/lifecycle"
 )
 
-// root is where the MIB hangs: below the enterprise number that RFC 5612 sets aside for documentation, until
-// the operator has one of its own.
-var root = oid{1, 3, 6, 1, 4, 1, 32473, 1}
+// mibRoot is the root of the MIB. It is below the enterprise number that RFC 5612 reserves for documentation, as long as the operator
+// has no number of its own.
+var mibRoot = oid{1, 3, 6, 1, 4, 1, 32473, 1}
 
-// The objects of the MIB.
+// The objects of the MIB. docs/SILVERPATH-MIB.txt defines them.
 var (
-	objectName     = root.with(1, 1, 0)
-	objectPhase    = root.with(1, 2, 0)
-	objectUpTime   = root.with(1, 3, 0)
-	objectOwed     = root.with(1, 4, 0)
-	objectHealth   = root.with(1, 5, 0)
-	columnCounters = root.with(2, 1, 2)
-	objectLimit    = root.with(4, 1, 0)
-	objectCeiling  = root.with(4, 2, 0)
-	objectOnCores  = root.with(4, 3, 0)
-	objectMemory   = root.with(4, 4, 0)
-	poolEntry      = root.with(4, 5, 1)
+	objectName           = mibRoot.child(1, 1, 0)
+	objectPhase          = mibRoot.child(1, 2, 0)
+	objectUpTime         = mibRoot.child(1, 3, 0)
+	objectPendingAnswers = mibRoot.child(1, 4, 0)
+	objectHealth         = mibRoot.child(1, 5, 0)
+	columnCounters       = mibRoot.child(2, 1, 2)
+	objectLimit          = mibRoot.child(4, 1, 0)
+	objectCeiling        = mibRoot.child(4, 2, 0)
+	objectRunning        = mibRoot.child(4, 3, 0)
+	objectMemory         = mibRoot.child(4, 4, 0)
+	poolEntry            = mibRoot.child(4, 5, 1)
 )
 
 const (
 	version2c        = 1
-	maxResponseBytes = 1400 // one packet on any path
-	maxCounterName   = 100  // of a counter, as an index
+	maxResponseBytes = 1400 // fits in one packet on any path
+	maxCounterName   = 100  // bytes of a counter name that are used as a table index
 	maxRepetitions   = 200
 
-	errTooBig      = 1
-	errNotWritable = 17
+	statusTooBig      = 1
+	statusNotWritable = 17
 )
 
-// Source is what an agent shows beside counters: the core of a service, or a member of the group. Its methods must not block.
+// Source supplies the state that an agent reports in addition to counters. The core of a service and a member of the quorum group
+// implement it. Its methods must not block.
 type Source interface {
 	Health() bool
 	Phase() lifecycle.State
@@ -59,30 +60,31 @@
 	conn      net.PacketConn
 	community string
 	name      string
-	core      Source
+	source    Source
 	stats     *metrics.Counters
 	log       *log.Logger
 	startedAt time.Time
 }
 
-// Listen opens an agent's address; control, where it is not nil, is called on the socket first. Serve must follow, or Close.
+// Listen returns an agent that listens on a UDP address. If control is not nil, it is called on the socket before it is bound. The
+// caller must call Serve or Close.
 func Listen(addr, community, name string, c Source, l *log.Logger, s *metrics.Counters,
 	control func(network, addr string, raw syscall.RawConn) error) (*Agent, error) {
 	conn, err := (&net.ListenConfig{Control: control}).ListenPacket(context.Background(), "udp", addr)
 	if err != nil {
 		return nil, err
 	}
-	return &Agent{conn: conn, community: community, name: name, core: c, stats: s, log: l, startedAt: time.Now()}, nil
+	return &Agent{conn: conn, community: community, name: name, source: c, stats: s, log: l, startedAt: time.Now()}, nil
 }
 
-// Addr returns the address listened on.
+// Addr returns the address that the agent listens on.
 func (a *Agent) Addr() net.Addr { return a.conn.LocalAddr() }
 
-// Close ends Serve.
+// Close closes the socket, which ends Serve.
 func (a *Agent) Close() { a.conn.Close() }
 
-// Serve answers requests until Close. What is malformed, of another version or for another community gets no
-// answer, as the protocol has it, and is counted.
+// Serve answers requests until Close is called. Malformed messages and those with another version or community are counted and, as the
+// protocol requires, get no response.
 func (a *Agent) Serve() {
 	b := make([]byte, 64<<10)
 	for {
@@ -107,17 +109,17 @@
 	}
 }
 
-// request is a message that asks for something.
+// request is a decoded request message.
 type request struct {
-	kind           byte
+	pduType        byte
 	id             int32
-	nonRepeaters   int32 // GetBulk: the names asked for once
-	maxRepetitions int32 // and how often the others are
+	nonRepeaters   int32 // GetBulk: the number of leading names that are looked up once
+	maxRepetitions int32 // GetBulk: how often each other name is looked up
 	names          []oid
 	community      string
 }
 
-// parse takes a message apart; version is 0-based, as the protocol has it.
+// parse decodes a message. The version is 0-based, as in the protocol, so that SNMPv2c is 1. The error wraps errMalformed.
 func parse(b []byte) (q request, version int32, err error) {
 	fail := func(err error) (request, int32, error) { return request{}, version, err }
 	b, _, err = expectElement(b, tagSequence)
@@ -136,7 +138,7 @@
 	if err != nil {
 		return fail(err)
 	}
-	q.kind, b = pdu.tag, pdu.body
+	q.pduType, b = pdu.tag, pdu.body
 	for _, n := range []*int32{&q.id, &q.nonRepeaters, &q.maxRepetitions} {
 		if *n, b, err = expectInteger(b); err != nil {
 			return fail(err)
@@ -162,7 +164,7 @@
 	return q, version, nil
 }
 
-// respond returns the response to a message, or for what reason, by its counter, there is none.
+// respond returns the response to a message. Without a response, reason is the name of the counter for the cause.
 func (a *Agent) respond(b []byte) (reply []byte, reason string) {
 	q, version, err := parse(b)
 	switch {
@@ -175,20 +177,20 @@
 	}
 	var binds [][]byte
 	objects := a.objects()
-	switch q.kind {
+	switch q.pduType {
 	case tagGet:
 		for _, name := range q.names {
 			binds = append(binds, get(objects, name))
 		}
 	case tagGetNext:
 		for _, name := range q.names {
-			bind, _ := successor(objects, name)
+			bind, _ := getNext(objects, name)
 			binds = append(binds, bind)
 		}
 	case tagGetBulk:
 		binds = getBulk(objects, q)
 	case tagSet:
-		return q.response(errNotWritable, min(1, len(q.names)), q.echo()), ""
+		return q.response(statusNotWritable, min(1, len(q.names)), q.nullBindings()), ""
 	default:
 		return nil, "bad_request"
 	}
@@ -197,15 +199,15 @@
 		switch {
 		case len(reply) <= maxResponseBytes:
 			return reply, ""
-		case q.kind != tagGetBulk || len(binds) == 0:
-			return q.response(errTooBig, 0, nil), ""
+		case q.pduType != tagGetBulk || len(binds) == 0:
+			return q.response(statusTooBig, 0, nil), ""
 		}
 		binds = binds[:len(binds)*3/4]
 	}
 }
 
-// echo is what was asked, unchanged but for the values.
-func (q request) echo() [][]byte {
+// nullBindings returns the variable bindings of the request with null values.
+func (q request) nullBindings() [][]byte {
 	var binds [][]byte
 	for _, name := range q.names {
 		binds = append(binds, varBind(name, appendElement(nil, tagNull, nil)))
@@ -213,7 +215,8 @@
 	return binds
 }
 
-// response is a response to the request, with an error status and the index of the binding that it is of.
+// response encodes a response to the request. Status is the error status, and index the 1-based position of the binding that caused the
+// error, or 0.
 func (q request) response(status, index int, binds [][]byte) []byte {
 	pdu := appendInteger(nil, q.id)
 	pdu = appendInteger(appendInteger(pdu, int32(status)), int32(index))
@@ -222,35 +225,36 @@
 	return appendElement(nil, tagSequence, appendElement(m, tagResponse, pdu))
 }
 
-// object is one instance of the MIB with its value, encoded.
+// object is one object instance of the MIB with its encoded value.
 type object struct {
 	name  oid
 	value []byte
 }
 
-// varBind is one binding of a name to a value, encoded.
+// varBind encodes the variable binding of a name and an encoded value.
 func varBind(name oid, value []byte) []byte {
 	return appendElement(nil, tagSequence, append(appendOID(nil, name), value...))
 }
 
-// compare orders objects by name.
+// compare compares the name of an object with a name, for binary searches.
 func compare(o object, name oid) int { return o.name.compare(name) }
 
-// get is the binding of a name to the value of its object, or to what is missing.
+// get returns the binding of a name to the value of its object. If there is no such object, the value is noSuchInstance or noSuchObject.
 func get(objects []object, name oid) []byte {
 	if i, found := slices.BinarySearchFunc(objects, name, compare); found {
 		return varBind(name, objects[i].value)
 	}
-	for _, o := range objects { // a name under a known object lacks only the instance
-		if parent := o.name[:len(root)+2]; len(name) >= len(parent) && name[:len(parent)].compare(parent) == 0 {
+	for _, o := range objects { // a name below a known object lacks only the instance
+		if parent := o.name[:len(mibRoot)+2]; len(name) >= len(parent) && name[:len(parent)].compare(parent) == 0 {
 			return varBind(name, appendElement(nil, tagNoSuchInstance, nil))
 		}
 	}
 	return varBind(name, appendElement(nil, tagNoSuchObject, nil))
 }
 
-// successor is the binding of the object after a name, and that object's name; nil at the end of the MIB.
-func successor(objects []object, name oid) ([]byte, oid) {
+// getNext returns the binding of the first object after a name in lexicographic order, and the name of that object. After the last object
+// the value is endOfMibView and the returned name is nil.
+func getNext(objects []object, name oid) ([]byte, oid) {
 	i, found := slices.BinarySearchFunc(objects, name, compare)
 	if found {
 		i++
@@ -261,90 +265,91 @@
 	return varBind(objects[i].name, objects[i].value), objects[i].name
 }
 
-// getBulk has the successors of the first names once, and of the others again and again.
+// getBulk returns the bindings of a GetBulk request: one getNext for each of the first q.nonRepeaters names, and up to
+// q.maxRepetitions successive ones for each other name. It stops once there are more than maxRepetitions bindings.
 func getBulk(objects []object, q request) [][]byte {
 	var binds [][]byte
-	once := min(len(q.names), int(max(0, q.nonRepeaters)))
-	for _, name := range q.names[:once] {
-		bind, _ := successor(objects, name)
+	nonRepeaters := min(len(q.names), int(max(0, q.nonRepeaters)))
+	for _, name := range q.names[:nonRepeaters] {
+		bind, _ := getNext(objects, name)
 		binds = append(binds, bind)
 	}
-	names := slices.Clone(q.names[once:])
+	names := slices.Clone(q.names[nonRepeaters:])
 	for range min(maxRepetitions, max(0, q.maxRepetitions)) {
-		more := false
+		anyLeft := false
 		for i, name := range names {
-			bind, at := successor(objects, name)
-			if binds = append(binds, bind); at != nil {
-				names[i], more = at, true
+			bind, next := getNext(objects, name)
+			if binds = append(binds, bind); next != nil {
+				names[i], anyLeft = next, true
 			}
 			if len(binds) > maxRepetitions {
 				return binds
 			}
 		}
-		if !more {
+		if !anyLeft {
 			break
 		}
 	}
 	return binds
 }
 
-// objects is the whole MIB as it is now, in the order of names.
+// objects returns the current objects of the whole MIB, sorted by name.
 func (a *Agent) objects() []object {
-	health := int32(2) // TruthValue
-	if a.core.Health() {
+	health := int32(2) // TruthValue of SNMPv2-TC: 1 is true, 2 is false
+	if a.source.Health() {
 		health = 1
 	}
 	list := []object{
 		{objectName, appendElement(nil, tagString, []byte(a.name))},
-		{objectPhase, appendInteger(nil, int32(a.core.Phase())+1)},
+		{objectPhase, appendInteger(nil, int32(a.source.Phase())+1)},
 		{objectUpTime, appendUnsigned(nil, tagTimeTicks, uint64(time.Since(a.startedAt)/(10*time.Millisecond))&(1<<32-1))},
-		{objectOwed, appendUnsigned(nil, tagGauge32, uint64(max(0, a.core.PendingAnswers())))},
+		{objectPendingAnswers, appendUnsigned(nil, tagGauge32, uint64(max(0, a.source.PendingAnswers())))},
 		{objectHealth, appendInteger(nil, health)},
 	}
 	counters := a.stats.Snapshot()
 	for _, name := range slices.Sorted(maps.Keys(counters)) {
 		if len(name) > maxCounterName {
-			name = name[:maxCounterName] // an index has its bounds; no name of ours is so long
+			name = name[:maxCounterName] // bounds the length of an index; no existing counter name reaches it
 			if _, twice := counters[name]; twice {
 				continue
 			}
 		}
 		index := columnCounters
 		for _, c := range []byte(name) {
-			index = index.with(uint32(c))
+			index = index.child(uint32(c))
 		}
 		list = append(list, object{index, appendUnsigned(nil, tagCounter64, counters[name])})
 	}
-	list = append(list, a.pools()...)
+	list = append(list, a.poolObjects()...)
 	slices.SortFunc(list, func(x, y object) int { return x.name.compare(y.name) })
 	return list
 }
 
-// pools are the objects of the pools, where there are any.
-func (a *Agent) pools() []object {
-	st := a.core.View().Pools
-	if st == nil {
+// poolObjects returns the objects of the run limit and of the pools, or nil if the service has no pools.
+func (a *Agent) poolObjects() []object {
+	state := a.source.View().Pools
+	if state == nil {
 		return nil
 	}
 	gauge := func(v float64) []byte { return appendUnsigned(nil, tagGauge32, uint64(max(0, v))) }
-	truth := map[bool]int32{true: 1, false: 2} // TruthValue
+	truthValue := map[bool]int32{true: 1, false: 2} // of SNMPv2-TC
 	list := []object{
-		{objectLimit, gauge(100 * st.RunLimit)}, {objectCeiling, gauge(100 * st.Ceiling)},
-		{objectOnCores, gauge(float64(st.Running))}, {objectMemory, appendInteger(nil, int32(st.Memory)+1)},
+		{objectLimit, gauge(100 * state.RunLimit)}, {objectCeiling, gauge(100 * state.Ceiling)},
+		{objectRunning, gauge(float64(state.Running))}, {objectMemory, appendInteger(nil, int32(state.Memory)+1)},
 	}
-	for i, p := range st.Pools {
+	for i, p := range state.Pools {
 		for column, value := range [][]byte{
 			appendElement(nil, tagString, []byte(p.Name)), gauge(float64(p.Running)), gauge(float64(p.Queued)),
 			gauge(100 * p.Entitlement), appendUnsigned(nil, tagCounter64, p.Started), appendUnsigned(nil, tagCounter64, p.Borrowed),
-			appendUnsigned(nil, tagCounter64, p.Rejected), appendInteger(nil, truth[p.Starving]),
+			appendUnsigned(nil, tagCounter64, p.Rejected), appendInteger(nil, truthValue[p.Starving]),
 		} {
-			list = append(list, object{poolEntry.with(uint32(column+2), uint32(i+1)), value})
+			list = append(list, object{poolEntry.child(uint32(column+2), uint32(i+1)), value})
 		}
 	}
 	return list
 }
 
-// String is a name in the usual dotted form.
+// String returns the identifier in dotted notation with a leading dot.
 func (o oid) String() string {
 	s := ""
 	for _, n := range o {
--- a/internal/transport/vault/client_test.go
+++ b/internal/transport/vault/client_test.go
@@ -19,24 +19,24 @@
 	"silverpath/internal/transport/linger"
 )
 
-// below is a stand-in for the vault: connections are pipes, and the test answers on them.
-type below struct {
+// pipeClient is a client whose connections are pipes. The test takes the server's ends from conns and replies on them.
+type pipeClient struct {
 	*Client
 	conns chan net.Conn
 }
 
-func newBelow() *below {
-	b := &below{New("", 4), make(chan net.Conn, 8)}
-	b.dial = func(context.Context, string, string) (net.Conn, error) {
-		near, far := net.Pipe()
-		b.conns <- far
-		return near, nil
+func newPipeClient() *pipeClient {
+	c := &pipeClient{New("", 4), make(chan net.Conn, 8)}
+	c.dial = func(context.Context, string, string) (net.Conn, error) {
+		clientConn, serverConn := net.Pipe()
+		c.conns <- serverConn
+		return clientConn, nil
 	}
-	return b
+	return c
 }
 
-// take reads one call.
-func take(t *testing.T, r *bufio.Reader) string {
+// readCall reads one call from a connection and returns its head and body.
+func readCall(t *testing.T, r *bufio.Reader) string {
 	t.Helper()
 	var all strings.Builder
 	n := 0
@@ -87,44 +87,44 @@
 		strings.Repeat("HTTP/1.1 100 Continue\r\n\r\n", 50) + "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok":               silverpath.Disconnected,
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			b := newBelow()
+			c := newPipeClient()
 			go func() {
-				conn := <-b.conns
-				call := take(t, bufio.NewReader(conn))
+				conn := <-c.conns
+				call := readCall(t, bufio.NewReader(conn))
 				if call != "POST /v2/read HTTP/1.1\r\nHost: vault\r\nX-Ticket: id\r\nX-Max-Ms: 250\r\nContent-Length: 3\r\n\r\na\x00b" {
 					t.Errorf("call %q", call)
 				}
 				io.WriteString(conn, reply)
 				conn.Close()
 			}()
-			got, body := b.Call(t.Context(), "id", 250*time.Millisecond, []byte("a\x00b"), false)
+			got, body := c.Call(t.Context(), "id", 250*time.Millisecond, []byte("a\x00b"), false)
 			if got != want || got == silverpath.OK && string(body) != "ok" {
 				t.Errorf("%q: outcome %v, body %q, want %v", reply, got, body, want)
 			}
-			time.Sleep(time.Minute) // the idle connection is swept
+			time.Sleep(time.Minute) // until the idle connection is closed
 		})
 	}
 }
 
-// Bytes that belong to no call end a connection: surplus after a reply, whenever it comes, must not be read as
-// the reply to the next call. A copy of a 503 would make a call be made again that has run.
+// Surplus bytes after a reply, whenever they arrive, must close the connection and not be read as the reply to the next call.
+// Otherwise a duplicated 503 would cause a call that has run to be repeated.
 func TestSurplus(t *testing.T) {
 	const ok, busy = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", "HTTP/1.1 503 Busy\r\nX-Refused-Unseen: 1\r\nContent-Length: 0\r\n\r\n"
 	for name, reply := range map[string][]string{
-		"a copy": {busy + busy}, "noise": {busy + "\x00\xffnoise"}, "a late copy": {busy, busy}, "an early close": {busy, ""},
+		"duplicate": {busy + busy}, "garbage": {busy + "\x00\xffnoise"}, "late duplicate": {busy, busy}, "early close": {busy, ""},
 	} {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
-		said := make(chan bool)
+		done := make(chan bool)
 		go func() {
 			for first := true; ; first = false {
 				conn, err := ln.Accept()
 				if err != nil {
 					return
 				}
-				take(t, bufio.NewReader(conn))
+				readCall(t, bufio.NewReader(conn))
 				if !first {
 					io.WriteString(conn, ok)
 					continue
@@ -133,21 +133,21 @@
 					if io.WriteString(conn, part); part == "" {
 						conn.Close()
 					}
-					said <- true
+					done <- true
 				}
 			}
 		}()
 		c := New(ln.Addr().String(), 4)
 		go func() {
 			if got, _ := c.Call(t.Context(), "a", 10*time.Second, nil, false); got != silverpath.Overloaded {
-				t.Errorf("%s: the first call: %v", name, got)
+				t.Errorf("%s: first call: outcome %v, want Overloaded", name, got)
 			}
-			said <- true
+			done <- true
 		}()
 		for range len(reply) + 1 {
-			<-said
+			<-done
 		}
-		for len(reply) > 1 { // until what was written has come
+		for len(reply) > 1 { // until the surplus bytes or the close have arrived
 			c.mu.Lock()
 			idle := len(c.idle) > 0 && linger.Peek(c.idle[0].Conn) == linger.Idle
 			c.mu.Unlock()
@@ -157,26 +157,26 @@
 			time.Sleep(time.Millisecond)
 		}
 		if got, body := c.Call(t.Context(), "b", 10*time.Second, nil, false); got != silverpath.OK || string(body) != "ok" {
-			t.Errorf("%s: the next call: %v %q", name, got, body)
+			t.Errorf("%s: next call: outcome %v, body %q, want OK, \"ok\"", name, got, body)
 		}
 		ln.Close()
 	}
 }
 
-// A connection that idled and breaks before a reply may have been forgotten, or its call may have run: a call
-// that may be made again is, and one that may not never goes out on such a connection.
+// If a reused connection breaks before the reply, the server may have dropped it while it was idle, or the call may have run. Calls
+// that may be repeated are repeated on a new connection, and at-most-once calls never use an idle connection.
 func TestForgottenConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBelow()
+		c := newPipeClient()
 		calls := 0
 		go func() {
-			for conn := range b.conns {
+			for conn := range c.conns {
 				go func() {
 					for r := bufio.NewReader(conn); ; {
 						if _, err := r.Peek(1); err != nil {
 							return
 						}
-						take(t, r)
+						readCall(t, r)
 						if calls++; calls == 2 {
 							conn.Close()
 							return
@@ -187,109 +187,109 @@
 			}
 		}()
 		for n := range 2 {
-			if got, _ := b.Call(t.Context(), "id", time.Second, nil, false); got != silverpath.OK {
+			if got, _ := c.Call(t.Context(), "id", time.Second, nil, false); got != silverpath.OK {
 				t.Fatalf("call %d: outcome %v", n, got)
 			}
 		}
 		if calls != 3 {
-			t.Fatalf("%d calls were made, want the second one twice", calls)
+			t.Fatalf("the server received %d calls, want 3 (the second one twice)", calls)
 		}
-		b.Call(t.Context(), "id", time.Second, nil, false)
-		b.mu.Lock()
-		idle := b.idle[0]
-		b.mu.Unlock()
-		if got, _ := b.Call(t.Context(), "id", time.Second, nil, true); got != silverpath.OK {
+		c.Call(t.Context(), "id", time.Second, nil, false)
+		c.mu.Lock()
+		idle := c.idle[0]
+		c.mu.Unlock()
+		if got, _ := c.Call(t.Context(), "id", time.Second, nil, true); got != silverpath.OK {
 			t.Fatalf("outcome %v", got)
 		}
-		b.mu.Lock()
-		if len(b.idle) != 1 || b.idle[0] != idle || idle.reused {
-			t.Fatal("a call that may be made only once shares a connection with others")
+		c.mu.Lock()
+		if len(c.idle) != 1 || c.idle[0] != idle || idle.reused {
+			t.Fatal("an at-most-once call reused an idle connection or left its own in the pool")
 		}
-		b.mu.Unlock()
+		c.mu.Unlock()
 		calls = 1
-		if got, _ := b.Call(t.Context(), "id", time.Second, nil, true); got != silverpath.Disconnected || calls != 2 {
-			t.Fatalf("outcome %v after %d calls", got, calls-1)
+		if got, _ := c.Call(t.Context(), "id", time.Second, nil, true); got != silverpath.Disconnected || calls != 2 {
+			t.Fatalf("at-most-once call: outcome %v, received %d times, want Disconnected, once", got, calls-1)
 		}
 		time.Sleep(time.Minute)
-		close(b.conns)
+		close(c.conns)
 	})
 }
 
-// counted is a connection that counts its end.
-type counted struct {
+// countedConn decrements the number of open connections when it is first closed.
+type countedConn struct {
 	net.Conn
 	open *atomic.Int32
 	once sync.Once
 }
 
-func (c *counted) Close() error {
+func (c *countedConn) Close() error {
 	c.once.Do(func() { c.open.Add(-1) })
 	return c.Conn.Close()
 }
 
-// Connections in use and idle ones together stay within the bound.
+// The connections in use and the idle ones together never exceed the client's limit.
 func TestConnectionLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBelow()
-		var open, most atomic.Int32
-		b.dial = func(context.Context, string, string) (net.Conn, error) {
-			near, far := net.Pipe()
-			if n := open.Add(1); n > most.Load() {
-				most.Store(n)
+		c := newPipeClient()
+		var open, maxOpen atomic.Int32
+		c.dial = func(context.Context, string, string) (net.Conn, error) {
+			clientConn, serverConn := net.Pipe()
+			if n := open.Add(1); n > maxOpen.Load() {
+				maxOpen.Store(n)
 			}
 			go func() {
-				for r := bufio.NewReader(far); ; {
+				for r := bufio.NewReader(serverConn); ; {
 					if _, err := r.Peek(1); err != nil {
 						return
 					}
-					take(t, r)
+					readCall(t, r)
 					time.Sleep(100 * time.Millisecond)
-					io.WriteString(far, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
+					io.WriteString(serverConn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 				}
 			}()
-			return &counted{Conn: near, open: &open}, nil
+			return &countedConn{Conn: clientConn, open: &open}, nil
 		}
 		for n := range 40 {
-			go b.Call(t.Context(), fmt.Sprint(n), time.Minute, nil, n%3 == 0)
+			go c.Call(t.Context(), fmt.Sprint(n), time.Minute, nil, n%3 == 0)
 			time.Sleep(time.Duration(n) * 7 * time.Millisecond)
 		}
 		time.Sleep(time.Minute)
-		if int(most.Load()) > cap(b.connections) || open.Load() != 0 {
-			t.Fatalf("%d connections at once, %d left", most.Load(), open.Load())
+		if int(maxOpen.Load()) > cap(c.sem) || open.Load() != 0 {
+			t.Fatalf("at most %d connections were open at once, and %d are still open", maxOpen.Load(), open.Load())
 		}
 	})
 }
 
-// After a move calls go to the new address, on no connection of the old one; a call under way ends where it is.
+// After Redirect, calls go to the new address and reuse no connection to the old one. A call in progress ends on its old connection.
 func TestRedirect(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBelow()
+		c := newPipeClient()
 		var dialed []string
-		b.dial = func(_ context.Context, _, addr string) (net.Conn, error) {
+		c.dial = func(_ context.Context, _, addr string) (net.Conn, error) {
 			dialed = append(dialed, addr)
-			near, far := net.Pipe()
+			clientConn, serverConn := net.Pipe()
 			go func() {
-				for r := bufio.NewReader(far); ; {
+				for r := bufio.NewReader(serverConn); ; {
 					if _, err := r.Peek(1); err != nil {
 						return
 					}
-					take(t, r)
+					readCall(t, r)
 					time.Sleep(time.Second)
-					io.WriteString(far, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
+					io.WriteString(serverConn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 				}
 			}()
-			return near, nil
+			return clientConn, nil
 		}
 		call := func() {
-			if got, _ := b.Call(t.Context(), "id", 5*time.Second, nil, false); got != silverpath.OK {
+			if got, _ := c.Call(t.Context(), "id", 5*time.Second, nil, false); got != silverpath.OK {
 				t.Errorf("outcome %v", got)
 			}
 		}
-		b.Redirect("old")
+		c.Redirect("old")
 		call()
 		go call()
 		time.Sleep(time.Millisecond)
-		b.Redirect("new")
+		c.Redirect("new")
 		time.Sleep(2 * time.Second)
 		call()
 		call()
@@ -300,75 +300,75 @@
 	})
 }
 
-// A refused connection proves that no call ran, as does one never made for want of room.
+// If the connection is refused, the call never ran, and its outcome is Unreachable.
 func TestUnreachable(t *testing.T) {
-	b := newBelow()
-	b.dial = func(context.Context, string, string) (net.Conn, error) { return nil, errors.New("refused") }
-	if got, _ := b.Call(t.Context(), "id", time.Second, nil, false); got != silverpath.Unreachable {
+	c := newPipeClient()
+	c.dial = func(context.Context, string, string) (net.Conn, error) { return nil, errors.New("refused") }
+	if got, _ := c.Call(t.Context(), "id", time.Second, nil, false); got != silverpath.Unreachable {
 		t.Fatalf("outcome %v", got)
 	}
 }
 
-// Patience ends a call, and so does a second call for the same request; both close the connection.
+// A call is ended by its timeout and by a second call for the same request. Both close the connection.
 func TestCancelledCall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBelow()
-		began := time.Now()
-		if got, _ := b.Call(t.Context(), "id", 250*time.Millisecond, nil, false); got != silverpath.TimedOut || time.Since(began) != 250*time.Millisecond {
-			t.Fatalf("outcome %v after %v", got, time.Since(began))
+		c := newPipeClient()
+		startedAt := time.Now()
+		if got, _ := c.Call(t.Context(), "id", 250*time.Millisecond, nil, false); got != silverpath.TimedOut || time.Since(startedAt) != 250*time.Millisecond {
+			t.Fatalf("outcome %v after %v", got, time.Since(startedAt))
 		}
-		if _, err := io.ReadAll(<-b.conns); err != nil {
+		if _, err := io.ReadAll(<-c.conns); err != nil {
 			t.Fatal(err)
 		}
 		first := make(chan silverpath.Outcome)
 		go func() {
-			got, _ := b.Call(t.Context(), "id", time.Second, nil, false)
+			got, _ := c.Call(t.Context(), "id", time.Second, nil, false)
 			first <- got
 		}()
 		synctest.Wait()
-		go b.Call(t.Context(), "id", time.Second, nil, false)
-		if got := <-first; got != silverpath.Canceled || time.Since(began) != 250*time.Millisecond {
-			t.Fatalf("the first call: %v after %v", got, time.Since(began))
+		go c.Call(t.Context(), "id", time.Second, nil, false)
+		if got := <-first; got != silverpath.Canceled || time.Since(startedAt) != 250*time.Millisecond {
+			t.Fatalf("first call: outcome %v after %v, want Canceled at once", got, time.Since(startedAt))
 		}
 		time.Sleep(time.Minute)
-		b.mu.Lock()
-		defer b.mu.Unlock()
-		if len(b.calls) != 0 {
-			t.Fatalf("%d calls are remembered", len(b.calls))
+		c.mu.Lock()
+		defer c.mu.Unlock()
+		if len(c.calls) != 0 {
+			t.Fatalf("%d ended calls are still in the call table", len(c.calls))
 		}
 	})
 }
 
-// A connection serves one call after another, and none idles for as long as the other side would keep it.
+// A connection is reused for consecutive calls. An idle connection is closed before the server's timeout of 10 s.
 func TestIdle(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBelow()
+		c := newPipeClient()
 		serve := func(conn net.Conn, r *bufio.Reader) {
-			take(t, r)
+			readCall(t, r)
 			io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 		}
 		var conn net.Conn
 		go func() {
-			conn = <-b.conns
+			conn = <-c.conns
 			r := bufio.NewReader(conn)
 			serve(conn, r)
 			serve(conn, r)
 		}()
 		for range 2 {
-			if got, _ := b.Call(t.Context(), "id", time.Second, nil, false); got != silverpath.OK {
+			if got, _ := c.Call(t.Context(), "id", time.Second, nil, false); got != silverpath.OK {
 				t.Fatalf("outcome %v", got)
 			}
 			time.Sleep(2 * time.Second)
 		}
 		time.Sleep(7 * time.Second)
-		b.mu.Lock()
-		idle := len(b.idle)
-		b.mu.Unlock()
+		c.mu.Lock()
+		idle := len(c.idle)
+		c.mu.Unlock()
 		if idle != 0 {
-			t.Fatal("a connection idles for 9 s")
+			t.Fatal("a connection is still idle after 9 s")
 		}
 		if _, err := conn.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
-			t.Fatalf("the other side reads %v", err)
+			t.Fatalf("reading on the server's side: error %v, want EOF", err)
 		}
 	})
 }
@@ -383,7 +383,7 @@
 	f.Fuzz(func(t *testing.T, in string) {
 		r, err := readReply(bufio.NewReader(strings.NewReader(in)))
 		if err == nil && (r.status < 200 || r.status > 599 || len(r.body) > maxBodyBytes) {
-			t.Fatal("a reply beyond its bounds")
+			t.Fatal("accepted a reply that exceeds its bounds")
 		}
 	})
 }
