--- a/cmd/silverpath/architecture_test.go
+++ b/cmd/silverpath/architecture_test.go
@@ -14,8 +14,8 @@
 	namedFunction = regexp.MustCompile("`((?:internal|cmd)/[a-z/-]+|\\.)`: `([A-Za-z.]+)`")
 )
 
-// A page that names what is no longer there misleads whoever is on call at night. Every package that docs/ARCHITECTURE.md names
-// is in the tree and holds the functions that stand behind it, and every package of the tree is on the page.
+// Guards against outdated names in docs/ARCHITECTURE.md. Every package on the page exists and declares the
+// functions that are listed with it, and every package of internal and cmd is on the page.
 func TestArchitecture(t *testing.T) {
 	root := filepath.Join("..", "..")
 	page, err := os.ReadFile(filepath.Join(root, "docs", "ARCHITECTURE.md"))
@@ -26,7 +26,7 @@
 	for _, m := range namedPackage.FindAllStringSubmatch(string(page), -1) {
 		named[m[1]] = true
 		if !holdsGo(t, filepath.Join(root, m[1], "*.go")) && !holdsGo(t, filepath.Join(root, m[1], "*", "*.go")) {
-			t.Errorf("docs/ARCHITECTURE.md names %s, which is no package", m[1])
+			t.Errorf("docs/ARCHITECTURE.md names %s, which is not a package", m[1])
 		}
 	}
 	steps := namedFunction.FindAllStringSubmatch(string(page), -1)
@@ -40,7 +40,7 @@
 			declaration = `(?m)^func \([a-z]\w* \*?` + receiver + `\) ` + name + `\(`
 		}
 		if !regexp.MustCompile(declaration).MatchString(sources(t, filepath.Join(root, m[1]))) {
-			t.Errorf("docs/ARCHITECTURE.md names %s in %s, which is not there", m[2], m[1])
+			t.Errorf("docs/ARCHITECTURE.md names %s, which %s does not declare", m[2], m[1])
 		}
 	}
 	for _, top := range []string{"internal", "cmd"} {
@@ -50,7 +50,7 @@
 			}
 			name, _ := filepath.Rel(root, path)
 			if name = filepath.ToSlash(name); !named[name] && holdsGo(t, filepath.Join(path, "*.go")) {
-				t.Errorf("docs/ARCHITECTURE.md does not name %s", name)
+				t.Errorf("docs/ARCHITECTURE.md does not name package %s", name)
 			}
 			return nil
 		})
@@ -60,7 +60,7 @@
 	}
 }
 
-// sources returns the text of a package's files that are no tests, empty where there are none.
+// sources returns the concatenated non-test files of a package. It returns an empty text if there are none.
 func sources(t *testing.T, dir string) string {
 	t.Helper()
 	files, err := filepath.Glob(filepath.Join(dir, "*.go"))
@@ -81,7 +81,7 @@
 	return all.String()
 }
 
-// holdsGo reports whether Go files, tests among them, fit a pattern.
+// holdsGo reports whether any Go file, including tests, matches a pattern.
 func holdsGo(t *testing.T, pattern string) bool {
 	t.Helper()
 	files, err := filepath.Glob(pattern)
--- a/cmd/silverpath/capacity_test.go
+++ b/cmd/silverpath/capacity_test.go
@@ -26,7 +26,8 @@
 		t.Errorf("exit code %d, %+v, %v, message %q", code, plan, err, message)
 	}
 
-	// Half of what the built-in target has is twice as far from where the map is too long.
+	// With half of the servers, tenants and routes, the map document reaches its limit at twice the share of
+	// the target.
 	dir := t.TempDir()
 	data, err := os.ReadFile("../../deploy/target.json")
 	if err != nil {
@@ -51,11 +52,11 @@
 				return *b.Share
 			}
 		}
-		t.Fatal("no such break")
+		t.Fatal("no breaking point of the map as one document")
 		return 0
 	}
 	if is, halved := share(), share("--target", write("half.json", half)); halved < 1.999*is || halved > 2.001*is {
-		t.Errorf("%v of the target, %v of half of it", is, halved)
+		t.Errorf("the map breaks at a share of %v of the target, %v of half the target", is, halved)
 	}
 	for _, c := range []struct {
 		flag, file, want string
--- a/cmd/silverpath/cellsgolden_test.go
+++ b/cmd/silverpath/cellsgolden_test.go
@@ -12,9 +12,9 @@
 	"testing"
 )
 
-// What an operator's script reads of the commands on a cell map was once changed by a new name of a Go field: two of the texts are
-// written from the names of struct fields. So the whole output of each command on the same files stands in testdata, as the program
-// wrote it before its names were changed, with the one line and the exit code of each map that is no good.
+// Guards against a renamed struct field that changes the output of the cells commands: two outputs are
+// formatted from field names, and such a change once reached operators' scripts. The output and the exit code
+// of each command, for valid and invalid maps, have to equal testdata/cells/commands.txt.
 func TestCellsCommandsWriteWhatTheyWrote(t *testing.T) {
 	const mapFile, nextFile = "testdata/cells/map.json", "testdata/cells/next.json"
 	dir := t.TempDir()
@@ -63,7 +63,8 @@
 	same(t, "testdata/cells/commands.txt", masked(got.String(), dir))
 }
 
-// A move, its abort and a map that is published are written to a map file byte for byte as they were, but for their times.
+// The move, abort and publish commands write the same bytes to a map file as an earlier build did, except for
+// times.
 func TestCellsCommandsWriteTheSameFiles(t *testing.T) {
 	dir := t.TempDir()
 	text, err := os.ReadFile("testdata/cells/map.json")
@@ -109,18 +110,18 @@
 	presentMS  = regexp.MustCompile(`\b1[78]\d{11}\b`)
 )
 
-// masked is a text without what is another one at each run: a folder and times of about the present.
+// masked replaces the parts of a text that differ in every run: the temporary directory and current times.
 func masked(text, dir string) string {
 	text = dayAndTime.ReplaceAllString(strings.ReplaceAll(text, dir, "DIR"), "TIME")
 	return presentMS.ReplaceAllStringFunc(text, func(ms string) string {
-		if strings.HasPrefix(ms, "1700000") { // it stands in the fixture
+		if strings.HasPrefix(ms, "1700000") { // a constant of the fixture
 			return ms
 		}
 		return "MS"
 	})
 }
 
-// same fails with the first line in which a text differs from that of a file.
+// same fails the test at the first line in which got differs from a file.
 func same(t *testing.T, file, got string) {
 	t.Helper()
 	want, err := os.ReadFile(file)
@@ -134,6 +135,6 @@
 		}
 	}
 	if len(b) > len(a) {
-		t.Fatalf("%s: %d lines more: %q", file, len(b)-len(a), b[len(a)])
+		t.Fatalf("%s: %d extra lines, the first is %q", file, len(b)-len(a), b[len(a)])
 	}
 }
--- a/cmd/silverpath/change_test.go
+++ b/cmd/silverpath/change_test.go
@@ -15,7 +15,8 @@
 	"silverpath/internal/settings"
 )
 
-// Operators who change one map at once lose no change: what a command says it wrote is in the map afterwards.
+// Concurrent changes of one map file lose no update: each change that a command reports as written is in the
+// map.
 func TestTwoOperators(t *testing.T) {
 	m := &cells.Map{
 		Version: 1, KeyWindow: time.Second, MaxClockSkew: 100 * time.Millisecond, Lease: time.Second, CallerTimeout: time.Second,
@@ -36,7 +37,7 @@
 	for i := range many {
 		all.Go(func() {
 			if code, out, message := run(t, "", "cells", "move", "--map", file, "--tenant", fmt.Sprint("t", i), "--to", "b"); code != 0 {
-				t.Errorf("%s%s", out, message)
+				t.Errorf("cells move: output %q, message %q", out, message)
 			}
 		})
 	}
@@ -47,14 +48,14 @@
 	}
 	got, err := settings.ParseCells(data)
 	if err != nil || got.Version != 1+many {
-		t.Fatalf("version %d, %v", got.Version, err)
+		t.Fatalf("map version %d, error %v", got.Version, err)
 	}
 	for _, tenant := range got.Tenants {
 		if len(tenant.Homes) != 2 {
 			t.Errorf("the move of %s was lost", tenant.Name)
 		}
 	}
-	// One that was stopped half way keeps the others out, and they say why.
+	// A process that holds the lock blocks other changes. Their error message names the process.
 	lock, err := os.OpenFile(file+".lock", os.O_RDWR, 0)
 	if err != nil {
 		t.Fatal(err)
@@ -65,6 +66,6 @@
 	}
 	code, _, message := run(t, "", "cells", "abort", "--map", file, "--wait", "50ms", "--tenant", "t0")
 	if code != 1 || !strings.Contains(message, "another change of the map is under way, by process ") {
-		t.Errorf("%d, %s", code, message)
+		t.Errorf("cells abort while the map is locked: exit code %d, message %s", code, message)
 	}
 }
--- a/cmd/silverpath/crossings_test.go
+++ b/cmd/silverpath/crossings_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// Every row of docs/design/crossings.md names code and tests that there are, or says that it has no test.
+// Every row of docs/design/crossings.md names code and tests that exist, or states that it has no test.
 func TestCrossings(t *testing.T) {
 	doc, err := os.ReadFile("../../docs/design/crossings.md")
 	if err != nil {
@@ -34,7 +34,7 @@
 		cells := strings.Split(row, " | ")
 		if !strings.HasPrefix(row, "| ") || len(cells) != 5 || strings.HasPrefix(row, "| what comes") || strings.HasPrefix(row, "| ---") {
 			if strings.HasPrefix(row, "| ") && len(cells) != 5 {
-				t.Errorf("not five cells: %s", row)
+				t.Errorf("row does not have five cells: %s", row)
 			}
 			continue
 		}
@@ -43,28 +43,28 @@
 		for _, m := range places {
 			text, err := os.ReadFile("../../internal/" + m[1])
 			if err != nil || !regexp.MustCompile(`(?m)^func (\([^)]*\) )?`+m[2]+`\(`).Match(text) {
-				t.Errorf("no %s in %s: %s", m[2], m[1], row)
+				t.Errorf("%s is not declared in %s: %s", m[2], m[1], row)
 			}
 		}
 		if len(places) == 0 {
-			t.Errorf("nothing sees to it: %s", row)
+			t.Errorf("row names no code: %s", row)
 		}
 		n := 0
 		for _, m := range named.FindAllStringSubmatch(cells[4], -1) {
 			if n++; !strings.Contains(all, "func "+m[1]+"(") {
-				t.Errorf("no test %s: %s", m[1], row)
+				t.Errorf("test %s does not exist: %s", m[1], row)
 			}
 		}
 		for _, m := range quoted.FindAllStringSubmatch(cells[4], -1) {
 			if n++; !strings.Contains(all, `{"`+m[1]+`", func(e *edge)`) {
-				t.Errorf("no rule %q: %s", m[1], row)
+				t.Errorf("rule %q does not exist: %s", m[1], row)
 			}
 		}
 		if n == 0 && !strings.HasPrefix(cells[4], "none") {
-			t.Errorf("neither a test nor said to have none: %s", row)
+			t.Errorf("row names no test and does not state that it has none: %s", row)
 		}
 	}
 	if rows < 40 {
-		t.Errorf("%d rows", rows)
+		t.Errorf("%d rows, want at least 40", rows)
 	}
 }
--- a/cmd/silverpath/crowd_test.go
+++ b/cmd/silverpath/crowd_test.go
@@ -18,9 +18,10 @@
 	"silverpath/internal/transport/msgpackrpc"
 )
 
-// Clients that only rest fill a process's descriptors while the announce service is down. What the service needs itself keeps its
-// places: operators are answered, the link to the interpreter is taken up again, reports go out once somebody hears them. Whoever
-// comes with a request is served, and one with an open request is not cut off.
+// Idle clients fill the descriptors of a server while the announce service is down. Descriptors for the
+// server's own needs stay available: it answers operators, reconnects to the interpreter, and sends reports
+// once the announce service is back. It serves new clients that send a request, and does not disconnect one
+// with an open request.
 func TestIdleClientsFillTheDescriptors(t *testing.T) {
 	t.Parallel()
 	const most = 96
@@ -70,15 +71,16 @@
 	served := func(c net.Conn) error {
 		a, err := msgpackrpc.ReadReply(bufio.NewReader(c))
 		if err == nil && a.Error != "" {
-			err = fmt.Errorf("told %s", a.Error)
+			err = fmt.Errorf("error reply %s", a.Error)
 		}
 		return err
 	}
-	// A request that stays open: the link is cut, so that its run goes on unheard.
+	// A request stays open: the interpreter link is cut, so the server does not receive the result of the
+	// run.
 	open := dial()
 	way.Cut(true)
 	ask(open, 1, 20*time.Second)
-	for i := range 3 * most { // clients that asked once and rest, and some that never ask
+	for i := range 3 * most { // half of the clients send one probe and stay idle, the others send nothing
 		c := dial()
 		if i%2 == 0 {
 			c.Write(msgpackrpc.AppendProbe(nil, 1))
@@ -88,7 +90,7 @@
 		}
 	}
 	if code, why := benchmarks.Call(ops, "GET /api/ready"); code != 200 {
-		t.Errorf("an operator is told %d %q", code, why)
+		t.Errorf("GET /api/ready: status %d, body %q", code, why)
 	}
 	from := p.Lines()
 	way.Cut(false)
@@ -96,13 +98,13 @@
 		t.Error(err)
 	}
 	if err := served(open); err != nil {
-		t.Errorf("the one with an open request: %v", err)
+		t.Errorf("client with an open request: %v", err)
 	}
 	for id := range 5 {
 		c := dial()
 		ask(c, 100+id, 20*time.Second)
 		if err := served(c); err != nil {
-			t.Errorf("a newcomer with a request: %v", err)
+			t.Errorf("new client with a request: %v", err)
 		}
 	}
 	if heard, err = net.ListenPacket("udp", announce); err != nil {
@@ -112,11 +114,11 @@
 	_ = heard.SetReadDeadline(time.Now().Add(20 * time.Second))
 	b := make([]byte, 100)
 	if n, _, err := heard.ReadFrom(b); err != nil || string(b[:n]) != "announce n1 true" {
-		t.Errorf("reported %q, %v", b[:n], err)
+		t.Errorf("announcement %q, error %v", b[:n], err)
 	}
 	list, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", p.Pid()))
 	if err != nil || len(list) > most {
-		t.Errorf("%d descriptors, %v", len(list), err)
+		t.Errorf("%d open descriptors, error %v", len(list), err)
 	}
 	if log := p.Log(); strings.Contains(log, "accepting:") {
 		t.Errorf("out of descriptors:\n%s", log)
--- a/cmd/silverpath/earlier_build_test.go
+++ b/cmd/silverpath/earlier_build_test.go
@@ -21,9 +21,10 @@
 	"silverpath/internal/transport/client"
 )
 
-// The files in testdata/durable were written by the program before its code was renamed: killed.db and life by a service that was
-// killed in the middle of a run, closed.db by one that closed its store in good order. Their times count from the start named golden
-// of golden-machine; the newest record is 500 ms past that machine's first hour, and every record matters for 13 s.
+// The files in testdata/durable were written by an earlier build: killed.db and life by a service that was
+// killed during a run, closed.db by one that closed its store. Their times are relative to the boot golden of
+// golden-machine. The newest record is 500 ms past the first hour of that boot, and every record is relevant
+// for 13 s.
 const (
 	sameStart    = "SILVERPATH_BOOT=golden 1h2s golden-machine"
 	nextStart    = "SILVERPATH_BOOT=next 2s golden-machine"
@@ -31,7 +32,7 @@
 	otherMachine = "SILVERPATH_BOOT=golden 1h2s other-machine"
 )
 
-// earlier copies a file of the earlier build to where the test may change it.
+// earlier copies a file of testdata/durable to a path where the test may change it.
 func earlier(t *testing.T, name, to string) string {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join("testdata", "durable", name))
@@ -47,7 +48,7 @@
 	return to
 }
 
-// databaseEntries is what a file of the database holds, raw, by bucket and key.
+// databaseEntries returns the raw entries of a database file, by bucket and key.
 func databaseEntries(t *testing.T, path string) map[string]string {
 	t.Helper()
 	db, err := bbolt.Open(path, 0o600, &bbolt.Options{ReadOnly: true, Timeout: time.Second})
@@ -70,8 +71,9 @@
 	return all
 }
 
-// command runs a command of the program at a time of the machine's clock, in a folder whose name is shown as DIR. Numbers that differ
-// from run to run, the name of a new store and the time since the start, are shown as # .
+// command runs a command of the program on the machine, boot and uptime that start sets. In the returned
+// output DIR replaces dir, and # replaces two values that differ in every run: the ID of a new store and the
+// time since the heartbeat.
 func command(t *testing.T, start, dir string, args ...string) string {
 	t.Helper()
 	name, value, _ := strings.Cut(start, "=")
@@ -87,8 +89,9 @@
 	return regexp.MustCompile(`for \d+(\.\d+)?s at the least, by process`).ReplaceAllString(text, "for #s at the least, by process")
 }
 
-// An operator looks at files of the build before this one. Were a record, a head or a sign read otherwise than it was written, or a
-// state shown under another name, tools that read the output would miss it: so the output is held word for word.
+// Operators inspect files that an earlier build wrote, and tools read the output. Guards against a record, a
+// store header or a heartbeat that is decoded differently, and against a renamed state: the output is
+// compared literally.
 func TestCommandsOnFilesOfAnEarlierBuild(t *testing.T) {
 	dir := t.TempDir()
 	killed, closed := earlier(t, "killed.db", filepath.Join(dir, "killed", "keys.db")), earlier(t, "closed.db", filepath.Join(dir, "closed", "keys.db"))
@@ -136,7 +139,7 @@
   moved: 1
 `},
 		{nextStart, []string{"store", "import", "--dir", next, "--name", "lab2", "--from", closed, "--whole"}, "4 records\n"},
-		// The same machine was switched on since: its last record counts as if it had been written at that moment.
+		// The same machine has booted since: the last record counts as if it had been written at that boot.
 		{nextStart, []string{"store", "dump", "--dir", next}, `{"seq":1,"state":"done","key":"\u0000done-0","id":"599fd7f59d7b54e3","window_ms":10000,"reached_ms":-478,"until_ms":12521,"result_bytes":19}
 {"seq":2,"state":"done","key":"\u0000done-1","id":"130fb6013326afcb","window_ms":10000,"reached_ms":-435,"until_ms":12564,"result_bytes":19}
 {"seq":3,"state":"failed","key":"\u0000promised-0","id":"ff75a9b0e044a794","window_ms":10000,"reached_ms":-427,"until_ms":12572,"result_bytes":0}
@@ -188,14 +191,15 @@
 			t.Errorf("%s: %v prints\n%s\nwant\n%s", c.start, c.args, got, c.want)
 		}
 	}
-	// Compaction read every record and wrote it anew: the bytes are those that the earlier build wrote.
+	// Compaction rewrites every record. The bytes have to equal those of the earlier build.
 	before := databaseEntries(t, filepath.Join("testdata", "durable", "killed.db"))
 	if after := databaseEntries(t, killed); len(before) != 4 || !maps.Equal(before, after) {
-		t.Errorf("written anew: %v, was %v", after, before)
+		t.Errorf("entries after compaction: %v, want %v", after, before)
 	}
 }
 
-// patient gives requests all the time that their class has, so that a busy machine's disk is not too slow for them.
+// patient gives requests the whole time of their class, so that they do not fail on the slow disk of a busy
+// machine.
 func patient(d *durable) {
 	d.Wait = 4 * time.Second
 	d.Edit = func(text string) string {
@@ -203,8 +207,8 @@
 	}
 }
 
-// A service is replaced by a newer build on the folder that the older one left. If the newer one took a run, an answer or a mark for
-// something else, a request would take effect twice or be lost: so each is asked for again, after every way of starting.
+// A newer build starts on the store directory of an older one. If it misread a run, a result or a mark, a
+// request would take effect twice or be lost. The test repeats each request after every kind of start.
 func TestServiceOnStoreOfAnEarlierBuild(t *testing.T) {
 	t.Parallel()
 	for _, start := range []string{sameStart, nextStart, muchLater, otherMachine} {
@@ -219,7 +223,7 @@
 				want := map[string]reply{"done-0": {"served", "oddaja: done-0 #1.0"}, "done-1": {"served", "oddaja: done-1 #1.1"},
 					"promised-0": {"failed", ""}, "moved-0": {"refused", ""}, "withdrawn-0": fresh("withdrawn-0"), "new": fresh("new")}
 				runs := map[string]int{"withdrawn-0": 1, "new": 1}
-				if file == "killed.db" { // nobody had asked for that key yet
+				if file == "killed.db" { // that key had not been requested yet
 					want["moved-0"], runs["moved-0"] = fresh("moved-0"), 1
 				}
 				if start == muchLater { // every window is over
@@ -228,13 +232,13 @@
 					}
 				}
 				isFresh := func(key string) bool { return strings.HasSuffix(want[key].body, "#1.") }
-				keys := slices.SortedFunc(maps.Keys(want), func(a, b string) int { // first what is known: its windows go by
+				keys := slices.SortedFunc(maps.Keys(want), func(a, b string) int { // stored keys first: their windows expire
 					return strings.Compare(fmt.Sprint(isFresh(a), a), fmt.Sprint(isFresh(b), b))
 				})
 				for _, key := range keys {
 					w, a := want[key], d.ask(key, key)
 					same := string(a.Body) == w.body
-					if isFresh(key) { // a run of now, whose number is its turn; a busy machine's disk refuses it before it begins
+					if isFresh(key) { // a new run, numbered in order; a busy machine's slow disk refuses it before it begins
 						for end := time.Now().Add(20 * time.Second); a.Outcome == "refused" && time.Now().Before(end); a = d.ask(key, key) {
 							time.Sleep(100 * time.Millisecond)
 						}
@@ -260,17 +264,18 @@
 					t.Errorf("status: %v", status.Store)
 				}
 				g.Leave(t)
-				// What it wrote the earlier build reads: the head by its names, a record by its places.
+				// The earlier build has to read what this one wrote: the header by field names, a record by
+				// byte offsets.
 				entries := databaseEntries(t, path)
 				var head []byte
 				fmt.Sscanf(entries["meta 6d657461"], "%x", &head)
 				machine, boot := "golden-machine", strings.Fields(strings.TrimPrefix(start, "SILVERPATH_BOOT="))[0]
 				if start == otherMachine {
-					machine = "other-machine" // its start has the same name and a later time, so nothing is shifted
+					machine = "other-machine" // its boot has the same name and a later time, so no times are shifted
 				}
 				if !regexp.MustCompile(`^\{"format":1,"id":"9acbc6b3623ae8fa","name":"lab","machine":"` + machine + `","boot":"` + boot +
 					`","since_ns":-?\d+,"whole":true,"wall_ms":\d+,"clean":true\}$`).Match(head) {
-					t.Errorf("head %s", head)
+					t.Errorf("store header %s", head)
 				}
 				states := map[byte]int{}
 				for name, text := range entries {
@@ -305,8 +310,9 @@
 	}
 }
 
-// A service starts beside the heartbeat that an earlier build left. Read otherwise, it would take a short outage for a long one
-// and run again what may have run, or the other way round serve nothing for no reason.
+// A service starts with the heartbeat file of an earlier build. If it misread the file, it would take a short
+// outage for a long one and run again what may have run, or a long one for a short one and serve nothing
+// without a reason.
 func TestServiceOnSignOfLifeOfAnEarlierBuild(t *testing.T) {
 	t.Parallel()
 	for start, want := range map[string]string{
@@ -331,7 +337,7 @@
 			m := regexp.MustCompile(`^\{"sign":(\{"Name":"lab","Machine":"` + fields[2] + `","Boot":"` + fields[0] +
 				`","Up":\d+,"Valid":400000000\}),"sum":(\d+)\}$`).FindSubmatch(text)
 			if m == nil {
-				t.Fatalf("sign %s", text)
+				t.Fatalf("heartbeat file %s", text)
 			}
 			if sum, _ := strconv.ParseUint(string(m[2]), 10, 32); uint32(sum) != crc32.ChecksumIEEE(m[1]) {
 				t.Errorf("checksum %d, want %d", sum, crc32.ChecksumIEEE(m[1]))
@@ -340,7 +346,8 @@
 	}
 }
 
-// The folder of a store, and a heartbeat, are of one service: one of another name is told so and does not start.
+// A store directory and a heartbeat file belong to one service. A service of another name does not start on
+// them, and its error message names the owner.
 func TestFilesOfAnotherServiceOfAnEarlierBuild(t *testing.T) {
 	dir := t.TempDir()
 	earlier(t, "closed.db", filepath.Join(dir, "keys", "keys.db"))
@@ -353,7 +360,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		ctx, cancel := context.WithTimeout(t.Context(), 30*time.Second) // a service that starts after all does not end
+		ctx, cancel := context.WithTimeout(t.Context(), 30*time.Second) // a service that starts despite the file does not exit
 		defer cancel()
 		cmd := exec.CommandContext(ctx, exe, "serve", "--edge", write(t, "edge.json", edge))
 		cmd.Env = append(os.Environ(), "SILVERPATH_RUN=1", "LB_CONFIG="+siteFile(t, "n1", "127.0.0.1:1"))
--- a/cmd/silverpath/fleet_test.go
+++ b/cmd/silverpath/fleet_test.go
@@ -20,13 +20,13 @@
 	"silverpath/internal/transport/client"
 )
 
-// process is a service or a router of the test's own.
+// process is a server or a router that a test started. Its addr is that of the MessagePack front.
 type process struct {
 	*harness.Process
 	addr string
 }
 
-// program is this test's own program, which runs main, in an environment with more.
+// program returns a command that runs main of this test binary, with additional environment variables.
 func program(t testing.TB, args []string, env ...string) *exec.Cmd {
 	t.Helper()
 	exe, err := os.Executable()
@@ -38,7 +38,7 @@
 	return cmd
 }
 
-// begin starts the program.
+// begin starts the program without waiting until it serves, and kills it when the test ends.
 func begin(t testing.TB, args []string, env ...string) *harness.Process {
 	t.Helper()
 	p, err := harness.Start(program(t, args, env...))
@@ -55,7 +55,7 @@
 	return spawnIn(t, nil, args...)
 }
 
-// spawnIn does so in an environment with more.
+// spawnIn is spawn with additional environment variables.
 func spawnIn(t testing.TB, env []string, args ...string) *process {
 	t.Helper()
 	p := &process{Process: begin(t, args, env...)}
@@ -69,9 +69,10 @@
 	return p
 }
 
+// sheetWindow is the key window of the class oddaja in the configuration of siteFile.
 const sheetWindow = 2 * time.Second
 
-// site is a configuration whose sheets may come again for two seconds.
+// siteFile writes a configuration with one keyed class, oddaja, and returns the path of its file.
 func siteFile(t testing.TB, name, vm string) string {
 	t.Helper()
 	text := fmt.Sprintf(`{"name":%q,"listen":"127.0.0.1:0","vm":%q,"stop_ms":1000,"limits":{"memory_mb":64,"sockets":256},
@@ -86,6 +87,7 @@
 	return path
 }
 
+// write writes a text to a file of the given name in a new temporary directory and returns its path.
 func write(t testing.TB, name, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), name)
@@ -95,12 +97,12 @@
 	return path
 }
 
-// try is one try of a sheet as a history has it.
+// try is one attempt of a keyed request in a history.
 type try struct{ key, outcome, body string }
 
-// sheets is what histories of sheets must be like: all that are served have one result, that of the one run, and nothing
-// that has run is refused. A failure says nothing.
-var sheets = porcupine.Model{
+// keyedRequests is the model of a history, by idempotency key: all served attempts have the result of one
+// run, and no attempt is refused after the run. A failed attempt is valid in every state.
+var keyedRequests = porcupine.Model{
 	Partition: func(history []porcupine.Operation) [][]porcupine.Operation {
 		by := map[string][]porcupine.Operation{}
 		for _, o := range history {
@@ -126,10 +128,10 @@
 }
 
 func linearizable(history []porcupine.Operation) bool {
-	return porcupine.CheckOperations(sheets, history)
+	return porcupine.CheckOperations(keyedRequests, history)
 }
 
-// The checker finds a sheet that ran twice, and one that was refused once it had run.
+// The model rejects a keyed request that ran twice, and one that was refused after it ran.
 func TestCheckerFindsBugs(t *testing.T) {
 	op := func(client int, from, to int64, outcome, body string) porcupine.Operation {
 		return porcupine.Operation{ClientId: client, Call: from, Return: to, Output: try{"k", outcome, body}}
@@ -138,19 +140,19 @@
 		good    bool
 		history []porcupine.Operation
 	}{
-		"served twice, the same": {true, []porcupine.Operation{op(0, 0, 1, "refused", ""), op(0, 2, 3, "served", "a"), op(1, 2, 5, "served", "a")}},
-		"ran twice":              {false, []porcupine.Operation{op(0, 0, 1, "served", "a"), op(1, 2, 3, "served", "b")}},
-		"refused once run":       {false, []porcupine.Operation{op(0, 0, 1, "served", "a"), op(1, 2, 3, "refused", "")}},
-		"failed says nothing":    {true, []porcupine.Operation{op(0, 0, 1, "failed", ""), op(1, 2, 3, "served", "a"), op(1, 4, 5, "failed", "")}},
+		"served twice, one run": {true, []porcupine.Operation{op(0, 0, 1, "refused", ""), op(0, 2, 3, "served", "a"), op(1, 2, 5, "served", "a")}},
+		"ran twice":             {false, []porcupine.Operation{op(0, 0, 1, "served", "a"), op(1, 2, 3, "served", "b")}},
+		"refused after its run": {false, []porcupine.Operation{op(0, 0, 1, "served", "a"), op(1, 2, 3, "refused", "")}},
+		"failed attempts":       {true, []porcupine.Operation{op(0, 0, 1, "failed", ""), op(1, 2, 3, "served", "a"), op(1, 4, 5, "failed", "")}},
 	} {
 		if got := linearizable(c.history); got != c.good {
-			t.Errorf("%s: %v", name, got)
+			t.Errorf("%s: linearizable: %v", name, got)
 		}
 	}
 }
 
-// testFleet is four servers in two cells, each with a machine of its own that knows what it ran. Its map has one tenant, in
-// cell a.
+// testFleet is four servers in two cells, each with an interpreter of its own that counts its runs. Its map
+// has one tenant, in cell a.
 type testFleet struct {
 	t        testing.TB
 	names    []string
@@ -161,12 +163,13 @@
 	Map      *cells.Map
 }
 
+// newFleet starts the servers and their interpreters.
 func newFleet(t testing.TB, window time.Duration, env ...string) *testFleet {
 	t.Helper()
 	return newFleetWith(t, window, `{"cell":true}`, env...)
 }
 
-// newFleetWith has servers with another edge file.
+// newFleetWith is newFleet with a given edge file for all servers.
 func newFleetWith(t testing.TB, window time.Duration, edge string, env ...string) *testFleet {
 	t.Helper()
 	f := &testFleet{
@@ -195,7 +198,7 @@
 	return f
 }
 
-// write puts a map into a file of its own.
+// write writes a map to a new file and returns its path.
 func (f *testFleet) write(m *cells.Map) string {
 	f.t.Helper()
 	path := filepath.Join(f.t.TempDir(), "cells.json")
@@ -205,14 +208,14 @@
 	return path
 }
 
-// route starts a router on a map's file; its state may be empty.
+// route starts a router that reads the given map file. An empty state path gives it no state file.
 func (f *testFleet) route(name, mapFile, state string, env ...string) *process {
 	f.t.Helper()
 	return spawnIn(f.t, env, "route", "--config", siteFile(f.t, name, ""), "--edge", write(f.t, "route.json", fmt.Sprintf(
 		`{"status":true,"fleet":{"map":%q,"state":%q,"probe_ms":100}}`, mapFile, state)))
 }
 
-// ran counts how often each body ran, on all machines.
+// ran returns the number of runs of each request body, summed over all interpreters.
 func (f *testFleet) ran() map[string]int {
 	runs := map[string]int{}
 	for _, i := range f.machines {
@@ -223,9 +226,10 @@
 	return runs
 }
 
-// A tenant moves under load, with repeats of every sheet by either router; half way a server of its old cell is killed and
-// comes back cold under its name and address, and a router is killed and started anew; then the move is aborted. No sheet
-// runs twice, no history but that of one run comes out, and nothing that ran is refused.
+// A tenant moves under load, with repeated attempts of every keyed request through both routers. During the
+// move a server of the old cell is killed and restarts without its keys under the same name and address, and
+// a router is killed and restarted. Then the move is aborted. No request runs twice, all attempts of a
+// request see one run, and no request is refused after its run.
 func TestMoveUnderFire(t *testing.T) {
 	f := newFleet(t, sheetWindow)
 	machines, servers, files, mapFile := f.machines, f.servers, f.files, f.write(f.Map)
@@ -243,7 +247,7 @@
 		call := time.Since(began)
 		a, err := client.Do(client.Platform, addr, client.Request{Class: "oddaja", Tenant: "brand", Key: key, Body: []byte(key), Timeout: 800 * time.Millisecond})
 		if err != nil {
-			a.Outcome = "failed" // its router died
+			a.Outcome = "failed" // the router was killed
 		}
 		mu.Lock()
 		defer mu.Unlock()
@@ -264,7 +268,7 @@
 				}
 				key := fmt.Sprintf("sheet-%d-%d", client, n)
 				var tries sync.WaitGroup
-				for k := range 3 { // at once, soon after, and late in the window, each by any router
+				for k := range 3 { // immediately, soon after, and late in the key window, each through a random router
 					by, wait := rng.IntN(2), time.Duration(k*rng.IntN(600))*time.Millisecond
 					tries.Go(func() {
 						time.Sleep(wait)
@@ -283,7 +287,7 @@
 	}
 	time.Sleep(700 * time.Millisecond)
 	command("move", "--tenant", "brand", "--to", "b")
-	time.Sleep(2300 * time.Millisecond) // in force
+	time.Sleep(2300 * time.Millisecond) // until the move is in effect
 	servers["s1"].Kill()
 	mu.Lock()
 	old := routers[1]
@@ -295,7 +299,7 @@
 	mu.Unlock()
 	time.Sleep(200 * time.Millisecond)
 	servers["s1"] = spawn(t, "serve", "--config", files["s1"], "--edge", f.edge, "--listen", servers["s1"].addr)
-	for _, name := range []string{"s3", "s4"} { // the target can't carry it after all
+	for _, name := range []string{"s3", "s4"} { // the target cell becomes too slow for the load
 		machines[name].Play([]builtinworker.Fault{{Speed: 0.2, For: 3 * time.Second}})
 	}
 	command("abort", "--tenant", "brand")
@@ -309,20 +313,20 @@
 		}
 	}
 	if !linearizable(history) {
-		t.Error("the history is not that of sheets that run once and are not refused once run")
+		t.Error("the history is not linearizable: a request ran twice or was refused after its run")
 	}
 	if count["served"] < 50 || len(runs) < 20 {
-		t.Errorf("%v, %d sheets ran", count, len(runs))
+		t.Errorf("outcomes %v, %d requests ran", count, len(runs))
 	}
 	for name, i := range machines {
 		if len(i.Runs()) == 0 {
 			t.Errorf("nothing ran on %s", name)
 		}
 	}
-	t.Logf("%v, %d sheets ran", count, len(runs))
+	t.Logf("outcomes %v, %d requests ran", count, len(runs))
 }
 
-// The commands on a map: what they say, and that what can't be done ends with 1 and one line.
+// The cells commands print the expected text. An invalid command exits with code 1 and one line of error.
 func TestCells(t *testing.T) {
 	data, err := os.ReadFile("../../deploy/cells.json")
 	if err != nil {
@@ -350,13 +354,13 @@
 	} {
 		code, out, message := run(t, "", append([]string{"cells", "--map", file}, c.args...)...)
 		if code != c.code || !strings.Contains(out+message, c.want) || c.code != 0 && strings.Count(message, "\n") != 1 {
-			t.Errorf("cells %v: exit code %d, %q, %q", c.args, code, out, message)
+			t.Errorf("cells %v: exit code %d, output %q, message %q", c.args, code, out, message)
 		}
 	}
 	if code, _, message := run(t, "", "route", "--config", "../../deploy/router.json"); code != 1 || !strings.Contains(message, "no fleet") {
-		t.Errorf("a router without a fleet: %d, %q", code, message)
+		t.Errorf("route without a fleet: exit code %d, message %q", code, message)
 	}
 	if code, out, message := run(t, "", "check", "--config", "../../deploy/scgi.json", "--edge", "../../deploy/route.json"); code != 0 || !strings.Contains(out, "fleet: deploy/cells.json") {
-		t.Errorf("check of a router's edge file: %d, %q, %q", code, out, message)
+		t.Errorf("check of a router's edge file: exit code %d, output %q, message %q", code, out, message)
 	}
 }
--- a/cmd/silverpath/golden_test.go
+++ b/cmd/silverpath/golden_test.go
@@ -17,12 +17,13 @@
 	"time"
 )
 
-var updateGolden = flag.Bool("update-golden", false, "write the golden files of settings and commands anew")
+var updateGolden = flag.Bool("update-golden", false, "rewrite the golden files of settings and commands")
 
-// goldenWait is how long a command may take that should end by itself. It is there for one that serves instead.
+// goldenWait bounds a command that has to exit. It expires if the command serves instead.
 const goldenWait = 20 * time.Second
 
-// A settingsForm is a file of deploy/ and the command that reads it, in which FILE stands for the file.
+// A settingsForm is a file of deploy/ and the command that reads it. FILE in the command is replaced by the
+// path of the file.
 type settingsForm struct {
 	file    string
 	command []string
@@ -45,14 +46,15 @@
 	{"owner.json", []string{"duty", "run", "--config", "FILE"}},
 }
 
-// serves says that a form's command serves where its file is good, so that only bad files end it.
+// serves reports whether the command serves when its file is valid, so that it exits only for an invalid
+// file.
 func (f settingsForm) serves() bool {
 	return f.command[0] != "check" && f.command[0] != "cells" && f.command[0] != "capacity"
 }
 
-// A deployment's settings outlive the names in the code. Every file of deploy/ and every bad field in it gets the answer that
-// the build had which first wrote testdata/golden: each value in turn is replaced by one of another type, and each object gets
-// a field that nobody knows.
+// Guards against a renamed identifier that changes how a deployment's settings are read. Each value of every
+// file of deploy/ is replaced in turn by one of another type, and each object gets an unknown field. The
+// output has to equal testdata/golden/settings.txt.
 func TestSettingsReadAsBefore(t *testing.T) {
 	var cases []goldenCase
 	for _, form := range settingsForms {
@@ -85,7 +87,8 @@
 	compareGolden(t, "settings.txt", strings.Join(got, ""))
 }
 
-// Every command and flag that there was answers as it did: scripts and runbooks call them by name.
+// Scripts and runbooks call commands and flags by name. The help of every command has to equal
+// testdata/golden/commands.txt.
 func TestCommandsAnswerAsBefore(t *testing.T) {
 	var text strings.Builder
 	var visit func(path []string)
@@ -113,7 +116,8 @@
 	data []byte
 }
 
-// run gives the file to its command and returns what it answered, with the file's place taken out.
+// run executes the command on the file. It returns the output and the exit code, with the path of the file
+// replaced by FILE.
 func (c goldenCase) run(t *testing.T) string {
 	t.Helper()
 	file := filepath.Join(t.TempDir(), c.form.file)
@@ -144,7 +148,7 @@
 	if ctx.Err() != nil {
 		out = []byte("does not end\n")
 	}
-	if c.form.command[0] == "capacity" && cmd.ProcessState.Success() { // the figures are held by docs/CAPACITY.md
+	if c.form.command[0] == "capacity" && cmd.ProcessState.Success() { // the figures are in docs/CAPACITY.md
 		out = []byte("computed\n")
 	}
 	out = bytes.ReplaceAll(out, []byte(file), []byte("FILE"))
@@ -156,7 +160,7 @@
 	data []byte
 }
 
-// mutations lists, in the order of its fields' names, a text for each way in which one field of a JSON text may be bad.
+// mutations returns variants of a JSON text in the order of its field names. Each has one invalid field.
 func mutations(t *testing.T, data []byte) (all []mutation) {
 	t.Helper()
 	var root any
@@ -202,7 +206,8 @@
 	return all
 }
 
-// compareGolden holds a text against a file of testdata/golden.
+// compareGolden fails the test at the first line in which got differs from a file of testdata/golden. With
+// -update-golden it writes the file first.
 func compareGolden(t *testing.T, name, got string) {
 	t.Helper()
 	file := filepath.Join("testdata", "golden", name)
--- a/cmd/silverpath/groupgolden_test.go
+++ b/cmd/silverpath/groupgolden_test.go
@@ -25,9 +25,9 @@
 	"silverpath/internal/transport/msgpackrpc"
 )
 
-// Operators' scripts read what the commands on the group and its duties print, and their flags stand in cron files. So the help and
-// the output of each, on a group of one whose duties are in a known state, stand in testdata as the program wrote them before the
-// names of its code were changed; with the exit code and the message of those that fail.
+// Operators' scripts read the output of the commands on the group and its controllers, and cron files hold
+// their flags. The help, output, exit code and error message of each command, run against a group of one
+// member in a known state, are compared with testdata/group/commands.txt.
 func TestGroupCommandsWriteWhatTheyWrote(t *testing.T) {
 	probe, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/cmd/silverpath/known_red_test.go
+++ b/cmd/silverpath/known_red_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// CI passes over just the tests that KNOWN-RED.txt names, at most three, each with its cause and issue, and each there.
+// CI skips the tests that KNOWN-RED.txt lists. The script known-red prints a pattern of exactly these tests.
+// It fails if there are more than three, if one does not exist, or if a line lacks its cause or issue.
 func TestKnownRed(t *testing.T) {
 	names := write(t, "names", "TestOne\nTestTwo\nTestThree\nTestFour\nTestOneMore\n")
 	for text, want := range map[string]string{
@@ -29,13 +30,13 @@
 		got := strings.TrimSpace(string(out))
 		if problem, bad := strings.CutPrefix(want, "error: "); bad {
 			if err == nil || !strings.Contains(got, problem) {
-				t.Errorf("%q: %q, %v; want an error with %q", text, got, err, problem)
+				t.Errorf("%q: output %q, error %v; want an error with %q", text, got, err, problem)
 			}
 		} else if err != nil || got != want {
-			t.Errorf("%q: %q, %v; want %q", text, got, err, want)
+			t.Errorf("%q: output %q, error %v; want %q", text, got, err, want)
 		}
 	}
 	if out, err := exec.Command("../../.ci/known-red", "/nowhere", names).CombinedOutput(); err != nil || len(out) > 0 {
-		t.Errorf("no file: %q, %v", out, err)
+		t.Errorf("missing KNOWN-RED.txt: output %q, error %v", out, err)
 	}
 }
--- a/cmd/silverpath/main_test.go
+++ b/cmd/silverpath/main_test.go
@@ -13,7 +13,8 @@
 	"testing"
 )
 
-// The test program runs main itself when told to.
+// TestMain runs main instead of the tests if SILVERPATH_RUN is set, so that tests start this binary as the
+// program.
 func TestMain(m *testing.M) {
 	if os.Getenv("SILVERPATH_RUN") != "" {
 		memberProgram()
@@ -23,7 +24,9 @@
 	os.Exit(m.Run())
 }
 
-func run(t testing.TB, env string, args ...string) (code int, out, message string) {
+// run executes the program with LB_CONFIG set to config. It returns the exit code, standard output and
+// standard error.
+func run(t testing.TB, config string, args ...string) (code int, out, message string) {
 	t.Helper()
 	exe, err := os.Executable()
 	if err != nil {
@@ -31,7 +34,7 @@
 	}
 	var stdout, stderr bytes.Buffer
 	cmd := exec.Command(exe, args...)
-	cmd.Env = append(os.Environ(), "SILVERPATH_RUN=1", "LB_CONFIG="+env)
+	cmd.Env = append(os.Environ(), "SILVERPATH_RUN=1", "LB_CONFIG="+config)
 	cmd.Stdout, cmd.Stderr = &stdout, &stderr
 	var exit *exec.ExitError
 	if err := cmd.Run(); err != nil && !errors.As(err, &exit) {
@@ -50,26 +53,27 @@
 	}
 }
 
-// What can't be served is one plain line that names the field, and a non-zero exit.
+// An invalid configuration ends serve and check with exit code 1 and one line that names the field.
 func TestBadConfiguration(t *testing.T) {
 	bad := filepath.Join(t.TempDir(), "bad.json")
 	if err := os.WriteFile(bad, []byte(`{"name":"n1","listen":"nowhere"}`), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	for _, c := range []struct{ env, want string }{
+	for _, c := range []struct{ config, want string }{
 		{"/nowhere/config.json", "silverpath: LB_CONFIG: "},
 		{bad, "silverpath: " + bad + ": listen: not an address and port: \"nowhere\"\n"},
 	} {
 		for _, command := range []string{"serve", "check"} {
-			code, out, message := run(t, c.env, command)
+			code, out, message := run(t, c.config, command)
 			if code != 1 || out != "" || !strings.HasPrefix(message, c.want) || strings.Count(message, "\n") != 1 {
-				t.Errorf("%s with %q: exit code %d, output %q, message %q", command, c.env, code, out, message)
+				t.Errorf("%s with %q: exit code %d, output %q, message %q", command, c.config, code, out, message)
 			}
 		}
 	}
 }
 
-// So is what the environment adds to a configuration that is good.
+// An invalid environment variable ends serve with exit code 1, also with a valid configuration. The last line
+// names the variable.
 func TestBadEnvironment(t *testing.T) {
 	for name, values := range map[string]map[string]string{
 		"LB_SOCKET_FD": {"x": `LB_SOCKET_FD: no descriptor above 2: "x"`, "2": `LB_SOCKET_FD: no descriptor above 2: "2"`,
@@ -88,7 +92,8 @@
 	}
 }
 
-// A start without any configuration serves every class on both fronts, and the client shows the answers.
+// Without a configuration, serve uses the built-in worker and serves every class on both fronts. The ask and
+// status commands print the answers.
 func TestFirstStart(t *testing.T) {
 	exe, err := os.Executable()
 	if err != nil {
@@ -106,7 +111,7 @@
 	defer func() { _ = cmd.Wait() }()
 	defer func() { _ = cmd.Process.Signal(syscall.SIGTERM) }()
 	addrs := map[string]string{}
-	worker := false
+	builtinWorker := false
 	lines := bufio.NewScanner(log)
 	for lines.Scan() && !strings.Contains(lines.Text(), "phase serving") {
 		for _, front := range []string{"msgpack", "scgi"} {
@@ -114,11 +119,11 @@
 				addrs[front] = addr
 			}
 		}
-		worker = worker || strings.Contains(lines.Text(), "the built-in worker")
+		builtinWorker = builtinWorker || strings.Contains(lines.Text(), "the built-in worker")
 	}
 	go func() { _, _ = io.Copy(io.Discard, log) }()
-	if len(addrs) != 2 || !worker {
-		t.Fatalf("listening on %v, worker named: %v", addrs, worker)
+	if len(addrs) != 2 || !builtinWorker {
+		t.Fatalf("fronts listen on %v, log names the built-in worker: %v", addrs, builtinWorker)
 	}
 	for front, addr := range addrs {
 		for _, class := range []string{"krog", "lestvica", "oddaja"} {
@@ -133,6 +138,6 @@
 		}
 	}
 	if code, _, message := run(t, "", "ask", "--addr", addrs["msgpack"], "--class", "nothing"); code == 0 || strings.Count(message, "\n") != 1 {
-		t.Errorf("a class that is not there: exit code %d, message %q", code, message)
+		t.Errorf("unknown class: exit code %d, message %q", code, message)
 	}
 }
--- a/cmd/silverpath/norace_test.go
+++ b/cmd/silverpath/norace_test.go
@@ -2,4 +2,4 @@
 
 package main
 
-const raced = false
+const raceEnabled = false
--- a/cmd/silverpath/parts_test.go
+++ b/cmd/silverpath/parts_test.go
@@ -15,14 +15,15 @@
 	"silverpath/internal/transport/client"
 )
 
-// crowd fills a map up with tenants that ask for nothing.
+// crowd adds tenants without load until the map has n tenants.
 func crowd(m *cells.Map, n int) {
 	for i := len(m.Tenants); i < n; i++ {
 		m.Tenants = append(m.Tenants, cells.Tenant{Name: fmt.Sprintf("tenant-%05d", i), Rate: 1, Homes: []cells.Home{{Cell: string('a' + rune(i%2))}}})
 	}
 }
 
-// move announces a tenant's move, so far ahead that a loaded machine has it in force everywhere in time.
+// move announces a move of a tenant and returns the time at which it takes effect. The time ahead has to be
+// long enough for all processes of a loaded machine to receive the map before.
 func move(m *cells.Map, tenant, cell string, ahead time.Duration) time.Time {
 	at := time.Now().Add(ahead)
 	m.Version++
@@ -34,7 +35,7 @@
 	return at
 }
 
-// on counts how many sheets ran in a cell's machines whose bodies begin so.
+// on counts the runs in a cell's interpreters of request bodies with a prefix.
 func (f *testFleet) on(cell, name string) (n int) {
 	for _, s := range f.Map.Servers {
 		if s.Cell != cell {
@@ -49,16 +50,17 @@
 	return n
 }
 
-// A fleet goes from a map as one text to one of 3,000 tenants in parts, then a tenant moves while the member that leads is killed:
-// routers act on each, by what changed, and one that comes back has all of it. Operators see the map as before, put what differs, and
-// are told the bounds before anything is sent.
+// A fleet changes from a map as one document to a map of 3,000 tenants in parts. Then a tenant moves while
+// the leader of the group is killed. Routers apply each version from the changed parts, and a restarted
+// router has the whole map. The commands on documents show the map as before, and reject a map above the
+// limits before they send anything.
 func TestMapInParts(t *testing.T) {
 	t.Parallel()
 	f := newRuledFleet(t, sheetWindow)
-	old := f.router("old", nil, "SILVERPATH_MAP_FORMAT=1") // of a build that reads no parts
+	old := f.router("old", nil, "SILVERPATH_MAP_FORMAT=1") // a build that does not read parts
 	one, two := f.router("r1", nil), f.router("r2", nil)
 	if got := toAll(5, "text", one, two, old); got["served"] != 15 {
-		t.Fatalf("by one text: %v", got)
+		t.Fatalf("map as one document: outcomes %v", got)
 	}
 	f.expect(0, "in force", "history", "map")
 
@@ -67,7 +69,7 @@
 	crowd(&m, 3000)
 	whole := f.write(&m)
 	if out := f.expect(0, `tenants[tenant-00001].name`, "put", "map", whole, "--dry-run"); !strings.Contains(out, "reads format 1, and this is 2") {
-		t.Errorf("for the old one: %.200s", out)
+		t.Errorf("put --dry-run does not report the router of format 1: %.200s", out)
 	}
 	f.expect(0, "version 2 proposed", "put", "map", whole)
 	f.expect(0, "reads format 1, and this is 2", "who", "map")
@@ -81,12 +83,12 @@
 		}
 	}
 	if got := toAll(5, "parts", one, two); got["served"] != 10 {
-		t.Errorf("in parts: %v", got)
+		t.Errorf("map in parts: outcomes %v", got)
 	}
 	f.expect(1, "says the same", "put", "map", whole)
 	if out := f.expect(0, `"version": 2`, "get", "map"); out != string(settings.FormatCells(m.Flat())) {
 		if got, err := settings.ParseCells([]byte(out)); err != nil || len(got.Tenants) != 3000 || got.Version != 2 {
-			t.Errorf("the map is not what was put: %v", err)
+			t.Errorf("get prints another map than was put: %v", err)
 		}
 	}
 	large := m
@@ -102,7 +104,7 @@
 	at := move(&next, "brand", "b", 12*time.Second)
 	moved := f.write(&next)
 	if out := f.expect(0, "tenants[brand].homes[1].cell", "diff", "map", moved); strings.Count(out, "\n") > 6 {
-		t.Errorf("a move differs in: %s", out)
+		t.Errorf("diff of a move prints too many lines: %s", out)
 	}
 	f.expect(0, "version 3 proposed", "put", "map", moved, "--hold", "until its leader is gone")
 	leader := f.g.awaitLeader()
@@ -123,19 +125,20 @@
 	two = f.router("r2", nil)
 	f.serves("came back", two)
 	if time.Now().After(at) {
-		t.Fatal("too late to see anything before the move")
+		t.Fatal("the move took effect before the routers were checked")
 	}
 	time.Sleep(time.Until(at) + f.Map.MaxClockSkew*2 + sheetWindow + f.Map.CallerTimeout)
 	if got := toAll(5, "moved", one, two); got["served"] != 10 || f.on("a", "moved") != 0 || f.on("b", "moved") != 5 {
-		t.Errorf("after the move %v, %d of them on a, %d on b", got, f.on("a", "moved"), f.on("b", "moved"))
+		t.Errorf("after the move: outcomes %v, %d runs in cell a, %d in cell b", got, f.on("a", "moved"), f.on("b", "moved"))
 	}
 	if n := twice(f.ran()); n != 0 {
-		t.Errorf("%d ran twice", n)
+		t.Errorf("%d requests ran twice", n)
 	}
 }
 
-// While a change turns only what it touches stops: of classes the one that changes, of cells the tenants that live there; what is
-// everybody's stops all. The change is held up as it turns by a router that froze once it held it.
+// While a change is quiescing, only the requests that it affects stop: a change of classes stops the classes
+// that change, a change of cells stops the tenants that are homed there, and a change of a common setting
+// stops all. A router that is frozen after it prepared the change keeps it in that stage.
 func TestOnlyWhatIsTouchedStops(t *testing.T) {
 	t.Parallel()
 	f := newRuledFleet(t, sheetWindow)
@@ -158,18 +161,20 @@
 		}
 		return false
 	}
-	// during holds whether a sheet is served while a change turns against what is wanted, again with another change where it was over
-	// before the answer came, or stops no sheet of the class.
+	// during checks whether a keyed request of a class is served while a change of a document is quiescing.
+	// It repeats the check with another change if the stage was over before the answer came, or if counts
+	// rejects the change.
 	during := func(doc string, file func(n int) string, class string, stops bool, counts func(n int) bool) {
 		t.Helper()
 		for n := range 8 {
 			version, _, _ := f.doc(doc)
 			version++
 			f.expect(0, "proposed", "put", doc, file(n), "--hold", "until one has it")
-			await(t, "it holds the change", 20*time.Second, func() bool { return holds(doc, version) })
+			await(t, "the router has prepared the change", 20*time.Second, func() bool { return holds(doc, version) })
 			cut.Freeze()
 			from := whole.Lines()
-			// Not by the tool: a turn lasts for a lease, and the tool has to start first.
+			// Not by the release command: the stage lasts one lease, and the command would first have to
+			// start.
 			if r := f.g.do(statemachine.Command{Config: &configstore.Change{Op: configstore.OpRelease, Doc: doc, Version: version}}); r.Error != "" {
 				t.Fatal(r.Error)
 			}
@@ -183,11 +188,11 @@
 				continue
 			}
 			if (got != "served") != stops {
-				t.Errorf("%s version %d: %s is %s while it turns", doc, version, class, got)
+				t.Errorf("%s version %d: a request of class %s is %s while the change is quiescing", doc, version, class, got)
 			}
 			return
 		}
-		t.Errorf("%s: no change was seen as it turned", doc)
+		t.Errorf("%s: no change was observed while it was quiescing", doc)
 	}
 	effects := []string{"token", "pure"}
 	classes := func(effect string) string {
@@ -199,19 +204,20 @@
 	}
 	f.put("classes", classes("token"))
 	f.serves("second", cut, whole)
-	known := func() { // once both it and the servers have the class
+	known := func() { // waits until the router and the servers have the class
 		t.Helper()
 		n := 0
-		await(t, "the other class is served", 10*time.Second, func() bool { n++; return sheet("krog0", "brand", fmt.Sprint("known", n)) == "served" })
+		await(t, "class krog0 is served", 10*time.Second, func() bool { n++; return sheet("krog0", "brand", fmt.Sprint("known", n)) == "served" })
 	}
 	known()
 	next := 0
 	turned := func(int) string { next++; return classes(effects[next%2]) }
 	during("classes", turned, "oddaja", false, nil)
-	// While it is pure the other class has no sheets: it counts where it was one.
+	// A pure class has no keyed requests: only the change from token to pure counts.
 	during("classes", turned, "krog0", true, func(int) bool { return effects[next%2] == "pure" })
 
-	// A third cell comes, in which nobody lives; then the second goes its way as another one's.
+	// The first change adds cells without tenants and stops nothing. The second changes the caller timeout
+	// and stops all.
 	m := *f.Map
 	m.Cells = append([]cells.Cell(nil), f.Map.Cells...)
 	during("map", func(n int) string {
@@ -227,7 +233,8 @@
 		return f.write(&m)
 	}, "oddaja", true, nil)
 	for body, n := range f.ran() {
-		// The other class is pure at times, and may run more than once where a router still has it so.
+		// The class krog0 is pure at times, and a router that still has it as pure may run a request more
+		// than once.
 		if n > 1 && !strings.Contains(body, "krog0") && !strings.HasPrefix(body, "known") {
 			t.Errorf("%q ran %d times", body, n)
 		}
--- a/cmd/silverpath/partsguards_test.go
+++ b/cmd/silverpath/partsguards_test.go
@@ -15,8 +15,9 @@
 	"silverpath/internal/testkit/standin/faults"
 )
 
-// Parts of a change are damaged on their way to two routers. One sees it by their digests: it does not say that it holds the change,
-// and has what the version says once it is told so. The other one looks at no digest: it acts on, and keeps, what no version says.
+// Parts of a change are damaged on their way to two routers. The first compares digests: it does not report
+// the change as prepared, and applies the correct version once it receives it undamaged. The second ignores
+// digests: it applies and stores a map that is no version of the document.
 func TestDamagedParts(t *testing.T) {
 	t.Parallel()
 	f := newRuledFleet(t, sheetWindow)
@@ -65,12 +66,12 @@
 		}
 		return false
 	}
-	await(t, "the one that looks at no digest says that it holds the change", 20*time.Second, func() bool { return holds("r1") })
+	await(t, "the router that ignores digests reports the change as prepared", 20*time.Second, func() bool { return holds("r1") })
 	if holds("r0") {
-		t.Error("the other one says so too")
+		t.Error("the router that compares digests reports the damaged change as prepared")
 	}
 	if force, stage, waits := f.doc("map"); force != 2 || stage != configstore.StageProposed {
-		t.Errorf("%d is in force, the next is %s and waits for %s", force, stage, waits)
+		t.Errorf("version %d is in force, the next one is in stage %s and waits for %s", force, stage, waits)
 	}
 	spoil("")
 	f.wait("map", 3, 60*time.Second)
@@ -95,7 +96,7 @@
 		}
 		digest, ok := src.DigestOf(kept)
 		if damaged := configstore.TextsDigest(settings.SplitCells(kept)) != digest; !ok || kept.Version != 3 || damaged != (i == 1) {
-			t.Errorf("router %d has kept map %d as %016x, in parts %v, damaged %v", i, kept.Version, digest, ok, damaged)
+			t.Errorf("router %d stored map version %d with digest %016x, in parts %v, damaged %v", i, kept.Version, digest, ok, damaged)
 		}
 	}
 }
--- a/cmd/silverpath/race_test.go
+++ b/cmd/silverpath/race_test.go
@@ -2,5 +2,5 @@
 
 package main
 
-// raced: the race detector multiplies the memory of the processes under test.
-const raced = true
+// raceEnabled reports whether the race detector is on. It multiplies the memory of the processes under test.
+const raceEnabled = true
--- a/cmd/silverpath/takeover_test.go
+++ b/cmd/silverpath/takeover_test.go
@@ -20,7 +20,8 @@
 	"silverpath/internal/transport/msgpackrpc"
 )
 
-// shared is a service of this very program, whose processes inherit one socket.
+// sharedService returns a service whose processes run this test binary and inherit one listening socket. It
+// skips the test in short mode.
 func sharedService(t *testing.T) *benchmarks.Shared {
 	t.Helper()
 	if testing.Short() {
@@ -33,20 +34,20 @@
 	return benchmarks.Inherit(t, exe, []string{"SILVERPATH_RUN=1"}, true)
 }
 
-// end ends a load and checks what must hold whatever happened.
+// end stops a load and fails the test for each violated invariant, and if fewer than 50 requests were served.
 func end(t *testing.T, l *benchmarks.Sheets) {
 	t.Helper()
 	for _, w := range l.End() {
 		t.Error(w)
 	}
 	if l.Served < 50 {
-		t.Errorf("only %d served", l.Served)
+		t.Errorf("%d requests served, want at least 50", l.Served)
 	}
 }
 
-// Two real processes on one socket under keyed load. Replaced as the platform replaces them, again and again, no
-// connection is turned back unheard; whoever is killed or stalls at whatever moment, no request runs twice, no attempt gets
-// another answer than the run's, and the service serves on.
+// Two processes share one socket under a load of keyed requests. Repeated replacements in the platform's
+// order close no connection without an answer. If a process is killed or stalls at any moment, no request
+// runs twice, no attempt gets an answer that differs from the run's, and the service continues to serve.
 func TestTakeover(t *testing.T) {
 	for seed := range uint64(3) {
 		for name, play := range map[string]func(t *testing.T, s *benchmarks.Shared, l *benchmarks.Sheets, old *benchmarks.Generation, rng *rand.Rand){
@@ -102,7 +103,7 @@
 				third := s.Start()
 				time.Sleep(200 * time.Millisecond)
 				if code := third.Call("GET /api/ready"); code != 503 {
-					t.Errorf("the third says %d", code)
+					t.Errorf("third process: readiness status %d, want 503", code)
 				}
 				old.Leave(t)
 				third.Ready(t)
@@ -119,18 +120,19 @@
 				time.Sleep(200 * time.Millisecond)
 				end(t, l)
 				if name == "replaced three times" && (l.Unheard > 0 || l.Refused > l.Served/20) {
-					t.Errorf("%d turned back unheard, %d refused or failed of %d", l.Unheard, l.Refused, l.Served)
+					t.Errorf("%d attempts without an answer, %d refused or failed, %d served", l.Unheard, l.Refused, l.Served)
 				}
 				if left, _ := filepath.Glob(filepath.Join(s.Dir, "*.mark.*")); len(left) > 1 {
-					t.Errorf("marks are left: %v", left)
+					t.Errorf("mark files are left: %v", left)
 				}
 			})
 		}
 	}
 }
 
-// A crowd that connects and idles, or stops half way, fills the descriptors while the process is replaced: what was read
-// is answered, nobody is turned back unheard but the crowd, and both together stay within the limits.
+// Clients that stay idle, or stop in the middle of a request, fill the descriptors while the process is
+// replaced. Each request that was read is answered, no other client's connection is closed without an answer,
+// and both processes together stay within the limits of descriptors and memory.
 func TestTakeoverInACrowd(t *testing.T) {
 	s := sharedService(t)
 	old := s.Start()
@@ -147,7 +149,7 @@
 				if err == nil {
 					conn.Write(half[:c%len(half)])
 					conn.SetReadDeadline(time.Now().Add(2 * time.Second))
-					_, _ = io.Copy(io.Discard, conn) // until it is put out
+					_, _ = io.Copy(io.Discard, conn) // until the server closes the connection
 					conn.Close()
 				}
 				select {
@@ -162,7 +164,7 @@
 		if n, _ := old.Usage(); n >= 100 {
 			break
 		} else if time.Now().After(deadline) {
-			t.Fatalf("the crowd takes %d descriptors", n)
+			t.Fatalf("the process has %d open descriptors, want at least 100 of idle clients", n)
 		}
 	}
 	l := s.Load(4, 3, 50*time.Millisecond, 3)
@@ -190,19 +192,21 @@
 	end(t, l)
 	close(over)
 	crowd.Wait()
-	t.Logf("descriptors: %d alone, at most %d; memory at most %d MB; %d served, %d unheard", alone, most, heaviest>>20, l.Served, l.Unheard)
-	if alone < 100 || most > 256 || heaviest > 64<<20 && !raced {
-		t.Errorf("%d descriptors of 256, %d alone, %d MB of 64", most, alone, heaviest>>20)
+	t.Logf("descriptors: %d of the old process alone, at most %d of both; memory: at most %d MB; %d served, %d without an answer", alone, most, heaviest>>20, l.Served, l.Unheard)
+	if alone < 100 || most > 256 || heaviest > 64<<20 && !raceEnabled {
+		t.Errorf("%d descriptors of 256, %d of the old process alone, %d MB of 64", most, alone, heaviest>>20)
 	}
 	if l.Unheard > 0 {
-		t.Errorf("%d turned back unheard", l.Unheard)
+		t.Errorf("%d attempts without an answer", l.Unheard)
 	}
 }
 
-// The SCGI front and the SNMP agent have one address in both processes, and the newer one serves on alone.
+// The SCGI front and the SNMP agent have the same addresses in both processes. After the older process has
+// exited the newer one serves alone.
 func TestTakeoverOfOtherFronts(t *testing.T) {
 	s := sharedService(t)
-	// Addresses that nobody else is given meanwhile: bound here as the two processes bind them, and not listened on.
+	// Reserves the addresses: the sockets are bound with the option that both processes use, and do not
+	// listen.
 	var addrs []string
 	for _, kind := range []int{unix.SOCK_STREAM, unix.SOCK_DGRAM} {
 		fd, err := unix.Socket(unix.AF_INET, kind|unix.SOCK_CLOEXEC, 0)
@@ -234,7 +238,7 @@
 		}
 		for range 8 {
 			if r, err := client.Do(client.SCGI, addrs[0], client.Request{Class: "krog", Body: []byte("x"), Timeout: 4 * time.Second}); err != nil || r.Outcome != "served" {
-				t.Fatalf("the older has left: %v: %+v, %v", leaves, r, err)
+				t.Fatalf("older process has exited: %v: reply %+v, error %v", leaves, r, err)
 			}
 		}
 	}
@@ -243,11 +247,12 @@
 	}
 }
 
-// Told to leave with nobody to take over, a process on a held socket takes who connects late and turns him away: closing
-// its own end would refuse nobody, and leave him waiting.
+// A process that leaves without a successor on a held socket accepts late connections and refuses their
+// requests. If it only closed its own descriptor, the socket would still accept connections and the clients
+// would wait.
 func TestLeaveOnHeldSocket(t *testing.T) {
 	s := sharedService(t)
-	s.Edit = func(text string) string { // leaves after 3.7 s, and runs nothing from 1.8 s on
+	s.Edit = func(text string) string { // exits after 3.7 s and starts no runs after 1.8 s
 		return strings.Replace(text, `"stop_ms":1000`, `"stop_ms":3700`, 1)
 	}
 	g := s.Start()
@@ -256,18 +261,18 @@
 	for !strings.Contains(g.Log(), "phase draining") {
 		time.Sleep(time.Millisecond)
 	}
-	time.Sleep(2100 * time.Millisecond) // past the drain's window of 2 s, and 1.3 s before nobody is taken any more
+	time.Sleep(2100 * time.Millisecond) // after the drain window of 2 s, and 1.3 s before the process stops accepting
 	l := s.Load(0, 1, 1, 1)
 	began := time.Now()
 	l.Ask("late", "1")
 	if l.Unheard+l.Served > 0 || time.Since(began) > 400*time.Millisecond || s.Runs()["late"] > 0 {
-		t.Errorf("%d unheard, %d served, answered after %v", l.Unheard, l.Served, time.Since(began))
+		t.Errorf("%d without an answer, %d served, answered after %v", l.Unheard, l.Served, time.Since(began))
 	}
 	g.Leave(t)
 }
 
-// Files that are no good, of every kind, come with SIGHUPs under load: each is turned down in one line, nothing changes,
-// nothing is lost, and a good one is taken up afterwards.
+// Reloads invalid files of many kinds by SIGHUP under load. Each is rejected with one log line, changes
+// nothing and loses no request. A valid file is applied afterwards.
 func TestBadFilesUnderLoad(t *testing.T) {
 	s := sharedService(t)
 	g := s.Start()
@@ -279,7 +284,7 @@
 	good := string(data)
 	bad := benchmarks.Without(good)
 	if len(bad) < 25 {
-		t.Fatalf("%d keys", len(bad))
+		t.Fatalf("%d variants with a missing key, want at least 25", len(bad))
 	}
 	for i := 0; i < len(good)-2; i += 1 + len(good)/12 {
 		bad[fmt.Sprint("cut at ", i)] = good[:i]
@@ -299,26 +304,26 @@
 		_ = g.Signal(syscall.SIGHUP)
 		for deadline := time.Now().Add(20 * time.Second); strings.Count(g.Log(), line) < n; time.Sleep(time.Millisecond) {
 			if time.Now().After(deadline) {
-				t.Fatalf("%q is not said %d times:\n%s", line, n, g.Log())
+				t.Fatalf("%q is not logged %d times:\n%s", line, n, g.Log())
 			}
 		}
 	}
 	n := 0
 	for what, text := range bad {
 		if text == good {
-			t.Fatalf("%s: not spoilt", what)
+			t.Fatalf("%s: the variant equals the valid file", what)
 		}
 		n++
 		hup(text, "reload: the old configuration holds: ", n)
 		time.Sleep(20 * time.Millisecond)
 	}
 	if strings.Contains(g.Log(), "reload: done") || strings.Contains(g.Log(), "taken up") {
-		t.Errorf("a bad file was taken up:\n%s", g.Log())
+		t.Errorf("an invalid file was applied:\n%s", g.Log())
 	}
 	hup(strings.Replace(good, `"worth":3`, `"worth":4`, 1), "reload: done", 1)
 	end(t, l)
 	if l.Unheard > 0 {
-		t.Errorf("%d lost", l.Unheard)
+		t.Errorf("%d attempts without an answer", l.Unheard)
 	}
 	g.Leave(t)
 }
--- a/cmd/silverpath/wire_golden_test.go
+++ b/cmd/silverpath/wire_golden_test.go
@@ -21,24 +21,27 @@
 	"time"
 )
 
-// The files in testdata/wire are what the program said and understood on each of its wires before its code was renamed.
-// The tests here know no package of the program: they start it, play every other party on loopback, and compare bytes.
-// With SILVERPATH_WIRE_GOLDEN=write a test writes its file anew; that is for a wire that was changed on purpose.
-
-// transcript is what went over one wire, one line a message: ">" is what the test sent, "<" what the program sent. Parts that
-// differ from run to run are replaced by rule before they are noted.
+// The files in testdata/wire hold what an earlier build sent and accepted on each of its wires. Guards
+// against a renamed identifier that changes a message. The tests import no package of the program: they start
+// it, act as every other party on loopback, and compare bytes. With SILVERPATH_WIRE_GOLDEN=write a test
+// rewrites its file, for an intended change of a wire.
+
+// transcript records the messages of one wire, one message a line: ">" marks those that the test sent, "<"
+// those that the program sent. The masks replace parts that differ from run to run before a message is
+// recorded.
 type transcript struct {
 	mu    sync.Mutex
 	b     bytes.Buffer
 	rules []rule
 }
 
-// rule replaces what differs from run to run, in a message as it is escaped.
+// mask replaces a part that differs from run to run in an escaped message.
 type rule struct {
 	is  *regexp.Regexp
 	was string
 }
 
+// note records a message, with the mark of its sender.
 func (tr *transcript) note(mark string, message []byte) {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
@@ -49,7 +52,8 @@
 	fmt.Fprintf(&tr.b, "%s %s\n", mark, text)
 }
 
-// escaped is a message as text: printable ASCII as it is, but for the backslash, line ends as \r and \n, all else as \xNN.
+// escaped returns a message as text: printable ASCII except the backslash is unchanged, line ends become \r
+// and \n, and all other bytes become \xNN.
 func escaped(message []byte) string {
 	var text strings.Builder
 	for _, c := range message {
@@ -67,7 +71,7 @@
 	return text.String()
 }
 
-// await waits until a text has been noted.
+// await waits up to 30 s until a text is recorded.
 func (tr *transcript) await(t *testing.T, text string) {
 	t.Helper()
 	for range 30000 {
@@ -79,10 +83,10 @@
 		}
 		time.Sleep(time.Millisecond)
 	}
-	t.Fatalf("%s was never noted", text)
+	t.Fatalf("%s was not recorded within 30 s", text)
 }
 
-// compare holds the transcript against its file.
+// compare fails the test if the transcript differs from a file of testdata/wire.
 func (tr *transcript) compare(t *testing.T, name string) {
 	t.Helper()
 	tr.mu.Lock()
@@ -90,6 +94,7 @@
 	golden(t, name, tr.b.Bytes())
 }
 
+// golden fails the test with each line in which got differs from a file of testdata/wire.
 func golden(t *testing.T, name string, got []byte) {
 	t.Helper()
 	path := filepath.Join("testdata", "wire", name)
@@ -120,7 +125,7 @@
 	}
 }
 
-// MessagePack, as the public description has it: enough to write requests and to find the end of what is read.
+// MessagePack of the public specification: enough to write requests and to find the end of a value.
 
 func mpText(s string) []byte {
 	if len(s) < 32 {
@@ -137,14 +142,14 @@
 	return b
 }
 
-// mpRequest is [0, ID, METHOD, [FIELDS, BODY]].
+// mpRequest returns the request [0, ID, METHOD, [FIELDS, BODY]].
 func mpRequest(id byte, method, body string, pairs ...string) []byte {
 	b := append([]byte{0x94, 0x00, id}, mpText(method)...)
 	b = append(append(b, 0x92), mpFields(pairs...)...)
 	return append(append(b, 0xc4, byte(len(body))), body...)
 }
 
-// mpValue reads one value whole, as it stands on the wire.
+// mpValue reads one complete value and returns its bytes.
 func mpValue(r *bufio.Reader) ([]byte, error) {
 	var b []byte
 	var read func() error
@@ -211,14 +216,14 @@
 			}
 			return each(2 * n)
 		default:
-			return fmt.Errorf("a value that begins with %#x", k)
+			return fmt.Errorf("unknown MessagePack type byte %#x", k)
 		}
 	}
 	err := read()
 	return b, err
 }
 
-// link is a connection that the test plays, with its transcript.
+// link is a connection of the test to the program, with its transcript.
 type link struct {
 	t *testing.T
 	net.Conn
@@ -226,6 +231,7 @@
 	*transcript
 }
 
+// dialWire connects to the program and records the messages in tr.
 func dialWire(t *testing.T, addr string, tr *transcript) *link {
 	t.Helper()
 	conn, err := net.Dial("tcp", addr)
@@ -267,6 +273,7 @@
 	return b
 }
 
+// listenWire accepts connections, serves each in its own goroutine, and returns the address.
 func listenWire(t *testing.T, serve func(conn net.Conn)) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -289,8 +296,10 @@
 	return ln.Addr().String()
 }
 
-// wireInterpreter is an interpreter that notes what it is told, but for the gauges asked for again and again, and answers by
-// the body: "fail", "kill" and "noop" end so, "ask ..." calls below, "hold" ends when the next run does, all else comes back in capitals.
+// wireInterpreter starts a stand-in interpreter and returns its address. It records all messages except
+// repeated queries of the gauges. The body selects the outcome: "fail", "kill", "noop" and "error" end the
+// run in that way, "ask ..." calls the vault, "hold" ends with the next run that succeeds, and any other body
+// returns in capitals.
 func wireInterpreter(t *testing.T, tr *transcript) string {
 	var ticks sync.Once
 	var held []string
@@ -359,7 +368,8 @@
 	})
 }
 
-// wireVault is a vault that notes its calls and answers those of each request with its replies in turn.
+// wireVault starts a stand-in vault and returns its address. It records the calls and answers those of each
+// request with its replies in order.
 func wireVault(t *testing.T, tr *transcript, replies map[string][]string) string {
 	var mu sync.Mutex
 	return listenWire(t, func(conn net.Conn) {
@@ -399,7 +409,7 @@
 	})
 }
 
-// wireReports is an announce service.
+// wireReports opens the socket of a stand-in announce service.
 func wireReports(t *testing.T) net.PacketConn {
 	t.Helper()
 	conn, err := net.ListenPacket("udp", "127.0.0.1:0")
@@ -410,7 +420,7 @@
 	return conn
 }
 
-// nextReport reads reports until one differs from what came before it.
+// nextReport reads reports until one differs from before, and returns it.
 func nextReport(t *testing.T, conn net.PacketConn, before string) string {
 	t.Helper()
 	_ = conn.SetReadDeadline(time.Now().Add(30 * time.Second))
@@ -425,7 +435,7 @@
 	}
 }
 
-// wireSettings are a site's, with a class of each effect.
+// wireSettings are the settings of a configuration, with one class of each effect.
 const wireSettings = `"settings":{"classes":[
  {"name":"lestvica","target":9000000,"deadline":10000000,"worth":1,"effect":"pure"},
  {"name":"krog","target":9000000,"deadline":10000000,"worth":2,"effect":"side_effect"},
@@ -436,13 +446,14 @@
  "rules":{"cold_from":1,"fall_multiple":8,"overload_for":3000000,"drain_grace":3000000},
  "limits":{"retry_after":true,"max_retry_after":1000000},"servers":1}`
 
-// stampRule replaces times of the day in milliseconds.
+// stampRule replaces wall-clock times in milliseconds.
 var stampRule = rule{regexp.MustCompile(`1[7-9]\d{11}`), "<ms>"}
 
-// adviceRule replaces after how many milliseconds a request that is refused may come again.
+// adviceRule replaces the time in milliseconds after which a refused request may be retried.
 var adviceRule = rule{regexp.MustCompile(`\\xa1w\\xa[1-4]\d+`), "<w>"}
 
-// serving starts a server with the given configuration and edge file, both with wireSettings' own part put in.
+// serving starts a server with a configuration, to which it adds wireSettings with below, and an optional
+// edge file.
 func serving(t *testing.T, config, below, edge string) *process {
 	t.Helper()
 	path := write(t, "wire.json", fmt.Sprintf(`{"name":"n7","seed":"c0ffee","stop_ms":4000,"listen":"127.0.0.1:0",`+
@@ -454,6 +465,7 @@
 	return spawn(t, args...)
 }
 
+// says waits for a text in the log of a process and returns what follows it.
 func says(t *testing.T, p *process, text string) string {
 	t.Helper()
 	addr, err := p.TextAfter(30*time.Second, text)
@@ -463,13 +475,13 @@
 	return addr
 }
 
-// stamped are the fields of a request that has just been made.
+// stamped returns the fields of a request sent now, with further fields appended.
 func stamped(id string, more ...string) []string {
 	return append([]string{"i", id, "s", strconv.FormatInt(time.Now().UnixMilli(), 10), "d", "9000", "m", "1"}, more...)
 }
 
-// A server with an interpreter and a vault below, from its start to its end: what a balancer, the interpreter, the vault and
-// the announce service see of it. A name that leaked into a message would show here as another byte.
+// Records a server from start to exit on its wires to a balancer, an interpreter, a vault and the announce
+// service. Guards against an identifier of the code that leaks into a message.
 func TestWireOfServer(t *testing.T) {
 	t.Parallel()
 	balancer := &transcript{rules: []rule{stampRule, adviceRule}}
@@ -502,8 +514,8 @@
 	call("krog", "hello", stamped("a1")...)
 	call("lestvica", "hello", stamped("a2", "t", "kvizmojster", "f", "3", "p", "0.5")...)
 	call("oddaja", "sheet", stamped("a3", "k", "key-1")...)
-	call("oddaja", "sheet", stamped("a4", "k", "key-1")...) // the repeat has the same result and runs nothing
-	call("oddaja", "other", stamped("a5", "k", "key-1")...) // another sheet by the same key
+	call("oddaja", "sheet", stamped("a4", "k", "key-1")...) // the repeated attempt gets the same result without a run
+	call("oddaja", "other", stamped("a5", "k", "key-1")...) // another request with the same key
 	call("krog", "fail", stamped("a6")...)
 	call("krog", "kill", stamped("a7")...)
 	call("krog", "noop", stamped("a8")...)
@@ -522,7 +534,7 @@
 	held := mpRequest(0x7e, "krog", "hold", stamped("h1")...)
 	b.send(held)
 	interpreter.await(t, `"job":"h1"`)
-	b.send([]byte("\x93\x02\xa6giveUp\x91\x7e")) // nobody waits for it any more: no answer
+	b.send([]byte("\x93\x02\xa6giveUp\x91\x7e")) // the caller gives up: no answer
 
 	bad := dialWire(t, p.addr, balancer)
 	bad.send([]byte("GET / HTTP/1.1\r\n\r\n"))
@@ -534,7 +546,7 @@
 	}
 	b.send([]byte("\x94\x00\x70\xa5probe\x91\x80"))
 	b.value()
-	call("krog", "late", stamped("c1")...) // peers are served as before at first
+	call("krog", "late", stamped("c1")...) // at first the server still serves its peers
 	b.value()                              // lastCall
 	news.note("<", []byte(nextReport(t, reports, said)))
 	b.Close()
@@ -547,7 +559,7 @@
 	news.compare(t, "announce.txt")
 }
 
-// scgiMessage is a netstring of headers and a body.
+// scgiMessage returns an SCGI request: a netstring of headers and the body.
 func scgiMessage(body string, pairs ...string) []byte {
 	headers := "CONTENT_LENGTH\x00" + strconv.Itoa(len(body)) + "\x00SCGI\x001\x00"
 	for _, s := range pairs {
@@ -556,8 +568,8 @@
 	return fmt.Appendf(nil, "%d:%s,%s", len(headers), headers, body)
 }
 
-// A server behind web fronts, with an SCGI application server that does the work: each kind of answer, and what the application
-// server is told.
+// Records a server between web fronts and an SCGI application server: each kind of answer, and the requests
+// to the application server.
 func TestWireOfSCGI(t *testing.T) {
 	t.Parallel()
 	id := rule{regexp.MustCompile(`\b[0-9a-f]{16}\b`), "<id>"}
@@ -615,7 +627,7 @@
 	app.compare(t, "scgi-upstream.txt")
 }
 
-// operatorsCalls are made of a server in turn.
+// operatorsCalls are sent to the management API of a server in order.
 var operatorsCalls = []string{
 	"GET /api/ready HTTP/1.1\r\nHost: edge\r\n\r\n",
 	"POST /api/evacuate HTTP/1.1\r\nContent-Length: 2\r\n\r\n{}",
@@ -633,8 +645,8 @@
 	"POST /api/rejoin HTTP/1.1\r\nContent-Length: 5000\r\n\r\n",
 }
 
-// A server in a cell, with pools, a store and signs of life: its operators' calls, all objects of its SNMP agent, and the state
-// that it tells, with every key in its order.
+// Records a server in a cell, with pools, a store and a heartbeat: the operators' calls, all objects of its
+// SNMP agent, and the keys of its status in order.
 func TestWireOfOperators(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
@@ -650,9 +662,9 @@
 	}
 	balancer := &transcript{rules: []rule{stampRule, adviceRule}}
 	b := dialWire(t, p.addr, balancer)
-	b.send(mpRequest(1, "oddaja", "sheet", stamped("a1", "k", "key-1", "n", "1", "b", "12345")...)) // another boot's
+	b.send(mpRequest(1, "oddaja", "sheet", stamped("a1", "k", "key-1", "n", "1", "b", "12345")...)) // of another boot
 	b.value()
-	b.send(mpRequest(2, "oddaja", "sheet", stamped("a2", "k", "key-1")...)) // what ran before is not known yet: it fails
+	b.send(mpRequest(2, "oddaja", "sheet", stamped("a2", "k", "key-1")...)) // earlier runs are not known yet: it fails
 	b.value()
 	b.send(mpRequest(3, "lestvica", "hello", stamped("a3")...))
 	b.value()
@@ -661,12 +673,12 @@
 
 	asker := dialWire(t, p.addr, &transcript{})
 	var state []byte
-	for range 300 { // the pools are told of some ticks after the start
+	for range 300 { // the status has the pools a few ticks after the start
 		asker.send([]byte("\x94\x00\x05\xa6status\x91\x80"))
 		if state = asker.value(); bytes.Contains(state, []byte(`"pools":[`)) {
 			break
 		}
-		time.Sleep(100 * time.Millisecond) // as often as is cheap: more is paced, and counted
+		time.Sleep(100 * time.Millisecond) // more frequent status requests are paced and counted
 	}
 	asker.Close()
 	at := bytes.Index(state, []byte(`{"`))
@@ -687,15 +699,16 @@
 	}
 	calls.compare(t, "operators.txt")
 
-	// Told to leave, it asks its peers to go, and tells routers what it took last
+	// On SIGTERM the server sends its peers lastCall, and lastTaken with the last request number that it accepted.
 	_ = p.Signal(syscall.SIGTERM)
 	b.value()
 	b.value()
 	balancer.compare(t, "cell.txt")
 }
 
-// shapeOf writes every key of a JSON value on a line, in order, with what kind of value it has; words and truths are kept.
-// Parts that others add to the state, and the store's members, come in no order of their own, and are sorted.
+// shapeOf writes every key of a JSON value on a line of its own, in order, with the kind of its value. Texts
+// and booleans are written as they are. The parts of the status after the allocations, and the fields of the
+// store, have no fixed order and are sorted.
 func shapeOf(t *testing.T, out *bytes.Buffer, d *json.Decoder, path string, top bool) {
 	t.Helper()
 	token, err := d.Token()
@@ -716,7 +729,7 @@
 			}
 			var part bytes.Buffer
 			shapeOf(t, &part, d, at, false)
-			if v == '{' || len(parts) == 0 || parts[len(parts)-1] != part.String() { // elements of one shape are noted once
+			if v == '{' || len(parts) == 0 || parts[len(parts)-1] != part.String() { // consecutive elements of one shape are written once
 				parts = append(parts, part.String())
 			}
 		}
@@ -735,7 +748,7 @@
 	}
 }
 
-// BER, as much as a walk needs.
+// BER, as far as an SNMP walk needs it.
 
 func berPart(tag byte, parts ...[]byte) []byte {
 	body := bytes.Join(parts, nil)
@@ -745,7 +758,7 @@
 	return append([]byte{tag, 0x82, byte(len(body) >> 8), byte(len(body))}, body...)
 }
 
-// berNext takes one element off the front.
+// berNext splits the first element off b.
 func berNext(t *testing.T, b []byte) (tag byte, body, rest []byte) {
 	t.Helper()
 	n, at := int(b[1]), 2
@@ -758,7 +771,7 @@
 	return b[0], b[at : at+n], b[at+n:]
 }
 
-// snmpAsk sends one request and returns what was sent, what came, and the names and values in it.
+// snmpAsk sends one request and returns the request, the response, and the names and values of the response.
 func snmpAsk(t *testing.T, conn net.Conn, kind byte, names ...[]byte) (sent, came []byte, list [][2][]byte) {
 	t.Helper()
 	var binds [][]byte
@@ -795,8 +808,9 @@
 	return sent, came, list
 }
 
-// walk goes through all objects by GetNext and notes each name with its value, but only the type of those that differ from run
-// to run: times, gauges and counters. Then it notes one Get whole, and a Set.
+// walk reads all objects by GetNext and records each name with its value. Of times, gauges and counters,
+// which differ from run to run, it records the type instead of the value. Then it records one Get and one Set
+// with their responses.
 func walk(t *testing.T, addr string, tr *transcript) {
 	t.Helper()
 	conn, err := net.Dial("udp", addr)
@@ -810,12 +824,12 @@
 		_, _, list := snmpAsk(t, conn, 0xa1, name)
 		name = list[0][0]
 		value := list[0][1]
-		if value[0] == 0x82 { // the end of the MIB
+		if value[0] == 0x82 { // end of the MIB view
 			tr.note("<", value)
 			break
 		}
 		text := fmt.Sprintf("% x", name)
-		if part := name[len(root):]; part[0] == 2 { // a counter, by its name
+		if part := name[len(root):]; part[0] == 2 { // a counter, indexed by name
 			text = fmt.Sprintf("% x %s", name[:len(root)+3], name[len(root)+3:])
 		} else if part[0] == 1 && part[1] == 5 {
 			health = bytes.Clone(name)
@@ -837,8 +851,8 @@
 	}
 }
 
-// A router between a balancer and a server: what it makes of a request on the way there, of the answer on the way back, and what
-// it tells a server with its probes. A server that does not understand it would be one of another build.
+// Records a router between a balancer and a server: the forwarded requests, the forwarded answers and the
+// fields of its probes. Guards against a router whose messages servers of another build do not understand.
 func TestWireOfRouter(t *testing.T) {
 	t.Parallel()
 	number := rule{regexp.MustCompile(`^\\x94\\x0([01])(\\x..|\\n|\\r|.)`), `\x94\x0$1<n>`}
