--- a/cmd/silverpath/architecture_test.go
+++ b/cmd/silverpath/architecture_test.go
@@ -10,8 +10,8 @@
 )
 
 var (
-	namedPackage  = regexp.MustCompile("`((?:internal|cmd)/[a-z/-]+)`")
-	namedFunction = regexp.MustCompile("`((?:internal|cmd)/[a-z/-]+|\\.)`: `([A-Za-z.]+)`")
+	packagePattern  = regexp.MustCompile("`((?:internal|cmd)/[a-z/-]+)`")
+	functionPattern = regexp.MustCompile("`((?:internal|cmd)/[a-z/-]+|\\.)`: `([A-Za-z.]+)`")
 )
 
 // Guards against outdated names in docs/ARCHITECTURE.md. Every package on the page exists and declares the
@@ -23,23 +23,23 @@
 		t.Fatal(err)
 	}
 	named := map[string]bool{}
-	for _, m := range namedPackage.FindAllStringSubmatch(string(page), -1) {
+	for _, m := range packagePattern.FindAllStringSubmatch(string(page), -1) {
 		named[m[1]] = true
-		if !holdsGo(t, filepath.Join(root, m[1], "*.go")) && !holdsGo(t, filepath.Join(root, m[1], "*", "*.go")) {
+		if !matchesGoFiles(t, filepath.Join(root, m[1], "*.go")) && !matchesGoFiles(t, filepath.Join(root, m[1], "*", "*.go")) {
 			t.Errorf("docs/ARCHITECTURE.md names %s, which is not a package", m[1])
 		}
 	}
-	steps := namedFunction.FindAllStringSubmatch(string(page), -1)
-	if len(steps) == 0 {
+	functions := functionPattern.FindAllStringSubmatch(string(page), -1)
+	if len(functions) == 0 {
 		t.Error("docs/ARCHITECTURE.md names no function")
 	}
-	for _, m := range steps {
+	for _, m := range functions {
 		receiver, name, method := strings.Cut(m[2], ".")
 		declaration := `(?m)^func ` + receiver + `[(\[]`
 		if method {
 			declaration = `(?m)^func \([a-z]\w* \*?` + receiver + `\) ` + name + `\(`
 		}
-		if !regexp.MustCompile(declaration).MatchString(sources(t, filepath.Join(root, m[1]))) {
+		if !regexp.MustCompile(declaration).MatchString(packageSource(t, filepath.Join(root, m[1]))) {
 			t.Errorf("docs/ARCHITECTURE.md names %s, which %s does not declare", m[2], m[1])
 		}
 	}
@@ -49,7 +49,7 @@
 				return err
 			}
 			name, _ := filepath.Rel(root, path)
-			if name = filepath.ToSlash(name); !named[name] && holdsGo(t, filepath.Join(path, "*.go")) {
+			if name = filepath.ToSlash(name); !named[name] && matchesGoFiles(t, filepath.Join(path, "*.go")) {
 				t.Errorf("docs/ARCHITECTURE.md does not name package %s", name)
 			}
 			return nil
@@ -60,8 +60,9 @@
 	}
 }
 
-// sources returns the concatenated non-test files of a package. It returns an empty text if there are none.
-func sources(t *testing.T, dir string) string {
+// packageSource returns the concatenated non-test files of a package. It returns an empty text if there are
+// none.
+func packageSource(t *testing.T, dir string) string {
 	t.Helper()
 	files, err := filepath.Glob(filepath.Join(dir, "*.go"))
 	if err != nil {
@@ -81,8 +82,8 @@
 	return all.String()
 }
 
-// holdsGo reports whether any Go file, including tests, matches a pattern.
-func holdsGo(t *testing.T, pattern string) bool {
+// matchesGoFiles reports whether any Go file, including tests, matches a pattern.
+func matchesGoFiles(t *testing.T, pattern string) bool {
 	t.Helper()
 	files, err := filepath.Glob(pattern)
 	if err != nil {
--- a/cmd/silverpath/capacity_test.go
+++ b/cmd/silverpath/capacity_test.go
@@ -41,7 +41,7 @@
 		return file
 	}
 	half := strings.NewReplacer(`"servers": 930`, `"servers": 465`, `"tenants": 21000`, `"tenants": 10500`, `"routes": 17000`, `"routes": 8500`).Replace(string(data))
-	share := func(args ...string) float64 {
+	mapShare := func(args ...string) float64 {
 		t.Helper()
 		code, out, message := run(t, "", append([]string{"capacity", "--json"}, args...)...)
 		if err := json.Unmarshal([]byte(out), &plan); err != nil || code != 0 {
@@ -55,8 +55,8 @@
 		t.Fatal("no breaking point of the map as one document")
 		return 0
 	}
-	if is, halved := share(), share("--target", write("half.json", half)); halved < 1.999*is || halved > 2.001*is {
-		t.Errorf("the map breaks at a share of %v of the target, %v of half the target", is, halved)
+	if full, halved := mapShare(), mapShare("--target", write("half.json", half)); halved < 1.999*full || halved > 2.001*full {
+		t.Errorf("the map breaks at a share of %v of the target, %v of half the target", full, halved)
 	}
 	for _, c := range []struct {
 		flag, file, want string
--- a/cmd/silverpath/cellsgolden_test.go
+++ b/cmd/silverpath/cellsgolden_test.go
@@ -36,11 +36,11 @@
 	} {
 		command(append([]string{"cells", "plan", "--map", mapFile}, plan...)...)
 	}
-	for _, set := range []struct {
-		file  string
-		after bool
+	for _, fixture := range []struct {
+		file       string
+		followsMap bool
 	}{{"testdata/cells/bad.json", false}, {"testdata/cells/unfollowing.json", true}} {
-		text, err := os.ReadFile(set.file)
+		text, err := os.ReadFile(fixture.file)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -54,13 +54,13 @@
 				t.Fatal(err)
 			}
 			args := []string{"cells", "check", "--map", path}
-			if set.after {
+			if fixture.followsMap {
 				args = append(args, "--after", mapFile)
 			}
 			command(args...)
 		}
 	}
-	same(t, "testdata/cells/commands.txt", masked(got.String(), dir))
+	compareWithFile(t, "testdata/cells/commands.txt", maskVolatile(got.String(), dir))
 }
 
 // The move, abort and publish commands write the same bytes to a map file as an earlier build did, except for
@@ -71,49 +71,50 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	path, folder := filepath.Join(dir, "map.json"), filepath.Join(dir, "versions")
-	if err := os.WriteFile(path, text, 0o600); err != nil {
+	mapPath, versionsDir := filepath.Join(dir, "map.json"), filepath.Join(dir, "versions")
+	if err := os.WriteFile(mapPath, text, 0o600); err != nil {
 		t.Fatal(err)
 	}
 	var got strings.Builder
 	for _, args := range [][]string{
-		{"cells", "move", "--map", path, "--tenant", "kvizmojster", "--to", "b", "--shard", "2"},
-		{"cells", "abort", "--map", path, "--tenant", "kvizmojster"},
-		{"cells", "abort", "--map", path, "--tenant", "krcmarski-kviz"},
-		{"cells", "publish", "--map", path, "--to", folder},
-		{"cells", "publish", "--map", path, "--to", folder},
+		{"cells", "move", "--map", mapPath, "--tenant", "kvizmojster", "--to", "b", "--shard", "2"},
+		{"cells", "abort", "--map", mapPath, "--tenant", "kvizmojster"},
+		{"cells", "abort", "--map", mapPath, "--tenant", "krcmarski-kviz"},
+		{"cells", "publish", "--map", mapPath, "--to", versionsDir},
+		{"cells", "publish", "--map", mapPath, "--to", versionsDir},
 	} {
 		code, out, message := run(t, "", args...)
 		fmt.Fprintf(&got, "$ %s\n[exit %d]\n%s%s", strings.Join(args, " "), code, out, message)
 	}
-	written, err := os.ReadFile(path)
+	written, err := os.ReadFile(mapPath)
 	if err != nil {
 		t.Fatal(err)
 	}
 	fmt.Fprintf(&got, "map file:\n%s", written)
-	list, err := os.ReadDir(folder)
+	entries, err := os.ReadDir(versionsDir)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, f := range list {
-		text, err := os.ReadFile(filepath.Join(folder, f.Name()))
+	for _, f := range entries {
+		text, err := os.ReadFile(filepath.Join(versionsDir, f.Name()))
 		if err != nil {
 			t.Fatal(err)
 		}
 		fmt.Fprintf(&got, "%s: as the map file: %v\n", f.Name(), string(text) == string(written))
 	}
-	same(t, "testdata/cells/written.txt", masked(got.String(), dir))
+	compareWithFile(t, "testdata/cells/written.txt", maskVolatile(got.String(), dir))
 }
 
 var (
-	dayAndTime = regexp.MustCompile(`\d{4}-\d\d-\d\d \d\d:\d\d:\d\d`)
-	presentMS  = regexp.MustCompile(`\b1[78]\d{11}\b`)
+	dateTimePattern      = regexp.MustCompile(`\d{4}-\d\d-\d\d \d\d:\d\d:\d\d`)
+	currentMillisPattern = regexp.MustCompile(`\b1[78]\d{11}\b`)
 )
 
-// masked replaces the parts of a text that differ in every run: the temporary directory and current times.
-func masked(text, dir string) string {
-	text = dayAndTime.ReplaceAllString(strings.ReplaceAll(text, dir, "DIR"), "TIME")
-	return presentMS.ReplaceAllStringFunc(text, func(ms string) string {
+// maskVolatile replaces the parts of a text that differ in every run: the temporary directory and current
+// times.
+func maskVolatile(text, dir string) string {
+	text = dateTimePattern.ReplaceAllString(strings.ReplaceAll(text, dir, "DIR"), "TIME")
+	return currentMillisPattern.ReplaceAllStringFunc(text, func(ms string) string {
 		if strings.HasPrefix(ms, "1700000") { // a constant of the fixture
 			return ms
 		}
@@ -121,20 +122,20 @@
 	})
 }
 
-// same fails the test at the first line in which got differs from a file.
-func same(t *testing.T, file, got string) {
+// compareWithFile fails the test at the first line in which got differs from a file.
+func compareWithFile(t *testing.T, file, got string) {
 	t.Helper()
 	want, err := os.ReadFile(file)
 	if err != nil {
 		t.Fatal(err)
 	}
-	a, b := strings.Split(string(want), "\n"), strings.Split(got, "\n")
-	for i := range a {
-		if i >= len(b) || a[i] != b[i] {
-			t.Fatalf("%s:%d: got %q, want %q", file, i+1, strings.Join(b[min(i, len(b)):min(i+1, len(b))], ""), a[i])
+	wantLines, gotLines := strings.Split(string(want), "\n"), strings.Split(got, "\n")
+	for i := range wantLines {
+		if i >= len(gotLines) || wantLines[i] != gotLines[i] {
+			t.Fatalf("%s:%d: got %q, want %q", file, i+1, strings.Join(gotLines[min(i, len(gotLines)):min(i+1, len(gotLines))], ""), wantLines[i])
 		}
 	}
-	if len(b) > len(a) {
-		t.Fatalf("%s: %d extra lines, the first is %q", file, len(b)-len(a), b[len(a)])
+	if len(gotLines) > len(wantLines) {
+		t.Fatalf("%s: %d extra lines, the first is %q", file, len(gotLines)-len(wantLines), gotLines[len(wantLines)])
 	}
 }
--- a/cmd/silverpath/change_test.go
+++ b/cmd/silverpath/change_test.go
@@ -25,29 +25,29 @@
 	for i, c := range []string{"a", "b"} {
 		m.Servers = append(m.Servers, cells.Server{Name: "s" + c, Addr: fmt.Sprintf("127.0.0.1:%d", i+1), Cell: c, Weight: 1})
 	}
-	const many = 6
-	for i := range many {
+	const moves = 6
+	for i := range moves {
 		m.Tenants = append(m.Tenants, cells.Tenant{Name: fmt.Sprint("t", i), Rate: 1, Homes: []cells.Home{{Cell: "a"}}})
 	}
 	file := t.TempDir() + "/cells.json"
 	if err := proxy.WriteMap(file, m); err != nil {
 		t.Fatal(err)
 	}
-	var all sync.WaitGroup
-	for i := range many {
-		all.Go(func() {
+	var operators sync.WaitGroup
+	for i := range moves {
+		operators.Go(func() {
 			if code, out, message := run(t, "", "cells", "move", "--map", file, "--tenant", fmt.Sprint("t", i), "--to", "b"); code != 0 {
 				t.Errorf("cells move: output %q, message %q", out, message)
 			}
 		})
 	}
-	all.Wait()
+	operators.Wait()
 	data, err := os.ReadFile(file)
 	if err != nil {
 		t.Fatal(err)
 	}
 	got, err := settings.ParseCells(data)
-	if err != nil || got.Version != 1+many {
+	if err != nil || got.Version != 1+moves {
 		t.Fatalf("map version %d, error %v", got.Version, err)
 	}
 	for _, tenant := range got.Tenants {
--- a/cmd/silverpath/crossings_test.go
+++ b/cmd/silverpath/crossings_test.go
@@ -27,8 +27,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	all := tests.String()
-	code, named, quoted := regexp.MustCompile("`([a-z_]+(?:/[a-z_]+)+\\.go):([A-Za-z]+)`"), regexp.MustCompile("`(Test[A-Za-z]+)`"), regexp.MustCompile(`"([^"]+)"`)
+	testSource := tests.String()
+	codePattern, testPattern, rulePattern := regexp.MustCompile("`([a-z_]+(?:/[a-z_]+)+\\.go):([A-Za-z]+)`"), regexp.MustCompile("`(Test[A-Za-z]+)`"), regexp.MustCompile(`"([^"]+)"`)
 	rows := 0
 	for _, row := range strings.Split(string(doc), "\n") {
 		cells := strings.Split(row, " | ")
@@ -39,7 +39,7 @@
 			continue
 		}
 		rows++
-		places := code.FindAllStringSubmatch(cells[3], -1)
+		places := codePattern.FindAllStringSubmatch(cells[3], -1)
 		for _, m := range places {
 			text, err := os.ReadFile("../../internal/" + m[1])
 			if err != nil || !regexp.MustCompile(`(?m)^func (\([^)]*\) )?`+m[2]+`\(`).Match(text) {
@@ -50,13 +50,13 @@
 			t.Errorf("row names no code: %s", row)
 		}
 		n := 0
-		for _, m := range named.FindAllStringSubmatch(cells[4], -1) {
-			if n++; !strings.Contains(all, "func "+m[1]+"(") {
+		for _, m := range testPattern.FindAllStringSubmatch(cells[4], -1) {
+			if n++; !strings.Contains(testSource, "func "+m[1]+"(") {
 				t.Errorf("test %s does not exist: %s", m[1], row)
 			}
 		}
-		for _, m := range quoted.FindAllStringSubmatch(cells[4], -1) {
-			if n++; !strings.Contains(all, `{"`+m[1]+`", func(e *edge)`) {
+		for _, m := range rulePattern.FindAllStringSubmatch(cells[4], -1) {
+			if n++; !strings.Contains(testSource, `{"`+m[1]+`", func(e *edge)`) {
 				t.Errorf("rule %q does not exist: %s", m[1], row)
 			}
 		}
--- a/cmd/silverpath/crowd_test.go
+++ b/cmd/silverpath/crowd_test.go
@@ -24,32 +24,32 @@
 // with an open request.
 func TestIdleClientsFillTheDescriptors(t *testing.T) {
 	t.Parallel()
-	const most = 96
-	work, err := builtinworker.Listen(builtinworker.Config{Listen: "127.0.0.1:0", Cores: 8, Shape: builtinworker.Shape{Knee: 8, Speed: 1},
+	const maxDescriptors = 96
+	interpreter, err := builtinworker.Listen(builtinworker.Config{Listen: "127.0.0.1:0", Cores: 8, Shape: builtinworker.Shape{Knee: 8, Speed: 1},
 		Other: builtinworker.Class{MinWork: 5 * time.Millisecond, MaxWork: 10 * time.Millisecond}, RunFactor: 1, Seed: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer work.Close()
-	way, err := faults.Listen(work.Addr(), false, 1)
+	defer interpreter.Close()
+	interpreterLink, err := faults.Listen(interpreter.Addr(), false, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer way.Close()
-	heard, err := net.ListenPacket("udp", "127.0.0.1:0")
+	defer interpreterLink.Close()
+	announceConn, err := net.ListenPacket("udp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	announce := heard.LocalAddr().String()
-	heard.Close() // the announce service is down
-	site, err := os.ReadFile(siteFile(t, "n1", way.Addr()))
+	announce := announceConn.LocalAddr().String()
+	announceConn.Close() // the announce service is down
+	config, err := os.ReadFile(siteFile(t, "n1", interpreterLink.Addr()))
 	if err != nil {
 		t.Fatal(err)
 	}
-	addr, ops := freeAddr(t), freeAddr(t)
-	text := strings.NewReplacer(`"sockets":256`, fmt.Sprintf(`"sockets":%d`, most), `"listen":"127.0.0.1:0"`, `"listen":"`+addr+`","announce":"`+announce+`"`).Replace(string(site))
-	p := begin(t, []string{"serve", "--config", write(t, "n1.json", text)}, "LB_MGMT="+ops)
-	if err := unix.Prlimit(p.Pid(), unix.RLIMIT_NOFILE, &unix.Rlimit{Cur: most, Max: most}, nil); err != nil {
+	addr, mgmtAddr := freeAddr(t), freeAddr(t)
+	text := strings.NewReplacer(`"sockets":256`, fmt.Sprintf(`"sockets":%d`, maxDescriptors), `"listen":"127.0.0.1:0"`, `"listen":"`+addr+`","announce":"`+announce+`"`).Replace(string(config))
+	p := begin(t, []string{"serve", "--config", write(t, "n1.json", text)}, "LB_MGMT="+mgmtAddr)
+	if err := unix.Prlimit(p.Pid(), unix.RLIMIT_NOFILE, &unix.Rlimit{Cur: maxDescriptors, Max: maxDescriptors}, nil); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := p.Await(20*time.Second, 0, "phase serving"); err != nil {
@@ -78,9 +78,9 @@
 	// A request stays open: the interpreter link is cut, so the server does not receive the result of the
 	// run.
 	open := dial()
-	way.Cut(true)
+	interpreterLink.Cut(true)
 	ask(open, 1, 20*time.Second)
-	for i := range 3 * most { // half of the clients send one probe and stay idle, the others send nothing
+	for i := range 3 * maxDescriptors { // half of the clients send one probe and stay idle, the others send nothing
 		c := dial()
 		if i%2 == 0 {
 			c.Write(msgpackrpc.AppendProbe(nil, 1))
@@ -89,12 +89,12 @@
 			}
 		}
 	}
-	if code, why := benchmarks.Call(ops, "GET /api/ready"); code != 200 {
-		t.Errorf("GET /api/ready: status %d, body %q", code, why)
+	if code, body := benchmarks.Call(mgmtAddr, "GET /api/ready"); code != 200 {
+		t.Errorf("GET /api/ready: status %d, body %q", code, body)
 	}
-	from := p.Lines()
-	way.Cut(false)
-	if _, err := p.Await(20*time.Second, from, "interpreter link live again"); err != nil {
+	logLine := p.Lines()
+	interpreterLink.Cut(false)
+	if _, err := p.Await(20*time.Second, logLine, "interpreter link live again"); err != nil {
 		t.Error(err)
 	}
 	if err := served(open); err != nil {
@@ -107,17 +107,17 @@
 			t.Errorf("new client with a request: %v", err)
 		}
 	}
-	if heard, err = net.ListenPacket("udp", announce); err != nil {
+	if announceConn, err = net.ListenPacket("udp", announce); err != nil {
 		t.Fatal(err)
 	}
-	defer heard.Close()
-	_ = heard.SetReadDeadline(time.Now().Add(20 * time.Second))
+	defer announceConn.Close()
+	_ = announceConn.SetReadDeadline(time.Now().Add(20 * time.Second))
 	b := make([]byte, 100)
-	if n, _, err := heard.ReadFrom(b); err != nil || string(b[:n]) != "announce n1 true" {
+	if n, _, err := announceConn.ReadFrom(b); err != nil || string(b[:n]) != "announce n1 true" {
 		t.Errorf("announcement %q, error %v", b[:n], err)
 	}
 	list, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", p.Pid()))
-	if err != nil || len(list) > most {
+	if err != nil || len(list) > maxDescriptors {
 		t.Errorf("%d open descriptors, error %v", len(list), err)
 	}
 	if log := p.Log(); strings.Contains(log, "accepting:") {
--- a/cmd/silverpath/earlier_build_test.go
+++ b/cmd/silverpath/earlier_build_test.go
@@ -32,8 +32,8 @@
 	otherMachine = "SILVERPATH_BOOT=golden 1h2s other-machine"
 )
 
-// earlier copies a file of testdata/durable to a path where the test may change it.
-func earlier(t *testing.T, name, to string) string {
+// copyFixture copies a file of testdata/durable to a path where the test may change it.
+func copyFixture(t *testing.T, name, to string) string {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join("testdata", "durable", name))
 	if err != nil {
@@ -56,11 +56,11 @@
 		t.Fatal(err)
 	}
 	defer func() { _ = db.Close() }()
-	all := map[string]string{}
+	entries := map[string]string{}
 	err = db.View(func(tx *bbolt.Tx) error {
 		return tx.ForEach(func(name []byte, b *bbolt.Bucket) error {
 			return b.ForEach(func(k, v []byte) error {
-				all[fmt.Sprintf("%s %x", name, k)] = fmt.Sprintf("%x", v)
+				entries[fmt.Sprintf("%s %x", name, k)] = fmt.Sprintf("%x", v)
 				return nil
 			})
 		})
@@ -68,13 +68,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return all
+	return entries
 }
 
-// command runs a command of the program on the machine, boot and uptime that start sets. In the returned
+// runAfterBoot runs a command of the program on the machine, boot and uptime that start sets. In the returned
 // output DIR replaces dir, and # replaces two values that differ in every run: the ID of a new store and the
 // time since the heartbeat.
-func command(t *testing.T, start, dir string, args ...string) string {
+func runAfterBoot(t *testing.T, start, dir string, args ...string) string {
 	t.Helper()
 	name, value, _ := strings.Cut(start, "=")
 	t.Setenv(name, value)
@@ -94,8 +94,8 @@
 // compared literally.
 func TestCommandsOnFilesOfAnEarlierBuild(t *testing.T) {
 	dir := t.TempDir()
-	killed, closed := earlier(t, "killed.db", filepath.Join(dir, "killed", "keys.db")), earlier(t, "closed.db", filepath.Join(dir, "closed", "keys.db"))
-	life := earlier(t, "life", filepath.Join(dir, "life"))
+	killed, closed := copyFixture(t, "killed.db", filepath.Join(dir, "killed", "keys.db")), copyFixture(t, "closed.db", filepath.Join(dir, "closed", "keys.db"))
+	life := copyFixture(t, "life", filepath.Join(dir, "life"))
 	other, next := filepath.Join(dir, "other"), filepath.Join(dir, "next")
 	torn := filepath.Join(dir, "torn")
 	if err := os.WriteFile(torn, []byte(`{"sign":{"Name":"lab","Machine":"golden-machine","Boot":"golden","Up":1,"Valid":400000000},"sum":4236047623}`), 0o600); err != nil {
@@ -187,7 +187,7 @@
 ]
 `},
 	} {
-		if got := command(t, c.start, dir, c.args...); got != c.want {
+		if got := runAfterBoot(t, c.start, dir, c.args...); got != c.want {
 			t.Errorf("%s: %v prints\n%s\nwant\n%s", c.start, c.args, got, c.want)
 		}
 	}
@@ -198,9 +198,9 @@
 	}
 }
 
-// patient gives requests the whole time of their class, so that they do not fail on the slow disk of a busy
-// machine.
-func patient(d *durable) {
+// extendTimeouts gives requests the whole time of their class, so that they do not fail on the slow disk of a
+// busy machine.
+func extendTimeouts(d *durable) {
 	d.Wait = 4 * time.Second
 	d.Edit = func(text string) string {
 		return strings.Replace(text, `"memory_span":2000000`, `"memory_span":10000000`, 1)
@@ -215,30 +215,30 @@
 		for _, file := range []string{"killed.db", "closed.db"} {
 			t.Run(file+" "+start, func(t *testing.T) {
 				d := newDurable(t)
-				patient(d)
-				path := earlier(t, file, filepath.Join(d.dir, "keys.db"))
+				extendTimeouts(d)
+				path := copyFixture(t, file, filepath.Join(d.dir, "keys.db"))
 				g := d.up(start)
-				type reply struct{ outcome, body string }
-				fresh := func(key string) reply { return reply{"served", "oddaja: " + key + " #1."} }
-				want := map[string]reply{"done-0": {"served", "oddaja: done-0 #1.0"}, "done-1": {"served", "oddaja: done-1 #1.1"},
-					"promised-0": {"failed", ""}, "moved-0": {"refused", ""}, "withdrawn-0": fresh("withdrawn-0"), "new": fresh("new")}
+				type answer struct{ outcome, body string }
+				newRun := func(key string) answer { return answer{"served", "oddaja: " + key + " #1."} }
+				want := map[string]answer{"done-0": {"served", "oddaja: done-0 #1.0"}, "done-1": {"served", "oddaja: done-1 #1.1"},
+					"promised-0": {"failed", ""}, "moved-0": {"refused", ""}, "withdrawn-0": newRun("withdrawn-0"), "new": newRun("new")}
 				runs := map[string]int{"withdrawn-0": 1, "new": 1}
 				if file == "killed.db" { // that key had not been requested yet
-					want["moved-0"], runs["moved-0"] = fresh("moved-0"), 1
+					want["moved-0"], runs["moved-0"] = newRun("moved-0"), 1
 				}
 				if start == muchLater { // every window is over
 					for key := range want {
-						want[key], runs[key] = fresh(key), 1
+						want[key], runs[key] = newRun(key), 1
 					}
 				}
-				isFresh := func(key string) bool { return strings.HasSuffix(want[key].body, "#1.") }
+				isNewRun := func(key string) bool { return strings.HasSuffix(want[key].body, "#1.") }
 				keys := slices.SortedFunc(maps.Keys(want), func(a, b string) int { // stored keys first: their windows expire
-					return strings.Compare(fmt.Sprint(isFresh(a), a), fmt.Sprint(isFresh(b), b))
+					return strings.Compare(fmt.Sprint(isNewRun(a), a), fmt.Sprint(isNewRun(b), b))
 				})
 				for _, key := range keys {
 					w, a := want[key], d.ask(key, key)
 					same := string(a.Body) == w.body
-					if isFresh(key) { // a new run, numbered in order; a busy machine's slow disk refuses it before it begins
+					if isNewRun(key) { // a new run, numbered in order; a busy machine's slow disk refuses it before it begins
 						for end := time.Now().Add(20 * time.Second); a.Outcome == "refused" && time.Now().Before(end); a = d.ask(key, key) {
 							time.Sleep(100 * time.Millisecond)
 						}
@@ -267,17 +267,17 @@
 				// The earlier build has to read what this one wrote: the header by field names, a record by
 				// byte offsets.
 				entries := databaseEntries(t, path)
-				var head []byte
-				fmt.Sscanf(entries["meta 6d657461"], "%x", &head)
+				var header []byte
+				fmt.Sscanf(entries["meta 6d657461"], "%x", &header)
 				machine, boot := "golden-machine", strings.Fields(strings.TrimPrefix(start, "SILVERPATH_BOOT="))[0]
 				if start == otherMachine {
 					machine = "other-machine" // its boot has the same name and a later time, so no times are shifted
 				}
 				if !regexp.MustCompile(`^\{"format":1,"id":"9acbc6b3623ae8fa","name":"lab","machine":"` + machine + `","boot":"` + boot +
-					`","since_ns":-?\d+,"whole":true,"wall_ms":\d+,"clean":true\}$`).Match(head) {
-					t.Errorf("store header %s", head)
+					`","since_ns":-?\d+,"whole":true,"wall_ms":\d+,"clean":true\}$`).Match(header) {
+					t.Errorf("store header %s", header)
 				}
-				states := map[byte]int{}
+				recordsByState := map[byte]int{}
 				for name, text := range entries {
 					if !strings.HasPrefix(name, "keys ") {
 						continue
@@ -288,7 +288,7 @@
 					if sum, _ := strconv.ParseUint(fmt.Sprintf("%x", b[:4]), 16, 32); uint32(sum) != want {
 						t.Errorf("%s: checksum %x, want %x", name, sum, want)
 					}
-					states[b[4]]++
+					recordsByState[b[4]]++
 				}
 				wantStates := map[byte]int{3: 2 + len(runs)}
 				switch start {
@@ -302,8 +302,8 @@
 				if file == "closed.db" && start != muchLater {
 					wantStates[5] = 1
 				}
-				if !maps.Equal(states, wantStates) {
-					t.Errorf("records by state: %v, want %v", states, wantStates)
+				if !maps.Equal(recordsByState, wantStates) {
+					t.Errorf("records by state: %v, want %v", recordsByState, wantStates)
 				}
 			})
 		}
@@ -323,7 +323,7 @@
 		t.Run(start, func(t *testing.T) {
 			d := newDurable(t)
 			d.alive(400*time.Millisecond, true)
-			path := earlier(t, "life", filepath.Join(filepath.Dir(d.dir), "life"))
+			path := copyFixture(t, "life", filepath.Join(filepath.Dir(d.dir), "life"))
 			g := d.up(start)
 			if !regexp.MustCompile(want).MatchString(g.Log()) {
 				t.Errorf("want %s in\n%s", want, g.Log())
@@ -350,8 +350,8 @@
 // them, and its error message names the owner.
 func TestFilesOfAnotherServiceOfAnEarlierBuild(t *testing.T) {
 	dir := t.TempDir()
-	earlier(t, "closed.db", filepath.Join(dir, "keys", "keys.db"))
-	earlier(t, "life", filepath.Join(dir, "life"))
+	copyFixture(t, "closed.db", filepath.Join(dir, "keys", "keys.db"))
+	copyFixture(t, "life", filepath.Join(dir, "life"))
 	for edge, want := range map[string]string{
 		fmt.Sprintf(`{"store":{"dir":%q,"size_mb":8}}`, filepath.Join(dir, "keys")):    `DIR/keys/keys.db: it is of the service "lab", not of "n1"`,
 		fmt.Sprintf(`{"life":{"file":%q,"valid_ms":400}}`, filepath.Join(dir, "life")): `DIR/life: it is of the service "lab", not of "n1"`,
--- a/cmd/silverpath/fleet_test.go
+++ b/cmd/silverpath/fleet_test.go
@@ -104,15 +104,15 @@
 // run, and no attempt is refused after the run. A failed attempt is valid in every state.
 var keyedRequests = porcupine.Model{
 	Partition: func(history []porcupine.Operation) [][]porcupine.Operation {
-		by := map[string][]porcupine.Operation{}
+		byKey := map[string][]porcupine.Operation{}
 		for _, o := range history {
-			by[o.Output.(try).key] = append(by[o.Output.(try).key], o)
+			byKey[o.Output.(try).key] = append(byKey[o.Output.(try).key], o)
 		}
-		var list [][]porcupine.Operation
-		for _, ops := range by {
-			list = append(list, ops)
+		var partitions [][]porcupine.Operation
+		for _, ops := range byKey {
+			partitions = append(partitions, ops)
 		}
-		return list
+		return partitions
 	},
 	Init: func() any { return "" },
 	Step: func(state, _, output any) (bool, any) {
@@ -137,15 +137,15 @@
 		return porcupine.Operation{ClientId: client, Call: from, Return: to, Output: try{"k", outcome, body}}
 	}
 	for name, c := range map[string]struct {
-		good    bool
-		history []porcupine.Operation
+		linearizable bool
+		history      []porcupine.Operation
 	}{
 		"served twice, one run": {true, []porcupine.Operation{op(0, 0, 1, "refused", ""), op(0, 2, 3, "served", "a"), op(1, 2, 5, "served", "a")}},
 		"ran twice":             {false, []porcupine.Operation{op(0, 0, 1, "served", "a"), op(1, 2, 3, "served", "b")}},
 		"refused after its run": {false, []porcupine.Operation{op(0, 0, 1, "served", "a"), op(1, 2, 3, "refused", "")}},
 		"failed attempts":       {true, []porcupine.Operation{op(0, 0, 1, "failed", ""), op(1, 2, 3, "served", "a"), op(1, 4, 5, "failed", "")}},
 	} {
-		if got := linearizable(c.history); got != c.good {
+		if got := linearizable(c.history); got != c.linearizable {
 			t.Errorf("%s: linearizable: %v", name, got)
 		}
 	}
@@ -191,9 +191,9 @@
 		f.machines[name], f.files[name] = i, siteFile(t, name, i.Addr())
 		f.servers[name] = spawnIn(t, env, "serve", "--config", f.files[name], "--edge", f.edge)
 	}
-	entered := time.Now().UnixMilli() + 1
+	joinsAt := time.Now().UnixMilli() + 1
 	for n, name := range f.names {
-		f.Map.Servers = append(f.Map.Servers, cells.Server{Name: name, Addr: f.servers[name].addr, Cell: string('a' + rune(n/2)), Weight: 1, JoinsAt: entered})
+		f.Map.Servers = append(f.Map.Servers, cells.Server{Name: name, Addr: f.servers[name].addr, Cell: string('a' + rune(n/2)), Weight: 1, JoinsAt: joinsAt})
 	}
 	return f
 }
@@ -238,21 +238,21 @@
 	var mu sync.Mutex
 	routers := []*process{router(states[0]), router(states[1])}
 	var history []porcupine.Operation
-	count := map[string]int{}
+	outcomes := map[string]int{}
 	began := time.Now()
-	send := func(clientID int, key string, by int) {
+	send := func(clientID int, key string, routerIndex int) {
 		mu.Lock()
-		addr := routers[by].addr
+		addr := routers[routerIndex].addr
 		mu.Unlock()
-		call := time.Since(began)
+		calledAt := time.Since(began)
 		a, err := client.Do(client.Platform, addr, client.Request{Class: "oddaja", Tenant: "brand", Key: key, Body: []byte(key), Timeout: 800 * time.Millisecond})
 		if err != nil {
 			a.Outcome = "failed" // the router was killed
 		}
 		mu.Lock()
 		defer mu.Unlock()
-		count[a.Outcome]++
-		history = append(history, porcupine.Operation{ClientId: clientID, Call: int64(call), Return: int64(time.Since(began)),
+		outcomes[a.Outcome]++
+		history = append(history, porcupine.Operation{ClientId: clientID, Call: int64(calledAt), Return: int64(time.Since(began)),
 			Output: try{key, a.Outcome, string(a.Body)}})
 	}
 	stop := make(chan struct{})
@@ -267,15 +267,15 @@
 				default:
 				}
 				key := fmt.Sprintf("sheet-%d-%d", client, n)
-				var tries sync.WaitGroup
+				var attempts sync.WaitGroup
 				for k := range 3 { // immediately, soon after, and late in the key window, each through a random router
-					by, wait := rng.IntN(2), time.Duration(k*rng.IntN(600))*time.Millisecond
-					tries.Go(func() {
-						time.Sleep(wait)
-						send(client*10+k, key, by)
+					routerIndex, delay := rng.IntN(2), time.Duration(k*rng.IntN(600))*time.Millisecond
+					attempts.Go(func() {
+						time.Sleep(delay)
+						send(client*10+k, key, routerIndex)
 					})
 				}
-				tries.Wait()
+				attempts.Wait()
 			}
 		})
 	}
@@ -290,12 +290,12 @@
 	time.Sleep(2300 * time.Millisecond) // until the move is in effect
 	servers["s1"].Kill()
 	mu.Lock()
-	old := routers[1]
+	killed := routers[1]
 	mu.Unlock()
-	old.Kill()
-	again := router(states[1])
+	killed.Kill()
+	restarted := router(states[1])
 	mu.Lock()
-	routers[1] = again
+	routers[1] = restarted
 	mu.Unlock()
 	time.Sleep(200 * time.Millisecond)
 	servers["s1"] = spawn(t, "serve", "--config", files["s1"], "--edge", f.edge, "--listen", servers["s1"].addr)
@@ -315,15 +315,15 @@
 	if !linearizable(history) {
 		t.Error("the history is not linearizable: a request ran twice or was refused after its run")
 	}
-	if count["served"] < 50 || len(runs) < 20 {
-		t.Errorf("outcomes %v, %d requests ran", count, len(runs))
+	if outcomes["served"] < 50 || len(runs) < 20 {
+		t.Errorf("outcomes %v, %d requests ran", outcomes, len(runs))
 	}
 	for name, i := range machines {
 		if len(i.Runs()) == 0 {
 			t.Errorf("nothing ran on %s", name)
 		}
 	}
-	t.Logf("outcomes %v, %d requests ran", count, len(runs))
+	t.Logf("outcomes %v, %d requests ran", outcomes, len(runs))
 }
 
 // The cells commands print the expected text. An invalid command exits with code 1 and one line of error.
--- a/cmd/silverpath/golden_test.go
+++ b/cmd/silverpath/golden_test.go
@@ -19,17 +19,17 @@
 
 var updateGolden = flag.Bool("update-golden", false, "rewrite the golden files of settings and commands")
 
-// goldenWait bounds a command that has to exit. It expires if the command serves instead.
-const goldenWait = 20 * time.Second
+// commandTimeout bounds a command that has to exit. It expires if the command serves instead.
+const commandTimeout = 20 * time.Second
 
-// A settingsForm is a file of deploy/ and the command that reads it. FILE in the command is replaced by the
+// settingsReader is a file of deploy/ and the command that reads it. FILE in args is replaced by the
 // path of the file.
-type settingsForm struct {
-	file    string
-	command []string
+type settingsReader struct {
+	file string
+	args []string
 }
 
-var settingsForms = []settingsForm{
+var settingsReaders = []settingsReader{
 	{"scgi.json", []string{"check", "--config", "FILE"}},
 	{"try.json", []string{"check", "--config", "FILE"}},
 	{"durable.json", []string{"check", "--config", "../../deploy/try.json", "--edge", "FILE"}},
@@ -46,10 +46,10 @@
 	{"owner.json", []string{"duty", "run", "--config", "FILE"}},
 }
 
-// serves reports whether the command serves when its file is valid, so that it exits only for an invalid
-// file.
-func (f settingsForm) serves() bool {
-	return f.command[0] != "check" && f.command[0] != "cells" && f.command[0] != "capacity"
+// servesOnSuccess reports whether the command serves when its file is valid, so that it exits only for an
+// invalid file.
+func (r settingsReader) servesOnSuccess() bool {
+	return r.args[0] != "check" && r.args[0] != "cells" && r.args[0] != "capacity"
 }
 
 // Guards against a renamed identifier that changes how a deployment's settings are read. Each value of every
@@ -57,33 +57,33 @@
 // output has to equal testdata/golden/settings.txt.
 func TestSettingsReadAsBefore(t *testing.T) {
 	var cases []goldenCase
-	for _, form := range settingsForms {
-		data, err := os.ReadFile(filepath.Join("..", "..", "deploy", form.file))
+	for _, reader := range settingsReaders {
+		data, err := os.ReadFile(filepath.Join("..", "..", "deploy", reader.file))
 		if err != nil {
 			t.Fatal(err)
 		}
-		if !form.serves() {
-			cases = append(cases, goldenCase{form, "as it is", data})
+		if !reader.servesOnSuccess() {
+			cases = append(cases, goldenCase{reader, "as it is", data})
 		}
 		for _, m := range mutations(t, data) {
-			cases = append(cases, goldenCase{form, m.name, m.data})
+			cases = append(cases, goldenCase{reader, m.name, m.data})
 		}
 	}
 	got := make([]string, len(cases))
-	var wait sync.WaitGroup
-	next := make(chan int)
+	var workers sync.WaitGroup
+	indexes := make(chan int)
 	for range 4 {
-		wait.Go(func() {
-			for i := range next {
+		workers.Go(func() {
+			for i := range indexes {
 				got[i] = cases[i].run(t)
 			}
 		})
 	}
 	for i := range cases {
-		next <- i
+		indexes <- i
 	}
-	close(next)
-	wait.Wait()
+	close(indexes)
+	workers.Wait()
 	compareGolden(t, "settings.txt", strings.Join(got, ""))
 }
 
@@ -111,21 +111,21 @@
 }
 
 type goldenCase struct {
-	form settingsForm
-	name string
-	data []byte
+	reader settingsReader
+	name   string
+	data   []byte
 }
 
 // run executes the command on the file. It returns the output and the exit code, with the path of the file
 // replaced by FILE.
 func (c goldenCase) run(t *testing.T) string {
 	t.Helper()
-	file := filepath.Join(t.TempDir(), c.form.file)
+	file := filepath.Join(t.TempDir(), c.reader.file)
 	if err := os.WriteFile(file, c.data, 0o600); err != nil {
 		t.Error(err)
 		return ""
 	}
-	args := slices.Clone(c.form.command)
+	args := slices.Clone(c.reader.args)
 	for i := range args {
 		if args[i] == "FILE" {
 			args[i] = file
@@ -136,7 +136,7 @@
 		t.Error(err)
 		return ""
 	}
-	ctx, cancel := context.WithTimeout(t.Context(), goldenWait)
+	ctx, cancel := context.WithTimeout(t.Context(), commandTimeout)
 	defer cancel()
 	cmd := exec.CommandContext(ctx, exe, args...)
 	cmd.Env = append(os.Environ(), "SILVERPATH_RUN=1", "LB_CONFIG=")
@@ -148,11 +148,11 @@
 	if ctx.Err() != nil {
 		out = []byte("does not end\n")
 	}
-	if c.form.command[0] == "capacity" && cmd.ProcessState.Success() { // the figures are in docs/CAPACITY.md
+	if c.reader.args[0] == "capacity" && cmd.ProcessState.Success() { // the figures are in docs/CAPACITY.md
 		out = []byte("computed\n")
 	}
 	out = bytes.ReplaceAll(out, []byte(file), []byte("FILE"))
-	return fmt.Sprintf("$ silverpath %s: %s, %s\n%sexit %d\n\n", strings.Join(c.form.command, " "), c.form.file, c.name, out, cmd.ProcessState.ExitCode())
+	return fmt.Sprintf("$ silverpath %s: %s, %s\n%sexit %d\n\n", strings.Join(c.reader.args, " "), c.reader.file, c.name, out, cmd.ProcessState.ExitCode())
 }
 
 type mutation struct {
@@ -161,7 +161,7 @@
 }
 
 // mutations returns variants of a JSON text in the order of its field names. Each has one invalid field.
-func mutations(t *testing.T, data []byte) (all []mutation) {
+func mutations(t *testing.T, data []byte) (variants []mutation) {
 	t.Helper()
 	var root any
 	if err := json.Unmarshal(data, &root); err != nil {
@@ -172,7 +172,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		all = append(all, mutation{name, text})
+		variants = append(variants, mutation{name, text})
 	}
 	var visit func(path string, value any, set func(any))
 	visit = func(path string, value any, set func(any)) {
@@ -203,7 +203,7 @@
 		set(value)
 	}
 	visit("", root, nil)
-	return all
+	return variants
 }
 
 // compareGolden fails the test at the first line in which got differs from a file of testdata/golden. With
--- a/cmd/silverpath/groupgolden_test.go
+++ b/cmd/silverpath/groupgolden_test.go
@@ -40,21 +40,21 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	words := msgpackrpc.NewCallServer(member.Name, counters, m.Answer)
-	ln, err := listener.Listen(member.Name, addr, 64, func() time.Duration { return time.Minute }, words.Serve, log.New(io.Discard, "", 0), counters)
+	callServer := msgpackrpc.NewCallServer(member.Name, counters, m.Answer)
+	ln, err := listener.Listen(member.Name, addr, 64, func() time.Duration { return time.Minute }, callServer.Serve, log.New(io.Discard, "", 0), counters)
 	if err != nil {
 		t.Fatal(err)
 	}
 	go ln.Serve()
 	ctx, cancel := context.WithCancel(context.Background())
-	var all sync.WaitGroup
-	all.Go(func() { _ = m.Run(ctx) })
+	var running sync.WaitGroup
+	running.Go(func() { _ = m.Run(ctx) })
 	client := &quorum.Client{Group: "test", Addrs: []string{addr}}
 	t.Cleanup(func() {
 		client.Close()
 		ln.Close()
 		cancel()
-		all.Wait()
+		running.Wait()
 	})
 
 	var got strings.Builder
@@ -63,13 +63,13 @@
 		code, out, message := run(t, "", args...)
 		fmt.Fprintf(&got, "$ %s\n[exit %d]\n%s%s", strings.Join(args, " "), code, out, message)
 	}
-	at := []string{"--group", "test", "--members", addr, "--within", "20s"}
-	ask := func(args ...string) { t.Helper(); command(append(args, at...)...) }
-	do := func(c statemachine.Command) {
+	groupFlags := []string{"--group", "test", "--members", addr, "--within", "20s"}
+	groupCommand := func(args ...string) { t.Helper(); command(append(args, groupFlags...)...) }
+	apply := func(c statemachine.Command) {
 		t.Helper()
-		asking, cancel := context.WithTimeout(ctx, 20*time.Second)
+		doCtx, cancel := context.WithTimeout(ctx, 20*time.Second)
 		defer cancel()
-		if r, err := client.Do(asking, c); err != nil || r.Error != "" {
+		if r, err := client.Do(doCtx, c); err != nil || r.Error != "" {
 			t.Fatal(err, r.Error)
 		}
 	}
@@ -78,52 +78,52 @@
 		command(append(strings.Fields(c), "--help")...)
 	}
 	command("duty", "list")
-	ask("quorum", "status")
-	ask("quorum", "found", "--lease", "0s")
-	ask("quorum", "found", "--drift", "0.7")
-	ask("quorum", "found", "--lease", "1m")
-	ask("quorum", "found", "--lease", "2m")
-	ask("duty", "list")
-	ask("duty", "show", "--duty", "keeper")
-	ask("duty", "show", "--duty", "cook")
-	ask("duty", "show")
-	ask("fleet", "status")
-	do(statemachine.Command{Lease: &lease.Request{Op: lease.Acquire, Duty: "keeper", Process: "a#1"}})
-	do(statemachine.Command{Lease: &lease.Request{Op: lease.Acquire, Duty: "keeper", Process: "b#2"}})
-	do(statemachine.Command{Lease: &lease.Request{Op: lease.Acquire, Duty: "conductor", Process: "b#2"}})
-	do(statemachine.Command{Submit: &statemachine.SubmitItem{Duty: "keeper", ID: "move-1", Kind: "move", Args: []byte(`{"tenant":"t","to":"c1"}`)}})
-	do(statemachine.Command{Journal: &controller.JournalWrite{Duty: "keeper", Process: "a#1", Epoch: 1<<32 | 1, Step: 1, Item: "move-1", State: controller.Intended, Attempts: 1, Plan: `{"version":2}`, Note: "n"}})
-	ask("duty", "hand", "--duty", "keeper", "--to", "b#2")
-	ask("duty", "hand", "--duty", "keeper", "--to", "c#3")
-	ask("duty", "pause", "--duty", "watcher", "--why", "a fire")
-	ask("duty", "pause", "--duty", "cook")
-	ask("duty", "list")
-	ask("duty", "list", "--json")
-	ask("duty", "show", "--duty", "keeper")
-	ask("duty", "show", "--duty", "keeper", "--json")
-	ask("duty", "resume", "--duty", "watcher")
-	ask("fleet", "roll", "--cell-most", "0")
-	ask("fleet", "roll", "--all-most", "0")
-	ask("fleet", "roll", "--back", "0s")
-	ask("fleet", "roll", "--dwell", "-1s")
-	ask("fleet", "roll", "--worth-least", "2")
-	ask("fleet", "roll", "--servers", "s0,s1", "--cell-most", "1", "--all-most", "2", "--dwell", "5s", "--back", "30s", "--worth-least", "0.9")
-	id := regexp.MustCompile(`roll-[0-9a-f]{12}`).FindString(got.String())
-	ask("fleet", "status")
-	do(statemachine.Command{Journal: &controller.JournalWrite{Duty: "conductor", Process: "b#2", Epoch: 1<<32 | 1, Step: 1, Item: id, State: controller.Intended,
+	groupCommand("quorum", "status")
+	groupCommand("quorum", "found", "--lease", "0s")
+	groupCommand("quorum", "found", "--drift", "0.7")
+	groupCommand("quorum", "found", "--lease", "1m")
+	groupCommand("quorum", "found", "--lease", "2m")
+	groupCommand("duty", "list")
+	groupCommand("duty", "show", "--duty", "keeper")
+	groupCommand("duty", "show", "--duty", "cook")
+	groupCommand("duty", "show")
+	groupCommand("fleet", "status")
+	apply(statemachine.Command{Lease: &lease.Request{Op: lease.Acquire, Duty: "keeper", Process: "a#1"}})
+	apply(statemachine.Command{Lease: &lease.Request{Op: lease.Acquire, Duty: "keeper", Process: "b#2"}})
+	apply(statemachine.Command{Lease: &lease.Request{Op: lease.Acquire, Duty: "conductor", Process: "b#2"}})
+	apply(statemachine.Command{Submit: &statemachine.SubmitItem{Duty: "keeper", ID: "move-1", Kind: "move", Args: []byte(`{"tenant":"t","to":"c1"}`)}})
+	apply(statemachine.Command{Journal: &controller.JournalWrite{Duty: "keeper", Process: "a#1", Epoch: 1<<32 | 1, Step: 1, Item: "move-1", State: controller.Intended, Attempts: 1, Plan: `{"version":2}`, Note: "n"}})
+	groupCommand("duty", "hand", "--duty", "keeper", "--to", "b#2")
+	groupCommand("duty", "hand", "--duty", "keeper", "--to", "c#3")
+	groupCommand("duty", "pause", "--duty", "watcher", "--why", "a fire")
+	groupCommand("duty", "pause", "--duty", "cook")
+	groupCommand("duty", "list")
+	groupCommand("duty", "list", "--json")
+	groupCommand("duty", "show", "--duty", "keeper")
+	groupCommand("duty", "show", "--duty", "keeper", "--json")
+	groupCommand("duty", "resume", "--duty", "watcher")
+	groupCommand("fleet", "roll", "--cell-most", "0")
+	groupCommand("fleet", "roll", "--all-most", "0")
+	groupCommand("fleet", "roll", "--back", "0s")
+	groupCommand("fleet", "roll", "--dwell", "-1s")
+	groupCommand("fleet", "roll", "--worth-least", "2")
+	groupCommand("fleet", "roll", "--servers", "s0,s1", "--cell-most", "1", "--all-most", "2", "--dwell", "5s", "--back", "30s", "--worth-least", "0.9")
+	rolloutID := regexp.MustCompile(`roll-[0-9a-f]{12}`).FindString(got.String())
+	groupCommand("fleet", "status")
+	apply(statemachine.Command{Journal: &controller.JournalWrite{Duty: "conductor", Process: "b#2", Epoch: 1<<32 | 1, Step: 1, Item: rolloutID, State: controller.Intended,
 		Plan: `{"members":[{"name":"s0","cell":"a","mgmt":"m0","stage":"back"},{"name":"s1","cell":"b","mgmt":"m1","stage":"going_out"}]}`}})
-	ask("fleet", "pause")
-	ask("fleet", "status")
-	ask("fleet", "status", "--json")
-	ask("fleet", "resume")
-	ask("fleet", "abort")
-	ask("fleet", "resume")
-	do(statemachine.Command{Journal: &controller.JournalWrite{Duty: "conductor", Process: "b#2", Epoch: 1<<32 | 1, Step: 2, Item: id, State: controller.Failed, Note: "aborted by an operator"}})
-	ask("fleet", "status")
-	ask("fleet", "abort")
-	ask("quorum", "remove", "--name", "q9")
-	ask("quorum", "status")
-	ask("quorum", "status", "--json")
+	groupCommand("fleet", "pause")
+	groupCommand("fleet", "status")
+	groupCommand("fleet", "status", "--json")
+	groupCommand("fleet", "resume")
+	groupCommand("fleet", "abort")
+	groupCommand("fleet", "resume")
+	apply(statemachine.Command{Journal: &controller.JournalWrite{Duty: "conductor", Process: "b#2", Epoch: 1<<32 | 1, Step: 2, Item: rolloutID, State: controller.Failed, Note: "aborted by an operator"}})
+	groupCommand("fleet", "status")
+	groupCommand("fleet", "abort")
+	groupCommand("quorum", "remove", "--name", "q9")
+	groupCommand("quorum", "status")
+	groupCommand("quorum", "status", "--json")
 
 	text := strings.ReplaceAll(got.String(), addr, "ADDR")
 	for _, mask := range [][2]string{
@@ -134,5 +134,5 @@
 		text = regexp.MustCompile(mask[0]).ReplaceAllString(text, mask[1])
 	}
 	os.WriteFile("testdata/group/commands.txt", []byte(text), 0o644)
-	same(t, "testdata/group/commands.txt", text)
+	compareWithFile(t, "testdata/group/commands.txt", text)
 }
--- a/cmd/silverpath/known_red_test.go
+++ b/cmd/silverpath/known_red_test.go
@@ -28,7 +28,7 @@
 	} {
 		out, err := exec.Command("../../.ci/known-red", write(t, "KNOWN-RED.txt", text), names).CombinedOutput()
 		got := strings.TrimSpace(string(out))
-		if problem, bad := strings.CutPrefix(want, "error: "); bad {
+		if problem, wantError := strings.CutPrefix(want, "error: "); wantError {
 			if err == nil || !strings.Contains(got, problem) {
 				t.Errorf("%q: output %q, error %v; want an error with %q", text, got, err, problem)
 			}
--- a/cmd/silverpath/parts_test.go
+++ b/cmd/silverpath/parts_test.go
@@ -15,16 +15,16 @@
 	"silverpath/internal/transport/client"
 )
 
-// crowd adds tenants without load until the map has n tenants.
-func crowd(m *cells.Map, n int) {
+// addIdleTenants adds tenants without load until the map has n tenants.
+func addIdleTenants(m *cells.Map, n int) {
 	for i := len(m.Tenants); i < n; i++ {
 		m.Tenants = append(m.Tenants, cells.Tenant{Name: fmt.Sprintf("tenant-%05d", i), Rate: 1, Homes: []cells.Home{{Cell: string('a' + rune(i%2))}}})
 	}
 }
 
-// move announces a move of a tenant and returns the time at which it takes effect. The time ahead has to be
-// long enough for all processes of a loaded machine to receive the map before.
-func move(m *cells.Map, tenant, cell string, ahead time.Duration) time.Time {
+// announceMove announces a move of a tenant and returns the time at which it takes effect. The time ahead has
+// to be long enough for all processes of a loaded machine to receive the map before.
+func announceMove(m *cells.Map, tenant, cell string, ahead time.Duration) time.Time {
 	at := time.Now().Add(ahead)
 	m.Version++
 	for i := range m.Tenants {
@@ -35,14 +35,14 @@
 	return at
 }
 
-// on counts the runs in a cell's interpreters of request bodies with a prefix.
-func (f *testFleet) on(cell, name string) (n int) {
+// runsInCell counts the runs in a cell's interpreters of request bodies with a prefix.
+func (f *testFleet) runsInCell(cell, prefix string) (n int) {
 	for _, s := range f.Map.Servers {
 		if s.Cell != cell {
 			continue
 		}
 		for body, runs := range f.machines[s.Name].Runs() {
-			if strings.HasPrefix(body, name) {
+			if strings.HasPrefix(body, prefix) {
 				n += runs
 			}
 		}
@@ -57,79 +57,79 @@
 func TestMapInParts(t *testing.T) {
 	t.Parallel()
 	f := newRuledFleet(t, sheetWindow)
-	old := f.router("old", nil, "SILVERPATH_MAP_FORMAT=1") // a build that does not read parts
-	one, two := f.router("r1", nil), f.router("r2", nil)
-	if got := toAll(5, "text", one, two, old); got["served"] != 15 {
+	textRouter := f.router("old", nil, "SILVERPATH_MAP_FORMAT=1") // a build that does not read parts
+	router1, router2 := f.router("r1", nil), f.router("r2", nil)
+	if got := toAll(5, "text", router1, router2, textRouter); got["served"] != 15 {
 		t.Fatalf("map as one document: outcomes %v", got)
 	}
 	f.expect(0, "in force", "history", "map")
 
 	m := *f.Map
 	m.Version++
-	crowd(&m, 3000)
-	whole := f.write(&m)
-	if out := f.expect(0, `tenants[tenant-00001].name`, "put", "map", whole, "--dry-run"); !strings.Contains(out, "reads format 1, and this is 2") {
+	addIdleTenants(&m, 3000)
+	mapFile := f.write(&m)
+	if out := f.expect(0, `tenants[tenant-00001].name`, "put", "map", mapFile, "--dry-run"); !strings.Contains(out, "reads format 1, and this is 2") {
 		t.Errorf("put --dry-run does not report the router of format 1: %.200s", out)
 	}
-	f.expect(0, "version 2 proposed", "put", "map", whole)
+	f.expect(0, "version 2 proposed", "put", "map", mapFile)
 	f.expect(0, "reads format 1, and this is 2", "who", "map")
-	if err := old.Leave(); err != nil {
+	if err := textRouter.Leave(); err != nil {
 		t.Error(err)
 	}
 	f.wait("map", 2, 20*time.Second)
-	for _, p := range []*process{one, two} {
+	for _, p := range []*process{router1, router2} {
 		if _, err := p.Await(10*time.Second, 0, "config: active: map 2."); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if got := toAll(5, "parts", one, two); got["served"] != 10 {
+	if got := toAll(5, "parts", router1, router2); got["served"] != 10 {
 		t.Errorf("map in parts: outcomes %v", got)
 	}
-	f.expect(1, "says the same", "put", "map", whole)
+	f.expect(1, "says the same", "put", "map", mapFile)
 	if out := f.expect(0, `"version": 2`, "get", "map"); out != string(settings.FormatCells(m.Flat())) {
 		if got, err := settings.ParseCells([]byte(out)); err != nil || len(got.Tenants) != 3000 || got.Version != 2 {
 			t.Errorf("get prints another map than was put: %v", err)
 		}
 	}
-	large := m
-	large.Version++
-	large.Tenants = nil
+	oversized := m
+	oversized.Version++
+	oversized.Tenants = nil
 	for i := range 256 * 40 {
-		large.Tenants = append(large.Tenants, cells.Tenant{Name: fmt.Sprint(i, strings.Repeat("x", 2000)), Rate: 1, Homes: []cells.Home{{Cell: "a"}}})
+		oversized.Tenants = append(oversized.Tenants, cells.Tenant{Name: fmt.Sprint(i, strings.Repeat("x", 2000)), Rate: 1, Homes: []cells.Home{{Cell: "a"}}})
 	}
-	f.expect(1, "of 1 to 65536", "put", "map", f.write(&large))
+	f.expect(1, "of 1 to 65536", "put", "map", f.write(&oversized))
 
 	next := m
 	next.Tenants = append([]cells.Tenant(nil), m.Tenants...)
-	at := move(&next, "brand", "b", 12*time.Second)
-	moved := f.write(&next)
-	if out := f.expect(0, "tenants[brand].homes[1].cell", "diff", "map", moved); strings.Count(out, "\n") > 6 {
+	effectiveAt := announceMove(&next, "brand", "b", 12*time.Second)
+	movedFile := f.write(&next)
+	if out := f.expect(0, "tenants[brand].homes[1].cell", "diff", "map", movedFile); strings.Count(out, "\n") > 6 {
 		t.Errorf("diff of a move prints too many lines: %s", out)
 	}
-	f.expect(0, "version 3 proposed", "put", "map", moved, "--hold", "until its leader is gone")
+	f.expect(0, "version 3 proposed", "put", "map", movedFile, "--hold", "until its leader is gone")
 	leader := f.g.awaitLeader()
 	f.g.Members[leader].Kill()
 	f.expect(0, "", "release", "map")
 	f.wait("map", 3, 20*time.Second)
 	f.g.start(leader)
-	for _, p := range []*process{one, two} {
+	for _, p := range []*process{router1, router2} {
 		if _, err := p.Await(10*time.Second, 0, "config: active: map 3."); err != nil {
 			t.Fatal(err)
 		}
 	}
 	f.expect(0, "(2 parts)", "history", "map")
 	f.expect(1, "of it is kept which changed", "diff", "map", "--versions", "2,3")
-	if err := two.Leave(); err != nil {
+	if err := router2.Leave(); err != nil {
 		t.Error(err)
 	}
-	two = f.router("r2", nil)
-	f.serves("came back", two)
-	if time.Now().After(at) {
+	router2 = f.router("r2", nil)
+	f.serves("came back", router2)
+	if time.Now().After(effectiveAt) {
 		t.Fatal("the move took effect before the routers were checked")
 	}
-	time.Sleep(time.Until(at) + f.Map.MaxClockSkew*2 + sheetWindow + f.Map.CallerTimeout)
-	if got := toAll(5, "moved", one, two); got["served"] != 10 || f.on("a", "moved") != 0 || f.on("b", "moved") != 5 {
-		t.Errorf("after the move: outcomes %v, %d runs in cell a, %d in cell b", got, f.on("a", "moved"), f.on("b", "moved"))
+	time.Sleep(time.Until(effectiveAt) + f.Map.MaxClockSkew*2 + sheetWindow + f.Map.CallerTimeout)
+	if got := toAll(5, "moved", router1, router2); got["served"] != 10 || f.runsInCell("a", "moved") != 0 || f.runsInCell("b", "moved") != 5 {
+		t.Errorf("after the move: outcomes %v, %d runs in cell a, %d in cell b", got, f.runsInCell("a", "moved"), f.runsInCell("b", "moved"))
 	}
 	if n := twice(f.ran()); n != 0 {
 		t.Errorf("%d requests ran twice", n)
@@ -142,17 +142,17 @@
 func TestOnlyWhatIsTouchedStops(t *testing.T) {
 	t.Parallel()
 	f := newRuledFleet(t, sheetWindow)
-	cut, whole := f.router3("cut", nil), f.router3("whole", nil)
+	frozen, healthy := f.router3("cut", nil), f.router3("whole", nil)
 	f.put("classes", twoClasses(t, 0))
-	f.serves("first", cut, whole)
-	sheet := func(class, tenant, key string) string {
-		a, err := client.Do(client.Platform, whole.addr, client.Request{Class: class, Tenant: tenant, Key: key, Body: []byte(key), Timeout: 800 * time.Millisecond})
+	f.serves("first", frozen, healthy)
+	send := func(class, tenant, key string) string {
+		a, err := client.Do(client.Platform, healthy.addr, client.Request{Class: class, Tenant: tenant, Key: key, Body: []byte(key), Timeout: 800 * time.Millisecond})
 		if err != nil {
 			return "lost"
 		}
 		return a.Outcome
 	}
-	holds := func(doc string, version int) bool {
+	prepared := func(doc string, version int) bool {
 		r := must[quorum.ConfigView](t)(f.g.Client.Config(f.g.within(10 * time.Second)))
 		for name, u := range r.Store.Processes {
 			if strings.HasPrefix(name, "cut#") && u.Prepared[doc] == version {
@@ -161,33 +161,33 @@
 		}
 		return false
 	}
-	// during checks whether a keyed request of a class is served while a change of a document is quiescing.
-	// It repeats the check with another change if the stage was over before the answer came, or if counts
-	// rejects the change.
-	during := func(doc string, file func(n int) string, class string, stops bool, counts func(n int) bool) {
+	// checkWhileQuiescing checks whether a keyed request of a class is served while a change of a document is
+	// quiescing. It repeats the check with another change if the stage was over before the answer came, or if
+	// counts rejects the change.
+	checkWhileQuiescing := func(doc string, file func(n int) string, class string, wantStopped bool, applies func(n int) bool) {
 		t.Helper()
 		for n := range 8 {
 			version, _, _ := f.doc(doc)
 			version++
 			f.expect(0, "proposed", "put", doc, file(n), "--hold", "until one has it")
-			await(t, "the router has prepared the change", 20*time.Second, func() bool { return holds(doc, version) })
-			cut.Freeze()
-			from := whole.Lines()
+			await(t, "the router has prepared the change", 20*time.Second, func() bool { return prepared(doc, version) })
+			frozen.Freeze()
+			from := healthy.Lines()
 			// Not by the release command: the stage lasts one lease, and the command would first have to
 			// start.
 			if r := f.g.do(statemachine.Command{Config: &configstore.Change{Op: configstore.OpRelease, Doc: doc, Version: version}}); r.Error != "" {
 				t.Fatal(r.Error)
 			}
-			_, err := whole.Await(2*time.Second, from, "config: nothing that is exclusive begins: turning")
-			got := sheet(class, "brand", fmt.Sprint(doc, "-", version, class))
+			_, err := healthy.Await(2*time.Second, from, "config: nothing that is exclusive begins: turning")
+			got := send(class, "brand", fmt.Sprint(doc, "-", version, class))
 			_, stage, _ := f.doc(doc)
-			cut.Wake()
+			frozen.Wake()
 			f.wait(doc, version, 20*time.Second)
-			f.serves(fmt.Sprint("after ", doc, version), cut, whole)
-			if err != nil || stage != configstore.StageQuiescing || counts != nil && !counts(n) {
+			f.serves(fmt.Sprint("after ", doc, version), frozen, healthy)
+			if err != nil || stage != configstore.StageQuiescing || applies != nil && !applies(n) {
 				continue
 			}
-			if (got != "served") != stops {
+			if (got != "served") != wantStopped {
 				t.Errorf("%s version %d: a request of class %s is %s while the change is quiescing", doc, version, class, got)
 			}
 			return
@@ -196,38 +196,38 @@
 	}
 	effects := []string{"token", "pure"}
 	classes := func(effect string) string {
-		one := fmt.Sprintf(`{"name":"krog0","target":900000,"deadline":1000000,"worth":1,"effect":%q`, effect)
+		class := fmt.Sprintf(`{"name":"krog0","target":900000,"deadline":1000000,"worth":1,"effect":%q`, effect)
 		if effect == "token" {
-			one += fmt.Sprintf(`,"memory_span":%d`, sheetWindow.Microseconds())
+			class += fmt.Sprintf(`,"memory_span":%d`, sheetWindow.Microseconds())
 		}
-		return write(t, "classes.json", strings.Replace(string(must[[]byte](t)(os.ReadFile(twoClasses(t, 0)))), "]}", ","+one+"}]}", 1))
+		return write(t, "classes.json", strings.Replace(string(must[[]byte](t)(os.ReadFile(twoClasses(t, 0)))), "]}", ","+class+"}]}", 1))
 	}
 	f.put("classes", classes("token"))
-	f.serves("second", cut, whole)
-	known := func() { // waits until the router and the servers have the class
+	f.serves("second", frozen, healthy)
+	awaitClass := func() { // waits until the router and the servers have the class
 		t.Helper()
 		n := 0
-		await(t, "class krog0 is served", 10*time.Second, func() bool { n++; return sheet("krog0", "brand", fmt.Sprint("known", n)) == "served" })
+		await(t, "class krog0 is served", 10*time.Second, func() bool { n++; return send("krog0", "brand", fmt.Sprint("known", n)) == "served" })
 	}
-	known()
-	next := 0
-	turned := func(int) string { next++; return classes(effects[next%2]) }
-	during("classes", turned, "oddaja", false, nil)
+	awaitClass()
+	changes := 0
+	toggled := func(int) string { changes++; return classes(effects[changes%2]) }
+	checkWhileQuiescing("classes", toggled, "oddaja", false, nil)
 	// A pure class has no keyed requests: only the change from token to pure counts.
-	during("classes", turned, "krog0", true, func(int) bool { return effects[next%2] == "pure" })
+	checkWhileQuiescing("classes", toggled, "krog0", true, func(int) bool { return effects[changes%2] == "pure" })
 
 	// The first change adds cells without tenants and stops nothing. The second changes the caller timeout
 	// and stops all.
 	m := *f.Map
 	m.Cells = append([]cells.Cell(nil), f.Map.Cells...)
-	during("map", func(n int) string {
+	checkWhileQuiescing("map", func(n int) string {
 		m.Version++
 		name := fmt.Sprint("c", n)
 		m.Cells = append(m.Cells, cells.Cell{Name: name, Capacity: 10})
 		m.Servers = append(append([]cells.Server(nil), m.Servers...), cells.Server{Name: "s" + name, Addr: freeAddr(t), Cell: name, Weight: 1, JoinsAt: time.Now().Add(15 * time.Second).UnixMilli()})
 		return f.write(&m)
 	}, "oddaja", false, nil)
-	during("map", func(n int) string {
+	checkWhileQuiescing("map", func(n int) string {
 		m.Version++
 		m.CallerTimeout += time.Millisecond
 		return f.write(&m)
--- a/cmd/silverpath/partsguards_test.go
+++ b/cmd/silverpath/partsguards_test.go
@@ -23,14 +23,14 @@
 	f := newRuledFleet(t, sheetWindow)
 	m := *f.Map
 	m.Version++
-	crowd(&m, 700)
+	addIdleTenants(&m, 700)
 	f.put("map", f.write(&m))
-	var ways [2][]*faults.Between
+	var links [2][]*faults.Between
 	var states [2]string
 	var routers [2]*process
 	for i, env := range [][]string{nil, {"SILVERPATH_ANY_TEXT=1"}} {
 		var addrs []string
-		addrs, ways[i] = f.ways()
+		addrs, links[i] = f.ways()
 		states[i] = filepath.Join(t.TempDir(), "state.db")
 		name := fmt.Sprint("r", i)
 		routers[i] = spawnIn(t, env, "route", "--config", siteFile(t, name, ""), "--edge", write(t, name+"-edge.json", fmt.Sprintf(
@@ -39,14 +39,14 @@
 			t.Fatal(err)
 		}
 	}
-	spoil := func(after string) {
-		for _, list := range ways {
+	damageAfter := func(text string) {
+		for _, list := range links {
 			for _, w := range list {
-				w.Set(faults.Back, faults.Fate{Spoil: after})
+				w.Set(faults.Back, faults.Fate{Spoil: text})
 			}
 		}
 	}
-	spoil(`\"rate\":`)
+	damageAfter(`\"rate\":`)
 	next := m
 	next.Version++
 	next.Tenants = append([]cells.Tenant(nil), m.Tenants...)
@@ -57,23 +57,23 @@
 	if _, err := routers[0].Await(10*time.Second, 0, "config: map: what came does not follow"); err != nil {
 		t.Fatal(err)
 	}
-	holds := func(who string) bool {
+	prepared := func(router string) bool {
 		r := must[quorum.ConfigView](t)(f.g.Client.Config(f.g.within(10 * time.Second)))
 		for name, u := range r.Store.Processes {
-			if strings.HasPrefix(name, who+"#") && u.Prepared["map"] == 3 {
+			if strings.HasPrefix(name, router+"#") && u.Prepared["map"] == 3 {
 				return true
 			}
 		}
 		return false
 	}
-	await(t, "the router that ignores digests reports the change as prepared", 20*time.Second, func() bool { return holds("r1") })
-	if holds("r0") {
+	await(t, "the router that ignores digests reports the change as prepared", 20*time.Second, func() bool { return prepared("r1") })
+	if prepared("r0") {
 		t.Error("the router that compares digests reports the damaged change as prepared")
 	}
-	if force, stage, waits := f.doc("map"); force != 2 || stage != configstore.StageProposed {
-		t.Errorf("version %d is in force, the next one is in stage %s and waits for %s", force, stage, waits)
+	if active, stage, waitingFor := f.doc("map"); active != 2 || stage != configstore.StageProposed {
+		t.Errorf("version %d is in force, the next one is in stage %s and waits for %s", active, stage, waitingFor)
 	}
-	spoil("")
+	damageAfter("")
 	f.wait("map", 3, 60*time.Second)
 	for i, p := range routers {
 		if _, err := p.Await(20*time.Second, 0, "config: active: map 3."); err != nil {
@@ -90,13 +90,13 @@
 			t.Fatal(err)
 		}
 		defer func() { _ = src.Close() }()
-		kept, _, err := src.Load(nil)
+		stored, _, err := src.Load(nil)
 		if err != nil {
 			t.Fatal(err)
 		}
-		digest, ok := src.DigestOf(kept)
-		if damaged := configstore.TextsDigest(settings.SplitCells(kept)) != digest; !ok || kept.Version != 3 || damaged != (i == 1) {
-			t.Errorf("router %d stored map version %d with digest %016x, in parts %v, damaged %v", i, kept.Version, digest, ok, damaged)
+		digest, ok := src.DigestOf(stored)
+		if damaged := configstore.TextsDigest(settings.SplitCells(stored)) != digest; !ok || stored.Version != 3 || damaged != (i == 1) {
+			t.Errorf("router %d stored map version %d with digest %016x, in parts %v, damaged %v", i, stored.Version, digest, ok, damaged)
 		}
 	}
 }
--- a/cmd/silverpath/takeover_test.go
+++ b/cmd/silverpath/takeover_test.go
@@ -34,11 +34,12 @@
 	return benchmarks.Inherit(t, exe, []string{"SILVERPATH_RUN=1"}, true)
 }
 
-// end stops a load and fails the test for each violated invariant, and if fewer than 50 requests were served.
-func end(t *testing.T, l *benchmarks.Sheets) {
+// endLoad stops a load and fails the test for each violated invariant, and if fewer than 50 requests were
+// served.
+func endLoad(t *testing.T, l *benchmarks.Sheets) {
 	t.Helper()
-	for _, w := range l.End() {
-		t.Error(w)
+	for _, violation := range l.End() {
+		t.Error(violation)
 	}
 	if l.Served < 50 {
 		t.Errorf("%d requests served, want at least 50", l.Served)
@@ -50,7 +51,7 @@
 // runs twice, no attempt gets an answer that differs from the run's, and the service continues to serve.
 func TestTakeover(t *testing.T) {
 	for seed := range uint64(3) {
-		for name, play := range map[string]func(t *testing.T, s *benchmarks.Shared, l *benchmarks.Sheets, old *benchmarks.Generation, rng *rand.Rand){
+		for name, scenario := range map[string]func(t *testing.T, s *benchmarks.Shared, l *benchmarks.Sheets, old *benchmarks.Generation, rng *rand.Rand){
 			"replaced three times": func(t *testing.T, s *benchmarks.Shared, l *benchmarks.Sheets, old *benchmarks.Generation, rng *rand.Rand) {
 				for range 3 {
 					next := s.Start()
@@ -90,10 +91,10 @@
 			"one stalls": func(t *testing.T, s *benchmarks.Shared, l *benchmarks.Sheets, old *benchmarks.Generation, rng *rand.Rand) {
 				next := s.Start()
 				next.Ready(t)
-				which := []*benchmarks.Generation{old, next}[rng.IntN(2)]
-				_ = which.Signal(syscall.SIGSTOP)
+				stalled := []*benchmarks.Generation{old, next}[rng.IntN(2)]
+				_ = stalled.Signal(syscall.SIGSTOP)
 				time.Sleep(700 * time.Millisecond)
-				_ = which.Signal(syscall.SIGCONT)
+				_ = stalled.Signal(syscall.SIGCONT)
 				time.Sleep(100 * time.Millisecond)
 				old.Leave(t)
 			},
@@ -116,9 +117,9 @@
 				old.Ready(t)
 				l := s.Load(6, 3, 50*time.Millisecond, seed)
 				time.Sleep(200 * time.Millisecond)
-				play(t, s, l, old, rand.New(rand.NewPCG(seed, 7)))
+				scenario(t, s, l, old, rand.New(rand.NewPCG(seed, 7)))
 				time.Sleep(200 * time.Millisecond)
-				end(t, l)
+				endLoad(t, l)
 				if name == "replaced three times" && (l.Unheard > 0 || l.Refused > l.Served/20) {
 					t.Errorf("%d attempts without an answer, %d refused or failed, %d served", l.Unheard, l.Refused, l.Served)
 				}
@@ -137,23 +138,23 @@
 	s := sharedService(t)
 	old := s.Start()
 	old.Ready(t)
-	half := msgpackrpc.AppendRequest(nil, 1, "oddaja", make([]byte, 512), "i", "x", "k", "x", "s", "1", "d", "1000", "m", "1")
-	over := make(chan struct{})
-	var crowd sync.WaitGroup
+	request := msgpackrpc.AppendRequest(nil, 1, "oddaja", make([]byte, 512), "i", "x", "k", "x", "s", "1", "d", "1000", "m", "1")
+	stop := make(chan struct{})
+	var idleClients sync.WaitGroup
 	for c := range 400 {
-		crowd.Add(1)
+		idleClients.Add(1)
 		go func() {
-			defer crowd.Done()
+			defer idleClients.Done()
 			for {
 				conn, err := net.DialTimeout("tcp", s.Addr, time.Second)
 				if err == nil {
-					conn.Write(half[:c%len(half)])
+					conn.Write(request[:c%len(request)])
 					conn.SetReadDeadline(time.Now().Add(2 * time.Second))
 					_, _ = io.Copy(io.Discard, conn) // until the server closes the connection
 					conn.Close()
 				}
 				select {
-				case <-over:
+				case <-stop:
 					return
 				case <-time.After(time.Second):
 				}
@@ -168,33 +169,33 @@
 		}
 	}
 	l := s.Load(4, 3, 50*time.Millisecond, 3)
-	most, heaviest := 0, 0
-	watch := func(d time.Duration, gs ...*benchmarks.Generation) {
+	maxDescriptors, maxMemory := 0, 0
+	sample := func(d time.Duration, generations ...*benchmarks.Generation) {
 		for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 			descriptors, memory := 0, 0
-			for _, g := range gs {
+			for _, g := range generations {
 				n, m := g.Usage()
 				descriptors, memory = descriptors+n, memory+m
 			}
-			most, heaviest = max(most, descriptors), max(heaviest, memory)
+			maxDescriptors, maxMemory = max(maxDescriptors, descriptors), max(maxMemory, memory)
 		}
 	}
-	watch(500*time.Millisecond, old)
-	alone := most
+	sample(500*time.Millisecond, old)
+	oldAlone := maxDescriptors
 	next := s.Start()
-	watch(200*time.Millisecond, old, next)
+	sample(200*time.Millisecond, old, next)
 	next.Ready(t)
-	watch(500*time.Millisecond, old, next)
+	sample(500*time.Millisecond, old, next)
 	_ = old.Signal(syscall.SIGTERM)
-	watch(300*time.Millisecond, old, next)
+	sample(300*time.Millisecond, old, next)
 	old.Leave(t)
-	watch(500*time.Millisecond, next)
-	end(t, l)
-	close(over)
-	crowd.Wait()
-	t.Logf("descriptors: %d of the old process alone, at most %d of both; memory: at most %d MB; %d served, %d without an answer", alone, most, heaviest>>20, l.Served, l.Unheard)
-	if alone < 100 || most > 256 || heaviest > 64<<20 && !raceEnabled {
-		t.Errorf("%d descriptors of 256, %d of the old process alone, %d MB of 64", most, alone, heaviest>>20)
+	sample(500*time.Millisecond, next)
+	endLoad(t, l)
+	close(stop)
+	idleClients.Wait()
+	t.Logf("descriptors: %d of the old process alone, at most %d of both; memory: at most %d MB; %d served, %d without an answer", oldAlone, maxDescriptors, maxMemory>>20, l.Served, l.Unheard)
+	if oldAlone < 100 || maxDescriptors > 256 || maxMemory > 64<<20 && !raceEnabled {
+		t.Errorf("%d descriptors of 256, %d of the old process alone, %d MB of 64", maxDescriptors, oldAlone, maxMemory>>20)
 	}
 	if l.Unheard > 0 {
 		t.Errorf("%d attempts without an answer", l.Unheard)
@@ -208,8 +209,8 @@
 	// Reserves the addresses: the sockets are bound with the option that both processes use, and do not
 	// listen.
 	var addrs []string
-	for _, kind := range []int{unix.SOCK_STREAM, unix.SOCK_DGRAM} {
-		fd, err := unix.Socket(unix.AF_INET, kind|unix.SOCK_CLOEXEC, 0)
+	for _, socketType := range []int{unix.SOCK_STREAM, unix.SOCK_DGRAM} {
+		fd, err := unix.Socket(unix.AF_INET, socketType|unix.SOCK_CLOEXEC, 0)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -232,13 +233,13 @@
 	old.Ready(t)
 	next := s.Start()
 	next.Ready(t)
-	for _, leaves := range []bool{false, true} {
-		if leaves {
+	for _, oldExits := range []bool{false, true} {
+		if oldExits {
 			old.Leave(t)
 		}
 		for range 8 {
 			if r, err := client.Do(client.SCGI, addrs[0], client.Request{Class: "krog", Body: []byte("x"), Timeout: 4 * time.Second}); err != nil || r.Outcome != "served" {
-				t.Fatalf("older process has exited: %v: reply %+v, error %v", leaves, r, err)
+				t.Fatalf("older process has exited: %v: reply %+v, error %v", oldExits, r, err)
 			}
 		}
 	}
@@ -293,7 +294,7 @@
 		bad["a deadline of "+value] = strings.Replace(good, `"deadline":4400000`, `"deadline":`+value, 1)
 	}
 	l := s.Load(8, 3, 50*time.Millisecond, 1)
-	hup := func(text, line string, n int) {
+	reload := func(text, line string, n int) {
 		t.Helper()
 		if err := os.WriteFile(g.File+".next", []byte(text), 0o600); err != nil {
 			t.Fatal(err)
@@ -309,19 +310,19 @@
 		}
 	}
 	n := 0
-	for what, text := range bad {
+	for variant, text := range bad {
 		if text == good {
-			t.Fatalf("%s: the variant equals the valid file", what)
+			t.Fatalf("%s: the variant equals the valid file", variant)
 		}
 		n++
-		hup(text, "reload: the old configuration holds: ", n)
+		reload(text, "reload: the old configuration holds: ", n)
 		time.Sleep(20 * time.Millisecond)
 	}
 	if strings.Contains(g.Log(), "reload: done") || strings.Contains(g.Log(), "taken up") {
 		t.Errorf("an invalid file was applied:\n%s", g.Log())
 	}
-	hup(strings.Replace(good, `"worth":3`, `"worth":4`, 1), "reload: done", 1)
-	end(t, l)
+	reload(strings.Replace(good, `"worth":3`, `"worth":4`, 1), "reload: done", 1)
+	endLoad(t, l)
 	if l.Unheard > 0 {
 		t.Errorf("%d attempts without an answer", l.Unheard)
 	}
--- a/cmd/silverpath/wire_golden_test.go
+++ b/cmd/silverpath/wire_golden_test.go
@@ -32,29 +32,29 @@
 type transcript struct {
 	mu    sync.Mutex
 	b     bytes.Buffer
-	rules []rule
+	masks []mask
 }
 
 // mask replaces a part that differs from run to run in an escaped message.
-type rule struct {
-	is  *regexp.Regexp
-	was string
+type mask struct {
+	pattern     *regexp.Regexp
+	replacement string
 }
 
-// note records a message, with the mark of its sender.
-func (tr *transcript) note(mark string, message []byte) {
+// record records a message, with the mark of its sender.
+func (tr *transcript) record(sender string, message []byte) {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
-	text := escaped(message)
-	for _, r := range tr.rules {
-		text = r.is.ReplaceAllString(text, r.was)
+	text := escape(message)
+	for _, r := range tr.masks {
+		text = r.pattern.ReplaceAllString(text, r.replacement)
 	}
-	fmt.Fprintf(&tr.b, "%s %s\n", mark, text)
+	fmt.Fprintf(&tr.b, "%s %s\n", sender, text)
 }
 
-// escaped returns a message as text: printable ASCII except the backslash is unchanged, line ends become \r
+// escape returns a message as text: printable ASCII except the backslash is unchanged, line ends become \r
 // and \n, and all other bytes become \xNN.
-func escaped(message []byte) string {
+func escape(message []byte) string {
 	var text strings.Builder
 	for _, c := range message {
 		switch {
@@ -76,9 +76,9 @@
 	t.Helper()
 	for range 30000 {
 		tr.mu.Lock()
-		noted := strings.Contains(tr.b.String(), text)
+		found := strings.Contains(tr.b.String(), text)
 		tr.mu.Unlock()
-		if noted {
+		if found {
 			return
 		}
 		time.Sleep(time.Millisecond)
@@ -91,11 +91,11 @@
 	t.Helper()
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
-	golden(t, name, tr.b.Bytes())
+	compareWireFile(t, name, tr.b.Bytes())
 }
 
-// golden fails the test with each line in which got differs from a file of testdata/wire.
-func golden(t *testing.T, name string, got []byte) {
+// compareWireFile fails the test with each line in which got differs from a file of testdata/wire.
+func compareWireFile(t *testing.T, name string, got []byte) {
 	t.Helper()
 	path := filepath.Join("testdata", "wire", name)
 	if os.Getenv("SILVERPATH_WIRE_GOLDEN") == "write" {
@@ -110,42 +110,42 @@
 	if bytes.Equal(got, want) {
 		return
 	}
-	was, is := strings.Split(string(want), "\n"), strings.Split(string(got), "\n")
-	for i := range max(len(was), len(is)) {
-		var a, b string
-		if i < len(was) {
-			a = was[i]
+	wantLines, gotLines := strings.Split(string(want), "\n"), strings.Split(string(got), "\n")
+	for i := range max(len(wantLines), len(gotLines)) {
+		var wantLine, gotLine string
+		if i < len(wantLines) {
+			wantLine = wantLines[i]
 		}
-		if i < len(is) {
-			b = is[i]
+		if i < len(gotLines) {
+			gotLine = gotLines[i]
 		}
-		if a != b {
-			t.Errorf("%s, line %d:\n got  %s\n want %s", name, i+1, b, a)
+		if wantLine != gotLine {
+			t.Errorf("%s, line %d:\n got  %s\n want %s", name, i+1, gotLine, wantLine)
 		}
 	}
 }
 
 // MessagePack of the public specification: enough to write requests and to find the end of a value.
 
-func mpText(s string) []byte {
+func mpString(s string) []byte {
 	if len(s) < 32 {
 		return append([]byte{0xa0 | byte(len(s))}, s...)
 	}
 	return append([]byte{0xd9, byte(len(s))}, s...)
 }
 
-func mpFields(pairs ...string) []byte {
+func mpMap(pairs ...string) []byte {
 	b := []byte{0x80 | byte(len(pairs)/2)}
 	for _, s := range pairs {
-		b = append(b, mpText(s)...)
+		b = append(b, mpString(s)...)
 	}
 	return b
 }
 
 // mpRequest returns the request [0, ID, METHOD, [FIELDS, BODY]].
 func mpRequest(id byte, method, body string, pairs ...string) []byte {
-	b := append([]byte{0x94, 0x00, id}, mpText(method)...)
-	b = append(append(b, 0x92), mpFields(pairs...)...)
+	b := append([]byte{0x94, 0x00, id}, mpString(method)...)
+	b = append(append(b, 0x92), mpMap(pairs...)...)
 	return append(append(b, 0xc4, byte(len(body))), body...)
 }
 
@@ -245,36 +245,36 @@
 
 func (l *link) send(message []byte) {
 	l.t.Helper()
-	l.note(">", message)
+	l.record(">", message)
 	if _, err := l.Write(message); err != nil {
 		l.t.Fatal(err)
 	}
 }
 
-// value reads one MessagePack value.
-func (l *link) value() []byte {
+// readValue reads one MessagePack value.
+func (l *link) readValue() []byte {
 	l.t.Helper()
 	b, err := mpValue(l.r)
 	if err != nil {
 		l.t.Fatalf("after %q: %v", b, err)
 	}
-	l.note("<", b)
+	l.record("<", b)
 	return b
 }
 
-// rest reads to the end of the stream.
-func (l *link) rest() []byte {
+// readAll reads to the end of the stream.
+func (l *link) readAll() []byte {
 	l.t.Helper()
 	b, err := io.ReadAll(l.r)
 	if err != nil {
 		l.t.Fatal(err)
 	}
-	l.note("<", b)
+	l.record("<", b)
 	return b
 }
 
-// listenWire accepts connections, serves each in its own goroutine, and returns the address.
-func listenWire(t *testing.T, serve func(conn net.Conn)) string {
+// serveWire accepts connections, serves each in its own goroutine, and returns the address.
+func serveWire(t *testing.T, serve func(conn net.Conn)) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -296,20 +296,20 @@
 	return ln.Addr().String()
 }
 
-// wireInterpreter starts a stand-in interpreter and returns its address. It records all messages except
+// startInterpreter starts a stand-in interpreter and returns its address. It records all messages except
 // repeated queries of the gauges. The body selects the outcome: "fail", "kill", "noop" and "error" end the
 // run in that way, "ask ..." calls the vault, "hold" ends with the next run that succeeds, and any other body
 // returns in capitals.
-func wireInterpreter(t *testing.T, tr *transcript) string {
-	var ticks sync.Once
+func startInterpreter(t *testing.T, tr *transcript) string {
+	var recordGauges sync.Once
 	var held []string
-	return listenWire(t, func(conn net.Conn) {
+	return serveWire(t, func(conn net.Conn) {
 		n := 0
 		write := func(format string, args ...any) {
 			line := fmt.Appendf(nil, format+"\n", args...)
 			conn.Write(line)
 			if !bytes.Contains(line, []byte(`"ref":"tick"`)) {
-				tr.note(">", line)
+				tr.record(">", line)
 			}
 		}
 		encode := func(s string) string { return base64.StdEncoding.EncodeToString([]byte(s)) }
@@ -324,15 +324,15 @@
 			}
 			var m struct{ Type, Ref, Job, Data string }
 			if err := json.Unmarshal(line, &m); err != nil {
-				tr.note("?", line)
+				tr.record("?", line)
 				return
 			}
 			if m.Ref == "tick" {
-				ticks.Do(func() { tr.note("<", line) })
+				recordGauges.Do(func() { tr.record("<", line) })
 				write(`{"type":"TOPS","ref":"tick","gauges":[0.25,1,0.125,2]}`)
 				continue
 			}
-			tr.note("<", line)
+			tr.record("<", line)
 			body, _ := base64.StdEncoding.DecodeString(m.Data)
 			switch m.Type {
 			case "CONNECT":
@@ -368,11 +368,11 @@
 	})
 }
 
-// wireVault starts a stand-in vault and returns its address. It records the calls and answers those of each
+// startVault starts a stand-in vault and returns its address. It records the calls and answers those of each
 // request with its replies in order.
-func wireVault(t *testing.T, tr *transcript, replies map[string][]string) string {
+func startVault(t *testing.T, tr *transcript, replies map[string][]string) string {
 	var mu sync.Mutex
-	return listenWire(t, func(conn net.Conn) {
+	return serveWire(t, func(conn net.Conn) {
 		for in := bufio.NewReader(conn); ; {
 			var call []byte
 			length, ticket := 0, ""
@@ -396,21 +396,21 @@
 			if _, err := io.ReadFull(in, body); err != nil {
 				return
 			}
-			tr.note("<", append(call, body...))
+			tr.record("<", append(call, body...))
 			mu.Lock()
 			reply := ""
 			if left := replies[ticket]; len(left) > 0 {
 				reply, replies[ticket] = left[0], left[1:]
 			}
 			mu.Unlock()
-			tr.note(">", []byte(reply))
+			tr.record(">", []byte(reply))
 			io.WriteString(conn, reply)
 		}
 	})
 }
 
-// wireReports opens the socket of a stand-in announce service.
-func wireReports(t *testing.T) net.PacketConn {
+// listenAnnounce opens the socket of a stand-in announce service.
+func listenAnnounce(t *testing.T) net.PacketConn {
 	t.Helper()
 	conn, err := net.ListenPacket("udp", "127.0.0.1:0")
 	if err != nil {
@@ -446,15 +446,15 @@
  "rules":{"cold_from":1,"fall_multiple":8,"overload_for":3000000,"drain_grace":3000000},
  "limits":{"retry_after":true,"max_retry_after":1000000},"servers":1}`
 
-// stampRule replaces wall-clock times in milliseconds.
-var stampRule = rule{regexp.MustCompile(`1[7-9]\d{11}`), "<ms>"}
+// timestampMask replaces wall-clock times in milliseconds.
+var timestampMask = mask{regexp.MustCompile(`1[7-9]\d{11}`), "<ms>"}
 
-// adviceRule replaces the time in milliseconds after which a refused request may be retried.
-var adviceRule = rule{regexp.MustCompile(`\\xa1w\\xa[1-4]\d+`), "<w>"}
+// retryAfterMask replaces the time in milliseconds after which a refused request may be retried.
+var retryAfterMask = mask{regexp.MustCompile(`\\xa1w\\xa[1-4]\d+`), "<w>"}
 
-// serving starts a server with a configuration, to which it adds wireSettings with below, and an optional
-// edge file.
-func serving(t *testing.T, config, below, edge string) *process {
+// startWireServer starts a server with a configuration, to which it adds wireSettings with below, and an
+// optional edge file.
+func startWireServer(t *testing.T, config, below, edge string) *process {
 	t.Helper()
 	path := write(t, "wire.json", fmt.Sprintf(`{"name":"n7","seed":"c0ffee","stop_ms":4000,"listen":"127.0.0.1:0",`+
 		`"limits":{"memory_mb":64,"sockets":256},%s,`+wireSettings+`}`, config, below))
@@ -465,8 +465,8 @@
 	return spawn(t, args...)
 }
 
-// says waits for a text in the log of a process and returns what follows it.
-func says(t *testing.T, p *process, text string) string {
+// awaitText waits for a text in the log of a process and returns what follows it.
+func awaitText(t *testing.T, p *process, text string) string {
 	t.Helper()
 	addr, err := p.TextAfter(30*time.Second, text)
 	if err != nil {
@@ -475,8 +475,8 @@
 	return addr
 }
 
-// stamped returns the fields of a request sent now, with further fields appended.
-func stamped(id string, more ...string) []string {
+// requestFields returns the fields of a request sent now, with further fields appended.
+func requestFields(id string, more ...string) []string {
 	return append([]string{"i", id, "s", strconv.FormatInt(time.Now().UnixMilli(), 10), "d", "9000", "m", "1"}, more...)
 }
 
@@ -484,71 +484,71 @@
 // service. Guards against an identifier of the code that leaks into a message.
 func TestWireOfServer(t *testing.T) {
 	t.Parallel()
-	balancer := &transcript{rules: []rule{stampRule, adviceRule}}
-	interpreter, below := &transcript{}, &transcript{rules: []rule{{regexp.MustCompile(`X-Max-Ms: \d+`), "X-Max-Ms: <ms>"}}}
-	reports := wireReports(t)
-	whole, failed := "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nhere", "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n"
-	vault := wireVault(t, below, map[string][]string{
-		"b1": {whole},
+	balancer := &transcript{masks: []mask{timestampMask, retryAfterMask}}
+	interpreter, below := &transcript{}, &transcript{masks: []mask{{regexp.MustCompile(`X-Max-Ms: \d+`), "X-Max-Ms: <ms>"}}}
+	reports := listenAnnounce(t)
+	okReply, failedReply := "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nhere", "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n"
+	vault := startVault(t, below, map[string][]string{
+		"b1": {okReply},
 		"b2": {"HTTP/1.1 503 Service Unavailable\r\nX-Refused-Unseen: 1\r\nContent-Length: 0\r\n\r\n",
-			"HTTP/1.1 409 Conflict\r\nX-Refused-Unseen: 1\r\nContent-Length: 0\r\n\r\n", failed},
-		"b3": {failed, whole},
-		"b4": {failed},
+			"HTTP/1.1 409 Conflict\r\nX-Refused-Unseen: 1\r\nContent-Length: 0\r\n\r\n", failedReply},
+		"b3": {failedReply, okReply},
+		"b4": {failedReply},
 	})
-	p := serving(t, fmt.Sprintf(`"vm":%q,"vault":%q,"announce":%q`, wireInterpreter(t, interpreter), vault, reports.LocalAddr()),
+	p := startWireServer(t, fmt.Sprintf(`"vm":%q,"vault":%q,"announce":%q`, startInterpreter(t, interpreter), vault, reports.LocalAddr()),
 		"tier", `{"status":true}`)
-	said := nextReport(t, reports, "announce n7 false")
-	news := &transcript{}
-	news.note("<", []byte(said))
+	firstReport := nextReport(t, reports, "announce n7 false")
+	announces := &transcript{}
+	announces.record("<", []byte(firstReport))
 
 	b := dialWire(t, p.addr, balancer)
 	b.send([]byte("\x94\x00\x01\xa5probe\x91\x80"))
-	b.value()
+	b.readValue()
 	calls := byte(2)
 	call := func(class, body string, fields ...string) {
 		t.Helper()
 		b.send(mpRequest(calls, class, body, fields...))
-		b.value()
+		b.readValue()
 		calls++
 	}
-	call("krog", "hello", stamped("a1")...)
-	call("lestvica", "hello", stamped("a2", "t", "kvizmojster", "f", "3", "p", "0.5")...)
-	call("oddaja", "sheet", stamped("a3", "k", "key-1")...)
-	call("oddaja", "sheet", stamped("a4", "k", "key-1")...) // the repeated attempt gets the same result without a run
-	call("oddaja", "other", stamped("a5", "k", "key-1")...) // another request with the same key
-	call("krog", "fail", stamped("a6")...)
-	call("krog", "kill", stamped("a7")...)
-	call("krog", "noop", stamped("a8")...)
-	call("krog", "error", stamped("a9")...)
-	call("krog", "ask once", stamped("b1")...)
-	call("krog", "ask twice", stamped("b2")...)
-	call("lestvica", "ask thrice", stamped("b3")...)
-	call("oddaja", "ask more", stamped("b4", "k", "key-2")...)
-	call("nothing", "hello", stamped("b5")...)
+	call("krog", "hello", requestFields("a1")...)
+	call("lestvica", "hello", requestFields("a2", "t", "kvizmojster", "f", "3", "p", "0.5")...)
+	call("oddaja", "sheet", requestFields("a3", "k", "key-1")...)
+	call("oddaja", "sheet", requestFields("a4", "k", "key-1")...) // the repeated attempt gets the same result without a run
+	call("oddaja", "other", requestFields("a5", "k", "key-1")...) // another request with the same key
+	call("krog", "fail", requestFields("a6")...)
+	call("krog", "kill", requestFields("a7")...)
+	call("krog", "noop", requestFields("a8")...)
+	call("krog", "error", requestFields("a9")...)
+	call("krog", "ask once", requestFields("b1")...)
+	call("krog", "ask twice", requestFields("b2")...)
+	call("lestvica", "ask thrice", requestFields("b3")...)
+	call("oddaja", "ask more", requestFields("b4", "k", "key-2")...)
+	call("nothing", "hello", requestFields("b5")...)
 	call("krog", "hello", "i", "b6", "s", "soon", "d", "9000", "m", "1")
 	call("krog", "hello", "i", "b7", "s", strconv.FormatInt(time.Now().Add(-time.Minute).UnixMilli(), 10), "d", "9000", "m", "1")
 	call("krog", "hello", "s", "1", "d", "9000", "m", "1")
 	call("krog", "hello", "i", "b8", "s", "1", "d", "-1", "m", "1")
 	call("krog", "hello", "i", "b9", "s", "1", "d", "1", "m", "0")
 
-	held := mpRequest(0x7e, "krog", "hold", stamped("h1")...)
+	held := mpRequest(0x7e, "krog", "hold", requestFields("h1")...)
 	b.send(held)
 	interpreter.await(t, `"job":"h1"`)
 	b.send([]byte("\x93\x02\xa6giveUp\x91\x7e")) // the caller gives up: no answer
 
 	bad := dialWire(t, p.addr, balancer)
 	bad.send([]byte("GET / HTTP/1.1\r\n\r\n"))
-	bad.rest()
+	bad.readAll()
 
 	_ = p.Signal(syscall.SIGTERM)
 	if _, err := p.Await(30*time.Second, 0, "phase draining"); err != nil {
 		t.Fatal(err)
 	}
 	b.send([]byte("\x94\x00\x70\xa5probe\x91\x80"))
-	b.value()
-	call("krog", "late", stamped("c1")...) // at first the server still serves its peers
-	b.value()                              // lastCall
-	news.note("<", []byte(nextReport(t, reports, said)))
+	b.readValue()
+	call("krog", "late", requestFields("c1")...) // at first the server still serves its peers
+	b.readValue()                                // lastCall
+	announces.record("<", []byte(nextReport(t, reports, firstReport)))
 	b.Close()
 	if _, err := p.Await(30*time.Second, 0, "exit"); err != nil {
 		t.Fatal(err)
@@ -556,7 +556,7 @@
 	balancer.compare(t, "balancer.txt")
 	interpreter.compare(t, "interpreter.txt")
 	below.compare(t, "vault.txt")
-	news.compare(t, "announce.txt")
+	announces.compare(t, "announce.txt")
 }
 
 // scgiMessage returns an SCGI request: a netstring of headers and the body.
@@ -572,9 +572,9 @@
 // to the application server.
 func TestWireOfSCGI(t *testing.T) {
 	t.Parallel()
-	id := rule{regexp.MustCompile(`\b[0-9a-f]{16}\b`), "<id>"}
-	web, app := &transcript{rules: []rule{id}}, &transcript{rules: []rule{id}}
-	upstream := listenWire(t, func(conn net.Conn) {
+	idMask := mask{regexp.MustCompile(`\b[0-9a-f]{16}\b`), "<id>"}
+	front, application := &transcript{masks: []mask{idMask}}, &transcript{masks: []mask{idMask}}
+	upstream := serveWire(t, func(conn net.Conn) {
 		in := bufio.NewReader(conn)
 		head, err := in.ReadString(':')
 		n, bad := strconv.Atoi(strings.TrimSuffix(head, ":"))
@@ -586,7 +586,7 @@
 		length, _ := strconv.Atoi(strings.Split(string(headers), "\x00")[1])
 		body := make([]byte, length)
 		_, _ = io.ReadFull(in, body)
-		app.note("<", append(append([]byte(head), headers...), body...))
+		application.record("<", append(append([]byte(head), headers...), body...))
 		reply := "Status: 200 OK\r\nContent-Length: 4\r\n\r\ndone"
 		switch string(body) {
 		case "plain":
@@ -596,16 +596,16 @@
 		case "short":
 			reply = "Status: 200 OK\r\nContent-Length: 9\r\n\r\ndone"
 		}
-		app.note(">", []byte(reply))
+		application.record(">", []byte(reply))
 		io.WriteString(conn, reply)
 	})
-	p := serving(t, fmt.Sprintf(`"scgi":{"listen":"127.0.0.1:0","upstream":%q,"max_body":64,"half_close":true}`, upstream), "none", "")
-	addr := says(t, p, "scgi: listening on ")
+	p := startWireServer(t, fmt.Sprintf(`"scgi":{"listen":"127.0.0.1:0","upstream":%q,"max_body":64,"half_close":true}`, upstream), "none", "")
+	addr := awaitText(t, p, "scgi: listening on ")
 	call := func(message []byte) {
 		t.Helper()
-		l := dialWire(t, addr, web)
+		l := dialWire(t, addr, front)
 		l.send(message)
-		l.rest()
+		l.readAll()
 	}
 	call(scgiMessage("work", "PATH_INFO", "/krog"))
 	call(scgiMessage("plain", "REQUEST_URI", "/lestvica/x?y=1", "HTTP_X_TENANT", "kvizmojster", "HTTP_X_RANK", "0.5", "HTTP_X_CALLER", "7"))
@@ -623,12 +623,12 @@
 	call(scgiMessage(strings.Repeat("x", 65), "PATH_INFO", "/krog"))
 	call([]byte("GET / HTTP/1.1\r\n\r\n"))
 	call([]byte("9000:"))
-	web.compare(t, "scgi.txt")
-	app.compare(t, "scgi-upstream.txt")
+	front.compare(t, "scgi.txt")
+	application.compare(t, "scgi-upstream.txt")
 }
 
-// operatorsCalls are sent to the management API of a server in order.
-var operatorsCalls = []string{
+// managementCalls are sent to the management API of a server in order.
+var managementCalls = []string{
 	"GET /api/ready HTTP/1.1\r\nHost: edge\r\n\r\n",
 	"POST /api/evacuate HTTP/1.1\r\nContent-Length: 2\r\n\r\n{}",
 	"GET /api/ready HTTP/1.1\r\n\r\n",
@@ -650,66 +650,67 @@
 func TestWireOfOperators(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
-	p := serving(t, fmt.Sprintf(`"vm":%q,"mgmt":"127.0.0.1:0","snmp":{"listen":"127.0.0.1:0","community":"kviz"}`,
-		wireInterpreter(t, &transcript{})), "none", fmt.Sprintf(`{"status":true,"cell":true,
+	p := startWireServer(t, fmt.Sprintf(`"vm":%q,"mgmt":"127.0.0.1:0","snmp":{"listen":"127.0.0.1:0","community":"kviz"}`,
+		startInterpreter(t, &transcript{})), "none", fmt.Sprintf(`{"status":true,"cell":true,
  "pools":[{"name":"sheets","classes":["oddaja"],"weight":100,"floor":0.25},{"name":"others","weight":1,"floor":0.05}],
  "limit":{"least":2},"memory":{"tight":0.7,"scarce":0.8,"critical":0.88},
  "reserve":{"connections":0.125,"cheap_per_s":4000,"cheap_each_per_s":100},
  "store":{"dir":%q},"life":{"file":%q,"valid_ms":60000}}`, dir, filepath.Join(dir, "life")))
-	ops, agent := says(t, p, "mgmt: listening on "), says(t, p, "snmp: listening on ")
+	ops, agent := awaitText(t, p, "mgmt: listening on "), awaitText(t, p, "snmp: listening on ")
 	if _, err := p.Await(30*time.Second, 0, "recovery: reads"); err != nil {
 		t.Fatal(err)
 	}
-	balancer := &transcript{rules: []rule{stampRule, adviceRule}}
+	balancer := &transcript{masks: []mask{timestampMask, retryAfterMask}}
 	b := dialWire(t, p.addr, balancer)
-	b.send(mpRequest(1, "oddaja", "sheet", stamped("a1", "k", "key-1", "n", "1", "b", "12345")...)) // of another boot
-	b.value()
-	b.send(mpRequest(2, "oddaja", "sheet", stamped("a2", "k", "key-1")...)) // earlier runs are not known yet: it fails
-	b.value()
-	b.send(mpRequest(3, "lestvica", "hello", stamped("a3")...))
-	b.value()
-	b.send(append([]byte("\x94\x00\x04\xa5probe\x91"), mpFields("g", "r1", "gn", "rt", "gl", "1000", "gs", "10", "gp", "100", "gw", "50", "gd", "0", "fl", "3")...))
-	b.value()
-
-	asker := dialWire(t, p.addr, &transcript{})
+	b.send(mpRequest(1, "oddaja", "sheet", requestFields("a1", "k", "key-1", "n", "1", "b", "12345")...)) // of another boot
+	b.readValue()
+	b.send(mpRequest(2, "oddaja", "sheet", requestFields("a2", "k", "key-1")...)) // earlier runs are not known yet: it fails
+	b.readValue()
+	b.send(mpRequest(3, "lestvica", "hello", requestFields("a3")...))
+	b.readValue()
+	b.send(append([]byte("\x94\x00\x04\xa5probe\x91"), mpMap("g", "r1", "gn", "rt", "gl", "1000", "gs", "10", "gp", "100", "gw", "50", "gd", "0", "fl", "3")...))
+	b.readValue()
+
+	statusLink := dialWire(t, p.addr, &transcript{})
 	var state []byte
 	for range 300 { // the status has the pools a few ticks after the start
-		asker.send([]byte("\x94\x00\x05\xa6status\x91\x80"))
-		if state = asker.value(); bytes.Contains(state, []byte(`"pools":[`)) {
+		statusLink.send([]byte("\x94\x00\x05\xa6status\x91\x80"))
+		if state = statusLink.readValue(); bytes.Contains(state, []byte(`"pools":[`)) {
 			break
 		}
 		time.Sleep(100 * time.Millisecond) // more frequent status requests are paced and counted
 	}
-	asker.Close()
+	statusLink.Close()
 	at := bytes.Index(state, []byte(`{"`))
 	var shape bytes.Buffer
-	shapeOf(t, &shape, json.NewDecoder(bytes.NewReader(state[at:])), "", true)
-	golden(t, "status.txt", shape.Bytes())
+	writeShape(t, &shape, json.NewDecoder(bytes.NewReader(state[at:])), "", true)
+	compareWireFile(t, "status.txt", shape.Bytes())
 
 	snmp := &transcript{}
-	walk(t, agent, snmp)
+	walkMIB(t, agent, snmp)
 	snmp.compare(t, "snmp.txt")
 
-	calls := &transcript{rules: []rule{{regexp.MustCompile(
+	calls := &transcript{masks: []mask{{regexp.MustCompile(
 		`\d+(\\r\\nConnection: close\\r\\n\\r\\n)` + regexp.QuoteMeta(dir) + `.*`), "<n>$1<path>"}}}
-	for _, text := range operatorsCalls {
+	for _, text := range managementCalls {
 		l := dialWire(t, ops, calls)
 		l.send([]byte(text))
-		l.rest()
+		l.readAll()
 	}
 	calls.compare(t, "operators.txt")
 
-	// On SIGTERM the server sends its peers lastCall, and lastTaken with the last request number that it accepted.
+	// On SIGTERM the server sends its peers lastCall, and lastTaken with the last request number that it
+	// accepted.
 	_ = p.Signal(syscall.SIGTERM)
-	b.value()
-	b.value()
+	b.readValue()
+	b.readValue()
 	balancer.compare(t, "cell.txt")
 }
 
-// shapeOf writes every key of a JSON value on a line of its own, in order, with the kind of its value. Texts
-// and booleans are written as they are. The parts of the status after the allocations, and the fields of the
-// store, have no fixed order and are sorted.
-func shapeOf(t *testing.T, out *bytes.Buffer, d *json.Decoder, path string, top bool) {
+// writeShape writes every key of a JSON value on a line of its own, in order, with the kind of its value.
+// Texts and booleans are written as they are. The parts of the status after the allocations, and the fields
+// of the store, have no fixed order and are sorted.
+func writeShape(t *testing.T, out *bytes.Buffer, d *json.Decoder, path string, top bool) {
 	t.Helper()
 	token, err := d.Token()
 	if err != nil {
@@ -728,7 +729,7 @@
 				at = path + "." + key.(string)
 			}
 			var part bytes.Buffer
-			shapeOf(t, &part, d, at, false)
+			writeShape(t, &part, d, at, false)
 			if v == '{' || len(parts) == 0 || parts[len(parts)-1] != part.String() { // consecutive elements of one shape are written once
 				parts = append(parts, part.String())
 			}
@@ -750,7 +751,7 @@
 
 // BER, as far as an SNMP walk needs it.
 
-func berPart(tag byte, parts ...[]byte) []byte {
+func berElement(tag byte, parts ...[]byte) []byte {
 	body := bytes.Join(parts, nil)
 	if len(body) < 0x80 {
 		return append([]byte{tag, byte(len(body))}, body...)
@@ -758,8 +759,8 @@
 	return append([]byte{tag, 0x82, byte(len(body) >> 8), byte(len(body))}, body...)
 }
 
-// berNext splits the first element off b.
-func berNext(t *testing.T, b []byte) (tag byte, body, rest []byte) {
+// splitElement splits the first element off b.
+func splitElement(t *testing.T, b []byte) (tag byte, body, rest []byte) {
 	t.Helper()
 	n, at := int(b[1]), 2
 	if n >= 0x80 {
@@ -771,18 +772,19 @@
 	return b[0], b[at : at+n], b[at+n:]
 }
 
-// snmpAsk sends one request and returns the request, the response, and the names and values of the response.
-func snmpAsk(t *testing.T, conn net.Conn, kind byte, names ...[]byte) (sent, came []byte, list [][2][]byte) {
+// snmpRequest sends one request and returns the request, the response, and the names and values of the
+// response.
+func snmpRequest(t *testing.T, conn net.Conn, kind byte, names ...[]byte) (request, response []byte, list [][2][]byte) {
 	t.Helper()
 	var binds [][]byte
 	for _, n := range names {
-		binds = append(binds, berPart(0x30, berPart(0x06, n), []byte{0x05, 0x00}))
+		binds = append(binds, berElement(0x30, berElement(0x06, n), []byte{0x05, 0x00}))
 	}
 	zero := []byte{0x02, 0x01, 0x00}
-	sent = berPart(0x30, []byte{0x02, 0x01, 0x01}, berPart(0x04, []byte("kviz")),
-		berPart(kind, []byte{0x02, 0x01, 0x2a}, zero, zero, berPart(0x30, binds...)))
+	request = berElement(0x30, []byte{0x02, 0x01, 0x01}, berElement(0x04, []byte("kviz")),
+		berElement(kind, []byte{0x02, 0x01, 0x2a}, zero, zero, berElement(0x30, binds...)))
 	b := make([]byte, 2000)
-	if _, err := conn.Write(sent); err != nil {
+	if _, err := conn.Write(request); err != nil {
 		t.Fatal(err)
 	}
 	conn.SetReadDeadline(time.Now().Add(5 * time.Second))
@@ -790,28 +792,28 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	came = b[:n]
-	_, b, _ = berNext(t, came)
-	_, _, b = berNext(t, b) // version
-	_, _, b = berNext(t, b) // community
-	_, b, _ = berNext(t, b) // the response
+	response = b[:n]
+	_, b, _ = splitElement(t, response)
+	_, _, b = splitElement(t, b) // version
+	_, _, b = splitElement(t, b) // community
+	_, b, _ = splitElement(t, b) // the response
 	for range 3 {
-		_, _, b = berNext(t, b)
+		_, _, b = splitElement(t, b)
 	}
-	_, b, _ = berNext(t, b)
+	_, b, _ = splitElement(t, b)
 	for len(b) > 0 {
 		var one []byte
-		_, one, b = berNext(t, b)
-		_, name, value := berNext(t, one)
+		_, one, b = splitElement(t, b)
+		_, name, value := splitElement(t, one)
 		list = append(list, [2][]byte{name, value})
 	}
-	return sent, came, list
+	return request, response, list
 }
 
-// walk reads all objects by GetNext and records each name with its value. Of times, gauges and counters,
+// walkMIB reads all objects by GetNext and records each name with its value. Of times, gauges and counters,
 // which differ from run to run, it records the type instead of the value. Then it records one Get and one Set
 // with their responses.
-func walk(t *testing.T, addr string, tr *transcript) {
+func walkMIB(t *testing.T, addr string, tr *transcript) {
 	t.Helper()
 	conn, err := net.Dial("udp", addr)
 	if err != nil {
@@ -821,11 +823,11 @@
 	root := []byte{0x2b, 6, 1, 4, 1, 0x81, 0xfd, 0x59, 1}
 	name, health := root, []byte(nil)
 	for {
-		_, _, list := snmpAsk(t, conn, 0xa1, name)
+		_, _, list := snmpRequest(t, conn, 0xa1, name)
 		name = list[0][0]
 		value := list[0][1]
 		if value[0] == 0x82 { // end of the MIB view
-			tr.note("<", value)
+			tr.record("<", value)
 			break
 		}
 		text := fmt.Sprintf("% x", name)
@@ -840,14 +842,14 @@
 		default:
 			text += fmt.Sprintf(": %#x", value[0])
 		}
-		tr.note("<", []byte(text))
+		tr.record("<", []byte(text))
 	}
 	object := func(n ...byte) []byte { return append(bytes.Clone(root), n...) }
 	for _, kind := range []byte{0xa0, 0xa3} {
-		sent, came, _ := snmpAsk(t, conn, kind, object(1, 1, 0), object(1, 2, 0), object(1, 4, 0), health,
+		request, response, _ := snmpRequest(t, conn, kind, object(1, 1, 0), object(1, 2, 0), object(1, 4, 0), health,
 			append(object(2, 1, 2), "answered.msgpack.lestvica.served"...), append(object(2, 1, 2), "none"...), object(9))
-		tr.note(">", sent)
-		tr.note("<", came)
+		tr.record(">", request)
+		tr.record("<", response)
 	}
 }
 
@@ -855,36 +857,36 @@
 // fields of its probes. Guards against a router whose messages servers of another build do not understand.
 func TestWireOfRouter(t *testing.T) {
 	t.Parallel()
-	number := rule{regexp.MustCompile(`^\\x94\\x0([01])(\\x..|\\n|\\r|.)`), `\x94\x0$1<n>`}
-	server, balancer := &transcript{rules: []rule{number, stampRule,
+	idMask := mask{regexp.MustCompile(`^\\x94\\x0([01])(\\x..|\\n|\\r|.)`), `\x94\x0$1<n>`}
+	server, balancer := &transcript{masks: []mask{idMask, timestampMask,
 		{regexp.MustCompile(`(\\xa1g\\x..)[0-9]+\.[0-9a-f]+`), "$1<rules>"},
 		{regexp.MustCompile(`(\\xa2fl\\xa\d)\d+`), "$1<n>"},
 		{regexp.MustCompile(`(\\xa1d\\xa4)\d+`), "$1<ms>"},
-	}}, &transcript{rules: []rule{stampRule, adviceRule}}
-	var once sync.Map
-	addr := listenWire(t, func(conn net.Conn) {
+	}}, &transcript{masks: []mask{timestampMask, retryAfterMask}}
+	var recordedProbes sync.Map
+	addr := serveWire(t, func(conn net.Conn) {
 		for in := bufio.NewReader(conn); ; {
 			m, err := mpValue(in)
 			if err != nil {
 				return
 			}
 			if m[1] != 0x00 {
-				server.note("<", m)
+				server.record("<", m)
 				continue
 			}
 			answer := append([]byte{0x94, 0x01, m[2]}, "\xc0\x92\xc4\x04DONE\x81\xa1b\xad1790000000000"...)
 			switch {
 			case bytes.Contains(m, []byte("\xa5probe")):
 				answer = append([]byte{0x94, 0x01, m[2]}, "\xc0\x92\xc3\x81\xa1b\xad1790000000000"...)
-				if _, noted := once.LoadOrStore(string(m[3:9]), true); noted {
+				if _, noted := recordedProbes.LoadOrStore(string(m[3:9]), true); noted {
 					conn.Write(answer)
 					continue
 				}
 			case bytes.HasSuffix(m, []byte("fail")):
 				answer = append([]byte{0x94, 0x01, m[2]}, "\x92\xa5Error\x81\xa1b\xad1790000000000\xc0"...)
 			}
-			server.note("<", m)
-			server.note(">", answer)
+			server.record("<", m)
+			server.record(">", answer)
 			conn.Write(answer)
 		}
 	})
@@ -901,27 +903,27 @@
 	b := dialWire(t, p.addr, balancer)
 	for i, message := range [][]byte{
 		[]byte("\x94\x00\x00\xa5probe\x91\x80"),
-		mpRequest(1, "krog", "work", stamped("a1", "t", "kvizmojster")...),
-		mpRequest(2, "lestvica", "work", stamped("a2", "t", "kvizmojster", "f", "3", "p", "0.5")...),
-		mpRequest(3, "oddaja", "work", stamped("a3", "t", "kvizmojster", "k", "key-1")...),
-		mpRequest(4, "oddaja", "work", stamped("a4", "t", "kvizmojster", "k", "key-1")...),
-		mpRequest(5, "krog", "fail", stamped("a5", "t", "kvizmojster")...),
-		mpRequest(6, "krog", "work", stamped("a6")...),
-		mpRequest(7, "nothing", "work", stamped("a7", "t", "kvizmojster")...),
+		mpRequest(1, "krog", "work", requestFields("a1", "t", "kvizmojster")...),
+		mpRequest(2, "lestvica", "work", requestFields("a2", "t", "kvizmojster", "f", "3", "p", "0.5")...),
+		mpRequest(3, "oddaja", "work", requestFields("a3", "t", "kvizmojster", "k", "key-1")...),
+		mpRequest(4, "oddaja", "work", requestFields("a4", "t", "kvizmojster", "k", "key-1")...),
+		mpRequest(5, "krog", "fail", requestFields("a5", "t", "kvizmojster")...),
+		mpRequest(6, "krog", "work", requestFields("a6")...),
+		mpRequest(7, "nothing", "work", requestFields("a7", "t", "kvizmojster")...),
 	} {
 		if i == 1 {
 			server.await(t, "probe")
 		}
 		b.send(message)
-		b.value()
+		b.readValue()
 	}
-	asker := dialWire(t, p.addr, &transcript{})
-	asker.send([]byte("\x94\x00\x05\xa6status\x91\x80"))
-	state := asker.value()
-	asker.Close()
+	statusLink := dialWire(t, p.addr, &transcript{})
+	statusLink.send([]byte("\x94\x00\x05\xa6status\x91\x80"))
+	state := statusLink.readValue()
+	statusLink.Close()
 	var shape bytes.Buffer
-	shapeOf(t, &shape, json.NewDecoder(bytes.NewReader(state[bytes.Index(state, []byte(`{"`)):])), "", true)
-	golden(t, "router-status.txt", regexp.MustCompile(`[0-9]+\.[0-9a-f]{16}`).ReplaceAll(shape.Bytes(), []byte("<rules>")))
+	writeShape(t, &shape, json.NewDecoder(bytes.NewReader(state[bytes.Index(state, []byte(`{"`)):])), "", true)
+	compareWireFile(t, "router-status.txt", regexp.MustCompile(`[0-9]+\.[0-9a-f]{16}`).ReplaceAll(shape.Bytes(), []byte("<rules>")))
 	balancer.compare(t, "router-balancer.txt")
 	server.compare(t, "router-server.txt")
 }
