--- a/cmd/silverpath/parts_test.go
+++ b/cmd/silverpath/parts_test.go
@@ -23,7 +23,7 @@
 }
 
 // announceMove announces a move of a tenant and returns the time at which it takes effect. The time ahead has
-// to be long enough for all processes of a loaded machine to receive the map before.
+// to be long enough for all processes of a loaded machine to receive the map before that time.
 func announceMove(m *cells.Map, tenant, cell string, ahead time.Duration) time.Time {
 	at := time.Now().Add(ahead)
 	m.Version++
@@ -163,7 +163,7 @@
 	}
 	// checkWhileQuiescing checks whether a keyed request of a class is served while a change of a document is
 	// quiescing. It repeats the check with another change if the stage was over before the answer came, or if
-	// counts rejects the change.
+	// applies rejects the change.
 	checkWhileQuiescing := func(doc string, file func(n int) string, class string, wantStopped bool, applies func(n int) bool) {
 		t.Helper()
 		for n := range 8 {
--- a/cmd/silverpath/wire_golden_test.go
+++ b/cmd/silverpath/wire_golden_test.go
@@ -298,8 +298,8 @@
 
 // startInterpreter starts a stand-in interpreter and returns its address. It records all messages except
 // repeated queries of the gauges. The body selects the outcome: "fail", "kill", "noop" and "error" end the
-// run in that way, "ask ..." calls the vault, "hold" ends with the next run that succeeds, and any other body
-// returns in capitals.
+// run in that way, "ask ..." calls the vault, "hold" stays open, and any other body returns in capitals and
+// ends the runs that are held.
 func startInterpreter(t *testing.T, tr *transcript) string {
 	var recordGauges sync.Once
 	var held []string
