--- a/cmd/silverpath/cellsgolden_test.go
+++ b/cmd/silverpath/cellsgolden_test.go
@@ -12,9 +12,9 @@
 	"testing"
 )
 
-// What an operator's script reads of the commands on a cell map was once changed by a new name of a Go field: two of the texts are
-// written from the names of struct fields. So the whole output of each command on the same files stands in testdata, as the program
-// wrote it before its names were changed, with the one line and the exit code of each map that is no good.
+// Guards against a renamed struct field that changes the output of the cells commands: two outputs are
+// formatted from field names, and such a change once reached operators' scripts. The output and the exit code
+// of each command, for valid and invalid maps, have to equal testdata/cells/commands.txt.
 func TestCellsCommandsWriteWhatTheyWrote(t *testing.T) {
 	const mapFile, nextFile = "testdata/cells/map.json", "testdata/cells/next.json"
 	dir := t.TempDir()
@@ -36,11 +36,11 @@
 	} {
 		command(append([]string{"cells", "plan", "--map", mapFile}, plan...)...)
 	}
-	for _, set := range []struct {
-		file  string
-		after bool
+	for _, fixture := range []struct {
+		file       string
+		followsMap bool
 	}{{"testdata/cells/bad.json", false}, {"testdata/cells/unfollowing.json", true}} {
-		text, err := os.ReadFile(set.file)
+		text, err := os.ReadFile(fixture.file)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -54,86 +54,88 @@
 				t.Fatal(err)
 			}
 			args := []string{"cells", "check", "--map", path}
-			if set.after {
+			if fixture.followsMap {
 				args = append(args, "--after", mapFile)
 			}
 			command(args...)
 		}
 	}
-	same(t, "testdata/cells/commands.txt", masked(got.String(), dir))
+	compareWithFile(t, "testdata/cells/commands.txt", maskVolatile(got.String(), dir))
 }
 
-// A move, its abort and a map that is published are written to a map file byte for byte as they were, but for their times.
+// The move, abort and publish commands write the same bytes to a map file as an earlier build did, except for
+// times.
 func TestCellsCommandsWriteTheSameFiles(t *testing.T) {
 	dir := t.TempDir()
 	text, err := os.ReadFile("testdata/cells/map.json")
 	if err != nil {
 		t.Fatal(err)
 	}
-	path, folder := filepath.Join(dir, "map.json"), filepath.Join(dir, "versions")
-	if err := os.WriteFile(path, text, 0o600); err != nil {
+	mapPath, versionsDir := filepath.Join(dir, "map.json"), filepath.Join(dir, "versions")
+	if err := os.WriteFile(mapPath, text, 0o600); err != nil {
 		t.Fatal(err)
 	}
 	var got strings.Builder
 	for _, args := range [][]string{
-		{"cells", "move", "--map", path, "--tenant", "kvizmojster", "--to", "b", "--shard", "2"},
-		{"cells", "abort", "--map", path, "--tenant", "kvizmojster"},
-		{"cells", "abort", "--map", path, "--tenant", "krcmarski-kviz"},
-		{"cells", "publish", "--map", path, "--to", folder},
-		{"cells", "publish", "--map", path, "--to", folder},
+		{"cells", "move", "--map", mapPath, "--tenant", "kvizmojster", "--to", "b", "--shard", "2"},
+		{"cells", "abort", "--map", mapPath, "--tenant", "kvizmojster"},
+		{"cells", "abort", "--map", mapPath, "--tenant", "krcmarski-kviz"},
+		{"cells", "publish", "--map", mapPath, "--to", versionsDir},
+		{"cells", "publish", "--map", mapPath, "--to", versionsDir},
 	} {
 		code, out, message := run(t, "", args...)
 		fmt.Fprintf(&got, "$ %s\n[exit %d]\n%s%s", strings.Join(args, " "), code, out, message)
 	}
-	written, err := os.ReadFile(path)
+	written, err := os.ReadFile(mapPath)
 	if err != nil {
 		t.Fatal(err)
 	}
 	fmt.Fprintf(&got, "map file:\n%s", written)
-	list, err := os.ReadDir(folder)
+	entries, err := os.ReadDir(versionsDir)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, f := range list {
-		text, err := os.ReadFile(filepath.Join(folder, f.Name()))
+	for _, f := range entries {
+		text, err := os.ReadFile(filepath.Join(versionsDir, f.Name()))
 		if err != nil {
 			t.Fatal(err)
 		}
 		fmt.Fprintf(&got, "%s: as the map file: %v\n", f.Name(), string(text) == string(written))
 	}
-	same(t, "testdata/cells/written.txt", masked(got.String(), dir))
+	compareWithFile(t, "testdata/cells/written.txt", maskVolatile(got.String(), dir))
 }
 
 var (
-	dayAndTime = regexp.MustCompile(`\d{4}-\d\d-\d\d \d\d:\d\d:\d\d`)
-	presentMS  = regexp.MustCompile(`\b1[78]\d{11}\b`)
+	dateTimePattern      = regexp.MustCompile(`\d{4}-\d\d-\d\d \d\d:\d\d:\d\d`)
+	currentMillisPattern = regexp.MustCompile(`\b1[78]\d{11}\b`)
 )
 
-// masked is a text without what is another one at each run: a folder and times of about the present.
-func masked(text, dir string) string {
-	text = dayAndTime.ReplaceAllString(strings.ReplaceAll(text, dir, "DIR"), "TIME")
-	return presentMS.ReplaceAllStringFunc(text, func(ms string) string {
-		if strings.HasPrefix(ms, "1700000") { // it stands in the fixture
+// maskVolatile replaces the parts of a text that differ in every run: the temporary directory and current
+// times.
+func maskVolatile(text, dir string) string {
+	text = dateTimePattern.ReplaceAllString(strings.ReplaceAll(text, dir, "DIR"), "TIME")
+	return currentMillisPattern.ReplaceAllStringFunc(text, func(ms string) string {
+		if strings.HasPrefix(ms, "1700000") { // a constant of the fixture
 			return ms
 		}
 		return "MS"
 	})
 }
 
-// same fails with the first line in which a text differs from that of a file.
-func same(t *testing.T, file, got string) {
+// compareWithFile fails the test at the first line in which got differs from a file.
+func compareWithFile(t *testing.T, file, got string) {
 	t.Helper()
 	want, err := os.ReadFile(file)
 	if err != nil {
 		t.Fatal(err)
 	}
-	a, b := strings.Split(string(want), "\n"), strings.Split(got, "\n")
-	for i := range a {
-		if i >= len(b) || a[i] != b[i] {
-			t.Fatalf("%s:%d: got %q, want %q", file, i+1, strings.Join(b[min(i, len(b)):min(i+1, len(b))], ""), a[i])
+	wantLines, gotLines := strings.Split(string(want), "\n"), strings.Split(got, "\n")
+	for i := range wantLines {
+		if i >= len(gotLines) || wantLines[i] != gotLines[i] {
+			t.Fatalf("%s:%d: got %q, want %q", file, i+1, strings.Join(gotLines[min(i, len(gotLines)):min(i+1, len(gotLines))], ""), wantLines[i])
 		}
 	}
-	if len(b) > len(a) {
-		t.Fatalf("%s: %d lines more: %q", file, len(b)-len(a), b[len(a)])
+	if len(gotLines) > len(wantLines) {
+		t.Fatalf("%s: %d extra lines, the first is %q", file, len(gotLines)-len(wantLines), gotLines[len(wantLines)])
 	}
 }
--- a/cmd/silverpath/golden_test.go
+++ b/cmd/silverpath/golden_test.go
@@ -17,18 +17,19 @@
 	"time"
 )
 
-var updateGolden = flag.Bool("update-golden", false, "write the golden files of settings and commands anew")
+var updateGolden = flag.Bool("update-golden", false, "rewrite the golden files of settings and commands")
 
-// goldenWait is how long a command may take that should end by itself. It is there for one that serves instead.
-const goldenWait = 20 * time.Second
+// commandTimeout bounds a command that has to exit. It expires if the command serves instead.
+const commandTimeout = 20 * time.Second
 
-// A settingsForm is a file of deploy/ and the command that reads it, in which FILE stands for the file.
-type settingsForm struct {
-	file    string
-	command []string
+// settingsReader is a file of deploy/ and the command that reads it. FILE in args is replaced by the
+// path of the file.
+type settingsReader struct {
+	file string
+	args []string
 }
 
-var settingsForms = []settingsForm{
+var settingsReaders = []settingsReader{
 	{"scgi.json", []string{"check", "--config", "FILE"}},
 	{"try.json", []string{"check", "--config", "FILE"}},
 	{"durable.json", []string{"check", "--config", "../../deploy/try.json", "--edge", "FILE"}},
@@ -45,47 +46,49 @@
 	{"owner.json", []string{"duty", "run", "--config", "FILE"}},
 }
 
-// serves says that a form's command serves where its file is good, so that only bad files end it.
-func (f settingsForm) serves() bool {
-	return f.command[0] != "check" && f.command[0] != "cells" && f.command[0] != "capacity"
+// servesOnSuccess reports whether the command serves when its file is valid, so that it exits only for an
+// invalid file.
+func (r settingsReader) servesOnSuccess() bool {
+	return r.args[0] != "check" && r.args[0] != "cells" && r.args[0] != "capacity"
 }
 
-// A deployment's settings outlive the names in the code. Every file of deploy/ and every bad field in it gets the answer that
-// the build had which first wrote testdata/golden: each value in turn is replaced by one of another type, and each object gets
-// a field that nobody knows.
+// Guards against a renamed identifier that changes how a deployment's settings are read. Each value of every
+// file of deploy/ is replaced in turn by one of another type, and each object gets an unknown field. The
+// output has to equal testdata/golden/settings.txt.
 func TestSettingsReadAsBefore(t *testing.T) {
 	var cases []goldenCase
-	for _, form := range settingsForms {
-		data, err := os.ReadFile(filepath.Join("..", "..", "deploy", form.file))
+	for _, reader := range settingsReaders {
+		data, err := os.ReadFile(filepath.Join("..", "..", "deploy", reader.file))
 		if err != nil {
 			t.Fatal(err)
 		}
-		if !form.serves() {
-			cases = append(cases, goldenCase{form, "as it is", data})
+		if !reader.servesOnSuccess() {
+			cases = append(cases, goldenCase{reader, "as it is", data})
 		}
 		for _, m := range mutations(t, data) {
-			cases = append(cases, goldenCase{form, m.name, m.data})
+			cases = append(cases, goldenCase{reader, m.name, m.data})
 		}
 	}
 	got := make([]string, len(cases))
-	var wait sync.WaitGroup
-	next := make(chan int)
+	var workers sync.WaitGroup
+	indexes := make(chan int)
 	for range 4 {
-		wait.Go(func() {
-			for i := range next {
+		workers.Go(func() {
+			for i := range indexes {
 				got[i] = cases[i].run(t)
 			}
 		})
 	}
 	for i := range cases {
-		next <- i
+		indexes <- i
 	}
-	close(next)
-	wait.Wait()
+	close(indexes)
+	workers.Wait()
 	compareGolden(t, "settings.txt", strings.Join(got, ""))
 }
 
-// Every command and flag that there was answers as it did: scripts and runbooks call them by name.
+// Scripts and runbooks call commands and flags by name. The help of every command has to equal
+// testdata/golden/commands.txt.
 func TestCommandsAnswerAsBefore(t *testing.T) {
 	var text strings.Builder
 	var visit func(path []string)
@@ -108,20 +111,21 @@
 }
 
 type goldenCase struct {
-	form settingsForm
-	name string
-	data []byte
+	reader settingsReader
+	name   string
+	data   []byte
 }
 
-// run gives the file to its command and returns what it answered, with the file's place taken out.
+// run executes the command on the file. It returns the output and the exit code, with the path of the file
+// replaced by FILE.
 func (c goldenCase) run(t *testing.T) string {
 	t.Helper()
-	file := filepath.Join(t.TempDir(), c.form.file)
+	file := filepath.Join(t.TempDir(), c.reader.file)
 	if err := os.WriteFile(file, c.data, 0o600); err != nil {
 		t.Error(err)
 		return ""
 	}
-	args := slices.Clone(c.form.command)
+	args := slices.Clone(c.reader.args)
 	for i := range args {
 		if args[i] == "FILE" {
 			args[i] = file
@@ -132,7 +136,7 @@
 		t.Error(err)
 		return ""
 	}
-	ctx, cancel := context.WithTimeout(t.Context(), goldenWait)
+	ctx, cancel := context.WithTimeout(t.Context(), commandTimeout)
 	defer cancel()
 	cmd := exec.CommandContext(ctx, exe, args...)
 	cmd.Env = append(os.Environ(), "SILVERPATH_RUN=1", "LB_CONFIG=")
@@ -144,11 +148,11 @@
 	if ctx.Err() != nil {
 		out = []byte("does not end\n")
 	}
-	if c.form.command[0] == "capacity" && cmd.ProcessState.Success() { // the figures are held by docs/CAPACITY.md
+	if c.reader.args[0] == "capacity" && cmd.ProcessState.Success() { // the figures are in docs/CAPACITY.md
 		out = []byte("computed\n")
 	}
 	out = bytes.ReplaceAll(out, []byte(file), []byte("FILE"))
-	return fmt.Sprintf("$ silverpath %s: %s, %s\n%sexit %d\n\n", strings.Join(c.form.command, " "), c.form.file, c.name, out, cmd.ProcessState.ExitCode())
+	return fmt.Sprintf("$ silverpath %s: %s, %s\n%sexit %d\n\n", strings.Join(c.reader.args, " "), c.reader.file, c.name, out, cmd.ProcessState.ExitCode())
 }
 
 type mutation struct {
@@ -156,8 +160,8 @@
 	data []byte
 }
 
-// mutations lists, in the order of its fields' names, a text for each way in which one field of a JSON text may be bad.
-func mutations(t *testing.T, data []byte) (all []mutation) {
+// mutations returns variants of a JSON text in the order of its field names. Each has one invalid field.
+func mutations(t *testing.T, data []byte) (variants []mutation) {
 	t.Helper()
 	var root any
 	if err := json.Unmarshal(data, &root); err != nil {
@@ -168,7 +172,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		all = append(all, mutation{name, text})
+		variants = append(variants, mutation{name, text})
 	}
 	var visit func(path string, value any, set func(any))
 	visit = func(path string, value any, set func(any)) {
@@ -199,10 +203,11 @@
 		set(value)
 	}
 	visit("", root, nil)
-	return all
+	return variants
 }
 
-// compareGolden holds a text against a file of testdata/golden.
+// compareGolden fails the test at the first line in which got differs from a file of testdata/golden. With
+// -update-golden it writes the file first.
 func compareGolden(t *testing.T, name, got string) {
 	t.Helper()
 	file := filepath.Join("testdata", "golden", name)
