--- a/cmd/silverpath/capacity.go
+++ b/cmd/silverpath/capacity.go
@@ -16,8 +16,8 @@
 	"silverpath/internal/settings"
 )
 
-// capacityCommand computes what a fleet of a size takes. It exits with 1 and one line where the target's file, or that of the results, is
-// no good.
+// capacityCommand returns the command that computes the resources that a fleet of the target's size needs, and the size at which it
+// reaches a limit. The command prints one line and exits with 1 if the target or results file is missing or invalid.
 func capacityCommand() *cobra.Command {
 	var file, measured string
 	var asJSON bool
@@ -57,6 +57,7 @@
 	return c
 }
 
+// printPlan prints the tables of a plan as text.
 func printPlan(out io.Writer, plan capacity.Plan) error {
 	by := plan.Measured
 	if by == "" {
--- a/cmd/silverpath/cells.go
+++ b/cmd/silverpath/cells.go
@@ -18,14 +18,14 @@
 	"silverpath/internal/settings"
 )
 
-// cellsCommand has the operator's commands on a cell map. They exit with 0 where they did what they say, and with 1 and one
-// line where not: a map that is no good, a migration that the planner refuses.
+// cellsCommand returns the operator commands that show and change a cell map. A command that fails, because the map is invalid or
+// the planner refuses a migration, prints one line and exits with 1.
 func cellsCommand() *cobra.Command {
 	var o mapCommand
 	cmd := &cobra.Command{Use: "cells", Short: "Show and change a cell map: see docs/cells.md"}
 	cmd.PersistentFlags().StringVar(&o.file, "map", "deploy/cells.json", "the cell map")
 	cmd.PersistentFlags().BoolVar(&o.asJSON, "json", false, "print JSON")
-	groupFlags(cmd, &o.group, &o.within) // given: the change is a request to the placement controller
+	groupFlags(cmd, &o.group, &o.within) // with --group set, move and abort are requests to the placement controller
 	cmd.PersistentFlags().DurationVar(&o.wait, "wait", 5*time.Second, "how long to wait for another change that is under way")
 	cmd.AddCommand(o.show(), o.check(), o.abort(), o.publish(), o.move("plan", "Say what a move would do, or why it can't be made", false),
 		o.move("move", "Move a tenant to another cell", true))
@@ -35,15 +35,15 @@
 	return cmd
 }
 
-// mapCommand is what all commands on a cell map have in common.
+// mapCommand holds the options that all commands on a cell map share.
 type mapCommand struct {
 	file         string
 	asJSON       bool
-	wait, within time.Duration // for another writer of the file, and for the group
-	group        quorum.Client // without a name where none is given
+	wait, within time.Duration // how long to wait for another writer of the file, and for the group
+	group        quorum.Client // its Group is empty if no --group is given
 }
 
-// load reads the map.
+// load reads the map and validates it.
 func (o *mapCommand) load() (*cells.Map, error) {
 	m, err := proxy.ReadMap(o.file)
 	if err != nil {
@@ -52,7 +52,7 @@
 	return m, err
 }
 
-// print prints a value as JSON, or as a table.
+// print prints v as JSON if --json is set, and otherwise the table that table writes.
 func (o *mapCommand) print(w io.Writer, v any, table func(w *tabwriter.Writer)) error {
 	if o.asJSON {
 		e := json.NewEncoder(w)
@@ -64,10 +64,10 @@
 	return t.Flush()
 }
 
-// planner makes the next map, or says why there is none.
+// planner returns the map that follows m, or an error with the reason why the change is refused.
 type planner func(m *cells.Map, now time.Time) (*cells.Map, error)
 
-// dryRun plans with the map and checks what was planned.
+// dryRun calls plan with the current map and validates the planned map, but does not write it.
 func (o *mapCommand) dryRun(plan planner) error {
 	m, err := o.load()
 	if err != nil {
@@ -84,7 +84,8 @@
 	return err
 }
 
-// change plans with the map, and writes what was planned. Of two at once the second one waits.
+// change calls plan with the current map and writes the planned map to the file. If another change of the file is under way, it
+// waits for that one, for up to o.wait.
 func (o *mapCommand) change(c *cobra.Command, plan planner) error {
 	next, err := proxy.Change(o.file, o.wait, plan)
 	if err != nil {
@@ -94,7 +95,8 @@
 	return nil
 }
 
-// move plans a migration of a tenant, and makes it where write says so: by the group's placement controller, where one is given.
+// move returns a command that plans the migration of a tenant. With write set, the command also carries the migration out: through
+// the group's placement controller if a group is given, else by a change of the map's file.
 func (o *mapCommand) move(use, short string, write bool) *cobra.Command {
 	var tenant, to string
 	var shard int
@@ -122,6 +124,7 @@
 	return c
 }
 
+// planTable writes a planned migration, with the cells' loads before and after it, as a table.
 func planTable(w *tabwriter.Writer, p cells.Plan) {
 	fmt.Fprintf(w, "tenant\t%s\nfrom\t%s\nto\t%s\nin force\t%s\nsettled\t%s\n", p.Tenant, p.From, p.To,
 		p.At.Format(time.DateTime), p.Settled.Format(time.DateTime))
@@ -130,7 +133,7 @@
 	}
 }
 
-// abort takes a migration back.
+// abort returns the command that takes back a migration which is prepared or in force.
 func (o *mapCommand) abort() *cobra.Command {
 	var tenant string
 	c := &cobra.Command{Use: "abort", Short: "Take a move back that is prepared or in force", Args: cobra.NoArgs,
@@ -145,7 +148,7 @@
 	return c
 }
 
-// check checks a map, and whether it may follow another one.
+// check returns the command that validates a map and, with --after, checks that it may follow the given one.
 func (o *mapCommand) check() *cobra.Command {
 	var before string
 	c := &cobra.Command{Use: "check", Short: "Say whether a map is good, and could follow another one", Args: cobra.NoArgs,
@@ -168,7 +171,7 @@
 	return c
 }
 
-// checkFollows checks that a map may follow that of a file, and prints in what they differ.
+// checkFollows checks that m may follow the map in the file before, and prints the differences between the two.
 func (o *mapCommand) checkFollows(w io.Writer, m *cells.Map, before string) error {
 	data, err := os.ReadFile(before)
 	if err != nil {
@@ -187,7 +190,7 @@
 	return nil
 }
 
-// show shows who lives where.
+// show returns the command that prints the cells with their servers and loads, and the cell and servers of each tenant.
 func (o *mapCommand) show() *cobra.Command {
 	return &cobra.Command{Use: "show", Short: "Show who lives where", Args: cobra.NoArgs, RunE: func(c *cobra.Command, _ []string) error {
 		m, err := o.load()
@@ -198,7 +201,8 @@
 	}}
 }
 
-// publish puts a map into a folder of versions.
+// publish returns the command that writes the map's file as the first version into an empty version folder. The placement
+// controller writes all later versions.
 func (o *mapCommand) publish() *cobra.Command {
 	var folder string
 	c := &cobra.Command{Use: "publish", Short: "Put a map's file into a folder of versions, as the first that the keeper goes on from", Args: cobra.NoArgs,
--- a/cmd/silverpath/duty.go
+++ b/cmd/silverpath/duty.go
@@ -17,7 +17,7 @@
 	"silverpath/internal/policy/statemachine"
 )
 
-// dutyCommand shows and changes who holds the duties, and runs a process that holds them.
+// dutyCommand returns the commands that show and change the owners of the duties, and the one that runs an owner process.
 func dutyCommand() *cobra.Command {
 	var g groupAccess
 	var config string
@@ -31,6 +31,7 @@
 	return cmd
 }
 
+// dutyList returns the command that prints a line for each duty.
 func dutyList(g *groupAccess) *cobra.Command {
 	return &cobra.Command{Use: "list", Short: "Show every duty: its owner, epoch, who waits and what is under way", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
@@ -47,6 +48,7 @@
 		}}
 }
 
+// printDuties prints a table of all duties. A duty that the group has not recorded yet has an empty line.
 func printDuties(out io.Writer, v quorum.StateView) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "DUTY\tOWNER\tEPOCH\tAGE\tSTEP\tOPEN\tPAUSED\tWAITING")
@@ -69,12 +71,13 @@
 	return w.Flush()
 }
 
-// dutyFlag adds the flag that names the duty.
+// dutyFlag adds the required flag --duty.
 func dutyFlag(c *cobra.Command, name *string) {
 	c.Flags().StringVar(name, "duty", "", "the duty: "+strings.Join(controller.Duties, ", "))
 	c.MarkFlagRequired("duty")
 }
 
+// dutyShow returns the command that prints the journal of one duty.
 func dutyShow(g *groupAccess) *cobra.Command {
 	var name string
 	cmd := &cobra.Command{Use: "show", Short: "Show the journal of a duty", Args: cobra.NoArgs,
@@ -107,7 +110,7 @@
 	return w.Flush()
 }
 
-// dutyChange is a command that makes one request about a duty.
+// dutyChange returns a command that submits one lease request for a duty and prints the duty's new state.
 func dutyChange(g *groupAccess, use, short string, request func() lease.Request) *cobra.Command {
 	var name string
 	cmd := &cobra.Command{Use: use, Short: short, Args: cobra.NoArgs, RunE: func(c *cobra.Command, _ []string) error {
@@ -127,6 +130,7 @@
 	return cmd
 }
 
+// dutyHand returns the command that transfers a duty to another process.
 func dutyHand(g *groupAccess) *cobra.Command {
 	var to string
 	cmd := dutyChange(g, "hand", "Have the owner hand a duty to another process that waits for it",
@@ -136,6 +140,7 @@
 	return cmd
 }
 
+// dutyPause returns the command that pauses a duty: its owner begins no new items.
 func dutyPause(g *groupAccess) *cobra.Command {
 	var why string
 	cmd := dutyChange(g, "pause", "Have nothing new begun of a duty",
@@ -144,17 +149,18 @@
 	return cmd
 }
 
-// followItem waits until an item of a duty's journal is finished, and calls report with each change of it.
+// followItem polls an item of a duty's journal until it is finished, and calls report whenever its state, note or step changes. It
+// returns the item as last read, with an error if the group can't be read or the journal no longer lists the item.
 func followItem(ctx context.Context, g *quorum.Client, duty, id string, report func(controller.Item)) (controller.Item, error) {
 	var last controller.Item
 	for {
 		v, err := g.Read(ctx, duty)
 		if err != nil {
-			return last, fmt.Errorf("%s is queued as %s, and was last %s: %w", duty, id, last.State, err)
+			return last, fmt.Errorf("duty %s: item %s is queued (last state %q), but reading it failed: %w", duty, id, last.State, err)
 		}
 		it := v.Journals[duty].Item(id)
 		if it == nil {
-			return last, fmt.Errorf("%s has forgotten %s", duty, id)
+			return last, fmt.Errorf("duty %s: item %s is no longer in the journal", duty, id)
 		}
 		if it.State != last.State || it.Note != last.Note || it.Step != last.Step {
 			report(*it)
@@ -169,10 +175,11 @@
 	}
 }
 
-// followInterval is the pause between two looks at an item that is followed.
+// followInterval is the pause between two polls of a followed item.
 const followInterval = 50 * time.Millisecond
 
-// requestPlacement queues a request to the placement duty, waits, and prints what became of it.
+// requestPlacement submits a request to the placement duty, waits until it is finished, and prints the outcome. It returns an error
+// if the request was not carried out.
 func requestPlacement(c *cobra.Command, g *quorum.Client, within time.Duration, kind string, args any, asJSON bool) error {
 	return inTime(g, within, func(ctx context.Context) error {
 		id, err := submit(ctx, g, controller.PlacementDuty, kind, args)
--- a/cmd/silverpath/fleet.go
+++ b/cmd/silverpath/fleet.go
@@ -15,7 +15,7 @@
 	"silverpath/internal/policy/statemachine"
 )
 
-// fleetCommand begins rollouts, shows them, and directs the one under way.
+// fleetCommand returns the commands that start, show, pause, resume and abort rollouts.
 func fleetCommand() *cobra.Command {
 	var g groupAccess
 	cmd := &cobra.Command{Use: "fleet", Short: "Take a fleet's servers out and back, one after the other: see docs/duties.md"}
@@ -27,6 +27,7 @@
 	return cmd
 }
 
+// fleetRoll returns the command that submits a rollout and prints its item's ID.
 func fleetRoll(g *groupAccess) *cobra.Command {
 	var spec controller.RolloutSpec
 	var dwell, back time.Duration
@@ -64,6 +65,7 @@
 	return cmd
 }
 
+// fleetStatus returns the command that prints the latest rollout or, with --at, the recovery state of the given processes.
 func fleetStatus(g *groupAccess) *cobra.Command {
 	var at []string
 	cmd := &cobra.Command{Use: "status", Short: "Show the roll under way, or the last one; with --at, how far processes are on their way back", Args: cobra.NoArgs,
@@ -90,7 +92,7 @@
 	return cmd
 }
 
-// latestRollout is the rollout under way, else the last one; nil: there was none.
+// latestRollout returns the rollout under way, or the last one if none is, or nil if there has been none.
 func latestRollout(j *controller.Journal) *controller.Item {
 	if it := j.Current(); it != nil {
 		return it
@@ -101,6 +103,7 @@
 	return nil
 }
 
+// printRollout prints a rollout's line and, once the rollout has begun, a table of its servers.
 func printRollout(out io.Writer, it controller.Item) error {
 	fmt.Fprintln(out, rolloutLine(it))
 	p, ok := rolloutProgress(it)
@@ -115,7 +118,7 @@
 	return w.Flush()
 }
 
-// fleetDirect is a command that gives a directive for the rollout under way.
+// fleetDirect returns a command that sends a directive to the rollout under way.
 func fleetDirect(g *groupAccess, directive, short string) *cobra.Command {
 	return &cobra.Command{Use: directive, Short: short, Args: cobra.NoArgs, RunE: func(*cobra.Command, []string) error {
 		return g.inTime(func(ctx context.Context) error {
@@ -133,13 +136,13 @@
 	}}
 }
 
-// rolloutProgress reads how far a rollout is; ok is false for one that has not begun.
+// rolloutProgress decodes the progress of a rollout; ok is false if the rollout has not begun.
 func rolloutProgress(it controller.Item) (p controller.RolloutProgress, ok bool) {
 	ok = it.Plan != "" && json.Unmarshal([]byte(it.Plan), &p) == nil
 	return p, ok
 }
 
-// rolloutLine is a rollout in one line.
+// rolloutLine formats a rollout as one line.
 func rolloutLine(it controller.Item) string {
 	s := fmt.Sprintf("%s: %s, epoch %v, step %d", it.ID, it.State, it.Epoch, it.Step)
 	if p, ok := rolloutProgress(it); ok {
--- a/cmd/silverpath/main.go
+++ b/cmd/silverpath/main.go
@@ -16,7 +16,7 @@
 	"silverpath/internal/transport/client"
 )
 
-// parts are put round the service's own; the program has none.
+// parts wraps parts of the service. The program leaves it empty; tests set it to inject faults.
 var parts service.Hooks
 
 func main() {
@@ -87,7 +87,7 @@
 				router = true
 				cfg, err := load()
 				if err == nil && cfg.Edge.Router == nil {
-					err = errors.New("route: no fleet: give --edge FILE with one")
+					err = errors.New("route: no fleet is configured: give --edge FILE with one")
 				}
 				if err != nil {
 					return err
@@ -104,8 +104,8 @@
 	return cmd
 }
 
-// read reads the configuration: the file given, the one that LB_CONFIG names, or else the built-in one of a first
-// start, whose work a built-in worker does.
+// read loads the configuration from file, or from the file that LB_CONFIG names if file is empty. Without either it returns the
+// built-in configuration, whose requests a built-in worker executes. With router set it loads the configuration of a router.
 func read(file string, router bool) (settings.Config, error) {
 	if file == "" {
 		file = os.Getenv("LB_CONFIG")
@@ -125,7 +125,8 @@
 	return cfg, err
 }
 
-// front adds the flags that say which front to ask.
+// front adds the flags --front and --addr, which select the front that a command sends its requests to. Before the command runs, it
+// validates --front and fills in the default address.
 func front(c *cobra.Command, name, addr *string) {
 	c.Args = cobra.NoArgs
 	c.Flags().StringVar(name, "front", client.Platform, "the front to ask: "+client.Platform+" or "+client.SCGI)
@@ -187,7 +188,7 @@
 	return c
 }
 
-// version is what the build recorded: the module's version, or the revision it was built from.
+// version returns the module version that the build recorded, or the VCS revision if there is no version, followed by the Go version.
 func version() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
--- a/cmd/silverpath/parts.go
+++ b/cmd/silverpath/parts.go
@@ -14,24 +14,26 @@
 	"silverpath/internal/settings"
 )
 
-// Documents in parts, as commands write and read them: what is sent is what differs.
+// This file reads and writes documents in parts for the commands. Only parts that differ from the active version are sent.
 
-// maxWholeMap is the longest map, in bytes, that goes as one text while what is active does too: a small fleet pays for nothing new, and
-// its older builds read it.
+// maxWholeMap is the size, in bytes, of the longest map that is proposed as one text. Small fleets so avoid the cost of parts, and
+// their processes of older builds can read the map.
 const maxWholeMap = 32 << 10
 
-// goesInParts reports whether a text of a document goes in parts, on top of what is active.
+// goesInParts reports whether a text of a document is proposed in parts: a map is, if it is longer than maxWholeMap or the active
+// version is in parts already.
 func goesInParts(name, text string, active *configstore.Revision) bool {
 	return name == configstore.DocMap && (active != nil && active.InParts || len(text) > maxWholeMap)
 }
 
-// mapParts is a map in parts, with those that differ from what is active.
+// mapParts holds the texts of a map's parts by name, those of them that differ from the active version, and the digest of all.
 type mapParts struct {
 	texts, changed map[string]string
 	digest         uint64
 }
 
-// splitMap splits a map. It is an error that names the bound that the map is beyond, before anything is sent.
+// splitMap splits the text of a map into parts and compares them with the active version. It returns an error if the map is invalid
+// or exceeds a size limit, so that such a map is refused before anything is sent.
 func splitMap(text string, active *configstore.Revision) (s mapParts, err error) {
 	m, err := settings.ParseCells([]byte(text))
 	if err != nil {
@@ -50,7 +52,7 @@
 	return s, nil
 }
 
-// differences are the fields in which a map in parts differs from what is active.
+// differences returns the fields in which the map differs from the active version, whose changed parts it reads from the group.
 func (s mapParts) differences(ctx context.Context, g *quorum.Client, active *configstore.Revision) ([]configstore.Difference, error) {
 	old := map[string]configstore.Part{}
 	switch {
@@ -75,7 +77,8 @@
 	return configstore.DiffParts(configstore.DocMap, old, s.changed)
 }
 
-// upload sends the parts that changed into a draft where they are more than one change carries, and fills the change in.
+// upload fills the changed parts into change. If they exceed the size of one change, it sends them to a draft in several changes and
+// names the draft in change instead.
 func (s mapParts) upload(ctx context.Context, g *quorum.Client, change *configstore.Change, active *configstore.Revision) error {
 	change.Text, change.Digest = "", s.digest
 	if active == nil || !active.InParts {
@@ -86,7 +89,7 @@
 	batches := configstore.Batches(s.changed)
 	if len(batches) <= 1 {
 		change.Parts = s.changed
-		if len(s.changed) == 0 { // it says so itself
+		if len(s.changed) == 0 { // a change needs a part: the group then refuses this one as equal to the active version
 			change.Parts = map[string]string{settings.CellParts()[0]: s.texts[settings.CellParts()[0]]}
 		}
 		return nil
@@ -100,7 +103,8 @@
 	return nil
 }
 
-// membersRead names a member that could not keep a document in parts, before the first one is put: it would lose its place in the log.
+// membersRead returns an error that names the first member whose build does not support documents in parts. It is called before the
+// first document in parts is proposed: such a member can't read its log entry, and would stop following the log there.
 func membersRead(ctx context.Context, g *quorum.Client) error {
 	var members []statemachine.Member
 	var err error
@@ -117,7 +121,7 @@
 	for _, m := range members {
 		st, err := g.StatusOf(ctx, m.Addr)
 		if err != nil {
-			return fmt.Errorf("member %s can't be asked whether it keeps documents in parts: the first one needs them all: %w", m.Name, err)
+			return fmt.Errorf("failed to ask member %s whether it keeps documents in parts, as all members must before the first one: %w", m.Name, err)
 		}
 		if st.Format < configstore.PartsFormat {
 			return fmt.Errorf("member %s is of a build that keeps no documents in parts: upgrade it first", m.Name)
@@ -126,7 +130,8 @@
 	return nil
 }
 
-// proposedAlready is the version that a change has become which was proposed twice, as the first answer was lost on the way; 0: none.
+// proposedAlready returns the version that a change became when it was proposed before, or 0 if it was not. A change is proposed
+// twice if the reply to the first proposal was lost.
 func proposedAlready(ctx context.Context, g *quorum.Client, change configstore.Change, digest uint64, top int) int {
 	r, err := g.Config(ctx)
 	if err != nil || r.Store.Documents[change.Doc] == nil {
@@ -141,7 +146,8 @@
 	return 0
 }
 
-// partsOf reads the texts of parts by name, of those that a version has.
+// partsOf reads the texts of the named parts of a version from the group and verifies their digests. It skips names that are not in
+// the version's manifest.
 func partsOf(ctx context.Context, g *quorum.Client, doc string, id configstore.ID, manifest map[string]configstore.Part, names []string) (map[string]string, error) {
 	texts, missing := map[string]string{}, []string{}
 	for _, name := range names {
@@ -157,19 +163,20 @@
 		before := len(missing)
 		for name, one := range p.Parts {
 			if configstore.PartDigest(one.Text) != manifest[name].Digest {
-				return nil, fmt.Errorf("part %s of %s %v is not what it was said to be", name, doc, id)
+				return nil, fmt.Errorf("part %s of %s %v does not match its digest", name, doc, id)
 			}
 			texts[name] = one.Text
 		}
 		missing = slices.DeleteFunc(missing, func(name string) bool { return texts[name] != "" })
 		if len(missing) == before {
-			return nil, fmt.Errorf("part %s of %s %v can't be read", missing[0], doc, id)
+			return nil, fmt.Errorf("part %s of %s %v is missing from the reply", missing[0], doc, id)
 		}
 	}
 	return texts, nil
 }
 
-// joinedText is the whole text of a version in parts, as a file has it. Base is what is in active, where the version is under way.
+// joinedText returns the text of a version in parts in the form of a file. For a proposed version e, which has only its changed
+// parts, base is the active version that the other parts come from.
 func joinedText(ctx context.Context, g *quorum.Client, doc string, e, base *configstore.Revision) (string, error) {
 	all := maps.Clone(e.Parts)
 	if base != nil && base != e {
@@ -177,7 +184,7 @@
 		maps.Copy(all, e.Parts)
 	}
 	if configstore.PartsDigest(all) != e.ID.Digest {
-		return "", fmt.Errorf("%s %v has changed as it was read: again", doc, e.ID)
+		return "", fmt.Errorf("%s %v changed while it was read: run the command again", doc, e.ID)
 	}
 	texts, err := partsOf(ctx, g, doc, e.ID, all, slices.Sorted(maps.Keys(all)))
 	if err != nil {
@@ -190,7 +197,8 @@
 	return string(settings.FormatCells(m)), nil
 }
 
-// versionText is the text of a version that is kept, in whichever form.
+// versionText returns the text of a stored version, whether it is one text or in parts. It returns an error if the group does not
+// provide the text.
 func versionText(ctx context.Context, g *quorum.Client, d *configstore.Document, e *configstore.Revision) (string, error) {
 	switch {
 	case !e.InParts && e.Text != "":
@@ -200,7 +208,7 @@
 	case e == d.Proposed:
 		return joinedText(ctx, g, d.Name, e, d.Active)
 	case !e.InParts:
-		return "", fmt.Errorf("version %d of %s is kept, and too long to be shown with the others", e.ID.Version, d.Name)
+		return "", fmt.Errorf("version %d of %s is kept, but its text is too long for the group's summary", e.ID.Version, d.Name)
 	}
-	return "", fmt.Errorf("version %d of %s was in parts and is over: of it is kept which changed: %s", e.ID.Version, d.Name, strings.Join(e.ChangedParts, " "))
+	return "", fmt.Errorf("version %d of %s was in parts, and only the names of its changed parts are kept: %s", e.ID.Version, d.Name, strings.Join(e.ChangedParts, " "))
 }
--- a/cmd/silverpath/quorum.go
+++ b/cmd/silverpath/quorum.go
@@ -21,32 +21,33 @@
 	"silverpath/internal/policy/statemachine"
 )
 
-// groupAccess is a command's way to the group: its flags, and the time that it has.
+// groupAccess holds the group flags of a command: the group's client, the timeout and the output format.
 type groupAccess struct {
 	client quorum.Client
 	within time.Duration
 	asJSON bool
 }
 
-// addFlags adds the flags that say which group is asked, and in which form the answer is printed.
+// addFlags adds the flags of groupFlags and --json.
 func (g *groupAccess) addFlags(c *cobra.Command) {
 	groupFlags(c, &g.client, &g.within)
 	c.PersistentFlags().BoolVar(&g.asJSON, "json", false, "print JSON")
 }
 
-// inTime calls with the time that the command has.
+// inTime calls do with a context that ends after the command's --within.
 func (g *groupAccess) inTime(do func(ctx context.Context) error) error {
 	return inTime(&g.client, g.within, do)
 }
 
-// groupFlags adds the flags that say which group is asked.
+// groupFlags adds the flags --group, --members and --within.
 func groupFlags(c *cobra.Command, g *quorum.Client, within *time.Duration) {
 	c.PersistentFlags().StringVar(&g.Group, "group", "", "the group's name")
 	c.PersistentFlags().StringSliceVar(&g.Addrs, "members", nil, "addresses of its members")
 	c.PersistentFlags().DurationVar(within, "within", 10*time.Second, "how long to wait for the group")
 }
 
-// inTime calls with the time that a command has.
+// inTime calls do with a context that ends after within, and closes the client afterwards. It returns an error if --group or
+// --members is not set.
 func inTime(g *quorum.Client, within time.Duration, do func(ctx context.Context) error) error {
 	if g.Group == "" || len(g.Addrs) == 0 {
 		return errors.New("--group and --members: both say which group is asked")
@@ -57,7 +58,7 @@
 	return do(ctx)
 }
 
-// agreed has the group agree on a command, and makes its refusal an error.
+// agreed submits a command to the group and waits for its result. A refusal by the group is returned as an error.
 func agreed(ctx context.Context, g *quorum.Client, c statemachine.Command) (statemachine.Result, error) {
 	r, err := g.Do(ctx, c)
 	if err == nil && r.Error != "" {
@@ -66,7 +67,7 @@
 	return r, err
 }
 
-// submit queues a request to a duty, and returns the ID that it has there.
+// submit queues an item in a duty's journal and returns the item's ID.
 func submit(ctx context.Context, g *quorum.Client, duty, kind string, args any) (id string, err error) {
 	raw, err := json.Marshal(args)
 	if err != nil {
@@ -77,21 +78,22 @@
 	return id, err
 }
 
-// newID is a number that no other request has.
+// newID returns a random hexadecimal ID of 48 bits.
 func newID() string {
 	var b [6]byte
-	rand.Read(b[:]) // it never fails: it ends the program instead
+	rand.Read(b[:]) // never returns an error: a failure of the system's generator ends the program
 	return hex.EncodeToString(b[:])
 }
 
+// printJSON prints v as indented JSON.
 func printJSON(w io.Writer, v any) error {
 	e := json.NewEncoder(w)
 	e.SetIndent("", "  ")
 	return e.Encode(v)
 }
 
-// runMember runs the program of members in this one's place. It is a program of its own beside this one, so that servers and
-// routers carry nothing of it. Tests, whose program has both, run it as it is.
+// runMember replaces this process by silverpath-quorum, which is in the folder of this program. It is a separate program so that
+// servers and routers do not link its code. Tests replace runMember by a call, as the test binary contains both programs.
 var runMember = func(args ...string) error {
 	self, err := os.Executable()
 	if err != nil {
@@ -104,6 +106,7 @@
 	return nil
 }
 
+// quorumCommand returns the commands that run, found, change and show the members of a group.
 func quorumCommand() *cobra.Command {
 	var config string
 	var g quorum.Client
@@ -155,14 +158,14 @@
 	return cmd
 }
 
-// memberLine is what is shown of one member.
+// memberLine is one member's entry in the output of quorum status.
 type memberLine struct {
 	Addr   string         `json:"addr"`
-	Error  string         `json:"error,omitempty"` // it could not be asked
+	Error  string         `json:"error,omitempty"` // why its status could not be read
 	Status *quorum.Status `json:"status,omitempty"`
 }
 
-// groupStatus shows what each member is. It returns an error where none leads.
+// groupStatus prints the status of each member. It returns an error if no member is the leader.
 func groupStatus(ctx context.Context, c *cobra.Command, g *quorum.Client, asJSON bool) error {
 	var list []memberLine
 	leads := false
@@ -188,6 +191,7 @@
 	return nil
 }
 
+// printMembers prints the members' status as a table.
 func printMembers(out io.Writer, list []memberLine) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "ADDR\tNAME\tSTATE\tVOTE\tTERM\tAPPLIED\tSTARTS\tGROUP")
--- a/cmd/silverpath/recover.go
+++ b/cmd/silverpath/recover.go
@@ -10,7 +10,7 @@
 	"silverpath/internal/storage/inspect"
 )
 
-// recoverCommand shows what there is to go by after an outage.
+// recoverCommand returns the commands that show which data on disk can be trusted after an outage.
 func recoverCommand() *cobra.Command {
 	cmd := &cobra.Command{Use: "recover", Short: "See what is left on disks after the dark: see docs/recovery.md"}
 	var asJSON bool
@@ -22,7 +22,7 @@
 	return cmd
 }
 
-// inspectPaths prints what each path holds, and fails where some of it can't be trusted.
+// inspectPaths prints the finding for each path. It returns an error if some of the data can't be trusted.
 func inspectPaths(out io.Writer, paths []string, asJSON bool) error {
 	var findings []inspect.Finding
 	problems := 0
@@ -51,7 +51,7 @@
 	return nil
 }
 
-// printFinding prints what one path holds, for people.
+// printFinding prints the finding for one path as text.
 func printFinding(out io.Writer, f inspect.Finding) {
 	fmt.Fprintf(out, "%s: %s", f.Path, f.Kind)
 	if f.Owner != "" {
--- a/cmd/silverpath/returns.go
+++ b/cmd/silverpath/returns.go
@@ -13,29 +13,31 @@
 	"silverpath/internal/transport/client"
 )
 
-// returnOf is how far a process is on its way back to full service, as it says itself.
+// returnOf is the progress of a process towards full service, as its own status reports it.
 type returnOf struct {
 	Addr  string     `json:"addr"`
 	Name  string     `json:"name,omitempty"`
-	State string     `json:"state"` // "away": it does not answer; "unknown": it keeps nothing, and follows no path
+	State string     `json:"state"` // "away": the process does not answer; "unknown": its status has no recovery state
 	ForMS int64      `json:"for_ms,omitempty"`
 	Waits []waitFor  `json:"waits,omitempty"`
 	Steps []stepThen `json:"steps,omitempty"`
 	Why   string     `json:"why,omitempty"`
 }
 
+// waitFor is a condition that a process waits for, since when, and for how long at most.
 type waitFor struct {
 	For     string `json:"for"`
 	SinceMS int64  `json:"since_ms"`
 	MostMS  int64  `json:"at_most_ms,omitempty"`
 }
 
+// stepThen is a state that a process entered, and the time that it took to reach it.
 type stepThen struct {
 	State   string `json:"state"`
 	AfterMS int64  `json:"after_ms"`
 }
 
-// returnAt asks one process.
+// returnAt reads the recovery state of one process from its status.
 func returnAt(addr string) returnOf {
 	r := returnOf{Addr: addr, State: "away"}
 	text, err := client.Status(client.Platform, addr)
@@ -62,7 +64,7 @@
 	return r
 }
 
-// showReturns asks processes, all at once, and shows what each says; in the order in which they were named.
+// showReturns reads the recovery states of processes in parallel and prints them in the order of addrs.
 func showReturns(c *cobra.Command, addrs []string, asJSON bool) error {
 	list := make([]returnOf, len(addrs))
 	var all sync.WaitGroup
--- a/cmd/silverpath/rules.go
+++ b/cmd/silverpath/rules.go
@@ -15,12 +15,12 @@
 	"silverpath/internal/policy/statemachine"
 )
 
-// rulesCommand has the operator's commands on the documents that a group agrees on.
+// rulesCommand returns the operator commands that show and change the documents that a group agrees on.
 func rulesCommand() *cobra.Command {
 	var g quorum.Client
 	var within time.Duration
 	var asJSON bool
-	var asked string // the document that get shows
+	var asked string // the document named on the command line; empty: all
 	cmd := &cobra.Command{Use: "rules", Short: "Show and change the documents that a group agrees on: see docs/rules.md"}
 	groupFlags(cmd, &g, &within)
 	cmd.PersistentFlags().BoolVar(&asJSON, "json", false, "print JSON")
@@ -33,7 +33,7 @@
 			return do(ctx, r)
 		})
 	}
-	// get shows a document as a file has it, also one that is in parts.
+	// get is read, but first joins the parts of the requested document into one text.
 	get := func(do func(ctx context.Context, r quorum.ConfigView) error) error {
 		return read(func(ctx context.Context, r quorum.ConfigView) error {
 			for name, d := range r.Store.Documents {
@@ -61,7 +61,8 @@
 	return cmd
 }
 
-// rulesControl is a command that has a change wait, go on, or be withdrawn. Where none is proposed, withdraw reverts the active version.
+// rulesControl returns a command that holds, releases or withdraws the proposed change of a document. If no change is proposed,
+// withdraw reverts the active version.
 func rulesControl(g *quorum.Client, within *time.Duration, op configstore.Op, use, short string) *cobra.Command {
 	var why string
 	c := &cobra.Command{Use: use, Short: short, Args: cobra.ExactArgs(1), RunE: func(c *cobra.Command, args []string) error {
@@ -94,7 +95,7 @@
 	return c
 }
 
-// whoami is the author of a change, for operators who look later.
+// whoami returns the name of the current user, which is recorded as the author of a change.
 func whoami() string {
 	if u, err := user.Current(); err == nil {
 		return u.Username
@@ -102,10 +103,10 @@
 	return "somebody"
 }
 
-// doc is a document by its name; an error names those that there can be.
+// doc returns the document of a name. If it does not exist, the error lists all valid names.
 func doc(r quorum.ConfigView, name string) (*configstore.Document, error) {
 	if d := r.Store.Documents[name]; d != nil {
 		return d, nil
 	}
-	return nil, fmt.Errorf("no such document yet: %q, of %s", name, strings.Join(configstore.DocumentNames, ", "))
+	return nil, fmt.Errorf("document %q does not exist yet; the names are %s", name, strings.Join(configstore.DocumentNames, ", "))
 }
--- a/cmd/silverpath/rulesdiff.go
+++ b/cmd/silverpath/rulesdiff.go
@@ -16,7 +16,7 @@
 	"silverpath/internal/settings"
 )
 
-// rulesDiff compares a file with what is active, or two versions.
+// rulesDiff returns the command that compares a file with the active version, or two versions of a document.
 func rulesDiff(g *quorum.Client, read func(func(context.Context, quorum.ConfigView) error) error, asJSON *bool) *cobra.Command {
 	var versions []int
 	diff := &cobra.Command{Use: "diff DOC [FILE]", Short: "Show in which fields a file differs from what is in force, or two versions from each other, and their kinds",
@@ -33,7 +33,7 @@
 				case len(args) == 1 && len(versions) == 2:
 					list, err = diffVersions(ctx, g, d, versions)
 				default:
-					err = errors.New("either a file or two --versions")
+					err = errors.New("give either a file or two --versions")
 				}
 				if err != nil {
 					return err
@@ -48,7 +48,7 @@
 	return diff
 }
 
-// diffFile is how a file differs from what is active of a document.
+// diffFile returns the differences between the active version of a document and a file.
 func diffFile(ctx context.Context, g *quorum.Client, d *configstore.Document, file string) ([]configstore.Difference, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
@@ -71,7 +71,7 @@
 	return s.differences(ctx, g, d.Active)
 }
 
-// diffVersions is how two versions that are kept differ.
+// diffVersions returns the differences between two stored versions of a document.
 func diffVersions(ctx context.Context, g *quorum.Client, d *configstore.Document, versions []int) ([]configstore.Difference, error) {
 	var texts [2]string
 	for i, n := range versions {
--- a/cmd/silverpath/rulesput.go
+++ b/cmd/silverpath/rulesput.go
@@ -18,7 +18,8 @@
 	"silverpath/internal/settings"
 )
 
-// rulesPut proposes a document from a file: also from the files of an installation that had no group.
+// rulesPut returns the command that proposes a document from a file. The file may also be an edge file or a configuration, as used by
+// installations without a group.
 func rulesPut(g *quorum.Client, within *time.Duration, asJSON *bool) *cobra.Command {
 	p := proposal{group: g}
 	var dry, wait bool
@@ -58,7 +59,7 @@
 	return put
 }
 
-// proposal is a change of a document that is put together from a file and flags.
+// proposal is a change of a document, built from a file and flags by read and prepare.
 type proposal struct {
 	group *quorum.Client
 
@@ -71,11 +72,11 @@
 	format          int
 	config          quorum.ConfigView
 	active          *configstore.Revision // nil: the document is new
-	highest         int                   // version of the document
-	parts           *mapParts             // nil: it goes as one text
+	highest         int                   // highest version number of the document so far
+	parts           *mapParts             // nil: the document is proposed as one text
 }
 
-// read reads the document from a file, and checks it against a site where one is given.
+// read reads the document from a file. It checks pools and classes against the configuration file site, if one is given.
 func (p *proposal) read(doc, file, site string) error {
 	data, err := os.ReadFile(file)
 	if err != nil {
@@ -91,7 +92,7 @@
 	return nil
 }
 
-// prepare reads what is active, and splits the document where it goes in parts.
+// prepare reads the active version, and splits the document if it is proposed in parts.
 func (p *proposal) prepare(ctx context.Context) (err error) {
 	if p.config, err = p.group.Config(ctx); err != nil {
 		return err
@@ -109,7 +110,7 @@
 	return nil
 }
 
-// dryRun prints what would change and for whom.
+// dryRun prints the differences from the active version and the processes that the change affects, without proposing it.
 func (p *proposal) dryRun(ctx context.Context, w io.Writer, asJSON bool) error {
 	old := ""
 	if p.active != nil {
@@ -125,7 +126,8 @@
 	return printDryRun(w, p.config, p.doc, p.format, list, p.active == nil, asJSON)
 }
 
-// propose proposes the change, and returns the version that it has become.
+// propose proposes the change and returns its version. If the group refuses it because an earlier attempt was accepted, it returns
+// the version of that attempt.
 func (p *proposal) propose(ctx context.Context) (version int, err error) {
 	change := configstore.Change{Op: configstore.OpPropose, Doc: p.doc, Text: p.text, Format: p.format, Author: whoami(),
 		AllowRejected: p.allowRejected, Reason: p.holdReason}
@@ -152,7 +154,8 @@
 	return got.Version, nil
 }
 
-// checkFor checks a document whole against a site, where one is given. Every process does so against its own.
+// checkFor validates a document against the configuration file of a site, or returns nil if config is empty. Each process makes the
+// same check against its own configuration.
 func checkFor(name, text, config string) error {
 	if config == "" {
 		return nil
@@ -169,21 +172,22 @@
 	return err
 }
 
-// activePollInterval is how often the group is asked while a change is waited for.
+// activePollInterval is the pause between two polls of a change that waitActive waits for.
 const activePollInterval = 20 * time.Millisecond
 
-// waitActive waits until a change is active, or will not be.
+// waitActive polls a change until its version is active and prints each stage. It returns an error if the change ended otherwise or
+// ctx ends first.
 func waitActive(ctx context.Context, g *quorum.Client, out io.Writer, name string, version int) error {
 	printed := ""
 	for {
 		r, err := g.Config(ctx)
 		if err != nil {
-			return fmt.Errorf("%s version %d is under way: %s: %w", name, version, printed, err)
+			return fmt.Errorf("%s version %d is under way (%s), but reading its state failed: %w", name, version, printed, err)
 		}
 		d := r.Store.Documents[name]
 		switch {
 		case d == nil:
-			return fmt.Errorf("%s is gone", name)
+			return fmt.Errorf("document %s no longer exists", name)
 		case d.Active != nil && d.Active.ID.Version == version:
 			fmt.Fprintf(out, "%s: version %d is in force\n", name, version)
 			return nil
@@ -193,7 +197,7 @@
 					return fmt.Errorf("%s: version %d: %s", name, version, e.Outcome)
 				}
 			}
-			return fmt.Errorf("%s: version %d is no more", name, version)
+			return fmt.Errorf("%s: version %d no longer exists", name, version)
 		}
 		if line := fmt.Sprintf("%s: version %d is %s: %s", name, version, d.Stage, r.Store.WaitingFor(d)); line != printed {
 			printed = line
@@ -207,7 +211,8 @@
 	}
 }
 
-// printDryRun prints what a change would change, and which processes act on the document.
+// printDryRun prints the differences that a change makes, the processes that use the document with the reason why they can't take
+// the change, and whether exclusive work stops for it.
 func printDryRun(w io.Writer, r quorum.ConfigView, name string, format int, list []configstore.Difference, first, asJSON bool) error {
 	stops := configstore.HasExclusive(list) && !first
 	var touches []string
@@ -240,9 +245,9 @@
 	}
 	switch {
 	case stops && len(touches) > 0:
-		fmt.Fprintf(w, "all stop what is exclusive of %s before anybody begins the new\n", strings.Join(touches, ", "))
+		fmt.Fprintf(w, "every process stops exclusive work of %s before any begins to use the new version\n", strings.Join(touches, ", "))
 	case stops:
-		fmt.Fprintln(w, "all stop what is exclusive before anybody begins the new")
+		fmt.Fprintln(w, "every process stops exclusive work before any begins to use the new version")
 	}
 	return nil
 }
--- a/cmd/silverpath/rulesshow.go
+++ b/cmd/silverpath/rulesshow.go
@@ -17,7 +17,8 @@
 	"silverpath/internal/policy/configstore"
 )
 
-// rulesShow is a command that only shows.
+// rulesShow returns a command that reads the documents with read and prints them with show. It stores the name that the operator gave
+// in asked, for read to use.
 func rulesShow(use, short string, read func(func(context.Context, quorum.ConfigView) error) error, asJSON *bool, asked *string,
 	show func(w io.Writer, r quorum.ConfigView, name string, asJSON bool) error) *cobra.Command {
 	args := cobra.MaximumNArgs(1)
@@ -41,7 +42,7 @@
 	}}
 }
 
-// showDocs shows all documents, or the text of one.
+// showDocs prints a table of all documents or, if name is set, the text of one.
 func showDocs(out io.Writer, r quorum.ConfigView, name string, asJSON bool) error {
 	if name != "" {
 		d := r.Store.Documents[name]
@@ -49,7 +50,7 @@
 		case asJSON:
 			return printJSON(out, d)
 		case d.Active == nil:
-			return errors.New("nothing is in force yet")
+			return errors.New("no version of the document is in force yet")
 		}
 		_, err := io.WriteString(out, d.Active.Text)
 		return err
@@ -73,7 +74,7 @@
 	return w.Flush()
 }
 
-// stamp is a time in Unix milliseconds for people, empty for none.
+// stamp formats a time in Unix milliseconds as RFC 3339, and 0 as an empty string.
 func stamp(ms int64) string {
 	if ms == 0 {
 		return ""
@@ -81,7 +82,7 @@
 	return time.UnixMilli(ms).UTC().Format(time.RFC3339)
 }
 
-// showHistory shows the versions of a document.
+// showHistory prints the versions of a document, the active and the proposed one last.
 func showHistory(out io.Writer, r quorum.ConfigView, name string, asJSON bool) error {
 	d := r.Store.Documents[name]
 	all := slices.Clone(d.History)
@@ -114,19 +115,19 @@
 	return w.Flush()
 }
 
-// processRow is what a process says of a document.
+// processRow is the state of one document at one process, as the process reports it.
 type processRow struct {
 	Process string `json:"process"`
 	Doc     string `json:"doc"`
 	Acts    int    `json:"acts"`
 	Holds   int    `json:"holds,omitempty"`
 	Reads   int    `json:"reads"`
-	Ago     int64  `json:"heard_ms_ago"` // under 0: not by this leader
+	Ago     int64  `json:"heard_ms_ago"` // under 0: the process has not reported to this leader
 	Stops   string `json:"stops,omitempty"`
 	Refuses string `json:"refuses,omitempty"`
 }
 
-// processRows are those of all processes, or of those that use a document.
+// processRows returns the rows of all processes and documents or, if doc is set, those of one document.
 func processRows(r quorum.ConfigView, doc string) (rows []processRow) {
 	for _, n := range slices.Sorted(maps.Keys(r.Store.Processes)) {
 		p, report := r.Store.Processes[n], r.Reports[n]
@@ -147,7 +148,7 @@
 	return rows
 }
 
-// showWho shows which process acts on which version, and what changes wait for.
+// showWho prints which process acts on which version, the quota granted in each cell, and what each proposed change waits for.
 func showWho(out io.Writer, r quorum.ConfigView, name string, asJSON bool) error {
 	rows := processRows(r, name)
 	if asJSON {
--- a/cmd/silverpath/store.go
+++ b/cmd/silverpath/store.go
@@ -16,14 +16,14 @@
 	"silverpath/internal/transport/admin"
 )
 
-// storeCommand looks after the files in which servers keep the runs of idempotent requests.
+// storeCommand returns the commands that maintain the files in which servers store the runs of idempotent requests.
 func storeCommand() *cobra.Command {
 	cmd := &cobra.Command{Use: "store", Short: "Look after the runs of keyed requests that are kept on a disk: see docs/durable.md"}
 	cmd.AddCommand(storeInitCommand(), storeCheckCommand(), storeDumpCommand(), storeCompactCommand(), storeExportCommand(), storeImportCommand())
 	return cmd
 }
 
-// storeSubcommand is a command on the store of a folder, which --dir names.
+// storeSubcommand returns a command that calls run with the value of the required flag --dir, the store's folder or file.
 func storeSubcommand(use, short string, run func(c *cobra.Command, dir string) error) *cobra.Command {
 	var dir string
 	c := &cobra.Command{Use: use, Short: short, Args: cobra.NoArgs, RunE: func(c *cobra.Command, _ []string) error { return run(c, dir) }}
@@ -32,7 +32,7 @@
 	return c
 }
 
-// nameFlag adds the name of the service that a store is for.
+// nameFlag adds the required flag --name, the name of the service that owns the store.
 func nameFlag(c *cobra.Command, name *string) {
 	c.Flags().StringVar(name, "name", "", "the name of the service that it is for")
 	c.MarkFlagRequired("name")
@@ -86,7 +86,7 @@
 	return c
 }
 
-// snapshotTimeout is how long a service may take to copy a store in use: it writes as much as limits.memory_mb allows.
+// snapshotTimeout limits how long a service may take to copy its open store, whose size limits.memory_mb bounds.
 const snapshotTimeout = time.Minute
 
 func storeExportCommand() *cobra.Command {
@@ -107,7 +107,7 @@
 	return c
 }
 
-// exportInUse has the service that has a store open copy it, and prints the copy's path.
+// exportInUse calls the management front at addr to have the service copy its open store, and prints the copy's path.
 func exportInUse(c *cobra.Command, addr string) error {
 	ctx, cancel := context.WithTimeout(context.Background(), snapshotTimeout)
 	defer cancel()
@@ -122,7 +122,7 @@
 	return nil
 }
 
-// checkStore prints what stands in a file, and fails where some of it can't be read.
+// checkStore prints a summary of a store's file. It returns an error if the file is damaged or has unreadable records.
 func checkStore(c *cobra.Command, path string) error {
 	s, err := idempotencystore.Check(path)
 	if err != nil {
@@ -141,7 +141,7 @@
 	return nil
 }
 
-// printRecord prints a record as a JSON object on a line of its own; of the result its size alone.
+// printRecord prints a record as a JSON object on one line. It prints the size of the result, not the result.
 func printRecord(c *cobra.Command, r idempotency.Record) error {
 	text, err := json.Marshal(struct {
 		Seq     uint64 `json:"seq"`
@@ -149,7 +149,7 @@
 		Key     string `json:"key"`
 		ID      string `json:"id"`
 		Window  int64  `json:"window_ms"`
-		Reached int64  `json:"reached_ms"` // since the machine was switched on
+		Reached int64  `json:"reached_ms"` // since the machine's boot
 		Until   int64  `json:"until_ms"`
 		Result  int    `json:"result_bytes"`
 	}{r.Seq, r.State.String(), r.Key, r.ID, r.Window.Milliseconds(), r.ReceivedAt.Milliseconds(), r.ExpiresAt.Milliseconds(), len(r.Result)})
