--- a/cmd/silverpath/capacity.go
+++ b/cmd/silverpath/capacity.go
@@ -19,28 +19,28 @@
 // capacityCommand returns the command that computes the resources that a fleet of the target's size needs, and the size at which it
 // reaches a limit. The command prints one line and exits with 1 if the target or results file is missing or invalid.
 func capacityCommand() *cobra.Command {
-	var file, measured string
+	var targetFile, resultsFile string
 	var asJSON bool
 	c := &cobra.Command{Use: "capacity", Short: "Compute what a fleet of a size takes, and where it breaks: see docs/CAPACITY.md", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			t, err := settings.ParseTarget(deploy.Target)
-			if file != "" {
-				t, err = settings.LoadTarget(file)
+			target, err := settings.ParseTarget(deploy.Target)
+			if targetFile != "" {
+				target, err = settings.LoadTarget(targetFile)
 			}
 			if err != nil {
 				return err
 			}
-			r, err := results.Read(results.Scale)
-			if measured != "" {
+			measurements, err := results.Read(results.Scale)
+			if resultsFile != "" {
 				var data []byte
-				if data, err = os.ReadFile(measured); err == nil {
-					r, err = results.Parse(measured, data)
+				if data, err = os.ReadFile(resultsFile); err == nil {
+					measurements, err = results.Parse(resultsFile, data)
 				}
 			}
 			if err != nil {
 				return err
 			}
-			plan, err := capacity.Compute(t, r, capacity.Current)
+			plan, err := capacity.Compute(target, measurements, capacity.Current)
 			if err != nil {
 				return err
 			}
@@ -51,19 +51,19 @@
 			}
 			return printPlan(c.OutOrStdout(), plan)
 		}}
-	c.Flags().StringVar(&file, "target", "", "the target's file, as deploy/target.json (default: that one, which is built in)")
-	c.Flags().StringVar(&measured, "results", "", "what was measured, as docs/results/scale.json (default: that one, which is built in)")
+	c.Flags().StringVar(&targetFile, "target", "", "the target's file, as deploy/target.json (default: that one, which is built in)")
+	c.Flags().StringVar(&resultsFile, "results", "", "what was measured, as docs/results/scale.json (default: that one, which is built in)")
 	c.Flags().BoolVar(&asJSON, "json", false, "print JSON")
 	return c
 }
 
 // printPlan prints the tables of a plan as text.
 func printPlan(out io.Writer, plan capacity.Plan) error {
-	by := plan.Measured
-	if by == "" {
-		by = "nothing was measured"
+	source := plan.Measured
+	if source == "" {
+		source = "nothing was measured"
 	}
-	fmt.Fprintf(out, "Results: %s.\n%s\n", by, capacity.Marks)
+	fmt.Fprintf(out, "Results: %s.\n%s\n", source, capacity.Marks)
 	for _, t := range plan.Tables() {
 		fmt.Fprintf(out, "\n%s\n\n", t.Title)
 		w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
--- a/cmd/silverpath/cells.go
+++ b/cmd/silverpath/cells.go
@@ -21,12 +21,12 @@
 // cellsCommand returns the operator commands that show and change a cell map. A command that fails, because the map is invalid or
 // the planner refuses a migration, prints one line and exits with 1.
 func cellsCommand() *cobra.Command {
-	var o mapCommand
+	var o mapOptions
 	cmd := &cobra.Command{Use: "cells", Short: "Show and change a cell map: see docs/cells.md"}
 	cmd.PersistentFlags().StringVar(&o.file, "map", "deploy/cells.json", "the cell map")
 	cmd.PersistentFlags().BoolVar(&o.asJSON, "json", false, "print JSON")
-	groupFlags(cmd, &o.group, &o.within) // with --group set, move and abort are requests to the placement controller
-	cmd.PersistentFlags().DurationVar(&o.wait, "wait", 5*time.Second, "how long to wait for another change that is under way")
+	groupFlags(cmd, &o.group, &o.groupTimeout) // with --group set, move and abort are requests to the placement controller
+	cmd.PersistentFlags().DurationVar(&o.lockTimeout, "wait", 5*time.Second, "how long to wait for another change that is under way")
 	cmd.AddCommand(o.show(), o.check(), o.abort(), o.publish(), o.move("plan", "Say what a move would do, or why it can't be made", false),
 		o.move("move", "Move a tenant to another cell", true))
 	cmd.RunE = func(*cobra.Command, []string) error {
@@ -35,16 +35,16 @@
 	return cmd
 }
 
-// mapCommand holds the options that all commands on a cell map share.
-type mapCommand struct {
-	file         string
-	asJSON       bool
-	wait, within time.Duration // how long to wait for another writer of the file, and for the group
-	group        quorum.Client // its Group is empty if no --group is given
+// mapOptions holds the options that all commands on a cell map share.
+type mapOptions struct {
+	file                      string
+	asJSON                    bool
+	lockTimeout, groupTimeout time.Duration // how long to wait for another writer of the file, and for the group
+	group                     quorum.Client // its Group is empty if no --group is given
 }
 
 // load reads the map and validates it.
-func (o *mapCommand) load() (*cells.Map, error) {
+func (o *mapOptions) load() (*cells.Map, error) {
 	m, err := proxy.ReadMap(o.file)
 	if err != nil {
 		err = fmt.Errorf("%s: %w", o.file, err)
@@ -53,7 +53,7 @@
 }
 
 // print prints v as JSON if --json is set, and otherwise the table that table writes.
-func (o *mapCommand) print(w io.Writer, v any, table func(w *tabwriter.Writer)) error {
+func (o *mapOptions) print(w io.Writer, v any, table func(w *tabwriter.Writer)) error {
 	if o.asJSON {
 		e := json.NewEncoder(w)
 		e.SetIndent("", "  ")
@@ -68,7 +68,7 @@
 type planner func(m *cells.Map, now time.Time) (*cells.Map, error)
 
 // dryRun calls plan with the current map and validates the planned map, but does not write it.
-func (o *mapCommand) dryRun(plan planner) error {
+func (o *mapOptions) dryRun(plan planner) error {
 	m, err := o.load()
 	if err != nil {
 		return err
@@ -85,9 +85,9 @@
 }
 
 // change calls plan with the current map and writes the planned map to the file. If another change of the file is under way, it
-// waits for that one, for up to o.wait.
-func (o *mapCommand) change(c *cobra.Command, plan planner) error {
-	next, err := proxy.Change(o.file, o.wait, plan)
+// waits for that one, for up to o.lockTimeout.
+func (o *mapOptions) change(c *cobra.Command, plan planner) error {
+	next, err := proxy.Change(o.file, o.lockTimeout, plan)
 	if err != nil {
 		return err
 	}
@@ -97,19 +97,19 @@
 
 // move returns a command that plans the migration of a tenant. With write set, the command also carries the migration out: through
 // the group's placement controller if a group is given, else by a change of the map's file.
-func (o *mapCommand) move(use, short string, write bool) *cobra.Command {
+func (o *mapOptions) move(use, short string, write bool) *cobra.Command {
 	var tenant, to string
 	var shard int
 	c := &cobra.Command{Use: use, Short: short, Args: cobra.NoArgs, RunE: func(c *cobra.Command, _ []string) error {
 		if write && o.group.Group != "" {
-			return requestPlacement(c, &o.group, o.within, controller.KindMove, controller.MoveRequest{Tenant: tenant, To: to, Shard: shard}, o.asJSON)
+			return requestPlacement(c, &o.group, o.groupTimeout, controller.KindMove, controller.MoveRequest{Tenant: tenant, To: to, Shard: shard}, o.asJSON)
 		}
 		plan := func(m *cells.Map, now time.Time) (*cells.Map, error) {
 			p, err := m.PlanMove(now, tenant, to, shard)
 			if err != nil {
 				return nil, err
 			}
-			return p.Next, o.print(c.OutOrStdout(), planView(p), func(w *tabwriter.Writer) { planTable(w, p) })
+			return p.Next, o.print(c.OutOrStdout(), newMovePlanView(p), func(w *tabwriter.Writer) { writeMovePlanTable(w, p) })
 		}
 		if write {
 			return o.change(c, plan)
@@ -124,8 +124,8 @@
 	return c
 }
 
-// planTable writes a planned migration, with the cells' loads before and after it, as a table.
-func planTable(w *tabwriter.Writer, p cells.Plan) {
+// writeMovePlanTable writes a planned migration, with the cells' loads before and after it, as a table.
+func writeMovePlanTable(w *tabwriter.Writer, p cells.Plan) {
 	fmt.Fprintf(w, "tenant\t%s\nfrom\t%s\nto\t%s\nin force\t%s\nsettled\t%s\n", p.Tenant, p.From, p.To,
 		p.At.Format(time.DateTime), p.Settled.Format(time.DateTime))
 	for i, l := range p.After {
@@ -134,12 +134,12 @@
 }
 
 // abort returns the command that takes back a migration which is prepared or in force.
-func (o *mapCommand) abort() *cobra.Command {
+func (o *mapOptions) abort() *cobra.Command {
 	var tenant string
 	c := &cobra.Command{Use: "abort", Short: "Take a move back that is prepared or in force", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			if o.group.Group != "" {
-				return requestPlacement(c, &o.group, o.within, controller.KindAbort, controller.MoveRequest{Tenant: tenant}, o.asJSON)
+				return requestPlacement(c, &o.group, o.groupTimeout, controller.KindAbort, controller.MoveRequest{Tenant: tenant}, o.asJSON)
 			}
 			return o.change(c, func(m *cells.Map, now time.Time) (*cells.Map, error) { return m.PlanAbort(now, tenant) })
 		}}
@@ -149,16 +149,16 @@
 }
 
 // check returns the command that validates a map and, with --after, checks that it may follow the given one.
-func (o *mapCommand) check() *cobra.Command {
-	var before string
+func (o *mapOptions) check() *cobra.Command {
+	var previousFile string
 	c := &cobra.Command{Use: "check", Short: "Say whether a map is good, and could follow another one", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			m, err := o.load()
 			if err != nil {
 				return err
 			}
-			if before != "" {
-				if err := o.checkFollows(c.OutOrStdout(), m, before); err != nil {
+			if previousFile != "" {
+				if err := o.checkFollows(c.OutOrStdout(), m, previousFile); err != nil {
 					return err
 				}
 			}
@@ -167,19 +167,19 @@
 				servers, tenants)
 			return nil
 		}}
-	c.Flags().StringVar(&before, "after", "", "the map that it is to follow")
+	c.Flags().StringVar(&previousFile, "after", "", "the map that it is to follow")
 	return c
 }
 
-// checkFollows checks that m may follow the map in the file before, and prints the differences between the two.
-func (o *mapCommand) checkFollows(w io.Writer, m *cells.Map, before string) error {
-	data, err := os.ReadFile(before)
+// checkFollows checks that m may follow the map in previousFile, and prints the differences between the two.
+func (o *mapOptions) checkFollows(w io.Writer, m *cells.Map, previousFile string) error {
+	data, err := os.ReadFile(previousFile)
 	if err != nil {
 		return err
 	}
 	old, err := settings.ParseCells(data)
 	if err != nil {
-		return fmt.Errorf("%s: %w", before, err)
+		return fmt.Errorf("%s: %w", previousFile, err)
 	}
 	if err := m.Follows(old, time.Now()); err != nil {
 		return fmt.Errorf("%s: %w", o.file, err)
@@ -191,19 +191,19 @@
 }
 
 // show returns the command that prints the cells with their servers and loads, and the cell and servers of each tenant.
-func (o *mapCommand) show() *cobra.Command {
+func (o *mapOptions) show() *cobra.Command {
 	return &cobra.Command{Use: "show", Short: "Show who lives where", Args: cobra.NoArgs, RunE: func(c *cobra.Command, _ []string) error {
 		m, err := o.load()
 		if err != nil {
 			return err
 		}
-		return o.print(c.OutOrStdout(), showView(m), func(w *tabwriter.Writer) { showTable(w, m) })
+		return o.print(c.OutOrStdout(), newMapView(m), func(w *tabwriter.Writer) { writeMapTable(w, m) })
 	}}
 }
 
 // publish returns the command that writes the map's file as the first version into an empty version folder. The placement
 // controller writes all later versions.
-func (o *mapCommand) publish() *cobra.Command {
+func (o *mapOptions) publish() *cobra.Command {
 	var folder string
 	c := &cobra.Command{Use: "publish", Short: "Put a map's file into a folder of versions, as the first that the keeper goes on from", Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
@@ -251,7 +251,7 @@
 	Tenants []tenantView `json:"tenants"`
 }
 
-func showView(m *cells.Map) mapView {
+func newMapView(m *cells.Map) mapView {
 	now := time.Now()
 	v := mapView{Version: m.Version, Overlap: m.Overlap(now)}
 	for _, l := range m.Loads(now) {
@@ -270,8 +270,8 @@
 	return v
 }
 
-func showTable(w *tabwriter.Writer, m *cells.Map) {
-	v := showView(m)
+func writeMapTable(w *tabwriter.Writer, m *cells.Map) {
+	v := newMapView(m)
 	fmt.Fprintf(w, "version %d, overlap of tenants in a cell %.2f\n\nCELL\tCAPACITY\tRATE\tSERVERS\n", v.Version, v.Overlap)
 	for _, c := range v.Cells {
 		fmt.Fprintf(w, "%s\t%.0f\t%.0f\t%v\n", c.Cell, c.Capacity, c.Rate, c.Servers)
@@ -286,7 +286,7 @@
 	}
 }
 
-type plan struct {
+type movePlanView struct {
 	Tenant  string       `json:"tenant"`
 	From    string       `json:"from"`
 	To      string       `json:"to"`
@@ -297,6 +297,6 @@
 	After   []cells.Load `json:"after"`
 }
 
-func planView(p cells.Plan) plan {
-	return plan{p.Tenant, p.From, p.To, p.Shard, p.At.UnixMilli(), p.Settled.UnixMilli(), p.Before, p.After}
+func newMovePlanView(p cells.Plan) movePlanView {
+	return movePlanView{p.Tenant, p.From, p.To, p.Shard, p.At.UnixMilli(), p.Settled.UnixMilli(), p.Before, p.After}
 }
--- a/cmd/silverpath/duty.go
+++ b/cmd/silverpath/duty.go
@@ -35,7 +35,7 @@
 func dutyList(g *groupAccess) *cobra.Command {
 	return &cobra.Command{Use: "list", Short: "Show every duty: its owner, epoch, who waits and what is under way", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			return g.inTime(func(ctx context.Context) error {
+			return g.withTimeout(func(ctx context.Context) error {
 				v, err := g.client.Read(ctx, "*")
 				if err != nil {
 					return err
@@ -53,20 +53,20 @@
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "DUTY\tOWNER\tEPOCH\tAGE\tSTEP\tOPEN\tPAUSED\tWAITING")
 	for _, name := range controller.Duties {
-		d, j, open := v.Table.Duties[name], v.Journals[name], 0
+		d, j, unfinished := v.Table.Duties[name], v.Journals[name], 0
 		if d == nil {
 			d = &lease.Duty{Name: name}
 		}
 		for _, it := range j.Items {
 			if !it.State.Finished() {
-				open++
+				unfinished++
 			}
 		}
 		age := ""
 		if d.Holder != "" && d.HeldSince > 0 {
 			age = time.Since(time.UnixMilli(d.HeldSince)).Round(time.Second).String()
 		}
-		fmt.Fprintf(w, "%s\t%s\t%v\t%s\t%d\t%d\t%s\t%s\n", name, d.Holder, d.Epoch, age, j.Step, open, d.PauseReason, strings.Join(d.Queue, " "))
+		fmt.Fprintf(w, "%s\t%s\t%v\t%s\t%d\t%d\t%s\t%s\n", name, d.Holder, d.Epoch, age, j.Step, unfinished, d.PauseReason, strings.Join(d.Queue, " "))
 	}
 	return w.Flush()
 }
@@ -82,7 +82,7 @@
 	var name string
 	cmd := &cobra.Command{Use: "show", Short: "Show the journal of a duty", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			return g.inTime(func(ctx context.Context) error {
+			return g.withTimeout(func(ctx context.Context) error {
 				v, err := g.client.Read(ctx, name)
 				if err != nil {
 					return err
@@ -114,7 +114,7 @@
 func dutyChange(g *groupAccess, use, short string, request func() lease.Request) *cobra.Command {
 	var name string
 	cmd := &cobra.Command{Use: use, Short: short, Args: cobra.NoArgs, RunE: func(c *cobra.Command, _ []string) error {
-		return g.inTime(func(ctx context.Context) error {
+		return g.withTimeout(func(ctx context.Context) error {
 			r := request()
 			r.Duty = name
 			result, err := agreed(ctx, &g.client, statemachine.Command{Lease: &r})
@@ -142,10 +142,10 @@
 
 // dutyPause returns the command that pauses a duty: its owner begins no new items.
 func dutyPause(g *groupAccess) *cobra.Command {
-	var why string
+	var reason string
 	cmd := dutyChange(g, "pause", "Have nothing new begun of a duty",
-		func() lease.Request { return lease.Request{Op: lease.Pause, Reason: why} })
-	cmd.Flags().StringVar(&why, "why", "by an operator", "why, for those who look")
+		func() lease.Request { return lease.Request{Op: lease.Pause, Reason: reason} })
+	cmd.Flags().StringVar(&reason, "why", "by an operator", "why, for those who look")
 	return cmd
 }
 
@@ -181,7 +181,7 @@
 // requestPlacement submits a request to the placement duty, waits until it is finished, and prints the outcome. It returns an error
 // if the request was not carried out.
 func requestPlacement(c *cobra.Command, g *quorum.Client, within time.Duration, kind string, args any, asJSON bool) error {
-	return inTime(g, within, func(ctx context.Context) error {
+	return withGroupTimeout(g, within, func(ctx context.Context) error {
 		id, err := submit(ctx, g, controller.PlacementDuty, kind, args)
 		if err != nil {
 			return err
--- a/cmd/silverpath/fleet.go
+++ b/cmd/silverpath/fleet.go
@@ -30,15 +30,15 @@
 // fleetRoll returns the command that submits a rollout and prints its item's ID.
 func fleetRoll(g *groupAccess) *cobra.Command {
 	var spec controller.RolloutSpec
-	var dwell, back time.Duration
+	var minDwell, returnTimeout time.Duration
 	var wait bool
 	cmd := &cobra.Command{Use: "roll", Short: "Evacuate the servers and have them return, never more than so many out", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			spec.DwellMS, spec.ReturnMS = dwell.Milliseconds(), back.Milliseconds()
+			spec.DwellMS, spec.ReturnMS = minDwell.Milliseconds(), returnTimeout.Milliseconds()
 			if err := spec.Check(); err != nil {
 				return err
 			}
-			return g.inTime(func(ctx context.Context) error {
+			return g.withTimeout(func(ctx context.Context) error {
 				id, err := submit(ctx, &g.client, controller.RolloutDuty, controller.KindRollout, spec)
 				if err != nil {
 					return err
@@ -47,7 +47,7 @@
 				if !wait {
 					return nil
 				}
-				it, err := followItem(ctx, &g.client, controller.RolloutDuty, id, func(it controller.Item) { fmt.Fprintln(c.ErrOrStderr(), rolloutLine(it)) })
+				it, err := followItem(ctx, &g.client, controller.RolloutDuty, id, func(it controller.Item) { fmt.Fprintln(c.ErrOrStderr(), formatRollout(it)) })
 				if err == nil && it.State != controller.Done {
 					err = errors.New(it.Note)
 				}
@@ -58,8 +58,8 @@
 	f.StringSliceVar(&spec.Servers, "servers", nil, "which (default: all of the map)")
 	f.IntVar(&spec.MaxOutPerCell, "cell-most", 1, "out at once in a cell")
 	f.IntVar(&spec.MaxOut, "all-most", 1, "out at once in all")
-	f.DurationVar(&dwell, "dwell", 5*time.Second, "how long each is out, at least")
-	f.DurationVar(&back, "back", 30*time.Second, "within which it has to be ready again, or the roll stops")
+	f.DurationVar(&minDwell, "dwell", 5*time.Second, "how long each is out, at least")
+	f.DurationVar(&returnTimeout, "back", 30*time.Second, "within which it has to be ready again, or the roll stops")
 	f.Float64Var(&spec.MinServedShare, "worth-least", 0, "part of the worth that has to be served, or the roll stops; 0: not looked at")
 	f.BoolVar(&wait, "wait", false, "wait for its end, within --within")
 	return cmd
@@ -67,13 +67,13 @@
 
 // fleetStatus returns the command that prints the latest rollout or, with --at, the recovery state of the given processes.
 func fleetStatus(g *groupAccess) *cobra.Command {
-	var at []string
+	var addrs []string
 	cmd := &cobra.Command{Use: "status", Short: "Show the roll under way, or the last one; with --at, how far processes are on their way back", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			if len(at) > 0 {
-				return showReturns(c, at, g.asJSON)
+			if len(addrs) > 0 {
+				return showRecoveries(c, addrs, g.asJSON)
 			}
-			return g.inTime(func(ctx context.Context) error {
+			return g.withTimeout(func(ctx context.Context) error {
 				v, err := g.client.Read(ctx, controller.RolloutDuty)
 				if err != nil {
 					return err
@@ -88,7 +88,7 @@
 				return printRollout(c.OutOrStdout(), *it)
 			})
 		}}
-	cmd.Flags().StringSliceVar(&at, "at", nil, "addresses of routers and servers that are asked how far they have come: see docs/recovery.md")
+	cmd.Flags().StringSliceVar(&addrs, "at", nil, "addresses of routers and servers that are asked how far they have come: see docs/recovery.md")
 	return cmd
 }
 
@@ -105,7 +105,7 @@
 
 // printRollout prints a rollout's line and, once the rollout has begun, a table of its servers.
 func printRollout(out io.Writer, it controller.Item) error {
-	fmt.Fprintln(out, rolloutLine(it))
+	fmt.Fprintln(out, formatRollout(it))
 	p, ok := rolloutProgress(it)
 	if !ok {
 		return nil
@@ -121,7 +121,7 @@
 // fleetDirect returns a command that sends a directive to the rollout under way.
 func fleetDirect(g *groupAccess, directive, short string) *cobra.Command {
 	return &cobra.Command{Use: directive, Short: short, Args: cobra.NoArgs, RunE: func(*cobra.Command, []string) error {
-		return g.inTime(func(ctx context.Context) error {
+		return g.withTimeout(func(ctx context.Context) error {
 			v, err := g.client.Read(ctx, controller.RolloutDuty)
 			if err != nil {
 				return err
@@ -142,8 +142,8 @@
 	return p, ok
 }
 
-// rolloutLine formats a rollout as one line.
-func rolloutLine(it controller.Item) string {
+// formatRollout formats a rollout as one line.
+func formatRollout(it controller.Item) string {
 	s := fmt.Sprintf("%s: %s, epoch %v, step %d", it.ID, it.State, it.Epoch, it.Step)
 	if p, ok := rolloutProgress(it); ok {
 		returned := 0
--- a/cmd/silverpath/main.go
+++ b/cmd/silverpath/main.go
@@ -27,22 +27,22 @@
 }
 
 func root() *cobra.Command {
-	var config, edge, listen, web, logs string
+	var configFile, edgeFile, listenAddr, scgiAddr, logFormat string
 	router := false
 	load := func() (settings.Config, error) {
-		cfg, err := read(config, router)
-		if err == nil && listen != "" {
-			cfg.Listen = listen
+		cfg, err := loadConfig(configFile, router)
+		if err == nil && listenAddr != "" {
+			cfg.Listen = listenAddr
 		}
-		if err == nil && web != "" {
-			cfg.SCGI.Listen = web
+		if err == nil && scgiAddr != "" {
+			cfg.SCGI.Listen = scgiAddr
 		}
-		if err == nil && logs != "text" && logs != "json" {
-			err = fmt.Errorf("--log: %q is neither text nor json", logs)
+		if err == nil && logFormat != "text" && logFormat != "json" {
+			err = fmt.Errorf("--log: %q is neither text nor json", logFormat)
 		}
-		cfg.JSONLog = logs == "json"
-		if err == nil && edge != "" {
-			cfg.Edge, err = settings.LoadEdge(edge, cfg.Server)
+		cfg.JSONLog = logFormat == "json"
+		if err == nil && edgeFile != "" {
+			cfg.Edge, err = settings.LoadEdge(edgeFile, cfg.Server)
 		}
 		return cfg, err
 	}
@@ -53,11 +53,11 @@
 	}
 	withConfig := func(c *cobra.Command) *cobra.Command {
 		c.Args = cobra.NoArgs
-		c.Flags().StringVar(&config, "config", "", "configuration file (default: $LB_CONFIG, else a built-in one)")
-		c.Flags().StringVar(&edge, "edge", "", "file that sets up pools, reserve and status requests")
-		c.Flags().StringVar(&listen, "listen", "", "address of the MessagePack-RPC front, in place of the file's")
-		c.Flags().StringVar(&logs, "log", "text", "the log's form: text for people, json for machines")
-		c.Flags().StringVar(&web, "scgi", "", "address of the SCGI front, in place of the file's")
+		c.Flags().StringVar(&configFile, "config", "", "configuration file (default: $LB_CONFIG, else a built-in one)")
+		c.Flags().StringVar(&edgeFile, "edge", "", "file that sets up pools, reserve and status requests")
+		c.Flags().StringVar(&listenAddr, "listen", "", "address of the MessagePack-RPC front, in place of the file's")
+		c.Flags().StringVar(&logFormat, "log", "text", "the log's form: text for people, json for machines")
+		c.Flags().StringVar(&scgiAddr, "scgi", "", "address of the SCGI front, in place of the file's")
 		return c
 	}
 	cmd.AddCommand(
@@ -104,9 +104,9 @@
 	return cmd
 }
 
-// read loads the configuration from file, or from the file that LB_CONFIG names if file is empty. Without either it returns the
+// loadConfig loads the configuration from file, or from the file that LB_CONFIG names if file is empty. Without either it returns the
 // built-in configuration, whose requests a built-in worker executes. With router set it loads the configuration of a router.
-func read(file string, router bool) (settings.Config, error) {
+func loadConfig(file string, router bool) (settings.Config, error) {
 	if file == "" {
 		file = os.Getenv("LB_CONFIG")
 	}
@@ -125,50 +125,50 @@
 	return cfg, err
 }
 
-// front adds the flags --front and --addr, which select the front that a command sends its requests to. Before the command runs, it
+// addFrontFlags adds the flags --front and --addr, which select the front that a command sends its requests to. Before the command runs, it
 // validates --front and fills in the default address.
-func front(c *cobra.Command, name, addr *string) {
+func addFrontFlags(c *cobra.Command, frontName, addr *string) {
 	c.Args = cobra.NoArgs
-	c.Flags().StringVar(name, "front", client.Platform, "the front to ask: "+client.Platform+" or "+client.SCGI)
+	c.Flags().StringVar(frontName, "front", client.Platform, "the front to ask: "+client.Platform+" or "+client.SCGI)
 	c.Flags().StringVar(addr, "addr", "", "its address (default: that of a start without a configuration)")
 	c.PreRunE = func(*cobra.Command, []string) error {
-		known := map[string]string{client.Platform: "127.0.0.1:4001", client.SCGI: "127.0.0.1:4000"}
-		if known[*name] == "" {
-			return fmt.Errorf("--front: %q is neither %s nor %s", *name, client.Platform, client.SCGI)
+		defaultAddrs := map[string]string{client.Platform: "127.0.0.1:4001", client.SCGI: "127.0.0.1:4000"}
+		if defaultAddrs[*frontName] == "" {
+			return fmt.Errorf("--front: %q is neither %s nor %s", *frontName, client.Platform, client.SCGI)
 		}
 		if *addr == "" {
-			*addr = known[*name]
+			*addr = defaultAddrs[*frontName]
 		}
 		return nil
 	}
 }
 
 func askCommand() *cobra.Command {
-	var p client.Plan
+	var plan client.Plan
 	var body string
 	c := &cobra.Command{
 		Use: "ask", Short: "Send requests to a running service and show the answers; fails where none is served",
 		RunE: func(c *cobra.Command, _ []string) error {
-			if p.Count < 1 {
-				return fmt.Errorf("--count: not above 0: %d", p.Count)
+			if plan.Count < 1 {
+				return fmt.Errorf("--count: not above 0: %d", plan.Count)
 			}
-			p.Request.Body = []byte(body)
-			served, err := client.Run(p, c.OutOrStdout())
+			plan.Request.Body = []byte(body)
+			served, err := client.Run(plan, c.OutOrStdout())
 			if served == 0 && err == nil {
 				err = errors.New("nothing was served")
 			}
 			return err
 		},
 	}
-	front(c, &p.Front, &p.Addr)
+	addFrontFlags(c, &plan.Front, &plan.Addr)
 	f := c.Flags()
-	f.StringVar(&p.Request.Class, "class", "krog", "the class")
-	f.StringVar(&p.Request.Tenant, "tenant", "", "the tenant")
-	f.StringVar(&p.Request.Key, "key", "", "the key that makes all that is sent tries of one request")
+	f.StringVar(&plan.Request.Class, "class", "krog", "the class")
+	f.StringVar(&plan.Request.Tenant, "tenant", "", "the tenant")
+	f.StringVar(&plan.Request.Key, "key", "", "the key that makes all that is sent tries of one request")
 	f.StringVar(&body, "body", "hello", "the body")
-	f.DurationVar(&p.Request.Timeout, "wait", 4*time.Second, "how long to wait for an answer")
-	f.IntVar(&p.Count, "count", 1, "how many requests")
-	f.DurationVar(&p.Interval, "every", 0, "one each so often, whatever becomes of the others (default: one after the other)")
+	f.DurationVar(&plan.Request.Timeout, "wait", 4*time.Second, "how long to wait for an answer")
+	f.IntVar(&plan.Count, "count", 1, "how many requests")
+	f.DurationVar(&plan.Interval, "every", 0, "one each so often, whatever becomes of the others (default: one after the other)")
 	return c
 }
 
@@ -184,7 +184,7 @@
 			return err
 		},
 	}
-	front(c, &name, &addr)
+	addFrontFlags(c, &name, &addr)
 	return c
 }
 
--- a/cmd/silverpath/parts.go
+++ b/cmd/silverpath/parts.go
@@ -16,14 +16,14 @@
 
 // This file reads and writes documents in parts for the commands. Only parts that differ from the active version are sent.
 
-// maxWholeMap is the size, in bytes, of the longest map that is proposed as one text. Small fleets so avoid the cost of parts, and
+// maxSingleTextMap is the size, in bytes, of the longest map that is proposed as one text. Small fleets so avoid the cost of parts, and
 // their processes of older builds can read the map.
-const maxWholeMap = 32 << 10
+const maxSingleTextMap = 32 << 10
 
-// goesInParts reports whether a text of a document is proposed in parts: a map is, if it is longer than maxWholeMap or the active
+// sentInParts reports whether a text of a document is proposed in parts: a map is, if it is longer than maxSingleTextMap or the active
 // version is in parts already.
-func goesInParts(name, text string, active *configstore.Revision) bool {
-	return name == configstore.DocMap && (active != nil && active.InParts || len(text) > maxWholeMap)
+func sentInParts(name, text string, active *configstore.Revision) bool {
+	return name == configstore.DocMap && (active != nil && active.InParts || len(text) > maxSingleTextMap)
 }
 
 // mapParts holds the texts of a map's parts by name, those of them that differ from the active version, and the digest of all.
@@ -58,7 +58,7 @@
 	switch {
 	case active == nil:
 	case active.InParts:
-		texts, err := partsOf(ctx, g, configstore.DocMap, active.ID, active.Parts, slices.Sorted(maps.Keys(s.changed)))
+		texts, err := readParts(ctx, g, configstore.DocMap, active.ID, active.Parts, slices.Sorted(maps.Keys(s.changed)))
 		if err != nil {
 			return nil, err
 		}
@@ -82,7 +82,7 @@
 func (s mapParts) upload(ctx context.Context, g *quorum.Client, change *configstore.Change, active *configstore.Revision) error {
 	change.Text, change.Digest = "", s.digest
 	if active == nil || !active.InParts {
-		if err := membersRead(ctx, g); err != nil {
+		if err := checkMembersSupportParts(ctx, g); err != nil {
 			return err
 		}
 	}
@@ -95,17 +95,18 @@
 		return nil
 	}
 	change.Draft = newID()
-	for _, one := range batches {
-		if _, err := agreed(ctx, g, statemachine.Command{Config: &configstore.Change{Op: configstore.OpLoadDraft, Doc: change.Doc, Draft: change.Draft, Parts: one, Author: change.Author}}); err != nil {
+	for _, batch := range batches {
+		if _, err := agreed(ctx, g, statemachine.Command{Config: &configstore.Change{Op: configstore.OpLoadDraft, Doc: change.Doc, Draft: change.Draft, Parts: batch, Author: change.Author}}); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// membersRead returns an error that names the first member whose build does not support documents in parts. It is called before the
-// first document in parts is proposed: such a member can't read its log entry, and would stop following the log there.
-func membersRead(ctx context.Context, g *quorum.Client) error {
+// checkMembersSupportParts returns an error that names the first member whose build does not support documents in parts. It is
+// called before the first document in parts is proposed: such a member can't read its log entry, and would stop following the log
+// there.
+func checkMembersSupportParts(ctx context.Context, g *quorum.Client) error {
 	var members []statemachine.Member
 	var err error
 	for _, addr := range g.Addrs {
@@ -130,25 +131,25 @@
 	return nil
 }
 
-// proposedAlready returns the version that a change became when it was proposed before, or 0 if it was not. A change is proposed
+// findProposedVersion returns the version that a change became when it was proposed before, or 0 if it was not. A change is proposed
 // twice if the reply to the first proposal was lost.
-func proposedAlready(ctx context.Context, g *quorum.Client, change configstore.Change, digest uint64, top int) int {
+func findProposedVersion(ctx context.Context, g *quorum.Client, change configstore.Change, digest uint64, highest int) int {
 	r, err := g.Config(ctx)
 	if err != nil || r.Store.Documents[change.Doc] == nil {
 		return 0
 	}
 	d := r.Store.Documents[change.Doc]
-	for _, e := range []*configstore.Revision{d.Proposed, d.Active} {
-		if e != nil && e.ID == (configstore.ID{Version: top + 1, Digest: digest}) && e.Author == change.Author {
-			return e.ID.Version
+	for _, revision := range []*configstore.Revision{d.Proposed, d.Active} {
+		if revision != nil && revision.ID == (configstore.ID{Version: highest + 1, Digest: digest}) && revision.Author == change.Author {
+			return revision.ID.Version
 		}
 	}
 	return 0
 }
 
-// partsOf reads the texts of the named parts of a version from the group and verifies their digests. It skips names that are not in
+// readParts reads the texts of the named parts of a version from the group and verifies their digests. It skips names that are not in
 // the version's manifest.
-func partsOf(ctx context.Context, g *quorum.Client, doc string, id configstore.ID, manifest map[string]configstore.Part, names []string) (map[string]string, error) {
+func readParts(ctx context.Context, g *quorum.Client, doc string, id configstore.ID, manifest map[string]configstore.Part, names []string) (map[string]string, error) {
 	texts, missing := map[string]string{}, []string{}
 	for _, name := range names {
 		if _, ok := manifest[name]; ok {
@@ -161,11 +162,11 @@
 			return nil, err
 		}
 		before := len(missing)
-		for name, one := range p.Parts {
-			if configstore.PartDigest(one.Text) != manifest[name].Digest {
+		for name, part := range p.Parts {
+			if configstore.PartDigest(part.Text) != manifest[name].Digest {
 				return nil, fmt.Errorf("part %s of %s %v does not match its digest", name, doc, id)
 			}
-			texts[name] = one.Text
+			texts[name] = part.Text
 		}
 		missing = slices.DeleteFunc(missing, func(name string) bool { return texts[name] != "" })
 		if len(missing) == before {
@@ -175,18 +176,18 @@
 	return texts, nil
 }
 
-// joinedText returns the text of a version in parts in the form of a file. For a proposed version e, which has only its changed
+// readJoinedText returns the text of a version in parts in the form of a file. For a proposed version, which has only its changed
 // parts, base is the active version that the other parts come from.
-func joinedText(ctx context.Context, g *quorum.Client, doc string, e, base *configstore.Revision) (string, error) {
-	all := maps.Clone(e.Parts)
-	if base != nil && base != e {
-		all = maps.Clone(base.Parts)
-		maps.Copy(all, e.Parts)
+func readJoinedText(ctx context.Context, g *quorum.Client, doc string, revision, base *configstore.Revision) (string, error) {
+	manifest := maps.Clone(revision.Parts)
+	if base != nil && base != revision {
+		manifest = maps.Clone(base.Parts)
+		maps.Copy(manifest, revision.Parts)
 	}
-	if configstore.PartsDigest(all) != e.ID.Digest {
-		return "", fmt.Errorf("%s %v changed while it was read: run the command again", doc, e.ID)
+	if configstore.PartsDigest(manifest) != revision.ID.Digest {
+		return "", fmt.Errorf("%s %v changed while it was read: run the command again", doc, revision.ID)
 	}
-	texts, err := partsOf(ctx, g, doc, e.ID, all, slices.Sorted(maps.Keys(all)))
+	texts, err := readParts(ctx, g, doc, revision.ID, manifest, slices.Sorted(maps.Keys(manifest)))
 	if err != nil {
 		return "", err
 	}
@@ -197,18 +198,18 @@
 	return string(settings.FormatCells(m)), nil
 }
 
-// versionText returns the text of a stored version, whether it is one text or in parts. It returns an error if the group does not
+// readVersionText returns the text of a stored version, whether it is one text or in parts. It returns an error if the group does not
 // provide the text.
-func versionText(ctx context.Context, g *quorum.Client, d *configstore.Document, e *configstore.Revision) (string, error) {
+func readVersionText(ctx context.Context, g *quorum.Client, d *configstore.Document, revision *configstore.Revision) (string, error) {
 	switch {
-	case !e.InParts && e.Text != "":
-		return e.Text, nil
-	case e == d.Active:
-		return joinedText(ctx, g, d.Name, e, nil)
-	case e == d.Proposed:
-		return joinedText(ctx, g, d.Name, e, d.Active)
-	case !e.InParts:
-		return "", fmt.Errorf("version %d of %s is kept, but its text is too long for the group's summary", e.ID.Version, d.Name)
-	}
-	return "", fmt.Errorf("version %d of %s was in parts, and only the names of its changed parts are kept: %s", e.ID.Version, d.Name, strings.Join(e.ChangedParts, " "))
+	case !revision.InParts && revision.Text != "":
+		return revision.Text, nil
+	case revision == d.Active:
+		return readJoinedText(ctx, g, d.Name, revision, nil)
+	case revision == d.Proposed:
+		return readJoinedText(ctx, g, d.Name, revision, d.Active)
+	case !revision.InParts:
+		return "", fmt.Errorf("version %d of %s is kept, but its text is too long for the group's summary", revision.ID.Version, d.Name)
+	}
+	return "", fmt.Errorf("version %d of %s was in parts, and only the names of its changed parts are kept: %s", revision.ID.Version, d.Name, strings.Join(revision.ChangedParts, " "))
 }
--- a/cmd/silverpath/quorum.go
+++ b/cmd/silverpath/quorum.go
@@ -34,9 +34,9 @@
 	c.PersistentFlags().BoolVar(&g.asJSON, "json", false, "print JSON")
 }
 
-// inTime calls do with a context that ends after the command's --within.
-func (g *groupAccess) inTime(do func(ctx context.Context) error) error {
-	return inTime(&g.client, g.within, do)
+// withTimeout calls fn with a context that ends after the command's --within.
+func (g *groupAccess) withTimeout(fn func(ctx context.Context) error) error {
+	return withGroupTimeout(&g.client, g.within, fn)
 }
 
 // groupFlags adds the flags --group, --members and --within.
@@ -46,16 +46,16 @@
 	c.PersistentFlags().DurationVar(within, "within", 10*time.Second, "how long to wait for the group")
 }
 
-// inTime calls do with a context that ends after within, and closes the client afterwards. It returns an error if --group or
+// withGroupTimeout calls fn with a context that ends after timeout, and closes the client afterwards. It returns an error if --group or
 // --members is not set.
-func inTime(g *quorum.Client, within time.Duration, do func(ctx context.Context) error) error {
+func withGroupTimeout(g *quorum.Client, timeout time.Duration, fn func(ctx context.Context) error) error {
 	if g.Group == "" || len(g.Addrs) == 0 {
 		return errors.New("--group and --members: both say which group is asked")
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), within)
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	defer g.Close()
-	return do(ctx)
+	return fn(ctx)
 }
 
 // agreed submits a command to the group and waits for its result. A refusal by the group is returned as an error.
@@ -121,7 +121,7 @@
 			if err := terms.Check(); err != nil {
 				return err
 			}
-			return inTime(&g, within, func(ctx context.Context) error {
+			return withGroupTimeout(&g, within, func(ctx context.Context) error {
 				f, err := g.Found(ctx, terms)
 				if err == nil {
 					fmt.Fprintf(c.OutOrStdout(), "group %s, number %s, of %d members\n", f.Group, f.ID(), len(f.Members))
@@ -134,20 +134,20 @@
 	var addr, name string
 	add := &cobra.Command{Use: "add", Short: "Add a member whose disk is empty: it listens, catches up, and then has a vote", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			return inTime(&g, within, func(ctx context.Context) error { return g.Add(ctx, addr) })
+			return withGroupTimeout(&g, within, func(ctx context.Context) error { return g.Add(ctx, addr) })
 		}}
 	add.Flags().StringVar(&addr, "addr", "", "its address")
 	add.MarkFlagRequired("addr")
 	remove := &cobra.Command{Use: "remove", Short: "Take a member out, for good", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			return inTime(&g, within, func(ctx context.Context) error { return g.Remove(ctx, name) })
+			return withGroupTimeout(&g, within, func(ctx context.Context) error { return g.Remove(ctx, name) })
 		}}
 	remove.Flags().StringVar(&name, "name", "", "its name")
 	remove.MarkFlagRequired("name")
 	var asJSON bool
 	status := &cobra.Command{Use: "status", Short: "Show what each member is", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			return inTime(&g, within, func(ctx context.Context) error { return groupStatus(ctx, c, &g, asJSON) })
+			return withGroupTimeout(&g, within, func(ctx context.Context) error { return showGroupStatus(ctx, c, &g, asJSON) })
 		}}
 	status.Flags().BoolVar(&asJSON, "json", false, "print JSON")
 	var dir string
@@ -158,48 +158,48 @@
 	return cmd
 }
 
-// memberLine is one member's entry in the output of quorum status.
-type memberLine struct {
+// memberEntry is one member's entry in the output of quorum status.
+type memberEntry struct {
 	Addr   string         `json:"addr"`
 	Error  string         `json:"error,omitempty"` // why its status could not be read
 	Status *quorum.Status `json:"status,omitempty"`
 }
 
-// groupStatus prints the status of each member. It returns an error if no member is the leader.
-func groupStatus(ctx context.Context, c *cobra.Command, g *quorum.Client, asJSON bool) error {
-	var list []memberLine
-	leads := false
+// showGroupStatus prints the status of each member. It returns an error if no member is the leader.
+func showGroupStatus(ctx context.Context, c *cobra.Command, g *quorum.Client, asJSON bool) error {
+	var list []memberEntry
+	hasLeader := false
 	for _, addr := range g.Addrs {
 		s, err := g.StatusOf(ctx, addr)
 		if err != nil {
-			list = append(list, memberLine{addr, err.Error(), nil})
+			list = append(list, memberEntry{addr, err.Error(), nil})
 			continue
 		}
-		leads = leads || s.State == quorum.StateLeader
-		list = append(list, memberLine{addr, "", &s})
+		hasLeader = hasLeader || s.State == quorum.StateLeader
+		list = append(list, memberEntry{addr, "", &s})
 	}
 	show := printMembers
 	if asJSON {
-		show = func(w io.Writer, list []memberLine) error { return printJSON(w, list) }
+		show = func(w io.Writer, list []memberEntry) error { return printJSON(w, list) }
 	}
 	if err := show(c.OutOrStdout(), list); err != nil {
 		return err
 	}
-	if !leads {
+	if !hasLeader {
 		return errors.New("no member leads")
 	}
 	return nil
 }
 
 // printMembers prints the members' status as a table.
-func printMembers(out io.Writer, list []memberLine) error {
+func printMembers(out io.Writer, list []memberEntry) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "ADDR\tNAME\tSTATE\tVOTE\tTERM\tAPPLIED\tSTARTS\tGROUP")
-	for _, l := range list {
-		if s := l.Status; s != nil {
-			fmt.Fprintf(w, "%s\t%s\t%s\t%v\t%d\t%d\t%d\t%s\n", l.Addr, s.Name, s.State, s.Voter, s.Term, s.Applied, s.Starts, s.GroupID)
+	for _, entry := range list {
+		if s := entry.Status; s != nil {
+			fmt.Fprintf(w, "%s\t%s\t%s\t%v\t%d\t%d\t%d\t%s\n", entry.Addr, s.Name, s.State, s.Voter, s.Term, s.Applied, s.Starts, s.GroupID)
 		} else {
-			fmt.Fprintf(w, "%s\t\t%s\n", l.Addr, l.Error)
+			fmt.Fprintf(w, "%s\t\t%s\n", entry.Addr, entry.Error)
 		}
 	}
 	return w.Flush()
--- a/cmd/silverpath/returns.go
+++ b/cmd/silverpath/returns.go
@@ -13,33 +13,33 @@
 	"silverpath/internal/transport/client"
 )
 
-// returnOf is the progress of a process towards full service, as its own status reports it.
-type returnOf struct {
-	Addr  string     `json:"addr"`
-	Name  string     `json:"name,omitempty"`
-	State string     `json:"state"` // "away": the process does not answer; "unknown": its status has no recovery state
-	ForMS int64      `json:"for_ms,omitempty"`
-	Waits []waitFor  `json:"waits,omitempty"`
-	Steps []stepThen `json:"steps,omitempty"`
-	Why   string     `json:"why,omitempty"`
+// recoveryReport is the progress of a process towards full service, as its own status reports it.
+type recoveryReport struct {
+	Addr  string         `json:"addr"`
+	Name  string         `json:"name,omitempty"`
+	State string         `json:"state"` // "away": the process does not answer; "unknown": its status has no recovery state
+	ForMS int64          `json:"for_ms,omitempty"`
+	Waits []recoveryWait `json:"waits,omitempty"`
+	Steps []recoveryStep `json:"steps,omitempty"`
+	Why   string         `json:"why,omitempty"`
 }
 
-// waitFor is a condition that a process waits for, since when, and for how long at most.
-type waitFor struct {
+// recoveryWait is an unmet prerequisite of a process's recovery, how long the process has waited for it, and its maximum wait.
+type recoveryWait struct {
 	For     string `json:"for"`
 	SinceMS int64  `json:"since_ms"`
-	MostMS  int64  `json:"at_most_ms,omitempty"`
+	MaxMS   int64  `json:"at_most_ms,omitempty"`
 }
 
-// stepThen is a state that a process entered, and the time that it took to reach it.
-type stepThen struct {
+// recoveryStep is a state that a process entered, and how long after its start it did.
+type recoveryStep struct {
 	State   string `json:"state"`
 	AfterMS int64  `json:"after_ms"`
 }
 
-// returnAt reads the recovery state of one process from its status.
-func returnAt(addr string) returnOf {
-	r := returnOf{Addr: addr, State: "away"}
+// readRecovery reads the recovery state of one process from its status.
+func readRecovery(addr string) recoveryReport {
+	r := recoveryReport{Addr: addr, State: "away"}
 	text, err := client.Status(client.Platform, addr)
 	if err != nil {
 		r.Why = err.Error()
@@ -50,8 +50,8 @@
 		Recovery *struct {
 			State string
 			ForMS int64 `json:"for_ms"`
-			Waits []waitFor
-			Steps []stepThen
+			Waits []recoveryWait
+			Steps []recoveryStep
 		}
 	}
 	if err := json.Unmarshal(text, &s); err != nil {
@@ -64,14 +64,14 @@
 	return r
 }
 
-// showReturns reads the recovery states of processes in parallel and prints them in the order of addrs.
-func showReturns(c *cobra.Command, addrs []string, asJSON bool) error {
-	list := make([]returnOf, len(addrs))
-	var all sync.WaitGroup
+// showRecoveries reads the recovery states of processes in parallel and prints them in the order of addrs.
+func showRecoveries(c *cobra.Command, addrs []string, asJSON bool) error {
+	list := make([]recoveryReport, len(addrs))
+	var wg sync.WaitGroup
 	for i, a := range addrs {
-		all.Go(func() { list[i] = returnAt(a) })
+		wg.Go(func() { list[i] = readRecovery(a) })
 	}
-	all.Wait()
+	wg.Wait()
 	if asJSON {
 		return printJSON(c.OutOrStdout(), list)
 	}
@@ -79,12 +79,12 @@
 	fmt.Fprintln(w, "PROCESS\tADDRESS\tSTATE\tFOR\tWAITS FOR")
 	for _, r := range list {
 		var waits []string
-		for _, x := range r.Waits {
-			one := fmt.Sprintf("%s since %v", x.For, (time.Duration(x.SinceMS) * time.Millisecond).Round(100*time.Millisecond))
-			if x.MostMS > 0 {
-				one += fmt.Sprintf(" of at most %v", (time.Duration(x.MostMS) * time.Millisecond).Round(100*time.Millisecond))
+		for _, wait := range r.Waits {
+			text := fmt.Sprintf("%s since %v", wait.For, (time.Duration(wait.SinceMS) * time.Millisecond).Round(100*time.Millisecond))
+			if wait.MaxMS > 0 {
+				text += fmt.Sprintf(" of at most %v", (time.Duration(wait.MaxMS) * time.Millisecond).Round(100*time.Millisecond))
 			}
-			waits = append(waits, one)
+			waits = append(waits, text)
 		}
 		if r.Why != "" {
 			waits = append(waits, r.Why)
--- a/cmd/silverpath/rulesdiff.go
+++ b/cmd/silverpath/rulesdiff.go
@@ -22,7 +22,7 @@
 	diff := &cobra.Command{Use: "diff DOC [FILE]", Short: "Show in which fields a file differs from what is in force, or two versions from each other, and their kinds",
 		Args: cobra.RangeArgs(1, 2), RunE: func(c *cobra.Command, args []string) error {
 			return read(func(ctx context.Context, r quorum.ConfigView) error {
-				d, err := doc(r, args[0])
+				d, err := findDocument(r, args[0])
 				if err != nil {
 					return err
 				}
@@ -79,7 +79,7 @@
 		if r == nil {
 			return nil, fmt.Errorf("version %d of %s is not kept", n, d.Name)
 		}
-		text, err := versionText(ctx, g, d, r)
+		text, err := readVersionText(ctx, g, d, r)
 		if err != nil {
 			return nil, err
 		}
--- a/cmd/silverpath/rulesput.go
+++ b/cmd/silverpath/rulesput.go
@@ -29,7 +29,7 @@
 			if err := p.read(args[0], args[1], config); err != nil {
 				return err
 			}
-			return inTime(g, *within, func(ctx context.Context) error {
+			return withGroupTimeout(g, *within, func(ctx context.Context) error {
 				if err := p.prepare(ctx); err != nil {
 					return err
 				}
@@ -87,7 +87,7 @@
 		return fmt.Errorf("%s: %w", file, err)
 	}
 	if doc == configstore.DocPools || doc == configstore.DocClasses {
-		return checkFor(doc, p.text, site)
+		return checkAgainstSite(doc, p.text, site)
 	}
 	return nil
 }
@@ -100,7 +100,7 @@
 	if d := p.config.Store.Documents[p.doc]; d != nil {
 		p.active, p.highest = d.Active, d.HighestVersion
 	}
-	if goesInParts(p.doc, p.text, p.active) {
+	if sentInParts(p.doc, p.text, p.active) {
 		s, err := splitMap(p.text, p.active)
 		if err != nil {
 			return fmt.Errorf("%s: %w", p.file, err)
@@ -129,7 +129,7 @@
 // propose proposes the change and returns its version. If the group refuses it because an earlier attempt was accepted, it returns
 // the version of that attempt.
 func (p *proposal) propose(ctx context.Context) (version int, err error) {
-	change := configstore.Change{Op: configstore.OpPropose, Doc: p.doc, Text: p.text, Format: p.format, Author: whoami(),
+	change := configstore.Change{Op: configstore.OpPropose, Doc: p.doc, Text: p.text, Format: p.format, Author: currentUser(),
 		AllowRejected: p.allowRejected, Reason: p.holdReason}
 	if p.active != nil {
 		change.Version = p.active.ID.Version
@@ -144,23 +144,23 @@
 			return 0, err
 		}
 	}
-	got, err := agreed(ctx, p.group, statemachine.Command{Config: &change})
+	result, err := agreed(ctx, p.group, statemachine.Command{Config: &change})
 	if err != nil {
-		if version = proposedAlready(ctx, p.group, change, digest, p.highest); version == 0 {
+		if version = findProposedVersion(ctx, p.group, change, digest, p.highest); version == 0 {
 			return 0, err
 		}
 		return version, nil
 	}
-	return got.Version, nil
+	return result.Version, nil
 }
 
-// checkFor validates a document against the configuration file of a site, or returns nil if config is empty. Each process makes the
+// checkAgainstSite validates a document against the configuration file of a site, or returns nil if site is empty. Each process makes the
 // same check against its own configuration.
-func checkFor(name, text, config string) error {
-	if config == "" {
+func checkAgainstSite(name, text, site string) error {
+	if site == "" {
 		return nil
 	}
-	cfg, err := settings.Load(config)
+	cfg, err := settings.Load(site)
 	if err != nil {
 		return err
 	}
@@ -214,10 +214,10 @@
 // printDryRun prints the differences that a change makes, the processes that use the document with the reason why they can't take
 // the change, and whether exclusive work stops for it.
 func printDryRun(w io.Writer, r quorum.ConfigView, name string, format int, list []configstore.Difference, first, asJSON bool) error {
-	stops := configstore.HasExclusive(list) && !first
-	var touches []string
-	if stops {
-		touches = configstore.ScopeOf(name, list)
+	stopsExclusive := configstore.HasExclusive(list) && !first
+	var scope []string
+	if stopsExclusive {
+		scope = configstore.ScopeOf(name, list)
 	}
 	type user struct {
 		Name  string `json:"name"`
@@ -235,7 +235,7 @@
 		}
 	}
 	if asJSON {
-		return printJSON(w, map[string]any{"differences": list, "for": users, "stops_sheets": stops, "touches": touches})
+		return printJSON(w, map[string]any{"differences": list, "for": users, "stops_sheets": stopsExclusive, "touches": scope})
 	}
 	if err := diffTable(w, list); err != nil {
 		return err
@@ -244,9 +244,9 @@
 		fmt.Fprintf(w, "for %s %s\n", u.Name, u.Waits)
 	}
 	switch {
-	case stops && len(touches) > 0:
-		fmt.Fprintf(w, "every process stops exclusive work of %s before any begins to use the new version\n", strings.Join(touches, ", "))
-	case stops:
+	case stopsExclusive && len(scope) > 0:
+		fmt.Fprintf(w, "every process stops exclusive work of %s before any begins to use the new version\n", strings.Join(scope, ", "))
+	case stopsExclusive:
 		fmt.Fprintln(w, "every process stops exclusive work before any begins to use the new version")
 	}
 	return nil
--- a/cmd/silverpath/rulesshow.go
+++ b/cmd/silverpath/rulesshow.go
@@ -18,8 +18,8 @@
 )
 
 // rulesShow returns a command that reads the documents with read and prints them with show. It stores the name that the operator gave
-// in asked, for read to use.
-func rulesShow(use, short string, read func(func(context.Context, quorum.ConfigView) error) error, asJSON *bool, asked *string,
+// in requestedDoc, for read to use.
+func rulesShow(use, short string, read func(func(context.Context, quorum.ConfigView) error) error, asJSON *bool, requestedDoc *string,
 	show func(w io.Writer, r quorum.ConfigView, name string, asJSON bool) error) *cobra.Command {
 	args := cobra.MaximumNArgs(1)
 	if !strings.Contains(use, "[") {
@@ -30,10 +30,10 @@
 		if len(args) > 0 {
 			name = args[0]
 		}
-		*asked = name
+		*requestedDoc = name
 		return read(func(_ context.Context, r quorum.ConfigView) error {
 			if name != "" {
-				if _, err := doc(r, name); err != nil {
+				if _, err := findDocument(r, name); err != nil {
 					return err
 				}
 			}
@@ -64,7 +64,7 @@
 		d := r.Store.Documents[n]
 		active, since, by, proposed := "", "", "", ""
 		if d.Active != nil {
-			active, since, by = d.Active.ID.String(), stamp(d.Active.ActiveSince), d.Active.Author
+			active, since, by = d.Active.ID.String(), formatTime(d.Active.ActiveSince), d.Active.Author
 		}
 		if d.Proposed != nil {
 			proposed = d.Proposed.ID.String()
@@ -74,8 +74,8 @@
 	return w.Flush()
 }
 
-// stamp formats a time in Unix milliseconds as RFC 3339, and 0 as an empty string.
-func stamp(ms int64) string {
+// formatTime formats a time in Unix milliseconds as RFC 3339, and 0 as an empty string.
+func formatTime(ms int64) string {
 	if ms == 0 {
 		return ""
 	}
@@ -110,37 +110,37 @@
 		if e.RevertsTo > 0 {
 			outcome += fmt.Sprintf(" (version %d again)", e.RevertsTo)
 		}
-		fmt.Fprintf(w, "%v\t%s\t%s\t%s\t%s\n", e.ID, stamp(e.ProposedAt), e.Author, stamp(e.ActiveSince), outcome)
+		fmt.Fprintf(w, "%v\t%s\t%s\t%s\t%s\n", e.ID, formatTime(e.ProposedAt), e.Author, formatTime(e.ActiveSince), outcome)
 	}
 	return w.Flush()
 }
 
 // processRow is the state of one document at one process, as the process reports it.
 type processRow struct {
-	Process string `json:"process"`
-	Doc     string `json:"doc"`
-	Acts    int    `json:"acts"`
-	Holds   int    `json:"holds,omitempty"`
-	Reads   int    `json:"reads"`
-	Ago     int64  `json:"heard_ms_ago"` // under 0: the process has not reported to this leader
-	Stops   string `json:"stops,omitempty"`
-	Refuses string `json:"refuses,omitempty"`
+	Process         string `json:"process"`
+	Doc             string `json:"doc"`
+	ActiveVersion   int    `json:"acts"`
+	PreparedVersion int    `json:"holds,omitempty"`
+	Format          int    `json:"reads"`
+	AgeMS           int64  `json:"heard_ms_ago"` // under 0: the process has not reported to this leader
+	StopReason      string `json:"stops,omitempty"`
+	RefusalReason   string `json:"refuses,omitempty"`
 }
 
 // processRows returns the rows of all processes and documents or, if doc is set, those of one document.
 func processRows(r quorum.ConfigView, doc string) (rows []processRow) {
 	for _, n := range slices.Sorted(maps.Keys(r.Store.Processes)) {
 		p, report := r.Store.Processes[n], r.Reports[n]
-		for _, of := range slices.Sorted(maps.Keys(p.Formats)) {
-			if doc != "" && of != doc {
+		for _, docName := range slices.Sorted(maps.Keys(p.Formats)) {
+			if doc != "" && docName != doc {
 				continue
 			}
-			row := processRow{Process: n, Doc: of, Acts: report.ActiveVersions[of], Holds: p.Prepared[of], Reads: p.Formats[of], Ago: report.AgeMS, Stops: report.StopReason}
+			row := processRow{Process: n, Doc: docName, ActiveVersion: report.ActiveVersions[docName], PreparedVersion: p.Prepared[docName], Format: p.Formats[docName], AgeMS: report.AgeMS, StopReason: report.StopReason}
 			if report.ActiveVersions == nil {
-				row.Ago = -1
+				row.AgeMS = -1
 			}
-			if d := r.Store.Documents[of]; d != nil && d.Proposed != nil && p.Refusals[of].Version == d.Proposed.ID.Version {
-				row.Refuses = p.Refusals[of].Reason
+			if d := r.Store.Documents[docName]; d != nil && d.Proposed != nil && p.Refusals[docName].Version == d.Proposed.ID.Version {
+				row.RefusalReason = p.Refusals[docName].Reason
 			}
 			rows = append(rows, row)
 		}
@@ -156,8 +156,8 @@
 	}
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "PROCESS\tDOC\tACTS ON\tHOLDS\tREADS\tHEARD AGO\tSTOPS\tREFUSES")
-	for _, x := range rows {
-		fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%d\t%v\t%s\t%s\n", x.Process, x.Doc, x.Acts, x.Holds, x.Reads, time.Duration(x.Ago)*time.Millisecond, x.Stops, x.Refuses)
+	for _, row := range rows {
+		fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%d\t%v\t%s\t%s\n", row.Process, row.Doc, row.ActiveVersion, row.PreparedVersion, row.Format, time.Duration(row.AgeMS)*time.Millisecond, row.StopReason, row.RefusalReason)
 	}
 	if err := w.Flush(); err != nil {
 		return err
--- a/cmd/silverpath/store.go
+++ b/cmd/silverpath/store.go
@@ -71,9 +71,9 @@
 
 func storeImportCommand() *cobra.Command {
 	var name, from string
-	var whole bool
+	var closedForGood bool
 	c := storeSubcommand("import", "Make a store from a copy of another one", func(c *cobra.Command, dir string) error {
-		n, err := idempotencystore.Import(from, dir, name, whole)
+		n, err := idempotencystore.Import(from, dir, name, closedForGood)
 		if err == nil {
 			fmt.Fprintf(c.OutOrStdout(), "%d records\n", n)
 		}
@@ -82,7 +82,7 @@
 	nameFlag(c, &name)
 	c.Flags().StringVar(&from, "from", "", "the copy")
 	c.MarkFlagRequired("from")
-	c.Flags().BoolVar(&whole, "whole", false, "its service closed it for good and has run nothing since")
+	c.Flags().BoolVar(&closedForGood, "whole", false, "its service closed it for good and has run nothing since")
 	return c
 }
 
@@ -111,14 +111,14 @@
 func exportInUse(c *cobra.Command, addr string) error {
 	ctx, cancel := context.WithTimeout(context.Background(), snapshotTimeout)
 	defer cancel()
-	yes, why, err := admin.Call(ctx, addr, "POST /api/snapshot")
+	ok, message, err := admin.Call(ctx, addr, "POST /api/snapshot")
 	if err != nil {
 		return err
 	}
-	if !yes {
-		return errors.New(why)
+	if !ok {
+		return errors.New(message)
 	}
-	fmt.Fprintln(c.OutOrStdout(), why)
+	fmt.Fprintln(c.OutOrStdout(), message)
 	return nil
 }
 
