--- a/cmd/benchlink/main.go
+++ b/cmd/benchlink/main.go
@@ -1,5 +1,5 @@
-// Benchlink hosts instances of the decision module for the bench: its wire on standard input and output,
-// its own messages on standard error.
+// Benchlink hosts instances of the decision module for the bench. It reads and writes the bench's wire format on standard
+// input and output, and logs to standard error.
 package main
 
 import (
--- a/cmd/benchlink/main_test.go
+++ b/cmd/benchlink/main_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// The test program runs main itself when told to.
+// TestMain runs main instead of the tests if BENCHLINK_RUN is set, so that tests can start the test binary as benchlink.
 func TestMain(m *testing.M) {
 	if os.Getenv("BENCHLINK_RUN") != "" {
 		main()
@@ -18,6 +18,7 @@
 	os.Exit(m.Run())
 }
 
+// run starts benchlink with the input in and returns its exit code and what it wrote to standard output and standard error.
 func run(t *testing.T, in string) (code int, out, message string) {
 	t.Helper()
 	exe, err := os.Executable()
