--- a/cmd/silverpath-quorum/main.go
+++ b/cmd/silverpath-quorum/main.go
@@ -1,4 +1,4 @@
-// Silverpath-quorum is the program of members of the group and of owners of duties: see docs/quorum.md.
+// Silverpath-quorum runs members of the group and owners of duties: see docs/quorum.md.
 package main
 
 import (
--- a/deploy/deploy.go
+++ b/deploy/deploy.go
@@ -1,20 +1,20 @@
-// Package deploy holds the files that operators start from. Those that the program starts with where it is given
-// none are part of it.
+// Package deploy holds example files for operators. It embeds the ones that the program uses as defaults if no file is
+// given.
 package deploy
 
 import _ "embed"
 
-// Try is the configuration of a first start, whose work a built-in worker does.
+// Try is the default configuration, used if none is given. A built-in worker executes its requests.
 //
 //go:embed try.json
 var Try []byte
 
-// Edge sets up pools, reserve and status requests for the classes of Try.
+// Edge is the default edge file. It configures pools, the reserve and status requests for the classes of Try.
 //
 //go:embed edge.json
 var Edge []byte
 
-// Target is what a fleet has to carry: docs/CAPACITY.md.
+// Target is the default target of the capacity command, the load that a fleet must carry: see docs/CAPACITY.md.
 //
 //go:embed target.json
 var Target []byte
