--- a/cmd/silverpath/duty.go
+++ b/cmd/silverpath/duty.go
@@ -19,7 +19,7 @@
 
 // dutyCommand returns the commands that show and change the owners of the duties, and the one that runs an owner process.
 func dutyCommand() *cobra.Command {
-	var g groupAccess
+	var g groupOptions
 	var config string
 	cmd := &cobra.Command{Use: "duty", Short: "Show and change who owns the fleet's work: see docs/duties.md"}
 	g.addFlags(cmd)
@@ -32,7 +32,7 @@
 }
 
 // dutyList returns the command that prints a line for each duty.
-func dutyList(g *groupAccess) *cobra.Command {
+func dutyList(g *groupOptions) *cobra.Command {
 	return &cobra.Command{Use: "list", Short: "Show every duty: its owner, epoch, who waits and what is under way", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			return g.withTimeout(func(ctx context.Context) error {
@@ -78,7 +78,7 @@
 }
 
 // dutyShow returns the command that prints the journal of one duty.
-func dutyShow(g *groupAccess) *cobra.Command {
+func dutyShow(g *groupOptions) *cobra.Command {
 	var name string
 	cmd := &cobra.Command{Use: "show", Short: "Show the journal of a duty", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
@@ -111,13 +111,13 @@
 }
 
 // dutyChange returns a command that submits one lease request for a duty and prints the duty's new state.
-func dutyChange(g *groupAccess, use, short string, request func() lease.Request) *cobra.Command {
+func dutyChange(g *groupOptions, use, short string, request func() lease.Request) *cobra.Command {
 	var name string
 	cmd := &cobra.Command{Use: use, Short: short, Args: cobra.NoArgs, RunE: func(c *cobra.Command, _ []string) error {
 		return g.withTimeout(func(ctx context.Context) error {
 			r := request()
 			r.Duty = name
-			result, err := agreed(ctx, &g.client, statemachine.Command{Lease: &r})
+			result, err := submitCommand(ctx, &g.client, statemachine.Command{Lease: &r})
 			if err != nil {
 				return err
 			}
@@ -131,7 +131,7 @@
 }
 
 // dutyHand returns the command that transfers a duty to another process.
-func dutyHand(g *groupAccess) *cobra.Command {
+func dutyHand(g *groupOptions) *cobra.Command {
 	var to string
 	cmd := dutyChange(g, "hand", "Have the owner hand a duty to another process that waits for it",
 		func() lease.Request { return lease.Request{Op: lease.Transfer, Process: to} })
@@ -141,7 +141,7 @@
 }
 
 // dutyPause returns the command that pauses a duty: its owner begins no new items.
-func dutyPause(g *groupAccess) *cobra.Command {
+func dutyPause(g *groupOptions) *cobra.Command {
 	var reason string
 	cmd := dutyChange(g, "pause", "Have nothing new begun of a duty",
 		func() lease.Request { return lease.Request{Op: lease.Pause, Reason: reason} })
@@ -182,7 +182,7 @@
 // if the request was not carried out.
 func requestPlacement(c *cobra.Command, g *quorum.Client, within time.Duration, kind string, args any, asJSON bool) error {
 	return withGroupTimeout(g, within, func(ctx context.Context) error {
-		id, err := submit(ctx, g, controller.PlacementDuty, kind, args)
+		id, err := submitItem(ctx, g, controller.PlacementDuty, kind, args)
 		if err != nil {
 			return err
 		}
--- a/cmd/silverpath/fleet.go
+++ b/cmd/silverpath/fleet.go
@@ -17,7 +17,7 @@
 
 // fleetCommand returns the commands that start, show, pause, resume and abort rollouts.
 func fleetCommand() *cobra.Command {
-	var g groupAccess
+	var g groupOptions
 	cmd := &cobra.Command{Use: "fleet", Short: "Take a fleet's servers out and back, one after the other: see docs/duties.md"}
 	g.addFlags(cmd)
 	cmd.AddCommand(fleetRoll(&g), fleetStatus(&g),
@@ -28,7 +28,7 @@
 }
 
 // fleetRoll returns the command that submits a rollout and prints its item's ID.
-func fleetRoll(g *groupAccess) *cobra.Command {
+func fleetRoll(g *groupOptions) *cobra.Command {
 	var spec controller.RolloutSpec
 	var minDwell, returnTimeout time.Duration
 	var wait bool
@@ -39,7 +39,7 @@
 				return err
 			}
 			return g.withTimeout(func(ctx context.Context) error {
-				id, err := submit(ctx, &g.client, controller.RolloutDuty, controller.KindRollout, spec)
+				id, err := submitItem(ctx, &g.client, controller.RolloutDuty, controller.KindRollout, spec)
 				if err != nil {
 					return err
 				}
@@ -66,7 +66,7 @@
 }
 
 // fleetStatus returns the command that prints the latest rollout or, with --at, the recovery state of the given processes.
-func fleetStatus(g *groupAccess) *cobra.Command {
+func fleetStatus(g *groupOptions) *cobra.Command {
 	var addrs []string
 	cmd := &cobra.Command{Use: "status", Short: "Show the roll under way, or the last one; with --at, how far processes are on their way back", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
@@ -119,7 +119,7 @@
 }
 
 // fleetDirect returns a command that sends a directive to the rollout under way.
-func fleetDirect(g *groupAccess, directive, short string) *cobra.Command {
+func fleetDirect(g *groupOptions, directive, short string) *cobra.Command {
 	return &cobra.Command{Use: directive, Short: short, Args: cobra.NoArgs, RunE: func(*cobra.Command, []string) error {
 		return g.withTimeout(func(ctx context.Context) error {
 			v, err := g.client.Read(ctx, controller.RolloutDuty)
@@ -130,7 +130,7 @@
 			if it == nil {
 				return errors.New("no roll is under way")
 			}
-			_, err = agreed(ctx, &g.client, statemachine.Command{Directive: &statemachine.Directive{Duty: controller.RolloutDuty, ID: it.ID, Directive: directive}})
+			_, err = submitCommand(ctx, &g.client, statemachine.Command{Directive: &statemachine.Directive{Duty: controller.RolloutDuty, ID: it.ID, Directive: directive}})
 			return err
 		})
 	}}
--- a/cmd/silverpath/main.go
+++ b/cmd/silverpath/main.go
@@ -20,13 +20,14 @@
 var parts service.Hooks
 
 func main() {
-	if err := root().Execute(); err != nil {
+	if err := rootCommand().Execute(); err != nil {
 		fmt.Fprintf(os.Stderr, "silverpath: %v\n", err)
 		os.Exit(1)
 	}
 }
 
-func root() *cobra.Command {
+// rootCommand returns the silverpath command with its subcommands.
+func rootCommand() *cobra.Command {
 	var configFile, edgeFile, listenAddr, scgiAddr, logFormat string
 	router := false
 	load := func() (settings.Config, error) {
--- a/cmd/silverpath/parts.go
+++ b/cmd/silverpath/parts.go
@@ -16,8 +16,8 @@
 
 // This file reads and writes documents in parts for the commands. Only parts that differ from the active version are sent.
 
-// maxSingleTextMap is the size, in bytes, of the longest map that is proposed as one text. Small fleets so avoid the cost of parts, and
-// their processes of older builds can read the map.
+// maxSingleTextMap is the size, in bytes, of the longest map that is proposed as one text. It spares small
+// fleets the cost of parts and lets processes of older builds read their maps.
 const maxSingleTextMap = 32 << 10
 
 // sentInParts reports whether a text of a document is proposed in parts: a map is, if it is longer than maxSingleTextMap or the active
@@ -96,7 +96,7 @@
 	}
 	change.Draft = newID()
 	for _, batch := range batches {
-		if _, err := agreed(ctx, g, statemachine.Command{Config: &configstore.Change{Op: configstore.OpLoadDraft, Doc: change.Doc, Draft: change.Draft, Parts: batch, Author: change.Author}}); err != nil {
+		if _, err := submitCommand(ctx, g, statemachine.Command{Config: &configstore.Change{Op: configstore.OpLoadDraft, Doc: change.Doc, Draft: change.Draft, Parts: batch, Author: change.Author}}); err != nil {
 			return err
 		}
 	}
@@ -104,8 +104,8 @@
 }
 
 // checkMembersSupportParts returns an error that names the first member whose build does not support documents in parts. It is
-// called before the first document in parts is proposed: such a member can't read its log entry, and would stop following the log
-// there.
+// called before the first document in parts is proposed: such a member can't apply its log entry, so its state would diverge from
+// the group's.
 func checkMembersSupportParts(ctx context.Context, g *quorum.Client) error {
 	var members []statemachine.Member
 	var err error
--- a/cmd/silverpath/quorum.go
+++ b/cmd/silverpath/quorum.go
@@ -21,21 +21,21 @@
 	"silverpath/internal/policy/statemachine"
 )
 
-// groupAccess holds the group flags of a command: the group's client, the timeout and the output format.
-type groupAccess struct {
+// groupOptions holds the group flags of a command: the group's client, the timeout and the output format.
+type groupOptions struct {
 	client quorum.Client
 	within time.Duration
 	asJSON bool
 }
 
 // addFlags adds the flags of groupFlags and --json.
-func (g *groupAccess) addFlags(c *cobra.Command) {
+func (g *groupOptions) addFlags(c *cobra.Command) {
 	groupFlags(c, &g.client, &g.within)
 	c.PersistentFlags().BoolVar(&g.asJSON, "json", false, "print JSON")
 }
 
 // withTimeout calls fn with a context that ends after the command's --within.
-func (g *groupAccess) withTimeout(fn func(ctx context.Context) error) error {
+func (g *groupOptions) withTimeout(fn func(ctx context.Context) error) error {
 	return withGroupTimeout(&g.client, g.within, fn)
 }
 
@@ -58,8 +58,8 @@
 	return fn(ctx)
 }
 
-// agreed submits a command to the group and waits for its result. A refusal by the group is returned as an error.
-func agreed(ctx context.Context, g *quorum.Client, c statemachine.Command) (statemachine.Result, error) {
+// submitCommand submits a command to the group and waits for its result. A refusal by the group is returned as an error.
+func submitCommand(ctx context.Context, g *quorum.Client, c statemachine.Command) (statemachine.Result, error) {
 	r, err := g.Do(ctx, c)
 	if err == nil && r.Error != "" {
 		err = errors.New(r.Error)
@@ -67,14 +67,14 @@
 	return r, err
 }
 
-// submit queues an item in a duty's journal and returns the item's ID.
-func submit(ctx context.Context, g *quorum.Client, duty, kind string, args any) (id string, err error) {
+// submitItem queues an item in a duty's journal and returns the item's ID.
+func submitItem(ctx context.Context, g *quorum.Client, duty, kind string, args any) (id string, err error) {
 	raw, err := json.Marshal(args)
 	if err != nil {
 		return "", err
 	}
 	id = kind + "-" + newID()
-	_, err = agreed(ctx, g, statemachine.Command{Submit: &statemachine.SubmitItem{Duty: duty, ID: id, Kind: kind, Args: raw}})
+	_, err = submitCommand(ctx, g, statemachine.Command{Submit: &statemachine.SubmitItem{Duty: duty, ID: id, Kind: kind, Args: raw}})
 	return id, err
 }
 
--- a/cmd/silverpath/rules.go
+++ b/cmd/silverpath/rules.go
@@ -84,7 +84,7 @@
 			default:
 				return errors.New("no change is under way")
 			}
-			result, err := agreed(ctx, g, statemachine.Command{Config: &change})
+			result, err := submitCommand(ctx, g, statemachine.Command{Config: &change})
 			if err == nil {
 				fmt.Fprintf(c.ErrOrStderr(), "%s: version %d: %s\n", args[0], result.Version, change.Op)
 			}
--- a/cmd/silverpath/rulesput.go
+++ b/cmd/silverpath/rulesput.go
@@ -144,7 +144,7 @@
 			return 0, err
 		}
 	}
-	result, err := agreed(ctx, p.group, statemachine.Command{Config: &change})
+	result, err := submitCommand(ctx, p.group, statemachine.Command{Config: &change})
 	if err != nil {
 		if version = findProposedVersion(ctx, p.group, change, digest, p.highest); version == 0 {
 			return 0, err
@@ -178,11 +178,11 @@
 // waitActive polls a change until its version is active and prints each stage. It returns an error if the change ended otherwise or
 // ctx ends first.
 func waitActive(ctx context.Context, g *quorum.Client, out io.Writer, name string, version int) error {
-	printed := ""
+	lastPrinted := ""
 	for {
 		r, err := g.Config(ctx)
 		if err != nil {
-			return fmt.Errorf("%s version %d is under way (%s), but reading its state failed: %w", name, version, printed, err)
+			return fmt.Errorf("%s version %d is under way (%s), but reading its state failed: %w", name, version, lastPrinted, err)
 		}
 		d := r.Store.Documents[name]
 		switch {
@@ -199,13 +199,13 @@
 			}
 			return fmt.Errorf("%s: version %d no longer exists", name, version)
 		}
-		if line := fmt.Sprintf("%s: version %d is %s: %s", name, version, d.Stage, r.Store.WaitingFor(d)); line != printed {
-			printed = line
+		if line := fmt.Sprintf("%s: version %d is %s: %s", name, version, d.Stage, r.Store.WaitingFor(d)); line != lastPrinted {
+			lastPrinted = line
 			fmt.Fprintln(out, strings.TrimSuffix(line, ": "))
 		}
 		select {
 		case <-ctx.Done():
-			return fmt.Errorf("still under way: %s", printed)
+			return fmt.Errorf("still under way: %s", lastPrinted)
 		case <-time.After(activePollInterval):
 		}
 	}
@@ -213,25 +213,25 @@
 
 // printDryRun prints the differences that a change makes, the processes that use the document with the reason why they can't take
 // the change, and whether exclusive work stops for it.
-func printDryRun(w io.Writer, r quorum.ConfigView, name string, format int, list []configstore.Difference, first, asJSON bool) error {
-	stopsExclusive := configstore.HasExclusive(list) && !first
+func printDryRun(w io.Writer, r quorum.ConfigView, name string, format int, list []configstore.Difference, isNew, asJSON bool) error {
+	stopsExclusive := configstore.HasExclusive(list) && !isNew
 	var scope []string
 	if stopsExclusive {
 		scope = configstore.ScopeOf(name, list)
 	}
-	type user struct {
+	type affectedProcess struct {
 		Name  string `json:"name"`
 		Waits string `json:"waits,omitempty"`
 	}
-	var users []user
+	var users []affectedProcess
 	for _, n := range slices.Sorted(maps.Keys(r.Store.Processes)) {
 		reads, uses := r.Store.Processes[n].Formats[name]
 		switch {
 		case !uses:
 		case reads < format:
-			users = append(users, user{n, fmt.Sprintf("reads format %d, and this is %d", reads, format)})
+			users = append(users, affectedProcess{n, fmt.Sprintf("reads format %d, and this is %d", reads, format)})
 		default:
-			users = append(users, user{Name: n})
+			users = append(users, affectedProcess{Name: n})
 		}
 	}
 	if asJSON {
