--- a/cmd/silverpath/duty.go
+++ b/cmd/silverpath/duty.go
@@ -17,9 +17,9 @@
 	"silverpath/internal/policy/statemachine"
 )
 
-// dutyCommand shows and changes who holds the duties, and runs a process that holds them.
+// dutyCommand returns the commands that show and change the owners of the duties, and the one that runs an owner process.
 func dutyCommand() *cobra.Command {
-	var g groupAccess
+	var g groupOptions
 	var config string
 	cmd := &cobra.Command{Use: "duty", Short: "Show and change who owns the fleet's work: see docs/duties.md"}
 	g.addFlags(cmd)
@@ -31,10 +31,11 @@
 	return cmd
 }
 
-func dutyList(g *groupAccess) *cobra.Command {
+// dutyList returns the command that prints a line for each duty.
+func dutyList(g *groupOptions) *cobra.Command {
 	return &cobra.Command{Use: "list", Short: "Show every duty: its owner, epoch, who waits and what is under way", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			return g.inTime(func(ctx context.Context) error {
+			return g.withTimeout(func(ctx context.Context) error {
 				v, err := g.client.Read(ctx, "*")
 				if err != nil {
 					return err
@@ -47,39 +48,41 @@
 		}}
 }
 
+// printDuties prints a table of all duties. A duty that the group has not recorded yet has an empty line.
 func printDuties(out io.Writer, v quorum.StateView) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "DUTY\tOWNER\tEPOCH\tAGE\tSTEP\tOPEN\tPAUSED\tWAITING")
 	for _, name := range controller.Duties {
-		d, j, open := v.Table.Duties[name], v.Journals[name], 0
+		d, j, unfinished := v.Table.Duties[name], v.Journals[name], 0
 		if d == nil {
 			d = &lease.Duty{Name: name}
 		}
 		for _, it := range j.Items {
 			if !it.State.Finished() {
-				open++
+				unfinished++
 			}
 		}
 		age := ""
 		if d.Holder != "" && d.HeldSince > 0 {
 			age = time.Since(time.UnixMilli(d.HeldSince)).Round(time.Second).String()
 		}
-		fmt.Fprintf(w, "%s\t%s\t%v\t%s\t%d\t%d\t%s\t%s\n", name, d.Holder, d.Epoch, age, j.Step, open, d.PauseReason, strings.Join(d.Queue, " "))
+		fmt.Fprintf(w, "%s\t%s\t%v\t%s\t%d\t%d\t%s\t%s\n", name, d.Holder, d.Epoch, age, j.Step, unfinished, d.PauseReason, strings.Join(d.Queue, " "))
 	}
 	return w.Flush()
 }
 
-// dutyFlag adds the flag that names the duty.
+// dutyFlag adds the required flag --duty.
 func dutyFlag(c *cobra.Command, name *string) {
 	c.Flags().StringVar(name, "duty", "", "the duty: "+strings.Join(controller.Duties, ", "))
 	c.MarkFlagRequired("duty")
 }
 
-func dutyShow(g *groupAccess) *cobra.Command {
+// dutyShow returns the command that prints the journal of one duty.
+func dutyShow(g *groupOptions) *cobra.Command {
 	var name string
 	cmd := &cobra.Command{Use: "show", Short: "Show the journal of a duty", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			return g.inTime(func(ctx context.Context) error {
+			return g.withTimeout(func(ctx context.Context) error {
 				v, err := g.client.Read(ctx, name)
 				if err != nil {
 					return err
@@ -107,14 +110,14 @@
 	return w.Flush()
 }
 
-// dutyChange is a command that makes one request about a duty.
-func dutyChange(g *groupAccess, use, short string, request func() lease.Request) *cobra.Command {
+// dutyChange returns a command that submits one lease request for a duty and prints the duty's new state.
+func dutyChange(g *groupOptions, use, short string, request func() lease.Request) *cobra.Command {
 	var name string
 	cmd := &cobra.Command{Use: use, Short: short, Args: cobra.NoArgs, RunE: func(c *cobra.Command, _ []string) error {
-		return g.inTime(func(ctx context.Context) error {
+		return g.withTimeout(func(ctx context.Context) error {
 			r := request()
 			r.Duty = name
-			result, err := agreed(ctx, &g.client, statemachine.Command{Lease: &r})
+			result, err := submitCommand(ctx, &g.client, statemachine.Command{Lease: &r})
 			if err != nil {
 				return err
 			}
@@ -127,7 +130,8 @@
 	return cmd
 }
 
-func dutyHand(g *groupAccess) *cobra.Command {
+// dutyHand returns the command that transfers a duty to another process.
+func dutyHand(g *groupOptions) *cobra.Command {
 	var to string
 	cmd := dutyChange(g, "hand", "Have the owner hand a duty to another process that waits for it",
 		func() lease.Request { return lease.Request{Op: lease.Transfer, Process: to} })
@@ -136,25 +140,27 @@
 	return cmd
 }
 
-func dutyPause(g *groupAccess) *cobra.Command {
-	var why string
+// dutyPause returns the command that pauses a duty: its owner begins no new items.
+func dutyPause(g *groupOptions) *cobra.Command {
+	var reason string
 	cmd := dutyChange(g, "pause", "Have nothing new begun of a duty",
-		func() lease.Request { return lease.Request{Op: lease.Pause, Reason: why} })
-	cmd.Flags().StringVar(&why, "why", "by an operator", "why, for those who look")
+		func() lease.Request { return lease.Request{Op: lease.Pause, Reason: reason} })
+	cmd.Flags().StringVar(&reason, "why", "by an operator", "why, for those who look")
 	return cmd
 }
 
-// followItem waits until an item of a duty's journal is finished, and calls report with each change of it.
+// followItem polls an item of a duty's journal until it is finished, and calls report whenever its state, note or step changes. It
+// returns the item as last read, with an error if the group can't be read or the journal no longer lists the item.
 func followItem(ctx context.Context, g *quorum.Client, duty, id string, report func(controller.Item)) (controller.Item, error) {
 	var last controller.Item
 	for {
 		v, err := g.Read(ctx, duty)
 		if err != nil {
-			return last, fmt.Errorf("%s is queued as %s, and was last %s: %w", duty, id, last.State, err)
+			return last, fmt.Errorf("duty %s: item %s is queued (last state %q), but reading it failed: %w", duty, id, last.State, err)
 		}
 		it := v.Journals[duty].Item(id)
 		if it == nil {
-			return last, fmt.Errorf("%s has forgotten %s", duty, id)
+			return last, fmt.Errorf("duty %s: item %s is no longer in the journal", duty, id)
 		}
 		if it.State != last.State || it.Note != last.Note || it.Step != last.Step {
 			report(*it)
@@ -169,13 +175,14 @@
 	}
 }
 
-// followInterval is the pause between two looks at an item that is followed.
+// followInterval is the pause between two polls of a followed item.
 const followInterval = 50 * time.Millisecond
 
-// requestPlacement queues a request to the placement duty, waits, and prints what became of it.
+// requestPlacement submits a request to the placement duty, waits until it is finished, and prints the outcome. It returns an error
+// if the request was not carried out.
 func requestPlacement(c *cobra.Command, g *quorum.Client, within time.Duration, kind string, args any, asJSON bool) error {
-	return inTime(g, within, func(ctx context.Context) error {
-		id, err := submit(ctx, g, controller.PlacementDuty, kind, args)
+	return withGroupTimeout(g, within, func(ctx context.Context) error {
+		id, err := submitItem(ctx, g, controller.PlacementDuty, kind, args)
 		if err != nil {
 			return err
 		}
--- a/cmd/silverpath/fleet.go
+++ b/cmd/silverpath/fleet.go
@@ -15,9 +15,9 @@
 	"silverpath/internal/policy/statemachine"
 )
 
-// fleetCommand begins rollouts, shows them, and directs the one under way.
+// fleetCommand returns the commands that start, show, pause, resume and abort rollouts.
 func fleetCommand() *cobra.Command {
-	var g groupAccess
+	var g groupOptions
 	cmd := &cobra.Command{Use: "fleet", Short: "Take a fleet's servers out and back, one after the other: see docs/duties.md"}
 	g.addFlags(cmd)
 	cmd.AddCommand(fleetRoll(&g), fleetStatus(&g),
@@ -27,18 +27,19 @@
 	return cmd
 }
 
-func fleetRoll(g *groupAccess) *cobra.Command {
+// fleetRoll returns the command that submits a rollout and prints its item's ID.
+func fleetRoll(g *groupOptions) *cobra.Command {
 	var spec controller.RolloutSpec
-	var dwell, back time.Duration
+	var minDwell, returnTimeout time.Duration
 	var wait bool
 	cmd := &cobra.Command{Use: "roll", Short: "Evacuate the servers and have them return, never more than so many out", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			spec.DwellMS, spec.ReturnMS = dwell.Milliseconds(), back.Milliseconds()
+			spec.DwellMS, spec.ReturnMS = minDwell.Milliseconds(), returnTimeout.Milliseconds()
 			if err := spec.Check(); err != nil {
 				return err
 			}
-			return g.inTime(func(ctx context.Context) error {
-				id, err := submit(ctx, &g.client, controller.RolloutDuty, controller.KindRollout, spec)
+			return g.withTimeout(func(ctx context.Context) error {
+				id, err := submitItem(ctx, &g.client, controller.RolloutDuty, controller.KindRollout, spec)
 				if err != nil {
 					return err
 				}
@@ -46,7 +47,7 @@
 				if !wait {
 					return nil
 				}
-				it, err := followItem(ctx, &g.client, controller.RolloutDuty, id, func(it controller.Item) { fmt.Fprintln(c.ErrOrStderr(), rolloutLine(it)) })
+				it, err := followItem(ctx, &g.client, controller.RolloutDuty, id, func(it controller.Item) { fmt.Fprintln(c.ErrOrStderr(), formatRollout(it)) })
 				if err == nil && it.State != controller.Done {
 					err = errors.New(it.Note)
 				}
@@ -57,21 +58,22 @@
 	f.StringSliceVar(&spec.Servers, "servers", nil, "which (default: all of the map)")
 	f.IntVar(&spec.MaxOutPerCell, "cell-most", 1, "out at once in a cell")
 	f.IntVar(&spec.MaxOut, "all-most", 1, "out at once in all")
-	f.DurationVar(&dwell, "dwell", 5*time.Second, "how long each is out, at least")
-	f.DurationVar(&back, "back", 30*time.Second, "within which it has to be ready again, or the roll stops")
+	f.DurationVar(&minDwell, "dwell", 5*time.Second, "how long each is out, at least")
+	f.DurationVar(&returnTimeout, "back", 30*time.Second, "within which it has to be ready again, or the roll stops")
 	f.Float64Var(&spec.MinServedShare, "worth-least", 0, "part of the worth that has to be served, or the roll stops; 0: not looked at")
 	f.BoolVar(&wait, "wait", false, "wait for its end, within --within")
 	return cmd
 }
 
-func fleetStatus(g *groupAccess) *cobra.Command {
-	var at []string
+// fleetStatus returns the command that prints the latest rollout or, with --at, the recovery state of the given processes.
+func fleetStatus(g *groupOptions) *cobra.Command {
+	var addrs []string
 	cmd := &cobra.Command{Use: "status", Short: "Show the roll under way, or the last one; with --at, how far processes are on their way back", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			if len(at) > 0 {
-				return showReturns(c, at, g.asJSON)
+			if len(addrs) > 0 {
+				return showRecoveries(c, addrs, g.asJSON)
 			}
-			return g.inTime(func(ctx context.Context) error {
+			return g.withTimeout(func(ctx context.Context) error {
 				v, err := g.client.Read(ctx, controller.RolloutDuty)
 				if err != nil {
 					return err
@@ -86,11 +88,11 @@
 				return printRollout(c.OutOrStdout(), *it)
 			})
 		}}
-	cmd.Flags().StringSliceVar(&at, "at", nil, "addresses of routers and servers that are asked how far they have come: see docs/recovery.md")
+	cmd.Flags().StringSliceVar(&addrs, "at", nil, "addresses of routers and servers that are asked how far they have come: see docs/recovery.md")
 	return cmd
 }
 
-// latestRollout is the rollout under way, else the last one; nil: there was none.
+// latestRollout returns the rollout under way, or the last one if none is, or nil if there has been none.
 func latestRollout(j *controller.Journal) *controller.Item {
 	if it := j.Current(); it != nil {
 		return it
@@ -101,8 +103,9 @@
 	return nil
 }
 
+// printRollout prints a rollout's line and, once the rollout has begun, a table of its servers.
 func printRollout(out io.Writer, it controller.Item) error {
-	fmt.Fprintln(out, rolloutLine(it))
+	fmt.Fprintln(out, formatRollout(it))
 	p, ok := rolloutProgress(it)
 	if !ok {
 		return nil
@@ -115,10 +118,10 @@
 	return w.Flush()
 }
 
-// fleetDirect is a command that gives a directive for the rollout under way.
-func fleetDirect(g *groupAccess, directive, short string) *cobra.Command {
+// fleetDirect returns a command that sends a directive to the rollout under way.
+func fleetDirect(g *groupOptions, directive, short string) *cobra.Command {
 	return &cobra.Command{Use: directive, Short: short, Args: cobra.NoArgs, RunE: func(*cobra.Command, []string) error {
-		return g.inTime(func(ctx context.Context) error {
+		return g.withTimeout(func(ctx context.Context) error {
 			v, err := g.client.Read(ctx, controller.RolloutDuty)
 			if err != nil {
 				return err
@@ -127,20 +130,20 @@
 			if it == nil {
 				return errors.New("no roll is under way")
 			}
-			_, err = agreed(ctx, &g.client, statemachine.Command{Directive: &statemachine.Directive{Duty: controller.RolloutDuty, ID: it.ID, Directive: directive}})
+			_, err = submitCommand(ctx, &g.client, statemachine.Command{Directive: &statemachine.Directive{Duty: controller.RolloutDuty, ID: it.ID, Directive: directive}})
 			return err
 		})
 	}}
 }
 
-// rolloutProgress reads how far a rollout is; ok is false for one that has not begun.
+// rolloutProgress decodes the progress of a rollout; ok is false if the rollout has not begun.
 func rolloutProgress(it controller.Item) (p controller.RolloutProgress, ok bool) {
 	ok = it.Plan != "" && json.Unmarshal([]byte(it.Plan), &p) == nil
 	return p, ok
 }
 
-// rolloutLine is a rollout in one line.
-func rolloutLine(it controller.Item) string {
+// formatRollout formats a rollout as one line.
+func formatRollout(it controller.Item) string {
 	s := fmt.Sprintf("%s: %s, epoch %v, step %d", it.ID, it.State, it.Epoch, it.Step)
 	if p, ok := rolloutProgress(it); ok {
 		returned := 0
--- a/cmd/silverpath/quorum.go
+++ b/cmd/silverpath/quorum.go
@@ -21,44 +21,45 @@
 	"silverpath/internal/policy/statemachine"
 )
 
-// groupAccess is a command's way to the group: its flags, and the time that it has.
-type groupAccess struct {
+// groupOptions holds the group flags of a command: the group's client, the timeout and the output format.
+type groupOptions struct {
 	client quorum.Client
 	within time.Duration
 	asJSON bool
 }
 
-// addFlags adds the flags that say which group is asked, and in which form the answer is printed.
-func (g *groupAccess) addFlags(c *cobra.Command) {
+// addFlags adds the flags of groupFlags and --json.
+func (g *groupOptions) addFlags(c *cobra.Command) {
 	groupFlags(c, &g.client, &g.within)
 	c.PersistentFlags().BoolVar(&g.asJSON, "json", false, "print JSON")
 }
 
-// inTime calls with the time that the command has.
-func (g *groupAccess) inTime(do func(ctx context.Context) error) error {
-	return inTime(&g.client, g.within, do)
+// withTimeout calls fn with a context that ends after the command's --within.
+func (g *groupOptions) withTimeout(fn func(ctx context.Context) error) error {
+	return withGroupTimeout(&g.client, g.within, fn)
 }
 
-// groupFlags adds the flags that say which group is asked.
+// groupFlags adds the flags --group, --members and --within.
 func groupFlags(c *cobra.Command, g *quorum.Client, within *time.Duration) {
 	c.PersistentFlags().StringVar(&g.Group, "group", "", "the group's name")
 	c.PersistentFlags().StringSliceVar(&g.Addrs, "members", nil, "addresses of its members")
 	c.PersistentFlags().DurationVar(within, "within", 10*time.Second, "how long to wait for the group")
 }
 
-// inTime calls with the time that a command has.
-func inTime(g *quorum.Client, within time.Duration, do func(ctx context.Context) error) error {
+// withGroupTimeout calls fn with a context that ends after timeout, and closes the client afterwards. It returns an error if --group or
+// --members is not set.
+func withGroupTimeout(g *quorum.Client, timeout time.Duration, fn func(ctx context.Context) error) error {
 	if g.Group == "" || len(g.Addrs) == 0 {
 		return errors.New("--group and --members: both say which group is asked")
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), within)
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	defer g.Close()
-	return do(ctx)
+	return fn(ctx)
 }
 
-// agreed has the group agree on a command, and makes its refusal an error.
-func agreed(ctx context.Context, g *quorum.Client, c statemachine.Command) (statemachine.Result, error) {
+// submitCommand submits a command to the group and waits for its result. A refusal by the group is returned as an error.
+func submitCommand(ctx context.Context, g *quorum.Client, c statemachine.Command) (statemachine.Result, error) {
 	r, err := g.Do(ctx, c)
 	if err == nil && r.Error != "" {
 		err = errors.New(r.Error)
@@ -66,32 +67,33 @@
 	return r, err
 }
 
-// submit queues a request to a duty, and returns the ID that it has there.
-func submit(ctx context.Context, g *quorum.Client, duty, kind string, args any) (id string, err error) {
+// submitItem queues an item in a duty's journal and returns the item's ID.
+func submitItem(ctx context.Context, g *quorum.Client, duty, kind string, args any) (id string, err error) {
 	raw, err := json.Marshal(args)
 	if err != nil {
 		return "", err
 	}
 	id = kind + "-" + newID()
-	_, err = agreed(ctx, g, statemachine.Command{Submit: &statemachine.SubmitItem{Duty: duty, ID: id, Kind: kind, Args: raw}})
+	_, err = submitCommand(ctx, g, statemachine.Command{Submit: &statemachine.SubmitItem{Duty: duty, ID: id, Kind: kind, Args: raw}})
 	return id, err
 }
 
-// newID is a number that no other request has.
+// newID returns a random hexadecimal ID of 48 bits.
 func newID() string {
 	var b [6]byte
-	rand.Read(b[:]) // it never fails: it ends the program instead
+	rand.Read(b[:]) // never returns an error: a failure of the system's generator ends the program
 	return hex.EncodeToString(b[:])
 }
 
+// printJSON prints v as indented JSON.
 func printJSON(w io.Writer, v any) error {
 	e := json.NewEncoder(w)
 	e.SetIndent("", "  ")
 	return e.Encode(v)
 }
 
-// runMember runs the program of members in this one's place. It is a program of its own beside this one, so that servers and
-// routers carry nothing of it. Tests, whose program has both, run it as it is.
+// runMember replaces this process by silverpath-quorum, which is in the folder of this program. It is a separate program so that
+// servers and routers do not link its code. Tests replace runMember by a call, as the test binary contains both programs.
 var runMember = func(args ...string) error {
 	self, err := os.Executable()
 	if err != nil {
@@ -104,6 +106,7 @@
 	return nil
 }
 
+// quorumCommand returns the commands that run, found, change and show the members of a group.
 func quorumCommand() *cobra.Command {
 	var config string
 	var g quorum.Client
@@ -118,7 +121,7 @@
 			if err := terms.Check(); err != nil {
 				return err
 			}
-			return inTime(&g, within, func(ctx context.Context) error {
+			return withGroupTimeout(&g, within, func(ctx context.Context) error {
 				f, err := g.Found(ctx, terms)
 				if err == nil {
 					fmt.Fprintf(c.OutOrStdout(), "group %s, number %s, of %d members\n", f.Group, f.ID(), len(f.Members))
@@ -131,20 +134,20 @@
 	var addr, name string
 	add := &cobra.Command{Use: "add", Short: "Add a member whose disk is empty: it listens, catches up, and then has a vote", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			return inTime(&g, within, func(ctx context.Context) error { return g.Add(ctx, addr) })
+			return withGroupTimeout(&g, within, func(ctx context.Context) error { return g.Add(ctx, addr) })
 		}}
 	add.Flags().StringVar(&addr, "addr", "", "its address")
 	add.MarkFlagRequired("addr")
 	remove := &cobra.Command{Use: "remove", Short: "Take a member out, for good", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			return inTime(&g, within, func(ctx context.Context) error { return g.Remove(ctx, name) })
+			return withGroupTimeout(&g, within, func(ctx context.Context) error { return g.Remove(ctx, name) })
 		}}
 	remove.Flags().StringVar(&name, "name", "", "its name")
 	remove.MarkFlagRequired("name")
 	var asJSON bool
 	status := &cobra.Command{Use: "status", Short: "Show what each member is", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			return inTime(&g, within, func(ctx context.Context) error { return groupStatus(ctx, c, &g, asJSON) })
+			return withGroupTimeout(&g, within, func(ctx context.Context) error { return showGroupStatus(ctx, c, &g, asJSON) })
 		}}
 	status.Flags().BoolVar(&asJSON, "json", false, "print JSON")
 	var dir string
@@ -155,47 +158,48 @@
 	return cmd
 }
 
-// memberLine is what is shown of one member.
-type memberLine struct {
+// memberEntry is one member's entry in the output of quorum status.
+type memberEntry struct {
 	Addr   string         `json:"addr"`
-	Error  string         `json:"error,omitempty"` // it could not be asked
+	Error  string         `json:"error,omitempty"` // why its status could not be read
 	Status *quorum.Status `json:"status,omitempty"`
 }
 
-// groupStatus shows what each member is. It returns an error where none leads.
-func groupStatus(ctx context.Context, c *cobra.Command, g *quorum.Client, asJSON bool) error {
-	var list []memberLine
-	leads := false
+// showGroupStatus prints the status of each member. It returns an error if no member is the leader.
+func showGroupStatus(ctx context.Context, c *cobra.Command, g *quorum.Client, asJSON bool) error {
+	var list []memberEntry
+	hasLeader := false
 	for _, addr := range g.Addrs {
 		s, err := g.StatusOf(ctx, addr)
 		if err != nil {
-			list = append(list, memberLine{addr, err.Error(), nil})
+			list = append(list, memberEntry{addr, err.Error(), nil})
 			continue
 		}
-		leads = leads || s.State == quorum.StateLeader
-		list = append(list, memberLine{addr, "", &s})
+		hasLeader = hasLeader || s.State == quorum.StateLeader
+		list = append(list, memberEntry{addr, "", &s})
 	}
 	show := printMembers
 	if asJSON {
-		show = func(w io.Writer, list []memberLine) error { return printJSON(w, list) }
+		show = func(w io.Writer, list []memberEntry) error { return printJSON(w, list) }
 	}
 	if err := show(c.OutOrStdout(), list); err != nil {
 		return err
 	}
-	if !leads {
+	if !hasLeader {
 		return errors.New("no member leads")
 	}
 	return nil
 }
 
-func printMembers(out io.Writer, list []memberLine) error {
+// printMembers prints the members' status as a table.
+func printMembers(out io.Writer, list []memberEntry) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "ADDR\tNAME\tSTATE\tVOTE\tTERM\tAPPLIED\tSTARTS\tGROUP")
-	for _, l := range list {
-		if s := l.Status; s != nil {
-			fmt.Fprintf(w, "%s\t%s\t%s\t%v\t%d\t%d\t%d\t%s\n", l.Addr, s.Name, s.State, s.Voter, s.Term, s.Applied, s.Starts, s.GroupID)
+	for _, entry := range list {
+		if s := entry.Status; s != nil {
+			fmt.Fprintf(w, "%s\t%s\t%s\t%v\t%d\t%d\t%d\t%s\n", entry.Addr, s.Name, s.State, s.Voter, s.Term, s.Applied, s.Starts, s.GroupID)
 		} else {
-			fmt.Fprintf(w, "%s\t\t%s\n", l.Addr, l.Error)
+			fmt.Fprintf(w, "%s\t\t%s\n", entry.Addr, entry.Error)
 		}
 	}
 	return w.Flush()
