--- a/cmd/silverpath/group_holders_test.go
+++ b/cmd/silverpath/group_holders_test.go
@@ -20,8 +20,9 @@
 	"silverpath/internal/testkit/standin/faults"
 )
 
-// The holder of the placement duty is stopped at every boundary of its action. Another one takes the duty and the moves are finished,
-// each once; then the first wakes: nothing that it does takes effect, and it logs that it has lost the duty.
+// The holder of the placement duty is suspended at each boundary of its actions. Another process acquires the duty
+// and completes each move once. When the old holder resumes, nothing that it does takes effect, and it logs that it
+// has lost the duty.
 func TestStoppedPlacementHolderTakesNoEffect(t *testing.T) {
 	for _, at := range []string{"check:0", "check:1", "intent:2", "act:2", "check:2", "check:3"} {
 		t.Run(at, func(t *testing.T) {
@@ -40,13 +41,13 @@
 			}
 			next := g.owner("next", dir, []string{controller.PlacementDuty}, nil)
 			for i := range 3 {
-				if it := g.over(controller.PlacementDuty, fmt.Sprint("m", i), 15*time.Second); it.State != controller.Done {
-					t.Errorf("m%d: %s, %s", i, it.State, it.Note)
+				if item := g.over(controller.PlacementDuty, fmt.Sprint("m", i), 15*time.Second); item.State != controller.Done {
+					t.Errorf("move m%d: state %s, want done: %s", i, item.State, item.Note)
 				}
 			}
 			head, raw, err := proxy.VersionDir{Dir: dir}.Head()
 			if err != nil || head.Version != 4 {
-				t.Fatalf("version %d, %v", head.Version, err)
+				t.Fatalf("map version %d, %v; want 4", head.Version, err)
 			}
 			from := old.Lines()
 			old.Wake()
@@ -54,13 +55,13 @@
 				t.Error(err)
 			}
 			time.Sleep(300 * time.Millisecond)
-			again, after, err := proxy.VersionDir{Dir: dir}.Head()
-			if err != nil || string(raw) != string(after) {
-				t.Errorf("the map is changed by one that woke: version %d, %v", again.Version, err)
+			last, lastRaw, err := proxy.VersionDir{Dir: dir}.Head()
+			if err != nil || string(raw) != string(lastRaw) {
+				t.Errorf("the old holder changed the map: version %d, %v", last.Version, err)
 			}
 			for i := range 3 {
-				if n := len(again.Tenants[i].Homes); n != 2 {
-					t.Errorf("t%d has %d homes", i, n)
+				if n := len(last.Tenants[i].Homes); n != 2 {
+					t.Errorf("tenant t%d has %d homes, want 2", i, n)
 				}
 			}
 			if strings.Contains(next.Log(), "duty.lost") {
@@ -70,7 +71,9 @@
 	}
 }
 
-// roll is the order of steps of a roll of two servers: 1 begins it, 2 means the first to go out, 3 says that it is.
+// The holder of the rollout duty is suspended at several boundaries of its actions, and another process acquires the
+// duty. At most one server is evacuated at a time, and each one once. In the journal, step 1 starts the rollout, step
+// 2 intends the first evacuation, and step 3 records that it is complete.
 func TestStoppedRolloutHolderTakesNoEffect(t *testing.T) {
 	for _, at := range []string{"check:1", "intent:2", "act:2", "check:3", "intent:4", "act:4"} {
 		t.Run(at, func(t *testing.T) {
@@ -81,17 +84,17 @@
 			if _, err := old.Await(10*time.Second, 0, "duty.owned"); err != nil {
 				t.Fatal(err)
 			}
-			most := make(chan int)
+			maxOut := make(chan int)
 			stop := make(chan struct{})
-			go func() { // never more out than one, whoever believes to own the duty
-				worst := 0
+			go func() { // samples the number of evacuated servers
+				highest := 0
 				for {
 					select {
 					case <-stop:
-						most <- worst
+						maxOut <- highest
 						return
 					case <-time.After(2 * time.Millisecond):
-						worst = max(worst, s.out())
+						highest = max(highest, s.out())
 					}
 				}
 			}()
@@ -100,8 +103,8 @@
 				t.Fatal(err)
 			}
 			g.owner("next", s.dir, []string{controller.RolloutDuty}, nil)
-			if it := g.over(controller.RolloutDuty, "r", 20*time.Second); it.State != controller.Done {
-				t.Errorf("%s: %s", it.State, it.Note)
+			if item := g.over(controller.RolloutDuty, "r", 20*time.Second); item.State != controller.Done {
+				t.Errorf("rollout: state %s, want done: %s", item.State, item.Note)
 			}
 			from := old.Lines()
 			lines := make([]int, len(s.procs))
@@ -114,23 +117,24 @@
 			}
 			time.Sleep(300 * time.Millisecond)
 			close(stop)
-			if n := <-most; n > 1 {
-				t.Errorf("%d servers were out at once", n)
+			if n := <-maxOut; n > 1 {
+				t.Errorf("%d servers were evacuated at once, want at most 1", n)
 			}
 			for i, p := range s.procs {
 				if _, err := p.Await(time.Millisecond, lines[i], "phase evacuated"); err == nil {
-					t.Errorf("one that woke sent s%d out", i)
+					t.Errorf("the old holder evacuated server s%d", i)
 				}
-				if out := strings.Count(p.Log(), "phase evacuated"); out != 1 {
-					t.Errorf("s%d was out %d times", i, out)
+				if n := strings.Count(p.Log(), "phase evacuated"); n != 1 {
+					t.Errorf("server s%d was evacuated %d times, want 1", i, n)
 				}
 			}
 		})
 	}
 }
 
-// A command of the old holder is delayed on its way and arrives after the new holder's, also at a server that was started anew in
-// between and whose fence's file is gone. It is refused by name.
+// A command of the old holder is delayed on the network and arrives after the new holder's commands. The server
+// rejects it with an error that names the duty and the epochs, also after a restart and after the loss of its
+// fence file.
 func TestDelayedCommandIsRefused(t *testing.T) {
 	g := newGroup(t, 3)
 	s := newServers(t, g, 2)
@@ -138,16 +142,16 @@
 	g.submit(controller.RolloutDuty, "r1", controller.KindRollout, controller.RolloutSpec{MaxOutPerCell: 1, MaxOut: 1, DwellMS: 10, ReturnMS: 5000})
 	g.over(controller.RolloutDuty, "r1", 15*time.Second)
 	var evacuate []byte
-	for _, c := range s.mgmt[0].Calls() {
-		if strings.Contains(string(c), "/api/evacuate") {
-			evacuate = c
+	for _, call := range s.mgmt[0].Calls() {
+		if strings.Contains(string(call), "/api/evacuate") {
+			evacuate = call
 		}
 	}
 	if evacuate == nil {
-		t.Fatal("no order was seen")
+		t.Fatal("the proxy saw no evacuate command")
 	}
 	if a, err := s.mgmt[0].Again(evacuate); err != nil || !strings.Contains(a, "stale step") {
-		t.Errorf("late in its own epoch: %q, %v", a, err)
+		t.Errorf("command repeated in its own epoch: %q, %v; want a stale step", a, err)
 	}
 	first.Kill()
 	second := g.owner("second", s.dir, []string{controller.RolloutDuty}, nil)
@@ -157,9 +161,10 @@
 	g.submit(controller.RolloutDuty, "r2", controller.KindRollout, controller.RolloutSpec{MaxOutPerCell: 1, MaxOut: 1, DwellMS: 10, ReturnMS: 5000})
 	g.over(controller.RolloutDuty, "r2", 15*time.Second)
 	if a, err := s.mgmt[0].Again(evacuate); err != nil || !strings.Contains(a, "409") || !strings.Contains(a, "stale epoch 1.1 of conductor: 1.2 was seen") {
-		t.Errorf("held until the next epoch: %q, %v", a, err)
+		t.Errorf("command repeated in the next epoch: %q, %v; want 409 and a stale epoch", a, err)
 	}
-	// Started anew, with its book lost: it asks the group, and takes nothing while that can't be asked.
+	// A server that restarts without its fence file asks the group for the epoch, and accepts no command while the
+	// group is unreachable.
 	s.procs[0].Kill()
 	data, err := os.ReadFile(s.edges[0])
 	if err != nil {
@@ -174,48 +179,49 @@
 		g.Ways[i].Cut(true)
 	}
 	if a, err := s.mgmt[0].Again(evacuate); err != nil || !strings.Contains(a, "no epoch is known yet") {
-		t.Errorf("without book and group: %q, %v", a, err)
+		t.Errorf("command to a server without a fence file and a group: %q, %v", a, err)
 	}
 	for i := range g.Ways {
 		g.Ways[i].Cut(false)
 	}
 	g.awaitLeader()
 	if a, err := s.mgmt[0].Again(evacuate); err != nil || !strings.Contains(a, "stale epoch") {
-		t.Errorf("without its book: %q, %v", a, err)
+		t.Errorf("command to a server without a fence file: %q, %v; want a stale epoch", a, err)
 	}
 	if s.outNow() != 0 {
-		t.Error("a late order took effect")
+		t.Error("a stale command took effect")
 	}
-	// Without the fence it does, and it is seen that it does.
+	// Without a fence the stale command takes effect, and the test detects it.
 	s.procs[0].Kill()
 	s.edges[0] = write(t, "edge.json", `{"cell":true}`)
 	s.start(0, freeAddr(t))
 	if a, err := s.mgmt[0].Again(evacuate); err != nil || !strings.Contains(a, "200") || s.outNow() != 1 {
-		t.Errorf("without a fence: %q, %v, %d out", a, err, s.outNow())
+		t.Errorf("command to a server without a fence: %q, %v, %d evacuated; want 200 and 1 evacuated", a, err, s.outNow())
 	}
 }
 
-// A holder that reaches the servers and not the group would go on beside its successor. It stops by itself before another one begins, on
-// a fast and on a slow clock; one that reaches the group and not the servers gives up by its rule, and another duty goes on.
+// A holder that reaches the servers but not the group could act at the same time as the next holder. It stops by
+// itself before the next holder starts, also if its clock runs faster or slower than the group's. The opposite case, a
+// holder that reaches the group but not a server, is TestRolloutStopsAtAServerThatDoesNotReturn.
 func TestHolderThatIsCutOffStopsByItself(t *testing.T) {
 	for _, clocks := range [][2]string{{"1", "1"}, {"0.955", "1.045"}, {"1.045", "0.955"}} {
 		t.Run(strings.Join(clocks[:], " "), func(t *testing.T) {
 			t.Parallel()
 			g := newGroup(t, 3)
-			for i := range 3 { // the group's clocks
+			for i := range 3 { // restart the members with another clock rate
 				g.Members[i].Kill()
 				g.start(i, "SILVERPATH_CLOCK="+clocks[1])
 			}
 			g.awaitLeader()
-			var ways []*faults.Between
+			var links []*faults.Between
 			var addrs []string
-			for _, a := range g.Client.Addrs {
-				w, err := faults.Listen(a, true, 1)
+			for _, addr := range g.Client.Addrs {
+				link, err := faults.Listen(addr, true, 1)
 				if err != nil {
 					t.Fatal(err)
 				}
-				t.Cleanup(w.Close)
-				ways, addrs = append(ways, w), append(addrs, w.Addr())
+				t.Cleanup(link.Close)
+				links, addrs = append(links, link), append(addrs, link.Addr())
 			}
 			dir := testMap(t)
 			one := g.owner("one", dir, []string{controller.PlacementDuty}, addrs, "SILVERPATH_CLOCK="+clocks[0])
@@ -223,13 +229,13 @@
 				t.Fatal(err)
 			}
 			two := g.owner("two", dir, []string{controller.PlacementDuty}, nil)
-			await(t, "two waits", 5*time.Second, func() bool { return len(g.view().Table.Duties[controller.PlacementDuty].Queue) == 1 })
-			for i, w := range ways {
-				if i == 0 { // one way only
-					w.Set(faults.Back, faults.Fate{Lost: true})
-					w.Set(faults.There, faults.Fate{Lost: clocks[0] != "1"})
+			await(t, "the second process is queued for the duty", 5*time.Second, func() bool { return len(g.view().Table.Duties[controller.PlacementDuty].Queue) == 1 })
+			for i, link := range links {
+				if i == 0 { // with equal clocks the first link loses only replies
+					link.Set(faults.Back, faults.Fate{Lost: true})
+					link.Set(faults.There, faults.Fate{Lost: clocks[0] != "1"})
 				} else {
-					w.Cut(true)
+					link.Cut(true)
 				}
 			}
 			lost, err := one.Await(10*time.Second, 0, "duty.lost")
@@ -240,8 +246,8 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			// Both logs have the time of day of one machine; one says how long ago it had stopped as it saw it.
-			clock := func(line string) time.Duration {
+			// Both logs have the time of day of one machine. The line duty.lost also has the time since the holder stopped.
+			timeOfDay := func(line string) time.Duration {
 				at, err := time.Parse("15:04:05.000000", line[:15])
 				if err != nil {
 					t.Fatal(err)
@@ -253,26 +259,27 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			between := clock(owned) - (clock(lost) - time.Duration(ms*float64(time.Millisecond)))
-			if between < -12*time.Hour {
-				between += 24 * time.Hour // midnight
+			gap := timeOfDay(owned) - (timeOfDay(lost) - time.Duration(ms*float64(time.Millisecond)))
+			if gap < -12*time.Hour {
+				gap += 24 * time.Hour // midnight lies between the lines
 			}
-			if between < 0 {
-				t.Errorf("two owned %v before one had stopped: %s, %s", -between, owned, lost)
+			if gap < 0 {
+				t.Errorf("the second process owned the duty %v before the first one stopped: %s, %s", -gap, owned, lost)
 			}
 		})
 	}
 }
 
-// A server can't be told, or does not return: a rollout that went on would take the next one out too. It stops and says why, and no
-// other duty is blocked.
+// A server does not return after its evacuation. A rollout that continued would evacuate the next server as well. The
+// rollout fails and records the reason, and other duties are not blocked.
 func TestRolloutStopsAtAServerThatDoesNotReturn(t *testing.T) {
 	g := newGroup(t, 3)
 	s := newServers(t, g, 3)
 	holder := g.owner("one", s.dir, []string{controller.RolloutDuty, controller.PlacementDuty}, nil)
 	g.submit(controller.RolloutDuty, "r", controller.KindRollout, controller.RolloutSpec{MaxOutPerCell: 1, MaxOut: 1, DwellMS: 2000, ReturnMS: 700})
-	await(t, "one is out", 10*time.Second, func() bool { return s.out() > 0 })
-	// It is stopped once its answer has arrived, and long before it is to return: else it could not be told, or were back.
+	await(t, "a server is evacuated", 10*time.Second, func() bool { return s.out() > 0 })
+	// Suspend the server after its answer has arrived and well before the rejoin command: earlier, the evacuate
+	// command itself would fail; later, the server could already be back.
 	if _, err := holder.Await(10*time.Second, 0, "command.evacuate", "yes=true"); err != nil {
 		t.Fatal(err)
 	}
@@ -282,50 +289,50 @@
 		}
 	}
 	g.submit(controller.PlacementDuty, "m", controller.KindMove, controller.MoveRequest{Tenant: "t1", To: "b"})
-	if it := g.over(controller.PlacementDuty, "m", 5*time.Second); it.State != controller.Done {
-		t.Errorf("the other duty: %s, %s", it.State, it.Note)
+	if item := g.over(controller.PlacementDuty, "m", 5*time.Second); item.State != controller.Done {
+		t.Errorf("move under the placement duty: state %s, want done: %s", item.State, item.Note)
 	}
-	it := g.over(controller.RolloutDuty, "r", 30*time.Second)
-	if it.State != controller.Failed || !strings.Contains(it.Note, "come back") {
-		t.Errorf("%s: %s", it.State, it.Note)
+	item := g.over(controller.RolloutDuty, "r", 30*time.Second)
+	if item.State != controller.Failed || !strings.Contains(item.Note, "come back") {
+		t.Errorf("rollout: state %s, want failed: %s", item.State, item.Note)
 	}
 	if n := len(g.view().Journals[controller.RolloutDuty].Items); n != 1 {
-		t.Errorf("%d items", n)
+		t.Errorf("the rollout journal has %d items, want 1", n)
 	}
 }
 
-// A server that all routers have lost is taken out of the map by the monitor, through the placement duty; not one that only one router
-// can't reach, and never one whose cell would be left with too few.
+// The monitor removes a server that no router can reach from the map, through the placement duty. It does not remove a
+// server that only one router cannot reach, or one whose removal would leave its cell with too few servers.
 func TestDeadServerLeavesTheMap(t *testing.T) {
 	g := newGroup(t, 3)
 	var servers []*process
-	var ways []*faults.Between
+	var links []*faults.Between
 	m := &cells.Map{Version: 1, KeyWindow: time.Second, MaxClockSkew: 50 * time.Millisecond, Lease: time.Second, CallerTimeout: time.Second,
 		Cells:   []cells.Cell{{Name: "a", Capacity: 1000}, {Name: "b", Capacity: 1000}},
 		Tenants: []cells.Tenant{{Name: "brand", Rate: 10, Homes: []cells.Home{{Cell: "a"}}}}}
 	for i, cell := range []string{"a", "a", "a", "b"} {
-		vm, err := builtinworker.Listen(builtinworker.Config{Listen: "127.0.0.1:0", Cores: 8, Shape: builtinworker.Shape{Knee: 8, Speed: 1}, RunFactor: 1, Seed: 1})
+		worker, err := builtinworker.Listen(builtinworker.Config{Listen: "127.0.0.1:0", Cores: 8, Shape: builtinworker.Shape{Knee: 8, Speed: 1}, RunFactor: 1, Seed: 1})
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(vm.Close)
+		t.Cleanup(worker.Close)
 		name := fmt.Sprint("s", i)
-		p := spawn(t, "serve", "--config", siteFile(t, name, vm.Addr()), "--edge", write(t, "cell.json", `{"cell":true}`))
-		way, err := faults.Listen(p.addr, true, 1)
+		p := spawn(t, "serve", "--config", siteFile(t, name, worker.Addr()), "--edge", write(t, "cell.json", `{"cell":true}`))
+		link, err := faults.Listen(p.addr, true, 1)
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(way.Close)
-		servers, ways = append(servers, p), append(ways, way)
-		m.Servers = append(m.Servers, cells.Server{Name: name, Addr: way.Addr(), Cell: cell, Weight: 1})
+		t.Cleanup(link.Close)
+		servers, links = append(servers, p), append(links, link)
+		m.Servers = append(m.Servers, cells.Server{Name: name, Addr: link.Addr(), Cell: cell, Weight: 1})
 	}
 	dir := t.TempDir()
 	if err := (proxy.VersionDir{Dir: dir}).Put(1, settings.FormatCells(m)); err != nil {
 		t.Fatal(err)
 	}
-	own := strings.ReplaceAll(string(settings.FormatCells(m)), ways[1].Addr(), freeAddr(t)) // the third router can't reach s1
+	ownMap := strings.ReplaceAll(string(settings.FormatCells(m)), links[1].Addr(), freeAddr(t)) // the third router cannot reach s1
 	var routers []string
-	for i, file := range []string{dir, dir, write(t, "own.json", own)} {
+	for i, file := range []string{dir, dir, write(t, "own.json", ownMap)} {
 		p := spawn(t, "route", "--config", siteFile(t, fmt.Sprint("r", i), ""), "--edge", write(t, "route.json",
 			fmt.Sprintf(`{"status":true,"fleet":{"map":%q,"probe_ms":100}}`, file)))
 		routers = append(routers, p.addr)
@@ -335,104 +342,106 @@
 	if _, err := o.Await(20*time.Second, 0, "monitor.partly", "server=s1"); err != nil {
 		t.Fatal(err)
 	}
-	ways[0].Cut(true)
+	links[0].Cut(true)
 	servers[0].Kill()
 	if _, err := o.Await(20*time.Second, 0, "monitor.dead", "server=s0"); err != nil {
 		t.Fatal(err)
 	}
-	if it := g.over(controller.PlacementDuty, "gone-s0-1", 10*time.Second); it.State != controller.Done {
-		t.Errorf("%s: %s", it.State, it.Note)
+	if item := g.over(controller.PlacementDuty, "gone-s0-1", 10*time.Second); item.State != controller.Done {
+		t.Errorf("removal of s0: state %s, want done: %s", item.State, item.Note)
 	}
-	ways[3].Cut(true)
+	links[3].Cut(true)
 	servers[3].Kill()
 	if _, err := o.Await(20*time.Second, 0, "monitor.dead", "server=s3"); err != nil {
 		t.Fatal(err)
 	}
-	it := g.over(controller.PlacementDuty, "gone-s3-2", 10*time.Second)
-	if it.State != controller.Failed || !strings.Contains(it.Note, "cell b would be left with 0 of 1 servers") {
-		t.Errorf("%s: %s", it.State, it.Note)
+	item := g.over(controller.PlacementDuty, "gone-s3-2", 10*time.Second)
+	if item.State != controller.Failed || !strings.Contains(item.Note, "cell b would be left with 0 of 1 servers") {
+		t.Errorf("removal of s3: state %s, want failed: %s", item.State, item.Note)
 	}
 	head, _, err := proxy.VersionDir{Dir: dir}.Head()
 	if err != nil || head.Server("s0").LeavesAt == 0 || head.Server("s1").LeavesAt != 0 || head.Server("s3").LeavesAt != 0 {
-		t.Errorf("%+v, %v", head.Servers, err)
+		t.Errorf("servers of the map: %+v, %v; want only s0 leaving", head.Servers, err)
 	}
 }
 
-// A map that is planned by a wall clock an hour off would hold at another time than routers read it. The holder keeps its lease, which
-// does not count by that clock, and plans no map: it releases the duty to a process whose clock is right, and says why.
+// A map that is planned with a wall clock an hour off would take effect at another time than the routers expect. The
+// holder keeps its lease, which does not depend on the wall clock, but plans no map. It releases the placement duty to
+// a process with a correct clock and logs the reason.
 func TestHolderWithAWrongWallClockHandsOn(t *testing.T) {
 	g := newGroup(t, 3)
 	dir := testMap(t)
-	for _, by := range []string{"1h", "-1h"} {
-		off := g.owner("off"+by, dir, []string{controller.PlacementDuty, controller.RolloutDuty}, nil, "SILVERPATH_WALL="+by)
-		if _, err := off.Await(10*time.Second, 0, "duty.owned", "keeper"); err != nil {
+	for _, offset := range []string{"1h", "-1h"} {
+		skewed := g.owner("off"+offset, dir, []string{controller.PlacementDuty, controller.RolloutDuty}, nil, "SILVERPATH_WALL="+offset)
+		if _, err := skewed.Await(10*time.Second, 0, "duty.owned", "keeper"); err != nil {
 			t.Fatal(err)
 		}
-		if _, err := off.Await(10*time.Second, 0, "duty.held_up", "the clock differs from the group's", "by 59m59"); err != nil {
+		if _, err := skewed.Await(10*time.Second, 0, "duty.held_up", "the clock differs from the group's", "by 59m59"); err != nil {
 			t.Error(err)
 		}
-		right := g.owner("right"+by, dir, []string{controller.PlacementDuty}, nil)
-		g.submit(controller.PlacementDuty, "m"+by, controller.KindMove, controller.MoveRequest{Tenant: fmt.Sprint("t", len(by)), To: "b"})
-		if it := g.over(controller.PlacementDuty, "m"+by, 15*time.Second); it.State != controller.Done {
-			t.Errorf("%s: %s", it.State, it.Note)
+		correct := g.owner("right"+offset, dir, []string{controller.PlacementDuty}, nil)
+		g.submit(controller.PlacementDuty, "m"+offset, controller.KindMove, controller.MoveRequest{Tenant: fmt.Sprint("t", len(offset)), To: "b"})
+		if item := g.over(controller.PlacementDuty, "m"+offset, 15*time.Second); item.State != controller.Done {
+			t.Errorf("move: state %s, want done: %s", item.State, item.Note)
 		}
-		if strings.Contains(off.Log(), `duty.lost`) && strings.Contains(off.Log(), "duty=conductor epoch=0.0") {
-			t.Error("a wall clock ended a lease")
+		if strings.Contains(skewed.Log(), `duty.lost`) && strings.Contains(skewed.Log(), "duty=conductor epoch=0.0") {
+			t.Error("the wall clock offset ended a lease")
 		}
-		off.Kill()
-		right.Kill()
+		skewed.Kill()
+		correct.Kill()
 	}
 }
 
-// The holder's own process leads the group, and dies. Another member leads, and another process goes on where the holder stopped.
+// The process that holds the placement duty and leads the group is killed. Another member becomes the leader, and
+// another process acquires the duty and completes the remaining moves.
 func TestHolderThatLeadsTheGroupDies(t *testing.T) {
 	g := newGroup(t, 3)
 	dir := testMap(t)
-	list, _ := json.Marshal(g.Client.Addrs)
-	for i := range 3 { // each member owns duties too
+	members, _ := json.Marshal(g.Client.Addrs)
+	for i := range 3 { // restart each member as a candidate for the placement duty too
 		g.Members[i].Kill()
 		file := write(t, "both.json", fmt.Sprintf(`{"name":"q%d","group":"test","members":%s,"member":{"listen":%q,"addr":%q,"dir":%q,"tick_ms":20},"owner":{"duties":["keeper"],"map":%q}}`,
-			i, list, g.Addrs[i], g.Ways[i].Addr(), g.Disk(i), dir))
+			i, members, g.Addrs[i], g.Ways[i].Addr(), g.Disk(i), dir))
 		g.Members[i] = begin(t, []string{"quorum", "--config", file})
 		if _, err := g.Members[i].Await(10*time.Second, 0, "group.listening"); err != nil {
 			t.Fatal(err)
 		}
 	}
-	lead := g.awaitLeader()
+	leader := g.awaitLeader()
 	holder := func() string {
 		if d := g.view().Table.Duties[controller.PlacementDuty]; d != nil {
 			return d.Holder
 		}
 		return ""
 	}
-	await(t, "an owner", 10*time.Second, func() bool { return holder() != "" && len(g.view().Table.Duties[controller.PlacementDuty].Queue) == 2 })
-	if me := fmt.Sprint("q", lead, "#"); !strings.HasPrefix(holder(), me) {
-		for _, w := range g.view().Table.Duties[controller.PlacementDuty].Queue {
-			if strings.HasPrefix(w, me) {
-				g.do(statemachine.Command{Lease: &lease.Request{Op: lease.Transfer, Duty: controller.PlacementDuty, Process: w}})
+	await(t, "the duty has a holder and two candidates", 10*time.Second, func() bool { return holder() != "" && len(g.view().Table.Duties[controller.PlacementDuty].Queue) == 2 })
+	if prefix := fmt.Sprint("q", leader, "#"); !strings.HasPrefix(holder(), prefix) {
+		for _, candidate := range g.view().Table.Duties[controller.PlacementDuty].Queue {
+			if strings.HasPrefix(candidate, prefix) {
+				g.do(statemachine.Command{Lease: &lease.Request{Op: lease.Transfer, Duty: controller.PlacementDuty, Process: candidate}})
 			}
 		}
-		await(t, "handed on by consent", 5*time.Second, func() bool { return strings.HasPrefix(holder(), me) })
+		await(t, "the duty is transferred to the leader", 5*time.Second, func() bool { return strings.HasPrefix(holder(), prefix) })
 	}
 	for i := range 4 {
 		g.submit(controller.PlacementDuty, fmt.Sprint("m", i), controller.KindMove, controller.MoveRequest{Tenant: fmt.Sprint("t", i), To: "b"})
 		if i == 1 {
-			g.Members[lead].Kill()
+			g.Members[leader].Kill()
 			g.awaitLeader()
 		}
 	}
 	for i := range 4 {
-		if it := g.over(controller.PlacementDuty, fmt.Sprint("m", i), 15*time.Second); it.State != controller.Done {
-			t.Errorf("%s: %s", it.State, it.Note)
+		if item := g.over(controller.PlacementDuty, fmt.Sprint("m", i), 15*time.Second); item.State != controller.Done {
+			t.Errorf("move: state %s, want done: %s", item.State, item.Note)
 		}
 	}
 	if head, _, err := (proxy.VersionDir{Dir: dir}).Head(); err != nil || head.Version != 5 {
-		t.Errorf("version %d, %v", head.Version, err)
+		t.Errorf("map version %d, %v; want 5", head.Version, err)
 	}
 }
 
-// A clock all but stops, far beyond the bound for drift. Its process believes to hold the duty for a minute after another one does, and
-// nothing that it does takes effect.
+// The clock of a holder runs at 0.5 % of its rate, far beyond the bound for drift. The process acts as the holder long
+// after another process has acquired the duty, and nothing that it does takes effect.
 func TestHolderWhoseClockStopsTakesNoEffect(t *testing.T) {
 	g := newGroup(t, 3)
 	dir := testMap(t)
@@ -446,32 +455,32 @@
 	}
 	for i := range 3 {
 		g.submit(controller.PlacementDuty, fmt.Sprint("m", i), controller.KindMove, controller.MoveRequest{Tenant: fmt.Sprint("t", i), To: "b"})
-		if it := g.over(controller.PlacementDuty, fmt.Sprint("m", i), 10*time.Second); it.State != controller.Done || it.Epoch != lease.BaseEpoch(1)+2 {
-			t.Errorf("%s: %s, by epoch %v", it.State, it.Note, it.Epoch)
+		if item := g.over(controller.PlacementDuty, fmt.Sprint("m", i), 10*time.Second); item.State != controller.Done || item.Epoch != lease.BaseEpoch(1)+2 {
+			t.Errorf("move: state %s, %s, epoch %v; want done in the second epoch", item.State, item.Note, item.Epoch)
 		}
 	}
 	if strings.Contains(one.Log(), "duty.step") && strings.Contains(one.Log(), "item=m") {
-		t.Errorf("one whose clock stands still wrote:\n%s", one.Log())
+		t.Errorf("the process with the slow clock wrote to the journal:\n%s", one.Log())
 	}
 	if strings.Contains(one.Log(), "duty.lost") {
-		t.Error("its clock did not stand still: the test shows nothing")
+		t.Error("the process with the slow clock noticed that its lease had expired, so the test checks nothing")
 	}
 }
 
-// A holder is stopped after its look at the lease and before its journal entry, and wakes when another one holds the duty and has
-// written nothing. The entry is refused by its epoch, and not by its step alone.
+// A holder is suspended after its lease check and before its journal write. It resumes when another process holds the
+// duty and has written nothing, so the write's step still matches. The group rejects the write by its epoch.
 func TestStaleJournalWriteIsRefused(t *testing.T) {
 	g := newGroup(t, 3)
 	dir := testMap(t)
 	old := g.owner("old", dir, []string{controller.PlacementDuty}, nil, "SILVERPATH_STOP_AT=keeper:write:1")
-	if _, err := old.Await(10*time.Second, 0, "duty.step"); err != nil { // it has taken the map up
+	if _, err := old.Await(10*time.Second, 0, "duty.step"); err != nil { // the holder has loaded the map
 		t.Fatal(err)
 	}
 	g.submit(controller.PlacementDuty, "m", controller.KindMove, controller.MoveRequest{Tenant: "t0", To: "b"})
 	if _, err := old.Await(10*time.Second, 0, "stopped at"); err != nil {
 		t.Fatal(err)
 	}
-	await(t, "another owner", 10*time.Second, func() bool {
+	await(t, "another process holds the duty", 10*time.Second, func() bool {
 		r := g.do(statemachine.Command{Lease: &lease.Request{Op: lease.Acquire, Duty: controller.PlacementDuty, Process: "next"}})
 		return r.Duty != nil && r.Duty.Holder == "next"
 	})
@@ -480,11 +489,12 @@
 		t.Error(err)
 	}
 	if j := g.view().Journals[controller.PlacementDuty]; j.Step != 1 || j.Item("m").State != controller.Queued {
-		t.Errorf("the journal is at step %d, the move is %s", j.Step, j.Item("m").State)
+		t.Errorf("the journal is at step %d and the move is %s, want step 1 and queued", j.Step, j.Item("m").State)
 	}
 }
 
-// A holder is stopped before it publishes a version, and wakes when that came too late and its place was withdrawn. It stays withdrawn.
+// A holder is suspended before it publishes a map version. It resumes when the next holder has withdrawn that version
+// number because it was too late to announce the version. The withdrawn version is not published.
 func TestLatePublishFindsItsPlaceWithdrawn(t *testing.T) {
 	g := newGroup(t, 3)
 	dir := testMap(t)
@@ -493,7 +503,7 @@
 	if _, err := old.Await(10*time.Second, 0, "stopped at"); err != nil {
 		t.Fatal(err)
 	}
-	time.Sleep(1300 * time.Millisecond) // too late to be announced a lease ahead
+	time.Sleep(1300 * time.Millisecond) // until version 2 can no longer be announced a lease ahead
 	g.do(statemachine.Command{Lease: &lease.Request{Op: lease.Pause, Duty: controller.PlacementDuty, Reason: "nothing new"}})
 	next := g.owner("next", dir, []string{controller.PlacementDuty}, nil)
 	if _, err := next.Await(10*time.Second, 0, "placement.withdraw", "version=2"); err != nil {
@@ -506,10 +516,10 @@
 	}
 	time.Sleep(300 * time.Millisecond)
 	if m, _, err := (proxy.VersionDir{Dir: dir}).Head(); err != nil || m.Version != 1 {
-		t.Errorf("version %d was published by one that woke, %v", m.Version, err)
+		t.Errorf("map version %d, %v; want 1, as version 2 was withdrawn", m.Version, err)
 	}
 	g.do(statemachine.Command{Lease: &lease.Request{Op: lease.Resume, Duty: controller.PlacementDuty}})
-	if it := g.over(controller.PlacementDuty, "m", 10*time.Second); it.State != controller.Done || it.Note != "version 3" {
-		t.Errorf("%s: %s", it.State, it.Note)
+	if item := g.over(controller.PlacementDuty, "m", 10*time.Second); item.State != controller.Done || item.Note != "version 3" {
+		t.Errorf("move: state %s, note %q; want done and version 3", item.State, item.Note)
 	}
 }
--- a/cmd/silverpath/group_test.go
+++ b/cmd/silverpath/group_test.go
@@ -32,9 +32,9 @@
 	"silverpath/internal/testkit/standin/faults"
 )
 
-// memberProgram makes this test's program that of members and owners too, with the faults that a test asks for in the
-// environment: a boundary at which it stops itself, a clock that runs fast or slow, and a disk that stalls, fills up or fails
-// while a file is there.
+// memberProgram lets the test binary run as a group member or duty owner, and installs the faults that the
+// environment asks for: a boundary at which the process suspends itself, a clock of another rate or offset, other
+// document formats, disabled checks, and a disk that stalls, fills up or fails while a fault file exists.
 func memberProgram() {
 	runMember = func(args ...string) error {
 		cmd := member.Command()
@@ -47,21 +47,21 @@
 			if at == fmt.Sprintf("%s:%s:%d", duty, boundary, step) && once.CompareAndSwap(false, true) {
 				fmt.Fprintln(os.Stderr, "stopped at", at)
 				_ = syscall.Kill(os.Getpid(), syscall.SIGSTOP)
-				time.Sleep(20 * time.Millisecond) // the signal is the process's: it may come a little later
+				time.Sleep(20 * time.Millisecond) // SIGSTOP goes to the process and may reach this thread a little later
 			}
 		}
 	}
-	if by, err := time.ParseDuration(os.Getenv("SILVERPATH_WALL")); err == nil {
-		runner.Wall = func() time.Time { return time.Now().Add(by) }
+	if offset, err := time.ParseDuration(os.Getenv("SILVERPATH_WALL")); err == nil {
+		runner.Wall = func() time.Time { return time.Now().Add(offset) }
 		configwatch.Wall, proxy.Wall = runner.Wall, runner.Wall
 	}
-	if n, err := strconv.Atoi(os.Getenv("SILVERPATH_FORMAT")); err == nil { // a build that reads another format of the routing
+	if n, err := strconv.Atoi(os.Getenv("SILVERPATH_FORMAT")); err == nil { // act as a build that reads another format of the routing document
 		configwatch.Formats = map[string]int{configstore.DocRouting: n}
 	}
-	if n, err := strconv.Atoi(os.Getenv("SILVERPATH_MAP_FORMAT")); err == nil { // or of the map
+	if n, err := strconv.Atoi(os.Getenv("SILVERPATH_MAP_FORMAT")); err == nil { // the same for the map
 		configwatch.Formats = map[string]int{configstore.DocMap: n}
 	}
-	configwatch.DisabledGuards.TextCheck = os.Getenv("SILVERPATH_ANY_TEXT") != "" // parts are taken whatever their digests
+	configwatch.DisabledGuards.TextCheck = os.Getenv("SILVERPATH_ANY_TEXT") != "" // accept snapshot parts without checking their digests
 	storeProgram()
 	core.Unfenced = os.Getenv("SILVERPATH_UNFENCED") != ""
 	if os.Getenv("SILVERPATH_STOP_ROUTED") != "" {
@@ -94,7 +94,7 @@
 
 const testLease = 600 * time.Millisecond
 
-// testGroup is a group of this program's processes.
+// testGroup is a quorum group whose members are processes of the test binary.
 type testGroup struct {
 	*harness.Group
 	t testing.TB
@@ -120,6 +120,7 @@
 	return &testGroup{g, t}
 }
 
+// freeAddr reserves a local address for the duration of the test.
 func freeAddr(t testing.TB) string {
 	t.Helper()
 	reserved, err := harness.Reserve()
@@ -136,13 +137,14 @@
 	return ctx
 }
 
+// must returns a function that passes a value through, or ends the test with the error.
 func must[T any](t testing.TB) func(T, error) T {
-	return func(v T, err error) T {
+	return func(value T, err error) T {
 		t.Helper()
 		if err != nil {
 			t.Fatal(err)
 		}
-		return v
+		return value
 	}
 }
 
@@ -153,6 +155,7 @@
 	}
 }
 
+// awaitLeader waits for a leader and returns its index.
 func (g *testGroup) awaitLeader() int { g.t.Helper(); return must[int](g.t)(g.Leader()) }
 
 func (g *testGroup) view() quorum.StateView {
@@ -172,28 +175,32 @@
 	}
 }
 
+// over waits until an item of a duty is finished, and returns it.
 func (g *testGroup) over(duty, id string, within time.Duration) controller.Item {
 	g.t.Helper()
 	return must[controller.Item](g.t)(g.Over(duty, id, within))
 }
 
-func (g *testGroup) owner(name, dir string, list []string, members []string, env ...string) *harness.Process {
+// owner starts a process that competes for the given duties and keeps its maps in dir.
+func (g *testGroup) owner(name, dir string, duties []string, members []string, env ...string) *harness.Process {
 	g.t.Helper()
-	p := must[*harness.Process](g.t)(g.Owner(name, dir, list, members, nil, env...))
+	p := must[*harness.Process](g.t)(g.Owner(name, dir, duties, members, nil, env...))
 	g.t.Cleanup(p.Kill)
 	return p
 }
 
-func await(t testing.TB, what string, within time.Duration, yes func() bool) {
+// await polls a condition until it is true. It ends the test if the condition is still false after the given time.
+func await(t testing.TB, what string, within time.Duration, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(within); !yes(); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(within); !condition(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("not within %v: %s", within, what)
+			t.Fatalf("condition not reached within %v: %s", within, what)
 		}
 	}
 }
 
-// testMap is a map of two cells in a folder of versions.
+// testMap writes a map of two cells as version 1 into a new version directory, and returns the directory. Without
+// servers it adds one per cell.
 func testMap(t testing.TB, servers ...cells.Server) (dir string) {
 	t.Helper()
 	m := &cells.Map{
@@ -215,15 +222,16 @@
 	return dir
 }
 
-// testServers are servers of this program that take orders of the fleet, each behind a way for its management front.
+// testServers are server processes that accept fenced commands. The management front of each is behind a
+// fault-injecting proxy.
 type testServers struct {
 	t     testing.TB
 	g     *testGroup
 	files []string
 	edges []string
 	procs []*harness.Process
-	mgmt  []*faults.Between
-	dir   string // of the map
+	mgmt  []*faults.Between // proxies of the management fronts
+	dir   string            // version directory of the map
 }
 
 func newServers(t testing.TB, g *testGroup, n int) *testServers {
@@ -232,56 +240,57 @@
 	var list []cells.Server
 	members, _ := json.Marshal(g.Client.Addrs)
 	for i := range n {
-		m, err := builtinworker.Listen(builtinworker.Config{Listen: "127.0.0.1:0", Cores: 8, Shape: builtinworker.Shape{Knee: 8, Speed: 1},
+		worker, err := builtinworker.Listen(builtinworker.Config{Listen: "127.0.0.1:0", Cores: 8, Shape: builtinworker.Shape{Knee: 8, Speed: 1},
 			Other: builtinworker.Class{MinWork: time.Millisecond, MaxWork: 2 * time.Millisecond}, RunFactor: 1, Seed: uint64(i + 1)})
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(m.Close)
-		name, at := fmt.Sprint("s", i), freeAddr(t)
-		s.files = append(s.files, siteFile(t, name, m.Addr()))
+		t.Cleanup(worker.Close)
+		name, addr := fmt.Sprint("s", i), freeAddr(t)
+		s.files = append(s.files, siteFile(t, name, worker.Addr()))
 		s.edges = append(s.edges, write(t, "edge.json", fmt.Sprintf(`{"cell":true,"orders":{"state":%q,"group":"test","members":%s}}`,
 			filepath.Join(t.TempDir(), "orders"), members)))
 		s.procs = append(s.procs, nil)
-		way, err := faults.Listen(at, false, uint64(i))
+		link, err := faults.Listen(addr, false, uint64(i))
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(way.Close)
-		s.mgmt = append(s.mgmt, way)
-		s.start(i, at)
-		list = append(list, cells.Server{Name: name, Addr: freeAddr(t), AdminAddr: way.Addr(), Cell: string(rune('a' + i%2)), Weight: 1})
+		t.Cleanup(link.Close)
+		s.mgmt = append(s.mgmt, link)
+		s.start(i, addr)
+		list = append(list, cells.Server{Name: name, Addr: freeAddr(t), AdminAddr: link.Addr(), Cell: string(rune('a' + i%2)), Weight: 1})
 	}
 	s.dir = testMap(t, list...)
 	return s
 }
 
-func (s *testServers) start(i int, at string) {
+// start starts server i with its management front at addr, and points its proxy there.
+func (s *testServers) start(i int, addr string) {
 	s.t.Helper()
-	s.procs[i] = begin(s.t, []string{"serve", "--config", s.files[i], "--edge", s.edges[i]}, "LB_MGMT="+at)
+	s.procs[i] = begin(s.t, []string{"serve", "--config", s.files[i], "--edge", s.edges[i]}, "LB_MGMT="+addr)
 	if _, err := s.procs[i].Await(20*time.Second, 0, "phase serving"); err != nil {
 		s.t.Fatal(err)
 	}
-	s.mgmt[i].To(at)
+	s.mgmt[i].To(addr)
 }
 
-// outNow is how many say that they are out as they are asked. A log tells later than an answer: its line may still be on its way
-// as the answer is here.
+// outNow returns the number of servers that report themselves evacuated when they are asked. A log line may arrive
+// later than the answer to a command.
 func (s *testServers) outNow() (n int) {
 	s.t.Helper()
-	for _, way := range s.mgmt {
-		a, err := way.Again([]byte("GET /api/ready HTTP/1.1\r\n\r\n"))
+	for _, link := range s.mgmt {
+		answer, err := link.Again([]byte("GET /api/ready HTTP/1.1\r\n\r\n"))
 		if err != nil {
 			s.t.Fatal(err)
 		}
-		if strings.Contains(a, "evacuated") {
+		if strings.Contains(answer, "evacuated") {
 			n++
 		}
 	}
 	return n
 }
 
-// out is how many are out by their logs.
+// out returns the number of servers that are evacuated according to their logs.
 func (s *testServers) out() (n int) {
 	for _, p := range s.procs {
 		log := p.Log()
@@ -292,7 +301,8 @@
 	return n
 }
 
-// pauses is what a history of the group must be like: a duty's pause as a register that is written and read.
+// pauses is the model of a linearizable history of the group. A duty's pause reason is a register: an operation with
+// an input writes it, one without reads it.
 var pauses = porcupine.Model{
 	Init: func() any { return "" },
 	Step: func(state, in, out any) (bool, any) {
@@ -303,7 +313,7 @@
 	},
 }
 
-// submitLater queues a request once the group can be asked.
+// submitLater submits an item in the background, as the group may have no majority yet.
 func (g *testGroup) submitLater(id, kind string, args any) {
 	done := make(chan struct{})
 	go func() {
--- a/cmd/silverpath/overlap_test.go
+++ b/cmd/silverpath/overlap_test.go
@@ -19,31 +19,33 @@
 	"silverpath/internal/transport/client"
 )
 
-// ways has a process reach the group by ways of its own.
-func (f *ruledFleet) ways() (addrs []string, list []*faults.Between) {
+// ways starts one fault-injecting proxy per group member and returns the addresses and the proxies. A process that
+// uses these addresses can be cut off from the group on its own.
+func (f *ruledFleet) ways() (addrs []string, links []*faults.Between) {
 	f.t.Helper()
 	for i, addr := range f.g.Addrs {
-		w, err := faults.Listen(addr, true, uint64(100+i))
+		link, err := faults.Listen(addr, true, uint64(100+i))
 		if err != nil {
 			f.t.Fatal(err)
 		}
-		f.t.Cleanup(w.Close)
-		list, addrs = append(list, w), append(addrs, w.Addr())
+		f.t.Cleanup(link.Close)
+		links, addrs = append(links, link), append(addrs, link.Addr())
 	}
-	return addrs, list
+	return addrs, links
 }
 
-// twoClasses is a document of classes with so many more than the sheets': one more or less excludes the other.
-func twoClasses(t testing.TB, more int) string {
+// twoClasses writes a classes document that has the class oddaja and the given number of extra classes, and returns
+// its path. Versions that differ in their classes exclude each other.
+func twoClasses(t testing.TB, extra int) string {
 	text := fmt.Sprintf(`{"classes":[{"name":"oddaja","target":900000,"deadline":1000000,"worth":3,"effect":"token","memory_span":%d}`, sheetWindow.Microseconds())
-	for i := range more {
+	for i := range extra {
 		text += fmt.Sprintf(`,{"name":"krog%d","target":900000,"deadline":1000000,"worth":1,"effect":"pure"}`, i)
 	}
 	return write(t, "classes.json", text+"]}")
 }
 
-// noOverlap checks that no two processes could begin what is exclusive by different versions of a document, as they say themselves,
-// and that as many versions came into force at least.
+// noOverlap checks in the logs that no two processes could start exclusive work under different versions of a
+// document at one time, and that at least the given number of versions became active.
 func noOverlap(t testing.TB, doc string, versions int, procs map[string]*harness.Process) {
 	t.Helper()
 	var all []harness.Acted
@@ -51,26 +53,27 @@
 		all = append(all, harness.ActsOf(name, p, doc)...)
 	}
 	if d, what := harness.Overlap(all); d > 0 {
-		t.Errorf("for %v two versions of %s: %s", d, doc, what)
+		t.Errorf("for %v two versions of %s were active: %s", d, doc, what)
 	}
 	if n := len(harness.Versions(all)); n < versions {
-		t.Errorf("%d versions of %s were acted on, want %d", n, doc, versions)
+		t.Errorf("%d versions of %s were active, want at least %d", n, doc, versions)
 	}
 }
 
-func (f *ruledFleet) processes(more map[string]*process) map[string]*harness.Process {
+// processes returns the fleet's servers and the given routers by name.
+func (f *ruledFleet) processes(routers map[string]*process) map[string]*harness.Process {
 	all := map[string]*harness.Process{}
 	for name, p := range f.servers {
 		all[name] = p.Process
 	}
-	for name, p := range more {
+	for name, p := range routers {
 		all[name] = p.Process
 	}
 	return all
 }
 
-// classes is the version of the classes that is in force, and the stage of what is under way.
-func (f *ruledFleet) doc(name string) (force int, stage configstore.Stage, waits string) {
+// doc returns the active version of a document, the stage of its pending change, and what the change waits for.
+func (f *ruledFleet) doc(name string) (active int, stage configstore.Stage, waits string) {
 	f.t.Helper()
 	r, err := f.g.Client.Config(f.g.within(10 * time.Second))
 	if err != nil {
@@ -81,55 +84,57 @@
 		return 0, "", ""
 	}
 	if d.Active != nil {
-		force = d.Active.ID.Version
+		active = d.Active.ID.Version
 	}
-	return force, d.Stage, r.Store.WaitingFor(d)
+	return active, d.Stage, r.Store.WaitingFor(d)
 }
 
-// wait waits until a version of a document is in force.
+// wait waits until a version of a document is active, and returns the time that it waited.
 func (f *ruledFleet) wait(name string, version int, within time.Duration) time.Duration {
 	f.t.Helper()
-	for began := time.Now(); ; time.Sleep(5 * time.Millisecond) {
-		force, stage, waits := f.doc(name)
-		if force >= version {
-			return time.Since(began)
+	for start := time.Now(); ; time.Sleep(5 * time.Millisecond) {
+		active, stage, waits := f.doc(name)
+		if active >= version {
+			return time.Since(start)
 		}
-		if time.Since(began) > within {
-			f.t.Fatalf("%s: version %d is in force after %v, want %d: %s, %s", name, force, within, version, stage, waits)
+		if time.Since(start) > within {
+			f.t.Fatalf("document %s: version %d is active after %v, want %d: stage %q, %s", name, active, within, version, stage, waits)
 		}
 	}
 }
 
-// A router is cut off at every step of a change that excludes what is in force: before it is proposed, while it is held there, and
-// as everybody stops; then it is stopped (SIGSTOP) in the same places. The change waits for it for no more than a lease, it begins
-// nothing meanwhile, and acts on the new once it is back. Without the lease, or the stop, two versions overlap.
+// A router is cut off at each step of a change whose version excludes the active one: before the proposal, while
+// the proposal is held, and while all processes stop using the active version. Then it is suspended (SIGSTOP) at the
+// same steps. The change waits for the router no longer than a lease. The router accepts no requests in that time,
+// and uses the new version once it is back. Without the lease, or if the processes did not stop, two versions
+// would be active at one time.
 func TestCutOffInAChange(t *testing.T) {
 	t.Parallel()
 	f := newRuledFleet(t, sheetWindow)
 	f.put("classes", twoClasses(t, 0))
-	addrs, ways := f.ways()
-	cut := f.router3("cut", addrs)
-	whole := f.router3("whole", nil)
-	cutOff := func(yes bool) {
-		for _, w := range ways {
-			w.Cut(yes)
+	addrs, links := f.ways()
+	faulty := f.router3("cut", addrs)
+	healthy := f.router3("whole", nil)
+	cutOff := func(on bool) {
+		for _, link := range links {
+			link.Cut(on)
 		}
 	}
-	freeze := func(yes bool) {
-		if yes {
-			cut.Freeze()
+	freeze := func(on bool) {
+		if on {
+			faulty.Freeze()
 		} else {
-			cut.Wake()
+			faulty.Wake()
 		}
 	}
-	longest := time.Duration(float64(testLease)*1.05*2) + 2*time.Second // its lease, then the stages, on a loaded machine
+	timeout := time.Duration(float64(testLease)*1.05*2) + 2*time.Second // the lease with its drift, then the stages on a loaded machine
 	version := 1
-	for _, away := range []func(bool){cutOff, freeze} {
+	for _, isolate := range []func(bool){cutOff, freeze} {
 		for _, at := range []string{"before", "proposed", "turning"} {
 			version++
 			file := twoClasses(t, version%2+1)
 			if at == "before" {
-				away(true)
+				isolate(true)
 			}
 			args := []string{"put", "classes", file}
 			if at == "proposed" {
@@ -139,7 +144,7 @@
 			switch at {
 			case "proposed":
 				time.Sleep(testLease / 2)
-				away(true)
+				isolate(true)
 				f.expect(0, "", "release", "classes")
 			case "turning":
 				for {
@@ -147,55 +152,57 @@
 						break
 					}
 				}
-				away(true)
+				isolate(true)
 			}
-			f.wait("classes", version, longest)
-			f.serves(fmt.Sprint("cut", version), whole)
-			from := cut.Lines()
-			away(false)
-			if _, err := cut.Await(5*time.Second, from, fmt.Sprintf("config: active: classes %d.", version)); err != nil {
-				if at == "turning" { // it may have heard before it was cut off
-					_, err = cut.Await(time.Second, 0, fmt.Sprintf("config: active: classes %d.", version))
+			f.wait("classes", version, timeout)
+			f.serves(fmt.Sprint("cut", version), healthy)
+			from := faulty.Lines()
+			isolate(false)
+			if _, err := faulty.Await(5*time.Second, from, fmt.Sprintf("config: active: classes %d.", version)); err != nil {
+				if at == "turning" { // the router may have received the version before it was isolated
+					_, err = faulty.Await(time.Second, 0, fmt.Sprintf("config: active: classes %d.", version))
 				}
 				if err != nil {
 					t.Fatal(at, err)
 				}
 			}
-			f.serves(fmt.Sprint("back", version), cut)
+			f.serves(fmt.Sprint("back", version), faulty)
 		}
 	}
 	if n := twice(f.ran()); n != 0 {
-		t.Errorf("%d ran twice", n)
+		t.Errorf("%d requests ran twice", n)
 	}
-	noOverlap(t, "classes", 7, f.processes(map[string]*process{"cut": cut, "whole": whole}))
+	noOverlap(t, "classes", 7, f.processes(map[string]*process{"cut": faulty, "whole": healthy}))
 }
 
-// serves waits until sheets by all of some routers are served: each may still have to hear that a change is over.
+// serves waits until each of the routers serves a request. A router may still have to learn that a change is
+// complete.
 func (f *ruledFleet) serves(name string, routers ...*process) {
 	f.t.Helper()
 	for n, end := 0, time.Now().Add(5*time.Second); toAll(1, fmt.Sprint(name, "-", n), routers...)["served"] != len(routers); n++ {
 		if time.Now().After(end) {
-			f.t.Fatalf("%s: nothing is served", name)
+			f.t.Fatalf("%s: not all routers serve a request within 5 s", name)
 		}
 	}
 }
 
-// router3 starts a router that acts on all of the group's documents.
+// router3 starts a router that uses the documents map, routing and classes of the group.
 func (f *ruledFleet) router3(name string, members []string, env ...string) *process {
 	f.t.Helper()
 	return spawnIn(f.t, env, "route", "--config", siteFile(f.t, name, ""), "--edge", write(f.t, name+"-edge.json", fmt.Sprintf(
 		`{"status":true,"fleet":{"state":%q,"probe_ms":100},%s}`, filepath.Join(f.t.TempDir(), name+".db"), f.rulesPart(members, "map", "routing", "classes"))))
 }
 
-// The overlap that the tests look for is found where a process goes on though nobody confirms it: its clock stands all but still.
+// harness.Overlap detects two versions that are active at one time. The clock of a router that is cut off runs at a
+// hundredth of its rate, so that the router uses its version long after its lease has expired.
 func TestOverlapIsFound(t *testing.T) {
 	t.Parallel()
 	f := newRuledFleet(t, sheetWindow)
 	f.put("classes", twoClasses(t, 0))
-	addrs, ways := f.ways()
+	addrs, links := f.ways()
 	slow := f.router3("slow", addrs, "SILVERPATH_CLOCK=0.01")
-	for _, w := range ways {
-		w.Cut(true)
+	for _, link := range links {
+		link.Cut(true)
 	}
 	f.expect(0, "proposed", "put", "classes", twoClasses(t, 1))
 	f.wait("classes", 2, 5*time.Second)
@@ -205,12 +212,13 @@
 		all = append(all, harness.ActsOf(name, p, "classes")...)
 	}
 	if d, what := harness.Overlap(all); d < testLease/4 {
-		t.Errorf("%v: %s", d, what)
+		t.Errorf("overlap of %v, want at least a quarter of the lease: %s", d, what)
 	}
 }
 
-// The group's leader is killed in the middle of a change, again and again; then the whole group is away for longer than a lease:
-// no sheet begins, reads and what is known go on, and with the group comes the version that was proposed as it went.
+// The group's leader is killed during each of three changes. Then the whole group is down for longer than a lease,
+// during a fourth change: the routers serve no new requests, but retries get their results. When the group is back, the
+// proposed version becomes active.
 func TestGroupGoesInAChange(t *testing.T) {
 	t.Parallel()
 	f := newRuledFleet(t, sheetWindow)
@@ -220,15 +228,15 @@
 	for n := range 3 {
 		version++
 		f.expect(0, "proposed", "put", "classes", twoClasses(t, n%2+1))
-		lead := f.g.awaitLeader()
+		leader := f.g.awaitLeader()
 		time.Sleep(time.Duration(n) * 60 * time.Millisecond)
-		f.g.Members[lead].Kill()
+		f.g.Members[leader].Kill()
 		f.wait("classes", version, 10*time.Second)
-		f.g.start(lead)
+		f.g.start(leader)
 	}
 	f.serves("turned", one, two)
 	if got := toAll(5, "before", one, two); got["served"] != 10 {
-		t.Errorf("before: %v", got)
+		t.Errorf("outcomes before the group's outage: %v, want 10 served", got)
 	}
 	version++
 	f.expect(0, "proposed", "put", "classes", twoClasses(t, 4))
@@ -237,10 +245,10 @@
 	}
 	time.Sleep(2 * testLease)
 	if got := toAll(5, "away", one, two); got["served"] != 0 {
-		t.Errorf("new sheets while nobody confirms anything: %v", got)
+		t.Errorf("new requests during the group's outage: %v, want none served", got)
 	}
 	if got := toAll(5, "before", one, two); got["served"] != 10 {
-		t.Errorf("known ones meanwhile: %v", got)
+		t.Errorf("retries during the group's outage: %v, want 10 served", got)
 	}
 	for i := range f.g.Members {
 		f.g.start(i)
@@ -248,28 +256,28 @@
 	f.wait("classes", version, 15*time.Second)
 	f.serves("back", one, two)
 	if n := twice(f.ran()); n != 0 {
-		t.Errorf("%d ran twice", n)
+		t.Errorf("%d requests ran twice", n)
 	}
 	noOverlap(t, "classes", version, f.processes(map[string]*process{"r1": one, "r2": two}))
 }
 
-// A withdrawal that crosses the moment of coming into force: one of them is first, and all act on the same afterwards. Then a
-// hundred changes as fast as they go.
+// A withdrawal races with the activation of its version. Whichever is first, all processes use the same version
+// afterwards. Then two operators make 100 changes as fast as possible.
 func TestCrossing(t *testing.T) {
 	t.Parallel()
 	f := newRuledFleet(t, sheetWindow)
 	f.put("classes", twoClasses(t, 0))
 	one := f.router3("r1", nil)
-	forced, withdrawn := 0, 0
-	// The withdrawal comes a little later each time that it was first, and earlier each time that it was not: as long as a change
-	// takes on this machine, they meet about its end.
-	wait := 150 * time.Millisecond
-	for n := 0; n < 40 && (n < 12 || forced < 2 || withdrawn < 2); n++ {
+	activated, withdrawn := 0, 0
+	// The delay grows after each withdrawal that was first, and shrinks after each activation that was first. It
+	// converges on the time that a change takes on this machine.
+	delay := 150 * time.Millisecond
+	for n := 0; n < 40 && (n < 12 || activated < 2 || withdrawn < 2); n++ {
 		f.expect(0, "proposed", "put", "classes", twoClasses(t, n+1))
-		time.Sleep(wait)
+		time.Sleep(delay)
 		f.rules("withdraw", "classes", "--why", "crossing")
-		for { // until nothing is under way
-			force, stage, _ := f.doc("classes")
+		for { // until no change is pending
+			active, stage, _ := f.doc("classes")
 			if stage == "" {
 				r, err := f.g.Client.Config(f.g.within(5 * time.Second))
 				if err != nil {
@@ -278,13 +286,13 @@
 				d := r.Store.Documents["classes"]
 				if last := d.History[len(d.History)-1]; strings.HasPrefix(last.Outcome, "withdrawn") {
 					withdrawn++
-					wait = wait * 3 / 2
+					delay = delay * 3 / 2
 				} else {
-					forced++
-					wait = wait * 2 / 3
+					activated++
+					delay = delay * 2 / 3
 				}
 				for name, p := range f.processes(map[string]*process{"r1": one}) {
-					if _, err := p.Await(3*time.Second, 0, fmt.Sprintf("config: active: classes %d.", force)); err != nil {
+					if _, err := p.Await(3*time.Second, 0, fmt.Sprintf("config: active: classes %d.", active)); err != nil {
 						t.Fatal(name, err)
 					}
 				}
@@ -293,11 +301,11 @@
 			time.Sleep(5 * time.Millisecond)
 		}
 	}
-	if forced == 0 || withdrawn == 0 {
-		t.Errorf("%d were withdrawn and %d came into force: they never crossed", withdrawn, forced)
+	if activated == 0 || withdrawn == 0 {
+		t.Errorf("%d versions were withdrawn and %d activated, want some of both", withdrawn, activated)
 	}
 	noOverlap(t, "classes", 2, f.processes(map[string]*process{"r1": one}))
-	began := time.Now()
+	start := time.Now()
 	var wg sync.WaitGroup
 	for i := range 2 { // two operators
 		wg.Go(func() {
@@ -313,15 +321,16 @@
 		})
 	}
 	wg.Wait()
-	took := time.Since(began)
-	force, _, _ := f.doc("routing")
-	if _, err := one.Await(3*time.Second, 0, fmt.Sprintf("config: active: routing %d.", force)); err != nil || force != 100 || took > time.Minute {
-		t.Errorf("%d changes in %v: %v", force, took, err)
+	took := time.Since(start)
+	active, _, _ := f.doc("routing")
+	if _, err := one.Await(3*time.Second, 0, fmt.Sprintf("config: active: routing %d.", active)); err != nil || active != 100 || took > time.Minute {
+		t.Errorf("%d changes in %v, want 100 within a minute: %v", active, took, err)
 	}
 }
 
-// A change that makes every process worse is taken back by itself, and put again at once it is told no; one that is tried by a part
-// is withdrawn there. Two builds side by side: the older one is not handed what it can't read.
+// A change that lowers the goodput of all processes is reverted automatically, and the same document is rejected
+// when it is put again at once. If the change is forced as a canary for half of the processes, it is withdrawn
+// there. A process of an older build, which cannot read a document's format, holds up the change until it ends.
 func TestTakenBack(t *testing.T) {
 	t.Parallel()
 	f := &ruledFleet{g: newGroup(t, 3)}
@@ -350,24 +359,24 @@
 	}
 	time.Sleep(1500 * time.Millisecond)
 	bad := write(t, "bad.json", fmt.Sprintf("{"+limits+"}", 1))
-	began := time.Now()
+	start := time.Now()
 	f.put("pools", bad, "--watch", "2s")
 	f.wait("pools", 3, 8*time.Second)
-	t.Logf("taken back after %v", time.Since(began))
+	t.Logf("reverted after %v", time.Since(start))
 	f.expect(1, "it was taken back before", "put", "pools", bad)
 	f.expect(0, "taken back: ", "history", "pools")
 	f.expect(0, "", "put", "pools", bad, "--again", "--watch", "4s", "--part", "0.5")
 	if _, stage, _ := f.doc("pools"); stage != configstore.StageProposed && stage != configstore.StageCanary {
-		t.Errorf("tried by a part: %q", stage)
+		t.Errorf("canary: stage %q, want proposed or canary", stage)
 	}
 	for end := time.Now().Add(8 * time.Second); ; time.Sleep(20 * time.Millisecond) {
-		if force, stage, waits := f.doc("pools"); stage == "" {
-			if force != 3 {
-				t.Errorf("tried by a part: version %d is in force", force)
+		if active, stage, waits := f.doc("pools"); stage == "" {
+			if active != 3 {
+				t.Errorf("after the canary: version %d is active, want 3", active)
 			}
 			break
 		} else if time.Now().After(end) {
-			t.Fatalf("still %s, %s", stage, waits)
+			t.Fatalf("the canary is not withdrawn within 8 s: stage %q, %s", stage, waits)
 		}
 	}
 	f.expect(0, "worth was served where it was tried", "history", "pools")
@@ -378,10 +387,10 @@
 	format := write(t, "format.json", `{"format":2,"probe_ms":100,"retries":0.3}`)
 	f.expect(0, "proposed", "put", "routing", format)
 	time.Sleep(2 * testLease)
-	if force, stage, waits := f.doc("routing"); force != 1 || stage != configstore.StageProposed || !strings.Contains(waits, "reads format 1, and this is 2") {
-		t.Errorf("version %d, %s, %s", force, stage, waits)
+	if active, stage, waits := f.doc("routing"); active != 1 || stage != configstore.StageProposed || !strings.Contains(waits, "reads format 1, and this is 2") {
+		t.Errorf("document of a newer format: version %d is active, stage %q, %s; want 1 and proposed", active, stage, waits)
 	}
-	for _, p := range []*process{older, one, two} { // it waits for those that can't read it, until they are gone
+	for _, p := range []*process{older, one, two} { // the change waits for these processes until they end, as they cannot read the format
 		p.Kill()
 	}
 	f.wait("routing", 2, 10*time.Second)
@@ -390,6 +399,7 @@
 	}
 }
 
+// textOf returns the content of a file.
 func textOf(t testing.TB, path string) string {
 	t.Helper()
 	data, err := os.ReadFile(path)
@@ -399,25 +409,26 @@
 	return string(data)
 }
 
-// A router whose wall clock is apart from the group's within the skew serves as ever; beyond it that is found and said, and it
-// sends no sheets. A tenant moves while its rate changes and a router joins.
+// A router whose wall clock differs from the group's by less than the allowed skew serves requests. Beyond the skew,
+// the router logs the difference and sends no requests with a key. A tenant moves while its rate changes and a
+// router joins, and no request runs twice.
 func TestClocksApart(t *testing.T) {
 	t.Parallel()
 	f := newRuledFleet(t, 500*time.Millisecond)
-	near, far := f.router("near", nil, "SILVERPATH_WALL=60ms"), f.router("far", nil, "SILVERPATH_WALL=250ms")
-	if _, err := far.Await(3*time.Second, 0, "config: nothing that is exclusive begins: clock"); err != nil {
+	inSkew, outOfSkew := f.router("near", nil, "SILVERPATH_WALL=60ms"), f.router("far", nil, "SILVERPATH_WALL=250ms")
+	if _, err := outOfSkew.Await(3*time.Second, 0, "config: nothing that is exclusive begins: clock"); err != nil {
 		t.Error(err)
 	}
-	if got := toAll(10, "clocks", near); got["served"] != 10 {
-		t.Errorf("within the skew: %v", got)
+	if got := toAll(10, "clocks", inSkew); got["served"] != 10 {
+		t.Errorf("outcomes within the skew: %v, want 10 served", got)
 	}
-	if got := toAll(10, "apart", far); got["served"] != 0 {
-		t.Errorf("beyond the skew: %v", got)
+	if got := toAll(10, "apart", outOfSkew); got["served"] != 0 {
+		t.Errorf("outcomes beyond the skew: %v, want none served", got)
 	}
 	stop := make(chan struct{})
 	var wg sync.WaitGroup
 	var mu sync.Mutex
-	routers := []*process{near}
+	routers := []*process{inSkew}
 	for i := range 3 {
 		wg.Go(func() {
 			for n := 0; ; n++ {
@@ -455,20 +466,21 @@
 	time.Sleep(4500 * time.Millisecond)
 	close(stop)
 	wg.Wait()
-	if got := toAll(10, "moved", near, joined); got["served"] != 20 || twice(f.ran()) != 0 {
-		t.Errorf("after the move: %v, %d ran twice", got, twice(f.ran()))
+	if got := toAll(10, "moved", inSkew, joined); got["served"] != 20 || twice(f.ran()) != 0 {
+		t.Errorf("outcomes after the move: %v, %d ran twice; want 20 served, 0 twice", got, twice(f.ran()))
 	}
 	if f.machines["s3"].Runs()["moved-1"]+f.machines["s4"].Runs()["moved-1"] != 1 {
-		t.Error("the tenant has not moved")
+		t.Error("the moved tenant's request did not run in its new cell")
 	}
-	a, _ := json.Marshal(m.Tenants)
+	tenants, _ := json.Marshal(m.Tenants)
 	if !strings.Contains(f.expect(0, "", "get", "map"), `"rate": 20`) {
-		t.Errorf("the rate: %s", a)
+		t.Errorf("the stored map lacks the new rate of %s", tenants)
 	}
 }
 
-// Parts of a cell: a router that is cut off, stopped, or killed and started anew keeps its part for a lease and no longer, and what
-// others are lent meanwhile never sums with it to more than there is. With a clock that all but stands still it does, and is found.
+// A router that is cut off, suspended, or killed and restarted keeps its granted quota of a cell for at most a lease.
+// The quotas of all routers never sum to more than the usable capacity. With a router clock that runs at a hundredth
+// of its rate they do, and the test detects it.
 func TestPartsOfACell(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
@@ -477,79 +489,79 @@
 	}{{"in time", "SILVERPATH_CLOCK=1"}, {"a clock that stands still", "SILVERPATH_CLOCK=0.01"}} {
 		t.Run(c.name, func(t *testing.T) {
 			f := newRuledFleet(t, sheetWindow)
-			addrs, ways := f.ways()
-			sharing := func(members []string) string {
+			addrs, links := f.ways()
+			rulesSection := func(members []string) string {
 				return strings.Replace(f.rulesPart(members, "map"), `"rules":{`, `"rules":{"most_routers":4,`, 1)
 			}
 			route := func(name string, members []string, env ...string) *process {
 				return spawnIn(t, env, "route", "--config", siteFile(t, name, ""), "--edge", write(t, name+"-edge.json", fmt.Sprintf(
-					`{"status":true,"fleet":{"state":%q,"probe_ms":100},%s}`, filepath.Join(f.edge+name+".db"), sharing(members))))
+					`{"status":true,"fleet":{"state":%q,"probe_ms":100},%s}`, filepath.Join(f.edge+name+".db"), rulesSection(members))))
 			}
-			const whole = 2 * 1000 * quota.UsableRatio // two servers of cell a
-			part := func(p *process) float64 {
-				a, err := client.Status(client.Platform, p.addr)
+			const capacity = 2 * 1000 * quota.UsableRatio // the two servers of cell a
+			quotaOf := func(p *process) float64 {
+				status, err := client.Status(client.Platform, p.addr)
 				if err != nil {
 					t.Fatal(err)
 				}
 				var s struct {
 					Fleet struct{ Parts map[string]map[string]float64 }
 				}
-				if err := json.Unmarshal(a, &s); err != nil {
+				if err := json.Unmarshal(status, &s); err != nil {
 					t.Fatal(err)
 				}
 				return s.Fleet.Parts["a"]["brand"]
 			}
 			one := route("one", addrs, c.clock)
 			two := route("two", nil)
-			reaches := func(p *process, least float64, within time.Duration) time.Duration {
-				for began := time.Now(); ; time.Sleep(5 * time.Millisecond) {
-					got := part(p)
-					if sum := part(one) + got; sum > whole*1.0001 && c.clock == "SILVERPATH_CLOCK=1" {
-						// One may have been passed on between the two looks: looked at again in the other order.
-						if again := part(p); again+part(one) > whole*1.0001 && part(p)+part(one) > whole*1.0001 {
-							t.Fatalf("the parts sum to %.0f of %.0f", sum, whole)
+			awaitQuota := func(p *process, minimum float64, within time.Duration) time.Duration {
+				for start := time.Now(); ; time.Sleep(5 * time.Millisecond) {
+					got := quotaOf(p)
+					if sum := quotaOf(one) + got; sum > capacity*1.0001 && c.clock == "SILVERPATH_CLOCK=1" {
+						// A grant may have moved between the two reads, so the quotas are read again in both orders.
+						if again := quotaOf(p); again+quotaOf(one) > capacity*1.0001 && quotaOf(p)+quotaOf(one) > capacity*1.0001 {
+							t.Fatalf("the quotas sum to %.0f, above the capacity of %.0f", sum, capacity)
 						}
 					}
-					if got >= least {
-						return time.Since(began)
+					if got >= minimum {
+						return time.Since(start)
 					}
-					if time.Since(began) > within {
-						t.Fatalf("a part of %.0f after %v, want %.0f", got, within, least)
+					if time.Since(start) > within {
+						t.Fatalf("a quota of %.0f after %v, want at least %.0f", got, within, minimum)
 					}
 				}
 			}
-			reaches(two, whole*0.35, 5*time.Second) // about half of what is lent, and its part for good
-			reaches(one, whole*0.35, 5*time.Second)
-			for _, w := range ways {
-				w.Cut(true)
+			awaitQuota(two, capacity*0.35, 5*time.Second) // about half of the granted capacity, and its reserve
+			awaitQuota(one, capacity*0.35, 5*time.Second)
+			for _, link := range links {
+				link.Cut(true)
 			}
-			took := reaches(two, whole*0.8, 5*time.Second)
-			sum := part(one) + part(two)
+			took := awaitQuota(two, capacity*0.8, 5*time.Second)
+			sum := quotaOf(one) + quotaOf(two)
 			if c.clock != "SILVERPATH_CLOCK=1" {
-				if sum < whole*1.1 {
-					t.Errorf("the parts sum to %.0f of %.0f: this test finds no harm", sum, whole)
+				if sum < capacity*1.1 {
+					t.Errorf("with a slow clock the quotas sum to %.0f, want at least 110%% of the capacity of %.0f", sum, capacity)
 				}
 				return
 			}
-			if part(one) < whole*0.02 || part(one) > whole*0.03 {
-				t.Errorf("cut off for a lease it has %.0f, want its part for good", part(one))
+			if quotaOf(one) < capacity*0.02 || quotaOf(one) > capacity*0.03 {
+				t.Errorf("router that was cut off for a lease has a quota of %.0f, want only its reserve", quotaOf(one))
 			}
-			t.Logf("the part of one that is cut off went to the other after %v", took)
-			for _, w := range ways {
-				w.Cut(false)
+			t.Logf("the grant of the router that was cut off moved to the other one after %v", took)
+			for _, link := range links {
+				link.Cut(false)
 			}
-			reaches(one, whole*0.3, 5*time.Second)
+			awaitQuota(one, capacity*0.3, 5*time.Second)
 			one.Freeze()
-			for end := time.Now().Add(5 * time.Second); part(two) < whole*0.8; time.Sleep(5 * time.Millisecond) {
+			for end := time.Now().Add(5 * time.Second); quotaOf(two) < capacity*0.8; time.Sleep(5 * time.Millisecond) {
 				if time.Now().After(end) {
-					t.Fatal("what the stopped one had was not lent again")
+					t.Fatal("the grant of the suspended router did not move to the other one within 5 s")
 				}
 			}
 			one.Wake()
-			reaches(one, whole*0.3, 5*time.Second)
+			awaitQuota(one, capacity*0.3, 5*time.Second)
 			one.Kill()
 			one = route("one", addrs, c.clock)
-			reaches(one, whole*0.3, 5*time.Second)
+			awaitQuota(one, capacity*0.3, 5*time.Second)
 		})
 	}
 }
