--- a/cmd/silverpath/documents_test.go
+++ b/cmd/silverpath/documents_test.go
@@ -9,16 +9,16 @@
 	"time"
 )
 
-// ruledFleet is a fleet that reads its config documents from a group: the routers their map, the servers their
+// documentFleet is a fleet that reads its config documents from a group: the routers their map, the servers their
 // classes.
-type ruledFleet struct {
+type documentFleet struct {
 	*testFleet
 	g *testGroup
 }
 
 // rulesPart returns the section of an edge file that subscribes a process to documents. It lists the given members,
 // or all members of the group if members is nil.
-func (f *ruledFleet) rulesPart(members []string, docs ...string) string {
+func (f *documentFleet) rulesPart(members []string, docs ...string) string {
 	if members == nil {
 		members = f.g.Client.Addrs
 	}
@@ -27,9 +27,9 @@
 	return fmt.Sprintf(`"rules":{"group":"test","members":%s,"documents":%s}`, membersJSON, docsJSON)
 }
 
-func newRuledFleet(t testing.TB, window time.Duration, env ...string) *ruledFleet {
+func newRuledFleet(t testing.TB, window time.Duration, env ...string) *documentFleet {
 	t.Helper()
-	f := &ruledFleet{g: newGroup(t, 3)}
+	f := &documentFleet{g: newGroup(t, 3)}
 	f.testFleet = newFleetWith(t, window, fmt.Sprintf(`{"cell":true,%s}`, f.rulesPart(nil, "classes")), env...)
 	f.Map.Lease = 1500 * time.Millisecond // long enough that a loaded machine stores a moved map in time
 	f.put("map", f.write(f.Map))
@@ -37,39 +37,39 @@
 }
 
 // router starts a router that reads the map and the routing document from the group.
-func (f *ruledFleet) router(name string, members []string, env ...string) *process {
+func (f *documentFleet) router(name string, members []string, env ...string) *process {
 	f.t.Helper()
 	return spawnIn(f.t, env, "route", "--config", siteFile(f.t, name, ""), "--edge", write(f.t, name+"-edge.json", fmt.Sprintf(
 		`{"status":true,"fleet":{"state":%q,"probe_ms":100},%s}`, filepath.Join(f.t.TempDir(), name+".db"), f.rulesPart(members, "map", "routing"))))
 }
 
-// rules runs a subcommand of rules on the group's documents.
-func (f *ruledFleet) rules(args ...string) (code int, out, message string) {
+// runRules runs a subcommand of rules on the group's documents.
+func (f *documentFleet) runRules(args ...string) (code int, out, message string) {
 	f.t.Helper()
 	return run(f.t, "", append([]string{"rules", "--group", "test", "--members", strings.Join(f.g.Client.Addrs, ","), "--within", "15s"}, args...)...)
 }
 
 // put stores a document and waits until it is active.
-func (f *ruledFleet) put(name, file string, args ...string) {
+func (f *documentFleet) put(name, file string, args ...string) {
 	f.t.Helper()
-	if code, out, message := f.rules(append([]string{"put", name, file, "--wait"}, args...)...); code != 0 {
+	if code, out, message := f.runRules(append([]string{"put", name, file, "--wait"}, args...)...); code != 0 {
 		f.t.Fatalf("put %s: %s%s", name, out, message)
 	}
 }
 
 // expect runs a subcommand of rules, checks its exit code and that its output contains a text, and returns the
 // standard output.
-func (f *ruledFleet) expect(code int, want string, args ...string) string {
+func (f *documentFleet) expect(code int, want string, args ...string) string {
 	f.t.Helper()
-	got, out, message := f.rules(args...)
+	got, out, message := f.runRules(args...)
 	if got != code || !strings.Contains(out+message, want) || code != 0 && strings.Count(message, "\n") != 1 {
 		f.t.Errorf("rules %v: exit code %d, %q, %q; want %d, %q", args, got, out, message, code, want)
 	}
 	return out
 }
 
-// classesFile writes a classes document for the class of siteFile and returns its path.
-func classesFile(t testing.TB, effect string, window time.Duration, worth int) string {
+// writeClasses writes a classes document for the class of siteFile and returns its path.
+func writeClasses(t testing.TB, effect string, window time.Duration, worth int) string {
 	return write(t, "classes.json", fmt.Sprintf(`{"classes":[{"name":"oddaja","target":900000,"deadline":1000000,"worth":%d,"effect":%q,"memory_span":%d}]}`,
 		worth, effect, window.Microseconds()))
 }
@@ -111,13 +111,13 @@
 	f.expect(1, "it was taken back before", "put", "routing", changed)
 	f.expect(0, "retries", "diff", "routing", "--versions", "1,2")
 	// A process that cannot apply a version reports the reason, and the version is withdrawn.
-	code, _, message := f.rules("put", "classes", write(t, "classes.json",
+	code, _, message := f.runRules("put", "classes", write(t, "classes.json",
 		`{"classes":[{"name":"oddaja","target":900000,"deadline":1000000,"worth":-1,"effect":"token","memory_span":2000000}]}`), "--wait")
 	if code != 1 || !strings.Contains(message, "version 1: withdrawn: s") || !strings.Contains(message, "Classes[0].Worth: not a number of 0 or more: -1") {
 		t.Errorf("put of an invalid classes document: exit code %d, %s", code, message)
 	}
-	f.put("classes", classesFile(t, "token", sheetWindow, 3))
-	f.put("classes", classesFile(t, "token", sheetWindow, 4))
+	f.put("classes", writeClasses(t, "token", sheetWindow, 3))
+	f.put("classes", writeClasses(t, "token", sheetWindow, 4))
 	out := f.expect(0, `"doc": "classes"`, "who", "classes", "--json")
 	var who []struct {
 		Process string
--- a/cmd/silverpath/durable_test.go
+++ b/cmd/silverpath/durable_test.go
@@ -30,76 +30,77 @@
 	"silverpath/internal/transport/msgpackrpc"
 )
 
-// unlogged wraps a store and reports an intent as durable before it is written. The intent is written only
+// lateIntentStore wraps a store and reports an intent as durable before it is written. The intent is written only
 // together with the result.
-type unlogged struct {
+type lateIntentStore struct {
 	core.Store
 	mu       sync.Mutex
 	seq      uint64
 	deferred map[uint64]intent
 }
 
+// intent is an intent whose write is deferred, with the arguments of LogIntent.
 type intent struct {
 	idempotency.Record
 	receivedAt, expiresAt time.Time
 }
 
-func (u *unlogged) LogIntent(r *idempotency.Record, receivedAt, expiresAt time.Time, left time.Duration, done func(error)) idempotency.Decision {
-	decision := u.CanExecute(left)
+func (s *lateIntentStore) LogIntent(r *idempotency.Record, receivedAt, expiresAt time.Time, left time.Duration, done func(error)) idempotency.Decision {
+	decision := s.CanExecute(left)
 	if decision.Action != idempotency.Execute {
 		return decision
 	}
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	u.seq++
-	r.Seq = 1<<40 + u.seq
-	u.deferred[r.Seq] = intent{*r, receivedAt, expiresAt}
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.seq++
+	r.Seq = 1<<40 + s.seq
+	s.deferred[r.Seq] = intent{*r, receivedAt, expiresAt}
 	go done(nil)
 	return decision
 }
 
-func (u *unlogged) LogResult(r *idempotency.Record, receivedAt, expiresAt time.Time, done func(error)) {
-	u.mu.Lock()
-	pending, found := u.deferred[r.Seq]
-	delete(u.deferred, r.Seq)
-	u.mu.Unlock()
+func (s *lateIntentStore) LogResult(r *idempotency.Record, receivedAt, expiresAt time.Time, done func(error)) {
+	s.mu.Lock()
+	pending, found := s.deferred[r.Seq]
+	delete(s.deferred, r.Seq)
+	s.mu.Unlock()
 	if !found {
-		u.Store.LogResult(r, receivedAt, expiresAt, done)
+		s.Store.LogResult(r, receivedAt, expiresAt, done)
 		return
 	}
 	result := *r
 	go func() { // the core calls LogResult with its lock held
 		pending.Seq = 0
 		record := pending.Record
-		if d := u.Store.LogIntent(&record, pending.receivedAt, pending.expiresAt, time.Hour, func(err error) {
+		if d := s.Store.LogIntent(&record, pending.receivedAt, pending.expiresAt, time.Hour, func(err error) {
 			if err != nil {
 				done(err)
 				return
 			}
 			result.Seq = record.Seq
-			u.Store.LogResult(&result, receivedAt, expiresAt, done)
+			s.Store.LogResult(&result, receivedAt, expiresAt, done)
 		}); d.Action != idempotency.Execute {
 			done(errors.New(d.Reason))
 		}
 	}()
 }
 
-func (u *unlogged) NoteFailed(seq uint64) { u.discard(seq, u.Store.NoteFailed) }
-func (u *unlogged) Withdraw(seq uint64)   { u.discard(seq, u.Store.Withdraw) }
+func (s *lateIntentStore) NoteFailed(seq uint64) { s.discard(seq, s.Store.NoteFailed) }
+func (s *lateIntentStore) Withdraw(seq uint64)   { s.discard(seq, s.Store.Withdraw) }
 
 // discard drops the deferred intent of a sequence number, or calls forward if the wrapped store has assigned the number.
-func (u *unlogged) discard(seq uint64, forward func(uint64)) {
-	u.mu.Lock()
-	_, found := u.deferred[seq]
-	delete(u.deferred, seq)
-	u.mu.Unlock()
+func (s *lateIntentStore) discard(seq uint64, forward func(uint64)) {
+	s.mu.Lock()
+	_, found := s.deferred[seq]
+	delete(s.deferred, seq)
+	s.mu.Unlock()
 	if !found && seq < 1<<40 {
 		forward(seq)
 	}
 }
 
-// otherFormat creates a store whose header has another format version, as a build of that format writes it.
-func otherFormat(t *testing.T, dir, name string, format int) {
+// initStoreWithFormat creates a store whose header has another format version, as a build of that format writes it.
+func initStoreWithFormat(t *testing.T, dir, name string, format int) {
 	t.Helper()
 	if err := idempotencystore.Init(dir, name); err != nil {
 		t.Fatal(err)
@@ -134,7 +135,7 @@
 	}
 }
 
-// storeProgram installs the store faults that the environment asks for in a process of the test binary.
+// installStoreFaults installs the store faults that the environment asks for in a process of the test binary.
 //
 // SILVERPATH_STORE names a file that describes a disk fault and is read at every write boundary. A missing file
 // means no fault. Its format is "BOUNDARY ACTION". BOUNDARY may be * for all boundaries. ACTION is a duration to
@@ -142,9 +143,11 @@
 // on, or the text of an error.
 //
 // SILVERPATH_BOOT is "NAME AGO MACHINE": the ID of the boot, the time since the boot, and the machine's ID.
-func storeProgram() {
+//
+// SILVERPATH_UNPROMISED makes the store write intents late. SILVERPATH_UNSIGNED disables the heartbeat check.
+func installStoreFaults() {
 	if os.Getenv("SILVERPATH_UNPROMISED") != "" {
-		parts.WrapStore = func(k core.Store) core.Store { return &unlogged{Store: k, deferred: map[uint64]intent{}} }
+		parts.WrapStore = func(s core.Store) core.Store { return &lateIntentStore{Store: s, deferred: map[uint64]intent{}} }
 	}
 	if os.Getenv("SILVERPATH_UNSIGNED") != "" {
 		parts.WrapHeartbeat = func(func() bool) func() bool { return func() bool { return true } }
@@ -200,7 +203,7 @@
 	t     *testing.T
 	dir   string        // directory of the store
 	span  time.Duration // memory_span of the class: the longest time between two attempts of one request
-	fault string        // file that describes the disk fault; see storeProgram
+	fault string        // file that describes the disk fault; see installStoreFaults
 }
 
 func newDurable(t *testing.T, env ...string) *durable {
@@ -226,8 +229,8 @@
 	return d
 }
 
-// disk sets the disk fault, in the format of storeProgram. An empty text removes the fault.
-func (d *durable) disk(text string) {
+// setDiskFault sets the disk fault, in the format of installStoreFaults. An empty text removes the fault.
+func (d *durable) setDiskFault(text string) {
 	if text == "" {
 		_ = os.Remove(d.fault)
 		return
@@ -262,8 +265,8 @@
 	return a
 }
 
-// again repeats served requests concurrently and reports each one whose result differs from the first.
-func (d *durable) again(served map[string]string) (wrong []string) {
+// checkRetries repeats served requests concurrently and reports each one whose result differs from the first.
+func (d *durable) checkRetries(served map[string]string) (wrong []string) {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	for key, body := range served {
@@ -280,8 +283,8 @@
 	return wrong
 }
 
-// serve sends n new requests, retries each refused one for up to 5 s, and returns the results by key.
-func (d *durable) serve(name string, n int) map[string]string {
+// serveNew sends n new requests, retries each refused one for up to 5 s, and returns the results by key.
+func (d *durable) serveNew(name string, n int) map[string]string {
 	d.t.Helper()
 	served := map[string]string{}
 	for i := range n {
@@ -365,9 +368,9 @@
 			t.Parallel()
 			d := newDurable(t)
 			g := d.up()
-			served := d.serve("before", 10)
+			served := d.serveNew("before", 10)
 			g.Kill()
-			d.disk(at)
+			d.setDiskFault(at)
 			boot := func(n int) string { return fmt.Sprintf("SILVERPATH_BOOT=%d 1s", n) } // a new boot ID makes the store rewrite all records
 			killed := 0
 			for n := range 2 {
@@ -394,16 +397,16 @@
 					t.Fatalf("the server was not killed at the boundary:\n%s", g.Log())
 				}
 			}
-			d.disk("")
+			d.setDiskFault("")
 			d.up(boot(2))
-			for _, w := range d.again(served) {
+			for _, w := range d.checkRetries(served) {
 				t.Error(w)
 			}
 			for i := range 40 { // requests that were in flight at a kill do not run again
 				key := fmt.Sprintf("during-%d-%d", i/20, i%20)
 				d.ask(key, key)
 			}
-			d.serve("after", 3)
+			d.serveNew("after", 3)
 			for body, n := range d.Runs() {
 				if n > 1 {
 					t.Errorf("request %s ran %d times", body, n)
@@ -423,8 +426,8 @@
 			t.Parallel()
 			d := newDurable(t)
 			g := d.up()
-			served := d.serve("before", 5)
-			d.disk(at)
+			served := d.serveNew("before", 5)
+			d.setDiskFault(at)
 			refused := 0
 			for i := range 10 {
 				key := fmt.Sprintf("during-%d", i)
@@ -442,21 +445,21 @@
 					t.Errorf("request %s was refused and ran", body)
 				}
 			}
-			if w := d.again(served); len(w) > 0 {
+			if w := d.checkRetries(served); len(w) > 0 {
 				t.Error(w)
 			}
-			d.disk("")
+			d.setDiskFault("")
 			for end := time.Now().Add(5 * time.Second); d.ask("well", "well").Outcome != "served"; time.Sleep(50 * time.Millisecond) {
 				if time.Now().After(end) {
 					t.Fatalf("no new request is served within 5 s of the disk's repair:\n%s", g.Log())
 				}
 			}
-			for key, body := range d.serve("after", 5) {
+			for key, body := range d.serveNew("after", 5) {
 				served[key] = body
 			}
 			g.Kill()
 			d.up()
-			if w := d.again(served); len(w) > 0 {
+			if w := d.checkRetries(served); len(w) > 0 {
 				t.Error("after a restart:", w)
 			}
 		})
@@ -470,7 +473,7 @@
 	d := newDurable(t)
 	d.up().Kill()
 	g := d.up()
-	d.disk("commit fail:2 input/output error") // the intent's commit succeeds, the result's fails
+	d.setDiskFault("commit fail:2 input/output error") // the intent's commit succeeds, the result's fails
 	if a := d.ask("k", "k"); a.Outcome == "served" || a.Outcome == "refused" {
 		t.Errorf("request without a durable result: got %s, want neither served nor refused", a.Outcome)
 	}
@@ -481,7 +484,7 @@
 		t.Errorf("retry: got %s, want neither served nor refused", a.Outcome)
 	}
 	g.Kill()
-	d.disk("")
+	d.setDiskFault("")
 	d.up()
 	if a := d.ask("k", "k"); a.Outcome == "served" || a.Outcome == "refused" || d.Runs()["k"] != 1 {
 		t.Errorf("retry after a restart: got %s with %d runs, want neither served nor refused, and 1 run", a.Outcome, d.Runs()["k"])
@@ -494,9 +497,9 @@
 	t.Parallel()
 	d := newDurable(t)
 	d.up()
-	d.disk("commit 20ms")
-	d.serve("slow", 10)
-	d.disk("commit 400ms")
+	d.setDiskFault("commit 20ms")
+	d.serveNew("slow", 10)
+	d.setDiskFault("commit 400ms")
 	count := map[string]int{}
 	for i := range 12 {
 		key := fmt.Sprintf("stalled-%d", i)
@@ -509,9 +512,9 @@
 	if count["refused"] < 4 || count["lost"] > 0 {
 		t.Errorf("outcomes with commits of 0.4 s and a timeout of 0.9 s: %v, want at least 4 refused and none lost", count)
 	}
-	d.disk("")
+	d.setDiskFault("")
 	time.Sleep(2500 * time.Millisecond) // until the slow commits are older than the window of the commit time estimate
-	d.serve("well", 5)
+	d.serveNew("well", 5)
 }
 
 // After a restart, 1000 concurrent retries of one key get the one result, the same key with another body gets no
@@ -520,7 +523,7 @@
 	t.Parallel()
 	d := newDurable(t)
 	g := d.up()
-	served := d.serve("one", 1)
+	served := d.serveNew("one", 1)
 	large := strings.Repeat("x", 2<<10) // the largest body that the wire format allows
 	a := d.ask("large", large)
 	if a.Outcome != "served" || len(a.Body) < len(large) {
@@ -570,7 +573,7 @@
 		t.Fatal(err)
 	}
 	future := t.TempDir()
-	otherFormat(t, future, "n1", 2)
+	initStoreWithFormat(t, future, "n1", 2)
 	for dir, want := range map[string]string{
 		d.dir: "in use by another process", other: `it is of the service "somebody", not of "n1"`,
 		future: "format 2, this build knows 1", file: "not a directory",
@@ -584,14 +587,14 @@
 }
 
 // A copy of a store that was exported under load is imported by another server. Retries of requests in the copy
-// get their results. Any other request may have run since the export, so it fails until the request window has
+// get their results. Any other request may have run since the export, so it fails until the window for retries has
 // passed. The store commands check and dump the copy.
 func TestCopyStartsAnotherServer(t *testing.T) {
 	t.Parallel()
 	d := newDurable(t)
 	d.span = 5 * time.Second
 	g := d.up()
-	served := d.serve("before", 5)
+	served := d.serveNew("before", 5)
 	load := d.Load(4, 1, 30*time.Millisecond, 3)
 	time.Sleep(200 * time.Millisecond)
 	code, path, message := run(t, "", "store", "export", "--mgmt", g.Mgmt)
@@ -603,7 +606,7 @@
 	if w := load.End(); len(w) > 0 {
 		t.Error(w)
 	}
-	late := d.serve("late", 1)
+	late := d.serveNew("late", 1)
 	g.Kill()
 	if code, out, message := run(t, "", "store", "check", "--dir", path); code != 0 || !strings.Contains(out, "store ") || !strings.Contains(out, "done: ") {
 		t.Errorf("store check: exit code %d, %q, %q", code, out, message)
@@ -620,7 +623,7 @@
 	}
 	d.Args = []string{"--edge", write(t, "edge.json", fmt.Sprintf(`{"store":{"dir":%q,"size_mb":8}}`, d.dir))}
 	g = d.up()
-	if w := d.again(served); len(w) > 0 {
+	if w := d.checkRetries(served); len(w) > 0 {
 		t.Error(w)
 	}
 	for key := range late {
@@ -824,9 +827,9 @@
 	t.Parallel()
 	d := newDurable(t)
 	g := d.up()
-	served := d.serve("before", 3)
+	served := d.serveNew("before", 3)
 	g.Kill()
-	d.disk("loading 1s")
+	d.setDiskFault("loading 1s")
 	g = d.Start()
 	g.Ready(t)
 	for key := range served {
@@ -840,7 +843,7 @@
 	if _, err := g.Await(5*time.Second, 0, "taken up"); err != nil {
 		t.Fatal(err)
 	}
-	if w := d.again(served); len(w) > 0 {
+	if w := d.checkRetries(served); len(w) > 0 {
 		t.Error(w)
 	}
 	for body, n := range d.Runs() {
--- a/cmd/silverpath/group_holders_test.go
+++ b/cmd/silverpath/group_holders_test.go
@@ -29,7 +29,7 @@
 			t.Parallel()
 			g := newGroup(t, 3)
 			dir := testMap(t)
-			old := g.owner("old", dir, []string{controller.PlacementDuty}, nil, "SILVERPATH_STOP_AT=keeper:"+at)
+			old := g.startOwner("old", dir, []string{controller.PlacementDuty}, nil, "SILVERPATH_STOP_AT=keeper:"+at)
 			if _, err := old.Await(10*time.Second, 0, "duty.owned"); err != nil {
 				t.Fatal(err)
 			}
@@ -39,9 +39,9 @@
 			if _, err := old.Await(10*time.Second, 0, "stopped at"); err != nil {
 				t.Fatal(err)
 			}
-			next := g.owner("next", dir, []string{controller.PlacementDuty}, nil)
+			next := g.startOwner("next", dir, []string{controller.PlacementDuty}, nil)
 			for i := range 3 {
-				if item := g.over(controller.PlacementDuty, fmt.Sprint("m", i), 15*time.Second); item.State != controller.Done {
+				if item := g.awaitItem(controller.PlacementDuty, fmt.Sprint("m", i), 15*time.Second); item.State != controller.Done {
 					t.Errorf("move m%d: state %s, want done: %s", i, item.State, item.Note)
 				}
 			}
@@ -80,7 +80,7 @@
 			t.Parallel()
 			g := newGroup(t, 3)
 			s := newServers(t, g, 3)
-			old := g.owner("old", s.dir, []string{controller.RolloutDuty}, nil, "SILVERPATH_STOP_AT=conductor:"+at)
+			old := g.startOwner("old", s.dir, []string{controller.RolloutDuty}, nil, "SILVERPATH_STOP_AT=conductor:"+at)
 			if _, err := old.Await(10*time.Second, 0, "duty.owned"); err != nil {
 				t.Fatal(err)
 			}
@@ -94,7 +94,7 @@
 						maxOut <- highest
 						return
 					case <-time.After(2 * time.Millisecond):
-						highest = max(highest, s.out())
+						highest = max(highest, s.evacuatedInLogs())
 					}
 				}
 			}()
@@ -102,8 +102,8 @@
 			if _, err := old.Await(10*time.Second, 0, "stopped at"); err != nil {
 				t.Fatal(err)
 			}
-			g.owner("next", s.dir, []string{controller.RolloutDuty}, nil)
-			if item := g.over(controller.RolloutDuty, "r", 20*time.Second); item.State != controller.Done {
+			g.startOwner("next", s.dir, []string{controller.RolloutDuty}, nil)
+			if item := g.awaitItem(controller.RolloutDuty, "r", 20*time.Second); item.State != controller.Done {
 				t.Errorf("rollout: state %s, want done: %s", item.State, item.Note)
 			}
 			from := old.Lines()
@@ -138,9 +138,9 @@
 func TestDelayedCommandIsRefused(t *testing.T) {
 	g := newGroup(t, 3)
 	s := newServers(t, g, 2)
-	first := g.owner("first", s.dir, []string{controller.RolloutDuty}, nil)
+	first := g.startOwner("first", s.dir, []string{controller.RolloutDuty}, nil)
 	g.submit(controller.RolloutDuty, "r1", controller.KindRollout, controller.RolloutSpec{MaxOutPerCell: 1, MaxOut: 1, DwellMS: 10, ReturnMS: 5000})
-	g.over(controller.RolloutDuty, "r1", 15*time.Second)
+	g.awaitItem(controller.RolloutDuty, "r1", 15*time.Second)
 	var evacuate []byte
 	for _, call := range s.mgmt[0].Calls() {
 		if strings.Contains(string(call), "/api/evacuate") {
@@ -154,12 +154,12 @@
 		t.Errorf("command repeated in its own epoch: %q, %v; want a stale step", a, err)
 	}
 	first.Kill()
-	second := g.owner("second", s.dir, []string{controller.RolloutDuty}, nil)
+	second := g.startOwner("second", s.dir, []string{controller.RolloutDuty}, nil)
 	if _, err := second.Await(10*time.Second, 0, "duty.owned"); err != nil {
 		t.Fatal(err)
 	}
 	g.submit(controller.RolloutDuty, "r2", controller.KindRollout, controller.RolloutSpec{MaxOutPerCell: 1, MaxOut: 1, DwellMS: 10, ReturnMS: 5000})
-	g.over(controller.RolloutDuty, "r2", 15*time.Second)
+	g.awaitItem(controller.RolloutDuty, "r2", 15*time.Second)
 	if a, err := s.mgmt[0].Again(evacuate); err != nil || !strings.Contains(a, "409") || !strings.Contains(a, "stale epoch 1.1 of conductor: 1.2 was seen") {
 		t.Errorf("command repeated in the next epoch: %q, %v; want 409 and a stale epoch", a, err)
 	}
@@ -188,15 +188,15 @@
 	if a, err := s.mgmt[0].Again(evacuate); err != nil || !strings.Contains(a, "stale epoch") {
 		t.Errorf("command to a server without a fence file: %q, %v; want a stale epoch", a, err)
 	}
-	if s.outNow() != 0 {
+	if s.evacuatedNow() != 0 {
 		t.Error("a stale command took effect")
 	}
 	// Without a fence the stale command takes effect, and the test detects it.
 	s.procs[0].Kill()
 	s.edges[0] = write(t, "edge.json", `{"cell":true}`)
 	s.start(0, freeAddr(t))
-	if a, err := s.mgmt[0].Again(evacuate); err != nil || !strings.Contains(a, "200") || s.outNow() != 1 {
-		t.Errorf("command to a server without a fence: %q, %v, %d evacuated; want 200 and 1 evacuated", a, err, s.outNow())
+	if a, err := s.mgmt[0].Again(evacuate); err != nil || !strings.Contains(a, "200") || s.evacuatedNow() != 1 {
+		t.Errorf("command to a server without a fence: %q, %v, %d evacuated; want 200 and 1 evacuated", a, err, s.evacuatedNow())
 	}
 }
 
@@ -224,11 +224,11 @@
 				links, addrs = append(links, link), append(addrs, link.Addr())
 			}
 			dir := testMap(t)
-			one := g.owner("one", dir, []string{controller.PlacementDuty}, addrs, "SILVERPATH_CLOCK="+clocks[0])
+			one := g.startOwner("one", dir, []string{controller.PlacementDuty}, addrs, "SILVERPATH_CLOCK="+clocks[0])
 			if _, err := one.Await(10*time.Second, 0, "duty.owned"); err != nil {
 				t.Fatal(err)
 			}
-			two := g.owner("two", dir, []string{controller.PlacementDuty}, nil)
+			two := g.startOwner("two", dir, []string{controller.PlacementDuty}, nil)
 			await(t, "the second process is queued for the duty", 5*time.Second, func() bool { return len(g.view().Table.Duties[controller.PlacementDuty].Queue) == 1 })
 			for i, link := range links {
 				if i == 0 { // with equal clocks the first link loses only replies
@@ -275,9 +275,9 @@
 func TestRolloutStopsAtAServerThatDoesNotReturn(t *testing.T) {
 	g := newGroup(t, 3)
 	s := newServers(t, g, 3)
-	holder := g.owner("one", s.dir, []string{controller.RolloutDuty, controller.PlacementDuty}, nil)
+	holder := g.startOwner("one", s.dir, []string{controller.RolloutDuty, controller.PlacementDuty}, nil)
 	g.submit(controller.RolloutDuty, "r", controller.KindRollout, controller.RolloutSpec{MaxOutPerCell: 1, MaxOut: 1, DwellMS: 2000, ReturnMS: 700})
-	await(t, "a server is evacuated", 10*time.Second, func() bool { return s.out() > 0 })
+	await(t, "a server is evacuated", 10*time.Second, func() bool { return s.evacuatedInLogs() > 0 })
 	// Suspend the server after its answer has arrived and well before the rejoin command: earlier, the evacuate
 	// command itself would fail; later, the server could already be back.
 	if _, err := holder.Await(10*time.Second, 0, "command.evacuate", "yes=true"); err != nil {
@@ -289,10 +289,10 @@
 		}
 	}
 	g.submit(controller.PlacementDuty, "m", controller.KindMove, controller.MoveRequest{Tenant: "t1", To: "b"})
-	if item := g.over(controller.PlacementDuty, "m", 5*time.Second); item.State != controller.Done {
+	if item := g.awaitItem(controller.PlacementDuty, "m", 5*time.Second); item.State != controller.Done {
 		t.Errorf("move under the placement duty: state %s, want done: %s", item.State, item.Note)
 	}
-	item := g.over(controller.RolloutDuty, "r", 30*time.Second)
+	item := g.awaitItem(controller.RolloutDuty, "r", 30*time.Second)
 	if item.State != controller.Failed || !strings.Contains(item.Note, "come back") {
 		t.Errorf("rollout: state %s, want failed: %s", item.State, item.Note)
 	}
@@ -347,7 +347,7 @@
 	if _, err := o.Await(20*time.Second, 0, "monitor.dead", "server=s0"); err != nil {
 		t.Fatal(err)
 	}
-	if item := g.over(controller.PlacementDuty, "gone-s0-1", 10*time.Second); item.State != controller.Done {
+	if item := g.awaitItem(controller.PlacementDuty, "gone-s0-1", 10*time.Second); item.State != controller.Done {
 		t.Errorf("removal of s0: state %s, want done: %s", item.State, item.Note)
 	}
 	links[3].Cut(true)
@@ -355,7 +355,7 @@
 	if _, err := o.Await(20*time.Second, 0, "monitor.dead", "server=s3"); err != nil {
 		t.Fatal(err)
 	}
-	item := g.over(controller.PlacementDuty, "gone-s3-2", 10*time.Second)
+	item := g.awaitItem(controller.PlacementDuty, "gone-s3-2", 10*time.Second)
 	if item.State != controller.Failed || !strings.Contains(item.Note, "cell b would be left with 0 of 1 servers") {
 		t.Errorf("removal of s3: state %s, want failed: %s", item.State, item.Note)
 	}
@@ -372,16 +372,16 @@
 	g := newGroup(t, 3)
 	dir := testMap(t)
 	for _, offset := range []string{"1h", "-1h"} {
-		skewed := g.owner("off"+offset, dir, []string{controller.PlacementDuty, controller.RolloutDuty}, nil, "SILVERPATH_WALL="+offset)
+		skewed := g.startOwner("off"+offset, dir, []string{controller.PlacementDuty, controller.RolloutDuty}, nil, "SILVERPATH_WALL="+offset)
 		if _, err := skewed.Await(10*time.Second, 0, "duty.owned", "keeper"); err != nil {
 			t.Fatal(err)
 		}
 		if _, err := skewed.Await(10*time.Second, 0, "duty.held_up", "the clock differs from the group's", "by 59m59"); err != nil {
 			t.Error(err)
 		}
-		correct := g.owner("right"+offset, dir, []string{controller.PlacementDuty}, nil)
+		correct := g.startOwner("right"+offset, dir, []string{controller.PlacementDuty}, nil)
 		g.submit(controller.PlacementDuty, "m"+offset, controller.KindMove, controller.MoveRequest{Tenant: fmt.Sprint("t", len(offset)), To: "b"})
-		if item := g.over(controller.PlacementDuty, "m"+offset, 15*time.Second); item.State != controller.Done {
+		if item := g.awaitItem(controller.PlacementDuty, "m"+offset, 15*time.Second); item.State != controller.Done {
 			t.Errorf("move: state %s, want done: %s", item.State, item.Note)
 		}
 		if strings.Contains(skewed.Log(), `duty.lost`) && strings.Contains(skewed.Log(), "duty=conductor epoch=0.0") {
@@ -431,7 +431,7 @@
 		}
 	}
 	for i := range 4 {
-		if item := g.over(controller.PlacementDuty, fmt.Sprint("m", i), 15*time.Second); item.State != controller.Done {
+		if item := g.awaitItem(controller.PlacementDuty, fmt.Sprint("m", i), 15*time.Second); item.State != controller.Done {
 			t.Errorf("move: state %s, want done: %s", item.State, item.Note)
 		}
 	}
@@ -445,17 +445,17 @@
 func TestHolderWhoseClockStopsTakesNoEffect(t *testing.T) {
 	g := newGroup(t, 3)
 	dir := testMap(t)
-	one := g.owner("one", dir, []string{controller.PlacementDuty}, nil, "SILVERPATH_CLOCK=0.005")
+	one := g.startOwner("one", dir, []string{controller.PlacementDuty}, nil, "SILVERPATH_CLOCK=0.005")
 	if _, err := one.Await(10*time.Second, 0, "duty.owned"); err != nil {
 		t.Fatal(err)
 	}
-	two := g.owner("two", dir, []string{controller.PlacementDuty}, nil)
+	two := g.startOwner("two", dir, []string{controller.PlacementDuty}, nil)
 	if _, err := two.Await(10*time.Second, 0, "duty.owned"); err != nil {
 		t.Fatal(err)
 	}
 	for i := range 3 {
 		g.submit(controller.PlacementDuty, fmt.Sprint("m", i), controller.KindMove, controller.MoveRequest{Tenant: fmt.Sprint("t", i), To: "b"})
-		if item := g.over(controller.PlacementDuty, fmt.Sprint("m", i), 10*time.Second); item.State != controller.Done || item.Epoch != lease.BaseEpoch(1)+2 {
+		if item := g.awaitItem(controller.PlacementDuty, fmt.Sprint("m", i), 10*time.Second); item.State != controller.Done || item.Epoch != lease.BaseEpoch(1)+2 {
 			t.Errorf("move: state %s, %s, epoch %v; want done in the second epoch", item.State, item.Note, item.Epoch)
 		}
 	}
@@ -472,7 +472,7 @@
 func TestStaleJournalWriteIsRefused(t *testing.T) {
 	g := newGroup(t, 3)
 	dir := testMap(t)
-	old := g.owner("old", dir, []string{controller.PlacementDuty}, nil, "SILVERPATH_STOP_AT=keeper:write:1")
+	old := g.startOwner("old", dir, []string{controller.PlacementDuty}, nil, "SILVERPATH_STOP_AT=keeper:write:1")
 	if _, err := old.Await(10*time.Second, 0, "duty.step"); err != nil { // the holder has loaded the map
 		t.Fatal(err)
 	}
@@ -498,14 +498,14 @@
 func TestLatePublishFindsItsPlaceWithdrawn(t *testing.T) {
 	g := newGroup(t, 3)
 	dir := testMap(t)
-	old := g.owner("old", dir, []string{controller.PlacementDuty}, nil, "SILVERPATH_STOP_AT=keeper:intent:2")
+	old := g.startOwner("old", dir, []string{controller.PlacementDuty}, nil, "SILVERPATH_STOP_AT=keeper:intent:2")
 	g.submit(controller.PlacementDuty, "m", controller.KindMove, controller.MoveRequest{Tenant: "t0", To: "b"})
 	if _, err := old.Await(10*time.Second, 0, "stopped at"); err != nil {
 		t.Fatal(err)
 	}
 	time.Sleep(1300 * time.Millisecond) // until version 2 can no longer be announced a lease ahead
 	g.do(statemachine.Command{Lease: &lease.Request{Op: lease.Pause, Duty: controller.PlacementDuty, Reason: "nothing new"}})
-	next := g.owner("next", dir, []string{controller.PlacementDuty}, nil)
+	next := g.startOwner("next", dir, []string{controller.PlacementDuty}, nil)
 	if _, err := next.Await(10*time.Second, 0, "placement.withdraw", "version=2"); err != nil {
 		t.Fatal(err)
 	}
@@ -519,7 +519,7 @@
 		t.Errorf("map version %d, %v; want 1, as version 2 was withdrawn", m.Version, err)
 	}
 	g.do(statemachine.Command{Lease: &lease.Request{Op: lease.Resume, Duty: controller.PlacementDuty}})
-	if item := g.over(controller.PlacementDuty, "m", 10*time.Second); item.State != controller.Done || item.Note != "version 3" {
+	if item := g.awaitItem(controller.PlacementDuty, "m", 10*time.Second); item.State != controller.Done || item.Note != "version 3" {
 		t.Errorf("move: state %s, note %q; want done and version 3", item.State, item.Note)
 	}
 }
--- a/cmd/silverpath/group_members_test.go
+++ b/cmd/silverpath/group_members_test.go
@@ -220,7 +220,7 @@
 	if len(history) < 100 {
 		t.Errorf("the history has %d operations, want at least 100", len(history))
 	}
-	if res := porcupine.CheckOperationsTimeout(pauses, history, 30*time.Second); res != porcupine.Ok {
+	if res := porcupine.CheckOperationsTimeout(pauseModel, history, 30*time.Second); res != porcupine.Ok {
 		t.Errorf("linearizability check of %d operations: %v", len(history), res)
 	}
 	// The checker must detect a read of a value that was never written.
@@ -230,7 +230,7 @@
 			break
 		}
 	}
-	if porcupine.CheckOperationsTimeout(pauses, history, 30*time.Second) == porcupine.Ok {
+	if porcupine.CheckOperationsTimeout(pauseModel, history, 30*time.Second) == porcupine.Ok {
 		t.Error("the checker accepts a read of a value that was never written")
 	}
 	t.Logf("checked %d operations", len(history))
@@ -241,13 +241,13 @@
 func TestRolloutWaitsForALostMajority(t *testing.T) {
 	g := newGroup(t, 3)
 	s := newServers(t, g, 4)
-	g.owner("one", s.dir, []string{controller.RolloutDuty, controller.PlacementDuty}, nil)
+	g.startOwner("one", s.dir, []string{controller.RolloutDuty, controller.PlacementDuty}, nil)
 	g.submit(controller.RolloutDuty, "r", controller.KindRollout, controller.RolloutSpec{MaxOutPerCell: 1, MaxOut: 2, DwellMS: 100, ReturnMS: 8000})
-	await(t, "a server is evacuated", 10*time.Second, func() bool { return s.out() > 0 })
+	await(t, "a server is evacuated", 10*time.Second, func() bool { return s.evacuatedInLogs() > 0 })
 	g.Members[0].Kill()
 	g.Members[1].Freeze()
 	time.Sleep(2 * testLease)
-	evacuated := s.out()
+	evacuated := s.evacuatedInLogs()
 	from := make([]int, 4)
 	for i, p := range s.procs {
 		from[i] = p.Lines()
@@ -261,13 +261,13 @@
 	if evacuated > 2 {
 		t.Errorf("%d servers were evacuated at once, want at most 2", evacuated)
 	}
-	g.submitLater("m", controller.KindMove, controller.MoveRequest{Tenant: "t1", To: "b"})
+	g.submitAsync("m", controller.KindMove, controller.MoveRequest{Tenant: "t1", To: "b"})
 	g.Members[1].Wake()
 	g.start(0)
-	if item := g.over(controller.RolloutDuty, "r", 20*time.Second); item.State != controller.Done {
+	if item := g.awaitItem(controller.RolloutDuty, "r", 20*time.Second); item.State != controller.Done {
 		t.Errorf("rollout: state %s, want done: %s", item.State, item.Note)
 	}
-	if item := g.over(controller.PlacementDuty, "m", 10*time.Second); item.State != controller.Done {
+	if item := g.awaitItem(controller.PlacementDuty, "m", 10*time.Second); item.State != controller.Done {
 		t.Errorf("move: state %s, want done: %s", item.State, item.Note)
 	}
 }
@@ -395,7 +395,7 @@
 func TestMemberThatReachesOnlySomeOthers(t *testing.T) {
 	g := newGroup(t, 3)
 	dir := testMap(t)
-	g.owner("o", dir, []string{controller.PlacementDuty}, nil)
+	g.startOwner("o", dir, []string{controller.PlacementDuty}, nil)
 	ids := make([]string, 3) // member IDs as they appear in messages
 	for i, addr := range g.Client.Addrs {
 		s, err := g.Client.StatusOf(g.within(time.Second), addr)
@@ -422,7 +422,7 @@
 		time.Sleep(700 * time.Millisecond) // longer than an election
 		id := fmt.Sprint("m", round)
 		g.submit(controller.PlacementDuty, id, controller.KindMove, controller.MoveRequest{Tenant: fmt.Sprint("t", round), To: "b"})
-		if item := g.over(controller.PlacementDuty, id, 15*time.Second); item.State != controller.Done {
+		if item := g.awaitItem(controller.PlacementDuty, id, 15*time.Second); item.State != controller.Done {
 			t.Errorf("move: state %s, want done: %s", item.State, item.Note)
 		}
 		setPartitioned(x, y, false)
--- a/cmd/silverpath/group_test.go
+++ b/cmd/silverpath/group_test.go
@@ -62,7 +62,7 @@
 		configwatch.Formats = map[string]int{configstore.DocMap: n}
 	}
 	configwatch.DisabledGuards.TextCheck = os.Getenv("SILVERPATH_ANY_TEXT") != "" // accept snapshot parts without checking their digests
-	storeProgram()
+	installStoreFaults()
 	core.Unfenced = os.Getenv("SILVERPATH_UNFENCED") != ""
 	if os.Getenv("SILVERPATH_STOP_ROUTED") != "" {
 		var once atomic.Bool
@@ -175,14 +175,14 @@
 	}
 }
 
-// over waits until an item of a duty is finished, and returns it.
-func (g *testGroup) over(duty, id string, within time.Duration) controller.Item {
+// awaitItem waits until an item of a duty is finished, and returns it.
+func (g *testGroup) awaitItem(duty, id string, within time.Duration) controller.Item {
 	g.t.Helper()
 	return must[controller.Item](g.t)(g.Over(duty, id, within))
 }
 
-// owner starts a process that competes for the given duties and keeps its maps in dir.
-func (g *testGroup) owner(name, dir string, duties []string, members []string, env ...string) *harness.Process {
+// startOwner starts a process that competes for the given duties and keeps its maps in dir.
+func (g *testGroup) startOwner(name, dir string, duties []string, members []string, env ...string) *harness.Process {
 	g.t.Helper()
 	p := must[*harness.Process](g.t)(g.Owner(name, dir, duties, members, nil, env...))
 	g.t.Cleanup(p.Kill)
@@ -274,9 +274,9 @@
 	s.mgmt[i].To(addr)
 }
 
-// outNow returns the number of servers that report themselves evacuated when they are asked. A log line may arrive
+// evacuatedNow returns the number of servers that report themselves evacuated when they are asked. A log line may arrive
 // later than the answer to a command.
-func (s *testServers) outNow() (n int) {
+func (s *testServers) evacuatedNow() (n int) {
 	s.t.Helper()
 	for _, link := range s.mgmt {
 		answer, err := link.Again([]byte("GET /api/ready HTTP/1.1\r\n\r\n"))
@@ -290,8 +290,8 @@
 	return n
 }
 
-// out returns the number of servers that are evacuated according to their logs.
-func (s *testServers) out() (n int) {
+// evacuatedInLogs returns the number of servers that are evacuated according to their logs.
+func (s *testServers) evacuatedInLogs() (n int) {
 	for _, p := range s.procs {
 		log := p.Log()
 		if strings.LastIndex(log, "phase evacuated") > strings.LastIndex(log, "phase serving") {
@@ -301,9 +301,9 @@
 	return n
 }
 
-// pauses is the model of a linearizable history of the group. A duty's pause reason is a register: an operation with
+// pauseModel is the model of a linearizable history of the group. A duty's pause reason is a register: an operation with
 // an input writes it, one without reads it.
-var pauses = porcupine.Model{
+var pauseModel = porcupine.Model{
 	Init: func() any { return "" },
 	Step: func(state, in, out any) (bool, any) {
 		if in.(string) != "" {
@@ -313,8 +313,8 @@
 	},
 }
 
-// submitLater submits an item in the background, as the group may have no majority yet.
-func (g *testGroup) submitLater(id, kind string, args any) {
+// submitAsync submits an item in the background, as the group may have no majority yet.
+func (g *testGroup) submitAsync(id, kind string, args any) {
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
--- a/cmd/silverpath/overlap_test.go
+++ b/cmd/silverpath/overlap_test.go
@@ -21,7 +21,7 @@
 
 // ways starts one fault-injecting proxy per group member and returns the addresses and the proxies. A process that
 // uses these addresses can be cut off from the group on its own.
-func (f *ruledFleet) ways() (addrs []string, links []*faults.Between) {
+func (f *documentFleet) ways() (addrs []string, links []*faults.Between) {
 	f.t.Helper()
 	for i, addr := range f.g.Addrs {
 		link, err := faults.Listen(addr, true, uint64(100+i))
@@ -44,9 +44,9 @@
 	return write(t, "classes.json", text+"]}")
 }
 
-// noOverlap checks in the logs that no two processes could start exclusive work under different versions of a
+// checkNoOverlap checks in the logs that no two processes could start exclusive work under different versions of a
 // document at one time, and that at least the given number of versions became active.
-func noOverlap(t testing.TB, doc string, versions int, procs map[string]*harness.Process) {
+func checkNoOverlap(t testing.TB, doc string, versions int, procs map[string]*harness.Process) {
 	t.Helper()
 	var all []harness.Acted
 	for name, p := range procs {
@@ -61,7 +61,7 @@
 }
 
 // processes returns the fleet's servers and the given routers by name.
-func (f *ruledFleet) processes(routers map[string]*process) map[string]*harness.Process {
+func (f *documentFleet) processes(routers map[string]*process) map[string]*harness.Process {
 	all := map[string]*harness.Process{}
 	for name, p := range f.servers {
 		all[name] = p.Process
@@ -73,7 +73,7 @@
 }
 
 // doc returns the active version of a document, the stage of its pending change, and what the change waits for.
-func (f *ruledFleet) doc(name string) (active int, stage configstore.Stage, waits string) {
+func (f *documentFleet) doc(name string) (active int, stage configstore.Stage, waits string) {
 	f.t.Helper()
 	r, err := f.g.Client.Config(f.g.within(10 * time.Second))
 	if err != nil {
@@ -90,7 +90,7 @@
 }
 
 // wait waits until a version of a document is active, and returns the time that it waited.
-func (f *ruledFleet) wait(name string, version int, within time.Duration) time.Duration {
+func (f *documentFleet) wait(name string, version int, within time.Duration) time.Duration {
 	f.t.Helper()
 	for start := time.Now(); ; time.Sleep(5 * time.Millisecond) {
 		active, stage, waits := f.doc(name)
@@ -172,12 +172,12 @@
 	if n := twice(f.ran()); n != 0 {
 		t.Errorf("%d requests ran twice", n)
 	}
-	noOverlap(t, "classes", 7, f.processes(map[string]*process{"cut": faulty, "whole": healthy}))
+	checkNoOverlap(t, "classes", 7, f.processes(map[string]*process{"cut": faulty, "whole": healthy}))
 }
 
 // serves waits until each of the routers serves a request. A router may still have to learn that a change is
 // complete.
-func (f *ruledFleet) serves(name string, routers ...*process) {
+func (f *documentFleet) serves(name string, routers ...*process) {
 	f.t.Helper()
 	for n, end := 0, time.Now().Add(5*time.Second); toAll(1, fmt.Sprint(name, "-", n), routers...)["served"] != len(routers); n++ {
 		if time.Now().After(end) {
@@ -187,7 +187,7 @@
 }
 
 // router3 starts a router that uses the documents map, routing and classes of the group.
-func (f *ruledFleet) router3(name string, members []string, env ...string) *process {
+func (f *documentFleet) router3(name string, members []string, env ...string) *process {
 	f.t.Helper()
 	return spawnIn(f.t, env, "route", "--config", siteFile(f.t, name, ""), "--edge", write(f.t, name+"-edge.json", fmt.Sprintf(
 		`{"status":true,"fleet":{"state":%q,"probe_ms":100},%s}`, filepath.Join(f.t.TempDir(), name+".db"), f.rulesPart(members, "map", "routing", "classes"))))
@@ -258,7 +258,7 @@
 	if n := twice(f.ran()); n != 0 {
 		t.Errorf("%d requests ran twice", n)
 	}
-	noOverlap(t, "classes", version, f.processes(map[string]*process{"r1": one, "r2": two}))
+	checkNoOverlap(t, "classes", version, f.processes(map[string]*process{"r1": one, "r2": two}))
 }
 
 // A withdrawal races with the activation of its version. Whichever is first, all processes use the same version
@@ -275,7 +275,7 @@
 	for n := 0; n < 40 && (n < 12 || activated < 2 || withdrawn < 2); n++ {
 		f.expect(0, "proposed", "put", "classes", twoClasses(t, n+1))
 		time.Sleep(delay)
-		f.rules("withdraw", "classes", "--why", "crossing")
+		f.runRules("withdraw", "classes", "--why", "crossing")
 		for { // until no change is pending
 			active, stage, _ := f.doc("classes")
 			if stage == "" {
@@ -304,14 +304,14 @@
 	if activated == 0 || withdrawn == 0 {
 		t.Errorf("%d versions were withdrawn and %d activated, want some of both", withdrawn, activated)
 	}
-	noOverlap(t, "classes", 2, f.processes(map[string]*process{"r1": one}))
+	checkNoOverlap(t, "classes", 2, f.processes(map[string]*process{"r1": one}))
 	start := time.Now()
 	var wg sync.WaitGroup
 	for i := range 2 { // two operators
 		wg.Go(func() {
 			for n := 0; n < 50; {
 				file := write(t, "routing.json", fmt.Sprintf(`{"retries":0.%d%d,"probe_ms":100}`, i+1, n+10))
-				if code, _, message := f.rules("put", "routing", file, "--wait"); code == 0 {
+				if code, _, message := f.runRules("put", "routing", file, "--wait"); code == 0 {
 					n++
 				} else if !strings.Contains(message, "under way") && !strings.Contains(message, "another version") {
 					t.Error(message)
@@ -333,7 +333,7 @@
 // there. A process of an older build, which cannot read a document's format, holds up the change until it ends.
 func TestTakenBack(t *testing.T) {
 	t.Parallel()
-	f := &ruledFleet{g: newGroup(t, 3)}
+	f := &documentFleet{g: newGroup(t, 3)}
 	const limits = `"pools":[{"name":"sheets","classes":["oddaja"],"weight":1,"floor":0.1}],"limit":{"fixed":%d}`
 	f.testFleet = newFleetWith(t, sheetWindow, fmt.Sprintf(`{"cell":true,`+limits+`,%s}`, 8, f.rulesPart(nil, "classes", "pools")))
 	f.Map.Tenants = append(f.Map.Tenants, cells.Tenant{Homes: []cells.Home{{Cell: "b"}}})
@@ -399,8 +399,8 @@
 	}
 }
 
-// textOf returns the content of a file.
-func textOf(t testing.TB, path string) string {
+// readFile returns the content of a file.
+func readFile(t testing.TB, path string) string {
 	t.Helper()
 	data, err := os.ReadFile(path)
 	if err != nil {
--- a/cmd/silverpath/recovery_test.go
+++ b/cmd/silverpath/recovery_test.go
@@ -26,9 +26,9 @@
 	d.Args = []string{"--edge", write(d.t, "edge.json", "{"+strings.Join(parts, ",")+"}")}
 }
 
-// state returns the recovery state of the process, the conditions that it waits for, and the states that it has
+// recoveryState returns the recovery state of the process, the conditions that it waits for, and the states that it has
 // passed through.
-func (d *durable) state() (state string, waits map[string]bool, steps []string) {
+func (d *durable) recoveryState() (state string, waits map[string]bool, steps []string) {
 	var s struct {
 		Recovery struct {
 			State string
@@ -53,9 +53,9 @@
 	return s.Recovery.State, waits, steps
 }
 
-// full waits until the recovery is complete, and returns its duration from the start of the process, as the
+// awaitRecovered waits until the recovery is complete, and returns its duration from the start of the process, as the
 // process logs it.
-func (d *durable) full(g *benchmarks.Generation) time.Duration {
+func (d *durable) awaitRecovered(g *benchmarks.Generation) time.Duration {
 	d.t.Helper()
 	text, err := g.TextAfter(20*time.Second, "recovery: full after ")
 	if err != nil {
@@ -68,8 +68,8 @@
 	return took
 }
 
-// bare starts the service and waits until it is ready, but not until its store is loaded.
-func (d *durable) bare(env ...string) *benchmarks.Generation {
+// startBeforeLoad starts the service and waits until it is ready, but not until its store is loaded.
+func (d *durable) startBeforeLoad(env ...string) *benchmarks.Generation {
 	d.t.Helper()
 	d.Env = env
 	g := d.Start()
@@ -87,11 +87,11 @@
 	const window = 3550 * time.Millisecond
 	d.alive(400*time.Millisecond, false)
 	boot := "SILVERPATH_BOOT=one 1h m1"
-	g := d.bare(boot)
+	g := d.startBeforeLoad(boot)
 	if _, err := g.Await(5*time.Second, 0, "recovery: reads after "); err != nil {
 		t.Fatal(err)
 	}
-	if state, waits, _ := d.state(); state != "reads" || !waits["window"] || len(waits) != 1 {
+	if state, waits, _ := d.recoveryState(); state != "reads" || !waits["window"] || len(waits) != 1 {
 		t.Errorf("first start: state %s, waits for %v; want state reads and only the window", state, waits)
 	}
 	if a := d.ask("early", "early"); a.Outcome != "failed" {
@@ -100,28 +100,28 @@
 	if a, err := client.Do(client.Platform, d.Addr, client.Request{Class: "krog", Body: []byte("x"), Timeout: time.Second}); err != nil || a.Outcome != "served" {
 		t.Errorf("read during recovery: got %s, %v", a.Outcome, err)
 	}
-	if took := d.full(g); took < window*9/10 {
+	if took := d.awaitRecovered(g); took < window*9/10 {
 		t.Errorf("first start: recovered after %v, want at least 90%% of the window", took)
 	}
-	d.serve("before", 3)
-	if _, _, steps := d.state(); strings.Join(steps, " ") != "reads full" && strings.Join(steps, " ") != "reads sheets full" {
+	d.serveNew("before", 3)
+	if _, _, steps := d.recoveryState(); strings.Join(steps, " ") != "reads full" && strings.Join(steps, " ") != "reads sheets full" {
 		t.Errorf("recovery states: %v", steps)
 	}
 	g.Kill()
 	time.Sleep(2 * time.Second)
 	// The test clock continues from the uptime in the environment.
-	g = d.bare("SILVERPATH_BOOT=one 1h10s m1")
-	if took := d.full(g); took > window/2 {
+	g = d.startBeforeLoad("SILVERPATH_BOOT=one 1h10s m1")
+	if took := d.awaitRecovered(g); took > window/2 {
 		t.Errorf("down for 10 s by the machine's clock: recovered after %v, want at most half the window", took)
 	}
 	g.Kill()
-	g = d.bare("SILVERPATH_BOOT=two 2s m1")
-	if took := d.full(g); took > window*8/10 || took < (window-2*time.Second)*8/10 {
+	g = d.startBeforeLoad("SILVERPATH_BOOT=two 2s m1")
+	if took := d.awaitRecovered(g); took > window*8/10 || took < (window-2*time.Second)*8/10 {
 		t.Errorf("booted 2 s ago: recovered after %v, want 80%% of the window less up to 2 s", took)
 	}
 	g.Kill()
-	g = d.bare("SILVERPATH_BOOT=three 1h m2")
-	if took := d.full(g); took < window*9/10 {
+	g = d.startBeforeLoad("SILVERPATH_BOOT=three 1h m2")
+	if took := d.awaitRecovered(g); took < window*9/10 {
 		t.Errorf("disk of another machine: recovered after %v, want at least 90%% of the window", took)
 	}
 }
@@ -141,17 +141,17 @@
 			if unchecked {
 				env = []string{"SILVERPATH_UNSIGNED=1"}
 			}
-			g := d.bare(env...)
-			d.full(g)
-			d.disk("sign input/output error")
+			g := d.startBeforeLoad(env...)
+			d.awaitRecovered(g)
+			d.setDiskFault("sign input/output error")
 			time.Sleep(4200 * time.Millisecond)
 			a := d.ask("late", "late")
 			if !unchecked && (a.Outcome != "refused" || d.Runs()["late"] != 0) {
 				t.Errorf("request without a durable heartbeat: got %s, want refused and no run", a.Outcome)
 			}
 			g.Kill()
-			d.disk("")
-			d.bare()
+			d.setDiskFault("")
+			d.startBeforeLoad()
 			for end := time.Now().Add(6 * time.Second); d.ask("late", "late").Outcome != "served"; time.Sleep(50 * time.Millisecond) {
 				if time.Now().After(end) {
 					t.Fatal("the request is not served within 6 s of the restart")
@@ -171,16 +171,16 @@
 	d := newDurable(t)
 	d.alive(time.Second, true)
 	g := d.up("SILVERPATH_BOOT=one 1h m1")
-	d.full(g)
-	served := d.serve("before", 10)
+	d.awaitRecovered(g)
+	served := d.serveNew("before", 10)
 	for i, boot := range []string{"two 1s m1", "three 1s m1", "four 500h m2"} {
 		g.Kill()
 		g = d.up("SILVERPATH_BOOT=" + boot)
-		if w := d.again(served); len(w) > 0 {
+		if w := d.checkRetries(served); len(w) > 0 {
 			t.Error(boot, w)
 		}
-		d.serve(fmt.Sprint("new-", i), 3)
-		if took := d.full(g); took > 2*time.Second {
+		d.serveNew(fmt.Sprint("new-", i), 3)
+		if took := d.awaitRecovered(g); took > 2*time.Second {
 			t.Errorf("boot %q: recovered after %v, want at most 2 s", boot, took)
 		}
 	}
@@ -383,7 +383,7 @@
 	d := newDurable(t)
 	d.alive(400*time.Millisecond, true)
 	p := d.up()
-	d.serve("one", 2)
+	d.serveNew("one", 2)
 	p.Kill()
 	f := newFleet(t, sheetWindow)
 	state := filepath.Join(t.TempDir(), "state.db")
@@ -423,15 +423,15 @@
 	d := newDurable(t)
 	d.alive(400*time.Millisecond, true)
 	g := d.up()
-	d.full(g)
-	served := d.serve("before", 3)
+	d.awaitRecovered(g)
+	served := d.serveNew("before", 3)
 	g.Leave(t)
-	d.disk("* no space left on device")
-	g = d.bare()
+	d.setDiskFault("* no space left on device")
+	g = d.startBeforeLoad()
 	if a, err := client.Do(client.Platform, d.Addr, client.Request{Class: "krog", Body: []byte("x"), Timeout: time.Second}); err != nil || a.Outcome != "served" {
 		t.Errorf("read with a full disk: got %s, %v", a.Outcome, err)
 	}
-	for end := time.Now().Add(5 * time.Second); len(d.again(served)) > 0; time.Sleep(20 * time.Millisecond) {
+	for end := time.Now().Add(5 * time.Second); len(d.checkRetries(served)) > 0; time.Sleep(20 * time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("retries are not answered within 5 s")
 		}
@@ -439,12 +439,12 @@
 	if a := d.ask("new", "new"); a.Outcome == "served" || d.Runs()["new"] > 0 {
 		t.Errorf("new request with a full disk: got %s, want not served and no run", a.Outcome)
 	}
-	d.disk("")
-	d.full(g)
-	d.serve("after", 3)
+	d.setDiskFault("")
+	d.awaitRecovered(g)
+	d.serveNew("after", 3)
 	g.Kill()
 	d.up()
-	if w := d.again(served); len(w) > 0 {
+	if w := d.checkRetries(served); len(w) > 0 {
 		t.Error(w)
 	}
 }
--- a/cmd/silverpath/rules_test.go
+++ b/cmd/silverpath/rules_test.go
@@ -16,8 +16,8 @@
 	"silverpath/internal/transport/client"
 )
 
-// unfenced disables config fencing in a process. A test that sets it expects the failure that fencing prevents.
-const unfenced = "SILVERPATH_UNFENCED=1"
+// unfencedEnv disables config fencing in a process. A test that sets it expects the failure that fencing prevents.
+const unfencedEnv = "SILVERPATH_UNFENCED=1"
 
 // toAll sends each of n requests to all routers, one router after the other, and counts the outcomes.
 func toAll(n int, name string, routers ...*process) map[string]int {
@@ -52,8 +52,8 @@
 	return n
 }
 
-// standing returns a router's status of the map version that it uses.
-func standing(t testing.TB, p *process) (rules struct {
+// mapStatus returns a router's status of the map version that it uses.
+func mapStatus(t testing.TB, p *process) (rules struct {
 	Standing, Contradiction, Newest string
 	Quiet                           int `json:"quiet_ms"`
 	Bound                           int `json:"bound_ms"`
@@ -84,7 +84,7 @@
 	for _, c := range []struct {
 		name string
 		env  []string
-	}{{"fenced", nil}, {"unfenced", []string{unfenced}}} {
+	}{{"fenced", nil}, {"unfenced", []string{unfencedEnv}}} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			f := newFleet(t, sheetWindow, c.env...)
@@ -119,7 +119,7 @@
 					t.Errorf("log line of the conflict: %q, %v", line, err)
 				}
 			}
-			if s := standing(t, one); s.Standing != "contradicted" || !strings.Contains(s.Contradiction, "by r2") || s.Bound < 900 || s.Longest == 0 {
+			if s := mapStatus(t, one); s.Standing != "contradicted" || !strings.Contains(s.Contradiction, "by r2") || s.Bound < 900 || s.Longest == 0 {
 				t.Errorf("status of the first router: %+v", s)
 			}
 			// Version 2 is based on the first map. The second router restarts with the file of version 2.
@@ -133,12 +133,12 @@
 			if _, err := one.Await(3*time.Second, 0, "cells: map version 2"); err != nil {
 				t.Fatal(err)
 			}
-			if got := toAll(5, "soon", one, two); got["failed"] != 10 || standing(t, two).Standing != "quiet" {
-				t.Errorf("right after version 2: %v, %+v; want 10 failed and quiet", got, standing(t, two))
+			if got := toAll(5, "soon", one, two); got["failed"] != 10 || mapStatus(t, two).Standing != "quiet" {
+				t.Errorf("right after version 2: %v, %+v; want 10 failed and quiet", got, mapStatus(t, two))
 			}
-			for end := time.Now().Add(20 * time.Second); standing(t, one).Standing != "good" || standing(t, two).Standing != "good"; {
+			for end := time.Now().Add(20 * time.Second); mapStatus(t, one).Standing != "good" || mapStatus(t, two).Standing != "good"; {
 				if time.Now().After(end) {
-					t.Fatalf("routers are not good within 20 s: %+v, %+v", standing(t, one), standing(t, two))
+					t.Fatalf("routers are not good within 20 s: %+v, %+v", mapStatus(t, one), mapStatus(t, two))
 				}
 				time.Sleep(50 * time.Millisecond)
 			}
@@ -158,7 +158,7 @@
 	for _, c := range []struct {
 		name string
 		env  []string
-	}{{"fenced", nil}, {"unfenced", []string{unfenced}}} {
+	}{{"fenced", nil}, {"unfenced", []string{unfencedEnv}}} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			f := newFleet(t, 500*time.Millisecond, c.env...)
@@ -197,7 +197,7 @@
 				t.Errorf("outcomes after the lease: %v, with a restarted router: %v, %d ran twice; want 20 served and 20 failed each, 0 twice",
 					got, gotRestarted, twice(f.ran()))
 			}
-			if s := standing(t, stale); s.Standing != "behind" {
+			if s := mapStatus(t, stale); s.Standing != "behind" {
 				t.Errorf("status of the router with the old map: %+v, want behind", s)
 			}
 			// The router recovers at once when its file is updated.
@@ -272,9 +272,9 @@
 		time.Sleep(3200 * time.Millisecond) // until the move is complete
 	}
 	move("b")
-	old := textOf(t, file)
+	old := readFile(t, file)
 	move("a")
-	newest := textOf(t, file)
+	newest := readFile(t, file)
 	for name, text := range map[string]string{"not JSON": newest[:len(newest)/2], "version: 2 is not above that in force, 3": old,
 		"version: 3 is not above that in force, 3": strings.Replace(newest, `"rate": 10`, `"rate": 11`, 1)} {
 		if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
