--- a/cmd/silverpath/documents_test.go
+++ b/cmd/silverpath/documents_test.go
@@ -53,7 +53,7 @@
 func (f *documentFleet) put(name, file string, args ...string) {
 	f.t.Helper()
 	if code, out, message := f.runRules(append([]string{"put", name, file, "--wait"}, args...)...); code != 0 {
-		f.t.Fatalf("put %s: %s%s", name, out, message)
+		f.t.Fatalf("failed to put document %s: %s%s", name, out, message)
 	}
 }
 
--- a/cmd/silverpath/durable_test.go
+++ b/cmd/silverpath/durable_test.go
@@ -341,14 +341,14 @@
 		return wrong
 	}
 	for seed := range uint64(2) {
-		t.Run(fmt.Sprint("promised ", seed), func(t *testing.T) {
+		t.Run(fmt.Sprint("intent before the run, seed ", seed), func(t *testing.T) {
 			t.Parallel()
 			for _, w := range runWithKills(t, seed, 6, nil) {
 				t.Error(w)
 			}
 		})
 	}
-	t.Run("unpromised", func(t *testing.T) {
+	t.Run("intent after the run", func(t *testing.T) {
 		t.Parallel()
 		if w := runWithKills(t, 9, 40, (*benchmarks.Sheets).Harmed, "SILVERPATH_UNPROMISED=1"); len(w) == 0 {
 			t.Error("no violation was detected with a store that writes intents late")
@@ -460,7 +460,7 @@
 			g.Kill()
 			d.up()
 			if w := d.checkRetries(served); len(w) > 0 {
-				t.Error("after a restart:", w)
+				t.Error("retries after a restart:", w)
 			}
 		})
 	}
--- a/cmd/silverpath/group_holders_test.go
+++ b/cmd/silverpath/group_holders_test.go
@@ -65,7 +65,7 @@
 				}
 			}
 			if strings.Contains(next.Log(), "duty.lost") {
-				t.Error("the new owner lost the duty")
+				t.Error("the new holder lost the duty")
 			}
 		})
 	}
--- a/cmd/silverpath/overlap_test.go
+++ b/cmd/silverpath/overlap_test.go
@@ -486,7 +486,7 @@
 	for _, c := range []struct {
 		name  string
 		clock string
-	}{{"in time", "SILVERPATH_CLOCK=1"}, {"a clock that stands still", "SILVERPATH_CLOCK=0.01"}} {
+	}{{"correct clock", "SILVERPATH_CLOCK=1"}, {"slow clock", "SILVERPATH_CLOCK=0.01"}} {
 		t.Run(c.name, func(t *testing.T) {
 			f := newRuledFleet(t, sheetWindow)
 			addrs, links := f.ways()
--- a/cmd/silverpath/rules_test.go
+++ b/cmd/silverpath/rules_test.go
@@ -60,18 +60,18 @@
 	Longest                         int `json:"longest_ms"`
 }) {
 	t.Helper()
-	a, err := client.Status(client.Platform, p.addr)
+	status, err := client.Status(client.Platform, p.addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	var s struct {
 		Fleet struct{ Rules json.RawMessage }
 	}
-	if err := json.Unmarshal(a, &s); err != nil {
+	if err := json.Unmarshal(status, &s); err != nil {
 		t.Fatal(err)
 	}
 	if err := json.Unmarshal(s.Fleet.Rules, &rules); err != nil {
-		t.Fatalf("%s: %v", a, err)
+		t.Fatalf("failed to decode the fleet status %q: %v", status, err)
 	}
 	return rules
 }
