--- a/cmd/silverpath/documents_test.go
+++ b/cmd/silverpath/documents_test.go
@@ -9,15 +9,15 @@
 	"time"
 )
 
-// documentFleet is a fleet that reads its config documents from a group: the routers their map, the servers their
-// classes.
+// documentFleet is a fleet that reads its config documents from a group: the routers their map, the servers
+// their classes.
 type documentFleet struct {
 	*testFleet
 	g *testGroup
 }
 
-// rulesPart returns the section of an edge file that subscribes a process to documents. It lists the given members,
-// or all members of the group if members is nil.
+// rulesPart returns the section of an edge file that subscribes a process to documents. It lists the given
+// members, or all members of the group if members is nil.
 func (f *documentFleet) rulesPart(members []string, docs ...string) string {
 	if members == nil {
 		members = f.g.Client.Addrs
@@ -57,8 +57,8 @@
 	}
 }
 
-// expect runs a subcommand of rules, checks its exit code and that its output contains a text, and returns the
-// standard output.
+// expect runs a subcommand of rules, checks its exit code and that its output contains a text, and returns
+// the standard output.
 func (f *documentFleet) expect(code int, want string, args ...string) string {
 	f.t.Helper()
 	got, out, message := f.runRules(args...)
@@ -75,8 +75,8 @@
 }
 
 // The rules command stores, diffs, holds, releases, withdraws and lists documents, and reports errors to the
-// operator. A map that is planned from a file and stored as a document moves a tenant without running a request
-// twice.
+// operator. A map that is planned from a file and stored as a document moves a tenant without running a
+// request twice.
 func TestRules(t *testing.T) {
 	t.Parallel()
 	f := newRuledFleet(t, sheetWindow)
@@ -127,7 +127,8 @@
 	if err := json.Unmarshal([]byte(out), &who); err != nil || len(who) != 4 {
 		t.Fatalf("rules who classes: %v: %s; want 4 processes", err, out)
 	}
-	// Plan a move on a map file and store the file as the map document. No request runs twice during the move.
+	// Plan a move on a map file and store the file as the map document. No request runs twice during the
+	// move.
 	file := f.write(f.Map)
 	if code, out, message := run(t, "", "cells", "--map", file, "move", "--tenant", "brand", "--to", "b"); code != 0 {
 		t.Fatal(out, message)
--- a/cmd/silverpath/durable_test.go
+++ b/cmd/silverpath/durable_test.go
@@ -30,8 +30,8 @@
 	"silverpath/internal/transport/msgpackrpc"
 )
 
-// lateIntentStore wraps a store and reports an intent as durable before it is written. The intent is written only
-// together with the result.
+// lateIntentStore wraps a store and reports an intent as durable before it is written. The intent is written
+// only together with the result.
 type lateIntentStore struct {
 	core.Store
 	mu       sync.Mutex
@@ -88,7 +88,8 @@
 func (s *lateIntentStore) NoteFailed(seq uint64) { s.discard(seq, s.Store.NoteFailed) }
 func (s *lateIntentStore) Withdraw(seq uint64)   { s.discard(seq, s.Store.Withdraw) }
 
-// discard drops the deferred intent of a sequence number, or calls forward if the wrapped store has assigned the number.
+// discard drops the deferred intent of a sequence number, or calls forward if the wrapped store has assigned
+// the number.
 func (s *lateIntentStore) discard(seq uint64, forward func(uint64)) {
 	s.mu.Lock()
 	_, found := s.deferred[seq]
@@ -99,7 +100,8 @@
 	}
 }
 
-// initStoreWithFormat creates a store whose header has another format version, as a build of that format writes it.
+// initStoreWithFormat creates a store whose header has another format version, as a build of that format
+// writes it.
 func initStoreWithFormat(t *testing.T, dir, name string, format int) {
 	t.Helper()
 	if err := idempotencystore.Init(dir, name); err != nil {
@@ -137,10 +139,10 @@
 
 // installStoreFaults installs the store faults that the environment asks for in a process of the test binary.
 //
-// SILVERPATH_STORE names a file that describes a disk fault and is read at every write boundary. A missing file
-// means no fault. Its format is "BOUNDARY ACTION". BOUNDARY may be * for all boundaries. ACTION is a duration to
-// wait, "kill:N" to kill the process at the Nth boundary, "fail:N ERROR" to return an error from the Nth boundary
-// on, or the text of an error.
+// SILVERPATH_STORE names a file that describes a disk fault and is read at every write boundary. A missing
+// file means no fault. Its format is "BOUNDARY ACTION". BOUNDARY may be * for all boundaries. ACTION is a
+// duration to wait, "kill:N" to kill the process at the Nth boundary, "fail:N ERROR" to return an error from
+// the Nth boundary on, or the text of an error.
 //
 // SILVERPATH_BOOT is "NAME AGO MACHINE": the ID of the boot, the time since the boot, and the machine's ID.
 //
@@ -332,7 +334,8 @@
 			t.Errorf("%d requests were served, want at least 50", load.Served)
 		}
 		var history []porcupine.Operation
-		for i, a := range load.Tries { // one client ID per attempt, as the checker allows no concurrent operations of a client
+		// Each attempt has its own client ID, as the checker allows no concurrent operations of a client.
+		for i, a := range load.Tries {
 			history = append(history, porcupine.Operation{ClientId: i, Call: a.From.UnixNano(), Return: a.To.UnixNano(), Output: try{a.Sheet, a.Outcome, a.Body}})
 		}
 		if !linearizable(history) {
@@ -371,7 +374,8 @@
 			served := d.serveNew("before", 10)
 			g.Kill()
 			d.setDiskFault(at)
-			boot := func(n int) string { return fmt.Sprintf("SILVERPATH_BOOT=%d 1s", n) } // a new boot ID makes the store rewrite all records
+			// A new boot ID makes the store rewrite all records.
+			boot := func(n int) string { return fmt.Sprintf("SILVERPATH_BOOT=%d 1s", n) }
 			killed := 0
 			for n := range 2 {
 				d.Env = []string{boot(n)}
@@ -466,8 +470,8 @@
 	}
 }
 
-// The disk fails after a run and before its result is committed. The request is not rejected, as it has run. It
-// fails, and its retries fail before and after a restart.
+// The disk fails after a run and before its result is committed. The request is not rejected, as it has run.
+// It fails, and its retries fail before and after a restart.
 func TestResultThatIsNotDurableFails(t *testing.T) {
 	t.Parallel()
 	d := newDurable(t)
@@ -491,8 +495,8 @@
 	}
 }
 
-// With a slow disk, a request is served if its result can be durable before its deadline, and otherwise rejected
-// before it runs.
+// With a slow disk, a request is served if its result can be durable before its deadline, and otherwise
+// rejected before it runs.
 func TestSlowDiskRejectsBeforeARun(t *testing.T) {
 	t.Parallel()
 	d := newDurable(t)
@@ -513,12 +517,12 @@
 		t.Errorf("outcomes with commits of 0.4 s and a timeout of 0.9 s: %v, want at least 4 refused and none lost", count)
 	}
 	d.setDiskFault("")
-	time.Sleep(2500 * time.Millisecond) // until the slow commits are older than the window of the commit time estimate
+	time.Sleep(2500 * time.Millisecond) // until the estimate of the commit time has no slow commits
 	d.serveNew("well", 5)
 }
 
-// After a restart, 1000 concurrent retries of one key get the one result, the same key with another body gets no
-// result, and a result of the largest size is returned unchanged.
+// After a restart, 1000 concurrent retries of one key get the one result, the same key with another body gets
+// no result, and a result of the largest size is returned unchanged.
 func TestRetriesAfterARestartGetTheirResults(t *testing.T) {
 	t.Parallel()
 	d := newDurable(t)
@@ -562,8 +566,8 @@
 	}
 }
 
-// A server that cannot use its store prints one line and exits with code 1. This covers a store in use by another
-// process, a store of another service, a store of a newer format, and a path that is not a directory.
+// A server that cannot use its store prints one line and exits with code 1. This covers a store in use by
+// another process, a store of another service, a store of a newer format, and a path that is not a directory.
 func TestUnusableStoresStopTheStart(t *testing.T) {
 	t.Parallel()
 	d := newDurable(t)
@@ -586,9 +590,9 @@
 	}
 }
 
-// A copy of a store that was exported under load is imported by another server. Retries of requests in the copy
-// get their results. Any other request may have run since the export, so it fails until the window for retries has
-// passed. The store commands check and dump the copy.
+// A copy of a store that was exported under load is imported by another server. Retries of requests in the
+// copy get their results. Any other request may have run since the export, so it fails until the window for
+// retries has passed. The store commands check and dump the copy.
 func TestCopyStartsAnotherServer(t *testing.T) {
 	t.Parallel()
 	d := newDurable(t)
@@ -652,8 +656,8 @@
 	}
 }
 
-// A home with a store is killed and restarted. Its router sends it new requests at once, as the store holds all of
-// its runs. A home without a store fails new requests for the key window.
+// A home with a store is killed and restarted. Its router sends it new requests at once, as the store holds
+// all of its runs. A home without a store fails new requests for the key window.
 func TestHomeWithAStoreServesAtOnceAfterARestart(t *testing.T) {
 	t.Parallel()
 	for _, withStore := range []bool{true, false} {
@@ -712,8 +716,8 @@
 	}
 }
 
-// A router asks the former home of a key for a result, finds none and runs the request elsewhere. The former home
-// is killed and restarted. It still does not run the request when a router with an older map sends it.
+// A router asks the former home of a key for a result, finds none and runs the request elsewhere. The former
+// home is killed and restarted. It still does not run the request when a router with an older map sends it.
 func TestMovedKeyOutlivesTheProcess(t *testing.T) {
 	t.Parallel()
 	worker, err := builtinworker.Listen(builtinworker.Config{Listen: "127.0.0.1:0", Cores: 8, Shape: builtinworker.Shape{Knee: 8, Speed: 1}, Audit: true,
@@ -760,16 +764,16 @@
 	}
 }
 
-// When the store is full, the next new request is rejected before it runs, with a retry-after time, and retries
-// get their results. New requests are accepted again as key windows end.
+// When the store is full, the next new request is rejected before it runs, with a retry-after time, and
+// retries get their results. New requests are accepted again as key windows end.
 func TestFullStoreRejectsBeforeARun(t *testing.T) {
 	t.Parallel()
 	d := newDurable(t)
 	d.span = 4 * time.Second
 	d.Args = []string{"--edge", write(t, "edge.json", fmt.Sprintf(`{"store":{"dir":%q,"size_mb":0.02,"result_kb":1}}`, d.dir))}
 	d.up()
-	// Eight clients fill the store concurrently, as sequential requests could outlast the window on a slow machine.
-	// Below, a retry is checked only if it is answered within the window.
+	// Eight clients fill the store concurrently, as sequential requests could outlast the window on a slow
+	// machine. Below, a retry is checked only if it is answered within the window.
 	var mu sync.Mutex
 	var filling sync.WaitGroup
 	served, startedAt, refused := map[string]string{}, map[string]time.Time{}, client.Reply{}
--- a/cmd/silverpath/group_holders_test.go
+++ b/cmd/silverpath/group_holders_test.go
@@ -20,9 +20,9 @@
 	"silverpath/internal/testkit/standin/faults"
 )
 
-// The holder of the placement duty is suspended at each boundary of its actions. Another process acquires the duty
-// and completes each move once. When the old holder resumes, nothing that it does takes effect, and it logs that it
-// has lost the duty.
+// The holder of the placement duty is suspended at each boundary of its actions. Another process acquires the
+// duty and completes each move once. When the old holder resumes, nothing that it does takes effect, and it
+// logs that it has lost the duty.
 func TestStoppedPlacementHolderTakesNoEffect(t *testing.T) {
 	for _, at := range []string{"check:0", "check:1", "intent:2", "act:2", "check:2", "check:3"} {
 		t.Run(at, func(t *testing.T) {
@@ -71,9 +71,9 @@
 	}
 }
 
-// The holder of the rollout duty is suspended at several boundaries of its actions, and another process acquires the
-// duty. At most one server is evacuated at a time, and each one once. In the journal, step 1 starts the rollout, step
-// 2 intends the first evacuation, and step 3 records that it is complete.
+// The holder of the rollout duty is suspended at several boundaries of its actions, and another process
+// acquires the duty. At most one server is evacuated at a time, and each one once. In the journal, step 1
+// starts the rollout, step 2 intends the first evacuation, and step 3 records that it is complete.
 func TestStoppedRolloutHolderTakesNoEffect(t *testing.T) {
 	for _, at := range []string{"check:1", "intent:2", "act:2", "check:3", "intent:4", "act:4"} {
 		t.Run(at, func(t *testing.T) {
@@ -132,9 +132,9 @@
 	}
 }
 
-// A command of the old holder is delayed on the network and arrives after the new holder's commands. The server
-// rejects it with an error that names the duty and the epochs, also after a restart and after the loss of its
-// fence file.
+// A command of the old holder is delayed on the network and arrives after the new holder's commands. The
+// server rejects it with an error that names the duty and the epochs, also after a restart and after the loss
+// of its fence file.
 func TestDelayedCommandIsRefused(t *testing.T) {
 	g := newGroup(t, 3)
 	s := newServers(t, g, 2)
@@ -163,8 +163,8 @@
 	if a, err := s.mgmt[0].Again(evacuate); err != nil || !strings.Contains(a, "409") || !strings.Contains(a, "stale epoch 1.1 of conductor: 1.2 was seen") {
 		t.Errorf("command repeated in the next epoch: %q, %v; want 409 and a stale epoch", a, err)
 	}
-	// A server that restarts without its fence file asks the group for the epoch, and accepts no command while the
-	// group is unreachable.
+	// A server that restarts without its fence file asks the group for the epoch, and accepts no command
+	// while the group is unreachable.
 	s.procs[0].Kill()
 	data, err := os.ReadFile(s.edges[0])
 	if err != nil {
@@ -200,9 +200,10 @@
 	}
 }
 
-// A holder that reaches the servers but not the group could act at the same time as the next holder. It stops by
-// itself before the next holder starts, also if its clock runs faster or slower than the group's. The opposite case, a
-// holder that reaches the group but not a server, is TestRolloutStopsAtAServerThatDoesNotReturn.
+// A holder that reaches the servers but not the group could act at the same time as the next holder. It stops
+// by itself before the next holder starts, also if its clock runs faster or slower than the group's. The
+// opposite case, a holder that reaches the group but not a server, is
+// TestRolloutStopsAtAServerThatDoesNotReturn.
 func TestHolderThatIsCutOffStopsByItself(t *testing.T) {
 	for _, clocks := range [][2]string{{"1", "1"}, {"0.955", "1.045"}, {"1.045", "0.955"}} {
 		t.Run(strings.Join(clocks[:], " "), func(t *testing.T) {
@@ -246,7 +247,8 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			// Both logs have the time of day of one machine. The line duty.lost also has the time since the holder stopped.
+			// Both logs have the time of day of one machine. The line duty.lost also has the time since the
+			// holder stopped.
 			timeOfDay := func(line string) time.Duration {
 				at, err := time.Parse("15:04:05.000000", line[:15])
 				if err != nil {
@@ -270,16 +272,17 @@
 	}
 }
 
-// A server does not return after its evacuation. A rollout that continued would evacuate the next server as well. The
-// rollout fails and records the reason, and other duties are not blocked.
+// A server does not accept commands, or does not return after its evacuation. A rollout that continued would
+// evacuate the next server as well. The rollout fails and records the reason, and other duties are not
+// blocked.
 func TestRolloutStopsAtAServerThatDoesNotReturn(t *testing.T) {
 	g := newGroup(t, 3)
 	s := newServers(t, g, 3)
 	holder := g.startOwner("one", s.dir, []string{controller.RolloutDuty, controller.PlacementDuty}, nil)
 	g.submit(controller.RolloutDuty, "r", controller.KindRollout, controller.RolloutSpec{MaxOutPerCell: 1, MaxOut: 1, DwellMS: 2000, ReturnMS: 700})
 	await(t, "a server is evacuated", 10*time.Second, func() bool { return s.evacuatedInLogs() > 0 })
-	// Suspend the server after its answer has arrived and well before the rejoin command: earlier, the evacuate
-	// command itself would fail; later, the server could already be back.
+	// Suspend the server after its answer has arrived and well before the rejoin command: earlier, the
+	// evacuate command itself would fail; later, the server could already be back.
 	if _, err := holder.Await(10*time.Second, 0, "command.evacuate", "yes=true"); err != nil {
 		t.Fatal(err)
 	}
@@ -301,8 +304,9 @@
 	}
 }
 
-// The monitor removes a server that no router can reach from the map, through the placement duty. It does not remove a
-// server that only one router cannot reach, or one whose removal would leave its cell with too few servers.
+// The monitor removes a server that no router can reach from the map, through the placement duty. It does not
+// remove a server that only one router cannot reach, or one whose removal would leave its cell with too few
+// servers.
 func TestDeadServerLeavesTheMap(t *testing.T) {
 	g := newGroup(t, 3)
 	var servers []*process
@@ -330,7 +334,8 @@
 	if err := (proxy.VersionDir{Dir: dir}).Put(1, settings.FormatCells(m)); err != nil {
 		t.Fatal(err)
 	}
-	ownMap := strings.ReplaceAll(string(settings.FormatCells(m)), links[1].Addr(), freeAddr(t)) // the third router cannot reach s1
+	// The third router cannot reach s1.
+	ownMap := strings.ReplaceAll(string(settings.FormatCells(m)), links[1].Addr(), freeAddr(t))
 	var routers []string
 	for i, file := range []string{dir, dir, write(t, "own.json", ownMap)} {
 		p := spawn(t, "route", "--config", siteFile(t, fmt.Sprint("r", i), ""), "--edge", write(t, "route.json",
@@ -365,9 +370,9 @@
 	}
 }
 
-// A map that is planned with a wall clock an hour off would take effect at another time than the routers expect. The
-// holder keeps its lease, which does not depend on the wall clock, but plans no map. It releases the placement duty to
-// a process with a correct clock and logs the reason.
+// A map that is planned with a wall clock an hour off would take effect at another time than the routers
+// expect. The holder keeps its lease, which does not depend on the wall clock, but plans no map. It releases
+// the placement duty to a process with a correct clock and logs the reason.
 func TestHolderWithAWrongWallClockHandsOn(t *testing.T) {
 	g := newGroup(t, 3)
 	dir := testMap(t)
@@ -392,8 +397,8 @@
 	}
 }
 
-// The process that holds the placement duty and leads the group is killed. Another member becomes the leader, and
-// another process acquires the duty and completes the remaining moves.
+// The process that holds the placement duty and leads the group is killed. Another member becomes the leader,
+// and another process acquires the duty and completes the remaining moves.
 func TestHolderThatLeadsTheGroupDies(t *testing.T) {
 	g := newGroup(t, 3)
 	dir := testMap(t)
@@ -440,8 +445,8 @@
 	}
 }
 
-// The clock of a holder runs at 0.5 % of its rate, far beyond the bound for drift. The process acts as the holder long
-// after another process has acquired the duty, and nothing that it does takes effect.
+// The clock of a holder runs at 0.5 % of its rate, far beyond the bound for drift. The process acts as the
+// holder for a minute after another process has acquired the duty, and nothing that it does takes effect.
 func TestHolderWhoseClockStopsTakesNoEffect(t *testing.T) {
 	g := newGroup(t, 3)
 	dir := testMap(t)
@@ -467,8 +472,9 @@
 	}
 }
 
-// A holder is suspended after its lease check and before its journal write. It resumes when another process holds the
-// duty and has written nothing, so the write's step still matches. The group rejects the write by its epoch.
+// A holder is suspended after its lease check and before its journal write. It resumes when another process
+// holds the duty and has written nothing, so the write's step still matches. The group rejects the write by
+// its epoch.
 func TestStaleJournalWriteIsRefused(t *testing.T) {
 	g := newGroup(t, 3)
 	dir := testMap(t)
@@ -493,8 +499,8 @@
 	}
 }
 
-// A holder is suspended before it publishes a map version. It resumes when the next holder has withdrawn that version
-// number because it was too late to announce the version. The withdrawn version is not published.
+// A holder is suspended before it publishes a map version. It resumes when the next holder has withdrawn that
+// version number because it was too late to announce the version. The withdrawn version is not published.
 func TestLatePublishFindsItsPlaceWithdrawn(t *testing.T) {
 	g := newGroup(t, 3)
 	dir := testMap(t)
--- a/cmd/silverpath/group_members_test.go
+++ b/cmd/silverpath/group_members_test.go
@@ -22,10 +22,10 @@
 	"silverpath/internal/testkit/standin/faults"
 )
 
-// A member that loses entries that it has acknowledged could let the group commit two different entries at one
-// index. Members are identified by group and by disk. A member with an empty disk has no vote until it is removed
-// and added again. A member whose disk was restored from an older copy stops and logs the reason. Two processes on
-// copies of one disk do not both continue.
+// A member that loses entries that it has acknowledged could let the group commit two different entries at
+// one index. Members are identified by group and by disk. A member with an empty disk has no vote until it is
+// removed and added again. A member whose disk was restored from an older copy stops and logs the reason. Two
+// processes on copies of one disk do not both continue.
 func TestMembersAreToldApartByGroupAndDisk(t *testing.T) {
 	g := newGroup(t, 3)
 	for i := range 30 {
@@ -67,8 +67,8 @@
 	if g.view().Table.Duties[controller.RolloutDuty].PauseReason != "29" {
 		t.Error("a committed entry is lost")
 	}
-	// The disk is copied while the member runs, so the copy has the same count of starts. More entries are committed
-	// and the copy is restored.
+	// The disk is copied while the member runs, so the copy has the same count of starts. More entries are
+	// committed and the copy is restored.
 	time.Sleep(200 * time.Millisecond) // until nothing is being written
 	data, err := os.ReadFile(filepath.Join(g.Disk(x), "group.db"))
 	if err != nil {
@@ -91,9 +91,9 @@
 	}
 }
 
-// A disk of one member stalls, fills up or fails, or all members lose power. Committed entries survive, and epochs
-// only increase. A faulty disk does not stop the other members, and entries that it failed to store do not count as
-// stored.
+// A disk of one member stalls, fills up or fails, or all members lose power. Committed entries survive, and
+// epochs only increase. A faulty disk does not stop the other members, and entries that it failed to store do
+// not count as stored.
 func TestGroupSurvivesPowerLossAndFailingDisks(t *testing.T) {
 	g := newGroup(t, 3)
 	request := func(op lease.Op, process string, epoch lease.Epoch) statemachine.Result {
@@ -147,8 +147,8 @@
 	}
 }
 
-// Members are suspended, killed and cut off, and messages are lost, delayed, duplicated and reordered. The history of
-// reads and writes stays linearizable.
+// Members are suspended, killed and cut off, and messages are lost, delayed, duplicated and reordered. The
+// history of reads and writes stays linearizable.
 func TestGroupHasOneHistory(t *testing.T) {
 	g := newGroup(t, 3)
 	var mu sync.Mutex
@@ -272,8 +272,8 @@
 	}
 }
 
-// Two processes acquire a duty concurrently, 1000 times. Each time one of them holds it under a new epoch, and the
-// other one holds it after the release.
+// Two processes acquire a duty concurrently, 1000 times. Each time one of them holds it under a new epoch,
+// and the other one holds it after the release.
 func TestOneOfTwoCandidatesHolds(t *testing.T) {
 	g := newGroup(t, 3)
 	clients := []*quorum.Client{{Group: "test", Addrs: g.Client.Addrs}, {Group: "test", Addrs: g.Client.Addrs}}
@@ -309,8 +309,8 @@
 	for _, c := range clients {
 		c.Close()
 	}
-	// The log has been compacted more than once by now. The state survives a restart of all members, and a member that
-	// starts on an empty disk receives all of it.
+	// The log has been compacted more than once by now. The state survives a restart of all members, and a
+	// member that starts on an empty disk receives all of it.
 	for _, m := range g.Members {
 		m.Kill()
 	}
@@ -327,8 +327,8 @@
 	}
 }
 
-// The replies between members are lost for 3 s, without an error. The calls that wait for them must not block a
-// connection permanently: a leader is elected once replies arrive again.
+// The replies between members are lost for 3 s, without an error. The calls that wait for them must not block
+// a connection permanently: a leader is elected once replies arrive again.
 func TestLostRepliesFillNoConnection(t *testing.T) {
 	g := newGroup(t, 3)
 	for _, link := range g.Ways {
@@ -342,8 +342,8 @@
 	g.do(statemachine.Command{Lease: &lease.Request{Op: lease.Pause, Duty: controller.MonitorDuty}})
 }
 
-// A leader is suspended while another one is elected. When it resumes, it is cut off from the other members and still
-// acts as the leader for a while. In that time it answers neither reads nor renewals.
+// A leader is suspended while another one is elected. When it resumes, it is cut off from the other members
+// and still acts as the leader for a while. In that time it answers neither reads nor renewals.
 func TestReplacedLeaderAnswersNothing(t *testing.T) {
 	g := newGroup(t, 3)
 	write := func(reason string) {
@@ -390,8 +390,8 @@
 	}
 }
 
-// Two members cannot reach each other, but both reach the third. Duties continue, as some member still reaches a
-// majority.
+// Two members cannot reach each other, but both reach the third. Duties continue, as some member still
+// reaches a majority.
 func TestMemberThatReachesOnlySomeOthers(t *testing.T) {
 	g := newGroup(t, 3)
 	dir := testMap(t)
--- a/cmd/silverpath/group_test.go
+++ b/cmd/silverpath/group_test.go
@@ -33,8 +33,9 @@
 )
 
 // memberProgram lets the test binary run as a group member or duty owner, and installs the faults that the
-// environment asks for: a boundary at which the process suspends itself, a clock of another rate or offset, other
-// document formats, disabled checks, and a disk that stalls, fills up or fails while a fault file exists.
+// environment asks for: a boundary at which the process suspends itself, a clock of another rate or offset,
+// other document formats, disabled checks, and a disk that stalls, fills up or fails while a fault file
+// exists.
 func memberProgram() {
 	runMember = func(args ...string) error {
 		cmd := member.Command()
@@ -47,7 +48,7 @@
 			if at == fmt.Sprintf("%s:%s:%d", duty, boundary, step) && once.CompareAndSwap(false, true) {
 				fmt.Fprintln(os.Stderr, "stopped at", at)
 				_ = syscall.Kill(os.Getpid(), syscall.SIGSTOP)
-				time.Sleep(20 * time.Millisecond) // SIGSTOP goes to the process and may reach this thread a little later
+				time.Sleep(20 * time.Millisecond) // SIGSTOP may reach this thread a little later
 			}
 		}
 	}
@@ -55,13 +56,15 @@
 		runner.Wall = func() time.Time { return time.Now().Add(offset) }
 		configwatch.Wall, proxy.Wall = runner.Wall, runner.Wall
 	}
-	if n, err := strconv.Atoi(os.Getenv("SILVERPATH_FORMAT")); err == nil { // act as a build that reads another format of the routing document
+	// Act as a build that reads another format of the routing document or of the map.
+	if n, err := strconv.Atoi(os.Getenv("SILVERPATH_FORMAT")); err == nil {
 		configwatch.Formats = map[string]int{configstore.DocRouting: n}
 	}
-	if n, err := strconv.Atoi(os.Getenv("SILVERPATH_MAP_FORMAT")); err == nil { // the same for the map
+	if n, err := strconv.Atoi(os.Getenv("SILVERPATH_MAP_FORMAT")); err == nil {
 		configwatch.Formats = map[string]int{configstore.DocMap: n}
 	}
-	configwatch.DisabledGuards.TextCheck = os.Getenv("SILVERPATH_ANY_TEXT") != "" // accept snapshot parts without checking their digests
+	// Accept snapshot parts without checking their digests.
+	configwatch.DisabledGuards.TextCheck = os.Getenv("SILVERPATH_ANY_TEXT") != ""
 	installStoreFaults()
 	core.Unfenced = os.Getenv("SILVERPATH_UNFENCED") != ""
 	if os.Getenv("SILVERPATH_STOP_ROUTED") != "" {
@@ -189,7 +192,8 @@
 	return p
 }
 
-// await polls a condition until it is true. It ends the test if the condition is still false after the given time.
+// await polls a condition until it is true. It ends the test if the condition is still false after the given
+// time.
 func await(t testing.TB, what string, within time.Duration, condition func() bool) {
 	t.Helper()
 	for end := time.Now().Add(within); !condition(); time.Sleep(5 * time.Millisecond) {
@@ -199,8 +203,8 @@
 	}
 }
 
-// testMap writes a map of two cells as version 1 into a new version directory, and returns the directory. Without
-// servers it adds one per cell.
+// testMap writes a map of two cells as version 1 into a new version directory, and returns the directory.
+// Without servers it adds one per cell.
 func testMap(t testing.TB, servers ...cells.Server) (dir string) {
 	t.Helper()
 	m := &cells.Map{
@@ -274,8 +278,8 @@
 	s.mgmt[i].To(addr)
 }
 
-// evacuatedNow returns the number of servers that report themselves evacuated when they are asked. A log line may arrive
-// later than the answer to a command.
+// evacuatedNow returns the number of servers that report themselves evacuated when they are asked. A log line
+// may arrive later than the answer to a command.
 func (s *testServers) evacuatedNow() (n int) {
 	s.t.Helper()
 	for _, link := range s.mgmt {
@@ -301,8 +305,8 @@
 	return n
 }
 
-// pauseModel is the model of a linearizable history of the group. A duty's pause reason is a register: an operation with
-// an input writes it, one without reads it.
+// pauseModel is the model of a linearizable history of the group. A duty's pause reason is a register: an
+// operation with an input writes it, one without reads it.
 var pauseModel = porcupine.Model{
 	Init: func() any { return "" },
 	Step: func(state, in, out any) (bool, any) {
--- a/cmd/silverpath/overlap_test.go
+++ b/cmd/silverpath/overlap_test.go
@@ -19,8 +19,8 @@
 	"silverpath/internal/transport/client"
 )
 
-// ways starts one fault-injecting proxy per group member and returns the addresses and the proxies. A process that
-// uses these addresses can be cut off from the group on its own.
+// ways starts one fault-injecting proxy per group member and returns the addresses and the proxies. A process
+// that uses these addresses can be cut off from the group on its own.
 func (f *documentFleet) ways() (addrs []string, links []*faults.Between) {
 	f.t.Helper()
 	for i, addr := range f.g.Addrs {
@@ -34,8 +34,8 @@
 	return addrs, links
 }
 
-// twoClasses writes a classes document that has the class oddaja and the given number of extra classes, and returns
-// its path. Versions that differ in their classes exclude each other.
+// twoClasses writes a classes document that has the class oddaja and the given number of extra classes, and
+// returns its path. Versions that differ in their classes exclude each other.
 func twoClasses(t testing.TB, extra int) string {
 	text := fmt.Sprintf(`{"classes":[{"name":"oddaja","target":900000,"deadline":1000000,"worth":3,"effect":"token","memory_span":%d}`, sheetWindow.Microseconds())
 	for i := range extra {
@@ -44,8 +44,8 @@
 	return write(t, "classes.json", text+"]}")
 }
 
-// checkNoOverlap checks in the logs that no two processes could start exclusive work under different versions of a
-// document at one time, and that at least the given number of versions became active.
+// checkNoOverlap checks in the logs that no two processes could start exclusive work under different versions
+// of a document at one time, and that at least the given number of versions became active.
 func checkNoOverlap(t testing.TB, doc string, versions int, procs map[string]*harness.Process) {
 	t.Helper()
 	var all []harness.Acted
@@ -72,7 +72,8 @@
 	return all
 }
 
-// doc returns the active version of a document, the stage of its pending change, and what the change waits for.
+// doc returns the active version of a document, the stage of its pending change, and what the change waits
+// for.
 func (f *documentFleet) doc(name string) (active int, stage configstore.Stage, waits string) {
 	f.t.Helper()
 	r, err := f.g.Client.Config(f.g.within(10 * time.Second))
@@ -103,11 +104,11 @@
 	}
 }
 
-// A router is cut off at each step of a change whose version excludes the active one: before the proposal, while
-// the proposal is held, and while all processes stop using the active version. Then it is suspended (SIGSTOP) at the
-// same steps. The change waits for the router no longer than a lease. The router accepts no requests in that time,
-// and uses the new version once it is back. Without the lease, or if the processes did not stop, two versions
-// would be active at one time.
+// A router is cut off at each step of a change whose version excludes the active one: before the proposal,
+// while the proposal is held, and while all processes stop using the active version. Then it is suspended
+// (SIGSTOP) at the same steps. The change waits for the router no longer than a lease. The router accepts no
+// requests in that time, and uses the new version once it is back. Without the lease, or if the processes did
+// not stop, two versions would be active at one time.
 func TestCutOffInAChange(t *testing.T) {
 	t.Parallel()
 	f := newRuledFleet(t, sheetWindow)
@@ -127,7 +128,8 @@
 			faulty.Wake()
 		}
 	}
-	timeout := time.Duration(float64(testLease)*1.05*2) + 2*time.Second // the lease with its drift, then the stages on a loaded machine
+	// The lease with its drift, then the stages of the change on a loaded machine.
+	timeout := time.Duration(float64(testLease)*1.05*2) + 2*time.Second
 	version := 1
 	for _, isolate := range []func(bool){cutOff, freeze} {
 		for _, at := range []string{"before", "proposed", "turning"} {
@@ -193,8 +195,8 @@
 		`{"status":true,"fleet":{"state":%q,"probe_ms":100},%s}`, filepath.Join(f.t.TempDir(), name+".db"), f.rulesPart(members, "map", "routing", "classes"))))
 }
 
-// harness.Overlap detects two versions that are active at one time. The clock of a router that is cut off runs at a
-// hundredth of its rate, so that the router uses its version long after its lease has expired.
+// harness.Overlap detects two versions that are active at one time. The clock of a router that is cut off
+// runs at a hundredth of its rate, so that the router uses its version long after its lease has expired.
 func TestOverlapIsFound(t *testing.T) {
 	t.Parallel()
 	f := newRuledFleet(t, sheetWindow)
@@ -216,9 +218,9 @@
 	}
 }
 
-// The group's leader is killed during each of three changes. Then the whole group is down for longer than a lease,
-// during a fourth change: the routers serve no new requests, but retries get their results. When the group is back, the
-// proposed version becomes active.
+// The group's leader is killed during each of three changes. Then the whole group is down for longer than a
+// lease, during a fourth change: the routers serve no new requests, but retries get their results. When the
+// group is back, the proposed version becomes active.
 func TestGroupGoesInAChange(t *testing.T) {
 	t.Parallel()
 	f := newRuledFleet(t, sheetWindow)
@@ -261,16 +263,16 @@
 	checkNoOverlap(t, "classes", version, f.processes(map[string]*process{"r1": one, "r2": two}))
 }
 
-// A withdrawal races with the activation of its version. Whichever is first, all processes use the same version
-// afterwards. Then two operators make 100 changes as fast as possible.
+// A withdrawal races with the activation of its version. Whichever is first, all processes use the same
+// version afterwards. Then two operators make 100 changes as fast as possible.
 func TestCrossing(t *testing.T) {
 	t.Parallel()
 	f := newRuledFleet(t, sheetWindow)
 	f.put("classes", twoClasses(t, 0))
 	one := f.router3("r1", nil)
 	activated, withdrawn := 0, 0
-	// The delay grows after each withdrawal that was first, and shrinks after each activation that was first. It
-	// converges on the time that a change takes on this machine.
+	// The delay grows after each withdrawal that was first, and shrinks after each activation that was first.
+	// It converges on the time that a change takes on this machine.
 	delay := 150 * time.Millisecond
 	for n := 0; n < 40 && (n < 12 || activated < 2 || withdrawn < 2); n++ {
 		f.expect(0, "proposed", "put", "classes", twoClasses(t, n+1))
@@ -328,9 +330,10 @@
 	}
 }
 
-// A change that lowers the goodput of all processes is reverted automatically, and the same document is rejected
-// when it is put again at once. If the change is forced as a canary for half of the processes, it is withdrawn
-// there. A process of an older build, which cannot read a document's format, holds up the change until it ends.
+// A change that lowers the goodput of all processes is reverted automatically, and the same document is
+// rejected when it is put again at once. If the change is forced as a canary for half of the processes, it is
+// withdrawn there. A process of an older build, which cannot read a document's format, holds up the change
+// until it ends.
 func TestTakenBack(t *testing.T) {
 	t.Parallel()
 	f := &documentFleet{g: newGroup(t, 3)}
@@ -390,7 +393,8 @@
 	if active, stage, waits := f.doc("routing"); active != 1 || stage != configstore.StageProposed || !strings.Contains(waits, "reads format 1, and this is 2") {
 		t.Errorf("document of a newer format: version %d is active, stage %q, %s; want 1 and proposed", active, stage, waits)
 	}
-	for _, p := range []*process{older, one, two} { // the change waits for these processes until they end, as they cannot read the format
+	// The change waits for these processes until they end, as they cannot read the format.
+	for _, p := range []*process{older, one, two} {
 		p.Kill()
 	}
 	f.wait("routing", 2, 10*time.Second)
@@ -409,9 +413,9 @@
 	return string(data)
 }
 
-// A router whose wall clock differs from the group's by less than the allowed skew serves requests. Beyond the skew,
-// the router logs the difference and sends no requests with a key. A tenant moves while its rate changes and a
-// router joins, and no request runs twice.
+// A router whose wall clock differs from the group's by less than the allowed skew serves requests. Beyond
+// the skew, the router logs the difference and sends no requests with a key. A tenant moves while its rate
+// changes and a router joins, and no request runs twice.
 func TestClocksApart(t *testing.T) {
 	t.Parallel()
 	f := newRuledFleet(t, 500*time.Millisecond)
@@ -478,9 +482,9 @@
 	}
 }
 
-// A router that is cut off, suspended, or killed and restarted keeps its granted quota of a cell for at most a lease.
-// The quotas of all routers never sum to more than the usable capacity. With a router clock that runs at a hundredth
-// of its rate they do, and the test detects it.
+// A router that is cut off, suspended, or killed and restarted keeps its granted quota of a cell for at most
+// a lease. The quotas of all routers never sum to more than the usable capacity. With a router clock that
+// runs at a hundredth of its rate they do, and the test detects it.
 func TestPartsOfACell(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
@@ -517,7 +521,8 @@
 				for start := time.Now(); ; time.Sleep(5 * time.Millisecond) {
 					got := quotaOf(p)
 					if sum := quotaOf(one) + got; sum > capacity*1.0001 && c.clock == "SILVERPATH_CLOCK=1" {
-						// A grant may have moved between the two reads, so the quotas are read again in both orders.
+						// A grant may have moved between the two reads, so the quotas are read again in both
+						// orders.
 						if again := quotaOf(p); again+quotaOf(one) > capacity*1.0001 && quotaOf(p)+quotaOf(one) > capacity*1.0001 {
 							t.Fatalf("the quotas sum to %.0f, above the capacity of %.0f", sum, capacity)
 						}
@@ -530,7 +535,7 @@
 					}
 				}
 			}
-			awaitQuota(two, capacity*0.35, 5*time.Second) // about half of the granted capacity, and its reserve
+			awaitQuota(two, capacity*0.35, 5*time.Second) // about half of the grants, and its reserve
 			awaitQuota(one, capacity*0.35, 5*time.Second)
 			for _, link := range links {
 				link.Cut(true)
--- a/cmd/silverpath/recovery_test.go
+++ b/cmd/silverpath/recovery_test.go
@@ -26,8 +26,8 @@
 	d.Args = []string{"--edge", write(d.t, "edge.json", "{"+strings.Join(parts, ",")+"}")}
 }
 
-// recoveryState returns the recovery state of the process, the conditions that it waits for, and the states that it has
-// passed through.
+// recoveryState returns the recovery state of the process, the conditions that it waits for, and the states
+// that it has passed through.
 func (d *durable) recoveryState() (state string, waits map[string]bool, steps []string) {
 	var s struct {
 		Recovery struct {
@@ -53,8 +53,8 @@
 	return s.Recovery.State, waits, steps
 }
 
-// awaitRecovered waits until the recovery is complete, and returns its duration from the start of the process, as the
-// process logs it.
+// awaitRecovered waits until the recovery is complete, and returns its duration from the start of the
+// process, as the process logs it.
 func (d *durable) awaitRecovered(g *benchmarks.Generation) time.Duration {
 	d.t.Helper()
 	text, err := g.TextAfter(20*time.Second, "recovery: full after ")
@@ -77,8 +77,8 @@
 	return g
 }
 
-// Without a store, the window in which requests may have run before counts from the last heartbeat and not from
-// the start of the process, and at the latest from the boot of the machine. After a first start, with a
+// Without a store, the window in which requests may have run before counts from the last heartbeat and not
+// from the start of the process, and at the latest from the boot of the machine. After a first start, with a
 // disk of another machine and with a torn heartbeat file it counts from the start of the process.
 func TestWindowCountsFromTheLastHeartbeat(t *testing.T) {
 	t.Parallel()
@@ -126,9 +126,9 @@
 	}
 }
 
-// Requests are accepted only while the last durable heartbeat is valid. The disk stops storing heartbeats, the
-// last one expires, and later the process is killed and restarted. A request that was sent after the expiry
-// runs once. With the check disabled it runs twice.
+// Requests are accepted only while the last durable heartbeat is valid. The disk stops storing heartbeats,
+// the last one expires, and later the process is killed and restarted. A request that was sent after the
+// expiry runs once. With the check disabled it runs twice.
 func TestNothingRunsWithoutADurableHeartbeat(t *testing.T) {
 	t.Parallel()
 	for _, unchecked := range []bool{false, true} {
@@ -164,8 +164,8 @@
 	}
 }
 
-// A server with a store restarts after a power loss of unknown length. It answers retries from the store and runs
-// new requests at once.
+// A server with a store restarts after a power loss of unknown length. It answers retries from the store and
+// runs new requests at once.
 func TestPowerComesBackToAStore(t *testing.T) {
 	t.Parallel()
 	d := newDurable(t)
@@ -201,10 +201,10 @@
 	}
 }
 
-// A whole fleet, whose servers have stores and heartbeats, is killed under load and restarted in several orders of
-// its routers and cells. Every router returns the same results as before, and no request runs twice. A cell
-// whose servers are back serves requests while the other cell is down. The fleet status command shows the
-// recovery state of each process.
+// A whole fleet, whose servers have stores and heartbeats, is killed under load and restarted in several
+// orders of its routers and cells. Every router returns the same results as before, and no request runs
+// twice. A cell whose servers are back serves requests while the other cell is down. The fleet status command
+// shows the recovery state of each process.
 func TestWholeFleetComesBack(t *testing.T) {
 	t.Parallel()
 	f := newFleetWith(t, sheetWindow, `{"cell":true}`)
@@ -305,8 +305,8 @@
 		}
 		awaitServed("brand", fmt.Sprint("after-", n, "-"), 3*time.Second)
 		awaitServed("other", fmt.Sprint("after-other-", n, "-"), 3*time.Second)
-		// One server of a cell is enough for new requests. The other one's results are available once its router has
-		// found it alive.
+		// One server of a cell is enough for new requests. The other one's results are available once its
+		// router has found it alive.
 		for _, router := range routers {
 			for _, name := range f.names {
 				awaitAlive(t, router, name)
@@ -338,9 +338,9 @@
 	}
 }
 
-// A server without a store and its router are both restarted. The router sends the server no retry of an earlier
-// request before it has learned when the server started. The test drops the probes, so that a request always
-// arrives before the first probe.
+// A server without a store and its router are both restarted. The router sends the server no retry of an
+// earlier request before it has learned when the server started. The test drops the probes, so that a request
+// always arrives before the first probe.
 func TestRouterAndServerAreNew(t *testing.T) {
 	t.Parallel()
 	f := newFleetWith(t, sheetWindow, `{"cell":true}`)
@@ -374,8 +374,8 @@
 	}
 }
 
-// The recover inspect command reports the owner, content and trust of each kind of file. It fails on a torn file
-// and on one of unknown format.
+// The recover inspect command reports the owner, content and trust of each kind of file. It fails on a torn
+// file and on one of unknown format.
 func TestInspect(t *testing.T) {
 	t.Parallel()
 	g := newGroup(t, 3)
@@ -416,8 +416,8 @@
 	}
 }
 
-// A service starts with a full disk. It serves reads and answers retries from its store. It accepts new requests
-// once the disk has space again.
+// A service starts with a full disk. It serves reads and answers retries from its store. It accepts new
+// requests once the disk has space again.
 func TestDiskIsFullAtTheStart(t *testing.T) {
 	t.Parallel()
 	d := newDurable(t)
--- a/cmd/silverpath/rules_test.go
+++ b/cmd/silverpath/rules_test.go
@@ -16,7 +16,8 @@
 	"silverpath/internal/transport/client"
 )
 
-// unfencedEnv disables config fencing in a process. A test that sets it expects the failure that fencing prevents.
+// unfencedEnv disables config fencing in a process. A test that sets it expects the failure that fencing
+// prevents.
 const unfencedEnv = "SILVERPATH_UNFENCED=1"
 
 // toAll sends each of n requests to all routers, one router after the other, and counts the outcomes.
@@ -77,8 +78,8 @@
 }
 
 // Two map files of one version place a tenant in different cells. The first process that sees both logs the
-// conflict, and no request is accepted under either. The next version resolves the conflict once no request that
-// was accepted under either can be retried. Without fencing, requests run in both cells.
+// conflict, and no request is accepted under either. The next version resolves the conflict once no request
+// that was accepted under either can be retried. Without fencing, requests run in both cells.
 func TestTwoMapsOfOneVersion(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
@@ -150,9 +151,9 @@
 }
 
 // A tenant moves, but the map file of one router is not updated, so the router keeps reading the old map. It
-// learns of the newer version from its servers, and after a lease no request is accepted under the old map, also
-// by a router that is restarted with it. Without fencing, requests run in both cells once routers no longer look
-// up results at the old home.
+// learns of the newer version from its servers, and after a lease no request is accepted under the old map,
+// also by a router that is restarted with it. Without fencing, requests run in both cells once routers no
+// longer look up results at the old home.
 func TestForgottenFile(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
@@ -181,8 +182,8 @@
 					t.Errorf("outcomes by the old map within the lease: %v, want 5 served", got)
 				}
 			}
-			// Wait until the move is in force and the old home is no longer asked for results: two leases and the skew,
-			// then the key window, the caller timeout and twice the skew.
+			// Wait until the move is in force and the old home is no longer asked for results: two leases and
+			// the skew, then the key window, the caller timeout and twice the skew.
 			time.Sleep(2*900*time.Millisecond + 200*time.Millisecond + 500*time.Millisecond + time.Second + 400*time.Millisecond + 300*time.Millisecond)
 			got := toAll(20, "after", updated, stale)
 			restarted := f.route("again", files[0], "", c.env...)
@@ -219,9 +220,9 @@
 	}
 }
 
-// A router is suspended after it has found the home of a request, and resumed after the tenant has moved. The old
-// home rejects the request, as its map version is old. The router then reloads the map and sends the request to
-// the new home.
+// A router is suspended after it has found the home of a request, and resumed after the tenant has moved. The
+// old home rejects the request, as its map version is old. The router then reloads the map and sends the
+// request to the new home.
 func TestWokenRouter(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, 500*time.Millisecond)
@@ -251,9 +252,9 @@
 	}
 }
 
-// A router ignores a map file that is truncated, has the active version with other content, or is older than the
-// active version. A router that was down during a move loads the new map when it restarts with its old state.
-// Two routers cannot share one state file.
+// A router ignores a map file that is truncated, has the active version with other content, or is older than
+// the active version. A router that was down during a move loads the new map when it restarts with its old
+// state. Two routers cannot share one state file.
 func TestStateFromLastWeek(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, 400*time.Millisecond)
