--- a/internal/testkit/standin/faults/faults.go
+++ b/internal/testkit/standin/faults/faults.go
@@ -1,5 +1,6 @@
-// Package faults is what stands between processes in tests and in the lab: connections through it can be cut, in both
-// directions or one, held and let go later, delayed, and, by whole message, reordered and given twice, by a seeded chance.
+// Package faults is a TCP proxy that injects network faults between processes in tests and in the lab. It can close
+// connections, and in each direction drop, hold, delay or corrupt data. In MessagePack-RPC traffic it can also reorder and
+// duplicate whole messages. Random choices come from a seeded generator.
 package faults
 
 import (
@@ -15,117 +16,118 @@
 	"silverpath/internal/transport/msgpackrpc"
 )
 
-// Way is a direction.
+// Way is a direction of a connection.
 type Way int
 
 // The directions of a connection.
 const (
-	There Way = iota // from who connects to who listens
-	Back
+	There Way = iota // from the client to the listener
+	Back             // from the listener to the client
 )
 
-// Fate is what becomes of what is said in a direction. The zero value passes it on.
+// Fate is the fault of one direction. The zero value forwards everything unchanged.
 type Fate struct {
-	Of    string        // only of messages that have this text in them; empty: of all
-	Lost  bool          // it goes nowhere, and nobody is told
-	Held  bool          // it waits until it is no longer held
-	Delay time.Duration // at most; drawn for each message
-	Twice float64       // chance of a message to be given twice
-	Swap  float64       // chance of a message to come after the next one
-	Spoil string        // in messages that have this text a digit that comes after it is another one; empty: in none
+	Of    string        // only messages that contain this text are dropped, held, delayed, duplicated or reordered; empty: all
+	Lost  bool          // messages are dropped silently
+	Held  bool          // messages wait until Held is cleared
+	Delay time.Duration // maximum delay; each message's is drawn uniformly from 0 to Delay
+	Twice float64       // probability that a message is delivered twice
+	Swap  float64       // probability that a message is delivered after the next one
+	Spoil string        // a digit that follows this text in a message is replaced by another digit; empty: none
 }
 
-// longest is the longest message, in bytes.
-const longest = 4 << 20
+const maxMessageBytes = 4 << 20
 
-// Between stands before one listener.
+// Between is a proxy in front of one listener.
 type Between struct {
-	ln    net.Listener
-	words bool
+	ln       net.Listener
+	messages bool
 
-	mu    sync.Mutex
-	to    string
-	fate  [2]Fate
-	cut   bool
-	freed chan struct{} // closed and made anew with every change
-	conns []net.Conn
-	rng   *rand.Rand
-	first [][]byte // what each connection said first, in calls
-	over  bool
+	mu      sync.Mutex
+	target  string
+	faults  [2]Fate
+	cut     bool
+	changed chan struct{} // closed and replaced on every change of faults, cut or closed
+	conns   []net.Conn
+	rng     *rand.Rand
+	calls   [][]byte // the first chunk of each connection, if it carries a call
+	closed  bool
 }
 
-// Listen stands before an address. Words says that MessagePack-RPC is spoken, so that whole messages are known; else a
-// connection carries one call.
-func Listen(to string, words bool, seed uint64) (*Between, error) {
+// Listen starts a proxy in front of the address target. If messages is set, connections carry MessagePack-RPC and faults
+// apply to whole messages; else each connection carries one call, and faults apply to chunks as they are read. It returns
+// an error if it can't listen.
+func Listen(target string, messages bool, seed uint64) (*Between, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	b := &Between{ln: ln, to: to, words: words, freed: make(chan struct{}), rng: rand.New(rand.NewPCG(seed, 17))}
+	b := &Between{ln: ln, target: target, messages: messages, changed: make(chan struct{}), rng: rand.New(rand.NewPCG(seed, 17))}
 	go b.accept()
 	return b, nil
 }
 
-// Addr is where it listens.
+// Addr returns the address on which the proxy listens.
 func (b *Between) Addr() string { return b.ln.Addr().String() }
 
-// To has new connections go to another address, as that of a process started anew.
-func (b *Between) To(addr string) {
+// To forwards new connections to another address, for example that of a restarted process.
+func (b *Between) To(target string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.to = addr
+	b.target = target
 }
 
-// Set sets what becomes of a direction from now on.
-func (b *Between) Set(w Way, f Fate) {
+// Set replaces the fault of a direction.
+func (b *Between) Set(dir Way, fault Fate) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.fate[w] = f
-	close(b.freed)
-	b.freed = make(chan struct{})
+	b.faults[dir] = fault
+	close(b.changed)
+	b.changed = make(chan struct{})
 }
 
-// Cut ends all connections and takes no new one, or, with false, takes them again.
+// Cut closes all connections and refuses new ones if cut is true, and accepts connections again if it is false.
 func (b *Between) Cut(cut bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.cut = cut
 	if cut {
-		b.drop()
+		b.closeConns()
 	}
-	close(b.freed)
-	b.freed = make(chan struct{})
+	close(b.changed)
+	b.changed = make(chan struct{})
 }
 
-func (b *Between) drop() {
+func (b *Between) closeConns() {
 	for _, c := range b.conns {
 		c.Close()
 	}
 	b.conns = nil
 }
 
-// Close ends it.
+// Close closes the listener and all connections.
 func (b *Between) Close() {
 	b.ln.Close()
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.over = true
-	b.drop()
-	close(b.freed)
-	b.freed = make(chan struct{})
+	b.closed = true
+	b.closeConns()
+	close(b.changed)
+	b.changed = make(chan struct{})
 }
 
-// Calls is what was called so far, as it stood on the wire.
+// Calls returns the bytes of all calls received so far. It is empty for MessagePack-RPC.
 func (b *Between) Calls() [][]byte {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return slices.Clone(b.first)
+	return slices.Clone(b.calls)
 }
 
-// Again makes a call once more on a connection of its own, as a network does that held a copy, and returns the answer.
+// Again sends the bytes of a call on a new connection, like a network that delivers a delayed duplicate, and returns the
+// answer.
 func (b *Between) Again(call []byte) (string, error) {
 	b.mu.Lock()
-	to := b.to
+	to := b.target
 	b.mu.Unlock()
 	conn, err := net.DialTimeout("tcp", to, time.Second)
 	if err != nil {
@@ -147,20 +149,20 @@
 			return
 		}
 		b.mu.Lock()
-		to, cut := b.to, b.cut || b.over
+		target, cut := b.target, b.cut || b.closed
 		b.mu.Unlock()
 		if cut {
 			in.Close()
 			continue
 		}
 		go func() {
-			out, err := net.DialTimeout("tcp", to, time.Second)
+			out, err := net.DialTimeout("tcp", target, time.Second)
 			if err != nil {
 				in.Close()
 				return
 			}
 			b.mu.Lock()
-			if b.cut || b.over {
+			if b.cut || b.closed {
 				b.mu.Unlock()
 				in.Close()
 				out.Close()
@@ -168,106 +170,106 @@
 			}
 			b.conns = append(b.conns, in, out)
 			b.mu.Unlock()
-			var both sync.WaitGroup
-			both.Go(func() { b.carry(in, out, There) })
-			both.Go(func() { b.carry(out, in, Back) })
-			both.Wait()
+			var wg sync.WaitGroup
+			wg.Go(func() { b.forward(in, out, There) })
+			wg.Go(func() { b.forward(out, in, Back) })
+			wg.Wait()
 			in.Close()
 			out.Close()
 		}()
 	}
 }
 
-// next reads what is carried as one: a message, or, of calls, what there is.
-func (b *Between) next(r *bufio.Reader, chunk []byte) ([]byte, error) {
-	if b.words {
-		return msgpackrpc.ReadMessage(r, longest)
+// readNext reads the next whole message or, if connections carry calls, the bytes that are available.
+func (b *Between) readNext(r *bufio.Reader, chunk []byte) ([]byte, error) {
+	if b.messages {
+		return msgpackrpc.ReadMessage(r, maxMessageBytes)
 	}
 	n, err := r.Read(chunk)
 	return slices.Clone(chunk[:n]), err
 }
 
-// carry passes on what comes one way, message by message where it carries messages, until its end.
-func (b *Between) carry(from, to net.Conn, w Way) {
+// forward copies one direction of a connection with its faults applied, until the sender closes it or an error occurs.
+func (b *Between) forward(from, to net.Conn, dir Way) {
 	defer func() {
-		if half, ok := to.(*net.TCPConn); ok {
-			half.CloseWrite()
+		if tcp, ok := to.(*net.TCPConn); ok {
+			tcp.CloseWrite()
 		}
-		b.forget(from)
+		b.removeConn(from)
 	}()
 	r := bufio.NewReader(from)
 	chunk := make([]byte, 4<<10)
-	var overtaken []byte // a message that the next one passes
+	var delayed []byte // a message that is to be delivered after the next one
 	for n := 0; ; n++ {
-		m, err := b.next(r, chunk)
+		m, err := b.readNext(r, chunk)
 		if len(m) == 0 && err != nil {
-			if overtaken != nil {
-				_, _ = to.Write(overtaken)
+			if delayed != nil {
+				_, _ = to.Write(delayed)
 			}
 			return
 		}
-		if n == 0 && w == There && !b.words {
+		if n == 0 && dir == There && !b.messages {
 			b.mu.Lock()
-			b.first = append(b.first, m)
+			b.calls = append(b.calls, m)
 			b.mu.Unlock()
 		}
-		lost, twice, swap := b.fateOf(w, m)
-		b.spoil(w, m)
+		drop, duplicate, reorder := b.faultFor(dir, m)
+		b.corrupt(dir, m)
 		switch {
-		case lost:
+		case drop:
 			continue
-		case swap && overtaken == nil && b.words:
-			overtaken = m
+		case reorder && delayed == nil && b.messages:
+			delayed = m
 			continue
 		}
-		if err := deliver(to, m, twice && b.words, overtaken); err != nil {
+		if err := deliver(to, m, duplicate && b.messages, delayed); err != nil {
 			from.Close()
 			return
 		}
-		overtaken = nil
+		delayed = nil
 	}
 }
 
-// deliver writes a message, a second time where it is to come twice, and then the one that it has passed; nil: none.
-func deliver(to net.Conn, m []byte, twice bool, overtaken []byte) error {
+// deliver writes m, twice if duplicate is set, and then the delayed message if there is one.
+func deliver(to net.Conn, m []byte, duplicate bool, delayed []byte) error {
 	if _, err := to.Write(m); err != nil {
 		return err
 	}
-	if twice {
-		_, _ = to.Write(m) // a connection that ends here shows at the next message
+	if duplicate {
+		_, _ = to.Write(m) // an error shows again at the next message
 	}
-	if overtaken != nil {
-		_, _ = to.Write(overtaken)
+	if delayed != nil {
+		_, _ = to.Write(delayed)
 	}
 	return nil
 }
 
-// fateOf waits as long as what is said is held, or delayed, and draws what becomes of it.
-func (b *Between) fateOf(w Way, m []byte) (lost, twice, swap bool) {
+// faultFor blocks while m is held or delayed, and draws which of the direction's faults apply to it.
+func (b *Between) faultFor(dir Way, m []byte) (drop, duplicate, reorder bool) {
 	for {
 		b.mu.Lock()
-		f, freed, over := b.fate[w], b.freed, b.over
-		delay := time.Duration(b.rng.Float64() * float64(f.Delay))
-		twice, swap = b.rng.Float64() < f.Twice, b.rng.Float64() < f.Swap
+		fault, changed, closed := b.faults[dir], b.changed, b.closed
+		delay := time.Duration(b.rng.Float64() * float64(fault.Delay))
+		duplicate, reorder = b.rng.Float64() < fault.Twice, b.rng.Float64() < fault.Swap
 		b.mu.Unlock()
-		if f.Of != "" && !bytes.Contains(m, []byte(f.Of)) {
+		if fault.Of != "" && !bytes.Contains(m, []byte(fault.Of)) {
 			return false, false, false
 		}
-		if f.Held && !over {
-			<-freed
+		if fault.Held && !closed {
+			<-changed
 			continue
 		}
 		if delay > 0 {
 			time.Sleep(delay)
 		}
-		return f.Lost, twice, swap
+		return fault.Lost, duplicate, reorder
 	}
 }
 
-// spoil damages a message, whose length stays.
-func (b *Between) spoil(w Way, m []byte) {
+// corrupt replaces digits in m as the direction's Spoil says. The length of m stays the same.
+func (b *Between) corrupt(dir Way, m []byte) {
 	b.mu.Lock()
-	after := []byte(b.fate[w].Spoil)
+	after := []byte(b.faults[dir].Spoil)
 	b.mu.Unlock()
 	if len(after) == 0 {
 		return
@@ -283,7 +285,7 @@
 	}
 }
 
-func (b *Between) forget(c net.Conn) {
+func (b *Between) removeConn(c net.Conn) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if i := slices.Index(b.conns, c); i >= 0 {
--- a/internal/testkit/standin/faults/faults_test.go
+++ b/internal/testkit/standin/faults/faults_test.go
@@ -12,37 +12,37 @@
 	"silverpath/internal/transport/msgpackrpc"
 )
 
-// What is said goes through; lost it goes nowhere, one way only; held it comes later; twice it comes twice; spoilt it comes with
-// other digits; cut nobody gets through.
+// A proxy without faults forwards messages. Lost messages are dropped in one direction only, held ones arrive later, duplicated
+// ones arrive twice, swapped ones arrive in reverse order, corrupted ones with other digits, and none arrives over a cut connection.
 func TestBetween(t *testing.T) {
-	got := make(chan string, 64)
-	f := msgpackrpc.NewCallServer("words", &metrics.Counters{}, func(_ context.Context, w msgpackrpc.Call) func() msgpackrpc.CallResult {
-		got <- string(w.Body)
-		return func() msgpackrpc.CallResult { return msgpackrpc.CallResult{Body: w.Body} }
+	received := make(chan string, 64)
+	server := msgpackrpc.NewCallServer("test", &metrics.Counters{}, func(_ context.Context, call msgpackrpc.Call) func() msgpackrpc.CallResult {
+		received <- string(call.Body)
+		return func() msgpackrpc.CallResult { return msgpackrpc.CallResult{Body: call.Body} }
 	})
-	ln, err := listener.Listen("words", "127.0.0.1:0", 8, func() time.Duration { return time.Minute }, f.Serve, log.New(io.Discard, "", 0), &metrics.Counters{})
+	ln, err := listener.Listen("test", "127.0.0.1:0", 8, func() time.Duration { return time.Minute }, server.Serve, log.New(io.Discard, "", 0), &metrics.Counters{})
 	if err != nil {
 		t.Fatal(err)
 	}
 	go ln.Serve()
 	defer ln.Close()
-	b, err := Listen(ln.Addr().String(), true, 1)
+	proxy, err := Listen(ln.Addr().String(), true, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer b.Close()
-	conn, err := msgpackrpc.DialCalls(t.Context(), b.Addr())
+	defer proxy.Close()
+	conn, err := msgpackrpc.DialCalls(t.Context(), proxy.Addr())
 	if err != nil {
 		t.Fatal(err)
 	}
-	say := func(s string) <-chan msgpackrpc.Reply {
-		r, err := conn.Call(msgpackrpc.Call{Method: "echo", Body: []byte(s)})
+	send := func(s string) <-chan msgpackrpc.Reply {
+		replies, err := conn.Call(msgpackrpc.Call{Method: "echo", Body: []byte(s)})
 		if err != nil {
 			t.Fatal(err)
 		}
-		return r
+		return replies
 	}
-	comes := func(c <-chan msgpackrpc.Reply, want bool) {
+	expectReply := func(c <-chan msgpackrpc.Reply, want bool) {
 		t.Helper()
 		wait := 5 * time.Second
 		if !want {
@@ -51,55 +51,55 @@
 		select {
 		case _, ok := <-c:
 			if !ok || !want {
-				t.Errorf("a reply: %v, wanted %v", ok, want)
+				t.Errorf("reply received: %v, want %v", ok, want)
 			}
 		case <-time.After(wait):
 			if want {
-				t.Error("no reply")
+				t.Error("no reply within 5 s")
 			}
 		}
 	}
-	comes(say("1"), true)
-	<-got
-	b.Set(Back, Fate{Lost: true})
-	comes(say("2"), false)
-	if s := <-got; s != "2" {
+	expectReply(send("1"), true)
+	<-received
+	proxy.Set(Back, Fate{Lost: true})
+	expectReply(send("2"), false)
+	if s := <-received; s != "2" {
 		t.Error(s)
 	}
-	b.Set(Back, Fate{})
-	b.Set(There, Fate{Held: true})
-	held := say("3")
-	comes(held, false)
-	b.Set(There, Fate{})
-	comes(held, true)
-	<-got
-	b.Set(There, Fate{Lost: true, Of: "bad"})
-	comes(say("good"), true)
-	comes(say("a bad one"), false)
-	if s := <-got; s != "good" {
+	proxy.Set(Back, Fate{})
+	proxy.Set(There, Fate{Held: true})
+	held := send("3")
+	expectReply(held, false)
+	proxy.Set(There, Fate{})
+	expectReply(held, true)
+	<-received
+	proxy.Set(There, Fate{Lost: true, Of: "bad"})
+	expectReply(send("good"), true)
+	expectReply(send("a bad one"), false)
+	if s := <-received; s != "good" {
 		t.Error(s)
 	}
-	b.Set(There, Fate{Twice: 1})
-	comes(say("4"), true)
-	<-got
-	if s := <-got; s != "4" {
+	proxy.Set(There, Fate{Twice: 1})
+	expectReply(send("4"), true)
+	<-received
+	if s := <-received; s != "4" {
 		t.Error(s)
 	}
-	b.Set(There, Fate{Swap: 1})
-	say("5")
-	say("6")
-	if x, y := <-got, <-got; x != "6" || y != "5" {
+	proxy.Set(There, Fate{Swap: 1})
+	send("5")
+	send("6")
+	if x, y := <-received, <-received; x != "6" || y != "5" {
 		t.Error(x, y)
 	}
-	b.Set(There, Fate{Spoil: "rate: "})
-	say("rate: 9, rate: x, weight: 1")
-	if s := <-got; s != "rate: 1, rate: x, weight: 1" {
+	proxy.Set(There, Fate{Spoil: "rate: "})
+	send("rate: 9, rate: x, weight: 1")
+	if s := <-received; s != "rate: 1, rate: x, weight: 1" {
 		t.Error(s)
 	}
-	b.Cut(true)
+	proxy.Cut(true)
 	if r, err := conn.Call(msgpackrpc.Call{Method: "echo"}); err == nil {
 		if _, ok := <-r; ok {
-			t.Error("a reply over a cut connection")
+			t.Error("got a reply over a cut connection")
 		}
 	}
 }
