--- a/docs/results/embed.go
+++ b/docs/results/embed.go
@@ -1,4 +1,4 @@
-// Package results holds what was measured, as far as the program itself computes with it.
+// Package results embeds the measurements that the program computes with.
 package results
 
 import (
@@ -12,13 +12,15 @@
 //go:embed scale*.json
 var files embed.FS
 
-// The files with figures by size: of the program as it is, and as it was before documents went in parts.
+// The files with measurements by fleet size: Scale for the current program, and Was for the program before documents were
+// replicated in parts.
 const (
 	Scale = "scale.json"
 	Was   = "scale-was.json"
 )
 
-// Read returns what was measured. Where nothing was kept of the program as it was, that of the program as it is stands for it.
+// Read returns the measurements in an embedded file. If Was is missing, it returns those in Scale instead. It returns an error
+// if the file doesn't exist or is invalid.
 func Read(name string) (capacity.Results, error) {
 	data, err := files.ReadFile(name)
 	if err != nil && name == Was {
@@ -31,7 +33,7 @@
 	return Parse(name, data)
 }
 
-// Parse reads the text of such a file.
+// Parse decodes and checks the text of a file of measurements. The name is used in errors.
 func Parse(name string, data []byte) (r capacity.Results, err error) {
 	if err := json.Unmarshal(data, &r); err != nil {
 		return r, fmt.Errorf("%s: %w", name, err)
--- a/internal/testkit/hollow/caller.go
+++ b/internal/testkit/hollow/caller.go
@@ -12,33 +12,33 @@
 // CallerConfig sets up a Caller.
 type CallerConfig struct {
 	Name  string
-	IP    string // of the loopback range
-	To    string // the server that it looks after
-	Every time.Duration
-	First time.Duration // it waits so long, that many do not speak at once
-	Rules string        // the document that it says it goes by; empty: it is a balancer that says nothing of itself
+	IP    string        // loopback address that it connects from
+	To    string        // address of the server that it health-checks
+	Every time.Duration // interval of the health checks
+	First time.Duration // delay of the first health check, which spreads the checks of many callers
+	Rules string        // ID of the document that it reports to act on; empty: it is a balancer, which reports nothing
 	Terms configstore.Terms
 }
 
-// Caller is what sends to a server, a router or a platform's balancer, of which only the health checks are there: each on a connection of
-// its own, with what a router says of itself.
+// Caller stands in for a router or a platform's balancer that sends to a server. It only sends health checks, each on a new connection. As a
+// router it adds the fields that a router reports about itself.
 type Caller struct {
 	Traffic
-	run *running
+	tasks *taskGroup
 }
 
-const probeWithin = time.Second // as a router waits
+const probeTimeout = time.Second // the same as a router's
 
-// NewCaller starts one.
+// NewCaller starts a caller.
 func NewCaller(cfg CallerConfig) *Caller {
-	c := &Caller{run: run()}
+	c := &Caller{tasks: newTaskGroup()}
 	var fields []string
 	if cfg.Rules != "" {
 		ms := func(d time.Duration) string { return strconv.FormatInt(d.Milliseconds(), 10) }
 		t := cfg.Terms
-		fields = []string{"g", cfg.Rules, "gn", cfg.Name, "gl", ms(t.Lease), "gs", ms(t.ClockSkew), "gp", ms(cfg.Every), "gw", ms(probeWithin), "gd", ms(t.OverlapWindow), "fl", "0"}
+		fields = []string{"g", cfg.Rules, "gn", cfg.Name, "gl", ms(t.Lease), "gs", ms(t.ClockSkew), "gp", ms(cfg.Every), "gw", ms(probeTimeout), "gd", ms(t.OverlapWindow), "fl", "0"}
 	}
-	c.run.keep(func(ctx context.Context) {
+	c.tasks.start(func(ctx context.Context) {
 		for wait := cfg.First; ; wait = cfg.Every {
 			select {
 			case <-ctx.Done():
@@ -52,14 +52,14 @@
 }
 
 func (c *Caller) probe(ctx context.Context, cfg CallerConfig, fields []string) {
-	ctx, cancel := context.WithTimeout(ctx, probeWithin)
+	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
-	to, err := c.dial(ctx, cfg.IP, cfg.To)
+	conn, err := c.dial(ctx, cfg.IP, cfg.To)
 	if err != nil {
 		return
 	}
-	defer to.Close()
-	if _, reply, err := to.Send(func(id uint64) []byte { return msgpackrpc.AppendProbe(nil, id, fields...) }); err == nil {
+	defer conn.Close()
+	if _, reply, err := conn.Send(func(id uint64) []byte { return msgpackrpc.AppendProbe(nil, id, fields...) }); err == nil {
 		select {
 		case <-reply:
 		case <-ctx.Done():
@@ -67,5 +67,5 @@
 	}
 }
 
-// Close ends it and waits until nothing of it runs.
-func (c *Caller) Close() { c.run.end() }
+// Close stops the caller and waits until its goroutine has ended.
+func (c *Caller) Close() { c.tasks.stop() }
--- a/internal/testkit/hollow/hollow.go
+++ b/internal/testkit/hollow/hollow.go
@@ -1,7 +1,7 @@
-// Package hollow has processes of the fleet that are all control and no work: a router, a server and a caller whose health checks, map,
-// documents, slow start, shares and counters are by the program's own code, with no requests, interpreter or client's front behind them. Many
-// share one process of the system, each with its own state, connections, counters and address of the loopback range. It is no part of
-// the service: tests and the lab stand a fleet up with it that would not fit on the machine else.
+// Package hollow implements hollow processes: a router, a server, a follower and a caller that run the program's own code for health checks,
+// the cell map, documents, slow start, quotas and counters, but have no interpreter and no client front and do no work. Many of
+// them share one operating system process, each with its own state, connections, counters and loopback address. The package is not part of
+// the service: tests and the lab use it to start fleets that would otherwise not fit on the machine.
 package hollow
 
 import (
@@ -16,54 +16,54 @@
 	"silverpath/internal/transport/msgpackrpc"
 )
 
-// IP is the address of the loopback range that the nth of a kind has: kinds are 0 to 31, and each has 65,536.
+// IP returns the loopback address of the nth process of a kind. Kinds are 0 to 31, and each has 65,536 addresses.
 func IP(kind, n int) string { return fmt.Sprintf("127.%d.%d.%d", 64+kind, n>>8&0xff, n&0xff) }
 
-// Traffic counts what went over the connections of one process.
+// Traffic counts the connections, bytes and messages of one process.
 type Traffic struct {
-	Opened   atomic.Int64 // by it and to it
+	Opened   atomic.Int64 // connections that the process opened or accepted
 	In, Out  atomic.Int64 // bytes
-	Messages atomic.Int64 // writes, each of which is one message whole
+	Messages atomic.Int64 // writes; each write is one whole message
 }
 
-// Count is what a Traffic had counted at a moment.
+// Count holds the values of a Traffic's counters at one moment.
 type Count struct{ Opened, In, Out, Messages int64 }
 
-// Now reads the counters.
+// Now returns the current values of the counters.
 func (t *Traffic) Now() Count {
 	return Count{t.Opened.Load(), t.In.Load(), t.Out.Load(), t.Messages.Load()}
 }
 
-// Add is the sum of two.
+// Add returns the sum of c and d.
 func (c Count) Add(d Count) Count {
 	return Count{c.Opened + d.Opened, c.In + d.In, c.Out + d.Out, c.Messages + d.Messages}
 }
 
-// Sub is what was counted since d.
+// Sub returns the difference of c and the earlier count d.
 func (c Count) Sub(d Count) Count {
 	return Count{c.Opened - d.Opened, c.In - d.In, c.Out - d.Out, c.Messages - d.Messages}
 }
 
-// conn is a connection that is counted.
-type conn struct {
+// countedConn is a TCP connection that adds its reads and writes to a Traffic.
+type countedConn struct {
 	*net.TCPConn
 	t *Traffic
 }
 
-func (c conn) Read(b []byte) (int, error) {
+func (c countedConn) Read(b []byte) (int, error) {
 	n, err := c.TCPConn.Read(b)
 	c.t.In.Add(int64(n))
 	return n, err
 }
 
-func (c conn) Write(b []byte) (int, error) {
+func (c countedConn) Write(b []byte) (int, error) {
 	n, err := c.TCPConn.Write(b)
 	c.t.Out.Add(int64(n))
 	c.t.Messages.Add(1)
 	return n, err
 }
 
-// countingListener is a listener whose connections are counted.
+// countingListener is a TCP listener whose accepted connections are counted in a Traffic.
 type countingListener struct {
 	*net.TCPListener
 	t *Traffic
@@ -75,7 +75,7 @@
 		return nil, err
 	}
 	l.t.Opened.Add(1)
-	return conn{c, l.t}, nil
+	return countedConn{c, l.t}, nil
 }
 
 func listen(ip string, t *Traffic) (countingListener, error) {
@@ -83,36 +83,36 @@
 	return countingListener{ln, t}, err
 }
 
-// dial opens a connection to a server's front from an address of its own.
+// dial connects to a server's front at the address to, with ip as the local address.
 func (t *Traffic) dial(ctx context.Context, ip, to string) (*msgpackrpc.Conn, error) {
 	d := net.Dialer{LocalAddr: &net.TCPAddr{IP: net.ParseIP(ip)}}
 	c, err := d.DialContext(ctx, "tcp", to)
 	if err != nil {
-		return nil, fmt.Errorf("connecting: %w", err)
+		return nil, fmt.Errorf("failed to dial: %w", err)
 	}
 	t.Opened.Add(1)
-	return msgpackrpc.NewConn(conn{c.(*net.TCPConn), t}), nil
+	return msgpackrpc.NewConn(countedConn{c.(*net.TCPConn), t}), nil
 }
 
-// running is what runs in a process until it is closed.
-type running struct {
+// taskGroup runs the goroutines of one hollow process. Stopping it cancels their context and waits for them.
+type taskGroup struct {
 	ctx    context.Context
 	cancel context.CancelFunc
-	all    sync.WaitGroup
+	wg     sync.WaitGroup
 }
 
-func run() *running {
-	r := &running{}
-	r.ctx, r.cancel = context.WithCancel(context.Background())
-	return r
+func newTaskGroup() *taskGroup {
+	g := &taskGroup{}
+	g.ctx, g.cancel = context.WithCancel(context.Background())
+	return g
 }
 
-func (r *running) keep(f func(context.Context)) { r.all.Go(func() { f(r.ctx) }) }
+func (g *taskGroup) start(f func(context.Context)) { g.wg.Go(func() { f(g.ctx) }) }
 
-func (r *running) end() {
-	r.cancel()
-	r.all.Wait()
+func (g *taskGroup) stop() {
+	g.cancel()
+	g.wg.Wait()
 }
 
-// silent is the log of a hollow process.
-func silent() *log.Logger { return log.New(io.Discard, "", 0) }
+// discardLog returns a logger that discards its output.
+func discardLog() *log.Logger { return log.New(io.Discard, "", 0) }
--- a/internal/testkit/hollow/router.go
+++ b/internal/testkit/hollow/router.go
@@ -25,65 +25,67 @@
 // FollowerConfig sets up a Follower.
 type FollowerConfig struct {
 	Name      string
-	Group     *quorum.Client // its own
+	Group     *quorum.Client // not shared with other processes; Close closes it
 	Docs      []string
-	Site      silverpath.Settings // whose classes the group's are checked against
-	OnApplied func(doc string)    // called once it acts on a new version; nil: nobody is told
+	Site      silverpath.Settings // settings against which the group's classes document is validated
+	OnApplied func(doc string)    // called after a new version of a document is applied; may be nil
 }
 
-// Follower is a process that acts on documents of a group, and does nothing else.
+// Follower is a process that only follows and applies documents of a group.
 type Follower struct {
 	Stats   metrics.Counters
-	run     *running
+	tasks   *taskGroup
 	group   *quorum.Client
-	follows *configwatch.Watcher
+	watcher *configwatch.Watcher
 }
 
-// NewFollower starts one.
+// NewFollower starts a follower. It returns an error if cfg.Docs lists a document that a follower can't apply.
 func NewFollower(cfg FollowerConfig) (*Follower, error) {
 	src, err := proxy.OpenGroupSource("")
 	if err != nil {
 		return nil, err
 	}
-	f := &Follower{run: run(), group: cfg.Group}
-	loaded := func(asked time.Time) { // as a router reloads its map once the group has answered
-		src.Confirm(asked)
+	f := &Follower{tasks: newTaskGroup(), group: cfg.Group}
+	confirmed := func(requestedAt time.Time) { // a router also reloads its map after each answer of the group
+		src.Confirm(requestedAt)
 		_, _, _ = src.Load(nil)
 	}
-	if f.follows, err = newFollower(cfg, nil, nil, &groupMap{src, loaded, nil}, &f.Stats); err != nil {
+	if f.watcher, err = newWatcher(cfg, nil, nil, &groupMap{src, confirmed, nil}, &f.Stats); err != nil {
 		return nil, err
 	}
-	f.run.keep(f.follows.Run)
+	f.tasks.start(f.watcher.Run)
 	return f, nil
 }
 
-// Acts is the version of a document that it acts on, 0 for none.
+// Acts returns the version of a document that the follower acts on, or 0 if there is none.
 func (f *Follower) Acts(doc string) int {
 	var s struct{ Acts map[string]int }
-	if json.Unmarshal(f.follows.Status(), &s) != nil {
+	if json.Unmarshal(f.watcher.Status(), &s) != nil {
 		return 0
 	}
 	return s.Acts[doc]
 }
 
-// Close ends it and waits until nothing of it runs.
+// Close stops the follower and waits until its goroutine has ended.
 func (f *Follower) Close() {
-	f.run.end()
+	f.tasks.stop()
 	f.group.Close()
 }
 
-// agreed is what a follower of the map has besides.
+// groupMap holds what a process that follows the group's cell map needs for it.
 type groupMap struct {
 	source    *proxy.GroupSource
 	confirmed func(time.Time)
 	quota     configwatch.QuotaClient
 }
 
-// newFollower has the documents checked and taken as the service has them. Retune takes classes up, and reroute how a router chooses.
-func newFollower(cfg FollowerConfig, retune func(silverpath.Settings) error, reroute func(settings.Router), a *groupMap, s *metrics.Counters) (*configwatch.Watcher, error) {
+// newWatcher returns a watcher that checks and applies cfg.Docs the way the service does. Reconfigure applies a classes document and
+// updateRouting a routing document; either may be nil. The map can be followed only if gm is not nil. It returns an error for a document that
+// the process can't apply.
+func newWatcher(cfg FollowerConfig, reconfigure func(silverpath.Settings) error, updateRouting func(settings.Router), gm *groupMap, s *metrics.Counters) (*configwatch.Watcher, error) {
 	var mu sync.Mutex
 	site := cfg.Site
-	own := map[string]configwatch.Document{
+	documents := map[string]configwatch.Document{
 		configstore.DocClasses: {
 			Check: func(text string) error {
 				mu.Lock()
@@ -95,8 +97,8 @@
 				mu.Lock()
 				defer mu.Unlock()
 				next, err := settings.ParseClasses(text, site)
-				if err == nil && retune != nil {
-					err = retune(next)
+				if err == nil && reconfigure != nil {
+					err = reconfigure(next)
 				}
 				if err == nil {
 					site = next
@@ -110,126 +112,127 @@
 			},
 			Apply: func(text string) error {
 				next, err := settings.ParseRouting(text)
-				if err == nil && reroute != nil {
-					reroute(next)
+				if err == nil && updateRouting != nil {
+					updateRouting(next)
 				}
 				return err
 			}},
 	}
-	set := configwatch.Config{Name: cfg.Name, Group: cfg.Group, Documents: map[string]configwatch.Document{}, Log: silent(), Stats: s}
-	if a != nil {
-		own[configstore.DocMap] = configwatch.Document{Format: configstore.PartsFormat, Check: a.source.Check, Apply: a.source.Apply, CheckParts: a.source.CheckParts, ApplyParts: a.source.ApplyParts}
-		set.OnConfirmed, set.MaxClockSkew, set.Quota = a.confirmed, a.source.MaxClockSkew, a.quota
+	watchCfg := configwatch.Config{Name: cfg.Name, Group: cfg.Group, Documents: map[string]configwatch.Document{}, Log: discardLog(), Stats: s}
+	if gm != nil {
+		documents[configstore.DocMap] = configwatch.Document{Format: configstore.PartsFormat, Check: gm.source.Check, Apply: gm.source.Apply, CheckParts: gm.source.CheckParts, ApplyParts: gm.source.ApplyParts}
+		watchCfg.OnConfirmed, watchCfg.MaxClockSkew, watchCfg.Quota = gm.confirmed, gm.source.MaxClockSkew, gm.quota
 	}
 	for _, name := range cfg.Docs {
-		d, ok := own[name]
+		d, ok := documents[name]
 		if !ok {
-			return nil, fmt.Errorf("%s: this process has no use for %q", cfg.Name, name)
+			return nil, fmt.Errorf("%s: can't follow document %q: not used by this process", cfg.Name, name)
 		}
 		d.Format = max(d.Format, 1)
-		if take, parts := d.Apply, d.ApplyParts; cfg.OnApplied != nil {
-			took := func(err error) error {
+		if apply, applyParts := d.Apply, d.ApplyParts; cfg.OnApplied != nil {
+			notify := func(err error) error {
 				if err == nil {
 					cfg.OnApplied(name)
 				}
 				return err
 			}
-			d.Apply = func(text string) error { return took(take(text)) }
-			if parts != nil {
+			d.Apply = func(text string) error { return notify(apply(text)) }
+			if applyParts != nil {
 				d.ApplyParts = func(id configstore.ID, changed map[string]string, whole bool) error {
-					return took(parts(id, changed, whole))
+					return notify(applyParts(id, changed, whole))
 				}
 			}
 		}
-		set.Documents[name] = d
+		watchCfg.Documents[name] = d
 	}
-	return configwatch.New(set), nil
+	return configwatch.New(watchCfg), nil
 }
 
 // RouterConfig sets up a Router.
 type RouterConfig struct {
 	Name                string
-	IP                  string // of the loopback range: its connections to servers come from there
+	IP                  string // loopback address from which it connects to servers
 	Settings            silverpath.Settings
 	MemoryMB            float64
 	Sockets             int
-	Map                 string // its file; empty: the group's
+	Map                 string // path of the map's file; empty: the group's map
 	HealthCheckInterval time.Duration
 	Group               *quorum.Client
-	Docs                []string // of the group
-	MaxRouters          int      // routers that share the cells; 0: it knows nothing of others
-	StartTimeout        time.Duration
-	OnApplied           func(doc string)
+	Docs                []string         // the group's documents to follow
+	MaxRouters          int              // number of routers that share the cells' quotas; 0: no sharing
+	StartTimeout        time.Duration    // how long NewRouter waits for current documents, at least 1 s
+	OnApplied           func(doc string) // called after a new version of a document is applied; may be nil
 }
 
-// Router is a router without clients: its health checks, map and documents and its part in the cells are those of the real one.
+// Router is a router without clients. Its health checks, map, documents and quotas are handled by the service's own code.
 type Router struct {
 	Traffic
 	Stats metrics.Counters
 	core  *core.Core
 	proxy *proxy.Runner
-	run   *running
+	tasks *taskGroup
 	group *quorum.Client
 }
 
-var errNoMap = errors.New("neither a file nor the group has a map for it")
+var errNoMap = errors.New("no source of the cell map: neither a map file nor a group is set")
 
-// NewRouter starts one. An error says why it can't: its settings, its map's file, or that it has no source of a map.
+// NewRouter starts a router. It returns an error if the settings or the map's file are invalid, if there is neither a map's file nor a group,
+// or if the router can't follow one of the documents.
 func NewRouter(cfg RouterConfig) (*Router, error) {
-	r := &Router{run: run(), group: cfg.Group}
-	l := silent()
+	r := &Router{tasks: newTaskGroup(), group: cfg.Group}
+	logger := discardLog()
 	var err error
-	r.core, err = core.New(core.Config{Name: cfg.Name, Settings: cfg.Settings, MemoryMB: cfg.MemoryMB, Log: l, Stats: &r.Stats})
+	r.core, err = core.New(core.Config{Name: cfg.Name, Settings: cfg.Settings, MemoryMB: cfg.MemoryMB, Log: logger, Stats: &r.Stats})
 	if err != nil {
 		return nil, err
 	}
-	start := &routerStart{router: r, cfg: cfg}
+	start := &routerStartup{router: r, cfg: cfg}
 	if err := start.openSources(); err != nil {
 		return nil, err
 	}
-	f, err := proxy.New(proxy.Config{
+	p, err := proxy.New(proxy.Config{
 		Name: cfg.Name, Source: start.source, LoadBalancing: start.loadBalancing, Cores: cfg.Settings.Cores,
 		HealthCheckInterval: start.cfg.HealthCheckInterval, MaxConnections: cfg.Sockets,
 		Dial: func(ctx context.Context, addr string) (*msgpackrpc.Conn, error) { return r.dial(ctx, cfg.IP, addr) },
-	}, r.core, l, &r.Stats)
+	}, r.core, logger, &r.Stats)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", cfg.Name, err)
 	}
 	if cfg.MaxRouters > 0 {
-		f.ShareQuota(cfg.MaxRouters, false)
+		p.ShareQuota(cfg.MaxRouters, false)
 	}
 	start.mu.Lock()
-	r.proxy = f
+	r.proxy = p
 	start.mu.Unlock()
-	if err := r.core.Attach(f, nil); err != nil {
+	if err := r.core.Attach(p, nil); err != nil {
 		return nil, err
 	}
-	if start.follower != nil {
-		r.run.keep(start.follower.Run)
+	if start.watcher != nil {
+		r.tasks.start(start.watcher.Run)
 	}
-	r.run.keep(f.Maintain)
+	r.tasks.start(p.Maintain)
 	return r, nil
 }
 
-// routerStart is a router that is being started: its documents come before its proxy, and may set that up.
-type routerStart struct {
+// routerStartup holds the state of NewRouter. The documents are followed before the proxy exists, since they can change its configuration.
+type routerStartup struct {
 	router        *Router
 	cfg           RouterConfig
-	mu            sync.Mutex // guards the router's proxy, which the follower comes before
+	mu            sync.Mutex // guards router.proxy: the watcher runs before the proxy is set
 	source        proxy.Source
 	loadBalancing loadbalancer.Config
-	follower      *configwatch.Watcher // nil: it acts on no documents
+	watcher       *configwatch.Watcher // nil without a group
 }
 
-// proxy is the router's, nil before there is one.
-func (s *routerStart) proxy() *proxy.Runner {
+// proxy returns the router's proxy, or nil while it doesn't exist yet.
+func (s *routerStartup) proxy() *proxy.Runner {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.router.proxy
 }
 
-// openSources opens the source of the map, a file or the group, and follows the group's documents where it has a group.
-func (s *routerStart) openSources() (err error) {
+// openSources opens the source of the map, which is a file or the group, and follows the group's documents if a group is set.
+func (s *routerStartup) openSources() (err error) {
 	if s.cfg.Map != "" {
 		if s.source, err = proxy.OpenFileSource(s.cfg.Map, ""); err != nil {
 			return err
@@ -246,41 +249,41 @@
 	return nil
 }
 
-// follow acts on the group's documents from now on, and waits until it has the present ones, or for StartTimeout.
-func (s *routerStart) follow() error {
+// follow sets up the watcher of the group's documents and waits until it has their current versions, for at most StartTimeout.
+func (s *routerStartup) follow() error {
 	source, err := proxy.OpenGroupSource("")
 	if err != nil {
 		return err
 	}
-	of := &groupMap{source: source, confirmed: func(asked time.Time) {
-		source.Confirm(asked)
+	gm := &groupMap{source: source, confirmed: func(requestedAt time.Time) {
+		source.Confirm(requestedAt)
 		if f := s.proxy(); f != nil {
 			f.Reload()
 		}
 	}}
 	if s.cfg.MaxRouters > 0 {
-		of.quota = deferredQuota{s.proxy}
+		gm.quota = deferredQuota{s.proxy}
 	}
 	if s.source == nil {
 		s.source = source
 	} else {
-		of = nil
+		gm = nil
 	}
 	r := s.router
-	s.follower, err = newFollower(FollowerConfig{Name: s.cfg.Name, Group: s.cfg.Group, Docs: s.cfg.Docs, Site: s.cfg.Settings, OnApplied: s.cfg.OnApplied},
-		r.core.Reconfigure, s.reroute, of, &r.Stats)
+	s.watcher, err = newWatcher(FollowerConfig{Name: s.cfg.Name, Group: s.cfg.Group, Docs: s.cfg.Docs, Site: s.cfg.Settings, OnApplied: s.cfg.OnApplied},
+		r.core.Reconfigure, s.updateRouting, gm, &r.Stats)
 	if err != nil {
 		return err
 	}
-	r.core.SetBlockRule(s.follower.StopReasonFor)
-	ctx, cancel := context.WithTimeout(r.run.ctx, max(s.cfg.StartTimeout, time.Second))
+	r.core.SetBlockRule(s.watcher.StopReasonFor)
+	ctx, cancel := context.WithTimeout(r.tasks.ctx, max(s.cfg.StartTimeout, time.Second))
 	defer cancel()
-	s.follower.WaitCurrent(ctx)
+	s.watcher.WaitCurrent(ctx)
 	return nil
 }
 
-// reroute takes up how a router chooses, in the proxy or for it.
-func (s *routerStart) reroute(next settings.Router) {
+// updateRouting applies a routing document to the proxy, or to the proxy's future configuration if there is no proxy yet.
+func (s *routerStartup) updateRouting(next settings.Router) {
 	if f := s.proxy(); f != nil {
 		f.Retune(next.Routing, next.Probe)
 		return
@@ -288,29 +291,29 @@
 	s.loadBalancing, s.cfg.HealthCheckInterval = next.Routing, next.Probe
 }
 
-// States are the servers as it knows them.
+// States returns the servers of the map and their state as the router sees it.
 func (r *Router) States() []loadbalancer.ServerState {
 	list, _ := r.proxy.States()
 	return list
 }
 
-// Close ends it and waits until nothing of it runs.
+// Close stops the router and waits until all its goroutines have ended.
 func (r *Router) Close() {
 	r.core.Drain(0)
 	r.core.Stop()
-	r.run.end()
+	r.tasks.stop()
 	r.proxy.Close()
 	if r.group != nil {
 		r.group.Close()
 	}
 }
 
-// sharing is a router that shares its cells with others, once it is there.
-type deferredQuota struct{ router func() *proxy.Runner }
+// deferredQuota is the quota client of a router whose proxy may not exist yet. Until it does, it requests nothing and ignores grants.
+type deferredQuota struct{ proxy func() *proxy.Runner }
 
-func (s deferredQuota) QuotaRequest() (quota.Request, func(quota.Grant, lease.Terms)) {
-	if f := s.router(); f != nil {
-		return f.QuotaRequest()
+func (q deferredQuota) QuotaRequest() (quota.Request, func(quota.Grant, lease.Terms)) {
+	if p := q.proxy(); p != nil {
+		return p.QuotaRequest()
 	}
 	return quota.Request{}, func(quota.Grant, lease.Terms) {}
 }
--- a/internal/testkit/hollow/server.go
+++ b/internal/testkit/hollow/server.go
@@ -15,91 +15,92 @@
 // ServerConfig sets up a Server.
 type ServerConfig struct {
 	Name     string
-	IP       string // of the loopback range
+	IP       string // loopback address to listen on
 	Settings silverpath.Settings
 	MemoryMB float64
-	Sockets  int  // connections at most
-	Cold     bool // in its slow start as it begins
-	Echo     bool // it answers requests, each with its own body, at once
+	Sockets  int  // maximum number of connections
+	Cold     bool // the server begins in slow start
+	Echo     bool // runs end at once with the request's body as their result; if false, they end at once as failed
 	Group    *quorum.Client
-	Docs     []string // of the group; it follows none without one
-	Took     func(doc string)
+	Docs     []string         // the group's documents to follow; ignored if Group is nil
+	Took     func(doc string) // called after a new version of a document is applied; may be nil
 }
 
-// Server is a server of a cell without an interpreter: its health checks, slow start and documents are those of the real one.
+// Server is a server of a cell without an interpreter. Its health checks, slow start and documents are handled by the service's own code.
 type Server struct {
 	Traffic
 	Stats metrics.Counters
 	Addr  string
 	core  *core.Core
 	front *listener.Listener
-	run   *running
+	tasks *taskGroup
 	group *quorum.Client
 }
 
-// NewServer starts one.
+// NewServer starts a server. It returns an error if the settings are invalid, the address can't be listened on, or the process
+// can't follow one of the documents.
 func NewServer(cfg ServerConfig) (*Server, error) {
-	s := &Server{run: run(), group: cfg.Group}
-	l := silent()
+	s := &Server{tasks: newTaskGroup(), group: cfg.Group}
+	logger := discardLog()
 	var err error
-	s.core, err = core.New(core.Config{Name: cfg.Name, Settings: cfg.Settings, MemoryMB: cfg.MemoryMB, Cell: true, Log: l, Stats: &s.Stats})
+	s.core, err = core.New(core.Config{Name: cfg.Name, Settings: cfg.Settings, MemoryMB: cfg.MemoryMB, Cell: true, Log: logger, Stats: &s.Stats})
 	if err != nil {
 		return nil, err
 	}
-	if err := s.core.Attach(nothing{s.core, cfg.Echo}, nil); err != nil {
+	if err := s.core.Attach(noopRunner{s.core, cfg.Echo}, nil); err != nil {
 		return nil, err
 	}
 	ln, err := listen(cfg.IP, &s.Traffic)
 	if err != nil {
-		s.end()
+		s.stopCore()
 		return nil, err
 	}
 	s.Addr = ln.Addr().String()
-	s.front = listener.New(msgpackrpc.Name, ln, cfg.Sockets, s.core.IdleAfter, msgpackrpc.New(s.core, l, &s.Stats).Serve, l, &s.Stats)
-	s.run.all.Go(s.front.Serve)
+	s.front = listener.New(msgpackrpc.Name, ln, cfg.Sockets, s.core.IdleAfter, msgpackrpc.New(s.core, logger, &s.Stats).Serve, logger, &s.Stats)
+	s.tasks.wg.Go(s.front.Serve)
 	if cfg.Group != nil {
-		f, err := newFollower(FollowerConfig{Name: cfg.Name, Group: cfg.Group, Docs: cfg.Docs, Site: cfg.Settings, OnApplied: cfg.Took}, s.core.Reconfigure, nil, nil, &s.Stats)
+		watcher, err := newWatcher(FollowerConfig{Name: cfg.Name, Group: cfg.Group, Docs: cfg.Docs, Site: cfg.Settings, OnApplied: cfg.Took}, s.core.Reconfigure, nil, nil, &s.Stats)
 		if err != nil {
 			s.Close()
 			return nil, err
 		}
-		s.core.SetBlockRule(f.StopReasonFor)
-		s.run.keep(f.Run)
+		s.core.SetBlockRule(watcher.StopReasonFor)
+		s.tasks.start(watcher.Run)
 	}
 	s.core.Started(cfg.Cold, 0)
 	s.core.RunnerReady()
 	return s, nil
 }
 
-// Core is the server's own.
+// Core returns the server's core.
 func (s *Server) Core() *core.Core { return s.core }
 
-// end has the core take nothing more, and its clock stop.
-func (s *Server) end() {
+// stopCore begins and ends the core's draining phase at once, so that the core rejects later requests.
+func (s *Server) stopCore() {
 	s.core.Drain(0)
 	s.core.Stop()
 }
 
-// Close ends it and waits until nothing of it runs.
+// Close stops the server and waits until all its goroutines have ended.
 func (s *Server) Close() {
-	s.end()
+	s.stopCore()
 	s.front.Close()
-	s.front.EndConnections(endWithin)
-	s.run.end()
+	s.front.EndConnections(closeTimeout)
+	s.tasks.stop()
 	if s.group != nil {
 		s.group.Close()
 	}
 }
 
-const endWithin = 100 * time.Millisecond
+const closeTimeout = 100 * time.Millisecond // for connections to end when a server closes
 
-// nothing is a Runner that does no work.
-type nothing struct {
+// noopRunner is a core.Runner that does no work: each run ends at once, successfully with the request's body if echo is set, else as failed.
+type noopRunner struct {
 	core *core.Core
 	echo bool
 }
 
-func (n nothing) Run(id, _ string, body []byte) {
+func (n noopRunner) Run(id, _ string, body []byte) {
 	if n.echo {
 		go n.core.RunEnded(id, silverpath.OK, 0, body)
 		return
@@ -107,9 +108,9 @@
 	go n.core.RunEnded(id, silverpath.Failed, 0, nil)
 }
 
-func (nothing) Resume(string, []byte) {}
+func (noopRunner) Resume(string, []byte) {}
 
-func (n nothing) Probe() { n.core.Gauges(silverpath.Gauges{}) }
+func (n noopRunner) Probe() { n.core.Gauges(silverpath.Gauges{}) }
 
-// Site reads the settings that a hollow process has from a configuration's text, as the real one's file.
+// Site parses the text of a configuration, in the format of the service's configuration file.
 func Site(text string) (settings.Config, error) { return settings.ParseConfig([]byte(text), "", "") }
