--- a/internal/testkit/conformance/rules_test.go
+++ b/internal/testkit/conformance/rules_test.go
@@ -1,6 +1,6 @@
-// Package conformance holds the one suite of rule tests. It knows no wire: it runs unchanged over every front, by a
-// stand-in caller for each, and checks what the operators' four rules ask of the whole path from a connection
-// to the answer on it.
+// Package conformance holds the suite that tests the operators' four rules on the whole path from a connection to the
+// answer on it. The cases are independent of the wire protocol: each runs unchanged on every front, through a stand-in
+// caller of that front.
 package conformance
 
 import (
@@ -37,8 +37,8 @@
 
 // ---- Stand-ins ----
 
-// try is one try of a request as a caller makes it; reply is what the caller reads.
-type try struct {
+// attempt is one attempt of a request by a caller, and reply is the answer that the caller reads.
+type attempt struct {
 	class, key, body string
 	wait             time.Duration
 }
@@ -53,21 +53,21 @@
 // driver is a stand-in caller of one front.
 type driver struct {
 	name  string
-	serve func(e *edge) listener.Handler
-	// write brings a try on a new connection, read takes its answer, and garble writes what is no request.
-	write  func(t try, seq int) []byte
-	read   func(r *bufio.Reader) (reply, error)
-	garble []byte
-	// retryFloor is the least stay away that the front can express.
+	serve func(s *testService) listener.Handler
+	// write encodes an attempt, read decodes its answer, and malformed holds bytes that are not a valid request.
+	write     func(t attempt, seq int) []byte
+	read      func(r *bufio.Reader) (reply, error)
+	malformed []byte
+	// retryFloor is the shortest retry delay that the front can express.
 	retryFloor time.Duration
 }
 
 var drivers = []driver{{
 	name: "msgpack",
-	serve: func(e *edge) listener.Handler {
-		return msgpackrpc.New(e.core, e.log, e.stats).Serve
+	serve: func(s *testService) listener.Handler {
+		return msgpackrpc.New(s.core, s.log, s.stats).Serve
 	},
-	write: func(t try, seq int) []byte {
+	write: func(t attempt, seq int) []byte {
 		fields := []string{"i", fmt.Sprintf("%016x", seq), "s", strconv.FormatInt(time.Now().UnixMilli(), 10),
 			"d", strconv.FormatInt(t.wait.Milliseconds(), 10), "m", "20", "f", "1", "t", "acme", "p", "0.5"}
 		if t.key != "" {
@@ -85,14 +85,14 @@
 			}
 		}
 	},
-	garble:     []byte("\xc1garbage"),
+	malformed:  []byte("\xc1garbage"),
 	retryFloor: time.Millisecond,
 }, {
 	name: "scgi",
-	serve: func(e *edge) listener.Handler {
-		return scgi.New(e.core, settings.SCGI{MaxBody: 2048, RequestKB: 20}, 1, e.log, e.stats).Serve
+	serve: func(s *testService) listener.Handler {
+		return scgi.New(s.core, settings.SCGI{MaxBody: 2048, RequestKB: 20}, 1, s.log, s.stats).Serve
 	},
-	write: func(t try, _ int) []byte {
+	write: func(t attempt, _ int) []byte {
 		headers := []string{"REQUEST_METHOD", "POST", "PATH_INFO", "/" + t.class, "HTTP_X_TENANT", "acme",
 			"HTTP_X_TIMEOUT_MS", strconv.FormatInt(t.wait.Milliseconds(), 10)}
 		if t.key != "" {
@@ -113,68 +113,68 @@
 		}
 		return reply{outcome: out, body: body, retry: a.RetryAfter}, err
 	},
-	garble:     []byte("12x:garbage"),
+	malformed:  []byte("12x:garbage"),
 	retryFloor: time.Second,
 }}
 
-// caller is one connection of a stand-in caller.
-type caller struct {
+// testCaller is one connection of a stand-in caller.
+type testCaller struct {
 	conn    net.Conn
-	replies chan reply // every answer that comes; closed at the connection's end
+	replies chan reply // receives each answer; closed when the connection ends
 }
 
-func (c *caller) drop() { c.conn.Close() }
+func (c *testCaller) disconnect() { c.conn.Close() }
 
-// engine is the stand-in interpreter: it notes what is run, and runs end when the test says so.
-type engine struct {
+// fakeInterpreter is a stand-in interpreter. It records the runs that it is given and leaves ending them to the test.
+type fakeInterpreter struct {
 	core *core.Core
 	mu   sync.Mutex
 	runs []run
-	busy float64
+	cpu  float64
 }
 
 type run struct{ id, class, body string }
 
-func (e *engine) Run(id, class string, body []byte) {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	e.runs = append(e.runs, run{id, class, string(body)})
+func (f *fakeInterpreter) Run(id, class string, body []byte) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.runs = append(f.runs, run{id, class, string(body)})
 }
-func (e *engine) Resume(id string, reply []byte) {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	e.runs = append(e.runs, run{id, "resume", string(reply)})
+func (f *fakeInterpreter) Resume(id string, reply []byte) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.runs = append(f.runs, run{id, "resume", string(reply)})
 }
-func (e *engine) Probe() {
-	e.mu.Lock()
-	busy := e.busy
-	e.mu.Unlock()
-	e.core.Gauges(silverpath.Gauges{CPU: busy, OnCores: busy * 2})
+func (f *fakeInterpreter) Probe() {
+	f.mu.Lock()
+	busy := f.cpu
+	f.mu.Unlock()
+	f.core.Gauges(silverpath.Gauges{CPU: busy, OnCores: busy * 2})
 }
 
-func (e *engine) seen() []run {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	return slices.Clone(e.runs)
+func (f *fakeInterpreter) received() []run {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return slices.Clone(f.runs)
 }
 
-// vault is the stand-in for what lies below: it answers calls as told, in order.
-type vault struct {
-	mu    sync.Mutex
-	ends  []silverpath.Outcome
-	calls []string
-	delay time.Duration
+// fakeDependency is a stand-in dependency. It ends calls after delay with the given outcomes in order, and then with OK.
+type fakeDependency struct {
+	mu       sync.Mutex
+	outcomes []silverpath.Outcome
+	calls    []string
+	delay    time.Duration
 }
 
-func (v *vault) Call(ctx context.Context, id string, patience time.Duration, body []byte, _ bool) (silverpath.Outcome, []byte) {
-	v.mu.Lock()
-	v.calls = append(v.calls, string(body))
+func (f *fakeDependency) Call(ctx context.Context, id string, patience time.Duration, body []byte, _ bool) (silverpath.Outcome, []byte) {
+	f.mu.Lock()
+	f.calls = append(f.calls, string(body))
 	end := silverpath.OK
-	if len(v.ends) > 0 {
-		end, v.ends = v.ends[0], v.ends[1:]
+	if len(f.outcomes) > 0 {
+		end, f.outcomes = f.outcomes[0], f.outcomes[1:]
 	}
-	delay := v.delay
-	v.mu.Unlock()
+	delay := f.delay
+	f.mu.Unlock()
 	select {
 	case <-time.After(min(delay, patience)):
 	case <-ctx.Done():
@@ -186,67 +186,67 @@
 	return end, append([]byte("re:"), body...)
 }
 
-func (v *vault) seen() []string {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	return slices.Clone(v.calls)
+func (f *fakeDependency) received() []string {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return slices.Clone(f.calls)
 }
 
 const (
-	deadline = 4 * time.Second
-	window   = 10 * time.Second
-	grace    = 2 * time.Second
-	stopTime = 5 * time.Second
+	deadline   = 4 * time.Second
+	keyWindow  = 10 * time.Second
+	drainGrace = 2 * time.Second
+	stopAfter  = 5 * time.Second
 )
 
-var site = silverpath.Settings{
+var serviceSettings = silverpath.Settings{
 	Cores: 2, MemoryKB: 20000, RunFactor: 4, KeyKB: 5, MaxRunsPerCore: 8, RunsWindow: 3 * time.Second,
-	DrainGrace: grace, RetryAfter: true, MaxRetryAfter: time.Second, Servers: 2, Callers: 2,
+	DrainGrace: drainGrace, RetryAfter: true, MaxRetryAfter: time.Second, Servers: 2, Callers: 2,
 	Signal: silverpath.SignalCredit, Dependency: silverpath.DependencyTier,
 	Classes: []silverpath.Class{
 		{Name: "lestvica", Objective: 1800 * time.Millisecond, Deadline: deadline, Weight: 1, CallsDependency: true},
 		{Name: "oddaja", Objective: 1800 * time.Millisecond, Deadline: deadline, Weight: 3, Effect: silverpath.Idempotent,
-			IdempotencyWindow: window, CallsDependency: true},
+			IdempotencyWindow: keyWindow, CallsDependency: true},
 		{Name: "zapis", Objective: 1800 * time.Millisecond, Deadline: time.Minute, Weight: 1, LateWeight: 0.5, CallsDependency: true},
 	},
 }
 
-// edge is a whole service in memory, but for the parts that the stand-ins take.
-type edge struct {
-	t       *testing.T
-	driver  driver
-	core    *core.Core
-	worker  *core.Core // the one whose engine does the work: core itself, or a server's behind a router
-	engine  *engine
-	vault   *vault
-	log     *log.Logger
-	stats   *metrics.Counters
-	pipes   *pipes.Listener
-	ln      *listener.Listener
-	callers []*caller
-	seq     int
+// testService is a whole service in memory, except for the parts that the stand-ins replace.
+type testService struct {
+	t           *testing.T
+	driver      driver
+	core        *core.Core
+	worker      *core.Core // the core whose interpreter does the work: core itself, or that of the server behind a router
+	interpreter *fakeInterpreter
+	dependency  *fakeDependency
+	log         *log.Logger
+	stats       *metrics.Counters
+	pipes       *pipes.Listener
+	ln          *listener.Listener
+	callers     []*testCaller
+	seq         int
 }
 
-func (e *edge) send(t try) *caller {
-	e.t.Helper()
+func (s *testService) send(t attempt) *testCaller {
+	s.t.Helper()
 	if t.wait == 0 {
 		t.wait = deadline
 	}
-	e.seq++
-	return e.raw(e.driver.write(t, e.seq))
+	s.seq++
+	return s.sendBytes(s.driver.write(t, s.seq))
 }
 
-func (e *edge) raw(b []byte) *caller {
-	e.t.Helper()
-	near := e.pipes.Dial()
-	c := &caller{conn: near, replies: make(chan reply, 8)}
-	e.callers = append(e.callers, c)
-	go near.Write(b)
+func (s *testService) sendBytes(b []byte) *testCaller {
+	s.t.Helper()
+	conn := s.pipes.Dial()
+	c := &testCaller{conn: conn, replies: make(chan reply, 8)}
+	s.callers = append(s.callers, c)
+	go conn.Write(b)
 	go func() {
 		defer close(c.replies)
-		r := bufio.NewReader(near)
+		r := bufio.NewReader(conn)
 		for {
-			a, err := e.driver.read(r)
+			a, err := s.driver.read(r)
 			if err != nil {
 				return
 			}
@@ -258,433 +258,434 @@
 	return c
 }
 
-// none checks that no answer has come, one that exactly one has, with the outcome and the body.
-func (e *edge) none(c *caller) {
-	e.t.Helper()
+// expectNoReply checks that no answer has arrived. expectReply checks that an answer with this outcome and body has arrived
+// and returns it.
+func (s *testService) expectNoReply(c *testCaller) {
+	s.t.Helper()
 	synctest.Wait()
 	select {
 	case a, ok := <-c.replies:
-		e.t.Fatalf("answer %v %q (%v) where none is due", a.outcome, a.body, ok)
+		s.t.Fatalf("unexpected answer %v %q (received: %v)", a.outcome, a.body, ok)
 	default:
 	}
 }
 
-func (e *edge) one(c *caller, want core.Outcome, body string) reply {
-	e.t.Helper()
+func (s *testService) expectReply(c *testCaller, want core.Outcome, body string) reply {
+	s.t.Helper()
 	synctest.Wait()
 	select {
 	case a, ok := <-c.replies:
 		if !ok {
-			e.t.Fatalf("lost: the connection ended without an answer")
+			s.t.Fatalf("the connection ended without an answer")
 		}
 		if a.outcome != want || a.body != body {
-			e.t.Fatalf("answer %v %q, want %v %q", a.outcome, a.body, want, body)
+			s.t.Fatalf("answer %v %q, want %v %q", a.outcome, a.body, want, body)
 		}
 		return a
 	default:
-		e.t.Fatalf("no answer, want %v %q", want, body)
+		s.t.Fatalf("no answer, want %v %q", want, body)
 	}
 	return reply{}
 }
 
-// ran checks what the engine was given, by body, and returns the runs.
-func (e *edge) ran(want ...string) []run {
-	e.t.Helper()
+// expectRuns checks the bodies of all runs that the interpreter was given, in order, and returns the runs.
+func (s *testService) expectRuns(want ...string) []run {
+	s.t.Helper()
 	synctest.Wait()
 	var got []string
-	runs := e.engine.seen()
+	runs := s.interpreter.received()
 	for _, r := range runs {
 		got = append(got, r.body)
 	}
 	if !slices.Equal(got, want) {
-		e.t.Fatalf("ran %q, want %q", got, want)
+		s.t.Fatalf("runs %q, want %q", got, want)
 	}
 	return runs
 }
 
-func (e *edge) end(r run, o silverpath.Outcome, result string) {
-	e.worker.RunEnded(r.id, o, time.Millisecond, []byte(result))
+func (s *testService) endRun(r run, outcome silverpath.Outcome, result string) {
+	s.worker.RunEnded(r.id, outcome, time.Millisecond, []byte(result))
 	synctest.Wait()
 }
 
-func (e *edge) pass(d time.Duration) {
+func (s *testService) advance(d time.Duration) {
 	time.Sleep(d)
 	synctest.Wait()
 }
 
-// cases is the suite.
+// cases are the cases of the suite.
 var cases = []struct {
 	name string
-	test func(e *edge)
+	test func(s *testService)
 }{
-	{"served with the run's result, unchanged", func(e *edge) {
+	{"served with the run's result, unchanged", func(s *testService) {
 		body := "a\x00b\r\n\xff"
-		c := e.send(try{class: "lestvica", body: body})
-		e.none(c)
-		e.end(e.ran(body)[0], silverpath.OK, "\x00result\r\n")
-		e.one(c, core.Served, "\x00result\r\n")
+		c := s.send(attempt{class: "lestvica", body: body})
+		s.expectNoReply(c)
+		s.endRun(s.expectRuns(body)[0], silverpath.OK, "\x00result\r\n")
+		s.expectReply(c, core.Served, "\x00result\r\n")
 	}},
-	{"a failed run fails", func(e *edge) {
-		c := e.send(try{class: "lestvica", body: "x"})
-		e.end(e.ran("x")[0], silverpath.Failed, "")
-		e.one(c, core.Failed, "")
+	{"a failed run fails", func(s *testService) {
+		c := s.send(attempt{class: "lestvica", body: "x"})
+		s.endRun(s.expectRuns("x")[0], silverpath.Failed, "")
+		s.expectReply(c, core.Failed, "")
 	}},
-	{"an unknown class is turned away unrun", func(e *edge) {
-		e.one(e.send(try{class: "nothing", body: "x"}), core.Rejected, "")
-		e.ran()
+	{"an unknown class is rejected and not run", func(s *testService) {
+		s.expectReply(s.send(attempt{class: "nothing", body: "x"}), core.Rejected, "")
+		s.expectRuns()
 	}},
-	{"one answer by the due time while the run goes on", func(e *edge) {
-		c := e.send(try{class: "oddaja", key: "k", body: "x", wait: time.Second})
+	{"exactly one answer arrives by the deadline while the run continues", func(s *testService) {
+		c := s.send(attempt{class: "oddaja", key: "k", body: "x", wait: time.Second})
 		began := time.Now()
-		r := e.ran("x")[0]
-		e.pass(1050 * time.Millisecond)
-		if a := e.one(c, core.Failed, ""); a.at.Sub(began) > time.Second {
-			e.t.Fatalf("answered %v after it was sent, due after 1s", a.at.Sub(began))
+		r := s.expectRuns("x")[0]
+		s.advance(1050 * time.Millisecond)
+		if a := s.expectReply(c, core.Failed, ""); a.at.Sub(began) > time.Second {
+			s.t.Fatalf("answered after %v, want at most 1s", a.at.Sub(began))
 		}
-		e.end(r, silverpath.OK, "late")
-		e.pass(deadline)
+		s.endRun(r, silverpath.OK, "late")
+		s.advance(deadline)
 		select {
 		case a, ok := <-c.replies:
 			if ok {
-				e.t.Fatalf("a second answer: %v %q", a.outcome, a.body)
+				s.t.Fatalf("a second answer: %v %q", a.outcome, a.body)
 			}
 		default:
 		}
 	}},
-	{"what is due as it is read is answered at once and not run", func(e *edge) {
-		e.one(e.send(try{class: "oddaja", key: "k", body: "x", wait: 15 * time.Millisecond}), core.Failed, "")
-		e.one(e.send(try{class: "lestvica", body: "y", wait: time.Millisecond}), core.Failed, "")
-		e.ran()
-		a := e.send(try{class: "oddaja", key: "k", body: "x"}) // nothing of it ran
-		e.end(e.ran("x")[0], silverpath.OK, "done")
-		e.one(a, core.Served, "done")
-		e.one(e.send(try{class: "oddaja", key: "k", body: "x", wait: 15 * time.Millisecond}), core.Served, "done")
+	{"a request that is already due when it is read is answered at once and not run", func(s *testService) {
+		s.expectReply(s.send(attempt{class: "oddaja", key: "k", body: "x", wait: 15 * time.Millisecond}), core.Failed, "")
+		s.expectReply(s.send(attempt{class: "lestvica", body: "y", wait: time.Millisecond}), core.Failed, "")
+		s.expectRuns()
+		a := s.send(attempt{class: "oddaja", key: "k", body: "x"}) // the earlier attempt did not run
+		s.endRun(s.expectRuns("x")[0], silverpath.OK, "done")
+		s.expectReply(a, core.Served, "done")
+		s.expectReply(s.send(attempt{class: "oddaja", key: "k", body: "x", wait: 15 * time.Millisecond}), core.Served, "done")
 	}},
-	{"a run that ended late serves the retry", func(e *edge) {
-		c := e.send(try{class: "oddaja", key: "k", body: "x", wait: time.Second})
-		r := e.ran("x")[0]
-		e.pass(1050 * time.Millisecond)
-		e.one(c, core.Failed, "")
-		e.end(r, silverpath.OK, "late")
-		e.one(e.send(try{class: "oddaja", key: "k", body: "x"}), core.Served, "late")
-		e.ran("x")
+	{"a run that ends after the deadline serves the retry", func(s *testService) {
+		c := s.send(attempt{class: "oddaja", key: "k", body: "x", wait: time.Second})
+		r := s.expectRuns("x")[0]
+		s.advance(1050 * time.Millisecond)
+		s.expectReply(c, core.Failed, "")
+		s.endRun(r, silverpath.OK, "late")
+		s.expectReply(s.send(attempt{class: "oddaja", key: "k", body: "x"}), core.Served, "late")
+		s.expectRuns("x")
 	}},
-	{"a repeat joins the run under way", func(e *edge) {
-		a := e.send(try{class: "oddaja", key: "k", body: "x"})
-		b := e.send(try{class: "oddaja", key: "k", body: "x"})
-		e.none(b)
-		e.end(e.ran("x")[0], silverpath.OK, "done")
-		e.one(a, core.Served, "done")
-		e.one(b, core.Served, "done")
-		e.ran("x")
+	{"a repeat joins the run in progress", func(s *testService) {
+		a := s.send(attempt{class: "oddaja", key: "k", body: "x"})
+		b := s.send(attempt{class: "oddaja", key: "k", body: "x"})
+		s.expectNoReply(b)
+		s.endRun(s.expectRuns("x")[0], silverpath.OK, "done")
+		s.expectReply(a, core.Served, "done")
+		s.expectReply(b, core.Served, "done")
+		s.expectRuns("x")
 	}},
-	{"a joined try fails in time when the run does not end", func(e *edge) {
-		e.send(try{class: "oddaja", key: "k", body: "x"})
-		b := e.send(try{class: "oddaja", key: "k", body: "x", wait: time.Second})
-		e.pass(time.Second)
-		e.one(b, core.Failed, "")
-		e.ran("x")
+	{"an attempt that joined a run fails at its deadline if the run does not end", func(s *testService) {
+		s.send(attempt{class: "oddaja", key: "k", body: "x"})
+		b := s.send(attempt{class: "oddaja", key: "k", body: "x", wait: time.Second})
+		s.advance(time.Second)
+		s.expectReply(b, core.Failed, "")
+		s.expectRuns("x")
 	}},
-	{"a repeat inside the window takes the result, one after it runs", func(e *edge) {
-		a := e.send(try{class: "oddaja", key: "k", body: "x"})
-		e.end(e.ran("x")[0], silverpath.OK, "done")
-		e.one(a, core.Served, "done")
-		e.pass(window - 10*time.Millisecond)
-		e.one(e.send(try{class: "oddaja", key: "k", body: "x"}), core.Served, "done")
-		e.ran("x")
-		e.pass(200 * time.Millisecond)
-		c := e.send(try{class: "oddaja", key: "k", body: "x"})
-		e.end(e.ran("x", "x")[1], silverpath.OK, "again")
-		e.one(c, core.Served, "again")
+	{"a repeat inside the key window gets the stored result, and one after the window runs", func(s *testService) {
+		a := s.send(attempt{class: "oddaja", key: "k", body: "x"})
+		s.endRun(s.expectRuns("x")[0], silverpath.OK, "done")
+		s.expectReply(a, core.Served, "done")
+		s.advance(keyWindow - 10*time.Millisecond)
+		s.expectReply(s.send(attempt{class: "oddaja", key: "k", body: "x"}), core.Served, "done")
+		s.expectRuns("x")
+		s.advance(200 * time.Millisecond)
+		c := s.send(attempt{class: "oddaja", key: "k", body: "x"})
+		s.endRun(s.expectRuns("x", "x")[1], silverpath.OK, "again")
+		s.expectReply(c, core.Served, "again")
 	}},
-	{"the window's last moment still belongs to it, the one past it and its slack does not", func(e *edge) {
-		a := e.send(try{class: "oddaja", key: "k", body: "x"})
-		e.end(e.ran("x")[0], silverpath.OK, "done")
-		e.one(a, core.Served, "done")
-		e.pass(window)
-		e.one(e.send(try{class: "oddaja", key: "k", body: "x"}), core.Served, "done")
-		e.pass(50 * time.Millisecond)
-		e.one(e.send(try{class: "oddaja", key: "k", body: "x"}), core.Served, "done")
-		e.ran("x")
-		e.pass(time.Millisecond)
-		e.send(try{class: "oddaja", key: "k", body: "x"})
-		e.ran("x", "x")
+	{"the key window and its slack include their last moment, and 1 ms later a repeat runs", func(s *testService) {
+		a := s.send(attempt{class: "oddaja", key: "k", body: "x"})
+		s.endRun(s.expectRuns("x")[0], silverpath.OK, "done")
+		s.expectReply(a, core.Served, "done")
+		s.advance(keyWindow)
+		s.expectReply(s.send(attempt{class: "oddaja", key: "k", body: "x"}), core.Served, "done")
+		s.advance(50 * time.Millisecond)
+		s.expectReply(s.send(attempt{class: "oddaja", key: "k", body: "x"}), core.Served, "done")
+		s.expectRuns("x")
+		s.advance(time.Millisecond)
+		s.send(attempt{class: "oddaja", key: "k", body: "x"})
+		s.expectRuns("x", "x")
 	}},
-	{"inside the window a first try that failed, was given up or runs on is not run again", func(e *edge) {
-		a := e.send(try{class: "oddaja", key: "fails", body: "x"})
-		e.end(e.ran("x")[0], silverpath.Failed, "")
-		e.one(a, core.Failed, "")
-		b := e.send(try{class: "oddaja", key: "leaves", body: "y"})
-		e.ran("x", "y")
-		b.drop()
-		e.pass(50 * time.Millisecond)
-		e.pass(window - 100*time.Millisecond)
-		e.one(e.send(try{class: "oddaja", key: "fails", body: "x"}), core.Failed, "")
-		c := e.send(try{class: "oddaja", key: "leaves", body: "y"})
-		e.none(c)
-		e.end(e.ran("x", "y")[1], silverpath.OK, "done")
-		e.one(c, core.Served, "done")
-		e.ran("x", "y")
+	{"inside the key window a first attempt that failed, was abandoned or still runs is not run again", func(s *testService) {
+		a := s.send(attempt{class: "oddaja", key: "fails", body: "x"})
+		s.endRun(s.expectRuns("x")[0], silverpath.Failed, "")
+		s.expectReply(a, core.Failed, "")
+		b := s.send(attempt{class: "oddaja", key: "leaves", body: "y"})
+		s.expectRuns("x", "y")
+		b.disconnect()
+		s.advance(50 * time.Millisecond)
+		s.advance(keyWindow - 100*time.Millisecond)
+		s.expectReply(s.send(attempt{class: "oddaja", key: "fails", body: "x"}), core.Failed, "")
+		c := s.send(attempt{class: "oddaja", key: "leaves", body: "y"})
+		s.expectNoReply(c)
+		s.endRun(s.expectRuns("x", "y")[1], silverpath.OK, "done")
+		s.expectReply(c, core.Served, "done")
+		s.expectRuns("x", "y")
 	}},
-	{"another key, or the same in another class, is another request", func(e *edge) {
-		e.send(try{class: "oddaja", key: "k", body: "x"})
-		e.send(try{class: "oddaja", key: "l", body: "y"})
-		e.end(e.ran("x", "y")[0], silverpath.OK, "") // there are two cores
-		e.send(try{class: "lestvica", key: "k", body: "z"})
-		e.ran("x", "y", "z")
+	{"another key, or the same key in another class, is another request", func(s *testService) {
+		s.send(attempt{class: "oddaja", key: "k", body: "x"})
+		s.send(attempt{class: "oddaja", key: "l", body: "y"})
+		s.endRun(s.expectRuns("x", "y")[0], silverpath.OK, "") // there are two cores
+		s.send(attempt{class: "lestvica", key: "k", body: "z"})
+		s.expectRuns("x", "y", "z")
 	}},
-	{"the caller drops while its oddaja runs; the retry gets that run's result", func(e *edge) {
-		a := e.send(try{class: "oddaja", key: "k", body: "x"})
-		r := e.ran("x")[0]
-		a.drop()
-		e.pass(50 * time.Millisecond)
-		b := e.send(try{class: "oddaja", key: "k", body: "x"})
-		e.none(b)
-		e.end(r, silverpath.OK, "done")
-		e.one(b, core.Served, "done")
-		e.one(e.send(try{class: "oddaja", key: "k", body: "x"}), core.Served, "done")
-		e.ran("x")
+	{"the caller disconnects while its oddaja runs, and the retry gets that run's result", func(s *testService) {
+		a := s.send(attempt{class: "oddaja", key: "k", body: "x"})
+		r := s.expectRuns("x")[0]
+		a.disconnect()
+		s.advance(50 * time.Millisecond)
+		b := s.send(attempt{class: "oddaja", key: "k", body: "x"})
+		s.expectNoReply(b)
+		s.endRun(r, silverpath.OK, "done")
+		s.expectReply(b, core.Served, "done")
+		s.expectReply(s.send(attempt{class: "oddaja", key: "k", body: "x"}), core.Served, "done")
+		s.expectRuns("x")
 	}},
-	{"the caller drops and the run ends before the retry", func(e *edge) {
-		a := e.send(try{class: "oddaja", key: "k", body: "x"})
-		r := e.ran("x")[0]
-		a.drop()
-		e.end(r, silverpath.OK, "done")
-		e.one(e.send(try{class: "oddaja", key: "k", body: "x"}), core.Served, "done")
-		e.ran("x")
+	{"the caller disconnects, the run ends, and the retry gets its result", func(s *testService) {
+		a := s.send(attempt{class: "oddaja", key: "k", body: "x"})
+		r := s.expectRuns("x")[0]
+		a.disconnect()
+		s.endRun(r, silverpath.OK, "done")
+		s.expectReply(s.send(attempt{class: "oddaja", key: "k", body: "x"}), core.Served, "done")
+		s.expectRuns("x")
 	}},
-	{"a failed effect is not run again", func(e *edge) {
-		a := e.send(try{class: "oddaja", key: "k", body: "x"})
-		e.end(e.ran("x")[0], silverpath.Failed, "")
-		e.one(a, core.Failed, "")
-		e.one(e.send(try{class: "oddaja", key: "k", body: "x"}), core.Failed, "")
-		e.ran("x")
+	{"a failed request with an effect is not run again", func(s *testService) {
+		a := s.send(attempt{class: "oddaja", key: "k", body: "x"})
+		s.endRun(s.expectRuns("x")[0], silverpath.Failed, "")
+		s.expectReply(a, core.Failed, "")
+		s.expectReply(s.send(attempt{class: "oddaja", key: "k", body: "x"}), core.Failed, "")
+		s.expectRuns("x")
 	}},
-	{"an effect that never ran may run at the next try", func(e *edge) {
-		a := e.send(try{class: "oddaja", key: "k", body: "x"})
-		e.end(e.ran("x")[0], silverpath.NotStarted, "")
-		e.one(a, core.Failed, "")
-		b := e.send(try{class: "oddaja", key: "k", body: "x"})
-		e.end(e.ran("x", "x")[1], silverpath.OK, "done")
-		e.one(b, core.Served, "done")
+	{"a request with an effect that never started may run at the next attempt", func(s *testService) {
+		a := s.send(attempt{class: "oddaja", key: "k", body: "x"})
+		s.endRun(s.expectRuns("x")[0], silverpath.NotStarted, "")
+		s.expectReply(a, core.Failed, "")
+		b := s.send(attempt{class: "oddaja", key: "k", body: "x"})
+		s.endRun(s.expectRuns("x", "x")[1], silverpath.OK, "done")
+		s.expectReply(b, core.Served, "done")
 	}},
-	{"a run stopped since its caller left leaves no answer owed and no second run", func(e *edge) {
-		a := e.send(try{class: "oddaja", key: "k", body: "x"})
-		e.end(e.ran("x")[0], silverpath.Canceled, "")
-		e.one(a, core.Failed, "")
-		e.one(e.send(try{class: "oddaja", key: "k", body: "x"}), core.Failed, "")
-		e.ran("x")
+	{"a canceled run fails its request, and the retry does not run again", func(s *testService) {
+		a := s.send(attempt{class: "oddaja", key: "k", body: "x"})
+		s.endRun(s.expectRuns("x")[0], silverpath.Canceled, "")
+		s.expectReply(a, core.Failed, "")
+		s.expectReply(s.send(attempt{class: "oddaja", key: "k", body: "x"}), core.Failed, "")
+		s.expectRuns("x")
 	}},
-	{"a call goes below and its reply back, both unchanged", func(e *edge) {
-		c := e.send(try{class: "oddaja", key: "k", body: "x"})
-		r := e.ran("x")[0]
-		e.worker.RunNeedsCall(r.id, []byte("\x00ask"))
-		e.ran("x", "re:\x00ask")
-		e.end(r, silverpath.OK, "done")
-		e.one(c, core.Served, "done")
+	{"a call to the dependency and its reply are passed on unchanged", func(s *testService) {
+		c := s.send(attempt{class: "oddaja", key: "k", body: "x"})
+		r := s.expectRuns("x")[0]
+		s.worker.RunNeedsCall(r.id, []byte("\x00ask"))
+		s.expectRuns("x", "re:\x00ask")
+		s.endRun(r, silverpath.OK, "done")
+		s.expectReply(c, core.Served, "done")
 	}},
-	{"a call of an effect is made again only with proof that it never ran", func(e *edge) {
-		e.vault.ends = []silverpath.Outcome{silverpath.Overloaded, silverpath.Unreachable, silverpath.Failed}
-		c := e.send(try{class: "oddaja", key: "k", body: "x"})
-		r := e.ran("x")[0]
-		e.worker.RunNeedsCall(r.id, []byte("ask"))
-		e.pass(time.Second)
-		if n := len(e.vault.seen()); n != 3 {
-			e.t.Fatalf("%d calls, want 3: two proved that they never ran, the third did not", n)
-		}
-		e.one(c, core.Failed, "")
-		e.ran("x")
+	{"a call of a request with an effect is retried only if it provably never ran", func(s *testService) {
+		s.dependency.outcomes = []silverpath.Outcome{silverpath.Overloaded, silverpath.Unreachable, silverpath.Failed}
+		c := s.send(attempt{class: "oddaja", key: "k", body: "x"})
+		r := s.expectRuns("x")[0]
+		s.worker.RunNeedsCall(r.id, []byte("ask"))
+		s.advance(time.Second)
+		if n := len(s.dependency.received()); n != 3 {
+			s.t.Fatalf("%d calls, want 3: the first two provably never ran, the third may have", n)
+		}
+		s.expectReply(c, core.Failed, "")
+		s.expectRuns("x")
 	}},
-	{"a call that does not end is given up in time for the answer", func(e *edge) {
-		e.vault.delay = time.Hour
-		c := e.send(try{class: "lestvica", body: "x", wait: time.Second})
-		e.worker.RunNeedsCall(e.ran("x")[0].id, []byte("ask"))
-		e.pass(time.Second)
-		e.one(c, core.Failed, "")
+	{"a call that does not end is abandoned in time for the answer", func(s *testService) {
+		s.dependency.delay = time.Hour
+		c := s.send(attempt{class: "lestvica", body: "x", wait: time.Second})
+		s.worker.RunNeedsCall(s.expectRuns("x")[0].id, []byte("ask"))
+		s.advance(time.Second)
+		s.expectReply(c, core.Failed, "")
 	}},
-	{"what can't be served in time is refused at once, with a time to come back", func(e *edge) {
-		e.engine.mu.Lock()
-		e.engine.busy = 1
-		e.engine.mu.Unlock()
-		e.pass(8 * time.Second) // the smoothed gauge follows slowly
-		var all []*caller
+	{"a request that can't be served in time is refused at once with a retry delay", func(s *testService) {
+		s.interpreter.mu.Lock()
+		s.interpreter.cpu = 1
+		s.interpreter.mu.Unlock()
+		s.advance(8 * time.Second) // until the smoothed gauge has followed
+		var all []*testCaller
 		for i := range 60 {
-			all = append(all, e.send(try{class: "lestvica", body: strconv.Itoa(i)}))
-			e.pass(2 * time.Millisecond)
+			all = append(all, s.send(attempt{class: "lestvica", body: strconv.Itoa(i)}))
+			s.advance(2 * time.Millisecond)
 		}
 		refused := 0
 		for _, c := range all {
 			select {
 			case a := <-c.replies:
-				if a.outcome != core.Rejected || a.retry < e.driver.retryFloor {
-					e.t.Fatalf("answer %v, come back after %v", a.outcome, a.retry)
+				if a.outcome != core.Rejected || a.retry < s.driver.retryFloor {
+					s.t.Fatalf("answer %v with retry delay %v, want a rejection with at least the front's shortest retry delay", a.outcome, a.retry)
 				}
 				refused++
 			default:
 			}
 		}
 		if refused == 0 {
-			e.t.Fatal("nothing of 60 requests on 2 cores was refused")
+			s.t.Fatal("none of 60 requests on 2 cores was refused")
 		}
-		runs := e.engine.seen()
-		if most := site.Cores * int(site.MaxRunsPerCore); len(runs) == 0 || len(runs) > most {
-			e.t.Fatalf("%d runs at once, the server survives %d", len(runs), most)
+		runs := s.interpreter.received()
+		if most := serviceSettings.Cores * int(serviceSettings.MaxRunsPerCore); len(runs) == 0 || len(runs) > most {
+			s.t.Fatalf("%d concurrent runs, want 1 to %d", len(runs), most)
 		}
 		for _, r := range runs {
-			e.end(r, silverpath.OK, "")
+			s.endRun(r, silverpath.OK, "")
 		}
-		e.pass(deadline)
-		if n := e.core.PendingAnswers(); n != 0 {
-			e.t.Fatalf("%d answers still owed", n)
+		s.advance(deadline)
+		if n := s.core.PendingAnswers(); n != 0 {
+			s.t.Fatalf("%d answers still pending", n)
 		}
 	}},
-	{"drain: what was read is answered, and what comes inside the window may run", func(e *edge) {
-		a := e.send(try{class: "oddaja", key: "k", body: "x"})
-		r := e.ran("x")[0]
-		e.core.Drain(stopTime)
-		e.pass(grace / 2)
-		b := e.send(try{class: "lestvica", body: "y"})
-		runs := e.ran("x", "y")
-		e.end(r, silverpath.OK, "done")
-		e.one(a, core.Served, "done")
-		e.end(runs[1], silverpath.OK, "done")
-		e.one(b, core.Served, "done")
+	{"drain: accepted requests are answered, and requests within the grace period may run", func(s *testService) {
+		a := s.send(attempt{class: "oddaja", key: "k", body: "x"})
+		r := s.expectRuns("x")[0]
+		s.core.Drain(stopAfter)
+		s.advance(drainGrace / 2)
+		b := s.send(attempt{class: "lestvica", body: "y"})
+		runs := s.expectRuns("x", "y")
+		s.endRun(r, silverpath.OK, "done")
+		s.expectReply(a, core.Served, "done")
+		s.endRun(runs[1], silverpath.OK, "done")
+		s.expectReply(b, core.Served, "done")
 		select {
-		case <-e.core.Idle():
+		case <-s.core.Idle():
 		default:
-			e.t.Fatal("everything is answered, and the core does not say so")
+			s.t.Fatal("every request is answered, but Idle is not closed")
 		}
 	}},
-	{"drain: nothing that comes after the window is run", func(e *edge) {
-		e.core.Drain(stopTime)
-		e.pass(grace + 50*time.Millisecond)
-		e.one(e.send(try{class: "oddaja", key: "k", body: "x"}), core.Rejected, "")
-		e.one(e.send(try{class: "lestvica", body: "y"}), core.Rejected, "")
-		e.ran()
+	{"drain: requests that arrive after the grace period are not run", func(s *testService) {
+		s.core.Drain(stopAfter)
+		s.advance(drainGrace + 50*time.Millisecond)
+		s.expectReply(s.send(attempt{class: "oddaja", key: "k", body: "x"}), core.Rejected, "")
+		s.expectReply(s.send(attempt{class: "lestvica", body: "y"}), core.Rejected, "")
+		s.expectRuns()
 	}},
-	{"drain: what was written inside the window and is read after it is not run", func(e *edge) {
-		e.core.Drain(stopTime)
-		e.pass(grace / 2)
-		e.seq++
-		early := e.driver.write(try{class: "oddaja", key: "early", body: "x", wait: deadline}, e.seq)
-		e.pass(grace/2 - 50*time.Millisecond)
-		e.seq++
-		late := e.driver.write(try{class: "oddaja", key: "k", body: "x", wait: deadline}, e.seq)
-		e.pass(100 * time.Millisecond)
-		e.one(e.raw(late), core.Rejected, "")
-		e.one(e.raw(early), core.Rejected, "")
-		e.ran()
+	{"drain: requests written within the grace period and read after it are not run", func(s *testService) {
+		s.core.Drain(stopAfter)
+		s.advance(drainGrace / 2)
+		s.seq++
+		early := s.driver.write(attempt{class: "oddaja", key: "early", body: "x", wait: deadline}, s.seq)
+		s.advance(drainGrace/2 - 50*time.Millisecond)
+		s.seq++
+		late := s.driver.write(attempt{class: "oddaja", key: "k", body: "x", wait: deadline}, s.seq)
+		s.advance(100 * time.Millisecond)
+		s.expectReply(s.sendBytes(late), core.Rejected, "")
+		s.expectReply(s.sendBytes(early), core.Rejected, "")
+		s.expectRuns()
 	}},
-	{"drain: a retry after the window still gets the result of what ran", func(e *edge) {
-		a := e.send(try{class: "oddaja", key: "k", body: "x"})
-		e.core.Drain(stopTime)
-		e.end(e.ran("x")[0], silverpath.OK, "done")
-		e.one(a, core.Served, "done")
-		e.pass(grace + 50*time.Millisecond)
-		e.one(e.send(try{class: "oddaja", key: "k", body: "x"}), core.Served, "done")
-		e.ran("x")
+	{"drain: a retry after the grace period still gets the result of the run", func(s *testService) {
+		a := s.send(attempt{class: "oddaja", key: "k", body: "x"})
+		s.core.Drain(stopAfter)
+		s.endRun(s.expectRuns("x")[0], silverpath.OK, "done")
+		s.expectReply(a, core.Served, "done")
+		s.advance(drainGrace + 50*time.Millisecond)
+		s.expectReply(s.send(attempt{class: "oddaja", key: "k", body: "x"}), core.Served, "done")
+		s.expectRuns("x")
 	}},
-	{"drain: all is answered before the stop although runs go on", func(e *edge) {
-		a := e.send(try{class: "oddaja", key: "k", body: "x", wait: time.Minute})
-		e.core.Drain(stopTime)
-		e.pass(stopTime - 60*time.Millisecond)
-		e.one(a, core.Failed, "")
-		if !e.core.Stop() {
-			e.t.Fatal("an answer is still owed")
+	{"drain: every request is answered before the stop although its run continues", func(s *testService) {
+		a := s.send(attempt{class: "oddaja", key: "k", body: "x", wait: time.Minute})
+		s.core.Drain(stopAfter)
+		s.advance(stopAfter - 60*time.Millisecond)
+		s.expectReply(a, core.Failed, "")
+		if !s.core.Stop() {
+			s.t.Fatal("an answer is still owed")
 		}
 	}},
-	{"drain: all is answered before the stop although a call below is out", func(e *edge) {
-		e.vault.delay = time.Hour
-		a := e.send(try{class: "zapis", body: "x", wait: time.Minute})
-		e.worker.RunNeedsCall(e.ran("x")[0].id, []byte("ask"))
-		e.pass(time.Second)
-		e.core.Drain(stopTime)
-		e.pass(stopTime - 60*time.Millisecond)
-		e.one(a, core.Failed, "")
-		if !e.core.Stop() {
-			e.t.Fatal("an answer is still owed")
+	{"drain: every request is answered before the stop although its call to the dependency is pending", func(s *testService) {
+		s.dependency.delay = time.Hour
+		a := s.send(attempt{class: "zapis", body: "x", wait: time.Minute})
+		s.worker.RunNeedsCall(s.expectRuns("x")[0].id, []byte("ask"))
+		s.advance(time.Second)
+		s.core.Drain(stopAfter)
+		s.advance(stopAfter - 60*time.Millisecond)
+		s.expectReply(a, core.Failed, "")
+		if !s.core.Stop() {
+			s.t.Fatal("an answer is still owed")
 		}
 	}},
-	{"garbage ends its own connection and nothing else", func(e *edge) {
-		a := e.send(try{class: "lestvica", body: "x"})
-		g := e.raw(e.driver.garble)
-		e.pass(time.Second)
+	{"malformed input closes its own connection and no other", func(s *testService) {
+		a := s.send(attempt{class: "lestvica", body: "x"})
+		g := s.sendBytes(s.driver.malformed)
+		s.advance(time.Second)
 		for range g.replies { // whatever it is told, its connection ends
 		}
-		if n := e.stats.Get("malformed", e.driver.name); n != 1 {
-			e.t.Fatalf("%d malformed counted, want 1", n)
+		if n := s.stats.Get("malformed", s.driver.name); n != 1 {
+			s.t.Fatalf("malformed counter is %d, want 1", n)
 		}
-		e.end(e.ran("x")[0], silverpath.OK, "done")
-		e.one(a, core.Served, "done")
+		s.endRun(s.expectRuns("x")[0], silverpath.OK, "done")
+		s.expectReply(a, core.Served, "done")
 	}},
-	{"the key of another request brings no result of it, and takes nothing from it", func(e *edge) {
-		a := e.send(try{class: "oddaja", key: "k", body: "x"})
-		e.one(e.send(try{class: "oddaja", key: "k", body: "another"}), core.Failed, "")
-		e.end(e.ran("x")[0], silverpath.OK, "done")
-		e.one(a, core.Served, "done")
-		e.one(e.send(try{class: "oddaja", key: "k", body: "another"}), core.Failed, "")
-		e.one(e.send(try{class: "oddaja", key: "k", body: "x"}), core.Served, "done")
-		e.ran("x")
+	{"a different request with the same key fails and leaves the first one's result in place", func(s *testService) {
+		a := s.send(attempt{class: "oddaja", key: "k", body: "x"})
+		s.expectReply(s.send(attempt{class: "oddaja", key: "k", body: "another"}), core.Failed, "")
+		s.endRun(s.expectRuns("x")[0], silverpath.OK, "done")
+		s.expectReply(a, core.Served, "done")
+		s.expectReply(s.send(attempt{class: "oddaja", key: "k", body: "another"}), core.Failed, "")
+		s.expectReply(s.send(attempt{class: "oddaja", key: "k", body: "x"}), core.Served, "done")
+		s.expectRuns("x")
 	}},
-	{"who says nothing, or half of something, is answered or closed within 3 s", func(e *edge) {
-		whole := e.driver.write(try{class: "oddaja", key: "k", body: "body"}, 1)
+	{"a connection that sends nothing or part of a request is closed within 3 s", func(s *testService) {
+		whole := s.driver.write(attempt{class: "oddaja", key: "k", body: "body"}, 1)
 		began := time.Now()
-		var all []*caller
+		var all []*testCaller
 		for _, b := range [][]byte{nil, whole[:1], whole[:len(whole)/2], whole[:len(whole)-1]} {
-			all = append(all, e.raw(b))
+			all = append(all, s.sendBytes(b))
 		}
-		good := e.send(try{class: "lestvica", body: "x", wait: time.Minute})
+		good := s.send(attempt{class: "lestvica", body: "x", wait: time.Minute})
 		for _, c := range all {
 			for range c.replies { // whatever it is told, its connection ends
 			}
 		}
 		if d := time.Since(began); d > 3*time.Second {
-			e.t.Fatalf("closed after %v", d)
+			s.t.Fatalf("closed after %v, want at most 3s", d)
 		}
-		e.end(e.ran("x")[0], silverpath.OK, "done")
-		e.one(good, core.Served, "done")
+		s.endRun(s.expectRuns("x")[0], silverpath.OK, "done")
+		s.expectReply(good, core.Served, "done")
 	}},
-	{"requests cut at any byte are never run", func(e *edge) {
-		whole := e.driver.write(try{class: "oddaja", key: "k", body: "body", wait: deadline}, 1)
+	{"truncated requests are never run", func(s *testService) {
+		whole := s.driver.write(attempt{class: "oddaja", key: "k", body: "body", wait: deadline}, 1)
 		for n := range len(whole) {
-			e.raw(whole[:n]).drop()
+			s.sendBytes(whole[:n]).disconnect()
 		}
-		e.pass(time.Second)
-		e.ran()
-		if n := e.core.PendingAnswers(); n != 0 {
-			e.t.Fatalf("%d answers owed to nobody", n)
+		s.advance(time.Second)
+		s.expectRuns()
+		if n := s.core.PendingAnswers(); n != 0 {
+			s.t.Fatalf("%d answers pending for closed connections", n)
 		}
 	}},
 }
 
-// role is what the suite runs on, unchanged: the service as the platform has it, through a router, with pools and a
-// reserve, and as the older and the newer of two processes.
-type role struct {
-	name   string
-	routed bool
-	pools  *admission.Config
-	pair   hotrestart.Role
-	keeps  bool // its runs, on a disk
+// variant is a setup of the service on which the suite runs unchanged: a plain service, a server behind a router, a server
+// with an idempotency store, a service with pools and a reserve, and the predecessor or the successor of a hot restart.
+type variant struct {
+	name    string
+	routed  bool
+	pools   *admission.Config
+	pair    hotrestart.Role
+	durable bool // the service keeps an idempotency store on disk
 }
 
-var roles = []role{
+var variants = []variant{
 	{"", false, nil, 0, false},
 	{" through a router", true, nil, 0, false},
-	{" that keeps its runs", false, nil, 0, true},
-	{" that keeps its runs, through a router", true, nil, 0, true},
+	{" with an idempotency store", false, nil, 0, true},
+	{" with an idempotency store, through a router", true, nil, 0, true},
 	{" with pools", false, &admission.Config{Pools: []admission.Pool{
 		{Name: "sheets", Classes: []string{"oddaja"}, Weight: 10, Floor: 0.3}, {Name: "others", Weight: 1, Floor: 0.1}}}, 0, false},
-	{" as the elder of two", false, nil, hotrestart.Predecessor, false},
-	{" as the younger of two", false, nil, hotrestart.Successor, false},
+	{" as the predecessor", false, nil, hotrestart.Predecessor, false},
+	{" as the successor", false, nil, hotrestart.Successor, false},
 }
 
 func TestRules(t *testing.T) {
 	for _, d := range drivers {
-		for _, role := range roles {
-			t.Run(d.name+role.name, func(t *testing.T) {
+		for _, v := range variants {
+			t.Run(d.name+v.name, func(t *testing.T) {
 				for _, c := range cases {
 					t.Run(c.name, func(t *testing.T) {
-						synctest.Test(t, func(t *testing.T) { play(t, d, role, c.test) })
+						synctest.Test(t, func(t *testing.T) { runCase(t, d, v, c.test) })
 					})
 				}
 			})
@@ -692,154 +693,154 @@
 	}
 }
 
-// fixed is the source of a map that does not change.
-type fixed struct{ *cells.Map }
+// fixedSource is the source of a map that does not change.
+type fixedSource struct{ *cells.Map }
 
-func (f fixed) Load(*cells.Map) (*cells.Map, time.Time, error) { return f.Map, time.Now(), nil }
+func (f fixedSource) Load(*cells.Map) (*cells.Map, time.Time, error) { return f.Map, time.Now(), nil }
 
-// route puts a server of its own behind the edge's core, which becomes a router's. It returns what ends both.
-func (e *edge) route(keeps bool) func() {
+// startServer starts a server and makes the service's core a router in front of it. The returned function stops both.
+func (s *testService) startServer(durable bool) func() {
 	var err error
-	e.worker, err = core.New(core.Config{Settings: site, MemoryMB: 64, Log: e.log, Stats: &metrics.Counters{}, Cell: true})
+	s.worker, err = core.New(core.Config{Settings: serviceSettings, MemoryMB: 64, Log: s.log, Stats: &metrics.Counters{}, Cell: true})
 	if err != nil {
-		e.t.Fatal(err)
+		s.t.Fatal(err)
 	}
-	unkeep := func() {}
-	if keeps { // before the first probe asks since when its runs are known
-		unkeep = e.keep()
+	closeStore := func() {}
+	if durable { // must come before the router's first health check, which asks since when the store's runs are known
+		closeStore = s.openStore()
 	}
-	back := pipes.Listen()
-	ln := listener.New("back", back, 1000, e.worker.IdleAfter, msgpackrpc.New(e.worker, e.log, e.stats).Serve, e.log, e.stats)
-	go ln.Serve()
+	pipe := pipes.Listen()
+	serverLn := listener.New("back", pipe, 1000, s.worker.IdleAfter, msgpackrpc.New(s.worker, s.log, s.stats).Serve, s.log, s.stats)
+	go serverLn.Serve()
 	r, err := proxy.New(proxy.Config{
-		Source: fixed{&cells.Map{
-			Version: 1, KeyWindow: window, Lease: time.Hour, CallerTimeout: deadline, Cells: []cells.Cell{{Name: "a"}},
+		Source: fixedSource{&cells.Map{
+			Version: 1, KeyWindow: keyWindow, Lease: time.Hour, CallerTimeout: deadline, Cells: []cells.Cell{{Name: "a"}},
 			Servers: []cells.Server{{Name: "s0", Addr: "pipe", Cell: "a", Weight: 1, JoinsAt: time.Now().UnixMilli()}},
 			Tenants: []cells.Tenant{{Homes: []cells.Home{{Cell: "a"}}}},
 		}},
 		Cores: 64, HealthCheckInterval: time.Second, MaxConnections: 100,
-		Dial: func(context.Context, string) (*msgpackrpc.Conn, error) { return msgpackrpc.NewConn(back.Dial()), nil },
-	}, e.core, e.log, e.stats)
+		Dial: func(context.Context, string) (*msgpackrpc.Conn, error) { return msgpackrpc.NewConn(pipe.Dial()), nil },
+	}, s.core, s.log, s.stats)
 	if err != nil {
-		e.t.Fatal(err)
+		s.t.Fatal(err)
 	}
-	if err := e.core.Attach(r, nil); err != nil {
-		e.t.Fatal(err)
+	if err := s.core.Attach(r, nil); err != nil {
+		s.t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	go r.Maintain(ctx)
 	return func() {
-		unkeep()
+		closeStore()
 		cancel()
 		r.Close()
-		ln.Close()
-		e.worker.Stop()
+		serverLn.Close()
+		s.worker.Stop()
 		time.Sleep(2 * time.Hour)
 	}
 }
 
-// keep has the edge's runs kept on a disk. It returns what ends that.
-func (e *edge) keep() func() {
+// openStore attaches an idempotency store to the worker. The returned function closes the store.
+func (s *testService) openStore() func() {
 	began, clock := time.Now(), idempotencystore.Now
 	idempotencystore.Now = func() idempotency.Clock {
 		return idempotency.Clock{Boot: "bubble", SinceBoot: time.Hour + time.Since(began)}
 	}
-	dir := e.t.TempDir()
+	dir := s.t.TempDir()
 	if err := idempotencystore.Init(dir, "edge"); err != nil {
-		e.t.Fatal(err)
+		s.t.Fatal(err)
 	}
-	s, err := idempotencystore.Open(idempotencystore.Config{Dir: dir, Name: "edge", MaxBytes: 8 << 20, ResultReserve: 1 << 10, Log: e.log, Stats: e.stats}, e.worker)
+	store, err := idempotencystore.Open(idempotencystore.Config{Dir: dir, Name: "edge", MaxBytes: 8 << 20, ResultReserve: 1 << 10, Log: s.log, Stats: s.stats}, s.worker)
 	if err != nil {
-		e.t.Fatal(err)
+		s.t.Fatal(err)
 	}
-	e.worker.UseStore(s)
-	go s.Run(context.Background())
-	<-s.Loaded()
+	s.worker.UseStore(store)
+	go store.Run(context.Background())
+	<-store.Loaded()
 	return func() {
-		s.Close()
+		store.Close()
 		idempotencystore.Now = clock
-		if n := e.stats.Get("runs", "oddaja", "ok"); n > 0 && e.stats.Get("store", "commits") == 0 {
-			e.t.Errorf("%d sheets ran and nothing was kept", n)
+		if n := s.stats.Get("runs", "oddaja", "ok"); n > 0 && s.stats.Get("store", "commits") == 0 {
+			s.t.Errorf("%d oddaja requests ran, but the store committed nothing", n)
 		}
 	}
 }
 
-// beside starts another process of the service, idle, beside the edge's core. It returns what ends it.
-func (e *edge) beside(w *benchmarks.Couple, as role) func() {
-	other, err := core.New(core.Config{Settings: site, MemoryMB: 64, Log: e.log, Stats: &metrics.Counters{}, Pair: w.End(1)})
+// startOther starts an idle second process of the service as the peer of a hot restart. The returned function stops it.
+func (s *testService) startOther(couple *benchmarks.Couple, v variant) func() {
+	other, err := core.New(core.Config{Settings: serviceSettings, MemoryMB: 64, Log: s.log, Stats: &metrics.Counters{}, Pair: couple.End(1)})
 	if err == nil {
-		err = other.Attach(&engine{core: other}, e.vault)
+		err = other.Attach(&fakeInterpreter{core: other}, s.dependency)
 	}
 	if err != nil {
-		e.t.Fatal(err)
+		s.t.Fatal(err)
 	}
 	first := 0
-	if as.pair == hotrestart.Successor {
+	if v.pair == hotrestart.Successor {
 		first = 1
 	}
-	w.Join(e.core, other, first)
+	couple.Join(s.core, other, first)
 	other.RunnerReady()
 	synctest.Wait()
-	if r := e.core.PairRole(); r != as.pair || other.Phase() != lifecycle.Serving {
-		e.t.Fatalf("%v, beside one that is %v", r, other.Phase())
+	if r := s.core.PairRole(); r != v.pair || other.Phase() != lifecycle.Serving {
+		s.t.Fatalf("role %v with a peer in phase %v, want the variant's role and a serving peer", r, other.Phase())
 	}
 	return func() {
-		w.Close()
+		couple.Close()
 		other.Stop()
 		time.Sleep(time.Minute)
 	}
 }
 
-// play runs one case on a new edge.
-func play(t *testing.T, d driver, as role, test func(*edge)) {
-	p, routed := as.pools, as.routed
-	e := &edge{
-		t: t, driver: d, log: log.New(io.Discard, "", 0), stats: &metrics.Counters{}, vault: &vault{},
+// runCase runs one case on a new service.
+func runCase(t *testing.T, d driver, v variant, test func(*testService)) {
+	pools, routed := v.pools, v.routed
+	s := &testService{
+		t: t, driver: d, log: log.New(io.Discard, "", 0), stats: &metrics.Counters{}, dependency: &fakeDependency{},
 		pipes: pipes.Listen(),
 	}
 	var err error
 	var pair *core.PairConfig
 	couple := benchmarks.NewCouple()
-	if as.pair != 0 {
+	if v.pair != 0 {
 		pair = couple.End(0)
 	}
-	e.core, err = core.New(core.Config{Settings: site, MemoryMB: 64, Log: e.log, Stats: e.stats, Pools: p, Pair: pair})
+	s.core, err = core.New(core.Config{Settings: serviceSettings, MemoryMB: 64, Log: s.log, Stats: s.stats, Pools: pools, Pair: pair})
 	if err != nil {
 		t.Fatal(err)
 	}
-	e.worker = e.core
+	s.worker = s.core
 	if routed {
-		defer e.route(as.keeps)()
-	} else if as.keeps {
-		defer e.keep()()
+		defer s.startServer(v.durable)()
+	} else if v.durable {
+		defer s.openStore()()
 	}
-	e.engine = &engine{core: e.worker}
-	if err := e.worker.Attach(e.engine, e.vault); err != nil {
+	s.interpreter = &fakeInterpreter{core: s.worker}
+	if err := s.worker.Attach(s.interpreter, s.dependency); err != nil {
 		t.Fatal(err)
 	}
-	if as.pair != 0 {
-		defer e.beside(couple, as)()
+	if v.pair != 0 {
+		defer s.startOther(couple, v)()
 	}
-	e.worker.RunnerReady()
+	s.worker.RunnerReady()
 	synctest.Wait()
-	e.ln = listener.New(d.name, e.pipes, 1000, e.core.IdleAfter, d.serve(e), e.log, e.stats)
-	if p != nil {
-		e.ln.Reserve(admission.ReserveConfig{})
+	s.ln = listener.New(d.name, s.pipes, 1000, s.core.IdleAfter, d.serve(s), s.log, s.stats)
+	if pools != nil {
+		s.ln.Reserve(admission.ReserveConfig{})
 	}
-	go e.ln.Serve()
+	go s.ln.Serve()
 	defer func() {
-		for _, c := range e.callers {
-			c.drop()
+		for _, c := range s.callers {
+			c.disconnect()
 		}
-		for _, r := range e.engine.seen() { // so that every goroutine ends
-			e.worker.RunEnded(r.id, silverpath.Failed, 0, nil)
+		for _, r := range s.interpreter.received() { // so that every goroutine ends
+			s.worker.RunEnded(r.id, silverpath.Failed, 0, nil)
 		}
 		time.Sleep(time.Minute)
-		e.core.Stop()
-		e.ln.Close()
-		for _, r := range e.engine.seen() {
-			e.worker.RunEnded(r.id, silverpath.Failed, 0, nil)
+		s.core.Stop()
+		s.ln.Close()
+		for _, r := range s.interpreter.received() {
+			s.worker.RunEnded(r.id, silverpath.Failed, 0, nil)
 		}
 	}()
-	test(e)
+	test(s)
 }
