--- a/internal/testkit/benchmarks/couple.go
+++ b/internal/testkit/benchmarks/couple.go
@@ -6,71 +6,72 @@
 	"silverpath/internal/core"
 )
 
-// Couple joins two processes of a service in memory, in place of their socket: what one has to send the other is told, in
-// order.
-type Couple struct {
-	cores [2]*core.Core
-	links [2]int
-	mu    [2]sync.Mutex
-	bells [2]chan struct{}
-	over  chan struct{}
+// PairLink connects the two processes of a hot restart in memory, in place of their socket. It delivers their messages to
+// each other in order.
+type PairLink struct {
+	cores  [2]*core.Core
+	links  [2]int
+	mu     [2]sync.Mutex
+	wake   [2]chan struct{}
+	closed chan struct{}
 }
 
-// NewCouple returns a link whose ends are still free.
-func NewCouple() *Couple {
-	w := &Couple{over: make(chan struct{})}
-	for i := range w.bells {
-		w.bells[i] = make(chan struct{}, 1)
+// NewPairLink returns a link that Join has yet to connect to two cores.
+func NewPairLink() *PairLink {
+	l := &PairLink{closed: make(chan struct{})}
+	for i := range l.wake {
+		l.wake[i] = make(chan struct{}, 1)
 	}
-	return w
+	return l
 }
 
-// End is what a core needs of its end.
-func (w *Couple) End(i int) *core.PairConfig {
+// End returns the configuration of the core at end i, which is 0 or 1.
+func (l *PairLink) End(i int) *core.PairConfig {
 	return &core.PairConfig{
-		Flush: func(link int) error { return w.flush(i, link) }, MarkUnnotified: func() error { return nil }, Shared: func(bool) {},
+		Flush: func(link int) error { return l.flush(i, link) }, MarkUnnotified: func() error { return nil }, Shared: func(bool) {},
 		Wake: func() {
 			select {
-			case w.bells[i] <- struct{}{}:
+			case l.wake[i] <- struct{}{}:
 			default:
 			}
 		},
 	}
 }
 
-func (w *Couple) flush(i, link int) error {
-	w.mu[i].Lock()
-	defer w.mu[i].Unlock()
-	out, err := w.cores[i].PairOut(link)
+func (l *PairLink) flush(i, link int) error {
+	l.mu[i].Lock()
+	defer l.mu[i].Unlock()
+	out, err := l.cores[i].PairOut(link)
 	for _, m := range out {
-		if _, _, err := w.cores[1-i].PairMessage(m); err != nil {
+		if _, _, err := l.cores[1-i].PairMessage(m); err != nil {
 			return err
 		}
 	}
 	return err
 }
 
-// Join gives two cores their places, of which one has been there first, and links them until Close.
-func (w *Couple) Join(a, b *core.Core, first int) {
-	w.cores = [2]*core.Core{a, b}
+// Join assigns the two cores their slots and links them until Close. The core with index first starts alone, and the other
+// one finds it in place.
+func (l *PairLink) Join(a, b *core.Core, first int) {
+	l.cores = [2]*core.Core{a, b}
 	for n, i := range []int{first, 1 - first} {
-		w.cores[i].PairPlaced(int64(n+1), n)
+		l.cores[i].PairPlaced(int64(n+1), n)
 		if n == 0 {
-			w.cores[i].PairAlone(func(int64) bool { return false })
+			l.cores[i].PairAlone(func(int64) bool { return false })
 		} else {
-			w.cores[i].PairOther()
+			l.cores[i].PairOther()
 		}
 	}
-	for i, c := range w.cores {
-		w.links[i] = c.PairLinked()
+	for i, c := range l.cores {
+		l.links[i] = c.PairLinked()
 	}
-	for i := range w.cores {
+	for i := range l.cores {
 		go func() {
 			for {
 				select {
-				case <-w.bells[i]:
-					_ = w.flush(i, w.links[i])
-				case <-w.over:
+				case <-l.wake[i]:
+					_ = l.flush(i, l.links[i])
+				case <-l.closed:
 					return
 				}
 			}
@@ -78,5 +79,5 @@
 	}
 }
 
-// Close ends the link.
-func (w *Couple) Close() { close(w.over) }
+// Close stops the delivery of messages.
+func (l *PairLink) Close() { close(l.closed) }
--- a/internal/testkit/conformance/rules_test.go
+++ b/internal/testkit/conformance/rules_test.go
@@ -766,8 +766,8 @@
 }
 
 // startOther starts an idle second process of the service as the peer of a hot restart. The returned function stops it.
-func (s *testService) startOther(couple *benchmarks.Couple, v variant) func() {
-	other, err := core.New(core.Config{Settings: serviceSettings, MemoryMB: 64, Log: s.log, Stats: &metrics.Counters{}, Pair: couple.End(1)})
+func (s *testService) startOther(link *benchmarks.PairLink, v variant) func() {
+	other, err := core.New(core.Config{Settings: serviceSettings, MemoryMB: 64, Log: s.log, Stats: &metrics.Counters{}, Pair: link.End(1)})
 	if err == nil {
 		err = other.Attach(&fakeInterpreter{core: other}, s.dependency)
 	}
@@ -778,14 +778,14 @@
 	if v.pair == hotrestart.Successor {
 		first = 1
 	}
-	couple.Join(s.core, other, first)
+	link.Join(s.core, other, first)
 	other.RunnerReady()
 	synctest.Wait()
 	if r := s.core.PairRole(); r != v.pair || other.Phase() != lifecycle.Serving {
 		s.t.Fatalf("role %v with a peer in phase %v, want the variant's role and a serving peer", r, other.Phase())
 	}
 	return func() {
-		couple.Close()
+		link.Close()
 		other.Stop()
 		time.Sleep(time.Minute)
 	}
@@ -800,9 +800,9 @@
 	}
 	var err error
 	var pair *core.PairConfig
-	couple := benchmarks.NewCouple()
+	link := benchmarks.NewPairLink()
 	if v.pair != 0 {
-		pair = couple.End(0)
+		pair = link.End(0)
 	}
 	s.core, err = core.New(core.Config{Settings: serviceSettings, MemoryMB: 64, Log: s.log, Stats: s.stats, Pools: pools, Pair: pair})
 	if err != nil {
@@ -819,7 +819,7 @@
 		t.Fatal(err)
 	}
 	if v.pair != 0 {
-		defer s.startOther(couple, v)()
+		defer s.startOther(link, v)()
 	}
 	s.worker.RunnerReady()
 	synctest.Wait()
