--- a/internal/testkit/benchmarks/bench_test.go
+++ b/internal/testkit/benchmarks/bench_test.go
@@ -12,8 +12,8 @@
 	os.Exit(m.Run())
 }
 
-// The measurements, by hand: go test -run '^$' -bench NAME -benchtime 1x -timeout 20m ./internal/testkit/benchmarks/. docs/results has what
-// they printed.
+// The measurements are run manually: go test -run '^$' -bench NAME -benchtime 1x -timeout 20m ./internal/testkit/benchmarks/. Their output
+// is kept in docs/results.
 func BenchmarkOverload(b *testing.B)       { Overload(b) }
 func BenchmarkRefusal(b *testing.B)        { Refusal(b) }
 func BenchmarkProbes(b *testing.B)         { Probes(b) }
--- a/internal/testkit/benchmarks/floods.go
+++ b/internal/testkit/benchmarks/floods.go
@@ -14,10 +14,10 @@
 
 var brands = []string{"t0", "t1", "t2", "t3", "t4", "t5"}
 
-// brandRate is each brand's share: together they take half of twelve servers.
+// brandRate returns the request rate of each tenant. All six tenants together use half the capacity of 12 servers.
 func brandRate() float64 { return ServerRate() }
 
-// brandsIn are the brands, spread over cells in turn.
+// brandsIn returns the tenants, assigned to the named cells in turn.
 func brandsIn(names []string, shard int) []cells.Tenant {
 	var list []cells.Tenant
 	for n, b := range brands {
@@ -26,19 +26,20 @@
 	return list
 }
 
-// Cells measures a tenant that floods, a move under fire, and what a router costs.
+// Cells measures a tenant that exceeds its rate, the move of a tenant under load, and the cost of a router.
 func Cells(b *testing.B) {
 	bin, err := Build(b.TempDir())
 	if err != nil {
 		b.Fatal(err)
 	}
-	b.Run("flood", func(b *testing.B) { flooded(b, bin) })
-	b.Run("move", func(b *testing.B) { moved(b, bin) })
-	b.Run("router", func(b *testing.B) { routed(b, bin) })
+	b.Run("flood", func(b *testing.B) { measureFlood(b, bin) })
+	b.Run("move", func(b *testing.B) { measureMove(b, bin) })
+	b.Run("router", func(b *testing.B) { measureRouter(b, bin) })
 }
 
-// flooded has one tenant send ten times its share, with cells and without, beside the same without the flood.
-func flooded(b *testing.B, bin string) {
+// measureFlood measures the other tenants while one tenant sends ten times its rate, with one cell, with three, and with
+// shards, and the same fleets without the flood.
+func measureFlood(b *testing.B, bin string) {
 	const d = 30 * time.Second
 	fmt.Println("\n| fleet | flood | others' worth, mean | worst | cell mates' worst | flooder | refused of others | failed | lost |")
 	fmt.Println("|---|---|---|---|---|---|---|---|---|")
@@ -47,7 +48,7 @@
 		cells []string
 		shard int
 	}{{"one for all", []string{"all"}, 0}, {"three cells", []string{"a", "b", "c"}, 0}, {"three cells, shards of two", []string{"a", "b", "c"}, 2}} {
-		for _, times := range []float64{1, 10} {
+		for _, factor := range []float64{1, 10} {
 			f, err := NewFleet(bin, b.TempDir(), 12, 2, c.cells, brandsIn(c.cells, c.shard))
 			if err != nil {
 				b.Fatal(err)
@@ -56,7 +57,7 @@
 			for n, t := range brands {
 				l := TenantLoad{Tenant: t, Rate: brandRate(), For: d}
 				if n == 0 {
-					l.Rate *= times
+					l.Rate *= factor
 				}
 				loads = append(loads, l)
 			}
@@ -64,27 +65,28 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			sum, worst, mates := 0.0, 1.0, 1.0
+			sum, worst, sameCell := 0.0, 1.0, 1.0
 			var refused, failed, lost int
 			for n, t := range brands[1:] {
 				v := res[t].Share()
 				sum += v
 				worst = min(worst, v)
 				if (n+1)%len(c.cells) == 0 {
-					mates = min(mates, v)
+					sameCell = min(sameCell, v)
 				}
 				refused, failed, lost = refused+res[t].Refused, failed+res[t].Failed, lost+res[t].Lost
 			}
-			fmt.Printf("| %s | %.0f times | %.3f | %.3f | %.3f | %.3f | %d | %d | %d |\n", c.name, times, sum/float64(len(brands)-1), worst,
-				mates, res["t0"].Share(), refused, failed, lost)
-			b.ReportMetric(sum/float64(len(brands)-1), fmt.Sprintf("worth-%d-%.0f", len(c.cells)+c.shard, times))
+			fmt.Printf("| %s | %.0f times | %.3f | %.3f | %.3f | %.3f | %d | %d | %d |\n", c.name, factor, sum/float64(len(brands)-1), worst,
+				sameCell, res["t0"].Share(), refused, failed, lost)
+			b.ReportMetric(sum/float64(len(brands)-1), fmt.Sprintf("worth-%d-%.0f", len(c.cells)+c.shard, factor))
 			f.Stop()
 		}
 	}
 }
 
-// moved moves a tenant under load, sends every sheet again within its window, and kills a quarter of the cell half way.
-func moved(b *testing.B, bin string) {
+// measureMove moves a tenant under load while every oddaja request is repeated within its key window. In the last variant
+// it also kills one of the cell's four servers during the move.
+func measureMove(b *testing.B, bin string) {
 	names := []string{"a", "b", "c"}
 	fmt.Println("\n| evening | worth of the moved | of all others | sheets run | twice | repeats | same answer | missed | failed | move took |")
 	fmt.Println("|---|---|---|---|---|---|---|---|---|---|")
@@ -100,10 +102,10 @@
 		for _, t := range brands {
 			loads = append(loads, TenantLoad{Tenant: t, Rate: brandRate() * 0.8, For: 45 * time.Second})
 		}
-		var side sync.WaitGroup
-		took := time.Duration(0)
+		var wg sync.WaitGroup
+		moveTime := time.Duration(0)
 		if c.move {
-			side.Go(func() {
+			wg.Go(func() {
 				time.Sleep(3 * time.Second)
 				p, err := f.Map.PlanMove(time.Now(), "t0", "b", 0)
 				if err == nil {
@@ -113,7 +115,7 @@
 					b.Error(err)
 					return
 				}
-				took = time.Until(p.Settled)
+				moveTime = time.Until(p.Settled)
 				if c.kill {
 					time.Sleep(time.Until(p.At.Add(5 * time.Second)))
 					if err := f.Restart(0, 4*time.Second); err != nil { // s0 is in cell a
@@ -126,7 +128,7 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		side.Wait()
+		wg.Wait()
 		var others, asked float64
 		var repeats, same, missed, gone int
 		for t, r := range res {
@@ -137,28 +139,28 @@
 		}
 		twice, ran := f.Twice()
 		fmt.Printf("| %s | %.3f | %.3f | %d | %d | %d | %d | %d | %d | %v |\n", c.name, res["t0"].Share(), others/asked, ran, twice, repeats,
-			same, missed, gone, took.Round(time.Second/10))
+			same, missed, gone, moveTime.Round(time.Second/10))
 		if twice > 0 {
-			b.Errorf("%d sheets ran twice", twice)
+			b.Errorf("%d oddaja requests ran more than once", twice)
 		}
 		b.ReportMetric(float64(twice), fmt.Sprintf("twice-%v-%v", c.move, c.kill))
 		f.Stop()
 	}
 }
 
-// routed compares servers asked straight with the same behind a router, at half their load: one server, so that what the
-// router adds is seen alone, and twelve, where it also chooses.
-func routed(b *testing.B, bin string) {
+// measureRouter compares servers that are called directly with the same servers behind a router, at half their capacity. With
+// one server it shows the cost of forwarding alone, and with twelve the cost of choosing a server too.
+func measureRouter(b *testing.B, bin string) {
 	fmt.Println("\n| servers | way | requests | p50 | p99 | router CPU a request | allocations a request |")
 	fmt.Println("|---|---|---|---|---|---|---|")
-	for k, way := range []string{"straight", "through a router", "straight", "through a router"} {
+	for k, path := range []string{"straight", "through a router", "straight", "through a router"} {
 		n := []int{1, 1, 12, 12}[k]
 		f, err := NewFleet(bin, b.TempDir(), n, 1, []string{"a"}, []cells.Tenant{{Name: "t0", Rate: 400, Homes: []cells.Home{{Cell: "a"}}}})
 		if err != nil {
 			b.Fatal(err)
 		}
 		to := f.Routers
-		if way == "straight" {
+		if path == "straight" {
 			to = f.Servers
 		}
 		allocs := func() float64 {
@@ -175,13 +177,13 @@
 		}
 		r := res["t0"]
 		cpu, objects = f.Routers[0].CPU()-cpu, allocs()-objects
-		if way == "straight" {
-			fmt.Printf("| %d | %s | %d | %v | %v | (idle: %v) | (idle: %.0f) |\n", n, way, r.Sent, At(r.Times, 50), At(r.Times, 99), cpu, objects)
+		if path == "straight" {
+			fmt.Printf("| %d | %s | %d | %v | %v | (idle: %v) | (idle: %.0f) |\n", n, path, r.Sent, At(r.Times, 50), At(r.Times, 99), cpu, objects)
 		} else {
-			fmt.Printf("| %d | %s | %d | %v | %v | %v | %.0f |\n", n, way, r.Sent, At(r.Times, 50), At(r.Times, 99),
+			fmt.Printf("| %d | %s | %d | %v | %v | %v | %.0f |\n", n, path, r.Sent, At(r.Times, 50), At(r.Times, 99),
 				(cpu / time.Duration(max(1, r.Sent))).Round(time.Microsecond), objects/float64(max(1, r.Sent)))
 		}
-		b.ReportMetric(float64(At(r.Times, 50).Microseconds())/1000, fmt.Sprintf("ms/p50-%d-%s", n, way[:7]))
+		b.ReportMetric(float64(At(r.Times, 50).Microseconds())/1000, fmt.Sprintf("ms/p50-%d-%s", n, path[:7]))
 		f.Stop()
 	}
 }
--- a/internal/testkit/benchmarks/powerloss.go
+++ b/internal/testkit/benchmarks/powerloss.go
@@ -17,8 +17,8 @@
 	"silverpath/internal/transport/client"
 )
 
-// PowerLoss measures a fleet of twelve servers and three routers that goes dark as a whole, again and again under load, with every
-// sheet sent again: what its processes keep is all that there is. Each machine has been switched on for five seconds as they start.
+// PowerLoss measures a fleet of twelve servers and three routers that repeatedly loses power as a whole under load, while oddaja
+// requests are repeated. Only what the processes keep on disk survives. The processes find that their machine booted 5 s before they start.
 func PowerLoss(b *testing.B) {
 	losses := 60
 	if n, err := strconv.Atoi(os.Getenv("SILVERPATH_LOSSES")); err == nil {
@@ -28,35 +28,35 @@
 	fmt.Println("\n| kept | losses | sheets | run twice | told otherwise | first read ms, p50, worst | first new sheet ms, p50, worst | written a server at rest |")
 	fmt.Println("|---|---|---|---|---|---|---|---|")
 	for _, c := range []struct {
-		name        string
-		store, life bool
-		losses      int
+		name             string
+		store, heartbeat bool
+		losses           int
 	}{{"nothing", false, false, 3}, {"signs of life", false, true, 3}, {"signs of life and runs", true, true, losses}} {
-		darken(b, bin, c.name, c.store, c.life, c.losses)
+		measurePowerLoss(b, bin, c.name, c.store, c.heartbeat, c.losses)
 	}
 }
 
-// dark is a fleet that loses power.
-type dark struct {
+// powerLossFleet is a fleet that loses power.
+type powerLossFleet struct {
 	*Fleet
 	mu      sync.Mutex
-	results map[string]string // of sheets, as they were first told
+	results map[string]string // the last result that a client received of each oddaja request, by key
 	wrong   []string
 }
 
-// on has processes that are started from now on find their machine switched on for the nth time.
-func on(n int) {
+// setBoot makes processes that are started from now on find the nth boot of their machine.
+func setBoot(n int) {
 	_ = os.Setenv("SILVERPATH_RUN", "1")
 	_ = os.Setenv("SILVERPATH_BOOT", fmt.Sprintf("boot-%d 5s machine", n))
 }
 
-func darken(b *testing.B, bin, name string, keeps, lives bool, losses int) {
+func measurePowerLoss(b *testing.B, bin, name string, store, heartbeat bool, losses int) {
 	defer func() { _ = os.Unsetenv("SILVERPATH_RUN") }()
 	defer func() { _ = os.Unsetenv("SILVERPATH_BOOT") }()
-	on(0)
+	setBoot(0)
 	edge := func(dir string) string {
 		parts := []string{`"cell":true`}
-		if keeps {
+		if store {
 			keys := filepath.Join(dir, "keys")
 			if _, err := os.Stat(keys); err != nil {
 				if err := idempotencystore.Init(keys, "lab"); err != nil {
@@ -65,7 +65,7 @@
 			}
 			parts = append(parts, fmt.Sprintf(`"store":{"dir":%q,"size_mb":8}`, keys))
 		}
-		if lives {
+		if heartbeat {
 			parts = append(parts, fmt.Sprintf(`"life":{"file":%q}`, filepath.Join(dir, "life")))
 		}
 		return "{" + strings.Join(parts, ",") + "}"
@@ -75,30 +75,30 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	d := &dark{Fleet: fl, results: map[string]string{}}
+	d := &powerLossFleet{Fleet: fl, results: map[string]string{}}
 	defer d.Stop()
 	rng := rand.New(rand.NewPCG(1, 20))
-	if lives && !keeps { // their first start proves nothing
+	if heartbeat && !store { // wait until keyed requests run: without a store they fail for a key window after a first start
 		time.Sleep(20 * time.Second)
 	}
-	syncs := d.Servers[0].written()
+	writtenBytes := d.Servers[0].written()
 	time.Sleep(2 * time.Second)
-	syncs = d.Servers[0].written() - syncs
+	writtenBytes = d.Servers[0].written() - writtenBytes
 	var reads, sheets []time.Duration
 	for n := range losses {
 		stop := make(chan struct{})
-		var all sync.WaitGroup
+		var wg sync.WaitGroup
 		for c := range 12 {
-			all.Go(func() { d.load(stop, fmt.Sprintf("%d-%d", n, c), rand.New(rand.NewPCG(uint64(n), uint64(c)))) })
+			wg.Go(func() { d.sendSheets(stop, fmt.Sprintf("%d-%d", n, c), rand.New(rand.NewPCG(uint64(n), uint64(c)))) })
 		}
 		time.Sleep(time.Duration(400+rng.IntN(400)) * time.Millisecond)
-		read, sheet, err := d.loss(n+1, rng)
+		read, sheet, err := d.loseAndRestart(n+1, rng)
 		if err != nil {
 			b.Fatal(err)
 		}
 		reads, sheets = append(reads, read), append(sheets, sheet)
 		close(stop)
-		all.Wait()
+		wg.Wait()
 	}
 	twice, _ := d.Twice()
 	slices.Sort(reads)
@@ -106,26 +106,26 @@
 	ms := func(l []time.Duration) string {
 		return fmt.Sprintf("%d, %d", l[len(l)/2].Milliseconds(), l[len(l)-1].Milliseconds())
 	}
-	fmt.Printf("| %s | %d | %d | %d | %d | %s | %s | %d bytes/s |\n", name, losses, len(d.results), twice, len(d.wrong), ms(reads), ms(sheets), syncs/2)
-	if keeps && (twice > 0 || len(d.wrong) > 0) {
+	fmt.Printf("| %s | %d | %d | %d | %d | %s | %s | %d bytes/s |\n", name, losses, len(d.results), twice, len(d.wrong), ms(reads), ms(sheets), writtenBytes/2)
+	if store && (twice > 0 || len(d.wrong) > 0) {
 		b.Error(twice, d.wrong[:min(4, len(d.wrong))])
 	}
 }
 
-// loss ends all processes at one moment and starts them anew in any order. It returns how long after the start of the last one the
-// first read and the first new sheet were served.
-func (d *dark) loss(n int, rng *rand.Rand) (read, sheet time.Duration, err error) {
-	all := append(slices.Clone(d.Routers), d.Servers...)
-	for _, p := range all {
+// loseAndRestart kills all processes at once and restarts them in random order. It returns how long after the last one's start the first
+// krog request and the first new oddaja request were served, or a minute if none was.
+func (d *powerLossFleet) loseAndRestart(n int, rng *rand.Rand) (firstRead, firstSheet time.Duration, err error) {
+	processes := append(slices.Clone(d.Routers), d.Servers...)
+	for _, p := range processes {
 		_ = p.Signal(9)
 	}
-	for _, p := range all {
+	for _, p := range processes {
 		p.Kill()
 	}
-	on(n)
-	errs := make(chan error, len(all))
+	setBoot(n)
+	errs := make(chan error, len(processes))
 	var wg sync.WaitGroup
-	for _, i := range rng.Perm(len(all)) {
+	for _, i := range rng.Perm(len(processes)) {
 		time.Sleep(time.Duration(rng.IntN(40)) * time.Millisecond)
 		wg.Go(func() {
 			if i < len(d.Routers) {
@@ -144,7 +144,7 @@
 		})
 	}
 	began := time.Now()
-	first := func(class string, out *time.Duration) func() {
+	timeFirstServed := func(class string, out *time.Duration) func() {
 		return func() {
 			for k := 0; time.Since(began) < time.Minute; k++ {
 				d.mu.Lock()
@@ -163,20 +163,20 @@
 			*out = time.Minute
 		}
 	}
-	wg.Go(first("krog", &read))
-	wg.Go(first("oddaja", &sheet))
+	wg.Go(timeFirstServed("krog", &firstRead))
+	wg.Go(timeFirstServed("oddaja", &firstSheet))
 	wg.Wait()
-	for range all {
+	for range processes {
 		if e := <-errs; e != nil && err == nil {
 			err = e
 		}
 	}
 	time.Sleep(200 * time.Millisecond)
-	return read, sheet, err
+	return firstRead, firstSheet, err
 }
 
-// load sends sheets, each several times, by whatever router is there.
-func (d *dark) load(stop chan struct{}, name string, rng *rand.Rand) {
+// sendSheets sends oddaja requests, each one to four times and through random routers, until stop is closed.
+func (d *powerLossFleet) sendSheets(stop chan struct{}, name string, rng *rand.Rand) {
 	for n := 0; ; n++ {
 		sheet := fmt.Sprintf("oddaja-%s-%d", name, n)
 		for range 1 + rng.IntN(4) {
--- a/internal/testkit/benchmarks/refusal.go
+++ b/internal/testkit/benchmarks/refusal.go
@@ -15,12 +15,13 @@
 	"silverpath/internal/transport/client"
 )
 
-// baseline is the environment variable that names an earlier build of the service, to be measured beside this one.
+// baseline is the environment variable with the path of an earlier build of the service, which is measured beside this one.
 const baseline = "SILVERPATH_BASELINE"
 
-// flood sends by the clock for a while, on as many goroutines as keep up with it, and returns how many were sent, how
-// many came out as wanted, and the times from the intended moment.
-func flood(rate float64, d time.Duration, workers int, one func(worker int) string, want string) (sent, as int, h *hdrhistogram.Histogram) {
+// sendAtRate calls send at a fixed rate for the duration d on the given number of worker goroutines. It returns the number of
+// calls, the number whose outcome was want, and the histogram of their times in microseconds. A time counts from when the
+// call was due.
+func sendAtRate(rate float64, d time.Duration, workers int, send func(worker int) string, want string) (sent, matching int, h *hdrhistogram.Histogram) {
 	h = hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)
 	var mu sync.Mutex
 	var wg sync.WaitGroup
@@ -33,12 +34,12 @@
 					return
 				}
 				time.Sleep(time.Until(due))
-				out := one(w)
+				out := send(w)
 				took := time.Since(due)
 				mu.Lock()
 				sent++
 				if out == want {
-					as++
+					matching++
 				}
 				_ = h.RecordValue(took.Microseconds())
 				mu.Unlock()
@@ -46,17 +47,16 @@
 		})
 	}
 	wg.Wait()
-	return sent, as, h
+	return sent, matching, h
 }
 
-// Refusal measures the processor time of a refusal and of a cheap call, while every core of the machine is taken by
-// runs that don't end.
+// Refusal measures the CPU time of a refusal and of a health check while runs occupy every core of the interpreter.
 func Refusal(b *testing.B) {
 	bin, err := Build(b.TempDir())
 	if err != nil {
 		b.Fatal(err)
 	}
-	type variant struct{ name, bin, edge string }
+	type variant struct{ name, bin, edgeText string }
 	variants := []variant{{"off", bin, ""}, {"on", bin, string(deploy.Edge)}}
 	if old := os.Getenv(baseline); old != "" {
 		variants = append([]variant{{"before", old, ""}}, variants...)
@@ -66,12 +66,12 @@
 	for _, v := range variants {
 		i, err := builtinworker.Listen(builtinworker.Config{
 			Listen: "127.0.0.1:0", Cores: cores, Shape: builtinworker.Shape{Knee: cores, Speed: 1},
-			Other: builtinworker.Class{MinWork: 100 * time.Millisecond, MaxWork: 100 * time.Millisecond}, MemoryKB: site.MemoryKB, RunFactor: 4,
+			Other: builtinworker.Class{MinWork: 100 * time.Millisecond, MaxWork: 100 * time.Millisecond}, MemoryKB: overloadSite.MemoryKB, RunFactor: 4,
 		})
 		if err != nil {
 			b.Fatal(err)
 		}
-		p, err := Start(v.bin, b.TempDir(), site, i.Addr(), v.edge)
+		p, err := Start(v.bin, b.TempDir(), overloadSite, i.Addr(), v.edgeText)
 		if err != nil {
 			b.Fatal(err)
 		}
@@ -82,17 +82,17 @@
 			}
 		}
 		q := client.Request{Class: "lestvica", Timeout: patience, Body: []byte("x"), MemoryKB: 1}
-		onOpen := func(w int) string { return (<-conns[w%len(conns)].Do(q)).Outcome }
-		warm := func() { flood(1500, 3*time.Second, 400, onOpen, "") } // the machine does 160 a second
-		warm()
+		sendOnOpen := func(w int) string { return (<-conns[w%len(conns)].Do(q)).Outcome }
+		warmUp := func() { sendAtRate(1500, 3*time.Second, 400, sendOnOpen, "") } // the interpreter's capacity is 160 requests a second
+		warmUp()
 		for _, c := range []struct {
 			name    string
 			rate    float64
 			workers int
-			one     func(int) string
+			send    func(int) string
 			want    string
 		}{
-			{"refusal, open connection", 5000, 100, onOpen, "refused"},
+			{"refusal, open connection", 5000, 100, sendOnOpen, "refused"},
 			{"refusal, new SCGI connection", 5000, 100, func(int) string {
 				a, err := client.Do(client.SCGI, p.SCGI, q)
 				if err != nil {
@@ -109,11 +109,11 @@
 			}, "served"},
 		} {
 			before := p.CPU()
-			sent, as, h := flood(c.rate, 4*time.Second, c.workers, c.one, c.want)
-			each := (p.CPU() - before) / time.Duration(max(1, sent))
-			fmt.Printf("| %s | %s | %.0f | %d | %d | %v | %v | %v | %v |\n", v.name, c.name, c.rate, sent, as, each.Round(time.Microsecond/10),
+			sent, matching, h := sendAtRate(c.rate, 4*time.Second, c.workers, c.send, c.want)
+			cpuPerCall := (p.CPU() - before) / time.Duration(max(1, sent))
+			fmt.Printf("| %s | %s | %.0f | %d | %d | %v | %v | %v | %v |\n", v.name, c.name, c.rate, sent, matching, cpuPerCall.Round(time.Microsecond/10),
 				At(h, 50), At(h, 99), At(h, 100))
-			b.ReportMetric(float64(each.Nanoseconds())/1000, fmt.Sprintf("us/%s-%s", v.name, strings.NewReplacer(" ", "-", ",", "").Replace(c.name)))
+			b.ReportMetric(float64(cpuPerCall.Nanoseconds())/1000, fmt.Sprintf("us/%s-%s", v.name, strings.NewReplacer(" ", "-", ",", "").Replace(c.name)))
 		}
 		for _, c := range conns {
 			c.Close()
@@ -125,8 +125,8 @@
 	}
 }
 
-// Probes sends 500 connections that only probe, at full speed, at a service under 150% of its capacity, and measures
-// what a quiet peer sees of it.
+// Probes opens 500 connections that send only health checks, as fast as they are answered, to a service under 150% of its
+// load capacity. It measures the goodput and the latency of the cheap calls of a peer that sends few.
 func Probes(b *testing.B) {
 	bin, err := Build(b.TempDir())
 	if err != nil {
@@ -135,11 +135,11 @@
 	fmt.Println("\n| pools and reserve | flood answered a second | worth | cheap n | p50 | p99 | p99.9 | max | lost |")
 	fmt.Println("|---|---|---|---|---|---|---|---|---|")
 	for _, edge := range []string{"", string(deploy.Edge)} {
-		i, err := machine(builtinworker.Config{ReadWork: read})
+		i, err := startInterpreter(builtinworker.Config{ReadWork: meanReadWork})
 		if err != nil {
 			b.Fatal(err)
 		}
-		p, err := Start(bin, b.TempDir(), site, i.Addr(), edge)
+		p, err := Start(bin, b.TempDir(), overloadSite, i.Addr(), edge)
 		if err != nil {
 			b.Fatal(err)
 		}
@@ -181,7 +181,7 @@
 			r.Cheap.TotalCount(), At(r.Cheap, 50), At(r.Cheap, 99), At(r.Cheap, 99.9), At(r.Cheap, 100), r.CheapLost+r.CheapWrong)
 		b.ReportMetric(float64(At(r.Cheap, 100).Microseconds())/1000, "ms/cheap-max-"+name)
 		if len(r.Broken) > 0 {
-			b.Errorf("rules broken: %v", r.Broken[:min(3, len(r.Broken))])
+			b.Errorf("rules violated: %v", r.Broken[:min(3, len(r.Broken))])
 		}
 		if _, err := p.Stop(); err != nil {
 			b.Fatal(err)
--- a/internal/testkit/benchmarks/takeover.go
+++ b/internal/testkit/benchmarks/takeover.go
@@ -7,8 +7,9 @@
 	"time"
 )
 
-// Takeover measures a service that is replaced under keyed load: by a process that starts beside the old one on the
-// listening socket that both inherit, and, for comparison, by one that is started on the address once the old one has left.
+// Takeover measures the replacement of a service under keyed load: by a process that starts beside the old one on the
+// listening socket that both inherit, and, for comparison, by a process that starts on the address after the old one has
+// ended.
 func Takeover(b *testing.B) {
 	bin, err := Build(b.TempDir())
 	if err != nil {
@@ -17,45 +18,45 @@
 	fmt.Println("\n| replaced | times | tries | not answered | refused or failed | wrong | p50 ms | p99 ms | longest ms | ready after ms |")
 	fmt.Println("|---|---|---|---|---|---|---|---|---|---|")
 	for range 2 {
-		for _, held := range []bool{false, true} {
-			takeover(b, bin, held)
+		for _, overlap := range []bool{false, true} {
+			measureTakeover(b, bin, overlap)
 		}
 	}
 }
 
-func takeover(b *testing.B, bin string, held bool) {
-	const times, every = 5, 3 * time.Second
-	s := Inherit(b, bin, nil, held)
+func measureTakeover(b *testing.B, bin string, overlap bool) {
+	const restarts, interval = 5, 3 * time.Second
+	s := Inherit(b, bin, nil, overlap)
 	old := s.Start()
 	old.Ready(b)
-	l := s.Load(8, 2, 60*time.Millisecond, 1)
-	ready := time.Duration(0)
-	for range times {
-		time.Sleep(every)
+	load := s.Load(8, 2, 60*time.Millisecond, 1)
+	readyTime := time.Duration(0)
+	for range restarts {
+		time.Sleep(interval)
 		began := time.Now()
-		if !held {
+		if !overlap {
 			old.Leave(b)
 		}
 		next := s.Start()
 		next.Ready(b)
-		ready += time.Since(began)
-		if held {
+		readyTime += time.Since(began)
+		if overlap {
 			time.Sleep(500 * time.Millisecond)
 			old.Leave(b)
 		}
 		old = next
 	}
-	time.Sleep(every)
-	wrong := l.End()
+	time.Sleep(interval)
+	wrong := load.End()
 	old.Leave(b)
-	slices.Sort(l.Times)
+	slices.Sort(load.Times)
 	ms := func(q float64) float64 {
-		return float64(l.Times[int(q*float64(len(l.Times)-1))].Microseconds()) / 1000
+		return float64(load.Times[int(q*float64(len(load.Times)-1))].Microseconds()) / 1000
 	}
 	name := "started anew"
-	if held {
+	if overlap {
 		name = "beside the old one"
 	}
-	fmt.Printf("| %s | %d | %d | %d | %d | %d | %.1f | %.1f | %.1f | %d |\n", name, times, len(l.Times), l.Unheard, l.Refused, len(wrong),
-		ms(0.5), ms(0.99), ms(1), ready.Milliseconds()/times)
+	fmt.Printf("| %s | %d | %d | %d | %d | %d | %.1f | %.1f | %.1f | %d |\n", name, restarts, len(load.Times), load.Unheard, load.Refused, len(wrong),
+		ms(0.5), ms(0.99), ms(1), readyTime.Milliseconds()/restarts)
 }
