--- a/internal/testkit/standin/faults/faults.go
+++ b/internal/testkit/standin/faults/faults.go
@@ -29,8 +29,8 @@
 type Fate struct {
 	Of    string        // only messages that contain this text are dropped, held, delayed, duplicated or reordered; empty: all
 	Lost  bool          // messages are dropped silently
-	Held  bool          // messages wait until Held is cleared
-	Delay time.Duration // maximum delay; each message's is drawn uniformly from 0 to Delay
+	Held  bool          // messages wait until the direction's fault no longer holds them
+	Delay time.Duration // maximum delay; each message's is drawn uniformly from 0 up to it
 	Twice float64       // probability that a message is delivered twice
 	Swap  float64       // probability that a message is delivered after the next one
 	Spoil string        // a digit that follows this text in a message is replaced by another digit; empty: none
@@ -62,73 +62,73 @@
 	if err != nil {
 		return nil, err
 	}
-	b := &Between{ln: ln, target: target, messages: messages, changed: make(chan struct{}), rng: rand.New(rand.NewPCG(seed, 17))}
-	go b.accept()
-	return b, nil
+	p := &Between{ln: ln, target: target, messages: messages, changed: make(chan struct{}), rng: rand.New(rand.NewPCG(seed, 17))}
+	go p.accept()
+	return p, nil
 }
 
 // Addr returns the address on which the proxy listens.
-func (b *Between) Addr() string { return b.ln.Addr().String() }
+func (p *Between) Addr() string { return p.ln.Addr().String() }
 
 // To forwards new connections to another address, for example that of a restarted process.
-func (b *Between) To(target string) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.target = target
+func (p *Between) To(target string) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.target = target
 }
 
 // Set replaces the fault of a direction.
-func (b *Between) Set(dir Way, fault Fate) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.faults[dir] = fault
-	close(b.changed)
-	b.changed = make(chan struct{})
+func (p *Between) Set(dir Way, fault Fate) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.faults[dir] = fault
+	close(p.changed)
+	p.changed = make(chan struct{})
 }
 
 // Cut closes all connections and refuses new ones if cut is true, and accepts connections again if it is false.
-func (b *Between) Cut(cut bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.cut = cut
+func (p *Between) Cut(cut bool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.cut = cut
 	if cut {
-		b.closeConns()
+		p.closeConns()
 	}
-	close(b.changed)
-	b.changed = make(chan struct{})
+	close(p.changed)
+	p.changed = make(chan struct{})
 }
 
-func (b *Between) closeConns() {
-	for _, c := range b.conns {
+func (p *Between) closeConns() {
+	for _, c := range p.conns {
 		c.Close()
 	}
-	b.conns = nil
+	p.conns = nil
 }
 
 // Close closes the listener and all connections.
-func (b *Between) Close() {
-	b.ln.Close()
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.closed = true
-	b.closeConns()
-	close(b.changed)
-	b.changed = make(chan struct{})
+func (p *Between) Close() {
+	p.ln.Close()
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.closed = true
+	p.closeConns()
+	close(p.changed)
+	p.changed = make(chan struct{})
 }
 
 // Calls returns the bytes of all calls received so far. It is empty for MessagePack-RPC.
-func (b *Between) Calls() [][]byte {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return slices.Clone(b.calls)
+func (p *Between) Calls() [][]byte {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return slices.Clone(p.calls)
 }
 
 // Again sends the bytes of a call on a new connection, like a network that delivers a delayed duplicate, and returns the
 // answer.
-func (b *Between) Again(call []byte) (string, error) {
-	b.mu.Lock()
-	to := b.target
-	b.mu.Unlock()
+func (p *Between) Again(call []byte) (string, error) {
+	p.mu.Lock()
+	to := p.target
+	p.mu.Unlock()
 	conn, err := net.DialTimeout("tcp", to, time.Second)
 	if err != nil {
 		return "", err
@@ -142,15 +142,15 @@
 	return string(answer), err
 }
 
-func (b *Between) accept() {
+func (p *Between) accept() {
 	for {
-		in, err := b.ln.Accept()
+		in, err := p.ln.Accept()
 		if err != nil {
 			return
 		}
-		b.mu.Lock()
-		target, cut := b.target, b.cut || b.closed
-		b.mu.Unlock()
+		p.mu.Lock()
+		target, cut := p.target, p.cut || p.closed
+		p.mu.Unlock()
 		if cut {
 			in.Close()
 			continue
@@ -161,18 +161,18 @@
 				in.Close()
 				return
 			}
-			b.mu.Lock()
-			if b.cut || b.closed {
-				b.mu.Unlock()
+			p.mu.Lock()
+			if p.cut || p.closed {
+				p.mu.Unlock()
 				in.Close()
 				out.Close()
 				return
 			}
-			b.conns = append(b.conns, in, out)
-			b.mu.Unlock()
+			p.conns = append(p.conns, in, out)
+			p.mu.Unlock()
 			var wg sync.WaitGroup
-			wg.Go(func() { b.forward(in, out, There) })
-			wg.Go(func() { b.forward(out, in, Back) })
+			wg.Go(func() { p.forward(in, out, There) })
+			wg.Go(func() { p.forward(out, in, Back) })
 			wg.Wait()
 			in.Close()
 			out.Close()
@@ -181,8 +181,8 @@
 }
 
 // readNext reads the next whole message or, if connections carry calls, the bytes that are available.
-func (b *Between) readNext(r *bufio.Reader, chunk []byte) ([]byte, error) {
-	if b.messages {
+func (p *Between) readNext(r *bufio.Reader, chunk []byte) ([]byte, error) {
+	if p.messages {
 		return msgpackrpc.ReadMessage(r, maxMessageBytes)
 	}
 	n, err := r.Read(chunk)
@@ -190,39 +190,39 @@
 }
 
 // forward copies one direction of a connection with its faults applied, until the sender closes it or an error occurs.
-func (b *Between) forward(from, to net.Conn, dir Way) {
+func (p *Between) forward(from, to net.Conn, dir Way) {
 	defer func() {
 		if tcp, ok := to.(*net.TCPConn); ok {
 			tcp.CloseWrite()
 		}
-		b.removeConn(from)
+		p.removeConn(from)
 	}()
 	r := bufio.NewReader(from)
 	chunk := make([]byte, 4<<10)
 	var delayed []byte // a message that is to be delivered after the next one
 	for n := 0; ; n++ {
-		m, err := b.readNext(r, chunk)
+		m, err := p.readNext(r, chunk)
 		if len(m) == 0 && err != nil {
 			if delayed != nil {
 				_, _ = to.Write(delayed)
 			}
 			return
 		}
-		if n == 0 && dir == There && !b.messages {
-			b.mu.Lock()
-			b.calls = append(b.calls, m)
-			b.mu.Unlock()
+		if n == 0 && dir == There && !p.messages {
+			p.mu.Lock()
+			p.calls = append(p.calls, m)
+			p.mu.Unlock()
 		}
-		drop, duplicate, reorder := b.faultFor(dir, m)
-		b.corrupt(dir, m)
+		drop, duplicate, reorder := p.faultFor(dir, m)
+		p.corrupt(dir, m)
 		switch {
 		case drop:
 			continue
-		case reorder && delayed == nil && b.messages:
+		case reorder && delayed == nil && p.messages:
 			delayed = m
 			continue
 		}
-		if err := deliver(to, m, duplicate && b.messages, delayed); err != nil {
+		if err := deliver(to, m, duplicate && p.messages, delayed); err != nil {
 			from.Close()
 			return
 		}
@@ -245,13 +245,13 @@
 }
 
 // faultFor blocks while m is held or delayed, and draws which of the direction's faults apply to it.
-func (b *Between) faultFor(dir Way, m []byte) (drop, duplicate, reorder bool) {
+func (p *Between) faultFor(dir Way, m []byte) (drop, duplicate, reorder bool) {
 	for {
-		b.mu.Lock()
-		fault, changed, closed := b.faults[dir], b.changed, b.closed
-		delay := time.Duration(b.rng.Float64() * float64(fault.Delay))
-		duplicate, reorder = b.rng.Float64() < fault.Twice, b.rng.Float64() < fault.Swap
-		b.mu.Unlock()
+		p.mu.Lock()
+		fault, changed, closed := p.faults[dir], p.changed, p.closed
+		delay := time.Duration(p.rng.Float64() * float64(fault.Delay))
+		duplicate, reorder = p.rng.Float64() < fault.Twice, p.rng.Float64() < fault.Swap
+		p.mu.Unlock()
 		if fault.Of != "" && !bytes.Contains(m, []byte(fault.Of)) {
 			return false, false, false
 		}
@@ -266,11 +266,11 @@
 	}
 }
 
-// corrupt replaces digits in m as the direction's Spoil says. The length of m stays the same.
-func (b *Between) corrupt(dir Way, m []byte) {
-	b.mu.Lock()
-	after := []byte(b.faults[dir].Spoil)
-	b.mu.Unlock()
+// corrupt replaces digits in m as the direction's fault says. The length of m stays the same.
+func (p *Between) corrupt(dir Way, m []byte) {
+	p.mu.Lock()
+	after := []byte(p.faults[dir].Spoil)
+	p.mu.Unlock()
 	if len(after) == 0 {
 		return
 	}
@@ -285,10 +285,10 @@
 	}
 }
 
-func (b *Between) removeConn(c net.Conn) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if i := slices.Index(b.conns, c); i >= 0 {
-		b.conns = slices.Delete(b.conns, i, i+1)
+func (p *Between) removeConn(c net.Conn) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if i := slices.Index(p.conns, c); i >= 0 {
+		p.conns = slices.Delete(p.conns, i, i+1)
 	}
 }
