--- a/internal/testkit/benchmarks/operators.go
+++ b/internal/testkit/benchmarks/operators.go
@@ -90,9 +90,9 @@
 	slow := 0
 	time.Sleep(time.Second)
 	for time.Now().Before(end.Add(-time.Second)) {
-		began := time.Now()
+		startedAt := time.Now()
 		code := p.Call("GET /api/ready")
-		took := time.Since(began)
+		took := time.Since(startedAt)
 		if code != 200 || took > time.Second {
 			slow++
 		}
--- a/internal/testkit/benchmarks/overload.go
+++ b/internal/testkit/benchmarks/overload.go
@@ -136,7 +136,7 @@
 func (r *scenarioResult) watchLimit(proc *Process, i *builtinworker.Interpreter, stop <-chan struct{}) {
 	tick := time.NewTicker(250 * time.Millisecond)
 	defer tick.Stop()
-	began, lastKnee, movedAt := time.Now(), i.Knee(), time.Now()
+	startedAt, lastKnee, movedAt := time.Now(), i.Knee(), time.Now()
 	var nearSince time.Time
 	done := false
 	for {
@@ -155,7 +155,7 @@
 		if json.Unmarshal(body, &st) != nil {
 			continue
 		}
-		if n := int(time.Since(began) / time.Second); n >= len(r.limits) {
+		if n := int(time.Since(startedAt) / time.Second); n >= len(r.limits) {
 			r.limits = append(r.limits, math.Round(10*st.Limit.All)/10)
 		}
 		if k := i.Knee(); k != lastKnee {
--- a/internal/testkit/benchmarks/powerloss.go
+++ b/internal/testkit/benchmarks/powerloss.go
@@ -84,29 +84,29 @@
 	writtenBytes := d.Servers[0].written()
 	time.Sleep(2 * time.Second)
 	writtenBytes = d.Servers[0].written() - writtenBytes
-	var reads, sheets []time.Duration
+	var readTimes, keyedTimes []time.Duration
 	for n := range losses {
 		stop := make(chan struct{})
 		var wg sync.WaitGroup
 		for c := range 12 {
-			wg.Go(func() { d.sendSheets(stop, fmt.Sprintf("%d-%d", n, c), rand.New(rand.NewPCG(uint64(n), uint64(c)))) })
+			wg.Go(func() { d.sendKeyed(stop, fmt.Sprintf("%d-%d", n, c), rand.New(rand.NewPCG(uint64(n), uint64(c)))) })
 		}
 		time.Sleep(time.Duration(400+rng.IntN(400)) * time.Millisecond)
-		read, sheet, err := d.loseAndRestart(n+1, rng)
+		read, keyed, err := d.loseAndRestart(n+1, rng)
 		if err != nil {
 			b.Fatal(err)
 		}
-		reads, sheets = append(reads, read), append(sheets, sheet)
+		readTimes, keyedTimes = append(readTimes, read), append(keyedTimes, keyed)
 		close(stop)
 		wg.Wait()
 	}
 	twice, _ := d.Twice()
-	slices.Sort(reads)
-	slices.Sort(sheets)
+	slices.Sort(readTimes)
+	slices.Sort(keyedTimes)
 	ms := func(l []time.Duration) string {
 		return fmt.Sprintf("%d, %d", l[len(l)/2].Milliseconds(), l[len(l)-1].Milliseconds())
 	}
-	fmt.Printf("| %s | %d | %d | %d | %d | %s | %s | %d bytes/s |\n", name, losses, len(d.results), twice, len(d.wrong), ms(reads), ms(sheets), writtenBytes/2)
+	fmt.Printf("| %s | %d | %d | %d | %d | %s | %s | %d bytes/s |\n", name, losses, len(d.results), twice, len(d.wrong), ms(readTimes), ms(keyedTimes), writtenBytes/2)
 	if store && (twice > 0 || len(d.wrong) > 0) {
 		b.Error(twice, d.wrong[:min(4, len(d.wrong))])
 	}
@@ -114,7 +114,7 @@
 
 // loseAndRestart kills all processes at once and restarts them in random order. It returns how long after the last one's start the first
 // krog request and the first new oddaja request were served, or a minute if none was.
-func (d *powerLossFleet) loseAndRestart(n int, rng *rand.Rand) (firstRead, firstSheet time.Duration, err error) {
+func (d *powerLossFleet) loseAndRestart(n int, rng *rand.Rand) (firstRead, firstKeyed time.Duration, err error) {
 	processes := append(slices.Clone(d.Routers), d.Servers...)
 	for _, p := range processes {
 		_ = p.Signal(9)
@@ -143,10 +143,10 @@
 			errs <- d.restartAt(i-len(d.Routers), 0)
 		})
 	}
-	began := time.Now()
+	startedAt := time.Now()
 	timeFirstServed := func(class string, out *time.Duration) func() {
 		return func() {
-			for k := 0; time.Since(began) < time.Minute; k++ {
+			for k := 0; time.Since(startedAt) < time.Minute; k++ {
 				d.mu.Lock()
 				to := d.Routers[k%len(d.Routers)].Platform
 				d.mu.Unlock()
@@ -155,7 +155,7 @@
 					q.Key = string(q.Body)
 				}
 				if a, err := client.Do(client.Platform, to, q); err == nil && a.Outcome == "served" {
-					*out = time.Since(began)
+					*out = time.Since(startedAt)
 					return
 				}
 				time.Sleep(5 * time.Millisecond)
@@ -164,7 +164,7 @@
 		}
 	}
 	wg.Go(timeFirstServed("krog", &firstRead))
-	wg.Go(timeFirstServed("oddaja", &firstSheet))
+	wg.Go(timeFirstServed("oddaja", &firstKeyed))
 	wg.Wait()
 	for range processes {
 		if e := <-errs; e != nil && err == nil {
@@ -172,13 +172,13 @@
 		}
 	}
 	time.Sleep(200 * time.Millisecond)
-	return firstRead, firstSheet, err
+	return firstRead, firstKeyed, err
 }
 
-// sendSheets sends oddaja requests, each one to four times and through random routers, until stop is closed.
-func (d *powerLossFleet) sendSheets(stop chan struct{}, name string, rng *rand.Rand) {
+// sendKeyed sends oddaja requests, each one to four times and through random routers, until stop is closed.
+func (d *powerLossFleet) sendKeyed(stop chan struct{}, name string, rng *rand.Rand) {
 	for n := 0; ; n++ {
-		sheet := fmt.Sprintf("oddaja-%s-%d", name, n)
+		key := fmt.Sprintf("oddaja-%s-%d", name, n)
 		for range 1 + rng.IntN(4) {
 			select {
 			case <-stop:
@@ -188,15 +188,15 @@
 			d.mu.Lock()
 			to := d.Routers[rng.IntN(len(d.Routers))].Platform
 			d.mu.Unlock()
-			a, err := client.Do(client.Platform, to, client.Request{Class: "oddaja", Tenant: []string{"t", "u"}[n%2], Key: sheet, Body: []byte(sheet), Timeout: 2 * time.Second})
+			a, err := client.Do(client.Platform, to, client.Request{Class: "oddaja", Tenant: []string{"t", "u"}[n%2], Key: key, Body: []byte(key), Timeout: 2 * time.Second})
 			if err != nil || a.Outcome != "served" {
 				continue
 			}
 			d.mu.Lock()
-			if first := d.results[sheet]; first != "" && first != string(a.Body) {
-				d.wrong = append(d.wrong, fmt.Sprintf("%s: %q and %q", sheet, first, a.Body))
+			if previous := d.results[key]; previous != "" && previous != string(a.Body) {
+				d.wrong = append(d.wrong, fmt.Sprintf("%s: %q and %q", key, previous, a.Body))
 			}
-			d.results[sheet] = string(a.Body)
+			d.results[key] = string(a.Body)
 			d.mu.Unlock()
 		}
 	}
--- a/internal/testkit/benchmarks/refusal.go
+++ b/internal/testkit/benchmarks/refusal.go
@@ -25,12 +25,12 @@
 	h = hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)
 	var mu sync.Mutex
 	var wg sync.WaitGroup
-	began := time.Now()
+	startedAt := time.Now()
 	for w := range workers {
 		wg.Go(func() {
 			for n := w; ; n += workers {
-				due := began.Add(time.Duration(float64(n) / rate * float64(time.Second)))
-				if due.Sub(began) >= d {
+				due := startedAt.Add(time.Duration(float64(n) / rate * float64(time.Second)))
+				if due.Sub(startedAt) >= d {
 					return
 				}
 				time.Sleep(time.Until(due))
--- a/internal/testkit/benchmarks/takeover.go
+++ b/internal/testkit/benchmarks/takeover.go
@@ -33,13 +33,13 @@
 	readyTime := time.Duration(0)
 	for range restarts {
 		time.Sleep(interval)
-		began := time.Now()
+		startedAt := time.Now()
 		if !overlap {
 			old.Leave(b)
 		}
 		next := s.Start()
 		next.Ready(b)
-		readyTime += time.Since(began)
+		readyTime += time.Since(startedAt)
 		if overlap {
 			time.Sleep(500 * time.Millisecond)
 			old.Leave(b)
--- a/internal/testkit/conformance/rules_test.go
+++ b/internal/testkit/conformance/rules_test.go
@@ -40,14 +40,14 @@
 // attempt is one attempt of a request by a caller, and reply is the answer that the caller reads.
 type attempt struct {
 	class, key, body string
-	wait             time.Duration
+	timeout          time.Duration
 }
 
 type reply struct {
-	outcome core.Outcome
-	body    string
-	retry   time.Duration
-	at      time.Time
+	outcome    core.Outcome
+	body       string
+	retryAfter time.Duration
+	at         time.Time
 }
 
 // driver is a stand-in caller of one front.
@@ -69,7 +69,7 @@
 	},
 	write: func(t attempt, seq int) []byte {
 		fields := []string{"i", fmt.Sprintf("%016x", seq), "s", strconv.FormatInt(time.Now().UnixMilli(), 10),
-			"d", strconv.FormatInt(t.wait.Milliseconds(), 10), "m", "20", "f", "1", "t", "acme", "p", "0.5"}
+			"d", strconv.FormatInt(t.timeout.Milliseconds(), 10), "m", "20", "f", "1", "t", "acme", "p", "0.5"}
 		if t.key != "" {
 			fields = append(fields, "k", t.key)
 		}
@@ -81,7 +81,7 @@
 			if err != nil || a.Notification == "" {
 				ms, _ := strconv.Atoi(a.Fields["w"])
 				out := map[string]core.Outcome{"": core.Served, "Full": core.Rejected, "Error": core.Failed}[a.Error]
-				return reply{outcome: out, body: string(a.Body), retry: time.Duration(ms) * time.Millisecond}, err
+				return reply{outcome: out, body: string(a.Body), retryAfter: time.Duration(ms) * time.Millisecond}, err
 			}
 		}
 	},
@@ -94,7 +94,7 @@
 	},
 	write: func(t attempt, _ int) []byte {
 		headers := []string{"REQUEST_METHOD", "POST", "PATH_INFO", "/" + t.class, "HTTP_X_TENANT", "acme",
-			"HTTP_X_TIMEOUT_MS", strconv.FormatInt(t.wait.Milliseconds(), 10)}
+			"HTTP_X_TIMEOUT_MS", strconv.FormatInt(t.timeout.Milliseconds(), 10)}
 		if t.key != "" {
 			headers = append(headers, "HTTP_IDEMPOTENCY_KEY", t.key)
 		}
@@ -111,7 +111,7 @@
 		if a.Status == 200 {
 			body = string(a.Body)
 		}
-		return reply{outcome: out, body: body, retry: a.RetryAfter}, err
+		return reply{outcome: out, body: body, retryAfter: a.RetryAfter}, err
 	},
 	malformed:  []byte("12x:garbage"),
 	retryFloor: time.Second,
@@ -229,8 +229,8 @@
 
 func (s *testService) send(t attempt) *testCaller {
 	s.t.Helper()
-	if t.wait == 0 {
-		t.wait = deadline
+	if t.timeout == 0 {
+		t.timeout = deadline
 	}
 	s.seq++
 	return s.sendBytes(s.driver.write(t, s.seq))
@@ -335,12 +335,12 @@
 		s.expectRuns()
 	}},
 	{"exactly one answer arrives by the deadline while the run continues", func(s *testService) {
-		c := s.send(attempt{class: "oddaja", key: "k", body: "x", wait: time.Second})
-		began := time.Now()
+		c := s.send(attempt{class: "oddaja", key: "k", body: "x", timeout: time.Second})
+		startedAt := time.Now()
 		r := s.expectRuns("x")[0]
 		s.advance(1050 * time.Millisecond)
-		if a := s.expectReply(c, core.Failed, ""); a.at.Sub(began) > time.Second {
-			s.t.Fatalf("answered after %v, want at most 1s", a.at.Sub(began))
+		if a := s.expectReply(c, core.Failed, ""); a.at.Sub(startedAt) > time.Second {
+			s.t.Fatalf("answered after %v, want at most 1s", a.at.Sub(startedAt))
 		}
 		s.endRun(r, silverpath.OK, "late")
 		s.advance(deadline)
@@ -353,16 +353,16 @@
 		}
 	}},
 	{"a request that is already due when it is read is answered at once and not run", func(s *testService) {
-		s.expectReply(s.send(attempt{class: "oddaja", key: "k", body: "x", wait: 15 * time.Millisecond}), core.Failed, "")
-		s.expectReply(s.send(attempt{class: "lestvica", body: "y", wait: time.Millisecond}), core.Failed, "")
+		s.expectReply(s.send(attempt{class: "oddaja", key: "k", body: "x", timeout: 15 * time.Millisecond}), core.Failed, "")
+		s.expectReply(s.send(attempt{class: "lestvica", body: "y", timeout: time.Millisecond}), core.Failed, "")
 		s.expectRuns()
 		a := s.send(attempt{class: "oddaja", key: "k", body: "x"}) // the earlier attempt did not run
 		s.endRun(s.expectRuns("x")[0], silverpath.OK, "done")
 		s.expectReply(a, core.Served, "done")
-		s.expectReply(s.send(attempt{class: "oddaja", key: "k", body: "x", wait: 15 * time.Millisecond}), core.Served, "done")
+		s.expectReply(s.send(attempt{class: "oddaja", key: "k", body: "x", timeout: 15 * time.Millisecond}), core.Served, "done")
 	}},
 	{"a run that ends after the deadline serves the retry", func(s *testService) {
-		c := s.send(attempt{class: "oddaja", key: "k", body: "x", wait: time.Second})
+		c := s.send(attempt{class: "oddaja", key: "k", body: "x", timeout: time.Second})
 		r := s.expectRuns("x")[0]
 		s.advance(1050 * time.Millisecond)
 		s.expectReply(c, core.Failed, "")
@@ -381,7 +381,7 @@
 	}},
 	{"an attempt that joined a run fails at its deadline if the run does not end", func(s *testService) {
 		s.send(attempt{class: "oddaja", key: "k", body: "x"})
-		b := s.send(attempt{class: "oddaja", key: "k", body: "x", wait: time.Second})
+		b := s.send(attempt{class: "oddaja", key: "k", body: "x", timeout: time.Second})
 		s.advance(time.Second)
 		s.expectReply(b, core.Failed, "")
 		s.expectRuns("x")
@@ -498,7 +498,7 @@
 	}},
 	{"a call that does not end is abandoned in time for the answer", func(s *testService) {
 		s.dependency.delay = time.Hour
-		c := s.send(attempt{class: "lestvica", body: "x", wait: time.Second})
+		c := s.send(attempt{class: "lestvica", body: "x", timeout: time.Second})
 		s.worker.RunNeedsCall(s.expectRuns("x")[0].id, []byte("ask"))
 		s.advance(time.Second)
 		s.expectReply(c, core.Failed, "")
@@ -517,8 +517,8 @@
 		for _, c := range all {
 			select {
 			case a := <-c.replies:
-				if a.outcome != core.Rejected || a.retry < s.driver.retryFloor {
-					s.t.Fatalf("answer %v with retry delay %v, want a rejection with at least the front's shortest retry delay", a.outcome, a.retry)
+				if a.outcome != core.Rejected || a.retryAfter < s.driver.retryFloor {
+					s.t.Fatalf("answer %v with retry delay %v, want a rejection with at least the front's shortest retry delay", a.outcome, a.retryAfter)
 				}
 				refused++
 			default:
@@ -567,10 +567,10 @@
 		s.core.Drain(stopAfter)
 		s.advance(drainGrace / 2)
 		s.seq++
-		early := s.driver.write(attempt{class: "oddaja", key: "early", body: "x", wait: deadline}, s.seq)
+		early := s.driver.write(attempt{class: "oddaja", key: "early", body: "x", timeout: deadline}, s.seq)
 		s.advance(drainGrace/2 - 50*time.Millisecond)
 		s.seq++
-		late := s.driver.write(attempt{class: "oddaja", key: "k", body: "x", wait: deadline}, s.seq)
+		late := s.driver.write(attempt{class: "oddaja", key: "k", body: "x", timeout: deadline}, s.seq)
 		s.advance(100 * time.Millisecond)
 		s.expectReply(s.sendBytes(late), core.Rejected, "")
 		s.expectReply(s.sendBytes(early), core.Rejected, "")
@@ -586,7 +586,7 @@
 		s.expectRuns("x")
 	}},
 	{"drain: every request is answered before the stop although its run continues", func(s *testService) {
-		a := s.send(attempt{class: "oddaja", key: "k", body: "x", wait: time.Minute})
+		a := s.send(attempt{class: "oddaja", key: "k", body: "x", timeout: time.Minute})
 		s.core.Drain(stopAfter)
 		s.advance(stopAfter - 60*time.Millisecond)
 		s.expectReply(a, core.Failed, "")
@@ -596,7 +596,7 @@
 	}},
 	{"drain: every request is answered before the stop although its call to the dependency is pending", func(s *testService) {
 		s.dependency.delay = time.Hour
-		a := s.send(attempt{class: "zapis", body: "x", wait: time.Minute})
+		a := s.send(attempt{class: "zapis", body: "x", timeout: time.Minute})
 		s.worker.RunNeedsCall(s.expectRuns("x")[0].id, []byte("ask"))
 		s.advance(time.Second)
 		s.core.Drain(stopAfter)
@@ -610,7 +610,7 @@
 		a := s.send(attempt{class: "lestvica", body: "x"})
 		g := s.sendBytes(s.driver.malformed)
 		s.advance(time.Second)
-		for range g.replies { // whatever it is told, its connection ends
+		for range g.replies { // wait for the connection's end, with or without an answer
 		}
 		if n := s.stats.Get("malformed", s.driver.name); n != 1 {
 			s.t.Fatalf("malformed counter is %d, want 1", n)
@@ -629,24 +629,24 @@
 	}},
 	{"a connection that sends nothing or part of a request is closed within 3 s", func(s *testService) {
 		whole := s.driver.write(attempt{class: "oddaja", key: "k", body: "body"}, 1)
-		began := time.Now()
+		startedAt := time.Now()
 		var all []*testCaller
 		for _, b := range [][]byte{nil, whole[:1], whole[:len(whole)/2], whole[:len(whole)-1]} {
 			all = append(all, s.sendBytes(b))
 		}
-		good := s.send(attempt{class: "lestvica", body: "x", wait: time.Minute})
+		good := s.send(attempt{class: "lestvica", body: "x", timeout: time.Minute})
 		for _, c := range all {
-			for range c.replies { // whatever it is told, its connection ends
+			for range c.replies { // wait for the connection's end, with or without an answer
 			}
 		}
-		if d := time.Since(began); d > 3*time.Second {
+		if d := time.Since(startedAt); d > 3*time.Second {
 			s.t.Fatalf("closed after %v, want at most 3s", d)
 		}
 		s.endRun(s.expectRuns("x")[0], silverpath.OK, "done")
 		s.expectReply(good, core.Served, "done")
 	}},
-	{"truncated requests are never run", func(s *testService) {
-		whole := s.driver.write(attempt{class: "oddaja", key: "k", body: "body", wait: deadline}, 1)
+	{"requests truncated at any byte are never run", func(s *testService) {
+		whole := s.driver.write(attempt{class: "oddaja", key: "k", body: "body", timeout: deadline}, 1)
 		for n := range len(whole) {
 			s.sendBytes(whole[:n]).disconnect()
 		}
@@ -741,9 +741,9 @@
 
 // openStore attaches an idempotency store to the worker. The returned function closes the store.
 func (s *testService) openStore() func() {
-	began, clock := time.Now(), idempotencystore.Now
+	startedAt, clock := time.Now(), idempotencystore.Now
 	idempotencystore.Now = func() idempotency.Clock {
-		return idempotency.Clock{Boot: "bubble", SinceBoot: time.Hour + time.Since(began)}
+		return idempotency.Clock{Boot: "bubble", SinceBoot: time.Hour + time.Since(startedAt)}
 	}
 	dir := s.t.TempDir()
 	if err := idempotencystore.Init(dir, "edge"); err != nil {
--- a/internal/testkit/hollow/router.go
+++ b/internal/testkit/hollow/router.go
@@ -79,8 +79,8 @@
 	quota     configwatch.QuotaClient
 }
 
-// newWatcher returns a watcher that checks and applies cfg.Docs the way the service does. Reconfigure applies a classes document and
-// updateRouting a routing document; either may be nil. The map can be followed only if gm is not nil. It returns an error for a document that
+// newWatcher returns a watcher that checks and applies cfg.Docs the way the service does. It applies a classes document with
+// reconfigure and a routing document with updateRouting; either may be nil. The map can be followed only if gm is not nil. It returns an error for a document that
 // the process can't apply.
 func newWatcher(cfg FollowerConfig, reconfigure func(silverpath.Settings) error, updateRouting func(settings.Router), gm *groupMap, s *metrics.Counters) (*configwatch.Watcher, error) {
 	var mu sync.Mutex
