--- a/cmd/silverpath/crossings_test.go
+++ b/cmd/silverpath/crossings_test.go
@@ -56,7 +56,7 @@
 			}
 		}
 		for _, m := range rulePattern.FindAllStringSubmatch(cells[4], -1) {
-			if n++; !strings.Contains(testSource, `{"`+m[1]+`", func(e *edge)`) {
+			if n++; !strings.Contains(testSource, `{"`+m[1]+`", func(s *testService)`) {
 				t.Errorf("rule %q does not exist: %s", m[1], row)
 			}
 		}
