--- a/internal/testkit/benchmarks/parts.go
+++ b/internal/testkit/benchmarks/parts.go
@@ -30,8 +30,9 @@
 	"silverpath/internal/testkit/hollow"
 )
 
-// Parts measures a map that a group agrees on, by the tenants in it and with faults, beside the program as it was (SILVERPATH_BASELINE).
-// What came of each change is added to the plays in docs/results/parts.json, or where SILVERPATH_PARTS says.
+// Parts measures how long a change of the map takes to reach every process of a group and what it costs, by
+// number of tenants and under faults. SILVERPATH_BASELINE names an older program to compare with. The results
+// are appended to docs/results/parts.json, or to the file that SILVERPATH_PARTS names.
 func Parts(b *testing.B) {
 	p := &partsBench{b: b, file: os.Getenv("SILVERPATH_PARTS"), hollow: number("SILVERPATH_FOLLOWERS", 300), small: max(1, number("SILVERPATH_SMALL", 1)),
 		base: os.Getenv("SILVERPATH_BASELINE")}
@@ -62,7 +63,7 @@
 	} {
 		b.Run(part.name, func(b *testing.B) {
 			if p.b = b; part.name == "baseline" && p.base == "" {
-				b.Skip("SILVERPATH_BASELINE names no program")
+				b.Skip("SILVERPATH_BASELINE is not set")
 			}
 			began := time.Now()
 			if err := part.run(); err != nil {
@@ -83,13 +84,14 @@
 	partsLease    = 3 * time.Second
 	partsRest     = 8 * time.Second
 	partsSettle   = 3 * time.Second
-	partsEach     = 5 // changes at each size
+	partsEach     = 5 // changes per map size
 	partsBound    = 8 * time.Second
 	partsPatience = 40 * time.Second
-	partsADay     = 1600
+	partsADay     = 1600 // changes a day
 )
 
-// partsSizes are the tenants of the maps, or those that SILVERPATH_TENANTS names.
+// partsSizes returns the numbers of tenants to measure: those that SILVERPATH_TENANTS lists, else the
+// default.
 func partsSizes() (list []int) {
 	for _, text := range strings.Split(os.Getenv("SILVERPATH_TENANTS"), ",") {
 		if n, err := strconv.Atoi(text); err == nil {
@@ -102,18 +104,19 @@
 	return list
 }
 
+// partsSite is the configuration of the real routers.
 var partsSite = Site{Cores: 256, MemoryKB: 1 << 20, ProcMB: scaleMB, Sockets: 4096}
 
-// partsBench is one run.
+// partsBench is the state of one run of the Parts benchmark.
 type partsBench struct {
 	b                 *testing.B
 	bin, base, file   string
 	hollow, small, no int
 	res               partsResults
-	plays             []partsResults // before this one
+	plays             []partsResults // of earlier runs, read from file
 }
 
-// partsResults is what one run came to.
+// partsResults holds the results of one run, as they are stored in the results file.
 type partsResults struct {
 	Command, Machine, Program, Baseline string
 	Hollow, Real                        int
@@ -122,48 +125,50 @@
 	Fleet                               []partsStretch
 }
 
-// partsCost is what a process used: of the real routers the one that used most, and of the members the leader.
+// partsCost is the resource use of a process: for routers, the highest of the real ones, and for members, the
+// leader's.
 type partsCost struct {
-	CPU      float64 // a second, as a share of a core
-	In, Out  float64 // KB a second
+	CPU      float64 // cores
+	In, Out  float64 // KB/s
 	Resident float64 // MB
 }
 
-// partsSize is a size of the map.
+// partsSize holds the results for one map size.
 type partsSize struct {
 	Build    string
 	Tenants  int
-	Text     int // bytes of its file
-	Refused  string
-	Import   float64 // seconds from the put until it was in force everywhere
-	Changed  float64 // mean of the same of a change of one tenant
+	Text     int     // size of the map file in bytes
+	Refused  string  // why the baseline program rejected the map
+	Import   float64 // seconds from the start of the put until every process acted on the map
+	Changed  float64 // mean of the same time for a change of one tenant
 	Router   partsCost
 	Leader   partsCost
-	Plain    partsCost // of a router with the same map in a file, which knows no group
-	Hollow   float64   // of a hollow follower, which does nothing else: its share of a core at rest
-	CPUEach  float64   // ms of a router for one change, beyond its rest
-	KBEach   float64
-	LeadCPU  float64 // ms of the leader for one change, beyond its rest
-	LeadKB   float64
-	CPUDay   float64 // foretold for 1,600 changes a day: a share of a core
-	KBDay    float64 // KB a second
-	Slowest  float64 // of the changes, in force everywhere
+	Plain    partsCost // of a router that reads the same map from a file, without a group
+	Hollow   float64   // cores that one idle hollow follower uses
+	CPUEach  float64   // CPU ms of a router per change, above idle
+	KBEach   float64   // KB of a router per change, above idle
+	LeadCPU  float64   // CPU ms of the leader per change, above idle
+	LeadKB   float64   // KB of the leader per change, above idle
+	CPUDay   float64   // projected cores of a router at partsADay changes a day
+	KBDay    float64   // projected KB/s of a router at partsADay changes a day
+	Slowest  float64   // seconds of the slowest change until every process acted on it
 	Failures []string
 }
 
-// partsStretch is some changes after each other.
+// partsStretch holds the results of a series of changes.
 type partsStretch struct {
 	Build, Name string
 	Changes     []partsChange
 	Router      partsCost
-	Leader      partsCost // of the members that lived through it, the one that used most
-	Back        float64   // seconds until all that were started anew acted on what was in force
+	Leader      partsCost // the highest of the members that ran the whole time
+	Back        float64   // seconds until all restarted hollow followers acted on a version; 0: none restarted
 	Failures    []string
 }
 
-// partsChange is one: seconds from when it was due.
+// partsChange holds the times of one change, in seconds since its scheduled time. Negative: the change was
+// not accepted, or not every process acted on it in time.
 type partsChange struct {
-	Accepted, InForce float64 // InForce is under 0 where it was not everywhere in the time there was
+	Accepted, InForce float64
 	Tries             int
 }
 
@@ -175,28 +180,31 @@
 	return os.WriteFile(p.file, append(text, '\n'), 0o644)
 }
 
-// dir is a folder of its own.
+// dir creates a new directory and returns its path.
 func (p *partsBench) dir() string {
 	p.no++
 	dir := filepath.Join(p.b.TempDir(), fmt.Sprint("d", p.no))
 	if err := os.MkdirAll(dir, 0o700); err != nil {
-		panic(err) // the folder above it is the benchmark's own
+		panic(err) // the parent is a temporary directory of this benchmark
 	}
 	return dir
 }
 
-// ---- A group whose members are asked at their own addresses ----
+// ---- Group ----
 
+// partsGroup is a group of three members on loopback, without proxies in between.
 type partsGroup struct {
 	bin      string
 	dir      string
 	addrs    []string
-	reserved []*harness.Reservation // of addrs, until close
+	reserved []*harness.Reservation // of addrs, released by close
 	files    []string
 	members  []*harness.Process
 	client   *quorum.Client
 }
 
+// newPartsGroup starts the members, founds the group and waits for a leader. The caller closes the group,
+// also after an error.
 func newPartsGroup(bin, dir string) (*partsGroup, error) {
 	g := &partsGroup{bin: bin, dir: dir, members: make([]*harness.Process, 3)}
 	for range g.members {
@@ -228,7 +236,7 @@
 	return g, err
 }
 
-// start starts a member on the disk that it has.
+// start starts a member on its existing data directory.
 func (g *partsGroup) start(i int) (err error) {
 	if g.members[i], err = starter(g.bin)([]string{"quorum", "--config", g.files[i]}); err == nil {
 		_, err = g.members[i].Await(10*time.Second, 0, "group.listening")
@@ -250,7 +258,7 @@
 	}
 }
 
-// leader waits for a member that leads, and says which.
+// leader waits up to 15 s for a leader that answers reads and returns its index.
 func (g *partsGroup) leader() (int, error) {
 	for end := time.Now().Add(15 * time.Second); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		for i, a := range g.addrs {
@@ -265,12 +273,13 @@
 			cancel()
 		}
 	}
-	return 0, errors.New("no member leads")
+	return 0, errors.New("no leader within 15 s")
 }
 
 var proposed = regexp.MustCompile(`version (\d+) proposed`)
 
-// put runs the command that changes a document, which does not wait, and says which version it was given.
+// put runs "rules put" for a document without waiting for the change to become active, and returns the
+// proposed version.
 func (g *partsGroup) put(doc, file string) (version int, err error) {
 	c, err := starter(g.bin)([]string{"rules", "put", doc, file, "--group", "test", "--members", strings.Join(g.addrs, ","), "--within", "20s"})
 	if err != nil {
@@ -281,23 +290,24 @@
 	}
 	m := proposed.FindStringSubmatch(c.Log())
 	if m == nil {
-		return 0, fmt.Errorf("no version in %q", c.Log())
+		return 0, fmt.Errorf("no version in output of rules put: %q", c.Log())
 	}
 	_, _ = fmt.Sscan(m[1], &version)
 	return version, nil
 }
 
-// ---- Pipes that count ----
+// ---- Byte-counting proxies ----
 
-// pipe passes on to a member, and counts.
+// pipe is a TCP proxy to a member that counts the bytes in each direction.
 type pipe struct {
 	ln      net.Listener
 	to      string
-	in, out *atomic.Int64 // of who connects
+	in, out *atomic.Int64 // bytes that the client received and sent
 	mu      sync.Mutex
-	conns   map[net.Conn]bool // nil: closed
+	conns   map[net.Conn]bool // nil once closed
 }
 
+// newPipe listens on a loopback port and forwards each connection to the address.
 func newPipe(to string, in, out *atomic.Int64) (*pipe, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -316,6 +326,7 @@
 	return p, nil
 }
 
+// carry forwards one connection in both directions until either side ends.
 func (p *pipe) carry(c net.Conn) {
 	defer c.Close()
 	d, err := net.Dial("tcp", p.to)
@@ -340,6 +351,7 @@
 	<-done
 }
 
+// keep registers connections for close to close. It returns false if the pipe is closed already.
 func (p *pipe) keep(list ...net.Conn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -369,12 +381,13 @@
 	p.conns = nil
 }
 
+// counted is a connection that adds the bytes written to a counter.
 type counted struct {
 	net.Conn
 	n *atomic.Int64
 }
 
-// Write counts the bytes before they go out: who has read them finds them counted.
+// Write counts the bytes before it sends them, so that a peer that has read them finds them in the counter.
 func (c counted) Write(b []byte) (int, error) {
 	c.n.Add(int64(len(b)))
 	n, err := c.Conn.Write(b)
@@ -382,27 +395,29 @@
 	return n, err
 }
 
-// ---- Processes that follow a group ----
+// ---- Processes that follow the group ----
 
-// moment is when a process came to act on a version.
+// moment is the time at which a process started to act on a version.
 type moment struct {
 	at      time.Time
 	version int
 }
 
-// partsRouter is a real router, which hears the group through pipes.
+// partsRouter is a real router process that reaches the group through pipes.
 type partsRouter struct {
 	mu       sync.Mutex
-	*Process // nil: it starts
+	*Process // nil while it starts
 	dir      string
 	pipes    []*pipe
 	in, out  atomic.Int64
-	docs     string
-	fleet    string // settings of its fleet beside the state
-	lines    int    // of its log that were read
-	acts     map[string][]moment
+	docs     string              // JSON list of the documents that it follows
+	fleet    string              // further fleet settings, as a JSON fragment
+	lines    int                 // log lines when acts was parsed
+	acts     map[string][]moment // by document
 }
 
+// router starts a real router behind new pipes. The router is returned also with an error, for the caller to
+// close.
 func (p *partsBench) router(g *partsGroup, docs, fleet string) (*partsRouter, error) {
 	r := &partsRouter{dir: p.dir(), docs: docs, fleet: fleet}
 	for _, addr := range g.addrs {
@@ -415,7 +430,7 @@
 	return r, r.begin(g.bin)
 }
 
-// begin starts it without what it kept, in place of the one that there was.
+// begin kills the router, if it runs, and starts it with an empty state file.
 func (r *partsRouter) begin(bin string) error {
 	var addrs []string
 	for _, x := range r.pipes {
@@ -450,7 +465,7 @@
 
 var actsOn = regexp.MustCompile(`^(\d\d):(\d\d):(\d\d\.\d+) config: active: (\w+) (\S+)`)
 
-// moments are when it came to act on versions of a document, as its log says.
+// moments returns the times from the router's log at which it started to act on versions of a document.
 func (r *partsRouter) moments(doc string) []moment {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -478,25 +493,26 @@
 	return r.acts[doc]
 }
 
-// partsRig is a group with what follows it: hollow followers in this process, and real routers.
+// partsRig is a group with its followers: hollow followers in this process, and real routers.
 type partsRig struct {
 	*partsGroup
 	p       *partsBench
-	build   string
-	docs    string
+	build   string // name of the build in tables
+	docs    string // of its routers, as in partsRouter
 	fleet   string
 	routers []*partsRouter
-	plain   *Process // a router with the map in a file
+	plain   *Process // a router with the map in a file, without a group
 
 	mu        sync.Mutex
-	followers []*hollow.Follower // nil: it is silent
-	took      [][]moment
+	followers []*hollow.Follower // nil once stopped
+	took      [][]moment         // by follower, versions of the map
 
-	m    *cells.Map
+	m    *cells.Map // last written to file
 	file string
 	n    int // changes so far
 }
 
+// rig starts a group of a build without followers. The caller closes the rig, also after an error.
 func (p *partsBench) rig(bin string) (*partsRig, error) {
 	build := "this"
 	if bin == p.base {
@@ -525,9 +541,9 @@
 	r.partsGroup.close()
 }
 
-// follow starts a hollow follower that has nothing.
+// follow starts a hollow follower without any document.
 func (r *partsRig) follow(i int) (err error) {
-	g := &quorum.Client{Group: "test", Addrs: append(slices.Clone(r.addrs[i%3:]), r.addrs[:i%3]...)} // they don't all ask the same one first
+	g := &quorum.Client{Group: "test", Addrs: append(slices.Clone(r.addrs[i%3:]), r.addrs[:i%3]...)} // spreads the first request over the members
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.took[i] = nil
@@ -542,7 +558,7 @@
 	return err
 }
 
-// quiet ends a hollow follower, which says nothing.
+// quiet stops a hollow follower. The group gets no notice of it.
 func (r *partsRig) quiet(i int) {
 	r.mu.Lock()
 	f := r.followers[i]
@@ -553,7 +569,8 @@
 	}
 }
 
-// acted is when the last of those that are there came to act on a version or a later one, and how many have not.
+// acted returns when the last running process started to act on the version or a later one, and how many have
+// not done so yet.
 func (r *partsRig) acted(doc string, version int) (last time.Time, missing int) {
 	see := func(list []moment) {
 		i := slices.IndexFunc(list, func(m moment) bool { return m.version >= version })
@@ -576,7 +593,8 @@
 	return last, missing
 }
 
-// everywhere waits until all that are there act on a version.
+// everywhere waits until all running processes act on the version or a later one, and returns when the last
+// of them started to.
 func (r *partsRig) everywhere(doc string, version int, within time.Duration) (time.Time, error) {
 	for end := time.Now().Add(within); ; time.Sleep(10 * time.Millisecond) {
 		at, missing := r.acted(doc, version)
@@ -584,12 +602,12 @@
 			return at, nil
 		}
 		if time.Now().After(end) {
-			return at, fmt.Errorf("after %v %d processes don't act on version %d of %s", within, missing, version, doc)
+			return at, fmt.Errorf("after %v, %d processes do not act on version %d of %s", within, missing, version, doc)
 		}
 	}
 }
 
-// grow has the map be one of so many tenants; each tenant lives in one of ten cells.
+// grow writes the next version of the map with the given number of tenants, spread over ten cells.
 func (r *partsRig) grow(tenants int) error {
 	version := 1
 	if r.m != nil {
@@ -600,7 +618,7 @@
 	return os.WriteFile(r.file, settings.FormatCells(r.m), 0o600)
 }
 
-// turn has one tenant have another rate.
+// turn writes the next version of the map, with the rate of one tenant changed.
 func (r *partsRig) turn() error {
 	m := *r.m
 	m.Version++
@@ -611,7 +629,8 @@
 	return os.WriteFile(r.file, settings.FormatCells(r.m), 0o600)
 }
 
-// insist puts the map until it is taken: while another change is under way the command says no.
+// insist puts the map and retries while another change is pending, the base version is stale or the group is
+// unavailable. It returns the proposed version and the number of attempts.
 func (r *partsRig) insist(within time.Duration) (version, tries int, err error) {
 	for end := time.Now().Add(within); ; time.Sleep(50 * time.Millisecond) {
 		tries++
@@ -624,21 +643,23 @@
 	}
 }
 
-// reading is what the routers and members had used at a moment.
+// reading is the resource use of the routers and members up to one moment.
 type reading struct {
 	at               time.Time
 	routers, members []used
 }
 
+// used is the resource use of the process with the given PID.
 type used struct {
 	usage
 	pid int
 }
 
+// read reads the current resource use of the routers and members.
 func (r *partsRig) read() (x reading) {
 	for _, p := range r.routers {
 		u := usageOf(p.Pid())
-		u.in, u.out = float64(p.in.Load()), float64(p.out.Load()) // to and from the group alone
+		u.in, u.out = float64(p.in.Load()), float64(p.out.Load()) // traffic with the group only
 		x.routers = append(x.routers, used{u, p.Pid()})
 	}
 	for _, m := range r.members {
@@ -648,7 +669,8 @@
 	return x
 }
 
-// costOf is what the one used that used most, of those that were the same process all the time.
+// costOf returns the maximum of each resource between two readings. It skips processes that were restarted in
+// between or have ended.
 func costOf(was, now []used) (most partsCost) {
 	for i := range now {
 		if now[i].pid != was[i].pid || now[i].resident == 0 {
@@ -660,7 +682,8 @@
 	return most
 }
 
-// stretch has changes come so often, with something before each and something after it was accepted.
+// stretch puts n changes, one per interval, and measures each until all processes act on it. If before is
+// set, it is called ahead of each change.
 func (r *partsRig) stretch(name string, n int, every time.Duration, before func(i int) error) (s partsStretch) {
 	s = partsStretch{Build: r.build, Name: name, Changes: make([]partsChange, n)}
 	var mu sync.Mutex
@@ -676,7 +699,7 @@
 	}
 	queue := make(chan asked, n)
 	var all sync.WaitGroup
-	all.Go(func() { // one after the other, as they come into force
+	all.Go(func() { // waits for the changes in order
 		for q := range queue {
 			at, err := r.everywhere(configstore.DocMap, q.version, partsPatience)
 			if s.Changes[q.i].InForce = at.Sub(q.due).Seconds(); err != nil {
@@ -718,7 +741,7 @@
 	return s
 }
 
-// sizes measures a build by the tenants of the map, and at the last of the sizes, where it is this one, with faults.
+// sizes measures a build at each map size. The current build is then measured under faults, at the last size.
 func (p *partsBench) sizes(bin string, sizes ...int) error {
 	r, err := p.rig(bin)
 	defer func() { r.close() }()
@@ -729,7 +752,7 @@
 		if err := r.follow(i); err != nil {
 			return err
 		}
-		time.Sleep(5 * time.Millisecond) // they come one after the other, as processes of a fleet do
+		time.Sleep(5 * time.Millisecond) // the processes of a fleet do not start all at once either
 	}
 	for _, n := range sizes {
 		s, err := r.size(max(10, n/p.small))
@@ -748,7 +771,7 @@
 	return r.faults()
 }
 
-// size measures a size of the map.
+// size measures one map size.
 func (r *partsRig) size(tenants int) (s partsSize, err error) { //nolint:cyclop // one measurement from top to bottom; its split is in docs/ROADMAP.md
 	s = partsSize{Build: r.build, Tenants: tenants}
 	before := r.m
@@ -761,7 +784,7 @@
 	began := time.Now()
 	version, _, err := r.insist(time.Second)
 	if err != nil {
-		if r.build != "this" { // it is to be told so
+		if r.build != "this" { // a baseline that rejects the map is a result, not an error
 			s.Refused, err = err.Error(), nil
 			r.m = before
 		}
@@ -774,7 +797,7 @@
 	s.Import = at.Sub(began).Seconds()
 	var all sync.WaitGroup
 	errs := make([]error, partsRouters)
-	for i := range partsRouters { // anew, so that what is resident is of this size
+	for i := range partsRouters { // restarted, so that resident memory reflects this size alone
 		if i >= len(r.routers) {
 			x, err := r.p.router(r.partsGroup, r.docs, r.fleet)
 			if r.routers = append(r.routers, x); err != nil {
@@ -837,7 +860,7 @@
 	if done == 0 {
 		return s, nil
 	}
-	time.Sleep(partsLease / 3) // what a change has them do after it
+	time.Sleep(partsLease / 3) // includes the work that follows a change
 	now = r.read()
 	s.Changed = sum / done
 	d := now.at.Sub(was.at).Seconds()
@@ -853,7 +876,8 @@
 	return s, nil
 }
 
-// faults are changes at the size that there is, with nothing wrong and with something.
+// faults measures changes at the current map size: without faults, with processes that fall silent, with a
+// killed leader and with restarted processes.
 func (r *partsRig) faults() error { //nolint:cyclop // one measurement from top to bottom; its split is in docs/ROADMAP.md
 	p := r.p
 	add := func(s partsStretch) {
@@ -946,7 +970,7 @@
 				if missing == 0 || time.Now().After(end) {
 					took = time.Since(began)
 					if missing > 0 {
-						backErr = fmt.Errorf("%d of those that were started anew act on nothing", missing)
+						backErr = fmt.Errorf("%d restarted processes act on no version", missing)
 					}
 					return
 				}
@@ -962,7 +986,8 @@
 	return nil
 }
 
-// smallFleet has two builds in turn put the documents of twelve routers.
+// smallFleet measures changes of the map and of classes with twelve routers, alternating between the baseline
+// and the current build.
 func (p *partsBench) smallFleet() error { //nolint:cyclop // one measurement from top to bottom; its split is in docs/ROADMAP.md
 	const routers, puts = 12, 10
 	builds := []string{p.bin}
@@ -1004,7 +1029,7 @@
 	all := map[string]*partsStretch{}
 	for i := range puts {
 		for k := range rigs {
-			r := rigs[(i+k)%len(rigs)] // neither is always the first
+			r := rigs[(i+k)%len(rigs)] // the builds take turns at going first
 			for _, doc := range []string{configstore.DocClasses, configstore.DocMap} {
 				s := all[r.build+doc]
 				if s == nil {
@@ -1014,7 +1039,8 @@
 				if err := r.document(doc); err != nil {
 					return err
 				}
-				// When it comes between two askings counts for more than the build: all such moments, the same for both.
+				// The time depends more on when the put falls between two polls than on the build. The puts
+				// are spread evenly over the poll interval, at the same offsets for both builds.
 				time.Sleep(partsLease / 3 * time.Duration(i) / puts)
 				began := time.Now()
 				version, err := r.put(doc, r.file)
@@ -1040,7 +1066,7 @@
 	return nil
 }
 
-// document writes the next version of a document.
+// document writes the next version of the map or of classes to the rig's file.
 func (r *partsRig) document(doc string) error {
 	if doc == configstore.DocMap {
 		return r.turn()
@@ -1051,6 +1077,7 @@
 
 // ---- Tables ----
 
+// row formats the results as a table row.
 func (s partsSize) row() string {
 	if s.Refused != "" {
 		return fmt.Sprintf("| %s | %d | %d | refused: %s | | | | | | | | | | | | | | | |", s.Build, s.Tenants, s.Text/1024, s.Refused)
@@ -1059,6 +1086,7 @@
 		100*s.Router.CPU, s.Router.In+s.Router.Out, s.Router.Resident, s.CPUEach, s.KBEach, 100*s.CPUDay, s.KBDay, 100*s.Plain.CPU, s.Plain.Resident, 100*s.Hollow, 100*s.Leader.CPU, s.LeadCPU, s.LeadKB)
 }
 
+// row formats the results as a table row.
 func (s partsStretch) row() string {
 	var force, accepted []float64
 	tries, not := 0, 0
@@ -1085,6 +1113,7 @@
 		100*s.Router.CPU, s.Router.In+s.Router.Out, s.Router.Resident, 100*s.Leader.CPU, s.Leader.In+s.Leader.Out)
 }
 
+// tables formats all results as Markdown tables.
 func (r partsResults) tables() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "\n%s; this: %s; as it was: %s; %d hollow, %d real\n", r.Machine, r.Program, r.Baseline, r.Hollow, r.Real)
--- a/internal/testkit/benchmarks/partsschedules.go
+++ b/internal/testkit/benchmarks/partsschedules.go
@@ -24,28 +24,28 @@
 	"silverpath/internal/transport/client"
 )
 
-// partsFaultRig is a rulesRig whose map is in parts. It knows each version that the group had, and looks whether routers acted on anything
-// else.
+// partsFaultRig is a rulesRig whose map is in parts. It records every version of the map that the group had,
+// and checks that routers act on no other version.
 type partsFaultRig struct {
 	*rulesRig
-	unsure bool // what is in force is not known to be Map
-	had    map[string]*configstore.Revision
-	top    map[int]string // their names by version
-	sum    partsOutcome
+	unsure bool                             // Map may differ from the active map
+	had    map[string]*configstore.Revision // versions that the group had, by ID
+	top    map[int]string                   // their IDs by version number
+	sum    partsOutcome                     // of all schedules so far
 
 	mu    sync.Mutex
-	acked map[int]bool // versions that were said to be proposed; true: to be in force
-	kept  []string     // names of what killed routers had kept
+	acked map[int]bool // versions acknowledged as proposed (false) or as in force (true)
+	kept  []string     // digests of the maps that killed routers had stored
 }
 
-// partsOutcome is what was looked at.
+// partsOutcome counts what the checks of schedules saw.
 type partsOutcome struct {
-	maps, exclusive, refused int // versions that came into force, those of them that exclude the one before, and those that didn't
-	acked, gone              int // puts that were acknowledged, and those of them that are nowhere
-	acts, kept, mixes        int // times that a router acted on a map anew, maps kept by killed ones, and what no version was among both
-	offs                     int // things that did not follow
-	behind                   int // routers that never came to act on what is in force
-	overlap                  time.Duration
+	maps, exclusive, refused int           // became active; of those, exclude their predecessor; never became active
+	acked, gone              int           // acknowledged puts; of those, lost
+	acts, kept, mixes        int           // activations; maps stored by killed routers; of both, match no active version
+	offs                     int           // updates that routers rejected because they do not follow from their state
+	behind                   int           // routers that did not act on the active map in time
+	overlap                  time.Duration // longest time with two maps in use that exclude each other
 }
 
 func (o *partsOutcome) add(p partsOutcome) {
@@ -54,14 +54,16 @@
 	o.overlap = max(o.overlap, p.overlap)
 }
 
-// small is the rate of tenants that ask for nothing.
+// small is the base rate of tenants without traffic.
 const small = 0.01
 
+// newPartsFaultRig starts the fleet with the given number of tenants without traffic besides the usual ones.
+// The caller stops the rig, also after an error.
 func newPartsFaultRig(bin, dir string, servers, routers, tenants int) (*partsFaultRig, error) {
 	r := &partsFaultRig{had: map[string]*configstore.Revision{}, top: map[int]string{}, acked: map[int]bool{}}
 	var err error
 	r.rulesRig, err = newRulesRigBy(bin, dir, servers, routers, func(m *cells.Map) {
-		// So short that a move is over within a schedule or two, and one that is held up on its way comes too late.
+		// Short enough that a move completes within two schedules, and that a delayed move arrives too late.
 		m.Lease, m.MaxClockSkew, m.KeyWindow, m.CallerTimeout = 1200*time.Millisecond, 400*time.Millisecond, 3*time.Second, 2*time.Second
 		for i := range tenants {
 			m.Tenants = append(m.Tenants, cells.Tenant{Name: fmt.Sprintf("tenant-%05d", i), Rate: small, Homes: []cells.Home{{Cell: string('a' + rune(i%3))}}})
@@ -75,12 +77,13 @@
 	defer cancel()
 	b, err := r.g.Client.Config(ctx)
 	if err == nil && !b.Store.Documents[configstore.DocMap].Active.InParts {
-		err = fmt.Errorf("a map of %d tenants is not in parts", tenants)
+		err = fmt.Errorf("the group does not store the map of %d tenants in parts", tenants)
 	}
 	return r, err
 }
 
-// changeParts puts a change: of the map mostly, of one part or of many.
+// changeParts puts the nth change. Six of eight change the map, in one part or in many, the others classes
+// and routing.
 func (r *partsFaultRig) changeParts(n int) error { //nolint:cyclop // one measurement from top to bottom; its split is in docs/ROADMAP.md
 	switch n % 8 {
 	case 0:
@@ -106,12 +109,12 @@
 		}
 	}
 	move := func(tenant string) {
-		if p, err := m.PlanMove(time.Now(), tenant, []string{"a", "b", "c"}[n/8%3], 0); err == nil { // else it lives there, or moves already
+		if p, err := m.PlanMove(time.Now(), tenant, []string{"a", "b", "c"}[n/8%3], 0); err == nil { // else it is there or moving
 			m = *p.Next.Flat()
 			m.Version = old.Version + 1
 		}
 	}
-	server := func(cell string) { // at an address where nobody listens; it is to come after the schedules
+	server := func(cell string) { // nothing listens at its address; it joins after the schedules
 		m.Servers = append(m.Servers, cells.Server{Name: fmt.Sprint("later", m.Version), Addr: fmt.Sprint("127.0.0.1:", 1+m.Version%1000), Cell: cell, Weight: 1,
 			JoinsAt: time.Now().Add(time.Hour).UnixMilli()})
 	}
@@ -128,7 +131,7 @@
 		rates(1)
 	case 5:
 		server("b")
-	case 6: // what excludes the version before: for those in a cell, or for all
+	case 6: // excludes the previous version: for one cell, or for all
 		if n/8%2 == 0 {
 			name := fmt.Sprint("x", m.Version)
 			m.Cells = append(m.Cells, cells.Cell{Name: name, Capacity: ServerRate()})
@@ -156,7 +159,7 @@
 	}
 	is := versionSaid.FindStringSubmatch(said)
 	if is == nil {
-		return fmt.Errorf("put said %q", said)
+		return fmt.Errorf("no version in output of rules put: %q", said)
 	}
 	version, _ := strconv.Atoi(is[1])
 	r.mu.Lock()
@@ -172,7 +175,7 @@
 	mapIsOff    = regexp.MustCompile(`(?m) config: map: what came does not follow`)
 )
 
-// inForce is the map in force, as operators read it.
+// inForce returns the active map, read by "rules get".
 func (r *partsFaultRig) inForce() (*cells.Map, error) {
 	cmd := exec.Command(r.bin, "rules", "get", "map", "--group", "test", "--members", strings.Join(r.g.Client.Addrs, ","), "--within", "10s")
 	cmd.Env = append(os.Environ(), "LB_CONFIG=")
@@ -183,8 +186,8 @@
 	return settings.ParseCells(text)
 }
 
-// keptBy looks at the map that a router which was killed has kept: its parts have to come to the digest of the version that it was
-// taken as.
+// keptBy checks the map that a killed router had stored: the digest of its parts must match the digest of the
+// stored version. It returns the failure, or "".
 func (r *partsFaultRig) keptBy(router int) string {
 	src, err := proxy.OpenGroupSource(filepath.Join(r.sub(fmt.Sprint("r", router)), "state.db"))
 	if err != nil {
@@ -193,22 +196,24 @@
 	defer func() { _ = src.Close() }()
 	m, _, err := src.Load(nil)
 	if err != nil {
-		return "" // it had none yet
+		return "" // no map stored yet
 	}
 	digest, ok := src.DigestOf(m)
 	if !ok {
-		return "" // none in parts
+		return "" // the stored map is not in parts
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.kept = append(r.kept, fmt.Sprintf("%016x", digest))
 	if sum := configstore.TextsDigest(settings.SplitCells(m)); sum != digest {
-		return fmt.Sprintf("what it kept as %016x comes to %016x", digest, sum)
+		return fmt.Sprintf("the map stored with digest %016x has parts with digest %016x", digest, sum)
 	}
 	return ""
 }
 
-// look compares, once all is mended, what the group has with what was acknowledged, and what routers acted on with what it had.
+// look runs at the end of a schedule, once all faults are repaired. It checks that the group has lost no
+// acknowledged change, that all routers act on the active map, and that no router ever acted on or stored a
+// map that was never active. It reports failures by broke.
 func (r *partsFaultRig) look(broke func(string, ...any)) { //nolint:cyclop // one measurement from top to bottom; its split is in docs/ROADMAP.md
 	var o partsOutcome
 	defer func() { r.sum.add(o) }()
@@ -233,7 +238,7 @@
 				o.maps++
 			}
 			if was, other := r.top[e.ID.Version]; other {
-				broke("version %d is %s, and was %s", e.ID.Version, name, was)
+				broke("version %d of the map is %s now, was %s before", e.ID.Version, name, was)
 			}
 		}
 		r.had[name], r.top[e.ID.Version] = e, name
@@ -246,17 +251,17 @@
 	for _, version := range slices.Sorted(maps.Keys(acked)) {
 		if e := r.had[r.top[version]]; e == nil || e.ActiveSince == 0 && (acked[version] || e.Outcome == "") {
 			o.gone++
-			broke("map %d was acknowledged, in force %v, and is gone: %+v", version, acked[version], e)
+			broke("version %d of the map was acknowledged (as in force: %v) and is lost: %+v", version, acked[version], e)
 		} else if acked[version] && d.Active.ID.Version < version {
 			o.gone++
-			broke("map %d was in force, and %v is after it", version, d.Active.ID)
+			broke("version %d of the map was acknowledged as in force, but the older %v is active", version, d.Active.ID)
 		}
 	}
 	if !r.unsure {
 		if m, err := r.inForce(); err != nil {
 			broke("%v", err)
 		} else if diff := cells.Diff(m, r.Map); len(diff) > 0 || m.Version != r.Map.Version {
-			broke("what is in force is not what was put last: %v", diff)
+			broke("the active map differs from the last one put: %v", diff)
 		}
 	}
 	want := d.Active.ID.String()
@@ -271,12 +276,12 @@
 				if all := mapHolds.FindAllString(p.Log(), -1); len(all) > 0 {
 					said = all[len(all)-1]
 				}
-				broke("router %d acts on %s, its status says %s; in force is %s: %s; it has %.1000s", i, acts, id, want, said, rulesOf(p))
+				broke("router %d acts on map %s by its log and %s by its status, active is %s; last log line on holding the map: %q; status of its rules: %.1000s", i, acts, id, want, said, rulesOf(p))
 				break
 			}
 		}
 	}
-	// The digests of what came into force: nothing else was ever to be acted on, or kept.
+	// The digests of all versions that became active. Routers may act on and store no others.
 	digests := map[string]bool{}
 	for _, e := range r.had {
 		if e.ActiveSince > 0 {
@@ -286,7 +291,7 @@
 	for _, digest := range kept {
 		if !digests[digest] {
 			o.mixes++
-			broke("a router had kept %s, which was never in force", digest)
+			broke("a killed router had stored a map with digest %s, which was never active", digest)
 		}
 	}
 	var acted []harness.Acted
@@ -298,7 +303,7 @@
 				acts++
 				if e := r.had[is[1]]; e == nil || e.ActiveSince == 0 {
 					o.mixes++
-					broke("a router acted on %s, which was never in force", is[1])
+					broke("a router acted on map %s, which was never active", is[1])
 				}
 			}
 			offs += len(mapIsOff.FindAllString(log, -1))
@@ -308,12 +313,12 @@
 	o.acts, o.offs = acts-r.sum.acts, offs-r.sum.offs
 	var what string
 	if o.overlap, what = harness.OverlapOf(acted, r.excludes); o.overlap > 0 {
-		broke("for %v two maps that exclude each other: %s", o.overlap, what)
+		broke("two maps that exclude each other were in use for %v: %s", o.overlap, what)
 	}
 }
 
-// excludes reports whether two versions of the map do: one of those after the earlier one, up to the later one, excluded the one
-// before it.
+// excludes reports whether two versions of the map exclude each other. They do if an active version after the
+// earlier one, up to the later one, excluded its predecessor. An unknown version excludes every other.
 func (r *partsFaultRig) excludes(a, b string) bool {
 	x, y := r.had[a], r.had[b]
 	if x == nil || y == nil {
@@ -328,7 +333,7 @@
 	return false
 }
 
-// rulesOf is what a router says of the rules that it goes by.
+// rulesOf returns the rules and followed documents in a router's status, for failure messages.
 func rulesOf(p *Process) string {
 	var s struct {
 		Fleet   struct{ Rules json.RawMessage }
@@ -344,7 +349,7 @@
 	return fmt.Sprintf("%s, %s", s.Fleet.Rules, s.Follows)
 }
 
-// lastMap is the version that a router says it acts on, by its log, and what it does act on, by its status.
+// lastMap returns the version of the map that a router last logged as active, and the map ID in its status.
 func lastMap(p *Process) (acts, id string) {
 	if all := actsOnMap.FindAllStringSubmatch(p.Log(), -1); len(all) > 0 {
 		acts = all[len(all)-1][1]
@@ -360,8 +365,9 @@
 	return acts, id
 }
 
-// PartsSchedules plays schedules of faults over real processes whose map is in parts, some rigs beside each other: every second one
-// of a map that is too large to be told in one answer.
+// PartsSchedules runs schedules of faults over real processes whose map is in parts. SILVERPATH_SCHEDULES is
+// their number and SILVERPATH_WORKERS the number of rigs that run them in parallel. Unless SILVERPATH_TENANTS
+// sets the size, every second rig has a map that is too large for one reply.
 func PartsSchedules(b *testing.B) {
 	bin, err := buildAll(b.TempDir())
 	if err != nil {
@@ -403,9 +409,9 @@
 		})
 	}
 	wg.Wait()
-	fmt.Printf("\n%d schedules in %v: %d changes, %d of them told no or withdrawn, slowest %v; %d sheets ran, %d twice; %d served, %d failed, %d refused; of classes two versions at once %v at longest; parts over the whole in %d of %d samples\n",
+	fmt.Printf("\n%d schedules in %v: %d changes, %d of them rejected or withdrawn, slowest %v; %d sheets ran, %d twice; %d served, %d failed, %d refused; two versions of classes in use at once for at most %v; shares of routers over the capacity of the cell in %d of %d samples\n",
 		n, time.Since(began).Round(time.Second), sum.changes, sum.withdrawn, sum.slowest.Round(time.Millisecond), ran, twice, sum.served, sum.failed, sum.refused, sum.overlap, sum.over, sum.samples)
-	fmt.Printf("maps: %d came into force, %d of them exclusive, %d did not; two that exclude each other at once %v at longest; %d puts acknowledged, %d of them gone; acted on anew %d times, kept by %d killed routers, %d of both no version; %d things did not follow; %d routers behind at the end; broken %d\n",
+	fmt.Printf("maps: %d became active, %d of them exclusive, %d never did; two that exclude each other in use at once for at most %v; %d puts acknowledged, %d of them lost; %d activations, %d maps stored by killed routers, %d of both match no active version; %d updates did not follow; %d routers behind at the end; %d checks failed\n",
 		parts.maps, parts.exclusive, parts.refused, parts.overlap, parts.acked, parts.gone, parts.acts, parts.kept, parts.mixes, parts.offs, parts.behind, len(sum.broken))
 	for i, s := range sum.broken {
 		if i < 20 {
@@ -413,6 +419,6 @@
 		}
 	}
 	if len(sum.broken) > 0 || sum.over > 0 {
-		b.Errorf("%d broken, parts over the whole in %d samples", len(sum.broken), sum.over)
+		b.Errorf("%d checks failed, shares of routers over the capacity of the cell in %d samples", len(sum.broken), sum.over)
 	}
 }
--- a/internal/testkit/benchmarks/partssim.go
+++ b/internal/testkit/benchmarks/partssim.go
@@ -17,48 +17,51 @@
 	"silverpath/internal/settings"
 )
 
-// PartsSim is processes that follow a map in parts, and the member that leads, in simulated time. Half of them are in another region.
-// The member never fails; what it sends goes out by one link, in its order; what goes into the log waits for a commit, and all that
-// came meanwhile is in the next one.
+// PartsSim simulates the leader of a group and the processes that follow a map in parts, in virtual time.
+// Every second process is in another region than the leader. The leader never fails. Its messages share one
+// outgoing link and are sent in order. A log entry waits for a commit; entries that arrive during a commit
+// are in the next one.
 type PartsSim struct {
 	Terms            lease.Terms
-	Servers, Tenants int           // of the map
-	N                int           // processes that follow it
-	Every            time.Duration // between two changes, each a tenant's move; 0: none
-	For              time.Duration
-	Silent           int // of them, always others, each for silentFor
-	Zone             int // of them, that start anew in one moment, a third into the run, and have kept nothing
+	Servers, Tenants int           // in the map
+	N                int           // number of processes
+	Every            time.Duration // interval between changes, each the move of one tenant; 0: no changes
+	For              time.Duration // measured time, after the warm-up
+	Silent           int           // processes silenced every silentFor, picked at random, for silentFor each
+	Zone             int           // processes that restart at once without stored state, a third into the run
 	Out              configstore.DisabledGuards
 }
 
 const (
-	nearWay   = 2 * time.Millisecond  // at most, within a region; 0.2 ms at least
-	farWay    = 40 * time.Millisecond // more, between the regions
-	commit    = 6 * time.Millisecond  // of the log: a disk, and the nearest other member
-	confirm   = 2 * time.Millisecond  // of the lead, by that member
-	linkRate  = 125e6                 // bytes a second that the leading member can send
-	framing   = 60                    // bytes of a word beside its body, about
-	silentFor = 5 * time.Second
+	nearWay   = 2 * time.Millisecond  // range of the one-way latency within a region, above its minimum of 0.2 ms
+	farWay    = 40 * time.Millisecond // added one-way latency between regions
+	commit    = 6 * time.Millisecond  // time of a log commit: a disk sync and the nearest other member
+	confirm   = 2 * time.Millisecond  // time for the nearest other member to confirm the leadership
+	linkRate  = 125e6                 // bytes/s of the leader's outgoing link
+	framing   = 60                    // approximate bytes of a message besides its body
+	silentFor = 5 * time.Second       // silence of a process
 )
 
-// PartsSeen is what came of one.
+// PartsSeen holds the measurements of one simulation.
 type PartsSeen struct {
-	Took     []time.Duration // of each change, from its putting until all that are not silent act on it
-	Open     int             // changes that were not in force everywhere at the end
-	Put      int
-	Messages int           // to and from the leading member
-	In, Sent int           // bytes, to it and from it
-	Most     int           // bytes that it sent in one second, at most
-	Back     time.Duration // from the zone's start until all of it act on what is in force; 0: never
-	Whole    int           // bytes of the map
+	Took     []time.Duration // per change, from its put until all processes that are not silent act on it
+	Open     int             // changes skipped because the previous one was still under way
+	Put      int             // changes put
+	Messages int             // to and from the leader
+	In, Sent int             // bytes received and sent by the leader
+	Most     int             // most bytes that the leader sent in one second
+	Back     time.Duration   // from the restart of the zone until all of it acts on the active version; 0: never
+	Whole    int             // bytes of the map
 }
 
+// simEvent is a function to call at a virtual time. Events of the same time run in the order of n.
 type simEvent struct {
 	at time.Duration
 	n  int
 	do func()
 }
 
+// simEvents is a heap of events, earliest first.
 type simEvents []simEvent
 
 func (e simEvents) Len() int { return len(e) }
@@ -73,16 +76,17 @@
 	return last
 }
 
-// follower is one process of a PartsSim.
+// follower is a simulated process.
 type follower struct {
 	h        *configstore.Replica
-	far      bool
-	gen      int           // starts, so that what was under way for the one before is dropped
-	silent   time.Duration // until then
-	fetching bool
-	acts     uint64 // digest of what it acts on
+	far      bool          // in another region than the leader
+	gen      int           // number of starts; replies to an earlier start are dropped
+	silent   time.Duration // silent until this time
+	fetching bool          // a request for parts is under way
+	acts     uint64        // digest of the version that it acts on
 }
 
+// mapOf returns the first version of the map, with about 30 servers a cell.
 func (s PartsSim) mapOf() *cells.Map {
 	m := &cells.Map{Version: 1, KeyWindow: 10 * time.Second, MaxClockSkew: 500 * time.Millisecond, Lease: 5 * time.Second, CallerTimeout: 4 * time.Second}
 	n := max(1, s.Servers/30)
@@ -98,7 +102,7 @@
 	return m
 }
 
-// Run plays one.
+// Run runs the simulation with the seed. It returns an error if the leader rejects a change.
 func (s PartsSim) Run(seed uint64) (o PartsSeen, err error) { //nolint:cyclop // one measurement from top to bottom; its split is in docs/ROADMAP.md
 	rng := rand.New(rand.NewPCG(seed, 23))
 	var events simEvents
@@ -114,7 +118,7 @@
 		}
 		return d
 	}
-	// The leading member.
+	// The leader.
 	book, watch, index := configstore.NewStore(), configstore.NewProcessMonitor(s.Terms), uint64(0)
 	watch.StartLeading(0)
 	apply := func(c configstore.Change) error {
@@ -140,9 +144,9 @@
 	}
 	d := book.Documents[configstore.DocMap]
 	counting := false
-	free := time.Duration(0) // when the link is
+	free := time.Duration(0) // when the link becomes idle
 	seconds := map[int]int{}
-	send := func(bytes int, far bool, do func()) { // from the member
+	send := func(bytes int, far bool, do func()) { // from the leader
 		start := max(now, free)
 		free = start + time.Duration(float64(bytes)/linkRate*float64(time.Second))
 		if counting {
@@ -158,7 +162,7 @@
 			o.In += bytes
 		}
 	}
-	var log []func() // what waits for the next commit
+	var log []func() // entries that wait for the next commit
 	committing := false
 	var flush func()
 	flush = func() {
@@ -233,7 +237,7 @@
 				answer.Parts = configstore.SelectParts(parts, w.Names)
 			}
 			size := framing
-			for name, one := range answer.Parts { // as JSON has it: with its version and digest
+			for name, one := range answer.Parts { // encoded as JSON, with its version and digest
 				size += len(name) + 45 + configstore.EncodedSize(one.Text)
 			}
 			send(size, p.far, func() {
@@ -278,7 +282,7 @@
 					if gen != p.gen {
 						return
 					}
-					if now < p.silent { // it comes to nobody
+					if now < p.silent { // the reply is lost
 						after(p.silent-now, func() { step(p, gen) })
 						return
 					}
@@ -327,14 +331,14 @@
 		after(20*time.Millisecond, look)
 	}
 	look()
-	// Until all have come, and what they had to load is over.
+	// Warm-up: time for all processes to start and load the map.
 	const ready = 60 * time.Second
 	zoneAt += ready
 	var change func()
 	change = func() {
 		after(s.Every, change)
 		if d.Proposed != nil || due {
-			o.Open++ // the one before is under way: this one has to wait
+			o.Open++ // the previous change is under way: this one is skipped
 			return
 		}
 		i := rng.IntN(s.Tenants)
@@ -410,7 +414,8 @@
 	return o, err
 }
 
-// PartsTime measures documents in parts at the target's size, in simulated time.
+// PartsTime runs PartsSim at the target size and prints a table. SILVERPATH_SEEDS is the number of seeds per
+// case and SILVERPATH_SECONDS the virtual time of each.
 func PartsTime(b *testing.B) {
 	seeds := number("SILVERPATH_SEEDS", 2)
 	rate := time.Minute / 40
@@ -442,7 +447,7 @@
 			sum.Open, sum.Put, sum.Messages, sum.In, sum.Sent = sum.Open+o.Open, sum.Put+o.Put, sum.Messages+o.Messages, sum.In+o.In, sum.Sent+o.Sent
 			sum.Most, sum.Whole, sum.Back = max(sum.Most, o.Most), o.Whole, max(sum.Back, o.Back)
 			if c.sim.Zone > 0 && o.Back == 0 {
-				b.Errorf("%s: the zone is not back", c.name)
+				b.Errorf("%s: some restarted processes do not act on the active version", c.name)
 			}
 		}
 		slices.Sort(sum.Took)
