--- a/internal/testkit/benchmarks/parts.go
+++ b/internal/testkit/benchmarks/parts.go
@@ -34,42 +34,42 @@
 // number of tenants and under faults. SILVERPATH_BASELINE names an older program to compare with. The results
 // are appended to docs/results/parts.json, or to the file that SILVERPATH_PARTS names.
 func Parts(b *testing.B) {
-	p := &partsBench{b: b, file: os.Getenv("SILVERPATH_PARTS"), hollow: number("SILVERPATH_FOLLOWERS", 300), small: max(1, number("SILVERPATH_SMALL", 1)),
-		base: os.Getenv("SILVERPATH_BASELINE")}
+	p := &partsBench{b: b, resultsFile: os.Getenv("SILVERPATH_PARTS"), hollowCount: number("SILVERPATH_FOLLOWERS", 300), sizeDivisor: max(1, number("SILVERPATH_SMALL", 1)),
+		baseline: os.Getenv("SILVERPATH_BASELINE")}
 	var err error
 	if p.bin, err = buildAll(b.TempDir()); err != nil {
 		b.Fatal(err)
 	}
-	if p.file == "" {
-		p.file = filepath.Join("..", "..", "..", "docs", "results", "parts.json")
+	if p.resultsFile == "" {
+		p.resultsFile = filepath.Join("..", "..", "..", "docs", "results", "parts.json")
 	}
-	if text, err := os.ReadFile(p.file); err == nil {
-		if err := json.Unmarshal(text, &p.plays); err != nil {
-			b.Fatalf("%s: %v", p.file, err)
+	if text, err := os.ReadFile(p.resultsFile); err == nil {
+		if err := json.Unmarshal(text, &p.earlierRuns); err != nil {
+			b.Fatalf("%s: %v", p.resultsFile, err)
 		}
 	}
 	p.res = partsResults{Command: "go test -run '^$' -bench 'Parts$' -benchtime 1x -timeout 20m ./internal/testkit/benchmarks/", Machine: scaleMachine(),
-		Program: (&scale{bin: p.bin}).program(), Hollow: p.hollow, Real: partsRouters}
-	if p.base != "" {
-		p.res.Baseline = (&scale{bin: p.base}).program()
+		Program: (&scale{bin: p.bin}).program(), Hollow: p.hollowCount, Real: partsRouters}
+	if p.baseline != "" {
+		p.res.Baseline = (&scale{bin: p.baseline}).program()
 	}
-	for _, part := range []struct {
+	for _, step := range []struct {
 		name string
 		run  func() error
 	}{
-		{"baseline", func() error { return p.sizes(p.base, 3000, 1000, 300) }},
-		{"full", func() error { return p.sizes(p.bin, partsSizes()...) }},
-		{"fleet", p.smallFleet},
+		{"baseline", func() error { return p.measureSizes(p.baseline, 3000, 1000, 300) }},
+		{"full", func() error { return p.measureSizes(p.bin, partsSizes()...) }},
+		{"fleet", p.measureSmallFleet},
 	} {
-		b.Run(part.name, func(b *testing.B) {
-			if p.b = b; part.name == "baseline" && p.base == "" {
+		b.Run(step.name, func(b *testing.B) {
+			if p.b = b; step.name == "baseline" && p.baseline == "" {
 				b.Skip("SILVERPATH_BASELINE is not set")
 			}
-			began := time.Now()
-			if err := part.run(); err != nil {
-				b.Errorf("%s: %v", part.name, err)
+			startedAt := time.Now()
+			if err := step.run(); err != nil {
+				b.Errorf("%s: %v", step.name, err)
 			}
-			fmt.Printf("parts: %s took %v\n", part.name, time.Since(began).Round(time.Second))
+			fmt.Printf("parts: %s took %v\n", step.name, time.Since(startedAt).Round(time.Second))
 			if err := p.write(); err != nil {
 				b.Error(err)
 			}
@@ -79,15 +79,15 @@
 }
 
 const (
-	partsRouters  = 4
-	partsServers  = 930
-	partsLease    = 3 * time.Second
-	partsRest     = 8 * time.Second
-	partsSettle   = 3 * time.Second
-	partsEach     = 5 // changes per map size
-	partsBound    = 8 * time.Second
-	partsPatience = 40 * time.Second
-	partsADay     = 1600 // changes a day
+	partsRouters        = 4
+	partsServers        = 930
+	partsLeaseTTL       = 3 * time.Second
+	partsIdleTime       = 8 * time.Second
+	partsSettleTime     = 3 * time.Second
+	partsChangesPerSize = 5 // changes per map size
+	partsMaxDelay       = 8 * time.Second
+	partsTimeout        = 40 * time.Second
+	partsChangesPerDay  = 1600 // changes a day
 )
 
 // partsSizes returns the numbers of tenants to measure: those that SILVERPATH_TENANTS lists, else the
@@ -109,11 +109,11 @@
 
 // partsBench is the state of one run of the Parts benchmark.
 type partsBench struct {
-	b                 *testing.B
-	bin, base, file   string
-	hollow, small, no int
-	res               partsResults
-	plays             []partsResults // of earlier runs, read from file
+	b                                  *testing.B
+	bin, baseline, resultsFile         string
+	hollowCount, sizeDivisor, dirCount int
+	res                                partsResults
+	earlierRuns                        []partsResults // read from resultsFile
 }
 
 // partsResults holds the results of one run, as they are stored in the results file.
@@ -121,8 +121,8 @@
 	Command, Machine, Program, Baseline string
 	Hollow, Real                        int
 	Sizes                               []partsSize
-	Stretches                           []partsStretch
-	Fleet                               []partsStretch
+	Stretches                           []partsSeries
+	Fleet                               []partsSeries
 }
 
 // partsCost is the resource use of a process: for routers, the highest of the real ones, and for members, the
@@ -149,14 +149,14 @@
 	KBEach   float64   // KB of a router per change, above idle
 	LeadCPU  float64   // CPU ms of the leader per change, above idle
 	LeadKB   float64   // KB of the leader per change, above idle
-	CPUDay   float64   // projected cores of a router at partsADay changes a day
-	KBDay    float64   // projected KB/s of a router at partsADay changes a day
+	CPUDay   float64   // projected cores of a router at partsChangesPerDay changes a day
+	KBDay    float64   // projected KB/s of a router at partsChangesPerDay changes a day
 	Slowest  float64   // seconds of the slowest change until every process acted on it
 	Failures []string
 }
 
-// partsStretch holds the results of a series of changes.
-type partsStretch struct {
+// partsSeries holds the results of a series of changes.
+type partsSeries struct {
 	Build, Name string
 	Changes     []partsChange
 	Router      partsCost
@@ -173,17 +173,17 @@
 }
 
 func (p *partsBench) write() error {
-	text, err := json.MarshalIndent(append(slices.Clone(p.plays), p.res), "", " ")
+	text, err := json.MarshalIndent(append(slices.Clone(p.earlierRuns), p.res), "", " ")
 	if err != nil {
 		return err
 	}
-	return os.WriteFile(p.file, append(text, '\n'), 0o644)
+	return os.WriteFile(p.resultsFile, append(text, '\n'), 0o644)
 }
 
-// dir creates a new directory and returns its path.
-func (p *partsBench) dir() string {
-	p.no++
-	dir := filepath.Join(p.b.TempDir(), fmt.Sprint("d", p.no))
+// newDir creates a new directory and returns its path.
+func (p *partsBench) newDir() string {
+	p.dirCount++
+	dir := filepath.Join(p.b.TempDir(), fmt.Sprint("d", p.dirCount))
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		panic(err) // the parent is a temporary directory of this benchmark
 	}
@@ -194,13 +194,13 @@
 
 // partsGroup is a group of three members on loopback, without proxies in between.
 type partsGroup struct {
-	bin      string
-	dir      string
-	addrs    []string
-	reserved []*harness.Reservation // of addrs, released by close
-	files    []string
-	members  []*harness.Process
-	client   *quorum.Client
+	bin          string
+	dir          string
+	addrs        []string
+	reservations []*harness.Reservation // of addrs, released by close
+	configFiles  []string
+	members      []*harness.Process
+	client       *quorum.Client
 }
 
 // newPartsGroup starts the members, founds the group and waits for a leader. The caller closes the group,
@@ -212,7 +212,7 @@
 		if err != nil {
 			return g, err
 		}
-		g.addrs, g.reserved = append(g.addrs, reserved.Addr), append(g.reserved, reserved)
+		g.addrs, g.reservations = append(g.addrs, reserved.Addr), append(g.reservations, reserved)
 	}
 	g.client = &quorum.Client{Group: "test", Addrs: g.addrs}
 	list, _ := json.Marshal(g.addrs)
@@ -222,14 +222,14 @@
 		if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 			return g, err
 		}
-		g.files = append(g.files, file)
+		g.configFiles = append(g.configFiles, file)
 		if err := g.start(i); err != nil {
 			return g, err
 		}
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
-	if _, err := g.client.Found(ctx, lease.Terms{TTL: partsLease, Drift: 0.05}); err != nil {
+	if _, err := g.client.Found(ctx, lease.Terms{TTL: partsLeaseTTL, Drift: 0.05}); err != nil {
 		return g, err
 	}
 	_, err := g.leader()
@@ -238,7 +238,7 @@
 
 // start starts a member on its existing data directory.
 func (g *partsGroup) start(i int) (err error) {
-	if g.members[i], err = starter(g.bin)([]string{"quorum", "--config", g.files[i]}); err == nil {
+	if g.members[i], err = starter(g.bin)([]string{"quorum", "--config", g.configFiles[i]}); err == nil {
 		_, err = g.members[i].Await(10*time.Second, 0, "group.listening")
 	}
 	return err
@@ -253,18 +253,18 @@
 	if g.client != nil {
 		g.client.Close()
 	}
-	for _, r := range g.reserved {
-		r.Release()
+	for _, reservation := range g.reservations {
+		reservation.Release()
 	}
 }
 
 // leader waits up to 15 s for a leader that answers reads and returns its index.
 func (g *partsGroup) leader() (int, error) {
 	for end := time.Now().Add(15 * time.Second); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
-		for i, a := range g.addrs {
+		for i, addr := range g.addrs {
 			ctx, cancel := context.WithTimeout(context.Background(), time.Second)
-			s, err := g.client.StatusOf(ctx, a)
-			if err == nil && s.State == "leader" {
+			status, err := g.client.StatusOf(ctx, addr)
+			if err == nil && status.State == "leader" {
 				if _, err = g.client.Read(ctx, ""); err == nil {
 					cancel()
 					return i, nil
@@ -276,86 +276,86 @@
 	return 0, errors.New("no leader within 15 s")
 }
 
-var proposed = regexp.MustCompile(`version (\d+) proposed`)
+var proposedVersion = regexp.MustCompile(`version (\d+) proposed`)
 
 // put runs "rules put" for a document without waiting for the change to become active, and returns the
 // proposed version.
 func (g *partsGroup) put(doc, file string) (version int, err error) {
-	c, err := starter(g.bin)([]string{"rules", "put", doc, file, "--group", "test", "--members", strings.Join(g.addrs, ","), "--within", "20s"})
+	cmd, err := starter(g.bin)([]string{"rules", "put", doc, file, "--group", "test", "--members", strings.Join(g.addrs, ","), "--within", "20s"})
 	if err != nil {
 		return 0, err
 	}
-	if err := c.Wait(); err != nil {
-		return 0, errors.New(strings.TrimSpace(c.Log()))
+	if err := cmd.Wait(); err != nil {
+		return 0, errors.New(strings.TrimSpace(cmd.Log()))
 	}
-	m := proposed.FindStringSubmatch(c.Log())
-	if m == nil {
-		return 0, fmt.Errorf("no version in output of rules put: %q", c.Log())
+	match := proposedVersion.FindStringSubmatch(cmd.Log())
+	if match == nil {
+		return 0, fmt.Errorf("no version in output of rules put: %q", cmd.Log())
 	}
-	_, _ = fmt.Sscan(m[1], &version)
+	_, _ = fmt.Sscan(match[1], &version)
 	return version, nil
 }
 
 // ---- Byte-counting proxies ----
 
-// pipe is a TCP proxy to a member that counts the bytes in each direction.
-type pipe struct {
+// countingProxy is a TCP proxy to a member that counts the bytes in each direction.
+type countingProxy struct {
 	ln      net.Listener
-	to      string
+	target  string
 	in, out *atomic.Int64 // bytes that the client received and sent
 	mu      sync.Mutex
 	conns   map[net.Conn]bool // nil once closed
 }
 
-// newPipe listens on a loopback port and forwards each connection to the address.
-func newPipe(to string, in, out *atomic.Int64) (*pipe, error) {
+// newCountingProxy listens on a loopback port and forwards each connection to the address.
+func newCountingProxy(to string, in, out *atomic.Int64) (*countingProxy, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	p := &pipe{ln: ln, to: to, in: in, out: out, conns: map[net.Conn]bool{}}
+	p := &countingProxy{ln: ln, target: to, in: in, out: out, conns: map[net.Conn]bool{}}
 	go func() {
 		for {
-			c, err := ln.Accept()
+			conn, err := ln.Accept()
 			if err != nil {
 				return
 			}
-			go p.carry(c)
+			go p.forward(conn)
 		}
 	}()
 	return p, nil
 }
 
-// carry forwards one connection in both directions until either side ends.
-func (p *pipe) carry(c net.Conn) {
-	defer c.Close()
-	d, err := net.Dial("tcp", p.to)
+// forward forwards one connection in both directions until either side ends.
+func (p *countingProxy) forward(conn net.Conn) {
+	defer conn.Close()
+	upstream, err := net.Dial("tcp", p.target)
 	if err != nil {
 		return
 	}
-	defer d.Close()
-	if !p.keep(c, d) {
+	defer upstream.Close()
+	if !p.track(conn, upstream) {
 		return
 	}
-	defer p.drop(c, d)
+	defer p.untrack(conn, upstream)
 	done := make(chan struct{}, 2)
-	pass := func(to, from net.Conn, n *atomic.Int64) {
-		_, _ = io.Copy(counted{to, n}, struct{ io.Reader }{from})
+	forwardBytes := func(to, from net.Conn, n *atomic.Int64) {
+		_, _ = io.Copy(countingConn{to, n}, struct{ io.Reader }{from})
 		done <- struct{}{}
 	}
-	go pass(d, c, p.out)
-	go pass(c, d, p.in)
+	go forwardBytes(upstream, conn, p.out)
+	go forwardBytes(conn, upstream, p.in)
 	<-done
-	c.Close()
-	d.Close()
+	conn.Close()
+	upstream.Close()
 	<-done
 }
 
-// keep registers connections for close to close. It returns false if the pipe is closed already.
-func (p *pipe) keep(list ...net.Conn) bool {
+// track registers connections for close to close. It returns false if the proxy is closed already.
+func (p *countingProxy) track(conns ...net.Conn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, c := range list {
+	for _, c := range conns {
 		if p.conns != nil {
 			p.conns[c] = true
 		}
@@ -363,15 +363,15 @@
 	return p.conns != nil
 }
 
-func (p *pipe) drop(list ...net.Conn) {
+func (p *countingProxy) untrack(conns ...net.Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, c := range list {
+	for _, c := range conns {
 		delete(p.conns, c)
 	}
 }
 
-func (p *pipe) close() {
+func (p *countingProxy) close() {
 	p.ln.Close()
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -381,76 +381,76 @@
 	p.conns = nil
 }
 
-// counted is a connection that adds the bytes written to a counter.
-type counted struct {
+// countingConn is a connection that adds the bytes written to a counter.
+type countingConn struct {
 	net.Conn
-	n *atomic.Int64
+	written *atomic.Int64
 }
 
 // Write counts the bytes before it sends them, so that a peer that has read them finds them in the counter.
-func (c counted) Write(b []byte) (int, error) {
-	c.n.Add(int64(len(b)))
+func (c countingConn) Write(b []byte) (int, error) {
+	c.written.Add(int64(len(b)))
 	n, err := c.Conn.Write(b)
-	c.n.Add(int64(n - len(b)))
+	c.written.Add(int64(n - len(b)))
 	return n, err
 }
 
 // ---- Processes that follow the group ----
 
-// moment is the time at which a process started to act on a version.
-type moment struct {
+// activation is the time at which a process started to act on a version.
+type activation struct {
 	at      time.Time
 	version int
 }
 
-// partsRouter is a real router process that reaches the group through pipes.
+// partsRouter is a real router process that reaches the group through counting proxies.
 type partsRouter struct {
-	mu       sync.Mutex
-	*Process // nil while it starts
-	dir      string
-	pipes    []*pipe
-	in, out  atomic.Int64
-	docs     string              // JSON list of the documents that it follows
-	fleet    string              // further fleet settings, as a JSON fragment
-	lines    int                 // log lines when acts was parsed
-	acts     map[string][]moment // by document
+	mu             sync.Mutex
+	*Process       // nil while it starts
+	dir            string
+	proxies        []*countingProxy
+	in, out        atomic.Int64
+	docs           string                  // JSON list of the documents that it follows
+	fleetSettings  string                  // further fleet settings, as a JSON fragment
+	parsedLines    int                     // log lines when activatedByDoc was parsed
+	activatedByDoc map[string][]activation // parsed from the log
 }
 
-// router starts a real router behind new pipes. The router is returned also with an error, for the caller to
-// close.
-func (p *partsBench) router(g *partsGroup, docs, fleet string) (*partsRouter, error) {
-	r := &partsRouter{dir: p.dir(), docs: docs, fleet: fleet}
+// newRouter starts a real router behind new proxies. The router is returned also with an error, for the
+// caller to close.
+func (p *partsBench) newRouter(g *partsGroup, docs, fleet string) (*partsRouter, error) {
+	r := &partsRouter{dir: p.newDir(), docs: docs, fleetSettings: fleet}
 	for _, addr := range g.addrs {
-		x, err := newPipe(addr, &r.in, &r.out)
+		proxy, err := newCountingProxy(addr, &r.in, &r.out)
 		if err != nil {
 			return r, err
 		}
-		r.pipes = append(r.pipes, x)
+		r.proxies = append(r.proxies, proxy)
 	}
-	return r, r.begin(g.bin)
+	return r, r.restart(g.bin)
 }
 
-// begin kills the router, if it runs, and starts it with an empty state file.
-func (r *partsRouter) begin(bin string) error {
+// restart kills the router, if it runs, and starts it with an empty state file.
+func (r *partsRouter) restart(bin string) error {
 	var addrs []string
-	for _, x := range r.pipes {
+	for _, x := range r.proxies {
 		addrs = append(addrs, x.ln.Addr().String())
 	}
 	list, _ := json.Marshal(addrs)
 	r.mu.Lock()
 	old := r.Process
-	r.Process, r.lines, r.acts = nil, 0, nil
+	r.Process, r.parsedLines, r.activatedByDoc = nil, 0, nil
 	r.mu.Unlock()
 	if old != nil {
 		old.Kill()
 	}
 	state := filepath.Join(r.dir, "state.db")
 	_ = os.Remove(state)
-	p, err := Route(bin, r.dir, partsSite,
-		fmt.Sprintf(`{"status":true,"fleet":{"state":%q%s},"rules":{"group":"test","members":%s,"documents":%s}}`, state, r.fleet, list, r.docs))
+	process, err := Route(bin, r.dir, partsSite,
+		fmt.Sprintf(`{"status":true,"fleet":{"state":%q%s},"rules":{"group":"test","members":%s,"documents":%s}}`, state, r.fleetSettings, list, r.docs))
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.Process = p
+	r.Process = process
 	return err
 }
 
@@ -458,304 +458,305 @@
 	if r.Process != nil {
 		r.Kill()
 	}
-	for _, x := range r.pipes {
+	for _, x := range r.proxies {
 		x.close()
 	}
 }
 
-var actsOn = regexp.MustCompile(`^(\d\d):(\d\d):(\d\d\.\d+) config: active: (\w+) (\S+)`)
+var activationLine = regexp.MustCompile(`^(\d\d):(\d\d):(\d\d\.\d+) config: active: (\w+) (\S+)`)
 
-// moments returns the times from the router's log at which it started to act on versions of a document.
-func (r *partsRouter) moments(doc string) []moment {
+// activations returns the times from the router's log at which it started to act on versions of a document.
+func (r *partsRouter) activations(doc string) []activation {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.Process == nil {
 		return nil
 	}
-	if n := r.Lines(); n != r.lines {
-		r.lines, r.acts = n, map[string][]moment{}
+	if n := r.Lines(); n != r.parsedLines {
+		r.parsedLines, r.activatedByDoc = n, map[string][]activation{}
 		for line := range strings.Lines(r.Log()) {
-			m := actsOn.FindStringSubmatch(line)
-			if m == nil {
+			match := activationLine.FindStringSubmatch(line)
+			if match == nil {
 				continue
 			}
-			var h, min int
-			var sec float64
-			_, _ = fmt.Sscan(m[1], &h)
-			_, _ = fmt.Sscan(m[2], &min)
-			_, _ = fmt.Sscan(m[3], &sec)
-			at := time.Now().UTC().Truncate(24 * time.Hour).Add(time.Duration(h)*time.Hour + time.Duration(min)*time.Minute + time.Duration(sec*float64(time.Second)))
-			if id, ok := configstore.ParseID(m[5]); ok {
-				r.acts[m[4]] = append(r.acts[m[4]], moment{at, id.Version})
+			var hour, minute int
+			var second float64
+			_, _ = fmt.Sscan(match[1], &hour)
+			_, _ = fmt.Sscan(match[2], &minute)
+			_, _ = fmt.Sscan(match[3], &second)
+			at := time.Now().UTC().Truncate(24 * time.Hour).Add(time.Duration(hour)*time.Hour + time.Duration(minute)*time.Minute + time.Duration(second*float64(time.Second)))
+			if id, ok := configstore.ParseID(match[5]); ok {
+				r.activatedByDoc[match[4]] = append(r.activatedByDoc[match[4]], activation{at, id.Version})
 			}
 		}
 	}
-	return r.acts[doc]
+	return r.activatedByDoc[doc]
 }
 
 // partsRig is a group with its followers: hollow followers in this process, and real routers.
 type partsRig struct {
 	*partsGroup
-	p       *partsBench
-	build   string // name of the build in tables
-	docs    string // of its routers, as in partsRouter
-	fleet   string
-	routers []*partsRouter
-	plain   *Process // a router with the map in a file, without a group
-
-	mu        sync.Mutex
-	followers []*hollow.Follower // nil once stopped
-	took      [][]moment         // by follower, versions of the map
-
-	m    *cells.Map // last written to file
-	file string
-	n    int // changes so far
+	p             *partsBench
+	build         string // name of the build in tables
+	docs          string // of its routers, as in partsRouter
+	fleetSettings string
+	routers       []*partsRouter
+	fileRouter    *Process // a router with the map in a file, without a group
+
+	mu          sync.Mutex
+	followers   []*hollow.Follower // nil once stopped
+	activations [][]activation     // by follower, versions of the map
+
+	currentMap *cells.Map // last written to file
+	docFile    string
+	changes    int // changes so far
 }
 
-// rig starts a group of a build without followers. The caller closes the rig, also after an error.
-func (p *partsBench) rig(bin string) (*partsRig, error) {
+// newRig starts a group of a build without followers. The caller closes the rig, also after an error.
+func (p *partsBench) newRig(bin string) (*partsRig, error) {
 	build := "this"
-	if bin == p.base {
+	if bin == p.baseline {
 		build = "as it was"
 	}
-	r := &partsRig{p: p, build: build, followers: make([]*hollow.Follower, p.hollow), took: make([][]moment, p.hollow), docs: `["map"]`, fleet: `,"probe_ms":600000`}
-	dir := p.dir()
-	r.file = filepath.Join(dir, "map.json")
+	r := &partsRig{p: p, build: build, followers: make([]*hollow.Follower, p.hollowCount), activations: make([][]activation, p.hollowCount), docs: `["map"]`, fleetSettings: `,"probe_ms":600000`}
+	dir := p.newDir()
+	r.docFile = filepath.Join(dir, "map.json")
 	var err error
 	r.partsGroup, err = newPartsGroup(bin, dir)
 	return r, err
 }
 
 func (r *partsRig) close() {
-	if r.plain != nil {
-		r.plain.Kill()
+	if r.fileRouter != nil {
+		r.fileRouter.Kill()
 	}
 	for _, x := range r.routers {
 		x.close()
 	}
 	var all sync.WaitGroup
 	for i := range r.followers {
-		all.Go(func() { r.quiet(i) })
+		all.Go(func() { r.stopFollower(i) })
 	}
 	all.Wait()
 	r.partsGroup.close()
 }
 
-// follow starts a hollow follower without any document.
-func (r *partsRig) follow(i int) (err error) {
-	g := &quorum.Client{Group: "test", Addrs: append(slices.Clone(r.addrs[i%3:]), r.addrs[:i%3]...)} // spreads the first request over the members
+// startFollower starts a hollow follower without any document.
+func (r *partsRig) startFollower(i int) (err error) {
+	group := &quorum.Client{Group: "test", Addrs: append(slices.Clone(r.addrs[i%3:]), r.addrs[:i%3]...)} // spreads the first request over the members
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.took[i] = nil
-	var f *hollow.Follower
-	f, err = hollow.NewFollower(hollow.FollowerConfig{Name: fmt.Sprint("follower", i), Group: g, Docs: []string{configstore.DocMap}, OnApplied: func(string) {
+	r.activations[i] = nil
+	var follower *hollow.Follower
+	follower, err = hollow.NewFollower(hollow.FollowerConfig{Name: fmt.Sprint("follower", i), Group: group, Docs: []string{configstore.DocMap}, OnApplied: func(string) {
 		at := time.Now()
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		r.took[i] = append(r.took[i], moment{at, f.Acts(configstore.DocMap)})
+		r.activations[i] = append(r.activations[i], activation{at, follower.Acts(configstore.DocMap)})
 	}})
-	r.followers[i] = f
+	r.followers[i] = follower
 	return err
 }
 
-// quiet stops a hollow follower. The group gets no notice of it.
-func (r *partsRig) quiet(i int) {
+// stopFollower stops a hollow follower. The group gets no notice of it.
+func (r *partsRig) stopFollower(i int) {
 	r.mu.Lock()
-	f := r.followers[i]
+	follower := r.followers[i]
 	r.followers[i] = nil
 	r.mu.Unlock()
-	if f != nil {
-		f.Close()
+	if follower != nil {
+		follower.Close()
 	}
 }
 
-// acted returns when the last running process started to act on the version or a later one, and how many have
-// not done so yet.
-func (r *partsRig) acted(doc string, version int) (last time.Time, missing int) {
-	see := func(list []moment) {
-		i := slices.IndexFunc(list, func(m moment) bool { return m.version >= version })
+// lastActivation returns when the last running process started to act on the version or a later one, and how
+// many have not done so yet.
+func (r *partsRig) lastActivation(doc string, version int) (last time.Time, missing int) {
+	count := func(activations []activation) {
+		i := slices.IndexFunc(activations, func(m activation) bool { return m.version >= version })
 		if i < 0 {
 			missing++
-		} else if list[i].at.After(last) {
-			last = list[i].at
+		} else if activations[i].at.After(last) {
+			last = activations[i].at
 		}
 	}
 	r.mu.Lock()
-	for i, f := range r.followers {
-		if f != nil {
-			see(r.took[i])
+	for i, follower := range r.followers {
+		if follower != nil {
+			count(r.activations[i])
 		}
 	}
 	r.mu.Unlock()
 	for _, x := range r.routers {
-		see(x.moments(doc))
+		count(x.activations(doc))
 	}
 	return last, missing
 }
 
-// everywhere waits until all running processes act on the version or a later one, and returns when the last
+// awaitActive waits until all running processes act on the version or a later one, and returns when the last
 // of them started to.
-func (r *partsRig) everywhere(doc string, version int, within time.Duration) (time.Time, error) {
-	for end := time.Now().Add(within); ; time.Sleep(10 * time.Millisecond) {
-		at, missing := r.acted(doc, version)
+func (r *partsRig) awaitActive(doc string, version int, timeout time.Duration) (time.Time, error) {
+	for end := time.Now().Add(timeout); ; time.Sleep(10 * time.Millisecond) {
+		at, missing := r.lastActivation(doc, version)
 		if missing == 0 {
 			return at, nil
 		}
 		if time.Now().After(end) {
-			return at, fmt.Errorf("after %v, %d processes do not act on version %d of %s", within, missing, version, doc)
+			return at, fmt.Errorf("after %v, %d processes do not act on version %d of %s", timeout, missing, version, doc)
 		}
 	}
 }
 
-// grow writes the next version of the map with the given number of tenants, spread over ten cells.
-func (r *partsRig) grow(tenants int) error {
+// writeMap writes the next version of the map with the given number of tenants, spread over ten cells.
+func (r *partsRig) writeMap(tenants int) error {
 	version := 1
-	if r.m != nil {
-		version = r.m.Version + 1
+	if r.currentMap != nil {
+		version = r.currentMap.Version + 1
 	}
-	r.m = scaleMap(places(max(1, partsServers/r.p.small)), 10, tenants)
-	r.m.Version = version
-	return os.WriteFile(r.file, settings.FormatCells(r.m), 0o600)
+	r.currentMap = scaleMap(places(max(1, partsServers/r.p.sizeDivisor)), 10, tenants)
+	r.currentMap.Version = version
+	return os.WriteFile(r.docFile, settings.FormatCells(r.currentMap), 0o600)
 }
 
-// turn writes the next version of the map, with the rate of one tenant changed.
-func (r *partsRig) turn() error {
-	m := *r.m
+// changeTenantRate writes the next version of the map, with the rate of one tenant changed.
+func (r *partsRig) changeTenantRate() error {
+	m := *r.currentMap
 	m.Version++
 	m.Tenants = slices.Clone(m.Tenants)
-	r.n++
-	m.Tenants[r.n*7919%len(m.Tenants)].Rate++
-	r.m = &m
-	return os.WriteFile(r.file, settings.FormatCells(r.m), 0o600)
+	r.changes++
+	m.Tenants[r.changes*7919%len(m.Tenants)].Rate++
+	r.currentMap = &m
+	return os.WriteFile(r.docFile, settings.FormatCells(r.currentMap), 0o600)
 }
 
-// insist puts the map and retries while another change is pending, the base version is stale or the group is
-// unavailable. It returns the proposed version and the number of attempts.
-func (r *partsRig) insist(within time.Duration) (version, tries int, err error) {
-	for end := time.Now().Add(within); ; time.Sleep(50 * time.Millisecond) {
-		tries++
-		if version, err = r.put(configstore.DocMap, r.file); err == nil || time.Now().After(end) {
-			return version, tries, err
+// putWithRetry puts the map and retries while another change is pending, the base version is stale or the
+// group is unavailable. It returns the proposed version and the number of attempts.
+func (r *partsRig) putWithRetry(timeout time.Duration) (version, attempts int, err error) {
+	for end := time.Now().Add(timeout); ; time.Sleep(50 * time.Millisecond) {
+		attempts++
+		if version, err = r.put(configstore.DocMap, r.docFile); err == nil || time.Now().After(end) {
+			return version, attempts, err
 		}
 		if !strings.Contains(err.Error(), configstore.ErrChangePending.Error()) && !strings.Contains(err.Error(), configstore.ErrStaleBase.Error()) && !strings.Contains(err.Error(), quorum.ErrUnavailable.Error()) {
-			return version, tries, err
+			return version, attempts, err
 		}
 	}
 }
 
-// reading is the resource use of the routers and members up to one moment.
-type reading struct {
+// usageReading is the resource use of the routers and members up to one moment.
+type usageReading struct {
 	at               time.Time
-	routers, members []used
+	routers, members []processUsage
 }
 
-// used is the resource use of the process with the given PID.
-type used struct {
+// processUsage is the resource use of the process with the given PID.
+type processUsage struct {
 	usage
 	pid int
 }
 
-// read reads the current resource use of the routers and members.
-func (r *partsRig) read() (x reading) {
+// readUsage reads the current resource use of the routers and members.
+func (r *partsRig) readUsage() (reading usageReading) {
 	for _, p := range r.routers {
 		u := usageOf(p.Pid())
 		u.in, u.out = float64(p.in.Load()), float64(p.out.Load()) // traffic with the group only
-		x.routers = append(x.routers, used{u, p.Pid()})
+		reading.routers = append(reading.routers, processUsage{u, p.Pid()})
 	}
 	for _, m := range r.members {
-		x.members = append(x.members, used{usageOf(m.Pid()), m.Pid()})
+		reading.members = append(reading.members, processUsage{usageOf(m.Pid()), m.Pid()})
 	}
-	x.at = time.Now()
-	return x
+	reading.at = time.Now()
+	return reading
 }
 
 // costOf returns the maximum of each resource between two readings. It skips processes that were restarted in
 // between or have ended.
-func costOf(was, now []used) (most partsCost) {
-	for i := range now {
-		if now[i].pid != was[i].pid || now[i].resident == 0 {
+func costOf(before, after []processUsage) (highest partsCost) {
+	for i := range after {
+		if after[i].pid != before[i].pid || after[i].resident == 0 {
 			continue
 		}
-		cpu, in, out, _ := now[i].since(was[i].usage)
-		most = partsCost{max(most.CPU, cpu), max(most.In, in), max(most.Out, out), max(most.Resident, now[i].resident)}
+		cpu, in, out, _ := after[i].since(before[i].usage)
+		highest = partsCost{max(highest.CPU, cpu), max(highest.In, in), max(highest.Out, out), max(highest.Resident, after[i].resident)}
 	}
-	return most
+	return highest
 }
 
-// stretch puts n changes, one per interval, and measures each until all processes act on it. If before is
-// set, it is called ahead of each change.
-func (r *partsRig) stretch(name string, n int, every time.Duration, before func(i int) error) (s partsStretch) {
-	s = partsStretch{Build: r.build, Name: name, Changes: make([]partsChange, n)}
+// measureSeries puts n changes, one per interval, and measures each until all processes act on it. If before
+// is set, it is called ahead of each change.
+func (r *partsRig) measureSeries(name string, n int, interval time.Duration, before func(i int) error) (series partsSeries) {
+	series = partsSeries{Build: r.build, Name: name, Changes: make([]partsChange, n)}
 	var mu sync.Mutex
-	fail := func(err error) {
+	addFailure := func(err error) {
 		mu.Lock()
 		defer mu.Unlock()
-		s.Failures = append(s.Failures, err.Error())
+		series.Failures = append(series.Failures, err.Error())
 	}
-	was, began := r.read(), time.Now()
-	type asked struct {
+	usageBefore, startedAt := r.readUsage(), time.Now()
+	type acceptedChange struct {
 		i, version int
 		due        time.Time
 	}
-	queue := make(chan asked, n)
+	queue := make(chan acceptedChange, n)
 	var all sync.WaitGroup
 	all.Go(func() { // waits for the changes in order
-		for q := range queue {
-			at, err := r.everywhere(configstore.DocMap, q.version, partsPatience)
-			if s.Changes[q.i].InForce = at.Sub(q.due).Seconds(); err != nil {
-				s.Changes[q.i].InForce = -1
-				fail(fmt.Errorf("change %d: %w", q.i, err))
+		for change := range queue {
+			at, err := r.awaitActive(configstore.DocMap, change.version, partsTimeout)
+			if series.Changes[change.i].InForce = at.Sub(change.due).Seconds(); err != nil {
+				series.Changes[change.i].InForce = -1
+				addFailure(fmt.Errorf("change %d: %w", change.i, err))
 			}
 		}
 	})
 	for i := range n {
-		due := began.Add(time.Duration(i) * every)
-		if err := r.turn(); err != nil {
-			fail(err)
+		due := startedAt.Add(time.Duration(i) * interval)
+		if err := r.changeTenantRate(); err != nil {
+			addFailure(err)
 			break
 		}
 		time.Sleep(time.Until(due))
 		if before != nil {
 			if err := before(i); err != nil {
-				fail(fmt.Errorf("before change %d: %w", i, err))
+				addFailure(fmt.Errorf("before change %d: %w", i, err))
 			}
 		}
-		version, tries, err := r.insist(partsPatience)
-		s.Changes[i] = partsChange{time.Since(due).Seconds(), -1, tries}
+		version, attempts, err := r.putWithRetry(partsTimeout)
+		series.Changes[i] = partsChange{time.Since(due).Seconds(), -1, attempts}
 		if err != nil {
-			s.Changes[i].Accepted = -1
-			fail(fmt.Errorf("change %d: %w", i, err))
+			series.Changes[i].Accepted = -1
+			addFailure(fmt.Errorf("change %d: %w", i, err))
 			continue
 		}
-		queue <- asked{i, version, due}
+		queue <- acceptedChange{i, version, due}
 	}
 	close(queue)
 	all.Wait()
-	time.Sleep(time.Until(began.Add(time.Duration(n) * every)))
-	now := r.read()
-	s.Router, s.Leader = costOf(was.routers, now.routers), costOf(was.members, now.members)
-	fmt.Println("parts:", s.row())
-	for _, f := range s.Failures {
+	time.Sleep(time.Until(startedAt.Add(time.Duration(n) * interval)))
+	usageAfter := r.readUsage()
+	series.Router, series.Leader = costOf(usageBefore.routers, usageAfter.routers), costOf(usageBefore.members, usageAfter.members)
+	fmt.Println("parts:", series.row())
+	for _, f := range series.Failures {
 		fmt.Println("parts: failed:", f)
 	}
-	return s
+	return series
 }
 
-// sizes measures a build at each map size. The current build is then measured under faults, at the last size.
-func (p *partsBench) sizes(bin string, sizes ...int) error {
-	r, err := p.rig(bin)
+// measureSizes measures a build at each map size. The current build is then measured under faults, at the
+// last size.
+func (p *partsBench) measureSizes(bin string, sizes ...int) error {
+	r, err := p.newRig(bin)
 	defer func() { r.close() }()
 	if err != nil {
 		return err
 	}
 	for i := range r.followers {
-		if err := r.follow(i); err != nil {
+		if err := r.startFollower(i); err != nil {
 			return err
 		}
 		time.Sleep(5 * time.Millisecond) // the processes of a fleet do not start all at once either
 	}
 	for _, n := range sizes {
-		s, err := r.size(max(10, n/p.small))
+		s, err := r.measureSize(max(10, n/p.sizeDivisor))
 		p.res.Sizes = append(p.res.Sizes, s)
 		fmt.Println("parts:", s.row())
 		for _, f := range s.Failures {
@@ -765,32 +766,32 @@
 			return fmt.Errorf("%d tenants: %w", n, err)
 		}
 	}
-	if bin == p.base {
+	if bin == p.baseline {
 		return nil
 	}
-	return r.faults()
+	return r.measureFaults()
 }
 
-// size measures one map size.
-func (r *partsRig) size(tenants int) (s partsSize, err error) { //nolint:cyclop // one measurement from top to bottom; its split is in docs/ROADMAP.md
+// measureSize measures one map size.
+func (r *partsRig) measureSize(tenants int) (s partsSize, err error) { //nolint:cyclop // one measurement from top to bottom; its split is in docs/ROADMAP.md
 	s = partsSize{Build: r.build, Tenants: tenants}
-	before := r.m
-	if err := r.grow(tenants); err != nil {
+	previousMap := r.currentMap
+	if err := r.writeMap(tenants); err != nil {
 		return s, err
 	}
-	if info, err := os.Stat(r.file); err == nil {
+	if info, err := os.Stat(r.docFile); err == nil {
 		s.Text = int(info.Size())
 	}
 	began := time.Now()
-	version, _, err := r.insist(time.Second)
+	version, _, err := r.putWithRetry(time.Second)
 	if err != nil {
 		if r.build != "this" { // a baseline that rejects the map is a result, not an error
 			s.Refused, err = err.Error(), nil
-			r.m = before
+			r.currentMap = previousMap
 		}
 		return s, err
 	}
-	at, err := r.everywhere(configstore.DocMap, version, partsPatience)
+	at, err := r.awaitActive(configstore.DocMap, version, partsTimeout)
 	if err != nil {
 		return s, err
 	}
@@ -799,117 +800,117 @@
 	errs := make([]error, partsRouters)
 	for i := range partsRouters { // restarted, so that resident memory reflects this size alone
 		if i >= len(r.routers) {
-			x, err := r.p.router(r.partsGroup, r.docs, r.fleet)
+			x, err := r.p.newRouter(r.partsGroup, r.docs, r.fleetSettings)
 			if r.routers = append(r.routers, x); err != nil {
 				return s, err
 			}
 			continue
 		}
-		all.Go(func() { errs[i] = r.routers[i].begin(r.bin) })
+		all.Go(func() { errs[i] = r.routers[i].restart(r.bin) })
 	}
 	all.Wait()
 	if err := errors.Join(errs...); err != nil {
 		return s, err
 	}
-	if r.plain != nil {
-		r.plain.Kill()
+	if r.fileRouter != nil {
+		r.fileRouter.Kill()
 	}
-	dir := r.p.dir()
+	dir := r.p.newDir()
 	file := filepath.Join(dir, "cells.json")
-	if err := proxy.WriteMap(file, r.m); err != nil {
+	if err := proxy.WriteMap(file, r.currentMap); err != nil {
 		return s, err
 	}
-	if r.plain, err = Route(r.bin, dir, partsSite, fmt.Sprintf(`{"status":true,"fleet":{"map":%q,"state":%q%s}}`, file, filepath.Join(dir, "state.db"), r.fleet)); err != nil {
+	if r.fileRouter, err = Route(r.bin, dir, partsSite, fmt.Sprintf(`{"status":true,"fleet":{"map":%q,"state":%q%s}}`, file, filepath.Join(dir, "state.db"), r.fleetSettings)); err != nil {
 		return s, err
 	}
-	time.Sleep(partsSettle)
-	lead, err := r.leader()
+	time.Sleep(partsSettleTime)
+	leader, err := r.leader()
 	if err != nil {
 		return s, err
 	}
-	own := usageOf(os.Getpid())
-	was, plain := r.read(), used{usageOf(r.plain.Pid()), r.plain.Pid()}
-	time.Sleep(partsRest)
-	now := r.read()
-	ownCPU, _, _, _ := usageOf(os.Getpid()).since(own)
+	ownBefore := usageOf(os.Getpid())
+	usageBefore, plain := r.readUsage(), processUsage{usageOf(r.fileRouter.Pid()), r.fileRouter.Pid()}
+	time.Sleep(partsIdleTime)
+	usageAfter := r.readUsage()
+	ownCPU, _, _, _ := usageOf(os.Getpid()).since(ownBefore)
 	s.Hollow = ownCPU / float64(max(1, len(r.followers)))
-	s.Plain = costOf([]used{plain}, []used{{usageOf(r.plain.Pid()), r.plain.Pid()}})
-	of := func(x reading) []used { return x.members[lead : lead+1] }
-	s.Router, s.Leader = costOf(was.routers, now.routers), costOf(of(was), of(now))
-	was = r.read()
-	sum, done := 0.0, 0.0
-	for range partsEach {
-		if err := r.turn(); err != nil {
+	s.Plain = costOf([]processUsage{plain}, []processUsage{{usageOf(r.fileRouter.Pid()), r.fileRouter.Pid()}})
+	leaderOf := func(reading usageReading) []processUsage { return reading.members[leader : leader+1] }
+	s.Router, s.Leader = costOf(usageBefore.routers, usageAfter.routers), costOf(leaderOf(usageBefore), leaderOf(usageAfter))
+	usageBefore = r.readUsage()
+	totalDelay, accepted := 0.0, 0.0
+	for range partsChangesPerSize {
+		if err := r.changeTenantRate(); err != nil {
 			return s, err
 		}
 		began := time.Now()
-		version, _, err := r.insist(time.Second)
+		version, _, err := r.putWithRetry(time.Second)
 		if err != nil {
-			s.Failures = append(s.Failures, fmt.Sprintf("after %v changes: %v", done, err))
+			s.Failures = append(s.Failures, fmt.Sprintf("after %v changes: %v", accepted, err))
 			break
 		}
-		done++
-		at, err := r.everywhere(configstore.DocMap, version, partsPatience)
+		accepted++
+		at, err := r.awaitActive(configstore.DocMap, version, partsTimeout)
 		if err != nil {
 			s.Failures = append(s.Failures, err.Error())
 			continue
 		}
-		sum += at.Sub(began).Seconds()
+		totalDelay += at.Sub(began).Seconds()
 		s.Slowest = max(s.Slowest, at.Sub(began).Seconds())
 	}
-	if done == 0 {
+	if accepted == 0 {
 		return s, nil
 	}
-	time.Sleep(partsLease / 3) // includes the work that follows a change
-	now = r.read()
-	s.Changed = sum / done
-	d := now.at.Sub(was.at).Seconds()
-	each := func(c, rest partsCost) (cpu, kb float64) {
-		return (c.CPU - rest.CPU) * d / done * 1000, (c.In + c.Out - rest.In - rest.Out) * d / done
-	}
-	c, l := costOf(was.routers, now.routers), costOf(of(was), of(now))
-	s.Router.Resident, s.Leader.Resident = max(s.Router.Resident, c.Resident), max(s.Leader.Resident, l.Resident)
-	s.CPUEach, s.KBEach = each(c, s.Router)
-	s.LeadCPU, s.LeadKB = each(l, s.Leader)
-	const a = partsADay / 86400.0
-	s.CPUDay, s.KBDay = s.Router.CPU+a*s.CPUEach/1000, s.Router.In+s.Router.Out+a*s.KBEach
+	time.Sleep(partsLeaseTTL / 3) // includes the work that follows a change
+	usageAfter = r.readUsage()
+	s.Changed = totalDelay / accepted
+	elapsed := usageAfter.at.Sub(usageBefore.at).Seconds()
+	perChange := func(cost, idle partsCost) (cpu, kb float64) {
+		return (cost.CPU - idle.CPU) * elapsed / accepted * 1000, (cost.In + cost.Out - idle.In - idle.Out) * elapsed / accepted
+	}
+	routerCost, leaderCost := costOf(usageBefore.routers, usageAfter.routers), costOf(leaderOf(usageBefore), leaderOf(usageAfter))
+	s.Router.Resident, s.Leader.Resident = max(s.Router.Resident, routerCost.Resident), max(s.Leader.Resident, leaderCost.Resident)
+	s.CPUEach, s.KBEach = perChange(routerCost, s.Router)
+	s.LeadCPU, s.LeadKB = perChange(leaderCost, s.Leader)
+	const changesPerSecond = partsChangesPerDay / 86400.0
+	s.CPUDay, s.KBDay = s.Router.CPU+changesPerSecond*s.CPUEach/1000, s.Router.In+s.Router.Out+changesPerSecond*s.KBEach
 	return s, nil
 }
 
-// faults measures changes at the current map size: without faults, with processes that fall silent, with a
-// killed leader and with restarted processes.
-func (r *partsRig) faults() error { //nolint:cyclop // one measurement from top to bottom; its split is in docs/ROADMAP.md
+// measureFaults measures changes at the current map size: without faults, with processes that fall silent,
+// with a killed leader and with restarted processes.
+func (r *partsRig) measureFaults() error { //nolint:cyclop // one measurement from top to bottom; its split is in docs/ROADMAP.md
 	p := r.p
-	add := func(s partsStretch) {
-		p.res.Stretches = append(p.res.Stretches, s)
+	addSeries := func(series partsSeries) {
+		p.res.Stretches = append(p.res.Stretches, series)
 		if err := p.write(); err != nil {
 			p.b.Error(err)
 		}
 	}
-	add(r.stretch("40 changes in 60 s", 40, time.Minute/40, nil))
-	silent := (p.hollow + partsRouters + 99) / 100
-	gone := -1
-	add(r.stretch(fmt.Sprintf("%d processes fall silent at each change", silent), 10, 4*time.Second, func(i int) error {
+	addSeries(r.measureSeries("40 changes in 60 s", 40, time.Minute/40, nil))
+	silentCount := (p.hollowCount + partsRouters + 99) / 100
+	firstSilent := -1
+	addSeries(r.measureSeries(fmt.Sprintf("%d processes fall silent at each change", silentCount), 10, 4*time.Second, func(i int) error {
 		var errs []error
-		for k := range silent {
-			if gone >= 0 {
-				errs = append(errs, r.follow((gone+k)%p.hollow))
+		for k := range silentCount {
+			if firstSilent >= 0 {
+				errs = append(errs, r.startFollower((firstSilent+k)%p.hollowCount))
 			}
 		}
-		gone = i * silent
-		for k := range silent {
-			r.quiet((gone + k) % p.hollow)
+		firstSilent = i * silentCount
+		for k := range silentCount {
+			r.stopFollower((firstSilent + k) % p.hollowCount)
 		}
 		return errors.Join(errs...)
 	}))
-	for k := range silent {
-		if err := r.follow((gone + k) % p.hollow); err != nil {
+	for k := range silentCount {
+		if err := r.startFollower((firstSilent + k) % p.hollowCount); err != nil {
 			return err
 		}
 	}
-	time.Sleep(partsLease)
+	time.Sleep(partsLeaseTTL)
 	killed := -1
-	add(r.stretch("the leader is killed at the third change, and comes back at the seventh", 10, 2500*time.Millisecond, func(i int) (err error) {
+	addSeries(r.measureSeries("the leader is killed at the third change, and comes back at the seventh", 10, 2500*time.Millisecond, func(i int) (err error) {
 		switch i {
 		case 2:
 			if killed, err = r.leader(); err == nil {
@@ -922,55 +923,55 @@
 		}
 		return err
 	}))
-	time.Sleep(partsLease)
-	fifth := (p.hollow + partsRouters + 4) / 5
-	var back sync.WaitGroup
-	var took time.Duration
-	var backErr error
-	s := r.stretch(fmt.Sprintf("%d processes start anew at the third change", fifth), 10, 2500*time.Millisecond, func(i int) error {
+	time.Sleep(partsLeaseTTL)
+	restartCount := (p.hollowCount + partsRouters + 4) / 5
+	var restarts sync.WaitGroup
+	var restartTime time.Duration
+	var restartErr error
+	s := r.measureSeries(fmt.Sprintf("%d processes start anew at the third change", restartCount), 10, 2500*time.Millisecond, func(i int) error {
 		if i != 2 {
 			return nil
 		}
 		var all sync.WaitGroup
 		var mu sync.Mutex
 		var errs []error
-		again := func(f func() error) {
+		runAsync := func(restart func() error) {
 			all.Go(func() {
-				if err := f(); err != nil {
+				if err := restart(); err != nil {
 					mu.Lock()
 					errs = append(errs, err)
 					mu.Unlock()
 				}
 			})
 		}
-		began := time.Now()
-		real := r.routers[partsRouters-1]
-		for k := range fifth - 1 {
-			again(func() error {
-				r.quiet(k)
-				return r.follow(k)
+		startedAt := time.Now()
+		realRouter := r.routers[partsRouters-1]
+		for k := range restartCount - 1 {
+			runAsync(func() error {
+				r.stopFollower(k)
+				return r.startFollower(k)
 			})
 		}
-		back.Go(func() {
-			if err := real.begin(r.bin); err != nil {
+		restarts.Go(func() {
+			if err := realRouter.restart(r.bin); err != nil {
 				p.b.Error(err)
 			}
 		})
 		all.Wait()
-		back.Go(func() {
-			for end := began.Add(partsPatience); ; time.Sleep(10 * time.Millisecond) {
+		restarts.Go(func() {
+			for deadline := startedAt.Add(partsTimeout); ; time.Sleep(10 * time.Millisecond) {
 				missing := 0
 				r.mu.Lock()
-				for k := range fifth - 1 {
-					if len(r.took[k]) == 0 {
+				for k := range restartCount - 1 {
+					if len(r.activations[k]) == 0 {
 						missing++
 					}
 				}
 				r.mu.Unlock()
-				if missing == 0 || time.Now().After(end) {
-					took = time.Since(began)
+				if missing == 0 || time.Now().After(deadline) {
+					restartTime = time.Since(startedAt)
 					if missing > 0 {
-						backErr = fmt.Errorf("%d restarted processes act on no version", missing)
+						restartErr = fmt.Errorf("%d restarted processes act on no version", missing)
 					}
 					return
 				}
@@ -978,101 +979,101 @@
 		})
 		return errors.Join(errs...)
 	})
-	back.Wait()
-	if s.Back = took.Seconds(); backErr != nil {
-		s.Failures = append(s.Failures, backErr.Error())
+	restarts.Wait()
+	if s.Back = restartTime.Seconds(); restartErr != nil {
+		s.Failures = append(s.Failures, restartErr.Error())
 	}
-	add(s)
+	addSeries(s)
 	return nil
 }
 
-// smallFleet measures changes of the map and of classes with twelve routers, alternating between the baseline
-// and the current build.
-func (p *partsBench) smallFleet() error { //nolint:cyclop // one measurement from top to bottom; its split is in docs/ROADMAP.md
+// measureSmallFleet measures changes of the map and of classes with twelve routers, alternating between the
+// baseline and the current build.
+func (p *partsBench) measureSmallFleet() error { //nolint:cyclop // one measurement from top to bottom; its split is in docs/ROADMAP.md
 	const routers, puts = 12, 10
 	builds := []string{p.bin}
-	if p.base != "" {
-		builds = []string{p.base, p.bin}
+	if p.baseline != "" {
+		builds = []string{p.baseline, p.bin}
 	}
-	was := p.hollow
-	p.hollow = 0
-	defer func() { p.hollow = was }()
+	hollowCount := p.hollowCount
+	p.hollowCount = 0
+	defer func() { p.hollowCount = hollowCount }()
 	var rigs []*partsRig
 	for _, bin := range builds {
-		r, err := p.rig(bin)
+		r, err := p.newRig(bin)
 		defer func() { r.close() }()
 		if err != nil {
 			return err
 		}
-		r.docs, r.fleet = `["map","classes"]`, ""
-		r.m = scaleMap(places(4), 1, 20)
-		if err := r.document(configstore.DocMap); err != nil {
+		r.docs, r.fleetSettings = `["map","classes"]`, ""
+		r.currentMap = scaleMap(places(4), 1, 20)
+		if err := r.writeDocument(configstore.DocMap); err != nil {
 			return err
 		}
 		for _, doc := range []string{configstore.DocMap, configstore.DocClasses} {
-			if err := r.document(doc); err != nil {
+			if err := r.writeDocument(doc); err != nil {
 				return err
 			}
-			if _, err := r.put(doc, r.file); err != nil {
+			if _, err := r.put(doc, r.docFile); err != nil {
 				return err
 			}
 		}
 		for range routers {
-			x, err := p.router(r.partsGroup, r.docs, r.fleet)
+			x, err := p.newRouter(r.partsGroup, r.docs, r.fleetSettings)
 			if r.routers = append(r.routers, x); err != nil {
 				return err
 			}
 		}
 		rigs = append(rigs, r)
 	}
-	time.Sleep(partsSettle)
-	all := map[string]*partsStretch{}
+	time.Sleep(partsSettleTime)
+	seriesByName := map[string]*partsSeries{}
 	for i := range puts {
 		for k := range rigs {
 			r := rigs[(i+k)%len(rigs)] // the builds take turns at going first
 			for _, doc := range []string{configstore.DocClasses, configstore.DocMap} {
-				s := all[r.build+doc]
-				if s == nil {
-					s = &partsStretch{Build: r.build, Name: doc}
-					all[r.build+doc] = s
+				series := seriesByName[r.build+doc]
+				if series == nil {
+					series = &partsSeries{Build: r.build, Name: doc}
+					seriesByName[r.build+doc] = series
 				}
-				if err := r.document(doc); err != nil {
+				if err := r.writeDocument(doc); err != nil {
 					return err
 				}
 				// The time depends more on when the put falls between two polls than on the build. The puts
 				// are spread evenly over the poll interval, at the same offsets for both builds.
-				time.Sleep(partsLease / 3 * time.Duration(i) / puts)
-				began := time.Now()
-				version, err := r.put(doc, r.file)
-				c := partsChange{time.Since(began).Seconds(), -1, 1}
+				time.Sleep(partsLeaseTTL / 3 * time.Duration(i) / puts)
+				startedAt := time.Now()
+				version, err := r.put(doc, r.docFile)
+				change := partsChange{time.Since(startedAt).Seconds(), -1, 1}
 				if err == nil {
 					var at time.Time
-					if at, err = r.everywhere(doc, version, partsPatience); err == nil {
-						c.InForce = at.Sub(began).Seconds()
+					if at, err = r.awaitActive(doc, version, partsTimeout); err == nil {
+						change.InForce = at.Sub(startedAt).Seconds()
 					}
 				}
 				if err != nil {
-					s.Failures = append(s.Failures, err.Error())
+					series.Failures = append(series.Failures, err.Error())
 				}
-				s.Changes = append(s.Changes, c)
+				series.Changes = append(series.Changes, change)
 			}
 		}
 	}
 	for _, doc := range []string{configstore.DocClasses, configstore.DocMap} {
 		for _, r := range rigs {
-			p.res.Fleet = append(p.res.Fleet, *all[r.build+doc])
+			p.res.Fleet = append(p.res.Fleet, *seriesByName[r.build+doc])
 		}
 	}
 	return nil
 }
 
-// document writes the next version of the map or of classes to the rig's file.
-func (r *partsRig) document(doc string) error {
+// writeDocument writes the next version of the map or of classes to the rig's file.
+func (r *partsRig) writeDocument(doc string) error {
 	if doc == configstore.DocMap {
-		return r.turn()
+		return r.changeTenantRate()
 	}
-	r.n++
-	return os.WriteFile(r.file, []byte(classesText(r.n)), 0o600)
+	r.changes++
+	return os.WriteFile(r.docFile, []byte(classesText(r.changes)), 0o600)
 }
 
 // ---- Tables ----
@@ -1087,29 +1088,29 @@
 }
 
 // row formats the results as a table row.
-func (s partsStretch) row() string {
-	var force, accepted []float64
-	tries, not := 0, 0
+func (s partsSeries) row() string {
+	var activeTimes, acceptedTimes []float64
+	attempts, inactive := 0, 0
 	for _, c := range s.Changes {
-		tries += c.Tries
-		accepted = append(accepted, c.Accepted)
+		attempts += c.Tries
+		acceptedTimes = append(acceptedTimes, c.Accepted)
 		if c.InForce < 0 {
-			not++
+			inactive++
 			continue
 		}
-		force = append(force, c.InForce)
+		activeTimes = append(activeTimes, c.InForce)
 	}
-	p50, p99, worst := quantiles(force)
-	_, _, slow := quantiles(accepted)
-	said := "yes"
-	if not > 0 || math.IsNaN(worst) || worst > partsBound.Seconds() {
-		said = "**no**"
+	p50, p99, worst := quantiles(activeTimes)
+	_, _, slowestAccepted := quantiles(acceptedTimes)
+	withinBound := "yes"
+	if inactive > 0 || math.IsNaN(worst) || worst > partsMaxDelay.Seconds() {
+		withinBound = "**no**"
 	}
-	back := ""
+	restartTime := ""
 	if s.Back > 0 {
-		back = fmt.Sprintf("%.2f", s.Back)
+		restartTime = fmt.Sprintf("%.2f", s.Back)
 	}
-	return fmt.Sprintf("| %s | %s | %d | %d | %d | %.2f | %.2f | %.2f | %.2f | %s | %s | %.2f | %.1f | %.1f | %.1f | %.0f |", s.Build, s.Name, len(s.Changes), tries, not, p50, p99, worst, slow, said, back,
+	return fmt.Sprintf("| %s | %s | %d | %d | %d | %.2f | %.2f | %.2f | %.2f | %s | %s | %.2f | %.1f | %.1f | %.1f | %.0f |", s.Build, s.Name, len(s.Changes), attempts, inactive, p50, p99, worst, slowestAccepted, withinBound, restartTime,
 		100*s.Router.CPU, s.Router.In+s.Router.Out, s.Router.Resident, 100*s.Leader.CPU, s.Leader.In+s.Leader.Out)
 }
 
@@ -1124,8 +1125,8 @@
 	}
 	b.WriteString("\n| figure, by tenants, this build | slope | foretold | measured | off |\n|---|---|---|---|---|\n")
 	for _, f := range []struct {
-		name string
-		of   func(partsSize) float64
+		name  string
+		value func(partsSize) float64
 	}{
 		{"a change in force everywhere, s", func(s partsSize) float64 { return s.Changed }},
 		{"router's rest CPU, % of a core", func(s partsSize) float64 { return 100 * s.Router.CPU }},
@@ -1141,19 +1142,19 @@
 		var points []capacity.Point
 		for _, s := range r.Sizes {
 			if s.Build == "this" {
-				points = append(points, capacity.Point{At: float64(s.Tenants), Values: []float64{f.of(s)}})
+				points = append(points, capacity.Point{At: float64(s.Tenants), Values: []float64{f.value(s)}})
 			}
 		}
 		if fit := bestFit(points); fit != nil {
 			fmt.Fprintf(&b, "| %s | %s |\n", f.name, fitted(fit))
 		}
 	}
-	head := "\n| build | what | changes | puts | not everywhere | p50 s | p99 s | worst s | slowest accepted s | under 8 s | back after s | router CPU % | KB/s | MB | leader CPU % | KB/s |\n|" + strings.Repeat("---|", 16) + "\n"
-	b.WriteString(head)
+	seriesHeader := "\n| build | what | changes | puts | not everywhere | p50 s | p99 s | worst s | slowest accepted s | under 8 s | back after s | router CPU % | KB/s | MB | leader CPU % | KB/s |\n|" + strings.Repeat("---|", 16) + "\n"
+	b.WriteString(seriesHeader)
 	for _, s := range r.Stretches {
 		b.WriteString(s.row() + "\n")
 	}
-	b.WriteString(head)
+	b.WriteString(seriesHeader)
 	for _, s := range r.Fleet {
 		b.WriteString(s.row() + "\n")
 	}
--- a/internal/testkit/benchmarks/parts_test.go
+++ b/internal/testkit/benchmarks/parts_test.go
@@ -27,7 +27,7 @@
 		_, _ = io.ReadFull(c, b)
 	}()
 	var in, out atomic.Int64
-	p, err := newPipe(ln.Addr().String(), &in, &out)
+	p, err := newCountingProxy(ln.Addr().String(), &in, &out)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -54,11 +54,11 @@
 // costOf skips a process that was restarted between the readings and returns the highest use of the others.
 func TestCostOf(t *testing.T) {
 	at := time.Now()
-	use := func(pid int, cpu time.Duration, mb float64, at time.Time) used {
-		return used{usage{cpu: cpu, resident: mb, at: at}, pid}
+	use := func(pid int, cpu time.Duration, mb float64, at time.Time) processUsage {
+		return processUsage{usage{cpu: cpu, resident: mb, at: at}, pid}
 	}
-	was := []used{use(1, 0, 9, at), use(2, 0, 9, at), use(3, 0, 9, at)}
-	now := []used{use(1, time.Second, 7, at.Add(10*time.Second)), use(2, 2*time.Second, 8, at.Add(10*time.Second)), use(4, 9*time.Second, 99, at.Add(10*time.Second))}
+	was := []processUsage{use(1, 0, 9, at), use(2, 0, 9, at), use(3, 0, 9, at)}
+	now := []processUsage{use(1, time.Second, 7, at.Add(10*time.Second)), use(2, 2*time.Second, 8, at.Add(10*time.Second)), use(4, 9*time.Second, 99, at.Add(10*time.Second))}
 	if c := costOf(was, now); c.CPU != 0.2 || c.Resident != 8 {
 		t.Errorf("cost %+v, want CPU 0.2 and Resident 8", c)
 	}
