--- a/internal/testkit/benchmarks/parts.go
+++ b/internal/testkit/benchmarks/parts.go
@@ -308,12 +308,12 @@
 }
 
 // newCountingProxy listens on a loopback port and forwards each connection to the address.
-func newCountingProxy(to string, in, out *atomic.Int64) (*countingProxy, error) {
+func newCountingProxy(target string, in, out *atomic.Int64) (*countingProxy, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	p := &countingProxy{ln: ln, target: to, in: in, out: out, conns: map[net.Conn]bool{}}
+	p := &countingProxy{ln: ln, target: target, in: in, out: out, conns: map[net.Conn]bool{}}
 	go func() {
 		for {
 			conn, err := ln.Accept()
@@ -421,11 +421,11 @@
 func (p *partsBench) newRouter(g *partsGroup, docs, fleet string) (*partsRouter, error) {
 	r := &partsRouter{dir: p.newDir(), docs: docs, fleetSettings: fleet}
 	for _, addr := range g.addrs {
-		proxy, err := newCountingProxy(addr, &r.in, &r.out)
+		memberProxy, err := newCountingProxy(addr, &r.in, &r.out)
 		if err != nil {
 			return r, err
 		}
-		r.proxies = append(r.proxies, proxy)
+		r.proxies = append(r.proxies, memberProxy)
 	}
 	return r, r.restart(g.bin)
 }
@@ -782,7 +782,7 @@
 	if info, err := os.Stat(r.docFile); err == nil {
 		s.Text = int(info.Size())
 	}
-	began := time.Now()
+	startedAt := time.Now()
 	version, _, err := r.putWithRetry(time.Second)
 	if err != nil {
 		if r.build != "this" { // a baseline that rejects the map is a result, not an error
@@ -795,7 +795,7 @@
 	if err != nil {
 		return s, err
 	}
-	s.Import = at.Sub(began).Seconds()
+	s.Import = at.Sub(startedAt).Seconds()
 	var all sync.WaitGroup
 	errs := make([]error, partsRouters)
 	for i := range partsRouters { // restarted, so that resident memory reflects this size alone
@@ -829,12 +829,12 @@
 		return s, err
 	}
 	ownBefore := usageOf(os.Getpid())
-	usageBefore, plain := r.readUsage(), processUsage{usageOf(r.fileRouter.Pid()), r.fileRouter.Pid()}
+	usageBefore, fileRouterBefore := r.readUsage(), processUsage{usageOf(r.fileRouter.Pid()), r.fileRouter.Pid()}
 	time.Sleep(partsIdleTime)
 	usageAfter := r.readUsage()
 	ownCPU, _, _, _ := usageOf(os.Getpid()).since(ownBefore)
 	s.Hollow = ownCPU / float64(max(1, len(r.followers)))
-	s.Plain = costOf([]processUsage{plain}, []processUsage{{usageOf(r.fileRouter.Pid()), r.fileRouter.Pid()}})
+	s.Plain = costOf([]processUsage{fileRouterBefore}, []processUsage{{usageOf(r.fileRouter.Pid()), r.fileRouter.Pid()}})
 	leaderOf := func(reading usageReading) []processUsage { return reading.members[leader : leader+1] }
 	s.Router, s.Leader = costOf(usageBefore.routers, usageAfter.routers), costOf(leaderOf(usageBefore), leaderOf(usageAfter))
 	usageBefore = r.readUsage()
@@ -843,7 +843,7 @@
 		if err := r.changeTenantRate(); err != nil {
 			return s, err
 		}
-		began := time.Now()
+		startedAt := time.Now()
 		version, _, err := r.putWithRetry(time.Second)
 		if err != nil {
 			s.Failures = append(s.Failures, fmt.Sprintf("after %v changes: %v", accepted, err))
@@ -855,8 +855,8 @@
 			s.Failures = append(s.Failures, err.Error())
 			continue
 		}
-		totalDelay += at.Sub(began).Seconds()
-		s.Slowest = max(s.Slowest, at.Sub(began).Seconds())
+		totalDelay += at.Sub(startedAt).Seconds()
+		s.Slowest = max(s.Slowest, at.Sub(startedAt).Seconds())
 	}
 	if accepted == 0 {
 		return s, nil
