--- a/internal/testkit/benchmarks/parts.go
+++ b/internal/testkit/benchmarks/parts.go
@@ -45,7 +45,7 @@
 	}
 	if text, err := os.ReadFile(p.resultsFile); err == nil {
 		if err := json.Unmarshal(text, &p.earlierRuns); err != nil {
-			b.Fatalf("%s: %v", p.resultsFile, err)
+			b.Fatalf("failed to parse results file %s: %v", p.resultsFile, err)
 		}
 	}
 	p.res = partsResults{Command: "go test -run '^$' -bench 'Parts$' -benchtime 1x -timeout 20m ./internal/testkit/benchmarks/", Machine: scaleMachine(),
@@ -80,14 +80,14 @@
 
 const (
 	partsRouters        = 4
-	partsServers        = 930
+	partsServers        = 930 // in the map
 	partsLeaseTTL       = 3 * time.Second
-	partsIdleTime       = 8 * time.Second
+	partsIdleTime       = 8 * time.Second // measured without changes
 	partsSettleTime     = 3 * time.Second
-	partsChangesPerSize = 5 // changes per map size
-	partsMaxDelay       = 8 * time.Second
+	partsChangesPerSize = 5
+	partsMaxDelay       = 8 * time.Second // bound on a change until every process acts on it
 	partsTimeout        = 40 * time.Second
-	partsChangesPerDay  = 1600 // changes a day
+	partsChangesPerDay  = 1600
 )
 
 // partsSizes returns the numbers of tenants to measure: those that SILVERPATH_TENANTS lists, else the
@@ -111,7 +111,7 @@
 type partsBench struct {
 	b                                  *testing.B
 	bin, baseline, resultsFile         string
-	hollowCount, sizeDivisor, dirCount int
+	hollowCount, sizeDivisor, dirCount int // sizes are divided by sizeDivisor, for trial runs
 	res                                partsResults
 	earlierRuns                        []partsResults // read from resultsFile
 }
@@ -276,7 +276,7 @@
 	return 0, errors.New("no leader within 15 s")
 }
 
-var proposedVersion = regexp.MustCompile(`version (\d+) proposed`)
+var proposedLine = regexp.MustCompile(`version (\d+) proposed`)
 
 // put runs "rules put" for a document without waiting for the change to become active, and returns the
 // proposed version.
@@ -288,7 +288,7 @@
 	if err := cmd.Wait(); err != nil {
 		return 0, errors.New(strings.TrimSpace(cmd.Log()))
 	}
-	match := proposedVersion.FindStringSubmatch(cmd.Log())
+	match := proposedLine.FindStringSubmatch(cmd.Log())
 	if match == nil {
 		return 0, fmt.Errorf("no version in output of rules put: %q", cmd.Log())
 	}
@@ -433,8 +433,8 @@
 // restart kills the router, if it runs, and starts it with an empty state file.
 func (r *partsRouter) restart(bin string) error {
 	var addrs []string
-	for _, x := range r.proxies {
-		addrs = append(addrs, x.ln.Addr().String())
+	for _, memberProxy := range r.proxies {
+		addrs = append(addrs, memberProxy.ln.Addr().String())
 	}
 	list, _ := json.Marshal(addrs)
 	r.mu.Lock()
@@ -458,8 +458,8 @@
 	if r.Process != nil {
 		r.Kill()
 	}
-	for _, x := range r.proxies {
-		x.close()
+	for _, memberProxy := range r.proxies {
+		memberProxy.close()
 	}
 }
 
@@ -496,7 +496,7 @@
 // partsRig is a group with its followers: hollow followers in this process, and real routers.
 type partsRig struct {
 	*partsGroup
-	p             *partsBench
+	bench         *partsBench
 	build         string // name of the build in tables
 	docs          string // of its routers, as in partsRouter
 	fleetSettings string
@@ -518,7 +518,7 @@
 	if bin == p.baseline {
 		build = "as it was"
 	}
-	r := &partsRig{p: p, build: build, followers: make([]*hollow.Follower, p.hollowCount), activations: make([][]activation, p.hollowCount), docs: `["map"]`, fleetSettings: `,"probe_ms":600000`}
+	r := &partsRig{bench: p, build: build, followers: make([]*hollow.Follower, p.hollowCount), activations: make([][]activation, p.hollowCount), docs: `["map"]`, fleetSettings: `,"probe_ms":600000`}
 	dir := p.newDir()
 	r.docFile = filepath.Join(dir, "map.json")
 	var err error
@@ -530,14 +530,14 @@
 	if r.fileRouter != nil {
 		r.fileRouter.Kill()
 	}
-	for _, x := range r.routers {
-		x.close()
+	for _, router := range r.routers {
+		router.close()
 	}
-	var all sync.WaitGroup
+	var wg sync.WaitGroup
 	for i := range r.followers {
-		all.Go(func() { r.stopFollower(i) })
+		wg.Go(func() { r.stopFollower(i) })
 	}
-	all.Wait()
+	wg.Wait()
 	r.partsGroup.close()
 }
 
@@ -587,8 +587,8 @@
 		}
 	}
 	r.mu.Unlock()
-	for _, x := range r.routers {
-		count(x.activations(doc))
+	for _, router := range r.routers {
+		count(router.activations(doc))
 	}
 	return last, missing
 }
@@ -613,7 +613,7 @@
 	if r.currentMap != nil {
 		version = r.currentMap.Version + 1
 	}
-	r.currentMap = scaleMap(places(max(1, partsServers/r.p.sizeDivisor)), 10, tenants)
+	r.currentMap = scaleMap(places(max(1, partsServers/r.bench.sizeDivisor)), 10, tenants)
 	r.currentMap.Version = version
 	return os.WriteFile(r.docFile, settings.FormatCells(r.currentMap), 0o600)
 }
@@ -698,8 +698,8 @@
 		due        time.Time
 	}
 	queue := make(chan acceptedChange, n)
-	var all sync.WaitGroup
-	all.Go(func() { // waits for the changes in order
+	var wg sync.WaitGroup
+	wg.Go(func() { // waits for the changes in order
 		for change := range queue {
 			at, err := r.awaitActive(configstore.DocMap, change.version, partsTimeout)
 			if series.Changes[change.i].InForce = at.Sub(change.due).Seconds(); err != nil {
@@ -730,7 +730,7 @@
 		queue <- acceptedChange{i, version, due}
 	}
 	close(queue)
-	all.Wait()
+	wg.Wait()
 	time.Sleep(time.Until(startedAt.Add(time.Duration(n) * interval)))
 	usageAfter := r.readUsage()
 	series.Router, series.Leader = costOf(usageBefore.routers, usageAfter.routers), costOf(usageBefore.members, usageAfter.members)
@@ -796,26 +796,26 @@
 		return s, err
 	}
 	s.Import = at.Sub(startedAt).Seconds()
-	var all sync.WaitGroup
+	var wg sync.WaitGroup
 	errs := make([]error, partsRouters)
 	for i := range partsRouters { // restarted, so that resident memory reflects this size alone
 		if i >= len(r.routers) {
-			x, err := r.p.newRouter(r.partsGroup, r.docs, r.fleetSettings)
-			if r.routers = append(r.routers, x); err != nil {
+			router, err := r.bench.newRouter(r.partsGroup, r.docs, r.fleetSettings)
+			if r.routers = append(r.routers, router); err != nil {
 				return s, err
 			}
 			continue
 		}
-		all.Go(func() { errs[i] = r.routers[i].restart(r.bin) })
+		wg.Go(func() { errs[i] = r.routers[i].restart(r.bin) })
 	}
-	all.Wait()
+	wg.Wait()
 	if err := errors.Join(errs...); err != nil {
 		return s, err
 	}
 	if r.fileRouter != nil {
 		r.fileRouter.Kill()
 	}
-	dir := r.p.newDir()
+	dir := r.bench.newDir()
 	file := filepath.Join(dir, "cells.json")
 	if err := proxy.WriteMap(file, r.currentMap); err != nil {
 		return s, err
@@ -880,7 +880,7 @@
 // measureFaults measures changes at the current map size: without faults, with processes that fall silent,
 // with a killed leader and with restarted processes.
 func (r *partsRig) measureFaults() error { //nolint:cyclop // one measurement from top to bottom; its split is in docs/ROADMAP.md
-	p := r.p
+	p := r.bench
 	addSeries := func(series partsSeries) {
 		p.res.Stretches = append(p.res.Stretches, series)
 		if err := p.write(); err != nil {
@@ -932,11 +932,11 @@
 		if i != 2 {
 			return nil
 		}
-		var all sync.WaitGroup
+		var wg sync.WaitGroup
 		var mu sync.Mutex
 		var errs []error
 		runAsync := func(restart func() error) {
-			all.Go(func() {
+			wg.Go(func() {
 				if err := restart(); err != nil {
 					mu.Lock()
 					errs = append(errs, err)
@@ -957,7 +957,7 @@
 				p.b.Error(err)
 			}
 		})
-		all.Wait()
+		wg.Wait()
 		restarts.Go(func() {
 			for deadline := startedAt.Add(partsTimeout); ; time.Sleep(10 * time.Millisecond) {
 				missing := 0
@@ -1019,8 +1019,8 @@
 			}
 		}
 		for range routers {
-			x, err := p.newRouter(r.partsGroup, r.docs, r.fleetSettings)
-			if r.routers = append(r.routers, x); err != nil {
+			router, err := p.newRouter(r.partsGroup, r.docs, r.fleetSettings)
+			if r.routers = append(r.routers, router); err != nil {
 				return err
 			}
 		}
