--- a/internal/testkit/benchmarks/durable.go
+++ b/internal/testkit/benchmarks/durable.go
@@ -23,15 +23,16 @@
 	"silverpath/internal/transport/client"
 )
 
-// Durable measures a service whose runs are kept on a disk: killed and started anew under load, what it costs, and how it
-// comes up with many records.
+// Durable measures a service with an idempotency store on disk: its correctness when it is killed and restarted under load,
+// the cost of the store, and the time to start with many records.
 func Durable(b *testing.B) {
 	b.Run("kills", durableKills)
 	b.Run("cost", durableCost)
 	b.Run("scale", durableScale)
 }
 
-// tested builds the program with the faults of its tests.
+// tested builds the test executable of the command silverpath, which can inject faults into its store. It returns the path and
+// the environment that makes the executable run as the service.
 func tested(b *testing.B) (bin string, env []string) {
 	bin = filepath.Join(b.TempDir(), "silverpath.test")
 	if out, err := exec.Command("go", "test", "-c", "-o", bin, "silverpath/cmd/silverpath").CombinedOutput(); err != nil {
@@ -40,7 +41,8 @@
 	return bin, []string{"SILVERPATH_RUN=1"}
 }
 
-// keeping is an edge file for a service that keeps its runs.
+// keeping writes an edge file for a service with an idempotency store in dir and returns its path. It creates the store if dir
+// does not exist.
 func keeping(b *testing.B, dir, name string, sizeMB int, gather time.Duration) string {
 	file := filepath.Join(b.TempDir(), "edge.json")
 	text := fmt.Sprintf(`{"store":{"dir":%q,"size_mb":%d,"gather_us":%d}}`, dir, sizeMB, gather.Microseconds())
@@ -55,6 +57,8 @@
 	return file
 }
 
+// durableKills kills and restarts a service under load, with and without a store. It counts the requests that ran twice or got
+// different answers.
 func durableKills(b *testing.B) {
 	bin, env := tested(b)
 	const times = 200
@@ -79,7 +83,7 @@
 		}
 		wrong := l.End()
 		left := 0
-		if kept { // a sheet that never had a result runs as a new one once its window is over
+		if kept { // a key that never got a result runs as a new one after its window
 			time.Sleep(2*time.Second + time.Second + 2500*time.Millisecond)
 			for _, key := range l.Unserved() {
 				if a, err := client.Do(client.Platform, s.Addr, client.Request{Class: "oddaja", Key: key, Body: []byte(key), Timeout: 900 * time.Millisecond}); err != nil || a.Outcome != "served" {
@@ -95,6 +99,7 @@
 	}
 }
 
+// durableCost measures the throughput, the latency and the disk writes with and without a store, for several numbers of clients.
 func durableCost(b *testing.B) {
 	bin, env := tested(b)
 	fmt.Println("\n| store | clients | sheets/s | p50 ms | p99 ms | not served | syncs a sheet | sheets a commit | KB written a sheet |")
@@ -112,7 +117,8 @@
 	}
 }
 
-// durableLoad has clients send new sheets one after the other, each on a connection of its own.
+// durableLoad measures one combination of store and number of clients and prints a row of the table. Each client sends requests
+// with new keys one after the other on its own connection.
 func durableLoad(b *testing.B, bin string, env []string, clients int, name string, kept bool, gather time.Duration, disk string) {
 	m, err := builtinworker.Listen(builtinworker.Config{Listen: "127.0.0.1:0", Cores: 128, Shape: builtinworker.Shape{Knee: 128, Thrash: 1, Speed: 1},
 		Other: builtinworker.Class{MinWork: time.Millisecond, MaxWork: 3 * time.Millisecond}, MemoryKB: 1 << 20, RunFactor: 4, Seed: 1})
@@ -193,7 +199,7 @@
 		2*float64(commits)/float64(n), float64(counters["store.changes"])/2/float64(max(1, commits)), float64(wrote)/1024/float64(n))
 }
 
-// written is how many bytes the process has sent to disks.
+// written returns the number of bytes that the process has written to disks.
 func (p *Process) written() (n int) {
 	text, _ := os.ReadFile(fmt.Sprintf("/proc/%d/io", p.Pid()))
 	if _, rest, ok := strings.Cut(string(text), "\nwrite_bytes: "); ok {
@@ -202,14 +208,14 @@
 	return n
 }
 
-// forgetful acts on nothing that is kept.
+// forgetful ignores the stored records and has none of its own.
 type forgetful struct{}
 
 func (forgetful) Restore([]idempotency.Record, func(time.Duration) time.Time)    {}
 func (forgetful) Records(func(time.Time) time.Duration) (l []idempotency.Record) { return l }
 func (forgetful) LongestWindow() time.Duration                                   { return 0 }
 
-// fill writes so many runs with their results into a store.
+// fill creates a store in dir with the given number of records, which have their results. The number is a multiple of 1000.
 func fill(b *testing.B, dir string, records int) {
 	if err := idempotencystore.Init(dir, "lab"); err != nil {
 		b.Fatal(err)
@@ -238,6 +244,7 @@
 	s.Close()
 }
 
+// durableScale measures how long a service takes to start and to serve its first requests with up to a million live keys.
 func durableScale(b *testing.B) {
 	bin, env := tested(b)
 	fmt.Println("\n| live keys | MB on disk | MB resident | front open ms | first read ms | all read within | first new sheet ms |")
@@ -292,7 +299,7 @@
 	}
 }
 
-// loadedIn is within what time a service says that it read its store.
+// loadedIn returns the load time of the store as the service logs it, or "never".
 func (p *Process) loadedIn() string {
 	line, err := p.Await(time.Second, 0, "taken up within ")
 	if err != nil {
--- a/internal/testkit/benchmarks/owner.go
+++ b/internal/testkit/benchmarks/owner.go
@@ -32,11 +32,13 @@
 	"silverpath/internal/testkit/standin/faults"
 )
 
-// asMember makes the lab's own program that of members, with a disk that stalls while a file says so. It is for what the
-// program itself has no way to be slow at.
+// asMember is the environment variable that makes the benchmark's own executable run as a quorum member whose disk writes
+// can be delayed. The built program has no setting for a slow disk.
 const asMember = "SILVERPATH_LAB"
 
-// RunMember runs a member where the environment asks for one, and reports whether it did.
+// RunMember runs the process as a quorum member if the environment variable SILVERPATH_LAB is set, and reports whether it
+// did. If the variable SILVERPATH_DISK names a file, each disk operation is delayed by the duration in that file. An error
+// of the member ends the process with exit code 1.
 func RunMember() bool {
 	if os.Getenv(asMember) == "" {
 		return false
@@ -60,7 +62,7 @@
 	return true
 }
 
-// starter starts the built program.
+// starter returns a harness.Starter that starts the executable bin without the variable LB_CONFIG.
 func starter(bin string) harness.Starter {
 	return func(args []string, env ...string) (*harness.Process, error) {
 		cmd := exec.Command(bin, args...)
@@ -69,7 +71,8 @@
 	}
 }
 
-// slowStarter starts members of the lab's own program, whose disks can stall.
+// slowStarter returns a harness.Starter that starts the benchmark's own executable as a quorum member whose disk writes can
+// be delayed.
 func slowStarter() harness.Starter {
 	return func(args []string, env ...string) (*harness.Process, error) {
 		exe, err := os.Executable()
@@ -82,7 +85,7 @@
 
 var ownerTerms = lease.Terms{TTL: 600 * time.Millisecond, Drift: 0.05}
 
-// Owner measures the ownership of the fleet's work.
+// Owner measures the leased controllers: how safely and how fast their leases change hands, and what the quorum costs.
 func Owner(b *testing.B) {
 	bin, err := buildAll(b.TempDir())
 	if err != nil {
@@ -97,15 +100,16 @@
 	b.Run("down", func(b *testing.B) { groupDown(b, bin) })
 }
 
-// buildAll builds the program and that of members beside it.
+// buildAll builds all commands of the module into dir and returns the path of the silverpath executable.
 func buildAll(dir string) (string, error) {
 	out, err := exec.Command("go", "build", "-o", dir+"/", "silverpath/cmd/...").CombinedOutput()
 	if err != nil {
-		return "", fmt.Errorf("building: %w\n%s", err, out)
+		return "", fmt.Errorf("failed to build the commands: %w\n%s", err, out)
 	}
 	return filepath.Join(dir, "silverpath"), nil
 }
 
+// number returns the integer in the environment variable name, or def if the variable holds none.
 func number(name string, def int) int {
 	if n, err := strconv.Atoi(os.Getenv(name)); err == nil {
 		return n
@@ -113,6 +117,7 @@
 	return def
 }
 
+// simulated runs schedules of faults in simulated time and prints how many rollouts and moves finished.
 func simulated(b *testing.B) {
 	n := uint64(number("SILVERPATH_SIMULATED", 100_000))
 	const parts = 6
@@ -135,10 +140,10 @@
 
 // ---- Schedules of faults over real processes ----
 
-// rig is a group and servers that take its orders.
+// rig is a quorum group and the servers that receive commands from its leased controllers.
 type rig struct {
 	g       *harness.Group
-	dir     string // of the map
+	dir     string // directory of the map's versions
 	servers []*Process
 	ways    []*faults.Between
 	close   []func()
@@ -154,6 +159,8 @@
 	}
 }
 
+// newRig starts a group of three members and n servers in two cells, and publishes the first version of their map. The rig
+// is returned with an error too, because the caller has to close what was started.
 func newRig(bin, home string, n int, sets lease.Terms) (r *rig, err error) {
 	r = &rig{dir: filepath.Join(home, "map"), bin: bin, site: Site{Cores: 8, MemoryKB: 65536, ProcMB: 64, Sockets: 128}}
 	if err = os.MkdirAll(r.dir, 0o755); err != nil {
@@ -197,6 +204,7 @@
 	return m
 }
 
+// start starts server i and points its fault proxy at it.
 func (r *rig) start(i int) error {
 	if err := os.MkdirAll(r.homes[i], 0o700); err != nil {
 		return err
@@ -213,11 +221,11 @@
 	return err
 }
 
-// outcome is what a schedule came to.
+// outcome is the result of one or several schedules.
 type outcome struct {
 	finished, handed, refused, mostOut int
 	broken                             []string
-	given                              []string // notes of what was given up
+	given                              []string // notes of the moves and rollouts that failed
 }
 
 var (
@@ -225,8 +233,8 @@
 	orderLine = regexp.MustCompile(`(?m)^(\S+) orders: (\w+) of conductor, epoch (\d+)\.(\d+), step (\d+): (.*)$`)
 )
 
-// schedule plays one: two owners, a roll of the servers and two moves, and for some seconds faults of every kind between
-// them. Then all is mended, and everything has to come to its end.
+// schedule runs the schedule of one seed: two owners perform a rollout over the servers and two moves while faults of every
+// kind are injected for 1.8 s. Then all faults end, and the rollout and both moves have to finish or fail.
 func (r *rig) schedule(seed uint64) (o outcome) { //nolint:cyclop // one measurement from top to bottom; its split is in docs/ROADMAP.md
 	rng := rand.New(rand.NewPCG(seed, 500))
 	broke := func(format string, args ...any) {
@@ -239,7 +247,7 @@
 	before := slices.Clone(r.servers)
 	head, _, err := proxy.VersionDir{Dir: r.dir}.Head()
 	if err != nil {
-		broke("%v", err)
+		broke("failed to read the latest map: %v", err)
 		return o
 	}
 	var owners []*harness.Process
@@ -247,7 +255,7 @@
 	own := func() {
 		p, err := r.g.Owner(fmt.Sprint("o", len(owners)), r.dir, both, nil, nil)
 		if err != nil {
-			broke("%v", err)
+			broke("failed to start an owner: %v", err)
 			return
 		}
 		owners = append(owners, p)
@@ -340,7 +348,7 @@
 	for _, p := range owners {
 		p.Wake()
 	}
-	for i, c := range copies { // what a network had kept
+	for i, c := range copies { // a copy that the network held back arrives now
 		if c != nil && strings.HasPrefix(string(c), "POST") {
 			_, _ = r.ways[i].Again(c)
 		}
@@ -378,13 +386,14 @@
 		did := mv.Journals[controller.PlacementDuty].Item(id).State == controller.Done
 		grown := len(after.Tenants[t+k].Homes) - len(head.Tenants[t+k].Homes)
 		if did && grown != 1 || !did && grown != 0 {
-			broke("%s: %v, and %d homes more", id, did, grown)
+			broke("move %s: done is %v, but the tenant has %d more homes", id, did, grown)
 		}
 	}
 	return o
 }
 
-// judge reads the servers' own records: when each was out, and by whose orders.
+// judge checks the logs of the servers: at no time too many servers were evacuated, no command of an older epoch took effect
+// after one of a newer epoch, and no server stays evacuated after a rollout that finished.
 func (r *rig) judge(o *outcome, broke func(string, ...any), marks []int, before []*Process, it controller.Item) { //nolint:cyclop // one measurement from top to bottom; its split is in docs/ROADMAP.md
 	type event struct {
 		at     string
@@ -405,7 +414,7 @@
 			g, _ := strconv.ParseUint(m[3], 10, 64)
 			n, _ := strconv.ParseUint(m[4], 10, 64)
 			if strings.Contains(m[6], "before") || strings.Contains(m[6], "was not") {
-				continue // it changed nothing
+				continue // the command was rejected and changed nothing
 			}
 			list = append(list, event{m[1], i, "order", g<<32 | n})
 		}
@@ -417,7 +426,7 @@
 		switch e.what {
 		case "order":
 			if e.epoch < newest {
-				broke("an act of epoch %d at s%d after one of %d", e.epoch, e.server, newest)
+				broke("command of epoch %d executed at s%d after one of epoch %d", e.epoch, e.server, newest)
 			}
 			newest = max(newest, e.epoch)
 		case "evacuated":
@@ -431,14 +440,15 @@
 			cell[s%2]++
 		}
 		if len(out) > 2 || cell[0] > 1 || cell[1] > 1 {
-			broke("%d out at %s, by cell %v", len(out), e.at, cell)
+			broke("%d servers evacuated at %s, by cell %v", len(out), e.at, cell)
 		}
 	}
 	if it.State == controller.Done && len(out) > 0 {
-		broke("after the roll %v are out", out)
+		broke("servers %v are evacuated after the rollout", out)
 	}
 }
 
+// schedules runs schedules over real processes, several rigs in parallel, and prints their sum.
 func schedules(b *testing.B, bin string) {
 	n, workers := number("SILVERPATH_SCHEDULES", 500), number("SILVERPATH_WORKERS", 4)
 	var mu sync.Mutex
@@ -479,6 +489,8 @@
 
 // ---- Two operators at once ----
 
+// twoOperators has two operators move tenants at the same time, by a map file and by the placement controller, and counts the
+// confirmed moves that are not in the map afterwards.
 func twoOperators(b *testing.B, bin string) { //nolint:cyclop // one measurement from top to bottom; its split is in docs/ROADMAP.md
 	fmt.Println("\n| build | rounds | both said yes | changes lost | one was told no |")
 	fmt.Println("|---|---|---|---|---|")
@@ -532,7 +544,7 @@
 	r, err := newRig(bin, b.TempDir(), 0, ownerTerms)
 	defer r.Close() //nolint:staticcheck // what was begun is returned beside an error, to be closed
 	if err != nil {
-		b.Logf("%v", err) // a map without servers is none: the one with them follows
+		b.Logf("%v", err) // a map without servers is invalid; the map with servers is written below
 	}
 	dir := b.TempDir()
 	if err := (proxy.VersionDir{Dir: dir}).Put(1, settings.FormatCells(m)); err != nil {
@@ -556,6 +568,7 @@
 
 // ---- Time without an owner ----
 
+// logTime returns the time of day at the start of a log line, or 0 if the line starts with none.
 func logTime(line string) time.Duration {
 	t, err := time.Parse("15:04:05.000000", line[:15])
 	if err != nil {
@@ -564,6 +577,8 @@
 	return t.Sub(t.Truncate(24 * time.Hour))
 }
 
+// gaps measures for several lease times how long a duty has no owner after its owner was killed, stopped or cut off from the
+// group.
 func gaps(b *testing.B, bin string) {
 	fmt.Println("\n| lease ms | what | rounds | p50 ms | p99 ms | two at once | messages/s at rest | syncs/s at rest | CPU of the leader, of an owner |")
 	fmt.Println("|---|---|---|---|---|---|---|---|---|")
@@ -594,7 +609,8 @@
 	}
 }
 
-// restCost is what the group says and writes while one owner holds all duties and nothing happens.
+// restCost returns table cells with the group's messages and disk syncs per second and the CPU load of the leader and of an
+// owner, while one owner holds all duties and nothing happens.
 func restCost(b *testing.B, r *rig, dir string) string {
 	p, err := r.g.Owner("rest", dir, controller.Duties, nil, nil)
 	if err != nil {
@@ -638,6 +654,8 @@
 	return fmt.Sprintf("%.0f | %.1f | %.1f%%, %.1f%%", float64(m1-m0)/span.Seconds(), float64(s1-s0)/span.Seconds(), per(c1-c0), per(o1-o0))
 }
 
+// oneGap fails the owner of the placement duty in the given way and returns how long it took until the other owner held the
+// duty, and whether both held it at the same time.
 func oneGap(r *rig, dir, what string, n int) (gap time.Duration, two bool, err error) { //nolint:cyclop // one measurement from top to bottom; its split is in docs/ROADMAP.md
 	var ways []*faults.Between
 	var addrs []string
@@ -688,7 +706,7 @@
 	gap = at - began.Sub(began.Truncate(24*time.Hour))
 	if what == "cut" {
 		lost, err := one.Await(10*time.Second, 0, "duty.lost")
-		if two = err != nil; err == nil { // it says how long ago it had stopped, as it saw it
+		if two = err != nil; err == nil { // the line has the time since the owner stopped, by its own clock
 			_, rest, _ := strings.Cut(lost, "ago=")
 			ms, _ := strconv.ParseFloat(strings.Fields(rest)[0], 64)
 			two = logTime(lost)-time.Duration(ms*float64(time.Millisecond)) > at
@@ -701,6 +719,8 @@
 
 // ---- Commits ----
 
+// commits measures the rate and the latency of commits in groups of three and five members, also with members that are dead
+// or have a slow disk.
 func commits(b *testing.B) {
 	fmt.Println("\n| members | what | at once | commits/s | p50 ms | p99 ms |")
 	fmt.Println("|---|---|---|---|---|---|")
@@ -754,6 +774,7 @@
 
 // ---- A rolling restart under load ----
 
+// rolls measures the goodput of a fleet during restarts of all its servers, for each way to order the restarts.
 func rolls(b *testing.B, bin string) {
 	fmt.Println("\n| how | took | worth | lowest tenant | out at once |")
 	fmt.Println("|---|---|---|---|---|")
@@ -764,6 +785,7 @@
 	}
 }
 
+// oneRoll runs a fleet under load, restarts all its servers in the given way and prints a row of the table.
 func oneRoll(b *testing.B, bin, how string) error { //nolint:cyclop // one measurement from top to bottom; its split is in docs/ROADMAP.md
 	home := b.TempDir()
 	g, err := harness.NewGroup(home, 3, lease.Terms{TTL: time.Second, Drift: 0.05}, 50*time.Millisecond, starter(bin))
@@ -785,7 +807,7 @@
 	for _, t := range brands {
 		loads = append(loads, TenantLoad{Tenant: t, Rate: 0.8 * 12 * ServerRate() / float64(len(brands)), For: span})
 	}
-	// A restart takes a server 1.5 s from being out to being back, cold.
+	// A server is away for 1.5 s during a restart, and is cold when it comes back.
 	restart := func(n int) error {
 		time.Sleep(500 * time.Millisecond)
 		return f.Restart(n, time.Second)
@@ -836,7 +858,8 @@
 	return nil
 }
 
-// conduct has the conductor roll the fleet, and starts each server anew while it is out.
+// conduct has the rollout controller evacuate the servers of the fleet in turn, and restarts each server while it is
+// evacuated.
 func (f *Fleet) conduct(g *harness.Group, home string) error {
 	dir := filepath.Join(home, "series")
 	if err := os.MkdirAll(dir, 0o755); err != nil {
@@ -885,8 +908,9 @@
 	return err
 }
 
-// ---- The group away ----
+// ---- Group unavailable ----
 
+// groupDown measures the latency of a fleet with its group up and with all members killed.
 func groupDown(b *testing.B, bin string) {
 	fmt.Println("\n| the group | asked | served in time | p50 ms | p99 ms |")
 	fmt.Println("|---|---|---|---|---|")
--- a/internal/testkit/benchmarks/owner_test.go
+++ b/internal/testkit/benchmarks/owner_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// A few of the schedules that the lab plays a hundred thousand of; without the fence, or with places that are written
-// over, the harm is found among as many.
+// Runs 1000 of the simulated schedules, of which the benchmark runs 100,000. The schedules also have to detect the faults
+// that occur if servers ignore the fence, and if a published version of the map can be overwritten.
 func TestOwnerSchedules(t *testing.T) {
 	const n = 1000
 	finished, handed, err := SimOwners(1, n, nil)
@@ -11,7 +11,7 @@
 		t.Fatal(err)
 	}
 	if finished < 4*n || handed < 2*n {
-		t.Errorf("%d rolls and moves finished, %d changes of owner", finished, handed)
+		t.Errorf("only %d rollouts and moves finished and %d changes of owner", finished, handed)
 	}
 	for name, edit := range map[string]func(*OwnerSim){
 		"no fence":  func(s *OwnerSim) { s.NoFence = true },
@@ -19,7 +19,7 @@
 	} {
 		_, _, err := SimOwners(1, 3*n, edit)
 		if err == nil {
-			t.Errorf("%s: no harm found", name)
+			t.Errorf("%s: no schedule detected the fault", name)
 		}
 		t.Logf("%s: %v", name, err)
 	}
--- a/internal/testkit/benchmarks/ownersim.go
+++ b/internal/testkit/benchmarks/ownersim.go
@@ -15,9 +15,9 @@
 	"silverpath/internal/settings"
 )
 
-// OwnerSim is one schedule of faults in simulated time: three owners, a group whose leader changes and whose majority goes
-// away, servers that start anew, some with their book lost, orders that are held and given twice, and stops of an owner
-// between any two of its actions. All that decides is the real one.
+// OwnerSim is one schedule of faults in simulated time. The faults are changes of the group's leader and losses of its
+// majority, restarts of servers, some with their fence state lost, commands that are lost, delayed or delivered twice, and
+// pauses of an owner between any two of its actions. Leases, controllers and fences are the production code.
 type OwnerSim struct {
 	rng      *rand.Rand
 	now      time.Duration
@@ -28,18 +28,18 @@
 	upAt     time.Duration
 	owners   []*simOwner
 	servers  []*simServer
-	places   map[int][]byte // of the map's versions
+	places   map[int][]byte // content of each version of the map
 	orders   []simOrder
-	newest   lease.Epoch // of an order that took effect
-	edits    lease.Epoch // of a map that was published
-	NoFence  bool        // servers take whatever comes, to see that it is found
-	NoPlaces bool        // a version of the map is written over
+	newest   lease.Epoch // highest epoch of a command that took effect
+	edits    lease.Epoch // epoch of the map that was published last
+	NoFence  bool        // servers execute commands that the fence rejects
+	NoPlaces bool        // a published version of the map can be overwritten
 	latest   *cells.Map
 	raw      []byte
 	Broken   []string
 	MostOut  int
-	Finished int // rolls and moves
-	Handed   int // changes of owner
+	Finished int // rollouts and moves that finished
+	Handed   int // changes of a duty's owner
 }
 
 type simOwner struct {
@@ -49,7 +49,7 @@
 	holders  map[string]*lease.Holder
 	conducts controller.Rollout
 	keeper   controller.Placement
-	pending  map[string]*simAct // decided and checked, and not done yet
+	pending  map[string]*simAct // action of each duty that is decided but not performed yet
 	seen     map[string]controller.Readiness
 	epochs   map[string]lease.Epoch
 }
@@ -66,8 +66,8 @@
 	book  *fence.Fence
 	out   bool
 	outs  int
-	up    time.Duration // it is there from then on
-	again int           // starts
+	up    time.Duration // time from which the server is reachable
+	again int           // number of restarts
 }
 
 type simOrder struct {
@@ -84,7 +84,7 @@
 	simLease   = 300 * time.Millisecond
 )
 
-// NewOwnerSim returns a schedule.
+// NewOwnerSim returns the schedule of a seed.
 func NewOwnerSim(seed uint64) *OwnerSim {
 	s := &OwnerSim{rng: rand.New(rand.NewPCG(seed, 18)), state: statemachine.New(1), groupUp: true, places: map[int][]byte{},
 		wall: time.UnixMilli(1_700_000_000_000)}
@@ -131,14 +131,15 @@
 	return time.Duration(s.rng.Float64() * float64(most))
 }
 
-// Run plays until all is done, faults for the first so many simulated seconds, or gives up.
+// Run runs the schedule until all moves and the rollout are over or an invariant is violated, at most for a simulated minute
+// after the faults. Faults are injected during the first simulated time of the given length. Run then checks the final state.
 func (s *OwnerSim) Run(faults time.Duration) {
 	for s.now < faults+60*time.Second && len(s.Broken) == 0 {
 		s.now += simStep
 		if s.now < faults {
 			s.trouble()
 		}
-		if !s.groupUp && s.now >= s.upAt { // another leader, who knows nothing of what was promised
+		if !s.groupUp && s.now >= s.upAt { // a new leader has no record of earlier lease grants
 			s.groupUp = true
 			s.watch.Demote()
 			s.watch.Promote(s.now)
@@ -161,7 +162,7 @@
 	s.end()
 }
 
-// trouble draws what goes wrong now.
+// trouble draws the faults of this step.
 func (s *OwnerSim) trouble() {
 	if s.chance(0.01) {
 		s.owners[s.rng.IntN(3)].frozen = s.now + s.span(4*simLease)
@@ -174,13 +175,14 @@
 		x.up, x.out = s.now+s.span(time.Second), false
 		x.again++
 		if s.chance(0.3) {
-			x.book = fence.New(nil, true) // its disk is lost too
+			x.book = fence.New(nil, true) // the disk is lost too
 		} else {
 			x.book = fence.New(x.book.Latest(), true)
 		}
 	}
 }
 
+// ask has the group's leader answer a lease request. It returns the duty, and whether the request was rejected.
 func (s *OwnerSim) ask(a lease.Request) (lease.Duty, bool) {
 	d := s.state.Table.Duties[a.Duty]
 	if d != nil && (a.Op == lease.Renew || a.Op == lease.Acquire && (d.Holder == a.Process || slices.Contains(d.Queue, a.Process))) {
@@ -196,7 +198,8 @@
 	return *r.Duty, r.Error != ""
 }
 
-// own is an owner's turn: its leases, then, of each duty, what it had decided, or a new decision.
+// own runs one step of an owner. It renews or acquires leases, and then, for each duty, performs the pending action if its
+// time has come, or decides on a new one.
 func (s *OwnerSim) own(o *simOwner) {
 	clock := time.Duration(float64(s.now) * o.hz)
 	for _, name := range []string{controller.PlacementDuty, controller.RolloutDuty} {
@@ -229,7 +232,7 @@
 		if act.Kind == controller.Idle {
 			continue
 		}
-		// It has checked that it owns the duty; it may be stopped before it acts, and between an act and its outcome.
+		// The owner has checked that it owns the duty. It may be paused before the action, and between an action and its result.
 		wait := time.Duration(0)
 		if s.chance(0.1) {
 			wait = s.span(3 * simLease)
@@ -238,6 +241,7 @@
 	}
 }
 
+// head returns the latest published map and its content. A withdrawn version is skipped.
 func (s *OwnerSim) head() (m *cells.Map, raw []byte) {
 	if s.latest != nil {
 		return s.latest, s.raw
@@ -253,6 +257,7 @@
 	return m, raw
 }
 
+// decide returns the next action of the duty's controller.
 func (s *OwnerSim) decide(o *simOwner, name string, j *controller.Journal, e lease.Epoch, clock time.Duration) controller.Action {
 	m, raw := s.head()
 	if name == controller.PlacementDuty {
@@ -277,6 +282,7 @@
 	return o.conducts.Next(j, uint64(e), list, o.seen, clock)
 }
 
+// act performs an action that an owner decided earlier.
 func (s *OwnerSim) act(o *simOwner, name string, p *simAct) {
 	switch p.act.Kind {
 	case controller.WriteJournal:
@@ -290,12 +296,12 @@
 		if p.act.Kind == controller.Withdraw {
 			raw = []byte("withdrawn\n")
 		}
-		if s.places[p.act.Version] == nil || s.NoPlaces { // else the place is taken
+		if s.places[p.act.Version] == nil || s.NoPlaces { // a version can be published only once
 			s.latest = nil
 			s.places[p.act.Version] = raw
 			if m, err := settings.ParseCells(raw); err == nil {
 				if lease.Epoch(m.Epoch) < s.edits {
-					s.broke("a map of epoch %v after one of %v", m.Epoch, s.edits)
+					s.broke("map of epoch %v published after one of epoch %v", m.Epoch, s.edits)
 				}
 				s.edits = lease.Epoch(m.Epoch)
 			}
@@ -311,7 +317,7 @@
 		switch {
 		case s.chance(0.05): // lost
 			o.conducts.RecordCommand(p.act.Command.Server, false)
-		case s.chance(0.1): // held on the way
+		case s.chance(0.1): // delayed on the way
 			order.at += s.span(10 * simLease)
 			o.conducts.RecordCommand(p.act.Command.Server, false)
 			order.from = nil
@@ -326,6 +332,7 @@
 	}
 }
 
+// deliver delivers the commands that are due and reports their results to the owners that sent them.
 func (s *OwnerSim) deliver() {
 	var later []simOrder
 	for _, o := range s.orders {
@@ -341,7 +348,7 @@
 	s.orders = later
 }
 
-// take is what a server does with an order.
+// take has a server check a command against its fence and execute it. It returns whether the server accepted the command.
 func (s *OwnerSim) take(x *simServer, o fence.Command) bool { //nolint:cyclop // one measurement from top to bottom; its split is in docs/ROADMAP.md
 	if x.up > s.now {
 		return false
@@ -363,7 +370,7 @@
 	evacuate := o.Action == "evacuate"
 	if x.out != evacuate {
 		if o.Epoch < s.newest {
-			s.broke("%s: %s of epoch %v after one of %v", x.name, o.Action, o.Epoch, s.newest)
+			s.broke("%s: %s of epoch %v executed after a command of epoch %v", x.name, o.Action, o.Epoch, s.newest)
 		}
 		if evacuate {
 			x.outs++
@@ -380,11 +387,12 @@
 	}
 	s.MostOut = max(s.MostOut, out)
 	if out > 2 || cell[0] > 1 || cell[1] > 1 {
-		s.broke("%d out, %v by cell", out, cell)
+		s.broke("%d servers evacuated, %v by cell", out, cell)
 	}
 	return true
 }
 
+// over returns whether no duty has an open item.
 func (s *OwnerSim) over() bool {
 	for _, name := range []string{controller.PlacementDuty, controller.RolloutDuty} {
 		if s.state.Journal(name).Current() != nil {
@@ -394,7 +402,8 @@
 	return true
 }
 
-// end looks whether all was done, and once.
+// end checks that each move and the rollout is done or failed, that the map agrees, and that no server was evacuated more
+// often than its restarts allow.
 func (s *OwnerSim) end() {
 	if len(s.Broken) > 0 {
 		return
@@ -406,9 +415,9 @@
 		switch {
 		case it.State == controller.Done && homes == 2:
 			s.Finished++
-		case it.State == controller.Failed && homes == 1: // given up by the rule
+		case it.State == controller.Failed && homes == 1: // a controller may give up a move
 		default:
-			s.broke("%s is %s (%s), t%d has %d homes", it.ID, it.State, it.Note, i, homes)
+			s.broke("move %s is %s (%s), but t%d has %d homes", it.ID, it.State, it.Note, i, homes)
 		}
 	}
 	r := s.state.Journal(controller.RolloutDuty).Item("r")
@@ -417,20 +426,21 @@
 		s.Finished++
 		for _, x := range s.servers {
 			if x.out {
-				s.broke("%s is out after the roll", x.name)
+				s.broke("%s is still evacuated after the rollout", x.name)
 			}
 			if x.outs == 0 || x.outs > 1+x.again {
-				s.broke("%s was out %d times, it started %d times anew", x.name, x.outs, x.again)
+				s.broke("%s was evacuated %d times with %d restarts", x.name, x.outs, x.again)
 			}
 		}
 	case controller.Failed:
 	default:
-		s.broke("the roll is %s: %s", r.State, r.Note)
+		s.broke("the rollout is %s: %s", r.State, r.Note)
 	}
 }
 
-// SimOwners plays so many schedules and returns what they came to, and the first that was broken. Edit, which may be nil,
-// changes a schedule before it is played.
+// SimOwners runs n schedules, beginning with the seed first. It returns how many rollouts and moves finished and how often a
+// duty changed its owner. It stops at the first schedule that violates an invariant and returns the violations as an error.
+// edit, if not nil, changes each schedule before it runs.
 func SimOwners(first, n uint64, edit func(*OwnerSim)) (finished, handed int, err error) {
 	for seed := first; seed < first+n; seed++ {
 		s := NewOwnerSim(seed)
--- a/internal/testkit/benchmarks/rules.go
+++ b/internal/testkit/benchmarks/rules.go
@@ -22,7 +22,7 @@
 	"silverpath/internal/transport/client"
 )
 
-// Rules measures the documents that a fleet agrees on.
+// Rules measures the configuration documents that a group distributes to a fleet.
 func Rules(b *testing.B) {
 	bin, err := buildAll(b.TempDir())
 	if err != nil {
@@ -38,18 +38,19 @@
 
 var rulesTerms = lease.Terms{TTL: time.Second, Drift: 0.05}
 
-// ruled is a fleet whose routers have their map from a group.
+// ruled is a fleet whose routers get their map from a group.
 type ruled struct {
 	*Fleet
 	g *harness.Group
 }
 
-// newRuled starts one. Where shares is 0 the routers know nothing of what others let in.
+// newRuled starts a group of three members and a fleet that reads its documents. If shares is 0, each router divides the cells'
+// capacity by itself.
 func newRuled(bin, dir string, servers, routers int, names []string, tenants []cells.Tenant, shares int, terms lease.Terms) (*ruled, error) {
 	return newRuledBy(bin, dir, servers, routers, names, tenants, shares, terms, func(*cells.Map) {})
 }
 
-// newRuledBy starts one whose first map is edited before it is put.
+// newRuledBy is newRuled with a function that edits the first map before it is put.
 func newRuledBy(bin, dir string, servers, routers int, names []string, tenants []cells.Tenant, shares int, terms lease.Terms, edit func(*cells.Map)) (*ruled, error) {
 	g, err := harness.NewGroup(dir, 3, terms, 20*time.Millisecond, starter(bin))
 	if err != nil {
@@ -75,11 +76,11 @@
 			return r, err
 		}
 	}
-	time.Sleep(2 * time.Second) // until the routers know all servers
+	time.Sleep(2 * time.Second) // until the routers have probed all servers
 	return r, nil
 }
 
-// join starts one more router.
+// join starts one more router, which reaches the group at the given members.
 func (r *ruled) join(shares int, members []byte) error {
 	i := len(r.Routers)
 	p, err := Route(r.bin, r.sub(fmt.Sprint("r", i)), r.routerSite(), r.routerEdgeFor(i, shares, members))
@@ -89,6 +90,7 @@
 	return err
 }
 
+// routerSite returns the configuration of a router: that of the fleet's servers with limits that are high enough for all of them.
 func (f *Fleet) routerSite() Site {
 	site := f.site
 	site.Cores, site.Tenants, site.MemoryKB = 16*len(f.Servers)*fleetCores, "", 1<<20
@@ -102,13 +104,13 @@
 	r.g.Close()
 }
 
-// put runs the command that changes a document and waits until it is in force.
+// put changes a document by the command "rules put" and waits until the change is in force.
 func (r *ruled) put(doc, file string, more ...string) error {
 	_, err := r.puts(doc, file, append(more, "--wait")...)
 	return err
 }
 
-// puts runs the command, and returns what it said.
+// puts changes a document by the command "rules put" with further arguments and returns the command's output.
 func (r *ruled) puts(doc, file string, more ...string) (said string, err error) {
 	args := append([]string{"rules", "put", doc, file, "--group", "test", "--members", strings.Join(r.g.Client.Addrs, ","), "--within", "30s"}, more...)
 	p, err := starter(r.bin)(args)
@@ -121,7 +123,8 @@
 	return p.Log(), nil
 }
 
-// parts are those that a router says it has of a cell, by tenant; under " rest" what all that are not listed have together.
+// parts returns the shares of a cell's capacity that a router reports, by tenant. The key " rest" holds the total of the tenants that
+// the router does not list.
 func parts(p *Process, cell string) (map[string]float64, error) {
 	body, err := client.Status(client.Platform, p.Platform)
 	if err != nil {
@@ -141,8 +144,8 @@
 	return list, err
 }
 
-// sharedFlood has one tenant flood by four routers: half of it by one of them alone, with shares and as each router shares for
-// itself.
+// sharedFlood has one tenant flood a fleet through four routers. It measures the goodput of the other tenants with shares that the
+// leader grants and with shares that each router computes by itself.
 func sharedFlood(b *testing.B, bin string) {
 	d := time.Duration(number("SILVERPATH_SECONDS", 20)) * time.Second
 	fmt.Println("\n| fleet | parts | flood | others' worth, mean | cell mates' worst | flooder | of its rate | refused of others | failed |")
@@ -190,7 +193,8 @@
 	}
 }
 
-// sharedShift has a tenant's load move from one router to another, and measures how long its part takes to follow.
+// sharedShift moves a tenant's load from one router to another and measures how long the router's share for the tenant takes to
+// follow.
 func sharedShift(b *testing.B, bin string) {
 	names := []string{"a"}
 	r, err := newRuled(bin, b.TempDir(), 4, 4, names, brandsIn(names, 0)[:2], 8, rulesTerms)
@@ -217,7 +221,7 @@
 				break
 			}
 			if time.Since(began) > 6*time.Second {
-				b.Errorf("after 6 s the part is %.1f of %.1f", p["t0"], rate)
+				b.Errorf("after 6 s the router's share is %.1f, want %.1f", p["t0"], rate)
 				break
 			}
 			time.Sleep(10 * time.Millisecond)
@@ -230,7 +234,8 @@
 	fmt.Printf("\nload of %.0f a second moves to another router: its part has followed after %v, with a lease of %v\n", rate, follows, rulesTerms.TTL)
 }
 
-// rulesCost measures what a router's path costs with documents and without, and the program as it was.
+// rulesCost measures the latency, CPU time and allocations of a request at a router with and without documents, and with the
+// baseline executable if SILVERPATH_BASELINE names one.
 func rulesCost(b *testing.B, bin string) {
 	fmt.Println("\n| router | requests | p50 | p99 | CPU a request | allocations a request |")
 	fmt.Println("|---|---|---|---|---|---|")
@@ -291,15 +296,15 @@
 
 // ---- Schedules of faults over real processes ----
 
-// rulesOutcome is what a schedule came to.
+// rulesOutcome is the result of one or several schedules.
 type rulesOutcome struct {
 	changes, withdrawn int
-	overlap            time.Duration // the longest in which two could begin by versions that exclude each other
+	overlap            time.Duration // longest time in which two processes could begin exclusive work under conflicting versions
 	twice, ran, served int
 	failed, refused    int
-	over               int // samples in which the parts summed to more than there is
+	over               int // number of samples in which the routers' shares summed to more than the cell's capacity
 	samples            int
-	most               float64 // of what there is to lend, by the leader's ledger
+	most               float64 // largest ratio of the granted quota to a cell's capacity, as the leader reports it
 	slowest            time.Duration
 	broken             []string
 }
@@ -311,25 +316,26 @@
 	o.broken = append(o.broken, p.broken...)
 }
 
-// rulesRig is a fleet whose routers each reach the group by ways of their own.
+// rulesRig is a fleet in which each router reaches the group through its own fault proxies.
 type rulesRig struct {
 	*ruled
 	ways    [][]*faults.Between
 	members [][]byte
-	version int // of the map
-	more    int // of classes
+	version int // version of the map
+	more    int // number of additional classes in the last document
 
-	faults int                              // kinds of them that are drawn
-	change func(n int) error                // puts a change
-	killed func(router int) string          // looks at what a router that was killed has left, and names what is wrong
-	mended func(broke func(string, ...any)) // looks at more once all is mended
+	faults int                              // number of kinds of faults to draw from
+	change func(n int) error                // puts change n
+	killed func(router int) string          // checks the stored state of a killed router and describes what is wrong
+	mended func(broke func(string, ...any)) // further checks after the end of all faults
 }
 
+// newRulesRig starts a rig with three cells. It is returned with an error too, because the caller has to stop what was started.
 func newRulesRig(bin, dir string, servers, routers int) (*rulesRig, error) {
 	return newRulesRigBy(bin, dir, servers, routers, func(*cells.Map) {})
 }
 
-// newRulesRigBy starts one whose first map is edited before it is put.
+// newRulesRigBy is newRulesRig with a function that edits the first map before it is put.
 func newRulesRigBy(bin, dir string, servers, routers int, edit func(*cells.Map)) (*rulesRig, error) {
 	names := []string{"a", "b", "c"}
 	r, err := newRuledBy(bin, dir, servers, 0, names, brandsIn(names, 0), 8, ownerTerms, edit)
@@ -357,7 +363,7 @@
 	return rig, rig.classes(2)
 }
 
-// classes puts a document of classes that excludes the one in force.
+// classes puts a document with more additional classes. It conflicts with the one in force if their number differs.
 func (r *rulesRig) classes(more int) error {
 	r.more = more
 	text := `{"classes":[`
@@ -374,7 +380,7 @@
 	return r.put("classes", file)
 }
 
-// routing puts one that may overlap.
+// routing puts a routing document. Its versions do not conflict, so that two may be in force at the same time.
 func (r *rulesRig) routing(n int) error {
 	file := filepath.Join(r.dir, "routing.json")
 	if err := os.WriteFile(file, fmt.Appendf(nil, `{"retries":0.%03d,"probe_ms":200}`, n%900+100), 0o600); err != nil {
@@ -383,12 +389,12 @@
 	return r.put("routing", file)
 }
 
-// move puts a map in which a tenant moves.
+// move puts a map in which a tenant moves to another cell.
 func (r *rulesRig) move(n int) error {
 	m := *r.Map
 	p, err := m.PlanMove(time.Now(), brands[n%len(brands)], []string{"a", "b", "c"}[n%3], 0)
 	if err != nil {
-		return nil // it lives there, or moves already
+		return nil // the tenant is in this cell or moves already
 	}
 	r.Map = p.Next
 	if err := proxy.WriteMap(r.MapFile, r.Map); err != nil {
@@ -397,7 +403,7 @@
 	return r.put("map", r.MapFile)
 }
 
-// anyChange puts one of each kind in turn.
+// anyChange puts change n: a routing document, a map or a document of classes, in turn.
 func (r *rulesRig) anyChange(n int) error {
 	switch n % 4 {
 	case 1:
@@ -408,7 +414,7 @@
 	return r.classes(n%5 + 1)
 }
 
-// leader is the member that says that it leads, -1 where none does at once.
+// leader returns the index of the member that reports itself as the leader, or -1 if none does within its 200 ms.
 func (r *rulesRig) leader() int {
 	for i, addr := range r.g.Client.Addrs {
 		ctx, cancel := context.WithTimeout(context.Background(), 200*time.Millisecond)
@@ -421,8 +427,8 @@
 	return -1
 }
 
-// schedule plays one: sheets by all routers, a change every second or two, and faults of every kind between. Then all is mended, and
-// the change that is under way has to come to its end.
+// schedule runs the schedule of one seed for 4 s: requests through all routers, a change 300 ms after the last one, and faults of
+// every kind. Then all faults end, and the change that is under way has to come into force or be withdrawn.
 func (r *rulesRig) schedule(seed uint64) (o rulesOutcome) { //nolint:cyclop // one measurement from top to bottom; its split is in docs/ROADMAP.md
 	rng := rand.New(rand.NewPCG(seed, 19))
 	var mu sync.Mutex
@@ -433,14 +439,14 @@
 	}
 	stop := make(chan struct{})
 	var all sync.WaitGroup
-	var at sync.Mutex // of the routers
+	var at sync.Mutex // guards r.Routers
 	router := func(i int) *Process {
 		at.Lock()
 		defer at.Unlock()
 		return r.Routers[i]
 	}
 	for c := range 3 {
-		all.Go(func() { // sheets, each by two routers
+		all.Go(func() { // sends each request twice, through routers drawn at random
 			rng := rand.New(rand.NewPCG(seed, uint64(c)))
 			for n := 0; ; n++ {
 				select {
@@ -501,7 +507,7 @@
 			p := router(x)
 			p.Freeze()
 			wake(p.Process, 1500)
-		case 2: // started anew, with the state that it had
+		case 2: // a router restarts with its stored state
 			p := router(x)
 			p.Kill()
 			if what := r.killed(x); what != "" {
@@ -510,7 +516,7 @@
 			at.Lock()
 			next, err := Route(r.bin, r.sub(fmt.Sprint("r", x)), r.routerSite(), r.routerEdge(x))
 			if err != nil {
-				broke("router %d anew: %v", x, err)
+				broke("failed to restart router %d: %v", x, err)
 			} else {
 				next.old = append(p.old, p.Process)
 				r.Routers[x] = next
@@ -534,13 +540,13 @@
 			for _, w := range r.ways[x] {
 				w.Cut(false)
 			}
-		case 8: // a member is gone for a while
+		case 8: // a member is down for a while
 			r.g.Members[q].Kill()
 			time.Sleep(time.Duration(rng.IntN(800)) * time.Millisecond)
 			if err := r.g.Start(q); err != nil {
 				broke("%v", err)
 			}
-		case 9: // one that leads is not heard by the others, and is by the routers; or it is stopped, and comes back as an old leader
+		case 9: // the leader is cut off from the members but not from the routers, or it is paused and comes back as an old leader
 			lead, how, most := r.leader(), rng.IntN(2), 300+rng.IntN(900)
 			switch {
 			case lead >= 0 && how == 0:
@@ -550,7 +556,7 @@
 				r.g.Members[lead].Freeze()
 				time.AfterFunc(time.Duration(most)*time.Millisecond, r.g.Members[lead].Wake)
 			}
-		case 10: // what a router is told is damaged on the way
+		case 10: // answers to a router are damaged on the way
 			for _, w := range r.ways[x] {
 				w.Set(faults.Back, faults.Fate{Spoil: `\"rate\":`})
 			}
@@ -572,10 +578,10 @@
 	all.Wait()
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
-	for { // nothing stays under way
+	for { // waits until no change is under way
 		b, err := r.g.Client.Config(ctx)
 		if err != nil {
-			broke("%v", err)
+			broke("failed to read the configuration of the group: %v", err)
 			return o
 		}
 		open := ""
@@ -589,7 +595,7 @@
 		}
 		time.Sleep(20 * time.Millisecond)
 		if ctx.Err() != nil {
-			broke("still under way: %s", open)
+			broke("change still under way after 20 s: %s", open)
 			return o
 		}
 	}
@@ -603,10 +609,10 @@
 	}
 	d, what := harness.Overlap(acted)
 	if o.overlap = d; d > 0 {
-		broke("for %v two versions: %s", d, what)
+		broke("two conflicting versions in force for %v: %s", d, what)
 	}
 	if o.twice, o.ran = r.Twice(); o.twice > 0 {
-		broke("%d sheets ran twice", o.twice)
+		broke("%d keys ran twice", o.twice)
 	}
 	r.mended(broke)
 	if dir := os.Getenv("SILVERPATH_LOGS"); dir != "" && len(o.broken) > 0 {
@@ -615,7 +621,7 @@
 	return o
 }
 
-// keepLogs writes the logs of routers and members into a folder, to be read after something broke.
+// keepLogs writes the logs of routers and members into the directory dir after a check failed.
 func (r *rulesRig) keepLogs(dir string, seed uint64) {
 	for _, p := range r.Routers {
 		for k, h := range append(slices.Clone(p.old), p.Process) {
@@ -627,6 +633,7 @@
 	}
 }
 
+// routerEdgeFor returns the edge file of router i. shares is the greatest number of routers that share the capacity, or 0.
 func (r *ruled) routerEdgeFor(i, shares int, members []byte) string {
 	return fmt.Sprintf(`{"status":true,"fleet":{"state":%q,"probe_ms":200},"rules":{"group":"test","members":%s,"documents":["map","routing","classes"],"most_routers":%d}}`,
 		filepath.Join(r.sub(fmt.Sprint("r", i)), "state.db"), members, shares)
@@ -634,8 +641,8 @@
 
 func (r *rulesRig) routerEdge(i int) string { return r.routerEdgeFor(i, 8, r.members[i]) }
 
-// sample looks at the parts of all routers that answer, each twice: what one has passed on between is counted for neither, so that a
-// sum over the whole is one.
+// sample adds up the shares of all routers every 50 ms. It reads each router twice and uses the smaller total, so that a share that
+// passes from one router to another during the sample is not counted twice. A sum above the cell's capacity is a real excess.
 func (r *rulesRig) sample(stop chan struct{}, router func(int) *Process, mu *sync.Mutex, o *rulesOutcome) {
 	for {
 		select {
@@ -685,7 +692,7 @@
 	}
 }
 
-// rulesSchedules plays many, some rigs beside each other.
+// rulesSchedules runs schedules over real processes, several rigs in parallel, and prints their sum.
 func rulesSchedules(b *testing.B, bin string) {
 	n, workers := number("SILVERPATH_SCHEDULES", 300), number("SILVERPATH_WORKERS", 3)
 	var mu sync.Mutex
@@ -730,12 +737,12 @@
 		}
 	}
 	if len(sum.broken) > 0 || sum.over > 0 {
-		b.Errorf("%d broken", len(sum.broken))
+		b.Errorf("%d checks failed", len(sum.broken))
 	}
 }
 
-// rulesFiles has two routers act on maps that contradict each other, by files alone: two of one version, and one that was forgotten as
-// a tenant moved. It is measured how long both begin sheets of the tenant in different cells, and how many run twice.
+// rulesFiles has two routers apply map files that conflict: two different maps of the same version, or a map that one router did not
+// get when a tenant moved. It measures how long both routers begin requests of the tenant in different cells, and how many run twice.
 func rulesFiles(b *testing.B, bin string) { //nolint:cyclop // one measurement from top to bottom; its split is in docs/ROADMAP.md
 	fmt.Println("\n| program | case | both began sheets for | bound | sheets sent to both | ran twice | said so |")
 	fmt.Println("|---|---|---|---|---|---|---|")
@@ -772,7 +779,7 @@
 					f.Routers = append(f.Routers, p)
 				}
 				began := time.Now()
-				if forgotten { // from when the move holds, and the old home is asked no more
+				if forgotten { // from the time at which the move takes effect and the old home gets no more requests
 					p, err := f.Map.PlanMove(time.Now(), "t0", "b", 0)
 					if err == nil {
 						err = proxy.WriteMap(filepath.Join(f.sub("m1"), "cells.json"), p.Next)
--- a/internal/testkit/benchmarks/rules_test.go
+++ b/internal/testkit/benchmarks/rules_test.go
@@ -4,7 +4,7 @@
 	"testing"
 )
 
-// A few of the schedules that the lab plays hundreds of, over real processes: 3 of the group, 4 routers, 6 servers.
+// Runs 3 of the schedules over real processes, of which the benchmark runs hundreds, with 3 members, 4 routers and 6 servers.
 func TestRulesSchedules(t *testing.T) {
 	bin, err := buildAll(t.TempDir())
 	if err != nil {
@@ -27,8 +27,8 @@
 	}
 }
 
-// The same over a map in parts, with members that are gone for a while, old leaders, and parts that are damaged on their way: what
-// routers act on and keep is a version that the group had, and what was acknowledged stays.
+// Runs 2 schedules with a map in parts. Members are down for a while, deposed leaders return, and parts are damaged on the way to
+// routers. Routers may only apply and store versions that the group had, and no acknowledged change may get lost.
 func TestPartsSchedules(t *testing.T) {
 	bin, err := buildAll(t.TempDir())
 	if err != nil {
--- a/internal/testkit/benchmarks/rulessim.go
+++ b/internal/testkit/benchmarks/rulessim.go
@@ -11,16 +11,16 @@
 	"silverpath/internal/policy/lease"
 )
 
-// RulesSim is a group as one that never fails, and processes that act on one document, in simulated time: words take some
-// milliseconds, and some of the processes are silent.
+// RulesSim simulates a group that never fails and processes that apply one document, in simulated time. A message takes 0.2 to
+// 2 ms, and some of the processes send no messages.
 type RulesSim struct {
 	Terms  lease.Terms
 	N      int
-	Silent int // of them, from before the change on
+	Silent int // number of processes that send nothing from the time of the change
 }
 
-// InForce is how long a change takes, from its putting until all that are not silent act on it, and the longest stretch in which
-// one of them began nothing exclusive.
+// InForce returns the time from the proposal of a change until all processes that are not silent have applied it, and the longest
+// period in which one of them could begin no exclusive work. It returns an error if that takes more than a simulated minute.
 func (s RulesSim) InForce(seed uint64, exclusive bool) (took, stopped time.Duration, err error) { //nolint:cyclop // one measurement from top to bottom; its split is in docs/ROADMAP.md
 	type event struct {
 		at time.Duration
@@ -58,7 +58,7 @@
 			}
 			asked := now
 			said := h.Report()
-			after(way(), func() { // at the leader
+			after(way(), func() { // the report reaches the leader
 				if !watch.Observe(h.Name, now, h.ActiveVersions(), configstore.Goodput{}, "") {
 					after(way(), step)
 					return
@@ -72,7 +72,7 @@
 				}
 				d, at := book.Documents["d"], index
 				v := configstore.View{Active: d.Active, Proposed: d.Proposed, Stage: d.Stage}
-				after(way(), func() { // and back
+				after(way(), func() { // the answer reaches the process
 					for _, t := range h.Receive(asked, at, s.Terms, map[string]configstore.View{"d": v}, func(string, string) error { return nil }) {
 						acts[i] = t.Revision.ID.Digest
 						if acts[i] == want {
@@ -120,12 +120,12 @@
 		e.do()
 	}
 	if done == 0 && err == nil {
-		err = fmt.Errorf("%+v, seed %d: not in force everywhere within a minute", s, seed)
+		err = fmt.Errorf("%+v, seed %d: the change is not in force in all processes within a minute", s, seed)
 	}
 	return done - put, stopped, err
 }
 
-// rulesTime measures how long a change takes to come into force everywhere.
+// rulesTime measures how long a change takes until it is in force in all processes.
 func rulesTime(b *testing.B) {
 	fmt.Println("\n| processes | silent | change | p50 | longest | sheets stopped for, longest |")
 	fmt.Println("|---|---|---|---|---|---|")
