--- a/internal/testkit/benchmarks/durable.go
+++ b/internal/testkit/benchmarks/durable.go
@@ -41,9 +41,9 @@
 	return bin, []string{"SILVERPATH_RUN=1"}
 }
 
-// keeping writes an edge file for a service with an idempotency store in dir and returns its path. It creates the store if dir
+// writeStoreEdge writes an edge file for a service with an idempotency store in dir and returns its path. It creates the store if dir
 // does not exist.
-func keeping(b *testing.B, dir, name string, sizeMB int, gather time.Duration) string {
+func writeStoreEdge(b *testing.B, dir, name string, sizeMB int, gather time.Duration) string {
 	file := filepath.Join(b.TempDir(), "edge.json")
 	text := fmt.Sprintf(`{"store":{"dir":%q,"size_mb":%d,"gather_us":%d}}`, dir, sizeMB, gather.Microseconds())
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
@@ -64,12 +64,12 @@
 	const times = 200
 	fmt.Println("\n| runs are kept | killed | sheets | tries | served | failed or refused | no answer | run twice or told otherwise | failed after their window |")
 	fmt.Println("|---|---|---|---|---|---|---|---|---|")
-	for _, kept := range []bool{false, true} {
+	for _, stored := range []bool{false, true} {
 		s := Inherit(b, bin, env, false)
 		s.Wait = 900 * time.Millisecond
 		s.Edit = func(text string) string { return strings.ReplaceAll(text, `"deadline":4400000`, `"deadline":1000000`) }
-		if kept {
-			s.Args = []string{"--edge", keeping(b, filepath.Join(b.TempDir(), "keys"), "lab", 8, 0)}
+		if stored {
+			s.Args = []string{"--edge", writeStoreEdge(b, filepath.Join(b.TempDir(), "keys"), "lab", 8, 0)}
 		}
 		rng := rand.New(rand.NewPCG(1, 10))
 		g := s.Start()
@@ -81,20 +81,20 @@
 			g = s.Start()
 			g.Ready(b)
 		}
-		wrong := l.End()
-		left := 0
-		if kept { // a key that never got a result runs as a new one after its window
+		mismatches := l.End()
+		failedAfterWindow := 0
+		if stored { // a key that never got a result runs as a new one after its window
 			time.Sleep(2*time.Second + time.Second + 2500*time.Millisecond)
 			for _, key := range l.Unserved() {
 				if a, err := client.Do(client.Platform, s.Addr, client.Request{Class: "oddaja", Key: key, Body: []byte(key), Timeout: 900 * time.Millisecond}); err != nil || a.Outcome != "served" {
-					left++
+					failedAfterWindow++
 				}
 			}
 		}
 		g.Kill()
-		fmt.Printf("| %v | %d | %d | %d | %d | %d | %d | %d | %d |\n", kept, times, l.Asked(), len(l.Times), l.Served, l.Refused, l.Unheard, len(wrong), left)
-		if kept && len(wrong) > 0 {
-			b.Error(wrong[:min(5, len(wrong))])
+		fmt.Printf("| %v | %d | %d | %d | %d | %d | %d | %d | %d |\n", stored, times, l.Asked(), len(l.Times), l.Served, l.Refused, l.Unheard, len(mismatches), failedAfterWindow)
+		if stored && len(mismatches) > 0 {
+			b.Error(mismatches[:min(5, len(mismatches))])
 		}
 	}
 }
@@ -107,28 +107,28 @@
 	for _, clients := range []int{1, 16, 64} {
 		for _, c := range []struct {
 			name   string
-			kept   bool
+			stored bool
 			gather time.Duration
 			disk   string
 		}{{"off", false, 0, ""}, {"on, gathers nothing", true, 0, ""}, {"on", true, 500 * time.Microsecond, ""},
 			{"on, gathers 2 ms", true, 2 * time.Millisecond, ""}, {"on, 20 ms more a commit", true, 500 * time.Microsecond, "commit 20ms"}} {
-			durableLoad(b, bin, env, clients, c.name, c.kept, c.gather, c.disk)
+			durableLoad(b, bin, env, clients, c.name, c.stored, c.gather, c.disk)
 		}
 	}
 }
 
 // durableLoad measures one combination of store and number of clients and prints a row of the table. Each client sends requests
 // with new keys one after the other on its own connection.
-func durableLoad(b *testing.B, bin string, env []string, clients int, name string, kept bool, gather time.Duration, disk string) {
+func durableLoad(b *testing.B, bin string, env []string, clients int, name string, stored bool, gather time.Duration, diskFault string) {
 	m, err := builtinworker.Listen(builtinworker.Config{Listen: "127.0.0.1:0", Cores: 128, Shape: builtinworker.Shape{Knee: 128, Thrash: 1, Speed: 1},
 		Other: builtinworker.Class{MinWork: time.Millisecond, MaxWork: 3 * time.Millisecond}, MemoryKB: 1 << 20, RunFactor: 4, Seed: 1})
 	if err != nil {
 		b.Fatal(err)
 	}
 	defer m.Close()
-	fault := filepath.Join(b.TempDir(), "fault")
-	if disk != "" {
-		if err := os.WriteFile(fault, []byte(disk), 0o600); err != nil {
+	faultFile := filepath.Join(b.TempDir(), "fault")
+	if diskFault != "" {
+		if err := os.WriteFile(faultFile, []byte(diskFault), 0o600); err != nil {
 			b.Fatal(err)
 		}
 	}
@@ -138,11 +138,11 @@
 		b.Fatal(err)
 	}
 	args := []string{"serve", "--config", file}
-	if kept {
-		args = append(args, "--edge", keeping(b, filepath.Join(dir, "keys"), "lab", 128, gather))
+	if stored {
+		args = append(args, "--edge", writeStoreEdge(b, filepath.Join(dir, "keys"), "lab", 128, gather))
 	}
 	cmd := exec.Command(bin, args...)
-	cmd.Env = append(append(os.Environ(), env...), "SILVERPATH_STORE="+fault)
+	cmd.Env = append(append(os.Environ(), env...), "SILVERPATH_STORE="+faultFile)
 	p, err := launch(cmd)
 	if err != nil {
 		b.Fatal(err)
@@ -154,7 +154,7 @@
 	p.found()
 	var mu sync.Mutex
 	var times []time.Duration
-	var not atomic.Int64
+	var notServed atomic.Int64
 	var all sync.WaitGroup
 	const span = 4 * time.Second
 	began := time.Now()
@@ -162,7 +162,7 @@
 		all.Go(func() {
 			conn, err := client.Dial(p.Platform)
 			if err != nil {
-				not.Add(1)
+				notServed.Add(1)
 				return
 			}
 			defer conn.Close()
@@ -173,7 +173,7 @@
 				if a.Outcome == "served" {
 					times = append(times, time.Since(sent))
 				} else {
-					not.Add(1)
+					notServed.Add(1)
 				}
 				mu.Unlock()
 			}
@@ -181,13 +181,13 @@
 	}
 	all.Wait()
 	took := time.Since(began)
-	wrote := p.written()
+	bytesWritten := p.written()
 	counters, err := p.Stop()
 	if err != nil {
 		b.Error(err)
 	}
 	slices.Sort(times)
-	at := func(q float64) float64 {
+	quantile := func(q float64) float64 {
 		if len(times) == 0 {
 			return 0
 		}
@@ -195,8 +195,8 @@
 	}
 	n := max(1, len(times))
 	commits := counters["store.commits"]
-	fmt.Printf("| %s | %d | %.0f | %.1f | %.1f | %d | %.2f | %.1f | %.1f |\n", name, clients, float64(len(times))/took.Seconds(), at(0.5), at(0.99), not.Load(),
-		2*float64(commits)/float64(n), float64(counters["store.changes"])/2/float64(max(1, commits)), float64(wrote)/1024/float64(n))
+	fmt.Printf("| %s | %d | %.0f | %.1f | %.1f | %d | %.2f | %.1f | %.1f |\n", name, clients, float64(len(times))/took.Seconds(), quantile(0.5), quantile(0.99), notServed.Load(),
+		2*float64(commits)/float64(n), float64(counters["store.changes"])/2/float64(max(1, commits)), float64(bytesWritten)/1024/float64(n))
 }
 
 // written returns the number of bytes that the process has written to disks.
@@ -208,19 +208,19 @@
 	return n
 }
 
-// forgetful ignores the stored records and has none of its own.
-type forgetful struct{}
+// emptyRecords ignores the stored records and has none of its own.
+type emptyRecords struct{}
 
-func (forgetful) Restore([]idempotency.Record, func(time.Duration) time.Time)    {}
-func (forgetful) Records(func(time.Time) time.Duration) (l []idempotency.Record) { return l }
-func (forgetful) LongestWindow() time.Duration                                   { return 0 }
+func (emptyRecords) Restore([]idempotency.Record, func(time.Duration) time.Time)    {}
+func (emptyRecords) Records(func(time.Time) time.Duration) (l []idempotency.Record) { return l }
+func (emptyRecords) LongestWindow() time.Duration                                   { return 0 }
 
-// fill creates a store in dir with the given number of records, which have their results. The number is a multiple of 1000.
-func fill(b *testing.B, dir string, records int) {
+// fillStore creates a store in dir with the given number of records, which have their results. The number is a multiple of 1000.
+func fillStore(b *testing.B, dir string, records int) {
 	if err := idempotencystore.Init(dir, "lab"); err != nil {
 		b.Fatal(err)
 	}
-	s, err := idempotencystore.Open(idempotencystore.Config{Dir: dir, Name: "lab", MaxBytes: 1 << 31, ResultReserve: 128, Log: log.New(io.Discard, "", 0), Stats: &metrics.Counters{}}, forgetful{})
+	s, err := idempotencystore.Open(idempotencystore.Config{Dir: dir, Name: "lab", MaxBytes: 1 << 31, ResultReserve: 128, Log: log.New(io.Discard, "", 0), Stats: &metrics.Counters{}}, emptyRecords{})
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -251,7 +251,7 @@
 	fmt.Println("|---|---|---|---|---|---|---|")
 	for _, records := range []int{0, 10_000, 100_000, 1_000_000} {
 		dir := filepath.Join(b.TempDir(), "keys")
-		fill(b, dir, records)
+		fillStore(b, dir, records)
 		m, err := builtinworker.Listen(builtinworker.Config{Listen: "127.0.0.1:0", Cores: 8, Shape: builtinworker.Shape{Knee: 8, Thrash: 1, Speed: 1},
 			Other: builtinworker.Class{MinWork: time.Millisecond, MaxWork: time.Millisecond}, MemoryKB: 1 << 16, RunFactor: 4, Seed: 1})
 		if err != nil {
@@ -262,7 +262,7 @@
 		if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 			b.Fatal(err)
 		}
-		cmd := exec.Command(bin, "serve", "--config", file, "--edge", keeping(b, dir, "lab", 1024, 0))
+		cmd := exec.Command(bin, "serve", "--config", file, "--edge", writeStoreEdge(b, dir, "lab", 1024, 0))
 		cmd.Env = append(os.Environ(), env...)
 		began := time.Now()
 		p, err := launch(cmd)
@@ -274,7 +274,7 @@
 		}
 		open := time.Since(began)
 		p.found()
-		first := func(class, key string) time.Duration {
+		untilServed := func(class, key string) time.Duration {
 			for n := 0; ; n++ {
 				a, err := client.Do(client.Platform, p.Platform, client.Request{Class: class, Key: key, Body: []byte(key), Timeout: time.Second})
 				if err == nil && a.Outcome == "served" || time.Since(began) > time.Minute {
@@ -283,8 +283,8 @@
 				time.Sleep(2 * time.Millisecond)
 			}
 		}
-		read := first("krog", "")
-		sheet := first("oddaja", "new")
+		firstRead := untilServed("krog", "")
+		firstExecution := untilServed("oddaja", "new")
 		if _, err := p.Await(time.Minute, 0, "taken up"); err != nil {
 			b.Fatal(err)
 		}
@@ -293,7 +293,7 @@
 		if s, err := os.Stat(filepath.Join(dir, "keys.db")); err == nil {
 			size = s.Size()
 		}
-		fmt.Printf("| %d | %d | %d | %d | %d | %s | %d |\n", records, size>>20, resident>>20, open.Milliseconds(), read.Milliseconds(), p.loadedIn(), sheet.Milliseconds())
+		fmt.Printf("| %d | %d | %d | %d | %d | %s | %d |\n", records, size>>20, resident>>20, open.Milliseconds(), firstRead.Milliseconds(), p.loadedIn(), firstExecution.Milliseconds())
 		p.Kill()
 		m.Close()
 	}
--- a/internal/testkit/benchmarks/owner.go
+++ b/internal/testkit/benchmarks/owner.go
@@ -32,15 +32,15 @@
 	"silverpath/internal/testkit/standin/faults"
 )
 
-// asMember is the environment variable that makes the benchmark's own executable run as a quorum member whose disk writes
+// memberEnv is the environment variable that makes the benchmark's own executable run as a quorum member whose disk writes
 // can be delayed. The built program has no setting for a slow disk.
-const asMember = "SILVERPATH_LAB"
+const memberEnv = "SILVERPATH_LAB"
 
 // RunMember runs the process as a quorum member if the environment variable SILVERPATH_LAB is set, and reports whether it
 // did. If the variable SILVERPATH_DISK names a file, each disk operation is delayed by the duration in that file. An error
 // of the member ends the process with exit code 1.
 func RunMember() bool {
-	if os.Getenv(asMember) == "" {
+	if os.Getenv(memberEnv) == "" {
 		return false
 	}
 	if file := os.Getenv("SILVERPATH_DISK"); file != "" {
@@ -71,15 +71,15 @@
 	}
 }
 
-// slowStarter returns a harness.Starter that starts the benchmark's own executable as a quorum member whose disk writes can
+// slowDiskStarter returns a harness.Starter that starts the benchmark's own executable as a quorum member whose disk writes can
 // be delayed.
-func slowStarter() harness.Starter {
+func slowDiskStarter() harness.Starter {
 	return func(args []string, env ...string) (*harness.Process, error) {
 		exe, err := os.Executable()
 		if err != nil {
 			return nil, err
 		}
-		return starter(exe)(args, append(env, asMember+"=1")...)
+		return starter(exe)(args, append(env, memberEnv+"=1")...)
 	}
 }
 
@@ -96,7 +96,7 @@
 	b.Run("operators", func(b *testing.B) { twoOperators(b, bin) })
 	b.Run("gap", func(b *testing.B) { gaps(b, bin) })
 	b.Run("commits", func(b *testing.B) { commits(b) })
-	b.Run("roll", func(b *testing.B) { rolls(b, bin) })
+	b.Run("roll", func(b *testing.B) { rollingRestarts(b, bin) })
 	b.Run("down", func(b *testing.B) { groupDown(b, bin) })
 }
 
@@ -122,76 +122,76 @@
 	n := uint64(number("SILVERPATH_SIMULATED", 100_000))
 	const parts = 6
 	var wg sync.WaitGroup
-	var finished, handed atomic.Int64
+	var finished, ownerChanges atomic.Int64
 	began := time.Now()
 	for k := range uint64(parts) {
 		wg.Go(func() {
 			f, h, err := SimOwners(1+k*n/parts, n/parts, nil)
 			finished.Add(int64(f))
-			handed.Add(int64(h))
+			ownerChanges.Add(int64(h))
 			if err != nil {
 				b.Error(err)
 			}
 		})
 	}
 	wg.Wait()
-	fmt.Printf("\nsimulated: %d schedules in %v, %d rolls and moves finished, %d changes of owner\n", n, time.Since(began).Round(time.Second), finished.Load(), handed.Load())
+	fmt.Printf("\nsimulated: %d schedules in %v, %d rolls and moves finished, %d changes of owner\n", n, time.Since(began).Round(time.Second), finished.Load(), ownerChanges.Load())
 }
 
 // ---- Schedules of faults over real processes ----
 
 // rig is a quorum group and the servers that receive commands from its leased controllers.
 type rig struct {
-	g       *harness.Group
-	dir     string // directory of the map's versions
-	servers []*Process
-	ways    []*faults.Between
-	close   []func()
-	bin     string
-	site    Site
-	homes   []string
-	vms     []*builtinworker.Interpreter
+	group        *harness.Group
+	mapDir       string // directory of the map's versions
+	servers      []*Process
+	proxies      []*faults.Between
+	closers      []func()
+	bin          string
+	site         Site
+	dirs         []string
+	interpreters []*builtinworker.Interpreter
 }
 
 func (r *rig) Close() {
-	for _, c := range slices.Backward(r.close) {
+	for _, c := range slices.Backward(r.closers) {
 		c()
 	}
 }
 
 // newRig starts a group of three members and n servers in two cells, and publishes the first version of their map. The rig
 // is returned with an error too, because the caller has to close what was started.
-func newRig(bin, home string, n int, sets lease.Terms) (r *rig, err error) {
-	r = &rig{dir: filepath.Join(home, "map"), bin: bin, site: Site{Cores: 8, MemoryKB: 65536, ProcMB: 64, Sockets: 128}}
-	if err = os.MkdirAll(r.dir, 0o755); err != nil {
+func newRig(bin, home string, n int, terms lease.Terms) (r *rig, err error) {
+	r = &rig{mapDir: filepath.Join(home, "map"), bin: bin, site: Site{Cores: 8, MemoryKB: 65536, ProcMB: 64, Sockets: 128}}
+	if err = os.MkdirAll(r.mapDir, 0o755); err != nil {
 		return r, err
 	}
-	r.g, err = harness.NewGroup(home, 3, sets, 20*time.Millisecond, starter(bin))
-	r.close = append(r.close, r.g.Close)
+	r.group, err = harness.NewGroup(home, 3, terms, 20*time.Millisecond, starter(bin))
+	r.closers = append(r.closers, r.group.Close)
 	if err != nil {
 		return r, err
 	}
 	m := ownerMap()
 	for i := range n {
-		vm, err := builtinworker.Listen(builtinworker.Config{Listen: "127.0.0.1:0", Cores: 8, Shape: builtinworker.Shape{Knee: 8, Speed: 1}, RunFactor: 1, Seed: uint64(i + 1)})
+		interpreter, err := builtinworker.Listen(builtinworker.Config{Listen: "127.0.0.1:0", Cores: 8, Shape: builtinworker.Shape{Knee: 8, Speed: 1}, RunFactor: 1, Seed: uint64(i + 1)})
 		if err != nil {
 			return r, err
 		}
-		r.close = append(r.close, vm.Close)
-		r.vms, r.homes = append(r.vms, vm), append(r.homes, filepath.Join(home, fmt.Sprint("s", i)))
+		r.closers = append(r.closers, interpreter.Close)
+		r.interpreters, r.dirs = append(r.interpreters, interpreter), append(r.dirs, filepath.Join(home, fmt.Sprint("s", i)))
 		r.servers = append(r.servers, nil)
 		if err := r.start(i); err != nil {
 			return r, err
 		}
-		way, err := faults.Listen(r.servers[i].Mgmt, false, uint64(i))
+		faultProxy, err := faults.Listen(r.servers[i].Mgmt, false, uint64(i))
 		if err != nil {
 			return r, err
 		}
-		r.close = append(r.close, way.Close, func() { r.servers[i].Kill() })
-		r.ways = append(r.ways, way)
-		m.Servers = append(m.Servers, cells.Server{Name: fmt.Sprint("s", i), Addr: r.servers[i].Platform, AdminAddr: way.Addr(), Cell: string(rune('a' + i%2)), Weight: 1})
+		r.closers = append(r.closers, faultProxy.Close, func() { r.servers[i].Kill() })
+		r.proxies = append(r.proxies, faultProxy)
+		m.Servers = append(m.Servers, cells.Server{Name: fmt.Sprint("s", i), Addr: r.servers[i].Platform, AdminAddr: faultProxy.Addr(), Cell: string(rune('a' + i%2)), Weight: 1})
 	}
-	return r, proxy.VersionDir{Dir: r.dir}.Put(1, settings.FormatCells(m))
+	return r, proxy.VersionDir{Dir: r.mapDir}.Put(1, settings.FormatCells(m))
 }
 
 func ownerMap() *cells.Map {
@@ -206,16 +206,16 @@
 
 // start starts server i and points its fault proxy at it.
 func (r *rig) start(i int) error {
-	if err := os.MkdirAll(r.homes[i], 0o700); err != nil {
+	if err := os.MkdirAll(r.dirs[i], 0o700); err != nil {
 		return err
 	}
-	list, _ := json.Marshal(r.g.Client.Addrs)
-	p, err := Start(r.bin, r.homes[i], r.site, r.vms[i].Addr(), fmt.Sprintf(`{"cell":true,"orders":{"state":%q,"group":"test","members":%s}}`,
-		filepath.Join(r.homes[i], "orders"), list))
+	list, _ := json.Marshal(r.group.Client.Addrs)
+	p, err := Start(r.bin, r.dirs[i], r.site, r.interpreters[i].Addr(), fmt.Sprintf(`{"cell":true,"orders":{"state":%q,"group":"test","members":%s}}`,
+		filepath.Join(r.dirs[i], "orders"), list))
 	if err == nil {
 		r.servers[i] = p
-		if i < len(r.ways) {
-			r.ways[i].To(p.Mgmt)
+		if i < len(r.proxies) {
+			r.proxies[i].To(p.Mgmt)
 		}
 	}
 	return err
@@ -223,9 +223,9 @@
 
 // outcome is the result of one or several schedules.
 type outcome struct {
-	finished, handed, refused, mostOut int
-	broken                             []string
-	given                              []string // notes of the moves and rollouts that failed
+	finished, ownerChanges, staleWrites, maxEvacuated int
+	violations                                        []string
+	failureNotes                                      []string // notes of the moves and rollouts that failed
 }
 
 var (
@@ -237,60 +237,60 @@
 // kind are injected for 1.8 s. Then all faults end, and the rollout and both moves have to finish or fail.
 func (r *rig) schedule(seed uint64) (o outcome) { //nolint:cyclop // one measurement from top to bottom; its split is in docs/ROADMAP.md
 	rng := rand.New(rand.NewPCG(seed, 500))
-	broke := func(format string, args ...any) {
-		o.broken = append(o.broken, fmt.Sprintf("seed %d: ", seed)+fmt.Sprintf(format, args...))
+	violation := func(format string, args ...any) {
+		o.violations = append(o.violations, fmt.Sprintf("seed %d: ", seed)+fmt.Sprintf(format, args...))
 	}
-	marks := make([]int, len(r.servers))
+	logOffsets := make([]int, len(r.servers))
 	for i, p := range r.servers {
-		marks[i] = len(p.Log())
+		logOffsets[i] = len(p.Log())
 	}
-	before := slices.Clone(r.servers)
-	head, _, err := proxy.VersionDir{Dir: r.dir}.Head()
+	processes := slices.Clone(r.servers)
+	head, _, err := proxy.VersionDir{Dir: r.mapDir}.Head()
 	if err != nil {
-		broke("failed to read the latest map: %v", err)
+		violation("failed to read the latest map: %v", err)
 		return o
 	}
 	var owners []*harness.Process
-	both := []string{controller.PlacementDuty, controller.RolloutDuty}
-	own := func() {
-		p, err := r.g.Owner(fmt.Sprint("o", len(owners)), r.dir, both, nil, nil)
+	duties := []string{controller.PlacementDuty, controller.RolloutDuty}
+	startOwner := func() {
+		p, err := r.group.Owner(fmt.Sprint("o", len(owners)), r.mapDir, duties, nil, nil)
 		if err != nil {
-			broke("failed to start an owner: %v", err)
+			violation("failed to start an owner: %v", err)
 			return
 		}
 		owners = append(owners, p)
 	}
-	own()
-	own()
+	startOwner()
+	startOwner()
 	defer func() {
 		for _, p := range owners {
-			o.handed += strings.Count(p.Log(), "event=duty.owned")
-			o.refused += strings.Count(p.Log(), "event=duty.refused")
+			o.ownerChanges += strings.Count(p.Log(), "event=duty.owned")
+			o.staleWrites += strings.Count(p.Log(), "event=duty.refused")
 			p.Kill()
 		}
 	}()
-	roll, moves := fmt.Sprint("r", seed), []string{fmt.Sprint("m", seed, "a"), fmt.Sprint("m", seed, "b")}
+	rolloutID, moveIDs := fmt.Sprint("r", seed), []string{fmt.Sprint("m", seed, "a"), fmt.Sprint("m", seed, "b")}
 	fail := func(err error) bool {
 		if err != nil {
-			broke("%v", err)
+			violation("%v", err)
 		}
 		return err != nil
 	}
-	if fail(r.g.Submit(controller.RolloutDuty, roll, controller.KindRollout, controller.RolloutSpec{MaxOutPerCell: 1, MaxOut: 2, DwellMS: 60, ReturnMS: 8000})) {
+	if fail(r.group.Submit(controller.RolloutDuty, rolloutID, controller.KindRollout, controller.RolloutSpec{MaxOutPerCell: 1, MaxOut: 2, DwellMS: 60, ReturnMS: 8000})) {
 		return o
 	}
-	t := int(seed) % 31 * 2
-	for k, id := range moves {
+	firstTenant := int(seed) % 31 * 2
+	for k, id := range moveIDs {
 		to := "b"
-		tenant := head.Tenants[t+k]
+		tenant := head.Tenants[firstTenant+k]
 		if tenant.Homes[len(tenant.Homes)-1].Cell == "b" {
 			to = "a"
 		}
-		if fail(r.g.Submit(controller.PlacementDuty, id, controller.KindMove, controller.MoveRequest{Tenant: tenant.Name, To: to})) {
+		if fail(r.group.Submit(controller.PlacementDuty, id, controller.KindMove, controller.MoveRequest{Tenant: tenant.Name, To: to})) {
 			return o
 		}
 	}
-	var held []int
+	var heldServers []int
 	for end := time.Now().Add(1800 * time.Millisecond); time.Now().Before(end); time.Sleep(time.Duration(rng.IntN(180)) * time.Millisecond) {
 		x, q := rng.IntN(len(owners)), rng.IntN(3)
 		switch rng.IntN(10) {
@@ -300,115 +300,115 @@
 			owners[x].Wake()
 		case 3:
 			owners[x].Kill()
-			own()
+			startOwner()
 		case 4:
-			r.g.Members[q].Freeze()
-			time.AfterFunc(time.Duration(rng.IntN(1500))*time.Millisecond, r.g.Members[q].Wake)
+			r.group.Members[q].Freeze()
+			time.AfterFunc(time.Duration(rng.IntN(1500))*time.Millisecond, r.group.Members[q].Wake)
 		case 5:
-			r.g.Members[q].Kill()
-			fail(r.g.Start(q))
+			r.group.Members[q].Kill()
+			fail(r.group.Start(q))
 		case 6:
-			r.g.Ways[q].Set(faults.Way(rng.IntN(2)), faults.Fate{Lost: true})
+			r.group.Ways[q].Set(faults.Way(rng.IntN(2)), faults.Fate{Lost: true})
 		case 7:
-			r.g.Ways[q].Set(faults.There, faults.Fate{Delay: 30 * time.Millisecond, Twice: 0.2, Swap: 0.2})
+			r.group.Ways[q].Set(faults.There, faults.Fate{Delay: 30 * time.Millisecond, Twice: 0.2, Swap: 0.2})
 		case 8:
-			i := rng.IntN(len(r.ways))
-			r.ways[i].Set(faults.There, faults.Fate{Held: true})
-			held = append(held, i)
+			i := rng.IntN(len(r.proxies))
+			r.proxies[i].Set(faults.There, faults.Fate{Held: true})
+			heldServers = append(heldServers, i)
 		case 9:
 			if i := rng.IntN(len(r.servers)); rng.IntN(3) == 0 {
 				r.servers[i].Kill()
-				before[i], marks[i] = nil, 0
+				processes[i], logOffsets[i] = nil, 0
 				if rng.IntN(2) == 0 {
-					_ = os.Remove(filepath.Join(r.homes[i], "orders"))
+					_ = os.Remove(filepath.Join(r.dirs[i], "orders"))
 				}
 				fail(r.start(i))
 			}
 		}
 	}
-	var copies [][]byte
-	for _, w := range r.ways {
+	var heldCalls [][]byte
+	for _, w := range r.proxies {
 		calls := w.Calls()
 		if len(calls) > 0 {
-			copies = append(copies, calls[rng.IntN(len(calls))])
+			heldCalls = append(heldCalls, calls[rng.IntN(len(calls))])
 		} else {
-			copies = append(copies, nil)
+			heldCalls = append(heldCalls, nil)
 		}
 	}
-	for _, w := range r.g.Ways {
+	for _, w := range r.group.Ways {
 		w.Set(faults.There, faults.Fate{})
 		w.Set(faults.Back, faults.Fate{})
 	}
-	for _, m := range r.g.Members {
+	for _, m := range r.group.Members {
 		m.Wake()
 	}
-	for _, i := range held {
-		r.ways[i].Set(faults.There, faults.Fate{})
+	for _, i := range heldServers {
+		r.proxies[i].Set(faults.There, faults.Fate{})
 	}
 	for _, p := range owners {
 		p.Wake()
 	}
-	for i, c := range copies { // a copy that the network held back arrives now
+	for i, c := range heldCalls { // a copy that the network held back arrives now
 		if c != nil && strings.HasPrefix(string(c), "POST") {
-			_, _ = r.ways[i].Again(c)
+			_, _ = r.proxies[i].Again(c)
 		}
 	}
-	for _, id := range moves {
-		if it, err := r.g.Over(controller.PlacementDuty, id, 20*time.Second); fail(err) {
+	for _, id := range moveIDs {
+		if it, err := r.group.Over(controller.PlacementDuty, id, 20*time.Second); fail(err) {
 			return o
 		} else if it.State == controller.Done {
 			o.finished++
 		} else {
-			o.given = append(o.given, it.Note)
+			o.failureNotes = append(o.failureNotes, it.Note)
 		}
 	}
-	it, err := r.g.Over(controller.RolloutDuty, roll, 60*time.Second)
+	it, err := r.group.Over(controller.RolloutDuty, rolloutID, 60*time.Second)
 	if fail(err) {
 		return o
 	}
 	if it.State == controller.Done {
 		o.finished++
 	} else {
-		o.given = append(o.given, it.Note)
+		o.failureNotes = append(o.failureNotes, it.Note)
 	}
-	for i, c := range copies {
+	for i, c := range heldCalls {
 		if c != nil && strings.HasPrefix(string(c), "POST") {
-			_, _ = r.ways[i].Again(c)
+			_, _ = r.proxies[i].Again(c)
 		}
 	}
-	r.judge(&o, broke, marks, before, it)
-	after, _, err := proxy.VersionDir{Dir: r.dir}.Head()
+	r.checkLogs(&o, violation, logOffsets, processes, it)
+	after, _, err := proxy.VersionDir{Dir: r.mapDir}.Head()
 	if fail(err) {
 		return o
 	}
-	for k, id := range moves {
-		mv, _ := r.g.View()
-		did := mv.Journals[controller.PlacementDuty].Item(id).State == controller.Done
-		grown := len(after.Tenants[t+k].Homes) - len(head.Tenants[t+k].Homes)
-		if did && grown != 1 || !did && grown != 0 {
-			broke("move %s: done is %v, but the tenant has %d more homes", id, did, grown)
+	for k, id := range moveIDs {
+		view, _ := r.group.View()
+		done := view.Journals[controller.PlacementDuty].Item(id).State == controller.Done
+		addedHomes := len(after.Tenants[firstTenant+k].Homes) - len(head.Tenants[firstTenant+k].Homes)
+		if done && addedHomes != 1 || !done && addedHomes != 0 {
+			violation("move %s: done is %v, but the tenant has %d more homes", id, done, addedHomes)
 		}
 	}
 	return o
 }
 
-// judge checks the logs of the servers: at no time too many servers were evacuated, no command of an older epoch took effect
+// checkLogs checks the logs of the servers: at no time too many servers were evacuated, no command of an older epoch took effect
 // after one of a newer epoch, and no server stays evacuated after a rollout that finished.
-func (r *rig) judge(o *outcome, broke func(string, ...any), marks []int, before []*Process, it controller.Item) { //nolint:cyclop // one measurement from top to bottom; its split is in docs/ROADMAP.md
+func (r *rig) checkLogs(o *outcome, violation func(string, ...any), logOffsets []int, processes []*Process, rollout controller.Item) { //nolint:cyclop // one measurement from top to bottom; its split is in docs/ROADMAP.md
 	type event struct {
 		at     string
 		server int
 		what   string
 		epoch  uint64
 	}
-	var list []event
+	var events []event
 	for i, p := range r.servers {
 		log := p.Log()
-		if before[i] == p {
-			log = log[marks[i]:]
+		if processes[i] == p {
+			log = log[logOffsets[i]:]
 		}
 		for _, m := range phaseLine.FindAllStringSubmatch(log, -1) {
-			list = append(list, event{m[1], i, m[2], 0})
+			events = append(events, event{m[1], i, m[2], 0})
 		}
 		for _, m := range orderLine.FindAllStringSubmatch(log, -1) {
 			g, _ := strconv.ParseUint(m[3], 10, 64)
@@ -416,35 +416,35 @@
 			if strings.Contains(m[6], "before") || strings.Contains(m[6], "was not") {
 				continue // the command was rejected and changed nothing
 			}
-			list = append(list, event{m[1], i, "order", g<<32 | n})
+			events = append(events, event{m[1], i, "order", g<<32 | n})
 		}
 	}
-	slices.SortStableFunc(list, func(a, b event) int { return strings.Compare(a.at, b.at) })
-	out := map[int]bool{}
-	var newest uint64
-	for _, e := range list {
+	slices.SortStableFunc(events, func(a, b event) int { return strings.Compare(a.at, b.at) })
+	evacuated := map[int]bool{}
+	var newestEpoch uint64
+	for _, e := range events {
 		switch e.what {
 		case "order":
-			if e.epoch < newest {
-				broke("command of epoch %d executed at s%d after one of epoch %d", e.epoch, e.server, newest)
+			if e.epoch < newestEpoch {
+				violation("command of epoch %d executed at s%d after one of epoch %d", e.epoch, e.server, newestEpoch)
 			}
-			newest = max(newest, e.epoch)
+			newestEpoch = max(newestEpoch, e.epoch)
 		case "evacuated":
-			out[e.server] = true
+			evacuated[e.server] = true
 		case "serving":
-			delete(out, e.server)
+			delete(evacuated, e.server)
 		}
-		o.mostOut = max(o.mostOut, len(out))
-		cell := [2]int{}
-		for s := range out {
-			cell[s%2]++
+		o.maxEvacuated = max(o.maxEvacuated, len(evacuated))
+		perCell := [2]int{}
+		for s := range evacuated {
+			perCell[s%2]++
 		}
-		if len(out) > 2 || cell[0] > 1 || cell[1] > 1 {
-			broke("%d servers evacuated at %s, by cell %v", len(out), e.at, cell)
+		if len(evacuated) > 2 || perCell[0] > 1 || perCell[1] > 1 {
+			violation("%d servers evacuated at %s, by cell %v", len(evacuated), e.at, perCell)
 		}
 	}
-	if it.State == controller.Done && len(out) > 0 {
-		broke("servers %v are evacuated after the rollout", out)
+	if rollout.State == controller.Done && len(evacuated) > 0 {
+		violation("servers %v are evacuated after the rollout", evacuated)
 	}
 }
 
@@ -466,25 +466,25 @@
 			for seed := w; seed < n; seed += workers {
 				o := r.schedule(uint64(seed + 1))
 				mu.Lock()
-				all.finished, all.handed, all.refused = all.finished+o.finished, all.handed+o.handed, all.refused+o.refused
-				all.mostOut = max(all.mostOut, o.mostOut)
-				all.broken = append(all.broken, o.broken...)
-				all.given = append(all.given, o.given...)
+				all.finished, all.ownerChanges, all.staleWrites = all.finished+o.finished, all.ownerChanges+o.ownerChanges, all.staleWrites+o.staleWrites
+				all.maxEvacuated = max(all.maxEvacuated, o.maxEvacuated)
+				all.violations = append(all.violations, o.violations...)
+				all.failureNotes = append(all.failureNotes, o.failureNotes...)
 				mu.Unlock()
 			}
 		})
 	}
 	wg.Wait()
-	for _, s := range all.broken {
+	for _, s := range all.violations {
 		b.Error(s)
 	}
-	why := map[string]int{}
-	for _, n := range all.given {
-		why[regexp.MustCompile(`[0-9]+`).ReplaceAllString(n, "N")]++
+	failures := map[string]int{}
+	for _, n := range all.failureNotes {
+		failures[regexp.MustCompile(`[0-9]+`).ReplaceAllString(n, "N")]++
 	}
-	fmt.Printf("\ngiven up, by note: %v", why)
+	fmt.Printf("\ngiven up, by note: %v", failures)
 	fmt.Printf("\nschedules: %d over real processes in %v: %d of %d rolls and moves finished, %d ownerships, %d writes refused as stale, at most %d out, broken %d\n",
-		n, time.Since(began).Round(time.Second), all.finished, 3*n, all.handed, all.refused, all.mostOut, len(all.broken))
+		n, time.Since(began).Round(time.Second), all.finished, 3*n, all.ownerChanges, all.staleWrites, all.maxEvacuated, len(all.violations))
 }
 
 // ---- Two operators at once ----
@@ -500,7 +500,7 @@
 	}
 	const rounds = 200
 	count := func(name string, move func(tenant string) error, homes func(tenant int) int) {
-		yes, lost, no := 0, 0, 0
+		bothConfirmed, lostMoves, oneRejected := 0, 0, 0
 		for n := range rounds {
 			var errs [2]error
 			var wg sync.WaitGroup
@@ -510,16 +510,16 @@
 			wg.Wait()
 			for k, err := range errs {
 				if err == nil && homes(2*n+k) != 2 {
-					lost++
+					lostMoves++
 				}
 			}
 			if errs[0] == nil && errs[1] == nil {
-				yes++
+				bothConfirmed++
 			} else {
-				no++
+				oneRejected++
 			}
 		}
-		fmt.Printf("| %s | %d | %d | %d | %d |\n", name, rounds, yes, lost, no)
+		fmt.Printf("| %s | %d | %d | %d | %d |\n", name, rounds, bothConfirmed, lostMoves, oneRejected)
 	}
 	m := ownerMap()
 	m.Tenants = m.Tenants[:2*rounds]
@@ -550,13 +550,13 @@
 	if err := (proxy.VersionDir{Dir: dir}).Put(1, settings.FormatCells(m)); err != nil {
 		b.Fatal(err)
 	}
-	p, err := r.g.Owner("o", dir, []string{controller.PlacementDuty}, nil, nil)
+	p, err := r.group.Owner("o", dir, []string{controller.PlacementDuty}, nil, nil)
 	if err != nil {
 		b.Fatal(err)
 	}
 	defer p.Kill()
 	count("this, by the keeper", func(tenant string) error {
-		return exec.Command(bin, "cells", "move", "--group", "test", "--members", strings.Join(r.g.Client.Addrs, ","), "--tenant", tenant, "--to", "b").Run()
+		return exec.Command(bin, "cells", "move", "--group", "test", "--members", strings.Join(r.group.Client.Addrs, ","), "--tenant", tenant, "--to", "b").Run()
 	}, func(t int) int {
 		m, _, err := proxy.VersionDir{Dir: dir}.Head()
 		if err != nil {
@@ -585,34 +585,34 @@
 	for _, ttl := range []time.Duration{300 * time.Millisecond, time.Second, 3 * time.Second} {
 		r, err := newRig(bin, b.TempDir(), 0, lease.Terms{TTL: ttl, Drift: 0.05})
 		_ = err
-		dir := r.dir
-		rest := restCost(b, r, dir)
+		dir := r.mapDir
+		idleCells := idleCost(b, r, dir)
 		for _, what := range []string{"SIGKILL", "SIGSTOP", "cut"} {
 			rounds := number("SILVERPATH_GAPS", map[time.Duration]int{300 * time.Millisecond: 20, time.Second: 12, 3 * time.Second: 6}[ttl])
 			h := hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)
-			twice := 0
+			overlaps := 0
 			for n := range rounds {
-				gap, two, err := oneGap(r, dir, what, n)
+				gap, overlap, err := measureGap(r, dir, what, n)
 				if err != nil {
 					b.Error(err)
 					continue
 				}
 				_ = h.RecordValue(gap.Microseconds())
-				if two {
-					twice++
+				if overlap {
+					overlaps++
 				}
 			}
-			fmt.Printf("| %d | %s | %d | %d | %d | %d | %s |\n", ttl.Milliseconds(), what, rounds, At(h, 50).Milliseconds(), At(h, 99).Milliseconds(), twice, rest)
-			rest = "| |"
+			fmt.Printf("| %d | %s | %d | %d | %d | %d | %s |\n", ttl.Milliseconds(), what, rounds, At(h, 50).Milliseconds(), At(h, 99).Milliseconds(), overlaps, idleCells)
+			idleCells = "| |"
 		}
 		r.Close()
 	}
 }
 
-// restCost returns table cells with the group's messages and disk syncs per second and the CPU load of the leader and of an
+// idleCost returns table cells with the group's messages and disk syncs per second and the CPU load of the leader and of an
 // owner, while one owner holds all duties and nothing happens.
-func restCost(b *testing.B, r *rig, dir string) string {
-	p, err := r.g.Owner("rest", dir, controller.Duties, nil, nil)
+func idleCost(b *testing.B, r *rig, mapDir string) string {
+	p, err := r.group.Owner("rest", mapDir, controller.Duties, nil, nil)
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -621,13 +621,13 @@
 		b.Fatal(err)
 	}
 	time.Sleep(time.Second)
-	lead, err := r.g.Leader()
+	lead, err := r.group.Leader()
 	if err != nil {
 		b.Fatal(err)
 	}
 	const span = 5 * time.Second
 	count := func() (messages, syncs int) {
-		for _, m := range r.g.Members {
+		for _, m := range r.group.Members {
 			from := m.Lines()
 			_ = m.Signal(syscall.SIGUSR1)
 			line, err := m.Await(2*time.Second, from, "counter group.messages")
@@ -636,85 +636,85 @@
 				messages += n
 			}
 		}
-		for _, a := range r.g.Client.Addrs {
+		for _, a := range r.group.Client.Addrs {
 			ctx, cancel := context.WithTimeout(context.Background(), time.Second)
-			if s, err := r.g.Client.StatusOf(ctx, a); err == nil {
+			if s, err := r.group.Client.StatusOf(ctx, a); err == nil {
 				syncs += int(s.Syncs)
 			}
 			cancel()
 		}
 		return messages, syncs
 	}
-	m0, s0 := count()
-	c0, o0 := r.g.Members[lead].CPU(), p.CPU()
+	messagesBefore, syncsBefore := count()
+	leaderBefore, ownerBefore := r.group.Members[lead].CPU(), p.CPU()
 	time.Sleep(span)
-	c1, o1 := r.g.Members[lead].CPU(), p.CPU()
-	m1, s1 := count()
-	per := func(d time.Duration) float64 { return 100 * d.Seconds() / span.Seconds() }
-	return fmt.Sprintf("%.0f | %.1f | %.1f%%, %.1f%%", float64(m1-m0)/span.Seconds(), float64(s1-s0)/span.Seconds(), per(c1-c0), per(o1-o0))
+	leaderAfter, ownerAfter := r.group.Members[lead].CPU(), p.CPU()
+	messagesAfter, syncsAfter := count()
+	percent := func(d time.Duration) float64 { return 100 * d.Seconds() / span.Seconds() }
+	return fmt.Sprintf("%.0f | %.1f | %.1f%%, %.1f%%", float64(messagesAfter-messagesBefore)/span.Seconds(), float64(syncsAfter-syncsBefore)/span.Seconds(), percent(leaderAfter-leaderBefore), percent(ownerAfter-ownerBefore))
 }
 
-// oneGap fails the owner of the placement duty in the given way and returns how long it took until the other owner held the
+// measureGap fails the owner of the placement duty in the given way and returns how long it took until the other owner held the
 // duty, and whether both held it at the same time.
-func oneGap(r *rig, dir, what string, n int) (gap time.Duration, two bool, err error) { //nolint:cyclop // one measurement from top to bottom; its split is in docs/ROADMAP.md
-	var ways []*faults.Between
+func measureGap(r *rig, dir, fault string, n int) (gap time.Duration, overlap bool, err error) { //nolint:cyclop // one measurement from top to bottom; its split is in docs/ROADMAP.md
+	var proxies []*faults.Between
 	var addrs []string
-	for _, a := range r.g.Client.Addrs {
+	for _, a := range r.group.Client.Addrs {
 		w, err := faults.Listen(a, true, uint64(n))
 		if err != nil {
 			return 0, false, err
 		}
 		defer w.Close()
-		ways, addrs = append(ways, w), append(addrs, w.Addr())
+		proxies, addrs = append(proxies, w), append(addrs, w.Addr())
 	}
-	keeper := []string{controller.PlacementDuty}
-	one, err := r.g.Owner(fmt.Sprint("one", n), dir, keeper, addrs, nil)
+	duties := []string{controller.PlacementDuty}
+	owner, err := r.group.Owner(fmt.Sprint("one", n), dir, duties, addrs, nil)
 	if err != nil {
 		return 0, false, err
 	}
-	defer one.Kill()
-	if _, err := one.Await(20*time.Second, 0, "duty.owned"); err != nil {
+	defer owner.Kill()
+	if _, err := owner.Await(20*time.Second, 0, "duty.owned"); err != nil {
 		return 0, false, err
 	}
-	next, err := r.g.Owner(fmt.Sprint("two", n), dir, keeper, nil, nil)
+	successor, err := r.group.Owner(fmt.Sprint("two", n), dir, duties, nil, nil)
 	if err != nil {
 		return 0, false, err
 	}
-	defer next.Kill()
+	defer successor.Kill()
 	for end := time.Now().Add(10 * time.Second); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
-		if v, err := r.g.View(); err == nil && len(v.Table.Duties[controller.PlacementDuty].Queue) == 1 {
+		if v, err := r.group.View(); err == nil && len(v.Table.Duties[controller.PlacementDuty].Queue) == 1 {
 			break
 		}
 	}
 	time.Sleep(time.Duration(n*37%200) * time.Millisecond)
 	began := time.Now().UTC()
-	switch what {
+	switch fault {
 	case "SIGKILL":
-		one.Kill()
+		owner.Kill()
 	case "SIGSTOP":
-		one.Freeze()
+		owner.Freeze()
 	case "cut":
-		for _, w := range ways {
+		for _, w := range proxies {
 			w.Cut(true)
 		}
 	}
-	line, err := next.Await(30*time.Second, 0, "duty.owned")
+	line, err := successor.Await(30*time.Second, 0, "duty.owned")
 	if err != nil {
 		return 0, false, err
 	}
 	at := logTime(line)
 	gap = at - began.Sub(began.Truncate(24*time.Hour))
-	if what == "cut" {
-		lost, err := one.Await(10*time.Second, 0, "duty.lost")
-		if two = err != nil; err == nil { // the line has the time since the owner stopped, by its own clock
+	if fault == "cut" {
+		lost, err := owner.Await(10*time.Second, 0, "duty.lost")
+		if overlap = err != nil; err == nil { // the line has the time since the owner stopped, by its own clock
 			_, rest, _ := strings.Cut(lost, "ago=")
 			ms, _ := strconv.ParseFloat(strings.Fields(rest)[0], 64)
-			two = logTime(lost)-time.Duration(ms*float64(time.Millisecond)) > at
+			overlap = logTime(lost)-time.Duration(ms*float64(time.Millisecond)) > at
 		}
 	}
-	one.Wake()
-	_ = next.Leave()
-	return gap, two, nil
+	owner.Wake()
+	_ = successor.Leave()
+	return gap, overlap, nil
 }
 
 // ---- Commits ----
@@ -725,10 +725,10 @@
 	fmt.Println("\n| members | what | at once | commits/s | p50 ms | p99 ms |")
 	fmt.Println("|---|---|---|---|---|---|")
 	for _, c := range []struct {
-		n, lanes int
-		what     string
+		members, clients int
+		fault            string
 	}{{3, 1, "all well"}, {3, 32, "all well"}, {3, 32, "one dead"}, {3, 32, "one disk 20 ms a sync"}, {5, 1, "all well"}, {5, 32, "all well"}, {5, 32, "two dead"}} {
-		g, err := harness.NewGroup(b.TempDir(), c.n, lease.Terms{TTL: 3 * time.Second, Drift: 0.05}, 50*time.Millisecond, slowStarter())
+		g, err := harness.NewGroup(b.TempDir(), c.members, lease.Terms{TTL: 3 * time.Second, Drift: 0.05}, 50*time.Millisecond, slowDiskStarter())
 		if err != nil {
 			b.Fatal(err)
 		}
@@ -736,21 +736,21 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		switch c.what {
+		switch c.fault {
 		case "one dead", "two dead":
-			g.Members[(lead+1)%c.n].Kill()
-			if c.what == "two dead" {
-				g.Members[(lead+2)%c.n].Kill()
+			g.Members[(lead+1)%c.members].Kill()
+			if c.fault == "two dead" {
+				g.Members[(lead+2)%c.members].Kill()
 			}
 		case "one disk 20 ms a sync":
-			g.Fault((lead+1)%c.n, "20ms")
+			g.Fault((lead+1)%c.members, "20ms")
 		}
 		h := hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)
 		var mu sync.Mutex
 		var wg sync.WaitGroup
 		const span = 4 * time.Second
 		end := time.Now().Add(span)
-		for k := range c.lanes {
+		for k := range c.clients {
 			wg.Go(func() {
 				for n := 0; time.Now().Before(end); n++ {
 					began := time.Now()
@@ -767,26 +767,26 @@
 		}
 		wg.Wait()
 		ms := func(q float64) float64 { return float64(h.ValueAtQuantile(q)) / 1000 }
-		fmt.Printf("| %d | %s | %d | %.0f | %.1f | %.1f |\n", c.n, c.what, c.lanes, float64(h.TotalCount())/span.Seconds(), ms(50), ms(99))
+		fmt.Printf("| %d | %s | %d | %.0f | %.1f | %.1f |\n", c.members, c.fault, c.clients, float64(h.TotalCount())/span.Seconds(), ms(50), ms(99))
 		g.Close()
 	}
 }
 
 // ---- A rolling restart under load ----
 
-// rolls measures the goodput of a fleet during restarts of all its servers, for each way to order the restarts.
-func rolls(b *testing.B, bin string) {
+// rollingRestarts measures the goodput of a fleet during restarts of all its servers, for each way to order the restarts.
+func rollingRestarts(b *testing.B, bin string) {
 	fmt.Println("\n| how | took | worth | lowest tenant | out at once |")
 	fmt.Println("|---|---|---|---|---|")
 	for _, how := range []string{"none", "all at once", "by hand, one after the other", "the conductor, 3 in all and 1 in a cell"} {
-		if err := oneRoll(b, bin, how); err != nil {
+		if err := measureRollingRestart(b, bin, how); err != nil {
 			b.Error(err)
 		}
 	}
 }
 
-// oneRoll runs a fleet under load, restarts all its servers in the given way and prints a row of the table.
-func oneRoll(b *testing.B, bin, how string) error { //nolint:cyclop // one measurement from top to bottom; its split is in docs/ROADMAP.md
+// measureRollingRestart runs a fleet under load, restarts all its servers in the given way and prints a row of the table.
+func measureRollingRestart(b *testing.B, bin, order string) error { //nolint:cyclop // one measurement from top to bottom; its split is in docs/ROADMAP.md
 	home := b.TempDir()
 	g, err := harness.NewGroup(home, 3, lease.Terms{TTL: time.Second, Drift: 0.05}, 50*time.Millisecond, starter(bin))
 	defer g.Close() //nolint:staticcheck // what was begun is returned beside an error, to be closed
@@ -816,7 +816,7 @@
 	go func() {
 		time.Sleep(3 * time.Second)
 		began := time.Now()
-		switch how {
+		switch order {
 		case "all at once":
 			var wg sync.WaitGroup
 			for n := range f.Servers {
@@ -835,7 +835,7 @@
 			}
 		case "none":
 		default:
-			_ = f.conduct(g, home)
+			_ = f.rollout(g, home)
 		}
 		done <- time.Since(began)
 	}()
@@ -843,10 +843,10 @@
 	if err != nil {
 		return err
 	}
-	asked, worth, lowest := 0.0, 0.0, 1.0
+	offeredWorth, earnedWorth, lowestShare := 0.0, 0.0, 1.0
 	for _, r := range res {
-		asked, worth = asked+r.Asked, worth+r.Worth
-		lowest = min(lowest, r.Share())
+		offeredWorth, earnedWorth = offeredWorth+r.Asked, earnedWorth+r.Worth
+		lowestShare = min(lowestShare, r.Share())
 	}
 	took := time.Duration(0)
 	select {
@@ -854,13 +854,13 @@
 	case <-time.After(time.Second):
 		took = span
 	}
-	fmt.Printf("| %s | %.1f s | %.4f | %.4f | %d |\n", how, took.Seconds(), worth/asked, lowest, f.mostOut)
+	fmt.Printf("| %s | %.1f s | %.4f | %.4f | %d |\n", order, took.Seconds(), earnedWorth/offeredWorth, lowestShare, f.mostOut)
 	return nil
 }
 
-// conduct has the rollout controller evacuate the servers of the fleet in turn, and restarts each server while it is
+// rollout has the rollout controller evacuate the servers of the fleet in turn, and restarts each server while it is
 // evacuated.
-func (f *Fleet) conduct(g *harness.Group, home string) error {
+func (f *Fleet) rollout(g *harness.Group, home string) error {
 	dir := filepath.Join(home, "series")
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
--- a/internal/testkit/benchmarks/owner_test.go
+++ b/internal/testkit/benchmarks/owner_test.go
@@ -6,16 +6,16 @@
 // that occur if servers ignore the fence, and if a published version of the map can be overwritten.
 func TestOwnerSchedules(t *testing.T) {
 	const n = 1000
-	finished, handed, err := SimOwners(1, n, nil)
+	finished, ownerChanges, err := SimOwners(1, n, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if finished < 4*n || handed < 2*n {
-		t.Errorf("only %d rollouts and moves finished and %d changes of owner", finished, handed)
+	if finished < 4*n || ownerChanges < 2*n {
+		t.Errorf("only %d rollouts and moves finished and %d changes of owner", finished, ownerChanges)
 	}
 	for name, edit := range map[string]func(*OwnerSim){
 		"no fence":  func(s *OwnerSim) { s.NoFence = true },
-		"no places": func(s *OwnerSim) { s.NoPlaces = true },
+		"no places": func(s *OwnerSim) { s.AllowOverwrite = true },
 	} {
 		_, _, err := SimOwners(1, 3*n, edit)
 		if err == nil {
--- a/internal/testkit/benchmarks/ownersim.go
+++ b/internal/testkit/benchmarks/ownersim.go
@@ -19,62 +19,62 @@
 // majority, restarts of servers, some with their fence state lost, commands that are lost, delayed or delivered twice, and
 // pauses of an owner between any two of its actions. Leases, controllers and fences are the production code.
 type OwnerSim struct {
-	rng      *rand.Rand
-	now      time.Duration
-	wall     time.Time
-	state    *statemachine.State
-	watch    *lease.Lessor
-	groupUp  bool
-	upAt     time.Duration
-	owners   []*simOwner
-	servers  []*simServer
-	places   map[int][]byte // content of each version of the map
-	orders   []simOrder
-	newest   lease.Epoch // highest epoch of a command that took effect
-	edits    lease.Epoch // epoch of the map that was published last
-	NoFence  bool        // servers execute commands that the fence rejects
-	NoPlaces bool        // a published version of the map can be overwritten
-	latest   *cells.Map
-	raw      []byte
-	Broken   []string
-	MostOut  int
-	Finished int // rollouts and moves that finished
-	Handed   int // changes of a duty's owner
+	rng            *rand.Rand
+	now            time.Duration
+	wall           time.Time
+	state          *statemachine.State
+	lessor         *lease.Lessor
+	groupUp        bool
+	groupUpAt      time.Duration
+	owners         []*simOwner
+	servers        []*simServer
+	versions       map[int][]byte // content of each version of the map
+	commands       []simCommand
+	newestExecuted lease.Epoch // highest epoch of a command that took effect
+	publishedEpoch lease.Epoch // epoch of the map that was published last
+	NoFence        bool        // servers execute commands that the fence rejects
+	AllowOverwrite bool        // a published version of the map can be overwritten
+	latest         *cells.Map
+	latestRaw      []byte
+	Violations     []string
+	MaxEvacuated   int
+	Finished       int // rollouts and moves that finished
+	OwnerChanges   int // changes of a duty's owner
 }
 
 type simOwner struct {
-	name     string
-	hz       float64
-	frozen   time.Duration
-	holders  map[string]*lease.Holder
-	conducts controller.Rollout
-	keeper   controller.Placement
-	pending  map[string]*simAct // action of each duty that is decided but not performed yet
-	seen     map[string]controller.Readiness
-	epochs   map[string]lease.Epoch
+	name           string
+	clockRate      float64
+	frozenUntil    time.Duration
+	holders        map[string]*lease.Holder
+	rollout        controller.Rollout
+	placement      controller.Placement
+	pendingActions map[string]*simAction // action of each duty that is decided but not performed yet
+	readiness      map[string]controller.Readiness
+	epochs         map[string]lease.Epoch
 }
 
-type simAct struct {
-	at  time.Duration
-	act controller.Action
-	e   lease.Epoch
-	j   controller.Journal
+type simAction struct {
+	at      time.Duration
+	action  controller.Action
+	epoch   lease.Epoch
+	journal controller.Journal
 }
 
 type simServer struct {
-	name  string
-	book  *fence.Fence
-	out   bool
-	outs  int
-	up    time.Duration // time from which the server is reachable
-	again int           // number of restarts
+	name        string
+	fence       *fence.Fence
+	evacuated   bool
+	evacuations int
+	reachableAt time.Duration // time from which the server is reachable
+	restarts    int           // number of restarts
 }
 
-type simOrder struct {
-	at     time.Duration
-	order  fence.Command
-	server int
-	from   *simOwner
+type simCommand struct {
+	at      time.Duration
+	command fence.Command
+	server  int
+	sender  *simOwner
 }
 
 const (
@@ -86,30 +86,30 @@
 
 // NewOwnerSim returns the schedule of a seed.
 func NewOwnerSim(seed uint64) *OwnerSim {
-	s := &OwnerSim{rng: rand.New(rand.NewPCG(seed, 18)), state: statemachine.New(1), groupUp: true, places: map[int][]byte{},
+	s := &OwnerSim{rng: rand.New(rand.NewPCG(seed, 18)), state: statemachine.New(1), groupUp: true, versions: map[int][]byte{},
 		wall: time.UnixMilli(1_700_000_000_000)}
 	terms := lease.Terms{TTL: simLease, Drift: 0.05}
 	s.state.Terms = terms
-	s.watch = lease.NewLessor(terms)
-	s.watch.Promote(0)
+	s.lessor = lease.NewLessor(terms)
+	s.lessor.Promote(0)
 	m := &cells.Map{Version: 1, KeyWindow: time.Second, MaxClockSkew: 50 * time.Millisecond, Lease: time.Second, CallerTimeout: time.Second,
 		Cells: []cells.Cell{{Name: "a", Capacity: 1000}, {Name: "b", Capacity: 1000}}}
 	for i := range simServers {
 		name := fmt.Sprint("s", i)
 		m.Servers = append(m.Servers, cells.Server{Name: name, Addr: name, AdminAddr: name, Cell: string(rune('a' + i%2)), Weight: 1})
-		s.servers = append(s.servers, &simServer{name: name, book: fence.New(nil, true)})
+		s.servers = append(s.servers, &simServer{name: name, fence: fence.New(nil, true)})
 	}
 	for i := range simMoves {
 		m.Tenants = append(m.Tenants, cells.Tenant{Name: fmt.Sprint("t", i), Rate: 1, Homes: []cells.Home{{Cell: "a"}}})
 	}
-	s.places[1] = settings.FormatCells(m)
+	s.versions[1] = settings.FormatCells(m)
 	for i := range 3 {
-		o := &simOwner{name: fmt.Sprint("o", i), hz: 1 + 0.05*(2*s.rng.Float64()-1), holders: map[string]*lease.Holder{},
-			pending: map[string]*simAct{}, seen: map[string]controller.Readiness{}, epochs: map[string]lease.Epoch{}}
+		o := &simOwner{name: fmt.Sprint("o", i), clockRate: 1 + 0.05*(2*s.rng.Float64()-1), holders: map[string]*lease.Holder{},
+			pendingActions: map[string]*simAction{}, readiness: map[string]controller.Readiness{}, epochs: map[string]lease.Epoch{}}
 		for _, d := range []string{controller.PlacementDuty, controller.RolloutDuty} {
 			o.holders[d] = lease.NewHolder(d, o.name, terms)
 		}
-		o.keeper.Codec = controller.Codec{Format: settings.FormatCells, Parse: settings.ParseCells}
+		o.placement.Codec = controller.Codec{Format: settings.FormatCells, Parse: settings.ParseCells}
 		s.owners = append(s.owners, o)
 	}
 	for i := range simMoves {
@@ -121,279 +121,279 @@
 	return s
 }
 
-func (s *OwnerSim) broke(format string, args ...any) {
-	s.Broken = append(s.Broken, fmt.Sprintf("%v: ", s.now)+fmt.Sprintf(format, args...))
+func (s *OwnerSim) violation(format string, args ...any) {
+	s.Violations = append(s.Violations, fmt.Sprintf("%v: ", s.now)+fmt.Sprintf(format, args...))
 }
 
 func (s *OwnerSim) chance(p float64) bool { return s.rng.Float64() < p }
 
-func (s *OwnerSim) span(most time.Duration) time.Duration {
-	return time.Duration(s.rng.Float64() * float64(most))
+func (s *OwnerSim) randomDuration(limit time.Duration) time.Duration {
+	return time.Duration(s.rng.Float64() * float64(limit))
 }
 
 // Run runs the schedule until all moves and the rollout are over or an invariant is violated, at most for a simulated minute
 // after the faults. Faults are injected during the first simulated time of the given length. Run then checks the final state.
 func (s *OwnerSim) Run(faults time.Duration) {
-	for s.now < faults+60*time.Second && len(s.Broken) == 0 {
+	for s.now < faults+60*time.Second && len(s.Violations) == 0 {
 		s.now += simStep
 		if s.now < faults {
-			s.trouble()
+			s.injectFaults()
 		}
-		if !s.groupUp && s.now >= s.upAt { // a new leader has no record of earlier lease grants
+		if !s.groupUp && s.now >= s.groupUpAt { // a new leader has no record of earlier lease grants
 			s.groupUp = true
-			s.watch.Demote()
-			s.watch.Promote(s.now)
+			s.lessor.Demote()
+			s.lessor.Promote(s.now)
 		}
 		if s.groupUp {
-			for _, a := range s.watch.Overdue(s.state.Table, s.now) {
-				s.ask(a)
+			for _, a := range s.lessor.Overdue(s.state.Table, s.now) {
+				s.answerLease(a)
 			}
 		}
 		for _, o := range s.owners {
-			if o.frozen <= s.now {
-				s.own(o)
+			if o.frozenUntil <= s.now {
+				s.stepOwner(o)
 			}
 		}
 		s.deliver()
-		if s.over() && s.now > faults {
+		if s.allFinished() && s.now > faults {
 			break
 		}
 	}
-	s.end()
+	s.checkFinalState()
 }
 
-// trouble draws the faults of this step.
-func (s *OwnerSim) trouble() {
+// injectFaults draws the faults of this step.
+func (s *OwnerSim) injectFaults() {
 	if s.chance(0.01) {
-		s.owners[s.rng.IntN(3)].frozen = s.now + s.span(4*simLease)
+		s.owners[s.rng.IntN(3)].frozenUntil = s.now + s.randomDuration(4*simLease)
 	}
 	if s.chance(0.002) && s.groupUp {
-		s.groupUp, s.upAt = false, s.now+s.span(5*simLease)
+		s.groupUp, s.groupUpAt = false, s.now+s.randomDuration(5*simLease)
 	}
 	if s.chance(0.004) {
 		x := s.servers[s.rng.IntN(simServers)]
-		x.up, x.out = s.now+s.span(time.Second), false
-		x.again++
+		x.reachableAt, x.evacuated = s.now+s.randomDuration(time.Second), false
+		x.restarts++
 		if s.chance(0.3) {
-			x.book = fence.New(nil, true) // the disk is lost too
+			x.fence = fence.New(nil, true) // the disk is lost too
 		} else {
-			x.book = fence.New(x.book.Latest(), true)
+			x.fence = fence.New(x.fence.Latest(), true)
 		}
 	}
 }
 
-// ask has the group's leader answer a lease request. It returns the duty, and whether the request was rejected.
-func (s *OwnerSim) ask(a lease.Request) (lease.Duty, bool) {
-	d := s.state.Table.Duties[a.Duty]
-	if d != nil && (a.Op == lease.Renew || a.Op == lease.Acquire && (d.Holder == a.Process || slices.Contains(d.Queue, a.Process))) {
-		ending := d.Holder == a.Process && !s.watch.Renew(a.Duty, d.Epoch, a.Op != lease.Renew, s.now)
-		s.watch.RecordWaiter(a.Duty, a.Process, s.now)
-		return *d, ending || a.Op == lease.Renew && (d.Holder != a.Process || d.Epoch != a.Epoch)
+// answerLease has the group's leader answer a lease request. It returns the duty, and whether the request was rejected.
+func (s *OwnerSim) answerLease(req lease.Request) (lease.Duty, bool) {
+	d := s.state.Table.Duties[req.Duty]
+	if d != nil && (req.Op == lease.Renew || req.Op == lease.Acquire && (d.Holder == req.Process || slices.Contains(d.Queue, req.Process))) {
+		ending := d.Holder == req.Process && !s.lessor.Renew(req.Duty, d.Epoch, req.Op != lease.Renew, s.now)
+		s.lessor.RecordWaiter(req.Duty, req.Process, s.now)
+		return *d, ending || req.Op == lease.Renew && (d.Holder != req.Process || d.Epoch != req.Epoch)
 	}
-	r := s.state.Apply(statemachine.Command{Lease: &a})
+	r := s.state.Apply(statemachine.Command{Lease: &req})
 	if r.Duty == nil {
 		return lease.Duty{}, true
 	}
-	s.watch.RecordGrant(r.Duty.Name, r.Duty.Epoch, s.now)
+	s.lessor.RecordGrant(r.Duty.Name, r.Duty.Epoch, s.now)
 	return *r.Duty, r.Error != ""
 }
 
-// own runs one step of an owner. It renews or acquires leases, and then, for each duty, performs the pending action if its
+// stepOwner runs one step of an owner. It renews or acquires leases, and then, for each duty, performs the pending action if its
 // time has come, or decides on a new one.
-func (s *OwnerSim) own(o *simOwner) {
-	clock := time.Duration(float64(s.now) * o.hz)
+func (s *OwnerSim) stepOwner(o *simOwner) {
+	clock := time.Duration(float64(s.now) * o.clockRate)
 	for _, name := range []string{controller.PlacementDuty, controller.RolloutDuty} {
 		h := o.holders[name]
 		if a, ok := h.NextRequest(clock); ok && s.groupUp && !s.chance(0.05) {
-			d, no := s.ask(a)
+			d, rejected := s.answerLease(a)
 			if !s.chance(0.05) {
-				if gained, _ := h.HandleAnswer(clock, a, d, no, clock); gained {
-					s.Handed++
+				if gained, _ := h.HandleAnswer(clock, a, d, rejected, clock); gained {
+					s.OwnerChanges++
 				}
 			}
 		}
-		if p := o.pending[name]; p != nil {
+		if p := o.pendingActions[name]; p != nil {
 			if s.now >= p.at {
-				delete(o.pending, name)
-				s.act(o, name, p)
+				delete(o.pendingActions, name)
+				s.perform(o, name, p)
 			}
 			continue
 		}
-		e, has := h.Holds(clock)
-		if !has || !s.groupUp {
+		epoch, holds := h.Holds(clock)
+		if !holds || !s.groupUp {
 			continue
 		}
-		if err := s.state.Table.CheckHolder(name, o.name, e); err != nil {
+		if err := s.state.Table.CheckHolder(name, o.name, epoch); err != nil {
 			continue
 		}
 		j := *s.state.Journal(name)
 		j.Items = slices.Clone(j.Items)
-		act := s.decide(o, name, &j, e, clock)
+		act := s.decide(o, name, &j, epoch, clock)
 		if act.Kind == controller.Idle {
 			continue
 		}
 		// The owner has checked that it owns the duty. It may be paused before the action, and between an action and its result.
 		wait := time.Duration(0)
 		if s.chance(0.1) {
-			wait = s.span(3 * simLease)
+			wait = s.randomDuration(3 * simLease)
 		}
-		o.pending[name] = &simAct{s.now + wait, act, e, j}
+		o.pendingActions[name] = &simAction{s.now + wait, act, epoch, j}
 	}
 }
 
-// head returns the latest published map and its content. A withdrawn version is skipped.
-func (s *OwnerSim) head() (m *cells.Map, raw []byte) {
+// latestMap returns the latest published map and its content. A withdrawn version is skipped.
+func (s *OwnerSim) latestMap() (m *cells.Map, raw []byte) {
 	if s.latest != nil {
-		return s.latest, s.raw
+		return s.latest, s.latestRaw
 	}
 	last := 0
-	for v, b := range s.places {
+	for v, b := range s.versions {
 		if v > last && b[0] == '{' {
 			last, raw = v, b
 		}
 	}
 	m, _ = settings.ParseCells(raw)
-	s.latest, s.raw = m, raw
+	s.latest, s.latestRaw = m, raw
 	return m, raw
 }
 
 // decide returns the next action of the duty's controller.
 func (s *OwnerSim) decide(o *simOwner, name string, j *controller.Journal, e lease.Epoch, clock time.Duration) controller.Action {
-	m, raw := s.head()
+	m, raw := s.latestMap()
 	if name == controller.PlacementDuty {
 		h := controller.PublishedMap{Map: m, Raw: raw}
-		for v := range s.places {
+		for v := range s.versions {
 			h.HighestVersion = max(h.HighestVersion, v)
 		}
 		if it := j.Current(); it != nil && it.State == controller.Intended {
 			if plan, err := settings.ParseCells([]byte(it.Plan)); err == nil {
-				h.Occupant = s.places[plan.Version]
+				h.Occupant = s.versions[plan.Version]
 			}
 		}
-		return o.keeper.Next(j, h, uint64(e), s.wall.Add(s.now))
+		return o.placement.Next(j, h, uint64(e), s.wall.Add(s.now))
 	}
 	var list []controller.RolloutServer
 	for _, x := range m.Servers {
 		list = append(list, controller.RolloutServer{Name: x.Name, Cell: x.Cell, Admin: x.AdminAddr})
 	}
 	for _, x := range s.servers {
-		o.seen[x.name] = controller.Readiness{ProbedAt: clock, Reachable: x.up <= s.now, Ready: x.up <= s.now && !x.out}
+		o.readiness[x.name] = controller.Readiness{ProbedAt: clock, Reachable: x.reachableAt <= s.now, Ready: x.reachableAt <= s.now && !x.evacuated}
 	}
-	return o.conducts.Next(j, uint64(e), list, o.seen, clock)
+	return o.rollout.Next(j, uint64(e), list, o.readiness, clock)
 }
 
-// act performs an action that an owner decided earlier.
-func (s *OwnerSim) act(o *simOwner, name string, p *simAct) {
-	switch p.act.Kind {
+// perform performs an action that an owner decided earlier.
+func (s *OwnerSim) perform(o *simOwner, name string, p *simAction) {
+	switch p.action.Kind {
 	case controller.WriteJournal:
 		if s.groupUp {
-			w := p.act.Write
-			w.Duty, w.Process, w.Epoch, w.Step = name, o.name, p.e, p.j.Step+1
+			w := p.action.Write
+			w.Duty, w.Process, w.Epoch, w.Step = name, o.name, p.epoch, p.journal.Step+1
 			s.state.Apply(statemachine.Command{Journal: &w})
 		}
 	case controller.Publish, controller.Withdraw:
-		raw := p.act.Raw
-		if p.act.Kind == controller.Withdraw {
+		raw := p.action.Raw
+		if p.action.Kind == controller.Withdraw {
 			raw = []byte("withdrawn\n")
 		}
-		if s.places[p.act.Version] == nil || s.NoPlaces { // a version can be published only once
+		if s.versions[p.action.Version] == nil || s.AllowOverwrite { // a version can be published only once
 			s.latest = nil
-			s.places[p.act.Version] = raw
+			s.versions[p.action.Version] = raw
 			if m, err := settings.ParseCells(raw); err == nil {
-				if lease.Epoch(m.Epoch) < s.edits {
-					s.broke("map of epoch %v published after one of epoch %v", m.Epoch, s.edits)
+				if lease.Epoch(m.Epoch) < s.publishedEpoch {
+					s.violation("map of epoch %v published after one of epoch %v", m.Epoch, s.publishedEpoch)
 				}
-				s.edits = lease.Epoch(m.Epoch)
+				s.publishedEpoch = lease.Epoch(m.Epoch)
 			}
 		}
 	case controller.SendCommand:
-		it := p.j.Current()
+		it := p.journal.Current()
 		act := "rejoin"
-		if p.act.Command.Evacuate {
+		if p.action.Command.Evacuate {
 			act = "evacuate"
 		}
-		server := int(p.act.Command.Server[1] - '0')
-		order := simOrder{s.now, fence.Command{Duty: name, Epoch: p.e, Step: it.Step, Action: act}, server, o}
+		server := int(p.action.Command.Server[1] - '0')
+		command := simCommand{s.now, fence.Command{Duty: name, Epoch: p.epoch, Step: it.Step, Action: act}, server, o}
 		switch {
 		case s.chance(0.05): // lost
-			o.conducts.RecordCommand(p.act.Command.Server, false)
+			o.rollout.RecordCommand(p.action.Command.Server, false)
 		case s.chance(0.1): // delayed on the way
-			order.at += s.span(10 * simLease)
-			o.conducts.RecordCommand(p.act.Command.Server, false)
-			order.from = nil
-			s.orders = append(s.orders, order)
+			command.at += s.randomDuration(10 * simLease)
+			o.rollout.RecordCommand(p.action.Command.Server, false)
+			command.sender = nil
+			s.commands = append(s.commands, command)
 		default:
-			s.orders = append(s.orders, order)
+			s.commands = append(s.commands, command)
 		}
 		if s.chance(0.1) { // a copy
-			order.at, order.from = s.now+s.span(10*simLease), nil
-			s.orders = append(s.orders, order)
+			command.at, command.sender = s.now+s.randomDuration(10*simLease), nil
+			s.commands = append(s.commands, command)
 		}
 	}
 }
 
 // deliver delivers the commands that are due and reports their results to the owners that sent them.
 func (s *OwnerSim) deliver() {
-	var later []simOrder
-	for _, o := range s.orders {
+	var undelivered []simCommand
+	for _, o := range s.commands {
 		if o.at > s.now {
-			later = append(later, o)
+			undelivered = append(undelivered, o)
 			continue
 		}
-		yes := s.take(s.servers[o.server], o.order)
-		if o.from != nil {
-			o.from.conducts.RecordCommand(s.servers[o.server].name, yes)
+		accepted := s.execute(s.servers[o.server], o.command)
+		if o.sender != nil {
+			o.sender.rollout.RecordCommand(s.servers[o.server].name, accepted)
 		}
 	}
-	s.orders = later
+	s.commands = undelivered
 }
 
-// take has a server check a command against its fence and execute it. It returns whether the server accepted the command.
-func (s *OwnerSim) take(x *simServer, o fence.Command) bool { //nolint:cyclop // one measurement from top to bottom; its split is in docs/ROADMAP.md
-	if x.up > s.now {
+// execute has a server check a command against its fence and execute it. It returns whether the server accepted the command.
+func (s *OwnerSim) execute(x *simServer, c fence.Command) bool { //nolint:cyclop // one measurement from top to bottom; its split is in docs/ROADMAP.md
+	if x.reachableAt > s.now {
 		return false
 	}
-	if !x.book.Knows(o.Duty) {
+	if !x.fence.Knows(c.Duty) {
 		if !s.groupUp {
 			return false
 		}
-		x.book.SetFloor(o.Duty, s.state.Table.Duties[o.Duty].Epoch, s.state.Journal(o.Duty).Step)
+		x.fence.SetFloor(c.Duty, s.state.Table.Duties[c.Duty].Epoch, s.state.Journal(c.Duty).Step)
 	}
-	fresh, err := x.book.Check(o)
+	fresh, err := x.fence.Check(c)
 	if err != nil && !s.NoFence {
 		return false
 	}
-	x.book.Record(o)
+	x.fence.Record(c)
 	if err == nil && !fresh {
 		return true
 	}
-	evacuate := o.Action == "evacuate"
-	if x.out != evacuate {
-		if o.Epoch < s.newest {
-			s.broke("%s: %s of epoch %v executed after a command of epoch %v", x.name, o.Action, o.Epoch, s.newest)
+	evacuate := c.Action == "evacuate"
+	if x.evacuated != evacuate {
+		if c.Epoch < s.newestExecuted {
+			s.violation("%s: %s of epoch %v executed after a command of epoch %v", x.name, c.Action, c.Epoch, s.newestExecuted)
 		}
 		if evacuate {
-			x.outs++
+			x.evacuations++
 		}
 	}
-	s.newest = max(s.newest, o.Epoch)
-	x.out = evacuate
+	s.newestExecuted = max(s.newestExecuted, c.Epoch)
+	x.evacuated = evacuate
 	out, cell := 0, [2]int{}
 	for i, y := range s.servers {
-		if y.out {
+		if y.evacuated {
 			out++
 			cell[i%2]++
 		}
 	}
-	s.MostOut = max(s.MostOut, out)
+	s.MaxEvacuated = max(s.MaxEvacuated, out)
 	if out > 2 || cell[0] > 1 || cell[1] > 1 {
-		s.broke("%d servers evacuated, %v by cell", out, cell)
+		s.violation("%d servers evacuated, %v by cell", out, cell)
 	}
 	return true
 }
 
-// over returns whether no duty has an open item.
-func (s *OwnerSim) over() bool {
+// allFinished returns whether no duty has an open item.
+func (s *OwnerSim) allFinished() bool {
 	for _, name := range []string{controller.PlacementDuty, controller.RolloutDuty} {
 		if s.state.Journal(name).Current() != nil {
 			return false
@@ -402,13 +402,13 @@
 	return true
 }
 
-// end checks that each move and the rollout is done or failed, that the map agrees, and that no server was evacuated more
+// checkFinalState checks that each move and the rollout is done or failed, that the map agrees, and that no server was evacuated more
 // often than its restarts allow.
-func (s *OwnerSim) end() {
-	if len(s.Broken) > 0 {
+func (s *OwnerSim) checkFinalState() {
+	if len(s.Violations) > 0 {
 		return
 	}
-	m, _ := s.head()
+	m, _ := s.latestMap()
 	for i := range simMoves {
 		it := s.state.Journal(controller.PlacementDuty).Item(fmt.Sprint("m", i))
 		homes := len(m.Tenants[i].Homes)
@@ -417,7 +417,7 @@
 			s.Finished++
 		case it.State == controller.Failed && homes == 1: // a controller may give up a move
 		default:
-			s.broke("move %s is %s (%s), but t%d has %d homes", it.ID, it.State, it.Note, i, homes)
+			s.violation("move %s is %s (%s), but t%d has %d homes", it.ID, it.State, it.Note, i, homes)
 		}
 	}
 	r := s.state.Journal(controller.RolloutDuty).Item("r")
@@ -425,36 +425,36 @@
 	case controller.Done:
 		s.Finished++
 		for _, x := range s.servers {
-			if x.out {
-				s.broke("%s is still evacuated after the rollout", x.name)
+			if x.evacuated {
+				s.violation("%s is still evacuated after the rollout", x.name)
 			}
-			if x.outs == 0 || x.outs > 1+x.again {
-				s.broke("%s was evacuated %d times with %d restarts", x.name, x.outs, x.again)
+			if x.evacuations == 0 || x.evacuations > 1+x.restarts {
+				s.violation("%s was evacuated %d times with %d restarts", x.name, x.evacuations, x.restarts)
 			}
 		}
 	case controller.Failed:
 	default:
-		s.broke("the rollout is %s: %s", r.State, r.Note)
+		s.violation("the rollout is %s: %s", r.State, r.Note)
 	}
 }
 
 // SimOwners runs n schedules, beginning with the seed first. It returns how many rollouts and moves finished and how often a
 // duty changed its owner. It stops at the first schedule that violates an invariant and returns the violations as an error.
 // edit, if not nil, changes each schedule before it runs.
-func SimOwners(first, n uint64, edit func(*OwnerSim)) (finished, handed int, err error) {
+func SimOwners(first, n uint64, edit func(*OwnerSim)) (finished, ownerChanges int, err error) {
 	for seed := first; seed < first+n; seed++ {
 		s := NewOwnerSim(seed)
 		if edit != nil {
 			edit(s)
 		}
 		s.Run(6 * time.Second)
-		finished, handed = finished+s.Finished, handed+s.Handed
-		for _, b := range s.Broken {
+		finished, ownerChanges = finished+s.Finished, ownerChanges+s.OwnerChanges
+		for _, b := range s.Violations {
 			err = errors.Join(err, fmt.Errorf("seed %d: %s", seed, b))
 		}
 		if err != nil {
-			return finished, handed, err
+			return finished, ownerChanges, err
 		}
 	}
-	return finished, handed, nil
+	return finished, ownerChanges, nil
 }
--- a/internal/testkit/benchmarks/rules.go
+++ b/internal/testkit/benchmarks/rules.go
@@ -28,7 +28,7 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	b.Run("simulated", func(b *testing.B) { rulesTime(b) })
+	b.Run("simulated", func(b *testing.B) { rulesInForce(b) })
 	b.Run("files", func(b *testing.B) { rulesFiles(b, bin) })
 	b.Run("flood", func(b *testing.B) { sharedFlood(b, bin) })
 	b.Run("shift", func(b *testing.B) { sharedShift(b, bin) })
@@ -38,25 +38,25 @@
 
 var rulesTerms = lease.Terms{TTL: time.Second, Drift: 0.05}
 
-// ruled is a fleet whose routers get their map from a group.
-type ruled struct {
+// groupFleet is a fleet whose routers get their map from a group.
+type groupFleet struct {
 	*Fleet
 	g *harness.Group
 }
 
-// newRuled starts a group of three members and a fleet that reads its documents. If shares is 0, each router divides the cells'
+// newGroupFleet starts a group of three members and a fleet that reads its documents. If shares is 0, each router divides the cells'
 // capacity by itself.
-func newRuled(bin, dir string, servers, routers int, names []string, tenants []cells.Tenant, shares int, terms lease.Terms) (*ruled, error) {
-	return newRuledBy(bin, dir, servers, routers, names, tenants, shares, terms, func(*cells.Map) {})
+func newGroupFleet(bin, dir string, servers, routers int, names []string, tenants []cells.Tenant, shares int, terms lease.Terms) (*groupFleet, error) {
+	return newEditedGroupFleet(bin, dir, servers, routers, names, tenants, shares, terms, func(*cells.Map) {})
 }
 
-// newRuledBy is newRuled with a function that edits the first map before it is put.
-func newRuledBy(bin, dir string, servers, routers int, names []string, tenants []cells.Tenant, shares int, terms lease.Terms, edit func(*cells.Map)) (*ruled, error) {
+// newEditedGroupFleet is newGroupFleet with a function that edits the first map before it is put.
+func newEditedGroupFleet(bin, dir string, servers, routers int, names []string, tenants []cells.Tenant, shares int, terms lease.Terms, edit func(*cells.Map)) (*groupFleet, error) {
 	g, err := harness.NewGroup(dir, 3, terms, 20*time.Millisecond, starter(bin))
 	if err != nil {
 		return nil, err
 	}
-	r := &ruled{g: g}
+	r := &groupFleet{g: g}
 	list, _ := json.Marshal(g.Client.Addrs)
 	r.Fleet, err = NewFleetWith(bin, dir, servers, 0, names, tenants, func(string) string {
 		return fmt.Sprintf(`{"cell":true,"rules":{"group":"test","members":%s,"documents":["classes"]}}`, list)
@@ -72,7 +72,7 @@
 		return r, err
 	}
 	for range routers {
-		if err := r.join(shares, list); err != nil {
+		if err := r.startRouter(shares, list); err != nil {
 			return r, err
 		}
 	}
@@ -80,8 +80,8 @@
 	return r, nil
 }
 
-// join starts one more router, which reaches the group at the given members.
-func (r *ruled) join(shares int, members []byte) error {
+// startRouter starts one more router, which reaches the group at the given members.
+func (r *groupFleet) startRouter(shares int, members []byte) error {
 	i := len(r.Routers)
 	p, err := Route(r.bin, r.sub(fmt.Sprint("r", i)), r.routerSite(), r.routerEdgeFor(i, shares, members))
 	if err == nil {
@@ -97,7 +97,7 @@
 	return site
 }
 
-func (r *ruled) Stop() {
+func (r *groupFleet) Stop() {
 	if r.Fleet != nil {
 		r.Fleet.Stop()
 	}
@@ -105,14 +105,14 @@
 }
 
 // put changes a document by the command "rules put" and waits until the change is in force.
-func (r *ruled) put(doc, file string, more ...string) error {
-	_, err := r.puts(doc, file, append(more, "--wait")...)
+func (r *groupFleet) put(doc, file string, flags ...string) error {
+	_, err := r.puts(doc, file, append(flags, "--wait")...)
 	return err
 }
 
 // puts changes a document by the command "rules put" with further arguments and returns the command's output.
-func (r *ruled) puts(doc, file string, more ...string) (said string, err error) {
-	args := append([]string{"rules", "put", doc, file, "--group", "test", "--members", strings.Join(r.g.Client.Addrs, ","), "--within", "30s"}, more...)
+func (r *groupFleet) puts(doc, file string, flags ...string) (output string, err error) {
+	args := append([]string{"rules", "put", doc, file, "--group", "test", "--members", strings.Join(r.g.Client.Addrs, ","), "--within", "30s"}, flags...)
 	p, err := starter(r.bin)(args)
 	if err != nil {
 		return "", err
@@ -123,9 +123,9 @@
 	return p.Log(), nil
 }
 
-// parts returns the shares of a cell's capacity that a router reports, by tenant. The key " rest" holds the total of the tenants that
-// the router does not list.
-func parts(p *Process, cell string) (map[string]float64, error) {
+// capacityShares returns the shares of a cell's capacity that a router reports, by tenant. The key " rest" holds the total of the
+// tenants that the router does not list.
+func capacityShares(p *Process, cell string) (map[string]float64, error) {
 	body, err := client.Status(client.Platform, p.Platform)
 	if err != nil {
 		return nil, err
@@ -157,7 +157,7 @@
 	}{{"three cells", []string{"a", "b", "c"}, 0}, {"three cells, shards of two", []string{"a", "b", "c"}, 2}} {
 		for _, shares := range []int{0, 8} {
 			for _, times := range []float64{1, 10} {
-				r, err := newRuled(bin, b.TempDir(), 12, 4, c.cells, brandsIn(c.cells, c.shard), shares, rulesTerms)
+				r, err := newGroupFleet(bin, b.TempDir(), 12, 4, c.cells, brandsIn(c.cells, c.shard), shares, rulesTerms)
 				if err != nil {
 					b.Fatal(err)
 				}
@@ -173,20 +173,20 @@
 				if err != nil {
 					b.Fatal(err)
 				}
-				sum, mates := 0.0, 1.0
+				sum, lowestMate := 0.0, 1.0
 				var refused, failed int
 				for n, t := range brands[1:] {
 					v := res[t].Share()
 					sum += v
 					if (n+1)%len(c.cells) == 0 {
-						mates = min(mates, v)
+						lowestMate = min(lowestMate, v)
 					}
 					refused, failed = refused+res[t].Refused, failed+res[t].Failed
 				}
 				flooder := res["t0"]
 				fmt.Printf("| %s | %v | %.0f times | %.3f | %.3f | %.3f | %.2f | %d | %d |\n", c.name, shares > 0, times, sum/float64(len(brands)-1),
-					mates, flooder.Share(), float64(flooder.Served)/d.Seconds()/brandRate(), refused, failed)
-				b.ReportMetric(mates, fmt.Sprintf("mate-%d-%d-%.0f", c.shard, shares, times))
+					lowestMate, flooder.Share(), float64(flooder.Served)/d.Seconds()/brandRate(), refused, failed)
+				b.ReportMetric(lowestMate, fmt.Sprintf("mate-%d-%d-%.0f", c.shard, shares, times))
 				r.Stop()
 			}
 		}
@@ -197,13 +197,13 @@
 // follow.
 func sharedShift(b *testing.B, bin string) {
 	names := []string{"a"}
-	r, err := newRuled(bin, b.TempDir(), 4, 4, names, brandsIn(names, 0)[:2], 8, rulesTerms)
+	r, err := newGroupFleet(bin, b.TempDir(), 4, 4, names, brandsIn(names, 0)[:2], 8, rulesTerms)
 	if err != nil {
 		b.Fatal(err)
 	}
 	defer r.Stop()
 	rate := 1.5 * ServerRate()
-	var follows []time.Duration
+	var times []time.Duration
 	for n := range 6 {
 		at := r.Routers[n%2]
 		done := make(chan error, 1)
@@ -213,7 +213,7 @@
 		}()
 		began := time.Now()
 		for {
-			p, err := parts(at, "a")
+			p, err := capacityShares(at, "a")
 			if err != nil {
 				b.Fatal(err)
 			}
@@ -226,12 +226,12 @@
 			}
 			time.Sleep(10 * time.Millisecond)
 		}
-		follows = append(follows, time.Since(began).Round(10*time.Millisecond))
+		times = append(times, time.Since(began).Round(10*time.Millisecond))
 		if err := <-done; err != nil {
 			b.Fatal(err)
 		}
 	}
-	fmt.Printf("\nload of %.0f a second moves to another router: its part has followed after %v, with a lease of %v\n", rate, follows, rulesTerms.TTL)
+	fmt.Printf("\nload of %.0f a second moves to another router: its part has followed after %v, with a lease of %v\n", rate, times, rulesTerms.TTL)
 }
 
 // rulesCost measures the latency, CPU time and allocations of a request at a router with and without documents, and with the
@@ -241,25 +241,25 @@
 	fmt.Println("|---|---|---|---|---|---|")
 	base := os.Getenv("SILVERPATH_BASELINE")
 	for range 2 {
-		for _, way := range []string{"as it was", "files alone", "a group", "a group and shares"} {
+		for _, variant := range []string{"as it was", "files alone", "a group", "a group and shares"} {
 			var f *Fleet
 			var stop func()
-			if way == "as it was" && base == "" {
+			if variant == "as it was" && base == "" {
 				continue
 			}
-			if strings.HasPrefix(way, "a group") {
+			if strings.HasPrefix(variant, "a group") {
 				shares := 0
-				if strings.HasSuffix(way, "shares") {
+				if strings.HasSuffix(variant, "shares") {
 					shares = 4
 				}
-				r, err := newRuled(bin, b.TempDir(), 4, 1, []string{"a"}, []cells.Tenant{{Name: "t0", Rate: 400, Homes: []cells.Home{{Cell: "a"}}}}, shares, rulesTerms)
+				r, err := newGroupFleet(bin, b.TempDir(), 4, 1, []string{"a"}, []cells.Tenant{{Name: "t0", Rate: 400, Homes: []cells.Home{{Cell: "a"}}}}, shares, rulesTerms)
 				if err != nil {
 					b.Fatal(err)
 				}
 				f, stop = r.Fleet, r.Stop
 			} else {
 				program := bin
-				if way == "as it was" {
+				if variant == "as it was" {
 					program = base
 				}
 				var err error
@@ -287,7 +287,7 @@
 			x := res["t0"]
 			n := float64(max(1, x.Sent))
 			cpu = f.Routers[0].CPU() - cpu - idleCPU*3
-			fmt.Printf("| %s | %d | %v | %v | %v | %.0f |\n", way, x.Sent, At(x.Times, 50), At(x.Times, 99),
+			fmt.Printf("| %s | %d | %v | %v | %v | %.0f |\n", variant, x.Sent, At(x.Times, 50), At(x.Times, 99),
 				time.Duration(float64(cpu)/n).Round(time.Microsecond), (allocs()-objects-3*idleObjects)/n)
 			stop()
 		}
@@ -304,7 +304,7 @@
 	failed, refused    int
 	over               int // number of samples in which the routers' shares summed to more than the cell's capacity
 	samples            int
-	most               float64 // largest ratio of the granted quota to a cell's capacity, as the leader reports it
+	maxGranted         float64 // largest ratio of the granted quota to a cell's capacity, as the leader reports it
 	slowest            time.Duration
 	broken             []string
 }
@@ -312,22 +312,22 @@
 func (o *rulesOutcome) add(p rulesOutcome) {
 	o.changes, o.withdrawn, o.served, o.failed, o.refused = o.changes+p.changes, o.withdrawn+p.withdrawn, o.served+p.served, o.failed+p.failed, o.refused+p.refused
 	o.over, o.samples, o.ran, o.twice = o.over+p.over, o.samples+p.samples, p.ran, p.twice
-	o.overlap, o.most, o.slowest = max(o.overlap, p.overlap), max(o.most, p.most), max(o.slowest, p.slowest)
+	o.overlap, o.maxGranted, o.slowest = max(o.overlap, p.overlap), max(o.maxGranted, p.maxGranted), max(o.slowest, p.slowest)
 	o.broken = append(o.broken, p.broken...)
 }
 
 // rulesRig is a fleet in which each router reaches the group through its own fault proxies.
 type rulesRig struct {
-	*ruled
-	ways    [][]*faults.Between
-	members [][]byte
-	version int // version of the map
-	more    int // number of additional classes in the last document
-
-	faults int                              // number of kinds of faults to draw from
-	change func(n int) error                // puts change n
-	killed func(router int) string          // checks the stored state of a killed router and describes what is wrong
-	mended func(broke func(string, ...any)) // further checks after the end of all faults
+	*groupFleet
+	proxies      [][]*faults.Between
+	members      [][]byte
+	version      int // version of the map
+	extraClasses int // number of additional classes in the last document
+
+	faults int                                  // number of kinds of faults to draw from
+	change func(n int) error                    // puts change n
+	killed func(router int) string              // checks the stored state of a killed router and describes what is wrong
+	mended func(violation func(string, ...any)) // further checks after the end of all faults
 }
 
 // newRulesRig starts a rig with three cells. It is returned with an error too, because the caller has to stop what was started.
@@ -338,25 +338,25 @@
 // newRulesRigBy is newRulesRig with a function that edits the first map before it is put.
 func newRulesRigBy(bin, dir string, servers, routers int, edit func(*cells.Map)) (*rulesRig, error) {
 	names := []string{"a", "b", "c"}
-	r, err := newRuledBy(bin, dir, servers, 0, names, brandsIn(names, 0), 8, ownerTerms, edit)
-	rig := &rulesRig{ruled: r, version: 1, faults: 8}
-	rig.change, rig.killed, rig.mended = rig.anyChange, func(int) string { return "" }, func(func(string, ...any)) {}
+	r, err := newEditedGroupFleet(bin, dir, servers, 0, names, brandsIn(names, 0), 8, ownerTerms, edit)
+	rig := &rulesRig{groupFleet: r, version: 1, faults: 8}
+	rig.change, rig.killed, rig.mended = rig.putAnyChange, func(int) string { return "" }, func(func(string, ...any)) {}
 	if err != nil {
 		return rig, err
 	}
 	for range routers {
-		var ways []*faults.Between
+		var proxies []*faults.Between
 		var addrs []string
 		for k, addr := range r.g.Addrs {
 			w, err := faults.Listen(addr, true, uint64(k))
 			if err != nil {
 				return rig, err
 			}
-			ways, addrs = append(ways, w), append(addrs, w.Addr())
+			proxies, addrs = append(proxies, w), append(addrs, w.Addr())
 		}
 		list, _ := json.Marshal(addrs)
-		rig.ways, rig.members = append(rig.ways, ways), append(rig.members, list)
-		if err := r.join(8, list); err != nil {
+		rig.proxies, rig.members = append(rig.proxies, proxies), append(rig.members, list)
+		if err := r.startRouter(8, list); err != nil {
 			return rig, err
 		}
 	}
@@ -364,13 +364,13 @@
 }
 
 // classes puts a document with more additional classes. It conflicts with the one in force if their number differs.
-func (r *rulesRig) classes(more int) error {
-	r.more = more
+func (r *rulesRig) classes(extra int) error {
+	r.extraClasses = extra
 	text := `{"classes":[`
 	for _, c := range []string{`"lestvica","worth":1,"effect":"pure"`, `"krog","worth":2,"effect":"pure"`, `"oddaja","worth":3,"effect":"token","memory_span":13170000`} {
 		text += fmt.Sprintf(`{"target":1800000,"deadline":4400000,"late_worth":0,"name":%s},`, c)
 	}
-	for i := range more {
+	for i := range extra {
 		text += fmt.Sprintf(`{"target":1800000,"deadline":4400000,"late_worth":0,"name":"more%d","worth":1,"effect":"pure"},`, i)
 	}
 	file := filepath.Join(r.dir, "classes.json")
@@ -389,8 +389,8 @@
 	return r.put("routing", file)
 }
 
-// move puts a map in which a tenant moves to another cell.
-func (r *rulesRig) move(n int) error {
+// putMove puts a map in which a tenant moves to another cell.
+func (r *rulesRig) putMove(n int) error {
 	m := *r.Map
 	p, err := m.PlanMove(time.Now(), brands[n%len(brands)], []string{"a", "b", "c"}[n%3], 0)
 	if err != nil {
@@ -403,13 +403,13 @@
 	return r.put("map", r.MapFile)
 }
 
-// anyChange puts change n: a routing document, a map or a document of classes, in turn.
-func (r *rulesRig) anyChange(n int) error {
+// putAnyChange puts change n: a routing document, a map or a document of classes, in turn.
+func (r *rulesRig) putAnyChange(n int) error {
 	switch n % 4 {
 	case 1:
 		return r.routing(n)
 	case 3:
-		return r.move(n / 4)
+		return r.putMove(n / 4)
 	}
 	return r.classes(n%5 + 1)
 }
@@ -432,21 +432,21 @@
 func (r *rulesRig) schedule(seed uint64) (o rulesOutcome) { //nolint:cyclop // one measurement from top to bottom; its split is in docs/ROADMAP.md
 	rng := rand.New(rand.NewPCG(seed, 19))
 	var mu sync.Mutex
-	broke := func(format string, args ...any) {
+	violation := func(format string, args ...any) {
 		mu.Lock()
 		defer mu.Unlock()
 		o.broken = append(o.broken, fmt.Sprintf("seed %d: ", seed)+fmt.Sprintf(format, args...))
 	}
 	stop := make(chan struct{})
-	var all sync.WaitGroup
-	var at sync.Mutex // guards r.Routers
+	var background sync.WaitGroup
+	var routersMu sync.Mutex // guards r.Routers
 	router := func(i int) *Process {
-		at.Lock()
-		defer at.Unlock()
+		routersMu.Lock()
+		defer routersMu.Unlock()
 		return r.Routers[i]
 	}
 	for c := range 3 {
-		all.Go(func() { // sends each request twice, through routers drawn at random
+		background.Go(func() { // sends each request twice, through routers drawn at random
 			rng := rand.New(rand.NewPCG(seed, uint64(c)))
 			for n := 0; ; n++ {
 				select {
@@ -455,10 +455,10 @@
 				case <-time.After(20 * time.Millisecond):
 				}
 				key := fmt.Sprintf("oddaja-%d-%d-%d", seed, c, n)
-				var tries sync.WaitGroup
+				var attempts sync.WaitGroup
 				for range 2 {
 					to, wait := router(rng.IntN(len(r.Routers))), time.Duration(rng.IntN(300))*time.Millisecond
-					tries.Go(func() {
+					attempts.Go(func() {
 						time.Sleep(wait)
 						a, err := client.Do(client.Platform, to.Platform, client.Request{Class: "oddaja", Tenant: brands[n%len(brands)], Key: key, Body: []byte(key), Timeout: time.Second, MemoryKB: 8})
 						mu.Lock()
@@ -474,12 +474,12 @@
 						}
 					})
 				}
-				tries.Wait()
+				attempts.Wait()
 			}
 		})
 	}
-	all.Go(func() { r.sample(stop, router, &mu, &o) })
-	all.Go(func() {
+	background.Go(func() { r.sample(stop, router, &mu, &o) })
+	background.Go(func() {
 		for n := int(seed) * 7; ; n++ {
 			select {
 			case <-stop:
@@ -497,8 +497,8 @@
 			mu.Unlock()
 		}
 	})
-	wake := func(p *harness.Process, most int) {
-		time.AfterFunc(time.Duration(rng.IntN(most))*time.Millisecond, p.Wake)
+	wakeLater := func(p *harness.Process, limitMS int) {
+		time.AfterFunc(time.Duration(rng.IntN(limitMS))*time.Millisecond, p.Wake)
 	}
 	for end := time.Now().Add(4 * time.Second); time.Now().Before(end); time.Sleep(time.Duration(rng.IntN(300)) * time.Millisecond) {
 		x, q := rng.IntN(len(r.Routers)), rng.IntN(3)
@@ -506,65 +506,65 @@
 		case 0, 1:
 			p := router(x)
 			p.Freeze()
-			wake(p.Process, 1500)
+			wakeLater(p.Process, 1500)
 		case 2: // a router restarts with its stored state
 			p := router(x)
 			p.Kill()
 			if what := r.killed(x); what != "" {
-				broke("router %d: %s", x, what)
+				violation("router %d: %s", x, what)
 			}
-			at.Lock()
+			routersMu.Lock()
 			next, err := Route(r.bin, r.sub(fmt.Sprint("r", x)), r.routerSite(), r.routerEdge(x))
 			if err != nil {
-				broke("failed to restart router %d: %v", x, err)
+				violation("failed to restart router %d: %v", x, err)
 			} else {
 				next.old = append(p.old, p.Process)
 				r.Routers[x] = next
 			}
-			at.Unlock()
+			routersMu.Unlock()
 		case 3:
 			r.g.Members[q].Freeze()
-			wake(r.g.Members[q], 1200)
+			wakeLater(r.g.Members[q], 1200)
 		case 4:
 			r.g.Members[q].Kill()
 			if err := r.g.Start(q); err != nil {
-				broke("%v", err)
+				violation("%v", err)
 			}
 		case 5:
-			for _, w := range r.ways[x] {
+			for _, w := range r.proxies[x] {
 				w.Cut(true)
 			}
 		case 6:
-			r.ways[x][q].Set(faults.Way(rng.IntN(2)), faults.Fate{Lost: rng.IntN(2) == 0, Delay: 100 * time.Millisecond, Twice: 0.2, Swap: 0.2})
+			r.proxies[x][q].Set(faults.Way(rng.IntN(2)), faults.Fate{Lost: rng.IntN(2) == 0, Delay: 100 * time.Millisecond, Twice: 0.2, Swap: 0.2})
 		case 7:
-			for _, w := range r.ways[x] {
+			for _, w := range r.proxies[x] {
 				w.Cut(false)
 			}
 		case 8: // a member is down for a while
 			r.g.Members[q].Kill()
 			time.Sleep(time.Duration(rng.IntN(800)) * time.Millisecond)
 			if err := r.g.Start(q); err != nil {
-				broke("%v", err)
+				violation("%v", err)
 			}
 		case 9: // the leader is cut off from the members but not from the routers, or it is paused and comes back as an old leader
-			lead, how, most := r.leader(), rng.IntN(2), 300+rng.IntN(900)
+			lead, fault, pauseMS := r.leader(), rng.IntN(2), 300+rng.IntN(900)
 			switch {
-			case lead >= 0 && how == 0:
+			case lead >= 0 && fault == 0:
 				r.g.Ways[lead].Cut(true)
-				time.AfterFunc(time.Duration(most)*time.Millisecond, func() { r.g.Ways[lead].Cut(false) })
+				time.AfterFunc(time.Duration(pauseMS)*time.Millisecond, func() { r.g.Ways[lead].Cut(false) })
 			case lead >= 0:
 				r.g.Members[lead].Freeze()
-				time.AfterFunc(time.Duration(most)*time.Millisecond, r.g.Members[lead].Wake)
+				time.AfterFunc(time.Duration(pauseMS)*time.Millisecond, r.g.Members[lead].Wake)
 			}
 		case 10: // answers to a router are damaged on the way
-			for _, w := range r.ways[x] {
+			for _, w := range r.proxies[x] {
 				w.Set(faults.Back, faults.Fate{Spoil: `\"rate\":`})
 			}
 		}
 	}
-	for i, ways := range r.ways {
+	for i, proxies := range r.proxies {
 		router(i).Wake()
-		for _, w := range ways {
+		for _, w := range proxies {
 			w.Cut(false)
 			w.Set(faults.There, faults.Fate{})
 			w.Set(faults.Back, faults.Fate{})
@@ -575,46 +575,46 @@
 		r.g.Ways[i].Cut(false)
 	}
 	close(stop)
-	all.Wait()
+	background.Wait()
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
 	for { // waits until no change is under way
 		b, err := r.g.Client.Config(ctx)
 		if err != nil {
-			broke("failed to read the configuration of the group: %v", err)
+			violation("failed to read the configuration of the group: %v", err)
 			return o
 		}
-		open := ""
+		pending := ""
 		for name, d := range b.Store.Documents {
 			if d.Proposed != nil {
-				open = name + " " + string(d.Stage) + ": " + b.Store.WaitingFor(d)
+				pending = name + " " + string(d.Stage) + ": " + b.Store.WaitingFor(d)
 			}
 		}
-		if open == "" {
+		if pending == "" {
 			break
 		}
 		time.Sleep(20 * time.Millisecond)
 		if ctx.Err() != nil {
-			broke("change still under way after 20 s: %s", open)
+			violation("change still under way after 20 s: %s", pending)
 			return o
 		}
 	}
-	var acted []harness.Acted
+	var periods []harness.Acted
 	for _, list := range [][]*Process{r.Servers, r.Routers} {
 		for _, p := range list {
 			for k, h := range append(slices.Clone(p.old), p.Process) {
-				acted = append(acted, harness.ActsOf(fmt.Sprint(p.Platform, "-", k), h, "classes")...)
+				periods = append(periods, harness.ActsOf(fmt.Sprint(p.Platform, "-", k), h, "classes")...)
 			}
 		}
 	}
-	d, what := harness.Overlap(acted)
-	if o.overlap = d; d > 0 {
-		broke("two conflicting versions in force for %v: %s", d, what)
+	overlap, description := harness.Overlap(periods)
+	if o.overlap = overlap; overlap > 0 {
+		violation("two conflicting versions in force for %v: %s", overlap, description)
 	}
 	if o.twice, o.ran = r.Twice(); o.twice > 0 {
-		broke("%d keys ran twice", o.twice)
+		violation("%d keys ran twice", o.twice)
 	}
-	r.mended(broke)
+	r.mended(violation)
 	if dir := os.Getenv("SILVERPATH_LOGS"); dir != "" && len(o.broken) > 0 {
 		r.keepLogs(dir, seed)
 	}
@@ -634,7 +634,7 @@
 }
 
 // routerEdgeFor returns the edge file of router i. shares is the greatest number of routers that share the capacity, or 0.
-func (r *ruled) routerEdgeFor(i, shares int, members []byte) string {
+func (r *groupFleet) routerEdgeFor(i, shares int, members []byte) string {
 	return fmt.Sprintf(`{"status":true,"fleet":{"state":%q,"probe_ms":200},"rules":{"group":"test","members":%s,"documents":["map","routing","classes"],"most_routers":%d}}`,
 		filepath.Join(r.sub(fmt.Sprint("r", i)), "state.db"), members, shares)
 }
@@ -659,7 +659,7 @@
 				if p.Stopped() {
 					continue
 				}
-				wg.Go(func() { seen[k][i], _ = parts(p, "a") })
+				wg.Go(func() { seen[k][i], _ = capacityShares(p, "a") })
 			}
 			wg.Wait()
 		}
@@ -674,11 +674,11 @@
 			}
 			sum += min(a, b)
 		}
-		lent := 0.0
+		granted := 0.0
 		ctx, cancel := context.WithTimeout(context.Background(), 200*time.Millisecond)
 		if b, err := r.g.Client.Config(ctx); err == nil {
 			for _, v := range b.GrantedQuota {
-				lent = max(lent, v)
+				granted = max(granted, v)
 			}
 		}
 		cancel()
@@ -687,7 +687,7 @@
 		if sum > ServerRate()*float64(len(r.Servers))/3*1.0001 {
 			o.over++
 		}
-		o.most = max(o.most, lent)
+		o.maxGranted = max(o.maxGranted, granted)
 		mu.Unlock()
 	}
 }
@@ -730,7 +730,7 @@
 	}
 	wg.Wait()
 	fmt.Printf("\n%d schedules in %v: %d changes, %d of them told no or withdrawn, slowest %v; two versions at once %v at longest; %d sheets ran, %d twice; %d served, %d failed, %d refused; parts over the whole in %d of %d samples, lent at most %.3f of what there is; broken %d\n",
-		n, time.Since(began).Round(time.Second), sum.changes, sum.withdrawn, sum.slowest.Round(time.Millisecond), sum.overlap, ran, twice, sum.served, sum.failed, sum.refused, sum.over, sum.samples, sum.most, len(sum.broken))
+		n, time.Since(began).Round(time.Second), sum.changes, sum.withdrawn, sum.slowest.Round(time.Millisecond), sum.overlap, ran, twice, sum.served, sum.failed, sum.refused, sum.over, sum.samples, sum.maxGranted, len(sum.broken))
 	for i, s := range sum.broken {
 		if i < 10 {
 			fmt.Println(s)
@@ -746,16 +746,16 @@
 func rulesFiles(b *testing.B, bin string) { //nolint:cyclop // one measurement from top to bottom; its split is in docs/ROADMAP.md
 	fmt.Println("\n| program | case | both began sheets for | bound | sheets sent to both | ran twice | said so |")
 	fmt.Println("|---|---|---|---|---|---|---|")
-	for _, way := range []string{"as it was", "files alone"} {
+	for _, variant := range []string{"as it was", "files alone"} {
 		program := bin
-		if way == "as it was" {
+		if variant == "as it was" {
 			if program = os.Getenv("SILVERPATH_BASELINE"); program == "" {
 				continue
 			}
 		}
 		for _, forgotten := range []bool{false, true} {
-			var both, bound time.Duration
-			sent, twice, said := 0, 0, 0
+			var conflict, bound time.Duration
+			sent, ranTwice, logged := 0, 0, 0
 			const rounds = 3
 			for round := range rounds {
 				f, err := NewFleet(program, b.TempDir(), 4, 0, []string{"a", "b"}, []cells.Tenant{{Name: "t0", Rate: 50, Homes: []cells.Home{{Cell: "a"}}}})
@@ -813,24 +813,24 @@
 				wg.Wait()
 				for _, p := range f.Routers {
 					if strings.Contains(p.Log(), "config: version") || strings.Contains(p.Log(), "is newer than") {
-						said++
+						logged++
 					}
 				}
 				if d := last[0].Sub(began); last[0].Before(last[1]) {
-					both = max(both, d)
+					conflict = max(conflict, d)
 				} else {
-					both = max(both, min(d, last[1].Sub(began)))
+					conflict = max(conflict, min(d, last[1].Sub(began)))
 				}
 				n, _ := f.Twice()
-				twice += n
+				ranTwice += n
 				bound = configstore.Terms{Lease: f.Map.Lease, ClockSkew: f.Map.MaxClockSkew, ClockDrift: 0.05, ProbeInterval: 200 * time.Millisecond, ProbeTimeout: time.Second}.ConflictBound()
 				f.Stop()
 			}
-			if both < 0 {
-				both = 0
+			if conflict < 0 {
+				conflict = 0
 			}
-			fmt.Printf("| %s | %s | %v | %v | %d | %d | %d of %d routers |\n", way, map[bool]string{false: "two of one version", true: "a forgotten file"}[forgotten],
-				both.Round(time.Millisecond), bound.Round(time.Millisecond), sent, twice, said, 2*rounds)
+			fmt.Printf("| %s | %s | %v | %v | %d | %d | %d of %d routers |\n", variant, map[bool]string{false: "two of one version", true: "a forgotten file"}[forgotten],
+				conflict.Round(time.Millisecond), bound.Round(time.Millisecond), sent, ranTwice, logged, 2*rounds)
 		}
 	}
 }
