--- a/internal/testkit/benchmarks/durable.go
+++ b/internal/testkit/benchmarks/durable.go
@@ -36,7 +36,7 @@
 func tested(b *testing.B) (bin string, env []string) {
 	bin = filepath.Join(b.TempDir(), "silverpath.test")
 	if out, err := exec.Command("go", "test", "-c", "-o", bin, "silverpath/cmd/silverpath").CombinedOutput(); err != nil {
-		b.Fatalf("%v\n%s", err, out)
+		b.Fatalf("failed to build the test executable: %v\n%s", err, out)
 	}
 	return bin, []string{"SILVERPATH_RUN=1"}
 }
@@ -120,12 +120,12 @@
 // durableLoad measures one combination of store and number of clients and prints a row of the table. Each client sends requests
 // with new keys one after the other on its own connection.
 func durableLoad(b *testing.B, bin string, env []string, clients int, name string, stored bool, gather time.Duration, diskFault string) {
-	m, err := builtinworker.Listen(builtinworker.Config{Listen: "127.0.0.1:0", Cores: 128, Shape: builtinworker.Shape{Knee: 128, Thrash: 1, Speed: 1},
+	interpreter, err := builtinworker.Listen(builtinworker.Config{Listen: "127.0.0.1:0", Cores: 128, Shape: builtinworker.Shape{Knee: 128, Thrash: 1, Speed: 1},
 		Other: builtinworker.Class{MinWork: time.Millisecond, MaxWork: 3 * time.Millisecond}, MemoryKB: 1 << 20, RunFactor: 4, Seed: 1})
 	if err != nil {
 		b.Fatal(err)
 	}
-	defer m.Close()
+	defer interpreter.Close()
 	faultFile := filepath.Join(b.TempDir(), "fault")
 	if diskFault != "" {
 		if err := os.WriteFile(faultFile, []byte(diskFault), 0o600); err != nil {
@@ -134,7 +134,7 @@
 	}
 	dir := b.TempDir()
 	file := filepath.Join(dir, "config.json")
-	if err := os.WriteFile(file, []byte(Site{Cores: 128, MemoryKB: 1 << 20, ProcMB: 512, Sockets: 512}.config(m.Addr())), 0o600); err != nil {
+	if err := os.WriteFile(file, []byte(Site{Cores: 128, MemoryKB: 1 << 20, ProcMB: 512, Sockets: 512}.config(interpreter.Addr())), 0o600); err != nil {
 		b.Fatal(err)
 	}
 	args := []string{"serve", "--config", file}
@@ -155,18 +155,18 @@
 	var mu sync.Mutex
 	var times []time.Duration
 	var notServed atomic.Int64
-	var all sync.WaitGroup
+	var wg sync.WaitGroup
 	const span = 4 * time.Second
-	began := time.Now()
+	startTime := time.Now()
 	for c := range clients {
-		all.Go(func() {
+		wg.Go(func() {
 			conn, err := client.Dial(p.Platform)
 			if err != nil {
 				notServed.Add(1)
 				return
 			}
 			defer conn.Close()
-			for n := 0; time.Since(began) < span; n++ {
+			for n := 0; time.Since(startTime) < span; n++ {
 				key, sent := fmt.Sprintf("%d-%d", c, n), time.Now()
 				a := <-conn.Do(client.Request{Class: "oddaja", Key: key, Body: []byte(key), Timeout: 4 * time.Second})
 				mu.Lock()
@@ -179,8 +179,8 @@
 			}
 		})
 	}
-	all.Wait()
-	took := time.Since(began)
+	wg.Wait()
+	elapsed := time.Since(startTime)
 	bytesWritten := p.written()
 	counters, err := p.Stop()
 	if err != nil {
@@ -195,7 +195,7 @@
 	}
 	n := max(1, len(times))
 	commits := counters["store.commits"]
-	fmt.Printf("| %s | %d | %.0f | %.1f | %.1f | %d | %.2f | %.1f | %.1f |\n", name, clients, float64(len(times))/took.Seconds(), quantile(0.5), quantile(0.99), notServed.Load(),
+	fmt.Printf("| %s | %d | %.0f | %.1f | %.1f | %d | %.2f | %.1f | %.1f |\n", name, clients, float64(len(times))/elapsed.Seconds(), quantile(0.5), quantile(0.99), notServed.Load(),
 		2*float64(commits)/float64(n), float64(counters["store.changes"])/2/float64(max(1, commits)), float64(bytesWritten)/1024/float64(n))
 }
 
@@ -226,20 +226,20 @@
 	}
 	go s.Run(context.Background())
 	<-s.Loaded()
-	var all sync.WaitGroup
+	var wg sync.WaitGroup
 	for from := 0; from < records; from += 1000 {
 		for i := from; i < from+1000; i++ {
 			now := time.Now()
 			r := idempotency.Record{Key: fmt.Sprintf("\x00key-%d", i), ID: fmt.Sprintf("%016x", i), Window: 20 * time.Minute}
-			all.Add(1)
+			wg.Add(1)
 			v := s.LogIntent(&r, now, now.Add(20*time.Minute), time.Hour, func(error) {})
 			r.Result = make([]byte, 100)
 			if v.Action != idempotency.Execute {
 				b.Fatal(v)
 			}
-			s.LogResult(&r, now, now.Add(20*time.Minute), func(error) { all.Done() })
+			s.LogResult(&r, now, now.Add(20*time.Minute), func(error) { wg.Done() })
 		}
-		all.Wait()
+		wg.Wait()
 	}
 	s.Close()
 }
@@ -252,19 +252,19 @@
 	for _, records := range []int{0, 10_000, 100_000, 1_000_000} {
 		dir := filepath.Join(b.TempDir(), "keys")
 		fillStore(b, dir, records)
-		m, err := builtinworker.Listen(builtinworker.Config{Listen: "127.0.0.1:0", Cores: 8, Shape: builtinworker.Shape{Knee: 8, Thrash: 1, Speed: 1},
+		interpreter, err := builtinworker.Listen(builtinworker.Config{Listen: "127.0.0.1:0", Cores: 8, Shape: builtinworker.Shape{Knee: 8, Thrash: 1, Speed: 1},
 			Other: builtinworker.Class{MinWork: time.Millisecond, MaxWork: time.Millisecond}, MemoryKB: 1 << 16, RunFactor: 4, Seed: 1})
 		if err != nil {
 			b.Fatal(err)
 		}
 		file := filepath.Join(b.TempDir(), "config.json")
-		text := strings.ReplaceAll(Site{Cores: 8, MemoryKB: 1 << 16, ProcMB: 8192, Sockets: 256}.config(m.Addr()), `"memory_span":13170000`, `"memory_span":1200000000`)
+		text := strings.ReplaceAll(Site{Cores: 8, MemoryKB: 1 << 16, ProcMB: 8192, Sockets: 256}.config(interpreter.Addr()), `"memory_span":13170000`, `"memory_span":1200000000`)
 		if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 			b.Fatal(err)
 		}
 		cmd := exec.Command(bin, "serve", "--config", file, "--edge", writeStoreEdge(b, dir, "lab", 1024, 0))
 		cmd.Env = append(os.Environ(), env...)
-		began := time.Now()
+		startTime := time.Now()
 		p, err := launch(cmd)
 		if err != nil {
 			b.Fatal(err)
@@ -272,13 +272,13 @@
 		if _, err := p.Await(comeUp, 0, "msgpack: listening"); err != nil {
 			b.Fatal(err)
 		}
-		open := time.Since(began)
+		openTime := time.Since(startTime)
 		p.found()
 		untilServed := func(class, key string) time.Duration {
 			for n := 0; ; n++ {
 				a, err := client.Do(client.Platform, p.Platform, client.Request{Class: class, Key: key, Body: []byte(key), Timeout: time.Second})
-				if err == nil && a.Outcome == "served" || time.Since(began) > time.Minute {
-					return time.Since(began)
+				if err == nil && a.Outcome == "served" || time.Since(startTime) > time.Minute {
+					return time.Since(startTime)
 				}
 				time.Sleep(2 * time.Millisecond)
 			}
@@ -293,9 +293,9 @@
 		if s, err := os.Stat(filepath.Join(dir, "keys.db")); err == nil {
 			size = s.Size()
 		}
-		fmt.Printf("| %d | %d | %d | %d | %d | %s | %d |\n", records, size>>20, resident>>20, open.Milliseconds(), firstRead.Milliseconds(), p.loadedIn(), firstExecution.Milliseconds())
+		fmt.Printf("| %d | %d | %d | %d | %d | %s | %d |\n", records, size>>20, resident>>20, openTime.Milliseconds(), firstRead.Milliseconds(), p.loadedIn(), firstExecution.Milliseconds())
 		p.Kill()
-		m.Close()
+		interpreter.Close()
 	}
 }
 
@@ -306,6 +306,6 @@
 		return "never"
 	}
 	_, rest, _ := strings.Cut(line, "taken up within ")
-	word, _, _ := strings.Cut(rest, ",")
-	return word
+	loadTime, _, _ := strings.Cut(rest, ",")
+	return loadTime
 }
--- a/internal/testkit/benchmarks/owner.go
+++ b/internal/testkit/benchmarks/owner.go
@@ -120,13 +120,13 @@
 // simulated runs schedules of faults in simulated time and prints how many rollouts and moves finished.
 func simulated(b *testing.B) {
 	n := uint64(number("SILVERPATH_SIMULATED", 100_000))
-	const parts = 6
+	const workers = 6
 	var wg sync.WaitGroup
 	var finished, ownerChanges atomic.Int64
-	began := time.Now()
-	for k := range uint64(parts) {
+	startTime := time.Now()
+	for worker := range uint64(workers) {
 		wg.Go(func() {
-			f, h, err := SimOwners(1+k*n/parts, n/parts, nil)
+			f, h, err := SimOwners(1+worker*n/workers, n/workers, nil)
 			finished.Add(int64(f))
 			ownerChanges.Add(int64(h))
 			if err != nil {
@@ -135,7 +135,7 @@
 		})
 	}
 	wg.Wait()
-	fmt.Printf("\nsimulated: %d schedules in %v, %d rolls and moves finished, %d changes of owner\n", n, time.Since(began).Round(time.Second), finished.Load(), ownerChanges.Load())
+	fmt.Printf("\nsimulated: %d schedules in %v, %d rolls and moves finished, %d changes of owner\n", n, time.Since(startTime).Round(time.Second), finished.Load(), ownerChanges.Load())
 }
 
 // ---- Schedules of faults over real processes ----
@@ -153,6 +153,7 @@
 	interpreters []*builtinworker.Interpreter
 }
 
+// Close stops what the rig has started, in reverse order.
 func (r *rig) Close() {
 	for _, c := range slices.Backward(r.closers) {
 		c()
@@ -161,7 +162,7 @@
 
 // newRig starts a group of three members and n servers in two cells, and publishes the first version of their map. The rig
 // is returned with an error too, because the caller has to close what was started.
-func newRig(bin, home string, n int, terms lease.Terms) (r *rig, err error) {
+func newRig(bin, home string, serverCount int, terms lease.Terms) (r *rig, err error) {
 	r = &rig{mapDir: filepath.Join(home, "map"), bin: bin, site: Site{Cores: 8, MemoryKB: 65536, ProcMB: 64, Sockets: 128}}
 	if err = os.MkdirAll(r.mapDir, 0o755); err != nil {
 		return r, err
@@ -172,7 +173,7 @@
 		return r, err
 	}
 	m := ownerMap()
-	for i := range n {
+	for i := range serverCount {
 		interpreter, err := builtinworker.Listen(builtinworker.Config{Listen: "127.0.0.1:0", Cores: 8, Shape: builtinworker.Shape{Knee: 8, Speed: 1}, RunFactor: 1, Seed: uint64(i + 1)})
 		if err != nil {
 			return r, err
@@ -194,6 +195,7 @@
 	return r, proxy.VersionDir{Dir: r.mapDir}.Put(1, settings.FormatCells(m))
 }
 
+// ownerMap returns a map of two cells and 64 tenants, without servers. A caller can extend the tenants up to 4096 by reslicing.
 func ownerMap() *cells.Map {
 	m := &cells.Map{Version: 1, KeyWindow: time.Second, MaxClockSkew: 50 * time.Millisecond, Lease: time.Second, CallerTimeout: time.Second,
 		Cells: []cells.Cell{{Name: "a", Capacity: 1e6}, {Name: "b", Capacity: 1e6}}}
@@ -272,7 +274,7 @@
 	rolloutID, moveIDs := fmt.Sprint("r", seed), []string{fmt.Sprint("m", seed, "a"), fmt.Sprint("m", seed, "b")}
 	fail := func(err error) bool {
 		if err != nil {
-			violation("%v", err)
+			violation("call to the group failed: %v", err)
 		}
 		return err != nil
 	}
@@ -292,25 +294,25 @@
 	}
 	var heldServers []int
 	for end := time.Now().Add(1800 * time.Millisecond); time.Now().Before(end); time.Sleep(time.Duration(rng.IntN(180)) * time.Millisecond) {
-		x, q := rng.IntN(len(owners)), rng.IntN(3)
+		ownerIndex, memberIndex := rng.IntN(len(owners)), rng.IntN(3)
 		switch rng.IntN(10) {
 		case 0, 1:
-			owners[x].Freeze()
+			owners[ownerIndex].Freeze()
 		case 2:
-			owners[x].Wake()
+			owners[ownerIndex].Wake()
 		case 3:
-			owners[x].Kill()
+			owners[ownerIndex].Kill()
 			startOwner()
 		case 4:
-			r.group.Members[q].Freeze()
-			time.AfterFunc(time.Duration(rng.IntN(1500))*time.Millisecond, r.group.Members[q].Wake)
+			r.group.Members[memberIndex].Freeze()
+			time.AfterFunc(time.Duration(rng.IntN(1500))*time.Millisecond, r.group.Members[memberIndex].Wake)
 		case 5:
-			r.group.Members[q].Kill()
-			fail(r.group.Start(q))
+			r.group.Members[memberIndex].Kill()
+			fail(r.group.Start(memberIndex))
 		case 6:
-			r.group.Ways[q].Set(faults.Way(rng.IntN(2)), faults.Fate{Lost: true})
+			r.group.Ways[memberIndex].Set(faults.Way(rng.IntN(2)), faults.Fate{Lost: true})
 		case 7:
-			r.group.Ways[q].Set(faults.There, faults.Fate{Delay: 30 * time.Millisecond, Twice: 0.2, Swap: 0.2})
+			r.group.Ways[memberIndex].Set(faults.There, faults.Fate{Delay: 30 * time.Millisecond, Twice: 0.2, Swap: 0.2})
 		case 8:
 			i := rng.IntN(len(r.proxies))
 			r.proxies[i].Set(faults.There, faults.Fate{Held: true})
@@ -362,21 +364,21 @@
 			o.failureNotes = append(o.failureNotes, it.Note)
 		}
 	}
-	it, err := r.group.Over(controller.RolloutDuty, rolloutID, 60*time.Second)
+	rollout, err := r.group.Over(controller.RolloutDuty, rolloutID, 60*time.Second)
 	if fail(err) {
 		return o
 	}
-	if it.State == controller.Done {
+	if rollout.State == controller.Done {
 		o.finished++
 	} else {
-		o.failureNotes = append(o.failureNotes, it.Note)
+		o.failureNotes = append(o.failureNotes, rollout.Note)
 	}
 	for i, c := range heldCalls {
 		if c != nil && strings.HasPrefix(string(c), "POST") {
 			_, _ = r.proxies[i].Again(c)
 		}
 	}
-	r.checkLogs(&o, violation, logOffsets, processes, it)
+	r.checkLogs(&o, violation, logOffsets, processes, rollout)
 	after, _, err := proxy.VersionDir{Dir: r.mapDir}.Head()
 	if fail(err) {
 		return o
@@ -454,7 +456,7 @@
 	var mu sync.Mutex
 	var all outcome
 	var wg sync.WaitGroup
-	began := time.Now()
+	startTime := time.Now()
 	for w := range workers {
 		wg.Go(func() {
 			r, err := newRig(bin, b.TempDir(), 6, ownerTerms)
@@ -484,7 +486,7 @@
 	}
 	fmt.Printf("\ngiven up, by note: %v", failures)
 	fmt.Printf("\nschedules: %d over real processes in %v: %d of %d rolls and moves finished, %d ownerships, %d writes refused as stale, at most %d out, broken %d\n",
-		n, time.Since(began).Round(time.Second), all.finished, 3*n, all.ownerChanges, all.staleWrites, all.maxEvacuated, len(all.violations))
+		n, time.Since(startTime).Round(time.Second), all.finished, 3*n, all.ownerChanges, all.staleWrites, all.maxEvacuated, len(all.violations))
 }
 
 // ---- Two operators at once ----
@@ -499,7 +501,7 @@
 		variants = append([]struct{ name, bin string }{{"baseline, a file", old}}, variants...)
 	}
 	const rounds = 200
-	count := func(name string, move func(tenant string) error, homes func(tenant int) int) {
+	measure := func(name string, move func(tenant string) error, homes func(tenant int) int) {
 		bothConfirmed, lostMoves, oneRejected := 0, 0, 0
 		for n := range rounds {
 			var errs [2]error
@@ -531,7 +533,7 @@
 		if err := os.WriteFile(file, settings.FormatCells(m), 0o644); err != nil {
 			b.Fatal(err)
 		}
-		count(v.name, func(tenant string) error {
+		measure(v.name, func(tenant string) error {
 			return exec.Command(v.bin, "cells", "move", "--map", file, "--tenant", tenant, "--to", "b").Run()
 		}, func(t int) int {
 			m, err := proxy.ReadMap(file)
@@ -555,7 +557,7 @@
 		b.Fatal(err)
 	}
 	defer p.Kill()
-	count("this, by the keeper", func(tenant string) error {
+	measure("this, by the keeper", func(tenant string) error {
 		return exec.Command(bin, "cells", "move", "--group", "test", "--members", strings.Join(r.group.Client.Addrs, ","), "--tenant", tenant, "--to", "b").Run()
 	}, func(t int) int {
 		m, _, err := proxy.VersionDir{Dir: dir}.Head()
@@ -587,12 +589,12 @@
 		_ = err
 		dir := r.mapDir
 		idleCells := idleCost(b, r, dir)
-		for _, what := range []string{"SIGKILL", "SIGSTOP", "cut"} {
+		for _, fault := range []string{"SIGKILL", "SIGSTOP", "cut"} {
 			rounds := number("SILVERPATH_GAPS", map[time.Duration]int{300 * time.Millisecond: 20, time.Second: 12, 3 * time.Second: 6}[ttl])
 			h := hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)
 			overlaps := 0
 			for n := range rounds {
-				gap, overlap, err := measureGap(r, dir, what, n)
+				gap, overlap, err := measureGap(r, dir, fault, n)
 				if err != nil {
 					b.Error(err)
 					continue
@@ -602,7 +604,7 @@
 					overlaps++
 				}
 			}
-			fmt.Printf("| %d | %s | %d | %d | %d | %d | %s |\n", ttl.Milliseconds(), what, rounds, At(h, 50).Milliseconds(), At(h, 99).Milliseconds(), overlaps, idleCells)
+			fmt.Printf("| %d | %s | %d | %d | %d | %d | %s |\n", ttl.Milliseconds(), fault, rounds, At(h, 50).Milliseconds(), At(h, 99).Milliseconds(), overlaps, idleCells)
 			idleCells = "| |"
 		}
 		r.Close()
@@ -625,8 +627,8 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	const span = 5 * time.Second
-	count := func() (messages, syncs int) {
+	const idleTime = 5 * time.Second
+	readCounters := func() (messages, syncs int) {
 		for _, m := range r.group.Members {
 			from := m.Lines()
 			_ = m.Signal(syscall.SIGUSR1)
@@ -645,16 +647,16 @@
 		}
 		return messages, syncs
 	}
-	messagesBefore, syncsBefore := count()
+	messagesBefore, syncsBefore := readCounters()
 	leaderBefore, ownerBefore := r.group.Members[lead].CPU(), p.CPU()
-	time.Sleep(span)
+	time.Sleep(idleTime)
 	leaderAfter, ownerAfter := r.group.Members[lead].CPU(), p.CPU()
-	messagesAfter, syncsAfter := count()
-	percent := func(d time.Duration) float64 { return 100 * d.Seconds() / span.Seconds() }
-	return fmt.Sprintf("%.0f | %.1f | %.1f%%, %.1f%%", float64(messagesAfter-messagesBefore)/span.Seconds(), float64(syncsAfter-syncsBefore)/span.Seconds(), percent(leaderAfter-leaderBefore), percent(ownerAfter-ownerBefore))
+	messagesAfter, syncsAfter := readCounters()
+	percent := func(d time.Duration) float64 { return 100 * d.Seconds() / idleTime.Seconds() }
+	return fmt.Sprintf("%.0f | %.1f | %.1f%%, %.1f%%", float64(messagesAfter-messagesBefore)/idleTime.Seconds(), float64(syncsAfter-syncsBefore)/idleTime.Seconds(), percent(leaderAfter-leaderBefore), percent(ownerAfter-ownerBefore))
 }
 
-// measureGap fails the owner of the placement duty in the given way and returns how long it took until the other owner held the
+// measureGap makes the owner of the placement duty fail in the given way. It returns how long it took until the other owner held the
 // duty, and whether both held it at the same time.
 func measureGap(r *rig, dir, fault string, n int) (gap time.Duration, overlap bool, err error) { //nolint:cyclop // one measurement from top to bottom; its split is in docs/ROADMAP.md
 	var proxies []*faults.Between
@@ -687,7 +689,7 @@
 		}
 	}
 	time.Sleep(time.Duration(n*37%200) * time.Millisecond)
-	began := time.Now().UTC()
+	failedAt := time.Now().UTC()
 	switch fault {
 	case "SIGKILL":
 		owner.Kill()
@@ -703,7 +705,7 @@
 		return 0, false, err
 	}
 	at := logTime(line)
-	gap = at - began.Sub(began.Truncate(24*time.Hour))
+	gap = at - failedAt.Sub(failedAt.Truncate(24*time.Hour))
 	if fault == "cut" {
 		lost, err := owner.Await(10*time.Second, 0, "duty.lost")
 		if overlap = err != nil; err == nil { // the line has the time since the owner stopped, by its own clock
@@ -753,14 +755,14 @@
 		for k := range c.clients {
 			wg.Go(func() {
 				for n := 0; time.Now().Before(end); n++ {
-					began := time.Now()
+					startTime := time.Now()
 					r, err := g.Do(statemachine.Command{Lease: &lease.Request{Op: lease.Pause, Duty: controller.MonitorDuty, Reason: fmt.Sprint(k, n)}})
 					if err != nil || r.Error != "" {
 						b.Error(err, r.Error)
 						return
 					}
 					mu.Lock()
-					_ = h.RecordValue(time.Since(began).Microseconds())
+					_ = h.RecordValue(time.Since(startTime).Microseconds())
 					mu.Unlock()
 				}
 			})
@@ -778,8 +780,8 @@
 func rollingRestarts(b *testing.B, bin string) {
 	fmt.Println("\n| how | took | worth | lowest tenant | out at once |")
 	fmt.Println("|---|---|---|---|---|")
-	for _, how := range []string{"none", "all at once", "by hand, one after the other", "the conductor, 3 in all and 1 in a cell"} {
-		if err := measureRollingRestart(b, bin, how); err != nil {
+	for _, order := range []string{"none", "all at once", "by hand, one after the other", "the conductor, 3 in all and 1 in a cell"} {
+		if err := measureRollingRestart(b, bin, order); err != nil {
 			b.Error(err)
 		}
 	}
@@ -802,31 +804,31 @@
 	if err != nil {
 		return err
 	}
-	const span = 45 * time.Second
+	const loadTime = 45 * time.Second
 	var loads []TenantLoad
 	for _, t := range brands {
-		loads = append(loads, TenantLoad{Tenant: t, Rate: 0.8 * 12 * ServerRate() / float64(len(brands)), For: span})
+		loads = append(loads, TenantLoad{Tenant: t, Rate: 0.8 * 12 * ServerRate() / float64(len(brands)), For: loadTime})
 	}
 	// A server is away for 1.5 s during a restart, and is cold when it comes back.
-	restart := func(n int) error {
+	restartCold := func(n int) error {
 		time.Sleep(500 * time.Millisecond)
 		return f.Restart(n, time.Second)
 	}
 	done := make(chan time.Duration, 1)
 	go func() {
 		time.Sleep(3 * time.Second)
-		began := time.Now()
+		startTime := time.Now()
 		switch order {
 		case "all at once":
 			var wg sync.WaitGroup
 			for n := range f.Servers {
-				wg.Go(func() { _ = restart(n) })
+				wg.Go(func() { _ = restartCold(n) })
 			}
 			wg.Wait()
 		case "by hand, one after the other":
 			for n := range f.Servers {
 				f.Servers[n].Call("POST /api/evacuate")
-				if restart(n) != nil {
+				if restartCold(n) != nil {
 					break
 				}
 				for f.Servers[n].Call("GET /api/ready") != 200 {
@@ -837,7 +839,7 @@
 		default:
 			_ = f.rollout(g, home)
 		}
-		done <- time.Since(began)
+		done <- time.Since(startTime)
 	}()
 	res, err := f.Run(f.Routers, loads, false, 18)
 	if err != nil {
@@ -852,7 +854,7 @@
 	select {
 	case took = <-done:
 	case <-time.After(time.Second):
-		took = span
+		took = loadTime
 	}
 	fmt.Printf("| %s | %.1f s | %.4f | %.4f | %d |\n", order, took.Seconds(), earnedWorth/offeredWorth, lowestShare, f.mostOut)
 	return nil
@@ -873,11 +875,11 @@
 	if err := (proxy.VersionDir{Dir: dir}).Put(1, settings.FormatCells(&m)); err != nil {
 		return err
 	}
-	o, err := g.Owner("o", dir, []string{controller.RolloutDuty}, nil, nil)
+	owner, err := g.Owner("o", dir, []string{controller.RolloutDuty}, nil, nil)
 	if err != nil {
 		return err
 	}
-	defer o.Kill()
+	defer owner.Kill()
 	if err := g.Submit(controller.RolloutDuty, "r", controller.KindRollout, controller.RolloutSpec{MaxOutPerCell: 1, MaxOut: 3, DwellMS: 2500, ReturnMS: 10000}); err != nil {
 		return err
 	}
--- a/internal/testkit/benchmarks/owner_test.go
+++ b/internal/testkit/benchmarks/owner_test.go
@@ -14,8 +14,8 @@
 		t.Errorf("only %d rollouts and moves finished and %d changes of owner", finished, ownerChanges)
 	}
 	for name, edit := range map[string]func(*OwnerSim){
-		"no fence":  func(s *OwnerSim) { s.NoFence = true },
-		"no places": func(s *OwnerSim) { s.AllowOverwrite = true },
+		"no fence":             func(s *OwnerSim) { s.NoFence = true },
+		"overwritten versions": func(s *OwnerSim) { s.AllowOverwrite = true },
 	} {
 		_, _, err := SimOwners(1, 3*n, edit)
 		if err == nil {
--- a/internal/testkit/benchmarks/ownersim.go
+++ b/internal/testkit/benchmarks/ownersim.go
@@ -15,9 +15,9 @@
 	"silverpath/internal/settings"
 )
 
-// OwnerSim is one schedule of faults in simulated time. The faults are changes of the group's leader and losses of its
-// majority, restarts of servers, some with their fence state lost, commands that are lost, delayed or delivered twice, and
-// pauses of an owner between any two of its actions. Leases, controllers and fences are the production code.
+// OwnerSim is one schedule of faults in simulated time. The group changes its leader and loses its majority.
+// Servers restart, and some lose the state of their fence. Commands are lost, delayed or delivered twice. Owners are paused
+// between any two of their actions. Leases, controllers and fences are the production code.
 type OwnerSim struct {
 	rng            *rand.Rand
 	now            time.Duration
@@ -171,13 +171,13 @@
 		s.groupUp, s.groupUpAt = false, s.now+s.randomDuration(5*simLease)
 	}
 	if s.chance(0.004) {
-		x := s.servers[s.rng.IntN(simServers)]
-		x.reachableAt, x.evacuated = s.now+s.randomDuration(time.Second), false
-		x.restarts++
+		server := s.servers[s.rng.IntN(simServers)]
+		server.reachableAt, server.evacuated = s.now+s.randomDuration(time.Second), false
+		server.restarts++
 		if s.chance(0.3) {
-			x.fence = fence.New(nil, true) // the disk is lost too
+			server.fence = fence.New(nil, true) // the disk is lost too
 		} else {
-			x.fence = fence.New(x.fence.Latest(), true)
+			server.fence = fence.New(server.fence.Latest(), true)
 		}
 	}
 }
@@ -201,13 +201,13 @@
 // stepOwner runs one step of an owner. It renews or acquires leases, and then, for each duty, performs the pending action if its
 // time has come, or decides on a new one.
 func (s *OwnerSim) stepOwner(o *simOwner) {
-	clock := time.Duration(float64(s.now) * o.clockRate)
+	localTime := time.Duration(float64(s.now) * o.clockRate)
 	for _, name := range []string{controller.PlacementDuty, controller.RolloutDuty} {
 		h := o.holders[name]
-		if a, ok := h.NextRequest(clock); ok && s.groupUp && !s.chance(0.05) {
+		if a, ok := h.NextRequest(localTime); ok && s.groupUp && !s.chance(0.05) {
 			d, rejected := s.answerLease(a)
 			if !s.chance(0.05) {
-				if gained, _ := h.HandleAnswer(clock, a, d, rejected, clock); gained {
+				if gained, _ := h.HandleAnswer(localTime, a, d, rejected, localTime); gained {
 					s.OwnerChanges++
 				}
 			}
@@ -219,7 +219,7 @@
 			}
 			continue
 		}
-		epoch, holds := h.Holds(clock)
+		epoch, holds := h.Holds(localTime)
 		if !holds || !s.groupUp {
 			continue
 		}
@@ -228,16 +228,16 @@
 		}
 		j := *s.state.Journal(name)
 		j.Items = slices.Clone(j.Items)
-		act := s.decide(o, name, &j, epoch, clock)
-		if act.Kind == controller.Idle {
+		action := s.decide(o, name, &j, epoch, localTime)
+		if action.Kind == controller.Idle {
 			continue
 		}
 		// The owner has checked that it owns the duty. It may be paused before the action, and between an action and its result.
-		wait := time.Duration(0)
+		delay := time.Duration(0)
 		if s.chance(0.1) {
-			wait = s.randomDuration(3 * simLease)
+			delay = s.randomDuration(3 * simLease)
 		}
-		o.pendingActions[name] = &simAction{s.now + wait, act, epoch, j}
+		o.pendingActions[name] = &simAction{s.now + delay, action, epoch, j}
 	}
 }
 
@@ -246,10 +246,10 @@
 	if s.latest != nil {
 		return s.latest, s.latestRaw
 	}
-	last := 0
+	latestVersion := 0
 	for v, b := range s.versions {
-		if v > last && b[0] == '{' {
-			last, raw = v, b
+		if v > latestVersion && b[0] == '{' {
+			latestVersion, raw = v, b
 		}
 	}
 	m, _ = settings.ParseCells(raw)
@@ -258,28 +258,28 @@
 }
 
 // decide returns the next action of the duty's controller.
-func (s *OwnerSim) decide(o *simOwner, name string, j *controller.Journal, e lease.Epoch, clock time.Duration) controller.Action {
+func (s *OwnerSim) decide(o *simOwner, name string, journal *controller.Journal, epoch lease.Epoch, localTime time.Duration) controller.Action {
 	m, raw := s.latestMap()
 	if name == controller.PlacementDuty {
 		h := controller.PublishedMap{Map: m, Raw: raw}
 		for v := range s.versions {
 			h.HighestVersion = max(h.HighestVersion, v)
 		}
-		if it := j.Current(); it != nil && it.State == controller.Intended {
+		if it := journal.Current(); it != nil && it.State == controller.Intended {
 			if plan, err := settings.ParseCells([]byte(it.Plan)); err == nil {
 				h.Occupant = s.versions[plan.Version]
 			}
 		}
-		return o.placement.Next(j, h, uint64(e), s.wall.Add(s.now))
+		return o.placement.Next(journal, h, uint64(epoch), s.wall.Add(s.now))
 	}
-	var list []controller.RolloutServer
+	var servers []controller.RolloutServer
 	for _, x := range m.Servers {
-		list = append(list, controller.RolloutServer{Name: x.Name, Cell: x.Cell, Admin: x.AdminAddr})
+		servers = append(servers, controller.RolloutServer{Name: x.Name, Cell: x.Cell, Admin: x.AdminAddr})
 	}
 	for _, x := range s.servers {
-		o.readiness[x.name] = controller.Readiness{ProbedAt: clock, Reachable: x.reachableAt <= s.now, Ready: x.reachableAt <= s.now && !x.evacuated}
+		o.readiness[x.name] = controller.Readiness{ProbedAt: localTime, Reachable: x.reachableAt <= s.now, Ready: x.reachableAt <= s.now && !x.evacuated}
 	}
-	return o.rollout.Next(j, uint64(e), list, o.readiness, clock)
+	return o.rollout.Next(journal, uint64(epoch), servers, o.readiness, localTime)
 }
 
 // perform performs an action that an owner decided earlier.
@@ -308,12 +308,12 @@
 		}
 	case controller.SendCommand:
 		it := p.journal.Current()
-		act := "rejoin"
+		actionName := "rejoin"
 		if p.action.Command.Evacuate {
-			act = "evacuate"
+			actionName = "evacuate"
 		}
 		server := int(p.action.Command.Server[1] - '0')
-		command := simCommand{s.now, fence.Command{Duty: name, Epoch: p.epoch, Step: it.Step, Action: act}, server, o}
+		command := simCommand{s.now, fence.Command{Duty: name, Epoch: p.epoch, Step: it.Step, Action: actionName}, server, o}
 		switch {
 		case s.chance(0.05): // lost
 			o.rollout.RecordCommand(p.action.Command.Server, false)
@@ -349,45 +349,45 @@
 }
 
 // execute has a server check a command against its fence and execute it. It returns whether the server accepted the command.
-func (s *OwnerSim) execute(x *simServer, c fence.Command) bool { //nolint:cyclop // one measurement from top to bottom; its split is in docs/ROADMAP.md
-	if x.reachableAt > s.now {
+func (s *OwnerSim) execute(server *simServer, c fence.Command) bool { //nolint:cyclop // one measurement from top to bottom; its split is in docs/ROADMAP.md
+	if server.reachableAt > s.now {
 		return false
 	}
-	if !x.fence.Knows(c.Duty) {
+	if !server.fence.Knows(c.Duty) {
 		if !s.groupUp {
 			return false
 		}
-		x.fence.SetFloor(c.Duty, s.state.Table.Duties[c.Duty].Epoch, s.state.Journal(c.Duty).Step)
+		server.fence.SetFloor(c.Duty, s.state.Table.Duties[c.Duty].Epoch, s.state.Journal(c.Duty).Step)
 	}
-	fresh, err := x.fence.Check(c)
+	fresh, err := server.fence.Check(c)
 	if err != nil && !s.NoFence {
 		return false
 	}
-	x.fence.Record(c)
+	server.fence.Record(c)
 	if err == nil && !fresh {
 		return true
 	}
 	evacuate := c.Action == "evacuate"
-	if x.evacuated != evacuate {
+	if server.evacuated != evacuate {
 		if c.Epoch < s.newestExecuted {
-			s.violation("%s: %s of epoch %v executed after a command of epoch %v", x.name, c.Action, c.Epoch, s.newestExecuted)
+			s.violation("%s: %s of epoch %v executed after a command of epoch %v", server.name, c.Action, c.Epoch, s.newestExecuted)
 		}
 		if evacuate {
-			x.evacuations++
+			server.evacuations++
 		}
 	}
 	s.newestExecuted = max(s.newestExecuted, c.Epoch)
-	x.evacuated = evacuate
-	out, cell := 0, [2]int{}
-	for i, y := range s.servers {
-		if y.evacuated {
-			out++
-			cell[i%2]++
+	server.evacuated = evacuate
+	total, perCell := 0, [2]int{}
+	for i, other := range s.servers {
+		if other.evacuated {
+			total++
+			perCell[i%2]++
 		}
 	}
-	s.MaxEvacuated = max(s.MaxEvacuated, out)
-	if out > 2 || cell[0] > 1 || cell[1] > 1 {
-		s.violation("%d servers evacuated, %v by cell", out, cell)
+	s.MaxEvacuated = max(s.MaxEvacuated, total)
+	if total > 2 || perCell[0] > 1 || perCell[1] > 1 {
+		s.violation("%d servers evacuated, %v by cell", total, perCell)
 	}
 	return true
 }
@@ -420,8 +420,8 @@
 			s.violation("move %s is %s (%s), but t%d has %d homes", it.ID, it.State, it.Note, i, homes)
 		}
 	}
-	r := s.state.Journal(controller.RolloutDuty).Item("r")
-	switch r.State {
+	rollout := s.state.Journal(controller.RolloutDuty).Item("r")
+	switch rollout.State {
 	case controller.Done:
 		s.Finished++
 		for _, x := range s.servers {
@@ -434,7 +434,7 @@
 		}
 	case controller.Failed:
 	default:
-		s.violation("the rollout is %s: %s", r.State, r.Note)
+		s.violation("the rollout is %s: %s", rollout.State, rollout.Note)
 	}
 }
 
--- a/internal/testkit/benchmarks/rules.go
+++ b/internal/testkit/benchmarks/rules.go
@@ -44,14 +44,14 @@
 	g *harness.Group
 }
 
-// newGroupFleet starts a group of three members and a fleet that reads its documents. If shares is 0, each router divides the cells'
+// newGroupFleet starts a group of three members and a fleet that reads its documents. If maxRouters is 0, each router divides the cells'
 // capacity by itself.
-func newGroupFleet(bin, dir string, servers, routers int, names []string, tenants []cells.Tenant, shares int, terms lease.Terms) (*groupFleet, error) {
-	return newEditedGroupFleet(bin, dir, servers, routers, names, tenants, shares, terms, func(*cells.Map) {})
+func newGroupFleet(bin, dir string, servers, routers int, names []string, tenants []cells.Tenant, maxRouters int, terms lease.Terms) (*groupFleet, error) {
+	return newEditedGroupFleet(bin, dir, servers, routers, names, tenants, maxRouters, terms, func(*cells.Map) {})
 }
 
 // newEditedGroupFleet is newGroupFleet with a function that edits the first map before it is put.
-func newEditedGroupFleet(bin, dir string, servers, routers int, names []string, tenants []cells.Tenant, shares int, terms lease.Terms, edit func(*cells.Map)) (*groupFleet, error) {
+func newEditedGroupFleet(bin, dir string, servers, routers int, names []string, tenants []cells.Tenant, maxRouters int, terms lease.Terms, edit func(*cells.Map)) (*groupFleet, error) {
 	g, err := harness.NewGroup(dir, 3, terms, 20*time.Millisecond, starter(bin))
 	if err != nil {
 		return nil, err
@@ -72,7 +72,7 @@
 		return r, err
 	}
 	for range routers {
-		if err := r.startRouter(shares, list); err != nil {
+		if err := r.startRouter(maxRouters, list); err != nil {
 			return r, err
 		}
 	}
@@ -81,9 +81,9 @@
 }
 
 // startRouter starts one more router, which reaches the group at the given members.
-func (r *groupFleet) startRouter(shares int, members []byte) error {
+func (r *groupFleet) startRouter(maxRouters int, members []byte) error {
 	i := len(r.Routers)
-	p, err := Route(r.bin, r.sub(fmt.Sprint("r", i)), r.routerSite(), r.routerEdgeFor(i, shares, members))
+	p, err := Route(r.bin, r.sub(fmt.Sprint("r", i)), r.routerSite(), r.routerEdgeFor(i, maxRouters, members))
 	if err == nil {
 		r.Routers = append(r.Routers, p)
 	}
@@ -97,6 +97,7 @@
 	return site
 }
 
+// Stop stops the fleet, if it was started, and the group.
 func (r *groupFleet) Stop() {
 	if r.Fleet != nil {
 		r.Fleet.Stop()
@@ -137,11 +138,11 @@
 		}
 	}
 	err = json.Unmarshal(body, &s)
-	list := s.Fleet.Parts[cell]
-	if rest := s.Fleet.Rest[cell]; rest > 0 && list != nil {
-		list[" rest"] = rest
+	shares := s.Fleet.Parts[cell]
+	if rest := s.Fleet.Rest[cell]; rest > 0 && shares != nil {
+		shares[" rest"] = rest
 	}
-	return list, err
+	return shares, err
 }
 
 // sharedFlood has one tenant flood a fleet through four routers. It measures the goodput of the other tenants with shares that the
@@ -156,7 +157,7 @@
 		shard int
 	}{{"three cells", []string{"a", "b", "c"}, 0}, {"three cells, shards of two", []string{"a", "b", "c"}, 2}} {
 		for _, shares := range []int{0, 8} {
-			for _, times := range []float64{1, 10} {
+			for _, factor := range []float64{1, 10} {
 				r, err := newGroupFleet(bin, b.TempDir(), 12, 4, c.cells, brandsIn(c.cells, c.shard), shares, rulesTerms)
 				if err != nil {
 					b.Fatal(err)
@@ -165,7 +166,7 @@
 				for n, t := range brands {
 					l := TenantLoad{Tenant: t, Rate: brandRate(), For: d}
 					if n == 0 {
-						l.Rate *= times
+						l.Rate *= factor
 					}
 					loads = append(loads, l)
 				}
@@ -184,9 +185,9 @@
 					refused, failed = refused+res[t].Refused, failed+res[t].Failed
 				}
 				flooder := res["t0"]
-				fmt.Printf("| %s | %v | %.0f times | %.3f | %.3f | %.3f | %.2f | %d | %d |\n", c.name, shares > 0, times, sum/float64(len(brands)-1),
+				fmt.Printf("| %s | %v | %.0f times | %.3f | %.3f | %.3f | %.2f | %d | %d |\n", c.name, shares > 0, factor, sum/float64(len(brands)-1),
 					lowestMate, flooder.Share(), float64(flooder.Served)/d.Seconds()/brandRate(), refused, failed)
-				b.ReportMetric(lowestMate, fmt.Sprintf("mate-%d-%d-%.0f", c.shard, shares, times))
+				b.ReportMetric(lowestMate, fmt.Sprintf("mate-%d-%d-%.0f", c.shard, shares, factor))
 				r.Stop()
 			}
 		}
@@ -205,28 +206,28 @@
 	rate := 1.5 * ServerRate()
 	var times []time.Duration
 	for n := range 6 {
-		at := r.Routers[n%2]
+		router := r.Routers[n%2]
 		done := make(chan error, 1)
 		go func() {
-			_, err := r.Run([]*Process{at}, []TenantLoad{{"t0", rate, 6 * time.Second}}, false, uint64(n))
+			_, err := r.Run([]*Process{router}, []TenantLoad{{"t0", rate, 6 * time.Second}}, false, uint64(n))
 			done <- err
 		}()
-		began := time.Now()
+		startTime := time.Now()
 		for {
-			p, err := capacityShares(at, "a")
+			shares, err := capacityShares(router, "a")
 			if err != nil {
 				b.Fatal(err)
 			}
-			if p["t0"] >= rate {
+			if shares["t0"] >= rate {
 				break
 			}
-			if time.Since(began) > 6*time.Second {
-				b.Errorf("after 6 s the router's share is %.1f, want %.1f", p["t0"], rate)
+			if time.Since(startTime) > 6*time.Second {
+				b.Errorf("after 6 s the router's share is %.1f, want %.1f", shares["t0"], rate)
 				break
 			}
 			time.Sleep(10 * time.Millisecond)
 		}
-		times = append(times, time.Since(began).Round(10*time.Millisecond))
+		times = append(times, time.Since(startTime).Round(10*time.Millisecond))
 		if err := <-done; err != nil {
 			b.Fatal(err)
 		}
@@ -284,10 +285,10 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			x := res["t0"]
-			n := float64(max(1, x.Sent))
+			result := res["t0"]
+			n := float64(max(1, result.Sent))
 			cpu = f.Routers[0].CPU() - cpu - idleCPU*3
-			fmt.Printf("| %s | %d | %v | %v | %v | %.0f |\n", variant, x.Sent, At(x.Times, 50), At(x.Times, 99),
+			fmt.Printf("| %s | %d | %v | %v | %v | %.0f |\n", variant, result.Sent, At(result.Times, 50), At(result.Times, 99),
 				time.Duration(float64(cpu)/n).Round(time.Microsecond), (allocs()-objects-3*idleObjects)/n)
 			stop()
 		}
@@ -309,6 +310,7 @@
 	broken             []string
 }
 
+// add adds the result of another schedule. The counts of runs are totals of the rig, so that the latest ones replace the earlier.
 func (o *rulesOutcome) add(p rulesOutcome) {
 	o.changes, o.withdrawn, o.served, o.failed, o.refused = o.changes+p.changes, o.withdrawn+p.withdrawn, o.served+p.served, o.failed+p.failed, o.refused+p.refused
 	o.over, o.samples, o.ran, o.twice = o.over+p.over, o.samples+p.samples, p.ran, p.twice
@@ -392,11 +394,11 @@
 // putMove puts a map in which a tenant moves to another cell.
 func (r *rulesRig) putMove(n int) error {
 	m := *r.Map
-	p, err := m.PlanMove(time.Now(), brands[n%len(brands)], []string{"a", "b", "c"}[n%3], 0)
+	plan, err := m.PlanMove(time.Now(), brands[n%len(brands)], []string{"a", "b", "c"}[n%3], 0)
 	if err != nil {
 		return nil // the tenant is in this cell or moves already
 	}
-	r.Map = p.Next
+	r.Map = plan.Next
 	if err := proxy.WriteMap(r.MapFile, r.Map); err != nil {
 		return err
 	}
@@ -445,22 +447,22 @@
 		defer routersMu.Unlock()
 		return r.Routers[i]
 	}
-	for c := range 3 {
+	for clientIndex := range 3 {
 		background.Go(func() { // sends each request twice, through routers drawn at random
-			rng := rand.New(rand.NewPCG(seed, uint64(c)))
+			rng := rand.New(rand.NewPCG(seed, uint64(clientIndex)))
 			for n := 0; ; n++ {
 				select {
 				case <-stop:
 					return
 				case <-time.After(20 * time.Millisecond):
 				}
-				key := fmt.Sprintf("oddaja-%d-%d-%d", seed, c, n)
+				key := fmt.Sprintf("oddaja-%d-%d-%d", seed, clientIndex, n)
 				var attempts sync.WaitGroup
 				for range 2 {
-					to, wait := router(rng.IntN(len(r.Routers))), time.Duration(rng.IntN(300))*time.Millisecond
+					target, delay := router(rng.IntN(len(r.Routers))), time.Duration(rng.IntN(300))*time.Millisecond
 					attempts.Go(func() {
-						time.Sleep(wait)
-						a, err := client.Do(client.Platform, to.Platform, client.Request{Class: "oddaja", Tenant: brands[n%len(brands)], Key: key, Body: []byte(key), Timeout: time.Second, MemoryKB: 8})
+						time.Sleep(delay)
+						a, err := client.Do(client.Platform, target.Platform, client.Request{Class: "oddaja", Tenant: brands[n%len(brands)], Key: key, Body: []byte(key), Timeout: time.Second, MemoryKB: 8})
 						mu.Lock()
 						defer mu.Unlock()
 						switch {
@@ -486,11 +488,11 @@
 				return
 			case <-time.After(300 * time.Millisecond):
 			}
-			began := time.Now()
+			startTime := time.Now()
 			err := r.change(n)
 			mu.Lock()
 			o.changes++
-			o.slowest = max(o.slowest, time.Since(began))
+			o.slowest = max(o.slowest, time.Since(startTime))
 			if err != nil {
 				o.withdrawn++
 			}
@@ -501,63 +503,63 @@
 		time.AfterFunc(time.Duration(rng.IntN(limitMS))*time.Millisecond, p.Wake)
 	}
 	for end := time.Now().Add(4 * time.Second); time.Now().Before(end); time.Sleep(time.Duration(rng.IntN(300)) * time.Millisecond) {
-		x, q := rng.IntN(len(r.Routers)), rng.IntN(3)
+		routerIndex, memberIndex := rng.IntN(len(r.Routers)), rng.IntN(3)
 		switch rng.IntN(r.faults) {
 		case 0, 1:
-			p := router(x)
+			p := router(routerIndex)
 			p.Freeze()
 			wakeLater(p.Process, 1500)
 		case 2: // a router restarts with its stored state
-			p := router(x)
+			p := router(routerIndex)
 			p.Kill()
-			if what := r.killed(x); what != "" {
-				violation("router %d: %s", x, what)
+			if problem := r.killed(routerIndex); problem != "" {
+				violation("router %d: %s", routerIndex, problem)
 			}
 			routersMu.Lock()
-			next, err := Route(r.bin, r.sub(fmt.Sprint("r", x)), r.routerSite(), r.routerEdge(x))
+			next, err := Route(r.bin, r.sub(fmt.Sprint("r", routerIndex)), r.routerSite(), r.routerEdge(routerIndex))
 			if err != nil {
-				violation("failed to restart router %d: %v", x, err)
+				violation("failed to restart router %d: %v", routerIndex, err)
 			} else {
 				next.old = append(p.old, p.Process)
-				r.Routers[x] = next
+				r.Routers[routerIndex] = next
 			}
 			routersMu.Unlock()
 		case 3:
-			r.g.Members[q].Freeze()
-			wakeLater(r.g.Members[q], 1200)
+			r.g.Members[memberIndex].Freeze()
+			wakeLater(r.g.Members[memberIndex], 1200)
 		case 4:
-			r.g.Members[q].Kill()
-			if err := r.g.Start(q); err != nil {
-				violation("%v", err)
+			r.g.Members[memberIndex].Kill()
+			if err := r.g.Start(memberIndex); err != nil {
+				violation("failed to restart a member: %v", err)
 			}
 		case 5:
-			for _, w := range r.proxies[x] {
+			for _, w := range r.proxies[routerIndex] {
 				w.Cut(true)
 			}
 		case 6:
-			r.proxies[x][q].Set(faults.Way(rng.IntN(2)), faults.Fate{Lost: rng.IntN(2) == 0, Delay: 100 * time.Millisecond, Twice: 0.2, Swap: 0.2})
+			r.proxies[routerIndex][memberIndex].Set(faults.Way(rng.IntN(2)), faults.Fate{Lost: rng.IntN(2) == 0, Delay: 100 * time.Millisecond, Twice: 0.2, Swap: 0.2})
 		case 7:
-			for _, w := range r.proxies[x] {
+			for _, w := range r.proxies[routerIndex] {
 				w.Cut(false)
 			}
 		case 8: // a member is down for a while
-			r.g.Members[q].Kill()
+			r.g.Members[memberIndex].Kill()
 			time.Sleep(time.Duration(rng.IntN(800)) * time.Millisecond)
-			if err := r.g.Start(q); err != nil {
-				violation("%v", err)
+			if err := r.g.Start(memberIndex); err != nil {
+				violation("failed to restart a member: %v", err)
 			}
 		case 9: // the leader is cut off from the members but not from the routers, or it is paused and comes back as an old leader
-			lead, fault, pauseMS := r.leader(), rng.IntN(2), 300+rng.IntN(900)
+			leaderIndex, fault, pauseMS := r.leader(), rng.IntN(2), 300+rng.IntN(900)
 			switch {
-			case lead >= 0 && fault == 0:
-				r.g.Ways[lead].Cut(true)
-				time.AfterFunc(time.Duration(pauseMS)*time.Millisecond, func() { r.g.Ways[lead].Cut(false) })
-			case lead >= 0:
-				r.g.Members[lead].Freeze()
-				time.AfterFunc(time.Duration(pauseMS)*time.Millisecond, r.g.Members[lead].Wake)
+			case leaderIndex >= 0 && fault == 0:
+				r.g.Ways[leaderIndex].Cut(true)
+				time.AfterFunc(time.Duration(pauseMS)*time.Millisecond, func() { r.g.Ways[leaderIndex].Cut(false) })
+			case leaderIndex >= 0:
+				r.g.Members[leaderIndex].Freeze()
+				time.AfterFunc(time.Duration(pauseMS)*time.Millisecond, r.g.Members[leaderIndex].Wake)
 			}
 		case 10: // answers to a router are damaged on the way
-			for _, w := range r.proxies[x] {
+			for _, w := range r.proxies[routerIndex] {
 				w.Set(faults.Back, faults.Fate{Spoil: `\"rate\":`})
 			}
 		}
@@ -633,10 +635,10 @@
 	}
 }
 
-// routerEdgeFor returns the edge file of router i. shares is the greatest number of routers that share the capacity, or 0.
-func (r *groupFleet) routerEdgeFor(i, shares int, members []byte) string {
+// routerEdgeFor returns the edge file of router i. maxRouters is the greatest number of routers that share the capacity, or 0.
+func (r *groupFleet) routerEdgeFor(i, maxRouters int, members []byte) string {
 	return fmt.Sprintf(`{"status":true,"fleet":{"state":%q,"probe_ms":200},"rules":{"group":"test","members":%s,"documents":["map","routing","classes"],"most_routers":%d}}`,
-		filepath.Join(r.sub(fmt.Sprint("r", i)), "state.db"), members, shares)
+		filepath.Join(r.sub(fmt.Sprint("r", i)), "state.db"), members, maxRouters)
 }
 
 func (r *rulesRig) routerEdge(i int) string { return r.routerEdgeFor(i, 8, r.members[i]) }
@@ -650,26 +652,26 @@
 			return
 		case <-time.After(50 * time.Millisecond):
 		}
-		var seen [2][]map[string]float64
+		var readings [2][]map[string]float64
 		var wg sync.WaitGroup
 		for k := range 2 {
-			seen[k] = make([]map[string]float64, len(r.Routers))
+			readings[k] = make([]map[string]float64, len(r.Routers))
 			for i := range r.Routers {
 				p := router(i)
 				if p.Stopped() {
 					continue
 				}
-				wg.Go(func() { seen[k][i], _ = capacityShares(p, "a") })
+				wg.Go(func() { readings[k][i], _ = capacityShares(p, "a") })
 			}
 			wg.Wait()
 		}
 		sum := 0.0
 		for i := range r.Routers {
 			a, b := 0.0, 0.0
-			for _, v := range seen[0][i] {
+			for _, v := range readings[0][i] {
 				a += v
 			}
-			for _, v := range seen[1][i] {
+			for _, v := range readings[1][i] {
 				b += v
 			}
 			sum += min(a, b)
@@ -700,7 +702,7 @@
 	ran, twice := 0, 0
 	next := uint64(0)
 	var wg sync.WaitGroup
-	began := time.Now()
+	startTime := time.Now()
 	for range workers {
 		wg.Go(func() {
 			rig, err := newRulesRig(bin, b.TempDir(), 12, 4)
@@ -730,7 +732,7 @@
 	}
 	wg.Wait()
 	fmt.Printf("\n%d schedules in %v: %d changes, %d of them told no or withdrawn, slowest %v; two versions at once %v at longest; %d sheets ran, %d twice; %d served, %d failed, %d refused; parts over the whole in %d of %d samples, lent at most %.3f of what there is; broken %d\n",
-		n, time.Since(began).Round(time.Second), sum.changes, sum.withdrawn, sum.slowest.Round(time.Millisecond), sum.overlap, ran, twice, sum.served, sum.failed, sum.refused, sum.over, sum.samples, sum.maxGranted, len(sum.broken))
+		n, time.Since(startTime).Round(time.Second), sum.changes, sum.withdrawn, sum.slowest.Round(time.Millisecond), sum.overlap, ran, twice, sum.served, sum.failed, sum.refused, sum.over, sum.samples, sum.maxGranted, len(sum.broken))
 	for i, s := range sum.broken {
 		if i < 10 {
 			fmt.Println(s)
@@ -778,18 +780,18 @@
 					}
 					f.Routers = append(f.Routers, p)
 				}
-				began := time.Now()
+				startTime := time.Now()
 				if forgotten { // from the time at which the move takes effect and the old home gets no more requests
-					p, err := f.Map.PlanMove(time.Now(), "t0", "b", 0)
+					plan, err := f.Map.PlanMove(time.Now(), "t0", "b", 0)
 					if err == nil {
-						err = proxy.WriteMap(filepath.Join(f.sub("m1"), "cells.json"), p.Next)
+						err = proxy.WriteMap(filepath.Join(f.sub("m1"), "cells.json"), plan.Next)
 					}
 					if err != nil {
 						b.Fatal(err)
 					}
-					began = p.At
+					startTime = plan.At
 				}
-				var last [2]time.Time
+				var lastServed [2]time.Time
 				var mu sync.Mutex
 				var wg sync.WaitGroup
 				for n, end := 0, time.Now().Add(6*time.Second); time.Now().Before(end); n++ {
@@ -800,8 +802,8 @@
 							a, err := client.Do(client.Platform, p.Platform, client.Request{Class: "oddaja", Tenant: "t0", Key: key, Body: []byte(key), Timeout: time.Second, MemoryKB: 8})
 							if err == nil && a.Outcome == "served" {
 								mu.Lock()
-								if at.After(last[i]) {
-									last[i] = at
+								if at.After(lastServed[i]) {
+									lastServed[i] = at
 								}
 								mu.Unlock()
 							}
@@ -816,10 +818,10 @@
 						logged++
 					}
 				}
-				if d := last[0].Sub(began); last[0].Before(last[1]) {
+				if d := lastServed[0].Sub(startTime); lastServed[0].Before(lastServed[1]) {
 					conflict = max(conflict, d)
 				} else {
-					conflict = max(conflict, min(d, last[1].Sub(began)))
+					conflict = max(conflict, min(d, lastServed[1].Sub(startTime)))
 				}
 				n, _ := f.Twice()
 				ranTwice += n
--- a/internal/testkit/benchmarks/rulessim.go
+++ b/internal/testkit/benchmarks/rulessim.go
@@ -51,8 +51,8 @@
 	newDigest, proposedAt, doneAt, remaining := configstore.NewID(1, []byte("new")).Digest, time.Duration(0), time.Duration(0), 0
 	for i := range s.N {
 		replica := configstore.NewReplica(fmt.Sprint("p", i), map[string]int{"d": 1})
-		var step func()
-		step = func() {
+		var sendReport func()
+		sendReport = func() {
 			if silent[i] {
 				return
 			}
@@ -60,7 +60,7 @@
 			report := replica.Report()
 			after(delay(), func() { // the report reaches the leader
 				if !monitor.Observe(replica.Name, now, replica.ActiveVersions(), configstore.Goodput{}, "") {
-					after(delay(), step)
+					after(delay(), sendReport)
 					return
 				}
 				if store.HasNews(report) {
@@ -70,10 +70,10 @@
 					}
 					_ = apply(configstore.Change{Op: op, Process: &report})
 				}
-				d, at := store.Documents["d"], index
-				v := configstore.View{Active: d.Active, Proposed: d.Proposed, Stage: d.Stage}
+				doc, appliedIndex := store.Documents["d"], index
+				v := configstore.View{Active: doc.Active, Proposed: doc.Proposed, Stage: doc.Stage}
 				after(delay(), func() { // the answer reaches the process
-					for _, t := range replica.Receive(sentAt, at, s.Terms, map[string]configstore.View{"d": v}, func(string, string) error { return nil }) {
+					for _, t := range replica.Receive(sentAt, appliedIndex, s.Terms, map[string]configstore.View{"d": v}, func(string, string) error { return nil }) {
 						appliedDigests[i] = t.Revision.ID.Digest
 						if appliedDigests[i] == newDigest {
 							if remaining--; remaining == 0 && !silent[i] {
@@ -87,11 +87,11 @@
 						stopped = max(stopped, now-quiescedSince[i])
 						quiescedSince[i] = 0
 					}
-					after(max(10*time.Millisecond, replica.PollInterval()), step)
+					after(max(10*time.Millisecond, replica.PollInterval()), sendReport)
 				})
 			})
 		}
-		after(time.Duration(rng.Int64N(int64(s.Terms.TTL/3))), step)
+		after(time.Duration(rng.Int64N(int64(s.Terms.TTL/3))), sendReport)
 	}
 	var expireProcesses func()
 	expireProcesses = func() {
