--- a/internal/testkit/benchmarks/owner.go
+++ b/internal/testkit/benchmarks/owner.go
@@ -160,7 +160,7 @@
 	}
 }
 
-// newRig starts a group of three members and n servers in two cells, and publishes the first version of their map. The rig
+// newRig starts a group of three members and serverCount servers in two cells, and publishes the first version of their map. The rig
 // is returned with an error too, because the caller has to close what was started.
 func newRig(bin, home string, serverCount int, terms lease.Terms) (r *rig, err error) {
 	r = &rig{mapDir: filepath.Join(home, "map"), bin: bin, site: Site{Cores: 8, MemoryKB: 65536, ProcMB: 64, Sockets: 128}}
--- a/internal/testkit/benchmarks/rules.go
+++ b/internal/testkit/benchmarks/rules.go
@@ -416,7 +416,7 @@
 	return r.classes(n%5 + 1)
 }
 
-// leader returns the index of the member that reports itself as the leader, or -1 if none does within its 200 ms.
+// leader returns the index of the member that reports itself as the leader, or -1 if none does. Each member has 200 ms to answer.
 func (r *rulesRig) leader() int {
 	for i, addr := range r.g.Client.Addrs {
 		ctx, cancel := context.WithTimeout(context.Background(), 200*time.Millisecond)
