--- a/internal/testkit/benchmarks/fleet.go
+++ b/internal/testkit/benchmarks/fleet.go
@@ -17,7 +17,7 @@
 	"silverpath/internal/transport/client"
 )
 
-// Fleet is twelve servers, each with a machine of its own, behind two routers.
+// Fleet is a set of servers, each with its own interpreter, behind a set of routers.
 type Fleet struct {
 	bin, dir string
 	site     Site
@@ -28,8 +28,8 @@
 	Routers  []*Process
 	edge     func(dir string) string
 	outs     sync.Mutex
-	out      int // servers that are out, and the most at once
-	mostOut  int
+	out      int // servers that are down
+	mostOut  int // the most servers that were down at once
 }
 
 const (
@@ -38,19 +38,21 @@
 	cellEdge   = `{"cell":true}`
 )
 
-// ServerRate is what one of the fleet's servers can run in a second.
+// ServerRate returns the requests per second that one server of the fleet can run.
 func ServerRate() float64 { return fleetCores / fleetWork.Seconds() }
 
-// NewFleet starts a fleet whose servers are spread over the cells, in turn, and whose tenants live where the map has them.
+// NewFleet starts a fleet whose servers are assigned to the cells in turn. The homes of the tenants are those
+// in tenants. On an error it returns the part of the fleet that was started.
 func NewFleet(bin, dir string, servers, routers int, cellNames []string, tenants []cells.Tenant) (*Fleet, error) {
 	return NewFleetWith(bin, dir, servers, routers, cellNames, tenants, func(string) string { return cellEdge })
 }
 
-// NewFleetWith starts one whose servers have edge files by their folders.
+// NewFleetWith is NewFleet with an edge file for each server: edge returns its contents for the server's
+// directory.
 func NewFleetWith(bin, dir string, servers, routers int, cellNames []string, tenants []cells.Tenant, edge func(dir string) string) (*Fleet, error) {
 	f := &Fleet{bin: bin, dir: dir, edge: edge, MapFile: filepath.Join(dir, "cells.json")}
 	var list []string
-	for _, t := range tenants { // a server's part of what its tenants have agreed on, with as much again to spare
+	for _, t := range tenants { // twice a server's part of the tenants' agreed rates
 		list = append(list, fmt.Sprintf(`{"name":%q,"allowance_per_s":%g}`, t.Name, 2*t.Rate*float64(len(cellNames))/float64(servers)))
 	}
 	f.site = Site{Cores: fleetCores, MemoryKB: 65536, ProcMB: 64, Sockets: 512, Tenants: "[" + strings.Join(list, ",") + "]"}
@@ -93,27 +95,28 @@
 		}
 		f.Routers = append(f.Routers, p)
 	}
-	time.Sleep(time.Second) // until the routers know all servers
+	time.Sleep(time.Second) // until the routers have checked all servers
 	return f, nil
 }
 
-// sub returns a folder of the fleet's own.
+// sub creates a directory below the fleet's directory and returns its path.
 func (f *Fleet) sub(name string) string {
 	dir := filepath.Join(f.dir, name)
 	if err := os.MkdirAll(dir, 0o700); err != nil {
-		panic(err) // the folder above it is the test's own
+		panic(err) // the parent directory belongs to the test, so this is a fault of the test
 	}
 	return dir
 }
 
-// Restart kills a server and has it come back cold, after a while, under its name and address.
+// Restart kills a server and starts it again after a delay. It is then cold and has the same platform and
+// management addresses.
 func (f *Fleet) Restart(n int, after time.Duration) error {
 	f.enter(1)
 	defer f.enter(-1)
 	return f.restartAt(n, after)
 }
 
-// restartAt starts a server anew at all of its addresses.
+// restartAt is Restart without the count of servers that are down.
 func (f *Fleet) restartAt(n int, after time.Duration) error {
 	old := f.Servers[n]
 	old.Kill()
@@ -128,7 +131,7 @@
 	return err
 }
 
-// enter counts those that are out.
+// enter adds n to the count of servers that are down and updates its maximum.
 func (f *Fleet) enter(n int) {
 	f.outs.Lock()
 	defer f.outs.Unlock()
@@ -136,7 +139,7 @@
 	f.mostOut = max(f.mostOut, f.out)
 }
 
-// Stop ends the fleet.
+// Stop kills all processes of the fleet and closes the interpreters.
 func (f *Fleet) Stop() {
 	for _, p := range append(f.Routers, f.Servers...) {
 		p.Kill()
@@ -146,7 +149,8 @@
 	}
 }
 
-// Twice counts sheets that ran more than once, on whatever machines.
+// Twice returns how many requests with an idempotency key (class oddaja) ran more than once over all
+// interpreters, and how many ran at all.
 func (f *Fleet) Twice() (twice, ran int) {
 	all := map[string]int{}
 	for _, i := range f.Machines {
@@ -164,28 +168,29 @@
 	return twice, len(all)
 }
 
-// TenantLoad is what one tenant sends.
+// TenantLoad is the open-loop load of one tenant.
 type TenantLoad struct {
 	Tenant string
 	Rate   float64
 	For    time.Duration
 }
 
-// TenantResult is what came of it.
+// TenantResult counts the outcomes of one tenant's load.
 type TenantResult struct {
 	mu                          sync.Mutex
 	Worth, Asked                float64
 	Sent, Served                int
 	Refused, Failed, Lost       int
-	Repeats, Same, Missed, Gone int // repeats of served sheets: the same answer; another one or a refusal; a failure
+	Repeats, Same, Missed, Gone int // repeats of served requests: all, same answer, another answer or refusal, failed
 	Times                       *hdrhistogram.Histogram
 }
 
-// Share is the part of the worth that was served in time.
+// Share returns the fraction of the worth that was served in time.
 func (r *TenantResult) Share() float64 { return r.Worth / max(1, r.Asked) }
 
-// Run sends every tenant's load by the clock, each request by the next router or server in turn, and where repeats are
-// asked for sends every served sheet again at some time within its window, by either.
+// Run sends the load of every tenant, each request over a random connection to one of the given processes. If
+// repeats is set, each served request with an idempotency key is sent again over another random connection,
+// after up to 12 s, which is within its key window.
 func (f *Fleet) Run(to []*Process, loads []TenantLoad, repeats bool, seed uint64) (map[string]*TenantResult, error) {
 	results := map[string]*TenantResult{}
 	var wg sync.WaitGroup
@@ -218,7 +223,7 @@
 	return results, nil
 }
 
-// answer waits for a reply, in bounds.
+// answer waits for a reply for at most patience plus 2 s and reports whether one came.
 func answer(reply <-chan client.Reply) (client.Reply, bool) {
 	select {
 	case a, ok := <-reply:
@@ -228,6 +233,8 @@
 	}
 }
 
+// one sends one request and counts its outcome. If repeats is set and a request with an idempotency key was
+// served, it sends the request again over the connection other after the delay later.
 func (r *TenantResult) one(c, other *client.Conn, q client.Request, s Share, at time.Time, later time.Duration, repeats bool) { //nolint:cyclop // one measurement from top to bottom; its split is in docs/ROADMAP.md
 	a, ok := answer(c.Do(q))
 	took := time.Since(at)
--- a/internal/testkit/benchmarks/lab.go
+++ b/internal/testkit/benchmarks/lab.go
@@ -1,6 +1,7 @@
-// Package benchmarks measures whole processes on loopback: the service as a process of its own, a stand-in interpreter whose
-// point of collapse only the lab knows, and a load that sends by the clock whatever becomes of it. It is no part of
-// the service; its benchmarks print the tables that docs/results keeps.
+// Package benchmarks measures whole processes on loopback: the service in a separate process, a stand-in
+// interpreter whose point of collapse the service does not know, and an open-loop load that sends at
+// scheduled times regardless of earlier answers. It is not part of the service. Its benchmarks print the
+// tables kept in docs/results.
 package benchmarks
 
 import (
@@ -24,17 +25,17 @@
 	"silverpath/internal/transport/client"
 )
 
-// Site is what the service is told of its place, beside the addresses.
+// Site describes the machine that the service is configured for, apart from its addresses.
 type Site struct {
 	Cores    int
-	MemoryKB float64 // of the interpreter
-	ProcMB   float64 // of the service
+	MemoryKB float64 // memory of the interpreter
+	ProcMB   float64 // memory limit of the service process
 	Sockets  int
-	Mgmt     string // where operators call; empty: anywhere
-	Tenants  string // the settings' tenants, as JSON; empty: none
+	Mgmt     string // management address; empty for any free port
+	Tenants  string // JSON array of tenants for the settings; empty for none
 }
 
-// config is the service's configuration at a site.
+// config returns the service's configuration file for the site, with vm as the interpreter's address.
 func (s Site) config(vm string) string {
 	class := func(name string, worth int, effect string) string {
 		return fmt.Sprintf(`{"name":%q,"target":1800000,"deadline":4400000,"worth":%d,"late_worth":0,%s}`, name, worth, effect)
@@ -59,30 +60,31 @@
 		class("oddaja", 3, `"effect":"token","memory_span":13170000`), s.Cores, s.MemoryKB, tenants)
 }
 
-// Build builds the service and returns the program.
+// Build compiles the service into dir and returns the path of the binary.
 func Build(dir string) (string, error) {
 	bin := filepath.Join(dir, "silverpath")
 	out, err := exec.Command("go", "build", "-o", bin, "silverpath/cmd/silverpath").CombinedOutput()
 	if err != nil {
-		return "", fmt.Errorf("building the service: %w\n%s", err, out)
+		return "", fmt.Errorf("failed to build the service: %w\n%s", err, out)
 	}
 	return bin, nil
 }
 
-// Process is a running service.
+// Process is a running service or router process with the addresses that it has logged.
 type Process struct {
 	*harness.Process
 	Platform, SCGI, Mgmt string
-	edge                 string             // its edge file, empty for none
-	old                  []*harness.Process // starts of it before this one
+	edge                 string             // path of its edge file; empty for none
+	old                  []*harness.Process // earlier processes of the same service
 }
 
-// Start starts the service at a site, with an edge file of the given text where that is not empty.
+// Start starts the service for a site and waits until it serves. If edge is not empty, it is written to an
+// edge file that the service reads. The further arguments are passed to the command.
 func Start(bin, dir string, s Site, vm, edge string, more ...string) (*Process, error) {
 	return start(bin, dir, "serve", s, vm, edge, more...)
 }
 
-// Route starts a router with an edge file of the given text.
+// Route starts a router with the given edge file contents and waits until it serves.
 func Route(bin, dir string, s Site, edge string) (*Process, error) {
 	return start(bin, dir, "route", s, "", edge)
 }
@@ -108,16 +110,16 @@
 	p.edge = edgeFile
 	if _, err := p.Await(comeUp, 0, "phase serving"); err != nil {
 		p.Kill()
-		return nil, fmt.Errorf("the service did not come up: %w", err)
+		return nil, fmt.Errorf("service not serving after start: %w", err)
 	}
 	p.found()
 	return p, nil
 }
 
-// comeUp is how long a service may take to serve.
+// comeUp is how long a process may take to reach the awaited log line after its start.
 const comeUp = 30 * time.Second
 
-// launch starts a process and follows its log.
+// launch starts a process and collects its log.
 func launch(cmd *exec.Cmd) (*Process, error) {
 	h, err := harness.Start(cmd)
 	if err != nil {
@@ -126,7 +128,7 @@
 	return &Process{Process: h}, nil
 }
 
-// found takes the addresses that the log has by now.
+// found reads the listening addresses from the log written so far.
 func (p *Process) found() {
 	for _, line := range strings.Split(p.Log(), "\n") {
 		for name, at := range map[string]*string{"msgpack": &p.Platform, "scgi": &p.SCGI, "mgmt": &p.Mgmt} {
@@ -137,7 +139,7 @@
 	}
 }
 
-// Reload replaces the edge file and has it read.
+// Reload replaces the edge file and sends SIGHUP so that the process reads it.
 func (p *Process) Reload(edge string) error {
 	if err := os.WriteFile(p.edge, []byte(edge), 0o600); err != nil {
 		return err
@@ -147,7 +149,8 @@
 
 var counter = regexp.MustCompile(`(?m)^counter (\S+) (\d+)$`)
 
-// Stop has the service drain and returns its counters; an error where it did not leave cleanly.
+// Stop drains the service and returns the counters that it logs at exit, with an error if the exit was not
+// clean.
 func (p *Process) Stop() (map[string]int, error) {
 	err := p.Process.Leave()
 	all := map[string]int{}
@@ -159,17 +162,17 @@
 
 // ---- The load ----
 
-// Share is one class's part of the load.
+// Share is one class's fraction of the load and the worth of one of its requests.
 type Share struct {
 	Class string
 	Part  float64
 	Worth float64
 }
 
-// Shares are those of the operators' site.
+// Shares is the class mix of the operators' site.
 var Shares = []Share{{"lestvica", 0.36, 1}, {"krog", 0.34, 2}, {"oddaja", 0.30, 3}}
 
-// draw draws a class by the shares.
+// draw picks a class at random, weighted by Shares.
 func draw(rng *rand.Rand) Share {
 	pick := rng.Float64()
 	for _, s := range Shares[:len(Shares)-1] {
@@ -181,7 +184,8 @@
 	return Shares[len(Shares)-1]
 }
 
-// arrivals calls with every request of an open load, at its time whatever becomes of those before: Poisson, by the shares.
+// arrivals generates an open-loop load of duration d: Poisson arrivals at rate per second, with classes drawn
+// from Shares. It calls one at the time of each arrival, regardless of the state of earlier requests.
 func arrivals(rng *rand.Rand, rate float64, d time.Duration, one func(rng *rand.Rand, seq int, s Share, at time.Time)) {
 	began, due := time.Now(), 0.0
 	for seq := 0; ; seq++ {
@@ -198,29 +202,29 @@
 const (
 	aim      = 1800 * time.Millisecond
 	patience = 4400 * time.Millisecond
-	slack    = 130 * time.Millisecond // of the rules, by which an answer may be later than its due time
-	peers    = 8                      // connections that carry the load
+	slack    = 130 * time.Millisecond // how long after its deadline the rules allow an answer
+	peers    = 8                      // connections that the load is spread over
 )
 
-// Load sends requests by the clock.
+// Load is an open-loop load on one service.
 type Load struct {
-	Rate   float64 // a second
+	Rate   float64 // requests per second
 	For    time.Duration
 	HeldKB float64
 	Seed   uint64
 }
 
-// Result is what came of a load.
+// Result counts the outcomes of a load.
 type Result struct {
 	mu                      sync.Mutex
 	Sent, Served, Late      int
 	Refused, Failed, Lost   int
-	ToldLate                int // refused over 100 ms after sending
+	ToldLate                int // requests refused more than 100 ms after sending
 	Worth, Asked            float64
-	Refusals, Cheap         *hdrhistogram.Histogram // microseconds
+	Refusals, Cheap         *hdrhistogram.Histogram // latencies in microseconds
 	CheapLost, CheapWrong   int
 	Repeats, RepeatsRefused int
-	Broken                  []string          // rules
+	Broken                  []string          // violations of the rules, one text each
 	ByClass                 map[string][2]int // served in time, sent
 }
 
@@ -229,12 +233,13 @@
 	return &Result{Refusals: h(), Cheap: h(), ByClass: map[string][2]int{}}
 }
 
-// At is a quantile of a histogram of microseconds.
+// At returns a percentile (0 to 100) of a histogram of microseconds.
 func At(h *hdrhistogram.Histogram, q float64) time.Duration {
 	return time.Duration(h.ValueAtQuantile(q)) * time.Microsecond
 }
 
-// Run sends a load at a service and an interpreter, with cheap calls beside it, and waits for the last answer.
+// Run sends the load to a service and its interpreter, with cheap calls in parallel, and waits for the last
+// answer. A request with an idempotency key (class oddaja) that ran more than once is a violation.
 func (l Load) Run(p *Process, i *builtinworker.Interpreter) (*Result, error) {
 	res := newResult()
 	var conns []*client.Conn
@@ -271,13 +276,14 @@
 	wg.Wait()
 	for body, n := range i.Runs() {
 		if n > 1 && strings.HasPrefix(body, "oddaja") {
-			res.Broken = append(res.Broken, fmt.Sprintf("%s ran %d times", body, n))
+			res.Broken = append(res.Broken, fmt.Sprintf("%s was run %d times", body, n))
 		}
 	}
 	return res, nil
 }
 
-// one sends one request and counts its answer.
+// one sends one request, counts its outcome and reports whether it was served. It reports a missing answer,
+// or one later than patience plus slack, as a violation.
 func (l Load) one(c *client.Conn, i *builtinworker.Interpreter, q client.Request, s Share, at time.Time, res *Result) (served bool) {
 	i.Read(q.ID, q.MemoryKB)
 	defer i.Release(q.ID)
@@ -298,7 +304,7 @@
 	switch {
 	case !answered:
 		res.Lost++
-		res.Broken = append(res.Broken, fmt.Sprintf("%s %s had no answer", s.Class, q.ID))
+		res.Broken = append(res.Broken, fmt.Sprintf("%s %s was not answered", s.Class, q.ID))
 	case took > patience+slack:
 		res.Broken = append(res.Broken, fmt.Sprintf("%s %s was answered after %v", s.Class, q.ID, took))
 	case a.Outcome == "served" && time.Since(at) <= aim:
@@ -320,7 +326,8 @@
 	return a.Outcome == "served"
 }
 
-// repeat sends an answer sheet again. One whose first try was served is cheap: the result is kept.
+// repeat sends a request with an idempotency key a second time. If the first attempt was served, the repeat
+// is cheap, because the service has stored the result.
 func (l Load) repeat(c *client.Conn, q client.Request, kept bool, res *Result) {
 	q.ID = ""
 	first := string(q.Body)
@@ -335,15 +342,16 @@
 	case a.Outcome == "refused":
 		res.RepeatsRefused++
 	case a.Outcome == "served" && !strings.HasPrefix(string(a.Body), "oddaja: "+first+" "):
-		res.Broken = append(res.Broken, fmt.Sprintf("a repeat of %s got %q", first, a.Body))
+		res.Broken = append(res.Broken, fmt.Sprintf("repeat of %s was answered with %q", first, a.Body))
 	case a.Outcome == "served":
-		if kept { // else it had to run first
+		if kept { // otherwise the request had to run first
 			_ = res.Cheap.RecordValue(time.Since(intended).Microseconds())
 		}
 	}
 }
 
-// cheap asks what is cheap, by the clock: health checks on connections of their own, status requests on both fronts.
+// cheap sends calls that need no run of the interpreter, one every 20 ms until stop is closed: health checks
+// on new connections and, if there is an edge file, status requests on the SCGI front.
 func (l Load) cheap(p *Process, res *Result, stop <-chan struct{}) {
 	var wg sync.WaitGroup
 	defer wg.Wait()
@@ -380,7 +388,7 @@
 	}
 }
 
-// probe is a health check on a connection of its own.
+// probe makes a health check on a new connection and reports whether it was served.
 func probe(addr string) (bool, error) {
 	c, err := client.Dial(addr)
 	if err != nil {
--- a/internal/testkit/benchmarks/scale.go
+++ b/internal/testkit/benchmarks/scale.go
@@ -36,9 +36,10 @@
 	"silverpath/internal/transport/client"
 )
 
-// Scale measures what each role costs by what it grows with: real processes, beside hollow ones that share a process of the system, so that
-// their processor time is not the lab's. Results go to docs/results/scale.json, or where SILVERPATH_SCALE says; a series that is
-// measured anew takes the place of the one before.
+// Scale measures the cost of each role as a function of the quantities that it depends on. It runs real
+// processes, with hollow ones in separate operating system processes so that their processor time is not
+// counted as that of the benchmark. Results are written to docs/results/scale.json, or to the file named by
+// SILVERPATH_SCALE. A series that is measured again replaces the previous one.
 func Scale(b *testing.B) {
 	s, err := newScale(b)
 	if err != nil {
@@ -65,7 +66,7 @@
 	} {
 		b.Run(part.name, func(b *testing.B) {
 			if b.N > 1 {
-				return // it was measured
+				return // a part is measured once, whatever b.N is
 			}
 			s.b = b
 			began := time.Now()
@@ -78,7 +79,7 @@
 			}
 		})
 	}
-	b.Run("page", func(b *testing.B) { // the causes and the tables anew, of what is there
+	b.Run("page", func(b *testing.B) { // rewrites the causes and the tables from the stored results
 		if err := s.write(); err != nil {
 			b.Error(err)
 		}
@@ -92,18 +93,18 @@
 	file    string
 	res     *capacity.Results
 	plays   int
-	rest    time.Duration // before a stretch is measured
+	rest    time.Duration // pause before a measurement starts
 	stretch time.Duration
-	small   int // sizes are divided by it: trials
+	small   int // divisor of the sizes, for trial runs
 	series  map[string]*capacity.Series
-	steps   map[string]bool // of the series of this run
-	version int             // of the maps
+	steps   map[string]bool // names of the series measured in this run
+	version int             // of the latest cell map
 }
 
 const (
 	scaleLease = 3 * time.Second
-	scaleCheck = 500 * time.Millisecond // between two health checks: the program's own, where nothing else is set
-	scaleMB    = 2048                   // the processes' limit, wide: it is the program's need that is read
+	scaleCheck = 500 * time.Millisecond // between two health checks; the default of the router
+	scaleMB    = 2048                   // memory limit of the processes, wide so that it does not affect the measured use
 )
 
 func newScale(b *testing.B) (*scale, error) {
@@ -130,7 +131,8 @@
 	return s, nil
 }
 
-// program is the commit that the measured program was built of.
+// program returns the short commit hash that the measured binary was built from, and whether there were local
+// changes.
 func (s *scale) program() string {
 	info, err := buildinfo.ReadFile(s.bin)
 	if err != nil {
@@ -148,7 +150,7 @@
 	return said + dirty
 }
 
-// scaleMachine is what it ran on.
+// scaleMachine describes the machine that the benchmark runs on.
 func scaleMachine() string {
 	model := "unknown"
 	if text, err := os.ReadFile("/proc/cpuinfo"); err == nil {
@@ -168,7 +170,7 @@
 	return fmt.Sprintf("%d processors (%s), %.0f GB, all on loopback", runtime.NumCPU(), model, gb)
 }
 
-// of divides sizes for a trial.
+// of returns the sizes divided by s.small, at least 1 and without duplicates.
 func (s *scale) of(sizes ...int) (list []int) {
 	for _, n := range sizes {
 		if n = max(1, n/s.small); len(list) == 0 || n > list[len(list)-1] {
@@ -178,7 +180,8 @@
 	return list
 }
 
-// add notes a value at a size.
+// add appends a value to the named series at a size. The name is ROLE.FIGURE.VARIES, with further words
+// allowed. The first value of a run replaces the stored series. NaN and infinite values are dropped.
 func (s *scale) add(name, unit, of string, fixed map[string]float64, at, value float64) {
 	if math.IsNaN(value) || math.IsInf(value, 0) {
 		return
@@ -205,7 +208,7 @@
 	})
 }
 
-// write fits what there is, and writes the data and, where there is a page beside it, its tables.
+// write fits a curve to each series, writes the results and, if the Markdown page exists, its tables.
 func (s *scale) write() error {
 	s.res.Command = "go test -run '^$' -bench Scale -benchtime 1x -timeout 30m ./internal/testkit/benchmarks/"
 	if len(s.steps) > 0 {
@@ -214,7 +217,7 @@
 	s.res.Series = nil
 	for _, x := range s.series {
 		x.Fit = nil
-		if x.Unit != "%" && x.Unit != "1" { // shares and counts of each are no slopes
+		if x.Unit != "%" && x.Unit != "1" { // percentages and counts per item have no slope
 			x.Fit = bestFit(x.Points)
 		}
 		if x.Fit != nil && !x.Fit.Believed() {
@@ -248,7 +251,7 @@
 	return os.WriteFile(page, []byte(next), 0o644)
 }
 
-// compact has the numbers of a list on one line.
+// compact joins the lines of each "values" list of indented JSON into one line.
 func compact(text []byte) []byte {
 	var b bytes.Buffer
 	depth := 0
@@ -275,8 +278,9 @@
 	return b.Bytes()
 }
 
-// bestFit is a line of the first or the second power, whichever is nearer to the sizes that it is fitted to: the size that it is held
-// against has no say in it.
+// bestFit returns the linear or the quadratic fit, whichever has the smaller squared error at the sizes that
+// it is fitted to. The size that the fit is checked against does not count. It returns nil if no fit is
+// possible.
 func bestFit(points []capacity.Point) (best *capacity.Fit) {
 	least := math.Inf(1)
 	for _, power := range []float64{1, 2} {
@@ -290,7 +294,7 @@
 				off += math.Pow(f.Value(p.At)-p.Median(), 2)
 			}
 		}
-		if off < least/2 { // the square has to be the better one by half
+		if off < least/2 { // prefer the linear fit unless the quadratic one halves the error
 			best, least = f, off
 		}
 	}
@@ -300,18 +304,18 @@
 	return best
 }
 
-// ---- What is read ----
+// ---- Process measurements ----
 
-// usage is what a process has used so far.
+// usage is a snapshot of the resources that a process has used since its start.
 type usage struct {
 	cpu      time.Duration
-	in, out  float64 // bytes by its reads and writes, of connections and files
-	writes   float64
+	in, out  float64 // bytes read and written, on connections and files
+	writes   float64 // write system calls
 	resident float64 // MB
 	at       time.Time
 }
 
-// usageOf reads what a process has used, in nanoseconds where the system tells them.
+// usageOf reads the usage of a process from /proc, with processor time in nanoseconds.
 func usageOf(pid int) (u usage) {
 	u.at = time.Now()
 	tasks, _ := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", pid))
@@ -346,13 +350,13 @@
 	return u
 }
 
-// since is what was used since then, a second; resident memory as it is now.
+// since returns the use per second between two snapshots of a process.
 func (u usage) since(was usage) (cpu, inKB, outKB, writes float64) {
 	d := u.at.Sub(was.at).Seconds()
 	return (u.cpu - was.cpu).Seconds() / d, (u.in - was.in) / d / 1024, (u.out - was.out) / d / 1024, (u.writes - was.writes) / d
 }
 
-// used measures some processes over a stretch.
+// used takes snapshots of some processes at the start and the end of a measurement of length s.stretch.
 func (s *scale) used(pids ...int) (was, now []usage) {
 	for _, p := range pids {
 		was = append(was, usageOf(p))
@@ -364,8 +368,9 @@
 	return was, now
 }
 
-// connectionsOf are the ports that have been connected with an address of loopback of late, and whether they still are. A connection that
-// ended is known to the system for a minute, at whichever end closed it first.
+// connectionsOf returns the peer addresses of connections with a loopback address, each with whether it is
+// still established. The system keeps a closed connection in TIME_WAIT for a minute, at the end that closed
+// it first.
 func connectionsOf(addr string) map[string]bool {
 	all := map[string]bool{}
 	_, port, _ := net.SplitHostPort(addr)
@@ -374,7 +379,7 @@
 	text, _ := os.ReadFile("/proc/net/tcp")
 	for line := range strings.Lines(string(text)) {
 		f := strings.Fields(line)
-		if len(f) < 4 || f[3] == "0A" { // it listens
+		if len(f) < 4 || f[3] == "0A" { // the listening socket itself
 			continue
 		}
 		switch {
@@ -387,7 +392,8 @@
 	return all
 }
 
-// allocations are the objects that a process with a status has allocated. A status of over 64 KB is not to be had: NaN, which is noted nowhere.
+// allocations returns the number of objects that a process has allocated, from its status. If the status
+// cannot be read, as when it exceeds 64 KB, it returns NaN, which add drops.
 func allocations(p *Process) float64 {
 	var st struct{ Allocations float64 }
 	if body, err := client.Status(client.Platform, p.Platform); err != nil || json.Unmarshal(body, &st) != nil {
@@ -396,11 +402,11 @@
 	return st.Allocations
 }
 
-// ---- Hollow processes, in a process of the system of their own ----
+// ---- Hollow processes, in a separate operating system process ----
 
 const asHollow = "SILVERPATH_HOLLOW"
 
-// herd is some hollow processes of one kind.
+// herd describes hollow processes of one kind that run in one operating system process.
 type herd struct {
 	Kind     string // servers, routers, callers, followers
 	N, First int
@@ -410,10 +416,11 @@
 	Docs     []string
 	To       string
 	Cold     bool
-	Restarts float64 // a minute, of one of them at a time
+	Restarts float64 // per minute, one member at a time
 }
 
-// RunHollow runs hollow processes where the environment asks for them, and reports whether it did.
+// RunHollow runs the hollow processes described in the environment variable SILVERPATH_HOLLOW until standard
+// input ends, and reports whether the variable was set. If they fail, it exits with status 1.
 func RunHollow() bool {
 	text := os.Getenv(asHollow)
 	if text == "" {
@@ -431,9 +438,10 @@
 	return true
 }
 
-// member is one of a herd.
+// herdMember is one hollow process of a herd.
 type herdMember interface{ Close() }
 
+// start starts the hollow process with index i.
 func (h herd) start(i int, site settings.Config) (m herdMember, err error) {
 	n := h.First + i
 	name := fmt.Sprintf("%s%d", h.Kind, n)
@@ -441,7 +449,7 @@
 	var g *quorum.Client
 	if len(h.Members) > 0 {
 		g = &quorum.Client{Group: "test", Addrs: slices.Clone(h.Members)}
-		k := n % len(h.Members) // they don't all ask the same one first
+		k := n % len(h.Members) // spread the first calls over the members
 		g.Addrs = append(g.Addrs[k:], g.Addrs[:k]...)
 	}
 	switch h.Kind {
@@ -455,12 +463,14 @@
 	case "followers":
 		return hollow.NewFollower(hollow.FollowerConfig{Name: name, Group: g, Docs: h.Docs, Site: site.Server, OnApplied: took})
 	}
-	return nil, fmt.Errorf("no such kind: %q", h.Kind)
+	return nil, fmt.Errorf("unknown kind of hollow process: %q", h.Kind)
 }
 
+// mostJoin limits the start of a hollow router and one change of a document.
 const mostJoin = 20 * time.Second
 
-// run starts them, answers what is asked of them on the standard input, and ends with that.
+// run starts the hollow processes. For each line of standard input it logs their traffic with the text of the
+// line, and it returns when standard input ends.
 func (h herd) run() error {
 	site, err := hollow.Site(Site{Cores: 256, MemoryKB: 1 << 20, ProcMB: scaleMB, Sockets: 4096}.config("127.0.0.1:1"))
 	if err != nil {
@@ -474,7 +484,7 @@
 		if s, ok := all[i].(*hollow.Server); ok {
 			fmt.Fprintln(os.Stderr, "hollow listening", s.Addr)
 		}
-		if h.Kind == "followers" { // they come one after the other, as processes of a fleet do
+		if h.Kind == "followers" { // spread the starts over a second, as in a fleet
 			time.Sleep(time.Second / time.Duration(h.N))
 		}
 	}
@@ -512,7 +522,7 @@
 	return nil
 }
 
-// herded is a herd that runs.
+// herded is the operating system process that runs a herd.
 type herded struct {
 	*harness.Process
 	in    io.WriteCloser
@@ -520,6 +530,8 @@
 	Addrs []string
 }
 
+// startHerd runs a herd in a new process of this test binary and waits until its hollow processes have
+// started.
 func startHerd(h herd) (*herded, error) {
 	exe, err := os.Executable()
 	if err != nil {
@@ -552,7 +564,8 @@
 	return x, nil
 }
 
-// traffic is what the herd's connections have carried so far.
+// traffic returns the sum of the herd's connection counters. It is zero if the herd does not answer within 10
+// s.
 func (x *herded) traffic() (c hollow.Count) {
 	x.asked++
 	from := x.Lines()
@@ -564,7 +577,7 @@
 	return c
 }
 
-// took are the times at which the herd's processes took a document, from a line of its log on.
+// took returns the times at which the herd's processes applied a document, from line number from of its log.
 func (x *herded) took(from int, doc string) (list []time.Time) {
 	lines := strings.Split(x.Log(), "\n")
 	for _, line := range lines[min(from, len(lines)):] {
@@ -578,9 +591,10 @@
 	return list
 }
 
-// ---- A map, and a group, of a size ----
+// ---- Cell maps and quorum groups of a given size ----
 
-// scaleMap is a map of servers at addresses, in zones, and tenants that live in these in turn.
+// scaleMap returns a cell map with one server per address and with tenants. Servers and tenants are assigned
+// to the zones, which are the cells, in turn.
 func scaleMap(addrs []string, zones, tenants int) *cells.Map {
 	m := &cells.Map{Version: 1, KeyWindow: 13170 * time.Millisecond, MaxClockSkew: 500 * time.Millisecond, Lease: 5 * time.Second, CallerTimeout: patience}
 	for z := range zones {
@@ -595,7 +609,7 @@
 	return m
 }
 
-// places are addresses of servers that are only named.
+// places returns n server addresses at which nothing listens.
 func places(n int) (list []string) {
 	for i := range n {
 		list = append(list, hollow.IP(0, i+1)+":7000")
@@ -607,16 +621,16 @@
 	return Site{Cores: 256, MemoryKB: 1 << 20, ProcMB: scaleMB, Sockets: 4096}
 }
 
-// dir is a folder of its own.
+// dir creates a directory and returns its path.
 func (s *scale) dir() string {
 	dir, err := os.MkdirTemp(s.b.TempDir(), "")
 	if err != nil {
-		panic(err) // the folder above it is the benchmark's own
+		panic(err) // the parent directory belongs to the benchmark, so this is a fault of the benchmark
 	}
 	return dir
 }
 
-// route starts a router with the map in a file, and says how long it took to be ready.
+// route starts a router with the cell map in a file and returns how long it took to serve.
 func (s *scale) route(m *cells.Map) (*Process, time.Duration, error) {
 	dir := s.dir()
 	file := filepath.Join(dir, "cells.json")
@@ -628,14 +642,15 @@
 	return p, time.Since(began), err
 }
 
-// agreedOn is a group with documents.
+// agreedOn is a running quorum group with the versions of its active documents.
 type agreedOn struct {
 	*harness.Group
 	leader int
-	addrs  []string // of the members themselves: who asks there does not go through the lab
+	addrs  []string // listening addresses of the members, which bypass the harness's proxies
 	doc    map[string]int
 }
 
+// group starts a quorum of three members and activates the given documents.
 func (s *scale) group(docs map[string]string) (*agreedOn, error) {
 	g, err := harness.NewGroup(s.dir(), 3, lease.Terms{TTL: scaleLease, Drift: 0.05}, 50*time.Millisecond, starter(s.bin))
 	a := &agreedOn{Group: g, doc: map[string]int{}}
@@ -664,7 +679,7 @@
 	return a, nil
 }
 
-// change puts a document as the command does, and says when that was.
+// change proposes a document as the command line does and returns the time of the proposal.
 func (g *agreedOn) change(doc, text string) (at time.Time, err error) {
 	text, format, err := settings.ExtractDocument(doc, []byte(text))
 	if err != nil {
@@ -681,7 +696,7 @@
 	return at, err
 }
 
-// inForce waits until no change of a document is under way.
+// inForce waits until a document is active and has no proposed version.
 func (g *agreedOn) inForce(doc string, within time.Duration) error {
 	ctx, cancel := context.WithTimeout(context.Background(), within)
 	defer cancel()
@@ -695,22 +710,24 @@
 		}
 		select {
 		case <-ctx.Done():
-			return fmt.Errorf("%s is not in force after %v: %w", doc, within, err)
+			return fmt.Errorf("document %s is not active after %v: %w", doc, within, err)
 		case <-time.After(20 * time.Millisecond):
 		}
 	}
 }
 
-// scaleDocs are the documents at first, and texts that differ from the one before by a count.
+// scaleDocs returns the initial documents of a group, with a cell map of four servers.
 func scaleDocs(tenants int) map[string]string {
 	return map[string]string{
 		configstore.DocMap: string(settings.FormatCells(scaleMap(places(4), 1, tenants))), configstore.DocRouting: routingText(0), configstore.DocClasses: classesText(0),
 	}
 }
 
+// routingText returns a routing document whose retry ratio depends on n, so that consecutive texts differ.
 func routingText(n int) string { return fmt.Sprintf(`{"retries":0.%03d,"probe_ms":500}`, n%900+100) }
 
-// classesText has a class more or less, which excludes the one before.
+// classesText returns a classes document with n%5+1 extra classes, so that consecutive texts differ in their
+// classes.
 func classesText(n int) string {
 	text := `{"classes":[`
 	for _, c := range []string{`"lestvica","worth":1,"effect":"pure"`, `"krog","worth":2,"effect":"pure"`, `"oddaja","worth":3,"effect":"token","memory_span":13170000`} {
@@ -722,7 +739,7 @@
 	return strings.TrimSuffix(text, ",") + "]}"
 }
 
-// quantiles are the middle, the 99th of a hundred and the last of some times.
+// quantiles returns the median, the 99th percentile and the maximum of a list, or NaN if it is empty.
 func quantiles(list []float64) (p50, p99, worst float64) {
 	if len(list) == 0 {
 		return math.NaN(), math.NaN(), math.NaN()
--- a/internal/testkit/benchmarks/scale_test.go
+++ b/internal/testkit/benchmarks/scale_test.go
@@ -10,7 +10,7 @@
 	"silverpath/internal/policy/capacity"
 )
 
-// The tables of the page are those that the data gives, and every slope that is off says why.
+// The tables of docs/results/scale.md match scale.json, and each fit that is off has a cause.
 func TestScalePage(t *testing.T) {
 	dir := filepath.Join("..", "..", "..", "docs", "results")
 	text, err := os.ReadFile(filepath.Join(dir, "scale.json"))
@@ -33,24 +33,24 @@
 		t.Error("docs/results/scale.md differs from scale.json: go test -run '^$' -bench Scale/page -benchtime 1x ./internal/testkit/benchmarks/")
 	}
 	if len(r.Series) == 0 {
-		t.Error("there is no series")
+		t.Error("scale.json has no series")
 	}
 	for _, x := range r.Series {
 		if words := strings.Split(x.Name, "."); len(words) < 3 || words[0] != x.Role || words[1] != x.Figure || words[2] != x.Varies {
-			t.Errorf("%s is %s, %s by %s", x.Name, x.Role, x.Figure, x.Varies)
+			t.Errorf("series %s: name does not match role %s, figure %s, varies %s", x.Name, x.Role, x.Figure, x.Varies)
 		}
 		if f := x.Fit; f != nil && !f.Believed() && f.Cause == "" {
-			t.Errorf("%s is off by %.0f%%, and nothing says why", x.Name, 100*f.Off)
+			t.Errorf("series %s is off by %.0f%% without a cause", x.Name, 100*f.Off)
 		}
 		for i, p := range x.Points {
 			if len(p.Values) == 0 || i > 0 && p.At <= x.Points[i-1].At {
-				t.Errorf("%s: points %v", x.Name, x.Points)
+				t.Errorf("series %s: points are empty or not ascending: %v", x.Name, x.Points)
 			}
 		}
 	}
 }
 
-// A line that is drawn through what grows by the square is not preferred to one of the second power, nor the other way round.
+// Linear data gets a linear fit, quadratic data a quadratic fit, and a single point gets none.
 func TestBestFit(t *testing.T) {
 	for _, power := range []float64{1, 2} {
 		var points []capacity.Point
@@ -62,10 +62,10 @@
 			points = append(points, capacity.Point{At: x, Values: []float64{v}})
 		}
 		if f := bestFit(points); f == nil || f.Power != power || !f.Believed() {
-			t.Errorf("of power %v: %+v", power, f)
+			t.Errorf("fit of data of power %v: %+v", power, f)
 		}
 	}
 	if f := bestFit([]capacity.Point{{At: 1, Values: []float64{1}}}); f != nil {
-		t.Errorf("a slope through one point: %+v", f)
+		t.Errorf("fit through one point is not nil: %+v", f)
 	}
 }
--- a/internal/testkit/benchmarks/scaledecide.go
+++ b/internal/testkit/benchmarks/scaledecide.go
@@ -17,20 +17,21 @@
 	"silverpath/internal/settings"
 )
 
-// The whole fleet, as it is to be.
+// Size of the whole fleet that the service is designed for.
 const (
 	scaleServers   = 930
 	scaleCallers   = 13000
 	scaleRoutes    = 17000
 	scaleTenants   = 21000
 	scaleZones     = 5
-	scaleFollowers = 1400 // servers and routers
+	scaleFollowers = 1400 // processes that follow documents: servers and routers
 )
 
-// each is how long something takes, in microseconds, and what it allocates, over a tenth of a second at least.
+// each returns the time of one call of f in microseconds and the objects that it allocates, averaged over at
+// least 3 calls and 60 ms.
 func each(f func()) (us, objects float64) {
 	f()
-	runtime.GC() // what was made ready for it is not its own
+	runtime.GC() // collect the garbage of the setup first, so that it does not count
 	var was, now runtime.MemStats
 	runtime.ReadMemStats(&was)
 	began, n := time.Now(), 0
@@ -43,7 +44,7 @@
 	return took.Seconds() * 1e6 / float64(n), float64(now.Mallocs-was.Mallocs) / float64(n)
 }
 
-// decisions times the decision code by itself, at sizes up to the whole fleet's.
+// decisions measures the decision code without processes, at sizes up to that of the whole fleet.
 func (s *scale) decisions() error {
 	for range s.plays {
 		for _, f := range []func() error{s.decideTenants, s.decideServers, s.decideCallers, s.decideFollowers} {
@@ -55,6 +56,7 @@
 	return nil
 }
 
+// decideTenants measures the code that handles a cell map, by the number of tenants.
 func (s *scale) decideTenants() error {
 	fixed := map[string]float64{"servers": scaleServers, "zones": scaleZones}
 	now := time.Now()
@@ -63,7 +65,7 @@
 		at := float64(n)
 		k := 0
 		us, objects := each(func() {
-			m.Route(now, m.Tenants[k%n].Name, "key") // any of them, so the search is half of them long
+			m.Route(now, m.Tenants[k%n].Name, "key") // spread over all tenants, so that a search covers half of them on average
 			k += 7919
 		})
 		s.add("router.route.tenants", "us", "simulated", fixed, at, us)
@@ -77,7 +79,7 @@
 		}
 		next.Version++
 		next.Tenants[0].Rate++
-		began := time.Now() // once: it grows by the square
+		began := time.Now() // measured once, because the time grows quadratically
 		if err := next.Follows(m, now); err != nil {
 			return err
 		}
@@ -99,7 +101,7 @@
 	return nil
 }
 
-// table is a router's knowledge of servers that are all well.
+// table returns a router's balancer of n healthy servers, and the names of the servers.
 func table(n int) (t *loadbalancer.Balancer, names []string) {
 	t = loadbalancer.New(loadbalancer.Config{Seed: 1, KeyWindow: 20 * time.Second})
 	weights := map[string]float64{}
@@ -114,6 +116,7 @@
 	return t, names
 }
 
+// decideServers measures the routing and health check code, by the number of servers and of zones.
 func (s *scale) decideServers() error {
 	fixed := map[string]float64{"tenants": 1000, "zones": scaleZones}
 	wall, now := time.Now(), time.Hour+time.Second
@@ -127,7 +130,7 @@
 			k += 7
 		})
 		s.add("router.route.servers", "us", "simulated", fixed, at, us)
-		if n == sizes[len(sizes)-1] { // the same fleet in fewer and in more zones
+		if n == sizes[len(sizes)-1] { // the whole fleet, with fewer and with more zones
 			for _, zones := range []int{1, 2, 5, 10, 20} {
 				x := scaleMap(places(n), zones, 1000)
 				us, _ := each(func() {
@@ -142,7 +145,7 @@
 		s.add("router.pick.servers", "us", "simulated", nil, at, us)
 		us, _ = each(func() { t.States(now) })
 		s.add("router.states.servers", "us", "simulated", nil, at, us)
-		us, _ = each(func() { // one round of health checks: each ends with a look at all
+		us, _ = each(func() { // one round of health checks, each of which ends with the states of all servers
 			for _, name := range names {
 				t.Answered(now, name, loadbalancer.Incarnation{Boot: 1, RanUntil: 1, Now: 2})
 				t.States(now)
@@ -155,8 +158,9 @@
 	return nil
 }
 
-// decideCallers is a cold server's sharing out. Beyond 1,024 callers who are known at once it gives no part: the cost stays, and who
-// came late is turned away.
+// decideCallers measures how a cold server grants its room, by the number of callers. The server knows at
+// most 1,024 callers at once. It grants nothing to further callers, so the cost does not grow beyond that
+// number.
 func (s *scale) decideCallers() error {
 	for _, n := range s.of(60, 120, 240, 480, 1000, scaleCallers) {
 		at := float64(n)
@@ -174,7 +178,7 @@
 			k++
 		})
 		more := ""
-		if n > 1024 { // no more are known at once, so it is no point of the slope
+		if n > 1024 { // the server knows at most 1,024 callers, so larger sizes are not part of the slope
 			more = ".beyond"
 		}
 		s.add("server.part.callers"+more, "us", "simulated", map[string]float64{"room": 400}, at, us)
@@ -183,7 +187,7 @@
 	return nil
 }
 
-// decideFollowers is the group's leader over those that use documents.
+// decideFollowers measures the code of a group's leader, by the number of processes that follow documents.
 func (s *scale) decideFollowers() error {
 	terms := lease.Terms{TTL: scaleLease, Drift: 0.05}
 	for _, n := range s.of(60, 120, 240, 465, 1000, scaleFollowers) {
@@ -203,7 +207,7 @@
 			}
 		}
 		s.add("leader.refused.followers", "%", "simulated", nil, at, 100*float64(refused)/at)
-		for round := range 120 { // as after two minutes
+		for round := range 120 { // two minutes of observations
 			for _, u := range users {
 				w.Observe(u.Name, time.Duration(round)*time.Second, nil, configstore.Goodput{}, "")
 			}
@@ -233,8 +237,9 @@
 	return nil
 }
 
-// losses has a machine, a rack, a zone and a region go, in simulated time: which keys have no home then, which others move where the map is
-// changed, and when a router knows.
+// losses removes a machine, a rack, a zone and a region in simulated time. It measures which keys lose their
+// home, which have no home in the changed map, which others move, and when a router considers the servers
+// dead.
 func (s *scale) losses() error {
 	const perRack, keys = 20, 4000
 	fixed := map[string]float64{"servers": scaleServers, "zones": scaleZones, "tenants": scaleTenants, "check_ms": float64(scaleCheck.Milliseconds())}
@@ -255,7 +260,7 @@
 		h := home{tenant: m.Tenants[rng.IntN(scaleTenants)].Name, key: fmt.Sprint("key", i)}
 		r, ok := m.Route(wall, h.tenant, h.key)
 		if !ok {
-			return fmt.Errorf("no home for %s", h.tenant)
+			return fmt.Errorf("cell map has no home for tenant %s", h.tenant)
 		}
 		h.at = r.Home
 		homes = append(homes, h)
@@ -287,7 +292,7 @@
 		s.add("router.keys_lost.servers_lost", "%", "simulated", fixed, at, 100*float64(lost)/keys)
 		s.add("router.keys_nowhere.servers_lost", "%", "simulated", fixed, at, 100*float64(none)/keys)
 		s.add("router.others_moved.servers_lost", "%", "simulated", fixed, at, 100*float64(moved)/keys)
-		for _, how := range []string{"refusing", "silent"} { // a machine that is off answers nothing, so each check waits a second
+		for _, how := range []string{"refusing", "silent"} { // a powered-off machine sends nothing, so each check times out after 1 s
 			known := s.known(loss.gone, how == "silent")
 			s.add("router.dead_after.servers_lost."+how, "ms", "simulated", fixed, at, known.Seconds()*1000)
 		}
@@ -295,7 +300,9 @@
 	return nil
 }
 
-// known is how long after a loss a router takes all that are gone for dead, at the latest, in simulated time.
+// known returns how long after a loss, in simulated time and at the latest, a router considers all lost
+// servers dead. If silent is set, a check of a lost server ends after a timeout of 1 s; otherwise it fails at
+// once.
 func (s *scale) known(gone []string, silent bool) time.Duration {
 	t, names := table(scaleServers)
 	is := map[string]bool{}
@@ -306,7 +313,7 @@
 	if silent {
 		wait = time.Second
 	}
-	for now := lost + scaleCheck; ; now += wait + scaleCheck { // the check before came just before it
+	for now := lost + scaleCheck; ; now += wait + scaleCheck { // the previous check was just before the loss
 		for _, name := range names {
 			if is[name] {
 				t.Unreachable(now+wait, name)
--- a/internal/testkit/benchmarks/scalepage.go
+++ b/internal/testkit/benchmarks/scalepage.go
@@ -9,13 +9,13 @@
 	"silverpath/internal/policy/capacity"
 )
 
-// The tables of docs/results/scale.md stand between these lines, and are rendered of docs/results/scale.json alone.
+// Markers around the tables of docs/results/scale.md, which are rendered from docs/results/scale.json alone.
 const (
 	tablesFrom = "<!-- tables: rendered of scale.json -->"
 	tablesTo   = "<!-- end of tables -->"
 )
 
-// scaleCauses are why a slope did not foretell the size that it was held against.
+// scaleCauses gives, by series, the reason why the fit did not predict the value that it was checked against.
 var scaleCauses = map[string]string{
 	"caller.cpu.followers":           "it does not grow: 0.53 to 0.89 ms a second at all sizes, by as much as plays beside other runs differ",
 	"caller.cpu_of_all.callers":      "a check costs less as more come together, as at the server",
@@ -51,17 +51,17 @@
 	"server.round.callers":           "each word sorts the names of all callers, by more than a line; the plays at 480 differ by 1.4 times, beside other runs",
 }
 
-// withTables puts the tables of results into a page.
+// withTables returns the page with the tables of the results between its markers.
 func withTables(page string, r capacity.Results) (string, error) {
 	before, rest, ok := strings.Cut(page, tablesFrom)
 	_, after, ended := strings.Cut(rest, tablesTo)
 	if !ok || !ended {
-		return "", fmt.Errorf("the page has no place for tables: %s", tablesFrom)
+		return "", fmt.Errorf("page has no table markers: %s", tablesFrom)
 	}
 	return before + tablesFrom + "\n\n" + tables(r) + tablesTo + after, nil
 }
 
-// figure writes a value with three digits.
+// figure formats a value with about three significant digits.
 func figure(v float64) string {
 	if v != 0 && (v < 0.001 && v > -0.001) {
 		return strconv.FormatFloat(v, 'g', 2, 64)
@@ -78,7 +78,8 @@
 	return text
 }
 
-// tables renders a table for each role and what is varied: the medians, and the slope with what it foretold beside what was measured.
+// tables renders one table for each role and varied quantity, with the medians, the fit, and the predicted
+// and the measured value. Tables of the poor fits and of the fixed quantities follow.
 func tables(r capacity.Results) string { //nolint:cyclop // one measurement from top to bottom; its split is in docs/ROADMAP.md
 	var b strings.Builder
 	fmt.Fprintf(&b, "Command: `%s`. Machine: %s. Program: %s.\n\n", r.Command, r.Machine, r.Program)
@@ -134,9 +135,10 @@
 	return b.String()
 }
 
+// whole formats a value with as many digits as it needs.
 func whole(v float64) string { return strconv.FormatFloat(v, 'f', -1, 64) }
 
-// fitted are the columns of a fit.
+// fitted returns the table columns of a fit.
 func fitted(f *capacity.Fit) string {
 	if f == nil {
 		return "none | | | "
--- a/internal/testkit/benchmarks/scaleparts.go
+++ b/internal/testkit/benchmarks/scaleparts.go
@@ -23,7 +23,7 @@
 	"silverpath/internal/transport/client"
 )
 
-// routerServers is a real router at rest, with servers that it looks after.
+// routerServers measures an idle real router by the number of servers that it checks.
 func (s *scale) routerServers() error {
 	sizes := s.of(30, 60, 120, 240, 930)
 	h, err := startHerd(herd{Kind: "servers", N: sizes[len(sizes)-1]})
@@ -60,7 +60,8 @@
 	return nil
 }
 
-// routerHollow is hollow routers with servers that each looks after, to hold the slope of hollow ones against that of real ones.
+// routerHollow measures hollow routers by the number of servers that each checks, to compare their slope with
+// that of real routers.
 func (s *scale) routerHollow() error {
 	const routers = 4
 	sizes := s.of(30, 60, 120, 240)
@@ -96,7 +97,8 @@
 	return nil
 }
 
-// routerTenants is a real router at rest, with tenants in the map that it reads from a file.
+// routerTenants measures an idle real router by the number of tenants in a cell map that it reads from a
+// file.
 func (s *scale) routerTenants() error {
 	h, err := startHerd(herd{Kind: "servers", N: 4})
 	if err != nil {
@@ -112,7 +114,7 @@
 			}
 			time.Sleep(s.rest)
 			a := allocations(p)
-			was, now := s.usedFor(s.stretch*5/4, p.Pid()) // three readings of the map, at its lease of 5 s
+			was, now := s.usedFor(s.stretch*5/4, p.Pid()) // three reads of the map, whose lease is 5 s
 			d := now[0].at.Sub(was[0].at).Seconds()
 			cpu, in, _, _ := now[0].since(was[0])
 			at := float64(n)
@@ -127,21 +129,23 @@
 	return nil
 }
 
-// newer is a map above all that this run has made: servers and routers that go by two of one version say that these contradict each other.
+// newer gives the map a higher version than all earlier maps of this run. Servers and routers report a
+// contradiction between two different maps of the same version.
 func (s *scale) newer(m *cells.Map) *cells.Map {
 	s.version++
 	m.Version = s.version
 	return m
 }
 
-// usedFor is used over another stretch.
+// usedFor is used with a measurement of length d.
 func (s *scale) usedFor(d time.Duration, pids ...int) (was, now []usage) {
 	x := *s
 	x.stretch = d
 	return x.used(pids...)
 }
 
-// routerRequests has requests come by the clock, each kind by the router and past it in the same run: what the router adds.
+// routerRequests measures the latency that a router adds: two open-loop loads run at the same time, one
+// through the router and one directly to the servers.
 func (s *scale) routerRequests() error {
 	const servers = 4
 	h, err := startHerd(herd{Kind: "servers", N: servers})
@@ -152,7 +156,7 @@
 	m := scaleMap(h.Addrs, 1, 1)
 	m.Cells[0].Capacity = 1e5
 	m.Tenants[0].Rate = 1e5
-	for i := range m.Servers { // they have kept their sheets since they are in the map
+	for i := range m.Servers { // the servers have stored their results since they joined the map
 		m.Servers[i].JoinsAt = time.Now().UnixMilli()
 	}
 	p, _, err := s.route(m)
@@ -175,7 +179,7 @@
 				times[k] = hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)
 			}
 			ways := [2][]string{{p.Platform}, h.Addrs}
-			var conns [2][]*client.Conn // opened anew for each rate: one that rests is closed
+			var conns [2][]*client.Conn // opened again for each rate, because idle connections are closed
 			for k := range ways {
 				for i := range 2 * peers {
 					c, err := client.Dial(ways[k][i%len(ways[k])])
@@ -229,7 +233,8 @@
 	return nil
 }
 
-// mapSizes puts maps of rising size to a group, on top of each other.
+// mapSizes proposes cell maps of increasing size to one group and measures which sizes it accepts and how
+// fast.
 func (s *scale) mapSizes() error {
 	g, err := s.group(map[string]string{configstore.DocMap: string(settings.FormatCells(scaleMap(places(4), 1, 1)))})
 	if err != nil {
@@ -254,14 +259,15 @@
 			}
 			s.add("tool.put.tenants", "ms", "real", fixed, float64(n), took.Seconds()*1000)
 		} else {
-			fmt.Printf("scale: a map of %d tenants, %d bytes: %v\n", n, len(text), err)
+			fmt.Printf("scale: map with %d tenants (%d bytes) not accepted: %v\n", n, len(text), err)
 		}
 		s.add("tool.accepted.tenants", "1", "real", fixed, float64(n), accepted)
 	}
 	return nil
 }
 
-// serverCallers is a real server of a cell, whose health is asked for by callers that each speak as a router does.
+// serverCallers measures a real server of a cell by the number of hollow callers, each of which sends health
+// checks as a router does.
 func (s *scale) serverCallers() error {
 	const every = time.Second
 	i, err := builtinworker.Listen(builtinworker.Config{Listen: "127.0.0.1:0", Cores: 8, Shape: builtinworker.Shape{Knee: 8, Thrash: 1, Speed: 1}, MemoryKB: 65536, RunFactor: 4, Seed: 1})
@@ -291,7 +297,7 @@
 			d := now[0].at.Sub(was[0].at).Seconds()
 			cpu, in, out, _ := now[0].since(was[0])
 			at := float64(n)
-			if n == 0 { // at rest, but for the interpreter's gauges
+			if n == 0 { // idle except for the interpreter's gauges
 				s.add("server.cpu.rest", "core", "real", fixed, 0, cpu)
 				continue
 			}
@@ -308,17 +314,19 @@
 	return nil
 }
 
-// routerOf is the edge file of a router that follows a group.
+// routerOf returns the edge file of a router that follows the documents of a group. The argument docs is the
+// JSON array of their names.
 func routerOf(g *agreedOn, docs string) string {
 	list, _ := json.Marshal(g.addrs)
 	return fmt.Sprintf(`{"status":true,"fleet":{},"rules":{"group":"test","members":%s,"documents":%s}}`, list, docs)
 }
 
-// follow is a herd of followers of a group.
+// follow starts a herd of n followers of a group.
 func (s *scale) follow(g *agreedOn, n int, members []string, restarts float64) (*herded, error) {
 	return startHerd(herd{Kind: "followers", N: n, Members: members, Docs: []string{configstore.DocMap, configstore.DocRouting, configstore.DocClasses}, Restarts: restarts})
 }
 
+// status returns the number of file syncs, averaged over the members of the group.
 func (g *agreedOn) status() (syncs float64) {
 	for _, a := range g.Addrs {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
@@ -330,7 +338,8 @@
 	return syncs
 }
 
-// force puts a change and waits until it is in force; it returns the times from then on until each of n processes acted on it, in ms.
+// force proposes a document and waits until it is active and n followers have applied it. It returns the time
+// of the proposal and, for each follower, the milliseconds from then until it applied the document.
 func (g *agreedOn) force(h *herded, n int, doc, text string) (list []float64, at time.Time, err error) {
 	from := h.Lines()
 	at, err = g.change(doc, text)
@@ -350,12 +359,12 @@
 		}
 	}
 	if len(list) < n {
-		return list, at, fmt.Errorf("%s: %d of %d followers act on it", doc, len(list), n)
+		return list, at, fmt.Errorf("%s: only %d of %d followers applied the document", doc, len(list), n)
 	}
 	return list, at, nil
 }
 
-// texts are the next texts of documents, each differing from the one before.
+// texts generates document texts, each different from the previous one.
 type texts struct {
 	n       int
 	servers []string
@@ -375,7 +384,7 @@
 	return string(settings.FormatCells(m))
 }
 
-// groupFollowers is a group, and processes that act on its documents.
+// groupFollowers measures a group by the number of processes that follow its documents.
 func (s *scale) groupFollowers() error {
 	fixed := map[string]float64{"lease_ms": float64(scaleLease.Milliseconds()), "members": 3, "tenants": 20, "servers": 4}
 	servers, err := startHerd(herd{Kind: "servers", N: 4})
@@ -385,7 +394,7 @@
 	defer servers.Kill()
 	for range s.plays {
 		for _, n := range s.of(20, 40, 80, 160, 330) {
-			if e := s.groupOf(n, servers.Addrs, fixed); e != nil { // other sizes may do
+			if e := s.groupOf(n, servers.Addrs, fixed); e != nil { // continue with the other sizes
 				err = errors.Join(err, fmt.Errorf("%d followers: %w", n, e))
 			}
 		}
@@ -393,6 +402,8 @@
 	return err
 }
 
+// groupOf measures a group with n followers and a real router: first idle, then with one change of each
+// document.
 func (s *scale) groupOf(n int, servers []string, fixed map[string]float64) error {
 	t := &texts{servers: servers, tenants: 20}
 	docs := map[string]string{configstore.DocMap: t.next(configstore.DocMap), configstore.DocRouting: routingText(0), configstore.DocClasses: classesText(0)}
@@ -442,7 +453,7 @@
 		}
 		line, err := real.Await(2*scaleLease, from, "config: active: "+doc)
 		if err != nil {
-			return fmt.Errorf("the real router: %w", err)
+			return fmt.Errorf("real router did not apply the document: %w", err)
 		}
 		if acted, err := time.Parse("15:04:05.999999", strings.Fields(line)[0]); err == nil {
 			after := acted.Sub(time.Date(0, 1, 1, 0, 0, 0, 0, time.UTC)) - harness.DayTime(put)
@@ -456,7 +467,8 @@
 	return nil
 }
 
-// groupConnections is a group's leader by the connections that its followers open while nothing changes. A member has room for 128.
+// groupConnections measures the connections that followers open to the leader of a group while nothing
+// changes. A member accepts at most 128 connections.
 func (s *scale) groupConnections() error {
 	fixed := map[string]float64{"lease_ms": float64(scaleLease.Milliseconds()), "members": 3, "tenants": 20}
 	g, err := s.group(scaleDocs(20))
@@ -489,7 +501,7 @@
 	return nil
 }
 
-// groupChanges has documents change so many times in a stretch, two of them in turn.
+// groupChanges measures a group by the rate of changes, alternating between two documents.
 func (s *scale) groupChanges() error {
 	n := s.of(80)[0]
 	const stretch = 10 * time.Second
@@ -534,7 +546,7 @@
 		time.Sleep(time.Until(began.Add(stretch)))
 		now := []usage{usageOf(lead.Pid()), usageOf(h.Pid())}
 		d := now[0].at.Sub(was[0].at)
-		at := float64(k) * time.Hour.Seconds() / d.Seconds() // an hour, as it came out
+		at := float64(k) * time.Hour.Seconds() / d.Seconds() // changes per hour, from the measured duration
 		at = float64(int(at/10+0.5)) * 10
 		cpu, in, out, _ := now[0].since(was[0])
 		s.add("leader.cpu.changes", "core", "real", fixed, at, cpu)
@@ -549,7 +561,7 @@
 	return nil
 }
 
-// groupRestarts has followers start anew, so many a minute.
+// groupRestarts measures a group by the number of follower restarts per minute.
 func (s *scale) groupRestarts() error {
 	n := s.of(40)[0]
 	fixed := map[string]float64{"lease_ms": float64(scaleLease.Milliseconds()), "members": 3, "followers": float64(n), "tenants": 20}
@@ -560,7 +572,7 @@
 	defer g.Close()
 	for i, rate := range []int{60, 120, 240, 600} {
 		if i > 0 {
-			time.Sleep(scaleLease * 3 / 2) // those before have lapsed by then
+			time.Sleep(scaleLease * 3 / 2) // until the leases of the previous followers have expired
 		}
 		h, err := s.follow(g, n, g.addrs, float64(rate))
 		if err != nil {
@@ -575,7 +587,7 @@
 		s.add("leader.cpu.restarts", "core", "real", fixed, at, cpu)
 		s.add("leader.bytes_out.restarts", "KB/s", "real", fixed, at, out)
 		s.add("member.syncs.restarts", "1/s", "real", fixed, at, (g.status()-syncs)/now[0].at.Sub(was[0].at).Seconds())
-		for range 3 { // real ones, beside those
+		for range 3 { // real routers that start while hollow followers restart
 			began := time.Now()
 			p, err := Route(s.bin, s.dir(), s.routerSite(), routerOf(g, `["map","routing","classes"]`))
 			if err != nil {
@@ -589,7 +601,8 @@
 	return nil
 }
 
-// groupDelay has followers reach the group over ways on which each word is late, by a time drawn evenly from 0 to twice the mean.
+// groupDelay measures a group whose followers connect over links that delay each message by a random time,
+// uniform between 0 and twice the mean.
 func (s *scale) groupDelay() error {
 	n := s.of(40)[0]
 	fixed := map[string]float64{"lease_ms": float64(scaleLease.Milliseconds()), "members": 3, "followers": float64(n), "tenants": 20}
@@ -637,7 +650,8 @@
 	return err
 }
 
-// groupTenants is a router that has its map from a group, by the tenants in it: its start, its rest, and a change of it.
+// groupTenants measures a router that gets its cell map from a group, by the number of tenants: its start,
+// its idle cost and the time to apply a changed map.
 func (s *scale) groupTenants() error {
 	servers, err := startHerd(herd{Kind: "servers", N: 4})
 	if err != nil {
@@ -660,6 +674,7 @@
 	return nil
 }
 
+// groupTenantsOf repeats the measurement of groupTenants s.plays times with one group.
 func (s *scale) groupTenantsOf(g *agreedOn, t *texts, fixed map[string]float64, at float64) error {
 	for range s.plays {
 		began := time.Now()
@@ -677,6 +692,7 @@
 	return nil
 }
 
+// groupTenantsAt measures a started router, idle and then with a change of its cell map.
 func (s *scale) groupTenantsAt(g *agreedOn, p *Process, t *texts, fixed map[string]float64, at float64) error {
 	time.Sleep(s.rest / 2)
 	was, now := s.usedFor(s.stretch/2, p.Pid())
--- a/internal/testkit/benchmarks/shared.go
+++ b/internal/testkit/benchmarks/shared.go
@@ -22,28 +22,29 @@
 	"silverpath/internal/transport/msgpackrpc"
 )
 
-// Shared is a service whose processes inherit one listening socket and share one folder.
+// Shared is a service whose processes share one listening address and one directory.
 type Shared struct {
 	Addr string
 	Dir  string
-	// Edit changes the configuration of processes to be started; nil: as it is.
+	// Edit changes the configuration text of processes started later; nil leaves it unchanged.
 	Edit func(text string) string
-	// Args are more arguments of processes to be started, and Env more of their environment.
+	// Args and Env are added to the arguments and the environment of processes started later.
 	Args, Env []string
-	// Wait is how long clients wait for an answer.
+	// Wait is the timeout that clients send with a request.
 	Wait time.Duration
 
 	t        testing.TB
 	bin      string
 	env      []string
-	held     bool // the socket is; else each process opens the address
+	held     bool // processes inherit the socket; otherwise each process opens the address
 	socket   *os.File
 	mu       sync.Mutex
-	machines []*builtinworker.Interpreter // an address of the interpreter for each process: it tells only of the runs begun there
+	machines []*builtinworker.Interpreter // one per process, so that each counts only the runs of its process
 }
 
-// Inherit prepares such a service, of a program that is started with more environment. Where the socket is not held, each
-// process opens the address by itself.
+// Inherit prepares a shared service for the binary bin, whose processes get env added to their environment.
+// If held is set, the processes inherit one listening socket; otherwise each process opens the address
+// itself.
 func Inherit(t testing.TB, bin string, env []string, held bool) *Shared {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -60,14 +61,14 @@
 	return s
 }
 
-// all are the machines by now.
+// all returns the interpreters created so far.
 func (s *Shared) all() []*builtinworker.Interpreter {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Clone(s.machines)
 }
 
-// Runs is how often each sheet was run, in all processes together.
+// Runs returns the number of runs of each request body, summed over all processes.
 func (s *Shared) Runs() map[string]int {
 	all := map[string]int{}
 	for _, m := range s.all() {
@@ -81,10 +82,11 @@
 // Generation is one process of a shared service.
 type Generation struct {
 	*Process
-	File string // its configuration
+	File string // path of its configuration
 }
 
-// Start starts a further process and returns once operators can call it.
+// Start starts a further process with its own interpreter and returns once its management address is
+// listening.
 func (s *Shared) Start() *Generation {
 	m, err := builtinworker.Listen(builtinworker.Config{Listen: "127.0.0.1:0", Cores: 8, Shape: builtinworker.Shape{Knee: 8, Thrash: 1, Speed: 1},
 		Other:    builtinworker.Class{MinWork: time.Millisecond, MaxWork: 40 * time.Millisecond},
@@ -119,13 +121,14 @@
 	}
 	s.t.Cleanup(p.Kill)
 	if _, err := p.Await(comeUp, 0, "mgmt: listening on "); err != nil {
-		s.t.Fatalf("no process: %v", err)
+		s.t.Fatalf("process did not log its management address: %v", err)
 	}
 	p.found()
 	return &Generation{p, file}
 }
 
-// Call makes an operator's call and returns the status, 0 for none, and the line that says why.
+// Call sends a management request and returns the HTTP status, or 0 if there was no answer, and the response
+// body.
 func Call(addr, text string) (int, string) {
 	conn, err := net.DialTimeout("tcp", addr, time.Second)
 	if err != nil {
@@ -143,29 +146,29 @@
 	return code, strings.TrimSpace(why)
 }
 
-// Call makes an operator's call and returns the status.
+// Call sends a management request to the process and returns the HTTP status, or 0 if there was no answer.
 func (p *Process) Call(text string) int {
 	code, _ := Call(p.Mgmt, text)
 	return code
 }
 
-// Ready waits until the process says that it is.
+// Ready waits until the readiness check of the process succeeds and fails the test after 20 s.
 func (p *Process) Ready(t testing.TB) {
 	for deadline := time.Now().Add(20 * time.Second); p.Call("GET /api/ready") != 200; time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatalf("not ready:\n%s", p.Log())
+			t.Fatalf("process not ready after 20s; its log:\n%s", p.Log())
 		}
 	}
 }
 
-// Leave tells the process to leave and waits until it has, in good order.
+// Leave stops the process and reports a test error unless it exits cleanly.
 func (p *Process) Leave(t testing.TB) {
 	if _, err := p.Stop(); err != nil {
-		t.Errorf("it left with %v:\n%s", err, p.Log())
+		t.Errorf("process exited with %v; its log:\n%s", err, p.Log())
 	}
 }
 
-// Usage is what the process has open, and its memory in bytes.
+// Usage returns the number of open file descriptors of the process and its resident unshared memory in bytes.
 func (p *Process) Usage() (descriptors, memory int) {
 	pid := p.Pid()
 	open, _ := os.ReadDir(fmt.Sprintf("/proc/%d/fd", pid))
@@ -175,11 +178,11 @@
 	return len(open), (resident - shared) * os.Getpagesize()
 }
 
-// Sheets is clients that send sheets, each several times, on connections of their own.
+// Sheets is a load of requests with idempotency keys, each sent several times on separate connections.
 type Sheets struct {
 	Served, Refused int
-	Unheard         int      // connections that were refused, or ended without an answer
-	Wrong           []string // what must not be
+	Unheard         int      // connections that were refused or ended without an answer
+	Wrong           []string // violations of the rules, one text each
 	Times           []time.Duration
 	Tries           []Tried
 
@@ -191,13 +194,14 @@
 	asked   map[string]bool
 }
 
-// Tried is one try with its answer, for those who check histories.
+// Tried is one attempt with its answer, for checks of the history.
 type Tried struct {
 	Sheet, Outcome, Body string
 	From, To             time.Time
 }
 
-// Load begins to send, by so many clients at once, up to so many tries of each sheet, with pauses of up to the given time.
+// Load starts the given number of concurrent clients. Each sends one request after the other, each in 1 to
+// tries parallel attempts that start after a random time of up to pause.
 func (s *Shared) Load(clients, tries int, pause time.Duration, seed uint64) *Sheets {
 	l := &Sheets{s: s, stop: make(chan struct{}), results: map[string]string{}, asked: map[string]bool{}}
 	for c := range clients {
@@ -225,7 +229,8 @@
 	return l
 }
 
-// Ask makes one try on a new connection.
+// Ask sends one attempt on a new connection and records its outcome. A refusal of a request that ran before
+// the attempt was sent, or a result that differs from an earlier one, is a violation.
 func (l *Sheets) Ask(sheet, id string) {
 	sent := time.Now()
 	ran := slices.ContainsFunc(l.s.all(), func(m *builtinworker.Interpreter) bool { return m.Ran(sheet) })
@@ -255,18 +260,19 @@
 	case r.Error != "":
 		l.Refused++
 		if r.Error == msgpackrpc.ErrorFull && ran {
-			l.Wrong = append(l.Wrong, sheet+" had run and was refused")
+			l.Wrong = append(l.Wrong, sheet+" was refused after it had run")
 		}
 	default:
 		l.Served++
 		if first != "" && first != string(r.Body) {
-			l.Wrong = append(l.Wrong, fmt.Sprintf("%s: %q and %q", sheet, first, r.Body))
+			l.Wrong = append(l.Wrong, fmt.Sprintf("%s was answered with %q and later with %q", sheet, first, r.Body))
 		}
 		l.results[sheet] = string(r.Body)
 	}
 }
 
-// End stops the load and says what must not be, whatever happened.
+// End stops the load, adds each request that ran more than once to the violations, and returns all
+// violations.
 func (l *Sheets) End() []string {
 	close(l.stop)
 	l.all.Wait()
@@ -278,7 +284,8 @@
 	return l.Wrong
 }
 
-// Without returns a JSON text without each of its keys in turn, by the key's path.
+// Without returns, for each key in a JSON text, the text without that key. The keys of the result are the
+// dotted paths of the removed keys.
 func Without(text string) map[string]string {
 	list := map[string]string{}
 	var visit func(path []string, v *fastjson.Value)
@@ -300,7 +307,7 @@
 	return list
 }
 
-// Harmed reports whether some sheet has run twice by now.
+// Harmed reports whether any request has run more than once.
 func (l *Sheets) Harmed() bool {
 	for _, n := range l.s.Runs() {
 		if n > 1 {
@@ -310,10 +317,10 @@
 	return false
 }
 
-// Asked is the number of sheets of which any try was answered.
+// Asked returns the number of requests of which at least one attempt has finished.
 func (l *Sheets) Asked() int { return len(l.asked) }
 
-// Unserved are the sheets of which no try was served.
+// Unserved returns the requests of which no attempt was served.
 func (l *Sheets) Unserved() (list []string) {
 	for sheet := range l.asked {
 		if l.results[sheet] == "" {
