--- a/internal/testkit/benchmarks/fleet.go
+++ b/internal/testkit/benchmarks/fleet.go
@@ -27,8 +27,8 @@
 	Servers  []*Process
 	Routers  []*Process
 	edge     func(dir string) string
-	outs     sync.Mutex
-	out      int // servers that are down
+	downMu   sync.Mutex
+	down     int // servers that are down
 	mostOut  int // the most servers that were down at once
 }
 
@@ -78,9 +78,9 @@
 		}
 		f.Servers = append(f.Servers, p)
 	}
-	entered := time.Now().UnixMilli() + 1
+	joinsAt := time.Now().UnixMilli() + 1
 	for n, p := range f.Servers {
-		f.Map.Servers = append(f.Map.Servers, cells.Server{Name: fmt.Sprint("s", n), Addr: p.Platform, Cell: cellNames[n%len(cellNames)], Weight: 1, JoinsAt: entered})
+		f.Map.Servers = append(f.Map.Servers, cells.Server{Name: fmt.Sprint("s", n), Addr: p.Platform, Cell: cellNames[n%len(cellNames)], Weight: 1, JoinsAt: joinsAt})
 	}
 	if err := proxy.WriteMap(f.MapFile, f.Map); err != nil {
 		return f, err
@@ -110,17 +110,17 @@
 
 // Restart kills a server and starts it again after a delay. It is then cold and has the same platform and
 // management addresses.
-func (f *Fleet) Restart(n int, after time.Duration) error {
+func (f *Fleet) Restart(n int, delay time.Duration) error {
 	f.enter(1)
 	defer f.enter(-1)
-	return f.restartAt(n, after)
+	return f.restartAt(n, delay)
 }
 
 // restartAt is Restart without the count of servers that are down.
-func (f *Fleet) restartAt(n int, after time.Duration) error {
+func (f *Fleet) restartAt(n int, delay time.Duration) error {
 	old := f.Servers[n]
 	old.Kill()
-	time.Sleep(after)
+	time.Sleep(delay)
 	dir := f.sub(fmt.Sprint("s", n))
 	site := f.site
 	site.Mgmt = old.Mgmt
@@ -133,10 +133,10 @@
 
 // enter adds n to the count of servers that are down and updates its maximum.
 func (f *Fleet) enter(n int) {
-	f.outs.Lock()
-	defer f.outs.Unlock()
-	f.out += n
-	f.mostOut = max(f.mostOut, f.out)
+	f.downMu.Lock()
+	defer f.downMu.Unlock()
+	f.down += n
+	f.mostOut = max(f.mostOut, f.down)
 }
 
 // Stop kills all processes of the fleet and closes the interpreters.
@@ -196,7 +196,7 @@
 	var wg sync.WaitGroup
 	var conns []*client.Conn
 	for _, p := range to {
-		for range peers {
+		for range loadConns {
 			c, err := client.Dial(p.Platform)
 			if err != nil {
 				return nil, err
@@ -214,8 +214,8 @@
 				if share.Class == "oddaja" {
 					q.Key = fmt.Sprintf("%s-%d", l.Tenant, seq)
 				}
-				c, other, later := conns[rng.IntN(len(conns))], conns[rng.IntN(len(conns))], time.Duration(rng.Float64()*float64(12*time.Second))
-				wg.Go(func() { res.one(c, other, q, share, at, later, repeats) })
+				c, other, delay := conns[rng.IntN(len(conns))], conns[rng.IntN(len(conns))], time.Duration(rng.Float64()*float64(12*time.Second))
+				wg.Go(func() { res.sendOnce(c, other, q, share, at, delay, repeats) })
 			})
 		})
 	}
@@ -233,9 +233,9 @@
 	}
 }
 
-// one sends one request and counts its outcome. If repeats is set and a request with an idempotency key was
-// served, it sends the request again over the connection other after the delay later.
-func (r *TenantResult) one(c, other *client.Conn, q client.Request, s Share, at time.Time, later time.Duration, repeats bool) { //nolint:cyclop // one measurement from top to bottom; its split is in docs/ROADMAP.md
+// sendOnce sends one request and counts its outcome. If repeats is set and a request with an idempotency key
+// was served, it sends the request again over the connection other after the delay later.
+func (r *TenantResult) sendOnce(c, other *client.Conn, q client.Request, s Share, at time.Time, delay time.Duration, repeats bool) { //nolint:cyclop // one measurement from top to bottom; its split is in docs/ROADMAP.md
 	a, ok := answer(c.Do(q))
 	took := time.Since(at)
 	r.mu.Lock()
@@ -247,7 +247,7 @@
 	case a.Outcome == "served":
 		r.Served++
 		_ = r.Times.RecordValue(took.Microseconds())
-		if took <= aim {
+		if took <= latencyTarget {
 			r.Worth += s.Worth
 		}
 	case a.Outcome == "refused":
@@ -259,7 +259,7 @@
 	if !repeats || q.Key == "" || !ok || a.Outcome != "served" {
 		return
 	}
-	time.Sleep(later)
+	time.Sleep(delay)
 	q.ID = ""
 	b, ok := answer(other.Do(q))
 	r.mu.Lock()
--- a/internal/testkit/benchmarks/lab.go
+++ b/internal/testkit/benchmarks/lab.go
@@ -131,9 +131,9 @@
 // found reads the listening addresses from the log written so far.
 func (p *Process) found() {
 	for _, line := range strings.Split(p.Log(), "\n") {
-		for name, at := range map[string]*string{"msgpack": &p.Platform, "scgi": &p.SCGI, "mgmt": &p.Mgmt} {
+		for name, field := range map[string]*string{"msgpack": &p.Platform, "scgi": &p.SCGI, "mgmt": &p.Mgmt} {
 			if _, addr, ok := strings.Cut(line, name+": listening on "); ok {
-				*at = addr
+				*field = addr
 			}
 		}
 	}
@@ -172,8 +172,8 @@
 // Shares is the class mix of the operators' site.
 var Shares = []Share{{"lestvica", 0.36, 1}, {"krog", 0.34, 2}, {"oddaja", 0.30, 3}}
 
-// draw picks a class at random, weighted by Shares.
-func draw(rng *rand.Rand) Share {
+// pickClass picks a class at random, weighted by Shares.
+func pickClass(rng *rand.Rand) Share {
 	pick := rng.Float64()
 	for _, s := range Shares[:len(Shares)-1] {
 		if pick < s.Part {
@@ -187,23 +187,23 @@
 // arrivals generates an open-loop load of duration d: Poisson arrivals at rate per second, with classes drawn
 // from Shares. It calls one at the time of each arrival, regardless of the state of earlier requests.
 func arrivals(rng *rand.Rand, rate float64, d time.Duration, one func(rng *rand.Rand, seq int, s Share, at time.Time)) {
-	began, due := time.Now(), 0.0
+	startedAt, due := time.Now(), 0.0
 	for seq := 0; ; seq++ {
 		due += rng.ExpFloat64() / rate
-		at := began.Add(time.Duration(due * float64(time.Second)))
-		if at.Sub(began) > d {
+		at := startedAt.Add(time.Duration(due * float64(time.Second)))
+		if at.Sub(startedAt) > d {
 			return
 		}
 		time.Sleep(time.Until(at))
-		one(rng, seq, draw(rng), at)
+		one(rng, seq, pickClass(rng), at)
 	}
 }
 
 const (
-	aim      = 1800 * time.Millisecond
-	patience = 4400 * time.Millisecond
-	slack    = 130 * time.Millisecond // how long after its deadline the rules allow an answer
-	peers    = 8                      // connections that the load is spread over
+	latencyTarget = 1800 * time.Millisecond
+	patience      = 4400 * time.Millisecond
+	deadlineSlack = 130 * time.Millisecond // how long after its deadline the rules allow an answer
+	loadConns     = 8                      // connections that the load is spread over
 )
 
 // Load is an open-loop load on one service.
@@ -243,7 +243,7 @@
 func (l Load) Run(p *Process, i *builtinworker.Interpreter) (*Result, error) {
 	res := newResult()
 	var conns []*client.Conn
-	for range peers {
+	for range loadConns {
 		c, err := client.Dial(p.Platform)
 		if err != nil {
 			return nil, err
@@ -253,8 +253,8 @@
 	}
 	var wg sync.WaitGroup
 	stop := make(chan struct{})
-	wg.Go(func() { l.cheap(p, res, stop) })
-	began := time.Now()
+	wg.Go(func() { l.sendCheap(p, res, stop) })
+	startedAt := time.Now()
 	arrivals(rand.New(rand.NewPCG(l.Seed, 3)), l.Rate, l.For, func(rng *rand.Rand, seq int, share Share, at time.Time) {
 		q := client.Request{
 			Class: share.Class, Timeout: patience, MemoryKB: l.HeldKB, ID: fmt.Sprintf("%016x", seq+1),
@@ -263,15 +263,15 @@
 		if share.Class == "oddaja" {
 			q.Key = fmt.Sprintf("key-%d", seq)
 		}
-		again := rng.Float64() < 0.1
+		repeated := rng.Float64() < 0.1
 		wg.Go(func() {
-			served := l.one(conns[seq%peers], i, q, share, at, res)
-			if again && q.Key != "" {
-				l.repeat(conns[seq%peers], q, served, res)
+			served := l.sendOnce(conns[seq%loadConns], i, q, share, at, res)
+			if repeated && q.Key != "" {
+				l.repeat(conns[seq%loadConns], q, served, res)
 			}
 		})
 	})
-	time.Sleep(time.Until(began.Add(l.For)))
+	time.Sleep(time.Until(startedAt.Add(l.For)))
 	close(stop)
 	wg.Wait()
 	for body, n := range i.Runs() {
@@ -282,9 +282,9 @@
 	return res, nil
 }
 
-// one sends one request, counts its outcome and reports whether it was served. It reports a missing answer,
-// or one later than patience plus slack, as a violation.
-func (l Load) one(c *client.Conn, i *builtinworker.Interpreter, q client.Request, s Share, at time.Time, res *Result) (served bool) {
+// sendOnce sends one request, counts its outcome and reports whether it was served. It reports a missing
+// answer, or one later than patience plus slack, as a violation.
+func (l Load) sendOnce(c *client.Conn, i *builtinworker.Interpreter, q client.Request, s Share, at time.Time, res *Result) (served bool) {
 	i.Read(q.ID, q.MemoryKB)
 	defer i.Release(q.ID)
 	sent := time.Now()
@@ -299,18 +299,18 @@
 	defer res.mu.Unlock()
 	res.Sent++
 	res.Asked += s.Worth
-	by := res.ByClass[s.Class]
-	by[1]++
+	counts := res.ByClass[s.Class]
+	counts[1]++
 	switch {
 	case !answered:
 		res.Lost++
 		res.Broken = append(res.Broken, fmt.Sprintf("%s %s was not answered", s.Class, q.ID))
-	case took > patience+slack:
+	case took > patience+deadlineSlack:
 		res.Broken = append(res.Broken, fmt.Sprintf("%s %s was answered after %v", s.Class, q.ID, took))
-	case a.Outcome == "served" && time.Since(at) <= aim:
+	case a.Outcome == "served" && time.Since(at) <= latencyTarget:
 		res.Served++
 		res.Worth += s.Worth
-		by[0]++
+		counts[0]++
 	case a.Outcome == "served":
 		res.Late++
 	case a.Outcome == "refused":
@@ -322,13 +322,13 @@
 	default:
 		res.Failed++
 	}
-	res.ByClass[s.Class] = by
+	res.ByClass[s.Class] = counts
 	return a.Outcome == "served"
 }
 
 // repeat sends a request with an idempotency key a second time. If the first attempt was served, the repeat
 // is cheap, because the service has stored the result.
-func (l Load) repeat(c *client.Conn, q client.Request, kept bool, res *Result) {
+func (l Load) repeat(c *client.Conn, q client.Request, stored bool, res *Result) {
 	q.ID = ""
 	first := string(q.Body)
 	intended := time.Now()
@@ -344,42 +344,42 @@
 	case a.Outcome == "served" && !strings.HasPrefix(string(a.Body), "oddaja: "+first+" "):
 		res.Broken = append(res.Broken, fmt.Sprintf("repeat of %s was answered with %q", first, a.Body))
 	case a.Outcome == "served":
-		if kept { // otherwise the request had to run first
+		if stored { // otherwise the request had to run first
 			_ = res.Cheap.RecordValue(time.Since(intended).Microseconds())
 		}
 	}
 }
 
-// cheap sends calls that need no run of the interpreter, one every 20 ms until stop is closed: health checks
-// on new connections and, if there is an edge file, status requests on the SCGI front.
-func (l Load) cheap(p *Process, res *Result, stop <-chan struct{}) {
+// sendCheap sends calls that need no run of the interpreter, one every 20 ms until stop is closed: health
+// checks on new connections and, if there is an edge file, status requests on the SCGI front.
+func (l Load) sendCheap(p *Process, res *Result, stop <-chan struct{}) {
 	var wg sync.WaitGroup
 	defer wg.Wait()
-	ways := []func() (bool, error){
+	calls := []func() (bool, error){
 		func() (bool, error) { return probe(p.Platform) },
 		func() (bool, error) { return probe(p.Platform) },
 		func() (bool, error) { b, err := client.Status(client.SCGI, p.SCGI); return len(b) > 0, err },
 	}
 	if p.edge == "" {
-		ways = ways[:2]
+		calls = calls[:2]
 	}
-	began := time.Now()
+	startedAt := time.Now()
 	for n := 0; ; n++ {
-		due := began.Add(time.Duration(n) * 20 * time.Millisecond)
+		due := startedAt.Add(time.Duration(n) * 20 * time.Millisecond)
 		select {
 		case <-stop:
 			return
 		case <-time.After(time.Until(due)):
 		}
 		wg.Go(func() {
-			good, err := ways[n%len(ways)]()
+			served, err := calls[n%len(calls)]()
 			took := time.Since(due)
 			res.mu.Lock()
 			defer res.mu.Unlock()
 			switch {
 			case err != nil:
 				res.CheapLost++
-			case !good:
+			case !served:
 				res.CheapWrong++
 			default:
 				_ = res.Cheap.RecordValue(took.Microseconds())
--- a/internal/testkit/benchmarks/scale.go
+++ b/internal/testkit/benchmarks/scale.go
@@ -69,11 +69,11 @@
 				return // a part is measured once, whatever b.N is
 			}
 			s.b = b
-			began := time.Now()
+			startedAt := time.Now()
 			if err := part.run(s); err != nil {
 				b.Errorf("%s: %v", part.name, err)
 			}
-			fmt.Printf("scale: %s took %v\n", part.name, time.Since(began).Round(time.Second))
+			fmt.Printf("scale: %s took %v\n", part.name, time.Since(startedAt).Round(time.Second))
 			if err := s.write(); err != nil {
 				b.Error(err)
 			}
@@ -88,17 +88,17 @@
 
 // scale is one run of the scale tests.
 type scale struct {
-	b       *testing.B
-	bin     string
-	file    string
-	res     *capacity.Results
-	plays   int
-	rest    time.Duration // pause before a measurement starts
-	stretch time.Duration
-	small   int // divisor of the sizes, for trial runs
-	series  map[string]*capacity.Series
-	steps   map[string]bool // names of the series measured in this run
-	version int             // of the latest cell map
+	b           *testing.B
+	bin         string
+	file        string
+	res         *capacity.Results
+	repetitions int
+	settleTime  time.Duration // pause before a measurement starts
+	duration    time.Duration
+	divisor     int // divisor of the sizes, for trial runs
+	series      map[string]*capacity.Series
+	measured    map[string]bool // names of the series measured in this run
+	version     int             // of the latest cell map
 }
 
 const (
@@ -109,8 +109,8 @@
 
 func newScale(b *testing.B) (*scale, error) {
 	s := &scale{b: b, bin: os.Getenv("SILVERPATH_BASELINE"), file: os.Getenv("SILVERPATH_SCALE"), res: &capacity.Results{},
-		plays: number("SILVERPATH_PLAYS", 2), rest: 1500 * time.Millisecond, stretch: time.Duration(number("SILVERPATH_STRETCH_MS", 4000)) * time.Millisecond,
-		small: max(1, number("SILVERPATH_SMALL", 1)), series: map[string]*capacity.Series{}, steps: map[string]bool{}}
+		repetitions: number("SILVERPATH_PLAYS", 2), settleTime: 1500 * time.Millisecond, duration: time.Duration(number("SILVERPATH_STRETCH_MS", 4000)) * time.Millisecond,
+		divisor: max(1, number("SILVERPATH_SMALL", 1)), series: map[string]*capacity.Series{}, measured: map[string]bool{}}
 	var err error
 	if s.bin == "" {
 		if s.bin, err = buildAll(b.TempDir()); err != nil {
@@ -138,16 +138,16 @@
 	if err != nil {
 		return "unknown"
 	}
-	said, dirty := "unknown", ""
-	for _, set := range info.Settings {
+	revision, dirty := "unknown", ""
+	for _, setting := range info.Settings {
 		switch {
-		case set.Key == "vcs.revision":
-			said = set.Value[:min(7, len(set.Value))]
-		case set.Key == "vcs.modified" && set.Value == "true":
+		case setting.Key == "vcs.revision":
+			revision = setting.Value[:min(7, len(setting.Value))]
+		case setting.Key == "vcs.modified" && setting.Value == "true":
 			dirty = ", with changes"
 		}
 	}
-	return said + dirty
+	return revision + dirty
 }
 
 // scaleMachine describes the machine that the benchmark runs on.
@@ -170,10 +170,10 @@
 	return fmt.Sprintf("%d processors (%s), %.0f GB, all on loopback", runtime.NumCPU(), model, gb)
 }
 
-// of returns the sizes divided by s.small, at least 1 and without duplicates.
-func (s *scale) of(sizes ...int) (list []int) {
+// scaled returns the sizes divided by s.divisor, at least 1 and without duplicates.
+func (s *scale) scaled(sizes ...int) (list []int) {
 	for _, n := range sizes {
-		if n = max(1, n/s.small); len(list) == 0 || n > list[len(list)-1] {
+		if n = max(1, n/s.divisor); len(list) == 0 || n > list[len(list)-1] {
 			list = append(list, n)
 		}
 	}
@@ -182,15 +182,15 @@
 
 // add appends a value to the named series at a size. The name is ROLE.FIGURE.VARIES, with further words
 // allowed. The first value of a run replaces the stored series. NaN and infinite values are dropped.
-func (s *scale) add(name, unit, of string, fixed map[string]float64, at, value float64) {
+func (s *scale) add(name, unit, kind string, fixed map[string]float64, at, value float64) {
 	if math.IsNaN(value) || math.IsInf(value, 0) {
 		return
 	}
 	x := s.series[name]
-	if x == nil || !s.steps[name] {
+	if x == nil || !s.measured[name] {
 		words := strings.Split(name, ".")
-		x = &capacity.Series{Name: name, Role: words[0], Figure: words[1], Varies: words[2], Unit: unit, Of: of, Fixed: fixed}
-		s.series[name], s.steps[name] = x, true
+		x = &capacity.Series{Name: name, Role: words[0], Figure: words[1], Varies: words[2], Unit: unit, Of: kind, Fixed: fixed}
+		s.series[name], s.measured[name] = x, true
 	}
 	value, _ = strconv.ParseFloat(strconv.FormatFloat(value, 'g', 4, 64), 64)
 	i := slices.IndexFunc(x.Points, func(p capacity.Point) bool { return p.At == at })
@@ -211,7 +211,7 @@
 // write fits a curve to each series, writes the results and, if the Markdown page exists, its tables.
 func (s *scale) write() error {
 	s.res.Command = "go test -run '^$' -bench Scale -benchtime 1x -timeout 30m ./internal/testkit/benchmarks/"
-	if len(s.steps) > 0 {
+	if len(s.measured) > 0 {
 		s.res.Machine, s.res.Program = scaleMachine(), s.program()
 	}
 	s.res.Series = nil
@@ -233,7 +233,7 @@
 	if err != nil {
 		return err
 	}
-	if err := os.WriteFile(s.file, append(compact(text), '\n'), 0o644); err != nil {
+	if err := os.WriteFile(s.file, append(compactValues(text), '\n'), 0o644); err != nil {
 		return err
 	}
 	page := strings.TrimSuffix(s.file, ".json") + ".md"
@@ -244,15 +244,15 @@
 	if err != nil {
 		return err
 	}
-	next, err := withTables(string(old), *s.res)
+	next, err := replaceTables(string(old), *s.res)
 	if err != nil {
 		return err
 	}
 	return os.WriteFile(page, []byte(next), 0o644)
 }
 
-// compact joins the lines of each "values" list of indented JSON into one line.
-func compact(text []byte) []byte {
+// compactValues joins the lines of each "values" list of indented JSON into one line.
+func compactValues(text []byte) []byte {
 	var b bytes.Buffer
 	depth := 0
 	for _, line := range bytes.Split(text, []byte("\n")) {
@@ -282,20 +282,20 @@
 // it is fitted to. The size that the fit is checked against does not count. It returns nil if no fit is
 // possible.
 func bestFit(points []capacity.Point) (best *capacity.Fit) {
-	least := math.Inf(1)
+	minError := math.Inf(1)
 	for _, power := range []float64{1, 2} {
 		f, err := capacity.Draw(points, power)
 		if err != nil {
 			return nil
 		}
-		off := 0.0
+		squaredError := 0.0
 		for _, p := range points {
 			if p.At <= f.To {
-				off += math.Pow(f.Value(p.At)-p.Median(), 2)
+				squaredError += math.Pow(f.Value(p.At)-p.Median(), 2)
 			}
 		}
-		if off < least/2 { // prefer the linear fit unless the quadratic one halves the error
-			best, least = f, off
+		if squaredError < minError/2 { // prefer the linear fit unless the quadratic one halves the error
+			best, minError = f, squaredError
 		}
 	}
 	for _, v := range []*float64{&best.Base, &best.Per, &best.Foretold, &best.Off} {
@@ -351,27 +351,27 @@
 }
 
 // since returns the use per second between two snapshots of a process.
-func (u usage) since(was usage) (cpu, inKB, outKB, writes float64) {
-	d := u.at.Sub(was.at).Seconds()
-	return (u.cpu - was.cpu).Seconds() / d, (u.in - was.in) / d / 1024, (u.out - was.out) / d / 1024, (u.writes - was.writes) / d
+func (u usage) since(before usage) (cpu, inKB, outKB, writes float64) {
+	d := u.at.Sub(before.at).Seconds()
+	return (u.cpu - before.cpu).Seconds() / d, (u.in - before.in) / d / 1024, (u.out - before.out) / d / 1024, (u.writes - before.writes) / d
 }
 
-// used takes snapshots of some processes at the start and the end of a measurement of length s.stretch.
-func (s *scale) used(pids ...int) (was, now []usage) {
+// measure takes snapshots of some processes at the start and the end of a measurement of length s.duration.
+func (s *scale) measure(pids ...int) (before, now []usage) {
 	for _, p := range pids {
-		was = append(was, usageOf(p))
+		before = append(before, usageOf(p))
 	}
-	time.Sleep(s.stretch)
+	time.Sleep(s.duration)
 	for _, p := range pids {
 		now = append(now, usageOf(p))
 	}
-	return was, now
+	return before, now
 }
 
-// connectionsOf returns the peer addresses of connections with a loopback address, each with whether it is
+// connectionStates returns the peer addresses of connections with a loopback address, each with whether it is
 // still established. The system keeps a closed connection in TIME_WAIT for a minute, at the end that closed
 // it first.
-func connectionsOf(addr string) map[string]bool {
+func connectionStates(addr string) map[string]bool {
 	all := map[string]bool{}
 	_, port, _ := net.SplitHostPort(addr)
 	n, _ := strconv.Atoi(port)
@@ -404,10 +404,10 @@
 
 // ---- Hollow processes, in a separate operating system process ----
 
-const asHollow = "SILVERPATH_HOLLOW"
+const hollowEnv = "SILVERPATH_HOLLOW"
 
-// herd describes hollow processes of one kind that run in one operating system process.
-type herd struct {
+// hollowSet describes hollow processes of one kind that run in one operating system process.
+type hollowSet struct {
 	Kind     string // servers, routers, callers, followers
 	N, First int
 	Map      string
@@ -422,11 +422,11 @@
 // RunHollow runs the hollow processes described in the environment variable SILVERPATH_HOLLOW until standard
 // input ends, and reports whether the variable was set. If they fail, it exits with status 1.
 func RunHollow() bool {
-	text := os.Getenv(asHollow)
+	text := os.Getenv(hollowEnv)
 	if text == "" {
 		return false
 	}
-	var h herd
+	var h hollowSet
 	err := json.Unmarshal([]byte(text), &h)
 	if err == nil {
 		err = h.run()
@@ -438,14 +438,14 @@
 	return true
 }
 
-// herdMember is one hollow process of a herd.
-type herdMember interface{ Close() }
+// hollowMember is one hollow process of a set.
+type hollowMember interface{ Close() }
 
 // start starts the hollow process with index i.
-func (h herd) start(i int, site settings.Config) (m herdMember, err error) {
+func (h hollowSet) start(i int, site settings.Config) (m hollowMember, err error) {
 	n := h.First + i
 	name := fmt.Sprintf("%s%d", h.Kind, n)
-	took := func(doc string) { fmt.Fprintf(os.Stderr, "hollow took %s %d %d\n", doc, n, time.Now().UnixNano()) }
+	logApplied := func(doc string) { fmt.Fprintf(os.Stderr, "hollow took %s %d %d\n", doc, n, time.Now().UnixNano()) }
 	var g *quorum.Client
 	if len(h.Members) > 0 {
 		g = &quorum.Client{Group: "test", Addrs: slices.Clone(h.Members)}
@@ -454,34 +454,34 @@
 	}
 	switch h.Kind {
 	case "servers":
-		return hollow.NewServer(hollow.ServerConfig{Name: name, IP: hollow.IP(0, n+1), Settings: site.Server, MemoryMB: 16, Sockets: 1024, Cold: h.Cold, Echo: true, Group: g, Docs: h.Docs, Took: took})
+		return hollow.NewServer(hollow.ServerConfig{Name: name, IP: hollow.IP(0, n+1), Settings: site.Server, MemoryMB: 16, Sockets: 1024, Cold: h.Cold, Echo: true, Group: g, Docs: h.Docs, Took: logApplied})
 	case "routers":
-		return hollow.NewRouter(hollow.RouterConfig{Name: name, IP: hollow.IP(1, n+1), Settings: site.Server, MemoryMB: 16, Sockets: 1024, Map: h.Map, HealthCheckInterval: h.Every, Group: g, Docs: h.Docs, OnApplied: took, StartTimeout: mostJoin})
+		return hollow.NewRouter(hollow.RouterConfig{Name: name, IP: hollow.IP(1, n+1), Settings: site.Server, MemoryMB: 16, Sockets: 1024, Map: h.Map, HealthCheckInterval: h.Every, Group: g, Docs: h.Docs, OnApplied: logApplied, StartTimeout: hollowTimeout})
 	case "callers":
 		return hollow.NewCaller(hollow.CallerConfig{Name: name, IP: hollow.IP(2, n+1), To: h.To, Every: h.Every, First: h.Every * time.Duration(i) / time.Duration(h.N),
 			Rules: "1.0123456789abcdef", Terms: configstore.Terms{Lease: 5 * time.Second, ClockSkew: 500 * time.Millisecond, OverlapWindow: 10 * time.Second}}), nil
 	case "followers":
-		return hollow.NewFollower(hollow.FollowerConfig{Name: name, Group: g, Docs: h.Docs, Site: site.Server, OnApplied: took})
+		return hollow.NewFollower(hollow.FollowerConfig{Name: name, Group: g, Docs: h.Docs, Site: site.Server, OnApplied: logApplied})
 	}
 	return nil, fmt.Errorf("unknown kind of hollow process: %q", h.Kind)
 }
 
-// mostJoin limits the start of a hollow router and one change of a document.
-const mostJoin = 20 * time.Second
+// hollowTimeout limits the start of a hollow router and one change of a document.
+const hollowTimeout = 20 * time.Second
 
 // run starts the hollow processes. For each line of standard input it logs their traffic with the text of the
 // line, and it returns when standard input ends.
-func (h herd) run() error {
+func (h hollowSet) run() error {
 	site, err := hollow.Site(Site{Cores: 256, MemoryKB: 1 << 20, ProcMB: scaleMB, Sockets: 4096}.config("127.0.0.1:1"))
 	if err != nil {
 		return err
 	}
-	all := make([]herdMember, h.N)
-	for i := range all {
-		if all[i], err = h.start(i, site); err != nil {
+	members := make([]hollowMember, h.N)
+	for i := range members {
+		if members[i], err = h.start(i, site); err != nil {
 			return err
 		}
-		if s, ok := all[i].(*hollow.Server); ok {
+		if s, ok := members[i].(*hollow.Server); ok {
 			fmt.Fprintln(os.Stderr, "hollow listening", s.Addr)
 		}
 		if h.Kind == "followers" { // spread the starts over a second, as in a fleet
@@ -490,49 +490,49 @@
 	}
 	fmt.Fprintln(os.Stderr, "hollow ready")
 	var mu sync.Mutex
-	var over atomic.Bool
-	var again sync.WaitGroup
+	var stopped atomic.Bool
+	var restarts sync.WaitGroup
 	if h.Restarts > 0 {
-		again.Go(func() {
-			for k := 0; !over.Load(); k++ {
+		restarts.Go(func() {
+			for k := 0; !stopped.Load(); k++ {
 				time.Sleep(time.Duration(float64(time.Minute) / h.Restarts))
 				i := k % h.N
 				mu.Lock()
-				all[i].Close()
-				all[i], err = h.start(i, site)
+				members[i].Close()
+				members[i], err = h.start(i, site)
 				mu.Unlock()
 			}
 		})
 	}
 	in := bufio.NewScanner(os.Stdin)
 	for in.Scan() {
-		sum := hollow.Count{}
+		total := hollow.Count{}
 		mu.Lock()
-		for _, m := range all {
+		for _, m := range members {
 			if t, ok := m.(interface{ Now() hollow.Count }); ok {
-				sum = sum.Add(t.Now())
+				total = total.Add(t.Now())
 			}
 		}
 		mu.Unlock()
-		said, _ := json.Marshal(sum)
-		fmt.Fprintf(os.Stderr, "hollow traffic %s %s\n", in.Text(), said)
+		countJSON, _ := json.Marshal(total)
+		fmt.Fprintf(os.Stderr, "hollow traffic %s %s\n", in.Text(), countJSON)
 	}
-	over.Store(true)
-	again.Wait()
+	stopped.Store(true)
+	restarts.Wait()
 	return nil
 }
 
-// herded is the operating system process that runs a herd.
-type herded struct {
+// hollowProcess is the operating system process that runs a hollowSet.
+type hollowProcess struct {
 	*harness.Process
-	in    io.WriteCloser
-	asked int
-	Addrs []string
+	in      io.WriteCloser
+	queries int
+	Addrs   []string
 }
 
-// startHerd runs a herd in a new process of this test binary and waits until its hollow processes have
+// startHollowSet runs a set in a new process of this test binary and waits until its hollow processes have
 // started.
-func startHerd(h herd) (*herded, error) {
+func startHollowSet(h hollowSet) (*hollowProcess, error) {
 	exe, err := os.Executable()
 	if err != nil {
 		return nil, err
@@ -542,7 +542,7 @@
 		return nil, err
 	}
 	cmd := exec.Command(exe)
-	cmd.Env = append(os.Environ(), asHollow+"="+string(text))
+	cmd.Env = append(os.Environ(), hollowEnv+"="+string(text))
 	in, err := cmd.StdinPipe()
 	if err != nil {
 		return nil, err
@@ -551,7 +551,7 @@
 	if err != nil {
 		return nil, err
 	}
-	x := &herded{Process: p, in: in}
+	x := &hollowProcess{Process: p, in: in}
 	if _, err := p.Await(time.Minute, 0, "hollow ready"); err != nil {
 		p.Kill()
 		return nil, err
@@ -564,21 +564,22 @@
 	return x, nil
 }
 
-// traffic returns the sum of the herd's connection counters. It is zero if the herd does not answer within 10
-// s.
-func (x *herded) traffic() (c hollow.Count) {
-	x.asked++
+// traffic returns the sum of the connection counters of the hollow processes. It is zero if they do not
+// answer within 10 s.
+func (x *hollowProcess) traffic() (c hollow.Count) {
+	x.queries++
 	from := x.Lines()
-	fmt.Fprintln(x.in, x.asked)
-	if line, err := x.Await(10*time.Second, from, fmt.Sprintf("hollow traffic %d ", x.asked)); err == nil {
+	fmt.Fprintln(x.in, x.queries)
+	if line, err := x.Await(10*time.Second, from, fmt.Sprintf("hollow traffic %d ", x.queries)); err == nil {
 		_, text, _ := strings.Cut(line, "{")
 		_ = json.Unmarshal([]byte("{"+text), &c)
 	}
 	return c
 }
 
-// took returns the times at which the herd's processes applied a document, from line number from of its log.
-func (x *herded) took(from int, doc string) (list []time.Time) {
+// appliedTimes returns the times at which the hollow processes applied a document, from line number from of
+// its log.
+func (x *hollowProcess) appliedTimes(from int, doc string) (list []time.Time) {
 	lines := strings.Split(x.Log(), "\n")
 	for _, line := range lines[min(from, len(lines)):] {
 		var name string
@@ -630,30 +631,30 @@
 	return dir
 }
 
-// route starts a router with the cell map in a file and returns how long it took to serve.
-func (s *scale) route(m *cells.Map) (*Process, time.Duration, error) {
+// startRouter starts a router with the cell map in a file and returns how long it took to serve.
+func (s *scale) startRouter(m *cells.Map) (*Process, time.Duration, error) {
 	dir := s.dir()
 	file := filepath.Join(dir, "cells.json")
 	if err := proxy.WriteMap(file, m); err != nil {
 		return nil, 0, err
 	}
-	began := time.Now()
+	startedAt := time.Now()
 	p, err := Route(s.bin, dir, s.routerSite(), fmt.Sprintf(`{"status":true,"fleet":{"map":%q}}`, file))
-	return p, time.Since(began), err
+	return p, time.Since(startedAt), err
 }
 
-// agreedOn is a running quorum group with the versions of its active documents.
-type agreedOn struct {
+// documentGroup is a running quorum group with the versions of its active documents.
+type documentGroup struct {
 	*harness.Group
-	leader int
-	addrs  []string // listening addresses of the members, which bypass the harness's proxies
-	doc    map[string]int
+	leader   int
+	addrs    []string // listening addresses of the members, which bypass the harness's proxies
+	versions map[string]int
 }
 
-// group starts a quorum of three members and activates the given documents.
-func (s *scale) group(docs map[string]string) (*agreedOn, error) {
+// startGroup starts a quorum of three members and activates the given documents.
+func (s *scale) startGroup(docs map[string]string) (*documentGroup, error) {
 	g, err := harness.NewGroup(s.dir(), 3, lease.Terms{TTL: scaleLease, Drift: 0.05}, 50*time.Millisecond, starter(s.bin))
-	a := &agreedOn{Group: g, doc: map[string]int{}}
+	a := &documentGroup{Group: g, versions: map[string]int{}}
 	if err != nil {
 		g.Close()
 		return nil, err
@@ -667,11 +668,11 @@
 		if docs[doc] == "" {
 			continue
 		}
-		if _, err := a.change(doc, docs[doc]); err != nil {
+		if _, err := a.propose(doc, docs[doc]); err != nil {
 			g.Close()
 			return nil, fmt.Errorf("%s: %w", doc, err)
 		}
-		if err := a.inForce(doc, time.Minute); err != nil {
+		if err := a.awaitActive(doc, time.Minute); err != nil {
 			g.Close()
 			return nil, err
 		}
@@ -679,16 +680,16 @@
 	return a, nil
 }
 
-// change proposes a document as the command line does and returns the time of the proposal.
-func (g *agreedOn) change(doc, text string) (at time.Time, err error) {
+// propose proposes a document as the command line does and returns the time of the proposal.
+func (g *documentGroup) propose(doc, text string) (at time.Time, err error) {
 	text, format, err := settings.ExtractDocument(doc, []byte(text))
 	if err != nil {
 		return at, err
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), mostJoin)
+	ctx, cancel := context.WithTimeout(context.Background(), hollowTimeout)
 	defer cancel()
 	at = time.Now()
-	c := configstore.Change{Op: configstore.OpPropose, Doc: doc, Text: text, Format: format, Version: g.doc[doc], Author: "scale"}
+	c := configstore.Change{Op: configstore.OpPropose, Doc: doc, Text: text, Format: format, Version: g.versions[doc], Author: "scale"}
 	r, err := g.Client.Do(ctx, statemachine.Command{Config: &c})
 	if err == nil && r.Error != "" {
 		err = errors.New(r.Error)
@@ -696,28 +697,28 @@
 	return at, err
 }
 
-// inForce waits until a document is active and has no proposed version.
-func (g *agreedOn) inForce(doc string, within time.Duration) error {
-	ctx, cancel := context.WithTimeout(context.Background(), within)
+// awaitActive waits until a document is active and has no proposed version.
+func (g *documentGroup) awaitActive(doc string, timeout time.Duration) error {
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	for {
 		r, err := g.Client.Config(ctx)
 		if err == nil {
 			if d := r.Store.Documents[doc]; d != nil && d.Proposed == nil && d.Active != nil {
-				g.doc[doc] = d.Active.ID.Version
+				g.versions[doc] = d.Active.ID.Version
 				return nil
 			}
 		}
 		select {
 		case <-ctx.Done():
-			return fmt.Errorf("document %s is not active after %v: %w", doc, within, err)
+			return fmt.Errorf("document %s is not active after %v: %w", doc, timeout, err)
 		case <-time.After(20 * time.Millisecond):
 		}
 	}
 }
 
-// scaleDocs returns the initial documents of a group, with a cell map of four servers.
-func scaleDocs(tenants int) map[string]string {
+// initialDocs returns the initial documents of a group, with a cell map of four servers.
+func initialDocs(tenants int) map[string]string {
 	return map[string]string{
 		configstore.DocMap: string(settings.FormatCells(scaleMap(places(4), 1, tenants))), configstore.DocRouting: routingText(0), configstore.DocClasses: classesText(0),
 	}
@@ -745,6 +746,6 @@
 		return math.NaN(), math.NaN(), math.NaN()
 	}
 	list = slices.Sorted(slices.Values(list))
-	at := func(q float64) float64 { return list[min(len(list)-1, int(math.Ceil(q*float64(len(list))))-1)] }
-	return at(0.5), at(0.99), list[len(list)-1]
+	quantile := func(q float64) float64 { return list[min(len(list)-1, int(math.Ceil(q*float64(len(list))))-1)] }
+	return quantile(0.5), quantile(0.99), list[len(list)-1]
 }
--- a/internal/testkit/benchmarks/scale_test.go
+++ b/internal/testkit/benchmarks/scale_test.go
@@ -25,7 +25,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want, err := withTables(string(page), r)
+	want, err := replaceTables(string(page), r)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/testkit/benchmarks/scaledecide.go
+++ b/internal/testkit/benchmarks/scaledecide.go
@@ -27,26 +27,26 @@
 	scaleFollowers = 1400 // processes that follow documents: servers and routers
 )
 
-// each returns the time of one call of f in microseconds and the objects that it allocates, averaged over at
-// least 3 calls and 60 ms.
-func each(f func()) (us, objects float64) {
+// measureCall returns the time of one call of f in microseconds and the objects that it allocates, averaged
+// over at least 3 calls and 60 ms.
+func measureCall(f func()) (us, objects float64) {
 	f()
 	runtime.GC() // collect the garbage of the setup first, so that it does not count
-	var was, now runtime.MemStats
-	runtime.ReadMemStats(&was)
-	began, n := time.Now(), 0
-	for n < 3 || time.Since(began) < 60*time.Millisecond {
+	var before, now runtime.MemStats
+	runtime.ReadMemStats(&before)
+	startedAt, n := time.Now(), 0
+	for n < 3 || time.Since(startedAt) < 60*time.Millisecond {
 		f()
 		n++
 	}
-	took := time.Since(began)
+	took := time.Since(startedAt)
 	runtime.ReadMemStats(&now)
-	return took.Seconds() * 1e6 / float64(n), float64(now.Mallocs-was.Mallocs) / float64(n)
+	return took.Seconds() * 1e6 / float64(n), float64(now.Mallocs-before.Mallocs) / float64(n)
 }
 
 // decisions measures the decision code without processes, at sizes up to that of the whole fleet.
 func (s *scale) decisions() error {
-	for range s.plays {
+	for range s.repetitions {
 		for _, f := range []func() error{s.decideTenants, s.decideServers, s.decideCallers, s.decideFollowers} {
 			if err := f(); err != nil {
 				return err
@@ -60,18 +60,18 @@
 func (s *scale) decideTenants() error {
 	fixed := map[string]float64{"servers": scaleServers, "zones": scaleZones}
 	now := time.Now()
-	for _, n := range s.of(1000, 2500, 5000, 10000, scaleTenants) {
+	for _, n := range s.scaled(1000, 2500, 5000, 10000, scaleTenants) {
 		m := scaleMap(places(scaleServers), scaleZones, n)
 		at := float64(n)
 		k := 0
-		us, objects := each(func() {
+		us, objects := measureCall(func() {
 			m.Route(now, m.Tenants[k%n].Name, "key") // spread over all tenants, so that a search covers half of them on average
 			k += 7919
 		})
 		s.add("router.route.tenants", "us", "simulated", fixed, at, us)
 		s.add("router.route_allocations.tenants", "1", "simulated", fixed, at, objects)
 		text := settings.FormatCells(m)
-		us, _ = each(func() { _, _ = settings.ParseCells(text) })
+		us, _ = measureCall(func() { _, _ = settings.ParseCells(text) })
 		s.add("router.parse.tenants", "ms", "simulated", fixed, at, us/1000)
 		next, err := settings.ParseCells(text)
 		if err != nil {
@@ -79,14 +79,14 @@
 		}
 		next.Version++
 		next.Tenants[0].Rate++
-		began := time.Now() // measured once, because the time grows quadratically
+		startedAt := time.Now() // measured once, because the time grows quadratically
 		if err := next.Follows(m, now); err != nil {
 			return err
 		}
-		s.add("router.follows.tenants", "ms", "simulated", fixed, at, time.Since(began).Seconds()*1000)
-		began = time.Now()
-		wholes := quota.CapacityOf(m, now)
-		s.add("leader.wholes.tenants", "ms", "simulated", fixed, at, time.Since(began).Seconds()*1000)
+		s.add("router.follows.tenants", "ms", "simulated", fixed, at, time.Since(startedAt).Seconds()*1000)
+		startedAt = time.Now()
+		capacities := quota.CapacityOf(m, now)
+		s.add("leader.wholes.tenants", "ms", "simulated", fixed, at, time.Since(startedAt).Seconds()*1000)
 		demand := map[string]map[string]float64{}
 		for r := range 4 {
 			demand[fmt.Sprint("r", r)] = map[string]float64{}
@@ -94,15 +94,15 @@
 				demand[fmt.Sprint("r", r)][m.Tenants[i].Name] = 5
 			}
 		}
-		began = time.Now()
-		quota.Targets(wholes[m.Cells[0].Name], demand)
-		s.add("leader.targets.tenants", "ms", "simulated", map[string]float64{"servers": scaleServers, "zones": scaleZones, "routers": 4}, at, time.Since(began).Seconds()*1000)
+		startedAt = time.Now()
+		quota.Targets(capacities[m.Cells[0].Name], demand)
+		s.add("leader.targets.tenants", "ms", "simulated", map[string]float64{"servers": scaleServers, "zones": scaleZones, "routers": 4}, at, time.Since(startedAt).Seconds()*1000)
 	}
 	return nil
 }
 
-// table returns a router's balancer of n healthy servers, and the names of the servers.
-func table(n int) (t *loadbalancer.Balancer, names []string) {
+// newBalancer returns a router's balancer of n healthy servers, and the names of the servers.
+func newBalancer(n int) (t *loadbalancer.Balancer, names []string) {
 	t = loadbalancer.New(loadbalancer.Config{Seed: 1, KeyWindow: 20 * time.Second})
 	weights := map[string]float64{}
 	for i := range n {
@@ -120,12 +120,12 @@
 func (s *scale) decideServers() error {
 	fixed := map[string]float64{"tenants": 1000, "zones": scaleZones}
 	wall, now := time.Now(), time.Hour+time.Second
-	sizes := s.of(60, 120, 240, 465, scaleServers)
+	sizes := s.scaled(60, 120, 240, 465, scaleServers)
 	for _, n := range sizes {
 		at := float64(n)
 		m := scaleMap(places(n), min(n, scaleZones), 1000)
 		k := 0
-		us, _ := each(func() {
+		us, _ := measureCall(func() {
 			m.Route(wall, m.Tenants[k%1000].Name, "key")
 			k += 7
 		})
@@ -133,26 +133,26 @@
 		if n == sizes[len(sizes)-1] { // the whole fleet, with fewer and with more zones
 			for _, zones := range []int{1, 2, 5, 10, 20} {
 				x := scaleMap(places(n), zones, 1000)
-				us, _ := each(func() {
+				us, _ := measureCall(func() {
 					x.Route(wall, x.Tenants[k%1000].Name, "key")
 					k += 7
 				})
 				s.add("router.route.zones", "us", "simulated", map[string]float64{"tenants": 1000, "servers": scaleServers}, float64(zones), us)
 			}
 		}
-		t, names := table(n)
-		us, _ = each(func() { t.Pick(now, "t", names, "") })
+		t, names := newBalancer(n)
+		us, _ = measureCall(func() { t.Pick(now, "t", names, "") })
 		s.add("router.pick.servers", "us", "simulated", nil, at, us)
-		us, _ = each(func() { t.States(now) })
+		us, _ = measureCall(func() { t.States(now) })
 		s.add("router.states.servers", "us", "simulated", nil, at, us)
-		us, _ = each(func() { // one round of health checks, each of which ends with the states of all servers
+		us, _ = measureCall(func() { // one round of health checks, each of which ends with the states of all servers
 			for _, name := range names {
 				t.Answered(now, name, loadbalancer.Incarnation{Boot: 1, RanUntil: 1, Now: 2})
 				t.States(now)
 			}
 		})
 		s.add("router.round.servers", "ms", "simulated", nil, at, us/1000)
-		us, _ = each(func() { m.Server(names[n/2]) })
+		us, _ = measureCall(func() { m.Server(names[n/2]) })
 		s.add("router.find.servers", "us", "simulated", nil, at, us)
 	}
 	return nil
@@ -162,7 +162,7 @@
 // most 1,024 callers at once. It grants nothing to further callers, so the cost does not grow beyond that
 // number.
 func (s *scale) decideCallers() error {
-	for _, n := range s.of(60, 120, 240, 480, 1000, scaleCallers) {
+	for _, n := range s.scaled(60, 120, 240, 480, 1000, scaleCallers) {
 		at := float64(n)
 		x := slowstart.NewServer(0, 3)
 		names := make([]string, n)
@@ -173,7 +173,7 @@
 			x.Grant(now, names[i], 0, 400, term)
 		}
 		k := 0
-		us, _ := each(func() {
+		us, _ := measureCall(func() {
 			x.Grant(now, names[k%n], 0, 400, term)
 			k++
 		})
@@ -190,7 +190,7 @@
 // decideFollowers measures the code of a group's leader, by the number of processes that follow documents.
 func (s *scale) decideFollowers() error {
 	terms := lease.Terms{TTL: scaleLease, Drift: 0.05}
-	for _, n := range s.of(60, 120, 240, 465, 1000, scaleFollowers) {
+	for _, n := range s.scaled(60, 120, 240, 465, 1000, scaleFollowers) {
 		at := float64(n)
 		b, w := configstore.NewStore(), configstore.NewProcessMonitor(terms)
 		w.StartLeading(0)
@@ -214,20 +214,20 @@
 		}
 		now := 120 * time.Second
 		k := 0
-		us, _ := each(func() {
+		us, _ := measureCall(func() {
 			w.Observe(users[k%n].Name, now, nil, configstore.Goodput{}, "")
 			k++
 		})
 		s.add("leader.heard.followers", "us", "simulated", nil, at, us)
 		d := b.Documents[configstore.DocRouting]
-		us, _ = each(func() { b.WaitingFor(d) })
+		us, _ = measureCall(func() { b.WaitingFor(d) })
 		s.add("leader.waits.followers", "us", "simulated", nil, at, us)
-		us, _ = each(func() { w.Proposals(b, now) })
+		us, _ = measureCall(func() { w.Proposals(b, now) })
 		s.add("leader.due.followers", "us", "simulated", nil, at, us)
 		st := statemachine.New(1)
 		st.Config = b
 		size := 0
-		us, _ = each(func() {
+		us, _ = measureCall(func() {
 			text, _ := st.Snapshot()
 			size = len(text)
 		})
@@ -266,48 +266,48 @@
 		homes = append(homes, h)
 	}
 	for _, loss := range []struct {
-		what string
-		gone []string
+		unit    string
+		servers []string
 	}{{"machine", zone(0)[:1]}, {"rack", zone(0)[:perRack]}, {"zone", zone(0)}, {"region", slices.Concat(zone(0), zone(1))}} {
-		gone := map[string]bool{}
-		for _, name := range loss.gone {
-			gone[name] = true
+		isGone := map[string]bool{}
+		for _, name := range loss.servers {
+			isGone[name] = true
 		}
-		at := float64(len(gone))
+		at := float64(len(isGone))
 		after := *m
-		after.Servers = slices.DeleteFunc(slices.Clone(m.Servers), func(x cells.Server) bool { return gone[x.Name] })
-		lost, moved, none := 0, 0, 0
+		after.Servers = slices.DeleteFunc(slices.Clone(m.Servers), func(x cells.Server) bool { return isGone[x.Name] })
+		lost, moved, homeless := 0, 0, 0
 		for _, h := range homes {
-			if gone[h.at] {
+			if isGone[h.at] {
 				lost++
 			}
 			r, ok := after.Route(wall, h.tenant, h.key)
 			switch {
 			case !ok:
-				none++
-			case r.Home != h.at && !gone[h.at]:
+				homeless++
+			case r.Home != h.at && !isGone[h.at]:
 				moved++
 			}
 		}
 		s.add("router.keys_lost.servers_lost", "%", "simulated", fixed, at, 100*float64(lost)/keys)
-		s.add("router.keys_nowhere.servers_lost", "%", "simulated", fixed, at, 100*float64(none)/keys)
+		s.add("router.keys_nowhere.servers_lost", "%", "simulated", fixed, at, 100*float64(homeless)/keys)
 		s.add("router.others_moved.servers_lost", "%", "simulated", fixed, at, 100*float64(moved)/keys)
-		for _, how := range []string{"refusing", "silent"} { // a powered-off machine sends nothing, so each check times out after 1 s
-			known := s.known(loss.gone, how == "silent")
-			s.add("router.dead_after.servers_lost."+how, "ms", "simulated", fixed, at, known.Seconds()*1000)
+		for _, mode := range []string{"refusing", "silent"} { // a powered-off machine sends nothing, so each check times out after 1 s
+			delay := s.deadAfter(loss.servers, mode == "silent")
+			s.add("router.dead_after.servers_lost."+mode, "ms", "simulated", fixed, at, delay.Seconds()*1000)
 		}
 	}
 	return nil
 }
 
-// known returns how long after a loss, in simulated time and at the latest, a router considers all lost
+// deadAfter returns how long after a loss, in simulated time and at the latest, a router considers all lost
 // servers dead. If silent is set, a check of a lost server ends after a timeout of 1 s; otherwise it fails at
 // once.
-func (s *scale) known(gone []string, silent bool) time.Duration {
-	t, names := table(scaleServers)
-	is := map[string]bool{}
-	for _, name := range gone {
-		is[name] = true
+func (s *scale) deadAfter(lostServers []string, silent bool) time.Duration {
+	t, names := newBalancer(scaleServers)
+	isLost := map[string]bool{}
+	for _, name := range lostServers {
+		isLost[name] = true
 	}
 	lost, wait := time.Hour+time.Second, time.Duration(0)
 	if silent {
@@ -315,13 +315,13 @@
 	}
 	for now := lost + scaleCheck; ; now += wait + scaleCheck { // the previous check was just before the loss
 		for _, name := range names {
-			if is[name] {
+			if isLost[name] {
 				t.Unreachable(now+wait, name)
 			} else {
 				t.Answered(now, name, loadbalancer.Incarnation{Boot: 1, RanUntil: 1, Now: 2})
 			}
 		}
-		if !slices.ContainsFunc(t.States(now+wait), func(x loadbalancer.ServerState) bool { return is[x.Name] && x.Health != loadbalancer.Dead }) {
+		if !slices.ContainsFunc(t.States(now+wait), func(x loadbalancer.ServerState) bool { return isLost[x.Name] && x.Health != loadbalancer.Dead }) {
 			return now + wait - lost
 		}
 	}
--- a/internal/testkit/benchmarks/scalepage.go
+++ b/internal/testkit/benchmarks/scalepage.go
@@ -11,8 +11,8 @@
 
 // Markers around the tables of docs/results/scale.md, which are rendered from docs/results/scale.json alone.
 const (
-	tablesFrom = "<!-- tables: rendered of scale.json -->"
-	tablesTo   = "<!-- end of tables -->"
+	tablesStart = "<!-- tables: rendered of scale.json -->"
+	tablesEnd   = "<!-- end of tables -->"
 )
 
 // scaleCauses gives, by series, the reason why the fit did not predict the value that it was checked against.
@@ -51,18 +51,18 @@
 	"server.round.callers":           "each word sorts the names of all callers, by more than a line; the plays at 480 differ by 1.4 times, beside other runs",
 }
 
-// withTables returns the page with the tables of the results between its markers.
-func withTables(page string, r capacity.Results) (string, error) {
-	before, rest, ok := strings.Cut(page, tablesFrom)
-	_, after, ended := strings.Cut(rest, tablesTo)
+// replaceTables returns the page with the tables of the results between its markers.
+func replaceTables(page string, r capacity.Results) (string, error) {
+	before, rest, ok := strings.Cut(page, tablesStart)
+	_, after, ended := strings.Cut(rest, tablesEnd)
 	if !ok || !ended {
-		return "", fmt.Errorf("page has no table markers: %s", tablesFrom)
+		return "", fmt.Errorf("page has no table markers: %s", tablesStart)
 	}
-	return before + tablesFrom + "\n\n" + tables(r) + tablesTo + after, nil
+	return before + tablesStart + "\n\n" + renderTables(r) + tablesEnd + after, nil
 }
 
-// figure formats a value with about three significant digits.
-func figure(v float64) string {
+// formatFigure formats a value with about three significant digits.
+func formatFigure(v float64) string {
 	if v != 0 && (v < 0.001 && v > -0.001) {
 		return strconv.FormatFloat(v, 'g', 2, 64)
 	}
@@ -78,9 +78,9 @@
 	return text
 }
 
-// tables renders one table for each role and varied quantity, with the medians, the fit, and the predicted
-// and the measured value. Tables of the poor fits and of the fixed quantities follow.
-func tables(r capacity.Results) string { //nolint:cyclop // one measurement from top to bottom; its split is in docs/ROADMAP.md
+// renderTables renders one table for each role and varied quantity, with the medians, the fit, and the
+// predicted and the measured value. Tables of the poor fits and of the fixed quantities follow.
+func renderTables(r capacity.Results) string { //nolint:cyclop // one measurement from top to bottom; its split is in docs/ROADMAP.md
 	var b strings.Builder
 	fmt.Fprintf(&b, "Command: `%s`. Machine: %s. Program: %s.\n\n", r.Command, r.Machine, r.Program)
 	type group struct{ role, varies string }
@@ -91,7 +91,7 @@
 		}
 	}
 	slices.SortFunc(groups, func(x, y group) int { return strings.Compare(x.role+" "+x.varies, y.role+" "+y.varies) })
-	var off []capacity.Series
+	var poorFits []capacity.Series
 	for _, g := range groups {
 		fmt.Fprintf(&b, "### %s by %s\n\n| figure | unit | of | plays | medians at | slope | foretold | measured | off |\n|---|---|---|---|---|---|---|---|---|\n", g.role, strings.ReplaceAll(g.varies, "_", " "))
 		for _, x := range r.Series {
@@ -100,34 +100,34 @@
 			}
 			var at []string
 			for _, p := range x.Points {
-				at = append(at, fmt.Sprintf("%s: %s", whole(p.At), figure(p.Median())))
+				at = append(at, fmt.Sprintf("%s: %s", formatNumber(p.At), formatFigure(p.Median())))
 			}
 			fmt.Fprintf(&b, "| %s | %s | %s | %d | %s | %s |\n", x.Name, x.Unit, x.Of, x.Plays, strings.Join(at, ", "), fitted(x.Fit))
 			if x.Fit != nil && !x.Fit.Believed() {
-				off = append(off, x)
+				poorFits = append(poorFits, x)
 			}
 		}
 		b.WriteByte('\n')
 	}
 	fmt.Fprintf(&b, "### Slopes that are not believed\n\n| figure | held against | foretold | measured | off | cause |\n|---|---|---|---|---|---|\n")
-	for _, x := range off {
+	for _, x := range poorFits {
 		cause := x.Fit.Cause
 		if cause == "" {
 			cause = "not known"
 		}
-		fmt.Fprintf(&b, "| %s | %s | %s | %s | %+.0f%% | %s |\n", x.Name, whole(x.Fit.At), figure(x.Fit.Foretold), figure(x.Fit.Measured), 100*x.Fit.Off, cause)
+		fmt.Fprintf(&b, "| %s | %s | %s | %s | %+.0f%% | %s |\n", x.Name, formatNumber(x.Fit.At), formatFigure(x.Fit.Foretold), formatFigure(x.Fit.Measured), 100*x.Fit.Off, cause)
 	}
 	b.WriteString("\n### What stayed\n\n| figures | fixed |\n|---|---|\n")
-	said := map[string]bool{}
+	seen := map[string]bool{}
 	for _, x := range r.Series {
 		var list []string
 		for k, v := range x.Fixed {
-			list = append(list, k+" "+whole(v))
+			list = append(list, k+" "+formatNumber(v))
 		}
 		slices.Sort(list)
 		line := fmt.Sprintf("| %s by %s, %s | %s |\n", x.Role, strings.ReplaceAll(x.Varies, "_", " "), x.Of, strings.Join(list, ", "))
-		if len(list) > 0 && !said[line] {
-			said[line] = true
+		if len(list) > 0 && !seen[line] {
+			seen[line] = true
 			b.WriteString(line)
 		}
 	}
@@ -135,8 +135,8 @@
 	return b.String()
 }
 
-// whole formats a value with as many digits as it needs.
-func whole(v float64) string { return strconv.FormatFloat(v, 'f', -1, 64) }
+// formatNumber formats a value with as many digits as it needs.
+func formatNumber(v float64) string { return strconv.FormatFloat(v, 'f', -1, 64) }
 
 // fitted returns the table columns of a fit.
 func fitted(f *capacity.Fit) string {
@@ -151,6 +151,6 @@
 	if !f.Believed() {
 		mark = " **not believed**"
 	}
-	return fmt.Sprintf("%s %+.3g %s, of %s to %s | %s at %s | %s | %+.0f%%%s", figure(f.Base), f.Per, by, whole(f.From), whole(f.To),
-		figure(f.Foretold), whole(f.At), figure(f.Measured), 100*f.Off, mark)
+	return fmt.Sprintf("%s %+.3g %s, of %s to %s | %s at %s | %s | %+.0f%%%s", formatFigure(f.Base), f.Per, by, formatNumber(f.From), formatNumber(f.To),
+		formatFigure(f.Foretold), formatNumber(f.At), formatFigure(f.Measured), 100*f.Off, mark)
 }
--- a/internal/testkit/benchmarks/scaleparts.go
+++ b/internal/testkit/benchmarks/scaleparts.go
@@ -25,26 +25,26 @@
 
 // routerServers measures an idle real router by the number of servers that it checks.
 func (s *scale) routerServers() error {
-	sizes := s.of(30, 60, 120, 240, 930)
-	h, err := startHerd(herd{Kind: "servers", N: sizes[len(sizes)-1]})
+	sizes := s.scaled(30, 60, 120, 240, 930)
+	h, err := startHollowSet(hollowSet{Kind: "servers", N: sizes[len(sizes)-1]})
 	if err != nil {
 		return err
 	}
 	defer h.Kill()
 	fixed := map[string]float64{"tenants": 1, "check_ms": float64(scaleCheck.Milliseconds())}
-	for range s.plays {
+	for range s.repetitions {
 		for _, n := range sizes {
-			p, _, err := s.route(s.newer(scaleMap(h.Addrs[:n], 1, 1)))
+			p, _, err := s.startRouter(s.withNextVersion(scaleMap(h.Addrs[:n], 1, 1)))
 			if err != nil {
 				return err
 			}
-			time.Sleep(s.rest)
+			time.Sleep(s.settleTime)
 			t, a := h.traffic(), allocations(p)
-			was, now := s.used(p.Pid(), h.Pid())
-			d := now[0].at.Sub(was[0].at).Seconds()
+			before, now := s.measure(p.Pid(), h.Pid())
+			d := now[0].at.Sub(before[0].at).Seconds()
 			c, b := h.traffic().Sub(t), allocations(p)
-			cpu, _, _, _ := now[0].since(was[0])
-			hcpu, _, _, _ := now[1].since(was[1])
+			cpu, _, _, _ := now[0].since(before[0])
+			hcpu, _, _, _ := now[1].since(before[1])
 			at := float64(n)
 			s.add("router.cpu.servers", "core", "real", fixed, at, cpu)
 			s.add("router.resident.servers", "MB", "real", fixed, at, now[0].resident)
@@ -64,8 +64,8 @@
 // that of real routers.
 func (s *scale) routerHollow() error {
 	const routers = 4
-	sizes := s.of(30, 60, 120, 240)
-	h, err := startHerd(herd{Kind: "servers", N: sizes[len(sizes)-1]})
+	sizes := s.scaled(30, 60, 120, 240)
+	h, err := startHollowSet(hollowSet{Kind: "servers", N: sizes[len(sizes)-1]})
 	if err != nil {
 		return err
 	}
@@ -73,19 +73,19 @@
 	fixed := map[string]float64{"tenants": 1, "check_ms": float64(scaleCheck.Milliseconds()), "routers": routers}
 	for _, n := range sizes {
 		file := filepath.Join(s.dir(), "cells.json")
-		if err := proxy.WriteMap(file, s.newer(scaleMap(h.Addrs[:n], 1, 1))); err != nil {
+		if err := proxy.WriteMap(file, s.withNextVersion(scaleMap(h.Addrs[:n], 1, 1))); err != nil {
 			return err
 		}
-		r, err := startHerd(herd{Kind: "routers", N: routers, Map: file, Every: scaleCheck})
+		r, err := startHollowSet(hollowSet{Kind: "routers", N: routers, Map: file, Every: scaleCheck})
 		if err != nil {
 			return err
 		}
-		time.Sleep(s.rest)
+		time.Sleep(s.settleTime)
 		t := r.traffic()
-		was, now := s.used(r.Pid())
-		d := now[0].at.Sub(was[0].at).Seconds()
+		before, now := s.measure(r.Pid())
+		d := now[0].at.Sub(before[0].at).Seconds()
 		c := r.traffic().Sub(t)
-		cpu, _, _, _ := now[0].since(was[0])
+		cpu, _, _, _ := now[0].since(before[0])
 		at := float64(n)
 		s.add("router.cpu.servers.hollow", "core", "hollow", fixed, at, cpu/routers)
 		s.add("router.resident.servers.hollow", "MB", "hollow", fixed, at, now[0].resident/routers)
@@ -100,23 +100,23 @@
 // routerTenants measures an idle real router by the number of tenants in a cell map that it reads from a
 // file.
 func (s *scale) routerTenants() error {
-	h, err := startHerd(herd{Kind: "servers", N: 4})
+	h, err := startHollowSet(hollowSet{Kind: "servers", N: 4})
 	if err != nil {
 		return err
 	}
 	defer h.Kill()
 	fixed := map[string]float64{"servers": 4, "lease_ms": 5000}
-	for range s.plays {
-		for _, n := range s.of(300, 1000, 3000, 9000, 21000) {
-			p, ready, err := s.route(s.newer(scaleMap(h.Addrs, 1, n)))
+	for range s.repetitions {
+		for _, n := range s.scaled(300, 1000, 3000, 9000, 21000) {
+			p, ready, err := s.startRouter(s.withNextVersion(scaleMap(h.Addrs, 1, n)))
 			if err != nil {
 				return err
 			}
-			time.Sleep(s.rest)
+			time.Sleep(s.settleTime)
 			a := allocations(p)
-			was, now := s.usedFor(s.stretch*5/4, p.Pid()) // three reads of the map, whose lease is 5 s
-			d := now[0].at.Sub(was[0].at).Seconds()
-			cpu, in, _, _ := now[0].since(was[0])
+			before, now := s.measureFor(s.duration*5/4, p.Pid()) // three reads of the map, whose lease is 5 s
+			d := now[0].at.Sub(before[0].at).Seconds()
+			cpu, in, _, _ := now[0].since(before[0])
 			at := float64(n)
 			s.add("router.cpu.tenants.file", "core", "real", fixed, at, cpu)
 			s.add("router.resident.tenants.file", "MB", "real", fixed, at, now[0].resident)
@@ -129,26 +129,26 @@
 	return nil
 }
 
-// newer gives the map a higher version than all earlier maps of this run. Servers and routers report a
-// contradiction between two different maps of the same version.
-func (s *scale) newer(m *cells.Map) *cells.Map {
+// withNextVersion gives the map a higher version than all earlier maps of this run. Servers and routers
+// report a contradiction between two different maps of the same version.
+func (s *scale) withNextVersion(m *cells.Map) *cells.Map {
 	s.version++
 	m.Version = s.version
 	return m
 }
 
-// usedFor is used with a measurement of length d.
-func (s *scale) usedFor(d time.Duration, pids ...int) (was, now []usage) {
+// measureFor is measure with a measurement of length d.
+func (s *scale) measureFor(d time.Duration, pids ...int) (before, now []usage) {
 	x := *s
-	x.stretch = d
-	return x.used(pids...)
+	x.duration = d
+	return x.measure(pids...)
 }
 
 // routerRequests measures the latency that a router adds: two open-loop loads run at the same time, one
 // through the router and one directly to the servers.
 func (s *scale) routerRequests() error {
 	const servers = 4
-	h, err := startHerd(herd{Kind: "servers", N: servers})
+	h, err := startHollowSet(hollowSet{Kind: "servers", N: servers})
 	if err != nil {
 		return err
 	}
@@ -159,30 +159,30 @@
 	for i := range m.Servers { // the servers have stored their results since they joined the map
 		m.Servers[i].JoinsAt = time.Now().UnixMilli()
 	}
-	p, _, err := s.route(m)
+	p, _, err := s.startRouter(m)
 	if err != nil {
 		return err
 	}
 	defer p.Kill()
-	time.Sleep(s.rest)
+	time.Sleep(s.settleTime)
 	fixed := map[string]float64{"servers": servers, "tenants": 1, "body_bytes": 64}
 	body := []byte(strings.Repeat("x", 64))
-	for play := range s.plays {
-		was, now := s.used(p.Pid())
-		idle, _, _, _ := now[0].since(was[0])
-		for _, rate := range s.of(100, 200, 400, 800, 1600) {
+	for play := range s.repetitions {
+		before, now := s.measure(p.Pid())
+		idle, _, _, _ := now[0].since(before[0])
+		for _, rate := range s.scaled(100, 200, 400, 800, 1600) {
 			var times [2]*hdrhistogram.Histogram
 			var mu sync.Mutex
-			var all sync.WaitGroup
+			var loads sync.WaitGroup
 			failed, sent := 0, 0
 			for k := range times {
 				times[k] = hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)
 			}
-			ways := [2][]string{{p.Platform}, h.Addrs}
+			targets := [2][]string{{p.Platform}, h.Addrs}
 			var conns [2][]*client.Conn // opened again for each rate, because idle connections are closed
-			for k := range ways {
-				for i := range 2 * peers {
-					c, err := client.Dial(ways[k][i%len(ways[k])])
+			for k := range targets {
+				for i := range 2 * loadConns {
+					c, err := client.Dial(targets[k][i%len(targets[k])])
 					if err != nil {
 						return err
 					}
@@ -191,17 +191,17 @@
 				}
 			}
 			a := allocations(p)
-			was := usageOf(p.Pid())
+			before := usageOf(p.Pid())
 			for k, conns := range conns {
-				all.Go(func() {
-					var out sync.WaitGroup
-					defer out.Wait()
-					arrivals(rand.New(rand.NewPCG(uint64(play), uint64(k))), float64(rate), s.stretch, func(_ *rand.Rand, seq int, share Share, at time.Time) {
+				loads.Go(func() {
+					var requests sync.WaitGroup
+					defer requests.Wait()
+					arrivals(rand.New(rand.NewPCG(uint64(play), uint64(k))), float64(rate), s.duration, func(_ *rand.Rand, seq int, share Share, at time.Time) {
 						q := client.Request{Class: share.Class, Tenant: "tenant0", Timeout: patience, MemoryKB: 8, Body: body}
 						if share.Class == "oddaja" {
 							q.Key = fmt.Sprintf("%d-%d-%d-%d", play, rate, k, seq)
 						}
-						out.Go(func() {
+						requests.Go(func() {
 							a, ok := answer(conns[seq%len(conns)].Do(q))
 							took := time.Since(at)
 							mu.Lock()
@@ -216,14 +216,14 @@
 					})
 				})
 			}
-			all.Wait()
-			cpu, in, out, _ := usageOf(p.Pid()).since(was)
+			loads.Wait()
+			cpu, in, out, _ := usageOf(p.Pid()).since(before)
 			at, ms := float64(rate), func(k int, q float64) float64 { return float64(At(times[k], q).Microseconds()) / 1000 }
 			s.add("router.cpu.requests", "core", "real", fixed, at, cpu)
 			s.add("router.cpu_each.requests", "us", "real", fixed, at, (cpu-idle)/at*1e6)
 			s.add("router.bytes_in.requests", "KB/s", "real", fixed, at, in)
 			s.add("router.bytes_out.requests", "KB/s", "real", fixed, at, out)
-			s.add("router.allocations_each.requests", "1", "real", fixed, at, (allocations(p)-a)/(at*s.stretch.Seconds()))
+			s.add("router.allocations_each.requests", "1", "real", fixed, at, (allocations(p)-a)/(at*s.duration.Seconds()))
 			s.add("router.added_p50.requests", "ms", "real", fixed, at, ms(0, 50)-ms(1, 50))
 			s.add("router.added_p99.requests", "ms", "real", fixed, at, ms(0, 99)-ms(1, 99))
 			s.add("router.past_p99.requests", "ms", "real", fixed, at, ms(1, 99))
@@ -236,25 +236,25 @@
 // mapSizes proposes cell maps of increasing size to one group and measures which sizes it accepts and how
 // fast.
 func (s *scale) mapSizes() error {
-	g, err := s.group(map[string]string{configstore.DocMap: string(settings.FormatCells(scaleMap(places(4), 1, 1)))})
+	g, err := s.startGroup(map[string]string{configstore.DocMap: string(settings.FormatCells(scaleMap(places(4), 1, 1)))})
 	if err != nil {
 		return err
 	}
 	defer g.Close()
 	fixed := map[string]float64{"servers": 4, "followers": 0}
 	version := 1
-	for _, n := range s.of(300, 600, 1200, 1500, 1600, 3000, 5000, 9000, 21000) {
+	for _, n := range s.scaled(300, 600, 1200, 1500, 1600, 3000, 5000, 9000, 21000) {
 		m := scaleMap(places(4), 1, n)
 		version++
 		m.Version = version
 		text := string(settings.FormatCells(m))
-		at, err := g.change(configstore.DocMap, text)
+		at, err := g.propose(configstore.DocMap, text)
 		took := time.Since(at)
 		s.add("tool.map_size.tenants", "KB", "real", fixed, float64(n), float64(len(text))/1024)
 		accepted := 0.0
 		if err == nil {
 			accepted = 1
-			if err = g.inForce(configstore.DocMap, time.Minute); err != nil {
+			if err = g.awaitActive(configstore.DocMap, time.Minute); err != nil {
 				return err
 			}
 			s.add("tool.put.tenants", "ms", "real", fixed, float64(n), took.Seconds()*1000)
@@ -281,27 +281,27 @@
 		return err
 	}
 	defer p.Kill()
-	for range s.plays {
-		for _, n := range append([]int{0}, s.of(50, 100, 200, 400, 1000)...) {
+	for range s.repetitions {
+		for _, n := range append([]int{0}, s.scaled(50, 100, 200, 400, 1000)...) {
 			var pids []int
-			var h *herded
+			var h *hollowProcess
 			if n > 0 {
-				if h, err = startHerd(herd{Kind: "callers", N: n, Every: every, To: p.Platform}); err != nil {
+				if h, err = startHollowSet(hollowSet{Kind: "callers", N: n, Every: every, To: p.Platform}); err != nil {
 					return err
 				}
 				pids = append(pids, h.Pid())
 			}
-			time.Sleep(s.rest)
+			time.Sleep(s.settleTime)
 			a := allocations(p)
-			was, now := s.used(append([]int{p.Pid()}, pids...)...)
-			d := now[0].at.Sub(was[0].at).Seconds()
-			cpu, in, out, _ := now[0].since(was[0])
+			before, now := s.measure(append([]int{p.Pid()}, pids...)...)
+			d := now[0].at.Sub(before[0].at).Seconds()
+			cpu, in, out, _ := now[0].since(before[0])
 			at := float64(n)
 			if n == 0 { // idle except for the interpreter's gauges
 				s.add("server.cpu.rest", "core", "real", fixed, 0, cpu)
 				continue
 			}
-			hcpu, _, _, _ := now[1].since(was[1])
+			hcpu, _, _, _ := now[1].since(before[1])
 			s.add("server.cpu.callers", "core", "real", fixed, at, cpu)
 			s.add("server.resident.callers", "MB", "real", fixed, at, now[0].resident)
 			s.add("server.bytes_in.callers", "KB/s", "real", fixed, at, in)
@@ -314,20 +314,20 @@
 	return nil
 }
 
-// routerOf returns the edge file of a router that follows the documents of a group. The argument docs is the
-// JSON array of their names.
-func routerOf(g *agreedOn, docs string) string {
+// groupRouterEdge returns the edge file of a router that follows the documents of a group. The argument docs
+// is the JSON array of their names.
+func groupRouterEdge(g *documentGroup, docs string) string {
 	list, _ := json.Marshal(g.addrs)
 	return fmt.Sprintf(`{"status":true,"fleet":{},"rules":{"group":"test","members":%s,"documents":%s}}`, list, docs)
 }
 
-// follow starts a herd of n followers of a group.
-func (s *scale) follow(g *agreedOn, n int, members []string, restarts float64) (*herded, error) {
-	return startHerd(herd{Kind: "followers", N: n, Members: members, Docs: []string{configstore.DocMap, configstore.DocRouting, configstore.DocClasses}, Restarts: restarts})
+// startFollowers starts n hollow followers of a group.
+func (s *scale) startFollowers(g *documentGroup, n int, members []string, restarts float64) (*hollowProcess, error) {
+	return startHollowSet(hollowSet{Kind: "followers", N: n, Members: members, Docs: []string{configstore.DocMap, configstore.DocRouting, configstore.DocClasses}, Restarts: restarts})
 }
 
-// status returns the number of file syncs, averaged over the members of the group.
-func (g *agreedOn) status() (syncs float64) {
+// meanSyncs returns the number of file syncs, averaged over the members of the group.
+func (g *documentGroup) meanSyncs() (syncs float64) {
 	for _, a := range g.Addrs {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		if st, err := g.Client.StatusOf(ctx, a); err == nil {
@@ -338,20 +338,21 @@
 	return syncs
 }
 
-// force proposes a document and waits until it is active and n followers have applied it. It returns the time
-// of the proposal and, for each follower, the milliseconds from then until it applied the document.
-func (g *agreedOn) force(h *herded, n int, doc, text string) (list []float64, at time.Time, err error) {
+// proposeAndAwait proposes a document and waits until it is active and n followers have applied it. It
+// returns the time of the proposal and, for each follower, the milliseconds from then until it applied the
+// document.
+func (g *documentGroup) proposeAndAwait(h *hollowProcess, n int, doc, text string) (list []float64, at time.Time, err error) {
 	from := h.Lines()
-	at, err = g.change(doc, text)
+	at, err = g.propose(doc, text)
 	if err != nil {
 		return nil, at, fmt.Errorf("%s: %w", doc, err)
 	}
-	if err := g.inForce(doc, time.Minute); err != nil {
+	if err := g.awaitActive(doc, time.Minute); err != nil {
 		return nil, at, err
 	}
 	for end := time.Now().Add(2 * scaleLease); ; time.Sleep(20 * time.Millisecond) {
 		list = list[:0]
-		for _, t := range h.took(from, doc) {
+		for _, t := range h.appliedTimes(from, doc) {
 			list = append(list, t.Sub(at).Seconds()*1000)
 		}
 		if len(list) >= n || time.Now().After(end) {
@@ -364,14 +365,14 @@
 	return list, at, nil
 }
 
-// texts generates document texts, each different from the previous one.
-type texts struct {
+// documentTexts generates document texts, each different from the previous one.
+type documentTexts struct {
 	n       int
 	servers []string
 	tenants int
 }
 
-func (t *texts) next(doc string) string {
+func (t *documentTexts) next(doc string) string {
 	t.n++
 	switch doc {
 	case configstore.DocRouting:
@@ -387,14 +388,14 @@
 // groupFollowers measures a group by the number of processes that follow its documents.
 func (s *scale) groupFollowers() error {
 	fixed := map[string]float64{"lease_ms": float64(scaleLease.Milliseconds()), "members": 3, "tenants": 20, "servers": 4}
-	servers, err := startHerd(herd{Kind: "servers", N: 4})
+	servers, err := startHollowSet(hollowSet{Kind: "servers", N: 4})
 	if err != nil {
 		return err
 	}
 	defer servers.Kill()
-	for range s.plays {
-		for _, n := range s.of(20, 40, 80, 160, 330) {
-			if e := s.groupOf(n, servers.Addrs, fixed); e != nil { // continue with the other sizes
+	for range s.repetitions {
+		for _, n := range s.scaled(20, 40, 80, 160, 330) {
+			if e := s.measureFollowers(n, servers.Addrs, fixed); e != nil { // continue with the other sizes
 				err = errors.Join(err, fmt.Errorf("%d followers: %w", n, e))
 			}
 		}
@@ -402,62 +403,62 @@
 	return err
 }
 
-// groupOf measures a group with n followers and a real router: first idle, then with one change of each
-// document.
-func (s *scale) groupOf(n int, servers []string, fixed map[string]float64) error {
-	t := &texts{servers: servers, tenants: 20}
+// measureFollowers measures a group with n followers and a real router: first idle, then with one change of
+// each document.
+func (s *scale) measureFollowers(n int, servers []string, fixed map[string]float64) error {
+	t := &documentTexts{servers: servers, tenants: 20}
 	docs := map[string]string{configstore.DocMap: t.next(configstore.DocMap), configstore.DocRouting: routingText(0), configstore.DocClasses: classesText(0)}
-	g, err := s.group(docs)
+	g, err := s.startGroup(docs)
 	if err != nil {
 		return err
 	}
 	defer g.Close()
-	real, err := Route(s.bin, s.dir(), s.routerSite(), routerOf(g, `["map","routing","classes"]`))
+	realRouter, err := Route(s.bin, s.dir(), s.routerSite(), groupRouterEdge(g, `["map","routing","classes"]`))
 	if err != nil {
 		return err
 	}
-	defer real.Kill()
-	h, err := s.follow(g, n, g.addrs, 0)
+	defer realRouter.Kill()
+	h, err := s.startFollowers(g, n, g.addrs, 0)
 	if err != nil {
 		return err
 	}
 	defer h.Kill()
-	time.Sleep(s.rest)
-	lead := g.Members[g.leader]
-	other := g.Members[(g.leader+1)%len(g.Members)]
-	syncs := g.status()
-	was, now := s.used(lead.Pid(), other.Pid(), h.Pid(), real.Pid())
-	at, d := float64(n), now[0].at.Sub(was[0].at).Seconds()
-	cpu, in, out, writes := now[0].since(was[0])
+	time.Sleep(s.settleTime)
+	leader := g.Members[g.leader]
+	member := g.Members[(g.leader+1)%len(g.Members)]
+	syncs := g.meanSyncs()
+	before, now := s.measure(leader.Pid(), member.Pid(), h.Pid(), realRouter.Pid())
+	at, d := float64(n), now[0].at.Sub(before[0].at).Seconds()
+	cpu, in, out, writes := now[0].since(before[0])
 	s.add("leader.cpu.followers", "core", "real", fixed, at, cpu)
 	s.add("leader.resident.followers", "MB", "real", fixed, at, now[0].resident)
 	s.add("leader.bytes_in.followers", "KB/s", "real", fixed, at, in)
 	s.add("leader.bytes_out.followers", "KB/s", "real", fixed, at, out)
 	s.add("leader.messages.followers", "1/s", "real", fixed, at, writes)
-	s.add("leader.syncs.followers", "1/s", "real", fixed, at, (g.status()-syncs)/d)
-	cpu, _, _, _ = now[1].since(was[1])
+	s.add("leader.syncs.followers", "1/s", "real", fixed, at, (g.meanSyncs()-syncs)/d)
+	cpu, _, _, _ = now[1].since(before[1])
 	s.add("member.cpu.followers", "core", "real", fixed, at, cpu)
-	cpu, in, out, _ = now[2].since(was[2])
+	cpu, in, out, _ = now[2].since(before[2])
 	s.add("caller.cpu.followers", "core", "hollow", fixed, at, cpu/at)
 	s.add("caller.bytes_in.followers", "KB/s", "hollow", fixed, at, in/at)
 	s.add("caller.bytes_out.followers", "KB/s", "hollow", fixed, at, out/at)
-	cpu, in, out, _ = now[3].since(was[3])
+	cpu, in, out, _ = now[3].since(before[3])
 	s.add("router.cpu.followers", "core", "real", fixed, at, cpu)
 	s.add("router.bytes_in.followers", "KB/s", "real", fixed, at, in)
 	s.add("router.bytes_out.followers", "KB/s", "real", fixed, at, out)
 	for _, doc := range []string{configstore.DocRouting, configstore.DocClasses, configstore.DocMap} {
-		from := real.Lines()
-		times, put, err := g.force(h, n, doc, t.next(doc))
+		from := realRouter.Lines()
+		times, proposedAt, err := g.proposeAndAwait(h, n, doc, t.next(doc))
 		if err != nil {
 			return err
 		}
-		line, err := real.Await(2*scaleLease, from, "config: active: "+doc)
+		line, err := realRouter.Await(2*scaleLease, from, "config: active: "+doc)
 		if err != nil {
 			return fmt.Errorf("real router did not apply the document: %w", err)
 		}
-		if acted, err := time.Parse("15:04:05.999999", strings.Fields(line)[0]); err == nil {
-			after := acted.Sub(time.Date(0, 1, 1, 0, 0, 0, 0, time.UTC)) - harness.DayTime(put)
-			s.add("router.force.followers."+doc, "ms", "real", fixed, at, max(0, after.Seconds()*1000))
+		if appliedAt, err := time.Parse("15:04:05.999999", strings.Fields(line)[0]); err == nil {
+			delay := appliedAt.Sub(time.Date(0, 1, 1, 0, 0, 0, 0, time.UTC)) - harness.DayTime(proposedAt)
+			s.add("router.force.followers."+doc, "ms", "real", fixed, at, max(0, delay.Seconds()*1000))
 		}
 		p50, p99, worst := quantiles(times)
 		s.add("leader.force_p50.followers."+doc, "ms", "real", fixed, at, p50)
@@ -471,23 +472,23 @@
 // changes. A member accepts at most 128 connections.
 func (s *scale) groupConnections() error {
 	fixed := map[string]float64{"lease_ms": float64(scaleLease.Milliseconds()), "members": 3, "tenants": 20}
-	g, err := s.group(scaleDocs(20))
+	g, err := s.startGroup(initialDocs(20))
 	if err != nil {
 		return err
 	}
 	defer g.Close()
-	for _, n := range s.of(20, 40, 80, 160, 330) {
-		h, err := s.follow(g, n, g.addrs, 0)
+	for _, n := range s.scaled(20, 40, 80, 160, 330) {
+		h, err := s.startFollowers(g, n, g.addrs, 0)
 		if err != nil {
 			return err
 		}
-		time.Sleep(s.rest)
-		was, began := connectionsOf(g.addrs[g.leader]), time.Now()
-		time.Sleep(s.stretch)
-		now, d := connectionsOf(g.addrs[g.leader]), time.Since(began).Seconds()
+		time.Sleep(s.settleTime)
+		before, startedAt := connectionStates(g.addrs[g.leader]), time.Now()
+		time.Sleep(s.duration)
+		now, d := connectionStates(g.addrs[g.leader]), time.Since(startedAt).Seconds()
 		opened, open := 0, 0
 		for port, up := range now {
-			if _, before := was[port]; !before {
+			if _, before := before[port]; !before {
 				opened++
 			}
 			if up {
@@ -503,57 +504,57 @@
 
 // groupChanges measures a group by the rate of changes, alternating between two documents.
 func (s *scale) groupChanges() error {
-	n := s.of(80)[0]
-	const stretch = 10 * time.Second
+	n := s.scaled(80)[0]
+	const duration = 10 * time.Second
 	fixed := map[string]float64{"lease_ms": float64(scaleLease.Milliseconds()), "members": 3, "followers": float64(n), "tenants": 20}
-	t := &texts{servers: places(4), tenants: 20}
+	t := &documentTexts{servers: places(4), tenants: 20}
 	docs := map[string]string{configstore.DocMap: t.next(configstore.DocMap), configstore.DocRouting: routingText(0), configstore.DocClasses: classesText(0)}
-	g, err := s.group(docs)
+	g, err := s.startGroup(docs)
 	if err != nil {
 		return err
 	}
 	defer g.Close()
-	h, err := s.follow(g, n, g.addrs, 0)
+	h, err := s.startFollowers(g, n, g.addrs, 0)
 	if err != nil {
 		return err
 	}
 	defer h.Kill()
-	time.Sleep(s.rest)
-	lead := g.Members[g.leader]
+	time.Sleep(s.settleTime)
+	leader := g.Members[g.leader]
 	for _, k := range []int{0, 1, 2, 4, 8} {
-		syncs := g.status()
-		was := []usage{usageOf(lead.Pid()), usageOf(h.Pid())}
-		began := time.Now()
-		last := map[string]bool{}
+		syncs := g.meanSyncs()
+		before := []usage{usageOf(leader.Pid()), usageOf(h.Pid())}
+		startedAt := time.Now()
+		changed := map[string]bool{}
 		for i := range k {
-			time.Sleep(time.Until(began.Add(stretch * time.Duration(i) / time.Duration(k))))
+			time.Sleep(time.Until(startedAt.Add(duration * time.Duration(i) / time.Duration(k))))
 			doc := []string{configstore.DocRouting, configstore.DocMap}[i%2]
-			if last[doc] {
-				if err := g.inForce(doc, time.Minute); err != nil {
+			if changed[doc] {
+				if err := g.awaitActive(doc, time.Minute); err != nil {
 					return err
 				}
 			}
-			if _, err := g.change(doc, t.next(doc)); err != nil {
+			if _, err := g.propose(doc, t.next(doc)); err != nil {
 				return fmt.Errorf("change %d of %d: %s: %w", i, k, doc, err)
 			}
-			last[doc] = true
+			changed[doc] = true
 		}
-		for doc := range last {
-			if err := g.inForce(doc, time.Minute); err != nil {
+		for doc := range changed {
+			if err := g.awaitActive(doc, time.Minute); err != nil {
 				return err
 			}
 		}
-		time.Sleep(time.Until(began.Add(stretch)))
-		now := []usage{usageOf(lead.Pid()), usageOf(h.Pid())}
-		d := now[0].at.Sub(was[0].at)
+		time.Sleep(time.Until(startedAt.Add(duration)))
+		now := []usage{usageOf(leader.Pid()), usageOf(h.Pid())}
+		d := now[0].at.Sub(before[0].at)
 		at := float64(k) * time.Hour.Seconds() / d.Seconds() // changes per hour, from the measured duration
 		at = float64(int(at/10+0.5)) * 10
-		cpu, in, out, _ := now[0].since(was[0])
+		cpu, in, out, _ := now[0].since(before[0])
 		s.add("leader.cpu.changes", "core", "real", fixed, at, cpu)
 		s.add("leader.bytes_in.changes", "KB/s", "real", fixed, at, in)
 		s.add("leader.bytes_out.changes", "KB/s", "real", fixed, at, out)
-		s.add("member.syncs.changes", "1/s", "real", fixed, at, (g.status()-syncs)/d.Seconds())
-		cpu, in, out, _ = now[1].since(was[1])
+		s.add("member.syncs.changes", "1/s", "real", fixed, at, (g.meanSyncs()-syncs)/d.Seconds())
+		cpu, in, out, _ = now[1].since(before[1])
 		s.add("caller.cpu.changes", "core", "hollow", fixed, at, cpu/float64(n))
 		s.add("caller.bytes_in.changes", "KB/s", "hollow", fixed, at, in/float64(n))
 		s.add("caller.bytes_out.changes", "KB/s", "hollow", fixed, at, out/float64(n))
@@ -563,9 +564,9 @@
 
 // groupRestarts measures a group by the number of follower restarts per minute.
 func (s *scale) groupRestarts() error {
-	n := s.of(40)[0]
+	n := s.scaled(40)[0]
 	fixed := map[string]float64{"lease_ms": float64(scaleLease.Milliseconds()), "members": 3, "followers": float64(n), "tenants": 20}
-	g, err := s.group(scaleDocs(20))
+	g, err := s.startGroup(initialDocs(20))
 	if err != nil {
 		return err
 	}
@@ -574,26 +575,26 @@
 		if i > 0 {
 			time.Sleep(scaleLease * 3 / 2) // until the leases of the previous followers have expired
 		}
-		h, err := s.follow(g, n, g.addrs, float64(rate))
+		h, err := s.startFollowers(g, n, g.addrs, float64(rate))
 		if err != nil {
 			return err
 		}
-		time.Sleep(s.rest)
-		lead := g.Members[g.leader]
-		syncs := g.status()
-		was, now := s.used(lead.Pid())
+		time.Sleep(s.settleTime)
+		leader := g.Members[g.leader]
+		syncs := g.meanSyncs()
+		before, now := s.measure(leader.Pid())
 		at := float64(rate)
-		cpu, _, out, _ := now[0].since(was[0])
+		cpu, _, out, _ := now[0].since(before[0])
 		s.add("leader.cpu.restarts", "core", "real", fixed, at, cpu)
 		s.add("leader.bytes_out.restarts", "KB/s", "real", fixed, at, out)
-		s.add("member.syncs.restarts", "1/s", "real", fixed, at, (g.status()-syncs)/now[0].at.Sub(was[0].at).Seconds())
+		s.add("member.syncs.restarts", "1/s", "real", fixed, at, (g.meanSyncs()-syncs)/now[0].at.Sub(before[0].at).Seconds())
 		for range 3 { // real routers that start while hollow followers restart
-			began := time.Now()
-			p, err := Route(s.bin, s.dir(), s.routerSite(), routerOf(g, `["map","routing","classes"]`))
+			startedAt := time.Now()
+			p, err := Route(s.bin, s.dir(), s.routerSite(), groupRouterEdge(g, `["map","routing","classes"]`))
 			if err != nil {
 				return err
 			}
-			s.add("router.ready.restarts", "ms", "real", fixed, at, time.Since(began).Seconds()*1000)
+			s.add("router.ready.restarts", "ms", "real", fixed, at, time.Since(startedAt).Seconds()*1000)
 			p.Kill()
 		}
 		h.Kill()
@@ -604,16 +605,16 @@
 // groupDelay measures a group whose followers connect over links that delay each message by a random time,
 // uniform between 0 and twice the mean.
 func (s *scale) groupDelay() error {
-	n := s.of(40)[0]
+	n := s.scaled(40)[0]
 	fixed := map[string]float64{"lease_ms": float64(scaleLease.Milliseconds()), "members": 3, "followers": float64(n), "tenants": 20}
-	t := &texts{servers: places(4), tenants: 20}
+	t := &documentTexts{servers: places(4), tenants: 20}
 	docs := map[string]string{configstore.DocMap: t.next(configstore.DocMap), configstore.DocRouting: routingText(0), configstore.DocClasses: classesText(0)}
-	g, err := s.group(docs)
+	g, err := s.startGroup(docs)
 	if err != nil {
 		return err
 	}
 	defer g.Close()
-	var ways []*faults.Between
+	var links []*faults.Between
 	var members []string
 	for i, addr := range g.addrs {
 		w, err := faults.Listen(addr, true, uint64(i))
@@ -621,22 +622,22 @@
 			return err
 		}
 		defer w.Close()
-		ways, members = append(ways, w), append(members, w.Addr())
+		links, members = append(links, w), append(members, w.Addr())
 	}
-	h, err := s.follow(g, n, members, 0)
+	h, err := s.startFollowers(g, n, members, 0)
 	if err != nil {
 		return err
 	}
 	defer h.Kill()
-	time.Sleep(s.rest)
+	time.Sleep(s.settleTime)
 	for _, ms := range []int{0, 20, 40, 80, 160} {
-		for _, w := range ways {
+		for _, w := range links {
 			for _, way := range []faults.Way{faults.There, faults.Back} {
 				w.Set(way, faults.Fate{Delay: 2 * time.Duration(ms) * time.Millisecond})
 			}
 		}
 		for _, doc := range []string{configstore.DocRouting, configstore.DocClasses} {
-			times, _, e := g.force(h, n, doc, t.next(doc))
+			times, _, e := g.proposeAndAwait(h, n, doc, t.next(doc))
 			if e != nil {
 				err = errors.Join(err, fmt.Errorf("%d ms: %w", ms, e))
 				continue
@@ -653,19 +654,19 @@
 // groupTenants measures a router that gets its cell map from a group, by the number of tenants: its start,
 // its idle cost and the time to apply a changed map.
 func (s *scale) groupTenants() error {
-	servers, err := startHerd(herd{Kind: "servers", N: 4})
+	servers, err := startHollowSet(hollowSet{Kind: "servers", N: 4})
 	if err != nil {
 		return err
 	}
 	defer servers.Kill()
 	fixed := map[string]float64{"lease_ms": float64(scaleLease.Milliseconds()), "members": 3, "followers": 1, "servers": 4}
-	for _, n := range s.of(100, 200, 400, 1200) {
-		t := &texts{servers: servers.Addrs, tenants: n}
-		g, err := s.group(map[string]string{configstore.DocMap: t.next(configstore.DocMap)})
+	for _, n := range s.scaled(100, 200, 400, 1200) {
+		t := &documentTexts{servers: servers.Addrs, tenants: n}
+		g, err := s.startGroup(map[string]string{configstore.DocMap: t.next(configstore.DocMap)})
 		if err != nil {
 			return err
 		}
-		err = s.groupTenantsOf(g, t, fixed, float64(n))
+		err = s.measureTenants(g, t, fixed, float64(n))
 		g.Close()
 		if err != nil {
 			return err
@@ -674,16 +675,16 @@
 	return nil
 }
 
-// groupTenantsOf repeats the measurement of groupTenants s.plays times with one group.
-func (s *scale) groupTenantsOf(g *agreedOn, t *texts, fixed map[string]float64, at float64) error {
-	for range s.plays {
-		began := time.Now()
-		p, err := Route(s.bin, s.dir(), s.routerSite(), routerOf(g, `["map"]`))
+// measureTenants repeats the measurement of groupTenants s.repetitions times with one group.
+func (s *scale) measureTenants(g *documentGroup, t *documentTexts, fixed map[string]float64, at float64) error {
+	for range s.repetitions {
+		startedAt := time.Now()
+		p, err := Route(s.bin, s.dir(), s.routerSite(), groupRouterEdge(g, `["map"]`))
 		if err != nil {
 			return err
 		}
-		s.add("router.ready.tenants.group", "ms", "real", fixed, at, time.Since(began).Seconds()*1000)
-		err = s.groupTenantsAt(g, p, t, fixed, at)
+		s.add("router.ready.tenants.group", "ms", "real", fixed, at, time.Since(startedAt).Seconds()*1000)
+		err = s.measureStartedRouter(g, p, t, fixed, at)
 		p.Kill()
 		if err != nil {
 			return err
@@ -692,21 +693,21 @@
 	return nil
 }
 
-// groupTenantsAt measures a started router, idle and then with a change of its cell map.
-func (s *scale) groupTenantsAt(g *agreedOn, p *Process, t *texts, fixed map[string]float64, at float64) error {
-	time.Sleep(s.rest / 2)
-	was, now := s.usedFor(s.stretch/2, p.Pid())
-	cpu, _, _, _ := now[0].since(was[0])
+// measureStartedRouter measures a started router, idle and then with a change of its cell map.
+func (s *scale) measureStartedRouter(g *documentGroup, p *Process, t *documentTexts, fixed map[string]float64, at float64) error {
+	time.Sleep(s.settleTime / 2)
+	before, now := s.measureFor(s.duration/2, p.Pid())
+	cpu, _, _, _ := now[0].since(before[0])
 	s.add("router.cpu.tenants.group", "core", "real", fixed, at, cpu)
 	s.add("router.resident.tenants.group", "MB", "real", fixed, at, now[0].resident)
 	from := p.Lines()
-	put, err := g.change(configstore.DocMap, t.next(configstore.DocMap))
+	proposedAt, err := g.propose(configstore.DocMap, t.next(configstore.DocMap))
 	if err != nil {
 		return err
 	}
 	if _, err := p.Await(4*scaleLease, from, "config: active: map"); err != nil {
 		return err
 	}
-	s.add("leader.force_worst.tenants.map", "ms", "real", fixed, at, time.Since(put).Seconds()*1000)
-	return g.inForce(configstore.DocMap, time.Minute)
+	s.add("leader.force_worst.tenants.map", "ms", "real", fixed, at, time.Since(proposedAt).Seconds()*1000)
+	return g.awaitActive(configstore.DocMap, time.Minute)
 }
--- a/internal/testkit/benchmarks/shared.go
+++ b/internal/testkit/benchmarks/shared.go
@@ -33,26 +33,26 @@
 	// Wait is the timeout that clients send with a request.
 	Wait time.Duration
 
-	t        testing.TB
-	bin      string
-	env      []string
-	held     bool // processes inherit the socket; otherwise each process opens the address
-	socket   *os.File
-	mu       sync.Mutex
-	machines []*builtinworker.Interpreter // one per process, so that each counts only the runs of its process
+	t             testing.TB
+	bin           string
+	env           []string
+	inheritSocket bool // processes inherit the socket; otherwise each process opens the address
+	socket        *os.File
+	mu            sync.Mutex
+	interpreters  []*builtinworker.Interpreter // one per process, so that each counts only the runs of its process
 }
 
 // Inherit prepares a shared service for the binary bin, whose processes get env added to their environment.
 // If held is set, the processes inherit one listening socket; otherwise each process opens the address
 // itself.
-func Inherit(t testing.TB, bin string, env []string, held bool) *Shared {
+func Inherit(t testing.TB, bin string, env []string, inheritSocket bool) *Shared {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	s := &Shared{Addr: ln.Addr().String(), Dir: t.TempDir(), t: t, bin: bin, env: env, held: held, Wait: 4 * time.Second}
-	if held {
+	s := &Shared{Addr: ln.Addr().String(), Dir: t.TempDir(), t: t, bin: bin, env: env, inheritSocket: inheritSocket, Wait: 4 * time.Second}
+	if inheritSocket {
 		if s.socket, err = ln.(*net.TCPListener).File(); err != nil {
 			t.Fatal(err)
 		}
@@ -61,19 +61,19 @@
 	return s
 }
 
-// all returns the interpreters created so far.
-func (s *Shared) all() []*builtinworker.Interpreter {
+// allInterpreters returns the interpreters created so far.
+func (s *Shared) allInterpreters() []*builtinworker.Interpreter {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return slices.Clone(s.machines)
+	return slices.Clone(s.interpreters)
 }
 
 // Runs returns the number of runs of each request body, summed over all processes.
 func (s *Shared) Runs() map[string]int {
 	all := map[string]int{}
-	for _, m := range s.all() {
-		for sheet, n := range m.Runs() {
-			all[sheet] += n
+	for _, m := range s.allInterpreters() {
+		for body, n := range m.Runs() {
+			all[body] += n
 		}
 	}
 	return all
@@ -90,13 +90,13 @@
 func (s *Shared) Start() *Generation {
 	m, err := builtinworker.Listen(builtinworker.Config{Listen: "127.0.0.1:0", Cores: 8, Shape: builtinworker.Shape{Knee: 8, Thrash: 1, Speed: 1},
 		Other:    builtinworker.Class{MinWork: time.Millisecond, MaxWork: 40 * time.Millisecond},
-		MemoryKB: 1 << 16, RunFactor: 4, Seed: uint64(len(s.all()) + 1), Audit: true})
+		MemoryKB: 1 << 16, RunFactor: 4, Seed: uint64(len(s.allInterpreters()) + 1), Audit: true})
 	if err != nil {
 		s.t.Fatal(err)
 	}
 	s.t.Cleanup(m.Close)
 	s.mu.Lock()
-	s.machines = append(s.machines, m)
+	s.interpreters = append(s.interpreters, m)
 	s.mu.Unlock()
 	text := strings.NewReplacer(`"listen":"127.0.0.1:0","mgmt"`, fmt.Sprintf(`"listen":%q,"mgmt"`, s.Addr),
 		`"scgi":{"listen":"127.0.0.1:0","deadline_ms":4400},`, "", `"stop_ms":3000`, `"stop_ms":1000`,
@@ -111,7 +111,7 @@
 	}
 	cmd := exec.Command(s.bin, append([]string{"serve"}, s.Args...)...)
 	cmd.Env = append(append(append(os.Environ(), s.env...), s.Env...), "LB_CONFIG="+file, "TMPDIR="+s.Dir)
-	if s.held {
+	if s.inheritSocket {
 		cmd.Env = append(cmd.Env, "LB_SOCKET_FD=3")
 		cmd.ExtraFiles = []*os.File{s.socket}
 	}
@@ -129,21 +129,21 @@
 
 // Call sends a management request and returns the HTTP status, or 0 if there was no answer, and the response
 // body.
-func Call(addr, text string) (int, string) {
+func Call(addr, request string) (int, string) {
 	conn, err := net.DialTimeout("tcp", addr, time.Second)
 	if err != nil {
 		return 0, ""
 	}
 	defer conn.Close()
 	conn.SetDeadline(time.Now().Add(20 * time.Second))
-	_, _ = io.WriteString(conn, text+" HTTP/1.1\r\nHost: x\r\n\r\n")
+	_, _ = io.WriteString(conn, request+" HTTP/1.1\r\nHost: x\r\n\r\n")
 	b, _ := io.ReadAll(conn)
 	if len(b) < 12 {
 		return 0, ""
 	}
 	code, _ := strconv.Atoi(string(b[9:12]))
-	_, why, _ := strings.Cut(string(b), "\r\n\r\n")
-	return code, strings.TrimSpace(why)
+	_, body, _ := strings.Cut(string(b), "\r\n\r\n")
+	return code, strings.TrimSpace(body)
 }
 
 // Call sends a management request to the process and returns the HTTP status, or 0 if there was no answer.
@@ -171,31 +171,31 @@
 // Usage returns the number of open file descriptors of the process and its resident unshared memory in bytes.
 func (p *Process) Usage() (descriptors, memory int) {
 	pid := p.Pid()
-	open, _ := os.ReadDir(fmt.Sprintf("/proc/%d/fd", pid))
+	descriptorList, _ := os.ReadDir(fmt.Sprintf("/proc/%d/fd", pid))
 	statm, _ := os.ReadFile(fmt.Sprintf("/proc/%d/statm", pid))
 	var whole, resident, shared int
 	_, _ = fmt.Sscan(string(statm), &whole, &resident, &shared)
-	return len(open), (resident - shared) * os.Getpagesize()
+	return len(descriptorList), (resident - shared) * os.Getpagesize()
 }
 
 // Sheets is a load of requests with idempotency keys, each sent several times on separate connections.
 type Sheets struct {
 	Served, Refused int
 	Unheard         int      // connections that were refused or ended without an answer
-	Wrong           []string // violations of the rules, one text each
+	Violations      []string // violations of the rules, one text each
 	Times           []time.Duration
-	Tries           []Tried
+	Tries           []Attempt
 
-	s       *Shared
-	stop    chan struct{}
-	all     sync.WaitGroup
-	mu      sync.Mutex
-	results map[string]string
-	asked   map[string]bool
+	s        *Shared
+	stop     chan struct{}
+	wg       sync.WaitGroup
+	mu       sync.Mutex
+	results  map[string]string
+	finished map[string]bool
 }
 
-// Tried is one attempt with its answer, for checks of the history.
-type Tried struct {
+// Attempt is one attempt with its answer, for checks of the history.
+type Attempt struct {
 	Sheet, Outcome, Body string
 	From, To             time.Time
 }
@@ -203,9 +203,9 @@
 // Load starts the given number of concurrent clients. Each sends one request after the other, each in 1 to
 // tries parallel attempts that start after a random time of up to pause.
 func (s *Shared) Load(clients, tries int, pause time.Duration, seed uint64) *Sheets {
-	l := &Sheets{s: s, stop: make(chan struct{}), results: map[string]string{}, asked: map[string]bool{}}
+	l := &Sheets{s: s, stop: make(chan struct{}), results: map[string]string{}, finished: map[string]bool{}}
 	for c := range clients {
-		l.all.Go(func() {
+		l.wg.Go(func() {
 			rng := rand.New(rand.NewPCG(seed, uint64(c)))
 			for n := 0; ; n++ {
 				select {
@@ -213,16 +213,16 @@
 					return
 				default:
 				}
-				sheet := fmt.Sprintf("sheet-%d-%d", c, n)
-				var all sync.WaitGroup
+				key := fmt.Sprintf("sheet-%d-%d", c, n)
+				var attempts sync.WaitGroup
 				for try := range 1 + rng.IntN(tries) {
 					wait := time.Duration(rng.Int64N(int64(pause)))
-					all.Go(func() {
+					attempts.Go(func() {
 						time.Sleep(wait)
-						l.Ask(sheet, fmt.Sprintf("%08x%04x%04x", c, n, try))
+						l.Ask(key, fmt.Sprintf("%08x%04x%04x", c, n, try))
 					})
 				}
-				all.Wait()
+				attempts.Wait()
 			}
 		})
 	}
@@ -231,14 +231,14 @@
 
 // Ask sends one attempt on a new connection and records its outcome. A refusal of a request that ran before
 // the attempt was sent, or a result that differs from an earlier one, is a violation.
-func (l *Sheets) Ask(sheet, id string) {
+func (l *Sheets) Ask(key, id string) {
 	sent := time.Now()
-	ran := slices.ContainsFunc(l.s.all(), func(m *builtinworker.Interpreter) bool { return m.Ran(sheet) })
+	ranBefore := slices.ContainsFunc(l.s.allInterpreters(), func(m *builtinworker.Interpreter) bool { return m.Ran(key) })
 	conn, err := net.DialTimeout("tcp", l.s.Addr, time.Second)
 	if err == nil {
 		defer conn.Close()
 		conn.SetDeadline(sent.Add(l.s.Wait + 2*time.Second))
-		_, err = conn.Write(msgpackrpc.AppendRequest(nil, 1, "oddaja", []byte(sheet), "i", id, "k", sheet,
+		_, err = conn.Write(msgpackrpc.AppendRequest(nil, 1, "oddaja", []byte(key), "i", id, "k", key,
 			"s", strconv.FormatInt(sent.UnixMilli(), 10), "d", strconv.FormatInt(l.s.Wait.Milliseconds(), 10), "m", "1"))
 	}
 	r := msgpackrpc.Reply{Notification: "none"}
@@ -248,26 +248,26 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.Times = append(l.Times, time.Since(sent))
-	l.asked[sheet] = true
+	l.finished[key] = true
 	outcome := map[bool]string{true: "refused", false: "failed"}[r.Error == msgpackrpc.ErrorFull]
 	if err == nil && r.Error == "" {
 		outcome = "served"
 	}
-	l.Tries = append(l.Tries, Tried{sheet, outcome, string(r.Body), sent, time.Now()})
-	switch first := l.results[sheet]; {
+	l.Tries = append(l.Tries, Attempt{key, outcome, string(r.Body), sent, time.Now()})
+	switch first := l.results[key]; {
 	case err != nil:
 		l.Unheard++
 	case r.Error != "":
 		l.Refused++
-		if r.Error == msgpackrpc.ErrorFull && ran {
-			l.Wrong = append(l.Wrong, sheet+" was refused after it had run")
+		if r.Error == msgpackrpc.ErrorFull && ranBefore {
+			l.Violations = append(l.Violations, key+" was refused after it had run")
 		}
 	default:
 		l.Served++
 		if first != "" && first != string(r.Body) {
-			l.Wrong = append(l.Wrong, fmt.Sprintf("%s was answered with %q and later with %q", sheet, first, r.Body))
+			l.Violations = append(l.Violations, fmt.Sprintf("%s was answered with %q and later with %q", key, first, r.Body))
 		}
-		l.results[sheet] = string(r.Body)
+		l.results[key] = string(r.Body)
 	}
 }
 
@@ -275,13 +275,13 @@
 // violations.
 func (l *Sheets) End() []string {
 	close(l.stop)
-	l.all.Wait()
-	for sheet, n := range l.s.Runs() {
+	l.wg.Wait()
+	for key, n := range l.s.Runs() {
 		if n > 1 {
-			l.Wrong = append(l.Wrong, fmt.Sprintf("%s was run %d times", sheet, n))
+			l.Violations = append(l.Violations, fmt.Sprintf("%s was run %d times", key, n))
 		}
 	}
-	return l.Wrong
+	return l.Violations
 }
 
 // Without returns, for each key in a JSON text, the text without that key. The keys of the result are the
@@ -293,9 +293,9 @@
 		if v.Type() == fastjson.TypeObject {
 			v.GetObject().Visit(func(key []byte, m *fastjson.Value) {
 				at := append(slices.Clone(path), string(key))
-				less := fastjson.MustParse(text)
-				less.Get(path...).Del(string(key))
-				list[strings.Join(at, ".")] = string(less.MarshalTo(nil))
+				reduced := fastjson.MustParse(text)
+				reduced.Get(path...).Del(string(key))
+				list[strings.Join(at, ".")] = string(reduced.MarshalTo(nil))
 				visit(at, m)
 			})
 		}
@@ -318,13 +318,13 @@
 }
 
 // Asked returns the number of requests of which at least one attempt has finished.
-func (l *Sheets) Asked() int { return len(l.asked) }
+func (l *Sheets) Asked() int { return len(l.finished) }
 
 // Unserved returns the requests of which no attempt was served.
 func (l *Sheets) Unserved() (list []string) {
-	for sheet := range l.asked {
-		if l.results[sheet] == "" {
-			list = append(list, sheet)
+	for key := range l.finished {
+		if l.results[key] == "" {
+			list = append(list, key)
 		}
 	}
 	return list
