--- a/internal/testkit/benchmarks/fleet.go
+++ b/internal/testkit/benchmarks/fleet.go
@@ -234,7 +234,7 @@
 }
 
 // sendOnce sends one request and counts its outcome. If repeats is set and a request with an idempotency key
-// was served, it sends the request again over the connection other after the delay later.
+// was served, it sends the request again over the connection other after the given delay.
 func (r *TenantResult) sendOnce(c, other *client.Conn, q client.Request, s Share, at time.Time, delay time.Duration, repeats bool) { //nolint:cyclop // one measurement from top to bottom; its split is in docs/ROADMAP.md
 	a, ok := answer(c.Do(q))
 	took := time.Since(at)
--- a/internal/testkit/benchmarks/scaledecide.go
+++ b/internal/testkit/benchmarks/scaledecide.go
@@ -17,7 +17,7 @@
 	"silverpath/internal/settings"
 )
 
-// Size of the whole fleet that the service is designed for.
+// The size of the whole fleet that the service is designed for.
 const (
 	scaleServers   = 930
 	scaleCallers   = 13000
--- a/internal/testkit/benchmarks/scalepage.go
+++ b/internal/testkit/benchmarks/scalepage.go
@@ -9,7 +9,8 @@
 	"silverpath/internal/policy/capacity"
 )
 
-// Markers around the tables of docs/results/scale.md, which are rendered from docs/results/scale.json alone.
+// tablesStart and tablesEnd mark the tables of docs/results/scale.md, which are rendered from
+// docs/results/scale.json alone.
 const (
 	tablesStart = "<!-- tables: rendered of scale.json -->"
 	tablesEnd   = "<!-- end of tables -->"
--- a/internal/testkit/benchmarks/shared.go
+++ b/internal/testkit/benchmarks/shared.go
@@ -43,8 +43,8 @@
 }
 
 // Inherit prepares a shared service for the binary bin, whose processes get env added to their environment.
-// If held is set, the processes inherit one listening socket; otherwise each process opens the address
-// itself.
+// If inheritSocket is set, the processes inherit one listening socket; otherwise each process opens the
+// address itself.
 func Inherit(t testing.TB, bin string, env []string, inheritSocket bool) *Shared {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
