--- a/internal/testkit/benchmarks/lab.go
+++ b/internal/testkit/benchmarks/lab.go
@@ -283,7 +283,7 @@
 }
 
 // sendOnce sends one request, counts its outcome and reports whether it was served. It reports a missing
-// answer, or one later than patience plus slack, as a violation.
+// answer, or one later than patience plus deadlineSlack, as a violation.
 func (l Load) sendOnce(c *client.Conn, i *builtinworker.Interpreter, q client.Request, s Share, at time.Time, res *Result) (served bool) {
 	i.Read(q.ID, q.MemoryKB)
 	defer i.Release(q.ID)
