--- a/internal/testkit/benchmarks/scale.go
+++ b/internal/testkit/benchmarks/scale.go
@@ -36,9 +36,10 @@
 	"silverpath/internal/transport/client"
 )
 
-// Scale measures what each role costs by what it grows with: real processes, beside hollow ones that share a process of the system, so that
-// their processor time is not the lab's. Results go to docs/results/scale.json, or where SILVERPATH_SCALE says; a series that is
-// measured anew takes the place of the one before.
+// Scale measures the cost of each role as a function of the quantities that it depends on. It runs real
+// processes, with hollow ones in separate operating system processes so that their processor time is not
+// counted as that of the benchmark. Results are written to docs/results/scale.json, or to the file named by
+// SILVERPATH_SCALE. A series that is measured again replaces the previous one.
 func Scale(b *testing.B) {
 	s, err := newScale(b)
 	if err != nil {
@@ -65,20 +66,20 @@
 	} {
 		b.Run(part.name, func(b *testing.B) {
 			if b.N > 1 {
-				return // it was measured
+				return // a part is measured once, whatever b.N is
 			}
 			s.b = b
-			began := time.Now()
+			startedAt := time.Now()
 			if err := part.run(s); err != nil {
 				b.Errorf("%s: %v", part.name, err)
 			}
-			fmt.Printf("scale: %s took %v\n", part.name, time.Since(began).Round(time.Second))
+			fmt.Printf("scale: %s took %v\n", part.name, time.Since(startedAt).Round(time.Second))
 			if err := s.write(); err != nil {
 				b.Error(err)
 			}
 		})
 	}
-	b.Run("page", func(b *testing.B) { // the causes and the tables anew, of what is there
+	b.Run("page", func(b *testing.B) { // rewrites the causes and the tables from the stored results
 		if err := s.write(); err != nil {
 			b.Error(err)
 		}
@@ -87,29 +88,29 @@
 
 // scale is one run of the scale tests.
 type scale struct {
-	b       *testing.B
-	bin     string
-	file    string
-	res     *capacity.Results
-	plays   int
-	rest    time.Duration // before a stretch is measured
-	stretch time.Duration
-	small   int // sizes are divided by it: trials
-	series  map[string]*capacity.Series
-	steps   map[string]bool // of the series of this run
-	version int             // of the maps
+	b           *testing.B
+	bin         string
+	file        string
+	res         *capacity.Results
+	repetitions int
+	settleTime  time.Duration // pause before a measurement starts
+	duration    time.Duration
+	divisor     int // divisor of the sizes, for trial runs
+	series      map[string]*capacity.Series
+	measured    map[string]bool // names of the series measured in this run
+	version     int             // of the latest cell map
 }
 
 const (
 	scaleLease = 3 * time.Second
-	scaleCheck = 500 * time.Millisecond // between two health checks: the program's own, where nothing else is set
-	scaleMB    = 2048                   // the processes' limit, wide: it is the program's need that is read
+	scaleCheck = 500 * time.Millisecond // between two health checks; the default of the router
+	scaleMB    = 2048                   // memory limit of the processes, wide so that it does not affect the measured use
 )
 
 func newScale(b *testing.B) (*scale, error) {
 	s := &scale{b: b, bin: os.Getenv("SILVERPATH_BASELINE"), file: os.Getenv("SILVERPATH_SCALE"), res: &capacity.Results{},
-		plays: number("SILVERPATH_PLAYS", 2), rest: 1500 * time.Millisecond, stretch: time.Duration(number("SILVERPATH_STRETCH_MS", 4000)) * time.Millisecond,
-		small: max(1, number("SILVERPATH_SMALL", 1)), series: map[string]*capacity.Series{}, steps: map[string]bool{}}
+		repetitions: number("SILVERPATH_PLAYS", 2), settleTime: 1500 * time.Millisecond, duration: time.Duration(number("SILVERPATH_STRETCH_MS", 4000)) * time.Millisecond,
+		divisor: max(1, number("SILVERPATH_SMALL", 1)), series: map[string]*capacity.Series{}, measured: map[string]bool{}}
 	var err error
 	if s.bin == "" {
 		if s.bin, err = buildAll(b.TempDir()); err != nil {
@@ -130,25 +131,26 @@
 	return s, nil
 }
 
-// program is the commit that the measured program was built of.
+// program returns the short commit hash that the measured binary was built from, and whether there were local
+// changes.
 func (s *scale) program() string {
 	info, err := buildinfo.ReadFile(s.bin)
 	if err != nil {
 		return "unknown"
 	}
-	said, dirty := "unknown", ""
-	for _, set := range info.Settings {
+	revision, dirty := "unknown", ""
+	for _, setting := range info.Settings {
 		switch {
-		case set.Key == "vcs.revision":
-			said = set.Value[:min(7, len(set.Value))]
-		case set.Key == "vcs.modified" && set.Value == "true":
+		case setting.Key == "vcs.revision":
+			revision = setting.Value[:min(7, len(setting.Value))]
+		case setting.Key == "vcs.modified" && setting.Value == "true":
 			dirty = ", with changes"
 		}
 	}
-	return said + dirty
+	return revision + dirty
 }
 
-// scaleMachine is what it ran on.
+// scaleMachine describes the machine that the benchmark runs on.
 func scaleMachine() string {
 	model := "unknown"
 	if text, err := os.ReadFile("/proc/cpuinfo"); err == nil {
@@ -168,26 +170,27 @@
 	return fmt.Sprintf("%d processors (%s), %.0f GB, all on loopback", runtime.NumCPU(), model, gb)
 }
 
-// of divides sizes for a trial.
-func (s *scale) of(sizes ...int) (list []int) {
+// scaled returns the sizes divided by s.divisor, at least 1 and without duplicates.
+func (s *scale) scaled(sizes ...int) (list []int) {
 	for _, n := range sizes {
-		if n = max(1, n/s.small); len(list) == 0 || n > list[len(list)-1] {
+		if n = max(1, n/s.divisor); len(list) == 0 || n > list[len(list)-1] {
 			list = append(list, n)
 		}
 	}
 	return list
 }
 
-// add notes a value at a size.
-func (s *scale) add(name, unit, of string, fixed map[string]float64, at, value float64) {
+// add appends a value to the named series at a size. The name is ROLE.FIGURE.VARIES, with further words
+// allowed. The first value of a run replaces the stored series. NaN and infinite values are dropped.
+func (s *scale) add(name, unit, kind string, fixed map[string]float64, at, value float64) {
 	if math.IsNaN(value) || math.IsInf(value, 0) {
 		return
 	}
 	x := s.series[name]
-	if x == nil || !s.steps[name] {
+	if x == nil || !s.measured[name] {
 		words := strings.Split(name, ".")
-		x = &capacity.Series{Name: name, Role: words[0], Figure: words[1], Varies: words[2], Unit: unit, Of: of, Fixed: fixed}
-		s.series[name], s.steps[name] = x, true
+		x = &capacity.Series{Name: name, Role: words[0], Figure: words[1], Varies: words[2], Unit: unit, Of: kind, Fixed: fixed}
+		s.series[name], s.measured[name] = x, true
 	}
 	value, _ = strconv.ParseFloat(strconv.FormatFloat(value, 'g', 4, 64), 64)
 	i := slices.IndexFunc(x.Points, func(p capacity.Point) bool { return p.At == at })
@@ -205,16 +208,16 @@
 	})
 }
 
-// write fits what there is, and writes the data and, where there is a page beside it, its tables.
+// write fits a curve to each series, writes the results and, if the Markdown page exists, its tables.
 func (s *scale) write() error {
 	s.res.Command = "go test -run '^$' -bench Scale -benchtime 1x -timeout 30m ./internal/testkit/benchmarks/"
-	if len(s.steps) > 0 {
+	if len(s.measured) > 0 {
 		s.res.Machine, s.res.Program = scaleMachine(), s.program()
 	}
 	s.res.Series = nil
 	for _, x := range s.series {
 		x.Fit = nil
-		if x.Unit != "%" && x.Unit != "1" { // shares and counts of each are no slopes
+		if x.Unit != "%" && x.Unit != "1" { // percentages and counts per item have no slope
 			x.Fit = bestFit(x.Points)
 		}
 		if x.Fit != nil && !x.Fit.Believed() {
@@ -230,7 +233,7 @@
 	if err != nil {
 		return err
 	}
-	if err := os.WriteFile(s.file, append(compact(text), '\n'), 0o644); err != nil {
+	if err := os.WriteFile(s.file, append(compactValues(text), '\n'), 0o644); err != nil {
 		return err
 	}
 	page := strings.TrimSuffix(s.file, ".json") + ".md"
@@ -241,15 +244,15 @@
 	if err != nil {
 		return err
 	}
-	next, err := withTables(string(old), *s.res)
+	next, err := replaceTables(string(old), *s.res)
 	if err != nil {
 		return err
 	}
 	return os.WriteFile(page, []byte(next), 0o644)
 }
 
-// compact has the numbers of a list on one line.
-func compact(text []byte) []byte {
+// compactValues joins the lines of each "values" list of indented JSON into one line.
+func compactValues(text []byte) []byte {
 	var b bytes.Buffer
 	depth := 0
 	for _, line := range bytes.Split(text, []byte("\n")) {
@@ -275,23 +278,24 @@
 	return b.Bytes()
 }
 
-// bestFit is a line of the first or the second power, whichever is nearer to the sizes that it is fitted to: the size that it is held
-// against has no say in it.
+// bestFit returns the linear or the quadratic fit, whichever has the smaller squared error at the sizes that
+// it is fitted to. The size that the fit is checked against does not count. It returns nil if no fit is
+// possible.
 func bestFit(points []capacity.Point) (best *capacity.Fit) {
-	least := math.Inf(1)
+	minError := math.Inf(1)
 	for _, power := range []float64{1, 2} {
 		f, err := capacity.Draw(points, power)
 		if err != nil {
 			return nil
 		}
-		off := 0.0
+		squaredError := 0.0
 		for _, p := range points {
 			if p.At <= f.To {
-				off += math.Pow(f.Value(p.At)-p.Median(), 2)
+				squaredError += math.Pow(f.Value(p.At)-p.Median(), 2)
 			}
 		}
-		if off < least/2 { // the square has to be the better one by half
-			best, least = f, off
+		if squaredError < minError/2 { // prefer the linear fit unless the quadratic one halves the error
+			best, minError = f, squaredError
 		}
 	}
 	for _, v := range []*float64{&best.Base, &best.Per, &best.Foretold, &best.Off} {
@@ -300,18 +304,18 @@
 	return best
 }
 
-// ---- What is read ----
+// ---- Process measurements ----
 
-// usage is what a process has used so far.
+// usage is a snapshot of the resources that a process has used since its start.
 type usage struct {
 	cpu      time.Duration
-	in, out  float64 // bytes by its reads and writes, of connections and files
-	writes   float64
+	in, out  float64 // bytes read and written, on connections and files
+	writes   float64 // write system calls
 	resident float64 // MB
 	at       time.Time
 }
 
-// usageOf reads what a process has used, in nanoseconds where the system tells them.
+// usageOf reads the usage of a process from /proc, with processor time in nanoseconds.
 func usageOf(pid int) (u usage) {
 	u.at = time.Now()
 	tasks, _ := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", pid))
@@ -346,27 +350,28 @@
 	return u
 }
 
-// since is what was used since then, a second; resident memory as it is now.
-func (u usage) since(was usage) (cpu, inKB, outKB, writes float64) {
-	d := u.at.Sub(was.at).Seconds()
-	return (u.cpu - was.cpu).Seconds() / d, (u.in - was.in) / d / 1024, (u.out - was.out) / d / 1024, (u.writes - was.writes) / d
+// since returns the use per second between two snapshots of a process.
+func (u usage) since(before usage) (cpu, inKB, outKB, writes float64) {
+	d := u.at.Sub(before.at).Seconds()
+	return (u.cpu - before.cpu).Seconds() / d, (u.in - before.in) / d / 1024, (u.out - before.out) / d / 1024, (u.writes - before.writes) / d
 }
 
-// used measures some processes over a stretch.
-func (s *scale) used(pids ...int) (was, now []usage) {
+// measure takes snapshots of some processes at the start and the end of a measurement of length s.duration.
+func (s *scale) measure(pids ...int) (before, now []usage) {
 	for _, p := range pids {
-		was = append(was, usageOf(p))
+		before = append(before, usageOf(p))
 	}
-	time.Sleep(s.stretch)
+	time.Sleep(s.duration)
 	for _, p := range pids {
 		now = append(now, usageOf(p))
 	}
-	return was, now
+	return before, now
 }
 
-// connectionsOf are the ports that have been connected with an address of loopback of late, and whether they still are. A connection that
-// ended is known to the system for a minute, at whichever end closed it first.
-func connectionsOf(addr string) map[string]bool {
+// connectionStates returns the peer addresses of connections with a loopback address, each with whether it is
+// still established. The system keeps a closed connection in TIME_WAIT for a minute, at the end that closed
+// it first.
+func connectionStates(addr string) map[string]bool {
 	all := map[string]bool{}
 	_, port, _ := net.SplitHostPort(addr)
 	n, _ := strconv.Atoi(port)
@@ -374,7 +379,7 @@
 	text, _ := os.ReadFile("/proc/net/tcp")
 	for line := range strings.Lines(string(text)) {
 		f := strings.Fields(line)
-		if len(f) < 4 || f[3] == "0A" { // it listens
+		if len(f) < 4 || f[3] == "0A" { // the listening socket itself
 			continue
 		}
 		switch {
@@ -387,7 +392,8 @@
 	return all
 }
 
-// allocations are the objects that a process with a status has allocated. A status of over 64 KB is not to be had: NaN, which is noted nowhere.
+// allocations returns the number of objects that a process has allocated, from its status. If the status
+// cannot be read, as when it exceeds 64 KB, it returns NaN, which add drops.
 func allocations(p *Process) float64 {
 	var st struct{ Allocations float64 }
 	if body, err := client.Status(client.Platform, p.Platform); err != nil || json.Unmarshal(body, &st) != nil {
@@ -396,12 +402,12 @@
 	return st.Allocations
 }
 
-// ---- Hollow processes, in a process of the system of their own ----
+// ---- Hollow processes, in a separate operating system process ----
 
-const asHollow = "SILVERPATH_HOLLOW"
+const hollowEnv = "SILVERPATH_HOLLOW"
 
-// herd is some hollow processes of one kind.
-type herd struct {
+// hollowSet describes hollow processes of one kind that run in one operating system process.
+type hollowSet struct {
 	Kind     string // servers, routers, callers, followers
 	N, First int
 	Map      string
@@ -410,16 +416,17 @@
 	Docs     []string
 	To       string
 	Cold     bool
-	Restarts float64 // a minute, of one of them at a time
+	Restarts float64 // per minute, one member at a time
 }
 
-// RunHollow runs hollow processes where the environment asks for them, and reports whether it did.
+// RunHollow runs the hollow processes described in the environment variable SILVERPATH_HOLLOW until standard
+// input ends, and reports whether the variable was set. If they fail, it exits with status 1.
 func RunHollow() bool {
-	text := os.Getenv(asHollow)
+	text := os.Getenv(hollowEnv)
 	if text == "" {
 		return false
 	}
-	var h herd
+	var h hollowSet
 	err := json.Unmarshal([]byte(text), &h)
 	if err == nil {
 		err = h.run()
@@ -431,96 +438,101 @@
 	return true
 }
 
-// member is one of a herd.
-type herdMember interface{ Close() }
+// hollowMember is one hollow process of a set.
+type hollowMember interface{ Close() }
 
-func (h herd) start(i int, site settings.Config) (m herdMember, err error) {
+// start starts the hollow process with index i.
+func (h hollowSet) start(i int, site settings.Config) (m hollowMember, err error) {
 	n := h.First + i
 	name := fmt.Sprintf("%s%d", h.Kind, n)
-	took := func(doc string) { fmt.Fprintf(os.Stderr, "hollow took %s %d %d\n", doc, n, time.Now().UnixNano()) }
+	logApplied := func(doc string) { fmt.Fprintf(os.Stderr, "hollow took %s %d %d\n", doc, n, time.Now().UnixNano()) }
 	var g *quorum.Client
 	if len(h.Members) > 0 {
 		g = &quorum.Client{Group: "test", Addrs: slices.Clone(h.Members)}
-		k := n % len(h.Members) // they don't all ask the same one first
+		k := n % len(h.Members) // spread the first calls over the members
 		g.Addrs = append(g.Addrs[k:], g.Addrs[:k]...)
 	}
 	switch h.Kind {
 	case "servers":
-		return hollow.NewServer(hollow.ServerConfig{Name: name, IP: hollow.IP(0, n+1), Settings: site.Server, MemoryMB: 16, Sockets: 1024, Cold: h.Cold, Echo: true, Group: g, Docs: h.Docs, Took: took})
+		return hollow.NewServer(hollow.ServerConfig{Name: name, IP: hollow.IP(0, n+1), Settings: site.Server, MemoryMB: 16, Sockets: 1024, Cold: h.Cold, Echo: true, Group: g, Docs: h.Docs, Took: logApplied})
 	case "routers":
-		return hollow.NewRouter(hollow.RouterConfig{Name: name, IP: hollow.IP(1, n+1), Settings: site.Server, MemoryMB: 16, Sockets: 1024, Map: h.Map, HealthCheckInterval: h.Every, Group: g, Docs: h.Docs, OnApplied: took, StartTimeout: mostJoin})
+		return hollow.NewRouter(hollow.RouterConfig{Name: name, IP: hollow.IP(1, n+1), Settings: site.Server, MemoryMB: 16, Sockets: 1024, Map: h.Map, HealthCheckInterval: h.Every, Group: g, Docs: h.Docs, OnApplied: logApplied, StartTimeout: hollowTimeout})
 	case "callers":
 		return hollow.NewCaller(hollow.CallerConfig{Name: name, IP: hollow.IP(2, n+1), To: h.To, Every: h.Every, First: h.Every * time.Duration(i) / time.Duration(h.N),
 			Rules: "1.0123456789abcdef", Terms: configstore.Terms{Lease: 5 * time.Second, ClockSkew: 500 * time.Millisecond, OverlapWindow: 10 * time.Second}}), nil
 	case "followers":
-		return hollow.NewFollower(hollow.FollowerConfig{Name: name, Group: g, Docs: h.Docs, Site: site.Server, OnApplied: took})
+		return hollow.NewFollower(hollow.FollowerConfig{Name: name, Group: g, Docs: h.Docs, Site: site.Server, OnApplied: logApplied})
 	}
-	return nil, fmt.Errorf("no such kind: %q", h.Kind)
+	return nil, fmt.Errorf("unknown kind of hollow process: %q", h.Kind)
 }
 
-const mostJoin = 20 * time.Second
+// hollowTimeout limits the start of a hollow router and one change of a document.
+const hollowTimeout = 20 * time.Second
 
-// run starts them, answers what is asked of them on the standard input, and ends with that.
-func (h herd) run() error {
+// run starts the hollow processes. For each line of standard input it logs their traffic with the text of the
+// line, and it returns when standard input ends.
+func (h hollowSet) run() error {
 	site, err := hollow.Site(Site{Cores: 256, MemoryKB: 1 << 20, ProcMB: scaleMB, Sockets: 4096}.config("127.0.0.1:1"))
 	if err != nil {
 		return err
 	}
-	all := make([]herdMember, h.N)
-	for i := range all {
-		if all[i], err = h.start(i, site); err != nil {
+	members := make([]hollowMember, h.N)
+	for i := range members {
+		if members[i], err = h.start(i, site); err != nil {
 			return err
 		}
-		if s, ok := all[i].(*hollow.Server); ok {
+		if s, ok := members[i].(*hollow.Server); ok {
 			fmt.Fprintln(os.Stderr, "hollow listening", s.Addr)
 		}
-		if h.Kind == "followers" { // they come one after the other, as processes of a fleet do
+		if h.Kind == "followers" { // spread the starts over a second, as in a fleet
 			time.Sleep(time.Second / time.Duration(h.N))
 		}
 	}
 	fmt.Fprintln(os.Stderr, "hollow ready")
 	var mu sync.Mutex
-	var over atomic.Bool
-	var again sync.WaitGroup
+	var stopped atomic.Bool
+	var restarts sync.WaitGroup
 	if h.Restarts > 0 {
-		again.Go(func() {
-			for k := 0; !over.Load(); k++ {
+		restarts.Go(func() {
+			for k := 0; !stopped.Load(); k++ {
 				time.Sleep(time.Duration(float64(time.Minute) / h.Restarts))
 				i := k % h.N
 				mu.Lock()
-				all[i].Close()
-				all[i], err = h.start(i, site)
+				members[i].Close()
+				members[i], err = h.start(i, site)
 				mu.Unlock()
 			}
 		})
 	}
 	in := bufio.NewScanner(os.Stdin)
 	for in.Scan() {
-		sum := hollow.Count{}
+		total := hollow.Count{}
 		mu.Lock()
-		for _, m := range all {
+		for _, m := range members {
 			if t, ok := m.(interface{ Now() hollow.Count }); ok {
-				sum = sum.Add(t.Now())
+				total = total.Add(t.Now())
 			}
 		}
 		mu.Unlock()
-		said, _ := json.Marshal(sum)
-		fmt.Fprintf(os.Stderr, "hollow traffic %s %s\n", in.Text(), said)
+		countJSON, _ := json.Marshal(total)
+		fmt.Fprintf(os.Stderr, "hollow traffic %s %s\n", in.Text(), countJSON)
 	}
-	over.Store(true)
-	again.Wait()
+	stopped.Store(true)
+	restarts.Wait()
 	return nil
 }
 
-// herded is a herd that runs.
-type herded struct {
+// hollowProcess is the operating system process that runs a hollowSet.
+type hollowProcess struct {
 	*harness.Process
-	in    io.WriteCloser
-	asked int
-	Addrs []string
+	in      io.WriteCloser
+	queries int
+	Addrs   []string
 }
 
-func startHerd(h herd) (*herded, error) {
+// startHollowSet runs a set in a new process of this test binary and waits until its hollow processes have
+// started.
+func startHollowSet(h hollowSet) (*hollowProcess, error) {
 	exe, err := os.Executable()
 	if err != nil {
 		return nil, err
@@ -530,7 +542,7 @@
 		return nil, err
 	}
 	cmd := exec.Command(exe)
-	cmd.Env = append(os.Environ(), asHollow+"="+string(text))
+	cmd.Env = append(os.Environ(), hollowEnv+"="+string(text))
 	in, err := cmd.StdinPipe()
 	if err != nil {
 		return nil, err
@@ -539,7 +551,7 @@
 	if err != nil {
 		return nil, err
 	}
-	x := &herded{Process: p, in: in}
+	x := &hollowProcess{Process: p, in: in}
 	if _, err := p.Await(time.Minute, 0, "hollow ready"); err != nil {
 		p.Kill()
 		return nil, err
@@ -552,20 +564,22 @@
 	return x, nil
 }
 
-// traffic is what the herd's connections have carried so far.
-func (x *herded) traffic() (c hollow.Count) {
-	x.asked++
+// traffic returns the sum of the connection counters of the hollow processes. It is zero if they do not
+// answer within 10 s.
+func (x *hollowProcess) traffic() (c hollow.Count) {
+	x.queries++
 	from := x.Lines()
-	fmt.Fprintln(x.in, x.asked)
-	if line, err := x.Await(10*time.Second, from, fmt.Sprintf("hollow traffic %d ", x.asked)); err == nil {
+	fmt.Fprintln(x.in, x.queries)
+	if line, err := x.Await(10*time.Second, from, fmt.Sprintf("hollow traffic %d ", x.queries)); err == nil {
 		_, text, _ := strings.Cut(line, "{")
 		_ = json.Unmarshal([]byte("{"+text), &c)
 	}
 	return c
 }
 
-// took are the times at which the herd's processes took a document, from a line of its log on.
-func (x *herded) took(from int, doc string) (list []time.Time) {
+// appliedTimes returns the times at which the hollow processes applied a document, from line number from of
+// its log.
+func (x *hollowProcess) appliedTimes(from int, doc string) (list []time.Time) {
 	lines := strings.Split(x.Log(), "\n")
 	for _, line := range lines[min(from, len(lines)):] {
 		var name string
@@ -578,9 +592,10 @@
 	return list
 }
 
-// ---- A map, and a group, of a size ----
+// ---- Cell maps and quorum groups of a given size ----
 
-// scaleMap is a map of servers at addresses, in zones, and tenants that live in these in turn.
+// scaleMap returns a cell map with one server per address and with tenants. Servers and tenants are assigned
+// to the zones, which are the cells, in turn.
 func scaleMap(addrs []string, zones, tenants int) *cells.Map {
 	m := &cells.Map{Version: 1, KeyWindow: 13170 * time.Millisecond, MaxClockSkew: 500 * time.Millisecond, Lease: 5 * time.Second, CallerTimeout: patience}
 	for z := range zones {
@@ -595,7 +610,7 @@
 	return m
 }
 
-// places are addresses of servers that are only named.
+// places returns n server addresses at which nothing listens.
 func places(n int) (list []string) {
 	for i := range n {
 		list = append(list, hollow.IP(0, i+1)+":7000")
@@ -607,38 +622,39 @@
 	return Site{Cores: 256, MemoryKB: 1 << 20, ProcMB: scaleMB, Sockets: 4096}
 }
 
-// dir is a folder of its own.
+// dir creates a directory and returns its path.
 func (s *scale) dir() string {
 	dir, err := os.MkdirTemp(s.b.TempDir(), "")
 	if err != nil {
-		panic(err) // the folder above it is the benchmark's own
+		panic(err) // the parent directory belongs to the benchmark, so this is a fault of the benchmark
 	}
 	return dir
 }
 
-// route starts a router with the map in a file, and says how long it took to be ready.
-func (s *scale) route(m *cells.Map) (*Process, time.Duration, error) {
+// startRouter starts a router with the cell map in a file and returns how long it took to serve.
+func (s *scale) startRouter(m *cells.Map) (*Process, time.Duration, error) {
 	dir := s.dir()
 	file := filepath.Join(dir, "cells.json")
 	if err := proxy.WriteMap(file, m); err != nil {
 		return nil, 0, err
 	}
-	began := time.Now()
+	startedAt := time.Now()
 	p, err := Route(s.bin, dir, s.routerSite(), fmt.Sprintf(`{"status":true,"fleet":{"map":%q}}`, file))
-	return p, time.Since(began), err
+	return p, time.Since(startedAt), err
 }
 
-// agreedOn is a group with documents.
-type agreedOn struct {
+// documentGroup is a running quorum group with the versions of its active documents.
+type documentGroup struct {
 	*harness.Group
-	leader int
-	addrs  []string // of the members themselves: who asks there does not go through the lab
-	doc    map[string]int
+	leader   int
+	addrs    []string // listening addresses of the members, which bypass the harness's proxies
+	versions map[string]int
 }
 
-func (s *scale) group(docs map[string]string) (*agreedOn, error) {
+// startGroup starts a quorum of three members and activates the given documents.
+func (s *scale) startGroup(docs map[string]string) (*documentGroup, error) {
 	g, err := harness.NewGroup(s.dir(), 3, lease.Terms{TTL: scaleLease, Drift: 0.05}, 50*time.Millisecond, starter(s.bin))
-	a := &agreedOn{Group: g, doc: map[string]int{}}
+	a := &documentGroup{Group: g, versions: map[string]int{}}
 	if err != nil {
 		g.Close()
 		return nil, err
@@ -652,11 +668,11 @@
 		if docs[doc] == "" {
 			continue
 		}
-		if _, err := a.change(doc, docs[doc]); err != nil {
+		if _, err := a.propose(doc, docs[doc]); err != nil {
 			g.Close()
 			return nil, fmt.Errorf("%s: %w", doc, err)
 		}
-		if err := a.inForce(doc, time.Minute); err != nil {
+		if err := a.awaitActive(doc, time.Minute); err != nil {
 			g.Close()
 			return nil, err
 		}
@@ -664,16 +680,16 @@
 	return a, nil
 }
 
-// change puts a document as the command does, and says when that was.
-func (g *agreedOn) change(doc, text string) (at time.Time, err error) {
+// propose proposes a document as the command line does and returns the time of the proposal.
+func (g *documentGroup) propose(doc, text string) (at time.Time, err error) {
 	text, format, err := settings.ExtractDocument(doc, []byte(text))
 	if err != nil {
 		return at, err
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), mostJoin)
+	ctx, cancel := context.WithTimeout(context.Background(), hollowTimeout)
 	defer cancel()
 	at = time.Now()
-	c := configstore.Change{Op: configstore.OpPropose, Doc: doc, Text: text, Format: format, Version: g.doc[doc], Author: "scale"}
+	c := configstore.Change{Op: configstore.OpPropose, Doc: doc, Text: text, Format: format, Version: g.versions[doc], Author: "scale"}
 	r, err := g.Client.Do(ctx, statemachine.Command{Config: &c})
 	if err == nil && r.Error != "" {
 		err = errors.New(r.Error)
@@ -681,36 +697,38 @@
 	return at, err
 }
 
-// inForce waits until no change of a document is under way.
-func (g *agreedOn) inForce(doc string, within time.Duration) error {
-	ctx, cancel := context.WithTimeout(context.Background(), within)
+// awaitActive waits until a document is active and has no proposed version.
+func (g *documentGroup) awaitActive(doc string, timeout time.Duration) error {
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	for {
 		r, err := g.Client.Config(ctx)
 		if err == nil {
 			if d := r.Store.Documents[doc]; d != nil && d.Proposed == nil && d.Active != nil {
-				g.doc[doc] = d.Active.ID.Version
+				g.versions[doc] = d.Active.ID.Version
 				return nil
 			}
 		}
 		select {
 		case <-ctx.Done():
-			return fmt.Errorf("%s is not in force after %v: %w", doc, within, err)
+			return fmt.Errorf("document %s is not active after %v: %w", doc, timeout, err)
 		case <-time.After(20 * time.Millisecond):
 		}
 	}
 }
 
-// scaleDocs are the documents at first, and texts that differ from the one before by a count.
-func scaleDocs(tenants int) map[string]string {
+// initialDocs returns the initial documents of a group, with a cell map of four servers.
+func initialDocs(tenants int) map[string]string {
 	return map[string]string{
 		configstore.DocMap: string(settings.FormatCells(scaleMap(places(4), 1, tenants))), configstore.DocRouting: routingText(0), configstore.DocClasses: classesText(0),
 	}
 }
 
+// routingText returns a routing document whose retry ratio depends on n, so that consecutive texts differ.
 func routingText(n int) string { return fmt.Sprintf(`{"retries":0.%03d,"probe_ms":500}`, n%900+100) }
 
-// classesText has a class more or less, which excludes the one before.
+// classesText returns a classes document with n%5+1 extra classes, so that consecutive texts differ in their
+// classes.
 func classesText(n int) string {
 	text := `{"classes":[`
 	for _, c := range []string{`"lestvica","worth":1,"effect":"pure"`, `"krog","worth":2,"effect":"pure"`, `"oddaja","worth":3,"effect":"token","memory_span":13170000`} {
@@ -722,12 +740,12 @@
 	return strings.TrimSuffix(text, ",") + "]}"
 }
 
-// quantiles are the middle, the 99th of a hundred and the last of some times.
+// quantiles returns the median, the 99th percentile and the maximum of a list, or NaN if it is empty.
 func quantiles(list []float64) (p50, p99, worst float64) {
 	if len(list) == 0 {
 		return math.NaN(), math.NaN(), math.NaN()
 	}
 	list = slices.Sorted(slices.Values(list))
-	at := func(q float64) float64 { return list[min(len(list)-1, int(math.Ceil(q*float64(len(list))))-1)] }
-	return at(0.5), at(0.99), list[len(list)-1]
+	quantile := func(q float64) float64 { return list[min(len(list)-1, int(math.Ceil(q*float64(len(list))))-1)] }
+	return quantile(0.5), quantile(0.99), list[len(list)-1]
 }
--- a/internal/testkit/benchmarks/scalepage.go
+++ b/internal/testkit/benchmarks/scalepage.go
@@ -9,13 +9,14 @@
 	"silverpath/internal/policy/capacity"
 )
 
-// The tables of docs/results/scale.md stand between these lines, and are rendered of docs/results/scale.json alone.
+// tablesStart and tablesEnd mark the tables of docs/results/scale.md, which are rendered from
+// docs/results/scale.json alone.
 const (
-	tablesFrom = "<!-- tables: rendered of scale.json -->"
-	tablesTo   = "<!-- end of tables -->"
+	tablesStart = "<!-- tables: rendered of scale.json -->"
+	tablesEnd   = "<!-- end of tables -->"
 )
 
-// scaleCauses are why a slope did not foretell the size that it was held against.
+// scaleCauses gives, by series, the reason why the fit did not predict the value that it was checked against.
 var scaleCauses = map[string]string{
 	"caller.cpu.followers":           "it does not grow: 0.53 to 0.89 ms a second at all sizes, by as much as plays beside other runs differ",
 	"caller.cpu_of_all.callers":      "a check costs less as more come together, as at the server",
@@ -51,18 +52,18 @@
 	"server.round.callers":           "each word sorts the names of all callers, by more than a line; the plays at 480 differ by 1.4 times, beside other runs",
 }
 
-// withTables puts the tables of results into a page.
-func withTables(page string, r capacity.Results) (string, error) {
-	before, rest, ok := strings.Cut(page, tablesFrom)
-	_, after, ended := strings.Cut(rest, tablesTo)
+// replaceTables returns the page with the tables of the results between its markers.
+func replaceTables(page string, r capacity.Results) (string, error) {
+	before, rest, ok := strings.Cut(page, tablesStart)
+	_, after, ended := strings.Cut(rest, tablesEnd)
 	if !ok || !ended {
-		return "", fmt.Errorf("the page has no place for tables: %s", tablesFrom)
+		return "", fmt.Errorf("page has no table markers: %s", tablesStart)
 	}
-	return before + tablesFrom + "\n\n" + tables(r) + tablesTo + after, nil
+	return before + tablesStart + "\n\n" + renderTables(r) + tablesEnd + after, nil
 }
 
-// figure writes a value with three digits.
-func figure(v float64) string {
+// formatFigure formats a value with about three significant digits.
+func formatFigure(v float64) string {
 	if v != 0 && (v < 0.001 && v > -0.001) {
 		return strconv.FormatFloat(v, 'g', 2, 64)
 	}
@@ -78,8 +79,9 @@
 	return text
 }
 
-// tables renders a table for each role and what is varied: the medians, and the slope with what it foretold beside what was measured.
-func tables(r capacity.Results) string { //nolint:cyclop // one measurement from top to bottom; its split is in docs/ROADMAP.md
+// renderTables renders one table for each role and varied quantity, with the medians, the fit, and the
+// predicted and the measured value. Tables of the poor fits and of the fixed quantities follow.
+func renderTables(r capacity.Results) string { //nolint:cyclop // one measurement from top to bottom; its split is in docs/ROADMAP.md
 	var b strings.Builder
 	fmt.Fprintf(&b, "Command: `%s`. Machine: %s. Program: %s.\n\n", r.Command, r.Machine, r.Program)
 	type group struct{ role, varies string }
@@ -90,7 +92,7 @@
 		}
 	}
 	slices.SortFunc(groups, func(x, y group) int { return strings.Compare(x.role+" "+x.varies, y.role+" "+y.varies) })
-	var off []capacity.Series
+	var poorFits []capacity.Series
 	for _, g := range groups {
 		fmt.Fprintf(&b, "### %s by %s\n\n| figure | unit | of | plays | medians at | slope | foretold | measured | off |\n|---|---|---|---|---|---|---|---|---|\n", g.role, strings.ReplaceAll(g.varies, "_", " "))
 		for _, x := range r.Series {
@@ -99,34 +101,34 @@
 			}
 			var at []string
 			for _, p := range x.Points {
-				at = append(at, fmt.Sprintf("%s: %s", whole(p.At), figure(p.Median())))
+				at = append(at, fmt.Sprintf("%s: %s", formatNumber(p.At), formatFigure(p.Median())))
 			}
 			fmt.Fprintf(&b, "| %s | %s | %s | %d | %s | %s |\n", x.Name, x.Unit, x.Of, x.Plays, strings.Join(at, ", "), fitted(x.Fit))
 			if x.Fit != nil && !x.Fit.Believed() {
-				off = append(off, x)
+				poorFits = append(poorFits, x)
 			}
 		}
 		b.WriteByte('\n')
 	}
 	fmt.Fprintf(&b, "### Slopes that are not believed\n\n| figure | held against | foretold | measured | off | cause |\n|---|---|---|---|---|---|\n")
-	for _, x := range off {
+	for _, x := range poorFits {
 		cause := x.Fit.Cause
 		if cause == "" {
 			cause = "not known"
 		}
-		fmt.Fprintf(&b, "| %s | %s | %s | %s | %+.0f%% | %s |\n", x.Name, whole(x.Fit.At), figure(x.Fit.Foretold), figure(x.Fit.Measured), 100*x.Fit.Off, cause)
+		fmt.Fprintf(&b, "| %s | %s | %s | %s | %+.0f%% | %s |\n", x.Name, formatNumber(x.Fit.At), formatFigure(x.Fit.Foretold), formatFigure(x.Fit.Measured), 100*x.Fit.Off, cause)
 	}
 	b.WriteString("\n### What stayed\n\n| figures | fixed |\n|---|---|\n")
-	said := map[string]bool{}
+	seen := map[string]bool{}
 	for _, x := range r.Series {
 		var list []string
 		for k, v := range x.Fixed {
-			list = append(list, k+" "+whole(v))
+			list = append(list, k+" "+formatNumber(v))
 		}
 		slices.Sort(list)
 		line := fmt.Sprintf("| %s by %s, %s | %s |\n", x.Role, strings.ReplaceAll(x.Varies, "_", " "), x.Of, strings.Join(list, ", "))
-		if len(list) > 0 && !said[line] {
-			said[line] = true
+		if len(list) > 0 && !seen[line] {
+			seen[line] = true
 			b.WriteString(line)
 		}
 	}
@@ -134,9 +136,10 @@
 	return b.String()
 }
 
-func whole(v float64) string { return strconv.FormatFloat(v, 'f', -1, 64) }
+// formatNumber formats a value with as many digits as it needs.
+func formatNumber(v float64) string { return strconv.FormatFloat(v, 'f', -1, 64) }
 
-// fitted are the columns of a fit.
+// fitted returns the table columns of a fit.
 func fitted(f *capacity.Fit) string {
 	if f == nil {
 		return "none | | | "
@@ -149,6 +152,6 @@
 	if !f.Believed() {
 		mark = " **not believed**"
 	}
-	return fmt.Sprintf("%s %+.3g %s, of %s to %s | %s at %s | %s | %+.0f%%%s", figure(f.Base), f.Per, by, whole(f.From), whole(f.To),
-		figure(f.Foretold), whole(f.At), figure(f.Measured), 100*f.Off, mark)
+	return fmt.Sprintf("%s %+.3g %s, of %s to %s | %s at %s | %s | %+.0f%%%s", formatFigure(f.Base), f.Per, by, formatNumber(f.From), formatNumber(f.To),
+		formatFigure(f.Foretold), formatNumber(f.At), formatFigure(f.Measured), 100*f.Off, mark)
 }
