--- a/cmd/silverpath/parts.go
+++ b/cmd/silverpath/parts.go
@@ -211,5 +211,5 @@
 	case !revision.InParts:
 		return "", fmt.Errorf("version %d of %s is kept, but its text is too long for the group's summary", revision.ID.Version, d.Name)
 	}
-	return "", fmt.Errorf("version %d of %s was in parts, and only the names of its changed parts are kept: %s", revision.ID.Version, d.Name, strings.Join(revision.ChangedParts, " "))
+	return "", fmt.Errorf("version %d of %s was in parts and is over: of it is kept which changed: %s", revision.ID.Version, d.Name, strings.Join(revision.ChangedParts, " "))
 }
--- a/internal/transport/listener/listener.go
+++ b/internal/transport/listener/listener.go
@@ -95,11 +95,11 @@
 	defer f.Close() // the listener has a duplicate
 	ln, err := net.FileListener(f)
 	if err != nil {
-		return nil, fmt.Errorf("failed to listen on descriptor %d: %w", fd, err)
+		return nil, fmt.Errorf("descriptor %d: %w", fd, err)
 	}
 	if _, ok := ln.(*net.TCPListener); !ok {
 		ln.Close()
-		return nil, fmt.Errorf("descriptor %d is not a TCP listener", fd)
+		return nil, fmt.Errorf("descriptor %d is no TCP listener", fd)
 	}
 	return ln, nil
 }
