--- a/api.go
+++ b/api.go
@@ -125,7 +125,7 @@
 	DuplicateOf  string // ID of the remembered request that this one duplicates
 	Caller       int
 	QueuedKB     float64       // memory while the request is queued
-	Unread       time.Duration // time between receipt by the machine and reading
+	ReadDelay    time.Duration // time between receipt by the machine and reading
 	Deadline     time.Duration // time at which the caller stops waiting; 0 if unknown
 	ExpectedWork time.Duration // 0 if unknown
 	Retry        bool          // marked as a retry or a hedge
@@ -152,10 +152,10 @@
 
 // Gauges are readings of the server's load, taken when a timer fires.
 type Gauges struct {
-	CPU         float64 // recent share of busy cores
-	OnCores     float64 // runnable tasks: those on a core and those waiting for one
-	Memory      float64 // share of memory in use
-	Connections float64
+	CPU           float64 // recent share of busy cores
+	RunnableTasks float64 // runnable tasks: those on a core and those waiting for one
+	Memory        float64 // share of memory in use
+	Connections   float64
 }
 
 // Place is the location of a request as reported to Pools.
@@ -163,10 +163,10 @@
 
 // Values of Place.
 const (
-	PlaceOver    Place = iota // finished
-	PlaceWaiting              // queued
-	PlaceOnCores              // running on the cores, or waiting for disk
-	PlaceAway                 // waiting for a call or for the request that it duplicates, or paused
+	PlaceFinished Place = iota // finished
+	PlaceQueued                // queued
+	PlaceOnCores               // running on the cores, or waiting for disk
+	PlaceOffCores              // waiting for a call or for the request that it duplicates, or paused
 )
 
 // Pools are an optional guard in addition to the module's own: bulkheads that limit the runs of each class
--- a/capacity.go
+++ b/capacity.go
@@ -9,8 +9,7 @@
 //   - slowdown is the core time per second of expected work. If it is well above its own baseline, the fault
 //     is local to this server, and other servers may do better.
 //
-// Inputs: the gauges OnCores (runnable tasks) and CPU at each tick, the core clock, the expected work of
-// requests.
+// Inputs: the gauges RunnableTasks and CPU at each tick, the core clock, the expected work of requests.
 
 import (
 	"math"
@@ -66,8 +65,8 @@
 	if runs == 0 {
 		return
 	}
-	perRun := g.OnCores / float64(runs)
-	if g.OnCores <= float64(s.settings.Cores) {
+	perRun := g.RunnableTasks / float64(runs)
+	if g.RunnableTasks <= float64(s.settings.Cores) {
 		perRun = min(1, perRun) // a core is free to read requests
 	}
 	if s.stateCount[queued] > 0 {
--- a/capacity_test.go
+++ b/capacity_test.go
@@ -25,7 +25,7 @@
 	s.Arrive(0, testRequest("b", "pay"))
 	before := s.runLimit()
 	for range 40 {
-		s.Tick(s.now, Gauges{OnCores: 4})
+		s.Tick(s.now, Gauges{RunnableTasks: 4})
 	}
 	if after := s.runLimit(); after > before*0.7 {
 		t.Errorf("run limit %v without reading, %v with as much reading as runs", before, after)
@@ -38,11 +38,11 @@
 	s, _ := newTestShedder(t, func(set *Settings) { set.Cold, set.ColdSpeed, set.WarmupTime = true, 0.25, 16*time.Second })
 	s.Tick(20*time.Second, Gauges{})
 	warm := s.maxRuns()
-	s.Started(20*time.Second, time.Second, true)
+	s.RunnerStarted(20*time.Second, time.Second, true)
 	if got, want := s.warmupSpeed(), 0.25+0.75/16; math.Abs(got-want) > 1e-9 || s.maxRuns() >= warm || !s.faultIsLocal() {
 		t.Errorf("speed %v one second after a cold start, want %v; maxRuns is %v, warm %v", got, want, s.maxRuns(), warm)
 	}
-	s.Started(21*time.Second, time.Hour, false)
+	s.RunnerStarted(21*time.Second, time.Hour, false)
 	if s.warmupSpeed() != 1 || s.maxRuns() != warm {
 		t.Errorf("speed %v after a warm start, want 1", s.warmupSpeed())
 	}
@@ -63,7 +63,7 @@
 				id := fmt.Sprint("a", now)
 				s.Arrive(now, testRequest(id, "pay"))
 				for end := now + duration; now < end; now += tickInterval {
-					s.Tick(now, Gauges{CPU: 1, OnCores: onCores})
+					s.Tick(now, Gauges{CPU: 1, RunnableTasks: onCores})
 				}
 				s.RunEnded(now, id, OK, duration)
 			}
--- a/checker_test.go
+++ b/checker_test.go
@@ -227,8 +227,8 @@
 	}
 	r.req = silverpath.Request{
 		ID: fmt.Sprintf("r%d", n), Class: class.Name, QueuedKB: 5 + c.rng.Float64()*20,
-		Caller: c.rng.IntN(max(1, c.set.Callers)),
-		Unread: time.Duration(c.rng.IntN(200)) * time.Millisecond, Tenant: []string{"", "t", "nobody"}[c.rng.IntN(3)],
+		Caller:    c.rng.IntN(max(1, c.set.Callers)),
+		ReadDelay: time.Duration(c.rng.IntN(200)) * time.Millisecond, Tenant: []string{"", "t", "nobody"}[c.rng.IntN(3)],
 	}
 	if c.rng.IntN(2) == 0 {
 		r.req.ExpectedWork = time.Duration(10+c.rng.IntN(300)) * time.Millisecond
@@ -251,7 +251,7 @@
 			}
 		}
 	}
-	r.receivedAt = c.now - r.req.Unread
+	r.receivedAt = c.now - r.req.ReadDelay
 	r.deadline = max(c.now, r.receivedAt+class.Deadline)
 	if r.req.Deadline > 0 {
 		r.deadline = max(c.now, r.req.Deadline)
@@ -346,7 +346,7 @@
 			c.timers = append(c.timers, t)
 			continue
 		}
-		c.shedder.Tick(c.now, silverpath.Gauges{CPU: c.rng.Float64() * 1.2, OnCores: c.rng.Float64() * 20})
+		c.shedder.Tick(c.now, silverpath.Gauges{CPU: c.rng.Float64() * 1.2, RunnableTasks: c.rng.Float64() * 20})
 	}
 	c.checkLimits(callsInProgress)
 }
@@ -533,7 +533,7 @@
 				shed.Arrive(now, silverpath.Request{ID: id, Class: "read", QueuedKB: 10, Caller: i % size,
 					ExpectedWork: 100 * time.Millisecond})
 				now += 30 * time.Millisecond
-				shed.Tick(now, silverpath.Gauges{CPU: 0.7, OnCores: 2})
+				shed.Tick(now, silverpath.Gauges{CPU: 0.7, RunnableTasks: 2})
 				shed.Cancelled(now, fmt.Sprint("r", i-1))
 				shed.RunEnded(now, id, silverpath.OK, 30*time.Millisecond)
 			}
--- a/cmd/silverpath/capacity_test.go
+++ b/cmd/silverpath/capacity_test.go
@@ -9,11 +9,11 @@
 )
 
 func TestCapacity(t *testing.T) {
-	code, out, message := run(t, "", "capacity")
+	code, out, message := runCommand(t, "", "capacity")
 	if code != 0 || message != "" || !strings.Contains(out, "By breaking point") || !strings.Contains(out, "leader: the map as one document") {
 		t.Errorf("exit code %d, output %.200q, message %q", code, out, message)
 	}
-	code, out, message = run(t, "", "capacity", "--json")
+	code, out, message = runCommand(t, "", "capacity", "--json")
 	var plan struct {
 		Routers float64
 		Breaks  []struct {
@@ -43,7 +43,7 @@
 	half := strings.NewReplacer(`"servers": 930`, `"servers": 465`, `"tenants": 21000`, `"tenants": 10500`, `"routes": 17000`, `"routes": 8500`).Replace(string(data))
 	mapShare := func(args ...string) float64 {
 		t.Helper()
-		code, out, message := run(t, "", append([]string{"capacity", "--json"}, args...)...)
+		code, out, message := runCommand(t, "", append([]string{"capacity", "--json"}, args...)...)
 		if err := json.Unmarshal([]byte(out), &plan); err != nil || code != 0 {
 			t.Fatalf("exit code %d, %v, message %q", code, err, message)
 		}
@@ -67,13 +67,13 @@
 		{"--results", write("series.json", `{"series":[{"name":"a"},{"name":"a"}]}`), `: series[1].name: "a" given twice` + "\n"},
 		{"--results", write("text.json", "no"), ": invalid character"},
 	} {
-		code, out, message := run(t, "", "capacity", c.flag, c.file)
+		code, out, message := runCommand(t, "", "capacity", c.flag, c.file)
 		if code != 1 || out != "" || strings.Count(message, "\n") != 1 || !strings.HasPrefix(message, "silverpath: ") || !strings.Contains(message, c.want) {
 			t.Errorf("%s %s: exit code %d, output %.80q, message %q", c.flag, c.file, code, out, message)
 		}
 	}
 	results := write("some.json", `{"program": "abc", "machine": "m", "series": [{"name": "server.cpu.callers", "points": [{"at": 10, "values": [0.001]}, {"at": 1000, "values": [0.1]}]}]}`)
-	if code, out, message := run(t, "", "capacity", "--results", results); code != 0 || !strings.HasPrefix(out, "Results: abc, m.\n") || !strings.Contains(out, " m ") {
+	if code, out, message := runCommand(t, "", "capacity", "--results", results); code != 0 || !strings.HasPrefix(out, "Results: abc, m.\n") || !strings.Contains(out, " m ") {
 		t.Errorf("exit code %d, output %.200q, message %q", code, out, message)
 	}
 }
--- a/cmd/silverpath/cells.go
+++ b/cmd/silverpath/cells.go
@@ -87,7 +87,7 @@
 // change calls plan with the current map and writes the planned map to the file. If another change of the file is under way, it
 // waits for that one, for up to o.lockTimeout.
 func (o *mapOptions) change(c *cobra.Command, plan planner) error {
-	next, err := proxy.Change(o.file, o.lockTimeout, plan)
+	next, err := proxy.UpdateMap(o.file, o.lockTimeout, plan)
 	if err != nil {
 		return err
 	}
@@ -127,7 +127,7 @@
 // writeMovePlanTable writes a planned migration, with the cells' loads before and after it, as a table.
 func writeMovePlanTable(w *tabwriter.Writer, p cells.Plan) {
 	fmt.Fprintf(w, "tenant\t%s\nfrom\t%s\nto\t%s\nin force\t%s\nsettled\t%s\n", p.Tenant, p.From, p.To,
-		p.At.Format(time.DateTime), p.Settled.Format(time.DateTime))
+		p.EffectiveAt.Format(time.DateTime), p.SettledAt.Format(time.DateTime))
 	for i, l := range p.After {
 		fmt.Fprintf(w, "load of %s\t%.0f of %.0f a second, was %.0f\n", l.Cell, l.Rate, l.Capacity, p.Before[i].Rate)
 	}
@@ -298,5 +298,5 @@
 }
 
 func newMovePlanView(p cells.Plan) movePlanView {
-	return movePlanView{p.Tenant, p.From, p.To, p.Shard, p.At.UnixMilli(), p.Settled.UnixMilli(), p.Before, p.After}
+	return movePlanView{p.Tenant, p.From, p.To, p.ShardSize, p.EffectiveAt.UnixMilli(), p.SettledAt.UnixMilli(), p.Before, p.After}
 }
--- a/cmd/silverpath/cellsgolden_test.go
+++ b/cmd/silverpath/cellsgolden_test.go
@@ -21,7 +21,7 @@
 	var got strings.Builder
 	command := func(args ...string) {
 		t.Helper()
-		code, out, message := run(t, "", args...)
+		code, out, message := runCommand(t, "", args...)
 		fmt.Fprintf(&got, "$ %s\n[exit %d]\n%s%s", strings.Join(args, " "), code, out, message)
 	}
 	command("cells", "check", "--map", mapFile)
@@ -83,7 +83,7 @@
 		{"cells", "publish", "--map", mapPath, "--to", versionsDir},
 		{"cells", "publish", "--map", mapPath, "--to", versionsDir},
 	} {
-		code, out, message := run(t, "", args...)
+		code, out, message := runCommand(t, "", args...)
 		fmt.Fprintf(&got, "$ %s\n[exit %d]\n%s%s", strings.Join(args, " "), code, out, message)
 	}
 	written, err := os.ReadFile(mapPath)
--- a/cmd/silverpath/change_test.go
+++ b/cmd/silverpath/change_test.go
@@ -36,7 +36,7 @@
 	var operators sync.WaitGroup
 	for i := range moves {
 		operators.Go(func() {
-			if code, out, message := run(t, "", "cells", "move", "--map", file, "--tenant", fmt.Sprint("t", i), "--to", "b"); code != 0 {
+			if code, out, message := runCommand(t, "", "cells", "move", "--map", file, "--tenant", fmt.Sprint("t", i), "--to", "b"); code != 0 {
 				t.Errorf("cells move: output %q, message %q", out, message)
 			}
 		})
@@ -64,7 +64,7 @@
 	if err := unix.Flock(int(lock.Fd()), unix.LOCK_EX); err != nil {
 		t.Fatal(err)
 	}
-	code, _, message := run(t, "", "cells", "abort", "--map", file, "--wait", "50ms", "--tenant", "t0")
+	code, _, message := runCommand(t, "", "cells", "abort", "--map", file, "--wait", "50ms", "--tenant", "t0")
 	if code != 1 || !strings.Contains(message, "another change of the map is under way, by process ") {
 		t.Errorf("cells abort while the map is locked: exit code %d, message %s", code, message)
 	}
--- a/cmd/silverpath/crowd_test.go
+++ b/cmd/silverpath/crowd_test.go
@@ -26,7 +26,7 @@
 	t.Parallel()
 	const maxDescriptors = 96
 	interpreter, err := builtinworker.Listen(builtinworker.Config{Listen: "127.0.0.1:0", Cores: 8, Shape: builtinworker.Shape{Knee: 8, Speed: 1},
-		Other: builtinworker.Class{MinWork: 5 * time.Millisecond, MaxWork: 10 * time.Millisecond}, RunFactor: 1, Seed: 1})
+		DefaultClass: builtinworker.Class{MinWork: 5 * time.Millisecond, MaxWork: 10 * time.Millisecond}, RunFactor: 1, Seed: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -42,13 +42,13 @@
 	}
 	announce := announceConn.LocalAddr().String()
 	announceConn.Close() // the announce service is down
-	config, err := os.ReadFile(siteFile(t, "n1", interpreterLink.Addr()))
+	config, err := os.ReadFile(writeServerConfig(t, "n1", interpreterLink.Addr()))
 	if err != nil {
 		t.Fatal(err)
 	}
 	addr, mgmtAddr := freeAddr(t), freeAddr(t)
 	text := strings.NewReplacer(`"sockets":256`, fmt.Sprintf(`"sockets":%d`, maxDescriptors), `"listen":"127.0.0.1:0"`, `"listen":"`+addr+`","announce":"`+announce+`"`).Replace(string(config))
-	p := begin(t, []string{"serve", "--config", write(t, "n1.json", text)}, "LB_MGMT="+mgmtAddr)
+	p := startProgram(t, []string{"serve", "--config", writeFile(t, "n1.json", text)}, "LB_MGMT="+mgmtAddr)
 	if err := unix.Prlimit(p.Pid(), unix.RLIMIT_NOFILE, &unix.Rlimit{Cur: maxDescriptors, Max: maxDescriptors}, nil); err != nil {
 		t.Fatal(err)
 	}
@@ -92,7 +92,7 @@
 	if code, body := benchmarks.Call(mgmtAddr, "GET /api/ready"); code != 200 {
 		t.Errorf("GET /api/ready: status %d, body %q", code, body)
 	}
-	logLine := p.Lines()
+	logLine := p.LineCount()
 	interpreterLink.Cut(false)
 	if _, err := p.Await(20*time.Second, logLine, "interpreter link live again"); err != nil {
 		t.Error(err)
--- a/cmd/silverpath/durable_test.go
+++ b/cmd/silverpath/durable_test.go
@@ -149,10 +149,10 @@
 // SILVERPATH_UNPROMISED makes the store write intents late. SILVERPATH_UNSIGNED disables the heartbeat check.
 func installStoreFaults() {
 	if os.Getenv("SILVERPATH_UNPROMISED") != "" {
-		parts.WrapStore = func(s core.Store) core.Store { return &lateIntentStore{Store: s, deferred: map[uint64]intent{}} }
+		hooks.WrapStore = func(s core.Store) core.Store { return &lateIntentStore{Store: s, deferred: map[uint64]intent{}} }
 	}
 	if os.Getenv("SILVERPATH_UNSIGNED") != "" {
-		parts.WrapHeartbeat = func(func() bool) func() bool { return func() bool { return true } }
+		hooks.WrapHeartbeat = func(func() bool) func() bool { return func() bool { return true } }
 	}
 	if name, ago, ok := strings.Cut(os.Getenv("SILVERPATH_BOOT"), " "); ok {
 		start := time.Now()
@@ -199,8 +199,8 @@
 	}
 }
 
-// durable is a service with an idempotency store. It is restarted at one address.
-type durable struct {
+// durableService is a service with an idempotency store. It is restarted at one address.
+type durableService struct {
 	*benchmarks.Shared
 	t     *testing.T
 	dir   string        // directory of the store
@@ -208,7 +208,7 @@
 	fault string        // file that describes the disk fault; see installStoreFaults
 }
 
-func newDurable(t *testing.T, env ...string) *durable {
+func newDurableService(t *testing.T, env ...string) *durableService {
 	t.Helper()
 	if testing.Short() {
 		t.Skip("real processes")
@@ -217,10 +217,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	d := &durable{t: t, span: 10 * time.Second, dir: filepath.Join(t.TempDir(), "keys"), fault: filepath.Join(t.TempDir(), "fault")}
-	d.Shared = benchmarks.Inherit(t, exe, append([]string{"SILVERPATH_RUN=1", "SILVERPATH_STORE=" + d.fault}, env...), false)
-	d.Wait = 900 * time.Millisecond
-	d.Args = []string{"--edge", write(t, "edge.json", fmt.Sprintf(`{"store":{"dir":%q,"size_mb":8}}`, d.dir))}
+	d := &durableService{t: t, span: 10 * time.Second, dir: filepath.Join(t.TempDir(), "keys"), fault: filepath.Join(t.TempDir(), "fault")}
+	d.Shared = benchmarks.NewShared(t, exe, append([]string{"SILVERPATH_RUN=1", "SILVERPATH_STORE=" + d.fault}, env...), false)
+	d.Timeout = 900 * time.Millisecond
+	d.Args = []string{"--edge", writeFile(t, "edge.json", fmt.Sprintf(`{"store":{"dir":%q,"size_mb":8}}`, d.dir))}
 	d.Edit = func(text string) string {
 		return strings.NewReplacer(`"deadline":4400000`, `"deadline":1000000`, `"target":1800000`, `"target":900000`,
 			`"memory_span":2000000`, fmt.Sprintf(`"memory_span":%d`, d.span.Microseconds())).Replace(text)
@@ -232,7 +232,7 @@
 }
 
 // setDiskFault sets the disk fault, in the format of installStoreFaults. An empty text removes the fault.
-func (d *durable) setDiskFault(text string) {
+func (d *durableService) setDiskFault(text string) {
 	if text == "" {
 		_ = os.Remove(d.fault)
 		return
@@ -246,21 +246,21 @@
 	}
 }
 
-// up starts the service and waits until its store is loaded and it accepts requests.
-func (d *durable) up(env ...string) *benchmarks.Generation {
+// startLoaded starts the service and waits until its store is loaded and it accepts requests.
+func (d *durableService) startLoaded(env ...string) *benchmarks.Generation {
 	d.t.Helper()
 	d.Env = env
 	g := d.Start()
 	if _, err := g.Await(20*time.Second, 0, "store: ", "taken up"); err != nil {
 		d.t.Fatal(err)
 	}
-	g.Ready(d.t)
+	g.AwaitReady(d.t)
 	return g
 }
 
-// ask makes one attempt of a request.
-func (d *durable) ask(key, body string) client.Reply {
-	a, err := client.Do(client.Platform, d.Addr, client.Request{Class: "oddaja", Key: key, Body: []byte(body), Timeout: d.Wait})
+// sendAttempt makes one attempt of a request.
+func (d *durableService) sendAttempt(key, body string) client.Reply {
+	a, err := client.Do(client.MessagePack, d.Addr, client.Request{Class: "oddaja", Key: key, Body: []byte(body), Timeout: d.Timeout})
 	if err != nil {
 		a.Outcome = "lost"
 	}
@@ -268,12 +268,12 @@
 }
 
 // checkRetries repeats served requests concurrently and reports each one whose result differs from the first.
-func (d *durable) checkRetries(served map[string]string) (wrong []string) {
+func (d *durableService) checkRetries(served map[string]string) (wrong []string) {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	for key, body := range served {
 		wg.Go(func() {
-			a := d.ask(key, key)
+			a := d.sendAttempt(key, key)
 			mu.Lock()
 			defer mu.Unlock()
 			if a.Outcome != "served" || string(a.Body) != body {
@@ -286,13 +286,13 @@
 }
 
 // serveNew sends n new requests, retries each refused one for up to 5 s, and returns the results by key.
-func (d *durable) serveNew(name string, n int) map[string]string {
+func (d *durableService) serveNew(name string, n int) map[string]string {
 	d.t.Helper()
 	served := map[string]string{}
 	for i := range n {
 		key := fmt.Sprintf("%s-%d", name, i)
-		a := d.ask(key, key)
-		for end := time.Now().Add(5 * time.Second); a.Outcome == "refused" && time.Now().Before(end); a = d.ask(key, key) {
+		a := d.sendAttempt(key, key)
+		for end := time.Now().Add(5 * time.Second); a.Outcome == "refused" && time.Now().Before(end); a = d.sendAttempt(key, key) {
 			if d.Runs()[key] > 0 {
 				d.t.Fatalf("request %s was refused after it ran", key)
 			}
@@ -311,10 +311,10 @@
 // intents late, requests do run twice.
 func TestNothingRunsTwiceAcrossKills(t *testing.T) {
 	t.Parallel()
-	runWithKills := func(t *testing.T, seed uint64, kills int, done func(load *benchmarks.Sheets) bool, env ...string) []string {
-		d := newDurable(t, env...)
+	runWithKills := func(t *testing.T, seed uint64, kills int, done func(load *benchmarks.KeyedLoad) bool, env ...string) []string {
+		d := newDurableService(t, env...)
 		rng := rand.New(rand.NewPCG(seed, 10))
-		g := d.up()
+		g := d.startLoaded()
 		load := d.Load(8, 4, 500*time.Millisecond, seed)
 		for range kills {
 			time.Sleep(time.Duration(100+rng.IntN(200)) * time.Millisecond)
@@ -323,7 +323,7 @@
 				time.Sleep(time.Duration(rng.IntN(150)) * time.Millisecond)
 			}
 			g.Kill()
-			g = d.up()
+			g = d.startLoaded()
 			if done != nil && done(load) {
 				break
 			}
@@ -335,8 +335,8 @@
 		}
 		var history []porcupine.Operation
 		// Each attempt has its own client ID, as the checker allows no concurrent operations of a client.
-		for i, a := range load.Tries {
-			history = append(history, porcupine.Operation{ClientId: i, Call: a.From.UnixNano(), Return: a.To.UnixNano(), Output: try{a.Sheet, a.Outcome, a.Body}})
+		for i, a := range load.Attempts {
+			history = append(history, porcupine.Operation{ClientId: i, Call: a.From.UnixNano(), Return: a.To.UnixNano(), Output: attemptRecord{a.Key, a.Outcome, a.Body}})
 		}
 		if !linearizable(history) {
 			wrong = append(wrong, "the history is not linearizable with one run per request")
@@ -353,7 +353,7 @@
 	}
 	t.Run("intent after the run", func(t *testing.T) {
 		t.Parallel()
-		if w := runWithKills(t, 9, 40, (*benchmarks.Sheets).Harmed, "SILVERPATH_UNPROMISED=1"); len(w) == 0 {
+		if w := runWithKills(t, 9, 40, (*benchmarks.KeyedLoad).AnyRanTwice, "SILVERPATH_UNPROMISED=1"); len(w) == 0 {
 			t.Error("no violation was detected with a store that writes intents late")
 		}
 	})
@@ -369,8 +369,8 @@
 		"rewrite.renamed kill:1", "rewrite.done kill:1", "snapshot kill:1", "snapshot.written kill:1"} {
 		t.Run(at, func(t *testing.T) {
 			t.Parallel()
-			d := newDurable(t)
-			g := d.up()
+			d := newDurableService(t)
+			g := d.startLoaded()
 			served := d.serveNew("before", 10)
 			g.Kill()
 			d.setDiskFault(at)
@@ -381,7 +381,7 @@
 				d.Env = []string{boot(n)}
 				g = d.Start()
 				if strings.HasPrefix(at, "snapshot") {
-					g.Ready(t)
+					g.AwaitReady(t)
 					g.Call("POST /api/snapshot")
 				} else {
 					for i, end := 0, time.Now().Add(5*time.Second); time.Now().Before(end); i++ {
@@ -390,7 +390,7 @@
 							end = time.Now()
 						case <-time.After(2 * time.Millisecond):
 							key := fmt.Sprintf("during-%d-%d", killed, i%20)
-							d.ask(key, key)
+							d.sendAttempt(key, key)
 						}
 					}
 				}
@@ -402,13 +402,13 @@
 				}
 			}
 			d.setDiskFault("")
-			d.up(boot(2))
+			d.startLoaded(boot(2))
 			for _, w := range d.checkRetries(served) {
 				t.Error(w)
 			}
 			for i := range 40 { // requests that were in flight at a kill do not run again
 				key := fmt.Sprintf("during-%d-%d", i/20, i%20)
-				d.ask(key, key)
+				d.sendAttempt(key, key)
 			}
 			d.serveNew("after", 3)
 			for body, n := range d.Runs() {
@@ -428,14 +428,14 @@
 	for _, at := range []string{"commit no space left on device", "committed input/output error", "* input/output error"} {
 		t.Run(at, func(t *testing.T) {
 			t.Parallel()
-			d := newDurable(t)
-			g := d.up()
+			d := newDurableService(t)
+			g := d.startLoaded()
 			served := d.serveNew("before", 5)
 			d.setDiskFault(at)
 			refused := 0
 			for i := range 10 {
 				key := fmt.Sprintf("during-%d", i)
-				if a := d.ask(key, key); a.Outcome == "refused" {
+				if a := d.sendAttempt(key, key); a.Outcome == "refused" {
 					refused++
 				} else if a.Outcome == "served" {
 					t.Errorf("request %s was served while the disk fails", key)
@@ -453,7 +453,7 @@
 				t.Error(w)
 			}
 			d.setDiskFault("")
-			for end := time.Now().Add(5 * time.Second); d.ask("well", "well").Outcome != "served"; time.Sleep(50 * time.Millisecond) {
+			for end := time.Now().Add(5 * time.Second); d.sendAttempt("well", "well").Outcome != "served"; time.Sleep(50 * time.Millisecond) {
 				if time.Now().After(end) {
 					t.Fatalf("no new request is served within 5 s of the disk's repair:\n%s", g.Log())
 				}
@@ -462,7 +462,7 @@
 				served[key] = body
 			}
 			g.Kill()
-			d.up()
+			d.startLoaded()
 			if w := d.checkRetries(served); len(w) > 0 {
 				t.Error("retries after a restart:", w)
 			}
@@ -474,23 +474,23 @@
 // It fails, and its retries fail before and after a restart.
 func TestResultThatIsNotDurableFails(t *testing.T) {
 	t.Parallel()
-	d := newDurable(t)
-	d.up().Kill()
-	g := d.up()
+	d := newDurableService(t)
+	d.startLoaded().Kill()
+	g := d.startLoaded()
 	d.setDiskFault("commit fail:2 input/output error") // the intent's commit succeeds, the result's fails
-	if a := d.ask("k", "k"); a.Outcome == "served" || a.Outcome == "refused" {
+	if a := d.sendAttempt("k", "k"); a.Outcome == "served" || a.Outcome == "refused" {
 		t.Errorf("request without a durable result: got %s, want neither served nor refused", a.Outcome)
 	}
 	if runs := d.Runs()["k"]; runs != 1 {
 		t.Fatalf("the request ran %d times before its result was lost, want 1", runs)
 	}
-	if a := d.ask("k", "k"); a.Outcome == "served" || a.Outcome == "refused" {
+	if a := d.sendAttempt("k", "k"); a.Outcome == "served" || a.Outcome == "refused" {
 		t.Errorf("retry: got %s, want neither served nor refused", a.Outcome)
 	}
 	g.Kill()
 	d.setDiskFault("")
-	d.up()
-	if a := d.ask("k", "k"); a.Outcome == "served" || a.Outcome == "refused" || d.Runs()["k"] != 1 {
+	d.startLoaded()
+	if a := d.sendAttempt("k", "k"); a.Outcome == "served" || a.Outcome == "refused" || d.Runs()["k"] != 1 {
 		t.Errorf("retry after a restart: got %s with %d runs, want neither served nor refused, and 1 run", a.Outcome, d.Runs()["k"])
 	}
 }
@@ -499,15 +499,15 @@
 // rejected before it runs.
 func TestSlowDiskRejectsBeforeARun(t *testing.T) {
 	t.Parallel()
-	d := newDurable(t)
-	d.up()
+	d := newDurableService(t)
+	d.startLoaded()
 	d.setDiskFault("commit 20ms")
 	d.serveNew("slow", 10)
 	d.setDiskFault("commit 400ms")
 	count := map[string]int{}
 	for i := range 12 {
 		key := fmt.Sprintf("stalled-%d", i)
-		a := d.ask(key, key)
+		a := d.sendAttempt(key, key)
 		count[a.Outcome]++
 		if a.Outcome == "refused" && d.Runs()[key] > 0 {
 			t.Errorf("request %s ran and was refused", key)
@@ -525,16 +525,16 @@
 // no result, and a result of the largest size is returned unchanged.
 func TestRetriesAfterARestartGetTheirResults(t *testing.T) {
 	t.Parallel()
-	d := newDurable(t)
-	g := d.up()
+	d := newDurableService(t)
+	g := d.startLoaded()
 	served := d.serveNew("one", 1)
 	large := strings.Repeat("x", 2<<10) // the largest body that the wire format allows
-	a := d.ask("large", large)
+	a := d.sendAttempt("large", large)
 	if a.Outcome != "served" || len(a.Body) < len(large) {
 		t.Fatalf("request with a large body: got %s, %d bytes", a.Outcome, len(a.Body))
 	}
 	g.Kill()
-	d.up()
+	d.startLoaded()
 	var wg sync.WaitGroup
 	var wrong atomic.Int64
 	var conns []*client.Conn
@@ -548,7 +548,7 @@
 	}
 	for i := range 1000 {
 		wg.Go(func() {
-			a := <-conns[i%len(conns)].Do(client.Request{Class: "oddaja", Key: "one-0", Body: []byte("one-0"), Timeout: d.Wait, ID: fmt.Sprintf("%016x", i)})
+			a := <-conns[i%len(conns)].Do(client.Request{Class: "oddaja", Key: "one-0", Body: []byte("one-0"), Timeout: d.Timeout, ID: fmt.Sprintf("%016x", i)})
 			if a.Outcome != "served" || string(a.Body) != served["one-0"] {
 				wrong.Add(1)
 			}
@@ -558,10 +558,10 @@
 	if n := wrong.Load(); n > 0 || d.Runs()["one-0"] != 1 {
 		t.Errorf("%d of 1000 retries got another result, %d runs; want 0 and 1", n, d.Runs()["one-0"])
 	}
-	if b := d.ask("large", large); b.Outcome != "served" || string(b.Body) != string(a.Body) {
+	if b := d.sendAttempt("large", large); b.Outcome != "served" || string(b.Body) != string(a.Body) {
 		t.Errorf("retry of the request with a large body: got %s, %d bytes", b.Outcome, len(b.Body))
 	}
-	if b := d.ask("one-0", "another"); b.Outcome == "served" || d.Runs()["another"] != 0 {
+	if b := d.sendAttempt("one-0", "another"); b.Outcome == "served" || d.Runs()["another"] != 0 {
 		t.Errorf("another body under the same key: got %s %s, want not served", b.Outcome, b.Body)
 	}
 }
@@ -570,9 +570,9 @@
 // another process, a store of another service, a store of a newer format, and a path that is not a directory.
 func TestUnusableStoresStopTheStart(t *testing.T) {
 	t.Parallel()
-	d := newDurable(t)
-	d.up()
-	other, file := t.TempDir(), write(t, "file", "x")
+	d := newDurableService(t)
+	d.startLoaded()
+	other, file := t.TempDir(), writeFile(t, "file", "x")
 	if err := idempotencystore.Init(other, "somebody"); err != nil {
 		t.Fatal(err)
 	}
@@ -582,8 +582,8 @@
 		d.dir: "in use by another process", other: `it is of the service "somebody", not of "n1"`,
 		future: "format 2, this build knows 1", file: "not a directory",
 	} {
-		edge := write(t, "edge.json", fmt.Sprintf(`{"store":{"dir":%q}}`, dir))
-		code, _, message := run(t, siteFile(t, "n1", "127.0.0.1:1"), "serve", "--edge", edge)
+		edge := writeFile(t, "edge.json", fmt.Sprintf(`{"store":{"dir":%q}}`, dir))
+		code, _, message := runCommand(t, writeServerConfig(t, "n1", "127.0.0.1:1"), "serve", "--edge", edge)
 		if line := strings.TrimSpace(message); code != 1 || !strings.Contains(line, want) || !strings.HasPrefix(line, "silverpath: store.dir: ") || strings.Contains(line, "\n") {
 			t.Errorf("want %q: got exit code %d, %q", want, code, message)
 		}
@@ -595,13 +595,13 @@
 // retries has passed. The store commands check and dump the copy.
 func TestCopyStartsAnotherServer(t *testing.T) {
 	t.Parallel()
-	d := newDurable(t)
+	d := newDurableService(t)
 	d.span = 5 * time.Second
-	g := d.up()
+	g := d.startLoaded()
 	served := d.serveNew("before", 5)
 	load := d.Load(4, 1, 30*time.Millisecond, 3)
 	time.Sleep(200 * time.Millisecond)
-	code, path, message := run(t, "", "store", "export", "--mgmt", g.Mgmt)
+	code, path, message := runCommand(t, "", "store", "export", "--mgmt", g.Mgmt)
 	path = strings.TrimSpace(path)
 	if code != 0 {
 		t.Fatal(message)
@@ -612,31 +612,31 @@
 	}
 	late := d.serveNew("late", 1)
 	g.Kill()
-	if code, out, message := run(t, "", "store", "check", "--dir", path); code != 0 || !strings.Contains(out, "store ") || !strings.Contains(out, "done: ") {
+	if code, out, message := runCommand(t, "", "store", "check", "--dir", path); code != 0 || !strings.Contains(out, "store ") || !strings.Contains(out, "done: ") {
 		t.Errorf("store check: exit code %d, %q, %q", code, out, message)
 	}
-	if code, out, _ := run(t, "", "store", "dump", "--dir", path); code != 0 || !strings.Contains(out, `"state":"done"`) || strings.Contains(out, "oddaja: ") {
+	if code, out, _ := runCommand(t, "", "store", "dump", "--dir", path); code != 0 || !strings.Contains(out, `"state":"done"`) || strings.Contains(out, "oddaja: ") {
 		t.Errorf("store dump: exit code %d, %q", code, out)
 	}
-	if code, _, message := run(t, "", "store", "import", "--from", path, "--dir", filepath.Join(t.TempDir(), "x"), "--name", "lab", "--whole"); code != 1 || !strings.Contains(message, "not whole") {
+	if code, _, message := runCommand(t, "", "store", "import", "--from", path, "--dir", filepath.Join(t.TempDir(), "x"), "--name", "lab", "--whole"); code != 1 || !strings.Contains(message, "not whole") {
 		t.Errorf("store import --whole of a copy of a store in use: exit code %d, %q, want 1", code, message)
 	}
 	d.dir = filepath.Join(t.TempDir(), "other")
-	if code, out, message := run(t, "", "store", "import", "--from", path, "--dir", d.dir, "--name", "lab"); code != 0 {
+	if code, out, message := runCommand(t, "", "store", "import", "--from", path, "--dir", d.dir, "--name", "lab"); code != 0 {
 		t.Fatal(out, message)
 	}
-	d.Args = []string{"--edge", write(t, "edge.json", fmt.Sprintf(`{"store":{"dir":%q,"size_mb":8}}`, d.dir))}
-	g = d.up()
+	d.Args = []string{"--edge", writeFile(t, "edge.json", fmt.Sprintf(`{"store":{"dir":%q,"size_mb":8}}`, d.dir))}
+	g = d.startLoaded()
 	if w := d.checkRetries(served); len(w) > 0 {
 		t.Error(w)
 	}
 	for key := range late {
-		if a := d.ask(key, key); a.Outcome != "failed" {
+		if a := d.sendAttempt(key, key); a.Outcome != "failed" {
 			t.Errorf("request %s, which ran after the export: got %s, want failed", key, a.Outcome)
 		}
 	}
 	for end := time.Now().Add(20 * time.Second); ; time.Sleep(100 * time.Millisecond) {
-		if a := d.ask("new", "new"); a.Outcome == "served" {
+		if a := d.sendAttempt("new", "new"); a.Outcome == "served" {
 			break
 		}
 		if time.Now().After(end) {
@@ -644,14 +644,14 @@
 		}
 	}
 	g.Leave(t)
-	if code, out, message := run(t, "", "store", "compact", "--dir", d.dir); code != 0 || !strings.Contains(out, "KB, were") {
+	if code, out, message := runCommand(t, "", "store", "compact", "--dir", d.dir); code != 0 || !strings.Contains(out, "KB, were") {
 		t.Errorf("store compact: exit code %d, %q, %q", code, out, message)
 	}
 	exported := filepath.Join(t.TempDir(), "copy.db")
-	if code, _, message := run(t, "", "store", "export", "--dir", d.dir, "--to", exported); code != 0 {
+	if code, _, message := runCommand(t, "", "store", "export", "--dir", d.dir, "--to", exported); code != 0 {
 		t.Error(message)
 	}
-	if code, out, message := run(t, "", "store", "check", "--dir", exported); code != 0 || !strings.Contains(out, "whole: true, closed in good order: true") {
+	if code, out, message := runCommand(t, "", "store", "check", "--dir", exported); code != 0 || !strings.Contains(out, "whole: true, closed in good order: true") {
 		t.Errorf("store check of a closed store: exit code %d, %q, %q", code, out, message)
 	}
 }
@@ -663,8 +663,8 @@
 	for _, withStore := range []bool{true, false} {
 		t.Run(fmt.Sprint(withStore), func(t *testing.T) {
 			t.Parallel()
-			f := newFleetWith(t, 2*sheetWindow, `{"cell":true}`)
-			name := f.names[0]
+			f := newFleetWithEdge(t, 2*keyWindow, `{"cell":true}`)
+			name := f.serverNames[0]
 			edge := `{"cell":true}`
 			if withStore {
 				dir := t.TempDir()
@@ -675,41 +675,41 @@
 			}
 			restart := func() {
 				f.servers[name].Kill()
-				f.servers[name] = spawn(t, "serve", "--config", f.files[name], "--edge", write(t, "cell.json", edge))
+				f.servers[name] = startServing(t, "serve", "--config", f.configFiles[name], "--edge", writeFile(t, "cell.json", edge))
 			}
 			restart()
 			f.Map.Servers = f.Map.Servers[:1] // the only server of its cell
 			f.Map.Servers[0].Addr = f.servers[name].addr
 			f.Map.Servers[0].JoinsAt = time.Now().Add(-time.Minute).UnixMilli()
 			f.Map.Cells = f.Map.Cells[:1]
-			r := f.route("r1", f.write(f.Map), "")
-			for end := time.Now().Add(12 * time.Second); toAll(1, fmt.Sprint("first", time.Now().UnixNano()), r)["served"] == 0; {
+			r := f.startRouter("r1", f.writeMap(f.Map), "")
+			for end := time.Now().Add(12 * time.Second); sendToAll(1, fmt.Sprint("first", time.Now().UnixNano()), r)["served"] == 0; {
 				if time.Now().After(end) {
 					t.Fatal("no request is served within 12 s")
 				}
 			}
-			if got := toAll(10, "before", r); got["served"] != 10 {
+			if got := sendToAll(10, "before", r); got["served"] != 10 {
 				t.Fatalf("outcomes before the restart: %v, want 10 served", got)
 			}
 			listen := f.servers[name].addr
 			f.servers[name].Kill()
-			f.servers[name] = spawn(t, "serve", "--config", f.files[name], "--edge", write(t, "cell.json", edge), "--listen", listen)
+			f.servers[name] = startServing(t, "serve", "--config", f.configFiles[name], "--edge", writeFile(t, "cell.json", edge), "--listen", listen)
 			served, limit := 0, 700*time.Millisecond
 			if withStore {
 				limit = 3 * time.Second
 			}
 			for start := time.Now(); time.Since(start) < limit && served == 0; {
-				served += toAll(2, fmt.Sprint("after", time.Now().UnixNano()), r)["served"]
+				served += sendToAll(2, fmt.Sprint("after", time.Now().UnixNano()), r)["served"]
 				time.Sleep(20 * time.Millisecond)
 			}
 			if withStore && served == 0 || !withStore && served > 0 {
 				t.Errorf("%d new requests were served within %v of the restart, with a key window of 4 s", served, limit)
 			}
 			// The retries go through another router, as the first one has cached the results.
-			if got := toAll(10, "before", f.route("r2", f.write(f.Map), "")); withStore && got["served"] != 10 || !withStore && got["failed"] != 10 {
+			if got := sendToAll(10, "before", f.startRouter("r2", f.writeMap(f.Map), "")); withStore && got["served"] != 10 || !withStore && got["failed"] != 10 {
 				t.Errorf("outcomes of the retries: %v", got)
 			}
-			if n := twice(f.ran()); n > 0 {
+			if n := countRunTwice(f.runsByBody()); n > 0 {
 				t.Errorf("%d requests ran twice", n)
 			}
 		})
@@ -721,7 +721,7 @@
 func TestMovedKeyOutlivesTheProcess(t *testing.T) {
 	t.Parallel()
 	worker, err := builtinworker.Listen(builtinworker.Config{Listen: "127.0.0.1:0", Cores: 8, Shape: builtinworker.Shape{Knee: 8, Speed: 1}, Audit: true,
-		Other: builtinworker.Class{MinWork: time.Millisecond, MaxWork: time.Millisecond}, RunFactor: 1})
+		DefaultClass: builtinworker.Class{MinWork: time.Millisecond, MaxWork: time.Millisecond}, RunFactor: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -730,8 +730,8 @@
 	if err := idempotencystore.Init(dir, "s1"); err != nil {
 		t.Fatal(err)
 	}
-	args := []string{"serve", "--config", siteFile(t, "s1", worker.Addr()),
-		"--edge", write(t, "edge.json", fmt.Sprintf(`{"cell":true,"store":{"dir":%q,"size_mb":8}}`, dir))}
+	args := []string{"serve", "--config", writeServerConfig(t, "s1", worker.Addr()),
+		"--edge", writeFile(t, "edge.json", fmt.Sprintf(`{"cell":true,"store":{"dir":%q,"size_mb":8}}`, dir))}
 	send := func(p *process, resultOnly bool) msgpackrpc.Reply {
 		conn, err := net.Dial("tcp", p.addr)
 		if err != nil {
@@ -750,12 +750,12 @@
 			}
 		}
 	}
-	p := spawn(t, args...)
+	p := startServing(t, args...)
 	if r := send(p, true); r.Fields["x"] != core.ReasonUnknown {
 		t.Fatalf("lookup of an unknown key: %+v, want the reason that it is unknown", r)
 	}
 	p.Kill()
-	p = spawn(t, args...)
+	p = startServing(t, args...)
 	if _, err := p.Await(5*time.Second, 0, "taken up"); err != nil {
 		t.Fatal(err)
 	}
@@ -768,10 +768,10 @@
 // retries get their results. New requests are accepted again as key windows end.
 func TestFullStoreRejectsBeforeARun(t *testing.T) {
 	t.Parallel()
-	d := newDurable(t)
+	d := newDurableService(t)
 	d.span = 4 * time.Second
-	d.Args = []string{"--edge", write(t, "edge.json", fmt.Sprintf(`{"store":{"dir":%q,"size_mb":0.02,"result_kb":1}}`, d.dir))}
-	d.up()
+	d.Args = []string{"--edge", writeFile(t, "edge.json", fmt.Sprintf(`{"store":{"dir":%q,"size_mb":0.02,"result_kb":1}}`, d.dir))}
+	d.startLoaded()
 	// Eight clients fill the store concurrently, as sequential requests could outlast the window on a slow
 	// machine. Below, a retry is checked only if it is answered within the window.
 	var mu sync.Mutex
@@ -781,7 +781,7 @@
 		filling.Go(func() {
 			for i := c; i < 500; i += 8 {
 				key, start := fmt.Sprintf("full-%d", i), time.Now()
-				a := d.ask(key, key)
+				a := d.sendAttempt(key, key)
 				mu.Lock()
 				switch a.Outcome {
 				case "served":
@@ -808,7 +808,7 @@
 	}
 	checked := 0
 	for key, body := range served {
-		if a := d.ask(key, key); time.Since(startedAt[key]) < d.span { // answered within the window
+		if a := d.sendAttempt(key, key); time.Since(startedAt[key]) < d.span { // answered within the window
 			if checked++; a.Outcome != "served" || string(a.Body) != body {
 				t.Errorf("retry of %s: got %s %q, want served %q", key, a.Outcome, a.Body, body)
 			}
@@ -817,7 +817,7 @@
 	if checked == 0 {
 		t.Errorf("none of %d retries was answered within its window", len(served))
 	}
-	for end := time.Now().Add(15 * time.Second); d.ask("later", "later").Outcome != "served"; time.Sleep(50 * time.Millisecond) {
+	for end := time.Now().Add(15 * time.Second); d.sendAttempt("later", "later").Outcome != "served"; time.Sleep(50 * time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("no new request is served within 15 s")
 		}
@@ -829,19 +829,19 @@
 // loading.
 func TestRetryWhileTheStoreLoads(t *testing.T) {
 	t.Parallel()
-	d := newDurable(t)
-	g := d.up()
+	d := newDurableService(t)
+	g := d.startLoaded()
 	served := d.serveNew("before", 3)
 	g.Kill()
 	d.setDiskFault("loading 1s")
 	g = d.Start()
-	g.Ready(t)
+	g.AwaitReady(t)
 	for key := range served {
-		if a := d.ask(key, key); a.Outcome != "failed" {
+		if a := d.sendAttempt(key, key); a.Outcome != "failed" {
 			t.Errorf("retry of %s before its record is loaded: got %s, want failed", key, a.Outcome)
 		}
 	}
-	if a, err := client.Do(client.Platform, d.Addr, client.Request{Class: "krog", Body: []byte("x"), Timeout: time.Second}); err != nil || a.Outcome != "served" {
+	if a, err := client.Do(client.MessagePack, d.Addr, client.Request{Class: "krog", Body: []byte("x"), Timeout: time.Second}); err != nil || a.Outcome != "served" {
 		t.Errorf("read while the store loads: got %s, %v", a.Outcome, err)
 	}
 	if _, err := g.Await(5*time.Second, 0, "taken up"); err != nil {
--- a/cmd/silverpath/duty.go
+++ b/cmd/silverpath/duty.go
@@ -24,7 +24,7 @@
 	cmd := &cobra.Command{Use: "duty", Short: "Show and change who owns the fleet's work: see docs/duties.md"}
 	g.addFlags(cmd)
 	run := &cobra.Command{Use: "run", Short: "Own duties, in a process that is no member of the group", Args: cobra.NoArgs,
-		RunE: func(*cobra.Command, []string) error { return runMember("owner", "--config", config) }}
+		RunE: func(*cobra.Command, []string) error { return runQuorumProgram("owner", "--config", config) }}
 	run.Flags().StringVar(&config, "config", "deploy/owner.json", "settings of the owner")
 	cmd.AddCommand(run, dutyList(&g), dutyShow(&g), dutyHand(&g), dutyPause(&g),
 		dutyChange(&g, "resume", "End a pause", func() lease.Request { return lease.Request{Op: lease.Resume} }))
--- a/cmd/silverpath/earlier_build_test.go
+++ b/cmd/silverpath/earlier_build_test.go
@@ -78,7 +78,7 @@
 	t.Helper()
 	name, value, _ := strings.Cut(start, "=")
 	t.Setenv(name, value)
-	_, out, message := run(t, "", args...)
+	_, out, message := runCommand(t, "", args...)
 	text := strings.ReplaceAll(out+message, dir, "DIR")
 	text = regexp.MustCompile(`store [0-9a-f]{16}`).ReplaceAllStringFunc(text, func(s string) string {
 		if s == "store 9acbc6b3623ae8fa" {
@@ -200,8 +200,8 @@
 
 // extendTimeouts gives requests the whole time of their class, so that they do not fail on the slow disk of a
 // busy machine.
-func extendTimeouts(d *durable) {
-	d.Wait = 4 * time.Second
+func extendTimeouts(d *durableService) {
+	d.Timeout = 4 * time.Second
 	d.Edit = func(text string) string {
 		return strings.Replace(text, `"memory_span":2000000`, `"memory_span":10000000`, 1)
 	}
@@ -214,10 +214,10 @@
 	for _, start := range []string{sameStart, nextStart, muchLater, otherMachine} {
 		for _, file := range []string{"killed.db", "closed.db"} {
 			t.Run(file+" "+start, func(t *testing.T) {
-				d := newDurable(t)
+				d := newDurableService(t)
 				extendTimeouts(d)
 				path := copyFixture(t, file, filepath.Join(d.dir, "keys.db"))
-				g := d.up(start)
+				g := d.startLoaded(start)
 				type answer struct{ outcome, body string }
 				newRun := func(key string) answer { return answer{"served", "oddaja: " + key + " #1."} }
 				want := map[string]answer{"done-0": {"served", "oddaja: done-0 #1.0"}, "done-1": {"served", "oddaja: done-1 #1.1"},
@@ -236,10 +236,10 @@
 					return strings.Compare(fmt.Sprint(isNewRun(a), a), fmt.Sprint(isNewRun(b), b))
 				})
 				for _, key := range keys {
-					w, a := want[key], d.ask(key, key)
+					w, a := want[key], d.sendAttempt(key, key)
 					same := string(a.Body) == w.body
 					if isNewRun(key) { // a new run, numbered in order; a busy machine's slow disk refuses it before it begins
-						for end := time.Now().Add(20 * time.Second); a.Outcome == "refused" && time.Now().Before(end); a = d.ask(key, key) {
+						for end := time.Now().Add(20 * time.Second); a.Outcome == "refused" && time.Now().Before(end); a = d.sendAttempt(key, key) {
 							time.Sleep(100 * time.Millisecond)
 						}
 						same = strings.HasPrefix(string(a.Body), w.body)
@@ -252,7 +252,7 @@
 					t.Errorf("%v ran, want %v", got, runs)
 				}
 				var status struct{ Store map[string]any }
-				text, err := client.Status(client.Platform, d.Addr)
+				text, err := client.Status(client.MessagePack, d.Addr)
 				if err == nil {
 					err = json.Unmarshal(text, &status)
 				}
@@ -321,10 +321,10 @@
 		otherMachine: `heartbeat: nothing that has an effect was begun for 0s at the least, by nothing\n`,
 	} {
 		t.Run(start, func(t *testing.T) {
-			d := newDurable(t)
-			d.alive(400*time.Millisecond, true)
+			d := newDurableService(t)
+			d.configureHeartbeat(400*time.Millisecond, true)
 			path := copyFixture(t, "life", filepath.Join(filepath.Dir(d.dir), "life"))
-			g := d.up(start)
+			g := d.startLoaded(start)
 			if !regexp.MustCompile(want).MatchString(g.Log()) {
 				t.Errorf("want %s in\n%s", want, g.Log())
 			}
@@ -362,8 +362,8 @@
 		}
 		ctx, cancel := context.WithTimeout(t.Context(), 30*time.Second) // a service that starts despite the file does not exit
 		defer cancel()
-		cmd := exec.CommandContext(ctx, exe, "serve", "--edge", write(t, "edge.json", edge))
-		cmd.Env = append(os.Environ(), "SILVERPATH_RUN=1", "LB_CONFIG="+siteFile(t, "n1", "127.0.0.1:1"))
+		cmd := exec.CommandContext(ctx, exe, "serve", "--edge", writeFile(t, "edge.json", edge))
+		cmd.Env = append(os.Environ(), "SILVERPATH_RUN=1", "LB_CONFIG="+writeServerConfig(t, "n1", "127.0.0.1:1"))
 		out, _ := cmd.CombinedOutput()
 		if code := cmd.ProcessState.ExitCode(); code != 1 || !strings.Contains(strings.ReplaceAll(string(out), dir, "DIR"), want) {
 			t.Errorf("exit code %d, message %q, want %q", code, out, want)
--- a/cmd/silverpath/fleet.go
+++ b/cmd/silverpath/fleet.go
@@ -21,9 +21,9 @@
 	cmd := &cobra.Command{Use: "fleet", Short: "Take a fleet's servers out and back, one after the other: see docs/duties.md"}
 	g.addFlags(cmd)
 	cmd.AddCommand(fleetRoll(&g), fleetStatus(&g),
-		fleetDirect(&g, controller.DirectPause, "Send nobody else out; who is out returns"),
-		fleetDirect(&g, controller.DirectResume, "Go on"),
-		fleetDirect(&g, controller.DirectAbort, "Send nobody else out, have those return who are, and end"))
+		fleetDirect(&g, controller.DirectivePause, "Send nobody else out; who is out returns"),
+		fleetDirect(&g, controller.DirectiveResume, "Go on"),
+		fleetDirect(&g, controller.DirectiveAbort, "Send nobody else out, have those return who are, and end"))
 	return cmd
 }
 
--- a/cmd/silverpath/fleet_test.go
+++ b/cmd/silverpath/fleet_test.go
@@ -26,8 +26,8 @@
 	addr string
 }
 
-// program returns a command that runs main of this test binary, with additional environment variables.
-func program(t testing.TB, args []string, env ...string) *exec.Cmd {
+// programCommand returns a command that runs main of this test binary, with additional environment variables.
+func programCommand(t testing.TB, args []string, env ...string) *exec.Cmd {
 	t.Helper()
 	exe, err := os.Executable()
 	if err != nil {
@@ -38,10 +38,10 @@
 	return cmd
 }
 
-// begin starts the program without waiting until it serves, and kills it when the test ends.
-func begin(t testing.TB, args []string, env ...string) *harness.Process {
+// startProgram starts the program without waiting until it serves, and kills it when the test ends.
+func startProgram(t testing.TB, args []string, env ...string) *harness.Process {
 	t.Helper()
-	p, err := harness.Start(program(t, args, env...))
+	p, err := harness.Start(programCommand(t, args, env...))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -49,16 +49,16 @@
 	return p
 }
 
-// spawn starts the program and waits until it serves.
-func spawn(t testing.TB, args ...string) *process {
+// startServing starts the program and waits until it serves.
+func startServing(t testing.TB, args ...string) *process {
 	t.Helper()
-	return spawnIn(t, nil, args...)
+	return startServingWithEnv(t, nil, args...)
 }
 
-// spawnIn is spawn with additional environment variables.
-func spawnIn(t testing.TB, env []string, args ...string) *process {
+// startServingWithEnv is startServing with additional environment variables.
+func startServingWithEnv(t testing.TB, env []string, args ...string) *process {
 	t.Helper()
-	p := &process{Process: begin(t, args, env...)}
+	p := &process{Process: startProgram(t, args, env...)}
 	if _, err := p.Await(30*time.Second, 0, "phase serving"); err != nil {
 		t.Fatalf("%v: %v", args, err)
 	}
@@ -69,17 +69,17 @@
 	return p
 }
 
-// sheetWindow is the key window of the class oddaja in the configuration of siteFile.
-const sheetWindow = 2 * time.Second
+// keyWindow is the key window of the class oddaja in the configuration of writeServerConfig.
+const keyWindow = 2 * time.Second
 
-// siteFile writes a configuration with one keyed class, oddaja, and returns the path of its file.
-func siteFile(t testing.TB, name, vm string) string {
+// writeServerConfig writes a configuration with one keyed class, oddaja, and returns the path of its file.
+func writeServerConfig(t testing.TB, name, vm string) string {
 	t.Helper()
 	text := fmt.Sprintf(`{"name":%q,"listen":"127.0.0.1:0","vm":%q,"stop_ms":1000,"limits":{"memory_mb":64,"sockets":256},
  "settings":{"classes":[{"name":"oddaja","target":900000,"deadline":1000000,"worth":3,"effect":"token","memory_span":%d}],
  "family_info":{"below":"none","callers":2,"cpus":8,"gauges":["core_use","on_cores","heap_share","links"],"key_kb":0.1,
  "memory_kb":65536,"run_factor":1},"rules":{"cold_from":1,"fall_multiple":8,"overload_for":3000000,"drain_grace":500000},
- "limits":{"retry_after":true,"max_retry_after":100000},"servers":1}}`, name, vm, sheetWindow.Microseconds())
+ "limits":{"retry_after":true,"max_retry_after":100000},"servers":1}}`, name, vm, keyWindow.Microseconds())
 	path := filepath.Join(t.TempDir(), name+".json")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
@@ -87,8 +87,8 @@
 	return path
 }
 
-// write writes a text to a file of the given name in a new temporary directory and returns its path.
-func write(t testing.TB, name, text string) string {
+// writeFile writes a text to a file of the given name in a new temporary directory and returns its path.
+func writeFile(t testing.TB, name, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), name)
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -97,8 +97,8 @@
 	return path
 }
 
-// try is one attempt of a keyed request in a history.
-type try struct{ key, outcome, body string }
+// attemptRecord is one attempt of a keyed request in a history.
+type attemptRecord struct{ key, outcome, body string }
 
 // keyedRequests is the model of a history, by idempotency key: all served attempts have the result of one
 // run, and no attempt is refused after the run. A failed attempt is valid in every state.
@@ -106,7 +106,7 @@
 	Partition: func(history []porcupine.Operation) [][]porcupine.Operation {
 		byKey := map[string][]porcupine.Operation{}
 		for _, o := range history {
-			byKey[o.Output.(try).key] = append(byKey[o.Output.(try).key], o)
+			byKey[o.Output.(attemptRecord).key] = append(byKey[o.Output.(attemptRecord).key], o)
 		}
 		var partitions [][]porcupine.Operation
 		for _, ops := range byKey {
@@ -116,7 +116,7 @@
 	},
 	Init: func() any { return "" },
 	Step: func(state, _, output any) (bool, any) {
-		o, ran := output.(try), state.(string)
+		o, ran := output.(attemptRecord), state.(string)
 		switch o.outcome {
 		case "served":
 			return ran == "" || ran == o.body, o.body
@@ -134,7 +134,7 @@
 // The model rejects a keyed request that ran twice, and one that was refused after it ran.
 func TestCheckerFindsBugs(t *testing.T) {
 	op := func(client int, from, to int64, outcome, body string) porcupine.Operation {
-		return porcupine.Operation{ClientId: client, Call: from, Return: to, Output: try{"k", outcome, body}}
+		return porcupine.Operation{ClientId: client, Call: from, Return: to, Output: attemptRecord{"k", outcome, body}}
 	}
 	for name, c := range map[string]struct {
 		linearizable bool
@@ -154,52 +154,52 @@
 // testFleet is four servers in two cells, each with an interpreter of its own that counts its runs. Its map
 // has one tenant, in cell a.
 type testFleet struct {
-	t        testing.TB
-	names    []string
-	machines map[string]*builtinworker.Interpreter
-	servers  map[string]*process
-	files    map[string]string
-	edge     string
-	Map      *cells.Map
+	t            testing.TB
+	serverNames  []string
+	interpreters map[string]*builtinworker.Interpreter
+	servers      map[string]*process
+	configFiles  map[string]string
+	edgeFile     string
+	Map          *cells.Map
 }
 
 // newFleet starts the servers and their interpreters.
 func newFleet(t testing.TB, window time.Duration, env ...string) *testFleet {
 	t.Helper()
-	return newFleetWith(t, window, `{"cell":true}`, env...)
+	return newFleetWithEdge(t, window, `{"cell":true}`, env...)
 }
 
-// newFleetWith is newFleet with a given edge file for all servers.
-func newFleetWith(t testing.TB, window time.Duration, edge string, env ...string) *testFleet {
+// newFleetWithEdge is newFleet with a given edge file for all servers.
+func newFleetWithEdge(t testing.TB, window time.Duration, edge string, env ...string) *testFleet {
 	t.Helper()
 	f := &testFleet{
-		t: t, names: []string{"s1", "s2", "s3", "s4"}, machines: map[string]*builtinworker.Interpreter{}, servers: map[string]*process{},
-		files: map[string]string{}, edge: write(t, "cell.json", edge),
+		t: t, serverNames: []string{"s1", "s2", "s3", "s4"}, interpreters: map[string]*builtinworker.Interpreter{}, servers: map[string]*process{},
+		configFiles: map[string]string{}, edgeFile: writeFile(t, "cell.json", edge),
 		Map: &cells.Map{
 			Version: 1, KeyWindow: window, MaxClockSkew: 200 * time.Millisecond, Lease: 900 * time.Millisecond, CallerTimeout: time.Second,
 			Cells:   []cells.Cell{{Name: "a", Capacity: 1000}, {Name: "b", Capacity: 1000}},
 			Tenants: []cells.Tenant{{Name: "brand", Rate: 10, Homes: []cells.Home{{Cell: "a"}}}},
 		},
 	}
-	for n, name := range f.names {
+	for n, name := range f.serverNames {
 		i, err := builtinworker.Listen(builtinworker.Config{Listen: "127.0.0.1:0", Cores: 8, Shape: builtinworker.Shape{Knee: 8, Speed: 1}, Audit: true,
-			Other: builtinworker.Class{MinWork: 2 * time.Millisecond, MaxWork: 60 * time.Millisecond}, RunFactor: 1, Seed: uint64(n + 1)})
+			DefaultClass: builtinworker.Class{MinWork: 2 * time.Millisecond, MaxWork: 60 * time.Millisecond}, RunFactor: 1, Seed: uint64(n + 1)})
 		if err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(i.Close)
-		f.machines[name], f.files[name] = i, siteFile(t, name, i.Addr())
-		f.servers[name] = spawnIn(t, env, "serve", "--config", f.files[name], "--edge", f.edge)
+		f.interpreters[name], f.configFiles[name] = i, writeServerConfig(t, name, i.Addr())
+		f.servers[name] = startServingWithEnv(t, env, "serve", "--config", f.configFiles[name], "--edge", f.edgeFile)
 	}
 	joinsAt := time.Now().UnixMilli() + 1
-	for n, name := range f.names {
+	for n, name := range f.serverNames {
 		f.Map.Servers = append(f.Map.Servers, cells.Server{Name: name, Addr: f.servers[name].addr, Cell: string('a' + rune(n/2)), Weight: 1, JoinsAt: joinsAt})
 	}
 	return f
 }
 
-// write writes a map to a new file and returns its path.
-func (f *testFleet) write(m *cells.Map) string {
+// writeMap writes a map to a new file and returns its path.
+func (f *testFleet) writeMap(m *cells.Map) string {
 	f.t.Helper()
 	path := filepath.Join(f.t.TempDir(), "cells.json")
 	if err := proxy.WriteMap(path, m); err != nil {
@@ -208,17 +208,17 @@
 	return path
 }
 
-// route starts a router that reads the given map file. An empty state path gives it no state file.
-func (f *testFleet) route(name, mapFile, state string, env ...string) *process {
+// startRouter starts a router that reads the given map file. An empty state path gives it no state file.
+func (f *testFleet) startRouter(name, mapFile, state string, env ...string) *process {
 	f.t.Helper()
-	return spawnIn(f.t, env, "route", "--config", siteFile(f.t, name, ""), "--edge", write(f.t, "route.json", fmt.Sprintf(
+	return startServingWithEnv(f.t, env, "route", "--config", writeServerConfig(f.t, name, ""), "--edge", writeFile(f.t, "route.json", fmt.Sprintf(
 		`{"status":true,"fleet":{"map":%q,"state":%q,"probe_ms":100}}`, mapFile, state)))
 }
 
-// ran returns the number of runs of each request body, summed over all interpreters.
-func (f *testFleet) ran() map[string]int {
+// runsByBody returns the number of runs of each request body, summed over all interpreters.
+func (f *testFleet) runsByBody() map[string]int {
 	runs := map[string]int{}
-	for _, i := range f.machines {
+	for _, i := range f.interpreters {
 		for body, n := range i.Runs() {
 			runs[body] += n
 		}
@@ -231,9 +231,9 @@
 // a router is killed and restarted. Then the move is aborted. No request runs twice, all attempts of a
 // request see one run, and no request is refused after its run.
 func TestMoveUnderFire(t *testing.T) {
-	f := newFleet(t, sheetWindow)
-	machines, servers, files, mapFile := f.machines, f.servers, f.files, f.write(f.Map)
-	router := func(state string) *process { return f.route("router", mapFile, state) }
+	f := newFleet(t, keyWindow)
+	machines, servers, files, mapFile := f.interpreters, f.servers, f.configFiles, f.writeMap(f.Map)
+	router := func(state string) *process { return f.startRouter("router", mapFile, state) }
 	states := []string{filepath.Join(t.TempDir(), "r0.db"), filepath.Join(t.TempDir(), "r1.db")}
 	var mu sync.Mutex
 	routers := []*process{router(states[0]), router(states[1])}
@@ -245,7 +245,7 @@
 		addr := routers[routerIndex].addr
 		mu.Unlock()
 		calledAt := time.Since(began)
-		a, err := client.Do(client.Platform, addr, client.Request{Class: "oddaja", Tenant: "brand", Key: key, Body: []byte(key), Timeout: 800 * time.Millisecond})
+		a, err := client.Do(client.MessagePack, addr, client.Request{Class: "oddaja", Tenant: "brand", Key: key, Body: []byte(key), Timeout: 800 * time.Millisecond})
 		if err != nil {
 			a.Outcome = "failed" // the router was killed
 		}
@@ -253,7 +253,7 @@
 		defer mu.Unlock()
 		outcomes[a.Outcome]++
 		history = append(history, porcupine.Operation{ClientId: clientID, Call: int64(calledAt), Return: int64(time.Since(began)),
-			Output: try{key, a.Outcome, string(a.Body)}})
+			Output: attemptRecord{key, a.Outcome, string(a.Body)}})
 	}
 	stop := make(chan struct{})
 	var wg sync.WaitGroup
@@ -281,7 +281,7 @@
 	}
 	command := func(args ...string) {
 		t.Helper()
-		if code, out, message := run(t, "", append([]string{"cells", "--map", mapFile}, args...)...); code != 0 {
+		if code, out, message := runCommand(t, "", append([]string{"cells", "--map", mapFile}, args...)...); code != 0 {
 			t.Errorf("cells %v: %s%s", args, out, message)
 		}
 	}
@@ -298,15 +298,15 @@
 	routers[1] = restarted
 	mu.Unlock()
 	time.Sleep(200 * time.Millisecond)
-	servers["s1"] = spawn(t, "serve", "--config", files["s1"], "--edge", f.edge, "--listen", servers["s1"].addr)
+	servers["s1"] = startServing(t, "serve", "--config", files["s1"], "--edge", f.edgeFile, "--listen", servers["s1"].addr)
 	for _, name := range []string{"s3", "s4"} { // the target cell becomes too slow for the load
-		machines[name].Play([]builtinworker.Fault{{Speed: 0.2, For: 3 * time.Second}})
+		machines[name].ScheduleFaults([]builtinworker.Fault{{Speed: 0.2, For: 3 * time.Second}})
 	}
 	command("abort", "--tenant", "brand")
 	time.Sleep(4 * time.Second)
 	close(stop)
 	wg.Wait()
-	runs := f.ran()
+	runs := f.runsByBody()
 	for body, n := range runs {
 		if n > 1 {
 			t.Errorf("%s ran %d times", body, n)
@@ -332,7 +332,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	file := write(t, "cells.json", string(data))
+	file := writeFile(t, "cells.json", string(data))
 	for _, c := range []struct {
 		args []string
 		code int
@@ -352,15 +352,15 @@
 		{[]string{"check", "--after", "nothing.json"}, 1, "nothing.json"},
 		{[]string{"nonsense"}, 1, "one of show, plan, move, abort, check, publish"},
 	} {
-		code, out, message := run(t, "", append([]string{"cells", "--map", file}, c.args...)...)
+		code, out, message := runCommand(t, "", append([]string{"cells", "--map", file}, c.args...)...)
 		if code != c.code || !strings.Contains(out+message, c.want) || c.code != 0 && strings.Count(message, "\n") != 1 {
 			t.Errorf("cells %v: exit code %d, output %q, message %q", c.args, code, out, message)
 		}
 	}
-	if code, _, message := run(t, "", "route", "--config", "../../deploy/router.json"); code != 1 || !strings.Contains(message, "no fleet") {
+	if code, _, message := runCommand(t, "", "route", "--config", "../../deploy/router.json"); code != 1 || !strings.Contains(message, "no fleet") {
 		t.Errorf("route without a fleet: exit code %d, message %q", code, message)
 	}
-	if code, out, message := run(t, "", "check", "--config", "../../deploy/scgi.json", "--edge", "../../deploy/route.json"); code != 0 || !strings.Contains(out, "fleet: deploy/cells.json") {
+	if code, out, message := runCommand(t, "", "check", "--config", "../../deploy/scgi.json", "--edge", "../../deploy/route.json"); code != 0 || !strings.Contains(out, "fleet: deploy/cells.json") {
 		t.Errorf("check of a router's edge file: exit code %d, output %q, message %q", code, out, message)
 	}
 }
--- a/cmd/silverpath/golden_test.go
+++ b/cmd/silverpath/golden_test.go
@@ -93,7 +93,7 @@
 	var text strings.Builder
 	var visit func(path []string)
 	visit = func(path []string) {
-		code, out, message := run(t, "", append(slices.Clone(path), "--help")...)
+		code, out, message := runCommand(t, "", append(slices.Clone(path), "--help")...)
 		fmt.Fprintf(&text, "$ silverpath %s\n%s%sexit %d\n\n", strings.Join(append(path, "--help"), " "), out, message, code)
 		_, list, found := strings.Cut(out, "Available Commands:\n")
 		if !found {
--- a/cmd/silverpath/group_holders_test.go
+++ b/cmd/silverpath/group_holders_test.go
@@ -49,8 +49,8 @@
 			if err != nil || head.Version != 4 {
 				t.Fatalf("map version %d, %v; want 4", head.Version, err)
 			}
-			from := old.Lines()
-			old.Wake()
+			from := old.LineCount()
+			old.Resume()
 			if _, err := old.Await(10*time.Second, from, "duty.lost"); err != nil {
 				t.Error(err)
 			}
@@ -106,12 +106,12 @@
 			if item := g.awaitItem(controller.RolloutDuty, "r", 20*time.Second); item.State != controller.Done {
 				t.Errorf("rollout: state %s, want done: %s", item.State, item.Note)
 			}
-			from := old.Lines()
+			from := old.LineCount()
 			lines := make([]int, len(s.procs))
 			for i, p := range s.procs {
-				lines[i] = p.Lines()
+				lines[i] = p.LineCount()
 			}
-			old.Wake()
+			old.Resume()
 			if _, err := old.Await(10*time.Second, from, "duty.lost"); err != nil {
 				t.Error(err)
 			}
@@ -150,7 +150,7 @@
 	if evacuate == nil {
 		t.Fatal("the proxy saw no evacuate command")
 	}
-	if a, err := s.mgmt[0].Again(evacuate); err != nil || !strings.Contains(a, "stale step") {
+	if a, err := s.mgmt[0].Replay(evacuate); err != nil || !strings.Contains(a, "stale step") {
 		t.Errorf("command repeated in its own epoch: %q, %v; want a stale step", a, err)
 	}
 	first.Kill()
@@ -160,7 +160,7 @@
 	}
 	g.submit(controller.RolloutDuty, "r2", controller.KindRollout, controller.RolloutSpec{MaxOutPerCell: 1, MaxOut: 1, DwellMS: 10, ReturnMS: 5000})
 	g.awaitItem(controller.RolloutDuty, "r2", 15*time.Second)
-	if a, err := s.mgmt[0].Again(evacuate); err != nil || !strings.Contains(a, "409") || !strings.Contains(a, "stale epoch 1.1 of conductor: 1.2 was seen") {
+	if a, err := s.mgmt[0].Replay(evacuate); err != nil || !strings.Contains(a, "409") || !strings.Contains(a, "stale epoch 1.1 of conductor: 1.2 was seen") {
 		t.Errorf("command repeated in the next epoch: %q, %v; want 409 and a stale epoch", a, err)
 	}
 	// A server that restarts without its fence file asks the group for the epoch, and accepts no command
@@ -175,17 +175,17 @@
 		t.Fatal(err)
 	}
 	s.start(0, freeAddr(t))
-	for i := range g.Ways {
-		g.Ways[i].Cut(true)
+	for i := range g.Proxies {
+		g.Proxies[i].Cut(true)
 	}
-	if a, err := s.mgmt[0].Again(evacuate); err != nil || !strings.Contains(a, "no epoch is known yet") {
+	if a, err := s.mgmt[0].Replay(evacuate); err != nil || !strings.Contains(a, "no epoch is known yet") {
 		t.Errorf("command to a server without a fence file and a group: %q, %v", a, err)
 	}
-	for i := range g.Ways {
-		g.Ways[i].Cut(false)
+	for i := range g.Proxies {
+		g.Proxies[i].Cut(false)
 	}
 	g.awaitLeader()
-	if a, err := s.mgmt[0].Again(evacuate); err != nil || !strings.Contains(a, "stale epoch") {
+	if a, err := s.mgmt[0].Replay(evacuate); err != nil || !strings.Contains(a, "stale epoch") {
 		t.Errorf("command to a server without a fence file: %q, %v; want a stale epoch", a, err)
 	}
 	if s.evacuatedNow() != 0 {
@@ -193,9 +193,9 @@
 	}
 	// Without a fence the stale command takes effect, and the test detects it.
 	s.procs[0].Kill()
-	s.edges[0] = write(t, "edge.json", `{"cell":true}`)
+	s.edges[0] = writeFile(t, "edge.json", `{"cell":true}`)
 	s.start(0, freeAddr(t))
-	if a, err := s.mgmt[0].Again(evacuate); err != nil || !strings.Contains(a, "200") || s.evacuatedNow() != 1 {
+	if a, err := s.mgmt[0].Replay(evacuate); err != nil || !strings.Contains(a, "200") || s.evacuatedNow() != 1 {
 		t.Errorf("command to a server without a fence: %q, %v, %d evacuated; want 200 and 1 evacuated", a, err, s.evacuatedNow())
 	}
 }
@@ -214,7 +214,7 @@
 				g.start(i, "SILVERPATH_CLOCK="+clocks[1])
 			}
 			g.awaitLeader()
-			var links []*faults.Between
+			var links []*faults.Proxy
 			var addrs []string
 			for _, addr := range g.Client.Addrs {
 				link, err := faults.Listen(addr, true, 1)
@@ -233,8 +233,8 @@
 			await(t, "the second process is queued for the duty", 5*time.Second, func() bool { return len(g.view().Table.Duties[controller.PlacementDuty].Queue) == 1 })
 			for i, link := range links {
 				if i == 0 { // with equal clocks the first link loses only replies
-					link.Set(faults.Back, faults.Fate{Lost: true})
-					link.Set(faults.There, faults.Fate{Lost: clocks[0] != "1"})
+					link.SetFault(faults.ToClient, faults.Fault{Drop: true})
+					link.SetFault(faults.ToListener, faults.Fault{Drop: clocks[0] != "1"})
 				} else {
 					link.Cut(true)
 				}
@@ -310,7 +310,7 @@
 func TestDeadServerLeavesTheMap(t *testing.T) {
 	g := newGroup(t, 3)
 	var servers []*process
-	var links []*faults.Between
+	var links []*faults.Proxy
 	m := &cells.Map{Version: 1, KeyWindow: time.Second, MaxClockSkew: 50 * time.Millisecond, Lease: time.Second, CallerTimeout: time.Second,
 		Cells:   []cells.Cell{{Name: "a", Capacity: 1000}, {Name: "b", Capacity: 1000}},
 		Tenants: []cells.Tenant{{Name: "brand", Rate: 10, Homes: []cells.Home{{Cell: "a"}}}}}
@@ -321,7 +321,7 @@
 		}
 		t.Cleanup(worker.Close)
 		name := fmt.Sprint("s", i)
-		p := spawn(t, "serve", "--config", siteFile(t, name, worker.Addr()), "--edge", write(t, "cell.json", `{"cell":true}`))
+		p := startServing(t, "serve", "--config", writeServerConfig(t, name, worker.Addr()), "--edge", writeFile(t, "cell.json", `{"cell":true}`))
 		link, err := faults.Listen(p.addr, true, 1)
 		if err != nil {
 			t.Fatal(err)
@@ -337,12 +337,12 @@
 	// The third router cannot reach s1.
 	ownMap := strings.ReplaceAll(string(settings.FormatCells(m)), links[1].Addr(), freeAddr(t))
 	var routers []string
-	for i, file := range []string{dir, dir, write(t, "own.json", ownMap)} {
-		p := spawn(t, "route", "--config", siteFile(t, fmt.Sprint("r", i), ""), "--edge", write(t, "route.json",
+	for i, file := range []string{dir, dir, writeFile(t, "own.json", ownMap)} {
+		p := startServing(t, "route", "--config", writeServerConfig(t, fmt.Sprint("r", i), ""), "--edge", writeFile(t, "route.json",
 			fmt.Sprintf(`{"status":true,"fleet":{"map":%q,"probe_ms":100}}`, file)))
 		routers = append(routers, p.addr)
 	}
-	o := must[*harness.Process](t)(g.Owner("o", dir, []string{controller.PlacementDuty, controller.MonitorDuty}, nil, routers))
+	o := must[*harness.Process](t)(g.StartController("o", dir, []string{controller.PlacementDuty, controller.MonitorDuty}, nil, routers))
 	t.Cleanup(o.Kill)
 	if _, err := o.Await(20*time.Second, 0, "monitor.partly", "server=s1"); err != nil {
 		t.Fatal(err)
@@ -405,9 +405,9 @@
 	members, _ := json.Marshal(g.Client.Addrs)
 	for i := range 3 { // restart each member as a candidate for the placement duty too
 		g.Members[i].Kill()
-		file := write(t, "both.json", fmt.Sprintf(`{"name":"q%d","group":"test","members":%s,"member":{"listen":%q,"addr":%q,"dir":%q,"tick_ms":20},"owner":{"duties":["keeper"],"map":%q}}`,
-			i, members, g.Addrs[i], g.Ways[i].Addr(), g.Disk(i), dir))
-		g.Members[i] = begin(t, []string{"quorum", "--config", file})
+		file := writeFile(t, "both.json", fmt.Sprintf(`{"name":"q%d","group":"test","members":%s,"member":{"listen":%q,"addr":%q,"dir":%q,"tick_ms":20},"owner":{"duties":["keeper"],"map":%q}}`,
+			i, members, g.Addrs[i], g.Proxies[i].Addr(), g.DataDir(i), dir))
+		g.Members[i] = startProgram(t, []string{"quorum", "--config", file})
 		if _, err := g.Members[i].Await(10*time.Second, 0, "group.listening"); err != nil {
 			t.Fatal(err)
 		}
@@ -490,7 +490,7 @@
 		r := g.do(statemachine.Command{Lease: &lease.Request{Op: lease.Acquire, Duty: controller.PlacementDuty, Process: "next"}})
 		return r.Duty != nil && r.Duty.Holder == "next"
 	})
-	old.Wake()
+	old.Resume()
 	if _, err := old.Await(10*time.Second, 0, "duty.refused", "stale epoch 1.1 of keeper"); err != nil {
 		t.Error(err)
 	}
@@ -515,8 +515,8 @@
 	if _, err := next.Await(10*time.Second, 0, "placement.withdraw", "version=2"); err != nil {
 		t.Fatal(err)
 	}
-	from := old.Lines()
-	old.Wake()
+	from := old.LineCount()
+	old.Resume()
 	if _, err := old.Await(10*time.Second, from, "duty.lost"); err != nil {
 		t.Error(err)
 	}
--- a/cmd/silverpath/group_members_test.go
+++ b/cmd/silverpath/group_members_test.go
@@ -40,7 +40,7 @@
 	leader := g.awaitLeader()
 	x := (leader + 1) % 3
 	g.Members[x].Kill()
-	if err := os.Rename(g.Disk(x), g.Disk(x)+".aside"); err != nil {
+	if err := os.Rename(g.DataDir(x), g.DataDir(x)+".aside"); err != nil {
 		t.Fatal(err)
 	}
 	g.start(x)
@@ -48,15 +48,15 @@
 	if err != nil || s.State != "unfounded" || s.Voter {
 		t.Errorf("status of a member with an empty disk: %+v, %v; want unfounded without a vote", s, err)
 	}
-	if _, err := g.Client.Found(g.within(5*time.Second), lease.Terms{TTL: testLease}); err == nil {
+	if _, err := g.Client.CreateGroup(g.within(5*time.Second), lease.Terms{TTL: testLease}); err == nil {
 		t.Error("a second group was founded over the existing one")
 	}
 	flags := []string{"--group", "test", "--members", strings.Join(g.Client.Addrs, ",")}
-	if code, _, message := run(t, "", append([]string{"quorum", "add", "--addr", g.Client.Addrs[x]}, flags...)...); code != 1 || !strings.Contains(message, "by another disk: remove that first") {
+	if code, _, message := runCommand(t, "", append([]string{"quorum", "add", "--addr", g.Client.Addrs[x]}, flags...)...); code != 1 || !strings.Contains(message, "by another disk: remove that first") {
 		t.Errorf("quorum add while the old disk is still a member: exit code %d, %s", code, message)
 	}
 	for _, args := range [][]string{{"remove", "--name", fmt.Sprint("q", x)}, {"add", "--addr", g.Client.Addrs[x]}} {
-		if code, out, message := run(t, "", append(append([]string{"quorum"}, args...), flags...)...); code != 0 {
+		if code, out, message := runCommand(t, "", append(append([]string{"quorum"}, args...), flags...)...); code != 0 {
 			t.Fatalf("quorum %v: %s%s", args, out, message)
 		}
 	}
@@ -70,7 +70,7 @@
 	// The disk is copied while the member runs, so the copy has the same count of starts. More entries are
 	// committed and the copy is restored.
 	time.Sleep(200 * time.Millisecond) // until nothing is being written
-	data, err := os.ReadFile(filepath.Join(g.Disk(x), "group.db"))
+	data, err := os.ReadFile(filepath.Join(g.DataDir(x), "group.db"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -79,7 +79,7 @@
 	}
 	time.Sleep(1300 * time.Millisecond) // until the member has reported its progress
 	g.Members[x].Kill()
-	if err := os.WriteFile(filepath.Join(g.Disk(x), "group.db"), data, 0o600); err != nil {
+	if err := os.WriteFile(filepath.Join(g.DataDir(x), "group.db"), data, 0o600); err != nil {
 		t.Fatal(err)
 	}
 	g.start(x)
@@ -104,11 +104,11 @@
 		leader := g.awaitLeader()
 		switch round {
 		case 0:
-			g.Fault((leader+1)%3, "2s") // delay of every write
+			g.SetDiskFault((leader+1)%3, "2s") // delay of every write
 		case 1:
-			g.Fault(leader, "no space left on device")
+			g.SetDiskFault(leader, "no space left on device")
 		case 2:
-			g.Fault(leader, "input/output error")
+			g.SetDiskFault(leader, "input/output error")
 		}
 		for i := range 5 {
 			process := fmt.Sprintf("p%d-%d", round, i)
@@ -120,7 +120,7 @@
 			request(lease.Release, process, last)
 		}
 		for i := range g.Members {
-			g.Fault(i, "")
+			g.SetDiskFault(i, "")
 			if round == 0 {
 				time.Sleep(700 * time.Millisecond) // three of these outlast a stalled write
 			}
@@ -199,19 +199,19 @@
 		x := rng.IntN(3)
 		switch n % 5 {
 		case 0:
-			g.Ways[x].Set(faults.Way(rng.IntN(2)), faults.Fate{Lost: true})
+			g.Proxies[x].SetFault(faults.Direction(rng.IntN(2)), faults.Fault{Drop: true})
 		case 1:
 			g.Members[x].Kill()
 			g.start(x)
 		case 2:
 			g.Members[x].Freeze()
-			time.AfterFunc(300*time.Millisecond, g.Members[x].Wake)
+			time.AfterFunc(300*time.Millisecond, g.Members[x].Resume)
 		case 3:
-			g.Ways[x].Set(faults.There, faults.Fate{Delay: 20 * time.Millisecond, Twice: 0.3, Swap: 0.3})
+			g.Proxies[x].SetFault(faults.ToListener, faults.Fault{Delay: 20 * time.Millisecond, Duplicate: 0.3, Reorder: 0.3})
 		case 4:
-			for _, link := range g.Ways {
-				link.Set(faults.There, faults.Fate{})
-				link.Set(faults.Back, faults.Fate{})
+			for _, link := range g.Proxies {
+				link.SetFault(faults.ToListener, faults.Fault{})
+				link.SetFault(faults.ToClient, faults.Fault{})
 			}
 		}
 	}
@@ -250,7 +250,7 @@
 	evacuated := s.evacuatedInLogs()
 	from := make([]int, 4)
 	for i, p := range s.procs {
-		from[i] = p.Lines()
+		from[i] = p.LineCount()
 	}
 	time.Sleep(time.Second)
 	for i, p := range s.procs {
@@ -262,7 +262,7 @@
 		t.Errorf("%d servers were evacuated at once, want at most 2", evacuated)
 	}
 	g.submitAsync("m", controller.KindMove, controller.MoveRequest{Tenant: "t1", To: "b"})
-	g.Members[1].Wake()
+	g.Members[1].Resume()
 	g.start(0)
 	if item := g.awaitItem(controller.RolloutDuty, "r", 20*time.Second); item.State != controller.Done {
 		t.Errorf("rollout: state %s, want done: %s", item.State, item.Note)
@@ -331,12 +331,12 @@
 // a connection permanently: a leader is elected once replies arrive again.
 func TestLostRepliesFillNoConnection(t *testing.T) {
 	g := newGroup(t, 3)
-	for _, link := range g.Ways {
-		link.Set(faults.Back, faults.Fate{Lost: true})
+	for _, link := range g.Proxies {
+		link.SetFault(faults.ToClient, faults.Fault{Drop: true})
 	}
 	time.Sleep(3 * time.Second)
-	for _, link := range g.Ways {
-		link.Set(faults.Back, faults.Fate{})
+	for _, link := range g.Proxies {
+		link.SetFault(faults.ToClient, faults.Fault{})
 	}
 	g.awaitLeader()
 	g.do(statemachine.Command{Lease: &lease.Request{Op: lease.Pause, Duty: controller.MonitorDuty}})
@@ -355,7 +355,7 @@
 		leader := g.awaitLeader()
 		write("old")
 		g.Members[leader].Freeze()
-		g.Ways[leader].Cut(true)
+		g.Proxies[leader].Cut(true)
 		write("new") // through the next leader
 		stop := make(chan struct{})
 		var wg sync.WaitGroup
@@ -382,11 +382,11 @@
 			})
 		}
 		time.Sleep(100 * time.Millisecond)
-		g.Members[leader].Wake()
+		g.Members[leader].Resume()
 		time.Sleep(500 * time.Millisecond)
 		close(stop)
 		wg.Wait()
-		g.Ways[leader].Cut(false)
+		g.Proxies[leader].Cut(false)
 	}
 }
 
@@ -409,8 +409,8 @@
 		ids[i] = strconv.FormatUint(n, 10)
 	}
 	setPartitioned := func(x, y int, cut bool) {
-		g.Ways[x].Set(faults.There, faults.Fate{Lost: cut, Of: ids[y]})
-		g.Ways[y].Set(faults.There, faults.Fate{Lost: cut, Of: ids[x]})
+		g.Proxies[x].SetFault(faults.ToListener, faults.Fault{Drop: cut, Match: ids[y]})
+		g.Proxies[y].SetFault(faults.ToListener, faults.Fault{Drop: cut, Match: ids[x]})
 	}
 	for round := range 3 {
 		leader := g.awaitLeader()
--- a/cmd/silverpath/group_test.go
+++ b/cmd/silverpath/group_test.go
@@ -32,19 +32,19 @@
 	"silverpath/internal/testkit/standin/faults"
 )
 
-// memberProgram lets the test binary run as a group member or duty owner, and installs the faults that the
+// installTestHooks lets the test binary run as a group member or duty owner, and installs the faults that the
 // environment asks for: a boundary at which the process suspends itself, a clock of another rate or offset,
 // other document formats, disabled checks, and a disk that stalls, fills up or fails while a fault file
 // exists.
-func memberProgram() {
-	runMember = func(args ...string) error {
+func installTestHooks() {
+	runQuorumProgram = func(args ...string) error {
 		cmd := member.Command()
 		cmd.SetArgs(args)
 		return cmd.Execute()
 	}
 	if at := os.Getenv("SILVERPATH_STOP_AT"); at != "" { // DUTY:BOUNDARY:STEP, once
 		var once atomic.Bool
-		runner.Boundary = func(duty, boundary string, step uint64) {
+		runner.BoundaryHook = func(duty, boundary string, step uint64) {
 			if at == fmt.Sprintf("%s:%s:%d", duty, boundary, step) && once.CompareAndSwap(false, true) {
 				fmt.Fprintln(os.Stderr, "stopped at", at)
 				_ = syscall.Kill(os.Getpid(), syscall.SIGSTOP)
@@ -53,15 +53,15 @@
 		}
 	}
 	if offset, err := time.ParseDuration(os.Getenv("SILVERPATH_WALL")); err == nil {
-		runner.Wall = func() time.Time { return time.Now().Add(offset) }
-		configwatch.Wall, proxy.Wall = runner.Wall, runner.Wall
+		runner.WallClock = func() time.Time { return time.Now().Add(offset) }
+		configwatch.WallClock, proxy.Wall = runner.WallClock, runner.WallClock
 	}
 	// Act as a build that reads another format of the routing document or of the map.
 	if n, err := strconv.Atoi(os.Getenv("SILVERPATH_FORMAT")); err == nil {
-		configwatch.Formats = map[string]int{configstore.DocRouting: n}
+		configwatch.FormatOverrides = map[string]int{configstore.DocRouting: n}
 	}
 	if n, err := strconv.Atoi(os.Getenv("SILVERPATH_MAP_FORMAT")); err == nil {
-		configwatch.Formats = map[string]int{configstore.DocMap: n}
+		configwatch.FormatOverrides = map[string]int{configstore.DocMap: n}
 	}
 	// Accept snapshot parts without checking their digests.
 	configwatch.DisabledGuards.TextCheck = os.Getenv("SILVERPATH_ANY_TEXT") != ""
@@ -78,7 +78,7 @@
 		}
 	}
 	if rate, err := strconv.ParseFloat(os.Getenv("SILVERPATH_CLOCK"), 64); err == nil {
-		member.ClockRate, configwatch.Rate, proxy.Rate = rate, rate, rate
+		member.ClockRate, configwatch.ClockRate, proxy.Rate = rate, rate, rate
 	}
 	if file := os.Getenv("SILVERPATH_DISK"); file != "" {
 		member.DiskFaultHook = func(string) error {
@@ -107,7 +107,7 @@
 	t.Helper()
 	g, err := harness.NewGroup(t.TempDir(), n, lease.Terms{TTL: testLease, Drift: 0.05}, 20*time.Millisecond,
 		func(args []string, env ...string) (*harness.Process, error) {
-			return harness.Start(program(t, args, env...))
+			return harness.Start(programCommand(t, args, env...))
 		})
 	t.Cleanup(func() {
 		for i, m := range g.Members {
@@ -181,13 +181,13 @@
 // awaitItem waits until an item of a duty is finished, and returns it.
 func (g *testGroup) awaitItem(duty, id string, within time.Duration) controller.Item {
 	g.t.Helper()
-	return must[controller.Item](g.t)(g.Over(duty, id, within))
+	return must[controller.Item](g.t)(g.AwaitItem(duty, id, within))
 }
 
 // startOwner starts a process that competes for the given duties and keeps its maps in dir.
 func (g *testGroup) startOwner(name, dir string, duties []string, members []string, env ...string) *harness.Process {
 	g.t.Helper()
-	p := must[*harness.Process](g.t)(g.Owner(name, dir, duties, members, nil, env...))
+	p := must[*harness.Process](g.t)(g.StartController(name, dir, duties, members, nil, env...))
 	g.t.Cleanup(p.Kill)
 	return p
 }
@@ -234,8 +234,8 @@
 	files []string
 	edges []string
 	procs []*harness.Process
-	mgmt  []*faults.Between // proxies of the management fronts
-	dir   string            // version directory of the map
+	mgmt  []*faults.Proxy // proxies of the management fronts
+	dir   string          // version directory of the map
 }
 
 func newServers(t testing.TB, g *testGroup, n int) *testServers {
@@ -245,14 +245,14 @@
 	members, _ := json.Marshal(g.Client.Addrs)
 	for i := range n {
 		worker, err := builtinworker.Listen(builtinworker.Config{Listen: "127.0.0.1:0", Cores: 8, Shape: builtinworker.Shape{Knee: 8, Speed: 1},
-			Other: builtinworker.Class{MinWork: time.Millisecond, MaxWork: 2 * time.Millisecond}, RunFactor: 1, Seed: uint64(i + 1)})
+			DefaultClass: builtinworker.Class{MinWork: time.Millisecond, MaxWork: 2 * time.Millisecond}, RunFactor: 1, Seed: uint64(i + 1)})
 		if err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(worker.Close)
 		name, addr := fmt.Sprint("s", i), freeAddr(t)
-		s.files = append(s.files, siteFile(t, name, worker.Addr()))
-		s.edges = append(s.edges, write(t, "edge.json", fmt.Sprintf(`{"cell":true,"orders":{"state":%q,"group":"test","members":%s}}`,
+		s.files = append(s.files, writeServerConfig(t, name, worker.Addr()))
+		s.edges = append(s.edges, writeFile(t, "edge.json", fmt.Sprintf(`{"cell":true,"orders":{"state":%q,"group":"test","members":%s}}`,
 			filepath.Join(t.TempDir(), "orders"), members)))
 		s.procs = append(s.procs, nil)
 		link, err := faults.Listen(addr, false, uint64(i))
@@ -271,11 +271,11 @@
 // start starts server i with its management front at addr, and points its proxy there.
 func (s *testServers) start(i int, addr string) {
 	s.t.Helper()
-	s.procs[i] = begin(s.t, []string{"serve", "--config", s.files[i], "--edge", s.edges[i]}, "LB_MGMT="+addr)
+	s.procs[i] = startProgram(s.t, []string{"serve", "--config", s.files[i], "--edge", s.edges[i]}, "LB_MGMT="+addr)
 	if _, err := s.procs[i].Await(20*time.Second, 0, "phase serving"); err != nil {
 		s.t.Fatal(err)
 	}
-	s.mgmt[i].To(addr)
+	s.mgmt[i].SetTarget(addr)
 }
 
 // evacuatedNow returns the number of servers that report themselves evacuated when they are asked. A log line
@@ -283,7 +283,7 @@
 func (s *testServers) evacuatedNow() (n int) {
 	s.t.Helper()
 	for _, link := range s.mgmt {
-		answer, err := link.Again([]byte("GET /api/ready HTTP/1.1\r\n\r\n"))
+		answer, err := link.Replay([]byte("GET /api/ready HTTP/1.1\r\n\r\n"))
 		if err != nil {
 			s.t.Fatal(err)
 		}
--- a/cmd/silverpath/groupgolden_test.go
+++ b/cmd/silverpath/groupgolden_test.go
@@ -39,8 +39,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	callServer := msgpackrpc.NewCallServer(member.Name, counters, m.Answer)
-	ln, err := listener.Listen(member.Name, addr, 64, func() time.Duration { return time.Minute }, callServer.Serve, log.New(io.Discard, "", 0), counters)
+	callServer := msgpackrpc.NewCallServer(member.ListenerName, counters, m.HandleCall)
+	ln, err := listener.Listen(member.ListenerName, addr, 64, func() time.Duration { return time.Minute }, callServer.Serve, log.New(io.Discard, "", 0), counters)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -59,7 +59,7 @@
 	var got strings.Builder
 	command := func(args ...string) {
 		t.Helper()
-		code, out, message := run(t, "", args...)
+		code, out, message := runCommand(t, "", args...)
 		fmt.Fprintf(&got, "$ %s\n[exit %d]\n%s%s", strings.Join(args, " "), code, out, message)
 	}
 	groupFlags := []string{"--group", "test", "--members", addr, "--within", "20s"}
--- a/cmd/silverpath/known_red_test.go
+++ b/cmd/silverpath/known_red_test.go
@@ -9,7 +9,7 @@
 // CI skips the tests that KNOWN-RED.txt lists. The script known-red prints a pattern of exactly these tests.
 // It fails if there are more than three, if one does not exist, or if a line lacks its cause or issue.
 func TestKnownRed(t *testing.T) {
-	names := write(t, "names", "TestOne\nTestTwo\nTestThree\nTestFour\nTestOneMore\n")
+	names := writeFile(t, "names", "TestOne\nTestTwo\nTestThree\nTestFour\nTestOneMore\n")
 	for text, want := range map[string]string{
 		"":                            "",
 		"# nothing\n\n":               "",
@@ -26,7 +26,7 @@
 		" TestOne | late | issue 24\n":           "error: not 'TestName",
 		"TestOne | late | issue 24 | and more\n": "error: not 'TestName",
 	} {
-		out, err := exec.Command("../../.ci/known-red", write(t, "KNOWN-RED.txt", text), names).CombinedOutput()
+		out, err := exec.Command("../../.ci/known-red", writeFile(t, "KNOWN-RED.txt", text), names).CombinedOutput()
 		got := strings.TrimSpace(string(out))
 		if problem, wantError := strings.CutPrefix(want, "error: "); wantError {
 			if err == nil || !strings.Contains(got, problem) {
--- a/cmd/silverpath/main.go
+++ b/cmd/silverpath/main.go
@@ -16,8 +16,8 @@
 	"silverpath/internal/transport/client"
 )
 
-// parts wraps parts of the service. The program leaves it empty; tests set it to inject faults.
-var parts service.Hooks
+// hooks wraps parts of the service. The program leaves it empty; tests set it to inject faults.
+var hooks service.Hooks
 
 func main() {
 	if err := rootCommand().Execute(); err != nil {
@@ -66,7 +66,7 @@
 			Use:   "serve",
 			Short: "Run the service until SIGTERM; SIGHUP reloads the configuration, SIGUSR1 prints the counters",
 			RunE: func(*cobra.Command, []string) error {
-				return service.Main(load, service.NotifySignals(), os.Stderr, parts)
+				return service.Main(load, service.NotifySignals(), os.Stderr, hooks)
 			},
 		}),
 		withConfig(&cobra.Command{
@@ -93,7 +93,7 @@
 				if err != nil {
 					return err
 				}
-				return service.Main(load, signals, os.Stderr, parts)
+				return service.Main(load, signals, os.Stderr, hooks)
 			},
 		}),
 		askCommand(), statusCommand(), cellsCommand(), quorumCommand(), dutyCommand(), fleetCommand(), rulesCommand(), storeCommand(), recoverCommand(), capacityCommand(),
@@ -130,12 +130,12 @@
 // validates --front and fills in the default address.
 func addFrontFlags(c *cobra.Command, frontName, addr *string) {
 	c.Args = cobra.NoArgs
-	c.Flags().StringVar(frontName, "front", client.Platform, "the front to ask: "+client.Platform+" or "+client.SCGI)
+	c.Flags().StringVar(frontName, "front", client.MessagePack, "the front to ask: "+client.MessagePack+" or "+client.SCGI)
 	c.Flags().StringVar(addr, "addr", "", "its address (default: that of a start without a configuration)")
 	c.PreRunE = func(*cobra.Command, []string) error {
-		defaultAddrs := map[string]string{client.Platform: "127.0.0.1:4001", client.SCGI: "127.0.0.1:4000"}
+		defaultAddrs := map[string]string{client.MessagePack: "127.0.0.1:4001", client.SCGI: "127.0.0.1:4000"}
 		if defaultAddrs[*frontName] == "" {
-			return fmt.Errorf("--front: %q is neither %s nor %s", *frontName, client.Platform, client.SCGI)
+			return fmt.Errorf("--front: %q is neither %s nor %s", *frontName, client.MessagePack, client.SCGI)
 		}
 		if *addr == "" {
 			*addr = defaultAddrs[*frontName]
--- a/cmd/silverpath/main_test.go
+++ b/cmd/silverpath/main_test.go
@@ -17,16 +17,16 @@
 // program.
 func TestMain(m *testing.M) {
 	if os.Getenv("SILVERPATH_RUN") != "" {
-		memberProgram()
+		installTestHooks()
 		main()
 		os.Exit(0)
 	}
 	os.Exit(m.Run())
 }
 
-// run executes the program with LB_CONFIG set to config. It returns the exit code, standard output and
+// runCommand executes the program with LB_CONFIG set to config. It returns the exit code, standard output and
 // standard error.
-func run(t testing.TB, config string, args ...string) (code int, out, message string) {
+func runCommand(t testing.TB, config string, args ...string) (code int, out, message string) {
 	t.Helper()
 	exe, err := os.Executable()
 	if err != nil {
@@ -44,10 +44,10 @@
 }
 
 func TestCommands(t *testing.T) {
-	if code, out, _ := run(t, "", "version"); code != 0 || !strings.HasPrefix(out, "silverpath ") {
+	if code, out, _ := runCommand(t, "", "version"); code != 0 || !strings.HasPrefix(out, "silverpath ") {
 		t.Errorf("version: exit code %d, output %q", code, out)
 	}
-	code, out, message := run(t, "../../deploy/scgi.json", "check")
+	code, out, message := runCommand(t, "../../deploy/scgi.json", "check")
 	if code != 0 || !strings.Contains(out, "SCGI front: 127.0.0.1:4000") {
 		t.Errorf("check: exit code %d, output %q, message %q", code, out, message)
 	}
@@ -64,7 +64,7 @@
 		{bad, "silverpath: " + bad + ": listen: not an address and port: \"nowhere\"\n"},
 	} {
 		for _, command := range []string{"serve", "check"} {
-			code, out, message := run(t, c.config, command)
+			code, out, message := runCommand(t, c.config, command)
 			if code != 1 || out != "" || !strings.HasPrefix(message, c.want) || strings.Count(message, "\n") != 1 {
 				t.Errorf("%s with %q: exit code %d, output %q, message %q", command, c.config, code, out, message)
 			}
@@ -83,7 +83,7 @@
 		for value, want := range values {
 			t.Run(name+" "+value, func(t *testing.T) {
 				t.Setenv(name, value)
-				code, _, message := run(t, siteFile(t, "n1", "127.0.0.1:1"), "serve")
+				code, _, message := runCommand(t, writeServerConfig(t, "n1", "127.0.0.1:1"), "serve")
 				if last := message[strings.LastIndex(strings.TrimSpace(message), "\n")+1:]; code != 1 || !strings.Contains(last, want) {
 					t.Errorf("exit code %d, message %q", code, message)
 				}
@@ -127,17 +127,17 @@
 	}
 	for front, addr := range addrs {
 		for _, class := range []string{"krog", "lestvica", "oddaja"} {
-			code, out, message := run(t, "", "ask", "--front", front, "--addr", addr, "--class", class, "--key", front, "--body", "x", "--count", "2")
+			code, out, message := runCommand(t, "", "ask", "--front", front, "--addr", addr, "--class", class, "--key", front, "--body", "x", "--count", "2")
 			if code != 0 || !strings.Contains(out, class+": x") || !strings.Contains(out, "2 asked: 2 served") {
 				t.Errorf("%s over %s: exit code %d, output %q, message %q", class, front, code, out, message)
 			}
 		}
-		code, out, message := run(t, "", "status", "--front", front, "--addr", addr)
+		code, out, message := runCommand(t, "", "status", "--front", front, "--addr", addr)
 		if code != 0 || !strings.Contains(out, `"phase":"serving"`) {
 			t.Errorf("status over %s: exit code %d, output %q, message %q", front, code, out, message)
 		}
 	}
-	if code, _, message := run(t, "", "ask", "--addr", addrs["msgpack"], "--class", "nothing"); code == 0 || strings.Count(message, "\n") != 1 {
+	if code, _, message := runCommand(t, "", "ask", "--addr", addrs["msgpack"], "--class", "nothing"); code == 0 || strings.Count(message, "\n") != 1 {
 		t.Errorf("unknown class: exit code %d, message %q", code, message)
 	}
 }
--- a/cmd/silverpath/overlap_test.go
+++ b/cmd/silverpath/overlap_test.go
@@ -19,9 +19,9 @@
 	"silverpath/internal/transport/client"
 )
 
-// ways starts one fault-injecting proxy per group member and returns the addresses and the proxies. A process
+// memberLinks starts one fault-injecting proxy per group member and returns the addresses and the proxies. A process
 // that uses these addresses can be cut off from the group on its own.
-func (f *documentFleet) ways() (addrs []string, links []*faults.Between) {
+func (f *documentFleet) memberLinks() (addrs []string, links []*faults.Proxy) {
 	f.t.Helper()
 	for i, addr := range f.g.Addrs {
 		link, err := faults.Listen(addr, true, uint64(100+i))
@@ -34,23 +34,23 @@
 	return addrs, links
 }
 
-// twoClasses writes a classes document that has the class oddaja and the given number of extra classes, and
+// writeClassesWithExtra writes a classes document that has the class oddaja and the given number of extra classes, and
 // returns its path. Versions that differ in their classes exclude each other.
-func twoClasses(t testing.TB, extra int) string {
-	text := fmt.Sprintf(`{"classes":[{"name":"oddaja","target":900000,"deadline":1000000,"worth":3,"effect":"token","memory_span":%d}`, sheetWindow.Microseconds())
+func writeClassesWithExtra(t testing.TB, extra int) string {
+	text := fmt.Sprintf(`{"classes":[{"name":"oddaja","target":900000,"deadline":1000000,"worth":3,"effect":"token","memory_span":%d}`, keyWindow.Microseconds())
 	for i := range extra {
 		text += fmt.Sprintf(`,{"name":"krog%d","target":900000,"deadline":1000000,"worth":1,"effect":"pure"}`, i)
 	}
-	return write(t, "classes.json", text+"]}")
+	return writeFile(t, "classes.json", text+"]}")
 }
 
 // checkNoOverlap checks in the logs that no two processes could start exclusive work under different versions
 // of a document at one time, and that at least the given number of versions became active.
 func checkNoOverlap(t testing.TB, doc string, versions int, procs map[string]*harness.Process) {
 	t.Helper()
-	var all []harness.Acted
+	var all []harness.ActivePeriod
 	for name, p := range procs {
-		all = append(all, harness.ActsOf(name, p, doc)...)
+		all = append(all, harness.ActivePeriodsOf(name, p, doc)...)
 	}
 	if d, what := harness.Overlap(all); d > 0 {
 		t.Errorf("for %v two versions of %s were active: %s", d, doc, what)
@@ -72,9 +72,9 @@
 	return all
 }
 
-// doc returns the active version of a document, the stage of its pending change, and what the change waits
+// documentState returns the active version of a document, the stage of its pending change, and what the change waits
 // for.
-func (f *documentFleet) doc(name string) (active int, stage configstore.Stage, waits string) {
+func (f *documentFleet) documentState(name string) (active int, stage configstore.Stage, waits string) {
 	f.t.Helper()
 	r, err := f.g.Client.Config(f.g.within(10 * time.Second))
 	if err != nil {
@@ -90,11 +90,11 @@
 	return active, d.Stage, r.Store.WaitingFor(d)
 }
 
-// wait waits until a version of a document is active, and returns the time that it waited.
-func (f *documentFleet) wait(name string, version int, within time.Duration) time.Duration {
+// awaitActive waits until a version of a document is active, and returns the time that it waited.
+func (f *documentFleet) awaitActive(name string, version int, within time.Duration) time.Duration {
 	f.t.Helper()
 	for start := time.Now(); ; time.Sleep(5 * time.Millisecond) {
-		active, stage, waits := f.doc(name)
+		active, stage, waits := f.documentState(name)
 		if active >= version {
 			return time.Since(start)
 		}
@@ -111,11 +111,11 @@
 // not stop, two versions would be active at one time.
 func TestCutOffInAChange(t *testing.T) {
 	t.Parallel()
-	f := newRuledFleet(t, sheetWindow)
-	f.put("classes", twoClasses(t, 0))
-	addrs, links := f.ways()
-	faulty := f.router3("cut", addrs)
-	healthy := f.router3("whole", nil)
+	f := newDocumentFleet(t, keyWindow)
+	f.put("classes", writeClassesWithExtra(t, 0))
+	addrs, links := f.memberLinks()
+	faulty := f.startClassRouter("cut", addrs)
+	healthy := f.startClassRouter("whole", nil)
 	cutOff := func(on bool) {
 		for _, link := range links {
 			link.Cut(on)
@@ -125,7 +125,7 @@
 		if on {
 			faulty.Freeze()
 		} else {
-			faulty.Wake()
+			faulty.Resume()
 		}
 	}
 	// The lease with its drift, then the stages of the change on a loaded machine.
@@ -134,7 +134,7 @@
 	for _, isolate := range []func(bool){cutOff, freeze} {
 		for _, at := range []string{"before", "proposed", "turning"} {
 			version++
-			file := twoClasses(t, version%2+1)
+			file := writeClassesWithExtra(t, version%2+1)
 			if at == "before" {
 				isolate(true)
 			}
@@ -150,15 +150,15 @@
 				f.expect(0, "", "release", "classes")
 			case "turning":
 				for {
-					if _, stage, _ := f.doc("classes"); stage != configstore.StageProposed {
+					if _, stage, _ := f.documentState("classes"); stage != configstore.StageProposed {
 						break
 					}
 				}
 				isolate(true)
 			}
-			f.wait("classes", version, timeout)
-			f.serves(fmt.Sprint("cut", version), healthy)
-			from := faulty.Lines()
+			f.awaitActive("classes", version, timeout)
+			f.awaitServed(fmt.Sprint("cut", version), healthy)
+			from := faulty.LineCount()
 			isolate(false)
 			if _, err := faulty.Await(5*time.Second, from, fmt.Sprintf("config: active: classes %d.", version)); err != nil {
 				if at == "turning" { // the router may have received the version before it was isolated
@@ -168,50 +168,50 @@
 					t.Fatal(at, err)
 				}
 			}
-			f.serves(fmt.Sprint("back", version), faulty)
+			f.awaitServed(fmt.Sprint("back", version), faulty)
 		}
 	}
-	if n := twice(f.ran()); n != 0 {
+	if n := countRunTwice(f.runsByBody()); n != 0 {
 		t.Errorf("%d requests ran twice", n)
 	}
 	checkNoOverlap(t, "classes", 7, f.processes(map[string]*process{"cut": faulty, "whole": healthy}))
 }
 
-// serves waits until each of the routers serves a request. A router may still have to learn that a change is
+// awaitServed waits until each of the routers serves a request. A router may still have to learn that a change is
 // complete.
-func (f *documentFleet) serves(name string, routers ...*process) {
+func (f *documentFleet) awaitServed(name string, routers ...*process) {
 	f.t.Helper()
-	for n, end := 0, time.Now().Add(5*time.Second); toAll(1, fmt.Sprint(name, "-", n), routers...)["served"] != len(routers); n++ {
+	for n, end := 0, time.Now().Add(5*time.Second); sendToAll(1, fmt.Sprint(name, "-", n), routers...)["served"] != len(routers); n++ {
 		if time.Now().After(end) {
 			f.t.Fatalf("%s: not all routers serve a request within 5 s", name)
 		}
 	}
 }
 
-// router3 starts a router that uses the documents map, routing and classes of the group.
-func (f *documentFleet) router3(name string, members []string, env ...string) *process {
+// startClassRouter starts a router that uses the documents map, routing and classes of the group.
+func (f *documentFleet) startClassRouter(name string, members []string, env ...string) *process {
 	f.t.Helper()
-	return spawnIn(f.t, env, "route", "--config", siteFile(f.t, name, ""), "--edge", write(f.t, name+"-edge.json", fmt.Sprintf(
-		`{"status":true,"fleet":{"state":%q,"probe_ms":100},%s}`, filepath.Join(f.t.TempDir(), name+".db"), f.rulesPart(members, "map", "routing", "classes"))))
+	return startServingWithEnv(f.t, env, "route", "--config", writeServerConfig(f.t, name, ""), "--edge", writeFile(f.t, name+"-edge.json", fmt.Sprintf(
+		`{"status":true,"fleet":{"state":%q,"probe_ms":100},%s}`, filepath.Join(f.t.TempDir(), name+".db"), f.rulesSection(members, "map", "routing", "classes"))))
 }
 
 // harness.Overlap detects two versions that are active at one time. The clock of a router that is cut off
 // runs at a hundredth of its rate, so that the router uses its version long after its lease has expired.
 func TestOverlapIsFound(t *testing.T) {
 	t.Parallel()
-	f := newRuledFleet(t, sheetWindow)
-	f.put("classes", twoClasses(t, 0))
-	addrs, links := f.ways()
-	slow := f.router3("slow", addrs, "SILVERPATH_CLOCK=0.01")
+	f := newDocumentFleet(t, keyWindow)
+	f.put("classes", writeClassesWithExtra(t, 0))
+	addrs, links := f.memberLinks()
+	slow := f.startClassRouter("slow", addrs, "SILVERPATH_CLOCK=0.01")
 	for _, link := range links {
 		link.Cut(true)
 	}
-	f.expect(0, "proposed", "put", "classes", twoClasses(t, 1))
-	f.wait("classes", 2, 5*time.Second)
+	f.expect(0, "proposed", "put", "classes", writeClassesWithExtra(t, 1))
+	f.awaitActive("classes", 2, 5*time.Second)
 	time.Sleep(testLease)
-	var all []harness.Acted
+	var all []harness.ActivePeriod
 	for name, p := range f.processes(map[string]*process{"slow": slow}) {
-		all = append(all, harness.ActsOf(name, p, "classes")...)
+		all = append(all, harness.ActivePeriodsOf(name, p, "classes")...)
 	}
 	if d, what := harness.Overlap(all); d < testLease/4 {
 		t.Errorf("overlap of %v, want at least a quarter of the lease: %s", d, what)
@@ -223,41 +223,41 @@
 // group is back, the proposed version becomes active.
 func TestGroupGoesInAChange(t *testing.T) {
 	t.Parallel()
-	f := newRuledFleet(t, sheetWindow)
-	f.put("classes", twoClasses(t, 0))
-	one, two := f.router3("r1", nil), f.router3("r2", nil)
+	f := newDocumentFleet(t, keyWindow)
+	f.put("classes", writeClassesWithExtra(t, 0))
+	one, two := f.startClassRouter("r1", nil), f.startClassRouter("r2", nil)
 	version := 1
 	for n := range 3 {
 		version++
-		f.expect(0, "proposed", "put", "classes", twoClasses(t, n%2+1))
+		f.expect(0, "proposed", "put", "classes", writeClassesWithExtra(t, n%2+1))
 		leader := f.g.awaitLeader()
 		time.Sleep(time.Duration(n) * 60 * time.Millisecond)
 		f.g.Members[leader].Kill()
-		f.wait("classes", version, 10*time.Second)
+		f.awaitActive("classes", version, 10*time.Second)
 		f.g.start(leader)
 	}
-	f.serves("turned", one, two)
-	if got := toAll(5, "before", one, two); got["served"] != 10 {
+	f.awaitServed("turned", one, two)
+	if got := sendToAll(5, "before", one, two); got["served"] != 10 {
 		t.Errorf("outcomes before the group's outage: %v, want 10 served", got)
 	}
 	version++
-	f.expect(0, "proposed", "put", "classes", twoClasses(t, 4))
+	f.expect(0, "proposed", "put", "classes", writeClassesWithExtra(t, 4))
 	for _, m := range f.g.Members {
 		m.Kill()
 	}
 	time.Sleep(2 * testLease)
-	if got := toAll(5, "away", one, two); got["served"] != 0 {
+	if got := sendToAll(5, "away", one, two); got["served"] != 0 {
 		t.Errorf("new requests during the group's outage: %v, want none served", got)
 	}
-	if got := toAll(5, "before", one, two); got["served"] != 10 {
+	if got := sendToAll(5, "before", one, two); got["served"] != 10 {
 		t.Errorf("retries during the group's outage: %v, want 10 served", got)
 	}
 	for i := range f.g.Members {
 		f.g.start(i)
 	}
-	f.wait("classes", version, 15*time.Second)
-	f.serves("back", one, two)
-	if n := twice(f.ran()); n != 0 {
+	f.awaitActive("classes", version, 15*time.Second)
+	f.awaitServed("back", one, two)
+	if n := countRunTwice(f.runsByBody()); n != 0 {
 		t.Errorf("%d requests ran twice", n)
 	}
 	checkNoOverlap(t, "classes", version, f.processes(map[string]*process{"r1": one, "r2": two}))
@@ -267,19 +267,19 @@
 // version afterwards. Then two operators make 100 changes as fast as possible.
 func TestCrossing(t *testing.T) {
 	t.Parallel()
-	f := newRuledFleet(t, sheetWindow)
-	f.put("classes", twoClasses(t, 0))
-	one := f.router3("r1", nil)
+	f := newDocumentFleet(t, keyWindow)
+	f.put("classes", writeClassesWithExtra(t, 0))
+	one := f.startClassRouter("r1", nil)
 	activated, withdrawn := 0, 0
 	// The delay grows after each withdrawal that was first, and shrinks after each activation that was first.
 	// It converges on the time that a change takes on this machine.
 	delay := 150 * time.Millisecond
 	for n := 0; n < 40 && (n < 12 || activated < 2 || withdrawn < 2); n++ {
-		f.expect(0, "proposed", "put", "classes", twoClasses(t, n+1))
+		f.expect(0, "proposed", "put", "classes", writeClassesWithExtra(t, n+1))
 		time.Sleep(delay)
 		f.runRules("withdraw", "classes", "--why", "crossing")
 		for { // until no change is pending
-			active, stage, _ := f.doc("classes")
+			active, stage, _ := f.documentState("classes")
 			if stage == "" {
 				r, err := f.g.Client.Config(f.g.within(5 * time.Second))
 				if err != nil {
@@ -312,7 +312,7 @@
 	for i := range 2 { // two operators
 		wg.Go(func() {
 			for n := 0; n < 50; {
-				file := write(t, "routing.json", fmt.Sprintf(`{"retries":0.%d%d,"probe_ms":100}`, i+1, n+10))
+				file := writeFile(t, "routing.json", fmt.Sprintf(`{"retries":0.%d%d,"probe_ms":100}`, i+1, n+10))
 				if code, _, message := f.runRules("put", "routing", file, "--wait"); code == 0 {
 					n++
 				} else if !strings.Contains(message, "under way") && !strings.Contains(message, "another version") {
@@ -324,7 +324,7 @@
 	}
 	wg.Wait()
 	took := time.Since(start)
-	active, _, _ := f.doc("routing")
+	active, _, _ := f.documentState("routing")
 	if _, err := one.Await(3*time.Second, 0, fmt.Sprintf("config: active: routing %d.", active)); err != nil || active != 100 || took > time.Minute {
 		t.Errorf("%d changes in %v, want 100 within a minute: %v", active, took, err)
 	}
@@ -338,13 +338,13 @@
 	t.Parallel()
 	f := &documentFleet{g: newGroup(t, 3)}
 	const limits = `"pools":[{"name":"sheets","classes":["oddaja"],"weight":1,"floor":0.1}],"limit":{"fixed":%d}`
-	f.testFleet = newFleetWith(t, sheetWindow, fmt.Sprintf(`{"cell":true,`+limits+`,%s}`, 8, f.rulesPart(nil, "classes", "pools")))
+	f.testFleet = newFleetWithEdge(t, keyWindow, fmt.Sprintf(`{"cell":true,`+limits+`,%s}`, 8, f.rulesSection(nil, "classes", "pools")))
 	f.Map.Tenants = append(f.Map.Tenants, cells.Tenant{Homes: []cells.Home{{Cell: "b"}}})
-	f.put("map", f.write(f.Map))
-	f.put("classes", twoClasses(t, 1))
-	f.put("routing", write(t, "routing.json", `{"probe_ms":100}`))
-	f.put("pools", write(t, "pools.json", fmt.Sprintf("{"+limits+"}", 8)))
-	one, two := f.router3("r1", nil), f.router3("r2", nil)
+	f.put("map", f.writeMap(f.Map))
+	f.put("classes", writeClassesWithExtra(t, 1))
+	f.put("routing", writeFile(t, "routing.json", `{"probe_ms":100}`))
+	f.put("pools", writeFile(t, "pools.json", fmt.Sprintf("{"+limits+"}", 8)))
+	one, two := f.startClassRouter("r1", nil), f.startClassRouter("r2", nil)
 	stop := make(chan struct{})
 	var wg sync.WaitGroup
 	for i, r := range []*process{one, two, one, two, one, two, one, two, one, two, one, two, one, two, one, two} {
@@ -355,25 +355,25 @@
 					return
 				default:
 					key := fmt.Sprint("load", i, "-", n)
-					_, _ = client.Do(client.Platform, r.addr, client.Request{Class: "oddaja", Tenant: []string{"brand", "other"}[i/2%2], Key: key, Body: []byte(key), Timeout: 800 * time.Millisecond})
+					_, _ = client.Do(client.MessagePack, r.addr, client.Request{Class: "oddaja", Tenant: []string{"brand", "other"}[i/2%2], Key: key, Body: []byte(key), Timeout: 800 * time.Millisecond})
 				}
 			}
 		})
 	}
 	time.Sleep(1500 * time.Millisecond)
-	bad := write(t, "bad.json", fmt.Sprintf("{"+limits+"}", 1))
+	bad := writeFile(t, "bad.json", fmt.Sprintf("{"+limits+"}", 1))
 	start := time.Now()
 	f.put("pools", bad, "--watch", "2s")
-	f.wait("pools", 3, 8*time.Second)
+	f.awaitActive("pools", 3, 8*time.Second)
 	t.Logf("reverted after %v", time.Since(start))
 	f.expect(1, "it was taken back before", "put", "pools", bad)
 	f.expect(0, "taken back: ", "history", "pools")
 	f.expect(0, "", "put", "pools", bad, "--again", "--watch", "4s", "--part", "0.5")
-	if _, stage, _ := f.doc("pools"); stage != configstore.StageProposed && stage != configstore.StageCanary {
+	if _, stage, _ := f.documentState("pools"); stage != configstore.StageProposed && stage != configstore.StageCanary {
 		t.Errorf("canary: stage %q, want proposed or canary", stage)
 	}
 	for end := time.Now().Add(8 * time.Second); ; time.Sleep(20 * time.Millisecond) {
-		if active, stage, waits := f.doc("pools"); stage == "" {
+		if active, stage, waits := f.documentState("pools"); stage == "" {
 			if active != 3 {
 				t.Errorf("after the canary: version %d is active, want 3", active)
 			}
@@ -385,19 +385,19 @@
 	f.expect(0, "worth was served where it was tried", "history", "pools")
 	close(stop)
 	wg.Wait()
-	older := f.router3("older", nil)
-	newer := f.router3("newer", nil, "SILVERPATH_FORMAT=2")
-	format := write(t, "format.json", `{"format":2,"probe_ms":100,"retries":0.3}`)
+	older := f.startClassRouter("older", nil)
+	newer := f.startClassRouter("newer", nil, "SILVERPATH_FORMAT=2")
+	format := writeFile(t, "format.json", `{"format":2,"probe_ms":100,"retries":0.3}`)
 	f.expect(0, "proposed", "put", "routing", format)
 	time.Sleep(2 * testLease)
-	if active, stage, waits := f.doc("routing"); active != 1 || stage != configstore.StageProposed || !strings.Contains(waits, "reads format 1, and this is 2") {
+	if active, stage, waits := f.documentState("routing"); active != 1 || stage != configstore.StageProposed || !strings.Contains(waits, "reads format 1, and this is 2") {
 		t.Errorf("document of a newer format: version %d is active, stage %q, %s; want 1 and proposed", active, stage, waits)
 	}
 	// The change waits for these processes until they end, as they cannot read the format.
 	for _, p := range []*process{older, one, two} {
 		p.Kill()
 	}
-	f.wait("routing", 2, 10*time.Second)
+	f.awaitActive("routing", 2, 10*time.Second)
 	if _, err := newer.Await(3*time.Second, 0, "config: active: routing 2."); err != nil {
 		t.Error(err)
 	}
@@ -418,15 +418,15 @@
 // changes and a router joins, and no request runs twice.
 func TestClocksApart(t *testing.T) {
 	t.Parallel()
-	f := newRuledFleet(t, 500*time.Millisecond)
-	inSkew, outOfSkew := f.router("near", nil, "SILVERPATH_WALL=60ms"), f.router("far", nil, "SILVERPATH_WALL=250ms")
+	f := newDocumentFleet(t, 500*time.Millisecond)
+	inSkew, outOfSkew := f.startRouter("near", nil, "SILVERPATH_WALL=60ms"), f.startRouter("far", nil, "SILVERPATH_WALL=250ms")
 	if _, err := outOfSkew.Await(3*time.Second, 0, "config: nothing that is exclusive begins: clock"); err != nil {
 		t.Error(err)
 	}
-	if got := toAll(10, "clocks", inSkew); got["served"] != 10 {
+	if got := sendToAll(10, "clocks", inSkew); got["served"] != 10 {
 		t.Errorf("outcomes within the skew: %v, want 10 served", got)
 	}
-	if got := toAll(10, "apart", outOfSkew); got["served"] != 0 {
+	if got := sendToAll(10, "apart", outOfSkew); got["served"] != 0 {
 		t.Errorf("outcomes beyond the skew: %v, want none served", got)
 	}
 	stop := make(chan struct{})
@@ -444,16 +444,16 @@
 				mu.Lock()
 				all := append([]*process(nil), routers...)
 				mu.Unlock()
-				toAll(1, fmt.Sprint("move", i, "-", n), all...)
+				sendToAll(1, fmt.Sprint("move", i, "-", n), all...)
 			}
 		})
 	}
-	file := f.write(f.Map)
-	if code, out, message := run(t, "", "cells", "--map", file, "move", "--tenant", "brand", "--to", "b"); code != 0 {
+	file := f.writeMap(f.Map)
+	if code, out, message := runCommand(t, "", "cells", "--map", file, "move", "--tenant", "brand", "--to", "b"); code != 0 {
 		t.Fatal(out, message)
 	}
 	f.put("map", file)
-	joined := f.router("joins", nil)
+	joined := f.startRouter("joins", nil)
 	mu.Lock()
 	routers = append(routers, joined)
 	mu.Unlock()
@@ -466,14 +466,14 @@
 		t.Fatal(err)
 	}
 	m.Version, m.Tenants[0].Rate = m.Version+1, 20
-	f.put("map", f.write(m))
+	f.put("map", f.writeMap(m))
 	time.Sleep(4500 * time.Millisecond)
 	close(stop)
 	wg.Wait()
-	if got := toAll(10, "moved", inSkew, joined); got["served"] != 20 || twice(f.ran()) != 0 {
-		t.Errorf("outcomes after the move: %v, %d ran twice; want 20 served, 0 twice", got, twice(f.ran()))
+	if got := sendToAll(10, "moved", inSkew, joined); got["served"] != 20 || countRunTwice(f.runsByBody()) != 0 {
+		t.Errorf("outcomes after the move: %v, %d ran twice; want 20 served, 0 twice", got, countRunTwice(f.runsByBody()))
 	}
-	if f.machines["s3"].Runs()["moved-1"]+f.machines["s4"].Runs()["moved-1"] != 1 {
+	if f.interpreters["s3"].Runs()["moved-1"]+f.interpreters["s4"].Runs()["moved-1"] != 1 {
 		t.Error("the moved tenant's request did not run in its new cell")
 	}
 	tenants, _ := json.Marshal(m.Tenants)
@@ -492,18 +492,18 @@
 		clock string
 	}{{"correct clock", "SILVERPATH_CLOCK=1"}, {"slow clock", "SILVERPATH_CLOCK=0.01"}} {
 		t.Run(c.name, func(t *testing.T) {
-			f := newRuledFleet(t, sheetWindow)
-			addrs, links := f.ways()
+			f := newDocumentFleet(t, keyWindow)
+			addrs, links := f.memberLinks()
 			rulesSection := func(members []string) string {
-				return strings.Replace(f.rulesPart(members, "map"), `"rules":{`, `"rules":{"most_routers":4,`, 1)
+				return strings.Replace(f.rulesSection(members, "map"), `"rules":{`, `"rules":{"most_routers":4,`, 1)
 			}
 			route := func(name string, members []string, env ...string) *process {
-				return spawnIn(t, env, "route", "--config", siteFile(t, name, ""), "--edge", write(t, name+"-edge.json", fmt.Sprintf(
-					`{"status":true,"fleet":{"state":%q,"probe_ms":100},%s}`, filepath.Join(f.edge+name+".db"), rulesSection(members))))
+				return startServingWithEnv(t, env, "route", "--config", writeServerConfig(t, name, ""), "--edge", writeFile(t, name+"-edge.json", fmt.Sprintf(
+					`{"status":true,"fleet":{"state":%q,"probe_ms":100},%s}`, filepath.Join(f.edgeFile+name+".db"), rulesSection(members))))
 			}
 			const capacity = 2 * 1000 * quota.UsableRatio // the two servers of cell a
 			quotaOf := func(p *process) float64 {
-				status, err := client.Status(client.Platform, p.addr)
+				status, err := client.Status(client.MessagePack, p.addr)
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -562,7 +562,7 @@
 					t.Fatal("the grant of the suspended router did not move to the other one within 5 s")
 				}
 			}
-			one.Wake()
+			one.Resume()
 			awaitQuota(one, capacity*0.3, 5*time.Second)
 			one.Kill()
 			one = route("one", addrs, c.clock)
--- a/cmd/silverpath/parts_test.go
+++ b/cmd/silverpath/parts_test.go
@@ -41,7 +41,7 @@
 		if s.Cell != cell {
 			continue
 		}
-		for body, runs := range f.machines[s.Name].Runs() {
+		for body, runs := range f.interpreters[s.Name].Runs() {
 			if strings.HasPrefix(body, prefix) {
 				n += runs
 			}
@@ -56,10 +56,10 @@
 // limits before they send anything.
 func TestMapInParts(t *testing.T) {
 	t.Parallel()
-	f := newRuledFleet(t, sheetWindow)
-	textRouter := f.router("old", nil, "SILVERPATH_MAP_FORMAT=1") // a build that does not read parts
-	router1, router2 := f.router("r1", nil), f.router("r2", nil)
-	if got := toAll(5, "text", router1, router2, textRouter); got["served"] != 15 {
+	f := newDocumentFleet(t, keyWindow)
+	textRouter := f.startRouter("old", nil, "SILVERPATH_MAP_FORMAT=1") // a build that does not read parts
+	router1, router2 := f.startRouter("r1", nil), f.startRouter("r2", nil)
+	if got := sendToAll(5, "text", router1, router2, textRouter); got["served"] != 15 {
 		t.Fatalf("map as one document: outcomes %v", got)
 	}
 	f.expect(0, "in force", "history", "map")
@@ -67,7 +67,7 @@
 	m := *f.Map
 	m.Version++
 	addIdleTenants(&m, 3000)
-	mapFile := f.write(&m)
+	mapFile := f.writeMap(&m)
 	if out := f.expect(0, `tenants[tenant-00001].name`, "put", "map", mapFile, "--dry-run"); !strings.Contains(out, "reads format 1, and this is 2") {
 		t.Errorf("put --dry-run does not report the router of format 1: %.200s", out)
 	}
@@ -76,13 +76,13 @@
 	if err := textRouter.Leave(); err != nil {
 		t.Error(err)
 	}
-	f.wait("map", 2, 20*time.Second)
+	f.awaitActive("map", 2, 20*time.Second)
 	for _, p := range []*process{router1, router2} {
 		if _, err := p.Await(10*time.Second, 0, "config: active: map 2."); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if got := toAll(5, "parts", router1, router2); got["served"] != 10 {
+	if got := sendToAll(5, "parts", router1, router2); got["served"] != 10 {
 		t.Errorf("map in parts: outcomes %v", got)
 	}
 	f.expect(1, "says the same", "put", "map", mapFile)
@@ -97,12 +97,12 @@
 	for i := range 256 * 40 {
 		oversized.Tenants = append(oversized.Tenants, cells.Tenant{Name: fmt.Sprint(i, strings.Repeat("x", 2000)), Rate: 1, Homes: []cells.Home{{Cell: "a"}}})
 	}
-	f.expect(1, "of 1 to 65536", "put", "map", f.write(&oversized))
+	f.expect(1, "of 1 to 65536", "put", "map", f.writeMap(&oversized))
 
 	next := m
 	next.Tenants = append([]cells.Tenant(nil), m.Tenants...)
 	effectiveAt := announceMove(&next, "brand", "b", 12*time.Second)
-	movedFile := f.write(&next)
+	movedFile := f.writeMap(&next)
 	if out := f.expect(0, "tenants[brand].homes[1].cell", "diff", "map", movedFile); strings.Count(out, "\n") > 6 {
 		t.Errorf("diff of a move prints too many lines: %s", out)
 	}
@@ -110,7 +110,7 @@
 	leader := f.g.awaitLeader()
 	f.g.Members[leader].Kill()
 	f.expect(0, "", "release", "map")
-	f.wait("map", 3, 20*time.Second)
+	f.awaitActive("map", 3, 20*time.Second)
 	f.g.start(leader)
 	for _, p := range []*process{router1, router2} {
 		if _, err := p.Await(10*time.Second, 0, "config: active: map 3."); err != nil {
@@ -122,16 +122,16 @@
 	if err := router2.Leave(); err != nil {
 		t.Error(err)
 	}
-	router2 = f.router("r2", nil)
-	f.serves("came back", router2)
+	router2 = f.startRouter("r2", nil)
+	f.awaitServed("came back", router2)
 	if time.Now().After(effectiveAt) {
 		t.Fatal("the move took effect before the routers were checked")
 	}
-	time.Sleep(time.Until(effectiveAt) + f.Map.MaxClockSkew*2 + sheetWindow + f.Map.CallerTimeout)
-	if got := toAll(5, "moved", router1, router2); got["served"] != 10 || f.runsInCell("a", "moved") != 0 || f.runsInCell("b", "moved") != 5 {
+	time.Sleep(time.Until(effectiveAt) + f.Map.MaxClockSkew*2 + keyWindow + f.Map.CallerTimeout)
+	if got := sendToAll(5, "moved", router1, router2); got["served"] != 10 || f.runsInCell("a", "moved") != 0 || f.runsInCell("b", "moved") != 5 {
 		t.Errorf("after the move: outcomes %v, %d runs in cell a, %d in cell b", got, f.runsInCell("a", "moved"), f.runsInCell("b", "moved"))
 	}
-	if n := twice(f.ran()); n != 0 {
+	if n := countRunTwice(f.runsByBody()); n != 0 {
 		t.Errorf("%d requests ran twice", n)
 	}
 }
@@ -141,12 +141,12 @@
 // stops all. A router that is frozen after it prepared the change keeps it in that stage.
 func TestOnlyWhatIsTouchedStops(t *testing.T) {
 	t.Parallel()
-	f := newRuledFleet(t, sheetWindow)
-	frozen, healthy := f.router3("cut", nil), f.router3("whole", nil)
-	f.put("classes", twoClasses(t, 0))
-	f.serves("first", frozen, healthy)
+	f := newDocumentFleet(t, keyWindow)
+	frozen, healthy := f.startClassRouter("cut", nil), f.startClassRouter("whole", nil)
+	f.put("classes", writeClassesWithExtra(t, 0))
+	f.awaitServed("first", frozen, healthy)
 	send := func(class, tenant, key string) string {
-		a, err := client.Do(client.Platform, healthy.addr, client.Request{Class: class, Tenant: tenant, Key: key, Body: []byte(key), Timeout: 800 * time.Millisecond})
+		a, err := client.Do(client.MessagePack, healthy.addr, client.Request{Class: class, Tenant: tenant, Key: key, Body: []byte(key), Timeout: 800 * time.Millisecond})
 		if err != nil {
 			return "lost"
 		}
@@ -167,12 +167,12 @@
 	checkWhileQuiescing := func(doc string, file func(n int) string, class string, wantStopped bool, applies func(n int) bool) {
 		t.Helper()
 		for n := range 8 {
-			version, _, _ := f.doc(doc)
+			version, _, _ := f.documentState(doc)
 			version++
 			f.expect(0, "proposed", "put", doc, file(n), "--hold", "until one has it")
 			await(t, "the router has prepared the change", 20*time.Second, func() bool { return prepared(doc, version) })
 			frozen.Freeze()
-			from := healthy.Lines()
+			from := healthy.LineCount()
 			// Not by the release command: the stage lasts one lease, and the command would first have to
 			// start.
 			if r := f.g.do(statemachine.Command{Config: &configstore.Change{Op: configstore.OpRelease, Doc: doc, Version: version}}); r.Error != "" {
@@ -180,10 +180,10 @@
 			}
 			_, err := healthy.Await(2*time.Second, from, "config: nothing that is exclusive begins: turning")
 			got := send(class, "brand", fmt.Sprint(doc, "-", version, class))
-			_, stage, _ := f.doc(doc)
-			frozen.Wake()
-			f.wait(doc, version, 20*time.Second)
-			f.serves(fmt.Sprint("after ", doc, version), frozen, healthy)
+			_, stage, _ := f.documentState(doc)
+			frozen.Resume()
+			f.awaitActive(doc, version, 20*time.Second)
+			f.awaitServed(fmt.Sprint("after ", doc, version), frozen, healthy)
 			if err != nil || stage != configstore.StageQuiescing || applies != nil && !applies(n) {
 				continue
 			}
@@ -198,12 +198,12 @@
 	classes := func(effect string) string {
 		class := fmt.Sprintf(`{"name":"krog0","target":900000,"deadline":1000000,"worth":1,"effect":%q`, effect)
 		if effect == "token" {
-			class += fmt.Sprintf(`,"memory_span":%d`, sheetWindow.Microseconds())
+			class += fmt.Sprintf(`,"memory_span":%d`, keyWindow.Microseconds())
 		}
-		return write(t, "classes.json", strings.Replace(string(must[[]byte](t)(os.ReadFile(twoClasses(t, 0)))), "]}", ","+class+"}]}", 1))
+		return writeFile(t, "classes.json", strings.Replace(string(must[[]byte](t)(os.ReadFile(writeClassesWithExtra(t, 0)))), "]}", ","+class+"}]}", 1))
 	}
 	f.put("classes", classes("token"))
-	f.serves("second", frozen, healthy)
+	f.awaitServed("second", frozen, healthy)
 	awaitClass := func() { // waits until the router and the servers have the class
 		t.Helper()
 		n := 0
@@ -225,14 +225,14 @@
 		name := fmt.Sprint("c", n)
 		m.Cells = append(m.Cells, cells.Cell{Name: name, Capacity: 10})
 		m.Servers = append(append([]cells.Server(nil), m.Servers...), cells.Server{Name: "s" + name, Addr: freeAddr(t), Cell: name, Weight: 1, JoinsAt: time.Now().Add(15 * time.Second).UnixMilli()})
-		return f.write(&m)
+		return f.writeMap(&m)
 	}, "oddaja", false, nil)
 	checkWhileQuiescing("map", func(n int) string {
 		m.Version++
 		m.CallerTimeout += time.Millisecond
-		return f.write(&m)
+		return f.writeMap(&m)
 	}, "oddaja", true, nil)
-	for body, n := range f.ran() {
+	for body, n := range f.runsByBody() {
 		// The class krog0 is pure at times, and a router that still has it as pure may run a request more
 		// than once.
 		if n > 1 && !strings.Contains(body, "krog0") && !strings.HasPrefix(body, "known") {
--- a/cmd/silverpath/partsguards_test.go
+++ b/cmd/silverpath/partsguards_test.go
@@ -20,21 +20,21 @@
 // digests: it applies and stores a map that is no version of the document.
 func TestDamagedParts(t *testing.T) {
 	t.Parallel()
-	f := newRuledFleet(t, sheetWindow)
+	f := newDocumentFleet(t, keyWindow)
 	m := *f.Map
 	m.Version++
 	addIdleTenants(&m, 700)
-	f.put("map", f.write(&m))
-	var links [2][]*faults.Between
+	f.put("map", f.writeMap(&m))
+	var links [2][]*faults.Proxy
 	var states [2]string
 	var routers [2]*process
 	for i, env := range [][]string{nil, {"SILVERPATH_ANY_TEXT=1"}} {
 		var addrs []string
-		addrs, links[i] = f.ways()
+		addrs, links[i] = f.memberLinks()
 		states[i] = filepath.Join(t.TempDir(), "state.db")
 		name := fmt.Sprint("r", i)
-		routers[i] = spawnIn(t, env, "route", "--config", siteFile(t, name, ""), "--edge", write(t, name+"-edge.json", fmt.Sprintf(
-			`{"status":true,"fleet":{"state":%q,"probe_ms":100},%s}`, states[i], f.rulesPart(addrs, "map"))))
+		routers[i] = startServingWithEnv(t, env, "route", "--config", writeServerConfig(t, name, ""), "--edge", writeFile(t, name+"-edge.json", fmt.Sprintf(
+			`{"status":true,"fleet":{"state":%q,"probe_ms":100},%s}`, states[i], f.rulesSection(addrs, "map"))))
 		if _, err := routers[i].Await(10*time.Second, 0, "config: active: map 2."); err != nil {
 			t.Fatal(err)
 		}
@@ -42,7 +42,7 @@
 	damageAfter := func(text string) {
 		for _, list := range links {
 			for _, w := range list {
-				w.Set(faults.Back, faults.Fate{Spoil: text})
+				w.SetFault(faults.ToClient, faults.Fault{CorruptAfter: text})
 			}
 		}
 	}
@@ -53,7 +53,7 @@
 	for i := range 5 {
 		next.Tenants[100+i].Rate = 3
 	}
-	f.expect(0, "version 3 proposed", "put", "map", f.write(&next))
+	f.expect(0, "version 3 proposed", "put", "map", f.writeMap(&next))
 	if _, err := routers[0].Await(10*time.Second, 0, "config: map: what came does not follow"); err != nil {
 		t.Fatal(err)
 	}
@@ -70,11 +70,11 @@
 	if prepared("r0") {
 		t.Error("the router that compares digests reports the damaged change as prepared")
 	}
-	if active, stage, waitingFor := f.doc("map"); active != 2 || stage != configstore.StageProposed {
+	if active, stage, waitingFor := f.documentState("map"); active != 2 || stage != configstore.StageProposed {
 		t.Errorf("version %d is in force, the next one is in stage %s and waits for %s", active, stage, waitingFor)
 	}
 	damageAfter("")
-	f.wait("map", 3, 60*time.Second)
+	f.awaitActive("map", 3, 60*time.Second)
 	for i, p := range routers {
 		if _, err := p.Await(20*time.Second, 0, "config: active: map 3."); err != nil {
 			t.Fatal(err)
--- a/cmd/silverpath/quorum.go
+++ b/cmd/silverpath/quorum.go
@@ -92,9 +92,9 @@
 	return e.Encode(v)
 }
 
-// runMember replaces this process by silverpath-quorum, which is in the folder of this program. It is a separate program so that
-// servers and routers do not link its code. Tests replace runMember by a call, as the test binary contains both programs.
-var runMember = func(args ...string) error {
+// runQuorumProgram replaces this process by silverpath-quorum, which is in the folder of this program. It is a separate program so that
+// servers and routers do not link its code. Tests replace runQuorumProgram by a call, as the test binary contains both programs.
+var runQuorumProgram = func(args ...string) error {
 	self, err := os.Executable()
 	if err != nil {
 		return err
@@ -112,7 +112,7 @@
 	var g quorum.Client
 	var within time.Duration
 	cmd := &cobra.Command{Use: "quorum", Short: "Run a member of the group that agrees on the fleet's work: see docs/quorum.md", Args: cobra.NoArgs,
-		RunE: func(*cobra.Command, []string) error { return runMember("member", "--config", config) }}
+		RunE: func(*cobra.Command, []string) error { return runQuorumProgram("member", "--config", config) }}
 	cmd.Flags().StringVar(&config, "config", "deploy/quorum.json", "settings of the member")
 	groupFlags(cmd, &g, &within)
 	terms := lease.Terms{}
@@ -122,7 +122,7 @@
 				return err
 			}
 			return withGroupTimeout(&g, within, func(ctx context.Context) error {
-				f, err := g.Found(ctx, terms)
+				f, err := g.CreateGroup(ctx, terms)
 				if err == nil {
 					fmt.Fprintf(c.OutOrStdout(), "group %s, number %s, of %d members\n", f.Group, f.ID(), len(f.Members))
 				}
@@ -152,7 +152,7 @@
 	status.Flags().BoolVar(&asJSON, "json", false, "print JSON")
 	var dir string
 	try := &cobra.Command{Use: "try", Short: "Run a whole group of three in one process, to look at", Args: cobra.NoArgs,
-		RunE: func(*cobra.Command, []string) error { return runMember("try", "--dir", dir) }}
+		RunE: func(*cobra.Command, []string) error { return runQuorumProgram("try", "--dir", dir) }}
 	try.Flags().StringVar(&dir, "dir", "", "a folder that lasts (default: one that does not)")
 	cmd.AddCommand(found, add, remove, status, try)
 	return cmd
--- a/cmd/silverpath/recovery_test.go
+++ b/cmd/silverpath/recovery_test.go
@@ -17,18 +17,18 @@
 	"silverpath/internal/transport/client"
 )
 
-// alive configures heartbeats that are valid for the given time, and optionally a store.
-func (d *durable) alive(valid time.Duration, withStore bool) {
+// configureHeartbeat configures heartbeats that are valid for the given time, and optionally a store.
+func (d *durableService) configureHeartbeat(valid time.Duration, withStore bool) {
 	parts := []string{fmt.Sprintf(`"life":{"file":%q,"valid_ms":%d}`, filepath.Join(filepath.Dir(d.dir), "life"), valid.Milliseconds())}
 	if withStore {
 		parts = append(parts, fmt.Sprintf(`"store":{"dir":%q,"size_mb":8}`, d.dir))
 	}
-	d.Args = []string{"--edge", write(d.t, "edge.json", "{"+strings.Join(parts, ",")+"}")}
+	d.Args = []string{"--edge", writeFile(d.t, "edge.json", "{"+strings.Join(parts, ",")+"}")}
 }
 
 // recoveryState returns the recovery state of the process, the conditions that it waits for, and the states
 // that it has passed through.
-func (d *durable) recoveryState() (state string, waits map[string]bool, steps []string) {
+func (d *durableService) recoveryState() (state string, waits map[string]bool, steps []string) {
 	var s struct {
 		Recovery struct {
 			State string
@@ -36,7 +36,7 @@
 			Steps []struct{ State string }
 		}
 	}
-	text, err := client.Status(client.Platform, d.Addr)
+	text, err := client.Status(client.MessagePack, d.Addr)
 	if err == nil {
 		err = json.Unmarshal(text, &s)
 	}
@@ -55,7 +55,7 @@
 
 // awaitRecovered waits until the recovery is complete, and returns its duration from the start of the
 // process, as the process logs it.
-func (d *durable) awaitRecovered(g *benchmarks.Generation) time.Duration {
+func (d *durableService) awaitRecovered(g *benchmarks.Generation) time.Duration {
 	d.t.Helper()
 	text, err := g.TextAfter(20*time.Second, "recovery: full after ")
 	if err != nil {
@@ -69,11 +69,11 @@
 }
 
 // startBeforeLoad starts the service and waits until it is ready, but not until its store is loaded.
-func (d *durable) startBeforeLoad(env ...string) *benchmarks.Generation {
+func (d *durableService) startBeforeLoad(env ...string) *benchmarks.Generation {
 	d.t.Helper()
 	d.Env = env
 	g := d.Start()
-	g.Ready(d.t)
+	g.AwaitReady(d.t)
 	return g
 }
 
@@ -82,10 +82,10 @@
 // disk of another machine and with a torn heartbeat file it counts from the start of the process.
 func TestWindowCountsFromTheLastHeartbeat(t *testing.T) {
 	t.Parallel()
-	d := newDurable(t)
+	d := newDurableService(t)
 	d.span = 500 * time.Millisecond // gives a window of 3.55 s
 	const window = 3550 * time.Millisecond
-	d.alive(400*time.Millisecond, false)
+	d.configureHeartbeat(400*time.Millisecond, false)
 	boot := "SILVERPATH_BOOT=one 1h m1"
 	g := d.startBeforeLoad(boot)
 	if _, err := g.Await(5*time.Second, 0, "recovery: reads after "); err != nil {
@@ -94,10 +94,10 @@
 	if state, waits, _ := d.recoveryState(); state != "reads" || !waits["window"] || len(waits) != 1 {
 		t.Errorf("first start: state %s, waits for %v; want state reads and only the window", state, waits)
 	}
-	if a := d.ask("early", "early"); a.Outcome != "failed" {
+	if a := d.sendAttempt("early", "early"); a.Outcome != "failed" {
 		t.Errorf("request that may have run before the start: got %s, want failed", a.Outcome)
 	}
-	if a, err := client.Do(client.Platform, d.Addr, client.Request{Class: "krog", Body: []byte("x"), Timeout: time.Second}); err != nil || a.Outcome != "served" {
+	if a, err := client.Do(client.MessagePack, d.Addr, client.Request{Class: "krog", Body: []byte("x"), Timeout: time.Second}); err != nil || a.Outcome != "served" {
 		t.Errorf("read during recovery: got %s, %v", a.Outcome, err)
 	}
 	if took := d.awaitRecovered(g); took < window*9/10 {
@@ -134,9 +134,9 @@
 	for _, unchecked := range []bool{false, true} {
 		t.Run(fmt.Sprint(unchecked), func(t *testing.T) {
 			t.Parallel()
-			d := newDurable(t)
+			d := newDurableService(t)
 			d.span = 500 * time.Millisecond
-			d.alive(400*time.Millisecond, false)
+			d.configureHeartbeat(400*time.Millisecond, false)
 			var env []string
 			if unchecked {
 				env = []string{"SILVERPATH_UNSIGNED=1"}
@@ -145,14 +145,14 @@
 			d.awaitRecovered(g)
 			d.setDiskFault("sign input/output error")
 			time.Sleep(4200 * time.Millisecond)
-			a := d.ask("late", "late")
+			a := d.sendAttempt("late", "late")
 			if !unchecked && (a.Outcome != "refused" || d.Runs()["late"] != 0) {
 				t.Errorf("request without a durable heartbeat: got %s, want refused and no run", a.Outcome)
 			}
 			g.Kill()
 			d.setDiskFault("")
 			d.startBeforeLoad()
-			for end := time.Now().Add(6 * time.Second); d.ask("late", "late").Outcome != "served"; time.Sleep(50 * time.Millisecond) {
+			for end := time.Now().Add(6 * time.Second); d.sendAttempt("late", "late").Outcome != "served"; time.Sleep(50 * time.Millisecond) {
 				if time.Now().After(end) {
 					t.Fatal("the request is not served within 6 s of the restart")
 				}
@@ -168,14 +168,14 @@
 // runs new requests at once.
 func TestPowerComesBackToAStore(t *testing.T) {
 	t.Parallel()
-	d := newDurable(t)
-	d.alive(time.Second, true)
-	g := d.up("SILVERPATH_BOOT=one 1h m1")
+	d := newDurableService(t)
+	d.configureHeartbeat(time.Second, true)
+	g := d.startLoaded("SILVERPATH_BOOT=one 1h m1")
 	d.awaitRecovered(g)
 	served := d.serveNew("before", 10)
 	for i, boot := range []string{"two 1s m1", "three 1s m1", "four 500h m2"} {
 		g.Kill()
-		g = d.up("SILVERPATH_BOOT=" + boot)
+		g = d.startLoaded("SILVERPATH_BOOT=" + boot)
 		if w := d.checkRetries(served); len(w) > 0 {
 			t.Error(boot, w)
 		}
@@ -207,9 +207,9 @@
 // shows the recovery state of each process.
 func TestWholeFleetComesBack(t *testing.T) {
 	t.Parallel()
-	f := newFleetWith(t, sheetWindow, `{"cell":true}`)
+	f := newFleetWithEdge(t, keyWindow, `{"cell":true}`)
 	dirs := map[string]string{}
-	for _, name := range f.names {
+	for _, name := range f.serverNames {
 		f.servers[name].Kill()
 		dirs[name] = t.TempDir()
 		if err := idempotencystore.Init(filepath.Join(dirs[name], "keys"), name); err != nil {
@@ -218,25 +218,25 @@
 	}
 	addrs := map[string]string{}
 	up := func(name string, boot int) {
-		edge := write(t, "edge.json", fmt.Sprintf(`{"cell":true,"store":{"dir":%q,"size_mb":8},"life":{"file":%q,"valid_ms":1000}}`,
+		edge := writeFile(t, "edge.json", fmt.Sprintf(`{"cell":true,"store":{"dir":%q,"size_mb":8},"life":{"file":%q,"valid_ms":1000}}`,
 			filepath.Join(dirs[name], "keys"), filepath.Join(dirs[name], "life")))
-		args := []string{"serve", "--config", f.files[name], "--edge", edge}
+		args := []string{"serve", "--config", f.configFiles[name], "--edge", edge}
 		if addrs[name] != "" {
 			args = append(args, "--listen", addrs[name])
 		}
-		f.servers[name] = spawnIn(t, []string{fmt.Sprintf("SILVERPATH_BOOT=boot%d 1s m1", boot)}, args...)
+		f.servers[name] = startServingWithEnv(t, []string{fmt.Sprintf("SILVERPATH_BOOT=boot%d 1s m1", boot)}, args...)
 		addrs[name] = f.servers[name].addr
 	}
 	joinedAt := time.Now().Add(-time.Minute).UnixMilli()
-	for i, name := range f.names {
+	for i, name := range f.serverNames {
 		up(name, 0)
 		f.Map.Servers[i].Addr, f.Map.Servers[i].JoinsAt = addrs[name], joinedAt
 	}
 	f.Map.Tenants = append(f.Map.Tenants, cells.Tenant{Name: "other", Rate: 10, Homes: []cells.Home{{Cell: "b"}}})
-	file := f.write(f.Map)
-	routers := []*process{f.route("r1", file, ""), f.route("r2", file, "")}
+	file := f.writeMap(f.Map)
+	routers := []*process{f.startRouter("r1", file, ""), f.startRouter("r2", file, "")}
 	ask := func(tenant, key string) client.Reply {
-		a, err := client.Do(client.Platform, routers[len(key)%2].addr, client.Request{Class: "oddaja", Tenant: tenant, Key: key, Body: []byte(key), Timeout: 800 * time.Millisecond})
+		a, err := client.Do(client.MessagePack, routers[len(key)%2].addr, client.Request{Class: "oddaja", Tenant: tenant, Key: key, Body: []byte(key), Timeout: 800 * time.Millisecond})
 		if err != nil {
 			a.Outcome = "lost"
 		}
@@ -277,7 +277,7 @@
 		for _, p := range routers {
 			_ = p.Signal(syscall.SIGKILL)
 		}
-		for _, name := range f.names {
+		for _, name := range f.serverNames {
 			f.servers[name].Kill()
 		}
 		for _, p := range routers {
@@ -288,7 +288,7 @@
 		for _, role := range strings.Fields(order) {
 			switch role {
 			case "r":
-				routers = []*process{f.route(fmt.Sprint("r1", n), file, ""), f.route(fmt.Sprint("r2", n), file, "")}
+				routers = []*process{f.startRouter(fmt.Sprint("r1", n), file, ""), f.startRouter(fmt.Sprint("r2", n), file, "")}
 			case "a":
 				up("s1", n+1)
 				up("s2", n+1)
@@ -308,7 +308,7 @@
 		// One server of a cell is enough for new requests. The other one's results are available once its
 		// router has found it alive.
 		for _, router := range routers {
-			for _, name := range f.names {
+			for _, name := range f.serverNames {
 				awaitAlive(t, router, name)
 			}
 		}
@@ -325,14 +325,14 @@
 			}
 		}
 	}
-	if n := twice(f.ran()); n > 0 {
+	if n := countRunTwice(f.runsByBody()); n > 0 {
 		t.Errorf("%d requests ran twice", n)
 	}
 	var targets []string
 	for _, p := range append(routers, f.servers["s1"], f.servers["s4"]) {
 		targets = append(targets, p.addr)
 	}
-	code, out, message := run(t, "", "fleet", "status", "--at", strings.Join(targets, ",")+",127.0.0.1:1")
+	code, out, message := runCommand(t, "", "fleet", "status", "--at", strings.Join(targets, ",")+",127.0.0.1:1")
 	if code != 0 || strings.Count(out, "  full  ") != 4 || strings.Count(out, "  away  ") != 1 {
 		t.Errorf("fleet status: exit code %d, %s%s; want 4 full and 1 away", code, out, message)
 	}
@@ -343,7 +343,7 @@
 // always arrives before the first probe.
 func TestRouterAndServerAreNew(t *testing.T) {
 	t.Parallel()
-	f := newFleetWith(t, sheetWindow, `{"cell":true}`)
+	f := newFleetWithEdge(t, keyWindow, `{"cell":true}`)
 	link, err := faults.Listen(f.servers["s1"].addr, true, 1)
 	if err != nil {
 		t.Fatal(err)
@@ -351,25 +351,25 @@
 	t.Cleanup(link.Close)
 	f.Map.Cells, f.Map.Servers = f.Map.Cells[:1], f.Map.Servers[:1]
 	f.Map.Servers[0].Addr, f.Map.Servers[0].JoinsAt = link.Addr(), time.Now().Add(-time.Minute).UnixMilli()
-	file := f.write(f.Map)
-	r := f.route("r1", file, "")
-	for end := time.Now().Add(8 * time.Second); toAll(1, fmt.Sprint("first", time.Now().UnixNano()), r)["served"] == 0; {
+	file := f.writeMap(f.Map)
+	r := f.startRouter("r1", file, "")
+	for end := time.Now().Add(8 * time.Second); sendToAll(1, fmt.Sprint("first", time.Now().UnixNano()), r)["served"] == 0; {
 		if time.Now().After(end) {
 			t.Fatal("no request is served within 8 s")
 		}
 	}
-	if got := toAll(4, "before", r); got["served"] != 4 {
+	if got := sendToAll(4, "before", r); got["served"] != 4 {
 		t.Fatalf("outcomes before the restart: %v, want 4 served", got)
 	}
 	r.Kill()
 	f.servers["s1"].Kill()
-	link.Set(faults.There, faults.Fate{Of: "probe", Lost: true})
-	f.servers["s1"] = spawn(t, "serve", "--config", f.files["s1"], "--edge", f.edge, "--listen", f.servers["s1"].addr)
-	r = f.route("r2", file, "")
-	if got := toAll(4, "before", r); got["failed"] != 4 {
+	link.SetFault(faults.ToListener, faults.Fault{Match: "probe", Drop: true})
+	f.servers["s1"] = startServing(t, "serve", "--config", f.configFiles["s1"], "--edge", f.edgeFile, "--listen", f.servers["s1"].addr)
+	r = f.startRouter("r2", file, "")
+	if got := sendToAll(4, "before", r); got["failed"] != 4 {
 		t.Errorf("retries before the router knows the server's start: %v, want 4 failed", got)
 	}
-	if n := twice(f.ran()); n > 0 {
+	if n := countRunTwice(f.runsByBody()); n > 0 {
 		t.Errorf("%d requests ran twice", n)
 	}
 }
@@ -380,23 +380,23 @@
 	t.Parallel()
 	g := newGroup(t, 3)
 	g.Members[0].Kill()
-	d := newDurable(t)
-	d.alive(400*time.Millisecond, true)
-	p := d.up()
+	d := newDurableService(t)
+	d.configureHeartbeat(400*time.Millisecond, true)
+	p := d.startLoaded()
 	d.serveNew("one", 2)
 	p.Kill()
-	f := newFleet(t, sheetWindow)
+	f := newFleet(t, keyWindow)
 	state := filepath.Join(t.TempDir(), "state.db")
-	r := f.route("r1", f.write(f.Map), state)
+	r := f.startRouter("r1", f.writeMap(f.Map), state)
 	r.Kill()
 	heartbeatFile := filepath.Join(filepath.Dir(d.dir), "life")
 	for path, want := range map[string][]string{
-		g.Disk(0):     {"member of a group of q0, trusted: trusted", "of the group ", "log up to entry "},
+		g.DataDir(0):  {"member of a group of q0, trusted: trusted", "of the group ", "log up to entry "},
 		d.dir:         {"runs of keyed requests of lab, trusted: trusted", "done: 2"},
 		heartbeatFile: {"sign of life of lab, trusted: trusted", "nothing was begun for "},
 		state:         {"map of a router, trusted: once confirmed", "map version 1, 4 servers"},
 	} {
-		code, out, message := run(t, "", "recover", "inspect", path)
+		code, out, message := runCommand(t, "", "recover", "inspect", path)
 		for _, w := range want {
 			if code != 0 || !strings.Contains(out, w) {
 				t.Errorf("recover inspect %s: exit code %d, %s%s; want 0 and %q", path, code, out, message, w)
@@ -407,11 +407,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	torn := write(t, "torn", string(text[:len(text)-9]))
-	if code, out, _ := run(t, "", "recover", "inspect", torn); code != 1 || !strings.Contains(out, "trusted: never") || !strings.Contains(out, "wrong: ") {
+	torn := writeFile(t, "torn", string(text[:len(text)-9]))
+	if code, out, _ := runCommand(t, "", "recover", "inspect", torn); code != 1 || !strings.Contains(out, "trusted: never") || !strings.Contains(out, "wrong: ") {
 		t.Errorf("recover inspect of a torn heartbeat: exit code %d, %s", code, out)
 	}
-	if code, out, _ := run(t, "", "recover", "inspect", write(t, "text", "something else")); code != 1 || !strings.Contains(out, "nothing that this program writes") {
+	if code, out, _ := runCommand(t, "", "recover", "inspect", writeFile(t, "text", "something else")); code != 1 || !strings.Contains(out, "nothing that this program writes") {
 		t.Errorf("recover inspect of a foreign file: exit code %d, %s", code, out)
 	}
 }
@@ -420,15 +420,15 @@
 // requests once the disk has space again.
 func TestDiskIsFullAtTheStart(t *testing.T) {
 	t.Parallel()
-	d := newDurable(t)
-	d.alive(400*time.Millisecond, true)
-	g := d.up()
+	d := newDurableService(t)
+	d.configureHeartbeat(400*time.Millisecond, true)
+	g := d.startLoaded()
 	d.awaitRecovered(g)
 	served := d.serveNew("before", 3)
 	g.Leave(t)
 	d.setDiskFault("* no space left on device")
 	g = d.startBeforeLoad()
-	if a, err := client.Do(client.Platform, d.Addr, client.Request{Class: "krog", Body: []byte("x"), Timeout: time.Second}); err != nil || a.Outcome != "served" {
+	if a, err := client.Do(client.MessagePack, d.Addr, client.Request{Class: "krog", Body: []byte("x"), Timeout: time.Second}); err != nil || a.Outcome != "served" {
 		t.Errorf("read with a full disk: got %s, %v", a.Outcome, err)
 	}
 	for end := time.Now().Add(5 * time.Second); len(d.checkRetries(served)) > 0; time.Sleep(20 * time.Millisecond) {
@@ -436,14 +436,14 @@
 			t.Fatal("retries are not answered within 5 s")
 		}
 	}
-	if a := d.ask("new", "new"); a.Outcome == "served" || d.Runs()["new"] > 0 {
+	if a := d.sendAttempt("new", "new"); a.Outcome == "served" || d.Runs()["new"] > 0 {
 		t.Errorf("new request with a full disk: got %s, want not served and no run", a.Outcome)
 	}
 	d.setDiskFault("")
 	d.awaitRecovered(g)
 	d.serveNew("after", 3)
 	g.Kill()
-	d.up()
+	d.startLoaded()
 	if w := d.checkRetries(served); len(w) > 0 {
 		t.Error(w)
 	}
--- a/cmd/silverpath/returns.go
+++ b/cmd/silverpath/returns.go
@@ -40,7 +40,7 @@
 // readRecovery reads the recovery state of one process from its status.
 func readRecovery(addr string) recoveryReport {
 	r := recoveryReport{Addr: addr, State: "away"}
-	text, err := client.Status(client.Platform, addr)
+	text, err := client.Status(client.MessagePack, addr)
 	if err != nil {
 		r.Why = err.Error()
 		return r
--- a/cmd/silverpath/rules_test.go
+++ b/cmd/silverpath/rules_test.go
@@ -20,8 +20,8 @@
 // prevents.
 const unfencedEnv = "SILVERPATH_UNFENCED=1"
 
-// toAll sends each of n requests to all routers, one router after the other, and counts the outcomes.
-func toAll(n int, name string, routers ...*process) map[string]int {
+// sendToAll sends each of n requests to all routers, one router after the other, and counts the outcomes.
+func sendToAll(n int, name string, routers ...*process) map[string]int {
 	count := map[string]int{}
 	var mu sync.Mutex
 	var wg sync.WaitGroup
@@ -29,7 +29,7 @@
 		wg.Go(func() {
 			for _, r := range routers {
 				key := fmt.Sprintf("%s-%d", name, i)
-				a, err := client.Do(client.Platform, r.addr, client.Request{Class: "oddaja", Tenant: "brand", Key: key, Body: []byte(key), Timeout: 800 * time.Millisecond})
+				a, err := client.Do(client.MessagePack, r.addr, client.Request{Class: "oddaja", Tenant: "brand", Key: key, Body: []byte(key), Timeout: 800 * time.Millisecond})
 				if err != nil {
 					a.Outcome = "lost"
 				}
@@ -43,8 +43,8 @@
 	return count
 }
 
-// twice returns the number of requests that ran more than once.
-func twice(runs map[string]int) (n int) {
+// countRunTwice returns the number of requests that ran more than once.
+func countRunTwice(runs map[string]int) (n int) {
 	for _, count := range runs {
 		if count > 1 {
 			n++
@@ -61,7 +61,7 @@
 	Longest                         int `json:"longest_ms"`
 }) {
 	t.Helper()
-	status, err := client.Status(client.Platform, p.addr)
+	status, err := client.Status(client.MessagePack, p.addr)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -88,30 +88,30 @@
 	}{{"fenced", nil}, {"unfenced", []string{unfencedEnv}}} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			f := newFleet(t, sheetWindow, c.env...)
+			f := newFleet(t, keyWindow, c.env...)
 			other := *f.Map
 			other.Tenants = []cells.Tenant{{Name: "brand", Rate: 10, Homes: []cells.Home{{Cell: "b"}}}}
-			files := []string{f.write(f.Map), f.write(&other)}
-			one := f.route("r1", files[0], "", c.env...)
+			files := []string{f.writeMap(f.Map), f.writeMap(&other)}
+			one := f.startRouter("r1", files[0], "", c.env...)
 			if c.env == nil {
-				if got := toAll(10, "before", one); got["served"] != 10 {
+				if got := sendToAll(10, "before", one); got["served"] != 10 {
 					t.Fatalf("outcomes with one router: %v, want 10 served", got)
 				}
 			}
-			two := f.route("r2", files[1], "", c.env...)
+			two := f.startRouter("r2", files[1], "", c.env...)
 			time.Sleep(300 * time.Millisecond) // until the first router has probed its servers again
-			got := toAll(20, "both", one, two)
+			got := sendToAll(20, "both", one, two)
 			if c.env != nil {
-				if n := twice(f.ran()); n < 15 {
+				if n := countRunTwice(f.runsByBody()); n < 15 {
 					t.Errorf("without fencing %d of 20 requests ran twice, want at least 15", n)
 				}
 				return
 			}
-			if got["failed"] != 40 || twice(f.ran()) != 0 {
-				t.Errorf("outcomes with conflicting maps: %v, %d ran twice; want 40 failed, 0 twice", got, twice(f.ran()))
+			if got["failed"] != 40 || countRunTwice(f.runsByBody()) != 0 {
+				t.Errorf("outcomes with conflicting maps: %v, %d ran twice; want 40 failed, 0 twice", got, countRunTwice(f.runsByBody()))
 			}
 			// Retries of earlier requests still get their results.
-			if got := toAll(10, "before", one); got["served"] != 10 || twice(f.ran()) != 0 {
+			if got := sendToAll(10, "before", one); got["served"] != 10 || countRunTwice(f.runsByBody()) != 0 {
 				t.Errorf("retries with conflicting maps: %v, want 10 served and none run twice", got)
 			}
 			for _, p := range []*process{one, two, f.servers["s1"], f.servers["s4"]} {
@@ -130,11 +130,11 @@
 				t.Fatal(err)
 			}
 			two.Kill()
-			two = f.route("r2", files[0], "")
+			two = f.startRouter("r2", files[0], "")
 			if _, err := one.Await(3*time.Second, 0, "cells: map version 2"); err != nil {
 				t.Fatal(err)
 			}
-			if got := toAll(5, "soon", one, two); got["failed"] != 10 || mapStatus(t, two).Standing != "quiet" {
+			if got := sendToAll(5, "soon", one, two); got["failed"] != 10 || mapStatus(t, two).Standing != "quiet" {
 				t.Errorf("right after version 2: %v, %+v; want 10 failed and quiet", got, mapStatus(t, two))
 			}
 			for end := time.Now().Add(20 * time.Second); mapStatus(t, one).Standing != "good" || mapStatus(t, two).Standing != "good"; {
@@ -143,8 +143,8 @@
 				}
 				time.Sleep(50 * time.Millisecond)
 			}
-			if got := toAll(20, "after", one, two); got["served"] != 40 || twice(f.ran()) != 0 {
-				t.Errorf("outcomes with version 2: %v, %d ran twice; want 40 served, 0 twice", got, twice(f.ran()))
+			if got := sendToAll(20, "after", one, two); got["served"] != 40 || countRunTwice(f.runsByBody()) != 0 {
+				t.Errorf("outcomes with version 2: %v, %d ran twice; want 40 served, 0 twice", got, countRunTwice(f.runsByBody()))
 			}
 		})
 	}
@@ -163,12 +163,12 @@
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			f := newFleet(t, 500*time.Millisecond, c.env...)
-			files := []string{f.write(f.Map), f.write(f.Map)}
-			stale, updated := f.route("old", files[0], "", c.env...), f.route("newer", files[1], "", c.env...)
-			if got := toAll(10, "before", stale, updated); got["served"] != 20 {
+			files := []string{f.writeMap(f.Map), f.writeMap(f.Map)}
+			stale, updated := f.startRouter("old", files[0], "", c.env...), f.startRouter("newer", files[1], "", c.env...)
+			if got := sendToAll(10, "before", stale, updated); got["served"] != 20 {
 				t.Fatalf("outcomes before the move: %v, want 20 served", got)
 			}
-			if code, out, message := run(t, "", "cells", "--map", files[1], "move", "--tenant", "brand", "--to", "b"); code != 0 {
+			if code, out, message := runCommand(t, "", "cells", "--map", files[1], "move", "--tenant", "brand", "--to", "b"); code != 0 {
 				t.Fatal(out, message)
 			}
 			if _, err := updated.Await(3*time.Second, 0, "cells: map version 2"); err != nil {
@@ -178,25 +178,25 @@
 				if _, err := stale.Await(2*time.Second, 0, "config: 2.", " is newer than 1."); err != nil {
 					t.Error(err)
 				}
-				if got := toAll(5, "within", stale); got["served"] != 5 {
+				if got := sendToAll(5, "within", stale); got["served"] != 5 {
 					t.Errorf("outcomes by the old map within the lease: %v, want 5 served", got)
 				}
 			}
 			// Wait until the move is in force and the old home is no longer asked for results: two leases and
 			// the skew, then the key window, the caller timeout and twice the skew.
 			time.Sleep(2*900*time.Millisecond + 200*time.Millisecond + 500*time.Millisecond + time.Second + 400*time.Millisecond + 300*time.Millisecond)
-			got := toAll(20, "after", updated, stale)
-			restarted := f.route("again", files[0], "", c.env...)
-			gotRestarted := toAll(20, "anew", restarted, updated)
+			got := sendToAll(20, "after", updated, stale)
+			restarted := f.startRouter("again", files[0], "", c.env...)
+			gotRestarted := sendToAll(20, "anew", restarted, updated)
 			if c.env != nil {
-				if n := twice(f.ran()); n < 30 {
+				if n := countRunTwice(f.runsByBody()); n < 30 {
 					t.Errorf("without fencing %d of 40 requests ran twice, want at least 30", n)
 				}
 				return
 			}
-			if got["served"] != 20 || got["failed"] != 20 || gotRestarted["served"] != 20 || gotRestarted["failed"] != 20 || twice(f.ran()) != 0 {
+			if got["served"] != 20 || got["failed"] != 20 || gotRestarted["served"] != 20 || gotRestarted["failed"] != 20 || countRunTwice(f.runsByBody()) != 0 {
 				t.Errorf("outcomes after the lease: %v, with a restarted router: %v, %d ran twice; want 20 served and 20 failed each, 0 twice",
-					got, gotRestarted, twice(f.ran()))
+					got, gotRestarted, countRunTwice(f.runsByBody()))
 			}
 			if s := mapStatus(t, stale); s.Standing != "behind" {
 				t.Errorf("status of the router with the old map: %+v, want behind", s)
@@ -213,7 +213,7 @@
 			if _, err := stale.Await(3*time.Second, 0, "cells: map version 2"); err != nil {
 				t.Fatal(err)
 			}
-			if got := toAll(10, "healed", stale, updated); got["served"] != 20 {
+			if got := sendToAll(10, "healed", stale, updated); got["served"] != 20 {
 				t.Errorf("outcomes with the updated file: %v, want 20 served", got)
 			}
 		})
@@ -226,29 +226,29 @@
 func TestWokenRouter(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, 500*time.Millisecond)
-	file := f.write(f.Map)
-	suspended, other := f.route("woken", file, "", "SILVERPATH_STOP_ROUTED=1"), f.route("other", file, filepath.Join(t.TempDir(), "other.db"))
+	file := f.writeMap(f.Map)
+	suspended, other := f.startRouter("woken", file, "", "SILVERPATH_STOP_ROUTED=1"), f.startRouter("other", file, filepath.Join(t.TempDir(), "other.db"))
 	done := make(chan client.Reply, 1)
 	go func() {
-		a, _ := client.Do(client.Platform, suspended.addr, client.Request{Class: "oddaja", Tenant: "brand", Key: "held", Body: []byte("held"), Timeout: 20 * time.Second})
+		a, _ := client.Do(client.MessagePack, suspended.addr, client.Request{Class: "oddaja", Tenant: "brand", Key: "held", Body: []byte("held"), Timeout: 20 * time.Second})
 		done <- a
 	}()
 	if _, err := suspended.Await(3*time.Second, 0, "stopped routed"); err != nil {
 		t.Fatal(err)
 	}
-	if code, out, message := run(t, "", "cells", "--map", file, "move", "--tenant", "brand", "--to", "b"); code != 0 {
+	if code, out, message := runCommand(t, "", "cells", "--map", file, "move", "--tenant", "brand", "--to", "b"); code != 0 {
 		t.Fatal(out, message)
 	}
 	time.Sleep(5 * time.Second)
-	if got := toAll(5, "other", other); got["served"] != 5 {
+	if got := sendToAll(5, "other", other); got["served"] != 5 {
 		t.Fatalf("outcomes of the other router: %v, want 5 served", got)
 	}
-	suspended.Wake()
+	suspended.Resume()
 	if a := <-done; a.Outcome != "served" {
 		t.Errorf("request of the suspended router: %+v, want served\n%s", a, suspended.Log())
 	}
-	if runs := f.machines["s1"].Runs()["held"] + f.machines["s2"].Runs()["held"]; runs != 0 || f.ran()["held"] != 1 {
-		t.Errorf("request of the suspended router ran %d times in its old cell, %d times in all; want 0 and 1", runs, f.ran()["held"])
+	if runs := f.interpreters["s1"].Runs()["held"] + f.interpreters["s2"].Runs()["held"]; runs != 0 || f.runsByBody()["held"] != 1 {
+		t.Errorf("request of the suspended router ran %d times in its old cell, %d times in all; want 0 and 1", runs, f.runsByBody()["held"])
 	}
 }
 
@@ -259,15 +259,15 @@
 	t.Parallel()
 	f := newFleet(t, 400*time.Millisecond)
 	f.Map.Lease, f.Map.MaxClockSkew, f.Map.CallerTimeout = 400*time.Millisecond, 50*time.Millisecond, 800*time.Millisecond
-	file, states := f.write(f.Map), t.TempDir()
-	absent, present := f.route("away", file, filepath.Join(states, "away.db")), f.route("here", file, filepath.Join(states, "here.db"))
-	if got := toAll(10, "before", absent, present); got["served"] != 20 {
+	file, states := f.writeMap(f.Map), t.TempDir()
+	absent, present := f.startRouter("away", file, filepath.Join(states, "away.db")), f.startRouter("here", file, filepath.Join(states, "here.db"))
+	if got := sendToAll(10, "before", absent, present); got["served"] != 20 {
 		t.Fatalf("outcomes before the moves: %v, want 20 served", got)
 	}
 	absent.Kill()
 	move := func(to string) {
 		t.Helper()
-		if code, out, message := run(t, "", "cells", "--map", file, "move", "--tenant", "brand", "--to", to); code != 0 {
+		if code, out, message := runCommand(t, "", "cells", "--map", file, "move", "--tenant", "brand", "--to", to); code != 0 {
 			t.Fatal(out, message)
 		}
 		time.Sleep(3200 * time.Millisecond) // until the move is complete
@@ -281,7 +281,7 @@
 		if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		from := present.Lines()
+		from := present.LineCount()
 		_ = present.Signal(syscall.SIGHUP)
 		if _, err := present.Await(3*time.Second, from, "reload: done"); err != nil {
 			t.Error(err)
@@ -289,7 +289,7 @@
 		if !strings.Contains(present.Log(), "cells: the old map holds, version 3") {
 			t.Errorf("%s: the rejected map was not logged", name)
 		}
-		if got := toAll(3, name, present); got["served"] != 3 {
+		if got := sendToAll(3, name, present); got["served"] != 3 {
 			t.Errorf("%s: outcomes %v, want 3 served", name, got)
 		}
 		if err := os.WriteFile(file, []byte(newest), 0o600); err != nil {
@@ -297,14 +297,14 @@
 		}
 		_ = present.Signal(syscall.SIGHUP)
 	}
-	absent = f.route("away", file, filepath.Join(states, "away.db"))
-	if got := toAll(10, "after", absent, present); got["served"] != 20 || twice(f.ran()) != 0 {
-		t.Errorf("outcomes after the restart: %v, %d ran twice; want 20 served, 0 twice\n%s", got, twice(f.ran()), absent.Log())
+	absent = f.startRouter("away", file, filepath.Join(states, "away.db"))
+	if got := sendToAll(10, "after", absent, present); got["served"] != 20 || countRunTwice(f.runsByBody()) != 0 {
+		t.Errorf("outcomes after the restart: %v, %d ran twice; want 20 served, 0 twice\n%s", got, countRunTwice(f.runsByBody()), absent.Log())
 	}
-	if f.machines["s1"].Runs()["after-1"]+f.machines["s2"].Runs()["after-1"] != 1 {
+	if f.interpreters["s1"].Runs()["after-1"]+f.interpreters["s2"].Runs()["after-1"] != 1 {
 		t.Error("the restarted router does not use the newest map")
 	}
-	second := begin(t, []string{"route", "--config", siteFile(t, "away", ""), "--edge", write(t, "route.json", fmt.Sprintf(
+	second := startProgram(t, []string{"route", "--config", writeServerConfig(t, "away", ""), "--edge", writeFile(t, "route.json", fmt.Sprintf(
 		`{"fleet":{"map":%q,"state":%q}}`, file, filepath.Join(states, "away.db")))})
 	if err := second.Wait(); err == nil || !strings.Contains(second.Log(), "fleet.state") {
 		t.Errorf("second router on one state file: %v, want a fleet.state error: %s", err, second.Log())
--- a/cmd/silverpath/store.go
+++ b/cmd/silverpath/store.go
@@ -49,13 +49,13 @@
 
 func storeCheckCommand() *cobra.Command {
 	return storeSubcommand("check", "Read a store that no service has open, and say what stands in it", func(c *cobra.Command, dir string) error {
-		return checkStore(c, idempotencystore.FileOf(dir))
+		return checkStore(c, idempotencystore.FilePath(dir))
 	})
 }
 
 func storeDumpCommand() *cobra.Command {
 	return storeSubcommand("dump", "Print every record of a store that no service has open, a JSON object a line", func(c *cobra.Command, dir string) error {
-		return idempotencystore.Dump(idempotencystore.FileOf(dir), func(r idempotency.Record) error { return printRecord(c, r) })
+		return idempotencystore.Dump(idempotencystore.FilePath(dir), func(r idempotency.Record) error { return printRecord(c, r) })
 	})
 }
 
@@ -129,9 +129,9 @@
 		return err
 	}
 	out := c.OutOrStdout()
-	fmt.Fprintf(out, "%s: store %s of %s, format %d, %d KB\n", path, s.ID, s.Name, s.Format, s.File>>10)
+	fmt.Fprintf(out, "%s: store %s of %s, format %d, %d KB\n", path, s.ID, s.Name, s.Format, s.FileSize>>10)
 	fmt.Fprintf(out, "  whole: %v, closed in good order: %v, from the machine's present start: %v\n", s.Complete, s.ClosedCleanly, s.SameBoot)
-	fmt.Fprintf(out, "  %d records, %d KB\n", s.Records, s.Bytes>>10)
+	fmt.Fprintf(out, "  %d records, %d KB\n", s.Records, s.RecordBytes>>10)
 	for _, state := range slices.Sorted(maps.Keys(s.ByState)) {
 		fmt.Fprintf(out, "  %s: %d\n", state, s.ByState[state])
 	}
--- a/cmd/silverpath/takeover_test.go
+++ b/cmd/silverpath/takeover_test.go
@@ -31,12 +31,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return benchmarks.Inherit(t, exe, []string{"SILVERPATH_RUN=1"}, true)
+	return benchmarks.NewShared(t, exe, []string{"SILVERPATH_RUN=1"}, true)
 }
 
 // endLoad stops a load and fails the test for each violated invariant, and if fewer than 50 requests were
 // served.
-func endLoad(t *testing.T, l *benchmarks.Sheets) {
+func endLoad(t *testing.T, l *benchmarks.KeyedLoad) {
 	t.Helper()
 	for _, violation := range l.End() {
 		t.Error(violation)
@@ -51,11 +51,11 @@
 // runs twice, no attempt gets an answer that differs from the run's, and the service continues to serve.
 func TestTakeover(t *testing.T) {
 	for seed := range uint64(3) {
-		for name, scenario := range map[string]func(t *testing.T, s *benchmarks.Shared, l *benchmarks.Sheets, old *benchmarks.Generation, rng *rand.Rand){
-			"replaced three times": func(t *testing.T, s *benchmarks.Shared, l *benchmarks.Sheets, old *benchmarks.Generation, rng *rand.Rand) {
+		for name, scenario := range map[string]func(t *testing.T, s *benchmarks.Shared, l *benchmarks.KeyedLoad, old *benchmarks.Generation, rng *rand.Rand){
+			"replaced three times": func(t *testing.T, s *benchmarks.Shared, l *benchmarks.KeyedLoad, old *benchmarks.Generation, rng *rand.Rand) {
 				for range 3 {
 					next := s.Start()
-					next.Ready(t)
+					next.AwaitReady(t)
 					time.Sleep(time.Duration(rng.IntN(100)) * time.Millisecond)
 					old.Leave(t)
 					if text := next.Log(); strings.Contains(text, "not all known") || strings.Contains(text, "without a link") {
@@ -64,33 +64,33 @@
 					old = next
 				}
 			},
-			"the old one is killed": func(t *testing.T, s *benchmarks.Shared, l *benchmarks.Sheets, old *benchmarks.Generation, rng *rand.Rand) {
+			"the old one is killed": func(t *testing.T, s *benchmarks.Shared, l *benchmarks.KeyedLoad, old *benchmarks.Generation, rng *rand.Rand) {
 				next := s.Start()
 				if rng.IntN(2) == 0 {
-					next.Ready(t)
+					next.AwaitReady(t)
 				}
 				time.Sleep(time.Duration(rng.IntN(60)) * time.Millisecond)
 				old.Kill()
-				next.Ready(t)
+				next.AwaitReady(t)
 			},
-			"the new one is killed before it is ready": func(t *testing.T, s *benchmarks.Shared, l *benchmarks.Sheets, old *benchmarks.Generation, rng *rand.Rand) {
+			"the new one is killed before it is ready": func(t *testing.T, s *benchmarks.Shared, l *benchmarks.KeyedLoad, old *benchmarks.Generation, rng *rand.Rand) {
 				next := s.Start()
 				time.Sleep(time.Duration(rng.IntN(20)) * time.Millisecond)
 				next.Kill()
-				old.Ready(t)
+				old.AwaitReady(t)
 			},
-			"the new one is killed when it is ready": func(t *testing.T, s *benchmarks.Shared, l *benchmarks.Sheets, old *benchmarks.Generation, rng *rand.Rand) {
+			"the new one is killed when it is ready": func(t *testing.T, s *benchmarks.Shared, l *benchmarks.KeyedLoad, old *benchmarks.Generation, rng *rand.Rand) {
 				next := s.Start()
-				next.Ready(t)
+				next.AwaitReady(t)
 				time.Sleep(time.Duration(rng.IntN(60)) * time.Millisecond)
 				next.Kill()
 				third := s.Start()
-				third.Ready(t)
+				third.AwaitReady(t)
 				old.Leave(t)
 			},
-			"one stalls": func(t *testing.T, s *benchmarks.Shared, l *benchmarks.Sheets, old *benchmarks.Generation, rng *rand.Rand) {
+			"one stalls": func(t *testing.T, s *benchmarks.Shared, l *benchmarks.KeyedLoad, old *benchmarks.Generation, rng *rand.Rand) {
 				next := s.Start()
-				next.Ready(t)
+				next.AwaitReady(t)
 				stalled := []*benchmarks.Generation{old, next}[rng.IntN(2)]
 				_ = stalled.Signal(syscall.SIGSTOP)
 				time.Sleep(700 * time.Millisecond)
@@ -98,30 +98,30 @@
 				time.Sleep(100 * time.Millisecond)
 				old.Leave(t)
 			},
-			"a third starts while two live": func(t *testing.T, s *benchmarks.Shared, l *benchmarks.Sheets, old *benchmarks.Generation, rng *rand.Rand) {
+			"a third starts while two live": func(t *testing.T, s *benchmarks.Shared, l *benchmarks.KeyedLoad, old *benchmarks.Generation, rng *rand.Rand) {
 				next := s.Start()
-				next.Ready(t)
+				next.AwaitReady(t)
 				third := s.Start()
 				time.Sleep(200 * time.Millisecond)
 				if code := third.Call("GET /api/ready"); code != 503 {
 					t.Errorf("third process: readiness status %d, want 503", code)
 				}
 				old.Leave(t)
-				third.Ready(t)
+				third.AwaitReady(t)
 				next.Leave(t)
 			},
 		} {
 			t.Run(fmt.Sprint(name, " ", seed), func(t *testing.T) {
 				s := sharedService(t)
 				old := s.Start()
-				old.Ready(t)
+				old.AwaitReady(t)
 				l := s.Load(6, 3, 50*time.Millisecond, seed)
 				time.Sleep(200 * time.Millisecond)
 				scenario(t, s, l, old, rand.New(rand.NewPCG(seed, 7)))
 				time.Sleep(200 * time.Millisecond)
 				endLoad(t, l)
-				if name == "replaced three times" && (l.Unheard > 0 || l.Refused > l.Served/20) {
-					t.Errorf("%d attempts without an answer, %d refused or failed, %d served", l.Unheard, l.Refused, l.Served)
+				if name == "replaced three times" && (l.Unanswered > 0 || l.Refused > l.Served/20) {
+					t.Errorf("%d attempts without an answer, %d refused or failed, %d served", l.Unanswered, l.Refused, l.Served)
 				}
 				if left, _ := filepath.Glob(filepath.Join(s.Dir, "*.mark.*")); len(left) > 1 {
 					t.Errorf("mark files are left: %v", left)
@@ -137,7 +137,7 @@
 func TestTakeoverInACrowd(t *testing.T) {
 	s := sharedService(t)
 	old := s.Start()
-	old.Ready(t)
+	old.AwaitReady(t)
 	request := msgpackrpc.AppendRequest(nil, 1, "oddaja", make([]byte, 512), "i", "x", "k", "x", "s", "1", "d", "1000", "m", "1")
 	stop := make(chan struct{})
 	var idleClients sync.WaitGroup
@@ -184,7 +184,7 @@
 	oldAlone := maxDescriptors
 	next := s.Start()
 	sample(200*time.Millisecond, old, next)
-	next.Ready(t)
+	next.AwaitReady(t)
 	sample(500*time.Millisecond, old, next)
 	_ = old.Signal(syscall.SIGTERM)
 	sample(300*time.Millisecond, old, next)
@@ -193,12 +193,12 @@
 	endLoad(t, l)
 	close(stop)
 	idleClients.Wait()
-	t.Logf("descriptors: %d of the old process alone, at most %d of both; memory: at most %d MB; %d served, %d without an answer", oldAlone, maxDescriptors, maxMemory>>20, l.Served, l.Unheard)
+	t.Logf("descriptors: %d of the old process alone, at most %d of both; memory: at most %d MB; %d served, %d without an answer", oldAlone, maxDescriptors, maxMemory>>20, l.Served, l.Unanswered)
 	if oldAlone < 100 || maxDescriptors > 256 || maxMemory > 64<<20 && !raceEnabled {
 		t.Errorf("%d descriptors of 256, %d of the old process alone, %d MB of 64", maxDescriptors, oldAlone, maxMemory>>20)
 	}
-	if l.Unheard > 0 {
-		t.Errorf("%d attempts without an answer", l.Unheard)
+	if l.Unanswered > 0 {
+		t.Errorf("%d attempts without an answer", l.Unanswered)
 	}
 }
 
@@ -230,9 +230,9 @@
 			addrs[0], addrs[1]), 1)
 	}
 	old := s.Start()
-	old.Ready(t)
+	old.AwaitReady(t)
 	next := s.Start()
-	next.Ready(t)
+	next.AwaitReady(t)
 	for _, oldExits := range []bool{false, true} {
 		if oldExits {
 			old.Leave(t)
@@ -257,7 +257,7 @@
 		return strings.Replace(text, `"stop_ms":1000`, `"stop_ms":3700`, 1)
 	}
 	g := s.Start()
-	g.Ready(t)
+	g.AwaitReady(t)
 	_ = g.Signal(syscall.SIGTERM)
 	for !strings.Contains(g.Log(), "phase draining") {
 		time.Sleep(time.Millisecond)
@@ -265,9 +265,9 @@
 	time.Sleep(2100 * time.Millisecond) // after the drain window of 2 s, and 1.3 s before the process stops accepting
 	l := s.Load(0, 1, 1, 1)
 	began := time.Now()
-	l.Ask("late", "1")
-	if l.Unheard+l.Served > 0 || time.Since(began) > 400*time.Millisecond || s.Runs()["late"] > 0 {
-		t.Errorf("%d without an answer, %d served, answered after %v", l.Unheard, l.Served, time.Since(began))
+	l.SendAttempt("late", "1")
+	if l.Unanswered+l.Served > 0 || time.Since(began) > 400*time.Millisecond || s.Runs()["late"] > 0 {
+		t.Errorf("%d without an answer, %d served, answered after %v", l.Unanswered, l.Served, time.Since(began))
 	}
 	g.Leave(t)
 }
@@ -277,13 +277,13 @@
 func TestBadFilesUnderLoad(t *testing.T) {
 	s := sharedService(t)
 	g := s.Start()
-	g.Ready(t)
+	g.AwaitReady(t)
 	data, err := os.ReadFile(g.File)
 	if err != nil {
 		t.Fatal(err)
 	}
 	good := string(data)
-	bad := benchmarks.Without(good)
+	bad := benchmarks.WithoutEachKey(good)
 	if len(bad) < 25 {
 		t.Fatalf("%d variants with a missing key, want at least 25", len(bad))
 	}
@@ -323,8 +323,8 @@
 	}
 	reload(strings.Replace(good, `"worth":3`, `"worth":4`, 1), "reload: done", 1)
 	endLoad(t, l)
-	if l.Unheard > 0 {
-		t.Errorf("%d attempts without an answer", l.Unheard)
+	if l.Unanswered > 0 {
+		t.Errorf("%d attempts without an answer", l.Unanswered)
 	}
 	g.Leave(t)
 }
--- a/cmd/silverpath/wire_golden_test.go
+++ b/cmd/silverpath/wire_golden_test.go
@@ -456,13 +456,13 @@
 // optional edge file.
 func startWireServer(t *testing.T, config, below, edge string) *process {
 	t.Helper()
-	path := write(t, "wire.json", fmt.Sprintf(`{"name":"n7","seed":"c0ffee","stop_ms":4000,"listen":"127.0.0.1:0",`+
+	path := writeFile(t, "wire.json", fmt.Sprintf(`{"name":"n7","seed":"c0ffee","stop_ms":4000,"listen":"127.0.0.1:0",`+
 		`"limits":{"memory_mb":64,"sockets":256},%s,`+wireSettings+`}`, config, below))
 	args := []string{"serve", "--config", path}
 	if edge != "" {
-		args = append(args, "--edge", write(t, "edge.json", edge))
+		args = append(args, "--edge", writeFile(t, "edge.json", edge))
 	}
-	return spawn(t, args...)
+	return startServing(t, args...)
 }
 
 // awaitText waits for a text in the log of a process and returns what follows it.
@@ -890,12 +890,12 @@
 			conn.Write(answer)
 		}
 	})
-	site := write(t, "router.json", fmt.Sprintf(`{"name":"rt","seed":"c0ffee","stop_ms":4000,"listen":"127.0.0.1:0",`+
+	site := writeFile(t, "router.json", fmt.Sprintf(`{"name":"rt","seed":"c0ffee","stop_ms":4000,"listen":"127.0.0.1:0",`+
 		`"limits":{"memory_mb":64,"sockets":256},`+wireSettings+`}`, "none"))
-	cells := write(t, "cells.json", fmt.Sprintf(`{"version":1,"window_ms":30000,"skew_ms":100,"lease_ms":1000,"patience_ms":1000,
+	cells := writeFile(t, "cells.json", fmt.Sprintf(`{"version":1,"window_ms":30000,"skew_ms":100,"lease_ms":1000,"patience_ms":1000,
  "cells":[{"name":"a","capacity":40}],"servers":[{"name":"s1","addr":%q,"cell":"a"}],
  "tenants":[{"name":"kvizmojster","rate":60,"homes":[{"cell":"a"}]},{"name":"","rate":0,"homes":[{"cell":"a"}]}]}`, addr))
-	p := spawn(t, "route", "--config", site, "--edge", write(t, "route.json", fmt.Sprintf(
+	p := startServing(t, "route", "--config", site, "--edge", writeFile(t, "route.json", fmt.Sprintf(
 		`{"status":true,"fleet":{"map":%q,"probe_ms":100,"retries":0,"hedges":0}}`, cells)))
 	if _, err := p.Await(30*time.Second, 0, "recovery: full"); err != nil {
 		t.Fatal(err)
--- a/docs/results/embed.go
+++ b/docs/results/embed.go
@@ -15,15 +15,15 @@
 // The files with measurements by fleet size: Scale for the current program, and Was for the program before documents were
 // replicated in parts.
 const (
-	Scale = "scale.json"
-	Was   = "scale-was.json"
+	Scale            = "scale.json"
+	ScaleBeforeParts = "scale-was.json"
 )
 
 // Read returns the measurements in an embedded file. If Was is missing, it returns those in Scale instead. It returns an error
 // if the file doesn't exist or is invalid.
 func Read(name string) (capacity.Results, error) {
 	data, err := files.ReadFile(name)
-	if err != nil && name == Was {
+	if err != nil && name == ScaleBeforeParts {
 		name = Scale
 		data, err = files.ReadFile(name)
 	}
--- a/golden_test.go
+++ b/golden_test.go
@@ -73,7 +73,7 @@
 func (p *twoPools) Moved(_ time.Duration, id, class string, to silverpath.Place) {
 	p.recorder.record("moved %s %s %d", id, class, to)
 	p.places[id], p.isRead[id] = to, class == "read"
-	if to == silverpath.PlaceOver {
+	if to == silverpath.PlaceFinished {
 		delete(p.places, id)
 	}
 }
@@ -96,7 +96,7 @@
 	return p.count(silverpath.PlaceOnCores, class == "read") < p.Concurrency(class)
 }
 func (p *twoPools) Admits(class string) bool {
-	return class != "read" || p.count(silverpath.PlaceWaiting, true) < 8
+	return class != "read" || p.count(silverpath.PlaceQueued, true) < 8
 }
 func (p *twoPools) Concurrency(class string) float64 {
 	if class == "read" {
@@ -159,7 +159,7 @@
 	t.Helper()
 	switch r.now {
 	case time.Second:
-		r.shedder.Started(r.now, 300*time.Millisecond, true)
+		r.shedder.RunnerStarted(r.now, 300*time.Millisecond, true)
 	case 2 * time.Second, 9 * time.Second:
 		set := r.set
 		set.Cores, set.MemoryKB, set.Servers = set.Cores+1, set.MemoryKB*0.9, set.Servers/2
--- a/internal/builtinworker/interpreter.go
+++ b/internal/builtinworker/interpreter.go
@@ -20,11 +20,11 @@
 
 // Fault is a temporary change of the machine. Fields that are 0 change nothing.
 type Fault struct {
-	At, For time.Duration // start, counted from Play, and duration; For 0: permanent
-	Speed   float64       // factor on the speed
-	Knee    float64       // factor on the knee
-	Memory  float64       // share of the memory in use in addition to the booked one
-	Cut     bool          // close the connection to the service once, at the start of the fault
+	At, For    time.Duration // start, counted from ScheduleFaults, and duration; For 0: permanent
+	Speed      float64       // factor on the speed
+	Knee       float64       // factor on the knee
+	Memory     float64       // share of the memory in use in addition to the booked one
+	Disconnect bool          // close the connection to the service once, at the start of the fault
 }
 
 // Config configures an interpreter.
@@ -33,7 +33,7 @@
 	Cores          int
 	Shape          Shape
 	Classes        map[string]Class
-	Other          Class         // for classes that are not in Classes
+	DefaultClass   Class         // for classes that are not in Classes
 	ReadWork       time.Duration // work of reading one request; 0: reading takes no time
 	MemoryKB       float64
 	RunFactor      float64 // memory of a run as a multiple of the memory of its queued request
@@ -143,8 +143,8 @@
 // elapsed returns the time since the start, which is the clock of the machine.
 func (i *Interpreter) elapsed() time.Duration { return time.Since(i.startedAt) }
 
-// Play schedules a script of faults and returns at once.
-func (i *Interpreter) Play(script []Fault) {
+// ScheduleFaults schedules a script of faults and returns at once.
+func (i *Interpreter) ScheduleFaults(script []Fault) {
 	for _, fault := range script {
 		time.AfterFunc(fault.At, func() { i.applyFault(fault, true) })
 		if fault.For > 0 {
@@ -171,14 +171,14 @@
 	}
 	if begins {
 		i.faultMemory += fault.Memory
-		if fault.Cut && i.conn != nil {
+		if fault.Disconnect && i.conn != nil {
 			i.conn.Close()
 		}
 	} else {
 		i.faultMemory -= fault.Memory
 	}
 	i.advance()
-	i.machine.Reshape(i.elapsed(), shape)
+	i.machine.SetShape(i.elapsed(), shape)
 	i.setTimer()
 }
 
@@ -464,7 +464,7 @@
 	}
 	c, known := i.cfg.Classes[class]
 	if !known {
-		c = i.cfg.Other
+		c = i.cfg.DefaultClass
 	}
 	work := c.MinWork
 	if c.MaxWork > c.MinWork {
--- a/internal/builtinworker/interpreter_test.go
+++ b/internal/builtinworker/interpreter_test.go
@@ -23,7 +23,7 @@
 	if ends := m.Advance(1500 * time.Millisecond); len(ends) != 1 || ends[0] != "a" {
 		t.Fatalf("ends %v", ends)
 	}
-	m.Reshape(1500*time.Millisecond, Shape{Knee: 2, Thrash: 1, Speed: 0.1})
+	m.SetShape(1500*time.Millisecond, Shape{Knee: 2, Thrash: 1, Speed: 0.1})
 	if at, _ := m.NextEnd(); at.Round(time.Millisecond) != 6500*time.Millisecond {
 		t.Fatalf("half a second of work on a machine ten times slower ends at %v, want 6.5s", at)
 	}
@@ -71,7 +71,7 @@
 // interpreter sends all notices after the last one that the service has read.
 func TestInterpreter(t *testing.T) {
 	i, err := Listen(Config{Listen: "127.0.0.1:0", Cores: 2, Shape: Shape{Knee: 2, Speed: 1}, RunFactor: 4, MemoryKB: 100,
-		Other: Class{MinWork: time.Millisecond, MaxWork: time.Millisecond}, Audit: true})
+		DefaultClass: Class{MinWork: time.Millisecond, MaxWork: time.Millisecond}, Audit: true})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -104,7 +104,7 @@
 	if why, peak := i.Failure(); why != "" || peak > 0.41 || peak < 0.09 {
 		t.Errorf("failure %q, peak memory %v", why, peak)
 	}
-	i.Play([]Fault{{Memory: 2, Knee: 0.5}})
+	i.ScheduleFaults([]Fault{{Memory: 2, Knee: 0.5}})
 	for deadline := time.Now().Add(10 * time.Second); ; time.Sleep(time.Millisecond) {
 		if why, _ := i.Failure(); strings.HasPrefix(why, "memory") && i.Knee() == 1 {
 			break
--- a/internal/builtinworker/machine.go
+++ b/internal/builtinworker/machine.go
@@ -43,8 +43,8 @@
 	return &Machine{shape: shape, remainingWork: map[string]float64{}, cores: float64(cores)}
 }
 
-// Reshape changes the shape of the machine at the given time.
-func (m *Machine) Reshape(now time.Duration, shape Shape) {
+// SetShape changes the shape of the machine at the given time.
+func (m *Machine) SetShape(now time.Duration, shape Shape) {
 	m.accrueWork(now)
 	m.shape = shape
 }
--- a/internal/controlplane/command/executor.go
+++ b/internal/controlplane/command/executor.go
@@ -69,7 +69,7 @@
 
 // learnEpoch asks the group for the epoch and step of a duty that the file has no entry for. It does nothing for other duties.
 func (x *Executor) learnEpoch(duty string) error {
-	if x.file.Knows(duty) {
+	if x.file.CanCheck(duty) {
 		return nil
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), learnEpochTimeout)
--- a/internal/controlplane/configwatch/configwatch.go
+++ b/internal/controlplane/configwatch/configwatch.go
@@ -59,10 +59,10 @@
 // DisabledGuards disables guards of the replica. Rate is the speed of the process's clock relative to real time. Wall is
 // its wall clock.
 var (
-	Formats        map[string]int
-	DisabledGuards configstore.DisabledGuards
-	Rate           = 1.0
-	Wall           = time.Now
+	FormatOverrides map[string]int
+	DisabledGuards  configstore.DisabledGuards
+	ClockRate       = 1.0
+	WallClock       = time.Now
 )
 
 const (
@@ -98,7 +98,7 @@
 	formats := map[string]int{}
 	for name, doc := range cfg.Documents {
 		formats[name] = doc.Format
-		if format, overridden := Formats[name]; overridden {
+		if format, overridden := FormatOverrides[name]; overridden {
 			formats[name] = format
 		}
 	}
@@ -119,7 +119,7 @@
 
 // clock returns the time since the start by the process's monotonic clock.
 func (w *Watcher) clock() time.Duration {
-	return time.Duration(float64(time.Since(w.startedAt)) * Rate)
+	return time.Duration(float64(time.Since(w.startedAt)) * ClockRate)
 }
 
 // Run polls the group until the context ends, and fetches missing parts between polls.
--- a/internal/controlplane/configwatch/sync.go
+++ b/internal/controlplane/configwatch/sync.go
@@ -19,7 +19,7 @@
 		Process: w.replica.Report(), HasVersions: w.replica.KnownVersions(), BaseVersions: w.replica.CompleteVersions(),
 		ActiveVersions: w.replica.ActiveVersions(), StopReason: w.StopReason(),
 	}
-	sentAt := requestTime{clock: w.clock(), wall: Wall(), at: time.Now()}
+	sentAt := requestTime{clock: w.clock(), wall: WallClock(), at: time.Now()}
 	w.mu.Unlock()
 	if w.cfg.Goodput != nil {
 		request.Load = w.cfg.Goodput()
@@ -66,7 +66,7 @@
 	w.paused.Store(&pausedScopes)
 	confirmedUntil := w.replica.ConfirmedUntil()
 	// The leader read its clock between the request and now, so this is a lower bound of the difference.
-	skew := max(0, time.UnixMilli(reply.Wall).Sub(Wall()), sentAt.wall.Sub(time.UnixMilli(reply.Wall))-time.Millisecond)
+	skew := max(0, time.UnixMilli(reply.Wall).Sub(WallClock()), sentAt.wall.Sub(time.UnixMilli(reply.Wall))-time.Millisecond)
 	w.observedSkew = max(w.observedSkew, skew)
 	w.mu.Unlock()
 	w.logError(nil)
--- a/internal/controlplane/quorum/member/config.go
+++ b/internal/controlplane/quorum/member/config.go
@@ -45,7 +45,7 @@
 // recordProcess proposes a process's report if it has new information, and confirms leadership otherwise. It calls respond after that, or
 // reply with an error if the report was rejected.
 func (m *Member) recordProcess(process configstore.Process, respond func(ok bool), reply replyFunc) error {
-	if !m.state.Config.HasNews(process) {
+	if !m.state.Config.NeedsRecording(process) {
 		return m.confirmLeadership(respond)
 	}
 	change := configstore.Change{Op: configstore.OpReport, Process: &process}
@@ -110,7 +110,7 @@
 			reply(msgpackrpc.CallResult{Error: quorum.CodeUnknownOutcome})
 			return
 		}
-		b, err := json.Marshal(quorum.ConfigView{Store: m.state.Config.Summary(), Reports: m.processMonitor.Reports(m.clock()), Terms: m.state.Terms, Wall: time.Now().UnixMilli(), GrantedQuota: m.quotaLedger.LentRatios(m.clock())})
+		b, err := json.Marshal(quorum.ConfigView{Store: m.state.Config.Summary(), Reports: m.processMonitor.Reports(m.clock()), Terms: m.state.Terms, Wall: time.Now().UnixMilli(), GrantedQuota: m.quotaLedger.GrantedRatios(m.clock())})
 		if err != nil {
 			reply(errorReply(quorum.CodeRefused, "%v", err))
 			return
--- a/internal/controlplane/quorum/member/config_change.go
+++ b/internal/controlplane/quorum/member/config_change.go
@@ -77,7 +77,7 @@
 	if document == nil {
 		document = &configstore.Document{Name: c.Doc}
 	}
-	changed, err := document.DraftedParts(*c)
+	changed, err := document.ProposedParts(*c)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/controlplane/quorum/member/config_parts_test.go
+++ b/internal/controlplane/quorum/member/config_parts_test.go
@@ -63,7 +63,7 @@
 	})
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
-	if _, err := g.Found(ctx, lease.Terms{TTL: ttl, Drift: 0.05}); err != nil {
+	if _, err := g.CreateGroup(ctx, lease.Terms{TTL: ttl, Drift: 0.05}); err != nil {
 		t.Fatal(err)
 	}
 	return g
@@ -77,10 +77,10 @@
 		g.t.Fatal(err)
 	}
 	discard := log.New(io.Discard, "", 0)
-	server := msgpackrpc.NewCallServer(Name, g.stats[i], m.Answer)
+	server := msgpackrpc.NewCallServer(ListenerName, g.stats[i], m.HandleCall)
 	var mu sync.Mutex
 	var conns []net.Conn
-	ln, err := listener.Listen(Name, g.addrs[i], maxConnections, func() time.Duration { return time.Minute }, func(conn net.Conn, slot *listener.Slot) {
+	ln, err := listener.Listen(ListenerName, g.addrs[i], maxConnections, func() time.Duration { return time.Minute }, func(conn net.Conn, slot *listener.Slot) {
 		mu.Lock()
 		conns = append(conns, conn)
 		mu.Unlock()
--- a/internal/controlplane/quorum/member/golden_test.go
+++ b/internal/controlplane/quorum/member/golden_test.go
@@ -263,7 +263,7 @@
 	must(err)
 	_, err = client.Parts(ctx, configstore.PartsRequest{Doc: "map", Version: 2, Names: []string{"top"}})
 	must(err)
-	bootstrap, err := client.Found(ctx, lease.Terms{TTL: 3 * time.Second, Drift: 0.05})
+	bootstrap, err := client.CreateGroup(ctx, lease.Terms{TTL: 3 * time.Second, Drift: 0.05})
 	must(err)
 	if bootstrap.Members[0].Addr = "127.0.0.1:1"; bootstrap.ID() != "c569c19268c18732" {
 		t.Errorf("ID of a group with the same first members changed to %s", bootstrap.ID())
@@ -318,8 +318,8 @@
 		t.Fatal(err)
 	}
 	ln.Close()
-	server := msgpackrpc.NewCallServer(Name, counters, m.Answer)
-	callListener, err := listener.Listen(Name, addr, maxConnections, func() time.Duration { return time.Minute }, server.Serve, log.New(io.Discard, "", 0), counters)
+	server := msgpackrpc.NewCallServer(ListenerName, counters, m.HandleCall)
+	callListener, err := listener.Listen(ListenerName, addr, maxConnections, func() time.Duration { return time.Minute }, server.Serve, log.New(io.Discard, "", 0), counters)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/controlplane/quorum/member/main.go
+++ b/internal/controlplane/quorum/member/main.go
@@ -49,7 +49,7 @@
 // the settings cannot be used, or if the member stops because its disk is no longer reliable.
 func Run(cfg settings.Quorum, signals <-chan os.Signal, out io.Writer) error {
 	debug.SetMemoryLimit(memoryLimit)
-	logger := Logger(out, cfg.JSON)
+	logger := Logger(out, cfg.JSONLog)
 	counters := &metrics.Counters{}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -156,8 +156,8 @@
 	if err != nil {
 		return nil, nil, fmt.Errorf("member.dir: %w", err)
 	}
-	server := msgpackrpc.NewCallServer(Name, counters, m.Answer)
-	ln, err := listener.Listen(Name, cfg.Member.Listen, maxConnections, func() time.Duration { return time.Minute }, server.Serve,
+	server := msgpackrpc.NewCallServer(ListenerName, counters, m.HandleCall)
+	ln, err := listener.Listen(ListenerName, cfg.Member.Listen, maxConnections, func() time.Duration { return time.Minute }, server.Serve,
 		log.New(logger, "", 0), counters)
 	if err != nil {
 		return nil, nil, errors.Join(fmt.Errorf("member.listen: %w", err), m.Close())
--- a/internal/controlplane/quorum/member/member.go
+++ b/internal/controlplane/quorum/member/member.go
@@ -33,8 +33,8 @@
 	"silverpath/internal/policy/statemachine"
 )
 
-// Name identifies a member's listener in counters and log lines.
-const Name = "group"
+// ListenerName identifies a member's listener in counters and log lines.
+const ListenerName = "group"
 
 // Config configures a member.
 type Config struct {
--- a/internal/controlplane/quorum/member/program.go
+++ b/internal/controlplane/quorum/member/program.go
@@ -123,7 +123,7 @@
 	defer group.Close()
 	for range trialBootstrapAttempts {
 		ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
-		_, err = group.Found(ctx, lease.Terms{TTL: 3 * time.Second, Drift: 0.05})
+		_, err = group.CreateGroup(ctx, lease.Terms{TTL: 3 * time.Second, Drift: 0.05})
 		cancel()
 		if err == nil {
 			return nil
--- a/internal/controlplane/quorum/member/quota.go
+++ b/internal/controlplane/quorum/member/quota.go
@@ -78,7 +78,7 @@
 	if !m.updateLedger(d.Active) {
 		return nil
 	}
-	grant, ok := m.quotaLedger.Lend(m.clock(), request.Process.Name, *request.Quota)
+	grant, ok := m.quotaLedger.Grant(m.clock(), request.Process.Name, *request.Quota)
 	if !ok {
 		m.stats.Inc("rules", "no_share")
 		return nil
--- a/internal/controlplane/quorum/member/requests.go
+++ b/internal/controlplane/quorum/member/requests.go
@@ -22,9 +22,9 @@
 // replyFunc sends the reply to a call. It is called exactly once, by the event loop or by a goroutine that encodes a large reply.
 type replyFunc func(msgpackrpc.CallResult)
 
-// Answer starts to handle a call and returns a function that waits for its reply. The listener calls Answer for the calls of a
+// HandleCall starts to handle a call and returns a function that waits for its reply. The listener calls HandleCall for the calls of a
 // connection in the order of their arrival. The reply is CodeUnknownOutcome if the member stops or the context ends first.
-func (m *Member) Answer(ctx context.Context, call msgpackrpc.Call) func() msgpackrpc.CallResult {
+func (m *Member) HandleCall(ctx context.Context, call msgpackrpc.Call) func() msgpackrpc.CallResult {
 	if g := call.Fields["g"]; g != m.cfg.Group {
 		m.stats.Inc("group", "strangers")
 		return replyNow(msgpackrpc.CallResult{Error: quorum.CodeWrongGroup, Fields: []string{"why", fmt.Sprintf("this is group %q, not %q", m.cfg.Group, g)}})
@@ -134,7 +134,7 @@
 	}
 	messages, err := parseMessages(call.Body)
 	if err != nil {
-		m.stats.Inc("malformed", Name)
+		m.stats.Inc("malformed", ListenerName)
 		return errorReply(quorum.CodeRefused, "%v", err)
 	}
 	for _, message := range messages {
@@ -148,7 +148,7 @@
 // entries were lost here. The library would panic on it.
 func (m *Member) stepRaft(message *pb.Message, from uint64) {
 	if message.GetFrom() != from || message.GetTo() != m.identity.Load().ID || raft.IsLocalMsg(message.GetType()) {
-		m.stats.Inc("malformed", Name)
+		m.stats.Inc("malformed", ListenerName)
 		return
 	}
 	if last, _ := m.store.memory.LastIndex(); message.GetType() == pb.MsgHeartbeat && message.GetCommit() > last {
--- a/internal/controlplane/quorum/member/snapshot_transfer.go
+++ b/internal/controlplane/quorum/member/snapshot_transfer.go
@@ -109,7 +109,7 @@
 	}
 	checksum, offset, length := uintField(call, "s"), uintField(call, "o"), uintField(call, "l")
 	if length == 0 || length > maxSnapshotBytes || uint64(len(call.Body)) > length {
-		m.stats.Inc("malformed", Name)
+		m.stats.Inc("malformed", ListenerName)
 		return errorReply(quorum.CodeRefused, "a snapshot of %d bytes, of at most %d", length, maxSnapshotBytes)
 	}
 	if offset == 0 {
@@ -130,7 +130,7 @@
 		return errorReply(quorum.CodeRefused, "a snapshot whose checksum is wrong")
 	}
 	if err := proto.Unmarshal(incoming.received, message); err != nil || message.GetType() != pb.MsgSnap {
-		m.stats.Inc("malformed", Name)
+		m.stats.Inc("malformed", ListenerName)
 		return errorReply(quorum.CodeRefused, "no snapshot: %v", err)
 	}
 	m.stats.Inc("group", "snapshots_put_together")
--- a/internal/controlplane/quorum/membership.go
+++ b/internal/controlplane/quorum/membership.go
@@ -51,9 +51,9 @@
 	return nil
 }
 
-// Found creates a group of the client's members. It fails if one of them belongs to another group. After an error it can be called
+// CreateGroup creates a group of the client's members. It fails if one of them belongs to another group. After an error it can be called
 // again, even if some members already belong to the new group.
-func (c *Client) Found(ctx context.Context, terms lease.Terms) (Bootstrap, error) {
+func (c *Client) CreateGroup(ctx context.Context, terms lease.Terms) (Bootstrap, error) {
 	bootstrap := Bootstrap{Group: c.Group, Terms: terms}
 	for _, addr := range c.Addrs {
 		s, err := c.StatusOf(ctx, addr)
--- a/internal/controlplane/runner/golden_test.go
+++ b/internal/controlplane/runner/golden_test.go
@@ -129,8 +129,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	callServer := msgpackrpc.NewCallServer(member.Name, counters, m.Answer)
-	ln, err := listener.Listen(member.Name, addr, 64, func() time.Duration { return time.Minute }, callServer.Serve, log.New(io.Discard, "", 0), counters)
+	callServer := msgpackrpc.NewCallServer(member.ListenerName, counters, m.HandleCall)
+	ln, err := listener.Listen(member.ListenerName, addr, 64, func() time.Duration { return time.Minute }, callServer.Serve, log.New(io.Discard, "", 0), counters)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -151,7 +151,7 @@
 	})
 	foundCtx, cancelFound := context.WithTimeout(ctx, 20*time.Second)
 	defer cancelFound()
-	if _, err := client.Found(foundCtx, lease.Terms{TTL: 6 * time.Second, Drift: 0.05}); err != nil {
+	if _, err := client.CreateGroup(foundCtx, lease.Terms{TTL: 6 * time.Second, Drift: 0.05}); err != nil {
 		t.Fatal(err)
 	}
 	return client
--- a/internal/controlplane/runner/monitor.go
+++ b/internal/controlplane/runner/monitor.go
@@ -34,7 +34,7 @@
 // pollRouter polls one router and records its report. Without a valid answer nothing is recorded.
 func (r *Runner) pollRouter(router string) {
 	requestedAt := r.clock()
-	body, err := client.Status(client.Platform, router)
+	body, err := client.Status(client.MessagePack, router)
 	if err != nil {
 		return
 	}
@@ -63,7 +63,7 @@
 			// The event is monitor.alive, monitor.partly, monitor.unsure, monitor.dying or monitor.dead.
 			d.log.Info().Str("event", "monitor."+string(verdict)).Str("server", name).Send()
 		}
-		id, removal, ok := controller.GoneRequest(name, mapVersion, verdict, d.cfg.Set.DeadAfter)
+		id, removal, ok := controller.RemovalRequest(name, mapVersion, verdict, d.cfg.Set.DeadAfter)
 		if !ok || paused || previous[name] == verdict {
 			continue
 		}
@@ -92,13 +92,13 @@
 
 // submitRemoval submits a removal request to the placement duty. A request that was submitted before, with the same id, has
 // no further effect.
-func (d *duty) submitRemoval(id string, removal controller.ServerGone) error {
+func (d *duty) submitRemoval(id string, removal controller.ServerRemoval) error {
 	args, err := json.Marshal(removal)
 	if err != nil {
 		return err
 	}
 	requestCtx, cancel := context.WithTimeout(context.Background(), requestTimeout)
 	defer cancel()
-	_, err = d.cfg.Group.Do(requestCtx, statemachine.Command{Submit: &statemachine.SubmitItem{Duty: controller.PlacementDuty, ID: id, Kind: controller.KindGone, Args: args}})
+	_, err = d.cfg.Group.Do(requestCtx, statemachine.Command{Submit: &statemachine.SubmitItem{Duty: controller.PlacementDuty, ID: id, Kind: controller.KindServerRemoval, Args: args}})
 	return err
 }
--- a/internal/controlplane/runner/placement.go
+++ b/internal/controlplane/runner/placement.go
@@ -56,13 +56,13 @@
 	}
 	if item != nil && item.State == controller.Intended {
 		if plan, err := settings.ParseCells([]byte(item.Plan)); err == nil { // the controller fails an item with an unreadable plan
-			if published.Occupant, err = d.maps.Read(plan.Version); err != nil {
+			if published.VersionEntry, err = d.maps.Read(plan.Version); err != nil {
 				return controller.Action{}, err
 			}
 		}
 	}
 	d.placement.Codec = codec
-	action := d.placement.Next(j, published, uint64(epoch), Wall())
+	action := d.placement.Next(j, published, uint64(epoch), WallClock())
 	if action.Kind == controller.Publish && d.putFailures >= maxPutFailures {
 		action = controller.Action{Kind: controller.Withdraw, Version: action.Version}
 	}
--- a/internal/controlplane/runner/rollout.go
+++ b/internal/controlplane/runner/rollout.go
@@ -34,7 +34,7 @@
 		return controller.Action{}
 	}
 	if paused && item.Directive == "" {
-		item.Directive = controller.DirectPause
+		item.Directive = controller.DirectivePause
 	}
 	d.observeLoad(item)
 	return d.rollout.Next(j, uint64(epoch), servers, readiness, d.clock())
--- a/internal/controlplane/runner/runner.go
+++ b/internal/controlplane/runner/runner.go
@@ -32,15 +32,15 @@
 	Rate  float64 // speed of its clock relative to real time, for tests; 0 means 1
 }
 
-// Boundary is called at each boundary of an action. Test programs set it to stop the process there. The boundaries are:
+// BoundaryHook is called at each boundary of an action. Test programs set it to stop the process there. The boundaries are:
 //   - check: before the last check of the lease
 //   - write: after that check, before a journal entry is written
 //   - intent: the entry is written, the action is not made
 //   - act: the action is made, its outcome is not written
-var Boundary = func(duty, at string, step uint64) {}
+var BoundaryHook = func(duty, at string, step uint64) {}
 
-// Wall returns the wall clock time that maps are made with. Test programs replace it.
-var Wall = time.Now
+// WallClock returns the wall clock time that maps are made with. Test programs replace it.
+var WallClock = time.Now
 
 // requestTimeout is the timeout of a request to the group. It is longer than an election, so that a request survives a
 // change of the leader.
--- a/internal/controlplane/runner/work.go
+++ b/internal/controlplane/runner/work.go
@@ -68,7 +68,7 @@
 	if err != nil {
 		return false, err
 	}
-	clockOffset := Wall().Sub(time.UnixMilli(view.Wall)).Abs() - time.Since(requestedAt) - clockTolerance
+	clockOffset := WallClock().Sub(time.UnixMilli(view.Wall)).Abs() - time.Since(requestedAt) - clockTolerance
 	if err := view.Table.CheckHolder(d.name, d.process, epoch); err != nil {
 		return false, err
 	}
@@ -81,7 +81,7 @@
 	if err != nil || action.Kind == controller.Idle {
 		return false, err
 	}
-	Boundary(d.name, "check", j.Step)
+	BoundaryHook(d.name, "check", j.Step)
 	if !d.beginAction() {
 		return false, nil // the lease has expired, for example because the process was suspended
 	}
@@ -111,20 +111,20 @@
 func (d *duty) perform(ctx context.Context, j *controller.Journal, epoch lease.Epoch, action controller.Action) (bool, error) {
 	switch action.Kind {
 	case controller.WriteJournal:
-		Boundary(d.name, "write", j.Step)
+		BoundaryHook(d.name, "write", j.Step)
 		return true, d.writeJournal(ctx, j, epoch, action.Write)
 	case controller.Publish, controller.Withdraw:
-		Boundary(d.name, "intent", j.Step)
+		BoundaryHook(d.name, "intent", j.Step)
 		if err := d.putVersion(j, epoch, action); err != nil {
 			return false, err
 		}
-		Boundary(d.name, "act", j.Step)
+		BoundaryHook(d.name, "act", j.Step)
 		return true, nil
 	case controller.SendCommand:
 		item := j.Current()
-		Boundary(d.name, "intent", item.Step)
+		BoundaryHook(d.name, "intent", item.Step)
 		accepted := d.sendCommand(ctx, epoch, item.Step, action.Command)
-		Boundary(d.name, "act", item.Step)
+		BoundaryHook(d.name, "act", item.Step)
 		return accepted, nil
 	}
 	return false, nil
--- a/internal/core/arrival.go
+++ b/internal/core/arrival.go
@@ -119,7 +119,7 @@
 	})
 	arrival := silverpath.Request{
 		ID: t.ID, Class: t.Class, Tenant: t.Tenant, Key: t.Object, Caller: t.Caller, QueuedKB: t.MemoryKB,
-		Unread: max(0, t.readAt.Sub(t.ReceivedAt)), Deadline: max(1, c.clock()+t.Deadline.Sub(t.readAt)), Rank: t.Rank,
+		ReadDelay: max(0, t.readAt.Sub(t.ReceivedAt)), Deadline: max(1, c.clock()+t.Deadline.Sub(t.readAt)), Rank: t.Rank,
 	}
 	if t.duplicateOf != nil {
 		arrival.DuplicateOf = t.duplicateOf.requestID
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -209,7 +209,7 @@
 // then.
 func (c *Core) Started(cold bool, uptime time.Duration) {
 	c.slowStart.begin(cold, time.Now().Add(-uptime), c.settings.Load().Callers)
-	c.notifyModule(func(m *silverpath.Shedder, now time.Duration) { m.Started(now, uptime, cold) })
+	c.notifyModule(func(m *silverpath.Shedder, now time.Duration) { m.RunnerStarted(now, uptime, cold) })
 }
 
 // RunnerReady is called by the runner once it can take requests.
--- a/internal/core/peer.go
+++ b/internal/core/peer.go
@@ -137,24 +137,24 @@
 	return c.pair.coordinator.Role()
 }
 
-// Successor reports whether a successor is ready to serve.
-func (c *Core) Successor() bool {
+// SuccessorReady reports whether a successor is ready to serve.
+func (c *Core) SuccessorReady() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.pair != nil && c.pair.coordinator.SuccessorReady()
 }
 
-// PairPlaced is called by the link when this process has taken one of the two slots.
-func (c *Core) PairPlaced(startedAt int64, slot int) {
+// PairSlotTaken is called by the link when this process has taken one of the two slots.
+func (c *Core) PairSlotTaken(startedAt int64, slot int) {
 	c.updatePair(func(s *hotrestart.Coordinator) { s.SlotTaken(startedAt, slot) })
 }
 
-// PairOther is called by the link when the other slot is taken.
-func (c *Core) PairOther() { c.updatePair(func(s *hotrestart.Coordinator) { s.PeerPresent() }) }
+// PairPeerPresent is called by the link when the other slot is taken.
+func (c *Core) PairPeerPresent() { c.updatePair(func(s *hotrestart.Coordinator) { s.PeerPresent() }) }
 
-// PairAlone is called by the link when there is no other process, or when the other process has died. Marked reports whether the
+// PairPeerAbsent is called by the link when there is no other process, or when the other process has died. Marked reports whether the
 // process that started at startedAt has left a mark.
-func (c *Core) PairAlone(marked func(startedAt int64) bool) {
+func (c *Core) PairPeerAbsent(marked func(startedAt int64) bool) {
 	c.updatePair(func(s *hotrestart.Coordinator) {
 		previous := s.Role()
 		s.PeerAbsent(s.PeerStartedAt() != 0 && marked(s.PeerStartedAt()), c.windowEnd())
@@ -174,8 +174,8 @@
 	return time.Now().Add(longest + windowSlack).UnixNano()
 }
 
-// PairLinked is called with a new link. It returns the link's number for PairOut.
-func (c *Core) PairLinked() (linkID int) {
+// PairLinkUp is called with a new link. It returns the link's number for PairTakeOutbox.
+func (c *Core) PairLinkUp() (linkID int) {
 	c.updatePair(func(s *hotrestart.Coordinator) {
 		c.pair.linkID++
 		c.pair.outbox, c.pair.writeClosed, linkID = nil, false, c.pair.linkID
@@ -184,8 +184,8 @@
 	return linkID
 }
 
-// PairCut is called when the link is closed. Unread reports whether some of the other process's messages may not have been read.
-func (c *Core) PairCut(unread bool) {
+// PairLinkDown is called when the link is closed. Unread reports whether some of the other process's messages may not have been read.
+func (c *Core) PairLinkDown(unread bool) {
 	c.updatePair(func(s *hotrestart.Coordinator) {
 		c.pair.linkID++
 		c.pair.outbox = nil
@@ -223,8 +223,8 @@
 // errLinkClosed reports a link that was replaced or cannot be written to any more.
 var errLinkClosed = errors.New("restart link is replaced or closed for writing")
 
-// PairOut returns the messages to be sent on a link. It returns errLinkClosed if the link was replaced or cannot be written to.
-func (c *Core) PairOut(linkID int) ([]hotrestart.Message, error) {
+// PairTakeOutbox returns the messages to be sent on a link. It returns errLinkClosed if the link was replaced or cannot be written to.
+func (c *Core) PairTakeOutbox(linkID int) ([]hotrestart.Message, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if linkID != c.pair.linkID || c.pair.writeClosed {
--- a/internal/core/peer_test.go
+++ b/internal/core/peer_test.go
@@ -53,7 +53,7 @@
 	w.lastID++
 	proc := &process{c: c, startedAt: int64(w.lastID), attempts: map[string][]*task{}}
 	w.procs[i] = proc
-	c.PairPlaced(proc.startedAt, i)
+	c.PairSlotTaken(proc.startedAt, i)
 	c.RunnerReady()
 	w.checkPeerSlot(i)
 }
@@ -66,7 +66,7 @@
 	}
 	if w.procs[1-i] != nil {
 		proc.toldAlone = false
-		proc.c.PairOther()
+		proc.c.PairPeerPresent()
 	} else if !proc.toldAlone {
 		proc.toldAlone = true
 		w.reportPeerGone(i)
@@ -74,7 +74,7 @@
 }
 
 func (w *pairSim) reportPeerGone(i int) {
-	w.procs[i].c.PairAlone(func(startedAt int64) bool { return w.marks[startedAt] })
+	w.procs[i].c.PairPeerAbsent(func(startedAt int64) bool { return w.marks[startedAt] })
 	w.pollClaims(i)
 }
 
@@ -84,7 +84,7 @@
 	if proc == nil || !w.linked || linkID != w.linkID[i] || w.writeClosed[i] {
 		return false
 	}
-	out, err := proc.c.PairOut(linkID)
+	out, err := proc.c.PairTakeOutbox(linkID)
 	if err != nil {
 		w.t.Fatal(err)
 	}
@@ -99,7 +99,7 @@
 	w.linked, w.writeClosed = true, [2]bool{}
 	for i, proc := range w.procs {
 		w.inFlight[i] = nil
-		w.linkID[i] = proc.c.PairLinked()
+		w.linkID[i] = proc.c.PairLinkUp()
 	}
 	w.flush(0, w.linkID[0])
 	w.flush(1, w.linkID[1])
@@ -118,7 +118,7 @@
 		case errors.Is(err, hotrestart.ErrPeerReplaced):
 			w.reportPeerGone(i)
 			w.cutLink(i)
-			proc.c.PairOther()
+			proc.c.PairPeerPresent()
 		case errors.Is(err, hotrestart.ErrStaleIdentity):
 			w.cutLink(i)
 		default:
@@ -156,7 +156,7 @@
 	w.inFlight = [2][]hotrestart.Message{}
 	for i, proc := range w.procs {
 		if proc != nil {
-			proc.c.PairCut(i == by && unreadAtCutter || i == other && failed)
+			proc.c.PairLinkDown(i == by && unreadAtCutter || i == other && failed)
 			w.pollClaims(i)
 		}
 	}
--- a/internal/core/peerclaim.go
+++ b/internal/core/peerclaim.go
@@ -35,7 +35,7 @@
 	switch verdict {
 	case hotrestart.Granted:
 		return a, false
-	case hotrestart.Unknowable:
+	case hotrestart.OutcomeUnknown:
 		a = Answer{Outcome: Failed}
 		c.stats.Inc("handover", "unknown_owner")
 	}
--- a/internal/core/pools.go
+++ b/internal/core/pools.go
@@ -44,7 +44,7 @@
 		metrics.Read(g.sample)
 		g.memoryShare = (float64(g.sample[0].Value.Uint64()) - float64(g.sample[1].Value.Uint64())) / g.memoryBytes
 	}
-	g.Controller.Tick(now, admission.Readings{Ceiling: ceiling, Load: gauges.OnCores, BookedMemory: gauges.Memory, ProcessMemory: g.memoryShare})
+	g.Controller.Tick(now, admission.Readings{Ceiling: ceiling, Load: gauges.RunnableTasks, BookedMemory: gauges.Memory, ProcessMemory: g.memoryShare})
 }
 
 const (
