--- a/internal/core/pools_test.go
+++ b/internal/core/pools_test.go
@@ -33,7 +33,7 @@
 	r.mu.Lock()
 	memory := r.memory
 	r.mu.Unlock()
-	r.core.Gauges(silverpath.Gauges{CPU: 1, OnCores: 2, Memory: memory})
+	r.core.Gauges(silverpath.Gauges{CPU: 1, RunnableTasks: 2, Memory: memory})
 }
 
 // testWithPools runs a test on a core with pools, in simulated time.
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -160,8 +160,8 @@
 	c.deliver(id, event{kind: runEnded, outcome: silverpath.NotStarted, duration: duration, answer: a, hasAnswer: true})
 }
 
-// CallerGone is called by a front when the caller of a request has disconnected.
-func (c *Core) CallerGone(id string) { c.deliver(id, event{kind: callerDisconnected}) }
+// CallerDisconnected is called by a front when the caller of a request has disconnected.
+func (c *Core) CallerDisconnected(id string) { c.deliver(id, event{kind: callerDisconnected}) }
 
 // deliver enqueues an event for a request, if the request is still in progress.
 func (c *Core) deliver(id string, e event) {
--- a/internal/core/slowstart.go
+++ b/internal/core/slowstart.go
@@ -51,9 +51,9 @@
 	return total, s.cold
 }
 
-// SlowStart returns how many requests a router may have in flight here during the given term, and whether there is
+// SlowStartQuota returns how many requests a router may have in flight here during the given term, and whether there is
 // such a limit. InFlight is how many it has in flight now.
-func (c *Core) SlowStart(router string, inFlight int, term time.Duration) (quota int, cold bool) {
+func (c *Core) SlowStartQuota(router string, inFlight int, term time.Duration) (quota int, cold bool) {
 	s := &c.slowStart
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/core/status.go
+++ b/internal/core/status.go
@@ -23,7 +23,7 @@
 	o.Set("health", boolean(&a, v.Health))
 	o.Set("up_s", a.NewNumberFloat64(time.Since(c.startedAt).Round(time.Millisecond).Seconds()))
 	o.Set("owed", a.NewNumberInt(v.PendingAnswers))
-	o.Set("in_hand", a.NewNumberInt(v.InHand))
+	o.Set("in_hand", a.NewNumberInt(v.InProgress))
 	g := a.NewObject()
 	for i, name := range []string{"core_use", "on_cores", "memory"} {
 		g.Set(name, a.NewNumberFloat64(v.Gauges[i]))
@@ -70,9 +70,9 @@
 func (c *Core) timings(a *fastjson.Arena) *fastjson.Value {
 	times := a.NewObject()
 	for _, t := range c.stats.Timings() {
-		p50, n := t.Quantile(50)
-		p99, _ := t.Quantile(99)
-		longest, _ := t.Quantile(100)
+		p50, n := t.Percentile(50)
+		p99, _ := t.Percentile(99)
+		longest, _ := t.Percentile(100)
 		times.Set(t.Name, numberObject(a, "n", float64(n), "p50_us", float64(p50.Microseconds()),
 			"p99_us", float64(p99.Microseconds()), "max_us", float64(longest.Microseconds())))
 	}
--- a/internal/core/view.go
+++ b/internal/core/view.go
@@ -13,7 +13,7 @@
 	Phase          lifecycle.State
 	Health         bool
 	PendingAnswers int                 // requests without an answer
-	InHand         int                 // requests that still have work to do, answered or not
+	InProgress     int                 // requests that still have work to do, answered or not
 	Pools          *admission.Snapshot // nil without pools; never modified after it is published
 	Signal         float64
 	SignalSet      bool
@@ -32,7 +32,7 @@
 // publish replaces the published view by the current state. It is called under the lock.
 func (c *Core) publish() {
 	v := c.view
-	v.Phase, v.PendingAnswers, v.InHand = c.lifecycle.current(), c.pendingAnswers, len(c.tasks)
-	v.Gauges = [3]float64{c.gauges.CPU, c.gauges.OnCores, c.gauges.Memory}
+	v.Phase, v.PendingAnswers, v.InProgress = c.lifecycle.current(), c.pendingAnswers, len(c.tasks)
+	v.Gauges = [3]float64{c.gauges.CPU, c.gauges.RunnableTasks, c.gauges.Memory}
 	c.published.Store(&v)
 }
--- a/internal/metrics/timing.go
+++ b/internal/metrics/timing.go
@@ -27,9 +27,9 @@
 	t.mu.Unlock()
 }
 
-// Quantile returns the duration that the given percentage (0 to 100) of the recorded durations do not exceed, and the number of
+// Percentile returns the duration that the given percentage (0 to 100) of the recorded durations do not exceed, and the number of
 // recorded durations.
-func (t *Timing) Quantile(percent float64) (time.Duration, int64) {
+func (t *Timing) Percentile(percent float64) (time.Duration, int64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return time.Duration(t.histogram.ValueAtQuantile(percent)) * time.Microsecond, t.histogram.TotalCount()
@@ -37,9 +37,9 @@
 
 // Print writes the count, the main quantiles and the maximum as one line.
 func (t *Timing) Print(w io.Writer) {
-	p50, n := t.Quantile(50)
-	p99, _ := t.Quantile(99)
-	p999, _ := t.Quantile(99.9)
-	maximum, _ := t.Quantile(100)
+	p50, n := t.Percentile(50)
+	p99, _ := t.Percentile(99)
+	p999, _ := t.Percentile(99.9)
+	maximum, _ := t.Percentile(100)
 	fmt.Fprintf(w, "timing %s n=%d p50=%v p99=%v p99.9=%v max=%v\n", t.Name, n, p50, p99, p999, maximum)
 }
--- a/internal/policy/admission/limiter_test.go
+++ b/internal/policy/admission/limiter_test.go
@@ -190,7 +190,7 @@
 		reshape := func(kneeFactor, speedFactor float64) {
 			reshaped := shape
 			reshaped.Knee, reshaped.Speed = reshaped.Knee*kneeFactor, reshaped.Speed*speedFactor
-			s.machine.Reshape(s.now, reshaped)
+			s.machine.SetShape(s.now, reshaped)
 		}
 		s.advance(20 * time.Second)
 		result.steadyLimit += s.meanLimit(5*time.Second) / shape.Knee
@@ -278,9 +278,9 @@
 		s.advance(20 * time.Second)
 		slowed := normalMachine
 		slowed.Speed /= 9.9
-		s.machine.Reshape(s.now, slowed)
+		s.machine.SetShape(s.now, slowed)
 		s.advance(10 * time.Second)
-		s.machine.Reshape(s.now, normalMachine)
+		s.machine.SetShape(s.now, normalMachine)
 		s.advance(16 * time.Second)
 		if cleared := s.unread < 100; cleared != c.clears {
 			t.Errorf("%T: %d requests are unread 16 s after the slowdown, want under 100 only with a limit on the sum", c.limiter, s.unread)
--- a/internal/policy/capacity/breaks.go
+++ b/internal/policy/capacity/breaks.go
@@ -168,13 +168,13 @@
 	target, assumptions := c.target, c.target.Assumed
 	requestsPerServer := target.Requests / target.Servers
 	add := func(event string, perDay, servers, groupCommits, mapVersions float64, silent bool) {
-		keyedRequests := servers * requestsPerServer * assumptions.Sheets * assumptions.Window
+		keyedRequests := servers * requestsPerServer * assumptions.KeyedFraction * assumptions.KeyWindow
 		cost := Cost{Event: event, PerDay: Number(perDay), Servers: Number(servers), FailedWithoutStore: Number(keyedRequests), Commits: Number(groupCommits),
 			MapVersions: Number(mapVersions), Connections: Number(servers * c.routers), DetectionTime: notMeasured()}
 		if silent {
 			// Routers choose the server until they detect the failure. Without a measurement this takes one health check interval.
 			if cost.DetectionTime = c.results.At("router.dead_after.servers_lost.silent", servers); cost.DetectionTime.Basis == NotMeasured {
-				cost.DetectionTime = assumed(assumptions.Probe)
+				cost.DetectionTime = assumed(assumptions.ProbeInterval)
 			}
 			cost.RetriedRequests = Number(servers * requestsPerServer * float64(cost.DetectionTime.Value) / 1000)
 			cost.FailedWithStore = Number(keyedRequests) // the store is lost with the disk of the machine
@@ -186,10 +186,10 @@
 		commitsPerLostServer = 5 // registration expires; request to the keeper, its intent, its completion; map in force
 	)
 	add("a change of the map", target.Changes, 0, c.routers+2, 1, false) // commits: proposal, a report of each router, advance
-	add("a server is restarted or replaced, in good order", target.Day.Restart, 1, commitsPerRestart, 0, false)
-	add("a machine fails, with one server", target.Day.Fail, 1, commitsPerLostServer, 1, true)
-	add("a rack or switch", 1/target.Day.RackEvery, assumptions.RackServers, commitsPerLostServer*assumptions.RackServers, assumptions.RackServers, true)
+	add("a server is restarted or replaced, in good order", target.Failures.Restarts, 1, commitsPerRestart, 0, false)
+	add("a machine fails, with one server", target.Failures.MachineFailures, 1, commitsPerLostServer, 1, true)
+	add("a rack or switch", 1/target.Failures.RackFailureInterval, assumptions.RackServers, commitsPerLostServer*assumptions.RackServers, assumptions.RackServers, true)
 	zoneServers := target.Servers / target.Zones
-	add("a zone", 1/target.Day.ZoneEvery, zoneServers, commitsPerLostServer*zoneServers+c.routers/target.Zones, zoneServers, true)
+	add("a zone", 1/target.Failures.ZoneFailureInterval, zoneServers, commitsPerLostServer*zoneServers+c.routers/target.Zones, zoneServers, true)
 	return list
 }
--- a/internal/policy/capacity/estimate.go
+++ b/internal/policy/capacity/estimate.go
@@ -112,30 +112,30 @@
 	}
 	first, last := s.Points[0], s.Points[len(s.Points)-1]
 	e := Estimate{Basis: Measured, Series: name}
-	if s.Of != "real" {
-		e.MeasuredOn = s.Of
+	if s.MeasuredOn != "real" {
+		e.MeasuredOn = s.MeasuredOn
 	}
 	switch {
-	case at >= first.At && at <= last.At:
-		i := sort.Search(len(s.Points), func(i int) bool { return s.Points[i].At >= at })
-		if b := s.Points[i]; b.At == at {
+	case at >= first.Size && at <= last.Size:
+		i := sort.Search(len(s.Points), func(i int) bool { return s.Points[i].Size >= at })
+		if b := s.Points[i]; b.Size == at {
 			e.Value = Number(b.Median())
 		} else {
 			a := s.Points[i-1]
-			e.Value = Number(a.Median() + (b.Median()-a.Median())*(at-a.At)/(b.At-a.At))
+			e.Value = Number(a.Median() + (b.Median()-a.Median())*(at-a.Size)/(b.Size-a.Size))
 		}
 		return e
 	case s.Fit == nil:
 		return notMeasured()
 	}
-	e.Basis, e.Factor = Extrapolated, at/last.At
+	e.Basis, e.Factor = Extrapolated, at/last.Size
 	// Above the last measured size, add the growth of the fit to the median measured there: the fit's error at that size is left out.
 	e.Value = Number(max(0, s.Fit.Value(at)))
-	if at > last.At {
-		e.Value = Number(last.Median() + s.Fit.Value(at) - s.Fit.Value(last.At))
+	if at > last.Size {
+		e.Value = Number(last.Median() + s.Fit.Value(at) - s.Fit.Value(last.Size))
 	}
-	if !s.Fit.Believed() {
-		e.RelativeError = s.Fit.Off
+	if !s.Fit.Reliable() {
+		e.RelativeError = s.Fit.RelativeError
 	}
 	return e
 }
--- a/internal/policy/capacity/lines.go
+++ b/internal/policy/capacity/lines.go
@@ -66,7 +66,7 @@
 // lines returns the lines of all roles.
 func (c *planner) lines() []Line {
 	a := c.target.Assumed
-	b := &lineBuilder{planner: c, probers: c.probersPerServer(), followerCount: c.followers(), probesPerSecond: 1000 / a.Probe, lease: a.Lease / 1000,
+	b := &lineBuilder{planner: c, probers: c.probersPerServer(), followerCount: c.followers(), probesPerSecond: 1000 / a.ProbeInterval, lease: a.GroupLease / 1000,
 		entries: c.target.entries()}
 	probesCPU := b.rateScaledSeries("router.cpu.servers", c.target.Servers)
 	b.addServerLines()
@@ -163,7 +163,7 @@
 
 // callerTargets returns the number of servers or routers that a caller picks among.
 func (c *planner) callerTargets() float64 {
-	if c.target.Readings.CallersPick {
+	if c.target.Readings.CallersPickServers {
 		return c.target.Servers
 	}
 	return c.routers
@@ -171,7 +171,7 @@
 
 // callerConnections estimates the connections that a caller keeps open.
 func (c *planner) callerConnections() estimateFunc {
-	if c.target.Readings.CallersPick {
+	if c.target.Readings.CallersPickServers {
 		return scaled(c.target.Servers)
 	}
 	return unscaled(c.target.Assumed.CallerConnections)
@@ -197,12 +197,12 @@
 	}
 	factor := 1.0
 	if check := s.Fixed["check_ms"]; check > 0 {
-		factor *= check / c.target.Assumed.Probe
+		factor *= check / c.target.Assumed.ProbeInterval
 	}
 	if lease := s.Fixed["lease_ms"]; lease > 0 && s.Varies == "tenants" {
 		factor *= lease / c.target.Assumed.MapLease
 	} else if lease > 0 {
-		factor *= lease / c.target.Assumed.Lease
+		factor *= lease / c.target.Assumed.GroupLease
 	}
 	return factor
 }
--- a/internal/policy/capacity/lines_group.go
+++ b/internal/policy/capacity/lines_group.go
@@ -12,10 +12,10 @@
 	b.add(newLine("follower", "messages", "1/s", 0, "", pkgsConfigSync, "words to the group and their answers", ""), conditionFuncs{
 		Rest: unscaled(b.groupMessages(b.limits.PollsAtRest)), Burst: unscaled(b.groupMessages(b.limits.PollsWhileChanging)), Partitioned: unscaled(2 * 1000 / b.limits.GroupRetryInterval)})
 	cpu := b.controlSeries("router.cpu.followers", b.followerCount)
-	b.add(newLine("follower", "processor", "core", b.target.Control.Core, budgetCore, pkgsConfigSync, "a router's or server's part in the group's rules, a router without servers as measured", ""),
+	b.add(newLine("follower", "processor", "core", b.target.Control.Cores, budgetCore, pkgsConfigSync, "a router's or server's part in the group's rules, a router without servers as measured", ""),
 		conditionFuncs{Rest: cpu, Partitioned: assumedAsAtRest(cpu)})
 	traffic := sum(b.controlSeries("router.bytes_in.followers", b.followerCount), b.controlSeries("router.bytes_out.followers", b.followerCount))
-	b.add(newLine("follower", "bytes, in and out", "KB/s", b.target.Control.Bytes, budgetBytes, pkgsConfigSync, "words that bring no news", ""), conditionFuncs{Rest: traffic, Partitioned: assumedAsAtRest(traffic)})
+	b.add(newLine("follower", "bytes, in and out", "KB/s", b.target.Control.Bandwidth, budgetBytes, pkgsConfigSync, "words that bring no news", ""), conditionFuncs{Rest: traffic, Partitioned: assumedAsAtRest(traffic)})
 }
 
 // addLeaderLines adds the lines of the leading member, except those of addLeaderChangesLines and addSnapshotLines.
@@ -26,10 +26,10 @@
 		Rest: scaled(b.followerCount), ZoneRecovering: scaled(b.followerCount * (1 + 1/b.target.Zones))})
 	b.add(newLine("leader", "messages", "1/s", 0, "", pkgsMember, "words of followers and their answers, heartbeats", ""), conditionFuncs{
 		Rest: func(s float64) Estimate {
-			return assumed(b.followerCount*s*b.groupMessages(b.limits.PollsAtRest) + 2*(b.members()-1)*1000/b.target.Assumed.Tick)
+			return assumed(b.followerCount*s*b.groupMessages(b.limits.PollsAtRest) + 2*(b.members()-1)*1000/b.target.Assumed.HeartbeatInterval)
 		},
 		Burst: func(s float64) Estimate {
-			return assumed(b.followerCount*s*b.groupMessages(b.limits.PollsWhileChanging) + 2*(b.members()-1)*1000/b.target.Assumed.Tick)
+			return assumed(b.followerCount*s*b.groupMessages(b.limits.PollsWhileChanging) + 2*(b.members()-1)*1000/b.target.Assumed.HeartbeatInterval)
 		},
 	})
 	cpu := b.series("leader.cpu.followers", b.followerCount*b.rateFactor("leader.cpu.followers"))
@@ -38,7 +38,7 @@
 		Rest: cpu, Partitioned: assumedAsAtRest(cpu),
 		Burst:          sum(cpu, b.increase("leader.cpu.changes", 3600*b.target.Assumed.BurstChanges, 0, b.followerCount)),
 		ZoneRecovering: sum(cpu, b.increase("leader.cpu.restarts", b.followerCount/b.target.Zones, 0, 0))})
-	b.add(newLine("leader", "time to share the cells out, in one go", "ms", b.limits.ElectionTicks*b.target.Assumed.Tick, "member.electionTicks × assumed.tick_ms", "internal/policy/quota, internal/controlplane/quorum/member",
+	b.add(newLine("leader", "time to share the cells out, in one go", "ms", b.limits.ElectionTicks*b.target.Assumed.HeartbeatInterval, "member.electionTicks × assumed.tick_ms", "internal/policy/quota, internal/controlplane/quorum/member",
 		b.byPartsMode("as a map comes, or a time in it", "each second")+", with routers that have most_routers: what there is, by the map, and who gets what; nothing else is done meanwhile",
 		"the other members hear nothing for an election's time and elect another leader, which does the same"),
 		inAllConditions(sum(b.series("leader.wholes.tenants", b.entries), b.series("leader.targets.tenants", b.entries))))
@@ -50,7 +50,7 @@
 			return assumed(b.partsMessageSize(s) * (b.followerCount - b.target.Servers) / b.target.Zones * s / (b.limits.RequestSpread / 1000) / kb)
 		})
 	}
-	b.add(newLine("leader", "bytes out", "KB/s", b.target.Assumed.MachineBytes, "assumed.machine_kb_per_s", pkgsMember,
+	b.add(newLine("leader", "bytes out", "KB/s", b.target.Assumed.MachineBandwidth, "assumed.machine_kb_per_s", pkgsMember,
 		b.byPartsMode("in a burst also the changed tenant's part to each router; a zone coming back: the whole map to each of its routers, within the two seconds in which they draw their moments",
 			"in a burst also the whole map to each router"), ""), conditionFuncs{
 		Rest: bytesOut,
@@ -63,7 +63,7 @@
 		"changes_per_day for day.regions_apart_s: each is put, said to be held by each router, and advanced"+b.byPartsMode("; routers that say so at one time share an entry, which is not reckoned", ""), ""),
 		"the members of the other side are brought up by a snapshot"+b.byPartsMode(", in chunks", ", which has to fit one word")), conditionFuncs{
 		Rest: unmeasured, Peak: unmeasured, Burst: unmeasured, ZoneRecovering: unmeasured, Partitioned: func(s float64) Estimate {
-			return assumed(b.target.Changes * s / 86400 * b.target.Day.Apart * (b.routers*s + 2))
+			return assumed(b.target.Changes * s / 86400 * b.target.Failures.PartitionDuration * (b.routers*s + 2))
 		}})
 	b.add(newLine("leader", "syncs of its disk", "1/s", 0, "", "internal/controlplane/quorum/member, bbolt", "in a burst as many times what was measured as there are more followers", ""), conditionFuncs{
 		Rest: b.series("leader.syncs.followers", b.followerCount), Burst: b.increase("member.syncs.changes", 3600*b.target.Assumed.BurstChanges, 0, b.followerCount)})
@@ -75,19 +75,19 @@
 		for _, quantile := range []string{"p50", "p99", "worst"} {
 			budget, budgetSource := 0.0, ""
 			if quantile == "worst" {
-				budget, budgetSource = 1000*b.target.InForce, "in_force_s"
+				budget, budgetSource = 1000*b.target.InForceWithin, "in_force_s"
 			}
 			activation := b.series("leader.force_"+quantile+".followers."+doc, b.followerCount)
 			b.add(newLine("leader", "a change of "+doc+" in force everywhere, "+quantile, "ms", budget, budgetSource, pkgsConfigStore, "by followers; of a small document", ""),
 				conditionFuncs{Rest: activation, Burst: unmeasured, ZoneRecovering: unmeasured, Partitioned: unmeasured})
 		}
 	}
-	b.add(newLine("leader", "a change of routing in force everywhere, worst, regions far apart", "ms", 1000*b.target.InForce, "in_force_s", pkgsConfigStore,
+	b.add(newLine("leader", "a change of routing in force everywhere, worst, regions far apart", "ms", 1000*b.target.InForceWithin, "in_force_s", pkgsConfigStore,
 		"with assumed.region_delay_ms on the way of each word of a follower", ""),
 		conditionFuncs{Rest: func(float64) Estimate {
 			return b.results.At("leader.force_worst.delay.routing", b.target.Assumed.RegionDelay)
 		}, Burst: unmeasured, ZoneRecovering: unmeasured, Partitioned: unmeasured})
-	b.add(newLine("leader", "a map's change until it holds", "ms", 1000*b.target.InForce, "in_force_s", "internal/policy/cells", "announced two of assumed.map_lease_ms and the skew ahead", ""),
+	b.add(newLine("leader", "a map's change until it holds", "ms", 1000*b.target.InForceWithin, "in_force_s", "internal/policy/cells", "announced two of assumed.map_lease_ms and the skew ahead", ""),
 		inAllConditions(unscaled(2*b.target.Assumed.MapLease+b.target.Assumed.MapSkew)))
 	connections := func(s float64) float64 { return b.followerCount*s + b.members() + 1 }
 	b.add(withCost(newLine("leader", "descriptors: connections", "", b.limits.MaxMemberConnections, "member.memberMost", pkgsMember+", internal/transport/listener", "one of each follower, members and owners", ""),
@@ -115,7 +115,7 @@
 // addMemberLines adds the lines of a member that does not lead.
 func (b *lineBuilder) addMemberLines() {
 	b.add(newLine("member", "processor", "core", 1, "a core of its machine", pkgsMember, "of a member that doesn't lead", ""), inAllConditions(b.series("member.cpu.followers", b.followerCount*b.rateFactor("member.cpu.followers"))))
-	b.add(newLine("member", "messages", "1/s", 0, "", pkgsMember, "heartbeats and their answers", ""), inAllConditions(unscaled(2*1000/b.target.Assumed.Tick)))
+	b.add(newLine("member", "messages", "1/s", 0, "", pkgsMember, "heartbeats and their answers", ""), inAllConditions(unscaled(2*1000/b.target.Assumed.HeartbeatInterval)))
 
 	b.add(newLine("member", "state: processes that are registered", "", 0, "", pkgsConfigStore, "as the leader's, by the log", ""), inAllConditions(scaled(b.followerCount)))
 	b.add(newLine("member", "memory", "MB", 0, "", pkgsMember, "of a member that doesn't lead", ""), inAllConditions(unmeasured))
--- a/internal/policy/capacity/lines_owner.go
+++ b/internal/policy/capacity/lines_owner.go
@@ -14,7 +14,7 @@
 		"requests beyond the bound are told no, moves among them"), conditionFuncs{
 		Rest: unscaled(1), Burst: scaled(60 * b.target.Assumed.BurstChanges), ZoneRecovering: scaled(zoneServers), Partitioned: scaled(minorityServers)})
 	b.add(newLine("owner", "messages", "1/s", 0, "", pkgsOwner, "the status of each router, asked once a second, and its answer", ""), inAllConditions(scaled(2*b.routers)))
-	b.add(newLine("owner", "bytes in, routers' status", "KB/s", b.target.Assumed.MachineBytes, "assumed.machine_kb_per_s", pkgsOwner, b.byPartsMode("all servers of each router, and tenants that have ever moved, taken for all", "all servers and tenants of each router"), ""), inAllConditions(func(s float64) Estimate {
+	b.add(newLine("owner", "bytes in, routers' status", "KB/s", b.target.Assumed.MachineBandwidth, "assumed.machine_kb_per_s", pkgsOwner, b.byPartsMode("all servers of each router, and tenants that have ever moved, taken for all", "all servers and tenants of each router"), ""), inAllConditions(func(s float64) Estimate {
 		return assumed(b.routers * s * b.statusSize(s) / kb)
 	}))
 
--- a/internal/policy/capacity/lines_router.go
+++ b/internal/policy/capacity/lines_router.go
@@ -19,11 +19,11 @@
 		},
 	})
 	totalCPU := b.series("router.cpu.servers", b.target.Servers*b.rateFactor("router.cpu.servers"))
-	b.add(newLine("router", "processor, health checks", "core", b.target.Control.Core, budgetCore, pkgsRouting, "of all servers; apart: as at rest, what nobody answers costs a wait", ""),
+	b.add(newLine("router", "processor, health checks", "core", b.target.Control.Cores, budgetCore, pkgsRouting, "of all servers; apart: as at rest, what nobody answers costs a wait", ""),
 		conditionFuncs{Rest: probesCPU, Partitioned: assumedAsAtRest(probesCPU)})
 	b.add(newLine("router", "processor, health checks, of a whole core", "core", 1, "a core: GOMAXPROCS is 1", pkgsRouting, "the same figure against all that a router has",
 		"a router does nothing but health checks"), conditionFuncs{Rest: totalCPU, Partitioned: assumedAsAtRest(totalCPU)})
-	b.add(newLine("router", "processor, the map from a file", "core", b.target.Control.Core, budgetCore, "internal/proxy, internal/settings",
+	b.add(newLine("router", "processor, the map from a file", "core", b.target.Control.Cores, budgetCore, "internal/proxy, internal/settings",
 		b.byPartsMode("looked at each third of the map's lease, and read where it has changed", "read again each third of the map's lease"), ""),
 		inAllConditions(b.costScaledSeries("router.cpu.tenants.file", b.entries)))
 	b.add(newLine("router", "processor, requests", "core", b.target.Assumed.Utilisation, "assumed.utilisation", "internal/core, "+pkgsRouting, "its part of the peak, a zone lost; by requests with few tenants, "+b.routeNote(), ""),
@@ -33,24 +33,24 @@
 // addRouterMapLines adds the lines of a router that depend on new maps, memory, connections and requests.
 func (b *lineBuilder) addRouterMapLines() {
 	checkTime := sum(b.series("router.parse.tenants", b.entries), b.series("router.follows.tenants", b.entries))
-	b.add(newLine("router", "time to check a new map", "ms", 1000*b.target.InForce, "in_force_s", "internal/settings, internal/policy/cells",
+	b.add(newLine("router", "time to check a new map", "ms", 1000*b.target.InForceWithin, "in_force_s", "internal/settings, internal/policy/cells",
 		"read, and whether it may follow the one in force: the decision's own time, a part of each change's way"+b.byPartsMode("; of a whole map, from a file: from the group only changed parts are read", ""), ""), inAllConditions(checkTime))
 	checkCPU := func(changesPerSecond float64) estimateFunc {
 		return func(s float64) Estimate { return checkTime(s).scale(changesPerSecond * s / 1000) }
 	}
-	b.add(newLine("router", "processor, checking new maps", "core", b.target.Control.Core, budgetCore, "internal/settings, internal/policy/cells", b.byPartsMode("of a whole map, from a file, once", "once")+" for each of changes_per_day; in a burst assumed.burst_changes_per_s", ""),
+	b.add(newLine("router", "processor, checking new maps", "core", b.target.Control.Cores, budgetCore, "internal/settings, internal/policy/cells", b.byPartsMode("of a whole map, from a file, once", "once")+" for each of changes_per_day; in a burst assumed.burst_changes_per_s", ""),
 		conditionFuncs{Rest: checkCPU(b.target.Changes / 86400), Burst: checkCPU(b.target.Assumed.BurstChanges)})
 	b.add(newLine("router", "memory, by servers", "MB", b.target.Control.Memory, budgetMemory, pkgsRouting, "resident", ""), inAllConditions(b.controlSeries("router.resident.servers", b.target.Servers)))
 	b.add(newLine("router", "memory, by tenants", "MB", b.target.Control.Memory, budgetMemory, "internal/proxy, internal/policy/cells", "resident, the map from a file", ""),
 		inAllConditions(b.controlSeries("router.resident.tenants.file", b.entries)))
 	b.add(newLine("router", "memory, by tenants, the map from the group", "MB", b.target.Control.Memory, budgetMemory, "internal/proxy, internal/controlplane/configwatch", "resident", ""),
 		inAllConditions(b.controlSeries("router.resident.tenants.group", b.entries)))
-	b.add(newLine("router", "bytes, in and out, health checks", "KB/s", b.target.Control.Bytes, budgetBytes, pkgsRouting, "", ""),
+	b.add(newLine("router", "bytes, in and out, health checks", "KB/s", b.target.Control.Bandwidth, budgetBytes, pkgsRouting, "", ""),
 		inAllConditions(sum(b.rateScaledSeries("router.bytes_in.servers", b.target.Servers), b.rateScaledSeries("router.bytes_out.servers", b.target.Servers))))
 	changeBytes := func(changesPerSecond float64) estimateFunc {
 		return func(s float64) Estimate { return assumed(b.changeMessageSize(s) * changesPerSecond * s / kb) }
 	}
-	b.add(newLine("router", "bytes in, the map with each change", "KB/s", b.target.Control.Bytes, budgetBytes, pkgsConfigSync,
+	b.add(newLine("router", "bytes in, the map with each change", "KB/s", b.target.Control.Bandwidth, budgetBytes, pkgsConfigSync,
 		b.byPartsMode("the changed tenant's part", "the whole map")+" as a word has it, for each of changes_per_day, taken as spread evenly; in a burst assumed.burst_changes_per_s", ""),
 		conditionFuncs{Rest: changeBytes(b.target.Changes / 86400), Burst: changeBytes(b.target.Assumed.BurstChanges)})
 	if b.limits.hasParts() {
@@ -67,7 +67,7 @@
 		name         string
 		budget       float64
 		budgetSource string
-	}{{"p50", 0, ""}, {"p99", b.target.Added, "added_p99_ms"}} {
+	}{{"p50", 0, ""}, {"p99", b.target.AddedLatency, "added_p99_ms"}} {
 		added := sum(b.series("router.added_"+quantile.name+".requests", b.requestsPerRouter), func(s float64) Estimate { return b.routeTime(s).scale(1.0 / 1000) })
 		b.add(newLine("router", "time added to a request, "+quantile.name, "ms", quantile.budget, quantile.budgetSource, "internal/core, "+pkgsRouting, "at its part of the peak, a zone lost; by requests with few tenants, "+b.routeNote(), ""),
 			conditionFuncs{Rest: unmeasured, Peak: added, Burst: unmeasured, ZoneRecovering: unmeasured, Partitioned: unmeasured})
--- a/internal/policy/capacity/lines_server.go
+++ b/internal/policy/capacity/lines_server.go
@@ -21,14 +21,14 @@
 			return assumed(2*b.probers*s*b.probesPerSecond + 2*1000/b.limits.GroupRetryInterval + 1000/b.limits.ReportInterval)
 		},
 	})
-	b.add(newLine("server", "processor, health checks", "core", b.target.Control.Core, budgetCore, pkgsHealthChecks,
+	b.add(newLine("server", "processor, health checks", "core", b.target.Control.Cores, budgetCore, pkgsHealthChecks,
 		"by who picks among servers; a zone coming back: cold, each has a part of it, by the decision's own time; apart: as at rest, the other side's don't come", ""), conditionFuncs{
 		Rest: probesCPU, Partitioned: assumedAsAtRest(probesCPU), ZoneRecovering: sum(probesCPU, func(s float64) Estimate {
-			return b.results.At("server.round.callers", b.probers*s).scale(1 / b.target.Assumed.Probe)
+			return b.results.At("server.round.callers", b.probers*s).scale(1 / b.target.Assumed.ProbeInterval)
 		})})
 	b.add(newLine("server", "memory", "MB", b.target.Control.Memory, budgetMemory, pkgsHealthChecks, "resident, by who picks among servers", ""), inAllConditions(b.controlSeries("server.resident.callers", b.probers)))
 	in, out := b.rateScaledSeries("server.bytes_in.callers", b.probers), b.rateScaledSeries("server.bytes_out.callers", b.probers)
-	b.add(newLine("server", "bytes, in and out", "KB/s", b.target.Control.Bytes, budgetBytes, pkgsHealthChecks, "health checks alone", ""), conditionFuncs{
+	b.add(newLine("server", "bytes, in and out", "KB/s", b.target.Control.Bandwidth, budgetBytes, pkgsHealthChecks, "health checks alone", ""), conditionFuncs{
 		Rest: sum(in, out), Partitioned: assumedAsAtRest(sum(in, out))})
 	b.add(withCost(newLine("server", "descriptors: connections of who picks", "", b.descriptorsForConnections()*b.limits.CallerShare, "3 of 5 of assumed.sockets less the spare ones", pkgsConnections,
 		"each keeps one for requests; a health check has one of its own for its time, which isn't counted here", ""),
@@ -39,7 +39,7 @@
 func (b *lineBuilder) addCallerLines(probesCPU estimateFunc) {
 	b.add(newLine("caller", "state: whom it knows", "", 0, "", "not this program's", "all routers, or all servers where it picks among these; counted", ""), inAllConditions(scaled(b.callerTargets())))
 	b.add(newLine("caller", "descriptors", "", 0, "", "not this program's", "assumed.caller_connections, or one to each server where it picks among these", ""), inAllConditions(b.callerConnections()))
-	if b.target.Readings.CallersPick {
+	if b.target.Readings.CallersPickServers {
 		b.add(newLine("caller", "processor, health checks", "core", 0, "", pkgsRouting, "as a router's: what picks among servers probes them", ""), inAllConditions(probesCPU))
 	}
 
--- a/internal/policy/capacity/page_test.go
+++ b/internal/policy/capacity/page_test.go
@@ -63,13 +63,13 @@
 		t.Fatal(err)
 	}
 	tables := computePlan(t, loadTarget(t, nil), results.Scale, capacity.Current).Tables()
-	tables = append(tables, computePlan(t, loadTarget(t, nil), results.Was, capacity.BeforeParts).BreakingTable("was"))
+	tables = append(tables, computePlan(t, loadTarget(t, nil), results.ScaleBeforeParts, capacity.BeforeParts).BreakingTable("was"))
 	for _, reading := range []struct {
 		name   string
 		change func(*capacity.Target)
 	}{
-		{"pick", func(x *capacity.Target) { x.Readings.CallersPick = true }},
-		{"routes", func(x *capacity.Target) { x.Readings.RoutesBeside = true }},
+		{"pick", func(x *capacity.Target) { x.Readings.CallersPickServers = true }},
+		{"routes", func(x *capacity.Target) { x.Readings.RoutesBesideTenants = true }},
 		{"added", func(x *capacity.Target) { x.Readings.ControlAdded = true }},
 	} {
 		tables = append(tables, capacity.Compare(reading.name, computePlan(t, loadTarget(t, nil), results.Scale, capacity.Current), computePlan(t, loadTarget(t, reading.change), results.Scale, capacity.Current)))
@@ -159,7 +159,7 @@
 		}
 		for i := range tenants {
 			m.Tenants = append(m.Tenants, cells.Tenant{Name: fmt.Sprintf("tenant-%05d", i), Rate: 11.5,
-				Homes: []cells.Home{{Cell: "cell-001", Shard: 8, Since: 1767225600000}}})
+				Homes: []cells.Home{{Cell: "cell-001", ShardSize: 8, Since: 1767225600000}}})
 		}
 		return m
 	}
@@ -190,7 +190,7 @@
 		{"status", statusSize, limits.ServerStatusSize, 0},
 		{"status of tenants that have moved", func(m *cells.Map) int {
 			for i := range m.Tenants {
-				m.Tenants[i].Homes = append(m.Tenants[i].Homes, cells.Home{Cell: "cell-001", Shard: 8, Since: 1767225600001})
+				m.Tenants[i].Homes = append(m.Tenants[i].Homes, cells.Home{Cell: "cell-001", ShardSize: 8, Since: 1767225600001})
 			}
 			return statusSize(m)
 		}, limits.ServerStatusSize, limits.TenantStatusSize},
@@ -281,14 +281,14 @@
 	}
 	extraHome := makeMap(900, manyTenants)
 	size = partsSize(extraHome)
-	extraHome.Tenants[3].Homes = append(extraHome.Tenants[3].Homes, cells.Home{Cell: "cell-001", Shard: 8, Since: 1767225600001})
+	extraHome.Tenants[3].Homes = append(extraHome.Tenants[3].Homes, cells.Home{Cell: "cell-001", ShardSize: 8, Since: 1767225600001})
 	if n := float64(partsSize(extraHome) - size); n != limits.HomePartTextSize {
 		t.Errorf("part: %v bytes per additional home, Current has %v", n, limits.HomePartTextSize)
 	}
 
 	moved := makeMap(10, 10)
 	base := documentSize(moved)
-	moved.Tenants[3].Homes = append(moved.Tenants[3].Homes, cells.Home{Cell: "cell-001", Shard: 8, Since: 1767225600001})
+	moved.Tenants[3].Homes = append(moved.Tenants[3].Homes, cells.Home{Cell: "cell-001", ShardSize: 8, Since: 1767225600001})
 	if n := float64(documentSize(moved) - base); n != limits.HomeTextSize {
 		t.Errorf("document: %v bytes per additional home, Current has %v", n, limits.HomeTextSize)
 	}
@@ -316,7 +316,7 @@
 		m.Servers = append(m.Servers, cells.Server{Name: fmt.Sprintf("server-%04d", i), Addr: fmt.Sprintf("10.20.101.%03d:4001", i), Cell: "cell-001", Weight: 1, JoinsAt: 1767225600000})
 	}
 	for i := range int(fleet.Tenants) {
-		m.Tenants = append(m.Tenants, cells.Tenant{Name: fmt.Sprintf("tenant-%05d", i), Rate: 11.5, Homes: []cells.Home{{Cell: "cell-001", Shard: 8, Since: 1767225600000}}})
+		m.Tenants = append(m.Tenants, cells.Tenant{Name: fmt.Sprintf("tenant-%05d", i), Rate: 11.5, Homes: []cells.Home{{Cell: "cell-001", ShardSize: 8, Since: 1767225600000}}})
 	}
 	s := statemachine.New(1)
 	apply := func(c configstore.Change) {
--- a/internal/policy/capacity/plan.go
+++ b/internal/policy/capacity/plan.go
@@ -155,7 +155,7 @@
 	}
 	add("requests a second of a router, by its core, were control free", "1/s", byCoreWithoutControl, "up to assumed.utilisation of a core, "+c.routeNote())
 	add("requests a second of a router, by its core, beside its health checks", "1/s", byCore, "less what router.cpu.servers says of all servers; 0: nothing is left")
-	byTime := c.largestWithin("router.added_p99.requests", target.Added-float64(c.routeTime(1).Value)/1000)
+	byTime := c.largestWithin("router.added_p99.requests", target.AddedLatency-float64(c.routeTime(1).Value)/1000)
 	add("requests a second of a router, by the time that it adds", "1/s", byTime, "the largest that was measured at which it is within added_p99_ms, "+c.routeNote())
 	perRouter := byCoreWithoutControl
 	for _, e := range []Estimate{byCore, byTime} {
@@ -168,7 +168,7 @@
 	add("routers for the peak, a zone lost", "", routersForPeak, "the least of these that is above 0; as many in each zone")
 	routersForConnections := assumed(acrossZones(target.Callers * assumptions.CallerConnections / (c.descriptorsForConnections() * c.limits.CallerShare)))
 	note := "callers × assumed.caller_connections over a router's places for callers, by assumed.sockets"
-	if target.Readings.CallersPick {
+	if target.Readings.CallersPickServers {
 		routersForConnections, note = assumed(0), "callers pick among servers: none comes to a router"
 	}
 	add("routers for the callers' connections, a zone lost", "", routersForConnections, note)
@@ -187,9 +187,9 @@
 	cores, route := max(0, cores), float64(c.routeTime(1).Value)/1e6
 	s, ok := c.results.find("router.cpu.requests")
 	if !ok {
-		return assumed(cores / (c.target.Assumed.RouterRequest/1e6 + route))
+		return assumed(cores / (c.target.Assumed.RouterRequestTime/1e6 + route))
 	}
-	last := s.Points[len(s.Points)-1].At
+	last := s.Points[len(s.Points)-1].Size
 	share, e := lowestShareOver(cores, func(share float64) Estimate {
 		e := c.results.At(s.Name, share*last)
 		e.Value += Number(route * share * last)
@@ -211,7 +211,7 @@
 	s, _ := c.results.find(name)
 	for _, p := range slices.Backward(s.Points) {
 		if p.Median() <= budget {
-			return Estimate{Value: Number(p.At), Basis: Measured, Series: name}
+			return Estimate{Value: Number(p.Size), Basis: Measured, Series: name}
 		}
 	}
 	return notMeasured()
@@ -266,7 +266,7 @@
 
 // probersPerServer returns the number of processes that pick among servers and probe each.
 func (c *planner) probersPerServer() float64 {
-	if c.target.Readings.CallersPick {
+	if c.target.Readings.CallersPickServers {
 		return c.target.Callers + c.routers
 	}
 	return c.routers
@@ -274,7 +274,7 @@
 
 // followers returns the number of processes that apply documents of the group.
 func (c *planner) followers() float64 {
-	if c.target.Readings.CallersPick {
+	if c.target.Readings.CallersPickServers {
 		return c.target.Servers + c.routers + c.target.Callers
 	}
 	return c.target.Servers + c.routers
--- a/internal/policy/capacity/plan_test.go
+++ b/internal/policy/capacity/plan_test.go
@@ -11,10 +11,10 @@
 // smallTarget returns a target whose plan can be computed by hand.
 func smallTarget() Target {
 	return Target{
-		Servers: 100, Callers: 50, CallerServices: 5, Requests: 8000, Routes: 10, Tenants: 1000, Added: 2, Regions: 2, Zones: 5, Changes: 864, InForce: 8,
-		Control: Control{Core: 0.01, Memory: 32, Bytes: 20, Machines: 6}, Day: Day{Fail: 4, Restart: 30, RackEvery: 7, ZoneEvery: 60, Apart: 3600},
-		Assumed: Assumptions{Utilisation: 0.5, ServerRequests: 200, RouterRequest: 500, CallerConnections: 3, Sockets: 1024, Probe: 500, Lease: 3000,
-			MapLease: 3000, MapSkew: 500, Tick: 50, BurstChanges: 1, Sheets: 0.5, Window: 10, RackServers: 5, RegionDelay: 30, MachineBytes: 125000},
+		Servers: 100, Callers: 50, CallerServices: 5, Requests: 8000, Routes: 10, Tenants: 1000, AddedLatency: 2, Regions: 2, Zones: 5, Changes: 864, InForceWithin: 8,
+		Control: Control{Cores: 0.01, Memory: 32, Bandwidth: 20, Machines: 6}, Failures: FailureRates{MachineFailures: 4, Restarts: 30, RackFailureInterval: 7, ZoneFailureInterval: 60, PartitionDuration: 3600},
+		Assumed: Assumptions{Utilisation: 0.5, ServerRequests: 200, RouterRequestTime: 500, CallerConnections: 3, Sockets: 1024, ProbeInterval: 500, GroupLease: 3000,
+			MapLease: 3000, MapSkew: 500, HeartbeatInterval: 50, BurstChanges: 1, KeyedFraction: 0.5, KeyWindow: 10, RackServers: 5, RegionDelay: 30, MachineBandwidth: 125000},
 	}
 }
 
@@ -24,7 +24,7 @@
 	for _, x := range at {
 		s.Points = append(s.Points, Point{x, []float64{base + per*x}})
 	}
-	if f, err := Draw(s.Points, 1); err == nil {
+	if f, err := FitPoints(s.Points, 1); err == nil {
 		s.Fit = f
 	}
 	return s
@@ -70,13 +70,13 @@
 		{func(x *Target) { x.Requests = -1 }, "requests_per_s: not above 0: -1"},
 		{func(x *Target) { x.Changes = -1 }, "changes_per_day: not above 0: -1"},
 		{func(x *Target) { x.Tenants = math.NaN() }, "tenants: not a number"},
-		{func(x *Target) { x.Control.Core = 1.5 }, "control.core: over 1: 1.5"},
+		{func(x *Target) { x.Control.Cores = 1.5 }, "control.core: over 1: 1.5"},
 		{func(x *Target) { x.Zones = 2.5 }, "zones: not a whole number: 2.5"},
 		{func(x *Target) { x.Regions = 1.5 }, "regions: not a whole number: 1.5"},
 		{func(x *Target) { x.Regions = 6 }, "regions: more than the 5 zones: 6"},
-		{func(x *Target) { x.Day.RackEvery = 0 }, "day.rack_every_days: not above 0: 0"},
+		{func(x *Target) { x.Failures.RackFailureInterval = 0 }, "day.rack_every_days: not above 0: 0"},
 		{func(x *Target) { x.Assumed.Sockets = 10 }, "assumed.sockets: under 64: 10"},
-		{func(x *Target) { x.Assumed.MachineBytes = math.Inf(1) }, "assumed.machine_kb_per_s: not a number"},
+		{func(x *Target) { x.Assumed.MachineBandwidth = math.Inf(1) }, "assumed.machine_kb_per_s: not a number"},
 	} {
 		invalid := smallTarget()
 		c.change(&invalid)
@@ -88,7 +88,7 @@
 		}
 	}
 	zeros := smallTarget()
-	zeros.Changes, zeros.Day.Fail, zeros.Routes = 0, 0, 0
+	zeros.Changes, zeros.Failures.MachineFailures, zeros.Routes = 0, 0, 0
 	if err := zeros.Check(); err != nil {
 		t.Error(err)
 	}
@@ -96,7 +96,7 @@
 
 func TestAt(t *testing.T) {
 	poorFit := linearSeries("wrong", 0, 1, 1, 2, 4, 8)
-	poorFit.Fit.Off = 0.5
+	poorFit.Fit.RelativeError = 0.5
 	r := Results{Series: []Series{linearSeries("a", 3, 2, 1, 2, 4, 8, 16), poorFit, {Name: "bare", Points: []Point{{1, []float64{5}}, {3, []float64{9, 7, 8}}}}}}
 	for _, c := range []struct {
 		name  string
@@ -317,7 +317,7 @@
 	r := Results{Series: []Series{linearSeries("server.cpu.callers", 0.005, 0.001, 2, 4, 8, 16)}}
 	base := compute(t, smallTarget(), r)
 	other := smallTarget()
-	other.Readings = Readings{CallersPick: true, RoutesBeside: true, ControlAdded: true}
+	other.Readings = Readings{CallersPickServers: true, RoutesBesideTenants: true, ControlAdded: true}
 	p := compute(t, other, r)
 	if n := p.findLine("server", "state: callers it knows").Estimates[Rest].Value; float64(n) != float64(p.Routers)+50 {
 		t.Errorf("callers that a server knows: %v", n)
@@ -351,7 +351,7 @@
 	for want, bad := range map[string][]Series{
 		"series[0].name: missing":                                 {{}},
 		`series[1].name: "a" given twice`:                         {good, good},
-		"series[0].points[0].values: empty":                       {{Name: "a", Points: []Point{{At: 1}}}},
+		"series[0].points[0].values: empty":                       {{Name: "a", Points: []Point{{Size: 1}}}},
 		"series[0].points[1].at: not above the previous point: 1": {{Name: "a", Points: []Point{{1, []float64{1}}, {1, []float64{1}}}}},
 	} {
 		if err := (Results{Series: bad}).Check(); err == nil || err.Error() != want {
@@ -570,11 +570,11 @@
 	probed := linearSeries("server.cpu.callers", 0.02, 0.001, 5, 10, 20, 40)
 	probed.Role, probed.Figure = "server", "cpu"
 	simulated := linearSeries("router.parse.tenants", 0, 0.1, 250, 500, 1000, 2000)
-	simulated.Of = "simulated"
+	simulated.MeasuredOn = "simulated"
 	hollow := linearSeries("router.follows.tenants", 0, 0.1, 250, 500, 1000, 2000)
-	hollow.Of = "hollow"
+	hollow.MeasuredOn = "hollow"
 	opened := linearSeries("leader.opened.followers", 0, 1, 10, 20, 40, 80)
-	opened.Fit.Off = 0.5
+	opened.Fit.RelativeError = 0.5
 	r := Results{Series: []Series{probed, simulated, hollow, opened, {Name: "server.cpu.rest", Points: []Point{{0, []float64{0.004}}}}}}
 	controlAdded := smallTarget()
 	controlAdded.Readings.ControlAdded = true
--- a/internal/policy/capacity/since.go
+++ b/internal/policy/capacity/since.go
@@ -61,8 +61,8 @@
 	for i, s := range r.Series {
 		for _, x := range truncatedSeries {
 			if s.Name == x.name {
-				s.Points = slices.DeleteFunc(slices.Clone(s.Points), func(p Point) bool { return p.At > x.maxSize })
-				s.Fit, _ = Draw(s.Points, 1) // nil if too few sizes are left
+				s.Points = slices.DeleteFunc(slices.Clone(s.Points), func(p Point) bool { return p.Size > x.maxSize })
+				s.Fit, _ = FitPoints(s.Points, 1) // nil if too few sizes are left
 				r.Series[i] = s
 			}
 		}
--- a/internal/policy/capacity/target.go
+++ b/internal/policy/capacity/target.go
@@ -14,56 +14,56 @@
 	Requests       float64 // a second at the peak, of the whole fleet
 	Routes         float64
 	Tenants        float64
-	Added          float64 // ms added to a request, 99th percentile
+	AddedLatency   float64 // ms added to a request, 99th percentile
 	Regions, Zones float64
 	Changes        float64 // of configuration per day
-	InForce        float64 // s within which a change of configuration is in force everywhere
+	InForceWithin  float64 // s within which a change of configuration is in force everywhere
 	Control        Control
-	Day            Day
+	Failures       FailureRates
 	Readings       Readings
 	Assumed        Assumptions
 }
 
 // Control has the budgets of control.
 type Control struct {
-	Core     float64 // fraction of one core, per service
-	Memory   float64 // MB
-	Bytes    float64 // KB/s, in and out together
-	Machines float64 // reserved for control
+	Cores     float64 // fraction of one core, per service
+	Memory    float64 // MB
+	Bandwidth float64 // KB/s, in and out together
+	Machines  float64 // reserved for control
 }
 
-// Day has the rates of failures and restarts.
-type Day struct {
-	Fail, Restart float64 // machines per day
-	RackEvery     float64 // days between failures of a rack
-	ZoneEvery     float64 // days between failures of a zone
-	Apart         float64 // s of a network partition between regions
+// FailureRates has the rates of failures and restarts.
+type FailureRates struct {
+	MachineFailures, Restarts float64 // machines per day
+	RackFailureInterval       float64 // days between failures of a rack
+	ZoneFailureInterval       float64 // days between failures of a zone
+	PartitionDuration         float64 // s of a network partition between regions
 }
 
 // Readings chooses between interpretations of ambiguous terms of the target: see docs/questions.md.
 type Readings struct {
-	CallersPick  bool // callers pick among servers as routers do; otherwise they pick among routers
-	RoutesBeside bool // routes are map entries in addition to those of tenants; otherwise they are some of these
-	ControlAdded bool // control costs what it adds to a process without it; otherwise all that a process uses without requests
+	CallersPickServers  bool // callers pick among servers as routers do; otherwise they pick among routers
+	RoutesBesideTenants bool // routes are map entries in addition to those of tenants; otherwise they are some of these
+	ControlAdded        bool // control costs what it adds to a process without it; otherwise all that a process uses without requests
 }
 
 // Assumptions has values that were not measured. Each is a field of the settings file.
 type Assumptions struct {
 	Utilisation       float64 // fraction of a core, or of ServerRequests, in use at the peak
 	ServerRequests    float64 // requests a second that a server can execute
-	RouterRequest     float64 // µs of processor time of a router per request, if not measured
+	RouterRequestTime float64 // µs of processor time of a router per request, if not measured
 	CallerConnections float64 // connections that a caller keeps, each to another router
 	Sockets           float64 // the setting limits.sockets of a process
-	Probe             float64 // ms between two health checks of a server
-	Lease             float64 // ms, of the quorum group
+	ProbeInterval     float64 // ms between two health checks of a server
+	GroupLease        float64 // ms, of the quorum group
 	MapLease, MapSkew float64 // ms, of the cell map
-	Tick              float64 // ms between two heartbeats of the group
+	HeartbeatInterval float64 // ms between two heartbeats of the group
 	BurstChanges      float64 // changes a second in a burst
-	Sheets            float64 // fraction of requests that have an idempotency key
-	Window            float64 // s, the key window: a request with a key may be repeated within it
+	KeyedFraction     float64 // fraction of requests that have an idempotency key
+	KeyWindow         float64 // s, the key window: a request with a key may be repeated within it
 	RackServers       float64 // servers of a rack
 	RegionDelay       float64 // ms of a round trip between regions
-	MachineBytes      float64 // KB/s of a machine's network
+	MachineBandwidth  float64 // KB/s of a machine's network
 }
 
 // Check returns an error that names the first invalid field as the settings file does.
@@ -103,29 +103,29 @@
 
 // fields returns all numbers of the target by their names in the settings file.
 func (t Target) fields() []field {
-	c, d, a := t.Control, t.Day, t.Assumed
+	c, d, a := t.Control, t.Failures, t.Assumed
 	return []field{
 		{"servers", t.Servers, 1, 0, false}, {"callers", t.Callers, 1, 0, false}, {"caller_services", t.CallerServices, 1, 0, false},
 		{"requests_per_s", t.Requests, 0, 0, false}, {"routes", t.Routes, 0, 0, true}, {"tenants", t.Tenants, 1, 0, false},
-		{"added_p99_ms", t.Added, 0, 0, false}, {"regions", t.Regions, 1, 0, false}, {"zones", t.Zones, 2, 0, false},
-		{"changes_per_day", t.Changes, 0, 0, true}, {"in_force_s", t.InForce, 0, 0, false},
-		{"control.core", c.Core, 0, 1, false}, {"control.memory_mb", c.Memory, 0, 0, false}, {"control.kb_per_s", c.Bytes, 0, 0, false},
+		{"added_p99_ms", t.AddedLatency, 0, 0, false}, {"regions", t.Regions, 1, 0, false}, {"zones", t.Zones, 2, 0, false},
+		{"changes_per_day", t.Changes, 0, 0, true}, {"in_force_s", t.InForceWithin, 0, 0, false},
+		{"control.core", c.Cores, 0, 1, false}, {"control.memory_mb", c.Memory, 0, 0, false}, {"control.kb_per_s", c.Bandwidth, 0, 0, false},
 		{"control.machines", c.Machines, 1, 0, false},
-		{"day.machines_fail", d.Fail, 0, 0, true}, {"day.restarts", d.Restart, 0, 0, true}, {"day.rack_every_days", d.RackEvery, 0, 0, false},
-		{"day.zone_every_days", d.ZoneEvery, 0, 0, false}, {"day.regions_apart_s", d.Apart, 0, 0, true},
+		{"day.machines_fail", d.MachineFailures, 0, 0, true}, {"day.restarts", d.Restarts, 0, 0, true}, {"day.rack_every_days", d.RackFailureInterval, 0, 0, false},
+		{"day.zone_every_days", d.ZoneFailureInterval, 0, 0, false}, {"day.regions_apart_s", d.PartitionDuration, 0, 0, true},
 		{"assumed.utilisation", a.Utilisation, 0, 1, false}, {"assumed.server_requests_per_s", a.ServerRequests, 0, 0, false},
-		{"assumed.router_request_us", a.RouterRequest, 0, 0, false}, {"assumed.caller_connections", a.CallerConnections, 1, 0, false},
-		{"assumed.sockets", a.Sockets, 64, 0, false}, {"assumed.probe_ms", a.Probe, 0, 0, false}, {"assumed.lease_ms", a.Lease, 0, 0, false},
-		{"assumed.map_lease_ms", a.MapLease, 0, 0, false}, {"assumed.map_skew_ms", a.MapSkew, 0, 0, true}, {"assumed.tick_ms", a.Tick, 0, 0, false},
-		{"assumed.burst_changes_per_s", a.BurstChanges, 0, 0, true}, {"assumed.sheets", a.Sheets, 0, 1, true},
-		{"assumed.window_s", a.Window, 0, 0, false}, {"assumed.rack_servers", a.RackServers, 1, 0, false},
-		{"assumed.region_delay_ms", a.RegionDelay, 0, 0, true}, {"assumed.machine_kb_per_s", a.MachineBytes, 0, 0, false},
+		{"assumed.router_request_us", a.RouterRequestTime, 0, 0, false}, {"assumed.caller_connections", a.CallerConnections, 1, 0, false},
+		{"assumed.sockets", a.Sockets, 64, 0, false}, {"assumed.probe_ms", a.ProbeInterval, 0, 0, false}, {"assumed.lease_ms", a.GroupLease, 0, 0, false},
+		{"assumed.map_lease_ms", a.MapLease, 0, 0, false}, {"assumed.map_skew_ms", a.MapSkew, 0, 0, true}, {"assumed.tick_ms", a.HeartbeatInterval, 0, 0, false},
+		{"assumed.burst_changes_per_s", a.BurstChanges, 0, 0, true}, {"assumed.sheets", a.KeyedFraction, 0, 1, true},
+		{"assumed.window_s", a.KeyWindow, 0, 0, false}, {"assumed.rack_servers", a.RackServers, 1, 0, false},
+		{"assumed.region_delay_ms", a.RegionDelay, 0, 0, true}, {"assumed.machine_kb_per_s", a.MachineBandwidth, 0, 0, false},
 	}
 }
 
 // entries returns the number of map entries for tenants and routes.
 func (t Target) entries() float64 {
-	if t.Readings.RoutesBeside {
+	if t.Readings.RoutesBesideTenants {
 		return t.Tenants + t.Routes
 	}
 	return max(t.Tenants, t.Routes)
--- a/internal/policy/cells/cells.go
+++ b/internal/policy/cells/cells.go
@@ -49,10 +49,10 @@
 
 // Home is the cell of a tenant from the time Since on.
 type Home struct {
-	Cell    string
-	Shard   int   // number of the cell's servers that are drawn for the tenant; 0: all
-	Since   int64 // Unix milliseconds
-	IsAbort bool  // the home reverts a migration
+	Cell      string
+	ShardSize int   // number of the cell's servers that are drawn for the tenant; 0: all
+	Since     int64 // Unix milliseconds
+	IsAbort   bool  // the home reverts a migration
 }
 
 // Server returns the server with a name, or nil.
--- a/internal/policy/cells/cells_test.go
+++ b/internal/policy/cells/cells_test.go
@@ -28,7 +28,7 @@
 		Version: 1, KeyWindow: 13170 * time.Millisecond, MaxClockSkew: 500 * time.Millisecond, Lease: 5 * time.Second,
 		CallerTimeout: 4400 * time.Millisecond, Cells: []Cell{{"a", 100}, {"b", 100}, {"c", 100}},
 		Tenants: []Tenant{{"kvizmojster", 100, []Home{{Cell: "a"}}}, {"pametna", 50, []Home{{Cell: "b"}}},
-			{"krcmarski", 20, []Home{{Cell: "b", Shard: 2}}}, {"", 10, []Home{{Cell: "c"}}}},
+			{"krcmarski", 20, []Home{{Cell: "b", ShardSize: 2}}}, {"", 10, []Home{{Cell: "c"}}}},
 	}
 	for i := range n {
 		m.Servers = append(m.Servers, Server{Name: fmt.Sprintf("s%d", i), Addr: fmt.Sprintf("127.0.0.1:%d", 5000+i),
@@ -127,7 +127,7 @@
 		{-time.Millisecond, Prepared, "a", 0}, {0, Dual, "b", 1}, {overlap - time.Millisecond, Dual, "b", 1},
 		{overlap, Draining, "b", 0}, {overlap + m.CallerTimeout, Settled, "b", 0},
 	} {
-		r, ok := p.Next.Route(p.At.Add(c.after), "kvizmojster", "key")
+		r, ok := p.Next.Route(p.EffectiveAt.Add(c.after), "kvizmojster", "key")
 		if !ok || r.State != c.state || r.Cell != c.cell || len(r.FormerHomes) != c.formerHomes {
 			t.Errorf("route %v after the move: %+v, want %v in cell %s", c.after, r, c.state, c.cell)
 		}
@@ -135,7 +135,7 @@
 			t.Errorf("route %v after the move: homes in the wrong cells: %+v", c.after, r)
 		}
 	}
-	midway := p.At.Add(overlap / 2)
+	midway := p.EffectiveAt.Add(overlap / 2)
 	if _, err := p.Next.PlanMove(midway, "kvizmojster", "c", 0); err == nil {
 		t.Error("PlanMove accepts a second move while one is in progress")
 	}
@@ -165,7 +165,7 @@
 	if withdrawn, err := earlyPlan.Next.PlanAbort(early, "kvizmojster"); err != nil || len(withdrawn.Tenants[0].Homes) != 1 {
 		t.Errorf("PlanAbort does not remove a move far in the future: %+v, %v", withdrawn, err)
 	}
-	later := p.Settled.Add(time.Second)
+	later := p.SettledAt.Add(time.Second)
 	compacted := p.Next.Compact(later)
 	if err := compacted.Check(); err != nil || len(compacted.Tenants[0].Homes) != 1 || compacted.Follows(p.Next, later) != nil {
 		t.Errorf("Compact: %+v, %v, %v", compacted.Tenants[0], err, compacted.Follows(p.Next, later))
@@ -229,7 +229,7 @@
 	m := fleet(36)
 	m.Tenants = nil
 	for i := range 40 {
-		m.Tenants = append(m.Tenants, Tenant{Name: fmt.Sprint("t", i), Rate: 1, Homes: []Home{{Cell: "a", Shard: 3}}})
+		m.Tenants = append(m.Tenants, Tenant{Name: fmt.Sprint("t", i), Rate: 1, Homes: []Home{{Cell: "a", ShardSize: 3}}})
 	}
 	if overlap := m.Overlap(t0); overlap < 0.15 || overlap > 0.35 { // the expected value is 3/12
 		t.Errorf("overlap %v", overlap)
--- a/internal/policy/cells/check.go
+++ b/internal/policy/cells/check.go
@@ -125,8 +125,8 @@
 		switch {
 		case !hasCell(h.Cell):
 			return fmt.Errorf("homes[%d].cell: no such cell: %q", j, h.Cell)
-		case h.Shard < 0:
-			return fmt.Errorf("homes[%d].shard: negative: %d", j, h.Shard)
+		case h.ShardSize < 0:
+			return fmt.Errorf("homes[%d].shard: negative: %d", j, h.ShardSize)
 		case j > 0 && h.Since <= t.Homes[j-1].Since:
 			return fmt.Errorf("homes[%d].from_ms: not after that of the home before: %d", j, h.Since)
 		case h.IsAbort && (j < 2 || h.Cell != t.Homes[j-2].Cell):
--- a/internal/policy/cells/homes_test.go
+++ b/internal/policy/cells/homes_test.go
@@ -31,8 +31,8 @@
 		{Name: "settled", Rate: 10, Homes: []Home{{Cell: "a"}}},
 		{Name: "moves", Rate: 10, Homes: []Home{{Cell: "a"}, {Cell: "b", Since: 1010000}}},
 		{Name: "comes back", Rate: 10, Homes: []Home{{Cell: "a"}, {Cell: "b", Since: 1010000}, {Cell: "a", Since: 1030000, IsAbort: true}}},
-		{Name: "shard", Rate: 10, Homes: []Home{{Cell: "a", Shard: 2}}},
-		{Name: "", Homes: []Home{{Cell: "b", Shard: 2}}},
+		{Name: "shard", Rate: 10, Homes: []Home{{Cell: "a", ShardSize: 2}}},
+		{Name: "", Homes: []Home{{Cell: "b", ShardSize: 2}}},
 	}
 	if err := m.Check(); err != nil {
 		t.Fatal(err)
--- a/internal/policy/cells/model_test.go
+++ b/internal/policy/cells/model_test.go
@@ -90,7 +90,7 @@
 	}
 	var r routes
 	serverNumber := func(name string) uint8 { return name[1] - '0' }
-	for phase, at := range []time.Time{plan.At.Add(-time.Millisecond), plan.At, plan.At.Add(plan.Next.OverlapWindow())} {
+	for phase, at := range []time.Time{plan.EffectiveAt.Add(-time.Millisecond), plan.EffectiveAt, plan.EffectiveAt.Add(plan.Next.OverlapWindow())} {
 		route, _ := plan.Next.Route(at, "kvizmojster", "sheet")
 		r.home[phase], r.former[phase] = serverNumber(route.Home), serverCount
 		if len(route.FormerHomes) > 0 {
--- a/internal/policy/cells/parts_test.go
+++ b/internal/policy/cells/parts_test.go
@@ -174,14 +174,14 @@
 			list = append(list, s)
 		}
 	}
-	if h.Shard <= 0 || h.Shard >= len(list) {
+	if h.ShardSize <= 0 || h.ShardSize >= len(list) {
 		return list
 	}
 	slices.SortFunc(list, func(a, b *Server) int {
 		return cmp.Or(cmp.Compare(rendezvousScore("shard\x00"+name, b.Name, b.Weight), rendezvousScore("shard\x00"+name, a.Name, a.Weight)),
 			strings.Compare(a.Name, b.Name))
 	})
-	return list[:h.Shard]
+	return list[:h.ShardSize]
 }
 
 func referenceRoute(m *Map, now time.Time, tenant, key string) (r Route, ok bool) {
@@ -314,7 +314,7 @@
 	m := fleet(rapid.IntRange(4, 15).Draw(t, "servers"))
 	for i := range rapid.IntRange(0, 40).Draw(t, "tenants") {
 		cellNames := rapid.SampledFrom([]string{"a", "b", "c"})
-		tenant := Tenant{fmt.Sprint("t", i), 1, []Home{{Cell: cellNames.Draw(t, "cell"), Shard: rapid.IntRange(0, 3).Draw(t, "shard")}}}
+		tenant := Tenant{fmt.Sprint("t", i), 1, []Home{{Cell: cellNames.Draw(t, "cell"), ShardSize: rapid.IntRange(0, 3).Draw(t, "shard")}}}
 		for n := range rapid.IntRange(0, 2).Draw(t, "moves") {
 			tenant.Homes = append(tenant.Homes, Home{Cell: cellNames.Draw(t, "cell"), Since: t0.UnixMilli() + int64(n*20000+rapid.IntRange(-19000, 0).Draw(t, "since"))})
 		}
@@ -394,7 +394,7 @@
 		if pick(4) == 0 {
 			tenant.Homes = tenant.Homes[1:]
 		} else {
-			tenant.Homes = append(tenant.Homes, Home{Cell: drawCell(), Shard: pick(3), Since: drawTime() + 20000, IsAbort: pick(6) == 0})
+			tenant.Homes = append(tenant.Homes, Home{Cell: drawCell(), ShardSize: pick(3), Since: drawTime() + 20000, IsAbort: pick(6) == 0})
 		}
 	}
 }
--- a/internal/policy/cells/plan.go
+++ b/internal/policy/cells/plan.go
@@ -46,14 +46,14 @@
 
 // Plan is a possible migration of a tenant.
 type Plan struct {
-	Tenant   string
-	From, To string
-	Shard    int       // number of servers of the shard; 0: all
-	At       time.Time // when the migration takes effect
-	Settled  time.Time // when it is over and former homes are not needed any more
-	Before   []Load    // loads of the two cells before and after
-	After    []Load
-	Next     *Map // the map with the migration
+	Tenant      string
+	From, To    string
+	ShardSize   int       // number of servers of the shard; 0: all
+	EffectiveAt time.Time // when the migration takes effect
+	SettledAt   time.Time // when it is over and former homes are not needed any more
+	Before      []Load    // loads of the two cells before and after
+	After       []Load
+	Next        *Map // the map with the migration
 }
 
 // maxUtilization is the highest utilization that a migration may leave in a cell. Beyond it, the failure of one server overloads the
@@ -63,7 +63,7 @@
 // PlanMove plans the migration of a tenant to a cell, onto a shard of shardSize of its servers, or all of them for 0. It returns an error
 // if the target cell does not have enough capacity or servers, or if a migration of the tenant is in progress.
 func (m *Map) PlanMove(now time.Time, tenant, to string, shardSize int) (Plan, error) {
-	p := Plan{Tenant: tenant, To: to, Shard: shardSize}
+	p := Plan{Tenant: tenant, To: to, ShardSize: shardSize}
 	t := m.tenant(tenant, true)
 	if t == nil {
 		return p, fmt.Errorf("tenant %q is not in the map", tenant)
@@ -76,15 +76,15 @@
 	if !slices.ContainsFunc(m.Cells, func(c Cell) bool { return c.Name == to }) {
 		return p, fmt.Errorf("no such cell: %q", to)
 	}
-	if p.From == to && home.Shard == shardSize {
+	if p.From == to && home.ShardSize == shardSize {
 		return p, fmt.Errorf("tenant %q lives in cell %s", tenant, to)
 	}
 	if n := len(m.activeServers(to, now.UnixMilli())); shardSize > n {
 		return p, fmt.Errorf("cell %s has %d servers, not %d", to, n, shardSize)
 	}
-	p.At = now.Add(2*m.Lease + m.MaxClockSkew) // one lease to read the map, and one for routers that cannot read it
-	p.Settled = p.At.Add(m.OverlapWindow() + m.CallerTimeout)
-	p.Next = m.withNextHome(tenant, Home{Cell: to, Shard: shardSize, Since: p.At.UnixMilli()})
+	p.EffectiveAt = now.Add(2*m.Lease + m.MaxClockSkew) // one lease to read the map, and one for routers that cannot read it
+	p.SettledAt = p.EffectiveAt.Add(m.OverlapWindow() + m.CallerTimeout)
+	p.Next = m.withNextHome(tenant, Home{Cell: to, ShardSize: shardSize, Since: p.EffectiveAt.UnixMilli()})
 	selectAffected := func(loads []Load) (affected []Load) {
 		for _, load := range loads {
 			if load.Cell == p.From || load.Cell == to {
@@ -93,7 +93,7 @@
 		}
 		return affected
 	}
-	p.Before, p.After = selectAffected(m.Loads(now)), selectAffected(p.Next.Loads(p.At))
+	p.Before, p.After = selectAffected(m.Loads(now)), selectAffected(p.Next.Loads(p.EffectiveAt))
 	for _, load := range p.After {
 		if load.Cell == to && load.Capacity > 0 && load.Utilization() > maxUtilization {
 			return p, fmt.Errorf("cell %s can't carry it: %.0f of %.0f requests a second would be taken, at most %.0f%% may be",
@@ -139,7 +139,7 @@
 		return next, nil
 	}
 	previous := t.Homes[last-1]
-	return m.withNextHome(tenant, Home{Cell: previous.Cell, Shard: previous.Shard, Since: max(earliest, t.Homes[last].Since+1), IsAbort: true}), nil
+	return m.withNextHome(tenant, Home{Cell: previous.Cell, ShardSize: previous.ShardSize, Since: max(earliest, t.Homes[last].Since+1), IsAbort: true}), nil
 }
 
 // PlanRemoval returns the next map, in which a failed server leaves its cell two leases and MaxClockSkew from now. It returns an error if
@@ -177,7 +177,7 @@
 	for i, t := range next.Tenants {
 		for len(t.Homes) > 1 && t.Homes[1].Since < retainedFrom {
 			t.Homes = t.Homes[1:]
-			t.Homes = append([]Home{{Cell: t.Homes[0].Cell, Shard: t.Homes[0].Shard, Since: t.Homes[0].Since}}, t.Homes[1:]...)
+			t.Homes = append([]Home{{Cell: t.Homes[0].Cell, ShardSize: t.Homes[0].ShardSize, Since: t.Homes[0].Since}}, t.Homes[1:]...)
 		}
 		next.Tenants[i].Homes = t.Homes
 	}
--- a/internal/policy/cells/route.go
+++ b/internal/policy/cells/route.go
@@ -95,7 +95,7 @@
 // serversOf returns the servers of a tenant at a time.
 func (m *Map) serversOf(t *Tenant, name string, at int64) []*Server {
 	h := t.homeAt(at)
-	return drawShard(name, h.Shard, m.activeServers(h.Cell, at))
+	return drawShard(name, h.ShardSize, m.activeServers(h.Cell, at))
 }
 
 // activeServers returns the servers that belong to a cell at a time. Callers must not change the list.
--- a/internal/policy/configstore/process.go
+++ b/internal/policy/configstore/process.go
@@ -47,8 +47,8 @@
 	}
 }
 
-// HasNews reports whether a report contains anything that the store has not recorded. If not, it need not go into the group's log.
-func (s *Store) HasNews(reported Process) bool {
+// NeedsRecording reports whether a report contains anything that the store has not recorded. If not, it need not go into the group's log.
+func (s *Store) NeedsRecording(reported Process) bool {
 	known := s.Processes[reported.Name]
 	if known == nil {
 		return true
--- a/internal/policy/configstore/propose.go
+++ b/internal/policy/configstore/propose.go
@@ -123,8 +123,8 @@
 	return d, nil
 }
 
-// DraftedParts returns the parts that a change proposes: its own, or those of the draft that it names.
-func (d *Document) DraftedParts(c Change) (map[string]string, error) {
+// ProposedParts returns the parts that a change proposes: its own, or those of the draft that it names.
+func (d *Document) ProposedParts(c Change) (map[string]string, error) {
 	if c.Draft == "" {
 		return c.Parts, CheckChangeSize(d.Name, c.Parts)
 	}
@@ -137,7 +137,7 @@
 // changedParts returns the parts in which a change differs from the active version, and the digest of the whole document with them. It
 // returns an error if that is not the digest that the change names: the change was then based on other parts.
 func (d *Document) changedParts(c Change) (changed map[string]Part, digest uint64, err error) {
-	texts, err := d.DraftedParts(c)
+	texts, err := d.ProposedParts(c)
 	if err != nil {
 		return nil, 0, err
 	}
--- a/internal/policy/configstore/store_test.go
+++ b/internal/policy/configstore/store_test.go
@@ -106,7 +106,7 @@
 	if !s.monitor.Observe(p.replica.Name, s.now, p.replica.ActiveVersions(), p.goodput, "") {
 		return
 	}
-	if s.store.HasNews(report) {
+	if s.store.NeedsRecording(report) {
 		op := OpReport
 		if s.store.Processes[p.replica.Name] == nil {
 			op = OpRegister
--- a/internal/policy/controller/golden_test.go
+++ b/internal/policy/controller/golden_test.go
@@ -84,13 +84,13 @@
 			applyWrite(t, &log, j, table, action.Write, "keeper", 6)
 			if action.Write.Document != "" {
 				current.Version = published.HighestVersion
-				published.Raw, published.Occupant = []byte(action.Write.Document), nil
+				published.Raw, published.VersionEntry = []byte(action.Write.Document), nil
 			}
 		case Publish, Withdraw:
 			fmt.Fprintf(&log, "%s %d %s\n", action.Kind, action.Version, action.Raw)
-			published.HighestVersion, published.Occupant = action.Version, action.Raw
+			published.HighestVersion, published.VersionEntry = action.Version, action.Raw
 			if action.Kind == Withdraw {
-				published.Occupant = []byte("withdrawn")
+				published.VersionEntry = []byte("withdrawn")
 			}
 		default:
 			t.Fatalf("unexpected action %s:\n%s", action.Kind, &log)
@@ -101,7 +101,7 @@
 
 // Holders of other builds read the arguments and plans of items, so their JSON must not change.
 func TestRequestsAsEarlierBuildsWroteThem(t *testing.T) {
-	id, removal, ok := GoneRequest("s9", 3, Dead, 4*time.Second)
+	id, removal, ok := RemovalRequest("s9", 3, Dead, 4*time.Second)
 	if id != "gone-s9-3" || !ok {
 		t.Error(id, ok)
 	}
--- a/internal/policy/controller/journal.go
+++ b/internal/policy/controller/journal.go
@@ -25,9 +25,9 @@
 
 // Directives of an operator for an unfinished item.
 const (
-	DirectPause  = "pause"
-	DirectResume = "resume" // ends a pause; it is not stored
-	DirectAbort  = "abort"  // ends the item; DirectResume does not revoke it
+	DirectivePause  = "pause"
+	DirectiveResume = "resume" // ends a pause; it is not stored
+	DirectiveAbort  = "abort"  // ends the item; DirectResume does not revoke it
 )
 
 // Item is one request to a duty, with its state.
@@ -128,8 +128,8 @@
 	return item, nil
 }
 
-// SetDirective sets the directive of an unfinished item, or clears it for DirectResume, and returns the item. It returns
-// ErrItemNotFound for an unknown item, and an error for a finished one or for a DirectResume after an abort.
+// SetDirective sets the directive of an unfinished item, or clears it for DirectiveResume, and returns the item. It returns
+// ErrItemNotFound for an unknown item, and an error for a finished one or for a DirectiveResume after an abort.
 func (j *Journal) SetDirective(id, directive string) (Item, error) {
 	item := j.Item(id)
 	switch {
@@ -137,9 +137,9 @@
 		return Item{}, fmt.Errorf("%w: %q", ErrItemNotFound, id)
 	case item.State.Finished():
 		return *item, fmt.Errorf("it is %s", item.State)
-	case directive == DirectResume && item.Directive == DirectAbort:
+	case directive == DirectiveResume && item.Directive == DirectiveAbort:
 		return *item, errors.New("it is being aborted")
-	case directive == DirectResume:
+	case directive == DirectiveResume:
 		item.Directive = ""
 	default:
 		item.Directive = directive
--- a/internal/policy/controller/monitor.go
+++ b/internal/policy/controller/monitor.go
@@ -98,13 +98,13 @@
 	return Suspected
 }
 
-// GoneRequest returns the request to Placement to remove a dead server; ok is false for any other verdict. The ID depends only on the
+// RemovalRequest returns the request to Placement to remove a dead server; ok is false for any other verdict. The ID depends only on the
 // server and the version of the map, so that the requests of successive holders are queued once.
-func GoneRequest(server string, version int, v Verdict, deadAfter time.Duration) (id string, removal ServerGone, ok bool) {
+func RemovalRequest(server string, version int, v Verdict, deadAfter time.Duration) (id string, removal ServerRemoval, ok bool) {
 	if v != Dead {
-		return "", ServerGone{}, false
+		return "", ServerRemoval{}, false
 	}
-	return fmt.Sprintf("gone-%s-%d", server, version), ServerGone{server, fmt.Sprintf("all routers that report have said dead for %v", deadAfter)}, true
+	return fmt.Sprintf("gone-%s-%d", server, version), ServerRemoval{server, fmt.Sprintf("all routers that report have said dead for %v", deadAfter)}, true
 }
 
 // SortedServers returns the servers of verdicts sorted by name, for a stable order of log lines.
--- a/internal/policy/controller/monitor_test.go
+++ b/internal/policy/controller/monitor_test.go
@@ -37,7 +37,7 @@
 		}
 	}
 	expect(Dead)
-	if id, removal, ok := GoneRequest("s", 3, Dead, m.DeadAfter); !ok || id != "gone-s-3" || removal.Server != "s" {
+	if id, removal, ok := RemovalRequest("s", 3, Dead, m.DeadAfter); !ok || id != "gone-s-3" || removal.Server != "s" {
 		t.Error(id, removal, ok)
 	}
 	report("r3")
--- a/internal/policy/controller/placement.go
+++ b/internal/policy/controller/placement.go
@@ -11,9 +11,9 @@
 
 // Kinds of requests to Placement in the journal.
 const (
-	KindMove  = "move"  // move a tenant to another cell; args are a MoveRequest
-	KindAbort = "abort" // abort a move in progress; args are a MoveRequest without To
-	KindGone  = "gone"  // remove a dead server; args are a ServerGone
+	KindMove          = "move"  // move a tenant to another cell; args are a MoveRequest
+	KindAbort         = "abort" // abort a move in progress; args are a MoveRequest without To
+	KindServerRemoval = "gone"  // remove a dead server; args are a ServerGone
 )
 
 // MoveRequest is a tenant's move to a cell, or, without To, the abort of a move.
@@ -23,8 +23,8 @@
 	Shard  int    `json:"shard,omitempty"` // number of servers of the cell that serve the tenant; 0: all
 }
 
-// ServerGone is the request to remove a dead server.
-type ServerGone struct {
+// ServerRemoval is the request to remove a dead server.
+type ServerRemoval struct {
 	Server string `json:"server"`
 	Reason string `json:"why"`
 }
@@ -35,7 +35,7 @@
 	Map            *cells.Map // latest version; nil: none yet
 	Raw            []byte     // published text of Map
 	HighestVersion int        // highest version with an entry, withdrawn ones included
-	Occupant       []byte     // entry of the version that the current plan has; nil: not written yet
+	VersionEntry   []byte     // entry of the version that the current plan has; nil: not written yet
 }
 
 // maxPlanAttempts is the number of plans after which a change fails whose versions expired before they were published. A version
@@ -87,11 +87,11 @@
 	switch {
 	case err != nil:
 		return itemOutcome(item, Failed, "failed to parse the plan: "+err.Error())
-	case published.Occupant != nil && string(published.Occupant) == item.Plan:
+	case published.VersionEntry != nil && string(published.VersionEntry) == item.Plan:
 		outcome := itemOutcome(item, Done, fmt.Sprintf("version %d", plan.Version))
 		outcome.Write.Document = item.Plan
 		return outcome
-	case published.Occupant != nil: // withdrawn, or written with another map
+	case published.VersionEntry != nil: // withdrawn, or written with another map
 		return replan(item, plan.Version)
 	case plan.Version <= published.Map.Version || plan.Follows(published.Map, now) != nil:
 		return Action{Kind: Withdraw, Version: plan.Version}
@@ -127,7 +127,7 @@
 
 // applyRequest returns the map with the change of a request; plan sets its version.
 func (p Placement) applyRequest(item *Item, m *cells.Map, now time.Time) (*cells.Map, error) {
-	if item.Directive == DirectAbort {
+	if item.Directive == DirectiveAbort {
 		return nil, errors.New("aborted before it was planned")
 	}
 	switch item.Kind {
@@ -141,8 +141,8 @@
 		}
 		plan, err := m.PlanMove(now, move.Tenant, move.To, move.Shard)
 		return plan.Next, err
-	case KindGone:
-		var removal ServerGone
+	case KindServerRemoval:
+		var removal ServerRemoval
 		if err := json.Unmarshal(item.Args, &removal); err != nil {
 			return nil, fmt.Errorf("invalid arguments: %w", err)
 		}
--- a/internal/policy/controller/placement_test.go
+++ b/internal/policy/controller/placement_test.go
@@ -39,14 +39,14 @@
 				now = now.Add(time.Hour) // the holder is suspended after its intent
 			}
 			if action.Write.State == Queued {
-				published.Occupant = nil
+				published.VersionEntry = nil
 			}
 			trace += string(action.Write.State) + " "
 		case Withdraw:
-			published.Occupant, published.HighestVersion = []byte("withdrawn"), action.Version
+			published.VersionEntry, published.HighestVersion = []byte("withdrawn"), action.Version
 			trace += fmt.Sprint("withdraw ", action.Version, " ")
 		case Publish:
-			published.Occupant, published.HighestVersion = action.Raw, action.Version
+			published.VersionEntry, published.HighestVersion = action.Raw, action.Version
 			trace += fmt.Sprint("publish ", action.Version, " ")
 		}
 	}
--- a/internal/policy/controller/rollout_steps.go
+++ b/internal/policy/controller/rollout_steps.go
@@ -47,7 +47,7 @@
 // stopReason returns why an unstopped rollout has to stop now, or an empty string if it continues.
 func (r *Rollout) stopReason(in rolloutInput) string {
 	switch {
-	case in.item.Directive == DirectAbort:
+	case in.item.Directive == DirectiveAbort:
 		return "aborted by an operator"
 	case r.lowShareCount >= maxLowShareCount:
 		return fmt.Sprintf("%.0f%% of the worth was served, at least %.0f%% has to be",
@@ -130,7 +130,7 @@
 
 // evacuateNext evacuates the first server that mayEvacuate allows, unless an operator has paused the rollout.
 func (in rolloutInput) evacuateNext() Action {
-	if in.item.Directive == DirectPause {
+	if in.item.Directive == DirectivePause {
 		return Action{}
 	}
 	for i, s := range in.progress.Servers {
--- a/internal/policy/fence/fence.go
+++ b/internal/policy/fence/fence.go
@@ -48,9 +48,9 @@
 	return f
 }
 
-// Knows reports whether Check can decide on commands of a duty. If not, the caller reads the duty's epoch and step from the group and
+// CanCheck reports whether Check can decide on commands of a duty. If not, the caller reads the duty's epoch and step from the group and
 // calls SetFloor.
-func (f *Fence) Knows(duty string) bool { _, ok := f.latest[duty]; return ok || !f.incomplete }
+func (f *Fence) CanCheck(duty string) bool { _, ok := f.latest[duty]; return ok || !f.incomplete }
 
 // SetFloor sets the lowest command of a duty that Check accepts, from the epoch of the duty and the step of its journal. The command of
 // that step may still arrive; commands of earlier steps are obsolete. SetFloor never lowers the epoch of a duty.
@@ -63,7 +63,7 @@
 // Check decides on a command and changes nothing. The caller records a fresh command and then carries it out. A command that is not
 // fresh was carried out before and is answered as accepted. A rejected command returns ErrStaleEpoch, ErrStaleStep or ErrUnknownEpoch.
 func (f *Fence) Check(c Command) (fresh bool, err error) {
-	if !f.Knows(c.Duty) {
+	if !f.CanCheck(c.Duty) {
 		return false, fmt.Errorf("%w of %s", ErrUnknownEpoch, c.Duty)
 	}
 	last, exists := f.latest[c.Duty]
--- a/internal/policy/fence/model_test.go
+++ b/internal/policy/fence/model_test.go
@@ -171,7 +171,7 @@
 // deliver handles a command on its server.
 func (s *state) deliver(c sentCommand, g guards) {
 	f := New(s.latest[c.server], s.incomplete[c.server])
-	if !f.Knows(c.Duty) {
+	if !f.CanCheck(c.Duty) {
 		f.SetFloor(c.Duty, s.duty.Epoch, s.journal.Step) // the server reads the floor from the group
 		s.incomplete[c.server] = false
 	}
@@ -314,7 +314,7 @@
 func TestFileLastsAndRefusesDamage(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "orders")
 	f, err := Open(path, "s1")
-	if err != nil || f.Knows("d") {
+	if err != nil || f.CanCheck("d") {
 		t.Fatal(err)
 	}
 	f.SetFloor("d", 4, 7)
--- a/internal/policy/hotrestart/claims.go
+++ b/internal/policy/hotrestart/claims.go
@@ -25,7 +25,7 @@
 	case known:
 		return Granted
 	case e.ReceivedAt <= c.unknownUntil:
-		return Unknowable
+		return OutcomeUnknown
 	case c.role != Successor:
 		return Granted
 	}
--- a/internal/policy/hotrestart/coordinator.go
+++ b/internal/policy/hotrestart/coordinator.go
@@ -33,9 +33,9 @@
 
 // The states of a claim.
 const (
-	Granted    ClaimState = iota // the attempt may proceed: this process owns the key, or knows its run
-	Pending                      // the attempt calls CheckClaim again after the next change
-	Unknowable                   // it cannot be determined whether the request ran: the attempt fails
+	Granted        ClaimState = iota // the attempt may proceed: this process owns the key, or knows its run
+	Pending                          // the attempt calls CheckClaim again after the next change
+	OutcomeUnknown                   // it cannot be determined whether the request ran: the attempt fails
 )
 
 // Effects are the actions that this process must take after events.
--- a/internal/policy/idempotency/decisions_test.go
+++ b/internal/policy/idempotency/decisions_test.go
@@ -59,15 +59,15 @@
 				if rng.IntN(20) == 0 {
 					took *= 20
 				}
-				l.Committed(now, took)
+				l.CommitFinished(now, took)
 			case 8:
 				if rng.IntN(20) == 0 {
 					fmt.Fprintln(digest, l.WriteFailed(), l.CanExecute(now, time.Second))
 					if rng.IntN(2) == 0 {
-						l.Rewritten()
+						l.RewriteFinished()
 					}
 				} else if rng.IntN(3) == 0 {
-					l.Rewritten()
+					l.RewriteFinished()
 				}
 			case 9:
 				fmt.Fprintln(digest, l.Expire(now, 1+rng.IntN(20)))
--- a/internal/policy/idempotency/ledger.go
+++ b/internal/policy/idempotency/ledger.go
@@ -267,8 +267,8 @@
 	return l.limits.GroupCommitDelay
 }
 
-// Committed records the duration of a commit that has just ended.
-func (l *Ledger) Committed(now, took time.Duration) {
+// CommitFinished records the duration of a commit that has just ended.
+func (l *Ledger) CommitFinished(now, took time.Duration) {
 	l.commitTimes[l.commitCount%recentCommits] = commitTime{took, now}
 	l.commitCount++
 }
@@ -282,8 +282,8 @@
 	return true
 }
 
-// Rewritten reopens a failing store after all records were rewritten and are durable.
-func (l *Ledger) Rewritten() {
+// RewriteFinished reopens a failing store after all records were rewritten and are durable.
+func (l *Ledger) RewriteFinished() {
 	if l.health == Failing {
 		l.health, l.commitTimes = Open, [recentCommits]commitTime{}
 	}
--- a/internal/policy/idempotency/ledger_test.go
+++ b/internal/policy/idempotency/ledger_test.go
@@ -107,7 +107,7 @@
 				if rapid.Bool().Draw(t, "fails") {
 					l.WriteFailed()
 				} else {
-					l.Rewritten()
+					l.RewriteFinished()
 				}
 			case op == 7:
 				for _, seq := range l.Expire(now, 3) {
@@ -139,7 +139,7 @@
 func TestSlowDiskRejectsUntilItsCommitsAreOld(t *testing.T) {
 	l := NewLedger(Limits{Bytes: 1 << 20, RetryAfter: time.Second})
 	l.LoadFinished(0, 0)
-	l.Committed(time.Second, 300*time.Millisecond)
+	l.CommitFinished(time.Second, 300*time.Millisecond)
 	for remaining, want := range map[time.Duration]Action{time.Second: Reject, 3 * time.Second: Execute} {
 		if d := l.CanExecute(time.Second, remaining); d.Action != want {
 			t.Errorf("decision with %v left: %v", remaining, d)
--- a/internal/policy/loadbalancer/decisions_test.go
+++ b/internal/policy/loadbalancer/decisions_test.go
@@ -81,7 +81,7 @@
 	}
 	c := balancer.Counts()
 	fmt.Fprintf(&got, "ejected %d panicked %d retried %d spent %d hedged %d spent %d cold back %d\n",
-		c.Ejected, c.Panicked, c.Retried, c.RetriesSpent, c.Hedged, c.HedgesSpent, c.ColdBack)
+		c.Ejected, c.Panicked, c.Retried, c.RetriesDenied, c.Hedged, c.HedgesDenied, c.LostKeyRestarts)
 	limiter := NewTenantLimiter()
 	for step := range 600 {
 		now := time.Duration(step) * 11 * time.Millisecond
--- a/internal/policy/loadbalancer/hedging.go
+++ b/internal/policy/loadbalancer/hedging.go
@@ -53,7 +53,7 @@
 // AllowHedge reports whether the hedge budget has a token for a hedged request, and takes it.
 func (b *Balancer) AllowHedge() bool {
 	if !b.hedges.withdraw() {
-		b.counts.HedgesSpent++
+		b.counts.HedgesDenied++
 		return false
 	}
 	b.counts.Hedged++
--- a/internal/policy/loadbalancer/homes.go
+++ b/internal/policy/loadbalancer/homes.go
@@ -56,7 +56,7 @@
 	if !restarted && !missedRestart {
 		return
 	}
-	b.counts.ColdBack++
+	b.counts.LostKeyRestarts++
 	s.lostKeys, s.lostKeysAt, s.upSince = true, now, now
 	if in.Boot != 0 { // the earlier process ran nothing after this one started
 		s.warmup.Restarted()
--- a/internal/policy/loadbalancer/loadbalancer.go
+++ b/internal/policy/loadbalancer/loadbalancer.go
@@ -120,9 +120,9 @@
 	}
 }
 
-// Retune applies new ratios and bounds after a change of the routing document. It keeps the state of the servers, the spent budgets, and
+// UpdateConfig applies new ratios and bounds after a change of the routing document. It keeps the state of the servers, the spent budgets, and
 // the values of KeyWindow, Seed and MaxInFlight that New was given.
-func (b *Balancer) Retune(c Config) {
+func (b *Balancer) UpdateConfig(c Config) {
 	c.KeyWindow, c.Seed, c.MaxInFlight = b.cfg.KeyWindow, b.cfg.Seed, b.cfg.MaxInFlight
 	b.cfg = c.withDefaults()
 	b.retries.ratio, b.hedges.ratio = b.cfg.RetryRatio, b.cfg.HedgeRatio
--- a/internal/policy/loadbalancer/retrybudget.go
+++ b/internal/policy/loadbalancer/retrybudget.go
@@ -57,7 +57,7 @@
 		return false
 	}
 	if !b.retries.withdraw() {
-		b.counts.RetriesSpent++
+		b.counts.RetriesDenied++
 		return false
 	}
 	b.counts.Retried++
--- a/internal/policy/loadbalancer/state.go
+++ b/internal/policy/loadbalancer/state.go
@@ -8,13 +8,13 @@
 
 // Counts counts the decisions of a Balancer since its start.
 type Counts struct {
-	Ejected      uint64 // ejections of servers
-	Panicked     uint64 // choices that ignored health, below PanicThreshold
-	Retried      uint64 // allowed retries
-	RetriesSpent uint64 // retries denied because the budget was spent
-	Hedged       uint64 // allowed hedged requests
-	HedgesSpent  uint64 // hedged requests denied because the budget was spent
-	ColdBack     uint64 // server restarts that may have lost idempotency keys
+	Ejected         uint64 // ejections of servers
+	Panicked        uint64 // choices that ignored health, below PanicThreshold
+	Retried         uint64 // allowed retries
+	RetriesDenied   uint64 // retries denied because the budget was spent
+	Hedged          uint64 // allowed hedged requests
+	HedgesDenied    uint64 // hedged requests denied because the budget was spent
+	LostKeyRestarts uint64 // server restarts that may have lost idempotency keys
 }
 
 // Counts returns the decision counters since the start.
--- a/internal/policy/quota/holder.go
+++ b/internal/policy/quota/holder.go
@@ -36,8 +36,8 @@
 
 // Counts are the numbers of decisions of a holder since the start.
 type Counts struct {
-	Within uint64 // requests that were admitted
-	Beyond uint64 // requests beyond the quota, which were not admitted
+	Admitted uint64 // requests that were admitted
+	Rejected uint64 // requests beyond the quota, which were not admitted
 }
 
 // keyUsage is the demand and the token bucket of a key.
@@ -68,11 +68,11 @@
 	}
 }
 
-// TakeGrant applies a grant that was requested at requestedAt, by a request that reported applied as the grant in use. It ignores a
+// ApplyGrant applies a grant that was requested at requestedAt, by a request that reported applied as the grant in use. It ignores a
 // grant that is not newer than the one in use, because the leader stops counting a grant once the router reports a later one. It also
 // ignores a grant whose request reported an earlier grant: another leader may since have granted the rates that the request reported as
 // in use.
-func (h *Holder) TakeGrant(requestedAt time.Duration, applied uint64, g Grant, terms lease.Terms) {
+func (h *Holder) ApplyGrant(requestedAt time.Duration, applied uint64, g Grant, terms lease.Terms) {
 	if g.Seq <= h.grantSeq || applied != h.grantSeq {
 		return
 	}
@@ -156,11 +156,11 @@
 	u.tokens = min(u.tokens+rate*(now-u.filledAt).Seconds(), max(minBurst, rate*burstSeconds))
 	u.filledAt = now
 	if u.tokens < 1 {
-		h.counts.Beyond++
+		h.counts.Rejected++
 		return false
 	}
 	u.tokens--
-	h.counts.Within++
+	h.counts.Admitted++
 	return true
 }
 
--- a/internal/policy/quota/ledger.go
+++ b/internal/policy/quota/ledger.go
@@ -83,9 +83,9 @@
 // makes by time alone.
 func (l *Ledger) SetCapacity(cells map[string]Capacity) { l.cells = cells }
 
-// Lend records a router's request and returns its grant. It returns false and grants nothing if the member does not lead, if there are
+// Grant records a router's request and returns its grant. It returns false and grants nothing if the member does not lead, if there are
 // already MaxRouters routers, or if routers have different settings of MaxRouters: their reserves would not sum to [ReservedRatio].
-func (l *Ledger) Lend(now time.Duration, router string, r Request) (Grant, bool) {
+func (l *Ledger) Grant(now time.Duration, router string, r Request) (Grant, bool) {
 	if l.leadingSince < 0 || r.MaxRouters <= 0 {
 		return Grant{}, false
 	}
@@ -221,9 +221,9 @@
 	return rates
 }
 
-// LentRatio returns the highest ratio of the rates that all routers together may be using to the capacity that can be granted, over the
+// GrantedRatio returns the highest ratio of the rates that all routers together may be using to the capacity that can be granted, over the
 // constraints of a cell. It is never above 1. Members report it in their status.
-func (l *Ledger) LentRatio(now time.Duration, cell string) (ratio float64) {
+func (l *Ledger) GrantedRatio(now time.Duration, cell string) (ratio float64) {
 	constraints := l.cells[cell].constraints()
 	sums := make([]float64, len(constraints))
 	for _, b := range l.routers {
@@ -239,11 +239,11 @@
 	return ratio
 }
 
-// LentRatios returns the result of [Ledger.LentRatio] for each cell, by cell name.
-func (l *Ledger) LentRatios(now time.Duration) map[string]float64 {
+// GrantedRatios returns the result of [Ledger.GrantedRatio] for each cell, by cell name.
+func (l *Ledger) GrantedRatios(now time.Duration) map[string]float64 {
 	all := map[string]float64{}
 	for cell := range l.cells {
-		all[cell] = l.LentRatio(now, cell)
+		all[cell] = l.GrantedRatio(now, cell)
 	}
 	return all
 }
--- a/internal/policy/quota/quota_test.go
+++ b/internal/policy/quota/quota_test.go
@@ -106,7 +106,7 @@
 					}
 					requestedAt := r.clock(now)
 					request := r.holder.Request(requestedAt)
-					g, ok := l.Lend(now, r.name, request)
+					g, ok := l.Grant(now, r.name, request)
 					if c.omitted == ledgerClamp && ok {
 						for i, allocation := range g.Rates {
 							g.Rates[i].Rate = Targets(l.cells["c"], reportedDemand(l, now))[r.name][allocation.Tenant]
@@ -117,7 +117,7 @@
 							if c.omitted == staleGrantCheck {
 								r.holder.grantSeq, request.Applied = 0, 0
 							}
-							r.holder.TakeGrant(requestedAt, request.Applied, g, terms)
+							r.holder.ApplyGrant(requestedAt, request.Applied, g, terms)
 						})
 					}
 				case 7, 8:
@@ -193,8 +193,8 @@
 			}
 			if now%(340*time.Millisecond) == 0 {
 				request := h.Request(now)
-				if g, ok := l.Lend(now, name, request); ok {
-					h.TakeGrant(now, request.Applied, g, terms)
+				if g, ok := l.Grant(now, name, request); ok {
+					h.ApplyGrant(now, request.Applied, g, terms)
 				}
 			}
 		}
@@ -258,7 +258,7 @@
 	if rate := rateOf("r3", "t0", shiftAt+10*time.Second-1); rate <= 0 {
 		t.Error("a router that joined has no rate")
 	}
-	if grantedRatio := l.LentRatio(shiftAt+10*time.Second, "c"); grantedRatio > 1.0001 {
+	if grantedRatio := l.GrantedRatio(shiftAt+10*time.Second, "c"); grantedRatio > 1.0001 {
 		t.Errorf("%.3f of the grantable capacity is granted", grantedRatio)
 	}
 	// A router that is cut off keeps its granted rate for one lease only. Its reserve remains.
@@ -269,7 +269,7 @@
 	if holder := NewHolder(8, false); holder.Rate(0, Key{"c", "t0"}) != 0 {
 		t.Error("a router that may run twice has a reserve")
 	}
-	if _, ok := l.Lend(now, "r9", Request{MaxRouters: 3}); ok {
+	if _, ok := l.Grant(now, "r9", Request{MaxRouters: 3}); ok {
 		t.Error("a router with another maximum number of routers was granted rates")
 	}
 }
@@ -280,19 +280,19 @@
 func TestGrantForAnEarlierRequestIsNotTaken(t *testing.T) {
 	h, k := NewHolder(8, false), Key{"c", "t0"}
 	grant := func(seq uint64, rate float64) Grant { return Grant{Seq: seq, Rates: []Allocation{{"c", "t0", rate}}} }
-	h.TakeGrant(0, 0, grant(5, 10), terms)
+	h.ApplyGrant(0, 0, grant(5, 10), terms)
 	if got := h.Rate(0, k); got != 10 {
 		t.Fatalf("rate %v after the first grant, want 10", got)
 	}
-	h.TakeGrant(0, 0, grant(7, 90), terms) // requested before the first grant was in use
+	h.ApplyGrant(0, 0, grant(7, 90), terms) // requested before the first grant was in use
 	if got := h.Rate(0, k); got != 10 {
 		t.Errorf("rate %v after a grant for an earlier request, want 10", got)
 	}
-	h.TakeGrant(0, 5, grant(4, 90), terms) // older than the grant in use
+	h.ApplyGrant(0, 5, grant(4, 90), terms) // older than the grant in use
 	if got := h.Rate(0, k); got != 10 {
 		t.Errorf("rate %v after an older grant, want 10", got)
 	}
-	h.TakeGrant(0, 5, grant(8, 20), terms)
+	h.ApplyGrant(0, 5, grant(8, 20), terms)
 	if got := h.Rate(0, k); got != 20 {
 		t.Errorf("rate %v after the next grant, want 20", got)
 	}
--- a/internal/policy/quota/wire_test.go
+++ b/internal/policy/quota/wire_test.go
@@ -66,7 +66,7 @@
 			if err := json.Unmarshal(requestJSON, &decoded); err != nil {
 				t.Fatal(err)
 			}
-			grant, ok := ledger.Lend(now, name, decoded)
+			grant, ok := ledger.Grant(now, name, decoded)
 			for j := range grant.Rates {
 				grant.Rates[j].Rate = float64(int(grant.Rates[j].Rate*1e4)) / 1e4
 			}
@@ -74,9 +74,9 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			holder.TakeGrant(now, request.Applied, grant, terms)
+			holder.ApplyGrant(now, request.Applied, grant, terms)
 			counts := holder.Counts()
-			fmt.Fprintf(&got, "%d %s %s\n%v %s granted %v within %d beyond %d lent %.4f\n", step, name, requestJSON, ok, grantJSON, holder.HasLease(now), counts.Within, counts.Beyond, ledger.LentRatio(now, "a"))
+			fmt.Fprintf(&got, "%d %s %s\n%v %s granted %v within %d beyond %d lent %.4f\n", step, name, requestJSON, ok, grantJSON, holder.HasLease(now), counts.Admitted, counts.Rejected, ledger.GrantedRatio(now, "a"))
 		}
 	}
 	want, err := os.ReadFile("testdata/words.txt")
--- a/internal/proxy/change.go
+++ b/internal/proxy/change.go
@@ -21,12 +21,12 @@
 // lockPollInterval is the time between two attempts to take the lock of a map.
 const lockPollInterval = 10 * time.Millisecond
 
-// Change reads the map at path, calls plan for the next version, and replaces the file with it. It holds the lock file
+// UpdateMap reads the map at path, calls plan for the next version, and replaces the file with it. It holds the lock file
 // beside the map from before the read until after the write, so that writers do not interleave. If another writer holds
 // the lock, Change waits up to wait and then returns ErrBusy. A writer that is suspended in between keeps the lock, so
 // the map that it writes on resuming still follows the one that it read; the system releases the lock of a writer that
 // died. If plan returns a nil map, nothing is written.
-func Change(path string, wait time.Duration, plan func(m *cells.Map, now time.Time) (*cells.Map, error)) (*cells.Map, error) {
+func UpdateMap(path string, wait time.Duration, plan func(m *cells.Map, now time.Time) (*cells.Map, error)) (*cells.Map, error) {
 	lock, err := lockFileBeside(path, wait)
 	if err != nil {
 		return nil, err
--- a/internal/proxy/healthchecks.go
+++ b/internal/proxy/healthchecks.go
@@ -59,7 +59,7 @@
 	defer r.mu.Unlock()
 	if ok {
 		r.recordServerState(s.Name, a.Fields)
-		if requests, err := strconv.Atoi(a.Fields[msgpackrpc.FieldSlowStartShare]); err == nil {
+		if requests, err := strconv.Atoi(a.Fields[msgpackrpc.FieldSlowStartQuota]); err == nil {
 			r.balancer.SlowStartGranted(sentAt, s.Name, requests, msgpackrpc.SlowStartProbeIntervals*interval)
 		}
 	} else {
@@ -104,7 +104,7 @@
 		joinedAt = s.JoinsAt
 	}
 	r.balancer.Answered(r.clock(), name, loadbalancer.Incarnation{Boot: boot, RanUntil: ranUntil, Joined: joinedAt, Now: time.Now().UnixMilli()})
-	if fields[msgpackrpc.FieldWarmingUp] == "" {
+	if fields[msgpackrpc.FieldSlowStart] == "" {
 		r.balancer.WarmedUp(name)
 	}
 	if u := r.upstreams[name]; u != nil {
--- a/internal/proxy/parts_test.go
+++ b/internal/proxy/parts_test.go
@@ -669,7 +669,7 @@
 		}
 		m.Tenants[7].Homes = append(m.Tenants[7].Homes, cells.Home{Cell: "c0", Since: time.Now().Add(time.Hour).UnixMilli()})
 		r := newRunner(t, newGroupSource(t, "", m), io.Discard, nil)
-		r.ShareQuota(470, true)
+		r.EnableQuota(470, true)
 		text := r.Status()
 		if len(text) > msgpackrpc.MaxCallBody/2 {
 			t.Errorf("the status for %d tenants has %d bytes", tenants, len(text))
@@ -713,7 +713,7 @@
 	m.Servers[0].LeavesAt = now.Add(time.Minute).UnixMilli()
 	src := newGroupSource(t, "", m)
 	r := newRunner(t, src, io.Discard, nil)
-	r.ShareQuota(1, true)
+	r.EnableQuota(1, true)
 	rate := func() float64 {
 		r.mu.Lock()
 		defer r.mu.Unlock()
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -143,7 +143,7 @@
 // Probe reports the gauges to Events. CPU is the requests in flight divided by Config.Cores, at most 1.
 func (r *Runner) Probe() {
 	n := float64(r.inFlight.Load())
-	r.events.Gauges(silverpath.Gauges{CPU: min(1, n/float64(max(1, r.cfg.Cores))), OnCores: n, Connections: n})
+	r.events.Gauges(silverpath.Gauges{CPU: min(1, n/float64(max(1, r.cfg.Cores))), RunnableTasks: n, Connections: n})
 }
 
 // Close closes the connections to all servers.
@@ -170,7 +170,7 @@
 	r.healthCheckInterval.Store(int64(healthCheckInterval))
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.balancer.Retune(c)
+	r.balancer.UpdateConfig(c)
 }
 
 // Goodput returns the sums of the priority weights of the answered and of the served requests since the start.
--- a/internal/proxy/quota.go
+++ b/internal/proxy/quota.go
@@ -9,9 +9,9 @@
 	"silverpath/internal/policy/quota"
 )
 
-// ShareQuota makes the router use its cells under a quota, as one of at most maxRouters. HasReserve says that no other process can have this
-// router's name; the router then also has a reserve, which needs no grant. ShareQuota is called before the first request.
-func (r *Runner) ShareQuota(maxRouters int, hasReserve bool) {
+// EnableQuota makes the router use its cells under a quota, as one of at most maxRouters. HasReserve says that no other process can have this
+// router's name; the router then also has a reserve, which needs no grant. EnableQuota is called before the first request.
+func (r *Runner) EnableQuota(maxRouters int, hasReserve bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.quota, r.quotaCapacity = quota.NewHolder(maxRouters, hasReserve), capacitySpan{}
@@ -48,7 +48,7 @@
 		r.mu.Lock()
 		defer r.mu.Unlock()
 		r.updateQuotaCapacity()
-		r.quota.TakeGrant(requestedAt, request.Applied, g, t)
+		r.quota.ApplyGrant(requestedAt, request.Applied, g, t)
 	}
 }
 
--- a/internal/proxy/source_test.go
+++ b/internal/proxy/source_test.go
@@ -17,7 +17,7 @@
 		Version: 3, KeyWindow: 2 * time.Second, MaxClockSkew: 100 * time.Millisecond, Lease: time.Second, CallerTimeout: time.Second,
 		Cells:   []cells.Cell{{Name: "a", Capacity: 10}, {Name: "b", Capacity: 10}},
 		Servers: []cells.Server{{Name: "s1", Addr: "127.0.0.1:1", Cell: "a", Weight: 1}, {Name: "s2", Addr: "127.0.0.1:2", Cell: "b", Weight: 2.5}},
-		Tenants: []cells.Tenant{{Name: "x", Rate: 1.5, Homes: []cells.Home{{Cell: "a"}, {Cell: "b", Shard: 1, Since: 1700000000000},
+		Tenants: []cells.Tenant{{Name: "x", Rate: 1.5, Homes: []cells.Home{{Cell: "a"}, {Cell: "b", ShardSize: 1, Since: 1700000000000},
 			{Cell: "a", Since: 1700000100000, IsAbort: true}}}},
 	}
 }
--- a/internal/proxy/status.go
+++ b/internal/proxy/status.go
@@ -35,8 +35,8 @@
 		n    uint64
 	}{
 		{"ejected", counts.Ejected}, {"panicked", counts.Panicked}, {"retried", counts.Retried},
-		{"retries_spent", counts.RetriesSpent}, {"hedged", counts.Hedged}, {"hedges_spent", counts.HedgesSpent},
-		{"cold_back", counts.ColdBack},
+		{"retries_spent", counts.RetriesDenied}, {"hedged", counts.Hedged}, {"hedges_spent", counts.HedgesDenied},
+		{"cold_back", counts.LostKeyRestarts},
 	} {
 		o.Set(c.name, a.NewNumberInt(int(c.n)))
 	}
@@ -97,7 +97,7 @@
 func (r *Runner) quotaStatus(a *fastjson.Arena, o *fastjson.Value, m *mapInForce) {
 	r.mu.Lock()
 	rates, rest := r.quota.Rates(r.leaseClock())
-	overQuota := r.quota.Counts().Beyond
+	overQuota := r.quota.Counts().Rejected
 	r.mu.Unlock()
 	cellRates, unlisted := map[string]*fastjson.Value{}, a.NewObject()
 	parts := a.NewObject()
--- a/internal/service/describe.go
+++ b/internal/service/describe.go
@@ -41,7 +41,7 @@
 
 // describeEdge returns the lines of Describe for an edge file.
 func describeEdge(e settings.Edge) string {
-	if !e.On {
+	if !e.Enabled {
 		return "  edge: off\n"
 	}
 	s := fmt.Sprintf("  edge: status requests %s\n", onOff(e.Status))
@@ -52,7 +52,7 @@
 		}
 		s += fmt.Sprintf("  pool %s: %s, weight %g, floor %.0f%% of the runs\n", p.Name, classes, p.Weight, 100*p.Floor)
 	}
-	if !e.PoolsOn() {
+	if !e.HasPools() {
 		s += "  pools: off\n"
 	}
 	if store := e.Store; store != nil {
--- a/internal/service/drain.go
+++ b/internal/service/drain.go
@@ -50,10 +50,10 @@
 func (s *Service) drain() error {
 	startedAt := time.Now()
 	stop, delay := s.stopTimeout(), s.drainDelay
-	if s.core.Successor() {
+	if s.core.SuccessorReady() {
 		// The successor accepts new connections from now on, including those of peers that are asked to leave here.
 		events.Log(s.log, "hotrestart.successor")
-		s.loadReporter.Silence()
+		s.loadReporter.Stop()
 		delay = 0
 		s.closeListeners()
 	}
@@ -82,7 +82,7 @@
 // these peers to leave.
 func (s *Service) waitUntilIdle(startedAt time.Time, stop time.Duration) error {
 	exitAt := startedAt.Add(stop - s.exitMargin)
-	accepting := s.restartLink != nil && !s.core.Successor()
+	accepting := s.restartLink != nil && !s.core.SuccessorReady()
 	if !accepting {
 		s.closeListeners()
 	}
@@ -108,7 +108,7 @@
 			}
 		case <-tick.C:
 			idleChecks++
-			if accepting && (s.core.Successor() || time.Now().After(exitAt.Add(-2*idleCheckInterval))) {
+			if accepting && (s.core.SuccessorReady() || time.Now().After(exitAt.Add(-2*idleCheckInterval))) {
 				accepting = false
 				s.closeListeners()
 			}
--- a/internal/service/heartbeat.go
+++ b/internal/service/heartbeat.go
@@ -22,7 +22,7 @@
 	if s.restartLink != nil {
 		return errors.New("life: not supported with hot restart (LB_SOCKET_FD)")
 	}
-	if s.heartbeat, err = heartbeat.Open(config.File, s.cfg.Name, config.Valid, s.log, s.stats); err != nil {
+	if s.heartbeat, err = heartbeat.Open(config.File, s.cfg.Name, config.ValidFor, s.log, s.stats); err != nil {
 		return fmt.Errorf("life.file: %w", err)
 	}
 	downtime, _ := s.heartbeat.Downtime()
@@ -37,7 +37,7 @@
 		case s.store == nil && s.unknownRunsRemaining() > 0:
 			return idempotency.Decision{Action: idempotency.Fail, Reason: idempotency.ReasonIncomplete}
 		case !valid():
-			return idempotency.Decision{Action: idempotency.Reject, Reason: "no_sign_of_life", RetryAfter: config.Valid / 2}
+			return idempotency.Decision{Action: idempotency.Reject, Reason: "no_sign_of_life", RetryAfter: config.ValidFor / 2}
 		}
 		return idempotency.Decision{}
 	})
--- a/internal/service/open.go
+++ b/internal/service/open.go
@@ -53,7 +53,7 @@
 	if cfg.Listen != "" {
 		front := msgpackrpc.New(s.core, s.log, s.stats)
 		if cfg.ListenFD > 0 {
-			ln, err := listener.Inherited(cfg.ListenFD)
+			ln, err := listener.ListenInherited(cfg.ListenFD)
 			if err != nil {
 				return fmt.Errorf("LB_SOCKET_FD: %w", err)
 			}
@@ -181,7 +181,7 @@
 
 // poolsConfig returns the admission pools of cfg, or nil if cfg has none.
 func poolsConfig(cfg settings.Config) *admission.Config {
-	if !cfg.Edge.PoolsOn() {
+	if !cfg.Edge.HasPools() {
 		return nil
 	}
 	return &cfg.Edge.Pools
--- a/internal/service/pools.go
+++ b/internal/service/pools.go
@@ -12,7 +12,7 @@
 	check := func(text string) error {
 		s.settingsMu.Lock()
 		defer s.settingsMu.Unlock()
-		if !s.cfg.Edge.PoolsOn() {
+		if !s.cfg.Edge.HasPools() {
 			return errors.New("this server has no pools")
 		}
 		_, err := settings.ParsePools(text, s.cfg.Server)
--- a/internal/service/reload.go
+++ b/internal/service/reload.go
@@ -20,13 +20,13 @@
 	s.settingsMu.Lock()
 	defer s.settingsMu.Unlock()
 	old := s.cfg
-	if err := old.Replaces(cfg); err != nil {
+	if err := old.CheckReplacement(cfg); err != nil {
 		return err
 	}
 	if s.classesFromGroup {
 		cfg.Server.Classes = old.Server.Classes
 	}
-	if s.cfg.Retuned(cfg) {
+	if s.cfg.SettingsChanged(cfg) {
 		if err := s.core.Reconfigure(cfg.Server); err != nil {
 			return fmt.Errorf("settings: %w", err)
 		}
@@ -37,7 +37,7 @@
 		cfg.Interpreter = old.Interpreter
 	}
 	s.updateAddresses(cfg)
-	for _, field := range s.cfg.Differs(cfg) {
+	for _, field := range s.cfg.RestartOnlyChanges(cfg) {
 		events.Log(s.log, "reload.differs", field)
 	}
 	s.reloadPools(cfg.Edge)
@@ -73,7 +73,7 @@
 // sets them. If the new pools are invalid, it logs the error and keeps the old ones. The caller holds settingsMu.
 func (s *Service) reloadPools(edge settings.Edge) {
 	old := s.cfg.Edge
-	if !edge.PoolsOn() || !old.PoolsOn() || edge.ConfigWatch.Uses(configstore.DocPools) || reflect.DeepEqual(edge.Pools, old.Pools) {
+	if !edge.HasPools() || !old.HasPools() || edge.ConfigWatch.Watches(configstore.DocPools) || reflect.DeepEqual(edge.Pools, old.Pools) {
 		return
 	}
 	if err := s.core.ReloadPools(edge.Pools); err != nil {
--- a/internal/service/router.go
+++ b/internal/service/router.go
@@ -16,13 +16,13 @@
 	config := s.cfg.Edge.Router
 	routing := config.Routing
 	routing.Seed = uint64(s.cfg.Seed)
-	s.router, err = proxy.New(proxy.Config{Name: s.cfg.Name, Source: source, LoadBalancing: routing, Cores: s.cfg.Server.Cores, HealthCheckInterval: config.Probe, MaxConnections: b.Upstream},
+	s.router, err = proxy.New(proxy.Config{Name: s.cfg.Name, Source: source, LoadBalancing: routing, Cores: s.cfg.Server.Cores, HealthCheckInterval: config.ProbeInterval, MaxConnections: b.Upstream},
 		s.core, s.log, s.stats)
 	if err != nil {
 		return fmt.Errorf("fleet.map: %w", err)
 	}
 	if watch := s.cfg.Edge.ConfigWatch; watch != nil && watch.MaxRouters > 0 {
-		s.router.ShareQuota(watch.MaxRouters, config.State != "") // a router with a state file locks it, so no other process can run under its name
+		s.router.EnableQuota(watch.MaxRouters, config.State != "") // a router with a state file locks it, so no other process can run under its name
 	}
 	s.core.AddStatus("fleet", s.router.Status)
 	s.tasks = append(s.tasks, s.router.Maintain)
--- a/internal/service/routerconfig.go
+++ b/internal/service/routerconfig.go
@@ -29,7 +29,7 @@
 		documents: map[string]configwatch.Document{configstore.DocRouting: s.routingDocument()},
 		goodput:   s.routerGoodput,
 	}
-	if !s.cfg.Edge.ConfigWatch.Uses(configstore.DocMap) {
+	if !s.cfg.Edge.ConfigWatch.Watches(configstore.DocMap) {
 		if err := s.watchConfig(role); err != nil {
 			return nil, err
 		}
@@ -83,10 +83,10 @@
 		}
 		next.Routing.Seed = uint64(s.cfg.Seed)
 		if s.router == nil {
-			s.cfg.Edge.Router.Routing, s.cfg.Edge.Router.Probe = next.Routing, next.Probe
+			s.cfg.Edge.Router.Routing, s.cfg.Edge.Router.ProbeInterval = next.Routing, next.ProbeInterval
 			return nil
 		}
-		s.router.Retune(next.Routing, next.Probe)
+		s.router.Retune(next.Routing, next.ProbeInterval)
 		return nil
 	}}
 }
--- a/internal/service/server.go
+++ b/internal/service/server.go
@@ -81,7 +81,7 @@
 	cores := cfg.Server.Cores
 	return builtinworker.Listen(builtinworker.Config{
 		Listen: "127.0.0.1:0", Cores: cores, Shape: builtinworker.Shape{Knee: float64(cores), Thrash: 1, Speed: 1},
-		Other:    builtinworker.Class{MinWork: 60 * time.Millisecond, MaxWork: 100 * time.Millisecond},
-		MemoryKB: cfg.Server.MemoryKB, RunFactor: cfg.Server.RunFactor, Seed: uint64(cfg.Seed),
+		DefaultClass: builtinworker.Class{MinWork: 60 * time.Millisecond, MaxWork: 100 * time.Millisecond},
+		MemoryKB:     cfg.Server.MemoryKB, RunFactor: cfg.Server.RunFactor, Seed: uint64(cfg.Seed),
 	})
 }
--- a/internal/service/service_test.go
+++ b/internal/service/service_test.go
@@ -379,7 +379,7 @@
 	vm, _, release := startInterpreter(t)
 	defer release()
 	cfg := config(vm)
-	cfg.Edge = settings.Edge{On: true, Status: true, Reserve: &admission.ReserveConfig{}, Pools: admission.Config{
+	cfg.Edge = settings.Edge{Enabled: true, Status: true, Reserve: &admission.ReserveConfig{}, Pools: admission.Config{
 		Pools: []admission.Pool{{Name: "rounds", Classes: []string{"krog"}, Weight: 1, Floor: 0.5}}}}
 	var out syncBuffer
 	s, err := New(cfg, log.New(&out, "", 0))
--- a/internal/settings/cells.go
+++ b/internal/settings/cells.go
@@ -79,7 +79,7 @@
 		t.each("homes", func(_ int, h fields) {
 			h.rejectUnknown("cell", "shard", "from_ms", "abort")
 			tenant.Homes = append(tenant.Homes, cells.Home{
-				Cell: h.text("cell"), Shard: int(h.integer("shard")), Since: h.integer("from_ms"), IsAbort: h.boolean("abort"),
+				Cell: h.text("cell"), ShardSize: int(h.integer("shard")), Since: h.integer("from_ms"), IsAbort: h.boolean("abort"),
 			})
 		})
 		list = append(list, tenant)
@@ -162,7 +162,7 @@
 	for j, h := range t.Homes {
 		x := a.NewObject()
 		x.Set("cell", a.NewString(h.Cell))
-		x.Set("shard", a.NewNumberInt(h.Shard))
+		x.Set("shard", a.NewNumberInt(h.ShardSize))
 		x.Set("from_ms", a.NewNumberString(fmt.Sprint(h.Since)))
 		if h.IsAbort {
 			x.Set("abort", a.NewTrue())
--- a/internal/settings/config.go
+++ b/internal/settings/config.go
@@ -259,9 +259,9 @@
 	return nil
 }
 
-// Differs returns the names of the changed fields that take effect only at a restart: all except the module's settings, the pools and
+// RestartOnlyChanges returns the names of the changed fields that take effect only at a restart: all except the module's settings, the pools and
 // the addresses of the interpreter, the vault and the announce service. Service.Reload logs each of them.
-func (c Config) Differs(o Config) []string {
+func (c Config) RestartOnlyChanges(o Config) []string {
 	var list []string
 	for _, f := range []struct {
 		name string
@@ -281,9 +281,9 @@
 	return list
 }
 
-// Retuned reports whether the module's settings of another configuration differ from these. The seed is not compared, because a
+// SettingsChanged reports whether the module's settings of another configuration differ from these. The seed is not compared, because a
 // regenerated file may contain a new one.
-func (c Config) Retuned(next Config) bool {
+func (c Config) SettingsChanged(next Config) bool {
 	c.Server.Seed = next.Server.Seed
 	return !reflect.DeepEqual(c.Server, next.Server)
 }
--- a/internal/settings/documents.go
+++ b/internal/settings/documents.go
@@ -21,8 +21,8 @@
 	MaxRouters int // largest number of concurrent routers, which share the quotas of the cells; 0: quotas are not shared
 }
 
-// Uses reports whether the process applies a document of the group. It may be called on nil.
-func (w *ConfigWatch) Uses(doc string) bool { return w != nil && slices.Contains(w.Documents, doc) }
+// Watches reports whether the process applies a document of the group. It may be called on nil.
+func (w *ConfigWatch) Watches(doc string) bool { return w != nil && slices.Contains(w.Documents, doc) }
 
 // readConfigWatch reads which documents of a group the process applies. It returns nil if the object is absent.
 func readConfigWatch(f fields) *ConfigWatch {
@@ -31,7 +31,7 @@
 	}
 	f.rejectUnknown("group", "members", "documents", "most_routers")
 	watch := &ConfigWatch{Group: f.group(), Documents: f.texts("documents"), MaxRouters: int(f.integer("most_routers"))}
-	if watch.MaxRouters < 0 || watch.MaxRouters > 0 && !watch.Uses(configstore.DocMap) {
+	if watch.MaxRouters < 0 || watch.MaxRouters > 0 && !watch.Watches(configstore.DocMap) {
 		f.fail("most_routers", "negative, or the map is not among the documents")
 	}
 	for i, doc := range watch.Documents {
--- a/internal/settings/edge.go
+++ b/internal/settings/edge.go
@@ -19,7 +19,7 @@
 // Edge is the content of an edge file, which configures the features beyond the platform's interface. In the zero value all of them
 // are off.
 type Edge struct {
-	On          bool // there is an edge file
+	Enabled     bool // there is an edge file
 	Status      bool // the fronts answer status requests
 	Cell        bool // the process is a server of a cell, behind routers: see docs/cells.md
 	Pools       admission.Config
@@ -33,8 +33,8 @@
 
 // Heartbeat configures a heartbeat on disk (JSON key "life"): see docs/recovery.md.
 type Heartbeat struct {
-	File  string
-	Valid time.Duration // how long after a durable heartbeat idempotent requests may start
+	File     string
+	ValidFor time.Duration // how long after a durable heartbeat idempotent requests may start
 }
 
 // Store configures the durable store of idempotent requests (JSON key "store"): see docs/durable.md.
@@ -53,23 +53,23 @@
 
 // Router configures a router (JSON key "fleet"): see docs/cells.md.
 type Router struct {
-	Map     string        // path of the cell map; empty: the group has the map
-	State   string        // path of the file that preserves the last valid map across a restart; empty: none
-	Probe   time.Duration // interval of health checks
-	Routing loadbalancer.Config
+	Map           string        // path of the cell map; empty: the group has the map
+	State         string        // path of the file that preserves the last valid map across a restart; empty: none
+	ProbeInterval time.Duration // interval of health checks
+	Routing       loadbalancer.Config
 }
 
 // sameExceptPools reports whether two edge files are equal apart from Commands and the parameters of the pools, which may change at a
 // reload.
 func (e Edge) sameExceptPools(other Edge) bool {
-	return e.On == other.On && e.Status == other.Status && e.Cell == other.Cell && e.PoolsOn() == other.PoolsOn() &&
+	return e.Enabled == other.Enabled && e.Status == other.Status && e.Cell == other.Cell && e.HasPools() == other.HasPools() &&
 		reflect.DeepEqual(e.Reserve, other.Reserve) && reflect.DeepEqual(e.Router, other.Router) &&
 		reflect.DeepEqual(e.ConfigWatch, other.ConfigWatch) && reflect.DeepEqual(e.Store, other.Store) &&
 		reflect.DeepEqual(e.Heartbeat, other.Heartbeat)
 }
 
-// PoolsOn reports whether the edge file configures any pools.
-func (e Edge) PoolsOn() bool { return len(e.Pools.Pools) > 0 }
+// HasPools reports whether the edge file configures any pools.
+func (e Edge) HasPools() bool { return len(e.Pools.Pools) > 0 }
 
 // LoadEdge reads an edge file and validates it against the settings of the site. An error names the file and the field.
 func LoadEdge(path string, site silverpath.Settings) (Edge, error) {
@@ -92,7 +92,7 @@
 		return Edge{}, err
 	}
 	f.rejectUnknown("status", "cell", "pools", "limit", "memory", "reserve", "fleet", "orders", "rules", "store", "life")
-	e := Edge{On: true, Status: true}
+	e := Edge{Enabled: true, Status: true}
 	if f.v.Exists("status") {
 		e.Status = f.boolean("status")
 	}
@@ -114,10 +114,10 @@
 	switch {
 	case err != nil:
 		return e, err
-	case !e.PoolsOn() && (limit.v != nil || memory.v != nil):
+	case !e.HasPools() && (limit.v != nil || memory.v != nil):
 		return e, errors.New("pools: none, but a limit or a memory is set up for them")
 	}
-	if e.PoolsOn() {
+	if e.HasPools() {
 		if err := e.Pools.Check(); err != nil {
 			return e, err
 		}
@@ -166,15 +166,15 @@
 		return nil
 	}
 	f.rejectUnknown("file", "valid_ms")
-	heartbeat := &Heartbeat{File: f.text("file"), Valid: time.Duration(f.integer("valid_ms")) * time.Millisecond}
+	heartbeat := &Heartbeat{File: f.text("file"), ValidFor: time.Duration(f.integer("valid_ms")) * time.Millisecond}
 	switch {
 	case heartbeat.File == "":
 		f.fail("file", "missing")
-	case f.v.Exists("valid_ms") && (heartbeat.Valid < minHeartbeatValid || heartbeat.Valid > maxHeartbeatValid):
-		f.fail("valid_ms", "not from 200 to 60000: %v", heartbeat.Valid.Milliseconds())
+	case f.v.Exists("valid_ms") && (heartbeat.ValidFor < minHeartbeatValid || heartbeat.ValidFor > maxHeartbeatValid):
+		f.fail("valid_ms", "not from 200 to 60000: %v", heartbeat.ValidFor.Milliseconds())
 	}
-	if heartbeat.Valid == 0 {
-		heartbeat.Valid = defaultHeartbeatValid
+	if heartbeat.ValidFor == 0 {
+		heartbeat.ValidFor = defaultHeartbeatValid
 	}
 	return heartbeat
 }
@@ -250,7 +250,7 @@
 	f.rejectUnknown("map", "state", "probe_ms", "retries", "hedges", "most_out", "panic", "slow_start_ms")
 	router := readRouting(f)
 	router.Map, router.State = f.text("map"), f.text("state")
-	switch fromGroup := watch.Uses(configstore.DocMap); {
+	switch fromGroup := watch.Watches(configstore.DocMap); {
 	case router.Map == "" && !fromGroup:
 		f.fail("map", "missing")
 	case router.Map != "" && fromGroup:
@@ -262,7 +262,7 @@
 // readRouting reads how a router balances load, retries and checks health.
 func readRouting(f fields) Router {
 	router := Router{
-		Probe: time.Duration(f.integer("probe_ms")) * time.Millisecond,
+		ProbeInterval: time.Duration(f.integer("probe_ms")) * time.Millisecond,
 		Routing: loadbalancer.Config{
 			RetryRatio: f.number("retries"), HedgeRatio: f.number("hedges"), MaxEjectedRatio: f.number("most_out"), PanicThreshold: f.number("panic"),
 			SlowStart: time.Duration(f.integer("slow_start_ms")) * time.Millisecond,
@@ -274,11 +274,11 @@
 			f.fail(key, "not from 0 to 1: %v", v)
 		}
 	}
-	if router.Probe < 0 || router.Routing.SlowStart < 0 {
+	if router.ProbeInterval < 0 || router.Routing.SlowStart < 0 {
 		f.fail("probe_ms", "this or slow_start_ms is negative")
 	}
-	if router.Probe == 0 {
-		router.Probe = 500 * time.Millisecond
+	if router.ProbeInterval == 0 {
+		router.ProbeInterval = 500 * time.Millisecond
 	}
 	return router
 }
--- a/internal/settings/parts_test.go
+++ b/internal/settings/parts_test.go
@@ -39,7 +39,7 @@
 	}
 	inFirstPart := 0
 	for i := 0; len(m.Tenants) < tenants; i++ {
-		t := cells.Tenant{Name: fmt.Sprint("tenant-", i), Rate: float64(i%50) + 0.5, Homes: []cells.Home{{Cell: m.Cells[i%len(m.Cells)].Name, Shard: i % 4}}}
+		t := cells.Tenant{Name: fmt.Sprint("tenant-", i), Rate: float64(i%50) + 0.5, Homes: []cells.Home{{Cell: m.Cells[i%len(m.Cells)].Name, ShardSize: i % 4}}}
 		if cells.TenantPart(t.Name) == 0 {
 			if inFirstPart++; inFirstPart > 4 {
 				continue
--- a/internal/settings/quorum.go
+++ b/internal/settings/quorum.go
@@ -19,11 +19,11 @@
 
 // Quorum configures a process that is a member of the group, runs leased controllers, or both: see docs/quorum.md and docs/duties.md.
 type Quorum struct {
-	Name   string
-	Group  GroupRef
-	Member *Member // nil: the process is not a member
-	Runner *Runner // nil: the process runs no controllers
-	JSON   bool    // log in JSON
+	Name    string
+	Group   GroupRef
+	Member  *Member // nil: the process is not a member
+	Runner  *Runner // nil: the process runs no controllers
+	JSONLog bool    // log in JSON
 }
 
 // Member configures a member of the group.
@@ -64,7 +64,7 @@
 		return Quorum{}, err
 	}
 	f.rejectUnknown("name", "group", "members", "member", "owner", "log")
-	q := Quorum{Name: f.text("name"), Group: f.group(), JSON: enum(f, "log", map[string]bool{"text": false, "json": true})}
+	q := Quorum{Name: f.text("name"), Group: f.group(), JSONLog: enum(f, "log", map[string]bool{"text": false, "json": true})}
 	if q.Name == "" {
 		f.fail("name", "missing")
 	}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -266,7 +266,7 @@
 		case "core_use":
 			g.CPU = values[i]
 		case "on_cores":
-			g.OnCores = values[i]
+			g.RunnableTasks = values[i]
 		case "heap_share":
 			g.Memory = values[i]
 		case "links":
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -93,7 +93,7 @@
 	good := `{"pools":[{"name":"a","classes":["` + class + `"],"weight":2,"floor":0.5},{"name":"b","weight":1,"floor":0.5}],
 		"limit":{"least":2},"memory":{"tight":0.5},"reserve":{"cheap_per_s":100}}`
 	e, err := ParseEdge([]byte(good), site.Server)
-	if err != nil || !e.On || !e.Status || !e.PoolsOn() || e.Reserve == nil || e.Pools.Limit.Min != 2 {
+	if err != nil || !e.Enabled || !e.Status || !e.HasPools() || e.Reserve == nil || e.Pools.Limit.Min != 2 {
 		t.Fatalf("%+v, %v", e, err)
 	}
 	for _, c := range []struct{ old, new, want string }{
--- a/internal/settings/shape.go
+++ b/internal/settings/shape.go
@@ -63,9 +63,9 @@
 	return ""
 }
 
-// Replaces returns an error if next must not replace this configuration in a running service. Next has to contain every key of this
+// CheckReplacement returns an error if next must not replace this configuration in a running service. Next has to contain every key of this
 // one, so that a truncated or incomplete file does not reset the settings that it omits.
-func (c Config) Replaces(next Config) error {
+func (c Config) CheckReplacement(next Config) error {
 	if key := c.keys.firstMissing(next.keys); key != "" {
 		return fmt.Errorf("%s: missing, and the configuration in force has it", key)
 	}
--- a/internal/settings/shape_test.go
+++ b/internal/settings/shape_test.go
@@ -27,14 +27,14 @@
 		}
 		c, err := settings.ParseConfig([]byte(text), "n", "127.0.0.1:1")
 		if err == nil {
-			err = old.Replaces(c)
+			err = old.CheckReplacement(c)
 		}
 		return err
 	}
 	if err := replace(text); err != nil {
 		t.Fatalf("the file itself: %v", err)
 	}
-	variants := benchmarks.Without(text)
+	variants := benchmarks.WithoutEachKey(text)
 	if len(variants) < 60 {
 		t.Fatalf("%d keys, want at least 60", len(variants))
 	}
--- a/internal/settings/target.go
+++ b/internal/settings/target.go
@@ -34,23 +34,23 @@
 	t.Readings = readReadings(requireObject(f, "readings"))
 	requireNumbers(f, []numberField{
 		{"servers", &t.Servers}, {"callers", &t.Callers}, {"caller_services", &t.CallerServices}, {"requests_per_s", &t.Requests},
-		{"routes", &t.Routes}, {"tenants", &t.Tenants}, {"added_p99_ms", &t.Added}, {"regions", &t.Regions}, {"zones", &t.Zones},
-		{"changes_per_day", &t.Changes}, {"in_force_s", &t.InForce},
+		{"routes", &t.Routes}, {"tenants", &t.Tenants}, {"added_p99_ms", &t.AddedLatency}, {"regions", &t.Regions}, {"zones", &t.Zones},
+		{"changes_per_day", &t.Changes}, {"in_force_s", &t.InForceWithin},
 	}, "control", "day", "readings", "assumed")
 	requireNumbers(requireObject(f, "control"), []numberField{
-		{"core", &t.Control.Core}, {"memory_mb", &t.Control.Memory}, {"kb_per_s", &t.Control.Bytes}, {"machines", &t.Control.Machines},
+		{"core", &t.Control.Cores}, {"memory_mb", &t.Control.Memory}, {"kb_per_s", &t.Control.Bandwidth}, {"machines", &t.Control.Machines},
 	})
 	requireNumbers(requireObject(f, "day"), []numberField{
-		{"machines_fail", &t.Day.Fail}, {"restarts", &t.Day.Restart}, {"rack_every_days", &t.Day.RackEvery},
-		{"zone_every_days", &t.Day.ZoneEvery}, {"regions_apart_s", &t.Day.Apart},
+		{"machines_fail", &t.Failures.MachineFailures}, {"restarts", &t.Failures.Restarts}, {"rack_every_days", &t.Failures.RackFailureInterval},
+		{"zone_every_days", &t.Failures.ZoneFailureInterval}, {"regions_apart_s", &t.Failures.PartitionDuration},
 	})
 	a := &t.Assumed
 	requireNumbers(requireObject(f, "assumed"), []numberField{
-		{"utilisation", &a.Utilisation}, {"server_requests_per_s", &a.ServerRequests}, {"router_request_us", &a.RouterRequest},
-		{"caller_connections", &a.CallerConnections}, {"sockets", &a.Sockets}, {"probe_ms", &a.Probe}, {"lease_ms", &a.Lease},
-		{"map_lease_ms", &a.MapLease}, {"map_skew_ms", &a.MapSkew}, {"tick_ms", &a.Tick}, {"burst_changes_per_s", &a.BurstChanges},
-		{"sheets", &a.Sheets}, {"window_s", &a.Window}, {"rack_servers", &a.RackServers}, {"region_delay_ms", &a.RegionDelay},
-		{"machine_kb_per_s", &a.MachineBytes},
+		{"utilisation", &a.Utilisation}, {"server_requests_per_s", &a.ServerRequests}, {"router_request_us", &a.RouterRequestTime},
+		{"caller_connections", &a.CallerConnections}, {"sockets", &a.Sockets}, {"probe_ms", &a.ProbeInterval}, {"lease_ms", &a.GroupLease},
+		{"map_lease_ms", &a.MapLease}, {"map_skew_ms", &a.MapSkew}, {"tick_ms", &a.HeartbeatInterval}, {"burst_changes_per_s", &a.BurstChanges},
+		{"sheets", &a.KeyedFraction}, {"window_s", &a.KeyWindow}, {"rack_servers", &a.RackServers}, {"region_delay_ms", &a.RegionDelay},
+		{"machine_kb_per_s", &a.MachineBandwidth},
 	})
 	if err != nil {
 		return t, err
@@ -61,7 +61,7 @@
 // readReadings reads which interpretation of the target's ambiguous terms applies.
 func readReadings(f fields) capacity.Readings {
 	f.rejectUnknown("callers_pick_servers", "routes_beside_tenants", "control_is_what_is_added")
-	return capacity.Readings{CallersPick: f.boolean("callers_pick_servers"), RoutesBeside: f.boolean("routes_beside_tenants"),
+	return capacity.Readings{CallersPickServers: f.boolean("callers_pick_servers"), RoutesBesideTenants: f.boolean("routes_beside_tenants"),
 		ControlAdded: f.boolean("control_is_what_is_added")}
 }
 
--- a/internal/settings/target_test.go
+++ b/internal/settings/target_test.go
@@ -15,7 +15,7 @@
 		t.Fatal(err)
 	}
 	target, err := ParseTarget(data)
-	if err != nil || target.Servers != 930 || target.Control.Bytes != 21 || target.Day.Restart != 3100 || target.Assumed.Window != 13.17 || target.Readings.CallersPick {
+	if err != nil || target.Servers != 930 || target.Control.Bandwidth != 21 || target.Failures.Restarts != 3100 || target.Assumed.KeyWindow != 13.17 || target.Readings.CallersPickServers {
 		t.Errorf("%+v, %v", target, err)
 	}
 	var document map[string]any
--- a/internal/storage/idempotencystore/offline.go
+++ b/internal/storage/idempotencystore/offline.go
@@ -20,8 +20,8 @@
 	SameBoot      bool // the file is of the machine's present boot
 	Records       int
 	ByState       map[string]int
-	Bytes         int    // size of the records
-	File          int64  // size of the file in bytes
+	RecordBytes   int    // size of the records
+	FileSize      int64  // size of the file in bytes
 	Unreadable    int    // records that can't be decoded
 	Damage        string // why reading stopped early; empty if all records were read
 }
@@ -57,8 +57,8 @@
 	return action(filepath.Join(dir, FileName))
 }
 
-// FileOf returns the path of a store's file. Path is the store's folder or the file itself.
-func FileOf(path string) string {
+// FilePath returns the path of a store's file. Path is the store's folder or the file itself.
+func FilePath(path string) string {
 	if s, err := os.Stat(path); err == nil && s.IsDir() {
 		return filepath.Join(path, FileName)
 	}
@@ -91,13 +91,13 @@
 	}
 	defer f.close()
 	summary = Summary{ID: f.header.ID, Name: f.header.Name, Format: f.header.Format, Complete: f.header.Complete, ClosedCleanly: f.header.ClosedCleanly,
-		SameBoot: f.header.Boot == Now().Boot, ByState: map[string]int{}, File: f.size()}
+		SameBoot: f.header.Boot == Now().Boot, ByState: map[string]int{}, FileSize: f.size()}
 	err = f.scan(scanChunkSize, func(list []idempotency.Record, unreadable []uint64) {
 		summary.Unreadable += len(unreadable)
 		summary.Records += len(list)
 		for i := range list {
 			summary.ByState[list[i].State.String()]++
-			summary.Bytes += list[i].Size()
+			summary.RecordBytes += list[i].Size()
 		}
 	})
 	if err != nil {
@@ -172,7 +172,7 @@
 	if _, err := os.Stat(target); err == nil {
 		return fmt.Errorf("%s: the path of the copy exists already", target)
 	}
-	f, err := openReadOnly(FileOf(dir))
+	f, err := openReadOnly(FilePath(dir))
 	if err != nil {
 		return err
 	}
@@ -185,7 +185,7 @@
 // over. Complete states that there are no such runs because the service had closed the store for good; it is an error for
 // a copy of a store in use.
 func Import(source, dir, name string, complete bool) (records int, err error) {
-	f, err := openReadOnly(FileOf(source))
+	f, err := openReadOnly(FilePath(source))
 	if err != nil {
 		return 0, err
 	}
--- a/internal/storage/idempotencystore/writer.go
+++ b/internal/storage/idempotencystore/writer.go
@@ -91,7 +91,7 @@
 	took := time.Since(startedAt)
 	s.commitTiming.Record(took)
 	s.mu.Lock()
-	s.ledger.Committed(Now().SinceBoot, took)
+	s.ledger.CommitFinished(Now().SinceBoot, took)
 	firstFailure := err != nil && s.ledger.WriteFailed()
 	s.mu.Unlock()
 	if err != nil {
@@ -126,7 +126,7 @@
 		return
 	}
 	s.mu.Lock()
-	s.ledger.Rewritten()
+	s.ledger.RewriteFinished()
 	s.mu.Unlock()
 	events.Log(s.log, "store.rewritten")
 }
--- a/internal/storage/inspect/inspect.go
+++ b/internal/storage/inspect/inspect.go
@@ -161,7 +161,7 @@
 		return err
 	}
 	f.Owner = summary.Name
-	f.addFact("store %s, %d records, %d KB", summary.ID, summary.Records, summary.Bytes>>10)
+	f.addFact("store %s, %d records, %d KB", summary.ID, summary.Records, summary.RecordBytes>>10)
 	for _, state := range slices.Sorted(maps.Keys(summary.ByState)) {
 		f.addFact("%s: %d", state, summary.ByState[state])
 	}
--- a/internal/testkit/benchmarks/couple.go
+++ b/internal/testkit/benchmarks/couple.go
@@ -41,7 +41,7 @@
 func (l *PairLink) flush(i, link int) error {
 	l.mu[i].Lock()
 	defer l.mu[i].Unlock()
-	out, err := l.cores[i].PairOut(link)
+	out, err := l.cores[i].PairTakeOutbox(link)
 	for _, m := range out {
 		if _, _, err := l.cores[1-i].PairMessage(m); err != nil {
 			return err
@@ -55,15 +55,15 @@
 func (l *PairLink) Join(a, b *core.Core, first int) {
 	l.cores = [2]*core.Core{a, b}
 	for n, i := range []int{first, 1 - first} {
-		l.cores[i].PairPlaced(int64(n+1), n)
+		l.cores[i].PairSlotTaken(int64(n+1), n)
 		if n == 0 {
-			l.cores[i].PairAlone(func(int64) bool { return false })
+			l.cores[i].PairPeerAbsent(func(int64) bool { return false })
 		} else {
-			l.cores[i].PairOther()
+			l.cores[i].PairPeerPresent()
 		}
 	}
 	for i, c := range l.cores {
-		l.links[i] = c.PairLinked()
+		l.links[i] = c.PairLinkUp()
 	}
 	for i := range l.cores {
 		go func() {
--- a/internal/testkit/benchmarks/durable.go
+++ b/internal/testkit/benchmarks/durable.go
@@ -31,9 +31,9 @@
 	b.Run("scale", durableScale)
 }
 
-// tested builds the test executable of the command silverpath, which can inject faults into its store. It returns the path and
+// buildTestBinary builds the test executable of the command silverpath, which can inject faults into its store. It returns the path and
 // the environment that makes the executable run as the service.
-func tested(b *testing.B) (bin string, env []string) {
+func buildTestBinary(b *testing.B) (bin string, env []string) {
 	bin = filepath.Join(b.TempDir(), "silverpath.test")
 	if out, err := exec.Command("go", "test", "-c", "-o", bin, "silverpath/cmd/silverpath").CombinedOutput(); err != nil {
 		b.Fatalf("failed to build the test executable: %v\n%s", err, out)
@@ -60,39 +60,39 @@
 // durableKills kills and restarts a service under load, with and without a store. It counts the requests that ran twice or got
 // different answers.
 func durableKills(b *testing.B) {
-	bin, env := tested(b)
+	bin, env := buildTestBinary(b)
 	const times = 200
 	fmt.Println("\n| runs are kept | killed | sheets | tries | served | failed or refused | no answer | run twice or told otherwise | failed after their window |")
 	fmt.Println("|---|---|---|---|---|---|---|---|---|")
 	for _, stored := range []bool{false, true} {
-		s := Inherit(b, bin, env, false)
-		s.Wait = 900 * time.Millisecond
+		s := NewShared(b, bin, env, false)
+		s.Timeout = 900 * time.Millisecond
 		s.Edit = func(text string) string { return strings.ReplaceAll(text, `"deadline":4400000`, `"deadline":1000000`) }
 		if stored {
 			s.Args = []string{"--edge", writeStoreEdge(b, filepath.Join(b.TempDir(), "keys"), "lab", 8, 0)}
 		}
 		rng := rand.New(rand.NewPCG(1, 10))
 		g := s.Start()
-		g.Ready(b)
+		g.AwaitReady(b)
 		l := s.Load(8, 4, 500*time.Millisecond, 5)
 		for range times {
 			time.Sleep(time.Duration(100+rng.IntN(200)) * time.Millisecond)
 			g.Kill()
 			g = s.Start()
-			g.Ready(b)
+			g.AwaitReady(b)
 		}
 		mismatches := l.End()
 		failedAfterWindow := 0
 		if stored { // a key that never got a result runs as a new one after its window
 			time.Sleep(2*time.Second + time.Second + 2500*time.Millisecond)
 			for _, key := range l.Unserved() {
-				if a, err := client.Do(client.Platform, s.Addr, client.Request{Class: "oddaja", Key: key, Body: []byte(key), Timeout: 900 * time.Millisecond}); err != nil || a.Outcome != "served" {
+				if a, err := client.Do(client.MessagePack, s.Addr, client.Request{Class: "oddaja", Key: key, Body: []byte(key), Timeout: 900 * time.Millisecond}); err != nil || a.Outcome != "served" {
 					failedAfterWindow++
 				}
 			}
 		}
 		g.Kill()
-		fmt.Printf("| %v | %d | %d | %d | %d | %d | %d | %d | %d |\n", stored, times, l.Asked(), len(l.Times), l.Served, l.Refused, l.Unheard, len(mismatches), failedAfterWindow)
+		fmt.Printf("| %v | %d | %d | %d | %d | %d | %d | %d | %d |\n", stored, times, l.Asked(), len(l.Times), l.Served, l.Refused, l.Unanswered, len(mismatches), failedAfterWindow)
 		if stored && len(mismatches) > 0 {
 			b.Error(mismatches[:min(5, len(mismatches))])
 		}
@@ -101,7 +101,7 @@
 
 // durableCost measures the throughput, the latency and the disk writes with and without a store, for several numbers of clients.
 func durableCost(b *testing.B) {
-	bin, env := tested(b)
+	bin, env := buildTestBinary(b)
 	fmt.Println("\n| store | clients | sheets/s | p50 ms | p99 ms | not served | syncs a sheet | sheets a commit | KB written a sheet |")
 	fmt.Println("|---|---|---|---|---|---|---|---|---|")
 	for _, clients := range []int{1, 16, 64} {
@@ -121,7 +121,7 @@
 // with new keys one after the other on its own connection.
 func durableLoad(b *testing.B, bin string, env []string, clients int, name string, stored bool, gather time.Duration, diskFault string) {
 	interpreter, err := builtinworker.Listen(builtinworker.Config{Listen: "127.0.0.1:0", Cores: 128, Shape: builtinworker.Shape{Knee: 128, Thrash: 1, Speed: 1},
-		Other: builtinworker.Class{MinWork: time.Millisecond, MaxWork: 3 * time.Millisecond}, MemoryKB: 1 << 20, RunFactor: 4, Seed: 1})
+		DefaultClass: builtinworker.Class{MinWork: time.Millisecond, MaxWork: 3 * time.Millisecond}, MemoryKB: 1 << 20, RunFactor: 4, Seed: 1})
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -148,10 +148,10 @@
 		b.Fatal(err)
 	}
 	defer p.Kill()
-	if _, err := p.Await(comeUp, 0, "phase serving"); err != nil {
+	if _, err := p.Await(startTimeout, 0, "phase serving"); err != nil {
 		b.Fatal(err)
 	}
-	p.found()
+	p.readAddresses()
 	var mu sync.Mutex
 	var times []time.Duration
 	var notServed atomic.Int64
@@ -181,7 +181,7 @@
 	}
 	wg.Wait()
 	elapsed := time.Since(startTime)
-	bytesWritten := p.written()
+	bytesWritten := p.bytesWritten()
 	counters, err := p.Stop()
 	if err != nil {
 		b.Error(err)
@@ -199,8 +199,8 @@
 		2*float64(commits)/float64(n), float64(counters["store.changes"])/2/float64(max(1, commits)), float64(bytesWritten)/1024/float64(n))
 }
 
-// written returns the number of bytes that the process has written to disks.
-func (p *Process) written() (n int) {
+// bytesWritten returns the number of bytes that the process has written to disks.
+func (p *Process) bytesWritten() (n int) {
 	text, _ := os.ReadFile(fmt.Sprintf("/proc/%d/io", p.Pid()))
 	if _, rest, ok := strings.Cut(string(text), "\nwrite_bytes: "); ok {
 		_, _ = fmt.Sscan(rest, &n)
@@ -246,14 +246,14 @@
 
 // durableScale measures how long a service takes to start and to serve its first requests with up to a million live keys.
 func durableScale(b *testing.B) {
-	bin, env := tested(b)
+	bin, env := buildTestBinary(b)
 	fmt.Println("\n| live keys | MB on disk | MB resident | front open ms | first read ms | all read within | first new sheet ms |")
 	fmt.Println("|---|---|---|---|---|---|---|")
 	for _, records := range []int{0, 10_000, 100_000, 1_000_000} {
 		dir := filepath.Join(b.TempDir(), "keys")
 		fillStore(b, dir, records)
 		interpreter, err := builtinworker.Listen(builtinworker.Config{Listen: "127.0.0.1:0", Cores: 8, Shape: builtinworker.Shape{Knee: 8, Thrash: 1, Speed: 1},
-			Other: builtinworker.Class{MinWork: time.Millisecond, MaxWork: time.Millisecond}, MemoryKB: 1 << 16, RunFactor: 4, Seed: 1})
+			DefaultClass: builtinworker.Class{MinWork: time.Millisecond, MaxWork: time.Millisecond}, MemoryKB: 1 << 16, RunFactor: 4, Seed: 1})
 		if err != nil {
 			b.Fatal(err)
 		}
@@ -269,14 +269,14 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		if _, err := p.Await(comeUp, 0, "msgpack: listening"); err != nil {
+		if _, err := p.Await(startTimeout, 0, "msgpack: listening"); err != nil {
 			b.Fatal(err)
 		}
 		openTime := time.Since(startTime)
-		p.found()
+		p.readAddresses()
 		untilServed := func(class, key string) time.Duration {
 			for n := 0; ; n++ {
-				a, err := client.Do(client.Platform, p.Platform, client.Request{Class: class, Key: key, Body: []byte(key), Timeout: time.Second})
+				a, err := client.Do(client.MessagePack, p.Platform, client.Request{Class: class, Key: key, Body: []byte(key), Timeout: time.Second})
 				if err == nil && a.Outcome == "served" || time.Since(startTime) > time.Minute {
 					return time.Since(startTime)
 				}
--- a/internal/testkit/benchmarks/fleet.go
+++ b/internal/testkit/benchmarks/fleet.go
@@ -19,17 +19,17 @@
 
 // Fleet is a set of servers, each with its own interpreter, behind a set of routers.
 type Fleet struct {
-	bin, dir string
-	site     Site
-	MapFile  string
-	Map      *cells.Map
-	Machines []*builtinworker.Interpreter
-	Servers  []*Process
-	Routers  []*Process
-	edge     func(dir string) string
-	downMu   sync.Mutex
-	down     int // servers that are down
-	mostOut  int // the most servers that were down at once
+	bin, dir     string
+	site         Site
+	MapFile      string
+	Map          *cells.Map
+	Interpreters []*builtinworker.Interpreter
+	Servers      []*Process
+	Routers      []*Process
+	edge         func(dir string) string
+	downMu       sync.Mutex
+	down         int // servers that are down
+	maxDown      int // the most servers that were down at once
 }
 
 const (
@@ -57,7 +57,7 @@
 	}
 	f.site = Site{Cores: fleetCores, MemoryKB: 65536, ProcMB: 64, Sockets: 512, Tenants: "[" + strings.Join(list, ",") + "]"}
 	f.Map = &cells.Map{
-		Version: 1, KeyWindow: 13170 * time.Millisecond, MaxClockSkew: 500 * time.Millisecond, Lease: 5 * time.Second, CallerTimeout: patience,
+		Version: 1, KeyWindow: 13170 * time.Millisecond, MaxClockSkew: 500 * time.Millisecond, Lease: 5 * time.Second, CallerTimeout: requestTimeout,
 		Tenants: tenants,
 	}
 	for _, c := range cellNames {
@@ -66,12 +66,12 @@
 	for n := range servers {
 		i, err := builtinworker.Listen(builtinworker.Config{
 			Listen: "127.0.0.1:0", Cores: fleetCores, Shape: builtinworker.Shape{Knee: fleetCores, Thrash: 1, Speed: 1}, Audit: true,
-			Other: builtinworker.Class{MinWork: fleetWork * 11 / 15, MaxWork: fleetWork * 19 / 15}, MemoryKB: 65536, RunFactor: 4, Seed: uint64(n + 1),
+			DefaultClass: builtinworker.Class{MinWork: fleetWork * 11 / 15, MaxWork: fleetWork * 19 / 15}, MemoryKB: 65536, RunFactor: 4, Seed: uint64(n + 1),
 		})
 		if err != nil {
 			return f, err
 		}
-		f.Machines = append(f.Machines, i)
+		f.Interpreters = append(f.Interpreters, i)
 		p, err := Start(bin, f.sub(fmt.Sprint("s", n)), f.site, i.Addr(), edge(f.sub(fmt.Sprint("s", n))))
 		if err != nil {
 			return f, err
@@ -111,32 +111,32 @@
 // Restart kills a server and starts it again after a delay. It is then cold and has the same platform and
 // management addresses.
 func (f *Fleet) Restart(n int, delay time.Duration) error {
-	f.enter(1)
-	defer f.enter(-1)
-	return f.restartAt(n, delay)
+	f.addDown(1)
+	defer f.addDown(-1)
+	return f.restartUncounted(n, delay)
 }
 
-// restartAt is Restart without the count of servers that are down.
-func (f *Fleet) restartAt(n int, delay time.Duration) error {
+// restartUncounted is Restart without the count of servers that are down.
+func (f *Fleet) restartUncounted(n int, delay time.Duration) error {
 	old := f.Servers[n]
 	old.Kill()
 	time.Sleep(delay)
 	dir := f.sub(fmt.Sprint("s", n))
 	site := f.site
 	site.Mgmt = old.Mgmt
-	p, err := Start(f.bin, dir, site, f.Machines[n].Addr(), f.edge(dir), "--listen", old.Platform)
+	p, err := Start(f.bin, dir, site, f.Interpreters[n].Addr(), f.edge(dir), "--listen", old.Platform)
 	if err == nil {
 		f.Servers[n] = p
 	}
 	return err
 }
 
-// enter adds n to the count of servers that are down and updates its maximum.
-func (f *Fleet) enter(n int) {
+// addDown adds n to the count of servers that are down and updates its maximum.
+func (f *Fleet) addDown(n int) {
 	f.downMu.Lock()
 	defer f.downMu.Unlock()
 	f.down += n
-	f.mostOut = max(f.mostOut, f.down)
+	f.maxDown = max(f.maxDown, f.down)
 }
 
 // Stop kills all processes of the fleet and closes the interpreters.
@@ -144,16 +144,16 @@
 	for _, p := range append(f.Routers, f.Servers...) {
 		p.Kill()
 	}
-	for _, i := range f.Machines {
+	for _, i := range f.Interpreters {
 		i.Close()
 	}
 }
 
-// Twice returns how many requests with an idempotency key (class oddaja) ran more than once over all
+// CountRepeatedRuns returns how many requests with an idempotency key (class oddaja) ran more than once over all
 // interpreters, and how many ran at all.
-func (f *Fleet) Twice() (twice, ran int) {
+func (f *Fleet) CountRepeatedRuns() (twice, ran int) {
 	all := map[string]int{}
-	for _, i := range f.Machines {
+	for _, i := range f.Interpreters {
 		for body, n := range i.Runs() {
 			if strings.HasPrefix(body, "oddaja") {
 				all[body] += n
@@ -177,16 +177,16 @@
 
 // TenantResult counts the outcomes of one tenant's load.
 type TenantResult struct {
-	mu                          sync.Mutex
-	Worth, Asked                float64
-	Sent, Served                int
-	Refused, Failed, Lost       int
-	Repeats, Same, Missed, Gone int // repeats of served requests: all, same answer, another answer or refusal, failed
-	Times                       *hdrhistogram.Histogram
+	mu                                              sync.Mutex
+	ServedWorth, OfferedWorth                       float64
+	Sent, Served                                    int
+	Refused, Failed, Lost                           int
+	Repeats, SameAnswer, OtherAnswer, RepeatsFailed int // repeats of served requests: all, same answer, another answer or refusal, failed
+	Times                                           *hdrhistogram.Histogram
 }
 
 // Share returns the fraction of the worth that was served in time.
-func (r *TenantResult) Share() float64 { return r.Worth / max(1, r.Asked) }
+func (r *TenantResult) Share() float64 { return r.ServedWorth / max(1, r.OfferedWorth) }
 
 // Run sends the load of every tenant, each request over a random connection to one of the given processes. If
 // repeats is set, each served request with an idempotency key is sent again over another random connection,
@@ -210,7 +210,7 @@
 		results[l.Tenant] = res
 		wg.Go(func() {
 			arrivals(rand.New(rand.NewPCG(seed, uint64(n))), l.Rate, l.For, func(rng *rand.Rand, seq int, share Share, at time.Time) {
-				q := client.Request{Class: share.Class, Tenant: l.Tenant, Timeout: patience, MemoryKB: 8, Body: fmt.Appendf(nil, "%s-%s-%d", share.Class, l.Tenant, seq)}
+				q := client.Request{Class: share.Class, Tenant: l.Tenant, Timeout: requestTimeout, MemoryKB: 8, Body: fmt.Appendf(nil, "%s-%s-%d", share.Class, l.Tenant, seq)}
 				if share.Class == "oddaja" {
 					q.Key = fmt.Sprintf("%s-%d", l.Tenant, seq)
 				}
@@ -223,12 +223,12 @@
 	return results, nil
 }
 
-// answer waits for a reply for at most patience plus 2 s and reports whether one came.
-func answer(reply <-chan client.Reply) (client.Reply, bool) {
+// awaitReply waits for a reply for at most patience plus 2 s and reports whether one came.
+func awaitReply(reply <-chan client.Reply) (client.Reply, bool) {
 	select {
 	case a, ok := <-reply:
 		return a, ok
-	case <-time.After(patience + 2*time.Second):
+	case <-time.After(requestTimeout + 2*time.Second):
 		return client.Reply{}, false
 	}
 }
@@ -236,11 +236,11 @@
 // sendOnce sends one request and counts its outcome. If repeats is set and a request with an idempotency key
 // was served, it sends the request again over the connection other after the given delay.
 func (r *TenantResult) sendOnce(c, other *client.Conn, q client.Request, s Share, at time.Time, delay time.Duration, repeats bool) { //nolint:cyclop // one measurement from top to bottom; its split is in docs/ROADMAP.md
-	a, ok := answer(c.Do(q))
+	a, ok := awaitReply(c.Do(q))
 	took := time.Since(at)
 	r.mu.Lock()
 	r.Sent++
-	r.Asked += s.Worth
+	r.OfferedWorth += s.Worth
 	switch {
 	case !ok:
 		r.Lost++
@@ -248,7 +248,7 @@
 		r.Served++
 		_ = r.Times.RecordValue(took.Microseconds())
 		if took <= latencyTarget {
-			r.Worth += s.Worth
+			r.ServedWorth += s.Worth
 		}
 	case a.Outcome == "refused":
 		r.Refused++
@@ -261,16 +261,16 @@
 	}
 	time.Sleep(delay)
 	q.ID = ""
-	b, ok := answer(other.Do(q))
+	b, ok := awaitReply(other.Do(q))
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.Repeats++
 	switch {
 	case ok && b.Outcome == "served" && string(b.Body) == string(a.Body):
-		r.Same++
+		r.SameAnswer++
 	case ok && b.Outcome == "failed":
-		r.Gone++
+		r.RepeatsFailed++
 	default:
-		r.Missed++
+		r.OtherAnswer++
 	}
 }
--- a/internal/testkit/benchmarks/floods.go
+++ b/internal/testkit/benchmarks/floods.go
@@ -12,16 +12,16 @@
 	"silverpath/internal/transport/client"
 )
 
-var brands = []string{"t0", "t1", "t2", "t3", "t4", "t5"}
+var tenantNames = []string{"t0", "t1", "t2", "t3", "t4", "t5"}
 
-// brandRate returns the request rate of each tenant. All six tenants together use half the capacity of 12 servers.
-func brandRate() float64 { return ServerRate() }
+// tenantRate returns the request rate of each tenant. All six tenants together use half the capacity of 12 servers.
+func tenantRate() float64 { return ServerRate() }
 
-// brandsIn returns the tenants, assigned to the named cells in turn.
-func brandsIn(names []string, shard int) []cells.Tenant {
+// tenantsIn returns the tenants, assigned to the named cells in turn.
+func tenantsIn(names []string, shard int) []cells.Tenant {
 	var list []cells.Tenant
-	for n, b := range brands {
-		list = append(list, cells.Tenant{Name: b, Rate: brandRate(), Homes: []cells.Home{{Cell: names[n%len(names)], Shard: shard}}})
+	for n, b := range tenantNames {
+		list = append(list, cells.Tenant{Name: b, Rate: tenantRate(), Homes: []cells.Home{{Cell: names[n%len(names)], ShardSize: shard}}})
 	}
 	return list
 }
@@ -49,13 +49,13 @@
 		shard int
 	}{{"one for all", []string{"all"}, 0}, {"three cells", []string{"a", "b", "c"}, 0}, {"three cells, shards of two", []string{"a", "b", "c"}, 2}} {
 		for _, factor := range []float64{1, 10} {
-			f, err := NewFleet(bin, b.TempDir(), 12, 2, c.cells, brandsIn(c.cells, c.shard))
+			f, err := NewFleet(bin, b.TempDir(), 12, 2, c.cells, tenantsIn(c.cells, c.shard))
 			if err != nil {
 				b.Fatal(err)
 			}
 			var loads []TenantLoad
-			for n, t := range brands {
-				l := TenantLoad{Tenant: t, Rate: brandRate(), For: d}
+			for n, t := range tenantNames {
+				l := TenantLoad{Tenant: t, Rate: tenantRate(), For: d}
 				if n == 0 {
 					l.Rate *= factor
 				}
@@ -67,7 +67,7 @@
 			}
 			sum, worst, sameCell := 0.0, 1.0, 1.0
 			var refused, failed, lost int
-			for n, t := range brands[1:] {
+			for n, t := range tenantNames[1:] {
 				v := res[t].Share()
 				sum += v
 				worst = min(worst, v)
@@ -76,9 +76,9 @@
 				}
 				refused, failed, lost = refused+res[t].Refused, failed+res[t].Failed, lost+res[t].Lost
 			}
-			fmt.Printf("| %s | %.0f times | %.3f | %.3f | %.3f | %.3f | %d | %d | %d |\n", c.name, factor, sum/float64(len(brands)-1), worst,
+			fmt.Printf("| %s | %.0f times | %.3f | %.3f | %.3f | %.3f | %d | %d | %d |\n", c.name, factor, sum/float64(len(tenantNames)-1), worst,
 				sameCell, res["t0"].Share(), refused, failed, lost)
-			b.ReportMetric(sum/float64(len(brands)-1), fmt.Sprintf("worth-%d-%.0f", len(c.cells)+c.shard, factor))
+			b.ReportMetric(sum/float64(len(tenantNames)-1), fmt.Sprintf("worth-%d-%.0f", len(c.cells)+c.shard, factor))
 			f.Stop()
 		}
 	}
@@ -94,13 +94,13 @@
 		name       string
 		move, kill bool
 	}{{"calm", false, false}, {"a move", true, false}, {"a move, one of four servers killed half way and back cold", true, true}} {
-		f, err := NewFleet(bin, b.TempDir(), 12, 2, names, brandsIn(names, 0))
+		f, err := NewFleet(bin, b.TempDir(), 12, 2, names, tenantsIn(names, 0))
 		if err != nil {
 			b.Fatal(err)
 		}
 		var loads []TenantLoad
-		for _, t := range brands {
-			loads = append(loads, TenantLoad{Tenant: t, Rate: brandRate() * 0.8, For: 45 * time.Second})
+		for _, t := range tenantNames {
+			loads = append(loads, TenantLoad{Tenant: t, Rate: tenantRate() * 0.8, For: 45 * time.Second})
 		}
 		var wg sync.WaitGroup
 		moveTime := time.Duration(0)
@@ -115,9 +115,9 @@
 					b.Error(err)
 					return
 				}
-				moveTime = time.Until(p.Settled)
+				moveTime = time.Until(p.SettledAt)
 				if c.kill {
-					time.Sleep(time.Until(p.At.Add(5 * time.Second)))
+					time.Sleep(time.Until(p.EffectiveAt.Add(5 * time.Second)))
 					if err := f.Restart(0, 4*time.Second); err != nil { // s0 is in cell a
 						b.Error(err)
 					}
@@ -133,11 +133,11 @@
 		var repeats, same, missed, gone int
 		for t, r := range res {
 			if t != "t0" {
-				others, asked = others+r.Worth, asked+r.Asked
+				others, asked = others+r.ServedWorth, asked+r.OfferedWorth
 			}
-			repeats, same, missed, gone = repeats+r.Repeats, same+r.Same, missed+r.Missed, gone+r.Gone
+			repeats, same, missed, gone = repeats+r.Repeats, same+r.SameAnswer, missed+r.OtherAnswer, gone+r.RepeatsFailed
 		}
-		twice, ran := f.Twice()
+		twice, ran := f.CountRepeatedRuns()
 		fmt.Printf("| %s | %.3f | %.3f | %d | %d | %d | %d | %d | %d | %v |\n", c.name, res["t0"].Share(), others/asked, ran, twice, repeats,
 			same, missed, gone, moveTime.Round(time.Second/10))
 		if twice > 0 {
@@ -165,7 +165,7 @@
 		}
 		allocs := func() float64 {
 			var st struct{ Allocations float64 }
-			if body, err := client.Status(client.Platform, f.Routers[0].Platform); err != nil || json.Unmarshal(body, &st) != nil {
+			if body, err := client.Status(client.MessagePack, f.Routers[0].Platform); err != nil || json.Unmarshal(body, &st) != nil {
 				b.Fatal(err)
 			}
 			return st.Allocations
@@ -178,12 +178,12 @@
 		r := res["t0"]
 		cpu, objects = f.Routers[0].CPU()-cpu, allocs()-objects
 		if path == "straight" {
-			fmt.Printf("| %d | %s | %d | %v | %v | (idle: %v) | (idle: %.0f) |\n", n, path, r.Sent, At(r.Times, 50), At(r.Times, 99), cpu, objects)
+			fmt.Printf("| %d | %s | %d | %v | %v | (idle: %v) | (idle: %.0f) |\n", n, path, r.Sent, Percentile(r.Times, 50), Percentile(r.Times, 99), cpu, objects)
 		} else {
-			fmt.Printf("| %d | %s | %d | %v | %v | %v | %.0f |\n", n, path, r.Sent, At(r.Times, 50), At(r.Times, 99),
+			fmt.Printf("| %d | %s | %d | %v | %v | %v | %.0f |\n", n, path, r.Sent, Percentile(r.Times, 50), Percentile(r.Times, 99),
 				(cpu / time.Duration(max(1, r.Sent))).Round(time.Microsecond), objects/float64(max(1, r.Sent)))
 		}
-		b.ReportMetric(float64(At(r.Times, 50).Microseconds())/1000, fmt.Sprintf("ms/p50-%d-%s", n, path[:7]))
+		b.ReportMetric(float64(Percentile(r.Times, 50).Microseconds())/1000, fmt.Sprintf("ms/p50-%d-%s", n, path[:7]))
 		f.Stop()
 	}
 }
--- a/internal/testkit/benchmarks/lab.go
+++ b/internal/testkit/benchmarks/lab.go
@@ -75,7 +75,7 @@
 	*harness.Process
 	Platform, SCGI, Mgmt string
 	edge                 string             // path of its edge file; empty for none
-	old                  []*harness.Process // earlier processes of the same service
+	earlier              []*harness.Process // earlier processes of the same service
 }
 
 // Start starts the service for a site and waits until it serves. If edge is not empty, it is written to an
@@ -108,16 +108,16 @@
 		return nil, err
 	}
 	p.edge = edgeFile
-	if _, err := p.Await(comeUp, 0, "phase serving"); err != nil {
+	if _, err := p.Await(startTimeout, 0, "phase serving"); err != nil {
 		p.Kill()
 		return nil, fmt.Errorf("service not serving after start: %w", err)
 	}
-	p.found()
+	p.readAddresses()
 	return p, nil
 }
 
-// comeUp is how long a process may take to reach the awaited log line after its start.
-const comeUp = 30 * time.Second
+// startTimeout is how long a process may take to reach the awaited log line after its start.
+const startTimeout = 30 * time.Second
 
 // launch starts a process and collects its log.
 func launch(cmd *exec.Cmd) (*Process, error) {
@@ -128,8 +128,8 @@
 	return &Process{Process: h}, nil
 }
 
-// found reads the listening addresses from the log written so far.
-func (p *Process) found() {
+// readAddresses reads the listening addresses from the log written so far.
+func (p *Process) readAddresses() {
 	for _, line := range strings.Split(p.Log(), "\n") {
 		for name, field := range map[string]*string{"msgpack": &p.Platform, "scgi": &p.SCGI, "mgmt": &p.Mgmt} {
 			if _, addr, ok := strings.Cut(line, name+": listening on "); ok {
@@ -200,32 +200,32 @@
 }
 
 const (
-	latencyTarget = 1800 * time.Millisecond
-	patience      = 4400 * time.Millisecond
-	deadlineSlack = 130 * time.Millisecond // how long after its deadline the rules allow an answer
-	loadConns     = 8                      // connections that the load is spread over
+	latencyTarget  = 1800 * time.Millisecond
+	requestTimeout = 4400 * time.Millisecond
+	deadlineSlack  = 130 * time.Millisecond // how long after its deadline the rules allow an answer
+	loadConns      = 8                      // connections that the load is spread over
 )
 
 // Load is an open-loop load on one service.
 type Load struct {
-	Rate   float64 // requests per second
-	For    time.Duration
-	HeldKB float64
-	Seed   uint64
+	Rate     float64 // requests per second
+	For      time.Duration
+	MemoryKB float64
+	Seed     uint64
 }
 
 // Result counts the outcomes of a load.
 type Result struct {
-	mu                      sync.Mutex
-	Sent, Served, Late      int
-	Refused, Failed, Lost   int
-	ToldLate                int // requests refused more than 100 ms after sending
-	Worth, Asked            float64
-	Refusals, Cheap         *hdrhistogram.Histogram // latencies in microseconds
-	CheapLost, CheapWrong   int
-	Repeats, RepeatsRefused int
-	Broken                  []string          // violations of the rules, one text each
-	ByClass                 map[string][2]int // served in time, sent
+	mu                        sync.Mutex
+	Sent, Served, Late        int
+	Refused, Failed, Lost     int
+	RefusedLate               int // requests refused more than 100 ms after sending
+	ServedWorth, OfferedWorth float64
+	Refusals, Cheap           *hdrhistogram.Histogram // latencies in microseconds
+	CheapLost, CheapWrong     int
+	Repeats, RepeatsRefused   int
+	Violations                []string          // violations of the rules, one text each
+	ByClass                   map[string][2]int // served in time, sent
 }
 
 func newResult() *Result {
@@ -233,8 +233,8 @@
 	return &Result{Refusals: h(), Cheap: h(), ByClass: map[string][2]int{}}
 }
 
-// At returns a percentile (0 to 100) of a histogram of microseconds.
-func At(h *hdrhistogram.Histogram, q float64) time.Duration {
+// Percentile returns a percentile (0 to 100) of a histogram of microseconds.
+func Percentile(h *hdrhistogram.Histogram, q float64) time.Duration {
 	return time.Duration(h.ValueAtQuantile(q)) * time.Microsecond
 }
 
@@ -257,7 +257,7 @@
 	startedAt := time.Now()
 	arrivals(rand.New(rand.NewPCG(l.Seed, 3)), l.Rate, l.For, func(rng *rand.Rand, seq int, share Share, at time.Time) {
 		q := client.Request{
-			Class: share.Class, Timeout: patience, MemoryKB: l.HeldKB, ID: fmt.Sprintf("%016x", seq+1),
+			Class: share.Class, Timeout: requestTimeout, MemoryKB: l.MemoryKB, ID: fmt.Sprintf("%016x", seq+1),
 			Body: fmt.Appendf(nil, "%s-%d", share.Class, seq),
 		}
 		if share.Class == "oddaja" {
@@ -276,14 +276,14 @@
 	wg.Wait()
 	for body, n := range i.Runs() {
 		if n > 1 && strings.HasPrefix(body, "oddaja") {
-			res.Broken = append(res.Broken, fmt.Sprintf("%s was run %d times", body, n))
+			res.Violations = append(res.Violations, fmt.Sprintf("%s was run %d times", body, n))
 		}
 	}
 	return res, nil
 }
 
 // sendOnce sends one request, counts its outcome and reports whether it was served. It reports a missing
-// answer, or one later than patience plus deadlineSlack, as a violation.
+// answer, or one later than requestTimeout plus deadlineSlack, as a violation.
 func (l Load) sendOnce(c *client.Conn, i *builtinworker.Interpreter, q client.Request, s Share, at time.Time, res *Result) (served bool) {
 	i.Read(q.ID, q.MemoryKB)
 	defer i.Release(q.ID)
@@ -292,24 +292,24 @@
 	answered := false
 	select {
 	case a, answered = <-c.Do(q):
-	case <-time.After(patience + 2*time.Second):
+	case <-time.After(requestTimeout + 2*time.Second):
 	}
 	took := time.Since(sent)
 	res.mu.Lock()
 	defer res.mu.Unlock()
 	res.Sent++
-	res.Asked += s.Worth
+	res.OfferedWorth += s.Worth
 	counts := res.ByClass[s.Class]
 	counts[1]++
 	switch {
 	case !answered:
 		res.Lost++
-		res.Broken = append(res.Broken, fmt.Sprintf("%s %s was not answered", s.Class, q.ID))
-	case took > patience+deadlineSlack:
-		res.Broken = append(res.Broken, fmt.Sprintf("%s %s was answered after %v", s.Class, q.ID, took))
+		res.Violations = append(res.Violations, fmt.Sprintf("%s %s was not answered", s.Class, q.ID))
+	case took > requestTimeout+deadlineSlack:
+		res.Violations = append(res.Violations, fmt.Sprintf("%s %s was answered after %v", s.Class, q.ID, took))
 	case a.Outcome == "served" && time.Since(at) <= latencyTarget:
 		res.Served++
-		res.Worth += s.Worth
+		res.ServedWorth += s.Worth
 		counts[0]++
 	case a.Outcome == "served":
 		res.Late++
@@ -317,7 +317,7 @@
 		res.Refused++
 		_ = res.Refusals.RecordValue(took.Microseconds())
 		if took > 100*time.Millisecond {
-			res.ToldLate++
+			res.RefusedLate++
 		}
 	default:
 		res.Failed++
@@ -342,7 +342,7 @@
 	case a.Outcome == "refused":
 		res.RepeatsRefused++
 	case a.Outcome == "served" && !strings.HasPrefix(string(a.Body), "oddaja: "+first+" "):
-		res.Broken = append(res.Broken, fmt.Sprintf("repeat of %s was answered with %q", first, a.Body))
+		res.Violations = append(res.Violations, fmt.Sprintf("repeat of %s was answered with %q", first, a.Body))
 	case a.Outcome == "served":
 		if stored { // otherwise the request had to run first
 			_ = res.Cheap.RecordValue(time.Since(intended).Microseconds())
--- a/internal/testkit/benchmarks/operators.go
+++ b/internal/testkit/benchmarks/operators.go
@@ -23,7 +23,7 @@
 		b.Fatal(err)
 	}
 	variants := map[string]string{"this": bin}
-	if old := os.Getenv(baseline); old != "" {
+	if old := os.Getenv(baselineEnv); old != "" {
 		variants["baseline"] = old
 	}
 	fmt.Println("\n| build | connections | requests read a second | calls | p50 ms | p99 ms | longest ms | over 1 s |")
@@ -40,7 +40,7 @@
 func measureOperators(b *testing.B, name, bin string, connections int) {
 	const duration = 12 * time.Second
 	interpreter, err := builtinworker.Listen(builtinworker.Config{Listen: "127.0.0.1:0", Cores: 6, Shape: builtinworker.Shape{Knee: 6, Thrash: 1, Speed: 1},
-		Other: builtinworker.Class{MinWork: 60 * time.Millisecond, MaxWork: 100 * time.Millisecond}, MemoryKB: 1 << 18, RunFactor: 4, Seed: 1})
+		DefaultClass: builtinworker.Class{MinWork: 60 * time.Millisecond, MaxWork: 100 * time.Millisecond}, MemoryKB: 1 << 18, RunFactor: 4, Seed: 1})
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/testkit/benchmarks/overload.go
+++ b/internal/testkit/benchmarks/overload.go
@@ -56,7 +56,7 @@
 	if cfg.Shape.Knee == 0 {
 		cfg.Shape = builtinworker.Shape{Knee: knee, Thrash: 1, Speed: 1}
 	}
-	cfg.Other = builtinworker.Class{MinWork: meanRunWork * 11 / 15, MaxWork: meanRunWork * 19 / 15}
+	cfg.DefaultClass = builtinworker.Class{MinWork: meanRunWork * 11 / 15, MaxWork: meanRunWork * 19 / 15}
 	cfg.MemoryKB, cfg.RunFactor, cfg.Seed = overloadSite.MemoryKB, 4, 5
 	return builtinworker.Listen(cfg)
 }
@@ -104,7 +104,7 @@
 		out.err = err
 		return out
 	}
-	i.Play(sc.script)
+	i.ScheduleFaults(sc.script)
 	stop := make(chan struct{})
 	var watcher sync.WaitGroup
 	if edge != "" {
@@ -117,7 +117,7 @@
 		}
 	}
 	before := p.CPU()
-	out.res, out.err = Load{Rate: rate, For: scenarioTime, HeldKB: 32, Seed: 7}.Run(p, i)
+	out.res, out.err = Load{Rate: rate, For: scenarioTime, MemoryKB: 32, Seed: 7}.Run(p, i)
 	out.cpu = p.CPU() - before
 	close(stop)
 	watcher.Wait()
@@ -127,7 +127,7 @@
 		out.err = fmt.Errorf("%w\n%s", err, p.Log())
 	}
 	if n := counters["guard"]; n > 0 {
-		out.res.Broken = append(out.res.Broken, fmt.Sprintf("guard: %d", n))
+		out.res.Violations = append(out.res.Violations, fmt.Sprintf("guard: %d", n))
 	}
 	return out
 }
@@ -145,7 +145,7 @@
 			return
 		case <-tick.C:
 		}
-		body, err := client.Status(client.Platform, proc.Platform)
+		body, err := client.Status(client.MessagePack, proc.Platform)
 		if err != nil {
 			continue
 		}
@@ -203,14 +203,14 @@
 				failure = "no"
 			}
 			fmt.Printf("| %s | %s | %.3f | %.2f | %.2f | %.2f | %.2f | %v | %v | %.3f | %d | %v | %v | %v | %v | %d | %s | %.2f | %.2f s | %d |\n",
-				sc.name, r.variant, q.Worth/q.Asked, share("lestvica"), share("krog"), share("oddaja"),
-				float64(q.Refused)/float64(q.Sent), At(q.Refusals, 50), At(q.Refusals, 99), float64(q.ToldLate)/float64(max(1, q.Refused)), q.Cheap.TotalCount(),
-				At(q.Cheap, 50), At(q.Cheap, 99), At(q.Cheap, 99.9), At(q.Cheap, 100), q.CheapLost+q.CheapWrong,
-				failure, r.maxMemory, r.cpu.Seconds(), len(q.Broken))
-			if len(q.Broken) > 0 {
-				fmt.Println("  broken:", q.Broken[:min(3, len(q.Broken))])
+				sc.name, r.variant, q.ServedWorth/q.OfferedWorth, share("lestvica"), share("krog"), share("oddaja"),
+				float64(q.Refused)/float64(q.Sent), Percentile(q.Refusals, 50), Percentile(q.Refusals, 99), float64(q.RefusedLate)/float64(max(1, q.Refused)), q.Cheap.TotalCount(),
+				Percentile(q.Cheap, 50), Percentile(q.Cheap, 99), Percentile(q.Cheap, 99.9), Percentile(q.Cheap, 100), q.CheapLost+q.CheapWrong,
+				failure, r.maxMemory, r.cpu.Seconds(), len(q.Violations))
+			if len(q.Violations) > 0 {
+				fmt.Println("  broken:", q.Violations[:min(3, len(q.Violations))])
 			}
-			b.ReportMetric(q.Worth/q.Asked, fmt.Sprintf("worth-%d-%s", n, r.variant))
+			b.ReportMetric(q.ServedWorth/q.OfferedWorth, fmt.Sprintf("worth-%d-%s", n, r.variant))
 			if r.variant == "on" {
 				fmt.Printf("  limit by second %v; within 15%% after %v\n", r.limits, r.convergence)
 			}
--- a/internal/testkit/benchmarks/owner.go
+++ b/internal/testkit/benchmarks/owner.go
@@ -62,8 +62,8 @@
 	return true
 }
 
-// starter returns a harness.Starter that starts the executable bin without the variable LB_CONFIG.
-func starter(bin string) harness.Starter {
+// processStarter returns a harness.Starter that starts the executable bin without the variable LB_CONFIG.
+func processStarter(bin string) harness.Starter {
 	return func(args []string, env ...string) (*harness.Process, error) {
 		cmd := exec.Command(bin, args...)
 		cmd.Env = append(append(os.Environ(), "LB_CONFIG="), env...)
@@ -79,7 +79,7 @@
 		if err != nil {
 			return nil, err
 		}
-		return starter(exe)(args, append(env, memberEnv+"=1")...)
+		return processStarter(exe)(args, append(env, memberEnv+"=1")...)
 	}
 }
 
@@ -87,7 +87,7 @@
 
 // Owner measures the leased controllers: how safely and how fast their leases change hands, and what the quorum costs.
 func Owner(b *testing.B) {
-	bin, err := buildAll(b.TempDir())
+	bin, err := buildCommands(b.TempDir())
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -100,8 +100,8 @@
 	b.Run("down", func(b *testing.B) { groupDown(b, bin) })
 }
 
-// buildAll builds all commands of the module into dir and returns the path of the silverpath executable.
-func buildAll(dir string) (string, error) {
+// buildCommands builds all commands of the module into dir and returns the path of the silverpath executable.
+func buildCommands(dir string) (string, error) {
 	out, err := exec.Command("go", "build", "-o", dir+"/", "silverpath/cmd/...").CombinedOutput()
 	if err != nil {
 		return "", fmt.Errorf("failed to build the commands: %w\n%s", err, out)
@@ -109,8 +109,8 @@
 	return filepath.Join(dir, "silverpath"), nil
 }
 
-// number returns the integer in the environment variable name, or def if the variable holds none.
-func number(name string, def int) int {
+// envInt returns the integer in the environment variable name, or def if the variable holds none.
+func envInt(name string, def int) int {
 	if n, err := strconv.Atoi(os.Getenv(name)); err == nil {
 		return n
 	}
@@ -119,7 +119,7 @@
 
 // simulated runs schedules of faults in simulated time and prints how many rollouts and moves finished.
 func simulated(b *testing.B) {
-	n := uint64(number("SILVERPATH_SIMULATED", 100_000))
+	n := uint64(envInt("SILVERPATH_SIMULATED", 100_000))
 	const workers = 6
 	var wg sync.WaitGroup
 	var finished, ownerChanges atomic.Int64
@@ -145,7 +145,7 @@
 	group        *harness.Group
 	mapDir       string // directory of the map's versions
 	servers      []*Process
-	proxies      []*faults.Between
+	proxies      []*faults.Proxy
 	closers      []func()
 	bin          string
 	site         Site
@@ -167,7 +167,7 @@
 	if err = os.MkdirAll(r.mapDir, 0o755); err != nil {
 		return r, err
 	}
-	r.group, err = harness.NewGroup(home, 3, terms, 20*time.Millisecond, starter(bin))
+	r.group, err = harness.NewGroup(home, 3, terms, 20*time.Millisecond, processStarter(bin))
 	r.closers = append(r.closers, r.group.Close)
 	if err != nil {
 		return r, err
@@ -217,7 +217,7 @@
 	if err == nil {
 		r.servers[i] = p
 		if i < len(r.proxies) {
-			r.proxies[i].To(p.Mgmt)
+			r.proxies[i].SetTarget(p.Mgmt)
 		}
 	}
 	return err
@@ -255,7 +255,7 @@
 	var owners []*harness.Process
 	duties := []string{controller.PlacementDuty, controller.RolloutDuty}
 	startOwner := func() {
-		p, err := r.group.Owner(fmt.Sprint("o", len(owners)), r.mapDir, duties, nil, nil)
+		p, err := r.group.StartController(fmt.Sprint("o", len(owners)), r.mapDir, duties, nil, nil)
 		if err != nil {
 			violation("failed to start an owner: %v", err)
 			return
@@ -299,23 +299,23 @@
 		case 0, 1:
 			owners[ownerIndex].Freeze()
 		case 2:
-			owners[ownerIndex].Wake()
+			owners[ownerIndex].Resume()
 		case 3:
 			owners[ownerIndex].Kill()
 			startOwner()
 		case 4:
 			r.group.Members[memberIndex].Freeze()
-			time.AfterFunc(time.Duration(rng.IntN(1500))*time.Millisecond, r.group.Members[memberIndex].Wake)
+			time.AfterFunc(time.Duration(rng.IntN(1500))*time.Millisecond, r.group.Members[memberIndex].Resume)
 		case 5:
 			r.group.Members[memberIndex].Kill()
 			fail(r.group.Start(memberIndex))
 		case 6:
-			r.group.Ways[memberIndex].Set(faults.Way(rng.IntN(2)), faults.Fate{Lost: true})
+			r.group.Proxies[memberIndex].SetFault(faults.Direction(rng.IntN(2)), faults.Fault{Drop: true})
 		case 7:
-			r.group.Ways[memberIndex].Set(faults.There, faults.Fate{Delay: 30 * time.Millisecond, Twice: 0.2, Swap: 0.2})
+			r.group.Proxies[memberIndex].SetFault(faults.ToListener, faults.Fault{Delay: 30 * time.Millisecond, Duplicate: 0.2, Reorder: 0.2})
 		case 8:
 			i := rng.IntN(len(r.proxies))
-			r.proxies[i].Set(faults.There, faults.Fate{Held: true})
+			r.proxies[i].SetFault(faults.ToListener, faults.Fault{Hold: true})
 			heldServers = append(heldServers, i)
 		case 9:
 			if i := rng.IntN(len(r.servers)); rng.IntN(3) == 0 {
@@ -337,26 +337,26 @@
 			heldCalls = append(heldCalls, nil)
 		}
 	}
-	for _, w := range r.group.Ways {
-		w.Set(faults.There, faults.Fate{})
-		w.Set(faults.Back, faults.Fate{})
+	for _, w := range r.group.Proxies {
+		w.SetFault(faults.ToListener, faults.Fault{})
+		w.SetFault(faults.ToClient, faults.Fault{})
 	}
 	for _, m := range r.group.Members {
-		m.Wake()
+		m.Resume()
 	}
 	for _, i := range heldServers {
-		r.proxies[i].Set(faults.There, faults.Fate{})
+		r.proxies[i].SetFault(faults.ToListener, faults.Fault{})
 	}
 	for _, p := range owners {
-		p.Wake()
+		p.Resume()
 	}
 	for i, c := range heldCalls { // a copy that the network held back arrives now
 		if c != nil && strings.HasPrefix(string(c), "POST") {
-			_, _ = r.proxies[i].Again(c)
+			_, _ = r.proxies[i].Replay(c)
 		}
 	}
 	for _, id := range moveIDs {
-		if it, err := r.group.Over(controller.PlacementDuty, id, 20*time.Second); fail(err) {
+		if it, err := r.group.AwaitItem(controller.PlacementDuty, id, 20*time.Second); fail(err) {
 			return o
 		} else if it.State == controller.Done {
 			o.finished++
@@ -364,7 +364,7 @@
 			o.failureNotes = append(o.failureNotes, it.Note)
 		}
 	}
-	rollout, err := r.group.Over(controller.RolloutDuty, rolloutID, 60*time.Second)
+	rollout, err := r.group.AwaitItem(controller.RolloutDuty, rolloutID, 60*time.Second)
 	if fail(err) {
 		return o
 	}
@@ -375,7 +375,7 @@
 	}
 	for i, c := range heldCalls {
 		if c != nil && strings.HasPrefix(string(c), "POST") {
-			_, _ = r.proxies[i].Again(c)
+			_, _ = r.proxies[i].Replay(c)
 		}
 	}
 	r.checkLogs(&o, violation, logOffsets, processes, rollout)
@@ -452,7 +452,7 @@
 
 // schedules runs schedules over real processes, several rigs in parallel, and prints their sum.
 func schedules(b *testing.B, bin string) {
-	n, workers := number("SILVERPATH_SCHEDULES", 500), number("SILVERPATH_WORKERS", 4)
+	n, workers := envInt("SILVERPATH_SCHEDULES", 500), envInt("SILVERPATH_WORKERS", 4)
 	var mu sync.Mutex
 	var all outcome
 	var wg sync.WaitGroup
@@ -497,7 +497,7 @@
 	fmt.Println("\n| build | rounds | both said yes | changes lost | one was told no |")
 	fmt.Println("|---|---|---|---|---|")
 	variants := []struct{ name, bin string }{{"this, a file", bin}}
-	if old := os.Getenv(baseline); old != "" {
+	if old := os.Getenv(baselineEnv); old != "" {
 		variants = append([]struct{ name, bin string }{{"baseline, a file", old}}, variants...)
 	}
 	const rounds = 200
@@ -552,7 +552,7 @@
 	if err := (proxy.VersionDir{Dir: dir}).Put(1, settings.FormatCells(m)); err != nil {
 		b.Fatal(err)
 	}
-	p, err := r.group.Owner("o", dir, []string{controller.PlacementDuty}, nil, nil)
+	p, err := r.group.StartController("o", dir, []string{controller.PlacementDuty}, nil, nil)
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -590,7 +590,7 @@
 		dir := r.mapDir
 		idleCells := idleCost(b, r, dir)
 		for _, fault := range []string{"SIGKILL", "SIGSTOP", "cut"} {
-			rounds := number("SILVERPATH_GAPS", map[time.Duration]int{300 * time.Millisecond: 20, time.Second: 12, 3 * time.Second: 6}[ttl])
+			rounds := envInt("SILVERPATH_GAPS", map[time.Duration]int{300 * time.Millisecond: 20, time.Second: 12, 3 * time.Second: 6}[ttl])
 			h := hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)
 			overlaps := 0
 			for n := range rounds {
@@ -604,7 +604,7 @@
 					overlaps++
 				}
 			}
-			fmt.Printf("| %d | %s | %d | %d | %d | %d | %s |\n", ttl.Milliseconds(), fault, rounds, At(h, 50).Milliseconds(), At(h, 99).Milliseconds(), overlaps, idleCells)
+			fmt.Printf("| %d | %s | %d | %d | %d | %d | %s |\n", ttl.Milliseconds(), fault, rounds, Percentile(h, 50).Milliseconds(), Percentile(h, 99).Milliseconds(), overlaps, idleCells)
 			idleCells = "| |"
 		}
 		r.Close()
@@ -614,7 +614,7 @@
 // idleCost returns table cells with the group's messages and disk syncs per second and the CPU load of the leader and of an
 // owner, while one owner holds all duties and nothing happens.
 func idleCost(b *testing.B, r *rig, mapDir string) string {
-	p, err := r.group.Owner("rest", mapDir, controller.Duties, nil, nil)
+	p, err := r.group.StartController("rest", mapDir, controller.Duties, nil, nil)
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -630,7 +630,7 @@
 	const idleTime = 5 * time.Second
 	readCounters := func() (messages, syncs int) {
 		for _, m := range r.group.Members {
-			from := m.Lines()
+			from := m.LineCount()
 			_ = m.Signal(syscall.SIGUSR1)
 			line, err := m.Await(2*time.Second, from, "counter group.messages")
 			if err == nil {
@@ -659,7 +659,7 @@
 // measureGap makes the owner of the placement duty fail in the given way. It returns how long it took until the other owner held the
 // duty, and whether both held it at the same time.
 func measureGap(r *rig, dir, fault string, n int) (gap time.Duration, overlap bool, err error) { //nolint:cyclop // one measurement from top to bottom; its split is in docs/ROADMAP.md
-	var proxies []*faults.Between
+	var proxies []*faults.Proxy
 	var addrs []string
 	for _, a := range r.group.Client.Addrs {
 		w, err := faults.Listen(a, true, uint64(n))
@@ -670,7 +670,7 @@
 		proxies, addrs = append(proxies, w), append(addrs, w.Addr())
 	}
 	duties := []string{controller.PlacementDuty}
-	owner, err := r.group.Owner(fmt.Sprint("one", n), dir, duties, addrs, nil)
+	owner, err := r.group.StartController(fmt.Sprint("one", n), dir, duties, addrs, nil)
 	if err != nil {
 		return 0, false, err
 	}
@@ -678,7 +678,7 @@
 	if _, err := owner.Await(20*time.Second, 0, "duty.owned"); err != nil {
 		return 0, false, err
 	}
-	successor, err := r.group.Owner(fmt.Sprint("two", n), dir, duties, nil, nil)
+	successor, err := r.group.StartController(fmt.Sprint("two", n), dir, duties, nil, nil)
 	if err != nil {
 		return 0, false, err
 	}
@@ -714,7 +714,7 @@
 			overlap = logTime(lost)-time.Duration(ms*float64(time.Millisecond)) > at
 		}
 	}
-	owner.Wake()
+	owner.Resume()
 	_ = successor.Leave()
 	return gap, overlap, nil
 }
@@ -745,7 +745,7 @@
 				g.Members[(lead+2)%c.members].Kill()
 			}
 		case "one disk 20 ms a sync":
-			g.Fault((lead+1)%c.members, "20ms")
+			g.SetDiskFault((lead+1)%c.members, "20ms")
 		}
 		h := hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)
 		var mu sync.Mutex
@@ -790,14 +790,14 @@
 // measureRollingRestart runs a fleet under load, restarts all its servers in the given way and prints a row of the table.
 func measureRollingRestart(b *testing.B, bin, order string) error { //nolint:cyclop // one measurement from top to bottom; its split is in docs/ROADMAP.md
 	home := b.TempDir()
-	g, err := harness.NewGroup(home, 3, lease.Terms{TTL: time.Second, Drift: 0.05}, 50*time.Millisecond, starter(bin))
+	g, err := harness.NewGroup(home, 3, lease.Terms{TTL: time.Second, Drift: 0.05}, 50*time.Millisecond, processStarter(bin))
 	defer g.Close() //nolint:staticcheck // what was begun is returned beside an error, to be closed
 	if err != nil {
 		return err
 	}
 	list, _ := json.Marshal(g.Client.Addrs)
 	names := []string{"a", "b", "c"}
-	f, err := NewFleetWith(bin, home, 12, 1, names, brandsIn(names, 0), func(dir string) string {
+	f, err := NewFleetWith(bin, home, 12, 1, names, tenantsIn(names, 0), func(dir string) string {
 		return fmt.Sprintf(`{"cell":true,"orders":{"state":%q,"group":"test","members":%s}}`, filepath.Join(dir, "orders"), list)
 	})
 	defer f.Stop()
@@ -806,8 +806,8 @@
 	}
 	const loadTime = 45 * time.Second
 	var loads []TenantLoad
-	for _, t := range brands {
-		loads = append(loads, TenantLoad{Tenant: t, Rate: 0.8 * 12 * ServerRate() / float64(len(brands)), For: loadTime})
+	for _, t := range tenantNames {
+		loads = append(loads, TenantLoad{Tenant: t, Rate: 0.8 * 12 * ServerRate() / float64(len(tenantNames)), For: loadTime})
 	}
 	// A server is away for 1.5 s during a restart, and is cold when it comes back.
 	restartCold := func(n int) error {
@@ -847,7 +847,7 @@
 	}
 	offeredWorth, earnedWorth, lowestShare := 0.0, 0.0, 1.0
 	for _, r := range res {
-		offeredWorth, earnedWorth = offeredWorth+r.Asked, earnedWorth+r.Worth
+		offeredWorth, earnedWorth = offeredWorth+r.OfferedWorth, earnedWorth+r.ServedWorth
 		lowestShare = min(lowestShare, r.Share())
 	}
 	took := time.Duration(0)
@@ -856,7 +856,7 @@
 	case <-time.After(time.Second):
 		took = loadTime
 	}
-	fmt.Printf("| %s | %.1f s | %.4f | %.4f | %d |\n", order, took.Seconds(), earnedWorth/offeredWorth, lowestShare, f.mostOut)
+	fmt.Printf("| %s | %.1f s | %.4f | %.4f | %d |\n", order, took.Seconds(), earnedWorth/offeredWorth, lowestShare, f.maxDown)
 	return nil
 }
 
@@ -875,7 +875,7 @@
 	if err := (proxy.VersionDir{Dir: dir}).Put(1, settings.FormatCells(&m)); err != nil {
 		return err
 	}
-	owner, err := g.Owner("o", dir, []string{controller.RolloutDuty}, nil, nil)
+	owner, err := g.StartController("o", dir, []string{controller.RolloutDuty}, nil, nil)
 	if err != nil {
 		return err
 	}
@@ -890,10 +890,10 @@
 			p := f.Servers[n]
 			for {
 				if _, err := p.Await(100*time.Millisecond, 0, "phase evacuated"); err == nil {
-					f.enter(1)
+					f.addDown(1)
 					time.Sleep(500 * time.Millisecond)
-					_ = f.restartAt(n, time.Second)
-					f.enter(-1)
+					_ = f.restartUncounted(n, time.Second)
+					f.addDown(-1)
 					return
 				}
 				select {
@@ -904,7 +904,7 @@
 			}
 		})
 	}
-	_, err = g.Over(controller.RolloutDuty, "r", time.Minute)
+	_, err = g.AwaitItem(controller.RolloutDuty, "r", time.Minute)
 	close(stop)
 	wg.Wait()
 	return err
@@ -918,13 +918,13 @@
 	fmt.Println("|---|---|---|---|---|")
 	for _, down := range []bool{false, true} {
 		home := b.TempDir()
-		g, err := harness.NewGroup(home, 3, lease.Terms{TTL: time.Second, Drift: 0.05}, 50*time.Millisecond, starter(bin))
+		g, err := harness.NewGroup(home, 3, lease.Terms{TTL: time.Second, Drift: 0.05}, 50*time.Millisecond, processStarter(bin))
 		if err != nil {
 			b.Fatal(err)
 		}
 		list, _ := json.Marshal(g.Client.Addrs)
 		names := []string{"a", "b"}
-		f, err := NewFleetWith(bin, home, 4, 1, names, brandsIn(names, 0), func(dir string) string {
+		f, err := NewFleetWith(bin, home, 4, 1, names, tenantsIn(names, 0), func(dir string) string {
 			return fmt.Sprintf(`{"cell":true,"orders":{"state":%q,"group":"test","members":%s}}`, filepath.Join(dir, "orders"), list)
 		})
 		if err != nil {
@@ -936,8 +936,8 @@
 			}
 		}
 		var loads []TenantLoad
-		for _, t := range brands {
-			loads = append(loads, TenantLoad{Tenant: t, Rate: 0.5 * 4 * ServerRate() / float64(len(brands)), For: 20 * time.Second})
+		for _, t := range tenantNames {
+			loads = append(loads, TenantLoad{Tenant: t, Rate: 0.5 * 4 * ServerRate() / float64(len(tenantNames)), For: 20 * time.Second})
 		}
 		res, err := f.Run(f.Routers, loads, false, 3)
 		if err != nil {
--- a/internal/testkit/benchmarks/ownersim.go
+++ b/internal/testkit/benchmarks/ownersim.go
@@ -267,7 +267,7 @@
 		}
 		if it := journal.Current(); it != nil && it.State == controller.Intended {
 			if plan, err := settings.ParseCells([]byte(it.Plan)); err == nil {
-				h.Occupant = s.versions[plan.Version]
+				h.VersionEntry = s.versions[plan.Version]
 			}
 		}
 		return o.placement.Next(journal, h, uint64(epoch), s.wall.Add(s.now))
@@ -353,7 +353,7 @@
 	if server.reachableAt > s.now {
 		return false
 	}
-	if !server.fence.Knows(c.Duty) {
+	if !server.fence.CanCheck(c.Duty) {
 		if !s.groupUp {
 			return false
 		}
--- a/internal/testkit/benchmarks/parts.go
+++ b/internal/testkit/benchmarks/parts.go
@@ -34,10 +34,10 @@
 // number of tenants and under faults. SILVERPATH_BASELINE names an older program to compare with. The results
 // are appended to docs/results/parts.json, or to the file that SILVERPATH_PARTS names.
 func Parts(b *testing.B) {
-	p := &partsBench{b: b, resultsFile: os.Getenv("SILVERPATH_PARTS"), hollowCount: number("SILVERPATH_FOLLOWERS", 300), sizeDivisor: max(1, number("SILVERPATH_SMALL", 1)),
+	p := &partsBench{b: b, resultsFile: os.Getenv("SILVERPATH_PARTS"), hollowCount: envInt("SILVERPATH_FOLLOWERS", 300), sizeDivisor: max(1, envInt("SILVERPATH_SMALL", 1)),
 		baseline: os.Getenv("SILVERPATH_BASELINE")}
 	var err error
-	if p.bin, err = buildAll(b.TempDir()); err != nil {
+	if p.bin, err = buildCommands(b.TempDir()); err != nil {
 		b.Fatal(err)
 	}
 	if p.resultsFile == "" {
@@ -105,7 +105,7 @@
 }
 
 // partsSite is the configuration of the real routers.
-var partsSite = Site{Cores: 256, MemoryKB: 1 << 20, ProcMB: scaleMB, Sockets: 4096}
+var partsSite = Site{Cores: 256, MemoryKB: 1 << 20, ProcMB: scaleMemoryMB, Sockets: 4096}
 
 // partsBench is the state of one run of the Parts benchmark.
 type partsBench struct {
@@ -229,7 +229,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
-	if _, err := g.client.Found(ctx, lease.Terms{TTL: partsLeaseTTL, Drift: 0.05}); err != nil {
+	if _, err := g.client.CreateGroup(ctx, lease.Terms{TTL: partsLeaseTTL, Drift: 0.05}); err != nil {
 		return g, err
 	}
 	_, err := g.leader()
@@ -238,7 +238,7 @@
 
 // start starts a member on its existing data directory.
 func (g *partsGroup) start(i int) (err error) {
-	if g.members[i], err = starter(g.bin)([]string{"quorum", "--config", g.configFiles[i]}); err == nil {
+	if g.members[i], err = processStarter(g.bin)([]string{"quorum", "--config", g.configFiles[i]}); err == nil {
 		_, err = g.members[i].Await(10*time.Second, 0, "group.listening")
 	}
 	return err
@@ -281,7 +281,7 @@
 // put runs "rules put" for a document without waiting for the change to become active, and returns the
 // proposed version.
 func (g *partsGroup) put(doc, file string) (version int, err error) {
-	cmd, err := starter(g.bin)([]string{"rules", "put", doc, file, "--group", "test", "--members", strings.Join(g.addrs, ","), "--within", "20s"})
+	cmd, err := processStarter(g.bin)([]string{"rules", "put", doc, file, "--group", "test", "--members", strings.Join(g.addrs, ","), "--within", "20s"})
 	if err != nil {
 		return 0, err
 	}
@@ -472,7 +472,7 @@
 	if r.Process == nil {
 		return nil
 	}
-	if n := r.Lines(); n != r.parsedLines {
+	if n := r.LineCount(); n != r.parsedLines {
 		r.parsedLines, r.activatedByDoc = n, map[string][]activation{}
 		for line := range strings.Lines(r.Log()) {
 			match := activationLine.FindStringSubmatch(line)
@@ -552,7 +552,7 @@
 		at := time.Now()
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		r.activations[i] = append(r.activations[i], activation{at, follower.Acts(configstore.DocMap)})
+		r.activations[i] = append(r.activations[i], activation{at, follower.AppliedVersion(configstore.DocMap)})
 	}})
 	r.followers[i] = follower
 	return err
@@ -613,7 +613,7 @@
 	if r.currentMap != nil {
 		version = r.currentMap.Version + 1
 	}
-	r.currentMap = scaleMap(places(max(1, partsServers/r.bench.sizeDivisor)), 10, tenants)
+	r.currentMap = scaleMap(serverAddrs(max(1, partsServers/r.bench.sizeDivisor)), 10, tenants)
 	r.currentMap.Version = version
 	return os.WriteFile(r.docFile, settings.FormatCells(r.currentMap), 0o600)
 }
@@ -1006,7 +1006,7 @@
 			return err
 		}
 		r.docs, r.fleetSettings = `["map","classes"]`, ""
-		r.currentMap = scaleMap(places(4), 1, 20)
+		r.currentMap = scaleMap(serverAddrs(4), 1, 20)
 		if err := r.writeDocument(configstore.DocMap); err != nil {
 			return err
 		}
@@ -1142,11 +1142,11 @@
 		var points []capacity.Point
 		for _, s := range r.Sizes {
 			if s.Build == "this" {
-				points = append(points, capacity.Point{At: float64(s.Tenants), Values: []float64{f.value(s)}})
+				points = append(points, capacity.Point{Size: float64(s.Tenants), Values: []float64{f.value(s)}})
 			}
 		}
 		if fit := bestFit(points); fit != nil {
-			fmt.Fprintf(&b, "| %s | %s |\n", f.name, fitted(fit))
+			fmt.Fprintf(&b, "| %s | %s |\n", f.name, fitColumns(fit))
 		}
 	}
 	seriesHeader := "\n| build | what | changes | puts | not everywhere | p50 s | p99 s | worst s | slowest accepted s | under 8 s | back after s | router CPU % | KB/s | MB | leader CPU % | KB/s |\n|" + strings.Repeat("---|", 16) + "\n"
--- a/internal/testkit/benchmarks/partsschedules.go
+++ b/internal/testkit/benchmarks/partsschedules.go
@@ -31,7 +31,7 @@
 	mapUncertain bool                             // Map may differ from the active map
 	revisions    map[string]*configstore.Revision // versions that the group had, by ID
 	idByVersion  map[int]string                   // their IDs by version number
-	sum          partsOutcome                     // of all schedules so far
+	total        partsOutcome                     // of all schedules so far
 
 	mu            sync.Mutex
 	acknowledged  map[int]bool // versions acknowledged as proposed (false) or as in force (true)
@@ -40,17 +40,17 @@
 
 // partsOutcome counts what the checks of schedules saw.
 type partsOutcome struct {
-	maps, exclusive, rejected     int           // became active; of those, exclude their predecessor; never became active
-	acked, lost                   int           // acknowledged puts; of those, lost
-	acts, storedMaps, neverActive int           // activations; maps stored by killed routers; of both, never active
-	staleUpdates                  int           // updates that did not follow from a router's state
-	behind                        int           // routers that did not act on the active map in time
-	overlap                       time.Duration // longest time with two maps in use that exclude each other
+	activeMaps, exclusive, rejected      int           // became active; of those, exclude their predecessor; never became active
+	acknowledged, lost                   int           // acknowledged puts; of those, lost
+	activations, storedMaps, neverActive int           // activations; maps stored by killed routers; of both, never active
+	staleUpdates                         int           // updates that did not follow from a router's state
+	behind                               int           // routers that did not act on the active map in time
+	overlap                              time.Duration // longest time with two maps in use that exclude each other
 }
 
 func (o *partsOutcome) add(p partsOutcome) {
-	o.maps, o.exclusive, o.rejected, o.acked, o.lost = o.maps+p.maps, o.exclusive+p.exclusive, o.rejected+p.rejected, o.acked+p.acked, o.lost+p.lost
-	o.acts, o.storedMaps, o.neverActive, o.staleUpdates, o.behind = o.acts+p.acts, o.storedMaps+p.storedMaps, o.neverActive+p.neverActive, o.staleUpdates+p.staleUpdates, o.behind+p.behind
+	o.activeMaps, o.exclusive, o.rejected, o.acknowledged, o.lost = o.activeMaps+p.activeMaps, o.exclusive+p.exclusive, o.rejected+p.rejected, o.acknowledged+p.acknowledged, o.lost+p.lost
+	o.activations, o.storedMaps, o.neverActive, o.staleUpdates, o.behind = o.activations+p.activations, o.storedMaps+p.storedMaps, o.neverActive+p.neverActive, o.staleUpdates+p.staleUpdates, o.behind+p.behind
 	o.overlap = max(o.overlap, p.overlap)
 }
 
@@ -72,7 +72,7 @@
 	if err != nil {
 		return r, err
 	}
-	r.faults, r.change, r.killed, r.mended = 11, r.changeParts, r.checkStoredMap, r.checkAfterRepair
+	r.faultKinds, r.putChange, r.checkKilled, r.checkMended = 11, r.changeParts, r.checkStoredMap, r.checkAfterRepair
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
 	config, err := r.g.Client.Config(ctx)
@@ -87,9 +87,9 @@
 func (r *partsFaultRig) changeParts(n int) error { //nolint:cyclop // one measurement from top to bottom; its split is in docs/ROADMAP.md
 	switch n % 8 {
 	case 0:
-		return r.classes(n%5 + 1)
+		return r.putClasses(n%5 + 1)
 	case 4:
-		return r.routing(n)
+		return r.putRouting(n)
 	}
 	if r.mapUncertain {
 		m, err := r.activeMap()
@@ -104,7 +104,7 @@
 	m.Tenants, m.Servers, m.Cells = slices.Clone(old.Tenants), slices.Clone(old.Servers), slices.Clone(old.Cells)
 	changeRates := func(count int) {
 		for i := range count {
-			tenant := &m.Tenants[len(brands)+(n*31+i*7)%(len(m.Tenants)-len(brands))]
+			tenant := &m.Tenants[len(tenantNames)+(n*31+i*7)%(len(m.Tenants)-len(tenantNames))]
 			tenant.Rate = idleRate * float64(1+n%9)
 		}
 	}
@@ -120,13 +120,13 @@
 	}
 	switch n % 8 {
 	case 1:
-		moveTenant(brands[n/8%len(brands)])
+		moveTenant(tenantNames[n/8%len(tenantNames)])
 		changeRates(1)
 	case 2:
 		changeRates(20)
 	case 3:
 		for i := range 5 {
-			moveTenant(m.Tenants[len(brands)+(n*5+i)%(len(m.Tenants)-len(brands))].Name)
+			moveTenant(m.Tenants[len(tenantNames)+(n*5+i)%(len(m.Tenants)-len(tenantNames))].Name)
 		}
 		changeRates(1)
 	case 5:
@@ -141,7 +141,7 @@
 		}
 	case 7:
 		changeRates(40)
-		moveTenant(brands[(n/8+3)%len(brands)])
+		moveTenant(tenantNames[(n/8+3)%len(tenantNames)])
 		addServer("c")
 	}
 	file := filepath.Join(r.dir, "next.json")
@@ -152,7 +152,7 @@
 	if !wait {
 		args = nil
 	}
-	output, err := r.puts("map", file, args...)
+	output, err := r.putWithFlags("map", file, args...)
 	r.Map, r.mapUncertain = &m, err != nil || !wait
 	if err != nil {
 		return err
@@ -216,7 +216,7 @@
 // stored a map that was never active. It reports failures by calling fail.
 func (r *partsFaultRig) checkAfterRepair(fail func(string, ...any)) { //nolint:cyclop // one measurement from top to bottom; its split is in docs/ROADMAP.md
 	var outcome partsOutcome
-	defer func() { r.sum.add(outcome) }()
+	defer func() { r.total.add(outcome) }()
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
 	config, err := r.g.Client.Config(ctx)
@@ -235,7 +235,7 @@
 				outcome.exclusive++
 				fallthrough
 			default:
-				outcome.maps++
+				outcome.activeMaps++
 			}
 			if previous, exists := r.idByVersion[revision.ID.Version]; exists {
 				fail("version %d of the map is %s now, was %s before", revision.ID.Version, id, previous)
@@ -247,7 +247,7 @@
 	acknowledged, storedDigests := r.acknowledged, r.storedDigests
 	r.acknowledged, r.storedDigests = map[int]bool{}, nil
 	r.mu.Unlock()
-	outcome.acked, outcome.storedMaps = len(acknowledged), len(storedDigests)
+	outcome.acknowledged, outcome.storedMaps = len(acknowledged), len(storedDigests)
 	for _, version := range slices.Sorted(maps.Keys(acknowledged)) {
 		if revision := r.revisions[r.idByVersion[version]]; revision == nil || revision.ActiveSince == 0 && (acknowledged[version] || revision.Outcome == "") {
 			outcome.lost++
@@ -294,10 +294,10 @@
 			fail("a killed router had stored a map with digest %s, which was never active", digest)
 		}
 	}
-	var acted []harness.Acted
+	var acted []harness.ActivePeriod
 	activations, staleUpdates := 0, 0
 	for _, p := range r.Routers {
-		for k, process := range append(slices.Clone(p.old), p.Process) {
+		for k, process := range append(slices.Clone(p.earlier), p.Process) {
 			log := process.Log()
 			for _, match := range mapActiveLine.FindAllStringSubmatch(log, -1) {
 				activations++
@@ -307,10 +307,10 @@
 				}
 			}
 			staleUpdates += len(mapStaleLine.FindAllString(log, -1))
-			acted = append(acted, harness.ActsOf(fmt.Sprint(p.Platform, "-", k), process, configstore.DocMap)...)
+			acted = append(acted, harness.ActivePeriodsOf(fmt.Sprint(p.Platform, "-", k), process, configstore.DocMap)...)
 		}
 	}
-	outcome.acts, outcome.staleUpdates = activations-r.sum.acts, staleUpdates-r.sum.staleUpdates
+	outcome.activations, outcome.staleUpdates = activations-r.total.activations, staleUpdates-r.total.staleUpdates
 	var description string
 	if outcome.overlap, description = harness.OverlapOf(acted, r.excludes); outcome.overlap > 0 {
 		fail("two maps that exclude each other were in use for %v: %s", outcome.overlap, description)
@@ -339,7 +339,7 @@
 		Fleet   struct{ Rules json.RawMessage }
 		Follows json.RawMessage
 	}
-	body, err := client.Status(client.Platform, p.Platform)
+	body, err := client.Status(client.MessagePack, p.Platform)
 	if err == nil {
 		err = json.Unmarshal(body, &status)
 	}
@@ -359,7 +359,7 @@
 			ID string `json:"map_id"`
 		}
 	}
-	if body, err := client.Status(client.Platform, p.Platform); err == nil && json.Unmarshal(body, &status) == nil {
+	if body, err := client.Status(client.MessagePack, p.Platform); err == nil && json.Unmarshal(body, &status) == nil {
 		reported = status.Fleet.ID
 	}
 	return logged, reported
@@ -369,11 +369,11 @@
 // their number and SILVERPATH_WORKERS the number of rigs that run them in parallel. Unless SILVERPATH_TENANTS
 // sets the size, every second rig has a map that is too large for one reply.
 func PartsSchedules(b *testing.B) {
-	bin, err := buildAll(b.TempDir())
+	bin, err := buildCommands(b.TempDir())
 	if err != nil {
 		b.Fatal(err)
 	}
-	n, workers := number("SILVERPATH_SCHEDULES", 100), number("SILVERPATH_WORKERS", 2)
+	n, workers := envInt("SILVERPATH_SCHEDULES", 100), envInt("SILVERPATH_WORKERS", 2)
 	var mu sync.Mutex
 	var sum rulesOutcome
 	var partsSum partsOutcome
@@ -382,7 +382,7 @@
 	startedAt := time.Now()
 	for k := range workers {
 		wg.Go(func() {
-			rig, err := newPartsFaultRig(bin, b.TempDir(), 12, 4, number("SILVERPATH_TENANTS", []int{700, 3000}[k%2]))
+			rig, err := newPartsFaultRig(bin, b.TempDir(), 12, 4, envInt("SILVERPATH_TENANTS", []int{700, 3000}[k%2]))
 			defer rig.Stop()
 			if err != nil {
 				b.Error(err)
@@ -403,22 +403,22 @@
 				mu.Unlock()
 			}
 			mu.Lock()
-			ran, twice = ran+outcome.ran, twice+outcome.twice
-			partsSum.add(rig.sum)
+			ran, twice = ran+outcome.ran, twice+outcome.ranTwice
+			partsSum.add(rig.total)
 			mu.Unlock()
 		})
 	}
 	wg.Wait()
 	fmt.Printf("\n%d schedules in %v: %d changes, %d of them rejected or withdrawn, slowest %v; %d sheets ran, %d twice; %d served, %d failed, %d refused; two versions of classes in use at once for at most %v; shares of routers over the capacity of the cell in %d of %d samples\n",
-		n, time.Since(startedAt).Round(time.Second), sum.changes, sum.withdrawn, sum.slowest.Round(time.Millisecond), ran, twice, sum.served, sum.failed, sum.refused, sum.overlap, sum.over, sum.samples)
+		n, time.Since(startedAt).Round(time.Second), sum.changes, sum.withdrawn, sum.slowest.Round(time.Millisecond), ran, twice, sum.served, sum.failed, sum.refused, sum.overlap, sum.overCapacity, sum.samples)
 	fmt.Printf("maps: %d became active, %d of them exclusive, %d never did; two that exclude each other in use at once for at most %v; %d puts acknowledged, %d of them lost; %d activations, %d maps stored by killed routers, %d of both match no active version; %d updates did not follow; %d routers behind at the end; %d checks failed\n",
-		partsSum.maps, partsSum.exclusive, partsSum.rejected, partsSum.overlap, partsSum.acked, partsSum.lost, partsSum.acts, partsSum.storedMaps, partsSum.neverActive, partsSum.staleUpdates, partsSum.behind, len(sum.broken))
-	for i, s := range sum.broken {
+		partsSum.activeMaps, partsSum.exclusive, partsSum.rejected, partsSum.overlap, partsSum.acknowledged, partsSum.lost, partsSum.activations, partsSum.storedMaps, partsSum.neverActive, partsSum.staleUpdates, partsSum.behind, len(sum.violations))
+	for i, s := range sum.violations {
 		if i < 20 {
 			fmt.Println(s)
 		}
 	}
-	if len(sum.broken) > 0 || sum.over > 0 {
-		b.Errorf("%d checks failed, shares of routers over the capacity of the cell in %d samples", len(sum.broken), sum.over)
+	if len(sum.violations) > 0 || sum.overCapacity > 0 {
+		b.Errorf("%d checks failed, shares of routers over the capacity of the cell in %d samples", len(sum.violations), sum.overCapacity)
 	}
 }
--- a/internal/testkit/benchmarks/partssim.go
+++ b/internal/testkit/benchmarks/partssim.go
@@ -291,7 +291,7 @@
 					after(max(10*time.Millisecond, p.replica.PollInterval()), func() { sync(p, gen) })
 				})
 			}
-			if !store.HasNews(report) {
+			if !store.NeedsRecording(report) {
 				after(confirmTime, sendReply)
 				return
 			}
@@ -417,9 +417,9 @@
 // PartsTime runs PartsSim at the target size and prints a table. SILVERPATH_SEEDS is the number of seeds per
 // case and SILVERPATH_SECONDS the virtual time of each.
 func PartsTime(b *testing.B) {
-	seeds := number("SILVERPATH_SEEDS", 2)
+	seeds := envInt("SILVERPATH_SEEDS", 2)
 	interval := time.Minute / 40
-	duration := time.Duration(number("SILVERPATH_SECONDS", 120)) * time.Second
+	duration := time.Duration(envInt("SILVERPATH_SECONDS", 120)) * time.Second
 	fmt.Println("\n| processes | case | changes | p50 | p99 | longest | held off | words a second, each | bytes a second, each | words a second, leader | MB a second out | most in a second, MB | zone back after |")
 	fmt.Println("|---|---|---|---|---|---|---|---|---|---|---|---|---|")
 	for _, c := range []struct {
--- a/internal/testkit/benchmarks/powerloss.go
+++ b/internal/testkit/benchmarks/powerloss.go
@@ -24,7 +24,7 @@
 	if n, err := strconv.Atoi(os.Getenv("SILVERPATH_LOSSES")); err == nil {
 		losses = n
 	}
-	bin, _ := tested(b)
+	bin, _ := buildTestBinary(b)
 	fmt.Println("\n| kept | losses | sheets | run twice | told otherwise | first read ms, p50, worst | first new sheet ms, p50, worst | written a server at rest |")
 	fmt.Println("|---|---|---|---|---|---|---|---|")
 	for _, c := range []struct {
@@ -81,9 +81,9 @@
 	if heartbeat && !store { // wait until keyed requests run: without a store they fail for a key window after a first start
 		time.Sleep(20 * time.Second)
 	}
-	writtenBytes := d.Servers[0].written()
+	writtenBytes := d.Servers[0].bytesWritten()
 	time.Sleep(2 * time.Second)
-	writtenBytes = d.Servers[0].written() - writtenBytes
+	writtenBytes = d.Servers[0].bytesWritten() - writtenBytes
 	var readTimes, keyedTimes []time.Duration
 	for n := range losses {
 		stop := make(chan struct{})
@@ -100,7 +100,7 @@
 		close(stop)
 		wg.Wait()
 	}
-	twice, _ := d.Twice()
+	twice, _ := d.CountRepeatedRuns()
 	slices.Sort(readTimes)
 	slices.Sort(keyedTimes)
 	ms := func(l []time.Duration) string {
@@ -140,7 +140,7 @@
 				errs <- err
 				return
 			}
-			errs <- d.restartAt(i-len(d.Routers), 0)
+			errs <- d.restartUncounted(i-len(d.Routers), 0)
 		})
 	}
 	startedAt := time.Now()
@@ -154,7 +154,7 @@
 				if class == "oddaja" {
 					q.Key = string(q.Body)
 				}
-				if a, err := client.Do(client.Platform, to, q); err == nil && a.Outcome == "served" {
+				if a, err := client.Do(client.MessagePack, to, q); err == nil && a.Outcome == "served" {
 					*out = time.Since(startedAt)
 					return
 				}
@@ -188,7 +188,7 @@
 			d.mu.Lock()
 			to := d.Routers[rng.IntN(len(d.Routers))].Platform
 			d.mu.Unlock()
-			a, err := client.Do(client.Platform, to, client.Request{Class: "oddaja", Tenant: []string{"t", "u"}[n%2], Key: key, Body: []byte(key), Timeout: 2 * time.Second})
+			a, err := client.Do(client.MessagePack, to, client.Request{Class: "oddaja", Tenant: []string{"t", "u"}[n%2], Key: key, Body: []byte(key), Timeout: 2 * time.Second})
 			if err != nil || a.Outcome != "served" {
 				continue
 			}
--- a/internal/testkit/benchmarks/refusal.go
+++ b/internal/testkit/benchmarks/refusal.go
@@ -15,8 +15,8 @@
 	"silverpath/internal/transport/client"
 )
 
-// baseline is the environment variable with the path of an earlier build of the service, which is measured beside this one.
-const baseline = "SILVERPATH_BASELINE"
+// baselineEnv is the environment variable with the path of an earlier build of the service, which is measured beside this one.
+const baselineEnv = "SILVERPATH_BASELINE"
 
 // sendAtRate calls send at a fixed rate for the duration d on the given number of worker goroutines. It returns the number of
 // calls, the number whose outcome was want, and the histogram of their times in microseconds. A time counts from when the
@@ -58,7 +58,7 @@
 	}
 	type variant struct{ name, bin, edgeText string }
 	variants := []variant{{"off", bin, ""}, {"on", bin, string(deploy.Edge)}}
-	if old := os.Getenv(baseline); old != "" {
+	if old := os.Getenv(baselineEnv); old != "" {
 		variants = append([]variant{{"before", old, ""}}, variants...)
 	}
 	fmt.Println("\n| program | call | a second | sent | as wanted | CPU each | p50 | p99 | max |")
@@ -66,7 +66,7 @@
 	for _, v := range variants {
 		i, err := builtinworker.Listen(builtinworker.Config{
 			Listen: "127.0.0.1:0", Cores: cores, Shape: builtinworker.Shape{Knee: cores, Speed: 1},
-			Other: builtinworker.Class{MinWork: 100 * time.Millisecond, MaxWork: 100 * time.Millisecond}, MemoryKB: overloadSite.MemoryKB, RunFactor: 4,
+			DefaultClass: builtinworker.Class{MinWork: 100 * time.Millisecond, MaxWork: 100 * time.Millisecond}, MemoryKB: overloadSite.MemoryKB, RunFactor: 4,
 		})
 		if err != nil {
 			b.Fatal(err)
@@ -81,7 +81,7 @@
 				b.Fatal(err)
 			}
 		}
-		q := client.Request{Class: "lestvica", Timeout: patience, Body: []byte("x"), MemoryKB: 1}
+		q := client.Request{Class: "lestvica", Timeout: requestTimeout, Body: []byte("x"), MemoryKB: 1}
 		sendOnOpen := func(w int) string { return (<-conns[w%len(conns)].Do(q)).Outcome }
 		warmUp := func() { sendAtRate(1500, 3*time.Second, 400, sendOnOpen, "") } // the interpreter's capacity is 160 requests a second
 		warmUp()
@@ -112,7 +112,7 @@
 			sent, matching, h := sendAtRate(c.rate, 4*time.Second, c.workers, c.send, c.want)
 			cpuPerCall := (p.CPU() - before) / time.Duration(max(1, sent))
 			fmt.Printf("| %s | %s | %.0f | %d | %d | %v | %v | %v | %v |\n", v.name, c.name, c.rate, sent, matching, cpuPerCall.Round(time.Microsecond/10),
-				At(h, 50), At(h, 99), At(h, 100))
+				Percentile(h, 50), Percentile(h, 99), Percentile(h, 100))
 			b.ReportMetric(float64(cpuPerCall.Nanoseconds())/1000, fmt.Sprintf("us/%s-%s", v.name, strings.NewReplacer(" ", "-", ",", "").Replace(c.name)))
 		}
 		for _, c := range conns {
@@ -168,7 +168,7 @@
 				}
 			})
 		}
-		r, err := Load{Rate: 1.5 * scenarios[0].capacity(), For: d, HeldKB: 32, Seed: 7}.Run(p, i)
+		r, err := Load{Rate: 1.5 * scenarios[0].capacity(), For: d, MemoryKB: 32, Seed: 7}.Run(p, i)
 		if err != nil {
 			b.Fatal(err)
 		}
@@ -177,11 +177,11 @@
 		if edge != "" {
 			name = "on"
 		}
-		fmt.Printf("| %s | %.0f | %.3f | %d | %v | %v | %v | %v | %d |\n", name, float64(answered)/d.Seconds(), r.Worth/r.Asked,
-			r.Cheap.TotalCount(), At(r.Cheap, 50), At(r.Cheap, 99), At(r.Cheap, 99.9), At(r.Cheap, 100), r.CheapLost+r.CheapWrong)
-		b.ReportMetric(float64(At(r.Cheap, 100).Microseconds())/1000, "ms/cheap-max-"+name)
-		if len(r.Broken) > 0 {
-			b.Errorf("rules violated: %v", r.Broken[:min(3, len(r.Broken))])
+		fmt.Printf("| %s | %.0f | %.3f | %d | %v | %v | %v | %v | %d |\n", name, float64(answered)/d.Seconds(), r.ServedWorth/r.OfferedWorth,
+			r.Cheap.TotalCount(), Percentile(r.Cheap, 50), Percentile(r.Cheap, 99), Percentile(r.Cheap, 99.9), Percentile(r.Cheap, 100), r.CheapLost+r.CheapWrong)
+		b.ReportMetric(float64(Percentile(r.Cheap, 100).Microseconds())/1000, "ms/cheap-max-"+name)
+		if len(r.Violations) > 0 {
+			b.Errorf("rules violated: %v", r.Violations[:min(3, len(r.Violations))])
 		}
 		if _, err := p.Stop(); err != nil {
 			b.Fatal(err)
