--- a/internal/testkit/benchmarks/rules.go
+++ b/internal/testkit/benchmarks/rules.go
@@ -24,7 +24,7 @@
 
 // Rules measures the configuration documents that a group distributes to a fleet.
 func Rules(b *testing.B) {
-	bin, err := buildAll(b.TempDir())
+	bin, err := buildCommands(b.TempDir())
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -52,7 +52,7 @@
 
 // newEditedGroupFleet is newGroupFleet with a function that edits the first map before it is put.
 func newEditedGroupFleet(bin, dir string, servers, routers int, names []string, tenants []cells.Tenant, maxRouters int, terms lease.Terms, edit func(*cells.Map)) (*groupFleet, error) {
-	g, err := harness.NewGroup(dir, 3, terms, 20*time.Millisecond, starter(bin))
+	g, err := harness.NewGroup(dir, 3, terms, 20*time.Millisecond, processStarter(bin))
 	if err != nil {
 		return nil, err
 	}
@@ -107,14 +107,14 @@
 
 // put changes a document by the command "rules put" and waits until the change is in force.
 func (r *groupFleet) put(doc, file string, flags ...string) error {
-	_, err := r.puts(doc, file, append(flags, "--wait")...)
+	_, err := r.putWithFlags(doc, file, append(flags, "--wait")...)
 	return err
 }
 
-// puts changes a document by the command "rules put" with further arguments and returns the command's output.
-func (r *groupFleet) puts(doc, file string, flags ...string) (output string, err error) {
+// putWithFlags changes a document by the command "rules put" with further arguments and returns the command's output.
+func (r *groupFleet) putWithFlags(doc, file string, flags ...string) (output string, err error) {
 	args := append([]string{"rules", "put", doc, file, "--group", "test", "--members", strings.Join(r.g.Client.Addrs, ","), "--within", "30s"}, flags...)
-	p, err := starter(r.bin)(args)
+	p, err := processStarter(r.bin)(args)
 	if err != nil {
 		return "", err
 	}
@@ -127,7 +127,7 @@
 // capacityShares returns the shares of a cell's capacity that a router reports, by tenant. The key " rest" holds the total of the
 // tenants that the router does not list.
 func capacityShares(p *Process, cell string) (map[string]float64, error) {
-	body, err := client.Status(client.Platform, p.Platform)
+	body, err := client.Status(client.MessagePack, p.Platform)
 	if err != nil {
 		return nil, err
 	}
@@ -148,7 +148,7 @@
 // sharedFlood has one tenant flood a fleet through four routers. It measures the goodput of the other tenants with shares that the
 // leader grants and with shares that each router computes by itself.
 func sharedFlood(b *testing.B, bin string) {
-	d := time.Duration(number("SILVERPATH_SECONDS", 20)) * time.Second
+	d := time.Duration(envInt("SILVERPATH_SECONDS", 20)) * time.Second
 	fmt.Println("\n| fleet | parts | flood | others' worth, mean | cell mates' worst | flooder | of its rate | refused of others | failed |")
 	fmt.Println("|---|---|---|---|---|---|---|---|---|")
 	for _, c := range []struct {
@@ -158,13 +158,13 @@
 	}{{"three cells", []string{"a", "b", "c"}, 0}, {"three cells, shards of two", []string{"a", "b", "c"}, 2}} {
 		for _, shares := range []int{0, 8} {
 			for _, factor := range []float64{1, 10} {
-				r, err := newGroupFleet(bin, b.TempDir(), 12, 4, c.cells, brandsIn(c.cells, c.shard), shares, rulesTerms)
+				r, err := newGroupFleet(bin, b.TempDir(), 12, 4, c.cells, tenantsIn(c.cells, c.shard), shares, rulesTerms)
 				if err != nil {
 					b.Fatal(err)
 				}
 				var loads []TenantLoad
-				for n, t := range brands {
-					l := TenantLoad{Tenant: t, Rate: brandRate(), For: d}
+				for n, t := range tenantNames {
+					l := TenantLoad{Tenant: t, Rate: tenantRate(), For: d}
 					if n == 0 {
 						l.Rate *= factor
 					}
@@ -176,7 +176,7 @@
 				}
 				sum, lowestMate := 0.0, 1.0
 				var refused, failed int
-				for n, t := range brands[1:] {
+				for n, t := range tenantNames[1:] {
 					v := res[t].Share()
 					sum += v
 					if (n+1)%len(c.cells) == 0 {
@@ -185,8 +185,8 @@
 					refused, failed = refused+res[t].Refused, failed+res[t].Failed
 				}
 				flooder := res["t0"]
-				fmt.Printf("| %s | %v | %.0f times | %.3f | %.3f | %.3f | %.2f | %d | %d |\n", c.name, shares > 0, factor, sum/float64(len(brands)-1),
-					lowestMate, flooder.Share(), float64(flooder.Served)/d.Seconds()/brandRate(), refused, failed)
+				fmt.Printf("| %s | %v | %.0f times | %.3f | %.3f | %.3f | %.2f | %d | %d |\n", c.name, shares > 0, factor, sum/float64(len(tenantNames)-1),
+					lowestMate, flooder.Share(), float64(flooder.Served)/d.Seconds()/tenantRate(), refused, failed)
 				b.ReportMetric(lowestMate, fmt.Sprintf("mate-%d-%d-%.0f", c.shard, shares, factor))
 				r.Stop()
 			}
@@ -198,7 +198,7 @@
 // follow.
 func sharedShift(b *testing.B, bin string) {
 	names := []string{"a"}
-	r, err := newGroupFleet(bin, b.TempDir(), 4, 4, names, brandsIn(names, 0)[:2], 8, rulesTerms)
+	r, err := newGroupFleet(bin, b.TempDir(), 4, 4, names, tenantsIn(names, 0)[:2], 8, rulesTerms)
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -271,7 +271,7 @@
 			}
 			allocs := func() float64 {
 				var st struct{ Allocations float64 }
-				if body, err := client.Status(client.Platform, f.Routers[0].Platform); err != nil || json.Unmarshal(body, &st) != nil {
+				if body, err := client.Status(client.MessagePack, f.Routers[0].Platform); err != nil || json.Unmarshal(body, &st) != nil {
 					b.Fatal(err)
 				}
 				return st.Allocations
@@ -288,7 +288,7 @@
 			result := res["t0"]
 			n := float64(max(1, result.Sent))
 			cpu = f.Routers[0].CPU() - cpu - idleCPU*3
-			fmt.Printf("| %s | %d | %v | %v | %v | %.0f |\n", variant, result.Sent, At(result.Times, 50), At(result.Times, 99),
+			fmt.Printf("| %s | %d | %v | %v | %v | %.0f |\n", variant, result.Sent, Percentile(result.Times, 50), Percentile(result.Times, 99),
 				time.Duration(float64(cpu)/n).Round(time.Microsecond), (allocs()-objects-3*idleObjects)/n)
 			stop()
 		}
@@ -299,37 +299,37 @@
 
 // rulesOutcome is the result of one or several schedules.
 type rulesOutcome struct {
-	changes, withdrawn int
-	overlap            time.Duration // longest time in which two processes could begin exclusive work under conflicting versions
-	twice, ran, served int
-	failed, refused    int
-	over               int // number of samples in which the routers' shares summed to more than the cell's capacity
-	samples            int
-	maxGranted         float64 // largest ratio of the granted quota to a cell's capacity, as the leader reports it
-	slowest            time.Duration
-	broken             []string
+	changes, withdrawn    int
+	overlap               time.Duration // longest time in which two processes could begin exclusive work under conflicting versions
+	ranTwice, ran, served int
+	failed, refused       int
+	overCapacity          int // number of samples in which the routers' shares summed to more than the cell's capacity
+	samples               int
+	maxGranted            float64 // largest ratio of the granted quota to a cell's capacity, as the leader reports it
+	slowest               time.Duration
+	violations            []string
 }
 
 // add adds the result of another schedule. The counts of runs are totals of the rig, so that the latest ones replace the earlier.
 func (o *rulesOutcome) add(p rulesOutcome) {
 	o.changes, o.withdrawn, o.served, o.failed, o.refused = o.changes+p.changes, o.withdrawn+p.withdrawn, o.served+p.served, o.failed+p.failed, o.refused+p.refused
-	o.over, o.samples, o.ran, o.twice = o.over+p.over, o.samples+p.samples, p.ran, p.twice
+	o.overCapacity, o.samples, o.ran, o.ranTwice = o.overCapacity+p.overCapacity, o.samples+p.samples, p.ran, p.ranTwice
 	o.overlap, o.maxGranted, o.slowest = max(o.overlap, p.overlap), max(o.maxGranted, p.maxGranted), max(o.slowest, p.slowest)
-	o.broken = append(o.broken, p.broken...)
+	o.violations = append(o.violations, p.violations...)
 }
 
 // rulesRig is a fleet in which each router reaches the group through its own fault proxies.
 type rulesRig struct {
 	*groupFleet
-	proxies      [][]*faults.Between
+	proxies      [][]*faults.Proxy
 	members      [][]byte
 	version      int // version of the map
 	extraClasses int // number of additional classes in the last document
 
-	faults int                                  // number of kinds of faults to draw from
-	change func(n int) error                    // puts change n
-	killed func(router int) string              // checks the stored state of a killed router and describes what is wrong
-	mended func(violation func(string, ...any)) // further checks after the end of all faults
+	faultKinds  int                                  // number of kinds of faults to draw from
+	putChange   func(n int) error                    // puts change n
+	checkKilled func(router int) string              // checks the stored state of a killed router and describes what is wrong
+	checkMended func(violation func(string, ...any)) // further checks after the end of all faults
 }
 
 // newRulesRig starts a rig with three cells. It is returned with an error too, because the caller has to stop what was started.
@@ -340,14 +340,14 @@
 // newRulesRigBy is newRulesRig with a function that edits the first map before it is put.
 func newRulesRigBy(bin, dir string, servers, routers int, edit func(*cells.Map)) (*rulesRig, error) {
 	names := []string{"a", "b", "c"}
-	r, err := newEditedGroupFleet(bin, dir, servers, 0, names, brandsIn(names, 0), 8, ownerTerms, edit)
-	rig := &rulesRig{groupFleet: r, version: 1, faults: 8}
-	rig.change, rig.killed, rig.mended = rig.putAnyChange, func(int) string { return "" }, func(func(string, ...any)) {}
+	r, err := newEditedGroupFleet(bin, dir, servers, 0, names, tenantsIn(names, 0), 8, ownerTerms, edit)
+	rig := &rulesRig{groupFleet: r, version: 1, faultKinds: 8}
+	rig.putChange, rig.checkKilled, rig.checkMended = rig.putAnyChange, func(int) string { return "" }, func(func(string, ...any)) {}
 	if err != nil {
 		return rig, err
 	}
 	for range routers {
-		var proxies []*faults.Between
+		var proxies []*faults.Proxy
 		var addrs []string
 		for k, addr := range r.g.Addrs {
 			w, err := faults.Listen(addr, true, uint64(k))
@@ -362,11 +362,11 @@
 			return rig, err
 		}
 	}
-	return rig, rig.classes(2)
+	return rig, rig.putClasses(2)
 }
 
-// classes puts a document with more additional classes. It conflicts with the one in force if their number differs.
-func (r *rulesRig) classes(extra int) error {
+// putClasses puts a document with more additional classes. It conflicts with the one in force if their number differs.
+func (r *rulesRig) putClasses(extra int) error {
 	r.extraClasses = extra
 	text := `{"classes":[`
 	for _, c := range []string{`"lestvica","worth":1,"effect":"pure"`, `"krog","worth":2,"effect":"pure"`, `"oddaja","worth":3,"effect":"token","memory_span":13170000`} {
@@ -382,8 +382,8 @@
 	return r.put("classes", file)
 }
 
-// routing puts a routing document. Its versions do not conflict, so that two may be in force at the same time.
-func (r *rulesRig) routing(n int) error {
+// putRouting puts a routing document. Its versions do not conflict, so that two may be in force at the same time.
+func (r *rulesRig) putRouting(n int) error {
 	file := filepath.Join(r.dir, "routing.json")
 	if err := os.WriteFile(file, fmt.Appendf(nil, `{"retries":0.%03d,"probe_ms":200}`, n%900+100), 0o600); err != nil {
 		return err
@@ -394,7 +394,7 @@
 // putMove puts a map in which a tenant moves to another cell.
 func (r *rulesRig) putMove(n int) error {
 	m := *r.Map
-	plan, err := m.PlanMove(time.Now(), brands[n%len(brands)], []string{"a", "b", "c"}[n%3], 0)
+	plan, err := m.PlanMove(time.Now(), tenantNames[n%len(tenantNames)], []string{"a", "b", "c"}[n%3], 0)
 	if err != nil {
 		return nil // the tenant is in this cell or moves already
 	}
@@ -409,11 +409,11 @@
 func (r *rulesRig) putAnyChange(n int) error {
 	switch n % 4 {
 	case 1:
-		return r.routing(n)
+		return r.putRouting(n)
 	case 3:
 		return r.putMove(n / 4)
 	}
-	return r.classes(n%5 + 1)
+	return r.putClasses(n%5 + 1)
 }
 
 // leader returns the index of the member that reports itself as the leader, or -1 if none does. Each member has 200 ms to answer.
@@ -437,7 +437,7 @@
 	violation := func(format string, args ...any) {
 		mu.Lock()
 		defer mu.Unlock()
-		o.broken = append(o.broken, fmt.Sprintf("seed %d: ", seed)+fmt.Sprintf(format, args...))
+		o.violations = append(o.violations, fmt.Sprintf("seed %d: ", seed)+fmt.Sprintf(format, args...))
 	}
 	stop := make(chan struct{})
 	var background sync.WaitGroup
@@ -462,7 +462,7 @@
 					target, delay := router(rng.IntN(len(r.Routers))), time.Duration(rng.IntN(300))*time.Millisecond
 					attempts.Go(func() {
 						time.Sleep(delay)
-						a, err := client.Do(client.Platform, target.Platform, client.Request{Class: "oddaja", Tenant: brands[n%len(brands)], Key: key, Body: []byte(key), Timeout: time.Second, MemoryKB: 8})
+						a, err := client.Do(client.MessagePack, target.Platform, client.Request{Class: "oddaja", Tenant: tenantNames[n%len(tenantNames)], Key: key, Body: []byte(key), Timeout: time.Second, MemoryKB: 8})
 						mu.Lock()
 						defer mu.Unlock()
 						switch {
@@ -489,7 +489,7 @@
 			case <-time.After(300 * time.Millisecond):
 			}
 			startTime := time.Now()
-			err := r.change(n)
+			err := r.putChange(n)
 			mu.Lock()
 			o.changes++
 			o.slowest = max(o.slowest, time.Since(startTime))
@@ -500,11 +500,11 @@
 		}
 	})
 	wakeLater := func(p *harness.Process, limitMS int) {
-		time.AfterFunc(time.Duration(rng.IntN(limitMS))*time.Millisecond, p.Wake)
+		time.AfterFunc(time.Duration(rng.IntN(limitMS))*time.Millisecond, p.Resume)
 	}
 	for end := time.Now().Add(4 * time.Second); time.Now().Before(end); time.Sleep(time.Duration(rng.IntN(300)) * time.Millisecond) {
 		routerIndex, memberIndex := rng.IntN(len(r.Routers)), rng.IntN(3)
-		switch rng.IntN(r.faults) {
+		switch rng.IntN(r.faultKinds) {
 		case 0, 1:
 			p := router(routerIndex)
 			p.Freeze()
@@ -512,7 +512,7 @@
 		case 2: // a router restarts with its stored state
 			p := router(routerIndex)
 			p.Kill()
-			if problem := r.killed(routerIndex); problem != "" {
+			if problem := r.checkKilled(routerIndex); problem != "" {
 				violation("router %d: %s", routerIndex, problem)
 			}
 			routersMu.Lock()
@@ -520,7 +520,7 @@
 			if err != nil {
 				violation("failed to restart router %d: %v", routerIndex, err)
 			} else {
-				next.old = append(p.old, p.Process)
+				next.earlier = append(p.earlier, p.Process)
 				r.Routers[routerIndex] = next
 			}
 			routersMu.Unlock()
@@ -537,7 +537,7 @@
 				w.Cut(true)
 			}
 		case 6:
-			r.proxies[routerIndex][memberIndex].Set(faults.Way(rng.IntN(2)), faults.Fate{Lost: rng.IntN(2) == 0, Delay: 100 * time.Millisecond, Twice: 0.2, Swap: 0.2})
+			r.proxies[routerIndex][memberIndex].SetFault(faults.Direction(rng.IntN(2)), faults.Fault{Drop: rng.IntN(2) == 0, Delay: 100 * time.Millisecond, Duplicate: 0.2, Reorder: 0.2})
 		case 7:
 			for _, w := range r.proxies[routerIndex] {
 				w.Cut(false)
@@ -552,29 +552,29 @@
 			leaderIndex, fault, pauseMS := r.leader(), rng.IntN(2), 300+rng.IntN(900)
 			switch {
 			case leaderIndex >= 0 && fault == 0:
-				r.g.Ways[leaderIndex].Cut(true)
-				time.AfterFunc(time.Duration(pauseMS)*time.Millisecond, func() { r.g.Ways[leaderIndex].Cut(false) })
+				r.g.Proxies[leaderIndex].Cut(true)
+				time.AfterFunc(time.Duration(pauseMS)*time.Millisecond, func() { r.g.Proxies[leaderIndex].Cut(false) })
 			case leaderIndex >= 0:
 				r.g.Members[leaderIndex].Freeze()
-				time.AfterFunc(time.Duration(pauseMS)*time.Millisecond, r.g.Members[leaderIndex].Wake)
+				time.AfterFunc(time.Duration(pauseMS)*time.Millisecond, r.g.Members[leaderIndex].Resume)
 			}
 		case 10: // answers to a router are damaged on the way
 			for _, w := range r.proxies[routerIndex] {
-				w.Set(faults.Back, faults.Fate{Spoil: `\"rate\":`})
+				w.SetFault(faults.ToClient, faults.Fault{CorruptAfter: `\"rate\":`})
 			}
 		}
 	}
 	for i, proxies := range r.proxies {
-		router(i).Wake()
+		router(i).Resume()
 		for _, w := range proxies {
 			w.Cut(false)
-			w.Set(faults.There, faults.Fate{})
-			w.Set(faults.Back, faults.Fate{})
+			w.SetFault(faults.ToListener, faults.Fault{})
+			w.SetFault(faults.ToClient, faults.Fault{})
 		}
 	}
 	for i, m := range r.g.Members {
-		m.Wake()
-		r.g.Ways[i].Cut(false)
+		m.Resume()
+		r.g.Proxies[i].Cut(false)
 	}
 	close(stop)
 	background.Wait()
@@ -601,11 +601,11 @@
 			return o
 		}
 	}
-	var periods []harness.Acted
+	var periods []harness.ActivePeriod
 	for _, list := range [][]*Process{r.Servers, r.Routers} {
 		for _, p := range list {
-			for k, h := range append(slices.Clone(p.old), p.Process) {
-				periods = append(periods, harness.ActsOf(fmt.Sprint(p.Platform, "-", k), h, "classes")...)
+			for k, h := range append(slices.Clone(p.earlier), p.Process) {
+				periods = append(periods, harness.ActivePeriodsOf(fmt.Sprint(p.Platform, "-", k), h, "classes")...)
 			}
 		}
 	}
@@ -613,11 +613,11 @@
 	if o.overlap = overlap; overlap > 0 {
 		violation("two conflicting versions in force for %v: %s", overlap, description)
 	}
-	if o.twice, o.ran = r.Twice(); o.twice > 0 {
-		violation("%d keys ran twice", o.twice)
+	if o.ranTwice, o.ran = r.CountRepeatedRuns(); o.ranTwice > 0 {
+		violation("%d keys ran twice", o.ranTwice)
 	}
-	r.mended(violation)
-	if dir := os.Getenv("SILVERPATH_LOGS"); dir != "" && len(o.broken) > 0 {
+	r.checkMended(violation)
+	if dir := os.Getenv("SILVERPATH_LOGS"); dir != "" && len(o.violations) > 0 {
 		r.keepLogs(dir, seed)
 	}
 	return o
@@ -626,7 +626,7 @@
 // keepLogs writes the logs of routers and members into the directory dir after a check failed.
 func (r *rulesRig) keepLogs(dir string, seed uint64) {
 	for _, p := range r.Routers {
-		for k, h := range append(slices.Clone(p.old), p.Process) {
+		for k, h := range append(slices.Clone(p.earlier), p.Process) {
 			_ = os.WriteFile(filepath.Join(dir, fmt.Sprintf("seed%d-%s-%d.log", seed, p.Platform, k)), []byte(h.Log()), 0o600)
 		}
 	}
@@ -687,7 +687,7 @@
 		mu.Lock()
 		o.samples++
 		if sum > ServerRate()*float64(len(r.Servers))/3*1.0001 {
-			o.over++
+			o.overCapacity++
 		}
 		o.maxGranted = max(o.maxGranted, granted)
 		mu.Unlock()
@@ -696,7 +696,7 @@
 
 // rulesSchedules runs schedules over real processes, several rigs in parallel, and prints their sum.
 func rulesSchedules(b *testing.B, bin string) {
-	n, workers := number("SILVERPATH_SCHEDULES", 300), number("SILVERPATH_WORKERS", 3)
+	n, workers := envInt("SILVERPATH_SCHEDULES", 300), envInt("SILVERPATH_WORKERS", 3)
 	var mu sync.Mutex
 	var sum rulesOutcome
 	ran, twice := 0, 0
@@ -726,20 +726,20 @@
 				mu.Unlock()
 			}
 			mu.Lock()
-			ran, twice = ran+last.ran, twice+last.twice
+			ran, twice = ran+last.ran, twice+last.ranTwice
 			mu.Unlock()
 		})
 	}
 	wg.Wait()
 	fmt.Printf("\n%d schedules in %v: %d changes, %d of them told no or withdrawn, slowest %v; two versions at once %v at longest; %d sheets ran, %d twice; %d served, %d failed, %d refused; parts over the whole in %d of %d samples, lent at most %.3f of what there is; broken %d\n",
-		n, time.Since(startTime).Round(time.Second), sum.changes, sum.withdrawn, sum.slowest.Round(time.Millisecond), sum.overlap, ran, twice, sum.served, sum.failed, sum.refused, sum.over, sum.samples, sum.maxGranted, len(sum.broken))
-	for i, s := range sum.broken {
+		n, time.Since(startTime).Round(time.Second), sum.changes, sum.withdrawn, sum.slowest.Round(time.Millisecond), sum.overlap, ran, twice, sum.served, sum.failed, sum.refused, sum.overCapacity, sum.samples, sum.maxGranted, len(sum.violations))
+	for i, s := range sum.violations {
 		if i < 10 {
 			fmt.Println(s)
 		}
 	}
-	if len(sum.broken) > 0 || sum.over > 0 {
-		b.Errorf("%d checks failed", len(sum.broken))
+	if len(sum.violations) > 0 || sum.overCapacity > 0 {
+		b.Errorf("%d checks failed", len(sum.violations))
 	}
 }
 
@@ -789,7 +789,7 @@
 					if err != nil {
 						b.Fatal(err)
 					}
-					startTime = plan.At
+					startTime = plan.EffectiveAt
 				}
 				var lastServed [2]time.Time
 				var mu sync.Mutex
@@ -799,7 +799,7 @@
 					wg.Go(func() {
 						for i, p := range f.Routers {
 							at := time.Now()
-							a, err := client.Do(client.Platform, p.Platform, client.Request{Class: "oddaja", Tenant: "t0", Key: key, Body: []byte(key), Timeout: time.Second, MemoryKB: 8})
+							a, err := client.Do(client.MessagePack, p.Platform, client.Request{Class: "oddaja", Tenant: "t0", Key: key, Body: []byte(key), Timeout: time.Second, MemoryKB: 8})
 							if err == nil && a.Outcome == "served" {
 								mu.Lock()
 								if at.After(lastServed[i]) {
@@ -823,7 +823,7 @@
 				} else {
 					conflict = max(conflict, min(d, lastServed[1].Sub(startTime)))
 				}
-				n, _ := f.Twice()
+				n, _ := f.CountRepeatedRuns()
 				ranTwice += n
 				bound = configstore.Terms{Lease: f.Map.Lease, ClockSkew: f.Map.MaxClockSkew, ClockDrift: 0.05, ProbeInterval: 200 * time.Millisecond, ProbeTimeout: time.Second}.ConflictBound()
 				f.Stop()
--- a/internal/testkit/benchmarks/rules_test.go
+++ b/internal/testkit/benchmarks/rules_test.go
@@ -6,7 +6,7 @@
 
 // Runs 3 of the schedules over real processes, of which the benchmark runs hundreds, with 3 members, 4 routers and 6 servers.
 func TestRulesSchedules(t *testing.T) {
-	bin, err := buildAll(t.TempDir())
+	bin, err := buildCommands(t.TempDir())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -19,10 +19,10 @@
 	for seed := range uint64(3) {
 		sum.add(rig.schedule(seed + 1))
 	}
-	for _, s := range sum.broken {
+	for _, s := range sum.violations {
 		t.Error(s)
 	}
-	if sum.over > 0 || sum.changes < 3 || sum.served < 20 || sum.samples < 20 {
+	if sum.overCapacity > 0 || sum.changes < 3 || sum.served < 20 || sum.samples < 20 {
 		t.Errorf("%+v", sum)
 	}
 }
@@ -30,7 +30,7 @@
 // Runs 2 schedules with a map in parts. Members are down for a while, deposed leaders return, and parts are damaged on the way to
 // routers. Routers may only apply and store versions that the group had, and no acknowledged change may get lost.
 func TestPartsSchedules(t *testing.T) {
-	bin, err := buildAll(t.TempDir())
+	bin, err := buildCommands(t.TempDir())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -43,10 +43,10 @@
 	for seed := range uint64(2) {
 		sum.add(rig.schedule(seed + 1))
 	}
-	for _, s := range sum.broken {
+	for _, s := range sum.violations {
 		t.Error(s)
 	}
-	if sum.over > 0 || sum.served < 10 || rig.sum.maps < 2 || rig.sum.acked < 1 || rig.sum.acts < 8 {
-		t.Errorf("%+v, %+v", sum, rig.sum)
+	if sum.overCapacity > 0 || sum.served < 10 || rig.total.activeMaps < 2 || rig.total.acknowledged < 1 || rig.total.activations < 8 {
+		t.Errorf("%+v, %+v", sum, rig.total)
 	}
 }
--- a/internal/testkit/benchmarks/rulessim.go
+++ b/internal/testkit/benchmarks/rulessim.go
@@ -63,7 +63,7 @@
 					after(delay(), sendReport)
 					return
 				}
-				if store.HasNews(report) {
+				if store.NeedsRecording(report) {
 					op := configstore.OpReport
 					if store.Processes[replica.Name] == nil {
 						op = configstore.OpRegister
--- a/internal/testkit/benchmarks/scale.go
+++ b/internal/testkit/benchmarks/scale.go
@@ -102,18 +102,18 @@
 }
 
 const (
-	scaleLease = 3 * time.Second
-	scaleCheck = 500 * time.Millisecond // between two health checks; the default of the router
-	scaleMB    = 2048                   // memory limit of the processes, wide so that it does not affect the measured use
+	scaleLease    = 3 * time.Second
+	scaleCheck    = 500 * time.Millisecond // between two health checks; the default of the router
+	scaleMemoryMB = 2048                   // memory limit of the processes, wide so that it does not affect the measured use
 )
 
 func newScale(b *testing.B) (*scale, error) {
 	s := &scale{b: b, bin: os.Getenv("SILVERPATH_BASELINE"), file: os.Getenv("SILVERPATH_SCALE"), res: &capacity.Results{},
-		repetitions: number("SILVERPATH_PLAYS", 2), settleTime: 1500 * time.Millisecond, duration: time.Duration(number("SILVERPATH_STRETCH_MS", 4000)) * time.Millisecond,
-		divisor: max(1, number("SILVERPATH_SMALL", 1)), series: map[string]*capacity.Series{}, measured: map[string]bool{}}
+		repetitions: envInt("SILVERPATH_PLAYS", 2), settleTime: 1500 * time.Millisecond, duration: time.Duration(envInt("SILVERPATH_STRETCH_MS", 4000)) * time.Millisecond,
+		divisor: max(1, envInt("SILVERPATH_SMALL", 1)), series: map[string]*capacity.Series{}, measured: map[string]bool{}}
 	var err error
 	if s.bin == "" {
-		if s.bin, err = buildAll(b.TempDir()); err != nil {
+		if s.bin, err = buildCommands(b.TempDir()); err != nil {
 			return s, err
 		}
 	}
@@ -189,19 +189,19 @@
 	x := s.series[name]
 	if x == nil || !s.measured[name] {
 		words := strings.Split(name, ".")
-		x = &capacity.Series{Name: name, Role: words[0], Figure: words[1], Varies: words[2], Unit: unit, Of: kind, Fixed: fixed}
+		x = &capacity.Series{Name: name, Role: words[0], Figure: words[1], Varies: words[2], Unit: unit, MeasuredOn: kind, Fixed: fixed}
 		s.series[name], s.measured[name] = x, true
 	}
 	value, _ = strconv.ParseFloat(strconv.FormatFloat(value, 'g', 4, 64), 64)
-	i := slices.IndexFunc(x.Points, func(p capacity.Point) bool { return p.At == at })
+	i := slices.IndexFunc(x.Points, func(p capacity.Point) bool { return p.Size == at })
 	if i < 0 {
-		x.Points = append(x.Points, capacity.Point{At: at})
+		x.Points = append(x.Points, capacity.Point{Size: at})
 		i = len(x.Points) - 1
 	}
 	x.Points[i].Values = append(x.Points[i].Values, value)
-	x.Plays = max(x.Plays, len(x.Points[i].Values))
+	x.Repetitions = max(x.Repetitions, len(x.Points[i].Values))
 	slices.SortFunc(x.Points, func(p, q capacity.Point) int {
-		if p.At < q.At {
+		if p.Size < q.Size {
 			return -1
 		}
 		return 1
@@ -220,7 +220,7 @@
 		if x.Unit != "%" && x.Unit != "1" { // percentages and counts per item have no slope
 			x.Fit = bestFit(x.Points)
 		}
-		if x.Fit != nil && !x.Fit.Believed() {
+		if x.Fit != nil && !x.Fit.Reliable() {
 			x.Fit.Cause = scaleCauses[x.Name]
 		}
 		s.res.Series = append(s.res.Series, *x)
@@ -284,21 +284,21 @@
 func bestFit(points []capacity.Point) (best *capacity.Fit) {
 	minError := math.Inf(1)
 	for _, power := range []float64{1, 2} {
-		f, err := capacity.Draw(points, power)
+		f, err := capacity.FitPoints(points, power)
 		if err != nil {
 			return nil
 		}
 		squaredError := 0.0
 		for _, p := range points {
-			if p.At <= f.To {
-				squaredError += math.Pow(f.Value(p.At)-p.Median(), 2)
+			if p.Size <= f.To {
+				squaredError += math.Pow(f.Value(p.Size)-p.Median(), 2)
 			}
 		}
 		if squaredError < minError/2 { // prefer the linear fit unless the quadratic one halves the error
 			best, minError = f, squaredError
 		}
 	}
-	for _, v := range []*float64{&best.Base, &best.Per, &best.Foretold, &best.Off} {
+	for _, v := range []*float64{&best.Base, &best.Slope, &best.Predicted, &best.RelativeError} {
 		*v, _ = strconv.ParseFloat(strconv.FormatFloat(*v, 'g', 4, 64), 64)
 	}
 	return best
@@ -396,7 +396,7 @@
 // cannot be read, as when it exceeds 64 KB, it returns NaN, which add drops.
 func allocations(p *Process) float64 {
 	var st struct{ Allocations float64 }
-	if body, err := client.Status(client.Platform, p.Platform); err != nil || json.Unmarshal(body, &st) != nil {
+	if body, err := client.Status(client.MessagePack, p.Platform); err != nil || json.Unmarshal(body, &st) != nil {
 		return math.NaN()
 	}
 	return st.Allocations
@@ -454,12 +454,12 @@
 	}
 	switch h.Kind {
 	case "servers":
-		return hollow.NewServer(hollow.ServerConfig{Name: name, IP: hollow.IP(0, n+1), Settings: site.Server, MemoryMB: 16, Sockets: 1024, Cold: h.Cold, Echo: true, Group: g, Docs: h.Docs, Took: logApplied})
+		return hollow.NewServer(hollow.ServerConfig{Name: name, IP: hollow.IP(0, n+1), Settings: site.Server, MemoryMB: 16, Sockets: 1024, Cold: h.Cold, Echo: true, Group: g, Docs: h.Docs, OnApplied: logApplied})
 	case "routers":
 		return hollow.NewRouter(hollow.RouterConfig{Name: name, IP: hollow.IP(1, n+1), Settings: site.Server, MemoryMB: 16, Sockets: 1024, Map: h.Map, HealthCheckInterval: h.Every, Group: g, Docs: h.Docs, OnApplied: logApplied, StartTimeout: hollowTimeout})
 	case "callers":
-		return hollow.NewCaller(hollow.CallerConfig{Name: name, IP: hollow.IP(2, n+1), To: h.To, Every: h.Every, First: h.Every * time.Duration(i) / time.Duration(h.N),
-			Rules: "1.0123456789abcdef", Terms: configstore.Terms{Lease: 5 * time.Second, ClockSkew: 500 * time.Millisecond, OverlapWindow: 10 * time.Second}}), nil
+		return hollow.NewCaller(hollow.CallerConfig{Name: name, IP: hollow.IP(2, n+1), ServerAddr: h.To, Interval: h.Every, InitialDelay: h.Every * time.Duration(i) / time.Duration(h.N),
+			ConfigID: "1.0123456789abcdef", Terms: configstore.Terms{Lease: 5 * time.Second, ClockSkew: 500 * time.Millisecond, OverlapWindow: 10 * time.Second}}), nil
 	case "followers":
 		return hollow.NewFollower(hollow.FollowerConfig{Name: name, Group: g, Docs: h.Docs, Site: site.Server, OnApplied: logApplied})
 	}
@@ -472,7 +472,7 @@
 // run starts the hollow processes. For each line of standard input it logs their traffic with the text of the
 // line, and it returns when standard input ends.
 func (h hollowSet) run() error {
-	site, err := hollow.Site(Site{Cores: 256, MemoryKB: 1 << 20, ProcMB: scaleMB, Sockets: 4096}.config("127.0.0.1:1"))
+	site, err := hollow.Site(Site{Cores: 256, MemoryKB: 1 << 20, ProcMB: scaleMemoryMB, Sockets: 4096}.config("127.0.0.1:1"))
 	if err != nil {
 		return err
 	}
@@ -506,10 +506,10 @@
 	}
 	in := bufio.NewScanner(os.Stdin)
 	for in.Scan() {
-		total := hollow.Count{}
+		total := hollow.TrafficCounts{}
 		mu.Lock()
 		for _, m := range members {
-			if t, ok := m.(interface{ Now() hollow.Count }); ok {
+			if t, ok := m.(interface{ Now() hollow.TrafficCounts }); ok {
 				total = total.Add(t.Now())
 			}
 		}
@@ -566,9 +566,9 @@
 
 // traffic returns the sum of the connection counters of the hollow processes. It is zero if they do not
 // answer within 10 s.
-func (x *hollowProcess) traffic() (c hollow.Count) {
+func (x *hollowProcess) traffic() (c hollow.TrafficCounts) {
 	x.queries++
-	from := x.Lines()
+	from := x.LineCount()
 	fmt.Fprintln(x.in, x.queries)
 	if line, err := x.Await(10*time.Second, from, fmt.Sprintf("hollow traffic %d ", x.queries)); err == nil {
 		_, text, _ := strings.Cut(line, "{")
@@ -597,7 +597,7 @@
 // scaleMap returns a cell map with one server per address and with tenants. Servers and tenants are assigned
 // to the zones, which are the cells, in turn.
 func scaleMap(addrs []string, zones, tenants int) *cells.Map {
-	m := &cells.Map{Version: 1, KeyWindow: 13170 * time.Millisecond, MaxClockSkew: 500 * time.Millisecond, Lease: 5 * time.Second, CallerTimeout: patience}
+	m := &cells.Map{Version: 1, KeyWindow: 13170 * time.Millisecond, MaxClockSkew: 500 * time.Millisecond, Lease: 5 * time.Second, CallerTimeout: requestTimeout}
 	for z := range zones {
 		m.Cells = append(m.Cells, cells.Cell{Name: fmt.Sprint("zone", z), Capacity: 200})
 	}
@@ -610,8 +610,8 @@
 	return m
 }
 
-// places returns n server addresses at which nothing listens.
-func places(n int) (list []string) {
+// serverAddrs returns n server addresses at which nothing listens.
+func serverAddrs(n int) (list []string) {
 	for i := range n {
 		list = append(list, hollow.IP(0, i+1)+":7000")
 	}
@@ -619,7 +619,7 @@
 }
 
 func (s *scale) routerSite() Site {
-	return Site{Cores: 256, MemoryKB: 1 << 20, ProcMB: scaleMB, Sockets: 4096}
+	return Site{Cores: 256, MemoryKB: 1 << 20, ProcMB: scaleMemoryMB, Sockets: 4096}
 }
 
 // dir creates a directory and returns its path.
@@ -653,7 +653,7 @@
 
 // startGroup starts a quorum of three members and activates the given documents.
 func (s *scale) startGroup(docs map[string]string) (*documentGroup, error) {
-	g, err := harness.NewGroup(s.dir(), 3, lease.Terms{TTL: scaleLease, Drift: 0.05}, 50*time.Millisecond, starter(s.bin))
+	g, err := harness.NewGroup(s.dir(), 3, lease.Terms{TTL: scaleLease, Drift: 0.05}, 50*time.Millisecond, processStarter(s.bin))
 	a := &documentGroup{Group: g, versions: map[string]int{}}
 	if err != nil {
 		g.Close()
@@ -720,7 +720,7 @@
 // initialDocs returns the initial documents of a group, with a cell map of four servers.
 func initialDocs(tenants int) map[string]string {
 	return map[string]string{
-		configstore.DocMap: string(settings.FormatCells(scaleMap(places(4), 1, tenants))), configstore.DocRouting: routingText(0), configstore.DocClasses: classesText(0),
+		configstore.DocMap: string(settings.FormatCells(scaleMap(serverAddrs(4), 1, tenants))), configstore.DocRouting: routingText(0), configstore.DocClasses: classesText(0),
 	}
 }
 
--- a/internal/testkit/benchmarks/scale_test.go
+++ b/internal/testkit/benchmarks/scale_test.go
@@ -39,11 +39,11 @@
 		if words := strings.Split(x.Name, "."); len(words) < 3 || words[0] != x.Role || words[1] != x.Figure || words[2] != x.Varies {
 			t.Errorf("series %s: name does not match role %s, figure %s, varies %s", x.Name, x.Role, x.Figure, x.Varies)
 		}
-		if f := x.Fit; f != nil && !f.Believed() && f.Cause == "" {
-			t.Errorf("series %s is off by %.0f%% without a cause", x.Name, 100*f.Off)
+		if f := x.Fit; f != nil && !f.Reliable() && f.Cause == "" {
+			t.Errorf("series %s is off by %.0f%% without a cause", x.Name, 100*f.RelativeError)
 		}
 		for i, p := range x.Points {
-			if len(p.Values) == 0 || i > 0 && p.At <= x.Points[i-1].At {
+			if len(p.Values) == 0 || i > 0 && p.Size <= x.Points[i-1].Size {
 				t.Errorf("series %s: points are empty or not ascending: %v", x.Name, x.Points)
 			}
 		}
@@ -59,13 +59,13 @@
 			if power == 2 {
 				v = 1 + x*x
 			}
-			points = append(points, capacity.Point{At: x, Values: []float64{v}})
+			points = append(points, capacity.Point{Size: x, Values: []float64{v}})
 		}
-		if f := bestFit(points); f == nil || f.Power != power || !f.Believed() {
+		if f := bestFit(points); f == nil || f.Power != power || !f.Reliable() {
 			t.Errorf("fit of data of power %v: %+v", power, f)
 		}
 	}
-	if f := bestFit([]capacity.Point{{At: 1, Values: []float64{1}}}); f != nil {
+	if f := bestFit([]capacity.Point{{Size: 1, Values: []float64{1}}}); f != nil {
 		t.Errorf("fit through one point is not nil: %+v", f)
 	}
 }
--- a/internal/testkit/benchmarks/scaledecide.go
+++ b/internal/testkit/benchmarks/scaledecide.go
@@ -61,7 +61,7 @@
 	fixed := map[string]float64{"servers": scaleServers, "zones": scaleZones}
 	now := time.Now()
 	for _, n := range s.scaled(1000, 2500, 5000, 10000, scaleTenants) {
-		m := scaleMap(places(scaleServers), scaleZones, n)
+		m := scaleMap(serverAddrs(scaleServers), scaleZones, n)
 		at := float64(n)
 		k := 0
 		us, objects := measureCall(func() {
@@ -123,7 +123,7 @@
 	sizes := s.scaled(60, 120, 240, 465, scaleServers)
 	for _, n := range sizes {
 		at := float64(n)
-		m := scaleMap(places(n), min(n, scaleZones), 1000)
+		m := scaleMap(serverAddrs(n), min(n, scaleZones), 1000)
 		k := 0
 		us, _ := measureCall(func() {
 			m.Route(wall, m.Tenants[k%1000].Name, "key")
@@ -132,7 +132,7 @@
 		s.add("router.route.servers", "us", "simulated", fixed, at, us)
 		if n == sizes[len(sizes)-1] { // the whole fleet, with fewer and with more zones
 			for _, zones := range []int{1, 2, 5, 10, 20} {
-				x := scaleMap(places(n), zones, 1000)
+				x := scaleMap(serverAddrs(n), zones, 1000)
 				us, _ := measureCall(func() {
 					x.Route(wall, x.Tenants[k%1000].Name, "key")
 					k += 7
@@ -244,7 +244,7 @@
 	const perRack, keys = 20, 4000
 	fixed := map[string]float64{"servers": scaleServers, "zones": scaleZones, "tenants": scaleTenants, "check_ms": float64(scaleCheck.Milliseconds())}
 	rng := rand.New(rand.NewPCG(1, 1))
-	m := scaleMap(places(scaleServers), scaleZones, scaleTenants)
+	m := scaleMap(serverAddrs(scaleServers), scaleZones, scaleTenants)
 	zone := func(z int) (list []string) {
 		for i, x := range m.Servers {
 			if i%scaleZones == z {
--- a/internal/testkit/benchmarks/scalepage.go
+++ b/internal/testkit/benchmarks/scalepage.go
@@ -101,10 +101,10 @@
 			}
 			var at []string
 			for _, p := range x.Points {
-				at = append(at, fmt.Sprintf("%s: %s", formatNumber(p.At), formatFigure(p.Median())))
+				at = append(at, fmt.Sprintf("%s: %s", formatNumber(p.Size), formatFigure(p.Median())))
 			}
-			fmt.Fprintf(&b, "| %s | %s | %s | %d | %s | %s |\n", x.Name, x.Unit, x.Of, x.Plays, strings.Join(at, ", "), fitted(x.Fit))
-			if x.Fit != nil && !x.Fit.Believed() {
+			fmt.Fprintf(&b, "| %s | %s | %s | %d | %s | %s |\n", x.Name, x.Unit, x.MeasuredOn, x.Repetitions, strings.Join(at, ", "), fitColumns(x.Fit))
+			if x.Fit != nil && !x.Fit.Reliable() {
 				poorFits = append(poorFits, x)
 			}
 		}
@@ -116,7 +116,7 @@
 		if cause == "" {
 			cause = "not known"
 		}
-		fmt.Fprintf(&b, "| %s | %s | %s | %s | %+.0f%% | %s |\n", x.Name, formatNumber(x.Fit.At), formatFigure(x.Fit.Foretold), formatFigure(x.Fit.Measured), 100*x.Fit.Off, cause)
+		fmt.Fprintf(&b, "| %s | %s | %s | %s | %+.0f%% | %s |\n", x.Name, formatNumber(x.Fit.CheckAt), formatFigure(x.Fit.Predicted), formatFigure(x.Fit.Measured), 100*x.Fit.RelativeError, cause)
 	}
 	b.WriteString("\n### What stayed\n\n| figures | fixed |\n|---|---|\n")
 	seen := map[string]bool{}
@@ -126,7 +126,7 @@
 			list = append(list, k+" "+formatNumber(v))
 		}
 		slices.Sort(list)
-		line := fmt.Sprintf("| %s by %s, %s | %s |\n", x.Role, strings.ReplaceAll(x.Varies, "_", " "), x.Of, strings.Join(list, ", "))
+		line := fmt.Sprintf("| %s by %s, %s | %s |\n", x.Role, strings.ReplaceAll(x.Varies, "_", " "), x.MeasuredOn, strings.Join(list, ", "))
 		if len(list) > 0 && !seen[line] {
 			seen[line] = true
 			b.WriteString(line)
@@ -139,8 +139,8 @@
 // formatNumber formats a value with as many digits as it needs.
 func formatNumber(v float64) string { return strconv.FormatFloat(v, 'f', -1, 64) }
 
-// fitted returns the table columns of a fit.
-func fitted(f *capacity.Fit) string {
+// fitColumns returns the table columns of a fit.
+func fitColumns(f *capacity.Fit) string {
 	if f == nil {
 		return "none | | | "
 	}
@@ -149,9 +149,9 @@
 		by = "n²"
 	}
 	mark := ""
-	if !f.Believed() {
+	if !f.Reliable() {
 		mark = " **not believed**"
 	}
-	return fmt.Sprintf("%s %+.3g %s, of %s to %s | %s at %s | %s | %+.0f%%%s", formatFigure(f.Base), f.Per, by, formatNumber(f.From), formatNumber(f.To),
-		formatFigure(f.Foretold), formatNumber(f.At), formatFigure(f.Measured), 100*f.Off, mark)
+	return fmt.Sprintf("%s %+.3g %s, of %s to %s | %s at %s | %s | %+.0f%%%s", formatFigure(f.Base), f.Slope, by, formatNumber(f.From), formatNumber(f.To),
+		formatFigure(f.Predicted), formatNumber(f.CheckAt), formatFigure(f.Measured), 100*f.RelativeError, mark)
 }
--- a/internal/testkit/benchmarks/scaleparts.go
+++ b/internal/testkit/benchmarks/scaleparts.go
@@ -197,12 +197,12 @@
 					var requests sync.WaitGroup
 					defer requests.Wait()
 					arrivals(rand.New(rand.NewPCG(uint64(play), uint64(k))), float64(rate), s.duration, func(_ *rand.Rand, seq int, share Share, at time.Time) {
-						q := client.Request{Class: share.Class, Tenant: "tenant0", Timeout: patience, MemoryKB: 8, Body: body}
+						q := client.Request{Class: share.Class, Tenant: "tenant0", Timeout: requestTimeout, MemoryKB: 8, Body: body}
 						if share.Class == "oddaja" {
 							q.Key = fmt.Sprintf("%d-%d-%d-%d", play, rate, k, seq)
 						}
 						requests.Go(func() {
-							a, ok := answer(conns[seq%len(conns)].Do(q))
+							a, ok := awaitReply(conns[seq%len(conns)].Do(q))
 							took := time.Since(at)
 							mu.Lock()
 							defer mu.Unlock()
@@ -218,7 +218,7 @@
 			}
 			loads.Wait()
 			cpu, in, out, _ := usageOf(p.Pid()).since(before)
-			at, ms := float64(rate), func(k int, q float64) float64 { return float64(At(times[k], q).Microseconds()) / 1000 }
+			at, ms := float64(rate), func(k int, q float64) float64 { return float64(Percentile(times[k], q).Microseconds()) / 1000 }
 			s.add("router.cpu.requests", "core", "real", fixed, at, cpu)
 			s.add("router.cpu_each.requests", "us", "real", fixed, at, (cpu-idle)/at*1e6)
 			s.add("router.bytes_in.requests", "KB/s", "real", fixed, at, in)
@@ -236,7 +236,7 @@
 // mapSizes proposes cell maps of increasing size to one group and measures which sizes it accepts and how
 // fast.
 func (s *scale) mapSizes() error {
-	g, err := s.startGroup(map[string]string{configstore.DocMap: string(settings.FormatCells(scaleMap(places(4), 1, 1)))})
+	g, err := s.startGroup(map[string]string{configstore.DocMap: string(settings.FormatCells(scaleMap(serverAddrs(4), 1, 1)))})
 	if err != nil {
 		return err
 	}
@@ -244,7 +244,7 @@
 	fixed := map[string]float64{"servers": 4, "followers": 0}
 	version := 1
 	for _, n := range s.scaled(300, 600, 1200, 1500, 1600, 3000, 5000, 9000, 21000) {
-		m := scaleMap(places(4), 1, n)
+		m := scaleMap(serverAddrs(4), 1, n)
 		version++
 		m.Version = version
 		text := string(settings.FormatCells(m))
@@ -276,7 +276,7 @@
 	}
 	defer i.Close()
 	fixed := map[string]float64{"check_ms": float64(every.Milliseconds())}
-	p, err := Start(s.bin, s.dir(), Site{Cores: 8, MemoryKB: 65536, ProcMB: scaleMB, Sockets: 4096}, i.Addr(), `{"cell":true,"status":true}`)
+	p, err := Start(s.bin, s.dir(), Site{Cores: 8, MemoryKB: 65536, ProcMB: scaleMemoryMB, Sockets: 4096}, i.Addr(), `{"cell":true,"status":true}`)
 	if err != nil {
 		return err
 	}
@@ -342,7 +342,7 @@
 // returns the time of the proposal and, for each follower, the milliseconds from then until it applied the
 // document.
 func (g *documentGroup) proposeAndAwait(h *hollowProcess, n int, doc, text string) (list []float64, at time.Time, err error) {
-	from := h.Lines()
+	from := h.LineCount()
 	at, err = g.propose(doc, text)
 	if err != nil {
 		return nil, at, fmt.Errorf("%s: %w", doc, err)
@@ -447,7 +447,7 @@
 	s.add("router.bytes_in.followers", "KB/s", "real", fixed, at, in)
 	s.add("router.bytes_out.followers", "KB/s", "real", fixed, at, out)
 	for _, doc := range []string{configstore.DocRouting, configstore.DocClasses, configstore.DocMap} {
-		from := realRouter.Lines()
+		from := realRouter.LineCount()
 		times, proposedAt, err := g.proposeAndAwait(h, n, doc, t.next(doc))
 		if err != nil {
 			return err
@@ -457,7 +457,7 @@
 			return fmt.Errorf("real router did not apply the document: %w", err)
 		}
 		if appliedAt, err := time.Parse("15:04:05.999999", strings.Fields(line)[0]); err == nil {
-			delay := appliedAt.Sub(time.Date(0, 1, 1, 0, 0, 0, 0, time.UTC)) - harness.DayTime(proposedAt)
+			delay := appliedAt.Sub(time.Date(0, 1, 1, 0, 0, 0, 0, time.UTC)) - harness.TimeOfDay(proposedAt)
 			s.add("router.force.followers."+doc, "ms", "real", fixed, at, max(0, delay.Seconds()*1000))
 		}
 		p50, p99, worst := quantiles(times)
@@ -507,7 +507,7 @@
 	n := s.scaled(80)[0]
 	const duration = 10 * time.Second
 	fixed := map[string]float64{"lease_ms": float64(scaleLease.Milliseconds()), "members": 3, "followers": float64(n), "tenants": 20}
-	t := &documentTexts{servers: places(4), tenants: 20}
+	t := &documentTexts{servers: serverAddrs(4), tenants: 20}
 	docs := map[string]string{configstore.DocMap: t.next(configstore.DocMap), configstore.DocRouting: routingText(0), configstore.DocClasses: classesText(0)}
 	g, err := s.startGroup(docs)
 	if err != nil {
@@ -607,14 +607,14 @@
 func (s *scale) groupDelay() error {
 	n := s.scaled(40)[0]
 	fixed := map[string]float64{"lease_ms": float64(scaleLease.Milliseconds()), "members": 3, "followers": float64(n), "tenants": 20}
-	t := &documentTexts{servers: places(4), tenants: 20}
+	t := &documentTexts{servers: serverAddrs(4), tenants: 20}
 	docs := map[string]string{configstore.DocMap: t.next(configstore.DocMap), configstore.DocRouting: routingText(0), configstore.DocClasses: classesText(0)}
 	g, err := s.startGroup(docs)
 	if err != nil {
 		return err
 	}
 	defer g.Close()
-	var links []*faults.Between
+	var links []*faults.Proxy
 	var members []string
 	for i, addr := range g.addrs {
 		w, err := faults.Listen(addr, true, uint64(i))
@@ -632,8 +632,8 @@
 	time.Sleep(s.settleTime)
 	for _, ms := range []int{0, 20, 40, 80, 160} {
 		for _, w := range links {
-			for _, way := range []faults.Way{faults.There, faults.Back} {
-				w.Set(way, faults.Fate{Delay: 2 * time.Duration(ms) * time.Millisecond})
+			for _, way := range []faults.Direction{faults.ToListener, faults.ToClient} {
+				w.SetFault(way, faults.Fault{Delay: 2 * time.Duration(ms) * time.Millisecond})
 			}
 		}
 		for _, doc := range []string{configstore.DocRouting, configstore.DocClasses} {
@@ -700,7 +700,7 @@
 	cpu, _, _, _ := now[0].since(before[0])
 	s.add("router.cpu.tenants.group", "core", "real", fixed, at, cpu)
 	s.add("router.resident.tenants.group", "MB", "real", fixed, at, now[0].resident)
-	from := p.Lines()
+	from := p.LineCount()
 	proposedAt, err := g.propose(configstore.DocMap, t.next(configstore.DocMap))
 	if err != nil {
 		return err
--- a/internal/testkit/benchmarks/shared.go
+++ b/internal/testkit/benchmarks/shared.go
@@ -30,8 +30,8 @@
 	Edit func(text string) string
 	// Args and Env are added to the arguments and the environment of processes started later.
 	Args, Env []string
-	// Wait is the timeout that clients send with a request.
-	Wait time.Duration
+	// Timeout is the timeout that clients send with a request.
+	Timeout time.Duration
 
 	t             testing.TB
 	bin           string
@@ -42,16 +42,16 @@
 	interpreters  []*builtinworker.Interpreter // one per process, so that each counts only the runs of its process
 }
 
-// Inherit prepares a shared service for the binary bin, whose processes get env added to their environment.
+// NewShared prepares a shared service for the binary bin, whose processes get env added to their environment.
 // If inheritSocket is set, the processes inherit one listening socket; otherwise each process opens the
 // address itself.
-func Inherit(t testing.TB, bin string, env []string, inheritSocket bool) *Shared {
+func NewShared(t testing.TB, bin string, env []string, inheritSocket bool) *Shared {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	s := &Shared{Addr: ln.Addr().String(), Dir: t.TempDir(), t: t, bin: bin, env: env, inheritSocket: inheritSocket, Wait: 4 * time.Second}
+	s := &Shared{Addr: ln.Addr().String(), Dir: t.TempDir(), t: t, bin: bin, env: env, inheritSocket: inheritSocket, Timeout: 4 * time.Second}
 	if inheritSocket {
 		if s.socket, err = ln.(*net.TCPListener).File(); err != nil {
 			t.Fatal(err)
@@ -89,8 +89,8 @@
 // listening.
 func (s *Shared) Start() *Generation {
 	m, err := builtinworker.Listen(builtinworker.Config{Listen: "127.0.0.1:0", Cores: 8, Shape: builtinworker.Shape{Knee: 8, Thrash: 1, Speed: 1},
-		Other:    builtinworker.Class{MinWork: time.Millisecond, MaxWork: 40 * time.Millisecond},
-		MemoryKB: 1 << 16, RunFactor: 4, Seed: uint64(len(s.allInterpreters()) + 1), Audit: true})
+		DefaultClass: builtinworker.Class{MinWork: time.Millisecond, MaxWork: 40 * time.Millisecond},
+		MemoryKB:     1 << 16, RunFactor: 4, Seed: uint64(len(s.allInterpreters()) + 1), Audit: true})
 	if err != nil {
 		s.t.Fatal(err)
 	}
@@ -120,10 +120,10 @@
 		s.t.Fatal(err)
 	}
 	s.t.Cleanup(p.Kill)
-	if _, err := p.Await(comeUp, 0, "mgmt: listening on "); err != nil {
+	if _, err := p.Await(startTimeout, 0, "mgmt: listening on "); err != nil {
 		s.t.Fatalf("process did not log its management address: %v", err)
 	}
-	p.found()
+	p.readAddresses()
 	return &Generation{p, file}
 }
 
@@ -152,8 +152,8 @@
 	return code
 }
 
-// Ready waits until the readiness check of the process succeeds and fails the test after 20 s.
-func (p *Process) Ready(t testing.TB) {
+// AwaitReady waits until the readiness check of the process succeeds and fails the test after 20 s.
+func (p *Process) AwaitReady(t testing.TB) {
 	for deadline := time.Now().Add(20 * time.Second); p.Call("GET /api/ready") != 200; time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(deadline) {
 			t.Fatalf("process not ready after 20s; its log:\n%s", p.Log())
@@ -178,13 +178,13 @@
 	return len(descriptorList), (resident - shared) * os.Getpagesize()
 }
 
-// Sheets is a load of requests with idempotency keys, each sent several times on separate connections.
-type Sheets struct {
+// KeyedLoad is a load of requests with idempotency keys, each sent several times on separate connections.
+type KeyedLoad struct {
 	Served, Refused int
-	Unheard         int      // connections that were refused or ended without an answer
+	Unanswered      int      // connections that were refused or ended without an answer
 	Violations      []string // violations of the rules, one text each
 	Times           []time.Duration
-	Tries           []Attempt
+	Attempts        []Attempt
 
 	s        *Shared
 	stop     chan struct{}
@@ -196,14 +196,14 @@
 
 // Attempt is one attempt with its answer, for checks of the history.
 type Attempt struct {
-	Sheet, Outcome, Body string
-	From, To             time.Time
+	Key, Outcome, Body string
+	From, To           time.Time
 }
 
 // Load starts the given number of concurrent clients. Each sends one request after the other, each in 1 to
 // tries parallel attempts that start after a random time of up to pause.
-func (s *Shared) Load(clients, tries int, pause time.Duration, seed uint64) *Sheets {
-	l := &Sheets{s: s, stop: make(chan struct{}), results: map[string]string{}, finished: map[string]bool{}}
+func (s *Shared) Load(clients, tries int, pause time.Duration, seed uint64) *KeyedLoad {
+	l := &KeyedLoad{s: s, stop: make(chan struct{}), results: map[string]string{}, finished: map[string]bool{}}
 	for c := range clients {
 		l.wg.Go(func() {
 			rng := rand.New(rand.NewPCG(seed, uint64(c)))
@@ -219,7 +219,7 @@
 					wait := time.Duration(rng.Int64N(int64(pause)))
 					attempts.Go(func() {
 						time.Sleep(wait)
-						l.Ask(key, fmt.Sprintf("%08x%04x%04x", c, n, try))
+						l.SendAttempt(key, fmt.Sprintf("%08x%04x%04x", c, n, try))
 					})
 				}
 				attempts.Wait()
@@ -229,17 +229,17 @@
 	return l
 }
 
-// Ask sends one attempt on a new connection and records its outcome. A refusal of a request that ran before
+// SendAttempt sends one attempt on a new connection and records its outcome. A refusal of a request that ran before
 // the attempt was sent, or a result that differs from an earlier one, is a violation.
-func (l *Sheets) Ask(key, id string) {
+func (l *KeyedLoad) SendAttempt(key, id string) {
 	sent := time.Now()
 	ranBefore := slices.ContainsFunc(l.s.allInterpreters(), func(m *builtinworker.Interpreter) bool { return m.Ran(key) })
 	conn, err := net.DialTimeout("tcp", l.s.Addr, time.Second)
 	if err == nil {
 		defer conn.Close()
-		conn.SetDeadline(sent.Add(l.s.Wait + 2*time.Second))
+		conn.SetDeadline(sent.Add(l.s.Timeout + 2*time.Second))
 		_, err = conn.Write(msgpackrpc.AppendRequest(nil, 1, "oddaja", []byte(key), "i", id, "k", key,
-			"s", strconv.FormatInt(sent.UnixMilli(), 10), "d", strconv.FormatInt(l.s.Wait.Milliseconds(), 10), "m", "1"))
+			"s", strconv.FormatInt(sent.UnixMilli(), 10), "d", strconv.FormatInt(l.s.Timeout.Milliseconds(), 10), "m", "1"))
 	}
 	r := msgpackrpc.Reply{Notification: "none"}
 	for in := bufio.NewReader(conn); err == nil && r.Notification != ""; {
@@ -253,10 +253,10 @@
 	if err == nil && r.Error == "" {
 		outcome = "served"
 	}
-	l.Tries = append(l.Tries, Attempt{key, outcome, string(r.Body), sent, time.Now()})
+	l.Attempts = append(l.Attempts, Attempt{key, outcome, string(r.Body), sent, time.Now()})
 	switch first := l.results[key]; {
 	case err != nil:
-		l.Unheard++
+		l.Unanswered++
 	case r.Error != "":
 		l.Refused++
 		if r.Error == msgpackrpc.ErrorFull && ranBefore {
@@ -273,7 +273,7 @@
 
 // End stops the load, adds each request that ran more than once to the violations, and returns all
 // violations.
-func (l *Sheets) End() []string {
+func (l *KeyedLoad) End() []string {
 	close(l.stop)
 	l.wg.Wait()
 	for key, n := range l.s.Runs() {
@@ -284,9 +284,9 @@
 	return l.Violations
 }
 
-// Without returns, for each key in a JSON text, the text without that key. The keys of the result are the
+// WithoutEachKey returns, for each key in a JSON text, the text without that key. The keys of the result are the
 // dotted paths of the removed keys.
-func Without(text string) map[string]string {
+func WithoutEachKey(text string) map[string]string {
 	list := map[string]string{}
 	var visit func(path []string, v *fastjson.Value)
 	visit = func(path []string, v *fastjson.Value) {
@@ -307,8 +307,8 @@
 	return list
 }
 
-// Harmed reports whether any request has run more than once.
-func (l *Sheets) Harmed() bool {
+// AnyRanTwice reports whether any request has run more than once.
+func (l *KeyedLoad) AnyRanTwice() bool {
 	for _, n := range l.s.Runs() {
 		if n > 1 {
 			return true
@@ -318,10 +318,10 @@
 }
 
 // Asked returns the number of requests of which at least one attempt has finished.
-func (l *Sheets) Asked() int { return len(l.finished) }
+func (l *KeyedLoad) Asked() int { return len(l.finished) }
 
 // Unserved returns the requests of which no attempt was served.
-func (l *Sheets) Unserved() (list []string) {
+func (l *KeyedLoad) Unserved() (list []string) {
 	for key := range l.finished {
 		if l.results[key] == "" {
 			list = append(list, key)
--- a/internal/testkit/benchmarks/takeover.go
+++ b/internal/testkit/benchmarks/takeover.go
@@ -26,9 +26,9 @@
 
 func measureTakeover(b *testing.B, bin string, overlap bool) {
 	const restarts, interval = 5, 3 * time.Second
-	s := Inherit(b, bin, nil, overlap)
+	s := NewShared(b, bin, nil, overlap)
 	old := s.Start()
-	old.Ready(b)
+	old.AwaitReady(b)
 	load := s.Load(8, 2, 60*time.Millisecond, 1)
 	readyTime := time.Duration(0)
 	for range restarts {
@@ -38,7 +38,7 @@
 			old.Leave(b)
 		}
 		next := s.Start()
-		next.Ready(b)
+		next.AwaitReady(b)
 		readyTime += time.Since(startedAt)
 		if overlap {
 			time.Sleep(500 * time.Millisecond)
@@ -57,6 +57,6 @@
 	if overlap {
 		name = "beside the old one"
 	}
-	fmt.Printf("| %s | %d | %d | %d | %d | %d | %.1f | %.1f | %.1f | %d |\n", name, restarts, len(load.Times), load.Unheard, load.Refused, len(wrong),
+	fmt.Printf("| %s | %d | %d | %d | %d | %d | %.1f | %.1f | %.1f | %d |\n", name, restarts, len(load.Times), load.Unanswered, load.Refused, len(wrong),
 		ms(0.5), ms(0.99), ms(1), readyTime.Milliseconds()/restarts)
 }
--- a/internal/testkit/conformance/rules_test.go
+++ b/internal/testkit/conformance/rules_test.go
@@ -149,7 +149,7 @@
 	f.mu.Lock()
 	busy := f.cpu
 	f.mu.Unlock()
-	f.core.Gauges(silverpath.Gauges{CPU: busy, OnCores: busy * 2})
+	f.core.Gauges(silverpath.Gauges{CPU: busy, RunnableTasks: busy * 2})
 }
 
 func (f *fakeInterpreter) received() []run {
--- a/internal/testkit/harness/group.go
+++ b/internal/testkit/harness/group.go
@@ -22,8 +22,8 @@
 // proxy of its own.
 type Group struct {
 	Dir           string
-	Addrs         []string          // listening addresses of the members, behind the proxies
-	Ways          []*faults.Between // the proxy in front of each member
+	Addrs         []string        // listening addresses of the members, behind the proxies
+	Proxies       []*faults.Proxy // the proxy in front of each member
 	Members       []*Process
 	Client        *quorum.Client
 	startProcess  Starter
@@ -47,7 +47,7 @@
 		if err != nil {
 			return g, err
 		}
-		g.Addrs, g.Ways = append(g.Addrs, reserved.Addr), append(g.Ways, proxy)
+		g.Addrs, g.Proxies = append(g.Addrs, reserved.Addr), append(g.Proxies, proxy)
 		g.Client.Addrs = append(g.Client.Addrs, proxy.Addr())
 	}
 	for i := range n {
@@ -57,7 +57,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
-	if _, err := g.Client.Found(ctx, terms); err != nil {
+	if _, err := g.Client.CreateGroup(ctx, terms); err != nil {
 		return g, err
 	}
 	_, err := g.Leader()
@@ -66,7 +66,7 @@
 
 // Close kills all members, closes the proxies and the client, and releases the addresses.
 func (g *Group) Close() {
-	for _, proxy := range g.Ways {
+	for _, proxy := range g.Proxies {
 		proxy.Close()
 	}
 	for _, m := range g.Members {
@@ -80,8 +80,8 @@
 	}
 }
 
-// Disk returns the data folder of a member.
-func (g *Group) Disk(i int) string { return filepath.Join(g.Dir, fmt.Sprint("q", i)) }
+// DataDir returns the data folder of a member.
+func (g *Group) DataDir(i int) string { return filepath.Join(g.Dir, fmt.Sprint("q", i)) }
 
 // writeSettings writes settings to a new file and returns its path.
 func (g *Group) writeSettings(text string) (string, error) {
@@ -94,20 +94,20 @@
 func (g *Group) Start(i int, env ...string) error {
 	membersJSON, _ := json.Marshal(g.Client.Addrs)
 	file, err := g.writeSettings(fmt.Sprintf(`{"name":"q%d","group":"test","members":%s,"member":{"listen":%q,"addr":%q,"dir":%q,"tick_ms":%d}}`,
-		i, membersJSON, g.Addrs[i], g.Ways[i].Addr(), g.Disk(i), g.tick.Milliseconds()))
+		i, membersJSON, g.Addrs[i], g.Proxies[i].Addr(), g.DataDir(i), g.tick.Milliseconds()))
 	if err != nil {
 		return err
 	}
-	if g.Members[i], err = g.startProcess([]string{"quorum", "--config", file}, append(env, "SILVERPATH_DISK="+g.Disk(i)+".fault")...); err != nil {
+	if g.Members[i], err = g.startProcess([]string{"quorum", "--config", file}, append(env, "SILVERPATH_DISK="+g.DataDir(i)+".fault")...); err != nil {
 		return err
 	}
 	_, err = g.Members[i].Await(10*time.Second, 0, "group.listening")
 	return err
 }
 
-// Owner starts a process that runs the listed controllers on the map in dir. It reaches the quorum at the given addresses, or through the
+// StartController starts a process that runs the listed controllers on the map in dir. It reaches the quorum at the given addresses, or through the
 // proxies of all members if members is nil.
-func (g *Group) Owner(name, dir string, controllers, members, routers []string, env ...string) (*Process, error) {
+func (g *Group) StartController(name, dir string, controllers, members, routers []string, env ...string) (*Process, error) {
 	if members == nil {
 		members = g.Client.Addrs
 	}
@@ -122,13 +122,13 @@
 	return g.startProcess([]string{"duty", "run", "--config", file}, env...)
 }
 
-// Fault makes a member's disk fail, or delay every write, as text says. An empty text ends the fault. It only works with a program that
+// SetDiskFault makes a member's disk fail, or delay every write, as text says. An empty text ends the fault. It only works with a program that
 // reads the fault file named by SILVERPATH_DISK.
-func (g *Group) Fault(i int, text string) {
+func (g *Group) SetDiskFault(i int, text string) {
 	if text == "" {
-		_ = os.Remove(g.Disk(i) + ".fault")
+		_ = os.Remove(g.DataDir(i) + ".fault")
 	} else {
-		_ = os.WriteFile(g.Disk(i)+".fault", []byte(text), 0o600)
+		_ = os.WriteFile(g.DataDir(i)+".fault", []byte(text), 0o600)
 	}
 }
 
@@ -179,8 +179,8 @@
 	return err
 }
 
-// Over waits until an item has finished and returns it.
-func (g *Group) Over(controllerName, id string, within time.Duration) (item controller.Item, err error) {
+// AwaitItem waits until an item has finished and returns it.
+func (g *Group) AwaitItem(controllerName, id string, within time.Duration) (item controller.Item, err error) {
 	for deadline := time.Now().Add(within); ; time.Sleep(10 * time.Millisecond) {
 		view, viewErr := g.View()
 		if viewErr == nil && view.Journals[controllerName].Item(id) != nil {
--- a/internal/testkit/harness/harness.go
+++ b/internal/testkit/harness/harness.go
@@ -109,8 +109,8 @@
 	return true
 }
 
-// Lines returns the number of lines in the log.
-func (p *Process) Lines() int {
+// LineCount returns the number of lines in the log.
+func (p *Process) LineCount() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return len(p.lines)
@@ -166,8 +166,8 @@
 	return len(rest) > 1 && (rest[1] == 'T' || rest[1] == 'Z')
 }
 
-// Wake resumes a process that Freeze has suspended.
-func (p *Process) Wake() {
+// Resume resumes a process that Freeze has suspended.
+func (p *Process) Resume() {
 	p.mu.Lock()
 	p.stoppedAt = time.Time{}
 	p.mu.Unlock()
@@ -181,9 +181,9 @@
 	_ = p.cmd.Wait()
 }
 
-// Until returns the last time at which the process could act. For a process that has ended it is the end, or the time of Freeze if the
+// LastActiveAt returns the last time at which the process could act. For a process that has ended it is the end, or the time of Freeze if the
 // process was killed while it was suspended. For a process that has not ended it is the current time.
-func (p *Process) Until() time.Time {
+func (p *Process) LastActiveAt() time.Time {
 	select {
 	case <-p.ended:
 		return p.endedAt
--- a/internal/testkit/harness/rules.go
+++ b/internal/testkit/harness/rules.go
@@ -9,9 +9,9 @@
 	"time"
 )
 
-// Acted is a period in which a process could begin exclusive work under one version of a document, according to its log. From and To are
+// ActivePeriod is a period in which a process could begin exclusive work under one version of a document, according to its log. From and To are
 // times of day. If the period lasted until the end of the log, To is that end.
-type Acted struct {
+type ActivePeriod struct {
 	Process, Version string
 	From, To         time.Duration
 }
@@ -35,14 +35,14 @@
 	return at
 }
 
-// ActsOf returns the periods in which a process could begin exclusive work under each version of a document, as read from its log.
-func ActsOf(name string, p *Process, doc string) []Acted {
-	return Acts(name, p.Log(), doc, DayTime(p.Until()))
+// ActivePeriodsOf returns the periods in which a process could begin exclusive work under each version of a document, as read from its log.
+func ActivePeriodsOf(name string, p *Process, doc string) []ActivePeriod {
+	return ParseActivePeriods(name, p.Log(), doc, TimeOfDay(p.LastActiveAt()))
 }
 
-// Acts is ActsOf for the text of a log that ends at the given time of day.
-func Acts(name, log, doc string, end time.Duration) (list []Acted) {
-	var current *Acted
+// ParseActivePeriods is ActivePeriodsOf for the text of a log that ends at the given time of day.
+func ParseActivePeriods(name, log, doc string, end time.Duration) (list []ActivePeriod) {
+	var current *ActivePeriod
 	version, active := "", false
 	logStart := time.Duration(-1)
 	update := func(at time.Duration, newVersion string, nowActive bool) {
@@ -53,7 +53,7 @@
 		}
 		version, active = newVersion, nowActive
 		if current == nil && active && version != "" {
-			current = &Acted{Process: name, Version: version, From: at}
+			current = &ActivePeriod{Process: name, Version: version, From: at}
 		}
 	}
 	at := func(m []string) time.Duration {
@@ -85,12 +85,12 @@
 
 // Overlap returns the longest time in which two processes could begin exclusive work under different versions, and a description of the two
 // periods.
-func Overlap(list []Acted) (longest time.Duration, periods string) {
+func Overlap(list []ActivePeriod) (longest time.Duration, periods string) {
 	return OverlapOf(list, func(a, b string) bool { return a != b })
 }
 
 // OverlapOf is Overlap for a document whose versions conflict only if exclude returns true for them.
-func OverlapOf(list []Acted, exclude func(a, b string) bool) (longest time.Duration, periods string) {
+func OverlapOf(list []ActivePeriod, exclude func(a, b string) bool) (longest time.Duration, periods string) {
 	for i, a := range list {
 		for _, b := range list[i+1:] {
 			if d := min(a.To, b.To) - max(a.From, b.From); d > longest && exclude(a.Version, b.Version) {
@@ -102,7 +102,7 @@
 }
 
 // Versions returns the distinct versions in a list of periods.
-func Versions(list []Acted) (versions []string) {
+func Versions(list []ActivePeriod) (versions []string) {
 	for _, a := range list {
 		if !slices.Contains(versions, a.Version) {
 			versions = append(versions, a.Version)
@@ -111,8 +111,8 @@
 	return versions
 }
 
-// DayTime returns the time of day of t in UTC, which is how Acts counts times.
-func DayTime(t time.Time) time.Duration {
+// TimeOfDay returns the time of day of t in UTC, which is how ParseActivePeriods counts times.
+func TimeOfDay(t time.Time) time.Duration {
 	t = t.UTC()
 	return t.Sub(time.Date(t.Year(), t.Month(), t.Day(), 0, 0, 0, 0, time.UTC))
 }
--- a/internal/testkit/hollow/hollow.go
+++ b/internal/testkit/hollow/hollow.go
@@ -26,22 +26,22 @@
 	Messages atomic.Int64 // writes; each write is one whole message
 }
 
-// Count holds the values of a Traffic's counters at one moment.
-type Count struct{ Opened, In, Out, Messages int64 }
+// TrafficCounts holds the values of a Traffic's counters at one moment.
+type TrafficCounts struct{ Opened, In, Out, Messages int64 }
 
-// Now returns the current values of the counters.
-func (t *Traffic) Now() Count {
-	return Count{t.Opened.Load(), t.In.Load(), t.Out.Load(), t.Messages.Load()}
+// Counts returns the current values of the counters.
+func (t *Traffic) Counts() TrafficCounts {
+	return TrafficCounts{t.Opened.Load(), t.In.Load(), t.Out.Load(), t.Messages.Load()}
 }
 
 // Add returns the sum of c and d.
-func (c Count) Add(d Count) Count {
-	return Count{c.Opened + d.Opened, c.In + d.In, c.Out + d.Out, c.Messages + d.Messages}
+func (c TrafficCounts) Add(d TrafficCounts) TrafficCounts {
+	return TrafficCounts{c.Opened + d.Opened, c.In + d.In, c.Out + d.Out, c.Messages + d.Messages}
 }
 
 // Sub returns the difference of c and the earlier count d.
-func (c Count) Sub(d Count) Count {
-	return Count{c.Opened - d.Opened, c.In - d.In, c.Out - d.Out, c.Messages - d.Messages}
+func (c TrafficCounts) Sub(d TrafficCounts) TrafficCounts {
+	return TrafficCounts{c.Opened - d.Opened, c.In - d.In, c.Out - d.Out, c.Messages - d.Messages}
 }
 
 // countedConn is a TCP connection that adds its reads and writes to a Traffic.
--- a/internal/testkit/hollow/hollow_test.go
+++ b/internal/testkit/hollow/hollow_test.go
@@ -133,13 +133,13 @@
 				t.Errorf("router %d knows server %s, which its map does not list", i, s.Name)
 			}
 		}
-		if r.Now().Opened < 3 || r.Now().In == 0 || r.Now().Out == 0 {
-			t.Errorf("router %d: traffic %+v, want at least 3 connections and bytes in both directions", i, r.Now())
+		if r.Counts().Opened < 3 || r.Counts().In == 0 || r.Counts().Out == 0 {
+			t.Errorf("router %d: traffic %+v, want at least 3 connections and bytes in both directions", i, r.Counts())
 		}
 	}
-	waitUntil(t, "health checks do not reach servers 0 and 8", func() bool { return list[0].Now().Opened >= 9 && list[8].Now().Opened >= 3 })
+	waitUntil(t, "health checks do not reach servers 0 and 8", func() bool { return list[0].Counts().Opened >= 9 && list[8].Counts().Opened >= 3 })
 	for i, s := range list {
-		if c := s.Now(); (i >= 9) != (c == Count{}) {
+		if c := s.Counts(); (i >= 9) != (c == TrafficCounts{}) {
 			t.Errorf("server %d: traffic %+v", i, c)
 		}
 		if n := s.Stats.Snapshot(); i >= 9 && len(n) > 0 {
@@ -152,21 +152,21 @@
 	for _, s := range list {
 		s.Close()
 	}
-	total, atClose := Count{}, []Count{}
+	total, atClose := TrafficCounts{}, []TrafficCounts{}
 	for _, r := range routers {
-		total, atClose = total.Add(r.Now()), append(atClose, r.Now())
+		total, atClose = total.Add(r.Counts()), append(atClose, r.Counts())
 	}
 	waitNoGoroutines(t)
 	accepted := int64(0)
 	for _, s := range list {
-		accepted += s.Now().Opened
+		accepted += s.Counts().Opened
 	}
 	if total.Opened > accepted {
 		t.Errorf("the routers opened %d connections, but the servers accepted only %d", total.Opened, accepted)
 	}
 	for i, r := range routers {
-		if r.Now() != atClose[i] {
-			t.Errorf("router %d: traffic changed after Close: %+v, then %+v", i, atClose[i], r.Now())
+		if r.Counts() != atClose[i] {
+			t.Errorf("router %d: traffic changed after Close: %+v, then %+v", i, atClose[i], r.Counts())
 		}
 	}
 }
@@ -183,14 +183,14 @@
 			rules = ""
 		}
 		callers = append(callers, NewCaller(CallerConfig{
-			Name: fmt.Sprint("c", i), IP: IP(2, i+1), To: s.Addr, Every: 10 * time.Millisecond, First: time.Duration(i) * time.Millisecond, Rules: rules,
+			Name: fmt.Sprint("c", i), IP: IP(2, i+1), ServerAddr: s.Addr, Interval: 10 * time.Millisecond, InitialDelay: time.Duration(i) * time.Millisecond, ConfigID: rules,
 			Terms: configstore.Terms{Lease: time.Second},
 		}))
 	}
 	for i, c := range callers {
-		waitUntil(t, "a caller sends no health checks", func() bool { return c.Now().Opened >= 5 })
-		if i < 5 && c.Now().In <= callers[5].Now().In/callers[5].Now().Opened*4 {
-			t.Errorf("caller %d received no more than a balancer: %+v, %+v", i, c.Now(), callers[5].Now())
+		waitUntil(t, "a caller sends no health checks", func() bool { return c.Counts().Opened >= 5 })
+		if i < 5 && c.Counts().In <= callers[5].Counts().In/callers[5].Counts().Opened*4 {
+			t.Errorf("caller %d received no more than a balancer: %+v, %+v", i, c.Counts(), callers[5].Counts())
 		}
 	}
 	if !s.Core().Cold() {
@@ -199,14 +199,14 @@
 	for _, c := range callers {
 		c.Close()
 	}
-	var atClose []Count
+	var atClose []TrafficCounts
 	for _, c := range callers {
-		atClose = append(atClose, c.Now())
+		atClose = append(atClose, c.Counts())
 	}
 	s.Close()
 	for i, c := range callers {
-		if c.Now() != atClose[i] {
-			t.Errorf("caller %d: traffic changed after Close: %+v, then %+v", i, atClose[i], c.Now())
+		if c.Counts() != atClose[i] {
+			t.Errorf("caller %d: traffic changed after Close: %+v, then %+v", i, atClose[i], c.Counts())
 		}
 	}
 	waitNoGoroutines(t)
@@ -305,7 +305,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s, err := NewServer(ServerConfig{Name: "s", IP: IP(0, 100), Settings: testSettings(), MemoryMB: 16, Sockets: 16, Group: client(), Docs: []string{configstore.DocClasses}, Took: countApplied(5)})
+	s, err := NewServer(ServerConfig{Name: "s", IP: IP(0, 100), Settings: testSettings(), MemoryMB: 16, Sockets: 16, Group: client(), Docs: []string{configstore.DocClasses}, OnApplied: countApplied(5)})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -368,10 +368,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	waitUntil(t, "the follower does not apply the map", func() bool { return applied.Load() == 1 && f.Acts(configstore.DocMap) == 1 })
+	waitUntil(t, "the follower does not apply the map", func() bool { return applied.Load() == 1 && f.AppliedVersion(configstore.DocMap) == 1 })
 	m.Version, m.Tenants[0].Rate = 2, 2
 	put(2)
-	waitUntil(t, "the follower does not apply the changed parts", func() bool { return applied.Load() == 2 && f.Acts(configstore.DocMap) == 2 })
+	waitUntil(t, "the follower does not apply the changed parts", func() bool { return applied.Load() == 2 && f.AppliedVersion(configstore.DocMap) == 2 })
 	f.Close()
 	g.ln.Close()
 	g.ln.EndConnections(time.Second)
--- a/internal/testkit/hollow/router.go
+++ b/internal/testkit/hollow/router.go
@@ -57,8 +57,8 @@
 	return f, nil
 }
 
-// Acts returns the version of a document that the follower acts on, or 0 if there is none.
-func (f *Follower) Acts(doc string) int {
+// AppliedVersion returns the version of a document that the follower acts on, or 0 if there is none.
+func (f *Follower) AppliedVersion(doc string) int {
 	var s struct{ Acts map[string]int }
 	if json.Unmarshal(f.watcher.Status(), &s) != nil {
 		return 0
@@ -199,7 +199,7 @@
 		return nil, fmt.Errorf("%s: %w", cfg.Name, err)
 	}
 	if cfg.MaxRouters > 0 {
-		p.ShareQuota(cfg.MaxRouters, false)
+		p.EnableQuota(cfg.MaxRouters, false)
 	}
 	start.mu.Lock()
 	r.proxy = p
@@ -285,10 +285,10 @@
 // updateRouting applies a routing document to the proxy, or to the proxy's future configuration if there is no proxy yet.
 func (s *routerStartup) updateRouting(next settings.Router) {
 	if f := s.proxy(); f != nil {
-		f.Retune(next.Routing, next.Probe)
+		f.Retune(next.Routing, next.ProbeInterval)
 		return
 	}
-	s.loadBalancing, s.cfg.HealthCheckInterval = next.Routing, next.Probe
+	s.loadBalancing, s.cfg.HealthCheckInterval = next.Routing, next.ProbeInterval
 }
 
 // States returns the servers of the map and their state as the router sees it.
--- a/internal/testkit/hollow/server.go
+++ b/internal/testkit/hollow/server.go
@@ -14,16 +14,16 @@
 
 // ServerConfig sets up a Server.
 type ServerConfig struct {
-	Name     string
-	IP       string // loopback address to listen on
-	Settings silverpath.Settings
-	MemoryMB float64
-	Sockets  int  // maximum number of connections
-	Cold     bool // the server begins in slow start
-	Echo     bool // runs end at once with the request's body as their result; if false, they end at once as failed
-	Group    *quorum.Client
-	Docs     []string         // the group's documents to follow; ignored if Group is nil
-	Took     func(doc string) // called after a new version of a document is applied; may be nil
+	Name      string
+	IP        string // loopback address to listen on
+	Settings  silverpath.Settings
+	MemoryMB  float64
+	Sockets   int  // maximum number of connections
+	Cold      bool // the server begins in slow start
+	Echo      bool // runs end at once with the request's body as their result; if false, they end at once as failed
+	Group     *quorum.Client
+	Docs      []string         // the group's documents to follow; ignored if Group is nil
+	OnApplied func(doc string) // called after a new version of a document is applied; may be nil
 }
 
 // Server is a server of a cell without an interpreter. Its health checks, slow start and documents are handled by the service's own code.
@@ -59,7 +59,7 @@
 	s.front = listener.New(msgpackrpc.Name, ln, cfg.Sockets, s.core.IdleAfter, msgpackrpc.New(s.core, logger, &s.Stats).Serve, logger, &s.Stats)
 	s.tasks.wg.Go(s.front.Serve)
 	if cfg.Group != nil {
-		watcher, err := newWatcher(FollowerConfig{Name: cfg.Name, Group: cfg.Group, Docs: cfg.Docs, Site: cfg.Settings, OnApplied: cfg.Took}, s.core.Reconfigure, nil, nil, &s.Stats)
+		watcher, err := newWatcher(FollowerConfig{Name: cfg.Name, Group: cfg.Group, Docs: cfg.Docs, Site: cfg.Settings, OnApplied: cfg.OnApplied}, s.core.Reconfigure, nil, nil, &s.Stats)
 		if err != nil {
 			s.Close()
 			return nil, err
--- a/internal/testkit/standin/faults/faults.go
+++ b/internal/testkit/standin/faults/faults.go
@@ -16,36 +16,36 @@
 	"silverpath/internal/transport/msgpackrpc"
 )
 
-// Way is a direction of a connection.
-type Way int
+// Direction is a direction of a connection.
+type Direction int
 
 // The directions of a connection.
 const (
-	There Way = iota // from the client to the listener
-	Back             // from the listener to the client
+	ToListener Direction = iota // from the client to the listener
+	ToClient                    // from the listener to the client
 )
 
-// Fate is the fault of one direction. The zero value forwards everything unchanged.
-type Fate struct {
-	Of    string        // only messages that contain this text are dropped, held, delayed, duplicated or reordered; empty: all
-	Lost  bool          // messages are dropped silently
-	Held  bool          // messages wait until the direction's fault no longer holds them
-	Delay time.Duration // maximum delay; each message's is drawn uniformly from 0 up to it
-	Twice float64       // probability that a message is delivered twice
-	Swap  float64       // probability that a message is delivered after the next one
-	Spoil string        // a digit that follows this text in a message is replaced by another digit; empty: none
+// Fault is the fault of one direction. The zero value forwards everything unchanged.
+type Fault struct {
+	Match        string        // only messages that contain this text are dropped, held, delayed, duplicated or reordered; empty: all
+	Drop         bool          // messages are dropped silently
+	Hold         bool          // messages wait until the direction's fault no longer holds them
+	Delay        time.Duration // maximum delay; each message's is drawn uniformly from 0 up to it
+	Duplicate    float64       // probability that a message is delivered twice
+	Reorder      float64       // probability that a message is delivered after the next one
+	CorruptAfter string        // a digit that follows this text in a message is replaced by another digit; empty: none
 }
 
 const maxMessageBytes = 4 << 20
 
-// Between is a proxy in front of one listener.
-type Between struct {
+// Proxy is a proxy in front of one listener.
+type Proxy struct {
 	ln       net.Listener
 	messages bool
 
 	mu      sync.Mutex
 	target  string
-	faults  [2]Fate
+	faults  [2]Fault
 	cut     bool
 	changed chan struct{} // closed and replaced on every change of faults, cut or closed
 	conns   []net.Conn
@@ -57,28 +57,28 @@
 // Listen starts a proxy in front of the address target. If messages is set, connections carry MessagePack-RPC and faults
 // apply to whole messages; else each connection carries one call, and faults apply to chunks as they are read. It returns
 // an error if it can't listen.
-func Listen(target string, messages bool, seed uint64) (*Between, error) {
+func Listen(target string, messages bool, seed uint64) (*Proxy, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	p := &Between{ln: ln, target: target, messages: messages, changed: make(chan struct{}), rng: rand.New(rand.NewPCG(seed, 17))}
+	p := &Proxy{ln: ln, target: target, messages: messages, changed: make(chan struct{}), rng: rand.New(rand.NewPCG(seed, 17))}
 	go p.accept()
 	return p, nil
 }
 
 // Addr returns the address on which the proxy listens.
-func (p *Between) Addr() string { return p.ln.Addr().String() }
+func (p *Proxy) Addr() string { return p.ln.Addr().String() }
 
-// To forwards new connections to another address, for example that of a restarted process.
-func (p *Between) To(target string) {
+// SetTarget forwards new connections to another address, for example that of a restarted process.
+func (p *Proxy) SetTarget(target string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.target = target
 }
 
-// Set replaces the fault of a direction.
-func (p *Between) Set(dir Way, fault Fate) {
+// SetFault replaces the fault of a direction.
+func (p *Proxy) SetFault(dir Direction, fault Fault) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.faults[dir] = fault
@@ -87,7 +87,7 @@
 }
 
 // Cut closes all connections and refuses new ones if cut is true, and accepts connections again if it is false.
-func (p *Between) Cut(cut bool) {
+func (p *Proxy) Cut(cut bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.cut = cut
@@ -98,7 +98,7 @@
 	p.changed = make(chan struct{})
 }
 
-func (p *Between) closeConns() {
+func (p *Proxy) closeConns() {
 	for _, c := range p.conns {
 		c.Close()
 	}
@@ -106,7 +106,7 @@
 }
 
 // Close closes the listener and all connections.
-func (p *Between) Close() {
+func (p *Proxy) Close() {
 	p.ln.Close()
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -117,15 +117,15 @@
 }
 
 // Calls returns the bytes of all calls received so far. It is empty for MessagePack-RPC.
-func (p *Between) Calls() [][]byte {
+func (p *Proxy) Calls() [][]byte {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return slices.Clone(p.calls)
 }
 
-// Again sends the bytes of a call on a new connection, like a network that delivers a delayed duplicate, and returns the
+// Replay sends the bytes of a call on a new connection, like a network that delivers a delayed duplicate, and returns the
 // answer.
-func (p *Between) Again(call []byte) (string, error) {
+func (p *Proxy) Replay(call []byte) (string, error) {
 	p.mu.Lock()
 	to := p.target
 	p.mu.Unlock()
@@ -142,7 +142,7 @@
 	return string(answer), err
 }
 
-func (p *Between) accept() {
+func (p *Proxy) accept() {
 	for {
 		in, err := p.ln.Accept()
 		if err != nil {
@@ -171,8 +171,8 @@
 			p.conns = append(p.conns, in, out)
 			p.mu.Unlock()
 			var wg sync.WaitGroup
-			wg.Go(func() { p.forward(in, out, There) })
-			wg.Go(func() { p.forward(out, in, Back) })
+			wg.Go(func() { p.forward(in, out, ToListener) })
+			wg.Go(func() { p.forward(out, in, ToClient) })
 			wg.Wait()
 			in.Close()
 			out.Close()
@@ -181,7 +181,7 @@
 }
 
 // readNext reads the next whole message or, if connections carry calls, the bytes that are available.
-func (p *Between) readNext(r *bufio.Reader, chunk []byte) ([]byte, error) {
+func (p *Proxy) readNext(r *bufio.Reader, chunk []byte) ([]byte, error) {
 	if p.messages {
 		return msgpackrpc.ReadMessage(r, maxMessageBytes)
 	}
@@ -190,7 +190,7 @@
 }
 
 // forward copies one direction of a connection with its faults applied, until the sender closes it or an error occurs.
-func (p *Between) forward(from, to net.Conn, dir Way) {
+func (p *Proxy) forward(from, to net.Conn, dir Direction) {
 	defer func() {
 		if tcp, ok := to.(*net.TCPConn); ok {
 			tcp.CloseWrite()
@@ -208,7 +208,7 @@
 			}
 			return
 		}
-		if n == 0 && dir == There && !p.messages {
+		if n == 0 && dir == ToListener && !p.messages {
 			p.mu.Lock()
 			p.calls = append(p.calls, m)
 			p.mu.Unlock()
@@ -245,31 +245,31 @@
 }
 
 // faultFor blocks while m is held or delayed, and draws which of the direction's faults apply to it.
-func (p *Between) faultFor(dir Way, m []byte) (drop, duplicate, reorder bool) {
+func (p *Proxy) faultFor(dir Direction, m []byte) (drop, duplicate, reorder bool) {
 	for {
 		p.mu.Lock()
 		fault, changed, closed := p.faults[dir], p.changed, p.closed
 		delay := time.Duration(p.rng.Float64() * float64(fault.Delay))
-		duplicate, reorder = p.rng.Float64() < fault.Twice, p.rng.Float64() < fault.Swap
+		duplicate, reorder = p.rng.Float64() < fault.Duplicate, p.rng.Float64() < fault.Reorder
 		p.mu.Unlock()
-		if fault.Of != "" && !bytes.Contains(m, []byte(fault.Of)) {
+		if fault.Match != "" && !bytes.Contains(m, []byte(fault.Match)) {
 			return false, false, false
 		}
-		if fault.Held && !closed {
+		if fault.Hold && !closed {
 			<-changed
 			continue
 		}
 		if delay > 0 {
 			time.Sleep(delay)
 		}
-		return fault.Lost, duplicate, reorder
+		return fault.Drop, duplicate, reorder
 	}
 }
 
 // corrupt replaces digits in m as the direction's fault says. The length of m stays the same.
-func (p *Between) corrupt(dir Way, m []byte) {
+func (p *Proxy) corrupt(dir Direction, m []byte) {
 	p.mu.Lock()
-	after := []byte(p.faults[dir].Spoil)
+	after := []byte(p.faults[dir].CorruptAfter)
 	p.mu.Unlock()
 	if len(after) == 0 {
 		return
@@ -285,7 +285,7 @@
 	}
 }
 
-func (p *Between) removeConn(c net.Conn) {
+func (p *Proxy) removeConn(c net.Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if i := slices.Index(p.conns, c); i >= 0 {
--- a/internal/testkit/standin/faults/faults_test.go
+++ b/internal/testkit/standin/faults/faults_test.go
@@ -61,37 +61,37 @@
 	}
 	expectReply(send("1"), true)
 	<-received
-	proxy.Set(Back, Fate{Lost: true})
+	proxy.SetFault(ToClient, Fault{Drop: true})
 	expectReply(send("2"), false)
 	if s := <-received; s != "2" {
 		t.Error(s)
 	}
-	proxy.Set(Back, Fate{})
-	proxy.Set(There, Fate{Held: true})
+	proxy.SetFault(ToClient, Fault{})
+	proxy.SetFault(ToListener, Fault{Hold: true})
 	held := send("3")
 	expectReply(held, false)
-	proxy.Set(There, Fate{})
+	proxy.SetFault(ToListener, Fault{})
 	expectReply(held, true)
 	<-received
-	proxy.Set(There, Fate{Lost: true, Of: "bad"})
+	proxy.SetFault(ToListener, Fault{Drop: true, Match: "bad"})
 	expectReply(send("good"), true)
 	expectReply(send("a bad one"), false)
 	if s := <-received; s != "good" {
 		t.Error(s)
 	}
-	proxy.Set(There, Fate{Twice: 1})
+	proxy.SetFault(ToListener, Fault{Duplicate: 1})
 	expectReply(send("4"), true)
 	<-received
 	if s := <-received; s != "4" {
 		t.Error(s)
 	}
-	proxy.Set(There, Fate{Swap: 1})
+	proxy.SetFault(ToListener, Fault{Reorder: 1})
 	send("5")
 	send("6")
 	if x, y := <-received, <-received; x != "6" || y != "5" {
 		t.Error(x, y)
 	}
-	proxy.Set(There, Fate{Spoil: "rate: "})
+	proxy.SetFault(ToListener, Fault{CorruptAfter: "rate: "})
 	send("rate: 9, rate: x, weight: 1")
 	if s := <-received; s != "rate: 1, rate: x, weight: 1" {
 		t.Error(s)
--- a/internal/transport/client/client.go
+++ b/internal/transport/client/client.go
@@ -22,8 +22,8 @@
 
 // Names of the fronts on the command line (--front).
 const (
-	Platform = msgpackrpc.Name
-	SCGI     = scgi.Name
+	MessagePack = msgpackrpc.Name
+	SCGI        = scgi.Name
 )
 
 // Request is a request to send. Requests with the same idempotency key are attempts of one request.
--- a/internal/transport/client/client_test.go
+++ b/internal/transport/client/client_test.go
@@ -32,7 +32,7 @@
 		answer = append(binary.BigEndian.AppendUint32(answer, uint32(len(status))), status...)
 		conn.Write(append(answer, 0x80))
 	}()
-	if text, err := Status(Platform, ln.Addr().String()); err != nil || string(text) != status {
+	if text, err := Status(MessagePack, ln.Addr().String()); err != nil || string(text) != status {
 		t.Errorf("status of %d bytes, %v", len(text), err)
 	}
 }
--- a/internal/transport/interpreter/link_test.go
+++ b/internal/transport/interpreter/link_test.go
@@ -41,7 +41,7 @@
 func (r *eventRecorder) RunEnded(id string, o silverpath.Outcome, spent time.Duration, result []byte) {
 	r.record("ended %s %d %v %q", id, o, spent, result)
 }
-func (r *eventRecorder) Gauges(g silverpath.Gauges) { r.record("gauges %v %v", g.CPU, g.OnCores) }
+func (r *eventRecorder) Gauges(g silverpath.Gauges) { r.record("gauges %v %v", g.CPU, g.RunnableTasks) }
 
 func (r *eventRecorder) takeEvents() []string {
 	r.mu.Lock()
--- a/internal/transport/listener/listener.go
+++ b/internal/transport/listener/listener.go
@@ -85,9 +85,9 @@
 	return err
 }
 
-// Inherited returns a listener for a descriptor that the process inherited, to be passed to New. It closes the descriptor itself. It
+// ListenInherited returns a listener for a descriptor that the process inherited, to be passed to New. It closes the descriptor itself. It
 // returns an error if the descriptor is not an open TCP listener.
-func Inherited(fd int) (net.Listener, error) {
+func ListenInherited(fd int) (net.Listener, error) {
 	f := os.NewFile(uintptr(fd), "listener")
 	if f == nil {
 		return nil, fmt.Errorf("descriptor %d is not open", fd)
--- a/internal/transport/listener/listener_test.go
+++ b/internal/transport/listener/listener_test.go
@@ -176,7 +176,7 @@
 					return
 				}
 				if b[0] == 1 {
-					s.PaceCheapCall()
+					s.ThrottleCheapCall()
 				} else if !s.AdmitsWork() {
 					b[0] = 0
 				} else {
--- a/internal/transport/listener/slot.go
+++ b/internal/transport/listener/slot.go
@@ -12,10 +12,10 @@
 	// from its first byte. After that the connection is closed without an answer to the message. Over a slow line the largest request
 	// takes a few hundred milliseconds.
 	MessageTimeout = 2 * time.Second
-	// MessagesPerTurn is how many messages a reading goroutine handles before it yields to others. Otherwise a peer that always has more
+	// MessagesPerYield is how many messages a reading goroutine handles before it yields to others. Otherwise a peer that always has more
 	// to send would occupy the only core for the 10 ms after which the Go scheduler preempts a goroutine, and forty such peers would
 	// delay operators' calls by half a second.
-	MessagesPerTurn = 2
+	MessagesPerYield = 2
 	// maxLinesPerWindow is how many lines about peers are logged per second. A flood of the service must not flood its log.
 	maxLinesPerWindow = 1
 )
@@ -78,9 +78,9 @@
 	return l.reserve.AdmitWork(s.id)
 }
 
-// PaceCheapCall is called before a cheap call is answered. If the peer exceeds its share of the reserve, it waits, without delaying other
+// ThrottleCheapCall is called before a cheap call is answered. If the peer exceeds its share of the reserve, it waits, without delaying other
 // connections.
-func (s *Slot) PaceCheapCall() {
+func (s *Slot) ThrottleCheapCall() {
 	l := s.owner
 	if l.reserve == nil {
 		return
--- a/internal/transport/loadreport/reporter.go
+++ b/internal/transport/loadreport/reporter.go
@@ -46,8 +46,8 @@
 	}
 }
 
-// Silence stops the reports permanently. It is called when another process of the same name takes over reporting.
-func (r *Reporter) Silence() {
+// Stop stops the reports permanently. It is called when another process of the same name takes over reporting.
+func (r *Reporter) Stop() {
 	r.mu.Lock()
 	r.silenced = true
 	r.mu.Unlock()
--- a/internal/transport/loadreport/reporter_test.go
+++ b/internal/transport/loadreport/reporter_test.go
@@ -35,7 +35,7 @@
 	}
 }
 
-// Each report is one datagram with the health at that time. After Redirect the reports go to the new address, and after Silence they
+// Each report is one datagram with the health at that time. After Redirect the reports go to the new address, and after Stop they
 // stop.
 func TestRun(t *testing.T) {
 	first, second := listen(t), listen(t)
@@ -52,7 +52,7 @@
 	r.Redirect("")
 	r.Redirect(second.LocalAddr().String())
 	expect(t, second, "announce n3 false")
-	r.Silence() // another process of the same name reports from here on
+	r.Stop() // another process of the same name reports from here on
 	_ = second.SetReadDeadline(time.Now().Add(3 * Interval))
 	afterSilence := 0
 	for b := make([]byte, 100); ; afterSilence++ {
--- a/internal/transport/msgpackrpc/answer.go
+++ b/internal/transport/msgpackrpc/answer.go
@@ -24,8 +24,8 @@
 		})
 		fields = rulesFields(c.core.RulesNotice())
 		inFlight, _ := strconv.Atoi(m.fields[FieldInFlight])
-		if quota, warming := c.core.SlowStart(m.fields[FieldConfigSource], inFlight, SlowStartProbeIntervals*max(ms(FieldProbeInterval), time.Millisecond)); warming {
-			fields = append(fields, FieldSlowStartShare, strconv.Itoa(quota))
+		if quota, warming := c.core.SlowStartQuota(m.fields[FieldConfigSource], inFlight, SlowStartProbeIntervals*max(ms(FieldProbeInterval), time.Millisecond)); warming {
+			fields = append(fields, FieldSlowStartQuota, strconv.Itoa(quota))
 		}
 	}
 	c.write(func(b []byte) []byte { return appendHealth(b, m.id, c.core.Health(), c.withServerState(fields)) })
@@ -54,7 +54,7 @@
 	if incarnation, inCell := c.core.StartStamp(); inCell {
 		pairs = append(pairs, FieldIncarnation, strconv.FormatInt(incarnation, 10))
 		if c.core.Cold() {
-			pairs = append(pairs, FieldWarmingUp, FlagSet)
+			pairs = append(pairs, FieldSlowStart, FlagSet)
 		}
 		if lastRun := c.core.UnknownRunsUntil(); lastRun != 0 {
 			pairs = append(pairs, FieldUnknownRuns, strconv.FormatInt(lastRun, 10))
--- a/internal/transport/msgpackrpc/close_test.go
+++ b/internal/transport/msgpackrpc/close_test.go
@@ -182,7 +182,7 @@
 			}
 		}
 		time.Sleep(time.Second) // until the core has updated its view
-		if v := w.View(); v.PendingAnswers != 0 || v.InHand != 0 {
+		if v := w.View(); v.PendingAnswers != 0 || v.InProgress != 0 {
 			t.Errorf("state left behind: %+v", v)
 		}
 		conn.Close()
--- a/internal/transport/msgpackrpc/front.go
+++ b/internal/transport/msgpackrpc/front.go
@@ -84,7 +84,7 @@
 func (c *frontConn) readMessages(r *bufio.Reader, d decoder, requests *sync.WaitGroup) error {
 	c.conn.SetReadDeadline(time.Now().Add(listener.MessageTimeout)) // a peer that sends nothing does not keep its slot
 	for n := 1; ; n++ {
-		if n%listener.MessagesPerTurn == 0 {
+		if n%listener.MessagesPerYield == 0 {
 			runtime.Gosched()
 		}
 		if _, err := r.Peek(1); err != nil {
@@ -118,7 +118,7 @@
 	c.slot.SetInFlight(0)
 	c.mu.Unlock()
 	for _, id := range pending {
-		c.core.CallerGone(id)
+		c.core.CallerDisconnected(id)
 	}
 }
 
--- a/internal/transport/msgpackrpc/request.go
+++ b/internal/transport/msgpackrpc/request.go
@@ -19,7 +19,7 @@
 		return nil
 	case m.method == methodProbe:
 		c.stats.Inc("probes", Name)
-		c.slot.PaceCheapCall()
+		c.slot.ThrottleCheapCall()
 		c.respondToProbe(m)
 		return nil
 	}
@@ -29,7 +29,7 @@
 	switch {
 	case m.status:
 		c.stats.Inc("status", Name)
-		c.slot.PaceCheapCall()
+		c.slot.ThrottleCheapCall()
 		c.writeAnswer(m.id, core.Answer{Outcome: core.Served, Body: c.core.Status()})
 		return nil
 	case m.skipped:
@@ -55,7 +55,7 @@
 	c.slot.SetInFlight(len(c.pending) + c.writingAnswers)
 	c.mu.Unlock()
 	if requestID != "" {
-		c.core.CallerGone(requestID)
+		c.core.CallerDisconnected(requestID)
 	}
 }
 
--- a/internal/transport/msgpackrpc/wire.go
+++ b/internal/transport/msgpackrpc/wire.go
@@ -72,12 +72,12 @@
 // Fields of an answer. Answers also have FieldIncarnation.
 const (
 	FieldSignal         = "v"  // value set by the module: a load level, a credit of requests in flight, or a weight
-	FieldWarmingUp      = "cs" // FlagSet: the server is in its slow start
+	FieldSlowStart      = "cs" // FlagSet: the server is in its slow start
 	FieldUnknownRuns    = "l"  // served answer or probe: until when an earlier process may have run requests that this one has no record of
 	FieldRetryAfter     = "w"  // rejection: delay before a retry, in milliseconds
 	FieldFinal          = "l"  // rejection, FlagSet: the request should not be tried at another server
 	FieldReason         = "x"  // rejection: reason, for a request with an idempotency key
-	FieldSlowStartShare = "c"  // probe: number of requests that the router may have in flight here during the slow start
+	FieldSlowStartQuota = "c"  // probe: number of requests that the router may have in flight here during the slow start
 	FieldConflict       = "gc" // probe: a version with two different documents, a space, and a description of both
 	FieldSuspended      = "gq" // probe: for how many milliseconds nothing exclusive starts, see configstore.KindExclusive
 )
@@ -110,6 +110,6 @@
 	// lastTakenTimeout is the write timeout for methodLastTaken. It is short because a new connection may be waiting for the slot. A
 	// peer that does not read in time does not get the notification.
 	lastTakenTimeout = 10 * time.Millisecond
-	// SlowStartProbeIntervals is the number of probe intervals for which a router applies FieldSlowStartShare of an answer.
+	// SlowStartProbeIntervals is the number of probe intervals for which a router applies FieldSlowStartQuota of an answer.
 	SlowStartProbeIntervals = 3
 )
--- a/internal/transport/restartlink/earlier_build_test.go
+++ b/internal/transport/restartlink/earlier_build_test.go
@@ -222,7 +222,7 @@
 		}
 	}
 	earlier.expectFrames("the end of the list of runs", predecessor[4])
-	await(t, "the successor is ready", p.core.Successor)
+	await(t, "the successor is ready", p.core.SuccessorReady)
 	if p.core.PairRole() != hotrestart.Predecessor {
 		t.Errorf("role %v, want predecessor", p.core.PairRole())
 	}
--- a/internal/transport/restartlink/link.go
+++ b/internal/transport/restartlink/link.go
@@ -48,7 +48,7 @@
 
 	writeMu sync.Mutex // guards conn, linkID and buf
 	conn    net.Conn   // nil while there is no link
-	linkID  int        // number of the link, as returned by Core.PairLinked
+	linkID  int        // number of the link, as returned by Core.PairLinkUp
 	buf     []byte     // frames being written
 
 	backoff  time.Duration // before the next connection attempt; grows until a link has received the peer's complete list of runs
@@ -108,7 +108,7 @@
 			return err
 		}
 	}
-	l.core.PairPlaced(l.startedAt, slot)
+	l.core.PairSlotTaken(l.startedAt, slot)
 	l.checkPeer()
 	return nil
 }
@@ -117,7 +117,7 @@
 func (l *Link) checkPeer() (present bool) {
 	if l.slots.taken(1 - l.slot) {
 		if l.peerAbsent || !l.peerSeen {
-			l.core.PairOther()
+			l.core.PairPeerPresent()
 		}
 		l.peerAbsent, l.peerSeen = false, true
 		return true
@@ -135,7 +135,7 @@
 
 // reportNoPeer notifies the core that there is no peer, and passes it the check for a dead peer's mark.
 func (l *Link) reportNoPeer() {
-	l.core.PairAlone(func(startedAt int64) bool {
+	l.core.PairPeerAbsent(func(startedAt int64) bool {
 		_, err := os.Stat(l.slots.markPath(startedAt))
 		return err == nil
 	})
@@ -198,7 +198,7 @@
 	defer context.AfterFunc(ctx, func() { conn.Close() })()
 	l.peerAbsent, l.peerSeen = false, true // the peer may die before checkPeer finds its slot taken, and checkPeer must then report its death
 	l.writeMu.Lock()
-	l.conn, l.linkID = conn, l.core.PairLinked()
+	l.conn, l.linkID = conn, l.core.PairLinkUp()
 	l.writeMu.Unlock()
 	err := l.readMessages(conn)
 	if errors.Is(err, hotrestart.ErrStaleIdentity) {
@@ -208,11 +208,11 @@
 	l.nextDial = time.Now().Add(l.backoff)
 	conn.Close()
 	if errors.Is(err, hotrestart.ErrPeerReplaced) {
-		l.reportNoPeer() // before PairCut: the unread bytes of this link are not from the dead process
+		l.reportNoPeer() // before PairLinkDown: the unread bytes of this link are not from the dead process
 	}
 	l.writeMu.Lock()
 	l.conn = nil
-	l.core.PairCut(!endedByPeer(err))
+	l.core.PairLinkDown(!endedByPeer(err))
 	l.writeMu.Unlock()
 	if ctx.Err() != nil {
 		return
@@ -223,7 +223,7 @@
 	}
 	events.Log(l.log, "hotrestart.link_down", err)
 	if errors.Is(err, hotrestart.ErrPeerReplaced) {
-		l.core.PairOther()
+		l.core.PairPeerPresent()
 	}
 }
 
@@ -285,14 +285,14 @@
 var errNoLink = errors.New("no link to the other process")
 
 // flush writes all queued messages of a link. Once it returns nil, the peer can read them even if this process dies. After an error the
-// peer may not receive them. The error is errNoLink if the link was closed or replaced, or the error of Core.PairOut or of the write.
+// peer may not receive them. The error is errNoLink if the link was closed or replaced, or the error of Core.PairTakeOutbox or of the write.
 func (l *Link) flush(link int) error {
 	l.writeMu.Lock()
 	defer l.writeMu.Unlock()
 	if l.conn == nil || link != l.linkID {
 		return errNoLink
 	}
-	out, err := l.core.PairOut(l.linkID)
+	out, err := l.core.PairTakeOutbox(l.linkID)
 	if err != nil {
 		return err
 	}
--- a/internal/transport/restartlink/link_test.go
+++ b/internal/transport/restartlink/link_test.go
@@ -134,7 +134,7 @@
 	successor := startProcess(t, dir)
 	await(t, "the second process serves", successor.serves)
 	if r, s := predecessor.core.PairRole(), successor.core.PairRole(); r != hotrestart.Predecessor || s != hotrestart.Successor ||
-		!predecessor.core.Successor() || successor.core.Successor() {
+		!predecessor.core.SuccessorReady() || successor.core.SuccessorReady() {
 		t.Fatalf("roles %v and %v", r, s)
 	}
 	retry := successor.attempt("b1", "k", now)
--- a/internal/transport/scgi/front.go
+++ b/internal/transport/scgi/front.go
@@ -98,7 +98,7 @@
 	m, err := readHead(r)
 	if err == nil && f.isStatusRequest(m.headers) {
 		f.stats.Inc("status", Name)
-		slot.PaceCheapCall()
+		slot.ThrottleCheapCall()
 		f.write(conn, statusOf[core.Served], f.core.Status(), "application/json", "Cache-Control", "no-store")
 		linger.Close(conn, r, lingerTimeout, maxLingerBytes)
 		return
@@ -205,7 +205,7 @@
 		return
 	}
 	f.stats.Inc("dropped", Name)
-	f.core.CallerGone(q.ID)
+	f.core.CallerDisconnected(q.ID)
 }
 
 // writeAnswer writes an answer of the core as a response. A rejection gets a Retry-After header of at least 1 s.
--- a/internal/transport/scgi/upstream.go
+++ b/internal/transport/scgi/upstream.go
@@ -86,7 +86,7 @@
 	u.mu.Lock()
 	n := float64(u.running)
 	u.mu.Unlock()
-	u.events.Gauges(silverpath.Gauges{CPU: min(1, n/float64(u.cores)), OnCores: n, Connections: n})
+	u.events.Gauges(silverpath.Gauges{CPU: min(1, n/float64(u.cores)), RunnableTasks: n, Connections: n})
 }
 
 // run sends one request to the application server and returns its outcome and result. The outcome NotStarted proves that nothing ran,
--- a/internal/transport/simulator/decode.go
+++ b/internal/transport/simulator/decode.go
@@ -164,7 +164,7 @@
 		DuplicateOf:  d.optionalText("repeats"),
 		Caller:       int(d.integer("from", false)),
 		QueuedKB:     d.number("footprint", true),
-		Unread:       d.duration("unread_for", false),
+		ReadDelay:    d.duration("unread_for", false),
 		Deadline:     d.duration("drop_dead", false),
 		ExpectedWork: d.duration("expected", false),
 		Retry:        d.flag("again_by_client"),
--- a/pools_test.go
+++ b/pools_test.go
@@ -63,7 +63,7 @@
 		case k == 7 && len(ids) > 0:
 			s.Cancelled(now, ids[rng.IntN(len(ids))])
 		default:
-			s.Tick(now, Gauges{CPU: rng.Float64(), OnCores: float64(rng.IntN(6))})
+			s.Tick(now, Gauges{CPU: rng.Float64(), RunnableTasks: float64(rng.IntN(6))})
 		}
 	}
 	s.Drain(now, now+time.Second)
--- a/queue_test.go
+++ b/queue_test.go
@@ -34,7 +34,7 @@
 		s.Arrive(0, r)
 	}
 	r := testRequest("late", "read")
-	r.Unread = 900 * time.Millisecond
+	r.ReadDelay = 900 * time.Millisecond
 	s.Arrive(0, r)
 	if !h.called("refuse late") {
 		t.Errorf("request queued, though it cannot meet its objective: %v", h.lines)
--- a/record.go
+++ b/record.go
@@ -99,8 +99,8 @@
 
 // placeOfState maps the states to the places that are reported to pools.
 var placeOfState = [finished + 1]Place{
-	queued: PlaceWaiting, running: PlaceOnCores, preempting: PlaceOnCores, paused: PlaceAway,
-	awaitingCall: PlaceAway, calling: PlaceAway, joined: PlaceAway, finished: PlaceOver,
+	queued: PlaceQueued, running: PlaceOnCores, preempting: PlaceOnCores, paused: PlaceOffCores,
+	awaitingCall: PlaceOffCores, calling: PlaceOffCores, joined: PlaceOffCores, finished: PlaceFinished,
 }
 
 // class is a class of the settings with its statistics. A class of the same name in later settings shares
@@ -161,7 +161,7 @@
 	s.arrivals++
 	r := &request{
 		Request: incoming, seq: s.lastSeq, class: c, arrivedAt: s.now, stateSince: s.now, backoff: firstCallBackoff,
-		receivedAt: s.now - incoming.Unread, expectedWork: incoming.ExpectedWork.Seconds(),
+		receivedAt: s.now - incoming.ReadDelay, expectedWork: incoming.ExpectedWork.Seconds(),
 		tenantWeight: s.tenantWeight(incoming.Tenant),
 	}
 	r.deadline = r.receivedAt + c.Deadline
--- a/retryadvice_test.go
+++ b/retryadvice_test.go
@@ -15,7 +15,7 @@
 	s.Drain(0, time.Hour)
 	for i := range 20 {
 		r := testRequest(fmt.Sprint("r", i), "pay")
-		r.Unread = -2 * time.Second
+		r.ReadDelay = -2 * time.Second
 		s.Arrive(0, r)
 	}
 	final := 0
--- a/shedder.go
+++ b/shedder.go
@@ -73,9 +73,9 @@
 // UsePools adds pools as a further guard. It must be called before the first request.
 func (s *Shedder) UsePools(p Pools) { s.pools = p }
 
-// Started reports that the runner, which executes the requests, was started ago before now, and whether
+// RunnerStarted reports that the runner, which executes the requests, was started ago before now, and whether
 // that start was cold. It may be called long after New.
-func (s *Shedder) Started(now, ago time.Duration, cold bool) {
+func (s *Shedder) RunnerStarted(now, ago time.Duration, cold bool) {
 	s.advanceClock(now)
 	s.settings.Cold, s.startedAt = cold, now-ago
 	s.baselineStart = max(s.baselineStart, s.startedAt)
--- a/transitions_test.go
+++ b/transitions_test.go
@@ -34,10 +34,10 @@
 		now := time.Duration(i) * tickInterval
 		if i < 100 {
 			r := testRequest(fmt.Sprint("r", i), "read")
-			r.Unread = 990 * time.Millisecond
+			r.ReadDelay = 990 * time.Millisecond
 			s.Arrive(now, r)
 		}
-		s.Tick(now, Gauges{CPU: 1, OnCores: 2})
+		s.Tick(now, Gauges{CPU: 1, RunnableTasks: 2})
 	}
 	if h.count("log overload begins:") != 1 || h.count("log overload ends:") != 1 || h.count("log") != 2 {
 		for _, l := range h.lines {
