--- a/admission.go
+++ b/admission.go
@@ -2,8 +2,9 @@
 
 // Admission guards keep the server within the hard limits of its settings: memory, the number of runs that
 // it survives, and the grace period after a drain notice. Each limit is applied at limitMargin of its
-// value, whatever the adaptive concurrency limit admits. A request is checked twice: when it is queued, for
-// the memory that it takes in the queue, and when it starts, for the memory and the slot of a run.
+// value, whatever the adaptive concurrency limit admits. A request is checked twice. When it arrives, it is
+// rejected if there is no memory to queue it. When it is to start, it stays queued if there is no memory or
+// no slot for its run.
 //
 // Inputs: memory of all open requests and of the remembered keys (kilobytes), the number of started runs,
 // the drain state, and the pools, if there are any.
--- a/api.go
+++ b/api.go
@@ -109,7 +109,7 @@
 	Dependency    Dependency
 	CallQuota     float64       // for DependencyShared: mean concurrent calls allowed to this server
 	CallWindow    time.Duration // window over which the number of calls is averaged
-	CallLinger    time.Duration // an abandoned call stays at the dependency for this long
+	CallLinger    time.Duration // an abandoned call still counts against CallQuota for this long
 	Readiness     bool          // the server list that callers use reflects Host.Health
 	KeepAlive     time.Duration // callers close connections idle for this long
 	MarksRetries  bool          // callers mark retries
--- a/backpressure.go
+++ b/backpressure.go
@@ -33,7 +33,7 @@
 	s.updateIdleTimeout()
 	s.pressure = min(max(0, s.pressure+pressureGain*(rejectedShare-targetRejectionRatio)), 1)
 	switch s.settings.Signal {
-	case SignalLevel: // never holds back the class of the highest weight
+	case SignalLevel: // at most 1-1/classes, so that callers never hold back the class with the highest weight
 		s.host.Signal(s.pressure * (1 - 1/float64(len(s.classes))))
 	case SignalCredit: // from maxRuns down to the number of cores
 		maxRequests := max(s.maxRuns()*(1-s.pressure), float64(s.settings.Cores))
--- a/golden_test.go
+++ b/golden_test.go
@@ -154,7 +154,8 @@
 	return r.lines
 }
 
-// applyOperatorEvents plays the events of operators and of the platform on a day of kind 2.
+// applyOperatorEvents applies the events of operators and of the platform that are due now. Only the runs whose seed selects kind 2 have
+// such events.
 func (r *recorder) applyOperatorEvents(t *testing.T) {
 	t.Helper()
 	switch r.now {
--- a/internal/controlplane/configwatch/configwatch_test.go
+++ b/internal/controlplane/configwatch/configwatch_test.go
@@ -68,7 +68,7 @@
 			t.Errorf("%s: confirmed although the active version was not applied: %q", name, f.StopReason())
 		}
 		if name == "a text" {
-			continue // a text is not delivered again
+			continue // a document in one text is not applied again after it failed
 		}
 		applyErr, reasons = nil, nil
 		if !f.sync(t.Context()) || f.StopReason() != "" {
--- a/internal/controlplane/configwatch/stop.go
+++ b/internal/controlplane/configwatch/stop.go
@@ -47,8 +47,8 @@
 	return ""
 }
 
-// watchConfirmation logs the end of a confirmation at once, also while a request to the group is pending. It returns when
-// the context ends.
+// watchConfirmation logs the stop as soon as the last confirmation by the group has expired, even while a request to the group is
+// pending. It returns when the context ends.
 func (w *Watcher) watchConfirmation(ctx context.Context) {
 	for ctx.Err() == nil {
 		remaining := time.Duration(w.confirmedUntil.Load()) - w.clock()
--- a/internal/controlplane/quorum/member/vouch.go
+++ b/internal/controlplane/quorum/member/vouch.go
@@ -30,7 +30,8 @@
 	Commit uint64 `json:"commit"`
 }
 
-// aheadOf compares a mark with another one of the same disk. It returns the error text for what is ahead of the other one; empty: nothing.
+// aheadOf compares a mark with another one of the same disk. If its term or its commit index is higher than that of other, it returns an
+// error text that names the two values. Otherwise it returns an empty string.
 func (m diskMark) aheadOf(other diskMark) string {
 	switch {
 	case m.Term > other.Term:
--- a/internal/controlplane/runner/runner.go
+++ b/internal/controlplane/runner/runner.go
@@ -120,7 +120,7 @@
 	return terms
 }
 
-// pause waits for d or until the context ends.
+// sleep waits for d or until the context ends.
 func sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
@@ -134,7 +134,7 @@
 	name string
 	log  zerolog.Logger
 
-	mu               sync.Mutex // protects holder and acting
+	mu               sync.Mutex // protects holder and actionInProgress
 	holder           *lease.Holder
 	actionInProgress bool // an action is in progress, from beginAction to endAction
 
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -297,7 +297,8 @@
 func (c *Core) IdleAfter() time.Duration { return c.published.Load().IdleAfter }
 
 // StartStamp returns when the service started, in Unix milliseconds, and whether routers receive it, which is the case in a cell.
-// If runs are persisted, it returns the time since which all runs are known.
+// If runs are persisted, it returns the time since which all runs are known. That time does not change at a restart, so routers do not
+// treat the keys of this server as lost.
 func (c *Core) StartStamp() (int64, bool) {
 	if c.cell && c.store != nil {
 		return c.store.CompleteSince(), true
--- a/internal/core/host.go
+++ b/internal/core/host.go
@@ -6,7 +6,7 @@
 	"silverpath/internal/events"
 )
 
-// expiredWithin is how long before the deadline a failure is already reported as Expired.
+// expiredWithin: a failure less than this before the deadline is reported as Expired.
 const expiredWithin = 100 * time.Millisecond
 
 // host implements silverpath.Host. The module calls it under the core's lock. Every method records an action, and performActions
--- a/internal/core/idempotency.go
+++ b/internal/core/idempotency.go
@@ -205,8 +205,8 @@
 	return b
 }
 
-// shareRead shares a read with later reads for d. Idempotent requests are unaffected, as their keys are kept from their arrival
-// on.
+// shareRead lets later reads of the same object use the result of this read for d. It does nothing for an idempotent request, whose key
+// is in the table since the request arrived.
 func (k *keyTable) shareRead(t *task, d time.Duration) {
 	if x := t.execution; x != nil && x.entry.isRead && x.entry.queued == nil {
 		k.dropResult(x.entry)
--- a/internal/core/persistence.go
+++ b/internal/core/persistence.go
@@ -8,7 +8,8 @@
 	"silverpath/internal/policy/idempotency"
 )
 
-// Store persists the runs of idempotent requests, so that they survive the process. Package idempotencystore implements it. No
+// Store persists the runs of idempotent requests, so that they survive the process. Without a store a restart forgets all runs, and a
+// retry runs again unless a heartbeat or the routers prevent that. Package idempotencystore implements it. No
 // method blocks. Methods with a done callback call it once the record is durable, or with an error if that is not certain, and
 // never under the core's lock.
 type Store interface {
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -295,7 +295,8 @@
 	t.enqueue(event{kind: runRequested, notice: notice, linkID: linkID})
 }
 
-// join makes a request wait for the run that it duplicates, or takes the result of that run if it has ended.
+// join makes a request wait for the run that it duplicates, or answers it at once if that run has ended: with its result, or with a
+// failure if the run failed or a restart has lost its result.
 func (c *Core) join(t *task) {
 	x := t.duplicateOf
 	t.joining = true
--- a/internal/core/types.go
+++ b/internal/core/types.go
@@ -20,7 +20,7 @@
 )
 
 // String returns the outcome's name in counters. Rejected is written "refused"; the counter turned_away is separate and counts the
-// requests that the core or a front rejects without asking the module.
+// requests that the core or a front answers without asking the module, with any outcome.
 func (o Outcome) String() string {
 	return [...]string{"served", "refused", "failed", "expired", "invalid"}[o]
 }
--- a/internal/policy/admission/arrivalgate.go
+++ b/internal/policy/admission/arrivalgate.go
@@ -14,7 +14,7 @@
 const (
 	closeThreshold   = 16                     // consecutive rejections that close an open gate
 	recloseThreshold = 4                      // consecutive rejections that close the gate again after it opened
-	closedDuration   = 20 * time.Millisecond  // under a tick of the module, whose answer can change with each tick
+	closedDuration   = 20 * time.Millisecond  // shorter than the tick interval of the module, whose decision on an arrival can change with each tick
 	maxRejectionGap  = 100 * time.Millisecond // longest time between two consecutive rejections; rarer ones are not a flood
 )
 
--- a/internal/policy/capacity/breaks.go
+++ b/internal/policy/capacity/breaks.go
@@ -172,7 +172,8 @@
 		cost := Cost{Event: event, PerDay: Number(perDay), Servers: Number(servers), FailedWithoutStore: Number(keyedRequests), Commits: Number(groupCommits),
 			MapVersions: Number(mapVersions), Connections: Number(servers * c.routers), DetectionTime: notMeasured()}
 		if silent {
-			// Routers choose the server until they detect the failure. Without a measurement this takes one health check interval.
+			// Routers choose the server until they detect the failure. If the detection time was not measured, one health check interval
+			// is assumed.
 			if cost.DetectionTime = c.results.At("router.dead_after.servers_lost.silent", servers); cost.DetectionTime.Basis == NotMeasured {
 				cost.DetectionTime = assumed(assumptions.ProbeInterval)
 			}
--- a/internal/policy/capacity/plan_test.go
+++ b/internal/policy/capacity/plan_test.go
@@ -157,7 +157,7 @@
 	// The budget is exceeded within the measured sizes of a series without a fit, which has no estimate beyond them.
 	withoutFit := Results{Series: []Series{{Name: "a", Points: []Point{{10, []float64{1}}, {20, []float64{3}}}}}}
 	if share, e := lowestShareOver(2, func(s float64) Estimate { return withoutFit.At("a", 100*s) }); math.Abs(share-0.15) > 1e-6 || e.Basis != Measured {
-		t.Errorf("series without a fit: share %v, estimate %v", share, e)
+		t.Errorf("series without a fit: share %v, estimate %v, want 0.15 and a measured one", share, e)
 	}
 }
 
--- a/internal/policy/cells/parts_test.go
+++ b/internal/policy/cells/parts_test.go
@@ -583,12 +583,12 @@
 	otherServers.Servers = slices.Clone(m.Servers)
 	otherServers.Servers[0].Weight = 9
 	if s := otherServers.Server("s0"); s == nil || s.Weight != 9 {
-		t.Errorf("a server of the copy: %+v", s)
+		t.Errorf("server s0 of the copy: %+v, want weight 9", s)
 	}
 	otherTenants.Tenants = slices.Clone(m.Tenants)
 	otherTenants.Tenants[0].Rate = 7
 	if _, rate := otherTenants.AgreedRate("kvizmojster"); rate != 7 {
-		t.Errorf("a rate of the copy: %v", rate)
+		t.Errorf("rate of kvizmojster in the copy: %v, want 7", rate)
 	}
 	shorter.Servers, shorter.Tenants = m.Servers[:11], m.Tenants[:3]
 	if _, ok := shorter.Route(t0, "nobody", ""); ok || shorter.Server("s11") != nil {
--- a/internal/policy/configstore/tracker_test.go
+++ b/internal/policy/configstore/tracker_test.go
@@ -103,7 +103,7 @@
 		tracker.Observe(0, ID{n, 2}, "old")
 	}
 	if newest, ok := tracker.Newest(); !ok || newest.ID.Version != 1000 || len(tracker.versions) > maxVersions || len(newest.Source) > maxSourceNameSize {
-		t.Errorf("newest %v, %d versions stored", newest, len(tracker.versions))
+		t.Errorf("newest %v, %d versions stored, want version 1000 with a clipped source and at most maxVersions", newest, len(tracker.versions))
 	}
 	if tracker.Check(0, ID{1000, 1}) != VerdictValid {
 		t.Error("a conflict of old versions affects the newest one")
--- a/internal/policy/controller/journal.go
+++ b/internal/policy/controller/journal.go
@@ -27,7 +27,7 @@
 const (
 	DirectivePause  = "pause"
 	DirectiveResume = "resume" // ends a pause; it is not stored
-	DirectiveAbort  = "abort"  // ends the item; DirectResume does not revoke it
+	DirectiveAbort  = "abort"  // ends the item; DirectiveResume does not revoke it
 )
 
 // Item is one request to a duty, with its state.
@@ -41,7 +41,7 @@
 	Attempts  int             `json:"tries,omitempty"` // number of plans that could not be published
 	Plan      string          `json:"plan,omitempty"`  // what to do, or the progress; a string, as it is compared byte by byte
 	Note      string          `json:"note,omitempty"`  // for people
-	Directive string          `json:"wish,omitempty"`  // DirectPause, DirectAbort or empty
+	Directive string          `json:"wish,omitempty"`  // DirectivePause, DirectiveAbort or empty
 }
 
 // Journal has the items of one duty. Only Submit, SetDirective and Apply change it, in the order of the group's log.
--- a/internal/policy/fence/fence.go
+++ b/internal/policy/fence/fence.go
@@ -5,8 +5,10 @@
 // and resumes after its successor has acted. A lease can't prevent this, as the suspended process does not notice the time that passes.
 // Without the fence, a server could be evacuated for a rollout that is over.
 //
-// The fence works because epochs rise with each holding of a duty and steps with each journal write, so that a delayed command is
-// always lower than the first command of the successor. The highest command is on disk before it takes effect.
+// The fence works because epochs rise with each holding of a duty and steps with each journal write. A delayed command is therefore lower
+// than the first command of the successor, and a server that has received that one refuses the delayed one. A server that has not
+// received it yet still accepts the delayed command; the successor therefore starts by sending the unfinished commands of its
+// predecessor again. The highest command is on disk before it takes effect.
 //
 // Fence has no I/O; File is a fence that persists across restarts of its process.
 package fence
--- a/internal/policy/idempotency/ledger_test.go
+++ b/internal/policy/idempotency/ledger_test.go
@@ -39,7 +39,7 @@
 			t.Fatalf("record kept: %v, at an age of %v", kept, age)
 		}
 		if action := recovered.State.Action(); action == Execute || action == Join || (action == Replay) != (r.State == Completed) {
-			t.Fatalf("state %v is recovered as %v with action %v", r.State, recovered.State, action)
+			t.Fatalf("state %v is recovered as %v with action %v, want Replay only for Completed, and neither Execute nor Join", r.State, recovered.State, action)
 		}
 	})
 }
--- a/internal/policy/idempotency/record.go
+++ b/internal/policy/idempotency/record.go
@@ -15,10 +15,10 @@
 // The states of a key.
 const (
 	Unknown   State = iota // the store has no record of the key
-	Intended               // the intent to run is being written; the run begins after the intent is durable
+	Intended               // the intent to run is being written, as a record in state Running; the run begins after the intent is durable
 	Running                // the intent is durable; the request may be running or may have run
 	Completed              // the result is durable
-	Failed                 // the request ran or may have run, and its result is lost for good
+	Failed                 // the request may have run, as far as the store knows, and its result is lost for good
 	Moved                  // a router looked up the key while it was unknown here; the request runs on another server
 	Expired                // the window of the key is over
 )
--- a/internal/policy/lease/lease.go
+++ b/internal/policy/lease/lease.go
@@ -5,7 +5,8 @@
 //
 // Two processes never hold the same duty at once as long as every monotonic clock runs at between 1-drift and 1+drift of true time.
 // The holder counts a shortened lease from before it sent its request; the leader counts a lengthened one from after it received the
-// request. docs/design/owner.md has the proof.
+// request. docs/design/owner.md has the proof. A process that is suspended after it checked its lease can still act late: package fence
+// rejects such commands.
 package lease
 
 import (
--- a/internal/policy/loadbalancer/ejection.go
+++ b/internal/policy/loadbalancer/ejection.go
@@ -5,7 +5,7 @@
 // Outlier ejection and the circuit breaker. Inputs: the outcome and duration of each attempt. A server is ejected when its failure ratio,
 // a moving average, reaches ejectionThreshold after at least minAttempts. Its circuit is then open and it gets no attempts of requests
 // without an idempotency key. Requests with a key are still sent to their home (homes.go). After baseEjection the circuit is half open
-// and the server gets one attempt at a time; the time doubles with each ejection that follows without a success between, up to
+// at the next Pick that considers the server, and the server gets one attempt at a time; the time doubles with each ejection that follows without a success between, up to
 // maxEjection. The first attempt that ends while the circuit is half open, even one that began before the ejection, decides: if it is
 // served or rejected, the circuit closes and the server's ramp begins (Config.SlowStart); otherwise the server is ejected again.
 // selection.go handles the case that too many servers of a cell are ejected at once.
@@ -28,7 +28,7 @@
 // The states of a server's circuit breaker.
 const (
 	CircuitClosed   Circuit = iota // the server gets attempts
-	CircuitOpen                    // the server is ejected and gets only requests with an idempotency key
+	CircuitOpen                    // the server is ejected and gets only requests with an idempotency key, unless a panic ignores ejection
 	CircuitHalfOpen                // the server gets one trial attempt at a time
 )
 
--- a/internal/policy/loadbalancer/loadbalancer.go
+++ b/internal/policy/loadbalancer/loadbalancer.go
@@ -26,8 +26,8 @@
 type Config struct {
 	RetryRatio      float64       // retries, as a ratio of first attempts; 0.1 by default
 	HedgeRatio      float64       // hedged requests, as a ratio of first attempts; 0.05 by default
-	MaxEjectedRatio float64       // ratio of a cell's servers that may be skipped as suspect or slow; 0.4 by default. PanicThreshold bounds ejection
-	PanicThreshold  float64       // health is ignored if a smaller ratio of a cell's servers is in use; 0.5 by default
+	MaxEjectedRatio float64       // ratio of a cell's servers that may be skipped as suspect or slow; 0.4 by default. It does not limit ejection
+	PanicThreshold  float64       // health and ejection are ignored if a smaller ratio of the candidates is neither dead nor ejected; 0.5 by default
 	SlowStart       time.Duration // ramp of a recovered server to its full share; 10 s by default. Servers also grant their own: policy/slowstart
 	KeyWindow       time.Duration // period after the start of its run in which a request with an idempotency key may be repeated
 	MaxInFlight     int           // maximum requests in flight to a server; 256 by default
@@ -92,7 +92,7 @@
 	inFlight      int
 	latency       float64 // seconds, a moving average
 	failureRatio  float64 // a moving average over recent attempts
-	attempts      int     // since the process started
+	attempts      int     // since the server's process started
 	circuit       Circuit
 	openUntil     time.Duration // end of the open state
 	ejections     int           // consecutive
--- a/internal/policy/loadbalancer/selection.go
+++ b/internal/policy/loadbalancer/selection.go
@@ -11,8 +11,8 @@
 // requests in flight and latency of each. Two servers are drawn, and the one with the lower cost is chosen. The cost is the latency times
 // the requests that would then be in flight, divided by the weight and by the ratio of its share that the server gets in its slow start.
 //
-// Suspects and slow outliers are skipped, the worst first, as long as at least 1-MaxEjectedRatio of the cell's servers remain. If fewer
-// than PanicThreshold of the servers are neither dead nor ejected, the fault is more likely the router's own or shared by all servers.
+// Suspects and slow outliers are skipped, the worst first, as long as at least 1-MaxEjectedRatio of the candidates remain. If fewer
+// than PanicThreshold of the candidates are neither dead nor ejected, the fault is more likely the router's own or shared by all servers.
 // Health is then ignored, and all servers are eligible except those that are full or have an active Retry-After.
 const (
 	maxCandidates  = 16  // servers per choice: all of a small cell, a sample of a large one, which bounds the cost
--- a/internal/policy/quota/ledger.go
+++ b/internal/policy/quota/ledger.go
@@ -177,8 +177,8 @@
 	return clamped
 }
 
-// maxInUse returns, for each constraint of a cell, the most that a router may be using: the largest sum of one of its outstanding
-// grants, as it uses one grant at a time.
+// maxInUse returns, for each constraint of a cell, the highest rate that a router may be using. For each unexpired grant of the router
+// it sums the rates of the tenants of the constraint. It takes the largest of these sums, because a router uses one grant at a time.
 func (l *Ledger) maxInUse(now time.Duration, cell string, constraints []constraint, b *borrower) []float64 {
 	inUse := make([]float64, len(constraints))
 	for _, o := range b.outstanding {
--- a/internal/policy/quota/quota.go
+++ b/internal/policy/quota/quota.go
@@ -40,8 +40,8 @@
 	Servers []string
 }
 
-// CapacityOf returns the capacity of each cell of a map at a time, by cell name. It stays valid until the next change that the map makes
-// by time alone.
+// CapacityOf returns the capacity of each cell of a map at the time now, by cell name. The result is valid until the next time in the map
+// at which a server joins or leaves, or a tenant moves (Map.NextChange).
 func CapacityOf(m *cells.Map, now time.Time) map[string]Capacity {
 	all := map[string]Capacity{}
 	for _, c := range m.Cells {
--- a/internal/proxy/groupsource.go
+++ b/internal/proxy/groupsource.go
@@ -24,7 +24,7 @@
 	latestConfirmedAt    time.Time         // when the request was sent whose answer confirmed latest as the newest; zero: not confirmed yet
 	delivered            namedMap          // the map that Load returned last
 	deliveredConfirmedAt time.Time         // when delivered was last known to be the newest
-	deliveredInParts     *cells.Map        // the map in parts that Load returned last; nil: none, or a complete map was applied since
+	deliveredInParts     *cells.Map        // the last map that Load returned, if it came in parts; nil if none has, or if a map has since come as one text
 	delta                map[string]string // the parts by which latest differs from deliveredInParts
 	joined               joinedParts       // result of the last join: a proposed change is checked repeatedly before it is applied
 }
--- a/internal/proxy/parts_test.go
+++ b/internal/proxy/parts_test.go
@@ -308,7 +308,7 @@
 		if err := WriteMap(path, nextVersion(m)); err != nil {
 			t.Fatal(err)
 		}
-		if f.stamps, err = stampsOf(path, f.settleTime); err != nil { // as if both versions had left the same stamp
+		if f.stamps, err = stampsOf(path, f.settleTime); err != nil { // as if the file had the same size and times with both versions
 			t.Fatal(err)
 		}
 		n, _, err := f.Load(m)
@@ -578,7 +578,7 @@
 
 // ---- Runner ----
 
-// newRunner returns a Runner with a source, that is closed at the end of the test.
+// newRunner returns a Runner that reads maps from src. The Runner is closed at the end of the test.
 func newRunner(t *testing.T, src Source, out io.Writer, dial func(context.Context, string) (*msgpackrpc.Conn, error)) *Runner {
 	t.Helper()
 	r, err := New(Config{Name: "r", Source: src, Cores: 1, HealthCheckInterval: time.Hour, MaxConnections: 10, Dial: dial}, &fakeCore{}, log.New(out, "", 0), &metrics.Counters{})
--- a/internal/proxy/statefile_test.go
+++ b/internal/proxy/statefile_test.go
@@ -102,7 +102,7 @@
 		}
 	}
 	if got := readEntries(t, copyFixture(t, "state-whole.db")); got["time/read"] != "0000018bcfe56cd2" || len(got["whole/map"]) != 2*len(text) {
-		t.Errorf("time %q, map of %d bytes", got["time/read"], len(got["whole/map"])/2)
+		t.Errorf("state-whole.db: time %q, map of %d bytes, want 0000018bcfe56cd2 and the bytes of the fixture's map", got["time/read"], len(got["whole/map"])/2)
 	}
 	if got := readEntries(t, copyFixture(t, "state-parts.db")); got["parts/digest"] != "3069aa281632cebd" || len(got) != 1+1+290 {
 		t.Errorf("digest %q, %d entries", got["parts/digest"], len(got))
@@ -123,7 +123,7 @@
 	return path
 }
 
-// contents returns the entries of a database in hexadecimal, by bucket/key.
+// readEntries returns the entries of a database in hexadecimal, by bucket/key.
 func readEntries(t *testing.T, path string) map[string]string {
 	t.Helper()
 	db, err := bbolt.Open(path, 0o600, &bbolt.Options{Timeout: time.Second})
--- a/internal/proxy/upstream.go
+++ b/internal/proxy/upstream.go
@@ -119,7 +119,8 @@
 	return attemptResult{outcome: loadbalancer.NotSent}, nil
 }
 
-// connectOutcome returns the outcome for an error of conn. Either outcome is proof that the request never ran, as nothing was sent.
+// connectOutcome returns the outcome for an error of conn. Either outcome is proof that the request never ran, as nothing was
+// sent. Both count as failures of the server.
 func connectOutcome(err error) loadbalancer.Outcome {
 	var op *net.OpError
 	if errors.Is(err, syscall.ECONNREFUSED) || errors.As(err, &op) {
--- a/internal/storage/idempotencystore/offline.go
+++ b/internal/storage/idempotencystore/offline.go
@@ -155,7 +155,7 @@
 		var recordErr error
 		err := f.scan(scanChunkSize, func(list []idempotency.Record, unreadable []uint64) {
 			if len(unreadable) > 0 {
-				recordErr = errors.Join(recordErr, fmt.Errorf("%d records can't be read: a service moves them aside when it starts", len(unreadable)))
+				recordErr = errors.Join(recordErr, fmt.Errorf("%d records can't be read, so the file is not rewritten: start the service once, which quarantines them", len(unreadable)))
 			}
 			for _, r := range list {
 				if r, keep := transform(r); keep && recordErr == nil {
--- a/internal/testkit/benchmarks/floods.go
+++ b/internal/testkit/benchmarks/floods.go
@@ -84,8 +84,8 @@
 	}
 }
 
-// measureMove moves a tenant under load while every oddaja request is repeated within its key window. In the last variant
-// it also kills one of the cell's four servers during the move.
+// measureMove moves a tenant under load while every idempotent request (class oddaja) is sent again before its key expires. The last
+// row of the table also kills one of the cell's four servers during the move.
 func measureMove(b *testing.B, bin string) {
 	names := []string{"a", "b", "c"}
 	fmt.Println("\n| evening | worth of the moved | of all others | sheets run | twice | repeats | same answer | missed | failed | move took |")
--- a/internal/testkit/benchmarks/parts.go
+++ b/internal/testkit/benchmarks/parts.go
@@ -82,7 +82,7 @@
 	partsRouters        = 4
 	partsServers        = 930 // in the map
 	partsLeaseTTL       = 3 * time.Second
-	partsIdleTime       = 8 * time.Second // measured without changes
+	partsIdleTime       = 8 * time.Second // duration of the stretch without changes
 	partsSettleTime     = 3 * time.Second
 	partsChangesPerSize = 5
 	partsMaxDelay       = 8 * time.Second // bound on a change until every process acts on it
--- a/internal/testkit/benchmarks/rules_test.go
+++ b/internal/testkit/benchmarks/rules_test.go
@@ -47,6 +47,6 @@
 		t.Error(s)
 	}
 	if sum.overCapacity > 0 || sum.served < 10 || rig.total.activeMaps < 2 || rig.total.acknowledged < 1 || rig.total.activations < 8 {
-		t.Errorf("%+v, %+v", sum, rig.total)
+		t.Errorf("outcome %+v, totals %+v, want none over capacity, 10 served, 2 active maps, 1 acknowledged and 8 activations", sum, rig.total)
 	}
 }
--- a/internal/transport/interpreter/link_test.go
+++ b/internal/transport/interpreter/link_test.go
@@ -412,7 +412,7 @@
 	})
 }
 
-// For any input, reading ends with the link. It neither panics nor reports the end of a run that was not started.
+// For any input, the reader returns once the link is closed. It neither panics nor reports the end of a run that was not started.
 func FuzzNotices(f *testing.F) {
 	pass := `{"type":"VALUE","n":3,"job":"a","state":"PASS","took":12,"data":"b2s="}`
 	f.Add(banner + "\n" + topsSync + "\n" + pass + "\n" + pass + "\n")
--- a/internal/transport/listener/slot.go
+++ b/internal/transport/listener/slot.go
@@ -99,8 +99,9 @@
 	}
 }
 
-// OnDrain sets the function that asks the peer to close the connection. It is called in a drain, at once if a drain is in progress, and
-// when the connection has been idle too long. Without it the connection is closed only by an eviction or by EndConnections.
+// OnDrain sets the function that asks the peer to close the connection. The function is called when a drain starts, and when the
+// connection has been idle too long. If a drain is already in progress, OnDrain calls it at once. If no function is set, only an eviction
+// or EndConnections closes the connection.
 func (s *Slot) OnDrain(notice func()) {
 	s.owner.mu.Lock()
 	s.onDrain = notice
--- a/internal/transport/msgpackrpc/request.go
+++ b/internal/transport/msgpackrpc/request.go
@@ -37,7 +37,8 @@
 		return nil
 	}
 	if class, _ := c.core.Class(m.method); !c.slot.AdmitsWork() && class.Effect != silverpath.Idempotent {
-		// This connection is reserved for cheap calls. An idempotent request may be cheap: the retry of one that has run already.
+		// This connection is reserved for calls that start no run. An idempotent request is not rejected here: it may be the retry of a
+		// request that has already run.
 		c.stats.Inc("turned_away", Name, "reserve")
 		c.writeAnswer(m.id, core.Answer{Outcome: core.Rejected, RetryAfter: c.core.RetryAfter()})
 		c.notifyDrain()
--- a/internal/transport/msgpackrpc/wire.go
+++ b/internal/transport/msgpackrpc/wire.go
@@ -36,7 +36,7 @@
 
 // Errors of an answer, see Reply.Error.
 const (
-	// ErrorFull rejects a request: nothing ran, and another server or a later attempt may serve it.
+	// ErrorFull rejects a request, for any reason: this attempt never ran. Fields say why and when to retry.
 	ErrorFull   = "Full"
 	errorFailed = "Error" // the request failed; it may have run
 )
--- a/internal/transport/restartlink/earlier_build_test.go
+++ b/internal/transport/restartlink/earlier_build_test.go
@@ -257,7 +257,7 @@
 	}
 }
 
-// readRuns reads n frames of runs, which may come in any order, and returns them without their times.
+// readRuns reads n frames, each of which announces a run. It returns the frames without the times in them; they may come in any order.
 func (p *earlierProcess) readRuns(n int) (list []string) {
 	p.t.Helper()
 	for range n {
--- a/pools_test.go
+++ b/pools_test.go
@@ -142,7 +142,7 @@
 	s.RejectedUnread(time.Second, "read", 100)
 	s.RejectedUnread(time.Second, "nothing", 100)
 	if s.arrivals != 100 || s.rejections != 100 || s.rejectedBy[reasonForecast] != 100 || s.classByName["read"].requestedWork <= 0 {
-		t.Errorf("arrivals %v, rejections %v, rejections by rule %v", s.arrivals, s.rejections, s.rejectedBy)
+		t.Errorf("100 requests rejected unread: %v arrivals, %v rejections, by rule %v, want 100, 100 and 100 by forecast, and work", s.arrivals, s.rejections, s.rejectedBy)
 	}
 	for range 40 {
 		s.RejectedUnread(s.now+tickInterval, "read", 100)
--- a/record.go
+++ b/record.go
@@ -78,8 +78,8 @@
 
 const (
 	reasonConcurrencyLimit rejectionReason = iota // the adaptive concurrency limit
-	reasonGuard                                   // memory, keys, drain, or more open requests than maxRuns
-	reasonForecast                                // the request cannot meet its objective
+	reasonGuard                                   // memory (also of its key), drain, pool, open requests
+	reasonForecast                                // forecast too late, expired in the queue, or rejected unread
 	rejectionReasonCount                          // number of reasons
 )
 
--- a/shedder.go
+++ b/shedder.go
@@ -17,7 +17,8 @@
 //	backpressure.go  the signal to callers, and the idle timeout of connections
 //	transitions.go   log lines at the start and end of an overload or of slow calls
 //
-// The first of these rules that applies decides about an arrival:
+// The host calls Arrive for requests that its own limits admit. The first of these rules that applies decides
+// about an arrival:
 //
 //   1. it duplicates a remembered request: it joins that request (idempotency.go);
 //   2. the server is overloaded and the class is over its concurrency limit: it is rejected (overload.go);
