--- a/cmd/silverpath/earlier_build_test.go
+++ b/cmd/silverpath/earlier_build_test.go
@@ -261,7 +261,7 @@
 				}
 				if names := slices.Sorted(maps.Keys(status.Store)); !slices.Equal(names, []string{"bytes", "expected", "known", "limit", "live", "loaded",
 					"pace_us", "phase", "reserved"}) || status.Store["phase"] != "open" || status.Store["known"] != true {
-					t.Errorf("status: %v", status.Store)
+					t.Errorf("status of the store: %v, want phase open, known true and exactly the listed fields", status.Store)
 				}
 				g.Leave(t)
 				// The earlier build has to read what this one wrote: the header by field names, a record by
--- a/cmd/silverpath/wire_golden_test.go
+++ b/cmd/silverpath/wire_golden_test.go
@@ -41,7 +41,7 @@
 	replacement string
 }
 
-// record records a message, with the mark of its sender.
+// record appends a line with the sender and the message, after the masks are applied.
 func (tr *transcript) record(sender string, message []byte) {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
--- a/internal/builtinworker/machine.go
+++ b/internal/builtinworker/machine.go
@@ -33,7 +33,7 @@
 	remainingWork map[string]float64 // work-seconds, by run
 	order         []string           // runs in start order: makes the order of simultaneous ends deterministic
 	runSeconds    float64            // integral of the number of runs over time
-	busySeconds   float64            // integral of the number of busy cores over time, at most cores
+	busySeconds   float64            // integral over time of the number of busy cores, which never exceeds the field cores
 	cores         float64
 }
 
--- a/internal/controlplane/configwatch/configwatch.go
+++ b/internal/controlplane/configwatch/configwatch.go
@@ -55,9 +55,9 @@
 	QuotaRequest() (r quota.Request, granted func(g quota.Grant, t lease.Terms))
 }
 
-// Test programs set these variables. Formats overrides the highest format that the process reads, by document.
-// DisabledGuards disables guards of the replica. Rate is the speed of the process's clock relative to real time. Wall is
-// its wall clock.
+// Test programs set these variables. FormatOverrides overrides the highest format that the process reads, by
+// document. DisabledGuards disables guards of the replica. ClockRate is the speed of the process's clock relative to real time.
+// WallClock is its wall clock.
 var (
 	FormatOverrides map[string]int
 	DisabledGuards  configstore.DisabledGuards
--- a/internal/controlplane/quorum/member/golden_test.go
+++ b/internal/controlplane/quorum/member/golden_test.go
@@ -37,7 +37,7 @@
 
 // A build that cannot read an earlier build's disk, or reads it differently, would lose the state of the group in an upgrade. The member
 // must keep its identity, become leader again, as the only member, and reply as the earlier build would have: with the duties and
-// journals, the documents with the change in progress, and the versions for a process. Each disk has a snapshot and later entries. One has
+// journals, the documents with the change in progress, and the document versions that a process is to apply. Each disk has a snapshot and later entries. One has
 // unsplit documents, the other a map in parts.
 func TestDiskOfAnEarlierBuild(t *testing.T) {
 	for _, kind := range []string{"whole", "parts"} {
--- a/internal/policy/admission/hillclimb.go
+++ b/internal/policy/admission/hillclimb.go
@@ -85,8 +85,8 @@
 	minBurstsPerDeepCut  = 9                      // bursts in the sample of a deep cut
 	minSampleLength      = 300 * time.Millisecond // a shorter one measures single runs
 	maxSampleLength      = 4 * time.Second        // applies even if too few bursts ended, so that a stalled server is followed
-	sampleLengthInBursts = 1.5                    // minimum length in mean bursts: a run that began with the sample can end in it
-	settleTimeInBursts   = 1.2                    // wait in mean bursts before a sample: runs from the previous limit have ended by then
+	sampleLengthInBursts = 1.5                    // minimum length of a sample, as a multiple of the mean burst time: a run that starts with the sample can end within it
+	settleTimeInBursts   = 1.2                    // wait before a sample, as a multiple of the mean burst time: runs from the previous limit have ended by then
 
 	minUtilization = 0.85 // fraction of the limit that must be in use for a sample to say something about the limit
 	maxUtilization = 1.3  // fraction of the limit above which something other than runs loads the cores
@@ -272,9 +272,9 @@
 	c.applySlope(throughputGain / runsGain)
 }
 
-// applySlope moves the limit by the slope that a probe measured. The knee is searched for between the highest limit known to be below it
-// and the lowest limit known to be above it, and then followed in small steps. A single probe is often wrong, so the opposite bound is
-// discarded only after two consecutive probes contradict it.
+// applySlope moves the limit up or down according to the slope that a probe measured. The knee is searched for between the highest limit known to be below it
+// and the lowest limit known to be above it, and then followed in small steps. A single probe is often wrong, so a bound is
+// discarded only after two consecutive probes contradict that bound.
 func (c *HillClimber) applySlope(slope float64) {
 	up := slope > kneeSlope
 	if up == c.lastProbeUp {
--- a/internal/policy/admission/usl_test.go
+++ b/internal/policy/admission/usl_test.go
@@ -27,7 +27,7 @@
 
 const (
 	uslInterval      = 600 * time.Millisecond
-	uslPointDecay    = 0.9 // factor of the weight of a point with each later one
+	uslPointDecay    = 0.9 // the weight of a point is multiplied by this for each later point
 	uslMaxPoints     = 24
 	uslProbeDistance = 0.2 // fraction by which every second interval is below the limit
 	uslGrowth        = 1.15
--- a/internal/policy/capacity/plan_test.go
+++ b/internal/policy/capacity/plan_test.go
@@ -268,7 +268,7 @@
 		}
 	}
 	if first := p.BreakingPoints[0]; first.Name != "router: processor, health checks, of a whole core" || !approxEqual(first.Share, 0.1) {
-		t.Errorf("first breaking point: %+v", first)
+		t.Errorf("first breaking point: %+v, want the router's processor for health checks at a share of 0.1", first)
 	}
 	if last := p.BreakingPoints[len(p.BreakingPoints)-1]; last.Stops {
 		t.Errorf("last breaking point stops something: %+v", last)
@@ -469,8 +469,8 @@
 	if b, ok := p.findBreakingPoint("follower: the map in force and the next one in one answer"); ok {
 		t.Errorf("whole map in one answer in spite of parts: %+v", b)
 	}
-	// 1,000 tenants in 256 parts: a mean of 3.9 plus four times its square root, 11.8, of 100 bytes each. After a year of 864 moves a day also
-	// 1,231.9 + 140.4 former homes of 54 bytes each.
+	// 1,000 tenants in 256 parts are 3.9 tenants a part on average. The fullest part is assumed to have the mean plus four times its square
+	// root, 11.8 tenants of 100 bytes each. After a year with 864 moves a day it also has 1,231.9 + 140.4 former homes of 54 bytes each.
 	mean, moves := 1000/256.0, 365*864/256.0
 	fullest := (mean+4*math.Sqrt(mean))*100 + (moves+4*math.Sqrt(moves))*54
 	if b, _ := p.findBreakingPoint("leader: the fullest part of the map after a year of moves"); !approxEqual(b.NeededAtTarget.Value, fullest/1024) || b.Share > 1 || !strings.Contains(b.Consequence, "after 315 days") {
--- a/internal/policy/cells/follow.go
+++ b/internal/policy/cells/follow.go
@@ -114,7 +114,7 @@
 	return nil
 }
 
-// checkServers checks the servers that differ between the maps.
+// checkServers returns an error if a server is added, changed or removed in a way that the new map may not do.
 func (t *transition) checkServers() error {
 	for pos, s := range t.to.serversNotIn(t.oldIndex) {
 		if err := t.checkServer(pos, s, t.oldIndex.server(s.Name)); err != nil {
--- a/internal/policy/cells/parts_test.go
+++ b/internal/policy/cells/parts_test.go
@@ -512,7 +512,7 @@
 		now := t0.Add(time.Duration(rapid.IntRange(-60000, 60000).Draw(t, "at")) * time.Millisecond)
 		want, ok := referenceRoute(m, now, tenant, key)
 		got, found := other.Route(now, tenant, key)
-		if other != m { // a joined map lists its servers by name
+		if other != m { // a map that is joined from its parts lists its servers in the order of their names
 			slices.Sort(want.Servers)
 			slices.Sort(got.Servers)
 		}
--- a/internal/policy/configstore/configstore.go
+++ b/internal/policy/configstore/configstore.go
@@ -63,7 +63,7 @@
 	return max(onSlowClock(t.Lease, t.ClockDrift)+t.ClockSkew, t.DetectionBound())
 }
 
-// onSlowClock returns the real time that may pass while a clock that is slow by the drift counts d.
+// onSlowClock returns the longest real time that may pass while a clock measures d, if the clock runs slow by the fraction drift.
 func onSlowClock(d time.Duration, drift float64) time.Duration {
 	return time.Duration(float64(d) / (1 - drift))
 }
--- a/internal/policy/configstore/replicaparts.go
+++ b/internal/policy/configstore/replicaparts.go
@@ -129,7 +129,7 @@
 	return ""
 }
 
-// noteMismatch counts an answer that is inconsistent with the parts here.
+// noteMismatch counts an answer that is inconsistent with the parts of this replica, and keeps the reason.
 func (d *replicaDocument) noteMismatch(format string, args ...any) {
 	d.mismatches.Count++
 	d.mismatches.Reason = fmt.Sprintf(format, args...)
--- a/internal/policy/idempotency/record.go
+++ b/internal/policy/idempotency/record.go
@@ -58,7 +58,7 @@
 	return Execute
 }
 
-// AfterRestart returns the state that a restart assigns to a key stored in state s. A key whose run was in progress becomes Failed,
+// AfterRestart returns the state that a restart assigns to a key stored in state s. A key whose run was intended or in progress becomes Failed,
 // as it is unknown whether the request ran.
 func (s State) AfterRestart() State {
 	switch s {
--- a/internal/policy/quota/ledger.go
+++ b/internal/policy/quota/ledger.go
@@ -132,7 +132,7 @@
 	b.outstanding = slices.DeleteFunc(b.outstanding, func(o outstandingGrant) bool { return o.seq < r.Applied || now-o.sentAt >= l.terms.LeaderTTL() })
 }
 
-// demand returns the demand for a cell by router and tenant, of all routers with a request within a lease.
+// demand returns the demand for a cell by router and tenant. It includes only routers whose last request is more recent than LeaderTTL.
 func (l *Ledger) demand(now time.Duration, cell string, c Capacity) map[string]map[string]float64 {
 	demand := map[string]map[string]float64{}
 	for name, b := range l.routers {
--- a/internal/proxy/source.go
+++ b/internal/proxy/source.go
@@ -26,8 +26,8 @@
 	Newest(old *cells.Map) (id configstore.ID, ok bool)
 }
 
-// DigestSource is implemented by sources that have the digest by which other processes identify a map. Ok is false for a map without one,
-// which is identified by the digest of its text.
+// DigestSource is implemented by sources that have the digest by which other processes identify a map. If the source has no
+// digest for a map, ok is false, and the map is identified by the digest of its text.
 type DigestSource interface {
 	DigestOf(m *cells.Map) (digest uint64, ok bool)
 }
--- a/internal/proxy/wire_test.go
+++ b/internal/proxy/wire_test.go
@@ -72,9 +72,9 @@
 	return b.String()
 }
 
-// During a rolling upgrade a router of one build talks to servers of another. If a field were renamed or a text changed its form, the other
-// side would ignore it silently: a keyed request would carry no map ID, or a restart would not be noticed. So testdata has every byte
-// between a router and its servers, both ways, as a build from before the identifiers were renamed wrote it. The scenario has health
+// During a rolling upgrade a router of one build talks to servers of another. If a field were renamed or a value encoded differently, the
+// other side would ignore it silently: a keyed request would carry no map ID, or a restart would not be noticed. So testdata records all bytes
+// that a router and its servers sent each other, as written by a build from before the identifiers were renamed. The scenario has health
 // checks, reads, a keyed request, its repeat, and a keyed request whose tenant has moved.
 func TestBytesBetweenRouterAndServers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/settings/config.go
+++ b/internal/settings/config.go
@@ -203,7 +203,7 @@
 	return nil
 }
 
-// checkSettings checks that the fields of the module's settings that have no default are present.
+// checkSettings checks that the fields of the module's settings that have no default are present, and that class deadlines are above 0.
 func (c *Config) checkSettings(v *fastjson.Value) error {
 	for _, path := range [][]string{{"settings"}, {"settings", "classes"}, {"settings", "family_info"},
 		{"settings", "family_info", "cpus"}, {"settings", "family_info", "memory_kb"}} {
--- a/internal/settings/edge.go
+++ b/internal/settings/edge.go
@@ -141,7 +141,7 @@
 	return commands
 }
 
-// readReserve reads the share of connections reserved for cheap calls. It returns nil if the object is absent.
+// readReserve reads the share of connections reserved for cheap calls and the rates of these calls. It returns nil if the object is absent.
 func readReserve(f fields) *admission.ReserveConfig {
 	if f.v == nil {
 		return nil
--- a/internal/testkit/benchmarks/partsschedules.go
+++ b/internal/testkit/benchmarks/partsschedules.go
@@ -114,7 +114,7 @@
 			m.Version = old.Version + 1
 		}
 	}
-	addServer := func(cell string) { // nothing listens at its address; it joins after the schedules
+	addServer := func(cell string) { // adds a server at whose address nothing listens; it would join after the schedules have ended
 		m.Servers = append(m.Servers, cells.Server{Name: fmt.Sprint("later", m.Version), Addr: fmt.Sprint("127.0.0.1:", 1+m.Version%1000), Cell: cell, Weight: 1,
 			JoinsAt: time.Now().Add(time.Hour).UnixMilli()})
 	}
--- a/internal/transport/listener/slot.go
+++ b/internal/transport/listener/slot.go
@@ -78,8 +78,8 @@
 	return l.reserve.AdmitWork(s.id)
 }
 
-// ThrottleCheapCall is called before a cheap call is answered. If the peer exceeds its share of the reserve, it waits, without delaying other
-// connections.
+// ThrottleCheapCall is called before a cheap call is answered. If the peer has exceeded its share of the reserve, ThrottleCheapCall sleeps
+// before it returns. Other connections are not delayed.
 func (s *Slot) ThrottleCheapCall() {
 	l := s.owner
 	if l.reserve == nil {
